--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -43,7 +43,12 @@
 impl Metrics {
     fn load(&self) -> Load {
         let service = self.avg_ms.map(|ms| ms / 1e3);
-        Load { active: self.active, waiting: self.waiting, busy: self.cpu, service }
+        Load {
+            active: self.active,
+            waiting: self.waiting,
+            busy: self.cpu,
+            service,
+        }
     }
 }
 
@@ -85,7 +90,10 @@
 impl Instance {
     fn new(info: &str, salt: u64, now: Time) -> Result<Self, String> {
         let (settings, names, _) = settings::read(info)?;
-        Ok(Instance { balancer: Balancer::new(settings, salt, now)?, names })
+        Ok(Instance {
+            balancer: Balancer::new(settings, salt, now)?,
+            names,
+        })
     }
 
     fn entry(&mut self, r: &Record) -> Entry {
@@ -106,8 +114,11 @@
 
     /// Translates one line; `None` for events that are not known here.
     fn event(&mut self, line: &Line) -> Result<Option<Event>, String> {
-        let server =
-            |names: &Names| names.get(&need(&line.server, "server")?.0).ok_or("unknown server".to_owned());
+        let server = |names: &Names| {
+            names
+                .get(&need(&line.server, "server")?.0)
+                .ok_or("unknown server".to_owned())
+        };
         let load = line.metrics.as_ref().map(Metrics::load);
         Ok(Some(match line.what.0.as_ref() {
             "members" => Event::Members {
@@ -118,7 +129,12 @@
                     "failed" => ListKind::Failed,
                     other => return Err(format!("unknown list kind `{other}`")),
                 },
-                entries: line.records.iter().flatten().map(|r| self.entry(r)).collect(),
+                entries: line
+                    .records
+                    .iter()
+                    .flatten()
+                    .map(|r| self.entry(r))
+                    .collect(),
             },
             "req" => Event::Request {
                 request: *need(&line.id, "id")?,
@@ -150,7 +166,9 @@
                 attempt: *need(&line.attempt, "attempt")?,
                 latency: *need(&line.wait_time, "wait-time")?,
             },
-            "left" => Event::Gone { request: *need(&line.id, "id")? },
+            "left" => Event::Gone {
+                request: *need(&line.id, "id")?,
+            },
             "fired" => match need(&line.tag, "tag")?.0.parse() {
                 Ok(tag) => Event::Timer { tag },
                 Err(_) => return Ok(None),
@@ -166,7 +184,9 @@
 }
 
 fn need<'a, T>(field: &'a Option<T>, name: &str) -> Result<&'a T, String> {
-    field.as_ref().ok_or_else(|| format!("field `{name}` is missing"))
+    field
+        .as_ref()
+        .ok_or_else(|| format!("field `{name}` is missing"))
 }
 
 fn outcome(word: &str) -> Result<Outcome, String> {
@@ -210,24 +230,43 @@
 fn print(out: &mut Vec<u8>, node: u32, action: &Action, servers: &Names) {
     let name = |s: &ServerId| servers.name(*s).unwrap_or_default();
     let _ = match action {
-        Action::Attempt { request, server, timeout } => {
-            let _ = write!(out, "{{\"what\":\"attempt\",\"node\":{node},\"id\":{request},\"server\":");
+        Action::Attempt {
+            request,
+            server,
+            timeout,
+        } => {
+            let _ = write!(
+                out,
+                "{{\"what\":\"attempt\",\"node\":{node},\"id\":{request},\"server\":"
+            );
             quoted(out, name(server));
             match timeout {
                 Some(cap) => writeln!(out, ",\"cap\":{cap:.6}}}"),
                 None => writeln!(out, "}}"),
             }
         }
-        Action::Refuse { request, retry_after: Some(t) } => {
+        Action::Refuse {
+            request,
+            retry_after: Some(t),
+        } => {
             writeln!(
                 out,
                 "{{\"what\":\"say-no\",\"node\":{node},\"id\":{request},\"not-before-for\":{t:.6}}}"
             )
         }
-        Action::Refuse { request, retry_after: None } => {
-            writeln!(out, "{{\"what\":\"say-no\",\"node\":{node},\"id\":{request}}}")
+        Action::Refuse {
+            request,
+            retry_after: None,
+        } => {
+            writeln!(
+                out,
+                "{{\"what\":\"say-no\",\"node\":{node},\"id\":{request}}}"
+            )
         }
-        Action::Fail { request } => writeln!(out, "{{\"what\":\"lose\",\"node\":{node},\"id\":{request}}}"),
+        Action::Fail { request } => writeln!(
+            out,
+            "{{\"what\":\"lose\",\"node\":{node},\"id\":{request}}}"
+        ),
         Action::Cancel { request, attempt } => {
             writeln!(
                 out,
@@ -241,7 +280,10 @@
             writeln!(out, "}}")
         }
         Action::Timer { after, tag } => {
-            writeln!(out, "{{\"what\":\"set-alarm\",\"node\":{node},\"after\":{after:.6},\"tag\":\"{tag}\"}}")
+            writeln!(
+                out,
+                "{{\"what\":\"set-alarm\",\"node\":{node},\"after\":{after:.6},\"tag\":\"{tag}\"}}"
+            )
         }
     };
 }
@@ -293,7 +335,10 @@
                         self.instances.insert(node, instance);
                     }
                     Err(fault) => {
-                        let _ = write!(out, "{{\"what\":\"bail-out\",\"node\":{node},\"reason-text\":");
+                        let _ = write!(
+                            out,
+                            "{{\"what\":\"bail-out\",\"node\":{node},\"reason-text\":"
+                        );
                         quoted(out, &format!("settings can't be used: {fault}"));
                         out.extend_from_slice(b"}\n");
                     }
@@ -333,7 +378,10 @@
         }
         let text = line.trim_end();
         if !text.is_empty() && host.line(text, &mut out).map_err(|e| fault(&e))? {
-            output.write_all(&out).and_then(|()| output.flush()).map_err(|e| fault(&e))?;
+            output
+                .write_all(&out)
+                .and_then(|()| output.flush())
+                .map_err(|e| fault(&e))?;
             out.clear();
         }
     }
--- a/crates/adapter/tests/golden.rs
+++ b/crates/adapter/tests/golden.rs
@@ -8,5 +8,8 @@
     let mut output = Vec::new();
     let end = serve(include_str!("golden/input.txt").as_bytes(), &mut output);
     assert_eq!(end, Ok(()));
-    assert_eq!(String::from_utf8(output).unwrap(), include_str!("golden/output.txt"));
+    assert_eq!(
+        String::from_utf8(output).unwrap(),
+        include_str!("golden/output.txt")
+    );
 }
--- a/crates/conf/src/check.rs
+++ b/crates/conf/src/check.rs
@@ -46,7 +46,11 @@
 pub fn parts(descriptors: usize, memory_mb: usize) -> (usize, usize, usize) {
     let all = descriptors.saturating_sub(SPARE).max(8);
     let upstream = all * 43 / 100;
-    (all - upstream, upstream, memory_mb.saturating_mul(256).max(1024))
+    (
+        all - upstream,
+        upstream,
+        memory_mb.saturating_mul(256).max(1024),
+    )
 }
 
 struct Checker {
@@ -55,7 +59,10 @@
 
 impl Checker {
     fn say(&mut self, origin: &Origin, mistake: String) {
-        self.faults.push(Fault { origin: origin.clone(), mistake });
+        self.faults.push(Fault {
+            origin: origin.clone(),
+            mistake,
+        });
     }
 
     fn want(&mut self, holds: bool, origin: &Origin, mistake: impl FnOnce() -> String) {
@@ -66,25 +73,35 @@
 
     /// Names are short plain words, and each is there once.
     fn names<'a, T: 'a>(
-        &mut self, what: &str, items: impl IntoIterator<Item = &'a At<T>>, name: impl Fn(&'a T) -> &'a str,
+        &mut self,
+        what: &str,
+        items: impl IntoIterator<Item = &'a At<T>>,
+        name: impl Fn(&'a T) -> &'a str,
     ) {
         let mut seen: HashMap<&str, &Origin> = HashMap::new();
         for item in items {
             let name = name(&item.value);
             let plain = !name.is_empty()
                 && name.len() <= NAME_MOST
-                && name.bytes().all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.'));
+                && name
+                    .bytes()
+                    .all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.'));
             self.want(plain, &item.origin, || {
                 format!("`{name}` is no name for a {what}: use letters, digits, `-`, `_` and `.`")
             });
             if let Some(first) = seen.insert(name, &item.origin) {
-                self.say(&item.origin, format!("{what} `{name}` is there already, at line {}", first.line));
+                self.say(
+                    &item.origin,
+                    format!("{what} `{name}` is there already, at line {}", first.line),
+                );
             }
         }
     }
     /// Addresses are there but once each; `named` tells an item's name and address.
     fn addresses<'a, T: 'a>(
-        &mut self, what: &str, items: impl IntoIterator<Item = &'a At<T>>,
+        &mut self,
+        what: &str,
+        items: impl IntoIterator<Item = &'a At<T>>,
         named: impl Fn(&'a T) -> (&'a str, SocketAddr),
     ) {
         let mut firsts = HashMap::new();
@@ -96,7 +113,10 @@
                 }
                 Entry::Occupied(first) => {
                     let first = first.get();
-                    self.say(&item.origin, format!("{what} `{first}` already has the address {address}"));
+                    self.say(
+                        &item.origin,
+                        format!("{what} `{first}` already has the address {address}"),
+                    );
                 }
             }
         }
@@ -110,13 +130,22 @@
 pub fn check(model: Model) -> Result<Plan, Faults> {
     let mut c = Checker { faults: Vec::new() };
     let process = &model.process;
-    c.want(process.descriptors >= 64, &process.origin, || "descriptors: 64 at least".to_owned());
-    c.want(process.memory >= 16 << 20, &process.origin, || "memory: 16MiB at least".to_owned());
-    c.want(process.nodes > 0, &process.origin, || "nodes: this one counts, so 1 at least".to_owned());
-    c.want(process.server_connections != Some(0), &process.origin, || {
-        "server_connections: 1 at least".to_owned()
+    c.want(process.descriptors >= 64, &process.origin, || {
+        "descriptors: 64 at least".to_owned()
     });
-    let (clients, connections, memory) = parts(process.descriptors, (process.memory >> 20) as usize);
+    c.want(process.memory >= 16 << 20, &process.origin, || {
+        "memory: 16MiB at least".to_owned()
+    });
+    c.want(process.nodes > 0, &process.origin, || {
+        "nodes: this one counts, so 1 at least".to_owned()
+    });
+    c.want(
+        process.server_connections != Some(0),
+        &process.origin,
+        || "server_connections: 1 at least".to_owned(),
+    );
+    let (clients, connections, memory) =
+        parts(process.descriptors, (process.memory >> 20) as usize);
     let clients = process.clients.unwrap_or(clients);
     c.want(
         clients >= 8 && clients + connections <= process.descriptors.saturating_sub(SPARE),
@@ -143,7 +172,14 @@
     services::limits(&mut c, &model, totals);
     let (table, goals, matches) = routes::routes(&mut c, &model);
     match table {
-        Some(table) if c.faults.is_empty() => Ok(Plan { model, table, goals, matches, totals, clients }),
+        Some(table) if c.faults.is_empty() => Ok(Plan {
+            model,
+            table,
+            goals,
+            matches,
+            totals,
+            clients,
+        }),
         _ => {
             c.faults.sort_by_key(|f| f.origin.line);
             Err(Faults(c.faults))
@@ -155,9 +191,16 @@
     c.want(!model.listeners.is_empty(), &model.origin, || {
         "nothing to listen on: add [[listener]] with a name and an address".to_owned()
     });
-    c.want(model.listeners.len() <= LISTENERS_MOST, &model.origin, || {
-        format!("{} listeners, {LISTENERS_MOST} at most", model.listeners.len())
-    });
+    c.want(
+        model.listeners.len() <= LISTENERS_MOST,
+        &model.origin,
+        || {
+            format!(
+                "{} listeners, {LISTENERS_MOST} at most",
+                model.listeners.len()
+            )
+        },
+    );
     c.names("listener", &model.listeners, |l| &l.name);
     // Port 0 is another one for each.
     let fixed = model.listeners.iter().filter(|l| l.address.port() != 0);
--- a/crates/conf/src/check/fleet.rs
+++ b/crates/conf/src/check/fleet.rs
@@ -10,22 +10,48 @@
     leases(c, fleet);
     let (rules, pace) = (&fleet.rules, &fleet.rules.membership);
     let named = |name: &str| !name.is_empty() && name.len() <= reelfall_fleet::node::MAX_NAME_LEN;
-    c.want(named(&fleet.name) && named(&fleet.node), &fleet.origin, || {
-        format!("fleet: name and node have 1 to {} bytes", reelfall_fleet::node::MAX_NAME_LEN)
-    });
-    c.want(fleet.advertise.unwrap_or(fleet.listen).ip().is_unspecified().not(), &fleet.origin, || {
-        format!("fleet: nobody can send to {}: add advertise", fleet.listen)
-    });
+    c.want(
+        named(&fleet.name) && named(&fleet.node),
+        &fleet.origin,
+        || {
+            format!(
+                "fleet: name and node have 1 to {} bytes",
+                reelfall_fleet::node::MAX_NAME_LEN
+            )
+        },
+    );
+    c.want(
+        fleet
+            .advertise
+            .unwrap_or(fleet.listen)
+            .ip()
+            .is_unspecified()
+            .not(),
+        &fleet.origin,
+        || format!("fleet: nobody can send to {}: add advertise", fleet.listen),
+    );
     let zone = model.process.zone.as_ref();
-    c.want(zone.is_none_or(|zone| zone.len() <= reelfall_fleet::node::MAX_NAME_LEN), &fleet.origin, || {
-        format!("fleet: the zone's name has {} bytes at most", reelfall_fleet::node::MAX_NAME_LEN)
-    });
+    c.want(
+        zone.is_none_or(|zone| zone.len() <= reelfall_fleet::node::MAX_NAME_LEN),
+        &fleet.origin,
+        || {
+            format!(
+                "fleet: the zone's name has {} bytes at most",
+                reelfall_fleet::node::MAX_NAME_LEN
+            )
+        },
+    );
     let times = [
         ("probe_every", pace.probe_every, 0.05, 60.0),
         ("suspect_for", pace.suspect_for, 0.1, 600.0),
         ("spread_every", rules.spread_every, 0.01, 10.0),
         ("heal_every", rules.heal_every, 0.05, 60.0),
-        ("verdicts.lasts", rules.report_lasts, 1.0, reelfall_fleet::entry::MAX_REPORT_TTL),
+        (
+            "verdicts.lasts",
+            rules.report_lasts,
+            1.0,
+            reelfall_fleet::entry::MAX_REPORT_TTL,
+        ),
         ("verdicts.trial_every", rules.trial_every, 0.1, 60.0),
     ];
     for (what, time, least, most) in times {
@@ -33,13 +59,22 @@
             format!("fleet: {what} is {time}s, not between {least}s and {most}s")
         });
     }
-    c.want(pace.answer_within > 0.0 && pace.answer_within < pace.probe_every, &fleet.origin, || {
-        "fleet: answer_within is more than 0 and less than probe_every".to_owned()
-    });
+    c.want(
+        pace.answer_within > 0.0 && pace.answer_within < pace.probe_every,
+        &fleet.origin,
+        || "fleet: answer_within is more than 0 and less than probe_every".to_owned(),
+    );
     // One alone could send a server out for all.
-    c.want((2..=1000).contains(&rules.quorum.witnesses), &fleet.origin, || {
-        format!("fleet: verdicts.witnesses is {}, not between 2 and 1000", rules.quorum.witnesses)
-    });
+    c.want(
+        (2..=1000).contains(&rules.quorum.witnesses),
+        &fleet.origin,
+        || {
+            format!(
+                "fleet: verdicts.witnesses is {}, not between 2 and 1000",
+                rules.quorum.witnesses
+            )
+        },
+    );
     c.want((1..=100_000).contains(&pace.size), &fleet.origin, || {
         format!("fleet: size is {}, not between 1 and 100000", pace.size)
     });
@@ -53,19 +88,29 @@
     c.want(count % 2 == 1 && count <= most && keepers.len() == count, &fleet.origin, || {
         format!("fleet.leases: keepers are 1, 3 or another odd number of different nodes, {most} at most")
     });
-    c.want(!keepers.contains(&fleet.node) || leases.folder.is_some(), &fleet.origin, || {
-        format!("fleet.leases: {} is a keeper and needs a folder", fleet.node)
-    });
+    c.want(
+        !keepers.contains(&fleet.node) || leases.folder.is_some(),
+        &fleet.origin,
+        || {
+            format!(
+                "fleet.leases: {} is a keeper and needs a folder",
+                fleet.node
+            )
+        },
+    );
     c.want((0.5..=60.0).contains(&leases.length), &fleet.origin, || {
-        format!("fleet.leases: length is {}s, not between 0.5s and 60s", leases.length)
+        format!(
+            "fleet.leases: length is {}s, not between 0.5s and 60s",
+            leases.length
+        )
     });
     c.want((0.0..=0.1).contains(&leases.drift), &fleet.origin, || {
         "fleet.leases: drift is not between 0 and 10 %".to_owned()
     });
     let mut names = BTreeSet::new();
     for call in &leases.calls {
-        let sound =
-            reelfall_lease::token::LeaseName::try_from(call.name.clone()).is_ok() && names.insert(&call.name);
+        let sound = reelfall_lease::token::LeaseName::try_from(call.name.clone()).is_ok()
+            && names.insert(&call.name);
         c.want(sound, &fleet.origin, || {
             format!(
                 "fleet.leases: call `{}`: {}, and each but once",
@@ -73,16 +118,25 @@
                 reelfall_lease::token::InvalidLeaseName
             )
         });
-        c.want((0.05..=86_400.0).contains(&call.every), &fleet.origin, || {
-            format!(
-                "fleet.leases: call `{}`: every is {}s, not between 0.05s and a day",
-                call.name, call.every
-            )
-        });
+        c.want(
+            (0.05..=86_400.0).contains(&call.every),
+            &fleet.origin,
+            || {
+                format!(
+                    "fleet.leases: call `{}`: every is {}s, not between 0.05s and a day",
+                    call.name, call.every
+                )
+            },
+        );
         c.want(
             call.path.starts_with('/') && call.path.bytes().all(|b| b.is_ascii_graphic()),
             &fleet.origin,
-            || format!("fleet.leases: call `{}`: the path begins with / and has no spaces", call.name),
+            || {
+                format!(
+                    "fleet.leases: call `{}`: the path begins with / and has no spaces",
+                    call.name
+                )
+            },
         );
     }
 }
--- a/crates/conf/src/check/graphql.rs
+++ b/crates/conf/src/check/graphql.rs
@@ -8,18 +8,29 @@
 
 /// What a service says of GraphQL, if it does.
 pub(super) fn graphql(c: &mut Checker, service: &At<Service>) {
-    let Some(graphql) = &service.graphql else { return };
+    let Some(graphql) = &service.graphql else {
+        return;
+    };
     let name = &service.name;
     if let Err(fault) = graphql_classes(service, graphql) {
         c.say(&graphql.origin, format!("service `{name}`: {fault}"));
     }
-    let GraphQl { limits, side_by_side, .. } = &graphql.value;
+    let GraphQl {
+        limits,
+        side_by_side,
+        ..
+    } = &graphql.value;
     c.want((1..=64).contains(&limits.depth), &graphql.origin, || {
-        format!("service `{name}`: depth is {}, not between 1 and 64", limits.depth)
-    });
-    c.want((1..=256).contains(&limits.batch) && (1..=64).contains(side_by_side), &graphql.origin, || {
-        format!("service `{name}`: batch is 1 to 256, side_by_side 1 to 64")
+        format!(
+            "service `{name}`: depth is {}, not between 1 and 64",
+            limits.depth
+        )
     });
+    c.want(
+        (1..=256).contains(&limits.batch) && (1..=64).contains(side_by_side),
+        &graphql.origin,
+        || format!("service `{name}`: batch is 1 to 256, side_by_side 1 to 64"),
+    );
 }
 
 /// The classes of a service's root fields.
@@ -33,15 +44,22 @@
         at.and_then(|at| core::ClassId::try_from(at).ok())
             .ok_or_else(|| format!("there is no class `{name}`"))
     };
-    let fields = |fields: &BTreeMap<String, String>| -> Result<HashMap<String, core::ClassId>, String> {
-        fields.iter().map(|(field, name)| Ok((field.clone(), class(name)?))).collect()
-    };
+    let fields =
+        |fields: &BTreeMap<String, String>| -> Result<HashMap<String, core::ClassId>, String> {
+            fields
+                .iter()
+                .map(|(field, name)| Ok((field.clone(), class(name)?)))
+                .collect()
+        };
     let mapping = Mapping {
         query: fields(&graphql.query)?,
         mutation: fields(&graphql.mutation)?,
         other_query: class(&graphql.other_query)?,
         other_mutation: class(&graphql.other_mutation)?,
     };
-    let info = |c: &At<Class>| ClassInfo { safe: c.repeat == Repeat::Safe, deadline: c.deadline };
+    let info = |c: &At<Class>| ClassInfo {
+        safe: c.repeat == Repeat::Safe,
+        deadline: c.deadline,
+    };
     Classes::new(mapping, service.classes.iter().map(info).collect()).map_err(|e| e.to_string())
 }
--- a/crates/conf/src/check/plan.rs
+++ b/crates/conf/src/check/plan.rs
@@ -42,7 +42,11 @@
         let (tries, cold) = (service.tries, service.cold);
         let settings = core::Settings {
             classes: service.classes.iter().map(|c| class(c)).collect(),
-            tenants: service.members.iter().map(|m| core::Tenant { quota: m.quota }).collect(),
+            tenants: service
+                .members
+                .iter()
+                .map(|m| core::Tenant { quota: m.quota })
+                .collect(),
             zone: self.model.process.zone.as_ref().map(|z| names.zone(z)),
             replicas: self.model.process.nodes,
             // The file does not tell nodes from each other: each has the whole list.
@@ -67,21 +71,29 @@
                 must_ask_in: 10.0,
             },
             prices: core::Prices::default(),
-            goal: core::Goal { overall: 0.8, worst_class: 0.1, worst_tenant: 0.1 },
+            goal: core::Goal {
+                overall: 0.8,
+                worst_class: 0.1,
+                worst_tenant: 0.1,
+            },
             over_share_worth: 0.1,
             worth_by_work: true,
             warm_keys: false,
             weighted: true,
             tick: 1e-3,
         };
-        let figures = Figures { connect_timeout: tries.connect, answer_slack: 0.005 };
+        let figures = Figures {
+            connect_timeout: tries.connect,
+            answer_slack: 0.005,
+        };
         (settings, names, figures)
     }
 
     /// Every route that a request fits, the one that wins first.
     pub fn candidates(&self, q: &Query) -> Vec<usize> {
-        let mut fit: Vec<usize> =
-            (0..self.matches.len()).filter(|n| self.matches.get(*n).is_some_and(|m| m.fits(q))).collect();
+        let mut fit: Vec<usize> = (0..self.matches.len())
+            .filter(|n| self.matches.get(*n).is_some_and(|m| m.fits(q)))
+            .collect();
         fit.sort_by_key(|n| std::cmp::Reverse(self.matches.get(*n).map(Match::rank)));
         fit
     }
--- a/crates/conf/src/check/routes.rs
+++ b/crates/conf/src/check/routes.rs
@@ -19,7 +19,9 @@
         for route in &service.routes {
             let listener = route.listener.as_ref().and_then(|name| {
                 let at = listeners.get(name.as_str()).copied();
-                c.want(at.is_some(), &route.origin, || format!("there is no listener `{name}`"));
+                c.want(at.is_some(), &route.origin, || {
+                    format!("there is no listener `{name}`")
+                });
                 at.and_then(|at| ListenerId::try_from(at).ok())
             });
             let assign = route.assign.as_ref().and_then(|name| {
@@ -31,7 +33,9 @@
             });
             methods(c, route);
             let own = *route.path == *"/_health" || route.path.starts_with("/_health/");
-            c.want(!own, &route.origin, || "`/_health` is the node's own".to_owned());
+            c.want(!own, &route.origin, || {
+                "`/_health` is the node's own".to_owned()
+            });
             matches.push(Match {
                 listener,
                 host: route.host.clone(),
@@ -53,7 +57,13 @@
         Ok(table) => (Some(table), goals, matches),
         Err(Ambiguous { first, second }) => {
             if let (Some(first), Some(second)) = (origins.get(first), origins.get(second)) {
-                c.say(second, format!("this route can't be told apart from the one at line {}", first.line));
+                c.say(
+                    second,
+                    format!(
+                        "this route can't be told apart from the one at line {}",
+                        first.line
+                    ),
+                );
             }
             (None, goals, matches)
         }
@@ -67,6 +77,8 @@
         c.want(METHODS.contains(&method.as_str()), &route.origin, || {
             format!("method `{method}` is not served: {}", METHODS.join(", "))
         });
-        c.want(seen.insert(method.as_str()), &route.origin, || format!("method `{method}` is named twice"));
+        c.want(seen.insert(method.as_str()), &route.origin, || {
+            format!("method `{method}` is named twice")
+        });
     }
 }
--- a/crates/conf/src/check/services.rs
+++ b/crates/conf/src/check/services.rs
@@ -11,7 +11,9 @@
 
 /// All services, each by itself.
 pub(super) fn services(c: &mut Checker, model: &Model) {
-    c.want(!model.services.is_empty(), &model.origin, || "no services: add [[service]]".to_owned());
+    c.want(!model.services.is_empty(), &model.origin, || {
+        "no services: add [[service]]".to_owned()
+    });
     c.want(model.services.len() <= SERVICES_MOST, &model.origin, || {
         format!("{} services, {SERVICES_MOST} at most", model.services.len())
     });
@@ -21,7 +23,10 @@
         requests(c, service);
         followed(c, &registries, service);
         servers(c, service);
-        service.classes.iter().for_each(|class| class_figures(c, class));
+        service
+            .classes
+            .iter()
+            .for_each(|class| class_figures(c, class));
         graphql(c, service);
         members(c, service);
         attempts(c, service);
@@ -37,19 +42,35 @@
     c.want(!service.routes.is_empty(), &service.origin, || {
         format!("nothing reaches service `{name}`: add [[service.route]]")
     });
-    c.want(service.classes.len() <= CLASSES_MOST, &service.origin, || {
-        format!("service `{name}` has {} classes, {CLASSES_MOST} at most", service.classes.len())
-    });
-    c.want(service.members.len() <= MEMBERS_MOST, &service.origin, || {
-        format!("service `{name}` has {} members, {MEMBERS_MOST} at most", service.members.len())
-    });
+    c.want(
+        service.classes.len() <= CLASSES_MOST,
+        &service.origin,
+        || {
+            format!(
+                "service `{name}` has {} classes, {CLASSES_MOST} at most",
+                service.classes.len()
+            )
+        },
+    );
+    c.want(
+        service.members.len() <= MEMBERS_MOST,
+        &service.origin,
+        || {
+            format!(
+                "service `{name}` has {} members, {MEMBERS_MOST} at most",
+                service.members.len()
+            )
+        },
+    );
     c.names("class", &service.classes, |s| &s.name);
     c.names("member", &service.members, |s| &s.name);
 }
 
 /// A static list has each name and each address once.
 fn servers(c: &mut Checker, service: &At<Service>) {
-    let Source::Static(servers) = &service.source else { return };
+    let Source::Static(servers) = &service.source else {
+        return;
+    };
     c.names("server", servers, |s| &s.name);
     c.addresses("server", servers, |s| (&s.name, s.address));
 }
@@ -65,7 +86,12 @@
 /// Attempts, cold servers and the rate.
 fn attempts(c: &mut Checker, service: &At<Service>) {
     let name = &service.name;
-    let Tries { most, connect, idle, .. } = service.tries;
+    let Tries {
+        most,
+        connect,
+        idle,
+        ..
+    } = service.tries;
     c.want((1..=16).contains(&most), &service.origin, || {
         format!("service `{name}`: tries.most is {most}, not between 1 and 16")
     });
@@ -83,8 +109,15 @@
 }
 
 fn class_figures(c: &mut Checker, class: &At<Class>) {
-    let Class { name, aim, deadline, .. } = &class.value;
-    c.want(*aim > 0.0, &class.origin, || format!("class `{name}`: aim is more than 0"));
+    let Class {
+        name,
+        aim,
+        deadline,
+        ..
+    } = &class.value;
+    c.want(*aim > 0.0, &class.origin, || {
+        format!("class `{name}`: aim is more than 0")
+    });
     c.want(aim <= deadline, &class.origin, || {
         format!("class `{name}`: aim ({aim}s) is past its deadline ({deadline}s)")
     });
@@ -100,12 +133,17 @@
 pub(super) fn shared_servers(c: &mut Checker, model: &Model) {
     let mut listed: HashMap<SocketAddr, usize> = HashMap::new();
     for service in &model.services {
-        let Source::Static(servers) = &service.source else { continue };
+        let Source::Static(servers) = &service.source else {
+            continue;
+        };
         for server in servers {
             let n = listed.entry(server.address).or_default();
             *n += 1;
             c.want(*n != SHARERS_MOST + 1, &server.origin, || {
-                format!("{} is listed by more than {SHARERS_MOST} services", server.address)
+                format!(
+                    "{} is listed by more than {SHARERS_MOST} services",
+                    server.address
+                )
             });
         }
     }
@@ -116,10 +154,16 @@
     let allowed: Vec<_> = model.services.iter().map(|s| s.allowed.value).collect();
     for service in &model.services {
         let a = &service.allowed;
-        for (kind, share) in
-            [(Kind::Open, a.open), (Kind::Connections, a.connections), (Kind::Memory, a.memory)]
-        {
-            let named = if a.origin.line == 0 { &service.origin } else { &a.origin };
+        for (kind, share) in [
+            (Kind::Open, a.open),
+            (Kind::Connections, a.connections),
+            (Kind::Memory, a.memory),
+        ] {
+            let named = if a.origin.line == 0 {
+                &service.origin
+            } else {
+                &a.origin
+            };
             c.want(share.reserve <= share.most, named, || {
                 format!(
                     "service `{}`: {kind}: {} are reserved, but it may have {}",
@@ -127,7 +171,10 @@
                 )
             });
             c.want((1..=1000).contains(&share.weight), named, || {
-                format!("service `{}`: weight is {}, not between 1 and 1000", service.name, share.weight)
+                format!(
+                    "service `{}`: weight is {}, not between 1 and 1000",
+                    service.name, share.weight
+                )
             });
             c.want(share.most > 0, named, || {
                 format!(
@@ -139,7 +186,10 @@
     }
     if c.faults.is_empty() {
         if let Err(unfit) = Limits::check(totals, &allowed) {
-            c.say(&model.process.origin, format!("the reservations do not fit the process: {unfit}"));
+            c.say(
+                &model.process.origin,
+                format!("the reservations do not fit the process: {unfit}"),
+            );
         }
     }
 }
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -18,8 +18,12 @@
 /// All that is wrong with it, each with file, line and mistake.
 pub fn load(path: &std::path::Path) -> Result<Plan, Faults> {
     let name = path.display().to_string();
-    let text = std::fs::read_to_string(path)
-        .map_err(|e| Faults(vec![Fault { origin: model::Origin::file(&name), mistake: e.to_string() }]))?;
+    let text = std::fs::read_to_string(path).map_err(|e| {
+        Faults(vec![Fault {
+            origin: model::Origin::file(&name),
+            mistake: e.to_string(),
+        }])
+    })?;
     let model = reader::toml(&name, &text)?;
     // The model holds nothing of the text, and the check takes memory of its own.
     drop(text);
--- a/crates/conf/src/model.rs
+++ b/crates/conf/src/model.rs
@@ -23,7 +23,10 @@
 impl Origin {
     /// A file as a whole.
     pub fn file(name: &str) -> Origin {
-        Origin { file: name.into(), line: 0 }
+        Origin {
+            file: name.into(),
+            line: 0,
+        }
     }
 }
 
--- a/crates/conf/src/reader.rs
+++ b/crates/conf/src/reader.rs
@@ -51,7 +51,10 @@
     }
     let process = match read.process {
         Some(process) => lines.located(process, |_, p| self::process(p)),
-        None => At { value: process(ProcessText::default()), origin: lines.file() },
+        None => At {
+            value: process(ProcessText::default()),
+            origin: lines.file(),
+        },
     };
     let zone = process.zone.clone();
     let model = Model {
@@ -59,11 +62,18 @@
         process,
         management: read.management.map(|m| lines.located(m, |_, m| m.model())),
         fleet: read.fleet.map(|f| lines.located(f, |_, f| f.model(zone))),
-        listeners: lines.all(read.listener, |_, l| Listener { name: l.name, address: l.address.0 }),
+        listeners: lines.all(read.listener, |_, l| Listener {
+            name: l.name,
+            address: l.address.0,
+        }),
         registries: lines.all(read.registry, registry),
         services: services.found,
     };
-    services.faults.is_empty().then_some(model).ok_or(Faults(services.faults))
+    services
+        .faults
+        .is_empty()
+        .then_some(model)
+        .ok_or(Faults(services.faults))
 }
 
 /// The services of a file, and what is wrong with those that are none.
@@ -118,7 +128,10 @@
         source,
         allowed: match s.limits {
             Some(limits) => lines.located(limits, |_, l| allowed(l)),
-            None => At { value: Allowed::OPEN, origin: lines.file() },
+            None => At {
+                value: Allowed::OPEN,
+                origin: lines.file(),
+            },
         },
         graphql: s.graphql.map(|g| lines.located(g, |_, g| graphql(g))),
         tries: Tries {
@@ -145,7 +158,10 @@
             worth: c.worth.unwrap_or(1.0),
             late_value: c.late_value,
         }),
-        members: lines.all(s.member, |_, m| Member { name: m.name, quota: m.quota.0 }),
+        members: lines.all(s.member, |_, m| Member {
+            name: m.name,
+            quota: m.quota.0,
+        }),
         routes: lines.all(s.route, |_, r| Route {
             listener: r.listener,
             host: r.host.map_or(table::Host::Any, |h| h.0),
@@ -216,8 +232,9 @@
 
 fn graphql(g: GraphQlText) -> GraphQl {
     let usual = reelfall_graphql::Limits::default();
-    let bytes =
-        |size: Option<SizeText>, usual| size.map_or(usual, |s| usize::try_from(s.0).unwrap_or(usize::MAX));
+    let bytes = |size: Option<SizeText>, usual| {
+        size.map_or(usual, |s| usize::try_from(s.0).unwrap_or(usize::MAX))
+    };
     GraphQl {
         query: g.query,
         mutation: g.mutation,
@@ -252,6 +269,8 @@
         open: share(l.open_reserved, l.open),
         connections: share(l.connections_reserved, l.connections),
         memory: share(kib(l.memory_reserved), kib(l.memory)),
-        rate: l.rate.map(|r| (r.0, l.burst.map_or_else(|| r.0.max(1.0), f64::from))),
+        rate: l
+            .rate
+            .map(|r| (r.0, l.burst.map_or_else(|| r.0.max(1.0), f64::from))),
     }
 }
--- a/crates/conf/src/reader/document.rs
+++ b/crates/conf/src/reader/document.rs
@@ -23,7 +23,10 @@
             lines.add(joined.len(), part, section.first_line);
             joined += part;
         }
-        Document { text: joined, lines }
+        Document {
+            text: joined,
+            lines,
+        }
     }
 
     /// Where its lines are.
@@ -37,8 +40,13 @@
     /// Its first mistake of syntax, or else of a single value.
     pub(super) fn read(&self) -> Result<File, Faults> {
         toml::from_str(&self.text).map_err(|e| {
-            let origin = e.span().map_or_else(|| self.lines.file(), |span| self.lines.at(span.start));
-            Faults(vec![Fault { origin, mistake: e.message().replace('\n', ", ") }])
+            let origin = e
+                .span()
+                .map_or_else(|| self.lines.file(), |span| self.lines.at(span.start));
+            Faults(vec![Fault {
+                origin,
+                mistake: e.message().replace('\n', ", "),
+            }])
         })
     }
 }
--- a/crates/conf/src/reader/fleet.rs
+++ b/crates/conf/src/reader/fleet.rs
@@ -17,7 +17,10 @@
 
 impl ManagementText {
     pub(super) fn model(self) -> Management {
-        Management { address: self.address.0, folder: self.folder }
+        Management {
+            address: self.address.0,
+            folder: self.folder,
+        }
     }
 }
 
@@ -70,7 +73,12 @@
 
 impl LeasesText {
     fn model(self) -> Leases {
-        let call = |c: CallText| Call { name: c.name, address: c.address.0, path: c.path, every: c.every.0 };
+        let call = |c: CallText| Call {
+            name: c.name,
+            address: c.address.0,
+            path: c.path,
+            every: c.every.0,
+        };
         Leases {
             keepers: self.keepers,
             folder: self.folder,
@@ -100,7 +108,11 @@
 impl FleetText {
     pub(super) fn model(self, zone: Option<String>) -> Fleet {
         let time = |text: Option<TimeText>, default: f64| text.map_or(default, |t| t.0);
-        let (rules, pace, quorum) = (Config::default(), MembershipConfig::default(), Quorum::default());
+        let (rules, pace, quorum) = (
+            Config::default(),
+            MembershipConfig::default(),
+            Quorum::default(),
+        );
         let verdicts = self.verdicts;
         let rules = Config {
             membership: MembershipConfig {
--- a/crates/conf/src/reader/sections.rs
+++ b/crates/conf/src/reader/sections.rs
@@ -38,7 +38,12 @@
 impl Sections {
     /// Splits a text.
     pub(super) fn of(text: &str) -> Self {
-        let cuts = cuts(text).unwrap_or_else(|| vec![Cut { start: 0, owner: Owner::Rest }]);
+        let cuts = cuts(text).unwrap_or_else(|| {
+            vec![Cut {
+                start: 0,
+                owner: Owner::Rest,
+            }]
+        });
         let mut sections = Sections::default();
         let mut first_line = 1u32;
         let ends = cuts.iter().skip(1).map(|cut| cut.start).chain([text.len()]);
@@ -92,7 +97,9 @@
         };
         let next = match (form, of_service) {
             (Form::Pair, false) => continue,
-            (Form::Table { below: true } | Form::Item { below: true }, true) if owner == Owner::Service => {
+            (Form::Table { below: true } | Form::Item { below: true }, true)
+                if owner == Owner::Service =>
+            {
                 continue
             }
             (Form::Item { below: false }, true) => Owner::Service,
@@ -144,11 +151,18 @@
 
 impl<'a> Statements<'a> {
     fn of(text: &'a str) -> Self {
-        Statements { text, tokens: Source::new(text).lex().peekable() }
+        Statements {
+            text,
+            tokens: Source::new(text).lex().peekable(),
+        }
     }
 
     fn skip(&mut self, kinds: &[TokenKind]) {
-        while self.tokens.next_if(|token| kinds.contains(&token.kind())).is_some() {}
+        while self
+            .tokens
+            .next_if(|token| kinds.contains(&token.kind()))
+            .is_some()
+        {}
     }
 
     /// Takes the next token if it is of a kind.
@@ -157,12 +171,16 @@
     }
 
     fn key(&mut self) -> Key<'a> {
-        let Some(token) = self.tokens.peek() else { return Key::Missing };
+        let Some(token) = self.tokens.peek() else {
+            return Key::Missing;
+        };
         let written = part(self.text, token);
         match token.kind() {
             TokenKind::Atom => Key::Plain(written),
             TokenKind::LiteralString => Key::Plain(written.trim_matches('\'')),
-            TokenKind::BasicString if !written.contains('\\') => Key::Plain(written.trim_matches('"')),
+            TokenKind::BasicString if !written.contains('\\') => {
+                Key::Plain(written.trim_matches('"'))
+            }
             TokenKind::BasicString => Key::Escaped,
             _ => Key::Missing,
         }
@@ -177,8 +195,15 @@
             self.tokens.next();
         }
         self.skip(&[TokenKind::Whitespace]);
-        let below = self.tokens.peek().is_some_and(|token| token.kind() == TokenKind::Dot);
-        let form = if item { Form::Item { below } } else { Form::Table { below } };
+        let below = self
+            .tokens
+            .peek()
+            .is_some_and(|token| token.kind() == TokenKind::Dot);
+        let form = if item {
+            Form::Item { below }
+        } else {
+            Form::Table { below }
+        };
         (form, key)
     }
 
@@ -202,8 +227,15 @@
     type Item = Statement<'a>;
 
     fn next(&mut self) -> Option<Statement<'a>> {
-        self.skip(&[TokenKind::Whitespace, TokenKind::Newline, TokenKind::Comment]);
-        let first = self.tokens.peek().filter(|token| token.kind() != TokenKind::Eof)?;
+        self.skip(&[
+            TokenKind::Whitespace,
+            TokenKind::Newline,
+            TokenKind::Comment,
+        ]);
+        let first = self
+            .tokens
+            .peek()
+            .filter(|token| token.kind() != TokenKind::Eof)?;
         let start = first.span().start();
         let (form, key) = match self.took(TokenKind::LeftSquareBracket) {
             true => self.header(),
@@ -215,5 +247,6 @@
 }
 
 fn part<'a>(text: &'a str, token: &Token) -> &'a str {
-    text.get(token.span().start()..token.span().end()).unwrap_or_default()
+    text.get(token.span().start()..token.span().end())
+        .unwrap_or_default()
 }
--- a/crates/conf/src/reader/tables.rs
+++ b/crates/conf/src/reader/tables.rs
@@ -2,7 +2,8 @@
 
 use super::fleet;
 use super::values::{
-    positive, share, some_positive, AddressText, HostText, PathText, RateText, Read, SizeText, TimeText,
+    positive, share, some_positive, AddressText, HostText, PathText, RateText, Read, SizeText,
+    TimeText,
 };
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -192,7 +193,12 @@
 
 impl Default for ColdText {
     fn default() -> Self {
-        ColdText { from: 0.33, warm_after: Read::of(10.0), factor: 3.0, within: Read::of(1.0) }
+        ColdText {
+            from: 0.33,
+            warm_after: Read::of(10.0),
+            factor: 3.0,
+            within: Read::of(1.0),
+        }
     }
 }
 
--- a/crates/conf/src/reader/values.rs
+++ b/crates/conf/src/reader/values.rs
@@ -55,7 +55,8 @@
                 Err(E::custom(format!("`{n}` is a number alone: {}", R::WANTS)))
             }
         }
-        from.deserialize_any(Texts::<T, R>(PhantomData)).map(|value| Read(value, PhantomData))
+        from.deserialize_any(Texts::<T, R>(PhantomData))
+            .map(|value| Read(value, PhantomData))
     }
 }
 
@@ -72,16 +73,29 @@
     };
 }
 
-reads!(AsTime, Time, units::TIMES, |t| units::time(t).map_err(|e| e.to_string()));
-reads!(AsSize, u64, units::SIZES, |t| units::size(t).map_err(|e| e.to_string()));
-reads!(AsRate, f64, units::RATES, |t| units::rate(t).map_err(|e| e.to_string()));
-reads!(AsAddress, SocketAddr, "write an address with its port, as \"127.0.0.1:8443\"", |t| t
-    .parse()
-    .map_err(|_| format!("`{t}` is no address: write one with its port, as \"127.0.0.1:8443\"")));
-reads!(AsHost, table::Host, "write a host, or `*.` before one, as a text", |t| table::Host::read(t)
-    .map_err(|e| format!("`{t}`: {e}")));
-reads!(AsPath, Box<str>, "write a path prefix as a text", |t| table::prefix(t)
-    .map_err(|e| format!("`{t}`: {e}")));
+reads!(AsTime, Time, units::TIMES, |t| units::time(t)
+    .map_err(|e| e.to_string()));
+reads!(AsSize, u64, units::SIZES, |t| units::size(t)
+    .map_err(|e| e.to_string()));
+reads!(AsRate, f64, units::RATES, |t| units::rate(t)
+    .map_err(|e| e.to_string()));
+reads!(
+    AsAddress,
+    SocketAddr,
+    "write an address with its port, as \"127.0.0.1:8443\"",
+    |t| t.parse().map_err(|_| format!(
+        "`{t}` is no address: write one with its port, as \"127.0.0.1:8443\""
+    ))
+);
+reads!(
+    AsHost,
+    table::Host,
+    "write a host, or `*.` before one, as a text",
+    |t| table::Host::read(t).map_err(|e| format!("`{t}`: {e}"))
+);
+reads!(AsPath, Box<str>, "write a path prefix as a text", |t| {
+    table::prefix(t).map_err(|e| format!("`{t}`: {e}"))
+});
 
 pub(super) type TimeText = Read<Time, AsTime>;
 pub(super) type SizeText = Read<u64, AsSize>;
@@ -96,7 +110,9 @@
     if (low..=high).contains(&n) {
         return Ok(n);
     }
-    Err(D::Error::custom(format!("`{n}` is not between {low} and {high}")))
+    Err(D::Error::custom(format!(
+        "`{n}` is not between {low} and {high}"
+    )))
 }
 
 pub(super) fn share<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
--- a/crates/conf/src/units.rs
+++ b/crates/conf/src/units.rs
@@ -23,13 +23,18 @@
 
 fn split(text: &str) -> (&str, &str) {
     let text = text.trim();
-    let end = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
+    let end = text
+        .find(|c: char| !c.is_ascii_digit() && c != '.')
+        .unwrap_or(text.len());
     let (number, unit) = text.split_at(end);
     (number, unit.trim_start())
 }
 
 fn figure(
-    text: &str, what: &'static str, help: &'static str, units: &[(&str, f64)],
+    text: &str,
+    what: &'static str,
+    help: &'static str,
+    units: &[(&str, f64)],
 ) -> Result<f64, UnitFault> {
     let (number, unit) = split(text);
     let other = || UnitFault::Other(text.to_owned(), what);
@@ -37,8 +42,13 @@
     if unit.is_empty() {
         return Err(UnitFault::NoUnit(text.to_owned(), help));
     }
-    let (_, factor) = units.iter().find(|(name, _)| *name == unit).ok_or_else(other)?;
-    Some(number * factor).filter(|n| n.is_finite()).ok_or_else(other)
+    let (_, factor) = units
+        .iter()
+        .find(|(name, _)| *name == unit)
+        .ok_or_else(other)?;
+    Some(number * factor)
+        .filter(|n| n.is_finite())
+        .ok_or_else(other)
 }
 
 /// A time in seconds: `250ms`, `1.5s`, `2m`.
@@ -59,7 +69,12 @@
 /// # Errors
 /// Without a unit, with another, or without a number.
 pub fn rate(text: &str) -> Result<f64, UnitFault> {
-    figure(text, "rate: write it with /s or /m, as \"300/s\"", RATES, &[("/s", 1.0), ("/m", 1.0 / 60.0)])
+    figure(
+        text,
+        "rate: write it with /s or /m, as \"300/s\"",
+        RATES,
+        &[("/s", 1.0), ("/m", 1.0 / 60.0)],
+    )
 }
 
 /// A size in bytes: `512B`, `64KiB`, `8MiB`, `1GiB`.
--- a/crates/conf/tests/bounds.rs
+++ b/crates/conf/tests/bounds.rs
@@ -3,14 +3,18 @@
 mod common;
 
 use common::*;
-use reelfall_conf::check::{check, CLASSES_MOST, LISTENERS_MOST, MEMBERS_MOST, ROUTES_MOST, SERVICES_MOST};
+use reelfall_conf::check::{
+    check, CLASSES_MOST, LISTENERS_MOST, MEMBERS_MOST, ROUTES_MOST, SERVICES_MOST,
+};
 use reelfall_conf::reader;
 use reelfall_core::interface::{ClassId, TenantId};
 use reelfall_routes::table::ListenerId;
 
 fn faults(text: &str) -> Vec<String> {
     let read = reader::toml("f.toml", text).and_then(check);
-    read.err().map(|f| f.0.iter().map(ToString::to_string).collect()).unwrap_or_default()
+    read.err()
+        .map(|f| f.0.iter().map(ToString::to_string).collect())
+        .unwrap_or_default()
 }
 
 /// As many as the bound are taken, and one more is refused.
@@ -36,13 +40,21 @@
 #[test]
 fn classes_of_a_service() {
     let file = |n| LISTENER.to_owned() + &service("a") + &times(n, class) + &route(0, "");
-    bounded(CLASSES_MOST, file, "f.toml:4: service `a` has 257 classes, 256 at most");
+    bounded(
+        CLASSES_MOST,
+        file,
+        "f.toml:4: service `a` has 257 classes, 256 at most",
+    );
 }
 
 #[test]
 fn members_of_a_service() {
     let file = |n| LISTENER.to_owned() + &service("a") + CLASS + &route(0, "") + &times(n, member);
-    bounded(MEMBERS_MOST, file, "f.toml:4: service `a` has 65536 members, 65535 at most");
+    bounded(
+        MEMBERS_MOST,
+        file,
+        "f.toml:4: service `a` has 65536 members, 65535 at most",
+    );
 }
 
 #[test]
--- a/crates/conf/tests/growth.rs
+++ b/crates/conf/tests/growth.rs
@@ -20,7 +20,9 @@
 const RUNS: usize = 5;
 
 fn processor_time() -> Duration {
-    clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).unwrap().into()
+    clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID)
+        .unwrap()
+        .into()
 }
 
 /// The least processor time of several runs, each with an input of its own.
@@ -43,14 +45,19 @@
 #[track_caller]
 fn straight(what: &str, small: f64, large: f64) {
     let times = large / small;
-    assert!(times < COST_MOST, "{what} of {LARGER} times the size costs {times:.1} times as much");
+    assert!(
+        times < COST_MOST,
+        "{what} of {LARGER} times the size costs {times:.1} times as much"
+    );
 }
 
 /// Reads and checks files that have `small` of something and [`LARGER`] times as many, made by `file`.
 #[track_caller]
 fn grows_straight(small: usize, file: impl Fn(usize) -> String) {
     let texts = [file(small), file(small * LARGER)];
-    let [first, second] = texts.each_ref().map(|text| cost(|| text, |text| read(text)));
+    let [first, second] = texts
+        .each_ref()
+        .map(|text| cost(|| text, |text| read(text)));
     straight("reading", first, second);
     let models = texts.each_ref().map(|text| read(text));
     let [first, second] = models.each_ref().map(|model| cost(|| model.clone(), check));
@@ -94,14 +101,18 @@
 #[test]
 fn with_the_listeners_that_routes_name() {
     let named = |n| route(n, &format!("listener = \"l{n}\"\n"));
-    grows_straight(1_000, |n| times(n, listener) + &service("a") + CLASS + &times(n, named));
+    grows_straight(1_000, |n| {
+        times(n, listener) + &service("a") + CLASS + &times(n, named)
+    });
 }
 
 #[test]
 fn with_the_classes_that_routes_assign() {
     let assigns = |n| route(n, &format!("assign = \"c{n}\"\n"));
     let head = LISTENER.to_owned() + &service("a");
-    grows_straight(1_000, |n| head.clone() + &times(n, class) + &times(n, assigns));
+    grows_straight(1_000, |n| {
+        head.clone() + &times(n, class) + &times(n, assigns)
+    });
 }
 
 #[test]
@@ -112,7 +123,9 @@
     let unsafe_class = CLASS.replace("\"c\"", "\"u\"").replace("safe", "unsafe");
     let field = |n| format!("f{n} = \"c{n}\"\n");
     let tail = unsafe_class + &route(0, "");
-    grows_straight(1_000, |n| head.clone() + graphql + &times(n, field) + &times(n, class) + &tail);
+    grows_straight(1_000, |n| {
+        head.clone() + graphql + &times(n, field) + &times(n, class) + &tail
+    });
 }
 
 #[test]
@@ -138,7 +151,9 @@
 fn with_the_routes_whose_places_are_asked_for() {
     let plan = |n| check(read(&(LISTENER.to_owned() + &times(n, whole_service)))).unwrap();
     let places = |plan: &reelfall_conf::Plan| {
-        let lines = (0..plan.matches.len()).filter_map(|route| plan.origin(route)).map(|o| u64::from(o.line));
+        let lines = (0..plan.matches.len())
+            .filter_map(|route| plan.origin(route))
+            .map(|o| u64::from(o.line));
         lines.sum::<u64>()
     };
     let plans = [plan(500), plan(500 * LARGER)];
--- a/crates/conf/tests/memory.rs
+++ b/crates/conf/tests/memory.rs
@@ -14,8 +14,15 @@
 /// The most memory that the process has had, in bytes.
 fn peak() -> usize {
     let status = std::fs::read_to_string("/proc/self/status").unwrap();
-    let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
-    line.trim().trim_end_matches(" kB").parse::<usize>().unwrap() * 1024
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmHWM:"))
+        .unwrap();
+    line.trim()
+        .trim_end_matches(" kB")
+        .parse::<usize>()
+        .unwrap()
+        * 1024
 }
 
 #[test]
@@ -27,5 +34,9 @@
     let taken = peak() - before;
     assert_eq!(model.services.len(), SERVICES);
     let times = taken / text.len();
-    assert!(times < TIMES_MOST, "{taken} bytes for a text of {}: {times} times as much", text.len());
+    assert!(
+        times < TIMES_MOST,
+        "{taken} bytes for a text of {}: {times} times as much",
+        text.len()
+    );
 }
--- a/crates/conf/tests/sections.rs
+++ b/crates/conf/tests/sections.rs
@@ -22,10 +22,16 @@
     let services = model.services.iter().flat_map(|service| {
         let routes = service.routes.iter().map(|route| &route.origin);
         let members = service.members.iter().map(|member| &member.origin);
-        [&service.origin, &service.allowed.origin].into_iter().chain(routes).chain(members)
+        [&service.origin, &service.allowed.origin]
+            .into_iter()
+            .chain(routes)
+            .chain(members)
     });
     let listeners = model.listeners.iter().map(|listener| &listener.origin);
-    listeners.chain([&model.process.origin]).chain(services).collect()
+    listeners
+        .chain([&model.process.origin])
+        .chain(services)
+        .collect()
 }
 
 #[track_caller]
@@ -113,7 +119,11 @@
 
 #[test]
 fn lines_are_those_of_the_file() {
-    let text = format!("{LISTENER}{}[process]\nnodes = 1\n{}", whole_service(0), whole_service(1));
+    let text = format!(
+        "{LISTENER}{}[process]\nnodes = 1\n{}",
+        whole_service(0),
+        whole_service(1)
+    );
     let model = reader::toml("f.toml", &text).unwrap();
     let lines: Vec<u32> = places(&model).iter().map(|origin| origin.line).collect();
     assert_eq!(lines, [1, 14, 4, 0, 12, 16, 0, 24]);
--- a/crates/core/src/chance.rs
+++ b/crates/core/src/chance.rs
@@ -22,7 +22,10 @@
 /// keys each is picked in proportion to its weight.
 pub(crate) fn rendezvous(key: u64, weighted: impl Iterator<Item = (u64, f64)>) -> Option<usize> {
     let mut best = (f64::MAX, None);
-    for (i, (hash, weight)) in weighted.enumerate().filter(|(_, (_, weight))| *weight > 0.0) {
+    for (i, (hash, weight)) in weighted
+        .enumerate()
+        .filter(|(_, (_, weight))| *weight > 0.0)
+    {
         let score = -fraction(key ^ hash).max(f64::MIN_POSITIVE).ln() / weight;
         if score < best.0 {
             best = (score, Some(i));
@@ -41,5 +44,7 @@
         }
         a > 1
     };
-    (((n as f64 * 0.618) as u64).max(1)..n).find(|a| !divides(*a)).unwrap_or(1)
+    (((n as f64 * 0.618) as u64).max(1)..n)
+        .find(|a| !divides(*a))
+        .unwrap_or(1)
 }
--- a/crates/core/src/decide/admission.rs
+++ b/crates/core/src/decide/admission.rs
@@ -36,14 +36,20 @@
     /// A client's tenant is over its share when this node's part of the quota is used up.
     pub(super) fn over_share(&mut self, now: Time, tenant: TenantId) -> bool {
         let part = self.traffic_part();
-        let Some((tokens, at)) = self.tenants.get_mut(tenant as usize) else { return false };
+        let Some((tokens, at)) = self.tenants.get_mut(tenant as usize) else {
+            return false;
+        };
         let rate = self.settings.tenants[tenant as usize].quota * part;
         if rate <= 0.0 {
             return false;
         }
         // Two seconds of quota and a few requests: arrivals at one node are uneven.
         let most = 2.0 * rate + 3.0;
-        *tokens = if tokens.is_nan() { most } else { (*tokens + rate * (now - *at)).min(most) };
+        *tokens = if tokens.is_nan() {
+            most
+        } else {
+            (*tokens + rate * (now - *at)).min(most)
+        };
         *at = now;
         let over = *tokens < 1.0;
         *tokens -= if over { 0.0 } else { 1.0 };
@@ -57,8 +63,12 @@
         let step = (1.0 - (-2.0 * passed / shortest).exp()).min(LATE_STEP);
         self.late += step * (f64::from(late) - self.late);
         if late {
-            let served =
-                self.admit.min(1.0) * if self.arrivals > 0.0 { self.arrivals } else { self.came.max(1.0) };
+            let served = self.admit.min(1.0)
+                * if self.arrivals > 0.0 {
+                    self.arrivals
+                } else {
+                    self.came.max(1.0)
+                };
             let cut = CUT / shortest / served * (self.late / LATE_FULL).min(1.0);
             self.admit = (self.admit * (1.0 - cut.min(CUT_MOST))).max(ADMIT_MIN);
         }
@@ -103,14 +113,27 @@
     fn value(&self, row: usize) -> f64 {
         let density = |row: usize| {
             let class = &self.settings.classes[row / 2];
-            let per = if self.settings.worth_by_work { 1.0 } else { self.class_work[row / 2] };
-            let share = if row % 2 == 1 { self.settings.over_share_worth } else { 1.0 };
+            let per = if self.settings.worth_by_work {
+                1.0
+            } else {
+                self.class_work[row / 2]
+            };
+            let share = if row % 2 == 1 {
+                self.settings.over_share_worth
+            } else {
+                1.0
+            };
             class.worth / per * share
         };
-        let all: f64 = (0..self.tally.len()).map(|o| density(o) * self.tally[o].asked).sum();
-        let served = |row: usize| self.tally[row].served / self.tally[row].asked.max(f64::MIN_POSITIVE);
+        let all: f64 = (0..self.tally.len())
+            .map(|o| density(o) * self.tally[o].asked)
+            .sum();
+        let served =
+            |row: usize| self.tally[row].served / self.tally[row].asked.max(f64::MIN_POSITIVE);
         let mut value = self.settings.goal.overall * density(row) / all.max(f64::MIN_POSITIVE);
-        let worst = (0..self.tally.len()).step_by(2).all(|o| served(row) <= served(o));
+        let worst = (0..self.tally.len())
+            .step_by(2)
+            .all(|o| served(row) <= served(o));
         if row.is_multiple_of(2) && worst {
             value += self.settings.goal.worst_class / self.tally[row].asked.max(f64::MIN_POSITIVE);
         }
--- a/crates/core/src/decide/cold.rs
+++ b/crates/core/src/decide/cold.rs
@@ -28,29 +28,53 @@
     /// it tolerates. Who has a turn sends for all; a large request is saved for, and in part owed.
     pub(super) fn cold_share(&self, s: &Server, r: &Request, now: Time) -> f64 {
         let (warmth, saved) = (self.warmth(s, now), s.most / self.typical - 1.0);
-        let may =
-            s.budget >= r.work.clamp(self.typical, 0.5 * (s.most + self.typical).max(2.0 * self.typical));
+        let may = s.budget
+            >= r.work.clamp(
+                self.typical,
+                0.5 * (s.most + self.typical).max(2.0 * self.typical),
+            );
         [f64::from(may) * warmth / saved.clamp(0.1, 1.0), 1.0][usize::from(warmth >= 1.0)]
     }
 
     /// How fast each kind works against the mean of this node's part, by its averages: listed sizes may say
     /// nothing of that, and a slow box bears less than servers do on the whole.
     fn pace_of_kinds(&self) -> Vec<f64> {
-        let kinds = self.servers.iter().map(|s| usize::from(s.entry.kind) + 1).max().unwrap_or(0);
+        let kinds = self
+            .servers
+            .iter()
+            .map(|s| usize::from(s.entry.kind) + 1)
+            .max()
+            .unwrap_or(0);
         let mut sums = vec![(0.0, 0.0); kinds];
-        for (s, average) in self.servers.iter().zip(&self.automaton.average).filter(|(s, _)| s.own) {
+        for (s, average) in self
+            .servers
+            .iter()
+            .zip(&self.automaton.average)
+            .filter(|(s, _)| s.own)
+        {
             let k = &mut sums[usize::from(s.entry.kind)];
             *k = (k.0 + 1.0, k.1 + average);
         }
         let all = sums.iter().fold((0.0, 0.0), |a, k| (a.0 + k.0, a.1 + k.1));
-        let pace = |k: &(f64, f64)| if k.1 > 0.0 { (all.1 / all.0) / (k.1 / k.0) } else { 1.0 };
-        sums.iter().map(|k| pace(k).clamp(1.0 - KIND_MOST, 1.0 + KIND_MOST)).collect()
+        let pace = |k: &(f64, f64)| {
+            if k.1 > 0.0 {
+                (all.1 / all.0) / (k.1 / k.0)
+            } else {
+                1.0
+            }
+        };
+        sums.iter()
+            .map(|k| pace(k).clamp(1.0 - KIND_MOST, 1.0 + KIND_MOST))
+            .collect()
     }
 
     /// A token bucket for each cold server fills at this node's part of its tolerance, from a drawn level.
     /// What is not used lapses, or the first burst of idle nodes, a request each, would push a server over.
     pub(super) fn refill_cold(&mut self, now: Time, dt: Time) {
-        let (rules, nodes) = (&self.settings.rules, f64::from(self.block(self.servers.len() as f64)));
+        let (rules, nodes) = (
+            &self.settings.rules,
+            f64::from(self.block(self.servers.len() as f64)),
+        );
         let part = (COLD_PART[0] + COLD_PART[1] / nodes.sqrt()).min(COLD_PART[2]);
         let (size, typical, pace) = (self.mean_size(), self.typical, self.pace_of_kinds());
         for i in 0..self.servers.len() {
--- a/crates/core/src/decide/draw.rs
+++ b/crates/core/src/decide/draw.rs
@@ -36,23 +36,42 @@
         let size = self.mean_size();
         let mean = self.mean_by(now, |p| p);
         let safe = |c: &Class| c.effect == Effect::Idempotent;
-        let risky = !safe(&self.settings.classes[r.class as usize]) && self.settings.classes.iter().any(safe);
+        let risky = !safe(&self.settings.classes[r.class as usize])
+            && self.settings.classes.iter().any(safe);
         for healthy in [true, false] {
             let mut total = 0.0;
             self.weights.clear();
-            for ((s, p), average) in self.servers.iter().zip(&self.automaton.p).zip(&self.automaton.average) {
-                let mut w = if self.may_take(s, r) { p * self.cold_share(s, r, now) } else { 0.0 };
+            for ((s, p), average) in self
+                .servers
+                .iter()
+                .zip(&self.automaton.p)
+                .zip(&self.automaton.average)
+            {
+                let mut w = if self.may_take(s, r) {
+                    p * self.cold_share(s, r, now)
+                } else {
+                    0.0
+                };
                 if healthy {
                     let least = if now - s.asked < UNSEEN { 0.0 } else { 1.0 };
                     let pace = pace(mean / average).max(least);
                     w *= self.health(s, r, risky, now) * self.room(s, size) * pace;
-                    w *= if near.is_some_and(|z| z != s.entry.zone) { self.spill } else { 1.0 };
+                    w *= if near.is_some_and(|z| z != s.entry.zone) {
+                        self.spill
+                    } else {
+                        1.0
+                    };
                 }
                 total += w;
                 self.weights.push(w);
             }
             if total > 0.0 {
-                let sticky = self.settings.warm_keys.then_some(r.key).flatten().filter(|k| !self.hot(*k));
+                let sticky = self
+                    .settings
+                    .warm_keys
+                    .then_some(r.key)
+                    .flatten()
+                    .filter(|k| !self.hot(*k));
                 let hashes = self.servers.iter().map(|s| s.entry.hash);
                 return match sticky {
                     Some(key) => rendezvous(key, hashes.zip(self.weights.iter().copied())),
@@ -67,14 +86,25 @@
     /// there, against the server's listed size where the list tells one. A node that has few out, as among a
     /// hundred, is hardly touched by this.
     pub(super) fn room(&self, s: &Server, mean: f64) -> f64 {
-        (1.0 + f64::from(s.open) / listed(self.settings.weighted, s.entry.weight / mean)).powi(-QUEUE_SHY)
+        (1.0 + f64::from(s.open) / listed(self.settings.weighted, s.entry.weight / mean))
+            .powi(-QUEUE_SHY)
     }
 
     /// A keyed request that may have run goes only where its repeat is dropped.
     fn may_take(&self, s: &Server, r: &Request) -> bool {
         match (self.settings.classes[r.class as usize].effect, r.ran) {
-            (Effect::Keyed { group: Group::Zone, .. }, Some((zone, ..))) => s.entry.zone == zone,
-            (Effect::Keyed { group: Group::Cell, .. }, Some((_, cell, _))) => s.entry.cell == cell,
+            (
+                Effect::Keyed {
+                    group: Group::Zone, ..
+                },
+                Some((zone, ..)),
+            ) => s.entry.zone == zone,
+            (
+                Effect::Keyed {
+                    group: Group::Cell, ..
+                },
+                Some((_, cell, _)),
+            ) => s.entry.cell == cell,
             _ => true,
         }
     }
@@ -83,7 +113,11 @@
     /// nothing `risky`: that may not be repeated, where another class may. In doubt: little of what is.
     pub(super) fn health(&self, s: &Server, r: &Request, risky: bool, now: Time) -> f64 {
         let told = s.told_until > now;
-        if s.ejected_until > now || s.overdue > 0 || (told && !s.tries) || r.tried.contains(&s.entry.server) {
+        if s.ejected_until > now
+            || s.overdue > 0
+            || (told && !s.tries)
+            || r.tried.contains(&s.entry.server)
+        {
             return 0.0;
         }
         if !told && (!s.failing || (self.common && !s.dead)) {
--- a/crates/core/src/decide/health.rs
+++ b/crates/core/src/decide/health.rs
@@ -18,11 +18,16 @@
 
 impl Balancer {
     pub(super) fn learn(&mut self, now: Time, r: &Request, out: &Attempt, outcome: Outcome) {
-        let Some(i) = self.at(out.server, out.stay) else { return };
+        let Some(i) = self.at(out.server, out.stay) else {
+            return;
+        };
         let mean = self.mean(now);
         // One that ends while its body comes has waited for nothing.
         let (sent, waited) = (out.sent.min(now), (now - out.sent).max(0.0));
-        let (aim, class) = (self.settings.classes[r.class as usize].aim, r.class as usize);
+        let (aim, class) = (
+            self.settings.classes[r.class as usize].aim,
+            r.class as usize,
+        );
         let s = &mut self.servers[i];
         s.open = s.open.saturating_sub(1);
         s.overdue = s.overdue.saturating_sub(u32::from(out.overdue));
@@ -54,24 +59,31 @@
             // nothing of the load. Taken for failures, a few hurried clients would eject a sound fleet.
             Outcome::Expired if self.servers[i].heard > out.sent => return,
             Outcome::Expired if waited < (OVERDUE * mean * r.size).min(aim) => {
-                return self.automaton.observe(i, response.max(self.automaton.average[i]));
+                return self
+                    .automaton
+                    .observe(i, response.max(self.automaton.average[i]));
             }
             // A quick error answer must not win payoffs: it is a miss, charged at least the aim.
             _ => {
                 self.automaton.observe(i, waited.max(aim) / r.size);
                 // One broken connection, spoilt or overlong answer can come from any server; the second in a
                 // row, silence to the end, or an error that the server itself states tells of a sick one.
-                let again = self.servers[i].strikes > u32::from(out.overdue) || outcome == Outcome::Expired;
+                let again =
+                    self.servers[i].strikes > u32::from(out.overdue) || outcome == Outcome::Expired;
                 let failing = outcome == Outcome::Error || (outcome != Outcome::Shed && again);
                 let silent = self.servers[i].strikes > 1 + u32::from(out.overdue);
-                let dead = outcome == Outcome::DialFailed || (silent && outcome == Outcome::Expired);
+                let dead =
+                    outcome == Outcome::DialFailed || (silent && outcome == Outcome::Expired);
                 self.strike(now, i, failing, dead);
             }
         }
-        let late =
-            outcome != Outcome::Delivered || waited > early(aim, self.base * r.size).max(LATE_FROM * aim);
+        let late = outcome != Outcome::Delivered
+            || waited > early(aim, self.base * r.size).max(LATE_FROM * aim);
         // What a server already known to fail does says nothing of the fleet's load.
-        let told = matches!(outcome, Outcome::Error | Outcome::Dropped | Outcome::DialFailed);
+        let told = matches!(
+            outcome,
+            Outcome::Error | Outcome::Dropped | Outcome::DialFailed
+        );
         if !late || (!suspect && !out.overdue && !told) {
             self.pressure(now, late);
         }
@@ -80,8 +92,16 @@
     /// Ejection, when an attempt fails or is overdue: of the `dead`, more may be out. Each strike in a row
     /// doubles the time, jittered so that nodes do not return together.
     fn strike(&mut self, now: Time, i: usize, failing: bool, dead: bool) {
-        let ejected = self.servers.iter().filter(|s| s.ejected_until > now).count();
-        let base = if failing { 4.0 * self.shortest(|c| c.deadline) } else { self.shortest(|c| c.aim) };
+        let ejected = self
+            .servers
+            .iter()
+            .filter(|s| s.ejected_until > now)
+            .count();
+        let base = if failing {
+            4.0 * self.shortest(|c| c.deadline)
+        } else {
+            self.shortest(|c| c.aim)
+        };
         let jitter = 0.75 + 0.5 * self.random();
         let cap = f64::from(dead) * DEAD_CAP * self.servers.len() as f64;
         let room = (ejected + 1) as f64 <= self.ejectable().max(cap);
@@ -114,15 +134,21 @@
         let mean = self.mean(now);
         let mut struck = Vec::new();
         for r in self.requests.values_mut() {
-            let Some(out) = r.out.as_mut().filter(|o| !o.overdue) else { continue };
+            let Some(out) = r.out.as_mut().filter(|o| !o.overdue) else {
+                continue;
+            };
             let aim = self.settings.classes[r.class as usize].aim;
-            if now - out.sent > (OVERDUE * mean * r.size).clamp(early(aim, self.base * r.size), aim) {
+            if now - out.sent > (OVERDUE * mean * r.size).clamp(early(aim, self.base * r.size), aim)
+            {
                 out.overdue = true;
                 struck.push((out.server, out.stay, out.sent, (now - out.sent) / r.size));
             }
         }
         for (server, stay, sent, waited) in struck {
-            if let Some(i) = self.at(server, stay).filter(|i| self.servers[*i].heard <= sent) {
+            if let Some(i) = self
+                .at(server, stay)
+                .filter(|i| self.servers[*i].heard <= sent)
+            {
                 if self.common || self.servers[i].sound {
                     self.pressure(now, true);
                 }
--- a/crates/core/src/decide/list.rs
+++ b/crates/core/src/decide/list.rs
@@ -17,7 +17,11 @@
 
 impl Balancer {
     pub(super) fn members(
-        &mut self, now: Time, list: ListKind, entries: Vec<Entry>, actions: &mut Vec<Action>,
+        &mut self,
+        now: Time,
+        list: ListKind,
+        entries: Vec<Entry>,
+        actions: &mut Vec<Action>,
     ) {
         if list == ListKind::Failed {
             self.subscribed = false;
@@ -64,9 +68,20 @@
     fn list_sums(&self, now: Time) -> ListSums {
         let line = |(s, average): (&Server, &f64)| {
             let Entry { kind, weight, .. } = s.entry;
-            Line { own: s.own, kind, weight, average: *average, awake: s.ejected_until <= now }
+            Line {
+                own: s.own,
+                kind,
+                weight,
+                average: *average,
+                awake: s.ejected_until <= now,
+            }
         };
-        let lines = self.servers.iter().zip(&self.automaton.average).map(line).collect();
+        let lines = self
+            .servers
+            .iter()
+            .zip(&self.automaton.average)
+            .map(line)
+            .collect();
         ListSums::new(automaton::FLOOR, &self.automaton.p, lines)
     }
 
@@ -76,11 +91,19 @@
         let average = self.automaton.average.swap_remove(i);
         let gone = self.servers.swap_remove(i);
         let Entry { hash, ready_at, .. } = gone.entry;
-        self.left.retain(|l| l.hash != hash && now - l.at < LEFT_FOR);
+        self.left
+            .retain(|l| l.hash != hash && now - l.at < LEFT_FOR);
         if self.left.len() >= LEFT_MOST {
             self.left.pop_front();
         }
-        self.left.push_back(Left { hash, ready_at, at: now, share, average, budget: gone.budget });
+        self.left.push_back(Left {
+            hash,
+            ready_at,
+            at: now,
+            share,
+            average,
+            budget: gone.budget,
+        });
         self.slot.set(gone.entry.server, None);
         if let Some(moved) = self.servers.get(i) {
             self.slot.set(moved.entry.server, Some(i));
@@ -100,16 +123,31 @@
         // Guards what was learned against a server that is off the list for a moment, and the budget of a
         // cold one against being drawn anew at each return. Harm: one that went for a reason is taken for
         // what it was.
-        let known = self.left.iter().position(|l| l.hash == entry.hash && l.ready_at == entry.ready_at);
-        let known = known.and_then(|n| self.left.remove(n)).filter(|l| now - l.at < LEFT_FOR);
+        let known = self
+            .left
+            .iter()
+            .position(|l| l.hash == entry.hash && l.ready_at == entry.ready_at);
+        let known = known
+            .and_then(|n| self.left.remove(n))
+            .filter(|l| now - l.at < LEFT_FOR);
         if let Some(l) = &known {
             // What made it slow may be why it went: after more than a flap it is not shunned for that.
             let mean = sums.mean_average().unwrap_or(self.typical);
-            let most = if r > 0.0 && now - l.at > FLAP { mean } else { l.average };
+            let most = if r > 0.0 && now - l.at > FLAP {
+                mean
+            } else {
+                l.average
+            };
             (share, average) = (l.share, l.average.min(most));
         }
         let Entry { kind, weight, .. } = entry;
-        let line = Line { own, kind, weight, average, awake: true };
+        let line = Line {
+            own,
+            kind,
+            weight,
+            average,
+            awake: true,
+        };
         sums.join(automaton::joining(share, self.servers.len()), line);
         self.automaton.average.push(average);
         self.slot.set(entry.server, Some(self.servers.len()));
--- a/crates/core/src/decide/mod.rs
+++ b/crates/core/src/decide/mod.rs
@@ -43,7 +43,12 @@
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, String> {
         check(&settings, now)?;
         let n = settings.classes.len();
-        let first_guess = settings.classes.iter().map(|c| c.aim).fold(f64::MAX, f64::min) / 4.0;
+        let first_guess = settings
+            .classes
+            .iter()
+            .map(|c| c.aim)
+            .fold(f64::MAX, f64::min)
+            / 4.0;
         Ok(Balancer {
             rng: seed,
             started: false,
@@ -117,9 +122,22 @@
         // Zeros of either sign are equal.
         let start = |hash: u64, ready_at: Time| (hash, (ready_at + 0.0).to_bits());
         let starts = self.servers.iter().enumerate().rev();
-        let places: HashMap<_, _> = starts.map(|(i, s)| (start(s.entry.hash, s.entry.ready_at), i)).collect();
-        for l in learned.servers.iter().filter(|l| fine(l.share) && fine(l.average) && l.budget.is_finite()) {
-            let LearnedServer { hash, ready_at, share, average, budget, out_for } = *l;
+        let places: HashMap<_, _> = starts
+            .map(|(i, s)| (start(s.entry.hash, s.entry.ready_at), i))
+            .collect();
+        for l in learned
+            .servers
+            .iter()
+            .filter(|l| fine(l.share) && fine(l.average) && l.budget.is_finite())
+        {
+            let LearnedServer {
+                hash,
+                ready_at,
+                share,
+                average,
+                budget,
+                out_for,
+            } = *l;
             match places.get(&start(hash, ready_at)).copied() {
                 Some(i) => {
                     (self.automaton.p[i], self.automaton.average[i]) = (share / r, average);
@@ -128,13 +146,22 @@
                     s.ejected_until = now + out_for.clamp(0.0, LEFT_FOR);
                 }
                 None if self.left.len() < LEFT_MOST => {
-                    self.left.push_back(Left { hash, ready_at, at: now, share, average, budget });
+                    self.left.push_back(Left {
+                        hash,
+                        ready_at,
+                        at: now,
+                        share,
+                        average,
+                        budget,
+                    });
                 }
                 None => {}
             }
         }
         self.automaton.settle();
-        if learned.class_work.len() == self.class_work.len() && learned.class_work.iter().all(|w| fine(*w)) {
+        if learned.class_work.len() == self.class_work.len()
+            && learned.class_work.iter().all(|w| fine(*w))
+        {
             self.class_work.clone_from(&learned.class_work);
         }
         let figures = [
@@ -142,9 +169,20 @@
             (&mut self.base, learned.base),
             (&mut self.bearable, learned.bearable),
         ];
-        figures.into_iter().filter(|(_, new)| fine(*new)).for_each(|(old, new)| *old = new);
-        self.admit = if fine(learned.admit) { learned.admit.clamp(ADMIT_MIN, 1.0) } else { 1.0 };
-        self.spill = if fine(learned.spill) { learned.spill.clamp(SPILL_MIN, 1.0) } else { SPILL_MIN };
+        figures
+            .into_iter()
+            .filter(|(_, new)| fine(*new))
+            .for_each(|(old, new)| *old = new);
+        self.admit = if fine(learned.admit) {
+            learned.admit.clamp(ADMIT_MIN, 1.0)
+        } else {
+            1.0
+        };
+        self.spill = if fine(learned.spill) {
+            learned.spill.clamp(SPILL_MIN, 1.0)
+        } else {
+            SPILL_MIN
+        };
     }
 
     /// Takes one event and appends what the node has to do about it.
@@ -157,14 +195,28 @@
         }
         match event {
             Event::Members { list, entries } => self.members(now, list, entries, actions),
-            Event::Request { request, class, tenant, hint, key, left } => {
-                self.arrive(now, request, class, tenant, hint, key, left, actions)
-            }
-            Event::Outcome { request, attempt, server, outcome, ended, .. } => {
-                self.outcome(now, request, attempt, server, outcome, ended, actions)
-            }
+            Event::Request {
+                request,
+                class,
+                tenant,
+                hint,
+                key,
+                left,
+            } => self.arrive(now, request, class, tenant, hint, key, left, actions),
+            Event::Outcome {
+                request,
+                attempt,
+                server,
+                outcome,
+                ended,
+                ..
+            } => self.outcome(now, request, attempt, server, outcome, ended, actions),
             Event::Upload { request, left } => self.upload(now, request, left),
-            Event::Told { server, until, tries } => self.told(server, until, tries),
+            Event::Told {
+                server,
+                until,
+                tries,
+            } => self.told(server, until, tries),
             Event::FirstByte { request, .. } | Event::Gone { request } => {
                 if let Some(r) = self.requests.get_mut(&request) {
                     r.answered = true;
@@ -191,12 +243,16 @@
     }
 
     fn sweep(&mut self, now: Time, actions: &mut Vec<Action>) {
-        actions.push(Action::Timer { after: self.sweep_period(), tag: SWEEP });
+        actions.push(Action::Timer {
+            after: self.sweep_period(),
+            tag: SWEEP,
+        });
         let dt = (now - self.last_sweep).max(0.0);
         self.last_sweep = now;
         self.regain(dt);
         self.foresee(now);
-        self.common = self.servers.iter().filter(|s| s.failing && !s.dead).count() as f64 > self.ejectable();
+        self.common =
+            self.servers.iter().filter(|s| s.failing && !s.dead).count() as f64 > self.ejectable();
         self.charge_overdue(now);
         self.refill_cold(now, dt);
         if now - self.last_slow >= 2.0 * self.shortest(|c| c.deadline).min(0.5) {
@@ -220,17 +276,32 @@
         self.keys.iter_mut().for_each(|k| *k *= keep);
         let rate = self.came / dt;
         self.came = 0.0;
-        self.arrivals = if self.arrivals > 0.0 { self.arrivals + 0.2 * (rate - self.arrivals) } else { rate };
+        self.arrivals = if self.arrivals > 0.0 {
+            self.arrivals + 0.2 * (rate - self.arrivals)
+        } else {
+            rate
+        };
         self.delivered_rate += (1.0 - keep) * (self.delivered / dt - self.delivered_rate);
         self.delivered = 0.0;
-        let warm = self.servers.iter().filter(|s| self.warmth(s, now) >= 1.0).count().max(1);
+        let warm = self
+            .servers
+            .iter()
+            .filter(|s| self.warmth(s, now) >= 1.0)
+            .count()
+            .max(1);
         // Guards against one busy second, and against the traffic of nodes that died, being taken for what
         // servers bear for ever. Harm: after a quiet hour, a cold server is sent less than it could do.
         let borne = self.delivered_rate / self.traffic_part() / warm as f64;
-        self.bearable = borne.max(self.bearable * (1.0 - BASE_CREEP * dt)).max(COLD_PRIOR);
+        self.bearable = borne
+            .max(self.bearable * (1.0 - BASE_CREEP * dt))
+            .max(COLD_PRIOR);
         let gain = self.missed[0] - self.missed[1] - self.settings.prices.cross_zone;
         self.spill = (self.spill * (SPILL_PACE * gain * dt).exp()).clamp(SPILL_MIN, 1.0);
         let mean = self.mean(now);
-        self.base = if mean < self.base { mean } else { self.base * (1.0 + BASE_CREEP * dt) };
+        self.base = if mean < self.base {
+            mean
+        } else {
+            self.base * (1.0 + BASE_CREEP * dt)
+        };
     }
 }
--- a/crates/core/src/decide/part.rs
+++ b/crates/core/src/decide/part.rs
@@ -40,9 +40,18 @@
         if block >= self.settings.replicas && self.servers.iter().all(|s| s.own) {
             return;
         }
-        let owned: Vec<bool> = self.servers.iter().map(|s| self.owns(s.entry.hash, block)).collect();
+        let owned: Vec<bool> = self
+            .servers
+            .iter()
+            .map(|s| self.owns(s.entry.hash, block))
+            .collect();
         let size = self.mean_size();
-        let mean = owned.iter().zip(&self.automaton.p).filter(|(own, _)| **own).map(|(_, p)| p).sum::<f64>()
+        let mean = owned
+            .iter()
+            .zip(&self.automaton.p)
+            .filter(|(own, _)| **own)
+            .map(|(_, p)| p)
+            .sum::<f64>()
             / owned.iter().filter(|own| **own).count().max(1) as f64;
         for (i, own) in owned.into_iter().enumerate() {
             let p = &mut self.automaton.p[i];
--- a/crates/core/src/decide/request.rs
+++ b/crates/core/src/decide/request.rs
@@ -11,15 +11,25 @@
 impl Balancer {
     #[allow(clippy::too_many_arguments)]
     pub(super) fn arrive(
-        &mut self, now: Time, id: RequestId, class: ClassId, tenant: Option<TenantId>, hint: Option<f64>,
-        key: Option<u64>, left: Time, actions: &mut Vec<Action>,
+        &mut self,
+        now: Time,
+        id: RequestId,
+        class: ClassId,
+        tenant: Option<TenantId>,
+        hint: Option<f64>,
+        key: Option<u64>,
+        left: Time,
+        actions: &mut Vec<Action>,
     ) {
         if self.requests.contains_key(&id) {
             return;
         }
         let c = class as usize;
         if c >= self.settings.classes.len() || !left.is_finite() || left <= 0.0 {
-            return actions.push(Action::Refuse { request: id, retry_after: None });
+            return actions.push(Action::Refuse {
+                request: id,
+                retry_after: None,
+            });
         }
         let hint = hint.filter(|h| h.is_finite() && *h > 0.0);
         let work = hint.unwrap_or(self.class_work[c]);
@@ -46,7 +56,8 @@
             ..Request::default()
         };
         let share = self.settings.limits.retry_share;
-        self.retries = (self.retries + share).min((share * self.arrivals).clamp(SAVED_LEAST, SAVED_MOST));
+        self.retries =
+            (self.retries + share).min((share * self.arrivals).clamp(SAVED_LEAST, SAVED_MOST));
         self.requests.insert(id, request);
         if !self.send(now, id, actions) {
             self.requests.remove(&id);
@@ -57,40 +68,72 @@
     fn refuse(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let longest = self.settings.limits.max_retry_after;
         let retry_after = (longest > 0.0).then(|| longest * (0.5 + 0.5 * self.random()));
-        actions.push(Action::Refuse { request: id, retry_after });
+        actions.push(Action::Refuse {
+            request: id,
+            retry_after,
+        });
     }
 
     /// Draws a server and starts an attempt; false if no server may be used.
     pub(super) fn send(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let Some(i) = self.draw(now, id) else { return false };
+        let Some(i) = self.draw(now, id) else {
+            return false;
+        };
         let mean = self.mean(now);
-        let Some(r) = self.requests.get_mut(&id) else { return false };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return false;
+        };
         let class = &self.settings.classes[r.class as usize];
         let server = self.servers[i].entry.server;
         let timeout = timeout(class, r, mean, self.servers[i].sound, now).filter(|_| {
-            self.retries >= 1.0 && self.admit >= 1.0 && r.made + 1 < self.settings.limits.max_attempts
+            self.retries >= 1.0
+                && self.admit >= 1.0
+                && r.made + 1 < self.settings.limits.max_attempts
         });
         r.made += 1;
         r.tried.push(server);
-        r.out = Some(Attempt { server, stay: self.servers[i].stay, sent: now, overdue: false });
+        r.out = Some(Attempt {
+            server,
+            stay: self.servers[i].stay,
+            sent: now,
+            overdue: false,
+        });
         self.servers[i].open += 1;
         self.servers[i].asked = now;
         self.servers[i].budget -= r.work;
-        actions.push(Action::Attempt { request: id, server, timeout });
+        actions.push(Action::Attempt {
+            request: id,
+            server,
+            timeout,
+        });
         true
     }
 
     #[allow(clippy::too_many_arguments)]
     pub(super) fn outcome(
-        &mut self, now: Time, id: RequestId, attempt: u32, server: ServerId, outcome: Outcome, ended: bool,
+        &mut self,
+        now: Time,
+        id: RequestId,
+        attempt: u32,
+        server: ServerId,
+        outcome: Outcome,
+        ended: bool,
         actions: &mut Vec<Action>,
     ) {
-        let Some(mut r) = self.requests.remove(&id) else { return };
-        let Some(out) = r.out.take_if(|o| o.server == server && attempt + 1 == r.made) else {
+        let Some(mut r) = self.requests.remove(&id) else {
+            return;
+        };
+        let Some(out) = r
+            .out
+            .take_if(|o| o.server == server && attempt + 1 == r.made)
+        else {
             self.requests.insert(id, r);
             return;
         };
-        let never_ran = matches!(outcome, Outcome::Shed | Outcome::DialFailed | Outcome::Unused);
+        let never_ran = matches!(
+            outcome,
+            Outcome::Shed | Outcome::DialFailed | Outcome::Unused
+        );
         self.learn(now, &r, &out, outcome);
         if !never_ran && r.ran.is_none() {
             let at = self.slot.get(server).map(|i| &self.servers[i].entry);
@@ -107,7 +150,14 @@
             && self.retries >= 1.0
             && self.repeatable(now, &r);
         let class = &self.settings.classes[r.class as usize];
-        let all = matches!(class.effect, Effect::Idempotent | Effect::Keyed { group: Group::All, .. });
+        let all = matches!(
+            class.effect,
+            Effect::Idempotent
+                | Effect::Keyed {
+                    group: Group::All,
+                    ..
+                }
+        );
         let harmless = all || r.ran.is_none();
         self.requests.insert(id, r);
         if may && self.send(now, id, actions) {
@@ -124,7 +174,9 @@
 
     /// A body that comes slowly is its client's affair: a server is waited for from the last byte on.
     pub(super) fn upload(&mut self, now: Time, id: RequestId, left: Option<Time>) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         let Some(out) = r.out.as_mut() else { return };
         out.sent = if left.is_some() { now } else { f64::MAX };
         r.deadline = left.map_or(r.deadline, |left| now + left);
@@ -147,6 +199,10 @@
     let left = r.deadline - now;
     let another = OVERDUE * mean * r.size;
     let soon = another.max(class.aim);
-    let patience = if sound { soon.max(left - another) } else { soon };
+    let patience = if sound {
+        soon.max(left - another)
+    } else {
+        soon
+    };
     (class.effect != Effect::AtMostOnce && left - patience > mean * r.size).then_some(patience)
 }
--- a/crates/core/src/decide/state.rs
+++ b/crates/core/src/decide/state.rs
@@ -152,7 +152,11 @@
     }
 
     pub(super) fn shortest(&self, of: impl Fn(&Class) -> Time) -> Time {
-        self.settings.classes.iter().map(of).fold(f64::MAX, f64::min)
+        self.settings
+            .classes
+            .iter()
+            .map(of)
+            .fold(f64::MAX, f64::min)
     }
 
     /// Mean of the averages. An ejected server's frozen average would skew every payoff: it leaves the mean.
@@ -163,7 +167,12 @@
     /// The same as the draws see it if `weight` is p: the few that answer nothing hardly move it.
     pub(super) fn mean_by(&self, now: Time, weight: impl Fn(f64) -> f64) -> f64 {
         let (mut sum, mut n) = (0.0, 0.0);
-        for ((s, a), p) in self.servers.iter().zip(&self.automaton.average).zip(&self.automaton.p) {
+        for ((s, a), p) in self
+            .servers
+            .iter()
+            .zip(&self.automaton.average)
+            .zip(&self.automaton.p)
+        {
             if s.ejected_until <= now {
                 sum += weight(*p) * a;
                 n += weight(*p);
@@ -179,7 +188,11 @@
     }
 
     pub(super) fn far(&self, i: usize) -> usize {
-        usize::from(self.settings.zone.is_some_and(|z| z != self.servers[i].entry.zone))
+        usize::from(
+            self.settings
+                .zone
+                .is_some_and(|z| z != self.servers[i].entry.zone),
+        )
     }
 
     /// Where a server stands, if it is listed still and has not left and come back.
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -171,7 +171,9 @@
         match (self.effect, self.ran) {
             (_, None) | (Effect::Idempotent, _) => self.deadline,
             (Effect::AtMostOnce, Some(_)) => f64::NEG_INFINITY,
-            (Effect::Keyed { window, .. }, Some(first)) => self.deadline.min(first + window - ON_THE_WAY),
+            (Effect::Keyed { window, .. }, Some(first)) => {
+                self.deadline.min(first + window - ON_THE_WAY)
+            }
         }
     }
 }
@@ -221,7 +223,11 @@
     }
 
     /// Where an attempt that is out went, of which class its request is, and since when a server is waited for.
-    pub fn attempt_of(&self, request: RequestId, attempt: u32) -> Option<(ServerId, ClassId, Time)> {
+    pub fn attempt_of(
+        &self,
+        request: RequestId,
+        attempt: u32,
+    ) -> Option<(ServerId, ClassId, Time)> {
         let r = self.requests.get(&request)?;
         let out = r.out.as_ref().filter(|out| out.attempt == attempt)?;
         Some((out.server, r.class, r.written.unwrap_or(out.sent)))
@@ -231,12 +237,31 @@
     pub fn waits(&self) -> impl Iterator<Item = (ServerId, ClassId, Time)> + '_ {
         // Nothing is waited for while the body is on its way.
         let all = self.requests.values().filter(|r| r.flows.is_none());
-        all.filter_map(|r| r.out.as_ref().map(|out| (out.server, r.class, r.written.unwrap_or(out.sent))))
+        all.filter_map(|r| {
+            r.out
+                .as_ref()
+                .map(|out| (out.server, r.class, r.written.unwrap_or(out.sent)))
+        })
     }
 
     /// What the nodes of a fleet hold of a server together; see [`Event::Told`].
-    pub fn told(&mut self, now: Time, server: ServerId, until: Time, tries: bool, out: &mut Vec<Command<H>>) {
-        self.feed(now, Event::Told { server, until, tries }, out);
+    pub fn told(
+        &mut self,
+        now: Time,
+        server: ServerId,
+        until: Time,
+        tries: bool,
+        out: &mut Vec<Command<H>>,
+    ) {
+        self.feed(
+            now,
+            Event::Told {
+                server,
+                until,
+                tries,
+            },
+            out,
+        );
     }
 
     /// Some server may be sent to.
@@ -251,7 +276,10 @@
 
     /// The address of a server, unless the newest list says that it drains or is gone.
     pub fn address(&self, server: ServerId) -> Option<&H::Address> {
-        self.servers.get(server).filter(|s| s.state == ServerState::Up).map(|s| &s.address)
+        self.servers
+            .get(server)
+            .filter(|s| s.state == ServerState::Up)
+            .map(|s| &s.address)
     }
 
     /// What is kept with a request.
@@ -261,7 +289,9 @@
 
     /// Whether a request has no final answer yet, and nobody has said that its client has left.
     pub fn wanted(&self, request: RequestId) -> bool {
-        self.requests.get(&request).is_some_and(|r| r.reply.is_some())
+        self.requests
+            .get(&request)
+            .is_some_and(|r| r.reply.is_some())
     }
 
     /// Whether a further attempt of this request may be out.
@@ -271,7 +301,12 @@
 
     /// Takes a request in. One [`Command::Answer`] is owed for it from here on.
     pub fn submit(
-        &mut self, now: Time, payload: H::Payload, reply: H::Reply, a: Arrival, out: &mut Vec<Command<H>>,
+        &mut self,
+        now: Time,
+        payload: H::Payload,
+        reply: H::Reply,
+        a: Arrival,
+        out: &mut Vec<Command<H>>,
     ) -> RequestId {
         let id = self.next;
         self.next = self.next.wrapping_add(1);
@@ -279,7 +314,11 @@
             payload,
             deadline: a.deadline,
             // A class that is not known here is never taken for a safe one.
-            effect: self.effects.get(usize::from(a.class)).copied().unwrap_or(Effect::AtMostOnce),
+            effect: self
+                .effects
+                .get(usize::from(a.class))
+                .copied()
+                .unwrap_or(Effect::AtMostOnce),
             reply: Some(reply),
             made: 0,
             ran: None,
@@ -291,9 +330,27 @@
             spent: false,
         };
         self.requests.insert(id, request);
-        let Arrival { class, tenant, hint, key, deadline, .. } = a;
+        let Arrival {
+            class,
+            tenant,
+            hint,
+            key,
+            deadline,
+            ..
+        } = a;
         let left = deadline - now;
-        self.feed(now, Event::Request { request: id, class, tenant, hint, key, left }, out);
+        self.feed(
+            now,
+            Event::Request {
+                request: id,
+                class,
+                tenant,
+                hint,
+                key,
+                left,
+            },
+            out,
+        );
         id
     }
 
@@ -305,19 +362,33 @@
     }
 
     /// The last byte of a request's body has been written; gives when its final answer is due.
-    pub fn written(&mut self, now: Time, request: RequestId, out: &mut Vec<Command<H>>) -> Option<Time> {
+    pub fn written(
+        &mut self,
+        now: Time,
+        request: RequestId,
+        out: &mut Vec<Command<H>>,
+    ) -> Option<Time> {
         let r = self.requests.get_mut(&request)?;
         let left = r.flows.take()?;
         (r.deadline, r.written) = (now + left, Some(now));
         let deadline = r.deadline;
-        self.feed(now, Event::Upload { request, left: Some(left) }, out);
+        self.feed(
+            now,
+            Event::Upload {
+                request,
+                left: Some(left),
+            },
+            out,
+        );
         Some(deadline)
     }
 
     /// The client has left, or has its answer from elsewhere: nothing new is sent. An attempt that is out runs
     /// on, so that its outcome teaches and its connection lives.
     pub fn gone(&mut self, now: Time, request: RequestId, out: &mut Vec<Command<H>>) {
-        let Some(r) = self.requests.get_mut(&request) else { return };
+        let Some(r) = self.requests.get_mut(&request) else {
+            return;
+        };
         if r.reply.take().is_none() {
             return;
         }
@@ -327,23 +398,43 @@
 
     /// An attempt has ended. `answer` is what a server answered; without one, `Delivered` gives no final answer.
     pub fn ended(
-        &mut self, now: Time, request: RequestId, attempt: u32, outcome: Outcome, answer: Option<H::Answer>,
+        &mut self,
+        now: Time,
+        request: RequestId,
+        attempt: u32,
+        outcome: Outcome,
+        answer: Option<H::Answer>,
         out: &mut Vec<Command<H>>,
     ) {
-        let Some(r) = self.requests.get_mut(&request) else { return };
-        let Some(o) = r.out.take_if(|o| o.attempt == attempt) else { return };
+        let Some(r) = self.requests.get_mut(&request) else {
+            return;
+        };
+        let Some(o) = r.out.take_if(|o| o.attempt == attempt) else {
+            return;
+        };
         r.last = Some(outcome);
         if !never_ran(outcome) {
             r.ran.get_or_insert(o.sent);
         }
         if let Some((answer, to)) = answer.and_then(|a| Some((a, r.reply.take()?))) {
-            out.push(Command::Answer { request, to, answer: Final::Served(answer) });
+            out.push(Command::Answer {
+                request,
+                to,
+                answer: Final::Served(answer),
+            });
         }
         let ended = r.reply.is_none();
         self.tidy(request);
         let latency = now - o.sent;
-        let event =
-            Event::Outcome { request, attempt, server: o.server, outcome, latency, ended, load: None };
+        let event = Event::Outcome {
+            request,
+            attempt,
+            server: o.server,
+            outcome,
+            latency,
+            ended,
+            load: None,
+        };
         self.feed(now, event, out);
     }
 
@@ -369,15 +460,26 @@
     /// Carries out an action; an attempt that may not be made comes back as unused.
     fn act(&mut self, now: Time, action: Action, out: &mut Vec<Command<H>>) -> Option<Event> {
         match action {
-            Action::Attempt { request, server, timeout } => {
+            Action::Attempt {
+                request,
+                server,
+                timeout,
+            } => {
                 return self.attempt(now, request, server, timeout, out);
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 // Guards the second rule against the module itself: a refusal tells the client that trying again
                 // is harmless. Harm: none, the request has its final answer at the same moment.
                 let r = self.requests.get(&request)?;
                 let doubt = (r.ran.is_some() || r.out.is_some()) && r.effect == Effect::AtMostOnce;
-                let answer = if doubt { Final::Failed(r.last) } else { Final::Refused { retry_after } };
+                let answer = if doubt {
+                    Final::Failed(r.last)
+                } else {
+                    Final::Refused { retry_after }
+                };
                 self.close(request, answer, out);
             }
             Action::Fail { request } => {
@@ -407,23 +509,37 @@
             Action::Timer { after, tag } => out.push(Command::Timer { after, tag }),
             // Probes are allowed nowhere yet, and the module sends none.
             Action::Probe { server } => {
-                return Some(Event::Probed { server, outcome: Outcome::Unused, load: None });
+                return Some(Event::Probed {
+                    server,
+                    outcome: Outcome::Unused,
+                    load: None,
+                });
             }
         }
         None
     }
 
     fn close(&mut self, request: RequestId, answer: Final<H::Answer>, out: &mut Vec<Command<H>>) {
-        let Some(r) = self.requests.get_mut(&request) else { return };
+        let Some(r) = self.requests.get_mut(&request) else {
+            return;
+        };
         if let Some(to) = r.reply.take() {
-            out.push(Command::Answer { request, to, answer });
+            out.push(Command::Answer {
+                request,
+                to,
+                answer,
+            });
         }
         self.tidy(request);
     }
 
     /// Lets a request go that has its final answer and of which nothing is out.
     fn tidy(&mut self, request: RequestId) {
-        if self.requests.get(&request).is_some_and(|r| r.reply.is_none() && r.out.is_none()) {
+        if self
+            .requests
+            .get(&request)
+            .is_some_and(|r| r.reply.is_none() && r.out.is_none())
+        {
             self.requests.remove(&request);
         }
     }
@@ -431,7 +547,11 @@
     /// Starts an attempt, but none after the end of a request or its deadline, past the most it may have, beside
     /// another, to a server that no list has named, or where a second effect could follow.
     fn attempt(
-        &mut self, now: Time, request: RequestId, server: ServerId, timeout: Option<Time>,
+        &mut self,
+        now: Time,
+        request: RequestId,
+        server: ServerId,
+        timeout: Option<Time>,
         out: &mut Vec<Command<H>>,
     ) -> Option<Event> {
         let listed = self.servers.lists(server);
@@ -445,8 +565,12 @@
             if let Some(r) = self.requests.get_mut(&request) {
                 r.made += 1;
             }
-            let (outcome, ended) =
-                (Outcome::Unused, self.requests.get(&request).is_none_or(|r| r.reply.is_none()));
+            let (outcome, ended) = (
+                Outcome::Unused,
+                self.requests
+                    .get(&request)
+                    .is_none_or(|r| r.reply.is_none()),
+            );
             return Some(Event::Outcome {
                 request,
                 attempt,
@@ -458,12 +582,25 @@
             });
         };
         r.made += 1;
-        r.out = Some(Out { attempt, server, sent: now });
+        r.out = Some(Out {
+            attempt,
+            server,
+            sent: now,
+        });
         // How long a body takes is its client's affair.
         let timeout = timeout.filter(|_| r.flows.is_none());
         let expires = timeout.map_or(r.deadline, |t| r.deadline.min(now + t.max(0.0)));
-        out.push(Command::Send { request, attempt, server, starts_by: r.starts_by().min(expires), expires });
-        r.flows.map(|_| Event::Upload { request, left: None })
+        out.push(Command::Send {
+            request,
+            attempt,
+            server,
+            starts_by: r.starts_by().min(expires),
+            expires,
+        });
+        r.flows.map(|_| Event::Upload {
+            request,
+            left: None,
+        })
     }
 }
 
@@ -476,5 +613,8 @@
 
 /// Whether an attempt that ended so is known not to have run.
 pub fn never_ran(outcome: Outcome) -> bool {
-    matches!(outcome, Outcome::Shed | Outcome::DialFailed | Outcome::Unused)
+    matches!(
+        outcome,
+        Outcome::Shed | Outcome::DialFailed | Outcome::Unused
+    )
 }
--- a/crates/core/src/engine/list.rs
+++ b/crates/core/src/engine/list.rs
@@ -17,7 +17,11 @@
     /// What was said of a server so far counts no more: it is gone, as another has its address.
     fn supplant(&mut self, old: ServerId, by: &Entry) {
         self.supplanted.insert(old, self.lines.len());
-        self.lines.push(Entry { server: old, state: ServerState::Gone, ..by.clone() });
+        self.lines.push(Entry {
+            server: old,
+            state: ServerState::Gone,
+            ..by.clone()
+        });
     }
 
     fn into_entries(self) -> Vec<Entry> {
@@ -25,15 +29,25 @@
         if supplanted.is_empty() {
             return lines;
         }
-        let counts = |(n, line): &(usize, Entry)| supplanted.get(&line.server).is_none_or(|from| n >= from);
-        lines.into_iter().enumerate().filter(counts).map(|(_, line)| line).collect()
+        let counts =
+            |(n, line): &(usize, Entry)| supplanted.get(&line.server).is_none_or(|from| n >= from);
+        lines
+            .into_iter()
+            .enumerate()
+            .filter(counts)
+            .map(|(_, line)| line)
+            .collect()
     }
 }
 
 impl<H: Host, D: Decide> Engine<H, D> {
     /// News of the list. What is kept of a server that left, restarted or moved goes at once.
     pub fn members(
-        &mut self, now: Time, list: ListKind, places: Vec<Place<H::Address>>, out: &mut Vec<Command<H>>,
+        &mut self,
+        now: Time,
+        list: ListKind,
+        places: Vec<Place<H::Address>>,
+        out: &mut Vec<Command<H>>,
     ) {
         if matches!(list, ListKind::Full | ListKind::Cached) {
             let named: HashSet<ServerId> = places.iter().map(|p| p.entry.server).collect();
@@ -53,7 +67,13 @@
         self.feed(now, Event::Members { list, entries }, out);
     }
 
-    fn take_in(&mut self, now: Time, place: Place<H::Address>, news: &mut News, out: &mut Vec<Command<H>>) {
+    fn take_in(
+        &mut self,
+        now: Time,
+        place: Place<H::Address>,
+        news: &mut News,
+        out: &mut Vec<Command<H>>,
+    ) {
         let Place { entry, address } = place;
         let server = entry.server;
         if entry.state == ServerState::Gone {
@@ -67,7 +87,14 @@
             if !same || entry.state != ServerState::Up {
                 out.push(Command::Forget { server });
             }
-            self.servers.insert(server, Listed { address, state: entry.state, ready_at: entry.ready_at });
+            self.servers.insert(
+                server,
+                Listed {
+                    address,
+                    state: entry.state,
+                    ready_at: entry.ready_at,
+                },
+            );
         }
         news.lines.push(entry);
     }
@@ -83,7 +110,12 @@
     /// would give a cold server twice its part; it ought to catch any list that names one address twice. Harm: if
     /// two servers did share an address behind something that parts them, only the one named last gets requests.
     fn supplant(
-        &mut self, now: Time, by: &Entry, address: &H::Address, news: &mut News, out: &mut Vec<Command<H>>,
+        &mut self,
+        now: Time,
+        by: &Entry,
+        address: &H::Address,
+        news: &mut News,
+        out: &mut Vec<Command<H>>,
     ) {
         for old in self.servers.others_at(address, by.server) {
             self.remove(now, old, out);
--- a/crates/core/src/engine/servers.rs
+++ b/crates/core/src/engine/servers.rs
@@ -28,7 +28,12 @@
 impl<A: Clone + Eq + Hash> Servers<A> {
     /// No servers.
     pub(super) fn new() -> Self {
-        Servers { listed: HashMap::new(), at: HashMap::new(), gone: VecDeque::new(), resting: HashMap::new() }
+        Servers {
+            listed: HashMap::new(),
+            at: HashMap::new(),
+            gone: VecDeque::new(),
+            resting: HashMap::new(),
+        }
     }
 
     /// Whether the list names a server.
@@ -48,21 +53,37 @@
 
     /// The servers that are not among those named.
     pub(super) fn missing(&self, named: &HashSet<ServerId>) -> Vec<ServerId> {
-        self.listed.keys().filter(|server| !named.contains(server)).copied().collect()
+        self.listed
+            .keys()
+            .filter(|server| !named.contains(server))
+            .copied()
+            .collect()
     }
 
     /// The servers at an address but for one.
     pub(super) fn others_at(&self, address: &A, but: ServerId) -> Vec<ServerId> {
-        self.at.get(address).into_iter().flatten().copied().filter(|server| *server != but).collect()
+        self.at
+            .get(address)
+            .into_iter()
+            .flatten()
+            .copied()
+            .filter(|server| *server != but)
+            .collect()
     }
 
     /// Lists a server as it is now.
     pub(super) fn insert(&mut self, server: ServerId, new: Listed<A>) {
-        let moved = self.listed.get(&server).is_some_and(|old| old.address != new.address);
+        let moved = self
+            .listed
+            .get(&server)
+            .is_some_and(|old| old.address != new.address);
         if moved {
             self.leave_address(server);
         }
-        self.at.entry(new.address.clone()).or_default().insert(server);
+        self.at
+            .entry(new.address.clone())
+            .or_default()
+            .insert(server);
         self.listed.insert(server, new);
     }
 
@@ -92,7 +113,9 @@
 
     /// Counts one rest of a number less; whether that was the last.
     fn rests_no_more(&mut self, server: ServerId) -> bool {
-        let Some(count) = self.resting.get_mut(&server) else { return true };
+        let Some(count) = self.resting.get_mut(&server) else {
+            return true;
+        };
         *count -= 1;
         let last = *count == 0;
         if last {
@@ -102,8 +125,12 @@
     }
 
     fn leave_address(&mut self, server: ServerId) {
-        let Some(address) = self.listed.get(&server).map(|listed| &listed.address) else { return };
-        let Some(there) = self.at.get_mut(address) else { return };
+        let Some(address) = self.listed.get(&server).map(|listed| &listed.address) else {
+            return;
+        };
+        let Some(there) = self.at.get_mut(address) else {
+            return;
+        };
         there.remove(&server);
         if there.is_empty() {
             self.at.remove(address);
--- a/crates/core/src/floored.rs
+++ b/crates/core/src/floored.rs
@@ -86,7 +86,9 @@
 
 impl Ord for Rank {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.raw.total_cmp(&other.raw).then(self.slot.cmp(&other.slot))
+        self.raw
+            .total_cmp(&other.raw)
+            .then(self.slot.cmp(&other.slot))
     }
 }
 
@@ -155,12 +157,18 @@
     /// The entry at a position.
     pub(crate) fn value(&self, position: usize) -> f64 {
         let slot = &self.slots[self.order[position]];
-        self.scaled(if slot.state == State::Clamped { self.level } else { slot.raw })
+        self.scaled(if slot.state == State::Clamped {
+            self.level
+        } else {
+            slot.raw
+        })
     }
 
     /// All entries by position.
     pub(crate) fn values(&self) -> Vec<f64> {
-        (0..self.len()).map(|position| self.value(position)).collect()
+        (0..self.len())
+            .map(|position| self.value(position))
+            .collect()
     }
 
     /// The mean entry of a group, if it has any.
@@ -224,7 +232,12 @@
         if self.all.clamped == 0 || self.level < self.base {
             self.level = self.base;
         }
-        while let Some(Reverse(rank)) = self.lowest.peek().copied().filter(|r| r.0.raw <= self.level) {
+        while let Some(Reverse(rank)) = self
+            .lowest
+            .peek()
+            .copied()
+            .filter(|r| r.0.raw <= self.level)
+        {
             self.lowest.pop();
             if self.slots[rank.slot].state == State::Free {
                 self.uncount(rank.slot);
@@ -236,7 +249,11 @@
 
     fn insert(&mut self, raw: f64, groups: Groups) {
         let slot = self.slots.len();
-        let state = if raw <= self.level { State::Clamped } else { State::Free };
+        let state = if raw <= self.level {
+            State::Clamped
+        } else {
+            State::Free
+        };
         self.slots.push(Slot { raw, groups, state });
         self.order.push(slot);
         if state == State::Free {
@@ -266,7 +283,11 @@
 
     /// Computes the raw values anew, from these values.
     fn rebuild(&mut self, values: Vec<f64>) {
-        let groups: Vec<Groups> = self.order.iter().map(|slot| self.slots[*slot].groups).collect();
+        let groups: Vec<Groups> = self
+            .order
+            .iter()
+            .map(|slot| self.slots[*slot].groups)
+            .collect();
         *self = Floored::new(self.floors, values.into_iter().zip(groups));
     }
 }
--- a/crates/core/src/list_sums.rs
+++ b/crates/core/src/list_sums.rs
@@ -48,10 +48,18 @@
 impl ListSums {
     /// The sums over a list with its sampling vector, whose floors come to `floors`.
     pub(crate) fn new(floors: f64, p: &[f64], lines: Vec<Line>) -> Self {
-        let p = Floored::new(floors, p.iter().copied().zip(lines.iter().map(Line::groups)));
+        let p = Floored::new(
+            floors,
+            p.iter().copied().zip(lines.iter().map(Line::groups)),
+        );
         let (awake, weight) = (Mean::default(), Mean::default());
-        let mut sums =
-            ListSums { p, lines: Vec::with_capacity(lines.len()), averages: Vec::new(), awake, weight };
+        let mut sums = ListSums {
+            p,
+            lines: Vec::with_capacity(lines.len()),
+            averages: Vec::new(),
+            awake,
+            weight,
+        };
         for line in lines {
             sums.add(&line);
             sums.lines.push(line);
@@ -79,7 +87,11 @@
         if (old.kind, old.weight) == (kind, weight) {
             return;
         }
-        let new = Line { kind, weight, ..old };
+        let new = Line {
+            kind,
+            weight,
+            ..old
+        };
         self.remove(&old);
         self.add(&new);
         self.lines[position] = new;
@@ -94,7 +106,9 @@
     /// The mean entry of the vector and the mean average of response over a kind in one part of the list.
     pub(crate) fn means_of_kin(&self, own: bool, kind: KindId) -> Option<(f64, f64)> {
         let kin = kin(own, kind);
-        self.p.mean(kin).zip(self.averages.get(kin).and_then(Mean::value))
+        self.p
+            .mean(kin)
+            .zip(self.averages.get(kin).and_then(Mean::value))
     }
 
     /// The mean average of response over the servers that are not ejected.
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -172,7 +172,9 @@
 
 /// FNV-1a: short names, and the same value on every node.
 pub fn stable_hash(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 /// Gives names small dense numbers in the order of their first appearance.
@@ -208,7 +210,11 @@
 
     /// Forgets a name whose number nothing holds any more; a later name gets the number.
     pub fn release(&mut self, id: u32) {
-        let name = self.list.get_mut(id as usize).map(std::mem::take).unwrap_or_default();
+        let name = self
+            .list
+            .get_mut(id as usize)
+            .map(std::mem::take)
+            .unwrap_or_default();
         if self.ids.remove(&name).is_some() {
             self.free.push(id);
         }
@@ -266,7 +272,10 @@
 
 impl Vocabulary {
     /// The names of classes and tenants, in the order of the settings.
-    pub fn new(classes: impl IntoIterator<Item = String>, tenants: impl IntoIterator<Item = String>) -> Self {
+    pub fn new(
+        classes: impl IntoIterator<Item = String>,
+        tenants: impl IntoIterator<Item = String>,
+    ) -> Self {
         Vocabulary {
             servers: Names::default(),
             classes: Names::of(classes),
@@ -320,7 +329,11 @@
         return Err("there are no classes".into());
     }
     let fine = |x: f64| x.is_finite() && x > 0.0;
-    if let Some(i) = settings.classes.iter().position(|c| !fine(c.deadline) || !fine(c.aim)) {
+    if let Some(i) = settings
+        .classes
+        .iter()
+        .position(|c| !fine(c.deadline) || !fine(c.aim))
+    {
         return Err(format!("class {i} has no usable aim and deadline"));
     }
     if !now.is_finite() || settings.limits.max_attempts == 0 || settings.replicas == 0 {
@@ -361,7 +374,11 @@
     let limits = Limits {
         max_attempts: info.limits.max_attempts,
         retry_share: RETRY_SHARE,
-        max_retry_after: if info.limits.retry_after { info.limits.max_retry_after } else { 0.0 },
+        max_retry_after: if info.limits.retry_after {
+            info.limits.max_retry_after
+        } else {
+            0.0
+        },
         cancelling: info.limits.cancelling,
         may_probe: info.limits.may_probe,
         second_copies: info.limits.second_copies,
@@ -370,11 +387,19 @@
     let r = info.rules;
     let settings = Settings {
         classes: classes.collect(),
-        tenants: info.tenants.iter().map(|t| Tenant { quota: t.quota_rps }).collect(),
+        tenants: info
+            .tenants
+            .iter()
+            .map(|t| Tenant { quota: t.quota_rps })
+            .collect(),
         zone: info.locality.map(|z| zones.intern(&z) as ZoneId),
         replicas: info.replicas_of_me,
         number: info.my_number,
-        discovery: if info.discovery == "ask" { Discovery::Ask } else { Discovery::Push },
+        discovery: if info.discovery == "ask" {
+            Discovery::Ask
+        } else {
+            Discovery::Push
+        },
         reports: match info.report.via.as_str() {
             "piggyback" => Reports::Piggyback,
             "pull" => Reports::Pull,
@@ -406,7 +431,10 @@
         weighted: info.weight_kind != "silent",
         tick: info.tick,
     };
-    let figures = Figures { connect_timeout: info.limits.connect_timeout, answer_slack: r.answer_slack };
+    let figures = Figures {
+        connect_timeout: info.limits.connect_timeout,
+        answer_slack: r.answer_slack,
+    };
     let names = Vocabulary {
         servers: Names::default(),
         classes: Names::of(info.categories.into_iter().map(|c| c.name)),
--- a/crates/core/tests/automaton.rs
+++ b/crates/core/tests/automaton.rs
@@ -13,7 +13,10 @@
 fn assert_sound(a: &Automaton) {
     let sum: f64 = a.p.iter().sum();
     assert!((sum - 1.0).abs() < 1e-9, "sum {sum}");
-    assert!(a.p.iter().all(|p| *p >= a.floor() - 1e-12), "an entry is under the floor");
+    assert!(
+        a.p.iter().all(|p| *p >= a.floor() - 1e-12),
+        "an entry is under the floor"
+    );
     assert!(a.floor() * (a.p.len() as f64) < 1.0);
 }
 
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -77,7 +77,13 @@
     Uneven,
 }
 
-const WAYS: [Way; 5] = [Way::IdleThenBurst, Way::Flood, Way::Restarts, Way::Flaps, Way::Uneven];
+const WAYS: [Way; 5] = [
+    Way::IdleThenBurst,
+    Way::Flood,
+    Way::Restarts,
+    Way::Flaps,
+    Way::Uneven,
+];
 
 struct Fleet {
     of: Deployment,
@@ -91,28 +97,59 @@
 }
 
 fn cold() -> Entry {
-    Entry { ready_at: 1.0, ..entry(WARM) }
+    Entry {
+        ready_at: 1.0,
+        ..entry(WARM)
+    }
 }
 
 impl Fleet {
     fn new(of: Deployment, nodes: u32, seed: u64) -> Fleet {
-        let mut fleet =
-            Fleet { of, seed, nodes: vec![], sent: vec![], next: 0, chance: Chance(seed), able: 0.0 };
-        fleet.nodes = (0..nodes).map(|n| (fleet.started(n, nodes, 0.0, false), 0.0)).collect();
+        let mut fleet = Fleet {
+            of,
+            seed,
+            nodes: vec![],
+            sent: vec![],
+            next: 0,
+            chance: Chance(seed),
+            able: 0.0,
+        };
+        fleet.nodes = (0..nodes)
+            .map(|n| (fleet.started(n, nodes, 0.0, false), 0.0))
+            .collect();
         fleet
     }
 
     fn started(&mut self, number: u32, nodes: u32, now: f64, with_cold: bool) -> Balancer {
         let mut s = settings(vec![class(Effect::Idempotent)]);
         (s.replicas, s.number) = (nodes, Some(number));
-        let Deployment { cold_from, warm_after, overload_factor, tip_after, .. } = self.of;
-        s.rules = Rules { cold_from, warm_after, overload_factor, tip_after, ..s.rules };
+        let Deployment {
+            cold_from,
+            warm_after,
+            overload_factor,
+            tip_after,
+            ..
+        } = self.of;
+        s.rules = Rules {
+            cold_from,
+            warm_after,
+            overload_factor,
+            tip_after,
+            ..s.rules
+        };
         // As much as a node may learn that a request takes, learned already.
         s.classes[0].aim = 4.0 * self.of.work;
         let seed = self.seed ^ (u64::from(number) << 32) ^ now.to_bits();
         let mut node = Balancer::new(s, seed, now).expect("usable settings");
         let entries = (0..WARM).map(entry).chain(with_cold.then(cold)).collect();
-        node.handle(now, Event::Members { list: ListKind::Cached, entries }, &mut vec![]);
+        node.handle(
+            now,
+            Event::Members {
+                list: ListKind::Cached,
+                entries,
+            },
+            &mut vec![],
+        );
         node
     }
 
@@ -133,9 +170,18 @@
         let (request, mut actions) = (self.next, vec![]);
         self.next += 1;
         let hint = self.of.hints.then_some(work);
-        let event = Event::Request { request, class: 0, tenant: None, hint, key: None, left: 0.6 };
+        let event = Event::Request {
+            request,
+            class: 0,
+            tenant: None,
+            hint,
+            key: None,
+            left: 0.6,
+        };
         self.nodes[n].0.handle(now, event, &mut actions);
-        let Some(Action::Attempt { server, .. }) = actions.first() else { return };
+        let Some(Action::Attempt { server, .. }) = actions.first() else {
+            return;
+        };
         let mut outcome = Outcome::Delivered;
         if *server == WARM {
             self.sent.push((now, work));
@@ -154,17 +200,28 @@
             ended: true,
             load: None,
         };
-        self.nodes[n].0.handle(now + self.of.work, event, &mut vec![]);
+        self.nodes[n]
+            .0
+            .handle(now + self.of.work, event, &mut vec![]);
     }
 
     fn warmth(&self, now: f64) -> f64 {
-        let Deployment { cold_from, warm_after, .. } = self.of;
+        let Deployment {
+            cold_from,
+            warm_after,
+            ..
+        } = self.of;
         (cold_from + (1.0 - cold_from) * (now - 1.0) / warm_after).min(1.0)
     }
 
     /// The most that was sent in a window, as a part of what may be put down to chance: N + 2 root N + 2.
     fn worst(&self) -> f64 {
-        let Deployment { work, overload_factor, tip_after, .. } = self.of;
+        let Deployment {
+            work,
+            overload_factor,
+            tip_after,
+            ..
+        } = self.of;
         let (mut worst, mut first, mut sum) = (0.0, 0, 0.0);
         for (at, amount) in &self.sent {
             sum += amount;
@@ -185,27 +242,43 @@
     let mut fleet = Fleet::new(of, nodes, seed);
     // As much as the warm servers can do, for each node and step.
     let full = f64::from(WARM) * CAPACITY / of.work * STEP / f64::from(nodes);
-    let restarts: Vec<f64> = (0..nodes).map(|_| 1.5 + 2.0 * fleet.chance.draw()).collect();
+    let restarts: Vec<f64> = (0..nodes)
+        .map(|_| 1.5 + 2.0 * fleet.chance.draw())
+        .collect();
     let mut listed = false;
     for step in 0..250 {
         let now = f64::from(step) * STEP;
         if now >= 1.0 && !listed {
             listed = true;
-            let drains = (0..WARM).map(|n| Entry { state: ServerState::Draining, ..entry(n) });
-            fleet.list(now, ListKind::Delta, &drains.chain([cold()]).collect::<Vec<_>>());
+            let drains = (0..WARM).map(|n| Entry {
+                state: ServerState::Draining,
+                ..entry(n)
+            });
+            fleet.list(
+                now,
+                ListKind::Delta,
+                &drains.chain([cold()]).collect::<Vec<_>>(),
+            );
         }
         if way == Way::Flaps && [80, 81, 110, 111].contains(&step) {
-            let state = if step % 10 == 0 { ServerState::Gone } else { ServerState::Up };
+            let state = if step % 10 == 0 {
+                ServerState::Gone
+            } else {
+                ServerState::Up
+            };
             fleet.list(now, ListKind::Delta, &[Entry { state, ..cold() }]);
         }
         if listed {
-            fleet.able = (fleet.able + CAPACITY * fleet.warmth(now) * STEP).min(of.work.max(CAPACITY * STEP));
+            fleet.able = (fleet.able + CAPACITY * fleet.warmth(now) * STEP)
+                .min(of.work.max(CAPACITY * STEP));
         }
         for (n, restart) in restarts.iter().enumerate() {
             if way == Way::Restarts && (*restart..restart + STEP).contains(&now) {
                 fleet.nodes[n].0 = fleet.started(n as u32, nodes, now, true);
             }
-            fleet.nodes[n].0.handle(now, Event::Timer { tag: 0 }, &mut vec![]);
+            fleet.nodes[n]
+                .0
+                .handle(now, Event::Timer { tag: 0 }, &mut vec![]);
             let asked = match way {
                 Way::IdleThenBurst if now < 2.5 => 0.0,
                 // What was saved goes at once.
@@ -221,7 +294,10 @@
             }
         }
     }
-    (fleet.worst(), fleet.sent.iter().map(|(_, w)| w / of.work).sum())
+    (
+        fleet.worst(),
+        fleet.sent.iter().map(|(_, w)| w / of.work).sum(),
+    )
 }
 
 #[test]
@@ -246,10 +322,15 @@
 fn a_cold_server_still_gets_what_it_can_do() {
     for of in DEPLOYMENTS {
         for nodes in [1, 5, 30, 120] {
-            let got: f64 = (0..10).map(|seed| play(of, nodes, Way::Flood, seed).1 / 10.0).sum();
+            let got: f64 = (0..10)
+                .map(|seed| play(of, nodes, Way::Flood, seed).1 / 10.0)
+                .sum();
             // Four seconds at its least.
             let able = 4.0 * CAPACITY * of.cold_from / of.work;
-            assert!(got > 0.5 * able, "{got:.0} of {able:.0} with {nodes} nodes, {of:?}");
+            assert!(
+                got > 0.5 * able,
+                "{got:.0} of {able:.0} with {nodes} nodes, {of:?}"
+            );
         }
     }
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -5,7 +5,14 @@
 use reelfall_core::Balancer;
 
 pub fn class(effect: Effect) -> Class {
-    Class { aim: 0.2, deadline: 0.6, worth: 1.0, late_value: 0.5, effect, streamed: false }
+    Class {
+        aim: 0.2,
+        deadline: 0.6,
+        worth: 1.0,
+        late_value: 0.5,
+        effect,
+        streamed: false,
+    }
 }
 
 pub fn settings(classes: Vec<Class>) -> Settings {
@@ -35,7 +42,11 @@
             must_ask_in: 10.0,
         },
         prices: Prices::default(),
-        goal: Goal { overall: 0.8, worst_class: 0.2, worst_tenant: 0.0 },
+        goal: Goal {
+            overall: 0.8,
+            worst_class: 0.2,
+            worst_tenant: 0.0,
+        },
         over_share_worth: 0.1,
         worth_by_work: true,
         warm_keys: false,
@@ -69,7 +80,12 @@
 impl Node {
     pub fn new(settings: Settings, servers: u32) -> Node {
         let balancer = Balancer::new(settings, 7, 0.0).expect("usable settings");
-        let mut node = Node { balancer, now: 0.0, actions: vec![], next: 0 };
+        let mut node = Node {
+            balancer,
+            now: 0.0,
+            actions: vec![],
+            next: 0,
+        };
         node.members(ListKind::Cached, (0..servers).map(entry).collect());
         node
     }
@@ -89,10 +105,22 @@
     }
 
     /// A request; the server it was sent to, or `None` if it was refused.
-    pub fn request(&mut self, class: ClassId, key: Option<u64>, left: Time) -> (RequestId, Option<ServerId>) {
+    pub fn request(
+        &mut self,
+        class: ClassId,
+        key: Option<u64>,
+        left: Time,
+    ) -> (RequestId, Option<ServerId>) {
         let request = self.next;
         self.next += 1;
-        self.tell(Event::Request { request, class, tenant: None, hint: Some(0.02), key, left });
+        self.tell(Event::Request {
+            request,
+            class,
+            tenant: None,
+            hint: Some(0.02),
+            key,
+            left,
+        });
         (request, self.sent())
     }
 
@@ -105,17 +133,34 @@
     }
 
     pub fn refused(&self) -> bool {
-        self.actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+        self.actions
+            .iter()
+            .any(|a| matches!(a, Action::Refuse { .. }))
     }
 
     pub fn failed(&self) -> bool {
-        self.actions.iter().any(|a| matches!(a, Action::Fail { .. }))
+        self.actions
+            .iter()
+            .any(|a| matches!(a, Action::Fail { .. }))
     }
 
     pub fn end(
-        &mut self, request: RequestId, attempt: u32, server: ServerId, outcome: Outcome, latency: Time,
+        &mut self,
+        request: RequestId,
+        attempt: u32,
+        server: ServerId,
+        outcome: Outcome,
+        latency: Time,
     ) {
         let ended = outcome == Outcome::Delivered;
-        self.tell(Event::Outcome { request, attempt, server, outcome, latency, ended, load: None });
+        self.tell(Event::Outcome {
+            request,
+            attempt,
+            server,
+            outcome,
+            latency,
+            ended,
+            load: None,
+        });
     }
 }
--- a/crates/core/tests/doubt.rs
+++ b/crates/core/tests/doubt.rs
@@ -67,7 +67,10 @@
         end_or_leave(&mut node, id, server, answers);
         good.insert(server, answers);
     }
-    assert!(good.values().any(|g| *g) && good.values().any(|g| !*g), "{good:?}");
+    assert!(
+        good.values().any(|g| *g) && good.values().any(|g| !*g),
+        "{good:?}"
+    );
     let mut to_unheard = [0.0; 2];
     for n in 0..1000 {
         let class = n % 2;
@@ -91,18 +94,36 @@
             // Four of twenty are out at any time: as many as a trouble common to all may put out.
             let mut learned = node.balancer.learned(node.now);
             let four = |s: &&mut LearnedServer| (0..4).any(|n| s.hash == hash(n));
-            learned.servers.iter_mut().filter(four).for_each(|s| s.out_for = 60.0);
+            learned
+                .servers
+                .iter_mut()
+                .filter(four)
+                .for_each(|s| s.out_for = 60.0);
             node.balancer.adopt(node.now, &learned);
             let (id, server) = node.request(1, None, 0.6);
             let server = server.expect("a server");
             failed += u32::from(server == 10);
-            node.end(id, 0, server, if server == 10 { outcome } else { Outcome::Delivered }, 0.0);
+            node.end(
+                id,
+                0,
+                server,
+                if server == 10 {
+                    outcome
+                } else {
+                    Outcome::Delivered
+                },
+                0.0,
+            );
             if let Some(next) = node.sent() {
                 node.end(id, 1, next, Outcome::Delivered, 0.0);
             }
         }
         let after = node.balancer.learned(node.now);
-        let it = after.servers.iter().find(|s| s.hash == hash(10)).expect("it is listed");
+        let it = after
+            .servers
+            .iter()
+            .find(|s| s.hash == hash(10))
+            .expect("it is listed");
         assert_eq!(it.out_for > 0.0, out, "{outcome:?}");
     }
 }
@@ -126,5 +147,8 @@
 #[test]
 fn the_silence_of_servers_that_never_answered_is_no_load_and_that_of_sound_ones_is() {
     assert_eq!(admission_after_silence(false), 1.0);
-    assert!(admission_after_silence(true) < 1.0, "sound servers that fall silent together are overloaded");
+    assert!(
+        admission_after_silence(true) < 1.0,
+        "sound servers that fall silent together are overloaded"
+    );
 }
--- a/crates/core/tests/engine.rs
+++ b/crates/core/tests/engine.rs
@@ -31,9 +31,9 @@
 impl Decide for Hostile {
     fn handle(&mut self, _: Time, event: Event, actions: &mut Vec<Action>) {
         let about = match event {
-            Event::Request { request, .. } | Event::Outcome { request, .. } | Event::Gone { request } => {
-                Some(request)
-            }
+            Event::Request { request, .. }
+            | Event::Outcome { request, .. }
+            | Event::Gone { request } => Some(request),
             _ => None,
         };
         for (same, mut action) in self.0.by_ref().take(1) {
@@ -124,34 +124,72 @@
     fn check(&mut self, commands: Out) {
         for command in commands {
             match command {
-                Command::Send { request, attempt, server, starts_by, expires } => {
-                    let r = self.requests.get_mut(&request).expect("a request that was submitted");
+                Command::Send {
+                    request,
+                    attempt,
+                    server,
+                    starts_by,
+                    expires,
+                } => {
+                    let r = self
+                        .requests
+                        .get_mut(&request)
+                        .expect("a request that was submitted");
                     assert_eq!(r.answers, 0, "sent after the final answer");
                     assert!(!r.left, "sent for a client that left");
                     assert!(r.out.is_none(), "two attempts at once");
                     assert!(r.sent < ATTEMPTS, "more attempts than allowed");
-                    assert!(r.class != 1 || !r.maybe_ran, "an unsafe request may run twice");
-                    assert!(self.listed.contains_key(&server), "sent to a server that nobody named");
+                    assert!(
+                        r.class != 1 || !r.maybe_ran,
+                        "an unsafe request may run twice"
+                    );
+                    assert!(
+                        self.listed.contains_key(&server),
+                        "sent to a server that nobody named"
+                    );
                     assert!(self.now < r.deadline, "sent after the deadline");
-                    assert!(expires <= r.deadline && expires >= self.now, "an attempt past the deadline");
+                    assert!(
+                        expires <= r.deadline && expires >= self.now,
+                        "an attempt past the deadline"
+                    );
                     if let Some(first) = r.first.filter(|_| r.class == 2) {
                         // It has to be there while its servers still know the first for one of the same.
-                        assert!(starts_by < first + WINDOW, "a keyed request is repeated past its window");
+                        assert!(
+                            starts_by < first + WINDOW,
+                            "a keyed request is repeated past its window"
+                        );
                     }
-                    assert!(starts_by <= expires, "an attempt that is sent after its end");
+                    assert!(
+                        starts_by <= expires,
+                        "an attempt that is sent after its end"
+                    );
                     r.out = Some((attempt, expires));
                     r.last = self.now;
                     r.sent += 1;
                 }
                 Command::Abort { request, attempt } => {
-                    let r = self.requests.get_mut(&request).expect("a request that was submitted");
-                    assert_eq!(r.out.take().map(|o| o.0), Some(attempt), "stopped what is not out");
+                    let r = self
+                        .requests
+                        .get_mut(&request)
+                        .expect("a request that was submitted");
+                    assert_eq!(
+                        r.out.take().map(|o| o.0),
+                        Some(attempt),
+                        "stopped what is not out"
+                    );
                     r.maybe_ran = true;
                     r.first.get_or_insert(r.last);
                 }
-                Command::Answer { request, to, answer } => {
+                Command::Answer {
+                    request,
+                    to,
+                    answer,
+                } => {
                     assert_eq!(request, to, "the answer went to another's client");
-                    let r = self.requests.get_mut(&request).expect("a request that was submitted");
+                    let r = self
+                        .requests
+                        .get_mut(&request)
+                        .expect("a request that was submitted");
                     assert!(!r.left, "an answer for a client that left");
                     r.answers += 1;
                     assert_eq!(r.answers, 1, "two final answers");
@@ -167,17 +205,37 @@
 }
 
 fn place(server: u32, state: ServerState) -> Place<u32> {
-    Place { entry: Entry { state, ..entry(server) }, address: server }
+    Place {
+        entry: Entry {
+            state,
+            ..entry(server)
+        },
+        address: server,
+    }
 }
 
 fn runner(cases: u32) -> TestRunner {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
-    TestRunner::new_with_rng(Config { cases, failure_persistence: None, ..Config::default() }, rng)
+    TestRunner::new_with_rng(
+        Config {
+            cases,
+            failure_persistence: None,
+            ..Config::default()
+        },
+        rng,
+    )
 }
 
 fn classes() -> Vec<Class> {
-    let keyed = Effect::Keyed { group: Group::All, window: WINDOW };
-    vec![class(Effect::Idempotent), class(Effect::AtMostOnce), class(keyed)]
+    let keyed = Effect::Keyed {
+        group: Group::All,
+        window: WINDOW,
+    };
+    vec![
+        class(Effect::Idempotent),
+        class(Effect::AtMostOnce),
+        class(keyed),
+    ]
 }
 
 #[test]
@@ -190,7 +248,11 @@
         .run(&strategy, |(steps, actions)| {
             let mut engine: Engine<Test, Hostile> =
                 Engine::new(Hostile(actions.into_iter()), &classes(), ATTEMPTS);
-            let mut world = World { now: 0.0, requests: BTreeMap::new(), listed: HashMap::new() };
+            let mut world = World {
+                now: 0.0,
+                requests: BTreeMap::new(),
+                listed: HashMap::new(),
+            };
             let mut out = Out::new();
             let all = (0..4).map(|s| place(s, ServerState::Up)).collect();
             engine.members(0.0, ListKind::Full, all, &mut out);
@@ -212,26 +274,53 @@
         Step::Submit { class, left } => {
             let id = world.requests.len() as u32;
             let deadline = now + left;
-            world.requests.insert(id, Seen { class, deadline, ..Seen::default() });
-            let arrival = Arrival { class, tenant: None, hint: None, key: None, deadline, flows: None };
+            world.requests.insert(
+                id,
+                Seen {
+                    class,
+                    deadline,
+                    ..Seen::default()
+                },
+            );
+            let arrival = Arrival {
+                class,
+                tenant: None,
+                hint: None,
+                key: None,
+                deadline,
+                flows: None,
+            };
             assert_eq!(engine.submit(now, id, id, arrival, &mut out), id);
         }
         Step::End { pick, outcome } => {
-            let open: Vec<u32> =
-                world.requests.iter().filter(|(_, r)| r.out.is_some()).map(|(id, _)| *id).collect();
-            let Some(id) = open.get(pick % open.len().max(1)).copied() else { return };
+            let open: Vec<u32> = world
+                .requests
+                .iter()
+                .filter(|(_, r)| r.out.is_some())
+                .map(|(id, _)| *id)
+                .collect();
+            let Some(id) = open.get(pick % open.len().max(1)).copied() else {
+                return;
+            };
             end(engine, world, id, OUTCOMES[outcome], &mut out);
         }
         Step::Leave { pick } => {
             let open: Vec<u32> = world.requests.keys().copied().collect();
-            let Some(id) = open.get(pick % open.len().max(1)).copied() else { return };
+            let Some(id) = open.get(pick % open.len().max(1)).copied() else {
+                return;
+            };
             if let Some(r) = world.requests.get_mut(&id).filter(|r| r.answers == 0) {
                 r.left = true;
             }
             engine.gone(now, id, &mut out);
         }
-        Step::List { server, state, full } => {
-            let state = [ServerState::Up, ServerState::Draining, ServerState::Gone][usize::from(state)];
+        Step::List {
+            server,
+            state,
+            full,
+        } => {
+            let state =
+                [ServerState::Up, ServerState::Draining, ServerState::Gone][usize::from(state)];
             if full {
                 world.listed.clear();
             }
@@ -239,19 +328,35 @@
                 ServerState::Gone => world.listed.remove(&server),
                 _ => world.listed.insert(server, state),
             };
-            let list = if full { ListKind::Full } else { ListKind::Delta };
+            let list = if full {
+                ListKind::Full
+            } else {
+                ListKind::Delta
+            };
             engine.members(now, list, vec![place(server, state)], &mut out);
             let up = state == ServerState::Up;
-            assert_eq!(engine.address(server).is_some(), up, "a server that drains or went has an address");
+            assert_eq!(
+                engine.address(server).is_some(),
+                up,
+                "a server that drains or went has an address"
+            );
         }
         Step::Timer => engine.timer(now, 0, &mut out),
     }
     world.check(out);
 }
 
-fn end<D: Decide>(engine: &mut Engine<Test, D>, world: &mut World, id: u32, outcome: Outcome, out: &mut Out) {
+fn end<D: Decide>(
+    engine: &mut Engine<Test, D>,
+    world: &mut World,
+    id: u32,
+    outcome: Outcome,
+    out: &mut Out,
+) {
     let r = world.requests.get_mut(&id).expect("an open request");
-    let Some((attempt, _)) = r.out.take() else { return };
+    let Some((attempt, _)) = r.out.take() else {
+        return;
+    };
     r.maybe_ran |= !never_ran(outcome);
     if r.maybe_ran {
         r.first.get_or_insert(r.last);
@@ -276,7 +381,12 @@
         engine.gone(world.now, id, &mut out);
         world.check(out);
     }
-    while let Some(id) = world.requests.iter().find(|(_, r)| r.out.is_some()).map(|(id, _)| *id) {
+    while let Some(id) = world
+        .requests
+        .iter()
+        .find(|(_, r)| r.out.is_some())
+        .map(|(id, _)| *id)
+    {
         let mut out = Out::new();
         end(engine, world, id, Outcome::Error, &mut out);
         world.check(out);
@@ -290,7 +400,9 @@
     for seed in 0..20u64 {
         let mut draw = seed;
         let mut random = move || {
-            draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+            draw = draw
+                .wrapping_mul(6_364_136_223_846_793_005)
+                .wrapping_add(1_442_695_040_888_963_407);
             (draw >> 33) as f64 / (1u64 << 31) as f64
         };
         let module = Balancer::new(settings(classes()), seed, 0.0).expect("usable settings");
@@ -298,13 +410,26 @@
         let (mut now, mut effects, mut answers) =
             (0.0, HashMap::<u32, u32>::new(), HashMap::<u32, u32>::new());
         // What is due: (when, kind), the earliest is looked for; small enough for a list.
-        let mut due: Vec<(f64, Due)> = (0..600).map(|n| (f64::from(n) * 0.01, Due::Arrive)).collect();
+        let mut due: Vec<(f64, Due)> = (0..600)
+            .map(|n| (f64::from(n) * 0.01, Due::Arrive))
+            .collect();
         let mut out = Out::new();
-        engine.members(0.0, ListKind::Cached, (0..6).map(|s| place(s, ServerState::Up)).collect(), &mut out);
+        engine.members(
+            0.0,
+            ListKind::Cached,
+            (0..6).map(|s| place(s, ServerState::Up)).collect(),
+            &mut out,
+        );
         loop {
             for command in out.drain(..) {
                 match command {
-                    Command::Send { request, attempt, server, expires, .. } => {
+                    Command::Send {
+                        request,
+                        attempt,
+                        server,
+                        expires,
+                        ..
+                    } => {
                         let fate = random();
                         let (took, outcome, ran) = match server {
                             0 if fate < 0.8 => (0.002, Outcome::Error, fate < 0.4),
@@ -316,7 +441,11 @@
                         };
                         *effects.entry(request).or_default() += u32::from(ran);
                         let at = (now + took).min(expires);
-                        let outcome = if now + took > expires { Outcome::Expired } else { outcome };
+                        let outcome = if now + took > expires {
+                            Outcome::Expired
+                        } else {
+                            outcome
+                        };
                         due.push((at, Due::End(request, attempt, outcome)));
                     }
                     Command::Answer { request, .. } => *answers.entry(request).or_default() += 1,
@@ -324,7 +453,9 @@
                     _ => {}
                 }
             }
-            let Some(next) = (0..due.len()).min_by(|a, b| due[*a].0.total_cmp(&due[*b].0)) else { break };
+            let Some(next) = (0..due.len()).min_by(|a, b| due[*a].0.total_cmp(&due[*b].0)) else {
+                break;
+            };
             let (at, what) = due.swap_remove(next);
             if at > 12.0 {
                 break;
@@ -353,9 +484,19 @@
                 Due::Timer(tag) => engine.timer(now, tag, &mut out),
             }
         }
-        assert_eq!(answers.len(), 600, "seed {seed}: a request without an answer");
-        assert!(answers.values().all(|n| *n == 1), "seed {seed}: two answers");
-        assert!(effects.values().all(|n| *n <= 1 || *n >= u32::MAX / 2), "seed {seed}: an effect twice");
+        assert_eq!(
+            answers.len(),
+            600,
+            "seed {seed}: a request without an answer"
+        );
+        assert!(
+            answers.values().all(|n| *n == 1),
+            "seed {seed}: two answers"
+        );
+        assert!(
+            effects.values().all(|n| *n <= 1 || *n >= u32::MAX / 2),
+            "seed {seed}: an effect twice"
+        );
         assert_eq!(engine.open(), 0, "seed {seed}: a request is kept");
     }
 }
@@ -371,19 +512,48 @@
     let module = Balancer::new(settings(classes()), 1, 0.0).expect("usable settings");
     let mut engine: Engine<Test> = Engine::new(module, &classes(), 4);
     let mut out = Out::new();
-    engine.members(0.0, ListKind::Full, vec![place(1, ServerState::Up), place(2, ServerState::Up)], &mut out);
+    engine.members(
+        0.0,
+        ListKind::Full,
+        vec![place(1, ServerState::Up), place(2, ServerState::Up)],
+        &mut out,
+    );
     assert_eq!((engine.address(1), engine.address(2)), (Some(&1), Some(&2)));
     out.clear();
-    engine.members(1.0, ListKind::Delta, vec![place(1, ServerState::Draining)], &mut out);
+    engine.members(
+        1.0,
+        ListKind::Delta,
+        vec![place(1, ServerState::Draining)],
+        &mut out,
+    );
     assert_eq!(engine.address(1), None);
-    engine.members(1.0, ListKind::Full, vec![place(1, ServerState::Draining)], &mut out);
+    engine.members(
+        1.0,
+        ListKind::Full,
+        vec![place(1, ServerState::Draining)],
+        &mut out,
+    );
     assert_eq!(engine.address(2), None);
-    let forgotten =
-        |out: &Out, s: u32| out.iter().any(|c| matches!(c, Command::Forget { server } if *server == s));
-    assert!(forgotten(&out, 1) && forgotten(&out, 2), "connections to what left are kept");
-    let released = |out: &Out| out.iter().any(|c| matches!(c, Command::Release { server: 2 }));
+    let forgotten = |out: &Out, s: u32| {
+        out.iter()
+            .any(|c| matches!(c, Command::Forget { server } if *server == s))
+    };
+    assert!(
+        forgotten(&out, 1) && forgotten(&out, 2),
+        "connections to what left are kept"
+    );
+    let released = |out: &Out| {
+        out.iter()
+            .any(|c| matches!(c, Command::Release { server: 2 }))
+    };
     engine.members(30.0, ListKind::Delta, vec![], &mut out);
-    assert!(!released(&out), "a number is given away while an attempt may name it");
+    assert!(
+        !released(&out),
+        "a number is given away while an attempt may name it"
+    );
     engine.members(31.5, ListKind::Delta, vec![], &mut out);
-    assert!(released(&out), "the number of a server that went is kept for ever");
+    assert!(
+        released(&out),
+        "the number of a server that went is kept for ever"
+    );
 }
--- a/crates/core/tests/failures.rs
+++ b/crates/core/tests/failures.rs
@@ -19,12 +19,20 @@
 
 #[test]
 fn unsafe_request_that_may_have_run_is_failed_not_repeated_or_refused() {
-    for outcome in [Outcome::Error, Outcome::Expired, Outcome::Dropped, Outcome::Revoked] {
+    for outcome in [
+        Outcome::Error,
+        Outcome::Expired,
+        Outcome::Dropped,
+        Outcome::Revoked,
+    ] {
         let mut node = Node::new(settings(two()), 5);
         let (id, server) = node.request(1, None, 0.6);
         node.now = 0.05;
         node.end(id, 0, server.unwrap(), outcome, 0.05);
-        assert!(node.failed() && !node.refused() && node.sent().is_none(), "{outcome:?}");
+        assert!(
+            node.failed() && !node.refused() && node.sent().is_none(),
+            "{outcome:?}"
+        );
     }
 }
 
@@ -38,7 +46,10 @@
 
 #[test]
 fn keyed_repeat_stays_in_its_cell_and_its_window() {
-    let effect = Effect::Keyed { group: Group::Cell, window: 0.3 };
+    let effect = Effect::Keyed {
+        group: Group::Cell,
+        window: 0.3,
+    };
     for (waited, again) in [(0.1, true), (0.35, false)] {
         let mut node = Node::new(settings(vec![class(effect)]), 12);
         let (id, server) = node.request(0, None, 0.6);
@@ -76,8 +87,11 @@
         let (id, server) = node.request(1, None, 0.6);
         let Some(server) = server else { continue };
         sick += u32::from(server == 0);
-        let (outcome, latency) =
-            if server == 0 { (Outcome::Error, 0.001) } else { (Outcome::Delivered, 0.02) };
+        let (outcome, latency) = if server == 0 {
+            (Outcome::Error, 0.001)
+        } else {
+            (Outcome::Delivered, 0.02)
+        };
         node.end(id, 0, server, outcome, latency);
     }
     assert!(sick < 12, "{sick} of 400 went to the failing server");
@@ -178,7 +192,13 @@
         node.end(id, 0, server, Outcome::Delivered, 0.02);
     }
     assert!(stayed > 1400, "{stayed} of 1800");
-    assert!(homes.values().collect::<std::collections::BTreeSet<_>>().len() > 12);
+    assert!(
+        homes
+            .values()
+            .collect::<std::collections::BTreeSet<_>>()
+            .len()
+            > 12
+    );
 }
 
 #[test]
@@ -220,7 +240,11 @@
             let (id, server) = node.request(1, None, 0.6);
             let server = server.expect("a server");
             after += u32::from(server == 0 && left == 0);
-            let outcome = if server == 0 && left > 0 { Outcome::Dropped } else { Outcome::Delivered };
+            let outcome = if server == 0 && left > 0 {
+                Outcome::Dropped
+            } else {
+                Outcome::Delivered
+            };
             left -= i32::from(outcome == Outcome::Dropped);
             node.now += 0.005;
             node.end(id, 0, server, outcome, 0.0);
@@ -228,7 +252,11 @@
                 break;
             }
         }
-        assert_eq!(after == 0, shunned, "{broken} broken, then {after} requests");
+        assert_eq!(
+            after == 0,
+            shunned,
+            "{broken} broken, then {after} requests"
+        );
     }
 }
 
@@ -244,7 +272,11 @@
         if n >= 350 {
             used.insert(server);
         }
-        let (outcome, took) = if n % 2 == 0 { (Outcome::Expired, 0.02) } else { (Outcome::Delivered, 0.05) };
+        let (outcome, took) = if n % 2 == 0 {
+            (Outcome::Expired, 0.02)
+        } else {
+            (Outcome::Delivered, 0.05)
+        };
         node.now += took;
         node.end(id, 0, server, outcome, took);
         if n % 2 == 0 {
@@ -270,7 +302,11 @@
         }
         let (id, server) = node.request(0, None, 0.6);
         let server = server.unwrap_or_else(|| panic!("request {n} was refused"));
-        out.push((node.now + if n % 100 < 8 { 0.21 } else { 0.005 }, id, server));
+        out.push((
+            node.now + if n % 100 < 8 { 0.21 } else { 0.005 },
+            id,
+            server,
+        ));
     }
 }
 
@@ -361,7 +397,11 @@
 /// The greatest work that balancers of one node, all over their cold server, send it in a second, as a multiple of
 /// what it can do at that moment.
 fn push_on_a_cold_server(balancers: usize, sharers: u32) -> f64 {
-    let cold = || Entry { ready_at: 100.0, sharers, ..entry(0) };
+    let cold = || Entry {
+        ready_at: 100.0,
+        sharers,
+        ..entry(0)
+    };
     let mut nodes: Vec<Node> = (0..balancers)
         .map(|_| {
             let mut node = Node::new(settings(vec![class(Effect::Idempotent)]), 0);
@@ -392,9 +432,13 @@
         });
     }
     let rules = settings(vec![class(Effect::Idempotent)]).rules;
-    let capacity = |at: f64| rules.cold_from + (1.0 - rules.cold_from) * (at - 100.0) / rules.warm_after;
-    let within =
-        |from: f64| sent.iter().filter(|at| **at >= from && **at < from + rules.tip_after).count() as f64;
+    let capacity =
+        |at: f64| rules.cold_from + (1.0 - rules.cold_from) * (at - 100.0) / rules.warm_after;
+    let within = |from: f64| {
+        sent.iter()
+            .filter(|at| **at >= from && **at < from + rules.tip_after)
+            .count() as f64
+    };
     // Each request is 0.02 s of work on a server of one standard core.
     (0..300)
         .map(|n| 100.0 + f64::from(n) * 0.01)
@@ -404,10 +448,18 @@
 
 #[test]
 fn pools_that_share_a_cold_server_together_push_it_no_further_than_one_may() {
-    let factor = settings(vec![class(Effect::Idempotent)]).rules.overload_factor;
+    let factor = settings(vec![class(Effect::Idempotent)])
+        .rules
+        .overload_factor;
     let alone = push_on_a_cold_server(1, 1);
     let shared = push_on_a_cold_server(8, 8);
     assert!(alone > 0.1, "nothing is sent at all");
-    assert!(shared < factor, "eight pools push a cold server to {shared:.2} times what it can do");
-    assert!(push_on_a_cold_server(8, 1) > factor, "the test would pass without the defence");
+    assert!(
+        shared < factor,
+        "eight pools push a cold server to {shared:.2} times what it can do"
+    );
+    assert!(
+        push_on_a_cold_server(8, 1) > factor,
+        "the test would pass without the defence"
+    );
 }
--- a/crates/core/tests/flaps.rs
+++ b/crates/core/tests/flaps.rs
@@ -6,7 +6,11 @@
 use reelfall_core::interface::*;
 
 fn up(hash: u64, ready_at: Time) -> Entry {
-    Entry { hash, ready_at, ..entry(0) }
+    Entry {
+        hash,
+        ready_at,
+        ..entry(0)
+    }
 }
 
 #[test]
@@ -19,7 +23,9 @@
         if n % 6 == 0 {
             node.sweep();
         }
-        let (id, Some(server)) = node.request(0, None, 0.6) else { continue };
+        let (id, Some(server)) = node.request(0, None, 0.6) else {
+            continue;
+        };
         let latency = if server == 0 { 0.08 } else { 0.01 };
         node.now += latency;
         node.end(id, 0, server, Outcome::Delivered, latency);
@@ -31,15 +37,33 @@
     let learned = known(&node);
     assert!(learned > 0.04, "{learned}");
     for _ in 0..20 {
-        node.members(ListKind::Delta, vec![Entry { state: ServerState::Gone, ..entry(0) }]);
+        node.members(
+            ListKind::Delta,
+            vec![Entry {
+                state: ServerState::Gone,
+                ..entry(0)
+            }],
+        );
         assert!(known(&node) < 0.02, "its average is still there");
         node.now += 0.05;
         node.members(ListKind::Delta, vec![entry(0)]);
         assert!((known(&node) - learned).abs() < 1e-9, "its average is lost");
     }
     // One that has started anew is another server.
-    node.members(ListKind::Delta, vec![Entry { state: ServerState::Gone, ..entry(0) }]);
-    node.members(ListKind::Delta, vec![Entry { ready_at: node.now - 1.0, ..entry(0) }]);
+    node.members(
+        ListKind::Delta,
+        vec![Entry {
+            state: ServerState::Gone,
+            ..entry(0)
+        }],
+    );
+    node.members(
+        ListKind::Delta,
+        vec![Entry {
+            ready_at: node.now - 1.0,
+            ..entry(0)
+        }],
+    );
     assert!(known(&node) < 0.04, "a new server has an old one's average");
 }
 
@@ -56,7 +80,13 @@
                 node.sweep();
             }
             if flaps {
-                node.members(ListKind::Delta, vec![Entry { state: ServerState::Gone, ..up(7, 100.0) }]);
+                node.members(
+                    ListKind::Delta,
+                    vec![Entry {
+                        state: ServerState::Gone,
+                        ..up(7, 100.0)
+                    }],
+                );
                 node.members(ListKind::Delta, vec![up(7, 100.0)]);
             }
             if let (id, Some(_)) = node.request(0, None, 0.6) {
--- a/crates/core/tests/golden_decisions.rs
+++ b/crates/core/tests/golden_decisions.rs
@@ -36,7 +36,13 @@
 
 enum Due {
     Timer(u64),
-    Ends { request: RequestId, attempt: u32, server: ServerId, sent: Time, outcome: Outcome },
+    Ends {
+        request: RequestId,
+        attempt: u32,
+        server: ServerId,
+        sent: Time,
+        outcome: Outcome,
+    },
     Uploaded(RequestId),
     Gone(RequestId),
 }
@@ -75,7 +81,8 @@
 
     fn schedule(&mut self, after: Time, due: Due) {
         self.scheduled += 1;
-        self.due.insert(((self.now + after).to_bits(), self.scheduled), due);
+        self.due
+            .insert(((self.now + after).to_bits(), self.scheduled), due);
     }
 
     fn tell(&mut self, event: Event) {
@@ -91,10 +98,20 @@
     fn record(&mut self, action: &Action) {
         const NONE: f64 = -1.0;
         let (kind, who, what, time): (u8, u64, u64, Time) = match action {
-            Action::Attempt { request, server, timeout } => {
-                (0, (*request).into(), (*server).into(), timeout.unwrap_or(NONE))
-            }
-            Action::Refuse { request, retry_after } => (1, (*request).into(), 0, retry_after.unwrap_or(NONE)),
+            Action::Attempt {
+                request,
+                server,
+                timeout,
+            } => (
+                0,
+                (*request).into(),
+                (*server).into(),
+                timeout.unwrap_or(NONE),
+            ),
+            Action::Refuse {
+                request,
+                retry_after,
+            } => (1, (*request).into(), 0, retry_after.unwrap_or(NONE)),
             Action::Fail { request } => (2, (*request).into(), 0, NONE),
             Action::Cancel { request, attempt } => (3, (*request).into(), (*attempt).into(), NONE),
             Action::Watch => (4, 0, 0, NONE),
@@ -102,25 +119,43 @@
             Action::Timer { after, tag } => (6, *tag, 0, *after),
         };
         self.actions += 1;
-        self.digest.update(&self.now.to_bits().to_le_bytes()).update(&[kind]);
-        self.digest.update(&who.to_le_bytes()).update(&what.to_le_bytes());
+        self.digest
+            .update(&self.now.to_bits().to_le_bytes())
+            .update(&[kind]);
+        self.digest
+            .update(&who.to_le_bytes())
+            .update(&what.to_le_bytes());
         self.digest.update(&time.to_bits().to_le_bytes());
     }
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Attempt { request, server, timeout } => {
+            Action::Attempt {
+                request,
+                server,
+                timeout,
+            } => {
                 let attempt = self.made.entry(request).or_default();
                 let number = *attempt;
                 *attempt += 1;
                 let (outcome, takes) = self.draw_end(server, timeout);
-                let ends = Due::Ends { request, attempt: number, server, sent: self.now, outcome };
+                let ends = Due::Ends {
+                    request,
+                    attempt: number,
+                    server,
+                    sent: self.now,
+                    outcome,
+                };
                 self.schedule(takes, ends);
             }
             Action::Timer { after, tag } => self.schedule(after, Due::Timer(tag)),
             Action::Watch => {
                 let entries = self.entries(|_| ServerState::Up);
-                let list = if self.random.below(3) == 0 { ListKind::Failed } else { ListKind::Full };
+                let list = if self.random.below(3) == 0 {
+                    ListKind::Failed
+                } else {
+                    ListKind::Full
+                };
                 self.tell(Event::Members { list, entries });
             }
             _ => {}
@@ -166,7 +201,8 @@
 
     fn change_list(&mut self) {
         let victim = self.random.below(24) as u32;
-        let state = [ServerState::Draining, ServerState::Gone, ServerState::Up][self.random.below(3)];
+        let state =
+            [ServerState::Draining, ServerState::Gone, ServerState::Up][self.random.below(3)];
         let of = |n: u32| if n == victim { state } else { ServerState::Up };
         let mut entries = self.entries(of);
         let list = match self.random.below(4) {
@@ -188,20 +224,39 @@
         let tenant = ["ada", "obi", "nobody"][self.random.below(3)];
         let tenant = self.names.tenant(tenant);
         let hint = (self.random.below(3) > 0).then(|| 0.01 + 0.05 * self.random.unit());
-        let key = (self.random.below(4) > 0).then(|| stable_hash(&format!("key-{}", self.random.below(60))));
+        let key = (self.random.below(4) > 0)
+            .then(|| stable_hash(&format!("key-{}", self.random.below(60))));
         let left = 0.15 + 0.6 * self.random.unit();
-        self.tell(Event::Request { request, class, tenant, hint, key, left });
+        self.tell(Event::Request {
+            request,
+            class,
+            tenant,
+            hint,
+            key,
+            left,
+        });
         match self.random.below(30) {
             0 => self.schedule(0.03, Due::Gone(request)),
             1 => {
-                self.tell(Event::Upload { request, left: None });
+                self.tell(Event::Upload {
+                    request,
+                    left: None,
+                });
                 self.schedule(0.04, Due::Uploaded(request));
             }
-            2 => self.tell(Event::FirstByte { request, attempt: 0, latency: 0.01 }),
+            2 => self.tell(Event::FirstByte {
+                request,
+                attempt: 0,
+                latency: 0.01,
+            }),
             3 => {
                 let server = self.random.below(24) as ServerId;
                 let (until, tries) = (self.now + self.random.unit(), self.random.below(2) == 0);
-                self.tell(Event::Told { server, until, tries });
+                self.tell(Event::Told {
+                    server,
+                    until,
+                    tries,
+                });
             }
             _ => {}
         }
@@ -211,12 +266,32 @@
         match due {
             Due::Timer(tag) => self.tell(Event::Timer { tag }),
             Due::Gone(request) => self.tell(Event::Gone { request }),
-            Due::Uploaded(request) => self.tell(Event::Upload { request, left: Some(0.3) }),
-            Due::Ends { request, attempt, server, sent, outcome } => {
+            Due::Uploaded(request) => self.tell(Event::Upload {
+                request,
+                left: Some(0.3),
+            }),
+            Due::Ends {
+                request,
+                attempt,
+                server,
+                sent,
+                outcome,
+            } => {
                 let ended = outcome == Outcome::Delivered || self.random.below(40) == 0;
                 let latency = self.now - sent;
-                let load = Some(Load { active: Some(2.0), ..Load::default() });
-                self.tell(Event::Outcome { request, attempt, server, outcome, latency, ended, load });
+                let load = Some(Load {
+                    active: Some(2.0),
+                    ..Load::default()
+                });
+                self.tell(Event::Outcome {
+                    request,
+                    attempt,
+                    server,
+                    outcome,
+                    latency,
+                    ended,
+                    load,
+                });
             }
         }
     }
@@ -225,9 +300,15 @@
     fn run(&mut self, seconds: Time, rate: f64) {
         let end = self.now + seconds;
         let mut next = self.now;
-        let mut request = self.made.last_key_value().map_or(0, |(last, _)| last + 1_000_000);
+        let mut request = self
+            .made
+            .last_key_value()
+            .map_or(0, |(last, _)| last + 1_000_000);
         while self.now < end {
-            let first = self.due.first_key_value().map(|((bits, _), _)| f64::from_bits(*bits));
+            let first = self
+                .due
+                .first_key_value()
+                .map(|((bits, _), _)| f64::from_bits(*bits));
             match first.filter(|at| *at <= next) {
                 Some(at) => {
                     self.now = self.now.max(at);
@@ -255,7 +336,10 @@
         self.balancer = Balancer::new(settings, 77, self.now).unwrap();
         self.due.clear();
         let entries = self.entries(|_| ServerState::Up);
-        self.tell(Event::Members { list: ListKind::Cached, entries });
+        self.tell(Event::Members {
+            list: ListKind::Cached,
+            entries,
+        });
         self.balancer.adopt(self.now, &learned);
         for share in &self.balancer.automaton().p {
             self.digest.update(&share.to_bits().to_le_bytes());
@@ -268,7 +352,10 @@
 fn digest(json: &str, seed: u64) -> String {
     let mut play = Play::new(json, seed);
     let entries = play.entries(|_| ServerState::Up);
-    play.tell(Event::Members { list: ListKind::Cached, entries });
+    play.tell(Event::Members {
+        list: ListKind::Cached,
+        entries,
+    });
     play.run(12.0, 300.0);
     play.run(4.0, 1_500.0);
     play.take_over(json);
--- a/crates/core/tests/list_costs.rs
+++ b/crates/core/tests/list_costs.rs
@@ -41,7 +41,10 @@
     let short = cost(SHORT, &prepare, &act);
     let long = cost(LONG, &prepare, &act);
     let growth = long / short;
-    assert!(growth < GROWTH_MOST, "{short:.6} s for {SHORT}, {long:.6} s for {LONG}: {growth:.1} times");
+    assert!(
+        growth < GROWTH_MOST,
+        "{short:.6} s for {SHORT}, {long:.6} s for {LONG}: {growth:.1} times"
+    );
 }
 
 /// One of a hundred nodes, each of which has a part of the list.
@@ -53,11 +56,18 @@
 }
 
 fn server(n: u32) -> Entry {
-    Entry { kind: (n % 5) as KindId, weight: 1.0 + f64::from(n % 3), ..entry(n) }
+    Entry {
+        kind: (n % 5) as KindId,
+        weight: 1.0 + f64::from(n % 3),
+        ..entry(n)
+    }
 }
 
 fn gone(n: u32) -> Entry {
-    Entry { state: ServerState::Gone, ..server(n) }
+    Entry {
+        state: ServerState::Gone,
+        ..server(n)
+    }
 }
 
 fn tell(node: &mut Balancer, list: ListKind, entries: Vec<Entry>) {
@@ -66,7 +76,11 @@
 
 fn listed(servers: u32) -> Balancer {
     let mut node = node();
-    tell(&mut node, ListKind::Cached, (0..servers).map(server).collect());
+    tell(
+        &mut node,
+        ListKind::Cached,
+        (0..servers).map(server).collect(),
+    );
     node
 }
 
@@ -81,14 +95,22 @@
 #[test]
 fn a_whole_list_of_other_servers() {
     assert_in_proportion(listed, |servers, node| {
-        tell(node, ListKind::Full, (servers..2 * servers).map(server).collect());
+        tell(
+            node,
+            ListKind::Full,
+            (servers..2 * servers).map(server).collect(),
+        );
     });
 }
 
 #[test]
 fn a_change_in_which_many_join() {
     assert_in_proportion(listed, |servers, node| {
-        tell(node, ListKind::Delta, (servers..2 * servers).map(server).collect());
+        tell(
+            node,
+            ListKind::Delta,
+            (servers..2 * servers).map(server).collect(),
+        );
     });
 }
 
@@ -102,7 +124,10 @@
 #[test]
 fn a_change_in_which_many_restart() {
     assert_in_proportion(listed, |servers, node| {
-        let restarted = |n| Entry { ready_at: 0.5, ..server(n) };
+        let restarted = |n| Entry {
+            ready_at: 0.5,
+            ..server(n)
+        };
         tell(node, ListKind::Delta, (0..servers).map(restarted).collect());
     });
 }
@@ -110,7 +135,8 @@
 #[test]
 fn a_change_in_which_some_leave_as_others_join() {
     assert_in_proportion(listed, |servers, node| {
-        let turns = (0..servers).flat_map(|n| [gone(n), server(servers + n), server(2 * servers + n)]);
+        let turns =
+            (0..servers).flat_map(|n| [gone(n), server(servers + n), server(2 * servers + n)]);
         tell(node, ListKind::Delta, turns.collect());
     });
 }
@@ -142,12 +168,20 @@
 }
 
 fn at(n: u32, address: u32) -> Place<u32> {
-    Place { entry: server(n), address }
+    Place {
+        entry: server(n),
+        address,
+    }
 }
 
 fn engine(servers: u32) -> Engine<Test, Idle> {
     let mut engine = Engine::new(Idle, &[], 1);
-    engine.members(0.0, ListKind::Full, (0..servers).map(|n| at(n, n)).collect(), &mut vec![]);
+    engine.members(
+        0.0,
+        ListKind::Full,
+        (0..servers).map(|n| at(n, n)).collect(),
+        &mut vec![],
+    );
     engine
 }
 
@@ -156,7 +190,12 @@
     assert_in_proportion(
         |_| engine(0),
         |servers, engine| {
-            engine.members(0.0, ListKind::Full, (0..servers).map(|n| at(n, n)).collect(), &mut vec![]);
+            engine.members(
+                0.0,
+                ListKind::Full,
+                (0..servers).map(|n| at(n, n)).collect(),
+                &mut vec![],
+            );
         },
     );
 }
@@ -180,7 +219,10 @@
     assert_in_proportion(prepare, |servers, engine| {
         let mut out = vec![];
         engine.members(1.0 + 2.0 * NUMBER_RESTS, ListKind::Delta, vec![], &mut out);
-        let released = out.iter().filter(|c| matches!(c, Command::Release { .. })).count();
+        let released = out
+            .iter()
+            .filter(|c| matches!(c, Command::Release { .. }))
+            .count();
         assert_eq!(released, servers as usize);
     });
 }
@@ -238,6 +280,11 @@
     engine.members(0.0, ListKind::Full, places, &mut vec![]);
     assert_eq!(*told.borrow(), [(1, gone), (2, gone), (1, up), (3, up)]);
     // One that moves to another address leaves its old one to others.
-    engine.members(1.0, ListKind::Delta, vec![at(3, 9), at(4, 8), at(5, 9)], &mut vec![]);
+    engine.members(
+        1.0,
+        ListKind::Delta,
+        vec![at(3, 9), at(4, 8), at(5, 9)],
+        &mut vec![],
+    );
     assert_eq!(*told.borrow(), [(4, up), (3, gone), (5, up)]);
 }
--- a/crates/core/tests/list_reference.rs
+++ b/crates/core/tests/list_reference.rs
@@ -80,12 +80,25 @@
 
 impl Reference {
     fn new(settings: Settings) -> Reference {
-        let typical = settings.classes.iter().map(|c| c.aim).fold(f64::MAX, f64::min) / 4.0;
+        let typical = settings
+            .classes
+            .iter()
+            .map(|c| c.aim)
+            .fold(f64::MAX, f64::min)
+            / 4.0;
         let quota = settings.tenants.iter().map(|t| t.quota).sum();
         let mut chance = Chance(SEED);
         // The moment of the first sweep.
         chance.draw();
-        Reference { settings, chance, typical, quota, backoff: 1.0, servers: vec![], left: vec![] }
+        Reference {
+            settings,
+            chance,
+            typical,
+            quota,
+            backoff: 1.0,
+            servers: vec![],
+            left: vec![],
+        }
     }
 
     fn block(&self, r: f64) -> u32 {
@@ -105,7 +118,8 @@
     }
 
     fn size(&self, weight: f64) -> f64 {
-        let mean = self.servers.iter().map(|s| s.entry.weight).sum::<f64>() / self.servers.len() as f64;
+        let mean =
+            self.servers.iter().map(|s| s.entry.weight).sum::<f64>() / self.servers.len() as f64;
         let size = weight / mean;
         if self.settings.weighted && size.is_finite() {
             size.clamp(SIZE_LEAST, SIZE_MOST)
@@ -119,7 +133,11 @@
         let floor = FLOOR / r.max(1.0);
         let above: f64 = self.servers.iter().map(|s| (s.p - floor).max(0.0)).sum();
         for s in &mut self.servers {
-            let part = if above > 0.0 { (s.p - floor).max(0.0) / above } else { 1.0 / r };
+            let part = if above > 0.0 {
+                (s.p - floor).max(0.0) / above
+            } else {
+                1.0 / r
+            };
             s.p = floor + (1.0 - FLOOR) * part;
         }
     }
@@ -129,19 +147,33 @@
         let gone = self.servers.swap_remove(i);
         self.settle();
         let Entry { hash, ready_at, .. } = gone.entry;
-        self.left.retain(|l| l.hash != hash && now - l.at < LEFT_FOR);
+        self.left
+            .retain(|l| l.hash != hash && now - l.at < LEFT_FOR);
         if self.left.len() >= LEFT_MOST {
             self.left.remove(0);
         }
-        let Server { average, budget, .. } = gone;
-        self.left.push(Left { hash, ready_at, at: now, share, average, budget });
+        let Server {
+            average, budget, ..
+        } = gone;
+        self.left.push(Left {
+            hash,
+            ready_at,
+            at: now,
+            share,
+            average,
+            budget,
+        });
     }
 
     fn join(&mut self, now: Time, entry: Entry) {
         let r = self.servers.len() as f64;
         let own = self.owns(entry.hash, self.block(r + 1.0));
         let part: Vec<&Server> = self.servers.iter().filter(|s| s.own == own).collect();
-        let kin: Vec<&Server> = part.iter().copied().filter(|s| s.entry.kind == entry.kind).collect();
+        let kin: Vec<&Server> = part
+            .iter()
+            .copied()
+            .filter(|s| s.entry.kind == entry.kind)
+            .collect();
         let mean = |of: &[&Server], what: fn(&Server) -> f64| {
             of.iter().map(|s| what(s)).sum::<f64>() / of.len() as f64
         };
@@ -151,18 +183,42 @@
         } else if !part.is_empty() {
             share = r * self.size(entry.weight) * mean(&part, |s| s.p);
         }
-        let awake: Vec<&Server> = self.servers.iter().filter(|s| s.ejected_until <= now).collect();
-        let all = if awake.is_empty() { self.typical } else { mean(&awake, |s| s.average) };
-        let known = self.left.iter().position(|l| l.hash == entry.hash && l.ready_at == entry.ready_at);
-        let known = known.map(|n| self.left.remove(n)).filter(|l| now - l.at < LEFT_FOR);
+        let awake: Vec<&Server> = self
+            .servers
+            .iter()
+            .filter(|s| s.ejected_until <= now)
+            .collect();
+        let all = if awake.is_empty() {
+            self.typical
+        } else {
+            mean(&awake, |s| s.average)
+        };
+        let known = self
+            .left
+            .iter()
+            .position(|l| l.hash == entry.hash && l.ready_at == entry.ready_at);
+        let known = known
+            .map(|n| self.left.remove(n))
+            .filter(|l| now - l.at < LEFT_FOR);
         if let Some(l) = &known {
-            let most = if r > 0.0 && now - l.at > FLAP { all } else { l.average };
+            let most = if r > 0.0 && now - l.at > FLAP {
+                all
+            } else {
+                l.average
+            };
             (share, average) = (l.share, l.average.min(most));
         }
         let p = share.max(FLOOR) / r.max(1.0);
         let drawn = f64::from(own) * self.chance.draw() * self.typical;
         let budget = known.map_or(drawn, |l| l.budget.min(drawn));
-        self.servers.push(Server { entry, own, ejected_until: now, p, average, budget });
+        self.servers.push(Server {
+            entry,
+            own,
+            ejected_until: now,
+            p,
+            average,
+            budget,
+        });
         self.settle();
     }
 
@@ -171,11 +227,24 @@
         if block >= self.settings.replicas && self.servers.iter().all(|s| s.own) {
             return;
         }
-        let owned: Vec<bool> = self.servers.iter().map(|s| self.owns(s.entry.hash, block)).collect();
-        let own: Vec<f64> =
-            self.servers.iter().zip(&owned).filter(|(_, own)| **own).map(|(s, _)| s.p).collect();
+        let owned: Vec<bool> = self
+            .servers
+            .iter()
+            .map(|s| self.owns(s.entry.hash, block))
+            .collect();
+        let own: Vec<f64> = self
+            .servers
+            .iter()
+            .zip(&owned)
+            .filter(|(_, own)| **own)
+            .map(|(s, _)| s.p)
+            .collect();
         let mean = own.iter().sum::<f64>() / own.len().max(1) as f64;
-        let sizes: Vec<f64> = self.servers.iter().map(|s| self.size(s.entry.weight)).collect();
+        let sizes: Vec<f64> = self
+            .servers
+            .iter()
+            .map(|s| self.size(s.entry.weight))
+            .collect();
         for ((s, own), size) in self.servers.iter_mut().zip(owned).zip(sizes) {
             if fresh || own != s.own {
                 let entry = if fresh { size } else { mean };
@@ -198,7 +267,10 @@
         }
         if list != ListKind::Delta {
             for i in (0..self.servers.len()).rev() {
-                if entries.iter().all(|e| e.server != self.servers[i].entry.server) {
+                if entries
+                    .iter()
+                    .all(|e| e.server != self.servers[i].entry.server)
+                {
                     self.leave(now, i);
                 }
             }
@@ -228,8 +300,22 @@
                 (s.p, s.average, s.budget) = (l.share / r, l.average, s.budget.min(l.budget));
                 s.ejected_until = now + l.out_for.clamp(0.0, LEFT_FOR);
             } else if self.left.len() < LEFT_MOST {
-                let LearnedServer { hash, ready_at, share, average, budget, .. } = *l;
-                self.left.push(Left { hash, ready_at, at: now, share, average, budget });
+                let LearnedServer {
+                    hash,
+                    ready_at,
+                    share,
+                    average,
+                    budget,
+                    ..
+                } = *l;
+                self.left.push(Left {
+                    hash,
+                    ready_at,
+                    at: now,
+                    share,
+                    average,
+                    budget,
+                });
             }
         }
         self.settle();
@@ -243,7 +329,9 @@
         }
         a
     };
-    (((n as f64 * 0.618) as u64).max(1)..n).find(|a| divisor(*a, n) == 1).unwrap_or(1)
+    (((n as f64 * 0.618) as u64).max(1)..n)
+        .find(|a| divisor(*a, n) == 1)
+        .unwrap_or(1)
 }
 
 fn close(a: f64, b: f64) -> bool {
@@ -264,29 +352,64 @@
     fn new(seed: u64, names: u32, settings: Settings) -> Both {
         let node = Balancer::new(settings.clone(), SEED, 0.0).expect("usable settings");
         let mut chance = Chance(seed);
-        let names = (0..names).map(|server| drawn(&mut chance, server)).collect();
-        Both { node, reference: Reference::new(settings), now: 0.0, chance, names, steps: vec![] }
+        let names = (0..names)
+            .map(|server| drawn(&mut chance, server))
+            .collect();
+        Both {
+            node,
+            reference: Reference::new(settings),
+            now: 0.0,
+            chance,
+            names,
+            steps: vec![],
+        }
     }
 
     fn members(&mut self, list: ListKind, entries: Vec<Entry>) {
-        self.steps.push(format!("{} {list:?} of {}", self.now, entries.len()));
+        self.steps
+            .push(format!("{} {list:?} of {}", self.now, entries.len()));
         let after = self.reference.members(self.now, list, &entries);
         let mut actions = vec![];
-        self.node.handle(self.now, Event::Members { list, entries }, &mut actions);
+        self.node
+            .handle(self.now, Event::Members { list, entries }, &mut actions);
         if let Some(after) = after {
-            let asked = actions.iter().any(|a| matches!(a, Action::Timer { after: a, .. } if *a == after));
-            assert!(asked, "another draw of chance: {actions:?}, not {after}, after {:?}", self.steps);
+            let asked = actions
+                .iter()
+                .any(|a| matches!(a, Action::Timer { after: a, .. } if *a == after));
+            assert!(
+                asked,
+                "another draw of chance: {actions:?}, not {after}, after {:?}",
+                self.steps
+            );
         }
         self.compare();
     }
 
     fn compare(&self) {
         let (learned, p) = (self.node.learned(self.now), &self.node.automaton().p);
-        assert_eq!(p.len(), self.reference.servers.len(), "after {:?}", self.steps);
-        for (i, (node, plain)) in learned.servers.iter().zip(&self.reference.servers).enumerate() {
+        assert_eq!(
+            p.len(),
+            self.reference.servers.len(),
+            "after {:?}",
+            self.steps
+        );
+        for (i, (node, plain)) in learned
+            .servers
+            .iter()
+            .zip(&self.reference.servers)
+            .enumerate()
+        {
             assert_eq!(node.hash, plain.entry.hash, "{i} after {:?}", self.steps);
-            let pairs = [(p[i], plain.p), (node.average, plain.average), (node.budget, plain.budget)];
-            assert!(pairs.iter().all(|(a, b)| close(*a, *b)), "{i}: {pairs:?} after {:?}", self.steps);
+            let pairs = [
+                (p[i], plain.p),
+                (node.average, plain.average),
+                (node.budget, plain.budget),
+            ];
+            assert!(
+                pairs.iter().all(|(a, b)| close(*a, *b)),
+                "{i}: {pairs:?} after {:?}",
+                self.steps
+            );
         }
     }
 
@@ -324,11 +447,21 @@
                 self.names[server as usize].ready_at = self.now;
             } else if comes && self.chance.below(8) == 0 {
                 let ready_at = self.names[server as usize].ready_at;
-                self.names[server as usize] = Entry { ready_at, ..drawn(&mut self.chance, server) };
+                self.names[server as usize] = Entry {
+                    ready_at,
+                    ..drawn(&mut self.chance, server)
+                };
             }
             let gone = [ServerState::Draining, ServerState::Gone];
-            let state = if comes { ServerState::Up } else { self.chance.one_of(&gone) };
-            entries.push(Entry { state, ..self.names[server as usize].clone() });
+            let state = if comes {
+                ServerState::Up
+            } else {
+                self.chance.one_of(&gone)
+            };
+            entries.push(Entry {
+                state,
+                ..self.names[server as usize].clone()
+            });
         }
         self.members(ListKind::Delta, entries);
     }
@@ -345,7 +478,11 @@
             l.out_for = self.chance.one_of(&[0.0, 0.0, 0.4, 8.0]);
         }
         // One server that has nearly all.
-        if let Some(l) = learned.servers.first_mut().filter(|_| self.chance.below(3) == 0) {
+        if let Some(l) = learned
+            .servers
+            .first_mut()
+            .filter(|_| self.chance.below(3) == 0)
+        {
             l.share = 1e4;
         }
         self.node.adopt(self.now, &learned);
@@ -356,7 +493,11 @@
 
 fn drawn(chance: &mut Chance, server: ServerId) -> Entry {
     let weight = 0.1 + 4.0 * chance.draw();
-    Entry { kind: chance.below(4) as KindId, weight, ..common::entry(server) }
+    Entry {
+        kind: chance.below(4) as KindId,
+        weight,
+        ..common::entry(server)
+    }
 }
 
 fn alone() -> Settings {
@@ -366,14 +507,26 @@
 /// One of a hundred nodes, each with a part of a long list.
 fn of_many() -> Settings {
     let tenants = vec![Tenant { quota: 2000.0 }];
-    Settings { replicas: 100, number: Some(3), tenants, ..alone() }
+    Settings {
+        replicas: 100,
+        number: Some(3),
+        tenants,
+        ..alone()
+    }
 }
 
 fn play(names: u32, seeds: u64, steps: u32) {
     for settings in [alone(), of_many()] {
         for weighted in [false, true] {
             for seed in 0..seeds {
-                let mut both = Both::new(seed, names, Settings { weighted, ..settings.clone() });
+                let mut both = Both::new(
+                    seed,
+                    names,
+                    Settings {
+                        weighted,
+                        ..settings.clone()
+                    },
+                );
                 both.whole(ListKind::Cached);
                 (0..steps).for_each(|_| both.step());
             }
@@ -398,14 +551,20 @@
     let mut both = Both::new(1, 300, of_many());
     let all = both.names.clone();
     both.members(ListKind::Cached, all.clone());
-    let gone = |e: &Entry| Entry { state: ServerState::Gone, ..e.clone() };
+    let gone = |e: &Entry| Entry {
+        state: ServerState::Gone,
+        ..e.clone()
+    };
     for _ in 0..5 {
         both.learn();
         both.now += 0.1;
         both.members(ListKind::Delta, all[..60].iter().map(gone).collect());
         both.now += 0.1;
         // Each that goes raises the floor; each that returns, often lower than that, lowers it.
-        let turns = all[..60].iter().zip(&all[100..]).flat_map(|(back, goes)| [gone(goes), back.clone()]);
+        let turns = all[..60]
+            .iter()
+            .zip(&all[100..])
+            .flat_map(|(back, goes)| [gone(goes), back.clone()]);
         both.members(ListKind::Delta, turns.collect());
         both.now += 0.1;
         both.members(ListKind::Full, all.clone());
@@ -426,8 +585,10 @@
         both.members(ListKind::Delta, vec![entry]);
     }
     // And in one piece of news that restarts the same few servers over and over.
-    let entries = (0..20_000)
-        .map(|n| Entry { ready_at: both.now + f64::from(n) * 1e-6, ..both.names[n as usize % 7].clone() });
+    let entries = (0..20_000).map(|n| Entry {
+        ready_at: both.now + f64::from(n) * 1e-6,
+        ..both.names[n as usize % 7].clone()
+    });
     let entries: Vec<Entry> = entries.collect();
     both.now += 1.0;
     both.members(ListKind::Delta, entries);
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -59,7 +59,11 @@
     answers(&mut pressed, 8, 0.19);
     let before = admit(&pressed);
     pressed.members(ListKind::Full, (0..8).map(entry).collect());
-    assert!(before < 1.0 && admit(&pressed) < 0.9 * before, "{before} {}", admit(&pressed));
+    assert!(
+        before < 1.0 && admit(&pressed) < 0.9 * before,
+        "{before} {}",
+        admit(&pressed)
+    );
 }
 
 #[test]
@@ -81,7 +85,11 @@
 
 #[test]
 fn a_cold_server_of_a_slow_kind_is_sent_less_than_one_of_a_fast_kind() {
-    let kind = |server: ServerId, ready_at| Entry { kind: (server % 2) as KindId, ready_at, ..entry(server) };
+    let kind = |server: ServerId, ready_at| Entry {
+        kind: (server % 2) as KindId,
+        ready_at,
+        ..entry(server)
+    };
     let mut node = Node::new(settings(vec![class(Effect::Idempotent)]), 0);
     node.members(ListKind::Full, (0..8).map(|n| kind(n, 0.0)).collect());
     for _ in 0..400 {
@@ -98,7 +106,17 @@
         node.sweep();
     }
     let learned = node.balancer.learned(node.now);
-    let budget =
-        |n: ServerId| learned.servers.iter().find(|s| s.hash == entry(n).hash).map_or(0.0, |s| s.budget);
-    assert!(budget(21) > 0.0 && budget(20) > 2.0 * budget(21), "{} {}", budget(20), budget(21));
+    let budget = |n: ServerId| {
+        learned
+            .servers
+            .iter()
+            .find(|s| s.hash == entry(n).hash)
+            .map_or(0.0, |s| s.budget)
+    };
+    assert!(
+        budget(21) > 0.0 && budget(20) > 2.0 * budget(21),
+        "{} {}",
+        budget(20),
+        budget(21)
+    );
 }
