--- a/crates/core/tests/properties.rs
+++ b/crates/core/tests/properties.rs
@@ -68,12 +68,17 @@
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Attempt { request, server, .. } => self.attempted(request, server),
+                Action::Attempt {
+                    request, server, ..
+                } => self.attempted(request, server),
                 Action::Refuse { request, .. } => {
                     let t = self.told.get_mut(&request).expect("a request that exists");
                     assert!(!t.answered && t.out.is_none(), "answered twice");
                     let harmless = matches!(t.effect, Effect::Idempotent);
-                    assert!(harmless || t.ran.is_none(), "refused though it may have run");
+                    assert!(
+                        harmless || t.ran.is_none(),
+                        "refused though it may have run"
+                    );
                     t.answered = true;
                 }
                 Action::Fail { request } => {
@@ -85,7 +90,10 @@
             }
         }
         // Nobody is left without an answer and without an attempt that will bring one.
-        assert!(self.told.values().all(|t| t.answered || t.out.is_some()), "a request is held");
+        assert!(
+            self.told.values().all(|t| t.answered || t.out.is_some()),
+            "a request is held"
+        );
     }
 
     fn attempted(&mut self, request: RequestId, server: ServerId) {
@@ -100,8 +108,14 @@
                 Effect::AtMostOnce => panic!("an effect twice"),
                 Effect::Keyed { group, window } => {
                     assert!(self.now < at + window, "repeat outside the window");
-                    assert!(group != Group::Cell || first / 2 == server / 2, "repeat outside the cell");
-                    assert!(group != Group::Zone || first % 2 == server % 2, "repeat outside the zone");
+                    assert!(
+                        group != Group::Cell || first / 2 == server / 2,
+                        "repeat outside the cell"
+                    );
+                    assert!(
+                        group != Group::Zone || first % 2 == server % 2,
+                        "repeat outside the zone"
+                    );
                 }
             }
         }
@@ -120,13 +134,26 @@
         }
         t.answered |= outcome == Outcome::Delivered;
         let (ended, latency) = (t.answered, self.now - sent);
-        self.tell(Event::Outcome { request: id, attempt, server, outcome, latency, ended, load: None });
+        self.tell(Event::Outcome {
+            request: id,
+            attempt,
+            server,
+            outcome,
+            latency,
+            ended,
+            load: None,
+        });
     }
 
     /// The bench's clock cuts every attempt at its request's deadline.
     fn expire(&mut self) {
         let due = |t: &Told| t.out.is_some() && t.deadline <= self.now;
-        let late: Vec<_> = self.told.iter().filter(|(_, t)| due(t)).map(|(id, _)| *id).collect();
+        let late: Vec<_> = self
+            .told
+            .iter()
+            .filter(|(_, t)| due(t))
+            .map(|(id, _)| *id)
+            .collect();
         for id in late {
             self.end(id, Outcome::Expired);
         }
@@ -137,20 +164,43 @@
             Step::Arrive { class, left } => {
                 let effect = self.effects[class as usize];
                 let deadline = self.now + left;
-                let t = Told { effect, deadline, out: None, made: 0, ran: None, answered: false };
+                let t = Told {
+                    effect,
+                    deadline,
+                    out: None,
+                    made: 0,
+                    ran: None,
+                    answered: false,
+                };
                 self.told.insert(id, t);
                 let hint = Some(0.02);
-                self.tell(Event::Request { request: id, class, tenant: None, hint, key: None, left });
+                self.tell(Event::Request {
+                    request: id,
+                    class,
+                    tenant: None,
+                    hint,
+                    key: None,
+                    left,
+                });
             }
             Step::End { pick, outcome } => {
-                let out: Vec<_> =
-                    self.told.iter().filter(|(_, t)| t.out.is_some()).map(|(id, _)| *id).collect();
+                let out: Vec<_> = self
+                    .told
+                    .iter()
+                    .filter(|(_, t)| t.out.is_some())
+                    .map(|(id, _)| *id)
+                    .collect();
                 if !out.is_empty() {
                     self.end(out[pick % out.len()], OUTCOMES[outcome]);
                 }
             }
             Step::Leave { pick } => {
-                let open: Vec<_> = self.told.iter().filter(|(_, t)| !t.answered).map(|(id, _)| *id).collect();
+                let open: Vec<_> = self
+                    .told
+                    .iter()
+                    .filter(|(_, t)| !t.answered)
+                    .map(|(id, _)| *id)
+                    .collect();
                 if !open.is_empty() {
                     let id = open[pick % open.len()];
                     self.told.get_mut(&id).expect("an open request").answered = true;
@@ -174,7 +224,10 @@
                 } else {
                     self.closed.insert(server);
                 }
-                self.tell(Event::Members { list: ListKind::Delta, entries: vec![e] });
+                self.tell(Event::Members {
+                    list: ListKind::Delta,
+                    entries: vec![e],
+                });
             }
             Step::Sweep => self.tell(Event::Timer { tag: 0 }),
             Step::Stray => {
@@ -197,15 +250,25 @@
 
 #[test]
 fn the_four_rules_hold_over_random_events() {
-    let config = Config { cases: 200, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 200,
+        failure_persistence: None,
+        ..Config::default()
+    };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[17; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let run = runner.run(&proptest::collection::vec(step(), 1..300), |steps| {
         let effects = vec![
             Effect::Idempotent,
             Effect::AtMostOnce,
-            Effect::Keyed { group: Group::Cell, window: 0.3 },
-            Effect::Keyed { group: Group::Zone, window: 0.2 },
+            Effect::Keyed {
+                group: Group::Cell,
+                window: 0.3,
+            },
+            Effect::Keyed {
+                group: Group::Zone,
+                window: 0.2,
+            },
         ];
         let settings = settings(effects.iter().map(|e| class(*e)).collect());
         let mut world = World {
@@ -216,8 +279,16 @@
             closed: BTreeSet::new(),
             cold_work: BTreeMap::new(),
         };
-        let list = (0..SERVERS).map(|s| Entry { zone: (s % 2) as ZoneId, ..entry(s) }).collect();
-        world.tell(Event::Members { list: ListKind::Cached, entries: list });
+        let list = (0..SERVERS)
+            .map(|s| Entry {
+                zone: (s % 2) as ZoneId,
+                ..entry(s)
+            })
+            .collect();
+        world.tell(Event::Members {
+            list: ListKind::Cached,
+            entries: list,
+        });
         for (id, (dt, step)) in steps.into_iter().enumerate() {
             world.now += dt;
             world.expire();
@@ -225,13 +296,23 @@
         }
         world.now += 1.0;
         world.expire();
-        prop_assert!(world.told.values().all(|t| t.answered), "a request without an answer");
+        prop_assert!(
+            world.told.values().all(|t| t.answered),
+            "a request without an answer"
+        );
         for sends in world.cold_work.values() {
             // All servers at most as capable as what arrives; a cold one gets well under that in any second.
             let most = sends.iter().map(|(from, _)| {
-                sends.iter().filter(|(at, _)| at >= from && *at < from + 1.0).map(|(_, w)| w).sum::<f64>()
+                sends
+                    .iter()
+                    .filter(|(at, _)| at >= from && *at < from + 1.0)
+                    .map(|(_, w)| w)
+                    .sum::<f64>()
             });
-            prop_assert!(most.fold(0.0, f64::max) <= 0.3 * 3.0, "a cold server is pushed over");
+            prop_assert!(
+                most.fold(0.0, f64::max) <= 0.3 * 3.0,
+                "a cold server is pushed over"
+            );
         }
         Ok(())
     });
--- a/crates/core/tests/shares.rs
+++ b/crates/core/tests/shares.rs
@@ -12,13 +12,21 @@
     s.zone = zones.then_some(0);
     s.prices.cross_zone = 0.02;
     let mut node = Node::new(s, 0);
-    let zone = |n: u32| Entry { zone: if zones { (n % 2) as ZoneId } else { 0 }, ..entry(n) };
+    let zone = |n: u32| Entry {
+        zone: if zones { (n % 2) as ZoneId } else { 0 },
+        ..entry(n)
+    };
     node.members(ListKind::Full, (0..10).map(zone).collect());
     node
 }
 
 /// One second of requests, of these counts by tenant, each answered after what `takes` says; those refused by tenant.
-fn second(node: &mut Node, sent: [u32; 2], takes: impl Fn(ServerId) -> Time, to: &mut [u32; 10]) -> [u32; 2] {
+fn second(
+    node: &mut Node,
+    sent: [u32; 2],
+    takes: impl Fn(ServerId) -> Time,
+    to: &mut [u32; 10],
+) -> [u32; 2] {
     let (all, mut refused) = (sent[0] + sent[1], [0; 2]);
     for n in 0..all {
         node.now += 1.0 / f64::from(all);
@@ -28,7 +36,14 @@
         let tenant = u16::from((n * sent[0]) % all >= sent[0]);
         let request = (node.now * 1e6) as RequestId;
         let (hint, key, left) = (Some(0.02), None, 0.6);
-        node.tell(Event::Request { request, class: 0, tenant: Some(tenant), hint, key, left });
+        node.tell(Event::Request {
+            request,
+            class: 0,
+            tenant: Some(tenant),
+            hint,
+            key,
+            left,
+        });
         let Some(server) = node.sent() else {
             refused[usize::from(tenant)] += 1;
             continue;
@@ -52,12 +67,18 @@
     // Two in ten of the traffic too much: the tenant that is over its share bears it.
     let mut refused = [0; 2];
     for _ in 0..10 {
-        let learned = Learned { admit: 0.8, ..node.balancer.learned(node.now) };
+        let learned = Learned {
+            admit: 0.8,
+            ..node.balancer.learned(node.now)
+        };
         node.balancer.adopt(node.now, &learned);
         let more = second(&mut node, [10, 30], |_| 0.01, &mut to);
         refused = [refused[0] + more[0], refused[1] + more[1]];
     }
-    assert!(refused[1] > 10 && 10 * refused[0] < refused[1], "{refused:?}");
+    assert!(
+        refused[1] > 10 && 10 * refused[0] < refused[1],
+        "{refused:?}"
+    );
 }
 
 #[test]
@@ -75,7 +96,10 @@
 #[test]
 fn what_servers_bear_is_forgotten() {
     let mut node = node(false);
-    let busy = Learned { bearable: 40.0, ..node.balancer.learned(0.0) };
+    let busy = Learned {
+        bearable: 40.0,
+        ..node.balancer.learned(0.0)
+    };
     node.balancer.adopt(0.0, &busy);
     let mut to = [0; 10];
     for _ in 0..120 {
@@ -95,7 +119,12 @@
             if n == 30 {
                 to = [0; 10];
             }
-            second(&mut node, [30, 30], |server| if server % 2 == 0 { near } else { 0.05 }, &mut to);
+            second(
+                &mut node,
+                [30, 30],
+                |server| if server % 2 == 0 { near } else { 0.05 },
+                &mut to,
+            );
         }
         let far: u32 = to.iter().skip(1).step_by(2).sum();
         f64::from(far) / f64::from(to.iter().sum::<u32>())
--- a/crates/core/tests/uploads.rs
+++ b/crates/core/tests/uploads.rs
@@ -23,24 +23,39 @@
     let classes = settings.classes.clone();
     let module = Balancer::new(settings, 7, 0.0).expect("usable settings");
     let mut engine = Engine::new(module, &classes, 4);
-    let places = (0..4).map(|s| Place { entry: entry(s), address: s }).collect();
+    let places = (0..4)
+        .map(|s| Place {
+            entry: entry(s),
+            address: s,
+        })
+        .collect();
     engine.members(0.0, ListKind::Full, places, &mut Vec::new());
     engine
 }
 
 /// Submits an upload and gives its id, attempt, server and when the attempt ends.
 fn upload(engine: &mut Engine<Test>, out: &mut Out) -> (RequestId, u32, ServerId, Time) {
-    let arrival =
-        Arrival { class: 0, tenant: None, hint: None, key: None, deadline: 900.0, flows: Some(0.6) };
+    let arrival = Arrival {
+        class: 0,
+        tenant: None,
+        hint: None,
+        key: None,
+        deadline: 900.0,
+        flows: Some(0.6),
+    };
     engine.submit(0.0, (), 0, arrival, out);
     sent(out).expect("an attempt")
 }
 
 fn sent(out: &Out) -> Option<(RequestId, u32, ServerId, Time)> {
     out.iter().find_map(|c| match c {
-        Command::Send { request, attempt, server, expires, .. } => {
-            Some((*request, *attempt, *server, *expires))
-        }
+        Command::Send {
+            request,
+            attempt,
+            server,
+            expires,
+            ..
+        } => Some((*request, *attempt, *server, *expires)),
         _ => None,
     })
 }
@@ -66,13 +81,25 @@
     for n in 1..=200 {
         engine.timer(f64::from(n) * 0.1, 0, &mut out);
     }
-    assert_eq!(average(&engine), before, "a server is charged for its client's slowness");
+    assert_eq!(
+        average(&engine),
+        before,
+        "a server is charged for its client's slowness"
+    );
     assert_eq!(engine.written(20.0, id, &mut out), Some(20.6));
-    assert_eq!(engine.written(20.1, id, &mut out), None, "the time runs twice");
+    assert_eq!(
+        engine.written(20.1, id, &mut out),
+        None,
+        "the time runs twice"
+    );
     out.clear();
     engine.ended(20.02, id, attempt, Outcome::Delivered, Some(()), &mut out);
     assert_eq!(answer(&out), Some(Final::Served(())));
-    assert!(average(&engine).iter().all(|a| *a < 0.2), "{:?}", average(&engine));
+    assert!(
+        average(&engine).iter().all(|a| *a < 0.2),
+        "{:?}",
+        average(&engine)
+    );
     assert_eq!(engine.open(), 0);
 }
 
@@ -112,13 +139,28 @@
     let mut out = Vec::new();
     for n in 0..400 {
         let now = 0.05 * f64::from(n);
-        let arrival =
-            Arrival { class: 0, tenant: None, hint: None, key: None, deadline: now + 0.6, flows: None };
+        let arrival = Arrival {
+            class: 0,
+            tenant: None,
+            hint: None,
+            key: None,
+            deadline: now + 0.6,
+            flows: None,
+        };
         out.clear();
         old.submit(now, (), 0, arrival, &mut out);
-        let Some((id, attempt, server, _)) = sent(&out) else { continue };
+        let Some((id, attempt, server, _)) = sent(&out) else {
+            continue;
+        };
         let takes = if server == 2 { 0.12 } else { 0.02 };
-        old.ended(now + takes, id, attempt, Outcome::Delivered, Some(()), &mut out);
+        old.ended(
+            now + takes,
+            id,
+            attempt,
+            Outcome::Delivered,
+            Some(()),
+            &mut out,
+        );
     }
     let learned = old.module().learned(20.0);
     let mut new = engine();
@@ -134,5 +176,10 @@
     (spoilt.typical, spoilt.admit, spoilt.class_work) = (-1.0, f64::INFINITY, vec![]);
     let mut other = engine();
     other.adopt(20.0, &spoilt);
-    assert!(other.module().automaton().p.iter().all(|p| (p - 0.25).abs() < 1e-9));
+    assert!(other
+        .module()
+        .automaton()
+        .p
+        .iter()
+        .all(|p| (p - 0.25).abs() < 1e-9));
 }
--- a/crates/distribution/src/attempts.rs
+++ b/crates/distribution/src/attempts.rs
@@ -36,12 +36,19 @@
 impl Attempts {
     /// None yet; the first candidate may be asked at once.
     pub fn new(now: Time) -> Attempts {
-        Attempts { pending: Vec::new(), begun: 0, next_at: now }
+        Attempts {
+            pending: Vec::new(),
+            begun: 0,
+            next_at: now,
+        }
     }
 
     /// Who has been asked.
     pub fn peers(&self) -> Vec<PeerId> {
-        self.pending.iter().map(|attempt| attempt.link.peer()).collect()
+        self.pending
+            .iter()
+            .map(|attempt| attempt.link.peer())
+            .collect()
     }
 
     /// Who was asked last.
@@ -66,13 +73,20 @@
 
     /// Asks for a session; whether the budget allowed it.
     pub fn begin(
-        &mut self, now: Time, mut link: Link, rules: &FollowRules, bucket: &mut Bucket,
+        &mut self,
+        now: Time,
+        mut link: Link,
+        rules: &FollowRules,
+        bucket: &mut Bucket,
         outputs: &mut Vec<Output>,
     ) -> bool {
         let open = Payload::Open { relay: rules.relay };
         let sent = lend(bucket, &mut link, |link| link.send(now, &open, outputs));
         if sent {
-            self.pending.push(Attempt { link, until: now + rules.answer });
+            self.pending.push(Attempt {
+                link,
+                until: now + rules.answer,
+            });
             self.begun += 1;
             self.next_at = now + rules.attempt_delay;
         } else {
@@ -84,35 +98,65 @@
     /// Asks again where an answer is late.
     pub fn repeat(&mut self, now: Time, bucket: &mut Bucket, outputs: &mut Vec<Output>) {
         for attempt in &mut self.pending {
-            lend(bucket, &mut attempt.link, |link| link.flush_repeats(now, outputs));
+            lend(bucket, &mut attempt.link, |link| {
+                link.flush_repeats(now, outputs)
+            });
         }
     }
 
     /// The attempt of this session, which has been answered.
     pub fn take_answered(&mut self, peer: PeerId, session: u64) -> Option<Link> {
-        let answered = |attempt: &Attempt| attempt.link.peer() == peer && attempt.link.session() == session;
+        let answered =
+            |attempt: &Attempt| attempt.link.peer() == peer && attempt.link.session() == session;
         let position = self.pending.iter().position(answered)?;
         Some(self.pending.remove(position).link)
     }
 
     /// Ends the attempts that were not answered in time; gives back whom they asked.
-    pub fn end_late(&mut self, now: Time, bucket: &mut Bucket, outputs: &mut Vec<Output>) -> Vec<PeerId> {
+    pub fn end_late(
+        &mut self,
+        now: Time,
+        bucket: &mut Bucket,
+        outputs: &mut Vec<Output>,
+    ) -> Vec<PeerId> {
         let is_late = |attempt: &Attempt| now >= attempt.until;
-        let (late, pending) = std::mem::take(&mut self.pending).into_iter().partition(is_late);
+        let (late, pending) = std::mem::take(&mut self.pending)
+            .into_iter()
+            .partition(is_late);
         self.pending = pending;
         close(late, now, Reason::Silent, bucket, outputs)
     }
 
     /// Ends all attempts; gives back whom they asked.
-    pub fn end_all(&mut self, now: Time, bucket: &mut Bucket, outputs: &mut Vec<Output>) -> Vec<PeerId> {
-        close(std::mem::take(&mut self.pending), now, Reason::Replaced, bucket, outputs)
+    pub fn end_all(
+        &mut self,
+        now: Time,
+        bucket: &mut Bucket,
+        outputs: &mut Vec<Output>,
+    ) -> Vec<PeerId> {
+        close(
+            std::mem::take(&mut self.pending),
+            now,
+            Reason::Replaced,
+            bucket,
+            outputs,
+        )
     }
 
     /// When something is due, where the next candidate is free at `free_at`.
     pub fn next_wakeup(&self, now: Time, bucket: &Bucket, free_at: Time) -> Time {
-        let repeats = self.pending.iter().map(|attempt| attempt.link.next_wakeup(now));
-        let repeat = repeats.fold(f64::INFINITY, f64::min).max(link_ready(bucket, now));
-        let late = self.pending.iter().map(|attempt| attempt.until).fold(f64::INFINITY, f64::min);
+        let repeats = self
+            .pending
+            .iter()
+            .map(|attempt| attempt.link.next_wakeup(now));
+        let repeat = repeats
+            .fold(f64::INFINITY, f64::min)
+            .max(link_ready(bucket, now));
+        let late = self
+            .pending
+            .iter()
+            .map(|attempt| attempt.until)
+            .fold(f64::INFINITY, f64::min);
         repeat.min(late).min(self.next_at.max(free_at))
     }
 }
@@ -124,11 +168,17 @@
 
 /// Guards against sessions that an upstream keeps though nobody wants them any more. Harm: one small frame for each.
 fn close(
-    attempts: Vec<Attempt>, now: Time, why: Reason, bucket: &mut Bucket, outputs: &mut Vec<Output>,
+    attempts: Vec<Attempt>,
+    now: Time,
+    why: Reason,
+    bucket: &mut Bucket,
+    outputs: &mut Vec<Output>,
 ) -> Vec<PeerId> {
     let end = |mut attempt: Attempt| {
         let payload = Payload::Close { why, rest_ms: 0 };
-        lend(bucket, &mut attempt.link, |link| link.say(now, &payload, outputs));
+        lend(bucket, &mut attempt.link, |link| {
+            link.say(now, &payload, outputs)
+        });
         attempt.link.peer()
     };
     attempts.into_iter().map(end).collect()
--- a/crates/distribution/src/author.rs
+++ b/crates/distribution/src/author.rs
@@ -58,8 +58,17 @@
 #[derive(Debug)]
 enum State {
     StandingBy,
-    TakingOver { claim: Claim, until: Time, deadline: Time, heard: BTreeSet<PeerId> },
-    Writing { epoch: Epoch, until: Time, orphans: usize },
+    TakingOver {
+        claim: Claim,
+        until: Time,
+        deadline: Time,
+        heard: BTreeSet<PeerId>,
+    },
+    Writing {
+        epoch: Epoch,
+        until: Time,
+        orphans: usize,
+    },
 }
 
 /// See the module.
@@ -83,13 +92,22 @@
     }
 
     /// One that goes on from what was stored.
-    pub fn restore(config: AuthorConfig, records: impl IntoIterator<Item = Record>, now: Time) -> Author {
+    pub fn restore(
+        config: AuthorConfig,
+        records: impl IntoIterator<Item = Record>,
+        now: Time,
+    ) -> Author {
         let restored = Restored::read(config.room, records);
         Author::from_restored(config, restored, now)
     }
 
     fn from_restored(config: AuthorConfig, mut restored: Restored, now: Time) -> Author {
-        let upstream = Upstream::new(config.follow.clone(), config.lease.clone(), config.seed, now);
+        let upstream = Upstream::new(
+            config.follow.clone(),
+            config.lease.clone(),
+            config.seed,
+            now,
+        );
         let replica = Replica::new(upstream, &mut restored);
         let mut history = History::new(config.history);
         for (old, new) in &restored.replaced {
@@ -98,7 +116,16 @@
         let downstream = Downstream::new(config.serve, crate::chance::mix(config.seed), now);
         let board = Board::default();
         let (state, rollouts) = (State::StandingBy, Rollouts::default());
-        Author { state, replica, downstream, history, board, rollouts, clock: now, config }
+        Author {
+            state,
+            replica,
+            downstream,
+            history,
+            board,
+            rollouts,
+            clock: now,
+            config,
+        }
     }
 
     /// What it has.
@@ -136,7 +163,11 @@
     /// # Errors
     /// If it is another lease, or a later token has been seen.
     pub fn hold(
-        &mut self, now: Time, claim: &Claim, until: Time, outputs: &mut Vec<Output>,
+        &mut self,
+        now: Time,
+        claim: &Claim,
+        until: Time,
+        outputs: &mut Vec<Output>,
     ) -> Result<(), Refusal> {
         self.clock = self.clock.max(now);
         if claim.lease != self.config.lease {
@@ -147,13 +178,24 @@
             return Err(Refusal::Fenced(seen));
         }
         match &mut self.state {
-            State::Writing { epoch, until: held, .. } if epoch.claim == *claim => *held = until,
-            State::TakingOver { claim: taking, until: held, .. } if taking == claim => *held = until,
+            State::Writing {
+                epoch, until: held, ..
+            } if epoch.claim == *claim => *held = until,
+            State::TakingOver {
+                claim: taking,
+                until: held,
+                ..
+            } if taking == claim => *held = until,
             _ => {
                 self.stand_down(now, outputs);
                 let deadline = now + self.config.takeover;
                 let (claim, heard) = (claim.clone(), BTreeSet::new());
-                self.state = State::TakingOver { claim, until, deadline, heard };
+                self.state = State::TakingOver {
+                    claim,
+                    until,
+                    deadline,
+                    heard,
+                };
                 if self.config.follow.upstreams.is_empty() {
                     self.begin(now, outputs);
                 }
@@ -177,7 +219,9 @@
     }
 
     fn begin(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        let State::TakingOver { claim, until, .. } = &self.state else { return };
+        let State::TakingOver { claim, until, .. } = &self.state else {
+            return;
+        };
         let (claim, until) = (claim.clone(), *until);
         let seen = self.token_seen();
         let known = self.replica.known();
@@ -188,13 +232,20 @@
             return;
         }
         self.replica.upstream.suspend(now, outputs);
-        let start = Version { token: epoch.claim.token, sequence: 0 };
+        let start = Version {
+            token: epoch.claim.token,
+            sequence: 0,
+        };
         let head = self.head().max(start);
         let own = orphans(self.log(), &epoch);
         // Stored the other way round, a crash between the two would leave what is covered by this word alone as known.
         self.replica.set_epoch(epoch.clone(), outputs);
         self.replica.cover_all(head, outputs);
-        self.state = State::Writing { epoch, until, orphans: 0 };
+        self.state = State::Writing {
+            epoch,
+            until,
+            orphans: 0,
+        };
         self.write_own_again(now, own, outputs);
         self.take_over_rollouts(now, outputs);
     }
@@ -214,10 +265,16 @@
     /// # Errors
     /// Says why nothing was published.
     pub fn publish(
-        &mut self, now: Time, claim: &Claim, drafts: Vec<Draft>, outputs: &mut Vec<Output>,
+        &mut self,
+        now: Time,
+        claim: &Claim,
+        drafts: Vec<Draft>,
+        outputs: &mut Vec<Output>,
     ) -> Result<Version, Refusal> {
         self.may_write(now, claim)?;
-        drafts.iter().try_for_each(|draft| check_free(&draft.name))?;
+        drafts
+            .iter()
+            .try_for_each(|draft| check_free(&draft.name))?;
         let writes = drafts.into_iter().map(Write::whole).collect();
         self.write(now, writes, outputs)
     }
@@ -227,7 +284,12 @@
     /// # Errors
     /// Says why nothing was published.
     pub fn stage(
-        &mut self, now: Time, claim: &Claim, draft: Draft, part: Part, outputs: &mut Vec<Output>,
+        &mut self,
+        now: Time,
+        claim: &Claim,
+        draft: Draft,
+        part: Part,
+        outputs: &mut Vec<Output>,
     ) -> Result<Version, Refusal> {
         self.may_write(now, claim)?;
         check_free(&draft.name)?;
@@ -239,13 +301,28 @@
     /// # Errors
     /// Says why nothing was published.
     pub fn release(
-        &mut self, now: Time, claim: &Claim, name: &Name, outputs: &mut Vec<Output>,
+        &mut self,
+        now: Time,
+        claim: &Claim,
+        name: &Name,
+        outputs: &mut Vec<Output>,
     ) -> Result<Version, Refusal> {
         self.may_write(now, claim)?;
-        let key = Key { name: name.clone(), slot: Slot::Trial };
-        let trial = self.log().get(&key).filter(|trial| !trial.removes()).ok_or(Refusal::NoTrial)?;
+        let key = Key {
+            name: name.clone(),
+            slot: Slot::Trial,
+        };
+        let trial = self
+            .log()
+            .get(&key)
+            .filter(|trial| !trial.removes())
+            .ok_or(Refusal::NoTrial)?;
         let (content, urgency) = (trial.content.clone(), trial.urgency);
-        let whole = Write::whole(Draft { name: name.clone(), content, urgency });
+        let whole = Write::whole(Draft {
+            name: name.clone(),
+            content,
+            urgency,
+        });
         let end = Write::end_of_trial(name.clone(), urgency);
         self.write(now, vec![whole, end], outputs)
     }
@@ -255,7 +332,11 @@
     /// # Errors
     /// Says why nothing was published.
     pub fn revert(
-        &mut self, now: Time, claim: &Claim, version: Version, outputs: &mut Vec<Output>,
+        &mut self,
+        now: Time,
+        claim: &Claim,
+        version: Version,
+        outputs: &mut Vec<Output>,
     ) -> Result<Version, Refusal> {
         self.may_write(now, claim)?;
         let change = self.log().at(version).ok_or(Refusal::Superseded)?;
@@ -265,12 +346,20 @@
             Slot::Whole => self.history.before(change).ok_or(Refusal::Forgotten)?,
         };
         let key = change.key.clone();
-        let write = Write { key, content, urgency: Urgency::Urgent, part: Part::ALL };
+        let write = Write {
+            key,
+            content,
+            urgency: Urgency::Urgent,
+            part: Part::ALL,
+        };
         self.write(now, vec![write], outputs)
     }
 
     fn write(
-        &mut self, now: Time, writes: Vec<Write>, outputs: &mut Vec<Output>,
+        &mut self,
+        now: Time,
+        writes: Vec<Write>,
+        outputs: &mut Vec<Output>,
     ) -> Result<Version, Refusal> {
         publish::check(&writes, self.log(), self.config.room)?;
         Ok(self.put_all(now, writes, outputs))
@@ -281,9 +370,24 @@
         let mut update = Update::default();
         for write in writes {
             version.sequence += 1;
-            let Write { key, content, urgency, part } = write;
-            let replaces = self.log().get(&key).map_or(Version::ZERO, |old| old.version);
-            let change = Change { key, version, urgency, part, replaces, content };
+            let Write {
+                key,
+                content,
+                urgency,
+                part,
+            } = write;
+            let replaces = self
+                .log()
+                .get(&key)
+                .map_or(Version::ZERO, |old| old.version);
+            let change = Change {
+                key,
+                version,
+                urgency,
+                part,
+                replaces,
+                content,
+            };
             self.replica.put(change, &mut update, outputs);
         }
         update.keys.extend(self.replica.forget_removals(outputs));
@@ -308,7 +412,9 @@
     /// Takes a frame in; any bytes.
     pub fn receive(&mut self, now: Time, from: PeerId, frame: &[u8], outputs: &mut Vec<Output>) {
         self.clock = self.clock.max(now);
-        let Some(received) = message::read(from, frame) else { return };
+        let Some(received) = message::read(from, frame) else {
+            return;
+        };
         if !received.head.up {
             let upstream = &mut self.replica.upstream;
             let heard = upstream.receive(now, received, outputs);
@@ -320,7 +426,8 @@
         }
         if !self.is_writing() {
             if !matches!(received.payload, Payload::Close { .. }) {
-                self.downstream.refuse(now, from, received.head.session, Reason::Fenced, outputs);
+                self.downstream
+                    .refuse(now, from, received.head.session, Reason::Fenced, outputs);
             }
             return;
         }
@@ -347,20 +454,36 @@
     /// Guards against the loss of what an earlier author has told one relay alone. Harm: the others' answers are waited
     /// for, up to [`AuthorConfig::takeover`].
     fn relay_heard(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        let State::TakingOver { heard, .. } = &mut self.state else { return };
-        let Some(relay) = self.replica.upstream.following() else { return };
+        let State::TakingOver { heard, .. } = &mut self.state else {
+            return;
+        };
+        let Some(relay) = self.replica.upstream.following() else {
+            return;
+        };
         heard.insert(relay);
-        if self.config.follow.upstreams.iter().all(|relay| heard.contains(relay)) {
+        if self
+            .config
+            .follow
+            .upstreams
+            .iter()
+            .all(|relay| heard.contains(relay))
+        {
             self.begin(now, outputs);
         } else {
-            self.replica.upstream.move_on(now, self.config.takeover, outputs);
+            self.replica
+                .upstream
+                .move_on(now, self.config.takeover, outputs);
         }
     }
 
     /// A relay has heard of a later token: this author has lost the lease without knowing.
     fn fenced(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        let State::Writing { epoch, .. } = &self.state else { return };
-        outputs.push(Output::Event(Event::Fenced { token: epoch.claim.token }));
+        let State::Writing { epoch, .. } = &self.state else {
+            return;
+        };
+        outputs.push(Output::Event(Event::Fenced {
+            token: epoch.claim.token,
+        }));
         self.stand_down(now, outputs);
     }
 
@@ -369,8 +492,14 @@
             Report::Standing { node, upto } => {
                 self.board.standing(now, node, upto);
             }
-            Report::Refused { node, key, version, reason } => {
-                self.rollouts.refused(now, node, &key, version, &reason, &self.replica.log);
+            Report::Refused {
+                node,
+                key,
+                version,
+                reason,
+            } => {
+                self.rollouts
+                    .refused(now, node, &key, version, &reason, &self.replica.log);
                 self.board.refused(version, Refused { node, key, reason });
             }
             Report::Orphan { key, version } => self.write_over(now, key, version, outputs),
@@ -401,15 +530,22 @@
         let follow = self.replica.upstream.next_wakeup(self.clock);
         match &self.state {
             State::StandingBy => follow,
-            State::TakingOver { until, deadline, .. } => follow.min(*until).min(*deadline),
-            State::Writing { until, .. } => {
-                self.downstream.next_wakeup().min(self.rollouts.due()).min(*until)
-            }
+            State::TakingOver {
+                until, deadline, ..
+            } => follow.min(*until).min(*deadline),
+            State::Writing { until, .. } => self
+                .downstream
+                .next_wakeup()
+                .min(self.rollouts.due())
+                .min(*until),
         }
     }
 }
 
 /// What the author has is never old.
 fn as_author(source: Source) -> Source {
-    Source { age: Some(0.0), ..source }
+    Source {
+        age: Some(0.0),
+        ..source
+    }
 }
--- a/crates/distribution/src/author/rollouts.rs
+++ b/crates/distribution/src/author/rollouts.rs
@@ -70,7 +70,13 @@
 impl Rollout {
     fn new(record: RolloutRecord) -> Rollout {
         let (counts, refusing) = (StageCounts::default(), Refusing::default());
-        Rollout { record, stage: None, counts, waiting: None, refusing }
+        Rollout {
+            record,
+            stage: None,
+            counts,
+            waiting: None,
+            refusing,
+        }
     }
 
     /// When the verdict on the present stage may be another one without a call, after a moment.
@@ -78,14 +84,28 @@
         let (RolloutState::Running, Some((_, since))) = (&self.record.state, self.stage) else {
             return f64::INFINITY;
         };
-        let RolloutPolicy { decision_time, soak, .. } = self.record.policy;
+        let RolloutPolicy {
+            decision_time,
+            soak,
+            ..
+        } = self.record.policy;
         let moments = [since + decision_time, since + soak];
-        moments.into_iter().find(|moment| *moment > now).unwrap_or(now + CHECK_EVERY)
+        moments
+            .into_iter()
+            .find(|moment| *moment > now)
+            .unwrap_or(now + CHECK_EVERY)
     }
 
     fn stop(&self, thousandths: u16) -> Stop {
-        let StageCounts { accepted, refused, .. } = self.counts;
-        Stop { thousandths, accepted, refused, refusing: self.refusing.list(REFUSALS_STORED) }
+        let StageCounts {
+            accepted, refused, ..
+        } = self.counts;
+        Stop {
+            thousandths,
+            accepted,
+            refused,
+            refusing: self.refusing.list(REFUSALS_STORED),
+        }
     }
 }
 
@@ -100,7 +120,11 @@
 
 impl Default for Rollouts {
     fn default() -> Rollouts {
-        Rollouts { by_name: BTreeMap::new(), due: f64::INFINITY, began: f64::INFINITY }
+        Rollouts {
+            by_name: BTreeMap::new(),
+            due: f64::INFINITY,
+            began: f64::INFINITY,
+        }
     }
 }
 
@@ -118,21 +142,40 @@
     }
 
     /// A node has refused a change. Nodes outside of the stage refuse what is for all nodes, under the trial's version.
-    pub fn refused(&mut self, now: Time, node: PeerId, key: &Key, version: Version, reason: &str, log: &Log) {
-        let Some(rollout) = self.by_name.get_mut(&key.name) else { return };
-        let Found::Stage { trial, .. } = find(&rollout.record, log) else { return };
-        if rollout.record.state.is_open() && version > rollout.record.after && trial.part.holds(node) {
+    pub fn refused(
+        &mut self,
+        now: Time,
+        node: PeerId,
+        key: &Key,
+        version: Version,
+        reason: &str,
+        log: &Log,
+    ) {
+        let Some(rollout) = self.by_name.get_mut(&key.name) else {
+            return;
+        };
+        let Found::Stage { trial, .. } = find(&rollout.record, log) else {
+            return;
+        };
+        if rollout.record.state.is_open()
+            && version > rollout.record.after
+            && trial.part.holds(node)
+        {
             rollout.refusing.add(node, reason.to_owned());
             self.due = self.due.min(now);
         }
     }
 
     fn open(&self) -> impl Iterator<Item = &Rollout> {
-        self.by_name.values().filter(|rollout| rollout.record.state.is_open())
+        self.by_name
+            .values()
+            .filter(|rollout| rollout.record.state.is_open())
     }
 
     fn next_due(&self, now: Time) -> Time {
-        self.open().map(|rollout| rollout.next_check(now)).fold(f64::INFINITY, Time::min)
+        self.open()
+            .map(|rollout| rollout.next_check(now))
+            .fold(f64::INFINITY, Time::min)
     }
 }
 
@@ -145,12 +188,21 @@
 }
 
 fn find<'a>(record: &RolloutRecord, log: &'a Log) -> Found<'a> {
-    let get = |slot| log.get(&Key { name: record.name.clone(), slot });
+    let get = |slot| {
+        log.get(&Key {
+            name: record.name.clone(),
+            slot,
+        })
+    };
     let (whole, trial) = (get(Slot::Whole), get(Slot::Trial));
     let own = record.own_trial(trial);
     let since = own.map_or(record.after, |own| own.version);
     if let Some(whole) = whole.filter(|whole| whole.version > since) {
-        return if record.is_content_of(whole) { Found::Released } else { Found::Superseded };
+        return if record.is_content_of(whole) {
+            Found::Released
+        } else {
+            Found::Superseded
+        };
     }
     if let Some(trial) = own {
         let index = record.policy.stage_of(trial.part.thousandths).unwrap_or(0);
@@ -168,7 +220,9 @@
 fn records(log: &Log) -> impl Iterator<Item = (&Change, Option<RolloutRecord>)> {
     let selector = Selector::Group(Group::Authors);
     let keys = log.keys_after(&selector, Version::ZERO).map(|(_, key)| key);
-    let changes = keys.filter_map(|key| log.get(key)).filter(|change| !change.removes());
+    let changes = keys
+        .filter_map(|key| log.get(key))
+        .filter(|change| !change.removes());
     changes.map(|change| (change, RolloutRecord::read(change)))
 }
 
@@ -180,10 +234,19 @@
     /// Says why nothing was published: what [`Author::stage`] says, a policy out of its bounds, another open rollout of the
     /// resource, too many of others.
     pub fn roll_out(
-        &mut self, now: Time, claim: &Claim, draft: RolloutDraft, outputs: &mut Vec<Output>,
+        &mut self,
+        now: Time,
+        claim: &Claim,
+        draft: RolloutDraft,
+        outputs: &mut Vec<Output>,
     ) -> Result<Version, Refusal> {
         self.may_write(now, claim)?;
-        let RolloutDraft { name, content, seed, policy } = draft;
+        let RolloutDraft {
+            name,
+            content,
+            seed,
+            policy,
+        } = draft;
         check_free(&name)?;
         policy.check()?;
         if content == Content::Removed {
@@ -194,11 +257,25 @@
         let state = RolloutState::Running;
         let hash = crate::resource::ContentHash::of(content.bytes());
         let expected = Vec::new();
-        let mut record =
-            RolloutRecord { name: name.clone(), content: hash, seed, after, policy, expected, state };
+        let mut record = RolloutRecord {
+            name: name.clone(),
+            content: hash,
+            seed,
+            after,
+            policy,
+            expected,
+            state,
+        };
         record.expected = self.nodes_of_stages(&record);
         let first = record.part(record.policy.stages.first().copied().unwrap_or(0));
-        let trial = Write::trial(Draft { name: name.clone(), content, urgency: Urgency::Normal }, first);
+        let trial = Write::trial(
+            Draft {
+                name: name.clone(),
+                content,
+                urgency: Urgency::Normal,
+            },
+            first,
+        );
         let mut writes = vec![Write::record(&record), trial];
         writes.extend(self.earliest_ended_record());
         let version = self.write(now, writes, outputs)?;
@@ -208,7 +285,11 @@
     }
 
     fn check_rollouts(&self, name: &Name) -> Result<(), Refusal> {
-        if self.rollouts.open().any(|rollout| rollout.record.name == *name) {
+        if self
+            .rollouts
+            .open()
+            .any(|rollout| rollout.record.name == *name)
+        {
             return Err(Refusal::RollingOut);
         }
         if self.rollouts.open().count() >= ROLLOUTS_MOST {
@@ -222,16 +303,28 @@
         let stages = record.policy.stages.iter();
         let count = |thousandths: &u16| {
             let part = record.part(*thousandths);
-            self.board.standings().filter(|(node, _)| part.holds(*node)).count() as u32
+            self.board
+                .standings()
+                .filter(|(node, _)| part.holds(*node))
+                .count() as u32
         };
         stages.map(count).collect()
     }
 
     /// The end of the earliest record of a rollout that is over, if there are too many.
     fn earliest_ended_record(&mut self) -> Option<Write> {
-        let ended = self.rollouts.by_name.values().filter(|rollout| !rollout.record.state.is_open());
+        let ended = self
+            .rollouts
+            .by_name
+            .values()
+            .filter(|rollout| !rollout.record.state.is_open());
         let keys: Vec<(Key, Name)> = ended
-            .map(|rollout| (RolloutRecord::key_of(&rollout.record.name), rollout.record.name.clone()))
+            .map(|rollout| {
+                (
+                    RolloutRecord::key_of(&rollout.record.name),
+                    rollout.record.name.clone(),
+                )
+            })
             .collect();
         if keys.len() < ENDED_MOST {
             return None;
@@ -240,7 +333,12 @@
         let (key, name) = keys.into_iter().min_by_key(|(key, _)| version(key))?;
         self.rollouts.by_name.remove(&name);
         let part = crate::resource::Part::ALL;
-        Some(Write { key, content: Content::Removed, urgency: Urgency::Normal, part })
+        Some(Write {
+            key,
+            content: Content::Removed,
+            urgency: Urgency::Normal,
+            part,
+        })
     }
 
     /// What is known of a resource's last rollout. Who does not write knows what was stored alone.
@@ -259,12 +357,21 @@
             _ => None,
         };
         let refusing = rollout.refusing.list(stage::REFUSING_MOST);
-        RolloutStatus { record, thousandths, counts: rollout.counts, waiting: rollout.waiting, refusing }
+        RolloutStatus {
+            record,
+            thousandths,
+            counts: rollout.counts,
+            waiting: rollout.waiting,
+            refusing,
+        }
     }
 
     /// The author begins to write: takes over the rollouts of earlier authors, and brings to an end what they had no time to.
     pub(super) fn take_over_rollouts(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        self.rollouts = Rollouts { began: now, ..Rollouts::default() };
+        self.rollouts = Rollouts {
+            began: now,
+            ..Rollouts::default()
+        };
         let mut read = Vec::new();
         for (change, record) in records(self.log()) {
             match record {
@@ -279,13 +386,18 @@
             self.finish(now, version, &record, outputs);
             let name = record.name.clone();
             self.resumed(&record, outputs);
-            self.rollouts.by_name.entry(name).or_insert_with(|| Rollout::new(record));
+            self.rollouts
+                .by_name
+                .entry(name)
+                .or_insert_with(|| Rollout::new(record));
         }
         self.rollouts.wake(now);
     }
 
     fn resumed(&self, record: &RolloutRecord, outputs: &mut Vec<Output>) {
-        if let (true, Found::Stage { trial, .. }) = (record.state.is_open(), find(record, self.log())) {
+        if let (true, Found::Stage { trial, .. }) =
+            (record.state.is_open(), find(record, self.log()))
+        {
             let (name, thousandths) = (record.name.clone(), trial.part.thousandths);
             outputs.push(Output::Event(Event::RolloutResumed { name, thousandths }));
         }
@@ -294,7 +406,13 @@
     /// Guards against an author that ended between storing that a rollout is over and writing what that means, and against
     /// one that writes its own trial anew, which an author between did not have. Harm: a trial by hand that has the content,
     /// the seed and a stage of a rollout that is over counts as that one's.
-    fn finish(&mut self, now: Time, version: Version, record: &RolloutRecord, outputs: &mut Vec<Output>) {
+    fn finish(
+        &mut self,
+        now: Time,
+        version: Version,
+        record: &RolloutRecord,
+        outputs: &mut Vec<Output>,
+    ) {
         match (&record.state, find(record, self.log())) {
             (_, Found::Stage { .. }) if record.state.is_open() => {}
             (RolloutState::Completed, Found::Stage { .. }) => {
@@ -303,15 +421,23 @@
                 }
             }
             (RolloutState::Completed, Found::Gone) => {
-                let whole = self.log().get(&Key { name: record.name.clone(), slot: Slot::Whole });
-                if whole.is_none_or(|whole| whole.version < version && !record.is_content_of(whole)) {
-                    self.rollouts.by_name.insert(record.name.clone(), Rollout::new(record.clone()));
+                let whole = self.log().get(&Key {
+                    name: record.name.clone(),
+                    slot: Slot::Whole,
+                });
+                if whole.is_none_or(|whole| whole.version < version && !record.is_content_of(whole))
+                {
+                    self.rollouts
+                        .by_name
+                        .insert(record.name.clone(), Rollout::new(record.clone()));
                     self.stopped(now, &record.name, RolloutState::Lost, false, outputs);
                 }
             }
             // The author that released it is back and has written its release anew.
             (RolloutState::Lost, Found::Released) => {
-                self.rollouts.by_name.insert(record.name.clone(), Rollout::new(record.clone()));
+                self.rollouts
+                    .by_name
+                    .insert(record.name.clone(), Rollout::new(record.clone()));
                 self.stopped(now, &record.name, RolloutState::Completed, false, outputs);
             }
             (_, Found::Stage { .. }) | (RolloutState::Superseded, Found::Superseded) => {
@@ -324,16 +450,28 @@
     /// What releases the trial of a record: latest last, so that a link carries the change for all nodes before the trial's
     /// end.
     fn release_of(&self, record: &RolloutRecord) -> Vec<Write> {
-        let key = Key { name: record.name.clone(), slot: Slot::Trial };
-        let Some(trial) = record.own_trial(self.log().get(&key)) else { return Vec::new() };
+        let key = Key {
+            name: record.name.clone(),
+            slot: Slot::Trial,
+        };
+        let Some(trial) = record.own_trial(self.log().get(&key)) else {
+            return Vec::new();
+        };
         let (name, urgency) = (record.name.clone(), Urgency::Normal);
-        let whole = Write::whole(Draft { name: name.clone(), content: trial.content.clone(), urgency });
+        let whole = Write::whole(Draft {
+            name: name.clone(),
+            content: trial.content.clone(),
+            urgency,
+        });
         vec![Write::end_of_trial(name, urgency), whole]
     }
 
     /// Ends the trial of a record, if it is still there.
     fn end_trial(&mut self, now: Time, record: &RolloutRecord, outputs: &mut Vec<Output>) {
-        let key = Key { name: record.name.clone(), slot: Slot::Trial };
+        let key = Key {
+            name: record.name.clone(),
+            slot: Slot::Trial,
+        };
         if record.own_trial(self.log().get(&key)).is_some() {
             let end = Write::end_of_trial(record.name.clone(), Urgency::Urgent);
             // It takes less room than the trial, so there is room for it.
@@ -346,7 +484,11 @@
         if now < self.rollouts.due {
             return;
         }
-        let names: Vec<Name> = self.rollouts.open().map(|rollout| rollout.record.name.clone()).collect();
+        let names: Vec<Name> = self
+            .rollouts
+            .open()
+            .map(|rollout| rollout.record.name.clone())
+            .collect();
         for name in names {
             self.drive_rollout(now, &name, outputs);
         }
@@ -354,22 +496,35 @@
     }
 
     fn drive_rollout(&mut self, now: Time, name: &Name, outputs: &mut Vec<Output>) {
-        let Some(rollout) = self.rollouts.by_name.get_mut(name) else { return };
+        let Some(rollout) = self.rollouts.by_name.get_mut(name) else {
+            return;
+        };
         let log = &self.replica.log;
         let (trial, index) = match find(&rollout.record, log) {
             Found::Stage { trial, index } => (trial, index),
-            Found::Released => return self.stopped(now, name, RolloutState::Completed, false, outputs),
-            Found::Superseded => return self.stopped(now, name, RolloutState::Superseded, true, outputs),
+            Found::Released => {
+                return self.stopped(now, name, RolloutState::Completed, false, outputs)
+            }
+            Found::Superseded => {
+                return self.stopped(now, name, RolloutState::Superseded, true, outputs)
+            }
             Found::Gone => return self.stopped(now, name, RolloutState::Ended, false, outputs),
         };
         let (_, since) = *rollout.stage.insert(match rollout.stage {
             Some(stage) if stage.0 == trial.version => stage,
             _ => (trial.version, now),
         });
-        let Rollout { record, refusing, .. } = &*rollout;
+        let Rollout {
+            record, refusing, ..
+        } = &*rollout;
         let (policy, part, version) = (&record.policy, trial.part, trial.version);
         let expected = record.expected.get(index).copied().unwrap_or(0);
-        let stage = Stage { version, part, expected, heard_since: self.rollouts.began };
+        let stage = Stage {
+            version,
+            part,
+            expected,
+            heard_since: self.rollouts.began,
+        };
         let counts = stage::count(now, stage, policy, &self.board, refusing);
         let verdict = stage::judge(policy, counts, now - since);
         let on_refusals = policy.on_refusals;
@@ -397,33 +552,52 @@
 
     /// The next stage begins, or the last one is over.
     fn advance(&mut self, now: Time, name: &Name, next: usize, outputs: &mut Vec<Output>) {
-        let Some(rollout) = self.rollouts.by_name.get_mut(name) else { return };
-        let key = Key { name: name.clone(), slot: Slot::Trial };
-        let Some(trial) = self.replica.log.get(&key) else { return };
+        let Some(rollout) = self.rollouts.by_name.get_mut(name) else {
+            return;
+        };
+        let key = Key {
+            name: name.clone(),
+            slot: Slot::Trial,
+        };
+        let Some(trial) = self.replica.log.get(&key) else {
+            return;
+        };
         let counts = rollout.counts;
         let Some(thousandths) = rollout.record.policy.stages.get(next).copied() else {
             return self.complete(now, name, outputs);
         };
         let part = rollout.record.part(thousandths);
-        let draft = Draft { name: name.clone(), content: trial.content.clone(), urgency: Urgency::Normal };
+        let draft = Draft {
+            name: name.clone(),
+            content: trial.content.clone(),
+            urgency: Urgency::Normal,
+        };
         match self.write(now, vec![Write::trial(draft, part)], outputs) {
             Ok(version) => {
                 if let Some(rollout) = self.rollouts.by_name.get_mut(name) {
                     rollout.stage = Some((version, now));
                 }
                 let name = name.clone();
-                outputs.push(Output::Event(Event::RolloutAdvanced { name, thousandths, counts }));
+                outputs.push(Output::Event(Event::RolloutAdvanced {
+                    name,
+                    thousandths,
+                    counts,
+                }));
             }
             Err(_) => self.tell_full(key, outputs),
         }
     }
 
     fn complete(&mut self, now: Time, name: &Name, outputs: &mut Vec<Output>) {
-        let Some(rollout) = self.rollouts.by_name.get(name) else { return };
+        let Some(rollout) = self.rollouts.by_name.get(name) else {
+            return;
+        };
         let (mut record, counts) = (rollout.record.clone(), rollout.counts);
         let release = self.release_of(&record);
         record.state = RolloutState::Completed;
-        let writes = std::iter::once(Write::record(&record)).chain(release).collect();
+        let writes = std::iter::once(Write::record(&record))
+            .chain(release)
+            .collect();
         match self.write(now, writes, outputs) {
             Ok(_) => self.over(name, record.state, counts, outputs),
             Err(_) => self.tell_full(RolloutRecord::key_of(name), outputs),
@@ -432,13 +606,23 @@
 
     /// A rollout goes on no more by itself. `ends_trial`: nor does its trial, with the same write.
     fn stopped(
-        &mut self, now: Time, name: &Name, state: RolloutState, ends_trial: bool, outputs: &mut Vec<Output>,
+        &mut self,
+        now: Time,
+        name: &Name,
+        state: RolloutState,
+        ends_trial: bool,
+        outputs: &mut Vec<Output>,
     ) {
-        let Some(rollout) = self.rollouts.by_name.get(name) else { return };
+        let Some(rollout) = self.rollouts.by_name.get(name) else {
+            return;
+        };
         let (mut record, counts) = (rollout.record.clone(), rollout.counts);
         record.state = state;
         // Without room for the record the trial ends all the same.
-        if self.write(now, vec![Write::record(&record)], outputs).is_err() {
+        if self
+            .write(now, vec![Write::record(&record)], outputs)
+            .is_err()
+        {
             self.tell_full(RolloutRecord::key_of(name), outputs);
         }
         if ends_trial {
@@ -447,7 +631,13 @@
         self.over(name, record.state, counts, outputs);
     }
 
-    fn over(&mut self, name: &Name, state: RolloutState, counts: StageCounts, outputs: &mut Vec<Output>) {
+    fn over(
+        &mut self,
+        name: &Name,
+        state: RolloutState,
+        counts: StageCounts,
+        outputs: &mut Vec<Output>,
+    ) {
         if let Some(rollout) = self.rollouts.by_name.get_mut(name) {
             rollout.record.state = state.clone();
             rollout.waiting = None;
@@ -456,7 +646,11 @@
             }
         }
         let name = name.clone();
-        outputs.push(Output::Event(Event::RolloutStopped { name, state, counts }));
+        outputs.push(Output::Event(Event::RolloutStopped {
+            name,
+            state,
+            counts,
+        }));
     }
 
     fn tell_full(&self, key: Key, outputs: &mut Vec<Output>) {
--- a/crates/distribution/src/bucket.rs
+++ b/crates/distribution/src/bucket.rs
@@ -19,16 +19,26 @@
 impl Budget {
     /// From a relay to a node. With [`Budget::UP`] it keeps to 8,000 bytes a second over any 10 s:
     /// `10 * (6000 + 1000) + 8000 + 1900 = 79900`.
-    pub const DOWN: Budget = Budget { rate: 6000.0, burst: 8000.0 };
+    pub const DOWN: Budget = Budget {
+        rate: 6000.0,
+        burst: 8000.0,
+    };
     /// From a node to a relay.
-    pub const UP: Budget = Budget { rate: 1000.0, burst: 1900.0 };
+    pub const UP: Budget = Budget {
+        rate: 1000.0,
+        burst: 1900.0,
+    };
     /// Between control machines.
-    pub const CONTROL: Budget = Budget { rate: 1_000_000.0, burst: 64_000.0 };
+    pub const CONTROL: Budget = Budget {
+        rate: 1_000_000.0,
+        burst: 64_000.0,
+    };
 
     /// The longest frame that may be written under it.
     pub fn frame_most(&self) -> usize {
         let most = (self.burst / 2.0) as usize;
-        most.clamp(512, crate::message::FRAME_MOST).saturating_sub(TRANSPORT_OVERHEAD)
+        most.clamp(512, crate::message::FRAME_MOST)
+            .saturating_sub(TRANSPORT_OVERHEAD)
     }
 }
 
@@ -43,7 +53,11 @@
 impl Bucket {
     /// A full one.
     pub fn new(budget: Budget, now: Time) -> Bucket {
-        Bucket { budget, level: budget.burst, at: now }
+        Bucket {
+            budget,
+            level: budget.burst,
+            at: now,
+        }
     }
 
     /// Its budget.
--- a/crates/distribution/src/candidates.rs
+++ b/crates/distribution/src/candidates.rs
@@ -76,13 +76,16 @@
     }
 
     fn is_unusable(&self, peer: &PeerId) -> bool {
-        self.failures.get(peer).is_some_and(|failure| failure.unusable)
+        self.failures
+            .get(peer)
+            .is_some_and(|failure| failure.unusable)
     }
 
     /// When the first of those that may be asked beside those that are asked already is not barred; never, if there is
     /// none.
     pub fn free_at(&self, asked: &[PeerId]) -> Time {
-        let barred_until = |peer: &PeerId| self.barred.get(peer).copied().unwrap_or(f64::NEG_INFINITY);
+        let barred_until =
+            |peer: &PeerId| self.barred.get(peer).copied().unwrap_or(f64::NEG_INFINITY);
         let open = self.all().filter(|peer| self.is_open(peer, asked));
         open.map(barred_until).fold(f64::INFINITY, f64::min)
     }
@@ -97,9 +100,11 @@
         let drawn = if !untried.is_empty() && self.upstreams_in_vain(asked) < UPSTREAMS_IN_VAIN {
             any(&untried, chance)
         } else if self.fallback_drawn_last {
-            self.least_tried(&upstreams, chance).or_else(|| self.least_tried(&fallbacks, chance))
+            self.least_tried(&upstreams, chance)
+                .or_else(|| self.least_tried(&fallbacks, chance))
         } else {
-            self.least_tried(&fallbacks, chance).or_else(|| self.least_tried(&upstreams, chance))
+            self.least_tried(&fallbacks, chance)
+                .or_else(|| self.least_tried(&upstreams, chance))
         };
         if let Some(peer) = &drawn {
             self.fallback_drawn_last = self.fallbacks.contains(peer);
@@ -120,11 +125,17 @@
 
     fn free(&self, list: &[PeerId], now: Time, asked: &[PeerId]) -> Vec<PeerId> {
         let is_barred = |peer: &PeerId| self.barred.get(peer).is_some_and(|until| now < *until);
-        list.iter().filter(|peer| !is_barred(peer) && self.is_open(peer, asked)).copied().collect()
+        list.iter()
+            .filter(|peer| !is_barred(peer) && self.is_open(peer, asked))
+            .copied()
+            .collect()
     }
 
     fn untried(&self, list: &[PeerId]) -> Vec<PeerId> {
-        list.iter().filter(|peer| !self.failures.contains_key(*peer)).copied().collect()
+        list.iter()
+            .filter(|peer| !self.failures.contains_key(*peer))
+            .copied()
+            .collect()
     }
 
     fn least_tried(&self, list: &[PeerId], chance: &mut Chance) -> Option<PeerId> {
@@ -133,7 +144,9 @@
             return any(&untried, chance);
         }
         let failed_at = |peer: &PeerId| self.failures.get(peer).map_or(0.0, |failure| failure.at);
-        list.iter().min_by(|a, b| failed_at(a).total_cmp(&failed_at(b))).copied()
+        list.iter()
+            .min_by(|a, b| failed_at(a).total_cmp(&failed_at(b)))
+            .copied()
     }
 }
 
--- a/crates/distribution/src/child.rs
+++ b/crates/distribution/src/child.rs
@@ -30,10 +30,24 @@
 /// What changes here once a payload was sent.
 enum Effect {
     EpochTold(u64),
-    Covered { id: u32, span: Span, urgent: bool },
-    Part { urgent: bool, partial: Partial },
-    Listed { id: u32, pass: Option<Pass>, floor: Version },
-    Current { head: Version, removals: Version },
+    Covered {
+        id: u32,
+        span: Span,
+        urgent: bool,
+    },
+    Part {
+        urgent: bool,
+        partial: Partial,
+    },
+    Listed {
+        id: u32,
+        pass: Option<Pass>,
+        floor: Version,
+    },
+    Current {
+        head: Version,
+        removals: Version,
+    },
 }
 
 /// See the module.
@@ -66,7 +80,11 @@
             queue: BTreeSet::new(),
             partials: [None, None],
             epoch_told: 0,
-            told: Told { count: 0, head: Version::ZERO, removals: Version::ZERO },
+            told: Told {
+                count: 0,
+                head: Version::ZERO,
+                removals: Version::ZERO,
+            },
             told_at: now,
             floor_known: Version::ZERO,
             changed_since: true,
@@ -93,7 +111,9 @@
 
     /// What it asks for.
     pub fn selectors(&self) -> impl Iterator<Item = (u32, &Selector)> {
-        self.subscriptions.iter().map(|(id, subscription)| (*id, &subscription.selector))
+        self.subscriptions
+            .iter()
+            .map(|(id, subscription)| (*id, &subscription.selector))
     }
 
     /// Takes the bytes of a frame from its budget; whether it kept to it.
@@ -137,7 +157,9 @@
 
     /// The log has changed in what a subscription holds: looks anew for what comes next.
     pub fn requeue(&mut self, id: u32, source: Source) {
-        let Some(subscription) = self.subscriptions.get_mut(&id) else { return };
+        let Some(subscription) = self.subscriptions.get_mut(&id) else {
+            return;
+        };
         subscription.settle(self.told);
         if let Some((urgent, version)) = subscription.queued.take() {
             self.queue.remove(&(urgent, version, id));
@@ -162,7 +184,9 @@
     }
 
     fn send_next(&mut self, now: Time, source: Source, outputs: &mut Vec<Output>) {
-        let Some((payload, effect)) = self.choose(now, source) else { return };
+        let Some((payload, effect)) = self.choose(now, source) else {
+            return;
+        };
         if self.link.send(now, &payload, outputs) {
             self.sent(now, effect, source);
         }
@@ -174,16 +198,24 @@
 
     fn choose(&mut self, now: Time, source: Source) -> Option<(Payload, Effect)> {
         let room = self.link.room(now);
-        if let Some(epoch) = source.epoch.filter(|epoch| epoch.claim.token > self.epoch_told) {
+        if let Some(epoch) = source
+            .epoch
+            .filter(|epoch| epoch.claim.token > self.epoch_told)
+        {
             let effect = Effect::EpochTold(epoch.claim.token);
-            return (room >= self.link.room_most()).then(|| (Payload::Epoch(epoch.clone()), effect));
+            return (room >= self.link.room_most())
+                .then(|| (Payload::Epoch(epoch.clone()), effect));
         }
         self.drop_stale_partials(source);
         if self.has_urgent() {
-            return (room >= self.urgent_room()).then(|| self.change(true, source, room)).flatten();
+            return (room >= self.urgent_room())
+                .then(|| self.change(true, source, room))
+                .flatten();
         }
         if self.has_changes() {
-            return (room >= self.link.room_most()).then(|| self.change(false, source, room)).flatten();
+            return (room >= self.link.room_most())
+                .then(|| self.change(false, source, room))
+                .flatten();
         }
         if !source.whole || room < self.urgent_room() || now < self.told_from() {
             return None;
@@ -229,14 +261,29 @@
         let (_, version, id) = *self.queue.last()?;
         let view = |change: &Change| self.view(change);
         if view(source.log.at(version)?).size() + CHANGES_OVERHEAD > room {
-            return self.part(Partial { id, version, offset: 0 }, urgent, source, room);
+            return self.part(
+                Partial {
+                    id,
+                    version,
+                    offset: 0,
+                },
+                urgent,
+                source,
+                room,
+            );
         }
         let subscription = self.subscriptions.get(&id)?;
         let (payload, span) = subscription.batch(id, version, urgent, source, room, view)?;
         Some((payload, Effect::Covered { id, span, urgent }))
     }
 
-    fn part(&self, partial: Partial, urgent: bool, source: Source, room: usize) -> Option<(Payload, Effect)> {
+    fn part(
+        &self,
+        partial: Partial,
+        urgent: bool,
+        source: Source,
+        room: usize,
+    ) -> Option<(Payload, Effect)> {
         let id = partial.id;
         let subscription = self.subscriptions.get(&id)?;
         let (payload, rest) = subscription.part(partial, urgent, source, room)?;
@@ -249,9 +296,17 @@
 
     /// A change as this child is to have it: of a trial that is not for it, it hears that there is none.
     fn view(&self, change: &Change) -> Change {
-        let outside = !self.relay && change.key.slot == Slot::Trial && !change.part.holds(self.link.peer());
-        let content = if outside { Content::Removed } else { change.content.clone() };
-        Change { content, ..change.clone() }
+        let outside =
+            !self.relay && change.key.slot == Slot::Trial && !change.part.holds(self.link.peer());
+        let content = if outside {
+            Content::Removed
+        } else {
+            change.content.clone()
+        };
+        Change {
+            content,
+            ..change.clone()
+        }
     }
 
     fn lacks_removals(&self, source: Source) -> Option<u32> {
@@ -261,9 +316,16 @@
         }
         let lacks = |subscription: &Subscription| subscription.known(self.told) < floor;
         // A pass that was begun is brought to its end before another one.
-        let mut under_way = self.subscriptions.iter().filter(|(_, subscription)| subscription.pass.is_some());
+        let mut under_way = self
+            .subscriptions
+            .iter()
+            .filter(|(_, subscription)| subscription.pass.is_some());
         let first = under_way.next();
-        let next = || self.subscriptions.iter().find(|(_, subscription)| lacks(subscription));
+        let next = || {
+            self.subscriptions
+                .iter()
+                .find(|(_, subscription)| lacks(subscription))
+        };
         first.or_else(next).map(|(id, _)| *id)
     }
 
@@ -288,14 +350,20 @@
             Effect::Current { head, removals } => {
                 self.changed_since = false;
                 self.told_at = now;
-                self.told = Told { count: self.told.count + 1, head, removals };
+                self.told = Told {
+                    count: self.told.count + 1,
+                    head,
+                    removals,
+                };
                 self.floor_known = source.log.floor();
             }
         }
     }
 
     fn listed(&mut self, id: u32, pass: Option<Pass>, floor: Version) {
-        let Some(subscription) = self.subscriptions.get_mut(&id) else { return };
+        let Some(subscription) = self.subscriptions.get_mut(&id) else {
+            return;
+        };
         subscription.settle(self.told);
         subscription.pass = pass;
         if pass.is_none() {
@@ -308,14 +376,21 @@
     pub fn next_wakeup(&self, now: Time, source: Source) -> Time {
         let keepalive = self.link.wrote_at() + self.keepalive;
         let keepalive = keepalive.max(self.link.ready(now, 0));
-        let payload = if self.link.is_free() { self.next_payload(now, source) } else { f64::INFINITY };
+        let payload = if self.link.is_free() {
+            self.next_payload(now, source)
+        } else {
+            f64::INFINITY
+        };
         self.link.next_wakeup(now).min(keepalive).min(payload)
     }
 
     fn next_payload(&self, now: Time, source: Source) -> Time {
         let full = self.link.ready(now, self.link.room_most());
         let small = self.link.ready(now, self.urgent_room());
-        if source.epoch.is_some_and(|epoch| epoch.claim.token > self.epoch_told) {
+        if source
+            .epoch
+            .is_some_and(|epoch| epoch.claim.token > self.epoch_told)
+        {
             return full;
         }
         if self.has_urgent() {
@@ -330,14 +405,23 @@
         if self.changed_since || self.lacks_removals(source).is_some() {
             return small.max(self.told_from());
         }
-        small.max(self.told_at + self.keepalive).max(self.told_from())
+        small
+            .max(self.told_at + self.keepalive)
+            .max(self.told_from())
     }
 }
 
 fn current(source: Source) -> (Payload, Effect) {
     let head = source.coverage.top();
-    let age_us = source.age.map(|age| (age * (1.0 + 2.0 * DRIFT) * 1e6) as u64 + 1);
+    let age_us = source
+        .age
+        .map(|age| (age * (1.0 + 2.0 * DRIFT) * 1e6) as u64 + 1);
     let removals = source.removals_known.min(head);
-    let payload = Payload::Current { head, removals, floor: source.log.floor(), age_us };
+    let payload = Payload::Current {
+        head,
+        removals,
+        floor: source.log.floor(),
+        age_us,
+    };
     (payload, Effect::Current { head, removals })
 }
--- a/crates/distribution/src/chunks.rs
+++ b/crates/distribution/src/chunks.rs
@@ -34,12 +34,25 @@
     /// Guards against a body without an end, parts out of place, and bytes that were changed. Harm: none, for a link
     /// brings parts in their order.
     pub fn take(&mut self, id: u32, chunk: Chunk) -> Part {
-        let place = if chunk.express { &mut self.express } else { &mut self.other };
+        let place = if chunk.express {
+            &mut self.express
+        } else {
+            &mut self.other
+        };
         if chunk.offset == 0 {
             let bytes = Vec::new();
-            *place = Some(Assembly { id, first: Chunk { bytes: Vec::new(), ..chunk.clone() }, bytes });
+            *place = Some(Assembly {
+                id,
+                first: Chunk {
+                    bytes: Vec::new(),
+                    ..chunk.clone()
+                },
+                bytes,
+            });
         }
-        let part = place.as_mut().map_or(Part::Wrong, |assembly| assembly.add(id, &chunk));
+        let part = place
+            .as_mut()
+            .map_or(Part::Wrong, |assembly| assembly.add(id, &chunk));
         if part != Part::More {
             *place = None;
         }
--- a/crates/distribution/src/coverage.rs
+++ b/crates/distribution/src/coverage.rs
@@ -28,7 +28,10 @@
     /// All versions up to this one.
     pub fn upto(version: Version) -> Coverage {
         let mut coverage = Coverage::default();
-        coverage.add(Span { after: Version::ZERO, upto: version });
+        coverage.add(Span {
+            after: Version::ZERO,
+            upto: version,
+        });
         coverage
     }
 
@@ -45,13 +48,18 @@
     /// Whether its spans are in order, and not too many: what comes from elsewhere may be anything.
     pub fn sound(&self) -> bool {
         let each = self.spans.iter().all(|s| s.after < s.upto);
-        let order = self.spans.windows(2).all(|pair| pair[0].upto < pair[1].after);
+        let order = self
+            .spans
+            .windows(2)
+            .all(|pair| pair[0].upto < pair[1].after);
         each && order && self.spans.len() <= SPANS_MOST
     }
 
     /// Whether a version is in it.
     pub fn holds(&self, version: Version) -> bool {
-        self.spans.iter().any(|s| s.after < version && version <= s.upto)
+        self.spans
+            .iter()
+            .any(|s| s.after < version && version <= s.upto)
     }
 
     /// All versions up to this one are in it.
@@ -69,12 +77,20 @@
 
     /// The lower end of the first span above a version.
     pub fn next_above(&self, version: Version) -> Option<Version> {
-        self.spans.iter().find(|s| s.after >= version).map(|s| s.after)
+        self.spans
+            .iter()
+            .find(|s| s.after >= version)
+            .map(|s| s.after)
     }
 
     /// The upper end of the last span below a version.
     pub fn next_below(&self, version: Version) -> Version {
-        self.spans.iter().rev().map(|s| s.upto).find(|upto| *upto < version).unwrap_or(Version::ZERO)
+        self.spans
+            .iter()
+            .rev()
+            .map(|s| s.upto)
+            .find(|upto| *upto < version)
+            .unwrap_or(Version::ZERO)
     }
 
     /// Whether it is all versions up to its top.
@@ -84,7 +100,10 @@
 
     /// The span that a version is in.
     pub fn span_of(&self, version: Version) -> Option<Span> {
-        self.spans.iter().copied().find(|s| s.after < version && version <= s.upto)
+        self.spans
+            .iter()
+            .copied()
+            .find(|s| s.after < version && version <= s.upto)
     }
 
     /// The same, of its first span and the latest others so many spans at most.
@@ -92,7 +111,9 @@
         let skip = self.spans.len().saturating_sub(most.max(1));
         let first = self.spans.iter().take(usize::from(skip > 0));
         let rest = self.spans.iter().skip(if skip > 0 { skip + 1 } else { 0 });
-        Coverage { spans: first.chain(rest).copied().collect() }
+        Coverage {
+            spans: first.chain(rest).copied().collect(),
+        }
     }
 
     /// What is in both.
@@ -100,7 +121,10 @@
         let mut both = Coverage::EMPTY;
         for a in &self.spans {
             for b in &other.spans {
-                both.add(Span { after: a.after.max(b.after), upto: a.upto.min(b.upto) });
+                both.add(Span {
+                    after: a.after.max(b.after),
+                    upto: a.upto.min(b.upto),
+                });
             }
         }
         both
@@ -112,10 +136,16 @@
         for span in &self.spans {
             let mut after = span.after;
             for taken in &other.spans {
-                rest.add(Span { after, upto: span.upto.min(taken.after) });
+                rest.add(Span {
+                    after,
+                    upto: span.upto.min(taken.after),
+                });
                 after = after.max(taken.upto);
             }
-            rest.add(Span { after, upto: span.upto });
+            rest.add(Span {
+                after,
+                upto: span.upto,
+            });
         }
         rest
     }
@@ -145,9 +175,15 @@
     /// version on, so it only grows.
     fn trim(&mut self) {
         while self.spans.len() > SPANS_MOST {
-            let width =
-                |s: &Span| (s.upto.token - s.after.token, s.upto.sequence.wrapping_sub(s.after.sequence));
-            let least = (1..self.spans.len()).min_by_key(|&n| width(&self.spans[n])).unwrap_or(0);
+            let width = |s: &Span| {
+                (
+                    s.upto.token - s.after.token,
+                    s.upto.sequence.wrapping_sub(s.after.sequence),
+                )
+            };
+            let least = (1..self.spans.len())
+                .min_by_key(|&n| width(&self.spans[n]))
+                .unwrap_or(0);
             self.spans.remove(least);
         }
     }
--- a/crates/distribution/src/downstream.rs
+++ b/crates/distribution/src/downstream.rs
@@ -94,7 +94,13 @@
             interests: BTreeMap::new(),
             spent: BTreeMap::new(),
             barred: BTreeMap::new(),
-            opens: Bucket::new(Budget { rate, burst: rate.max(OPEN_COST) }, now),
+            opens: Bucket::new(
+                Budget {
+                    rate,
+                    burst: rate.max(OPEN_COST),
+                },
+                now,
+            ),
             wakes: BTreeMap::new(),
             due: BTreeSet::new(),
             fenced: false,
@@ -108,9 +114,18 @@
 
     /// Takes a child's frame in; gives back what it reports.
     pub fn receive(
-        &mut self, now: Time, received: Received, source: Source, outputs: &mut Vec<Output>,
+        &mut self,
+        now: Time,
+        received: Received,
+        source: Source,
+        outputs: &mut Vec<Output>,
     ) -> Vec<Report> {
-        let Received { from, bytes, head, payload } = received;
+        let Received {
+            from,
+            bytes,
+            head,
+            payload,
+        } = received;
         if self.barred.get(&from).is_some_and(|until| now < *until) {
             return Vec::new();
         }
@@ -143,7 +158,12 @@
         })
     }
 
-    fn handle(&mut self, from: PeerId, payload: Payload, source: Source) -> Result<Vec<Report>, Reason> {
+    fn handle(
+        &mut self,
+        from: PeerId,
+        payload: Payload,
+        source: Source,
+    ) -> Result<Vec<Report>, Reason> {
         let child = self.children.get_mut(&from).ok_or(Reason::Unknown)?;
         match payload {
             Payload::Acknowledge | Payload::Open { .. } => {}
@@ -151,7 +171,10 @@
                 for new in list {
                     let (id, selector) = (new.id, new.selector.clone());
                     child.subscribe(new, source)?;
-                    self.interests.entry(selector).or_default().insert((from, id));
+                    self.interests
+                        .entry(selector)
+                        .or_default()
+                        .insert((from, id));
                 }
             }
             Payload::Unsubscribe(list) => {
@@ -163,11 +186,19 @@
             }
             Payload::Reports(reports) => {
                 let sound = reports.iter().all(Report::sound);
-                return if sound { Ok(reports) } else { Err(Reason::Misbehaved) };
+                return if sound {
+                    Ok(reports)
+                } else {
+                    Err(Reason::Misbehaved)
+                };
             }
             Payload::Close { why, .. } => {
                 self.fenced |= why == Reason::Fenced && child.is_relay();
-                return Err(if why == Reason::Fenced { why } else { Reason::Replaced });
+                return Err(if why == Reason::Fenced {
+                    why
+                } else {
+                    Reason::Replaced
+                });
             }
             _ => return Err(Reason::Misbehaved),
         }
@@ -182,29 +213,53 @@
     /// Begins a session, unless there are too many or too many begin at once; whether it is there.
     ///
     /// Guards against all children of a relay that died coming at once. Harm: some come some seconds later.
-    fn open(&mut self, now: Time, from: PeerId, head: &Head, relay: bool, outputs: &mut Vec<Output>) -> bool {
+    fn open(
+        &mut self,
+        now: Time,
+        from: PeerId,
+        head: &Head,
+        relay: bool,
+        outputs: &mut Vec<Output>,
+    ) -> bool {
         let old = self.children.get_mut(&from);
         if old.is_some_and(|child| child.link().session() == head.session) {
             return true;
         }
         let full = !self.children.contains_key(&from) && self.children.len() >= self.rules.children;
-        if full || !self.opens.take(now, OPEN_COST as usize - TRANSPORT_OVERHEAD) {
+        if full
+            || !self
+                .opens
+                .take(now, OPEN_COST as usize - TRANSPORT_OVERHEAD)
+        {
             self.refuse(now, from, head.session, Reason::Busy, outputs);
             return false;
         }
         if self.children.contains_key(&from) {
             self.drop_child(from);
-            outputs.push(Output::Event(Event::ChildLost { child: from, why: Reason::Replaced }));
+            outputs.push(Output::Event(Event::ChildLost {
+                child: from,
+                why: Reason::Replaced,
+            }));
         }
-        let budget = if relay { self.rules.to_relay } else { self.rules.to_node };
+        let budget = if relay {
+            self.rules.to_relay
+        } else {
+            self.rules.to_node
+        };
         let mut link = Link::new(from, head.session, false, budget, now);
         let spent = self.spent.remove(&from);
         if let Some(bucket) = spent.filter(|bucket| bucket.budget() == budget) {
             link = link.with_bucket(bucket);
         }
         let own = if relay { Budget::CONTROL } else { Budget::UP };
-        let inflow = Budget { rate: self.rules.inflow * own.rate, burst: self.rules.inflow * own.burst };
-        self.children.insert(from, Child::new(link, relay, self.rules.keepalive, inflow, now));
+        let inflow = Budget {
+            rate: self.rules.inflow * own.rate,
+            burst: self.rules.inflow * own.burst,
+        };
+        self.children.insert(
+            from,
+            Child::new(link, relay, self.rules.keepalive, inflow, now),
+        );
         true
     }
 
@@ -213,7 +268,10 @@
         if matches!(why, Reason::Flooded | Reason::Misbehaved) {
             self.bar(now, child);
         }
-        let session = self.children.get_mut(&child).map(|child| child.link().session());
+        let session = self
+            .children
+            .get_mut(&child)
+            .map(|child| child.link().session());
         self.drop_child(child);
         outputs.push(Output::Event(Event::ChildLost { child, why }));
         if let Some(session) = session {
@@ -237,10 +295,27 @@
     }
 
     /// Tells somebody that its session is not there, within its budget.
-    pub fn refuse(&mut self, now: Time, to: PeerId, session: u64, why: Reason, outputs: &mut Vec<Output>) {
+    pub fn refuse(
+        &mut self,
+        now: Time,
+        to: PeerId,
+        session: u64,
+        why: Reason,
+        outputs: &mut Vec<Output>,
+    ) {
         let rest = self.chance.between(self.rules.rest, 2.0 * self.rules.rest);
-        let payload = Payload::Close { why, rest_ms: (rest * 1e3) as u32 };
-        let head = Head { session, up: false, number: 0, acknowledged: 0, stamp_us: 0, echo: None };
+        let payload = Payload::Close {
+            why,
+            rest_ms: (rest * 1e3) as u32,
+        };
+        let head = Head {
+            session,
+            up: false,
+            number: 0,
+            acknowledged: 0,
+            stamp_us: 0,
+            echo: None,
+        };
         let frame = message::encode(&head, &payload);
         self.forget_spent(now);
         if !self.spent.contains_key(&to) && self.spent.len() >= self.spent_most() {
@@ -269,7 +344,9 @@
     }
 
     fn drop_child(&mut self, peer: PeerId) {
-        let Some(mut child) = self.children.remove(&peer) else { return };
+        let Some(mut child) = self.children.remove(&peer) else {
+            return;
+        };
         if self.spent.len() < self.spent_most() {
             self.spent.insert(peer, child.link().bucket().clone());
         }
@@ -282,7 +359,9 @@
     /// The log has changed at a key.
     pub fn changed(&mut self, now: Time, key: &Key, source: Source) {
         for selector in Selector::all_of(&key.name.group) {
-            let Some(interested) = self.interests.get(&selector) else { continue };
+            let Some(interested) = self.interests.get(&selector) else {
+                continue;
+            };
             for (peer, id) in interested.clone() {
                 if let Some(child) = self.children.get_mut(&peer) {
                     child.requeue(id, source);
@@ -320,7 +399,9 @@
         let due = self.due.range(..=(order(now), PeerId(u32::MAX)));
         let due: Vec<PeerId> = due.map(|(_, peer)| *peer).collect();
         for peer in due {
-            let Some(child) = self.children.get_mut(&peer) else { continue };
+            let Some(child) = self.children.get_mut(&peer) else {
+                continue;
+            };
             let silent_at = child.heard_at() + self.rules.silence;
             if now >= silent_at {
                 self.close(now, peer, Reason::Silent, outputs);
@@ -334,12 +415,16 @@
 
     /// When a child is due.
     pub fn next_wakeup(&self) -> Time {
-        self.due.first().map_or(f64::INFINITY, |(bits, _)| f64::from_bits(*bits))
+        self.due
+            .first()
+            .map_or(f64::INFINITY, |(bits, _)| f64::from_bits(*bits))
     }
 }
 
 fn forget(
-    interests: &mut BTreeMap<Selector, BTreeSet<(PeerId, u32)>>, selector: &Selector, who: (PeerId, u32),
+    interests: &mut BTreeMap<Selector, BTreeSet<(PeerId, u32)>>,
+    selector: &Selector,
+    who: (PeerId, u32),
 ) {
     if let Some(set) = interests.get_mut(selector) {
         set.remove(&who);
--- a/crates/distribution/src/feed.rs
+++ b/crates/distribution/src/feed.rs
@@ -74,7 +74,11 @@
     pub fn new(asked: Subscribe, told: Told, source: Source) -> Subscription {
         // Who has nothing has no removals to hear of.
         let has_nothing = asked.coverage.is_empty() && !asked.has_changes;
-        let known = if has_nothing { source.log.floor() } else { asked.floor };
+        let known = if has_nothing {
+            source.log.floor()
+        } else {
+            asked.floor
+        };
         Subscription {
             selector: asked.selector,
             coverage: asked.coverage,
@@ -89,7 +93,10 @@
     pub fn settle(&mut self, told: Told) {
         if self.settled < told.count {
             self.settled = told.count;
-            self.coverage.add(Span { after: Version::ZERO, upto: told.head });
+            self.coverage.add(Span {
+                after: Version::ZERO,
+                upto: told.head,
+            });
             self.known = self.known.max(told.removals);
         }
     }
@@ -117,7 +124,12 @@
     /// before new spans are opened.
     pub fn next(&self, source: Source) -> Option<(bool, Version)> {
         let urgent_fits = self.coverage.spans().len() < SPANS_URGENT_MOST;
-        let urgent = || source.log.newest_urgent(&self.selector, &self.coverage).filter(|_| urgent_fits);
+        let urgent = || {
+            source
+                .log
+                .newest_urgent(&self.selector, &self.coverage)
+                .filter(|_| urgent_fits)
+        };
         let gap = || self.earliest_gap(source).filter(|_| self.is_scattered());
         let newest = || source.log.newest(&self.selector, &self.coverage);
         let normal = || gap().or_else(newest).map(|version| (false, version));
@@ -135,7 +147,9 @@
         let ends = self.coverage.spans().iter().map(|span| span.upto);
         let mut starts = std::iter::once(Version::ZERO).chain(ends);
         starts.find_map(|start| {
-            let version = source.log.oldest_after(&self.selector, &self.coverage, start)?;
+            let version = source
+                .log
+                .oldest_after(&self.selector, &self.coverage, start)?;
             let own = source.coverage.span_of(version)?;
             (own.after <= start).then_some(version)
         })
@@ -150,13 +164,24 @@
         let below = self.coverage.next_below(version);
         let upto = own.upto.min(above).max(version);
         // A body in parts may have been overtaken by later changes, which the child has not got.
-        let later = source.log.later(&self.selector, version).filter(|later| *later <= upto);
-        Span { after: own.after.max(below), upto: if later.is_some() { version } else { upto } }
+        let later = source
+            .log
+            .later(&self.selector, version)
+            .filter(|later| *later <= upto);
+        Span {
+            after: own.after.max(below),
+            upto: if later.is_some() { version } else { upto },
+        }
     }
 
     /// Whole changes that begin with a version, as the child is to see them.
     pub fn batch(
-        &self, id: u32, first: Version, urgent: bool, source: Source, room: usize,
+        &self,
+        id: u32,
+        first: Version,
+        urgent: bool,
+        source: Source,
+        room: usize,
         view: impl Fn(&Change) -> Change,
     ) -> Option<(Payload, Span)> {
         if !urgent && self.is_scattered() {
@@ -169,12 +194,22 @@
     /// Uncovered changes from a version upwards. The span reaches over all around them that the source covers and that the
     /// child has got already.
     fn batch_upwards(
-        &self, id: u32, oldest: Version, source: Source, room: usize, view: impl Fn(&Change) -> Change,
+        &self,
+        id: u32,
+        oldest: Version,
+        source: Source,
+        room: usize,
+        view: impl Fn(&Change) -> Change,
     ) -> Option<(Payload, Span)> {
         let own = source.coverage.span_of(oldest).unwrap_or(point(oldest));
-        let lacked_before = source.log.newest_before(&self.selector, &self.coverage, oldest);
+        let lacked_before = source
+            .log
+            .newest_before(&self.selector, &self.coverage, oldest);
         let after = lacked_before.map_or(own.after, |lacked| lacked.max(own.after));
-        let mut span = Span { after, upto: own.upto };
+        let mut span = Span {
+            after,
+            upto: own.upto,
+        };
         let mut changes = Vec::new();
         let mut bytes = CHANGES_OVERHEAD;
         let mut next = Some(oldest);
@@ -186,14 +221,21 @@
                 break;
             }
             changes.push(change);
-            next = source.log.oldest_after(&self.selector, &self.coverage, version);
+            next = source
+                .log
+                .oldest_after(&self.selector, &self.coverage, version);
         }
         Some((Payload::Changes { id, span, changes }, span))
     }
 
     /// Whole changes from a version downwards; of urgent ones, that one alone.
     fn batch_downwards(
-        &self, id: u32, newest: Version, urgent: bool, source: Source, room: usize,
+        &self,
+        id: u32,
+        newest: Version,
+        urgent: bool,
+        source: Source,
+        room: usize,
         view: impl Fn(&Change) -> Change,
     ) -> Option<(Payload, Span)> {
         let mut span = self.reach(newest, source);
@@ -218,16 +260,28 @@
 
     /// The next part of a long body; the span, if it is the last part; else how far it has come.
     pub fn part(
-        &self, partial: Partial, urgent: bool, source: Source, room: usize,
+        &self,
+        partial: Partial,
+        urgent: bool,
+        source: Source,
+        room: usize,
     ) -> Option<(Payload, Result<Span, Partial>)> {
-        let Partial { id, version, offset } = partial;
+        let Partial {
+            id,
+            version,
+            offset,
+        } = partial;
         let change = source.log.at(version)?;
         let body = change.content.bytes();
         let end = body.len().min(offset + room.saturating_sub(CHUNK_OVERHEAD));
         let reach = self.reach(version, source);
         let earlier = source.log.earlier(&self.selector, version);
         let after = earlier.map_or(reach.after, |earlier| earlier.max(reach.after));
-        let span = if urgent { point(version) } else { Span { after, ..reach } };
+        let span = if urgent {
+            point(version)
+        } else {
+            Span { after, ..reach }
+        };
         let chunk = Chunk {
             key: change.key.clone(),
             version,
@@ -240,25 +294,55 @@
             offset: u32::try_from(offset).ok()?,
             bytes: body.get(offset..end)?.to_vec(),
         };
-        let rest = if end == body.len() { Ok(span) } else { Err(Partial { offset: end, ..partial }) };
+        let rest = if end == body.len() {
+            Ok(span)
+        } else {
+            Err(Partial {
+                offset: end,
+                ..partial
+            })
+        };
         Some((Payload::Chunk { id, span, chunk }, rest))
     }
 
     /// The next digests of keys; how far the list has come, none if to its end; the floor that it is for.
     pub fn list(&self, id: u32, source: Source, room: usize) -> (Payload, Option<Pass>, Version) {
-        let fresh = Pass { after: Version::ZERO, floor: source.log.floor(), first: true };
+        let fresh = Pass {
+            after: Version::ZERO,
+            floor: source.log.floor(),
+            first: true,
+        };
         let pass = self.pass.unwrap_or(fresh);
-        let count = MANIFEST_KEYS.min(room.saturating_sub(CHANGES_OVERHEAD) / DIGEST_BYTES).max(1);
-        let keys: Vec<_> = source.log.keys_after(&self.selector, pass.after).take(count).collect();
+        let count = MANIFEST_KEYS
+            .min(room.saturating_sub(CHANGES_OVERHEAD) / DIGEST_BYTES)
+            .max(1);
+        let keys: Vec<_> = source
+            .log
+            .keys_after(&self.selector, pass.after)
+            .take(count)
+            .collect();
         let last = keys.len() < count;
         let digests = keys.iter().map(|(_, key)| key.digest()).collect();
         let after = keys.last().map_or(pass.after, |(version, _)| *version);
-        let next = (!last).then_some(Pass { after, first: false, ..pass });
-        let payload = Payload::Manifest { id, first: pass.first, last, floor: pass.floor, digests };
+        let next = (!last).then_some(Pass {
+            after,
+            first: false,
+            ..pass
+        });
+        let payload = Payload::Manifest {
+            id,
+            first: pass.first,
+            last,
+            floor: pass.floor,
+            digests,
+        };
         (payload, next, pass.floor)
     }
 }
 
 fn point(version: Version) -> Span {
-    Span { after: version.before(), upto: version }
+    Span {
+        after: version.before(),
+        upto: version,
+    }
 }
--- a/crates/distribution/src/follow.rs
+++ b/crates/distribution/src/follow.rs
@@ -69,7 +69,10 @@
             fallbacks: Vec::new(),
             relay: false,
             budget: Budget::UP,
-            inflow: Budget { rate: 4.0 * Budget::DOWN.rate, burst: 100_000.0 },
+            inflow: Budget {
+                rate: 4.0 * Budget::DOWN.rate,
+                burst: 100_000.0,
+            },
             answer: ANSWER_WITHIN,
             attempt_delay: ATTEMPT_DELAY,
             silence: SILENCE,
@@ -82,9 +85,19 @@
 
     /// For a relay or an author.
     pub fn relay(upstreams: Vec<PeerId>) -> FollowRules {
-        let inflow = Budget { rate: 4.0 * Budget::CONTROL.rate, burst: 4.0 * Budget::CONTROL.burst };
+        let inflow = Budget {
+            rate: 4.0 * Budget::CONTROL.rate,
+            burst: 4.0 * Budget::CONTROL.burst,
+        };
         let rules = FollowRules::node(upstreams);
         let (spread, rest_most) = (1.0, RELAY_REST_MOST);
-        FollowRules { relay: true, budget: Budget::CONTROL, inflow, spread, rest_most, ..rules }
+        FollowRules {
+            relay: true,
+            budget: Budget::CONTROL,
+            inflow,
+            spread,
+            rest_most,
+            ..rules
+        }
     }
 }
--- a/crates/distribution/src/force.rs
+++ b/crates/distribution/src/force.rs
@@ -35,10 +35,19 @@
 impl Force {
     /// What was in force before.
     pub fn restore(in_force: BTreeMap<Name, Change>) -> Force {
-        let held =
-            |change: Change| Held { version: change.version, in_force: Some(change), ..Held::default() };
-        let names = in_force.into_iter().map(|(name, change)| (name, held(change))).collect();
-        Force { names, asked: BTreeMap::new() }
+        let held = |change: Change| Held {
+            version: change.version,
+            in_force: Some(change),
+            ..Held::default()
+        };
+        let names = in_force
+            .into_iter()
+            .map(|(name, change)| (name, held(change)))
+            .collect();
+        Force {
+            names,
+            asked: BTreeMap::new(),
+        }
     }
 
     /// What is in force of a resource.
@@ -48,7 +57,9 @@
 
     /// All that is in force.
     pub fn all(&self) -> impl Iterator<Item = &Change> {
-        self.names.values().filter_map(|held| held.in_force.as_ref())
+        self.names
+            .values()
+            .filter_map(|held| held.in_force.as_ref())
     }
 
     /// Whether the driver has answered all that it was asked.
@@ -74,14 +85,24 @@
             None => wanted.removes(),
         };
         if same {
-            if let Some(change) = held.in_force.as_mut().filter(|change| change.version < wanted.version) {
+            if let Some(change) = held
+                .in_force
+                .as_mut()
+                .filter(|change| change.version < wanted.version)
+            {
                 change.version = wanted.version;
-                outputs.push(Output::Persist(Record::Confirmed(wanted.key.name, wanted.version)));
+                outputs.push(Output::Persist(Record::Confirmed(
+                    wanted.key.name,
+                    wanted.version,
+                )));
             }
             return;
         }
         held.asked = true;
-        self.asked.entry(wanted.version).or_default().push(wanted.clone());
+        self.asked
+            .entry(wanted.version)
+            .or_default()
+            .push(wanted.clone());
         outputs.push(Output::Apply(wanted));
     }
 
@@ -115,7 +136,10 @@
     /// Forgets resources, whatever is in force of them.
     pub fn drop_where(&mut self, gone: impl Fn(&Name) -> bool, outputs: &mut Vec<Output>) {
         for change in self.all().filter(|change| gone(&change.key.name)) {
-            let end = Change { content: Content::Removed, ..change.clone() };
+            let end = Change {
+                content: Content::Removed,
+                ..change.clone()
+            };
             outputs.push(Output::Persist(Record::InForce(end)));
         }
         self.names.retain(|name, _| !gone(name));
--- a/crates/distribution/src/history.rs
+++ b/crates/distribution/src/history.rs
@@ -17,23 +17,33 @@
 impl History {
     /// Of so many bytes at most; of more, those that were replaced first are forgotten.
     pub fn new(most: usize) -> History {
-        History { earlier: BTreeMap::new(), order: BTreeSet::new(), bytes: 0, most }
+        History {
+            earlier: BTreeMap::new(),
+            order: BTreeSet::new(),
+            bytes: 0,
+            most,
+        }
     }
 
     /// A change has taken the place of an earlier one.
     pub fn replaced(&mut self, old: &Change, new: &Change) {
         self.forget(&new.key);
         self.bytes += old.size();
-        self.earlier.insert(new.key.clone(), (old.clone(), new.version));
+        self.earlier
+            .insert(new.key.clone(), (old.clone(), new.version));
         self.order.insert((new.version, new.key.clone()));
         while self.bytes > self.most {
-            let Some((_, key)) = self.order.first().cloned() else { break };
+            let Some((_, key)) = self.order.first().cloned() else {
+                break;
+            };
             self.forget(&key);
         }
     }
 
     fn forget(&mut self, key: &Key) {
-        let Some((old, by)) = self.earlier.remove(key) else { return };
+        let Some((old, by)) = self.earlier.remove(key) else {
+            return;
+        };
         self.bytes -= old.size();
         self.order.remove(&(by, key.clone()));
     }
--- a/crates/distribution/src/link.rs
+++ b/crates/distribution/src/link.rs
@@ -138,7 +138,9 @@
     /// The longest payload that the budget allows now.
     pub fn room(&self, now: Time) -> usize {
         let level = self.bucket.level(now) as usize;
-        level.saturating_sub(FRAME_OVERHEAD + TRANSPORT_OVERHEAD).min(self.room_most())
+        level
+            .saturating_sub(FRAME_OVERHEAD + TRANSPORT_OVERHEAD)
+            .min(self.room_most())
     }
 
     /// When a payload of so many bytes can be sent.
@@ -159,10 +161,17 @@
             return Err(Reason::Unknown);
         }
         self.heard_at = self.heard_at.max(now);
-        if self.heard_clock.is_none_or(|(stamp, _)| stamp < head.stamp_us) {
+        if self
+            .heard_clock
+            .is_none_or(|(stamp, _)| stamp < head.stamp_us)
+        {
             self.heard_clock = Some((head.stamp_us, now));
         }
-        if self.outstanding.as_ref().is_some_and(|o| o.number <= head.acknowledged) {
+        if self
+            .outstanding
+            .as_ref()
+            .is_some_and(|o| o.number <= head.acknowledged)
+        {
             self.outstanding = None;
         }
         let next = head.number == self.received + 1;
@@ -171,11 +180,18 @@
         }
         self.acknowledge |= head.number > 0;
         let transit = head.echo.and_then(|echo| transit(now, echo));
-        Ok(Arrival { fresh: next || head.number == 0, transit, acknowledged: head.acknowledged })
+        Ok(Arrival {
+            fresh: next || head.number == 0,
+            transit,
+            acknowledged: head.acknowledged,
+        })
     }
 
     fn head(&self, now: Time, number: u64) -> Head {
-        let echo = self.heard_clock.map(|(stamp_us, at)| Echo { stamp_us, held_us: micros(now - at) });
+        let echo = self.heard_clock.map(|(stamp_us, at)| Echo {
+            stamp_us,
+            held_us: micros(now - at),
+        });
         Head {
             session: self.session,
             up: self.up,
@@ -197,8 +213,12 @@
             return false;
         }
         self.sent = number;
-        self.outstanding =
-            Some(Outstanding { number, frame: frame.clone(), sent_at: now, wait: REPEAT_AFTER });
+        self.outstanding = Some(Outstanding {
+            number,
+            frame: frame.clone(),
+            sent_at: now,
+            wait: REPEAT_AFTER,
+        });
         self.write(now, frame, outputs);
         true
     }
@@ -216,7 +236,10 @@
     fn write(&mut self, now: Time, frame: Vec<u8>, outputs: &mut Vec<Output>) {
         self.acknowledge = false;
         self.wrote_at = now;
-        outputs.push(Output::Send { to: self.peer, frame });
+        outputs.push(Output::Send {
+            to: self.peer,
+            frame,
+        });
     }
 
     /// Sends an acknowledgement, if one is due and nothing else has brought it.
@@ -228,7 +251,9 @@
 
     /// Sends a payload again that has not been acknowledged in time.
     pub fn flush_repeats(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        let Some(outstanding) = &mut self.outstanding else { return };
+        let Some(outstanding) = &mut self.outstanding else {
+            return;
+        };
         if now < outstanding.sent_at + outstanding.wait {
             return;
         }
@@ -239,7 +264,10 @@
         outstanding.wait = (2.0 * outstanding.wait).min(REPEAT_MOST);
         let frame = outstanding.frame.clone();
         self.wrote_at = now;
-        outputs.push(Output::Send { to: self.peer, frame });
+        outputs.push(Output::Send {
+            to: self.peer,
+            frame,
+        });
     }
 
     /// When [`Link::flush`] or [`Link::flush_repeats`] has something to do.
@@ -248,7 +276,11 @@
             let due = o.sent_at + o.wait;
             due.max(self.bucket.ready(now.max(due), o.frame.len()))
         });
-        let acknowledge = if self.acknowledge { self.ready(now, 0) } else { f64::INFINITY };
+        let acknowledge = if self.acknowledge {
+            self.ready(now, 0)
+        } else {
+            f64::INFINITY
+        };
         repeat.min(acknowledge)
     }
 }
--- a/crates/distribution/src/log.rs
+++ b/crates/distribution/src/log.rs
@@ -22,9 +22,17 @@
 
 impl Room {
     /// On a control machine, for 640,000 resources.
-    pub const CONTROL: Room = Room { keys: 2_000_000, bytes: 1 << 30, removals: 100_000 };
+    pub const CONTROL: Room = Room {
+        keys: 2_000_000,
+        bytes: 1 << 30,
+        removals: 100_000,
+    };
     /// At a node.
-    pub const NODE: Room = Room { keys: 200_000, bytes: 24 << 20, removals: 10_000 };
+    pub const NODE: Room = Room {
+        keys: 200_000,
+        bytes: 24 << 20,
+        removals: 10_000,
+    };
 }
 
 /// What became of a change that was put in.
@@ -123,7 +131,9 @@
     }
 
     fn remove_from(&mut self, selector: &Selector, version: Version) {
-        let Some(index) = self.parts.get_mut(selector) else { return };
+        let Some(index) = self.parts.get_mut(selector) else {
+            return;
+        };
         index.remove(version);
         if index.all.is_empty() {
             self.parts.remove(selector);
@@ -134,8 +144,12 @@
     pub fn forget_removals(&mut self) -> Vec<Key> {
         let mut forgotten = Vec::new();
         while self.removals.len() > self.room.removals {
-            let Some(version) = self.removals.first().copied() else { break };
-            let Some(key) = self.every.all.get(&version).cloned() else { break };
+            let Some(version) = self.removals.first().copied() else {
+                break;
+            };
+            let Some(key) = self.every.all.get(&version).cloned() else {
+                break;
+            };
             self.take_out(&key);
             self.floor = self.floor.max(version);
             forgotten.push(key);
@@ -180,7 +194,10 @@
 
     /// The greatest version in it.
     pub fn top(&self) -> Version {
-        self.every.all.last_key_value().map_or(Version::ZERO, |(version, _)| *version)
+        self.every
+            .all
+            .last_key_value()
+            .map_or(Version::ZERO, |(version, _)| *version)
     }
 
     /// All changes, by their keys.
@@ -205,22 +222,44 @@
     /// The latest change of a selector that is not covered.
     pub fn newest(&self, selector: &Selector, coverage: &Coverage) -> Option<Version> {
         let index = self.index(selector)?;
-        let below = |bound: Version| index.all.range(..=bound).next_back().map(|(version, _)| *version);
-        newest_uncovered(coverage, index.all.last_key_value().map(|(version, _)| *version), below)
+        let below = |bound: Version| {
+            index
+                .all
+                .range(..=bound)
+                .next_back()
+                .map(|(version, _)| *version)
+        };
+        newest_uncovered(
+            coverage,
+            index.all.last_key_value().map(|(version, _)| *version),
+            below,
+        )
     }
 
     /// The latest change of a selector before a version that is not covered.
     pub fn newest_before(
-        &self, selector: &Selector, coverage: &Coverage, version: Version,
+        &self,
+        selector: &Selector,
+        coverage: &Coverage,
+        version: Version,
     ) -> Option<Version> {
         let index = self.index(selector)?;
-        let below = |bound: Version| index.all.range(..=bound).next_back().map(|(version, _)| *version);
+        let below = |bound: Version| {
+            index
+                .all
+                .range(..=bound)
+                .next_back()
+                .map(|(version, _)| *version)
+        };
         newest_uncovered(coverage, self.earlier(selector, version), below)
     }
 
     /// The earliest change of a selector after a version that is not covered.
     pub fn oldest_after(
-        &self, selector: &Selector, coverage: &Coverage, version: Version,
+        &self,
+        selector: &Selector,
+        coverage: &Coverage,
+        version: Version,
     ) -> Option<Version> {
         let mut version = self.later(selector, version)?;
         while let Some(span) = coverage.span_of(version) {
@@ -237,27 +276,37 @@
 
     /// The earliest change of a selector after a version.
     pub fn later(&self, selector: &Selector, version: Version) -> Option<Version> {
-        self.keys_after(selector, version).next().map(|(later, _)| later)
+        self.keys_after(selector, version)
+            .next()
+            .map(|(later, _)| later)
     }
 
     /// The keys of a selector whose changes are later than a version, in their order.
     pub fn keys_after<'a>(
-        &'a self, selector: &Selector, after: Version,
+        &'a self,
+        selector: &Selector,
+        after: Version,
     ) -> impl Iterator<Item = (Version, &'a Key)> + 'a {
         let range = (Bound::Excluded(after), Bound::Unbounded);
         let keys = self.index(selector).map(|index| index.all.range(range));
-        keys.into_iter().flatten().map(|(version, key)| (*version, key))
+        keys.into_iter()
+            .flatten()
+            .map(|(version, key)| (*version, key))
     }
 }
 
 /// The selectors but [`Selector::Everything`] that hold a key.
 fn parts_of(key: &Key) -> impl Iterator<Item = Selector> {
-    Selector::all_of(&key.name.group).into_iter().filter(|selector| *selector != Selector::Everything)
+    Selector::all_of(&key.name.group)
+        .into_iter()
+        .filter(|selector| *selector != Selector::Everything)
 }
 
 /// The latest version that is not covered, where `below` gives the latest one up to a bound.
 fn newest_uncovered(
-    coverage: &Coverage, last: Option<Version>, below: impl Fn(Version) -> Option<Version>,
+    coverage: &Coverage,
+    last: Option<Version>,
+    below: impl Fn(Version) -> Option<Version>,
 ) -> Option<Version> {
     let mut version = last?;
     while let Some(span) = coverage.span_of(version) {
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -205,7 +205,12 @@
 /// Reads a frame that has come; none if it is not one.
 pub fn read(from: PeerId, frame: &[u8]) -> Option<Received> {
     let (head, payload) = decode(frame)?;
-    Some(Received { from, bytes: frame.len(), head, payload })
+    Some(Received {
+        from,
+        bytes: frame.len(),
+        head,
+        payload,
+    })
 }
 
 /// Reads a frame; none if it is not one.
--- a/crates/distribution/src/publish.rs
+++ b/crates/distribution/src/publish.rs
@@ -3,7 +3,8 @@
 use crate::log::Log;
 use crate::log::Room;
 use crate::resource::{
-    Content, Draft, Group, Key, Name, Part, Slot, Urgency, BODY_MOST, CHANGE_OVERHEAD, NAME_MOST, WHOLE,
+    Content, Draft, Group, Key, Name, Part, Slot, Urgency, BODY_MOST, CHANGE_OVERHEAD, NAME_MOST,
+    WHOLE,
 };
 use crate::rollout::policy::BadPolicy;
 use crate::rollout::record::{RolloutRecord, RECORD_URGENCY};
@@ -71,26 +72,55 @@
 impl Write {
     /// For all nodes.
     pub fn whole(draft: Draft) -> Write {
-        let key = Key { name: draft.name, slot: Slot::Whole };
-        Write { key, content: draft.content, urgency: draft.urgency, part: Part::ALL }
+        let key = Key {
+            name: draft.name,
+            slot: Slot::Whole,
+        };
+        Write {
+            key,
+            content: draft.content,
+            urgency: draft.urgency,
+            part: Part::ALL,
+        }
     }
 
     /// For a part of the nodes.
     pub fn trial(draft: Draft, part: Part) -> Write {
-        let key = Key { name: draft.name, slot: Slot::Trial };
-        Write { key, content: draft.content, urgency: draft.urgency, part }
+        let key = Key {
+            name: draft.name,
+            slot: Slot::Trial,
+        };
+        Write {
+            key,
+            content: draft.content,
+            urgency: draft.urgency,
+            part,
+        }
     }
 
     /// What ends a trial.
     pub fn end_of_trial(name: Name, urgency: Urgency) -> Write {
-        let key = Key { name, slot: Slot::Trial };
-        Write { key, content: Content::Removed, urgency, part: Part::ALL }
+        let key = Key {
+            name,
+            slot: Slot::Trial,
+        };
+        Write {
+            key,
+            content: Content::Removed,
+            urgency,
+            part: Part::ALL,
+        }
     }
 
     /// What is stored of a rollout.
     pub fn record(record: &RolloutRecord) -> Write {
         let key = RolloutRecord::key_of(&record.name);
-        Write { key, content: record.to_content(), urgency: RECORD_URGENCY, part: Part::ALL }
+        Write {
+            key,
+            content: record.to_content(),
+            urgency: RECORD_URGENCY,
+            part: Part::ALL,
+        }
     }
 }
 
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -45,7 +45,11 @@
     }
 
     /// One that goes on from what was stored.
-    pub fn restore(config: RelayConfig, records: impl IntoIterator<Item = Record>, now: Time) -> Relay {
+    pub fn restore(
+        config: RelayConfig,
+        records: impl IntoIterator<Item = Record>,
+        now: Time,
+    ) -> Relay {
         let restored = Restored::read(config.room, records);
         Relay::from_restored(config, restored, now)
     }
@@ -55,7 +59,12 @@
         let replica = Replica::new(upstream, &mut restored);
         let was_whole = replica.coverage().is_whole();
         let downstream = Downstream::new(config.serve, crate::chance::mix(config.seed), now);
-        Relay { replica, downstream, was_whole, clock: now }
+        Relay {
+            replica,
+            downstream,
+            was_whole,
+            clock: now,
+        }
     }
 
     /// What it has.
@@ -86,7 +95,9 @@
     /// Takes a frame in; any bytes.
     pub fn receive(&mut self, now: Time, from: PeerId, frame: &[u8], outputs: &mut Vec<Output>) {
         self.clock = self.clock.max(now);
-        let Some(received) = message::read(from, frame) else { return };
+        let Some(received) = message::read(from, frame) else {
+            return;
+        };
         if received.head.up {
             let source = self.replica.source(now);
             let reports = self.downstream.receive(now, received, source, outputs);
@@ -118,6 +129,9 @@
 
     /// When [`Relay::poll`] is to be called.
     pub fn next_wakeup(&self) -> Time {
-        self.replica.upstream.next_wakeup(self.clock).min(self.downstream.next_wakeup())
+        self.replica
+            .upstream
+            .next_wakeup(self.clock)
+            .min(self.downstream.next_wakeup())
     }
 }
--- a/crates/distribution/src/replica.rs
+++ b/crates/distribution/src/replica.rs
@@ -54,14 +54,27 @@
         if !log.is_empty() {
             upstream.has_changes(&Selector::Everything);
         }
-        let epoch = restored.epoch.take().filter(|epoch| upstream.admit(epoch).is_ok());
-        Replica { upstream, log, epoch, token_heard: 0, current: None, stored: coverage, frames_unstored: 0 }
+        let epoch = restored
+            .epoch
+            .take()
+            .filter(|epoch| upstream.admit(epoch).is_ok());
+        Replica {
+            upstream,
+            log,
+            epoch,
+            token_heard: 0,
+            current: None,
+            stored: coverage,
+            frames_unstored: 0,
+        }
     }
 
     /// Which versions are covered.
     pub fn coverage(&self) -> &Coverage {
         static EMPTY: Coverage = Coverage::EMPTY;
-        self.upstream.held_of(&Selector::Everything).map_or(&EMPTY, |held| &held.coverage)
+        self.upstream
+            .held_of(&Selector::Everything)
+            .map_or(&EMPTY, |held| &held.coverage)
     }
 
     /// The latest version that is here.
@@ -71,7 +84,8 @@
 
     /// How old at most is what is here, in seconds; none if that can't be told.
     pub fn age(&self, now: Time) -> Option<Time> {
-        self.current.map(|(at, age)| age + (now - at).max(0.0) * (1.0 + 2.0 * DRIFT))
+        self.current
+            .map(|(at, age)| age + (now - at).max(0.0) * (1.0 + 2.0 * DRIFT))
     }
 
     /// What there is to send, as a follower.
@@ -80,7 +94,14 @@
         let (whole, age) = (coverage.is_whole(), self.age(now));
         let held = self.upstream.held_of(&Selector::Everything);
         let removals_known = held.map_or(Version::ZERO, |held| held.floor);
-        Source { log: &self.log, coverage, whole, removals_known, age, epoch: self.epoch.as_ref() }
+        Source {
+            log: &self.log,
+            coverage,
+            whole,
+            removals_known,
+            age,
+            epoch: self.epoch.as_ref(),
+        }
     }
 
     /// Takes in what the upstream has said.
@@ -95,7 +116,10 @@
                     self.current = Some((now, age));
                 }
                 self.store_coverage(outputs);
-                Update { current: true, ..Update::default() }
+                Update {
+                    current: true,
+                    ..Update::default()
+                }
             }
         }
     }
@@ -110,15 +134,28 @@
         for (key, version) in orphans.iter().cloned() {
             self.upstream.report(Report::Orphan { key, version });
         }
-        if self.epoch.as_ref().is_some_and(|known| known.claim.token >= epoch.claim.token) {
-            return Update { orphans, ..Update::default() };
+        if self
+            .epoch
+            .as_ref()
+            .is_some_and(|known| known.claim.token >= epoch.claim.token)
+        {
+            return Update {
+                orphans,
+                ..Update::default()
+            };
         }
         let known = self.epoch.as_ref();
-        let lacking = known.map_or(Coverage::EMPTY, |known| lacking(known, &epoch, self.coverage()));
+        let lacking = known.map_or(Coverage::EMPTY, |known| {
+            lacking(known, &epoch, self.coverage())
+        });
         self.upstream.ask_anew(now, &lacking, outputs);
         self.store_coverage(outputs);
         self.set_epoch(epoch, outputs);
-        Update { orphans, epoch: true, ..Update::default() }
+        Update {
+            orphans,
+            epoch: true,
+            ..Update::default()
+        }
     }
 
     /// This is the author now.
@@ -130,12 +167,18 @@
     /// What is here of what authors wrote: what the last one knew when it took over, and what it wrote itself. It may be
     /// less than what is covered, where an earlier author wrote what its successor never heard.
     pub fn known(&self) -> Coverage {
-        let Some(epoch) = &self.epoch else { return self.coverage().clone() };
+        let Some(epoch) = &self.epoch else {
+            return self.coverage().clone();
+        };
         known_since(epoch, self.head()).both(self.coverage())
     }
 
     fn take_changes(
-        &mut self, now: Time, span: Span, changes: Vec<Change>, outputs: &mut Vec<Output>,
+        &mut self,
+        now: Time,
+        span: Span,
+        changes: Vec<Change>,
+        outputs: &mut Vec<Output>,
     ) -> Update {
         let mut update = Update::default();
         let mut full = false;
@@ -162,7 +205,10 @@
         match self.log.put(change.clone()) {
             Put::Old => true,
             Put::Full => {
-                outputs.push(Output::Event(Event::Full { key: change.key, version: change.version }));
+                outputs.push(Output::Event(Event::Full {
+                    key: change.key,
+                    version: change.version,
+                }));
                 false
             }
             Put::Taken => {
@@ -186,7 +232,12 @@
         forgotten
     }
 
-    fn take_listed(&mut self, floor: Version, digests: &BTreeSet<u64>, outputs: &mut Vec<Output>) -> Update {
+    fn take_listed(
+        &mut self,
+        floor: Version,
+        digests: &BTreeSet<u64>,
+        outputs: &mut Vec<Output>,
+    ) -> Update {
         let keys = unlisted(&self.log, &Selector::Everything, floor, digests);
         for key in &keys {
             self.log.take_out(key);
@@ -194,7 +245,10 @@
         }
         self.raise_floor(floor, outputs);
         self.upstream.removals_known(&Selector::Everything, floor);
-        Update { keys, ..Update::default() }
+        Update {
+            keys,
+            ..Update::default()
+        }
     }
 
     fn raise_floor(&mut self, floor: Version, outputs: &mut Vec<Output>) {
@@ -206,21 +260,33 @@
 
     /// All versions up to this one are here, by an author's own word.
     pub fn cover_all(&mut self, head: Version, outputs: &mut Vec<Output>) {
-        self.upstream.cover(&Selector::Everything, Span { after: Version::ZERO, upto: head });
+        self.upstream.cover(
+            &Selector::Everything,
+            Span {
+                after: Version::ZERO,
+                upto: head,
+            },
+        );
         self.upstream.removals_known(&Selector::Everything, head);
         self.store_coverage(outputs);
     }
 
     fn store_coverage(&mut self, outputs: &mut Vec<Output>) {
         self.frames_unstored = 0;
-        let Some(held) = self.upstream.held_of(&Selector::Everything) else { return };
+        let Some(held) = self.upstream.held_of(&Selector::Everything) else {
+            return;
+        };
         if held.coverage == self.stored {
             return;
         }
         self.stored = held.coverage.clone();
         let (coverage, floor) = (held.coverage.clone(), held.floor);
         let selector = Selector::Everything;
-        outputs.push(Output::Persist(Record::Covered { selector, coverage, floor }));
+        outputs.push(Output::Persist(Record::Covered {
+            selector,
+            coverage,
+            floor,
+        }));
     }
 }
 
@@ -229,13 +295,18 @@
     let earlier = |change: &&Change| change.version.token < epoch.claim.token;
     let unknown = |change: &&Change| !epoch.known.holds(change.version);
     let orphans = log.changes().filter(earlier).filter(unknown);
-    orphans.map(|change| (change.key.clone(), change.version)).collect()
+    orphans
+        .map(|change| (change.key.clone(), change.version))
+        .collect()
 }
 
 /// What an author knew when it took over, and what it has written since.
 fn known_since(epoch: &Epoch, head: Version) -> Coverage {
     let mut known = epoch.known.clone();
-    let after = Version { token: epoch.claim.token, sequence: 0 };
+    let after = Version {
+        token: epoch.claim.token,
+        sequence: 0,
+    };
     known.add(Span { after, upto: head });
     known
 }
@@ -248,8 +319,15 @@
 }
 
 /// The keys of a selector with a version up to a floor that a list does not hold.
-pub(crate) fn unlisted(log: &Log, selector: &Selector, floor: Version, digests: &BTreeSet<u64>) -> Vec<Key> {
+pub(crate) fn unlisted(
+    log: &Log,
+    selector: &Selector,
+    floor: Version,
+    digests: &BTreeSet<u64>,
+) -> Vec<Key> {
     let keys = log.keys_after(selector, Version::ZERO);
     let old = keys.take_while(|(version, _)| *version <= floor);
-    old.filter(|(_, key)| !digests.contains(&key.digest())).map(|(_, key)| key.clone()).collect()
+    old.filter(|(_, key)| !digests.contains(&key.digest()))
+        .map(|(_, key)| key.clone())
+        .collect()
 }
--- a/crates/distribution/src/report.rs
+++ b/crates/distribution/src/report.rs
@@ -100,7 +100,11 @@
             self.put_back(report);
         }
         let waiting: BTreeSet<&Report> = self.first.iter().collect();
-        let told: Vec<Report> = self.refusals.all().filter(|report| !waiting.contains(report)).collect();
+        let told: Vec<Report> = self
+            .refusals
+            .all()
+            .filter(|report| !waiting.contains(report))
+            .collect();
         self.first.extend(told);
     }
 
@@ -137,7 +141,9 @@
     pub fn sound(&self) -> bool {
         match self {
             Report::Standing { .. } => true,
-            Report::Refused { key, reason, .. } => key.name.check().is_ok() && reason.len() <= REASON_MOST,
+            Report::Refused { key, reason, .. } => {
+                key.name.check().is_ok() && reason.len() <= REASON_MOST
+            }
             Report::Orphan { key, .. } => key.name.check().is_ok(),
         }
     }
--- a/crates/distribution/src/report/refusals.rs
+++ b/crates/distribution/src/report/refusals.rs
@@ -24,7 +24,15 @@
 impl Refusals {
     /// Keeps a refusal; other reports are left.
     pub fn add(&mut self, report: &Report) {
-        let Report::Refused { node, key, version, reason } = report else { return };
+        let Report::Refused {
+            node,
+            key,
+            version,
+            reason,
+        } = report
+        else {
+            return;
+        };
         let of_node = self.of_node.entry(*node).or_default();
         if let Some((known, _)) = of_node.get(key) {
             if known >= version {
@@ -39,11 +47,16 @@
     }
 
     fn forget_earliest_of(&mut self, node: PeerId) {
-        let Some(of_node) = self.of_node.get(&node).filter(|of_node| of_node.len() > OF_NODE_MOST) else {
+        let Some(of_node) = self
+            .of_node
+            .get(&node)
+            .filter(|of_node| of_node.len() > OF_NODE_MOST)
+        else {
             return;
         };
         let earliest = of_node.iter().min_by_key(|(_, (version, _))| *version);
-        let Some((key, version)) = earliest.map(|(key, (version, _))| (key.clone(), *version)) else {
+        let Some((key, version)) = earliest.map(|(key, (version, _))| (key.clone(), *version))
+        else {
             return;
         };
         self.forget((version, node, key));
@@ -72,7 +85,12 @@
     pub fn all(&self) -> impl Iterator<Item = Report> + '_ {
         self.order.iter().filter_map(|(version, node, key)| {
             let (_, reason) = self.of_node.get(node)?.get(key)?;
-            Some(Report::Refused { node: *node, key: key.clone(), version: *version, reason: reason.clone() })
+            Some(Report::Refused {
+                node: *node,
+                key: key.clone(),
+                version: *version,
+                reason: reason.clone(),
+            })
         })
     }
 }
--- a/crates/distribution/src/resource.rs
+++ b/crates/distribution/src/resource.rs
@@ -56,17 +56,26 @@
 impl Name {
     /// A resource that every node needs.
     pub fn common(item: &str) -> Name {
-        Name { group: Group::Common, item: item.into() }
+        Name {
+            group: Group::Common,
+            item: item.into(),
+        }
     }
 
     /// A resource of a service.
     pub fn service(service: &str, item: &str) -> Name {
-        Name { group: Group::Service(service.into()), item: item.into() }
+        Name {
+            group: Group::Service(service.into()),
+            item: item.into(),
+        }
     }
 
     /// A resource of a tenant.
     pub fn tenant(tenant: &str, item: &str) -> Name {
-        Name { group: Group::Tenant(tenant.into()), item: item.into() }
+        Name {
+            group: Group::Tenant(tenant.into()),
+            item: item.into(),
+        }
     }
 
     /// Whether both parts have 1 to [`NAME_MOST`] bytes.
@@ -129,7 +138,9 @@
 }
 
 /// The version of a change: the token of its author's lease, then the author's count. Ordered in this order.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Version {
     /// The number of the lease's token.
     pub token: u64,
@@ -139,11 +150,17 @@
 
 impl Version {
     /// Before all changes.
-    pub const ZERO: Version = Version { token: 0, sequence: 0 };
+    pub const ZERO: Version = Version {
+        token: 0,
+        sequence: 0,
+    };
 
     /// The greatest version that is less than this one among those of its token.
     pub fn before(self) -> Version {
-        Version { sequence: self.sequence.saturating_sub(1), ..self }
+        Version {
+            sequence: self.sequence.saturating_sub(1),
+            ..self
+        }
     }
 }
 
@@ -170,7 +187,10 @@
     pub fn digest(&self) -> u64 {
         let bytes = postcard::to_allocvec(self).unwrap_or_default();
         let hash = blake3::hash(&bytes);
-        hash.as_bytes().iter().take(8).fold(0, |sum, byte| (sum << 8) | u64::from(*byte))
+        hash.as_bytes()
+            .iter()
+            .take(8)
+            .fold(0, |sum, byte| (sum << 8) | u64::from(*byte))
     }
 }
 
@@ -210,7 +230,9 @@
 }
 
 /// What goes first where a link is full.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub enum Urgency {
     /// After all that is urgent.
     #[default]
@@ -230,7 +252,10 @@
 
 impl Part {
     /// All nodes.
-    pub const ALL: Part = Part { thousandths: WHOLE, seed: 0 };
+    pub const ALL: Part = Part {
+        thousandths: WHOLE,
+        seed: 0,
+    };
 
     /// Whether a node is in it.
     pub fn holds(&self, node: PeerId) -> bool {
@@ -256,17 +281,28 @@
 impl Draft {
     /// A body that is not urgent.
     pub fn put(name: Name, body: &[u8]) -> Draft {
-        Draft { name, content: Content::body(body), urgency: Urgency::Normal }
+        Draft {
+            name,
+            content: Content::body(body),
+            urgency: Urgency::Normal,
+        }
     }
 
     /// The resource's end.
     pub fn remove(name: Name) -> Draft {
-        Draft { name, content: Content::Removed, urgency: Urgency::Normal }
+        Draft {
+            name,
+            content: Content::Removed,
+            urgency: Urgency::Normal,
+        }
     }
 
     /// The same, urgent.
     pub fn urgent(self) -> Draft {
-        Draft { urgency: Urgency::Urgent, ..self }
+        Draft {
+            urgency: Urgency::Urgent,
+            ..self
+        }
     }
 }
 
@@ -309,7 +345,9 @@
 
     /// Whether its parts keep to their bounds.
     pub fn sound(&self) -> bool {
-        self.key.name.check().is_ok() && self.content.bytes().len() <= BODY_MOST && self.version.sequence > 0
+        self.key.name.check().is_ok()
+            && self.content.bytes().len() <= BODY_MOST
+            && self.version.sequence > 0
     }
 }
 
--- a/crates/distribution/src/restore.rs
+++ b/crates/distribution/src/restore.rs
@@ -59,7 +59,11 @@
             Record::Epoch(epoch) if epoch.known.sound() => self.epoch = Some(epoch),
             Record::Epoch(_) => {}
             Record::Floor(floor) => self.log.raise_floor(floor),
-            Record::Covered { selector, coverage, floor } if coverage.sound() => {
+            Record::Covered {
+                selector,
+                coverage,
+                floor,
+            } if coverage.sound() => {
                 self.covered.insert(selector, (coverage, floor));
             }
             Record::Covered { .. } => {}
--- a/crates/distribution/src/rollout/policy.rs
+++ b/crates/distribution/src/rollout/policy.rs
@@ -98,7 +98,8 @@
         if !(0.0..=self.soak).contains(&self.decision_time) {
             return Err(BadPolicy::DecisionTime);
         }
-        let report_age_fits = self.max_report_age > REPORT_AGE_LEAST && self.max_report_age <= LONGEST;
+        let report_age_fits =
+            self.max_report_age > REPORT_AGE_LEAST && self.max_report_age <= LONGEST;
         report_age_fits.then_some(()).ok_or(BadPolicy::ReportAge)
     }
 
--- a/crates/distribution/src/rollout/record.rs
+++ b/crates/distribution/src/rollout/record.rs
@@ -5,7 +5,9 @@
 //! over finds both, or knows what is missing.
 
 use crate::peer::PeerId;
-use crate::resource::{Change, Content, ContentHash, Group, Key, Name, Part, Slot, Urgency, Version};
+use crate::resource::{
+    Change, Content, ContentHash, Group, Key, Name, Part, Slot, Urgency, Version,
+};
 use crate::rollout::policy::RolloutPolicy;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write as _;
@@ -94,7 +96,13 @@
         for byte in &digest.as_bytes()[..DIGEST_BYTES] {
             let _ = write!(item, "{byte:02x}");
         }
-        Key { name: Name { group: Group::Authors, item: item.into() }, slot: Slot::Whole }
+        Key {
+            name: Name {
+                group: Group::Authors,
+                item: item.into(),
+            },
+            slot: Slot::Whole,
+        }
     }
 
     /// The record's bytes, as a resource's content.
@@ -107,7 +115,8 @@
     pub fn read(change: &Change) -> Option<RolloutRecord> {
         let body = change.content.bytes().strip_prefix(&[FORMAT])?;
         let record: RolloutRecord = postcard::from_bytes(body).ok()?;
-        let sound = record.policy.check().is_ok() && record.expected.len() == record.policy.stages.len();
+        let sound =
+            record.policy.check().is_ok() && record.expected.len() == record.policy.stages.len();
         (sound && RolloutRecord::key_of(&record.name) == change.key).then_some(record)
     }
 
@@ -121,7 +130,10 @@
 
     /// The part of the nodes that is in a stage.
     pub fn part(&self, thousandths: u16) -> Part {
-        Part { thousandths, seed: self.seed }
+        Part {
+            thousandths,
+            seed: self.seed,
+        }
     }
 
     /// Whether a change of the resource is what this rollout brings.
--- a/crates/distribution/src/rollout/stage.rs
+++ b/crates/distribution/src/rollout/stage.rs
@@ -60,14 +60,23 @@
         if self.nodes.contains_key(&node) || self.nodes.len() >= REFUSING_MOST {
             return;
         }
-        let reason = if self.nodes.len() < REASONS_MOST { reason } else { String::new() };
+        let reason = if self.nodes.len() < REASONS_MOST {
+            reason
+        } else {
+            String::new()
+        };
         self.nodes.insert(node, reason);
     }
 
     /// Who refused, by number; so many at most.
     pub fn list(&self, most: usize) -> Vec<RefusingNode> {
         let named = self.nodes.iter().take(most);
-        named.map(|(node, reason)| RefusingNode { node: *node, reason: reason.clone() }).collect()
+        named
+            .map(|(node, reason)| RefusingNode {
+                node: *node,
+                reason: reason.clone(),
+            })
+            .collect()
     }
 
     /// Forgets all but the first: the rollout is over.
@@ -93,9 +102,18 @@
 
 /// Counts what the nodes of a stage have said of its change.
 pub fn count(
-    now: Time, stage: Stage, policy: &RolloutPolicy, board: &Board, refusing: &Refusing,
+    now: Time,
+    stage: Stage,
+    policy: &RolloutPolicy,
+    board: &Board,
+    refusing: &Refusing,
 ) -> StageCounts {
-    let Stage { version, part, expected, heard_since } = stage;
+    let Stage {
+        version,
+        part,
+        expected,
+        heard_since,
+    } = stage;
     let mut counts = StageCounts::default();
     for (node, standing) in board.standings().filter(|(node, _)| part.holds(*node)) {
         if refusing.nodes.contains_key(&node) {
@@ -108,7 +126,11 @@
             counts.accepted_lately += u32::from(lately);
         }
     }
-    counts.refused = refusing.nodes.keys().filter(|node| part.holds(**node)).count() as u32;
+    counts.refused = refusing
+        .nodes
+        .keys()
+        .filter(|node| part.holds(**node))
+        .count() as u32;
     counts.known = (counts.known + counts.refused).max(expected);
     counts
 }
@@ -124,7 +146,11 @@
     if counts.accepted_lately + counts.refused < policy.min_decisions {
         return Verdict::Wait(Waiting::Decisions);
     }
-    if is_share_below(counts.accepted_lately, counts.known, policy.min_accepted_share) {
+    if is_share_below(
+        counts.accepted_lately,
+        counts.known,
+        policy.min_accepted_share,
+    ) {
         return Verdict::Wait(Waiting::Acceptances);
     }
     Verdict::Advance
@@ -132,7 +158,11 @@
 
 fn is_refused(policy: &RolloutPolicy, counts: StageCounts, lasted: Time) -> bool {
     let decided = counts.accepted + counts.refused;
-    let all = if lasted < policy.decision_time { counts.known } else { decided };
+    let all = if lasted < policy.decision_time {
+        counts.known
+    } else {
+        decided
+    };
     let allowed = u64::from(policy.max_refused_share) * u64::from(all.max(policy.min_decisions));
     let share_passed = u64::from(counts.refused) * u64::from(WHOLE) > allowed;
     share_passed || counts.refused > policy.max_refused
--- a/crates/distribution/src/session.rs
+++ b/crates/distribution/src/session.rs
@@ -150,7 +150,12 @@
 
     /// Takes in a part of a list of keys; gives back the list after its last part.
     pub fn list(
-        &mut self, arrival: Arrival, id: u32, first: bool, last: bool, digests: Vec<u64>,
+        &mut self,
+        arrival: Arrival,
+        id: u32,
+        first: bool,
+        last: bool,
+        digests: Vec<u64>,
     ) -> Result<Option<(Selector, BTreeSet<u64>)>, Reason> {
         let asked = self.asked_for(id, arrival)?;
         if first {
@@ -177,11 +182,17 @@
 
     /// Sends the next payload, if there is one and the budget allows the longest.
     pub fn send_next(
-        &mut self, now: Time, subscriptions: &mut Subscriptions, reports: &mut Waiting,
+        &mut self,
+        now: Time,
+        subscriptions: &mut Subscriptions,
+        reports: &mut Waiting,
         outputs: &mut Vec<Output>,
     ) {
         let room = self.link.room_most();
-        if !self.link.is_free() || self.link.room(now) < room || !self.has_work(subscriptions, reports) {
+        if !self.link.is_free()
+            || self.link.room(now) < room
+            || !self.has_work(subscriptions, reports)
+        {
             return;
         }
         let payload = if !subscriptions.unasked.is_empty() {
@@ -208,7 +219,13 @@
             let id = self.next_id;
             let coverage = held.coverage.cut(SPANS_TOLD);
             let (floor, has_changes) = (held.floor, held.has_changes);
-            let subscribe = Subscribe { id, selector: selector.clone(), coverage, floor, has_changes };
+            let subscribe = Subscribe {
+                id,
+                selector: selector.clone(),
+                coverage,
+                floor,
+                has_changes,
+            };
             bytes += message::written(&subscribe);
             if bytes > room && !list.is_empty() {
                 break;
--- a/crates/distribution/src/status.rs
+++ b/crates/distribution/src/status.rs
@@ -54,14 +54,19 @@
         if self.standings.len() >= NODES_MOST && !self.standings.contains_key(&node) {
             return;
         }
-        let known = self.standings.entry(node).or_insert(Standing { upto, heard_at: now });
+        let known = self.standings.entry(node).or_insert(Standing {
+            upto,
+            heard_at: now,
+        });
         known.upto = known.upto.max(upto);
         known.heard_at = known.heard_at.max(now);
     }
 
     /// What each node has said last.
     pub fn standings(&self) -> impl Iterator<Item = (PeerId, Standing)> + '_ {
-        self.standings.iter().map(|(node, standing)| (*node, *standing))
+        self.standings
+            .iter()
+            .map(|(node, standing)| (*node, *standing))
     }
 
     /// A node has refused a change.
@@ -76,11 +81,19 @@
     pub fn status(&self, version: Version) -> Status {
         let mut status = Status::default();
         for (node, standing) in &self.standings {
-            let set = if standing.upto >= version { &mut status.have } else { &mut status.lack };
+            let set = if standing.upto >= version {
+                &mut status.have
+            } else {
+                &mut status.lack
+            };
             set.insert(*node);
         }
         let all = (version, PeerId(0))..=(version, PeerId(u32::MAX));
-        status.refused = self.refusals.range(all).map(|(_, refused)| refused.clone()).collect();
+        status.refused = self
+            .refusals
+            .range(all)
+            .map(|(_, refused)| refused.clone())
+            .collect();
         status
     }
 }
--- a/crates/distribution/src/subscriber.rs
+++ b/crates/distribution/src/subscriber.rs
@@ -81,23 +81,36 @@
     /// One that goes on from what was stored, with its subscriptions. `age`: how old the records are, in seconds, if the
     /// driver knows. What was stored and not accepted is asked to be applied again with the next poll.
     pub fn restore(
-        config: SubscriberConfig, records: impl IntoIterator<Item = Record>, age: Option<Time>, now: Time,
+        config: SubscriberConfig,
+        records: impl IntoIterator<Item = Record>,
+        age: Option<Time>,
+        now: Time,
     ) -> Subscriber {
         let restored = Restored::read(config.room, records);
         Subscriber::from_restored(config, restored, age, now)
     }
 
     fn from_restored(
-        config: SubscriberConfig, restored: Restored, age: Option<Time>, now: Time,
+        config: SubscriberConfig,
+        restored: Restored,
+        age: Option<Time>,
+        now: Time,
     ) -> Subscriber {
-        let mut upstream = Upstream::new(config.follow.clone(), config.lease.clone(), config.seed, now);
+        let mut upstream = Upstream::new(
+            config.follow.clone(),
+            config.lease.clone(),
+            config.seed,
+            now,
+        );
         let stored = restored.covered.keys().cloned().collect();
         for (selector, (coverage, floor)) in restored.covered {
             upstream.subscribe(selector.clone(), coverage, floor);
             tell_changes(&mut upstream, &restored.log, &selector);
         }
         let stored_names = restored.log.changes().map(|change| change.key.name.clone());
-        let unchecked = stored_names.chain(restored.in_force.keys().cloned()).collect();
+        let unchecked = stored_names
+            .chain(restored.in_force.keys().cloned())
+            .collect();
         Subscriber {
             config,
             upstream,
@@ -123,7 +136,8 @@
         if self.upstream.held().count() >= crate::child::SUBSCRIPTIONS_MOST {
             return Err(TooMany);
         }
-        self.upstream.subscribe(selector.clone(), Coverage::EMPTY, Version::ZERO);
+        self.upstream
+            .subscribe(selector.clone(), Coverage::EMPTY, Version::ZERO);
         tell_changes(&mut self.upstream, &self.log, &selector);
         Ok(())
     }
@@ -137,9 +151,13 @@
         outputs.push(Output::Persist(Record::Unsubscribed(selector.clone())));
         let upstream = &self.upstream;
         let gone = |name: &Name| {
-            selector.holds(&name.group) && !upstream.held().any(|(other, _)| other.holds(&name.group))
+            selector.holds(&name.group)
+                && !upstream.held().any(|(other, _)| other.holds(&name.group))
         };
-        let keys = self.log.keys_after(selector, Version::ZERO).map(|(_, key)| key);
+        let keys = self
+            .log
+            .keys_after(selector, Version::ZERO)
+            .map(|(_, key)| key);
         let keys: Vec<Key> = keys.filter(|key| gone(&key.name)).cloned().collect();
         // Stored the other way round, a crash between the two would leave in force what the log knows no version of, and an
         // upstream that is behind would replace it by an earlier one.
@@ -162,7 +180,9 @@
 
     /// Whether all of a subscription had come at some time: what is not in force then is not there.
     pub fn is_complete(&self, selector: &Selector) -> bool {
-        self.upstream.held_of(selector).is_some_and(|held| held.complete)
+        self.upstream
+            .held_of(selector)
+            .is_some_and(|held| held.complete)
     }
 
     /// How old at most is what is known here of the subscriptions that are complete, in seconds; without bound if that
@@ -198,16 +218,30 @@
         for change in self.force.answered(version) {
             let name = change.key.name.clone();
             let slot = self.slot_of(&name, version);
-            let key = Key { name: name.clone(), slot };
+            let key = Key {
+                name: name.clone(),
+                slot,
+            };
             let reason = report::cut(reason);
-            self.upstream.report(Report::Refused { node: self.config.node, key, version, reason });
+            self.upstream.report(Report::Refused {
+                node: self.config.node,
+                key,
+                version,
+                reason,
+            });
             self.evaluate(&name, outputs);
         }
     }
 
     fn slot_of(&self, name: &Name, version: Version) -> Slot {
-        let trial = Key { name: name.clone(), slot: Slot::Trial };
-        let on_trial = self.log.get(&trial).is_some_and(|trial| trial.version == version);
+        let trial = Key {
+            name: name.clone(),
+            slot: Slot::Trial,
+        };
+        let on_trial = self
+            .log
+            .get(&trial)
+            .is_some_and(|trial| trial.version == version);
         if on_trial {
             Slot::Trial
         } else {
@@ -217,11 +251,20 @@
 
     /// What a resource is to be here by the log.
     fn wanted(&self, name: &Name) -> (Change, Basis) {
-        let get = |slot| self.log.get(&Key { name: name.clone(), slot });
+        let get = |slot| {
+            self.log.get(&Key {
+                name: name.clone(),
+                slot,
+            })
+        };
         let (whole, trial) = (get(Slot::Whole), get(Slot::Trial));
         let on_trial = trial.filter(|trial| !trial.removes());
-        let on_trial = on_trial.filter(|trial| whole.is_none_or(|whole| whole.version < trial.version));
-        let basis = Basis { whole: whole.map(|c| c.version), trial: trial.map(|c| c.version) };
+        let on_trial =
+            on_trial.filter(|trial| whole.is_none_or(|whole| whole.version < trial.version));
+        let basis = Basis {
+            whole: whole.map(|c| c.version),
+            trial: trial.map(|c| c.version),
+        };
         let version = basis.whole.max(basis.trial).unwrap_or(Version::ZERO);
         let content = match on_trial.or(whole) {
             Some(change) => change.content.clone(),
@@ -242,7 +285,9 @@
     /// Takes a frame in; any bytes.
     pub fn receive(&mut self, now: Time, from: PeerId, frame: &[u8], outputs: &mut Vec<Output>) {
         self.clock = self.clock.max(now);
-        let Some(received) = message::read(from, frame) else { return };
+        let Some(received) = message::read(from, frame) else {
+            return;
+        };
         if received.head.up {
             return;
         }
@@ -250,14 +295,22 @@
         match heard {
             None => {}
             Some(Heard::Epoch(epoch)) => self.take_epoch(now, epoch, outputs),
-            Some(Heard::Changes { selector, span, changes }) => {
+            Some(Heard::Changes {
+                selector,
+                span,
+                changes,
+            }) => {
                 for change in changes {
                     self.take_change(change, outputs);
                 }
                 self.stored.remove(&selector);
                 self.upstream.cover(&selector, span);
             }
-            Some(Heard::Listed { selector, floor, digests }) => {
+            Some(Heard::Listed {
+                selector,
+                floor,
+                digests,
+            }) => {
                 self.take_listed(&selector, floor, &digests, outputs);
             }
             Some(Heard::Current { head, age, .. }) => self.take_current(now, head, age, outputs),
@@ -289,7 +342,11 @@
     /// What is covered by one subscription at least.
     fn covered(&self) -> Coverage {
         let mut covered = Coverage::EMPTY;
-        for span in self.upstream.held().flat_map(|(_, held)| held.coverage.spans()) {
+        for span in self
+            .upstream
+            .held()
+            .flat_map(|(_, held)| held.coverage.spans())
+        {
             covered.add(*span);
         }
         covered
@@ -305,7 +362,12 @@
             }
             Put::Full => {
                 let reason = "no room".to_owned();
-                let report = Report::Refused { node: self.config.node, key: key.clone(), version, reason };
+                let report = Report::Refused {
+                    node: self.config.node,
+                    key: key.clone(),
+                    version,
+                    reason,
+                };
                 self.upstream.report(report);
                 outputs.push(Output::Event(Event::Full { key, version }));
             }
@@ -322,7 +384,11 @@
     }
 
     fn take_listed(
-        &mut self, selector: &Selector, floor: Version, digests: &BTreeSet<u64>, outputs: &mut Vec<Output>,
+        &mut self,
+        selector: &Selector,
+        floor: Version,
+        digests: &BTreeSet<u64>,
+        outputs: &mut Vec<Output>,
     ) {
         for key in unlisted(&self.log, selector, floor, digests) {
             self.log.take_out(&key);
@@ -333,7 +399,13 @@
         self.upstream.removals_known(selector, floor);
     }
 
-    fn take_current(&mut self, now: Time, head: Version, age: Option<Time>, outputs: &mut Vec<Output>) {
+    fn take_current(
+        &mut self,
+        now: Time,
+        head: Version,
+        age: Option<Time>,
+        outputs: &mut Vec<Output>,
+    ) {
         if let Some(age) = age {
             self.current = Some((now, age));
             self.head = self.head.max(head);
@@ -352,7 +424,11 @@
                 let (coverage, floor) = (held.coverage.clone(), held.floor);
                 let selector = selector.clone();
                 self.stored.insert(selector.clone());
-                outputs.push(Output::Persist(Record::Covered { selector, coverage, floor }));
+                outputs.push(Output::Persist(Record::Covered {
+                    selector,
+                    coverage,
+                    floor,
+                }));
             }
         }
     }
@@ -372,7 +448,10 @@
             return;
         }
         self.said = Some((now, self.head));
-        self.upstream.report(Report::Standing { node: self.config.node, upto: self.head });
+        self.upstream.report(Report::Standing {
+            node: self.config.node,
+            upto: self.head,
+        });
     }
 
     fn standing_at(&self) -> Time {
@@ -391,15 +470,27 @@
         if !self.unchecked.is_empty() {
             return self.clock;
         }
-        self.upstream.next_wakeup(self.clock).min(self.standing_at())
+        self.upstream
+            .next_wakeup(self.clock)
+            .min(self.standing_at())
     }
 }
 
 /// What a resource is to be, as the driver is told.
 fn effective(name: &Name, version: Version, content: Content) -> Change {
-    let key = Key { name: name.clone(), slot: Slot::Whole };
+    let key = Key {
+        name: name.clone(),
+        slot: Slot::Whole,
+    };
     let (urgency, replaces) = (Urgency::Normal, Version::ZERO);
-    Change { key, version, urgency, part: Part::ALL, replaces, content }
+    Change {
+        key,
+        version,
+        urgency,
+        part: Part::ALL,
+        replaces,
+        content,
+    }
 }
 
 /// Lets the upstream know of changes of a subscription that are here already.
--- a/crates/distribution/src/upstream.rs
+++ b/crates/distribution/src/upstream.rs
@@ -81,14 +81,22 @@
         }
         let complete = coverage.is_whole();
         let has_changes = !coverage.is_empty();
-        let held = Held { coverage, floor, complete, has_changes, ..Held::default() };
+        let held = Held {
+            coverage,
+            floor,
+            complete,
+            has_changes,
+            ..Held::default()
+        };
         self.subscriptions.unasked.insert(selector.clone());
         self.subscriptions.held.insert(selector, held);
     }
 
     /// Asks for less; whether it was asked for.
     pub fn unsubscribe(&mut self, selector: &Selector) -> bool {
-        let Some(held) = self.subscriptions.held.remove(selector) else { return false };
+        let Some(held) = self.subscriptions.held.remove(selector) else {
+            return false;
+        };
         self.subscriptions.unasked.remove(selector);
         if let (State::Following(session), Some(id)) = (&mut self.state, held.id) {
             session.end(id);
@@ -135,7 +143,9 @@
 
     /// What was taken for covered has never come: it is asked for again in a new session.
     pub(crate) fn ask_anew(&mut self, now: Time, lacking: &Coverage, outputs: &mut Vec<Output>) {
-        let Some(first) = lacking.spans().first() else { return };
+        let Some(first) = lacking.spans().first() else {
+            return;
+        };
         for held in self.subscriptions.held.values_mut() {
             held.coverage = held.coverage.without(lacking);
             held.floor = held.floor.min(first.after);
@@ -175,7 +185,9 @@
     pub fn suspend(&mut self, now: Time, outputs: &mut Vec<Output>) {
         self.end_attempts(now, outputs);
         self.leave(now, Reason::Replaced, outputs);
-        self.state = State::Resting { until: f64::INFINITY };
+        self.state = State::Resting {
+            until: f64::INFINITY,
+        };
     }
 
     /// Follows again.
@@ -187,7 +199,9 @@
 
     /// Leaves the upstream, which has nothing more to say, and follows another one at once.
     pub fn move_on(&mut self, now: Time, rest: Time, outputs: &mut Vec<Output>) {
-        let State::Following(session) = &self.state else { return };
+        let State::Following(session) = &self.state else {
+            return;
+        };
         let peer = session.link.peer();
         self.leave(now, Reason::Replaced, outputs);
         self.candidates.bar(peer, now + rest);
@@ -203,7 +217,9 @@
             Reason::Unknown | Reason::Replaced | Reason::Silent | Reason::Stale => 0.0,
         };
         if let State::Following(session) = &mut self.state {
-            session.link.say(now, &Payload::Close { why, rest_ms: 0 }, outputs);
+            session
+                .link
+                .say(now, &Payload::Close { why, rest_ms: 0 }, outputs);
         }
         self.leave_for(now, why, alone_for, outputs);
     }
@@ -213,13 +229,19 @@
             return;
         }
         let old = std::mem::replace(&mut self.state, State::Resting { until: now });
-        let State::Following(session) = old else { return };
+        let State::Following(session) = old else {
+            return;
+        };
         let is_silent = now >= self.silent_at(&session);
         self.failed(now, session.link.peer(), why, is_silent, alone_for, outputs);
         if why == Reason::Stale && !session.brought_news {
             self.patience = (2.0 * self.patience).min(PATIENCE_MOST);
         }
-        let rest = if session.link.is_answered() { self.rest() } else { self.rest_in_vain(0.0) };
+        let rest = if session.link.is_answered() {
+            self.rest()
+        } else {
+            self.rest_in_vain(0.0)
+        };
         self.state = State::Resting { until: now + rest };
         self.bucket = session.link.bucket().clone();
         self.reports.restore(session.reports);
@@ -228,13 +250,19 @@
 
     /// A candidate was of no use; it is left alone for a time.
     fn failed(
-        &mut self, now: Time, upstream: PeerId, why: Reason, is_silent: bool, alone_for: Time,
+        &mut self,
+        now: Time,
+        upstream: PeerId,
+        why: Reason,
+        is_silent: bool,
+        alone_for: Time,
         outputs: &mut Vec<Output>,
     ) {
         self.candidates.bar(upstream, now + alone_for);
         if why != Reason::Replaced {
             let broke_rules = matches!(why, Reason::Misbehaved | Reason::Flooded);
-            self.candidates.failed(upstream, now, broke_rules || is_silent);
+            self.candidates
+                .failed(upstream, now, broke_rules || is_silent);
         }
         outputs.push(Output::Event(Event::Left { upstream, why }));
     }
@@ -242,14 +270,27 @@
     /// How long to rest after an upstream that was heard. Guards against all children of a relay that died coming to the
     /// next at once. Harm: a child alone waits, too.
     fn rest(&mut self) -> Time {
-        self.chance.between(0.0, self.rules.spread.min(self.rules.rest_most))
+        self.chance
+            .between(0.0, self.rules.spread.min(self.rules.rest_most))
     }
 
     /// Takes an upstream's frame in. Frames of others are left.
-    pub fn receive(&mut self, now: Time, received: Received, outputs: &mut Vec<Output>) -> Option<Heard> {
+    pub fn receive(
+        &mut self,
+        now: Time,
+        received: Received,
+        outputs: &mut Vec<Output>,
+    ) -> Option<Heard> {
         self.take_answer(now, &received, outputs);
-        let Received { from, bytes, head, payload } = received;
-        let State::Following(session) = &mut self.state else { return None };
+        let Received {
+            from,
+            bytes,
+            head,
+            payload,
+        } = received;
+        let State::Following(session) = &mut self.state else {
+            return None;
+        };
         if session.link.peer() != from || session.link.session() != head.session {
             return None;
         }
@@ -258,16 +299,23 @@
             self.leave(now, Reason::Flooded, outputs);
             return None;
         }
-        self.take(now, &head, payload, outputs).unwrap_or_else(|why| {
-            self.leave(now, why, outputs);
-            None
-        })
+        self.take(now, &head, payload, outputs)
+            .unwrap_or_else(|why| {
+                self.leave(now, why, outputs);
+                None
+            })
     }
 
     fn take(
-        &mut self, now: Time, head: &Head, payload: Payload, outputs: &mut Vec<Output>,
+        &mut self,
+        now: Time,
+        head: &Head,
+        payload: Payload,
+        outputs: &mut Vec<Output>,
     ) -> Result<Option<Heard>, Reason> {
-        let State::Following(session) = &mut self.state else { return Ok(None) };
+        let State::Following(session) = &mut self.state else {
+            return Ok(None);
+        };
         let arrival = session.link.take(now, head)?;
         if !arrival.fresh {
             return Ok(None);
@@ -294,12 +342,27 @@
                     Part::Wrong => Err(Reason::Misbehaved),
                 }
             }
-            Payload::Manifest { id, first, last, floor, digests } => {
+            Payload::Manifest {
+                id,
+                first,
+                last,
+                floor,
+                digests,
+            } => {
                 let listed = session.list(arrival, id, first, last, digests)?;
                 session.progress_at = now;
-                Ok(listed.map(|(selector, digests)| Heard::Listed { selector, floor, digests }))
+                Ok(listed.map(|(selector, digests)| Heard::Listed {
+                    selector,
+                    floor,
+                    digests,
+                }))
             }
-            Payload::Current { head, removals, floor, age_us } => {
+            Payload::Current {
+                head,
+                removals,
+                floor,
+                age_us,
+            } => {
                 let age = self.current(now, arrival, head, removals, age_us);
                 Ok(Some(Heard::Current { head, floor, age }))
             }
@@ -317,10 +380,19 @@
 
     /// Guards against changes that nobody asked for, and against spans that their changes are not in. Harm: none.
     fn changes(
-        &mut self, now: Time, arrival: Arrival, id: u32, span: Span, changes: Vec<Change>,
+        &mut self,
+        now: Time,
+        arrival: Arrival,
+        id: u32,
+        span: Span,
+        changes: Vec<Change>,
     ) -> Result<Option<Heard>, Reason> {
-        let State::Following(session) = &mut self.state else { return Ok(None) };
-        let Some(selector) = session.asked_for(id, arrival)? else { return Ok(None) };
+        let State::Following(session) = &mut self.state else {
+            return Ok(None);
+        };
+        let Some(selector) = session.asked_for(id, arrival)? else {
+            return Ok(None);
+        };
         let fits = |change: &Change| {
             let inside = span.after < change.version && change.version <= span.upto;
             change.sound() && inside && selector.holds(&change.key.name.group)
@@ -329,19 +401,34 @@
             return Err(Reason::Misbehaved);
         }
         session.progress_at = now;
-        Ok(Some(Heard::Changes { selector, span, changes }))
+        Ok(Some(Heard::Changes {
+            selector,
+            span,
+            changes,
+        }))
     }
 
     /// How old what is here is at most, by the word that all was sent. What was asked for after the upstream wrote it is not
     /// in it. Removals are known as far as the upstream knew them: it may have all changes before it is told which keys are
     /// no more.
     fn current(
-        &mut self, now: Time, arrival: Arrival, head: Version, removals: Version, age_us: Option<u64>,
+        &mut self,
+        now: Time,
+        arrival: Arrival,
+        head: Version,
+        removals: Version,
+        age_us: Option<u64>,
     ) -> Option<Time> {
         let mut all = true;
         for held in self.subscriptions.held.values_mut() {
-            if held.asked.is_some_and(|asked| asked <= arrival.acknowledged) {
-                held.coverage.add(Span { after: Version::ZERO, upto: head });
+            if held
+                .asked
+                .is_some_and(|asked| asked <= arrival.acknowledged)
+            {
+                held.coverage.add(Span {
+                    after: Version::ZERO,
+                    upto: head,
+                });
                 held.floor = held.floor.max(removals);
                 held.complete = true;
             } else {
@@ -349,7 +436,9 @@
                 all &= !held.complete && !self.rules.relay;
             }
         }
-        let age = age_us.zip(arrival.transit).map(|(age_us, transit)| age_us as f64 / 1e6 + transit);
+        let age = age_us
+            .zip(arrival.transit)
+            .map(|(age_us, transit)| age_us as f64 / 1e6 + transit);
         if let State::Following(session) = &mut self.state {
             if age.is_some_and(|age| age <= self.rules.stale) {
                 session.progress_at = now;
@@ -364,7 +453,9 @@
     /// Sends what is due; draws an upstream after a rest, and leaves one that is of no use.
     pub fn poll(&mut self, now: Time, outputs: &mut Vec<Output>) {
         match &self.state {
-            State::Resting { until } if now >= *until => self.state = State::Opening(Attempts::new(now)),
+            State::Resting { until } if now >= *until => {
+                self.state = State::Opening(Attempts::new(now))
+            }
             State::Resting { .. } | State::Opening(_) => {}
             State::Following(session) => {
                 if let Some(why) = self.fault(now, session) {
@@ -374,7 +465,9 @@
         }
         self.end_late_attempts(now, outputs);
         self.begin_attempt(now, outputs);
-        let State::Following(session) = &mut self.state else { return };
+        let State::Following(session) = &mut self.state else {
+            return;
+        };
         session.link.flush_repeats(now, outputs);
         session.send_next(now, &mut self.subscriptions, &mut self.reports, outputs);
         session.link.flush(now, outputs);
@@ -429,7 +522,14 @@
         let keepalive = session.link.wrote_at() + self.rules.keepalive;
         let keepalive = keepalive.max(session.link.ready(now, 0));
         let work = session.link.is_free() && session.has_work(&self.subscriptions, &self.reports);
-        let payload = if work { session.link.ready(now, session.link.room_most()) } else { f64::INFINITY };
-        fault.min(keepalive).min(payload).min(session.link.next_wakeup(now))
+        let payload = if work {
+            session.link.ready(now, session.link.room_most())
+        } else {
+            f64::INFINITY
+        };
+        fault
+            .min(keepalive)
+            .min(payload)
+            .min(session.link.next_wakeup(now))
     }
 }
--- a/crates/distribution/src/upstream/opening.rs
+++ b/crates/distribution/src/upstream/opening.rs
@@ -10,14 +10,32 @@
 
 impl Upstream {
     /// Follows who has answered first, unless the answer is a refusal.
-    pub(super) fn take_answer(&mut self, now: Time, received: &Received, outputs: &mut Vec<Output>) {
-        let State::Opening(attempts) = &mut self.state else { return };
-        let Some(link) = attempts.take_answered(received.from, received.head.session) else { return };
+    pub(super) fn take_answer(
+        &mut self,
+        now: Time,
+        received: &Received,
+        outputs: &mut Vec<Output>,
+    ) {
+        let State::Opening(attempts) = &mut self.state else {
+            return;
+        };
+        let Some(link) = attempts.take_answered(received.from, received.head.session) else {
+            return;
+        };
         if let Payload::Close { why, rest_ms } = &received.payload {
             let is_last = attempts.is_empty();
-            self.failed(now, received.from, *why, false, self.rest_asked(*rest_ms), outputs);
+            self.failed(
+                now,
+                received.from,
+                *why,
+                false,
+                self.rest_asked(*rest_ms),
+                outputs,
+            );
             if is_last {
-                self.state = State::Resting { until: now + self.rest() };
+                self.state = State::Resting {
+                    until: now + self.rest(),
+                };
             }
             return;
         }
@@ -29,14 +47,18 @@
 
     /// Ends the attempts that are under way: somebody has answered, or nobody is to be followed.
     pub(super) fn end_attempts(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        let State::Opening(attempts) = &mut self.state else { return };
+        let State::Opening(attempts) = &mut self.state else {
+            return;
+        };
         for peer in attempts.end_all(now, &mut self.bucket, outputs) {
             self.failed(now, peer, Reason::Replaced, false, 0.0, outputs);
         }
     }
 
     pub(super) fn end_late_attempts(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        let State::Opening(attempts) = &mut self.state else { return };
+        let State::Opening(attempts) = &mut self.state else {
+            return;
+        };
         let late = attempts.end_late(now, &mut self.bucket, outputs);
         let none_left = attempts.is_empty() && !late.is_empty();
         let time_saved = attempts.time_saved(&self.rules);
@@ -44,13 +66,17 @@
             self.failed(now, peer, Reason::Silent, true, 0.0, outputs);
         }
         if none_left {
-            self.state = State::Resting { until: now + self.rest_in_vain(time_saved) };
+            self.state = State::Resting {
+                until: now + self.rest_in_vain(time_saved),
+            };
         }
     }
 
     /// Asks one more candidate for a session, if one is due.
     pub(super) fn begin_attempt(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        let State::Opening(attempts) = &mut self.state else { return };
+        let State::Opening(attempts) = &mut self.state else {
+            return;
+        };
         attempts.repeat(now, &mut self.bucket, outputs);
         if now < attempts.next_at() {
             return;
--- a/crates/distribution/tests/any_bytes.rs
+++ b/crates/distribution/tests/any_bytes.rs
@@ -8,7 +8,9 @@
 use reelfall_distribution::downstream::ServeRules;
 use reelfall_distribution::follow::FollowRules;
 use reelfall_distribution::log::Room;
-use reelfall_distribution::message::{decode, encode, Chunk, Epoch, Head, Payload, Span, Subscribe};
+use reelfall_distribution::message::{
+    decode, encode, Chunk, Epoch, Head, Payload, Span, Subscribe,
+};
 use reelfall_distribution::output::{Output, Reason};
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::relay::{Relay, RelayConfig};
@@ -19,13 +21,24 @@
 use world::{claim, lease};
 
 const RELAY: PeerId = PeerId(20);
-const ROOM: Room = Room { keys: 1000, bytes: 1 << 20, removals: 10 };
+const ROOM: Room = Room {
+    keys: 1000,
+    bytes: 1 << 20,
+    removals: 10,
+};
 
 fn node() -> Subscriber {
     let follow = FollowRules::node(vec![RELAY]);
     let lease = lease();
     let node = PeerId(100);
-    let config = SubscriberConfig { node, lease, follow, room: ROOM, standing_every: 2.0, seed: 1 };
+    let config = SubscriberConfig {
+        node,
+        lease,
+        follow,
+        room: ROOM,
+        standing_every: 2.0,
+        seed: 1,
+    };
     let mut node = Subscriber::new(config, 0.0);
     node.subscribe(Selector::service("a")).unwrap();
     node
@@ -34,7 +47,16 @@
 fn relay() -> Relay {
     let follow = FollowRules::relay(vec![PeerId(1)]);
     let serve = ServeRules::default();
-    Relay::new(RelayConfig { lease: lease(), follow, serve, room: ROOM, seed: 1 }, 0.0)
+    Relay::new(
+        RelayConfig {
+            lease: lease(),
+            follow,
+            serve,
+            room: ROOM,
+            seed: 1,
+        },
+        0.0,
+    )
 }
 
 fn version(sequence: u64) -> Version {
@@ -42,11 +64,17 @@
 }
 
 fn span(upto: u64) -> Span {
-    Span { after: Version::ZERO, upto: version(upto) }
+    Span {
+        after: Version::ZERO,
+        upto: version(upto),
+    }
 }
 
 fn key() -> Key {
-    Key { name: Name::service("a", "x"), slot: Slot::Whole }
+    Key {
+        name: Name::service("a", "x"),
+        slot: Slot::Whole,
+    }
 }
 
 fn change(sequence: u64) -> Change {
@@ -73,7 +101,11 @@
         offset,
         bytes: bytes.to_vec(),
     };
-    Payload::Chunk { id: 0, span: span(3), chunk }
+    Payload::Chunk {
+        id: 0,
+        span: span(3),
+        chunk,
+    }
 }
 
 fn subscribe(id: u32, coverage: Coverage) -> Payload {
@@ -96,12 +128,22 @@
         prop::collection::vec(0..3u32, 0..3).prop_map(Payload::Unsubscribe),
         (0..3u32, 0..9u64, 0..9u64).prop_map(|(id, upto, at)| {
             let changes = vec![change(at)];
-            Payload::Changes { id, span: span(upto), changes }
+            Payload::Changes {
+                id,
+                span: span(upto),
+                changes,
+            }
         }),
         (0..9u32, 0..9u32, 0..9usize)
             .prop_map(|(offset, total, length)| { chunk(offset, total, &b"123456789"[..length]) }),
         (0..3u32, any::<bool>(), any::<bool>(), 0..9u64).prop_map(|(id, first, last, floor)| {
-            Payload::Manifest { id, first, last, floor: version(floor), digests: vec![1] }
+            Payload::Manifest {
+                id,
+                first,
+                last,
+                floor: version(floor),
+                digests: vec![1],
+            }
         }),
         (0..9u64, 0..9u64, any::<u64>()).prop_map(|(head, removals, age)| Payload::Current {
             head: version(head),
@@ -110,9 +152,15 @@
             age_us: Some(age),
         }),
         (0..9u64, 0..9u64).prop_map(|(token, known)| {
-            Payload::Epoch(Epoch { claim: claim(token), known: Coverage::upto(version(known)) })
+            Payload::Epoch(Epoch {
+                claim: claim(token),
+                known: Coverage::upto(version(known)),
+            })
+        }),
+        any::<u32>().prop_map(|rest_ms| Payload::Close {
+            why: Reason::Busy,
+            rest_ms
         }),
-        any::<u32>().prop_map(|rest_ms| Payload::Close { why: Reason::Busy, rest_ms }),
     ]
 }
 
@@ -121,7 +169,15 @@
     let serve = ServeRules::default();
     let lease = lease();
     let mut author = Author::new(
-        AuthorConfig { lease, follow, serve, room: ROOM, history: 1000, takeover: 0.0, seed: 1 },
+        AuthorConfig {
+            lease,
+            follow,
+            serve,
+            room: ROOM,
+            history: 1000,
+            takeover: 0.0,
+            seed: 1,
+        },
         0.0,
     );
     author.hold(0.0, &claim(1), 1e9, &mut Vec::new()).unwrap();
--- a/crates/distribution/tests/cases_behind.rs
+++ b/crates/distribution/tests/cases_behind.rs
@@ -16,7 +16,11 @@
 const FIRST_RELAY: u32 = 10;
 const REGION_RELAY: u32 = 20;
 /// One frame of 16 KB in a round trip: about 125,000 bytes a second.
-const FAR: Network = Network { loss: 0.0, twice: 0.0, delay: (0.05, 0.055) };
+const FAR: Network = Network {
+    loss: 0.0,
+    twice: 0.0,
+    delay: (0.05, 0.055),
+};
 /// More than a coverage has spans.
 const BATCHES: usize = 130;
 const BATCH_CHANGES: usize = 75;
@@ -35,21 +39,26 @@
     world.relay(FIRST_RELAY, &[AUTHOR]);
     world.relay(REGION_RELAY, &[FIRST_RELAY]);
     let until = world.seats[&PeerId(AUTHOR)].clock(1e6);
-    let held = world.with_author(AUTHOR, |author, now, outputs| author.hold(now, &claim(1), until, outputs));
+    let held = world.with_author(AUTHOR, |author, now, outputs| {
+        author.hold(now, &claim(1), until, outputs)
+    });
     assert_eq!(held, Some(Ok(())));
     world.run(30.0);
     world
 }
 
 fn publish(world: &mut World, drafts: Vec<Draft>) -> Version {
-    let published =
-        world.with_author(AUTHOR, |author, now, outputs| author.publish(now, &claim(1), drafts, outputs));
+    let published = world.with_author(AUTHOR, |author, now, outputs| {
+        author.publish(now, &claim(1), drafts, outputs)
+    });
     published.unwrap().unwrap()
 }
 
 fn batch(number: usize) -> Vec<Draft> {
     let name = |item| Name::service("a", &format!("b{number}-{item}"));
-    (0..BATCH_CHANGES).map(|item| Draft::put(name(item), &BODY)).collect()
+    (0..BATCH_CHANGES)
+        .map(|item| Draft::put(name(item), &BODY))
+        .collect()
 }
 
 fn publish_batches(world: &mut World, numbers: std::ops::Range<usize>) -> Version {
@@ -62,7 +71,8 @@
 }
 
 fn bytes_between(world: &World, from: u32, to: u32) -> usize {
-    let pair = |sent: &&(Time, PeerId, PeerId, usize)| sent.1 == PeerId(from) && sent.2 == PeerId(to);
+    let pair =
+        |sent: &&(Time, PeerId, PeerId, usize)| sent.1 == PeerId(from) && sent.2 == PeerId(to);
     world.sent.iter().filter(pair).map(|sent| sent.3).sum()
 }
 
@@ -70,15 +80,26 @@
 fn relays_that_were_behind_get_all_and_nothing_twice() {
     let mut world = chain(1);
     let last = publish_batches(&mut world, 0..BATCHES);
-    assert!(!world.relay_of(FIRST_RELAY).coverage().is_whole(), "the link was not too slow");
+    assert!(
+        !world.relay_of(FIRST_RELAY).coverage().is_whole(),
+        "the link was not too slow"
+    );
     world.run(CALM_SECONDS);
     let published: usize = world.author_of(AUTHOR).log().bytes();
     for (upstream, relay) in [(AUTHOR, FIRST_RELAY), (FIRST_RELAY, REGION_RELAY)] {
         let machine = world.relay_of(relay);
-        assert_eq!(machine.coverage().floor(), last, "relay {relay}: {:?}", machine.coverage().spans().len());
+        assert_eq!(
+            machine.coverage().floor(),
+            last,
+            "relay {relay}: {:?}",
+            machine.coverage().spans().len()
+        );
         assert_eq!(machine.log().len(), BATCHES * BATCH_CHANGES);
         let sent = bytes_between(&world, upstream, relay);
-        assert!(sent < published * 11 / 10, "{sent} bytes to {relay} for {published}");
+        assert!(
+            sent < published * 11 / 10,
+            "{sent} bytes to {relay} for {published}"
+        );
     }
 }
 
@@ -92,8 +113,14 @@
     // On each link the frame under way with its answer, then its own way.
     world.run(0.4);
     for relay in [FIRST_RELAY, REGION_RELAY] {
-        assert!(!world.relay_of(relay).coverage().is_whole(), "the link was not too slow");
-        assert!(world.relay_of(relay).log().at(version).is_some(), "relay {relay} has not got the ban");
+        assert!(
+            !world.relay_of(relay).coverage().is_whole(),
+            "the link was not too slow"
+        );
+        assert!(
+            world.relay_of(relay).log().at(version).is_some(),
+            "relay {relay} has not got the ban"
+        );
     }
 }
 
@@ -104,7 +131,9 @@
     let mut drafts = Vec::new();
     for number in 0..URGENT_CHANGES {
         drafts.push(Draft::put(Name::common(&format!("ban{number}")), b"ban").urgent());
-        drafts.extend((0..4).map(|item| Draft::put(Name::service("a", &format!("r{number}-{item}")), &BODY)));
+        drafts.extend(
+            (0..4).map(|item| Draft::put(Name::service("a", &format!("r{number}-{item}")), &BODY)),
+        );
     }
     for some in drafts.chunks(BATCH_CHANGES) {
         last = publish(&mut world, some.to_vec());
@@ -113,9 +142,16 @@
     world.run(CALM_SECONDS);
     let published = world.author_of(AUTHOR).log().bytes();
     for (upstream, relay) in [(AUTHOR, FIRST_RELAY), (FIRST_RELAY, REGION_RELAY)] {
-        assert_eq!(world.relay_of(relay).coverage().floor(), last, "relay {relay}");
+        assert_eq!(
+            world.relay_of(relay).coverage().floor(),
+            last,
+            "relay {relay}"
+        );
         let sent = bytes_between(&world, upstream, relay);
-        assert!(sent < published * 11 / 10, "{sent} bytes to {relay} for {published}");
+        assert!(
+            sent < published * 11 / 10,
+            "{sent} bytes to {relay} for {published}"
+        );
     }
 }
 
@@ -126,12 +162,23 @@
 fn a_relay_that_is_told_of_removals_late_lets_others_know() {
     let mut world = chain(4);
     let name = |item: u32| Name::service("a", &format!("r{item}"));
-    publish(&mut world, (0..LISTED_KEYS).map(|item| Draft::put(name(item), b"old")).collect());
+    publish(
+        &mut world,
+        (0..LISTED_KEYS)
+            .map(|item| Draft::put(name(item), b"old"))
+            .collect(),
+    );
     world.run(30.0);
-    assert_eq!(world.relay_of(REGION_RELAY).log().len(), LISTED_KEYS as usize);
+    assert_eq!(
+        world.relay_of(REGION_RELAY).log().len(),
+        LISTED_KEYS as usize
+    );
     world.cut(PeerId(AUTHOR), PeerId(FIRST_RELAY), 5.0);
     // More than the author keeps.
-    publish(&mut world, (0..200).map(|item| Draft::remove(name(item))).collect());
+    publish(
+        &mut world,
+        (0..200).map(|item| Draft::remove(name(item))).collect(),
+    );
     let last = publish(&mut world, vec![Draft::put(name(200), b"new")]);
     world.run(60.0);
     let published = contents(world.author_of(AUTHOR).log());
@@ -149,13 +196,22 @@
 fn who_ended_before_storing_what_it_covers_hears_of_removals() {
     let mut world = chain(5);
     let name = |item: u32| Name::service("a", &format!("r{item}"));
-    publish(&mut world, (0..LISTED_KEYS).map(|item| Draft::put(name(item), b"old")).collect());
+    publish(
+        &mut world,
+        (0..LISTED_KEYS)
+            .map(|item| Draft::put(name(item), b"old"))
+            .collect(),
+    );
     world.run(30.0);
     let newcomers = [REGION_RELAY + 1, NODE].map(PeerId);
     world.relay(REGION_RELAY + 1, &[FIRST_RELAY]);
     world.node(NODE, &[FIRST_RELAY], &[Selector::Services]);
     for newcomer in newcomers {
-        while !world.seats[&newcomer].disk.iter().any(|record| matches!(record, Record::Put(_))) {
+        while !world.seats[&newcomer]
+            .disk
+            .iter()
+            .any(|record| matches!(record, Record::Put(_)))
+        {
             world.run(0.05);
         }
         let is_covered = |record: &Record| matches!(record, Record::Covered { .. });
@@ -166,15 +222,28 @@
         world.kill(newcomer);
     }
     // More removals than anybody keeps; the first are of the latest keys, which came to the newcomers first.
-    publish(&mut world, (100..LISTED_KEYS).rev().map(|item| Draft::remove(name(item))).collect());
+    publish(
+        &mut world,
+        (100..LISTED_KEYS)
+            .rev()
+            .map(|item| Draft::remove(name(item)))
+            .collect(),
+    );
     world.run(30.0);
-    newcomers.into_iter().for_each(|newcomer| world.start(newcomer));
+    newcomers
+        .into_iter()
+        .for_each(|newcomer| world.start(newcomer));
     world.run(60.0);
     let published = contents(world.author_of(AUTHOR).log());
     assert_eq!(published.len(), 100);
-    assert!(contents(world.relay_of(REGION_RELAY + 1).log()) == published, "the relay has other contents");
+    assert!(
+        contents(world.relay_of(REGION_RELAY + 1).log()) == published,
+        "the relay has other contents"
+    );
     let node = world.node_of(NODE);
-    let kept = (0..LISTED_KEYS).filter(|item| node.in_force(&name(*item)).is_some()).count();
+    let kept = (0..LISTED_KEYS)
+        .filter(|item| node.in_force(&name(*item)).is_some())
+        .count();
     assert_eq!(kept, published.len(), "resources in force at the node");
 }
 
@@ -188,8 +257,19 @@
     let name = Name::service("a", &format!("r{}", draw.random_range(0..DRAWN_NAMES)));
     let content: u64 = draw.random();
     let mut body = content.to_le_bytes().to_vec();
-    body.resize(if draw.random_bool(0.003) { LONG_BODY } else { 500 }, 7);
-    let draft = if draw.random_bool(0.02) { Draft::remove(name) } else { Draft::put(name, &body) };
+    body.resize(
+        if draw.random_bool(0.003) {
+            LONG_BODY
+        } else {
+            500
+        },
+        7,
+    );
+    let draft = if draw.random_bool(0.02) {
+        Draft::remove(name)
+    } else {
+        Draft::put(name, &body)
+    };
     if draw.random_bool(0.02) {
         draft.urgent()
     } else {
@@ -201,7 +281,14 @@
 fn contents(log: &Log) -> BTreeMap<Key, (Version, Vec<u8>)> {
     let present = log.changes().filter(|change| !change.removes());
     let entry = |bytes: &[u8], version| (version, bytes.to_vec());
-    present.map(|change| (change.key.clone(), entry(change.content.bytes(), change.version))).collect()
+    present
+        .map(|change| {
+            (
+                change.key.clone(),
+                entry(change.content.bytes(), change.version),
+            )
+        })
+        .collect()
 }
 
 /// Two relays that follow an author, and one that follows either; frames are lost, relays end and begin again.
@@ -219,7 +306,9 @@
         let drafts = (0..count).map(|_| drawn_change(&mut world)).collect();
         last = publish(&mut world, drafts);
         world.run(BATCH_EVERY);
-        let running = RELAYS.iter().filter(|relay| world.seats[&PeerId(**relay)].machine.is_some());
+        let running = RELAYS
+            .iter()
+            .filter(|relay| world.seats[&PeerId(**relay)].machine.is_some());
         let spans = running.map(|relay| world.relay_of(*relay).coverage().spans().len());
         most_spans = spans.max().unwrap_or(0).max(most_spans);
         let relay = PeerId(RELAYS[world.draw.random_range(0..RELAYS.len())]);
@@ -236,14 +325,24 @@
     let published = contents(world.author_of(AUTHOR).log());
     for relay in RELAYS {
         let machine = world.relay_of(relay);
-        assert_eq!(machine.coverage().floor(), last, "seed {seed}, relay {relay}");
-        assert!(contents(machine.log()) == published, "seed {seed}: relay {relay} has other contents");
+        assert_eq!(
+            machine.coverage().floor(),
+            last,
+            "seed {seed}, relay {relay}"
+        );
+        assert!(
+            contents(machine.log()) == published,
+            "seed {seed}: relay {relay} has other contents"
+        );
     }
 }
 
 /// How many are played; 10 unless `BEHIND` says more.
 fn plays() -> u64 {
-    std::env::var("BEHIND").ok().and_then(|count| count.parse().ok()).unwrap_or(10)
+    std::env::var("BEHIND")
+        .ok()
+        .and_then(|count| count.parse().ok())
+        .unwrap_or(10)
 }
 
 #[test]
