--- a/crates/distribution/tests/cases_changes.rs
+++ b/crates/distribution/tests/cases_changes.rs
@@ -23,9 +23,16 @@
     world
 }
 
-fn publish(world: &mut World, author: u32, token: u64, drafts: Vec<Draft>) -> Result<Version, Refusal> {
+fn publish(
+    world: &mut World,
+    author: u32,
+    token: u64,
+    drafts: Vec<Draft>,
+) -> Result<Version, Refusal> {
     world
-        .with_author(author, |author, now, outputs| author.publish(now, &claim(token), drafts, outputs))
+        .with_author(author, |author, now, outputs| {
+            author.publish(now, &claim(token), drafts, outputs)
+        })
         .unwrap()
 }
 
@@ -37,22 +44,41 @@
     let version = publish(&mut world, 1, 1, vec![put("x", BAD_FOR_ODD)]).unwrap();
     world.run(10.0);
     let status = world.author_of(1).status(version);
-    let refused: Vec<u32> = status.refused.iter().map(|refused| refused.node.0).collect();
+    let refused: Vec<u32> = status
+        .refused
+        .iter()
+        .map(|refused| refused.node.0)
+        .collect();
     assert_eq!(refused, [101, 103, 105]);
-    assert!(status.refused.iter().all(|refused| refused.reason == "odd numbers can't"));
-    assert!(status.refused.iter().all(|refused| refused.key.name == name("x")));
+    assert!(status
+        .refused
+        .iter()
+        .all(|refused| refused.reason == "odd numbers can't"));
+    assert!(status
+        .refused
+        .iter()
+        .all(|refused| refused.key.name == name("x")));
     assert_eq!(status.have.len(), 6, "who has refused has heard it");
     for id in NODES {
-        let expected = if id % 2 == 1 { &b"good"[..] } else { BAD_FOR_ODD };
+        let expected = if id % 2 == 1 {
+            &b"good"[..]
+        } else {
+            BAD_FOR_ODD
+        };
         assert_eq!(world.bytes_at(id, &name("x")).unwrap(), expected);
     }
-    let back = world.with_author(1, |author, now, outputs| author.revert(now, &claim(1), version, outputs));
+    let back = world.with_author(1, |author, now, outputs| {
+        author.revert(now, &claim(1), version, outputs)
+    });
     let back = back.unwrap().unwrap();
     assert!(back > version);
     world.run(5.0);
     for id in NODES {
         assert_eq!(world.bytes_at(id, &name("x")).unwrap(), b"good");
-        assert_eq!(world.node_of(id).in_force(&name("x")).unwrap().version, back);
+        assert_eq!(
+            world.node_of(id).in_force(&name("x")).unwrap().version,
+            back
+        );
     }
     world.judge.verdict();
 }
@@ -67,14 +93,19 @@
     publish(&mut world, 1, 1, drafts).unwrap();
     let version = publish(&mut world, 1, 1, vec![put("x", &[1; 30_000])]).unwrap();
     world.run(2.0);
-    world.with_author(1, |author, now, outputs| author.revert(now, &claim(1), version, outputs));
+    world.with_author(1, |author, now, outputs| {
+        author.revert(now, &claim(1), version, outputs)
+    });
     world.run(1.5);
     let later = |id: u32, world: &World| {
         let change = world.node_of(id).in_force(&name("x")).unwrap().clone();
         assert_eq!(change.content.bytes(), b"good");
         change.version > version
     };
-    assert!(NODES.into_iter().all(|id| later(id, &world)), "what is urgent did not go first");
+    assert!(
+        NODES.into_iter().all(|id| later(id, &world)),
+        "what is urgent did not go first"
+    );
     world.run(40.0);
     assert!(NODES.into_iter().all(|id| later(id, &world)));
     world.judge.verdict();
@@ -83,15 +114,26 @@
 #[test]
 fn an_urgent_change_does_not_wait_for_what_is_not() {
     let mut world = tree(3);
-    let drafts = (0..200).map(|n| put(&format!("r{n}"), &[n; 1000])).collect();
+    let drafts = (0..200)
+        .map(|n| put(&format!("r{n}"), &[n; 1000]))
+        .collect();
     publish(&mut world, 1, 1, drafts).unwrap();
     world.run(5.0);
     let ban = Draft::put(Name::common("bans"), b"ban").urgent();
     publish(&mut world, 1, 1, vec![ban]).unwrap();
-    publish(&mut world, 1, 1, (0..50).map(|n| put(&format!("s{n}"), &[n; 1000])).collect()).unwrap();
+    publish(
+        &mut world,
+        1,
+        1,
+        (0..50).map(|n| put(&format!("s{n}"), &[n; 1000])).collect(),
+    )
+    .unwrap();
     world.run(2.0);
     for id in NODES {
-        assert!(world.node_of(id).in_force(&Name::common("bans")).is_some(), "{id}");
+        assert!(
+            world.node_of(id).in_force(&Name::common("bans")).is_some(),
+            "{id}"
+        );
         assert!(world.node_of(id).all_in_force().count() < 100);
     }
 }
@@ -107,14 +149,20 @@
     for id in NODES {
         assert_eq!(world.bytes_at(id, &name("x")).unwrap(), [243; 1000]);
     }
-    let to_node: usize = world.sent[before..].iter().filter(|s| s.2 == PeerId(100)).map(|s| s.3).sum();
+    let to_node: usize = world.sent[before..]
+        .iter()
+        .filter(|s| s.2 == PeerId(100))
+        .map(|s| s.3)
+        .sum();
     assert!(to_node < 8000, "{to_node} bytes");
 }
 
 #[test]
 fn a_burst_to_500_resources_keeps_to_the_budget() {
     let mut world = tree(5);
-    let drafts = (0..500).map(|n| put(&format!("r{n}"), &[n as u8; 200])).collect();
+    let drafts = (0..500)
+        .map(|n| put(&format!("r{n}"), &[n as u8; 200]))
+        .collect();
     let version = publish(&mut world, 1, 1, drafts).unwrap();
     // 500 times 300 bytes at 6,000 bytes a second.
     world.run(35.0);
@@ -122,7 +170,11 @@
         assert!(world.node_of(id).head() >= version);
         assert_eq!(world.node_of(id).all_in_force().count(), 500);
     }
-    assert!(world.judge.busiest > 40_000, "the budget was not used: {}", world.judge.busiest);
+    assert!(
+        world.judge.busiest > 40_000,
+        "the budget was not used: {}",
+        world.judge.busiest
+    );
     world.judge.verdict();
 }
 
@@ -138,15 +190,24 @@
     }
     world.run(60.0);
     let two = publish(&mut world, 2, 2, vec![put("x", b"two")]).unwrap();
-    assert!(two > Version { token: 1, sequence: u64::MAX });
+    assert!(
+        two > Version {
+            token: 1,
+            sequence: u64::MAX
+        }
+    );
     publish(&mut world, 1, 1, vec![put("x", b"late")]).unwrap();
     for relay in [10, 11] {
         world.cut(PeerId(2), PeerId(relay), 30.0);
     }
     world.run(120.0);
-    let fenced =
-        |event: &(Time, PeerId, Event)| event.1 == PeerId(1) && matches!(event.2, Event::Fenced { .. });
-    assert!(world.judge.events.iter().any(fenced), "the first author was not told");
+    let fenced = |event: &(Time, PeerId, Event)| {
+        event.1 == PeerId(1) && matches!(event.2, Event::Fenced { .. })
+    };
+    assert!(
+        world.judge.events.iter().any(fenced),
+        "the first author was not told"
+    );
     assert!(!world.author_of(1).is_writing());
     let refused = publish(&mut world, 1, 1, vec![put("x", b"later")]);
     assert!(refused.is_err(), "{refused:?}");
@@ -154,9 +215,13 @@
         assert_eq!(world.bytes_at(id, &name("x")).unwrap(), b"two");
     }
     let orphaned = |event: &(Time, PeerId, Event)| {
-        event.1 == PeerId(1) && matches!(&event.2, Event::Orphaned { key, .. } if key.name == name("x"))
+        event.1 == PeerId(1)
+            && matches!(&event.2, Event::Orphaned { key, .. } if key.name == name("x"))
     };
-    assert!(world.judge.events.iter().any(orphaned), "the first author's change was lost silently");
+    assert!(
+        world.judge.events.iter().any(orphaned),
+        "the first author's change was lost silently"
+    );
 }
 
 #[test]
@@ -167,14 +232,22 @@
     // A region: the first author, a relay and its nodes.
     let near_relay = world.node_of(100).following().unwrap();
     let far_relay = if near_relay.0 == 10 { 11 } else { 10 };
-    let region: Vec<u32> = NODES.filter(|id| world.node_of(*id).following() == Some(near_relay)).collect();
+    let region: Vec<u32> = NODES
+        .filter(|id| world.node_of(*id).following() == Some(near_relay))
+        .collect();
     let cut = 100.0;
     for far in [2, far_relay] {
         for near in region.iter().copied().chain([1, near_relay.0]) {
             world.cut(PeerId(far), PeerId(near), cut);
         }
     }
-    publish(&mut world, 1, 1, vec![put("x", b"cut off"), put("y", b"cut off")]).unwrap();
+    publish(
+        &mut world,
+        1,
+        1,
+        vec![put("x", b"cut off"), put("y", b"cut off")],
+    )
+    .unwrap();
     world.run(20.0);
     for id in &region {
         assert_eq!(world.bytes_at(*id, &name("x")).unwrap(), b"cut off");
@@ -199,7 +272,10 @@
     world.run(60.0);
     world.kill(PeerId(1));
     hold(&mut world, 2, 2, 1e6);
-    assert_eq!(publish(&mut world, 2, 2, vec![put("y", b"two")]), Err(Refusal::TakingOver));
+    assert_eq!(
+        publish(&mut world, 2, 2, vec![put("y", b"two")]),
+        Err(Refusal::TakingOver)
+    );
     world.run(60.0);
     publish(&mut world, 2, 2, vec![put("y", b"two")]).unwrap();
     world.run(10.0);
@@ -215,11 +291,16 @@
     let mut world = tree(9);
     publish(&mut world, 1, 1, vec![put("x", b"old")]).unwrap();
     world.run(5.0);
-    let part = Part { thousandths: 400, seed: 3 };
+    let part = Part {
+        thousandths: 400,
+        seed: 3,
+    };
     let inside: Vec<u32> = NODES.filter(|id| part.holds(PeerId(*id))).collect();
     assert!(!inside.is_empty() && inside.len() < 6, "{inside:?}");
     let staged = world
-        .with_author(1, |author, now, outputs| author.stage(now, &claim(1), put("x", b"new"), part, outputs))
+        .with_author(1, |author, now, outputs| {
+            author.stage(now, &claim(1), put("x", b"new"), part, outputs)
+        })
         .unwrap()
         .unwrap();
     world.run(5.0);
@@ -227,7 +308,9 @@
         let expected: &[u8] = if inside.contains(&id) { b"new" } else { b"old" };
         assert_eq!(world.bytes_at(id, &name("x")).unwrap(), expected);
     }
-    world.with_author(1, |author, now, outputs| author.revert(now, &claim(1), staged, outputs));
+    world.with_author(1, |author, now, outputs| {
+        author.revert(now, &claim(1), staged, outputs)
+    });
     world.run(5.0);
     for id in NODES {
         assert_eq!(world.bytes_at(id, &name("x")).unwrap(), b"old");
@@ -236,7 +319,9 @@
         author.stage(now, &claim(1), put("x", b"newer"), part, outputs)
     });
     world.run(5.0);
-    world.with_author(1, |author, now, outputs| author.release(now, &claim(1), &name("x"), outputs));
+    world.with_author(1, |author, now, outputs| {
+        author.release(now, &claim(1), &name("x"), outputs)
+    });
     world.run(5.0);
     for id in NODES {
         assert_eq!(world.bytes_at(id, &name("x")).unwrap(), b"newer");
@@ -249,9 +334,14 @@
     let mut world = tree(10);
     publish(&mut world, 1, 1, vec![put("x", b"old")]).unwrap();
     let stage = |world: &mut World, thousandths| {
-        let part = Part { thousandths, seed: 3 };
+        let part = Part {
+            thousandths,
+            seed: 3,
+        };
         let draft = put("x", b"new");
-        world.with_author(1, |author, now, outputs| author.stage(now, &claim(1), draft, part, outputs));
+        world.with_author(1, |author, now, outputs| {
+            author.stage(now, &claim(1), draft, part, outputs)
+        });
         world.run(5.0);
     };
     stage(&mut world, 1000);
@@ -268,12 +358,26 @@
 fn a_node_subscribes_to_a_service_while_it_is_taken_away() {
     let mut world = tree(11);
     let of_b = |n: u8| Name::service("b", &format!("r{n}"));
-    publish(&mut world, 1, 1, (0..40).map(|n| Draft::put(of_b(n), &[n; 1000])).collect()).unwrap();
+    publish(
+        &mut world,
+        1,
+        1,
+        (0..40).map(|n| Draft::put(of_b(n), &[n; 1000])).collect(),
+    )
+    .unwrap();
     world.run(5.0);
-    world.with_node(100, |node, _, _| node.subscribe(Selector::service("b")).unwrap());
+    world.with_node(100, |node, _, _| {
+        node.subscribe(Selector::service("b")).unwrap()
+    });
     world.run(3.0);
     assert!(!world.node_of(100).is_complete(&Selector::service("b")));
-    publish(&mut world, 1, 1, (0..40).map(|n| Draft::remove(of_b(n))).collect()).unwrap();
+    publish(
+        &mut world,
+        1,
+        1,
+        (0..40).map(|n| Draft::remove(of_b(n))).collect(),
+    )
+    .unwrap();
     world.run(10.0);
     assert!(world.node_of(100).is_complete(&Selector::service("b")));
     assert_eq!(world.node_of(100).all_in_force().count(), 0);
@@ -284,7 +388,13 @@
 fn tenants_come_on_demand_and_go() {
     let mut world = tree(12);
     let tenant = |n: u8| Name::tenant(&format!("t{n}"), "limits");
-    publish(&mut world, 1, 1, (0..50).map(|n| Draft::put(tenant(n), &[n])).collect()).unwrap();
+    publish(
+        &mut world,
+        1,
+        1,
+        (0..50).map(|n| Draft::put(tenant(n), &[n])).collect(),
+    )
+    .unwrap();
     world.run(5.0);
     assert_eq!(world.node_of(100).all_in_force().count(), 0);
     let ask = |world: &mut World, tenant: &str| {
@@ -299,7 +409,9 @@
     publish(&mut world, 1, 1, vec![Draft::put(tenant(7), b"new")]).unwrap();
     world.run(2.0);
     assert_eq!(world.bytes_at(100, &tenant(7)).unwrap(), b"new");
-    world.with_node(100, |node, _, outputs| node.unsubscribe(&Selector::tenant("t7"), outputs));
+    world.with_node(100, |node, _, outputs| {
+        node.unsubscribe(&Selector::tenant("t7"), outputs)
+    });
     world.run(2.0);
     assert_eq!(world.node_of(100).all_in_force().count(), 0);
     world.kill(PeerId(100));
@@ -313,16 +425,31 @@
     let mut world = tree(13);
     let long = "n".repeat(65);
     let bad = |drafts| publish(&mut tree(13), 1, 1, drafts);
-    assert!(matches!(bad(vec![put(&long, b"")]), Err(Refusal::Unsound(_))));
+    assert!(matches!(
+        bad(vec![put(&long, b"")]),
+        Err(Refusal::Unsound(_))
+    ));
     assert!(matches!(bad(vec![put("", b"")]), Err(Refusal::Unsound(_))));
-    assert!(matches!(bad(vec![put("x", &vec![0; 256 * 1024 + 1])]), Err(Refusal::Unsound(_))));
+    assert!(matches!(
+        bad(vec![put("x", &vec![0; 256 * 1024 + 1])]),
+        Err(Refusal::Unsound(_))
+    ));
     assert_eq!(bad(Vec::new()), Err(Refusal::Count));
     let many = (0..10_000).map(|n| put(&format!("r{n}"), b"")).collect();
     assert!(publish(&mut world, 1, 1, many).is_ok());
-    assert!(matches!(publish(&mut world, 1, 1, vec![put("one more", b"")]), Err(Refusal::Full(_))));
+    assert!(matches!(
+        publish(&mut world, 1, 1, vec![put("one more", b"")]),
+        Err(Refusal::Full(_))
+    ));
     assert!(publish(&mut world, 1, 1, vec![put("r1", b"again")]).is_ok());
-    assert_eq!(publish(&mut world, 1, 2, vec![put("x", b"")]), Err(Refusal::NotHeld));
-    assert_eq!(publish(&mut world, 2, 1, vec![put("x", b"")]), Err(Refusal::NotHeld));
+    assert_eq!(
+        publish(&mut world, 1, 2, vec![put("x", b"")]),
+        Err(Refusal::NotHeld)
+    );
+    assert_eq!(
+        publish(&mut world, 2, 1, vec![put("x", b"")]),
+        Err(Refusal::NotHeld)
+    );
 }
 
 #[test]
@@ -332,5 +459,8 @@
     world.run(4.0);
     assert!(publish(&mut world, 1, 1, vec![put("x", b"in time")]).is_ok());
     world.run(2.0);
-    assert_eq!(publish(&mut world, 1, 1, vec![put("x", b"late")]), Err(Refusal::NotHeld));
+    assert_eq!(
+        publish(&mut world, 1, 1, vec![put("x", b"late")]),
+        Err(Refusal::NotHeld)
+    );
 }
--- a/crates/distribution/tests/cases_failover.rs
+++ b/crates/distribution/tests/cases_failover.rs
@@ -38,12 +38,18 @@
 }
 
 fn follows(world: &World, node: u32, relays: &[u32]) -> bool {
-    world.node_of(node).following().is_some_and(|relay| relays.contains(&relay.0))
+    world
+        .node_of(node)
+        .following()
+        .is_some_and(|relay| relays.contains(&relay.0))
 }
 
 /// Whether a relay has this node's session.
 fn is_child(world: &World, relay: u32, node: u32) -> bool {
-    world.relay_of(relay).children().any(|child| child == PeerId(node))
+    world
+        .relay_of(relay)
+        .children()
+        .any(|child| child == PeerId(node))
 }
 
 /// Until a node follows another relay after its own died, with so many others that are dead.
@@ -71,11 +77,17 @@
         let most = session_elsewhere(dead.len() - 1);
         assert!(most <= SESSION_ELSEWHERE, "{most}");
         let began = world.t;
-        while !NODES.into_iter().all(|id| alive.iter().any(|relay| is_child(&world, *relay, id))) {
+        while !NODES
+            .into_iter()
+            .all(|id| alive.iter().any(|relay| is_child(&world, *relay, id)))
+        {
             assert!(world.t - began < most, "seed {seed}: not within {most} s");
             world.run(0.05);
         }
-        println!("seed {seed}: all have a session after {:.2} s, of {most:.2} s", world.t - began);
+        println!(
+            "seed {seed}: all have a session after {:.2} s, of {most:.2} s",
+            world.t - began
+        );
         world.judge.verdict();
     }
 }
@@ -83,8 +95,9 @@
 #[test]
 fn a_node_asks_all_others_once_and_then_one_at_a_time() {
     let mut world = regions(11);
-    let lost: BTreeMap<u32, PeerId> =
-        NODES.filter_map(|id| Some((id, world.node_of(id).following()?))).collect();
+    let lost: BTreeMap<u32, PeerId> = NODES
+        .filter_map(|id| Some((id, world.node_of(id).following()?)))
+        .collect();
     NEAR.chain(FAR).for_each(|id| world.kill(PeerId(id)));
     let began = world.t;
     world.run(300.0);
@@ -94,15 +107,25 @@
         let asked = asked(&world, id, began);
         let (all, later) = asked.split_at(others);
         let whom: BTreeSet<PeerId> = all.iter().map(|(_, peer)| *peer).collect();
-        assert_eq!(whom.len(), others, "{id} asked somebody twice before all others");
-        assert!(!whom.contains(&lost[&id]), "{id} asked the one that it lost before all others");
+        assert_eq!(
+            whom.len(),
+            others,
+            "{id} asked somebody twice before all others"
+        );
+        assert!(
+            !whom.contains(&lost[&id]),
+            "{id} asked the one that it lost before all others"
+        );
         let pause = |pair: &[(Time, PeerId)]| pair[1].0 - pair[0].0;
         // Clocks run unlike.
         let is_delay = |pause: Time| (pause - rules.attempt_delay).abs() < 0.01;
         assert!(all.windows(2).map(pause).all(is_delay), "{id}: {all:?}");
         let least = rules.answer + rules.rest_most / 2.0 - 0.01;
         let from_last = &asked[others - 1..];
-        assert!(later.len() > 10 && from_last.windows(2).map(pause).all(|pause| pause > least), "{id}");
+        assert!(
+            later.len() > 10 && from_last.windows(2).map(pause).all(|pause| pause > least),
+            "{id}"
+        );
     }
     world.judge.verdict();
 }
@@ -113,25 +136,38 @@
     const TEN_SECONDS: Time = 10.0;
     let mut world = World::new(12, CALM);
     let nobody: Vec<u32> = (20..100).collect();
-    let follow = FollowRules { attempt_delay: 0.02, ..FollowRules::node(peers(&nobody)) };
+    let follow = FollowRules {
+        attempt_delay: 0.02,
+        ..FollowRules::node(peers(&nobody))
+    };
     NODES.for_each(|id| node_with(&mut world, id, follow.clone()));
     world.run(60.0);
     // Clocks run unlike by less than a thousandth.
     let most = 1.001 * TEN_SECONDS * Budget::UP.rate + Budget::UP.burst;
     let mut busiest: f64 = 0.0;
     for id in NODES {
-        let whom: BTreeSet<PeerId> = asked(&world, id, 0.0).iter().map(|(_, peer)| *peer).collect();
+        let whom: BTreeSet<PeerId> = asked(&world, id, 0.0)
+            .iter()
+            .map(|(_, peer)| *peer)
+            .collect();
         assert_eq!(whom.len(), nobody.len(), "{id}");
         let frames = world.sent.iter().filter(|frame| frame.1 == PeerId(id));
-        let frames: Vec<(Time, f64)> = frames.map(|f| (f.0, (f.3 + TRANSPORT_OVERHEAD) as f64)).collect();
+        let frames: Vec<(Time, f64)> = frames
+            .map(|f| (f.0, (f.3 + TRANSPORT_OVERHEAD) as f64))
+            .collect();
         for (from, _) in &frames {
-            let window = frames.iter().filter(|(at, _)| (*from..from + TEN_SECONDS).contains(at));
+            let window = frames
+                .iter()
+                .filter(|(at, _)| (*from..from + TEN_SECONDS).contains(at));
             let bytes: f64 = window.map(|(_, bytes)| bytes).sum();
             assert!(bytes <= most, "{id}: {bytes} of {most} bytes from {from}");
             busiest = busiest.max(bytes);
         }
     }
-    assert!(busiest > 0.9 * most, "the budget was not needed: {busiest} of {most} bytes");
+    assert!(
+        busiest > 0.9 * most,
+        "the budget was not needed: {busiest} of {most} bytes"
+    );
 }
 
 /// Answers come later than the next candidate is asked: the first is followed, and the others are let go at once.
@@ -139,7 +175,10 @@
 fn slow_upstreams_are_followed_and_those_that_answered_later_are_left() {
     let mut world = World::new(13, CALM);
     // No frame overtakes another: an end that comes before its beginning leaves a session until the relay's `silence`.
-    world.network = Network { delay: (0.45, 0.46), ..CALM };
+    world.network = Network {
+        delay: (0.45, 0.46),
+        ..CALM
+    };
     world.author(1, &[]);
     let relays: Vec<u32> = NEAR.collect();
     relays.iter().for_each(|id| world.relay(*id, &[1]));
@@ -152,15 +191,31 @@
     world.run(most);
     let mut asked_more_than_one = 0;
     for id in NODES {
-        let sessions: Vec<u32> =
-            relays.iter().copied().filter(|relay| is_child(&world, *relay, id)).collect();
+        let sessions: Vec<u32> = relays
+            .iter()
+            .copied()
+            .filter(|relay| is_child(&world, *relay, id))
+            .collect();
         assert_eq!(sessions.len(), 1, "{id} is a child of {sessions:?}");
-        assert!(follows(&world, id, &sessions), "{id} is a child of {sessions:?}");
+        assert!(
+            follows(&world, id, &sessions),
+            "{id} is a child of {sessions:?}"
+        );
         asked_more_than_one += usize::from(asked(&world, id, 0.0).len() > 1);
     }
-    assert!(asked_more_than_one > NODES.len() / 2, "{asked_more_than_one} asked more than one");
+    assert!(
+        asked_more_than_one > NODES.len() / 2,
+        "{asked_more_than_one} asked more than one"
+    );
     let silent = |event: &&(Time, PeerId, Event)| {
-        event.1 .0 >= NODES.start && matches!(event.2, Event::Left { why: Reason::Silent, .. })
+        event.1 .0 >= NODES.start
+            && matches!(
+                event.2,
+                Event::Left {
+                    why: Reason::Silent,
+                    ..
+                }
+            )
     };
     assert_eq!(world.judge.events.iter().find(silent), None);
     world.judge.verdict();
@@ -184,8 +239,9 @@
             world.run(0.01);
         }
         let draft = Draft::put(Name::service("a", "x"), b"by the successor");
-        let published =
-            world.with_author(2, |author, now, outputs| author.publish(now, &claim(2), vec![draft], outputs));
+        let published = world.with_author(2, |author, now, outputs| {
+            author.publish(now, &claim(2), vec![draft], outputs)
+        });
         let version = published.unwrap().unwrap();
         let began = world.t;
         let rules = FollowRules::relay(Vec::new());
@@ -194,8 +250,15 @@
         let mut times: BTreeMap<u32, Time> = BTreeMap::new();
         while times.len() < relays.len() {
             let passed = world.t - began;
-            assert!(passed < most, "seed {seed}: {} of {} relays within {most} s", times.len(), relays.len());
-            let now_there = relays.iter().filter(|id| !times.contains_key(id) && has_it(&world, id));
+            assert!(
+                passed < most,
+                "seed {seed}: {} of {} relays within {most} s",
+                times.len(),
+                relays.len()
+            );
+            let now_there = relays
+                .iter()
+                .filter(|id| !times.contains_key(id) && has_it(&world, id));
             times.extend(now_there.map(|id| (*id, passed)).collect::<Vec<_>>());
             world.run(0.02);
         }
@@ -218,6 +281,8 @@
     NODES.for_each(|id| node_of_region(&mut world, id, &nobody, &[FAR.start]));
     let rules = FollowRules::node(Vec::new());
     world.run(rules.spread + BEFORE_A_FALLBACK * rules.attempt_delay + ROUND_TRIPS);
-    let without: Vec<u32> = NODES.filter(|id| !is_child(&world, FAR.start, *id)).collect();
+    let without: Vec<u32> = NODES
+        .filter(|id| !is_child(&world, FAR.start, *id))
+        .collect();
     assert_eq!(without, [0; 0]);
 }
--- a/crates/distribution/tests/cases_return.rs
+++ b/crates/distribution/tests/cases_return.rs
@@ -40,16 +40,18 @@
 
 fn hold(world: &mut World, author: u32, token: u64) {
     let until = world.seats[&PeerId(author)].clock(world.t + 1e6);
-    let held =
-        world.with_author(author, |author, now, outputs| author.hold(now, &claim(token), until, outputs));
+    let held = world.with_author(author, |author, now, outputs| {
+        author.hold(now, &claim(token), until, outputs)
+    });
     assert_eq!(held, Some(Ok(())));
 }
 
 fn publish(world: &mut World, author: u32, token: u64, text: &str) -> Version {
     let t = world.t;
     let drafts = vec![Draft::put(Name::service("a", "x"), text.as_bytes())];
-    let version =
-        world.with_author(author, |author, now, outputs| author.publish(now, &claim(token), drafts, outputs));
+    let version = world.with_author(author, |author, now, outputs| {
+        author.publish(now, &claim(token), drafts, outputs)
+    });
     let version = version.unwrap().unwrap();
     world.judge.published(t, version);
     version
@@ -67,7 +69,9 @@
 
 fn until_all_have(world: &mut World, version: Version, most: Time) -> Time {
     until(world, most, "a change at all nodes", |world| {
-        NODES.into_iter().all(|id| world.node_of(id).head() >= version)
+        NODES
+            .into_iter()
+            .all(|id| world.node_of(id).head() >= version)
     })
 }
 
@@ -111,14 +115,28 @@
 fn children_that_look_for_a_relay_in_vain_keep_to_its_new_sessions() {
     let (serve, follow) = (ServeRules::default(), FollowRules::node(Vec::new()));
     let between_attempts = follow.answer + 0.75 * follow.rest_most;
-    assert!(between_attempts >= serve.children as f64 / serve.opens, "{between_attempts}");
+    assert!(
+        between_attempts >= serve.children as f64 / serve.opens,
+        "{between_attempts}"
+    );
     let control = FollowRules::relay(Vec::new());
-    assert!(control.rest_most >= 2.0 * serve.rest, "a relay does not keep to what it is asked");
+    assert!(
+        control.rest_most >= 2.0 * serve.rest,
+        "a relay does not keep to what it is asked"
+    );
 }
 
 #[test]
 fn a_region_that_was_apart_has_all_once_it_is_back() {
-    for (seed, lasts) in [(1, 20.0), (2, 45.0), (3, 90.0), (4, 119.0), (5, 122.0), (6, 200.0), (7, 900.0)] {
+    for (seed, lasts) in [
+        (1, 20.0),
+        (2, 45.0),
+        (3, 90.0),
+        (4, 119.0),
+        (5, 122.0),
+        (6, 200.0),
+        (7, 900.0),
+    ] {
         let mut world = regions(seed);
         let near: Vec<u32> = NEAR.into_iter().chain(NODES).collect();
         let others: Vec<u32> = AUTHORS.into_iter().chain(FAR).collect();
@@ -126,7 +144,9 @@
         world.run(lasts / 2.0);
         let version = publish(&mut world, 1, 1, "while apart");
         world.run(lasts / 2.0);
-        assert!(NODES.into_iter().all(|id| world.node_of(id).head() < version));
+        assert!(NODES
+            .into_iter()
+            .all(|id| world.node_of(id).head() < version));
         let most = relay_finds_author(2, 0).max(node_moves_on()) + ROUND_TRIPS;
         let took = until_all_have(&mut world, version, most);
         println!("apart for {lasts} s: all have it after {took:.2} s, of {most:.2} s");
@@ -144,7 +164,9 @@
         world.run(LEASE);
         world.with_author(1, |author, now, outputs| author.stand_down(now, outputs));
         hold(&mut world, 2, 2);
-        until(&mut world, TAKEOVER + ROUND_TRIPS, "a successor", |world| world.author_of(2).is_writing());
+        until(&mut world, TAKEOVER + ROUND_TRIPS, "a successor", |world| {
+            world.author_of(2).is_writing()
+        });
         let version = publish(&mut world, 2, 2, "while apart");
         let left = lasts - world.t + 40.0;
         world.run(left);
@@ -171,8 +193,9 @@
         });
         world.run(LEASE - moved);
         hold(&mut world, 2, 2);
-        let takeover =
-            until(&mut world, TAKEOVER + ROUND_TRIPS, "a successor", |world| world.author_of(2).is_writing());
+        let takeover = until(&mut world, TAKEOVER + ROUND_TRIPS, "a successor", |world| {
+            world.author_of(2).is_writing()
+        });
         let version = publish(&mut world, 2, 2, "by the successor");
         // The two that are dead may both be tried first; the successor may have refused just before.
         let relay = FollowRules::relay(Vec::new());
@@ -184,7 +207,10 @@
 }
 
 fn follows_one_of(world: &World, node: u32, relays: &[u32]) -> bool {
-    world.node_of(node).following().is_some_and(|relay| relays.contains(&relay.0))
+    world
+        .node_of(node)
+        .following()
+        .is_some_and(|relay| relays.contains(&relay.0))
 }
 
 #[test]
@@ -201,11 +227,20 @@
     let most = 4.0 + (lasts / stale - 1.0 - 1.0 - 2.0 - 4.0) / PATIENCE_MOST;
     for id in NODES {
         let left = |event: &&(Time, PeerId, Event)| {
-            let stale = matches!(event.2, Event::Left { why: Reason::Stale, .. });
+            let stale = matches!(
+                event.2,
+                Event::Left {
+                    why: Reason::Stale,
+                    ..
+                }
+            );
             event.0 > began && event.1 == PeerId(id) && stale
         };
         let moves = world.judge.events.iter().filter(left).count();
-        assert!((2..=most.ceil() as usize).contains(&moves), "{id} moved {moves} times, of {most}");
+        assert!(
+            (2..=most.ceil() as usize).contains(&moves),
+            "{id} moved {moves} times, of {most}"
+        );
     }
     world.judge.verdict();
 }
@@ -228,17 +263,29 @@
     let serve = ServeRules::default();
     let most = node_finds_relay() + 2.0 * serve.rest + ROUND_TRIPS;
     let mut children = [0; RELAYS.len()];
-    while MANY.into_iter().any(|id| world.node_of(id).head() < version) {
+    while MANY
+        .into_iter()
+        .any(|id| world.node_of(id).head() < version)
+    {
         assert!(world.t - began < most.min(IN_FORCE), "not within {most} s");
         world.run(0.5);
         for (before, id) in children.iter_mut().zip(RELAYS) {
             let now = world.relay_of(id).children().count();
             let passed = world.t - began;
-            assert!(now as f64 <= serve.opens * (1.0 + passed), "{now} children after {passed} s");
-            assert!(now <= *before + (1.5 * serve.opens) as usize, "{before}, then {now} children");
+            assert!(
+                now as f64 <= serve.opens * (1.0 + passed),
+                "{now} children after {passed} s"
+            );
+            assert!(
+                now <= *before + (1.5 * serve.opens) as usize,
+                "{before}, then {now} children"
+            );
             *before = now;
         }
     }
-    println!("1,500 nodes have it after {:.2} s, of {most:.2} s; {children:?} children", world.t - began);
+    println!(
+        "1,500 nodes have it after {:.2} s, of {most:.2} s; {children:?} children",
+        world.t - began
+    );
     world.judge.verdict();
 }
--- a/crates/distribution/tests/cases_tree.rs
+++ b/crates/distribution/tests/cases_tree.rs
@@ -29,8 +29,9 @@
 
 fn publish(world: &mut World, token: u64, drafts: Vec<Draft>) -> Version {
     let t = world.t;
-    let version =
-        world.with_author(1, |author, now, outputs| author.publish(now, &claim(token), drafts, outputs));
+    let version = world.with_author(1, |author, now, outputs| {
+        author.publish(now, &claim(token), drafts, outputs)
+    });
     let version = version.unwrap().unwrap();
     world.judge.published(t, version);
     version
@@ -56,8 +57,16 @@
     let version = publish(&mut world, 1, vec![put("x", b"one")]);
     until_all_have(&mut world, &all(), version, 2.0);
     for id in NODES {
-        assert_eq!(world.bytes_at(id, &Name::service("a", "x")).unwrap(), b"one");
-        assert!(world.node_of(id).staleness(world.seats[&PeerId(id)].clock(world.t)) < 8.0);
+        assert_eq!(
+            world.bytes_at(id, &Name::service("a", "x")).unwrap(),
+            b"one"
+        );
+        assert!(
+            world
+                .node_of(id)
+                .staleness(world.seats[&PeerId(id)].clock(world.t))
+                < 8.0
+        );
     }
     world.run(10.0);
     let status = world.author_of(1).status(version);
@@ -68,10 +77,14 @@
 #[test]
 fn a_relay_killed_in_a_snapshot_is_left_and_what_came_is_not_sent_again() {
     let mut world = tree(2);
-    let drafts = (0..100).map(|n| put(&format!("r{n}"), &[n; 1000])).collect();
+    let drafts = (0..100)
+        .map(|n| put(&format!("r{n}"), &[n; 1000]))
+        .collect();
     let version = publish(&mut world, 1, drafts);
     world.run(8.0);
-    let had: Vec<usize> = NODES.map(|id| world.node_of(id).all_in_force().count()).collect();
+    let had: Vec<usize> = NODES
+        .map(|id| world.node_of(id).all_in_force().count())
+        .collect();
     assert!(had.iter().all(|n| (10..90).contains(n)), "{had:?}");
     let killed = world.node_of(100).following().unwrap();
     world.kill(killed);
@@ -79,8 +92,15 @@
     let before = world.sent.len();
     until_all_have(&mut world, &all(), version, 40.0);
     let left: Vec<Time> = lefts(&world, at, Reason::Silent);
-    assert!(!left.is_empty() && left.iter().all(|t| t - at < 8.5), "{left:?}");
-    let to_node: usize = world.sent[before..].iter().filter(|s| s.2 == PeerId(100)).map(|s| s.3).sum();
+    assert!(
+        !left.is_empty() && left.iter().all(|t| t - at < 8.5),
+        "{left:?}"
+    );
+    let to_node: usize = world.sent[before..]
+        .iter()
+        .filter(|s| s.2 == PeerId(100))
+        .map(|s| s.3)
+        .sum();
     let lacked = (100 - had[0]) * 1100;
     assert!(to_node < lacked + 20_000, "{to_node} bytes for {lacked}");
     world.judge.verdict();
@@ -88,9 +108,17 @@
 
 fn lefts(world: &World, since: Time, reason: Reason) -> Vec<Time> {
     let of_node = |event: &&(Time, PeerId, Event)| {
-        event.0 > since && event.1 .0 >= 100 && matches!(event.2, Event::Left { why, .. } if why == reason)
+        event.0 > since
+            && event.1 .0 >= 100
+            && matches!(event.2, Event::Left { why, .. } if why == reason)
     };
-    world.judge.events.iter().filter(of_node).map(|event| event.0).collect()
+    world
+        .judge
+        .events
+        .iter()
+        .filter(of_node)
+        .map(|event| event.0)
+        .collect()
 }
 
 #[test]
@@ -111,13 +139,27 @@
     let follows = |event: &&(Time, PeerId, Event)| {
         event.0 > at && matches!(event.2, Event::Following(peer) if peer == PeerId(21))
     };
-    let mut back: Vec<Time> = world.judge.events.iter().filter(follows).map(|e| e.0 - at).collect();
+    let mut back: Vec<Time> = world
+        .judge
+        .events
+        .iter()
+        .filter(follows)
+        .map(|e| e.0 - at)
+        .collect();
     back.sort_by(f64::total_cmp);
     assert!(back.len() > 15, "{}", back.len());
     assert!(*back.last().unwrap() < 14.0, "{back:?}");
-    let within = |from: Time| back.iter().filter(|t| (from..from + 0.5).contains(*t)).count();
+    let within = |from: Time| {
+        back.iter()
+            .filter(|t| (from..from + 0.5).contains(*t))
+            .count()
+    };
     let most = (0..60).map(|n| within(f64::from(n) * 0.25)).max().unwrap();
-    assert!(most * 2 < back.len(), "{most} of {} within half a second", back.len());
+    assert!(
+        most * 2 < back.len(),
+        "{most} of {} within half a second",
+        back.len()
+    );
 }
 
 #[test]
@@ -127,13 +169,20 @@
     world.kill(PeerId(21));
     world.run(60.0);
     let version = publish(&mut world, 1, vec![put("x", b"two")]);
-    let stale = world.node_of(100).staleness(world.seats[&PeerId(100)].clock(world.t));
+    let stale = world
+        .node_of(100)
+        .staleness(world.seats[&PeerId(100)].clock(world.t));
     assert!((58.0..72.0).contains(&stale), "{stale}");
     world.start(PeerId(20));
     world.start(PeerId(21));
     // An attempt that is under way, a rest, and the round trips of a session and a change.
     let rules = FollowRules::node(Vec::new());
-    until_all_have(&mut world, &all(), version, rules.answer + rules.rest_most + 1.0);
+    until_all_have(
+        &mut world,
+        &all(),
+        version,
+        rules.answer + rules.rest_most + 1.0,
+    );
     world.judge.verdict();
 }
 
@@ -224,8 +273,11 @@
     }
     let month = 30.0 * 86_400.0;
     let disk = world.seats[&PeerId(100)].disk.clone();
-    let world::Config::Node(config, _) = world.seats[&PeerId(100)].config.clone() else { panic!() };
-    let mut node = reelfall_distribution::subscriber::Subscriber::restore(config, disk, Some(month), 5.0);
+    let world::Config::Node(config, _) = world.seats[&PeerId(100)].config.clone() else {
+        panic!()
+    };
+    let mut node =
+        reelfall_distribution::subscriber::Subscriber::restore(config, disk, Some(month), 5.0);
     let mut outputs = Vec::new();
     node.poll(5.0, &mut outputs);
     let x = node.in_force(&Name::service("a", "x")).unwrap();
@@ -240,7 +292,10 @@
         outputs.clear();
         node.poll(now, &mut outputs);
         let followed = |output: &&reelfall_distribution::output::Output| {
-            matches!(output, reelfall_distribution::output::Output::Event(Event::Following(_)))
+            matches!(
+                output,
+                reelfall_distribution::output::Output::Event(Event::Following(_))
+            )
         };
         asked += outputs.iter().filter(followed).count();
     }
@@ -261,7 +316,11 @@
     }
     publish(&mut world, 1, vec![Draft::remove(Name::service("a", "r3"))]);
     for n in 0..70 {
-        publish(&mut world, 1, vec![Draft::remove(Name::service("a", &format!("s{n}")))]);
+        publish(
+            &mut world,
+            1,
+            vec![Draft::remove(Name::service("a", &format!("s{n}")))],
+        );
     }
     let version = publish(&mut world, 1, vec![put("r4", b"new")]);
     world.run(20.0);
@@ -269,10 +328,26 @@
     world.start(PeerId(100));
     until_all_have(&mut world, &[100], version, 20.0);
     world.run(1.0);
-    assert!(world.node_of(100).in_force(&Name::service("a", "r3")).is_none(), "a removal was missed");
-    assert_eq!(world.bytes_at(100, &Name::service("a", "r4")).unwrap(), b"new");
+    assert!(
+        world
+            .node_of(100)
+            .in_force(&Name::service("a", "r3"))
+            .is_none(),
+        "a removal was missed"
+    );
+    assert_eq!(
+        world.bytes_at(100, &Name::service("a", "r4")).unwrap(),
+        b"new"
+    );
     assert_eq!(world.node_of(100).all_in_force().count(), 29);
-    let bytes: usize = world.sent[before..].iter().filter(|s| s.2 == PeerId(100)).map(|s| s.3).sum();
-    assert!(bytes < 15_000, "{bytes} bytes: 29 bodies of 800 bytes were there already");
+    let bytes: usize = world.sent[before..]
+        .iter()
+        .filter(|s| s.2 == PeerId(100))
+        .map(|s| s.3)
+        .sum();
+    assert!(
+        bytes < 15_000,
+        "{bytes} bytes: 29 bodies of 800 bytes were there already"
+    );
     world.judge.verdict();
 }
--- a/crates/distribution/tests/cases_trial.rs
+++ b/crates/distribution/tests/cases_trial.rs
@@ -43,11 +43,19 @@
 }
 
 fn draft(body: &[u8], policy: RolloutPolicy) -> RolloutDraft {
-    RolloutDraft { name: name(), content: Content::body(body), seed: SEED, policy }
+    RolloutDraft {
+        name: name(),
+        content: Content::body(body),
+        seed: SEED,
+        policy,
+    }
 }
 
 fn stage_nodes(thousandths: u16) -> Vec<u32> {
-    let part = Part { thousandths, seed: SEED };
+    let part = Part {
+        thousandths,
+        seed: SEED,
+    };
     NODES.filter(|id| part.holds(PeerId(*id))).collect()
 }
 
@@ -55,7 +63,11 @@
 fn tree(seed: u64, relays_of: fn(u32) -> Vec<u32>) -> World {
     let mut world = two_authors_and_relays(seed);
     for id in NODES {
-        world.node(id, &relays_of(id), &[Selector::common(), Selector::service("a")]);
+        world.node(
+            id,
+            &relays_of(id),
+            &[Selector::common(), Selector::service("a")],
+        );
     }
     hold(&mut world, 1, 1, 1e6);
     world.run(SETTLED);
@@ -76,13 +88,22 @@
 fn publish(world: &mut World, author: u32, token: u64, body: &[u8]) -> Result<Version, Refusal> {
     let drafts = vec![Draft::put(name(), body)];
     world
-        .with_author(author, |author, now, outputs| author.publish(now, &claim(token), drafts, outputs))
+        .with_author(author, |author, now, outputs| {
+            author.publish(now, &claim(token), drafts, outputs)
+        })
         .unwrap()
 }
 
-fn roll_out(world: &mut World, author: u32, token: u64, draft: RolloutDraft) -> Result<Version, Refusal> {
+fn roll_out(
+    world: &mut World,
+    author: u32,
+    token: u64,
+    draft: RolloutDraft,
+) -> Result<Version, Refusal> {
     world
-        .with_author(author, |author, now, outputs| author.roll_out(now, &claim(token), draft, outputs))
+        .with_author(author, |author, now, outputs| {
+            author.roll_out(now, &claim(token), draft, outputs)
+        })
         .unwrap()
 }
 
@@ -111,7 +132,12 @@
         Event::RolloutStopped { .. } => Some(None),
         _ => None,
     };
-    world.judge.events.iter().filter_map(|(t, _, event)| Some((*t, step(event)?))).collect()
+    world
+        .judge
+        .events
+        .iter()
+        .filter_map(|(t, _, event)| Some((*t, step(event)?)))
+        .collect()
 }
 
 /// The author gets the lease with its next token, from a crash or not.
@@ -124,7 +150,10 @@
 #[test]
 fn the_first_stage_has_both_kinds_of_nodes() {
     let first = stage_nodes(FIRST_STAGE);
-    assert!(first.iter().any(|id| id % 2 == 0) && first.iter().any(|id| id % 2 == 1), "{first:?}");
+    assert!(
+        first.iter().any(|id| id % 2 == 0) && first.iter().any(|id| id % 2 == 1),
+        "{first:?}"
+    );
     assert!(first.len() < stage_nodes(600).len() && stage_nodes(600).len() < NODES.len());
 }
 
@@ -135,24 +164,40 @@
     roll_out(&mut world, 1, 1, draft(NEW, policy())).unwrap();
     world.run(SOAK / 2.0);
     let seen = status(&world, 1);
-    assert_eq!((seen.thousandths, seen.waiting), (Some(FIRST_STAGE), Some(Waiting::Soak)));
+    assert_eq!(
+        (seen.thousandths, seen.waiting),
+        (Some(FIRST_STAGE), Some(Waiting::Soak))
+    );
     for id in NODES {
-        let expected = if stage_nodes(FIRST_STAGE).contains(&id) { NEW } else { EARLIER };
+        let expected = if stage_nodes(FIRST_STAGE).contains(&id) {
+            NEW
+        } else {
+            EARLIER
+        };
         assert_eq!(world.bytes_at(id, &name()).unwrap(), expected, "{id}");
     }
     world.run(100.0);
     let steps = steps(&world);
-    assert_eq!(steps.iter().map(|step| step.1).collect::<Vec<_>>(), [Some(600), Some(1000), None]);
+    assert_eq!(
+        steps.iter().map(|step| step.1).collect::<Vec<_>>(),
+        [Some(600), Some(1000), None]
+    );
     let mut before = begun;
     for (t, _) in steps {
         // The author's clock may go wrong by as much as all do.
         let lasted = t - before;
-        assert!((SOAK * 0.999..SOAK + 5.0).contains(&lasted), "a stage of {lasted} s");
+        assert!(
+            (SOAK * 0.999..SOAK + 5.0).contains(&lasted),
+            "a stage of {lasted} s"
+        );
         before = t;
     }
     assert_eq!(state(&world, 1), RolloutState::Completed);
     assert_everywhere(&world, NEW);
-    let trial = Key { name: name(), slot: Slot::Trial };
+    let trial = Key {
+        name: name(),
+        slot: Slot::Trial,
+    };
     assert!(world.author_of(1).log().get(&trial).unwrap().removes());
     world.judge.verdict();
 }
@@ -164,14 +209,36 @@
     roll_out(&mut world, 1, 1, draft(BAD_FOR_ODD, policy())).unwrap();
     world.run(5.0);
     let (stopped_at, _) = steps(&world)[0];
-    assert!(stopped_at - begun < 2.0, "taken back after {} s", stopped_at - begun);
-    let refusing: Vec<u32> = stage_nodes(FIRST_STAGE).into_iter().filter(|id| id % 2 == 1).collect();
+    assert!(
+        stopped_at - begun < 2.0,
+        "taken back after {} s",
+        stopped_at - begun
+    );
+    let refusing: Vec<u32> = stage_nodes(FIRST_STAGE)
+        .into_iter()
+        .filter(|id| id % 2 == 1)
+        .collect();
     let seen = status(&world, 1);
-    let named: Vec<u32> = seen.refusing.iter().map(|refusing| refusing.node.0).collect();
-    assert!(!named.is_empty() && named.iter().all(|id| refusing.contains(id)), "{named:?} of {refusing:?}");
-    assert!(seen.refusing.iter().all(|refusing| refusing.reason == "odd numbers can't"));
-    let RolloutState::RolledBack(stop) = seen.record.state else { panic!("{:?}", seen.record.state) };
-    assert_eq!((stop.thousandths, stop.refusing.len() as u32), (FIRST_STAGE, stop.refused));
+    let named: Vec<u32> = seen
+        .refusing
+        .iter()
+        .map(|refusing| refusing.node.0)
+        .collect();
+    assert!(
+        !named.is_empty() && named.iter().all(|id| refusing.contains(id)),
+        "{named:?} of {refusing:?}"
+    );
+    assert!(seen
+        .refusing
+        .iter()
+        .all(|refusing| refusing.reason == "odd numbers can't"));
+    let RolloutState::RolledBack(stop) = seen.record.state else {
+        panic!("{:?}", seen.record.state)
+    };
+    assert_eq!(
+        (stop.thousandths, stop.refusing.len() as u32),
+        (FIRST_STAGE, stop.refused)
+    );
     assert_everywhere(&world, EARLIER);
     world.run(3.0 * SOAK);
     assert_eq!(steps(&world).len(), 1, "it went on");
@@ -186,7 +253,11 @@
 #[test]
 fn refusals_within_the_threshold_do_not_stop_it() {
     let mut world = tree(3, both_relays);
-    let tolerant = RolloutPolicy { max_refused_share: 800, min_accepted_share: 200, ..policy() };
+    let tolerant = RolloutPolicy {
+        max_refused_share: 800,
+        min_accepted_share: 200,
+        ..policy()
+    };
     roll_out(&mut world, 1, 1, draft(BAD_FOR_ODD, tolerant)).unwrap();
     world.run(120.0);
     assert_eq!(state(&world, 1), RolloutState::Completed);
@@ -200,7 +271,11 @@
 #[test]
 fn a_number_of_refusals_stops_it_whatever_their_share() {
     let mut world = tree(4, both_relays);
-    let policy = RolloutPolicy { max_refused_share: 1000, max_refused: 0, ..policy() };
+    let policy = RolloutPolicy {
+        max_refused_share: 1000,
+        max_refused: 0,
+        ..policy()
+    };
     roll_out(&mut world, 1, 1, draft(BAD_FOR_ODD, policy)).unwrap();
     world.run(5.0);
     assert!(is_rolled_back(&world, 1));
@@ -210,16 +285,25 @@
 #[test]
 fn a_halted_rollout_stays_at_its_stage_until_it_is_ended_by_hand() {
     let mut world = tree(5, both_relays);
-    let halting = RolloutPolicy { on_refusals: OnRefusals::Halt, ..policy() };
+    let halting = RolloutPolicy {
+        on_refusals: OnRefusals::Halt,
+        ..policy()
+    };
     roll_out(&mut world, 1, 1, draft(BAD_FOR_ODD, halting.clone())).unwrap();
     world.run(3.0 * SOAK);
     assert!(matches!(state(&world, 1), RolloutState::Halted(_)));
     assert_eq!(status(&world, 1).thousandths, Some(FIRST_STAGE));
     for id in NODES {
         let accepted = id % 2 == 0 && stage_nodes(FIRST_STAGE).contains(&id);
-        assert_eq!(world.bytes_at(id, &name()).unwrap(), if accepted { BAD_FOR_ODD } else { EARLIER });
+        assert_eq!(
+            world.bytes_at(id, &name()).unwrap(),
+            if accepted { BAD_FOR_ODD } else { EARLIER }
+        );
     }
-    assert_eq!(roll_out(&mut world, 1, 1, draft(NEW, halting)), Err(Refusal::RollingOut));
+    assert_eq!(
+        roll_out(&mut world, 1, 1, draft(NEW, halting)),
+        Err(Refusal::RollingOut)
+    );
     // A successor neither goes on.
     world.kill(PeerId(1));
     take_over(&mut world, 2, 2);
@@ -234,13 +318,23 @@
 }
 
 fn trial_version(world: &World, author: u32) -> Version {
-    world.author_of(author).log().get(&Key { name: name(), slot: Slot::Trial }).unwrap().version
+    world
+        .author_of(author)
+        .log()
+        .get(&Key {
+            name: name(),
+            slot: Slot::Trial,
+        })
+        .unwrap()
+        .version
 }
 
 fn revert(world: &mut World, author: u32, token: u64) {
     let version = trial_version(world, author);
     world
-        .with_author(author, |author, now, outputs| author.revert(now, &claim(token), version, outputs))
+        .with_author(author, |author, now, outputs| {
+            author.revert(now, &claim(token), version, outputs)
+        })
         .unwrap()
         .unwrap();
 }
@@ -252,15 +346,19 @@
         roll_out(&mut world, 1, 1, draft(NEW, policy())).unwrap();
         world.run(SOAK / 2.0);
         if releases {
-            let released =
-                world.with_author(1, |author, now, outputs| author.release(now, &claim(1), &name(), outputs));
+            let released = world.with_author(1, |author, now, outputs| {
+                author.release(now, &claim(1), &name(), outputs)
+            });
             released.unwrap().unwrap();
         } else {
             revert(&mut world, 1, 1);
         }
         world.run(3.0 * SOAK);
-        let (ended, body) =
-            if releases { (RolloutState::Completed, NEW) } else { (RolloutState::Ended, EARLIER) };
+        let (ended, body) = if releases {
+            (RolloutState::Completed, NEW)
+        } else {
+            (RolloutState::Ended, EARLIER)
+        };
         assert_eq!(state(&world, 1), ended);
         assert_eq!(steps(&world).len(), 1, "it went on by itself");
         assert_everywhere(&world, body);
@@ -277,15 +375,28 @@
     publish(&mut world, 1, 1, b"other").unwrap();
     world.run(3.0 * SOAK);
     assert_eq!(state(&world, 1), RolloutState::Superseded);
-    assert!(world.author_of(1).log().get(&Key { name: name(), slot: Slot::Trial }).unwrap().removes());
+    assert!(world
+        .author_of(1)
+        .log()
+        .get(&Key {
+            name: name(),
+            slot: Slot::Trial
+        })
+        .unwrap()
+        .removes());
     assert_everywhere(&world, b"other");
     // A trial by hand takes the place of a rollout's trial, and is left alone.
     roll_out(&mut world, 1, 1, draft(NEW, policy())).unwrap();
     world.run(SOAK / 2.0);
     let by_hand = Draft::put(name(), b"by hand");
-    let part = Part { thousandths: 1000, seed: SEED };
+    let part = Part {
+        thousandths: 1000,
+        seed: SEED,
+    };
     world
-        .with_author(1, |author, now, outputs| author.stage(now, &claim(1), by_hand, part, outputs))
+        .with_author(1, |author, now, outputs| {
+            author.stage(now, &claim(1), by_hand, part, outputs)
+        })
         .unwrap()
         .unwrap();
     world.run(3.0 * SOAK);
@@ -302,14 +413,24 @@
     roll_out(&mut world, 1, 1, draft(NEW, policy())).unwrap();
     world.run(300.0);
     let seen = status(&world, 1);
-    assert_eq!((seen.thousandths, seen.waiting), (Some(FIRST_STAGE), Some(Waiting::Acceptances)));
-    assert!(seen.counts.accepted > 0 && seen.counts.accepted < seen.counts.known, "{:?}", seen.counts);
+    assert_eq!(
+        (seen.thousandths, seen.waiting),
+        (Some(FIRST_STAGE), Some(Waiting::Acceptances))
+    );
+    assert!(
+        seen.counts.accepted > 0 && seen.counts.accepted < seen.counts.known,
+        "{:?}",
+        seen.counts
+    );
     // A later author never heard of the region; the record says how many nodes there were.
     world.kill(PeerId(1));
     take_over(&mut world, 2, 2);
     world.run(300.0);
     let seen = status(&world, 2);
-    assert_eq!((seen.thousandths, seen.waiting), (Some(FIRST_STAGE), Some(Waiting::Acceptances)));
+    assert_eq!(
+        (seen.thousandths, seen.waiting),
+        (Some(FIRST_STAGE), Some(Waiting::Acceptances))
+    );
     world.cut(PeerId(2), PeerId(11), 0.0);
     world.run(200.0);
     assert_eq!(state(&world, 2), RolloutState::Completed);
@@ -320,7 +441,11 @@
 #[test]
 fn reports_that_grew_too_old_hold_a_stage_back() {
     let mut world = tree(9, own_relay);
-    let slow = RolloutPolicy { soak: 300.0, max_report_age: 150.0, ..policy() };
+    let slow = RolloutPolicy {
+        soak: 300.0,
+        max_report_age: 150.0,
+        ..policy()
+    };
     roll_out(&mut world, 1, 1, draft(NEW, slow)).unwrap();
     world.run(100.0);
     assert_eq!(status(&world, 1).waiting, Some(Waiting::Soak));
@@ -329,8 +454,15 @@
     }
     world.run(300.0);
     let seen = status(&world, 1);
-    assert_eq!((seen.thousandths, seen.waiting), (Some(FIRST_STAGE), Some(Waiting::Acceptances)));
-    assert_eq!(seen.counts.accepted, seen.counts.known, "all accepted once: {:?}", seen.counts);
+    assert_eq!(
+        (seen.thousandths, seen.waiting),
+        (Some(FIRST_STAGE), Some(Waiting::Acceptances))
+    );
+    assert_eq!(
+        seen.counts.accepted, seen.counts.known,
+        "all accepted once: {:?}",
+        seen.counts
+    );
     assert!(seen.counts.accepted_lately < seen.counts.known);
     world.run(200.0);
     assert!(status(&world, 1).thousandths > Some(FIRST_STAGE));
@@ -339,11 +471,17 @@
 #[test]
 fn too_few_decisions_hold_a_stage_back() {
     let mut world = tree(10, both_relays);
-    let many = RolloutPolicy { min_decisions: stage_nodes(FIRST_STAGE).len() as u32 + 1, ..policy() };
+    let many = RolloutPolicy {
+        min_decisions: stage_nodes(FIRST_STAGE).len() as u32 + 1,
+        ..policy()
+    };
     roll_out(&mut world, 1, 1, draft(NEW, many)).unwrap();
     world.run(200.0);
     let seen = status(&world, 1);
-    assert_eq!((seen.thousandths, seen.waiting), (Some(FIRST_STAGE), Some(Waiting::Decisions)));
+    assert_eq!(
+        (seen.thousandths, seen.waiting),
+        (Some(FIRST_STAGE), Some(Waiting::Decisions))
+    );
 }
 
 #[test]
@@ -358,9 +496,20 @@
     world.start(PeerId(1));
     let began = world.t;
     take_over(&mut world, 1, 2);
-    let resumed = Event::RolloutResumed { name: name(), thousandths: 600 };
-    assert!(world.judge.events.iter().any(|(_, _, event)| *event == resumed));
-    assert_eq!(status(&world, 1).waiting, Some(Waiting::Soak), "the stage soaks anew");
+    let resumed = Event::RolloutResumed {
+        name: name(),
+        thousandths: 600,
+    };
+    assert!(world
+        .judge
+        .events
+        .iter()
+        .any(|(_, _, event)| *event == resumed));
+    assert_eq!(
+        status(&world, 1).waiting,
+        Some(Waiting::Soak),
+        "the stage soaks anew"
+    );
     world.run(150.0);
     assert!(steps(&world)[1].0 - began >= SOAK, "{:?}", steps(&world));
     assert_eq!(state(&world, 1), RolloutState::Completed);
@@ -371,7 +520,11 @@
 #[test]
 fn a_successor_goes_on_and_knows_who_refused() {
     let mut world = tree(12, both_relays);
-    let tolerant = RolloutPolicy { max_refused_share: 800, min_accepted_share: 200, ..policy() };
+    let tolerant = RolloutPolicy {
+        max_refused_share: 800,
+        min_accepted_share: 200,
+        ..policy()
+    };
     roll_out(&mut world, 1, 1, draft(BAD_FOR_ODD, tolerant)).unwrap();
     world.run(SOAK / 2.0);
     let counts = status(&world, 1).counts;
@@ -390,7 +543,12 @@
 #[test]
 fn standings_of_an_earlier_lease_are_no_acceptances() {
     let mut world = tree(22, both_relays);
-    let tolerant = RolloutPolicy { max_refused_share: 800, min_accepted_share: 200, soak: 300.0, ..policy() };
+    let tolerant = RolloutPolicy {
+        max_refused_share: 800,
+        min_accepted_share: 200,
+        soak: 300.0,
+        ..policy()
+    };
     roll_out(&mut world, 1, 1, draft(BAD_FOR_ODD, tolerant)).unwrap();
     world.run(20.0);
     assert!(status(&world, 1).counts.accepted > 0);
@@ -402,14 +560,21 @@
     world.run(30.0);
     let counts = status(&world, 1).counts;
     assert!(world.author_of(1).is_writing() && counts.known > 0);
-    assert_eq!((counts.accepted, counts.refused), (0, 0), "nobody was heard");
+    assert_eq!(
+        (counts.accepted, counts.refused),
+        (0, 0),
+        "nobody was heard"
+    );
 }
 
 /// A relay that took refusals and ended before it passed them on: its nodes tell them again before their standing.
 #[test]
 fn refusals_that_a_relay_took_and_lost_come_again() {
     let mut world = tree(13, own_relay);
-    let patient = RolloutPolicy { soak: 60.0, ..policy() };
+    let patient = RolloutPolicy {
+        soak: 60.0,
+        ..policy()
+    };
     roll_out(&mut world, 1, 1, draft(BAD_FOR_ODD, patient)).unwrap();
     // The relay has the trial, and what the nodes say of it does not leave it.
     world.run(0.08);
@@ -417,7 +582,10 @@
         world.cut(PeerId(author), PeerId(11), 30.0);
     }
     world.run(20.0);
-    let refusing: Vec<u32> = stage_nodes(FIRST_STAGE).into_iter().filter(|id| id % 2 == 1).collect();
+    let refusing: Vec<u32> = stage_nodes(FIRST_STAGE)
+        .into_iter()
+        .filter(|id| id % 2 == 1)
+        .collect();
     let asked = |id: &u32| world.node_of(*id).head() >= trial_version(&world, 1);
     assert!(refusing.iter().all(asked), "the trial has not come");
     assert_eq!(state(&world, 1), RolloutState::Running);
@@ -425,8 +593,13 @@
     world.kill(PeerId(11));
     world.start(PeerId(11));
     world.run(150.0);
-    let RolloutState::RolledBack(stop) = state(&world, 1) else { panic!("{:?}", status(&world, 1)) };
-    assert_eq!(stop.thousandths, FIRST_STAGE, "the stage ended without them");
+    let RolloutState::RolledBack(stop) = state(&world, 1) else {
+        panic!("{:?}", status(&world, 1))
+    };
+    assert_eq!(
+        stop.thousandths, FIRST_STAGE,
+        "the stage ended without them"
+    );
     assert_everywhere(&world, EARLIER);
     world.judge.verdict();
 }
@@ -448,7 +621,10 @@
     // It believes that it holds the lease, and had heard all of its first stage.
     assert!(world.author_of(1).is_writing());
     world.run(200.0);
-    assert!(!world.author_of(1).is_writing() || status(&world, 1).record.state != RolloutState::Completed);
+    assert!(
+        !world.author_of(1).is_writing()
+            || status(&world, 1).record.state != RolloutState::Completed
+    );
     assert_eq!(state(&world, 2), RolloutState::Ended);
     assert_everywhere(&world, EARLIER);
     assert!(roll_out(&mut world, 1, 1, draft(NEW, policy())).is_err());
@@ -473,12 +649,20 @@
         world.run(0.01);
         assert!(world.t < 200.0, "it was not taken back");
     }
-    let drafts = (0..60).map(|n| Draft::put(Name::service("a", &format!("r{n}")), &[n; 1000])).collect();
-    world.with_author(1, |author, now, outputs| author.publish(now, &claim(1), drafts, outputs));
+    let drafts = (0..60)
+        .map(|n| Draft::put(Name::service("a", &format!("r{n}")), &[n; 1000]))
+        .collect();
+    world.with_author(1, |author, now, outputs| {
+        author.publish(now, &claim(1), drafts, outputs)
+    });
     for _ in 0..15 {
         world.run(0.1);
         for id in stage_nodes(FIRST_STAGE) {
-            assert_eq!(world.bytes_at(id, &name()).as_deref(), Some(EARLIER), "{id}");
+            assert_eq!(
+                world.bytes_at(id, &name()).as_deref(),
+                Some(EARLIER),
+                "{id}"
+            );
         }
     }
     for id in stage_nodes(FIRST_STAGE) {
@@ -535,7 +719,10 @@
 
 fn end_after(body: &[u8], outputs: usize, successor: u32) {
     let mut world = tree(18, both_relays);
-    let short = RolloutPolicy { stages: vec![1000], ..policy() };
+    let short = RolloutPolicy {
+        stages: vec![1000],
+        ..policy()
+    };
     let accepted = body == NEW;
     roll_out(&mut world, 1, 1, draft(body, short)).unwrap();
     if accepted {
@@ -561,8 +748,15 @@
     world.run(150.0);
     let ended = state(&world, successor);
     assert!(!ended.is_open(), "{outputs} {successor}: {ended:?}");
-    let expected = if ended == RolloutState::Completed { body } else { EARLIER };
-    assert!(accepted || ended != RolloutState::Completed, "{outputs} {successor}: {ended:?}");
+    let expected = if ended == RolloutState::Completed {
+        body
+    } else {
+        EARLIER
+    };
+    assert!(
+        accepted || ended != RolloutState::Completed,
+        "{outputs} {successor}: {ended:?}"
+    );
     assert_everywhere(&world, expected);
     world.judge.verdict();
 }
@@ -576,38 +770,98 @@
         change(&mut policy);
         refused(draft(NEW, policy))
     };
-    assert_eq!(with(|policy| policy.stages = vec![]), BadPolicy::Stages.into());
-    assert_eq!(with(|policy| policy.stages = vec![0, 1000]), BadPolicy::Stages.into());
-    assert_eq!(with(|policy| policy.stages = vec![500, 400, 1000]), BadPolicy::Stages.into());
-    assert_eq!(with(|policy| policy.stages = vec![500]), BadPolicy::Stages.into());
-    assert_eq!(with(|policy| policy.stages = (984..=1000).collect()), BadPolicy::Stages.into());
-    assert_eq!(with(|policy| policy.max_refused_share = 1001), BadPolicy::Share.into());
-    assert_eq!(with(|policy| policy.min_accepted_share = 1001), BadPolicy::Share.into());
-    assert_eq!(with(|policy| policy.min_decisions = 0), BadPolicy::Decisions.into());
+    assert_eq!(
+        with(|policy| policy.stages = vec![]),
+        BadPolicy::Stages.into()
+    );
+    assert_eq!(
+        with(|policy| policy.stages = vec![0, 1000]),
+        BadPolicy::Stages.into()
+    );
+    assert_eq!(
+        with(|policy| policy.stages = vec![500, 400, 1000]),
+        BadPolicy::Stages.into()
+    );
+    assert_eq!(
+        with(|policy| policy.stages = vec![500]),
+        BadPolicy::Stages.into()
+    );
+    assert_eq!(
+        with(|policy| policy.stages = (984..=1000).collect()),
+        BadPolicy::Stages.into()
+    );
+    assert_eq!(
+        with(|policy| policy.max_refused_share = 1001),
+        BadPolicy::Share.into()
+    );
+    assert_eq!(
+        with(|policy| policy.min_accepted_share = 1001),
+        BadPolicy::Share.into()
+    );
+    assert_eq!(
+        with(|policy| policy.min_decisions = 0),
+        BadPolicy::Decisions.into()
+    );
     assert_eq!(with(|policy| policy.soak = -1.0), BadPolicy::Soak.into());
-    assert_eq!(with(|policy| policy.soak = f64::NAN), BadPolicy::Soak.into());
-    assert_eq!(with(|policy| policy.decision_time = SOAK + 1.0), BadPolicy::DecisionTime.into());
-    assert_eq!(with(|policy| policy.decision_time = f64::NAN), BadPolicy::DecisionTime.into());
-    assert_eq!(with(|policy| policy.max_report_age = 60.0), BadPolicy::ReportAge.into());
-    assert_eq!(with(|policy| policy.max_report_age = f64::NAN), BadPolicy::ReportAge.into());
-    let again = RolloutPolicy { max_report_age: STANDING_AGAIN, ..policy() };
+    assert_eq!(
+        with(|policy| policy.soak = f64::NAN),
+        BadPolicy::Soak.into()
+    );
+    assert_eq!(
+        with(|policy| policy.decision_time = SOAK + 1.0),
+        BadPolicy::DecisionTime.into()
+    );
+    assert_eq!(
+        with(|policy| policy.decision_time = f64::NAN),
+        BadPolicy::DecisionTime.into()
+    );
+    assert_eq!(
+        with(|policy| policy.max_report_age = 60.0),
+        BadPolicy::ReportAge.into()
+    );
+    assert_eq!(
+        with(|policy| policy.max_report_age = f64::NAN),
+        BadPolicy::ReportAge.into()
+    );
+    let again = RolloutPolicy {
+        max_report_age: STANDING_AGAIN,
+        ..policy()
+    };
     assert_eq!(refused(draft(NEW, again)), BadPolicy::ReportAge.into());
-    let removal = RolloutDraft { content: Content::Removed, ..draft(NEW, policy()) };
+    let removal = RolloutDraft {
+        content: Content::Removed,
+        ..draft(NEW, policy())
+    };
     assert_eq!(refused(removal), BadPolicy::Removal.into());
     let record = RolloutRecord::key_of(&name()).name;
     let reserved = Refusal::Reserved(Box::new(record.clone()));
-    assert_eq!(refused(RolloutDraft { name: record.clone(), ..draft(NEW, policy()) }), reserved);
+    assert_eq!(
+        refused(RolloutDraft {
+            name: record.clone(),
+            ..draft(NEW, policy())
+        }),
+        reserved
+    );
     let drafts = vec![Draft::put(record, b"")];
-    let published =
-        world.with_author(1, |author, now, outputs| author.publish(now, &claim(1), drafts, outputs));
+    let published = world.with_author(1, |author, now, outputs| {
+        author.publish(now, &claim(1), drafts, outputs)
+    });
     assert_eq!(published, Some(Err(reserved)));
-    assert_eq!(roll_out(&mut world, 2, 1, draft(NEW, policy())), Err(Refusal::NotHeld));
+    assert_eq!(
+        roll_out(&mut world, 2, 1, draft(NEW, policy())),
+        Err(Refusal::NotHeld)
+    );
 }
 
 #[test]
 fn records_of_rollouts_do_not_go_to_nodes() {
     let group = RolloutRecord::key_of(&name()).name.group;
-    for selector in [Selector::Services, Selector::common(), Selector::service("a"), Selector::tenant("t")] {
+    for selector in [
+        Selector::Services,
+        Selector::common(),
+        Selector::service("a"),
+        Selector::tenant("t"),
+    ] {
         assert!(!selector.holds(&group), "{selector:?}");
     }
     assert!(Selector::Everything.holds(&group));
@@ -616,18 +870,28 @@
 #[test]
 fn rollouts_and_their_records_are_bounded() {
     let mut world = tree(20, both_relays);
-    let of = |n: usize| RolloutDraft { name: Name::service("a", &format!("n{n}")), ..draft(NEW, policy()) };
+    let of = |n: usize| RolloutDraft {
+        name: Name::service("a", &format!("n{n}")),
+        ..draft(NEW, policy())
+    };
     for n in 0..ROLLOUTS_MOST {
         roll_out(&mut world, 1, 1, of(n)).unwrap();
     }
-    assert_eq!(roll_out(&mut world, 1, 1, of(ROLLOUTS_MOST)), Err(Refusal::Rollouts));
+    assert_eq!(
+        roll_out(&mut world, 1, 1, of(ROLLOUTS_MOST)),
+        Err(Refusal::Rollouts)
+    );
     world.run(100.0);
     for n in ROLLOUTS_MOST..100 {
         roll_out(&mut world, 1, 1, of(n)).unwrap();
         let drafts = vec![Draft::put(Name::service("a", &format!("n{n}")), b"other")];
-        world.with_author(1, |author, now, outputs| author.publish(now, &claim(1), drafts, outputs));
+        world.with_author(1, |author, now, outputs| {
+            author.publish(now, &claim(1), drafts, outputs)
+        });
     }
-    let kept = (0..100).filter(|n| world.author_of(1).rollout(&of(*n).name).is_some()).count();
+    let kept = (0..100)
+        .filter(|n| world.author_of(1).rollout(&of(*n).name).is_some())
+        .count();
     assert_eq!(kept, 64);
 }
 
@@ -652,7 +916,12 @@
         ..policy()
     };
     let verdict_after = |lasted, (known, accepted, accepted_lately, refused)| {
-        let counts = StageCounts { known, accepted, accepted_lately, refused };
+        let counts = StageCounts {
+            known,
+            accepted,
+            accepted_lately,
+            refused,
+        };
         stage::judge(&policy, counts, lasted)
     };
     let soaked = |counts| verdict_after(SOAK, counts);
@@ -662,14 +931,23 @@
     assert_eq!(soaked((30, 27, 27, 3)), Verdict::Advance);
     assert_eq!(soaked((30, 26, 26, 4)), Verdict::Stop);
     // Whoever accepted once counts against refusals, though it was not heard of late.
-    assert_eq!(soaked((1000, 90, 10, 10)), Verdict::Wait(Waiting::Acceptances));
-    assert_eq!(soaked((1000, 800, 799, 0)), Verdict::Wait(Waiting::Acceptances));
+    assert_eq!(
+        soaked((1000, 90, 10, 10)),
+        Verdict::Wait(Waiting::Acceptances)
+    );
+    assert_eq!(
+        soaked((1000, 800, 799, 0)),
+        Verdict::Wait(Waiting::Acceptances)
+    );
     assert_eq!(soaked((1000, 800, 800, 0)), Verdict::Advance);
     assert_eq!(soaked((1000, 900, 900, 51)), Verdict::Stop);
     // While nodes still decide, the others are taken to accept.
     let early = |counts| verdict_after(policy.decision_time / 2.0, counts);
     assert_eq!(early((100, 0, 0, 10)), Verdict::Wait(Waiting::Soak));
-    assert_eq!(verdict_after(policy.decision_time, (100, 0, 0, 10)), Verdict::Stop);
+    assert_eq!(
+        verdict_after(policy.decision_time, (100, 0, 0, 10)),
+        Verdict::Stop
+    );
     assert_eq!(early((100, 0, 0, 11)), Verdict::Stop);
     assert_eq!(early((100, 100, 100, 0)), Verdict::Wait(Waiting::Soak));
 }
--- a/crates/distribution/tests/defences.rs
+++ b/crates/distribution/tests/defences.rs
@@ -15,7 +15,9 @@
 use reelfall_distribution::output::{Event, Output, Reason, Record};
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::publish::Refusal;
-use reelfall_distribution::resource::{Change, Content, Draft, Key, Part, Selector, Slot, Urgency, Version};
+use reelfall_distribution::resource::{
+    Change, Content, Draft, Key, Part, Selector, Slot, Urgency, Version,
+};
 use reelfall_distribution::restore::Restored;
 use reelfall_distribution::Time;
 use world::{claim, hold, lease, name, put, two_authors_and_relays, World, CALM};
@@ -28,7 +30,11 @@
         lease: lease(),
         follow: FollowRules::relay(Vec::new()),
         serve: ServeRules::default(),
-        room: Room { keys: 100, bytes: 1 << 20, removals: 10 },
+        room: Room {
+            keys: 100,
+            bytes: 1 << 20,
+            removals: 10,
+        },
         history: 1 << 20,
         takeover: 5.0,
         seed: 1,
@@ -49,7 +55,9 @@
 fn publish(world: &mut World, author: u32, token: u64, drafts: Vec<Draft>) -> Version {
     let t = world.t;
     let version = world
-        .with_author(author, |author, now, outputs| author.publish(now, &claim(token), drafts, outputs))
+        .with_author(author, |author, now, outputs| {
+            author.publish(now, &claim(token), drafts, outputs)
+        })
         .unwrap()
         .unwrap();
     world.judge.published(t, version);
@@ -61,10 +69,17 @@
 fn an_author_that_was_not_polled_writes_nothing_once_its_lease_is_over() {
     let mut author = author_alone();
     let mut outputs = Vec::new();
-    let part = Part { thousandths: 500, seed: 1 };
+    let part = Part {
+        thousandths: 500,
+        seed: 1,
+    };
     author.hold(1.0, &claim(1), 5.0, &mut outputs).unwrap();
-    let in_time = author.publish(4.9, &claim(1), vec![put("x", b"in time")], &mut outputs).unwrap();
-    author.stage(4.9, &claim(1), put("y", b"in time"), part, &mut outputs).unwrap();
+    let in_time = author
+        .publish(4.9, &claim(1), vec![put("x", b"in time")], &mut outputs)
+        .unwrap();
+    author
+        .stage(4.9, &claim(1), put("y", b"in time"), part, &mut outputs)
+        .unwrap();
     outputs.clear();
     let late = [
         author.publish(5.0, &claim(1), vec![put("x", b"late")], &mut outputs),
@@ -88,13 +103,25 @@
     assert!(!world.author_of(1).is_writing());
     assert_eq!(world.author_of(1).children().count(), 0);
     let sent_away = |event: &&(Time, PeerId, Event)| {
-        event.1 == PeerId(1) && matches!(event.2, Event::ChildLost { why: Reason::Fenced, .. })
+        event.1 == PeerId(1)
+            && matches!(
+                event.2,
+                Event::ChildLost {
+                    why: Reason::Fenced,
+                    ..
+                }
+            )
     };
     assert_eq!(world.judge.events.iter().filter(sent_away).count(), 2);
     world.run(20.0);
     for id in NODES {
-        let age = world.node_of(id).staleness(world.seats[&PeerId(id)].clock(world.t));
-        assert!(age >= 20.0, "{id} shows an age of {age} s, 20 s after the last author");
+        let age = world
+            .node_of(id)
+            .staleness(world.seats[&PeerId(id)].clock(world.t));
+        assert!(
+            age >= 20.0,
+            "{id} shows an age of {age} s, 20 s after the last author"
+        );
     }
 }
 
@@ -109,7 +136,11 @@
     publish(&mut world, 2, 2, vec![put("x", b"two")]);
     world.run(60.0);
     for id in NODES {
-        assert_eq!(world.bytes_at(id, &name("x")).as_deref(), Some(&b"two"[..]), "{id}");
+        assert_eq!(
+            world.bytes_at(id, &name("x")).as_deref(),
+            Some(&b"two"[..]),
+            "{id}"
+        );
     }
     world.judge.verdict();
 }
@@ -119,8 +150,13 @@
 fn what_one_first_relay_alone_was_told_is_not_lost() {
     let mut world = tree(3, 1e6);
     world.run(60.0);
-    let followed = |world: &World, relay: u32| world.relay_of(relay).children().any(|id| id == PeerId(2));
-    let (far, near) = if followed(&world, 10) { (10, 11) } else { (11, 10) };
+    let followed =
+        |world: &World, relay: u32| world.relay_of(relay).children().any(|id| id == PeerId(2));
+    let (far, near) = if followed(&world, 10) {
+        (10, 11)
+    } else {
+        (11, 10)
+    };
     assert!(followed(&world, far) && !followed(&world, near));
     world.cut(PeerId(1), PeerId(far), 60.0);
     let version = publish(&mut world, 1, 1, vec![put("x", b"one")]);
@@ -132,7 +168,11 @@
     world.run(60.0);
     assert!(world.author_of(2).is_writing());
     for id in NODES {
-        assert_eq!(world.bytes_at(id, &name("x")).as_deref(), Some(&b"one"[..]), "{id}");
+        assert_eq!(
+            world.bytes_at(id, &name("x")).as_deref(),
+            Some(&b"one"[..]),
+            "{id}"
+        );
     }
     world.judge.verdict();
 }
@@ -155,15 +195,31 @@
     publish(&mut world, 2, 2, vec![put("y", b"between")]);
     world.run(10.0);
     for id in NODES {
-        assert_eq!(world.bytes_at(id, &name("x")).as_deref(), Some(&b"one"[..]), "{id}");
-        assert_eq!(world.bytes_at(id, &name("y")).as_deref(), Some(&b"between"[..]), "{id}");
+        assert_eq!(
+            world.bytes_at(id, &name("x")).as_deref(),
+            Some(&b"one"[..]),
+            "{id}"
+        );
+        assert_eq!(
+            world.bytes_at(id, &name("y")).as_deref(),
+            Some(&b"between"[..]),
+            "{id}"
+        );
     }
     world.with_author(2, |author, now, outputs| author.stand_down(now, outputs));
     hold(&mut world, 1, 3, 1e6);
     world.run(200.0);
     for id in NODES {
-        assert_eq!(world.bytes_at(id, &name("x")).as_deref(), Some(&b"apart"[..]), "{id}");
-        assert_eq!(world.bytes_at(id, &name("y")), None, "{id}: the author does not have it");
+        assert_eq!(
+            world.bytes_at(id, &name("x")).as_deref(),
+            Some(&b"apart"[..]),
+            "{id}"
+        );
+        assert_eq!(
+            world.bytes_at(id, &name("y")),
+            None,
+            "{id}: the author does not have it"
+        );
     }
 }
 
@@ -184,20 +240,47 @@
     hold(&mut world, 1, 2, 1e6);
     world.run(10.0);
     assert!(world.author_of(1).is_writing());
-    let version = Version { sequence: known.sequence + 5, ..known };
+    let version = Version {
+        sequence: known.sequence + 5,
+        ..known
+    };
     let covered = Record::Covered {
         selector: Selector::Everything,
         coverage: Coverage::upto(version),
         floor: Version::ZERO,
     };
-    let epoch = Epoch { claim: claim(2), known: Coverage::upto(known) };
-    let orphan = Change { version, content: Content::body(b"orphan"), ..x };
+    let epoch = Epoch {
+        claim: claim(2),
+        known: Coverage::upto(known),
+    };
+    let orphan = Change {
+        version,
+        content: Content::body(b"orphan"),
+        ..x
+    };
     let stored = [Record::Put(orphan), covered, Record::Epoch(epoch)];
-    world.seats.get_mut(&PeerId(10)).unwrap().disk.extend(stored);
+    world
+        .seats
+        .get_mut(&PeerId(10))
+        .unwrap()
+        .disk
+        .extend(stored);
     world.start(PeerId(10));
     world.run(60.0);
-    assert_eq!(world.bytes_at(100, &name("x")).as_deref(), Some(&b"one"[..]));
-    assert!(world.node_of(100).in_force(&name("x")).unwrap().version.token == 2, "it was written anew");
+    assert_eq!(
+        world.bytes_at(100, &name("x")).as_deref(),
+        Some(&b"one"[..])
+    );
+    assert!(
+        world
+            .node_of(100)
+            .in_force(&name("x"))
+            .unwrap()
+            .version
+            .token
+            == 2,
+        "it was written anew"
+    );
     world.judge.verdict();
 }
 
@@ -214,7 +297,12 @@
     hold(&mut world, 1, 1, 1e6);
     world.run(40.0);
     let item = |n: usize| format!("r{n}");
-    publish(&mut world, 1, 1, (0..KEYS).map(|n| put(&item(n), b"one")).collect());
+    publish(
+        &mut world,
+        1,
+        1,
+        (0..KEYS).map(|n| put(&item(n), b"one")).collect(),
+    );
     world.run(20.0);
     assert_eq!(world.relay_of(10).log().len(), KEYS);
     // The second author knows nothing; the relay hears who it is, and no more.
@@ -223,26 +311,45 @@
     world.run(39.0);
     hold(&mut world, 2, 2, 1e6);
     let heard = |world: &World| {
-        let epoch = |record: &Record| matches!(record, Record::Epoch(epoch) if epoch.claim.token == 2);
+        let epoch =
+            |record: &Record| matches!(record, Record::Epoch(epoch) if epoch.claim.token == 2);
         world.seats[&PeerId(10)].disk.iter().any(epoch)
     };
     while !heard(&world) {
         world.run(0.001);
-        assert!(world.t < 300.0, "the relay does not follow the second author");
+        assert!(
+            world.t < 300.0,
+            "the relay does not follow the second author"
+        );
     }
     world.cut(PeerId(2), PeerId(10), 1e6);
     let top = world.relay_of(10).coverage().top();
-    assert_eq!(top.token, 1, "the second author has told more than its name");
+    assert_eq!(
+        top.token, 1,
+        "the second author has told more than its name"
+    );
     // The first one writes again and has not heard of the second. It forgets removals.
     hold(&mut world, 1, 3, 1e6);
     world.run(10.0);
-    let last = publish(&mut world, 1, 3, (0..KEYS).map(|n| Draft::remove(name(&item(n)))).collect());
-    assert!(world.author_of(1).log().len() < KEYS, "no removal was forgotten");
+    let last = publish(
+        &mut world,
+        1,
+        3,
+        (0..KEYS).map(|n| Draft::remove(name(&item(n)))).collect(),
+    );
+    assert!(
+        world.author_of(1).log().len() < KEYS,
+        "no removal was forgotten"
+    );
     world.cut(PeerId(1), PeerId(10), 0.0);
     world.run(60.0);
     let relay = world.relay_of(10);
     assert_eq!(relay.coverage().floor(), last);
-    let kept = relay.log().changes().filter(|change| !change.removes()).count();
+    let kept = relay
+        .log()
+        .changes()
+        .filter(|change| !change.removes())
+        .count();
     assert_eq!(kept, 0, "keys that are no more");
 }
 
@@ -250,10 +357,20 @@
 #[test]
 fn a_sender_with_gaps_closes_those_that_it_can() {
     let version = |sequence| Version { token: 1, sequence };
-    let span = |after, upto| Span { after: version(after), upto: version(upto) };
-    let mut log = Log::new(Room { keys: 1000, bytes: 1 << 20, removals: 10 });
+    let span = |after, upto| Span {
+        after: version(after),
+        upto: version(upto),
+    };
+    let mut log = Log::new(Room {
+        keys: 1000,
+        bytes: 1 << 20,
+        removals: 10,
+    });
     let change = |sequence: u64| Change {
-        key: Key { name: name(&format!("r{sequence}")), slot: Slot::Whole },
+        key: Key {
+            name: name(&format!("r{sequence}")),
+            slot: Slot::Whole,
+        },
         version: version(sequence),
         urgency: Urgency::Normal,
         part: Part::ALL,
@@ -281,7 +398,13 @@
     let link = Link::new(PeerId(20), 1, false, Budget::CONTROL, 0.0);
     let mut child = Child::new(link, true, 2.0, Budget::CONTROL, 0.0);
     let selector = Selector::Everything;
-    let asked = Subscribe { id: 0, selector, coverage, floor: Version::ZERO, has_changes: true };
+    let asked = Subscribe {
+        id: 0,
+        selector,
+        coverage,
+        floor: Version::ZERO,
+        has_changes: true,
+    };
     child.subscribe(asked, source).unwrap();
     let mut outputs = Vec::new();
     child.poll(0.0, source, &mut outputs);
@@ -294,7 +417,11 @@
         _ => None,
     });
     // From what the child lacks before on, over 101, which it has.
-    assert_eq!(spans.next(), Some((version(100), version(102))), "it makes the span of 101 longer");
+    assert_eq!(
+        spans.next(),
+        Some((version(100), version(102))),
+        "it makes the span of 101 longer"
+    );
 }
 
 /// Who writes by a claim that is over hears why.
@@ -313,7 +440,12 @@
 fn a_node_may_end_after_any_output_of_an_unsubscription() {
     let mut world = tree(1, 1e6);
     world.run(40.0);
-    publish(&mut world, 1, 1, (0..4).map(|n| put(&format!("r{n}"), b"one")).collect());
+    publish(
+        &mut world,
+        1,
+        1,
+        (0..4).map(|n| put(&format!("r{n}"), b"one")).collect(),
+    );
     world.run(20.0);
     let id = NODES.start;
     let stored = world.seats[&PeerId(id)].disk.clone();
@@ -329,14 +461,30 @@
             _ => None,
         })
         .collect();
-    assert!(records.len() > 8, "what is in force and the versions are both forgotten: {records:?}");
+    assert!(
+        records.len() > 8,
+        "what is in force and the versions are both forgotten: {records:?}"
+    );
     for kept in 0..=records.len() {
         let disk = stored.iter().chain(&records[..kept]).cloned();
-        let restored = Restored::read(Room { keys: 100, bytes: 1 << 20, removals: 10 }, disk);
+        let restored = Restored::read(
+            Room {
+                keys: 100,
+                bytes: 1 << 20,
+                removals: 10,
+            },
+            disk,
+        );
         for (name, change) in &restored.in_force {
-            let logged = restored.log.get(&Key { name: name.clone(), slot: Slot::Whole });
+            let logged = restored.log.get(&Key {
+                name: name.clone(),
+                slot: Slot::Whole,
+            });
             let version = logged.map(|logged| logged.version);
-            assert!(version >= Some(change.version), "after {kept} records {name:?} has {version:?}");
+            assert!(
+                version >= Some(change.version),
+                "after {kept} records {name:?} has {version:?}"
+            );
         }
     }
 }
--- a/crates/distribution/tests/false_peers.rs
+++ b/crates/distribution/tests/false_peers.rs
@@ -18,7 +18,11 @@
 use world::lease;
 
 const RELAY: PeerId = PeerId(20);
-const ROOM: Room = Room { keys: 1000, bytes: 1 << 20, removals: 10 };
+const ROOM: Room = Room {
+    keys: 1000,
+    bytes: 1 << 20,
+    removals: 10,
+};
 
 fn node() -> Subscriber {
     let follow = FollowRules::node(vec![RELAY, PeerId(21)]);
@@ -37,8 +41,20 @@
 
 fn relay() -> Relay {
     let follow = FollowRules::relay(vec![PeerId(1)]);
-    let serve = ServeRules { children: 4, ..ServeRules::default() };
-    Relay::new(RelayConfig { lease: lease(), follow, serve, room: ROOM, seed: 1 }, 0.0)
+    let serve = ServeRules {
+        children: 4,
+        ..ServeRules::default()
+    };
+    Relay::new(
+        RelayConfig {
+            lease: lease(),
+            follow,
+            serve,
+            room: ROOM,
+            seed: 1,
+        },
+        0.0,
+    )
 }
 
 /// A relay's side of a node's session, by hand.
@@ -62,7 +78,14 @@
             node.poll(now, &mut outputs);
         }
         let peer = node.following().unwrap();
-        let mut it = False { node, now, session: 0, peer, number: 0, acknowledged: 0 };
+        let mut it = False {
+            node,
+            now,
+            session: 0,
+            peer,
+            number: 0,
+            acknowledged: 0,
+        };
         it.read(&outputs);
         // Two payloads: the session's beginning, and the subscription.
         for _ in 0..2 {
@@ -74,7 +97,9 @@
 
     fn read(&mut self, outputs: &[Output]) {
         for output in outputs {
-            let Output::Send { frame, .. } = output else { continue };
+            let Output::Send { frame, .. } = output else {
+                continue;
+            };
             let (head, _) = decode(frame).unwrap();
             self.session = head.session;
             self.acknowledged = self.acknowledged.max(head.number);
@@ -92,7 +117,8 @@
             echo: None,
         };
         let mut outputs = Vec::new();
-        self.node.receive(self.now, self.peer, &encode(&head, &payload), &mut outputs);
+        self.node
+            .receive(self.now, self.peer, &encode(&head, &payload), &mut outputs);
         self.node.poll(self.now, &mut outputs);
         self.read(&outputs);
         outputs
@@ -104,7 +130,15 @@
     }
 
     fn is_left(&self, outputs: &[Output]) -> bool {
-        let left = |o: &Output| matches!(o, Output::Event(Event::Left { why: Reason::Misbehaved, .. }));
+        let left = |o: &Output| {
+            matches!(
+                o,
+                Output::Event(Event::Left {
+                    why: Reason::Misbehaved,
+                    ..
+                })
+            )
+        };
         outputs.iter().any(left) && self.node.following().is_none()
     }
 }
@@ -114,12 +148,18 @@
 }
 
 fn span(upto: u64) -> Span {
-    Span { after: Version::ZERO, upto: version(upto) }
+    Span {
+        after: Version::ZERO,
+        upto: version(upto),
+    }
 }
 
 fn change(name: Name, sequence: u64, bytes: &[u8]) -> Change {
     Change {
-        key: Key { name, slot: Slot::Whole },
+        key: Key {
+            name,
+            slot: Slot::Whole,
+        },
         version: version(sequence),
         urgency: Urgency::Normal,
         part: Part::ALL,
@@ -130,7 +170,10 @@
 
 fn chunk(offset: u32, total: u32, bytes: &[u8], hash: ContentHash) -> Payload {
     let chunk = Chunk {
-        key: Key { name: Name::service("a", "x"), slot: Slot::Whole },
+        key: Key {
+            name: Name::service("a", "x"),
+            slot: Slot::Whole,
+        },
         version: version(3),
         urgency: Urgency::Normal,
         express: false,
@@ -141,15 +184,25 @@
         offset,
         bytes: bytes.to_vec(),
     };
-    Payload::Chunk { id: 0, span: span(3), chunk }
+    Payload::Chunk {
+        id: 0,
+        span: span(3),
+        chunk,
+    }
 }
 
 #[test]
 fn an_honest_relay_by_hand_is_heard() {
     let mut relay = False::new();
     let changes = vec![change(Name::service("a", "x"), 1, b"one")];
-    let outputs = relay.next(Payload::Changes { id: 0, span: span(1), changes });
-    assert!(outputs.iter().any(|output| matches!(output, Output::Apply(_))));
+    let outputs = relay.next(Payload::Changes {
+        id: 0,
+        span: span(1),
+        changes,
+    });
+    assert!(outputs
+        .iter()
+        .any(|output| matches!(output, Output::Apply(_))));
     let hash = ContentHash::of(b"onetwo");
     relay.next(chunk(0, 6, b"one", hash));
     let outputs = relay.next(chunk(3, 6, b"two", hash));
@@ -164,22 +217,37 @@
         (0, span(1), change(Name::service("b", "x"), 1, b"one")),
         (0, span(1), change(Name::service("a", "x"), 2, b"one")),
         (0, span(1), change(Name::service("a", ""), 1, b"one")),
-        (0, Span { after: version(1), upto: version(1) }, change(Name::service("a", "x"), 1, b"one")),
+        (
+            0,
+            Span {
+                after: version(1),
+                upto: version(1),
+            },
+            change(Name::service("a", "x"), 1, b"one"),
+        ),
     ];
     for (id, span, change) in unasked {
         let mut relay = False::new();
-        let outputs = relay.next(Payload::Changes { id, span, changes: vec![change.clone()] });
+        let outputs = relay.next(Payload::Changes {
+            id,
+            span,
+            changes: vec![change.clone()],
+        });
         assert!(relay.is_left(&outputs), "{change:?}");
         assert_eq!(relay.node.all_in_force().count(), 0);
-        assert!(!outputs.iter().any(|output| matches!(output, Output::Apply(_) | Output::Persist(_))));
+        assert!(!outputs
+            .iter()
+            .any(|output| matches!(output, Output::Apply(_) | Output::Persist(_))));
     }
 }
 
 #[test]
 fn payloads_of_the_other_side_end_the_session() {
-    for payload in
-        [Payload::Open { relay: true }, Payload::Unsubscribe(vec![0]), Payload::Reports(Vec::new())]
-    {
+    for payload in [
+        Payload::Open { relay: true },
+        Payload::Unsubscribe(vec![0]),
+        Payload::Reports(Vec::new()),
+    ] {
         let mut relay = False::new();
         let outputs = relay.next(payload);
         assert!(relay.is_left(&outputs));
@@ -219,8 +287,20 @@
     for number in 1..100u64 {
         let changes = vec![change(Name::service("a", "x"), number, &[1; 10_000])];
         relay.now -= 2.0;
-        let outputs = relay.next(Payload::Changes { id: 0, span: span(number), changes });
-        let flooded = |o: &Output| matches!(o, Output::Event(Event::Left { why: Reason::Flooded, .. }));
+        let outputs = relay.next(Payload::Changes {
+            id: 0,
+            span: span(number),
+            changes,
+        });
+        let flooded = |o: &Output| {
+            matches!(
+                o,
+                Output::Event(Event::Left {
+                    why: Reason::Flooded,
+                    ..
+                })
+            )
+        };
         left |= outputs.iter().any(flooded);
     }
     assert!(left);
@@ -230,13 +310,36 @@
 fn frames_of_strangers_and_of_other_sessions_do_nothing() {
     let mut relay = False::new();
     let changes = vec![change(Name::service("a", "x"), 1, b"one")];
-    let payload = Payload::Changes { id: 0, span: span(1), changes };
-    let head =
-        Head { session: relay.session, up: false, number: 1, acknowledged: 2, stamp_us: 1, echo: None };
+    let payload = Payload::Changes {
+        id: 0,
+        span: span(1),
+        changes,
+    };
+    let head = Head {
+        session: relay.session,
+        up: false,
+        number: 1,
+        acknowledged: 2,
+        stamp_us: 1,
+        echo: None,
+    };
     let mut outputs = Vec::new();
-    relay.node.receive(relay.now, PeerId(99), &encode(&head, &payload), &mut outputs);
-    let other = Head { session: relay.session ^ 1, ..head };
-    relay.node.receive(relay.now, relay.peer, &encode(&other, &payload), &mut outputs);
+    relay.node.receive(
+        relay.now,
+        PeerId(99),
+        &encode(&head, &payload),
+        &mut outputs,
+    );
+    let other = Head {
+        session: relay.session ^ 1,
+        ..head
+    };
+    relay.node.receive(
+        relay.now,
+        relay.peer,
+        &encode(&other, &payload),
+        &mut outputs,
+    );
     assert!(outputs.is_empty(), "{outputs:?}");
     assert_eq!(relay.node.following(), Some(relay.peer));
 }
@@ -245,12 +348,24 @@
 fn the_same_frame_twice_is_taken_once() {
     let mut relay = False::new();
     let changes = vec![change(Name::service("a", "x"), 1, b"one")];
-    let payload = Payload::Changes { id: 0, span: span(1), changes };
-    let applies = |outputs: &[Output]| outputs.iter().filter(|o| matches!(o, Output::Apply(_))).count();
+    let payload = Payload::Changes {
+        id: 0,
+        span: span(1),
+        changes,
+    };
+    let applies = |outputs: &[Output]| {
+        outputs
+            .iter()
+            .filter(|o| matches!(o, Output::Apply(_)))
+            .count()
+    };
     let first = relay.next(payload.clone());
     let second = relay.say(payload, 1);
     assert_eq!((applies(&first), applies(&second)), (1, 0));
-    assert!(second.iter().any(|o| matches!(o, Output::Send { .. })), "it is acknowledged again");
+    assert!(
+        second.iter().any(|o| matches!(o, Output::Send { .. })),
+        "it is acknowledged again"
+    );
 }
 
 /// The last part of a body twice would be one out of place, and end the session.
@@ -272,16 +387,32 @@
 fn the_same_subscription_twice_is_taken_once() {
     let mut relay = relay();
     open(&mut relay, 100, 1.0, 7);
-    let head = Head { session: 7, up: true, number: 2, acknowledged: 0, stamp_us: 1, echo: None };
+    let head = Head {
+        session: 7,
+        up: true,
+        number: 2,
+        acknowledged: 0,
+        stamp_us: 1,
+        echo: None,
+    };
     let selector = Selector::service("a");
-    let subscribe =
-        Subscribe { id: 0, selector, coverage: Coverage::EMPTY, floor: Version::ZERO, has_changes: false };
+    let subscribe = Subscribe {
+        id: 0,
+        selector,
+        coverage: Coverage::EMPTY,
+        floor: Version::ZERO,
+        has_changes: false,
+    };
     let frame = encode(&head, &Payload::Subscribe(vec![subscribe]));
     let mut outputs = Vec::new();
     for now in [1.1, 1.2] {
         relay.receive(now, PeerId(100), &frame, &mut outputs);
     }
-    assert_eq!(relay.children().collect::<Vec<_>>(), [PeerId(100)], "{outputs:?}");
+    assert_eq!(
+        relay.children().collect::<Vec<_>>(),
+        [PeerId(100)],
+        "{outputs:?}"
+    );
 }
 
 /// The relay's word that all was sent crosses a new subscription: it was written before the relay heard of that one.
@@ -292,9 +423,17 @@
     relay.node.subscribe(after.clone()).unwrap();
     let heard = relay.acknowledged;
     relay.say(Payload::Acknowledge, 0);
-    assert_eq!(relay.acknowledged, heard + 1, "the subscription is on its way");
-    let all_sent =
-        Payload::Current { head: version(5), removals: version(5), floor: Version::ZERO, age_us: Some(0) };
+    assert_eq!(
+        relay.acknowledged,
+        heard + 1,
+        "the subscription is on its way"
+    );
+    let all_sent = Payload::Current {
+        head: version(5),
+        removals: version(5),
+        floor: Version::ZERO,
+        age_us: Some(0),
+    };
     relay.acknowledged = heard;
     relay.next(all_sent.clone());
     assert!(relay.node.is_complete(&before));
@@ -306,7 +445,14 @@
 
 #[test]
 fn a_frame_that_was_changed_or_cut_is_left() {
-    let head = Head { session: 1, up: true, number: 1, acknowledged: 0, stamp_us: 1, echo: None };
+    let head = Head {
+        session: 1,
+        up: true,
+        number: 1,
+        acknowledged: 0,
+        stamp_us: 1,
+        echo: None,
+    };
     let frame = encode(&head, &Payload::Open { relay: false });
     assert!(decode(&frame).is_some());
     for place in 0..frame.len() {
@@ -318,7 +464,14 @@
 }
 
 fn open(relay: &mut Relay, child: u32, now: f64, session: u64) -> Vec<Output> {
-    let head = Head { session, up: true, number: 1, acknowledged: 0, stamp_us: 1, echo: None };
+    let head = Head {
+        session,
+        up: true,
+        number: 1,
+        acknowledged: 0,
+        stamp_us: 1,
+        echo: None,
+    };
     let mut outputs = Vec::new();
     let frame = encode(&head, &Payload::Open { relay: false });
     relay.receive(now, PeerId(child), &frame, &mut outputs);
@@ -336,7 +489,16 @@
     let outputs = open(&mut relay, 110, 1.0, 7);
     let busy = outputs.iter().any(|output| match output {
         Output::Send { frame, .. } => {
-            matches!(decode(frame), Some((_, Payload::Close { why: Reason::Busy, .. })))
+            matches!(
+                decode(frame),
+                Some((
+                    _,
+                    Payload::Close {
+                        why: Reason::Busy,
+                        ..
+                    }
+                ))
+            )
         }
         _ => false,
     });
@@ -348,19 +510,39 @@
     let mut relay = relay();
     open(&mut relay, 100, 1.0, 7);
     open(&mut relay, 101, 1.0, 7);
-    let head = Head { session: 7, up: true, number: 2, acknowledged: 0, stamp_us: 1, echo: None };
-    let wrong =
-        Payload::Current { head: Version::ZERO, removals: Version::ZERO, floor: Version::ZERO, age_us: None };
+    let head = Head {
+        session: 7,
+        up: true,
+        number: 2,
+        acknowledged: 0,
+        stamp_us: 1,
+        echo: None,
+    };
+    let wrong = Payload::Current {
+        head: Version::ZERO,
+        removals: Version::ZERO,
+        floor: Version::ZERO,
+        age_us: None,
+    };
     let mut outputs = Vec::new();
     relay.receive(1.1, PeerId(100), &encode(&head, &wrong), &mut outputs);
     assert_eq!(relay.children().collect::<Vec<_>>(), [PeerId(101)]);
     open(&mut relay, 100, 2.0, 8);
     assert_eq!(relay.children().count(), 1, "it is not heard for a while");
     open(&mut relay, 100, 40.0, 9);
-    assert_eq!(relay.children().count(), 1, "child 101 was silent for 20 s, and 100 is back");
+    assert_eq!(
+        relay.children().count(),
+        1,
+        "child 101 was silent for 20 s, and 100 is back"
+    );
     let reports = Payload::Reports(Vec::new());
     for _ in 0..1000 {
-        relay.receive(40.0, PeerId(100), &encode(&Head { session: 9, ..head }, &reports), &mut outputs);
+        relay.receive(
+            40.0,
+            PeerId(100),
+            &encode(&Head { session: 9, ..head }, &reports),
+            &mut outputs,
+        );
     }
     assert_eq!(relay.children().count(), 0);
 }
@@ -372,7 +554,11 @@
     for n in 0..1000u64 {
         let now = 1.0 + n as f64 * 0.01;
         for output in open(&mut relay, 100, now, n) {
-            if let Output::Send { to: PeerId(100), frame } = output {
+            if let Output::Send {
+                to: PeerId(100),
+                frame,
+            } = output
+            {
                 bytes += frame.len() + 60;
             }
         }
--- a/crates/distribution/tests/golden.rs
+++ b/crates/distribution/tests/golden.rs
@@ -6,7 +6,9 @@
 
 use rand::Rng;
 use reelfall_distribution::coverage::Coverage;
-use reelfall_distribution::message::{decode, encode, Chunk, Echo, Epoch, Head, Payload, Span, Subscribe};
+use reelfall_distribution::message::{
+    decode, encode, Chunk, Echo, Epoch, Head, Payload, Span, Subscribe,
+};
 use reelfall_distribution::output::{Reason, Record};
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::report::Report;
@@ -29,7 +31,10 @@
 }
 
 fn span(after: u64, upto: u64) -> Span {
-    Span { after: version(after), upto: version(upto) }
+    Span {
+        after: version(after),
+        upto: version(upto),
+    }
 }
 
 fn coverage() -> Coverage {
@@ -54,7 +59,10 @@
     let trial = Change {
         key: key(Name::service("flags", "routes"), Slot::Trial),
         urgency: Urgency::Urgent,
-        part: Part { thousandths: 250, seed: 0x1234_5678_9abc },
+        part: Part {
+            thousandths: 250,
+            seed: 0x1234_5678_9abc,
+        },
         replaces: version(200),
         ..plain.clone()
     };
@@ -67,15 +75,29 @@
 }
 
 fn epoch() -> Epoch {
-    Epoch { claim: claim(7), known: coverage() }
+    Epoch {
+        claim: claim(7),
+        known: coverage(),
+    }
 }
 
 fn reports() -> Vec<Report> {
     let key = key(Name::service("flags", "routes"), Slot::Trial);
     vec![
-        Report::Standing { node: PeerId(1001), upto: version(400) },
-        Report::Refused { node: PeerId(2), key: key.clone(), version: version(400), reason: "no".to_owned() },
-        Report::Orphan { key, version: version(9) },
+        Report::Standing {
+            node: PeerId(1001),
+            upto: version(400),
+        },
+        Report::Refused {
+            node: PeerId(2),
+            key: key.clone(),
+            version: version(400),
+            reason: "no".to_owned(),
+        },
+        Report::Orphan {
+            key,
+            version: version(9),
+        },
     ]
 }
 
@@ -93,9 +115,17 @@
 }
 
 fn selectors() -> Vec<Selector> {
-    let groups = [Group::Common, Group::Service("flags".into()), Group::Tenant("t".into()), Group::Authors];
+    let groups = [
+        Group::Common,
+        Group::Service("flags".into()),
+        Group::Tenant("t".into()),
+        Group::Authors,
+    ];
     let groups = groups.into_iter().map(Selector::Group);
-    [Selector::Everything, Selector::Services].into_iter().chain(groups).collect()
+    [Selector::Everything, Selector::Services]
+        .into_iter()
+        .chain(groups)
+        .collect()
 }
 
 fn payloads() -> Vec<Payload> {
@@ -111,15 +141,22 @@
         version: version(301),
         urgency: Urgency::Normal,
         express: true,
-        part: Part { thousandths: 10, seed: 8 },
+        part: Part {
+            thousandths: 10,
+            seed: 8,
+        },
         replaces: version(1),
         total: 70_000,
         hash: ContentHash::of(b"a long body"),
         offset: 16_000,
         bytes: vec![1, 2, 255],
     };
-    let current =
-        |age_us| Payload::Current { head: version(500), removals: version(400), floor: version(3), age_us };
+    let current = |age_us| Payload::Current {
+        head: version(500),
+        removals: version(400),
+        floor: version(3),
+        age_us,
+    };
     let mut all = vec![
         Payload::Acknowledge,
         Payload::Open { relay: true },
@@ -128,19 +165,44 @@
         Payload::Unsubscribe(vec![1, 300]),
         Payload::Reports(reports()),
         Payload::Epoch(epoch()),
-        Payload::Changes { id: 1, span: span(300, 301), changes: changes() },
-        Payload::Chunk { id: 2, span: span(300, 301), chunk },
-        Payload::Manifest { id: 3, first: true, last: false, floor: version(3), digests: vec![1, u64::MAX] },
+        Payload::Changes {
+            id: 1,
+            span: span(300, 301),
+            changes: changes(),
+        },
+        Payload::Chunk {
+            id: 2,
+            span: span(300, 301),
+            chunk,
+        },
+        Payload::Manifest {
+            id: 3,
+            first: true,
+            last: false,
+            floor: version(3),
+            digests: vec![1, u64::MAX],
+        },
         current(Some(1_500_000)),
         current(None),
     ];
-    all.extend(reasons().map(|why| Payload::Close { why, rest_ms: 1_500 }));
+    all.extend(reasons().map(|why| Payload::Close {
+        why,
+        rest_ms: 1_500,
+    }));
     all
 }
 
 fn rollouts() -> Vec<RolloutRecord> {
-    let refusing = vec![RefusingNode { node: PeerId(5), reason: "unknown unit".to_owned() }];
-    let stop = || Stop { thousandths: 100, accepted: 40, refused: 9, refusing: refusing.clone() };
+    let refusing = vec![RefusingNode {
+        node: PeerId(5),
+        reason: "unknown unit".to_owned(),
+    }];
+    let stop = || Stop {
+        thousandths: 100,
+        accepted: 40,
+        refused: 9,
+        refusing: refusing.clone(),
+    };
     let states = [
         RolloutState::Running,
         RolloutState::Halted(stop()),
@@ -166,7 +228,11 @@
         content: ContentHash::of(b"a body"),
         seed: 99,
         after: version(300),
-        policy: policy(if n % 2 == 0 { OnRefusals::RollBack } else { OnRefusals::Halt }),
+        policy: policy(if n % 2 == 0 {
+            OnRefusals::RollBack
+        } else {
+            OnRefusals::Halt
+        }),
         expected: vec![1, 30, 300],
         state,
     };
@@ -180,7 +246,11 @@
         Record::Forget(key(Name::tenant("t", "quota"), Slot::Trial)),
         Record::Floor(version(200)),
         Record::Epoch(epoch()),
-        Record::Covered { selector: Selector::Services, coverage: coverage(), floor: version(2) },
+        Record::Covered {
+            selector: Selector::Services,
+            coverage: coverage(),
+            floor: version(2),
+        },
         Record::Unsubscribed(Selector::tenant("t")),
     ];
     all.extend(changes().into_iter().map(Record::Put));
@@ -189,9 +259,26 @@
 
 #[test]
 fn frames_and_records_have_the_bytes_that_they_had() {
-    let plain = Head { session: 9, up: false, number: 0, acknowledged: 0, stamp_us: 77, echo: None };
-    let echo = Some(Echo { stamp_us: 5_000_000, held_us: 1_250 });
-    let full = Head { session: u64::MAX, up: true, number: 300, acknowledged: 299, stamp_us: 1 << 40, echo };
+    let plain = Head {
+        session: 9,
+        up: false,
+        number: 0,
+        acknowledged: 0,
+        stamp_us: 77,
+        echo: None,
+    };
+    let echo = Some(Echo {
+        stamp_us: 5_000_000,
+        held_us: 1_250,
+    });
+    let full = Head {
+        session: u64::MAX,
+        up: true,
+        number: 300,
+        acknowledged: 299,
+        stamp_us: 1 << 40,
+        echo,
+    };
     let mut lines = Vec::new();
     for payload in payloads() {
         for head in [plain, full] {
@@ -207,38 +294,67 @@
     }
     for rollout in rollouts() {
         let content = rollout.to_content();
-        let change = Change { key: RolloutRecord::key_of(&rollout.name), content, ..changes().remove(0) };
+        let change = Change {
+            key: RolloutRecord::key_of(&rollout.name),
+            content,
+            ..changes().remove(0)
+        };
         assert_eq!(RolloutRecord::read(&change).as_ref(), Some(&rollout));
-        lines.push(format!("rollout {} {}", change.key.name.item, hex(change.content.bytes())));
+        lines.push(format!(
+            "rollout {} {}",
+            change.key.name.item,
+            hex(change.content.bytes())
+        ));
     }
-    lines.push(format!("digest {}", key(Name::service("flags", "routes"), Slot::Trial).digest()));
+    lines.push(format!(
+        "digest {}",
+        key(Name::service("flags", "routes"), Slot::Trial).digest()
+    ));
     assert_eq!(lines, GOLDEN.lines().collect::<Vec<_>>());
 }
 
 /// A small tree in which changes are published, staged, released and removed while processes end, freeze and are cut off;
 /// the digest of its frames.
 fn frames_of_schedule(seed: u64) -> String {
-    let mut world = World::new(seed, Network { loss: 0.05, twice: 0.05, delay: (0.005, 0.2) });
+    let mut world = World::new(
+        seed,
+        Network {
+            loss: 0.05,
+            twice: 0.05,
+            delay: (0.005, 0.2),
+        },
+    );
     world.digest = Some(blake3::Hasher::new());
     world.author(1, &[10, 11]);
     world.relay(10, &[1]);
     world.relay(11, &[1]);
     world.relay(20, &[10, 11]);
     for id in 100..104 {
-        let own = [Selector::common(), Selector::service("a"), Selector::tenant("t")];
+        let own = [
+            Selector::common(),
+            Selector::service("a"),
+            Selector::tenant("t"),
+        ];
         world.node(id, &[20], &own);
     }
     for step in 0..50 {
         world::hold(&mut world, 1, 1, 1_000.0);
         let item = format!("r{}", step % 4);
-        let name = if step % 5 == 0 { Name::tenant("t", &item) } else { Name::service("a", &item) };
+        let name = if step % 5 == 0 {
+            Name::tenant("t", &item)
+        } else {
+            Name::service("a", &item)
+        };
         let draft = match step % 7 {
             0 => Draft::remove(name.clone()),
             1 => Draft::put(name.clone(), &vec![step as u8; 30_000]),
             2 => Draft::put(name.clone(), &[step as u8]).urgent(),
             _ => Draft::put(name.clone(), &[step as u8; 40]),
         };
-        let part = Part { thousandths: 500, seed };
+        let part = Part {
+            thousandths: 500,
+            seed,
+        };
         let _ = world.with_author(1, |author, now, outputs| match step % 6 {
             3 => author.stage(now, &claim(1), draft, part, outputs),
             4 => author.release(now, &claim(1), &name, outputs),
--- a/crates/distribution/tests/parts.rs
+++ b/crates/distribution/tests/parts.rs
@@ -10,12 +10,18 @@
 use reelfall_distribution::output::{Output, Record};
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::report::{Report, Waiting};
-use reelfall_distribution::resource::{Change, Content, Key, Name, Part, Selector, Slot, Urgency, Version};
+use reelfall_distribution::resource::{
+    Change, Content, Key, Name, Part, Selector, Slot, Urgency, Version,
+};
 use reelfall_distribution::restore::Restored;
 use reelfall_distribution::status::{Board, Refused};
 use std::collections::BTreeSet;
 
-const ROOM: Room = Room { keys: 10, bytes: 10_000, removals: 2 };
+const ROOM: Room = Room {
+    keys: 10,
+    bytes: 10_000,
+    removals: 2,
+};
 
 fn version(sequence: u64) -> Version {
     Version { token: 1, sequence }
@@ -23,7 +29,10 @@
 
 fn change(item: &str, sequence: u64, content: Content) -> Change {
     Change {
-        key: Key { name: Name::service("a", item), slot: Slot::Whole },
+        key: Key {
+            name: Name::service("a", item),
+            slot: Slot::Whole,
+        },
         version: version(sequence),
         urgency: Urgency::Normal,
         part: Part::ALL,
@@ -37,8 +46,15 @@
 }
 
 fn span(after: u64, upto: u64) -> Span {
-    let lower = if after == 0 { Version::ZERO } else { version(after) };
-    Span { after: lower, upto: version(upto) }
+    let lower = if after == 0 {
+        Version::ZERO
+    } else {
+        version(after)
+    };
+    Span {
+        after: lower,
+        upto: version(upto),
+    }
 }
 
 proptest! {
@@ -155,7 +171,10 @@
     let mut coverage = Coverage::default();
     coverage.add(span(4, 9));
     assert_eq!(log.newest(&everything, &coverage), Some(version(4)));
-    assert_eq!(log.newest(&Selector::service("a"), &coverage), Some(version(4)));
+    assert_eq!(
+        log.newest(&Selector::service("a"), &coverage),
+        Some(version(4))
+    );
     assert_eq!(log.newest(&Selector::service("b"), &coverage), None);
     coverage.add(span(3, 4));
     assert_eq!(log.newest(&everything, &coverage), None);
@@ -168,8 +187,15 @@
         assert_eq!(log.put(put(&n.to_string(), n)), Put::Taken);
     }
     assert_eq!(log.put(put("more", 11)), Put::Full);
-    assert_eq!(log.put(change("1", 12, Content::body(&[0; 10_000]))), Put::Full);
-    assert_eq!(log.get(&put("1", 1).key).unwrap().version, version(1), "what was there stays");
+    assert_eq!(
+        log.put(change("1", 12, Content::body(&[0; 10_000]))),
+        Put::Full
+    );
+    assert_eq!(
+        log.get(&put("1", 1).key).unwrap().version,
+        version(1),
+        "what was there stays"
+    );
     for n in 1..=4 {
         log.put(change(&n.to_string(), 20 + n, Content::Removed));
     }
@@ -186,7 +212,10 @@
     let mut down = Link::new(a, 9, false, budget, 0.0);
     let mut outputs = Vec::new();
     assert!(up.send(0.0, &Payload::Open { relay: true }, &mut outputs));
-    assert!(!up.send(0.0, &Payload::Acknowledge, &mut outputs), "one at a time");
+    assert!(
+        !up.send(0.0, &Payload::Acknowledge, &mut outputs),
+        "one at a time"
+    );
     assert_eq!(up.next_wakeup(0.0), 1.0);
     up.flush_repeats(1.0, &mut outputs);
     let heads: Vec<_> = outputs
@@ -201,7 +230,9 @@
     assert!(!down.take(1.1, &heads[1]).unwrap().fresh);
     outputs.clear();
     down.flush(1.2, &mut outputs);
-    let Some(Output::Send { frame, .. }) = outputs.pop() else { panic!() };
+    let Some(Output::Send { frame, .. }) = outputs.pop() else {
+        panic!()
+    };
     let arrival = up.take(1.3, &decode(&frame).unwrap().0).unwrap();
     assert_eq!(arrival.acknowledged, 1);
     assert!(arrival.transit.unwrap() >= 0.1);
@@ -213,37 +244,71 @@
     let mut history = History::new(500);
     let first = put("x", 1);
     assert_eq!(history.before(&first), Some(Content::Removed));
-    let second = Change { replaces: version(1), ..change("x", 2, Content::body(b"two")) };
+    let second = Change {
+        replaces: version(1),
+        ..change("x", 2, Content::body(b"two"))
+    };
     history.replaced(&first, &second);
     assert_eq!(history.before(&second), Some(Content::body(b"body")));
-    let skipped = Change { replaces: version(3), ..put("x", 4) };
-    assert_eq!(history.before(&skipped), None, "what came between was not seen here");
+    let skipped = Change {
+        replaces: version(3),
+        ..put("x", 4)
+    };
+    assert_eq!(
+        history.before(&skipped),
+        None,
+        "what came between was not seen here"
+    );
     for n in 10..20 {
         let (old, new) = (put(&n.to_string(), n), put(&n.to_string(), 100 + n));
         history.replaced(&old, &new);
     }
-    assert_eq!(history.before(&second), None, "the oldest is forgotten for room");
+    assert_eq!(
+        history.before(&second),
+        None,
+        "the oldest is forgotten for room"
+    );
 }
 
 #[test]
 fn reports_that_wait_are_bounded_and_replaced() {
     let mut waiting = Waiting::default();
     for n in 1..=3 {
-        waiting.add(Report::Standing { node: PeerId(7), upto: version(n) });
+        waiting.add(Report::Standing {
+            node: PeerId(7),
+            upto: version(n),
+        });
     }
-    let orphan = Report::Orphan { key: put("x", 1).key, version: version(1) };
+    let orphan = Report::Orphan {
+        key: put("x", 1).key,
+        version: version(1),
+    };
     for _ in 0..3 {
         waiting.add(orphan.clone());
     }
     let taken = waiting.take(1000);
-    assert_eq!(taken, [orphan.clone(), Report::Standing { node: PeerId(7), upto: version(3) }]);
+    assert_eq!(
+        taken,
+        [
+            orphan.clone(),
+            Report::Standing {
+                node: PeerId(7),
+                upto: version(3)
+            }
+        ]
+    );
     assert!(waiting.is_empty());
     waiting.restore(taken);
     assert_eq!(waiting.take(1), [orphan], "at least one");
     for n in 0..10_000 {
         let reason = String::new();
         let (key, node) = (put("x", 1).key, PeerId(n));
-        waiting.add(Report::Refused { node, key, version: version(1), reason });
+        waiting.add(Report::Refused {
+            node,
+            key,
+            version: version(1),
+            reason,
+        });
     }
     assert_eq!(waiting.take(usize::MAX).len(), 4097);
 }
@@ -254,7 +319,11 @@
     board.standing(0.0, PeerId(1), version(5));
     board.standing(0.0, PeerId(1), version(3));
     board.standing(0.0, PeerId(2), version(4));
-    let refused = Refused { node: PeerId(2), key: put("x", 4).key, reason: "no".into() };
+    let refused = Refused {
+        node: PeerId(2),
+        key: put("x", 4).key,
+        reason: "no".into(),
+    };
     board.refused(version(4), refused.clone());
     let status = board.status(version(5));
     assert_eq!((status.have.len(), status.lack.len()), (1, 1));
@@ -285,17 +354,27 @@
     assert_eq!(restored.log.len(), 1);
     assert_eq!(restored.log.top(), version(3));
     assert_eq!(restored.log.floor(), version(2));
-    assert_eq!(restored.in_force[&Name::service("a", "x")].version, version(3));
+    assert_eq!(
+        restored.in_force[&Name::service("a", "x")].version,
+        version(3)
+    );
     assert_eq!(restored.covered[&selector].0, Coverage::upto(version(1)));
     let end = change("x", 1, Content::Removed);
-    let gone = [Record::Unsubscribed(selector), Record::Forget(end.key.clone()), Record::InForce(end)];
+    let gone = [
+        Record::Unsubscribed(selector),
+        Record::Forget(end.key.clone()),
+        Record::InForce(end),
+    ];
     let restored = Restored::read(ROOM, records.into_iter().chain(gone));
     assert!(restored.log.is_empty() && restored.in_force.is_empty() && restored.covered.is_empty());
 }
 
 #[test]
 fn greater_parts_hold_smaller_ones() {
-    let part = |thousandths| Part { thousandths, seed: 11 };
+    let part = |thousandths| Part {
+        thousandths,
+        seed: 11,
+    };
     let mut counts = [0; 3];
     for node in (0..6000).map(PeerId) {
         let held = [part(10), part(100), part(500)].map(|part| part.holds(node));
@@ -305,6 +384,9 @@
             *count += usize::from(held);
         }
     }
-    assert!((30..100).contains(&counts[0]) && (500..700).contains(&counts[1]), "{counts:?}");
+    assert!(
+        (30..100).contains(&counts[0]) && (500..700).contains(&counts[1]),
+        "{counts:?}"
+    );
     assert!((2800..3200).contains(&counts[2]), "{counts:?}");
 }
--- a/crates/distribution/tests/schedules.rs
+++ b/crates/distribution/tests/schedules.rs
@@ -39,14 +39,30 @@
     match id % 3 {
         0 => vec![Selector::Services],
         1 => vec![Selector::common(), Selector::service("a")],
-        _ => vec![Selector::common(), Selector::service("a"), Selector::service("b"), Selector::tenant("t")],
+        _ => vec![
+            Selector::common(),
+            Selector::service("a"),
+            Selector::service("b"),
+            Selector::tenant("t"),
+        ],
     }
 }
 
 impl Play {
     fn new(seed: u64) -> Play {
-        let delay = if seed.is_multiple_of(3) { (0.005, 1.5) } else { (0.005, 0.2) };
-        let mut world = World::new(seed, Network { loss: 0.05, twice: 0.05, delay });
+        let delay = if seed.is_multiple_of(3) {
+            (0.005, 1.5)
+        } else {
+            (0.005, 0.2)
+        };
+        let mut world = World::new(
+            seed,
+            Network {
+                loss: 0.05,
+                twice: 0.05,
+                delay,
+            },
+        );
         let authors: Vec<u32> = (1..=world.draw.random_range(1..=2)).collect();
         let first: Vec<u32> = (10..10 + world.draw.random_range(1..=2)).collect();
         let second: Vec<u32> = (20..20 + world.draw.random_range(1..=2)).collect();
@@ -101,7 +117,8 @@
     }
 
     fn write(
-        &mut self, call: impl FnOnce(&mut Author, Time, &mut Vec<Output>) -> Result<Version, Refusal>,
+        &mut self,
+        call: impl FnOnce(&mut Author, Time, &mut Vec<Output>) -> Result<Version, Refusal>,
     ) -> Option<Version> {
         let holder = self.holder?;
         let t = self.world.t;
@@ -145,11 +162,16 @@
     }
 
     fn publish(&mut self) {
-        let count = if self.world.draw.random_bool(0.1) { 20 } else { 1 };
+        let count = if self.world.draw.random_bool(0.1) {
+            20
+        } else {
+            1
+        };
         let drafts: Vec<Draft> = (0..count).map(|_| self.draft()).collect();
         let token = self.token;
         let copy = drafts.clone();
-        let version = self.write(|author, now, outputs| author.publish(now, &claim(token), drafts, outputs));
+        let version =
+            self.write(|author, now, outputs| author.publish(now, &claim(token), drafts, outputs));
         for draft in copy {
             let bytes = match &draft.content {
                 Content::Body(bytes) => Some(bytes.to_vec()),
@@ -168,7 +190,10 @@
         let name = draft.name.clone();
         let token = self.token;
         self.last.remove(&name);
-        let part = Part { thousandths: self.world.draw.random_range(100..900), seed: 5 };
+        let part = Part {
+            thousandths: self.world.draw.random_range(100..900),
+            seed: 5,
+        };
         self.write(|author, now, outputs| author.stage(now, &claim(token), draft, part, outputs));
         if self.world.draw.random_bool(0.5) {
             let lasts = self.world.draw.random_range(0.0..3.0);
@@ -178,7 +203,9 @@
     }
 
     fn revert(&mut self) {
-        let Some(version) = self.versions.last().copied() else { return };
+        let Some(version) = self.versions.last().copied() else {
+            return;
+        };
         let token = self.token;
         self.last.clear();
         self.write(|author, now, outputs| author.revert(now, &claim(token), version, outputs));
@@ -263,7 +290,10 @@
                 _ => continue,
             };
             let honest = !matches!(why, Reason::Misbehaved | Reason::Flooded);
-            assert!(honest, "{t}: {id:?} takes an honest peer for a false one: {event:?}");
+            assert!(
+                honest,
+                "{t}: {id:?} takes an honest peer for a false one: {event:?}"
+            );
         }
         let holder = self.holder.unwrap();
         assert!(self.world.author_of(holder).is_writing(), "nobody writes");
@@ -279,21 +309,40 @@
     fn check_node(&self, id: PeerId, holder: u32) {
         let author = self.world.author_of(holder);
         let node = self.world.node_of(id.0);
-        assert_eq!(node.head(), author.head(), "{id:?} follows {:?}", node.following());
+        assert_eq!(
+            node.head(),
+            author.head(),
+            "{id:?} follows {:?}",
+            node.following()
+        );
         let seat = &self.world.seats[&id];
-        assert!(node.staleness(seat.clock(self.world.t)) < 15.0, "{id:?} is old");
+        assert!(
+            node.staleness(seat.clock(self.world.t)) < 15.0,
+            "{id:?} is old"
+        );
         for item in 0..4 {
             let item = format!("r{item}");
-            let names = [Name::common(&item), Name::service("a", &item), Name::service("b", &item)];
+            let names = [
+                Name::common(&item),
+                Name::service("a", &item),
+                Name::service("b", &item),
+            ];
             for name in names {
                 let wanted = selectors_of(id.0).iter().any(|s| s.holds(&name.group));
-                let expected = if wanted { wanted_at(author, id, &name) } else { None };
-                let found = node.in_force(&name).map(|change| change.content.bytes().to_vec());
+                let expected = if wanted {
+                    wanted_at(author, id, &name)
+                } else {
+                    None
+                };
+                let found = node
+                    .in_force(&name)
+                    .map(|change| change.content.bytes().to_vec());
                 let refused = |bytes: &Vec<u8>| id.0 % 2 == 1 && bytes.starts_with(BAD_FOR_ODD);
                 if expected.as_ref().is_some_and(refused) {
                     continue;
                 }
-                let short = |bytes: &Option<Vec<u8>>| bytes.as_ref().map(|b| b[..b.len().min(9)].to_vec());
+                let short =
+                    |bytes: &Option<Vec<u8>>| bytes.as_ref().map(|b| b[..b.len().min(9)].to_vec());
                 assert_eq!(short(&found), short(&expected), "{id:?} {name:?}");
             }
         }
@@ -302,16 +351,28 @@
     fn check_nothing_lost(&self, holder: u32) {
         let author = self.world.author_of(holder);
         for (name, bytes) in &self.last {
-            let key = Key { name: name.clone(), slot: Slot::Whole };
+            let key = Key {
+                name: name.clone(),
+                slot: Slot::Whole,
+            };
             let found = author.log().get(&key).filter(|change| !change.removes());
-            assert_eq!(found.map(|change| change.content.bytes().to_vec()), *bytes, "{name:?} was lost");
+            assert_eq!(
+                found.map(|change| change.content.bytes().to_vec()),
+                *bytes,
+                "{name:?} was lost"
+            );
         }
     }
 }
 
 /// What a node is to have, by its author.
 fn wanted_at(author: &Author, node: PeerId, name: &Name) -> Option<Vec<u8>> {
-    let get = |slot| author.log().get(&Key { name: name.clone(), slot });
+    let get = |slot| {
+        author.log().get(&Key {
+            name: name.clone(),
+            slot,
+        })
+    };
     let (whole, trial) = (get(Slot::Whole), get(Slot::Trial));
     let on_trial = trial.filter(|trial| !trial.removes() && trial.part.holds(node));
     let on_trial = on_trial.filter(|trial| whole.is_none_or(|whole| whole.version < trial.version));
@@ -343,7 +404,10 @@
 }
 
 fn schedules() -> u32 {
-    std::env::var("SCHEDULES").ok().and_then(|n| n.parse().ok()).unwrap_or(1000)
+    std::env::var("SCHEDULES")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(1000)
 }
 
 proptest! {
@@ -383,7 +447,10 @@
 /// Plays one schedule with rollouts, of the number in `ROLLOUT_SEED`.
 #[test]
 fn one_schedule_with_rollouts() {
-    if let Some(seed) = std::env::var("ROLLOUT_SEED").ok().and_then(|n| n.parse().ok()) {
+    if let Some(seed) = std::env::var("ROLLOUT_SEED")
+        .ok()
+        .and_then(|n| n.parse().ok())
+    {
         play_rollouts(seed);
     }
 }
@@ -403,9 +470,18 @@
     }
     assert!(all.begun > 100, "{} rollouts", all.begun);
     assert!(all.advanced > 30, "{} stages ended", all.advanced);
-    assert!(all.checked * 10 > all.advanced * 9, "{} of {} could be judged", all.checked, all.advanced);
+    assert!(
+        all.checked * 10 > all.advanced * 9,
+        "{} of {} could be judged",
+        all.checked,
+        all.advanced
+    );
     assert!(all.resumed > 10, "{} rollouts were taken over", all.resumed);
-    assert!(all.rolled_back > 20, "{} rollouts were taken back", all.rolled_back);
+    assert!(
+        all.rolled_back > 20,
+        "{} rollouts were taken back",
+        all.rolled_back
+    );
     assert!(all.completed > 5, "{} rollouts came to all", all.completed);
 }
 
--- a/crates/distribution/tests/schedules/rollouts.rs
+++ b/crates/distribution/tests/schedules/rollouts.rs
@@ -33,7 +33,8 @@
     }
 
     fn is_record(&self, record: &RolloutRecord) -> bool {
-        record.content == reelfall_distribution::resource::ContentHash::of(self.draft.content.bytes())
+        record.content
+            == reelfall_distribution::resource::ContentHash::of(self.draft.content.bytes())
     }
 }
 
@@ -57,7 +58,10 @@
 
 impl Rollouts {
     pub fn new(seed: u64) -> Rollouts {
-        Rollouts { draw: Pcg64Mcg::seed_from_u64(seed ^ OTHER_SEED), begun: Vec::new() }
+        Rollouts {
+            draw: Pcg64Mcg::seed_from_u64(seed ^ OTHER_SEED),
+            begun: Vec::new(),
+        }
     }
 
     pub fn step(&mut self, play: &mut Play) {
@@ -70,7 +74,11 @@
 
     fn name(&mut self) -> Name {
         let own = self.draw.random_bool(0.7);
-        let item = if own { format!("o{}", self.draw.random_range(0..OWN_NAMES)) } else { "r0".to_owned() };
+        let item = if own {
+            format!("o{}", self.draw.random_range(0..OWN_NAMES))
+        } else {
+            "r0".to_owned()
+        };
         // All nodes ask for these: who does not ask for a resource counts as accepting it.
         if self.draw.random_bool(0.5) {
             Name::common(&item)
@@ -92,7 +100,11 @@
         let soak = self.draw.random_range(1.0..5.0);
         let shares = [0, 100, 300];
         let policy = RolloutPolicy {
-            stages: vec![self.draw.random_range(200..500), self.draw.random_range(500..999), 1000],
+            stages: vec![
+                self.draw.random_range(200..500),
+                self.draw.random_range(500..999),
+                1000,
+            ],
             soak,
             decision_time: self.draw.random_range(0.0..soak),
             max_refused_share: shares[self.draw.random_range(0..shares.len())],
@@ -100,19 +112,31 @@
             min_decisions: self.draw.random_range(1..3),
             min_accepted_share: self.draw.random_range(500..=1000),
             max_report_age: 150.0,
-            on_refusals: if self.draw.random_bool(0.8) { OnRefusals::RollBack } else { OnRefusals::Halt },
+            on_refusals: if self.draw.random_bool(0.8) {
+                OnRefusals::RollBack
+            } else {
+                OnRefusals::Halt
+            },
         };
-        RolloutDraft { name, content: Content::body(&bytes), seed: self.draw.random(), policy }
+        RolloutDraft {
+            name,
+            content: Content::body(&bytes),
+            seed: self.draw.random(),
+            policy,
+        }
     }
 
     fn begin(&mut self, play: &mut Play) {
         let draft = self.draft();
-        let Some(holder) = play.holder.filter(|holder| play.runs(*holder)) else { return };
+        let Some(holder) = play.holder.filter(|holder| play.runs(*holder)) else {
+            return;
+        };
         let before = body_of(play.world.author_of(holder), &draft.name);
         let (copy, token, t) = (draft.clone(), play.token, play.world.t);
         // What the rollout comes to is for all nodes at a moment that the schedule does not know.
         play.last.remove(&draft.name);
-        let version = play.write(|author, now, outputs| author.roll_out(now, &claim(token), copy, outputs));
+        let version =
+            play.write(|author, now, outputs| author.roll_out(now, &claim(token), copy, outputs));
         // An author that ended meanwhile may have told it.
         if version.is_some() || !play.runs(holder) {
             self.begun.push(Begun { t, draft, before });
@@ -123,10 +147,20 @@
         if self.begun.is_empty() {
             return;
         }
-        let name = self.begun[self.draw.random_range(0..self.begun.len())].draft.name.clone();
-        let Some(holder) = play.holder.filter(|holder| play.runs(*holder)) else { return };
-        let trial = play.world.author_of(holder).log().get(&Key { name: name.clone(), slot: Slot::Trial });
-        let Some(version) = trial.map(|trial| trial.version) else { return };
+        let name = self.begun[self.draw.random_range(0..self.begun.len())]
+            .draft
+            .name
+            .clone();
+        let Some(holder) = play.holder.filter(|holder| play.runs(*holder)) else {
+            return;
+        };
+        let trial = play.world.author_of(holder).log().get(&Key {
+            name: name.clone(),
+            slot: Slot::Trial,
+        });
+        let Some(version) = trial.map(|trial| trial.version) else {
+            return;
+        };
         let token = play.token;
         play.last.remove(&name);
         if self.draw.random_bool(0.5) {
@@ -138,20 +172,36 @@
 
     /// No stage ends before its soak time, none past the threshold; of what was taken back nothing is in force.
     pub fn check(&self, play: &Play) -> Tally {
-        let mut tally = Tally { begun: self.begun.len(), ..Tally::default() };
+        let mut tally = Tally {
+            begun: self.begun.len(),
+            ..Tally::default()
+        };
         let mut since: BTreeMap<Name, (Time, u16)> = BTreeMap::new();
         let mut begun = self.begun.iter().peekable();
         for (t, _, event) in &play.world.judge.events {
             while let Some(next) = begun.next_if(|begun| begun.t <= *t) {
-                since.insert(next.draft.name.clone(), (next.t, next.draft.policy.stages[0]));
+                since.insert(
+                    next.draft.name.clone(),
+                    (next.t, next.draft.policy.stages[0]),
+                );
             }
             match event {
-                Event::RolloutAdvanced { name, thousandths, counts } => {
+                Event::RolloutAdvanced {
+                    name,
+                    thousandths,
+                    counts,
+                } => {
                     tally.advanced += 1;
                     if let Some((since, stage)) = since.get(name).copied() {
                         let lasted = t - since;
-                        let checked =
-                            self.check_advance(play, *t, name, lasted, (stage, *thousandths), *counts);
+                        let checked = self.check_advance(
+                            play,
+                            *t,
+                            name,
+                            lasted,
+                            (stage, *thousandths),
+                            *counts,
+                        );
                         tally.checked += usize::from(checked);
                     }
                     since.insert(name.clone(), (*t, *thousandths));
@@ -160,10 +210,16 @@
                     tally.resumed += 1;
                     since.insert(name.clone(), (*t, *thousandths));
                 }
-                Event::RolloutStopped { name, state, counts } => {
+                Event::RolloutStopped {
+                    name,
+                    state,
+                    counts,
+                } => {
                     tally.rolled_back += usize::from(matches!(state, RolloutState::RolledBack(_)));
                     // By hand the last stage was not watched to its end.
-                    let last = since.get(name).is_some_and(|(_, thousandths)| *thousandths == 1000);
+                    let last = since
+                        .get(name)
+                        .is_some_and(|(_, thousandths)| *thousandths == 1000);
                     if *state == RolloutState::Completed && last && counts.known > 0 {
                         tally.completed += 1;
                     }
@@ -178,29 +234,63 @@
     /// The rollout of a resource that went from one stage to another at a moment. Where an author is followed by one that
     /// does not know its last rollout, an earlier one may go on.
     fn of(&self, name: &Name, t: Time, (stage, next): (u16, u16)) -> Option<&Begun> {
-        let steps = |begun: &&Begun| begun.draft.policy.stages.windows(2).any(|pair| *pair == [stage, next]);
-        let mut begun = self.begun.iter().rev().filter(|begun| begun.draft.name == *name && begun.t <= t);
+        let steps = |begun: &&Begun| {
+            begun
+                .draft
+                .policy
+                .stages
+                .windows(2)
+                .any(|pair| *pair == [stage, next])
+        };
+        let mut begun = self
+            .begun
+            .iter()
+            .rev()
+            .filter(|begun| begun.draft.name == *name && begun.t <= t);
         begun.find(steps)
     }
 
     /// A stage has ended after so long; whether its rollout is known.
     fn check_advance(
-        &self, play: &Play, t: Time, name: &Name, lasted: Time, steps: (u16, u16), counts: StageCounts,
+        &self,
+        play: &Play,
+        t: Time,
+        name: &Name,
+        lasted: Time,
+        steps: (u16, u16),
+        counts: StageCounts,
     ) -> bool {
-        let Some(begun) = self.of(name, t, steps) else { return false };
+        let Some(begun) = self.of(name, t, steps) else {
+            return false;
+        };
         let policy = &begun.draft.policy;
-        assert!(lasted >= policy.soak * 0.999, "{t}: {name:?} soaked for {lasted} s");
+        assert!(
+            lasted >= policy.soak * 0.999,
+            "{t}: {name:?} soaked for {lasted} s"
+        );
         let decided = counts.accepted_lately + counts.refused;
         assert!(decided >= policy.min_decisions, "{t}: {name:?} {counts:?}");
         let of = (counts.accepted + counts.refused).max(policy.min_decisions);
         let allowed = u32::from(policy.max_refused_share) * of;
-        assert!(counts.refused * 1000 <= allowed, "{t}: {name:?} went on with {counts:?}");
-        assert!(counts.refused <= policy.max_refused, "{t}: {name:?} went on with {counts:?}");
-        let part = Part { thousandths: steps.0, seed: begun.draft.seed };
+        assert!(
+            counts.refused * 1000 <= allowed,
+            "{t}: {name:?} went on with {counts:?}"
+        );
+        assert!(
+            counts.refused <= policy.max_refused,
+            "{t}: {name:?} went on with {counts:?}"
+        );
+        let part = Part {
+            thousandths: steps.0,
+            seed: begun.draft.seed,
+        };
         let nodes = play.world.ids(|config| matches!(config, Config::Node(..)));
         let able = |id: &&PeerId| part.holds(**id) && (id.0.is_multiple_of(2) || !begun.bad());
         let able = nodes.iter().filter(able).count() as u32;
-        assert!(counts.accepted <= able, "{t}: {name:?} {counts:?}, but {able} can accept it");
+        assert!(
+            counts.accepted <= able,
+            "{t}: {name:?} {counts:?}, but {able} can accept it"
+        );
         true
     }
 
@@ -208,8 +298,13 @@
         let author = play.world.author_of(play.holder.unwrap());
         for begun in &self.begun {
             let name = &begun.draft.name;
-            let Some(status) = author.rollout(name) else { continue };
-            let trial = author.log().get(&Key { name: name.clone(), slot: Slot::Trial });
+            let Some(status) = author.rollout(name) else {
+                continue;
+            };
+            let trial = author.log().get(&Key {
+                name: name.clone(),
+                slot: Slot::Trial,
+            });
             if !begun.is_record(&status.record) {
                 continue;
             }
@@ -218,12 +313,24 @@
                 RolloutState::RolledBack(_) | RolloutState::Ended | RolloutState::Lost
             );
             if ended {
-                assert!(status.record.own_trial(trial).is_none(), "{name:?} is over and on trial");
+                assert!(
+                    status.record.own_trial(trial).is_none(),
+                    "{name:?} is over and on trial"
+                );
                 self.check_nowhere(play, begun);
             }
-            let only = self.begun.iter().filter(|other| other.draft.name == *name).count() == 1;
+            let only = self
+                .begun
+                .iter()
+                .filter(|other| other.draft.name == *name)
+                .count()
+                == 1;
             if ended && only && !name.item.starts_with('r') {
-                assert_eq!(body_of(author, name), begun.before, "{name:?} is not what it was");
+                assert_eq!(
+                    body_of(author, name),
+                    begun.before,
+                    "{name:?} is not what it was"
+                );
             }
         }
     }
@@ -239,12 +346,19 @@
                 continue;
             }
             let found = play.world.bytes_at(id.0, &begun.draft.name);
-            assert!(found.is_none_or(|found| found != body), "{id:?} still has {:?}", begun.draft.name);
+            assert!(
+                found.is_none_or(|found| found != body),
+                "{id:?} still has {:?}",
+                begun.draft.name
+            );
         }
     }
 }
 
 fn body_of(author: &Author, name: &Name) -> Option<Vec<u8>> {
-    let whole = author.log().get(&Key { name: name.clone(), slot: Slot::Whole })?;
+    let whole = author.log().get(&Key {
+        name: name.clone(),
+        slot: Slot::Whole,
+    })?;
     (!whole.removes()).then(|| whole.content.bytes().to_vec())
 }
--- a/crates/distribution/tests/world/judge.rs
+++ b/crates/distribution/tests/world/judge.rs
@@ -55,7 +55,8 @@
 
     /// A node has ended a subscription: it keeps nothing of it, the versions neither.
     pub fn unsubscribed(&mut self, node: PeerId, selector: &Selector) {
-        self.in_force.retain(|(id, name), _| *id != node || !selector.holds(&name.group));
+        self.in_force
+            .retain(|(id, name), _| *id != node || !selector.holds(&name.group));
     }
 
     pub fn event(&mut self, t: Time, id: PeerId, event: Event) {
@@ -67,19 +68,29 @@
         if from.0 .0 < FIRST_NODE && to.0 .0 < FIRST_NODE {
             return;
         }
-        let window = self.windows.entry((from.min(to), from.max(to))).or_default();
+        let window = self
+            .windows
+            .entry((from.min(to), from.max(to)))
+            .or_default();
         let sum = window.add(t, bytes + TRANSPORT_OVERHEAD);
         self.busiest = self.busiest.max(sum);
         if sum > BUDGET {
-            self.broken.push(format!("{t}: {sum} bytes between {from:?} and {to:?} in {WINDOW} s"));
+            self.broken.push(format!(
+                "{t}: {sum} bytes between {from:?} and {to:?} in {WINDOW} s"
+            ));
         }
     }
 
     /// A process has done something.
     pub fn look(&mut self, t: Time, id: PeerId, seat: &Seat) {
-        let Some(Machine::Node(node)) = &seat.machine else { return };
+        let Some(Machine::Node(node)) = &seat.machine else {
+            return;
+        };
         for change in node.all_in_force() {
-            let known = self.in_force.entry((id, change.key.name.clone())).or_default();
+            let known = self
+                .in_force
+                .entry((id, change.key.name.clone()))
+                .or_default();
             if change.version < *known {
                 self.broken.push(format!(
                     "{t}: {id:?} went back from {known:?} to {:?} of {:?}",
@@ -88,20 +99,32 @@
             }
             *known = change.version;
             if id.0 % 2 == 1 && change.content.bytes().starts_with(BAD_FOR_ODD) {
-                self.broken.push(format!("{t}: {id:?} has in force what it refused"));
+                self.broken
+                    .push(format!("{t}: {id:?} has in force what it refused"));
             }
         }
         let staleness = node.staleness(seat.clock(t));
         let at = t - staleness;
-        let before = self.published.partition_point(|(published, _)| *published < at);
-        let must = self.published[..before].iter().map(|(_, version)| *version).max();
+        let before = self
+            .published
+            .partition_point(|(published, _)| *published < at);
+        let must = self.published[..before]
+            .iter()
+            .map(|(_, version)| *version)
+            .max();
         if must.is_some_and(|must| node.head() < must) {
             let head = node.head();
-            self.broken.push(format!("{t}: {id:?} says {staleness} s, and has {head:?}, not {must:?}"));
+            self.broken.push(format!(
+                "{t}: {id:?} says {staleness} s, and has {head:?}, not {must:?}"
+            ));
         }
     }
 
     pub fn verdict(&self) {
-        assert!(self.broken.is_empty(), "{:#?}", &self.broken[..self.broken.len().min(5)]);
+        assert!(
+            self.broken.is_empty(),
+            "{:#?}",
+            &self.broken[..self.broken.len().min(5)]
+        );
     }
 }
--- a/crates/distribution/tests/world/mod.rs
+++ b/crates/distribution/tests/world/mod.rs
@@ -27,14 +27,18 @@
 }
 
 pub fn claim(token: u64) -> Claim {
-    Claim { lease: lease(), token }
+    Claim {
+        lease: lease(),
+        token,
+    }
 }
 
 /// An author gets the lease with this token, for so many seconds.
 pub fn hold(world: &mut World, author: u32, token: u64, lasts: Time) {
     let until = world.seats[&PeerId(author)].clock(world.t + lasts);
-    let held =
-        world.with_author(author, |author, now, outputs| author.hold(now, &claim(token), until, outputs));
+    let held = world.with_author(author, |author, now, outputs| {
+        author.hold(now, &claim(token), until, outputs)
+    });
     assert_eq!(held, Some(Ok(())));
 }
 
@@ -50,7 +54,10 @@
 
 /// A node that asks for all services and follows relays of its region, with those of others as fallbacks.
 pub fn node_of_region(world: &mut World, id: u32, near: &[u32], far: &[u32]) {
-    let follow = FollowRules { fallbacks: peers(far), ..FollowRules::node(peers(near)) };
+    let follow = FollowRules {
+        fallbacks: peers(far),
+        ..FollowRules::node(peers(near))
+    };
     node_with(world, id, follow);
 }
 
@@ -60,7 +67,11 @@
         node: PeerId(id),
         lease: lease(),
         follow,
-        room: Room { keys: 10_000, bytes: 8 << 20, removals: 50 },
+        room: Room {
+            keys: 10_000,
+            bytes: 8 << 20,
+            removals: 50,
+        },
         standing_every: 2.0,
         seed: world.draw.random(),
     };
@@ -118,7 +129,11 @@
 }
 
 enum Event {
-    Frame { to: PeerId, from: PeerId, frame: Vec<u8> },
+    Frame {
+        to: PeerId,
+        from: PeerId,
+        frame: Vec<u8>,
+    },
     Wake(PeerId),
     Answer(PeerId, u64, Change),
 }
@@ -130,7 +145,11 @@
     pub delay: (Time, Time),
 }
 
-pub const CALM: Network = Network { loss: 0.0, twice: 0.0, delay: (0.01, 0.02) };
+pub const CALM: Network = Network {
+    loss: 0.0,
+    twice: 0.0,
+    delay: (0.01, 0.02),
+};
 
 pub struct World {
     pub t: Time,
@@ -175,7 +194,11 @@
             lease: lease(),
             follow: FollowRules::relay(peers(relays)),
             serve: ServeRules::default(),
-            room: Room { keys: 10_000, bytes: 64 << 20, removals: 50 },
+            room: Room {
+                keys: 10_000,
+                bytes: 64 << 20,
+                removals: 50,
+            },
             history: 1 << 20,
             takeover: 5.0,
             seed: self.draw.random(),
@@ -188,7 +211,11 @@
             lease: lease(),
             follow: FollowRules::relay(peers(upstreams)),
             serve: ServeRules::default(),
-            room: Room { keys: 10_000, bytes: 64 << 20, removals: 50 },
+            room: Room {
+                keys: 10_000,
+                bytes: 64 << 20,
+                removals: 50,
+            },
             seed: self.draw.random(),
         };
         self.seat(PeerId(id), Config::Relay(config));
@@ -199,7 +226,11 @@
             node: PeerId(id),
             lease: lease(),
             follow: FollowRules::node(peers(relays)),
-            room: Room { keys: 10_000, bytes: 8 << 20, removals: 50 },
+            room: Room {
+                keys: 10_000,
+                bytes: 8 << 20,
+                removals: 50,
+            },
             standing_every: 2.0,
             seed: self.draw.random(),
         };
@@ -329,7 +360,9 @@
             Event::Frame { to, .. } => *to,
             Event::Wake(id) | Event::Answer(id, _, _) => *id,
         };
-        let Some(seat) = self.seats.get(&id) else { return };
+        let Some(seat) = self.seats.get(&id) else {
+            return;
+        };
         if self.t < seat.frozen_until {
             let at = seat.frozen_until;
             match event {
@@ -351,7 +384,9 @@
             Event::Wake(id) => {
                 self.act(id, |_, _, _| {});
             }
-            Event::Answer(id, life, change) if self.seats[&id].life == life => self.answer(id, &change),
+            Event::Answer(id, life, change) if self.seats[&id].life == life => {
+                self.answer(id, &change)
+            }
             Event::Answer(..) => {}
         }
     }
@@ -370,7 +405,9 @@
 
     /// Calls a machine, lets it do what is due, and does what it asks for.
     pub fn act<T>(
-        &mut self, id: PeerId, call: impl FnOnce(&mut Machine, Time, &mut Vec<Output>) -> T,
+        &mut self,
+        id: PeerId,
+        call: impl FnOnce(&mut Machine, Time, &mut Vec<Output>) -> T,
     ) -> Option<T> {
         let t = self.t;
         let seat = self.seats.get_mut(&id)?;
@@ -422,12 +459,19 @@
     }
 
     pub fn send(&mut self, from: PeerId, to: PeerId, frame: Vec<u8>) {
-        let lives = (self.seats[&from].life, self.seats.get(&to).map_or(0, |seat| seat.life));
-        self.judge.sent(self.t, (from, lives.0), (to, lives.1), frame.len());
+        let lives = (
+            self.seats[&from].life,
+            self.seats.get(&to).map_or(0, |seat| seat.life),
+        );
+        self.judge
+            .sent(self.t, (from, lives.0), (to, lives.1), frame.len());
         self.sent.push((self.t, from, to, frame.len()));
         if let Some(digest) = &mut self.digest {
             digest.update(&self.t.to_bits().to_le_bytes());
-            digest.update(&from.0.to_le_bytes()).update(&to.0.to_le_bytes()).update(&frame);
+            digest
+                .update(&from.0.to_le_bytes())
+                .update(&to.0.to_le_bytes())
+                .update(&frame);
         }
         let pair = (from.min(to), from.max(to));
         if self.cuts.get(&pair).is_some_and(|until| self.t < *until) {
@@ -436,11 +480,22 @@
         if self.draw.random_bool(self.network.loss) {
             return;
         }
-        let copies = if self.draw.random_bool(self.network.twice) { 2 } else { 1 };
+        let copies = if self.draw.random_bool(self.network.twice) {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
             let (least, most) = self.network.delay;
             let at = self.t + self.draw.random_range(least..most);
-            self.push(at, Event::Frame { to, from, frame: frame.clone() });
+            self.push(
+                at,
+                Event::Frame {
+                    to,
+                    from,
+                    frame: frame.clone(),
+                },
+            );
         }
     }
 }
--- a/crates/distribution/tests/world/view.rs
+++ b/crates/distribution/tests/world/view.rs
@@ -34,7 +34,9 @@
 
     /// Calls an author, if it runs and does not stand still.
     pub fn with_author<T>(
-        &mut self, id: u32, call: impl FnOnce(&mut Author, Time, &mut Vec<Output>) -> T,
+        &mut self,
+        id: u32,
+        call: impl FnOnce(&mut Author, Time, &mut Vec<Output>) -> T,
     ) -> Option<T> {
         if self.t < self.seats[&PeerId(id)].frozen_until {
             return None;
@@ -48,7 +50,9 @@
 
     /// Calls a node.
     pub fn with_node<T>(
-        &mut self, id: u32, call: impl FnOnce(&mut Subscriber, Time, &mut Vec<Output>) -> T,
+        &mut self,
+        id: u32,
+        call: impl FnOnce(&mut Subscriber, Time, &mut Vec<Output>) -> T,
     ) -> Option<T> {
         self.act(PeerId(id), |machine, now, outputs| match machine {
             Machine::Node(node) => Some(call(node, now, outputs)),
@@ -59,10 +63,16 @@
 
     /// The bytes that are in force of a resource at a node.
     pub fn bytes_at(&self, node: u32, name: &Name) -> Option<Vec<u8>> {
-        self.node_of(node).in_force(name).map(|change| change.content.bytes().to_vec())
+        self.node_of(node)
+            .in_force(name)
+            .map(|change| change.content.bytes().to_vec())
     }
 
     pub fn ids(&self, kind: fn(&Config) -> bool) -> BTreeSet<PeerId> {
-        self.seats.iter().filter(|(_, seat)| kind(&seat.config)).map(|(id, _)| *id).collect()
+        self.seats
+            .iter()
+            .filter(|(_, seat)| kind(&seat.config))
+            .map(|(id, _)| *id)
+            .collect()
     }
 }
--- a/crates/emulator/examples/decision.rs
+++ b/crates/emulator/examples/decision.rs
@@ -24,12 +24,25 @@
 fn entry(server: ServerId) -> Entry {
     let hash = u64::from(server + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let (zone, kind, cell, state) = (0, 0, 0, ServerState::Up);
-    Entry { server, hash, zone, kind, cell, state, weight: 1.0, ready_at: 0.0, sharers: 1 }
+    Entry {
+        server,
+        hash,
+        zone,
+        kind,
+        cell,
+        state,
+        weight: 1.0,
+        ready_at: 0.0,
+        sharers: 1,
+    }
 }
 
 fn main() -> Result<(), String> {
     let (settings, ..) = reelfall_core::settings::read(SETTINGS)?;
-    let lengths: Result<Vec<u32>, _> = std::env::args().skip(1).map(|length| length.parse()).collect();
+    let lengths: Result<Vec<u32>, _> = std::env::args()
+        .skip(1)
+        .map(|length| length.parse())
+        .collect();
     let mut lengths = lengths.map_err(|e| format!("lengths are whole numbers: {e}"))?;
     if lengths.is_empty() {
         lengths.extend(LENGTHS);
@@ -41,7 +54,14 @@
         let mut actions = Vec::new();
         let entries = (0..servers).map(entry).collect();
         let began = Instant::now();
-        node.handle(0.0, Event::Members { list: ListKind::Cached, entries }, &mut actions);
+        node.handle(
+            0.0,
+            Event::Members {
+                list: ListKind::Cached,
+                entries,
+            },
+            &mut actions,
+        );
         let list = began.elapsed();
         let (mut now, mut at) = (0.0, Vec::new());
         let began = Instant::now();
@@ -50,22 +70,52 @@
             at.clear();
             let (tenant, hint, key) = (Some(0), Some(0.02), None);
             let class = (request % 2) as ClassId;
-            node.handle(now, Event::Request { request, class, tenant, hint, key, left: 0.6 }, &mut at);
+            node.handle(
+                now,
+                Event::Request {
+                    request,
+                    class,
+                    tenant,
+                    hint,
+                    key,
+                    left: 0.6,
+                },
+                &mut at,
+            );
             let Some(server) = at.iter().find_map(|a| match a {
                 Action::Attempt { server, .. } => Some(*server),
                 _ => None,
             }) else {
                 continue;
             };
-            let (attempt, outcome, latency, ended, load) = (0, Outcome::Delivered, 0.005, true, None);
-            let ended = Event::Outcome { request, attempt, server, outcome, latency, ended, load };
+            let (attempt, outcome, latency, ended, load) =
+                (0, Outcome::Delivered, 0.005, true, None);
+            let ended = Event::Outcome {
+                request,
+                attempt,
+                server,
+                outcome,
+                latency,
+                ended,
+                load,
+            };
             node.handle(now + 0.005, ended, &mut at);
         }
         let each = began.elapsed().as_secs_f64() * 1e6 / f64::from(requests);
-        let restarted = |server| Entry { ready_at: now, ..entry(server) };
+        let restarted = |server| Entry {
+            ready_at: now,
+            ..entry(server)
+        };
         let entries = (0..servers).step_by(10).map(restarted).collect();
         let began = Instant::now();
-        node.handle(now, Event::Members { list: ListKind::Delta, entries }, &mut actions);
+        node.handle(
+            now,
+            Event::Members {
+                list: ListKind::Delta,
+                entries,
+            },
+            &mut actions,
+        );
         let restarts = began.elapsed();
         let [list, restarts] = [list, restarts].map(|time| time.as_secs_f64() * 1e3);
         println!("{servers:>7}  {list:>9.2}  {restarts:>11.2}  {each:>10.2}");
--- a/crates/emulator/examples/fleet.rs
+++ b/crates/emulator/examples/fleet.rs
@@ -4,7 +4,9 @@
 use reelfall_emulator::{play, scenario, Plan, Report};
 
 fn main() -> Result<(), String> {
-    let mut args = std::env::args().skip(1).map(|a| a.parse::<usize>().map_err(|e| format!("{a}: {e}")));
+    let mut args = std::env::args()
+        .skip(1)
+        .map(|a| a.parse::<usize>().map_err(|e| format!("{a}: {e}")));
     let seeds = args.next().transpose()?.unwrap_or(3);
     let mut sizes: Vec<usize> = args.collect::<Result<_, _>>()?;
     if sizes.is_empty() {
@@ -12,12 +14,20 @@
     }
     println!("plan                        nodes parts  whole worst5 dials/r repeats/r to-dead% past% pushed broken");
     for nodes in sizes {
-        for plan in [scenario::calm, scenario::herd, scenario::zone, scenario::join] {
+        for plan in [
+            scenario::calm,
+            scenario::herd,
+            scenario::zone,
+            scenario::join,
+        ] {
             for whole in [false, true] {
                 let mut reports = Vec::new();
                 let mut name = String::new();
                 for seed in 0..seeds as u64 {
-                    let plan = Plan { whole, ..scenario::with_bad(plan(nodes, seed + 1), 0.1) };
+                    let plan = Plan {
+                        whole,
+                        ..scenario::with_bad(plan(nodes, seed + 1), 0.1)
+                    };
                     name.clone_from(&plan.name);
                     reports.push(play(plan)?);
                 }
@@ -29,8 +39,9 @@
 }
 
 fn line(name: &str, nodes: usize, parts: bool, reports: &[Report]) {
-    let mean =
-        |of: &dyn Fn(&Report) -> f64| reports.iter().map(of).sum::<f64>() / reports.len().max(1) as f64;
+    let mean = |of: &dyn Fn(&Report) -> f64| {
+        reports.iter().map(of).sum::<f64>() / reports.len().max(1) as f64
+    };
     let sends = |r: &Report| f64::from(r.sum(|s| s.sends).max(1));
     let broken: usize = reports.iter().map(|r| r.rules.breaches.len()).sum();
     println!(
@@ -44,5 +55,8 @@
         mean(&|r| 100.0 * r.past() / r.seconds.iter().map(|s| f64::from(s.sends) * 0.032).sum::<f64>()),
         reports.iter().map(|r| r.rules.pushed).fold(0.0, f64::max),
     );
-    reports.iter().flat_map(|r| r.rules.breaches.first()).for_each(|b| println!("    {b}"));
+    reports
+        .iter()
+        .flat_map(|r| r.rules.breaches.first())
+        .for_each(|b| println!("    {b}"));
 }
--- a/crates/emulator/examples/scale/control.rs
+++ b/crates/emulator/examples/scale/control.rs
@@ -69,8 +69,22 @@
 
 impl Arguments {
     fn sizes(&self) -> Sizes {
-        let Arguments { nodes, authors, relays, routes, tenants, .. } = *self;
-        Sizes { nodes, authors, relays, routes, tenants, ..Sizes::TARGET }
+        let Arguments {
+            nodes,
+            authors,
+            relays,
+            routes,
+            tenants,
+            ..
+        } = *self;
+        Sizes {
+            nodes,
+            authors,
+            relays,
+            routes,
+            tenants,
+            ..Sizes::TARGET
+        }
     }
 
     /// What is unlike in this system, for the names of its runs.
@@ -162,7 +176,10 @@
 /// Every other control machine, with the author that writes.
 fn half(world: &World) -> Vec<u32> {
     let all: Vec<u32> = world.layout.control().collect();
-    let others = all.iter().copied().filter(|machine| Some(*machine) != world.leader());
+    let others = all
+        .iter()
+        .copied()
+        .filter(|machine| Some(*machine) != world.leader());
     let others = others.skip(1).step_by(2).take(all.len() / 2 - 1);
     world.leader().into_iter().chain(others).collect()
 }
@@ -202,7 +219,12 @@
 
 fn report(outcome: &Outcome, run: &Run) {
     print(run, outcome.nodes.long_most);
-    let Usage { bytes_in, bytes_out, cpu, .. } = outcome.control;
+    let Usage {
+        bytes_in,
+        bytes_out,
+        cpu,
+        ..
+    } = outcome.control;
     println!(
         "    control machines: in {bytes_in:.0} B/s, out {bytes_out:.0} B/s, cpu {:.2} %; {} of the changes' nodes without them; faults {}",
         cpu * 100.0,
@@ -215,19 +237,36 @@
     if let Some(ages) = outcome.ages {
         println!("    ages: {ages:?}");
     }
-    outcome.faults.iter().take(5).for_each(|fault| println!("    {fault}"));
+    outcome
+        .faults
+        .iter()
+        .take(5)
+        .for_each(|fault| println!("    {fault}"));
 }
 
 /// What whole copies need at the target, and of what is played here; by formulas.
 fn whole_copies(sizes: Sizes) -> Vec<Run> {
-    let played = Contents { servers: 0, services: sizes.services as usize, routes: 0, tenants: 0 };
+    let played = Contents {
+        servers: 0,
+        services: sizes.services as usize,
+        routes: 0,
+        tenants: 0,
+    };
     println!("whole copies, by formulas:");
     let mut runs = Vec::new();
     for (name, contents) in [("target", Contents::TARGET), ("services alone", played)] {
         for (rate_name, times) in [("day's rate", 1.0), ("ten times the day's rate", 10.0)] {
             let changes = times * CHANGES_A_DAY as f64 / DAY;
-            let copies = WholeCopies { contents, changes, lists_every: LISTS_EVERY, budget: BUDGET };
-            let without_lists = WholeCopies { lists_every: f64::INFINITY, ..copies };
+            let copies = WholeCopies {
+                contents,
+                changes,
+                lists_every: LISTS_EVERY,
+                budget: BUDGET,
+            };
+            let without_lists = WholeCopies {
+                lists_every: f64::INFINITY,
+                ..copies
+            };
             println!(
                 "    {name}, {rate_name}: {:.1} MB a change, {:.0} B/s a node; in force {:?}, with the newest file alone and no lists {:?}",
                 copies.bytes_of_one_change() / 1e6,
@@ -236,14 +275,30 @@
                 without_lists.in_force_coalesced(),
             );
             let in_force = match without_lists.in_force_coalesced() {
-                InForce::Within { least, most } => {
-                    Some(Times { p50: (least + most) / 2.0, p99: most, last: most })
-                }
+                InForce::Within { least, most } => Some(Times {
+                    p50: (least + most) / 2.0,
+                    p99: most,
+                    last: most,
+                }),
                 InForce::Never => None,
             };
-            let Contents { servers, services, routes, tenants } = contents;
-            let size = Size { servers, services, routes, tenants, ..size(sizes) };
-            let usage = Usage { bytes_in: without_lists.demand(), ..Usage::default() };
+            let Contents {
+                servers,
+                services,
+                routes,
+                tenants,
+            } = contents;
+            let size = Size {
+                servers,
+                services,
+                routes,
+                tenants,
+                ..size(sizes)
+            };
+            let usage = Usage {
+                bytes_in: without_lists.demand(),
+                ..Usage::default()
+            };
             runs.push(Run {
                 name: format!("whole copies of settings, newest alone: {name}, {rate_name}"),
                 source: Source::Computation,
--- a/crates/emulator/examples/scale/holdings.rs
+++ b/crates/emulator/examples/scale/holdings.rs
@@ -24,8 +24,14 @@
 }
 
 pub fn play(arguments: &Arguments) -> Result<(), String> {
-    let Arguments { routes, tenants, .. } = *arguments;
-    let holdings = Holdings::new(Sizes { routes, tenants, ..Sizes::TARGET })?;
+    let Arguments {
+        routes, tenants, ..
+    } = *arguments;
+    let holdings = Holdings::new(Sizes {
+        routes,
+        tenants,
+        ..Sizes::TARGET
+    })?;
     // Memory is told by what the process grows, so all are kept until the end, from the smallest on.
     let mut kept = Vec::new();
     let mut runs = Vec::new();
@@ -33,27 +39,52 @@
         let name = format!("a node with its 20 services and {held} tenants");
         runs.push(measure(arguments, &mut kept, name, || holdings.node(*held)));
     }
-    runs.push(measure(arguments, &mut kept, "a node with all services".to_owned(), || {
-        holdings.node_of_all_services()
-    }));
-    runs.push(measure(arguments, &mut kept, "a relay, without children".to_owned(), || holdings.relay()));
-    runs.push(measure(arguments, &mut kept, "an author".to_owned(), || holdings.author()));
+    runs.push(measure(
+        arguments,
+        &mut kept,
+        "a node with all services".to_owned(),
+        || holdings.node_of_all_services(),
+    ));
+    runs.push(measure(
+        arguments,
+        &mut kept,
+        "a relay, without children".to_owned(),
+        || holdings.relay(),
+    ));
+    runs.push(measure(
+        arguments,
+        &mut kept,
+        "an author".to_owned(),
+        || holdings.author(),
+    ));
     arguments.output.write(runs)
 }
 
 fn measure(
-    arguments: &Arguments, kept: &mut Vec<Holder>, name: String, make: impl FnOnce() -> Holder,
+    arguments: &Arguments,
+    kept: &mut Vec<Holder>,
+    name: String,
+    make: impl FnOnce() -> Holder,
 ) -> Run {
     let before = resident();
     let holder = make();
     let memory = resident() - before;
-    println!("{name}: {} resources, {:.1} MB", holder.resources(), memory / 1e6);
+    println!(
+        "{name}: {} resources, {:.1} MB",
+        holder.resources(),
+        memory / 1e6
+    );
     kept.push(holder);
     let (routes, tenants) = (arguments.routes as usize, arguments.tenants as usize);
     Run {
         name: format!("configuration held: {name}"),
         source: Source::Computation,
-        size: Size { services: Sizes::TARGET.services as usize, routes, tenants, ..Size::default() },
+        size: Size {
+            services: Sizes::TARGET.services as usize,
+            routes,
+            tenants,
+            ..Size::default()
+        },
         seconds: 0.0,
         per_node: PerNode::of("configuration", &Usage::default(), Some(memory)),
         in_force: None,
--- a/crates/emulator/examples/scale/members.rs
+++ b/crates/emulator/examples/scale/members.rs
@@ -40,7 +40,10 @@
 pub fn play(arguments: &Arguments) -> Result<(), String> {
     let (mut network, memory) = fleet(arguments)?;
     network.run(10.0);
-    let mut runs = vec![quiet(&mut network, arguments, memory), bans(&mut network, arguments, memory)];
+    let mut runs = vec![
+        quiet(&mut network, arguments, memory),
+        bans(&mut network, arguments, memory),
+    ];
     if arguments.zone {
         runs.extend(zone_lost(&mut network, arguments, memory));
     }
@@ -52,7 +55,9 @@
 fn fleet(arguments: &Arguments) -> Result<(Network<Member>, f64), String> {
     let (nodes, seed) = (arguments.nodes, arguments.output.seed);
     let topology = Topology::even(&TARGET_ZONES, nodes as usize);
-    let links = arguments.loss.map_or_else(Links::default, |loss| Links::default().with_loss(loss));
+    let links = arguments
+        .loss
+        .map_or_else(Links::default, |loss| Links::default().with_loss(loss));
     let mut network = Network::new(topology, links, seed);
     network.measure_cpu(thread_cpu);
     let roster = Roster::new(nodes, seed);
@@ -62,7 +67,10 @@
         network.start(endpoint, Member::new(endpoint, Rc::clone(&roster), begins));
     }
     network.run(1.5);
-    let strangers = network.endpoints().filter(|(_, member)| member.peers() + 1 != nodes as usize).count();
+    let strangers = network
+        .endpoints()
+        .filter(|(_, member)| member.peers() + 1 != nodes as usize)
+        .count();
     if strangers > 0 {
         return Err(format!("{strangers} nodes don't know all others"));
     }
@@ -74,7 +82,10 @@
 }
 
 fn unproven(network: &Network<Member>) -> u64 {
-    network.endpoints().map(|(_, member)| member.unproven()).sum()
+    network
+        .endpoints()
+        .map(|(_, member)| member.unproven())
+        .sum()
 }
 
 fn quiet(network: &mut Network<Member>, arguments: &Arguments, memory: f64) -> Run {
@@ -86,7 +97,14 @@
         arguments.quiet,
         downs(network) - before
     );
-    run("membership at rest", network, arguments, arguments.quiet, memory, None)
+    run(
+        "membership at rest",
+        network,
+        arguments,
+        arguments.quiet,
+        memory,
+        None,
+    )
 }
 
 fn bans(network: &mut Network<Member>, arguments: &Arguments, memory: f64) -> Run {
@@ -98,10 +116,13 @@
     for number in 0..arguments.bans {
         let server = format!("server-{number}");
         let at = network.now();
-        network.with(number * 7 % arguments.nodes, |member, now, sends| member.ban(now, &server, sends));
+        network.with(number * 7 % arguments.nodes, |member, now, sends| {
+            member.ban(now, &server, sends)
+        });
         network.run(BAN_WAIT);
-        let heard =
-            network.endpoints().map(|(_, member)| member.heard_of_ban(&server).map(|heard| heard - at));
+        let heard = network
+            .endpoints()
+            .map(|(_, member)| member.heard_of_ban(&server).map(|heard| heard - at));
         let heard: Vec<Option<f64>> = heard.collect();
         missed += heard.iter().filter(|heard| heard.is_none()).count();
         times.extend(heard.into_iter().map(|heard| heard.unwrap_or(BAN_WAIT)));
@@ -112,24 +133,54 @@
         unproven(network) - before,
     );
     let seconds = network.now() - begun;
-    run("membership with bans", network, arguments, seconds, memory, Times::of(times))
+    run(
+        "membership with bans",
+        network,
+        arguments,
+        seconds,
+        memory,
+        Times::of(times),
+    )
 }
 
 fn zone_lost(network: &mut Network<Member>, arguments: &Arguments, memory: f64) -> Option<Run> {
     let zone = network.topology().endpoints(Scope::Zone(5));
-    zone.iter().for_each(|endpoint| drop(network.kill(*endpoint)));
+    zone.iter()
+        .for_each(|endpoint| drop(network.kill(*endpoint)));
     let left = network.endpoints().count();
     network.reset_accounts();
-    let seen = |network: &Network<Member>| network.endpoints().all(|(_, member)| member.peers() + 1 == left);
+    let seen = |network: &Network<Member>| {
+        network
+            .endpoints()
+            .all(|(_, member)| member.peers() + 1 == left)
+    };
     let took = network.run_until(ZONE_WAIT, 1.0, seen);
-    println!("a zone of {} nodes ends: all others know after {took:?} s", zone.len());
+    println!(
+        "a zone of {} nodes ends: all others know after {took:?} s",
+        zone.len()
+    );
     let last = took?;
-    let times = Times { p50: last, p99: last, last };
-    Some(run("membership with a zone lost", network, arguments, last, memory, Some(times)))
+    let times = Times {
+        p50: last,
+        p99: last,
+        last,
+    };
+    Some(run(
+        "membership with a zone lost",
+        network,
+        arguments,
+        last,
+        memory,
+        Some(times),
+    ))
 }
 
 fn run(
-    name: &str, network: &Network<Member>, arguments: &Arguments, seconds: f64, memory: f64,
+    name: &str,
+    network: &Network<Member>,
+    arguments: &Arguments,
+    seconds: f64,
+    memory: f64,
     in_force: Option<Times>,
 ) -> Run {
     let running: Vec<u32> = network.endpoints().map(|(endpoint, _)| endpoint).collect();
@@ -137,7 +188,10 @@
     let run = Run {
         name: name.to_owned(),
         source: Source::VirtualTime,
-        size: Size { nodes: arguments.nodes as usize, ..Size::default() },
+        size: Size {
+            nodes: arguments.nodes as usize,
+            ..Size::default()
+        },
         seconds,
         per_node: PerNode::of("gossip", &usage, Some(memory)),
         in_force,
--- a/crates/emulator/examples/scale/quiet.rs
+++ b/crates/emulator/examples/scale/quiet.rs
@@ -33,7 +33,11 @@
     let before = resident();
     let mut world = join(arguments);
     let joined = world.t;
-    println!("{} nodes: {} after {joined:.1} s", arguments.nodes, knowledge(&world));
+    println!(
+        "{} nodes: {} after {joined:.1} s",
+        arguments.nodes,
+        knowledge(&world)
+    );
     let memory = (resident() - before) / arguments.nodes as f64;
     let mut runs = Vec::new();
     for settle in &arguments.settle {
@@ -58,8 +62,13 @@
 /// A fleet whose nodes all begin at once and have found each other.
 fn join(arguments: &Arguments) -> World {
     let size = arguments.nodes as u32;
-    let config =
-        move |_| Config { membership: MembershipConfig { size, ..MembershipConfig::default() }, ..rules() };
+    let config = move |_| Config {
+        membership: MembershipConfig {
+            size,
+            ..MembershipConfig::default()
+        },
+        ..rules()
+    };
     let mut world = World::new(arguments.nodes, arguments.output.seed, config);
     world.inspector = Some(Inspector::new(secret()));
     while !world.gathered() && world.t < JOIN_WAIT {
@@ -69,7 +78,10 @@
 }
 
 fn seen(world: &World) -> Contents {
-    world.inspector.as_ref().map_or_else(Contents::default, |inspector| inspector.seen)
+    world
+        .inspector
+        .as_ref()
+        .map_or_else(Contents::default, |inspector| inspector.seen)
 }
 
 /// How many pairs of nodes know each other.
@@ -99,7 +111,10 @@
 
 /// Nothing is lost, so as much comes in as goes out.
 fn run(arguments: &Arguments, settle: f64, contents: Contents, memory: f64) -> Run {
-    let (bytes, datagrams) = (rate(arguments, contents.bytes), rate(arguments, contents.datagrams));
+    let (bytes, datagrams) = (
+        rate(arguments, contents.bytes),
+        rate(arguments, contents.datagrams),
+    );
     let usage = Usage {
         bytes_in: bytes,
         bytes_out: bytes,
@@ -110,7 +125,10 @@
     Run {
         name: format!("fleet at rest, from {settle:.0} s after joining on"),
         source: Source::VirtualTime,
-        size: Size { nodes: arguments.nodes, ..Size::default() },
+        size: Size {
+            nodes: arguments.nodes,
+            ..Size::default()
+        },
         seconds: arguments.window,
         per_node: PerNode::of("gossip", &usage, Some(memory)),
         in_force: None,
--- a/crates/emulator/examples/scale/report.rs
+++ b/crates/emulator/examples/scale/report.rs
@@ -9,12 +9,23 @@
     if !path.exists() {
         let cores = std::thread::available_parallelism().map_or(1, usize::from);
         let (commit, runs, slopes) = (commit.to_owned(), Vec::new(), Vec::new());
-        return Ok(Report { schema: SCHEMA, commit, seed, cores, runs, slopes });
+        return Ok(Report {
+            schema: SCHEMA,
+            commit,
+            seed,
+            cores,
+            runs,
+            slopes,
+        });
     }
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let report: Report = serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
+    let report: Report =
+        serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
     if report.schema != SCHEMA || report.seed != seed || report.commit != commit {
-        return Err(format!("{}: of another schema, seed or commit", path.display()));
+        return Err(format!(
+            "{}: of another schema, seed or commit",
+            path.display()
+        ));
     }
     Ok(report)
 }
@@ -27,10 +38,21 @@
 
 /// Prints a run on a line, with the most bytes that a node received and sent within 10 s.
 pub fn print(run: &Run, most_in_10_s: u64) {
-    let none = Times { p50: f64::NAN, p99: f64::NAN, last: f64::NAN };
+    let none = Times {
+        p50: f64::NAN,
+        p99: f64::NAN,
+        last: f64::NAN,
+    };
     let Times { p50, p99, last } = run.in_force.unwrap_or(none);
     let traffic = run.per_node.traffic.iter();
-    for Traffic { bytes_in, bytes_out, messages_in, messages_out, .. } in traffic {
+    for Traffic {
+        bytes_in,
+        bytes_out,
+        messages_in,
+        messages_out,
+        ..
+    } in traffic
+    {
         println!(
             "{:<28} {:>5} nodes: in {bytes_in:.0} B/s {messages_in:.2}/s, out {bytes_out:.0} B/s {messages_out:.2}/s, most in 1 s {} B, \
              in 10 s {most_in_10_s} B, cpu {:.4} %, memory {:.1} MB, in force p50 {p50:.2} p99 {p99:.2} last {last:.2} s",
@@ -47,7 +69,13 @@
 pub fn resident() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    let kilobytes = line.and_then(|rest| rest.trim().trim_end_matches("kB").trim().parse::<f64>().ok());
+    let kilobytes = line.and_then(|rest| {
+        rest.trim()
+            .trim_end_matches("kB")
+            .trim()
+            .parse::<f64>()
+            .ok()
+    });
     kilobytes.unwrap_or(0.0) * 1024.0
 }
 
--- a/crates/emulator/examples/scale/tables.rs
+++ b/crates/emulator/examples/scale/tables.rs
@@ -30,7 +30,9 @@
         let begun = kept.len();
         kept.extend((0..SAMPLES).map(|_| Acquainted::new(Rc::clone(&known))));
         let memory = (resident() - before) / SAMPLES as f64;
-        let Some(node) = kept.get_mut(begun) else { continue };
+        let Some(node) = kept.get_mut(begun) else {
+            continue;
+        };
         let at_rest = cpu_of(node, 0.9);
         node.ban("server-1");
         let with_a_ban = cpu_of(node, 0.5);
@@ -41,13 +43,23 @@
             at_rest * 100.0,
             with_a_ban * 100.0,
         );
-        let size = Size { nodes: *peers as usize + 1, ..Size::default() };
+        let size = Size {
+            nodes: *peers as usize + 1,
+            ..Size::default()
+        };
         let run = Run {
             name: "membership tables".to_owned(),
             source: Source::Computation,
             size,
             seconds: 0.9,
-            per_node: PerNode::of("gossip", &Usage { cpu: at_rest, ..Usage::default() }, Some(memory)),
+            per_node: PerNode::of(
+                "gossip",
+                &Usage {
+                    cpu: at_rest,
+                    ..Usage::default()
+                },
+                Some(memory),
+            ),
             in_force: None,
             requests: None,
             read_bytes: None,
--- a/crates/emulator/examples/together.rs
+++ b/crates/emulator/examples/together.rs
@@ -17,8 +17,13 @@
 
 fn play(nodes: usize, loss: f64, seed: u64) -> Seen {
     let size = nodes as u32;
-    let of =
-        move |_| Config { membership: MembershipConfig { size, ..MembershipConfig::default() }, ..rules() };
+    let of = move |_| Config {
+        membership: MembershipConfig {
+            size,
+            ..MembershipConfig::default()
+        },
+        ..rules()
+    };
     let mut world = World::new(nodes, seed, of);
     world.until(120.0, |w| w.gathered() || w.t > 60.0);
     world.links.loss = loss;
@@ -28,7 +33,10 @@
     let (sent, bytes, gone) = (world.sent, world.bytes, world.wrongly_gone);
     world.run(20.0);
     let each = 20.0 * nodes as f64;
-    let quiet = ((world.sent - sent) as f64 / each, (world.bytes - bytes) as f64 / each);
+    let quiet = (
+        (world.sent - sent) as f64 / each,
+        (world.bytes - bytes) as f64 / each,
+    );
     let wrongly = (world.wrongly_gone - gone) as f64 / nodes as f64 / 20.0 * 60.0;
     // One ban a second, each timed at all nodes.
     let (sent, bytes) = (world.sent, world.bytes);
@@ -51,20 +59,37 @@
         spread.extend(has.iter().filter(|has| !**has).map(|_| 1.0));
     }
     let each = 5.0 * nodes as f64;
-    let busy = ((world.sent - sent) as f64 / each, (world.bytes - bytes) as f64 / each);
+    let busy = (
+        (world.sent - sent) as f64 / each,
+        (world.bytes - bytes) as f64 / each,
+    );
     spread.sort_by(f64::total_cmp);
-    Seen { spread, quiet, busy, wrongly, broken: world.broken.len() }
+    Seen {
+        spread,
+        quiet,
+        busy,
+        wrongly,
+        broken: world.broken.len(),
+    }
 }
 
 /// Hundreds join at once, and more than half of them end at once: how long it takes until all that are there know.
 fn storm(nodes: usize, killed: usize, seed: u64) {
     let size = nodes as u32;
-    let of =
-        move |_| Config { membership: MembershipConfig { size, ..MembershipConfig::default() }, ..rules() };
+    let of = move |_| Config {
+        membership: MembershipConfig {
+            size,
+            ..MembershipConfig::default()
+        },
+        ..rules()
+    };
     let mut world = World::new(nodes, seed, of);
     let share = |w: &World| {
         let there: Vec<usize> = (0..nodes).filter(|n| w.nodes[*n].is_some()).collect();
-        let known: usize = there.iter().map(|n| w.members(*n).min(there.len() - 1)).sum();
+        let known: usize = there
+            .iter()
+            .map(|n| w.members(*n).min(there.len() - 1))
+            .sum();
         known as f64 / (there.len() * (there.len() - 1)) as f64
     };
     let (mut nearly, mut at) = (None, 0.0);
@@ -94,7 +119,10 @@
 fn detection(nodes: usize, ends: usize, seed: u64) -> (f64, f64) {
     let size = nodes as u32;
     let mut world = World::new(nodes, seed, move |_| Config {
-        membership: MembershipConfig { size, ..MembershipConfig::default() },
+        membership: MembershipConfig {
+            size,
+            ..MembershipConfig::default()
+        },
         ..rules()
     });
     world.until(120.0, World::gathered);
@@ -106,7 +134,9 @@
         world.kill(dead);
         let begun = world.t;
         let knows = |w: &World, n: usize| w.nodes[n].is_none() || w.members(n) == nodes - 2;
-        first += world.until(60.0, |w| (0..nodes).any(|n| w.nodes[n].is_some() && knows(w, n)));
+        first += world.until(60.0, |w| {
+            (0..nodes).any(|n| w.nodes[n].is_some() && knows(w, n))
+        });
         world.until(60.0, |w| (0..nodes).all(|n| knows(w, n)));
         last += world.t - begun;
         world.start(dead);
@@ -128,7 +158,11 @@
 fn troubled(nodes: usize, some: usize, trouble: Trouble, doubt: u32, seed: u64) -> (f64, f64) {
     let size = nodes as u32;
     let of = move |_| Config {
-        membership: MembershipConfig { size, max_health_score: doubt, ..MembershipConfig::default() },
+        membership: MembershipConfig {
+            size,
+            max_health_score: doubt,
+            ..MembershipConfig::default()
+        },
         ..rules()
     };
     let mut world = World::new(nodes, seed, of);
@@ -152,7 +186,10 @@
         }
     }
     let minutes = (world.t - begun) / 60.0;
-    (world.sound_gone.0 as f64 / minutes, world.sound_gone.1 as f64 / minutes)
+    (
+        world.sound_gone.0 as f64 / minutes,
+        world.sound_gone.1 as f64 / minutes,
+    )
 }
 
 fn troubles(nodes: usize) {
@@ -160,17 +197,25 @@
         "{nodes} nodes, some in trouble: others taken for gone, a minute, by others and by those in trouble"
     );
     println!("in trouble | without doubt of oneself | with it");
-    let still = [(3.0, 0.1), (6.0, 1.0), (12.0, 0.3)].map(|(still, runs)| Trouble::Still(still, runs));
+    let still =
+        [(3.0, 0.1), (6.0, 1.0), (12.0, 0.3)].map(|(still, runs)| Trouble::Still(still, runs));
     let deaf = [0.5, 0.8, 0.9].map(Trouble::Deaf);
     for trouble in still.into_iter().chain(deaf) {
         for some in [4, 32] {
-            let (without, with) =
-                (troubled(nodes, some, trouble, 0, 1), troubled(nodes, some, trouble, 8, 1));
+            let (without, with) = (
+                troubled(nodes, some, trouble, 0, 1),
+                troubled(nodes, some, trouble, 8, 1),
+            );
             let what = match trouble {
-                Trouble::Still(still, runs) => format!("{some} stand still {still} s, run {runs} s"),
+                Trouble::Still(still, runs) => {
+                    format!("{some} stand still {still} s, run {runs} s")
+                }
                 Trouble::Deaf(lost) => format!("{some} do not hear {:.0} %", lost * 100.0),
             };
-            println!("{what:>34} | {:>8.1} {:>8.1} | {:>8.1} {:>8.1}", without.0, without.1, with.0, with.1);
+            println!(
+                "{what:>34} | {:>8.1} {:>8.1} | {:>8.1} {:>8.1}",
+                without.0, without.1, with.0, with.1
+            );
         }
     }
 }
@@ -184,7 +229,9 @@
         troubles(128);
         return Ok(());
     }
-    let mut args = std::env::args().skip(1).map(|a| a.parse::<usize>().map_err(|e| format!("{a}: {e}")));
+    let mut args = std::env::args()
+        .skip(1)
+        .map(|a| a.parse::<usize>().map_err(|e| format!("{a}: {e}")));
     let seeds = args.next().transpose()?.unwrap_or(2);
     let mut sizes: Vec<usize> = args.collect::<Result<_, _>>()?;
     if sizes.is_empty() {
--- a/crates/emulator/examples/trials.rs
+++ b/crates/emulator/examples/trials.rs
@@ -42,10 +42,15 @@
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let args = Args::parse();
-    let kinds: Vec<Trial> =
-        ALL.into_iter().filter(|t| args.kind.is_empty() || args.kind.iter().any(|k| k == t.name())).collect();
+    let kinds: Vec<Trial> = ALL
+        .into_iter()
+        .filter(|t| args.kind.is_empty() || args.kind.iter().any(|k| k == t.name()))
+        .collect();
     let seeds = args.from..args.from + args.seeds;
-    let jobs: Vec<(Trial, u64)> = kinds.iter().flat_map(|t| seeds.clone().map(move |s| (*t, s))).collect();
+    let jobs: Vec<(Trial, u64)> = kinds
+        .iter()
+        .flat_map(|t| seeds.clone().map(move |s| (*t, s)))
+        .collect();
     let done = Mutex::new(BTreeMap::new());
     let next = AtomicUsize::new(0);
     std::thread::scope(|scope| {
@@ -53,19 +58,27 @@
             scope.spawn(|| {
                 while let Some((trial, seed)) = jobs.get(next.fetch_add(1, Ordering::Relaxed)) {
                     let report = play(trial.plan(args.nodes, *seed));
-                    done.lock().unwrap_or_else(|e| e.into_inner()).insert((trial.name(), *seed), report);
+                    done.lock()
+                        .unwrap_or_else(|e| e.into_inner())
+                        .insert((trial.name(), *seed), report);
                 }
             });
         }
     });
     let done = done.into_inner()?;
-    let old = args.against.map(std::fs::read_to_string).transpose()?.map(|text| read(&text));
+    let old = args
+        .against
+        .map(std::fs::read_to_string)
+        .transpose()?
+        .map(|text| read(&text));
     println!("kind    figure  whole worst10 late% refused% failed% shed% repeats dials to-dead% tries pushed broken   against");
     let mut text = String::new();
     let mut all = Vec::new();
     for kind in kinds {
-        let reports: Vec<(u64, &Report)> =
-            seeds.clone().filter_map(|s| Some((s, done.get(&(kind.name(), s))?.as_ref().ok()?))).collect();
+        let reports: Vec<(u64, &Report)> = seeds
+            .clone()
+            .filter_map(|s| Some((s, done.get(&(kind.name(), s))?.as_ref().ok()?)))
+            .collect();
         for (seed, r) in &reports {
             text += &format!("{} {seed} {:.5}\n", kind.name(), figure(r));
             if args.seconds {
@@ -74,10 +87,16 @@
         }
         let changes: Vec<f64> = reports
             .iter()
-            .filter_map(|(s, r)| Some(figure(r) - old.as_ref()?.get(&(kind.name().to_owned(), *s))?))
+            .filter_map(|(s, r)| {
+                Some(figure(r) - old.as_ref()?.get(&(kind.name().to_owned(), *s))?)
+            })
             .collect();
         all.extend(&changes);
-        line(kind.name(), &reports.iter().map(|(_, r)| *r).collect::<Vec<_>>(), &changes);
+        line(
+            kind.name(),
+            &reports.iter().map(|(_, r)| *r).collect::<Vec<_>>(),
+            &changes,
+        );
     }
     if !all.is_empty() {
         println!("all kinds: {}", change(&all));
@@ -91,7 +110,10 @@
 fn read(text: &str) -> BTreeMap<(String, u64), f64> {
     let line = |l: &str| {
         let mut words = l.split_whitespace();
-        Some(((words.next()?.to_owned(), words.next()?.parse().ok()?), words.next()?.parse().ok()?))
+        Some((
+            (words.next()?.to_owned(), words.next()?.parse().ok()?),
+            words.next()?.parse().ok()?,
+        ))
     };
     text.lines().filter_map(line).collect()
 }
@@ -129,7 +151,10 @@
         reports.iter().map(|r| r.rules.breaches.len()).sum::<usize>(),
         if changes.is_empty() { String::new() } else { change(changes) },
     );
-    reports.iter().flat_map(|r| r.rules.breaches.first()).for_each(|b| println!("    {b}"));
+    reports
+        .iter()
+        .flat_map(|r| r.rules.breaches.first())
+        .for_each(|b| println!("    {b}"));
 }
 
 fn seconds(name: &str, seed: u64, r: &Report) {
--- a/crates/emulator/src/control/account.rs
+++ b/crates/emulator/src/control/account.rs
@@ -19,7 +19,12 @@
 impl Window {
     /// A window of so many seconds.
     pub fn new(span: f64) -> Window {
-        Window { span, events: VecDeque::new(), sum: 0, most: 0 }
+        Window {
+            span,
+            events: VecDeque::new(),
+            sum: 0,
+            most: 0,
+        }
     }
 
     /// Bytes at a moment that is no earlier than those before.
--- a/crates/emulator/src/control/baseline.rs
+++ b/crates/emulator/src/control/baseline.rs
@@ -37,8 +37,12 @@
 
 impl Contents {
     /// The target system's.
-    pub const TARGET: Contents =
-        Contents { servers: 50_000, services: 2_600, routes: 74_000, tenants: 560_000 };
+    pub const TARGET: Contents = Contents {
+        servers: 50_000,
+        services: 2_600,
+        routes: 74_000,
+        tenants: 560_000,
+    };
 
     /// Bytes of the whole settings, tenants included.
     pub fn settings_bytes(&self) -> f64 {
@@ -112,6 +116,9 @@
             return InForce::Never;
         }
         let least = self.contents.settings_bytes() / left;
-        InForce::Within { least, most: 2.0 * least }
+        InForce::Within {
+            least,
+            most: 2.0 * least,
+        }
     }
 }
--- a/crates/emulator/src/control/check.rs
+++ b/crates/emulator/src/control/check.rs
@@ -34,9 +34,14 @@
 
     /// A node has put a change in force: its version is greater than the one before.
     pub fn applied(&mut self, node: u32, applied: &Applied) {
-        let last = self.versions.insert((node, applied.name.clone()), applied.version);
+        let last = self
+            .versions
+            .insert((node, applied.name.clone()), applied.version);
         if last.is_some_and(|last| last >= applied.version) {
-            let what = format!("node {node}: {:?} went from {last:?} to {:?}", applied.name, applied.version);
+            let what = format!(
+                "node {node}: {:?} went from {last:?} to {:?}",
+                applied.name, applied.version
+            );
             self.fault(applied.at, what);
         }
     }
@@ -49,7 +54,10 @@
 
 /// Whether a node has of a resource what an author has.
 pub fn agrees(author: &Author, node: &Node, name: &Name) -> bool {
-    let key = Key { name: name.clone(), slot: Slot::Whole };
+    let key = Key {
+        name: name.clone(),
+        slot: Slot::Whole,
+    };
     let there = author.log().get(&key).filter(|change| !change.removes());
     let here = node.subscriber.in_force(name);
     there.map(|change| &change.content) == here.map(|change| &change.content)
@@ -57,12 +65,18 @@
 
 /// All nodes that run and can hear have what the author has; those that don't are faults.
 pub fn check_agreement(world: &mut World, nodes: &[u32]) {
-    let behind: Vec<u32> = nodes.iter().copied().filter(|node| !world.is_up_to_date(*node)).collect();
+    let behind: Vec<u32> = nodes
+        .iter()
+        .copied()
+        .filter(|node| !world.is_up_to_date(*node))
+        .collect();
     let now = world.network.now();
     for node in behind {
         let following = world.network.endpoint(node).and_then(Machine::as_node);
         let following = following.and_then(|node| node.subscriber.following());
-        let what = format!("node {node}, which follows {following:?}, has other resources than the author");
+        let what = format!(
+            "node {node}, which follows {following:?}, has other resources than the author"
+        );
         world.checker.fault(now, what);
     }
 }
@@ -72,9 +86,15 @@
     let most = BUDGET * LONG_SPAN;
     let now = world.network.now();
     for node in world.layout.nodes() {
-        let used = world.network.account(node).map_or(0, |account| account.long.most());
+        let used = world
+            .network
+            .account(node)
+            .map_or(0, |account| account.long.most());
         if used as f64 > most {
-            world.checker.fault(now, format!("node {node} used {used} bytes within {LONG_SPAN} s"));
+            world.checker.fault(
+                now,
+                format!("node {node} used {used} bytes within {LONG_SPAN} s"),
+            );
         }
     }
 }
--- a/crates/emulator/src/control/clock.rs
+++ b/crates/emulator/src/control/clock.rs
@@ -11,7 +11,10 @@
 
 impl Clock {
     /// Runs as the world's clock does.
-    pub const TRUE: Clock = Clock { offset: 0.0, rate: 1.0 };
+    pub const TRUE: Clock = Clock {
+        offset: 0.0,
+        rate: 1.0,
+    };
 
     /// What it shows at a moment of the world.
     pub fn local(&self, world: f64) -> f64 {
--- a/crates/emulator/src/control/demand.rs
+++ b/crates/emulator/src/control/demand.rs
@@ -20,7 +20,8 @@
     pub fn meet(&mut self, node: u32, tenant: u32, now: f64) -> bool {
         let first = self.asked.entry(node).or_default().insert(tenant);
         if first {
-            self.open.insert((node, Resource::Tenant(tenant).name()), now);
+            self.open
+                .insert((node, Resource::Tenant(tenant).name()), now);
         }
         first
     }
--- a/crates/emulator/src/control/endpoint.rs
+++ b/crates/emulator/src/control/endpoint.rs
@@ -53,7 +53,11 @@
     }
 
     /// Calls the endpoint, if it runs, and accounts for the processor time.
-    pub(super) fn call<R>(&mut self, clock: Option<CpuClock>, call: impl FnOnce(&mut E) -> R) -> Option<R> {
+    pub(super) fn call<R>(
+        &mut self,
+        clock: Option<CpuClock>,
+        call: impl FnOnce(&mut E) -> R,
+    ) -> Option<R> {
         let endpoint = self.running()?;
         let begun = clock.map(|clock| clock());
         let result = call(endpoint);
--- a/crates/emulator/src/control/holdings.rs
+++ b/crates/emulator/src/control/holdings.rs
@@ -8,7 +8,9 @@
 use reelfall_distribution::coverage::Coverage;
 use reelfall_distribution::output::Record;
 use reelfall_distribution::relay::Relay;
-use reelfall_distribution::resource::{Change, Content, Key, Part, Selector, Slot, Urgency, Version};
+use reelfall_distribution::resource::{
+    Change, Content, Key, Part, Selector, Slot, Urgency, Version,
+};
 use reelfall_distribution::subscriber::Subscriber;
 
 /// A machine that began from what was stored.
@@ -49,7 +51,11 @@
 
     /// An author that has all.
     pub fn author(&self) -> Holder {
-        let author = Author::restore(self.layout.author_config(0, 0.0), self.records_of_all(), 0.0);
+        let author = Author::restore(
+            self.layout.author_config(0, 0.0),
+            self.records_of_all(),
+            0.0,
+        );
         Holder::Author(Box::new(author))
     }
 
@@ -61,10 +67,13 @@
 
     /// A node that has its services and so many tenants.
     pub fn node(&self, tenants: u32) -> Holder {
-        let services =
-            self.layout.services_of(0).flat_map(|service| self.layout.sizes.service_resources(service));
+        let services = self
+            .layout
+            .services_of(0)
+            .flat_map(|service| self.layout.sizes.service_resources(service));
         let resources = services.chain((0..tenants).map(Resource::Tenant));
-        let asked = (0..tenants).map(|tenant| Selector::Group(Resource::Tenant(tenant).name().group));
+        let asked =
+            (0..tenants).map(|tenant| Selector::Group(Resource::Tenant(tenant).name().group));
         let selectors = self.layout.selectors_of(0).into_iter().chain(asked);
         self.node_with(resources, selectors)
     }
@@ -72,37 +81,59 @@
     /// A node that has all services.
     pub fn node_of_all_services(&self) -> Holder {
         let sizes = self.layout.sizes;
-        let services = (0..sizes.services).flat_map(move |service| sizes.service_resources(service));
+        let services =
+            (0..sizes.services).flat_map(move |service| sizes.service_resources(service));
         self.node_with(services, [Selector::Services])
     }
 
     fn node_with(
-        &self, resources: impl IntoIterator<Item = Resource>, selectors: impl IntoIterator<Item = Selector>,
+        &self,
+        resources: impl IntoIterator<Item = Resource>,
+        selectors: impl IntoIterator<Item = Selector>,
     ) -> Holder {
         // The change that is in force is the one that was put, as where a node has taken it in.
-        let changes =
-            changes(resources).flat_map(|change| [Record::Put(change.clone()), Record::InForce(change)]);
-        let covered = selectors.into_iter().map(|selector| covered(selector, u64::MAX));
+        let changes = changes(resources)
+            .flat_map(|change| [Record::Put(change.clone()), Record::InForce(change)]);
+        let covered = selectors
+            .into_iter()
+            .map(|selector| covered(selector, u64::MAX));
         let config = self.layout.node_config(0, 0, 0.0);
-        Holder::Node(Box::new(Subscriber::restore(config, changes.chain(covered), Some(0.0), 0.0)))
+        Holder::Node(Box::new(Subscriber::restore(
+            config,
+            changes.chain(covered),
+            Some(0.0),
+            0.0,
+        )))
     }
 
     fn records_of_all(&self) -> impl Iterator<Item = Record> {
         let all = self.layout.sizes.resources();
         let head = self.layout.sizes.resources().count() as u64;
-        changes(all).map(Record::Put).chain([covered(Selector::Everything, head)])
+        changes(all)
+            .map(Record::Put)
+            .chain([covered(Selector::Everything, head)])
     }
 }
 
 fn covered(selector: Selector, head: u64) -> Record {
-    let floor = Version { token: 1, sequence: head };
-    Record::Covered { selector, coverage: Coverage::upto(floor), floor }
+    let floor = Version {
+        token: 1,
+        sequence: head,
+    };
+    Record::Covered {
+        selector,
+        coverage: Coverage::upto(floor),
+        floor,
+    }
 }
 
 /// The first change of each resource.
 fn changes(resources: impl IntoIterator<Item = Resource>) -> impl Iterator<Item = Change> {
     (1..).zip(resources).map(|(sequence, resource)| Change {
-        key: Key { name: resource.name(), slot: Slot::Whole },
+        key: Key {
+            name: resource.name(),
+            slot: Slot::Whole,
+        },
         version: Version { token: 1, sequence },
         urgency: Urgency::Normal,
         part: Part::ALL,
