--- a/crates/emulator/src/control/layout.rs
+++ b/crates/emulator/src/control/layout.rs
@@ -97,7 +97,8 @@
         let lease = LeaseName::try_from(lease.to_owned()).map_err(|error| error.to_string())?;
         let mut topology = Topology::even(sizes.zones, sizes.nodes as usize);
         let regions = sizes.zones.len();
-        let authors = (0..sizes.authors).map(|n| topology.add(zone_in(sizes.zones, n as usize % regions, 0)));
+        let authors =
+            (0..sizes.authors).map(|n| topology.add(zone_in(sizes.zones, n as usize % regions, 0)));
         let authors: Vec<u32> = authors.collect();
         let mut relays = Vec::new();
         let mut relays_of = vec![Vec::new(); regions];
@@ -107,7 +108,17 @@
             relays.push(relay);
             relays_of[region].push(PeerId(relay));
         }
-        Ok((Layout { sizes, lease, authors, relays, relays_of, seed }, topology))
+        Ok((
+            Layout {
+                sizes,
+                lease,
+                authors,
+                relays,
+                relays_of,
+                seed,
+            },
+            topology,
+        ))
     }
 
     /// The lease of those who write.
@@ -138,12 +149,16 @@
     /// The nodes of a set.
     pub fn nodes_in(&self, topology: &Topology, scope: Scope) -> Vec<u32> {
         let all = topology.endpoints(scope);
-        all.into_iter().filter(|endpoint| self.nodes().contains(endpoint)).collect()
+        all.into_iter()
+            .filter(|endpoint| self.nodes().contains(endpoint))
+            .collect()
     }
 
     /// The services of a node.
     pub fn services_of(&self, node: u32) -> impl Iterator<Item = u32> {
-        let Sizes { services, groups, .. } = self.sizes;
+        let Sizes {
+            services, groups, ..
+        } = self.sizes;
         (node % groups..services).step_by(groups as usize)
     }
 
@@ -155,8 +170,12 @@
 
     /// What a node subscribes to.
     pub fn selectors_of(&self, node: u32) -> Vec<Selector> {
-        let services = self.services_of(node).map(|service| Selector::service(&service_name(service)));
-        std::iter::once(Selector::common()).chain(services).collect()
+        let services = self
+            .services_of(node)
+            .map(|service| Selector::service(&service_name(service)));
+        std::iter::once(Selector::common())
+            .chain(services)
+            .collect()
     }
 
     /// The resources that a node has once all are published, without tenants.
@@ -191,13 +210,24 @@
 
     /// How a node of a region begins: it follows the relays of its region, and others where there is none.
     pub fn node_config(&self, endpoint: u32, region: u16, now: f64) -> SubscriberConfig {
-        let near = self.relays_of.get(usize::from(region)).cloned().unwrap_or_default();
-        let far = self.relays.iter().map(|relay| PeerId(*relay)).filter(|relay| !near.contains(relay));
+        let near = self
+            .relays_of
+            .get(usize::from(region))
+            .cloned()
+            .unwrap_or_default();
+        let far = self
+            .relays
+            .iter()
+            .map(|relay| PeerId(*relay))
+            .filter(|relay| !near.contains(relay));
         let fallbacks = far.collect();
         SubscriberConfig {
             node: PeerId(endpoint),
             lease: self.lease.clone(),
-            follow: FollowRules { fallbacks, ..FollowRules::node(near) },
+            follow: FollowRules {
+                fallbacks,
+                ..FollowRules::node(near)
+            },
             room: Room::NODE,
             standing_every: STANDING_EVERY,
             seed: self.seed_of(endpoint, now),
--- a/crates/emulator/src/control/links.rs
+++ b/crates/emulator/src/control/links.rs
@@ -54,8 +54,12 @@
     /// Assumed round trips of 0.6 ms within a zone, 2 ms between zones and 80 ms between regions; one frame in a
     /// thousand lost between regions.
     fn default() -> Self {
-        let link =
-            |delay_least, delay_most, loss| Link { delay_least, delay_most, loss, duplicates: loss / 10.0 };
+        let link = |delay_least, delay_most, loss| Link {
+            delay_least,
+            delay_most,
+            loss,
+            duplicates: loss / 10.0,
+        };
         Links {
             within_zone: link(0.000_2, 0.000_4, 0.000_01),
             within_region: link(0.000_7, 0.001_3, 0.000_1),
@@ -79,7 +83,11 @@
 
     /// The same share of frames lost on all links.
     pub fn with_loss(mut self, loss: f64) -> Links {
-        for link in [&mut self.within_zone, &mut self.within_region, &mut self.between_regions] {
+        for link in [
+            &mut self.within_zone,
+            &mut self.within_region,
+            &mut self.between_regions,
+        ] {
             link.loss = loss;
         }
         self
--- a/crates/emulator/src/control/machine.rs
+++ b/crates/emulator/src/control/machine.rs
@@ -35,7 +35,9 @@
             }
             Record::Floor(_) => self.floor = Some(record),
             Record::Epoch(_) => self.epoch = Some(record),
-            Record::Covered { ref selector, .. } => drop(self.covered.insert(selector.clone(), record)),
+            Record::Covered { ref selector, .. } => {
+                drop(self.covered.insert(selector.clone(), record))
+            }
             Record::Unsubscribed(selector) => drop(self.covered.remove(&selector)),
         }
     }
@@ -44,7 +46,12 @@
     fn records(&self) -> Vec<Record> {
         let changes = self.changes.values().cloned().map(Record::Put);
         let in_force = self.in_force.values().cloned().map(Record::InForce);
-        let marks = self.floor.iter().chain(&self.epoch).chain(self.covered.values()).cloned();
+        let marks = self
+            .floor
+            .iter()
+            .chain(&self.epoch)
+            .chain(self.covered.values())
+            .cloned();
         changes.chain(in_force).chain(marks).collect()
     }
 }
@@ -85,7 +92,12 @@
 
 impl Machine {
     fn new(kind: Kind, clock: Clock, disk: Disk) -> Machine {
-        Machine { kind, clock, disk, sessions_ended: 0 }
+        Machine {
+            kind,
+            clock,
+            disk,
+            sessions_ended: 0,
+        }
     }
 
     /// An author with what an earlier process stored.
@@ -102,14 +114,24 @@
 
     /// A node with what an earlier process stored, and what it subscribes to.
     pub fn node(
-        config: SubscriberConfig, selectors: &[Selector], clock: Clock, disk: Disk, now: f64,
+        config: SubscriberConfig,
+        selectors: &[Selector],
+        clock: Clock,
+        disk: Disk,
+        now: f64,
     ) -> Machine {
         let mut subscriber = Subscriber::restore(config, disk.records(), None, clock.local(now));
-        for selector in selectors.iter().filter(|selector| !disk.covered.contains_key(*selector)) {
+        for selector in selectors
+            .iter()
+            .filter(|selector| !disk.covered.contains_key(*selector))
+        {
             // Past the bound it goes without; the check of what is in force finds it.
             let _ = subscriber.subscribe(selector.clone());
         }
-        let node = Node { subscriber, applied: Vec::new() };
+        let node = Node {
+            subscriber,
+            applied: Vec::new(),
+        };
         Machine::new(Kind::Node(Box::new(node)), clock, disk)
     }
 
@@ -157,11 +179,15 @@
 
     /// Does something at an author, if this is one, by its own clock, and what that asks for.
     pub fn with_author<R>(
-        &mut self, now: f64, sends: &mut Vec<(u32, Vec<u8>)>,
+        &mut self,
+        now: f64,
+        sends: &mut Vec<(u32, Vec<u8>)>,
         act: impl FnOnce(&mut Author, f64, &mut Vec<Output>) -> R,
     ) -> Option<R> {
         let local = self.clock.local(now);
-        let Kind::Author(author) = &mut self.kind else { return None };
+        let Kind::Author(author) = &mut self.kind else {
+            return None;
+        };
         let mut outputs = Vec::new();
         let result = act(author, local, &mut outputs);
         author.poll(local, &mut outputs);
@@ -174,10 +200,15 @@
     /// # Errors
     /// If it asks for too much already.
     pub fn subscribe(
-        &mut self, now: f64, selector: Selector, sends: &mut Vec<(u32, Vec<u8>)>,
+        &mut self,
+        now: f64,
+        selector: Selector,
+        sends: &mut Vec<(u32, Vec<u8>)>,
     ) -> Result<(), TooMany> {
         let local = self.clock.local(now);
-        let Kind::Node(node) = &mut self.kind else { return Ok(()) };
+        let Kind::Node(node) = &mut self.kind else {
+            return Ok(());
+        };
         let mut outputs = Vec::new();
         node.subscriber.subscribe(selector)?;
         node.subscriber.poll(local, &mut outputs);
@@ -203,7 +234,11 @@
     }
 
     fn perform_one(
-        &mut self, now: f64, output: Output, sends: &mut Vec<(u32, Vec<u8>)>, further: &mut Vec<Output>,
+        &mut self,
+        now: f64,
+        output: Output,
+        sends: &mut Vec<(u32, Vec<u8>)>,
+        further: &mut Vec<Output>,
     ) {
         match output {
             Output::Send { to, frame } => sends.push((to.0, frame)),
@@ -236,7 +271,11 @@
 impl Node {
     fn apply(&mut self, now: f64, local: f64, change: &Change, further: &mut Vec<Output>) {
         let (name, version) = (change.key.name.clone(), change.version);
-        self.applied.push(Applied { name, version, at: now });
+        self.applied.push(Applied {
+            name,
+            version,
+            at: now,
+        });
         self.subscriber.accepted(version, further);
         self.subscriber.poll(local, further);
     }
--- a/crates/emulator/src/control/membership.rs
+++ b/crates/emulator/src/control/membership.rs
@@ -33,7 +33,9 @@
 }
 
 fn endpoint_of(address: SocketAddr) -> Option<u32> {
-    let IpAddr::V4(v4) = address.ip() else { return None };
+    let IpAddr::V4(v4) = address.ip() else {
+        return None;
+    };
     let [network, b, c, d] = Ipv4Addr::octets(&v4);
     (network == 10).then(|| u32::from_be_bytes([0, b, c, d]))
 }
@@ -70,12 +72,25 @@
     /// So many nodes in their first incarnations.
     pub fn new(nodes: u32, seed: u64) -> Rc<Roster> {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let tags = (0..nodes).map(|_| (rng.random::<u64>() | 1, rng.random())).collect();
+        let tags = (0..nodes)
+            .map(|_| (rng.random::<u64>() | 1, rng.random()))
+            .collect();
         let secret = secret();
-        let membership = MembershipConfig { size: nodes, ..MembershipConfig::default() };
+        let membership = MembershipConfig {
+            size: nodes,
+            ..MembershipConfig::default()
+        };
         let seeds = seeds(nodes).map(address_of).collect();
-        let config = Config { membership, seeds, ..Config::default() };
-        Rc::new(Roster { tags, config, secret })
+        let config = Config {
+            membership,
+            seeds,
+            ..Config::default()
+        };
+        Rc::new(Roster {
+            tags,
+            config,
+            secret,
+        })
     }
 
     /// The tag and the seed of a node.
@@ -94,7 +109,9 @@
             number += 1;
             let mut header = empty_header(introducer.clone(), 0, number, 0);
             header.add_members(&mut told);
-            let Some(writer) = Writer::new(&header).filter(|_| !header.members.is_empty()) else { break };
+            let Some(writer) = Writer::new(&header).filter(|_| !header.members.is_empty()) else {
+                break;
+            };
             datagrams.push(writer.seal(&self.secret));
         }
         datagrams
@@ -162,12 +179,18 @@
 
     /// A later process of a node, that knows nobody but the seeds.
     pub fn successor(endpoint: u32, roster: Rc<Roster>, begins: f64, tag: u64) -> Member {
-        Member { tag, introduced: false, ..Member::new(endpoint, roster, begins) }
+        Member {
+            tag,
+            introduced: false,
+            ..Member::new(endpoint, roster, begins)
+        }
     }
 
     /// How many others it takes for members.
     pub fn peers(&self) -> usize {
-        self.fleet.as_ref().map_or(0, |fleet| fleet.members().count())
+        self.fleet
+            .as_ref()
+            .map_or(0, |fleet| fleet.members().count())
     }
 
     /// When it heard that a server was banned.
@@ -182,12 +205,16 @@
 
     /// Verdicts that came without a proof of their age, and were left for that.
     pub fn unproven(&self) -> u64 {
-        self.fleet.as_ref().map_or(0, |fleet| fleet.counters().unproven)
+        self.fleet
+            .as_ref()
+            .map_or(0, |fleet| fleet.counters().unproven)
     }
 
     /// Datagrams that it took in.
     pub fn taken(&self) -> u64 {
-        self.fleet.as_ref().map_or(0, |fleet| fleet.counters().received)
+        self.fleet
+            .as_ref()
+            .map_or(0, |fleet| fleet.counters().received)
     }
 
     /// An operator bans a server here.
@@ -210,7 +237,9 @@
         let mut fleet = Fleet::new(&name, address, self.tag, config, secret, self.seed, 0.0);
         if self.introduced {
             let introductions = self.roster.introductions(self.seed);
-            introductions.iter().for_each(|datagram| fleet.receive(0.0, datagram));
+            introductions
+                .iter()
+                .for_each(|datagram| fleet.receive(0.0, datagram));
         }
         self.fleet = Some(fleet);
     }
@@ -253,7 +282,9 @@
     }
 
     fn next_wakeup(&self) -> f64 {
-        self.fleet.as_ref().map_or(self.begins, |fleet| self.begins + fleet.deadline())
+        self.fleet
+            .as_ref()
+            .map_or(self.begins, |fleet| self.begins + fleet.deadline())
     }
 }
 
@@ -271,10 +302,16 @@
         let (reader, _) = roster.draws_of(count);
         let datagrams = (0..count)
             .zip(&roster.tags)
-            .filter_map(|(peer, (tag, _))| Writer::new(&empty_header(node(peer, *tag), reader, 1, 0)))
+            .filter_map(|(peer, (tag, _))| {
+                Writer::new(&empty_header(node(peer, *tag), reader, 1, 0))
+            })
             .map(|writer| writer.seal(&roster.secret))
             .collect();
-        Rc::new(Peers { roster, endpoint: count, datagrams })
+        Rc::new(Peers {
+            roster,
+            endpoint: count,
+            datagrams,
+        })
     }
 }
 
@@ -293,7 +330,12 @@
         let mut member = Member::new(peers.endpoint, Rc::clone(&peers.roster), 0.0);
         member.poll(0.0, &mut Vec::new());
         let taken = deliver(&mut member, 0.0, &peers.datagrams);
-        Acquainted { member, peers, now: 0.0, taken }
+        Acquainted {
+            member,
+            peers,
+            now: 0.0,
+            taken,
+        }
     }
 
     /// How many peers it takes for members.
--- a/crates/emulator/src/control/network.rs
+++ b/crates/emulator/src/control/network.rs
@@ -36,8 +36,15 @@
 }
 
 enum Event {
-    Frame { from: u32, to: u32, life: u32, frame: Vec<u8> },
-    Wakeup { endpoint: u32 },
+    Frame {
+        from: u32,
+        to: u32,
+        life: u32,
+        frame: Vec<u8>,
+    },
+    Wakeup {
+        endpoint: u32,
+    },
 }
 
 /// See the module.
@@ -102,7 +109,9 @@
 
     /// A process begins at an endpoint; one that runs there is replaced.
     pub fn start(&mut self, endpoint: u32, process: E) {
-        let Some(slot) = self.slots.get_mut(endpoint as usize) else { return };
+        let Some(slot) = self.slots.get_mut(endpoint as usize) else {
+            return;
+        };
         slot.endpoint = Some(process);
         slot.frozen = false;
         slot.inbox.clear();
@@ -130,7 +139,9 @@
 
     /// The process at an endpoint goes on: first with the frames that came, then with what is due.
     pub fn thaw(&mut self, endpoint: u32) {
-        let Some(slot) = self.slots.get_mut(endpoint as usize) else { return };
+        let Some(slot) = self.slots.get_mut(endpoint as usize) else {
+            return;
+        };
         slot.frozen = false;
         let waiting = std::mem::take(&mut slot.inbox);
         for (from, frame) in waiting {
@@ -152,12 +163,15 @@
 
     /// Does something at an endpoint that runs, and delivers what it sends.
     pub fn with<R>(
-        &mut self, endpoint: u32, act: impl FnOnce(&mut E, f64, &mut Vec<(u32, Vec<u8>)>) -> R,
+        &mut self,
+        endpoint: u32,
+        act: impl FnOnce(&mut E, f64, &mut Vec<(u32, Vec<u8>)>) -> R,
     ) -> Option<R> {
         let (now, clock) = (self.now, self.cpu_clock);
         let mut sends = std::mem::take(&mut self.sends);
         let slot = self.slots.get_mut(endpoint as usize);
-        let result = slot.and_then(|slot| slot.call(clock, |process| act(process, now, &mut sends)));
+        let result =
+            slot.and_then(|slot| slot.call(clock, |process| act(process, now, &mut sends)));
         for (to, frame) in sends.drain(..) {
             self.send(endpoint, to, frame);
         }
@@ -188,11 +202,13 @@
         if self.partitions.is_empty() {
             return false;
         }
-        let (Some(from_site), Some(to_site)) = (self.topology.site(from), self.topology.site(to)) else {
+        let (Some(from_site), Some(to_site)) = (self.topology.site(from), self.topology.site(to))
+        else {
             return true;
         };
-        let stops =
-            |(a, b): &(Scope, Scope)| from != to && a.contains(from, from_site) && b.contains(to, to_site);
+        let stops = |(a, b): &(Scope, Scope)| {
+            from != to && a.contains(from, from_site) && b.contains(to, to_site)
+        };
         self.partitions.iter().any(stops)
     }
 
@@ -213,7 +229,9 @@
 
     /// What some endpoints used since accounts began.
     pub fn usage(&self, endpoints: impl IntoIterator<Item = u32>) -> Usage {
-        let accounts = endpoints.into_iter().filter_map(|endpoint| self.account(endpoint));
+        let accounts = endpoints
+            .into_iter()
+            .filter_map(|endpoint| self.account(endpoint));
         Usage::of(accounts, self.now - self.accounts_since)
     }
 
@@ -223,10 +241,17 @@
     pub fn run(&mut self, seconds: f64) {
         let end = self.now + seconds;
         while self.queue.next_at().is_some_and(|at| at <= end) {
-            let Some(event) = self.queue.take() else { break };
+            let Some(event) = self.queue.take() else {
+                break;
+            };
             self.now = self.queue.now();
             match event {
-                Event::Frame { from, to, life, frame } => self.arrive(from, to, life, frame),
+                Event::Frame {
+                    from,
+                    to,
+                    life,
+                    frame,
+                } => self.arrive(from, to, life, frame),
                 Event::Wakeup { endpoint } => self.wake(endpoint),
             }
         }
@@ -235,7 +260,12 @@
 
     /// Runs until something holds, which is looked at every `step` seconds; how long it took. `None` if it does not hold
     /// within `most` seconds.
-    pub fn run_until(&mut self, most: f64, step: f64, holds: impl Fn(&Network<E>) -> bool) -> Option<f64> {
+    pub fn run_until(
+        &mut self,
+        most: f64,
+        step: f64,
+        holds: impl Fn(&Network<E>) -> bool,
+    ) -> Option<f64> {
         let begun = self.now;
         while !holds(self) {
             if self.now - begun >= most {
@@ -248,7 +278,9 @@
 
     fn arrive(&mut self, from: u32, to: u32, life: u32, frame: Vec<u8>) {
         let streams = matches!(self.links.delivery, Delivery::Streams { .. });
-        let Some(slot) = self.slots.get_mut(to as usize) else { return };
+        let Some(slot) = self.slots.get_mut(to as usize) else {
+            return;
+        };
         let ended = slot.endpoint.is_none() || (streams && slot.life != life);
         if ended {
             self.undelivered.ended += 1;
@@ -266,18 +298,24 @@
         if let Some(slot) = self.slots.get_mut(to as usize) {
             slot.account.received(now, bytes);
         }
-        self.with(to, |process, now, sends| process.receive(now, from, frame, sends));
+        self.with(to, |process, now, sends| {
+            process.receive(now, from, frame, sends)
+        });
     }
 
     fn wake(&mut self, endpoint: u32) {
         let now = self.now;
-        let Some(slot) = self.slots.get_mut(endpoint as usize) else { return };
+        let Some(slot) = self.slots.get_mut(endpoint as usize) else {
+            return;
+        };
         // One that was put in for a later moment than another, or for a process that has ended.
         if slot.wakeup > now {
             return;
         }
         slot.wakeup = f64::INFINITY;
-        let due = slot.running().is_some_and(|process| process.next_wakeup() <= now);
+        let due = slot
+            .running()
+            .is_some_and(|process| process.next_wakeup() <= now);
         if due {
             slot.polled = now;
             self.with(endpoint, |process, now, sends| process.poll(now, sends));
@@ -289,9 +327,13 @@
     /// Puts in a wakeup, unless one that is as early is in the queue.
     fn schedule(&mut self, endpoint: u32) {
         let now = self.now;
-        let Some(slot) = self.slots.get_mut(endpoint as usize) else { return };
+        let Some(slot) = self.slots.get_mut(endpoint as usize) else {
+            return;
+        };
         let polled = slot.polled;
-        let Some(process) = slot.running() else { return };
+        let Some(process) = slot.running() else {
+            return;
+        };
         let at = process.next_wakeup().max(polled + POLL_INTERVAL).max(now);
         if at < slot.wakeup {
             slot.wakeup = at;
@@ -331,7 +373,9 @@
     /// When the uplink has sent so many bytes more.
     fn departure(&mut self, from: u32, bytes: u64) -> f64 {
         let takes = bytes as f64 / self.links.bandwidth;
-        let Some(slot) = self.slots.get_mut(from as usize) else { return self.now };
+        let Some(slot) = self.slots.get_mut(from as usize) else {
+            return self.now;
+        };
         slot.uplink_free = slot.uplink_free.max(self.now) + takes;
         slot.uplink_free
     }
@@ -358,7 +402,13 @@
     }
 
     fn send_in_stream(
-        &mut self, from: u32, to: u32, frame: Vec<u8>, departure: f64, link: Link, retransmit_after: f64,
+        &mut self,
+        from: u32,
+        to: u32,
+        frame: Vec<u8>,
+        departure: f64,
+        link: Link,
+        retransmit_after: f64,
     ) {
         let mut at = departure + self.delay(link);
         for _ in 0..RETRANSMISSIONS_MOST {
@@ -376,6 +426,14 @@
 
     fn put_frame(&mut self, at: f64, from: u32, to: u32, frame: Vec<u8>) {
         let life = self.slots.get(to as usize).map_or(0, |slot| slot.life);
-        self.queue.put(at, Event::Frame { from, to, life, frame });
+        self.queue.put(
+            at,
+            Event::Frame {
+                from,
+                to,
+                life,
+                frame,
+            },
+        );
     }
 }
--- a/crates/emulator/src/control/plays.rs
+++ b/crates/emulator/src/control/plays.rs
@@ -72,7 +72,12 @@
         world.demands.take_waits();
         world.ages = world.ages.map(|_| Ages::default());
         world.network.reset_accounts();
-        Begun { name: name.into(), at: world.network.now(), caught_up: None, judged_by }
+        Begun {
+            name: name.into(),
+            at: world.network.now(),
+            caught_up: None,
+            judged_by,
+        }
     }
 
     /// Waits until all nodes have all, and checks what was promised.
@@ -110,7 +115,11 @@
     let mut times = Vec::new();
     loop {
         let took = world.network.now() - begun;
-        let done: BTreeSet<u32> = behind.iter().copied().filter(|node| world.is_up_to_date(*node)).collect();
+        let done: BTreeSet<u32> = behind
+            .iter()
+            .copied()
+            .filter(|node| world.is_up_to_date(*node))
+            .collect();
         times.extend(done.iter().map(|_| took));
         behind.retain(|node| !done.contains(node));
         if behind.is_empty() || took >= SETTLE {
@@ -146,14 +155,22 @@
 
 /// Changes at an even rate.
 pub fn steady(world: &mut World, what: &str, rate: f64, seconds: f64) -> Outcome {
-    let begun = Begun::new(world, format!("{what} for {seconds:.0} s"), JudgedBy::InForce);
+    let begun = Begun::new(
+        world,
+        format!("{what} for {seconds:.0} s"),
+        JudgedBy::InForce,
+    );
     changes(world, rate, seconds);
     begun.end(world)
 }
 
 /// So many changes within a minute.
 pub fn burst(world: &mut World, count: u32) -> Outcome {
-    let begun = Begun::new(world, format!("{count} changes in a minute"), JudgedBy::InForce);
+    let begun = Begun::new(
+        world,
+        format!("{count} changes in a minute"),
+        JudgedBy::InForce,
+    );
     changes(world, f64::from(count) / 60.0, 60.0);
     begun.end(world)
 }
@@ -185,8 +202,10 @@
 
 /// Requests of tenants that a node has not met come to some nodes, so many a second to each.
 pub fn tenants_met(world: &mut World, nodes: &[u32], rate: f64, seconds: f64) -> Outcome {
-    let name =
-        format!("{rate} tenants a second met anew by each of {} nodes for {seconds:.0} s", nodes.len());
+    let name = format!(
+        "{rate} tenants a second met anew by each of {} nodes for {seconds:.0} s",
+        nodes.len()
+    );
     let begun = Begun::new(world, name, JudgedBy::FirstRequest);
     let each = rate * seconds;
     let count = (each * nodes.len() as f64).round() as usize;
@@ -203,17 +222,26 @@
 pub fn import(world: &mut World, batch: u32, batches_a_second: f64) -> Outcome {
     let tenants = world.layout.sizes.tenants;
     let rate = f64::from(batch) * batches_a_second;
-    let name = format!("{tenants} tenants published anew, {rate:.0} a second in batches of {batch}");
+    let name =
+        format!("{tenants} tenants published anew, {rate:.0} a second in batches of {batch}");
     let mut begun = Begun::new(world, name, JudgedBy::Bytes);
     for first in (0..tenants).step_by(batch.max(1) as usize) {
-        let resources: Vec<Resource> = (first..tenants.min(first + batch)).map(Resource::Tenant).collect();
+        let resources: Vec<Resource> = (first..tenants.min(first + batch))
+            .map(Resource::Tenant)
+            .collect();
         if let Err(error) = world.publish(&resources) {
-            world.checker.fault(world.network.now(), format!("not published: {error}"));
+            world
+                .checker
+                .fault(world.network.now(), format!("not published: {error}"));
         }
         world.run(1.0 / batches_a_second);
     }
     let took = world.run_until(IMPORT_WAIT, World::relays_have_all);
-    begun.caught_up = took.map(|took| Times { p50: took, p99: took, last: took });
+    begun.caught_up = took.map(|took| Times {
+        p50: took,
+        p99: took,
+        last: took,
+    });
     if took.is_none() {
         let what = world.describe_relays();
         world.checker.fault(world.network.now(), what);
@@ -223,13 +251,18 @@
 
 /// All nodes of a region lose their disks and start at one instant.
 pub fn region_starts(world: &mut World, region: u16) -> Outcome {
-    let nodes = world.layout.nodes_in(world.network.topology(), Scope::Region(region));
+    let nodes = world
+        .layout
+        .nodes_in(world.network.topology(), Scope::Region(region));
     for node in &nodes {
         world.kill(*node);
         world.erase(*node);
     }
     world.run(30.0);
-    let name = format!("{} nodes of a region start at once without disks", nodes.len());
+    let name = format!(
+        "{} nodes of a region start at once without disks",
+        nodes.len()
+    );
     let mut begun = Begun::new(world, name, JudgedBy::Bytes);
     nodes.iter().for_each(|node| world.start(*node));
     begun.caught_up = catch_up(world, &nodes);
@@ -237,7 +270,13 @@
 }
 
 /// Control machines end while changes come, and begin again in the end.
-pub fn control_lost(world: &mut World, name: &str, lost: &[u32], rate: f64, seconds: f64) -> Outcome {
+pub fn control_lost(
+    world: &mut World,
+    name: &str,
+    lost: &[u32],
+    rate: f64,
+    seconds: f64,
+) -> Outcome {
     let begun = Begun::new(world, name, JudgedBy::InForce);
     changes(world, rate, seconds / 4.0);
     lost.iter().for_each(|machine| world.kill(*machine));
@@ -251,7 +290,9 @@
 fn cut_off(world: &mut World, region: u16) {
     let regions = world.layout.sizes.zones.len() as u16;
     for other in (0..regions).filter(|other| *other != region) {
-        world.network.partition_both(Scope::Region(region), Scope::Region(other));
+        world
+            .network
+            .partition_both(Scope::Region(region), Scope::Region(other));
     }
 }
 
@@ -262,7 +303,9 @@
     cut_off(world, region);
     changes(world, rate, seconds);
     world.network.heal();
-    let nodes = world.layout.nodes_in(world.network.topology(), Scope::Region(region));
+    let nodes = world
+        .layout
+        .nodes_in(world.network.topology(), Scope::Region(region));
     begun.caught_up = catch_up(world, &nodes);
     begun.end(world)
 }
@@ -272,10 +315,15 @@
 /// The nodes of that region can hear nothing from the other one until the end, so that what counts is when all have
 /// all of it after that.
 pub fn author_apart(world: &mut World, rate: f64, seconds: f64) -> Outcome {
-    let mut begun = Begun::new(world, format!("the author apart for {seconds:.0} s"), JudgedBy::CaughtUp);
+    let mut begun = Begun::new(
+        world,
+        format!("the author apart for {seconds:.0} s"),
+        JudgedBy::CaughtUp,
+    );
     let author = world.leader();
-    let region =
-        author.and_then(|author| world.network.topology().site(author)).map_or(0, |site| site.region);
+    let region = author
+        .and_then(|author| world.network.topology().site(author))
+        .map_or(0, |site| site.region);
     cut_off(world, region);
     author.iter().for_each(|author| world.bar(*author));
     changes(world, rate, seconds);
@@ -288,7 +336,11 @@
 
 /// A change is taken back before it is everywhere; the times are those of the change that takes it back.
 pub fn taken_back(world: &mut World, after: f64) -> Outcome {
-    let begun = Begun::new(world, format!("a change taken back after {after:.0} s"), JudgedBy::InForce);
+    let begun = Begun::new(
+        world,
+        format!("a change taken back after {after:.0} s"),
+        JudgedBy::InForce,
+    );
     world.change();
     world.run(after);
     if let Some(change) = world.latest() {
@@ -302,9 +354,18 @@
 }
 
 /// Nodes of a place end while changes come, and begin again at one instant with their disks.
-pub fn nodes_lost(world: &mut World, place: &str, scope: Scope, rate: f64, seconds: f64) -> Outcome {
+pub fn nodes_lost(
+    world: &mut World,
+    place: &str,
+    scope: Scope,
+    rate: f64,
+    seconds: f64,
+) -> Outcome {
     let nodes = world.layout.nodes_in(world.network.topology(), scope);
-    let name = format!("{place}'s {} nodes gone for {seconds:.0} s, and back with their disks", nodes.len());
+    let name = format!(
+        "{place}'s {} nodes gone for {seconds:.0} s, and back with their disks",
+        nodes.len()
+    );
     let mut begun = Begun::new(world, name, JudgedBy::CaughtUp);
     nodes.iter().for_each(|node| world.kill(*node));
     changes(world, rate, seconds);
--- a/crates/emulator/src/control/report.rs
+++ b/crates/emulator/src/control/report.rs
@@ -144,12 +144,20 @@
             messages_in: usage.messages_in,
             messages_out: usage.messages_out,
         };
-        PerNode { traffic: vec![traffic], peak_bytes: usage.short_most as f64, cpu: usage.cpu, memory }
+        PerNode {
+            traffic: vec![traffic],
+            peak_bytes: usage.short_most as f64,
+            cpu: usage.cpu,
+            memory,
+        }
     }
 
     /// Bytes that a node received and sent in a second.
     pub fn bytes(&self) -> f64 {
-        self.traffic.iter().map(|traffic| traffic.bytes_in + traffic.bytes_out).sum()
+        self.traffic
+            .iter()
+            .map(|traffic| traffic.bytes_in + traffic.bytes_out)
+            .sum()
     }
 }
 
@@ -202,7 +210,12 @@
 impl Played {
     /// What came of a play, with the memory of one control machine in bytes.
     pub fn of(title: String, outcome: &Outcome, control_memory: f64) -> Played {
-        let Usage { bytes_in, bytes_out, cpu, .. } = outcome.control;
+        let Usage {
+            bytes_in,
+            bytes_out,
+            cpu,
+            ..
+        } = outcome.control;
         Played {
             title,
             judged_by: outcome.judged_by,
@@ -211,7 +224,12 @@
             missing: outcome.missing as u64,
             faults: outcome.faults_seen as u64,
             ages: outcome.ages,
-            control: Control { bytes_in, bytes_out, cpu, memory: control_memory },
+            control: Control {
+                bytes_in,
+                bytes_out,
+                cpu,
+                memory: control_memory,
+            },
         }
     }
 }
--- a/crates/emulator/src/control/times.rs
+++ b/crates/emulator/src/control/times.rs
@@ -23,6 +23,10 @@
             let rank = (share * times.len() as f64).ceil() as usize;
             times.get(rank.saturating_sub(1)).copied().unwrap_or(last)
         };
-        Some(Times { p50: rank(0.5), p99: rank(0.99), last })
+        Some(Times {
+            p50: rank(0.5),
+            p99: rank(0.99),
+            last,
+        })
     }
 }
--- a/crates/emulator/src/control/topology.rs
+++ b/crates/emulator/src/control/topology.rs
@@ -74,7 +74,11 @@
             regions.extend((0..*zones).map(|_| region));
         }
         let populations = vec![0; regions.len()];
-        Topology { regions, sites: Vec::new(), populations }
+        Topology {
+            regions,
+            sites: Vec::new(),
+            populations,
+        }
     }
 
     /// Endpoints spread evenly over the zones, in blocks of neighbouring numbers.
@@ -89,7 +93,11 @@
 
     /// Adds an endpoint to a zone; its number.
     pub fn add(&mut self, zone: u16) -> u32 {
-        let region = self.regions.get(usize::from(zone)).copied().unwrap_or_default();
+        let region = self
+            .regions
+            .get(usize::from(zone))
+            .copied()
+            .unwrap_or_default();
         let mut rack = 0;
         if let Some(population) = self.populations.get_mut(usize::from(zone)) {
             rack = (*population / RACK_SIZE) as u16;
@@ -122,7 +130,10 @@
     /// The endpoints of a set.
     pub fn endpoints(&self, scope: Scope) -> Vec<u32> {
         let numbered = (0u32..).zip(&self.sites);
-        numbered.filter(|(number, site)| scope.contains(*number, **site)).map(|(number, _)| number).collect()
+        numbered
+            .filter(|(number, site)| scope.contains(*number, **site))
+            .map(|(number, _)| number)
+            .collect()
     }
 
     /// How far apart two endpoints are.
--- a/crates/emulator/src/control/whole_copies.rs
+++ b/crates/emulator/src/control/whole_copies.rs
@@ -43,9 +43,22 @@
 impl Source {
     /// A source of files of a size for nodes that take in so many bytes a second each.
     pub fn new(nodes: impl IntoIterator<Item = u32>, file_bytes: usize, budget: f64) -> Source {
-        let nodes = nodes.into_iter().map(|node| Transfer { node, version: 0, left: 0 }).collect();
+        let nodes = nodes
+            .into_iter()
+            .map(|node| Transfer {
+                node,
+                version: 0,
+                left: 0,
+            })
+            .collect();
         let frame_bytes = (budget * FRAME_EVERY).max(1.0) as usize;
-        Source { nodes, file_bytes, frame_bytes, version: 0, due: f64::INFINITY }
+        Source {
+            nodes,
+            file_bytes,
+            frame_bytes,
+            version: 0,
+            due: f64::INFINITY,
+        }
     }
 
     /// The file changes; its version.
@@ -69,9 +82,16 @@
             transfer.left -= bytes;
             let behind = transfer.left > 0 || transfer.version < self.version;
             busy |= behind;
-            sends.push((transfer.node, frame(transfer.version, transfer.left == 0, bytes)));
+            sends.push((
+                transfer.node,
+                frame(transfer.version, transfer.left == 0, bytes),
+            ));
         }
-        self.due = if busy { now + FRAME_EVERY } else { f64::INFINITY };
+        self.due = if busy {
+            now + FRAME_EVERY
+        } else {
+            f64::INFINITY
+        };
     }
 }
 
@@ -84,7 +104,9 @@
 
 impl Receiver {
     fn receive(&mut self, now: f64, frame: &[u8]) {
-        let Some((version, rest)) = frame.split_first_chunk() else { return };
+        let Some((version, rest)) = frame.split_first_chunk() else {
+            return;
+        };
         if rest.first() == Some(&1) {
             self.in_force.push((u64::from_be_bytes(*version), now));
         }
--- a/crates/emulator/src/control/world.rs
+++ b/crates/emulator/src/control/world.rs
@@ -36,7 +36,10 @@
 
 /// Links for the distribution's own account of headers.
 pub fn links() -> Links {
-    Links { overhead: TRANSPORT_OVERHEAD, ..Links::default() }
+    Links {
+        overhead: TRANSPORT_OVERHEAD,
+        ..Links::default()
+    }
 }
 
 /// A change that is followed on its way.
@@ -139,16 +142,20 @@
             draw: Pcg64Mcg::seed_from_u64(seed),
         };
         let control: Vec<u32> = world.layout.control().collect();
-        control.into_iter().for_each(|endpoint| world.start(endpoint));
+        control
+            .into_iter()
+            .for_each(|endpoint| world.start(endpoint));
         world.load()?;
         Ok(world)
     }
 
     /// Publishes all resources at one instant and waits until all relays have them.
     fn load(&mut self) -> Result<(), String> {
-        self.run_until(LOAD_WAIT, |world| world.writer().is_some()).ok_or("no author writes")?;
+        self.run_until(LOAD_WAIT, |world| world.writer().is_some())
+            .ok_or("no author writes")?;
         let all: Vec<Resource> = self.layout.sizes.resources().collect();
-        all.chunks(BATCH).try_for_each(|batch| self.publish(batch))?;
+        all.chunks(BATCH)
+            .try_for_each(|batch| self.publish(batch))?;
         let loaded = self.run_until(LOAD_WAIT, World::relays_have_all);
         loaded.map(drop).ok_or_else(|| self.describe_relays())
     }
@@ -158,13 +165,19 @@
     /// # Errors
     /// Says why nothing was published.
     pub fn publish(&mut self, resources: &[Resource]) -> Result<(), String> {
-        let drafts = resources.iter().map(|resource| self.draft(*resource)).collect();
-        self.write(|author, now, claim, outputs| author.publish(now, claim, drafts, outputs)).map(drop)
+        let drafts = resources
+            .iter()
+            .map(|resource| self.draft(*resource))
+            .collect();
+        self.write(|author, now, claim, outputs| author.publish(now, claim, drafts, outputs))
+            .map(drop)
     }
 
     /// What relays lack of the author's resources.
     pub fn describe_relays(&self) -> String {
-        let published = self.author().map_or(0, |author| author.log().changes().count());
+        let published = self
+            .author()
+            .map_or(0, |author| author.log().changes().count());
         let head = self.author().map(Author::head);
         let relays = self.layout.relays().iter().filter_map(|relay| {
             let machine = self.network.endpoint(*relay)?;
@@ -179,13 +192,22 @@
             ))
         });
         let relays: Vec<String> = relays.collect();
-        format!("of {published} resources up to {head:?} the relays do not have all: {}", relays.join("; "))
+        format!(
+            "of {published} resources up to {head:?} the relays do not have all: {}",
+            relays.join("; ")
+        )
     }
 
     /// Whether all relays that run cover all that the author has written.
     pub fn relays_have_all(&self) -> bool {
-        let Some(head) = self.author().map(Author::head) else { return false };
-        let relays = self.layout.relays().iter().filter_map(|relay| self.network.endpoint(*relay));
+        let Some(head) = self.author().map(Author::head) else {
+            return false;
+        };
+        let relays = self
+            .layout
+            .relays()
+            .iter()
+            .filter_map(|relay| self.network.endpoint(*relay));
         let mut relays = relays.filter_map(Machine::as_relay);
         relays.all(|relay| relay.coverage().floor() >= head)
     }
@@ -196,11 +218,25 @@
     pub fn start(&mut self, endpoint: u32) {
         let now = self.network.now();
         let disk = self.disks.remove(&endpoint).unwrap_or_default();
-        let clock = self.clocks.get(endpoint as usize).copied().unwrap_or(Clock::TRUE);
+        let clock = self
+            .clocks
+            .get(endpoint as usize)
+            .copied()
+            .unwrap_or(Clock::TRUE);
         let machine = if self.layout.nodes().contains(&endpoint) {
-            let region = self.network.topology().site(endpoint).map_or(0, |site| site.region);
+            let region = self
+                .network
+                .topology()
+                .site(endpoint)
+                .map_or(0, |site| site.region);
             let config = self.layout.node_config(endpoint, region, now);
-            Machine::node(config, &self.layout.selectors_of(endpoint), clock, disk, now)
+            Machine::node(
+                config,
+                &self.layout.selectors_of(endpoint),
+                clock,
+                disk,
+                now,
+            )
         } else if self.layout.authors().contains(&endpoint) {
             Machine::author(self.layout.author_config(endpoint, now), clock, disk, now)
         } else {
@@ -225,7 +261,9 @@
 
     /// Nodes that run.
     pub fn running_nodes(&self) -> impl Iterator<Item = u32> + '_ {
-        self.layout.nodes().filter(|node| self.network.endpoint(*node).is_some())
+        self.layout
+            .nodes()
+            .filter(|node| self.network.endpoint(*node).is_some())
     }
 
     // ---- changes ----
@@ -240,12 +278,15 @@
     }
 
     fn write<E: std::fmt::Display>(
-        &mut self, act: impl FnOnce(&mut Author, f64, &Claim, &mut Vec<Output>) -> Result<Version, E>,
+        &mut self,
+        act: impl FnOnce(&mut Author, f64, &Claim, &mut Vec<Output>) -> Result<Version, E>,
     ) -> Result<Version, String> {
         let leader = self.leader.ok_or("nobody holds the lease")?;
         let claim = self.claim();
         let written = self.network.with(leader, |machine, now, sends| {
-            machine.with_author(now, sends, |author, local, outputs| act(author, local, &claim, outputs))
+            machine.with_author(now, sends, |author, local, outputs| {
+                act(author, local, &claim, outputs)
+            })
         });
         match written {
             Some(Some(result)) => result.map_err(|error| error.to_string()),
@@ -261,27 +302,36 @@
     /// A change of a drawn resource of a drawn service is asked for.
     pub fn change(&mut self) {
         let service = self.draw_service();
-        let number = self.draw.random_range(0..self.layout.sizes.resources_of_service(service));
+        let number = self
+            .draw
+            .random_range(0..self.layout.sizes.resources_of_service(service));
         self.change_of(self.layout.sizes.resource(service, number));
     }
 
     /// A change of a resource is asked for. It is published once there is an author that writes.
     pub fn change_of(&mut self, resource: Resource) {
-        self.waiting.push_back(Waiting { resource, asked_at: self.network.now() });
+        self.waiting.push_back(Waiting {
+            resource,
+            asked_at: self.network.now(),
+        });
         self.publish_waiting();
     }
 
     fn publish_waiting(&mut self) {
         while self.writer().is_some() {
-            let Some(waiting) = self.waiting.pop_front() else { return };
+            let Some(waiting) = self.waiting.pop_front() else {
+                return;
+            };
             let draft = self.draft(waiting.resource);
-            let published =
-                self.write(|author, now, claim, outputs| author.publish(now, claim, vec![draft], outputs));
+            let published = self.write(|author, now, claim, outputs| {
+                author.publish(now, claim, vec![draft], outputs)
+            });
             match published {
                 Ok(version) => self.track(waiting.resource, version, waiting.asked_at),
                 Err(error) => {
                     let now = self.network.now();
-                    self.checker.fault(now, format!("a change was refused: {error}"));
+                    self.checker
+                        .fault(now, format!("a change was refused: {error}"));
                 }
             }
         }
@@ -302,17 +352,27 @@
     fn track(&mut self, resource: Resource, version: Version, asked_at: f64) {
         let missing = self.holders(resource);
         let published_at = self.network.now();
-        let tracked = Tracked { resource, version, asked_at, published_at, missing, times: Vec::new() };
-        self.tracked.entry(resource.name()).or_default().push(tracked);
+        let tracked = Tracked {
+            resource,
+            version,
+            asked_at,
+            published_at,
+            missing,
+            times: Vec::new(),
+        };
+        self.tracked
+            .entry(resource.name())
+            .or_default()
+            .push(tracked);
     }
 
     /// The nodes that run and need a resource.
     fn holders(&self, resource: Resource) -> BTreeSet<u32> {
         let runs = |node: &u32| self.network.endpoint(*node).is_some();
         match resource {
-            Resource::Settings(service) | Resource::Servers(service) | Resource::Route(service, _) => {
-                self.layout.nodes_of(service).filter(runs).collect()
-            }
+            Resource::Settings(service)
+            | Resource::Servers(service)
+            | Resource::Route(service, _) => self.layout.nodes_of(service).filter(runs).collect(),
             Resource::Tenant(tenant) => {
                 let asked = |node: &u32| self.demands.of(*node).any(|other| other == tenant);
                 self.running_nodes().filter(asked).collect()
@@ -334,10 +394,14 @@
             return;
         }
         let selector = Selector::Group(Resource::Tenant(tenant).name().group);
-        let asked =
-            self.network.with(node, |machine, now, sends| machine.subscribe(now, selector.clone(), sends));
+        let asked = self.network.with(node, |machine, now, sends| {
+            machine.subscribe(now, selector.clone(), sends)
+        });
         if let Some(Err(error)) = asked {
-            self.checker.fault(now, format!("node {node} could not ask for tenant {tenant}: {error}"));
+            self.checker.fault(
+                now,
+                format!("node {node} could not ask for tenant {tenant}: {error}"),
+            );
         }
     }
 
@@ -348,7 +412,10 @@
         let open = std::mem::take(&mut self.tracked).into_values().flatten();
         let all: Vec<Tracked> = open.chain(std::mem::take(&mut self.followed)).collect();
         let missing = all.iter().map(|tracked| self.lacking(tracked)).sum();
-        (Times::of(all.into_iter().flat_map(|tracked| tracked.times).collect()), missing)
+        (
+            Times::of(all.into_iter().flat_map(|tracked| tracked.times).collect()),
+            missing,
+        )
     }
 
     fn lacking(&self, tracked: &Tracked) -> usize {
@@ -393,7 +460,9 @@
 
     fn collect(&mut self) {
         let nodes: Vec<u32> = self.running_nodes().collect();
-        nodes.into_iter().for_each(|node| self.collect_applied(node));
+        nodes
+            .into_iter()
+            .for_each(|node| self.collect_applied(node));
         self.finish_tracked();
     }
 
@@ -402,12 +471,20 @@
         if self.network.endpoint(node).is_none_or(idle) {
             return;
         }
-        let applied = self.network.with(node, |machine, _, _| machine.take_applied()).unwrap_or_default();
+        let applied = self
+            .network
+            .with(node, |machine, _, _| machine.take_applied())
+            .unwrap_or_default();
         for applied in applied {
             self.checker.applied(node, &applied);
             self.demands.applied(node, &applied.name, applied.at);
-            let Some(tracked) = self.tracked.get_mut(&applied.name) else { continue };
-            for tracked in tracked.iter_mut().filter(|tracked| tracked.version <= applied.version) {
+            let Some(tracked) = self.tracked.get_mut(&applied.name) else {
+                continue;
+            };
+            for tracked in tracked
+                .iter_mut()
+                .filter(|tracked| tracked.version <= applied.version)
+            {
                 if tracked.missing.remove(&node) {
                     tracked.times.push(applied.at - tracked.asked_at);
                 }
@@ -430,17 +507,26 @@
         for tracked in self.tracked.values().flatten() {
             let truth = now - tracked.published_at;
             for node in &tracked.missing {
-                let Some(stated) = self.network.endpoint(*node).and_then(|machine| machine.staleness(now))
+                let Some(stated) = self
+                    .network
+                    .endpoint(*node)
+                    .and_then(|machine| machine.staleness(now))
                 else {
                     continue;
                 };
                 let margin = stated - truth;
-                ages.least_margin = if ages.compared == 0 { margin } else { ages.least_margin.min(margin) };
+                ages.least_margin = if ages.compared == 0 {
+                    margin
+                } else {
+                    ages.least_margin.min(margin)
+                };
                 ages.compared += 1;
                 ages.oldest = ages.oldest.max(truth);
                 if margin < 0.0 {
-                    self.checker
-                        .fault(now, format!("node {node} states an age of {stated} s, it is {truth} s"));
+                    self.checker.fault(
+                        now,
+                        format!("node {node} states an age of {stated} s, it is {truth} s"),
+                    );
                 }
             }
         }
@@ -449,10 +535,18 @@
 
     /// Whether a node has in force what the author has.
     pub fn is_up_to_date(&self, node: u32) -> bool {
-        let Some(author) = self.author() else { return false };
-        let Some(machine) = self.network.endpoint(node).and_then(Machine::as_node) else { return false };
+        let Some(author) = self.author() else {
+            return false;
+        };
+        let Some(machine) = self.network.endpoint(node).and_then(Machine::as_node) else {
+            return false;
+        };
         let has = |name: &Name| super::check::agrees(author, machine, name);
-        let tenants = || self.demands.of(node).map(|tenant| Resource::Tenant(tenant).name());
+        let tenants = || {
+            self.demands
+                .of(node)
+                .map(|tenant| Resource::Tenant(tenant).name())
+        };
         self.layout.resources_of(node).iter().all(has) && tenants().all(|name| has(&name))
     }
 }
@@ -465,7 +559,10 @@
     let mut draw = Pcg64Mcg::seed_from_u64(seed ^ 0xc10c);
     let clock = |_| {
         let rate = 1.0 + drift * draw.random_range(-1.0..=1.0);
-        Clock { offset: draw.random_range(0.0..CLOCKS_APART), rate }
+        Clock {
+            offset: draw.random_range(0.0..CLOCKS_APART),
+            rate,
+        }
     };
     (0..machines).map(clock).collect()
 }
--- a/crates/emulator/src/control/world/lease.rs
+++ b/crates/emulator/src/control/world/lease.rs
@@ -43,7 +43,12 @@
         if now < self.held_until {
             return;
         }
-        self.leader = self.layout.authors().iter().copied().find(|author| self.may_lead(*author));
+        self.leader = self
+            .layout
+            .authors()
+            .iter()
+            .copied()
+            .find(|author| self.may_lead(*author));
         if self.leader.is_some() {
             self.token += 1;
             self.grant(now);
@@ -57,16 +62,23 @@
         let (claim, until) = (self.claim(), self.held_until);
         let held = self.network.with(leader, |machine, now, sends| {
             let until = machine.clock().local(until);
-            machine
-                .with_author(now, sends, |author, local, outputs| author.hold(local, &claim, until, outputs))
+            machine.with_author(now, sends, |author, local, outputs| {
+                author.hold(local, &claim, until, outputs)
+            })
         });
         if let Some(Some(Err(refusal))) = held {
-            self.checker.fault(now, format!("author {leader} refused token {}: {refusal}", self.token));
+            self.checker.fault(
+                now,
+                format!("author {leader} refused token {}: {refusal}", self.token),
+            );
         }
     }
 
     pub(super) fn claim(&self) -> Claim {
-        Claim { lease: self.layout.lease().clone(), token: self.token }
+        Claim {
+            lease: self.layout.lease().clone(),
+            token: self.token,
+        }
     }
 
     /// The author that holds the lease.
--- a/crates/emulator/src/digest.rs
+++ b/crates/emulator/src/digest.rs
@@ -16,13 +16,23 @@
         self.word(now.to_bits());
         self.word(node as u64);
         match command {
-            Command::Send { request, attempt, server, starts_by, expires } => {
+            Command::Send {
+                request,
+                attempt,
+                server,
+                starts_by,
+                expires,
+            } => {
                 self.words(0, [(*request).into(), (*attempt).into(), (*server).into()]);
                 self.word(starts_by.to_bits());
                 self.word(expires.to_bits());
             }
-            Command::Abort { request, attempt } => self.words(1, [(*request).into(), (*attempt).into(), 0]),
-            Command::Answer { request, answer, .. } => {
+            Command::Abort { request, attempt } => {
+                self.words(1, [(*request).into(), (*attempt).into(), 0])
+            }
+            Command::Answer {
+                request, answer, ..
+            } => {
                 let (kind, detail) = match answer {
                     Final::Served(_) => (0, 0),
                     Final::Refused { retry_after } => (1, retry_after.unwrap_or(ABSENT).to_bits()),
--- a/crates/emulator/src/inspect.rs
+++ b/crates/emulator/src/inspect.rs
@@ -40,7 +40,10 @@
 impl Inspector {
     /// One that has seen nothing yet.
     pub fn new(secret: Secret) -> Inspector {
-        Inspector { secret, seen: Contents::default() }
+        Inspector {
+            secret,
+            seen: Contents::default(),
+        }
     }
 
     /// A datagram was sent.
@@ -48,7 +51,9 @@
         self.seen.datagrams += 1;
         self.seen.bytes += datagram.len() as u64;
         // Messages of applications are of another kind and have none of these parts.
-        let Ok((header, entries)) = wire::open(&self.secret, datagram) else { return };
+        let Ok((header, entries)) = wire::open(&self.secret, datagram) else {
+            return;
+        };
         self.seen.swim_bytes += header.swim.len() as u64;
         self.seen.members += header.members.len() as u64;
         self.seen.entries += entries.len() as u64;
--- a/crates/emulator/src/queue.rs
+++ b/crates/emulator/src/queue.rs
@@ -27,7 +27,10 @@
 impl<E> Ord for Due<E> {
     /// The heap gives its greatest first: what is due first, and of one instant what was put in first.
     fn cmp(&self, other: &Self) -> Ordering {
-        other.at.total_cmp(&self.at).then(other.number.cmp(&self.number))
+        other
+            .at
+            .total_cmp(&self.at)
+            .then(other.number.cmp(&self.number))
     }
 }
 
@@ -41,7 +44,11 @@
 impl<E> Queue<E> {
     /// Nothing is to happen; it is `now`.
     pub fn new(now: Time) -> Self {
-        Queue { heap: BinaryHeap::new(), numbers: 0, now }
+        Queue {
+            heap: BinaryHeap::new(),
+            numbers: 0,
+            now,
+        }
     }
 
     /// The time of the event that was taken last.
@@ -53,7 +60,11 @@
     pub fn put(&mut self, at: Time, event: E) {
         let at = if at > self.now { at } else { self.now };
         self.numbers += 1;
-        self.heap.push(Due { at, number: self.numbers, event });
+        self.heap.push(Due {
+            at,
+            number: self.numbers,
+            event,
+        });
     }
 
     /// When the next event is due.
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -96,7 +96,9 @@
 }
 
 fn share(seconds: &[Second]) -> f64 {
-    let (earned, asked) = seconds.iter().fold((0.0, 0.0), |(e, a), s| (e + s.earned, a + s.asked));
+    let (earned, asked) = seconds
+        .iter()
+        .fold((0.0, 0.0), |(e, a), s| (e + s.earned, a + s.asked));
     if asked > 0.0 {
         earned / asked
     } else {
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -5,9 +5,19 @@
 
 /// A quiet fleet of flag servers in two zones, with 0.6 servers for each node.
 pub fn calm(nodes: usize, seed: u64) -> Plan {
-    let class =
-        |share, work, aim, deadline, worth, effect| Class { share, work, aim, deadline, worth, effect };
-    let kind = |share, weight, speed| Kind { share, weight, speed };
+    let class = |share, work, aim, deadline, worth, effect| Class {
+        share,
+        work,
+        aim,
+        deadline,
+        worth,
+        effect,
+    };
+    let kind = |share, weight, speed| Kind {
+        share,
+        weight,
+        speed,
+    };
     Plan {
         name: "calm".to_owned(),
         seed,
@@ -21,7 +31,11 @@
             class(0.45, 0.035, 0.2, 0.6, 5.0, Effect::AtMostOnce),
             class(0.1, 0.04, 0.2, 0.5, 10.0, Effect::AtMostOnce),
         ],
-        kinds: vec![kind(0.4, 2.0, (1.7, 2.3)), kind(0.25, 1.5, (1.0, 1.4)), kind(0.35, 0.5, (0.7, 0.9))],
+        kinds: vec![
+            kind(0.4, 2.0, (1.7, 2.3)),
+            kind(0.25, 1.5, (1.0, 1.4)),
+            kind(0.35, 0.5, (0.7, 0.9)),
+        ],
         heavy: 1.0,
         whole: false,
         latency: (0.000_25, 0.000_9),
@@ -46,8 +60,10 @@
 /// A few bad servers from the second second on, as long as the run lasts.
 pub fn with_bad(mut plan: Plan, part: f64) -> Plan {
     plan.name += " with bad servers";
-    plan.happenings.push((2.0, Happening::Trouble(part / 2.0, Manner::Silent, 60.0)));
-    plan.happenings.push((2.0, Happening::Trouble(part / 2.0, Manner::Slow(4.0), 60.0)));
+    plan.happenings
+        .push((2.0, Happening::Trouble(part / 2.0, Manner::Silent, 60.0)));
+    plan.happenings
+        .push((2.0, Happening::Trouble(part / 2.0, Manner::Slow(4.0), 60.0)));
     plan
 }
 
@@ -59,7 +75,11 @@
         (7.0, Happening::ListDown(3.0)),
         (9.0, Happening::Replace(0.15, 2.0)),
     ];
-    Plan { name: "herd".to_owned(), happenings, ..calm(nodes, seed) }
+    Plan {
+        name: "herd".to_owned(),
+        happenings,
+        ..calm(nodes, seed)
+    }
 }
 
 /// A zone is lost and comes back cold.
@@ -73,6 +93,13 @@
 
 /// Six in ten servers are replaced within seven seconds.
 pub fn join(nodes: usize, seed: u64) -> Plan {
-    let happenings = vec![(5.0, Happening::Replace(0.3, 2.0)), (8.5, Happening::Replace(0.3, 2.0))];
-    Plan { name: "join".to_owned(), happenings, ..calm(nodes, seed) }
+    let happenings = vec![
+        (5.0, Happening::Replace(0.3, 2.0)),
+        (8.5, Happening::Replace(0.3, 2.0)),
+    ];
+    Plan {
+        name: "join".to_owned(),
+        happenings,
+        ..calm(nodes, seed)
+    }
 }
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -69,13 +69,21 @@
             return 1.0;
         }
         let age = ((now - self.entry.ready_at) / after).max(0.0);
-        let work = if plan.warms < 1.0 { self.done / (plan.warms * after * self.speed) } else { 0.0 };
+        let work = if plan.warms < 1.0 {
+            self.done / (plan.warms * after * self.speed)
+        } else {
+            0.0
+        };
         from + (1.0 - from) * age.max(work).min(1.0)
     }
 
     /// Work a second that it can do now.
     pub fn capacity(&self, now: Time, plan: &Plan) -> f64 {
-        let slow = if let Manner::Slow(times) = self.manner { times } else { 1.0 };
+        let slow = if let Manner::Slow(times) = self.manner {
+            times
+        } else {
+            1.0
+        };
         self.speed * self.warmth(now, plan) / slow
     }
 
@@ -87,13 +95,23 @@
 
     /// When it is done with what takes so long, standing still now and then if that is its manner.
     pub fn awake(&self, now: Time, takes: Time) -> Time {
-        let Manner::Pausing(every, pause) = self.manner else { return now + takes };
+        let Manner::Pausing(every, pause) = self.manner else {
+            return now + takes;
+        };
         // Each has its own turn: the hash of its name is as good as any phase.
         let phase = (self.entry.hash % 1000) as f64 / 1000.0 * every;
         let (into, works) = ((now + phase).rem_euclid(every), every - pause);
         // What is left of the pause that it stands in, then whole turns, then the rest of the work.
-        let (wait, first) = if into < pause { (pause - into, works) } else { (0.0, every - into) };
-        let further = if takes <= first { 0.0 } else { 1.0 + ((takes - first) / works).floor() };
+        let (wait, first) = if into < pause {
+            (pause - into, works)
+        } else {
+            (0.0, every - into)
+        };
+        let further = if takes <= first {
+            0.0
+        } else {
+            1.0 + ((takes - first) / works).floor()
+        };
         now + wait + takes + further * pause
     }
 
@@ -123,11 +141,20 @@
             return (0.0, 0.0);
         }
         self.pushed.push_back((now, work, knew));
-        while self.pushed.front().is_some_and(|(at, ..)| now - at > window) {
+        while self
+            .pushed
+            .front()
+            .is_some_and(|(at, ..)| now - at > window)
+        {
             self.pushed.pop_front();
         }
         let sum: f64 = self.pushed.iter().map(|(_, work, _)| work).sum();
-        let knowing: f64 = self.pushed.iter().filter(|p| p.2).map(|(_, work, _)| work).sum();
+        let knowing: f64 = self
+            .pushed
+            .iter()
+            .filter(|p| p.2)
+            .map(|(_, work, _)| work)
+            .sum();
         (sum / (self.capacity(now, plan) * window), knowing / sum)
     }
 }
--- a/crates/emulator/src/together.rs
+++ b/crates/emulator/src/together.rs
@@ -27,7 +27,11 @@
 
 impl Default for Links {
     fn default() -> Self {
-        Links { loss: 0.0, twice: 0.0, delay: (0.0005, 0.002) }
+        Links {
+            loss: 0.0,
+            twice: 0.0,
+            delay: (0.0005, 0.002),
+        }
     }
 }
 
@@ -114,7 +118,10 @@
 
 /// How nodes take part, with the first three as seeds.
 pub fn rules() -> Config {
-    Config { seeds: (0..3).map(address).collect(), ..Config::default() }
+    Config {
+        seeds: (0..3).map(address).collect(),
+        ..Config::default()
+    }
 }
 
 /// The fleet's key.
@@ -212,7 +219,9 @@
 
     /// A process stands still, or goes on with all that came meanwhile.
     pub fn freeze(&mut self, n: usize, frozen: bool) {
-        let Some(process) = self.nodes[n].as_mut() else { return };
+        let Some(process) = self.nodes[n].as_mut() else {
+            return;
+        };
         process.frozen = frozen;
         if !frozen {
             let inbox = std::mem::take(&mut process.inbox);
@@ -229,16 +238,21 @@
     pub fn inject(&mut self, to: usize, datagram: Vec<u8>, after: f64) {
         self.next += 1;
         if let Some(digest) = &mut self.digest {
-            digest.update(&self.t.to_bits().to_le_bytes()).update(&after.to_bits().to_le_bytes());
+            digest
+                .update(&self.t.to_bits().to_le_bytes())
+                .update(&after.to_bits().to_le_bytes());
             digest.update(&(to as u64).to_le_bytes()).update(&datagram);
         }
-        self.under_way.insert((((self.t + after) * 1e6) as u64, self.next), (to, datagram));
+        self.under_way
+            .insert((((self.t + after) * 1e6) as u64, self.next), (to, datagram));
     }
 
     fn after(&mut self, n: usize) {
         let t = self.t;
         let (mut out, mut told, mut gone) = (Vec::new(), Vec::new(), Vec::new());
-        let Some(process) = self.nodes[n].as_mut() else { return };
+        let Some(process) = self.nodes[n].as_mut() else {
+            return;
+        };
         while let Some(sent) = process.fleet.next_datagram() {
             out.push(sent);
         }
@@ -252,7 +266,9 @@
         }
         let now = process.clock(t);
         for key in told {
-            let Some(held) = process.fleet.table().get(&key, now) else { continue };
+            let Some(held) = process.fleet.table().get(&key, now) else {
+                continue;
+            };
             // An index is told by whoever sees it: each time is a making of its own.
             if !matches!(key, Key::ListIndex { .. }) {
                 self.born.entry((key.clone(), held.version)).or_insert(t);
@@ -263,21 +279,32 @@
                     process.lifted.insert(key);
                 }
                 Value::Banned { .. } if process.lifted.contains(&key) => {
-                    self.broken.push(format!("{t:.3}: a lifted ban is back at node {n}"));
+                    self.broken
+                        .push(format!("{t:.3}: a lifted ban is back at node {n}"));
                 }
                 Value::Banned { .. } => drop(process.in_force.insert(key)),
                 _ => {}
             }
         }
         let there = |node: &Node| {
-            let process = self.nodes.iter().flatten().find(|p| p.fleet.members().me() == node);
+            let process = self
+                .nodes
+                .iter()
+                .flatten()
+                .find(|p| p.fleet.members().me() == node);
             process.is_some_and(|p| !p.frozen)
         };
         self.wrongly_gone += gone.iter().filter(|node| there(node)).count() as u64;
         if let Some(sound) = self.sound {
-            let taken =
-                gone.iter().filter(|node| usize::from(node.address.port()) < 10_000 + sound).count() as u64;
-            let by = if n < sound { &mut self.sound_gone.0 } else { &mut self.sound_gone.1 };
+            let taken = gone
+                .iter()
+                .filter(|node| usize::from(node.address.port()) < 10_000 + sound)
+                .count() as u64;
+            let by = if n < sound {
+                &mut self.sound_gone.0
+            } else {
+                &mut self.sound_gone.1
+            };
             *by += taken;
         }
         for (to, datagram) in out {
@@ -292,7 +319,10 @@
             }
             let times = 1 + usize::from(self.draw.random::<f64>() < self.links.twice);
             for _ in 0..times {
-                let deaf = self.deaf.get(&to).is_some_and(|lost| self.draw.random::<f64>() < *lost);
+                let deaf = self
+                    .deaf
+                    .get(&to)
+                    .is_some_and(|lost| self.draw.random::<f64>() < *lost);
                 if self.draw.random::<f64>() >= self.links.loss && !deaf {
                     let (least, most) = self.links.delay;
                     let delay = least + (most - least) * self.draw.random::<f64>();
@@ -318,7 +348,9 @@
             }
             self.t = self.t.max(next);
             let n = if datagram <= tick {
-                let Some((_, (n, datagram))) = self.under_way.pop_first() else { break };
+                let Some((_, (n, datagram))) = self.under_way.pop_first() else {
+                    break;
+                };
                 match self.nodes[n].as_mut() {
                     // As in a socket's buffer, what comes later finds no room.
                     Some(process) if process.frozen && process.inbox.len() >= self.inbox_most => {}
@@ -352,7 +384,9 @@
             due.remove(&(at[n], n));
             at[n] = u64::MAX;
         }
-        let Some(process) = self.nodes[n].as_ref().filter(|p| !p.frozen) else { return };
+        let Some(process) = self.nodes[n].as_ref().filter(|p| !p.frozen) else {
+            return;
+        };
         let deadline = process.began + process.fleet.deadline() / process.rate;
         let deadline = deadline.max(process.looked + 0.0005).max(self.t);
         at[n] = (deadline * 1e6).ceil() as u64;
@@ -369,18 +403,27 @@
             }
             // What the node was told of and never heard the end of, it still acts on.
             let now = process.clock(self.t);
-            for key in
-                process.in_force.iter().filter(|key| process.fleet.table().get(key, now - 0.01).is_none())
+            for key in process
+                .in_force
+                .iter()
+                .filter(|key| process.fleet.table().get(key, now - 0.01).is_none())
             {
-                self.broken.push(format!("{:.3}: node {n} was not told of the end of {key:?}", self.t));
+                self.broken.push(format!(
+                    "{:.3}: node {n} was not told of the end of {key:?}",
+                    self.t
+                ));
             }
             for (key, held) in process.fleet.table().live(process.clock(self.t)) {
-                let Some(born) = self.born.get(&(key.clone(), held.version)) else { continue };
+                let Some(born) = self.born.get(&(key.clone(), held.version)) else {
+                    continue;
+                };
                 let (age, lasts) = (self.t - born, f64::from(held.ttl_ms) / 1e3);
                 self.oldest = self.oldest.max(age / lasts);
                 if age > lasts {
-                    self.broken
-                        .push(format!("{:.3}: node {n} holds {key:?}, {age:.3} s old of {lasts} s", self.t));
+                    self.broken.push(format!(
+                        "{:.3}: node {n} holds {key:?}, {age:.3} s old of {lasts} s",
+                        self.t
+                    ));
                 }
             }
         }
@@ -388,18 +431,29 @@
 
     /// The servers that are out by hand at a node.
     pub fn out(&self, n: usize) -> BTreeSet<String> {
-        let Some(process) = &self.nodes[n] else { return BTreeSet::new() };
-        process.fleet.banned_servers(process.clock(self.t)).into_iter().map(str::to_owned).collect()
+        let Some(process) = &self.nodes[n] else {
+            return BTreeSet::new();
+        };
+        process
+            .fleet
+            .banned_servers(process.clock(self.t))
+            .into_iter()
+            .map(str::to_owned)
+            .collect()
     }
 
     /// How many others a node takes for there.
     pub fn members(&self, n: usize) -> usize {
-        self.nodes[n].as_ref().map_or(0, |p| p.fleet.members().count())
+        self.nodes[n]
+            .as_ref()
+            .map_or(0, |p| p.fleet.members().count())
     }
 
     /// The incarnation of a node.
     pub fn incarnation(&self, n: usize) -> Incarnation {
-        self.nodes[n].as_ref().map_or(Incarnation::default(), |p| p.fleet.members().me().incarnation)
+        self.nodes[n].as_ref().map_or(Incarnation::default(), |p| {
+            p.fleet.members().me().incarnation
+        })
     }
 
     /// Runs until something holds; how long it took.
@@ -418,6 +472,8 @@
     /// All know all.
     pub fn gathered(&self) -> bool {
         let there = self.nodes.iter().flatten().count();
-        (0..self.nodes.len()).filter(|n| self.nodes[*n].is_some()).all(|n| self.members(n) + 1 == there)
+        (0..self.nodes.len())
+            .filter(|n| self.nodes[*n].is_some())
+            .all(|n| self.members(n) + 1 == there)
     }
 }
--- a/crates/emulator/src/trials.rs
+++ b/crates/emulator/src/trials.rs
@@ -27,7 +27,14 @@
 }
 
 /// All of them.
-pub const ALL: [Trial; 6] = [Trial::Calm, Trial::Roll, Trial::Herd, Trial::Zone, Trial::Split, Trial::Join];
+pub const ALL: [Trial; 6] = [
+    Trial::Calm,
+    Trial::Roll,
+    Trial::Herd,
+    Trial::Zone,
+    Trial::Split,
+    Trial::Join,
+];
 
 impl Trial {
     /// Its name.
@@ -56,16 +63,24 @@
     fn happenings(self, rng: &mut Pcg64Mcg) -> Vec<(f64, Happening)> {
         let bad = |rng: &mut Pcg64Mcg, manners: &[Manner]| {
             let manner = manners[rng.random_range(0..manners.len())];
-            (rng.random_range(3.0..5.0), Happening::Trouble(0.125, manner, 60.0))
+            (
+                rng.random_range(3.0..5.0),
+                Happening::Trouble(0.125, manner, 60.0),
+            )
         };
         match self {
             Trial::Calm => vec![
                 (rng.random_range(5.0..8.0), Happening::Surge(1.5, 4.0)),
-                (rng.random_range(8.0..12.0), Happening::Shift(rng.random_range(0.3..0.7))),
+                (
+                    rng.random_range(8.0..12.0),
+                    Happening::Shift(rng.random_range(0.3..0.7)),
+                ),
             ],
             Trial::Roll => {
                 let mut all = vec![(4.0, Happening::Restarts(10, 1.2, 0.3))];
-                all.extend((0..5).map(|n| (4.0 + 2.0 * f64::from(n), Happening::Replace(0.1, 2.2))));
+                all.extend(
+                    (0..5).map(|n| (4.0 + 2.0 * f64::from(n), Happening::Replace(0.1, 2.2))),
+                );
                 all
             }
             Trial::Herd => vec![
@@ -96,10 +111,18 @@
 /// One more trouble, as the site has them.
 fn site_trouble(rng: &mut Pcg64Mcg) -> Happening {
     match rng.random_range(0..3) {
-        0 => Happening::Trouble(rng.random_range(0.06..0.19), Manner::Failing, rng.random_range(5.0..12.0)),
+        0 => Happening::Trouble(
+            rng.random_range(0.06..0.19),
+            Manner::Failing,
+            rng.random_range(5.0..12.0),
+        ),
         1 => {
             let manner = Manner::Pausing(rng.random_range(1.0..2.4), rng.random_range(0.04..0.1));
-            Happening::Trouble(rng.random_range(0.1..0.45), manner, rng.random_range(10.0..20.0))
+            Happening::Trouble(
+                rng.random_range(0.1..0.45),
+                manner,
+                rng.random_range(10.0..20.0),
+            )
         }
         _ => Happening::AllSlow(rng.random_range(1.2..2.2), rng.random_range(5.0..9.0)),
     }
@@ -107,8 +130,14 @@
 
 /// Flag servers of three kinds in two zones, with hundreds of nodes before them.
 fn base(nodes: usize, seed: u64, rng: &mut Pcg64Mcg) -> Plan {
-    let class =
-        |share, work, aim, deadline, worth, effect| Class { share, work, aim, deadline, worth, effect };
+    let class = |share, work, aim, deadline, worth, effect| Class {
+        share,
+        work,
+        aim,
+        deadline,
+        worth,
+        effect,
+    };
     let speed = |mean: f64| (0.85 * mean, 1.15 * mean);
     Plan {
         name: String::new(),
@@ -119,14 +148,47 @@
         length: 22.0,
         load: rng.random_range(0.55..0.75),
         classes: vec![
-            class(0.45, rng.random_range(0.02..0.035), 0.15, 0.6, 3.0, Effect::Idempotent),
-            class(0.45, rng.random_range(0.029..0.052), 0.2, 0.6, 5.0, Effect::AtMostOnce),
-            class(0.1, rng.random_range(0.032..0.057), 0.2, 0.5, 10.0, Effect::AtMostOnce),
+            class(
+                0.45,
+                rng.random_range(0.02..0.035),
+                0.15,
+                0.6,
+                3.0,
+                Effect::Idempotent,
+            ),
+            class(
+                0.45,
+                rng.random_range(0.029..0.052),
+                0.2,
+                0.6,
+                5.0,
+                Effect::AtMostOnce,
+            ),
+            class(
+                0.1,
+                rng.random_range(0.032..0.057),
+                0.2,
+                0.5,
+                10.0,
+                Effect::AtMostOnce,
+            ),
         ],
         kinds: vec![
-            Kind { share: 0.4, weight: 1.0, speed: speed(2.0) },
-            Kind { share: 0.25, weight: 1.0, speed: speed(1.2) },
-            Kind { share: 0.35, weight: 1.0, speed: speed(0.8) },
+            Kind {
+                share: 0.4,
+                weight: 1.0,
+                speed: speed(2.0),
+            },
+            Kind {
+                share: 0.25,
+                weight: 1.0,
+                speed: speed(1.2),
+            },
+            Kind {
+                share: 0.35,
+                weight: 1.0,
+                speed: speed(0.8),
+            },
         ],
         heavy: 1.0 + 2.0 * rng.random::<f64>(),
         whole: false,
@@ -144,7 +206,11 @@
         front: rng.random_range(0.95..2.0),
         patience: rng.random_range(0.4..1.0),
         hurried: rng.random_range(0.0..0.01),
-        retries: (rng.random_range(0..3), rng.random_range(0.007..0.06), rng.random_range(0.3..0.9)),
+        retries: (
+            rng.random_range(0..3),
+            rng.random_range(0.007..0.06),
+            rng.random_range(0.3..0.9),
+        ),
         happenings: Vec::new(),
     }
 }
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -8,8 +8,15 @@
         if now > BEGINS + self.plan.length {
             return;
         }
-        let next = Exp::new(self.rate * if now < self.surge.1 { self.surge.0 } else { 1.0 })
-            .map_or(1.0, |d| d.sample(&mut self.clients));
+        let next = Exp::new(
+            self.rate
+                * if now < self.surge.1 {
+                    self.surge.0
+                } else {
+                    1.0
+                },
+        )
+        .map_or(1.0, |d| d.sample(&mut self.clients));
         self.queue.put(now + next, Event::Asks);
         let mut at = self.clients.random::<f64>();
         let class = self.plan.classes.iter().position(|c| {
@@ -54,13 +61,19 @@
                 && n.shunned <= now
                 && n.stops.iter().all(|(from, to)| now < *from || now >= *to)
         };
-        let near: Vec<NodeId> =
-            (0..self.nodes.len()).filter(|n| self.nodes[*n].zone == zone && open(&self.nodes[*n])).collect();
-        let all = || (0..self.nodes.len()).filter(|n| open(&self.nodes[*n])).collect();
+        let near: Vec<NodeId> = (0..self.nodes.len())
+            .filter(|n| self.nodes[*n].zone == zone && open(&self.nodes[*n]))
+            .collect();
+        let all = || {
+            (0..self.nodes.len())
+                .filter(|n| open(&self.nodes[*n]))
+                .collect()
+        };
         let from: Vec<NodeId> = if near.is_empty() { all() } else { near };
         // The first node may have a share of its own.
         let heavy = self.plan.heavy / (self.plan.heavy + from.len() as f64 - 1.0);
-        if from.first() == Some(&0) && self.plan.heavy > 1.0 && self.clients.random::<f64>() < heavy {
+        if from.first() == Some(&0) && self.plan.heavy > 1.0 && self.clients.random::<f64>() < heavy
+        {
             return Some(0);
         }
         (!from.is_empty()).then(|| from[self.clients.random_range(0..from.len())])
@@ -127,7 +140,9 @@
         let (work, first, ran) = (t.work, t.first, t.ran);
         let second = self.report.at(now - BEGINS);
         match answer {
-            Final::Served(()) if now - first <= aim => self.report.at(first - BEGINS).earned += worth * work,
+            Final::Served(()) if now - first <= aim => {
+                self.report.at(first - BEGINS).earned += worth * work
+            }
             Final::Served(()) => second.late += 1,
             Final::Refused { retry_after } => {
                 second.refused += 1;
--- a/crates/emulator/src/world/happen.rs
+++ b/crates/emulator/src/world/happen.rs
@@ -8,7 +8,12 @@
         let up = |s: &&Server| {
             s.state == State::Up && s.entry.state == ServerState::Up && s.manner == Manner::Sound
         };
-        let mut ids: Vec<ServerId> = self.servers.iter().filter(up).map(|s| s.entry.server).collect();
+        let mut ids: Vec<ServerId> = self
+            .servers
+            .iter()
+            .filter(up)
+            .map(|s| s.entry.server)
+            .collect();
         shuffle(&mut ids, &mut self.machines);
         ids.truncate((part * self.plan.servers as f64).round() as usize);
         ids
@@ -30,12 +35,18 @@
                 self.queue.put(now + back, Event::NodesStart(nodes));
             }
             Happening::ZoneLost(zone, back) => {
-                let nodes: Vec<NodeId> =
-                    (0..self.nodes.len()).filter(|n| self.nodes[*n].zone == zone).collect();
+                let nodes: Vec<NodeId> = (0..self.nodes.len())
+                    .filter(|n| self.nodes[*n].zone == zone)
+                    .collect();
                 nodes.iter().for_each(|n| self.kill(*n));
                 self.queue.put(now + back, Event::NodesStart(nodes));
                 let there = |s: &&Server| s.entry.zone == zone && s.state == State::Up;
-                let ids: Vec<ServerId> = self.servers.iter().filter(there).map(|s| s.entry.server).collect();
+                let ids: Vec<ServerId> = self
+                    .servers
+                    .iter()
+                    .filter(there)
+                    .map(|s| s.entry.server)
+                    .collect();
                 ids.iter().for_each(|id| self.end_server(*id, State::Lost));
                 self.queue.put(now + back + 0.3, Event::ServersStart(ids));
             }
@@ -50,7 +61,8 @@
                     self.servers[fresh].end(State::Ended);
                     new.push(fresh as ServerId);
                 }
-                self.queue.put(now + 2.0 * self.plan.notice + 1.0, Event::ServersEnd(ids));
+                self.queue
+                    .put(now + 2.0 * self.plan.notice + 1.0, Event::ServersEnd(ids));
                 self.queue.put(now + after, Event::ServersStart(new));
             }
             Happening::Vanish(part) => {
@@ -63,14 +75,16 @@
                 for id in self.some_servers(part) {
                     for n in 0..times {
                         let (off, on) = (f64::from(2 * n) * FLAPS, f64::from(2 * n + 1) * FLAPS);
-                        self.queue.put(now + off, Event::Says(id, ServerState::Draining));
+                        self.queue
+                            .put(now + off, Event::Says(id, ServerState::Draining));
                         self.queue.put(now + on, Event::Says(id, ServerState::Up));
                     }
                 }
             }
             Happening::Trouble(part, manner, length) => {
                 let ids = self.some_servers(part);
-                ids.iter().for_each(|id| self.servers[*id as usize].manner = manner);
+                ids.iter()
+                    .for_each(|id| self.servers[*id as usize].manner = manner);
                 self.queue.put(now + length, Event::Relieved(ids));
             }
             Happening::ListDown(length) => self.list_down = now + length,
@@ -80,7 +94,9 @@
                 for (step, nodes) in order.chunks(size).enumerate() {
                     // New requests stop, what is open is answered, then the process ends.
                     let ends = now + step as f64 * gap + STOPPING;
-                    nodes.iter().for_each(|n| self.nodes[*n].stops.push((ends - STOPPING, ends + back)));
+                    nodes
+                        .iter()
+                        .for_each(|n| self.nodes[*n].stops.push((ends - STOPPING, ends + back)));
                     self.queue.put(ends, Event::NodesEnd(nodes.to_vec(), back));
                 }
             }
@@ -125,7 +141,9 @@
         }
         // A client waits for no longer than the longest deadline.
         let held = |t: &Try| t.node == Some((n, life)) && !t.answered && t.deadline > now;
-        let held: Vec<TryId> = (0..self.tries.len()).filter(|t| held(&self.tries[*t])).collect();
+        let held: Vec<TryId> = (0..self.tries.len())
+            .filter(|t| held(&self.tries[*t]))
+            .collect();
         for id in held {
             self.tries[id].answered = true;
             if self.plan.classes[self.tries[id].class].effect == Effect::Idempotent {
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -183,12 +183,16 @@
     }
     world.queue.put(BEGINS, Event::Asks);
     for n in 0..world.plan.happenings.len() {
-        world.queue.put(BEGINS + world.plan.happenings[n].0, Event::Happens(n));
+        world
+            .queue
+            .put(BEGINS + world.plan.happenings[n].0, Event::Happens(n));
     }
     // Answers to what was asked last come a while after; timers go on for ever.
     let end = BEGINS + world.plan.length + 2.0;
     while world.queue.now() < end {
-        let Some(event) = world.queue.take() else { break };
+        let Some(event) = world.queue.take() else {
+            break;
+        };
         world.on(event)?;
     }
     world.judge_answers();
@@ -205,8 +209,10 @@
         }
         let speed: f64 = servers.iter().map(|s| s.speed).sum();
         let mean: f64 = plan.classes.iter().map(|c| c.share * c.work).sum();
-        let list: BTreeMap<ServerId, Entry> =
-            servers.iter().map(|s| (s.entry.server, s.entry.clone())).collect();
+        let list: BTreeMap<ServerId, Entry> = servers
+            .iter()
+            .map(|s| (s.entry.server, s.entry.clone()))
+            .collect();
         let mut order = stream(seed, "zones of nodes");
         let node = |_| Node {
             zone: u16::from(order.random::<f64>() >= plan.zones.0),
@@ -252,7 +258,14 @@
             effect: c.effect,
             streamed: false,
         };
-        let (quota, plan) = (if self.plan.whole { 0.0 } else { 1.2 * self.rate }, &self.plan);
+        let (quota, plan) = (
+            if self.plan.whole {
+                0.0
+            } else {
+                1.2 * self.rate
+            },
+            &self.plan,
+        );
         Settings {
             classes: plan.classes.iter().map(class).collect(),
             tenants: vec![Tenant { quota }],
@@ -278,8 +291,17 @@
                 tip_after: plan.tips.1,
                 must_ask_in: 10.0,
             },
-            prices: Prices { cross_zone: 0.02, waste: 0.05, probe: 0.0, handshake: 0.08 },
-            goal: Goal { overall: 0.8, worst_class: 0.1, worst_tenant: 0.1 },
+            prices: Prices {
+                cross_zone: 0.02,
+                waste: 0.05,
+                probe: 0.0,
+                handshake: 0.08,
+            },
+            goal: Goal {
+                overall: 0.8,
+                worst_class: 0.1,
+                worst_tenant: 0.1,
+            },
             over_share_worth: 0.1,
             worth_by_work: true,
             warm_keys: false,
@@ -296,7 +318,12 @@
         let module = Balancer::new(settings, seed, now)?;
         let node = &mut self.nodes[n];
         node.engine = Some(Engine::new(module, &classes, 4));
-        let known = node.list.values().filter(|e| e.state != ServerState::Gone).cloned().collect();
+        let known = node
+            .list
+            .values()
+            .filter(|e| e.state != ServerState::Gone)
+            .cloned()
+            .collect();
         self.tell(n, ListKind::Cached, known);
         Ok(())
     }
@@ -330,14 +357,18 @@
                     self.announce(id, ServerState::Up);
                 }
             }),
-            Event::ServersEnd(ids) => ids.into_iter().for_each(|id| self.end_server(id, State::Ended)),
+            Event::ServersEnd(ids) => ids
+                .into_iter()
+                .for_each(|id| self.end_server(id, State::Ended)),
             Event::Relieved(ids) => {
-                ids.into_iter().for_each(|id| self.servers[id as usize].manner = Manner::Sound);
+                ids.into_iter()
+                    .for_each(|id| self.servers[id as usize].manner = Manner::Sound);
             }
             Event::Says(id, state) => self.announce(id, state),
             Event::NodesEnd(nodes, back) => {
                 nodes.iter().for_each(|n| self.kill(*n));
-                self.queue.put(self.queue.now() + back, Event::NodesStart(nodes));
+                self.queue
+                    .put(self.queue.now() + back, Event::NodesStart(nodes));
             }
             Event::Eases => self.common_slow = 1.0,
         }
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -5,10 +5,14 @@
 impl World {
     /// Tells a node's engine something and does what it wants done.
     pub(super) fn drive(
-        &mut self, n: NodeId, what: impl FnOnce(&mut Engine<Virtual>, Time, &mut Vec<Command<Virtual>>),
+        &mut self,
+        n: NodeId,
+        what: impl FnOnce(&mut Engine<Virtual>, Time, &mut Vec<Command<Virtual>>),
     ) {
         let now = self.queue.now();
-        let Some(engine) = self.nodes[n].engine.as_mut() else { return };
+        let Some(engine) = self.nodes[n].engine.as_mut() else {
+            return;
+        };
         let mut commands = Vec::new();
         what(engine, now, &mut commands);
         for command in commands {
@@ -20,15 +24,24 @@
         let (now, life) = (self.queue.now(), self.nodes[n].life);
         self.report.commands.add(now, n, &command);
         match command {
-            Command::Send { request, attempt, server, expires, .. } => {
-                self.send(n, request, attempt, server, expires)
-            }
+            Command::Send {
+                request,
+                attempt,
+                server,
+                expires,
+                ..
+            } => self.send(n, request, attempt, server, expires),
             Command::Answer { to, answer, .. } => self.answer(to, &answer),
-            Command::Timer { after, tag } => self.queue.put(now + after, Event::Timer(n, life, tag)),
+            Command::Timer { after, tag } => {
+                self.queue.put(now + after, Event::Timer(n, life, tag))
+            }
             Command::Forget { server } => {
                 let closed = self.nodes[n].idle.remove(&server).unwrap_or_default();
                 let server = &mut self.servers[server as usize];
-                let open = closed.iter().filter(|(_, life)| *life == server.life).count();
+                let open = closed
+                    .iter()
+                    .filter(|(_, life)| *life == server.life)
+                    .count();
                 server.connections = server.connections.saturating_sub(open as u32);
             }
             // Lists come by themselves, no module of this project calls attempts off, and numbers are never reused.
@@ -38,7 +51,11 @@
 
     pub(super) fn delay(&mut self, n: NodeId, server: ServerId) -> Time {
         let near = self.nodes[n].zone == self.servers[server as usize].entry.zone;
-        let mean = if near { self.plan.latency.0 } else { self.plan.latency.1 };
+        let mean = if near {
+            self.plan.latency.0
+        } else {
+            self.plan.latency.1
+        };
         mean * (0.8 + 0.4 * self.network.random::<f64>())
     }
 
@@ -46,7 +63,9 @@
     pub(super) fn kept(&mut self, n: NodeId, id: ServerId) -> bool {
         let (now, idle) = (self.queue.now(), self.plan.idle);
         let server = &mut self.servers[id as usize];
-        let Some(kept) = self.nodes[n].idle.get_mut(&id) else { return false };
+        let Some(kept) = self.nodes[n].idle.get_mut(&id) else {
+            return false;
+        };
         kept.retain(|(since, life)| {
             let stays = *life == server.life && now - since < 0.8 * idle;
             if !stays && *life == server.life {
@@ -57,16 +76,33 @@
         kept.pop().is_some()
     }
 
-    pub(super) fn send(&mut self, n: NodeId, request: RequestId, number: u32, id: ServerId, expires: Time) {
+    pub(super) fn send(
+        &mut self,
+        n: NodeId,
+        request: RequestId,
+        number: u32,
+        id: ServerId,
+        expires: Time,
+    ) {
         let now = self.queue.now();
-        let Some(of) = self.nodes[n].engine.as_mut().and_then(|e| e.payload(request).copied()) else {
+        let Some(of) = self.nodes[n]
+            .engine
+            .as_mut()
+            .and_then(|e| e.payload(request).copied())
+        else {
             return;
         };
         if self.tries[of].answered {
             self.report.rules.breach(now, Broken::SentAfter, of);
         }
-        if self.nodes[n].gone.get(&id).is_some_and(|since| now - since > 0.5) {
-            self.report.rules.breach(now, Broken::SentToGone, id as usize);
+        if self.nodes[n]
+            .gone
+            .get(&id)
+            .is_some_and(|since| now - since > 0.5)
+        {
+            self.report
+                .rules
+                .breach(now, Broken::SentToGone, id as usize);
         }
         let fresh = !self.kept(n, id);
         let there = self.delay(n, id);
@@ -91,7 +127,8 @@
             now
         };
         if !connected {
-            self.queue.put(at, Event::Ends(attempt, Outcome::DialFailed));
+            self.queue
+                .put(at, Event::Ends(attempt, Outcome::DialFailed));
         }
         self.attempts.push(Attempt {
             node: n,
@@ -124,7 +161,11 @@
         let lives = self.servers[server as usize].life == a.server_life;
         if a.connected && lives {
             if matches!(outcome, Outcome::Delivered | Outcome::Error | Outcome::Shed) {
-                self.nodes[n].idle.entry(server).or_default().push((now, a.server_life));
+                self.nodes[n]
+                    .idle
+                    .entry(server)
+                    .or_default()
+                    .push((now, a.server_life));
             } else {
                 let server = &mut self.servers[server as usize];
                 server.connections = server.connections.saturating_sub(1);
@@ -134,11 +175,19 @@
         second.expired += u32::from(outcome == Outcome::Expired);
         second.shed += u32::from(outcome == Outcome::Shed);
         let answer = (outcome == Outcome::Delivered).then_some(());
-        self.drive(n, |engine, now, out| engine.ended(now, request, number, outcome, answer, out));
+        self.drive(n, |engine, now, out| {
+            engine.ended(now, request, number, outcome, answer, out)
+        });
     }
 
     pub(super) fn tell(&mut self, n: NodeId, kind: ListKind, entries: Vec<Entry>) {
-        let places = entries.into_iter().map(|entry| Place { address: entry.server, entry }).collect();
+        let places = entries
+            .into_iter()
+            .map(|entry| Place {
+                address: entry.server,
+                entry,
+            })
+            .collect();
         self.drive(n, |engine, now, out| engine.members(now, kind, places, out));
     }
 
--- a/crates/emulator/src/world/servers.rs
+++ b/crates/emulator/src/world/servers.rs
@@ -13,7 +13,8 @@
         if server.life != life || server.state != State::Up || cut {
             // A machine that is cut off says nothing; one that ended has reset the connection.
             if server.state != State::Lost && !cut {
-                self.queue.put(now + back, Event::Ends(id, Outcome::Dropped));
+                self.queue
+                    .put(now + back, Event::Ends(id, Outcome::Dropped));
             }
             return;
         }
@@ -45,18 +46,31 @@
     pub(super) fn push(&mut self, n: NodeId, sid: ServerId, work: f64) {
         let (now, multiple) = (self.queue.now(), self.plan.tips.0);
         let server = &mut self.servers[sid as usize];
-        let knew = self.nodes[n].list.get(&sid).is_some_and(|e| e.ready_at == server.entry.ready_at);
+        let knew = self.nodes[n]
+            .list
+            .get(&sid)
+            .is_some_and(|e| e.ready_at == server.entry.ready_at);
         let capacity = server.capacity(now, &self.plan);
         let (pushed, knowing) = server.push(now, work, knew, &self.plan);
-        let waits: f64 = server.waiting.iter().map(|id| self.tries[self.attempts[*id].of].work).sum();
-        let past = if waits > QUEUE_LONG * capacity { work } else { 0.0 };
+        let waits: f64 = server
+            .waiting
+            .iter()
+            .map(|id| self.tries[self.attempts[*id].of].work)
+            .sum();
+        let past = if waits > QUEUE_LONG * capacity {
+            work
+        } else {
+            0.0
+        };
         self.report.at(now - BEGINS).past += past;
         if knowing >= 2.0 / 3.0 {
             self.report.rules.pushed = self.report.rules.pushed.max(pushed);
         }
         if pushed > multiple {
             if knowing >= 2.0 / 3.0 {
-                self.report.rules.breach(now, Broken::PushedOver, sid as usize);
+                self.report
+                    .rules
+                    .breach(now, Broken::PushedOver, sid as usize);
             }
             self.end_server(sid, State::Ended);
         }
@@ -69,7 +83,9 @@
         if server.busy.is_some() {
             return;
         }
-        let Some(id) = server.waiting.pop_front() else { return };
+        let Some(id) = server.waiting.pop_front() else {
+            return;
+        };
         server.busy = Some(id);
         let a = &self.attempts[id];
         let t = &mut self.tries[a.of];
@@ -80,7 +96,10 @@
         let mut work = lognormal(&mut self.work, t.work, ATTEMPT_CV);
         work += if a.fresh { self.plan.handshake } else { 0.0 };
         server.done += work;
-        let done = server.awake(now, work * self.common_slow / server.crowded(now, &self.plan));
+        let done = server.awake(
+            now,
+            work * self.common_slow / server.crowded(now, &self.plan),
+        );
         self.queue.put(done, Event::Worked(sid, server.life, id));
     }
 
@@ -95,7 +114,11 @@
         let back = self.delay(n, sid);
         let lost = now < self.losing.1 && self.network.random::<f64>() < self.losing.0;
         if !silent && !self.parted(n, sid) {
-            let outcome = if lost { Outcome::Dropped } else { Outcome::Delivered };
+            let outcome = if lost {
+                Outcome::Dropped
+            } else {
+                Outcome::Delivered
+            };
             self.queue.put(now + back, Event::Ends(id, outcome));
         }
         self.serve(sid);
@@ -106,10 +129,13 @@
         self.servers[sid as usize].end(state);
         if state == State::Ended {
             // Whoever waits there hears of it; what is on a machine that is cut off waits on.
-            let hit = |id: &&AttemptId| self.attempts[**id].server == sid && self.attempts[**id].connected;
+            let hit = |id: &&AttemptId| {
+                self.attempts[**id].server == sid && self.attempts[**id].connected
+            };
             let hit: Vec<AttemptId> = self.out.iter().filter(hit).copied().collect();
             for id in hit {
-                self.queue.put(now + self.plan.latency.1, Event::Ends(id, Outcome::Dropped));
+                self.queue
+                    .put(now + self.plan.latency.1, Event::Ends(id, Outcome::Dropped));
             }
         }
     }
@@ -135,13 +161,21 @@
     });
     let kind = kind.unwrap_or(0);
     let room = rng.random_range(plan.waiting.0..=plan.waiting.1.max(plan.waiting.0));
-    let Some(k) = plan.kinds.get(kind) else { return Server::new(entry(id, 0, 0, 1.0, rng), 1.0, room) };
+    let Some(k) = plan.kinds.get(kind) else {
+        return Server::new(entry(id, 0, 0, 1.0, rng), 1.0, room);
+    };
     let zone = u16::from(rng.random::<f64>() >= plan.zones.1);
     let speed = k.speed.0 + (k.speed.1 - k.speed.0) * rng.random::<f64>();
     Server::new(entry(id, zone, kind as KindId, k.weight, rng), speed, room)
 }
 
-pub(super) fn entry(id: usize, zone: ZoneId, kind: KindId, weight: f64, rng: &mut Pcg64Mcg) -> Entry {
+pub(super) fn entry(
+    id: usize,
+    zone: ZoneId,
+    kind: KindId,
+    weight: f64,
+    rng: &mut Pcg64Mcg,
+) -> Entry {
     Entry {
         server: id as ServerId,
         hash: rng.random(),
--- a/crates/emulator/tests/control.rs
+++ b/crates/emulator/tests/control.rs
@@ -21,7 +21,9 @@
 }
 
 fn all_have(network: &Network<Member>, peers: usize) -> bool {
-    network.endpoints().all(|(_, member)| member.peers() == peers)
+    network
+        .endpoints()
+        .all(|(_, member)| member.peers() == peers)
 }
 
 fn downs(network: &Network<Member>) -> u64 {
@@ -29,7 +31,9 @@
 }
 
 fn banned_everywhere(network: &Network<Member>, server: &str) -> bool {
-    network.endpoints().all(|(_, member)| member.heard_of_ban(server).is_some())
+    network
+        .endpoints()
+        .all(|(_, member)| member.heard_of_ban(server).is_some())
 }
 
 #[test]
@@ -63,7 +67,11 @@
         network.run(5.0);
         network.with(3, |member, now, sends| member.ban(now, "server-1", sends));
         network.run(5.0);
-        let heard = (0..30).map(|n| network.endpoint(n).and_then(|member| member.heard_of_ban("server-1")));
+        let heard = (0..30).map(|n| {
+            network
+                .endpoint(n)
+                .and_then(|member| member.heard_of_ban("server-1"))
+        });
         (heard.collect::<Vec<_>>(), network.usage(0..30).bytes_out)
     };
     assert_eq!(play(5), play(5));
@@ -76,14 +84,21 @@
     network.run(3.0);
     let zone = network.topology().endpoints(Scope::Zone(4));
     assert_eq!(zone.len(), 4);
-    zone.iter().for_each(|endpoint| drop(network.kill(*endpoint)));
+    zone.iter()
+        .for_each(|endpoint| drop(network.kill(*endpoint)));
     let seen = network.run_until(60.0, 0.5, |network| all_have(network, 47));
-    assert!(seen.is_some(), "the others take them for gone within a minute");
+    assert!(
+        seen.is_some(),
+        "the others take them for gone within a minute"
+    );
     let roster = Roster::new(52, 3);
     let now = network.now();
     for endpoint in zone {
         let tag = 1_000 + u64::from(endpoint);
-        network.start(endpoint, Member::successor(endpoint, Rc::clone(&roster), now, tag));
+        network.start(
+            endpoint,
+            Member::successor(endpoint, Rc::clone(&roster), now, tag),
+        );
     }
     let back = network.run_until(120.0, 0.5, |network| all_have(network, 51));
     assert!(back.is_some(), "all know all again within two minutes");
@@ -117,21 +132,48 @@
 #[test]
 fn whole_copies_need_more_than_the_budget_at_the_target_and_less_for_a_small_system() {
     let changes = 13_000.0 / DAY;
-    let target = WholeCopies { contents: Contents::TARGET, changes, lists_every: 60.0, budget: 8_192.0 };
+    let target = WholeCopies {
+        contents: Contents::TARGET,
+        changes,
+        lists_every: 60.0,
+        budget: 8_192.0,
+    };
     assert!(target.demand() > 100.0 * target.budget);
     assert_eq!(target.in_force(), InForce::Never);
-    let contents = Contents { servers: 50, services: 3, routes: 20, tenants: 10 };
-    let small = WholeCopies { contents, changes: 10.0 / DAY, ..target };
-    let InForce::Within { least, most } = small.in_force() else { panic!("it fits") };
-    assert!(least > 0.0 && most == 2.0 * least && most < 15.0, "{least} {most}");
-    let no_lists = WholeCopies { lists_every: f64::INFINITY, ..target };
-    let InForce::Within { least, .. } = no_lists.in_force_coalesced() else { panic!("it passes in time") };
+    let contents = Contents {
+        servers: 50,
+        services: 3,
+        routes: 20,
+        tenants: 10,
+    };
+    let small = WholeCopies {
+        contents,
+        changes: 10.0 / DAY,
+        ..target
+    };
+    let InForce::Within { least, most } = small.in_force() else {
+        panic!("it fits")
+    };
+    assert!(
+        least > 0.0 && most == 2.0 * least && most < 15.0,
+        "{least} {most}"
+    );
+    let no_lists = WholeCopies {
+        lists_every: f64::INFINITY,
+        ..target
+    };
+    let InForce::Within { least, .. } = no_lists.in_force_coalesced() else {
+        panic!("it passes in time")
+    };
     assert_eq!(least, Contents::TARGET.settings_bytes() / 8_192.0);
 }
 
 /// One source and three nodes, which take in so many bytes a second each.
 fn copiers(file_bytes: usize, budget: f64) -> Network<Copier> {
-    let links = Links { overhead: 0, ..Links::default().with_loss(0.0) };
+    let links = Links {
+        overhead: 0,
+        ..Links::default().with_loss(0.0)
+    };
     let mut network = Network::new(Topology::even(&TARGET_ZONES, 4), links, 1);
     network.start(0, Copier::Source(Source::new(1..4, file_bytes, budget)));
     (1..4).for_each(|node| network.start(node, Copier::Receiver(Receiver::default())));
@@ -154,10 +196,22 @@
 
 #[test]
 fn whole_copies_take_as_long_as_the_formula_says() {
-    let contents = Contents { servers: 100, services: 5, routes: 100, tenants: 200 };
+    let contents = Contents {
+        servers: 100,
+        services: 5,
+        routes: 100,
+        tenants: 200,
+    };
     let budget = 8_000.0;
-    let copies = WholeCopies { contents, changes: 0.0, lists_every: f64::INFINITY, budget };
-    let InForce::Within { least, most } = copies.in_force() else { panic!("it passes in time") };
+    let copies = WholeCopies {
+        contents,
+        changes: 0.0,
+        lists_every: f64::INFINITY,
+        budget,
+    };
+    let InForce::Within { least, most } = copies.in_force() else {
+        panic!("it passes in time")
+    };
     let mut network = copiers(contents.settings_bytes() as usize, budget);
     change(&mut network);
     network.run(0.3);
@@ -167,11 +221,20 @@
     network.run(60.0);
     for node in 1..4 {
         let times = in_force(&network, node);
-        assert_eq!(times.iter().map(|(version, _)| *version).collect::<Vec<_>>(), [1, 3]);
+        assert_eq!(
+            times
+                .iter()
+                .map(|(version, _)| *version)
+                .collect::<Vec<_>>(),
+            [1, 3]
+        );
         assert!((times[0].1 - least).abs() < 0.2, "{times:?}, {least}");
         assert!((times[1].1 - 0.3 - most).abs() < 0.5, "{times:?}, {most}");
         let bytes = network.usage([node]).bytes_in * network.now();
-        assert!((bytes - 2.0 * copies.bytes_of_one_change()).abs() < 10.0, "{bytes}");
+        assert!(
+            (bytes - 2.0 * copies.bytes_of_one_change()).abs() < 10.0,
+            "{bytes}"
+        );
         assert!(network.usage([node]).long_most as f64 <= 10.2 * budget);
     }
 }
--- a/crates/emulator/tests/distribution.rs
+++ b/crates/emulator/tests/distribution.rs
@@ -26,25 +26,50 @@
     assert!(outcome.faults.is_empty(), "{:?}", outcome.faults);
     assert_eq!(outcome.missing, 0);
     let last = outcome.in_force.expect("there were changes").last;
-    assert!(last <= in_force_within, "{}: the last node after {last} s", outcome.name);
+    assert!(
+        last <= in_force_within,
+        "{}: the last node after {last} s",
+        outcome.name
+    );
 }
 
 #[test]
 fn the_target_has_18_control_machines_and_every_service_has_nodes_in_every_region() {
     let (layout, topology) = Layout::new(Sizes::TARGET, "settings", 1).expect("it can be placed");
-    assert_eq!((layout.control().count(), topology.len(), topology.zones()), (18, 6_018, 13));
-    assert!(layout.relays().iter().all(|relay| topology.site(*relay).is_some()));
+    assert_eq!(
+        (layout.control().count(), topology.len(), topology.zones()),
+        (18, 6_018, 13)
+    );
+    assert!(layout
+        .relays()
+        .iter()
+        .all(|relay| topology.site(*relay).is_some()));
     for service in [0, 129, 2_599] {
         let nodes: Vec<u32> = layout.nodes_of(service).collect();
         assert!((46..=47).contains(&nodes.len()));
-        let has =
-            |region| nodes.iter().any(|node| topology.site(*node).is_some_and(|site| site.region == region));
+        let has = |region| {
+            nodes.iter().any(|node| {
+                topology
+                    .site(*node)
+                    .is_some_and(|site| site.region == region)
+            })
+        };
         assert!((0..4).all(has));
-        assert!(nodes.iter().all(|node| layout.services_of(*node).any(|other| other == service)));
+        assert!(nodes
+            .iter()
+            .all(|node| layout.services_of(*node).any(|other| other == service)));
     }
     assert_eq!(layout.selectors_of(0).len(), 21);
     assert_eq!(layout.nodes_in(&topology, Scope::Zone(0)).len(), 462);
-    assert!(Layout::new(Sizes { nodes: 0, ..Sizes::SMALL }, "settings", 1).is_err());
+    assert!(Layout::new(
+        Sizes {
+            nodes: 0,
+            ..Sizes::SMALL
+        },
+        "settings",
+        1
+    )
+    .is_err());
     assert!(Layout::new(Sizes::SMALL, "no lease's name", 1).is_err());
 }
 
@@ -81,7 +106,11 @@
     let mut world = started(3);
     let outcome = plays::region_starts(&mut world, 1);
     assert!(outcome.faults.is_empty(), "{:?}", outcome.faults);
-    assert!(outcome.caught_up.is_some_and(|times| times.last < 30.0), "{:?}", outcome.caught_up);
+    assert!(
+        outcome.caught_up.is_some_and(|times| times.last < 30.0),
+        "{:?}",
+        outcome.caught_up
+    );
 }
 
 #[test]
@@ -89,11 +118,21 @@
     let mut world = started(4);
     let relay = world.layout.relays()[1];
     let one = plays::control_lost(&mut world, "one lost", &[relay], 0.5, 60.0);
-    assert!(one.faults.is_empty() && one.missing == 0, "{:?} {}", one.faults, one.missing);
+    assert!(
+        one.faults.is_empty() && one.missing == 0,
+        "{:?} {}",
+        one.faults,
+        one.missing
+    );
     let leader = world.leader().expect("somebody writes");
     let lost = [leader, world.layout.relays()[0], world.layout.relays()[3]];
     let half = plays::control_lost(&mut world, "half lost", &lost, 0.5, 120.0);
-    assert!(half.faults.is_empty() && half.missing == 0, "{:?} {}", half.faults, half.missing);
+    assert!(
+        half.faults.is_empty() && half.missing == 0,
+        "{:?} {}",
+        half.faults,
+        half.missing
+    );
     assert_ne!(world.leader(), Some(leader));
 }
 
@@ -101,10 +140,19 @@
 fn a_region_apart_has_all_once_it_is_back() {
     let mut world = started(5);
     let outcome = plays::region_apart(&mut world, 1, 0.2, 120.0);
-    assert!(outcome.faults.is_empty() && outcome.missing == 0, "{:?} {}", outcome.faults, outcome.missing);
+    assert!(
+        outcome.faults.is_empty() && outcome.missing == 0,
+        "{:?} {}",
+        outcome.faults,
+        outcome.missing
+    );
     // Its relays may rest for as long as they ever do, and then its nodes.
     let rest = FollowRules::relay(Vec::new()).rest_most + FollowRules::node(Vec::new()).rest_most;
-    assert!(outcome.caught_up.is_some_and(|times| times.last < rest), "{:?}", outcome.caught_up);
+    assert!(
+        outcome.caught_up.is_some_and(|times| times.last < rest),
+        "{:?}",
+        outcome.caught_up
+    );
 }
 
 #[test]
@@ -112,7 +160,12 @@
     let mut world = started(6);
     let author = world.leader();
     let outcome = plays::author_apart(&mut world, 0.5, 90.0);
-    assert!(outcome.faults.is_empty() && outcome.missing == 0, "{:?} {}", outcome.faults, outcome.missing);
+    assert!(
+        outcome.faults.is_empty() && outcome.missing == 0,
+        "{:?} {}",
+        outcome.faults,
+        outcome.missing
+    );
     assert_ne!(world.leader(), author);
 }
 
@@ -129,7 +182,11 @@
     for (place, scope) in [("a zone", Scope::Zone(2)), ("a rack", Scope::Rack(1, 0))] {
         let outcome = plays::nodes_lost(&mut world, place, scope, 0.5, 60.0);
         assert_kept(&outcome, IN_FORCE);
-        assert!(outcome.caught_up.is_some_and(|times| times.last < 30.0), "{:?}", outcome.caught_up);
+        assert!(
+            outcome.caught_up.is_some_and(|times| times.last < 30.0),
+            "{:?}",
+            outcome.caught_up
+        );
     }
 }
 
@@ -141,12 +198,18 @@
     (0..20).for_each(|_| world.change());
     world.run(20.0);
     let author = world.author().expect("somebody writes");
-    let machine = world.network.endpoint(node).and_then(Machine::as_node).expect("it is there");
+    let machine = world
+        .network
+        .endpoint(node)
+        .and_then(Machine::as_node)
+        .expect("it is there");
     let names = world.layout.resources_of(node);
     assert!(names.iter().any(|name| !agrees(author, machine, name)));
     assert!(!world.is_up_to_date(node) && world.is_up_to_date(node + 1));
     world.network.thaw(node);
-    assert!(world.run_until(60.0, |world| world.is_up_to_date(node)).is_some());
+    assert!(world
+        .run_until(60.0, |world| world.is_up_to_date(node))
+        .is_some());
 }
 
 #[test]
@@ -165,7 +228,11 @@
 
 /// A small fleet with routes and tenants as resources.
 fn started_with_tenants(seed: u64) -> World {
-    let sizes = Sizes { routes: 30, tenants: 400, ..Sizes::SMALL };
+    let sizes = Sizes {
+        routes: 30,
+        tenants: 400,
+        ..Sizes::SMALL
+    };
     let mut world = World::new(sizes, links(), seed).expect("the sizes can be placed");
     let outcome = plays::start_all(&mut world);
     assert!(outcome.faults.is_empty(), "{:?}", outcome.faults);
@@ -174,9 +241,16 @@
 
 #[test]
 fn routes_and_tenants_are_resources_of_their_own() {
-    let sizes = Sizes { routes: 30, tenants: 400, ..Sizes::SMALL };
+    let sizes = Sizes {
+        routes: 30,
+        tenants: 400,
+        ..Sizes::SMALL
+    };
     // 30 routes over 12 services: three for the first six, two for the others.
-    assert_eq!([0, 5, 6, 11].map(|service| sizes.resources_of_service(service)), [5, 5, 4, 4]);
+    assert_eq!(
+        [0, 5, 6, 11].map(|service| sizes.resources_of_service(service)),
+        [5, 5, 4, 4]
+    );
     assert_eq!(sizes.resources().count(), 24 + 30 + 400);
     let names: std::collections::BTreeSet<_> = sizes.resources().map(Resource::name).collect();
     assert_eq!(names.len(), 454);
@@ -186,9 +260,19 @@
 fn a_tenant_met_for_the_first_time_is_waited_for_and_followed_from_then_on() {
     let mut world = started_with_tenants(12);
     let outcome = plays::tenants_met(&mut world, &[3, 17], 1.0, 10.0);
-    assert!(outcome.faults.is_empty() && outcome.missing == 0, "{:?} {}", outcome.faults, outcome.missing);
+    assert!(
+        outcome.faults.is_empty() && outcome.missing == 0,
+        "{:?} {}",
+        outcome.faults,
+        outcome.missing
+    );
     assert_eq!(outcome.judged_by, JudgedBy::FirstRequest);
-    assert!(outcome.in_force.is_some_and(|waits| waits.p50 > 0.0 && waits.last < 5.0), "{outcome:?}");
+    assert!(
+        outcome
+            .in_force
+            .is_some_and(|waits| waits.p50 > 0.0 && waits.last < 5.0),
+        "{outcome:?}"
+    );
     let met: Vec<u32> = world.demands.of(3).collect();
     assert!(!met.is_empty() && world.demands.of(4).count() == 0);
     world.take_times();
@@ -201,31 +285,54 @@
 
 #[test]
 fn ages_are_never_less_than_the_truth_where_clocks_drift() {
-    let mut world = World::with_drift(Sizes::SMALL, links(), 13, DRIFT).expect("the sizes can be placed");
+    let mut world =
+        World::with_drift(Sizes::SMALL, links(), 13, DRIFT).expect("the sizes can be placed");
     world.ages = Some(Ages::default());
     plays::start_all(&mut world);
     let outcome = plays::region_apart(&mut world, 1, 1.0, 60.0);
-    assert!(outcome.faults.is_empty() && outcome.missing == 0, "{:?} {}", outcome.faults, outcome.missing);
+    assert!(
+        outcome.faults.is_empty() && outcome.missing == 0,
+        "{:?} {}",
+        outcome.faults,
+        outcome.missing
+    );
     let ages = outcome.ages.expect("they were compared");
-    assert!(ages.compared > 100 && ages.oldest > 50.0 && ages.least_margin >= 0.0, "{ages:?}");
+    assert!(
+        ages.compared > 100 && ages.oldest > 50.0 && ages.least_margin >= 0.0,
+        "{ages:?}"
+    );
 }
 
 #[test]
 fn clocks_that_drift_more_than_is_allowed_are_found_by_the_check_of_ages() {
-    let mut world =
-        World::with_drift(Sizes::SMALL, links(), 14, 100.0 * DRIFT).expect("the sizes can be placed");
+    let mut world = World::with_drift(Sizes::SMALL, links(), 14, 100.0 * DRIFT)
+        .expect("the sizes can be placed");
     world.ages = Some(Ages::default());
     plays::start_all(&mut world);
     // A clock that is a twentieth too slow has to lose more than the age that a node of a calm tree states.
     let outcome = plays::region_apart(&mut world, 1, 1.0, 300.0);
-    assert!(outcome.faults.iter().any(|fault| fault.contains("states an age")), "{:?}", outcome.ages);
+    assert!(
+        outcome
+            .faults
+            .iter()
+            .any(|fault| fault.contains("states an age")),
+        "{:?}",
+        outcome.ages
+    );
 }
 
 #[test]
 fn machines_by_themselves_hold_what_they_are_given() {
-    let sizes = Sizes { routes: 30, tenants: 400, ..Sizes::SMALL };
+    let sizes = Sizes {
+        routes: 30,
+        tenants: 400,
+        ..Sizes::SMALL
+    };
     let holdings = Holdings::new(sizes).expect("it can be placed");
-    assert_eq!((holdings.author().resources(), holdings.relay().resources()), (454, 454));
+    assert_eq!(
+        (holdings.author().resources(), holdings.relay().resources()),
+        (454, 454)
+    );
     // The services 0, 4 and 8 of its group, with their routes, and five tenants.
     assert_eq!(holdings.node(5).resources(), 5 + 5 + 4 + 5);
     assert_eq!(holdings.node_of_all_services().resources(), 54);
@@ -239,5 +346,8 @@
     let way = relay.spread + 2.0 * relay.answer + ROUND_TRIPS;
     let until_in_force = LEASE_LASTS + TAKEOVER + way;
     assert!(until_in_force <= IN_FORCE, "{until_in_force} s");
-    assert!(TAKEOVER > relay.answer, "one first relay that is dead takes all of the takeover");
+    assert!(
+        TAKEOVER > relay.answer,
+        "one first relay that is dead takes all of the takeover"
+    );
 }
--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -6,7 +6,10 @@
 use reelfall_emulator::{play, scenario, Report};
 
 fn played(plan: Plan) -> Report {
-    let name = format!("{} with {} nodes, seed {}", plan.name, plan.nodes, plan.seed);
+    let name = format!(
+        "{} with {} nodes, seed {}",
+        plan.name, plan.nodes, plan.seed
+    );
     let report = play(plan).expect("a usable plan");
     assert!(report.rules.kept(), "{name}: {}", report.rules.breaches[0]);
     report
@@ -17,7 +20,11 @@
     for nodes in [10, 100] {
         for plan in [scenario::herd, scenario::zone, scenario::join] {
             let report = played(scenario::with_bad(plan(nodes, 5), 0.1));
-            assert!(report.sum(|s| s.sends) > 1000 && report.whole() > 0.4, "{:.3}", report.whole());
+            assert!(
+                report.sum(|s| s.sends) > 1000 && report.whole() > 0.4,
+                "{:.3}",
+                report.whole()
+            );
         }
     }
 }
@@ -25,8 +32,15 @@
 #[test]
 fn a_run_is_the_same_each_time_and_another_for_another_seed() {
     let sends = |seed| {
-        let report = played(Plan { length: 6.0, ..scenario::with_bad(scenario::zone(20, seed), 0.2) });
-        report.seconds.iter().map(|s| (s.sends, s.dials, s.refused)).collect::<Vec<_>>()
+        let report = played(Plan {
+            length: 6.0,
+            ..scenario::with_bad(scenario::zone(20, seed), 0.2)
+        });
+        report
+            .seconds
+            .iter()
+            .map(|s| (s.sends, s.dials, s.refused))
+            .collect::<Vec<_>>()
     };
     assert_eq!(sends(3), sends(3));
     assert_ne!(sends(3), sends(4));
@@ -36,10 +50,18 @@
 fn parts_of_a_long_list_spare_handshakes_and_requests_to_servers_that_say_nothing() {
     let sum = |whole| {
         let reports = (1..3).map(|seed| {
-            played(Plan { whole, length: 12.0, ..scenario::with_bad(scenario::calm(100, seed), 0.15) })
+            played(Plan {
+                whole,
+                length: 12.0,
+                ..scenario::with_bad(scenario::calm(100, seed), 0.15)
+            })
         });
         reports.fold((0.0, 0, 0), |(w, dead, dials), r| {
-            (w + r.whole(), dead + r.sum(|s| s.to_dead), dials + r.sum(|s| s.dials))
+            (
+                w + r.whole(),
+                dead + r.sum(|s| s.to_dead),
+                dials + r.sum(|s| s.dials),
+            )
         })
     };
     let (parts, whole) = (sum(false), sum(true));
@@ -60,19 +82,35 @@
 #[test]
 fn fleets_of_one_node_and_of_one_server_are_played() {
     for (nodes, servers) in [(1, 1), (1, 30), (30, 1)] {
-        let plan = Plan { servers, length: 5.0, ..scenario::calm(nodes, 1) };
-        assert!(played(plan).sum(|s| s.sends) > 50, "{nodes} nodes, {servers} servers");
+        let plan = Plan {
+            servers,
+            length: 5.0,
+            ..scenario::calm(nodes, 1)
+        };
+        assert!(
+            played(plan).sum(|s| s.sends) > 50,
+            "{nodes} nodes, {servers} servers"
+        );
     }
-    assert!(play(Plan { nodes: 0, ..scenario::calm(1, 1) }).is_err());
+    assert!(play(Plan {
+        nodes: 0,
+        ..scenario::calm(1, 1)
+    })
+    .is_err());
 }
 
 #[test]
 fn nodes_that_start_together_with_a_stale_list_find_what_is_there() {
     let mut plan = scenario::calm(100, 4);
     plan.happenings.push((0.0, Happening::Vanish(0.3)));
-    let report = played(Plan { load: 0.4, length: 10.0, ..plan });
+    let report = played(Plan {
+        load: 0.4,
+        length: 10.0,
+        ..plan
+    });
     // For a second or two nobody has heard that they are gone; then nobody may ask them.
-    let (first, later): (Vec<_>, Vec<_>) = report.seconds.iter().enumerate().partition(|(n, _)| *n < 3);
+    let (first, later): (Vec<_>, Vec<_>) =
+        report.seconds.iter().enumerate().partition(|(n, _)| *n < 3);
     assert!(first.iter().any(|(_, s)| s.to_dead > 0));
     assert!(later.iter().all(|(_, s)| s.to_dead == 0));
     assert!(report.whole() > 0.85, "{:.3}", report.whole());
@@ -82,17 +120,35 @@
 fn when_the_last_sound_zone_is_cold_too_no_server_is_pushed_over() {
     for seed in 1..4 {
         let mut plan = scenario::calm(40, seed);
-        plan.happenings = vec![(2.0, Happening::ZoneLost(0, 2.0)), (5.0, Happening::ZoneLost(1, 2.0))];
+        plan.happenings = vec![
+            (2.0, Happening::ZoneLost(0, 2.0)),
+            (5.0, Happening::ZoneLost(1, 2.0)),
+        ];
         let report = played(plan);
-        assert!(report.rules.pushed > 0.2 && report.whole() > 0.3, "{:.3}", report.whole());
+        assert!(
+            report.rules.pushed > 0.2 && report.whole() > 0.3,
+            "{:.3}",
+            report.whole()
+        );
     }
 }
 
 #[test]
 fn a_node_with_ten_times_the_share_of_another_is_served_as_well() {
-    let (even, heavy) = (scenario::calm(50, 3), Plan { heavy: 10.0, ..scenario::calm(50, 3) });
+    let (even, heavy) = (
+        scenario::calm(50, 3),
+        Plan {
+            heavy: 10.0,
+            ..scenario::calm(50, 3)
+        },
+    );
     let (even, heavy) = (played(even), played(heavy));
-    assert!(heavy.whole() > even.whole() - 0.05, "{:.3} {:.3}", heavy.whole(), even.whole());
+    assert!(
+        heavy.whole() > even.whole() - 0.05,
+        "{:.3} {:.3}",
+        heavy.whole(),
+        even.whole()
+    );
 }
 
 #[test]
@@ -104,7 +160,11 @@
 }
 
 fn happening() -> impl Strategy<Value = (f64, Happening)> {
-    let manner = prop_oneof![Just(Manner::Silent), Just(Manner::Failing), Just(Manner::Slow(3.0))];
+    let manner = prop_oneof![
+        Just(Manner::Silent),
+        Just(Manner::Failing),
+        Just(Manner::Slow(3.0))
+    ];
     let what = prop_oneof![
         (0.1..0.9f64, 0.2..3.0f64).prop_map(|(part, back)| Happening::NodesDie(part, back)),
         (0..2u16, 0.5..4.0f64).prop_map(|(zone, back)| Happening::ZoneLost(zone, back)),
@@ -121,10 +181,26 @@
 #[test]
 fn over_chance_schedules_no_rule_breaks_and_repeats_keep_their_budget() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
-    let mut runner = TestRunner::new_with_rng(Config { cases: 24, ..Config::default() }, rng);
-    let plans = (proptest::collection::vec(happening(), 1..5), 4..60usize, any::<u64>(), 0.4..1.3f64);
+    let mut runner = TestRunner::new_with_rng(
+        Config {
+            cases: 24,
+            ..Config::default()
+        },
+        rng,
+    );
+    let plans = (
+        proptest::collection::vec(happening(), 1..5),
+        4..60usize,
+        any::<u64>(),
+        0.4..1.3f64,
+    );
     let checked = runner.run(&plans, |(happenings, nodes, seed, load)| {
-        let plan = Plan { happenings, load, length: 9.0, ..scenario::calm(nodes, seed) };
+        let plan = Plan {
+            happenings,
+            load,
+            length: 9.0,
+            ..scenario::calm(nodes, seed)
+        };
         let report = play(plan).map_err(TestCaseError::fail)?;
         prop_assert!(report.rules.kept(), "{}", report.rules.breaches[0]);
         // A fifth of the tries, and what each life of a node may have saved up.
--- a/crates/emulator/tests/inspect.rs
+++ b/crates/emulator/tests/inspect.rs
@@ -34,7 +34,10 @@
     let quiet = seen(&world).since(&before);
     assert_eq!(quiet.entries, 0);
     let each = |contents: Contents| contents.swim_bytes as f64 / contents.datagrams as f64;
-    assert!(each(quiet) < each(joining), "{quiet:?} {joining:?} after {joined} s");
+    assert!(
+        each(quiet) < each(joining),
+        "{quiet:?} {joining:?} after {joined} s"
+    );
     world.at(0, |fleet, now| fleet.ban(now, "server-1", "ada", None));
     let before = seen(&world);
     world.run(5.0);
@@ -45,5 +48,12 @@
 fn a_datagram_of_another_key_is_counted_by_its_length_alone() {
     let mut inspector = Inspector::new(secret());
     inspector.add(&[7; 100]);
-    assert_eq!(inspector.seen, Contents { datagrams: 1, bytes: 100, ..Contents::default() });
+    assert_eq!(
+        inspector.seen,
+        Contents {
+            datagrams: 1,
+            bytes: 100,
+            ..Contents::default()
+        }
+    );
 }
--- a/crates/emulator/tests/network.rs
+++ b/crates/emulator/tests/network.rs
@@ -21,11 +21,19 @@
 
 impl Probe {
     fn ticking(period: f64, peer: u32) -> Probe {
-        Probe { period, due: period, peer, ..Probe::default() }
+        Probe {
+            period,
+            due: period,
+            peer,
+            ..Probe::default()
+        }
     }
 
     fn frames(&self) -> Vec<&[u8]> {
-        self.received.iter().map(|(_, _, frame)| frame.as_slice()).collect()
+        self.received
+            .iter()
+            .map(|(_, _, frame)| frame.as_slice())
+            .collect()
     }
 }
 
@@ -51,9 +59,22 @@
 
 /// Links of one fixed delay that lose nothing.
 fn even_links(delay: f64) -> Links {
-    let link = Link { delay_least: delay, delay_most: delay, loss: 0.0, duplicates: 0.0 };
-    let links = Links { within_zone: link, within_region: link, between_regions: link, ..Links::default() };
-    Links { overhead: 0, ..links }
+    let link = Link {
+        delay_least: delay,
+        delay_most: delay,
+        loss: 0.0,
+        duplicates: 0.0,
+    };
+    let links = Links {
+        within_zone: link,
+        within_region: link,
+        between_regions: link,
+        ..Links::default()
+    };
+    Links {
+        overhead: 0,
+        ..links
+    }
 }
 
 /// Four endpoints in four zones of two regions, none of which has a timer.
@@ -68,7 +89,10 @@
 }
 
 fn frames(network: &Network<Probe>, endpoint: u32) -> Vec<&[u8]> {
-    network.endpoint(endpoint).map(Probe::frames).unwrap_or_default()
+    network
+        .endpoint(endpoint)
+        .map(Probe::frames)
+        .unwrap_or_default()
 }
 
 #[test]
@@ -92,22 +116,35 @@
 fn frames_take_as_long_as_their_link_says() {
     let links = Links::default();
     let mut network = quiet(links);
-    for (to, link) in [(0, links.within_zone), (1, links.within_region), (3, links.between_regions)] {
+    for (to, link) in [
+        (0, links.within_zone),
+        (1, links.within_region),
+        (3, links.between_regions),
+    ] {
         let sent = network.now();
         send(&mut network, 0, to, b"x");
         network.run(1.0);
         let at = network.endpoint(to).expect("it runs").received[0].0 - sent;
-        assert!(at >= link.delay_least && at < link.delay_most + 1e-6, "{at}");
+        assert!(
+            at >= link.delay_least && at < link.delay_most + 1e-6,
+            "{at}"
+        );
     }
 }
 
 #[test]
 fn a_run_is_the_same_for_the_same_seed_and_another_for_another() {
     let play = |seed| {
-        let mut network = Network::new(Topology::even(&[2, 2], 4), Links::default().with_loss(0.3), seed);
+        let mut network = Network::new(
+            Topology::even(&[2, 2], 4),
+            Links::default().with_loss(0.3),
+            seed,
+        );
         (0..4u32).for_each(|n| network.start(n, Probe::ticking(0.1, (n + 1) % 4)));
         network.run(20.0);
-        (0..4).map(|n| network.endpoint(n).expect("it runs").received.clone()).collect::<Vec<_>>()
+        (0..4)
+            .map(|n| network.endpoint(n).expect("it runs").received.clone())
+            .collect::<Vec<_>>()
     };
     assert_eq!(play(1), play(1));
     assert_ne!(play(1), play(2));
@@ -134,7 +171,14 @@
     send(&mut network, 2, 0, b"passes");
     send(&mut network, 0, 1, b"passes");
     network.run(1.0);
-    assert_eq!((frames(&network, 0).len(), frames(&network, 1).len(), frames(&network, 2).len()), (1, 1, 0));
+    assert_eq!(
+        (
+            frames(&network, 0).len(),
+            frames(&network, 1).len(),
+            frames(&network, 2).len()
+        ),
+        (1, 1, 0)
+    );
     network.partition_both(Scope::Zone(0), Scope::All);
     send(&mut network, 2, 0, b"stopped");
     send(&mut network, 0, 0, b"to itself");
@@ -144,7 +188,13 @@
     send(&mut network, 0, 2, b"passes");
     network.run(1.0);
     assert_eq!(frames(&network, 2), [b"passes"]);
-    assert_eq!(network.undelivered(), Undelivered { partitioned: 2, ..Undelivered::default() });
+    assert_eq!(
+        network.undelivered(),
+        Undelivered {
+            partitioned: 2,
+            ..Undelivered::default()
+        }
+    );
 }
 
 #[test]
@@ -159,7 +209,10 @@
     assert_eq!(network.endpoint(1).expect("it is there").polls, 0);
     network.thaw(1);
     assert_eq!(frames(&network, 1).len(), INBOX_MOST);
-    assert_eq!(frames(&network, 1)[INBOX_MOST - 1], (sent - 6).to_be_bytes());
+    assert_eq!(
+        frames(&network, 1)[INBOX_MOST - 1],
+        (sent - 6).to_be_bytes()
+    );
     assert_eq!(network.undelivered().overflowed, 5);
     network.run(0.1);
     assert_eq!(network.endpoint(1).expect("it is there").polls, 10);
@@ -185,7 +238,9 @@
 #[test]
 fn streams_keep_their_order_lose_nothing_and_end_with_the_process() {
     let mut links = Links::default().with_loss(0.3);
-    links.delivery = Delivery::Streams { retransmit_after: 0.2 };
+    links.delivery = Delivery::Streams {
+        retransmit_after: 0.2,
+    };
     let mut network = quiet(links);
     (0..500u16).for_each(|n| send(&mut network, 0, 3, &n.to_be_bytes()));
     network.run(30.0);
@@ -200,11 +255,19 @@
 
 #[test]
 fn an_uplink_sends_no_faster_than_its_bandwidth() {
-    let mut network = quiet(Links { bandwidth: 10_000.0, ..even_links(0.01) });
+    let mut network = quiet(Links {
+        bandwidth: 10_000.0,
+        ..even_links(0.01)
+    });
     (0..10).for_each(|_| send(&mut network, 0, 1, &[0; 1_000]));
     network.run(5.0);
-    let arrivals: Vec<f64> =
-        network.endpoint(1).expect("it runs").received.iter().map(|(at, _, _)| *at).collect();
+    let arrivals: Vec<f64> = network
+        .endpoint(1)
+        .expect("it runs")
+        .received
+        .iter()
+        .map(|(at, _, _)| *at)
+        .collect();
     for (n, at) in (1u32..).zip(arrivals) {
         assert!((at - (f64::from(n) * 0.1 + 0.01)).abs() < 1e-6, "{n}: {at}");
     }
@@ -214,7 +277,13 @@
 fn timers_are_called_when_due_and_one_that_is_always_due_does_not_stop_the_clock() {
     let mut network = quiet(even_links(0.01));
     network.start(0, Probe::ticking(0.5, 1));
-    network.start(2, Probe { period: f64::MIN_POSITIVE, ..Probe::default() });
+    network.start(
+        2,
+        Probe {
+            period: f64::MIN_POSITIVE,
+            ..Probe::default()
+        },
+    );
     network.run(10.2);
     assert_eq!(network.endpoint(0).expect("it runs").polls, 20);
     let polls = network.endpoint(2).expect("it runs").polls;
@@ -240,14 +309,23 @@
 fn accounts_count_both_ends_and_processor_time_by_the_clock_that_is_given() {
     use std::cell::Cell;
     thread_local!(static CLOCK: Cell<f64> = const { Cell::new(0.0) });
-    let mut network = quiet(Links { overhead: 20, ..even_links(0.01) });
+    let mut network = quiet(Links {
+        overhead: 20,
+        ..even_links(0.01)
+    });
     network.measure_cpu(|| CLOCK.with(|clock| clock.replace(clock.get() + 0.25)));
     send(&mut network, 0, 1, &[0; 80]);
     network.run(1.0);
     network.run(1.0);
     let (sender, receiver) = (network.usage([0]), network.usage([1]));
-    assert_eq!((sender.bytes_out, sender.messages_out, sender.bytes_in), (50.0, 0.5, 0.0));
-    assert_eq!((receiver.bytes_in, receiver.messages_in, receiver.long_most), (50.0, 0.5, 100));
+    assert_eq!(
+        (sender.bytes_out, sender.messages_out, sender.bytes_in),
+        (50.0, 0.5, 0.0)
+    );
+    assert_eq!(
+        (receiver.bytes_in, receiver.messages_in, receiver.long_most),
+        (50.0, 0.5, 100)
+    );
     // One call each, of one step of the clock, in 2 s.
     assert_eq!((sender.cpu, receiver.cpu), (0.125, 0.125));
     network.reset_accounts();
@@ -291,7 +369,21 @@
 #[test]
 fn percentiles_are_by_nearest_rank() {
     assert_eq!(Times::of(Vec::new()), None);
-    assert_eq!(Times::of(vec![3.0]), Some(Times { p50: 3.0, p99: 3.0, last: 3.0 }));
+    assert_eq!(
+        Times::of(vec![3.0]),
+        Some(Times {
+            p50: 3.0,
+            p99: 3.0,
+            last: 3.0
+        })
+    );
     let times = (1..=200).rev().map(f64::from).collect();
-    assert_eq!(Times::of(times), Some(Times { p50: 100.0, p99: 198.0, last: 200.0 }));
+    assert_eq!(
+        Times::of(times),
+        Some(Times {
+            p50: 100.0,
+            p99: 198.0,
+            last: 200.0
+        })
+    );
 }
--- a/crates/emulator/tests/queue.rs
+++ b/crates/emulator/tests/queue.rs
@@ -5,7 +5,13 @@
 #[test]
 fn events_come_by_time_and_those_of_one_instant_in_the_order_they_were_put_in() {
     let mut queue = Queue::new(1.0);
-    for (at, event) in [(3.0, "c"), (2.0, "a"), (3.0, "d"), (2.0, "b"), (f64::INFINITY, "z")] {
+    for (at, event) in [
+        (3.0, "c"),
+        (2.0, "a"),
+        (3.0, "d"),
+        (2.0, "b"),
+        (f64::INFINITY, "z"),
+    ] {
         queue.put(at, event);
     }
     let taken: Vec<_> = std::iter::from_fn(|| queue.take()).collect();
--- a/crates/emulator/tests/scale_report.rs
+++ b/crates/emulator/tests/scale_report.rs
@@ -6,7 +6,11 @@
 };
 use serde_json::Value;
 
-const TIMES: Times = Times { p50: 0.5, p99: 2.0, last: 4.0 };
+const TIMES: Times = Times {
+    p50: 0.5,
+    p99: 2.0,
+    last: 4.0,
+};
 
 fn run(name: &str, nodes: usize) -> Run {
     let usage = Usage {
@@ -21,7 +25,10 @@
     Run {
         name: name.to_owned(),
         source: Source::VirtualTime,
-        size: Size { nodes, ..Size::default() },
+        size: Size {
+            nodes,
+            ..Size::default()
+        },
         seconds: 60.0,
         per_node: PerNode::of("configuration", &usage, Some(1e6)),
         in_force: Some(TIMES),
@@ -34,14 +41,30 @@
             peak_bytes_10s: 4_000.0,
             missing: 1,
             faults: 2,
-            ages: Some(Ages { compared: 3, least_margin: 0.25, oldest: 9.0 }),
-            control: Control { bytes_in: 1.0, bytes_out: 2.0, cpu: 0.5, memory: 3.0 },
+            ages: Some(Ages {
+                compared: 3,
+                least_margin: 0.25,
+                oldest: 9.0,
+            }),
+            control: Control {
+                bytes_in: 1.0,
+                bytes_out: 2.0,
+                cpu: 0.5,
+                memory: 3.0,
+            },
         }),
     }
 }
 
 fn report(runs: Vec<Run>) -> Report {
-    Report { schema: SCHEMA, commit: "abc".to_owned(), seed: 1, cores: 8, runs, slopes: Vec::new() }
+    Report {
+        schema: SCHEMA,
+        commit: "abc".to_owned(),
+        seed: 1,
+        cores: 8,
+        runs,
+        slopes: Vec::new(),
+    }
 }
 
 #[test]
@@ -62,15 +85,30 @@
 fn a_report_with_a_field_of_another_name_is_refused() {
     let written = serde_json::to_value(report(vec![run("a run", 6)])).unwrap();
     // Those that may be left out are the ones that would be lost without a word.
-    for path in ["", "/played", "/played/caught_up", "/played/ages", "/played/control", "/per_node", "/size"]
-    {
+    for path in [
+        "",
+        "/played",
+        "/played/caught_up",
+        "/played/ages",
+        "/played/control",
+        "/per_node",
+        "/size",
+    ] {
         let path = format!("/runs/0{path}");
-        let fields: Vec<String> =
-            written.pointer(&path).and_then(Value::as_object).unwrap().keys().cloned().collect();
+        let fields: Vec<String> = written
+            .pointer(&path)
+            .and_then(Value::as_object)
+            .unwrap()
+            .keys()
+            .cloned()
+            .collect();
         for field in fields {
             let mut renamed = written.clone();
             rename(renamed.pointer_mut(&path).unwrap(), &field);
-            assert!(serde_json::from_value::<Report>(renamed).is_err(), "{path}/{field}");
+            assert!(
+                serde_json::from_value::<Report>(renamed).is_err(),
+                "{path}/{field}"
+            );
         }
     }
 }
@@ -78,7 +116,10 @@
 #[test]
 fn a_run_takes_the_place_of_an_earlier_one_of_its_name_and_size() {
     let mut report = report(vec![run("one", 6), run("two", 6)]);
-    let later = Run { seconds: 5.0, ..run("one", 6) };
+    let later = Run {
+        seconds: 5.0,
+        ..run("one", 6)
+    };
     report.append(vec![later.clone(), run("one", 7)]);
     assert_eq!(report.runs, [later, run("two", 6), run("one", 7)]);
 }
@@ -93,7 +134,12 @@
         messages_in: 3.0,
         messages_out: 2.0,
     };
-    let expected = PerNode { traffic: vec![traffic], peak_bytes: 900.0, cpu: 0.25, memory: Some(1e6) };
+    let expected = PerNode {
+        traffic: vec![traffic],
+        peak_bytes: 900.0,
+        cpu: 0.25,
+        memory: Some(1e6),
+    };
     assert_eq!(per_node, expected);
     assert_eq!(per_node.bytes(), 42.0);
 }
--- a/crates/emulator/tests/server.rs
+++ b/crates/emulator/tests/server.rs
@@ -41,7 +41,9 @@
         for n in 0..20_000 {
             let now = f64::from(n) * 0.001;
             let done = server.awake(now, 0.03);
-            assert!(done >= before - 1e-9 && done >= now + 0.03 - 1e-9 && done <= now + 0.13 + 1e-9);
+            assert!(
+                done >= before - 1e-9 && done >= now + 0.03 - 1e-9 && done <= now + 0.13 + 1e-9
+            );
             before = done;
         }
     }
--- a/crates/fleet/src/entry.rs
+++ b/crates/fleet/src/entry.rs
@@ -87,14 +87,24 @@
 
     /// The smallest key of a ban of this server.
     pub fn first_ban(server: String) -> Key {
-        let id = BanId { node: String::new(), incarnation: Incarnation::default(), number: 0 };
+        let id = BanId {
+            node: String::new(),
+            incarnation: Incarnation::default(),
+            number: 0,
+        };
         Key::Ban { server, id }
     }
 
     /// The smallest key of a report.
     pub fn first_report() -> Key {
-        let server = ServerInstance { name: String::new(), since: 0 };
-        Key::Report { server, by: String::new() }
+        let server = ServerInstance {
+            name: String::new(),
+            since: 0,
+        };
+        Key::Report {
+            server,
+            by: String::new(),
+        }
     }
 }
 
@@ -163,7 +173,9 @@
 }
 
 /// Orders an owner's values of one key.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Version {
     /// The owner's incarnation.
     pub incarnation: Incarnation,
@@ -199,7 +211,12 @@
 
     /// The order of entries with the same key, without their ages.
     pub fn precedence(&self) -> (bool, Version, &Value, u32) {
-        (matches!(self.value, Value::BanLifted { .. }), self.version, &self.value, self.ttl_ms)
+        (
+            matches!(self.value, Value::BanLifted { .. }),
+            self.version,
+            &self.value,
+            self.ttl_ms,
+        )
     }
 
     /// Whether a node can have created it: names within their bounds, a value that fits its key, a bounded time to live.
@@ -207,14 +224,20 @@
     /// Guards the table against entries that would live too long or take too much room. Harm: none; this program creates no
     /// others.
     pub fn is_valid(&self) -> bool {
-        let are_names = |names: &[&String]| names.iter().all(|n| !n.is_empty() && n.len() <= MAX_NAME_LEN);
+        let are_names = |names: &[&String]| {
+            names
+                .iter()
+                .all(|n| !n.is_empty() && n.len() <= MAX_NAME_LEN)
+        };
         let (fits, max_ttl) = match (&self.key, &self.value) {
-            (Key::Report { server, by }, Value::Report(r)) => {
-                (are_names(&[&server.name, by]) && r.zone.len() <= MAX_NAME_LEN, MAX_REPORT_TTL)
-            }
-            (Key::Ban { server, id }, Value::Banned { by } | Value::BanLifted { by }) => {
-                (are_names(&[server, &id.node]) && by.len() <= MAX_NAME_LEN, MAX_BAN_TTL)
-            }
+            (Key::Report { server, by }, Value::Report(r)) => (
+                are_names(&[&server.name, by]) && r.zone.len() <= MAX_NAME_LEN,
+                MAX_REPORT_TTL,
+            ),
+            (Key::Ban { server, id }, Value::Banned { by } | Value::BanLifted { by }) => (
+                are_names(&[server, &id.node]) && by.len() <= MAX_NAME_LEN,
+                MAX_BAN_TTL,
+            ),
             (Key::Leaving { node, .. }, Value::Leaving) => (are_names(&[node]), MAX_LEAVING_TTL),
             (Key::ListIndex { list }, Value::ListIndex) => (are_names(&[list]), MAX_INDEX_TTL),
             _ => (false, 0.0),
--- a/crates/fleet/src/fleet/gossip.rs
+++ b/crates/fleet/src/fleet/gossip.rs
@@ -20,7 +20,11 @@
 impl Fleet {
     /// Sends an application message to another node; it may be lost.
     pub fn send_message(&mut self, to: &Node, body: Vec<u8>) {
-        let message = AppMessage { from: self.members.me().clone(), to: to.incarnation.tag, body };
+        let message = AppMessage {
+            from: self.members.me().clone(),
+            to: to.incarnation.tag,
+            body,
+        };
         if let Some(datagram) = message.seal(&self.secret) {
             self.enqueue(to.address, datagram);
         }
@@ -44,10 +48,13 @@
 
     /// Sends a datagram with as many pending entries as fit, if their age can be proven to the reader.
     pub(super) fn send_with_entries(&mut self, now: Time, to: SocketAddr, header: &Header) {
-        let Some(mut writer) = Writer::new(header) else { return };
+        let Some(mut writer) = Writer::new(header) else {
+            return;
+        };
         if header.echo.is_some() {
             let max_transmissions = max_transmissions(self.members.count());
-            self.table.gossip(now, max_transmissions, |entry| writer.add(entry));
+            self.table
+                .gossip(now, max_transmissions, |entry| writer.add(entry));
         }
         self.send(to, writer);
     }
@@ -78,7 +85,10 @@
 
     /// Sends the pending entries to a sample of the members, or first asks for an echo those that have sent none.
     pub(super) fn gossip_round(&mut self, now: Time) {
-        if !self.table.has_pending(max_transmissions(self.members.count())) {
+        if !self
+            .table
+            .has_pending(max_transmissions(self.members.count()))
+        {
             return;
         }
         for to in self.sample_members(self.config.fanout) {
@@ -117,7 +127,11 @@
             let at = self.rng.random_range(0..known.len());
             self.members.announce(now, known[at]);
         }
-        let interval = if is_isolated { ISOLATED_ANNOUNCE_INTERVAL } else { ANNOUNCE_INTERVAL };
+        let interval = if is_isolated {
+            ISOLATED_ANNOUNCE_INTERVAL
+        } else {
+            ANNOUNCE_INTERVAL
+        };
         self.next_announce = now + interval * self.rng.random_range(ANNOUNCE_JITTER);
     }
 
--- a/crates/fleet/src/fleet/incarnations.rs
+++ b/crates/fleet/src/fleet/incarnations.rs
@@ -27,7 +27,9 @@
             return;
         }
         if self.order.len() >= MAX_PEERS {
-            self.order.pop_front().and_then(|oldest| self.by_name.remove(&oldest));
+            self.order
+                .pop_front()
+                .and_then(|oldest| self.by_name.remove(&oldest));
         }
         self.order.push_back(node.name.clone());
         self.by_name.insert(node.name.clone(), node.incarnation);
@@ -35,7 +37,10 @@
 
     /// The greatest known incarnation of a node's name, if it is greater than the node's own.
     pub(super) fn newer_than(&self, node: &Node) -> Option<Incarnation> {
-        self.by_name.get(&node.name).filter(|known| **known > node.incarnation).copied()
+        self.by_name
+            .get(&node.name)
+            .filter(|known| **known > node.incarnation)
+            .copied()
     }
 }
 
@@ -48,11 +53,18 @@
 
 impl NameClaims {
     pub(super) fn new(now: Time) -> NameClaims {
-        NameClaims { claimed_at: VecDeque::new(), paused_until: now }
+        NameClaims {
+            claimed_at: VecDeque::new(),
+            paused_until: now,
+        }
     }
 
     fn forget_old(&mut self, now: Time) {
-        while self.claimed_at.front().is_some_and(|at| now - at > CLAIMS_WINDOW) {
+        while self
+            .claimed_at
+            .front()
+            .is_some_and(|at| now - at > CLAIMS_WINDOW)
+        {
             self.claimed_at.pop_front();
         }
     }
@@ -85,7 +97,10 @@
             return;
         }
         self.claims.add(now);
-        let incarnation = Incarnation { number: newer.number.saturating_add(1), tag: me.tag };
+        let incarnation = Incarnation {
+            number: newer.number.saturating_add(1),
+            tag: me.tag,
+        };
         self.members.change_incarnation(now, incarnation);
     }
 
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -120,9 +120,19 @@
 impl Fleet {
     /// A node that knows nobody yet. `tag` and `seed` are random for each process; `now` is never negative.
     pub fn new(
-        name: &str, address: SocketAddr, tag: u64, config: Config, secret: Secret, seed: u64, now: Time,
+        name: &str,
+        address: SocketAddr,
+        tag: u64,
+        config: Config,
+        secret: Secret,
+        seed: u64,
+        now: Time,
     ) -> Fleet {
-        let me = Node { name: name.to_owned(), address, incarnation: Incarnation { number: 1, tag } };
+        let me = Node {
+            name: name.to_owned(),
+            address,
+            incarnation: Incarnation { number: 1, tag },
+        };
         let members = Members::new(me, config.membership, seed);
         let observer = Observer::new(config.zone.clone(), config.report_lasts);
         Fleet {
@@ -183,8 +193,15 @@
 
     /// When [`Fleet::tick`] has something to do.
     pub fn deadline(&self) -> Time {
-        let timers = [self.members.deadline(), self.table.next_expiry()].into_iter().flatten();
-        timers.fold(self.next_gossip.min(self.next_anti_entropy).min(self.next_announce), f64::min)
+        let timers = [self.members.deadline(), self.table.next_expiry()]
+            .into_iter()
+            .flatten();
+        timers.fold(
+            self.next_gossip
+                .min(self.next_anti_entropy)
+                .min(self.next_announce),
+            f64::min,
+        )
     }
 
     /// Does what is due at this time. `listed` is how many servers this node knows.
--- a/crates/fleet/src/fleet/publish.rs
+++ b/crates/fleet/src/fleet/publish.rs
@@ -16,7 +16,10 @@
 impl Fleet {
     fn next_version(&mut self) -> Version {
         self.versions += 1;
-        Version { incarnation: self.members.me().incarnation, n: self.versions }
+        Version {
+            incarnation: self.members.me().incarnation,
+            n: self.versions,
+        }
     }
 
     fn publish(&mut self, now: Time, key: Key, value: Value, ttl: Time) -> bool {
@@ -30,7 +33,16 @@
         }
         let version = self.next_version();
         let age_us = (age * MICROS_PER_SECOND).ceil() as u64;
-        self.merge_own(now, Entry { key, version, value, ttl_ms: millis(ttl), age_us })
+        self.merge_own(
+            now,
+            Entry {
+                key,
+                version,
+                value,
+                ttl_ms: millis(ttl),
+                age_us,
+            },
+        )
     }
 
     fn merge_own(&mut self, now: Time, entry: Entry) -> bool {
@@ -62,15 +74,20 @@
         let (table, members) = (&self.table, &self.members);
         let (nodes, witnesses) = (members.count() + 1, self.config.quorum.witnesses);
         let is_accused = |server: &ServerInstance| {
-            let is_fault = |value: &Value| matches!(value, Value::Report(r) if r.finding.is_fault());
+            let is_fault =
+                |value: &Value| matches!(value, Value::Report(r) if r.finding.is_fault());
             let reports = super::query::reports_on(table, server, now);
             let accusers = reports.filter(|(_, _, held)| is_fault(&held.value)).count();
-            accusers + 1 >= witnesses && quorum::reports_healthy(server, &members.me().name, nodes, witnesses)
+            accusers + 1 >= witnesses
+                && quorum::reports_healthy(server, &members.me().name, nodes, witnesses)
         };
         let due = self.observer.take_due_reports(now, listed, is_accused);
         let (by, ttl) = (self.members.me().name.clone(), self.config.report_lasts);
         for report in due {
-            let key = Key::Report { server: report.server, by: by.clone() };
+            let key = Key::Report {
+                server: report.server,
+                by: by.clone(),
+            };
             self.publish_aged(now, key, Value::Report(report.report), ttl, report.age);
         }
     }
@@ -80,8 +97,15 @@
     pub fn ban(&mut self, now: Time, server: &str, by: &str, lasts: Option<Time>) -> Option<BanId> {
         self.bans += 1;
         let me = self.members.me();
-        let id = BanId { node: me.name.clone(), incarnation: me.incarnation, number: self.bans };
-        let key = Key::Ban { server: server.to_owned(), id: id.clone() };
+        let id = BanId {
+            node: me.name.clone(),
+            incarnation: me.incarnation,
+            number: self.bans,
+        };
+        let key = Key::Ban {
+            server: server.to_owned(),
+            id: id.clone(),
+        };
         let value = Value::Banned { by: by.to_owned() };
         let ttl = lasts.unwrap_or(MAX_BAN_TTL).min(MAX_BAN_TTL);
         if !self.publish(now, key.clone(), value, ttl) {
@@ -96,15 +120,29 @@
     /// Lifts every ban of a server that this node knows, on all nodes, on behalf of an operator; returns how many there
     /// were.
     pub fn lift(&mut self, now: Time, server: &str, by: &str) -> usize {
-        let known: Vec<(Key, Version)> =
-            self.bans_of(server, now).map(|(key, held)| (key.clone(), held.version)).collect();
+        let known: Vec<(Key, Version)> = self
+            .bans_of(server, now)
+            .map(|(key, held)| (key.clone(), held.version))
+            .collect();
         for (key, version) in &known {
             self.permanent_bans.remove(key);
             // The tombstone takes precedence over any other value of its ban, whatever their versions.
-            let version = Version { n: version.n.saturating_add(1), ..*version };
+            let version = Version {
+                n: version.n.saturating_add(1),
+                ..*version
+            };
             let value = Value::BanLifted { by: by.to_owned() };
             let ttl_ms = millis(MAX_BAN_TTL);
-            self.merge_own(now, Entry { key: key.clone(), version, value, ttl_ms, age_us: 0 });
+            self.merge_own(
+                now,
+                Entry {
+                    key: key.clone(),
+                    version,
+                    value,
+                    ttl_ms,
+                    age_us: 0,
+                },
+            );
         }
         known.len()
     }
@@ -112,22 +150,35 @@
     /// Publishes permanent bans again before they expire, for as long as their node lives.
     pub(super) fn refresh_bans(&mut self, now: Time) {
         let table = &self.table;
-        let is_banned =
-            |key: &Key| table.get(key, now).is_some_and(|held| matches!(held.value, Value::Banned { .. }));
+        let is_banned = |key: &Key| {
+            table
+                .get(key, now)
+                .is_some_and(|held| matches!(held.value, Value::Banned { .. }))
+        };
         self.permanent_bans.retain(is_banned);
-        let is_due =
-            |key: &&Key| table.get(key, now).is_some_and(|held| held.left(now) < MAX_BAN_TTL * REFRESH_BELOW);
+        let is_due = |key: &&Key| {
+            table
+                .get(key, now)
+                .is_some_and(|held| held.left(now) < MAX_BAN_TTL * REFRESH_BELOW)
+        };
         let due: Vec<Key> = self.permanent_bans.iter().filter(is_due).cloned().collect();
         for key in due {
-            let Some(value) = self.table.get(&key, now).map(|held| held.value.clone()) else { continue };
+            let Some(value) = self.table.get(&key, now).map(|held| held.value.clone()) else {
+                continue;
+            };
             self.publish(now, key, value, MAX_BAN_TTL);
         }
     }
 
     /// Tells the others that this node leaves.
     pub fn leave(&mut self, now: Time) {
-        let Node { name, incarnation, .. } = self.members.me().clone();
-        let key = Key::Leaving { node: name, incarnation };
+        let Node {
+            name, incarnation, ..
+        } = self.members.me().clone();
+        let key = Key::Leaving {
+            node: name,
+            incarnation,
+        };
         self.publish(now, key, Value::Leaving, MAX_LEAVING_TTL);
         self.gossip_round(now);
         self.members.leave(now);
@@ -136,10 +187,24 @@
 
     /// Publishes the index of a list that this node has seen.
     pub fn publish_list_index(&mut self, now: Time, list: &str, index: u64) {
-        let key = Key::ListIndex { list: list.to_owned() };
-        let version = Version { incarnation: Incarnation::default(), n: index };
+        let key = Key::ListIndex {
+            list: list.to_owned(),
+        };
+        let version = Version {
+            incarnation: Incarnation::default(),
+            n: index,
+        };
         let ttl_ms = millis(MAX_INDEX_TTL);
-        self.merge_own(now, Entry { key, version, value: Value::ListIndex, ttl_ms, age_us: 0 });
+        self.merge_own(
+            now,
+            Entry {
+                key,
+                version,
+                value: Value::ListIndex,
+                ttl_ms,
+                age_us: 0,
+            },
+        );
     }
 }
 
--- a/crates/fleet/src/fleet/query.rs
+++ b/crates/fleet/src/fleet/query.rs
@@ -34,17 +34,25 @@
 impl Fleet {
     /// The live bans of a server.
     pub(super) fn bans_of<'a>(
-        &'a self, server: &'a str, now: Time,
+        &'a self,
+        server: &'a str,
+        now: Time,
     ) -> impl Iterator<Item = (&'a Key, &'a HeldEntry)> {
         let from = Key::first_ban(server.to_owned());
-        let is_on_server = move |key: &Key| matches!(key, Key::Ban { server: s, .. } if s == server);
-        let all = self.table.live_from(&from, now).take_while(move |(key, _)| is_on_server(key));
+        let is_on_server =
+            move |key: &Key| matches!(key, Key::Ban { server: s, .. } if s == server);
+        let all = self
+            .table
+            .live_from(&from, now)
+            .take_while(move |(key, _)| is_on_server(key));
         all.filter(|(_, held)| matches!(held.value, Value::Banned { .. }))
     }
 
     /// For how many seconds a server is banned, without further calls; `None` if it is not banned.
     pub fn ban_left(&self, server: &str, now: Time) -> Option<Time> {
-        self.bans_of(server, now).map(|(_, held)| held.left(now)).reduce(f64::max)
+        self.bans_of(server, now)
+            .map(|(_, held)| held.left(now))
+            .reduce(f64::max)
     }
 
     /// The banned servers.
@@ -62,14 +70,23 @@
 
     /// The latest index of a list that any node has seen.
     pub fn latest_list_index(&self, list: &str, now: Time) -> Option<u64> {
-        self.table.get(&Key::ListIndex { list: list.to_owned() }, now).map(|held| held.version.n)
+        self.table
+            .get(
+                &Key::ListIndex {
+                    list: list.to_owned(),
+                },
+                now,
+            )
+            .map(|held| held.version.n)
     }
 
     /// The votes on each server that there are reports on, as they count in this node's zone.
     pub fn votes(&self, now: Time) -> BTreeMap<&ServerInstance, Votes> {
         let mut votes: BTreeMap<&ServerInstance, Votes> = BTreeMap::new();
         for (key, held) in self.table.live_from(&Key::first_report(), now) {
-            let (Key::Report { server, by }, Value::Report(report)) = (key, &held.value) else { break };
+            let (Key::Report { server, by }, Value::Report(report)) = (key, &held.value) else {
+                break;
+            };
             let on_server = votes.entry(server).or_default();
             if self.members.contains(by) {
                 on_server.add(report, &self.config.zone, &self.config.quorum);
@@ -111,14 +128,24 @@
             .map(|(_, _, held)| held.left(now))
             .collect();
         left.sort_by(|a, b| b.total_cmp(a));
-        left.get(self.config.quorum.witnesses.saturating_sub(1)).copied().unwrap_or(0.0)
+        left.get(self.config.quorum.witnesses.saturating_sub(1))
+            .copied()
+            .unwrap_or(0.0)
     }
 
     /// The live reports on one server.
-    pub fn reports<'a>(&'a self, server: &'a ServerInstance, now: Time) -> Vec<PublishedReport<'a>> {
+    pub fn reports<'a>(
+        &'a self,
+        server: &'a ServerInstance,
+        now: Time,
+    ) -> Vec<PublishedReport<'a>> {
         let all = reports_on(&self.table, server, now);
         all.filter_map(|(_, by, held)| match &held.value {
-            Value::Report(report) => Some(PublishedReport { by, report, age: held.age(now) }),
+            Value::Report(report) => Some(PublishedReport {
+                by,
+                report,
+                age: held.age(now),
+            }),
             _ => None,
         })
         .collect()
@@ -127,12 +154,19 @@
 
 /// The live reports on one server, with the reporting nodes.
 pub(super) fn reports_on<'a>(
-    table: &'a Table, server: &'a ServerInstance, now: Time,
+    table: &'a Table,
+    server: &'a ServerInstance,
+    now: Time,
 ) -> impl Iterator<Item = (&'a Key, &'a str, &'a HeldEntry)> {
-    let from = Key::Report { server: server.clone(), by: String::new() };
+    let from = Key::Report {
+        server: server.clone(),
+        by: String::new(),
+    };
     let by = move |key: &'a Key| match key {
         Key::Report { server: s, by } if s == server => Some(by.as_str()),
         _ => None,
     };
-    table.live_from(&from, now).map_while(move |(key, held)| Some((key, by(key)?, held)))
+    table
+        .live_from(&from, now)
+        .map_while(move |(key, held)| Some((key, by(key)?, held)))
 }
--- a/crates/fleet/src/fleet/receive.rs
+++ b/crates/fleet/src/fleet/receive.rs
@@ -53,7 +53,10 @@
         if tag == self.members.me().incarnation.tag {
             return Err(DropReason::Own);
         }
-        if !self.clocks.record(now, tag, header.sequence, header.clock_us) {
+        if !self
+            .clocks
+            .record(now, tag, header.sequence, header.clock_us)
+        {
             return Err(DropReason::Duplicate);
         }
         Ok((header, entries))
@@ -129,7 +132,10 @@
     }
 
     pub(super) fn digests(&self) -> Digests {
-        Digests { entries: self.table.digests(), members: self.members.digests() }
+        Digests {
+            entries: self.table.digests(),
+            members: self.members.digests(),
+        }
     }
 
     /// Sends the entries and members in which another node's digests differ; with this node's digests in response to a
@@ -147,7 +153,9 @@
             if header.anti_entropy.is_none() && entries.peek().is_none() {
                 break;
             }
-            let Some(mut writer) = Writer::new(&header) else { return };
+            let Some(mut writer) = Writer::new(&header) else {
+                return;
+            };
             while entries.next_if(|entry| writer.add(entry)).is_some() {}
             self.send(to.address, writer);
         }
@@ -175,7 +183,9 @@
             }
             let mut header = self.header(now, to);
             header.add_members(updates);
-            let Some(writer) = Writer::new(&header) else { return };
+            let Some(writer) = Writer::new(&header) else {
+                return;
+            };
             self.send(to.address, writer);
         }
     }
--- a/crates/fleet/src/freshness.rs
+++ b/crates/fleet/src/freshness.rs
@@ -61,7 +61,11 @@
 impl PeerClocks {
     /// The clocks of at most so many peers; of more, those that were heard first are forgotten.
     pub fn new(max_peers: usize) -> PeerClocks {
-        PeerClocks { peers: HashMap::new(), order: VecDeque::new(), max_peers: max_peers.max(1) }
+        PeerClocks {
+            peers: HashMap::new(),
+            order: VecDeque::new(),
+            max_peers: max_peers.max(1),
+        }
     }
 
     /// Records a datagram's sequence number and clock; returns whether the datagram is new.
@@ -70,17 +74,31 @@
     /// its writer is lost, as datagrams may be.
     pub fn record(&mut self, now: Time, tag: u64, sequence: u64, clock_us: u64) -> bool {
         let Some(peer) = self.peers.get_mut(&tag) else {
-            self.insert(tag, PeerClock { clock_us, heard_at: now, last_sequence: sequence, window: 1 });
+            self.insert(
+                tag,
+                PeerClock {
+                    clock_us,
+                    heard_at: now,
+                    last_sequence: sequence,
+                    window: 1,
+                },
+            );
             return true;
         };
         if sequence > peer.last_sequence {
             let shift = sequence - peer.last_sequence;
-            peer.window = if shift < REPLAY_WINDOW { peer.window << shift } else { 0 } | 1;
+            peer.window = if shift < REPLAY_WINDOW {
+                peer.window << shift
+            } else {
+                0
+            } | 1;
             (peer.last_sequence, peer.clock_us, peer.heard_at) = (sequence, clock_us, now);
             return true;
         }
         let back = peer.last_sequence - sequence;
-        let bit = 1u64.checked_shl(u32::try_from(back).unwrap_or(u32::MAX)).unwrap_or(0);
+        let bit = 1u64
+            .checked_shl(u32::try_from(back).unwrap_or(u32::MAX))
+            .unwrap_or(0);
         let is_new = bit != 0 && peer.window & bit == 0;
         peer.window |= bit;
         is_new
@@ -88,7 +106,9 @@
 
     fn insert(&mut self, tag: u64, peer: PeerClock) {
         if self.order.len() >= self.max_peers {
-            self.order.pop_front().and_then(|oldest| self.peers.remove(&oldest));
+            self.order
+                .pop_front()
+                .and_then(|oldest| self.peers.remove(&oldest));
         }
         self.order.push_back(tag);
         self.peers.insert(tag, peer);
@@ -99,6 +119,9 @@
         let peer = self.peers.get(&tag)?;
         let held = now - peer.heard_at;
         let held_us = (held.max(0.0) * MICROS_PER_SECOND) as u64;
-        (held <= MAX_ECHO_AGE).then_some(ClockEcho { clock_us: peer.clock_us, held_us })
+        (held <= MAX_ECHO_AGE).then_some(ClockEcho {
+            clock_us: peer.clock_us,
+            held_us,
+        })
     }
 }
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -19,8 +19,8 @@
 use crate::wire::{MemberState, MemberUpdate, MAX_SWIM_LEN, MEMBER_PARTITIONS};
 use crate::{Time, MICROS_PER_SECOND};
 use foca::{
-    Config, Foca, Member, NoCustomBroadcast, Notification, PeriodicParams, PostcardCodec, Runtime, State,
-    Timer,
+    Config, Foca, Member, NoCustomBroadcast, Notification, PeriodicParams, PostcardCodec, Runtime,
+    State, Timer,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -84,7 +84,10 @@
         let seconds = Duration::from_secs_f64;
         let nonzero = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
         let periodic = |interval: Time, n: usize| {
-            Some(PeriodicParams { frequency: seconds(interval), num_members: nonzero(n) })
+            Some(PeriodicParams {
+                frequency: seconds(interval),
+                num_members: nonzero(n),
+            })
         };
         let transmissions = max_transmissions(self.size as usize) as u8;
         Config {
@@ -108,7 +111,10 @@
 fn partition(incarnation: &Incarnation) -> (usize, u32) {
     let mixed = (incarnation.tag ^ incarnation.number.wrapping_mul(0x9e37_79b9_7f4a_7c15))
         .wrapping_mul(0xd6e8_feb8_6659_fd93);
-    ((mixed >> 61) as usize % MEMBER_PARTITIONS, (mixed >> 16) as u32)
+    (
+        (mixed >> 61) as usize % MEMBER_PARTITIONS,
+        (mixed >> 16) as u32,
+    )
 }
 
 fn to_update(member: &Member<Node>) -> MemberUpdate {
@@ -117,7 +123,11 @@
         State::Suspect => MemberState::Suspected,
         State::Down => MemberState::Dead,
     };
-    MemberUpdate { node: member.id().clone(), swim_incarnation: member.incarnation(), state }
+    MemberUpdate {
+        node: member.id().clone(),
+        swim_incarnation: member.incarnation(),
+        state,
+    }
 }
 
 fn to_member(update: &MemberUpdate) -> Member<Node> {
@@ -156,12 +166,16 @@
     fn notify(&mut self, notification: Notification<'_, Node>) {
         match notification {
             Notification::MemberUp(node) => self.events.push((MemberEvent::Up(node.clone()), None)),
-            Notification::MemberDown(node) => self.events.push((MemberEvent::Down(node.clone()), None)),
+            Notification::MemberDown(node) => {
+                self.events.push((MemberEvent::Down(node.clone()), None))
+            }
             Notification::Rename(old, new) => {
-                self.events.push((MemberEvent::Down(old.clone()), Some(new.clone())));
+                self.events
+                    .push((MemberEvent::Down(old.clone()), Some(new.clone())));
             }
             Notification::Rejoin(node) => {
-                self.events.push((MemberEvent::Rejoined(node.incarnation), None));
+                self.events
+                    .push((MemberEvent::Rejoined(node.incarnation), None));
             }
             Notification::ProbeFailed(..) => self.failed_probes += 1,
             Notification::DataSent(header) => self.swim_incarnation = header.src_incarnation,
@@ -264,7 +278,11 @@
 
     /// Asks a node that may be a member to let this one join.
     pub fn announce(&mut self, now: Time, to: SocketAddr) {
-        let to = Node { name: String::new(), address: to, incarnation: Incarnation::default() };
+        let to = Node {
+            name: String::new(),
+            address: to,
+            incarnation: Incarnation::default(),
+        };
         // What can't be encoded or sent is as good as lost; the next one may not be.
         let _ = self.library.announce(to, &mut self.output);
         self.process_output(now);
@@ -300,21 +318,31 @@
             let (partition, _) = partition(&node.incarnation);
             mine[partition] != digests[partition] && node != from
         };
-        self.library.iter_members().filter(|m| differs(m.id())).map(to_update).collect()
+        self.library
+            .iter_members()
+            .filter(|m| differs(m.id()))
+            .map(to_update)
+            .collect()
     }
 
     /// Applies the member updates of another node. Returns those members of which it does not know that they are dead: the
     /// end of an incarnation is final, and whoever missed it would hold on to the member until its own probe.
     pub fn apply_updates(&mut self, now: Time, updates: &[MemberUpdate]) -> Vec<MemberUpdate> {
-        let is_known =
-            |update: &&MemberUpdate| self.by_tag.get(&update.node.incarnation.tag) == Some(&update.node);
+        let is_known = |update: &&MemberUpdate| {
+            self.by_tag.get(&update.node.incarnation.tag) == Some(&update.node)
+        };
         let unknown: HashSet<&Node> = updates
             .iter()
             .filter(|update| update.state != MemberState::Dead && !is_known(update))
             .map(|update| &update.node)
             .collect();
         let is_dead = |m: &&Member<Node>| m.state() == State::Down && unknown.contains(m.id());
-        let dead = self.library.iter_membership_state().filter(is_dead).map(to_update).collect();
+        let dead = self
+            .library
+            .iter_membership_state()
+            .filter(is_dead)
+            .map(to_update)
+            .collect();
         // They are not forwarded from here: whoever misses one compares.
         let members = updates.iter().map(to_member);
         let _ = self.library.apply_many(members, false, &mut self.output);
@@ -324,8 +352,15 @@
 
     /// Changes the incarnation of this node.
     pub fn change_incarnation(&mut self, now: Time, incarnation: Incarnation) {
-        let me = Node { incarnation, ..self.me.clone() };
-        if self.library.change_identity(me.clone(), &mut self.output).is_ok() {
+        let me = Node {
+            incarnation,
+            ..self.me.clone()
+        };
+        if self
+            .library
+            .change_identity(me.clone(), &mut self.output)
+            .is_ok()
+        {
             self.me = me;
         }
         self.process_output(now);
@@ -340,8 +375,15 @@
     /// When [`Members::tick`] has something to do.
     pub fn deadline(&self) -> Option<Time> {
         let timer = self.timers.first_key_value().map(|((due, _), _)| *due);
-        let notice = self.suspicion_notices.first_key_value().map(|((due, _), _)| *due);
-        [timer, notice].into_iter().flatten().min().map(|due| due as f64 / MICROS_PER_SECOND)
+        let notice = self
+            .suspicion_notices
+            .first_key_value()
+            .map(|((due, _), _)| *due);
+        [timer, notice]
+            .into_iter()
+            .flatten()
+            .min()
+            .map(|due| due as f64 / MICROS_PER_SECOND)
     }
 
     /// Does what is due at this time.
@@ -392,7 +434,14 @@
 
     /// Schedules the notices to a suspected member, evenly over the time that it has to refute.
     fn schedule_notices(&mut self, now: Time, timer: &Timer<Node>, time: Time) {
-        let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer else { return };
+        let Timer::ChangeSuspectToDown {
+            member_id,
+            incarnation,
+            ..
+        } = timer
+        else {
+            return;
+        };
         for n in 0..SUSPICION_NOTICES {
             self.next_number += 1;
             let due = now + time * f64::from(n) / f64::from(SUSPICION_NOTICES);
@@ -401,7 +450,8 @@
                 swim_incarnation: *incarnation,
                 state: MemberState::Suspected,
             };
-            self.suspicion_notices.insert(((due * MICROS_PER_SECOND) as u64, self.next_number), notice);
+            self.suspicion_notices
+                .insert(((due * MICROS_PER_SECOND) as u64, self.next_number), notice);
         }
     }
 
@@ -436,9 +486,15 @@
     fn set_timer(&mut self, now: Time, timer: Timer<Node>, after: Duration) {
         let is_stretched = matches!(
             timer,
-            Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. } | Timer::ChangeSuspectToDown { .. }
+            Timer::ProbeRandomMember(_)
+                | Timer::SendIndirectProbe { .. }
+                | Timer::ChangeSuspectToDown { .. }
         );
-        let factor = if is_stretched { f64::from(1 + self.health_score) } else { 1.0 };
+        let factor = if is_stretched {
+            f64::from(1 + self.health_score)
+        } else {
+            1.0
+        };
         let time = after.as_secs_f64() * factor;
         let due = ((now + time) * MICROS_PER_SECOND) as u64;
         self.schedule_notices(now, &timer, time);
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -11,7 +11,9 @@
 ///
 /// It does not depend on a clock. A process begins with the first number and learns from the others which one its name had
 /// last; it goes on from there. The tag tells processes apart that have the same name at the same time.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Incarnation {
     /// Counts the incarnations of the name; a later one takes precedence over an earlier one.
     pub number: u64,
@@ -36,7 +38,13 @@
     /// A node that was declared dead rejoins as a later incarnation.
     fn renew(&self) -> Option<Self> {
         let number = self.incarnation.number.checked_add(1)?;
-        Some(Node { incarnation: Incarnation { number, ..self.incarnation }, ..self.clone() })
+        Some(Node {
+            incarnation: Incarnation {
+                number,
+                ..self.incarnation
+            },
+            ..self.clone()
+        })
     }
 
     fn addr(&self) -> SocketAddr {
--- a/crates/fleet/src/observer.rs
+++ b/crates/fleet/src/observer.rs
@@ -59,7 +59,10 @@
 
     /// Whether one such outcome is conclusive.
     fn is_conclusive(self) -> bool {
-        matches!(self, AttemptOutcome::Unreachable | AttemptOutcome::TimedOut | AttemptOutcome::ServerError)
+        matches!(
+            self,
+            AttemptOutcome::Unreachable | AttemptOutcome::TimedOut | AttemptOutcome::ServerError
+        )
     }
 
     /// Whether the server answered anything, be it that it fails.
@@ -140,33 +143,57 @@
         }
         let good = self.answered();
         let bad = self.outcomes.len() - good + self.overdue;
-        Some(Assessment { finding: Finding::Silent, bad, good, is_provisional: true })
+        Some(Assessment {
+            finding: Finding::Silent,
+            bad,
+            good,
+            is_provisional: true,
+        })
     }
 
     /// Assesses the attempts that have ended.
     fn assess_ended(&self) -> Option<Assessment> {
         let good = self.answered();
         let bad = self.outcomes.len() - good;
-        let assessment = |finding| Assessment { finding, bad, good, is_provisional: false };
+        let assessment = |finding| Assessment {
+            finding,
+            bad,
+            good,
+            is_provisional: false,
+        };
         let latest = || self.outcomes.iter().rev().map(|(_, outcome)| *outcome);
-        let answers = latest().take_while(|outcome| *outcome == AttemptOutcome::Answered).count();
+        let answers = latest()
+            .take_while(|outcome| *outcome == AttemptOutcome::Answered)
+            .count();
         if answers > 0 {
             return (answers >= MIN_EVIDENCE).then_some(assessment(Finding::Well));
         }
         let failures = latest().take_while(|outcome| *outcome != AttemptOutcome::Answered);
         let worst = failures.clone().max()?;
-        let needed = if worst == AttemptOutcome::AnsweredLate { MIN_LATE_ANSWERS } else { MIN_EVIDENCE };
+        let needed = if worst == AttemptOutcome::AnsweredLate {
+            MIN_LATE_ANSWERS
+        } else {
+            MIN_EVIDENCE
+        };
         let is_enough = worst.is_conclusive() || failures.count() >= needed;
         is_enough.then_some(assessment(worst.finding()))
     }
 
     fn answered(&self) -> usize {
-        self.outcomes.iter().filter(|(_, outcome)| *outcome == AttemptOutcome::Answered).count()
+        self.outcomes
+            .iter()
+            .filter(|(_, outcome)| *outcome == AttemptOutcome::Answered)
+            .count()
     }
 
     /// Withdraws a provisional report whose attempts were answered.
     fn withdrawal(&self) -> Option<Assessment> {
-        let withdrawal = Assessment { finding: Finding::Unclear, bad: 0, good: 0, is_provisional: false };
+        let withdrawal = Assessment {
+            finding: Finding::Unclear,
+            bad: 0,
+            good: 0,
+            is_provisional: false,
+        };
         self.is_provisional().then_some(withdrawal)
     }
 
@@ -179,7 +206,8 @@
     /// evidence.
     fn is_due(&self, assessment: Assessment, now: Time, ttl: Time) -> bool {
         self.last_report.is_none_or(|last| {
-            let has_fresh_evidence = now - last.at > ttl / RENEWALS_PER_TTL && self.last_evidence() > last.at;
+            let has_fresh_evidence =
+                now - last.at > ttl / RENEWALS_PER_TTL && self.last_evidence() > last.at;
             last.finding != assessment.finding || has_fresh_evidence
         })
     }
@@ -195,7 +223,11 @@
     }
 
     fn forget_old(&mut self, now: Time) {
-        while self.outcomes.front().is_some_and(|(at, _)| now - at > WINDOW) {
+        while self
+            .outcomes
+            .front()
+            .is_some_and(|(at, _)| now - at > WINDOW)
+        {
             self.outcomes.pop_front();
         }
     }
@@ -212,7 +244,11 @@
 impl Observer {
     /// An observer in a zone, whose reports live for so long, in seconds.
     pub fn new(zone: String, report_ttl: Time) -> Observer {
-        Observer { servers: BTreeMap::new(), zone, report_ttl }
+        Observer {
+            servers: BTreeMap::new(),
+            zone,
+            report_ttl,
+        }
     }
 
     /// The observations of a server. A new server has to wait until another one is forgotten: nobody can push out what is
@@ -229,7 +265,9 @@
 
     /// Records the outcome of an attempt.
     pub fn record_outcome(&mut self, now: Time, server: &ServerInstance, outcome: AttemptOutcome) {
-        let Some(observations) = self.observations(server) else { return };
+        let Some(observations) = self.observations(server) else {
+            return;
+        };
         if outcome.is_heard() {
             observations.heard_at = now;
         }
@@ -243,11 +281,20 @@
     ///
     /// One that was sent before the server last answered tells nothing: the server is there, and serves others first.
     pub fn set_overdue(&mut self, attempts: &[OverdueAttempt]) -> bool {
-        self.servers.values_mut().for_each(|observations| observations.overdue = 0);
+        self.servers
+            .values_mut()
+            .for_each(|observations| observations.overdue = 0);
         let mut is_new = false;
-        for OverdueAttempt { server, since, late_from } in attempts {
+        for OverdueAttempt {
+            server,
+            since,
+            late_from,
+        } in attempts
+        {
             let observations = self.observations(server).filter(|o| o.heard_at <= *since);
-            let Some(observations) = observations else { continue };
+            let Some(observations) = observations else {
+                continue;
+            };
             observations.overdue += 1;
             is_new |= *late_from > observations.overdue_from;
             observations.overdue_from = observations.overdue_from.max(*late_from);
@@ -258,22 +305,38 @@
     /// Takes the reports that are due. `listed` is how many servers the node knows; `is_accused` says whether others report
     /// a fault of a server, for only then it matters to them that it is healthy.
     pub fn take_due_reports(
-        &mut self, now: Time, listed: usize, mut is_accused: impl FnMut(&ServerInstance) -> bool,
+        &mut self,
+        now: Time,
+        listed: usize,
+        mut is_accused: impl FnMut(&ServerInstance) -> bool,
     ) -> Vec<DueReport> {
         self.forget_old(now);
         let (faults, ttl) = (self.count_faults(), self.report_ttl);
         let mut due = Vec::new();
         for (server, observations) in &mut self.servers {
             let assessment = observations.assess().or_else(|| observations.withdrawal());
-            let Some(assessment) = assessment else { continue };
+            let Some(assessment) = assessment else {
+                continue;
+            };
             let matters = assessment.finding != Finding::Well
-                || observations.last_report.is_some_and(|last| last.finding != Finding::Well)
+                || observations
+                    .last_report
+                    .is_some_and(|last| last.finding != Finding::Well)
                 || is_accused(server);
             if !observations.is_due(assessment, now, ttl) || !matters {
                 continue;
             }
-            let Assessment { finding, bad, good, is_provisional } = assessment;
-            observations.last_report = Some(LastReport { finding, at: now, is_provisional });
+            let Assessment {
+                finding,
+                bad,
+                good,
+                is_provisional,
+            } = assessment;
+            observations.last_report = Some(LastReport {
+                finding,
+                at: now,
+                is_provisional,
+            });
             let report = Report {
                 finding,
                 bad: saturate(bad),
@@ -287,7 +350,11 @@
                 Finding::Unclear => 0.0,
                 _ => (now - observations.last_evidence()).clamp(0.0, ttl),
             };
-            due.push(DueReport { server: server.clone(), report, age });
+            due.push(DueReport {
+                server: server.clone(),
+                report,
+                age,
+            });
         }
         due
     }
@@ -295,7 +362,9 @@
     fn forget_old(&mut self, now: Time) {
         self.servers.retain(|_, observations| {
             observations.forget_old(now);
-            !observations.outcomes.is_empty() || observations.overdue > 0 || observations.is_provisional()
+            !observations.outcomes.is_empty()
+                || observations.overdue > 0
+                || observations.is_provisional()
         });
     }
 
--- a/crates/fleet/src/quorum.rs
+++ b/crates/fleet/src/quorum.rs
@@ -37,7 +37,11 @@
 
 impl Default for Quorum {
     fn default() -> Self {
-        Quorum { witnesses: 3, most: 0.2, believed: 0.3 }
+        Quorum {
+            witnesses: 3,
+            most: 0.2,
+            believed: 0.3,
+        }
     }
 }
 
@@ -81,25 +85,34 @@
 
     /// By how many votes the server is condemned; `None` if it is not.
     pub fn majority(&self, quorum: &Quorum) -> Option<usize> {
-        let majority = |bad: usize, good: usize| (bad >= quorum.witnesses && bad > good).then(|| bad - good);
+        let majority =
+            |bad: usize, good: usize| (bad >= quorum.witnesses && bad > good).then(|| bad - good);
         majority(self.failed, self.healthy).max(majority(self.unreachable, self.healthy_in_zone))
     }
 }
 
 /// The condemned servers of a list of so many, by the votes on each.
 pub fn condemned<'a>(
-    votes: impl Iterator<Item = (&'a ServerInstance, Votes)>, listed: usize, quorum: &Quorum,
+    votes: impl Iterator<Item = (&'a ServerInstance, Votes)>,
+    listed: usize,
+    quorum: &Quorum,
 ) -> BTreeMap<&'a ServerInstance, Votes> {
-    let mut by_majority: Vec<_> =
-        votes.filter_map(|(server, v)| Some((v.majority(quorum)?, server, v))).collect();
+    let mut by_majority: Vec<_> = votes
+        .filter_map(|(server, v)| Some((v.majority(quorum)?, server, v)))
+        .collect();
     // Guards against servers that alternate: where more fail than may be condemned, each report moved the count of one past
     // another's, and each change sends requests to one that fails. Harm: of two that surely fail the worse may stay in.
     let conclusive = CONCLUSIVE_QUORUMS * quorum.witnesses;
-    by_majority.iter_mut().for_each(|(majority, ..)| *majority = (*majority).min(conclusive));
+    by_majority
+        .iter_mut()
+        .for_each(|(majority, ..)| *majority = (*majority).min(conclusive));
     // Of equal majorities the first by name, so that nodes with the same reports condemn the same servers.
     by_majority.sort_by(|a, b| b.0.cmp(&a.0).then_with(|| a.1.cmp(b.1)));
     by_majority.truncate(((quorum.most * listed as f64) as usize).max(1));
-    by_majority.into_iter().map(|(_, server, v)| (server, v)).collect()
+    by_majority
+        .into_iter()
+        .map(|(_, server, v)| (server, v))
+        .collect()
 }
 
 /// Whether a node reports that a server is healthy when that is nearly condemned: some of the nodes, the same for as long
@@ -107,7 +120,12 @@
 ///
 /// Guards the fleet against as many reports for a server as there are nodes, each time that it fails three of them. Harm:
 /// where those that would report have sent it nothing lately, nobody does.
-pub fn reports_healthy(server: &ServerInstance, node: &str, nodes: usize, witnesses: usize) -> bool {
+pub fn reports_healthy(
+    server: &ServerInstance,
+    node: &str,
+    nodes: usize,
+    witnesses: usize,
+) -> bool {
     let rank = shared_random(0, server, node) % (nodes.max(1) as u64);
     rank < (HEALTHY_REPORTERS * witnesses) as u64
 }
@@ -124,6 +142,17 @@
 /// A pseudorandom number that is the same on all nodes.
 fn shared_random(turn: u64, server: &ServerInstance, node: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
-    hasher.update(&turn.to_le_bytes()).update(server.name.as_bytes()).update(&[0]).update(node.as_bytes());
-    u64::from_le_bytes(hasher.finalize().as_bytes().first_chunk().copied().unwrap_or_default())
+    hasher
+        .update(&turn.to_le_bytes())
+        .update(server.name.as_bytes())
+        .update(&[0])
+        .update(node.as_bytes());
+    u64::from_le_bytes(
+        hasher
+            .finalize()
+            .as_bytes()
+            .first_chunk()
+            .copied()
+            .unwrap_or_default(),
+    )
 }
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -72,11 +72,22 @@
     fn entry(&self, key: &Key, now: Time) -> Entry {
         let age_us = (self.age(now) * MICROS_PER_SECOND).ceil() as u64;
         let (version, value) = (self.version, self.value.clone());
-        Entry { key: key.clone(), version, value, ttl_ms: self.ttl_ms, age_us }
+        Entry {
+            key: key.clone(),
+            version,
+            value,
+            ttl_ms: self.ttl_ms,
+            age_us,
+        }
     }
 
     fn precedence(&self) -> (bool, Version, &Value, u32) {
-        (matches!(self.value, Value::BanLifted { .. }), self.version, &self.value, self.ttl_ms)
+        (
+            matches!(self.value, Value::BanLifted { .. }),
+            self.version,
+            &self.value,
+            self.ttl_ms,
+        )
     }
 
     /// When it expires, in whole microseconds, rounded up.
@@ -113,7 +124,13 @@
 
 fn partition(key: &Key) -> usize {
     let bytes = postcard::to_stdvec(key).unwrap_or_default();
-    usize::from(blake3::hash(&bytes).as_bytes().first().copied().unwrap_or_default()) % PARTITIONS
+    usize::from(
+        blake3::hash(&bytes)
+            .as_bytes()
+            .first()
+            .copied()
+            .unwrap_or_default(),
+    ) % PARTITIONS
 }
 
 impl Table {
@@ -145,12 +162,16 @@
 
     /// The same entry came by a faster path: its age is known better.
     fn reduce_age(&mut self, now: Time, entry: &Entry) {
-        let Some(held) = self.entries.get(&entry.key) else { return };
+        let Some(held) = self.entries.get(&entry.key) else {
+            return;
+        };
         if entry.age() < held.age(now) {
             let mut held = held.clone();
-            self.expiries.remove(&(held.expires_at_us(), entry.key.clone()));
+            self.expiries
+                .remove(&(held.expires_at_us(), entry.key.clone()));
             (held.received_age, held.received_at) = (entry.age(), now);
-            self.expiries.insert((held.expires_at_us(), entry.key.clone()));
+            self.expiries
+                .insert((held.expires_at_us(), entry.key.clone()));
             self.entries.insert(entry.key.clone(), held);
         }
     }
@@ -158,7 +179,11 @@
     /// Makes room for a new entry; returns whether there is any. A report gives way to a manual entry.
     fn make_room(&mut self, entry: &Entry) -> bool {
         if let Key::Report { by, .. } = &entry.key {
-            if self.reports.get(by).is_some_and(|n| *n >= MAX_REPORTS_PER_NODE) {
+            if self
+                .reports
+                .get(by)
+                .is_some_and(|n| *n >= MAX_REPORTS_PER_NODE)
+            {
                 return false;
             }
         }
@@ -178,9 +203,22 @@
 
     fn insert(&mut self, now: Time, entry: Entry) {
         let (digest, received_age) = (digest(&entry), entry.age());
-        let Entry { key, version, value, ttl_ms, .. } = entry;
-        let held =
-            HeldEntry { version, value, ttl_ms, received_age, received_at: now, transmissions: 0, digest };
+        let Entry {
+            key,
+            version,
+            value,
+            ttl_ms,
+            ..
+        } = entry;
+        let held = HeldEntry {
+            version,
+            value,
+            ttl_ms,
+            received_age,
+            received_at: now,
+            transmissions: 0,
+            digest,
+        };
         if let Key::Report { by, .. } = &key {
             *self.reports.entry(by.clone()).or_default() += 1;
         }
@@ -191,7 +229,9 @@
     }
 
     fn remove(&mut self, key: &Key) {
-        let Some(held) = self.entries.remove(key) else { return };
+        let Some(held) = self.entries.remove(key) else {
+            return;
+        };
         if let Key::Report { by, .. } = key {
             self.forget_report(by);
         }
@@ -214,7 +254,9 @@
     pub fn expire(&mut self, now: Time) {
         let now_us = (now * MICROS_PER_SECOND) as u64;
         while self.expiries.first().is_some_and(|(at, _)| *at <= now_us) {
-            let Some((_, key)) = self.expiries.pop_first() else { break };
+            let Some((_, key)) = self.expiries.pop_first() else {
+                break;
+            };
             self.remove(&key);
             self.expired.push(key);
         }
@@ -227,17 +269,27 @@
 
     /// When the next entry expires.
     pub fn next_expiry(&self) -> Option<Time> {
-        self.expiries.first().map(|(at, _)| *at as f64 / MICROS_PER_SECOND)
+        self.expiries
+            .first()
+            .map(|(at, _)| *at as f64 / MICROS_PER_SECOND)
     }
 
     /// The live entries.
     pub fn live(&self, now: Time) -> impl Iterator<Item = (&Key, &HeldEntry)> {
-        self.entries.iter().filter(move |(_, held)| held.is_live(now))
+        self.entries
+            .iter()
+            .filter(move |(_, held)| held.is_live(now))
     }
 
     /// The live entries from this key on.
-    pub fn live_from<'a>(&'a self, from: &Key, now: Time) -> impl Iterator<Item = (&'a Key, &'a HeldEntry)> {
-        self.entries.range(from.clone()..).filter(move |(_, held)| held.is_live(now))
+    pub fn live_from<'a>(
+        &'a self,
+        from: &Key,
+        now: Time,
+    ) -> impl Iterator<Item = (&'a Key, &'a HeldEntry)> {
+        self.entries
+            .range(from.clone()..)
+            .filter(move |(_, held)| held.is_live(now))
     }
 
     /// The entry of a key, if it is live.
@@ -257,16 +309,25 @@
 
     /// Whether an entry has been sent less often than this.
     pub fn has_pending(&self, max_transmissions: u32) -> bool {
-        self.pending.first().is_some_and(|(transmissions, _)| *transmissions < max_transmissions)
+        self.pending
+            .first()
+            .is_some_and(|(transmissions, _)| *transmissions < max_transmissions)
     }
 
     /// Offers the pending entries to a datagram, the least often sent first. `add` returns whether one fits; it counts as
     /// sent then.
-    pub fn gossip(&mut self, now: Time, max_transmissions: u32, mut add: impl FnMut(&Entry) -> bool) {
+    pub fn gossip(
+        &mut self,
+        now: Time,
+        max_transmissions: u32,
+        mut add: impl FnMut(&Entry) -> bool,
+    ) {
         self.expire(now);
         let mut sent = Vec::new();
         for (transmissions, key) in self.pending.range(..(max_transmissions, Key::first())) {
-            let Some(held) = self.entries.get(key) else { continue };
+            let Some(held) = self.entries.get(key) else {
+                continue;
+            };
             if !add(&held.entry(key, now)) {
                 break;
             }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -47,11 +47,17 @@
     /// If they are too few to be a secret.
     pub fn new(file: &[u8], fleet: &str) -> Result<Secret, String> {
         if file.len() < MIN_KEY_FILE_LEN {
-            return Err(format!("the key has {} bytes, {MIN_KEY_FILE_LEN} at least", file.len()));
+            return Err(format!(
+                "the key has {} bytes, {MIN_KEY_FILE_LEN} at least",
+                file.len()
+            ));
         }
         let mut hasher = blake3::Hasher::new_derive_key("reelfall fleet datagrams, version 1");
         // The length separates the name from the key: no two pairs of them have the same concatenation.
-        hasher.update(&(fleet.len() as u64).to_le_bytes()).update(fleet.as_bytes()).update(file);
+        hasher
+            .update(&(fleet.len() as u64).to_le_bytes())
+            .update(fleet.as_bytes())
+            .update(file);
         Ok(Secret(*hasher.finalize().as_bytes()))
     }
 
@@ -128,9 +134,11 @@
 impl Header {
     /// Moves members from the end of a list into the datagram, as many as fit.
     pub fn add_members(&mut self, updates: &mut Vec<MemberUpdate>) {
-        let encoded_len =
-            |header: &Header| postcard::to_stdvec(header).map_or(MAX_DATAGRAM_LEN, |bytes| bytes.len());
-        let mut left = MAX_DATAGRAM_LEN.saturating_sub(PREFIX_LEN + MAX_COUNT_LEN + encoded_len(self));
+        let encoded_len = |header: &Header| {
+            postcard::to_stdvec(header).map_or(MAX_DATAGRAM_LEN, |bytes| bytes.len())
+        };
+        let mut left =
+            MAX_DATAGRAM_LEN.saturating_sub(PREFIX_LEN + MAX_COUNT_LEN + encoded_len(self));
         while let Some(update) = updates.last() {
             let needed = postcard::to_stdvec(update).map_or(MAX_DATAGRAM_LEN, |bytes| bytes.len());
             if needed > left {
@@ -191,7 +199,9 @@
 
     /// Adds an entry; returns whether it fits.
     pub fn add(&mut self, entry: &Entry) -> bool {
-        let Ok(more) = postcard::to_stdvec(entry) else { return false };
+        let Ok(more) = postcard::to_stdvec(entry) else {
+            return false;
+        };
         let fits = self.bytes.len() + more.len() <= MAX_DATAGRAM_LEN;
         if fits {
             self.bytes.extend_from_slice(&more);
@@ -216,7 +226,12 @@
     let body = authenticate(secret, datagram, GOSSIP_MAGIC)?;
     let (header, mut rest): (Header, &[u8]) =
         postcard::take_from_bytes(body).map_err(|_| DropReason::Malformed)?;
-    if !has_valid_name(&header.from) || !header.members.iter().all(|update| has_valid_name(&update.node)) {
+    if !has_valid_name(&header.from)
+        || !header
+            .members
+            .iter()
+            .all(|update| has_valid_name(&update.node))
+    {
         return Err(DropReason::Malformed);
     }
     let mut entries = Vec::new();
@@ -233,7 +248,11 @@
 }
 
 /// The body of a datagram, once it is known to be written with the key.
-fn authenticate<'a>(secret: &Secret, datagram: &'a [u8], magic: [u8; 2]) -> Result<&'a [u8], DropReason> {
+fn authenticate<'a>(
+    secret: &Secret,
+    datagram: &'a [u8],
+    magic: [u8; 2],
+) -> Result<&'a [u8], DropReason> {
     if datagram.len() > MAX_DATAGRAM_LEN {
         return Err(DropReason::TooLong);
     }
