--- a/crates/fleet/tests/explore.rs
+++ b/crates/fleet/tests/explore.rs
@@ -66,22 +66,54 @@
 fn entry(lifted: bool, call: u32, n: u64, age_us: u64) -> Entry {
     let incarnation = Incarnation { number: 1, tag: 7 };
     let by = "ada".to_owned();
-    let value = if lifted { Value::BanLifted { by } } else { Value::Banned { by } };
-    let id = BanId { node: "a".to_owned(), incarnation, number: call };
+    let value = if lifted {
+        Value::BanLifted { by }
+    } else {
+        Value::Banned { by }
+    };
+    let id = BanId {
+        node: "a".to_owned(),
+        incarnation,
+        number: call,
+    };
     // A lift outlives what it lifts by far.
-    let ttl_ms = if lifted { 600_000 } else { u32::from(LASTS) * 1000 };
-    let key = Key::Ban { server: "s".to_owned(), id };
-    Entry { key, version: Version { incarnation, n }, value, ttl_ms, age_us }
+    let ttl_ms = if lifted {
+        600_000
+    } else {
+        u32::from(LASTS) * 1000
+    };
+    let key = Key::Ban {
+        server: "s".to_owned(),
+        id,
+    };
+    Entry {
+        key,
+        version: Version { incarnation, n },
+        value,
+        ttl_ms,
+        age_us,
+    }
 }
 
 fn form(key: &Key, held: &HeldEntry) -> (bool, u32, u64) {
-    let number = if let Key::Ban { id, .. } = key { id.number } else { 0 };
-    (matches!(held.value, Value::BanLifted { .. }), number, held.version.n)
+    let number = if let Key::Ban { id, .. } = key {
+        id.number
+    } else {
+        0
+    };
+    (
+        matches!(held.value, Value::BanLifted { .. }),
+        number,
+        held.version.n,
+    )
 }
 
 impl Node {
     fn received(&self) -> Vec<ReceivedEntry> {
-        self.holds.iter().map(|(l, c, n, age, came)| (entry(*l, *c, *n, *age), *came)).collect()
+        self.holds
+            .iter()
+            .map(|(l, c, n, age, came)| (entry(*l, *c, *n, *age), *came))
+            .collect()
     }
 
     fn table(&self) -> Table {
@@ -119,7 +151,10 @@
 
     fn out(&self, now: u8) -> Vec<(u32, u64)> {
         let table = self.table();
-        let live = table.live(f64::from(now)).map(|(k, h)| form(k, h)).filter(|f| !f.0);
+        let live = table
+            .live(f64::from(now))
+            .map(|(k, h)| form(k, h))
+            .filter(|f| !f.0);
         live.map(|f| (f.1, f.2)).collect()
     }
 }
@@ -144,7 +179,10 @@
         vec![State {
             now: 0,
             // All have heard each other's clock.
-            nodes: std::array::from_fn(|_| Node { heard: [Some((0, 0)); NODES], ..Node::default() }),
+            nodes: std::array::from_fn(|_| Node {
+                heard: [Some((0, 0)); NODES],
+                ..Node::default()
+            }),
             under_way: vec![],
             born: vec![],
             lifts: 0,
@@ -180,7 +218,11 @@
             }
         }
         for at in 0..state.under_way.len() {
-            steps.extend([Step::Bring(at, false), Step::Bring(at, true), Step::Lose(at)]);
+            steps.extend([
+                Step::Bring(at, false),
+                Step::Bring(at, true),
+                Step::Lose(at),
+            ]);
         }
         if !state.forgot {
             // The maker of the ban begins again as another incarnation, whose entries these are not.
@@ -206,17 +248,34 @@
             }
             Step::Send(from, to) => {
                 let mut entries = Vec::new();
-                for told in state.nodes[from].table().differing(f64::from(now), &[u64::MAX; PARTITIONS]) {
+                for told in state.nodes[from]
+                    .table()
+                    .differing(f64::from(now), &[u64::MAX; PARTITIONS])
+                {
                     let lifted = matches!(told.value, Value::BanLifted { .. });
-                    let number = if let Key::Ban { id, .. } = &told.key { id.number } else { 0 };
+                    let number = if let Key::Ban { id, .. } = &told.key {
+                        id.number
+                    } else {
+                        0
+                    };
                     entries.push((lifted, number, told.version.n, told.age_us));
                 }
                 let heard = state.nodes[from].heard[to];
-                state.under_way.push(Datagram { from, to, sent: now, heard, entries });
+                state.under_way.push(Datagram {
+                    from,
+                    to,
+                    sent: now,
+                    heard,
+                    entries,
+                });
                 state.under_way.sort();
             }
             Step::Bring(at, again) => {
-                let d = if again { state.under_way[at].clone() } else { state.under_way.remove(at) };
+                let d = if again {
+                    state.under_way[at].clone()
+                } else {
+                    state.under_way.remove(at)
+                };
                 let node = &mut state.nodes[d.to];
                 node.heard[d.from] = Some((d.sent, now));
                 let echo = d.heard.map(|(stamp, came)| ClockEcho {
@@ -235,7 +294,11 @@
                 state.nodes[n] = Node::default();
             }
         }
-        let back = |node: &Node| node.out(state.now).iter().any(|(call, _)| node.lifted.contains(call));
+        let back = |node: &Node| {
+            node.out(state.now)
+                .iter()
+                .any(|(call, _)| node.lifted.contains(call))
+        };
         state.back |= state.nodes.iter().any(back);
         (state != *last).then_some(state)
     }
@@ -243,10 +306,13 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("no verdict counts past its time", |_, s: &State| {
-                s.nodes.iter().flat_map(|node| node.out(s.now)).all(|(call, n)| {
-                    let born = s.born.iter().find(|b| (b.0, b.1) == (call, n)).map(|b| b.2);
-                    born.is_some_and(|born| s.now - born <= LASTS)
-                })
+                s.nodes
+                    .iter()
+                    .flat_map(|node| node.out(s.now))
+                    .all(|(call, n)| {
+                        let born = s.born.iter().find(|b| (b.0, b.1) == (call, n)).map(|b| b.2);
+                        born.is_some_and(|born| s.now - born <= LASTS)
+                    })
             }),
             Property::always("no lifted ban is back", |_, s: &State| !s.back),
             Property::always(
@@ -255,13 +321,17 @@
                     let all = |order: [usize; NODES]| {
                         let mut table = Table::default();
                         for n in order {
-                            for told in
-                                s.nodes[n].table().differing(f64::from(s.now), &[u64::MAX; PARTITIONS])
+                            for told in s.nodes[n]
+                                .table()
+                                .differing(f64::from(s.now), &[u64::MAX; PARTITIONS])
                             {
                                 table.merge(f64::from(s.now), told);
                             }
                         }
-                        let live: Vec<_> = table.live(f64::from(s.now)).map(|(k, h)| form(k, h)).collect();
+                        let live: Vec<_> = table
+                            .live(f64::from(s.now))
+                            .map(|(k, h)| form(k, h))
+                            .collect();
                         (live, table.digests())
                     };
                     all([0, 1, 2]) == all([2, 1, 0]) && all([0, 1, 2]) == all([1, 0, 2])
@@ -273,19 +343,33 @@
             Property::sometimes("a lift is known to all", |_, s: &State| {
                 s.nodes.iter().all(|node| node.lifted == [1])
             }),
-            Property::sometimes("a ban that was said anew outlives the first", |_, s: &State| {
-                s.born.len() == 2 && s.nodes[2].out(s.now).iter().any(|(_, n)| *n == 2) && s.now > LASTS
-            }),
+            Property::sometimes(
+                "a ban that was said anew outlives the first",
+                |_, s: &State| {
+                    s.born.len() == 2
+                        && s.nodes[2].out(s.now).iter().any(|(_, n)| *n == 2)
+                        && s.now > LASTS
+                },
+            ),
         ]
     }
 }
 
 #[test]
 fn in_every_order_bounds_hold_and_what_was_lifted_stays_so() {
-    let checker = Fleet.checker().threads(2).target_max_depth(DEPTH).spawn_bfs().join();
+    let checker = Fleet
+        .checker()
+        .threads(2)
+        .target_max_depth(DEPTH)
+        .spawn_bfs()
+        .join();
     checker.assert_properties();
     println!("{} states", checker.unique_state_count());
-    assert!(checker.unique_state_count() > 10_000, "{} states", checker.unique_state_count());
+    assert!(
+        checker.unique_state_count() > 10_000,
+        "{} states",
+        checker.unique_state_count()
+    );
 }
 
 /// Steps from the beginning that are explored in all orders.
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -15,7 +15,9 @@
 }
 
 fn all_out(world: &World, server: &str, out: bool) -> bool {
-    (0..world.nodes.len()).filter(|n| world.nodes[*n].is_some()).all(|n| world.out(n).contains(server) == out)
+    (0..world.nodes.len())
+        .filter(|n| world.nodes[*n].is_some())
+        .all(|n| world.out(n).contains(server) == out)
 }
 
 #[test]
@@ -23,12 +25,17 @@
     for (nodes, loss) in [(2, 0.0), (9, 0.0), (40, 0.0), (40, 0.05)] {
         let mut world = gathered(nodes, 7);
         world.links.loss = loss;
-        world.at(nodes - 1, |f, now| f.ban(now, "sick", "ada", None)).unwrap();
+        world
+            .at(nodes - 1, |f, now| f.ban(now, "sick", "ada", None))
+            .unwrap();
         let took = world.until(10.0, |w| all_out(w, "sick", true));
         assert!(took < 1.0, "{nodes} nodes, loss {loss}: {took} s");
         world.at(0, |f, now| assert_eq!(f.lift(now, "sick", "obi"), 1));
         let took = world.until(10.0, |w| all_out(w, "sick", false));
-        assert!(took < 1.0, "{nodes} nodes, loss {loss}: lifted after {took} s");
+        assert!(
+            took < 1.0,
+            "{nodes} nodes, loss {loss}: lifted after {took} s"
+        );
         assert_eq!(world.broken, Vec::<String>::new());
     }
 }
@@ -36,7 +43,9 @@
 #[test]
 fn a_ban_with_an_end_ends_everywhere_by_itself_with_all_links_cut() {
     let mut world = gathered(5, 3);
-    world.at(0, |f, now| f.ban(now, "sick", "ada", Some(5.0))).unwrap();
+    world
+        .at(0, |f, now| f.ban(now, "sick", "ada", Some(5.0)))
+        .unwrap();
     world.until(2.0, |w| all_out(w, "sick", true));
     let all: Vec<usize> = (0..5).collect();
     world.part(&all, &all, true);
@@ -45,13 +54,18 @@
     world.run(2.0);
     assert!(all_out(&world, "sick", false));
     assert_eq!(world.broken, Vec::<String>::new());
-    assert!(world.oldest > 0.9, "the bound was not reached, so that nothing was shown");
+    assert!(
+        world.oldest > 0.9,
+        "the bound was not reached, so that nothing was shown"
+    );
 }
 
 #[test]
 fn clocks_that_run_slow_hold_nothing_for_longer() {
     let mut world = gathered(5, 61);
-    world.at(0, |f, now| f.ban(now, "sick", "ada", Some(900.0))).unwrap();
+    world
+        .at(0, |f, now| f.ban(now, "sick", "ada", Some(900.0)))
+        .unwrap();
     world.run(901.0);
     assert_eq!(world.broken, Vec::<String>::new());
     assert!(all_out(&world, "sick", false) && world.oldest > 0.99);
@@ -62,16 +76,23 @@
     let mut world = gathered(4, 11);
     // News and links' delays pile up at a node that stands still; the verdict is over when it wakes.
     world.freeze(3, true);
-    world.at(0, |f, now| f.ban(now, "sick", "ada", Some(4.0))).unwrap();
+    world
+        .at(0, |f, now| f.ban(now, "sick", "ada", Some(4.0)))
+        .unwrap();
     world.run(20.0);
     world.freeze(3, false);
     world.check();
-    assert!(!world.out(3).contains("sick"), "a verdict of 20 s ago counts at who slept");
+    assert!(
+        !world.out(3).contains("sick"),
+        "a verdict of 20 s ago counts at who slept"
+    );
     world.run(3.0);
     assert!(all_out(&world, "sick", false));
     // And one that it held as it fell asleep.
     world.until(20.0, World::gathered);
-    world.at(3, |f, now| f.ban(now, "other", "ada", Some(4.0))).unwrap();
+    world
+        .at(3, |f, now| f.ban(now, "other", "ada", Some(4.0)))
+        .unwrap();
     world.freeze(3, true);
     world.run(10.0);
     world.freeze(3, false);
@@ -83,7 +104,9 @@
 #[test]
 fn a_lift_on_one_side_of_a_cut_covers_what_it_knew_and_nothing_newer() {
     let mut world = gathered(6, 5);
-    world.at(0, |f, now| f.ban(now, "sick", "ada", None)).unwrap();
+    world
+        .at(0, |f, now| f.ban(now, "sick", "ada", None))
+        .unwrap();
     world.until(2.0, |w| all_out(w, "sick", true));
     world.part(&[0, 1, 2], &[3, 4, 5], true);
     world.run(1.0);
@@ -97,11 +120,15 @@
     assert!(all_out(&world, "sick", false), "a lifted ban is back");
     // Lifted on one side while an operator renews it on the other: the new call is no older one's.
     world.until(60.0, World::gathered);
-    world.at(0, |f, now| f.ban(now, "sick", "ada", None)).unwrap();
+    world
+        .at(0, |f, now| f.ban(now, "sick", "ada", None))
+        .unwrap();
     world.until(2.0, |w| all_out(w, "sick", true));
     world.part(&[0, 1, 2], &[3, 4, 5], true);
     world.at(1, |f, now| f.lift(now, "sick", "obi")).unwrap();
-    world.at(4, |f, now| f.ban(now, "sick", "eze", None)).unwrap();
+    world
+        .at(4, |f, now| f.ban(now, "sick", "eze", None))
+        .unwrap();
     world.run(5.0);
     world.heal();
     world.until(30.0, |w| all_out(w, "sick", true));
@@ -116,14 +143,20 @@
     let (one, other): (Vec<usize>, Vec<usize>) = (0..12).partition(|n| n % 2 == 0);
     world.part(&one, &other, true);
     world.run(60.0);
-    assert!((0..12).all(|n| world.members(n) == 5), "who is cut off is taken for there");
+    assert!(
+        (0..12).all(|n| world.members(n) == 5),
+        "who is cut off is taken for there"
+    );
     world.heal();
     world.until(30.0, World::gathered);
     // A cut in one direction alone, and a pair that do not see each other while a third sees both, part nobody.
     world.part(&[1], &[2, 3], false);
     world.part(&[4], &[5], true);
     world.run(30.0);
-    assert!((0..12).all(|n| world.members(n) == 11), "a path is left, and somebody is taken for gone");
+    assert!(
+        (0..12).all(|n| world.members(n) == 11),
+        "a path is left, and somebody is taken for gone"
+    );
 }
 
 #[test]
@@ -132,9 +165,13 @@
     for n in [40, 41, 42] {
         world.kill(n);
         // Until it is probed, to the end of that probe, and the time to refute; the first must not doubt itself for it.
-        let took = world.until(20.0, |w| (0..100).any(|m| w.nodes[m].is_some() && w.members(m) == 98));
+        let took = world.until(20.0, |w| {
+            (0..100).any(|m| w.nodes[m].is_some() && w.members(m) == 98)
+        });
         assert!(took > 4.0 && took < 8.0, "an end is told after {took} s");
-        world.until(3.0, |w| (0..100).all(|m| w.nodes[m].is_none() || w.members(m) == 98));
+        world.until(3.0, |w| {
+            (0..100).all(|m| w.nodes[m].is_none() || w.members(m) == 98)
+        });
         world.start(n);
         let took = world.until(20.0, World::gathered);
         assert!(took < 8.0, "who begins knows all after {took} s");
@@ -183,7 +220,10 @@
         world.run(still);
         world.freeze(0, false);
         world.run(3.0);
-        assert_eq!(world.wrongly_gone, 0, "who stood still for {still} s takes others for gone");
+        assert_eq!(
+            world.wrongly_gone, 0,
+            "who stood still for {still} s takes others for gone"
+        );
     }
 }
 
@@ -199,7 +239,9 @@
 fn a_process_that_begins_again_is_a_later_life_and_takes_no_orders_for_the_old_one() {
     let mut world = gathered(5, 23);
     let first = world.incarnation(4);
-    world.at(4, |f, now| f.ban(now, "sick", "ada", None)).unwrap();
+    world
+        .at(4, |f, now| f.ban(now, "sick", "ada", None))
+        .unwrap();
     world.until(2.0, |w| all_out(w, "sick", true));
     world.kill(4);
     world.run(1.0);
@@ -208,7 +250,9 @@
     assert!(world.incarnation(4).number > first.number && world.incarnation(4).tag != first.tag);
     world.until(5.0, |w| w.out(4).contains("sick"));
     // Its own words count at once, though it counts them from one again.
-    world.at(4, |f, now| f.ban(now, "new", "ada", None)).unwrap();
+    world
+        .at(4, |f, now| f.ban(now, "new", "ada", None))
+        .unwrap();
     world.until(2.0, |w| all_out(w, "new", true));
     // It leaves; its next incarnation is not leaving.
     world.at(4, |f, now| f.leave(now)).unwrap();
@@ -240,11 +284,17 @@
         let process = world.nodes[n].as_ref().unwrap();
         process.fleet.has_name_conflict(process.clock(world.t))
     };
-    assert_eq!([3, 4].into_iter().filter(|n| aside(*n)).count(), 1, "one name, two voices");
+    assert_eq!(
+        [3, 4].into_iter().filter(|n| aside(*n)).count(),
+        1,
+        "one name, two voices"
+    );
     assert!((0..3).all(|n| !aside(n)));
     // The one that speaks is heard.
     let speaks = if aside(3) { 4 } else { 3 };
-    world.at(speaks, |f, now| f.ban(now, "sick", "ada", None)).unwrap();
+    world
+        .at(speaks, |f, now| f.ban(now, "sick", "ada", None))
+        .unwrap();
     world.until(3.0, |w| all_out(w, "sick", true));
 }
 
@@ -262,12 +312,17 @@
 // ---- learned verdicts ----
 
 fn server(n: usize) -> ServerInstance {
-    ServerInstance { name: format!("server-{n}"), since: 5 }
+    ServerInstance {
+        name: format!("server-{n}"),
+        since: 5,
+    }
 }
 
 fn condemned(world: &World, n: usize) -> Vec<String> {
     let process = world.nodes[n].as_ref().unwrap();
-    let all = process.fleet.condemned_servers(process.clock(world.t), world.listed);
+    let all = process
+        .fleet
+        .condemned_servers(process.clock(world.t), world.listed);
     all.into_iter().map(|c| c.server.name).collect()
 }
 
@@ -280,7 +335,10 @@
 }
 
 fn zones(n: usize) -> Config {
-    Config { zone: if n < 4 { "ikeja" } else { "lekki" }.to_owned(), ..rules() }
+    Config {
+        zone: if n < 4 { "ikeja" } else { "lekki" }.to_owned(),
+        ..rules()
+    }
 }
 
 #[test]
@@ -290,7 +348,10 @@
         see(&mut world, &[1], &[0], AttemptOutcome::ServerError);
         world.run(0.3);
     }
-    assert!((0..9).all(|n| condemned(&world, n).is_empty()), "one voice condemns");
+    assert!(
+        (0..9).all(|n| condemned(&world, n).is_empty()),
+        "one voice condemns"
+    );
     for _ in 0..3 {
         see(&mut world, &[1, 2, 3], &[0], AttemptOutcome::ServerError);
         world.run(0.05);
@@ -307,8 +368,11 @@
 fn wait_for(world: &mut World, nodes: &[usize], waits: Option<f64>) {
     for n in nodes {
         world.at(*n, |f, now| {
-            let of =
-                |past| OverdueAttempt { server: server(0), since: now - 0.2 - past, late_from: now - past };
+            let of = |past| OverdueAttempt {
+                server: server(0),
+                since: now - 0.2 - past,
+                late_from: now - past,
+            };
             f.set_overdue(now, &waits.map(of).into_iter().collect::<Vec<_>>());
         });
     }
@@ -362,7 +426,10 @@
 
 #[test]
 fn who_is_gone_condemns_nobody() {
-    let mut world = World::new(9, 59, |_| Config { report_lasts: 60.0, ..rules() });
+    let mut world = World::new(9, 59, |_| Config {
+        report_lasts: 60.0,
+        ..rules()
+    });
     world.until(20.0, World::gathered);
     for _ in 0..3 {
         see(&mut world, &[6, 7, 8], &[0], AttemptOutcome::ServerError);
@@ -382,7 +449,10 @@
         world.run(0.2);
     }
     world.run(1.0);
-    assert!((0..9).all(|n| condemned(&world, n).is_empty()), "three condemn what four are served by");
+    assert!(
+        (0..9).all(|n| condemned(&world, n).is_empty()),
+        "three condemn what four are served by"
+    );
     // One that is condemned and answers again is heard of: by those that it failed, too.
     for _ in 0..4 {
         see(&mut world, &[0, 1, 2, 3], &[1], AttemptOutcome::TimedOut);
@@ -404,11 +474,20 @@
     let all: Vec<usize> = (0..20).collect();
     // A whole zone can't reach the servers of the other: true for that zone alone.
     for _ in 0..3 {
-        see(&mut world, &[0, 1, 2, 3], &[10, 11, 12], AttemptOutcome::Unreachable);
+        see(
+            &mut world,
+            &[0, 1, 2, 3],
+            &[10, 11, 12],
+            AttemptOutcome::Unreachable,
+        );
         world.run(0.2);
     }
     world.run(1.0);
-    assert!((0..4).all(|n| condemned(&world, n).len() == 3), "{:?}", condemned(&world, 0));
+    assert!(
+        (0..4).all(|n| condemned(&world, n).len() == 3),
+        "{:?}",
+        condemned(&world, 0)
+    );
     assert!(
         (4..8).all(|n| condemned(&world, n).is_empty()),
         "a zone that is cut off condemns the other's servers"
@@ -420,7 +499,11 @@
         world.run(0.2);
     }
     world.run(1.0);
-    assert!((0..8).all(|n| condemned(&world, n).is_empty()), "{:?}", condemned(&world, 7));
+    assert!(
+        (0..8).all(|n| condemned(&world, n).is_empty()),
+        "{:?}",
+        condemned(&world, 7)
+    );
     world.run(12.0);
     // All condemn a good part of the list: no more than the stated part goes, the same at all.
     let some: Vec<usize> = (0..6).collect();
@@ -430,7 +513,11 @@
         world.run(0.2);
     }
     world.run(1.0);
-    assert!((0..8).all(|n| condemned(&world, n).len() == 4), "{:?}", condemned(&world, 0));
+    assert!(
+        (0..8).all(|n| condemned(&world, n).len() == 4),
+        "{:?}",
+        condemned(&world, 0)
+    );
     assert!((0..8).all(|n| condemned(&world, n) == condemned(&world, 0)));
 }
 
@@ -444,8 +531,13 @@
     world.until(2.0, |w| condemned(w, 4) == ["server-0"]);
     let process = world.nodes[4].as_ref().unwrap();
     let judged = process.fleet.condemned_servers(process.clock(world.t), 20);
-    let next = ServerInstance { since: 6, ..server(0) };
-    assert!(judged.iter().all(|c| c.server != next && c.server == server(0)));
+    let next = ServerInstance {
+        since: 6,
+        ..server(0)
+    };
+    assert!(judged
+        .iter()
+        .all(|c| c.server != next && c.server == server(0)));
 }
 
 // ---- datagrams ----
@@ -453,7 +545,9 @@
 #[test]
 fn what_is_forged_torn_foreign_or_said_again_is_dropped_and_counted() {
     let mut world = gathered(3, 47);
-    world.at(0, |f, now| f.ban(now, "sick", "ada", Some(2.0))).unwrap();
+    world
+        .at(0, |f, now| f.ban(now, "sick", "ada", Some(2.0)))
+        .unwrap();
     // All that the others say to one node is kept, to be said again later.
     let mut kept = Vec::new();
     let process = world.nodes[0].as_mut().unwrap();
@@ -478,13 +572,22 @@
     }
     world.run(1.0);
     world.run(14.0);
-    assert!(all_out(&world, "sick", false), "what was said again counts again");
+    assert!(
+        all_out(&world, "sick", false),
+        "what was said again counts again"
+    );
     assert_eq!(world.broken, Vec::<String>::new());
     let dropped = |n: usize, why: DropReason| {
-        world.nodes[n].as_ref().map_or(0, |p| p.fleet.counters().dropped.get(&why).copied().unwrap_or(0))
+        world.nodes[n].as_ref().map_or(0, |p| {
+            p.fleet.counters().dropped.get(&why).copied().unwrap_or(0)
+        })
     };
-    for why in [DropReason::Duplicate, DropReason::Unauthenticated, DropReason::Foreign, DropReason::TooLong]
-    {
+    for why in [
+        DropReason::Duplicate,
+        DropReason::Unauthenticated,
+        DropReason::Foreign,
+        DropReason::TooLong,
+    ] {
         assert!((1..3).any(|n| dropped(n, why) > 0), "{why} is not counted");
     }
     let other = Secret::new(b"a key of this world's own", "abuja").unwrap();
@@ -518,7 +621,11 @@
     for d in late {
         two.receive(60.0, &d);
     }
-    assert_eq!(two.ban_left("sick", 60.0), None, "a minute under way, and taken for new");
+    assert_eq!(
+        two.ban_left("sick", 60.0),
+        None,
+        "a minute under way, and taken for new"
+    );
     assert!(two.counters().expired + two.counters().unproven > 0);
 }
 
@@ -577,7 +684,11 @@
                     world,
                     &[n],
                     &[s],
-                    if well { AttemptOutcome::Answered } else { AttemptOutcome::ServerError },
+                    if well {
+                        AttemptOutcome::Answered
+                    } else {
+                        AttemptOutcome::ServerError
+                    },
                 );
             }
         }
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -20,7 +20,10 @@
 }
 
 fn incarnation(number: u64) -> Incarnation {
-    Incarnation { number, tag: 0x1122_3344_5566_7788 + number }
+    Incarnation {
+        number,
+        tag: 0x1122_3344_5566_7788 + number,
+    }
 }
 
 fn node(name: &str, number: u64) -> Node {
@@ -32,9 +35,20 @@
 }
 
 fn digests() -> Digests {
-    let mut digests = Digests { entries: Default::default(), members: [0; MEMBER_PARTITIONS] };
-    digests.entries.iter_mut().zip(1..).for_each(|(digest, n)| *digest = n * 0x0101_0101);
-    digests.members.iter_mut().zip(1..).for_each(|(digest, n)| *digest = n * 0x0203);
+    let mut digests = Digests {
+        entries: Default::default(),
+        members: [0; MEMBER_PARTITIONS],
+    };
+    digests
+        .entries
+        .iter_mut()
+        .zip(1..)
+        .for_each(|(digest, n)| *digest = n * 0x0101_0101);
+    digests
+        .members
+        .iter_mut()
+        .zip(1..)
+        .for_each(|(digest, n)| *digest = n * 0x0203);
     digests
 }
 
@@ -51,12 +65,22 @@
         anti_entropy: None,
         members: Vec::new(),
     };
-    let update = |number, state| MemberUpdate { node: node("n3", number), swim_incarnation: 300, state };
+    let update = |number, state| MemberUpdate {
+        node: node("n3", number),
+        swim_incarnation: 300,
+        state,
+    };
     let full = Header {
-        from: Node { address: "[2001:db8::1]:7000".parse().unwrap(), ..node("n2", 300) },
+        from: Node {
+            address: "[2001:db8::1]:7000".parse().unwrap(),
+            ..node("n2", 300)
+        },
         to: 0xfeed_beef_0102_0304,
         sequence: 70_000,
-        echo: Some(ClockEcho { clock_us: 99_000_000, held_us: 1_500 }),
+        echo: Some(ClockEcho {
+            clock_us: 99_000_000,
+            held_us: 1_500,
+        }),
         requests_echo: true,
         newer_incarnation: Some(incarnation(9)),
         swim: vec![1, 2, 3, 250],
@@ -68,7 +92,10 @@
         ],
         ..plain.clone()
     };
-    let response = Header { anti_entropy: Some(AntiEntropy::Response(digests())), ..plain.clone() };
+    let response = Header {
+        anti_entropy: Some(AntiEntropy::Response(digests())),
+        ..plain.clone()
+    };
     vec![("plain", plain), ("full", full), ("response", response)]
 }
 
@@ -83,24 +110,75 @@
         Finding::Unclear,
     ];
     let reports = findings.into_iter().zip(1..).map(|(finding, n)| {
-        let server = ServerInstance { name: format!("s{n}"), since: 1_700_000_000_000 + n };
-        let zone = if n % 2 == 0 { "ikeja".to_owned() } else { String::new() };
-        let report = Report { finding, bad: 3, good: 400, zone, accused: 2, listed: 900 };
-        (Key::Report { server, by: "n1".to_owned() }, Value::Report(report))
+        let server = ServerInstance {
+            name: format!("s{n}"),
+            since: 1_700_000_000_000 + n,
+        };
+        let zone = if n % 2 == 0 {
+            "ikeja".to_owned()
+        } else {
+            String::new()
+        };
+        let report = Report {
+            finding,
+            bad: 3,
+            good: 400,
+            zone,
+            accused: 2,
+            listed: 900,
+        };
+        (
+            Key::Report {
+                server,
+                by: "n1".to_owned(),
+            },
+            Value::Report(report),
+        )
     });
     let ban = || {
-        let id = BanId { node: "n1".to_owned(), incarnation: incarnation(4), number: 17 };
-        Key::Ban { server: "s9".to_owned(), id }
+        let id = BanId {
+            node: "n1".to_owned(),
+            incarnation: incarnation(4),
+            number: 17,
+        };
+        Key::Ban {
+            server: "s9".to_owned(),
+            id,
+        }
     };
     let others = [
-        (ban(), Value::Banned { by: "ada".to_owned() }),
-        (ban(), Value::BanLifted { by: "obi".to_owned() }),
-        (Key::Leaving { node: "n4".to_owned(), incarnation: incarnation(2) }, Value::Leaving),
-        (Key::ListIndex { list: "flags".to_owned() }, Value::ListIndex),
+        (
+            ban(),
+            Value::Banned {
+                by: "ada".to_owned(),
+            },
+        ),
+        (
+            ban(),
+            Value::BanLifted {
+                by: "obi".to_owned(),
+            },
+        ),
+        (
+            Key::Leaving {
+                node: "n4".to_owned(),
+                incarnation: incarnation(2),
+            },
+            Value::Leaving,
+        ),
+        (
+            Key::ListIndex {
+                list: "flags".to_owned(),
+            },
+            Value::ListIndex,
+        ),
     ];
     let entry = |(n, (key, value)): (u64, (Key, Value))| Entry {
         key,
-        version: Version { incarnation: incarnation(n), n: 500 * n },
+        version: Version {
+            incarnation: incarnation(n),
+            n: 500 * n,
+        },
         value,
         ttl_ms: 60_000,
         age_us: 1_000 * n,
@@ -125,7 +203,11 @@
         assert_eq!(wire::open(&secret(), &datagram), Ok((header, vec![entry])));
         lines.push(format!("entry {}", hex(&datagram)));
     }
-    let message = AppMessage { from: node("n1", 1), to: 12, body: vec![9, 8, 7] };
+    let message = AppMessage {
+        from: node("n1", 1),
+        to: 12,
+        body: vec![9, 8, 7],
+    };
     let datagram = message.seal(&secret()).unwrap();
     assert_eq!(AppMessage::open(&secret(), &datagram), Ok(message));
     lines.push(format!("application {}", hex(&datagram)));
--- a/crates/fleet/tests/quorum.rs
+++ b/crates/fleet/tests/quorum.rs
@@ -7,12 +7,23 @@
 const LISTED: usize = 20;
 
 fn servers(n: usize) -> Vec<ServerInstance> {
-    (0..n).map(|n| ServerInstance { name: format!("s{n:02}"), since: 0 }).collect()
+    (0..n)
+        .map(|n| ServerInstance {
+            name: format!("s{n:02}"),
+            since: 0,
+        })
+        .collect()
 }
 
 fn names(servers: &[ServerInstance], failed: &[usize]) -> Vec<String> {
-    let votes = failed.iter().map(|failed| Votes { failed: *failed, ..Votes::default() });
-    condemned(servers.iter().zip(votes), LISTED, &Quorum::default()).keys().map(|s| s.name.clone()).collect()
+    let votes = failed.iter().map(|failed| Votes {
+        failed: *failed,
+        ..Votes::default()
+    });
+    condemned(servers.iter().zip(votes), LISTED, &Quorum::default())
+        .keys()
+        .map(|s| s.name.clone())
+        .collect()
 }
 
 proptest! {
--- a/crates/fleet/tests/table.rs
+++ b/crates/fleet/tests/table.rs
@@ -7,20 +7,61 @@
 use reelfall_fleet::table::{MergeOutcome, Table, MAX_ENTRIES, MAX_REPORTS_PER_NODE};
 
 fn report(server: usize, by: &str, n: u64, bad: u16) -> Entry {
-    let server = ServerInstance { name: format!("s{server}"), since: 0 };
-    let version = Version { incarnation: Incarnation { number: 1, tag: 1 }, n };
-    let report =
-        Report { finding: Finding::Failing, bad, good: 0, zone: String::new(), accused: 1, listed: 9 };
-    let key = Key::Report { server, by: by.to_owned() };
-    Entry { key, version, value: Value::Report(report), ttl_ms: 10_000, age_us: 0 }
+    let server = ServerInstance {
+        name: format!("s{server}"),
+        since: 0,
+    };
+    let version = Version {
+        incarnation: Incarnation { number: 1, tag: 1 },
+        n,
+    };
+    let report = Report {
+        finding: Finding::Failing,
+        bad,
+        good: 0,
+        zone: String::new(),
+        accused: 1,
+        listed: 9,
+    };
+    let key = Key::Report {
+        server,
+        by: by.to_owned(),
+    };
+    Entry {
+        key,
+        version,
+        value: Value::Report(report),
+        ttl_ms: 10_000,
+        age_us: 0,
+    }
 }
 
 fn hand(server: &str, number: u32, n: u64, lifted: bool, ttl_ms: u32) -> Entry {
-    let id = BanId { node: "a".to_owned(), incarnation: Incarnation { number: 1, tag: 1 }, number };
+    let id = BanId {
+        node: "a".to_owned(),
+        incarnation: Incarnation { number: 1, tag: 1 },
+        number,
+    };
     let by = "ada".to_owned();
-    let value = if lifted { Value::BanLifted { by } } else { Value::Banned { by } };
-    let version = Version { incarnation: Incarnation { number: 1, tag: 1 }, n };
-    Entry { key: Key::Ban { server: server.to_owned(), id }, version, value, ttl_ms, age_us: 0 }
+    let value = if lifted {
+        Value::BanLifted { by }
+    } else {
+        Value::Banned { by }
+    };
+    let version = Version {
+        incarnation: Incarnation { number: 1, tag: 1 },
+        n,
+    };
+    Entry {
+        key: Key::Ban {
+            server: server.to_owned(),
+            id,
+        },
+        version,
+        value,
+        ttl_ms,
+        age_us: 0,
+    }
 }
 
 fn entry() -> impl Strategy<Value = Entry> {
@@ -38,7 +79,14 @@
     }
     table
         .live(1.0)
-        .map(|(key, held)| format!("{key:?} {:?} {:?} {:.5}", held.version, held.value, held.left(1.0)))
+        .map(|(key, held)| {
+            format!(
+                "{key:?} {:?} {:?} {:.5}",
+                held.version,
+                held.value,
+                held.left(1.0)
+            )
+        })
         .collect()
 }
 
@@ -84,30 +132,59 @@
 #[test]
 fn a_lift_covers_every_later_word_of_its_call_and_no_other_call() {
     let mut table = Table::default();
-    assert_eq!(table.merge(0.0, hand("s", 1, 1, false, 60_000)), MergeOutcome::Updated);
-    assert_eq!(table.merge(0.0, hand("s", 1, 2, true, 60_000)), MergeOutcome::Updated);
+    assert_eq!(
+        table.merge(0.0, hand("s", 1, 1, false, 60_000)),
+        MergeOutcome::Updated
+    );
+    assert_eq!(
+        table.merge(0.0, hand("s", 1, 2, true, 60_000)),
+        MergeOutcome::Updated
+    );
     // The maker has not heard, and says it anew.
-    assert_eq!(table.merge(1.0, hand("s", 1, 9, false, 60_000)), MergeOutcome::Unchanged);
-    assert!(table.live(1.0).all(|(_, held)| matches!(held.value, Value::BanLifted { .. })));
-    assert_eq!(table.merge(1.0, hand("s", 2, 3, false, 60_000)), MergeOutcome::Updated);
+    assert_eq!(
+        table.merge(1.0, hand("s", 1, 9, false, 60_000)),
+        MergeOutcome::Unchanged
+    );
+    assert!(table
+        .live(1.0)
+        .all(|(_, held)| matches!(held.value, Value::BanLifted { .. })));
+    assert_eq!(
+        table.merge(1.0, hand("s", 2, 3, false, 60_000)),
+        MergeOutcome::Updated
+    );
     assert_eq!(table.live(1.0).count(), 2);
 }
 
 #[test]
 fn a_verdict_counts_to_its_end_and_is_let_go_then() {
     let mut table = Table::default();
-    table.merge(5.0, Entry { age_us: 4_000_000, ..report(0, "a", 1, 1) });
+    table.merge(
+        5.0,
+        Entry {
+            age_us: 4_000_000,
+            ..report(0, "a", 1, 1)
+        },
+    );
     assert_eq!(table.live(10.9).count(), 1);
     assert_eq!(table.live(11.0).count(), 0);
     assert!(table.next_expiry().is_some_and(|end| end <= 11.0));
     // Looked at for another's sake: the end is told all the same, once.
     table.merge(11.001, report(1, "a", 1, 1));
-    assert_eq!((table.take_expired().len(), table.take_expired().len()), (1, 0));
+    assert_eq!(
+        (table.take_expired().len(), table.take_expired().len()),
+        (1, 0)
+    );
     table.expire(30.0);
     assert_eq!((table.take_expired().len(), table.is_empty()), (1, true));
     assert_eq!(table.digests(), Table::default().digests());
     assert_eq!(
-        table.merge(11.0, Entry { age_us: 10_000_000, ..report(0, "a", 2, 1) }),
+        table.merge(
+            11.0,
+            Entry {
+                age_us: 10_000_000,
+                ..report(0, "a", 2, 1)
+            }
+        ),
         MergeOutcome::Expired
     );
 }
@@ -124,8 +201,14 @@
         table.merge(0.0, report(n % 200, &format!("n{}", n / 200), 1, 1));
         n += 1;
     }
-    assert_eq!(table.merge(0.0, report(0, "late", 1, 1)), MergeOutcome::Rejected);
-    assert_eq!(table.merge(0.0, hand("s", 1, 1, false, 1000)), MergeOutcome::Updated);
+    assert_eq!(
+        table.merge(0.0, report(0, "late", 1, 1)),
+        MergeOutcome::Rejected
+    );
+    assert_eq!(
+        table.merge(0.0, hand("s", 1, 1, false, 1000)),
+        MergeOutcome::Updated
+    );
     assert_eq!(table.len(), MAX_ENTRIES);
 }
 
@@ -133,11 +216,21 @@
 fn words_that_no_node_can_have_made_are_refused() {
     let mut table = Table::default();
     let long = hand(&"x".repeat(65), 1, 1, false, 1000);
-    let lasting = Entry { ttl_ms: 61_000, ..report(0, "a", 1, 1) };
-    let odd = Entry { value: Value::Leaving, ..report(0, "a", 1, 1) };
+    let lasting = Entry {
+        ttl_ms: 61_000,
+        ..report(0, "a", 1, 1)
+    };
+    let odd = Entry {
+        value: Value::Leaving,
+        ..report(0, "a", 1, 1)
+    };
     let nobody = hand("", 1, 1, false, 1000);
     for entry in [long, lasting, odd, nobody] {
-        assert_eq!(table.merge(0.0, entry.clone()), MergeOutcome::Rejected, "{entry:?}");
+        assert_eq!(
+            table.merge(0.0, entry.clone()),
+            MergeOutcome::Rejected,
+            "{entry:?}"
+        );
     }
     assert!(table.is_empty());
 }
--- a/crates/gateway/src/forwarded.rs
+++ b/crates/gateway/src/forwarded.rs
@@ -84,7 +84,9 @@
     pub fn link_failed<A>(&mut self, now: Millis) -> Action<A> {
         match self.state {
             State::Offered => {
-                self.state = State::Querying { next_query: now.saturating_add(self.query_interval) };
+                self.state = State::Querying {
+                    next_query: now.saturating_add(self.query_interval),
+                };
                 Action::Query
             }
             State::Querying { .. } | State::Ended => Action::Wait,
@@ -110,7 +112,9 @@
             State::Ended => Action::Wait,
             _ if now >= self.deadline => self.finish(ForwardResult::MayHaveRun),
             State::Querying { next_query } if now >= next_query => {
-                self.state = State::Querying { next_query: now.saturating_add(self.query_interval) };
+                self.state = State::Querying {
+                    next_query: now.saturating_add(self.query_interval),
+                };
                 Action::Query
             }
             _ => Action::Wait,
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -58,7 +58,13 @@
     /// least, unless there would be more than `max_records`; then the oldest of them is removed.
     pub fn new(incarnation: u64, retention: Millis, max_records: usize) -> Self {
         let max_records = max_records.max(1);
-        TicketStore { incarnation, retention, max_records, origins: BTreeMap::new(), record_count: 0 }
+        TicketStore {
+            incarnation,
+            retention,
+            max_records,
+            origins: BTreeMap::new(),
+            record_count: 0,
+        }
     }
 
     /// Number of records.
@@ -69,7 +75,11 @@
     /// The records of an origin, if `id` is its latest known incarnation. A later incarnation removes the records of the
     /// earlier one: nobody asks for them any more, and copies of its requests must not be executed.
     fn origin(&mut self, id: OriginId) -> Option<&mut Origin<A>> {
-        let new_origin = || Origin { incarnation: id.incarnation, floor: 0, records: BTreeMap::new() };
+        let new_origin = || Origin {
+            incarnation: id.incarnation,
+            floor: 0,
+            records: BTreeMap::new(),
+        };
         let origin = self.origins.entry(id.node).or_insert_with(new_origin);
         if origin.incarnation < id.incarnation {
             self.record_count -= origin.records.len();
@@ -100,7 +110,9 @@
 
     /// The status of a ticket; `None` if it is certain that it was never offered or asked about.
     fn known_status(&mut self, ticket: Ticket) -> Option<TicketStatus<A>> {
-        let Some(origin) = self.origin(ticket.origin) else { return Some(TicketStatus::Unknown) };
+        let Some(origin) = self.origin(ticket.origin) else {
+            return Some(TicketStatus::Unknown);
+        };
         match origin.records.get(&ticket.number) {
             Some(record) => Some(Self::status(&record.state)),
             None => (ticket.number < origin.floor).then_some(TicketStatus::Unknown),
@@ -112,9 +124,13 @@
     fn insert(&mut self, now: Millis, ticket: Ticket, state: RecordState<A>) -> bool {
         let has_room = self.make_room();
         let expires_at = now.saturating_add(self.retention);
-        let Some(origin) = self.origin(ticket.origin) else { return false };
+        let Some(origin) = self.origin(ticket.origin) else {
+            return false;
+        };
         if has_room {
-            origin.records.insert(ticket.number, Record { state, expires_at });
+            origin
+                .records
+                .insert(ticket.number, Record { state, expires_at });
             self.record_count += 1;
         } else {
             origin.floor = origin.floor.max(ticket.number + 1);
@@ -136,8 +152,12 @@
     /// Ends a request that is in progress.
     fn end(&mut self, now: Millis, ticket: Ticket, state: RecordState<A>) {
         let expires_at = now.saturating_add(self.retention);
-        let Some(origin) = self.origin(ticket.origin) else { return };
-        let Some(record) = origin.records.get_mut(&ticket.number) else { return };
+        let Some(origin) = self.origin(ticket.origin) else {
+            return;
+        };
+        let Some(record) = origin.records.get_mut(&ticket.number) else {
+            return;
+        };
         if matches!(record.state, RecordState::InProgress) {
             *record = Record { state, expires_at };
         }
@@ -171,7 +191,10 @@
             return true;
         }
         let ended = self.origins.iter().flat_map(|(node, o)| {
-            let ended = o.records.iter().filter(|(_, r)| !matches!(r.state, RecordState::InProgress));
+            let ended = o
+                .records
+                .iter()
+                .filter(|(_, r)| !matches!(r.state, RecordState::InProgress));
             ended.map(move |(number, r)| (r.expires_at, *node, *number))
         });
         match ended.min() {
@@ -198,13 +221,14 @@
             .origins
             .iter()
             .flat_map(|(node, o)| {
-                let expired = o
-                    .records
-                    .iter()
-                    .filter(|(_, r)| !matches!(r.state, RecordState::InProgress) && r.expires_at <= now);
+                let expired = o.records.iter().filter(|(_, r)| {
+                    !matches!(r.state, RecordState::InProgress) && r.expires_at <= now
+                });
                 expired.map(move |(number, _)| (*node, *number))
             })
             .collect();
-        expired.into_iter().for_each(|(node, number)| self.remove(node, number));
+        expired
+            .into_iter()
+            .for_each(|(node, number)| self.remove(node, number));
     }
 }
--- a/crates/gateway/tests/ticket.rs
+++ b/crates/gateway/tests/ticket.rs
@@ -125,7 +125,13 @@
 }
 
 fn ticket(number: u64) -> Ticket {
-    Ticket { origin: OriginId { node: 1, incarnation: 7 }, number }
+    Ticket {
+        origin: OriginId {
+            node: 1,
+            incarnation: 7,
+        },
+        number,
+    }
 }
 
 impl Gateway {
@@ -171,27 +177,42 @@
         let incarnation = world.incarnation;
         match message {
             Message::Offer(number, to) => {
-                let to = if self.without == Without::Incarnation { incarnation } else { *to };
+                let to = if self.without == Without::Incarnation {
+                    incarnation
+                } else {
+                    *to
+                };
                 match world.store.admit(now, ticket(*number), to) {
                     Admission::Execute => world.running.push(*number),
-                    Admission::Reply(status) => {
-                        Self::send(world, Message::Status(*number, incarnation, ReportedStatus::of(&status)))
-                    }
+                    Admission::Reply(status) => Self::send(
+                        world,
+                        Message::Status(*number, incarnation, ReportedStatus::of(&status)),
+                    ),
                 }
             }
             Message::Query(number, to) => {
                 let before = world.store.clone();
-                let to = if self.without == Without::Incarnation { incarnation } else { *to };
+                let to = if self.without == Without::Incarnation {
+                    incarnation
+                } else {
+                    *to
+                };
                 let status = world.store.query(now, ticket(*number), to);
                 if self.without == Without::Fence {
                     world.store = before;
                 }
-                Self::send(world, Message::Status(*number, incarnation, ReportedStatus::of(&status)));
+                Self::send(
+                    world,
+                    Message::Status(*number, incarnation, ReportedStatus::of(&status)),
+                );
             }
             Message::Status(number, by, status) => {
                 let request = &mut world.requests[*number as usize];
-                let by =
-                    if self.without == Without::Incarnation { request.forwarded.offered_to } else { *by };
+                let by = if self.without == Without::Incarnation {
+                    request.forwarded.offered_to
+                } else {
+                    *by
+                };
                 let action = request.forwarded.handle_status(by, status.status());
                 self.act(world, *number, action);
             }
@@ -210,7 +231,9 @@
             at_peer: 0,
             at_origin: 0,
         };
-        let net = (0..self.requests).map(|n| (Message::Offer(n, 1), 1)).collect();
+        let net = (0..self.requests)
+            .map(|n| (Message::Offer(n, 1), 1))
+            .collect();
         vec![World {
             requests: (0..self.requests).map(|_| request()).collect(),
             store: self.new_store(1),
@@ -244,7 +267,11 @@
             }
         }
         for n in &world.running {
-            steps.extend([Step::Completes(*n, true), Step::Completes(*n, false), Step::Rejected(*n)]);
+            steps.extend([
+                Step::Completes(*n, true),
+                Step::Completes(*n, false),
+                Step::Rejected(*n),
+            ]);
         }
         if world.restarts > 0 {
             steps.push(Step::Restart);
@@ -283,7 +310,11 @@
                 world.running.retain(|r| *r != n);
                 world.requests[n as usize].at_peer += 1;
                 world.store.complete(0, ticket(n), answered.then_some(()));
-                let status = if answered { ReportedStatus::Completed } else { ReportedStatus::Failed };
+                let status = if answered {
+                    ReportedStatus::Completed
+                } else {
+                    ReportedStatus::Failed
+                };
                 let by = world.incarnation;
                 Self::send(&mut world, Message::Status(n, by, status));
             }
@@ -327,25 +358,43 @@
             Property::always("one final answer", |_: &Gateway, w: &World| {
                 w.requests.iter().all(|r| r.told.len() <= 1)
             }),
-            Property::always("a refusal is of what never ran", |_: &Gateway, w: &World| {
-                w.requests.iter().all(|r| r.told != [Told::Refused] || r.at_peer == 0)
-            }),
+            Property::always(
+                "a refusal is of what never ran",
+                |_: &Gateway, w: &World| {
+                    w.requests
+                        .iter()
+                        .all(|r| r.told != [Told::Refused] || r.at_peer == 0)
+                },
+            ),
             Property::always("an answer is of what ran", |_: &Gateway, w: &World| {
-                w.requests.iter().all(|r| r.told != [Told::Answer] || r.at_peer == 1)
-            }),
-            Property::always("whatever has ended was answered", |_: &Gateway, w: &World| {
-                w.requests.iter().all(|r| r.forwarded.is_ended() == (r.told.len() == 1))
-            }),
-            Property::always("the number of records is bounded", |g: &Gateway, w: &World| {
-                w.store.record_count() <= g.max_records
+                w.requests
+                    .iter()
+                    .all(|r| r.told != [Told::Answer] || r.at_peer == 1)
             }),
+            Property::always(
+                "whatever has ended was answered",
+                |_: &Gateway, w: &World| {
+                    w.requests
+                        .iter()
+                        .all(|r| r.forwarded.is_ended() == (r.told.len() == 1))
+                },
+            ),
+            Property::always(
+                "the number of records is bounded",
+                |g: &Gateway, w: &World| w.store.record_count() <= g.max_records,
+            ),
             // The explored worlds are not all of one kind.
             Property::sometimes("it runs at the peer", |_: &Gateway, w: &World| {
                 w.requests.iter().all(|r| r.told == [Told::Answer])
             }),
-            Property::sometimes("a fence lets it be run here or refused", |_: &Gateway, w: &World| {
-                w.requests.iter().any(|r| matches!(r.told[..], [Told::Here | Told::Refused]))
-            }),
+            Property::sometimes(
+                "a fence lets it be run here or refused",
+                |_: &Gateway, w: &World| {
+                    w.requests
+                        .iter()
+                        .any(|r| matches!(r.told[..], [Told::Here | Told::Refused]))
+                },
+            ),
             Property::sometimes("nobody knows", |_: &Gateway, w: &World| {
                 w.requests.iter().any(|r| r.told == [Told::MayHaveRun])
             }),
@@ -363,20 +412,43 @@
 fn sound(found: &[&str]) -> bool {
     let mut found = found.to_vec();
     found.sort_unstable();
-    found == ["a fence lets it be run here or refused", "it runs at the peer", "nobody knows"]
+    found
+        == [
+            "a fence lets it be run here or refused",
+            "it runs at the peer",
+            "nobody knows",
+        ]
 }
 
 #[test]
 fn no_order_of_events_runs_a_request_twice_or_refuses_one_that_ran() {
     // Two requests that contend for one place, with one kind of mishap at a time; one request with all of them.
-    let worlds = [(1, 2, [1, 1, 1]), (2, 1, [1, 0, 0]), (2, 1, [0, 1, 0]), (2, 1, [0, 0, 1])];
+    let worlds = [
+        (1, 2, [1, 1, 1]),
+        (2, 1, [1, 0, 0]),
+        (2, 1, [0, 1, 0]),
+        (2, 1, [0, 0, 1]),
+    ];
     for (requests, most, mishaps) in worlds {
         // What the origin does with a request that never ran changes nothing for the other one.
-        let does: &[bool] = if requests == 1 { &[true, false] } else { &[true] };
+        let does: &[bool] = if requests == 1 {
+            &[true, false]
+        } else {
+            &[true]
+        };
         for &runs_here in does {
             let without = Without::Nothing;
-            let (states, found) = check(Gateway { requests, max_records: most, runs_here, without, mishaps });
-            assert!(sound(&found), "{requests} requests, {most} held, {mishaps:?}: {found:?}");
+            let (states, found) = check(Gateway {
+                requests,
+                max_records: most,
+                runs_here,
+                without,
+                mishaps,
+            });
+            assert!(
+                sound(&found),
+                "{requests} requests, {most} held, {mishaps:?}: {found:?}"
+            );
             assert!(states > 500, "only {states} states");
         }
     }
@@ -385,21 +457,38 @@
 #[test]
 fn without_each_part_the_checker_finds_what_it_guards_against() {
     for without in [Without::Fence, Without::Incarnation, Without::Floor] {
-        let (_, found) =
-            check(Gateway { requests: 1, max_records: 2, runs_here: true, without, mishaps: [1, 1, 1] });
-        assert!(found.contains(&"it runs once at most"), "{without:?}: {found:?}");
+        let (_, found) = check(Gateway {
+            requests: 1,
+            max_records: 2,
+            runs_here: true,
+            without,
+            mishaps: [1, 1, 1],
+        });
+        assert!(
+            found.contains(&"it runs once at most"),
+            "{without:?}: {found:?}"
+        );
     }
 }
 
 #[test]
 fn a_later_incarnation_of_an_origin_removes_the_records_of_the_one_before() {
     let mut store: TicketStore<()> = TicketStore::new(1, RETENTION, 10);
-    let of = |incarnation, number| Ticket { origin: OriginId { node: 1, incarnation }, number };
+    let of = |incarnation, number| Ticket {
+        origin: OriginId {
+            node: 1,
+            incarnation,
+        },
+        number,
+    };
     assert_eq!(store.admit(0, of(7, 0), 1), Admission::Execute);
     assert_eq!(store.admit(0, of(8, 0), 1), Admission::Execute);
     assert_eq!(store.record_count(), 1);
     // A copy of the earlier incarnation does not run, though its number has no record.
-    assert_eq!(store.admit(0, of(7, 1), 1), Admission::Reply(TicketStatus::Unknown));
+    assert_eq!(
+        store.admit(0, of(7, 1), 1),
+        Admission::Reply(TicketStatus::Unknown)
+    );
     assert_eq!(store.query(0, of(7, 0), 1), TicketStatus::Unknown);
 }
 
@@ -409,7 +498,10 @@
     for n in 0..4 {
         assert_eq!(store.admit(0, ticket(n), 1), Admission::Execute);
     }
-    assert_eq!(store.admit(0, ticket(4), 1), Admission::Reply(TicketStatus::NeverRan));
+    assert_eq!(
+        store.admit(0, ticket(4), 1),
+        Admission::Reply(TicketStatus::NeverRan)
+    );
     assert_eq!(
         store.admit(0, ticket(4), 1),
         Admission::Reply(TicketStatus::Unknown),
@@ -418,7 +510,11 @@
     assert_eq!(store.query(0, ticket(2), 1), TicketStatus::InProgress);
     store.complete(5, ticket(2), Some(9));
     assert_eq!(store.query(6, ticket(2), 1), TicketStatus::Completed(9));
-    assert_eq!(store.admit(7, ticket(5), 1), Admission::Execute, "what has ended makes room");
+    assert_eq!(
+        store.admit(7, ticket(5), 1),
+        Admission::Execute,
+        "what has ended makes room"
+    );
     assert_eq!(store.query(8, ticket(2), 1), TicketStatus::Unknown);
     store.tick(1_000_000);
     assert_eq!(store.record_count(), 4);
@@ -433,7 +529,10 @@
     assert_eq!(forwarded.due(), Some(30));
     assert_eq!(forwarded.tick::<()>(29), Action::Wait);
     assert_eq!(forwarded.tick::<()>(30), Action::Query);
-    assert_eq!(forwarded.handle_status::<()>(1, TicketStatus::InProgress), Action::Wait);
+    assert_eq!(
+        forwarded.handle_status::<()>(1, TicketStatus::InProgress),
+        Action::Wait
+    );
     let mut other = forwarded.clone();
     assert_eq!(
         other.handle_status::<()>(2, TicketStatus::NeverRan),
@@ -444,8 +543,17 @@
         forwarded.handle_status(1, TicketStatus::Completed(5)),
         Action::Finish(ForwardResult::Answered(5))
     );
-    assert_eq!((forwarded.tick::<()>(100), forwarded.due()), (Action::Wait, None));
+    assert_eq!(
+        (forwarded.tick::<()>(100), forwarded.due()),
+        (Action::Wait, None)
+    );
     let mut late = ForwardedRequest::new(1, 100, 10);
-    assert_eq!(late.tick::<()>(100), Action::Finish(ForwardResult::MayHaveRun));
-    assert_eq!(late.handle_status::<()>(1, TicketStatus::NeverRan), Action::Wait);
+    assert_eq!(
+        late.tick::<()>(100),
+        Action::Finish(ForwardResult::MayHaveRun)
+    );
+    assert_eq!(
+        late.handle_status::<()>(1, TicketStatus::NeverRan),
+        Action::Wait
+    );
 }
--- a/crates/graphql/src/answer.rs
+++ b/crates/graphql/src/answer.rs
@@ -75,7 +75,11 @@
     let shape: Shape = serde_json::from_str(raw.get()).map_err(|_| BadAnswer::NoAnswer)?;
     match shape.data {
         None if shape.errors.as_ref().is_none_or(Vec::is_empty) => Err(BadAnswer::NoAnswer),
-        Some(Keys(keys)) if keys.iter().any(|k| !operation.roots.iter().any(|r| r.key == *k)) => {
+        Some(Keys(keys))
+            if keys
+                .iter()
+                .any(|k| !operation.roots.iter().any(|r| r.key == *k)) =>
+        {
             Err(BadAnswer::Another)
         }
         _ => Ok(()),
@@ -84,9 +88,13 @@
 
 /// The body of an answer to a request with a fault.
 pub fn fault(fault: &Fault) -> Value {
-    let mut error = json!({ "message": fault.mistake, "extensions": { "code": fault.kind.code() } });
+    let mut error =
+        json!({ "message": fault.mistake, "extensions": { "code": fault.kind.code() } });
     if let (Some(at), Some(error)) = (fault.at, error.as_object_mut()) {
-        error.insert("locations".to_owned(), json!([{ "line": at.line, "column": at.column }]));
+        error.insert(
+            "locations".to_owned(),
+            json!([{ "line": at.line, "column": at.column }]),
+        );
     }
     json!({ "errors": [error] })
 }
@@ -98,12 +106,18 @@
         Fate::Refused(after) => {
             let mut extensions = json!({ "code": "REFUSED", "retryable": true });
             if let (Some(after), Some(e)) = (after, extensions.as_object_mut()) {
-                e.insert("retryAfterMs".to_owned(), json!((after * 1e3).ceil().max(0.0) as u64));
+                e.insert(
+                    "retryAfterMs".to_owned(),
+                    json!((after * 1e3).ceil().max(0.0) as u64),
+                );
             }
             ("refused; nothing has run", extensions)
         }
         Fate::NeverRan => ("not run", json!({ "code": "NOT_RUN", "retryable": true })),
-        Fate::Failed => ("failed; it may have run", json!({ "code": "FAILED", "retryable": false })),
+        Fate::Failed => (
+            "failed; it may have run",
+            json!({ "code": "FAILED", "retryable": false }),
+        ),
     };
     Some(json!({ "data": null, "errors": [{ "message": message, "extensions": extensions }] }))
 }
--- a/crates/graphql/src/batch.rs
+++ b/crates/graphql/src/batch.rs
@@ -45,7 +45,11 @@
     /// A batch of entries, each writing or not; so many reads run at once, one at least.
     pub fn new(writes: impl IntoIterator<Item = bool>, side_by_side: usize) -> Self {
         let entries = writes.into_iter().map(|w| (w, State::Waiting)).collect();
-        Batch { entries, side_by_side: side_by_side.max(1), ended: false }
+        Batch {
+            entries,
+            side_by_side: side_by_side.max(1),
+            ended: false,
+        }
     }
 
     /// Starts what may run now, and gives it in its order.
@@ -54,7 +58,10 @@
             return Vec::new();
         }
         let running = |writes: bool| {
-            let running = self.entries.iter().filter(|(w, s)| *w == writes && matches!(s, State::Running));
+            let running = self
+                .entries
+                .iter()
+                .filter(|(w, s)| *w == writes && matches!(s, State::Running));
             running.count()
         };
         let mut reads = self.side_by_side.saturating_sub(running(false));
@@ -73,7 +80,11 @@
 
     /// An entry that was running has ended. A second word on it, or one on an entry that does not run, changes nothing.
     pub fn done(&mut self, entry: Entry, fate: Fate<A>) {
-        if let Some((_, state)) = self.entries.get_mut(entry).filter(|(_, s)| matches!(s, State::Running)) {
+        if let Some((_, state)) = self
+            .entries
+            .get_mut(entry)
+            .filter(|(_, s)| matches!(s, State::Running))
+        {
             *state = State::Done(fate);
         }
     }
@@ -85,7 +96,9 @@
 
     /// All entries have ended.
     pub fn complete(&self) -> bool {
-        self.entries.iter().all(|(_, s)| matches!(s, State::Done(_)))
+        self.entries
+            .iter()
+            .all(|(_, s)| matches!(s, State::Done(_)))
     }
 
     /// What became of each entry, in the client's order. One that runs still may have run; one that waits never will.
@@ -101,5 +114,7 @@
 
 /// Whether a whole batch may be answered as a refusal: only if no entry has run.
 pub fn refusable<A>(fates: &[Fate<A>]) -> bool {
-    fates.iter().all(|f| matches!(f, Fate::Refused(_) | Fate::NeverRan))
+    fates
+        .iter()
+        .all(|f| matches!(f, Fate::Refused(_) | Fate::NeverRan))
 }
--- a/crates/graphql/src/class.rs
+++ b/crates/graphql/src/class.rs
@@ -56,7 +56,12 @@
     /// # Errors
     /// If it names none, or one that is safe for a mutation.
     pub fn new(mapping: Mapping, infos: Vec<ClassInfo>) -> Result<Classes, MapFault> {
-        let info = |c: ClassId| infos.get(usize::from(c)).copied().ok_or(MapFault::NoClass(c));
+        let info = |c: ClassId| {
+            infos
+                .get(usize::from(c))
+                .copied()
+                .ok_or(MapFault::NoClass(c))
+        };
         for class in mapping.query.values().chain([&mapping.other_query]) {
             info(*class)?;
         }
@@ -79,8 +84,10 @@
         };
         // What every server answers about itself is no reason for a stricter class.
         let about_itself = |field: &str| matches!(field, "__typename" | "__schema" | "__type");
-        let roots =
-            operation.roots.iter().filter(|r| operation.kind == Kind::Mutation || !about_itself(&r.field));
+        let roots = operation
+            .roots
+            .iter()
+            .filter(|r| operation.kind == Kind::Mutation || !about_itself(&r.field));
         let classes = roots.map(|r| fields.get(&r.field).copied().unwrap_or(other));
         classes.reduce(|a, b| self.stricter(a, b)).unwrap_or(other)
     }
@@ -97,6 +104,9 @@
     /// Whether a second run of an operation would do no harm.
     pub fn safe(&self, operation: &Operation) -> bool {
         operation.kind == Kind::Query
-            && self.infos.get(usize::from(self.of(operation))).is_some_and(|i| i.safe)
+            && self
+                .infos
+                .get(usize::from(self.of(operation)))
+                .is_some_and(|i| i.safe)
     }
 }
--- a/crates/graphql/src/decode.rs
+++ b/crates/graphql/src/decode.rs
@@ -32,13 +32,20 @@
     /// # Errors
     /// If it is there and can't be used.
     pub fn persisted(&self) -> Result<Option<[u8; 32]>, Fault> {
-        let Some(persisted) = self.extensions.get("persistedQuery") else { return Ok(None) };
+        let Some(persisted) = self.extensions.get("persistedQuery") else {
+            return Ok(None);
+        };
         let bad = |what: &str| Fault::new(FaultKind::Request, format!("persistedQuery: {what}"));
         if persisted.get("version").and_then(Value::as_u64) != Some(1) {
             return Err(bad("version 1 is served"));
         }
-        let hash = persisted.get("sha256Hash").and_then(Value::as_str).ok_or_else(|| bad("no sha256Hash"))?;
-        hex(hash).map(Some).ok_or_else(|| bad("sha256Hash is no SHA-256 in hexadecimal digits"))
+        let hash = persisted
+            .get("sha256Hash")
+            .and_then(Value::as_str)
+            .ok_or_else(|| bad("no sha256Hash"))?;
+        hex(hash)
+            .map(Some)
+            .ok_or_else(|| bad("sha256Hash is no SHA-256 in hexadecimal digits"))
     }
 }
 
@@ -78,7 +85,11 @@
     if text.starts_with('\u{feff}') {
         return Err(bad("the body begins with a byte order mark"));
     }
-    match text.trim_start_matches([' ', '\t', '\r', '\n']).as_bytes().first() {
+    match text
+        .trim_start_matches([' ', '\t', '\r', '\n'])
+        .as_bytes()
+        .first()
+    {
         Some(b'[') => {
             let entries: Vec<&RawValue> = serde_json::from_str(text).map_err(|e| json(&e))?;
             if entries.is_empty() {
@@ -88,7 +99,11 @@
                 return Err(Fault::limit("requests in a batch", limits.batch));
             }
             let entry = |raw: &'a RawValue| Ok((params(raw.get())?, raw.get()));
-            entries.into_iter().map(entry).collect::<Result<_, Fault>>().map(Asked::Batch)
+            entries
+                .into_iter()
+                .map(entry)
+                .collect::<Result<_, Fault>>()
+                .map(Asked::Batch)
         }
         Some(b'{') => params(text).map(Asked::One),
         _ => Err(bad("the body is no JSON object")),
@@ -126,7 +141,10 @@
 
 /// Refuses a name that is a known one but for its case.
 fn known_or(name: &str) -> Result<(), Fault> {
-    match KNOWN.iter().find(|k| k.eq_ignore_ascii_case(name) && **k != name) {
+    match KNOWN
+        .iter()
+        .find(|k| k.eq_ignore_ascii_case(name) && **k != name)
+    {
         Some(known) => Err(bad(format!("`{name}` is not `{known}`"))),
         None => Ok(()),
     }
@@ -167,7 +185,9 @@
     };
     let (query, operation_name) = (text("query")?, text("operationName")?);
     if operation_name.as_ref().is_some_and(String::is_empty) {
-        return Err(bad("`operationName` is empty: leave it out, or name an operation"));
+        return Err(bad(
+            "`operationName` is empty: leave it out, or name an operation",
+        ));
     }
     let mut map = |name: &str| match object.remove(name) {
         None | Some(Value::Null) => Ok(Map::new()),
@@ -175,7 +195,12 @@
         Some(_) => Err(bad(format!("`{name}` is no object"))),
     };
     let (variables, extensions) = (map("variables")?, map("extensions")?);
-    let params = Params { query, operation_name, variables, extensions };
+    let params = Params {
+        query,
+        operation_name,
+        variables,
+        extensions,
+    };
     if params.query.is_none() && params.persisted()?.is_none() {
         return Err(bad("no `query`"));
     }
@@ -185,7 +210,9 @@
 /// Reads JSON in which no object has a key twice.
 fn strict(text: &str) -> Result<Value, Fault> {
     let mut reader = serde_json::Deserializer::from_str(text);
-    let value = Strict(JSON_DEPTH).deserialize(&mut reader).map_err(|e| json(&e))?;
+    let value = Strict(JSON_DEPTH)
+        .deserialize(&mut reader)
+        .map_err(|e| json(&e))?;
     reader.end().map_err(|e| json(&e))?;
     Ok(value)
 }
@@ -203,7 +230,10 @@
 
 impl Strict {
     fn deeper<E: serde::de::Error>(&self) -> Result<Strict, E> {
-        self.0.checked_sub(1).map(Strict).ok_or_else(|| E::custom("nested too deep"))
+        self.0
+            .checked_sub(1)
+            .map(Strict)
+            .ok_or_else(|| E::custom("nested too deep"))
     }
 }
 
--- a/crates/graphql/src/document.rs
+++ b/crates/graphql/src/document.rs
@@ -95,7 +95,10 @@
 /// # Errors
 /// If it can't be parsed, is not valid as far as that can be told without a schema, or is over a bound.
 pub fn operation(
-    text: &str, name: Option<&str>, variables: &Map<String, Value>, limits: &Limits,
+    text: &str,
+    name: Option<&str>,
+    variables: &Map<String, Value>,
+    limits: &Limits,
 ) -> Result<Operation, Fault> {
     if text.len() > limits.document {
         return Err(Fault::limit("bytes of a document", limits.document));
@@ -124,7 +127,12 @@
     walk.weigh(&chosen.set)?;
     let mut roots = Vec::new();
     walk.collect(&chosen.set, &mut HashSet::new(), &mut roots)?;
-    Ok(Operation { kind, name: chosen.name.clone(), roots, cost: walk.cost })
+    Ok(Operation {
+        kind,
+        name: chosen.name.clone(),
+        roots,
+        cost: walk.cost,
+    })
 }
 
 /// Refuses characters that end a line, a text or a token for some readers and not for others: a carriage return alone,
@@ -141,7 +149,10 @@
             c => !c.is_control() && c != '\u{feff}',
         };
         if !fits {
-            let mistake = format!("the document holds U+{:04X}, which readers take differently", c as u32);
+            let mistake = format!(
+                "the document holds U+{:04X}, which readers take differently",
+                c as u32
+            );
             return Err(Fault::new(FaultKind::Syntax, mistake));
         }
     }
@@ -149,12 +160,21 @@
 }
 
 fn fault(kind: FaultKind, mistake: impl Into<String>, at: Location) -> Fault {
-    Fault { kind, mistake: mistake.into(), at: Some(at) }
+    Fault {
+        kind,
+        mistake: mistake.into(),
+        at: Some(at),
+    }
 }
 
 /// Which operation runs (6.1). Where the document is not valid, nothing is chosen: servers could choose differently.
-fn choose<'a>(text: &str, operations: &'a [Definition], name: Option<&str>) -> Result<&'a Definition, Fault> {
-    let validation = |mistake: String, at: usize| fault(FaultKind::Validation, mistake, location(text, at));
+fn choose<'a>(
+    text: &str,
+    operations: &'a [Definition],
+    name: Option<&str>,
+) -> Result<&'a Definition, Fault> {
+    let validation =
+        |mistake: String, at: usize| fault(FaultKind::Validation, mistake, location(text, at));
     let mut names = HashSet::new();
     for operation in operations {
         match &operation.name {
@@ -163,19 +183,33 @@
                 return Err(validation(mistake, operation.at));
             }
             Some(name) if !names.insert(name) => {
-                return Err(validation(format!("two operations are named `{name}`"), operation.at));
+                return Err(validation(
+                    format!("two operations are named `{name}`"),
+                    operation.at,
+                ));
             }
             _ => {}
         }
     }
     match (name, operations) {
-        (_, []) => Err(Fault::new(FaultKind::Validation, "the document has no operation")),
+        (_, []) => Err(Fault::new(
+            FaultKind::Validation,
+            "the document has no operation",
+        )),
         (None, [only]) => Ok(only),
-        (None, _) => Err(Fault::new(FaultKind::Validation, "several operations and no `operationName`")),
+        (None, _) => Err(Fault::new(
+            FaultKind::Validation,
+            "several operations and no `operationName`",
+        )),
         (Some(name), _) => operations
             .iter()
             .find(|o| o.name.as_deref() == Some(name))
-            .ok_or_else(|| Fault::new(FaultKind::Validation, format!("there is no operation `{name}`"))),
+            .ok_or_else(|| {
+                Fault::new(
+                    FaultKind::Validation,
+                    format!("there is no operation `{name}`"),
+                )
+            }),
     }
 }
 
@@ -206,8 +240,9 @@
 
     fn read(&self) -> Result<(Vec<Definition>, Fragments), Fault> {
         // The bounds guard time and the stack: 100,000 nested braces end at the first past the bound.
-        let parser =
-            Parser::new(self.text).recursion_limit(self.limits.depth).token_limit(self.limits.tokens);
+        let parser = Parser::new(self.text)
+            .recursion_limit(self.limits.depth)
+            .token_limit(self.limits.tokens);
         let tree = parser.parse();
         if tree.errors().any(apollo_parser::Error::is_limit) {
             let tokens = tree.token_limit().high > self.limits.tokens;
@@ -229,16 +264,23 @@
             match &definition {
                 cst::Definition::OperationDefinition(o) => operations.push(self.operation(o)?),
                 cst::Definition::FragmentDefinition(f) => {
-                    let name = f.fragment_name().and_then(|n| n.name()).map(|n| n.text().to_string());
-                    let name =
-                        name.ok_or_else(|| self.mistake(FaultKind::Syntax, "a fragment without a name", f))?;
+                    let name = f
+                        .fragment_name()
+                        .and_then(|n| n.name())
+                        .map(|n| n.text().to_string());
+                    let name = name.ok_or_else(|| {
+                        self.mistake(FaultKind::Syntax, "a fragment without a name", f)
+                    })?;
                     let set = self.set(f.selection_set())?;
                     if fragments.insert(name.clone(), set).is_some() {
                         let mistake = format!("two fragments are named `{name}`");
                         return Err(self.mistake(FaultKind::Validation, mistake, f));
                     }
                     if fragments.len() > self.limits.fragments {
-                        return Err(Fault::limit("fragments of a document", self.limits.fragments));
+                        return Err(Fault::limit(
+                            "fragments of a document",
+                            self.limits.fragments,
+                        ));
                     }
                 }
                 _ => {
@@ -256,11 +298,19 @@
     /// where this reader still is inside of it. Harm: none to documents that follow the specification.
     fn check_strings(&self, tree: &apollo_parser::SyntaxTree) -> Result<(), Fault> {
         let document = tree.document();
-        for token in document.syntax().descendants_with_tokens().filter_map(|t| t.into_token()) {
+        for token in document
+            .syntax()
+            .descendants_with_tokens()
+            .filter_map(|t| t.into_token())
+        {
             let text = token.text();
             if text.starts_with('"') && !text.starts_with("\"\"\"") && text.contains('\n') {
                 let at = location(self.text, token.text_range().start().into());
-                return Err(fault(FaultKind::Syntax, "a string runs past the end of its line", at));
+                return Err(fault(
+                    FaultKind::Syntax,
+                    "a string runs past the end of its line",
+                    at,
+                ));
             }
         }
         Ok(())
@@ -274,8 +324,14 @@
             Some(_) => None,
         };
         let mut defaults = HashMap::new();
-        for v in o.variable_definitions().iter().flat_map(|v| v.variable_definitions()) {
-            let Some(name) = v.variable().and_then(|v| v.name()) else { continue };
+        for v in o
+            .variable_definitions()
+            .iter()
+            .flat_map(|v| v.variable_definitions())
+        {
+            let Some(name) = v.variable().and_then(|v| v.name()) else {
+                continue;
+            };
             let default = match v.default_value().and_then(|d| d.value()) {
                 Some(cst::Value::BooleanValue(b)) => Some(b.true_token().is_some()),
                 _ => None,
@@ -287,11 +343,20 @@
         }
         let set = self.set(o.selection_set())?;
         let name = o.name().map(|n| n.text().to_string());
-        Ok(Definition { kind, name, defaults, set, at: start(o) })
+        Ok(Definition {
+            kind,
+            name,
+            defaults,
+            set,
+            at: start(o),
+        })
     }
 
     fn set(&self, set: Option<cst::SelectionSet>) -> Result<Vec<Selection>, Fault> {
-        set.iter().flat_map(|s| s.selections()).map(|s| self.selection(&s)).collect()
+        set.iter()
+            .flat_map(|s| s.selections())
+            .map(|s| self.selection(&s))
+            .collect()
     }
 
     fn selection(&self, selection: &cst::Selection) -> Result<Selection, Fault> {
@@ -299,12 +364,20 @@
         Ok(match selection {
             cst::Selection::Field(f) => Selection::Field {
                 field: f.name().ok_or_else(unnamed)?.text().to_string(),
-                alias: f.alias().and_then(|a| a.name()).map(|n| n.text().to_string()),
+                alias: f
+                    .alias()
+                    .and_then(|a| a.name())
+                    .map(|n| n.text().to_string()),
                 conditions: conditions(f.directives()),
                 set: self.set(f.selection_set())?,
             },
             cst::Selection::FragmentSpread(s) => Selection::Spread {
-                name: s.fragment_name().and_then(|n| n.name()).ok_or_else(unnamed)?.text().to_string(),
+                name: s
+                    .fragment_name()
+                    .and_then(|n| n.name())
+                    .ok_or_else(unnamed)?
+                    .text()
+                    .to_string(),
                 conditions: conditions(s.directives()),
                 at: start(s),
             },
@@ -317,9 +390,15 @@
 }
 
 fn conditions(directives: Option<cst::Directives>) -> Conditions {
-    let mut found = Conditions { skip: Vec::new(), include: Vec::new() };
+    let mut found = Conditions {
+        skip: Vec::new(),
+        include: Vec::new(),
+    };
     for directive in directives.iter().flat_map(|d| d.directives()) {
-        let name = directive.name().map(|n| n.text().to_string()).unwrap_or_default();
+        let name = directive
+            .name()
+            .map(|n| n.text().to_string())
+            .unwrap_or_default();
         let to = match name.as_str() {
             "skip" => &mut found.skip,
             "include" => &mut found.include,
@@ -330,9 +409,9 @@
             if argument.name().is_some_and(|n| n.text() == "if") {
                 condition = match argument.value() {
                     Some(cst::Value::BooleanValue(b)) => Condition::Known(b.true_token().is_some()),
-                    Some(cst::Value::Variable(v)) => {
-                        v.name().map_or(Condition::Other, |n| Condition::Variable(n.text().to_string()))
-                    }
+                    Some(cst::Value::Variable(v)) => v.name().map_or(Condition::Other, |n| {
+                        Condition::Variable(n.text().to_string())
+                    }),
                     _ => Condition::Other,
                 };
             }
@@ -379,21 +458,34 @@
     /// Fragments must not lead back to themselves (5.5.2.2): whoever followed them would not come to an end.
     fn check_cycles(&self) -> Result<(), Fault> {
         fn visit<'a>(
-            text: &str, name: &'a str, set: &'a [Selection], fragments: &'a Fragments,
-            open: &mut Vec<&'a str>, done: &mut HashSet<&'a str>,
+            text: &str,
+            name: &'a str,
+            set: &'a [Selection],
+            fragments: &'a Fragments,
+            open: &mut Vec<&'a str>,
+            done: &mut HashSet<&'a str>,
         ) -> Result<(), Fault> {
             open.push(name);
             let mut sets = vec![set];
             while let Some(set) = sets.pop() {
                 for selection in set {
                     match selection {
-                        Selection::Field { set, .. } | Selection::Inline { set, .. } => sets.push(set),
+                        Selection::Field { set, .. } | Selection::Inline { set, .. } => {
+                            sets.push(set)
+                        }
                         Selection::Spread { name, at, .. } => {
                             if open.contains(&name.as_str()) {
                                 let mistake = format!("fragment `{name}` leads back to itself");
-                                return Err(fault(FaultKind::Validation, mistake, location(text, *at)));
+                                return Err(fault(
+                                    FaultKind::Validation,
+                                    mistake,
+                                    location(text, *at),
+                                ));
                             }
-                            if let Some(set) = fragments.get(name).filter(|_| !done.contains(name.as_str())) {
+                            if let Some(set) = fragments
+                                .get(name)
+                                .filter(|_| !done.contains(name.as_str()))
+                            {
                                 visit(text, name, set, fragments, open, done)?;
                             }
                         }
@@ -408,7 +500,14 @@
         for (name, set) in self.fragments {
             if !done.contains(name.as_str()) {
                 // No deeper than there are fragments, which are bounded.
-                visit(self.text, name, set, self.fragments, &mut Vec::new(), &mut done)?;
+                visit(
+                    self.text,
+                    name,
+                    set,
+                    self.fragments,
+                    &mut Vec::new(),
+                    &mut done,
+                )?;
             }
         }
         Ok(())
@@ -423,7 +522,10 @@
                     self.cost += 1;
                     self.aliases += usize::from(alias.is_some());
                     if self.cost > self.limits.cost {
-                        return Err(Fault::limit("cost: fields of an operation", self.limits.cost));
+                        return Err(Fault::limit(
+                            "cost: fields of an operation",
+                            self.limits.cost,
+                        ));
                     }
                     if self.aliases > self.limits.aliases {
                         return Err(Fault::limit("aliases of an operation", self.limits.aliases));
@@ -435,7 +537,10 @@
                     // A spread counts too: fragments of fragments of nothing must come to an end as well.
                     self.cost += 1;
                     if self.cost > self.limits.cost {
-                        return Err(Fault::limit("cost: fields of an operation", self.limits.cost));
+                        return Err(Fault::limit(
+                            "cost: fields of an operation",
+                            self.limits.cost,
+                        ));
                     }
                     let set = fragments.get(name).ok_or_else(|| {
                         let mistake = format!("there is no fragment `{name}`");
@@ -451,7 +556,10 @@
     /// Collects the root fields (6.3.2). Type conditions are not looked at: without a schema nobody can say which of
     /// them hold, and a field too many is on the safe side.
     fn collect<'a>(
-        &'a self, set: &'a [Selection], seen: &mut HashSet<&'a str>, roots: &mut Vec<Root>,
+        &'a self,
+        set: &'a [Selection],
+        seen: &mut HashSet<&'a str>,
+        roots: &mut Vec<Root>,
     ) -> Result<(), Fault> {
         for selection in set {
             match selection {
@@ -459,13 +567,18 @@
                     if self.left_out(conditions) => {}
                 Selection::Spread { conditions, .. } if self.left_out(conditions) => {}
                 Selection::Field { field, alias, .. } => {
-                    let root =
-                        Root { field: field.clone(), key: alias.clone().unwrap_or_else(|| field.clone()) };
+                    let root = Root {
+                        field: field.clone(),
+                        key: alias.clone().unwrap_or_else(|| field.clone()),
+                    };
                     if !roots.contains(&root) {
                         roots.push(root);
                     }
                     if roots.len() > self.limits.root_fields {
-                        return Err(Fault::limit("root fields of an operation", self.limits.root_fields));
+                        return Err(Fault::limit(
+                            "root fields of an operation",
+                            self.limits.root_fields,
+                        ));
                     }
                 }
                 Selection::Inline { set, .. } => self.collect(set, seen, roots)?,
--- a/crates/graphql/src/lib.rs
+++ b/crates/graphql/src/lib.rs
@@ -132,11 +132,18 @@
 impl Fault {
     /// A mistake without a place.
     pub fn new(kind: FaultKind, mistake: impl Into<String>) -> Fault {
-        Fault { kind, mistake: mistake.into(), at: None }
+        Fault {
+            kind,
+            mistake: mistake.into(),
+            at: None,
+        }
     }
 
     /// Over a bound.
     pub fn limit(name: &str, most: usize) -> Fault {
-        Fault::new(FaultKind::Limit, format!("over the limit on {name}: {most} at most"))
+        Fault::new(
+            FaultKind::Limit,
+            format!("over the limit on {name}: {most} at most"),
+        )
     }
 }
--- a/crates/graphql/src/media.rs
+++ b/crates/graphql/src/media.rs
@@ -30,7 +30,9 @@
 /// # Errors
 /// If it takes neither.
 pub fn negotiate(accept: Option<&str>) -> Result<Media, Fault> {
-    let Some(accept) = accept.filter(|a| !a.trim().is_empty()) else { return Ok(Media::Json) };
+    let Some(accept) = accept.filter(|a| !a.trim().is_empty()) else {
+        return Ok(Media::Json);
+    };
     let quality = |name: &str| {
         // The most special range that fits tells the quality.
         let fits = accept.split(',').filter_map(|range| {
@@ -47,7 +49,12 @@
                 let (key, value) = parameter.split_once('=').unwrap_or((parameter, ""));
                 let value = value.trim().trim_matches('"');
                 match key.trim().to_ascii_lowercase().as_str() {
-                    "q" => q = value.parse::<f64>().ok().filter(|q| (0.0..=1.0).contains(q))?,
+                    "q" => {
+                        q = value
+                            .parse::<f64>()
+                            .ok()
+                            .filter(|q| (0.0..=1.0).contains(q))?
+                    }
                     "charset" if !value.eq_ignore_ascii_case("utf-8") => return None,
                     _ => {}
                 }
@@ -77,9 +84,14 @@
 /// If it is not `application/json` in UTF-8.
 pub fn check_body(content_type: Option<&str>) -> Result<(), Fault> {
     let fault = |mistake: &str| Err(Fault::new(FaultKind::MediaType, mistake));
-    let Some(content_type) = content_type else { return fault("no Content-Type: send application/json") };
+    let Some(content_type) = content_type else {
+        return fault("no Content-Type: send application/json");
+    };
     let mut parts = content_type.split(';').map(str::trim);
-    if !parts.next().is_some_and(|kind| kind.eq_ignore_ascii_case("application/json")) {
+    if !parts
+        .next()
+        .is_some_and(|kind| kind.eq_ignore_ascii_case("application/json"))
+    {
         return fault("the body has to be application/json");
     }
     for parameter in parts {
--- a/crates/graphql/src/persisted.rs
+++ b/crates/graphql/src/persisted.rs
@@ -44,10 +44,13 @@
         match (query, hash) {
             (Some(query), None) => Ok(query.into()),
             (Some(query), Some(hash)) if hash == of(query) => Ok(query.into()),
-            (Some(_), Some(_)) => Err(Fault::new(FaultKind::Request, "provided sha does not match query")),
-            (None, Some(hash)) => self
-                .get(&hash)
-                .ok_or_else(|| Fault::new(FaultKind::PersistedQueryNotFound, "PersistedQueryNotFound")),
+            (Some(_), Some(_)) => Err(Fault::new(
+                FaultKind::Request,
+                "provided sha does not match query",
+            )),
+            (None, Some(hash)) => self.get(&hash).ok_or_else(|| {
+                Fault::new(FaultKind::PersistedQueryNotFound, "PersistedQueryNotFound")
+            }),
             (None, None) => Err(Fault::new(FaultKind::Request, "no `query`")),
         }
     }
@@ -64,11 +67,18 @@
     /// Keeps a document that was found to be valid under its hash. One larger than the store is not kept.
     pub fn keep(&mut self, document: &str, limits: &Limits) {
         let hash = of(document);
-        if self.get(&hash).is_some() || document.len() > limits.persisted_bytes || limits.persisted == 0 {
+        if self.get(&hash).is_some()
+            || document.len() > limits.persisted_bytes
+            || limits.persisted == 0
+        {
             return;
         }
-        while self.kept.len() >= limits.persisted || self.bytes + document.len() > limits.persisted_bytes {
-            let Some((_, oldest)) = self.by_use.pop_first() else { break };
+        while self.kept.len() >= limits.persisted
+            || self.bytes + document.len() > limits.persisted_bytes
+        {
+            let Some((_, oldest)) = self.by_use.pop_first() else {
+                break;
+            };
             if let Some(old) = self.kept.remove(&oldest) {
                 self.bytes -= old.document.len();
             }
@@ -76,7 +86,13 @@
         self.uses += 1;
         self.by_use.insert(self.uses, hash);
         self.bytes += document.len();
-        self.kept.insert(hash, Kept { document: document.into(), used: self.uses });
+        self.kept.insert(
+            hash,
+            Kept {
+                document: document.into(),
+                used: self.uses,
+            },
+        );
     }
 }
 
--- a/crates/graphql/tests/batch.rs
+++ b/crates/graphql/tests/batch.rs
@@ -18,7 +18,14 @@
 
 fn runner() -> TestRunner {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[2; 32]);
-    TestRunner::new_with_rng(Config { cases: 1000, failure_persistence: None, ..Config::default() }, rng)
+    TestRunner::new_with_rng(
+        Config {
+            cases: 1000,
+            failure_persistence: None,
+            ..Config::default()
+        },
+        rng,
+    )
 }
 
 #[test]
@@ -28,12 +35,16 @@
         3 => any::<usize>().prop_map(|pick| Step::Twice { pick }),
         1 => Just(Step::End),
     ];
-    let schedule =
-        (prop::collection::vec(any::<bool>(), 1..20), 1..4usize, prop::collection::vec(step, 0..60));
+    let schedule = (
+        prop::collection::vec(any::<bool>(), 1..20),
+        1..4usize,
+        prop::collection::vec(step, 0..60),
+    );
     runner()
         .run(&schedule, |(writes, side_by_side, steps)| {
             let mut batch: Batch<usize> = Batch::new(writes.iter().copied(), side_by_side);
-            let (mut running, mut begun, mut ended) = (Vec::<usize>::new(), Vec::<usize>::new(), false);
+            let (mut running, mut begun, mut ended) =
+                (Vec::<usize>::new(), Vec::<usize>::new(), false);
             let mut fates = vec![None; writes.len()];
             let mut started = batch.start();
             for step in steps {
@@ -42,18 +53,25 @@
                     prop_assert!(!begun.contains(&n), "started twice");
                     if writes[n] {
                         let before: Vec<usize> = (0..n).filter(|m| writes[*m]).collect();
-                        prop_assert!(before.iter().all(|m| fates[*m].is_some()), "a write before its turn");
+                        prop_assert!(
+                            before.iter().all(|m| fates[*m].is_some()),
+                            "a write before its turn"
+                        );
                     }
                     running.push(n);
                     begun.push(n);
                 }
-                prop_assert!(running.iter().filter(|n| writes[**n]).count() <= 1, "two writes at once");
+                prop_assert!(
+                    running.iter().filter(|n| writes[**n]).count() <= 1,
+                    "two writes at once"
+                );
                 prop_assert!(running.iter().filter(|n| !writes[**n]).count() <= side_by_side);
                 match step {
                     Step::Done { pick, fate } if !running.is_empty() => {
                         let n = running.swap_remove(pick % running.len());
-                        let fate =
-                            [Fate::Answered(n), Fate::Refused(None), Fate::Failed][usize::from(fate)].clone();
+                        let fate = [Fate::Answered(n), Fate::Refused(None), Fate::Failed]
+                            [usize::from(fate)]
+                        .clone();
                         fates[n] = Some(fate.clone());
                         batch.done(n, fate);
                     }
@@ -101,22 +119,44 @@
 
 #[test]
 fn the_store_is_bounded_and_an_unknown_hash_is_never_taken_for_anything() {
-    let limits = Limits { persisted: 3, persisted_bytes: 100, ..Limits::default() };
+    let limits = Limits {
+        persisted: 3,
+        persisted_bytes: 100,
+        ..Limits::default()
+    };
     let mut store = Persisted::new();
     let kind = |r: Result<std::sync::Arc<str>, Fault>| r.map_err(|f| f.kind);
-    assert_eq!(kind(store.resolve(None, Some(of("{a}")))), Err(FaultKind::PersistedQueryNotFound));
-    assert_eq!(kind(store.resolve(Some("{a}"), Some(of("{b}")))), Err(FaultKind::Request));
-    assert_eq!(kind(store.resolve(Some("{a}"), Some(of("{a}")))).as_deref(), Ok("{a}"));
+    assert_eq!(
+        kind(store.resolve(None, Some(of("{a}")))),
+        Err(FaultKind::PersistedQueryNotFound)
+    );
+    assert_eq!(
+        kind(store.resolve(Some("{a}"), Some(of("{b}")))),
+        Err(FaultKind::Request)
+    );
+    assert_eq!(
+        kind(store.resolve(Some("{a}"), Some(of("{a}")))).as_deref(),
+        Ok("{a}")
+    );
     assert_eq!(store.size(), (0, 0), "kept before it was found to be valid");
     for document in ["{a}", "{b}", "{c}"] {
         store.keep(document, &limits);
     }
     // The one that was used lately stays.
-    assert_eq!(kind(store.resolve(None, Some(of("{a}")))).as_deref(), Ok("{a}"));
+    assert_eq!(
+        kind(store.resolve(None, Some(of("{a}")))).as_deref(),
+        Ok("{a}")
+    );
     store.keep("{d}", &limits);
     assert_eq!(store.size(), (3, 9));
-    assert_eq!(kind(store.resolve(None, Some(of("{b}")))), Err(FaultKind::PersistedQueryNotFound));
-    assert_eq!(kind(store.resolve(None, Some(of("{a}")))).as_deref(), Ok("{a}"));
+    assert_eq!(
+        kind(store.resolve(None, Some(of("{b}")))),
+        Err(FaultKind::PersistedQueryNotFound)
+    );
+    assert_eq!(
+        kind(store.resolve(None, Some(of("{a}")))).as_deref(),
+        Ok("{a}")
+    );
     store.keep(&"x".repeat(95), &limits);
     assert_eq!(store.size(), (2, 98), "over its bytes");
     store.keep(&"y".repeat(101), &limits);
@@ -129,7 +169,13 @@
 
 #[test]
 fn an_answer_is_to_its_own_operation_or_none() {
-    let asked = operation("{ x: evaluate __typename }", None, &Map::new(), &Limits::default()).unwrap();
+    let asked = operation(
+        "{ x: evaluate __typename }",
+        None,
+        &Map::new(),
+        &Limits::default(),
+    )
+    .unwrap();
     let said = |body: &str| check(body.as_bytes(), &asked);
     for good in [
         r#"{"data":{"x":1,"__typename":"Query"}}"#,
@@ -158,7 +204,11 @@
     ] {
         assert_eq!(said(bad), Err(why), "{bad}");
     }
-    let deep = format!("{{\"data\":{{\"x\":{}{}}}}}", "[".repeat(100_000), "]".repeat(100_000));
+    let deep = format!(
+        "{{\"data\":{{\"x\":{}{}}}}}",
+        "[".repeat(100_000),
+        "]".repeat(100_000)
+    );
     // Values are passed over without a stack, so depth is no matter.
     assert_eq!(said(&deep), Ok(()));
 }
@@ -171,16 +221,35 @@
         code(&Fate::Refused(Some(0.25))),
         Some(json!({"code":"REFUSED","retryable":true,"retryAfterMs":250}))
     );
-    assert_eq!(code(&Fate::Refused(None)), Some(json!({"code":"REFUSED","retryable":true})));
-    assert_eq!(code(&Fate::NeverRan), Some(json!({"code":"NOT_RUN","retryable":true})));
-    assert_eq!(code(&Fate::Failed), Some(json!({"code":"FAILED","retryable":false})));
-    let merged = merge(vec![Fate::Failed, Fate::Answered("{\"data\":{\"x\": 1.0}}\n")]);
+    assert_eq!(
+        code(&Fate::Refused(None)),
+        Some(json!({"code":"REFUSED","retryable":true}))
+    );
+    assert_eq!(
+        code(&Fate::NeverRan),
+        Some(json!({"code":"NOT_RUN","retryable":true}))
+    );
+    assert_eq!(
+        code(&Fate::Failed),
+        Some(json!({"code":"FAILED","retryable":false}))
+    );
+    let merged = merge(vec![
+        Fate::Failed,
+        Fate::Answered("{\"data\":{\"x\": 1.0}}\n"),
+    ]);
     let merged = String::from_utf8(merged).unwrap();
     let read: Vec<Value> = serde_json::from_str(&merged).unwrap();
     assert_eq!(read.len(), 2);
-    assert!(merged.ends_with(",{\"data\":{\"x\": 1.0}}]"), "an answer was changed: {merged}");
+    assert!(
+        merged.ends_with(",{\"data\":{\"x\": 1.0}}]"),
+        "an answer was changed: {merged}"
+    );
     let at = Some(Location { line: 2, column: 3 });
-    let told = fault(&Fault { kind: FaultKind::Syntax, mistake: "no".to_owned(), at });
+    let told = fault(&Fault {
+        kind: FaultKind::Syntax,
+        mistake: "no".to_owned(),
+        at,
+    });
     let expected = json!({"errors":[{"message":"no","locations":[{"line":2,"column":3}],"extensions":{"code":"GRAPHQL_PARSE_FAILED"}}]});
     assert_eq!(told, expected);
 }
--- a/crates/graphql/tests/common/naive.rs
+++ b/crates/graphql/tests/common/naive.rs
@@ -84,13 +84,19 @@
         if !within {
             within = true;
             match token {
-                Token::Mark('{') => found.push(Defined { keyword: "query".to_owned(), name: None }),
+                Token::Mark('{') => found.push(Defined {
+                    keyword: "query".to_owned(),
+                    name: None,
+                }),
                 Token::Name(keyword) => {
                     let name = match tokens.get(n + 1) {
                         Some(Token::Name(name)) => Some(name.clone()),
                         _ => None,
                     };
-                    found.push(Defined { keyword: keyword.clone(), name });
+                    found.push(Defined {
+                        keyword: keyword.clone(),
+                        name,
+                    });
                 }
                 _ => return None,
             }
@@ -116,7 +122,10 @@
         None => None,
         Some(_) => {
             operations.retain(|d| d.name.as_deref() == name);
-            operations.pop().filter(|_| operations.is_empty()).map(|d| d.keyword)
+            operations
+                .pop()
+                .filter(|_| operations.is_empty())
+                .map(|d| d.keyword)
         }
     }
 }
--- a/crates/graphql/tests/decode.rs
+++ b/crates/graphql/tests/decode.rs
@@ -22,24 +22,55 @@
     assert_eq!(params.operation_name.as_deref(), Some("A"));
     assert_eq!(params.variables["x"][1]["y"], serde_json::Value::Null);
     assert_eq!(params.extensions["e"], 1);
-    let nulls = one(r#"{"query":"{a}","operationName":null,"variables":null,"extensions":null}"#).unwrap();
+    let nulls =
+        one(r#"{"query":"{a}","operationName":null,"variables":null,"extensions":null}"#).unwrap();
     assert_eq!(nulls, one(r#"{"query":"{a}"}"#).unwrap());
     // An escape in a key is the same key.
-    assert_eq!(one("{\"\\u0071uery\":\"{a}\"}").unwrap().query.as_deref(), Some("{a}"));
+    assert_eq!(
+        one("{\"\\u0071uery\":\"{a}\"}").unwrap().query.as_deref(),
+        Some("{a}")
+    );
 }
 
 #[test]
 fn what_two_readers_could_take_differently_is_refused() {
     for (text, said) in [
-        (r#"{"query":"{a}","query":"mutation{b}"}"#, "`query` is there twice"),
-        ("{\"query\":\"{a}\",\"\\u0071uery\":\"mutation{b}\"}", "`query` is there twice"),
-        (r#"{"query":"{a}","Query":"mutation{b}"}"#, "`Query` is not `query`"),
-        (r#"{"query":"{a}","operationname":"b"}"#, "`operationname` is not `operationName`"),
-        (r#"{"query":"{a}","variables":{"x":1,"x":2}}"#, "`x` is there twice"),
-        (r#"{"query":"{a}","extensions":{"p":{"x":1,"x":2}}}"#, "`x` is there twice"),
-        (r#"{"query":"{a}","documentId":"b"}"#, "`documentId` is no parameter of a request"),
-        (r#"{"query":"{a}","operationName":""}"#, "`operationName` is empty"),
-        ("\u{feff}{\"query\":\"{a}\"}", "the body begins with a byte order mark"),
+        (
+            r#"{"query":"{a}","query":"mutation{b}"}"#,
+            "`query` is there twice",
+        ),
+        (
+            "{\"query\":\"{a}\",\"\\u0071uery\":\"mutation{b}\"}",
+            "`query` is there twice",
+        ),
+        (
+            r#"{"query":"{a}","Query":"mutation{b}"}"#,
+            "`Query` is not `query`",
+        ),
+        (
+            r#"{"query":"{a}","operationname":"b"}"#,
+            "`operationname` is not `operationName`",
+        ),
+        (
+            r#"{"query":"{a}","variables":{"x":1,"x":2}}"#,
+            "`x` is there twice",
+        ),
+        (
+            r#"{"query":"{a}","extensions":{"p":{"x":1,"x":2}}}"#,
+            "`x` is there twice",
+        ),
+        (
+            r#"{"query":"{a}","documentId":"b"}"#,
+            "`documentId` is no parameter of a request",
+        ),
+        (
+            r#"{"query":"{a}","operationName":""}"#,
+            "`operationName` is empty",
+        ),
+        (
+            "\u{feff}{\"query\":\"{a}\"}",
+            "the body begins with a byte order mark",
+        ),
     ] {
         let fault = one(text).unwrap_err();
         assert!(fault.contains(said), "{fault} instead of {said} for {text}");
@@ -85,21 +116,30 @@
 #[test]
 fn a_batch_keeps_each_entry_as_it_came_and_is_bounded() {
     let text = r#"[ {"query":"{a}"} , {"variables":{"x": 1.0e0},"query":"mutation { b }"}]"#;
-    let Ok(Asked::Batch(entries)) = body(text.as_bytes(), &Limits::default()) else { panic!("no batch") };
-    assert_eq!(entries[1].1, r#"{"variables":{"x": 1.0e0},"query":"mutation { b }"}"#);
+    let Ok(Asked::Batch(entries)) = body(text.as_bytes(), &Limits::default()) else {
+        panic!("no batch")
+    };
+    assert_eq!(
+        entries[1].1,
+        r#"{"variables":{"x": 1.0e0},"query":"mutation { b }"}"#
+    );
     let many = format!("[{}]", vec![r#"{"query":"{a}"}"#; 1000].join(","));
     let fault = body(many.as_bytes(), &Limits::default()).unwrap_err();
     assert_eq!(
         (fault.kind, fault.mistake.as_str()),
-        (FaultKind::Limit, "over the limit on requests in a batch: 50 at most")
+        (
+            FaultKind::Limit,
+            "over the limit on requests in a batch: 50 at most"
+        )
     );
 }
 
 #[test]
 fn a_get_is_read_from_its_query() {
-    let params =
-        query("query=query+A%28%24x%3AInt%29%7Ba%7D&operationName=A&variables=%7B%22x%22%3A1%7D&other=1")
-            .unwrap();
+    let params = query(
+        "query=query+A%28%24x%3AInt%29%7Ba%7D&operationName=A&variables=%7B%22x%22%3A1%7D&other=1",
+    )
+    .unwrap();
     assert_eq!(params.query.as_deref(), Some("query A($x:Int){a}"));
     assert_eq!(params.variables["x"], 1);
     for bad in [
@@ -145,12 +185,30 @@
         (Some("application/*"), Some(Media::Json)),
         (Some("application/json"), Some(Media::Json)),
         (Some(RESPONSE), Some(Media::Response)),
-        (Some("APPLICATION/GraphQL-Response+JSON; Charset=UTF-8"), Some(Media::Response)),
-        (Some("application/graphql-response+json, application/json;q=0.9"), Some(Media::Response)),
-        (Some("application/json, application/graphql-response+json"), Some(Media::Response)),
-        (Some("application/graphql-response+json;q=0.5, application/json"), Some(Media::Json)),
-        (Some("application/graphql-response+json;q=0, */*"), Some(Media::Json)),
-        (Some("application/json;q=0, */*;q=0.1"), Some(Media::Response)),
+        (
+            Some("APPLICATION/GraphQL-Response+JSON; Charset=UTF-8"),
+            Some(Media::Response),
+        ),
+        (
+            Some("application/graphql-response+json, application/json;q=0.9"),
+            Some(Media::Response),
+        ),
+        (
+            Some("application/json, application/graphql-response+json"),
+            Some(Media::Response),
+        ),
+        (
+            Some("application/graphql-response+json;q=0.5, application/json"),
+            Some(Media::Json),
+        ),
+        (
+            Some("application/graphql-response+json;q=0, */*"),
+            Some(Media::Json),
+        ),
+        (
+            Some("application/json;q=0, */*;q=0.1"),
+            Some(Media::Response),
+        ),
         (Some("application/json; charset=utf-16"), None),
         (Some("text/html"), None),
         (Some("text/html, */*;q=0"), None),
@@ -161,8 +219,11 @@
 
 #[test]
 fn a_body_is_json_in_utf_8() {
-    for good in ["application/json", "Application/JSON; charset=utf-8", "application/json;charset=\"UTF-8\""]
-    {
+    for good in [
+        "application/json",
+        "Application/JSON; charset=utf-8",
+        "application/json;charset=\"UTF-8\"",
+    ] {
         assert!(check_body(Some(good)).is_ok(), "{good}");
     }
     for bad in [
@@ -173,7 +234,11 @@
         Some("application/json; charset=utf-16"),
         Some("application/x-www-form-urlencoded"),
     ] {
-        assert_eq!(check_body(bad).unwrap_err().kind, FaultKind::MediaType, "{bad:?}");
+        assert_eq!(
+            check_body(bad).unwrap_err().kind,
+            FaultKind::MediaType,
+            "{bad:?}"
+        );
     }
 }
 
@@ -190,6 +255,10 @@
         (FaultKind::NotAcceptable, 406, 406),
         (FaultKind::PersistedQueryNotFound, 200, 200),
     ] {
-        assert_eq!((status(Media::Response, kind), status(Media::Json, kind)), (response, json), "{kind:?}");
+        assert_eq!(
+            (status(Media::Response, kind), status(Media::Json, kind)),
+            (response, json),
+            "{kind:?}"
+        );
     }
 }
--- a/crates/graphql/tests/document.rs
+++ b/crates/graphql/tests/document.rs
@@ -13,7 +13,11 @@
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
 
-fn read(text: &str, name: Option<&str>, variables: Value) -> Result<Operation, (FaultKind, String)> {
+fn read(
+    text: &str,
+    name: Option<&str>,
+    variables: Value,
+) -> Result<Operation, (FaultKind, String)> {
     let variables = variables.as_object().cloned().unwrap_or_default();
     operation(text, name, &variables, &Limits::default()).map_err(|f| (f.kind, f.mistake))
 }
@@ -26,7 +30,11 @@
         other_mutation: 1,
     };
     let info = |safe, deadline| ClassInfo { safe, deadline };
-    Classes::new(mapping, vec![info(true, 0.6), info(false, 0.6), info(false, 0.5)]).unwrap()
+    Classes::new(
+        mapping,
+        vec![info(true, 0.6), info(false, 0.6), info(false, 0.5)],
+    )
+    .unwrap()
 }
 
 // ---- the tree ----
@@ -41,9 +49,22 @@
 
 #[derive(Clone, Debug)]
 enum Node {
-    Field { alias: Option<&'static str>, name: &'static str, skip: If, include: If, set: Vec<Node> },
-    Spread { to: usize, include: If },
-    Inline { on: bool, skip: If, set: Vec<Node> },
+    Field {
+        alias: Option<&'static str>,
+        name: &'static str,
+        skip: If,
+        include: If,
+        set: Vec<Node>,
+    },
+    Spread {
+        to: usize,
+        include: If,
+    },
+    Inline {
+        on: bool,
+        skip: If,
+        set: Vec<Node>,
+    },
 }
 
 #[derive(Clone, Debug)]
@@ -71,7 +92,10 @@
         Just("mutation"),
         Just("query")
     ];
-    let alias = prop::option::weighted(0.3, prop_oneof![Just("evaluate"), Just("x"), Just("toggle")]);
+    let alias = prop::option::weighted(
+        0.3,
+        prop_oneof![Just("evaluate"), Just("x"), Just("toggle")],
+    );
     let leaf = (alias, name, iff(), iff()).prop_map(|(alias, name, skip, include)| Node::Field {
         alias,
         name,
@@ -79,11 +103,20 @@
         include,
         set: vec![],
     });
-    let spread = (0..fragments.max(1), iff()).prop_map(|(to, include)| Node::Spread { to, include });
-    let node = if fragments == 0 { leaf.boxed() } else { prop_oneof![4 => leaf, 2 => spread].boxed() };
+    let spread =
+        (0..fragments.max(1), iff()).prop_map(|(to, include)| Node::Spread { to, include });
+    let node = if fragments == 0 {
+        leaf.boxed()
+    } else {
+        prop_oneof![4 => leaf, 2 => spread].boxed()
+    };
     let node = node.prop_recursive(3, 12, 3, |inner| {
         prop_oneof![
-            (any::<bool>(), iff(), prop::collection::vec(inner.clone(), 1..3))
+            (
+                any::<bool>(),
+                iff(),
+                prop::collection::vec(inner.clone(), 1..3)
+            )
                 .prop_map(|(on, skip, set)| Node::Inline { on, skip, set }),
             prop::collection::vec(inner, 1..3).prop_map(|set| Node::Field {
                 alias: None,
@@ -103,12 +136,25 @@
     let kind = prop_oneof![3 => Just(Some(false)), 2 => Just(Some(true)), 1 => Just(None)];
     let operations = prop::collection::vec((kind, nodes(3)), 1..4);
     let booleans = || prop::array::uniform3(prop::option::of(any::<bool>()));
-    (operations, fragments, any::<usize>(), booleans(), booleans(), any::<bool>()).prop_map(
-        |(operations, fragments, chosen, given, defaults, noise)| {
-            let chosen = chosen % operations.len();
-            Doc { operations, fragments, chosen, given, defaults, noise }
-        },
+    (
+        operations,
+        fragments,
+        any::<usize>(),
+        booleans(),
+        booleans(),
+        any::<bool>(),
     )
+        .prop_map(|(operations, fragments, chosen, given, defaults, noise)| {
+            let chosen = chosen % operations.len();
+            Doc {
+                operations,
+                fragments,
+                chosen,
+                given,
+                defaults,
+                noise,
+            }
+        })
 }
 
 // ---- its text ----
@@ -128,13 +174,20 @@
             *out += " # } mutation { toggle }\n , ";
         }
         match node {
-            Node::Field { alias, name, skip, include, set } => {
+            Node::Field {
+                alias,
+                name,
+                skip,
+                include,
+                set,
+            } => {
                 if let Some(alias) = alias {
                     *out += &format!(" {alias}:");
                 }
                 *out += &format!(" {name}");
                 if noise {
-                    *out += "(a: \"\"\"} mutation { \\\"\"\" toggle }\"\"\", b: \"} { \\\" mutation\")";
+                    *out +=
+                        "(a: \"\"\"} mutation { \\\"\"\" toggle }\"\"\", b: \"} { \\\" mutation\")";
                 }
                 print_if(out, "skip", skip);
                 print_if(out, "include", include);
@@ -163,13 +216,24 @@
         match kind {
             None if single => {}
             kind => {
-                out += if *kind == Some(true) { "mutation" } else { "query" };
+                out += if *kind == Some(true) {
+                    "mutation"
+                } else {
+                    "query"
+                };
                 out += &format!(" O{n}");
                 let variable = |(v, d): (usize, &Option<bool>)| match d {
                     Some(d) => format!("$v{v}: Boolean = {d} "),
                     None => format!("$v{v}: Boolean "),
                 };
-                out += &format!("({})", doc.defaults.iter().enumerate().map(variable).collect::<String>());
+                out += &format!(
+                    "({})",
+                    doc.defaults
+                        .iter()
+                        .enumerate()
+                        .map(variable)
+                        .collect::<String>()
+                );
             }
         }
         print_set(&mut out, set, doc.noise);
@@ -198,7 +262,13 @@
     let mut open: Vec<&Node> = set.iter().collect();
     while let Some(node) = open.pop() {
         match node {
-            Node::Field { alias, name, skip, include, .. } => {
+            Node::Field {
+                alias,
+                name,
+                skip,
+                include,
+                ..
+            } => {
                 if value(skip) != Some(true) && value(include) != Some(false) {
                     found.insert((alias.unwrap_or(name).to_owned(), (*name).to_owned()), ());
                 }
@@ -226,15 +296,27 @@
         .enumerate()
         .filter_map(|(v, b)| Some((format!("v{v}"), Value::Bool((*b)?))))
         .collect();
-    let limits = Limits { depth: 64, aliases: 100_000, cost: 100_000, ..Limits::default() };
-    let read =
-        operation(&text, name.as_deref(), &given, &limits).unwrap_or_else(|f| panic!("{f:?} for\n{text}"));
+    let limits = Limits {
+        depth: 64,
+        aliases: 100_000,
+        cost: 100_000,
+        ..Limits::default()
+    };
+    let read = operation(&text, name.as_deref(), &given, &limits)
+        .unwrap_or_else(|f| panic!("{f:?} for\n{text}"));
     let (writes, roots) = naive(doc);
     assert_eq!(read.kind == Kind::Mutation, writes, "{text}");
-    let found: BTreeMap<_, _> = read.roots.iter().map(|r| ((r.key.clone(), r.field.clone()), ())).collect();
+    let found: BTreeMap<_, _> = read
+        .roots
+        .iter()
+        .map(|r| ((r.key.clone(), r.field.clone()), ()))
+        .collect();
     assert_eq!(found, roots, "{text}");
     let classes = classes();
-    assert!(!(writes && classes.safe(&read)), "a mutation counts as safe: {text}");
+    assert!(
+        !(writes && classes.safe(&read)),
+        "a mutation counts as safe: {text}"
+    );
     let fields = |name: &str| roots.keys().any(|(_, f)| f == name);
     let class = match writes {
         true if fields("rollout") => 2,
@@ -247,24 +329,47 @@
 
 /// How many documents are made of each kind.
 fn documents() -> u32 {
-    std::env::var("DOCUMENTS").ok().and_then(|n| n.parse().ok()).unwrap_or(2_000)
+    std::env::var("DOCUMENTS")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(2_000)
 }
 
 #[test]
 fn random_documents_mean_what_the_naive_evaluator_says() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[4; 32]);
-    let mut runner = TestRunner::new_with_rng(Config { failure_persistence: None, ..Config::default() }, rng);
+    let mut runner = TestRunner::new_with_rng(
+        Config {
+            failure_persistence: None,
+            ..Config::default()
+        },
+        rng,
+    );
     let strategy = doc();
     for _ in 0..documents() {
-        check(&strategy.new_tree(&mut runner).expect("a document").current());
+        check(
+            &strategy
+                .new_tree(&mut runner)
+                .expect("a document")
+                .current(),
+        );
     }
 }
 
 #[test]
 fn spoilt_documents_never_make_a_mutation_safe_and_never_panic() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[6; 32]);
-    let mut runner = TestRunner::new_with_rng(Config { failure_persistence: None, ..Config::default() }, rng);
-    let spoil = (doc(), prop::collection::vec((any::<usize>(), any::<u8>(), 0..3u8), 1..6));
+    let mut runner = TestRunner::new_with_rng(
+        Config {
+            failure_persistence: None,
+            ..Config::default()
+        },
+        rng,
+    );
+    let spoil = (
+        doc(),
+        prop::collection::vec((any::<usize>(), any::<u8>(), 0..3u8), 1..6),
+    );
     let mut read = 0;
     for _ in 0..documents() {
         let (doc, spots) = spoil.new_tree(&mut runner).expect("a document").current();
@@ -282,12 +387,28 @@
         if let Ok(operation) = operation(&text, name.as_deref(), &Map::new(), &Limits::default()) {
             read += 1;
             let keyword = naive::keyword(&text, name.as_deref());
-            let kind = keyword.as_deref().map(|k| if k == "mutation" { Kind::Mutation } else { Kind::Query });
-            assert_eq!(kind, Some(operation.kind), "{keyword:?} is read otherwise: {text}");
-            assert!(!classes().safe(&operation) || keyword.as_deref() == Some("query"), "{text}");
+            let kind = keyword.as_deref().map(|k| {
+                if k == "mutation" {
+                    Kind::Mutation
+                } else {
+                    Kind::Query
+                }
+            });
+            assert_eq!(
+                kind,
+                Some(operation.kind),
+                "{keyword:?} is read otherwise: {text}"
+            );
+            assert!(
+                !classes().safe(&operation) || keyword.as_deref() == Some("query"),
+                "{text}"
+            );
         }
     }
-    assert!(read > documents() / 10, "hardly anything is read at all: {read}");
+    assert!(
+        read > documents() / 10,
+        "hardly anything is read at all: {read}"
+    );
 }
 
 // ---- by hand ----
@@ -308,15 +429,31 @@
         ("query A { evaluate } mutation A { toggle }", Some("A")),
         ("fragment F on Query { evaluate }", None),
         ("{ evaluate } type Query { a: Int }", None),
-        ("{ ...F } fragment F on Query { evaluate } fragment F on Mutation { toggle }", None),
+        (
+            "{ ...F } fragment F on Query { evaluate } fragment F on Mutation { toggle }",
+            None,
+        ),
         ("{ ...G }", None),
         ("{ ...F } fragment F on Query { ...F }", None),
-        ("{ evaluate } fragment F on Query { ...G } fragment G on Query { a { ...F } }", None),
-        ("query ($a: Boolean = true, $a: Boolean = false) { evaluate @skip(if: $a) }", None),
+        (
+            "{ evaluate } fragment F on Query { ...G } fragment G on Query { a { ...F } }",
+            None,
+        ),
+        (
+            "query ($a: Boolean = true, $a: Boolean = false) { evaluate @skip(if: $a) }",
+            None,
+        ),
     ] {
-        assert_eq!(kind(text, name).map_err(|f| f.0), Err(FaultKind::Validation), "{text} {name:?}");
+        assert_eq!(
+            kind(text, name).map_err(|f| f.0),
+            Err(FaultKind::Validation),
+            "{text} {name:?}"
+        );
     }
-    assert_eq!(kind("subscription { a }", None).map_err(|f| f.0), Err(FaultKind::Subscription));
+    assert_eq!(
+        kind("subscription { a }", None).map_err(|f| f.0),
+        Err(FaultKind::Subscription)
+    );
     for text in [
         "",
         "{",
@@ -334,11 +471,19 @@
 
 #[test]
 fn a_mistake_is_told_with_its_place() {
-    let fault =
-        operation("{ evaluate }\n# é\n  { toggle }", None, &Map::new(), &Limits::default()).unwrap_err();
+    let fault = operation(
+        "{ evaluate }\n# é\n  { toggle }",
+        None,
+        &Map::new(),
+        &Limits::default(),
+    )
+    .unwrap_err();
     assert_eq!(fault.at, Some(Location { line: 1, column: 1 }));
     let fault = operation("{ a\n  é }", None, &Map::new(), &Limits::default()).unwrap_err();
-    assert_eq!((fault.kind, fault.at), (FaultKind::Syntax, Some(Location { line: 2, column: 3 })));
+    assert_eq!(
+        (fault.kind, fault.at),
+        (FaultKind::Syntax, Some(Location { line: 2, column: 3 }))
+    );
 }
 
 #[test]
@@ -352,7 +497,11 @@
         "query Q { evaluate(a: \"\n\") }",
         "query Q { evaluate(a: \"\n} mutation M { toggle(a: \"\n\") }",
     ] {
-        assert_eq!(read(text, None, json!({})).map_err(|f| f.0), Err(FaultKind::Syntax), "{text:?}");
+        assert_eq!(
+            read(text, None, json!({})).map_err(|f| f.0),
+            Err(FaultKind::Syntax),
+            "{text:?}"
+        );
     }
     assert!(read("# a\r\n{\r\n\tevaluate }", None, json!({})).is_ok());
 }
@@ -368,37 +517,67 @@
     };
     names(&"{a".repeat(1_000), "depth of a document");
     names(&"{a".repeat(30_000), "tokens of a document");
-    names(&format!("{{a(x:{}1{})}}", "[".repeat(2_000), "]".repeat(2_000)), "depth of a document");
+    names(
+        &format!("{{a(x:{}1{})}}", "[".repeat(2_000), "]".repeat(2_000)),
+        "depth of a document",
+    );
     names(&"{".repeat(100_000), "bytes of a document");
-    names(&format!("{{ a(x: \"{}\") }}", "x".repeat(1 << 20)), "bytes of a document");
-    names(&format!("{{ {} }}", "a ".repeat(9_000)), "tokens of a document");
     names(
-        &format!("{{ {} }}", (0..1_000).map(|n| format!("a{n}:a ")).collect::<String>()),
+        &format!("{{ a(x: \"{}\") }}", "x".repeat(1 << 20)),
+        "bytes of a document",
+    );
+    names(
+        &format!("{{ {} }}", "a ".repeat(9_000)),
+        "tokens of a document",
+    );
+    names(
+        &format!(
+            "{{ {} }}",
+            (0..1_000).map(|n| format!("a{n}:a ")).collect::<String>()
+        ),
         "aliases of an operation",
     );
     names(
-        &format!("{{ {} }}", (0..60).map(|n| format!("a{n} ")).collect::<String>()),
+        &format!(
+            "{{ {} }}",
+            (0..60).map(|n| format!("a{n} ")).collect::<String>()
+        ),
         "root fields of an operation",
     );
-    let fragments: String = (0..200).map(|n| format!("fragment F{n} on Q{{a}} ")).collect();
+    let fragments: String = (0..200)
+        .map(|n| format!("fragment F{n} on Q{{a}} "))
+        .collect();
     names(&format!("{{a}} {fragments}"), "fragments of a document");
     // Each fragment spreads the next twice: 2 to the 30th fields.
-    let doubling: String =
-        (0..30).map(|n| format!("fragment F{n} on Q{{...F{m} ...F{m}}} ", m = n + 1)).collect();
-    names(&format!("{{...F0}} {doubling} fragment F30 on Q{{a}}"), "cost: fields of an operation");
+    let doubling: String = (0..30)
+        .map(|n| format!("fragment F{n} on Q{{...F{m} ...F{m}}} ", m = n + 1))
+        .collect();
+    names(
+        &format!("{{...F0}} {doubling} fragment F30 on Q{{a}}"),
+        "cost: fields of an operation",
+    );
 }
 
 #[test]
 fn no_mapping_makes_a_mutation_safe() {
-    let info = |safe| ClassInfo { safe, deadline: 1.0 };
+    let info = |safe| ClassInfo {
+        safe,
+        deadline: 1.0,
+    };
     let infos = vec![info(true), info(false)];
     let mapping = |mutation: &[(&str, u16)], other| Mapping {
-        mutation: mutation.iter().map(|(f, c)| ((*f).to_owned(), *c)).collect(),
+        mutation: mutation
+            .iter()
+            .map(|(f, c)| ((*f).to_owned(), *c))
+            .collect(),
         other_mutation: other,
         ..Mapping::default()
     };
     let fault = |m| Classes::new(m, infos.clone()).map(|_| ()).unwrap_err();
-    assert_eq!(fault(mapping(&[("touch", 0)], 1)), MapFault::SafeMutation("touch".to_owned()));
+    assert_eq!(
+        fault(mapping(&[("touch", 0)], 1)),
+        MapFault::SafeMutation("touch".to_owned())
+    );
     assert_eq!(fault(mapping(&[], 0)), MapFault::SafeDefault);
     assert_eq!(fault(mapping(&[("touch", 7)], 1)), MapFault::NoClass(7));
     assert!(Classes::new(mapping(&[("touch", 1)], 1), infos.clone()).is_ok());
--- a/crates/lease-store/src/lib.rs
+++ b/crates/lease-store/src/lib.rs
@@ -82,7 +82,9 @@
 
 fn encode_frame(number: u64, frame: &Frame) -> Result<Vec<u8>, StoreError> {
     let body = postcard::to_stdvec(frame).map_err(std::io::Error::other)?;
-    let length = u32::try_from(body.len()).ok().filter(|n| *n as usize <= MAX_FRAME_LEN);
+    let length = u32::try_from(body.len())
+        .ok()
+        .filter(|n| *n as usize <= MAX_FRAME_LEN);
     let length = length.ok_or_else(|| std::io::Error::other("too many records at once"))?;
     let mut bytes = length.to_le_bytes().to_vec();
     bytes.extend_from_slice(&checksum(number, &body)[..CHECKSUM_LEN]);
@@ -127,12 +129,17 @@
         Some(&version) if version > VERSION => return Err(StoreError::Newer(version)),
         _ => return Err(StoreError::Damaged(MAGIC.len())),
     }
-    let mut contents = Contents { end: FILE_HEADER_LEN, ..Contents::default() };
+    let mut contents = Contents {
+        end: FILE_HEADER_LEN,
+        ..Contents::default()
+    };
     while let Some((frame, length)) = decode_frame(contents.frames, &bytes[contents.end..]) {
         match frame {
             OwnedFrame::Snapshot(state) => contents.state = state,
             OwnedFrame::Records(records) => {
-                records.iter().for_each(|record| contents.state.apply(record));
+                records
+                    .iter()
+                    .for_each(|record| contents.state.apply(record));
             }
         }
         contents.frames += 1;
@@ -150,7 +157,11 @@
 /// followed by nothing. Harm: a damaged file is searched once.
 fn has_later_frame(contents: &Contents, bytes: &[u8]) -> bool {
     let numbers = contents.frames..=contents.frames + FRAMES_AHEAD;
-    let is_frame = |from: usize| numbers.clone().any(|n| decode_frame(n, &bytes[from..]).is_some());
+    let is_frame = |from: usize| {
+        numbers
+            .clone()
+            .any(|n| decode_frame(n, &bytes[from..]).is_some())
+    };
     (contents.end..bytes.len()).any(is_frame)
 }
 
@@ -175,7 +186,11 @@
     /// If the folder can't be used.
     pub fn open(folder: &Path) -> Result<(Store, DurableState), StoreError> {
         std::fs::create_dir_all(folder)?;
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(folder.join("lock"))?;
+        let lock = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(folder.join("lock"))?;
         flock(&lock, FlockOperation::NonBlockingLockExclusive).map_err(|_| StoreError::InUse)?;
         let path = folder.join(FILE);
         let bytes = match std::fs::read(&path) {
@@ -184,7 +199,11 @@
             Err(e) => return Err(e.into()),
         };
         let Contents { state, frames, end } = decode(&bytes)?;
-        let mut file = OpenOptions::new().create(true).truncate(false).append(true).open(&path)?;
+        let mut file = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .append(true)
+            .open(&path)?;
         // A truncated frame is removed, so that the next one follows the last complete one.
         file.set_len(end as u64)?;
         if end == 0 {
@@ -193,7 +212,15 @@
         file.sync_all()?;
         File::open(folder)?.sync_all()?;
         let (bytes, folder) = (end.max(FILE_HEADER_LEN) as u64, folder.to_owned());
-        let store = Store { folder, file, frames, bytes, state: state.clone(), failed: false, _lock: lock };
+        let store = Store {
+            folder,
+            file,
+            frames,
+            bytes,
+            state: state.clone(),
+            failed: false,
+            _lock: lock,
+        };
         Ok((store, state))
     }
 
--- a/crates/lease-store/tests/crash.rs
+++ b/crates/lease-store/tests/crash.rs
@@ -13,7 +13,8 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("reelfall-lease-{name}-{}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("reelfall-lease-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
         Folder(path)
     }
@@ -27,15 +28,37 @@
 
 fn batch(n: u64) -> Vec<Record> {
     let name = |n: u64| LeaseName::try_from(format!("lease-{}", n % 7)).unwrap();
-    let client = Some(ClientId { name: format!("node-{n}"), tag: n });
-    let mut records = vec![Record::Promised(name(n), Promise { ballot: n + 1, client, length: 5_000_000 })];
+    let client = Some(ClientId {
+        name: format!("node-{n}"),
+        tag: n,
+    });
+    let mut records = vec![Record::Promised(
+        name(n),
+        Promise {
+            ballot: n + 1,
+            client,
+            length: 5_000_000,
+        },
+    )];
     match n {
-        0 => records.insert(0, Record::Created(StorageId { generation: 1, tag: 77 })),
+        0 => records.insert(
+            0,
+            Record::Created(StorageId {
+                generation: 1,
+                tag: 77,
+            }),
+        ),
         1 => records.push(Record::Admitted),
         _ if n % 5 == 4 => records.push(Record::Evicted(name(n - 3))),
         _ => records.push(Record::Peer(
             (n % 3) as u8,
-            LogPosition { storage: StorageId { generation: 1, tag: n % 3 }, records: n },
+            LogPosition {
+                storage: StorageId {
+                    generation: 1,
+                    tag: n % 3,
+                },
+                records: n,
+            },
         )),
     }
     records
@@ -93,7 +116,10 @@
         match decode(&spoilt) {
             // The last one looks like a write that was cut short. The fellows know that it was not.
             Ok(contents) => {
-                assert!(last && contents.state == states[states.len() - 2], "a flip at {at} is not seen")
+                assert!(
+                    last && contents.state == states[states.len() - 2],
+                    "a flip at {at} is not seen"
+                )
             }
             Err(StoreError::Newer(_)) => assert_eq!(at, 15),
             Err(StoreError::Damaged(_)) => assert!(!last, "at {at}"),
@@ -124,13 +150,25 @@
         std::fs::write(folder.0.join(FILE), bytes).unwrap();
         Store::open(&folder.0).err().unwrap()
     };
-    assert!(matches!(refused(b"something else altogether, and longer"), StoreError::Damaged(0)));
-    assert!(matches!(refused(b"reelfall leases\x02"), StoreError::Newer(2)));
+    assert!(matches!(
+        refused(b"something else altogether, and longer"),
+        StoreError::Damaged(0)
+    ));
+    assert!(matches!(
+        refused(b"reelfall leases\x02"),
+        StoreError::Newer(2)
+    ));
     // Nothing of it was changed.
-    assert_eq!(std::fs::read(folder.0.join(FILE)).unwrap(), b"reelfall leases\x02");
+    assert_eq!(
+        std::fs::read(folder.0.join(FILE)).unwrap(),
+        b"reelfall leases\x02"
+    );
     let no_folder = Folder::new("no-folder");
     std::fs::write(&no_folder.0, b"").unwrap();
-    assert!(matches!(Store::open(&no_folder.0), Err(StoreError::System(_))));
+    assert!(matches!(
+        Store::open(&no_folder.0),
+        Err(StoreError::System(_))
+    ));
     std::fs::remove_file(&no_folder.0).unwrap();
 }
 
@@ -144,9 +182,16 @@
         store.write(&records).unwrap();
         records.iter().for_each(|record| state.apply(record));
         let length = std::fs::metadata(folder.0.join(FILE)).unwrap().len();
-        (most, anew, before) = (most.max(length), anew + usize::from(length < before), length);
+        (most, anew, before) = (
+            most.max(length),
+            anew + usize::from(length < before),
+            length,
+        );
     }
     drop(store);
-    assert!(most < 5 << 20 && anew > 1, "{most} bytes at most, written anew {anew} times");
+    assert!(
+        most < 5 << 20 && anew > 1,
+        "{most} bytes at most, written anew {anew} times"
+    );
     assert_eq!(Store::open(&folder.0).unwrap().1, state);
 }
--- a/crates/lease-store/tests/golden.rs
+++ b/crates/lease-store/tests/golden.rs
@@ -18,17 +18,42 @@
 
 fn promised(n: u64) -> Record {
     let lease = LeaseName::try_from(format!("lease-{}", n % 5)).unwrap();
-    let client = (!n.is_multiple_of(3)).then(|| ClientId { name: format!("n{n}"), tag: n << 40 });
-    Record::Promised(lease, Promise { ballot: n + 1, client, length: 5_000_000 })
+    let client = (!n.is_multiple_of(3)).then(|| ClientId {
+        name: format!("n{n}"),
+        tag: n << 40,
+    });
+    Record::Promised(
+        lease,
+        Promise {
+            ballot: n + 1,
+            client,
+            length: 5_000_000,
+        },
+    )
 }
 
 fn writes() -> Vec<Vec<Record>> {
-    let storage = StorageId { generation: 1, tag: 77 };
+    let storage = StorageId {
+        generation: 1,
+        tag: 77,
+    };
     vec![
         vec![Record::Created(storage), promised(0)],
-        vec![Record::Admitted, Record::Peer(1, LogPosition { storage, records: 500 })],
+        vec![
+            Record::Admitted,
+            Record::Peer(
+                1,
+                LogPosition {
+                    storage,
+                    records: 500,
+                },
+            ),
+        ],
         (1..6).map(promised).collect(),
-        vec![Record::Evicted(LeaseName::try_from("lease-2".to_owned()).unwrap()), Record::Floor(4)],
+        vec![
+            Record::Evicted(LeaseName::try_from("lease-2".to_owned()).unwrap()),
+            Record::Floor(4),
+        ],
     ]
 }
 
@@ -45,7 +70,10 @@
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(hex, GOLDEN.trim_end());
     let mut state = decode(&[]).unwrap().state;
-    writes().concat().iter().for_each(|record| state.apply(record));
+    writes()
+        .concat()
+        .iter()
+        .for_each(|record| state.apply(record));
     assert_eq!(decode(&bytes).unwrap().state, state);
 }
 
@@ -56,7 +84,13 @@
     let length = || std::fs::metadata(folder.join(FILE)).unwrap().len();
     let mut before = length();
     for n in 0.. {
-        store.write(&(0..10_000).map(|k| promised(10_000 * n + k)).collect::<Vec<_>>()).unwrap();
+        store
+            .write(
+                &(0..10_000)
+                    .map(|k| promised(10_000 * n + k))
+                    .collect::<Vec<_>>(),
+            )
+            .unwrap();
         if length() < before {
             break;
         }
--- a/crates/lease/src/durable.rs
+++ b/crates/lease/src/durable.rs
@@ -66,7 +66,10 @@
 
     /// The log position; `None` for an empty folder.
     pub fn position(&self) -> Option<LogPosition> {
-        self.storage.map(|storage| LogPosition { storage, records: self.records })
+        self.storage.map(|storage| LogPosition {
+            storage,
+            records: self.records,
+        })
     }
 
     /// The highest ballot that must not be promised again for the lease.
@@ -74,6 +77,9 @@
     /// The floor counts for leases that are present, too: a peer may have evicted one whose ballot was higher than the one
     /// here, and its floor is all that is left of it.
     pub fn promised_ballot(&self, lease: &LeaseName) -> u64 {
-        self.leases.get(lease).map_or(0, |promise| promise.ballot).max(self.floor)
+        self.leases
+            .get(lease)
+            .map_or(0, |promise| promise.ballot)
+            .max(self.floor)
     }
 }
--- a/crates/lease/src/holder.rs
+++ b/crates/lease/src/holder.rs
@@ -71,7 +71,10 @@
 
 impl Votes {
     fn new(keepers: usize) -> Votes {
-        Votes { accepted: vec![None; keepers], refused: vec![false; keepers] }
+        Votes {
+            accepted: vec![None; keepers],
+            refused: vec![false; keepers],
+        }
     }
 
     /// The latest log position of each keeper that any vote reports.
@@ -94,9 +97,15 @@
     fn has_majority(&self) -> bool {
         let latest = self.latest_positions();
         let counts = |(vote, known): (&Option<Vote>, &Option<LogPosition>)| {
-            vote.as_ref().is_some_and(|v| known.is_none_or(|known| known.storage <= v.own.storage))
+            vote.as_ref()
+                .is_some_and(|v| known.is_none_or(|known| known.storage <= v.own.storage))
         };
-        let accepted = self.accepted.iter().zip(&latest).filter(|pair| counts(*pair)).count();
+        let accepted = self
+            .accepted
+            .iter()
+            .zip(&latest)
+            .filter(|pair| counts(*pair))
+            .count();
         accepted >= majority(self.accepted.len())
     }
 
@@ -110,10 +119,25 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum State {
     Idle,
-    BackingOff { until: Micros },
-    Preparing { ballot: u64, began: Micros, votes: Votes },
-    Proposing { token: u64, began: Micros, votes: Votes },
-    Held { token: u64, until: Micros, renewal: Option<Renewal>, next_renewal: Micros },
+    BackingOff {
+        until: Micros,
+    },
+    Preparing {
+        ballot: u64,
+        began: Micros,
+        votes: Votes,
+    },
+    Proposing {
+        token: u64,
+        began: Micros,
+        votes: Votes,
+    },
+    Held {
+        token: u64,
+        until: Micros,
+        renewal: Option<Renewal>,
+        next_renewal: Micros,
+    },
 }
 
 /// A renewal that is under way.
@@ -208,9 +232,11 @@
     /// The lease, if it is held at this moment. To be asked again before each operation.
     pub fn held(&self, now: Micros) -> Option<Held<'_>> {
         match self.state {
-            State::Held { token, until, .. } if now < until => {
-                Some(Held { name: &self.name, token, left: until - now })
-            }
+            State::Held { token, until, .. } if now < until => Some(Held {
+                name: &self.name,
+                token,
+                left: until - now,
+            }),
             _ => None,
         }
     }
@@ -235,7 +261,11 @@
     fn release_ballot(&mut self, now: Micros) {
         let token = match self.state {
             State::Held { token, until, .. } => {
-                let event = if now < until { LeaseEvent::Released } else { LeaseEvent::Lost };
+                let event = if now < until {
+                    LeaseEvent::Released
+                } else {
+                    LeaseEvent::Lost
+                };
                 self.events.push(event(Token(token)));
                 token
             }
@@ -243,7 +273,13 @@
             _ => return,
         };
         for keeper in 0..self.config.keepers {
-            self.requests.push((keeper, Request::Release { lease: self.name.clone(), token }));
+            self.requests.push((
+                keeper,
+                Request::Release {
+                    lease: self.name.clone(),
+                    token,
+                },
+            ));
         }
     }
 
@@ -255,7 +291,11 @@
             State::Preparing { began, .. } | State::Proposing { began, .. } => {
                 Some(began + self.config.response_timeout)
             }
-            State::Held { until, next_renewal, .. } => Some(*until.min(next_renewal)),
+            State::Held {
+                until,
+                next_renewal,
+                ..
+            } => Some(*until.min(next_renewal)),
         }
     }
 
@@ -288,24 +328,48 @@
         let (length, waited) = (self.config.length, now.saturating_sub(self.waiting_since));
         for keeper in 0..self.config.keepers {
             let lease = self.name.clone();
-            self.requests.push((keeper, Request::Prepare { lease, round, ballot, length, waited }));
+            self.requests.push((
+                keeper,
+                Request::Prepare {
+                    lease,
+                    round,
+                    ballot,
+                    length,
+                    waited,
+                },
+            ));
         }
-        self.state = State::Preparing { ballot, began: now, votes: Votes::new(self.config.keepers) };
+        self.state = State::Preparing {
+            ballot,
+            began: now,
+            votes: Votes::new(self.config.keepers),
+        };
     }
 
     /// Asks for grants. The lease counts from here, before any keeper can have granted it.
     fn propose(&mut self, now: Micros, token: u64, peers: &[Option<LogPosition>]) {
         self.round += 1;
         self.request_grants(token, peers);
-        self.state = State::Proposing { token, began: now, votes: Votes::new(self.config.keepers) };
+        self.state = State::Proposing {
+            token,
+            began: now,
+            votes: Votes::new(self.config.keepers),
+        };
     }
 
     fn renew(&mut self, now: Micros) {
-        let State::Held { token, .. } = self.state else { return };
+        let State::Held { token, .. } = self.state else {
+            return;
+        };
         self.round += 1;
         self.request_grants(token, &[]);
         let votes = Votes::new(self.config.keepers);
-        if let State::Held { renewal, next_renewal, .. } = &mut self.state {
+        if let State::Held {
+            renewal,
+            next_renewal,
+            ..
+        } = &mut self.state
+        {
             *renewal = Some(Renewal { began: now, votes });
             *next_renewal = now + self.config.response_timeout;
         }
@@ -315,7 +379,16 @@
         let (round, length) = (self.round, self.config.length);
         for keeper in 0..self.config.keepers {
             let (lease, peers) = (self.name.clone(), peers.to_vec());
-            self.requests.push((keeper, Request::Grant { lease, round, token, length, peers }));
+            self.requests.push((
+                keeper,
+                Request::Grant {
+                    lease,
+                    round,
+                    token,
+                    length,
+                    peers,
+                },
+            ));
         }
     }
 
@@ -335,7 +408,9 @@
         };
         self.failed_attempts = self.failed_attempts.saturating_add(1);
         let jittered = backoff / 2 + backoff * u64::from(random) / u64::from(u32::MAX);
-        self.state = State::BackingOff { until: now + jittered };
+        self.state = State::BackingOff {
+            until: now + jittered,
+        };
     }
 
     /// Handles a response of a keeper. `random` is uniform over all values, and new for each call.
@@ -350,7 +425,12 @@
             Response::Granted { round, vote, .. } if round == self.round => {
                 self.handle_granted(now, keeper, vote);
             }
-            Response::Refused { round, reason, promised, .. } => {
+            Response::Refused {
+                round,
+                reason,
+                promised,
+                ..
+            } => {
                 self.highest_ballot = self.highest_ballot.max(promised);
                 self.handle_refused(now, keeper, round, reason, random);
             }
@@ -372,7 +452,9 @@
     }
 
     fn handle_promised(&mut self, now: Micros, keeper: usize, vote: Vote) {
-        let State::Preparing { ballot, votes, .. } = &mut self.state else { return };
+        let State::Preparing { ballot, votes, .. } = &mut self.state else {
+            return;
+        };
         votes.accepted[keeper] = Some(vote);
         if votes.has_majority() {
             let (token, peers) = (*ballot, votes.latest_positions());
@@ -384,16 +466,30 @@
         let lasts = self.config.margins.holder_length(self.config.length);
         let renew_after = self.config.length / RENEWALS_PER_LENGTH;
         match &mut self.state {
-            State::Proposing { token, began, votes } => {
+            State::Proposing {
+                token,
+                began,
+                votes,
+            } => {
                 votes.accepted[keeper] = Some(vote);
                 let (token, until, next_renewal) = (*token, *began + lasts, *began + renew_after);
                 if votes.has_majority() && now < until {
-                    self.state = State::Held { token, until, renewal: None, next_renewal };
+                    self.state = State::Held {
+                        token,
+                        until,
+                        renewal: None,
+                        next_renewal,
+                    };
                     self.failed_attempts = 0;
                     self.events.push(LeaseEvent::Acquired(Token(token)));
                 }
             }
-            State::Held { until, renewal: Some(renewal), next_renewal, .. } => {
+            State::Held {
+                until,
+                renewal: Some(renewal),
+                next_renewal,
+                ..
+            } => {
                 renewal.votes.accepted[keeper] = Some(vote);
                 // One that comes after the expiry renews nothing: the next holder may have begun.
                 if renewal.votes.has_majority() && now < *until {
@@ -404,7 +500,14 @@
         }
     }
 
-    fn handle_refused(&mut self, now: Micros, keeper: usize, round: u64, reason: Refusal, random: u32) {
+    fn handle_refused(
+        &mut self,
+        now: Micros,
+        keeper: usize,
+        round: u64,
+        reason: Refusal,
+        random: u32,
+    ) {
         if round != self.round {
             return;
         }
@@ -412,14 +515,16 @@
             let until = now + left;
             self.held_until = Some(self.held_until.map_or(until, |known| known.min(until)));
         }
-        let (State::Preparing { votes, .. } | State::Proposing { votes, .. }) = &mut self.state else {
+        let (State::Preparing { votes, .. } | State::Proposing { votes, .. }) = &mut self.state
+        else {
             return;
         };
         votes.refused[keeper] = true;
         if !votes.is_lost() {
             return;
         }
-        let is_first_attempt = self.failed_attempts == 0 && matches!(self.state, State::Preparing { .. });
+        let is_first_attempt =
+            self.failed_attempts == 0 && matches!(self.state, State::Preparing { .. });
         if reason == Refusal::StaleBallot && is_first_attempt {
             // Only the ballot was too low: the first time the next one is tried at once.
             self.failed_attempts = 1;
--- a/crates/lease/src/keeper/clients.rs
+++ b/crates/lease/src/keeper/clients.rs
@@ -2,42 +2,76 @@
 
 use super::{Destination, Keeper};
 use crate::durable::Record;
-use crate::message::{ClientId, LogPosition, Message, Promise, Refusal, Request, Response, StorageId, Vote};
+use crate::message::{
+    ClientId, LogPosition, Message, Promise, Refusal, Request, Response, StorageId, Vote,
+};
 use crate::token::LeaseName;
 use crate::Micros;
 
 /// The position of a folder that has no identity yet.
-const NO_POSITION: LogPosition = LogPosition { storage: StorageId { generation: 0, tag: 0 }, records: 0 };
+const NO_POSITION: LogPosition = LogPosition {
+    storage: StorageId {
+        generation: 0,
+        tag: 0,
+    },
+    records: 0,
+};
 
 impl Keeper {
     /// Handles a request from a client.
     pub fn handle_request(&mut self, now: Micros, from: &ClientId, request: Request) {
         let response = match request {
-            Request::Prepare { lease, round, ballot, length, waited } => {
-                Some(match self.promise(now, from, &lease, ballot, length, waited) {
-                    Ok(()) => Response::Promised { lease, round, vote: self.vote() },
+            Request::Prepare {
+                lease,
+                round,
+                ballot,
+                length,
+                waited,
+            } => Some(
+                match self.promise(now, from, &lease, ballot, length, waited) {
+                    Ok(()) => Response::Promised {
+                        lease,
+                        round,
+                        vote: self.vote(),
+                    },
                     Err(reason) => self.refuse(lease, round, reason),
-                })
-            }
-            Request::Grant { lease, round, token, length, peers } => {
-                Some(match self.grant(now, from, &lease, token, length, &peers) {
-                    Ok(()) => Response::Granted { lease, round, vote: self.vote() },
-                    Err(reason) => self.refuse(lease, round, reason),
-                })
-            }
+                },
+            ),
+            Request::Grant {
+                lease,
+                round,
+                token,
+                length,
+                peers,
+            } => Some(match self.grant(now, from, &lease, token, length, &peers) {
+                Ok(()) => Response::Granted {
+                    lease,
+                    round,
+                    vote: self.vote(),
+                },
+                Err(reason) => self.refuse(lease, round, reason),
+            }),
             Request::Release { lease, token } => {
                 self.release(now, from, &lease, token);
                 None
             }
         };
         if let Some(response) = response {
-            self.send(Destination::Client(from.clone()), Message::Response(response));
+            self.send(
+                Destination::Client(from.clone()),
+                Message::Response(response),
+            );
         }
     }
 
     fn refuse(&self, lease: LeaseName, round: u64, reason: Refusal) -> Response {
         let promised = self.state.promised_ballot(&lease);
-        Response::Refused { lease, round, reason, promised }
+        Response::Refused {
+            lease,
+            round,
+            reason,
+            promised,
+        }
     }
 
     fn vote(&self) -> Vote {
@@ -52,7 +86,12 @@
     /// Nobody is promised a lease that is granted to somebody else, and no ballot is promised twice: the safety of leases
     /// rests on this.
     fn promise(
-        &mut self, now: Micros, from: &ClientId, lease: &LeaseName, ballot: u64, length: Micros,
+        &mut self,
+        now: Micros,
+        from: &ClientId,
+        lease: &LeaseName,
+        ballot: u64,
+        length: Micros,
         waited: Micros,
     ) -> Result<(), Refusal> {
         if !self.recovery.is_voting() {
@@ -63,13 +102,26 @@
         }
         self.ensure_capacity(now, lease)?;
         let (config, promised) = (self.config, self.state.promised_ballot(lease));
-        let is_own = self.state.leases.get(lease).is_some_and(|p| p.client.as_ref() == Some(from));
+        let is_own = self
+            .state
+            .leases
+            .get(lease)
+            .is_some_and(|p| p.client.as_ref() == Some(from));
         let is_repeated = is_own && ballot == promised;
         let volatile = self.leases.entry(lease.clone()).or_default();
         volatile.last_use = config.round_use(now);
-        if let Some(until) = volatile.granted_until.filter(|until| *until > now && !is_own) {
-            let has_room = volatile.queue.enqueue(now, from, waited, config.max_waiters);
-            return Err(if has_room { Refusal::Held { left: until - now } } else { Refusal::AtCapacity });
+        if let Some(until) = volatile
+            .granted_until
+            .filter(|until| *until > now && !is_own)
+        {
+            let has_room = volatile
+                .queue
+                .enqueue(now, from, waited, config.max_waiters);
+            return Err(if has_room {
+                Refusal::Held { left: until - now }
+            } else {
+                Refusal::AtCapacity
+            });
         }
         if is_repeated {
             return Ok(());
@@ -79,17 +131,35 @@
         }
         // A greater ballot of the same process: whatever it held before, it holds no more.
         volatile.granted_until = None;
-        if !volatile.queue.may_acquire(now, from, &config.queue_timeouts) {
-            let has_room = volatile.queue.enqueue(now, from, waited, config.max_waiters);
-            return Err(if has_room { Refusal::NotFirstInQueue } else { Refusal::AtCapacity });
+        if !volatile
+            .queue
+            .may_acquire(now, from, &config.queue_timeouts)
+        {
+            let has_room = volatile
+                .queue
+                .enqueue(now, from, waited, config.max_waiters);
+            return Err(if has_room {
+                Refusal::NotFirstInQueue
+            } else {
+                Refusal::AtCapacity
+            });
         }
-        let promise = Promise { ballot, client: Some(from.clone()), length };
+        let promise = Promise {
+            ballot,
+            client: Some(from.clone()),
+            length,
+        };
         self.append(Record::Promised(lease.clone(), promise));
         Ok(())
     }
 
     fn grant(
-        &mut self, now: Micros, from: &ClientId, lease: &LeaseName, token: u64, length: Micros,
+        &mut self,
+        now: Micros,
+        from: &ClientId,
+        lease: &LeaseName,
+        token: u64,
+        length: Micros,
         peers: &[Option<LogPosition>],
     ) -> Result<(), Refusal> {
         if !self.recovery.is_voting() {
@@ -108,7 +178,13 @@
     }
 
     /// Whether the last promise of the lease is this ballot of this client, for at least this length if there is one.
-    fn is_promised(&self, lease: &LeaseName, ballot: u64, client: &ClientId, length: Option<Micros>) -> bool {
+    fn is_promised(
+        &self,
+        lease: &LeaseName,
+        ballot: u64,
+        client: &ClientId,
+        length: Option<Micros>,
+    ) -> bool {
         self.state.leases.get(lease).is_some_and(|promise| {
             promise.ballot == ballot
                 && promise.client.as_ref() == Some(client)
@@ -119,7 +195,11 @@
     /// Records the keepers that this one grants with, so that none of them can come back with less than it had.
     fn record_peers(&mut self, peers: &[Option<LogPosition>]) {
         let (me, keepers) = (self.me, self.keepers);
-        for (n, position) in peers.iter().enumerate().filter(|(n, _)| *n != me && *n < keepers) {
+        for (n, position) in peers
+            .iter()
+            .enumerate()
+            .filter(|(n, _)| *n != me && *n < keepers)
+        {
             let known = self.state.peers.get(&(n as u8));
             let newer = position.filter(|position| known.is_none_or(|known| known < position));
             if let Some(position) = newer {
@@ -131,7 +211,9 @@
 
     fn release(&mut self, now: Micros, from: &ClientId, lease: &LeaseName, token: u64) {
         let is_promised = self.is_promised(lease, token, from, None);
-        let Some(volatile) = self.leases.get_mut(lease).filter(|_| is_promised) else { return };
+        let Some(volatile) = self.leases.get_mut(lease).filter(|_| is_promised) else {
+            return;
+        };
         volatile.granted_until = None;
         volatile.released = Some(token);
         self.announce_if_available(now, lease);
@@ -140,10 +222,14 @@
     /// Notifies the first client in the queue if the lease is not granted.
     pub(super) fn announce_if_available(&mut self, now: Micros, lease: &LeaseName) {
         let timeouts = self.config.queue_timeouts;
-        let Some(volatile) = self.leases.get_mut(lease).filter(|v| !v.is_granted(now)) else { return };
+        let Some(volatile) = self.leases.get_mut(lease).filter(|v| !v.is_granted(now)) else {
+            return;
+        };
         volatile.granted_until = None;
         if let Some(first) = volatile.queue.begin_turn(now, &timeouts) {
-            let response = Response::Available { lease: lease.clone() };
+            let response = Response::Available {
+                lease: lease.clone(),
+            };
             self.send(Destination::Client(first), Message::Response(response));
         }
     }
--- a/crates/lease/src/keeper/mod.rs
+++ b/crates/lease/src/keeper/mod.rs
@@ -49,7 +49,10 @@
             max_length: 60_000_000,
             max_leases: 1024,
             max_waiters: 512,
-            queue_timeouts: QueueTimeouts { turn: 500_000, idle: 15_000_000 },
+            queue_timeouts: QueueTimeouts {
+                turn: 500_000,
+                idle: 15_000_000,
+            },
             evict_after: 86_400_000_000,
         }
     }
@@ -133,15 +136,29 @@
 impl Keeper {
     /// Starts a keeper from its durable state. `tag` is random for each process.
     pub fn open(
-        me: usize, keepers: usize, config: Config, state: DurableState, tag: u64, now: Micros,
+        me: usize,
+        keepers: usize,
+        config: Config,
+        state: DurableState,
+        tag: u64,
+        now: Micros,
     ) -> Keeper {
         // What was granted before is unknown: each promised lease may have been granted a moment ago.
         let assume_granted = |(lease, promise): (&LeaseName, &Promise)| {
             let granted_until = Some(now + config.margins.keeper_length(promise.length));
             let last_use = config.round_use(now);
-            (lease.clone(), VolatileLease { granted_until, last_use, ..VolatileLease::default() })
+            (
+                lease.clone(),
+                VolatileLease {
+                    granted_until,
+                    last_use,
+                    ..VolatileLease::default()
+                },
+            )
         };
-        let peer_positions = (0..keepers).map(|n| state.peers.get(&(n as u8)).copied()).collect();
+        let peer_positions = (0..keepers)
+            .map(|n| state.peers.get(&(n as u8)).copied())
+            .collect();
         let mut keeper = Keeper {
             me,
             keepers,
@@ -175,10 +192,19 @@
     pub fn leases(&self, now: Micros) -> impl Iterator<Item = LeaseView<'_>> {
         self.state.leases.iter().map(move |(lease, promise)| {
             let volatile = self.leases.get(lease);
-            let granted_until = volatile.and_then(|v| v.granted_until).filter(|until| *until > now);
+            let granted_until = volatile
+                .and_then(|v| v.granted_until)
+                .filter(|until| *until > now);
             let left = granted_until.map(|until| until - now);
-            let waiting = volatile.map(|v| v.queue.clients().collect()).unwrap_or_default();
-            LeaseView { lease, promise, left, waiting }
+            let waiting = volatile
+                .map(|v| v.queue.clients().collect())
+                .unwrap_or_default();
+            LeaseView {
+                lease,
+                promise,
+                left,
+                waiting,
+            }
         })
     }
 
@@ -193,13 +219,17 @@
 
     /// Ensures that there is capacity for this lease; a new one may evict another.
     fn ensure_capacity(&mut self, now: Micros, lease: &LeaseName) -> Result<(), Refusal> {
-        if self.state.leases.contains_key(lease) || self.state.leases.len() < self.config.max_leases {
+        if self.state.leases.contains_key(lease) || self.state.leases.len() < self.config.max_leases
+        {
             return Ok(());
         }
         let is_free = |l: &&LeaseName| self.leases.get(*l).is_none_or(|v| !v.is_granted(now));
         let last_use = |l: &&LeaseName| self.leases.get(*l).map_or(0, |v| v.last_use);
         let candidates = self.state.leases.keys().filter(is_free);
-        let oldest = candidates.min_by_key(last_use).cloned().ok_or(Refusal::AtCapacity)?;
+        let oldest = candidates
+            .min_by_key(last_use)
+            .cloned()
+            .ok_or(Refusal::AtCapacity)?;
         self.evict(oldest);
         Ok(())
     }
@@ -212,7 +242,10 @@
 
     /// When [`Keeper::tick`] has something to do.
     pub fn deadline(&self) -> Micros {
-        let leases = self.leases.values().filter_map(|v| v.granted_until.or(v.queue.deadline()));
+        let leases = self
+            .leases
+            .values()
+            .filter_map(|v| v.granted_until.or(v.queue.deadline()));
         leases.fold(self.recovery.deadline(), Micros::min)
     }
 
@@ -225,7 +258,11 @@
     }
 
     fn expire_turns(&mut self, now: Micros) {
-        for lease in self.leases.values_mut().filter(|v| v.granted_until.is_none()) {
+        for lease in self
+            .leases
+            .values_mut()
+            .filter(|v| v.granted_until.is_none())
+        {
             lease.queue.expire_turn(now);
         }
     }
@@ -233,7 +270,9 @@
     fn expire_grants(&mut self, now: Micros) {
         let expired = self.leases.iter().filter(|(_, v)| v.has_expired(now));
         let expired: Vec<LeaseName> = expired.map(|(lease, _)| lease.clone()).collect();
-        expired.iter().for_each(|lease| self.announce_if_available(now, lease));
+        expired
+            .iter()
+            .for_each(|lease| self.announce_if_available(now, lease));
     }
 
     fn evict_unused(&mut self, now: Micros) {
--- a/crates/lease/src/keeper/peers.rs
+++ b/crates/lease/src/keeper/peers.rs
@@ -22,17 +22,25 @@
         match message {
             PeerMessage::PositionQuery { own } => self.handle_position_query(from, own),
             PeerMessage::PositionReply { recorded, voting } => {
-                self.recovery.handle_position_reply(now, from, &self.state, recorded, voting);
+                self.recovery
+                    .handle_position_reply(now, from, &self.state, recorded, voting);
                 self.advance_recovery(now);
             }
             PeerMessage::PromiseQuery { after } => {
                 let page = self.promise_page(after);
                 self.send(Destination::Keeper(from), Message::Peer(page));
             }
-            PeerMessage::PromisePage { after, promises, floor, last, voting } => {
+            PeerMessage::PromisePage {
+                after,
+                promises,
+                floor,
+                last,
+                voting,
+            } => {
                 self.adopt_promises(now, &promises, floor);
                 let up_to = promises.last().map(|(lease, _)| lease.clone()).or(after);
-                self.recovery.handle_promise_page(now, from, up_to, last, voting);
+                self.recovery
+                    .handle_promise_page(now, from, up_to, last, voting);
                 self.advance_recovery(now);
             }
         }
@@ -40,11 +48,15 @@
 
     fn handle_position_query(&mut self, from: usize, own: Option<LogPosition>) {
         let recorded = self.state.peers.get(&(from as u8)).copied();
-        let new_storage = own.filter(|own| recorded.is_none_or(|recorded| recorded.storage < own.storage));
+        let new_storage =
+            own.filter(|own| recorded.is_none_or(|recorded| recorded.storage < own.storage));
         // Guards against an old copy that grows: with records of its own it would have as many as its peers know of before
         // they have said so. Until it votes it writes nothing, and knows no new folder of a peer. Harm: a peer that is to
         // be admitted waits until this keeper votes.
-        let writes = !matches!(self.recovery.status(), Status::Verifying | Status::Rejected(_));
+        let writes = !matches!(
+            self.recovery.status(),
+            Status::Verifying | Status::Rejected(_)
+        );
         if own > self.peer_positions[from] && (writes || new_storage.is_none()) {
             self.peer_positions[from] = own;
             if let Some(position) = new_storage {
@@ -72,7 +84,10 @@
         let mut rest = self.state.leases.range((from, Bound::Unbounded)).peekable();
         let (mut promises, mut left) = (Vec::new(), MAX_MESSAGE_LEN - PAGE_OVERHEAD);
         while let Some((lease, promise)) = rest.next_if(|(lease, promise)| {
-            let client = promise.client.as_ref().map_or(0, |client| client.name.len());
+            let client = promise
+                .client
+                .as_ref()
+                .map_or(0, |client| client.name.len());
             let size = lease.as_str().len() + client + PROMISE_OVERHEAD;
             let fits = size <= left;
             left = left.saturating_sub(size);
@@ -82,7 +97,13 @@
         }
         let last = rest.peek().is_none();
         let voting = self.recovery.is_voting();
-        PeerMessage::PromisePage { after, promises, floor: self.state.floor, last, voting }
+        PeerMessage::PromisePage {
+            after,
+            promises,
+            floor: self.state.floor,
+            last,
+            voting,
+        }
     }
 
     /// Adopts the promises of a peer, so that no ballot that it has promised is promised here.
@@ -110,10 +131,18 @@
             return;
         }
         // The longest length that any peer tells: after a restart the disk alone says for how long nobody gets the lease.
-        let own = self.state.leases.get(lease).map_or((0, 0), |own| (own.ballot, own.length));
+        let own = self
+            .state
+            .leases
+            .get(lease)
+            .map_or((0, 0), |own| (own.ballot, own.length));
         let (ballot, length) = (promise.ballot.max(own.0), promise.length.max(own.1));
         if (ballot, length) != own {
-            let adopted = Promise { ballot, client: None, length };
+            let adopted = Promise {
+                ballot,
+                client: None,
+                length,
+            };
             self.append(Record::Promised(lease.clone(), adopted));
         }
         let granted_until = Some(now + self.config.margins.keeper_length(promise.length));
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -227,7 +227,9 @@
 impl Message {
     /// Encodes the message; `None` if it exceeds [`MAX_MESSAGE_LEN`].
     pub fn encode(&self) -> Option<Vec<u8>> {
-        postcard::to_stdvec(self).ok().filter(|bytes| bytes.len() <= MAX_MESSAGE_LEN)
+        postcard::to_stdvec(self)
+            .ok()
+            .filter(|bytes| bytes.len() <= MAX_MESSAGE_LEN)
     }
 
     /// Decodes a message; `None` if this program could not have encoded it.
@@ -250,7 +252,10 @@
             }
             Message::Peer(PeerMessage::PromisePage { promises, .. }) => {
                 promises.iter().all(|(_, promise)| {
-                    promise.client.as_ref().is_none_or(|client| client.name.len() <= MAX_CLIENT_NAME_LEN)
+                    promise
+                        .client
+                        .as_ref()
+                        .is_none_or(|client| client.name.len() <= MAX_CLIENT_NAME_LEN)
                 })
             }
             _ => true,
--- a/crates/lease/src/queue.rs
+++ b/crates/lease/src/queue.rs
@@ -45,7 +45,13 @@
 
 impl Queue {
     /// Adds a client whose request was refused; returns whether there is room for it.
-    pub fn enqueue(&mut self, now: Micros, client: &ClientId, waited: Micros, max_waiters: usize) -> bool {
+    pub fn enqueue(
+        &mut self,
+        now: Micros,
+        client: &ClientId,
+        waited: Micros,
+        max_waiters: usize,
+    ) -> bool {
         if let Some(waiter) = self.waiters.iter_mut().find(|w| w.client == *client) {
             waiter.last_request = now;
             return true;
@@ -55,9 +61,17 @@
         }
         let since = now as i64 - i64::try_from(waited).unwrap_or(i64::MAX);
         let interval = |since: i64| since.div_euclid(ARRIVAL_INTERVAL);
-        let position =
-            self.waiters.partition_point(|w| (interval(w.since), &w.client) < (interval(since), client));
-        self.waiters.insert(position, Waiter { client: client.clone(), since, last_request: now });
+        let position = self
+            .waiters
+            .partition_point(|w| (interval(w.since), &w.client) < (interval(since), client));
+        self.waiters.insert(
+            position,
+            Waiter {
+                client: client.clone(),
+                since,
+                last_request: now,
+            },
+        );
         true
     }
 
@@ -68,7 +82,12 @@
     }
 
     /// Whether this client may acquire the lease, which is available.
-    pub fn may_acquire(&mut self, now: Micros, client: &ClientId, timeouts: &QueueTimeouts) -> bool {
+    pub fn may_acquire(
+        &mut self,
+        now: Micros,
+        client: &ClientId,
+        timeouts: &QueueTimeouts,
+    ) -> bool {
         self.expire_turn(now);
         if !self.open && self.turn.is_none() {
             self.begin_turn(now, timeouts);
@@ -78,7 +97,8 @@
 
     /// The lease is available from now on; returns the client to notify, whose turn begins.
     pub fn begin_turn(&mut self, now: Micros, timeouts: &QueueTimeouts) -> Option<ClientId> {
-        self.waiters.retain(|w| w.last_request + timeouts.idle > now);
+        self.waiters
+            .retain(|w| w.last_request + timeouts.idle > now);
         let first = self.waiters.first().map(|first| first.client.clone());
         self.open = first.is_none();
         self.turn = first.clone().map(|first| (first, now + timeouts.turn));
--- a/crates/lease/src/recovery.rs
+++ b/crates/lease/src/recovery.rs
@@ -30,7 +30,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Error)]
 pub enum StorageFault {
     /// Another folder replaced it.
-    #[error("another folder has taken this keeper's place (generation {by}); this one must not vote")]
+    #[error(
+        "another folder has taken this keeper's place (generation {by}); this one must not vote"
+    )]
     Replaced {
         /// The generation of the other folder.
         by: u32,
@@ -98,7 +100,14 @@
             (Some(_), false) => Status::CatchingUp,
             (Some(_), true) => Status::Verifying,
         };
-        Recovery { me, status, peers: vec![Peer::default(); keepers], generation: 0, tag, next_query: now }
+        Recovery {
+            me,
+            status,
+            peers: vec![Peer::default(); keepers],
+            generation: 0,
+            tag,
+            next_query: now,
+        }
     }
 
     /// The current phase.
@@ -118,7 +127,11 @@
 
     fn others(&self) -> impl Iterator<Item = &Peer> {
         let me = self.me;
-        self.peers.iter().enumerate().filter(move |(n, _)| *n != me).map(|(_, peer)| peer)
+        self.peers
+            .iter()
+            .enumerate()
+            .filter(move |(n, _)| *n != me)
+            .map(|(_, peer)| peer)
     }
 
     /// Returns the queries that are due, with the places of the peers that they go to.
@@ -126,13 +139,27 @@
         if now < self.next_query {
             return Vec::new();
         }
-        self.next_query =
-            now + if self.is_voting() { VOTING_QUERY_INTERVAL } else { RECOVERY_QUERY_INTERVAL };
+        self.next_query = now
+            + if self.is_voting() {
+                VOTING_QUERY_INTERVAL
+            } else {
+                RECOVERY_QUERY_INTERVAL
+            };
         let mut queries = Vec::new();
         for (n, peer) in self.peers.iter().enumerate().filter(|(n, _)| *n != self.me) {
-            queries.push((n, PeerMessage::PositionQuery { own: state.position() }));
+            queries.push((
+                n,
+                PeerMessage::PositionQuery {
+                    own: state.position(),
+                },
+            ));
             if self.status == Status::CatchingUp && peer.agrees && peer.read_completely.is_none() {
-                queries.push((n, PeerMessage::PromiseQuery { after: peer.read_up_to.clone() }));
+                queries.push((
+                    n,
+                    PeerMessage::PromiseQuery {
+                        after: peer.read_up_to.clone(),
+                    },
+                ));
             }
         }
         queries
@@ -140,18 +167,30 @@
 
     /// Handles a peer's reply about the position that it has recorded for this keeper.
     pub fn handle_position_reply(
-        &mut self, now: Micros, from: usize, state: &DurableState, recorded: Option<LogPosition>,
+        &mut self,
+        now: Micros,
+        from: usize,
+        state: &DurableState,
+        recorded: Option<LogPosition>,
         voting: bool,
     ) {
-        let Some(peer) = self.peers.get_mut(from) else { return };
+        let Some(peer) = self.peers.get_mut(from) else {
+            return;
+        };
         (peer.answered, peer.voting) = (true, voting);
-        self.generation = self.generation.max(recorded.map_or(0, |recorded| recorded.storage.generation));
+        self.generation = self
+            .generation
+            .max(recorded.map_or(0, |recorded| recorded.storage.generation));
         if let (Some(own), Some(known)) = (state.position(), recorded) {
             if known.storage > own.storage {
-                self.status = Status::Rejected(StorageFault::Replaced { by: known.storage.generation });
+                self.status = Status::Rejected(StorageFault::Replaced {
+                    by: known.storage.generation,
+                });
             } else if known.storage == own.storage && known.records > own.records {
-                self.status =
-                    Status::Rejected(StorageFault::Outdated { here: own.records, known: known.records });
+                self.status = Status::Rejected(StorageFault::Outdated {
+                    here: own.records,
+                    known: known.records,
+                });
             } else if known.storage == own.storage && !peer.agrees {
                 peer.agrees = true;
                 // Its promises are queried at once.
@@ -162,9 +201,18 @@
 
     /// Notes that a page of a peer's promises was read.
     pub fn handle_promise_page(
-        &mut self, now: Micros, from: usize, up_to: Option<LeaseName>, last: bool, voting: bool,
+        &mut self,
+        now: Micros,
+        from: usize,
+        up_to: Option<LeaseName>,
+        last: bool,
+        voting: bool,
     ) {
-        let Some(peer) = self.peers.get_mut(from).filter(|p| p.agrees && p.read_completely.is_none()) else {
+        let Some(peer) = self
+            .peers
+            .get_mut(from)
+            .filter(|p| p.agrees && p.read_completely.is_none())
+        else {
             return;
         };
         if last {
@@ -188,7 +236,10 @@
                 }
                 self.status = Status::CatchingUp;
                 self.next_query = now;
-                Some(Record::Created(StorageId { generation: self.generation + 1, tag: self.tag }))
+                Some(Record::Created(StorageId {
+                    generation: self.generation + 1,
+                    tag: self.tag,
+                }))
             }
             Status::CatchingUp => {
                 let read: Vec<bool> = self.others().filter_map(|p| p.read_completely).collect();
@@ -199,7 +250,9 @@
                 Some(Record::Admitted)
             }
             Status::Verifying => {
-                if self.others().filter(|p| p.agrees).count() + 1 >= majority(keepers) && state.admitted {
+                if self.others().filter(|p| p.agrees).count() + 1 >= majority(keepers)
+                    && state.admitted
+                {
                     self.status = Status::Voting;
                 }
                 None
--- a/crates/lease/src/token.rs
+++ b/crates/lease/src/token.rs
@@ -27,7 +27,8 @@
 
     fn try_from(name: String) -> Result<LeaseName, InvalidLeaseName> {
         let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_./:".contains(&b);
-        let is_valid = !name.is_empty() && name.len() <= MAX_LEASE_NAME_LEN && name.bytes().all(is_allowed);
+        let is_valid =
+            !name.is_empty() && name.len() <= MAX_LEASE_NAME_LEN && name.bytes().all(is_allowed);
         is_valid.then_some(LeaseName(name)).ok_or(InvalidLeaseName)
     }
 }
@@ -72,7 +73,13 @@
 
 impl<T> Operation<T> {
     pub(crate) fn new(lease: &LeaseName, token: u64, payload: T) -> Operation<T> {
-        Operation { claim: Claim { lease: lease.clone(), token }, payload }
+        Operation {
+            claim: Claim {
+                lease: lease.clone(),
+                token,
+            },
+            payload,
+        }
     }
 
     /// The lease and the token that the operation is performed under.
@@ -125,7 +132,10 @@
 impl Fence {
     /// A fence for at most so many leases.
     pub fn new(max_leases: usize) -> Fence {
-        Fence { highest: BTreeMap::new(), max_leases }
+        Fence {
+            highest: BTreeMap::new(),
+            max_leases,
+        }
     }
 
     /// Admits an operation if no later holder of its lease has acted.
--- a/crates/lease/tests/explore.rs
+++ b/crates/lease/tests/explore.rs
@@ -22,7 +22,10 @@
 }
 
 fn client(n: usize) -> ClientId {
-    ClientId { name: format!("n{n}"), tag: n as u64 }
+    ClientId {
+        name: format!("n{n}"),
+        tag: n as u64,
+    }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -136,7 +139,9 @@
 
     fn margins(&self) -> Margins {
         let drifts = self.rates != (8, 8) && self.without != Without::Margin;
-        Margins { drift_ppm: if drifts { 125_000 } else { 0 } }
+        Margins {
+            drift_ppm: if drifts { 125_000 } else { 0 },
+        }
     }
 
     fn keeper_config(&self) -> keeper::Config {
@@ -149,8 +154,18 @@
     }
 
     fn client_config(&self) -> Config {
-        let keepers = if self.without == Without::Majority { 1 } else { KEEPERS };
-        Config { keepers, margins: self.margins(), length: self.length, response_timeout: 1, backoff: (0, 0) }
+        let keepers = if self.without == Without::Majority {
+            1
+        } else {
+            KEEPERS
+        };
+        Config {
+            keepers,
+            margins: self.margins(),
+            length: self.length,
+            response_timeout: 1,
+            backoff: (0, 0),
+        }
     }
 
     /// Which keeper an client means.
@@ -168,13 +183,18 @@
         while let Some(n) = due.pop() {
             let effects = world.keepers[n].keeper.take_effects();
             if self.without != Without::Disk || world.prelude {
-                effects.records.iter().for_each(|record| world.keepers[n].disk.apply(record));
+                effects
+                    .records
+                    .iter()
+                    .for_each(|record| world.keepers[n].disk.apply(record));
             }
             for (to, message) in effects.messages {
                 match (to, message) {
                     (Destination::Keeper(to), Message::Peer(message)) => {
                         let now = self.at_keeper(world.now);
-                        world.keepers[to].keeper.handle_peer_message(now, n, message);
+                        world.keepers[to]
+                            .keeper
+                            .handle_peer_message(now, n, message);
                         due.push(to);
                     }
                     (Destination::Client(to), Message::Response(response)) => {
@@ -187,7 +207,9 @@
     }
 
     fn post_response(&self, world: &mut World, from: usize, to: &ClientId, response: Response) {
-        world.in_flight.insert(Packet::Response(from, to.tag as usize, response));
+        world
+            .in_flight
+            .insert(Packet::Response(from, to.tag as usize, response));
     }
 
     /// A keeper begins, with what its disk has.
@@ -213,7 +235,9 @@
     }
 
     fn deliver_request(&self, world: &mut World, packet: &Packet) -> Option<usize> {
-        let Packet::Request(from, keeper, request) = packet else { return None };
+        let Packet::Request(from, keeper, request) = packet else {
+            return None;
+        };
         world.keepers[*keeper].keeper.handle_request(
             self.at_keeper(world.now),
             &client(*from),
@@ -230,13 +254,25 @@
                 }
             }
             Packet::Response(keeper, to, response) => {
-                let place = if self.without == Without::Majority { 0 } else { *keeper };
-                world.clients[*to].handle_response(self.at_client(world.now), place, response.clone(), 0);
+                let place = if self.without == Without::Majority {
+                    0
+                } else {
+                    *keeper
+                };
+                world.clients[*to].handle_response(
+                    self.at_client(world.now),
+                    place,
+                    response.clone(),
+                    0,
+                );
                 self.post(world, *to);
             }
             Packet::Act(by, token) => {
                 let mut fence = Fence::new(1);
-                let claim = |token: u64| Claim { lease: lease(), token };
+                let claim = |token: u64| Claim {
+                    lease: lease(),
+                    token,
+                };
                 world.acted.iter().for_each(|(_, token)| {
                     let _ = fence.admit(&claim(*token));
                 });
@@ -250,28 +286,47 @@
     /// Takes away what changes nothing, now or later: answers to what is asked no more, and numbers that are over. Whether
     /// they come makes no other world.
     fn sweep(&self, world: &mut World) {
-        let (now, in_flight) = (self.at_client(world.now), std::mem::take(&mut world.in_flight));
+        let (now, in_flight) = (
+            self.at_client(world.now),
+            std::mem::take(&mut world.in_flight),
+        );
         let alive = |packet: &Packet| match packet {
             Packet::Act(..) => true,
             Packet::Response(keeper, to, response) => {
                 let mut client = world.clients[*to].clone();
                 client.handle_response(
                     now,
-                    if self.without == Without::Majority { 0 } else { *keeper },
+                    if self.without == Without::Majority {
+                        0
+                    } else {
+                        *keeper
+                    },
                     response.clone(),
                     0,
                 );
                 client != world.clients[*to]
             }
             Packet::Request(from, keeper, request) => {
-                let promised = world.keepers[*keeper].keeper.state().promised_ballot(&lease());
+                let promised = world.keepers[*keeper]
+                    .keeper
+                    .state()
+                    .promised_ballot(&lease());
                 let awaited = |round: u64| {
                     let mut client = world.clients[*from].clone();
-                    let place = if self.without == Without::Majority { 0 } else { *keeper };
+                    let place = if self.without == Without::Majority {
+                        0
+                    } else {
+                        *keeper
+                    };
                     client.handle_response(
                         now,
                         place,
-                        Response::Refused { lease: lease(), round, reason: Refusal::StaleBallot, promised },
+                        Response::Refused {
+                            lease: lease(),
+                            round,
+                            reason: Refusal::StaleBallot,
+                            promised,
+                        },
                         0,
                     );
                     client != world.clients[*from]
@@ -288,7 +343,11 @@
 
     fn holding(&self, world: &World) -> Vec<u64> {
         let now = self.at_client(world.now);
-        world.clients.iter().filter_map(|a| a.held(now).map(|held| held.token().number())).collect()
+        world
+            .clients
+            .iter()
+            .filter_map(|a| a.held(now).map(|held| held.token().number()))
+            .collect()
     }
 }
 
@@ -298,13 +357,22 @@
 
     fn init_states(&self) -> Vec<World> {
         let durable_keeper = |n: usize| DurableKeeper {
-            keeper: Keeper::open(n, KEEPERS, self.keeper_config(), DurableState::default(), n as u64 + 1, 0),
+            keeper: Keeper::open(
+                n,
+                KEEPERS,
+                self.keeper_config(),
+                DurableState::default(),
+                n as u64 + 1,
+                0,
+            ),
             disk: DurableState::default(),
         };
         let mut world = World {
             now: 0,
             keepers: (0..KEEPERS).map(durable_keeper).collect(),
-            clients: (0..2).map(|_| Lease::new(lease(), self.client_config())).collect(),
+            clients: (0..2)
+                .map(|_| Lease::new(lease(), self.client_config()))
+                .collect(),
             asked: [0, 0],
             renewed: 0,
             prelude: self.held,
@@ -330,7 +398,10 @@
             self.begin(&mut world, n, 10 + n as u64);
         }
         for keeper in &world.keepers {
-            assert_eq!(keeper.keeper.status(), reelfall_lease::recovery::Status::Voting);
+            assert_eq!(
+                keeper.keeper.status(),
+                reelfall_lease::recovery::Status::Voting
+            );
         }
         world.clients.iter_mut().for_each(|a| a.acquire(0));
         if self.held {
@@ -352,7 +423,10 @@
         for packet in &world.in_flight {
             steps.push(Step::Bring(packet.clone()));
             if world.late < self.late
-                && matches!(packet, Packet::Request(_, _, Request::Prepare { .. } | Request::Grant { .. }))
+                && matches!(
+                    packet,
+                    Packet::Request(_, _, Request::Prepare { .. } | Request::Grant { .. })
+                )
             {
                 steps.push(Step::BringLate(packet.clone()));
             }
@@ -360,7 +434,10 @@
                 steps.push(Step::BringTwice(packet.clone()));
             }
             if world.restarts < self.restarts
-                && matches!(packet, Packet::Request(_, _, Request::Prepare { .. } | Request::Grant { .. }))
+                && matches!(
+                    packet,
+                    Packet::Request(_, _, Request::Prepare { .. } | Request::Grant { .. })
+                )
             {
                 steps.push(Step::BringAndEnd(packet.clone(), false));
                 steps.push(Step::BringAndEnd(packet.clone(), true));
@@ -369,12 +446,24 @@
         let now = self.at_client(world.now);
         for n in 0..2 {
             let is_due = world.clients[n].deadline().is_some_and(|due| due <= now);
-            let (held, renews) = (world.clients[n].held(now).is_some(), world.renewed < self.renewals);
-            if is_due && (if held { renews } else { world.asked[n] < self.requests[n] }) {
+            let (held, renews) = (
+                world.clients[n].held(now).is_some(),
+                world.renewed < self.renewals,
+            );
+            if is_due
+                && (if held {
+                    renews
+                } else {
+                    world.asked[n] < self.requests[n]
+                })
+            {
                 steps.push(Step::Timer(n));
             }
-            let acts =
-                self.acts && !world.in_flight.iter().any(|m| matches!(m, Packet::Act(by, _) if *by == n));
+            let acts = self.acts
+                && !world
+                    .in_flight
+                    .iter()
+                    .any(|m| matches!(m, Packet::Act(by, _) if *by == n));
             if acts && world.acted.len() < 2 && world.clients[n].held(now).is_some() {
                 steps.push(Step::Act(n));
             }
@@ -390,9 +479,14 @@
                 let before = world.in_flight.clone();
                 self.bring(&mut world, &packet);
                 if let Packet::Request(from, ..) = packet {
-                    let answers = |m: &&Packet| matches!(m, Packet::Response(_, to, _) if *to == from);
-                    let new: Vec<Packet> =
-                        world.in_flight.difference(&before).filter(answers).cloned().collect();
+                    let answers =
+                        |m: &&Packet| matches!(m, Packet::Response(_, to, _) if *to == from);
+                    let new: Vec<Packet> = world
+                        .in_flight
+                        .difference(&before)
+                        .filter(answers)
+                        .cloned()
+                        .collect();
                     for answer in new {
                         world.in_flight.remove(&answer);
                         self.bring(&mut world, &answer);
@@ -414,11 +508,16 @@
                 let n = self.deliver_request(&mut world, &packet)?;
                 let effects = world.keepers[n].keeper.take_effects();
                 if written {
-                    effects.records.iter().for_each(|record| world.keepers[n].disk.apply(record));
+                    effects
+                        .records
+                        .iter()
+                        .for_each(|record| world.keepers[n].disk.apply(record));
                 }
                 if self.without == Without::Disk {
                     for (to, message) in effects.messages {
-                        if let (Destination::Client(to), Message::Response(response)) = (to, message) {
+                        if let (Destination::Client(to), Message::Response(response)) =
+                            (to, message)
+                        {
                             self.post_response(&mut world, n, &to, response);
                         }
                     }
@@ -447,12 +546,17 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one holder", |model: &Explored, world: &World| model.holding(world).len() < 2),
+            Property::always("one holder", |model: &Explored, world: &World| {
+                model.holding(world).len() < 2
+            }),
             Property::always("no lower token after a higher one", |_, world: &World| {
                 world.acted.windows(2).all(|two| two[0].1 <= two[1].1)
             }),
             Property::always("no token twice", |_, world: &World| {
-                world.acted.iter().all(|(by, token)| world.acted.iter().all(|(b, t)| t != token || b == by))
+                world
+                    .acted
+                    .iter()
+                    .all(|(by, token)| world.acted.iter().all(|(b, t)| t != token || b == by))
                     && world
                         .got
                         .iter()
@@ -460,7 +564,9 @@
             }),
             Property::sometimes("one after the other", |model: &Explored, world: &World| {
                 let number = |n: usize| {
-                    world.clients[n].held(model.at_client(world.now)).map(|held| held.token().number())
+                    world.clients[n]
+                        .held(model.at_client(world.now))
+                        .map(|held| held.token().number())
                 };
                 number(1).is_some_and(|token| token > 1) || number(0).is_some_and(|token| token > 1)
             }),
@@ -470,9 +576,17 @@
 
 /// What was found to be false, and how many states were looked at.
 fn found(model: Explored) -> (Vec<&'static str>, usize) {
-    let checker = model.checker().threads(2).target_state_count(MOST).spawn_bfs().join();
+    let checker = model
+        .checker()
+        .threads(2)
+        .target_state_count(MOST)
+        .spawn_bfs()
+        .join();
     // Whatever is not found was looked for everywhere.
-    assert!(checker.state_count() < MOST, "more states than are looked at");
+    assert!(
+        checker.state_count() < MOST,
+        "more states than are looked at"
+    );
     let found = checker.discoveries().into_keys().collect();
     (found, checker.unique_state_count())
 }
@@ -481,7 +595,10 @@
 fn holds(model: Explored) {
     let (found, states) = found(model);
     assert_eq!(found, ["one after the other"], "in {states} states");
-    assert!(states > 1000, "{states} states are too few to tell anything");
+    assert!(
+        states > 1000,
+        "{states} states are too few to tell anything"
+    );
 }
 
 /// Without the part, something is found.
@@ -492,15 +609,35 @@
 }
 
 fn acts(without: Without) -> Explored {
-    Explored { without, acts: true, late: 0, ..Explored::default() }
+    Explored {
+        without,
+        acts: true,
+        late: 0,
+        ..Explored::default()
+    }
 }
 
 fn drifts(without: Without) -> Explored {
-    Explored { without, rates: (9, 7), length: 8, end: 9, late: 0, ..Explored::default() }
+    Explored {
+        without,
+        rates: (9, 7),
+        length: 8,
+        end: 9,
+        late: 0,
+        ..Explored::default()
+    }
 }
 
 fn ends(without: Without) -> Explored {
-    Explored { without, restarts: 1, requests: [1, 1], late: 0, length: 2, end: 3, ..Explored::default() }
+    Explored {
+        without,
+        restarts: 1,
+        requests: [1, 1],
+        late: 0,
+        length: 2,
+        end: 3,
+        ..Explored::default()
+    }
 }
 
 #[test]
@@ -523,14 +660,33 @@
 
 #[test]
 fn two_majorities_meet_in_a_keeper() {
-    holds(Explored { renewals: 1, end: 4, late: 0, ..Explored::default() });
-    breaks(Explored { without: Without::Majority, ..Explored::default() }, "one holder");
+    holds(Explored {
+        renewals: 1,
+        end: 4,
+        late: 0,
+        ..Explored::default()
+    });
+    breaks(
+        Explored {
+            without: Without::Majority,
+            ..Explored::default()
+        },
+        "one holder",
+    );
 }
 
 #[test]
 fn renewals_and_answers_that_come_late_or_twice() {
-    holds(Explored { end: 4, ..Explored::default() });
-    holds(Explored { twice: 1, late: 0, end: 4, ..Explored::default() });
+    holds(Explored {
+        end: 4,
+        ..Explored::default()
+    });
+    holds(Explored {
+        twice: 1,
+        late: 0,
+        end: 4,
+        ..Explored::default()
+    });
 }
 
 #[test]
