--- a/crates/lease/tests/folders.rs
+++ b/crates/lease/tests/folders.rs
@@ -3,7 +3,9 @@
 use reelfall_lease::durable::{DurableState, Record};
 use reelfall_lease::holder::{Config, Lease};
 use reelfall_lease::keeper::{self, Destination, Keeper};
-use reelfall_lease::message::{ClientId, Message, PeerMessage, Promise, Refusal, Request, Response};
+use reelfall_lease::message::{
+    ClientId, Message, PeerMessage, Promise, Refusal, Request, Response,
+};
 use reelfall_lease::recovery::{Status, StorageFault};
 use reelfall_lease::token::{Claim, Fence, FenceError, LeaseName};
 use std::collections::BTreeMap;
@@ -48,7 +50,14 @@
         };
         let clients = (0..clients).map(|_| Lease::new(task(), config)).collect();
         let slots = (0..keepers).map(slot).collect();
-        let mut group = Group { now: 0, slots, clients, unreached: Vec::new(), free: 0, tags: 100 };
+        let mut group = Group {
+            now: 0,
+            slots,
+            clients,
+            unreached: Vec::new(),
+            free: 0,
+            tags: 100,
+        };
         group.run(2 * SECOND);
         assert!((0..keepers).all(|n| group.status(n) == Status::Voting));
         group
@@ -62,8 +71,19 @@
     fn begin(&mut self, n: usize, disk: DurableState) {
         self.tags += 1;
         let (keepers, now) = (self.slots.len(), self.now);
-        let keeper = Keeper::open(n, keepers, keeper::Config::default(), disk.clone(), self.tags, now);
-        self.slots[n] = KeeperSlot { keeper, disk, up: true };
+        let keeper = Keeper::open(
+            n,
+            keepers,
+            keeper::Config::default(),
+            disk.clone(),
+            self.tags,
+            now,
+        );
+        self.slots[n] = KeeperSlot {
+            keeper,
+            disk,
+            up: true,
+        };
     }
 
     fn settle(&mut self) {
@@ -71,7 +91,10 @@
             let mut quiet = true;
             for n in 0..self.slots.len() {
                 let effects = self.slots[n].keeper.take_effects();
-                effects.records.iter().for_each(|record| self.slots[n].disk.apply(record));
+                effects
+                    .records
+                    .iter()
+                    .for_each(|record| self.slots[n].disk.apply(record));
                 if !self.slots[n].up {
                     continue;
                 }
@@ -82,14 +105,22 @@
                             // A page fits.
                             assert!(Message::Peer(message.clone()).encode().is_some());
                             if self.slots[to].up {
-                                self.slots[to].keeper.handle_peer_message(self.now, n, message);
+                                self.slots[to]
+                                    .keeper
+                                    .handle_peer_message(self.now, n, message);
                             }
                         }
                         (Destination::Client(to), Message::Response(response)) => {
-                            self.free += usize::from(matches!(response, Response::Available { .. }));
+                            self.free +=
+                                usize::from(matches!(response, Response::Available { .. }));
                             let client: usize = to.name.parse().unwrap();
                             if !self.unreached.contains(&(client, n)) {
-                                self.clients[client].handle_response(self.now, n, response, u32::MAX / 2);
+                                self.clients[client].handle_response(
+                                    self.now,
+                                    n,
+                                    response,
+                                    u32::MAX / 2,
+                                );
                             }
                         }
                         other => panic!("{other:?}"),
@@ -100,8 +131,13 @@
                 for (keeper, request) in self.clients[n].take_requests() {
                     quiet = false;
                     if self.slots[keeper].up && !self.unreached.contains(&(n, keeper)) {
-                        let who = ClientId { name: n.to_string(), tag: n as u64 };
-                        self.slots[keeper].keeper.handle_request(self.now, &who, request);
+                        let who = ClientId {
+                            name: n.to_string(),
+                            tag: n as u64,
+                        };
+                        self.slots[keeper]
+                            .keeper
+                            .handle_request(self.now, &who, request);
                     }
                 }
             }
@@ -116,7 +152,10 @@
         while self.now < end {
             self.now += 10_000;
             let now = self.now;
-            self.slots.iter_mut().filter(|s| s.keeper.deadline() <= now).for_each(|s| s.keeper.tick(now));
+            self.slots
+                .iter_mut()
+                .filter(|s| s.keeper.deadline() <= now)
+                .for_each(|s| s.keeper.tick(now));
             for (n, client) in self.clients.iter_mut().enumerate() {
                 if client.deadline().is_some_and(|due| due <= now) {
                     client.tick(now, (n as u32 + 1).wrapping_mul(2_654_435_761));
@@ -169,7 +208,10 @@
     group.begin(1, backup);
     group.run(SECOND);
     assert!(
-        matches!(group.status(1), Status::Rejected(StorageFault::Outdated { .. })),
+        matches!(
+            group.status(1),
+            Status::Rejected(StorageFault::Outdated { .. })
+        ),
         "{:?}",
         group.status(1)
     );
@@ -193,12 +235,17 @@
     group.slots[1].up = false;
     for n in [0, 2] {
         let own = group.slots[n].disk.position();
-        group.slots[1].keeper.handle_peer_message(group.now, n, PeerMessage::PositionQuery { own });
+        group.slots[1]
+            .keeper
+            .handle_peer_message(group.now, n, PeerMessage::PositionQuery { own });
     }
     group.slots[1].up = true;
     group.run(2 * SECOND);
     assert!(
-        matches!(group.status(1), Status::Rejected(StorageFault::Outdated { .. })),
+        matches!(
+            group.status(1),
+            Status::Rejected(StorageFault::Outdated { .. })
+        ),
         "{:?}",
         group.status(1)
     );
@@ -213,17 +260,31 @@
     group.begin(1, DurableState::default());
     group.run(SECOND);
     assert_eq!(group.status(1), Status::Voting);
-    let latter = std::mem::replace(&mut group.slots[1], KeeperSlot { keeper: former, disk, up: true });
+    let latter = std::mem::replace(
+        &mut group.slots[1],
+        KeeperSlot {
+            keeper: former,
+            disk,
+            up: true,
+        },
+    );
     // The client reaches keeper 0 and the former of the two.
     group.unreached = vec![(0, 2)];
     let now = group.now;
     group.clients[0].acquire(now);
     group.clients[0].tick(now, 0);
     group.settle();
-    assert_eq!(group.holder(), None, "a lease by the vote of a folder whose place was taken");
+    assert_eq!(
+        group.holder(),
+        None,
+        "a lease by the vote of a folder whose place was taken"
+    );
     // It hears of it from its peers, and says no itself.
     group.run(SECOND);
-    assert!(matches!(group.status(1), Status::Rejected(StorageFault::Replaced { .. })));
+    assert!(matches!(
+        group.status(1),
+        Status::Rejected(StorageFault::Replaced { .. })
+    ));
     group.slots[1] = latter;
     group.run(10 * SECOND);
     assert_eq!(group.holder(), Some(0));
@@ -245,7 +306,11 @@
         let before = group.free;
         group.clients[holder].release(group.now);
         group.run(20_000);
-        assert!(group.free - before <= 3, "a release wakes {} through three keepers", group.free - before);
+        assert!(
+            group.free - before <= 3,
+            "a release wakes {} through three keepers",
+            group.free - before
+        );
         if order.len() < 301 {
             assert!(group.holder().is_some(), "nobody has it after {order:?}");
         }
@@ -255,13 +320,24 @@
 }
 
 fn promise(ballot: u64) -> Request {
-    Request::Prepare { lease: task(), round: ballot, ballot, length: SECOND, waited: 0 }
+    Request::Prepare {
+        lease: task(),
+        round: ballot,
+        ballot,
+        length: SECOND,
+        waited: 0,
+    }
 }
 
 /// What a keeper says to a question at this moment.
 fn respond(group: &mut Group, keeper: usize, who: u64, request: Request) -> Response {
-    let client = ClientId { name: who.to_string(), tag: who };
-    group.slots[keeper].keeper.handle_request(group.now, &client, request);
+    let client = ClientId {
+        name: who.to_string(),
+        tag: who,
+    };
+    group.slots[keeper]
+        .keeper
+        .handle_request(group.now, &client, request);
     let response = group.slots[keeper].keeper.take_effects().messages.pop();
     match response {
         Some((Destination::Client(_), Message::Response(response))) => response,
@@ -272,26 +348,51 @@
 #[test]
 fn a_free_lease_is_the_firsts_for_half_a_second_and_then_anybodys() {
     let mut group = Group::new(3, 0);
-    assert!(matches!(respond(&mut group, 0, 1, promise(1)), Response::Promised { .. }));
-    let grant = Request::Grant { lease: task(), round: 2, token: 1, length: SECOND, peers: Vec::new() };
-    assert!(matches!(respond(&mut group, 0, 1, grant), Response::Granted { .. }));
+    assert!(matches!(
+        respond(&mut group, 0, 1, promise(1)),
+        Response::Promised { .. }
+    ));
+    let grant = Request::Grant {
+        lease: task(),
+        round: 2,
+        token: 1,
+        length: SECOND,
+        peers: Vec::new(),
+    };
+    assert!(matches!(
+        respond(&mut group, 0, 1, grant),
+        Response::Granted { .. }
+    ));
     assert!(matches!(
         respond(&mut group, 0, 2, promise(2)),
-        Response::Refused { reason: Refusal::Held { .. }, .. }
+        Response::Refused {
+            reason: Refusal::Held { .. },
+            ..
+        }
     ));
     group.now += SECOND;
     // Others come sooner than the one who waits.
     assert!(matches!(
         respond(&mut group, 0, 3, promise(3)),
-        Response::Refused { reason: Refusal::NotFirstInQueue, promised: 1, .. }
+        Response::Refused {
+            reason: Refusal::NotFirstInQueue,
+            promised: 1,
+            ..
+        }
     ));
     group.now += SECOND / 4;
     assert!(matches!(
         respond(&mut group, 0, 3, promise(3)),
-        Response::Refused { reason: Refusal::NotFirstInQueue, .. }
+        Response::Refused {
+            reason: Refusal::NotFirstInQueue,
+            ..
+        }
     ));
     group.now += SECOND / 4;
-    assert!(matches!(respond(&mut group, 0, 3, promise(3)), Response::Promised { .. }));
+    assert!(matches!(
+        respond(&mut group, 0, 3, promise(3)),
+        Response::Promised { .. }
+    ));
 }
 
 #[test]
@@ -308,7 +409,12 @@
             lease.handle_response(
                 2,
                 keeper,
-                Response::Refused { lease: task(), round: 1, reason, promised: 1 },
+                Response::Refused {
+                    lease: task(),
+                    round: 1,
+                    reason,
+                    promised: 1,
+                },
                 u32::MAX,
             );
         }
@@ -319,10 +425,24 @@
 #[test]
 fn a_floor_counts_for_names_that_are_kept_too() {
     let mut state = DurableState::default();
-    state.apply(&Record::Promised(task(), Promise { ballot: 40, client: None, length: SECOND }));
+    state.apply(&Record::Promised(
+        task(),
+        Promise {
+            ballot: 40,
+            client: None,
+            length: SECOND,
+        },
+    ));
     state.apply(&Record::Floor(50));
     assert_eq!(state.promised_ballot(&task()), 50);
-    state.apply(&Record::Promised(task(), Promise { ballot: 60, client: None, length: SECOND }));
+    state.apply(&Record::Promised(
+        task(),
+        Promise {
+            ballot: 60,
+            client: None,
+            length: SECOND,
+        },
+    ));
     assert_eq!(state.promised_ballot(&task()), 60);
 }
 
@@ -337,7 +457,10 @@
     // A day and more later.
     group.now += 2 * 86_400 * SECOND;
     group.run(SECOND);
-    assert!(group.slots.iter().all(|s| s.keeper.state().leases.is_empty()));
+    assert!(group
+        .slots
+        .iter()
+        .all(|s| s.keeper.state().leases.is_empty()));
     group.clients[0] = Lease::new(task(), Config::new(3, 2 * SECOND));
     group.clients[0].acquire(group.now);
     group.run(SECOND);
@@ -346,20 +469,40 @@
 
 #[test]
 fn a_fence_lets_the_latest_by_and_its_number_of_leases_has_a_bound() {
-    let claim = |lease: &str, token| Claim { lease: LeaseName::try_from(lease.to_owned()).unwrap(), token };
+    let claim = |lease: &str, token| Claim {
+        lease: LeaseName::try_from(lease.to_owned()).unwrap(),
+        token,
+    };
     let mut fence = Fence::new(2);
     assert_eq!(fence.admit(&claim("a", 3)), Ok(()));
     assert_eq!(fence.admit(&claim("a", 3)), Ok(()));
     assert!(matches!(
         fence.admit(&claim("a", 2)),
-        Err(FenceError::StaleToken { presented: 2, highest: 3, .. })
+        Err(FenceError::StaleToken {
+            presented: 2,
+            highest: 3,
+            ..
+        })
     ));
     assert_eq!(fence.admit(&claim("b", 1)), Ok(()));
-    assert!(matches!(fence.admit(&claim("c", 1)), Err(FenceError::AtCapacity(_))));
-    let names: BTreeMap<&str, bool> =
-        [("", false), ("a b", false), ("probe/s-1:80", true), ("\u{e4}", false)].into_iter().collect();
+    assert!(matches!(
+        fence.admit(&claim("c", 1)),
+        Err(FenceError::AtCapacity(_))
+    ));
+    let names: BTreeMap<&str, bool> = [
+        ("", false),
+        ("a b", false),
+        ("probe/s-1:80", true),
+        ("\u{e4}", false),
+    ]
+    .into_iter()
+    .collect();
     for (name, sound) in names {
-        assert_eq!(LeaseName::try_from(name.to_owned()).is_ok(), sound, "{name}");
+        assert_eq!(
+            LeaseName::try_from(name.to_owned()).is_ok(),
+            sound,
+            "{name}"
+        );
     }
     assert!(LeaseName::try_from("x".repeat(65)).is_err());
 }
@@ -373,6 +516,9 @@
     assert_eq!(Message::decode(&[bytes.as_slice(), &[0]].concat()), None);
     assert_eq!(Message::decode(&vec![0; 5000]), None);
     // A name that is none.
-    let spoilt: Vec<u8> = bytes.iter().map(|b| if *b == b'k' { b' ' } else { *b }).collect();
+    let spoilt: Vec<u8> = bytes
+        .iter()
+        .map(|b| if *b == b'k' { b' ' } else { *b })
+        .collect();
     assert_eq!(Message::decode(&spoilt), None);
 }
--- a/crates/lease/tests/golden.rs
+++ b/crates/lease/tests/golden.rs
@@ -3,7 +3,8 @@
 
 use reelfall_lease::durable::{DurableState, Record};
 use reelfall_lease::message::{
-    ClientId, LogPosition, Message, PeerMessage, Promise, Refusal, Request, Response, StorageId, Vote,
+    ClientId, LogPosition, Message, PeerMessage, Promise, Refusal, Request, Response, StorageId,
+    Vote,
 };
 use reelfall_lease::token::LeaseName;
 
@@ -18,27 +19,58 @@
 }
 
 fn position(n: u64) -> LogPosition {
-    LogPosition { storage: StorageId { generation: 2, tag: 0xabcd_0000 + n }, records: 300 * n }
+    LogPosition {
+        storage: StorageId {
+            generation: 2,
+            tag: 0xabcd_0000 + n,
+        },
+        records: 300 * n,
+    }
 }
 
 fn vote() -> Vote {
-    Vote { own: position(1), peers: vec![Some(position(1)), None, Some(position(3))] }
+    Vote {
+        own: position(1),
+        peers: vec![Some(position(1)), None, Some(position(3))],
+    }
 }
 
 fn promise(client: Option<ClientId>) -> Promise {
-    Promise { ballot: 70_000, client, length: 5_000_000 }
+    Promise {
+        ballot: 70_000,
+        client,
+        length: 5_000_000,
+    }
 }
 
 fn client() -> ClientId {
-    ClientId { name: "n1".to_owned(), tag: 0x1234_5678_9abc_def0 }
+    ClientId {
+        name: "n1".to_owned(),
+        tag: 0x1234_5678_9abc_def0,
+    }
 }
 
 fn messages() -> Vec<Message> {
     let lease = || name("calls/flags");
     let requests = [
-        Request::Prepare { lease: lease(), round: 5, ballot: 900, length: 5_000_000, waited: 1_250_000 },
-        Request::Grant { lease: lease(), round: 6, token: 900, length: 5_000_000, peers: vote().peers },
-        Request::Release { lease: lease(), token: 900 },
+        Request::Prepare {
+            lease: lease(),
+            round: 5,
+            ballot: 900,
+            length: 5_000_000,
+            waited: 1_250_000,
+        },
+        Request::Grant {
+            lease: lease(),
+            round: 6,
+            token: 900,
+            length: 5_000_000,
+            peers: vote().peers,
+        },
+        Request::Release {
+            lease: lease(),
+            token: 900,
+        },
     ];
     let refusals = [
         Refusal::StaleBallot,
@@ -48,22 +80,44 @@
         Refusal::InvalidLength,
         Refusal::AtCapacity,
     ];
-    let refused =
-        refusals.map(|reason| Response::Refused { lease: lease(), round: 5, reason, promised: 901 });
+    let refused = refusals.map(|reason| Response::Refused {
+        lease: lease(),
+        round: 5,
+        reason,
+        promised: 901,
+    });
     let responses = [
-        Response::Promised { lease: lease(), round: 5, vote: vote() },
-        Response::Granted { lease: lease(), round: 6, vote: vote() },
+        Response::Promised {
+            lease: lease(),
+            round: 5,
+            vote: vote(),
+        },
+        Response::Granted {
+            lease: lease(),
+            round: 6,
+            vote: vote(),
+        },
         Response::Available { lease: lease() },
     ];
     let peers = [
-        PeerMessage::PositionQuery { own: Some(position(1)) },
+        PeerMessage::PositionQuery {
+            own: Some(position(1)),
+        },
         PeerMessage::PositionQuery { own: None },
-        PeerMessage::PositionReply { recorded: Some(position(2)), voting: true },
+        PeerMessage::PositionReply {
+            recorded: Some(position(2)),
+            voting: true,
+        },
         PeerMessage::PromiseQuery { after: None },
-        PeerMessage::PromiseQuery { after: Some(lease()) },
+        PeerMessage::PromiseQuery {
+            after: Some(lease()),
+        },
         PeerMessage::PromisePage {
             after: Some(lease()),
-            promises: vec![(name("a"), promise(Some(client()))), (name("b"), promise(None))],
+            promises: vec![
+                (name("a"), promise(Some(client()))),
+                (name("b"), promise(None)),
+            ],
             floor: 12,
             last: true,
             voting: false,
@@ -71,12 +125,18 @@
     ];
     let requests = requests.into_iter().map(Message::Request);
     let responses = responses.into_iter().chain(refused).map(Message::Response);
-    requests.chain(responses).chain(peers.into_iter().map(Message::Peer)).collect()
+    requests
+        .chain(responses)
+        .chain(peers.into_iter().map(Message::Peer))
+        .collect()
 }
 
 fn records() -> Vec<Record> {
     vec![
-        Record::Created(StorageId { generation: 2, tag: 0xabcd_0001 }),
+        Record::Created(StorageId {
+            generation: 2,
+            tag: 0xabcd_0001,
+        }),
         Record::Admitted,
         Record::Peer(2, position(2)),
         Record::Promised(name("calls/flags"), promise(Some(client()))),
--- a/crates/lease/tests/schedules.rs
+++ b/crates/lease/tests/schedules.rs
@@ -176,15 +176,28 @@
         slot.process.tag = tag;
         slot.busy_until = self.t;
         let now = slot.process.clock(self.t);
-        slot.keeper = Some(Keeper::open(n, keepers, World::keeper_config(), slot.disk.clone(), tag, now));
+        slot.keeper = Some(Keeper::open(
+            n,
+            keepers,
+            World::keeper_config(),
+            slot.disk.clone(),
+            tag,
+            now,
+        ));
         self.flush_keeper(n);
     }
 
     fn flush_keeper(&mut self, n: usize) {
         let slow = self.draw.random_bool(0.02);
-        let takes = if slow { self.draw.random_range(1..500_000) } else { self.draw.random_range(50..5_000) };
+        let takes = if slow {
+            self.draw.random_range(1..500_000)
+        } else {
+            self.draw.random_range(50..5_000)
+        };
         let slot = &mut self.keepers[n];
-        let Some(keeper) = &mut slot.keeper else { return };
+        let Some(keeper) = &mut slot.keeper else {
+            return;
+        };
         if keeper.status() == Status::Voting {
             slot.lost = false;
         }
@@ -195,7 +208,10 @@
         let done = self.t.max(slot.busy_until) + if effects.records.is_empty() { 0 } else { takes };
         slot.busy_until = done;
         let tag = slot.process.tag;
-        self.at(done, Event::Written(n, tag, effects.records, effects.messages));
+        self.at(
+            done,
+            Event::Written(n, tag, effects.records, effects.messages),
+        );
     }
 
     /// Whether something passes now, and how long it takes; twice, if it comes twice.
@@ -221,7 +237,10 @@
         match to {
             Destination::Keeper(to) => {
                 for way in self.ways((true, n.min(to), n.max(to))) {
-                    self.at(self.t + way, Event::ToKeeper(to, From::Keeper(n), message.clone()));
+                    self.at(
+                        self.t + way,
+                        Event::ToKeeper(to, From::Keeper(n), message.clone()),
+                    );
                 }
             }
             Destination::Client(client) => {
@@ -230,7 +249,10 @@
                 }
                 let place: usize = client.name.parse().unwrap();
                 for way in self.ways((false, place, n)) {
-                    self.at(self.t + way, Event::ToClient(place, client.tag, n, message.clone()));
+                    self.at(
+                        self.t + way,
+                        Event::ToClient(place, client.tag, n, message.clone()),
+                    );
                 }
             }
         }
@@ -238,26 +260,41 @@
 
     fn flush_client(&mut self, n: usize) {
         let slot = &mut self.clients[n];
-        let who = ClientId { name: n.to_string(), tag: slot.process.tag };
+        let who = ClientId {
+            name: n.to_string(),
+            tag: slot.process.tag,
+        };
         for event in slot.lease.take_events() {
             if let LeaseEvent::Acquired(token) = event {
                 if self.got.last().is_some_and(|last| *last >= token.number()) {
-                    self.broken.insert(format!("token {} after {:?}", token.number(), self.got.last()));
+                    self.broken.insert(format!(
+                        "token {} after {:?}",
+                        token.number(),
+                        self.got.last()
+                    ));
                 }
                 self.got.push(token.number());
             }
         }
         for (keeper, request) in slot.lease.take_requests() {
             for way in self.ways((false, n, keeper)) {
-                let message = Message::decode(&Message::Request(request.clone()).encode().unwrap()).unwrap();
-                self.at(self.t + way, Event::ToKeeper(keeper, From::Client(who.clone()), message));
+                let message =
+                    Message::decode(&Message::Request(request.clone()).encode().unwrap()).unwrap();
+                self.at(
+                    self.t + way,
+                    Event::ToKeeper(keeper, From::Client(who.clone()), message),
+                );
             }
         }
     }
 
     /// What is due happens; then every process that is awake looks at its clock.
     fn step(&mut self) {
-        let (due, event) = self.events.pop_first().map(|((due, _), event)| (due, event)).unwrap();
+        let (due, event) = self
+            .events
+            .pop_first()
+            .map(|((due, _), event)| (due, event))
+            .unwrap();
         self.t = due.max(self.t);
         match event {
             Event::ToKeeper(n, from, message) => {
@@ -266,7 +303,9 @@
                     return self.at(later, Event::ToKeeper(n, from, message));
                 }
                 let now = self.keepers[n].process.clock(self.t);
-                let Some(keeper) = &mut self.keepers[n].keeper else { return };
+                let Some(keeper) = &mut self.keepers[n].keeper else {
+                    return;
+                };
                 match (from, message) {
                     (From::Client(who), Message::Request(request)) => {
                         keeper.handle_request(now, &who, request)
@@ -285,8 +324,12 @@
                 }
                 if self.clients[n].process.tag == tag {
                     let (now, chance) = (self.clients[n].process.clock(self.t), self.draw.random());
-                    let Message::Response(response) = message else { unreachable!() };
-                    self.clients[n].lease.handle_response(now, keeper, response, chance);
+                    let Message::Response(response) = message else {
+                        unreachable!()
+                    };
+                    self.clients[n]
+                        .lease
+                        .handle_response(now, keeper, response, chance);
                     self.flush_client(n);
                 }
             }
@@ -296,8 +339,12 @@
                     return self.at(later, Event::Written(n, tag, records, messages));
                 }
                 if self.keepers[n].keeper.is_some() && self.keepers[n].process.tag == tag {
-                    records.iter().for_each(|record| self.keepers[n].disk.apply(record));
-                    messages.into_iter().for_each(|(to, message)| self.send_from_keeper(n, to, message));
+                    records
+                        .iter()
+                        .for_each(|record| self.keepers[n].disk.apply(record));
+                    messages
+                        .into_iter()
+                        .for_each(|(to, message)| self.send_from_keeper(n, to, message));
                 }
             }
             Event::Acted(claim) => match self.fence.admit(&claim) {
@@ -338,7 +385,11 @@
                     slot.acts_at = self.t + 50_000;
                     let (claim, ()) = held.operation(()).into_parts();
                     // Between the look at the clock and the act the process may stand still.
-                    let way = if self.draw.random_bool(0.05) { 8 * SECOND } else { 500 };
+                    let way = if self.draw.random_bool(0.05) {
+                        8 * SECOND
+                    } else {
+                        500
+                    };
                     let way = self.draw.random_range(0..way);
                     self.at(self.t + way, Event::Acted(claim));
                 }
@@ -359,9 +410,13 @@
                     Event::Written(n, t, ..) if *n == keeper && *t == tag => Some(*at),
                     _ => None,
                 });
-                if let Some(Event::Written(_, _, records, _)) = first.and_then(|at| self.events.remove(&at)) {
+                if let Some(Event::Written(_, _, records, _)) =
+                    first.and_then(|at| self.events.remove(&at))
+                {
                     if written {
-                        records.iter().for_each(|record| self.keepers[keeper].disk.apply(record));
+                        records
+                            .iter()
+                            .for_each(|record| self.keepers[keeper].disk.apply(record));
                     }
                 }
                 self.keepers[keeper].keeper = None;
@@ -374,7 +429,12 @@
             }
             Fault::Emptied(keeper) | Fault::Restored(keeper) => {
                 // A minority of folders is lost at a time.
-                let lost = self.keepers.iter().enumerate().filter(|(n, k)| *n != keeper && k.lost).count();
+                let lost = self
+                    .keepers
+                    .iter()
+                    .enumerate()
+                    .filter(|(n, k)| *n != keeper && k.lost)
+                    .count();
                 if lost + 1 > (self.keepers.len() - 1) / 2 {
                     return;
                 }
@@ -387,27 +447,42 @@
                 };
                 self.begin(keeper);
             }
-            Fault::Backup => self.keepers.iter_mut().for_each(|k| k.backup = k.disk.clone()),
-            Fault::Frozen(keeper, lasts) => self.keepers[keeper].process.frozen_until = self.t + lasts,
-            Fault::ClientFrozen(client, lasts) => self.clients[client].process.frozen_until = self.t + lasts,
+            Fault::Backup => self
+                .keepers
+                .iter_mut()
+                .for_each(|k| k.backup = k.disk.clone()),
+            Fault::Frozen(keeper, lasts) => {
+                self.keepers[keeper].process.frozen_until = self.t + lasts
+            }
+            Fault::ClientFrozen(client, lasts) => {
+                self.clients[client].process.frozen_until = self.t + lasts
+            }
             Fault::ClientKilled(client) => {
                 self.clients[client].process.tag = self.draw.random();
                 self.clients[client].lease = Lease::new(name("task"), self.config);
                 let now = self.clients[client].process.clock(self.t);
                 self.clients[client].lease.acquire(now);
             }
-            Fault::Cut { client, keeper, lasts } => {
+            Fault::Cut {
+                client,
+                keeper,
+                lasts,
+            } => {
                 self.cuts.insert((false, client, keeper), self.t + lasts);
             }
             Fault::KeepersCut { one, other, lasts } => {
-                self.cuts.insert((true, one.min(other), one.max(other)), self.t + lasts);
+                self.cuts
+                    .insert((true, one.min(other), one.max(other)), self.t + lasts);
             }
         }
     }
 
     fn run(&mut self, until: u64) {
         while self.t < until {
-            let next = self.events.first_key_value().map_or(u64::MAX, |((due, _), _)| *due);
+            let next = self
+                .events
+                .first_key_value()
+                .map_or(u64::MAX, |((due, _), _)| *due);
             if next <= self.t + 5_000 {
                 self.step();
             } else {
@@ -431,7 +506,9 @@
     }
 
     fn holder(&self) -> Option<usize> {
-        self.clients.iter().position(|a| a.lease.held(a.process.clock(self.t)).is_some())
+        self.clients
+            .iter()
+            .position(|a| a.lease.held(a.process.clock(self.t)).is_some())
     }
 
     fn until_held(&mut self, patience: u64) {
@@ -471,7 +548,10 @@
     let mut world = World::new(seed, keepers, 4, 2 * SECOND);
     world.acquire_all();
     world.until_held(15 * SECOND);
-    assert!(world.holder().is_some(), "nobody gets it with nothing wrong");
+    assert!(
+        world.holder().is_some(),
+        "nobody gets it with nothing wrong"
+    );
     world.loss = loss;
     let mut t = world.t;
     for (gap, fault) in faults {
@@ -510,7 +590,13 @@
         for _ in 0..15 {
             let (client, keeper) = (draw.random_range(0..4), draw.random_range(0..3));
             faults.push((SECOND, Fault::ClientFrozen(client, 4 * SECOND)));
-            faults.push((SECOND / 2, Fault::Ends { keeper, written: draw.random() }));
+            faults.push((
+                SECOND / 2,
+                Fault::Ends {
+                    keeper,
+                    written: draw.random(),
+                },
+            ));
             faults.push((SECOND / 2, Fault::Begins(keeper)));
         }
         faults.push((5 * SECOND, Fault::Restored(seed as usize % 3)));
@@ -521,7 +607,15 @@
         refused += world.refused_folders;
         got += world.got.len();
     }
-    println!("{accepted} acts, {stale} refused as stale, {got} holdings, {refused} folders refused");
-    assert!(stale > 0 && accepted > 1000 && got > 50, "{accepted} acts, {stale} stale, {got} holdings");
-    assert!(refused >= 6, "{refused} of 12 folders from a backup were refused");
+    println!(
+        "{accepted} acts, {stale} refused as stale, {got} holdings, {refused} folders refused"
+    );
+    assert!(
+        stale > 0 && accepted > 1000 && got > 50,
+        "{accepted} acts, {stale} stale, {got} holdings"
+    );
+    assert!(
+        refused >= 6,
+        "{refused} of 12 folders from a backup were refused"
+    );
 }
--- a/crates/membership/src/entry.rs
+++ b/crates/membership/src/entry.rs
@@ -86,7 +86,13 @@
 
 /// The name of an entry without the ten digits that a registry puts behind a sequential one.
 pub fn without_sequence(child: &str) -> &str {
-    let Some(at) = child.len().checked_sub(10).filter(|at| child.is_char_boundary(*at)) else { return child };
+    let Some(at) = child
+        .len()
+        .checked_sub(10)
+        .filter(|at| child.is_char_boundary(*at))
+    else {
+        return child;
+    };
     let (name, digits) = child.split_at(at);
     let name = name.trim_end_matches(['-', '_']);
     if digits.bytes().all(|b| b.is_ascii_digit()) && !name.is_empty() {
@@ -104,10 +110,14 @@
     if data.len() > DATA_MOST {
         return Err(EntryError::TooLong(data.len()));
     }
-    let data: EntryData = serde_json::from_slice(data).map_err(|e| EntryError::InvalidData(e.to_string()))?;
-    let name = data.name.unwrap_or_else(|| without_sequence(child).to_owned());
-    let is_valid_text =
-        |text: &str| !text.is_empty() && text.len() <= NAME_MOST && !text.chars().any(char::is_control);
+    let data: EntryData =
+        serde_json::from_slice(data).map_err(|e| EntryError::InvalidData(e.to_string()))?;
+    let name = data
+        .name
+        .unwrap_or_else(|| without_sequence(child).to_owned());
+    let is_valid_text = |text: &str| {
+        !text.is_empty() && text.len() <= NAME_MOST && !text.chars().any(char::is_control)
+    };
     let is_valid_option = |text: &Option<String>| text.as_deref().is_none_or(is_valid_text);
     if !is_valid_text(&name) || !is_valid_option(&data.zone) || !is_valid_option(&data.kind) {
         return Err(EntryError::InvalidName);
@@ -122,7 +132,10 @@
         return Err(EntryError::InvalidWeight);
     }
     let created = stat.ctime as f64 / 1e3;
-    let started = data.started.filter(|s| s.is_finite() && *s >= 0.0).map_or(created, |ms| ms / 1e3);
+    let started = data
+        .started
+        .filter(|s| s.is_finite() && *s >= 0.0)
+        .map_or(created, |ms| ms / 1e3);
     Ok(Entry {
         name,
         address,
--- a/crates/membership/src/follow.rs
+++ b/crates/membership/src/follow.rs
@@ -208,9 +208,15 @@
 
     /// When [`Follower::tick`] has to be called next.
     pub fn deadline(&self) -> Time {
-        let stale = if self.up || self.stale { f64::MAX } else { self.last_heard + self.limits.stale_after };
+        let stale = if self.up || self.stale {
+            f64::MAX
+        } else {
+            self.last_heard + self.limits.stale_after
+        };
         let reread = if self.up { self.next_reread } else { f64::MAX };
-        stale.min(reread).min(self.roster.deadline().unwrap_or(f64::MAX))
+        stale
+            .min(reread)
+            .min(self.roster.deadline().unwrap_or(f64::MAX))
     }
 
     /// Acts on timeouts; to be called at [`Follower::deadline`].
@@ -274,12 +280,24 @@
         self.queue.clear();
         self.queued.clear();
         self.reading = 0;
-        self.children.values_mut().for_each(|c| (c.reading, c.read_again) = (false, false));
-        self.request(Purpose::Sync, Op::Sync { path: self.path.clone() });
+        self.children
+            .values_mut()
+            .for_each(|c| (c.reading, c.read_again) = (false, false));
+        self.request(
+            Purpose::Sync,
+            Op::Sync {
+                path: self.path.clone(),
+            },
+        );
         if self.one_shot {
             self.request_list();
         } else {
-            self.request(Purpose::Watch, Op::AddWatch { path: self.path.clone() });
+            self.request(
+                Purpose::Watch,
+                Op::AddWatch {
+                    path: self.path.clone(),
+                },
+            );
         }
     }
 
@@ -295,13 +313,18 @@
             return;
         }
         self.listing = true;
-        let op = Op::GetChildren { path: self.path.clone(), watch: self.one_shot };
+        let op = Op::GetChildren {
+            path: self.path.clone(),
+            watch: self.one_shot,
+        };
         self.request(Purpose::List, op);
     }
 
     /// A child has to be read, now or when it has been.
     fn request_read(&mut self, child: String) {
-        let Some(known) = self.children.get_mut(&child) else { return };
+        let Some(known) = self.children.get_mut(&child) else {
+            return;
+        };
         if known.reading {
             known.read_again = true;
         } else if self.queued.insert(child.clone()) {
@@ -311,15 +334,22 @@
 
     fn issue_reads(&mut self) {
         while self.up && self.reading < self.limits.window {
-            let Some(child) = self.queue.pop_front() else { break };
+            let Some(child) = self.queue.pop_front() else {
+                break;
+            };
             if !self.queued.remove(&child) {
                 // Removed since, or read already.
                 continue;
             }
-            let Some(known) = self.children.get_mut(&child) else { continue };
+            let Some(known) = self.children.get_mut(&child) else {
+                continue;
+            };
             (known.reading, known.read_again) = (true, false);
             self.reading += 1;
-            let op = Op::GetData { path: format!("{}/{child}", self.prefix()), watch: self.one_shot };
+            let op = Op::GetData {
+                path: format!("{}/{child}", self.prefix()),
+                watch: self.one_shot,
+            };
             self.request(Purpose::Data(child), op);
         }
         if self.up && self.is_complete && self.is_settled() {
@@ -380,7 +410,10 @@
                 self.report(Report::PathMissing);
                 if self.one_shot {
                     // Its watch tells when it is made.
-                    let op = Op::Exists { path: self.path.clone(), watch: true };
+                    let op = Op::Exists {
+                        path: self.path.clone(),
+                        watch: true,
+                    };
                     self.request(Purpose::Sync, op);
                 }
                 Vec::new()
@@ -390,9 +423,15 @@
         };
         self.is_complete = true;
         let listed: BTreeSet<&str> = names.iter().map(String::as_str).collect();
-        let missing: Vec<String> =
-            self.children.keys().filter(|c| !listed.contains(c.as_str())).cloned().collect();
-        missing.into_iter().for_each(|child| self.remove(now, &child));
+        let missing: Vec<String> = self
+            .children
+            .keys()
+            .filter(|c| !listed.contains(c.as_str()))
+            .cloned()
+            .collect();
+        missing
+            .into_iter()
+            .for_each(|child| self.remove(now, &child));
         for child in names {
             self.add(child);
         }
@@ -417,7 +456,8 @@
         // Guards against a queue that grows with each coming and going while answers are slow. Harm: none.
         if self.queue.len() > 2 * self.queued.len() + 64 {
             let (queued, mut seen) = (&self.queued, BTreeSet::new());
-            self.queue.retain(|c| queued.contains(c) && seen.insert(c.clone()));
+            self.queue
+                .retain(|c| queued.contains(c) && seen.insert(c.clone()));
         }
     }
 
@@ -435,7 +475,9 @@
             (Some(child), Happened::Deleted) => self.remove(now, &child),
             (Some(child), Happened::Created) => self.add(child),
             (Some(child), Happened::Data) => self.request_read(child),
-            (None, Happened::Children | Happened::Created | Happened::Deleted) => self.request_list(),
+            (None, Happened::Children | Happened::Created | Happened::Deleted) => {
+                self.request_list()
+            }
             _ => {}
         }
     }
@@ -443,11 +485,15 @@
     fn handle_entry(&mut self, now: Time, child: &str, data: &[u8], stat: &Stat, acl: &[Acl]) {
         self.reading = self.reading.saturating_sub(1);
         // Removed since it was asked for: a removal is never taken back by a read that was under way.
-        let Some(known) = self.children.get_mut(child) else { return };
+        let Some(known) = self.children.get_mut(child) else {
+            return;
+        };
         known.reading = false;
         let read_again = std::mem::take(&mut known.read_again);
         let is_new = known.mzxid.replace(stat.mzxid) != Some(stat.mzxid);
-        let entry = self.check_trust(stat, acl).and_then(|()| entry::parse(child, data, stat, now));
+        let entry = self
+            .check_trust(stat, acl)
+            .and_then(|()| entry::parse(child, data, stat, now));
         if let (Err(fault), true) = (&entry, is_new) {
             self.report(Report::InvalidEntry(child.to_owned(), fault.clone()));
         }
@@ -488,5 +534,6 @@
 /// Whether an access list names somebody. To a session that may not change it, a registry shows `x` for a digest.
 fn names_identity(acl: &Acl, (scheme, id): &(String, String)) -> bool {
     let user = id.split(':').next().unwrap_or_default();
-    acl.scheme == *scheme && (acl.id == *id || (scheme == "digest" && acl.id == format!("{user}:x")))
+    acl.scheme == *scheme
+        && (acl.id == *id || (scheme == "digest" && acl.id == format!("{user}:x")))
 }
--- a/crates/membership/src/registration.rs
+++ b/crates/membership/src/registration.rs
@@ -134,9 +134,13 @@
     pub fn deregister(&mut self) {
         self.wanted = false;
         match self.state {
-            State::Registered => {
-                self.request(State::Deregistering, Op::Delete { path: self.path.clone(), version: -1 })
-            }
+            State::Registered => self.request(
+                State::Deregistering,
+                Op::Delete {
+                    path: self.path.clone(),
+                    version: -1,
+                },
+            ),
             State::Waiting { .. } => self.state = State::Idle,
             // What is under way ends first; its answer tells what is to be removed.
             _ => {}
@@ -165,7 +169,13 @@
     }
 
     fn read(&mut self) {
-        self.request(State::Reading, Op::GetData { path: self.path.clone(), watch: true });
+        self.request(
+            State::Reading,
+            Op::GetData {
+                path: self.path.clone(),
+                watch: true,
+            },
+        );
     }
 
     fn create(&mut self) {
@@ -207,7 +217,10 @@
             Event::Answered(token, answer) if *token == self.token => {
                 self.handle_answer(now, session, answer)
             }
-            Event::Fired(Fired { what: Happened::Deleted, path }) if *path == self.path => {
+            Event::Fired(Fired {
+                what: Happened::Deleted,
+                path,
+            }) if *path == self.path => {
                 self.may_exist &= self.state == State::Creating;
                 if matches!(self.state, State::Registered | State::Waiting { .. }) {
                     match self.wanted {
@@ -222,7 +235,9 @@
 
     fn handle_answer(&mut self, now: Time, session: i64, answer: &Result<Answer, Refusal>) {
         match (self.state, answer) {
-            (State::Reading, Ok(Answer::Data(data, stat))) => self.handle_entry(now, session, data, stat),
+            (State::Reading, Ok(Answer::Data(data, stat))) => {
+                self.handle_entry(now, session, data, stat)
+            }
             (State::Reading, Err(Refusal::NoNode)) => {
                 self.may_exist = false;
                 match self.wanted {
@@ -243,15 +258,23 @@
             (State::Deregistering, Err(Refusal::BadVersion)) => self.read(),
             (_, Err(refusal)) if self.wanted || self.state == State::Deregistering => {
                 self.report(Report::Refused(*refusal));
-                self.state =
-                    if self.wanted { State::Waiting { until: now + RETRY_INTERVAL } } else { State::Idle };
+                self.state = if self.wanted {
+                    State::Waiting {
+                        until: now + RETRY_INTERVAL,
+                    }
+                } else {
+                    State::Idle
+                };
             }
             _ => self.state = State::Idle,
         }
     }
 
     fn handle_entry(&mut self, now: Time, session: i64, data: &[u8], stat: &Stat) {
-        let remove = Op::Delete { path: self.path.clone(), version: stat.version };
+        let remove = Op::Delete {
+            path: self.path.clone(),
+            version: stat.version,
+        };
         if stat.ephemeral_owner == session {
             if !self.wanted {
                 return self.request(State::Deregistering, remove);
@@ -273,6 +296,8 @@
             Some(_) => self.report(Report::Superseded),
             None => self.report(Report::PathTaken(self.path.clone())),
         }
-        self.state = State::Waiting { until: now + RETRY_INTERVAL };
+        self.state = State::Waiting {
+            until: now + RETRY_INTERVAL,
+        };
     }
 }
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -59,7 +59,10 @@
 
 impl<K: Eq + Hash + Clone> Index<K> {
     fn add(&mut self, key: &K, czxid: i64, child: &str) {
-        self.0.entry(key.clone()).or_default().insert((czxid, child.to_owned()));
+        self.0
+            .entry(key.clone())
+            .or_default()
+            .insert((czxid, child.to_owned()));
     }
 
     fn remove(&mut self, key: &K, czxid: i64, child: &str) {
@@ -139,7 +142,8 @@
         if let Ok(entry) = entry {
             self.names.add(&entry.name, czxid, child);
             self.addresses.add(&entry.address, czxid, child);
-            self.entries.insert(child.to_owned(), StoredEntry { czxid, entry });
+            self.entries
+                .insert(child.to_owned(), StoredEntry { czxid, entry });
         }
         self.reevaluate_related(now, child, before);
     }
@@ -165,19 +169,29 @@
             names.push(entry.name.clone());
             // Those that share its address, whatever their names are.
             let sharing = self.addresses.0.get(&entry.address).into_iter().flatten();
-            names.extend(sharing.filter_map(|(_, c)| Some(self.entries.get(c)?.entry.name.clone())));
+            names
+                .extend(sharing.filter_map(|(_, c)| Some(self.entries.get(c)?.entry.name.clone())));
         }
         names.sort_unstable();
         names.dedup();
         // Removals are reported before additions: a server that takes another's address is not listed beside it.
-        let (listed, removed): (Vec<String>, Vec<String>) =
-            names.into_iter().partition(|n| self.effective_entry(n).is_some());
-        removed.iter().chain(&listed).for_each(|name| self.reevaluate(now, name));
+        let (listed, removed): (Vec<String>, Vec<String>) = names
+            .into_iter()
+            .partition(|n| self.effective_entry(n).is_some());
+        removed
+            .iter()
+            .chain(&listed)
+            .for_each(|name| self.reevaluate(now, name));
     }
 
     /// The entry in force for a name: the last one of this name, if it is the last one of its address too.
     fn effective_entry(&self, name: &str) -> Option<&Entry> {
-        let child = self.names.0.get(name)?.last().map(|(_, child)| child.as_str())?;
+        let child = self
+            .names
+            .0
+            .get(name)?
+            .last()
+            .map(|(_, child)| child.as_str())?;
         let entry = &self.entries.get(child)?.entry;
         (self.addresses.last(&entry.address) == Some(child)).then_some(entry)
     }
@@ -230,8 +244,11 @@
             hold_until: now,
             waiting_key: None,
         });
-        flap.departures =
-            if now - flap.last_departure <= WINDOW { flap.departures.saturating_add(1) } else { 1 };
+        flap.departures = if now - flap.last_departure <= WINDOW {
+            flap.departures.saturating_add(1)
+        } else {
+            1
+        };
         flap.last_departure = now;
         flap.hold_until = match flap.departures {
             0 | 1 => now,
@@ -247,8 +264,14 @@
 
     /// Lists the servers whose return is not held back any more.
     pub fn tick(&mut self, now: Time) {
-        while self.waiting.first().is_some_and(|(at, _)| *at <= to_key(now)) {
-            let Some((_, name)) = self.waiting.pop_first() else { break };
+        while self
+            .waiting
+            .first()
+            .is_some_and(|(at, _)| *at <= to_key(now))
+        {
+            let Some((_, name)) = self.waiting.pop_first() else {
+                break;
+            };
             if let Some(flap) = self.flaps.get_mut(&name) {
                 flap.waiting_key = None;
             }
--- a/crates/membership/src/session.rs
+++ b/crates/membership/src/session.rs
@@ -215,9 +215,10 @@
             State::Backoff { until } | State::Connecting { until } | State::Handshake { until } => {
                 Some(until)
             }
-            State::Up => {
-                Some((self.last_sent + self.timeout / 3.0).min(self.last_heard + self.timeout * 2.0 / 3.0))
-            }
+            State::Up => Some(
+                (self.last_sent + self.timeout / 3.0)
+                    .min(self.last_heard + self.timeout * 2.0 / 3.0),
+            ),
             State::Closed => None,
         }
     }
@@ -227,7 +228,11 @@
         if !self.is_up() || self.pending.len() >= PENDING_MOST {
             return false;
         }
-        self.xid = if self.xid == i32::MAX { 1 } else { self.xid + 1 };
+        self.xid = if self.xid == i32::MAX {
+            1
+        } else {
+            self.xid + 1
+        };
         self.send(now, op.frame(self.xid));
         self.pending.push_back((self.xid, token, op));
         true
@@ -263,21 +268,32 @@
     }
 
     fn connect(&mut self, now: Time) {
-        let Some(member) = self.config.members.get(self.next_member % self.config.members.len().max(1))
+        let Some(member) = self
+            .config
+            .members
+            .get(self.next_member % self.config.members.len().max(1))
         else {
             return;
         };
         self.commands.push_back(Command::Connect(*member));
-        self.state = State::Connecting { until: now + self.config.connect_within };
+        self.state = State::Connecting {
+            until: now + self.config.connect_within,
+        };
     }
 
     /// The connection was made.
     pub fn handle_connected(&mut self, now: Time) {
-        let State::Connecting { until } = self.state else { return };
+        let State::Connecting { until } = self.state else {
+            return;
+        };
         self.frames = Frames::default();
         let timeout = (self.config.timeout * 1e3).clamp(1.0, f64::from(i32::MAX)) as i32;
-        let handshake =
-            Writer::new().int(0).long(self.last_zxid).int(timeout).long(self.id).buffer(&self.password);
+        let handshake = Writer::new()
+            .int(0)
+            .long(self.last_zxid)
+            .int(timeout)
+            .long(self.id)
+            .buffer(&self.password);
         self.send(now, handshake.boolean(false).done());
         self.state = State::Handshake { until };
     }
@@ -343,7 +359,16 @@
         self.timeout = f64::from(timeout) / 1e3;
         (self.state, self.failures) = (State::Up, 0);
         if let Some((scheme, proof)) = self.config.auth.clone() {
-            self.send(now, Writer::new().int(AUTH).int(100).int(0).text(&scheme).buffer(&proof).done());
+            self.send(
+                now,
+                Writer::new()
+                    .int(AUTH)
+                    .int(100)
+                    .int(0)
+                    .text(&scheme)
+                    .buffer(&proof)
+                    .done(),
+            );
         }
         self.events.push_back(Event::Up { fresh });
         Ok(())
@@ -370,7 +395,9 @@
         if self.pending.front().is_none_or(|(next, ..)| *next != xid) {
             return Err(LossReason::Protocol(WireFault::Order(xid)));
         }
-        let Some((_, token, op)) = self.pending.pop_front() else { return Ok(()) };
+        let Some((_, token, op)) = self.pending.pop_front() else {
+            return Ok(());
+        };
         // Guards against a member that has lost what it once had, or never had what another showed: what it says next
         // could bring back servers that are gone. Harm: none, since another member is asked.
         if zxid > 0 && zxid < self.last_zxid {
@@ -394,7 +421,11 @@
     }
 
     fn fail_pending(&mut self) {
-        self.events.extend(self.pending.drain(..).map(|(_, token, _)| Event::Unanswered(token)));
+        self.events.extend(
+            self.pending
+                .drain(..)
+                .map(|(_, token, _)| Event::Unanswered(token)),
+        );
     }
 
     /// Drops the connection, and goes on with the next member at once or after a pause.
--- a/crates/membership/src/wire/fields.rs
+++ b/crates/membership/src/wire/fields.rs
@@ -22,7 +22,10 @@
     /// # Errors
     /// If there is none.
     pub fn boolean(&mut self) -> Result<bool, WireFault> {
-        self.0.try_get_u8().map(|b| b != 0).map_err(|_| WireFault::Short)
+        self.0
+            .try_get_u8()
+            .map(|b| b != 0)
+            .map_err(|_| WireFault::Short)
     }
 
     /// Four bytes.
@@ -64,7 +67,9 @@
     /// As for bytes, or if it is not in UTF-8.
     pub fn text(&mut self) -> Result<String, WireFault> {
         let bytes = self.buffer()?;
-        std::str::from_utf8(&bytes).map(str::to_owned).map_err(|_| WireFault::Text)
+        std::str::from_utf8(&bytes)
+            .map(str::to_owned)
+            .map_err(|_| WireFault::Text)
     }
 
     /// Texts, with their number before them. One that is not in UTF-8 is given as `None`, so that a path with odd bytes
@@ -79,7 +84,9 @@
         if n > self.0.len() / 4 {
             return Err(WireFault::Short);
         }
-        (0..n).map(|_| Ok(String::from_utf8(self.buffer()?.to_vec()).ok())).collect()
+        (0..n)
+            .map(|_| Ok(String::from_utf8(self.buffer()?.to_vec()).ok()))
+            .collect()
     }
 }
 
@@ -124,7 +131,8 @@
     /// Bytes with their length before them.
     #[must_use]
     pub fn buffer(mut self, bytes: &[u8]) -> Self {
-        self.0.put_i32(i32::try_from(bytes.len()).unwrap_or(i32::MAX));
+        self.0
+            .put_i32(i32::try_from(bytes.len()).unwrap_or(i32::MAX));
         self.0.extend_from_slice(bytes);
         self
     }
--- a/crates/membership/src/wire/frames.rs
+++ b/crates/membership/src/wire/frames.rs
@@ -21,7 +21,9 @@
     /// If its length can't be: the stream is of no further use. At most [`FRAME_MOST`] bytes and what one read brings
     /// are held.
     pub fn frame(&mut self) -> Result<Option<Bytes>, WireFault> {
-        let Some(head) = self.held.first_chunk::<4>() else { return Ok(None) };
+        let Some(head) = self.held.first_chunk::<4>() else {
+            return Ok(None);
+        };
         let stated = i32::from_be_bytes(*head);
         let length = usize::try_from(stated).ok().filter(|n| *n <= FRAME_MOST);
         let length = length.ok_or(WireFault::Length(stated.into()))?;
--- a/crates/membership/src/wire/operations.rs
+++ b/crates/membership/src/wire/operations.rs
@@ -92,17 +92,30 @@
     pub(crate) fn frame(&self, xid: i32) -> Bytes {
         let w = Writer::new().int(xid).int(self.code());
         match self {
-            Op::Create { path, data, acl, ephemeral } => {
-                let counted = w.text(path).buffer(data).int(i32::try_from(acl.len()).unwrap_or(0));
-                let listed =
-                    acl.iter().fold(counted, |w, a| w.int(a.permissions).text(&a.scheme).text(&a.id));
+            Op::Create {
+                path,
+                data,
+                acl,
+                ephemeral,
+            } => {
+                let counted = w
+                    .text(path)
+                    .buffer(data)
+                    .int(i32::try_from(acl.len()).unwrap_or(0));
+                let listed = acl.iter().fold(counted, |w, a| {
+                    w.int(a.permissions).text(&a.scheme).text(&a.id)
+                });
                 listed.int((*ephemeral).into()).done()
             }
             Op::Delete { path, version } => w.text(path).int(*version).done(),
-            Op::SetData { path, data, version } => w.text(path).buffer(data).int(*version).done(),
-            Op::Exists { path, watch } | Op::GetData { path, watch } | Op::GetChildren { path, watch } => {
-                w.text(path).boolean(*watch).done()
-            }
+            Op::SetData {
+                path,
+                data,
+                version,
+            } => w.text(path).buffer(data).int(*version).done(),
+            Op::Exists { path, watch }
+            | Op::GetData { path, watch }
+            | Op::GetChildren { path, watch } => w.text(path).boolean(*watch).done(),
             Op::GetAcl { path } | Op::Sync { path } => w.text(path).done(),
             // 1 is the mode that is persistent and recursive.
             Op::AddWatch { path } => w.text(path).int(1).done(),
@@ -165,12 +178,18 @@
 ///
 /// # Errors
 /// If it is not what the operation is answered with.
-pub(crate) fn answer(op: &Op, code: i32, r: &mut Reader) -> Result<Result<Answer, Refusal>, WireFault> {
+pub(crate) fn answer(
+    op: &Op,
+    code: i32,
+    r: &mut Reader,
+) -> Result<Result<Answer, Refusal>, WireFault> {
     if code != 0 {
         return Ok(Err(Refusal::of(code)));
     }
     Ok(Ok(match op {
-        Op::Create { .. } | Op::Delete { .. } | Op::Sync { .. } | Op::AddWatch { .. } => Answer::Done,
+        Op::Create { .. } | Op::Delete { .. } | Op::Sync { .. } | Op::AddWatch { .. } => {
+            Answer::Done
+        }
         Op::Exists { .. } | Op::SetData { .. } => Answer::Stat(Stat::read(r)?),
         Op::GetData { .. } => Answer::Data(r.buffer()?, Stat::read(r)?),
         Op::GetChildren { .. } => Answer::Children(r.texts()?, Stat::read(r)?),
--- a/crates/membership/src/wire/records.rs
+++ b/crates/membership/src/wire/records.rs
@@ -65,21 +65,36 @@
 impl Acl {
     /// Everybody may do everything.
     pub fn open() -> Acl {
-        Acl { permissions: 31, scheme: "world".to_owned(), id: "anyone".to_owned() }
+        Acl {
+            permissions: 31,
+            scheme: "world".to_owned(),
+            id: "anyone".to_owned(),
+        }
     }
 
     /// Everybody may read.
     pub fn read_only() -> Acl {
-        Acl { permissions: 1, ..Acl::open() }
+        Acl {
+            permissions: 1,
+            ..Acl::open()
+        }
     }
 
     /// Whoever is known to this session may do everything.
     pub fn creator() -> Acl {
-        Acl { permissions: 31, scheme: "auth".to_owned(), id: String::new() }
+        Acl {
+            permissions: 31,
+            scheme: "auth".to_owned(),
+            id: String::new(),
+        }
     }
 
     pub(super) fn read(r: &mut Reader) -> Result<Acl, WireFault> {
-        Ok(Acl { permissions: r.int()?, scheme: r.text()?, id: r.text()? })
+        Ok(Acl {
+            permissions: r.int()?,
+            scheme: r.text()?,
+            id: r.text()?,
+        })
     }
 }
 
--- a/crates/membership/tests/follow.rs
+++ b/crates/membership/tests/follow.rs
@@ -38,7 +38,9 @@
 }
 
 fn payload(port: u16) -> Bytes {
-    Bytes::from(format!("{{\"address\":\"127.0.0.1:{port}\",\"started\":1000}}"))
+    Bytes::from(format!(
+        "{{\"address\":\"127.0.0.1:{port}\",\"started\":1000}}"
+    ))
 }
 
 impl Table {
@@ -57,7 +59,11 @@
     }
 
     fn say(&mut self, what: Happened, child: &str, lose: bool) {
-        let path = if child.is_empty() { PATH.to_owned() } else { format!("{PATH}/{child}") };
+        let path = if child.is_empty() {
+            PATH.to_owned()
+        } else {
+            format!("{PATH}/{child}")
+        };
         if !lose {
             self.words.push_back(Event::Fired(Fired { what, path }));
         }
@@ -67,7 +73,13 @@
         self.zxid += 1;
         let old = self.nodes.get(child).cloned();
         let czxid = old.as_ref().map_or(self.zxid, |n| n.czxid);
-        let node = Node { czxid, mzxid: self.zxid, data, owner, acl: vec![Acl::open()] };
+        let node = Node {
+            czxid,
+            mzxid: self.zxid,
+            data,
+            owner,
+            acl: vec![Acl::open()],
+        };
         self.nodes.insert(child.to_owned(), node);
         let watched = self.data.remove(child);
         if old.is_some() {
@@ -99,8 +111,13 @@
 
     /// Works off one request, from the state that is there now.
     fn work(&mut self) {
-        let Some((token, op)) = self.requests.pop_front() else { return };
-        let child = |path: &str| path.strip_prefix(PATH).map(|c| c.trim_start_matches('/').to_owned());
+        let Some((token, op)) = self.requests.pop_front() else {
+            return;
+        };
+        let child = |path: &str| {
+            path.strip_prefix(PATH)
+                .map(|c| c.trim_start_matches('/').to_owned())
+        };
         let stat = |n: &Node| Stat {
             czxid: n.czxid,
             mzxid: n.mzxid,
@@ -156,7 +173,8 @@
         });
         let lost: Vec<u64> = answered.chain(lost).collect();
         follower.handle_event(now, &Event::Lost(LossReason::Closed));
-        lost.into_iter().for_each(|token| follower.handle_event(now, &Event::Unanswered(token)));
+        lost.into_iter()
+            .for_each(|token| follower.handle_event(now, &Event::Unanswered(token)));
     }
 
     fn come_up(&mut self, follower: &mut Follower, now: f64) {
@@ -193,7 +211,11 @@
 }
 
 fn there(follower: &Follower) -> BTreeSet<(String, u16)> {
-    follower.roster().servers().map(|e| (e.name.clone(), e.address.port())).collect()
+    follower
+        .roster()
+        .servers()
+        .map(|e| (e.name.clone(), e.address.port()))
+        .collect()
 }
 
 fn follower(limits: Limits) -> (Table, Follower) {
@@ -205,7 +227,10 @@
 
 #[test]
 fn what_is_there_is_known_once_all_of_it_has_been_read() {
-    let (mut table, mut follower) = (Table::new(true), Follower::new(PATH, Limits::default(), 0.0));
+    let (mut table, mut follower) = (
+        Table::new(true),
+        Follower::new(PATH, Limits::default(), 0.0),
+    );
     for n in 1..=200 {
         table.put(&format!("s{n}"), payload(n), 9, false);
     }
@@ -218,7 +243,11 @@
             follower.handle_event(0.0, &word);
         }
     }
-    assert!(!follower.has_list() && follower.sizes().2 <= 65, "{:?}", follower.sizes());
+    assert!(
+        !follower.has_list() && follower.sizes().2 <= 65,
+        "{:?}",
+        follower.sizes()
+    );
     table.settle(&mut follower, 0.0);
     assert!(follower.has_list() && follower.is_settled());
     assert_eq!(there(&follower).len(), 200);
@@ -258,7 +287,10 @@
     assert_eq!(there(&follower), [("good".to_owned(), 3)].into());
     let reports: Vec<Report> = std::iter::from_fn(|| follower.next_report()).collect();
     assert!(
-        reports.contains(&Report::InvalidEntry("by-hand".to_owned(), EntryError::NotEphemeral)),
+        reports.contains(&Report::InvalidEntry(
+            "by-hand".to_owned(),
+            EntryError::NotEphemeral
+        )),
         "{reports:?}"
     );
     assert_eq!(reports.len(), 2, "{reports:?}");
@@ -270,7 +302,10 @@
     table.put("ttl", payload(4), (0xff << 56) | 5000, false);
     table.settle(&mut follower, 32.0);
     assert_eq!(there(&follower).len(), 1);
-    let limits = Limits { persistent: true, ..Limits::default() };
+    let limits = Limits {
+        persistent: true,
+        ..Limits::default()
+    };
     let (mut table, mut follower) = self::follower(limits);
     table.put("by-hand", payload(1), 0, false);
     table.settle(&mut follower, 1.0);
@@ -280,9 +315,16 @@
 #[test]
 fn a_strangers_entry_does_not_count_where_an_owner_is_named() {
     let owner = ("digest".to_owned(), "ops:hash".to_owned());
-    let limits = Limits { owner: Some(owner), ..Limits::default() };
+    let limits = Limits {
+        owner: Some(owner),
+        ..Limits::default()
+    };
     let (mut table, mut follower) = follower(limits);
-    let acl = |id: &str, permissions| Acl { permissions, scheme: "digest".to_owned(), id: id.to_owned() };
+    let acl = |id: &str, permissions| Acl {
+        permissions,
+        scheme: "digest".to_owned(),
+        id: id.to_owned(),
+    };
     for (n, acls) in [
         vec![acl("ops:hash", 31), Acl::read_only()],
         // As it is shown to whoever may not change it.
@@ -298,18 +340,32 @@
         table.nodes.get_mut(&name).unwrap().acl = acls;
     }
     table.settle(&mut follower, 1.0);
-    assert_eq!(there(&follower).into_iter().map(|(n, _)| n).collect::<Vec<_>>(), ["s0", "s1"]);
+    assert_eq!(
+        there(&follower)
+            .into_iter()
+            .map(|(n, _)| n)
+            .collect::<Vec<_>>(),
+        ["s0", "s1"]
+    );
 }
 
 #[test]
 fn a_silent_registry_makes_the_list_stale_after_its_time() {
     for stale in [Stale::GoOn, Stale::Refuse] {
-        let limits = Limits { stale, stale_after: 20.0, ..Limits::default() };
+        let limits = Limits {
+            stale,
+            stale_after: 20.0,
+            ..Limits::default()
+        };
         let (mut table, mut follower) = follower(limits);
         table.put("a", payload(1), 9, false);
         table.settle(&mut follower, 1.0);
         table.drop_connection(&mut follower, 5.0);
-        assert_eq!(there(&follower).len(), 1, "a lost connection is no end of anybody");
+        assert_eq!(
+            there(&follower).len(),
+            1,
+            "a lost connection is no end of anybody"
+        );
         // An expired session of this node's is none either.
         follower.handle_event(6.0, &Event::Expired);
         follower.tick(20.9);
@@ -321,13 +377,19 @@
         assert_eq!(there(&follower).len(), 1);
         table.come_up(&mut follower, 30.0);
         table.settle(&mut follower, 30.0);
-        assert_eq!((follower.refuses_servers(), follower.next_report()), (false, Some(Report::UpToDate)));
+        assert_eq!(
+            (follower.refuses_servers(), follower.next_report()),
+            (false, Some(Report::UpToDate))
+        );
     }
 }
 
 #[test]
 fn there_are_no_more_entries_than_the_bound() {
-    let (mut table, mut follower) = follower(Limits { entries: 10, ..Limits::default() });
+    let (mut table, mut follower) = follower(Limits {
+        entries: 10,
+        ..Limits::default()
+    });
     for n in 1..=50 {
         table.put(&format!("s{n:02}"), payload(n), 9, false);
     }
@@ -344,7 +406,10 @@
 
 #[test]
 fn entries_that_come_and_go_while_answers_are_slow_take_no_room() {
-    let limits = Limits { window: 1, ..Limits::default() };
+    let limits = Limits {
+        window: 1,
+        ..Limits::default()
+    };
     let (mut table, mut follower) = follower(limits);
     // One read is out and unanswered; the others wait, and come and go.
     for n in 0..20_000 {
@@ -355,7 +420,11 @@
             follower.handle_event(1.0, &word);
         }
         table.take(&mut follower);
-        assert!(follower.sizes().1 <= 80, "{} wait to be read", follower.sizes().1);
+        assert!(
+            follower.sizes().1 <= 80,
+            "{} wait to be read",
+            follower.sizes().1
+        );
     }
     table.put("s1", payload(9), 9, false);
     table.settle(&mut follower, 2.0);
@@ -365,7 +434,10 @@
 #[test]
 fn a_path_that_is_not_there_yet_is_waited_for() {
     for modern in [true, false] {
-        let (mut table, mut follower) = (Table::new(modern), Follower::new(PATH, Limits::default(), 0.0));
+        let (mut table, mut follower) = (
+            Table::new(modern),
+            Follower::new(PATH, Limits::default(), 0.0),
+        );
         table.come_up(&mut follower, 0.0);
         table.take(&mut follower);
         // Whatever is asked of it, there is no such path.
@@ -381,7 +453,13 @@
         assert_eq!(follower.next_report(), Some(Report::PathMissing));
         assert!(follower.has_list(), "nothing is there, and that is known");
         table.recursive = modern;
-        follower.handle_event(1.0, &Event::Fired(Fired { what: Happened::Created, path: PATH.to_owned() }));
+        follower.handle_event(
+            1.0,
+            &Event::Fired(Fired {
+                what: Happened::Created,
+                path: PATH.to_owned(),
+            }),
+        );
         table.put("a", payload(1), 9, !modern);
         table.settle(&mut follower, 1.0);
         assert_eq!(there(&follower).len(), 1);
@@ -395,7 +473,11 @@
     let step = (0..14u8, 0..5u8, 1..6u16, 0.0..2.0f64, any::<bool>());
     let steps = prop::collection::vec(step, 1..150);
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[13; 32]);
-    let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 400,
+        failure_persistence: None,
+        ..Config::default()
+    };
     TestRunner::new_with_rng(config, rng)
         .run(&(any::<bool>(), steps), |(modern, steps)| {
             let (mut table, mut now) = (Table::new(modern), 1000.0);
@@ -419,7 +501,11 @@
                     _ => {
                         if let Some(word) = table.words.pop_front() {
                             follower.handle_event(now, &word);
-                            if let Event::Fired(Fired { what: Happened::Deleted, path }) = &word {
+                            if let Event::Fired(Fired {
+                                what: Happened::Deleted,
+                                path,
+                            }) = &word
+                            {
                                 let child = path.rsplit('/').next().unwrap().to_owned();
                                 prop_assert!(
                                     !there(&follower).iter().any(|(n, _)| *n == child),
@@ -431,7 +517,11 @@
                     }
                 }
                 let (children, queue, asked) = follower.sizes();
-                prop_assert!(children <= 5 && queue <= 5 && asked <= 5 + 5, "{:?}", follower.sizes());
+                prop_assert!(
+                    children <= 5 && queue <= 5 && asked <= 5 + 5,
+                    "{:?}",
+                    follower.sizes()
+                );
             }
             // All is quiet; what watches have lost is found when all is read again, and whoever waits has waited.
             table.come_up(&mut follower, now);
@@ -444,14 +534,24 @@
             let mut registry = BTreeMap::<u16, (i64, String)>::new();
             for (name, node) in table.nodes.iter().filter(|(_, n)| n.data != "nonsense") {
                 let text = String::from_utf8(node.data.to_vec()).unwrap();
-                let port = text.split("1:").nth(1).unwrap().split('"').next().unwrap().parse().unwrap();
+                let port = text
+                    .split("1:")
+                    .nth(1)
+                    .unwrap()
+                    .split('"')
+                    .next()
+                    .unwrap()
+                    .parse()
+                    .unwrap();
                 let last = registry.entry(port).or_insert((node.czxid, name.clone()));
                 if last.0 < node.czxid {
                     *last = (node.czxid, name.clone());
                 }
             }
-            let expected: BTreeSet<(String, u16)> =
-                registry.into_iter().map(|(port, (_, name))| (name, port)).collect();
+            let expected: BTreeSet<(String, u16)> = registry
+                .into_iter()
+                .map(|(port, (_, name))| (name, port))
+                .collect();
             prop_assert_eq!(there(&follower), expected);
             prop_assert!(follower.is_settled());
             Ok(())
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -29,23 +29,59 @@
     session.tick(10.0);
     session.handle_connected(10.0);
     let mut lines = sent(&mut session);
-    let greeting = Writer::new().int(0).int(6000).long(42).buffer(&[7; 16]).boolean(false).done();
+    let greeting = Writer::new()
+        .int(0)
+        .int(6000)
+        .long(42)
+        .buffer(&[7; 16])
+        .boolean(false)
+        .done();
     session.handle_bytes(10.1, &greeting);
     lines.extend(sent(&mut session));
     session.handle_bytes(10.2, &Writer::new().int(-4).long(0).int(0).done());
     lines.extend(sent(&mut session));
     let path = || "/flags/n1".to_owned();
-    let acl = |permissions| Acl { permissions, scheme: "world".to_owned(), id: "anyone".to_owned() };
+    let acl = |permissions| Acl {
+        permissions,
+        scheme: "world".to_owned(),
+        id: "anyone".to_owned(),
+    };
     let data = || Bytes::from_static(b"{}");
     let operations = [
-        Op::Create { path: path(), data: data(), acl: vec![acl(31), acl(1)], ephemeral: true },
-        Op::Create { path: path(), data: Bytes::new(), acl: Vec::new(), ephemeral: false },
-        Op::Delete { path: path(), version: -1 },
-        Op::SetData { path: path(), data: data(), version: 7 },
-        Op::Exists { path: path(), watch: true },
-        Op::GetData { path: path(), watch: false },
+        Op::Create {
+            path: path(),
+            data: data(),
+            acl: vec![acl(31), acl(1)],
+            ephemeral: true,
+        },
+        Op::Create {
+            path: path(),
+            data: Bytes::new(),
+            acl: Vec::new(),
+            ephemeral: false,
+        },
+        Op::Delete {
+            path: path(),
+            version: -1,
+        },
+        Op::SetData {
+            path: path(),
+            data: data(),
+            version: 7,
+        },
+        Op::Exists {
+            path: path(),
+            watch: true,
+        },
+        Op::GetData {
+            path: path(),
+            watch: false,
+        },
         Op::GetAcl { path: path() },
-        Op::GetChildren { path: path(), watch: true },
+        Op::GetChildren {
+            path: path(),
+            watch: true,
+        },
         Op::Sync { path: path() },
         Op::AddWatch { path: path() },
     ];
--- a/crates/membership/tests/registration.rs
+++ b/crates/membership/tests/registration.rs
@@ -40,7 +40,13 @@
 impl Node {
     fn new(incarnation: u64, session: i64) -> Node {
         let registration = Registration::new(PATH.to_owned(), data(incarnation), vec![Acl::open()]);
-        Node { registration, session, up: false, requests: VecDeque::new(), words: VecDeque::new() }
+        Node {
+            registration,
+            session,
+            up: false,
+            requests: VecDeque::new(),
+            words: VecDeque::new(),
+        }
     }
 
     fn take(&mut self) {
@@ -52,7 +58,8 @@
     fn come_up(&mut self, now: f64) {
         if !self.up {
             self.up = true;
-            self.registration.handle_event(now, self.session, &Event::Up { fresh: true });
+            self.registration
+                .handle_event(now, self.session, &Event::Up { fresh: true });
             self.take();
         }
     }
@@ -66,28 +73,41 @@
         place.watched = false;
         let tokens: Vec<u64> = self.requests.drain(..).map(|(t, _)| t).collect();
         self.words.clear();
-        self.registration.handle_event(now, self.session, &Event::Lost(LossReason::Closed));
-        tokens
-            .into_iter()
-            .for_each(|t| self.registration.handle_event(now, self.session, &Event::Unanswered(t)));
+        self.registration
+            .handle_event(now, self.session, &Event::Lost(LossReason::Closed));
+        tokens.into_iter().for_each(|t| {
+            self.registration
+                .handle_event(now, self.session, &Event::Unanswered(t))
+        });
     }
 
     /// Its session is over, and the registry has dropped what ended with it.
     fn expire(&mut self, now: f64, place: &mut Place, session: i64) {
         self.lose(now, place, false);
-        if place.entry.as_ref().is_some_and(|(owner, ..)| *owner == self.session) {
+        if place
+            .entry
+            .as_ref()
+            .is_some_and(|(owner, ..)| *owner == self.session)
+        {
             place.entry = None;
         }
-        self.registration.handle_event(now, self.session, &Event::Expired);
+        self.registration
+            .handle_event(now, self.session, &Event::Expired);
         self.session = session;
     }
 
     fn work(&mut self, place: &mut Place) {
-        let Some((token, op)) = self.requests.pop_front() else { return };
+        let Some((token, op)) = self.requests.pop_front() else {
+            return;
+        };
         let answer = match (op, &mut place.entry) {
             (Op::GetData { .. }, Some((owner, data, version))) => {
                 place.watched = true;
-                let stat = Stat { ephemeral_owner: *owner, version: *version, ..Stat::default() };
+                let stat = Stat {
+                    ephemeral_owner: *owner,
+                    version: *version,
+                    ..Stat::default()
+                };
                 Ok(Answer::Data(data.clone(), stat))
             }
             (Op::GetData { .. }, None) => Err(Refusal::NoNode),
@@ -114,7 +134,10 @@
 
     fn gone(&mut self) {
         let path = PATH.to_owned();
-        self.words.push_back(Event::Fired(Fired { what: Happened::Deleted, path }));
+        self.words.push_back(Event::Fired(Fired {
+            what: Happened::Deleted,
+            path,
+        }));
     }
 
     fn hear(&mut self, now: f64) {
@@ -147,7 +170,10 @@
     node.settle(0.0, &mut place);
     assert!(node.registration.is_registered());
     let (owner, bytes, _) = place.entry.clone().unwrap();
-    assert_eq!((owner, serde_json::from_slice::<EntryData>(&bytes).unwrap()), (100, data(1)));
+    assert_eq!(
+        (owner, serde_json::from_slice::<EntryData>(&bytes).unwrap()),
+        (100, data(1))
+    );
     assert_eq!(node.registration.next_report(), Some(Report::Registered));
     // Somebody removes it.
     place.entry = None;
@@ -162,8 +188,12 @@
 
 #[test]
 fn what_an_earlier_life_left_goes_and_a_strangers_or_a_later_lifes_stays() {
-    let entry = |data: &EntryData, owner| Some((owner, Bytes::from(serde_json::to_vec(data).unwrap()), 3));
-    let mut place = Place { entry: entry(&data(1), 50), ..Place::default() };
+    let entry =
+        |data: &EntryData, owner| Some((owner, Bytes::from(serde_json::to_vec(data).unwrap()), 3));
+    let mut place = Place {
+        entry: entry(&data(1), 50),
+        ..Place::default()
+    };
     let mut node = Node::new(2, 100);
     node.registration.register();
     node.come_up(0.0);
@@ -175,9 +205,18 @@
     );
     for (theirs, report) in [
         (data(9), Report::Superseded),
-        (EntryData { name: "other".to_owned(), ..data(1) }, Report::PathTaken(PATH.to_owned())),
+        (
+            EntryData {
+                name: "other".to_owned(),
+                ..data(1)
+            },
+            Report::PathTaken(PATH.to_owned()),
+        ),
     ] {
-        let mut place = Place { entry: entry(&theirs, 50), ..Place::default() };
+        let mut place = Place {
+            entry: entry(&theirs, 50),
+            ..Place::default()
+        };
         let mut node = Node::new(2, 100);
         node.registration.register();
         node.come_up(0.0);
@@ -198,10 +237,15 @@
 fn any_order_of_losses_ends_with_one_entry_or_none() {
     let steps = prop::collection::vec((0..9u8, 0.0..3.0f64), 1..80);
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[14; 32]);
-    let config = Config { cases: 500, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 500,
+        failure_persistence: None,
+        ..Config::default()
+    };
     TestRunner::new_with_rng(config, rng)
         .run(&(steps, any::<bool>()), |(steps, leaves)| {
-            let (mut place, mut node, mut now, mut session) = (Place::default(), Node::new(1, 100), 0.0, 100);
+            let (mut place, mut node, mut now, mut session) =
+                (Place::default(), Node::new(1, 100), 0.0, 100);
             node.registration.register();
             for (what, after) in steps {
                 now += after;
@@ -214,7 +258,10 @@
                         node.expire(now, &mut place, session);
                     }
                     4 => {
-                        if place.entry.take().is_some() && std::mem::take(&mut place.watched) && node.up {
+                        if place.entry.take().is_some()
+                            && std::mem::take(&mut place.watched)
+                            && node.up
+                        {
                             node.gone();
                         }
                     }
--- a/crates/membership/tests/roster.rs
+++ b/crates/membership/tests/roster.rs
@@ -27,38 +27,85 @@
 
 #[test]
 fn an_entry_is_read_strictly_and_costs_nothing_else() {
-    let stat = Stat { ctime: 50_000, ephemeral_owner: 7, ..Stat::default() };
+    let stat = Stat {
+        ctime: 50_000,
+        ephemeral_owner: 7,
+        ..Stat::default()
+    };
     let parse = |data: &str| parse("flags-3-0000000012", data.as_bytes(), &stat, 100.0);
     let good = parse(
         r#"{"address":"127.0.0.1:9000","zone":"z","type":"big","weight":2,"started":60000,"more":[1]}"#,
     );
     let good = good.unwrap();
-    assert_eq!((good.name.as_str(), good.weight, good.started), ("flags-3", 2.0, 60.0));
-    assert_eq!((good.zone.as_deref(), good.kind.as_deref(), good.draining), (Some("z"), Some("big"), false));
+    assert_eq!(
+        (good.name.as_str(), good.weight, good.started),
+        ("flags-3", 2.0, 60.0)
+    );
+    assert_eq!(
+        (good.zone.as_deref(), good.kind.as_deref(), good.draining),
+        (Some("z"), Some("big"), false)
+    );
     // What it does not say is taken from the registry; a start in the future is now.
-    assert_eq!(parse(r#"{"address":"127.0.0.1","port":9000}"#).unwrap().started, 50.0);
     assert_eq!(
-        parse(r#"{"addresses":["nonsense","127.0.0.1:9000"],"started":1e18}"#).unwrap().started,
+        parse(r#"{"address":"127.0.0.1","port":9000}"#)
+            .unwrap()
+            .started,
+        50.0
+    );
+    assert_eq!(
+        parse(r#"{"addresses":["nonsense","127.0.0.1:9000"],"started":1e18}"#)
+            .unwrap()
+            .started,
         100.0
     );
-    assert!(parse(r#"{"address":"127.0.0.1:9000","state":"draining"}"#).unwrap().draining);
-    assert!(parse(r#"{"address":"127.0.0.1:9000","state":"asleep"}"#).unwrap().draining, "no leave to send");
+    assert!(
+        parse(r#"{"address":"127.0.0.1:9000","state":"draining"}"#)
+            .unwrap()
+            .draining
+    );
+    assert!(
+        parse(r#"{"address":"127.0.0.1:9000","state":"asleep"}"#)
+            .unwrap()
+            .draining,
+        "no leave to send"
+    );
     for (data, fault) in [
         (r#"{"address":"127.0.0.1:0"}"#, EntryError::InvalidAddress),
         (r#"{"address":"0.0.0.0:80"}"#, EntryError::InvalidAddress),
-        (r#"{"address":"flags.example.org:80"}"#, EntryError::InvalidAddress),
+        (
+            r#"{"address":"flags.example.org:80"}"#,
+            EntryError::InvalidAddress,
+        ),
         (r#"{}"#, EntryError::InvalidAddress),
-        (r#"{"address":"127.0.0.1:9000","weight":0}"#, EntryError::InvalidWeight),
-        (r#"{"address":"127.0.0.1:9000","weight":1e9}"#, EntryError::InvalidWeight),
-        (r#"{"address":"127.0.0.1:9000","name":""}"#, EntryError::InvalidName),
-        (r#"{"address":"127.0.0.1:9000","name":"a\u0000b"}"#, EntryError::InvalidName),
+        (
+            r#"{"address":"127.0.0.1:9000","weight":0}"#,
+            EntryError::InvalidWeight,
+        ),
+        (
+            r#"{"address":"127.0.0.1:9000","weight":1e9}"#,
+            EntryError::InvalidWeight,
+        ),
+        (
+            r#"{"address":"127.0.0.1:9000","name":""}"#,
+            EntryError::InvalidName,
+        ),
+        (
+            r#"{"address":"127.0.0.1:9000","name":"a\u0000b"}"#,
+            EntryError::InvalidName,
+        ),
     ] {
         assert_eq!(parse(data), Err(fault), "{data}");
     }
-    let long = format!("{{\"address\":\"127.0.0.1:9000\",\"x\":\"{}\"}}", "x".repeat(1 << 20));
+    let long = format!(
+        "{{\"address\":\"127.0.0.1:9000\",\"x\":\"{}\"}}",
+        "x".repeat(1 << 20)
+    );
     assert!(matches!(parse(&long), Err(EntryError::TooLong(n)) if n > DATA_MOST));
     for bad in ["", "[]", "{", "null", "\u{0}", r#"{"address":5}"#] {
-        assert!(matches!(parse(bad), Err(EntryError::InvalidData(_))), "{bad}");
+        assert!(
+            matches!(parse(bad), Err(EntryError::InvalidData(_))),
+            "{bad}"
+        );
     }
     for (child, name) in [
         ("n-0000000001", "n"),
@@ -85,9 +132,17 @@
         assert_eq!(roster.take_changes(), [Change::Removed("a".to_owned())]);
         zxid += 1;
         roster.update(now, "c", zxid, Ok(entry("a", 1)));
-        let hold = if returns == 1 { 0.0 } else { (HOLD * f64::from(1 << (returns - 2))).min(HOLD_MOST) };
+        let hold = if returns == 1 {
+            0.0
+        } else {
+            (HOLD * f64::from(1 << (returns - 2))).min(HOLD_MOST)
+        };
         if returns > 1 {
-            assert_eq!(roster.take_changes(), [], "return {returns} is taken at once");
+            assert_eq!(
+                roster.take_changes(),
+                [],
+                "return {returns} is taken at once"
+            );
             roster.tick(now + hold * 0.9);
             assert_eq!(roster.take_changes(), []);
             // However often it comes and goes in the meantime.
@@ -100,7 +155,11 @@
             now = roster.deadline().expect("something waits");
             roster.tick(now);
         }
-        assert_eq!(roster.take_changes(), [Change::Listed(entry("a", 1))], "return {returns}");
+        assert_eq!(
+            roster.take_changes(),
+            [Change::Listed(entry("a", 1))],
+            "return {returns}"
+        );
         assert_eq!(roster.deadline(), None);
     }
     // After a quiet time all is forgiven, and nothing is kept.
@@ -117,14 +176,32 @@
     let mut roster = Roster::default();
     // A process comes back with a new session while its old entry stands.
     roster.update(1.0, "old", 1, Ok(entry("a", 1)));
-    roster.update(2.0, "new", 2, Ok(Entry { started: 2.0, ..entry("a", 1) }));
+    roster.update(
+        2.0,
+        "new",
+        2,
+        Ok(Entry {
+            started: 2.0,
+            ..entry("a", 1)
+        }),
+    );
     assert_eq!(roster.servers().next().unwrap().started, 2.0);
     roster.take_changes();
     roster.remove(3.0, "old");
-    assert_eq!(roster.take_changes(), [], "the end of the old entry is no end of the process");
+    assert_eq!(
+        roster.take_changes(),
+        [],
+        "the end of the old entry is no end of the process"
+    );
     // Another server takes the address while the entry of the one before still stands.
     roster.update(4.0, "thief", 3, Ok(entry("b", 1)));
-    assert_eq!(roster.take_changes(), [Change::Removed("a".to_owned()), Change::Listed(entry("b", 1))]);
+    assert_eq!(
+        roster.take_changes(),
+        [
+            Change::Removed("a".to_owned()),
+            Change::Listed(entry("b", 1))
+        ]
+    );
     roster.remove(5.0, "thief");
     assert_eq!(roster.take_changes()[0], Change::Removed("b".to_owned()));
     assert_eq!(names(&roster), ["a"]);
@@ -150,7 +227,11 @@
     let step = (0..6u8, 0..4u8, 0..4u16, 0.0..1.5f64, 0..4u8);
     let steps = prop::collection::vec(step, 1..120);
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]);
-    let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 300,
+        failure_persistence: None,
+        ..Config::default()
+    };
     TestRunner::new_with_rng(config, rng)
         .run(&steps, |steps| {
             let (mut roster, mut now, mut zxid) = (Roster::default(), 1000.0, 0);
@@ -180,7 +261,11 @@
                 }
                 // What counts, by reading all entries.
                 let last = |fits: &dyn Fn(&Entry) -> bool| {
-                    entries.values().filter(|(_, e)| fits(e)).max_by_key(|(z, _)| *z).map(|(z, _)| *z)
+                    entries
+                        .values()
+                        .filter(|(_, e)| fits(e))
+                        .max_by_key(|(z, _)| *z)
+                        .map(|(z, _)| *z)
                 };
                 let counts: BTreeMap<String, Entry> = entries
                     .values()
@@ -190,26 +275,39 @@
                     })
                     .map(|(_, e)| (e.name.clone(), e.clone()))
                     .collect();
-                let held: BTreeMap<String, Entry> =
-                    roster.servers().map(|e| (e.name.clone(), e.clone())).collect();
+                let held: BTreeMap<String, Entry> = roster
+                    .servers()
+                    .map(|e| (e.name.clone(), e.clone()))
+                    .collect();
                 for (name, entry) in &held {
-                    prop_assert_eq!(counts.get(name), Some(entry), "somebody is there who does not count");
+                    prop_assert_eq!(
+                        counts.get(name),
+                        Some(entry),
+                        "somebody is there who does not count"
+                    );
                 }
                 // The changes tell the same story.
                 for change in roster.take_changes() {
                     match change {
                         Change::Listed(e) => drop(there.insert(e.name.clone(), e)),
-                        Change::Removed(name) => prop_assert!(there.remove(&name).is_some(), "gone twice"),
+                        Change::Removed(name) => {
+                            prop_assert!(there.remove(&name).is_some(), "gone twice")
+                        }
                     }
                 }
                 prop_assert_eq!(&there, &held);
-                let addresses: std::collections::BTreeSet<_> = there.values().map(|e| e.address).collect();
+                let addresses: std::collections::BTreeSet<_> =
+                    there.values().map(|e| e.address).collect();
                 prop_assert_eq!(addresses.len(), there.len(), "two servers at one address");
                 roster.tick(now);
                 if what == 2 {
                     now += HOLD_MOST + 1.0;
                     roster.tick(now);
-                    prop_assert_eq!(roster.servers().count(), counts.len(), "somebody waits for ever");
+                    prop_assert_eq!(
+                        roster.servers().count(),
+                        counts.len(),
+                        "somebody waits for ever"
+                    );
                 }
                 for change in roster.take_changes() {
                     match change {
--- a/crates/membership/tests/session.rs
+++ b/crates/membership/tests/session.rs
@@ -3,8 +3,12 @@
 use bytes::Bytes;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_membership::session::{Command, Event, LossReason, Session, SessionConfig, PENDING_MOST};
-use reelfall_membership::wire::{Answer, Frames, Happened, Op, Refusal, WireFault, Writer, FRAME_MOST};
+use reelfall_membership::session::{
+    Command, Event, LossReason, Session, SessionConfig, PENDING_MOST,
+};
+use reelfall_membership::wire::{
+    Answer, Frames, Happened, Op, Refusal, WireFault, Writer, FRAME_MOST,
+};
 use std::net::SocketAddr;
 
 fn member(n: u16) -> SocketAddr {
@@ -22,7 +26,13 @@
 }
 
 fn greeting(timeout: i32, id: i64) -> Bytes {
-    Writer::new().int(0).int(timeout).long(id).buffer(&[7; 16]).boolean(false).done()
+    Writer::new()
+        .int(0)
+        .int(timeout)
+        .long(id)
+        .buffer(&[7; 16])
+        .boolean(false)
+        .done()
 }
 
 fn head(xid: i32, zxid: i64, error: i32) -> Writer {
@@ -62,8 +72,21 @@
 #[test]
 fn requests_are_answered_in_their_order_and_watches_tell() {
     let mut s = up(0.0);
-    assert!(s.request(0.0, 1, Op::Sync { path: "/a".to_owned() }));
-    assert!(s.request(0.0, 2, Op::Delete { path: "/b".to_owned(), version: -1 }));
+    assert!(s.request(
+        0.0,
+        1,
+        Op::Sync {
+            path: "/a".to_owned()
+        }
+    ));
+    assert!(s.request(
+        0.0,
+        2,
+        Op::Delete {
+            path: "/b".to_owned(),
+            version: -1
+        }
+    ));
     assert_eq!(todo(&mut s).len(), 2);
     let mut bytes = head(1, 10, 0).text("/a").done().to_vec();
     bytes.extend_from_slice(&head(-1, 11, 0).int(2).int(3).text("/b").done());
@@ -79,20 +102,50 @@
     assert_eq!((s.last_zxid(), s.pending_count()), (11, 0));
     // No more than so many at once.
     for n in 0..PENDING_MOST as u64 {
-        assert!(s.request(0.2, n, Op::Sync { path: "/".to_owned() }));
+        assert!(s.request(
+            0.2,
+            n,
+            Op::Sync {
+                path: "/".to_owned()
+            }
+        ));
     }
-    assert!(!s.request(0.2, 0, Op::Sync { path: "/".to_owned() }));
+    assert!(!s.request(
+        0.2,
+        0,
+        Op::Sync {
+            path: "/".to_owned()
+        }
+    ));
 }
 
 #[test]
 fn a_lost_connection_is_not_an_expired_session() {
     let mut s = up(0.0);
-    s.request(0.0, 9, Op::Sync { path: "/".to_owned() });
+    s.request(
+        0.0,
+        9,
+        Op::Sync {
+            path: "/".to_owned(),
+        },
+    );
     s.handle_bytes(0.0, &head(-1, 77, 0).int(3).int(3).text("/x").done());
     s.handle_disconnected(1.0);
     let got = events(&mut s);
-    assert_eq!(got[1..], [Event::Lost(LossReason::Closed), Event::Unanswered(9)]);
-    assert!(!s.request(1.0, 1, Op::Sync { path: "/".to_owned() }), "asked of nobody");
+    assert_eq!(
+        got[1..],
+        [Event::Lost(LossReason::Closed), Event::Unanswered(9)]
+    );
+    assert!(
+        !s.request(
+            1.0,
+            1,
+            Op::Sync {
+                path: "/".to_owned()
+            }
+        ),
+        "asked of nobody"
+    );
     // The next member, at once, with the same session and the state that was seen.
     let first = todo(&mut s);
     assert_eq!(first.last(), Some(&Command::Close));
@@ -108,7 +161,10 @@
     s.handle_connected(2.0);
     todo(&mut s);
     s.handle_bytes(2.0, &greeting(0, 0));
-    assert_eq!(events(&mut s), [Event::Lost(LossReason::Closed), Event::Expired]);
+    assert_eq!(
+        events(&mut s),
+        [Event::Lost(LossReason::Closed), Event::Expired]
+    );
     s.tick(2.0);
     s.handle_connected(2.0);
     assert_eq!(greets(&mut s), (77, 0));
@@ -140,7 +196,11 @@
         s.tick(now);
     }
     assert_eq!(events(&mut s), [Event::Lost(LossReason::Timeout)]);
-    assert!(now - heard <= 4.1, "left after {} s of a session of 6", now - heard);
+    assert!(
+        now - heard <= 4.1,
+        "left after {} s of a session of 6",
+        now - heard
+    );
     // One that accepts and says nothing is passed over.
     todo(&mut s);
     s.tick(now);
@@ -169,20 +229,38 @@
     let first: std::collections::BTreeSet<_> = tried[..3].iter().collect();
     assert_eq!(first.len(), 3, "each once");
     assert_eq!(rests[..2], [0.0, 0.0]);
-    assert!(rests[3] > 0.0 && rests[29] > 2.0 && rests.iter().all(|r| *r <= 7.5), "{rests:?}");
+    assert!(
+        rests[3] > 0.0 && rests[29] > 2.0 && rests.iter().all(|r| *r <= 7.5),
+        "{rests:?}"
+    );
 }
 
 #[test]
 fn an_older_state_is_never_taken_unless_nobody_has_the_newer() {
     let mut s = up(0.0);
-    s.request(0.0, 1, Op::Sync { path: "/".to_owned() });
+    s.request(
+        0.0,
+        1,
+        Op::Sync {
+            path: "/".to_owned(),
+        },
+    );
     s.handle_bytes(0.0, &head(1, 100, 0).text("/").done());
-    s.request(0.0, 2, Op::Sync { path: "/".to_owned() });
+    s.request(
+        0.0,
+        2,
+        Op::Sync {
+            path: "/".to_owned(),
+        },
+    );
     s.handle_bytes(0.0, &head(2, 99, 0).text("/").done());
     let got = events(&mut s);
     assert_eq!(
         got[1..],
-        [Event::Unanswered(2), Event::Lost(LossReason::Protocol(WireFault::Older(99, 100)))]
+        [
+            Event::Unanswered(2),
+            Event::Lost(LossReason::Protocol(WireFault::Older(99, 100)))
+        ]
     );
     // Members that lag close the connection; that goes on until the state is given up, and then it begins anew.
     let (mut now, mut reset) = (0.0, None);
@@ -196,7 +274,10 @@
         reset = events(&mut s).contains(&Event::Reset).then_some(now);
         now = s.deadline().unwrap().max(now);
     }
-    assert!(reset.is_some_and(|at| (60.0..80.0).contains(&at)), "{reset:?}");
+    assert!(
+        reset.is_some_and(|at| (60.0..80.0).contains(&at)),
+        "{reset:?}"
+    );
     s.tick(now);
     s.handle_connected(now);
     assert_eq!(greets(&mut s), (0, 0));
@@ -215,16 +296,29 @@
     for lie in lies {
         let mut s = up(0.0);
         s.handle_bytes(0.0, lie);
-        assert!(matches!(events(&mut s)[..], [Event::Lost(LossReason::Protocol(_))]), "{lie:?}");
+        assert!(
+            matches!(events(&mut s)[..], [Event::Lost(LossReason::Protocol(_))]),
+            "{lie:?}"
+        );
         assert!(!s.is_up());
     }
     // A list of two thousand million names in a frame of sixteen bytes.
     let mut s = up(0.0);
-    s.request(0.0, 1, Op::GetChildren { path: "/".to_owned(), watch: false });
+    s.request(
+        0.0,
+        1,
+        Op::GetChildren {
+            path: "/".to_owned(),
+            watch: false,
+        },
+    );
     s.handle_bytes(0.0, &head(1, 1, 0).int(2_000_000_000).int(0).done());
     assert!(matches!(
         events(&mut s)[..],
-        [Event::Unanswered(1), Event::Lost(LossReason::Protocol(WireFault::Short))]
+        [
+            Event::Unanswered(1),
+            Event::Lost(LossReason::Protocol(WireFault::Short))
+        ]
     ));
     // Credentials that are not taken.
     let mut s = up(0.0);
@@ -252,7 +346,11 @@
     ];
     let steps = prop::collection::vec(step, 1..80);
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[12; 32]);
-    let config = Config { cases: 600, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 600,
+        failure_persistence: None,
+        ..Config::default()
+    };
     TestRunner::new_with_rng(config, rng)
         .run(&steps, |steps| {
             let (mut s, mut now) = (up(0.0), 0.0);
@@ -261,11 +359,14 @@
                 now += after;
                 match what {
                     0 => s.handle_bytes(now, &bytes),
-                    1 => s.handle_bytes(now, &greeting(6000, 42 + i64::from(bytes.len() as u8 % 3))),
+                    1 => {
+                        s.handle_bytes(now, &greeting(6000, 42 + i64::from(bytes.len() as u8 % 3)))
+                    }
                     2 => {
                         // An answer that is next, with a body that may be anything.
-                        let frame =
-                            bytes.iter().fold(head(xid + 1, token as i64, 0), |w, b| w.boolean(*b > 99));
+                        let frame = bytes
+                            .iter()
+                            .fold(head(xid + 1, token as i64, 0), |w, b| w.boolean(*b > 99));
                         s.handle_bytes(now, &frame.done());
                     }
                     3 => s.handle_disconnected(now),
@@ -273,9 +374,17 @@
                     5 => {
                         token += 1;
                         let op = match token % 3 {
-                            0 => Op::GetData { path: "/x".to_owned(), watch: true },
-                            1 => Op::GetChildren { path: "/".to_owned(), watch: true },
-                            _ => Op::GetAcl { path: "/x".to_owned() },
+                            0 => Op::GetData {
+                                path: "/x".to_owned(),
+                                watch: true,
+                            },
+                            1 => Op::GetChildren {
+                                path: "/".to_owned(),
+                                watch: true,
+                            },
+                            _ => Op::GetAcl {
+                                path: "/x".to_owned(),
+                            },
                         };
                         if s.request(now, token, op) {
                             asked += 1;
@@ -288,10 +397,17 @@
                 for event in events(&mut s) {
                     ended += u64::from(matches!(event, Event::Answered(..) | Event::Unanswered(_)));
                 }
-                prop_assert_eq!(asked, ended + s.pending_count() as u64, "a request without an end");
+                prop_assert_eq!(
+                    asked,
+                    ended + s.pending_count() as u64,
+                    "a request without an end"
+                );
             }
             s.close(now);
-            ended += events(&mut s).iter().filter(|e| matches!(e, Event::Unanswered(_))).count() as u64;
+            ended += events(&mut s)
+                .iter()
+                .filter(|e| matches!(e, Event::Unanswered(_)))
+                .count() as u64;
             prop_assert_eq!(asked, ended);
             prop_assert_eq!(s.deadline(), None);
             Ok(())
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -136,10 +136,24 @@
             FleetCommand::Members(at) => (FleetRequest::Members, at),
             FleetCommand::Verdicts(at) => (FleetRequest::Verdicts, at),
             FleetCommand::Explain { server, at } => (FleetRequest::Explain(server), at),
-            FleetCommand::Ban { server, seconds, by, at } => (FleetRequest::Ban { server, seconds, by }, at),
+            FleetCommand::Ban {
+                server,
+                seconds,
+                by,
+                at,
+            } => (
+                FleetRequest::Ban {
+                    server,
+                    seconds,
+                    by,
+                },
+                at,
+            ),
             FleetCommand::Lift { server, by, at } => (FleetRequest::Lift { server, by }, at),
             FleetCommand::Leases(at) => (FleetRequest::Leases, at),
-            FleetCommand::Release { lease, why, at } => (FleetRequest::Release { lease, reason: why }, at),
+            FleetCommand::Release { lease, why, at } => {
+                (FleetRequest::Release { lease, reason: why }, at)
+            }
         }
     }
 }
@@ -163,7 +177,9 @@
         }
     };
     let result = match cli.command.unwrap_or(Command::Run { config: None }) {
-        Command::Run { config: None } => crate::platform::run().map_err(|e| format!("reelfall: {e}")),
+        Command::Run { config: None } => {
+            crate::platform::run().map_err(|e| format!("reelfall: {e}"))
+        }
         Command::Run { config: Some(path) } => {
             crate::standalone::run(&path).map_err(|e| format!("{e}\nreelfall: not started"))
         }
@@ -181,9 +197,23 @@
             return operate::run(at.management, &ManagementRequest::Fleet(request));
         }
         Command::Check { file } => check(&file),
-        Command::Routes { file, host, path, method, class, listener } => {
-            routes(&file, &Asked { host, path, method, class, listener })
-        }
+        Command::Routes {
+            file,
+            host,
+            path,
+            method,
+            class,
+            listener,
+        } => routes(
+            &file,
+            &Asked {
+                host,
+                path,
+                method,
+                class,
+                listener,
+            },
+        ),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -201,7 +231,10 @@
 fn check(file: &Path) -> Result<(), String> {
     let plan = load(file)?;
     let (services, routes) = (plan.model.services.len(), plan.matches.len());
-    println!("{}: {services} services, {routes} routes, nothing wrong", file.display());
+    println!(
+        "{}: {services} services, {routes} routes, nothing wrong",
+        file.display()
+    );
     Ok(())
 }
 
@@ -223,7 +256,11 @@
             at.ok_or_else(|| format!("{}: there is no listener `{name}`", file.display()))?
         }
     };
-    let said = target::Said { path: &asked.path, host: Some(asked.host.as_bytes()), ..Default::default() };
+    let said = target::Said {
+        path: &asked.path,
+        host: Some(asked.host.as_bytes()),
+        ..Default::default()
+    };
     let target = target::read(said).map_err(|fault| format!("400: {fault}"))?;
     let query = Query {
         listener: ListenerId::try_from(listener).unwrap_or(ListenerId::MAX),
@@ -252,10 +289,19 @@
     let goal = plan.goals.get(route);
     let service = goal.and_then(|g| plan.model.services.get(g.service));
     let assign = goal.and_then(|g| service?.classes.get(usize::from(g.assign?)));
-    let origin = plan.origin(route).map(ToString::to_string).unwrap_or_default();
-    let matched = plan.matches.get(route).map(ToString::to_string).unwrap_or_default();
+    let origin = plan
+        .origin(route)
+        .map(ToString::to_string)
+        .unwrap_or_default();
+    let matched = plan
+        .matches
+        .get(route)
+        .map(ToString::to_string)
+        .unwrap_or_default();
     let name = service.map_or("", |s| &s.name);
-    let class = assign.map(|c| format!(" as class {}", c.name)).unwrap_or_default();
+    let class = assign
+        .map(|c| format!(" as class {}", c.name))
+        .unwrap_or_default();
     format!("{name}{class} by {origin} ({matched})")
 }
 
--- a/crates/node/src/fleet/admin.rs
+++ b/crates/node/src/fleet/admin.rs
@@ -16,24 +16,37 @@
         let now = self.clock.now();
         match request {
             FleetRequest::Members => (StatusCode::OK, self.report_members(now)),
-            FleetRequest::Verdicts => {
-                (StatusCode::OK, report_entries(&self.fleet.borrow(), &self.lists.borrow(), now))
-            }
+            FleetRequest::Verdicts => (
+                StatusCode::OK,
+                report_entries(&self.fleet.borrow(), &self.lists.borrow(), now),
+            ),
             FleetRequest::Explain(server) => (StatusCode::OK, self.explain(server, now)),
             // Handled by the leases.
-            FleetRequest::Leases | FleetRequest::Release { .. } => (StatusCode::NOT_FOUND, String::new()),
-            FleetRequest::Ban { server, seconds, by } => self.ban(now, server, *seconds, by),
+            FleetRequest::Leases | FleetRequest::Release { .. } => {
+                (StatusCode::NOT_FOUND, String::new())
+            }
+            FleetRequest::Ban {
+                server,
+                seconds,
+                by,
+            } => self.ban(now, server, *seconds, by),
             FleetRequest::Lift { server, by } => self.lift(now, server, by),
         }
     }
 
     fn ban(&self, now: Time, server: &str, seconds: Option<u32>, by: &str) -> (StatusCode, String) {
-        let ban = self.fleet.borrow_mut().ban(now, server, by, seconds.map(f64::from));
+        let ban = self
+            .fleet
+            .borrow_mut()
+            .ban(now, server, by, seconds.map(f64::from));
         // In force here when the caller hears of it, and on its way to the others.
         self.tick();
         self.wake.notify_one();
         match ban {
-            Some(_) => (StatusCode::OK, format!("{server} is out, and the fleet is told\n")),
+            Some(_) => (
+                StatusCode::OK,
+                format!("{server} is out, and the fleet is told\n"),
+            ),
             None => {
                 let why = "not done: another process has this node's name, or there is no room\n";
                 (StatusCode::CONFLICT, why.to_owned())
@@ -45,7 +58,10 @@
         let n = self.fleet.borrow_mut().lift(now, server, by);
         self.tick();
         self.wake.notify_one();
-        (StatusCode::OK, format!("{n} bans of {server} are lifted, and the fleet is told\n"))
+        (
+            StatusCode::OK,
+            format!("{n} bans of {server} are lifted, and the fleet is told\n"),
+        )
     }
 
     fn report_members(&self, now: Time) -> String {
@@ -59,12 +75,19 @@
             me.address,
             me.incarnation.number,
             members.health_score(),
-            if fleet.has_name_conflict(now) { "; stands aside, another process has its name" } else { "" }
+            if fleet.has_name_conflict(now) {
+                "; stands aside, another process has its name"
+            } else {
+                ""
+            }
         ));
         let mut others: Vec<_> = members.others().collect();
         others.sort_unstable_by(|a, b| a.name.cmp(&b.name));
         for n in others {
-            report.add(format_args!("{} at {}, life {}", n.name, n.address, n.incarnation.number));
+            report.add(format_args!(
+                "{} at {}, life {}",
+                n.name, n.address, n.incarnation.number
+            ));
         }
         report.add(format_args!(
             "datagrams: {} sent, {} not taken by the system, {} taken",
@@ -89,17 +112,26 @@
         let fleet = self.fleet.borrow();
         let mut report = Report::default();
         match fleet.ban_left(server, now) {
-            Some(left) => report.add(format_args!("{server}: out by hand, for {left:.0} s at most")),
+            Some(left) => report.add(format_args!(
+                "{server}: out by hand, for {left:.0} s at most"
+            )),
             None => report.add(format_args!("{server}: not out by hand")),
         }
-        let instances: Vec<ServerInstance> =
-            fleet.votes(now).keys().filter(|s| s.name == server).map(|s| (*s).clone()).collect();
+        let instances: Vec<ServerInstance> = fleet
+            .votes(now)
+            .keys()
+            .filter(|s| s.name == server)
+            .map(|s| (*s).clone())
+            .collect();
         let condemned = fleet.condemned_servers(now, self.shared.listed());
         for instance in &instances {
             let since = instance.since;
             match condemned.iter().find(|c| c.server == *instance) {
                 Some(c) => {
-                    report.add(format_args!("start {since}: fails several nodes, for {:.1} s", c.left));
+                    report.add(format_args!(
+                        "start {since}: fails several nodes, for {:.1} s",
+                        c.left
+                    ));
                 }
                 None => report.add(format_args!("start {since}: not condemned")),
             }
@@ -134,11 +166,19 @@
             }
             (Key::Ban { .. }, _) => add_ban(&mut report, key, held, now),
             (Key::Leaving { node, incarnation }, _) => {
-                report.add(format_args!("{node}, life {}: on its way out", incarnation.number));
+                report.add(format_args!(
+                    "{node}, life {}: on its way out",
+                    incarnation.number
+                ));
             }
             (Key::ListIndex { list }, _) => {
-                let here = lists.get(list).map_or("none".to_owned(), |followed| followed.index.to_string());
-                report.add(format_args!("list {list}: index {} was seen; here {here}", held.version.n));
+                let here = lists
+                    .get(list)
+                    .map_or("none".to_owned(), |followed| followed.index.to_string());
+                report.add(format_args!(
+                    "list {list}: index {} was seen; here {here}",
+                    held.version.n
+                ));
             }
             (Key::Report { .. }, _) => {}
         }
@@ -147,7 +187,11 @@
 }
 
 fn describe(report: &entry::Report) -> String {
-    let zone = if report.zone.is_empty() { String::new() } else { format!(" (zone {})", report.zone) };
+    let zone = if report.zone.is_empty() {
+        String::new()
+    } else {
+        format!(" (zone {})", report.zone)
+    };
     format!(
         "{:?}: {} bad, {} good; faults with {} of {}{zone}",
         report.finding, report.bad, report.good, report.accused, report.listed
--- a/crates/node/src/fleet/clock.rs
+++ b/crates/node/src/fleet/clock.rs
@@ -13,12 +13,17 @@
 impl Clock {
     /// Starts at 0.
     pub fn start() -> Clock {
-        Clock { start: Self::read() }
+        Clock {
+            start: Self::read(),
+        }
     }
 
     fn read() -> Duration {
         let now = clock_gettime(ClockId::Boottime);
-        Duration::new(now.tv_sec.unsigned_abs(), u32::try_from(now.tv_nsec).unwrap_or(0))
+        Duration::new(
+            now.tv_sec.unsigned_abs(),
+            u32::try_from(now.tv_nsec).unwrap_or(0),
+        )
     }
 
     fn elapsed(&self) -> Duration {
--- a/crates/node/src/fleet/events.rs
+++ b/crates/node/src/fleet/events.rs
@@ -34,23 +34,40 @@
     pub(super) fn report_overdue(&self, now: Time) {
         let to_attempt = |late: OverdueRequest| {
             let since = now - late.waited;
-            OverdueAttempt { server: late.server, since, late_from: since + late.aim }
+            OverdueAttempt {
+                server: late.server,
+                since,
+                late_from: since + late.aim,
+            }
         };
-        let overdue: Vec<OverdueAttempt> = self.shared.overdue().into_iter().map(to_attempt).collect();
+        let overdue: Vec<OverdueAttempt> =
+            self.shared.overdue().into_iter().map(to_attempt).collect();
         self.fleet.borrow_mut().set_overdue(now, &overdue);
     }
 
     /// Acts on events.
     pub(super) fn handle_events(&self, events: &[FleetEvent], now: Time) {
         let is_ban = |event: &FleetEvent| {
-            matches!(event, FleetEvent::Updated(Key::Ban { .. }) | FleetEvent::Expired(Key::Ban { .. }))
+            matches!(
+                event,
+                FleetEvent::Updated(Key::Ban { .. }) | FleetEvent::Expired(Key::Ban { .. })
+            )
         };
         let is_report = |event: &FleetEvent| {
-            matches!(event, FleetEvent::Updated(Key::Report { .. }) | FleetEvent::Expired(Key::Report { .. }))
+            matches!(
+                event,
+                FleetEvent::Updated(Key::Report { .. }) | FleetEvent::Expired(Key::Report { .. })
+            )
         };
         if events.iter().any(is_ban) {
             // The pools may report attempts as they act: the fleet is not borrowed meanwhile.
-            let banned = self.fleet.borrow().banned_servers(now).into_iter().map(str::to_owned).collect();
+            let banned = self
+                .fleet
+                .borrow()
+                .banned_servers(now)
+                .into_iter()
+                .map(str::to_owned)
+                .collect();
             self.shared.banned_by_fleet(&banned);
         }
         if events.iter().any(is_report) {
@@ -67,25 +84,39 @@
         let old = self.condemned.replace(new.clone());
         for server in old.keys().filter(|server| !new.contains_key(server)) {
             let name = &server.name;
-            self.condemned_log.write_line(format_args!("fleet: {name} is well, or nobody says otherwise"));
-            let ended = Condemnation { server: server.clone(), until: pool_clock, is_prober: false };
+            self.condemned_log.write_line(format_args!(
+                "fleet: {name} is well, or nobody says otherwise"
+            ));
+            let ended = Condemnation {
+                server: server.clone(),
+                until: pool_clock,
+                is_prober: false,
+            };
             self.shared.apply_condemnation(&ended);
         }
         for (server, condemnation) in &new {
             if !old.contains_key(server) {
                 let (name, left) = (&server.name, condemnation.until - pool_clock);
-                self.condemned_log
-                    .write_line(format_args!("fleet: {name} fails several nodes, for {left:.1} s"));
+                self.condemned_log.write_line(format_args!(
+                    "fleet: {name} fails several nodes, for {left:.1} s"
+                ));
             }
             self.shared.apply_condemnation(condemnation);
         }
     }
 
     fn condemnations(&self, now: Time, pool_clock: Time) -> BTreeMap<ServerInstance, Condemnation> {
-        let condemned = self.fleet.borrow().condemned_servers(now, self.shared.listed());
+        let condemned = self
+            .fleet
+            .borrow()
+            .condemned_servers(now, self.shared.listed());
         let to_condemnation = |c: CondemnedServer| {
             let until = pool_clock + c.left;
-            let condemnation = Condemnation { server: c.server.clone(), until, is_prober: c.is_prober };
+            let condemnation = Condemnation {
+                server: c.server.clone(),
+                until,
+                is_prober: c.is_prober,
+            };
             (c.server, condemnation)
         };
         condemned.into_iter().map(to_condemnation).collect()
@@ -101,11 +132,12 @@
                 log.write_line(format_args!("fleet: {} at {} is gone", n.name, n.address));
             }
             FleetEvent::Member(MemberEvent::Rejoined(_)) => {
-                log.write_line(format_args!("fleet: this node was declared dead, and has rejoined"));
-            }
-            FleetEvent::Updated(Key::Ban { server, .. }) | FleetEvent::Expired(Key::Ban { server, .. }) => {
-                self.log_ban(server, now)
+                log.write_line(format_args!(
+                    "fleet: this node was declared dead, and has rejoined"
+                ));
             }
+            FleetEvent::Updated(Key::Ban { server, .. })
+            | FleetEvent::Expired(Key::Ban { server, .. }) => self.log_ban(server, now),
             FleetEvent::Updated(Key::Leaving { node, .. }) => {
                 log.write_line(format_args!("fleet: {node} is leaving"));
             }
@@ -121,10 +153,13 @@
     fn log_ban(&self, server: &str, now: Time) {
         match self.fleet.borrow().ban_left(server, now) {
             Some(left) => {
-                self.ban_log
-                    .write_line(format_args!("fleet: {server} is out by hand, for {left:.0} s at most"));
+                self.ban_log.write_line(format_args!(
+                    "fleet: {server} is out by hand, for {left:.0} s at most"
+                ));
             }
-            None => self.ban_log.write_line(format_args!("fleet: {server} is not out by hand")),
+            None => self
+                .ban_log
+                .write_line(format_args!("fleet: {server} is not out by hand")),
         }
     }
 
@@ -134,7 +169,9 @@
         let fleet = self.fleet.borrow();
         for (list, followed) in self.lists.borrow_mut().iter_mut() {
             let latest = fleet.latest_list_index(list, now);
-            let Some(latest) = latest.filter(|latest| *latest > followed.index) else { continue };
+            let Some(latest) = latest.filter(|latest| *latest > followed.index) else {
+                continue;
+            };
             match followed.lag {
                 ListLag::None => followed.lag = ListLag::Since(now),
                 ListLag::Since(since) if now - since > LIST_LAG => {
@@ -157,10 +194,14 @@
         let dropped: u64 = by_reason.values().sum();
         if dropped > logged && now - logged_at >= DROPPED_LOG_INTERVAL {
             self.logged_dropped.set((now, dropped));
-            let by_reason: Vec<String> = by_reason.iter().map(|(why, n)| format!("{n} {why}")).collect();
-            self.shared
-                .log
-                .write_line(format_args!("fleet: datagrams dropped so far: {}", by_reason.join(", ")));
+            let by_reason: Vec<String> = by_reason
+                .iter()
+                .map(|(why, n)| format!("{n} {why}"))
+                .collect();
+            self.shared.log.write_line(format_args!(
+                "fleet: datagrams dropped so far: {}",
+                by_reason.join(", ")
+            ));
         }
     }
 }
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -91,13 +91,23 @@
         let to_text = |e: std::io::Error| format!("fleet: {}: {e}", settings.listen);
         let socket = std::net::UdpSocket::bind(settings.listen).map_err(to_text)?;
         socket.set_nonblocking(true).map_err(to_text)?;
-        let address = settings.advertise.map_or_else(|| socket.local_addr().map_err(to_text), Ok)?;
+        let address = settings
+            .advertise
+            .map_or_else(|| socket.local_addr().map_err(to_text), Ok)?;
         let socket = UdpSocket::from_std(socket).map_err(to_text)?;
         let random = |what: &str| RandomState::new().hash_one((what, std::process::id()));
         let clock = Clock::start();
         let (tag, seed) = (random("tag") | 1, random("seed"));
         let config = settings.rules.clone();
-        let fleet = Fleet::new(&settings.node, address, tag, config, secret, seed, clock.now());
+        let fleet = Fleet::new(
+            &settings.node,
+            address,
+            tag,
+            config,
+            secret,
+            seed,
+            clock.now(),
+        );
         Ok(Rc::new(FleetRuntime {
             fleet: RefCell::new(fleet),
             shared: shared.clone(),
@@ -132,7 +142,8 @@
                 continue;
             }
             let rest = (self.deadline() - self.clock.now()).max(REST.0).min(REST.1);
-            let due = tokio::time::sleep_until((Instant::now() + Duration::from_secs_f64(rest)).into());
+            let due =
+                tokio::time::sleep_until((Instant::now() + Duration::from_secs_f64(rest)).into());
             tokio::select! {
                 _ = self.socket.readable() => {}
                 () = self.wake.notified() => {}
@@ -143,7 +154,9 @@
 
     fn deadline(&self) -> Time {
         let fleet = self.fleet.borrow().deadline();
-        fleet.min(self.next_condemn.get()).min(self.next_overdue.get())
+        fleet
+            .min(self.next_condemn.get())
+            .min(self.next_overdue.get())
     }
 
     /// Receives a batch of datagrams, before any timer: what was due while this process was paused may be answered by them.
@@ -170,7 +183,9 @@
     fn deliver_messages(&self) {
         loop {
             // The handler may send others: the fleet is not borrowed meanwhile.
-            let Some((from, body)) = self.fleet.borrow_mut().next_message() else { return };
+            let Some((from, body)) = self.fleet.borrow_mut().next_message() else {
+                return;
+            };
             if let Some(handler) = &*self.message_handler.borrow() {
                 handler(&from, &body);
             }
@@ -255,18 +270,26 @@
 
 impl FleetObserver for FleetRuntime {
     fn attempt_ended(&self, server: ServerInstance, outcome: AttemptOutcome) {
-        self.fleet.borrow_mut().record_outcome(self.clock.now(), &server, outcome);
+        self.fleet
+            .borrow_mut()
+            .record_outcome(self.clock.now(), &server, outcome);
     }
 
     fn list_updated(&self, list: &str, pool: PoolId, index: u64) {
         let now = self.clock.now();
-        let followed = FollowedList { pool, index, lag: ListLag::None };
+        let followed = FollowedList {
+            pool,
+            index,
+            lag: ListLag::None,
+        };
         self.lists.borrow_mut().insert(list.to_owned(), followed);
         self.fleet.borrow_mut().publish_list_index(now, list, index);
     }
 
     fn list_dropped(&self, list: &str, pool: PoolId) {
         // A reload may have put another pool in its place already, which follows a list of the same name.
-        self.lists.borrow_mut().retain(|name, followed| name != list || followed.pool != pool);
+        self.lists
+            .borrow_mut()
+            .retain(|name, followed| name != list || followed.pool != pool);
     }
 }
--- a/crates/node/src/lease/admin.rs
+++ b/crates/node/src/lease/admin.rs
@@ -12,7 +12,9 @@
 pub fn describe(status: Status) -> String {
     match status {
         Status::Empty => "has an empty folder and asks its fellows what was before".to_owned(),
-        Status::CatchingUp => "has a new folder and reads what its fellows have promised".to_owned(),
+        Status::CatchingUp => {
+            "has a new folder and reads what its fellows have promised".to_owned()
+        }
         Status::Verifying => "asks its fellows whether its folder is the latest".to_owned(),
         Status::Voting => "votes".to_owned(),
         Status::Rejected(why) => format!("does not vote: {why}"),
@@ -27,7 +29,10 @@
             add_local_lease(&mut report, name, local, now);
         }
         match &self.local_keeper {
-            None => report.add(format_args!("no keeper; the keepers are {}", self.keepers.join(", "))),
+            None => report.add(format_args!(
+                "no keeper; the keepers are {}",
+                self.keepers.join(", ")
+            )),
             Some(local) => add_keeper(&mut report, local, now),
         }
         (StatusCode::OK, report.finish())
@@ -37,7 +42,8 @@
     pub fn release(&self, lease: &str, why: &str) -> (StatusCode, String) {
         match LeaseName::try_from(lease.to_owned()) {
             Ok(name) if self.release_for_a_while(&name) => {
-                self.log.write_line(format_args!("lease {name}: released by an operator: {why}"));
+                self.log
+                    .write_line(format_args!("lease {name}: released by an operator: {why}"));
                 (StatusCode::OK, format!("{name} is given back\n"))
             }
             Ok(name) => (StatusCode::CONFLICT, format!("{name} is not held here\n")),
@@ -61,28 +67,51 @@
 fn add_keeper(report: &mut Report, local: &LocalKeeper, now: Micros) {
     let keeper = local.keeper.borrow();
     let Some(keeper) = &*keeper else {
-        return report.add(format_args!("this keeper does not vote: {}", local.last_status.borrow()));
+        return report.add(format_args!(
+            "this keeper does not vote: {}",
+            local.last_status.borrow()
+        ));
     };
-    report.add(format_args!("this keeper {}", describe(Keeper::status(keeper))));
+    report.add(format_args!(
+        "this keeper {}",
+        describe(Keeper::status(keeper))
+    ));
     for view in keeper.leases(now) {
         add_promised_lease(report, &view);
     }
     if local.dropped_requests.get() > 0 {
         let dropped = local.dropped_requests.get();
-        report.add(format_args!("{dropped} questions left, as the disk is slow"));
+        report.add(format_args!(
+            "{dropped} questions left, as the disk is slow"
+        ));
     }
 }
 
 fn add_promised_lease(report: &mut Report, view: &LeaseView) {
-    let holder = view.promise.client.as_ref().map_or("a fellow's asker", |client| client.name.as_str());
+    let holder = view
+        .promise
+        .client
+        .as_ref()
+        .map_or("a fellow's asker", |client| client.name.as_str());
     let granted = match view.left {
         Some(left) => format!("to {holder}, for {:.1} s", seconds(left)),
         None => "to nobody".to_owned(),
     };
-    let waiting = view.waiting.iter().map(|client| client.name.as_str()).collect::<Vec<_>>().join(", ");
-    let waiting = if waiting.is_empty() { waiting } else { format!("; waiting: {waiting}") };
+    let waiting = view
+        .waiting
+        .iter()
+        .map(|client| client.name.as_str())
+        .collect::<Vec<_>>()
+        .join(", ");
+    let waiting = if waiting.is_empty() {
+        waiting
+    } else {
+        format!("; waiting: {waiting}")
+    };
     let (lease, ballot) = (view.lease, view.promise.ballot);
-    report.add(format_args!("{lease}: granted {granted}, last number {ballot}{waiting}"));
+    report.add(format_args!(
+        "{lease}: granted {granted}, last number {ballot}{waiting}"
+    ));
 }
 
 fn seconds(micros: Micros) -> f64 {
--- a/crates/node/src/lease/call.rs
+++ b/crates/node/src/lease/call.rs
@@ -39,27 +39,43 @@
                 leases.release_for_a_while(&name);
             }
             Ok(Ok(Some(status))) if !status.is_success() => {
-                leases.log.write_line(format_args!("lease {name}: {} answers {status}", call.address));
+                leases.log.write_line(format_args!(
+                    "lease {name}: {} answers {status}",
+                    call.address
+                ));
             }
             // It succeeded, or the lease was lost meanwhile: then there is nothing to call.
             Ok(Ok(_)) => {}
-            Ok(Err(e)) => leases.log.write_line(format_args!("lease {name}: {}: {e}", call.address)),
-            Err(_) => leases.log.write_line(format_args!("lease {name}: {} does not answer", call.address)),
+            Ok(Err(e)) => leases
+                .log
+                .write_line(format_args!("lease {name}: {}: {e}", call.address)),
+            Err(_) => leases.log.write_line(format_args!(
+                "lease {name}: {} does not answer",
+                call.address
+            )),
         }
     }
 }
 
 /// Calls once, if the lease is held when the connection is ready; returns the answer's status.
 async fn call_once(
-    leases: &Leases, name: &LeaseName, call: &model::Call,
+    leases: &Leases,
+    name: &LeaseName,
+    call: &model::Call,
 ) -> Result<Option<StatusCode>, String> {
     let text = |e: &dyn std::fmt::Display| e.to_string();
-    let stream = TcpStream::connect(call.address).await.map_err(|e| text(&e))?;
-    let (mut sender, connection) =
-        Builder::new().handshake(TokioIo::new(stream)).await.map_err(|e| text(&e))?;
+    let stream = TcpStream::connect(call.address)
+        .await
+        .map_err(|e| text(&e))?;
+    let (mut sender, connection) = Builder::new()
+        .handshake(TokioIo::new(stream))
+        .await
+        .map_err(|e| text(&e))?;
     // Ends with this call, also where that is abandoned: the resource may never answer.
     let _connection = AbortOnDrop(tokio::task::spawn_local(connection).abort_handle());
-    let Some(operation) = leases.operation(name, call.path.as_str()) else { return Ok(None) };
+    let Some(operation) = leases.operation(name, call.path.as_str()) else {
+        return Ok(None);
+    };
     let (claim, path) = operation.into_parts();
     let request = Request::builder()
         .method("POST")
--- a/crates/node/src/lease/disk.rs
+++ b/crates/node/src/lease/disk.rs
@@ -48,12 +48,18 @@
     ///
     /// # Errors
     /// If no thread can be started.
-    pub fn start(folder: PathBuf, events: async_mpsc::UnboundedSender<DiskEvent>) -> std::io::Result<Disk> {
+    pub fn start(
+        folder: PathBuf,
+        events: async_mpsc::UnboundedSender<DiskEvent>,
+    ) -> std::io::Result<Disk> {
         let (jobs, receiver) = mpsc::sync_channel(2 * MAX_PENDING_WRITES);
         std::thread::Builder::new()
             .name("leases".to_owned())
             .spawn(move || run(&folder, &receiver, &events))?;
-        Ok(Disk { jobs, pending: Cell::new(0) })
+        Ok(Disk {
+            jobs,
+            pending: Cell::new(0),
+        })
     }
 
     /// Whether the keeper may handle more requests.
@@ -68,7 +74,14 @@
 
     /// Queues records to be written, and messages to be returned after that; returns whether there was room.
     pub fn write(&self, opening: u64, records: Vec<Record>, messages: Outbox) -> bool {
-        let queued = self.jobs.try_send(WriteJob { opening, records, messages }).is_ok();
+        let queued = self
+            .jobs
+            .try_send(WriteJob {
+                opening,
+                records,
+                messages,
+            })
+            .is_ok();
         self.pending.set(self.pending.get() + usize::from(queued));
         queued
     }
@@ -84,13 +97,20 @@
     }
 }
 
-fn run(folder: &Path, jobs: &mpsc::Receiver<WriteJob>, events: &async_mpsc::UnboundedSender<DiskEvent>) {
+fn run(
+    folder: &Path,
+    jobs: &mpsc::Receiver<WriteJob>,
+    events: &async_mpsc::UnboundedSender<DiskEvent>,
+) {
     for opening in 1.. {
         let failure = match Store::open(folder) {
             Ok((store, state)) => {
                 // Jobs of the previous opening are not answered: its keeper is gone.
                 while jobs.try_recv().is_ok() {}
-                if events.send(DiskEvent::Opened(opening, Box::new(state))).is_err() {
+                if events
+                    .send(DiskEvent::Opened(opening, Box::new(state)))
+                    .is_err()
+                {
                     return;
                 }
                 match write_jobs(opening, store, jobs, events) {
@@ -109,7 +129,9 @@
 
 /// Writes jobs in batches until a write fails; `None` once the other end is gone.
 fn write_jobs(
-    opening: u64, mut store: Store, jobs: &mpsc::Receiver<WriteJob>,
+    opening: u64,
+    mut store: Store,
+    jobs: &mpsc::Receiver<WriteJob>,
     events: &async_mpsc::UnboundedSender<DiskEvent>,
 ) -> Option<String> {
     while let Ok(first) = jobs.recv() {
@@ -128,7 +150,9 @@
                 return Some(e.to_string());
             }
         }
-        events.send(DiskEvent::Written(opening, writes, messages)).ok()?;
+        events
+            .send(DiskEvent::Written(opening, writes, messages))
+            .ok()?;
     }
     None
 }
--- a/crates/node/src/lease/dispatch.rs
+++ b/crates/node/src/lease/dispatch.rs
@@ -17,13 +17,24 @@
 impl LocalKeeper {
     /// Starts the storage of the keeper on this node, if the settings name the node as one.
     pub(super) fn start(
-        node: &str, settings: &model::Leases, events: mpsc::UnboundedSender<DiskEvent>,
+        node: &str,
+        settings: &model::Leases,
+        events: mpsc::UnboundedSender<DiskEvent>,
     ) -> Result<Option<LocalKeeper>, String> {
         let place = settings.keepers.iter().position(|name| name == node);
-        let Some((place, folder)) = place.zip(settings.folder.clone()) else { return Ok(None) };
+        let Some((place, folder)) = place.zip(settings.folder.clone()) else {
+            return Ok(None);
+        };
         let disk = Disk::start(folder, events).map_err(|e| format!("leases: {e}"))?;
         let (keeper, opening, last_status, dropped_requests) = Default::default();
-        Ok(Some(LocalKeeper { place, disk, keeper, opening, last_status, dropped_requests }))
+        Ok(Some(LocalKeeper {
+            place,
+            disk,
+            keeper,
+            opening,
+            last_status,
+            dropped_requests,
+        }))
     }
 }
 
@@ -39,11 +50,16 @@
     }
 
     fn handle_message(&self, from: &Node, body: &[u8]) {
-        let Some(message) = body.strip_prefix(&self.group_id).and_then(Message::decode) else { return };
+        let Some(message) = body.strip_prefix(&self.group_id).and_then(Message::decode) else {
+            return;
+        };
         let place = || self.keepers.iter().position(|name| *name == from.name);
         match message {
             Message::Request(request) => {
-                let client = ClientId { name: from.name.clone(), tag: from.incarnation.tag };
+                let client = ClientId {
+                    name: from.name.clone(),
+                    tag: from.incarnation.tag,
+                };
                 self.with_keeper(|keeper, now| keeper.handle_request(now, &client, request));
             }
             Message::Peer(message) => {
@@ -63,7 +79,9 @@
 
     /// Calls the keeper on this node, if there is one and its disk keeps up.
     fn with_keeper(&self, call: impl FnOnce(&mut Keeper, Micros)) {
-        let Some(local) = &self.local_keeper else { return };
+        let Some(local) = &self.local_keeper else {
+            return;
+        };
         if !local.disk.has_room() {
             // Guards against a disk that is slower than the requests. Harm: the clients ask again.
             local.dropped_requests.set(local.dropped_requests.get() + 1);
@@ -86,8 +104,12 @@
         loop {
             self.process_leases();
             self.process_keeper();
-            let Some(message) = self.loopback.borrow_mut().pop_front() else { return };
-            let Some(place) = self.local_keeper.as_ref().map(|k| k.place) else { continue };
+            let Some(message) = self.loopback.borrow_mut().pop_front() else {
+                return;
+            };
+            let Some(place) = self.local_keeper.as_ref().map(|k| k.place) else {
+                continue;
+            };
             match message {
                 Message::Request(request) => {
                     let me = self.client_id();
@@ -116,13 +138,20 @@
     fn log_event(&self, name: &LeaseName, event: &LeaseEvent) {
         match event {
             LeaseEvent::Acquired(token) => {
-                self.log.write_line(format_args!("lease {name}: acquired, token {}", token.number()));
+                self.log.write_line(format_args!(
+                    "lease {name}: acquired, token {}",
+                    token.number()
+                ));
             }
             LeaseEvent::Released(token) => {
-                self.log.write_line(format_args!("lease {name}: released, token {}", token.number()));
+                self.log.write_line(format_args!(
+                    "lease {name}: released, token {}",
+                    token.number()
+                ));
             }
             LeaseEvent::Lost(token) => {
-                self.log.write_line(format_args!("lease {name}: lost, token {}", token.number()));
+                self.log
+                    .write_line(format_args!("lease {name}: lost, token {}", token.number()));
             }
         }
     }
@@ -138,18 +167,22 @@
 
     fn send_to_keeper(&self, place: usize, message: &Message) {
         if let Some((name, body)) = self.keepers.get(place).zip(self.encode(message)) {
-            self.fleet.send_message(&Recipient::Named(name.clone()), body);
+            self.fleet
+                .send_message(&Recipient::Named(name.clone()), body);
         }
     }
 
     fn send_to_client(&self, client: &ClientId, message: &Message) {
         if let Some(body) = self.encode(message) {
-            self.fleet.send_message(&Recipient::Tagged(client.tag), body);
+            self.fleet
+                .send_message(&Recipient::Tagged(client.tag), body);
         }
     }
 
     fn encode(&self, message: &Message) -> Option<Vec<u8>> {
-        message.encode().map(|bytes| [self.group_id.as_slice(), &bytes].concat())
+        message
+            .encode()
+            .map(|bytes| [self.group_id.as_slice(), &bytes].concat())
     }
 
     fn send_all(&self, messages: Outbox) {
@@ -166,7 +199,9 @@
     }
 
     fn process_keeper(&self) {
-        let Some(local) = &self.local_keeper else { return };
+        let Some(local) = &self.local_keeper else {
+            return;
+        };
         let Effects { records, messages } = match local.keeper.borrow_mut().as_mut() {
             Some(keeper) => keeper.take_effects(),
             None => return,
@@ -184,15 +219,28 @@
     }
 
     pub(super) fn handle_disk_event(&self, event: DiskEvent) {
-        let Some(local) = &self.local_keeper else { return };
+        let Some(local) = &self.local_keeper else {
+            return;
+        };
         match event {
             DiskEvent::Opened(opening, state) => {
                 local.opening.set(opening);
                 local.disk.reset();
                 let (margins, max_length) = (self.config.margins, self.max_length);
-                let config = keeper::Config { margins, max_length, ..keeper::Config::default() };
+                let config = keeper::Config {
+                    margins,
+                    max_length,
+                    ..keeper::Config::default()
+                };
                 let tag = self.random_tag();
-                let keeper = Keeper::open(local.place, self.keepers.len(), config, *state, tag, self.now());
+                let keeper = Keeper::open(
+                    local.place,
+                    self.keepers.len(),
+                    config,
+                    *state,
+                    tag,
+                    self.now(),
+                );
                 local.keeper.replace(Some(keeper));
             }
             DiskEvent::Written(opening, writes, messages) => {
@@ -212,16 +260,20 @@
         local.keeper.replace(None);
         local.opening.set(0);
         if local.last_status.replace(why.to_owned()) != why {
-            self.log.write_line(format_args!("leases: the keeper's folder: {why}"));
+            self.log
+                .write_line(format_args!("leases: the keeper's folder: {why}"));
         }
     }
 
     /// Logs the keeper's status if it has changed.
     fn log_status(&self, local: &LocalKeeper) {
         let status = local.keeper.borrow().as_ref().map(Keeper::status);
-        let Some(status) = status.map(admin::describe) else { return };
+        let Some(status) = status.map(admin::describe) else {
+            return;
+        };
         if *local.last_status.borrow() != status {
-            self.log.write_line(format_args!("leases: this keeper {status}"));
+            self.log
+                .write_line(format_args!("leases: this keeper {status}"));
             local.last_status.replace(status);
         }
     }
--- a/crates/node/src/lease/mod.rs
+++ b/crates/node/src/lease/mod.rs
@@ -42,9 +42,16 @@
 fn group_id(keepers: &[String]) -> [u8; GROUP_ID_LEN] {
     let mut hasher = blake3::Hasher::new();
     for name in keepers {
-        hasher.update(&(name.len() as u64).to_le_bytes()).update(name.as_bytes());
+        hasher
+            .update(&(name.len() as u64).to_le_bytes())
+            .update(name.as_bytes());
     }
-    hasher.finalize().as_bytes().first_chunk().copied().unwrap_or_default()
+    hasher
+        .finalize()
+        .as_bytes()
+        .first_chunk()
+        .copied()
+        .unwrap_or_default()
 }
 
 /// The keeper on this node, and its storage.
@@ -97,16 +104,23 @@
     /// # Errors
     /// If the node can't have what it needs. A folder that can't be used now is no error: it is tried again.
     pub fn start(
-        fleet: &Rc<FleetRuntime>, fleet_settings: &model::Fleet, settings: &model::Leases,
+        fleet: &Rc<FleetRuntime>,
+        fleet_settings: &model::Fleet,
+        settings: &model::Leases,
     ) -> Result<Rc<Leases>, String> {
-        let margins = Margins { drift_ppm: (settings.drift * 1e6).ceil() as u32 };
+        let margins = Margins {
+            drift_ppm: (settings.drift * 1e6).ceil() as u32,
+        };
         let length = (settings.length * MICROS_PER_SECOND) as Micros;
         let (sender, disk_events) = mpsc::unbounded_channel();
         let leases = Rc::new(Leases {
             fleet: fleet.clone(),
             keepers: settings.keepers.clone(),
             group_id: group_id(&settings.keepers),
-            config: Config { margins, ..Config::new(settings.keepers.len(), length) },
+            config: Config {
+                margins,
+                ..Config::new(settings.keepers.len(), length)
+            },
             max_length: length,
             local_keeper: LocalKeeper::start(&fleet_settings.node, settings, sender)?,
             local_leases: RefCell::default(),
@@ -145,14 +159,20 @@
 
     fn client_id(&self) -> ClientId {
         let me = self.fleet.me();
-        ClientId { name: me.name, tag: me.incarnation.tag }
+        ClientId {
+            name: me.name,
+            tag: me.incarnation.tag,
+        }
     }
 
     /// Does what is due for as long as it is polled.
     async fn run(self: Rc<Self>, mut disk_events: mpsc::UnboundedReceiver<DiskEvent>) {
         loop {
             self.tick();
-            let rest = self.deadline().saturating_sub(self.now()).clamp(REST.0, REST.1);
+            let rest = self
+                .deadline()
+                .saturating_sub(self.now())
+                .clamp(REST.0, REST.1);
             tokio::select! {
                 () = tokio::time::sleep(Duration::from_micros(rest)) => {}
                 () = self.wake.notified() => {}
@@ -163,9 +183,13 @@
 
     fn deadline(&self) -> Micros {
         let leases = self.local_leases.borrow();
-        let leases = leases.values().filter_map(|local| local.lease.deadline().or(local.reacquire_at));
-        let keeper =
-            self.local_keeper.iter().filter_map(|k| k.keeper.borrow().as_ref().map(Keeper::deadline));
+        let leases = leases
+            .values()
+            .filter_map(|local| local.lease.deadline().or(local.reacquire_at));
+        let keeper = self
+            .local_keeper
+            .iter()
+            .filter_map(|k| k.keeper.borrow().as_ref().map(Keeper::deadline));
         leases.chain(keeper).min().unwrap_or(Micros::MAX)
     }
 
@@ -191,16 +215,27 @@
     /// Acquires the lease, and keeps it.
     fn acquire(&self, name: &LeaseName) {
         let now = self.now();
-        let new = || LocalLease { lease: Lease::new(name.clone(), self.config), reacquire_at: None };
+        let new = || LocalLease {
+            lease: Lease::new(name.clone(), self.config),
+            reacquire_at: None,
+        };
         let mut leases = self.local_leases.borrow_mut();
-        leases.entry(name.clone()).or_insert_with(new).lease.acquire(now);
+        leases
+            .entry(name.clone())
+            .or_insert_with(new)
+            .lease
+            .acquire(now);
         self.wake.notify_one();
     }
 
     /// An operation that is performed under the lease, if that is held at this moment.
     pub fn operation<T>(&self, name: &LeaseName, payload: T) -> Option<Operation<T>> {
         let leases = self.local_leases.borrow();
-        let operation = leases.get(name)?.lease.held(self.now()).map(|held| held.operation(payload));
+        let operation = leases
+            .get(name)?
+            .lease
+            .held(self.now())
+            .map(|held| held.operation(payload));
         operation
     }
 
@@ -221,7 +256,8 @@
         let was_held = self.operation(name, ()).is_some();
         if let Some(local) = self.local_leases.borrow_mut().get_mut(name) {
             local.lease.release(now);
-            local.reacquire_at = Some(now + self.config.length * u64::from(LENGTHS_UNTIL_REACQUIRED));
+            local.reacquire_at =
+                Some(now + self.config.length * u64::from(LENGTHS_UNTIL_REACQUIRED));
         }
         self.process_effects();
         self.wake.notify_one();
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -4,7 +4,12 @@
 //! [`reelfall_routes`]'s; what is here translates, carries out and enforces.
 #![cfg_attr(
     not(test),
-    warn(clippy::unwrap_used, clippy::expect_used, clippy::indexing_slicing, clippy::panic)
+    warn(
+        clippy::unwrap_used,
+        clippy::expect_used,
+        clippy::indexing_slicing,
+        clippy::panic
+    )
 )]
 
 pub mod cli;
--- a/crates/node/src/net/answer.rs
+++ b/crates/node/src/net/answer.rs
@@ -50,7 +50,10 @@
 impl StreamedAnswer {
     /// What is to come after `passed` bytes; `whole` is called when all has come.
     pub fn new(
-        incoming: Incoming, passed: u64, message: Rc<Message>, on_complete: impl FnOnce() + 'static,
+        incoming: Incoming,
+        passed: u64,
+        message: Rc<Message>,
+        on_complete: impl FnOnce() + 'static,
     ) -> Self {
         StreamedAnswer {
             incoming,
@@ -76,7 +79,9 @@
             match Pin::new(&mut self.incoming).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
                     self.stall_timer = None;
-                    let Ok(data) = frame.into_data() else { continue };
+                    let Ok(data) = frame.into_data() else {
+                        continue;
+                    };
                     self.passed += data.len() as u64;
                     if self.passed > FLOW_MOST {
                         return Poll::Ready(Some(Err(fault("an answer without end"))));
@@ -126,7 +131,10 @@
 
 impl<T: Into<Bytes>> From<T> for ResponseBody {
     fn from(held: T) -> Self {
-        ResponseBody { held: held.into(), rest: None }
+        ResponseBody {
+            held: held.into(),
+            rest: None,
+        }
     }
 }
 
@@ -135,14 +143,17 @@
     type Error = io::Error;
 
     fn poll_frame(
-        mut self: Pin<&mut Self>, cx: &mut Context,
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         if !self.held.is_empty() {
             return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut self.held)))));
         }
         match &mut self.rest {
             None => Poll::Ready(None),
-            Some(rest) => rest.poll(cx).map(|polled| polled.map(|data| data.map(Frame::data))),
+            Some(rest) => rest
+                .poll(cx)
+                .map(|polled| polled.map(|data| data.map(Frame::data))),
         }
     }
 
--- a/crates/node/src/net/body.rs
+++ b/crates/node/src/net/body.rs
@@ -102,7 +102,9 @@
                 Poll::Ready(Some(Err(_))) => return broken("the client has broken off"),
                 Poll::Ready(Some(Ok(frame))) => {
                     // Trailers concern this connection.
-                    let Ok(data) = frame.into_data() else { continue };
+                    let Ok(data) = frame.into_data() else {
+                        continue;
+                    };
                     self.passed.set(self.passed.get() + data.len() as u64);
                     if self.passed.get() > FLOW_MOST {
                         return broken("the body is too large");
@@ -152,7 +154,8 @@
     type Error = io::Error;
 
     fn poll_frame(
-        mut self: Pin<&mut Self>, cx: &mut Context,
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match &mut self.0 {
             Payload::Buffered(held) if held.is_empty() => Poll::Ready(None),
--- a/crates/node/src/net/client.rs
+++ b/crates/node/src/net/client.rs
@@ -86,7 +86,9 @@
 
 impl Client {
     pub fn new(
-        id: ClientId, listener_tag: Rc<ListenerTag>, eviction_order: Rc<RefCell<EvictionOrder>>,
+        id: ClientId,
+        listener_tag: Rc<ListenerTag>,
+        eviction_order: Rc<RefCell<EvictionOrder>>,
     ) -> Self {
         Client {
             id,
@@ -119,7 +121,9 @@
     /// Looks whether an end has come that the connection's own task has not read yet.
     fn check_disconnect(&self) {
         self.last_checked.set(Instant::now());
-        let Some(stream) = self.stream.borrow().upgrade() else { return self.disconnected.set(true) };
+        let Some(stream) = self.stream.borrow().upgrade() else {
+            return self.disconnected.set(true);
+        };
         match socket2::SockRef::from(&*stream).peek(&mut [MaybeUninit::uninit()]) {
             Ok(n) if n > 0 => {}
             Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
@@ -136,12 +140,16 @@
 
     /// It may be closed to make room from here on.
     pub fn enter_eviction_order(&self) {
-        self.eviction_order.borrow_mut().insert(self.phase.get(), self.since.get(), self.id);
+        self.eviction_order
+            .borrow_mut()
+            .insert(self.phase.get(), self.since.get(), self.id);
     }
 
     /// It ends, or goes elsewhere: closing it would make no room sooner.
     pub fn leave_eviction_order(&self) {
-        self.eviction_order.borrow_mut().remove(self.phase.get(), self.since.get(), self.id);
+        self.eviction_order
+            .borrow_mut()
+            .remove(self.phase.get(), self.since.get(), self.id);
     }
 
     /// How long what has come of a request may have taken.
--- a/crates/node/src/net/client/close.rs
+++ b/crates/node/src/net/client/close.rs
@@ -25,7 +25,12 @@
     if let Some(status) = client.fault.get() {
         return reject(stream, status, client.wrote.get()).await;
     }
-    if client.answer_open.borrow().as_ref().is_some_and(|answer_open| answer_open.get()) {
+    if client
+        .answer_open
+        .borrow()
+        .as_ref()
+        .is_some_and(|answer_open| answer_open.get())
+    {
         // An answer was cut off. One of no stated length would look whole after an orderly end: a reset never does.
         let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
     } else if client.answered_early.get() {
--- a/crates/node/src/net/client/eviction.rs
+++ b/crates/node/src/net/client/eviction.rs
@@ -63,12 +63,19 @@
     /// Takes out the connection to be evicted where there are places for `max_clients`; `None` if all stay for now.
     pub fn pop(&mut self, now: Instant, max_clients: usize) -> Option<ClientId> {
         let crowded = self.idle.is_empty() || self.new.len() as f64 > max_clients as f64 * NEW_PART;
-        let grace = if crowded { CROWDED_GRACE } else { EVICTION_GRACE };
+        let grace = if crowded {
+            CROWDED_GRACE
+        } else {
+            EVICTION_GRACE
+        };
         if let Some(silent) = pop_overdue(&mut self.new, now, grace) {
             return Some(silent);
         }
         if !crowded {
-            return self.idle.pop_first().map(|(_, least_recently_used)| least_recently_used);
+            return self
+                .idle
+                .pop_first()
+                .map(|(_, least_recently_used)| least_recently_used);
         }
         if !self.new.is_empty() {
             // The grace of one of them is over soon.
--- a/crates/node/src/net/client/io.rs
+++ b/crates/node/src/net/client/io.rs
@@ -78,11 +78,17 @@
                     if !matches!(read, Ok(n) if n > 0) {
                         self.client.disconnected.set(true);
                     }
-                    let time_stalled =
-                        self.waiting_since.take().map_or(Duration::ZERO, |since| since.elapsed());
-                    self.client.time_stalled.set(self.client.time_stalled.get() + time_stalled);
+                    let time_stalled = self
+                        .waiting_since
+                        .take()
+                        .map_or(Duration::ZERO, |since| since.elapsed());
+                    self.client
+                        .time_stalled
+                        .set(self.client.time_stalled.get() + time_stalled);
                     if let Ok(n) = read {
-                        self.client.request_bytes.set(self.client.request_bytes.get() + n as u64);
+                        self.client
+                            .request_bytes
+                            .set(self.client.request_bytes.get() + n as u64);
                         self.client.last_byte_at.set(Instant::now());
                     }
                     return Poll::Ready(read);
@@ -179,18 +185,21 @@
             Phase::New => client.since.get() + ASKS_WITHIN,
             Phase::Idle => client.since.get() + IDLE_WITHIN,
             // As slowly as a body may come, but never at rest for long.
-            Phase::Receiving => {
-                (client.since.get() + client.time_allowed()).min(client.last_byte_at.get() + REQUEST_WITHIN)
-            }
+            Phase::Receiving => (client.since.get() + client.time_allowed())
+                .min(client.last_byte_at.get() + REQUEST_WITHIN),
             // Here it is the server that may have kept the client waiting: only rests count.
             Phase::Streaming if self.gate.is_mid_request() => {
-                let left = client.time_allowed().saturating_sub(client.time_stalled.get());
+                let left = client
+                    .time_allowed()
+                    .saturating_sub(client.time_stalled.get());
                 *self.waiting_since.get_or_insert_with(Instant::now) + left.min(REQUEST_WITHIN)
             }
             Phase::Streaming | Phase::AwaitingAnswer | Phase::Answering => return Poll::Pending,
         };
         let due = due.into();
-        let timer = self.timer.get_or_insert_with(|| Box::pin(tokio::time::sleep_until(due)));
+        let timer = self
+            .timer
+            .get_or_insert_with(|| Box::pin(tokio::time::sleep_until(due)));
         if timer.deadline() != due {
             timer.as_mut().reset(due);
         }
@@ -213,21 +222,35 @@
         }
     }
 
-    fn track_write(&mut self, cx: &mut Context, wrote: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    fn track_write(
+        &mut self,
+        cx: &mut Context,
+        wrote: Poll<io::Result<usize>>,
+    ) -> Poll<io::Result<usize>> {
         if wrote.is_ready() {
             self.client.wrote.set(true);
             self.stalled = None;
             return wrote;
         }
-        let within = if self.client.is_streaming.get() { FLOW_TAKEN_WITHIN } else { WRITE_WITHIN };
-        let stalled = self.stalled.get_or_insert_with(|| Box::pin(tokio::time::sleep(within)));
+        let within = if self.client.is_streaming.get() {
+            FLOW_TAKEN_WITHIN
+        } else {
+            WRITE_WITHIN
+        };
+        let stalled = self
+            .stalled
+            .get_or_insert_with(|| Box::pin(tokio::time::sleep(within)));
         ready!(stalled.as_mut().poll(cx));
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
 }
 
 impl AsyncRead for ClientIo {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &mut ReadBuf,
+    ) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         if buf.remaining() == 0 {
             return Poll::Ready(Ok(()));
@@ -276,7 +299,9 @@
     }
 
     fn poll_write_vectored(
-        self: Pin<&mut Self>, cx: &mut Context, data: &[io::IoSlice],
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+        data: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         this.limit_send_buffer();
@@ -290,8 +315,12 @@
 
     /// The library flushes when all that is here of an answer is written.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        let answer_open =
-            self.client.answer_open.borrow().as_ref().is_some_and(|answer_open| answer_open.get());
+        let answer_open = self
+            .client
+            .answer_open
+            .borrow()
+            .as_ref()
+            .is_some_and(|answer_open| answer_open.get());
         if self.client.phase.get() == Phase::Answering && self.client.wrote.get() && !answer_open {
             self.request_delivered = false;
             // What came meanwhile is here already: nobody else says that it is to be read.
@@ -320,7 +349,9 @@
 }
 
 fn write_when_ready(
-    stream: &TcpStream, cx: &mut Context, write: impl Fn(&TcpStream) -> io::Result<usize>,
+    stream: &TcpStream,
+    cx: &mut Context,
+    write: impl Fn(&TcpStream) -> io::Result<usize>,
 ) -> Poll<io::Result<usize>> {
     loop {
         ready!(stream.poll_write_ready(cx))?;
--- a/crates/node/src/net/client/tests.rs
+++ b/crates/node/src/net/client/tests.rs
@@ -37,8 +37,15 @@
 fn the_least_recently_used_goes_first_and_before_what_has_not_asked_yet() {
     let now = Instant::now();
     let short = CROWDED_GRACE;
-    let order =
-        order(now, &[(Phase::New, short), (Phase::Idle, short), (Phase::New, short), (Phase::Idle, short)]);
+    let order = order(
+        now,
+        &[
+            (Phase::New, short),
+            (Phase::Idle, short),
+            (Phase::New, short),
+            (Phase::Idle, short),
+        ],
+    );
     assert_eq!(evicted(order, now), [1, 3, 0, 2]);
 }
 
@@ -46,8 +53,15 @@
 fn what_has_not_asked_within_its_grace_goes_before_what_rests() {
     let now = Instant::now();
     let resting = (Phase::Idle, EVICTION_GRACE * 4);
-    let order =
-        order(now, &[resting, (Phase::New, EVICTION_GRACE), (Phase::New, EVICTION_GRACE / 2), resting]);
+    let order = order(
+        now,
+        &[
+            resting,
+            (Phase::New, EVICTION_GRACE),
+            (Phase::New, EVICTION_GRACE / 2),
+            resting,
+        ],
+    );
     assert_eq!(evicted(order, now), [1, 0, 3, 2]);
 }
 
@@ -56,7 +70,11 @@
     let now = Instant::now();
     let order = order(
         now,
-        &[[(Phase::Idle, EVICTION_GRACE); 3].as_slice(), &[(Phase::New, CROWDED_GRACE); 7]].concat(),
+        &[
+            [(Phase::Idle, EVICTION_GRACE); 3].as_slice(),
+            &[(Phase::New, CROWDED_GRACE); 7],
+        ]
+        .concat(),
     );
     assert_eq!(evicted(order, now), [3, 4, 5, 6, 7, 0, 1, 2, 8, 9]);
 }
@@ -64,8 +82,14 @@
 #[test]
 fn what_was_made_just_now_keeps_its_place_for_a_moment_in_a_crowd_too() {
     let now = Instant::now();
-    let crowd =
-        order(now, &[[(Phase::Idle, EVICTION_GRACE); 3].as_slice(), &[(Phase::New, MOMENT); 4]].concat());
+    let crowd = order(
+        now,
+        &[
+            [(Phase::Idle, EVICTION_GRACE); 3].as_slice(),
+            &[(Phase::New, MOMENT); 4],
+        ]
+        .concat(),
+    );
     assert!(evicted(crowd, now).is_empty());
     let receiving = (Phase::Receiving, EVICTION_GRACE * 2);
     let none_rests = order(now, &[(Phase::New, MOMENT), receiving]);
@@ -88,7 +112,10 @@
 }
 
 fn client(order: &Rc<RefCell<EvictionOrder>>) -> Rc<Client> {
-    let tag = ListenerTag { id: Cell::new(Some(0)), name: "client".to_owned() };
+    let tag = ListenerTag {
+        id: Cell::new(Some(0)),
+        name: "client".to_owned(),
+    };
     Rc::new(Client::new(7, Rc::new(tag), order.clone()))
 }
 
@@ -124,7 +151,10 @@
 
 #[test]
 fn a_request_that_comes_as_its_connection_is_evicted_is_read() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     runtime.block_on(async {
         // What is written to a socket of this kind is there at once.
         let (near, mut far) = UnixStream::pair().expect("a pair");
@@ -139,14 +169,20 @@
         let request = b"GET /api HTTP/1.1\r\nhost: n\r\n\r\n";
         far.write_all(request).expect("room");
         client.close_when_idle.set(true);
-        assert!(read(&mut io, &mut nobody).is_pending(), "a request that has come is dropped");
+        assert!(
+            read(&mut io, &mut nobody).is_pending(),
+            "a request that has come is dropped"
+        );
         assert_eq!(poll_fn(|context| read(&mut io, context)).await, request);
     });
 }
 
 #[test]
 fn an_evicted_connection_without_a_request_ends() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     runtime.block_on(async {
         let (near, _far) = UnixStream::pair().expect("a pair");
         near.set_nonblocking(true).expect("a socket");
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -58,9 +58,18 @@
 /// # Errors
 /// Says why it is not one. An entry that cannot be used is passed over: the others still count.
 pub fn apply_list(pool: &Rc<Pool>, list: &Value, cached: bool) -> Result<u64, String> {
-    let lines = list.get("endpoints").and_then(Value::as_array).ok_or("a list without `endpoints`")?;
-    let index = list.get("index").and_then(Value::as_u64).ok_or("a list without `index`")?;
-    let whole = list.get("snapshot").and_then(Value::as_bool).unwrap_or(false);
+    let lines = list
+        .get("endpoints")
+        .and_then(Value::as_array)
+        .ok_or("a list without `endpoints`")?;
+    let index = list
+        .get("index")
+        .and_then(Value::as_u64)
+        .ok_or("a list without `index`")?;
+    let whole = list
+        .get("snapshot")
+        .and_then(Value::as_bool)
+        .unwrap_or(false);
     let kind = match (cached, whole) {
         (true, _) => ListKind::Cached,
         (false, true) => ListKind::Full,
@@ -75,13 +84,18 @@
                 if listed.state == ServerState::Gone
                     && pool.names.borrow().servers.get(listed.name).is_none() => {}
             Some((listed, address)) => {
-                places.push(Place { entry: pool.names.borrow_mut().entry(&listed), address });
+                places.push(Place {
+                    entry: pool.names.borrow_mut().entry(&listed),
+                    address,
+                });
             }
             None => unusable += 1,
         }
     }
     if unusable > 0 {
-        pool.shared.log.write_line(format_args!("{unusable} entries of list {index} can't be used"));
+        pool.shared.log.write_line(format_args!(
+            "{unusable} entries of list {index} can't be used"
+        ));
     }
     pool.members(kind, places);
     Ok(index)
@@ -95,7 +109,10 @@
         name: text("name")?,
         zone: text("zone"),
         kind: text("type"),
-        cell: line.get("group").and_then(Value::as_u64).map_or(0, |g| g as u32),
+        cell: line
+            .get("group")
+            .and_then(Value::as_u64)
+            .map_or(0, |g| g as u32),
         state: match text("status") {
             Some("active") => ServerState::Up,
             Some("left") => ServerState::Gone,
@@ -103,7 +120,10 @@
             _ => ServerState::Draining,
         },
         weight: line.get("weight").and_then(Value::as_f64),
-        ready_at: line.get("since_ms").and_then(Value::as_f64).map(|ms| ms / 1e3),
+        ready_at: line
+            .get("since_ms")
+            .and_then(Value::as_f64)
+            .map(|ms| ms / 1e3),
     };
     Some((listed, address))
 }
@@ -127,8 +147,16 @@
 /// A new address is turned to at once: the old one closes soon, and what the new one has to tell counts as told
 /// within seconds. What it calls a version need not be what the old one called so, hence the whole list is asked
 /// for first; that also heals any other change of the service behind an address. Harm: one list more a switch.
-pub async fn follow(pool: Rc<Pool>, mut address: watch::Receiver<SocketAddr>, known: u64, name: String) {
-    let _following = Following { pool: pool.clone(), name: name.clone() };
+pub async fn follow(
+    pool: Rc<Pool>,
+    mut address: watch::Receiver<SocketAddr>,
+    known: u64,
+    name: String,
+) {
+    let _following = Following {
+        pool: pool.clone(),
+        name: name.clone(),
+    };
     let index = Cell::new(Some(known));
     let mut backoff = BACKOFF;
     loop {
@@ -148,7 +176,9 @@
             }
         };
         if let Err(fault) = &ended {
-            pool.shared.log.write_line(format_args!("discovery: {fault}"));
+            pool.shared
+                .log
+                .write_line(format_args!("discovery: {fault}"));
         }
         if !pool.pushed() {
             // The module says when to ask again.
@@ -156,9 +186,14 @@
             continue;
         }
         let refused = index.get() == before && !matches!(ended, Err(Fault::Silent));
-        backoff = if refused { (backoff * 2).min(BACKOFF_MOST) } else { BACKOFF };
+        backoff = if refused {
+            (backoff * 2).min(BACKOFF_MOST)
+        } else {
+            BACKOFF
+        };
         // Watches end for many nodes at once: they must not come back in step.
-        let rest = tokio::time::sleep_until(began + backoff.mul_f64(0.5 + pool.rng.next_fraction()));
+        let rest =
+            tokio::time::sleep_until(began + backoff.mul_f64(0.5 + pool.rng.next_fraction()));
         tokio::select! {
             () = rest => {}
             Ok(()) = address.changed() => {
@@ -193,7 +228,10 @@
 }
 
 async fn watch(
-    pool: &Rc<Pool>, address: SocketAddr, index: &Cell<Option<u64>>, name: &str,
+    pool: &Rc<Pool>,
+    address: SocketAddr,
+    index: &Cell<Option<u64>>,
+    name: &str,
 ) -> Result<(), Fault> {
     let apply_list = |list: &Value| {
         // What can't be used is not asked for again in the same way, for ever: the whole list heals it.
@@ -209,7 +247,9 @@
     let opens = now + if pushed { OPENS } else { OPENS_ASKED };
     let connects = if pushed { now + CONNECTS } else { opens };
     let stream = by(connects, TcpStream::connect(address)).await?;
-    let handshake = Builder::new().max_buf_size(BUFFER).handshake(TokioIo::new(stream));
+    let handshake = Builder::new()
+        .max_buf_size(BUFFER)
+        .handshake(TokioIo::new(stream));
     let (mut send, connection) = by(opens, handshake).await?;
     let task = tokio::task::spawn_local(async move {
         let _ = connection.await;
@@ -223,12 +263,22 @@
             while let Some(data) = next(&mut body, opens).await? {
                 lists.push(&data)?;
             }
-            let after = apply_list(&lists.next()?.ok_or_else(|| "a list that is none".to_owned())?)?;
+            let after = apply_list(
+                &lists
+                    .next()?
+                    .ok_or_else(|| "a list that is none".to_owned())?,
+            )?;
             by(opens, send.ready()).await?;
             after
         }
     };
-    let mut body = ask(&mut send, address, &format!("/catalog/members?watch=1&after={after}"), opens).await?;
+    let mut body = ask(
+        &mut send,
+        address,
+        &format!("/catalog/members?watch=1&after={after}"),
+        opens,
+    )
+    .await?;
     let mut lists = Lists::default();
     let mut until = opens;
     // What the connection's end cut off stays in `lists` and is never taken for a whole one.
@@ -248,16 +298,26 @@
 
 /// What comes of it in time.
 async fn by<T, E: std::fmt::Display>(
-    until: Instant, of: impl Future<Output = Result<T, E>>,
+    until: Instant,
+    of: impl Future<Output = Result<T, E>>,
 ) -> Result<T, Fault> {
-    timeout_at(until, of).await.map_err(|_| Fault::Silent)?.map_err(|e| Fault::Said(e.to_string()))
+    timeout_at(until, of)
+        .await
+        .map_err(|_| Fault::Silent)?
+        .map_err(|e| Fault::Said(e.to_string()))
 }
 
 /// The next piece of a body; `None` at its end.
 async fn next(body: &mut Incoming, until: Instant) -> Result<Option<Bytes>, Fault> {
     loop {
-        let frame = timeout_at(until, body.frame()).await.map_err(|_| Fault::Silent)?;
-        match frame.transpose().map_err(|e| e.to_string())?.map(Frame::into_data) {
+        let frame = timeout_at(until, body.frame())
+            .await
+            .map_err(|_| Fault::Silent)?;
+        match frame
+            .transpose()
+            .map_err(|e| e.to_string())?
+            .map(Frame::into_data)
+        {
             None => return Ok(None),
             Some(Ok(data)) => return Ok(Some(data)),
             // Trailers tell nothing.
@@ -332,9 +392,14 @@
 
 /// Asks for `path`; the body of an answer 200 is all that is of use.
 async fn ask(
-    send: &mut SendRequest<Empty<Bytes>>, address: SocketAddr, path: &str, until: Instant,
+    send: &mut SendRequest<Empty<Bytes>>,
+    address: SocketAddr,
+    path: &str,
+    until: Instant,
 ) -> Result<Incoming, Fault> {
-    let request = Request::get(path).header("host", address.to_string()).body(Empty::new());
+    let request = Request::get(path)
+        .header("host", address.to_string())
+        .body(Empty::new());
     let request = request.map_err(|e| e.to_string())?;
     let answer = by(until, send.send_request(request)).await?;
     if answer.status() != StatusCode::OK {
--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/front.rs
@@ -137,13 +137,19 @@
 
     /// The listeners there are.
     pub fn listening(&self) -> Vec<Rc<Listening>> {
-        self.listening.borrow().iter().map(|(l, _)| l.clone()).collect()
+        self.listening
+            .borrow()
+            .iter()
+            .map(|(l, _)| l.clone())
+            .collect()
     }
 
     /// The listener of a name and address, if there is one.
     pub fn listener(&self, name: &str, address: SocketAddr) -> Option<Rc<Listening>> {
         let listening = self.listening.borrow();
-        let found = listening.iter().find(|(l, _)| l.name() == name && l.address == address);
+        let found = listening
+            .iter()
+            .find(|(l, _)| l.name() == name && l.address == address);
         found.map(|(l, _)| l.clone())
     }
 
@@ -151,7 +157,10 @@
     pub fn addresses(&self) -> Vec<(String, SocketAddr)> {
         let listening = self.listening.borrow();
         let address = |l: &Listening| l.listener.local_addr().unwrap_or(l.address);
-        listening.iter().map(|(l, _)| (l.name().to_owned(), address(l))).collect()
+        listening
+            .iter()
+            .map(|(l, _)| (l.name().to_owned(), address(l)))
+            .collect()
     }
 
     /// Serves until `stop`, and a little longer; ends when what was taken has its answers.
--- a/crates/node/src/net/front/accept.rs
+++ b/crates/node/src/net/front/accept.rs
@@ -75,9 +75,14 @@
     /// Closes the connection that is first in the [`EvictionOrder`](crate::net::client::EvictionOrder). One without a
     /// request ends like one that has rested for long; a request that does not get on is answered 408.
     fn make_room(&self) {
-        let evicted = self.eviction_order.borrow_mut().pop(Instant::now(), self.max_clients.get());
+        let evicted = self
+            .eviction_order
+            .borrow_mut()
+            .pop(Instant::now(), self.max_clients.get());
         let clients = self.clients.borrow();
-        let Some(client) = evicted.and_then(|id| clients.get(&id)) else { return };
+        let Some(client) = evicted.and_then(|id| clients.get(&id)) else {
+            return;
+        };
         match client.phase.get() {
             Phase::Receiving => client.fault.set(Some(StatusCode::REQUEST_TIMEOUT)),
             _ => client.close_when_idle.set(true),
@@ -88,7 +93,11 @@
     pub(super) fn spawn_client(self: Rc<Self>, stream: TcpStream, listening: &Rc<Listening>) {
         let id = self.next.get();
         self.next.set(id + 1);
-        let client = Rc::new(Client::new(id, listening.tag.clone(), self.eviction_order.clone()));
+        let client = Rc::new(Client::new(
+            id,
+            listening.tag.clone(),
+            self.eviction_order.clone(),
+        ));
         self.clients.borrow_mut().insert(id, client.clone());
         tokio::task::spawn_local(async move {
             self.connection(stream, &client).await;
@@ -122,7 +131,11 @@
             Routing::Alone(_) => &gate::METHODS,
             Routing::Table(_) => &gate::METHODS_ROUTED,
         };
-        let io = TokioIo::new(ClientIo::new(stream.clone(), client.clone(), Gate::new(methods)));
+        let io = TokioIo::new(ClientIo::new(
+            stream.clone(),
+            client.clone(),
+            Gate::new(methods),
+        ));
         let service = service_fn(|request| self.clone().request(request, client.clone()));
         // Times are kept by `ClientIo`, which knows whether a request has begun.
         let mut connection = pin!(Builder::new()
--- a/crates/node/src/net/front/handover.rs
+++ b/crates/node/src/net/front/handover.rs
@@ -41,7 +41,9 @@
     /// Accepts a client that another process hands over.
     pub fn accept_handover(self: &Rc<Self>, descriptor: std::net::TcpStream, listener: &str) {
         let listening = self.listening().into_iter().find(|l| l.name() == listener);
-        let stream = descriptor.set_nonblocking(true).and_then(|()| TcpStream::from_std(descriptor));
+        let stream = descriptor
+            .set_nonblocking(true)
+            .and_then(|()| TcpStream::from_std(descriptor));
         match (listening, stream) {
             (Some(listening), Ok(stream)) => self.clone().spawn_client(stream, &listening),
             // It ends here: its listener is no longer in the settings, or it is no socket.
@@ -50,13 +52,23 @@
     }
 
     /// Hands a client over; it comes back if nobody takes it.
-    pub(super) async fn hand_over(&self, stream: Rc<TcpStream>, client: &Client) -> Option<Rc<TcpStream>> {
+    pub(super) async fn hand_over(
+        &self,
+        stream: Rc<TcpStream>,
+        client: &Client,
+    ) -> Option<Rc<TcpStream>> {
         let sender = self.handover_sender.borrow().clone();
-        let (Some(sender), Some(stream)) = (sender, Rc::into_inner(stream)) else { return None };
+        let (Some(sender), Some(stream)) = (sender, Rc::into_inner(stream)) else {
+            return None;
+        };
         let stream = stream.into_std().ok()?;
         let (done, handed_over) = oneshot::channel();
         let listener = client.listener_tag.name.clone();
-        let back = match sender.send(Handover { stream, listener, done }) {
+        let back = match sender.send(Handover {
+            stream,
+            listener,
+            done,
+        }) {
             Err(e) => e.0.stream,
             Ok(()) => match handed_over.await {
                 Ok(Ok(())) | Err(_) => return None,
--- a/crates/node/src/net/front/listening.rs
+++ b/crates/node/src/net/front/listening.rs
@@ -40,21 +40,35 @@
     /// # Errors
     /// Says why the address can't be had.
     pub fn bind(
-        name: &str, address: SocketAddr, backlog: usize, reuse_port: bool,
+        name: &str,
+        address: SocketAddr,
+        backlog: usize,
+        reuse_port: bool,
     ) -> Result<Rc<Self>, String> {
         Ok(Self::of(name, address, bind(address, backlog, reuse_port)?))
     }
 
     fn of(name: &str, address: SocketAddr, listener: TcpListener) -> Rc<Self> {
-        let tag = Rc::new(ListenerTag { id: Cell::new(Some(0)), name: name.to_owned() });
-        Rc::new(Listening { address, tag, listener })
+        let tag = Rc::new(ListenerTag {
+            id: Cell::new(Some(0)),
+            name: name.to_owned(),
+        });
+        Rc::new(Listening {
+            address,
+            tag,
+            listener,
+        })
     }
 
     /// A listener whose socket another process gave.
     ///
     /// # Errors
     /// If it is none, or listens elsewhere.
-    pub fn from_descriptor(name: &str, address: SocketAddr, descriptor: OwnedFd) -> Result<Rc<Self>, String> {
+    pub fn from_descriptor(
+        name: &str,
+        address: SocketAddr,
+        descriptor: OwnedFd,
+    ) -> Result<Rc<Self>, String> {
         let socket = socket2::Socket::from(descriptor);
         let listens = socket.is_listener().map_err(|e| e.to_string())?;
         let at = socket.local_addr().ok().and_then(|a| a.as_socket());
--- a/crates/node/src/net/front/reply.rs
+++ b/crates/node/src/net/front/reply.rs
@@ -6,7 +6,10 @@
 use hyper::{Response, StatusCode};
 use reelfall_core::interface::Outcome;
 
-pub(super) fn with_reason(status: StatusCode, why: &dyn std::fmt::Display) -> Response<ResponseBody> {
+pub(super) fn with_reason(
+    status: StatusCode,
+    why: &dyn std::fmt::Display,
+) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::from(format!("{why}\n")));
     *response.status_mut() = status;
     response
@@ -21,7 +24,12 @@
 pub(super) fn respond(reply: Reply) -> Response<ResponseBody> {
     match reply {
         Reply::Served(answer) => {
-            let Answer { headers, body, rest, .. } = *answer;
+            let Answer {
+                headers,
+                body,
+                rest,
+                ..
+            } = *answer;
             let mut response = Response::new(ResponseBody::new(body, rest));
             *response.headers_mut() = headers;
             strip_hop_by_hop(response.headers_mut());
@@ -36,9 +44,15 @@
             response
         }
         // Never 429 or 503: those would promise that a retry is harmless.
-        Reply::Failed(Some(Outcome::Error)) => plain(StatusCode::BAD_GATEWAY, "the server failed\n"),
-        Reply::Failed(Some(Outcome::Expired)) => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
-        Reply::Failed(Some(Outcome::Dropped)) => plain(StatusCode::BAD_GATEWAY, "the connection broke\n"),
+        Reply::Failed(Some(Outcome::Error)) => {
+            plain(StatusCode::BAD_GATEWAY, "the server failed\n")
+        }
+        Reply::Failed(Some(Outcome::Expired)) => {
+            plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n")
+        }
+        Reply::Failed(Some(Outcome::Dropped)) => {
+            plain(StatusCode::BAD_GATEWAY, "the connection broke\n")
+        }
         Reply::Failed(_) => plain(StatusCode::INTERNAL_SERVER_ERROR, "failed\n"),
     }
 }
--- a/crates/node/src/net/front/request.rs
+++ b/crates/node/src/net/front/request.rs
@@ -33,18 +33,27 @@
 
 impl Front {
     pub(super) async fn request(
-        self: Rc<Self>, request: Request<Incoming>, client: Rc<Client>,
+        self: Rc<Self>,
+        request: Request<Incoming>,
+        client: Rc<Client>,
     ) -> Result<Response<ResponseBody>, Infallible> {
         let (head, body) = request.into_parts();
         let routing = self.routing.borrow().clone();
         let mut response = match &*routing {
             Routing::Alone(service) => match head.uri.path() {
-                "/_health" if self.shared.draining() => plain(StatusCode::SERVICE_UNAVAILABLE, DRAINED),
+                "/_health" if self.shared.draining() => {
+                    plain(StatusCode::SERVICE_UNAVAILABLE, DRAINED)
+                }
                 "/_health" if service.pool.ready.get() => plain(StatusCode::OK, ""),
                 "/_health" => plain(StatusCode::SERVICE_UNAVAILABLE, "no server list yet\n"),
                 path if path == "/api" || path.starts_with("/api/") => {
                     let service = service.clone();
-                    let chosen = AdmittedRequest { service, assign: None, routed: false, admitted: None };
+                    let chosen = AdmittedRequest {
+                        service,
+                        assign: None,
+                        routed: false,
+                        admitted: None,
+                    };
                     drop(routing);
                     self.forward(chosen, head, body, &client).await
                 }
@@ -76,10 +85,16 @@
         // Whoever sends what can't be used has to connect anew for more of it.
         let routed = matches!(&**self.routing.borrow(), Routing::Table(_));
         // By routes, one connection can be for several services, of which one may be gone or over its rate.
-        let elsewhere = matches!(response.status(), StatusCode::NOT_FOUND | StatusCode::TOO_MANY_REQUESTS);
+        let elsewhere = matches!(
+            response.status(),
+            StatusCode::NOT_FOUND | StatusCode::TOO_MANY_REQUESTS
+        );
         let unusable = response.status().is_client_error() && !(routed && elsewhere);
-        if self.stopping.get() || self.shared.draining() || unusable || client.close_when_idle.get() {
-            response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+        if self.stopping.get() || self.shared.draining() || unusable || client.close_when_idle.get()
+        {
+            response
+                .headers_mut()
+                .insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         let flows = response.body().open_flag();
         client.is_streaming.set(flows.is_some());
@@ -90,7 +105,10 @@
 
     /// Finds the service of a request and its place among the open ones.
     fn admit(
-        self: &Rc<Self>, table: &Table, head: &Parts, client: &Client,
+        self: &Rc<Self>,
+        table: &Table,
+        head: &Parts,
+        client: &Client,
     ) -> Result<AdmittedRequest, Box<Response<ResponseBody>>> {
         let mut hosts = head.headers.get_all(header::HOST).iter();
         let said = target::Said {
@@ -100,9 +118,12 @@
             host: hosts.next().map(HeaderValue::as_bytes),
             more_hosts: hosts.next().is_some(),
         };
-        let target =
-            target::read(said).map_err(|fault| Box::new(with_reason(StatusCode::BAD_REQUEST, &fault)))?;
-        let class = head.headers.get(&SERVICE_CLASS).and_then(|v| v.to_str().ok());
+        let target = target::read(said)
+            .map_err(|fault| Box::new(with_reason(StatusCode::BAD_REQUEST, &fault)))?;
+        let class = head
+            .headers
+            .get(&SERVICE_CLASS)
+            .and_then(|v| v.to_str().ok());
         let query = Query {
             listener: client.listener_tag.id.get().unwrap_or(ListenerId::MAX),
             host: &target.host,
@@ -110,12 +131,18 @@
             method: head.method.as_str(),
             class,
         };
-        let found =
-            table.find(&query).ok_or_else(|| Box::new(plain(StatusCode::NOT_FOUND, "no such route\n")))?;
+        let found = table
+            .find(&query)
+            .ok_or_else(|| Box::new(plain(StatusCode::NOT_FOUND, "no such route\n")))?;
         let RouteMatch { service, assign } = found;
         if service.draining.get() {
             let most = service.retry_after.get();
-            return Err(Box::new(self.refusal(StatusCode::SERVICE_UNAVAILABLE, "draining\n", most, most)));
+            return Err(Box::new(self.refusal(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "draining\n",
+                most,
+                most,
+            )));
         }
         let admitted = match service.member.map(|member| self.shared.admit(member)) {
             None => None,
@@ -137,13 +164,22 @@
                 }));
             }
         };
-        Ok(AdmittedRequest { service, assign, routed: true, admitted })
+        Ok(AdmittedRequest {
+            service,
+            assign,
+            routed: true,
+            admitted,
+        })
     }
 
     /// A refusal with advice on when to come back: about `wait`, spread so that not all come back together, and no
     /// longer than `most`; none if that is 0.
     fn refusal(
-        &self, status: StatusCode, text: &'static str, wait: Time, most: Time,
+        &self,
+        status: StatusCode,
+        text: &'static str,
+        wait: Time,
+        most: Time,
     ) -> Response<ResponseBody> {
         let mut response = plain(status, text);
         if most > 0.0 {
@@ -157,7 +193,11 @@
     }
 
     async fn forward(
-        self: &Rc<Self>, chosen: AdmittedRequest, head: Parts, body: Incoming, client: &Rc<Client>,
+        self: &Rc<Self>,
+        chosen: AdmittedRequest,
+        head: Parts,
+        body: Incoming,
+        client: &Rc<Client>,
     ) -> Response<ResponseBody> {
         let pool = chosen.service.pool.clone();
         let chunked = head.headers.contains_key(header::TRANSFER_ENCODING);
@@ -165,7 +205,9 @@
         if let Some(graphql) = graphql {
             let mut response = self.graphql(&graphql, chosen, head, body, client).await;
             if chunked {
-                response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+                response
+                    .headers_mut()
+                    .insert(header::CONNECTION, HeaderValue::from_static("close"));
             }
             return response;
         }
@@ -175,7 +217,11 @@
             Err(response) => return response,
         };
         let flow = body.streamed().cloned();
-        client.set_phase(if flow.is_some() { Phase::Streaming } else { Phase::AwaitingAnswer });
+        client.set_phase(if flow.is_some() {
+            Phase::Streaming
+        } else {
+            Phase::AwaitingAnswer
+        });
         let mut response = self.submit(&pool, chosen, head, body, held, client).await;
         let unread = flow.is_some_and(|flow| !flow.is_done());
         if unread {
@@ -184,15 +230,22 @@
         }
         if chunked || unread {
             // Nothing behind a body of no stated length was looked at by the gate.
-            response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+            response
+                .headers_mut()
+                .insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
 
     /// Hands a request to the module and waits for its one answer.
     async fn submit(
-        self: &Rc<Self>, pool: &Rc<Pool>, chosen: AdmittedRequest, head: Parts, body: Payload,
-        held: Option<MemoryPermit>, client: &Rc<Client>,
+        self: &Rc<Self>,
+        pool: &Rc<Pool>,
+        chosen: AdmittedRequest,
+        head: Parts,
+        body: Payload,
+        held: Option<MemoryPermit>,
+        client: &Rc<Client>,
     ) -> Response<ResponseBody> {
         let (message, arrival) = match self.translate(chosen, head, body, held, client.clone()) {
             Ok(request) => request,
@@ -205,8 +258,8 @@
         let (id, answer) = pool.submit(message, arrival);
         let mut waiting = PendingRequest::new(pool, id);
         // The guard: attempts end at the deadline and bring an answer; if nothing has, this is it.
-        let guard =
-            deadline + Duration::try_from_secs_f64(pool.figures.answer_slack / 2.0).unwrap_or_default();
+        let guard = deadline
+            + Duration::try_from_secs_f64(pool.figures.answer_slack / 2.0).unwrap_or_default();
         match timeout_at(guard.into(), answer).await {
             Ok(Ok(reply)) => {
                 waiting.answered();
@@ -218,24 +271,36 @@
 
     /// Reads a body whole if it is small enough and finds room; else it flows, with what has been read of it.
     async fn buffer_or_stream(
-        &self, mut body: Incoming, member: Option<Member>,
+        &self,
+        mut body: Incoming,
+        member: Option<Member>,
     ) -> Result<(Payload, Option<MemoryPermit>), Response<ResponseBody>> {
         let size = body.size_hint().exact();
         if size.is_some_and(|size| size > BODY_MOST as u64) {
-            return Ok((Payload::Streamed(StreamedBody::new(Bytes::new(), body, size)), None));
+            return Ok((
+                Payload::Streamed(StreamedBody::new(Bytes::new(), body, size)),
+                None,
+            ));
         }
         let stated = size.map_or(BODY_MOST, |n| n as usize);
         let (mut data, mut held) = (BytesMut::new(), None);
         while let Some(frame) = body.frame().await {
-            let Ok(frame) = frame else { return Err(plain(StatusCode::BAD_REQUEST, "half a body\n")) };
-            let Ok(part) = frame.into_data() else { continue };
+            let Ok(frame) = frame else {
+                return Err(plain(StatusCode::BAD_REQUEST, "half a body\n"));
+            };
+            let Ok(part) = frame.into_data() else {
+                continue;
+            };
             data.extend_from_slice(&part);
             if data.len() > BODY_SMALL && held.is_none() {
                 // The largest that it can be, taken once: bodies that grow must not wait for each other.
                 held = self.shared.reserve_body(member, permits_for(stated));
             }
             if data.len() > BODY_MOST || (data.len() > BODY_SMALL && held.is_none()) {
-                return Ok((Payload::Streamed(StreamedBody::new(data.freeze(), body, size)), held));
+                return Ok((
+                    Payload::Streamed(StreamedBody::new(data.freeze(), body, size)),
+                    held,
+                ));
             }
         }
         Ok((Payload::Buffered(data.freeze()), held))
@@ -243,14 +308,20 @@
 
     /// Reads a body whole. What finds no room is still read to its end before it is answered.
     pub(in crate::net) async fn buffer_body(
-        &self, mut body: Incoming, member: Option<Member>,
+        &self,
+        mut body: Incoming,
+        member: Option<Member>,
     ) -> Result<(Bytes, Option<MemoryPermit>), Response<ResponseBody>> {
         let stated = body.size_hint().exact().map_or(BODY_MOST, |n| n as usize);
         let mut held: Option<MemoryPermit> = None;
         let (mut data, mut size, mut granted, mut room) = (BytesMut::new(), 0, BODY_SMALL, true);
         while let Some(frame) = body.frame().await {
-            let Ok(frame) = frame else { return Err(plain(StatusCode::BAD_REQUEST, "half a body\n")) };
-            let Ok(part) = frame.into_data() else { continue };
+            let Ok(frame) = frame else {
+                return Err(plain(StatusCode::BAD_REQUEST, "half a body\n"));
+            };
+            let Ok(part) = frame.into_data() else {
+                continue;
+            };
             size += part.len();
             if size > BODY_MOST {
                 return Err(plain(StatusCode::PAYLOAD_TOO_LARGE, "too large a body\n"));
@@ -279,7 +350,10 @@
     let services = table.services();
     let unready = match path.strip_prefix('/') {
         // One that drains on purpose does not make the process unready.
-        None => services.iter().filter(|s| !s.draining.get()).find_map(|s| s.unready()),
+        None => services
+            .iter()
+            .filter(|s| !s.draining.get())
+            .find_map(|s| s.unready()),
         Some(name) => match services.iter().find(|s| s.name == name) {
             Some(service) => service.unready(),
             None => return plain(StatusCode::NOT_FOUND, "no such service\n"),
@@ -288,10 +362,13 @@
     if let Some(why) = unready {
         return plain(StatusCode::SERVICE_UNAVAILABLE, why);
     }
-    let named = path.strip_prefix('/').and_then(|name| services.iter().find(|s| s.name == name));
+    let named = path
+        .strip_prefix('/')
+        .and_then(|name| services.iter().find(|s| s.name == name));
     let mut response = plain(StatusCode::OK, "");
     if let Some(age) = named.and_then(|s| s.pool.list_age()) {
-        *response.body_mut() = ResponseBody::from(Bytes::from(format!("registry heard {age:.1} s ago\n")));
+        *response.body_mut() =
+            ResponseBody::from(Bytes::from(format!("registry heard {age:.1} s ago\n")));
     }
     response
 }
@@ -300,7 +377,9 @@
 async fn discard(mut body: Incoming) -> Result<(), Response<ResponseBody>> {
     let mut size = 0;
     while let Some(frame) = body.frame().await {
-        let Ok(frame) = frame else { return Err(plain(StatusCode::BAD_REQUEST, "half a body\n")) };
+        let Ok(frame) = frame else {
+            return Err(plain(StatusCode::BAD_REQUEST, "half a body\n"));
+        };
         size += frame.data_ref().map_or(0, Bytes::len);
         if size > BODY_MOST {
             return Err(plain(StatusCode::PAYLOAD_TOO_LARGE, "too large a body\n"));
