--- a/crates/node/src/net/front/translate.rs
+++ b/crates/node/src/net/front/translate.rs
@@ -52,44 +52,84 @@
 impl Front {
     /// Puts a request's head into the module's terms.
     pub(super) fn translate(
-        &self, chosen: AdmittedRequest, head: Parts, body: Payload, held: Option<MemoryPermit>,
+        &self,
+        chosen: AdmittedRequest,
+        head: Parts,
+        body: Payload,
+        held: Option<MemoryPermit>,
         waiter: Rc<Client>,
     ) -> Result<(Message, Arrival), (StatusCode, &'static str)> {
         let bad = |text| (StatusCode::BAD_REQUEST, text);
-        let AdmittedRequest { service, assign, routed, admitted } = chosen;
+        let AdmittedRequest {
+            service,
+            assign,
+            routed,
+            admitted,
+        } = chosen;
         let pool = &service.pool;
-        let Parts { method, uri, mut headers, .. } = head;
+        let Parts {
+            method,
+            uri,
+            mut headers,
+            ..
+        } = head;
         if routed {
             self.ensure_correlation_id(&mut headers);
         }
         let text = |name: &HeaderName| headers.get(name).and_then(|v| v.to_str().ok());
         let names = pool.names.borrow();
         // A service with one class has no other; where there are more, a request that states none is not guessed at.
-        let only = (routed && pool.classes.len() == 1 && !headers.contains_key(&SERVICE_CLASS)).then_some(0);
-        let stated = || text(&SERVICE_CLASS).and_then(|name| names.classes.get(name)).map(|c| c as ClassId);
-        let class = assign.or(only).or_else(stated).ok_or(bad("unknown class\n"))?;
-        let rules = pool.classes.get(usize::from(class)).ok_or(bad("unknown class\n"))?;
+        let only = (routed && pool.classes.len() == 1 && !headers.contains_key(&SERVICE_CLASS))
+            .then_some(0);
+        let stated = || {
+            text(&SERVICE_CLASS)
+                .and_then(|name| names.classes.get(name))
+                .map(|c| c as ClassId)
+        };
+        let class = assign
+            .or(only)
+            .or_else(stated)
+            .ok_or(bad("unknown class\n"))?;
+        let rules = pool
+            .classes
+            .get(usize::from(class))
+            .ok_or(bad("unknown class\n"))?;
         if !method_fits(&method, rules.effect, routed) {
-            return Err((StatusCode::METHOD_NOT_ALLOWED, "the class wants another method\n"));
+            return Err((
+                StatusCode::METHOD_NOT_ALLOWED,
+                "the class wants another method\n",
+            ));
         }
         if method == Method::GET && !matches!(&body, Payload::Buffered(held) if held.is_empty()) {
             return Err(bad("a GET with a body\n"));
         }
         correlation_id(&headers).map_err(bad)?;
-        if matches!(rules.effect, Effect::Keyed { .. }) && text(&IDEMPOTENCY_KEY).is_none_or(str::is_empty) {
+        if matches!(rules.effect, Effect::Keyed { .. })
+            && text(&IDEMPOTENCY_KEY).is_none_or(str::is_empty)
+        {
             return Err(bad("no Idempotency-Key\n"));
         }
-        let left = time_left(&headers).map_err(bad)?.map_or(rules.deadline, |left| left.min(rules.deadline));
+        let left = time_left(&headers)
+            .map_err(bad)?
+            .map_or(rules.deadline, |left| left.min(rules.deadline));
         // The answer has to be back before the client's time is up: the slack that answers have in the rules
         // is what the way back and a late wake-up may take.
-        let left = Duration::try_from_secs_f64(left - pool.figures.answer_slack).unwrap_or_default();
+        let left =
+            Duration::try_from_secs_f64(left - pool.figures.answer_slack).unwrap_or_default();
         drop(names);
         let flows = body.streamed().map(|_| left);
         let due = Instant::now() + flows.map_or(left, |_| FLOW_WITHIN);
-        let arrival = Arrival { class, flows, ..self.arrival(pool, &headers, due) };
+        let arrival = Arrival {
+            class,
+            flows,
+            ..self.arrival(pool, &headers, due)
+        };
         let path = uri.into_parts().path_and_query.ok_or(bad("no path\n"))?;
         let id = correlation_id(&headers).map_err(bad)?;
-        let id = self.shared.claim(id).ok_or((StatusCode::CONFLICT, ID_OPEN))?;
+        let id = self
+            .shared
+            .claim(id)
+            .ok_or((StatusCode::CONFLICT, ID_OPEN))?;
         strip_hop_by_hop(&mut headers);
         let message = Message {
             method,
@@ -106,13 +146,24 @@
     }
 
     /// What the module is told of a request by its headers; its class is the caller's to say.
-    pub(in crate::net) fn arrival(&self, pool: &Pool, headers: &HeaderMap, deadline: Instant) -> Arrival {
+    pub(in crate::net) fn arrival(
+        &self,
+        pool: &Pool,
+        headers: &HeaderMap,
+        deadline: Instant,
+    ) -> Arrival {
         let text = |name: &HeaderName| headers.get(name).and_then(|v| v.to_str().ok());
         Arrival {
             class: ClassId::MAX,
             tenant: text(&ACCOUNT).and_then(|name| pool.names.borrow().tenant(name)),
-            hint: text(&WEIGHT_HINT).and_then(|t| t.trim().parse::<f64>().ok()).map(|us| us / 1e6),
-            key: headers.get_all(header::COOKIE).iter().find_map(routing_key).map(stable_hash),
+            hint: text(&WEIGHT_HINT)
+                .and_then(|t| t.trim().parse::<f64>().ok())
+                .map(|us| us / 1e6),
+            key: headers
+                .get_all(header::COOKIE)
+                .iter()
+                .find_map(routing_key)
+                .map(stable_hash),
             deadline,
             flows: None,
         }
@@ -129,7 +180,9 @@
 
     /// Takes the id of a request, or of one entry of several, which has one made from it.
     pub(in crate::net) fn claim_correlation_id(
-        &self, headers: &mut HeaderMap, place: Option<usize>,
+        &self,
+        headers: &mut HeaderMap,
+        place: Option<usize>,
     ) -> Result<OpenId, &'static str> {
         self.ensure_correlation_id(headers);
         if let Some(place) = place {
@@ -145,7 +198,10 @@
 /// The id of a request.
 fn correlation_id(headers: &HeaderMap) -> Result<&[u8], &'static str> {
     let mut ids = headers.get_all(&CORRELATION_ID).iter();
-    let id = ids.next().map(HeaderValue::as_bytes).filter(|id| !id.is_empty());
+    let id = ids
+        .next()
+        .map(HeaderValue::as_bytes)
+        .filter(|id| !id.is_empty());
     match (id, ids.next()) {
         (Some(id), None) => Ok(id),
         (_, Some(_)) => Err("more than one X-Correlation-Id\n"),
@@ -155,9 +211,16 @@
 
 /// How long a client waits, if it says so, in seconds.
 pub(in crate::net) fn time_left(headers: &HeaderMap) -> Result<Option<Time>, &'static str> {
-    let Some(left) = headers.get(TIME_LEFT) else { return Ok(None) };
-    let left = left.to_str().ok().and_then(|t| t.trim().parse::<f64>().ok());
-    left.filter(|t| t.is_finite() && *t >= 0.0).map(Some).ok_or("X-Time-Left is no time\n")
+    let Some(left) = headers.get(TIME_LEFT) else {
+        return Ok(None);
+    };
+    let left = left
+        .to_str()
+        .ok()
+        .and_then(|t| t.trim().parse::<f64>().ok());
+    left.filter(|t| t.is_finite() && *t >= 0.0)
+        .map(Some)
+        .ok_or("X-Time-Left is no time\n")
 }
 
 /// Whether a method goes with what a second run would do. On the platform the method follows from the class; by a
@@ -173,8 +236,14 @@
 
 /// The cookie that says what a request is about.
 fn routing_key(cookies: &HeaderValue) -> Option<&str> {
-    let mut pairs = cookies.to_str().ok()?.split(';').filter_map(|pair| pair.trim().split_once('='));
-    pairs.find(|(name, _)| *name == "key").map(|(_, value)| value)
+    let mut pairs = cookies
+        .to_str()
+        .ok()?
+        .split(';')
+        .filter_map(|pair| pair.trim().split_once('='));
+    pairs
+        .find(|(name, _)| *name == "key")
+        .map(|(_, value)| value)
 }
 
 pub(in crate::net) fn strip_hop_by_hop(headers: &mut HeaderMap) {
--- a/crates/node/src/net/gate.rs
+++ b/crates/node/src/net/gate.rs
@@ -42,7 +42,12 @@
 
 impl Gate {
     pub fn new(methods: &'static [&'static [u8]]) -> Self {
-        Gate { methods, stage: Stage::Head, held: BytesMut::new(), scanned: 0 }
+        Gate {
+            methods,
+            stage: Stage::Head,
+            held: BytesMut::new(),
+            scanned: 0,
+        }
     }
 
     /// Room for what comes from the socket next; bounded, for what is held is let through or refused first.
@@ -121,7 +126,9 @@
                 Ok(None)
             };
         };
-        let Framing::Length(body) = framing else { return Ok(Some(Stage::Chunked)) };
+        let Framing::Length(body) = framing else {
+            return Ok(Some(Stage::Chunked));
+        };
         if let Some(behind) = head.checked_add(body).and_then(|end| self.held.get(end..)) {
             self.begins(behind)?;
         }
@@ -132,7 +139,10 @@
     fn begins(&self, with: &[u8]) -> Result<(), StatusCode> {
         // An empty line before a request is passed over by every server.
         let with = with.trim_ascii_start();
-        let fits = self.methods.iter().any(|m| m.iter().zip(with).all(|(a, b)| a == b));
+        let fits = self
+            .methods
+            .iter()
+            .any(|m| m.iter().zip(with).all(|(a, b)| a == b));
         fits.then_some(()).ok_or(StatusCode::BAD_REQUEST)
     }
 }
@@ -149,18 +159,25 @@
     let head = match request.parse(held) {
         Ok(httparse::Status::Complete(head)) => head,
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(httparse::Error::TooManyHeaders) => return Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE),
+        Err(httparse::Error::TooManyHeaders) => {
+            return Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE)
+        }
         Err(_) => return Err(StatusCode::BAD_REQUEST),
     };
     let named = |name: &str| {
-        let mut values = request.headers.iter().filter(|h| h.name.eq_ignore_ascii_case(name));
+        let mut values = request
+            .headers
+            .iter()
+            .filter(|h| h.name.eq_ignore_ascii_case(name));
         let first = values.next().map(|h| h.value);
         (first, values.next().is_some())
     };
     let framing = match (named("content-length"), named("transfer-encoding")) {
         ((None, _), (None, _)) => Framing::Length(0),
         ((Some(length), false), (None, _)) => Framing::Length(number(length)?),
-        ((None, _), (Some(coding), false)) if coding.eq_ignore_ascii_case(b"chunked") => Framing::Chunked,
+        ((None, _), (Some(coding), false)) if coding.eq_ignore_ascii_case(b"chunked") => {
+            Framing::Chunked
+        }
         _ => return Err(StatusCode::BAD_REQUEST),
     };
     Ok(Some((head, framing)))
@@ -171,6 +188,10 @@
     if text.is_empty() || !text.iter().all(u8::is_ascii_digit) {
         return Err(StatusCode::BAD_REQUEST);
     }
-    let length = std::str::from_utf8(text).ok().and_then(|t| t.parse::<usize>().ok());
-    length.filter(|n| *n as u64 <= FLOW_MOST).ok_or(StatusCode::PAYLOAD_TOO_LARGE)
+    let length = std::str::from_utf8(text)
+        .ok()
+        .and_then(|t| t.parse::<usize>().ok());
+    length
+        .filter(|n| *n as u64 <= FLOW_MOST)
+        .ok_or(StatusCode::PAYLOAD_TOO_LARGE)
 }
--- a/crates/node/src/net/graphql.rs
+++ b/crates/node/src/net/graphql.rs
@@ -78,15 +78,25 @@
 /// An answer of JSON text.
 fn text(status: u16, media: Media, body: impl Into<Bytes>) -> HttpResponse {
     let mut response = Response::new(ResponseBody::from(body.into()));
-    *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(media.content_type()));
+    *response.status_mut() =
+        StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    response.headers_mut().insert(
+        header::CONTENT_TYPE,
+        HeaderValue::from_static(media.content_type()),
+    );
     response
 }
 
 fn fault_response(media: Media, fault: &Fault) -> HttpResponse {
-    let mut response = text(media::status(media, fault.kind), media, answer::fault(fault).to_string());
+    let mut response = text(
+        media::status(media, fault.kind),
+        media,
+        answer::fault(fault).to_string(),
+    );
     if fault.kind == FaultKind::Method {
-        response.headers_mut().insert(header::ALLOW, HeaderValue::from_static("POST"));
+        response
+            .headers_mut()
+            .insert(header::ALLOW, HeaderValue::from_static("POST"));
     }
     response
 }
@@ -94,7 +104,11 @@
 impl Front {
     /// Answers a request to a GraphQL service.
     pub(super) async fn graphql(
-        self: &Rc<Self>, graphql: &GraphQl, chosen: AdmittedRequest, head: Parts, body: Incoming,
+        self: &Rc<Self>,
+        graphql: &GraphQl,
+        chosen: AdmittedRequest,
+        head: Parts,
+        body: Incoming,
         client: &Rc<Client>,
     ) -> HttpResponse {
         let (body, held) = match self.buffer_body(body, chosen.service.member).await {
@@ -118,7 +132,9 @@
             _ => {
                 let fault = Fault::new(FaultKind::Method, "GraphQL is served by GET and POST");
                 let mut response = fault_response(media, &fault);
-                response.headers_mut().insert(header::ALLOW, HeaderValue::from_static("GET, POST"));
+                response
+                    .headers_mut()
+                    .insert(header::ALLOW, HeaderValue::from_static("GET, POST"));
                 return response;
             }
         };
@@ -126,7 +142,10 @@
             Ok(asked) => asked,
             Err(fault) => return fault_response(media, &fault),
         };
-        let (left, path) = match (super::front::time_left(&head.headers), head.uri.path_and_query()) {
+        let (left, path) = match (
+            super::front::time_left(&head.headers),
+            head.uri.path_and_query(),
+        ) {
             (Ok(left), Some(path)) => (left, path.clone()),
             (Err(mistake), _) => {
                 return fault_response(media, &Fault::new(FaultKind::Request, mistake.trim()))
@@ -136,45 +155,89 @@
         let get = head.method == Method::GET;
         let held = held.map(Rc::new);
         let waiter: Rc<dyn Waiter> = client.clone();
-        let head = Head { headers: head.headers, path, get, left, taken, waiter };
+        let head = Head {
+            headers: head.headers,
+            path,
+            get,
+            left,
+            taken,
+            waiter,
+        };
         match asked {
-            Asked::One(params) => match graphql.ready(&params, (!get).then(|| body.clone()), &head) {
-                Ok(ready) => self.answer_one(graphql, chosen, held, &head, ready, media).await,
+            Asked::One(params) => match graphql.ready(&params, (!get).then(|| body.clone()), &head)
+            {
+                Ok(ready) => {
+                    self.answer_one(graphql, chosen, held, &head, ready, media)
+                        .await
+                }
                 Err(fault) => fault_response(media, &fault),
             },
             Asked::Batch(entries) => {
-                let texts = entries.iter().map(|(params, text)| (params, body.slice_ref(text.as_bytes())));
-                let ready = texts.map(|(params, text)| graphql.ready(params, Some(text), &head)).collect();
+                let texts = entries
+                    .iter()
+                    .map(|(params, text)| (params, body.slice_ref(text.as_bytes())));
+                let ready = texts
+                    .map(|(params, text)| graphql.ready(params, Some(text), &head))
+                    .collect();
                 drop(entries);
-                self.answer_batch(graphql, chosen, held, &head, ready, media).await
+                self.answer_batch(graphql, chosen, held, &head, ready, media)
+                    .await
             }
         }
     }
 
     /// Hands an operation to the module and waits for its end.
     async fn run_operation(
-        self: &Rc<Self>, context: &OperationContext<'_>, ready: Ready, place: Option<usize>,
+        self: &Rc<Self>,
+        context: &OperationContext<'_>,
+        ready: Ready,
+        place: Option<usize>,
         holds: HeldResources,
     ) -> Result<Reply, &'static str> {
-        let OperationContext { graphql, pool, head, until } = *context;
+        let OperationContext {
+            graphql,
+            pool,
+            head,
+            until,
+        } = *context;
         let HeldResources { held, admitted } = holds;
         let mut headers = head.headers.clone();
-        let deadline = pool.classes.get(usize::from(ready.class)).map_or(0.0, |c| c.deadline);
+        let deadline = pool
+            .classes
+            .get(usize::from(ready.class))
+            .map_or(0.0, |c| c.deadline);
         let left = head.left.map_or(deadline, |left| left.min(deadline));
-        let from = if place.is_some() { Instant::now() } else { head.taken };
+        let from = if place.is_some() {
+            Instant::now()
+        } else {
+            head.taken
+        };
         let slack = pool.figures.answer_slack;
         let due = from + Duration::try_from_secs_f64(left - slack).unwrap_or_default();
         let due = until.map_or(due, |until| due.min(until));
         let id = self.claim_correlation_id(&mut headers, place)?;
         let hint = graphql.field_work * ready.operation.cost as f64;
-        let arrival = Arrival { class: ready.class, hint: Some(hint), ..self.arrival(pool, &headers, due) };
+        let arrival = Arrival {
+            class: ready.class,
+            hint: Some(hint),
+            ..self.arrival(pool, &headers, due)
+        };
         super::front::strip_hop_by_hop(&mut headers);
         // In the older type a server tells a client's mistakes with 200, which is plainly an answer.
         headers.insert(header::ACCEPT, HeaderValue::from_static("application/json"));
         if ready.method == Method::POST {
-            headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
+            headers.insert(
+                header::CONTENT_TYPE,
+                HeaderValue::from_static("application/json"),
+            );
         }
-        let Ready { method, path, body, operation, .. } = ready;
+        let Ready {
+            method,
+            path,
+            body,
+            operation,
+            ..
+        } = ready;
         let validator: Option<Box<dyn AnswerValidator>> = Some(Box::new(IsAnswer(operation)));
         let (body, waiter) = (Payload::Buffered(body), head.waiter.clone());
         let message = Message {
@@ -201,15 +264,31 @@
     }
 
     async fn answer_one(
-        self: &Rc<Self>, graphql: &GraphQl, chosen: AdmittedRequest, held: Option<Rc<MemoryPermit>>,
-        head: &Head, ready: Ready, media: Media,
+        self: &Rc<Self>,
+        graphql: &GraphQl,
+        chosen: AdmittedRequest,
+        held: Option<Rc<MemoryPermit>>,
+        head: &Head,
+        ready: Ready,
+        media: Media,
     ) -> HttpResponse {
-        let AdmittedRequest { service, admitted, .. } = chosen;
-        let context = OperationContext { graphql, pool: &service.pool, head, until: None };
-        match self.run_operation(&context, ready, None, HeldResources { held, admitted }).await {
+        let AdmittedRequest {
+            service, admitted, ..
+        } = chosen;
+        let context = OperationContext {
+            graphql,
+            pool: &service.pool,
+            head,
+            until: None,
+        };
+        match self
+            .run_operation(&context, ready, None, HeldResources { held, admitted })
+            .await
+        {
             Ok(reply) => single(reply, media),
             Err(mistake) => {
-                let mut response = fault_response(media, &Fault::new(FaultKind::Request, mistake.trim()));
+                let mut response =
+                    fault_response(media, &Fault::new(FaultKind::Request, mistake.trim()));
                 if mistake == super::front::ID_OPEN {
                     *response.status_mut() = StatusCode::CONFLICT;
                 }
@@ -220,21 +299,39 @@
 
     /// Runs a batch: all under one deadline, and one answer.
     async fn answer_batch(
-        self: &Rc<Self>, graphql: &GraphQl, chosen: AdmittedRequest, held: Option<Rc<MemoryPermit>>,
-        head: &Head, ready: Vec<Result<Ready, Fault>>, media: Media,
+        self: &Rc<Self>,
+        graphql: &GraphQl,
+        chosen: AdmittedRequest,
+        held: Option<Rc<MemoryPermit>>,
+        head: &Head,
+        ready: Vec<Result<Ready, Fault>>,
+        media: Media,
     ) -> HttpResponse {
-        let AdmittedRequest { service, admitted, .. } = chosen;
+        let AdmittedRequest {
+            service, admitted, ..
+        } = chosen;
         let pool = &service.pool;
         // The batch has been admitted as one request: that goes to the entry that starts first.
         let mut first = Some(admitted);
-        let longest = ready.iter().filter_map(|r| pool.classes.get(usize::from(r.as_ref().ok()?.class)));
+        let longest = ready
+            .iter()
+            .filter_map(|r| pool.classes.get(usize::from(r.as_ref().ok()?.class)));
         let longest = longest.map(|c| c.deadline).fold(0.0, f64::max);
         let left = head.left.map_or(longest, |left| left.min(longest));
-        let until =
-            head.taken + Duration::try_from_secs_f64(left - pool.figures.answer_slack).unwrap_or_default();
-        let context = OperationContext { graphql, pool, head, until: Some(until) };
-        let writes = ready.iter().map(|r| r.as_ref().is_ok_and(|r| !graphql.classes.safe(&r.operation)));
-        let mut batch: Batch<EntryAnswer> = Batch::new(writes.collect::<Vec<_>>(), graphql.side_by_side);
+        let until = head.taken
+            + Duration::try_from_secs_f64(left - pool.figures.answer_slack).unwrap_or_default();
+        let context = OperationContext {
+            graphql,
+            pool,
+            head,
+            until: Some(until),
+        };
+        let writes = ready.iter().map(|r| {
+            r.as_ref()
+                .is_ok_and(|r| !graphql.classes.safe(&r.operation))
+        });
+        let mut batch: Batch<EntryAnswer> =
+            Batch::new(writes.collect::<Vec<_>>(), graphql.side_by_side);
         let mut ready: Vec<Option<Result<Ready, Fault>>> = ready.into_iter().map(Some).collect();
         // Dropped with the client's connection: whatever runs is given up, and nothing new starts.
         let mut running = FuturesUnordered::new();
@@ -250,7 +347,10 @@
                             batch.done(entry, Fate::Refused(advice(service.retry_after.get())));
                             continue;
                         };
-                        let holds = HeldResources { held: held.clone(), admitted };
+                        let holds = HeldResources {
+                            held: held.clone(),
+                            admitted,
+                        };
                         let run = self.run_operation(&context, ready, Some(entry), holds);
                         running.push(async move { (entry, run.await) });
                     }
@@ -266,8 +366,8 @@
                 continue;
             }
             // The entries end by themselves at the deadline; this is for whatever does not.
-            let guard =
-                until + Duration::try_from_secs_f64(pool.figures.answer_slack / 2.0).unwrap_or_default();
+            let guard = until
+                + Duration::try_from_secs_f64(pool.figures.answer_slack / 2.0).unwrap_or_default();
             match timeout_at(guard.into(), running.next()).await {
                 Ok(Some((entry, reply))) => batch.done(entry, fate(reply)),
                 _ => {
@@ -302,7 +402,10 @@
 }
 
 fn entry_answer(answer: &Value) -> Fate<EntryAnswer> {
-    Fate::Answered(EntryAnswer { text: Bytes::from(answer.to_string()), _memory: None })
+    Fate::Answered(EntryAnswer {
+        text: Bytes::from(answer.to_string()),
+        _memory: None,
+    })
 }
 
 fn fate(reply: Result<Reply, &'static str>) -> Fate<EntryAnswer> {
@@ -310,11 +413,17 @@
         // The attempt has found that it is an answer, so it is JSON.
         Ok(Reply::Served(answer)) => {
             let Answer { body, _memory, .. } = *answer;
-            Fate::Answered(EntryAnswer { text: body, _memory })
+            Fate::Answered(EntryAnswer {
+                text: body,
+                _memory,
+            })
         }
         Ok(Reply::Refused { retry_after }) => Fate::Refused(retry_after),
         Ok(Reply::Failed(_)) => Fate::Failed,
-        Err(mistake) => entry_answer(&answer::fault(&Fault::new(FaultKind::Request, mistake.trim()))),
+        Err(mistake) => entry_answer(&answer::fault(&Fault::new(
+            FaultKind::Request,
+            mistake.trim(),
+        ))),
     }
 }
 
@@ -323,7 +432,11 @@
         Reply::Served(answer) => {
             // An answer without data is of a request that was not run; the newer type tells that by its status.
             let data = serde_json::from_slice::<Data>(&answer.body).is_ok_and(|d| d.data.is_some());
-            let status = if media == Media::Response && !data { 400 } else { 200 };
+            let status = if media == Media::Response && !data {
+                400
+            } else {
+                200
+            };
             let mut response = text(status, media, Bytes::new());
             *response.body_mut() = ResponseBody::from(answer.body);
             return response;
@@ -336,7 +449,11 @@
         Fate::Refused(after) => after,
         _ => None,
     };
-    let mut response = text(status, media, answer::made(&fate).unwrap_or_default().to_string());
+    let mut response = text(
+        status,
+        media,
+        answer::made(&fate).unwrap_or_default().to_string(),
+    );
     retry_after(&mut response, after);
     response
 }
@@ -348,6 +465,8 @@
     data: Option<serde::de::IgnoredAny>,
 }
 
-fn some<'de, D: serde::Deserializer<'de>>(from: D) -> Result<Option<serde::de::IgnoredAny>, D::Error> {
+fn some<'de, D: serde::Deserializer<'de>>(
+    from: D,
+) -> Result<Option<serde::de::IgnoredAny>, D::Error> {
     serde::Deserialize::deserialize(from).map(Some)
 }
--- a/crates/node/src/net/ledger.rs
+++ b/crates/node/src/net/ledger.rs
@@ -27,11 +27,18 @@
     /// The ledger in a folder; `name` tells the node from others that may share the folder.
     pub fn new(folder: &Path, name: &str) -> Self {
         let at = |end: &str| folder.join(format!("reelfall-{name}.{end}"));
-        LedgerFile { file: at("ledger"), lock: at("lock"), replacement: at("ledger.new"), last_read: None }
+        LedgerFile {
+            file: at("ledger"),
+            lock: at("lock"),
+            replacement: at("ledger.new"),
+            last_read: None,
+        }
     }
 
     fn version(&self) -> Option<FileVersion> {
-        fs::metadata(&self.file).ok().map(|m| (m.ino(), m.mtime(), m.mtime_nsec(), m.size()))
+        fs::metadata(&self.file)
+            .ok()
+            .map(|m| (m.ino(), m.mtime(), m.mtime_nsec(), m.size()))
     }
 
     /// What was written since this was asked last; `None` if nothing was.
@@ -64,8 +71,12 @@
     /// # Errors
     /// If it can't be written; then what was there is there still.
     pub fn change(&mut self, own: &Ledger, change: impl FnOnce(&mut Ledger)) -> io::Result<Ledger> {
-        let lock =
-            OpenOptions::new().create(true).truncate(false).write(true).mode(0o600).open(&self.lock)?;
+        let lock = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .mode(0o600)
+            .open(&self.lock)?;
         let mut attempts = 0;
         while let Err(e) = flock(&lock, FlockOperation::NonBlockingLockExclusive) {
             attempts += 1;
@@ -76,8 +87,12 @@
         }
         let mut ledger = self.read().ok().flatten().unwrap_or_else(|| own.clone());
         change(&mut ledger);
-        let mut replacement =
-            OpenOptions::new().create(true).truncate(true).write(true).mode(0o600).open(&self.replacement)?;
+        let mut replacement = OpenOptions::new()
+            .create(true)
+            .truncate(true)
+            .write(true)
+            .mode(0o600)
+            .open(&self.replacement)?;
         replacement.write_all(ledger.encode().as_bytes())?;
         fs::rename(&self.replacement, &self.file)?;
         self.last_read = self.version();
--- a/crates/node/src/net/management.rs
+++ b/crates/node/src/net/management.rs
@@ -37,7 +37,8 @@
 
 /// The path of a request with its query.
 fn path_and_query(uri: &Uri) -> String {
-    uri.path_and_query().map_or_else(String::new, ToString::to_string)
+    uri.path_and_query()
+        .map_or_else(String::new, ToString::to_string)
 }
 
 /// The management address of a node.
@@ -57,18 +58,28 @@
     /// Loads the ledger of the node of this name from `folder`; without a folder, bans and drains last as long as the
     /// process.
     pub fn new(
-        shared: Rc<Shared>, folder: Option<&Path>, name: &str, ready: Box<dyn Fn() -> bool>,
+        shared: Rc<Shared>,
+        folder: Option<&Path>,
+        name: &str,
+        ready: Box<dyn Fn() -> bool>,
         fleet: Option<FleetHandler>,
     ) -> Rc<Self> {
         let ledger_file = folder.map(|folder| LedgerFile::new(folder, name));
-        let management = Management { shared, ledger_file: RefCell::new(ledger_file), ready, fleet };
+        let management = Management {
+            shared,
+            ledger_file: RefCell::new(ledger_file),
+            ready,
+            fleet,
+        };
         management.reload_ledger();
         Rc::new(management)
     }
 
     /// Applies what other processes of this node have written to the ledger.
     fn reload_ledger(&self) {
-        let Some(ledger_file) = &mut *self.ledger_file.borrow_mut() else { return };
+        let Some(ledger_file) = &mut *self.ledger_file.borrow_mut() else {
+            return;
+        };
         match ledger_file.read_if_changed() {
             Ok(Some(ledger)) => self.shared.apply_operations(ledger),
             Ok(None) => {}
@@ -94,7 +105,10 @@
             match TcpListener::bind(address).await {
                 Ok(listener) => break listener,
                 // Another's, or an earlier life's: clients are served meanwhile.
-                Err(e) => self.shared.log.write_line(format_args!("operators' address {address}: {e}")),
+                Err(e) => self
+                    .shared
+                    .log
+                    .write_line(format_args!("operators' address {address}: {e}")),
             }
             sleep(BIND_RETRY_INTERVAL).await;
         };
@@ -115,7 +129,8 @@
                 callers.pop_front();
             }
             let management = self.clone();
-            let task = tokio::task::spawn_local(async move { management.serve_connection(stream).await });
+            let task =
+                tokio::task::spawn_local(async move { management.serve_connection(stream).await });
             callers.push_back(AbortOnDrop(task.abort_handle()));
         }
     }
@@ -135,20 +150,30 @@
     }
 
     fn answer(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
-        let (status, text) =
-            match ManagementRequest::parse(request.method().as_str(), &path_and_query(request.uri())) {
-                Err(error) => error_response(error),
-                Ok(_) if request.body().size_hint().lower() > 0 => {
-                    (StatusCode::BAD_REQUEST, "calls have no body\n".to_owned())
-                }
-                Ok(request) => self.execute(&request),
-            };
+        let (status, text) = match ManagementRequest::parse(
+            request.method().as_str(),
+            &path_and_query(request.uri()),
+        ) {
+            Err(error) => error_response(error),
+            Ok(_) if request.body().size_hint().lower() > 0 => {
+                (StatusCode::BAD_REQUEST, "calls have no body\n".to_owned())
+            }
+            Ok(request) => self.execute(&request),
+        };
         let mut response = Response::new(Full::new(Bytes::from(text)));
         *response.status_mut() = status;
-        response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
+        response
+            .headers_mut()
+            .insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
         if status == StatusCode::METHOD_NOT_ALLOWED {
-            let other = if request.method() == Method::POST { "GET" } else { "POST" };
-            response.headers_mut().insert(header::ALLOW, HeaderValue::from_static(other));
+            let other = if request.method() == Method::POST {
+                "GET"
+            } else {
+                "POST"
+            };
+            response
+                .headers_mut()
+                .insert(header::ALLOW, HeaderValue::from_static(other));
         }
         response
     }
@@ -158,17 +183,26 @@
         let ok = |text: String| (StatusCode::OK, text);
         match request {
             ManagementRequest::Ready if (self.ready)() => ok("ready\n".to_owned()),
-            ManagementRequest::Ready => (StatusCode::SERVICE_UNAVAILABLE, "not ready yet\n".to_owned()),
+            ManagementRequest::Ready => (
+                StatusCode::SERVICE_UNAVAILABLE,
+                "not ready yet\n".to_owned(),
+            ),
             ManagementRequest::Fleet(request) => match &self.fleet {
                 Some(handler) => handler(request),
-                None => (StatusCode::NOT_FOUND, "this node is part of no fleet\n".to_owned()),
+                None => (
+                    StatusCode::NOT_FOUND,
+                    "this node is part of no fleet\n".to_owned(),
+                ),
             },
             ManagementRequest::Drain => self.write(|l| l.drain.begin(now), "draining\n"),
             ManagementRequest::Resume => self.write(|l| l.drain.end(), "serving\n"),
             ManagementRequest::Disable(name) | ManagementRequest::Enable(name)
                 if !self.shared.knows(name) =>
             {
-                (StatusCode::NOT_FOUND, "no list has named such a server\n".to_owned())
+                (
+                    StatusCode::NOT_FOUND,
+                    "no list has named such a server\n".to_owned(),
+                )
             }
             ManagementRequest::Disable(name) => {
                 let mut result = Ok(());
@@ -207,8 +241,9 @@
             Err(e) => {
                 change(&mut ledger);
                 self.shared.apply_operations(ledger);
-                let text =
-                    format!("in force in this process, but not written down, so it ends with it: {e}\n");
+                let text = format!(
+                    "in force in this process, but not written down, so it ends with it: {e}\n"
+                );
                 (StatusCode::INTERNAL_SERVER_ERROR, text)
             }
         }
@@ -217,5 +252,8 @@
 
 /// The answer to a request that is rejected.
 fn error_response(error: RequestError) -> (StatusCode, String) {
-    (StatusCode::from_u16(error.status()).unwrap_or_default(), format!("{error}\n"))
+    (
+        StatusCode::from_u16(error.status()).unwrap_or_default(),
+        format!("{error}\n"),
+    )
 }
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -43,14 +43,22 @@
         let (clients, upstream, body_kib) = reelfall_conf::check::parts(sockets, memory_mb);
         // What flows has its buffers beside what is held, and in an upgrade there are two processes.
         let body_kib = body_kib * 2 / 3;
-        Bounds { clients, upstream, body_kib }
+        Bounds {
+            clients,
+            upstream,
+            body_kib,
+        }
     }
 }
 
 impl Bounds {
     /// What each of two processes of one node may hold while they serve beside each other.
     pub fn halved(self) -> Self {
-        Bounds { clients: self.clients / 2, upstream: self.upstream / 2, body_kib: self.body_kib / 2 }
+        Bounds {
+            clients: self.clients / 2,
+            upstream: self.upstream / 2,
+            body_kib: self.body_kib / 2,
+        }
     }
 }
 
@@ -123,7 +131,11 @@
     /// Writes a line, or drops it if the rate limit is reached.
     pub fn write_line(&self, line: std::fmt::Arguments) {
         let now = Instant::now();
-        if self.window_start.get().is_none_or(|start| now - start >= Self::WINDOW) {
+        if self
+            .window_start
+            .get()
+            .is_none_or(|start| now - start >= Self::WINDOW)
+        {
             self.window_start.set(Some(now));
             self.lines_in_window.set(0);
         }
--- a/crates/node/src/net/operations.rs
+++ b/crates/node/src/net/operations.rs
@@ -52,7 +52,10 @@
     /// Finds what a request runs and how it goes to a server. `raw` is its text, where it came as a body.
     pub fn ready(&self, params: &Params, raw: Option<Bytes>, head: &Head) -> Result<Ready, Fault> {
         let hash = params.persisted()?;
-        let text = self.persisted.borrow_mut().resolve(params.query.as_deref(), hash)?;
+        let text = self
+            .persisted
+            .borrow_mut()
+            .resolve(params.query.as_deref(), hash)?;
         let name = params.operation_name.as_deref();
         let operation = operation(&text, name, &params.variables, &self.limits)?;
         if head.get && operation.kind == Kind::Mutation {
@@ -72,11 +75,20 @@
             (true, Some(raw)) => (Method::POST, path, raw),
             (true, None) => (Method::GET, path, Bytes::new()),
             (false, _) => {
-                let path = path.path().parse().map_err(|_| Fault::new(FaultKind::Request, "no path"))?;
+                let path = path
+                    .path()
+                    .parse()
+                    .map_err(|_| Fault::new(FaultKind::Request, "no path"))?;
                 (Method::POST, path, written(&text, params))
             }
         };
-        Ok(Ready { class, operation, method, path, body })
+        Ok(Ready {
+            class,
+            operation,
+            method,
+            path,
+            body,
+        })
     }
 }
 
--- a/crates/node/src/net/pool.rs
+++ b/crates/node/src/net/pool.rs
@@ -87,8 +87,13 @@
     /// # Errors
     /// Says which setting cannot be used.
     pub fn new(
-        settings: Settings, names: Vocabulary, figures: Figures, seed: u64, missing: Missing,
-        shared: Rc<Shared>, member: Option<Member>,
+        settings: Settings,
+        names: Vocabulary,
+        figures: Figures,
+        seed: u64,
+        missing: Missing,
+        shared: Rc<Shared>,
+        member: Option<Member>,
     ) -> Result<Rc<Self>, String> {
         let (classes, conn_idle) = (settings.classes.clone(), settings.limits.conn_idle);
         let (max_attempts, discovery) = (settings.limits.max_attempts, settings.discovery);
@@ -116,7 +121,8 @@
             discovery,
             rng: SeededRng::new(seed),
         });
-        pool.shared.register_pool(pool.id, &(pool.clone() as Rc<dyn Peer>));
+        pool.shared
+            .register_pool(pool.id, &(pool.clone() as Rc<dyn Peer>));
         Ok(pool)
     }
 
@@ -132,7 +138,9 @@
 
     /// Seconds since the source of the list was last heard, where that tells how old the list is.
     pub fn list_age(&self) -> Option<Time> {
-        self.heard.get().map(|heard| (self.shared.clock.now() - heard).max(0.0))
+        self.heard
+            .get()
+            .map(|heard| (self.shared.clock.now() - heard).max(0.0))
     }
 
     /// Where a server of this list is, where several pools may list it.
@@ -142,7 +150,11 @@
 
     /// What the module has learned, for a process that takes over.
     pub fn learned(&self) -> serde_json::Value {
-        let learned = self.engine.borrow().module().learned(self.shared.clock.now());
+        let learned = self
+            .engine
+            .borrow()
+            .module()
+            .learned(self.shared.clock.now());
         // Numbers and plain lists always have a form.
         serde_json::to_value(learned).unwrap_or_default()
     }
@@ -150,8 +162,14 @@
     /// Restores what another process has learned; what can't be read is left.
     pub fn restore_learned(&self, learned: &serde_json::Value) {
         match Learned::deserialize(learned) {
-            Ok(learned) => self.engine.borrow_mut().adopt(self.shared.clock.now(), &learned),
-            Err(e) => self.shared.log.write_line(format_args!("what was learned can't be read: {e}")),
+            Ok(learned) => self
+                .engine
+                .borrow_mut()
+                .adopt(self.shared.clock.now(), &learned),
+            Err(e) => self
+                .shared
+                .log
+                .write_line(format_args!("what was learned can't be read: {e}")),
         }
     }
 
@@ -161,13 +179,34 @@
     }
 
     /// Accepts a request. Its final answer comes over the channel.
-    pub fn submit(self: &Rc<Self>, message: Message, a: Arrival) -> (RequestId, oneshot::Receiver<Reply>) {
+    pub fn submit(
+        self: &Rc<Self>,
+        message: Message,
+        a: Arrival,
+    ) -> (RequestId, oneshot::Receiver<Reply>) {
         let (reply, answer) = oneshot::channel();
-        let Arrival { class, tenant, hint, key, deadline, flows } = a;
+        let Arrival {
+            class,
+            tenant,
+            hint,
+            key,
+            deadline,
+            flows,
+        } = a;
         let deadline = self.shared.clock.time(deadline);
         let flows = flows.map(|flows| flows.as_secs_f64());
-        let arrival = engine::Arrival { class, tenant, hint, key, deadline, flows };
-        let ticket = Ticket { message: Rc::new(message), task: None };
+        let arrival = engine::Arrival {
+            class,
+            tenant,
+            hint,
+            key,
+            deadline,
+            flows,
+        };
+        let ticket = Ticket {
+            message: Rc::new(message),
+            task: None,
+        };
         let id = self.dispatch(|engine, now, out| engine.submit(now, ticket, reply, arrival, out));
         (id, answer)
     }
@@ -179,10 +218,15 @@
 
     /// Tells the engine something and applies what it wants done.
     fn dispatch<R>(
-        self: &Rc<Self>, what: impl FnOnce(&mut Engine<Wire>, Time, &mut Vec<Command<Wire>>) -> R,
+        self: &Rc<Self>,
+        what: impl FnOnce(&mut Engine<Wire>, Time, &mut Vec<Command<Wire>>) -> R,
     ) -> R {
         let mut commands = self.commands.take();
-        let result = what(&mut self.engine.borrow_mut(), self.shared.clock.now(), &mut commands);
+        let result = what(
+            &mut self.engine.borrow_mut(),
+            self.shared.clock.now(),
+            &mut commands,
+        );
         for command in commands.drain(..) {
             self.apply(command);
         }
@@ -192,17 +236,32 @@
 
     fn apply(self: &Rc<Self>, command: Command<Wire>) {
         match command {
-            Command::Send { request, attempt, server, starts_by, expires } => {
+            Command::Send {
+                request,
+                attempt,
+                server,
+                starts_by,
+                expires,
+            } => {
                 let mut engine = self.engine.borrow_mut();
-                let Some(ticket) = engine.payload(request) else { return };
+                let Some(ticket) = engine.payload(request) else {
+                    return;
+                };
                 let (pool, message) = (self.clone(), ticket.message.clone());
                 let clock = &self.shared.clock;
-                let times = Times { starts_by: clock.instant(starts_by), expires: clock.instant(expires) };
+                let times = Times {
+                    starts_by: clock.instant(starts_by),
+                    expires: clock.instant(expires),
+                };
                 let run = upstream::attempt(pool, request, attempt, server, message, times);
                 ticket.task = Some(tokio::task::spawn_local(run).abort_handle());
             }
             Command::Abort { request, .. } => {
-                let task = self.engine.borrow_mut().payload(request).and_then(|t| t.task.take());
+                let task = self
+                    .engine
+                    .borrow_mut()
+                    .payload(request)
+                    .and_then(|t| t.task.take());
                 if let Some(task) = task {
                     task.abort();
                 }
@@ -238,7 +297,10 @@
 
     fn wanted(&self, request: RequestId) -> bool {
         let mut engine = self.engine.borrow_mut();
-        engine.wanted(request) && engine.payload(request).is_some_and(|t| !t.message.waiter.has_left())
+        engine.wanted(request)
+            && engine
+                .payload(request)
+                .is_some_and(|t| !t.message.waiter.has_left())
     }
 
     fn retried(&self, request: RequestId) -> bool {
--- a/crates/node/src/net/pool/list.rs
+++ b/crates/node/src/net/pool/list.rs
@@ -22,18 +22,28 @@
 
 impl ServerList {
     pub(super) fn new(listed: ListedByPool) -> ServerList {
-        ServerList { places: HashMap::new(), at: HashMap::new(), listed }
+        ServerList {
+            places: HashMap::new(),
+            at: HashMap::new(),
+            listed,
+        }
     }
 
     /// Adds a server, or replaces it. `name` and `start_ms` identify its instance, as in [`reelfall_fleet::entry::ServerInstance`].
     fn insert(
-        &mut self, place: &Place<SocketAddr>, name: Option<&str>, start_ms: u64,
+        &mut self,
+        place: &Place<SocketAddr>,
+        name: Option<&str>,
+        start_ms: u64,
     ) -> Option<Place<SocketAddr>> {
         let old = self.remove(place.entry.server);
         if let Some(name) = name {
             self.listed.insert(place.entry.server, name, start_ms);
         }
-        self.at.entry(place.address).or_default().push(place.entry.server);
+        self.at
+            .entry(place.address)
+            .or_default()
+            .push(place.entry.server);
         self.places.insert(place.entry.server, place.clone());
         old
     }
@@ -52,7 +62,11 @@
 
     /// The servers that the list has at an address.
     pub(super) fn at(&self, address: &SocketAddr) -> impl Iterator<Item = &Place<SocketAddr>> {
-        self.at.get(address).into_iter().flatten().filter_map(|s| self.places.get(s))
+        self.at
+            .get(address)
+            .into_iter()
+            .flatten()
+            .filter_map(|s| self.places.get(s))
     }
 
     pub(super) fn has(&self, address: &SocketAddr) -> bool {
@@ -81,7 +95,10 @@
             weight: server.weight,
             ready_at: Some(ready_at),
         };
-        Place { entry: self.names.borrow_mut().entry(&listed), address: server.address }
+        Place {
+            entry: self.names.borrow_mut().entry(&listed),
+            address: server.address,
+        }
     }
 
     /// Takes in a list, or a change of it.
@@ -89,7 +106,9 @@
         let changed = self.merge_lists(list, &mut places);
         self.dispatch(|engine, now, out| engine.members(now, list, places, out));
         self.listed.notify_waiters();
-        changed.into_iter().for_each(|address| self.shared.notify_listing_changed(address, Some(self.id)));
+        changed
+            .into_iter()
+            .for_each(|address| self.shared.notify_listing_changed(address, Some(self.id)));
     }
 
     /// Combines this list with those of other pools. Returns the addresses that other pools have to be told of.
@@ -104,9 +123,16 @@
         };
         if matches!(list, ListKind::Full | ListKind::Cached) {
             let named: HashSet<ServerId> = places.iter().map(|p| p.entry.server).collect();
-            let missing: Vec<ServerId> =
-                own.places.keys().filter(|id| !named.contains(id)).copied().collect();
-            let missing: Vec<_> = missing.into_iter().filter_map(|id| own.remove(id)).collect();
+            let missing: Vec<ServerId> = own
+                .places
+                .keys()
+                .filter(|id| !named.contains(id))
+                .copied()
+                .collect();
+            let missing: Vec<_> = missing
+                .into_iter()
+                .filter_map(|id| own.remove(id))
+                .collect();
             for p in missing.iter().filter(|p| !own.has(&p.address)) {
                 let gone = self.listed_state(ServerStatus::Gone, p.entry.ready_at);
                 update_listing(p.address, (self.missing == Missing::Ended).then_some(gone));
@@ -123,7 +149,9 @@
                     own.insert(place, name, self.start_ms(place.entry.ready_at))
                 }
             };
-            if let Some(old) = old.filter(|old| old.address != place.address && !own.has(&old.address)) {
+            if let Some(old) =
+                old.filter(|old| old.address != place.address && !own.has(&old.address))
+            {
                 update_listing(old.address, None);
                 self.withheld.borrow_mut().remove(&old.address);
             }
@@ -138,7 +166,11 @@
     }
 
     fn listed_state(&self, status: ServerStatus, ready_at: Time) -> ListedState {
-        ListedState { status, ready_at, knows_start: self.missing == Missing::Ended }
+        ListedState {
+            status,
+            ready_at,
+            knows_start: self.missing == Missing::Ended,
+        }
     }
 
     /// Adjusts a server of this list to the lists of other pools, and to the bans, which come before all.
@@ -148,7 +180,9 @@
         }
         let entry = &mut place.entry;
         let names = self.names.borrow();
-        let Some(name) = names.servers.name(entry.server) else { return };
+        let Some(name) = names.servers.name(entry.server) else {
+            return;
+        };
         entry.sharers *= self.shared.processes();
         let ban = self.shared.ban_status(name, entry.ready_at);
         entry.ready_at = ban.ready_at;
@@ -160,10 +194,15 @@
     fn adjust_to_lists(&self, place: &mut Place<SocketAddr>) {
         let Place { entry, address } = place;
         let own = self.listed_state(status(entry.state), entry.ready_at);
-        let view = self.shared.combined_view(self.id, *address, own, self.warm_after);
+        let view = self
+            .shared
+            .combined_view(self.id, *address, own, self.warm_after);
         (entry.sharers, entry.ready_at) = (view.sharers, view.ready_at);
         let mut withheld = self.withheld.borrow_mut();
-        match view.withheld_until.filter(|_| entry.state == ServerState::Up) {
+        match view
+            .withheld_until
+            .filter(|_| entry.state == ServerState::Up)
+        {
             Some(until) => drop(withheld.insert(*address, until)),
             None => drop(withheld.remove(address)),
         }
--- a/crates/node/src/net/pool/outcome.rs
+++ b/crates/node/src/net/pool/outcome.rs
@@ -13,7 +13,10 @@
             Missing::Unused => 0.0,
         };
         let name = self.names.borrow().servers.name(server)?.to_owned();
-        Some(ServerInstance { name, since: self.start_ms(ready_at) })
+        Some(ServerInstance {
+            name,
+            since: self.start_ms(ready_at),
+        })
     }
 
     /// The start that identifies the instance of a server among all nodes, in milliseconds; 0 for long ago. A list that is
@@ -27,11 +30,19 @@
 
     /// Tells the fleet's observer how an attempt ended.
     pub(super) fn report_outcome(&self, request: RequestId, attempt: u32, outcome: Outcome) {
-        let Some(observer) = self.shared.fleet_observer() else { return };
-        let Some((server, class, sent)) = self.engine.borrow().attempt_of(request, attempt) else { return };
-        let Some(aim) = self.classes.get(usize::from(class)).map(|c| c.aim) else { return };
+        let Some(observer) = self.shared.fleet_observer() else {
+            return;
+        };
+        let Some((server, class, sent)) = self.engine.borrow().attempt_of(request, attempt) else {
+            return;
+        };
+        let Some(aim) = self.classes.get(usize::from(class)).map(|c| c.aim) else {
+            return;
+        };
         let waited = self.shared.clock.now() - sent;
-        let Some(attempt) = attempt_outcome(outcome, waited, aim) else { return };
+        let Some(attempt) = attempt_outcome(outcome, waited, aim) else {
+            return;
+        };
         if let Some(instance) = self.instance_of(server) {
             observer.attempt_ended(instance, attempt);
         }
--- a/crates/node/src/net/pool/peer.rs
+++ b/crates/node/src/net/pool/peer.rs
@@ -26,7 +26,8 @@
         let now = self.shared.clock.now();
         let warm = |(address, until): (&SocketAddr, &Time)| (*until <= now).then_some(*address);
         let warm: Vec<SocketAddr> = self.withheld.borrow().iter().filter_map(warm).collect();
-        warm.into_iter().for_each(|address| self.clone().listing_changed(address));
+        warm.into_iter()
+            .for_each(|address| self.clone().listing_changed(address));
     }
 
     fn operators_changed(self: Rc<Self>, name: &str) {
@@ -38,7 +39,8 @@
     }
 
     fn refresh(self: Rc<Self>) {
-        let mut places: Vec<Place<SocketAddr>> = self.own.borrow().places.values().cloned().collect();
+        let mut places: Vec<Place<SocketAddr>> =
+            self.own.borrow().places.values().cloned().collect();
         // The order in which they were named tells which of two at one address holds.
         places.sort_unstable_by_key(|p| p.entry.server);
         places.iter_mut().for_each(|p| self.adjust(p));
@@ -55,10 +57,16 @@
     fn overdue(&self, now: Time, to: &mut Vec<OverdueRequest>) {
         let engine = self.engine.borrow();
         for (server, class, since) in engine.waits() {
-            let Some(aim) = self.classes.get(usize::from(class)).map(|c| c.aim) else { continue };
+            let Some(aim) = self.classes.get(usize::from(class)).map(|c| c.aim) else {
+                continue;
+            };
             let waited = now - since;
             if waited > aim {
-                to.extend(self.instance_of(server).map(|server| OverdueRequest { server, waited, aim }));
+                to.extend(self.instance_of(server).map(|server| OverdueRequest {
+                    server,
+                    waited,
+                    aim,
+                }));
             }
         }
     }
@@ -66,11 +74,14 @@
     fn apply_condemnation(self: Rc<Self>, condemnation: &Condemnation) {
         let server = self.names.borrow().servers.get(&condemnation.server.name);
         // The condemnation of one instance says nothing about another.
-        let Some(server) = server.filter(|s| self.instance_of(*s).as_ref() == Some(&condemnation.server))
+        let Some(server) =
+            server.filter(|s| self.instance_of(*s).as_ref() == Some(&condemnation.server))
         else {
             return;
         };
-        let Condemnation { until, is_prober, .. } = *condemnation;
+        let Condemnation {
+            until, is_prober, ..
+        } = *condemnation;
         self.dispatch(|engine, now, out| engine.told(now, server, until, is_prober, out));
     }
 
--- a/crates/node/src/net/registry.rs
+++ b/crates/node/src/net/registry.rs
@@ -42,11 +42,13 @@
     /// If the file can't be read.
     pub fn of(registry: &model::Registry) -> Result<RegistryAccess, String> {
         let proof = |path: &Path| {
-            let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
+            let text =
+                std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
             match text.trim() {
-                proof if proof.contains(':') => {
-                    Ok(("digest".to_owned(), Bytes::copy_from_slice(proof.as_bytes())))
-                }
+                proof if proof.contains(':') => Ok((
+                    "digest".to_owned(),
+                    Bytes::copy_from_slice(proof.as_bytes()),
+                )),
                 _ => Err(format!("{}: write `name:password`", path.display())),
             }
         };
--- a/crates/node/src/net/registry/driver.rs
+++ b/crates/node/src/net/registry/driver.rs
@@ -115,10 +115,14 @@
                 self.user.handle_event(now, &self.session, &event);
             }
             while self.session.is_up() && self.session.pending_count() < PENDING_MOST {
-                let Some((token, op)) = self.user.next_request() else { break };
+                let Some((token, op)) = self.user.next_request() else {
+                    break;
+                };
                 self.session.request(now, token, op);
             }
-            let Some(command) = self.session.next_command() else { break };
+            let Some(command) = self.session.next_command() else {
+                break;
+            };
             match command {
                 Command::Connect(address) => {
                     self.connection = Connection::Connecting(Box::pin(TcpStream::connect(address)))
@@ -136,7 +140,9 @@
     }
 
     fn write(&mut self) {
-        let Connection::Up(stream) = &self.connection else { return };
+        let Connection::Up(stream) = &self.connection else {
+            return;
+        };
         while !self.out.is_empty() {
             match stream.try_write(&self.out) {
                 Ok(n) => self.out.advance(n),
@@ -148,7 +154,9 @@
 
     async fn flush(&mut self) {
         while !self.out.is_empty() {
-            let Connection::Up(stream) = &self.connection else { return };
+            let Connection::Up(stream) = &self.connection else {
+                return;
+            };
             if stream.writable().await.is_err() {
                 return;
             }
@@ -157,7 +165,11 @@
     }
 
     async fn wait(&mut self, changed: &Notify) -> Wakeup {
-        let until = self.session.deadline().unwrap_or(f64::MAX).min(self.user.deadline());
+        let until = self
+            .session
+            .deadline()
+            .unwrap_or(f64::MAX)
+            .min(self.user.deadline());
         // Without anything due, an hour is as good as any time.
         let rest = Duration::from_secs_f64((until - self.clock.now()).clamp(0.0, 3600.0));
         let sleep = tokio::time::sleep_until((Instant::now() + rest).into());
--- a/crates/node/src/net/registry/following.rs
+++ b/crates/node/src/net/registry/following.rs
@@ -37,7 +37,13 @@
         }
         let clock = pool.shared.clock;
         let follower = Follower::new(&self.path, self.limits, clock.now());
-        let user = Following { pool, path: self.path, follower, has_listed: false, refused: false };
+        let user = Following {
+            pool,
+            path: self.path,
+            follower,
+            has_listed: false,
+            refused: false,
+        };
         let driver = Driver::new(&self.access, user, clock);
         async move { driver.run(&Notify::new()).await }
     }
@@ -64,17 +70,31 @@
             weight: Some(entry.weight),
             ready_at: Some(entry.started),
         };
-        Place { entry: self.pool.names.borrow_mut().entry(&listed), address: entry.address }
+        Place {
+            entry: self.pool.names.borrow_mut().entry(&listed),
+            address: entry.address,
+        }
     }
 
     /// A server as its entry has it, unless nothing counts.
     fn listed(&self, entry: &Entry) -> Place<SocketAddr> {
         let drains = entry.draining || self.refused;
-        self.place(entry, if drains { ServerState::Draining } else { ServerState::Up })
+        self.place(
+            entry,
+            if drains {
+                ServerState::Draining
+            } else {
+                ServerState::Up
+            },
+        )
     }
 
     fn full_list(&self) -> Vec<Place<SocketAddr>> {
-        self.follower.roster().servers().map(|entry| self.listed(entry)).collect()
+        self.follower
+            .roster()
+            .servers()
+            .map(|entry| self.listed(entry))
+            .collect()
     }
 
     /// News of one server. Who has gone and was never told of needs no word.
@@ -116,14 +136,18 @@
             Report::TooManyEntries(most) => {
                 log.write_line(format_args!("registry {path}: more than {most} entries"))
             }
-            Report::PathMissing => log.write_line(format_args!("registry {path}: the path does not exist")),
-            Report::AccessDenied => {
-                log.write_line(format_args!("registry {path}: this session has no permission to read it"))
+            Report::PathMissing => {
+                log.write_line(format_args!("registry {path}: the path does not exist"))
             }
-            Report::Stale(age) => {
-                log.write_line(format_args!("registry {path}: no update received for {age} s"))
+            Report::AccessDenied => log.write_line(format_args!(
+                "registry {path}: this session has no permission to read it"
+            )),
+            Report::Stale(age) => log.write_line(format_args!(
+                "registry {path}: no update received for {age} s"
+            )),
+            Report::UpToDate => {
+                log.write_line(format_args!("registry {path}: updates are received again"))
             }
-            Report::UpToDate => log.write_line(format_args!("registry {path}: updates are received again")),
         }
     }
 }
@@ -132,7 +156,10 @@
     fn handle_event(&mut self, now: Time, session: &Session, event: &Event) {
         match event {
             Event::Lost(reason @ (LossReason::Protocol(_) | LossReason::BadCredentials)) => {
-                self.pool.shared.log.write_line(format_args!("registry {}: {reason}", self.path));
+                self.pool
+                    .shared
+                    .log
+                    .write_line(format_args!("registry {}: {reason}", self.path));
             }
             Event::Reset => {
                 self.pool.shared.log.write_line(format_args!(
@@ -175,7 +202,10 @@
             return;
         }
         if !changes.is_empty() {
-            let places = changes.iter().filter_map(|c| self.changed_server(c)).collect();
+            let places = changes
+                .iter()
+                .filter_map(|c| self.changed_server(c))
+                .collect();
             self.pool.members(ListKind::Delta, places);
         }
     }
--- a/crates/node/src/net/registry/own_entry.rs
+++ b/crates/node/src/net/registry/own_entry.rs
@@ -30,7 +30,11 @@
 impl OwnEntry {
     /// Starts the task that keeps the entry.
     pub fn keep(
-        shared: &Rc<Shared>, access: RegistryAccess, path: String, data: EntryData, guarded: bool,
+        shared: &Rc<Shared>,
+        access: RegistryAccess,
+        path: String,
+        data: EntryData,
+        guarded: bool,
     ) -> Rc<OwnEntry> {
         let entry = Rc::new(OwnEntry {
             wanted: Cell::new(Wanted::Pending),
@@ -38,7 +42,11 @@
             withdrawn: Notify::new(),
             done: Cell::new(false),
         });
-        let acl = if guarded { vec![Acl::creator(), Acl::read_only()] } else { vec![Acl::open()] };
+        let acl = if guarded {
+            vec![Acl::creator(), Acl::read_only()]
+        } else {
+            vec![Acl::open()]
+        };
         let registration = Registration::new(path.clone(), data, acl);
         let user = EntryKeeper {
             entry: entry.clone(),
@@ -83,7 +91,9 @@
 
 impl SessionUser for EntryKeeper {
     fn handle_event(&mut self, now: Time, session: &Session, event: &Event) {
-        self.registration.get_mut().handle_event(now, session.id(), event);
+        self.registration
+            .get_mut()
+            .handle_event(now, session.id(), event);
     }
 
     fn next_request(&mut self) -> Option<(u64, Op)> {
@@ -106,16 +116,18 @@
 
     fn events_handled(&mut self, _now: Time) {
         let registration = self.registration.get_mut();
-        let Some(report) = registration.next_report() else { return };
+        let Some(report) = registration.next_report() else {
+            return;
+        };
         let (log, path) = (&self.shared.log, &self.path);
         match report {
             Report::Registered => log.write_line(format_args!("own entry {path}: registered")),
-            Report::PathTaken(_) => {
-                log.write_line(format_args!("own entry {path}: registered by another owner"))
-            }
-            Report::Superseded => {
-                log.write_line(format_args!("own entry {path}: registered by a later run of this node"))
-            }
+            Report::PathTaken(_) => log.write_line(format_args!(
+                "own entry {path}: registered by another owner"
+            )),
+            Report::Superseded => log.write_line(format_args!(
+                "own entry {path}: registered by a later run of this node"
+            )),
             Report::Refused(why) => log.write_line(format_args!("own entry {path}: {why}")),
         }
     }
--- a/crates/node/src/net/service.rs
+++ b/crates/node/src/net/service.rs
@@ -112,7 +112,11 @@
     }
 
     fn start(
-        shared: &Rc<Shared>, prepared: &Prepared, service: &model::Service, parts: &Parts, seed: u64,
+        shared: &Rc<Shared>,
+        prepared: &Prepared,
+        service: &model::Service,
+        parts: &Parts,
+        seed: u64,
         member: Option<Member>,
     ) -> Result<Rc<Self>, String> {
         let (settings, names, figures) = prepared.plan.settings(service);
@@ -124,7 +128,15 @@
             model::Source::Registry(followed) => Some(prepared.access(&followed.registry)?.clone()),
             _ => None,
         };
-        let pool = Pool::new(settings, names, figures, seed, missing, shared.clone(), member)?;
+        let pool = Pool::new(
+            settings,
+            names,
+            figures,
+            seed,
+            missing,
+            shared.clone(),
+            member,
+        )?;
         let (follow, list_updates) = match &service.source {
             model::Source::Static(_) => {
                 let (sender, list) = watch::channel(parts.list.clone().unwrap_or_default());
@@ -134,12 +146,38 @@
                 // The address is part of the key: with another, there is another pool.
                 let (_, address) = watch::channel(*address);
                 let list = service.name.clone();
-                (follow(&pool, Discovery { address, known: 0, list }), ListUpdates::None)
+                (
+                    follow(
+                        &pool,
+                        Discovery {
+                            address,
+                            known: 0,
+                            list,
+                        },
+                    ),
+                    ListUpdates::None,
+                )
             }
             model::Source::Registry(followed) => {
-                let model::Followed { path, limits, known, .. } = followed.clone();
+                let model::Followed {
+                    path,
+                    limits,
+                    known,
+                    ..
+                } = followed.clone();
                 let access = access.ok_or("no such registry")?;
-                (follow(&pool, Registry { access, path, limits, known }), ListUpdates::None)
+                (
+                    follow(
+                        &pool,
+                        Registry {
+                            access,
+                            path,
+                            limits,
+                            known,
+                        },
+                    ),
+                    ListUpdates::None,
+                )
             }
         };
         Ok(Rc::new(Service {
@@ -191,8 +229,10 @@
         }
         let known = self.graphql.borrow().as_ref().map(|g| g.persisted.clone());
         // The plan was checked: what can't be made here can't be in it.
-        self.graphql.replace(graphql(service, known).unwrap_or_default());
-        self.draining.set(service.state == model::ServiceState::Draining);
+        self.graphql
+            .replace(graphql(service, known).unwrap_or_default());
+        self.draining
+            .set(service.state == model::ServiceState::Draining);
         self.retry_after.set(service.tries.retry_after);
         if let Some(member) = self.member {
             shared.set_allowed(member, &service.allowed);
@@ -202,9 +242,12 @@
 
 /// What a service needs to take GraphQL; the documents that it knows already are kept.
 fn graphql(
-    service: &model::Service, kept: Option<Rc<RefCell<Persisted>>>,
+    service: &model::Service,
+    kept: Option<Rc<RefCell<Persisted>>>,
 ) -> Result<Option<Rc<GraphQl>>, String> {
-    let Some(graphql) = &service.graphql else { return Ok(None) };
+    let Some(graphql) = &service.graphql else {
+        return Ok(None);
+    };
     Ok(Some(Rc::new(GraphQl {
         classes: reelfall_conf::check::graphql_classes(service, graphql)?,
         limits: graphql.limits,
@@ -244,7 +287,10 @@
     pub fn find(&self, q: &Query) -> Option<RouteMatch> {
         let plan = &self.prepared.as_ref()?.plan;
         let goal = plan.goals.get(plan.table.get(q)?)?;
-        Some(RouteMatch { service: self.services.get(goal.service)?.clone(), assign: goal.assign })
+        Some(RouteMatch {
+            service: self.services.get(goal.service)?.clone(),
+            assign: goal.assign,
+        })
     }
 
     pub fn services(&self) -> &[Rc<Service>] {
@@ -267,7 +313,10 @@
             Routing::Alone(service) => std::slice::from_ref(service),
             Routing::Table(table) => &table.services,
         };
-        let deadlines = services.iter().flat_map(|s| &s.pool.classes).map(|c| c.deadline);
+        let deadlines = services
+            .iter()
+            .flat_map(|s| &s.pool.classes)
+            .map(|c| c.deadline);
         Duration::try_from_secs_f64(deadlines.fold(0.0, f64::max)).unwrap_or_default()
     }
 }
@@ -286,7 +335,11 @@
 impl Services {
     /// No services yet. `seed` is for the choices of the modules.
     pub fn new(shared: Rc<Shared>, seed: u64, retire: Retire) -> Self {
-        let none = Table { prepared: None, services: Vec::new(), retire: retire.clone() };
+        let none = Table {
+            prepared: None,
+            services: Vec::new(),
+            retire: retire.clone(),
+        };
         Services {
             shared,
             current: RefCell::new(Rc::new(none)),
@@ -309,13 +362,19 @@
         let services = self.start(&prepared)?;
         // Nothing fails from here on.
         let model = &prepared.plan.model;
-        self.shared.set_totals(prepared.plan.totals, model.process.server_connections);
-        for ((service, new), parts) in services.iter().zip(&model.services).zip(&prepared.services) {
+        self.shared
+            .set_totals(prepared.plan.totals, model.process.server_connections);
+        for ((service, new), parts) in services.iter().zip(&model.services).zip(&prepared.services)
+        {
             service.set_terms(&self.shared, new, &parts.terms);
             service.update_list(parts.list.as_ref());
         }
         let retire = self.retire.clone();
-        let table = Rc::new(Table { prepared: Some(prepared), services, retire });
+        let table = Rc::new(Table {
+            prepared: Some(prepared),
+            services,
+            retire,
+        });
         let old = self.current.replace(table.clone());
         self.release(&old, &table);
         self.tick();
@@ -325,8 +384,11 @@
     /// The services of a plan: those that there are, where their pools stay, and new ones.
     fn start(&self, prepared: &Prepared) -> Result<Vec<Rc<Service>>, String> {
         let current = self.current.borrow().clone();
-        let by_name: HashMap<&str, &Rc<Service>> =
-            current.services.iter().map(|s| (s.name.as_str(), s)).collect();
+        let by_name: HashMap<&str, &Rc<Service>> = current
+            .services
+            .iter()
+            .map(|s| (s.name.as_str(), s))
+            .collect();
         let mut services = Vec::with_capacity(prepared.services.len());
         let mut joined = Vec::new();
         for (service, parts) in prepared.plan.model.services.iter().zip(&prepared.services) {
@@ -346,7 +408,9 @@
             match Service::start(&self.shared, prepared, service, parts, seed, member) {
                 Ok(new) => services.push(new),
                 Err(fault) => {
-                    joined.into_iter().for_each(|member| self.shared.remove_member(member));
+                    joined
+                        .into_iter()
+                        .for_each(|member| self.shared.remove_member(member));
                     return Err(format!("service `{}`: {fault}", service.name));
                 }
             }
@@ -357,14 +421,23 @@
     /// Services that are replaced or removed finish what they have.
     fn release(&self, old: &Table, new: &Table) {
         let stay: HashSet<*const Service> = new.services.iter().map(Rc::as_ptr).collect();
-        let parts = new.prepared.as_ref().map(|new| new.by_name()).unwrap_or_default();
-        for old in old.services.iter().filter(|s| !stay.contains(&Rc::as_ptr(s))) {
+        let parts = new
+            .prepared
+            .as_ref()
+            .map(|new| new.by_name())
+            .unwrap_or_default();
+        for old in old
+            .services
+            .iter()
+            .filter(|s| !stay.contains(&Rc::as_ptr(s)))
+        {
             match parts.get(old.name.as_str()) {
                 Some(parts) => old.update_list(parts.list.as_ref()),
                 // It keeps its place, but no reservations, until what it has taken is done.
-                None => {
-                    old.member.into_iter().for_each(|member| self.shared.set_allowed(member, &Allowed::OPEN))
-                }
+                None => old
+                    .member
+                    .into_iter()
+                    .for_each(|member| self.shared.set_allowed(member, &Allowed::OPEN)),
             }
             self.draining_services.borrow_mut().push(old.clone());
         }
@@ -374,14 +447,19 @@
     pub fn are_ready(&self) -> bool {
         let current = self.current.borrow();
         !current.services.is_empty()
-            && current.services.iter().all(|s| s.draining.get() || s.unready().is_none())
+            && current
+                .services
+                .iter()
+                .all(|s| s.draining.get() || s.unready().is_none())
     }
 
     /// Lets pools go that have nothing in hand any more.
     pub fn tick(&self) {
         let done: Vec<Rc<Service>> = {
             let mut draining_services = self.draining_services.borrow_mut();
-            let (done, left) = draining_services.drain(..).partition(|s| s.pool.open() == 0);
+            let (done, left) = draining_services
+                .drain(..)
+                .partition(|s| s.pool.open() == 0);
             *draining_services = left;
             done
         };
@@ -389,7 +467,11 @@
             let kept = |s: &Rc<Service>| s.member == service.member;
             let used = self.current.borrow().services.iter().any(kept)
                 || self.draining_services.borrow().iter().any(kept);
-            service.member.into_iter().filter(|_| !used).for_each(|member| self.shared.remove_member(member));
+            service
+                .member
+                .into_iter()
+                .filter(|_| !used)
+                .for_each(|member| self.shared.remove_member(member));
         }
     }
 }
--- a/crates/node/src/net/service/prepared.rs
+++ b/crates/node/src/net/service/prepared.rs
@@ -90,8 +90,17 @@
             Parts::of(model, service, &since, old)
         };
         let services = model.services.iter().map(parts).collect();
-        let accesses = model.registries.iter().map(|r| (r.name.clone(), RegistryAccess::of(r))).collect();
-        Arc::new(Prepared { plan, services, accesses, since })
+        let accesses = model
+            .registries
+            .iter()
+            .map(|r| (r.name.clone(), RegistryAccess::of(r)))
+            .collect();
+        Arc::new(Prepared {
+            plan,
+            services,
+            accesses,
+            since,
+        })
     }
 
     /// The parts of the services by the services' names.
@@ -111,7 +120,12 @@
 }
 
 impl Parts {
-    fn of(model: &model::Model, service: &model::Service, since: &Since, old: Option<&Parts>) -> Parts {
+    fn of(
+        model: &model::Model,
+        service: &model::Service,
+        since: &Since,
+        old: Option<&Parts>,
+    ) -> Parts {
         let list = match &service.source {
             model::Source::Static(list) => Some(listed_servers(list, since)),
             model::Source::Discovery(_) | model::Source::Registry(_) => None,
@@ -146,10 +160,17 @@
             model::Source::Static(_) => SourceKey::Static,
             model::Source::Discovery(address) => SourceKey::Discovery(*address),
             model::Source::Registry(followed) => {
-                let registry = model.registries.iter().find(|r| r.name == followed.registry).map(|r| {
-                    // What concerns the node's own entry alone leaves the pool as it is.
-                    model::Registry { entry: None, ..r.value.clone() }
-                });
+                let registry = model
+                    .registries
+                    .iter()
+                    .find(|r| r.name == followed.registry)
+                    .map(|r| {
+                        // What concerns the node's own entry alone leaves the pool as it is.
+                        model::Registry {
+                            entry: None,
+                            ..r.value.clone()
+                        }
+                    });
                 SourceKey::Registry(Box::new((registry, followed.clone())))
             }
         }
@@ -197,5 +218,10 @@
 
 fn listed_servers(list: &[model::At<model::Server>], since: &Since) -> Vec<ListedServer> {
     let since = |s: &model::Server| since.get(&s.address).copied().unwrap_or(0.0);
-    list.iter().map(|s| ListedServer { server: s.value.clone(), since: since(s) }).collect()
+    list.iter()
+        .map(|s| ListedServer {
+            server: s.value.clone(),
+            since: since(s),
+        })
+        .collect()
 }
--- a/crates/node/src/net/service/tests.rs
+++ b/crates/node/src/net/service/tests.rs
@@ -15,7 +15,8 @@
          [[service.route]]\nhost = \"{name}.example.org\"\n"
     );
     for (server, port) in servers {
-        text += &format!("[[service.server]]\nname = \"{server}\"\naddress = \"127.0.0.1:{port}\"\n");
+        text +=
+            &format!("[[service.server]]\nname = \"{server}\"\naddress = \"127.0.0.1:{port}\"\n");
     }
     text
 }
@@ -66,11 +67,16 @@
 #[tokio::test]
 async fn a_pool_stays_with_all_it_learned_unless_what_it_is_made_of_changes() {
     local(async {
-        let (a, b) = (service("a", &[("a1", 1), ("a2", 2)]), service("b", &[("b1", 3)]));
+        let (a, b) = (
+            service("a", &[("a1", 1), ("a2", 2)]),
+            service("b", &[("b1", 3)]),
+        );
         let (_shared, services, first) = start(&text(&[a.clone(), b.clone()]));
         // Limits, routes, lists and drains are not what a pool is made of.
-        let changed =
-            b.replace("[[service.class]]", "limits = { open = 7 }\nstate = \"draining\"\n[[service.class]]");
+        let changed = b.replace(
+            "[[service.class]]",
+            "limits = { open = 7 }\nstate = \"draining\"\n[[service.class]]",
+        );
         let emptied = a.replace("\"127.0.0.1:2\"", "\"127.0.0.1:2\"\nstate = \"draining\"");
         let second = apply(&services, &text(&[changed, emptied]));
         assert!(same(&first[0], &second[1]) && same(&first[1], &second[0]));
@@ -79,7 +85,10 @@
         let later = a.replace("\"1s\"", "\"2s\"");
         let third = apply(&services, &text(&[later, b.clone()]));
         assert!(!same(&first[0], &third[0]) && same(&first[1], &third[1]));
-        assert_eq!(first[0].member, third[0].member, "old and new hold from two places in the books");
+        assert_eq!(
+            first[0].member, third[0].member,
+            "old and new hold from two places in the books"
+        );
         assert!(third.iter().all(|s| s.unready().is_none()));
     })
     .await;
@@ -104,7 +113,11 @@
         shared.tick();
         assert!(pool.upgrade().is_none(), "a removed pool is kept");
         assert!(services.draining_services.borrow().is_empty());
-        assert_eq!(shared.pools(), 1, "something is kept of pools that are gone");
+        assert_eq!(
+            shared.pools(),
+            1,
+            "something is kept of pools that are gone"
+        );
     })
     .await;
 }
@@ -115,7 +128,9 @@
         let (_shared, services, _first) = start(&text(&[service("a", &[("a1", 1)])]));
         let since = |address: u16| {
             let address = SocketAddr::from(([127, 0, 0, 1], address));
-            services.in_force().and_then(|plan| plan.since.get(&address).copied())
+            services
+                .in_force()
+                .and_then(|plan| plan.since.get(&address).copied())
         };
         assert_eq!(since(1), Some(0.0));
         let two = service("a", &[("a1", 1), ("a2", 2)]);
@@ -126,7 +141,10 @@
         apply(&services, &text(&[drained]));
         assert_eq!(since(1), None);
         apply(&services, &text(&[two]));
-        assert!(since(1).is_some_and(|at| at > 1e9), "back from a drain, and taken for warm");
+        assert!(
+            since(1).is_some_and(|at| at > 1e9),
+            "back from a drain, and taken for warm"
+        );
     })
     .await;
 }
@@ -134,11 +152,15 @@
 #[tokio::test]
 async fn a_drain_told_by_one_list_holds_for_the_pool_of_another() {
     local(async {
-        let (a, b) = (service("a", &[("x", 1), ("a2", 2)]), service("b", &[("y", 1), ("b2", 3)]));
+        let (a, b) = (
+            service("a", &[("x", 1), ("a2", 2)]),
+            service("b", &[("y", 1), ("b2", 3)]),
+        );
         let (_shared, services, now) = start(&text(&[a.clone(), b.clone()]));
         let sends = |s: &Rc<Service>, name: &str| {
             let id = s.pool.names.borrow().servers.get(name);
-            id.and_then(|id| crate::net::upstream::Host::address(&s.pool, id)).is_some()
+            id.and_then(|id| crate::net::upstream::Host::address(&s.pool, id))
+                .is_some()
         };
         assert!(sends(&now[0], "x") && sends(&now[1], "y"));
         let drained = a.replace("\"127.0.0.1:1\"", "\"127.0.0.1:1\"\nstate = \"draining\"");
@@ -200,7 +222,10 @@
         apply(&services, &text(std::slice::from_ref(&two)));
         assert!(list.has_changed().expect("the list is told still"));
         assert_eq!(list.borrow_and_update().len(), 2);
-        let draining = two.replace("[[service.class]]", "state = \"draining\"\n[[service.class]]");
+        let draining = two.replace(
+            "[[service.class]]",
+            "state = \"draining\"\n[[service.class]]",
+        );
         apply(&services, &text(&[draining]));
         assert!(first[0].draining.get());
         assert!(!list.has_changed().expect("the list is told still"));
@@ -216,15 +241,23 @@
         let retired: Rc<RefCell<Vec<Arc<Prepared>>>> = Rc::default();
         let freeing = retired.clone();
         let a = service("a", &[("a1", 1)]);
-        let (_shared, services, _first) =
-            start_with(&text(std::slice::from_ref(&a)), Rc::new(move |plan| freeing.borrow_mut().push(plan)));
+        let (_shared, services, _first) = start_with(
+            &text(std::slice::from_ref(&a)),
+            Rc::new(move |plan| freeing.borrow_mut().push(plan)),
+        );
         assert!(retired.borrow().is_empty());
         for n in 1..=3 {
             let changed = format!("{a}[[service.route]]\nhost = \"more{n}.example.org\"\n");
             apply(&services, &text(&[changed]));
             assert_eq!(retired.borrow().len(), n);
         }
-        assert!(retired.borrow_mut().iter_mut().all(|plan| Arc::get_mut(plan).is_some()), "held elsewhere");
+        assert!(
+            retired
+                .borrow_mut()
+                .iter_mut()
+                .all(|plan| Arc::get_mut(plan).is_some()),
+            "held elsewhere"
+        );
     })
     .await;
 }
--- a/crates/node/src/net/shared.rs
+++ b/crates/node/src/net/shared.rs
@@ -94,7 +94,11 @@
 
     /// For several services, which have what they are allowed of the totals.
     pub fn parted(totals: Totals, most_by_server: Option<usize>) -> Rc<Self> {
-        let shared = Self::new(totals.connections as usize, 0, Some(RefCell::new(Limits::new(totals))));
+        let shared = Self::new(
+            totals.connections as usize,
+            0,
+            Some(RefCell::new(Limits::new(totals))),
+        );
         shared.most_by_server.set(most_by_server);
         Rc::new(shared)
     }
@@ -141,7 +145,10 @@
         }
         // A pool that is being dropped gives its connections back in the middle of a look at the others.
         if let Ok(pools) = self.pools.try_borrow() {
-            pools.values().filter_map(Weak::upgrade).for_each(|p| p.freed());
+            pools
+                .values()
+                .filter_map(Weak::upgrade)
+                .for_each(|p| p.freed());
         }
     }
 
@@ -157,7 +164,9 @@
         let old = self.operations.replace(new.clone());
         let pools = self.peers();
         for name in old.bans.changed_servers(&new.bans) {
-            pools.iter().for_each(|p| p.clone().operators_changed(&name));
+            pools
+                .iter()
+                .for_each(|p| p.clone().operators_changed(&name));
         }
         if old.drain != new.drain {
             self.drained.notify_waiters();
@@ -168,7 +177,10 @@
     pub fn ban_status(&self, name: &str, ready_at: Time) -> BanStatus {
         let here = self.operations.borrow().bans.status(name, ready_at);
         let fleet = self.fleet_bans.borrow().status(name, here.ready_at);
-        BanStatus { is_banned: here.is_banned || fleet.is_banned, ready_at: fleet.ready_at }
+        BanStatus {
+            is_banned: here.is_banned || fleet.is_banned,
+            ready_at: fleet.ready_at,
+        }
     }
 
     /// Whether the node is being emptied.
@@ -178,7 +190,11 @@
 
     /// When a connection that has been idle since then has to go, if the node is being emptied.
     pub fn idle_until(&self, since: Instant) -> Option<Instant> {
-        let until = self.operations.borrow().drain.idle_deadline(self.clock.time(since));
+        let until = self
+            .operations
+            .borrow()
+            .drain
+            .idle_deadline(self.clock.time(since));
         until.map(|until| self.clock.instant(until))
     }
 
@@ -217,7 +233,11 @@
     }
 
     fn peers(&self) -> Vec<Rc<dyn Peer>> {
-        self.pools.borrow().values().filter_map(Weak::upgrade).collect()
+        self.pools
+            .borrow()
+            .values()
+            .filter_map(Weak::upgrade)
+            .collect()
     }
 
     // ---- servers that several pools list ----
@@ -240,21 +260,38 @@
     }
 
     /// Updates the state of a server in a pool's list; `None` removes it. Returns whether other pools have to be told.
-    pub fn update_listing(&self, pool: PoolId, address: SocketAddr, state: Option<ListedState>) -> bool {
-        self.shared_servers.borrow_mut().update(self.clock.now(), pool, &address, state)
+    pub fn update_listing(
+        &self,
+        pool: PoolId,
+        address: SocketAddr,
+        state: Option<ListedState>,
+    ) -> bool {
+        self.shared_servers
+            .borrow_mut()
+            .update(self.clock.now(), pool, &address, state)
     }
 
     /// The state of a server for a pool, with the lists of all pools combined.
     pub fn combined_view(
-        &self, pool: PoolId, address: SocketAddr, own: ListedState, warm_after: Time,
+        &self,
+        pool: PoolId,
+        address: SocketAddr,
+        own: ListedState,
+        warm_after: Time,
     ) -> CombinedView {
-        self.shared_servers.borrow().view(self.clock.now(), pool, &address, own, warm_after)
+        self.shared_servers
+            .borrow()
+            .view(self.clock.now(), pool, &address, own, warm_after)
     }
 
     /// Tells the pools that list a server, but for the one that brought the news.
     pub fn notify_listing_changed(&self, address: SocketAddr, but: Option<PoolId>) {
-        let ids: Vec<PoolId> =
-            self.shared_servers.borrow().pools(&address).filter(|p| Some(*p) != but).collect();
+        let ids: Vec<PoolId> = self
+            .shared_servers
+            .borrow()
+            .pools(&address)
+            .filter(|p| Some(*p) != but)
+            .collect();
         for id in ids {
             let pool = self.pools.borrow().get(&id).and_then(Weak::upgrade);
             if let Some(pool) = pool {
@@ -265,15 +302,24 @@
 
     /// Periodic work: removes expired listings, and pools that are gone.
     pub fn tick(&self) {
-        let gone: Vec<PoolId> =
-            self.pools.borrow().iter().filter(|(_, p)| p.strong_count() == 0).map(|(id, _)| *id).collect();
+        let gone: Vec<PoolId> = self
+            .pools
+            .borrow()
+            .iter()
+            .filter(|(_, p)| p.strong_count() == 0)
+            .map(|(id, _)| *id)
+            .collect();
         for id in gone {
             self.pools.borrow_mut().remove(&id);
             let removed = self.shared_servers.borrow_mut().remove_pool(id);
-            removed.into_iter().for_each(|address| self.notify_listing_changed(address, None));
+            removed
+                .into_iter()
+                .for_each(|address| self.notify_listing_changed(address, None));
         }
         let expired = self.shared_servers.borrow_mut().expire(self.clock.now());
-        expired.into_iter().for_each(|address| self.notify_listing_changed(address, None));
+        expired
+            .into_iter()
+            .for_each(|address| self.notify_listing_changed(address, None));
         self.peers().into_iter().for_each(Peer::tick);
     }
 }
--- a/crates/node/src/net/shared/clock.rs
+++ b/crates/node/src/net/shared/clock.rs
@@ -14,8 +14,13 @@
 impl Clock {
     #[allow(clippy::disallowed_methods)] // Once, as the process begins; from there on it counts by itself.
     pub(super) fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1.0, |d| d.as_secs_f64().max(1.0));
-        Clock { started: Instant::now(), unix }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(1.0, |d| d.as_secs_f64().max(1.0));
+        Clock {
+            started: Instant::now(),
+            unix,
+        }
     }
 
     pub fn now(&self) -> Time {
--- a/crates/node/src/net/shared/fleet.rs
+++ b/crates/node/src/net/shared/fleet.rs
@@ -55,13 +55,17 @@
         self.fleet_bans.replace(new);
         let pools = self.peers();
         for name in changed {
-            pools.iter().for_each(|p| p.clone().operators_changed(&name));
+            pools
+                .iter()
+                .for_each(|p| p.clone().operators_changed(&name));
         }
     }
 
     /// Applies, or ends, the condemnation of a server in all pools.
     pub fn apply_condemnation(&self, condemnation: &Condemnation) {
-        self.peers().into_iter().for_each(|p| p.apply_condemnation(condemnation));
+        self.peers()
+            .into_iter()
+            .for_each(|p| p.apply_condemnation(condemnation));
     }
 
     /// How many servers the lists name; one that several name is one.
--- a/crates/node/src/net/shared/listed.rs
+++ b/crates/node/src/net/shared/listed.rs
@@ -49,7 +49,10 @@
 impl ListedByPool {
     /// For a list that names no server yet.
     pub fn new(all: Rc<ListedServers>) -> ListedByPool {
-        ListedByPool { all, servers: HashMap::new() }
+        ListedByPool {
+            all,
+            servers: HashMap::new(),
+        }
     }
 
     /// The list names this instance of a server, and no other instance of it any more. The arguments are the fields of a
@@ -71,7 +74,9 @@
 
 impl Drop for ListedByPool {
     fn drop(&mut self) {
-        self.servers.values().for_each(|fingerprint| self.all.subtract(*fingerprint));
+        self.servers
+            .values()
+            .for_each(|fingerprint| self.all.subtract(*fingerprint));
     }
 }
 
--- a/crates/node/src/net/shared/listed/tests.rs
+++ b/crates/node/src/net/shared/listed/tests.rs
@@ -16,7 +16,14 @@
     "limits":{"conn-idle":5.0,"connect-timeout":0.5,"max-attempts":4}}"#;
 
 fn shared() -> Rc<Shared> {
-    Shared::parted(Totals { open: 1_000, connections: 1_000, memory: 1_000 }, None)
+    Shared::parted(
+        Totals {
+            open: 1_000,
+            connections: 1_000,
+            memory: 1_000,
+        },
+        None,
+    )
 }
 
 fn pool(shared: &Rc<Shared>, missing: Missing) -> Rc<Pool> {
@@ -45,7 +52,10 @@
             ready_at: Some(line.ready_at),
         };
         let address = SocketAddr::from(([127, 0, 0, 1], 1 + line.server as u16));
-        Place { entry: pool.names.borrow_mut().entry(&listed), address }
+        Place {
+            entry: pool.names.borrow_mut().entry(&listed),
+            address,
+        }
     };
     let places = lines.iter().map(place).collect();
     pool.members(kind, places);
@@ -72,7 +82,11 @@
             1 => ServerState::Draining,
             _ => ServerState::Up,
         };
-        Line { server: self.below(12), state, ready_at: self.below(3) as Time }
+        Line {
+            server: self.below(12),
+            state,
+            ready_at: self.below(3) as Time,
+        }
     }
 }
 
@@ -85,7 +99,11 @@
 
 impl Followed {
     fn new(shared: &Rc<Shared>, missing: Missing) -> Followed {
-        Followed { pool: pool(shared, missing), missing, listed: BTreeMap::new() }
+        Followed {
+            pool: pool(shared, missing),
+            missing,
+            listed: BTreeMap::new(),
+        }
     }
 
     fn tell(&mut self, kind: ListKind, lines: &[Line]) {
@@ -107,7 +125,9 @@
             Missing::Ended => (ready_at * 1e3) as u64,
             Missing::Unused => 0,
         };
-        self.listed.iter().map(move |(server, ready_at)| (*server, start(*ready_at)))
+        self.listed
+            .iter()
+            .map(move |(server, ready_at)| (*server, start(*ready_at)))
     }
 }
 
@@ -127,7 +147,11 @@
                     pools.swap_remove(draws.below(pools.len() as u64) as usize);
                 }
                 n if !pools.is_empty() => {
-                    let kind = if n < 5 { ListKind::Full } else { ListKind::Delta };
+                    let kind = if n < 5 {
+                        ListKind::Full
+                    } else {
+                        ListKind::Delta
+                    };
                     let lines: Vec<Line> = (0..draws.below(6)).map(|_| draws.line()).collect();
                     let pool = draws.below(pools.len() as u64) as usize;
                     pools[pool].tell(kind, &lines);
@@ -138,7 +162,11 @@
             assert_eq!(shared.listed(), walked.len());
         }
         pools.clear();
-        assert_eq!(shared.listed(), 0, "something is kept of pools that are gone");
+        assert_eq!(
+            shared.listed(),
+            0,
+            "something is kept of pools that are gone"
+        );
     })
     .await;
 }
@@ -154,7 +182,11 @@
     local(async {
         let shared = shared();
         let pool = pool(&shared, Missing::Ended);
-        let line = |server| Line { server, state: ServerState::Up, ready_at: 0.0 };
+        let line = |server| Line {
+            server,
+            state: ServerState::Up,
+            ready_at: 0.0,
+        };
         let lines: Vec<Line> = (0..SERVERS).map(line).collect();
         tell(&pool, ListKind::Full, &lines);
         let begun = Instant::now();
--- a/crates/node/src/net/shared/permits.rs
+++ b/crates/node/src/net/shared/permits.rs
@@ -93,12 +93,17 @@
     /// by the requests that are open. Harm: a client that reuses an id too soon is told so and has to take a new.
     pub fn claim(self: &Rc<Self>, id: &[u8]) -> Option<OpenId> {
         let id: Box<[u8]> = id.into();
-        self.ids.borrow_mut().insert(id.clone()).then(|| OpenId { shared: self.clone(), id })
+        self.ids.borrow_mut().insert(id.clone()).then(|| OpenId {
+            shared: self.clone(),
+            id,
+        })
     }
 
     /// A new service's place in the books; `None` where there is one service alone.
     pub fn add_member(&self, allowed: &Allowed) -> Option<Member> {
-        self.limits.as_ref().map(|l| l.borrow_mut().add(self.clock.now(), allowed))
+        self.limits
+            .as_ref()
+            .map(|l| l.borrow_mut().add(self.clock.now(), allowed))
     }
 
     /// Changes what a service is allowed.
@@ -120,36 +125,73 @@
     /// # Errors
     /// Says which limit it is over.
     pub fn admit(self: &Rc<Self>, member: Member) -> Result<Option<Permit>, Denial> {
-        let Some(limits) = &self.limits else { return Ok(None) };
+        let Some(limits) = &self.limits else {
+            return Ok(None);
+        };
         limits.borrow_mut().admit(self.clock.now(), member)?;
-        Ok(Some(Permit { shared: self.clone(), member, kind: Kind::Open, n: 1 }))
+        Ok(Some(Permit {
+            shared: self.clone(),
+            member,
+            kind: Kind::Open,
+            n: 1,
+        }))
     }
 
     fn take(self: &Rc<Self>, member: Member, kind: Kind, n: u64) -> Result<Permit, Denied> {
         let limits = self.limits.as_ref().ok_or(Denied::Most)?;
-        limits.borrow_mut().take(self.clock.now(), member, kind, n)?;
-        Ok(Permit { shared: self.clone(), member, kind, n })
+        limits
+            .borrow_mut()
+            .take(self.clock.now(), member, kind, n)?;
+        Ok(Permit {
+            shared: self.clone(),
+            member,
+            kind,
+            n,
+        })
     }
 
     /// Memory for the body of a request, if it is to be had now.
     pub fn reserve_body(self: &Rc<Self>, member: Option<Member>, kib: u32) -> Option<MemoryPermit> {
         match member {
-            Some(member) => self.take(member, Kind::Memory, kib.into()).ok().map(MemoryPermit::Service),
-            None => self.bodies.clone().try_acquire_many_owned(kib).ok().map(MemoryPermit::Process),
+            Some(member) => self
+                .take(member, Kind::Memory, kib.into())
+                .ok()
+                .map(MemoryPermit::Service),
+            None => self
+                .bodies
+                .clone()
+                .try_acquire_many_owned(kib)
+                .ok()
+                .map(MemoryPermit::Process),
         }
     }
 
     /// Memory for an answer, if it is to be had now.
-    pub fn reserve_answer(self: &Rc<Self>, member: Option<Member>, kib: u32) -> Option<MemoryPermit> {
+    pub fn reserve_answer(
+        self: &Rc<Self>,
+        member: Option<Member>,
+        kib: u32,
+    ) -> Option<MemoryPermit> {
         match member {
-            Some(member) => self.take(member, Kind::Memory, kib.into()).ok().map(MemoryPermit::Service),
-            None => self.answers.clone().try_acquire_many_owned(kib).ok().map(MemoryPermit::Process),
+            Some(member) => self
+                .take(member, Kind::Memory, kib.into())
+                .ok()
+                .map(MemoryPermit::Service),
+            None => self
+                .answers
+                .clone()
+                .try_acquire_many_owned(kib)
+                .ok()
+                .map(MemoryPermit::Process),
         }
     }
 
     /// Memory for an answer, waited for.
     pub async fn reserve_answer_by(
-        self: &Rc<Self>, member: Option<Member>, kib: u32, until: Instant,
+        self: &Rc<Self>,
+        member: Option<Member>,
+        kib: u32,
+        until: Instant,
     ) -> Option<MemoryPermit> {
         if member.is_none() {
             let share = self.answers.clone().acquire_many_owned(kib);
@@ -174,10 +216,17 @@
     /// # Errors
     /// `Most` if the service has all that it may: then no other's connection goes for it. `Total` if nothing can go.
     pub fn reserve_connection(
-        self: &Rc<Self>, address: SocketAddr, member: Option<Member>,
+        self: &Rc<Self>,
+        address: SocketAddr,
+        member: Option<Member>,
     ) -> Result<ConnectionPermit, Denied> {
         if let Some(most) = self.most_by_server.get() {
-            if self.by_server.borrow().get(&address).is_some_and(|n| *n >= most) {
+            if self
+                .by_server
+                .borrow()
+                .get(&address)
+                .is_some_and(|n| *n >= most)
+            {
                 self.evict_idle(Some(address)).ok_or(Denied::Total)?;
             }
         }
@@ -200,7 +249,11 @@
         if counted.is_some() {
             *self.by_server.borrow_mut().entry(address).or_default() += 1;
         }
-        Ok(ConnectionPermit { shared: self.clone(), counted, _permit: permit })
+        Ok(ConnectionPermit {
+            shared: self.clone(),
+            counted,
+            _permit: permit,
+        })
     }
 
     /// Counts an attempt that waits for a connection, until the guard is dropped.
--- a/crates/node/src/net/takeover.rs
+++ b/crates/node/src/net/takeover.rs
@@ -44,9 +44,15 @@
     /// where a node is started by one user.
     fn new(stream: UnixStream) -> io::Result<Exchange> {
         if stream.peer_cred()?.uid() != rustix::process::geteuid().as_raw() {
-            return Err(io::Error::other("the process on the other side has another user"));
+            return Err(io::Error::other(
+                "the process on the other side has another user",
+            ));
         }
-        Ok(Exchange { stream, buffer: BytesMut::new(), descriptors: VecDeque::new() })
+        Ok(Exchange {
+            stream,
+            buffer: BytesMut::new(),
+            descriptors: VecDeque::new(),
+        })
     }
 
     async fn send(&self, frame: &Frame, descriptors: &[BorrowedFd<'_>]) -> io::Result<()> {
@@ -56,11 +62,16 @@
             while sent < bytes.len() {
                 let rest = bytes.get(sent..).unwrap_or_default();
                 let with = if sent == 0 { descriptors } else { &[] };
-                sent += self.stream.async_io(Interest::WRITABLE, || write(&self.stream, rest, with)).await?;
+                sent += self
+                    .stream
+                    .async_io(Interest::WRITABLE, || write(&self.stream, rest, with))
+                    .await?;
             }
             Ok(())
         };
-        timeout(FRAME_TIMEOUT, write).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
+        timeout(FRAME_TIMEOUT, write)
+            .await
+            .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
     }
 
     /// The next frame and its descriptors; may be dropped and called again.
@@ -77,8 +88,11 @@
             if self.descriptors.len() > 2 * DESCRIPTORS_MOST {
                 return Err(io::Error::other("descriptors without frames"));
             }
-            let (buffer, descriptors, stream) = (&mut self.buffer, &mut self.descriptors, &self.stream);
-            let n = stream.async_io(Interest::READABLE, || read(stream, buffer, descriptors)).await?;
+            let (buffer, descriptors, stream) =
+                (&mut self.buffer, &mut self.descriptors, &self.stream);
+            let n = stream
+                .async_io(Interest::READABLE, || read(stream, buffer, descriptors))
+                .await?;
             if n == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
@@ -92,17 +106,29 @@
     if !descriptors.is_empty() && !control.push(SendAncillaryMessage::ScmRights(descriptors)) {
         return Err(io::Error::other("too many descriptors"));
     }
-    Ok(sendmsg(stream, &[IoSlice::new(bytes)], &mut control, SendFlags::DONTWAIT | SendFlags::NOSIGNAL)?)
+    Ok(sendmsg(
+        stream,
+        &[IoSlice::new(bytes)],
+        &mut control,
+        SendFlags::DONTWAIT | SendFlags::NOSIGNAL,
+    )?)
 }
 
 fn read(
-    stream: &UnixStream, buffer: &mut BytesMut, descriptors: &mut VecDeque<OwnedFd>,
+    stream: &UnixStream,
+    buffer: &mut BytesMut,
+    descriptors: &mut VecDeque<OwnedFd>,
 ) -> io::Result<usize> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(DESCRIPTORS_MOST))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
     let mut bytes = [0; READ_LEN];
     let flags = RecvFlags::DONTWAIT | RecvFlags::CMSG_CLOEXEC;
-    let got = recvmsg(stream, &mut [IoSliceMut::new(&mut bytes)], &mut control, flags)?;
+    let got = recvmsg(
+        stream,
+        &mut [IoSliceMut::new(&mut bytes)],
+        &mut control,
+        flags,
+    )?;
     for message in control.drain() {
         if let RecvAncillaryMessage::ScmRights(rights) = message {
             descriptors.extend(rights);
@@ -121,7 +147,10 @@
 impl HandoverSocket {
     /// The node of this name; `folder` is what its processes share.
     pub fn new(folder: &Path, name: &str) -> Self {
-        HandoverSocket { folder: folder.to_owned(), name: name.to_owned() }
+        HandoverSocket {
+            folder: folder.to_owned(),
+            name: name.to_owned(),
+        }
     }
 
     /// The path to use, and the folder that has to be held open for it. A path that is too long for a socket is gone
@@ -134,12 +163,16 @@
             return Ok((plain, folder));
         }
         let descriptor = std::os::fd::AsRawFd::as_raw_fd(&folder);
-        Ok((PathBuf::from(format!("/proc/self/fd/{descriptor}")).join(file), folder))
+        Ok((
+            PathBuf::from(format!("/proc/self/fd/{descriptor}")).join(file),
+            folder,
+        ))
     }
 
     /// Listens for a process that takes over. The socket of an earlier run is replaced, never missing in between.
     fn listen(&self) -> io::Result<UnixListener> {
-        let ((fresh, _folder), (path, _same)) = (self.path("takeover.new")?, self.path("takeover")?);
+        let ((fresh, _folder), (path, _same)) =
+            (self.path("takeover.new")?, self.path("takeover")?);
         let _ = std::fs::remove_file(&fresh);
         let listener = UnixListener::bind(&fresh)?;
         std::fs::rename(&fresh, &path)?;
@@ -151,24 +184,40 @@
         let (path, _folder) = self.path("takeover").ok()?;
         let request = timeout(SNAPSHOT_TIMEOUT, async {
             let mut exchange = Exchange::new(UnixStream::connect(path).await?)?;
-            exchange.send(&Frame::Hello { version: PROTOCOL_VERSION }, &[]).await?;
+            exchange
+                .send(
+                    &Frame::Hello {
+                        version: PROTOCOL_VERSION,
+                    },
+                    &[],
+                )
+                .await?;
             match exchange.receive().await? {
                 (Frame::Snapshot { listeners, learned }, descriptors) => {
                     let listeners = listeners.into_iter().zip(descriptors).collect();
-                    Ok(Snapshot { listeners, learned, exchange })
+                    Ok(Snapshot {
+                        listeners,
+                        learned,
+                        exchange,
+                    })
                 }
                 _ => Err(io::Error::other("it gives nothing")),
             }
         });
         match request.await {
             Ok(Ok(snapshot)) => Some(snapshot),
-            Ok(Err(e)) if matches!(e.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused) => {
+            Ok(Err(e))
+                if matches!(
+                    e.kind(),
+                    io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused
+                ) =>
+            {
                 None
             }
             Ok(Err(e)) => {
-                shared
-                    .log
-                    .write_line(format_args!("the process that serves: {e}; binding the address beside it"));
+                shared.log.write_line(format_args!(
+                    "the process that serves: {e}; binding the address beside it"
+                ));
                 None
             }
             Err(_) => {
@@ -219,7 +268,9 @@
 impl Takeover {
     /// The state of a process that has a predecessor or not; the processes of the node meet at `socket`, if they can.
     pub fn new(
-        shared: Rc<Shared>, socket: Option<HandoverSocket>, has_predecessor: bool,
+        shared: Rc<Shared>,
+        socket: Option<HandoverSocket>,
+        has_predecessor: bool,
         collect_learned: CollectLearned,
     ) -> Rc<Self> {
         let mut successor = Successor::default();
@@ -266,8 +317,12 @@
         if let Some(exchange) = &mut exchange {
             if announced {
                 while let Ok((frame, descriptors)) = exchange.receive().await {
-                    let Frame::Client { listener } = frame else { break };
-                    descriptors.into_iter().for_each(|d| front.accept_handover(d.into(), &listener));
+                    let Frame::Client { listener } = frame else {
+                        break;
+                    };
+                    descriptors
+                        .into_iter()
+                        .for_each(|d| front.accept_handover(d.into(), &listener));
                 }
             }
             let mut successor = self.successor.get();
@@ -283,7 +338,9 @@
         let listener = match self.socket.as_ref()?.listen() {
             Ok(listener) => listener,
             Err(e) => {
-                self.shared.log.write_line(format_args!("no process will be able to take over: {e}"));
+                self.shared
+                    .log
+                    .write_line(format_args!("no process will be able to take over: {e}"));
                 return None;
             }
         };
@@ -293,9 +350,9 @@
                 match listener.accept().await {
                     Ok((stream, _)) => {
                         let (takeover, front) = (takeover.clone(), front.clone());
-                        tokio::task::spawn_local(
-                            async move { takeover.serve_successor(stream, &front).await },
-                        );
+                        tokio::task::spawn_local(async move {
+                            takeover.serve_successor(stream, &front).await
+                        });
                     }
                     Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
                 }
@@ -306,8 +363,12 @@
 
     /// Serves a process that wants to take over, to the end of either.
     async fn serve_successor(&self, stream: UnixStream, front: &Rc<Front>) {
-        let Ok(mut exchange) = Exchange::new(stream) else { return };
-        let Ok(Ok((Frame::Hello { version }, _))) = timeout(FRAME_TIMEOUT, exchange.receive()).await else {
+        let Ok(mut exchange) = Exchange::new(stream) else {
+            return;
+        };
+        let Ok(Ok((Frame::Hello { version }, _))) =
+            timeout(FRAME_TIMEOUT, exchange.receive()).await
+        else {
             return;
         };
         if !self.predecessor.borrow_mut().handle_hello(version) {
@@ -315,19 +376,27 @@
             return;
         }
         let ended = self.hand_over(&mut exchange, front).await;
-        self.shared.log.write_line(format_args!("the process that takes over: {ended}"));
+        self.shared
+            .log
+            .write_line(format_args!("the process that takes over: {ended}"));
         front.hand_over_to(None);
         self.update_predecessor(front, Predecessor::handle_successor_lost);
-        self.shared.set_processes(self.successor.get().process_count());
+        self.shared
+            .set_processes(self.successor.get().process_count());
     }
 
     /// Hands over all there is; comes back only when the successor is lost.
     async fn hand_over(&self, exchange: &mut Exchange, front: &Rc<Front>) -> io::Error {
         let listening = front.listening();
-        let (names, listeners): (Vec<String>, Vec<_>) =
-            listening.iter().map(|l| (l.name().to_owned(), l.as_fd())).unzip();
+        let (names, listeners): (Vec<String>, Vec<_>) = listening
+            .iter()
+            .map(|l| (l.name().to_owned(), l.as_fd()))
+            .unzip();
         self.shared.set_processes(2);
-        let snapshot = Frame::Snapshot { listeners: names, learned: (self.collect_learned)() };
+        let snapshot = Frame::Snapshot {
+            listeners: names,
+            learned: (self.collect_learned)(),
+        };
         if let Err(e) = exchange.send(&snapshot, &listeners).await {
             return e;
         }
@@ -380,8 +449,14 @@
 }
 
 async fn send_client(exchange: &Exchange, handover: Handover) -> io::Result<()> {
-    let Handover { stream, listener, done } = handover;
-    let sent = exchange.send(&Frame::Client { listener }, &[stream.as_fd()]).await;
+    let Handover {
+        stream,
+        listener,
+        done,
+    } = handover;
+    let sent = exchange
+        .send(&Frame::Client { listener }, &[stream.as_fd()])
+        .await;
     // Whoever waits for the result may have ended meanwhile.
     let _ = done.send(if sent.is_ok() { Ok(()) } else { Err(stream) });
     sent
--- a/crates/node/src/net/tests.rs
+++ b/crates/node/src/net/tests.rs
@@ -19,14 +19,28 @@
 fn front() -> Rc<Front> {
     let (settings, names, figures) = settings::read(SETTINGS).expect("usable settings");
     let shared = Shared::alone(Bounds::of(256, 64));
-    let pool = Pool::new(settings, names, figures, 1, Missing::Ended, shared.clone(), None).expect("a pool");
+    let pool = Pool::new(
+        settings,
+        names,
+        figures,
+        1,
+        Missing::Ended,
+        shared.clone(),
+        None,
+    )
+    .expect("a pool");
     let follow = AbortOnDrop(tokio::task::spawn_local(std::future::pending::<()>()).abort_handle());
     Front::new(shared, Routing::Alone(Service::alone(pool, follow)), 16, 1)
 }
 
-async fn asked(client: OwnedFd, front: &Rc<Front>, mut far: tokio::net::UnixStream) -> io::Result<String> {
+async fn asked(
+    client: OwnedFd,
+    front: &Rc<Front>,
+    mut far: tokio::net::UnixStream,
+) -> io::Result<String> {
     front.accept_handover(client.into(), "client");
-    far.write_all(b"GET /_health HTTP/1.1\r\nhost: n\r\nconnection: close\r\n\r\n").await?;
+    far.write_all(b"GET /_health HTTP/1.1\r\nhost: n\r\nconnection: close\r\n\r\n")
+        .await?;
     let mut answer = String::new();
     far.read_to_string(&mut answer).await?;
     Ok(answer)
@@ -34,11 +48,16 @@
 
 #[test]
 fn a_connection_whose_socket_refuses_an_option_is_served_all_the_same() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let front = front();
         let address = "127.0.0.1:0".parse().expect("an address");
-        front.listen(vec![Listening::bind("client", address, 16, false).expect("a listener")]);
+        front.listen(vec![
+            Listening::bind("client", address, 16, false).expect("a listener")
+        ]);
         // A stream socket that is no TCP socket knows no TCP_NODELAY.
         let (near, far) = std::os::unix::net::UnixStream::pair().expect("a pair");
         far.set_nonblocking(true).expect("a socket");
--- a/crates/node/src/net/upstream.rs
+++ b/crates/node/src/net/upstream.rs
@@ -96,7 +96,12 @@
 
 impl Upstream {
     /// No connections yet.
-    pub fn new(shared: Rc<Shared>, member: Option<Member>, conn_idle: Time, connect_timeout: Time) -> Self {
+    pub fn new(
+        shared: Rc<Shared>,
+        member: Option<Member>,
+        conn_idle: Time,
+        connect_timeout: Time,
+    ) -> Self {
         Upstream {
             pools: RefCell::default(),
             generations: Cell::new(0),
@@ -122,7 +127,8 @@
         self.keep_alive.set(keep_alive);
         let idle = self.idle();
         for pool in self.pools.borrow_mut().values_mut() {
-            pool.idle.retain(|c| now - c.since < idle && !c.send.is_closed() && c.socket.is_quiet());
+            pool.idle
+                .retain(|c| now - c.since < idle && !c.send.is_closed() && c.socket.is_quiet());
         }
     }
 
@@ -160,7 +166,9 @@
         }
         (connection.since, connection.used) = (Instant::now(), true);
         let mut pools = self.pools.borrow_mut();
-        let pool = pools.get_mut(&connection.server).filter(|p| p.generation == connection.generation);
+        let pool = pools
+            .get_mut(&connection.server)
+            .filter(|p| p.generation == connection.generation);
         if let Some(pool) = pool {
             pool.idle.push(connection);
             self.shared.freed();
@@ -186,23 +194,41 @@
     pub fn oldest_idle(&self, to: Option<SocketAddr>) -> Option<Instant> {
         let pools = self.pools.borrow();
         let fits = |c: &&Connection| to.is_none_or(|to| c.address == to);
-        pools.values().filter_map(|p| p.idle.first().filter(fits)).map(|c| c.since).min()
+        pools
+            .values()
+            .filter_map(|p| p.idle.first().filter(fits))
+            .map(|c| c.since)
+            .min()
     }
 
     /// Closes that connection; whether there was one.
     pub fn drop_oldest_idle(&self, to: Option<SocketAddr>) -> bool {
         let mut pools = self.pools.borrow_mut();
-        let first =
-            |p: &Pool| p.idle.first().filter(|c| to.is_none_or(|to| c.address == to)).map(|c| c.since);
-        let oldest = pools.values_mut().filter_map(|p| Some((first(p)?, p))).min_by_key(|(since, _)| *since);
+        let first = |p: &Pool| {
+            p.idle
+                .first()
+                .filter(|c| to.is_none_or(|to| c.address == to))
+                .map(|c| c.since)
+        };
+        let oldest = pools
+            .values_mut()
+            .filter_map(|p| Some((first(p)?, p)))
+            .min_by_key(|(since, _)| *since);
         oldest.map(|(_, pool)| pool.idle.remove(0)).is_some()
     }
 
     fn generation(&self, server: ServerId) -> u64 {
         let new = || {
             self.generations.set(self.generations.get() + 1);
-            Pool { idle: Vec::new(), generation: self.generations.get() }
+            Pool {
+                idle: Vec::new(),
+                generation: self.generations.get(),
+            }
         };
-        self.pools.borrow_mut().entry(server).or_insert_with(new).generation
+        self.pools
+            .borrow_mut()
+            .entry(server)
+            .or_insert_with(new)
+            .generation
     }
 }
--- a/crates/node/src/net/upstream/attempt.rs
+++ b/crates/node/src/net/upstream/attempt.rs
@@ -40,7 +40,10 @@
 /// A connection and whether it is new, or why there is none. That this node has none left says nothing of the
 /// server: counted against it, a shortage here would put out one server after the other. So one is waited for.
 async fn acquire(
-    host: &impl Host, id: RequestId, server: ServerId, expires: Instant,
+    host: &impl Host,
+    id: RequestId,
+    server: ServerId,
+    expires: Instant,
 ) -> Result<(Connection, bool), Outcome> {
     let upstream = host.upstream();
     let most = upstream.connect_within;
@@ -52,29 +55,51 @@
         if let Some(connection) = upstream.take(server) {
             return Ok((connection, false));
         }
-        let Some(address) = host.address(server) else { return Err(Outcome::DialFailed) };
+        let Some(address) = host.address(server) else {
+            return Err(Outcome::DialFailed);
+        };
         if let Some(open) = upstream.reserve_connection(address) {
             let until = expires.min(Instant::now() + most);
             let new = connect(host, server, address, open, until).await;
             return new.map(|c| (c, true)).ok_or(Outcome::DialFailed);
         }
         let _waits = upstream.shared.wait();
-        if timeout_at(until.into(), upstream.freed.notified()).await.is_err() {
-            host.upstream().shared.log.write_line(format_args!("all connections to servers are in use"));
+        if timeout_at(until.into(), upstream.freed.notified())
+            .await
+            .is_err()
+        {
+            host.upstream()
+                .shared
+                .log
+                .write_line(format_args!("all connections to servers are in use"));
             return Err(Outcome::Unused);
         }
     }
 }
 
 async fn connect(
-    host: &impl Host, server: ServerId, address: SocketAddr, open: ConnectionPermit, until: Instant,
+    host: &impl Host,
+    server: ServerId,
+    address: SocketAddr,
+    open: ConnectionPermit,
+    until: Instant,
 ) -> Option<Connection> {
     let generation = host.upstream().generation(server);
-    let stream = timeout_at(until.into(), TcpStream::connect(address)).await.ok()?.ok()?;
+    let stream = timeout_at(until.into(), TcpStream::connect(address))
+        .await
+        .ok()?
+        .ok()?;
     set_nodelay(&stream);
-    let socket = Rc::new(Socket { stream, written: Cell::new(0) });
+    let socket = Rc::new(Socket {
+        stream,
+        written: Cell::new(0),
+    });
     let io = TokioIo::new(SocketIo(socket.clone()));
-    let (send, connection) = Builder::new().max_buf_size(BUFFER).handshake(io).await.ok()?;
+    let (send, connection) = Builder::new()
+        .max_buf_size(BUFFER)
+        .handshake(io)
+        .await
+        .ok()?;
     let task = tokio::task::spawn_local(async move {
         // How it ended shows in the attempt that was on it.
         let _ = connection.await;
@@ -96,7 +121,12 @@
 /// Makes one attempt and tells its host how it ended. What it says of the server's side is proved: an
 /// attempt never ran only if its last byte was not written or the server says so.
 pub async fn attempt(
-    host: impl Host, id: RequestId, number: u32, server: ServerId, message: Rc<Message>, times: Times,
+    host: impl Host,
+    id: RequestId,
+    number: u32,
+    server: ServerId,
+    message: Rc<Message>,
+    times: Times,
 ) {
     let Times { starts_by, expires } = times;
     let never = |outcome| host.ended(id, number, outcome, None);
@@ -125,7 +155,8 @@
             }
         };
         let mut expires = expires;
-        let mut answer = std::pin::pin!(connection.send.try_send_request(request(&message, expires)));
+        let mut answer =
+            std::pin::pin!(connection.send.try_send_request(request(&message, expires)));
         if let Some(flow) = message.body.streamed() {
             tokio::select! {
                 biased;
@@ -202,7 +233,9 @@
     let mut headers = message.headers.clone();
     // How long the last byte of a flow takes is not known; its client has said how long it waits after that.
     if message.body.streamed().is_none() {
-        let left = expires.saturating_duration_since(Instant::now()).as_secs_f64();
+        let left = expires
+            .saturating_duration_since(Instant::now())
+            .as_secs_f64();
         if let Ok(left) = HeaderValue::try_from(format!("{left:.3}")) {
             headers.insert(TIME_LEFT, left);
         }
@@ -213,20 +246,29 @@
 
 /// Reads an answer whose head has come.
 async fn receive_answer(
-    host: &impl Host, id: RequestId, number: u32, connection: Connection, response: Response<Incoming>,
-    expires: Instant, message: &Rc<Message>,
+    host: &impl Host,
+    id: RequestId,
+    number: u32,
+    connection: Connection,
+    response: Response<Incoming>,
+    expires: Instant,
+    message: &Rc<Message>,
 ) {
     let (head, mut body) = response.into_parts();
     let validator = message.validator.as_deref();
     let unprocessed = head.headers.get(&UNPROCESSED).is_some_and(|v| v == "1");
     let outcome = match head.status {
         StatusCode::OK => Outcome::Delivered,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => Outcome::Shed,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => {
+            Outcome::Shed
+        }
         status if validator.is_some_and(|v| v.may_answer(status)) => Outcome::Delivered,
         _ => Outcome::Error,
     };
-    let closes =
-        head.headers.get(header::CONNECTION).is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
+    let closes = head
+        .headers
+        .get(header::CONNECTION)
+        .is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
     if outcome == Outcome::Shed && closes && !connection.used {
         // The server has all the connections that it takes, and ends this one.
         host.upstream().note_refused_connection();
@@ -243,7 +285,11 @@
         || head.headers.contains_key(header::TRANSFER_ENCODING)
         || closes
         || head.version == Version::HTTP_10;
-    let most = if validator.is_some() { ANSWER_MOST as u64 } else { FLOW_MOST };
+    let most = if validator.is_some() {
+        ANSWER_MOST as u64
+    } else {
+        FLOW_MOST
+    };
     if !framed || body.size_hint().lower() > most {
         return host.ended(id, number, Outcome::Dropped, None);
     }
@@ -251,7 +297,11 @@
     let Upstream { shared, member, .. } = host.upstream();
     let mut memory = match (stated > ANSWER_SMALL, validator.is_some()) {
         // Without a share in time, the answer is not read, and the next wait tells that time is up.
-        (true, true) => shared.reserve_answer_by(*member, permits_for(stated), expires).await,
+        (true, true) => {
+            shared
+                .reserve_answer_by(*member, permits_for(stated), expires)
+                .await
+        }
         (true, false) => shared.reserve_answer(*member, permits_for(stated.min(ANSWER_HELD))),
         (false, _) => None,
     };
@@ -261,7 +311,11 @@
     loop {
         let large = stated > ANSWER_SMALL || held.len() > ANSWER_SMALL;
         let patience = large && validator.is_none() && !held.is_empty();
-        let until = if patience { expires.min(flows) } else { expires };
+        let until = if patience {
+            expires.min(flows)
+        } else {
+            expires
+        };
         match timeout_at(until.into(), body.frame()).await {
             Ok(Some(Ok(frame))) => {
                 held.extend_from_slice(frame.data_ref().map_or(&[], |data| data));
@@ -270,7 +324,11 @@
                 }
                 if memory.is_none() && stated == 0 {
                     // Chunked, and growing: it gets a share at once, or is forwarded as it comes.
-                    let most = if validator.is_some() { ANSWER_MOST } else { ANSWER_HELD };
+                    let most = if validator.is_some() {
+                        ANSWER_MOST
+                    } else {
+                        ANSWER_HELD
+                    };
                     memory = shared.reserve_answer(*member, permits_for(most));
                 }
                 if validator.is_some() {
@@ -290,8 +348,12 @@
                     return host.ended(id, number, Outcome::Dropped, None);
                 }
                 host.upstream().put(connection);
-                let answer =
-                    Answer { headers: head.headers, body: held.freeze(), rest: None, _memory: memory };
+                let answer = Answer {
+                    headers: head.headers,
+                    body: held.freeze(),
+                    rest: None,
+                    _memory: memory,
+                };
                 return host.ended(id, number, outcome, Some(answer));
             }
             Err(_) if patience => break,
@@ -309,7 +371,12 @@
     let rest = StreamedAnswer::new(body, held.len() as u64, message.clone(), move || {
         back.upstream().put(connection)
     });
-    let answer = Answer { headers: head.headers, body: held.freeze(), rest: Some(rest), _memory: None };
+    let answer = Answer {
+        headers: head.headers,
+        body: held.freeze(),
+        rest: Some(rest),
+        _memory: None,
+    };
     host.ended(id, number, Outcome::Delivered, Some(answer));
 }
 
--- a/crates/node/src/net/upstream/socket.rs
+++ b/crates/node/src/net/upstream/socket.rs
@@ -37,11 +37,17 @@
 }
 
 fn blocked<T>(result: &io::Result<T>) -> bool {
-    result.as_ref().is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
+    result
+        .as_ref()
+        .is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
 }
 
 impl AsyncRead for SocketIo {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &mut ReadBuf,
+    ) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.stream.poll_read_ready(cx))?;
             let read = self.0.stream.try_read_buf(buf);
@@ -64,7 +70,9 @@
     }
 
     fn poll_write_vectored(
-        self: Pin<&mut Self>, cx: &mut Context, data: &[io::IoSlice],
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+        data: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.stream.poll_write_ready(cx))?;
--- a/crates/node/src/operate.rs
+++ b/crates/node/src/operate.rs
@@ -36,16 +36,23 @@
     stream.set_read_timeout(Some(TIMEOUT))?;
     stream.set_write_timeout(Some(TIMEOUT))?;
     let (method, path) = request.method_and_path();
-    let head = format!("{method} {path} HTTP/1.1\r\nhost: {management}\r\nconnection: close\r\n\r\n");
+    let head =
+        format!("{method} {path} HTTP/1.1\r\nhost: {management}\r\nconnection: close\r\n\r\n");
     stream.write_all(head.as_bytes())?;
     let mut answer = Vec::new();
     stream.take(ANSWER_MOST).read_to_end(&mut answer)?;
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut response = httparse::Response::new(&mut headers);
-    let invalid = || io::Error::new(io::ErrorKind::InvalidData, "what came is no answer of a node");
+    let invalid = || {
+        io::Error::new(
+            io::ErrorKind::InvalidData,
+            "what came is no answer of a node",
+        )
+    };
     match response.parse(&answer) {
         Ok(httparse::Status::Complete(head_len)) => {
-            let text = String::from_utf8_lossy(answer.get(head_len..).unwrap_or_default()).into_owned();
+            let text =
+                String::from_utf8_lossy(answer.get(head_len..).unwrap_or_default()).into_owned();
             Ok((response.code.ok_or_else(invalid)?, text))
         }
         _ => Err(invalid()),
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -54,12 +54,16 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { memory_mb: 128, sockets: 1024 }
+        Limits {
+            memory_mb: 128,
+            sockets: 1024,
+        }
     }
 }
 
 fn config() -> Result<Config, String> {
-    let path = std::env::var("ROUTER_CONFIG").map_err(|_| "ROUTER_CONFIG names no file".to_owned())?;
+    let path =
+        std::env::var("ROUTER_CONFIG").map_err(|_| "ROUTER_CONFIG names no file".to_owned())?;
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
     serde_json::from_str(&text).map_err(|e| format!("{path}: {e}"))
 }
@@ -70,7 +74,9 @@
 /// Says what of the configuration can't be used, or which means can't be had.
 pub fn run() -> Result<(), String> {
     let config = config()?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     tokio::task::LocalSet::new().block_on(&runtime, node(config))
 }
@@ -80,19 +86,33 @@
     let hangup = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
     let operators = operators(config.management)?;
     let bounds = Bounds::of(config.limits.sockets, config.limits.memory_mb);
-    let read = settings::read(config.settings.get()).map_err(|e| format!("settings can't be used: {e}"));
+    let read =
+        settings::read(config.settings.get()).map_err(|e| format!("settings can't be used: {e}"));
     let (settings, names, figures) = read?;
     // Any text seeds the choices, but two starts must not share one.
-    let seed = u64::from_str_radix(&config.seed, 16).unwrap_or_else(|_| settings::stable_hash(&config.seed));
+    let seed = u64::from_str_radix(&config.seed, 16)
+        .unwrap_or_else(|_| settings::stable_hash(&config.seed));
     let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
     let name = plain(&config.name);
-    let handover_socket = || folder.as_deref().map(|folder| HandoverSocket::new(folder, &name));
+    let handover_socket = || {
+        folder
+            .as_deref()
+            .map(|folder| HandoverSocket::new(folder, &name))
+    };
     let shared = Shared::alone(bounds);
     let mut snapshot = match handover_socket() {
         Some(handover_socket) => handover_socket.request_snapshot(&shared).await,
         None => None,
     };
-    let pool = Pool::new(settings, names, figures, seed, Missing::Ended, shared.clone(), None);
+    let pool = Pool::new(
+        settings,
+        names,
+        figures,
+        seed,
+        Missing::Ended,
+        shared.clone(),
+        None,
+    );
     let pool = pool.map_err(|e| format!("settings can't be used: {e}"))?;
     let known = if config.known.is_null() {
         0
@@ -111,10 +131,22 @@
         // Whoever is there has other sockets: it goes on with its clients, and this process has its own.
         snapshot = None;
     }
-    let listening = listening.or_else(|_| Listening::bind(LISTENER, config.listen, bounds.clients, true))?;
-    let held = if snapshot.is_some() { bounds.halved() } else { bounds };
+    let listening =
+        listening.or_else(|_| Listening::bind(LISTENER, config.listen, bounds.clients, true))?;
+    let held = if snapshot.is_some() {
+        bounds.halved()
+    } else {
+        bounds
+    };
     shared.shrink(bounds, held);
-    let follow = source::follow(&pool, Discovery { address: named, known, list: String::new() });
+    let follow = source::follow(
+        &pool,
+        Discovery {
+            address: named,
+            known,
+            list: String::new(),
+        },
+    );
     tokio::task::spawn_local(reload(shared.clone(), hangup, address));
     let ticking = shared.clone();
     tokio::task::spawn_local(async move {
@@ -125,7 +157,12 @@
     });
     let learning = pool.clone();
     let collect_learned = Box::new(move || vec![(String::new(), learning.learned())]);
-    let takeover = Takeover::new(shared.clone(), handover_socket(), snapshot.is_some(), collect_learned);
+    let takeover = Takeover::new(
+        shared.clone(),
+        handover_socket(),
+        snapshot.is_some(),
+        collect_learned,
+    );
     let serving = takeover.clone();
     let ready = Box::new(move || serving.is_serving());
     let management = Management::new(shared.clone(), folder.as_deref(), &name, ready, None);
@@ -164,14 +201,26 @@
 fn operators(configured: Option<SocketAddr>) -> Result<Option<SocketAddr>, String> {
     match (configured, std::env::var("ROUTER_MANAGEMENT")) {
         (Some(address), _) => Ok(Some(address)),
-        (None, Ok(text)) => text.parse().map(Some).map_err(|e| format!("ROUTER_MANAGEMENT {text}: {e}")),
+        (None, Ok(text)) => text
+            .parse()
+            .map(Some)
+            .map_err(|e| format!("ROUTER_MANAGEMENT {text}: {e}")),
         (None, Err(_)) => Ok(None),
     }
 }
 
 /// A node's name as part of a file's.
 pub fn plain(name: &str) -> String {
-    name.chars().map(|c| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' }).take(64).collect()
+    name.chars()
+        .map(|c| {
+            if c.is_ascii_alphanumeric() || c == '-' {
+                c
+            } else {
+                '_'
+            }
+        })
+        .take(64)
+        .collect()
 }
 
 /// Takes in a new configuration at each SIGHUP.
@@ -184,10 +233,14 @@
         for _ in 0..RELOAD_TRIES {
             match config() {
                 Ok(new) => {
-                    address.send_if_modified(|old| std::mem::replace(old, new.discovery) != new.discovery);
+                    address.send_if_modified(|old| {
+                        std::mem::replace(old, new.discovery) != new.discovery
+                    });
                     break;
                 }
-                Err(fault) => shared.log.write_line(format_args!("the old configuration stays: {fault}")),
+                Err(fault) => shared
+                    .log
+                    .write_line(format_args!("the old configuration stays: {fault}")),
             }
             tokio::time::sleep(RELOAD_AGAIN).await;
         }
--- a/crates/node/src/standalone.rs
+++ b/crates/node/src/standalone.rs
@@ -40,7 +40,9 @@
 /// What is wrong with the file, or which means can't be had.
 pub fn run(path: &Path) -> Result<(), String> {
     let plan = reelfall_conf::load(path).map_err(|e| e.to_string())?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     tokio::task::LocalSet::new().block_on(&runtime, node(path, plan))
 }
@@ -78,13 +80,28 @@
     let shared = Shared::parted(plan.totals, plan.model.process.server_connections);
     let reader = Reader::start(path.to_owned(), shared.clock).map_err(|e| e.to_string())?;
     let freeing = reader.clone();
-    let services = Services::new(shared.clone(), seed, Rc::new(move |plan| freeing.free(plan)));
+    let services = Services::new(
+        shared.clone(),
+        seed,
+        Rc::new(move |plan| freeing.free(plan)),
+    );
     let began = (shared.clock.now() * 1e3) as u64;
     let (front, entries) = (RefCell::default(), RefCell::default());
     let leaving = Cell::new(false);
     let (fleet, calls) = (plan.model.fleet.clone(), plan.model.management.clone());
-    let node = Rc::new(Node { shared, services, entries, leaving, began, front, seed });
-    let together = fleet.as_ref().map(|f| FleetRuntime::open(&node.shared, f)).transpose()?;
+    let node = Rc::new(Node {
+        shared,
+        services,
+        entries,
+        leaving,
+        began,
+        front,
+        seed,
+    });
+    let together = fleet
+        .as_ref()
+        .map(|f| FleetRuntime::open(&node.shared, f))
+        .transpose()?;
     let front = node.apply(Prepared::first(plan))?;
     let management = calls.as_ref().map(|m| own_socket(m.address)).transpose()?;
     announce(&front, management.as_ref(), together.as_deref());
@@ -92,12 +109,23 @@
         node.shared.tell_of_attempts(together.clone());
         tokio::task::spawn_local(together.clone().run());
     }
-    let leases = match fleet.as_ref().and_then(|f| f.leases.as_ref().map(|l| (f, l))).zip(together.as_ref()) {
+    let leases = match fleet
+        .as_ref()
+        .and_then(|f| f.leases.as_ref().map(|l| (f, l)))
+        .zip(together.as_ref())
+    {
         Some(((fleet, settings), together)) => Some(Leases::start(together, fleet, settings)?),
         None => None,
     };
     if let Some((listener, settings)) = management.zip(calls.as_deref()) {
-        manage(&node, settings, fleet.as_deref(), listener, together.as_ref(), leases.clone())?;
+        manage(
+            &node,
+            settings,
+            fleet.as_deref(),
+            listener,
+            together.as_ref(),
+            leases.clone(),
+        )?;
     }
     let ticking = node.clone();
     tokio::task::spawn_local(async move {
@@ -106,7 +134,11 @@
             ticking.shared.tick();
             ticking.services.tick();
             if ticking.services.are_ready() {
-                ticking.entries.borrow().values().for_each(|(_, entered)| entered.publish());
+                ticking
+                    .entries
+                    .borrow()
+                    .values()
+                    .for_each(|(_, entered)| entered.publish());
             }
         }
     });
@@ -127,9 +159,14 @@
         if let Some(together) = &together {
             together.leave();
         }
-        let entries = node.entries.take().into_values().map(|(_, entered)| entered);
-        let leaving: FuturesUnordered<_> =
-            entries.map(|entered| async move { entered.withdraw(WITHDRAWN_IN).await }).collect();
+        let entries = node
+            .entries
+            .take()
+            .into_values()
+            .map(|(_, entered)| entered);
+        let leaving: FuturesUnordered<_> = entries
+            .map(|entered| async move { entered.withdraw(WITHDRAWN_IN).await })
+            .collect();
         leaving.collect::<()>().await;
     };
     front.serve(stop).await;
@@ -139,15 +176,20 @@
 /// Serves the management address. Like the fleet it is there from the start of the process to its end:
 /// what a reload says of it holds from the next start.
 fn manage(
-    node: &Rc<Node>, settings: &model::Management, fleet: Option<&model::Fleet>,
-    listener: std::net::TcpListener, together: Option<&Rc<FleetRuntime>>, leases: Option<Rc<Leases>>,
+    node: &Rc<Node>,
+    settings: &model::Management,
+    fleet: Option<&model::Fleet>,
+    listener: std::net::TcpListener,
+    together: Option<&Rc<FleetRuntime>>,
+    leases: Option<Rc<Leases>>,
 ) -> Result<(), String> {
     let listener = tokio::net::TcpListener::from_std(listener).map_err(|e| e.to_string())?;
     let name = fleet.map_or("node", |fleet| &fleet.node);
     let serving = node.clone();
     let ready = Box::new(move || serving.services.are_ready());
     let handler = together.cloned().map(|t| {
-        Box::new(move |request: &_| handle_fleet_request(&t, leases.as_deref(), request)) as FleetHandler
+        Box::new(move |request: &_| handle_fleet_request(&t, leases.as_deref(), request))
+            as FleetHandler
     });
     let folder = settings.folder.as_deref();
     let answering = Management::new(node.shared.clone(), folder, &plain(name), ready, handler);
@@ -161,14 +203,17 @@
 
 /// Answers a management request that concerns the fleet.
 fn handle_fleet_request(
-    together: &FleetRuntime, leases: Option<&Leases>, request: &FleetRequest,
+    together: &FleetRuntime,
+    leases: Option<&Leases>,
+    request: &FleetRequest,
 ) -> (StatusCode, String) {
     match (request, leases) {
         (FleetRequest::Leases, Some(leases)) => leases.report(),
         (FleetRequest::Release { lease, reason }, Some(leases)) => leases.release(lease, reason),
-        (FleetRequest::Leases | FleetRequest::Release { .. }, None) => {
-            (StatusCode::NOT_FOUND, "this node has no [fleet.leases]\n".to_owned())
-        }
+        (FleetRequest::Leases | FleetRequest::Release { .. }, None) => (
+            StatusCode::NOT_FOUND,
+            "this node has no [fleet.leases]\n".to_owned(),
+        ),
         (request, _) => together.handle_request(request),
     }
 }
@@ -186,11 +231,14 @@
         let old = self.front.borrow().clone();
         let mut listening = Vec::with_capacity(model.listeners.len());
         for listener in &model.listeners {
-            let kept = old.as_ref().and_then(|front| front.listener(&listener.name, listener.address));
+            let kept = old
+                .as_ref()
+                .and_then(|front| front.listener(&listener.name, listener.address));
             listening.push(match kept {
                 Some(kept) => kept,
-                None => Listening::bind(&listener.name, listener.address, clients, false)
-                    .map_err(|e| format!("{}: listener `{}`: {e}", listener.origin, listener.name))?,
+                None => Listening::bind(&listener.name, listener.address, clients, false).map_err(
+                    |e| format!("{}: listener `{}`: {e}", listener.origin, listener.name),
+                )?,
             });
         }
         let entries = entries_of(&prepared)?;
@@ -222,26 +270,42 @@
             }
             stays
         });
-        let listens = front.addresses().into_iter().map(|(_, address)| address.to_string()).next();
+        let listens = front
+            .addresses()
+            .into_iter()
+            .map(|(_, address)| address.to_string())
+            .next();
         for (registry, wanted) in wanted {
             entries.entry(registry).or_insert_with(|| {
-                let Wanted { access, entry, zone } = wanted.clone();
+                let Wanted {
+                    access,
+                    entry,
+                    zone,
+                } = wanted.clone();
                 let data = EntryData {
                     name: entry.name,
-                    address: entry.address.or_else(|| listens.clone()).unwrap_or_default(),
+                    address: entry
+                        .address
+                        .or_else(|| listens.clone())
+                        .unwrap_or_default(),
                     site: entry.site,
                     zone,
                     incarnation: self.began,
                     started: self.began,
                 };
-                (wanted, OwnEntry::keep(&self.shared, access, entry.path, data, entry.guarded))
+                (
+                    wanted,
+                    OwnEntry::keep(&self.shared, access, entry.path, data, entry.guarded),
+                )
             });
         }
     }
 
     /// Takes in the file again. What is wrong with it is told, and then all stays as it was.
     async fn reload(&self, reader: &Reader, name: &str) {
-        let Some(in_force) = self.services.in_force() else { return };
+        let Some(in_force) = self.services.in_force() else {
+            return;
+        };
         let read = reader.read(in_force).await;
         if self.leaving.get() {
             // Listeners that have been closed would be opened again.
@@ -265,20 +329,39 @@
 /// The entries that a plan wants, by their registries.
 fn entries_of(prepared: &Prepared) -> Result<HashMap<String, Wanted>, String> {
     let model = &prepared.plan.model;
-    let wanted = model.registries.iter().filter_map(|r| Some((r, r.entry.as_ref()?)));
+    let wanted = model
+        .registries
+        .iter()
+        .filter_map(|r| Some((r, r.entry.as_ref()?)));
     let wanted = wanted.map(|(registry, entry)| {
-        let access =
-            prepared.access(&registry.name).map_err(|e| format!("{}: {e}", registry.origin))?.clone();
+        let access = prepared
+            .access(&registry.name)
+            .map_err(|e| format!("{}: {e}", registry.origin))?
+            .clone();
         let (entry, zone) = (entry.value.clone(), model.process.zone.clone());
-        Ok((registry.name.clone(), Wanted { access, entry, zone }))
+        Ok((
+            registry.name.clone(),
+            Wanted {
+                access,
+                entry,
+                zone,
+            },
+        ))
     });
     wanted.collect()
 }
 
 /// Tells on standard output where clients can connect; with port 0 in the file, nobody else could know.
-fn announce(front: &Front, management: Option<&std::net::TcpListener>, together: Option<&FleetRuntime>) {
-    let addresses: serde_json::Map<String, serde_json::Value> =
-        front.addresses().into_iter().map(|(name, address)| (name, address.to_string().into())).collect();
+fn announce(
+    front: &Front,
+    management: Option<&std::net::TcpListener>,
+    together: Option<&FleetRuntime>,
+) {
+    let addresses: serde_json::Map<String, serde_json::Value> = front
+        .addresses()
+        .into_iter()
+        .map(|(name, address)| (name, address.to_string().into()))
+        .collect();
     let mut line = serde_json::Map::from_iter([("listening".to_owned(), addresses.into())]);
     let further = [
         ("management", management.and_then(|m| m.local_addr().ok())),
--- a/crates/node/src/standalone/reload.rs
+++ b/crates/node/src/standalone/reload.rs
@@ -15,7 +15,10 @@
 /// What the thread does.
 enum Job {
     /// Reads the file and compares it with the plan that is in force.
-    Read { in_force: Arc<Prepared>, done: oneshot::Sender<Result<Arc<Prepared>, String>> },
+    Read {
+        in_force: Arc<Prepared>,
+        done: oneshot::Sender<Result<Arc<Prepared>, String>>,
+    },
     /// Frees a plan that nobody uses any more.
     Free(Arc<Prepared>),
 }
@@ -33,7 +36,9 @@
     /// If no thread is to be had.
     pub fn start(path: PathBuf, clock: Clock) -> std::io::Result<Reader> {
         let (jobs, work) = mpsc::channel();
-        std::thread::Builder::new().name("settings".to_owned()).spawn(move || serve(&path, clock, &work))?;
+        std::thread::Builder::new()
+            .name("settings".to_owned())
+            .spawn(move || serve(&path, clock, &work))?;
         Ok(Reader { jobs })
     }
 
@@ -79,7 +84,9 @@
 ///
 /// The text is freed before the check, which takes memory of its own: the model holds nothing of the text.
 fn checked<Text: AsRef<str>>(
-    name: &str, text: Text, check: impl FnOnce(Model) -> Result<Plan, Faults>,
+    name: &str,
+    text: Text,
+    check: impl FnOnce(Model) -> Result<Plan, Faults>,
 ) -> Result<Plan, Faults> {
     let model = reader::toml(name, text.as_ref())?;
     drop(text);
@@ -100,7 +107,9 @@
                 return String::from_utf8(text)
                     .map_err(|_| std::io::Error::other("the file is not text in UTF-8"));
             }
-            (Err(e), Some(Err(before))) if e == before => return Err(std::io::Error::new(e.0, e.1)),
+            (Err(e), Some(Err(before))) if e == before => {
+                return Err(std::io::Error::new(e.0, e.1))
+            }
             (text, _) => last = Some(text),
         }
         std::thread::sleep(SETTLES_IN);
--- a/crates/operations/src/ban.rs
+++ b/crates/operations/src/ban.rs
@@ -70,12 +70,18 @@
 
     /// Lifts the ban of a server. Returns whether it was banned.
     pub fn enable(&mut self, name: &str, now: Time) -> bool {
-        let Some(banned_at) = self.banned.remove(name) else { return false };
+        let Some(banned_at) = self.banned.remove(name) else {
+            return false;
+        };
         self.lifted.retain(|ban| ban.name != name);
         if self.lifted.len() >= BACK_MOST {
             self.lifted.pop_front();
         }
-        self.lifted.push_back(LiftedBan { name: name.to_owned(), banned_at, lifted_at: now });
+        self.lifted.push_back(LiftedBan {
+            name: name.to_owned(),
+            banned_at,
+            lifted_at: now,
+        });
         true
     }
 
@@ -87,11 +93,17 @@
     /// as long as a start takes.
     pub fn status(&self, name: &str, ready_at: Time) -> BanStatus {
         if self.is_banned(name) {
-            return BanStatus { is_banned: true, ready_at };
+            return BanStatus {
+                is_banned: true,
+                ready_at,
+            };
         }
         let lifted = self.lifted.iter().find(|ban| ban.name == name);
         let lifted = lifted.filter(|ban| ready_at <= ban.lifted_at);
-        BanStatus { is_banned: false, ready_at: lifted.map_or(ready_at, |ban| ban.lifted_at) }
+        BanStatus {
+            is_banned: false,
+            ready_at: lifted.map_or(ready_at, |ban| ban.lifted_at),
+        }
     }
 
     /// Whether a server is banned.
@@ -101,7 +113,9 @@
 
     /// The servers that are banned, with the times of their bans.
     pub fn banned(&self) -> impl Iterator<Item = (&str, Time)> {
-        self.banned.iter().map(|(name, banned_at)| (name.as_str(), *banned_at))
+        self.banned
+            .iter()
+            .map(|(name, banned_at)| (name.as_str(), *banned_at))
     }
 
     /// The bans that were lifted, the latest last.
@@ -114,14 +128,22 @@
         let banned: BTreeMap<String, Time> = banned.into_iter().take(OUT_MOST).collect();
         let excess = lifted.len().saturating_sub(BACK_MOST);
         let recent = lifted.into_iter().skip(excess);
-        let lifted = recent.filter(|ban| !banned.contains_key(&ban.name)).collect();
+        let lifted = recent
+            .filter(|ban| !banned.contains_key(&ban.name))
+            .collect();
         Bans { banned, lifted }
     }
 
     /// The names of the servers whose bans differ from `other`.
     pub fn changed_servers(&self, other: &Bans) -> Vec<String> {
-        let mine = self.banned.keys().filter(|name| !other.banned.contains_key(*name));
-        let theirs = other.banned.keys().filter(|name| !self.banned.contains_key(*name));
+        let mine = self
+            .banned
+            .keys()
+            .filter(|name| !other.banned.contains_key(*name));
+        let theirs = other
+            .banned
+            .keys()
+            .filter(|name| !self.banned.contains_key(*name));
         let mut names: Vec<String> = mine.chain(theirs).cloned().collect();
         names.extend(self.lifted_only_here(other));
         names.extend(other.lifted_only_here(self));
@@ -131,6 +153,9 @@
     }
 
     fn lifted_only_here<'a>(&'a self, other: &'a Bans) -> impl Iterator<Item = String> + 'a {
-        self.lifted.iter().filter(|ban| !other.lifted.contains(ban)).map(|ban| ban.name.clone())
+        self.lifted
+            .iter()
+            .filter(|ban| !other.lifted.contains(ban))
+            .map(|ban| ban.name.clone())
     }
 }
--- a/crates/operations/src/drain.rs
+++ b/crates/operations/src/drain.rs
@@ -22,7 +22,9 @@
 impl Drain {
     /// The drain of another process or an earlier run.
     pub fn new(since: Option<Time>) -> Self {
-        Drain { since: since.filter(|t| t.is_finite()) }
+        Drain {
+            since: since.filter(|t| t.is_finite()),
+        }
     }
 
     /// Begins the drain; one that has begun goes on as it was.
@@ -47,6 +49,7 @@
 
     /// When a connection that has been idle since `idle_since` is closed; `None` while the node serves.
     pub fn idle_deadline(&self, idle_since: Time) -> Option<Time> {
-        self.since.map(|since| (since + IDLE_GRACE).max(idle_since + LATE_IDLE_GRACE))
+        self.since
+            .map(|since| (since + IDLE_GRACE).max(idle_since + LATE_IDLE_GRACE))
     }
 }
--- a/crates/operations/src/ledger.rs
+++ b/crates/operations/src/ledger.rs
@@ -65,15 +65,28 @@
             return Err(LedgerError::UnknownVersion(stored.version));
         }
         let lifted = stored.lifted.into_iter();
-        let lifted = lifted.map(|(name, banned_at, lifted_at)| LiftedBan { name, banned_at, lifted_at });
+        let lifted = lifted.map(|(name, banned_at, lifted_at)| LiftedBan {
+            name,
+            banned_at,
+            lifted_at,
+        });
         let bans = Bans::from_parts(stored.banned, lifted.collect());
-        Ok(Ledger { bans, drain: Drain::new(stored.draining_since) })
+        Ok(Ledger {
+            bans,
+            drain: Drain::new(stored.draining_since),
+        })
     }
 
     /// Encodes the ledger as JSON.
     pub fn encode(&self) -> String {
-        let banned = self.bans.banned().map(|(name, banned_at)| (name.to_owned(), banned_at));
-        let lifted = self.bans.lifted().map(|ban| (ban.name.clone(), ban.banned_at, ban.lifted_at));
+        let banned = self
+            .bans
+            .banned()
+            .map(|(name, banned_at)| (name.to_owned(), banned_at));
+        let lifted = self
+            .bans
+            .lifted()
+            .map(|ban| (ban.name.clone(), ban.banned_at, ban.lifted_at));
         let stored = StoredLedger {
             version: FORMAT_VERSION,
             banned: banned.collect(),
--- a/crates/operations/src/request.rs
+++ b/crates/operations/src/request.rs
@@ -44,10 +44,14 @@
             _ => {}
         }
         if let Some(rest) = rest.strip_prefix("fleet/") {
-            let query = path_and_query.split_once('?').map_or("", |(_, query)| query);
+            let query = path_and_query
+                .split_once('?')
+                .map_or("", |(_, query)| query);
             return FleetRequest::parse(method, rest, query).map(Self::Fleet);
         }
-        let rest = rest.strip_prefix("servers/").ok_or(RequestError::UnknownPath)?;
+        let rest = rest
+            .strip_prefix("servers/")
+            .ok_or(RequestError::UnknownPath)?;
         Self::parse_server_request(method, rest)
     }
 
--- a/crates/operations/src/request/fleet.rs
+++ b/crates/operations/src/request/fleet.rs
@@ -52,12 +52,22 @@
             Self::Leases => ("GET", "/-/fleet/leases".to_owned()),
             Self::Release { lease, reason } => {
                 let (lease, reason) = (encode_name(lease), encode_name(reason));
-                ("POST", format!("/-/fleet/leases/{lease}/release?why={reason}"))
+                (
+                    "POST",
+                    format!("/-/fleet/leases/{lease}/release?why={reason}"),
+                )
             }
-            Self::Ban { server, seconds, by } => {
+            Self::Ban {
+                server,
+                seconds,
+                by,
+            } => {
                 let (server, by) = (encode_name(server), encode_name(by));
                 let duration = seconds.map_or(String::new(), |s| format!("&for={s}"));
-                ("POST", format!("/-/fleet/servers/{server}/ban?by={by}{duration}"))
+                (
+                    "POST",
+                    format!("/-/fleet/servers/{server}/ban?by={by}{duration}"),
+                )
             }
             Self::Lift { server, by } => {
                 let (server, by) = (encode_name(server), encode_name(by));
@@ -74,10 +84,15 @@
             "leases" => return require_method(method, "GET").map(|()| Self::Leases),
             _ => {}
         }
-        if let Some(lease) = rest.strip_prefix("leases/").and_then(|rest| rest.strip_suffix("/release")) {
+        if let Some(lease) = rest
+            .strip_prefix("leases/")
+            .and_then(|rest| rest.strip_suffix("/release"))
+        {
             return Self::parse_release(method, lease, query);
         }
-        let rest = rest.strip_prefix("servers/").ok_or(RequestError::UnknownPath)?;
+        let rest = rest
+            .strip_prefix("servers/")
+            .ok_or(RequestError::UnknownPath)?;
         match rest.split_once('/') {
             None => Self::parse_explain(method, rest),
             Some((server, "ban")) => Self::parse_ban(method, server, query),
@@ -105,7 +120,11 @@
         let server = decode_name(server)?;
         let by = parse_author(query)?;
         require_method(method, "POST")?;
-        Ok(Self::Ban { server, seconds, by })
+        Ok(Self::Ban {
+            server,
+            seconds,
+            by,
+        })
     }
 
     fn parse_lift(method: &str, server: &str, query: &str) -> Result<Self, RequestError> {
@@ -124,5 +143,7 @@
 /// The first value of a parameter of the query, still encoded.
 fn query_value<'a>(query: &'a str, parameter: &str) -> Option<&'a str> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-    pairs.find(|(name, _)| *name == parameter).map(|(_, value)| value)
+    pairs
+        .find(|(name, _)| *name == parameter)
+        .map(|(_, value)| value)
 }
--- a/crates/operations/src/takeover.rs
+++ b/crates/operations/src/takeover.rs
@@ -66,12 +66,16 @@
     /// # Errors
     /// If the bytes are no frame.
     pub fn decode(buffer: &[u8]) -> Result<Option<(Frame, usize)>, serde_json::Error> {
-        let Some((length, rest)) = buffer.split_first_chunk::<4>() else { return Ok(None) };
+        let Some((length, rest)) = buffer.split_first_chunk::<4>() else {
+            return Ok(None);
+        };
         let length = u32::from_be_bytes(*length) as usize;
         if length > FRAME_MOST {
             return Err(serde::de::Error::custom("too large a frame"));
         }
-        let Some(text) = rest.get(..length) else { return Ok(None) };
+        let Some(text) = rest.get(..length) else {
+            return Ok(None);
+        };
         let frame: Frame = serde_json::from_slice(text)?;
         if frame.descriptor_count() > DESCRIPTORS_MOST {
             return Err(serde::de::Error::custom("too many descriptors"));
--- a/crates/operations/tests/golden.rs
+++ b/crates/operations/tests/golden.rs
@@ -14,11 +14,16 @@
         Frame::Hello { version: 1 },
         Frame::Snapshot {
             listeners: vec!["client".to_owned(), "grüß".to_owned()],
-            learned: vec![(String::new(), serde_json::json!({"servers": [], "base": 0.25}))],
+            learned: vec![(
+                String::new(),
+                serde_json::json!({"servers": [], "base": 0.25}),
+            )],
         },
         Frame::Busy,
         Frame::Serving,
-        Frame::Client { listener: "client".to_owned() },
+        Frame::Client {
+            listener: "client".to_owned(),
+        },
     ];
     let mut lines = Vec::new();
     for frame in &frames {
@@ -26,7 +31,10 @@
         let (decoded, length) = Frame::decode(&bytes).unwrap().unwrap();
         assert_eq!(length, bytes.len());
         assert_eq!(decoded.encode().unwrap(), bytes);
-        assert_eq!(bytes[..4], u32::try_from(bytes.len() - 4).unwrap().to_be_bytes());
+        assert_eq!(
+            bytes[..4],
+            u32::try_from(bytes.len() - 4).unwrap().to_be_bytes()
+        );
         lines.push(String::from_utf8(bytes[4..].to_vec()).unwrap());
     }
     assert_eq!(lines, FRAMES.lines().collect::<Vec<_>>());
@@ -39,11 +47,25 @@
         FleetRequest::Members,
         FleetRequest::Verdicts,
         FleetRequest::Explain(name()),
-        FleetRequest::Ban { server: name(), seconds: None, by: "ada".to_owned() },
-        FleetRequest::Ban { server: name(), seconds: Some(90), by: "o bi".to_owned() },
-        FleetRequest::Lift { server: name(), by: "ada".to_owned() },
+        FleetRequest::Ban {
+            server: name(),
+            seconds: None,
+            by: "ada".to_owned(),
+        },
+        FleetRequest::Ban {
+            server: name(),
+            seconds: Some(90),
+            by: "o bi".to_owned(),
+        },
+        FleetRequest::Lift {
+            server: name(),
+            by: "ada".to_owned(),
+        },
         FleetRequest::Leases,
-        FleetRequest::Release { lease: "calls/flags".to_owned(), reason: "a change".to_owned() },
+        FleetRequest::Release {
+            lease: "calls/flags".to_owned(),
+            reason: "a change".to_owned(),
+        },
     ];
     let own = [
         ManagementRequest::Ready,
--- a/crates/operations/tests/requests.rs
+++ b/crates/operations/tests/requests.rs
@@ -20,8 +20,15 @@
 
 #[test]
 fn fleet_requests_are_parsed_as_they_were_formatted() {
-    let ban = |seconds| FleetRequest::Ban { server: "a/b c".to_owned(), seconds, by: "ada & eze".to_owned() };
-    let lift = FleetRequest::Lift { server: "s".to_owned(), by: "obi".to_owned() };
+    let ban = |seconds| FleetRequest::Ban {
+        server: "a/b c".to_owned(),
+        seconds,
+        by: "ada & eze".to_owned(),
+    };
+    let lift = FleetRequest::Lift {
+        server: "s".to_owned(),
+        by: "obi".to_owned(),
+    };
     let all = [
         FleetRequest::Members,
         FleetRequest::Verdicts,
@@ -42,14 +49,26 @@
         ManagementRequest::parse("GET", "/-/fleet/servers/s/ban"),
         Err(RequestError::WrongMethod("POST"))
     );
-    assert_eq!(ManagementRequest::parse("POST", "/-/fleet/servers/s/bann"), Err(RequestError::UnknownPath));
-    assert_eq!(ManagementRequest::parse("GET", "/-/fleet"), Err(RequestError::UnknownPath));
+    assert_eq!(
+        ManagementRequest::parse("POST", "/-/fleet/servers/s/bann"),
+        Err(RequestError::UnknownPath)
+    );
+    assert_eq!(
+        ManagementRequest::parse("GET", "/-/fleet"),
+        Err(RequestError::UnknownPath)
+    );
 }
 
 #[test]
 fn requests_are_parsed() {
-    assert_eq!(ManagementRequest::parse("GET", "/-/ready"), Ok(ManagementRequest::Ready));
-    assert_eq!(ManagementRequest::parse("GET", "/-/ready?x=1"), Ok(ManagementRequest::Ready));
+    assert_eq!(
+        ManagementRequest::parse("GET", "/-/ready"),
+        Ok(ManagementRequest::Ready)
+    );
+    assert_eq!(
+        ManagementRequest::parse("GET", "/-/ready?x=1"),
+        Ok(ManagementRequest::Ready)
+    );
     assert_eq!(
         ManagementRequest::parse("POST", "/-/servers/s-5be2a07c/disable"),
         Ok(ManagementRequest::Disable("s-5be2a07c".to_owned()))
@@ -61,7 +80,11 @@
     for (method, path, error) in [
         ("POST", "/-/ready", RequestError::WrongMethod("GET")),
         ("GET", "/-/drain", RequestError::WrongMethod("POST")),
-        ("GET", "/-/servers/a/disable", RequestError::WrongMethod("POST")),
+        (
+            "GET",
+            "/-/servers/a/disable",
+            RequestError::WrongMethod("POST"),
+        ),
         ("POST", "/-/servers//disable", RequestError::InvalidName),
         ("POST", "/-/servers/%ff/enable", RequestError::InvalidName),
         ("POST", "/-/servers/a/b/enable", RequestError::UnknownPath),
@@ -69,8 +92,15 @@
         ("POST", "/drain", RequestError::UnknownPath),
         ("POST", "/-/drain/", RequestError::UnknownPath),
     ] {
-        assert_eq!(ManagementRequest::parse(method, path), Err(error), "{method} {path}");
+        assert_eq!(
+            ManagementRequest::parse(method, path),
+            Err(error),
+            "{method} {path}"
+        );
     }
     let long = format!("/-/servers/{}/disable", "x".repeat(600));
-    assert_eq!(ManagementRequest::parse("POST", &long), Err(RequestError::InvalidName));
+    assert_eq!(
+        ManagementRequest::parse("POST", &long),
+        Err(RequestError::InvalidName)
+    );
 }
--- a/crates/operations/tests/takeover.rs
+++ b/crates/operations/tests/takeover.rs
@@ -230,14 +230,16 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no client is lost by a process that lives", |_, s: &State| {
-                s.client != Client::Lost
-            }),
+            Property::always(
+                "no client is lost by a process that lives",
+                |_, s: &State| s.client != Client::Lost,
+            ),
             Property::always(
                 "whoever waits in the queue is accepted by somebody who lives",
                 |_, s: &State| {
-                    let settled =
-                        s.to_predecessor.is_empty() && s.to_successor.is_empty() && !s.loss_unnoticed;
+                    let settled = s.to_predecessor.is_empty()
+                        && s.to_successor.is_empty()
+                        && !s.loss_unnoticed;
                     let predecessor = s.predecessor.is_some_and(|e| e.accepts());
                     // A successor that was given the socket gets ready, or dies and is heard of.
                     let successor = s.successor.is_some() && (s.holds_listener || s.bound_listener);
@@ -249,17 +251,22 @@
                         || s.predecessor.is_none()
                 },
             ),
-            Property::always("the old process accepts until its successor does", |_, s: &State| {
-                let predecessor = s.predecessor.is_some_and(|e| e.accepts());
-                let ended = s.terminated && s.predecessor.is_none_or(|e| !e.shares_listeners());
-                predecessor || Upgrade::successor_accepts(s) || ended || s.loss_unnoticed
-            }),
-            Property::sometimes("a client goes from one process to the other", |_, s: &State| {
-                s.client == Client::AtSuccessor && s.predecessor.is_none()
-            }),
-            Property::sometimes("a successor of another version binds its own socket", |_, s: &State| {
-                s.bound_listener
-            }),
+            Property::always(
+                "the old process accepts until its successor does",
+                |_, s: &State| {
+                    let predecessor = s.predecessor.is_some_and(|e| e.accepts());
+                    let ended = s.terminated && s.predecessor.is_none_or(|e| !e.shares_listeners());
+                    predecessor || Upgrade::successor_accepts(s) || ended || s.loss_unnoticed
+                },
+            ),
+            Property::sometimes(
+                "a client goes from one process to the other",
+                |_, s: &State| s.client == Client::AtSuccessor && s.predecessor.is_none(),
+            ),
+            Property::sometimes(
+                "a successor of another version binds its own socket",
+                |_, s: &State| s.bound_listener,
+            ),
             Property::sometimes(
                 "the old process serves again after its successor's death",
                 |_, s: &State| {
@@ -277,17 +284,28 @@
 fn in_every_order_of_an_upgrade_somebody_accepts_and_no_client_is_dropped() {
     let checked = Upgrade.checker().spawn_bfs().join();
     checked.assert_properties();
-    assert!(checked.unique_state_count() > 100, "{} states", checked.unique_state_count());
+    assert!(
+        checked.unique_state_count() > 100,
+        "{} states",
+        checked.unique_state_count()
+    );
 }
 
 #[test]
 fn frames_come_back_as_they_were_written_and_nothing_else_is_one() {
     let frames = [
-        Frame::Hello { version: PROTOCOL_VERSION },
-        Frame::Snapshot { listeners: vec!["client".to_owned()], learned: vec![("a".to_owned(), 1.5.into())] },
+        Frame::Hello {
+            version: PROTOCOL_VERSION,
+        },
+        Frame::Snapshot {
+            listeners: vec!["client".to_owned()],
+            learned: vec![("a".to_owned(), 1.5.into())],
+        },
         Frame::Busy,
         Frame::Serving,
-        Frame::Client { listener: "client".to_owned() },
+        Frame::Client {
+            listener: "client".to_owned(),
+        },
     ];
     for frame in frames {
         let bytes = frame.encode().unwrap();
@@ -295,11 +313,17 @@
             assert!(Frame::decode(&bytes[..part]).unwrap().is_none());
         }
         let (again, length) = Frame::decode(&bytes).unwrap().unwrap();
-        assert_eq!((format!("{again:?}"), length), (format!("{frame:?}"), bytes.len()));
+        assert_eq!(
+            (format!("{again:?}"), length),
+            (format!("{frame:?}"), bytes.len())
+        );
     }
     assert!(Frame::decode(b"\xff\xff\xff\xff").is_err());
     assert!(Frame::decode(b"\0\0\0\x04nope").is_err());
-    let many = Frame::Snapshot { listeners: vec![String::new(); 100], learned: vec![] };
+    let many = Frame::Snapshot {
+        listeners: vec![String::new(); 100],
+        learned: vec![],
+    };
     assert!(many.encode().is_err());
 }
 
@@ -315,7 +339,12 @@
         ),
         (Frame::Busy, r#""Busy""#),
         (Frame::Serving, r#""Serving""#),
-        (Frame::Client { listener: "client".to_owned() }, r#"{"Client":{"listener":"client"}}"#),
+        (
+            Frame::Client {
+                listener: "client".to_owned(),
+            },
+            r#"{"Client":{"listener":"client"}}"#,
+        ),
     ] {
         let bytes = frame.encode().unwrap();
         let (length, body) = bytes.split_first_chunk::<4>().unwrap();
--- a/crates/rig/examples/capacity.rs
+++ b/crates/rig/examples/capacity.rs
@@ -34,7 +34,10 @@
     if differ.is_empty() {
         return Ok(());
     }
-    Err(format!("these tables differ from their inputs; write them anew: {}", differ.join(", ")))
+    Err(format!(
+        "these tables differ from their inputs; write them anew: {}",
+        differ.join(", ")
+    ))
 }
 
 fn write() -> Result<(), String> {
--- a/crates/rig/examples/reload/main.rs
+++ b/crates/rig/examples/reload/main.rs
@@ -70,7 +70,11 @@
 
 impl Seen {
     fn new() -> Seen {
-        Seen { sent: 0, good: 0, latency: Came::default().latency }
+        Seen {
+            sent: 0,
+            good: 0,
+            latency: Came::default().latency,
+        }
     }
 
     fn add(&mut self, came: &[Came]) -> Result<()> {
@@ -125,7 +129,11 @@
 /// Processor time that the thread that serves has used, in seconds: a process's first.
 fn serving_seconds(pid: u32) -> Result<f64> {
     let used = std::fs::read_to_string(format!("/proc/{pid}/task/{pid}/schedstat"))?;
-    let nanoseconds: u64 = used.split_whitespace().next().ok_or("no times of the thread")?.parse()?;
+    let nanoseconds: u64 = used
+        .split_whitespace()
+        .next()
+        .ok_or("no times of the thread")?
+        .parse()?;
     Ok(nanoseconds as f64 / 1e9)
 }
 
@@ -159,8 +167,21 @@
 #[tokio::main]
 async fn main() -> Result<()> {
     let arguments = Arguments::parse();
-    let Arguments { services, servers, routes, listed, rate, reloads, .. } = arguments;
-    let size = Size { services, servers, routes, listed };
+    let Arguments {
+        services,
+        servers,
+        routes,
+        listed,
+        rate,
+        reloads,
+        ..
+    } = arguments;
+    let size = Size {
+        services,
+        servers,
+        routes,
+        listed,
+    };
     let mut lists = Vec::new();
     let mut pools = Vec::new();
     for n in 0..LOADED {
@@ -181,19 +202,36 @@
         rest.add(&load::run(address, &kinds(rate, &format!("rest{n}")), WINDOW, seed).await)?;
         let next = settings::text(&size, &lists, n);
         let kinds = kinds(rate, &format!("reload{n}"));
-        let (came, took) = tokio::join!(load::run(address, &kinds, WINDOW, seed), reload(&mut node, &next));
+        let (came, took) = tokio::join!(
+            load::run(address, &kinds, WINDOW, seed),
+            reload(&mut node, &next)
+        );
         reloading.add(&came)?;
         in_force.push(took?.as_secs_f64() * 1e3);
     }
     in_force.sort_by(f64::total_cmp);
     let quiet = (reloads + 1..=2 * reloads).map(|n| settings::text(&size, &lists, n));
     let serving = serving(&mut node, quiet).await?;
-    report(&size, first.len(), rate, &rest, &reloading, &in_force, &serving);
+    report(
+        &size,
+        first.len(),
+        rate,
+        &rest,
+        &reloading,
+        &in_force,
+        &serving,
+    );
     Ok(())
 }
 
 fn report(
-    size: &Size, bytes: usize, rate: f64, rest: &Seen, reloading: &Seen, in_force: &[f64], serving: &[f64],
+    size: &Size,
+    bytes: usize,
+    rate: f64,
+    rest: &Seen,
+    reloading: &Seen,
+    in_force: &[f64],
+    serving: &[f64],
 ) {
     let (at_rest, seen) = (rest.latencies(), reloading.latencies());
     let [p50, p99, max] = [0, 1, 2].map(|n| seen[n] - at_rest[n]);
@@ -201,8 +239,14 @@
         let at = |n: usize| sorted.get(n).copied().unwrap_or_default();
         (at(sorted.len() / 2), at(sorted.len().saturating_sub(1)))
     };
-    let ((median, longest), (serving, most)) = (middle_and_most(in_force), middle_and_most(serving));
-    let Size { services, servers, routes, listed } = size;
+    let ((median, longest), (serving, most)) =
+        (middle_and_most(in_force), middle_and_most(serving));
+    let Size {
+        services,
+        servers,
+        routes,
+        listed,
+    } = size;
     let figures = json!({
         "file": { "services": services, "servers": servers, "routes": routes, "listed": listed, "bytes": bytes },
         "rate": rate,
--- a/crates/rig/examples/reload/settings.rs
+++ b/crates/rig/examples/reload/settings.rs
@@ -46,7 +46,9 @@
         }
         match loaded.get(service) {
             Some(list) => text += list,
-            None => lines(size, service).for_each(|line| listed(&mut text, line % size.servers.max(1))),
+            None => {
+                lines(size, service).for_each(|line| listed(&mut text, line % size.servers.max(1)))
+            }
         }
     }
     text
--- a/crates/rig/examples/settings_file.rs
+++ b/crates/rig/examples/settings_file.rs
@@ -22,6 +22,14 @@
     let Ok(&[services, servers, routes, tenants]) = numbers.as_deref() else {
         return Err(USAGE.to_owned());
     };
-    let size = Size { services, servers, routes, tenants, ..Size::TARGET };
-    std::io::stdout().write_all(settings_file(&size).as_bytes()).map_err(|e| e.to_string())
+    let size = Size {
+        services,
+        servers,
+        routes,
+        tenants,
+        ..Size::TARGET
+    };
+    std::io::stdout()
+        .write_all(settings_file(&size).as_bytes())
+        .map_err(|e| e.to_string())
 }
--- a/crates/rig/examples/state_size.rs
+++ b/crates/rig/examples/state_size.rs
@@ -39,11 +39,18 @@
 
 fn main() -> Result<()> {
     let words: Vec<String> = std::env::args().skip(1).collect();
-    match words.iter().map(String::as_str).collect::<Vec<_>>().as_slice() {
+    match words
+        .iter()
+        .map(String::as_str)
+        .collect::<Vec<_>>()
+        .as_slice()
+    {
         ["one", what, size] => one(what, size.parse()?),
         ["words"] => lengths(),
         ["rest", program, sizes @ ..] => sweep("rest", sizes, |size| rest(program, size, false)),
-        ["together", program, sizes @ ..] => sweep("together", sizes, |size| rest(program, size, true)),
+        ["together", program, sizes @ ..] => {
+            sweep("together", sizes, |size| rest(program, size, true))
+        }
         [what, sizes @ ..] if !sizes.is_empty() => sweep(what, sizes, |size| child(what, size)),
         _ => Err("say what to measure, and at which sizes".into()),
     }
@@ -73,13 +80,18 @@
     let (x, y) = (mean(|p| p.0), mean(|p| p.1));
     let spread: f64 = points.iter().map(|p| (p.0 - x).powi(2)).sum();
     let slope = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum::<f64>() / spread;
-    let left: f64 = points.iter().map(|p| (p.1 - y - slope * (p.0 - x)).powi(2)).sum();
+    let left: f64 = points
+        .iter()
+        .map(|p| (p.1 - y - slope * (p.0 - x)).powi(2))
+        .sum();
     (slope, (left / (n - 2.0) / spread).sqrt())
 }
 
 fn child(what: &str, size: usize) -> Result<Figures> {
     let program = std::env::current_exe()?;
-    let done = Command::new(program).args(["one", what, &size.to_string()]).output()?;
+    let done = Command::new(program)
+        .args(["one", what, &size.to_string()])
+        .output()?;
     if !done.status.success() {
         return Err(String::from_utf8_lossy(&done.stderr).into_owned().into());
     }
@@ -100,14 +112,19 @@
         "count" => count(size),
         _ => return Err(format!("`{what}` is not measured here").into()),
     };
-    figures.iter().for_each(|(name, value)| println!("{name} {value:e}"));
+    figures
+        .iter()
+        .for_each(|(name, value)| println!("{name} {value:e}"));
     Ok(())
 }
 
 /// Bytes that this process, or another one, has in memory.
 fn resident(process: &str) -> Result<f64> {
     let status = std::fs::read_to_string(format!("/proc/{process}/status"))?;
-    let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).ok_or("no resident set is told")?;
+    let line = status
+        .lines()
+        .find_map(|l| l.strip_prefix("VmRSS:"))
+        .ok_or("no resident set is told")?;
     let kib: f64 = line.trim().trim_end_matches(" kB").parse()?;
     Ok(kib * 1024.0)
 }
@@ -163,7 +180,14 @@
     let route = |n: usize| {
         let host = Host::Exact(format!("service-{}.example.org", n / 28).into());
         let path = format!("/v1/resource-{n}").into();
-        At { value: Route { host, path, ..first.value.clone() }, origin: first.origin.clone() }
+        At {
+            value: Route {
+                host,
+                path,
+                ..first.value.clone()
+            },
+            origin: first.origin.clone(),
+        }
     };
     service.value.routes = (0..size).map(route).collect();
     let plan = check(model)?;
@@ -179,7 +203,10 @@
     let first = service.value.members.first().cloned().ok_or("no tenant")?;
     let before = resident("self")?;
     let member = |n: usize| At {
-        value: Member { name: format!("tenant-{n:07}"), ..first.value.clone() },
+        value: Member {
+            name: format!("tenant-{n:07}"),
+            ..first.value.clone()
+        },
         origin: first.origin.clone(),
     };
     service.value.members = (0..size).map(member).collect();
@@ -206,7 +233,10 @@
     Node {
         name: format!("node-{n:04}"),
         address,
-        incarnation: Incarnation { number: 3, tag: (n as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1 },
+        incarnation: Incarnation {
+            number: 3,
+            tag: (n as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1,
+        },
     }
 }
 
@@ -216,7 +246,10 @@
         to,
         sequence: 1_000_000,
         clock_us: 86_400_000_000,
-        echo: Some(ClockEcho { clock_us: 86_400_000_000, held_us: 500_000 }),
+        echo: Some(ClockEcho {
+            clock_us: 86_400_000_000,
+            held_us: 500_000,
+        }),
         requests_echo: false,
         newer_incarnation: None,
         swim: Vec::new(),
@@ -226,7 +259,11 @@
 }
 
 fn update(n: usize) -> MemberUpdate {
-    MemberUpdate { node: node(n), swim_incarnation: 1, state: MemberState::Alive }
+    MemberUpdate {
+        node: node(n),
+        swim_incarnation: 1,
+        state: MemberState::Alive,
+    }
 }
 
 fn datagram(secret: &Secret, header: &Header, entries: &[Entry]) -> Result<Vec<u8>> {
@@ -246,7 +283,10 @@
     let config = Config::default();
     let mut fleet = Fleet::new(&me.name, me.address, tag, config, secret.clone(), 7, 0.0);
     for n in 1..size {
-        fleet.receive(0.1, &datagram(&secret, &header(node(n), tag, vec![update(n)]), &[])?);
+        fleet.receive(
+            0.1,
+            &datagram(&secret, &header(node(n), tag, vec![update(n)]), &[])?,
+        );
         while fleet.next_datagram().is_some() || fleet.next_event().is_some() {}
     }
     let after = resident("self")?;
@@ -257,10 +297,15 @@
     let mut again: Vec<Vec<u8>> = Vec::new();
     for n in 0..500 {
         let about = 1 + n * 7 % (size - 1);
-        let header = Header { sequence: 2_000_000 + n as u64, ..header(node(1), tag, vec![update(about)]) };
+        let header = Header {
+            sequence: 2_000_000 + n as u64,
+            ..header(node(1), tag, vec![update(about)])
+        };
         again.push(datagram(&secret, &header, &[])?);
     }
-    let word = timed(again.len(), |n| fleet.receive(0.2, again.get(n).map_or(&[], Vec::as_slice)));
+    let word = timed(again.len(), |n| {
+        fleet.receive(0.2, again.get(n).map_or(&[], Vec::as_slice))
+    });
     while fleet.next_datagram().is_some() || fleet.next_event().is_some() {}
     // News is told to three others in each tenth of a second.
     fleet.ban(0.3, "server-1", "measured", None);
@@ -279,7 +324,15 @@
 fn count(size: usize) -> Figures {
     let lists: Vec<HashMap<u32, (String, f64)>> = (0..size.div_ceil(19))
         .map(|list| {
-            let of = |n| (n as u32, (format!("service-{list}-server-{n}"), 1_790_000_000.0 + n as f64));
+            let of = |n| {
+                (
+                    n as u32,
+                    (
+                        format!("service-{list}-server-{n}"),
+                        1_790_000_000.0 + n as f64,
+                    ),
+                )
+            };
             (0..19).map(of).collect()
         })
         .collect();
@@ -289,7 +342,10 @@
             let servers: Vec<u32> = list.keys().copied().collect();
             let start = |id: u32| {
                 let (name, since) = list.get(&id)?;
-                Some(ServerInstance { name: name.clone(), since: (since * 1e3).round() as u64 })
+                Some(ServerInstance {
+                    name: name.clone(),
+                    since: (since * 1e3).round() as u64,
+                })
             };
             all.extend(servers.into_iter().filter_map(start));
         }
@@ -306,14 +362,21 @@
 fn judge(pools: usize) -> f64 {
     let names = |pool: usize| {
         let of = |n| (format!("service-{pool}-server-{n}"), n);
-        Rc::new(RefCell::new((0..19).map(of).collect::<HashMap<String, u32>>()))
+        Rc::new(RefCell::new(
+            (0..19).map(of).collect::<HashMap<String, u32>>(),
+        ))
     };
     let all: Vec<_> = (0..pools).map(names).collect();
     let known: HashMap<usize, Weak<_>> = all.iter().map(Rc::downgrade).enumerate().collect();
     let told = timed(200, |n| {
         let name = format!("service-{}-server-3", n * 7 % pools);
         let peers: Vec<_> = known.values().filter_map(Weak::upgrade).collect();
-        black_box(peers.into_iter().filter_map(|pool| pool.borrow().get(&name).copied()).count());
+        black_box(
+            peers
+                .into_iter()
+                .filter_map(|pool| pool.borrow().get(&name).copied())
+                .count(),
+        );
     });
     told / pools as f64
 }
@@ -322,7 +385,11 @@
 fn lapse(size: usize) -> f64 {
     let mut servers: SharedServers<SocketAddr, u32> = SharedServers::default();
     for n in 0..size {
-        let state = ListedState { status: ServerStatus::Up, ready_at: 0.0, knows_start: true };
+        let state = ListedState {
+            status: ServerStatus::Up,
+            ready_at: 0.0,
+            knows_start: true,
+        };
         servers.update(0.0, (n / 19) as u32, &node(n).address, Some(state));
     }
     timed(20, |n| {
@@ -333,31 +400,56 @@
 // ---- leases ----
 
 fn client(n: usize) -> ClientId {
-    ClientId { name: format!("node-{n:04}"), tag: (n as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1 }
+    ClientId {
+        name: format!("node-{n:04}"),
+        tag: (n as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1,
+    }
 }
 
 fn name(n: usize) -> Result<LeaseName> {
-    Ok(LeaseName::try_from(format!("asker/service-{:04}/zone-{:02}", n / 13, n % 13))?)
+    Ok(LeaseName::try_from(format!(
+        "asker/service-{:04}/zone-{:02}",
+        n / 13,
+        n % 13
+    ))?)
 }
 
 /// A keeper by itself with so many names, all held.
 fn names(size: usize) -> Result<Figures> {
     let (length, now) = (60_000_000, 1_000_000);
-    let config = keeper::Config { max_leases: size, ..keeper::Config::default() };
+    let config = keeper::Config {
+        max_leases: size,
+        ..keeper::Config::default()
+    };
     let mut keeper = Keeper::open(0, 1, config, Default::default(), 7, now);
     keeper.tick(now);
     let _ = keeper.take_effects();
     let before = resident("self")?;
     for n in 0..size {
         let (lease, ballot) = (name(n)?, 1);
-        let request = Request::Prepare { lease: lease.clone(), round: 1, ballot, length, waited: 0 };
+        let request = Request::Prepare {
+            lease: lease.clone(),
+            round: 1,
+            ballot,
+            length,
+            waited: 0,
+        };
         keeper.handle_request(now, &client(n % 6000), request);
-        let request = Request::Grant { lease, round: 1, token: ballot, length, peers: Vec::new() };
+        let request = Request::Grant {
+            lease,
+            round: 1,
+            token: ballot,
+            length,
+            peers: Vec::new(),
+        };
         keeper.handle_request(now, &client(n % 6000), request);
         let _ = keeper.take_effects();
     }
     let after = resident("self")?;
-    let held = keeper.leases(now).filter(|lease| lease.left.is_some()).count();
+    let held = keeper
+        .leases(now)
+        .filter(|lease| lease.left.is_some())
+        .count();
     if held != size {
         return Err(format!("{held} names are held of {size}").into());
     }
@@ -366,7 +458,10 @@
         black_box(keeper.deadline());
         black_box(keeper.deadline());
     });
-    Ok(Figures::from([("bytes".to_owned(), after - before), ("scan_seconds".to_owned(), scan)]))
+    Ok(Figures::from([
+        ("bytes".to_owned(), after - before),
+        ("scan_seconds".to_owned(), scan),
+    ]))
 }
 
 // ---- messages ----
@@ -374,10 +469,22 @@
 fn lengths() -> Result<()> {
     let secret = secret()?;
     let says = |name: &str, bytes: usize| println!("{name}: {bytes} B");
-    let plain = datagram(&secret, &header(node(5000), node(1).incarnation.tag, Vec::new()), &[])?.len();
+    let plain = datagram(
+        &secret,
+        &header(node(5000), node(1).incarnation.tag, Vec::new()),
+        &[],
+    )?
+    .len();
     says("head", plain);
-    let members = header(node(5000), node(1).incarnation.tag, (2000..2010).map(update).collect());
-    says("member", (datagram(&secret, &members, &[])?.len() - plain) / 10);
+    let members = header(
+        node(5000),
+        node(1).incarnation.tag,
+        (2000..2010).map(update).collect(),
+    );
+    says(
+        "member",
+        (datagram(&secret, &members, &[])?.len() - plain) / 10,
+    );
     let with = |entry: Entry| -> Result<usize> {
         let of = header(node(5000), node(1).incarnation.tag, Vec::new());
         Ok(datagram(&secret, &of, &[entry])?.len() - plain)
@@ -388,15 +495,36 @@
     let app_message = |message: Message| -> Result<usize> {
         let body = message.encode().ok_or("a message that does not fit")?;
         let body = [[0; 8].as_slice(), &body].concat();
-        let message = AppMessage { from: node(5000), to: node(1).incarnation.tag, body };
-        Ok(message.seal(&secret).ok_or("a message that does not fit")?.len())
+        let message = AppMessage {
+            from: node(5000),
+            to: node(1).incarnation.tag,
+            body,
+        };
+        Ok(message
+            .seal(&secret)
+            .ok_or("a message that does not fit")?
+            .len())
     };
     let (lease, round) = (name(30_000)?, 1000);
-    let grant =
-        Request::Grant { lease: lease.clone(), round, token: 5000, length: 5_000_000, peers: Vec::new() };
+    let grant = Request::Grant {
+        lease: lease.clone(),
+        round,
+        token: 5000,
+        length: 5_000_000,
+        peers: Vec::new(),
+    };
     says("renewal", app_message(Message::Request(grant))?);
-    let position = LogPosition { storage: StorageId { generation: 1, tag: u64::MAX }, records: 1_000_000 };
-    let vote = Vote { own: position, peers: vec![Some(position); 5] };
+    let position = LogPosition {
+        storage: StorageId {
+            generation: 1,
+            tag: u64::MAX,
+        },
+        records: 1_000_000,
+    };
+    let vote = Vote {
+        own: position,
+        peers: vec![Some(position); 5],
+    };
     says(
         "its answer, five keepers",
         app_message(Message::Response(Response::Granted { lease, round, vote }))?,
@@ -406,23 +534,51 @@
         "name": "service-1234-server-12", "address": "10.123.45.67:8080", "zone": "zone-12", "type": "kind-3", "group": 1,
         "status": "active", "weight": 1.0, "since_ms": 1_790_000_000_000u64,
     });
-    says("a line of a list with its comma", line.to_string().len() + 1);
+    says(
+        "a line of a list with its comma",
+        line.to_string().len() + 1,
+    );
     Ok(())
 }
 
 fn entry(key: Key, value: Value, ttl_ms: u32) -> Entry {
-    let version = Version { incarnation: node(5000).incarnation, n: 100 };
-    Entry { key, version, value, ttl_ms, age_us: 1_500_000 }
+    let version = Version {
+        incarnation: node(5000).incarnation,
+        n: 100,
+    };
+    Entry {
+        key,
+        version,
+        value,
+        ttl_ms,
+        age_us: 1_500_000,
+    }
 }
 
 fn ban() -> Entry {
-    let id = BanId { node: node(5000).name, incarnation: node(5000).incarnation, number: 100 };
-    let key = Key::Ban { server: "service-1234-server-12".to_owned(), id };
-    entry(key, Value::Banned { by: "operator".to_owned() }, 604_800_000)
+    let id = BanId {
+        node: node(5000).name,
+        incarnation: node(5000).incarnation,
+        number: 100,
+    };
+    let key = Key::Ban {
+        server: "service-1234-server-12".to_owned(),
+        id,
+    };
+    entry(
+        key,
+        Value::Banned {
+            by: "operator".to_owned(),
+        },
+        604_800_000,
+    )
 }
 
 fn report() -> Entry {
-    let server = ServerInstance { name: "service-1234-server-12".to_owned(), since: 1_790_000_000_000 };
+    let server = ServerInstance {
+        name: "service-1234-server-12".to_owned(),
+        since: 1_790_000_000_000,
+    };
     let report = Report {
         finding: Finding::Failing,
         bad: 5,
@@ -431,21 +587,48 @@
         accused: 3,
         listed: 50_000,
     };
-    entry(Key::Report { server, by: node(5000).name }, Value::Report(report), 10_000)
+    entry(
+        Key::Report {
+            server,
+            by: node(5000).name,
+        },
+        Value::Report(report),
+        10_000,
+    )
 }
 
 fn index() -> Entry {
-    entry(Key::ListIndex { list: "service-1234".to_owned() }, Value::ListIndex, 600_000)
+    entry(
+        Key::ListIndex {
+            list: "service-1234".to_owned(),
+        },
+        Value::ListIndex,
+        600_000,
+    )
 }
 
 /// Bytes of one name and what was promised of it, as keepers tell it each other.
 fn promise_bytes() -> Result<usize> {
-    let promise = |n| Promise { ballot: 5000, client: Some(client(n)), length: 5_000_000 };
+    let promise = |n| Promise {
+        ballot: 5000,
+        client: Some(client(n)),
+        length: 5_000_000,
+    };
     let page = |n: usize| -> Result<usize> {
-        let promises: Result<Vec<_>> = (0..n).map(|n| Ok((name(30_000 + n)?, promise(n)))).collect();
-        let page =
-            PeerMessage::PromisePage { after: None, promises: promises?, floor: 0, last: true, voting: true };
-        Ok(Message::Peer(page).encode().ok_or("a page that does not fit")?.len())
+        let promises: Result<Vec<_>> = (0..n)
+            .map(|n| Ok((name(30_000 + n)?, promise(n))))
+            .collect();
+        let page = PeerMessage::PromisePage {
+            after: None,
+            promises: promises?,
+            floor: 0,
+            last: true,
+            voting: true,
+        };
+        Ok(Message::Peer(page)
+            .encode()
+            .ok_or("a page that does not fit")?
+            .len())
     };
     Ok((page(11)? - page(1)?) / 10)
 }
@@ -459,9 +642,13 @@
     let file = folder.path().join("reelfall.toml");
     let key = folder.path().join("fleet.key");
     std::fs::write(&key, "a key for measuring sizes alone")?;
-    let fleet =
-        format!("[fleet]\nname = \"f\"\nnode = \"n\"\nlisten = \"127.0.0.1:0\"\nkey_file = {key:?}\n");
-    std::fs::write(&file, if together { fleet } else { String::new() } + &settings(services))?;
+    let fleet = format!(
+        "[fleet]\nname = \"f\"\nnode = \"n\"\nlisten = \"127.0.0.1:0\"\nkey_file = {key:?}\n"
+    );
+    std::fs::write(
+        &file,
+        if together { fleet } else { String::new() } + &settings(services),
+    )?;
     let mut child = Command::new(program)
         .args(["run", "--config"])
         .arg(&file)
@@ -488,7 +675,10 @@
     let (before, begun) = (ran()?, Instant::now());
     std::thread::sleep(Duration::from_secs(10));
     let cores = (ran()? - before) / begun.elapsed().as_secs_f64();
-    Ok(Figures::from([("cores".to_owned(), cores), ("bytes".to_owned(), resident(&process)?)]))
+    Ok(Figures::from([
+        ("cores".to_owned(), cores),
+        ("bytes".to_owned(), resident(&process)?),
+    ]))
 }
 
 fn settings(services: usize) -> String {
