--- a/crates/rig/src/capacity/inputs.rs
+++ b/crates/rig/src/capacity/inputs.rs
@@ -70,10 +70,19 @@
                 (None, None) => String::new(),
             };
             let value = format!("{} {}", table::plain(i.value), i.unit);
-            vec![format!("`{}`", i.name), value, i.kind.word().to_owned(), i.about.clone(), from]
+            vec![
+                format!("`{}`", i.name),
+                value,
+                i.kind.word().to_owned(),
+                i.about.clone(),
+                from,
+            ]
         };
         let rows: Vec<_> = self.inputs.iter().map(row).collect();
-        table::markdown(&["input", "value", "kind", "what it is", "command, commit"], &rows)
+        table::markdown(
+            &["input", "value", "kind", "what it is", "command, commit"],
+            &rows,
+        )
     }
 }
 
@@ -94,9 +103,18 @@
     pub fn read(folder: &Path) -> Result<Measured, Fault> {
         let mut measured = Measured::default();
         for path in report_files(folder) {
-            let Report { commit, runs, slopes, .. } = report(&path)?;
-            measured.runs.extend(runs.into_iter().map(|run| (commit.clone(), run)));
-            measured.slopes.extend(slopes.into_iter().map(|slope| (commit.clone(), slope)));
+            let Report {
+                commit,
+                runs,
+                slopes,
+                ..
+            } = report(&path)?;
+            measured
+                .runs
+                .extend(runs.into_iter().map(|run| (commit.clone(), run)));
+            measured
+                .slopes
+                .extend(slopes.into_iter().map(|slope| (commit.clone(), slope)));
         }
         Ok(measured)
     }
@@ -108,12 +126,16 @@
         return "Not measured yet.\n".to_owned();
     }
     let row = |(commit, slope): &(String, Slope)| {
-        let from_to = |of: fn(f64, f64) -> f64, from| slope.points.iter().map(|p| p.0).fold(from, of);
+        let from_to =
+            |of: fn(f64, f64) -> f64, from| slope.points.iter().map(|p| p.0).fold(from, of);
         let at_target = match slope.projection {
             None if slope.bent => "not extended: it bends".to_owned(),
             None => "not extended".to_owned(),
             Some(there) => {
-                let (figure, error) = (table::plain(there.figure), table::plain(there.standard_error));
+                let (figure, error) = (
+                    table::plain(there.figure),
+                    table::plain(there.standard_error),
+                );
                 format!("{figure}, standard error {error}")
             }
         };
@@ -125,13 +147,26 @@
                 table::plain(from_to(f64::min, f64::MAX)),
                 table::plain(from_to(f64::max, 0.0))
             ),
-            format!("{:.3e}, standard error {:.1e}", slope.slope, slope.standard_error),
+            format!(
+                "{:.3e}, standard error {:.1e}",
+                slope.slope, slope.standard_error
+            ),
             at_target,
             commit.chars().take(7).collect(),
         ]
     };
     let rows: Vec<_> = slopes.iter().map(row).collect();
-    table::markdown(&["figure", "over", "measured from", "grows by", "at the target", "commit"], &rows)
+    table::markdown(
+        &[
+            "figure",
+            "over",
+            "measured from",
+            "grows by",
+            "at the target",
+            "commit",
+        ],
+        &rows,
+    )
 }
 
 /// Names of runs that are points of sweeps: the page of scale runs has them, and the lines through them stand here.
@@ -139,7 +174,10 @@
 
 /// Runs that are no points of sweeps.
 pub fn without_points(runs: &[(String, Run)]) -> Vec<(String, Run)> {
-    runs.iter().filter(|(_, run)| !POINTS.contains(&run.name.as_str())).cloned().collect()
+    runs.iter()
+        .filter(|(_, run)| !POINTS.contains(&run.name.as_str()))
+        .cloned()
+        .collect()
 }
 
 /// Scale runs as a table.
@@ -150,9 +188,17 @@
     let row = |(commit, run): &(String, Run)| {
         let each = &run.per_node;
         let bytes: f64 = each.traffic.iter().map(|t| t.bytes_in + t.bytes_out).sum();
-        let messages: f64 = each.traffic.iter().map(|t| t.messages_in + t.messages_out).sum();
+        let messages: f64 = each
+            .traffic
+            .iter()
+            .map(|t| t.messages_in + t.messages_out)
+            .sum();
         let in_force = run.in_force.map_or("not measured".to_owned(), |t| {
-            format!("{}, {}", amount(t.p99, Unit::Seconds), amount(t.last, Unit::Seconds))
+            format!(
+                "{}, {}",
+                amount(t.p99, Unit::Seconds),
+                amount(t.last, Unit::Seconds)
+            )
         });
         vec![
             run.name.clone(),
@@ -163,7 +209,9 @@
             amount(messages, Unit::CountPerSecond),
             amount(each.peak_bytes, Unit::Bytes),
             amount(each.cpu, Unit::Cores),
-            each.memory.map_or("not measured".to_owned(), |memory| amount(memory, Unit::Bytes)),
+            each.memory.map_or("not measured".to_owned(), |memory| {
+                amount(memory, Unit::Bytes)
+            }),
             in_force,
             commit.chars().take(7).collect(),
         ]
@@ -196,7 +244,9 @@
 
 /// The reports of a folder in the order of their names; none if there is no such folder.
 pub(super) fn report_files(folder: &Path) -> Vec<PathBuf> {
-    let Ok(entries) = std::fs::read_dir(folder) else { return Vec::new() };
+    let Ok(entries) = std::fs::read_dir(folder) else {
+        return Vec::new();
+    };
     let mut files: Vec<_> = entries.filter_map(|e| Some(e.ok()?.path())).collect();
     files.retain(|path| path.extension().is_some_and(|e| e == "json"));
     files.sort();
@@ -219,5 +269,9 @@
 }
 
 fn known(path: &Path, found: u32, known: u32) -> Result<(), Fault> {
-    (found == known).then_some(()).ok_or_else(|| Fault::Schema { path: path.to_owned(), found, known })
+    (found == known).then_some(()).ok_or_else(|| Fault::Schema {
+        path: path.to_owned(),
+        found,
+        known,
+    })
 }
--- a/crates/rig/src/capacity/mechanism.rs
+++ b/crates/rig/src/capacity/mechanism.rs
@@ -9,7 +9,10 @@
 use std::path::Path;
 
 /// The reports of plays, from the root of the repository.
-pub const PLAYS: [&str; 2] = ["docs/measurements/scale/virtual.json", "docs/measurements/scale/partial.json"];
+pub const PLAYS: [&str; 2] = [
+    "docs/measurements/scale/virtual.json",
+    "docs/measurements/scale/partial.json",
+];
 /// Bytes that a node may take and send within any [`LONG_SPAN`].
 pub const BURST: f64 = budget::TRAFFIC * LONG_SPAN;
 /// What the names of runs begin with that tell what a machine holds in memory.
@@ -46,18 +49,37 @@
         match self {
             Excess::Broken(count) => format!("{} promises not kept", plain(count as f64)),
             Excess::Missing(count) => format!("{} never came", plain(count as f64)),
-            Excess::InForce(factor) => format!("{} times over {} s", times(factor), plain(budget::IN_FORCE)),
+            Excess::InForce(factor) => {
+                format!("{} times over {} s", times(factor), plain(budget::IN_FORCE))
+            }
             Excess::CaughtUp(factor) => {
-                format!("{} times over {} s after it", times(factor), plain(budget::IN_FORCE))
+                format!(
+                    "{} times over {} s after it",
+                    times(factor),
+                    plain(budget::IN_FORCE)
+                )
             }
             Excess::FirstRequest(factor) => {
-                format!("{} times over {} ms", times(factor), plain(budget::ADDED * 1e3))
+                format!(
+                    "{} times over {} ms",
+                    times(factor),
+                    plain(budget::ADDED * 1e3)
+                )
             }
             Excess::Mean(factor) => {
-                format!("{} times over {} KB/s", times(factor), plain(budget::TRAFFIC / 1e3))
+                format!(
+                    "{} times over {} KB/s",
+                    times(factor),
+                    plain(budget::TRAFFIC / 1e3)
+                )
             }
             Excess::Burst(factor) => {
-                format!("{} times over {} kB in {} s", times(factor), plain(BURST / 1e3), plain(LONG_SPAN))
+                format!(
+                    "{} times over {} kB in {} s",
+                    times(factor),
+                    plain(BURST / 1e3),
+                    plain(LONG_SPAN)
+                )
             }
         }
     }
@@ -85,8 +107,15 @@
 }
 
 fn verdict(run: &Run, played: &Played) -> String {
-    let excesses: Vec<String> = excesses(run, played).into_iter().map(Excess::words).collect();
-    let partial = if run.size.nodes < Size::TARGET.nodes { "; partial" } else { "" };
+    let excesses: Vec<String> = excesses(run, played)
+        .into_iter()
+        .map(Excess::words)
+        .collect();
+    let partial = if run.size.nodes < Size::TARGET.nodes {
+        "; partial"
+    } else {
+        ""
+    };
     if excesses.is_empty() {
         return format!("fits{partial}");
     }
@@ -115,7 +144,10 @@
 
 /// The plays of a report, among its runs of other kinds.
 fn plays_of(report: &Report) -> impl Iterator<Item = (&Run, &Played)> {
-    report.runs.iter().filter_map(|run| Some((run, run.played.as_ref()?)))
+    report
+        .runs
+        .iter()
+        .filter_map(|run| Some((run, run.played.as_ref()?)))
 }
 
 /// How many times over a budget, if it is.
@@ -135,7 +167,9 @@
     /// If one can't be read or is of another format.
     pub fn read(root: &Path) -> Result<Plays, Fault> {
         let reports = PLAYS.iter().map(|file| inputs::report(&root.join(file)));
-        Ok(Plays { reports: reports.collect::<Result<_, _>>()? })
+        Ok(Plays {
+            reports: reports.collect::<Result<_, _>>()?,
+        })
     }
 
     fn plays(&self) -> impl Iterator<Item = (&Run, &Played)> {
@@ -154,12 +188,24 @@
             };
             Some(vec![what.to_owned(), amount(memory, Unit::Bytes), verdict])
         };
-        let rows: Vec<_> = self.reports.iter().flat_map(|report| &report.runs).filter_map(row).collect();
+        let rows: Vec<_> = self
+            .reports
+            .iter()
+            .flat_map(|report| &report.runs)
+            .filter_map(row)
+            .collect();
         if rows.is_empty() {
             return String::new();
         }
         "\n".to_owned()
-            + &markdown(&["held in memory, with all routes and tenants there are", "bytes", "verdict"], &rows)
+            + &markdown(
+                &[
+                    "held in memory, with all routes and tenants there are",
+                    "bytes",
+                    "verdict",
+                ],
+                &rows,
+            )
     }
 
     /// The plays as a table, with what holds of all of them below it.
@@ -174,7 +220,10 @@
             "a node, of a core",
             "verdict",
         ];
-        let rows: Vec<_> = self.plays().map(|(run, played)| cells(run, played)).collect();
+        let rows: Vec<_> = self
+            .plays()
+            .map(|(run, played)| cells(run, played))
+            .collect();
         markdown(&head, &rows) + "\n" + &self.summary() + &self.held()
     }
 
@@ -193,7 +242,9 @@
 
     fn summary(&self) -> String {
         let greatest = |of: &dyn Fn(&Run, &Played) -> f64| {
-            self.plays().map(|(run, played)| of(run, played)).fold(0.0, f64::max)
+            self.plays()
+                .map(|(run, played)| of(run, played))
+                .fold(0.0, f64::max)
         };
         let broken: u64 = self.plays().map(|(_, played)| played.faults).sum();
         let mut lines = format!(
@@ -207,7 +258,9 @@
             plain(greatest(&|_, played| played.control.memory / 1e6)),
         );
         for (_, played) in self.plays() {
-            let Some(ages) = played.ages.filter(|ages| ages.compared > 0) else { continue };
+            let Some(ages) = played.ages.filter(|ages| ages.compared > 0) else {
+                continue;
+            };
             lines += &format!(
                 "\nAges in \"{}\":\n{} that nodes stated while they lacked a change, up to {} s in truth; the least was {} s above \
                  it.\n",
--- a/crates/rig/src/capacity/mod.rs
+++ b/crates/rig/src/capacity/mod.rs
@@ -103,7 +103,16 @@
 /// If an input can't be read or is missing.
 pub fn pages(root: &Path) -> Result<[Page; 2], Fault> {
     let scale = scale_page::tables(&root.join(SCALE_RUNS))?;
-    Ok([Page { file: PAGE, tables: tables(root)? }, Page { file: SCALE_PAGE, tables: scale }])
+    Ok([
+        Page {
+            file: PAGE,
+            tables: tables(root)?,
+        },
+        Page {
+            file: SCALE_PAGE,
+            tables: scale,
+        },
+    ])
 }
 
 /// All tables of the page, by their names.
--- a/crates/rig/src/capacity/model.rs
+++ b/crates/rig/src/capacity/model.rs
@@ -263,14 +263,24 @@
 /// Bytes a second of reading all entries of a registry again, and the processor time of it.
 pub fn rereads(costs: &Costs, size: &Size) -> (f64, f64) {
     let reads = size.servers as f64 / costs.reread_every;
-    (reads * costs.entry_read_bytes, reads * costs.entry_read_seconds)
+    (
+        reads * costs.entry_read_bytes,
+        reads * costs.entry_read_seconds,
+    )
 }
 
 // ---- what a node holds ----
 
 /// Bytes that a node holds, by what: routes, tenants, pools, servers, peers, the program itself.
 pub fn held(costs: &Costs, size: &Size) -> [f64; 6] {
-    let Size { nodes, servers, services, routes, tenants, .. } = *size;
+    let Size {
+        nodes,
+        servers,
+        services,
+        routes,
+        tenants,
+        ..
+    } = *size;
     // A pool's figure was taken with eight servers of its own.
     let pool = (costs.pool_bytes - 8.0 * costs.entry_bytes).max(0.0);
     [
@@ -297,7 +307,9 @@
 /// Servers that can be held for sick at once: the table is full, with as many voices on each as it takes, or a fifth of the
 /// servers.
 pub fn condemned(size: &Size) -> f64 {
-    (bound::VERDICTS / bound::WITNESSES).floor().min(0.2 * size.servers as f64)
+    (bound::VERDICTS / bound::WITNESSES)
+        .floor()
+        .min(0.2 * size.servers as f64)
 }
 
 /// Processor time of telling every pool of every server that is held for sick, ten times a second.
@@ -337,7 +349,9 @@
 
 /// Seconds until a node has told so many verdicts as often as it has to.
 pub fn told_in(costs: &Costs, verdicts: f64, nodes: f64) -> f64 {
-    let a_datagram = ((bound::DATAGRAM - costs.head_bytes) / costs.verdict_bytes).floor().max(1.0);
+    let a_datagram = ((bound::DATAGRAM - costs.head_bytes) / costs.verdict_bytes)
+        .floor()
+        .max(1.0);
     verdicts * tellings(nodes) / a_datagram / bound::NEWS
 }
 
--- a/crates/rig/src/capacity/moments.rs
+++ b/crates/rig/src/capacity/moments.rs
@@ -33,10 +33,22 @@
 }
 
 fn moment(
-    run: &'static str, what: &'static str, bytes: f64, memory: Option<f64>, within: Option<f64>,
+    run: &'static str,
+    what: &'static str,
+    bytes: f64,
+    memory: Option<f64>,
+    within: Option<f64>,
     first: String,
 ) -> Moment {
-    Moment { run, what, bytes, seconds: bytes / budget::TRAFFIC, memory, within, first }
+    Moment {
+        run,
+        what,
+        bytes,
+        seconds: bytes / budget::TRAFFIC,
+        memory,
+        within,
+        first,
+    }
 }
 
 /// All moments.
@@ -54,8 +66,8 @@
     let tellings = model::tellings(target.nodes as f64);
     let gone = |servers: f64, nodes: f64| servers * line + 2.0 * nodes * tellings * member;
     let in_two_hours = 18_000.0 / 7200.0;
-    let rate =
-        model::list_changes(costs, in_two_hours) + model::membership_news(costs, &target, in_two_hours);
+    let rate = model::list_changes(costs, in_two_hours)
+        + model::membership_news(costs, &target, in_two_hours);
     let zone = gone(ZONE_SERVERS, ZONE_NODES);
     let reports = ZONE_SERVERS * bound::WITNESSES;
     vec![
@@ -164,7 +176,8 @@
                 "no mechanism; with 9 left, {} nodes each: {} at 500 changes in a minute",
                 amount(model::nodes_of_a_machine(&Size::TARGET, 9.0), Unit::Count),
                 amount(
-                    model::nodes_of_a_machine(&Size::TARGET, 9.0) * 500.0 / 60.0 * costs.change_bytes,
+                    model::nodes_of_a_machine(&Size::TARGET, 9.0) * 500.0 / 60.0
+                        * costs.change_bytes,
                     Unit::BytesPerSecond
                 )
             ),
@@ -204,9 +217,13 @@
         moment.what.to_owned(),
         or_none(amount(moment.bytes, Unit::Bytes)),
         or_none(amount(moment.seconds, Unit::Seconds)),
-        moment.within.map_or("no budget".to_owned(), |within| amount(within, Unit::Seconds)),
+        moment.within.map_or("no budget".to_owned(), |within| {
+            amount(within, Unit::Seconds)
+        }),
         measured(moment.run, runs),
-        moment.memory.map_or("not known".to_owned(), |memory| amount(memory, Unit::Bytes)),
+        moment
+            .memory
+            .map_or("not known".to_owned(), |memory| amount(memory, Unit::Bytes)),
         moment.first.clone(),
     ]
 }
@@ -215,17 +232,30 @@
 fn measured(name: &str, runs: &[(String, Run)]) -> String {
     let of = |(commit, run): &(String, Run)| {
         let in_force = run.in_force.map_or("not measured".to_owned(), |t| {
-            format!("{}, {}", amount(t.p99, Unit::Seconds), amount(t.last, Unit::Seconds))
+            format!(
+                "{}, {}",
+                amount(t.p99, Unit::Seconds),
+                amount(t.last, Unit::Seconds)
+            )
         });
         format!(
             "{} nodes at {}: {}; {in_force}; {}",
             amount(run.size.nodes as f64, Unit::Count),
             commit.chars().take(7).collect::<String>(),
             amount(run.per_node.peak_bytes, Unit::Bytes),
-            run.per_node.memory.map_or("not measured".to_owned(), |memory| amount(memory, Unit::Bytes))
+            run.per_node
+                .memory
+                .map_or("not measured".to_owned(), |memory| amount(
+                    memory,
+                    Unit::Bytes
+                ))
         )
     };
-    let all: Vec<String> = runs.iter().filter(|(_, run)| run.name == name).map(of).collect();
+    let all: Vec<String> = runs
+        .iter()
+        .filter(|(_, run)| run.name == name)
+        .map(of)
+        .collect();
     if all.is_empty() {
         return "not measured yet".to_owned();
     }
--- a/crates/rig/src/capacity/page.rs
+++ b/crates/rig/src/capacity/page.rs
@@ -24,7 +24,9 @@
     let to = from + rest.find(END).ok_or_else(none)?;
     // The next table's marker before this one's end: the end is missing.
     let held = page.get(from..to).ok_or_else(none)?;
-    (!held.contains("<!-- table: ")).then_some(from..to).ok_or_else(none)
+    (!held.contains("<!-- table: "))
+        .then_some(from..to)
+        .ok_or_else(none)
 }
 
 /// The page with these tables in their places.
@@ -44,7 +46,10 @@
 ///
 /// # Errors
 /// If the page has no place for one.
-pub fn stale(page: &str, tables: &BTreeMap<&'static str, String>) -> Result<Vec<&'static str>, Fault> {
+pub fn stale(
+    page: &str,
+    tables: &BTreeMap<&'static str, String>,
+) -> Result<Vec<&'static str>, Fault> {
     let mut stale = Vec::new();
     for (name, table) in tables {
         let held = page.get(place(page, name)?).unwrap_or_default();
--- a/crates/rig/src/capacity/ranking.rs
+++ b/crates/rig/src/capacity/ranking.rs
@@ -45,12 +45,21 @@
 }
 
 fn over(what: &'static str, amount: f64, budget: f64, unit: Unit) -> Over {
-    Over { what, amount, budget, unit, assumed: false }
+    Over {
+        what,
+        amount,
+        budget,
+        unit,
+        assumed: false,
+    }
 }
 
 /// The same, where it stands on something that was assumed.
 fn assumed(what: &'static str, amount: f64, budget: f64, unit: Unit) -> Over {
-    Over { assumed: true, ..over(what, amount, budget, unit) }
+    Over {
+        assumed: true,
+        ..over(what, amount, budget, unit)
+    }
 }
 
 /// All that does not fit at the target, the worst first.
@@ -67,7 +76,8 @@
         connections(costs),
         members(costs),
     ];
-    all.iter_mut().for_each(|misfit| misfit.over.retain(|over| over.factor() > 1.0));
+    all.iter_mut()
+        .for_each(|misfit| misfit.over.retain(|over| over.factor() > 1.0));
     all.retain(|misfit| !misfit.over.is_empty());
     all.sort_by(|a, b| b.factor().total_cmp(&a.factor()));
     all
@@ -100,7 +110,12 @@
                 budget::PROCESSOR,
                 Unit::Cores,
             ),
-            over("memory while it is read", model::read_memory(costs, file), budget::MEMORY, Unit::Bytes),
+            over(
+                "memory while it is read",
+                model::read_memory(costs, file),
+                budget::MEMORY,
+                Unit::Bytes,
+            ),
             over(
                 "one file within the bytes of a node",
                 file / budget::TRAFFIC,
@@ -124,7 +139,12 @@
                 budget::TRAFFIC,
                 Unit::BytesPerSecond,
             ),
-            over("a keeper's looks through its names", model::keeper_scans(costs, &target), 1.0, Unit::Cores),
+            over(
+                "a keeper's looks through its names",
+                model::keeper_scans(costs, &target),
+                1.0,
+                Unit::Cores,
+            ),
             over(
                 "a whole image in one frame",
                 model::names(&target) * costs.lease_kept_bytes,
@@ -142,9 +162,24 @@
         what: "lists of servers: a watch of its own for each service, at every node",
         carried: "`crates/node/src/net/discovery.rs`",
         over: vec![
-            over("connections", target.services as f64, bound::SPARE_DESCRIPTORS, Unit::Count),
-            assumed("signs of life", model::beats(costs, &target), budget::TRAFFIC, Unit::BytesPerSecond),
-            over("all lists, whole", lists / budget::TRAFFIC, budget::IN_FORCE, Unit::Seconds),
+            over(
+                "connections",
+                target.services as f64,
+                bound::SPARE_DESCRIPTORS,
+                Unit::Count,
+            ),
+            assumed(
+                "signs of life",
+                model::beats(costs, &target),
+                budget::TRAFFIC,
+                Unit::BytesPerSecond,
+            ),
+            over(
+                "all lists, whole",
+                lists / budget::TRAFFIC,
+                budget::IN_FORCE,
+                Unit::Seconds,
+            ),
             over("one list of all servers", lists, bound::LIST, Unit::Bytes),
         ],
     }
@@ -158,8 +193,18 @@
                 again every 30 s",
         carried: "`crates/membership/src/follow.rs`, `crates/node/src/net/registry.rs`",
         over: vec![
-            over("sessions", target.services as f64, bound::SPARE_DESCRIPTORS, Unit::Count),
-            over("entries read again", bytes, budget::TRAFFIC, Unit::BytesPerSecond),
+            over(
+                "sessions",
+                target.services as f64,
+                bound::SPARE_DESCRIPTORS,
+                Unit::Count,
+            ),
+            over(
+                "entries read again",
+                bytes,
+                budget::TRAFFIC,
+                Unit::BytesPerSecond,
+            ),
             over("the same", cores, budget::PROCESSOR, Unit::Cores),
         ],
     }
@@ -195,7 +240,12 @@
                 budget::PROCESSOR,
                 Unit::Cores,
             ),
-            over("timers of pools, looks at pools", rest, budget::PROCESSOR, Unit::Cores),
+            over(
+                "timers of pools, looks at pools",
+                rest,
+                budget::PROCESSOR,
+                Unit::Cores,
+            ),
         ],
     }
 }
@@ -220,7 +270,12 @@
                 budget::IN_FORCE,
                 Unit::Seconds,
             ),
-            over("datagrams of news, all full", model::most_news(), budget::TRAFFIC, Unit::BytesPerSecond),
+            over(
+                "datagrams of news, all full",
+                model::most_news(),
+                budget::TRAFFIC,
+                Unit::BytesPerSecond,
+            ),
             over(
                 "three reports on each server of a zone",
                 3850.0 * bound::WITNESSES,
@@ -235,7 +290,12 @@
     Misfit {
         what: "services in a file: more are refused",
         carried: "`crates/conf/src/check.rs`",
-        over: vec![over("services", Size::TARGET.services as f64, bound::SERVICES, Unit::Count)],
+        over: vec![over(
+            "services",
+            Size::TARGET.services as f64,
+            bound::SERVICES,
+            Unit::Count,
+        )],
     }
 }
 
@@ -246,7 +306,12 @@
         what: "connections to servers: by a settings file a node has no number, so it \
                 sends to all servers and meets each every three minutes",
         carried: "`crates/core/src/decide/part.rs`, `crates/conf/src/check.rs`",
-        over: vec![assumed("that would stand idle", standing, bound::CONNECTIONS, Unit::Count)],
+        over: vec![assumed(
+            "that would stand idle",
+            standing,
+            bound::CONNECTIONS,
+            Unit::Count,
+        )],
     }
 }
 
@@ -261,8 +326,18 @@
         what: "who is there: all nodes in one fleet",
         carried: "`crates/fleet/src/fleet`, `members.rs`",
         over: vec![
-            over("others whose clocks are remembered", nodes - 1.0, bound::PEERS, Unit::Count),
-            over("18,000 restarts in two hours", news, budget::TRAFFIC, Unit::BytesPerSecond),
+            over(
+                "others whose clocks are remembered",
+                nodes - 1.0,
+                bound::PEERS,
+                Unit::Count,
+            ),
+            over(
+                "18,000 restarts in two hours",
+                news,
+                budget::TRAFFIC,
+                Unit::BytesPerSecond,
+            ),
             over(
                 "sorting all members while there is news",
                 model::draws(costs, nodes),
@@ -279,7 +354,8 @@
     for (n, misfit) in misfits(costs).iter().enumerate() {
         let mut over = misfit.over.clone();
         over.sort_by(|a, b| b.factor().total_cmp(&a.factor()));
-        let column = |cell: &dyn Fn(&Over) -> String| over.iter().map(cell).collect::<Vec<_>>().join("<br>");
+        let column =
+            |cell: &dyn Fn(&Over) -> String| over.iter().map(cell).collect::<Vec<_>>().join("<br>");
         rows.push(vec![
             (n + 1).to_string(),
             misfit.what.to_owned(),
@@ -292,5 +368,15 @@
             column(&|o| times(o.factor())),
         ]);
     }
-    markdown(&["", "what", "carried by", "at the target", "budget", "times over"], &rows)
+    markdown(
+        &[
+            "",
+            "what",
+            "carried by",
+            "at the target",
+            "budget",
+            "times over",
+        ],
+        &rows,
+    )
 }
--- a/crates/rig/src/capacity/roles/elsewhere.rs
+++ b/crates/rig/src/capacity/roles/elsewhere.rs
@@ -9,7 +9,12 @@
     let regions = model::REGIONS;
     let [routes, tenants, _, servers, peers, _] = model::held(costs, &target);
     let bytes = |b: f64| amount(b, Unit::Bytes);
-    let first = |window: f64| format!("{:.0} of 100", 100.0 * model::first_requests(&target, window));
+    let first = |window: f64| {
+        format!(
+            "{:.0} of 100",
+            100.0 * model::first_requests(&target, window)
+        )
+    };
     let requests = model::requests(&target) / target.nodes as f64;
     let active = (requests * 60.0).min(target.tenants as f64);
     let row = |cells: [String; 6]| cells.to_vec();
@@ -29,7 +34,10 @@
                 bytes(tenants),
                 bytes(target.tenants as f64 * costs.compact_tenant_bytes),
                 bytes(target.tenants as f64 * costs.compact_tenant_bytes / regions),
-                format!("{} for those of the last minute", bytes(active * costs.tenant_bytes)),
+                format!(
+                    "{} for those of the last minute",
+                    bytes(active * costs.tenant_bytes)
+                ),
                 format!(
                     "{} in its zone, {} in its region; {} of requests are such with a \
                 minute's memory, {} with ten minutes', if all tenants ask alike",
@@ -57,7 +65,10 @@
                     bytes(model::well_met(&target) * costs.entry_bytes),
                     amount(model::well_met(&target), Unit::Count)
                 ),
-                format!("{} for a list from its zone, and a dial", amount(costs.rtt_zone, Unit::Seconds)),
+                format!(
+                    "{} for a list from its zone, and a dial",
+                    amount(costs.rtt_zone, Unit::Seconds)
+                ),
             ]),
             row([
                 "other nodes".into(),
--- a/crates/rig/src/capacity/roles/mod.rs
+++ b/crates/rig/src/capacity/roles/mod.rs
@@ -35,9 +35,18 @@
 pub fn tables(costs: &Costs, runs: &[(String, Run)]) -> BTreeMap<&'static str, String> {
     BTreeMap::from([
         ("node-state", rows(&node_state::node_state(costs))),
-        ("node-messages", rows(&node_messages::node_messages(costs, runs))),
-        ("node-processor", rows(&node_processor::node_processor(costs))),
-        ("node-connections", rows(&node_connections::node_connections(costs))),
+        (
+            "node-messages",
+            rows(&node_messages::node_messages(costs, runs)),
+        ),
+        (
+            "node-processor",
+            rows(&node_processor::node_processor(costs)),
+        ),
+        (
+            "node-connections",
+            rows(&node_connections::node_connections(costs)),
+        ),
         ("control", rows(&control::control(costs))),
         ("keeper", rows(&keeper::keeper(costs))),
         ("lists", rows(&lists::list_service(costs))),
--- a/crates/rig/src/capacity/roles/node_connections.rs
+++ b/crates/rig/src/capacity/roles/node_connections.rs
@@ -25,19 +25,35 @@
             "`crates/node/src/net/upstream.rs`: the oldest goes, so that a request \
                 dials",
         ),
-        Of("requests a second to one server", "evenly spread", Assumed, Unit::CountPerSecond).row(
+        Of(
+            "requests a second to one server",
+            "evenly spread",
+            Assumed,
+            Unit::CountPerSecond,
+        )
+        .row(
             at(model::pair_rate),
             None,
             "`crates/core/src/decide/part.rs`: 2 a second are wanted; without a \
                 number each node has the whole list",
         ),
-        Of("servers that could have 2 a second each", "requests of a node", Assumed, Unit::Count).row(
-            at(model::well_met),
-            None,
-            "the same",
-        ),
-        Of("requests that dial", "no idle connection is there", Assumed, Unit::CountPerSecond).row(
-            at(|size| model::requests(size) / size.nodes as f64 * (1.0 - model::standing(costs, size))),
+        Of(
+            "servers that could have 2 a second each",
+            "requests of a node",
+            Assumed,
+            Unit::Count,
+        )
+        .row(at(model::well_met), None, "the same"),
+        Of(
+            "requests that dial",
+            "no idle connection is there",
+            Assumed,
+            Unit::CountPerSecond,
+        )
+        .row(
+            at(|size| {
+                model::requests(size) / size.nodes as f64 * (1.0 - model::standing(costs, size))
+            }),
             None,
             "`crates/node/src/net/upstream.rs`: a round trip and a handshake of the \
                 system each",
--- a/crates/rig/src/capacity/roles/node_messages.rs
+++ b/crates/rig/src/capacity/roles/node_messages.rs
@@ -9,23 +9,40 @@
 /// What nodes tell each other with nothing to tell: as measured, at the sizes at which it was.
 fn quiet(costs: &Costs, runs: &[(String, Run)]) -> Row {
     let measured = |size: &Size| {
-        let run =
-            runs.iter().map(|(_, run)| run).find(|run| run.name == "quiet" && run.size.nodes == size.nodes);
-        let bytes = |run: &Run| run.per_node.traffic.iter().map(|t| t.bytes_in + t.bytes_out).sum();
+        let run = runs
+            .iter()
+            .map(|(_, run)| run)
+            .find(|run| run.name == "quiet" && run.size.nodes == size.nodes);
+        let bytes = |run: &Run| {
+            run.per_node
+                .traffic
+                .iter()
+                .map(|t| t.bytes_in + t.bytes_out)
+                .sum()
+        };
         run.map(bytes)
     };
     let [few, middle, target] = model::sizes();
     let (at_300, at_1500) = (2.0 * costs.gossip_bytes_300, 2.0 * costs.gossip_bytes_1500);
-    let at = [measured(&few).or(Some(at_300)), measured(&middle).or(Some(at_1500)), measured(&target)];
+    let at = [
+        measured(&few).or(Some(at_300)),
+        measured(&middle).or(Some(at_1500)),
+        measured(&target),
+    ];
     let how = "in and out; nothing is extended: out of a node come 604 bytes at 300 nodes, 602 \
                 at 1,000 and 604 at 1,500";
-    Of("fleet, quiet", how, Measured, Unit::BytesPerSecond).known(at, Some(budget::TRAFFIC), "`crates/fleet`")
+    Of("fleet, quiet", how, Measured, Unit::BytesPerSecond).known(
+        at,
+        Some(budget::TRAFFIC),
+        "`crates/fleet`",
+    )
 }
 
 pub fn node_messages(costs: &Costs, runs: &[(String, Run)]) -> Vec<Row> {
     let target = Size::TARGET;
     let traffic = Some(budget::TRAFFIC);
-    let by_change = |size: &Size| model::changes(size) * (costs.change_bytes + 2.0 * costs.packet_overhead);
+    let by_change =
+        |size: &Size| model::changes(size) * (costs.change_bytes + 2.0 * costs.packet_overhead);
     let restarts = |size: &Size| size.restarts as f64 / model::DAY;
     vec![
         with(
@@ -51,7 +68,11 @@
                 WorkedOut,
                 Unit::BytesPerSecond,
             )
-            .row(at(|size| model::settings(costs, size) * 500.0 / 60.0), traffic, "none"),
+            .row(
+                at(|size| model::settings(costs, size) * 500.0 / 60.0),
+                traffic,
+                "none",
+            ),
             "each change by itself",
             500.0 / 60.0 * (costs.change_bytes + 2.0 * costs.packet_overhead),
         ),
@@ -70,7 +91,13 @@
             "one connection for all lists",
             (costs.beat_bytes + 2.0 * costs.packet_overhead) / costs.beat_every,
         ),
-        Of("lists: changes", "restarts a day, three changes each", Assumed, Unit::BytesPerSecond).row(
+        Of(
+            "lists: changes",
+            "restarts a day, three changes each",
+            Assumed,
+            Unit::BytesPerSecond,
+        )
+        .row(
             at(|size| model::list_changes(costs, restarts(size))),
             traffic,
             "`crates/node/src/net/discovery.rs`",
--- a/crates/rig/src/capacity/roles/node_processor.rs
+++ b/crates/rig/src/capacity/roles/node_processor.rs
@@ -77,7 +77,13 @@
             "`crates/node/src/fleet/mod.rs` (`judge`), \
                 `crates/node/src/net/shared.rs`",
         ),
-        Of("sorting members while there is news", "ten draws a second", WorkedOut, Unit::Cores).row(
+        Of(
+            "sorting members while there is news",
+            "ten draws a second",
+            WorkedOut,
+            Unit::Cores,
+        )
+        .row(
             at(|size| model::draws(costs, size.nodes as f64)),
             processor,
             "`crates/fleet/src/fleet` (`draw`)",
@@ -88,13 +94,29 @@
             WorkedOut,
             Unit::Cores,
         )
-        .row(at(updates), processor, "the library `foca` below `crates/fleet/src/members.rs`"),
-        Of("a choice among 1,000 servers", "one core", Measured, Unit::Seconds).row(
+        .row(
+            at(updates),
+            processor,
+            "the library `foca` below `crates/fleet/src/members.rs`",
+        ),
+        Of(
+            "a choice among 1,000 servers",
+            "one core",
+            Measured,
+            Unit::Seconds,
+        )
+        .row(
             [costs.choice_seconds_1000; 3],
             Some(budget::ADDED),
             "`crates/core/src/decide/draw.rs`",
         ),
-        Of("a list of 5,000 servers taken in", "one core; requests wait", Measured, Unit::Seconds).row(
+        Of(
+            "a list of 5,000 servers taken in",
+            "one core; requests wait",
+            Measured,
+            Unit::Seconds,
+        )
+        .row(
             [costs.join_seconds_5000; 3],
             Some(budget::ADDED),
             "`crates/core/src/decide/list.rs`, `crates/core/src/floored.rs`",
--- a/crates/rig/src/capacity/roles/node_state.rs
+++ b/crates/rig/src/capacity/roles/node_state.rs
@@ -70,11 +70,13 @@
             memory,
             "`crates/fleet/src/members.rs`, `freshness.rs`, `fleet`",
         ),
-        Of("the program with one service", "`rest_bytes`", Measured, Unit::Bytes).row(
-            part(5),
-            memory,
-            "`crates/node`",
-        ),
+        Of(
+            "the program with one service",
+            "`rest_bytes`",
+            Measured,
+            Unit::Bytes,
+        )
+        .row(part(5), memory, "`crates/node`"),
         with(
             Of("all of these", "sum", WorkedOut, Unit::Bytes).row(all, memory, "`crates/node`"),
             "all of the above, and other nodes of the region alone",
@@ -100,7 +102,11 @@
             WorkedOut,
             Unit::Bytes,
         )
-        .row([bound::VERDICTS * 3.0 * costs.verdict_bytes; 3], memory, "`crates/fleet/src/table.rs`"),
+        .row(
+            [bound::VERDICTS * 3.0 * costs.verdict_bytes; 3],
+            memory,
+            "`crates/fleet/src/table.rs`",
+        ),
         Of("services in a file", "size", WorkedOut, Unit::Count).row(
             at(|size| size.services as f64),
             Some(bound::SERVICES),
@@ -111,12 +117,24 @@
             Some(bound::ROUTES),
             "`crates/conf/src/check.rs`",
         ),
-        Of("other nodes whose clocks and lives are kept", "nodes less one", WorkedOut, Unit::Count).row(
+        Of(
+            "other nodes whose clocks and lives are kept",
+            "nodes less one",
+            WorkedOut,
+            Unit::Count,
+        )
+        .row(
             at(|size| size.nodes as f64 - 1.0),
             Some(bound::PEERS),
             "`crates/fleet/src/freshness.rs`, `fleet.rs`: the first met is forgotten",
         ),
-        Of("servers met within 5 s", "requests of 5 s at one node, at most", WorkedOut, Unit::Count).row(
+        Of(
+            "servers met within 5 s",
+            "requests of 5 s at one node, at most",
+            WorkedOut,
+            Unit::Count,
+        )
+        .row(
             at(|size| model::requests(size) / size.nodes as f64 * bound::OUTCOMES),
             Some(bound::WITNESSED),
             "`crates/fleet/src/observer.rs`: further ones are not noted",
--- a/crates/rig/src/capacity/roles/row.rs
+++ b/crates/rig/src/capacity/roles/row.rs
@@ -22,7 +22,16 @@
     /// A row of which some amounts may not be known.
     pub fn known(self, at: [Option<f64>; 3], budget: Option<f64>, carried: &'static str) -> Row {
         let Of(what, how, kind, unit) = self;
-        Row { what, how, kind, at, budget, unit, carried, with: None }
+        Row {
+            what,
+            how,
+            kind,
+            at,
+            budget,
+            unit,
+            carried,
+            with: None,
+        }
     }
 }
 
--- a/crates/rig/src/capacity/roles/server.rs
+++ b/crates/rig/src/capacity/roles/server.rs
@@ -12,14 +12,28 @@
             None,
             "`crates/core`",
         ),
-        Of("connections that stand idle", "from all nodes, kept `idle_kept`", WorkedOut, Unit::Count).row(
+        Of(
+            "connections that stand idle",
+            "from all nodes, kept `idle_kept`",
+            WorkedOut,
+            Unit::Count,
+        )
+        .row(
             at(|size| model::standing(costs, size) * size.nodes as f64),
             None,
             "`crates/node/src/net/upstream.rs`; `process.server_connections` bounds \
                 them for one node alone",
         ),
-        Of("connections opened", "requests that meet none", WorkedOut, Unit::CountPerSecond).row(
-            at(|size| model::requests(size) / size.servers as f64 * (1.0 - model::standing(costs, size))),
+        Of(
+            "connections opened",
+            "requests that meet none",
+            WorkedOut,
+            Unit::CountPerSecond,
+        )
+        .row(
+            at(|size| {
+                model::requests(size) / size.servers as f64 * (1.0 - model::standing(costs, size))
+            }),
             None,
             "the same",
         ),
--- a/crates/rig/src/capacity/scale_page.rs
+++ b/crates/rig/src/capacity/scale_page.rs
@@ -26,13 +26,21 @@
 }
 
 const MOMENTS: [Moment; 5] = [
-    Moment { window: Some("zone-back"), after: "zone-back", what: "a zone's nodes back at once" },
+    Moment {
+        window: Some("zone-back"),
+        after: "zone-back",
+        what: "a zone's nodes back at once",
+    },
     Moment {
         window: None,
         after: "region-gone",
         what: "a region's nodes gone at once: until the others know it",
     },
-    Moment { window: Some("region-start"), after: "region-start", what: "a region's nodes started at once" },
+    Moment {
+        window: Some("region-start"),
+        after: "region-start",
+        what: "a region's nodes started at once",
+    },
     Moment {
         window: Some("drawn-faults"),
         after: "drawn-faults",
@@ -53,9 +61,15 @@
 
 impl Reports {
     fn read(folder: &Path) -> Result<Reports, Fault> {
-        let mut reports = Reports { singles: Vec::new(), sweep: None };
+        let mut reports = Reports {
+            singles: Vec::new(),
+            sweep: None,
+        };
         for path in super::inputs::report_files(folder) {
-            let name = path.file_name().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
+            let name = path
+                .file_name()
+                .map(|name| name.to_string_lossy().into_owned())
+                .unwrap_or_default();
             let record: Record = json(&path)?;
             if !record.report.slopes.is_empty() && hollow(&record, "sweep").next().is_some() {
                 reports.sweep = Some((name, record));
@@ -78,8 +92,14 @@
 /// If a report can't be read.
 pub fn tables(folder: &Path) -> Result<BTreeMap<&'static str, String>, Fault> {
     let reports = Reports::read(folder)?;
-    let slopes = reports.sweep.as_ref().map_or(&[][..], |(_, record)| &record.report.slopes);
-    let products = reports.sweep.as_ref().map_or(&[][..], |(_, record)| &record.products);
+    let slopes = reports
+        .sweep
+        .as_ref()
+        .map_or(&[][..], |(_, record)| &record.report.slopes);
+    let products = reports
+        .sweep
+        .as_ref()
+        .map_or(&[][..], |(_, record)| &record.products);
     Ok(BTreeMap::from([
         ("reports", reports_table(&reports)),
         ("one-node", one_node(&reports.singles)),
@@ -89,7 +109,13 @@
         ("lines", lines(slopes)),
         ("products", products_table(products)),
         ("settings", computations(&reports, &[Computation::Settings])),
-        ("lists", computations(&reports, &[Computation::ServerList, Computation::ServerChange])),
+        (
+            "lists",
+            computations(
+                &reports,
+                &[Computation::ServerList, Computation::ServerChange],
+            ),
+        ),
     ]))
 }
 
@@ -101,11 +127,17 @@
 }
 
 fn of<'a>(record: &'a Record, name: &'a str, source: Source) -> impl Iterator<Item = &'a Run> {
-    record.report.runs.iter().filter(move |run| run.name == name && run.source == source)
+    record
+        .report
+        .runs
+        .iter()
+        .filter(move |run| run.name == name && run.source == source)
 }
 
 fn nodes(record: &Record) -> usize {
-    hollow(record, "quiet").next().map_or(0, |run| run.size.nodes)
+    hollow(record, "quiet")
+        .next()
+        .map_or(0, |run| run.size.nodes)
 }
 
 fn bytes(run: &Run, of: fn(&Traffic) -> f64) -> Option<f64> {
@@ -113,14 +145,20 @@
 }
 
 fn verdicts_out(run: &Run) -> Option<f64> {
-    run.per_node.traffic.iter().find(|traffic| traffic.kind == VERDICTS).map(|traffic| traffic.bytes_out)
+    run.per_node
+        .traffic
+        .iter()
+        .find(|traffic| traffic.kind == VERDICTS)
+        .map(|traffic| traffic.bytes_out)
 }
 
 /// One amount, or the least and the most of several.
 fn range(values: impl Iterator<Item = f64>, unit: Unit) -> String {
     let mut sorted: Vec<f64> = values.collect();
     sorted.sort_by(f64::total_cmp);
-    let (Some(least), Some(most)) = (sorted.first(), sorted.last()) else { return NOT_MEASURED.to_owned() };
+    let (Some(least), Some(most)) = (sorted.first(), sorted.last()) else {
+        return NOT_MEASURED.to_owned();
+    };
     let (least, most) = (amount(*least, unit), amount(*most, unit));
     if least == most {
         return least;
@@ -136,13 +174,20 @@
 }
 
 fn row(what: &'static str, cell: impl Fn(&Record) -> String + 'static) -> RunsRow {
-    RunsRow { what, cell: Box::new(cell), bound: String::new() }
+    RunsRow {
+        what,
+        cell: Box::new(cell),
+        bound: String::new(),
+    }
 }
 
 impl RunsRow {
     /// The same row, with what a node may use.
     fn within(self, bound: f64, unit: Unit) -> RunsRow {
-        RunsRow { bound: amount(bound, unit), ..self }
+        RunsRow {
+            bound: amount(bound, unit),
+            ..self
+        }
     }
 }
 
@@ -152,7 +197,11 @@
         return "Not measured yet.\n".to_owned();
     }
     let mut head = vec![String::new()];
-    head.extend(singles.iter().map(|(_, record)| format!("{} nodes", plain(nodes(record) as f64))));
+    head.extend(
+        singles
+            .iter()
+            .map(|(_, record)| format!("{} nodes", plain(nodes(record) as f64))),
+    );
     head.push("a node may use".to_owned());
     let cells = |row: &RunsRow| {
         let mut cells = vec![row.what.to_owned()];
@@ -166,43 +215,68 @@
 
 /// Traffic of a node in the windows of a name.
 fn traffic(record: &Record, name: &str, of: fn(&Traffic) -> f64) -> String {
-    range(hollow(record, name).filter_map(|run| bytes(run, of)), Unit::BytesPerSecond)
+    range(
+        hollow(record, name).filter_map(|run| bytes(run, of)),
+        Unit::BytesPerSecond,
+    )
 }
 
 /// What a node sends of verdicts in the windows of a name.
 fn verdicts(record: &Record, name: &str) -> String {
-    range(hollow(record, name).filter_map(verdicts_out), Unit::BytesPerSecond)
+    range(
+        hollow(record, name).filter_map(verdicts_out),
+        Unit::BytesPerSecond,
+    )
 }
 
 /// Most bytes at any node within a second of the windows of a name.
 fn peak(record: &Record, name: &str) -> String {
-    range(hollow(record, name).map(|run| run.per_node.peak_bytes), Unit::Bytes)
+    range(
+        hollow(record, name).map(|run| run.per_node.peak_bytes),
+        Unit::Bytes,
+    )
 }
 
 /// Processor time of a node in the windows of a name.
 fn processor(record: &Record, name: &str, source: Source) -> String {
-    range(of(record, name, source).map(|run| run.per_node.cpu), Unit::Cores)
+    range(
+        of(record, name, source).map(|run| run.per_node.cpu),
+        Unit::Cores,
+    )
 }
 
 /// Memory of a node in the windows of a name.
 fn memory(record: &Record, name: &str, source: Source) -> String {
-    range(of(record, name, source).filter_map(|run| run.per_node.memory), Unit::Bytes)
+    range(
+        of(record, name, source).filter_map(|run| run.per_node.memory),
+        Unit::Bytes,
+    )
 }
 
 /// Times until bans were in force in the windows under changes.
 fn bans(record: &Record, at: fn(&Times) -> f64) -> String {
-    range(hollow(record, "changes").filter_map(|run| run.in_force.as_ref().map(at)), Unit::Seconds)
+    range(
+        hollow(record, "changes").filter_map(|run| run.in_force.as_ref().map(at)),
+        Unit::Seconds,
+    )
 }
 
 /// Times until lines of lists were taken in, in the windows under changes.
 fn list_lines(record: &Record, at: fn(&Times) -> f64) -> String {
-    let lists = record.lists_in_force.iter().filter(|lists| lists.run == "changes");
+    let lists = record
+        .lists_in_force
+        .iter()
+        .filter(|lists| lists.run == "changes");
     range(lists.map(|lists| at(&lists.times)), Unit::Seconds)
 }
 
 /// How busy the threads were in the windows of a name.
 fn busy(record: &Record, name: &str) -> String {
-    let shares = record.busy.iter().filter(|busy| busy.run == name).map(|busy| busy.share * 100.0);
+    let shares = record
+        .busy
+        .iter()
+        .filter(|busy| busy.run == name)
+        .map(|busy| busy.share * 100.0);
     let text = range(shares, Unit::Count);
     if text == NOT_MEASURED {
         return text;
@@ -212,7 +286,12 @@
 
 /// How long it took after something until all knew all.
 fn gathered(record: &Record, after: &str) -> String {
-    match record.gathered.iter().find(|gathered| gathered.after == after).map(|gathered| gathered.seconds) {
+    match record
+        .gathered
+        .iter()
+        .find(|gathered| gathered.after == after)
+        .map(|gathered| gathered.seconds)
+    {
         Some(Some(seconds)) => amount(seconds, Unit::Seconds),
         Some(None) => "not in time".to_owned(),
         None => "not played".to_owned(),
@@ -222,15 +301,20 @@
 /// Two quantiles of the times of requests.
 fn request_times(record: &Record, of: fn(&RequestTimes) -> [f64; 2]) -> String {
     match record.report.runs.iter().find_map(|run| run.requests) {
-        Some(times) => of(&times).map(|seconds| amount(seconds, Unit::Seconds)).join(", "),
+        Some(times) => of(&times)
+            .map(|seconds| amount(seconds, Unit::Seconds))
+            .join(", "),
         None => NOT_MEASURED.to_owned(),
     }
 }
 
 /// What changes added to times of requests, round by round.
 fn added(record: &Record, of: fn(&Added) -> f64) -> String {
-    let rounds: Vec<String> =
-        record.added.iter().map(|added| format!("{:+.2} ms", of(added) * 1e3)).collect();
+    let rounds: Vec<String> = record
+        .added
+        .iter()
+        .map(|added| format!("{:+.2} ms", of(added) * 1e3))
+        .collect();
     if rounds.is_empty() {
         return NOT_MEASURED.to_owned();
     }
@@ -241,9 +325,16 @@
 
 fn reports_table(reports: &Reports) -> String {
     let row = |(name, record): &(String, Record)| {
-        let left_out: Vec<&str> =
-            record.notes.iter().filter_map(|note| note.strip_prefix("left out: ")).collect();
-        let left_out = if record.partial { left_out.join("; ") } else { "nothing".to_owned() };
+        let left_out: Vec<&str> = record
+            .notes
+            .iter()
+            .filter_map(|note| note.strip_prefix("left out: "))
+            .collect();
+        let left_out = if record.partial {
+            left_out.join("; ")
+        } else {
+            "nothing".to_owned()
+        };
         vec![
             format!("`{name}`"),
             record.report.commit.clone(),
@@ -261,27 +352,47 @@
     by_run(
         singles,
         &[
-            row("at rest, received", |r| traffic(r, "quiet", |t| t.bytes_in)).within(budget::TRAFFIC, bytes),
-            row("at rest, sent", |r| traffic(r, "quiet", |t| t.bytes_out)).within(budget::TRAFFIC, bytes),
-            row("of it verdicts", |r| verdicts(r, "quiet")),
-            row("under changes, received", |r| traffic(r, "changes", |t| t.bytes_in))
+            row("at rest, received", |r| traffic(r, "quiet", |t| t.bytes_in))
                 .within(budget::TRAFFIC, bytes),
-            row("under changes, sent", |r| traffic(r, "changes", |t| t.bytes_out))
+            row("at rest, sent", |r| traffic(r, "quiet", |t| t.bytes_out))
                 .within(budget::TRAFFIC, bytes),
+            row("of it verdicts", |r| verdicts(r, "quiet")),
+            row("under changes, received", |r| {
+                traffic(r, "changes", |t| t.bytes_in)
+            })
+            .within(budget::TRAFFIC, bytes),
+            row("under changes, sent", |r| {
+                traffic(r, "changes", |t| t.bytes_out)
+            })
+            .within(budget::TRAFFIC, bytes),
             row("of it verdicts", |r| verdicts(r, "changes")),
-            row("most in and out in 1 s at any node, at rest", |r| peak(r, "quiet")),
+            row("most in and out in 1 s at any node, at rest", |r| {
+                peak(r, "quiet")
+            }),
             row("the same, under changes", |r| peak(r, "changes")),
-            row("processor time of a hollow node, at rest", |r| processor(r, "quiet", Source::HollowNodes))
-                .within(budget::PROCESSOR, cores),
-            row("the same, under changes", |r| processor(r, "changes", Source::HollowNodes))
-                .within(budget::PROCESSOR, cores),
-            row("processor time of a real node, at rest", |r| processor(r, "quiet", Source::RealNodes))
-                .within(budget::PROCESSOR, cores),
-            row("the same, with requests and changes", |r| processor(r, "requests", Source::RealNodes)),
-            row("memory of a hollow node, at rest", |r| memory(r, "quiet", Source::HollowNodes))
-                .within(budget::MEMORY, Unit::Bytes),
-            row("memory of a real node, whole process, at rest", |r| memory(r, "quiet", Source::RealNodes))
-                .within(budget::MEMORY, Unit::Bytes),
+            row("processor time of a hollow node, at rest", |r| {
+                processor(r, "quiet", Source::HollowNodes)
+            })
+            .within(budget::PROCESSOR, cores),
+            row("the same, under changes", |r| {
+                processor(r, "changes", Source::HollowNodes)
+            })
+            .within(budget::PROCESSOR, cores),
+            row("processor time of a real node, at rest", |r| {
+                processor(r, "quiet", Source::RealNodes)
+            })
+            .within(budget::PROCESSOR, cores),
+            row("the same, with requests and changes", |r| {
+                processor(r, "requests", Source::RealNodes)
+            }),
+            row("memory of a hollow node, at rest", |r| {
+                memory(r, "quiet", Source::HollowNodes)
+            })
+            .within(budget::MEMORY, Unit::Bytes),
+            row("memory of a real node, whole process, at rest", |r| {
+                memory(r, "quiet", Source::RealNodes)
+            })
+            .within(budget::MEMORY, Unit::Bytes),
         ],
     )
 }
@@ -292,12 +403,18 @@
         &[
             row("ban at one node, in force: p50", |r| bans(r, |t| t.p50)),
             row("p99", |r| bans(r, |t| t.p99)),
-            row("at the last node", |r| bans(r, |t| t.last)).within(budget::IN_FORCE, Unit::Seconds),
+            row("at the last node", |r| bans(r, |t| t.last))
+                .within(budget::IN_FORCE, Unit::Seconds),
             row("line of a list taken in: p50", |r| list_lines(r, |t| t.p50)),
             row("p99", |r| list_lines(r, |t| t.p99)),
-            row("at the last node", |r| list_lines(r, |t| t.last)).within(budget::IN_FORCE, Unit::Seconds),
-            row("all know all after the start of all", |r| gathered(r, "start")),
-            row("threads that drive hollow nodes busy, at rest", |r| busy(r, "quiet")),
+            row("at the last node", |r| list_lines(r, |t| t.last))
+                .within(budget::IN_FORCE, Unit::Seconds),
+            row("all know all after the start of all", |r| {
+                gathered(r, "start")
+            }),
+            row("threads that drive hollow nodes busy, at rest", |r| {
+                busy(r, "quiet")
+            }),
             row("the same, under changes", |r| busy(r, "changes")),
         ],
     )
@@ -307,25 +424,35 @@
     by_run(
         singles,
         &[
-            row("at rest: p50, p99", |r| request_times(r, |t| [t.at_rest.p50, t.at_rest.p99])),
+            row("at rest: p50, p99", |r| {
+                request_times(r, |t| [t.at_rest.p50, t.at_rest.p99])
+            }),
             row("under changes: p50, p99", |r| {
                 request_times(r, |t| [t.under_changes.p50, t.under_changes.p99])
             }),
-            row("difference of p50, by rounds", |r| added(r, |round| round.p50)),
-            row("difference of p99, by rounds", |r| added(r, |round| round.p99))
-                .within(budget::ADDED, Unit::Seconds),
+            row("difference of p50, by rounds", |r| {
+                added(r, |round| round.p50)
+            }),
+            row("difference of p99, by rounds", |r| {
+                added(r, |round| round.p99)
+            })
+            .within(budget::ADDED, Unit::Seconds),
         ],
     )
 }
 
 fn moments(singles: &[(String, Record)]) -> String {
     let cell = |moment: &Moment, record: &Record| {
-        let window = moment.window.and_then(|window| hollow(record, window).next());
+        let window = moment
+            .window
+            .and_then(|window| hollow(record, window).next());
         let peak = window.map(|run| format!("; {}", amount(run.per_node.peak_bytes, Unit::Bytes)));
         gathered(record, moment.after) + &peak.unwrap_or_default()
     };
-    let rows: Vec<RunsRow> =
-        MOMENTS.iter().map(|moment| row(moment.what, move |record| cell(moment, record))).collect();
+    let rows: Vec<RunsRow> = MOMENTS
+        .iter()
+        .map(|moment| row(moment.what, move |record| cell(moment, record)))
+        .collect();
     by_run(singles, &rows)
 }
 
@@ -334,10 +461,14 @@
     let row = |slope: &Slope| {
         let (least, most) = fit::range(slope.points.iter().map(|(x, _)| *x));
         let axis = format!("{:?}", slope.axis).to_lowercase();
-        let residual = slope.residuals.iter().map(|residual| residual.abs()).fold(0.0, f64::max);
-        let bend = slope
-            .bend
-            .map_or(NOT_MEASURED.to_owned(), |bend| format!("{:.2}, bound {:.2}", bend.t, bend.bound));
+        let residual = slope
+            .residuals
+            .iter()
+            .map(|residual| residual.abs())
+            .fold(0.0, f64::max);
+        let bend = slope.bend.map_or(NOT_MEASURED.to_owned(), |bend| {
+            format!("{:.2}, bound {:.2}", bend.t, bend.bound)
+        });
         let at_target = match slope.projection {
             Some(there) => {
                 let (figure, error) = (plain(there.figure), plain(there.standard_error));
@@ -372,14 +503,23 @@
 fn products_table(products: &[Product]) -> String {
     let row = |product: &Product| {
         let (one, other) = product.axes;
-        let mut cells = vec![format!("{one:?}, {other:?}").to_lowercase(), product.figure.clone()];
+        let mut cells = vec![
+            format!("{one:?}, {other:?}").to_lowercase(),
+            product.figure.clone(),
+        ];
         let terms = product.factors.iter().zip(&product.standard_errors);
         cells.extend(terms.map(|(factor, error)| format!("{factor:.3e} ({error:.1e})")));
         cells
     };
     let rows: Vec<Vec<String>> = products.iter().map(row).collect();
-    let head =
-        ["axes", "figure", "constant (standard error)", "of the first", "of the second", "of their product"];
+    let head = [
+        "axes",
+        "figure",
+        "constant (standard error)",
+        "of the first",
+        "of the second",
+        "of their product",
+    ];
     markdown(&head, &rows)
 }
 
@@ -408,8 +548,9 @@
 
 fn computation_row(report: &str, run: &Run) -> Vec<String> {
     let count = |count: usize| amount(count as f64, Unit::Count);
-    let bytes =
-        |bytes: Option<f64>| bytes.map_or(NOT_MEASURED.to_owned(), |bytes| amount(bytes, Unit::Bytes));
+    let bytes = |bytes: Option<f64>| {
+        bytes.map_or(NOT_MEASURED.to_owned(), |bytes| amount(bytes, Unit::Bytes))
+    };
     vec![
         run.name.clone(),
         count(run.size.servers),
--- a/crates/rig/src/capacity/table.rs
+++ b/crates/rig/src/capacity/table.rs
@@ -26,13 +26,19 @@
     }
     let digits = (2 - value.abs().log10().floor() as i32).clamp(0, 9) as usize;
     let text = format!("{value:.digits$}");
-    let text = if text.contains('.') { text.trim_end_matches('0').trim_end_matches('.') } else { &text };
+    let text = if text.contains('.') {
+        text.trim_end_matches('0').trim_end_matches('.')
+    } else {
+        &text
+    };
     grouped(text)
 }
 
 /// Puts commas between thousands.
 fn grouped(text: &str) -> String {
-    let (whole, rest) = text.split_once('.').map_or((text, None), |(whole, rest)| (whole, Some(rest)));
+    let (whole, rest) = text
+        .split_once('.')
+        .map_or((text, None), |(whole, rest)| (whole, Some(rest)));
     let mut grouped = String::new();
     for (n, digit) in whole.chars().enumerate() {
         let left = whole.len() - n;
@@ -53,7 +59,9 @@
         Unit::Count => plain(value.round()),
         Unit::CountPerSecond => format!("{}/s", plain(value)),
         Unit::Bytes => scaled(value, &[(1e9, "GB"), (1e6, "MB"), (1e3, "KB")], "B"),
-        Unit::BytesPerSecond => scaled(value, &[(1e9, "GB/s"), (1e6, "MB/s"), (1e3, "KB/s")], "B/s"),
+        Unit::BytesPerSecond => {
+            scaled(value, &[(1e9, "GB/s"), (1e6, "MB/s"), (1e3, "KB/s")], "B/s")
+        }
         Unit::Seconds => scaled(value, &[(1.0, "s"), (1e-3, "ms")], "us"),
         Unit::Cores => format!("{} % of a core", plain(value * 100.0)),
     }
@@ -69,7 +77,11 @@
 
 /// How many times over a budget.
 pub fn times(factor: f64) -> String {
-    plain(if factor >= 10.0 { factor.round() } else { factor })
+    plain(if factor >= 10.0 {
+        factor.round()
+    } else {
+        factor
+    })
 }
 
 /// A Markdown table.
@@ -126,8 +138,12 @@
 
     /// Whether it fits at the target.
     pub fn verdict(&self) -> Verdict {
-        let Some(budget) = self.budget else { return Verdict::NoBudget };
-        let Some(target) = self.at_target() else { return Verdict::NotKnown };
+        let Some(budget) = self.budget else {
+            return Verdict::NoBudget;
+        };
+        let Some(target) = self.at_target() else {
+            return Verdict::NotKnown;
+        };
         if target <= budget {
             return Verdict::Fits;
         }
@@ -141,8 +157,15 @@
         match self.verdict() {
             Verdict::Fits => "fits".to_owned(),
             Verdict::FitsWith(what, with) => {
-                let over = self.at_target().zip(self.budget).map_or(0.0, |(target, budget)| target / budget);
-                format!("{} times over; fits with {what}: {}", times(over), amount(with, self.unit))
+                let over = self
+                    .at_target()
+                    .zip(self.budget)
+                    .map_or(0.0, |(target, budget)| target / budget);
+                format!(
+                    "{} times over; fits with {what}: {}",
+                    times(over),
+                    amount(with, self.unit)
+                )
             }
             Verdict::DoesNotFit(over) => format!("does not fit, {} times over", times(over)),
             Verdict::NoBudget => "no budget".to_owned(),
@@ -151,10 +174,17 @@
     }
 
     fn cells(&self) -> Vec<String> {
-        let mut cells = vec![self.what.to_owned(), format!("{}: {}", self.kind.word(), self.how)];
-        let known = |at: &Option<f64>| at.map_or("not measured".to_owned(), |at| amount(at, self.unit));
+        let mut cells = vec![
+            self.what.to_owned(),
+            format!("{}: {}", self.kind.word(), self.how),
+        ];
+        let known =
+            |at: &Option<f64>| at.map_or("not measured".to_owned(), |at| amount(at, self.unit));
         cells.extend(self.at.iter().map(known));
-        cells.push(self.budget.map_or("-".to_owned(), |budget| amount(budget, self.unit)));
+        cells.push(
+            self.budget
+                .map_or("-".to_owned(), |budget| amount(budget, self.unit)),
+        );
         cells.push(self.verdict_text());
         cells.push(self.carried.to_owned());
         cells
@@ -163,7 +193,16 @@
 
 /// Rows as a table.
 pub fn rows(rows: &[Row]) -> String {
-    let head = ["what", "how", "300 nodes", "1,500", "6,000", "budget", "verdict", "carried by"];
+    let head = [
+        "what",
+        "how",
+        "300 nodes",
+        "1,500",
+        "6,000",
+        "budget",
+        "verdict",
+        "carried by",
+    ];
     let cells: Vec<_> = rows.iter().map(Row::cells).collect();
     markdown(&head, &cells)
 }
--- a/crates/rig/src/client.rs
+++ b/crates/rig/src/client.rs
@@ -35,7 +35,10 @@
 impl Client {
     /// A client without connections yet.
     pub fn new(to: SocketAddr) -> Client {
-        Client { to, idle: Mutex::default() }
+        Client {
+            to,
+            idle: Mutex::default(),
+        }
     }
 
     fn idle(&self) -> std::sync::MutexGuard<'_, Vec<Connection>> {
@@ -85,6 +88,10 @@
         if !connection.send.is_closed() {
             self.idle().push(connection);
         }
-        Ok(Got { status: head.status, headers: head.headers, body })
+        Ok(Got {
+            status: head.status,
+            headers: head.headers,
+            body,
+        })
     }
 }
--- a/crates/rig/src/demo.rs
+++ b/crates/rig/src/demo.rs
@@ -20,7 +20,10 @@
     let node = Node::start(program, &fleet.settings("127.0.0.1:0")).await?;
     until_health(node.address(), "/_health", true).await?;
     let address = node.address().to_string();
-    println!("{}", json!({ "ready": true, "addresses": { "client": address } }));
+    println!(
+        "{}",
+        json!({ "ready": true, "addresses": { "client": address } })
+    );
     eprintln!("the settings: {}", node.file().display());
     eprintln!("curl -i -H 'Host: flags.example.org' http://{address}/api/flags");
     eprintln!("curl -i -H 'Host: admin.example.org' -d '{{}}' http://{address}/api/flags");
@@ -40,13 +43,19 @@
     let node = Node::start(program, &crate::graphql::settings(&pool, "")).await?;
     until_health(node.address(), "/_health", true).await?;
     let address = node.address().to_string();
-    println!("{}", json!({ "ready": true, "addresses": { "client": address } }));
+    println!(
+        "{}",
+        json!({ "ready": true, "addresses": { "client": address } })
+    );
     eprintln!("the settings: {}", node.file().display());
     eprintln!(
         "curl -i -H 'Content-Type: application/json' -d '{{\"query\":\"{{ evaluate(flag: \\\"x\\\") {{ on }} }}\"}}' http://{address}/graphql"
     );
     crate::until_ended().await;
-    println!("{}", json!({ "seen": pool.seen(), "effects_twice": pool.twice() }));
+    println!(
+        "{}",
+        json!({ "seen": pool.seen(), "effects_twice": pool.twice() })
+    );
     Ok(())
 }
 
@@ -57,14 +66,20 @@
 pub async fn membership(program: &Program) -> Result<()> {
     let registry = Arc::new(Registry::start(3).await?);
     let pool = Pool::start("flags", 4, Manner::good(Duration::from_millis(5)), 7).await?;
-    let entered: Vec<Announced> =
-        pool.servers.iter().map(|s| Announced::enter(&registry, s, &s.name, 0)).collect();
+    let entered: Vec<Announced> = pool
+        .servers
+        .iter()
+        .map(|s| Announced::enter(&registry, s, &s.name, 0))
+        .collect();
     let entry = "[registry.entry]\npath = \"/nodes/demo\"\nname = \"demo\"\nsite = \"here\"";
     registry.put("/nodes", b"", 0);
     let node = Node::start(program, &settings(&registry, "", entry)).await?;
     until_health(node.address(), "/_health", true).await?;
     let controls = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
-    let (address, control) = (node.address().to_string(), controls.local_addr()?.to_string());
+    let (address, control) = (
+        node.address().to_string(),
+        controls.local_addr()?.to_string(),
+    );
     let mut addresses = json!({ "client": address, "control": control });
     for (n, member) in registry.members.iter().enumerate() {
         addresses[format!("m{}", n + 1)] = member.to_string().into();
@@ -74,12 +89,18 @@
     eprintln!("curl -i -H 'Host: evaluate.example.org' http://{address}/api/flags");
     eprintln!("curl -i -H 'Host: toggle.example.org' -d '{{}}' http://{address}/api/flags");
     for entry in &entered {
-        eprintln!("curl -X POST 'http://{control}/kill?session={}'    # {}", entry.session, entry.name);
+        eprintln!(
+            "curl -X POST 'http://{control}/kill?session={}'    # {}",
+            entry.session, entry.name
+        );
     }
     tokio::select! {
         result = control::serve(controls, registry.clone()) => result?,
         () = crate::until_ended() => {}
     }
-    println!("{}", json!({ "seen": pool.seen(), "effects_twice": pool.twice() }));
+    println!(
+        "{}",
+        json!({ "seen": pool.seen(), "effects_twice": pool.twice() })
+    );
     Ok(())
 }
--- a/crates/rig/src/discovery.rs
+++ b/crates/rig/src/discovery.rs
@@ -34,7 +34,13 @@
 impl Listed {
     /// One that has been active for long.
     pub fn active(name: &str, address: SocketAddr) -> Listed {
-        Listed { name: name.to_owned(), address, status: "active", since_ms: 0, zone: "a".to_owned() }
+        Listed {
+            name: name.to_owned(),
+            address,
+            status: "active",
+            since_ms: 0,
+            zone: "a".to_owned(),
+        }
     }
 }
 
@@ -72,16 +78,26 @@
         let task = crate::task(async move {
             let mut connections = tokio::task::JoinSet::new();
             loop {
-                let Ok((stream, _)) = listener.accept().await else { continue };
+                let Ok((stream, _)) = listener.accept().await else {
+                    continue;
+                };
                 while connections.try_join_next().is_some() {}
                 let (list, told) = (serving.clone(), sender.subscribe());
                 connections.spawn(async move {
-                    let answer = service_fn(move |request| respond(request, list.clone(), told.clone()));
-                    let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), answer).await;
+                    let answer =
+                        service_fn(move |request| respond(request, list.clone(), told.clone()));
+                    let _ = http1::Builder::new()
+                        .serve_connection(TokioIo::new(stream), answer)
+                        .await;
                 });
             }
         });
-        Ok(Discovery { address, list, told, _task: task })
+        Ok(Discovery {
+            address,
+            list,
+            told,
+            _task: task,
+        })
     }
 
     /// Changes lines of the list and tells every watch.
@@ -99,7 +115,9 @@
 }
 
 async fn respond(
-    request: Request<Incoming>, list: Arc<Mutex<(u64, Vec<Listed>)>>, told: watch::Receiver<String>,
+    request: Request<Incoming>,
+    list: Arc<Mutex<(u64, Vec<Listed>)>>,
+    told: watch::Receiver<String>,
 ) -> std::result::Result<Response<BoxBody<Bytes, Infallible>>, Infallible> {
     let now = {
         let list = list.lock().unwrap_or_else(PoisonError::into_inner);
@@ -114,7 +132,8 @@
 }
 
 fn lines(
-    first: String, told: watch::Receiver<String>,
+    first: String,
+    told: watch::Receiver<String>,
 ) -> impl futures_util::Stream<Item = std::result::Result<Frame<Bytes>, Infallible>> {
     let frame = |line: String| Ok(Frame::data(Bytes::from(line + "\n")));
     futures_util::stream::unfold((Some(first), told), move |(first, mut told)| async move {
--- a/crates/rig/src/fleet/check.rs
+++ b/crates/rig/src/fleet/check.rs
@@ -29,8 +29,12 @@
             *effects.entry(id).or_default() += 1;
         }
     }
-    let twice = effects.into_iter().filter(|(id, n)| *n > 1 && risky.contains_key(id));
-    twice.map(|(id, n)| format!("rule 2: {id} had its effect {n} times")).collect()
+    let twice = effects
+        .into_iter()
+        .filter(|(id, n)| *n > 1 && risky.contains_key(id));
+    twice
+        .map(|(id, n)| format!("rule 2: {id} had its effect {n} times"))
+        .collect()
 }
 
 /// An unsafe request that was refused had no effect.
@@ -38,7 +42,12 @@
     let risky = risky(happened);
     let mut refused: HashMap<&str, u16> = HashMap::new();
     for (_, event) in happened {
-        if let Event::Answered { id, status: Some(status @ (429 | 503)), .. } = event {
+        if let Event::Answered {
+            id,
+            status: Some(status @ (429 | 503)),
+            ..
+        } = event
+        {
             if risky.contains_key(id.as_str()) {
                 refused.insert(id, *status);
             }
@@ -48,7 +57,8 @@
         Event::Effect { id, .. } => Some((id, refused.get(id.as_str())?)),
         _ => None,
     });
-    ran.map(|(id, status)| format!("rule 2: {id} was refused with {status}, and ran")).collect()
+    ran.map(|(id, status)| format!("rule 2: {id} was refused with {status}, and ran"))
+        .collect()
 }
 
 /// Every request that a living node took has one answer, in time. A node that was killed or stood still meanwhile owes
@@ -56,7 +66,8 @@
 pub fn unanswered(happened: &Happened) -> Vec<String> {
     let hurt = hurt(happened);
     let excused = |node: usize, from: Duration, to: Duration| {
-        hurt.get(&node).is_some_and(|all| all.iter().any(|(a, b)| *a <= to && from <= *b))
+        hurt.get(&node)
+            .is_some_and(|all| all.iter().any(|(a, b)| *a <= to && from <= *b))
     };
     let mut asked: HashMap<&str, (Duration, usize)> = HashMap::new();
     let mut broken = Vec::new();
@@ -64,13 +75,17 @@
         match event {
             Event::Asked { node, id, .. } => drop(asked.insert(id, (*at, *node))),
             Event::Answered { id, status, .. } => {
-                let Some((from, node)) = asked.remove(id.as_str()) else { continue };
+                let Some((from, node)) = asked.remove(id.as_str()) else {
+                    continue;
+                };
                 if excused(node, from, *at) {
                     continue;
                 }
                 let late = *at - from > DEADLINE + SLACK;
                 if status.is_none() {
-                    broken.push(format!("rule 1: {id} was taken at {from:?} and never answered"));
+                    broken.push(format!(
+                        "rule 1: {id} was taken at {from:?} and never answered"
+                    ));
                 } else if late {
                     broken.push(format!("rule 1: {id} was answered after {:?}", *at - from));
                 }
@@ -103,7 +118,9 @@
 
 fn risky(happened: &Happened) -> HashMap<&str, ()> {
     let risky = happened.iter().filter_map(|(_, e)| match e {
-        Event::Asked { id, risky: true, .. } => Some((id.as_str(), ())),
+        Event::Asked {
+            id, risky: true, ..
+        } => Some((id.as_str(), ())),
         _ => None,
     });
     risky.collect()
@@ -116,12 +133,18 @@
 
 /// Attempts at a server between two moments, by these nodes.
 pub fn attempts(
-    happened: &Happened, server: usize, from: Duration, to: Duration, nodes: &[usize],
+    happened: &Happened,
+    server: usize,
+    from: Duration,
+    to: Duration,
+    nodes: &[usize],
 ) -> Vec<(Duration, String)> {
     let names: Vec<String> = nodes.iter().map(|n| name(*n)).collect();
     let in_time = happened.iter().filter(|(at, _)| *at >= from && *at <= to);
     let all = in_time.filter_map(|(at, e)| match e {
-        Event::Attempt { server: s, id } if *s == server && names.iter().any(|n| n == node_of(id)) => {
+        Event::Attempt { server: s, id }
+            if *s == server && names.iter().any(|n| n == node_of(id)) =>
+        {
             Some((*at, id.clone()))
         }
         _ => None,
@@ -130,8 +153,15 @@
 }
 
 /// The last attempt at a server by each of these nodes, after a moment.
-pub fn last_attempt(happened: &Happened, server: usize, from: Duration, nodes: &[usize]) -> Option<Duration> {
-    attempts(happened, server, from, Duration::MAX, nodes).last().map(|(at, _)| *at)
+pub fn last_attempt(
+    happened: &Happened,
+    server: usize,
+    from: Duration,
+    nodes: &[usize],
+) -> Option<Duration> {
+    attempts(happened, server, from, Duration::MAX, nodes)
+        .last()
+        .map(|(at, _)| *at)
 }
 
 /// Share of requests asked between two moments that were answered 200 in time, and how many there were.
@@ -144,8 +174,14 @@
                 asked.insert(id, *at);
                 all += 1;
             }
-            Event::Answered { id, status: Some(200), .. } => {
-                let in_time = asked.get(id.as_str()).is_some_and(|from| *at - *from <= DEADLINE);
+            Event::Answered {
+                id,
+                status: Some(200),
+                ..
+            } => {
+                let in_time = asked
+                    .get(id.as_str())
+                    .is_some_and(|from| *at - *from <= DEADLINE);
                 good += u32::from(in_time);
             }
             _ => {}
--- a/crates/rig/src/fleet/history.rs
+++ b/crates/rig/src/fleet/history.rs
@@ -120,7 +120,11 @@
 impl History {
     /// An empty one, whose clock begins now.
     pub fn begin() -> History {
-        History { begun: Instant::now(), events: Mutex::default(), more: Notify::new() }
+        History {
+            begun: Instant::now(),
+            events: Mutex::default(),
+            more: Notify::new(),
+        }
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<(Duration, Event)>> {
@@ -163,7 +167,12 @@
         let wait = async {
             loop {
                 let more = self.more.notified();
-                let found = self.lock().iter().skip(from).find(|(_, e)| is(e)).map(|(at, _)| *at);
+                let found = self
+                    .lock()
+                    .iter()
+                    .skip(from)
+                    .find(|(_, e)| is(e))
+                    .map(|(at, _)| *at);
                 match found {
                     Some(at) => return at,
                     None => more.await,
@@ -180,10 +189,18 @@
         let dull = |e: &Event| {
             matches!(
                 e,
-                Event::Asked { .. } | Event::Answered { .. } | Event::Attempt { .. } | Event::Effect { .. }
+                Event::Asked { .. }
+                    | Event::Answered { .. }
+                    | Event::Attempt { .. }
+                    | Event::Effect { .. }
             )
         };
-        let mut last: Vec<_> = events.iter().rev().filter(|(_, e)| !dull(e)).take(n).collect();
+        let mut last: Vec<_> = events
+            .iter()
+            .rev()
+            .filter(|(_, e)| !dull(e))
+            .take(n)
+            .collect();
         last.reverse();
         last.iter().fold(String::new(), |mut text, (at, event)| {
             // A text takes all that is written to it.
--- a/crates/rig/src/fleet/links.rs
+++ b/crates/rig/src/fleet/links.rs
@@ -74,7 +74,12 @@
             tasks.push(crate::task(pass(n, socket.clone(), state.clone())));
             sockets.push(socket);
         }
-        Ok(Arc::new(Links { sockets, addresses, state, _tasks: tasks }))
+        Ok(Arc::new(Links {
+            sockets,
+            addresses,
+            state,
+            _tasks: tasks,
+        }))
     }
 
     /// How many places there are.
@@ -139,8 +144,9 @@
         }
         let mut draw = Draw(forged as u64);
         for n in 0..forged {
-            let mut datagram =
-                kept.get(n % kept.len().max(1)).map_or_else(|| vec![0; 200], |(_, d)| d.clone());
+            let mut datagram = kept
+                .get(n % kept.len().max(1))
+                .map_or_else(|| vec![0; 200], |(_, d)| d.clone());
             let at = draw.number() as usize % datagram.len().max(1);
             if let Some(byte) = datagram.get_mut(at) {
                 *byte ^= 1 + (draw.number() as u8 & 0x7f);
@@ -154,13 +160,22 @@
     let mut buffer = vec![0; 64 << 10];
     loop {
         // A datagram that could not be delivered is told here, too; that is nobody's end.
-        let Ok((n, from)) = socket.recv_from(&mut buffer).await else { continue };
+        let Ok((n, from)) = socket.recv_from(&mut buffer).await else {
+            continue;
+        };
         let mut datagram = buffer[..n].to_vec();
         let copies = {
             let mut state = lock(&state);
-            let Some(from) = state.from.get(&from).copied() else { continue };
+            let Some(from) = state.from.get(&from).copied() else {
+                continue;
+            };
             let Some(to) = state.to[place] else { continue };
-            let Faults { loss, twice, spoilt, delay } = state.faults.clone();
+            let Faults {
+                loss,
+                twice,
+                spoilt,
+                delay,
+            } = state.faults.clone();
             if state.cut.contains(&(from, place)) || state.draw.fraction() < loss {
                 continue;
             }
--- a/crates/rig/src/fleet/load.rs
+++ b/crates/rig/src/fleet/load.rs
@@ -47,7 +47,12 @@
 pub const DEADLINE: Duration = Duration::from_secs(2);
 
 pub(super) async fn clients(
-    node: usize, addresses: Addresses, rate: f64, risky: f64, mut draw: Draw, history: Arc<History>,
+    node: usize,
+    addresses: Addresses,
+    rate: f64,
+    risky: f64,
+    mut draw: Draw,
+    history: Arc<History>,
     stop: Arc<AtomicBool>,
 ) {
     let mut to: Option<(SocketAddr, Arc<Client>)> = None;
@@ -61,15 +66,27 @@
             break;
         }
         while running.try_join_next().is_some() {}
-        let now = addresses.lock().unwrap_or_else(PoisonError::into_inner).get(node).copied().flatten();
+        let now = addresses
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .get(node)
+            .copied()
+            .flatten();
         // Where nobody is, nobody is asked.
         let Some(address) = now else { continue };
         let client = match &to {
             Some((at, client)) if *at == address => client.clone(),
-            _ => to.insert((address, Arc::new(Client::new(address)))).1.clone(),
+            _ => to
+                .insert((address, Arc::new(Client::new(address))))
+                .1
+                .clone(),
         };
         let risky = draw.fraction() < risky;
-        let id = format!("{}-{}{tag:x}-{n}", name(node), if risky { "w" } else { "r" });
+        let id = format!(
+            "{}-{}{tag:x}-{n}",
+            name(node),
+            if risky { "w" } else { "r" }
+        );
         let history = history.clone();
         running.spawn(async move { ask(node, &client, &history, id, risky).await });
     }
@@ -80,11 +97,26 @@
     let request = Request::builder()
         .method(if risky { "POST" } else { "GET" })
         .uri("/api/flags")
-        .header("host", if risky { "toggle.example.org" } else { "evaluate.example.org" })
+        .header(
+            "host",
+            if risky {
+                "toggle.example.org"
+            } else {
+                "evaluate.example.org"
+            },
+        )
         .header("x-correlation-id", &id)
-        .body(Full::new(if risky { Bytes::from_static(b"{}") } else { Bytes::new() }));
+        .body(Full::new(if risky {
+            Bytes::from_static(b"{}")
+        } else {
+            Bytes::new()
+        }));
     let Ok(request) = request else { return };
-    history.add(Event::Asked { node, id: id.clone(), risky });
+    history.add(Event::Asked {
+        node,
+        id: id.clone(),
+        risky,
+    });
     let got = tokio::time::timeout(DEADLINE + Duration::from_secs(40), client.ask(request)).await;
     let status = match got {
         Ok(Ok(got)) => Some(got.status.as_u16()),
--- a/crates/rig/src/fleet/mod.rs
+++ b/crates/rig/src/fleet/mod.rs
@@ -152,7 +152,8 @@
     pub async fn start_in(program: &Program, made: &Made, history: Arc<History>) -> Result<Rig> {
         let mut servers = Vec::with_capacity(made.servers);
         for n in 0..made.servers {
-            let server = Server::start(&server_name(n), 16, Manner::good(made.takes), n as u64).await?;
+            let server =
+                Server::start(&server_name(n), 16, Manner::good(made.takes), n as u64).await?;
             let watched = history.clone();
             server.observe(Arc::new(move |id, effect| {
                 let id = id.to_owned();
@@ -168,8 +169,11 @@
         let key = folder.path().join("fleet.key");
         std::fs::write(&key, "the rig's own key, and nobody else's")?;
         let links = Links::open(made.nodes).await?;
-        let listed: Vec<Listed> =
-            servers.iter().enumerate().map(|(n, s)| Listed::active(&server_name(n), s.address)).collect();
+        let listed: Vec<Listed> = servers
+            .iter()
+            .enumerate()
+            .map(|(n, s)| Listed::active(&server_name(n), s.address))
+            .collect();
         let mut lists = Vec::with_capacity(made.lists);
         for _ in 0..made.lists {
             lists.push(Discovery::start(listed.clone()).await?);
@@ -180,17 +184,33 @@
             for server in &servers {
                 to_servers.push(Link::start(server.address).await?);
             }
-            let fleet = made.fleet.as_ref().map(|more| part(n, made, &links, &key, more));
+            let fleet = made
+                .fleet
+                .as_ref()
+                .map(|more| part(n, made, &links, &key, more));
             let source = match lists.get(n % made.lists.max(1)) {
                 Some(list) => format!("discovery = \"{}\"\n", list.address),
                 None => written(made, &to_servers),
             };
             let settings = settings(n, made, &source, fleet.as_deref().unwrap_or(""));
-            seats.push(Seat { settings, node: None, links: to_servers });
+            seats.push(Seat {
+                settings,
+                node: None,
+                links: to_servers,
+            });
         }
         let program = program.clone();
         let addresses = Arc::new(Mutex::new(vec![None; made.nodes]));
-        let mut rig = Rig { program, seats, servers, lists, links, addresses, history, folder };
+        let mut rig = Rig {
+            program,
+            seats,
+            servers,
+            lists,
+            links,
+            addresses,
+            history,
+            folder,
+        };
         for n in 0..made.nodes {
             rig.start_node(n).await?;
         }
@@ -229,12 +249,23 @@
             let _ = node.ended().await;
             history.add(Event::Ended { node: n });
         });
-        self.seats[n].node = Some(Running { address, management, pid, frozen: false, _task: task });
+        self.seats[n].node = Some(Running {
+            address,
+            management,
+            pid,
+            frozen: false,
+            _task: task,
+        });
         Ok(())
     }
 
     fn reached(&self, n: usize, address: Option<SocketAddr>) {
-        if let Some(at) = self.addresses.lock().unwrap_or_else(PoisonError::into_inner).get_mut(n) {
+        if let Some(at) = self
+            .addresses
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .get_mut(n)
+        {
             *at = address;
         }
     }
@@ -268,13 +299,19 @@
     fn signal(&self, n: usize, signal: &str) {
         if let Some(r) = &self.seats[n].node {
             // Whoever is gone hears nothing.
-            let _ = std::process::Command::new("kill").args(["-s", signal, &r.pid.to_string()]).status();
+            let _ = std::process::Command::new("kill")
+                .args(["-s", signal, &r.pid.to_string()])
+                .status();
         }
     }
 
     /// A process stands still, or goes on.
     pub fn freeze(&mut self, n: usize, frozen: bool) {
-        self.history.add(if frozen { Event::Froze { node: n } } else { Event::Thawed { node: n } });
+        self.history.add(if frozen {
+            Event::Froze { node: n }
+        } else {
+            Event::Thawed { node: n }
+        });
         self.signal(n, if frozen { "STOP" } else { "CONT" });
         if let Some(r) = &mut self.seats[n].node {
             r.frozen = frozen;
@@ -298,7 +335,9 @@
         let from = self.history.len();
         self.reached(n, None);
         self.signal(n, "TERM");
-        self.history.until(from, |e| matches!(e, Event::Ended { node } if *node == n)).await?;
+        self.history
+            .until(from, |e| matches!(e, Event::Ended { node } if *node == n))
+            .await?;
         self.seats[n].node = None;
         Ok(())
     }
@@ -324,8 +363,12 @@
             .uri(path)
             .header("host", "node")
             .body(Full::new(Bytes::new()))?;
-        let got = tokio::time::timeout(Duration::from_secs(2), Client::new(to).ask(request)).await??;
-        Ok((got.status.as_u16(), String::from_utf8_lossy(&got.body).into_owned()))
+        let got =
+            tokio::time::timeout(Duration::from_secs(2), Client::new(to).ask(request)).await??;
+        Ok((
+            got.status.as_u16(),
+            String::from_utf8_lossy(&got.body).into_owned(),
+        ))
     }
 
     /// An operator sends a server out by way of a node. Written down when the node has said yes.
@@ -339,7 +382,11 @@
         if status != 200 {
             return Err(format!("{status}: {said}").into());
         }
-        self.history.add(Event::Banned { node, server, seconds });
+        self.history.add(Event::Banned {
+            node,
+            server,
+            seconds,
+        });
         Ok(())
     }
 
@@ -349,8 +396,13 @@
     /// If the node says no.
     pub async fn lift(&self, node: usize, server: usize) -> Result<()> {
         self.history.add(Event::Lifted { node, server });
-        let (status, said) =
-            self.call(node, "POST", &format!("/-/fleet/servers/{}/lift", server_name(server))).await?;
+        let (status, said) = self
+            .call(
+                node,
+                "POST",
+                &format!("/-/fleet/servers/{}/lift", server_name(server)),
+            )
+            .await?;
         if status == 200 {
             Ok(())
         } else {
@@ -362,11 +414,17 @@
     ///
     /// # Errors
     /// If it does not within the rig's patience.
-    pub async fn until(&self, what: &str, mut holds: impl AsyncFnMut(&Rig) -> bool) -> Result<Duration> {
+    pub async fn until(
+        &self,
+        what: &str,
+        mut holds: impl AsyncFnMut(&Rig) -> bool,
+    ) -> Result<Duration> {
         let begun = Instant::now();
         while !holds(self).await {
             if begun.elapsed() > PATIENCE {
-                return Err(format!("{what}: not within {PATIENCE:?}\n{}", self.history.tail(40)).into());
+                return Err(
+                    format!("{what}: not within {PATIENCE:?}\n{}", self.history.tail(40)).into(),
+                );
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -377,7 +435,9 @@
     pub async fn gathered(&self) -> bool {
         let awake = self.awake();
         for n in &awake {
-            let Ok((200, said)) = self.call(*n, "GET", "/-/fleet/members").await else { return false };
+            let Ok((200, said)) = self.call(*n, "GET", "/-/fleet/members").await else {
+                return false;
+            };
             let there = said.lines().filter(|l| l.contains(", life ")).count();
             if there != awake.len() {
                 return false;
@@ -388,14 +448,20 @@
 
     /// Starts clients: so many requests a second at each node, a part of them unsafe, until the guard is dropped.
     pub fn load(&self, rate: f64, risky: f64, seed: u64) -> Load {
-        self.load_at(&(0..self.seats.len()).collect::<Vec<_>>(), rate, risky, seed)
+        self.load_at(
+            &(0..self.seats.len()).collect::<Vec<_>>(),
+            rate,
+            risky,
+            seed,
+        )
     }
 
     /// The same at some of the nodes.
     pub fn load_at(&self, nodes: &[usize], rate: f64, risky: f64, seed: u64) -> Load {
         let stop = Arc::new(AtomicBool::new(false));
         let clients = nodes.iter().copied().map(|n| {
-            let (addresses, history, stop) = (self.addresses.clone(), self.history.clone(), stop.clone());
+            let (addresses, history, stop) =
+                (self.addresses.clone(), self.history.clone(), stop.clone());
             let draw = Draw(seed.wrapping_mul(0x9e37).wrapping_add(n as u64));
             tokio::spawn(clients(n, addresses, rate, risky, draw, history, stop))
         });
--- a/crates/rig/src/fleet/plays.rs
+++ b/crates/rig/src/fleet/plays.rs
@@ -47,7 +47,8 @@
         let mut rig = Rig::start(program, &self.made).await?;
         let knows = self.made.fleet.is_some();
         if knows {
-            rig.until("all know each other", async |rig| rig.gathered().await).await?;
+            rig.until("all know each other", async |rig| rig.gathered().await)
+                .await?;
         }
         rig.links().seed(self.seed);
         let load = rig.load(self.rate, self.risky, self.seed);
@@ -57,19 +58,34 @@
         load.end().await;
         let whole = rig.awake().len() == rig.nodes();
         let again = async |rig: &Rig| rig.gathered().await;
-        let agree =
-            if knows && whole { rig.until("all know each other again", again).await.ok() } else { None };
+        let agree = if knows && whole {
+            rig.until("all know each other again", again).await.ok()
+        } else {
+            None
+        };
         let mut broken = check::all(&rig.history.events());
         if knows && whole && agree.is_none() {
             broken.push("the nodes do not find each other again".to_owned());
         }
         let datagrams = rig.links().passed();
-        Ok(Came { broken, history: rig.history.clone(), agree, from, to, datagrams })
+        Ok(Came {
+            broken,
+            history: rig.history.clone(),
+            agree,
+            from,
+            to,
+            datagrams,
+        })
     }
 
     /// The shortest part of a schedule that still breaks a rule, by no more than so many plays, and how many were made.
     /// Faults that come by chance may not come again: a part in which nothing broke may yet be to blame.
-    pub async fn shorten(&self, program: &Program, steps: &[Step], plays: usize) -> (Vec<Step>, usize) {
+    pub async fn shorten(
+        &self,
+        program: &Program,
+        steps: &[Step],
+        plays: usize,
+    ) -> (Vec<Step>, usize) {
         let breaks = async |steps: Vec<Step>| match self.run(program, &steps).await {
             Ok(came) => !came.broken.is_empty(),
             Err(_) => false,
--- a/crates/rig/src/fleet/resource.rs
+++ b/crates/rig/src/fleet/resource.rs
@@ -44,26 +44,46 @@
                         }
                     });
                     let connection = hyper::server::conn::http1::Builder::new();
-                    let _ = connection.serve_connection(TokioIo::new(stream), answer).await;
+                    let _ = connection
+                        .serve_connection(TokioIo::new(stream), answer)
+                        .await;
                 });
             }
         });
-        Ok(Resource { address, _task: accepting })
+        Ok(Resource {
+            address,
+            _task: accepting,
+        })
     }
 }
 
 fn acted(request: &Request<Incoming>, fence: &Mutex<Fence>, history: &History) -> StatusCode {
-    let said =
-        |name: &str| request.headers().get(name).and_then(|value| value.to_str().ok()).map(str::to_owned);
+    let said = |name: &str| {
+        request
+            .headers()
+            .get(name)
+            .and_then(|value| value.to_str().ok())
+            .map(str::to_owned)
+    };
     let claim = || {
         let lease = LeaseName::try_from(said("x-lease")?).ok()?;
-        Some(Claim { lease, token: said("x-lease-token")?.parse().ok()? })
+        Some(Claim {
+            lease,
+            token: said("x-lease-token")?.parse().ok()?,
+        })
+    };
+    let (Some(claim), Some(by)) = (claim(), said("x-lease-holder")) else {
+        return StatusCode::BAD_REQUEST;
     };
-    let (Some(claim), Some(by)) = (claim(), said("x-lease-holder")) else { return StatusCode::BAD_REQUEST };
     // Held while it is written down, so that the history has the order of what was let by.
     let mut fence = fence.lock().unwrap_or_else(PoisonError::into_inner);
     let let_by = fence.admit(&claim).is_ok();
-    history.add(Event::Acted { lease: claim.lease.as_str().to_owned(), token: claim.token, by, let_by });
+    history.add(Event::Acted {
+        lease: claim.lease.as_str().to_owned(),
+        token: claim.token,
+        by,
+        let_by,
+    });
     if let_by {
         StatusCode::OK
     } else {
@@ -85,9 +105,16 @@
 /// The acts by a lease that were let by.
 pub fn acts(happened: &[(Duration, Event)], lease: &str) -> Vec<Let> {
     let of = |(at, event): &(Duration, Event)| match event {
-        Event::Acted { lease: l, token, by, let_by: true } if l == lease => {
-            Some(Let { at: *at, token: *token, by: by.clone() })
-        }
+        Event::Acted {
+            lease: l,
+            token,
+            by,
+            let_by: true,
+        } if l == lease => Some(Let {
+            at: *at,
+            token: *token,
+            by: by.clone(),
+        }),
         _ => None,
     };
     happened.iter().filter_map(of).collect()
@@ -95,16 +122,22 @@
 
 /// How many acts were refused, as a later holder had acted.
 pub fn stale(happened: &[(Duration, Event)]) -> usize {
-    happened.iter().filter(|(_, e)| matches!(e, Event::Acted { let_by: false, .. })).count()
+    happened
+        .iter()
+        .filter(|(_, e)| matches!(e, Event::Acted { let_by: false, .. }))
+        .count()
 }
 
 /// What is wrong with the acts by a lease: a lower token after a higher one, or one token of two holders.
 pub fn broken(happened: &[(Duration, Event)], lease: &str) -> Vec<String> {
     let acts = acts(happened, lease);
     let lower = acts.windows(2).filter(|two| two[0].token > two[1].token);
-    let mut broken: Vec<String> =
-        lower.map(|two| format!("{lease}: {:?} after {:?}", two[1], two[0])).collect();
-    let two = acts.windows(2).filter(|two| two[0].token == two[1].token && two[0].by != two[1].by);
+    let mut broken: Vec<String> = lower
+        .map(|two| format!("{lease}: {:?} after {:?}", two[1], two[0]))
+        .collect();
+    let two = acts
+        .windows(2)
+        .filter(|two| two[0].token == two[1].token && two[0].by != two[1].by);
     broken.extend(two.map(|two| format!("{lease}: one token of two holders: {two:?}")));
     broken
 }
--- a/crates/rig/src/fleet/schedule.rs
+++ b/crates/rig/src/fleet/schedule.rs
@@ -63,7 +63,9 @@
     fn names(&self) -> (Vec<usize>, Vec<usize>) {
         match self {
             Step::Cut(a, b, _) => ([a.as_slice(), b].concat(), vec![]),
-            Step::Freeze(n, _) | Step::Kill(n) | Step::Start(n) | Step::End(n) => (vec![*n], vec![]),
+            Step::Freeze(n, _) | Step::Kill(n) | Step::Start(n) | Step::End(n) => {
+                (vec![*n], vec![])
+            }
             Step::Server(s, _) | Step::Fails(s, _) => (vec![], vec![*s]),
             Step::Ban(n, s, _) | Step::Lift(n, s) => (vec![*n], vec![*s]),
             Step::Wait(_) | Step::Heal | Step::Loss(..) | Step::Delay(..) => (vec![], vec![]),
@@ -85,7 +87,10 @@
         let list = |n: usize| {
             let all = at(n)?.as_array().ok_or_else(none)?;
             Ok::<Vec<usize>, crate::Error>(
-                all.iter().filter_map(|v| v.as_u64()).map(|v| v as usize).collect(),
+                all.iter()
+                    .filter_map(|v| v.as_u64())
+                    .map(|v| v as usize)
+                    .collect(),
             )
         };
         Ok(match at(0)?.as_str().ok_or_else(none)? {
@@ -118,7 +123,11 @@
 /// Where a line is no step, or names a node or server that there is none of; with its number.
 pub fn read(text: &str, nodes: usize, servers: usize) -> Result<Vec<Step>> {
     let mut steps = Vec::new();
-    for (n, line) in text.lines().enumerate().map(|(n, line)| (n + 1, line.trim())) {
+    for (n, line) in text
+        .lines()
+        .enumerate()
+        .map(|(n, line)| (n + 1, line.trim()))
+    {
         if line.is_empty() || line.starts_with('#') {
             continue;
         }
@@ -143,7 +152,10 @@
     let mut down: Vec<usize> = Vec::new();
     let mut frozen: Vec<usize> = Vec::new();
     while left > Duration::from_millis(300) {
-        let (n, s) = (draw.number() as usize % nodes.max(1), draw.number() as usize % servers.max(1));
+        let (n, s) = (
+            draw.number() as usize % nodes.max(1),
+            draw.number() as usize % servers.max(1),
+        );
         let calm = !down.contains(&n) && !frozen.contains(&n);
         match draw.number() % 12 {
             0 => {
@@ -153,7 +165,10 @@
             }
             1 | 2 => steps.push(Step::Heal),
             3 => steps.push(Step::Loss((draw.number() % 30) as f64 / 100.0, 0.1, 0.02)),
-            4 => steps.push(Step::Delay(Duration::ZERO, Duration::from_millis(draw.number() % 300))),
+            4 => steps.push(Step::Delay(
+                Duration::ZERO,
+                Duration::from_millis(draw.number() % 300),
+            )),
             5 if calm && down.len() + frozen.len() < nodes / 3 => {
                 steps.push(Step::Freeze(n, true));
                 frozen.push(n);
@@ -164,7 +179,11 @@
                 }
             }
             7 if calm && down.len() + frozen.len() < nodes / 3 => {
-                steps.push(if draw.fraction() < 0.7 { Step::Kill(n) } else { Step::End(n) });
+                steps.push(if draw.fraction() < 0.7 {
+                    Step::Kill(n)
+                } else {
+                    Step::End(n)
+                });
                 down.push(n);
             }
             8 => {
@@ -181,7 +200,11 @@
         left -= wait;
         steps.push(Step::Wait(wait));
     }
-    steps.extend([Step::Heal, Step::Loss(0.0, 0.0, 0.0), Step::Delay(Duration::ZERO, Duration::ZERO)]);
+    steps.extend([
+        Step::Heal,
+        Step::Loss(0.0, 0.0, 0.0),
+        Step::Delay(Duration::ZERO, Duration::ZERO),
+    ]);
     steps.extend((0..servers).map(|s| Step::Server(s, false)));
     steps.extend(frozen.into_iter().map(|n| Step::Freeze(n, false)));
     steps.extend(down.into_iter().map(Step::Start));
@@ -202,7 +225,8 @@
             Step::Cut(a, b, both) => rig.links().cut(a, b, *both),
             Step::Heal => rig.links().heal(),
             Step::Loss(loss, twice, spoilt) => {
-                rig.links().fault(|f| (f.loss, f.twice, f.spoilt) = (*loss, *twice, *spoilt));
+                rig.links()
+                    .fault(|f| (f.loss, f.twice, f.spoilt) = (*loss, *twice, *spoilt));
             }
             Step::Delay(least, most) => rig.links().fault(|f| f.delay = (*least, *most)),
             Step::Freeze(n, frozen) => {
--- a/crates/rig/src/fleet/shorten.rs
+++ b/crates/rig/src/fleet/shorten.rs
@@ -7,7 +7,9 @@
 ///
 /// Source: Zeller, Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002: ddmin, complements alone.
 pub async fn shorten<S: Clone, F: Future<Output = bool>>(
-    steps: &[S], trials: usize, mut breaks: impl FnMut(Vec<S>) -> F,
+    steps: &[S],
+    trials: usize,
+    mut breaks: impl FnMut(Vec<S>) -> F,
 ) -> (Vec<S>, usize) {
     let mut left = steps.to_vec();
     let (mut parts, mut tried) = (2, 0);
@@ -29,7 +31,11 @@
         if !shorter && size == 1 {
             break;
         }
-        parts = if shorter { parts.saturating_sub(1).max(2) } else { (parts * 2).min(left.len()) };
+        parts = if shorter {
+            parts.saturating_sub(1).max(2)
+        } else {
+            (parts * 2).min(left.len())
+        };
     }
     (left, tried)
 }
--- a/crates/rig/src/fleet/shorten/tests.rs
+++ b/crates/rig/src/fleet/shorten/tests.rs
@@ -5,7 +5,9 @@
 #[tokio::test]
 async fn only_what_breaks_is_left() {
     let steps: Vec<u32> = (0..100).collect();
-    let needs = |of: &'static [u32]| move |s: Vec<u32>| std::future::ready(of.iter().all(|n| s.contains(n)));
+    let needs = |of: &'static [u32]| {
+        move |s: Vec<u32>| std::future::ready(of.iter().all(|n| s.contains(n)))
+    };
     assert_eq!(shorten(&steps, 1000, needs(&[17])).await.0, [17]);
     let (left, tried) = shorten(&steps, 1000, needs(&[3, 50, 97])).await;
     assert_eq!(left, [3, 50, 97]);
@@ -14,5 +16,8 @@
     let (left, tried) = shorten(&steps, 5, needs(&[3, 50, 97])).await;
     assert!(tried == 5 && left.len() <= 100 && [3, 50, 97].iter().all(|n| left.contains(n)));
     // What never breaks stays whole; order is kept.
-    assert_eq!(shorten(&steps, 1000, |_| std::future::ready(false)).await.0, steps);
+    assert_eq!(
+        shorten(&steps, 1000, |_| std::future::ready(false)).await.0,
+        steps
+    );
 }
--- a/crates/rig/src/fleet/verdicts.rs
+++ b/crates/rig/src/fleet/verdicts.rs
@@ -106,7 +106,9 @@
                     sound.step(*at, &step);
                 }
             }
-            Event::Banned { server, seconds, .. } => {
+            Event::Banned {
+                server, seconds, ..
+            } => {
                 let lasts = seconds.map_or(Duration::MAX, |s| Duration::from_secs(s.into()));
                 let over = at.saturating_add(lasts);
                 let known = ends.entry(*server).or_default();
@@ -115,18 +117,25 @@
             Event::Began { node } | Event::Killed { node } | Event::Told { node } => {
                 nodes.insert(*node, Acts::default());
             }
-            Event::Froze { node } => nodes.entry(*node).or_default().awake_since = Some(Duration::MAX),
+            Event::Froze { node } => {
+                nodes.entry(*node).or_default().awake_since = Some(Duration::MAX)
+            }
             Event::Thawed { node } => nodes.entry(*node).or_default().awake_since = Some(*at),
             Event::Said { node, line } => {
                 if let Some(server) = server(line) {
-                    nodes.entry(*node).or_default().said(*at, server, line, &sound, &ends, &mut seen);
+                    nodes
+                        .entry(*node)
+                        .or_default()
+                        .said(*at, server, line, &sound, &ends, &mut seen);
                 }
             }
             _ => {}
         }
     }
     for acts in nodes.values() {
-        acts.out.iter().for_each(|server| acts.let_go(end, *server, &ends, &mut seen));
+        acts.out
+            .iter()
+            .for_each(|server| acts.let_go(end, *server, &ends, &mut seen));
     }
     seen.bans_over.sort_unstable();
     seen.condemned_over.sort_unstable();
@@ -135,8 +144,13 @@
 
 impl Acts {
     fn said(
-        &mut self, at: Duration, server: usize, line: &str, sound: &Soundness,
-        ends: &BTreeMap<usize, Duration>, seen: &mut Verdicts,
+        &mut self,
+        at: Duration,
+        server: usize,
+        line: &str,
+        sound: &Soundness,
+        ends: &BTreeMap<usize, Duration>,
+        seen: &mut Verdicts,
     ) {
         if line.contains("is out by hand") {
             self.out.insert(server);
@@ -147,19 +161,35 @@
         } else if line.contains("fails several nodes") {
             seen.condemned += 1;
             self.condemned.insert(server);
-            let well = sound.since(server).filter(|since| at.saturating_sub(*since) > REPORTS_LAST + SLACK);
+            let well = sound
+                .since(server)
+                .filter(|since| at.saturating_sub(*since) > REPORTS_LAST + SLACK);
             if let Some(since) = well {
-                seen.mistaken.push(format!("{at:?}: s{server} is condemned, and well since {since:?}"));
+                seen.mistaken.push(format!(
+                    "{at:?}: s{server} is condemned, and well since {since:?}"
+                ));
             }
-        } else if line.contains("is well, or nobody says otherwise") && self.condemned.remove(&server) {
+        } else if line.contains("is well, or nobody says otherwise")
+            && self.condemned.remove(&server)
+        {
             // Who slept could not let go before.
             let from = self.awake_since.unwrap_or_default();
-            seen.condemned_over.extend(sound.since(server).map(|since| at.saturating_sub(since.max(from))));
+            seen.condemned_over.extend(
+                sound
+                    .since(server)
+                    .map(|since| at.saturating_sub(since.max(from))),
+            );
         }
     }
 
     /// A ban is let go, or the history ends with it held: how long after its end, if that is over.
-    fn let_go(&self, at: Duration, server: usize, ends: &BTreeMap<usize, Duration>, seen: &mut Verdicts) {
+    fn let_go(
+        &self,
+        at: Duration,
+        server: usize,
+        ends: &BTreeMap<usize, Duration>,
+        seen: &mut Verdicts,
+    ) {
         let Some(end) = ends.get(&server) else { return };
         let due = (*end).max(self.awake_since.unwrap_or_default());
         seen.bans_over.extend(at.checked_sub(due));
--- a/crates/rig/src/fleet/verdicts/tests.rs
+++ b/crates/rig/src/fleet/verdicts/tests.rs
@@ -5,14 +5,24 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 fn said(node: usize, line: &str) -> Event {
-    Event::Said { node, line: format!("reelfall: fleet: {line}") }
+    Event::Said {
+        node,
+        line: format!("reelfall: fleet: {line}"),
+    }
 }
 
 #[test]
 fn what_is_held_for_too_long_and_what_was_never_wrong_is_seen() {
     let fault = |step: Step| Event::Fault(step.line());
     let happened = [
-        (SECOND, Event::Banned { node: 0, server: 1, seconds: Some(4) }),
+        (
+            SECOND,
+            Event::Banned {
+                node: 0,
+                server: 1,
+                seconds: Some(4),
+            },
+        ),
         (SECOND, said(0, "s1 is out by hand, for 4 s at most")),
         (SECOND, said(1, "s1 is out by hand, for 4 s at most")),
         (SECOND, said(2, "s1 is out by hand, for 4 s at most")),
@@ -31,7 +41,12 @@
     ];
     let seen = verdicts(&happened);
     assert_eq!(seen.bans_over, [Duration::ZERO, SECOND, 4 * SECOND]);
-    assert_eq!((seen.condemned, seen.mistaken.len()), (3, 1), "{:?}", seen.mistaken);
+    assert_eq!(
+        (seen.condemned, seen.mistaken.len()),
+        (3, 1),
+        "{:?}",
+        seen.mistaken
+    );
     assert_eq!(seen.condemned_over, [7 * SECOND]);
     // Held to the end of the history.
     let seen = verdicts(&happened[..6]);
--- a/crates/rig/src/graphql.rs
+++ b/crates/rig/src/graphql.rs
@@ -32,7 +32,8 @@
 fn serve(head: &Parts, body: &[u8]) -> Done {
     let request: Value = if head.method == hyper::Method::GET {
         let mut request = Map::new();
-        for (name, value) in form_urlencoded::parse(head.uri.query().unwrap_or_default().as_bytes()) {
+        for (name, value) in form_urlencoded::parse(head.uri.query().unwrap_or_default().as_bytes())
+        {
             let value = match name.as_ref() {
                 "variables" => serde_json::from_str(&value).unwrap_or_default(),
                 _ => Value::String(value.into_owned()),
@@ -50,9 +51,17 @@
             (StatusCode::OK, json!({ "errors": [error], "data": null }))
         }
         Ok(data) => (StatusCode::OK, json!({ "data": data })),
-        Err(mistake) => (StatusCode::BAD_REQUEST, json!({ "errors": [{ "message": mistake }] })),
+        Err(mistake) => (
+            StatusCode::BAD_REQUEST,
+            json!({ "errors": [{ "message": mistake }] }),
+        ),
     };
-    Done { effects, status, body: answer.to_string(), end: End::Manner }
+    Done {
+        effects,
+        status,
+        body: answer.to_string(),
+        end: End::Manner,
+    }
 }
 
 /// The key under which a field that must not be null, and is, leaves its own; no name begins with a digit.
@@ -75,7 +84,12 @@
         match definition {
             Definition::OperationDefinition(o) => operations.push(o),
             Definition::FragmentDefinition(f) => {
-                let name = f.fragment_name().and_then(|n| n.name()).ok_or("no name")?.text().to_string();
+                let name = f
+                    .fragment_name()
+                    .and_then(|n| n.name())
+                    .ok_or("no name")?
+                    .text()
+                    .to_string();
                 fragments.insert(name, f.selection_set().ok_or("no set")?);
             }
             _ => return Err("no operation".to_owned()),
@@ -83,16 +97,29 @@
     }
     let named = |o: &cst::OperationDefinition| o.name().map(|n| n.text().to_string());
     let operation = match request["operationName"].as_str() {
-        Some(name) => operations.iter().find(|o| named(o).as_deref() == Some(name)),
+        Some(name) => operations
+            .iter()
+            .find(|o| named(o).as_deref() == Some(name)),
         None if operations.len() == 1 => operations.first(),
         None => None,
     };
     let operation = operation.ok_or("no such operation")?;
-    let mut variables = request["variables"].as_object().cloned().unwrap_or_default();
-    for v in operation.variable_definitions().iter().flat_map(|v| v.variable_definitions()) {
-        let Some(name) = v.variable().and_then(|v| v.name()) else { continue };
+    let mut variables = request["variables"]
+        .as_object()
+        .cloned()
+        .unwrap_or_default();
+    for v in operation
+        .variable_definitions()
+        .iter()
+        .flat_map(|v| v.variable_definitions())
+    {
+        let Some(name) = v.variable().and_then(|v| v.name()) else {
+            continue;
+        };
         if let Some(default) = v.default_value().and_then(|d| d.value()) {
-            variables.entry(name.text().to_string()).or_insert_with(|| value(&default, &Map::new()));
+            variables
+                .entry(name.text().to_string())
+                .or_insert_with(|| value(&default, &Map::new()));
         }
         let given = variables.get(name.text().as_str()).unwrap_or(&Value::Null);
         if !v.ty().is_some_and(|ty| coerces(given, &ty)) {
@@ -104,9 +131,18 @@
         Some(t) if t.subscription_token().is_some() => return Err("no subscriptions".to_owned()),
         _ => "Query",
     };
-    let mut run = Run { fragments, variables, effects };
+    let mut run = Run {
+        fragments,
+        variables,
+        effects,
+    };
     let mut data = Map::new();
-    run.select(operation.selection_set().ok_or("no set")?, root, &Value::Null, &mut data)?;
+    run.select(
+        operation.selection_set().ok_or("no set")?,
+        root,
+        &Value::Null,
+        &mut data,
+    )?;
     Ok(Value::Object(data))
 }
 
@@ -141,9 +177,10 @@
 
 fn value(of: &cst::Value, variables: &Map<String, Value>) -> Value {
     match of {
-        cst::Value::Variable(v) => {
-            v.name().and_then(|n| variables.get(n.text().as_str()).cloned()).unwrap_or_default()
-        }
+        cst::Value::Variable(v) => v
+            .name()
+            .and_then(|n| variables.get(n.text().as_str()).cloned())
+            .unwrap_or_default(),
         cst::Value::StringValue(s) => String::from(s).into(),
         cst::Value::BooleanValue(b) => b.true_token().is_some().into(),
         cst::Value::IntValue(i) => i32::try_from(i).map_or(Value::Null, Into::into),
@@ -156,7 +193,10 @@
     fn kept(&self, directives: Option<cst::Directives>) -> bool {
         directives.iter().flat_map(|d| d.directives()).all(|d| {
             let name = d.name().map(|n| n.text().to_string()).unwrap_or_default();
-            let argument = d.arguments().and_then(|a| a.arguments().next()).and_then(|a| a.value());
+            let argument = d
+                .arguments()
+                .and_then(|a| a.arguments().next())
+                .and_then(|a| a.value());
             let on = argument.map(|v| value(&v, &self.variables)) == Some(Value::Bool(true));
             match name.as_str() {
                 "skip" => !on,
@@ -167,7 +207,11 @@
     }
 
     fn select(
-        &mut self, set: cst::SelectionSet, on: &str, parent: &Value, data: &mut Map<String, Value>,
+        &mut self,
+        set: cst::SelectionSet,
+        on: &str,
+        parent: &Value,
+        data: &mut Map<String, Value>,
     ) -> Result<(), String> {
         for selection in set.selections() {
             match selection {
@@ -180,7 +224,8 @@
                     let mut arguments = Map::new();
                     for a in f.arguments().iter().flat_map(|a| a.arguments()) {
                         if let (Some(name), Some(given)) = (a.name(), a.value()) {
-                            arguments.insert(name.text().to_string(), value(&given, &self.variables));
+                            arguments
+                                .insert(name.text().to_string(), value(&given, &self.variables));
                         }
                     }
                     if (on, name.as_str()) == ("Query", "broken") {
@@ -204,8 +249,17 @@
                     }
                 }
                 Selection::FragmentSpread(s) if self.kept(s.directives()) => {
-                    let name = s.fragment_name().and_then(|n| n.name()).ok_or("no name")?.text().to_string();
-                    let set = self.fragments.get(&name).cloned().ok_or("no such fragment")?;
+                    let name = s
+                        .fragment_name()
+                        .and_then(|n| n.name())
+                        .ok_or("no name")?
+                        .text()
+                        .to_string();
+                    let set = self
+                        .fragments
+                        .get(&name)
+                        .cloned()
+                        .ok_or("no such fragment")?;
                     self.select(set, on, parent, data)?;
                 }
                 _ => {}
@@ -216,11 +270,16 @@
 
     /// What is selected of a value, of each item of a list.
     fn complete(
-        &mut self, set: Option<cst::SelectionSet>, name: &str, found: Value,
+        &mut self,
+        set: Option<cst::SelectionSet>,
+        name: &str,
+        found: Value,
     ) -> Result<Value, String> {
         match (set, found) {
             (Some(set), Value::Array(items)) => {
-                let items = items.into_iter().map(|i| self.complete(Some(set.clone()), name, i));
+                let items = items
+                    .into_iter()
+                    .map(|i| self.complete(Some(set.clone()), name, i));
                 items.collect::<Result<_, _>>().map(Value::Array)
             }
             (Some(set), found @ Value::Object(_)) => {
@@ -235,7 +294,11 @@
     }
 
     fn resolve(
-        &mut self, on: &str, field: &str, arguments: &Map<String, Value>, parent: &Value,
+        &mut self,
+        on: &str,
+        field: &str,
+        arguments: &Map<String, Value>,
+        parent: &Value,
     ) -> Result<Value, String> {
         let argument = |name: &str| arguments.get(name).cloned().unwrap_or_default();
         Ok(match (on, field) {
@@ -243,11 +306,17 @@
             ("Query", "evaluate") => {
                 json!({ "__typename": "Evaluation", "flag": argument("flag"), "on": true, "user": argument("user") })
             }
-            ("Query", "user") => json!({ "__typename": "User", "id": argument("id"), "name": "Ada" }),
+            ("Query", "user") => {
+                json!({ "__typename": "User", "id": argument("id"), "name": "Ada" })
+            }
             ("Query", "__schema") => schema(),
             ("Query", "__type") => {
                 let named = |t: &&Value| t["name"] == argument("name");
-                schema()["types"].as_array().and_then(|t| t.iter().find(named)).cloned().unwrap_or_default()
+                schema()["types"]
+                    .as_array()
+                    .and_then(|t| t.iter().find(named))
+                    .cloned()
+                    .unwrap_or_default()
             }
             ("Query", "flags") => json!(["dark-mode", "new-checkout"]),
             ("Mutation", "toggle" | "rollout") => {
@@ -255,9 +324,10 @@
                 self.effects.push(id.clone());
                 json!({ "__typename": "Change", "id": id, "done": true })
             }
-            (_, field) => {
-                parent.get(field).cloned().ok_or_else(|| format!("no field `{field}` on `{on}`"))?
-            }
+            (_, field) => parent
+                .get(field)
+                .cloned()
+                .ok_or_else(|| format!("no field `{field}` on `{on}`"))?,
         })
     }
 }
@@ -290,33 +360,64 @@
 }
 
 fn schema() -> Value {
-    let (text, on, id) = (named("SCALAR", "String"), named("SCALAR", "Boolean"), named("SCALAR", "ID"));
+    let (text, on, id) = (
+        named("SCALAR", "String"),
+        named("SCALAR", "Boolean"),
+        named("SCALAR", "ID"),
+    );
     let (must, must_id) = (wrapped("NON_NULL", &text), wrapped("NON_NULL", &id));
-    let (flag, user, must_be) = (argument("flag", &text), argument("user", &text), argument("id", &must_id));
+    let (flag, user, must_be) = (
+        argument("flag", &text),
+        argument("user", &text),
+        argument("id", &must_id),
+    );
     let change = named("OBJECT", "Change");
     let types = [
         type_of(
             "OBJECT",
             "Query",
             &[
-                field("evaluate", &[flag.clone(), user], &named("OBJECT", "Evaluation")),
+                field(
+                    "evaluate",
+                    &[flag.clone(), user],
+                    &named("OBJECT", "Evaluation"),
+                ),
                 field("flags", &[], &wrapped("LIST", &text)),
                 field("broken", &[], &must),
-                field("user", std::slice::from_ref(&must_be), &named("OBJECT", "User")),
+                field(
+                    "user",
+                    std::slice::from_ref(&must_be),
+                    &named("OBJECT", "User"),
+                ),
             ],
         ),
         type_of(
             "OBJECT",
             "Evaluation",
-            &[field("flag", &[], &text), field("on", &[], &on), field("user", &[], &text)],
+            &[
+                field("flag", &[], &text),
+                field("on", &[], &on),
+                field("user", &[], &text),
+            ],
         ),
         type_of(
             "OBJECT",
             "Mutation",
-            &[field("toggle", &[must_be.clone(), flag], &change), field("rollout", &[must_be], &change)],
+            &[
+                field("toggle", &[must_be.clone(), flag], &change),
+                field("rollout", &[must_be], &change),
+            ],
+        ),
+        type_of(
+            "OBJECT",
+            "Change",
+            &[field("id", &[], &id), field("done", &[], &on)],
+        ),
+        type_of(
+            "OBJECT",
+            "User",
+            &[field("id", &[], &id), field("name", &[], &text)],
         ),
-        type_of("OBJECT", "Change", &[field("id", &[], &id), field("done", &[], &on)]),
-        type_of("OBJECT", "User", &[field("id", &[], &id), field("name", &[], &text)]),
         type_of("SCALAR", "String", &[]),
         type_of("SCALAR", "Boolean", &[]),
         type_of("SCALAR", "ID", &[]),
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -84,9 +84,10 @@
 /// Waits for SIGINT or SIGTERM.
 pub async fn until_ended() {
     use tokio::signal::unix::{signal, SignalKind};
-    let (Ok(mut interrupt), Ok(mut terminate)) =
-        (signal(SignalKind::interrupt()), signal(SignalKind::terminate()))
-    else {
+    let (Ok(mut interrupt), Ok(mut terminate)) = (
+        signal(SignalKind::interrupt()),
+        signal(SignalKind::terminate()),
+    ) else {
         return;
     };
     tokio::select! {
--- a/crates/rig/src/link.rs
+++ b/crates/rig/src/link.rs
@@ -52,12 +52,18 @@
         let task = crate::task(async move {
             let mut connections = tokio::task::JoinSet::new();
             loop {
-                let Ok((client, _)) = listener.accept().await else { continue };
+                let Ok((client, _)) = listener.accept().await else {
+                    continue;
+                };
                 while connections.try_join_next().is_some() {}
                 connections.spawn(pass(client, to, shared.clone()));
             }
         });
-        Ok(Link { address, faults, _task: task })
+        Ok(Link {
+            address,
+            faults,
+            _task: task,
+        })
     }
 
     /// Changes the faults, for connections that are open as for new ones.
@@ -70,7 +76,9 @@
     while lock(&faults).mute {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    let Ok(server) = TcpStream::connect(to).await else { return };
+    let Ok(server) = TcpStream::connect(to).await else {
+        return;
+    };
     let _ = (client.set_nodelay(true), server.set_nodelay(true));
     let (from_client, to_client) = client.into_split();
     let (from_server, to_server) = server.into_split();
@@ -85,11 +93,18 @@
 }
 
 /// Passes bytes on until the end; whether it was a cut.
-async fn copy(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, faults: &Mutex<Faults>, there: bool) -> bool {
+async fn copy(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    faults: &Mutex<Faults>,
+    there: bool,
+) -> bool {
     let mut buffer = vec![0; 16 << 10];
     let mut passed = 0u64;
     loop {
-        let Ok(n) = from.read(&mut buffer).await else { return true };
+        let Ok(n) = from.read(&mut buffer).await else {
+            return true;
+        };
         let now = lock(faults).clone();
         if !now.delay.is_zero() {
             tokio::time::sleep(now.delay).await;
@@ -104,7 +119,11 @@
         if now.deaf && !there {
             continue;
         }
-        let cut = if there { now.cut_to_server } else { now.cut_to_client };
+        let cut = if there {
+            now.cut_to_server
+        } else {
+            now.cut_to_client
+        };
         let left = cut.map_or(n as u64, |at| at.saturating_sub(passed).min(n as u64)) as usize;
         if to.write_all(&buffer[..left]).await.is_err() || left < n {
             return true;
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -74,7 +74,8 @@
 impl Default for Came {
     fn default() -> Self {
         // Up to a minute at two digits.
-        let histogram = || Histogram::new_with_bounds(1, 60_000_000, 2).unwrap_or_else(|_| unreachable!());
+        let histogram =
+            || Histogram::new_with_bounds(1, 60_000_000, 2).unwrap_or_else(|_| unreachable!());
         Came {
             sent: 0,
             statuses: BTreeMap::new(),
@@ -114,7 +115,10 @@
 }
 
 fn build(kind: &Kind, id: &str) -> Option<Request<Full<Bytes>>> {
-    let mut request = Request::builder().method(kind.method).uri(&kind.path).header("host", &kind.host);
+    let mut request = Request::builder()
+        .method(kind.method)
+        .uri(&kind.path)
+        .header("host", &kind.host);
     for (name, value) in &kind.headers {
         request = request.header(*name, value);
     }
@@ -124,7 +128,11 @@
         None => Bytes::from_static(b"{}"),
     };
     let left = format!("{:.3}", kind.deadline.as_secs_f64());
-    request.header("x-correlation-id", id).header("x-time-left", left).body(Full::new(body)).ok()
+    request
+        .header("x-correlation-id", id)
+        .header("x-time-left", left)
+        .body(Full::new(body))
+        .ok()
 }
 
 /// Sends requests of all kinds for a time and waits for their answers. The same seed gives the same moments.
@@ -161,7 +169,9 @@
         let (client, came, kind) = (client.clone(), came.clone(), kind.clone());
         running.spawn(async move {
             let id = format!("{}-{n}", kind.name);
-            let Some(request) = build(&kind, &id) else { return };
+            let Some(request) = build(&kind, &id) else {
+                return;
+            };
             // Nothing may take this long: what does is lost.
             let patience = kind.deadline + Duration::from_secs(5);
             let got = tokio::time::timeout(patience, client.ask(request)).await;
@@ -177,7 +187,8 @@
             if got.status == 200 {
                 came.latency.saturating_record(us);
                 came.in_time += u64::from(took <= kind.deadline);
-                came.wrong += u64::from(kind.body.is_none() && !got.body.starts_with(id.as_bytes()));
+                came.wrong +=
+                    u64::from(kind.body.is_none() && !got.body.starts_with(id.as_bytes()));
             } else if got.status == 429 || got.status == 503 {
                 came.refusal.saturating_record(us);
             }
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -204,7 +204,12 @@
         service: WARM.to_owned(),
         ..Made::default()
     };
-    let play = Play { made, rate: args.rate, risky: args.risky, seed: args.seed };
+    let play = Play {
+        made,
+        rate: args.rate,
+        risky: args.risky,
+        seed: args.seed,
+    };
     let time = Duration::from_secs_f64(args.seconds);
     let mut steps = match &args.schedule {
         Some(file) => schedule::read(&std::fs::read_to_string(file)?, args.nodes, args.servers)?,
@@ -216,7 +221,11 @@
     }
     if !came.broken.is_empty() && args.shorten > 0 {
         let (shorter, plays) = play.shorten(program, &steps, args.shorten).await;
-        eprintln!("{} steps in place of {}, after {plays} plays", shorter.len(), steps.len());
+        eprintln!(
+            "{} steps in place of {}, after {plays} plays",
+            shorter.len(),
+            steps.len()
+        );
         steps = shorter;
     }
     if let Some(file) = &args.write {
@@ -263,17 +272,34 @@
         None => Program::in_rig(std::env::current_exe()?),
     };
     match cli.command {
-        Command::Pool { servers, service_ms, fail, die } => {
-            let manner = Manner { fail, die_after: die, ..Manner::good(Duration::from_millis(service_ms)) };
+        Command::Pool {
+            servers,
+            service_ms,
+            fail,
+            die,
+        } => {
+            let manner = Manner {
+                fail,
+                die_after: die,
+                ..Manner::good(Duration::from_millis(service_ms))
+            };
             let pool = Pool::start("server", servers, manner, 1).await?;
-            let addresses = pool.servers.iter().map(|s| (s.name.clone(), s.address.to_string().into()));
+            let addresses = pool
+                .servers
+                .iter()
+                .map(|s| (s.name.clone(), s.address.to_string().into()));
             ready(Value::Object(addresses.collect()));
             until_ended().await;
-            println!("{}", json!({ "seen": pool.seen(), "effects_twice": pool.twice() }));
+            println!(
+                "{}",
+                json!({ "seen": pool.seen(), "effects_twice": pool.twice() })
+            );
         }
         Command::Discovery { servers } => {
-            let listed = |(n, a): (usize, &SocketAddr)| Listed::active(&format!("server-{}", n + 1), *a);
-            let discovery = Discovery::start(servers.iter().enumerate().map(listed).collect()).await?;
+            let listed =
+                |(n, a): (usize, &SocketAddr)| Listed::active(&format!("server-{}", n + 1), *a);
+            let discovery =
+                Discovery::start(servers.iter().enumerate().map(listed).collect()).await?;
             ready(json!({ "discovery": discovery.address.to_string() }));
             until_ended().await;
         }
@@ -281,7 +307,8 @@
             let registry = Arc::new(Registry::at(listen, members).await?);
             let listener = tokio::net::TcpListener::bind((listen.ip(), 0)).await?;
             let control = listener.local_addr()?.to_string();
-            let named = |(n, a): (usize, &SocketAddr)| (format!("m{}", n + 1), a.to_string().into());
+            let named =
+                |(n, a): (usize, &SocketAddr)| (format!("m{}", n + 1), a.to_string().into());
             let mut addresses: serde_json::Map<_, _> =
                 registry.members.iter().enumerate().map(named).collect();
             addresses.insert("control".to_owned(), control.into());
@@ -291,7 +318,13 @@
                 () = until_ended() => {}
             }
         }
-        Command::Link { to, delay_ms, cut, throttle, deaf } => {
+        Command::Link {
+            to,
+            delay_ms,
+            cut,
+            throttle,
+            deaf,
+        } => {
             let link = Link::start(to).await?;
             link.fault(|f| {
                 f.delay = Duration::from_millis(delay_ms);
@@ -308,26 +341,56 @@
                 () = until_ended() => {}
             }
         }
-        Command::Load { to, host, path, post, class, rate, seconds, seed } => {
+        Command::Load {
+            to,
+            host,
+            path,
+            post,
+            class,
+            rate,
+            seconds,
+            seed,
+        } => {
             let headers = class.map(|c| ("x-service-class", c)).into_iter().collect();
             let method = if post { "POST" } else { "GET" };
             let (name, deadline) = (format!("load{seed}"), Duration::from_millis(600));
-            let kind = Kind { name, host, method, path, headers, body: None, deadline, rate };
+            let kind = Kind {
+                name,
+                host,
+                method,
+                path,
+                headers,
+                body: None,
+                deadline,
+                rate,
+            };
             let came = load::run(to, &[kind], Duration::from_secs_f64(seconds), seed).await;
             println!("{}", came[0].figures());
         }
         Command::Scenario { name, small } => {
             let report: Report = match name.as_str() {
                 "services" => {
-                    let scale = if small { services::Scale::SMALL } else { services::Scale::WHOLE };
+                    let scale = if small {
+                        services::Scale::SMALL
+                    } else {
+                        services::Scale::WHOLE
+                    };
                     services::run(&program, scale).await?
                 }
                 "graphql" => {
-                    let scale = if small { graphql::Scale::SMALL } else { graphql::Scale::WHOLE };
+                    let scale = if small {
+                        graphql::Scale::SMALL
+                    } else {
+                        graphql::Scale::WHOLE
+                    };
                     graphql::run(&program, scale).await?
                 }
                 "membership" => {
-                    let scale = if small { membership::Scale::SMALL } else { membership::Scale::WHOLE };
+                    let scale = if small {
+                        membership::Scale::SMALL
+                    } else {
+                        membership::Scale::WHOLE
+                    };
                     membership::run(&program, scale).await?
                 }
                 "fleet" => {
@@ -340,7 +403,10 @@
                     return Err(format!("there is no scenario `{name}`: {which}").into());
                 }
             };
-            report.broken().iter().for_each(|b| eprintln!("broken: {b}"));
+            report
+                .broken()
+                .iter()
+                .for_each(|b| eprintln!("broken: {b}"));
             println!("{}", report.line(&name));
             return Ok(report.pass());
         }
@@ -350,11 +416,26 @@
             "services" => demo::services(&program).await?,
             "graphql" => demo::graphql(&program).await?,
             "membership" => demo::membership(&program).await?,
-            _ => return Err(format!("there is no demo `{name}`: services, graphql, membership").into()),
+            _ => {
+                return Err(
+                    format!("there is no demo `{name}`: services, graphql, membership").into(),
+                )
+            }
         },
-        Command::Measure { name, old, rounds, seconds, rate } => {
+        Command::Measure {
+            name,
+            old,
+            rounds,
+            seconds,
+            rate,
+        } => {
             let time = Duration::from_secs_f64(seconds);
-            let plan = measure::Plan { rounds, time, rate, old: old.map(Program::alone) };
+            let plan = measure::Plan {
+                rounds,
+                time,
+                rate,
+                old: old.map(Program::alone),
+            };
             let figures = match name.as_str() {
                 "services" => measure::services::run(&program, &plan).await?,
                 "graphql" => measure::graphql::run(&program, &plan).await?,
--- a/crates/rig/src/measure/fleet.rs
+++ b/crates/rig/src/measure/fleet.rs
@@ -12,16 +12,37 @@
 const NODES: usize = 5;
 
 async fn subject(
-    name: &'static str, program: &Program, nodes: usize, fleet: bool, rate: f64,
+    name: &'static str,
+    program: &Program,
+    nodes: usize,
+    fleet: bool,
+    rate: f64,
 ) -> Result<Subject> {
-    let made = Made { nodes, servers: 8, fleet: fleet.then(String::new), ..Made::default() };
+    let made = Made {
+        nodes,
+        servers: 8,
+        fleet: fleet.then(String::new),
+        ..Made::default()
+    };
     let rig = Rig::start(program, &made).await?;
     if fleet {
-        rig.until("all know each other", async |rig| rig.gathered().await).await?;
+        rig.until("all know each other", async |rig| rig.gathered().await)
+            .await?;
     }
-    let (address, pid) = (rig.address(0).ok_or("no node")?, rig.pid(0).ok_or("no node")?);
-    let alive = Alive::Fleet { _rig: Box::new(rig) };
-    Ok(Subject::of(name, address, pid, vec![Kind::evaluate(name.to_owned(), rate)], alive))
+    let (address, pid) = (
+        rig.address(0).ok_or("no node")?,
+        rig.pid(0).ok_or("no node")?,
+    );
+    let alive = Alive::Fleet {
+        _rig: Box::new(rig),
+    };
+    Ok(Subject::of(
+        name,
+        address,
+        pid,
+        vec![Kind::evaluate(name.to_owned(), rate)],
+        alive,
+    ))
 }
 
 /// Runs all measurements and gives the figures.
@@ -48,8 +69,15 @@
         let (a, b) = (find(of)?, find(to)?);
         let mut all: Vec<f64> = a.cpu.iter().zip(&b.cpu).map(|(a, b)| a / b).collect();
         all.sort_by(f64::total_cmp);
-        Some(json!({ "median": median(all.iter().copied()), "least": all.first(), "most": all.last() }))
+        Some(
+            json!({ "median": median(all.iter().copied()), "least": all.first(), "most": all.last() }),
+        )
     };
-    let figures: serde_json::Map<_, _> = subjects.iter().map(|s| (s.name.to_owned(), s.figures())).collect();
-    Ok(json!({ "subjects": figures, "on_to_off": ratio("on", "off"), "off_to_old": ratio("off", "old") }))
+    let figures: serde_json::Map<_, _> = subjects
+        .iter()
+        .map(|s| (s.name.to_owned(), s.figures()))
+        .collect();
+    Ok(
+        json!({ "subjects": figures, "on_to_off": ratio("on", "off"), "off_to_old": ratio("off", "old") }),
+    )
 }
--- a/crates/rig/src/measure/graphql.rs
+++ b/crates/rig/src/measure/graphql.rs
@@ -32,7 +32,10 @@
     let classification = classification()?;
     let mut figures = requests(program, plan).await?;
     let of_request = |us: &Value, cpu: &Value| Some(us.as_f64()? / cpu.as_f64()?);
-    let share = of_request(&classification["small"]["us"], &figures["graphql"]["cpu_us_per_request"]);
+    let share = of_request(
+        &classification["small"]["us"],
+        &figures["graphql"]["cpu_us_per_request"],
+    );
     figures["classification"] = classification;
     figures["classification_share_of_request"] = json!(share.map(|s| (s * 1e4).round() / 1e4));
     figures["open_batches"] = open_batches(program).await?;
@@ -52,19 +55,38 @@
 
 /// Time to read a request's body, find what it runs and tell its class, by size.
 fn classification() -> Result<Value> {
-    let mapping =
-        Mapping { query: [("evaluate".to_owned(), 0)].into(), other_mutation: 1, ..Mapping::default() };
-    let info = |safe| ClassInfo { safe, deadline: 1.0 };
+    let mapping = Mapping {
+        query: [("evaluate".to_owned(), 0)].into(),
+        other_mutation: 1,
+        ..Mapping::default()
+    };
+    let info = |safe| ClassInfo {
+        safe,
+        deadline: 1.0,
+    };
     let classes = Classes::new(mapping, vec![info(true), info(false)])?;
-    let limits = Limits { cost: 100_000, tokens: 1_000_000, document: 4 << 20, ..Limits::default() };
+    let limits = Limits {
+        cost: 100_000,
+        tokens: 1_000_000,
+        document: 4 << 20,
+        ..Limits::default()
+    };
     let once = |body: &[u8]| -> Result<usize> {
-        let Ok(Asked::One(params)) = decode::body(body, &limits) else { return Err("no request".into()) };
+        let Ok(Asked::One(params)) = decode::body(body, &limits) else {
+            return Err("no request".into());
+        };
         let text = params.query.as_deref().unwrap_or_default();
         let operation = operation(text, None, &params.variables, &limits).map_err(|f| f.mistake)?;
         Ok(usize::from(classes.of(&operation)))
     };
     let mut figures = serde_json::Map::new();
-    for (name, fields) in [("small", 0), ("1KiB", 30), ("8KiB", 270), ("64KiB", 2_200), ("512KiB", 17_500)] {
+    for (name, fields) in [
+        ("small", 0),
+        ("1KiB", 30),
+        ("8KiB", 270),
+        ("64KiB", 2_200),
+        ("512KiB", 17_500),
+    ] {
         let body = document(fields);
         // Enough of them for a steady figure, and several times: the least is what it costs.
         let times = (2_000_000 / body.len()).max(3);
@@ -120,7 +142,12 @@
     for (name, path, body, rate) in [
         ("plain", "/plain", read(0), plan.rate),
         ("graphql", "/graphql", read(0), plan.rate),
-        ("batch_of_ten", "/graphql", Value::Array(ten), plan.rate / 10.0),
+        (
+            "batch_of_ten",
+            "/graphql",
+            Value::Array(ten),
+            plan.rate / 10.0,
+        ),
     ] {
         let node = Node::start(program, &settings(&pool)).await?;
         node.until_health("/_health", true).await?;
@@ -174,7 +201,10 @@
 
 /// Memory for each of many open requests, and what is kept of it once they are answered, in KiB.
 async fn open_requests(program: &Program, path: &'static str, body: &Bytes) -> Result<(f64, f64)> {
-    let manner = Manner { frozen: true, ..Manner::good(Duration::from_millis(1)) };
+    let manner = Manner {
+        frozen: true,
+        ..Manner::good(Duration::from_millis(1))
+    };
     let pool = Pool::running("graphql", 4, 64, manner, 1, &graphql::app()).await?;
     // Nothing is given up while the servers stand still, and each batch has one request out.
     let settings = "[process]\ndescriptors = 8000\nmemory = \"1GiB\"\n\n".to_owned()
@@ -191,8 +221,15 @@
         let (client, body) = (client.clone(), body.clone());
         running.spawn(async move {
             let request = Request::post(path).header("content-type", "application/json");
-            let request = request.header("host", "flags.example.org").body(Full::new(body)).ok()?;
-            client.ask(request).await.ok().map(|got| got.status.as_u16())
+            let request = request
+                .header("host", "flags.example.org")
+                .body(Full::new(body))
+                .ok()?;
+            client
+                .ask(request)
+                .await
+                .ok()
+                .map(|got| got.status.as_u16())
         });
     }
     // One request of each is at a server, the others of a batch wait their turn.
@@ -201,13 +238,17 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let (open, during) = (pool.seen(), memory_kib(node.pid())?);
-    pool.servers.iter().for_each(|s| s.behave(|m| m.frozen = false));
+    pool.servers
+        .iter()
+        .for_each(|s| s.behave(|m| m.frozen = false));
     let mut answered = 0;
     while let Some(done) = running.join_next().await {
         answered += usize::from(done?.is_some());
     }
     if open != BATCHES as u64 || answered != BATCHES {
-        return Err(format!("{path}: {open} were open at once, {answered} answered, of {BATCHES}").into());
+        return Err(
+            format!("{path}: {open} were open at once, {answered} answered, of {BATCHES}").into(),
+        );
     }
     let kib = |now: u64| (now as f64 - before as f64) / BATCHES as f64;
     Ok((kib(during), kib(memory_kib(node.pid())?)))
--- a/crates/rig/src/measure/membership.rs
+++ b/crates/rig/src/measure/membership.rs
@@ -61,14 +61,22 @@
     let rest_cpu = cpu_seconds(node.pid())? - cpu;
     let rest_bytes = registry.counts().bytes - bytes;
     // In motion: data changes, in steps of ten milliseconds.
-    let (cpu, bytes, begun) = (cpu_seconds(node.pid())?, registry.counts().bytes, Instant::now());
+    let (cpu, bytes, begun) = (
+        cpu_seconds(node.pid())?,
+        registry.counts().bytes,
+        Instant::now(),
+    );
     let mut made = 0u64;
     while begun.elapsed() < time {
         let due = (begun.elapsed().as_secs_f64() * CHANGES as f64) as u64;
         while made < due {
             made += 1;
             let i = made as usize % n;
-            registry.put(&format!("{PATH}/s{i}"), &entry(i, 1 + made / n as u64), session);
+            registry.put(
+                &format!("{PATH}/s{i}"),
+                &entry(i, 1 + made / n as u64),
+                session,
+            );
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -92,13 +100,21 @@
 async fn healing(program: &Program) -> Result<Value> {
     let registry = Registry::start(3).await?;
     let pool = Pool::start("real", 2, Manner::good(Duration::from_millis(1)), 1).await?;
-    let entered: Vec<Announced> =
-        pool.servers.iter().map(|s| Announced::enter(&registry, s, &s.name, 0)).collect();
+    let entered: Vec<Announced> = pool
+        .servers
+        .iter()
+        .map(|s| Announced::enter(&registry, s, &s.name, 0))
+        .collect();
     let node = Node::start(program, &settings(&registry, "", "connect = \"500ms\"")).await?;
     node.until_health("/_health", true).await?;
     let servers: Vec<i64> = entered.iter().map(|e| e.session).collect();
-    let of_node =
-        || -> Vec<i64> { registry.sessions().into_iter().filter(|s| !servers.contains(s)).collect() };
+    let of_node = || -> Vec<i64> {
+        registry
+            .sessions()
+            .into_iter()
+            .filter(|s| !servers.contains(s))
+            .collect()
+    };
     // Each pool asks for a sync, a watch, the list, and both entries.
     let asked_again = async |before: u64| -> Result<f64> {
         let begun = Instant::now();
@@ -137,16 +153,21 @@
 async fn requests(program: &Program, plan: &Plan) -> Result<Value> {
     let registry = Registry::start(1).await?;
     let pool = Pool::start("flags", 8, Manner::good(Duration::from_millis(2)), 1).await?;
-    let _entered: Vec<Announced> =
-        pool.servers.iter().map(|s| Announced::enter(&registry, s, &s.name, 0)).collect();
+    let _entered: Vec<Announced> = pool
+        .servers
+        .iter()
+        .map(|s| Announced::enter(&registry, s, &s.name, 0))
+        .collect();
     let follows = settings(&registry, "", "");
-    let listed = follows.split("[[service]]").map(|part| match part.contains("registry = {") {
-        true => {
-            let lines = part.lines().filter(|l| !l.starts_with("registry = {"));
-            lines.collect::<Vec<_>>().join("\n") + "\n" + &pool.listed()
-        }
-        false => part.to_owned(),
-    });
+    let listed = follows
+        .split("[[service]]")
+        .map(|part| match part.contains("registry = {") {
+            true => {
+                let lines = part.lines().filter(|l| !l.starts_with("registry = {"));
+                lines.collect::<Vec<_>>().join("\n") + "\n" + &pool.listed()
+            }
+            false => part.to_owned(),
+        });
     let listed = listed.collect::<Vec<_>>().join("[[service]]");
     let mut subjects = Vec::new();
     for (name, text) in [("static_list", &listed), ("registry", &follows)] {
@@ -161,7 +182,13 @@
             one_round(&mut subjects[(n + round) % 2], plan, round as u64).await?;
         }
     }
-    let ratio = median(subjects[1].cpu.iter().zip(&subjects[0].cpu).map(|(a, b)| a / b));
+    let ratio = median(
+        subjects[1]
+            .cpu
+            .iter()
+            .zip(&subjects[0].cpu)
+            .map(|(a, b)| a / b),
+    );
     Ok(json!({
         "static_list": subjects[0].figures(), "registry": subjects[1].figures(), "registry_over_static": ratio,
     }))
--- a/crates/rig/src/measure/mod.rs
+++ b/crates/rig/src/measure/mod.rs
@@ -42,9 +42,16 @@
 }
 
 enum Alive {
-    Child { _child: Child, _folder: Option<Folder> },
-    Node { _node: Node },
-    Fleet { _rig: Box<Rig> },
+    Child {
+        _child: Child,
+        _folder: Option<Folder>,
+    },
+    Node {
+        _node: Node,
+    },
+    Fleet {
+        _rig: Box<Rig>,
+    },
 }
 
 impl Subject {
@@ -56,14 +63,42 @@
 
     /// Some other process.
     fn child(
-        name: &'static str, address: SocketAddr, child: Child, folder: Option<Folder>, kinds: Vec<Kind>,
+        name: &'static str,
+        address: SocketAddr,
+        child: Child,
+        folder: Option<Folder>,
+        kinds: Vec<Kind>,
     ) -> Self {
         let pid = child.id().unwrap_or(0);
-        Self::of(name, address, pid, kinds, Alive::Child { _child: child, _folder: folder })
+        Self::of(
+            name,
+            address,
+            pid,
+            kinds,
+            Alive::Child {
+                _child: child,
+                _folder: folder,
+            },
+        )
     }
 
-    fn of(name: &'static str, address: SocketAddr, pid: u32, kinds: Vec<Kind>, alive: Alive) -> Subject {
-        Subject { name, address, pid, kinds, cpu: vec![], p50: vec![], p99: vec![], _alive: alive }
+    fn of(
+        name: &'static str,
+        address: SocketAddr,
+        pid: u32,
+        kinds: Vec<Kind>,
+        alive: Alive,
+    ) -> Subject {
+        Subject {
+            name,
+            address,
+            pid,
+            kinds,
+            cpu: vec![],
+            p50: vec![],
+            p99: vec![],
+            _alive: alive,
+        }
     }
 
     /// Medians over its rounds.
@@ -79,18 +114,24 @@
 async fn one_round(s: &mut Subject, plan: &Plan, seed: u64) -> Result<()> {
     let before = cpu_seconds(s.pid)?;
     let mut kinds = s.kinds.clone();
-    kinds.iter_mut().for_each(|k| k.name = format!("{}r{seed}", k.name));
+    kinds
+        .iter_mut()
+        .for_each(|k| k.name = format!("{}r{seed}", k.name));
     let came = load::run(s.address, &kinds, plan.time, 1000 + seed).await;
     let used = cpu_seconds(s.pid)? - before;
     let sent: u64 = came.iter().map(|c| c.sent).sum();
     let good: u64 = came.iter().map(|c| c.of(&[200])).sum();
     if good * 100 < sent * 98 {
-        return Err(
-            format!("{}: only {good} of {sent} were served, so the figures mean nothing", s.name).into()
-        );
+        return Err(format!(
+            "{}: only {good} of {sent} were served, so the figures mean nothing",
+            s.name
+        )
+        .into());
     }
     let mut latency = came[0].latency.clone();
-    came.iter().skip(1).try_for_each(|c| latency.add(&c.latency))?;
+    came.iter()
+        .skip(1)
+        .try_for_each(|c| latency.add(&c.latency))?;
     s.cpu.push(used * 1e6 / sent as f64);
     s.p50.push(latency.value_at_quantile(0.5) as f64 / 1e3);
     s.p99.push(latency.value_at_quantile(0.99) as f64 / 1e3);
@@ -100,7 +141,10 @@
 fn median(values: impl Iterator<Item = f64>) -> f64 {
     let mut values: Vec<f64> = values.collect();
     values.sort_by(f64::total_cmp);
-    values.get(values.len() / 2).copied().map_or(0.0, |m| (m * 1e3).round() / 1e3)
+    values
+        .get(values.len() / 2)
+        .copied()
+        .map_or(0.0, |m| (m * 1e3).round() / 1e3)
 }
 
 fn round1(x: f64) -> f64 {
--- a/crates/rig/src/measure/services.rs
+++ b/crates/rig/src/measure/services.rs
@@ -29,7 +29,10 @@
 }
 
 /// Starts a node as the platform does.
-async fn on_platform(program: &Program, discovery: SocketAddr) -> Result<(SocketAddr, Child, Folder)> {
+async fn on_platform(
+    program: &Program,
+    discovery: SocketAddr,
+) -> Result<(SocketAddr, Child, Folder)> {
     let port = crate::ports::Port::take()?;
     let address = port.address();
     let folder = Folder::new()?;
@@ -45,7 +48,10 @@
     });
     std::fs::write(&file, config.to_string())?;
     let mut command = tokio::process::Command::from(program.command());
-    command.env("ROUTER_CONFIG", &file).stdout(Stdio::null()).kill_on_drop(true);
+    command
+        .env("ROUTER_CONFIG", &file)
+        .stdout(Stdio::null())
+        .kill_on_drop(true);
     let child = command.spawn()?;
     until_health(address, "/_health", true).await?;
     Ok((address, child, folder))
@@ -61,7 +67,10 @@
     let out = child.stdout.take().ok_or("no output")?;
     let line = tokio::time::timeout(PATIENCE, BufReader::new(out).lines().next_line()).await??;
     let ready: Value = serde_json::from_str(&line.unwrap_or_default())?;
-    let address = ready["addresses"]["client"].as_str().ok_or("no address")?.parse()?;
+    let address = ready["addresses"]["client"]
+        .as_str()
+        .ok_or("no address")?
+        .parse()?;
     Ok((address, child))
 }
 
@@ -88,22 +97,50 @@
         Pool::start("b", 8, Manner::good(Duration::from_millis(2)), 2).await?,
         Pool::start("c", 8, Manner::good(Duration::from_millis(2)), 3).await?,
     ];
-    let listed = pools[0].servers.iter().map(|s| Listed::active(&s.name, s.address)).collect();
+    let listed = pools[0]
+        .servers
+        .iter()
+        .map(|s| Listed::active(&s.name, s.address))
+        .collect();
     let discovery = Discovery::start(listed).await?;
     let mut subjects = Vec::new();
     let alone = |name| vec![request(name, "s0.example.org", plan.rate)];
     if let Some(old) = &plan.old {
         let (address, child, folder) = on_platform(old, discovery.address).await?;
-        subjects.push(Subject::child("old", address, child, Some(folder), alone("old")));
+        subjects.push(Subject::child(
+            "old",
+            address,
+            child,
+            Some(folder),
+            alone("old"),
+        ));
     }
     let (address, child, folder) = on_platform(program, discovery.address).await?;
-    subjects.push(Subject::child("no_file", address, child, Some(folder), alone("new")));
+    subjects.push(Subject::child(
+        "no_file",
+        address,
+        child,
+        Some(folder),
+        alone("new"),
+    ));
     let (address, child) = relay(program, &pools[0]).await?;
-    subjects.push(Subject::child("relay", address, child, None, alone("relay")));
+    subjects.push(Subject::child(
+        "relay",
+        address,
+        child,
+        None,
+        alone("relay"),
+    ));
     let three = settings(|n| pools[n].listed(), pools.len(), "");
     let node = Node::start(program, &three).await?;
     node.until_health("/_health", true).await?;
-    let kinds = (0..3).map(|n| request(&format!("three{n}"), &format!("s{n}.example.org"), plan.rate / 3.0));
+    let kinds = (0..3).map(|n| {
+        request(
+            &format!("three{n}"),
+            &format!("s{n}.example.org"),
+            plan.rate / 3.0,
+        )
+    });
     subjects.push(Subject::new("three_services", node, kinds.collect()));
     for subject in &subjects {
         load::run(subject.address, &subject.kinds, Duration::from_secs(1), 1).await;
@@ -127,7 +164,10 @@
         figures.insert(s.name.to_owned(), of);
     }
     drop(subjects);
-    figures.insert("refusal".to_owned(), refusals(program, &pools[0], plan).await?);
+    figures.insert(
+        "refusal".to_owned(),
+        refusals(program, &pools[0], plan).await?,
+    );
     figures.insert("idle_service_kib".to_owned(), idle_service(program).await?);
     figures.insert("routes".to_owned(), routes());
     Ok(Value::Object(figures))
@@ -141,7 +181,11 @@
         node.until_health("/_health", true).await?;
         let mut ratios = Vec::new();
         for round in 0..plan.rounds.min(3) {
-            let kind = request(&format!("refused{}{round}", limits.len()), "s0.example.org", plan.rate);
+            let kind = request(
+                &format!("refused{}{round}", limits.len()),
+                "s0.example.org",
+                plan.rate,
+            );
             let before = cpu_seconds(node.pid())?;
             let came = load::run(node.address(), &[kind], plan.time, 50 + round as u64).await;
             let used = cpu_seconds(node.pid())? - before;
@@ -158,8 +202,9 @@
 async fn idle_service(program: &Program) -> Result<Value> {
     // Nobody is there, and nobody asks.
     let servers = |n: usize| -> String {
-        let line =
-            |i: usize| format!("[[service.server]]\nname = \"s{i}\"\naddress = \"127.9.{n}.{i}:9000\"\n");
+        let line = |i: usize| {
+            format!("[[service.server]]\nname = \"s{i}\"\naddress = \"127.9.{n}.{i}:9000\"\n")
+        };
         (1..=8).map(line).collect()
     };
     let mut held = Vec::new();
@@ -183,10 +228,16 @@
                     _ => "*".to_owned(),
                 };
                 let path = prefix(&format!("/api/v{i}")).ok()?;
-                Some(Match { host: Host::read(&host).ok()?, path, ..Match::default() })
+                Some(Match {
+                    host: Host::read(&host).ok()?,
+                    path,
+                    ..Match::default()
+                })
             })
             .collect();
-        let Ok(table) = Table::new(&routes) else { continue };
+        let Ok(table) = Table::new(&routes) else {
+            continue;
+        };
         let mut draw = Draw(3);
         let asked: Vec<(String, String)> = (0..1000)
             .map(|_| {
@@ -202,7 +253,13 @@
         let (mut found, begun, times) = (0u64, Instant::now(), 200u64);
         for _ in 0..times {
             for (host, path) in &asked {
-                let q = Query { listener: 0, host, path, method: "GET", class: None };
+                let q = Query {
+                    listener: 0,
+                    host,
+                    path,
+                    method: "GET",
+                    class: None,
+                };
                 found += u64::from(table.get(&q).is_some());
             }
         }
--- a/crates/rig/src/membership.rs
+++ b/crates/rig/src/membership.rs
@@ -18,15 +18,24 @@
 
 /// What an entry says. `started` is in milliseconds of Unix time; 0 for long ago.
 pub fn data(address: &str, started: u64) -> Vec<u8> {
-    json!({ "address": address, "zone": "a", "started": started }).to_string().into_bytes()
+    json!({ "address": address, "zone": "a", "started": started })
+        .to_string()
+        .into_bytes()
 }
 
 impl Announced {
     /// A server enters itself with a new session.
     pub fn enter(registry: &Registry, server: &Server, name: &str, started: u64) -> Announced {
         let session = registry.open_session();
-        registry.put(&format!("{PATH}/{name}"), &data(&server.address.to_string(), started), session);
-        Announced { name: name.to_owned(), session }
+        registry.put(
+            &format!("{PATH}/{name}"),
+            &data(&server.address.to_string(), started),
+            session,
+        );
+        Announced {
+            name: name.to_owned(),
+            session,
+        }
     }
 
     /// Its session ends, though its process may go on.
@@ -38,7 +47,11 @@
 /// The settings of a registry, and of a node with a service `evaluate` (safe, `GET`) and one `toggle` (unsafe, `POST`)
 /// that follow the same entries. `follow` goes into the services' registry part, `more` into the registry's.
 pub fn settings(registry: &Registry, follow: &str, more: &str) -> String {
-    let members: Vec<String> = registry.members.iter().map(|m| format!("\"{m}\"")).collect();
+    let members: Vec<String> = registry
+        .members
+        .iter()
+        .map(|m| format!("\"{m}\""))
+        .collect();
     let service = |name: &str, repeat: &str| {
         format!(
             "[[service]]\nname = \"{name}\"\nregistry = {{ name = \"main\", path = \"{PATH}\"{follow} }}\n\
--- a/crates/rig/src/node.rs
+++ b/crates/rig/src/node.rs
@@ -28,12 +28,18 @@
 impl Program {
     /// The node that is part of the rig's own program at `path`.
     pub fn in_rig(path: impl Into<PathBuf>) -> Program {
-        Program { path: path.into(), args: vec!["node".to_owned()] }
+        Program {
+            path: path.into(),
+            args: vec!["node".to_owned()],
+        }
     }
 
     /// A program that is a node.
     pub fn alone(path: impl Into<PathBuf>) -> Program {
-        Program { path: path.into(), args: Vec::new() }
+        Program {
+            path: path.into(),
+            args: Vec::new(),
+        }
     }
 
     /// A call of it, not made yet.
@@ -96,9 +102,15 @@
         std::fs::write(&file, settings)?;
         let mut command = tokio::process::Command::from(program.command());
         command.arg("run").arg("--config").arg(&file);
-        command.stdout(Stdio::piped()).stderr(Stdio::piped()).kill_on_drop(true);
+        command
+            .stdout(Stdio::piped())
+            .stderr(Stdio::piped())
+            .kill_on_drop(true);
         let mut child = command.spawn()?;
-        let (out, err) = (child.stdout.take().ok_or("no output")?, child.stderr.take().ok_or("no errors")?);
+        let (out, err) = (
+            child.stdout.take().ok_or("no output")?,
+            child.stderr.take().ok_or("no errors")?,
+        );
         let mut said = BufReader::new(err).lines();
         let mut lines = BufReader::new(out).lines();
         let first = tokio::time::timeout(PATIENCE, lines.next_line()).await??;
@@ -111,19 +123,38 @@
             return Err(why.into());
         };
         let first: serde_json::Value = serde_json::from_str(&first)?;
-        let listening = first.get("listening").and_then(|l| l.as_object()).ok_or("no listeners")?;
+        let listening = first
+            .get("listening")
+            .and_then(|l| l.as_object())
+            .ok_or("no listeners")?;
         let mut addresses = BTreeMap::new();
         for (name, address) in listening {
             addresses.insert(name.clone(), address.as_str().ok_or("no address")?.parse()?);
         }
-        let other = |name: &str| first.get(name).and_then(|a| a.as_str()).and_then(|a| a.parse().ok());
+        let other = |name: &str| {
+            first
+                .get(name)
+                .and_then(|a| a.as_str())
+                .and_then(|a| a.parse().ok())
+        };
         let (management, fleet) = (other("management"), other("fleet"));
-        Ok(Node { addresses, management, fleet, child, said, folder })
+        Ok(Node {
+            addresses,
+            management,
+            fleet,
+            child,
+            said,
+            folder,
+        })
     }
 
     /// The address of the first listener.
     pub fn address(&self) -> SocketAddr {
-        self.addresses.values().copied().next().unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)))
+        self.addresses
+            .values()
+            .copied()
+            .next()
+            .unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
     /// The settings file.
@@ -190,8 +221,13 @@
     /// # Errors
     /// If the process is gone.
     pub fn signal(&self, name: &str) -> Result<()> {
-        let status = Command::new("kill").args(["-s", name, &self.pid().to_string()]).status()?;
-        status.success().then_some(()).ok_or_else(|| "the node is gone".into())
+        let status = Command::new("kill")
+            .args(["-s", name, &self.pid().to_string()])
+            .status()?;
+        status
+            .success()
+            .then_some(())
+            .ok_or_else(|| "the node is gone".into())
     }
 
     /// Waits for the program's end; whether it was a success.
@@ -199,7 +235,9 @@
     /// # Errors
     /// If it does not end.
     pub async fn ended(&mut self) -> Result<bool> {
-        Ok(tokio::time::timeout(PATIENCE, self.child.wait()).await??.success())
+        Ok(tokio::time::timeout(PATIENCE, self.child.wait())
+            .await??
+            .success())
     }
 }
 
@@ -211,7 +249,9 @@
     let client = crate::client::Client::new(node);
     let begun = Instant::now();
     loop {
-        let request = Request::get(path).header("host", "health").body(Full::new(Bytes::new()))?;
+        let request = Request::get(path)
+            .header("host", "health")
+            .body(Full::new(Bytes::new()))?;
         let got = client.ask(request).await;
         if got.is_ok_and(|g| (g.status == 200) == good) {
             return Ok(());
@@ -240,6 +280,9 @@
 /// If the process is gone, or the system does not tell.
 pub fn memory_kib(pid: u32) -> Result<u64> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
-    let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).ok_or("no VmRSS")?;
+    let line = status
+        .lines()
+        .find_map(|l| l.strip_prefix("VmRSS:"))
+        .ok_or("no VmRSS")?;
     Ok(line.trim().trim_end_matches(" kB").trim().parse()?)
 }
--- a/crates/rig/src/pool.rs
+++ b/crates/rig/src/pool.rs
@@ -41,7 +41,8 @@
         let mut servers = Vec::with_capacity(n);
         for i in 0..n {
             let name = format!("{prefix}-{}", i + 1);
-            servers.push(Server::start(&name, 1, manner.clone(), seed.wrapping_add(i as u64)).await?);
+            servers
+                .push(Server::start(&name, 1, manner.clone(), seed.wrapping_add(i as u64)).await?);
         }
         Ok(Pool { servers })
     }
@@ -51,7 +52,12 @@
     /// # Errors
     /// If no ports are to be had.
     pub async fn running(
-        prefix: &str, n: usize, workers: usize, manner: Manner, seed: u64, app: &App,
+        prefix: &str,
+        n: usize,
+        workers: usize,
+        manner: Manner,
+        seed: u64,
+        app: &App,
     ) -> Result<Pool> {
         let mut servers = Vec::with_capacity(n);
         for i in 0..n {
@@ -82,8 +88,12 @@
 
     /// The servers as the settings file lists them.
     pub fn listed(&self) -> String {
-        let line =
-            |s: &Server| format!("[[service.server]]\nname = \"{}\"\naddress = \"{}\"\n", s.name, s.address);
+        let line = |s: &Server| {
+            format!(
+                "[[service.server]]\nname = \"{}\"\naddress = \"{}\"\n",
+                s.name, s.address
+            )
+        };
         self.servers.iter().map(line).collect()
     }
 }
--- a/crates/rig/src/pool/cold.rs
+++ b/crates/rig/src/pool/cold.rs
@@ -20,7 +20,12 @@
     /// As a service's settings have it by default.
     fn default() -> Cold {
         let (warm_after, within) = (Duration::from_secs(10), Duration::from_secs(1));
-        Cold { from: 0.33, warm_after, factor: 3.0, within }
+        Cold {
+            from: 0.33,
+            warm_after,
+            factor: 3.0,
+            within,
+        }
     }
 }
 
@@ -35,11 +40,20 @@
 impl Warming {
     /// A request has come to a server that does so many a second when warm. Whether it bears it.
     pub(super) fn bears(&mut self, now: Instant, capacity: f64) -> bool {
-        let Cold { from, warm_after, factor, within } = self.cold;
+        let Cold {
+            from,
+            warm_after,
+            factor,
+            within,
+        } = self.cold;
         let age = now.saturating_duration_since(self.began);
         if age < warm_after {
             self.sent.push_back(now);
-            while self.sent.front().is_some_and(|at| now.saturating_duration_since(*at) >= within) {
+            while self
+                .sent
+                .front()
+                .is_some_and(|at| now.saturating_duration_since(*at) >= within)
+            {
                 self.sent.pop_front();
             }
             let share = from + (1.0 - from) * age.as_secs_f64() / warm_after.as_secs_f64();
--- a/crates/rig/src/pool/server.rs
+++ b/crates/rig/src/pool/server.rs
@@ -38,8 +38,22 @@
     ///
     /// # Errors
     /// If no port is to be had.
-    pub async fn running(name: &str, workers: usize, manner: Manner, seed: u64, app: App) -> Result<Server> {
-        Self::at("127.0.0.1:0".parse()?, name, workers, manner, seed, Some(app)).await
+    pub async fn running(
+        name: &str,
+        workers: usize,
+        manner: Manner,
+        seed: u64,
+        app: App,
+    ) -> Result<Server> {
+        Self::at(
+            "127.0.0.1:0".parse()?,
+            name,
+            workers,
+            manner,
+            seed,
+            Some(app),
+        )
+        .await
     }
 
     /// Starts a server at an address.
@@ -47,7 +61,12 @@
     /// # Errors
     /// If the address is not to be had.
     pub async fn at(
-        address: SocketAddr, name: &str, workers: usize, manner: Manner, seed: u64, app: Option<App>,
+        address: SocketAddr,
+        name: &str,
+        workers: usize,
+        manner: Manner,
+        seed: u64,
+        app: Option<App>,
     ) -> Result<Server> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -68,22 +87,33 @@
             // Connections end with the server.
             let mut connections = tokio::task::JoinSet::new();
             loop {
-                let Ok((stream, peer)) = listener.accept().await else { continue };
+                let Ok((stream, peer)) = listener.accept().await else {
+                    continue;
+                };
                 while connections.try_join_next().is_some() {}
                 let state = serving.clone();
-                let Ok(handle) = socket2::SockRef::from(&stream).try_clone() else { continue };
+                let Ok(handle) = socket2::SockRef::from(&stream).try_clone() else {
+                    continue;
+                };
                 // Counted in the order in which they came.
                 state.connected(peer, handle);
                 connections.spawn(async move {
                     let _ = stream.set_nodelay(true);
                     let answer = service_fn(|request| respond(state.clone(), request));
                     // What the peer does to its connection is its own affair.
-                    let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), answer).await;
+                    let _ = http1::Builder::new()
+                        .serve_connection(TokioIo::new(stream), answer)
+                        .await;
                     lock(&state.connections).remove(&peer);
                 });
             }
         });
-        Ok(Server { name: name.to_owned(), address, state, _task: task })
+        Ok(Server {
+            name: name.to_owned(),
+            address,
+            state,
+            _task: task,
+        })
     }
 
     /// Changes how requests are treated from here on.
@@ -98,7 +128,12 @@
 
     /// It has just started, and comes to its capacity so.
     pub fn start_cold(&self, cold: Cold) {
-        let warming = Warming { cold, began: Instant::now(), sent: VecDeque::new(), push: 0.0 };
+        let warming = Warming {
+            cold,
+            began: Instant::now(),
+            sent: VecDeque::new(),
+            push: 0.0,
+        };
         *lock(&self.state.warming) = Some(warming);
     }
 
--- a/crates/rig/src/pool/state.rs
+++ b/crates/rig/src/pool/state.rs
@@ -53,7 +53,9 @@
     pub(super) fn bears(&self) -> bool {
         let service = lock(&self.manner).service.as_secs_f64();
         let capacity = self.capacity as f64 / service.max(1e-6);
-        lock(&self.warming).as_mut().is_none_or(|w| w.bears(Instant::now(), capacity))
+        lock(&self.warming)
+            .as_mut()
+            .is_none_or(|w| w.bears(Instant::now(), capacity))
     }
 
     pub(super) fn tell(&self, id: &str, effect: bool) {
--- a/crates/rig/src/ports.rs
+++ b/crates/rig/src/ports.rs
@@ -35,7 +35,10 @@
             let number = FIRST + u16::try_from(step % u32::from(COUNT)).unwrap_or(0);
             if let Ok(held) = TcpListener::bind((HOLDER, number)) {
                 if TcpListener::bind((Ipv4Addr::LOCALHOST, number)).is_ok() {
-                    return Ok(Port { number, _held: held });
+                    return Ok(Port {
+                        number,
+                        _held: held,
+                    });
                 }
             }
         }
--- a/crates/rig/src/ports/tests.rs
+++ b/crates/rig/src/ports/tests.rs
@@ -13,7 +13,10 @@
     assert!(TcpListener::bind((HOLDER, others[0].number)).is_err());
     // And whoever asks for any never gets one of these.
     for _ in 0..50 {
-        let any = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+        let any = TcpListener::bind("127.0.0.1:0")
+            .unwrap()
+            .local_addr()
+            .unwrap();
         assert!(!(FIRST..FIRST + COUNT).contains(&any.port()));
     }
 }
--- a/crates/rig/src/registry/connections.rs
+++ b/crates/rig/src/registry/connections.rs
@@ -15,7 +15,9 @@
 pub(super) async fn accept(listener: TcpListener, member: usize, world: Arc<Mutex<World>>) {
     let mut connections = tokio::task::JoinSet::new();
     loop {
-        let Ok((stream, _)) = listener.accept().await else { continue };
+        let Ok((stream, _)) = listener.accept().await else {
+            continue;
+        };
         while connections.try_join_next().is_some() {}
         if lock(&world).members[member].dropped {
             continue;
@@ -43,15 +45,31 @@
     let _ = frozen.wait_for(|f| !*f).await;
 }
 
-async fn connection(stream: TcpStream, member: usize, world: Arc<Mutex<World>>) -> std::io::Result<()> {
+async fn connection(
+    stream: TcpStream,
+    member: usize,
+    world: Arc<Mutex<World>>,
+) -> std::io::Result<()> {
     let (mut read, mut write) = stream.into_split();
     let (out, mut outgoing) = mpsc::unbounded_channel::<(Instant, Bytes)>();
     let (close, mut closed) = watch::channel(false);
     let (id, mut frozen, mut has) = {
         let mut w = lock(&world);
         let id = w.number();
-        let (frozen, has) = (w.members[member].frozen.subscribe(), w.members[member].has.subscribe());
-        w.conns.insert(id, Conn { member, session: 0, who: Vec::new(), out, close });
+        let (frozen, has) = (
+            w.members[member].frozen.subscribe(),
+            w.members[member].has.subscribe(),
+        );
+        w.conns.insert(
+            id,
+            Conn {
+                member,
+                session: 0,
+                who: Vec::new(),
+                out,
+                close,
+            },
+        );
         (id, frozen, has)
     };
     let _leaves = Leaves(world.clone(), id);
@@ -72,7 +90,10 @@
         loop {
             while let Some(head) = held.first_chunk::<4>() {
                 if let Some(answer) = requests::four_letters(head) {
-                    let _ = lock(&world).conns.get(&id).map(|c| c.out.send((Instant::now(), answer)));
+                    let _ = lock(&world)
+                        .conns
+                        .get(&id)
+                        .map(|c| c.out.send((Instant::now(), answer)));
                     tokio::time::sleep(Duration::from_millis(50)).await;
                     return;
                 }
@@ -89,7 +110,14 @@
                     false => requests::greet(&mut lock(&world), id, &frame),
                     true => requests::handle(&mut lock(&world), id, &frame),
                 };
-                let Some(requests::Handled { reply, seen, then_close }) = handled else { return };
+                let Some(requests::Handled {
+                    reply,
+                    seen,
+                    then_close,
+                }) = handled
+                else {
+                    return;
+                };
                 greeted = true;
                 // What was written is answered once this member has it.
                 if has.wait_for(|has| *has >= seen).await.is_err() {
--- a/crates/rig/src/registry/control.rs
+++ b/crates/rig/src/registry/control.rs
@@ -31,17 +31,23 @@
         let registry = registry.clone();
         connections.spawn(async move {
             let answer = service_fn(|request| respond(registry.clone(), request));
-            let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), answer).await;
+            let _ = http1::Builder::new()
+                .serve_connection(TokioIo::new(stream), answer)
+                .await;
         });
     }
 }
 
 async fn respond(
-    registry: Arc<Registry>, request: Request<Incoming>,
+    registry: Arc<Registry>,
+    request: Request<Incoming>,
 ) -> std::result::Result<Response<Full<Bytes>>, Infallible> {
     let (status, said) = match act(&registry, &request) {
         Some(said) => (StatusCode::OK, said),
-        None => (StatusCode::BAD_REQUEST, json!({ "error": "no such control, or not so" })),
+        None => (
+            StatusCode::BAD_REQUEST,
+            json!({ "error": "no such control, or not so" }),
+        ),
     };
     let mut response = Response::new(Full::new(Bytes::from(said.to_string() + "\n")));
     *response.status_mut() = status;
@@ -50,10 +56,16 @@
 
 fn act(registry: &Registry, request: &Request<Incoming>) -> Option<serde_json::Value> {
     let query: HashMap<String, String> =
-        form_urlencoded::parse(request.uri().query().unwrap_or_default().as_bytes()).into_owned().collect();
+        form_urlencoded::parse(request.uri().query().unwrap_or_default().as_bytes())
+            .into_owned()
+            .collect();
     let number = |name: &str| query.get(name)?.parse::<i64>().ok();
     let member = || number("member").and_then(|m| usize::try_from(m - 1).ok());
-    let ms = || number("ms").and_then(|ms| u64::try_from(ms).ok()).map(Duration::from_millis);
+    let ms = || {
+        number("ms")
+            .and_then(|ms| u64::try_from(ms).ok())
+            .map(Duration::from_millis)
+    };
     let on = || number("on").map(|n| n != 0);
     match (request.method(), request.uri().path()) {
         (&Method::GET, "/state") => {
@@ -64,7 +76,9 @@
                 "fired": counts.fired, "bytes": counts.bytes }),
             );
         }
-        (&Method::POST, "/kill") => return Some(json!({ "killed": registry.kill(number("session")?) })),
+        (&Method::POST, "/kill") => {
+            return Some(json!({ "killed": registry.kill(number("session")?) }))
+        }
         (&Method::POST, "/freeze") => registry.freeze(member()?, on()?),
         (&Method::POST, "/drop") => registry.drop_member(member()?, on()?),
         (&Method::POST, "/delay") => registry.delay(member()?, ms()?),
--- a/crates/rig/src/registry/mod.rs
+++ b/crates/rig/src/registry/mod.rs
@@ -82,7 +82,11 @@
         let world = Arc::new(Mutex::new(world));
         let (mut addresses, mut tasks) = (vec![], vec![]);
         for n in 0..members {
-            let port = if address.port() == 0 { 0 } else { address.port() + n as u16 };
+            let port = if address.port() == 0 {
+                0
+            } else {
+                address.port() + n as u16
+            };
             let listener = TcpListener::bind(SocketAddr::new(address.ip(), port)).await?;
             addresses.push(listener.local_addr()?);
             tasks.push(crate::task(connections::accept(listener, n, world.clone())));
@@ -95,7 +99,11 @@
                 lock(&ticking).tick(Instant::now());
             }
         }));
-        Ok(Registry { members: addresses, world, _tasks: tasks })
+        Ok(Registry {
+            members: addresses,
+            world,
+            _tasks: tasks,
+        })
     }
 
     /// The sessions that are there, oldest first.
@@ -126,7 +134,11 @@
             m.dropped = dropped;
         }
         if dropped {
-            world.conns.values().filter(|c| c.member == member).for_each(Conn::close);
+            world
+                .conns
+                .values()
+                .filter(|c| c.member == member)
+                .for_each(Conn::close);
         }
     }
 
@@ -152,7 +164,11 @@
     /// How many sessions are connected to a member.
     pub fn connected(&self, member: usize) -> usize {
         let world = lock(&self.world);
-        world.conns.values().filter(|c| c.member == member && c.session != 0).count()
+        world
+            .conns
+            .values()
+            .filter(|c| c.member == member && c.session != 0)
+            .count()
     }
 
     /// What has been counted.
@@ -162,13 +178,21 @@
 
     /// The data of an entry, and the session that it ends with.
     pub fn get(&self, path: &str) -> Option<(Vec<u8>, i64)> {
-        lock(&self.world).tree.nodes.get(path).map(|n| (n.data.clone(), n.owner))
+        lock(&self.world)
+            .tree
+            .nodes
+            .get(path)
+            .map(|n| (n.data.clone(), n.owner))
     }
 
     /// The names of an entry's children.
     pub fn children(&self, path: &str) -> Vec<String> {
         let world = lock(&self.world);
-        world.tree.nodes.get(path).map_or(vec![], |n| n.children.iter().cloned().collect())
+        world
+            .tree
+            .nodes
+            .get(path)
+            .map_or(vec![], |n| n.children.iter().cloned().collect())
     }
 
     /// Opens a session that nobody has a connection for, such as a server's whose process is played by a test. It
@@ -195,10 +219,15 @@
         }
         match world.tree.nodes.get(path) {
             Some(node) if node.owner == session => {
-                changes.push(Change::SetData { path: path.to_owned(), data: data.to_vec() });
+                changes.push(Change::SetData {
+                    path: path.to_owned(),
+                    data: data.to_vec(),
+                });
             }
             Some(_) => {
-                changes.push(Change::Delete { path: path.to_owned() });
+                changes.push(Change::Delete {
+                    path: path.to_owned(),
+                });
                 changes.push(create(path, data, session));
             }
             None => changes.push(create(path, data, session)),
@@ -208,13 +237,23 @@
 
     /// The access list of an entry: permissions, scheme and id of each line.
     pub fn acl(&self, path: &str) -> Vec<(i32, String, String)> {
-        lock(&self.world).tree.nodes.get(path).map_or(vec![], |n| n.acl.clone())
+        lock(&self.world)
+            .tree
+            .nodes
+            .get(path)
+            .map_or(vec![], |n| n.acl.clone())
     }
 
     /// Replaces the access list of an entry.
     pub fn set_acl(&self, path: &str, acl: &[(i32, &str, &str)]) {
-        let acl = acl.iter().map(|(p, s, i)| (*p, (*s).to_owned(), (*i).to_owned())).collect();
-        lock(&self.world).commit(vec![Change::SetAcl { path: path.to_owned(), acl }]);
+        let acl = acl
+            .iter()
+            .map(|(p, s, i)| (*p, (*s).to_owned(), (*i).to_owned()))
+            .collect();
+        lock(&self.world).commit(vec![Change::SetAcl {
+            path: path.to_owned(),
+            acl,
+        }]);
     }
 
     /// Removes an entry; whether there was one.
@@ -222,7 +261,9 @@
         let mut world = lock(&self.world);
         let there = world.tree.nodes.contains_key(path);
         if there {
-            world.commit(vec![Change::Delete { path: path.to_owned() }]);
+            world.commit(vec![Change::Delete {
+                path: path.to_owned(),
+            }]);
         }
         there
     }
--- a/crates/rig/src/registry/requests.rs
+++ b/crates/rig/src/registry/requests.rs
@@ -22,7 +22,8 @@
 use writes::{check, multi, prepare};
 
 /// Time-outs that sessions may have.
-const TIMEOUT: std::ops::RangeInclusive<Duration> = Duration::from_millis(100)..=Duration::from_secs(60);
+const TIMEOUT: std::ops::RangeInclusive<Duration> =
+    Duration::from_millis(100)..=Duration::from_secs(60);
 
 /// What comes of a request.
 pub struct Handled {
@@ -56,7 +57,10 @@
     }
     let timeout = Duration::from_millis(u64::try_from(timeout).ok()?);
     let timeout = timeout.clamp(*TIMEOUT.start(), *TIMEOUT.end());
-    let known = world.sessions.get(&session).is_some_and(|s| s.password[..] == password[..]);
+    let known = world
+        .sessions
+        .get(&session)
+        .is_some_and(|s| s.password[..] == password[..]);
     let (id, password, timeout) = match (session, known) {
         (0, _) => {
             let (id, password) = world.open_session(timeout, conn);
@@ -76,9 +80,21 @@
         (_, false) => (0, [0; 16], Duration::ZERO),
     };
     world.conns.get_mut(&conn)?.session = id;
-    let reply = Out::default().int(0).int(timeout.as_millis() as i32).long(id).buffer(&password);
-    let reply = if told_read_only.is_some() { reply.bool(false) } else { reply };
-    Some(Handled { reply: Some(reply.frame()), seen: 0, then_close: id == 0 })
+    let reply = Out::default()
+        .int(0)
+        .int(timeout.as_millis() as i32)
+        .long(id)
+        .buffer(&password);
+    let reply = if told_read_only.is_some() {
+        reply.bool(false)
+    } else {
+        reply
+    };
+    Some(Handled {
+        reply: Some(reply.frame()),
+        seen: 0,
+        then_close: id == 0,
+    })
 }
 
 /// The body of an answer, or an error; and the state that has to be there first.
@@ -91,8 +107,14 @@
     let (member, session) = world.conns.get(&conn).map(|c| (c.member, c.session))?;
     world.sessions.get_mut(&session)?.heard = Instant::now();
     let has = world.members.get(member)?.tree.zxid;
-    let frame =
-        |zxid: i64, error: i32, body: Out| Out::default().int(xid).long(zxid).int(error).raw(&body.0).frame();
+    let frame = |zxid: i64, error: i32, body: Out| {
+        Out::default()
+            .int(xid)
+            .long(zxid)
+            .int(error)
+            .raw(&body.0)
+            .frame()
+    };
     if op != 11 {
         world.counts.requests += 1;
     }
@@ -100,9 +122,17 @@
         11 => (Ok((Out::default(), 0)), false),
         -11 => {
             // Its own client ends it: that is no expiry.
-            let changes: Vec<Change> =
-                world.tree.owned(session).into_iter().map(|path| Change::Delete { path }).collect();
-            let seen = if changes.is_empty() { 0 } else { world.commit(changes) };
+            let changes: Vec<Change> = world
+                .tree
+                .owned(session)
+                .into_iter()
+                .map(|path| Change::Delete { path })
+                .collect();
+            let seen = if changes.is_empty() {
+                0
+            } else {
+                world.commit(changes)
+            };
             world.sessions.remove(&session);
             (Ok((Out::default(), seen)), true)
         }
@@ -114,8 +144,16 @@
         _ => (ask(world, conn, member, session, op, &mut r), false),
     };
     Some(match answer {
-        Ok((body, seen)) => Handled { reply: Some(frame(has.max(seen), tree::OK, body)), seen, then_close },
-        Err(error) => Handled { reply: Some(frame(has, error, Out::default())), seen: 0, then_close },
+        Ok((body, seen)) => Handled {
+            reply: Some(frame(has.max(seen), tree::OK, body)),
+            seen,
+            then_close,
+        },
+        Err(error) => Handled {
+            reply: Some(frame(has, error, Out::default())),
+            seen: 0,
+            then_close,
+        },
     })
 }
 
@@ -139,8 +177,19 @@
     Ok((Out::default(), 0))
 }
 
-fn ask(world: &mut World, conn: ConnId, member: usize, session: i64, op: i32, r: &mut In) -> Answer {
-    let who = world.conns.get(&conn).map(|c| c.who.clone()).unwrap_or_default();
+fn ask(
+    world: &mut World,
+    conn: ConnId,
+    member: usize,
+    session: i64,
+    op: i32,
+    r: &mut In,
+) -> Answer {
+    let who = world
+        .conns
+        .get(&conn)
+        .map(|c| c.who.clone())
+        .unwrap_or_default();
     match op {
         1 | 2 | 5 | 7 | 15 | 19 | 21 => {
             let (change, made) = prepare(&world.tree, op, r, &who, session)?;
@@ -162,8 +211,14 @@
         17 | 18 => watch_known(world, conn, member, op, r),
         101 | 105 => set_watches(world, conn, member, op, r),
         106 => {
-            let path = r.text().filter(|p| tree::valid(p)).ok_or(tree::BAD_ARGUMENTS)?;
-            let mode = r.int().filter(|m| matches!(m, 0 | 1)).ok_or(tree::BAD_ARGUMENTS)?;
+            let path = r
+                .text()
+                .filter(|p| tree::valid(p))
+                .ok_or(tree::BAD_ARGUMENTS)?;
+            let mode = r
+                .int()
+                .filter(|m| matches!(m, 0 | 1))
+                .ok_or(tree::BAD_ARGUMENTS)?;
             let persistent = &mut world.members[member].watches.persistent;
             persistent.entry(path).or_default().insert(conn, mode == 1);
             Ok((Out::default().int(0), 0))
@@ -173,5 +228,7 @@
 }
 
 fn allowed(node: &Node, permissions: i32, who: &[Identity]) -> Result<(), i32> {
-    node.allows(permissions, who).then_some(()).ok_or(tree::NO_AUTH)
+    node.allows(permissions, who)
+        .then_some(())
+        .ok_or(tree::NO_AUTH)
 }
--- a/crates/rig/src/registry/requests/reads.rs
+++ b/crates/rig/src/registry/requests/reads.rs
@@ -28,12 +28,19 @@
 }
 
 pub(super) fn read(
-    world: &mut World, conn: ConnId, member: usize, session: i64, op: i32, r: &mut In, who: &[Identity],
+    world: &mut World,
+    conn: ConnId,
+    member: usize,
+    session: i64,
+    op: i32,
+    r: &mut In,
+    who: &[Identity],
 ) -> Answer {
     if op == 107 {
         let out = Out::default().int(who.len() as i32);
         let line = |out: Out, (scheme, id): &Identity| {
-            out.text(scheme).text(id.split(':').next().unwrap_or_default())
+            out.text(scheme)
+                .text(id.split(':').next().unwrap_or_default())
         };
         return Ok((who.iter().fold(out, line), 0));
     }
@@ -59,7 +66,11 @@
         allowed(node, tree::READ, who)?;
     }
     if watched {
-        let of = if matches!(op, 8 | 12) { &mut watches.child } else { &mut watches.data };
+        let of = if matches!(op, 8 | 12) {
+            &mut watches.child
+        } else {
+            &mut watches.data
+        };
         of.entry(path.clone()).or_default().insert(conn);
     }
     let out = Out::default();
@@ -73,7 +84,11 @@
                 let line = |out: Out, (permissions, scheme, id): &tree::Acl| {
                     // The hash is shown to whoever may change the list.
                     let user = id.split(':').next().unwrap_or_default();
-                    let id = if scheme == "digest" && !admin { format!("{user}:x") } else { id.clone() };
+                    let id = if scheme == "digest" && !admin {
+                        format!("{user}:x")
+                    } else {
+                        id.clone()
+                    };
                     out.int(*permissions).text(scheme).text(&id)
                 };
                 node.stat(node.acl.iter().fold(out.int(node.acl.len() as i32), line))
@@ -81,8 +96,16 @@
             8 => out.texts(node.children.iter()),
             12 => node.stat(out.texts(node.children.iter())),
             _ => {
-                let under = if path == "/" { path.clone() } else { format!("{path}/") };
-                let n = tree.nodes.keys().filter(|p| p.starts_with(&under) && **p != path).count();
+                let under = if path == "/" {
+                    path.clone()
+                } else {
+                    format!("{path}/")
+                };
+                let n = tree
+                    .nodes
+                    .keys()
+                    .filter(|p| p.starts_with(&under) && **p != path)
+                    .count();
                 out.int(n as i32)
             }
         },
--- a/crates/rig/src/registry/requests/watches.rs
+++ b/crates/rig/src/registry/requests/watches.rs
@@ -6,14 +6,24 @@
 use crate::registry::world::{ConnId, Member, World};
 
 /// Whether a connection has a watch, and removes it if it is asked to.
-pub(super) fn watch_known(world: &mut World, conn: ConnId, member: usize, op: i32, r: &mut In) -> Answer {
+pub(super) fn watch_known(
+    world: &mut World,
+    conn: ConnId,
+    member: usize,
+    op: i32,
+    r: &mut In,
+) -> Answer {
     let path = r.text().ok_or(tree::BAD_ARGUMENTS)?;
     let kind = r.int().ok_or(tree::BAD_ARGUMENTS)?;
     let watches = &mut world.members[member].watches;
     let mut found = false;
     for (of, kinds) in [(&mut watches.child, [1, 3]), (&mut watches.data, [2, 3])] {
         if let Some(set) = of.get_mut(&path).filter(|_| kinds.contains(&kind)) {
-            found |= if op == 18 { set.remove(&conn) } else { set.contains(&conn) };
+            found |= if op == 18 {
+                set.remove(&conn)
+            } else {
+                set.contains(&conn)
+            };
         }
     }
     if let Some(set) = watches.persistent.get_mut(&path) {
@@ -33,10 +43,20 @@
 }
 
 /// A client that has come back sets its watches again, and hears at once what they would have told.
-pub(super) fn set_watches(world: &mut World, conn: ConnId, member: usize, op: i32, r: &mut In) -> Answer {
+pub(super) fn set_watches(
+    world: &mut World,
+    conn: ConnId,
+    member: usize,
+    op: i32,
+    r: &mut In,
+) -> Answer {
     let mut fields = || {
         let (seen, data, exist, child) = (r.long()?, r.texts()?, r.texts()?, r.texts()?);
-        let (plain, recursive) = if op == 105 { (r.texts()?, r.texts()?) } else { (vec![], vec![]) };
+        let (plain, recursive) = if op == 105 {
+            (r.texts()?, r.texts()?)
+        } else {
+            (vec![], vec![])
+        };
         Some((seen, data, exist, child, plain, recursive))
     };
     let (seen, data, exist, child, plain, recursive) = fields().ok_or(tree::BAD_ARGUMENTS)?;
@@ -64,7 +84,11 @@
     }
     for (paths, is_recursive) in [(plain, false), (recursive, true)] {
         for path in paths {
-            watches.persistent.entry(path).or_default().insert(conn, is_recursive);
+            watches
+                .persistent
+                .entry(path)
+                .or_default()
+                .insert(conn, is_recursive);
         }
     }
     let zxid = tree.zxid;
