--- a/crates/rig/src/registry/requests/writes.rs
+++ b/crates/rig/src/registry/requests/writes.rs
@@ -26,7 +26,9 @@
 }
 
 fn fits(is: i32, wanted: i32) -> Result<(), i32> {
-    (wanted == -1 || is == wanted).then_some(()).ok_or(tree::BAD_VERSION)
+    (wanted == -1 || is == wanted)
+        .then_some(())
+        .ok_or(tree::BAD_VERSION)
 }
 
 pub(super) fn check(tree: &Tree, r: &mut In) -> Result<(), i32> {
@@ -36,10 +38,21 @@
 }
 
 pub(super) fn prepare(
-    tree: &Tree, op: i32, r: &mut In, who: &[Identity], session: i64,
+    tree: &Tree,
+    op: i32,
+    r: &mut In,
+    who: &[Identity],
+    session: i64,
 ) -> Result<(Change, Made), i32> {
-    let path = r.text().filter(|p| tree::valid(p)).ok_or(tree::BAD_ARGUMENTS)?;
-    let made = |path: &str| Made { op, path: path.to_owned(), ttl: None };
+    let path = r
+        .text()
+        .filter(|p| tree::valid(p))
+        .ok_or(tree::BAD_ARGUMENTS)?;
+    let made = |path: &str| Made {
+        op,
+        path: path.to_owned(),
+        ttl: None,
+    };
     match op {
         1 | 15 | 19 | 21 => create(tree, op, path, r, who, session),
         2 => {
@@ -79,7 +92,12 @@
 }
 
 fn create(
-    tree: &Tree, op: i32, path: String, r: &mut In, who: &[Identity], session: i64,
+    tree: &Tree,
+    op: i32,
+    path: String,
+    r: &mut In,
+    who: &[Identity],
+    session: i64,
 ) -> Result<(Change, Made), i32> {
     let data = r.buffer().ok_or(tree::BAD_ARGUMENTS)?.to_vec();
     let acl = read_acl(r, who)?;
@@ -96,13 +114,20 @@
     };
     let (mut owner, mut lives) = (owner, None);
     if ttl {
-        let ms = r.long().filter(|ms| (1..1 << 40).contains(ms)).ok_or(tree::BAD_ARGUMENTS)?;
+        let ms = r
+            .long()
+            .filter(|ms| (1..1 << 40).contains(ms))
+            .ok_or(tree::BAD_ARGUMENTS)?;
         (owner, lives) = ((0xff << 56) | ms, Some(Duration::from_millis(ms as u64)));
     }
     let (above, _) = tree::parent(&path);
     let above = tree.nodes.get(above).ok_or(tree::NO_NODE)?;
     allowed(above, tree::CREATE, who)?;
-    let path = if sequential { format!("{path}{:010}", above.cversion) } else { path };
+    let path = if sequential {
+        format!("{path}{:010}", above.cversion)
+    } else {
+        path
+    };
     if tree.nodes.contains_key(&path) {
         return Err(tree::NODE_EXISTS);
     }
@@ -110,8 +135,20 @@
     if above.owner > 0 {
         return Err(tree::NO_CHILDREN_FOR_EPHEMERALS);
     }
-    let made = Made { op, path: path.clone(), ttl: lives };
-    Ok((Change::Create { path, data, acl, owner }, made))
+    let made = Made {
+        op,
+        path: path.clone(),
+        ttl: lives,
+    };
+    Ok((
+        Change::Create {
+            path,
+            data,
+            acl,
+            owner,
+        },
+        made,
+    ))
 }
 
 /// All of it or nothing.
@@ -120,7 +157,10 @@
     let zxid = tree.zxid + 1;
     let (mut changes, mut results, mut failed) = (vec![], vec![], None);
     loop {
-        let (op, done) = (r.int().ok_or(tree::BAD_ARGUMENTS)?, r.bool().ok_or(tree::BAD_ARGUMENTS)?);
+        let (op, done) = (
+            r.int().ok_or(tree::BAD_ARGUMENTS)?,
+            r.bool().ok_or(tree::BAD_ARGUMENTS)?,
+        );
         r.int().ok_or(tree::BAD_ARGUMENTS)?;
         if done {
             break;
@@ -142,7 +182,11 @@
                 if let (Change::Create { path, .. }, Some(ttl)) = (&change, made.ttl) {
                     world.ttl.insert(path.clone(), ttl);
                 }
-                tree.apply(&tree::Txn { zxid, time: unix_ms(), changes: vec![change.clone()] });
+                tree.apply(&tree::Txn {
+                    zxid,
+                    time: unix_ms(),
+                    changes: vec![change.clone()],
+                });
                 changes.push(change);
                 results.push((op, Ok(made.body(&tree, Out::default()))));
             }
--- a/crates/rig/src/registry/tree.rs
+++ b/crates/rig/src/registry/tree.rs
@@ -54,10 +54,17 @@
 
 impl Node {
     pub fn stat(&self, out: Out) -> Out {
-        let out = out.long(self.czxid).long(self.mzxid).long(self.ctime).long(self.mtime);
+        let out = out
+            .long(self.czxid)
+            .long(self.mzxid)
+            .long(self.ctime)
+            .long(self.mtime);
         let out = out.int(self.version).int(self.cversion).int(self.aversion);
         // Containers and entries with a time to live tell no owner but their mark.
-        let out = out.long(self.owner).int(self.data.len() as i32).int(self.children.len() as i32);
+        let out = out
+            .long(self.owner)
+            .int(self.data.len() as i32)
+            .int(self.children.len() as i32);
         out.long(self.pzxid)
     }
 
@@ -76,10 +83,23 @@
 /// What a transaction does, decided beforehand, so that every member does the same.
 #[derive(Clone, Debug)]
 pub enum Change {
-    Create { path: String, data: Vec<u8>, acl: Vec<Acl>, owner: i64 },
-    Delete { path: String },
-    SetData { path: String, data: Vec<u8> },
-    SetAcl { path: String, acl: Vec<Acl> },
+    Create {
+        path: String,
+        data: Vec<u8>,
+        acl: Vec<Acl>,
+        owner: i64,
+    },
+    Delete {
+        path: String,
+    },
+    SetData {
+        path: String,
+        data: Vec<u8>,
+    },
+    SetAcl {
+        path: String,
+        acl: Vec<Acl>,
+    },
 }
 
 /// Some changes that happen as one.
@@ -119,10 +139,13 @@
     if path == "/" {
         return true;
     }
-    let plain = |c: char| !(c.is_control() || ('\u{e000}'..='\u{f8ff}').contains(&c) || c >= '\u{fff0}');
+    let plain =
+        |c: char| !(c.is_control() || ('\u{e000}'..='\u{f8ff}').contains(&c) || c >= '\u{fff0}');
     path.starts_with('/')
         && path.chars().all(plain)
-        && path[1..].split('/').all(|s| !s.is_empty() && s != "." && s != "..")
+        && path[1..]
+            .split('/')
+            .all(|s| !s.is_empty() && s != "." && s != "..")
 }
 
 impl Default for Tree {
@@ -141,7 +164,10 @@
             owner: 0,
             children: BTreeSet::new(),
         };
-        Tree { nodes: [("/".to_owned(), root)].into(), zxid: 0 }
+        Tree {
+            nodes: [("/".to_owned(), root)].into(),
+            zxid: 0,
+        }
     }
 }
 
@@ -152,7 +178,12 @@
         let mut heard = Vec::new();
         for change in &txn.changes {
             match change {
-                Change::Create { path, data, acl, owner } => {
+                Change::Create {
+                    path,
+                    data,
+                    acl,
+                    owner,
+                } => {
                     let node = Node {
                         data: data.clone(),
                         acl: acl.clone(),
@@ -206,7 +237,11 @@
 
     /// The paths that end with a session.
     pub fn owned(&self, session: i64) -> Vec<String> {
-        self.nodes.iter().filter(|(_, n)| n.owner == session).map(|(p, _)| p.clone()).collect()
+        self.nodes
+            .iter()
+            .filter(|(_, n)| n.owner == session)
+            .map(|(p, _)| p.clone())
+            .collect()
     }
 }
 
@@ -226,11 +261,19 @@
                 if known.is_empty() {
                     return Err(INVALID_ACL);
                 }
-                acl.extend(known.into_iter().map(|(s, i)| (permissions, s.clone(), i.clone())));
+                acl.extend(
+                    known
+                        .into_iter()
+                        .map(|(s, i)| (permissions, s.clone(), i.clone())),
+                );
             }
             "world" if id == "anyone" => acl.push((permissions, scheme, id)),
             "digest" if id.split(':').count() == 2 => acl.push((permissions, scheme, id)),
-            "ip" if id.split('/').next().is_some_and(|ip| ip.parse::<std::net::IpAddr>().is_ok()) => {
+            "ip" if id
+                .split('/')
+                .next()
+                .is_some_and(|ip| ip.parse::<std::net::IpAddr>().is_ok()) =>
+            {
                 acl.push((permissions, scheme, id));
             }
             _ => return Err(INVALID_ACL),
--- a/crates/rig/src/registry/world.rs
+++ b/crates/rig/src/registry/world.rs
@@ -82,7 +82,9 @@
 }
 
 pub(super) fn unix_ms() -> i64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as i64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_millis() as i64)
 }
 
 pub(super) fn lock(world: &Mutex<World>) -> MutexGuard<'_, World> {
@@ -101,7 +103,15 @@
         let mut password = [0; 16];
         password[..8].copy_from_slice(&draw.number().to_be_bytes());
         password[8..].copy_from_slice(&draw.number().to_be_bytes());
-        self.sessions.insert(id, Session { password, timeout, heard: Instant::now(), conn });
+        self.sessions.insert(
+            id,
+            Session {
+                password,
+                timeout,
+                heard: Instant::now(),
+                conn,
+            },
+        );
         self.counts.sessions += 1;
         (id, password)
     }
@@ -111,17 +121,28 @@
         if self.sessions.remove(&id).is_none() {
             return false;
         }
-        let changes: Vec<Change> =
-            self.tree.owned(id).into_iter().map(|path| Change::Delete { path }).collect();
+        let changes: Vec<Change> = self
+            .tree
+            .owned(id)
+            .into_iter()
+            .map(|path| Change::Delete { path })
+            .collect();
         if !changes.is_empty() {
             self.commit(changes);
         }
-        self.conns.values().filter(|c| c.session == id).for_each(Conn::close);
+        self.conns
+            .values()
+            .filter(|c| c.session == id)
+            .for_each(Conn::close);
         true
     }
 
     pub(super) fn commit(&mut self, changes: Vec<Change>) -> i64 {
-        let txn = Txn { zxid: self.tree.zxid + 1, time: unix_ms(), changes };
+        let txn = Txn {
+            zxid: self.tree.zxid + 1,
+            time: unix_ms(),
+            changes,
+        };
         for change in &txn.changes {
             if let Change::Delete { path } = change {
                 self.ttl.remove(path);
@@ -132,7 +153,11 @@
         for n in 0..self.members.len() {
             let member = &mut self.members[n];
             // In order, whatever the lag was before.
-            let due = member.behind.back().map_or(now, |(due, _)| *due).max(now + member.lag);
+            let due = member
+                .behind
+                .back()
+                .map_or(now, |(due, _)| *due)
+                .max(now + member.lag);
             member.behind.push_back((due, txn.clone()));
             self.learn(n, now);
         }
@@ -146,7 +171,9 @@
             if *m.frozen.borrow() || m.behind.front().is_none_or(|(due, _)| *due > now) {
                 return;
             }
-            let Some((_, txn)) = m.behind.pop_front() else { return };
+            let Some((_, txn)) = m.behind.pop_front() else {
+                return;
+            };
             let heard = m.tree.apply(&txn);
             for heard in heard {
                 self.fire(member, &heard, txn.zxid);
@@ -167,18 +194,35 @@
         if kind == 2 {
             to.extend(watches.child.remove(path).into_iter().flatten());
         }
-        to.extend(watches.persistent.get(path).into_iter().flatten().map(|(conn, _)| *conn));
+        to.extend(
+            watches
+                .persistent
+                .get(path)
+                .into_iter()
+                .flatten()
+                .map(|(conn, _)| *conn),
+        );
         let mut above = path.as_str();
         while above != "/" {
             above = tree::parent(above).0;
-            let recursive = watches.persistent.get(above).into_iter().flatten().filter(|(_, r)| **r);
+            let recursive = watches
+                .persistent
+                .get(above)
+                .into_iter()
+                .flatten()
+                .filter(|(_, r)| **r);
             to.extend(recursive.map(|(conn, _)| *conn));
         }
         let mut of_children: Vec<ConnId> = Vec::new();
         let above = tree::parent(path).0;
         if kind != 3 {
             of_children.extend(watches.child.remove(above).into_iter().flatten());
-            let plain = watches.persistent.get(above).into_iter().flatten().filter(|(_, r)| !**r);
+            let plain = watches
+                .persistent
+                .get(above)
+                .into_iter()
+                .flatten()
+                .filter(|(_, r)| !**r);
             of_children.extend(plain.map(|(conn, _)| *conn));
         }
         self.notify(to, kind, path, zxid);
@@ -195,7 +239,14 @@
                 continue;
             }
             self.counts.fired += 1;
-            let word = Out::default().int(-1).long(zxid).int(0).int(kind).int(3).text(path).frame();
+            let word = Out::default()
+                .int(-1)
+                .long(zxid)
+                .int(0)
+                .int(kind)
+                .int(3)
+                .text(path)
+                .frame();
             self.say(conn, word);
         }
     }
@@ -213,7 +264,12 @@
             self.learn(n, now);
         }
         let over = |s: &Session| now.saturating_duration_since(s.heard) > s.timeout;
-        let expired: Vec<i64> = self.sessions.iter().filter(|(_, s)| over(s)).map(|(id, _)| *id).collect();
+        let expired: Vec<i64> = self
+            .sessions
+            .iter()
+            .filter(|(_, s)| over(s))
+            .map(|(id, _)| *id)
+            .collect();
         for id in expired {
             self.counts.expired += 1;
             self.end_session(id);
@@ -230,8 +286,15 @@
             (over && node.children.is_empty()).then(|| path.clone())
         };
         let mut gone: Vec<String> = self.ttl.iter().filter_map(due).collect();
-        let empty = |n: &tree::Node| n.owner == tree::CONTAINER && n.cversion > 0 && n.children.is_empty();
-        gone.extend(self.tree.nodes.iter().filter(|(_, n)| empty(n)).map(|(p, _)| p.clone()));
+        let empty =
+            |n: &tree::Node| n.owner == tree::CONTAINER && n.cversion > 0 && n.children.is_empty();
+        gone.extend(
+            self.tree
+                .nodes
+                .iter()
+                .filter(|(_, n)| empty(n))
+                .map(|(p, _)| p.clone()),
+        );
         for path in gone {
             self.commit(vec![Change::Delete { path }]);
         }
--- a/crates/rig/src/relay.rs
+++ b/crates/rig/src/relay.rs
@@ -29,13 +29,17 @@
         let (clients, next) = (clients.clone(), next.clone());
         tokio::spawn(async move {
             let answer = service_fn(|request| relay(clients.clone(), next.clone(), request));
-            let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), answer).await;
+            let _ = http1::Builder::new()
+                .serve_connection(TokioIo::new(stream), answer)
+                .await;
         });
     }
 }
 
 async fn relay(
-    clients: Arc<Vec<Client>>, next: Arc<AtomicUsize>, request: Request<Incoming>,
+    clients: Arc<Vec<Client>>,
+    next: Arc<AtomicUsize>,
+    request: Request<Incoming>,
 ) -> std::result::Result<Response<Full<Bytes>>, Infallible> {
     let bad = || {
         let mut response = Response::new(Full::new(Bytes::new()));
@@ -43,10 +47,17 @@
         Ok(response)
     };
     let (head, body) = request.into_parts();
-    let Ok(body) = body.collect().await else { return bad() };
+    let Ok(body) = body.collect().await else {
+        return bad();
+    };
     let at = next.fetch_add(1, Ordering::Relaxed) % clients.len().max(1);
-    let Some(client) = clients.get(at) else { return bad() };
-    match client.ask(Request::from_parts(head, Full::new(body.to_bytes()))).await {
+    let Some(client) = clients.get(at) else {
+        return bad();
+    };
+    match client
+        .ask(Request::from_parts(head, Full::new(body.to_bytes())))
+        .await
+    {
         Ok(got) => {
             let mut response = Response::new(Full::new(got.body));
             *response.status_mut() = got.status;
--- a/crates/rig/src/scale/command.rs
+++ b/crates/rig/src/scale/command.rs
@@ -167,15 +167,26 @@
             Ok(true)
         }
         Some(What::Computation { computation, file }) => {
-            println!("{}", serde_json::to_string(&computation::of_file(*computation, file)?)?);
+            println!(
+                "{}",
+                serde_json::to_string(&computation::of_file(*computation, file)?)?
+            );
             Ok(true)
         }
-        Some(What::ComputationInput { computation, size, file }) => {
+        Some(What::ComputationInput {
+            computation,
+            size,
+            file,
+        }) => {
             let size: Size = serde_json::from_str(size)?;
             std::fs::write(file, computation::input(*computation, &size))?;
             Ok(true)
         }
-        Some(What::Fleet { plan, json, deadline }) => {
+        Some(What::Fleet {
+            plan,
+            json,
+            deadline,
+        }) => {
             let plan: fleet::Plan = serde_json::from_str(plan)?;
             let record = fleet::play(&plan, Deadline::within(seconds(*deadline))).await?;
             std::fs::write(json, record.to_json()?)?;
@@ -187,8 +198,18 @@
 fn run_smoke(common: &Common) -> Result<bool> {
     let smoke = smoke::run(common.seed)?;
     smoke.record.write(common.json.as_deref())?;
-    smoke.broken.iter().for_each(|broken| eprintln!("broken: {broken}"));
-    println!("{}", if smoke.broken.is_empty() { "smoke: pass" } else { "smoke: fail" });
+    smoke
+        .broken
+        .iter()
+        .for_each(|broken| eprintln!("broken: {broken}"));
+    println!(
+        "{}",
+        if smoke.broken.is_empty() {
+            "smoke: pass"
+        } else {
+            "smoke: fail"
+        }
+    );
     Ok(smoke.broken.is_empty())
 }
 
@@ -198,7 +219,9 @@
         rig: std::env::current_exe()?,
         size: args.size(),
         real: args.real,
-        threads: args.threads.map_or_else(single::threads, |threads| threads.clamp(1, machine::cores())),
+        threads: args.threads.map_or_else(single::threads, |threads| {
+            threads.clamp(1, machine::cores())
+        }),
         seconds: args.common.window(),
         seed: args.common.seed,
         deadline: args.common.deadline(),
--- a/crates/rig/src/scale/computation.rs
+++ b/crates/rig/src/scale/computation.rs
@@ -72,7 +72,9 @@
         Computation::Settings => settings_file(size),
         Computation::ServerList => list(),
         Computation::ServerChange => {
-            let lines: Vec<String> = std::iter::once(list()).chain((0..CHANGES).map(change)).collect();
+            let lines: Vec<String> = std::iter::once(list())
+                .chain((0..CHANGES).map(change))
+                .collect();
             lines.join("\n")
         }
     }
@@ -112,7 +114,8 @@
         return Err("there is no generator of settings files of this size".into());
     }
     let (bytes, begun) = (text.len(), machine::thread_cpu()?);
-    let model = reelfall_conf::reader::toml("scale.toml", &text).map_err(|faults| refused(&faults))?;
+    let model =
+        reelfall_conf::reader::toml("scale.toml", &text).map_err(|faults| refused(&faults))?;
     // As the program does: a check takes memory of its own.
     drop(text);
     let plan = reelfall_conf::check(model).map_err(|faults| refused(&faults))?;
@@ -125,11 +128,19 @@
 /// The first mistakes of a settings file, and how many there are.
 fn refused(faults: &reelfall_conf::Faults) -> String {
     let first: Vec<String> = faults.0.iter().take(3).map(ToString::to_string).collect();
-    format!("the settings file is refused, {} mistakes: {}", faults.0.len(), first.join("; "))
+    format!(
+        "the settings file is refused, {} mistakes: {}",
+        faults.0.len(),
+        first.join("; ")
+    )
 }
 
 fn cost(cpu: Duration, bytes: usize) -> Result<Cost> {
-    Ok(Cost { cpu: cpu.as_secs_f64(), peak: machine::peak()? as f64, bytes })
+    Ok(Cost {
+        cpu: cpu.as_secs_f64(),
+        peak: machine::peak()? as f64,
+        bytes,
+    })
 }
 
 /// Takes a whole list of servers into the decision module.
@@ -179,18 +190,31 @@
 
 impl Module {
     fn new() -> Result<Module> {
-        let json = r#"{"categories":[{"name":"a","promise":0.2,"deadline":2.0,"effect":"idempotent"}]}"#;
+        let json =
+            r#"{"categories":[{"name":"a","promise":0.2,"deadline":2.0,"effect":"idempotent"}]}"#;
         let (settings, names, _) = reelfall_core::settings::read(json)?;
         let balancer = Balancer::new(settings, 1, 0.0)?;
-        Ok(Module { balancer, names, actions: Vec::new(), now: 0.0 })
+        Ok(Module {
+            balancer,
+            names,
+            actions: Vec::new(),
+            now: 0.0,
+        })
     }
 
     fn take_in(&mut self, text: &str, list: ListKind) -> Result<()> {
         let read: serde_json::Value = serde_json::from_str(text)?;
-        let lines = read.get("endpoints").and_then(|lines| lines.as_array()).ok_or("no endpoints")?;
+        let lines = read
+            .get("endpoints")
+            .and_then(|lines| lines.as_array())
+            .ok_or("no endpoints")?;
         let entries: Vec<Entry> = lines.iter().filter_map(|line| self.entry(line)).collect();
         self.now += 0.01;
-        self.balancer.handle(self.now, Event::Members { list, entries }, &mut self.actions);
+        self.balancer.handle(
+            self.now,
+            Event::Members { list, entries },
+            &mut self.actions,
+        );
         self.actions.clear();
         Ok(())
     }
@@ -204,7 +228,10 @@
             cell: 1,
             state: ServerState::Up,
             weight: line.get("weight").and_then(|weight| weight.as_f64()),
-            ready_at: line.get("since_ms").and_then(|ms| ms.as_f64()).map(|ms| ms / 1e3),
+            ready_at: line
+                .get("since_ms")
+                .and_then(|ms| ms.as_f64())
+                .map(|ms| ms / 1e3),
         };
         Some(self.names.entry(&listed))
     }
@@ -214,7 +241,12 @@
 ///
 /// # Errors
 /// If the program can't be started, the computation refuses what it is to read, or it takes too long.
-pub async fn measured(program: &Path, computation: Computation, size: &Size, most: Duration) -> Result<Run> {
+pub async fn measured(
+    program: &Path,
+    computation: Computation,
+    size: &Size,
+    most: Duration,
+) -> Result<Run> {
     let folder = Folder::new()?;
     let file = folder.path().join("input");
     let mut costs = Vec::with_capacity(REPEATS);
@@ -226,7 +258,9 @@
         Result::Ok(())
     };
     let most = most.min(MEASURED_MOST);
-    tokio::time::timeout(most, all).await.map_err(|_| format!("not done in {most:?}"))??;
+    tokio::time::timeout(most, all)
+        .await
+        .map_err(|_| format!("not done in {most:?}"))??;
     let median = |of: fn(&Cost) -> f64| {
         let mut all: Vec<f64> = costs.iter().map(of).collect();
         all.sort_by(f64::total_cmp);
@@ -237,7 +271,11 @@
         // The most was held by the whole list before the changes.
         Computation::ServerChange => None,
     };
-    let per_node = PerNode { cpu: median(|c| c.cpu), memory, ..PerNode::default() };
+    let per_node = PerNode {
+        cpu: median(|c| c.cpu),
+        memory,
+        ..PerNode::default()
+    };
     Ok(Run {
         name: computation.name().to_owned(),
         source: Source::Computation,
@@ -253,9 +291,21 @@
 }
 
 /// Writes what a computation reads, by a process of the rig's program.
-async fn write_input(program: &Path, computation: Computation, size: &Size, file: &Path) -> Result<()> {
+async fn write_input(
+    program: &Path,
+    computation: Computation,
+    size: &Size,
+    file: &Path,
+) -> Result<()> {
     let size = serde_json::to_string(size)?;
-    output(program, "computation-input", computation, ["--size".as_ref(), size.as_ref()], file).await?;
+    output(
+        program,
+        "computation-input",
+        computation,
+        ["--size".as_ref(), size.as_ref()],
+        file,
+    )
+    .await?;
     Ok(())
 }
 
@@ -266,13 +316,23 @@
 
 /// What a subcommand of the rig's program prints.
 async fn output<const N: usize>(
-    program: &Path, subcommand: &str, computation: Computation, more: [&OsStr; N], file: &Path,
+    program: &Path,
+    subcommand: &str,
+    computation: Computation,
+    more: [&OsStr; N],
+    file: &Path,
 ) -> Result<Vec<u8>> {
     let mut command = Command::new(program);
-    command.args(["scale", subcommand, computation.name(), "--file"]).arg(file).args(more);
+    command
+        .args(["scale", subcommand, computation.name(), "--file"])
+        .arg(file)
+        .args(more);
     let output = command.kill_on_drop(true).output().await?;
     if !output.status.success() {
-        return Err(String::from_utf8_lossy(&output.stderr).trim().to_owned().into());
+        return Err(String::from_utf8_lossy(&output.stderr)
+            .trim()
+            .to_owned()
+            .into());
     }
     Ok(output.stdout)
 }
--- a/crates/rig/src/scale/counters.rs
+++ b/crates/rig/src/scale/counters.rs
@@ -72,7 +72,12 @@
     /// Adds what one node has counted.
     pub fn add(&mut self, counters: &Counters) {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-        let of = [&counters.messages_in, &counters.bytes_in, &counters.messages_out, &counters.bytes_out];
+        let of = [
+            &counters.messages_in,
+            &counters.bytes_in,
+            &counters.messages_out,
+            &counters.bytes_out,
+        ];
         for (total, counter) in self.datagrams.iter_mut().zip(of) {
             *total += read(counter);
         }
@@ -100,7 +105,8 @@
 
     /// The share of a kind in datagrams and in bytes.
     pub fn shares(&self, kind: usize) -> (f64, f64) {
-        let share = |of: &[u64; KINDS.len()]| of[kind] as f64 / of.iter().sum::<u64>().max(1) as f64;
+        let share =
+            |of: &[u64; KINDS.len()]| of[kind] as f64 / of.iter().sum::<u64>().max(1) as f64;
         (share(&self.messages), share(&self.bytes))
     }
 }
@@ -122,13 +128,17 @@
         let (to, from): (SyncSender<Vec<u8>>, Receiver<Vec<u8>>) = sync_channel(SAMPLES_WAITING);
         let sample = Arc::new(Mutex::new(Sample::default()));
         let into = sample.clone();
-        std::thread::Builder::new().name("scale-sampler".to_owned()).spawn(move || {
-            for datagram in from {
-                if let Some(parts) = hollow::parts(&secret, &datagram) {
-                    into.lock().unwrap_or_else(PoisonError::into_inner).add(parts);
+        std::thread::Builder::new()
+            .name("scale-sampler".to_owned())
+            .spawn(move || {
+                for datagram in from {
+                    if let Some(parts) = hollow::parts(&secret, &datagram) {
+                        into.lock()
+                            .unwrap_or_else(PoisonError::into_inner)
+                            .add(parts);
+                    }
                 }
-            }
-        })?;
+            })?;
         Ok(Sampler { to, sample })
     }
 
@@ -147,10 +157,20 @@
 }
 
 /// What a window of so many seconds cost each of so many nodes.
-pub fn per_node(before: &Totals, after: &Totals, sample: &Sample, nodes: usize, seconds: f64) -> PerNode {
-    let rate = |after: u64, before: u64| after.saturating_sub(before) as f64 / seconds / nodes as f64;
+pub fn per_node(
+    before: &Totals,
+    after: &Totals,
+    sample: &Sample,
+    nodes: usize,
+    seconds: f64,
+) -> PerNode {
+    let rate =
+        |after: u64, before: u64| after.saturating_sub(before) as f64 / seconds / nodes as f64;
     let mut rates = [0.0; 4];
-    for (rated, (a, b)) in rates.iter_mut().zip(after.datagrams.iter().zip(before.datagrams)) {
+    for (rated, (a, b)) in rates
+        .iter_mut()
+        .zip(after.datagrams.iter().zip(before.datagrams))
+    {
         *rated = rate(*a, b);
     }
     let [messages_in, bytes_in, messages_out, bytes_out] = rates;
@@ -176,5 +196,9 @@
         messages_out: 0.0,
     });
     let cpu = (after.cpu - before.cpu).max(0.0) / seconds / nodes as f64;
-    PerNode { traffic, cpu, ..PerNode::default() }
+    PerNode {
+        traffic,
+        cpu,
+        ..PerNode::default()
+    }
 }
--- a/crates/rig/src/scale/drive.rs
+++ b/crates/rig/src/scale/drive.rs
@@ -25,14 +25,26 @@
 
 /// How long ago the bans were made that have these servers' names, in seconds; of those that are not older than a window.
 pub fn ages(servers: &[String], window_us: u64, now: f64) -> impl Iterator<Item = f64> + '_ {
-    let made = |server: &String| server.strip_prefix(BANNED).and_then(|us| us.parse::<u64>().ok());
-    let new = servers.iter().filter_map(made).filter(move |us| *us >= window_us);
+    let made = |server: &String| {
+        server
+            .strip_prefix(BANNED)
+            .and_then(|us| us.parse::<u64>().ok())
+    };
+    let new = servers
+        .iter()
+        .filter_map(made)
+        .filter(move |us| *us >= window_us);
     new.map(move |us| now - us as f64 / 1e6)
 }
 
 /// Runs some nodes until the run ends.
 pub fn thread(shared: Arc<Shared>, thread: usize, nodes: Vec<(usize, UdpSocket)>) {
-    let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else { return };
+    let Ok(runtime) = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    else {
+        return;
+    };
     let local = tokio::task::LocalSet::new();
     for (n, socket) in nodes {
         let shared = shared.clone();
@@ -71,7 +83,16 @@
 impl Driver {
     fn new(shared: Arc<Shared>, thread: usize, n: usize, socket: tokio::net::UdpSocket) -> Driver {
         let lines = shared.lists.follow();
-        Driver { shared, thread, n, socket, lines, meter: Meter::default(), lives: 0, since: Vec::new() }
+        Driver {
+            shared,
+            thread,
+            n,
+            socket,
+            lines,
+            meter: Meter::default(),
+            lives: 0,
+            since: Vec::new(),
+        }
     }
 
     async fn run(mut self) {
@@ -120,7 +141,10 @@
     /// Does what is due; whether there may be more to take in at once.
     fn turn(&mut self, node: &mut Hollow) -> bool {
         for seconds in self.place().take_bans() {
-            let (now, server) = (self.shared.now(), format!("{BANNED}{}", self.shared.now_us()));
+            let (now, server) = (
+                self.shared.now(),
+                format!("{BANNED}{}", self.shared.now_us()),
+            );
             node.ban(now, &server, seconds);
         }
         let more = self.take_in(node);
@@ -130,7 +154,10 @@
         let out = node.turn(now, self.since.len(), &failing);
         self.in_force(&out);
         self.flush(node);
-        self.place().counters.members.store(node.members(), Ordering::Relaxed);
+        self.place()
+            .counters
+            .members
+            .store(node.members(), Ordering::Relaxed);
         more
     }
 
@@ -146,7 +173,9 @@
                     }
                     let (now, counters) = (shared.now(), &place.counters);
                     counters.messages_in.fetch_add(1, Ordering::Relaxed);
-                    counters.bytes_in.fetch_add(length as u64, Ordering::Relaxed);
+                    counters
+                        .bytes_in
+                        .fetch_add(length as u64, Ordering::Relaxed);
                     self.meter.add(counters, &shared.window, now, length);
                     node.receive(now, buffer.get(..length).unwrap_or_default());
                 }
@@ -176,10 +205,18 @@
     }
 
     fn read(&mut self, node: &mut Hollow, line: &Line, change: bool) {
-        let Ok(read) = serde_json::from_str::<Read>(&line.text) else { return };
+        let Ok(read) = serde_json::from_str::<Read>(&line.text) else {
+            return;
+        };
         for server in &read.endpoints {
-            let number = server.name.rsplit('-').next().and_then(|number| number.parse::<usize>().ok());
-            let Some(number) = number.filter(|n| *n < self.shared.lists.servers()) else { continue };
+            let number = server
+                .name
+                .rsplit('-')
+                .next()
+                .and_then(|number| number.parse::<usize>().ok());
+            let Some(number) = number.filter(|n| *n < self.shared.lists.servers()) else {
+                continue;
+            };
             if self.since.len() <= number {
                 self.since.resize(number + 1, 0);
             }
@@ -190,11 +227,17 @@
         let (shared, bytes) = (&self.shared, line.text.len());
         let counters = &shared.places[self.n].counters;
         counters.lines.fetch_add(1, Ordering::Relaxed);
-        counters.line_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
+        counters
+            .line_bytes
+            .fetch_add(bytes as u64, Ordering::Relaxed);
         self.meter.add(counters, &shared.window, now, bytes);
         if change {
             let took = now - line.told_us as f64 / 1e6;
-            shared.forces[self.thread].lock().unwrap_or_else(PoisonError::into_inner).lines.push(took);
+            shared.forces[self.thread]
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .lines
+                .push(took);
         }
     }
 
@@ -203,8 +246,13 @@
         if out.is_empty() {
             return;
         }
-        let (now, window_us) = (self.shared.now(), self.shared.window_us.load(Ordering::Relaxed));
-        let mut forces = self.shared.forces[self.thread].lock().unwrap_or_else(PoisonError::into_inner);
+        let (now, window_us) = (
+            self.shared.now(),
+            self.shared.window_us.load(Ordering::Relaxed),
+        );
+        let mut forces = self.shared.forces[self.thread]
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         forces.bans.extend(ages(out, window_us, now));
     }
 
@@ -214,8 +262,11 @@
         while let Some((to, datagram)) = node.outgoing() {
             let counters = &place.counters;
             let count = counters.messages_out.fetch_add(1, Ordering::Relaxed);
-            counters.bytes_out.fetch_add(datagram.len() as u64, Ordering::Relaxed);
-            self.meter.add(counters, &shared.window, shared.now(), datagram.len());
+            counters
+                .bytes_out
+                .fetch_add(datagram.len() as u64, Ordering::Relaxed);
+            self.meter
+                .add(counters, &shared.window, shared.now(), datagram.len());
             shared.sampler.offer(count, &datagram);
             if shared.passes(place.zone, to) {
                 // What the system does not take is lost, as a datagram may be.
@@ -226,7 +277,9 @@
 
     /// Waits until something is due or comes.
     async fn rest(&mut self, node: &mut Hollow) {
-        let due = self.shared.moment(node.deadline().max(self.shared.now() + LEAST_REST));
+        let due = self
+            .shared
+            .moment(node.deadline().max(self.shared.now() + LEAST_REST));
         let line = tokio::select! {
             _ = self.socket.readable() => return,
             () = tokio::time::sleep_until(due.into()) => return,
@@ -245,6 +298,9 @@
         self.place().counters.members.store(0, Ordering::Relaxed);
         let mut buffer = [0; DATAGRAM_MOST + 1];
         while self.socket.try_recv_from(&mut buffer).is_ok() {}
-        while !matches!(self.lines.try_recv(), Err(TryRecvError::Empty | TryRecvError::Closed)) {}
+        while !matches!(
+            self.lines.try_recv(),
+            Err(TryRecvError::Empty | TryRecvError::Closed)
+        ) {}
     }
 }
--- a/crates/rig/src/scale/faults.rs
+++ b/crates/rig/src/scale/faults.rs
@@ -25,8 +25,9 @@
     let name = measured.run.name.clone();
     if measured.missing > 0 {
         let (missing, bans) = (measured.missing, measured.played.changes);
-        record
-            .note(format!("{name}: of {bans} bans, {missing} have not come into force at one of the nodes"));
+        record.note(format!(
+            "{name}: of {bans} bans, {missing} have not come into force at one of the nodes"
+        ));
     }
     if measured.busy > BUSY_MOST {
         let percent = measured.busy * 100.0;
@@ -34,9 +35,14 @@
             "{name}: the threads that drive the nodes were {percent:.0} % busy, so that times are longer than alone"
         ));
     }
-    record.busy.push(Busy { run: name.clone(), share: measured.busy });
+    record.busy.push(Busy {
+        run: name.clone(),
+        share: measured.busy,
+    });
     if let Some(times) = measured.lists_in_force {
-        record.lists_in_force.push(ListsInForce { run: name, times });
+        record
+            .lists_in_force
+            .push(ListsInForce { run: name, times });
     }
     record.add(measured.run);
 }
@@ -72,7 +78,9 @@
     /// If the system does not tell what is used.
     pub async fn region_start(&self, record: &mut Record) -> Result<()> {
         let region = self.network.draw(2).number() as usize % (ZONES / REGION_ZONES);
-        let nodes = self.network.of_zones(region * REGION_ZONES..(region + 1) * REGION_ZONES);
+        let nodes = self
+            .network
+            .of_zones(region * REGION_ZONES..(region + 1) * REGION_ZONES);
         let begun = self.network.shared.now();
         self.set(&nodes, Doing::Gone);
         self.note_gathered(record, "region-gone", begun).await;
@@ -88,9 +96,16 @@
         let network = self.network;
         let mut draw = network.draw(3);
         let some = network.nodes() / ONE_OF + 1;
-        let mut pick = || (0..some).map(|_| draw.number() as usize % network.nodes()).collect::<Vec<_>>();
+        let mut pick = || {
+            (0..some)
+                .map(|_| draw.number() as usize % network.nodes())
+                .collect::<Vec<_>>()
+        };
         let (frozen, killed) = (pick(), pick());
-        let zones = (draw.number() as usize % ZONES, draw.number() as usize % ZONES);
+        let zones = (
+            draw.number() as usize % ZONES,
+            draw.number() as usize % ZONES,
+        );
         self.set(&frozen, Doing::Frozen);
         self.set(&killed, Doing::Gone);
         network.cut(zones.0, zones.1, true);
@@ -105,10 +120,14 @@
             self.set(&frozen, Doing::Runs);
             self.set(&killed, Doing::Runs);
             network.cut(zones.0, zones.1, false);
-            network.shared.lists.set_gone(false, network.shared.now_us());
+            network
+                .shared
+                .lists
+                .set_gone(false, network.shared.now_us());
             network.shared.now()
         };
-        let (measured, healed) = tokio::join!(self.window("drawn-faults", Rates::of(self.size)), heal);
+        let (measured, healed) =
+            tokio::join!(self.window("drawn-faults", Rates::of(self.size)), heal);
         keep(record, measured?);
         self.note_gathered(record, "drawn-faults", healed).await;
         Ok(())
@@ -120,7 +139,8 @@
     /// If the system does not tell what is used.
     pub async fn region_cut(&self, record: &mut Record) -> Result<()> {
         let cut = |cut: bool| {
-            for (one, other) in (0..REGION_ZONES).flat_map(|one| (REGION_ZONES..ZONES).map(move |o| (one, o)))
+            for (one, other) in
+                (0..REGION_ZONES).flat_map(|one| (REGION_ZONES..ZONES).map(move |o| (one, o)))
             {
                 self.network.cut(one, other, cut);
             }
@@ -135,7 +155,15 @@
     }
 
     async fn window(&self, name: &str, rates: Rates) -> Result<Measured> {
-        measure(self.network, name, self.size, rates, MOMENT, self.network.shared.seed).await
+        measure(
+            self.network,
+            name,
+            self.size,
+            rates,
+            MOMENT,
+            self.network.shared.seed,
+        )
+        .await
     }
 
     fn set(&self, nodes: &[usize], doing: Doing) {
@@ -148,7 +176,8 @@
         let begun = self.network.shared.now();
         self.set(nodes, Doing::Runs);
         // What is measured is the first seconds; all may know all before they are over.
-        let (measured, gathered) = tokio::join!(self.window(name, Rates::NONE), self.gathered(begun));
+        let (measured, gathered) =
+            tokio::join!(self.window(name, Rates::NONE), self.gathered(begun));
         keep(record, measured?);
         self.note(record, name, gathered);
         Ok(())
@@ -167,9 +196,14 @@
     }
 
     fn note(&self, record: &mut Record, name: &str, gathered: Option<f64>) {
-        record.gathered.push(Gathered { after: name.to_owned(), seconds: gathered });
+        record.gathered.push(Gathered {
+            after: name.to_owned(),
+            seconds: gathered,
+        });
         match gathered {
-            Some(took) => record.note(format!("{name}: all that run know all of them after {took:.1} s")),
+            Some(took) => record.note(format!(
+                "{name}: all that run know all of them after {took:.1} s"
+            )),
             None => record.note(format!("{name}: not all that run know all of them in time")),
         }
     }
--- a/crates/rig/src/scale/fleet.rs
+++ b/crates/rig/src/scale/fleet.rs
@@ -50,17 +50,27 @@
     let mut record = Record::new(plan.seed);
     let lists = Arc::new(Lists::new(size.servers, size.services));
     let network = Network::start(size.nodes, lists, plan.seed, threads())?;
-    if until_gathered(&network, 0, GATHERS_IN.min(deadline.left())).await.is_none() {
-        record.left_out(format!("{} nodes: not all know each other in {GATHERS_IN:?}", size.nodes));
+    if until_gathered(&network, 0, GATHERS_IN.min(deadline.left()))
+        .await
+        .is_none()
+    {
+        record.left_out(format!(
+            "{} nodes: not all know each other in {GATHERS_IN:?}",
+            size.nodes
+        ));
         return Ok(record);
     }
     tokio::time::sleep(SETTLES).await;
     for (n, rates) in plan.windows.iter().enumerate() {
         if !deadline.allows(plan.window()) {
-            record.left_out(format!("{} nodes, a window at {rates:?}: the time is over", size.nodes));
+            record.left_out(format!(
+                "{} nodes, a window at {rates:?}: the time is over",
+                size.nodes
+            ));
             continue;
         }
-        let mut measured = measure(&network, "sweep", size, *rates, plan.seconds, plan.seed).await?;
+        let mut measured =
+            measure(&network, "sweep", size, *rates, plan.seconds, plan.seed).await?;
         if n > 0 {
             // The process has played the former windows as well.
             measured.run.per_node.memory = None;
@@ -80,13 +90,25 @@
     let left = deadline.left();
     let mut command = Command::new(rig);
     command.args(["scale", "fleet", "--plan", &serde_json::to_string(plan)?]);
-    command.args(["--deadline", &left.as_secs_f64().to_string()]).arg("--json").arg(&file);
+    command
+        .args(["--deadline", &left.as_secs_f64().to_string()])
+        .arg("--json")
+        .arg(&file);
     let ended = command.kill_on_drop(true).status();
     let status = tokio::time::timeout(left + PROCESS_MORE, ended)
         .await
-        .map_err(|_| format!("{} nodes: their process has not ended in time", plan.size.nodes))??;
+        .map_err(|_| {
+            format!(
+                "{} nodes: their process has not ended in time",
+                plan.size.nodes
+            )
+        })??;
     if !status.success() {
-        return Err(format!("{} nodes: their process has failed: {status}", plan.size.nodes).into());
+        return Err(format!(
+            "{} nodes: their process has failed: {status}",
+            plan.size.nodes
+        )
+        .into());
     }
     Record::from_json(&std::fs::read_to_string(&file)?)
 }
--- a/crates/rig/src/scale/hollow.rs
+++ b/crates/rig/src/scale/hollow.rs
@@ -65,7 +65,13 @@
 ///
 /// `membership` holds probes and their answers as well as news of members: both are the membership library's own
 /// format, which the datagram carries unread.
-pub const KINDS: [&str; 5] = ["membership", "comparison", "introduction", "verdicts", "errand"];
+pub const KINDS: [&str; 5] = [
+    "membership",
+    "comparison",
+    "introduction",
+    "verdicts",
+    "errand",
+];
 /// The place of `membership` in [`KINDS`].
 pub const MEMBERSHIP: usize = 0;
 /// The place of `comparison` in [`KINDS`].
@@ -88,10 +94,18 @@
 /// Reads a datagram's kinds; `None` for what is no datagram of this fleet.
 pub fn parts(secret: &Secret, datagram: &[u8]) -> Option<Parts> {
     if AppMessage::matches(datagram) {
-        return Some(Parts { kind: ERRAND, own: datagram.len(), verdicts: 0 });
+        return Some(Parts {
+            kind: ERRAND,
+            own: datagram.len(),
+            verdicts: 0,
+        });
     }
     let (header, entries) = wire::open(secret, datagram).ok()?;
-    let own = if entries.is_empty() { datagram.len() } else { Writer::new(&header)?.seal(secret).len() };
+    let own = if entries.is_empty() {
+        datagram.len()
+    } else {
+        Writer::new(&header)?.seal(secret).len()
+    };
     let kind = if header.anti_entropy.is_some() {
         COMPARISON
     } else if !header.members.is_empty() {
@@ -101,7 +115,11 @@
     } else {
         VERDICTS
     };
-    Some(Parts { kind, own, verdicts: datagram.len().saturating_sub(own) })
+    Some(Parts {
+        kind,
+        own,
+        verdicts: datagram.len().saturating_sub(own),
+    })
 }
 
 /// The control side of one node.
@@ -122,15 +140,33 @@
     pub fn new(setup: &Setup, seed: u64, now: f64) -> Result<Hollow, String> {
         let mut draw = Draw(seed);
         let config = Config {
-            membership: MembershipConfig { size: setup.size, ..MembershipConfig::default() },
+            membership: MembershipConfig {
+                size: setup.size,
+                ..MembershipConfig::default()
+            },
             seeds: setup.seeds.clone(),
             zone: setup.zone.clone(),
             ..Config::default()
         };
         let (tag, chance) = (draw.number() | 1, draw.number());
-        let fleet = Fleet::new(&setup.name, setup.address, tag, config, secret()?, chance, now);
+        let fleet = Fleet::new(
+            &setup.name,
+            setup.address,
+            tag,
+            config,
+            secret()?,
+            chance,
+            now,
+        );
         let (condemned, probes) = (BTreeSet::new(), BTreeSet::new());
-        Ok(Hollow { fleet, draw, next_look: now, next_judge: now, condemned, probes })
+        Ok(Hollow {
+            fleet,
+            draw,
+            next_look: now,
+            next_judge: now,
+            condemned,
+            probes,
+        })
     }
 
     /// A datagram has come.
@@ -162,7 +198,10 @@
 
     /// When [`Hollow::turn`] has something to do.
     pub fn deadline(&self) -> f64 {
-        self.fleet.deadline().min(self.next_look).min(self.next_judge)
+        self.fleet
+            .deadline()
+            .min(self.next_look)
+            .min(self.next_judge)
     }
 
     /// What is to be sent next, and where to.
@@ -177,7 +216,9 @@
 
     /// An operator sends a server out for so many seconds; whether the node may say so.
     pub fn ban(&mut self, now: f64, server: &str, seconds: f64) -> bool {
-        self.fleet.ban(now, server, "scale", Some(seconds)).is_some()
+        self.fleet
+            .ban(now, server, "scale", Some(seconds))
+            .is_some()
     }
 
     /// This node has taken in a list.
@@ -187,21 +228,29 @@
 
     fn judge(&mut self, now: f64, listed: usize) {
         let condemned = self.fleet.condemned_servers(now, listed);
-        self.probes = condemned.iter().filter(|c| c.is_prober).map(|c| c.server.clone()).collect();
+        self.probes = condemned
+            .iter()
+            .filter(|c| c.is_prober)
+            .map(|c| c.server.clone())
+            .collect();
         self.condemned = condemned.into_iter().map(|c| c.server).collect();
     }
 
     /// Attempts at failing servers: none at one that is condemned, unless it is this node's turn to try it.
     fn attempt(&mut self, now: f64, failing: &[Failing]) {
         for server in failing {
-            let server = ServerInstance { name: server.name.clone(), since: server.since };
+            let server = ServerInstance {
+                name: server.name.clone(),
+                since: server.since,
+            };
             let sends = if self.condemned.contains(&server) {
                 self.probes.contains(&server)
             } else {
                 self.draw.fraction() < ATTEMPTS * JUDGE_EVERY
             };
             if sends {
-                self.fleet.record_outcome(now, &server, AttemptOutcome::ServerError);
+                self.fleet
+                    .record_outcome(now, &server, AttemptOutcome::ServerError);
             }
         }
     }
--- a/crates/rig/src/scale/limits.rs
+++ b/crates/rig/src/scale/limits.rs
@@ -109,17 +109,30 @@
     pub fn check(&self, size: &Size, real: usize) -> Result<(), TooLarge> {
         let nodes = size.nodes;
         if nodes < NODES_LEAST {
-            return Err(TooLarge::TooFew { nodes, least: NODES_LEAST });
+            return Err(TooLarge::TooFew {
+                nodes,
+                least: NODES_LEAST,
+            });
         }
         if nodes > self.fits_files() {
             let (needed, limit) = (nodes + FILES_RESERVED, self.files);
-            return Err(TooLarge::Sockets { nodes, needed, limit, fits: self.fits_files() });
+            return Err(TooLarge::Sockets {
+                nodes,
+                needed,
+                limit,
+                fits: self.fits_files(),
+            });
         }
         let needed = memory_of(nodes, size.servers);
         if needed > self.memory / 2 {
             let (needed_mib, half_mib) = (needed >> 20, (self.memory / 2) >> 20);
             let fits = self.fits_memory(size.servers);
-            return Err(TooLarge::Memory { nodes, needed_mib, half_mib, fits });
+            return Err(TooLarge::Memory {
+                nodes,
+                needed_mib,
+                half_mib,
+                fits,
+            });
         }
         let fits = PROCESSES_MOST - 10;
         if real > fits {
--- a/crates/rig/src/scale/lines.rs
+++ b/crates/rig/src/scale/lines.rs
@@ -7,8 +7,15 @@
 use std::path::Path;
 
 /// All axes.
-const AXES: [Axis; 7] =
-    [Axis::Nodes, Axis::Servers, Axis::Services, Axis::Routes, Axis::Tenants, Axis::Changes, Axis::Restarts];
+const AXES: [Axis; 7] = [
+    Axis::Nodes,
+    Axis::Servers,
+    Axis::Services,
+    Axis::Routes,
+    Axis::Tenants,
+    Axis::Changes,
+    Axis::Restarts,
+];
 
 /// Lines through runs of one name that differ along one axis alone, figure by figure. Runs that differ along more have
 /// none, nor have figures that are zero everywhere or of which too few points are there.
@@ -19,12 +26,17 @@
             names.push(&run.name);
         }
     }
-    names.into_iter().flat_map(|name| of_name(name, runs)).collect()
+    names
+        .into_iter()
+        .flat_map(|name| of_name(name, runs))
+        .collect()
 }
 
 fn of_name(name: &str, runs: &[Run]) -> Vec<Slope> {
     let runs: Vec<&Run> = runs.iter().filter(|run| run.name == name).collect();
-    let Some(axis) = only_axis(&runs) else { return Vec::new() };
+    let Some(axis) = only_axis(&runs) else {
+        return Vec::new();
+    };
     let line = |(figure, of): &Figure| {
         let point = |run: &&Run| Some((run.size.get(axis) as f64, of(run)?));
         let points: Vec<(f64, f64)> = runs.iter().filter_map(point).collect();
@@ -39,7 +51,10 @@
 /// The one axis along which runs differ.
 fn only_axis(runs: &[&Run]) -> Option<Axis> {
     let first = runs.first()?.size;
-    let differs = |axis: &Axis| runs.iter().any(|run| run.size.get(*axis) != first.get(*axis));
+    let differs = |axis: &Axis| {
+        runs.iter()
+            .any(|run| run.size.get(*axis) != first.get(*axis))
+    };
     let differing: Vec<Axis> = AXES.into_iter().filter(differs).collect();
     match differing.as_slice() {
         [axis] => Some(*axis),
@@ -54,9 +69,11 @@
 pub fn added(text: &str) -> Result<String> {
     let report: Report = serde_json::from_str(text)?;
     if report.schema != SCHEMA {
-        return Err(
-            format!("the report has schema {}, and this program reads {SCHEMA}", report.schema).into()
-        );
+        return Err(format!(
+            "the report has schema {}, and this program reads {SCHEMA}",
+            report.schema
+        )
+        .into());
     }
     let mut whole: serde_json::Value = serde_json::from_str(text)?;
     whole["slopes"] = serde_json::to_value(through(&report.runs))?;
--- a/crates/rig/src/scale/lists.rs
+++ b/crates/rig/src/scale/lists.rs
@@ -81,8 +81,12 @@
     /// So many servers, dealt into the lists of so many services.
     pub fn new(servers: usize, services: usize) -> Lists {
         let services = services.clamp(1, servers.max(1));
-        let failing: Vec<Failing> =
-            (0..FAILING.min(servers)).map(|n| Failing { name: server_name(n), since: 0 }).collect();
+        let failing: Vec<Failing> = (0..FAILING.min(servers))
+            .map(|n| Failing {
+                name: server_name(n),
+                since: 0,
+            })
+            .collect();
         let (told, _) = broadcast::channel(LINES_MOST);
         let state = State {
             since: vec![0; servers],
@@ -91,7 +95,12 @@
             gone: false,
             waiting: Vec::new(),
         };
-        Lists { services, state: Mutex::new(state), failing: RwLock::new(Arc::new(failing)), told }
+        Lists {
+            services,
+            state: Mutex::new(state),
+            failing: RwLock::new(Arc::new(failing)),
+            told,
+        }
     }
 
     /// How many servers there are.
@@ -106,7 +115,10 @@
 
     /// The servers that fail now.
     pub fn failing(&self) -> Arc<Vec<Failing>> {
-        self.failing.read().unwrap_or_else(PoisonError::into_inner).clone()
+        self.failing
+            .read()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// The whole list of one service.
@@ -124,18 +136,27 @@
     /// A server begins to fail, as one that is about to restart.
     pub fn fail(&self, server: usize) {
         let mut state = self.lock();
-        let Some(since) = state.since.get(server).copied() else { return };
-        state.failing.push(Failing { name: server_name(server), since });
+        let Some(since) = state.since.get(server).copied() else {
+            return;
+        };
+        state.failing.push(Failing {
+            name: server_name(server),
+            since,
+        });
         self.publish(&state);
     }
 
     /// A server is back from its restart, and the nodes are told so.
     pub fn restarted(&self, server: usize, told_us: u64) {
         let mut state = self.lock();
-        let Some(since) = state.since.get_mut(server) else { return };
+        let Some(since) = state.since.get_mut(server) else {
+            return;
+        };
         *since = told_us / 1000 + 1;
         let name = server_name(server);
-        state.failing.retain(|failing| failing.name != name || server < FAILING);
+        state
+            .failing
+            .retain(|failing| failing.name != name || server < FAILING);
         self.publish(&state);
         if state.gone {
             state.waiting.push(server);
@@ -160,7 +181,9 @@
         let list = server % self.services;
         state.index[list] += 1;
         // Nobody listens before the first node has started.
-        let _ = self.told.send(line(state, list, false, std::iter::once(server), told_us));
+        let _ = self
+            .told
+            .send(line(state, list, false, std::iter::once(server), told_us));
     }
 
     fn publish(&self, state: &State) {
@@ -173,7 +196,13 @@
     }
 }
 
-fn line(state: &State, list: usize, whole: bool, servers: impl Iterator<Item = usize>, told_us: u64) -> Line {
+fn line(
+    state: &State,
+    list: usize,
+    whole: bool,
+    servers: impl Iterator<Item = usize>,
+    told_us: u64,
+) -> Line {
     let server = |n: usize| {
         serde_json::json!({
             "name": server_name(n), "address": format!("127.0.0.1:{}", 1024 + n % 60_000), "zone": "a", "type": "k",
@@ -181,6 +210,11 @@
         })
     };
     let servers: Vec<_> = servers.map(server).collect();
-    let text = serde_json::json!({ "index": state.index[list], "snapshot": whole, "endpoints": servers });
-    Line { list: list_name(list).into(), text: text.to_string().into(), told_us }
+    let text =
+        serde_json::json!({ "index": state.index[list], "snapshot": whole, "endpoints": servers });
+    Line {
+        list: list_name(list).into(),
+        text: text.to_string().into(),
+        told_us,
+    }
 }
--- a/crates/rig/src/scale/machine.rs
+++ b/crates/rig/src/scale/machine.rs
@@ -14,7 +14,11 @@
     let memory = std::fs::read_to_string("/proc/meminfo")?;
     let files = open_files(&limits).ok_or("no limit of open files in /proc/self/limits")?;
     let memory = field_kib(&memory, "MemTotal:").ok_or("no MemTotal in /proc/meminfo")? << 10;
-    Ok(Machine { files, memory, cores: cores() })
+    Ok(Machine {
+        files,
+        memory,
+        cores: cores(),
+    })
 }
 
 /// Cores of the machine.
@@ -24,7 +28,9 @@
 
 /// The soft limit of open files, of the text of `/proc/self/limits`.
 pub fn open_files(limits: &str) -> Option<usize> {
-    let line = limits.lines().find_map(|line| line.strip_prefix("Max open files"))?;
+    let line = limits
+        .lines()
+        .find_map(|line| line.strip_prefix("Max open files"))?;
     match line.split_whitespace().next()? {
         "unlimited" => Some(usize::MAX),
         soft => soft.parse().ok(),
@@ -60,5 +66,7 @@
 /// # Errors
 /// If the system does not tell.
 pub fn thread_cpu() -> Result<Duration> {
-    Ok(Duration::from(clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID)?))
+    Ok(Duration::from(clock_gettime(
+        ClockId::CLOCK_THREAD_CPUTIME_ID,
+    )?))
 }
--- a/crates/rig/src/scale/network.rs
+++ b/crates/rig/src/scale/network.rs
@@ -32,7 +32,11 @@
         }
         let threads = threads.clamp(1, nodes.max(1));
         let shared = Arc::new(Shared::new(places, lists, threads, seed)?);
-        let mut network = Network { shared, threads: Vec::with_capacity(threads), resident_before };
+        let mut network = Network {
+            shared,
+            threads: Vec::with_capacity(threads),
+            resident_before,
+        };
         let mut dealt: Vec<Vec<(usize, UdpSocket)>> = (0..threads).map(|_| Vec::new()).collect();
         for (n, socket) in sockets.into_iter().enumerate() {
             dealt[n % threads].push((n, socket));
@@ -41,7 +45,9 @@
             let shared = network.shared.clone();
             let run = move || drive::thread(shared, thread, nodes);
             let name = format!("scale-{thread}");
-            network.threads.push(std::thread::Builder::new().name(name).spawn(run)?);
+            network
+                .threads
+                .push(std::thread::Builder::new().name(name).spawn(run)?);
         }
         Ok(network)
     }
@@ -66,7 +72,14 @@
     pub fn gathered(&self, beside: usize) -> bool {
         let running = self.running();
         let others = running.len() + beside;
-        let knows = |n: &usize| self.shared.places[*n].counters.members.load(Ordering::Relaxed) + 1 == others;
+        let knows = |n: &usize| {
+            self.shared.places[*n]
+                .counters
+                .members
+                .load(Ordering::Relaxed)
+                + 1
+                == others
+        };
         running.iter().all(knows)
     }
 
@@ -77,7 +90,9 @@
 
     /// The nodes of some zones.
     pub fn of_zones(&self, zones: std::ops::Range<usize>) -> Vec<usize> {
-        (0..self.nodes()).filter(|n| zones.contains(&self.shared.places[*n].zone)).collect()
+        (0..self.nodes())
+            .filter(|n| zones.contains(&self.shared.places[*n].zone))
+            .collect()
     }
 
     /// Cuts two zones apart, or lets them reach each other again.
@@ -103,8 +118,16 @@
     /// What all nodes have counted so far.
     pub fn totals(&self) -> Totals {
         let mut totals = Totals::default();
-        self.shared.places.iter().for_each(|place| totals.add(&place.counters));
-        let cpu: u64 = self.shared.cpu.iter().map(|cpu| cpu.load(Ordering::Relaxed)).sum();
+        self.shared
+            .places
+            .iter()
+            .for_each(|place| totals.add(&place.counters));
+        let cpu: u64 = self
+            .shared
+            .cpu
+            .iter()
+            .map(|cpu| cpu.load(Ordering::Relaxed))
+            .sum();
         totals.cpu = cpu as f64 / 1e6;
         totals
     }
@@ -112,7 +135,9 @@
     /// Begins a window: peaks, kinds and times until changes are in force count anew.
     pub fn begin_window(&self) -> Totals {
         self.shared.window.fetch_add(1, Ordering::Relaxed);
-        self.shared.window_us.store(self.shared.now_us(), Ordering::Relaxed);
+        self.shared
+            .window_us
+            .store(self.shared.now_us(), Ordering::Relaxed);
         self.shared.sampler.take();
         self.forces();
         self.totals()
@@ -131,7 +156,11 @@
 
     /// Most bytes of any node within a second of the window.
     pub fn peak(&self) -> f64 {
-        let peaks = self.shared.places.iter().map(|place| place.counters.peak.load(Ordering::Relaxed));
+        let peaks = self
+            .shared
+            .places
+            .iter()
+            .map(|place| place.counters.peak.load(Ordering::Relaxed));
         peaks.max().unwrap_or(0) as f64
     }
 
@@ -146,7 +175,12 @@
 
     /// A generator of its own for each matter.
     pub fn draw(&self, matter: u64) -> Draw {
-        Draw(self.shared.seed.wrapping_mul(0x9e37_79b9).wrapping_add(matter))
+        Draw(
+            self.shared
+                .seed
+                .wrapping_mul(0x9e37_79b9)
+                .wrapping_add(matter),
+        )
     }
 }
 
--- a/crates/rig/src/scale/plot.rs
+++ b/crates/rig/src/scale/plot.rs
@@ -27,8 +27,10 @@
 /// The file of a plot: its axis and its figure, in letters, digits and `-`.
 pub fn file_name(slope: &Slope) -> String {
     let text = format!("{:?} {}", slope.axis, slope.figure).to_lowercase();
-    let words: Vec<&str> =
-        text.split(|c: char| !c.is_ascii_alphanumeric()).filter(|w| !w.is_empty()).collect();
+    let words: Vec<&str> = text
+        .split(|c: char| !c.is_ascii_alphanumeric())
+        .filter(|w| !w.is_empty())
+        .collect();
     format!("{}.svg", words.join("-"))
 }
 
@@ -40,16 +42,31 @@
     let (least, most) = widened(range(measured.chain(drawn).chain([0.0])));
     let area = SVGBackend::new(file, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
-    let caption = if slope.bent { format!("{} (bent)", slope.figure) } else { slope.figure.clone() };
+    let caption = if slope.bent {
+        format!("{} (bent)", slope.figure)
+    } else {
+        slope.figure.clone()
+    };
     let mut chart = ChartBuilder::on(&area)
         .caption(caption, ("sans-serif", 16))
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(80)
         .build_cartesian_2d(low..high, least..most)?;
-    chart.configure_mesh().x_desc(format!("{:?}", slope.axis)).draw()?;
-    chart.draw_series(LineSeries::new([(low, line(low)), (high, line(high))], &BLUE))?;
-    chart.draw_series(slope.points.iter().map(|point| Circle::new(*point, 4, BLACK.filled())))?;
+    chart
+        .configure_mesh()
+        .x_desc(format!("{:?}", slope.axis))
+        .draw()?;
+    chart.draw_series(LineSeries::new(
+        [(low, line(low)), (high, line(high))],
+        &BLUE,
+    ))?;
+    chart.draw_series(
+        slope
+            .points
+            .iter()
+            .map(|point| Circle::new(*point, 4, BLACK.filled())),
+    )?;
     area.present()?;
     Ok(())
 }
--- a/crates/rig/src/scale/real.rs
+++ b/crates/rig/src/scale/real.rs
@@ -49,7 +49,11 @@
             // Waited for, so that no process is left behind.
             let _ = node.ended().await;
         });
-        Running { address, pid, _task: task }
+        Running {
+            address,
+            pid,
+            _task: task,
+        }
     }
 }
 
@@ -63,7 +67,12 @@
     ///
     /// # Errors
     /// If something does not start.
-    pub async fn start(program: &Program, count: usize, network: &Network, listed: usize) -> Result<Self> {
+    pub async fn start(
+        program: &Program,
+        count: usize,
+        network: &Network,
+        listed: usize,
+    ) -> Result<Self> {
         let mut servers = Vec::with_capacity(SERVERS);
         for n in 0..SERVERS {
             servers.push(Server::start(&format!("s{n}"), 16, Manner::good(TAKES), n as u64).await?);
@@ -83,7 +92,12 @@
             }
             nodes.push(Running::keep(node));
         }
-        Ok(RealNodes { nodes, discovery, _servers: servers, _folder: folder })
+        Ok(RealNodes {
+            nodes,
+            discovery,
+            _servers: servers,
+            _folder: folder,
+        })
     }
 
     /// How many there are.
@@ -96,7 +110,9 @@
         if server >= LISTED_MOST {
             return;
         }
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let since = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let since_ms = u64::try_from(since.as_millis()).unwrap_or(u64::MAX);
         let entry = Listed::active(&server_name(server), listed_address(server));
         self.discovery.tell(&[Listed { since_ms, ..entry }]);
@@ -130,7 +146,11 @@
             source: Source::RealNodes,
             size: *size,
             seconds,
-            per_node: PerNode { cpu, memory: Some(memory / count), ..PerNode::default() },
+            per_node: PerNode {
+                cpu,
+                memory: Some(memory / count),
+                ..PerNode::default()
+            },
             in_force: None,
             requests: None,
             read_bytes: None,
@@ -149,7 +169,13 @@
             let time = Duration::from_secs_f64(seconds);
             running.spawn(async move {
                 let kinds = [Kind::evaluate(name, RATE)];
-                load::run(address, &kinds, time, seed.wrapping_mul(97).wrapping_add(n as u64)).await
+                load::run(
+                    address,
+                    &kinds,
+                    time,
+                    seed.wrapping_mul(97).wrapping_add(n as u64),
+                )
+                .await
             });
         }
         let mut all: Option<Histogram<u64>> = None;
@@ -175,20 +201,34 @@
 ///
 /// # Errors
 /// If two rounds can't be added.
-pub fn request_times(rest: &[Histogram<u64>], under: &[Histogram<u64>]) -> Result<Option<RequestTimes>> {
-    let (Some(at_rest), Some(under_changes)) = (times(rest)?, times(under)?) else { return Ok(None) };
-    Ok(Some(RequestTimes { at_rest, under_changes }))
+pub fn request_times(
+    rest: &[Histogram<u64>],
+    under: &[Histogram<u64>],
+) -> Result<Option<RequestTimes>> {
+    let (Some(at_rest), Some(under_changes)) = (times(rest)?, times(under)?) else {
+        return Ok(None);
+    };
+    Ok(Some(RequestTimes {
+        at_rest,
+        under_changes,
+    }))
 }
 
 fn times(rounds: &[Histogram<u64>]) -> Result<Option<Times>> {
-    let Some((first, others)) = rounds.split_first() else { return Ok(None) };
+    let Some((first, others)) = rounds.split_first() else {
+        return Ok(None);
+    };
     let mut all = first.clone();
     for other in others {
         all.add(other)?;
     }
     let seconds = |us: u64| us as f64 / 1e6;
     let (p50, p99) = (all.value_at_quantile(0.5), all.value_at_quantile(0.99));
-    Ok(Some(Times { p50: seconds(p50), p99: seconds(p99), last: seconds(all.max()) }))
+    Ok(Some(Times {
+        p50: seconds(p50),
+        p99: seconds(p99),
+        last: seconds(all.max()),
+    }))
 }
 
 /// An address of a listed server: nobody is there, and nobody asks for it.
@@ -199,11 +239,25 @@
 
 /// The settings of one node: a service of stand-in servers that is asked, and one with the list that is not.
 fn settings(
-    n: usize, count: usize, network: &Network, key: &std::path::Path, servers: &[Server], list: SocketAddr,
+    n: usize,
+    count: usize,
+    network: &Network,
+    key: &std::path::Path,
+    servers: &[Server],
+    list: SocketAddr,
 ) -> String {
-    let seeds: Vec<String> = network.shared.seeds().iter().map(|seed| format!("\"{seed}\"")).collect();
-    let server =
-        |s: &Server| format!("[[service.server]]\nname = \"{}\"\naddress = \"{}\"\n", s.name, s.address);
+    let seeds: Vec<String> = network
+        .shared
+        .seeds()
+        .iter()
+        .map(|seed| format!("\"{seed}\""))
+        .collect();
+    let server = |s: &Server| {
+        format!(
+            "[[service.server]]\nname = \"{}\"\naddress = \"{}\"\n",
+            s.name, s.address
+        )
+    };
     let servers: String = servers.iter().map(server).collect();
     let service = |name: &str, source: &str, servers: &str| {
         format!(
--- a/crates/rig/src/scale/record.rs
+++ b/crates/rig/src/scale/record.rs
@@ -167,7 +167,9 @@
         }
         let Schema { schema } = serde_json::from_str(text)?;
         if schema != SCHEMA {
-            return Err(format!("the report has schema {schema}, and this program reads {SCHEMA}").into());
+            return Err(
+                format!("the report has schema {schema}, and this program reads {SCHEMA}").into(),
+            );
         }
         Ok(serde_json::from_str(text)?)
     }
@@ -197,7 +199,10 @@
         format!("nodes {} servers {}", size.nodes, size.servers)
     };
     let percent = per_node.cpu * 100.0;
-    let mut line = format!("{} [{:?}] {size}: {percent:.4} % of a core", run.name, run.source);
+    let mut line = format!(
+        "{} [{:?}] {size}: {percent:.4} % of a core",
+        run.name, run.source
+    );
     if let Some(memory) = per_node.memory {
         line += &format!(", {:.2} MiB", memory / f64::from(1 << 20));
     }
@@ -215,7 +220,10 @@
         );
     }
     if let Some(times) = &run.in_force {
-        line += &format!(", in force p50 {:.3} s p99 {:.3} s last {:.3} s", times.p50, times.p99, times.last);
+        line += &format!(
+            ", in force p50 {:.3} s p99 {:.3} s last {:.3} s",
+            times.p50, times.p99, times.last
+        );
     }
     if let Some(requests) = &run.requests {
         let (rest, under) = (requests.at_rest, requests.under_changes);
@@ -250,7 +258,10 @@
             );
         }
         (None, Some(bend)) => {
-            text += &format!("; bent (t {:.2}, bound {:.2}): no projection", bend.t, bend.bound);
+            text += &format!(
+                "; bent (t {:.2}, bound {:.2}): no projection",
+                bend.t, bend.bound
+            );
         }
         (None, None) => text += "; bent: no projection",
     }
@@ -259,9 +270,13 @@
 
 /// The commit of the working directory's repository, with `-dirty` if files differ from it.
 fn commit() -> String {
-    let output = Command::new("git").args(["describe", "--always", "--dirty", "--abbrev=12"]).output();
+    let output = Command::new("git")
+        .args(["describe", "--always", "--dirty", "--abbrev=12"])
+        .output();
     match output {
-        Ok(output) if output.status.success() => String::from_utf8_lossy(&output.stdout).trim().to_owned(),
+        Ok(output) if output.status.success() => {
+            String::from_utf8_lossy(&output.stdout).trim().to_owned()
+        }
         Ok(_) | Err(_) => "unknown".to_owned(),
     }
 }
--- a/crates/rig/src/scale/settings.rs
+++ b/crates/rig/src/scale/settings.rs
@@ -67,7 +67,11 @@
 }
 
 fn route(service: usize, n: usize) -> String {
-    let (method, class) = if n.is_multiple_of(WRITES_EVERY) { ("POST", "write") } else { ("GET", "read") };
+    let (method, class) = if n.is_multiple_of(WRITES_EVERY) {
+        ("POST", "write")
+    } else {
+        ("GET", "read")
+    };
     format!(
         "\n[[service.route]]\nhost = \"service-{service}.example.org\"\npath = \"/v1/route-{n}\"\n\
          methods = [\"{method}\"]\nassign = \"{class}\"\n"
@@ -76,7 +80,10 @@
 
 fn server(n: usize) -> String {
     let number = u32::try_from(n + 1).unwrap_or(u32::MAX);
-    let address = SocketAddrV4::new(Ipv4Addr::from(BEFORE_SERVERS.saturating_add(number)), SERVER_PORT);
+    let address = SocketAddrV4::new(
+        Ipv4Addr::from(BEFORE_SERVERS.saturating_add(number)),
+        SERVER_PORT,
+    );
     let zone = n % ZONES;
     format!("\n[[service.server]]\nname = \"server-{n}\"\naddress = \"{address}\"\nzone = \"zone-{zone}\"\n")
 }
--- a/crates/rig/src/scale/shared.rs
+++ b/crates/rig/src/scale/shared.rs
@@ -71,7 +71,10 @@
 
     /// An operator sends a server out at this node for so many seconds.
     pub fn ban(&self, seconds: f64) {
-        self.bans.lock().unwrap_or_else(PoisonError::into_inner).push(seconds);
+        self.bans
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(seconds);
     }
 
     /// The bans that wait to be said.
@@ -139,7 +142,10 @@
             ports: (0..=u16::MAX).map(|_| AtomicU8::new(NO_ZONE)).collect(),
             seed,
         };
-        shared.places.iter().for_each(|place| shared.set_zone(place.address, place.zone));
+        shared
+            .places
+            .iter()
+            .for_each(|place| shared.set_zone(place.address, place.zone));
         Ok(shared)
     }
 
@@ -172,7 +178,11 @@
 
     /// Where nodes ask to be let in.
     pub fn seeds(&self) -> Vec<SocketAddr> {
-        self.places.iter().take(SEEDS).map(|place| place.address).collect()
+        self.places
+            .iter()
+            .take(SEEDS)
+            .map(|place| place.address)
+            .collect()
     }
 
     /// Whether a datagram between a zone and an address passes.
@@ -208,7 +218,10 @@
 
     /// Whole lists, as a node that starts reads them.
     pub fn wholes(&self) -> Arc<Vec<Line>> {
-        self.wholes.read().unwrap_or_else(PoisonError::into_inner).clone()
+        self.wholes
+            .read()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 }
 
@@ -229,5 +242,7 @@
 
 /// All lists as they are now.
 fn whole_lists(lists: &Lists, told_us: u64) -> Vec<Line> {
-    (0..lists.lists()).map(|list| lists.whole(list, told_us)).collect()
+    (0..lists.lists())
+        .map(|list| lists.whole(list, told_us))
+        .collect()
 }
--- a/crates/rig/src/scale/single.rs
+++ b/crates/rig/src/scale/single.rs
@@ -77,11 +77,16 @@
     }
     let starts_in = STARTS_IN.min(plan.deadline.left());
     let gathered = until_gathered(&network, real.count(), starts_in).await;
-    record.gathered.push(Gathered { after: "start".to_owned(), seconds: gathered });
+    record.gathered.push(Gathered {
+        after: "start".to_owned(),
+        seconds: gathered,
+    });
     match gathered {
         Some(took) => record.note(format!("start: all know all after {took:.1} s")),
         None => {
-            record.left_out(format!("all: not all nodes know each other after {starts_in:?}"));
+            record.left_out(format!(
+                "all: not all nodes know each other after {starts_in:?}"
+            ));
             return Ok(record);
         }
     }
@@ -95,7 +100,10 @@
 }
 
 async fn computations(plan: &Plan, record: &mut Record) {
-    let list = Size { servers: plan.size.servers / plan.size.services.max(1), ..plan.size };
+    let list = Size {
+        servers: plan.size.servers / plan.size.services.max(1),
+        ..plan.size
+    };
     let all = [
         (Computation::Settings, plan.size),
         (Computation::ServerList, list),
@@ -110,9 +118,22 @@
 }
 
 /// Nothing changes and nobody asks: what control costs by itself.
-async fn quiet(plan: &Plan, network: &Network, real: &RealNodes, record: &mut Record) -> Result<()> {
+async fn quiet(
+    plan: &Plan,
+    network: &Network,
+    real: &RealNodes,
+    record: &mut Record,
+) -> Result<()> {
     let before = real.usage()?;
-    let measured = measure(network, "quiet", &plan.size, Rates::NONE, plan.seconds, plan.seed).await?;
+    let measured = measure(
+        network,
+        "quiet",
+        &plan.size,
+        Rates::NONE,
+        plan.seconds,
+        plan.seed,
+    )
+    .await?;
     let (size, seconds) = (measured.run.size, measured.run.seconds);
     keep(record, measured);
     if real.count() > 0 {
@@ -122,35 +143,73 @@
 }
 
 /// Requests through the real nodes, in turn at rest and while changes arrive.
-async fn requests(plan: &Plan, network: &Network, real: &RealNodes, record: &mut Record) -> Result<()> {
+async fn requests(
+    plan: &Plan,
+    network: &Network,
+    real: &RealNodes,
+    record: &mut Record,
+) -> Result<()> {
     let (mut rest, mut under) = (Vec::new(), Vec::new());
     let round = Duration::from_secs_f64(2.0 * plan.seconds) + DRAIN;
     let mut last = None;
     for n in 0..ROUNDS {
         if !plan.deadline.allows(round) {
-            record.left_out(format!("round {n} of {ROUNDS} of requests at rest and under changes"));
+            record.left_out(format!(
+                "round {n} of {ROUNDS} of requests at rest and under changes"
+            ));
             break;
         }
         let rates = Rates::of(&plan.size);
         if real.count() == 0 {
-            keep(record, measure(network, "changes", &plan.size, rates, plan.seconds, plan.seed + n).await?);
+            keep(
+                record,
+                measure(
+                    network,
+                    "changes",
+                    &plan.size,
+                    rates,
+                    plan.seconds,
+                    plan.seed + n,
+                )
+                .await?,
+            );
             continue;
         }
         rest.push(real.load(plan.seconds, plan.seed + 2 * n).await?);
         let before = real.usage()?;
         let restarted = |server: usize| real.restarted(server);
-        let changes =
-            measure_with(network, "changes", &plan.size, rates, plan.seconds, plan.seed + n, &restarted);
-        let (measured, loaded) = tokio::join!(changes, real.load(plan.seconds, plan.seed + 2 * n + 1));
+        let changes = measure_with(
+            network,
+            "changes",
+            &plan.size,
+            rates,
+            plan.seconds,
+            plan.seed + n,
+            &restarted,
+        );
+        let (measured, loaded) =
+            tokio::join!(changes, real.load(plan.seconds, plan.seed + 2 * n + 1));
         let measured = measured?;
         under.push(loaded?);
-        last = Some(real.run("requests", &plan.size, &before, measured.run.seconds + DRAIN.as_secs_f64())?);
+        last = Some(real.run(
+            "requests",
+            &plan.size,
+            &before,
+            measured.run.seconds + DRAIN.as_secs_f64(),
+        )?);
         keep(record, measured);
         let us = |all: &[hdrhistogram::Histogram<u64>], share: f64| {
-            all.last().map_or(0.0, |h| h.value_at_quantile(share) as f64)
+            all.last()
+                .map_or(0.0, |h| h.value_at_quantile(share) as f64)
         };
-        let (p50, p99) = (us(&under, 0.5) - us(&rest, 0.5), us(&under, 0.99) - us(&rest, 0.99));
-        record.added.push(Added { p50: p50 / 1e6, p99: p99 / 1e6 });
+        let (p50, p99) = (
+            us(&under, 0.5) - us(&rest, 0.5),
+            us(&under, 0.99) - us(&rest, 0.99),
+        );
+        record.added.push(Added {
+            p50: p50 / 1e6,
+            p99: p99 / 1e6,
+        });
         record.note(format!(
             "requests, round {n}: under changes less at rest p50 {p50:+.0} us, p99 {p99:+.0} us"
         ));
@@ -164,7 +223,12 @@
 
 /// The worst moments, one after another.
 async fn moments(plan: &Plan, network: &Network, beside: usize, record: &mut Record) {
-    let moments = Moments { network, beside, size: &plan.size, deadline: plan.deadline };
+    let moments = Moments {
+        network,
+        beside,
+        size: &plan.size,
+        deadline: plan.deadline,
+    };
     for name in ["zone-gone", "region-start", "drawn-faults", "region-cut"] {
         if !plan.deadline.allows(MOMENT_MOST) {
             record.left_out(format!("{name}: the time is over"));
--- a/crates/rig/src/scale/smoke.rs
+++ b/crates/rig/src/scale/smoke.rs
@@ -36,10 +36,15 @@
 /// # Errors
 /// If the report can't be written and read.
 pub fn run(seed: u64) -> Result<Smoke> {
-    let mut smoke = Smoke { record: Record::new(seed), broken: Vec::new() };
+    let mut smoke = Smoke {
+        record: Record::new(seed),
+        broken: Vec::new(),
+    };
     let (mut bytes, mut messages) = (Vec::new(), Vec::new());
     for nodes in SIZES {
-        let Some(run) = fleet(nodes, seed, &mut smoke.broken) else { continue };
+        let Some(run) = fleet(nodes, seed, &mut smoke.broken) else {
+            continue;
+        };
         let total = |of: fn(&Traffic) -> f64| run.per_node.traffic.iter().map(of).sum::<f64>();
         bytes.push((nodes as f64, total(|t| t.bytes_out)));
         messages.push((nodes as f64, total(|t| t.messages_out)));
@@ -49,13 +54,20 @@
         match fit::slope(Axis::Nodes, figure, &points) {
             // Nothing is said of larger fleets here: that is for runs of larger ones.
             Some(slope) => smoke.record.report.slopes.push(slope),
-            None => smoke.broken.push(format!("{figure}: no line through {} points", points.len())),
+            None => smoke
+                .broken
+                .push(format!("{figure}: no line through {} points", points.len())),
         }
     }
     smoke.broken.extend(statistics());
     let read = Record::from_json(&smoke.record.to_json()?)?;
-    if !alike(&serde_json::to_value(&read)?, &serde_json::to_value(&smoke.record)?) {
-        smoke.broken.push("the report is not read as it was written".to_owned());
+    if !alike(
+        &serde_json::to_value(&read)?,
+        &serde_json::to_value(&smoke.record)?,
+    ) {
+        smoke
+            .broken
+            .push("the report is not read as it was written".to_owned());
     }
     Ok(smoke)
 }
@@ -72,14 +84,23 @@
         }
         (Value::Object(a), Value::Object(b)) => {
             a.len() == b.len()
-                && a.iter().all(|(name, one)| b.get(name).is_some_and(|other| alike(one, other)))
+                && a.iter()
+                    .all(|(name, one)| b.get(name).is_some_and(|other| alike(one, other)))
         }
         (one, other) => one == other,
     }
 }
 
 fn size(nodes: usize) -> Size {
-    Size { nodes, servers: 20, services: 1, routes: 0, tenants: 0, changes: 0, restarts: 0 }
+    Size {
+        nodes,
+        servers: 20,
+        services: 1,
+        routes: 0,
+        tenants: 0,
+        changes: 0,
+        restarts: 0,
+    }
 }
 
 /// Plays one fleet: it gathers, rests for a window, and hears of a ban.
@@ -87,7 +108,9 @@
     let mut world = World::new(nodes, seed, |_| rules());
     while !world.gathered() {
         if world.t > GATHERS_IN {
-            broken.push(format!("{nodes} nodes do not know each other after {GATHERS_IN} s"));
+            broken.push(format!(
+                "{nodes} nodes do not know each other after {GATHERS_IN} s"
+            ));
             return None;
         }
         world.run(0.1);
@@ -106,12 +129,17 @@
         messages_out: messages,
     };
     if 2.0 * bytes > BYTES_MOST {
-        broken.push(format!("{nodes} nodes: {:.0} B/s a node, {BYTES_MOST} at most", 2.0 * bytes));
+        broken.push(format!(
+            "{nodes} nodes: {:.0} B/s a node, {BYTES_MOST} at most",
+            2.0 * bytes
+        ));
     }
     let in_force = ban(&mut world);
     if in_force.len() < nodes {
-        broken
-            .push(format!("{nodes} nodes: a ban is in force at {} within {IN_FORCE_MOST} s", in_force.len()));
+        broken.push(format!(
+            "{nodes} nodes: a ban is in force at {} within {IN_FORCE_MOST} s",
+            in_force.len()
+        ));
     }
     broken.extend(world.broken.iter().map(|b| format!("{nodes} nodes: {b}")));
     Some(Run {
@@ -119,7 +147,10 @@
         source: Source::VirtualTime,
         size: size(nodes),
         seconds: WINDOW,
-        per_node: PerNode { traffic: vec![traffic], ..PerNode::default() },
+        per_node: PerNode {
+            traffic: vec![traffic],
+            ..PerNode::default()
+        },
         in_force: times(&in_force),
         requests: None,
         read_bytes: None,
@@ -130,12 +161,17 @@
 /// Sends a server out by hand at the first node; how long it took to each.
 fn ban(world: &mut World) -> Vec<f64> {
     let begun = world.t;
-    world.at(0, |fleet, now| fleet.ban(now, "server-1", "smoke", Some(60.0)));
+    world.at(0, |fleet, now| {
+        fleet.ban(now, "server-1", "smoke", Some(60.0))
+    });
     let mut took = Vec::new();
     let mut waiting: BTreeSet<usize> = (0..world.nodes.len()).collect();
     while !waiting.is_empty() && world.t - begun < IN_FORCE_MOST {
-        let there: Vec<usize> =
-            waiting.iter().copied().filter(|n| world.out(*n).contains("server-1")).collect();
+        let there: Vec<usize> = waiting
+            .iter()
+            .copied()
+            .filter(|n| world.out(*n).contains("server-1"))
+            .collect();
         for n in there {
             waiting.remove(&n);
             took.push(world.t - begun);
@@ -149,7 +185,11 @@
 fn statistics() -> Vec<String> {
     let noise = [0.3, -0.2, 0.1, -0.4, 0.2, 0.0];
     let points = |of: fn(f64) -> f64| -> Vec<(f64, f64)> {
-        noise.iter().enumerate().map(|(n, noise)| (n as f64, of(n as f64) + noise)).collect()
+        noise
+            .iter()
+            .enumerate()
+            .map(|(n, noise)| (n as f64, of(n as f64) + noise))
+            .collect()
     };
     let mut broken = Vec::new();
     match fit::slope(Axis::Nodes, "line", &points(|x| 2.0 + 3.0 * x)) {
--- a/crates/rig/src/scale/sweep.rs
+++ b/crates/rig/src/scale/sweep.rs
@@ -31,7 +31,11 @@
 pub const CHANGES: [usize; 5] = [13_000, 39_000, 65_000, 91_000, 117_000];
 /// What stays as it is while services, routes or tenants are swept. Each service has a route at least: there are as
 /// many routes as the most services.
-pub const SETTINGS_BASE: Size = Size { services: 100, routes: 2_600, ..BASE };
+pub const SETTINGS_BASE: Size = Size {
+    services: 100,
+    routes: 2_600,
+    ..BASE
+};
 
 /// A computation over sizes of one axis.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -50,8 +54,18 @@
 const LISTED: [usize; 6] = [1_000, 2_000, 3_000, 4_000, 5_000, 6_000];
 /// What is computed.
 pub const COMPUTED: [ComputedSweep; 5] = [
-    ComputedSweep { computation: Computation::ServerList, axis: Axis::Servers, base: BASE, sizes: LISTED },
-    ComputedSweep { computation: Computation::ServerChange, axis: Axis::Servers, base: BASE, sizes: LISTED },
+    ComputedSweep {
+        computation: Computation::ServerList,
+        axis: Axis::Servers,
+        base: BASE,
+        sizes: LISTED,
+    },
+    ComputedSweep {
+        computation: Computation::ServerChange,
+        axis: Axis::Servers,
+        base: BASE,
+        sizes: LISTED,
+    },
     ComputedSweep {
         computation: Computation::Settings,
         axis: Axis::Services,
@@ -94,11 +108,23 @@
 /// The figures of runs with hollow nodes.
 pub const NETWORK_FIGURES: [Figure; 4] = [
     ("control traffic of a node, in and out, B/s", |run| {
-        Some(run.per_node.traffic.iter().map(|t: &Traffic| t.bytes_in + t.bytes_out).sum())
+        Some(
+            run.per_node
+                .traffic
+                .iter()
+                .map(|t: &Traffic| t.bytes_in + t.bytes_out)
+                .sum(),
+        )
+    }),
+    ("most control traffic of a node in 1 s, B", |run| {
+        Some(run.per_node.peak_bytes)
+    }),
+    ("control processor time of a node, % of a core", |run| {
+        Some(run.per_node.cpu * 100.0)
+    }),
+    ("time until a ban is in force, p99, s", |run| {
+        run.in_force.map(|times| times.p99)
     }),
-    ("most control traffic of a node in 1 s, B", |run| Some(run.per_node.peak_bytes)),
-    ("control processor time of a node, % of a core", |run| Some(run.per_node.cpu * 100.0)),
-    ("time until a ban is in force, p99, s", |run| run.in_force.map(|times| times.p99)),
 ];
 /// Of the first window of each fleet: later ones follow it in the same process.
 const NETWORK_MEMORY: Figure = ("memory of a node, B", |run| run.per_node.memory);
@@ -127,14 +153,23 @@
 /// # Errors
 /// If the sizes do not fit the machine, or something does not start.
 pub async fn run(plan: &Plan) -> Result<Record> {
-    let largest = Size { nodes: NODES[NODES.len() - 1], ..BASE };
+    let largest = Size {
+        nodes: NODES[NODES.len() - 1],
+        ..BASE
+    };
     machine::machine()?.check(&largest, 0)?;
     let mut record = Record::new(plan.seed);
     for sweep in COMPUTED {
         let sizes = sweep.sizes.map(|value| sweep.base.with(sweep.axis, value));
         let runs = computed(plan, sweep.computation, &sizes, &mut record).await;
         let of = format!("{}: ", sweep.computation.name());
-        lines(sweep.axis, &runs, figures(sweep.computation), &of, &mut record);
+        lines(
+            sweep.axis,
+            &runs,
+            figures(sweep.computation),
+            &of,
+            &mut record,
+        );
     }
     settings_together(plan, &mut record).await;
     let mut runs = Vec::new();
@@ -148,11 +183,19 @@
 }
 
 /// A computation at some sizes, one after another.
-async fn computed(plan: &Plan, computation: Computation, sizes: &[Size], record: &mut Record) -> Vec<Run> {
+async fn computed(
+    plan: &Plan,
+    computation: Computation,
+    sizes: &[Size],
+    record: &mut Record,
+) -> Vec<Run> {
     let mut runs = Vec::new();
     for size in sizes {
         if plan.deadline.left().is_zero() {
-            record.left_out(format!("{} at {size:?}: the time is over", computation.name()));
+            record.left_out(format!(
+                "{} at {size:?}: the time is over",
+                computation.name()
+            ));
             break;
         }
         match computation::measured(&plan.rig, computation, size, plan.deadline.left()).await {
@@ -171,15 +214,32 @@
 
 /// Settings by services and routes, and by their product.
 async fn settings_together(plan: &Plan, record: &mut Record) {
-    let of = |services| ROUTES_TOGETHER.map(|routes| Size { services, routes, ..SETTINGS_BASE });
+    let of = |services| {
+        ROUTES_TOGETHER.map(|routes| Size {
+            services,
+            routes,
+            ..SETTINGS_BASE
+        })
+    };
     let sizes: Vec<Size> = SERVICES_TOGETHER.into_iter().flat_map(of).collect();
     let runs = computed(plan, Computation::Settings, &sizes, record).await;
-    products((Axis::Services, Axis::Routes), &COMPUTED_FIGURES, "settings: ", &runs, record);
+    products(
+        (Axis::Services, Axis::Routes),
+        &COMPUTED_FIGURES,
+        "settings: ",
+        &runs,
+        record,
+    );
 }
 
 /// One fleet, in a process of its own: a window at the base's rates, and others where it is swept by rates too.
 async fn network(plan: &Plan, size: &Size, record: &mut Record) -> Result<Vec<Run>> {
-    let fleet = fleet::Plan { size: *size, windows: windows(size), seconds: plan.seconds, seed: plan.seed };
+    let fleet = fleet::Plan {
+        size: *size,
+        windows: windows(size),
+        seconds: plan.seconds,
+        seed: plan.seed,
+    };
     if !plan.deadline.allows(fleet::SETTLES + 2 * fleet.window()) {
         record.left_out(format!("{} nodes: the time is over", size.nodes));
         return Ok(Vec::new());
@@ -212,17 +272,29 @@
 /// Lines along nodes, restarts and changes, and nodes with restarts together.
 fn network_lines(runs: &[Run], record: &mut Record) {
     let of = |holds: &dyn Fn(&Size) -> bool| -> Vec<Run> {
-        runs.iter().filter(|run| holds(&run.size)).cloned().collect()
+        runs.iter()
+            .filter(|run| holds(&run.size))
+            .cloned()
+            .collect()
     };
     let by_nodes = of(&|size| Rates::of(size) == Rates::of(&BASE));
-    let figures: Vec<Figure> = NETWORK_FIGURES.into_iter().chain([NETWORK_MEMORY]).collect();
+    let figures: Vec<Figure> = NETWORK_FIGURES
+        .into_iter()
+        .chain([NETWORK_MEMORY])
+        .collect();
     lines(Axis::Nodes, &by_nodes, &figures, "", record);
     let by_restarts = of(&|size| size.nodes == BASE.nodes && size.changes == BASE.changes);
     lines(Axis::Restarts, &by_restarts, &NETWORK_FIGURES, "", record);
     let by_changes = of(&|size| size.nodes == BASE.nodes && size.restarts == BASE.restarts);
     lines(Axis::Changes, &by_changes, &NETWORK_FIGURES, "", record);
     let together = of(&|size| NODES_TOGETHER.contains(&size.nodes));
-    products((Axis::Nodes, Axis::Restarts), &NETWORK_FIGURES[..3], "", &together, record);
+    products(
+        (Axis::Nodes, Axis::Restarts),
+        &NETWORK_FIGURES[..3],
+        "",
+        &together,
+        record,
+    );
 }
 
 /// Lines through the figures of runs along an axis.
@@ -232,9 +304,10 @@
         let points: Vec<(f64, f64)> = runs.iter().filter_map(point).collect();
         match fit::slope(axis, &format!("{of}{name}"), &points) {
             Some(slope) => record.add_slope(slope),
-            None => {
-                record.left_out(format!("{of}{name} over {axis:?}: no line through {} points", points.len()))
-            }
+            None => record.left_out(format!(
+                "{of}{name} over {axis:?}: no line through {} points",
+                points.len()
+            )),
         }
     }
 }
@@ -255,25 +328,46 @@
 
 /// A figure by two axes and their product.
 pub fn product(
-    axes: (Axis, Axis), name: &str, figure: fn(&Run) -> Option<f64>, runs: &[Run],
+    axes: (Axis, Axis),
+    name: &str,
+    figure: fn(&Run) -> Option<f64>,
+    runs: &[Run],
 ) -> Option<Product> {
     let at = |run: &Run, axis: Axis| run.size.get(axis) as f64;
     let point = |run: &Run| Some((at(run, axes.0), at(run, axes.1), figure(run)?));
     let points: Vec<(f64, f64, f64)> = runs.iter().filter_map(point).collect();
-    let rows: Vec<Vec<f64>> = points.iter().map(|(x, y, _)| vec![1.0, *x, *y, x * y]).collect();
+    let rows: Vec<Vec<f64>> = points
+        .iter()
+        .map(|(x, y, _)| vec![1.0, *x, *y, x * y])
+        .collect();
     let figures: Vec<f64> = points.iter().map(|(_, _, figure)| *figure).collect();
-    let fit = fit::least_squares(&rows, &figures).filter(|fit| fit.errors.iter().all(|e| e.is_finite()))?;
-    Some(Product { axes, figure: name.to_owned(), points, factors: fit.factors, standard_errors: fit.errors })
+    let fit = fit::least_squares(&rows, &figures)
+        .filter(|fit| fit.errors.iter().all(|e| e.is_finite()))?;
+    Some(Product {
+        axes,
+        figure: name.to_owned(),
+        points,
+        factors: fit.factors,
+        standard_errors: fit.errors,
+    })
 }
 
 fn print_product(product: &Product) {
     let (one, other) = product.axes;
-    let terms =
-        ["constant".to_owned(), format!("{one:?}"), format!("{other:?}"), format!("{one:?} x {other:?}")];
+    let terms = [
+        "constant".to_owned(),
+        format!("{one:?}"),
+        format!("{other:?}"),
+        format!("{one:?} x {other:?}"),
+    ];
     let parts: Vec<String> = terms
         .iter()
         .zip(product.factors.iter().zip(&product.standard_errors))
         .map(|(term, (factor, error))| format!("{term} {factor:.3e} (standard error {error:.1e})"))
         .collect();
-    println!("{one:?} and {other:?} together, {}: {}", product.figure, parts.join(", "));
+    println!(
+        "{one:?} and {other:?} together, {}: {}",
+        product.figure,
+        parts.join(", ")
+    );
 }
--- a/crates/rig/src/scale/window.rs
+++ b/crates/rig/src/scale/window.rs
@@ -28,11 +28,17 @@
 
 impl Rates {
     /// Nothing changes.
-    pub const NONE: Rates = Rates { changes: 0, restarts: 0 };
+    pub const NONE: Rates = Rates {
+        changes: 0,
+        restarts: 0,
+    };
 
     /// The rates of a size.
     pub fn of(size: &Size) -> Rates {
-        Rates { changes: size.changes, restarts: size.restarts }
+        Rates {
+            changes: size.changes,
+            restarts: size.restarts,
+        }
     }
 }
 
@@ -67,7 +73,10 @@
     }
     let gap = DAY / a_day as f64;
     let first = (gap / 2.0).min(seconds / 2.0);
-    (0..).map(|n| first + f64::from(n) * gap).take_while(|at| *at < seconds).collect()
+    (0..)
+        .map(|n| first + f64::from(n) * gap)
+        .take_while(|at| *at < seconds)
+        .collect()
 }
 
 /// Something that happens in a window.
@@ -83,8 +92,10 @@
 
 /// What happens in a window of so many seconds, and when.
 pub fn schedule(rates: Rates, seconds: f64, servers: usize, draw: &mut Draw) -> Vec<(f64, Event)> {
-    let mut events: Vec<(f64, Event)> =
-        moments(rates.changes, seconds).into_iter().map(|at| (at, Event::Change)).collect();
+    let mut events: Vec<(f64, Event)> = moments(rates.changes, seconds)
+        .into_iter()
+        .map(|at| (at, Event::Change))
+        .collect();
     for at in moments(rates.restarts, seconds) {
         // Those that fail all the time do not restart.
         let server = FAILING + draw.number() as usize % servers.saturating_sub(FAILING).max(1);
@@ -97,7 +108,11 @@
 
 /// Makes changes at their rates for so many seconds.
 async fn play(
-    network: &Network, rates: Rates, seconds: f64, mut draw: Draw, restarted: &dyn Fn(usize),
+    network: &Network,
+    rates: Rates,
+    seconds: f64,
+    mut draw: Draw,
+    restarted: &dyn Fn(usize),
 ) -> Played {
     let lists = network.shared.lists.clone();
     let begun = network.shared.now();
@@ -129,7 +144,12 @@
 /// # Errors
 /// If the system does not tell what is used.
 pub async fn measure(
-    network: &Network, name: &str, size: &Size, rates: Rates, seconds: f64, seed: u64,
+    network: &Network,
+    name: &str,
+    size: &Size,
+    rates: Rates,
+    seconds: f64,
+    seed: u64,
 ) -> Result<Measured> {
     measure_with(network, name, size, rates, seconds, seed, &|_| {}).await
 }
@@ -139,7 +159,12 @@
 /// # Errors
 /// The same.
 pub async fn measure_with(
-    network: &Network, name: &str, size: &Size, rates: Rates, seconds: f64, seed: u64,
+    network: &Network,
+    name: &str,
+    size: &Size,
+    rates: Rates,
+    seconds: f64,
+    seed: u64,
     restarted: &dyn Fn(usize),
 ) -> Result<Measured> {
     let before = network.begin_window();
@@ -160,7 +185,11 @@
     let run = Run {
         name: name.to_owned(),
         source: Source::HollowNodes,
-        size: Size { changes: rates.changes, restarts: rates.restarts, ..*size },
+        size: Size {
+            changes: rates.changes,
+            restarts: rates.restarts,
+            ..*size
+        },
         seconds: took,
         per_node,
         in_force: times(&forces.bans),
@@ -169,7 +198,13 @@
         played: None,
     };
     let missing = expected.saturating_sub(forces.bans.len());
-    Ok(Measured { run, lists_in_force: times(&forces.lines), played, busy, missing })
+    Ok(Measured {
+        run,
+        lists_in_force: times(&forces.lines),
+        played,
+        busy,
+        missing,
+    })
 }
 
 /// The distribution of some times; `None` if there are none.
@@ -177,7 +212,11 @@
     let mut sorted = all.to_vec();
     sorted.sort_by(f64::total_cmp);
     let last = *sorted.last()?;
-    Some(Times { p50: quantile(&sorted, 0.5), p99: quantile(&sorted, 0.99), last })
+    Some(Times {
+        p50: quantile(&sorted, 0.5),
+        p99: quantile(&sorted, 0.99),
+        last,
+    })
 }
 
 /// The smallest of sorted values that so large a share does not exceed.
--- a/crates/rig/src/scenario/fleet.rs
+++ b/crates/rig/src/scenario/fleet.rs
@@ -34,11 +34,21 @@
 
 impl Scale {
     /// The whole of it: some minutes.
-    pub const WHOLE: Scale =
-        Scale { nodes: 30, servers: 15, time: Duration::from_secs(60), seeds: 3, rate: 12.0 };
+    pub const WHOLE: Scale = Scale {
+        nodes: 30,
+        servers: 15,
+        time: Duration::from_secs(60),
+        seeds: 3,
+        rate: 12.0,
+    };
     /// What fits into a test.
-    pub const SMALL: Scale =
-        Scale { nodes: 5, servers: 6, time: Duration::from_secs(5), seeds: 1, rate: 30.0 };
+    pub const SMALL: Scale = Scale {
+        nodes: 5,
+        servers: 6,
+        time: Duration::from_secs(5),
+        seeds: 1,
+        rate: 30.0,
+    };
 }
 
 const MS: f64 = 1e3;
@@ -57,8 +67,10 @@
 }
 
 async fn gathered(rig: &Rig) -> Result<Duration> {
-    rig.until("all know each other", async |rig| rig.awake().len() == rig.nodes() && rig.gathered().await)
-        .await
+    rig.until("all know each other", async |rig| {
+        rig.awake().len() == rig.nodes() && rig.gathered().await
+    })
+    .await
 }
 
 /// Plays the scenario.
@@ -82,17 +94,28 @@
     drop(rig);
     let with = silent(program, &scale, Some("")).await?;
     let without = silent(program, &scale, None).await?;
-    report.figure("silent_server", json!({ "with": with.figures(), "without": without.figures() }));
+    report.figure(
+        "silent_server",
+        json!({ "with": with.figures(), "without": without.figures() }),
+    );
     let ratio = with.attempts as f64 / without.attempts.max(1) as f64;
     report.figure("silent_server_attempts_ratio", (ratio * 1e3).round() / 1e3);
     report.figure("evidence_to_last_ms", evidence(program, &scale).await?);
-    report.figure("waits_to_last_ms", last_after_silence(program, &scale).await?);
+    report.figure(
+        "waits_to_last_ms",
+        last_after_silence(program, &scale).await?,
+    );
     Ok(report)
 }
 
 /// Drawn faults under load.
 async fn storm(program: &Program, scale: &Scale, seed: u64, report: &mut Report) -> Result<Came> {
-    let play = Play { made: made(scale, Some("")), rate: scale.rate, risky: 0.3, seed };
+    let play = Play {
+        made: made(scale, Some("")),
+        rate: scale.rate,
+        risky: 0.3,
+        seed,
+    };
     let steps = schedule::drawn(seed, scale.nodes, scale.servers, scale.time);
     let came = play.run(program, &steps).await?;
     for line in came.broken.iter().take(5) {
@@ -100,8 +123,9 @@
     }
     let seen = verdicts(&came.history.events());
     let over = seen.bans_over.last().copied().unwrap_or_default();
-    report
-        .promise(over <= check::SLACK, || format!("seed {seed}: a ban was in force {over:?} after its end"));
+    report.promise(over <= check::SLACK, || {
+        format!("seed {seed}: a ban was in force {over:?} after its end")
+    });
     Ok(came)
 }
 
@@ -118,18 +142,29 @@
     load.end().await;
     let happened = rig.history.events();
     let held = at + lasts - Duration::from_millis(300);
-    let last = check::attempts(&happened, 0, at, held, &all).last().map_or(Duration::ZERO, |(t, _)| *t - at);
-    report.promise(last <= NEWS + check::GRACE, || format!("a ban was kept by the last node after {last:?}"));
+    let last = check::attempts(&happened, 0, at, held, &all)
+        .last()
+        .map_or(Duration::ZERO, |(t, _)| *t - at);
+    report.promise(last <= NEWS + check::GRACE, || {
+        format!("a ban was kept by the last node after {last:?}")
+    });
     let back: Vec<Duration> = all
         .iter()
-        .filter_map(|n| check::attempts(&happened, 0, held, Duration::MAX, &[*n]).first().map(|(t, _)| *t))
+        .filter_map(|n| {
+            check::attempts(&happened, 0, held, Duration::MAX, &[*n])
+                .first()
+                .map(|(t, _)| *t)
+        })
         .collect();
     let (first, back_last) = (back.iter().min(), back.iter().max());
-    let after = |t: Option<&Duration>| t.map_or(f64::NAN, |t| (t.as_secs_f64() - at.as_secs_f64()) * MS);
+    let after =
+        |t: Option<&Duration>| t.map_or(f64::NAN, |t| (t.as_secs_f64() - at.as_secs_f64()) * MS);
     // Chance leaves a server to some nodes for seconds: what counts is how many sent in as long a time before.
     let sent = |n: &&usize| !check::attempts(&happened, 0, before, at, &[**n]).is_empty();
     let sent = all.iter().filter(sent).count();
-    report.promise(2 * back.len() >= sent, || format!("{} nodes of {sent} send again", back.len()));
+    report.promise(2 * back.len() >= sent, || {
+        format!("{} nodes of {sent} send again", back.len())
+    });
     Ok(json!({
         "nodes_before": sent,
         "nodes_again": back.len(),
@@ -176,7 +211,13 @@
     let sent = |n: &usize| !check::attempts(&happened, 0, from, to, &[*n]).is_empty();
     let (share, asked) = check::served(&happened, from, to);
     let late = asked - (share * asked as f64).round() as usize;
-    Ok(Cost { attempts, early, nodes: all.iter().filter(|n| sent(n)).count(), late, asked })
+    Ok(Cost {
+        attempts,
+        early,
+        nodes: all.iter().filter(|n| sent(n)).count(),
+        late,
+        asked,
+    })
 }
 
 /// Six in ten nodes are killed at once and begin again: how long until those that are left know, and until all do.
@@ -188,7 +229,8 @@
     let killed = scale.nodes * 3 / 5;
     let at = rig.history.now();
     (0..killed).for_each(|n| rig.kill(n));
-    rig.until("those that are left know", async |rig| rig.gathered().await).await?;
+    rig.until("those that are left know", async |rig| rig.gathered().await)
+        .await?;
     let known = rig.history.now() - at;
     let at = rig.history.now();
     for n in 0..killed {
@@ -198,7 +240,10 @@
     let back = rig.history.now() - at;
     load.end().await;
     let happened = rig.history.events();
-    check::all(&happened).iter().take(5).for_each(|line| report.promise(false, || format!("killed: {line}")));
+    check::all(&happened)
+        .iter()
+        .take(5)
+        .for_each(|line| report.promise(false, || format!("killed: {line}")));
     let mistaken = verdicts(&happened).mistaken.len();
     Ok(
         json!({ "killed": killed, "known_s": known.as_secs_f64(), "back_s": back.as_secs_f64(), "mistaken": mistaken }),
@@ -216,27 +261,47 @@
 /// Trouble of one server after another, each for four seconds; from the third node's first attempt there, `shown` later
 /// evidence, to the last attempt by anybody. Nobody is to try a condemned server meanwhile.
 async fn troubles(
-    program: &Program, scale: &Scale, shown: Duration, trouble: impl Fn(usize, bool) -> Step,
+    program: &Program,
+    scale: &Scale,
+    shown: Duration,
+    trouble: impl Fn(usize, bool) -> Step,
 ) -> Result<Vec<Duration>> {
     let fleet = "verdicts = { trial_every = \"60s\" }";
     let all: Vec<usize> = (0..scale.nodes).collect();
     let troubled: Vec<usize> = (0..scale.servers.min(5)).collect();
     let named = names_that_never_probe(scale.nodes, &all, &troubled);
-    let mut rig = Rig::start(program, &Made { named, ..made(scale, Some(fleet)) }).await?;
+    let mut rig = Rig::start(
+        program,
+        &Made {
+            named,
+            ..made(scale, Some(fleet))
+        },
+    )
+    .await?;
     gathered(&rig).await?;
     let load = rig.load(scale.rate, 0.0, 8);
     let mut took = Vec::new();
     for server in troubled {
-        schedule::play(&mut rig, &[Step::Wait(Duration::from_secs(4)), trouble(server, true)]).await?;
+        schedule::play(
+            &mut rig,
+            &[Step::Wait(Duration::from_secs(4)), trouble(server, true)],
+        )
+        .await?;
         let from = rig.history.now();
         schedule::play(&mut rig, &[Step::Wait(Duration::from_secs(4))]).await?;
         let to = rig.history.now();
         schedule::play(&mut rig, &[trouble(server, false)]).await?;
         let happened = rig.history.events();
-        let first = |n: &usize| check::attempts(&happened, server, from, to, &[*n]).first().map(|(t, _)| *t);
+        let first = |n: &usize| {
+            check::attempts(&happened, server, from, to, &[*n])
+                .first()
+                .map(|(t, _)| *t)
+        };
         let mut firsts: Vec<Duration> = all.iter().filter_map(first).collect();
         firsts.sort_unstable();
-        let last = check::attempts(&happened, server, from, to, &all).last().map(|(t, _)| *t);
+        let last = check::attempts(&happened, server, from, to, &all)
+            .last()
+            .map(|(t, _)| *t);
         if let (Some(third), Some(last)) = (firsts.get(2), last) {
             took.push(last.saturating_sub(*third + shown));
         }
@@ -248,7 +313,9 @@
 /// A server fails all.
 async fn evidence(program: &Program, scale: &Scale) -> Result<serde_json::Value> {
     let fails = |s, on| Step::Fails(s, if on { 1.0 } else { 0.0 });
-    Ok(spread(troubles(program, scale, Duration::ZERO, fails).await?))
+    Ok(spread(
+        troubles(program, scale, Duration::ZERO, fails).await?,
+    ))
 }
 
 /// A server stands still: there is evidence once attempts have waited past their aim.
--- a/crates/rig/src/scenario/graphql.rs
+++ b/crates/rig/src/scenario/graphql.rs
@@ -30,9 +30,15 @@
 
 impl Scale {
     /// The whole of it: under a minute.
-    pub const WHOLE: Scale = Scale { requests: 6_000, rate: 200.0 };
+    pub const WHOLE: Scale = Scale {
+        requests: 6_000,
+        rate: 200.0,
+    };
     /// What fits into a test.
-    pub const SMALL: Scale = Scale { requests: 300, rate: 100.0 };
+    pub const SMALL: Scale = Scale {
+        requests: 300,
+        rate: 100.0,
+    };
 }
 
 /// The client waits so long.
@@ -74,7 +80,10 @@
     match n % 4 {
         0 | 1 => (read(n), vec![None]),
         2 => (write(&a), vec![Some(a)]),
-        _ => (json!([read(n), write(&a), read(n), write(&b)]), vec![None, Some(a), None, Some(b)]),
+        _ => (
+            json!([read(n), write(&a), read(n), write(&b)]),
+            vec![None, Some(a), None, Some(b)],
+        ),
     }
 }
 
@@ -92,11 +101,17 @@
             .replace("evaluate = \"evaluate\"", "evaluate = \"toggle\"")
             .replace("other_query = \"evaluate\"", "other_query = \"toggle\"")
     };
-    let half = Scale { requests: scale.requests / 2, ..scale };
+    let half = Scale {
+        requests: scale.requests / 2,
+        ..scale
+    };
     let (blunt, _) = play(program, half, all_unsafe).await?;
     let (served, without) = (sums.served(), blunt.served());
     report.figure("reads_served_percent", round(served));
-    report.figure("reads_served_percent_if_every_post_is_unsafe", round(without));
+    report.figure(
+        "reads_served_percent_if_every_post_is_unsafe",
+        round(without),
+    );
     report.figure(
         "reads_saved_percent_of_those_lost",
         round(100.0 * (served - without) / (100.0 - without).max(0.01)),
@@ -111,7 +126,11 @@
     (x * 100.0).round() / 100.0
 }
 
-async fn play(program: &Program, scale: Scale, settings: impl Fn(String) -> String) -> Result<(Sums, Pool)> {
+async fn play(
+    program: &Program,
+    scale: Scale,
+    settings: impl Fn(String) -> String,
+) -> Result<(Sums, Pool)> {
     let manner = Manner {
         shed: 0.05,
         die_before: 0.05,
@@ -121,7 +140,10 @@
         ..Manner::good(Duration::from_millis(5))
     };
     let pool = Pool::running("graphql", 6, 8, manner, 21, &graphql::app()).await?;
-    let settings = settings(graphql::settings(&pool, "tries = { most = 4, retry_share = 1.0 }"));
+    let settings = settings(graphql::settings(
+        &pool,
+        "tries = { most = 4, retry_share = 1.0 }",
+    ));
     let mut node = Node::start(program, &settings).await?;
     node.until_health("/_health", true).await?;
     let sums = Arc::new(Mutex::new(Sums::default()));
@@ -143,7 +165,9 @@
         running.spawn(async move { one(&client, n, &sums).await });
         while running.try_join_next().is_some() {}
     }
-    pool.servers.iter().for_each(|s| s.behave(|m| m.frozen = false));
+    pool.servers
+        .iter()
+        .for_each(|s| s.behave(|m| m.frozen = false));
     while running.join_next().await.is_some() {}
     node.signal("TERM")?;
     node.ended().await?;
@@ -158,7 +182,9 @@
         .header("content-type", "application/json")
         .header("accept", "application/graphql-response+json")
         .header("x-time-left", DEADLINE.as_secs_f64().to_string());
-    let Ok(request) = request.body(Full::new(Bytes::from(body.to_string()))) else { return };
+    let Ok(request) = request.body(Full::new(Bytes::from(body.to_string()))) else {
+        return;
+    };
     let begun = Instant::now();
     let got = tokio::time::timeout(DEADLINE + Duration::from_secs(10), client.ask(request)).await;
     let mut sums = sums.lock().unwrap_or_else(PoisonError::into_inner);
@@ -196,17 +222,33 @@
     report.figure("requests", scale.requests);
     report.figure(
         "statuses",
-        json!(sums.statuses.iter().map(|(s, n)| (s.to_string(), n)).collect::<HashMap<_, _>>()),
+        json!(sums
+            .statuses
+            .iter()
+            .map(|(s, n)| (s.to_string(), n))
+            .collect::<HashMap<_, _>>()),
     );
     report.figure("effects", effects.len());
     report.figure("effects_twice", pool.twice());
     report.figure("reads", sums.reads);
     report.figure("mutations_told_harmless_to_repeat", sums.harmless.len());
     report.promise(sums.lost == 0 && sums.answered == scale.requests, || {
-        format!("{} of {} without an answer", scale.requests - sums.answered, scale.requests)
+        format!(
+            "{} of {} without an answer",
+            scale.requests - sums.answered,
+            scale.requests
+        )
+    });
+    report.promise(sums.late == 0, || {
+        format!("{} answers after the deadline", sums.late)
+    });
+    report.promise(pool.twice() == 0, || {
+        format!("{} effects twice", pool.twice())
+    });
+    report.promise(untrue == 0, || {
+        format!("{untrue} were told to be harmless to repeat, and ran")
+    });
+    report.promise(undone == 0, || {
+        format!("{undone} were told to be done, and did not run")
     });
-    report.promise(sums.late == 0, || format!("{} answers after the deadline", sums.late));
-    report.promise(pool.twice() == 0, || format!("{} effects twice", pool.twice()));
-    report.promise(untrue == 0, || format!("{untrue} were told to be harmless to repeat, and ran"));
-    report.promise(undone == 0, || format!("{undone} were told to be done, and did not run"));
 }
--- a/crates/rig/src/scenario/membership.rs
+++ b/crates/rig/src/scenario/membership.rs
@@ -28,9 +28,17 @@
 
 impl Scale {
     /// The whole of it: about a minute.
-    pub const WHOLE: Scale = Scale { servers: 24, kills: 504, rate: 600.0 };
+    pub const WHOLE: Scale = Scale {
+        servers: 24,
+        kills: 504,
+        rate: 600.0,
+    };
     /// What fits into a test.
-    pub const SMALL: Scale = Scale { servers: 6, kills: 24, rate: 150.0 };
+    pub const SMALL: Scale = Scale {
+        servers: 6,
+        kills: 24,
+        rate: 150.0,
+    };
 }
 
 /// Nothing new may come later than this after the news.
@@ -52,17 +60,31 @@
 pub async fn run(program: &Program, scale: Scale) -> Result<Report> {
     let mut report = Report::default();
     let registry = Arc::new(Registry::start(3).await?);
-    let pool =
-        Pool::running("flags", scale.servers, 8, Manner::good(Duration::from_millis(5)), 31, &app()).await?;
+    let pool = Pool::running(
+        "flags",
+        scale.servers,
+        8,
+        Manner::good(Duration::from_millis(5)),
+        31,
+        &app(),
+    )
+    .await?;
     let pool = Arc::new(pool);
-    let entered: Vec<Announced> =
-        pool.servers.iter().map(|s| Announced::enter(&registry, s, &format!("{}.0", s.name), 0)).collect();
+    let entered: Vec<Announced> = pool
+        .servers
+        .iter()
+        .map(|s| Announced::enter(&registry, s, &format!("{}.0", s.name), 0))
+        .collect();
     let node = Node::start(program, &settings(&registry, "", "")).await?;
     node.until_health("/_health", true).await?;
     // As long as the killing takes, and a little more.
     let cycles = scale.kills.div_ceil(scale.servers / 2);
-    let time = (AWAY + Duration::from_millis(400)) * u32::try_from(cycles)? + Duration::from_secs(2);
-    let kinds = [kind("m", "evaluate", scale.rate * 0.8), kind("m", "toggle", scale.rate * 0.2)];
+    let time =
+        (AWAY + Duration::from_millis(400)) * u32::try_from(cycles)? + Duration::from_secs(2);
+    let kinds = [
+        kind("m", "evaluate", scale.rate * 0.8),
+        kind("m", "toggle", scale.rate * 0.2),
+    ];
     let address = node.address();
     let loading = tokio::spawn(async move { load::run(address, &kinds, time, 17).await });
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -86,10 +108,16 @@
                 names[which].kill(&registry);
                 let told = Instant::now();
                 tokio::time::sleep_until((told + AWAY).into()).await;
-                let after =
-                    server.last_seen().map_or(Duration::ZERO, |at| at.saturating_duration_since(told));
-                let end = End { last_ms: after.as_secs_f64() * 1e3, late: after > GRACE };
-                ends.lock().unwrap_or_else(PoisonError::into_inner).push(end);
+                let after = server
+                    .last_seen()
+                    .map_or(Duration::ZERO, |at| at.saturating_duration_since(told));
+                let end = End {
+                    last_ms: after.as_secs_f64() * 1e3,
+                    late: after > GRACE,
+                };
+                ends.lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .push(end);
                 // The process, which was there all along, has a new session and a name of its own: no return.
                 let name = format!("{}.{}", server.name, cycle + 1);
                 names[which] = Announced::enter(&registry, server, &name, 0);
@@ -107,7 +135,11 @@
         late += usize::from(end.late);
     }
     last.sort_by(f64::total_cmp);
-    let at = |q: f64| last.get(((last.len() as f64 - 1.0) * q) as usize).copied().unwrap_or(0.0);
+    let at = |q: f64| {
+        last.get(((last.len() as f64 - 1.0) * q) as usize)
+            .copied()
+            .unwrap_or(0.0)
+    };
     let ms = |x: f64| (x * 100.0).round() / 100.0;
     report.figure("kills", last.len());
     report.figure(
@@ -118,11 +150,19 @@
     report.figure("effects_twice_unsafe", twice(&pool));
     for (came, name) in came.iter().zip(["evaluate", "toggle"]) {
         report.figure(name, came.figures());
-        report.promise(came.lost == 0, || format!("{name}: {} requests without an answer", came.lost));
-        report.promise(came.served() >= 99.0, || format!("{name}: {:.2} % served in time", came.served()));
+        report.promise(came.lost == 0, || {
+            format!("{name}: {} requests without an answer", came.lost)
+        });
+        report.promise(came.served() >= 99.0, || {
+            format!("{name}: {:.2} % served in time", came.served())
+        });
     }
-    report.promise(late == 0, || format!("{late} servers got new requests past the deadline"));
-    report.promise(twice(&pool) == 0, || format!("{} effects twice", twice(&pool)));
+    report.promise(late == 0, || {
+        format!("{late} servers got new requests past the deadline")
+    });
+    report.promise(twice(&pool) == 0, || {
+        format!("{} effects twice", twice(&pool))
+    });
     Ok(report)
 }
 
@@ -137,9 +177,23 @@
 /// Counts the effects of unsafe requests alone.
 fn app() -> crate::pool::App {
     Arc::new(|head, _| {
-        let id = head.headers.get("x-correlation-id").and_then(|v| v.to_str().ok()).unwrap_or("").to_owned();
-        let effects = if head.method == hyper::Method::POST { vec![id.clone()] } else { vec![] };
-        crate::pool::Done { effects, status: hyper::StatusCode::OK, body: id, end: crate::pool::End::Manner }
+        let id = head
+            .headers
+            .get("x-correlation-id")
+            .and_then(|v| v.to_str().ok())
+            .unwrap_or("")
+            .to_owned();
+        let effects = if head.method == hyper::Method::POST {
+            vec![id.clone()]
+        } else {
+            vec![]
+        };
+        crate::pool::Done {
+            effects,
+            status: hyper::StatusCode::OK,
+            body: id,
+            end: crate::pool::End::Manner,
+        }
     })
 }
 
--- a/crates/rig/src/scenario/services.rs
+++ b/crates/rig/src/scenario/services.rs
@@ -24,9 +24,17 @@
 
 impl Scale {
     /// The whole of it: about a minute.
-    pub const WHOLE: Scale = Scale { time: Duration::from_secs(15), reloads: 200, points: 1.0 };
+    pub const WHOLE: Scale = Scale {
+        time: Duration::from_secs(15),
+        reloads: 200,
+        points: 1.0,
+    };
     /// What fits into a test on a busy machine; counts are held to as strictly, shares are not.
-    pub const SMALL: Scale = Scale { time: Duration::from_secs(3), reloads: 20, points: 25.0 };
+    pub const SMALL: Scale = Scale {
+        time: Duration::from_secs(3),
+        reloads: 20,
+        points: 25.0,
+    };
 }
 
 /// The requests a second that evaluation is limited to.
@@ -63,7 +71,11 @@
 
     /// The settings file of a node in front of them.
     pub fn settings(&self, listen: &str) -> String {
-        let Fleet { evaluate, toggle, rollout } = self;
+        let Fleet {
+            evaluate,
+            toggle,
+            rollout,
+        } = self;
         format!(
             "[process]\ndescriptors = 512\nmemory = \"128MiB\"\n\n\
              [[listener]]\nname = \"client\"\naddress = \"{listen}\"\n\n{}{}{}",
@@ -76,7 +88,14 @@
     }
 }
 
-fn service(name: &str, repeat: &str, host: &str, method: &str, limits: &str, pool: &Pool) -> String {
+fn service(
+    name: &str,
+    repeat: &str,
+    host: &str,
+    method: &str,
+    limits: &str,
+    pool: &Pool,
+) -> String {
     format!(
         "[[service]]\nname = \"{name}\"\n{limits}\n\
          [[service.class]]\nname = \"{name}\"\nrepeat = \"{repeat}\"\naim = \"200ms\"\ndeadline = \"600ms\"\n\n\
@@ -135,14 +154,21 @@
     }
     let evaluate = &flood[2];
     report.figure("evaluate_flood", evaluate.figures());
-    report.figure("evaluate_refusal_p50_ms", evaluate.refusal.value_at_quantile(0.5) as f64 / 1e3);
+    report.figure(
+        "evaluate_refusal_p50_ms",
+        evaluate.refusal.value_at_quantile(0.5) as f64 / 1e3,
+    );
     answered(&mut report, "evaluate in the flood", evaluate);
     let refused = evaluate.of(&[429, 503]);
-    report.promise(refused > evaluate.sent / 2, || format!("only {refused} of the flood were refused"));
+    report.promise(refused > evaluate.sent / 2, || {
+        format!("only {refused} of the flood were refused")
+    });
 
     reloads(&mut report, &mut node, &fleet, &settings, scale.reloads).await?;
     report.figure("effects_twice", fleet.twice());
-    report.promise(fleet.twice() == 0, || format!("{} effects twice", fleet.twice()));
+    report.promise(fleet.twice() == 0, || {
+        format!("{} effects twice", fleet.twice())
+    });
     node.signal("TERM")?;
     let ended = node.ended().await?;
     report.promise(ended, || "the node does not end well".to_owned());
@@ -152,14 +178,24 @@
 fn answered(report: &mut Report, what: &str, came: &Came) {
     let answers: u64 = came.statuses.values().sum();
     report.promise(came.lost == 0 && answers == came.sent, || {
-        format!("{what}: {} of {} without an answer", came.sent - answers, came.sent)
+        format!(
+            "{what}: {} of {} without an answer",
+            came.sent - answers,
+            came.sent
+        )
+    });
+    report.promise(came.wrong == 0, || {
+        format!("{what}: {} with another's answer", came.wrong)
     });
-    report.promise(came.wrong == 0, || format!("{what}: {} with another's answer", came.wrong));
 }
 
 /// Reloads under load, each with something else changed: limits, a service more or less, servers, a drain.
 async fn reloads(
-    report: &mut Report, node: &mut Node, fleet: &Fleet, settings: &str, times: u32,
+    report: &mut Report,
+    node: &mut Node,
+    fleet: &Fleet,
+    settings: &str,
+    times: u32,
 ) -> Result<()> {
     let spare = Pool::start("spare", 1, Manner::good(Duration::from_millis(5)), 91).await?;
     let extra = service("extra", "safe", "extra.example.org", "GET", "", &spare);
@@ -169,7 +205,10 @@
         // One server of the toggles drains: it is told, and the others carry on.
         settings.replacen(
             &format!("address = \"{}\"\n", fleet.toggle.servers[0].address),
-            &format!("address = \"{}\"\nstate = \"draining\"\n", fleet.toggle.servers[0].address),
+            &format!(
+                "address = \"{}\"\nstate = \"draining\"\n",
+                fleet.toggle.servers[0].address
+            ),
             1,
         ),
         // Another deadline makes another pool; what is in flight stays with the old one.
@@ -191,7 +230,9 @@
                 sum.lost += came.lost;
                 sum.wrong += came.wrong;
                 sum.in_time += came.in_time;
-                came.statuses.iter().for_each(|(s, n)| *sum.statuses.entry(*s).or_default() += n);
+                came.statuses
+                    .iter()
+                    .for_each(|(s, n)| *sum.statuses.entry(*s).or_default() += n);
             }
             if *stopped.borrow_and_update() {
                 break;
@@ -209,7 +250,9 @@
         report.figure(&format!("{name}_in_{times}_reloads"), came.figures());
         answered(report, &format!("{name} in reloads"), came);
         let failed = came.sent - came.of(&[200, 429, 503]);
-        report.promise(failed == 0, || format!("{name}: {failed} failed in reloads: {:?}", came.statuses));
+        report.promise(failed == 0, || {
+            format!("{name}: {failed} failed in reloads: {:?}", came.statuses)
+        });
     }
     Ok(())
 }
--- a/crates/rig/src/scripted.rs
+++ b/crates/rig/src/scripted.rs
@@ -27,7 +27,9 @@
 /// the system tries again.
 pub fn full_queue() -> (TcpListener, SocketAddr) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    socket
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     socket.listen(0).unwrap();
     let listener: TcpListener = socket.into();
     let address = listener.local_addr().unwrap();
@@ -71,7 +73,10 @@
             )
         })
         .collect();
-    format!(r#"{{"index":{index},"snapshot":{whole},"endpoints":[{}]}}"#, lines.join(","))
+    format!(
+        r#"{{"index":{index},"snapshot":{whole},"endpoints":[{}]}}"#,
+        lines.join(",")
+    )
 }
 
 /// One message as it came: its first line, its headers in lower case, its body by `Content-Length`.
@@ -94,18 +99,29 @@
             if from.read_line(&mut line).ok()? == 0 {
                 return None;
             }
-            let Some((name, value)) = line.trim_end().split_once(':') else { break };
+            let Some((name, value)) = line.trim_end().split_once(':') else {
+                break;
+            };
             headers.push((name.to_lowercase(), value.trim().to_owned()));
         }
-        let mut message = Message { first, headers, body: Vec::new() };
-        let length = message.header("content-length").map_or(0, |l| l.parse().unwrap());
+        let mut message = Message {
+            first,
+            headers,
+            body: Vec::new(),
+        };
+        let length = message
+            .header("content-length")
+            .map_or(0, |l| l.parse().unwrap());
         message.body.resize(length, 0);
         from.read_exact(&mut message.body).ok()?;
         Some(message)
     }
 
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, v)| v.as_str())
     }
 }
 
@@ -172,7 +188,11 @@
 
     pub fn until_watched(&self) {
         let state = self.state.0.lock().unwrap();
-        let done = self.state.1.wait_timeout_while(state, PATIENCE, |s| s.watched == 0).unwrap();
+        let done = self
+            .state
+            .1
+            .wait_timeout_while(state, PATIENCE, |s| s.watched == 0)
+            .unwrap();
         assert!(!done.1.timed_out(), "nobody watches");
     }
 }
@@ -187,7 +207,8 @@
             state.refuses
         };
         if refuses {
-            let _ = stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n");
+            let _ =
+                stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n");
             continue;
         }
         if !request.first.contains("watch=1") {
@@ -196,7 +217,10 @@
             stream.write_all((head + &list).as_bytes()).unwrap();
             continue;
         }
-        if stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n").is_err() {
+        if stream
+            .write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
+            .is_err()
+        {
             return;
         }
         let mut told = 0;
@@ -207,12 +231,23 @@
             if state.refuses {
                 return;
             }
-            let line = if state.changes > told { state.list.clone() + "\n" } else { "\n".to_owned() };
+            let line = if state.changes > told {
+                state.list.clone() + "\n"
+            } else {
+                "\n".to_owned()
+            };
             told = state.changes;
-            if stream.write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes()).is_err() {
+            if stream
+                .write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes())
+                .is_err()
+            {
                 return;
             }
-            state = shared.1.wait_timeout(state, Duration::from_millis(500)).unwrap().0;
+            state = shared
+                .1
+                .wait_timeout(state, Duration::from_millis(500))
+                .unwrap()
+                .0;
         }
     }
 }
@@ -225,7 +260,9 @@
 
 impl Server {
     /// Calls `answer` with each request and its number, from 0, and the socket.
-    pub fn start(answer: impl Fn(&Message, usize, &mut TcpStream) + Send + Sync + 'static) -> Server {
+    pub fn start(
+        answer: impl Fn(&Message, usize, &mut TcpStream) + Send + Sync + 'static,
+    ) -> Server {
         let seen = Arc::new(AtomicUsize::new(0));
         let count = seen.clone();
         let address = serve(move |mut stream, _| {
@@ -265,7 +302,11 @@
 /// The good answer to a request: its id.
 pub fn answer_to(request: &Message) -> Vec<u8> {
     let id = request.header("x-correlation-id").unwrap_or("none");
-    format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{id}", id.len()).into_bytes()
+    format!(
+        "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{id}",
+        id.len()
+    )
+    .into_bytes()
 }
 
 /// The program under test. It is killed when this is dropped.
@@ -287,7 +328,13 @@
 impl Node {
     pub fn start(program: &Program, discovery: SocketAddr, sockets: usize) -> Node {
         let folder = Arc::new(Folder::new().unwrap());
-        let mut node = Node::spawn(program, Arc::new(Port::take().unwrap()), discovery, sockets, folder);
+        let mut node = Node::spawn(
+            program,
+            Arc::new(Port::take().unwrap()),
+            discovery,
+            sockets,
+            folder,
+        );
         let (began, address) = (Instant::now(), node.address);
         while !health(address) || !node.ready() {
             node.lives();
@@ -298,17 +345,33 @@
     }
 
     fn spawn(
-        program: &Program, port: Arc<Port>, discovery: SocketAddr, sockets: usize, folder: Arc<Folder>,
+        program: &Program,
+        port: Arc<Port>,
+        discovery: SocketAddr,
+        sockets: usize,
+        folder: Arc<Folder>,
     ) -> Node {
         let calls = Port::take().unwrap();
         let (address, management) = (port.address(), calls.address());
         let config = folder.path().join(format!("{}.json", management.port()));
         std::fs::write(&config, configuration(address, discovery, sockets)).unwrap();
         let mut command = program.command();
-        command.env("ROUTER_CONFIG", &config).env("ROUTER_MANAGEMENT", management.to_string());
+        command
+            .env("ROUTER_CONFIG", &config)
+            .env("ROUTER_MANAGEMENT", management.to_string());
         command.env("TMPDIR", folder.path()).stdout(Stdio::null());
         let child = command.spawn().unwrap();
-        Node { address, management, child, config, sockets, folder, discovery, port, _calls: calls }
+        Node {
+            address,
+            management,
+            child,
+            config,
+            sockets,
+            folder,
+            discovery,
+            port,
+            _calls: calls,
+        }
     }
 
     /// Panics if the program has ended by itself.
@@ -324,7 +387,10 @@
         let began = Instant::now();
         while !node.ready() {
             node.lives();
-            assert!(began.elapsed() < PATIENCE, "the new process does not get ready");
+            assert!(
+                began.elapsed() < PATIENCE,
+                "the new process does not get ready"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
         node
@@ -332,7 +398,13 @@
 
     /// Starts the program again at the same address.
     pub fn spawn_beside(&self, program: &Program) -> Node {
-        Node::spawn(program, self.port.clone(), self.discovery, self.sockets, self.folder.clone())
+        Node::spawn(
+            program,
+            self.port.clone(),
+            self.discovery,
+            self.sockets,
+            self.folder.clone(),
+        )
     }
 
     pub fn pid(&self) -> u32 {
@@ -342,7 +414,9 @@
     /// Whether it says that it can serve.
     fn ready(&self) -> bool {
         // A call that nobody answers yet is no yes: the process may not have its sockets.
-        let Some(mut stream) = connect_maybe(self.management) else { return false };
+        let Some(mut stream) = connect_maybe(self.management) else {
+            return false;
+        };
         let _ = stream.write_all(b"GET /-/ready HTTP/1.1\r\nhost: n\r\n\r\n");
         answer(&stream).is_some_and(|got| got.status == 200)
     }
@@ -360,7 +434,11 @@
 
     /// Replaces the configuration by one that names another discovery.
     pub fn configure(&self, discovery: SocketAddr) {
-        std::fs::write(&self.config, configuration(self.address, discovery, self.sockets)).unwrap();
+        std::fs::write(
+            &self.config,
+            configuration(self.address, discovery, self.sockets),
+        )
+        .unwrap();
     }
 
     pub fn spoil_configuration(&self) {
@@ -374,7 +452,11 @@
 
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill").args(["-s", name, &pid]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args(["-s", name, &pid])
+            .status()
+            .unwrap()
+            .success());
     }
 }
 
@@ -405,7 +487,9 @@
 fn health(node: SocketAddr) -> bool {
     let ask = || -> Option<String> {
         let mut stream = connect_maybe(node)?;
-        stream.write_all(b"GET /_health HTTP/1.1\r\nhost: n\r\n\r\n").ok()?;
+        stream
+            .write_all(b"GET /_health HTTP/1.1\r\nhost: n\r\n\r\n")
+            .ok()?;
         Some(Message::read(&mut BufReader::new(stream))?.first)
     };
     ask().is_some_and(|line| line.contains("200"))
@@ -446,7 +530,10 @@
 pub fn answer(stream: &TcpStream) -> Option<Got> {
     let message = Message::read(&mut BufReader::new(stream))?;
     let status = message.first.split(' ').nth(1)?.parse().ok()?;
-    Some(Got { status, body: String::from_utf8(message.body).ok()? })
+    Some(Got {
+        status,
+        body: String::from_utf8(message.body).ok()?,
+    })
 }
 
 /// Sends bytes on a connection of their own and reads the answer.
@@ -459,7 +546,9 @@
 /// Makes a call on the operators' address and gives the status of its answer.
 pub fn call(management: SocketAddr, method: &str, path: &str) -> u16 {
     let text = format!("{method} {path} HTTP/1.1\r\nhost: n\r\n\r\n");
-    exchange(management, text.as_bytes()).expect("an answer to a call").status
+    exchange(management, text.as_bytes())
+        .expect("an answer to a call")
+        .status
 }
 
 /// One request that may be repeated, on a connection of its own.
--- a/crates/rig/tests/capacity.rs
+++ b/crates/rig/tests/capacity.rs
@@ -4,7 +4,9 @@
 use reelfall_rig::capacity::kind::Kind;
 use reelfall_rig::capacity::model::{self, bound, Costs};
 use reelfall_rig::capacity::table::{amount, plain, Row, Unit, Verdict};
-use reelfall_rig::capacity::{moments, page, pages, ranking, scale_page, tables, Fault, Page, INPUTS, PAGE};
+use reelfall_rig::capacity::{
+    moments, page, pages, ranking, scale_page, tables, Fault, Page, INPUTS, PAGE,
+};
 use reelfall_rig::scale::record::{Busy, Gathered, Product, Record};
 use reelfall_rig::scale::report::{
     self, Axis, Bend, PerNode, Projection, Report, Run, Size, Slope, Source, Times, Traffic,
@@ -34,7 +36,10 @@
 fn the_tables_of_the_page_are_what_the_inputs_make_of_them() {
     let tables = tables(&root()).unwrap();
     let stale = page::stale(&the_page(), &tables).unwrap();
-    assert!(stale.is_empty(), "{stale:?}: cargo run -p reelfall-rig --example capacity -- --write");
+    assert!(
+        stale.is_empty(),
+        "{stale:?}: cargo run -p reelfall-rig --example capacity -- --write"
+    );
 }
 
 #[test]
@@ -46,16 +51,24 @@
             stale.is_empty(),
             "{name}, {stale:?}: cargo run -p reelfall-rig --example capacity -- --write"
         );
-        let markers: Vec<&str> = held.lines().filter_map(|l| l.strip_prefix("<!-- table: ")).collect();
+        let markers: Vec<&str> = held
+            .lines()
+            .filter_map(|l| l.strip_prefix("<!-- table: "))
+            .collect();
         assert_eq!(markers.len(), tables.len(), "{name}: {markers:?}");
-        assert!(markers.iter().all(|marker| tables.contains_key(marker.trim_end_matches(" -->"))));
+        assert!(markers
+            .iter()
+            .all(|marker| tables.contains_key(marker.trim_end_matches(" -->"))));
     }
 }
 
 #[test]
 fn a_page_with_another_figure_is_told() {
     let mut tables = tables(&root()).unwrap();
-    tables.get_mut("ranking").unwrap().push_str("| another row |\n");
+    tables
+        .get_mut("ranking")
+        .unwrap()
+        .push_str("| another row |\n");
     assert_eq!(page::stale(&the_page(), &tables).unwrap(), ["ranking"]);
     let written = page::with_tables(&the_page(), &tables).unwrap();
     assert_eq!(page::stale(&written, &tables).unwrap(), [""; 0]);
@@ -65,17 +78,33 @@
 fn each_marker_of_the_page_has_a_table() {
     let tables = tables(&root()).unwrap();
     let page = the_page();
-    let markers: Vec<&str> = page.lines().filter_map(|l| l.strip_prefix("<!-- table: ")).collect();
-    let named: Vec<&str> = markers.iter().map(|m| m.strip_suffix(" -->").unwrap()).collect();
+    let markers: Vec<&str> = page
+        .lines()
+        .filter_map(|l| l.strip_prefix("<!-- table: "))
+        .collect();
+    let named: Vec<&str> = markers
+        .iter()
+        .map(|m| m.strip_suffix(" -->").unwrap())
+        .collect();
     assert_eq!(named.len(), tables.len());
-    assert!(named.iter().all(|name| tables.contains_key(name)), "{named:?}");
+    assert!(
+        named.iter().all(|name| tables.contains_key(name)),
+        "{named:?}"
+    );
 }
 
 #[test]
 fn a_table_without_a_whole_place_is_told() {
     let tables = BTreeMap::from([("a", "| x |\n".to_owned())]);
-    for page in ["", "<!-- table: a -->\n", "<!-- table: a -->\n<!-- table: b -->\n<!-- end -->\n"] {
-        assert!(matches!(page::with_tables(page, &tables), Err(Fault::NoPlace(_))), "{page}");
+    for page in [
+        "",
+        "<!-- table: a -->\n",
+        "<!-- table: a -->\n<!-- table: b -->\n<!-- end -->\n",
+    ] {
+        assert!(
+            matches!(page::with_tables(page, &tables), Err(Fault::NoPlace(_))),
+            "{page}"
+        );
     }
     let whole = page::with_tables("<!-- table: a -->\n<!-- end -->\n", &tables).unwrap();
     assert_eq!(whole, "<!-- table: a -->\n\n| x |\n\n<!-- end -->\n");
@@ -84,9 +113,19 @@
 #[test]
 fn the_first_row_is_the_changes_of_settings() {
     let first = &ranking::misfits(&costs())[0];
-    assert!(first.what.starts_with("changes of settings"), "{}", first.what);
-    let factors: Vec<f64> = ranking::misfits(&costs()).iter().map(ranking::Misfit::factor).collect();
-    assert!(factors.is_sorted_by(|a, b| a >= b) && factors.iter().all(|f| *f > 1.0), "{factors:?}");
+    assert!(
+        first.what.starts_with("changes of settings"),
+        "{}",
+        first.what
+    );
+    let factors: Vec<f64> = ranking::misfits(&costs())
+        .iter()
+        .map(ranking::Misfit::factor)
+        .collect();
+    assert!(
+        factors.is_sorted_by(|a, b| a >= b) && factors.iter().all(|f| *f > 1.0),
+        "{factors:?}"
+    );
 }
 
 // ---- the audit ----
@@ -98,11 +137,18 @@
 fn bounds_of(file: &str, source: &str) -> Vec<Bound> {
     let of = |line: &str| {
         let line = line.trim_start();
-        let (_, rest) = line.split_once("const ").filter(|(before, _)| !before.contains("//"))?;
+        let (_, rest) = line
+            .split_once("const ")
+            .filter(|(before, _)| !before.contains("//"))?;
         let (name, rest) = rest.split_once(':')?;
         let (_, value) = rest.split_once('=')?;
-        (name.ends_with("_MOST") || name.starts_with("MAX_"))
-            .then(|| (file.to_owned(), name.to_owned(), value.trim().trim_end_matches(';').to_owned()))
+        (name.ends_with("_MOST") || name.starts_with("MAX_")).then(|| {
+            (
+                file.to_owned(),
+                name.to_owned(),
+                value.trim().trim_end_matches(';').to_owned(),
+            )
+        })
     };
     source.lines().filter_map(of).collect()
 }
@@ -137,7 +183,12 @@
     files.sort();
     let root = root();
     let of = |path: &PathBuf| {
-        let name = path.strip_prefix(&root).unwrap().to_str().unwrap().to_owned();
+        let name = path
+            .strip_prefix(&root)
+            .unwrap()
+            .to_str()
+            .unwrap()
+            .to_owned();
         bounds_of(&name, &std::fs::read_to_string(path).unwrap())
     };
     files.iter().flat_map(of).collect()
@@ -148,18 +199,26 @@
     let bounds = bounds();
     assert!(bounds.len() > 50, "{} bounds were found", bounds.len());
     let unlisted = unlisted(&the_page(), &bounds);
-    assert!(unlisted.is_empty(), "rows wanted in {PAGE}:\n{}", unlisted.join("\n"));
+    assert!(
+        unlisted.is_empty(),
+        "rows wanted in {PAGE}:\n{}",
+        unlisted.join("\n")
+    );
 }
 
 #[test]
 fn every_row_of_the_audit_is_a_bound_of_the_sources() {
     let bounds = bounds();
     let page = the_page();
-    let rows = page
-        .lines()
-        .filter(|l| l.starts_with("| `crates/") && (l.contains("_MOST` | `") || l.contains("`, `MAX_")));
+    let rows = page.lines().filter(|l| {
+        l.starts_with("| `crates/") && (l.contains("_MOST` | `") || l.contains("`, `MAX_"))
+    });
     let gone: Vec<&str> = rows
-        .filter(|row| !bounds.iter().any(|(f, n, v)| row.starts_with(&format!("| `{f}`, `{n}` | `{v}` |"))))
+        .filter(|row| {
+            !bounds
+                .iter()
+                .any(|(f, n, v)| row.starts_with(&format!("| `{f}`, `{n}` | `{v}` |")))
+        })
         .collect();
     assert!(gone.is_empty(), "{gone:#?}");
 }
@@ -169,7 +228,14 @@
     let source =
         "// const OLD_MOST: usize = 1;\npub const NEW_MOST: usize = 2 << 10;\npub(super) const A: u8 = 1;\n";
     let bounds = bounds_of("crates/x/src/y.rs", source);
-    assert_eq!(bounds, [("crates/x/src/y.rs".into(), "NEW_MOST".into(), "2 << 10".into())]);
+    assert_eq!(
+        bounds,
+        [(
+            "crates/x/src/y.rs".into(),
+            "NEW_MOST".into(),
+            "2 << 10".into()
+        )]
+    );
     let row = "| `crates/x/src/y.rs`, `NEW_MOST` | `2 << 10` | names | 5 | fits | refused |";
     assert_eq!(unlisted(row, &bounds), [""; 0]);
     assert_eq!(
@@ -199,9 +265,14 @@
         (bound::WAITERS, keeper.max_waiters as f64),
         (bound::NEWS, gossip.fanout as f64 / gossip.spread_every),
     ];
-    pairs.iter().for_each(|(model, program)| near(*model, *program));
+    pairs
+        .iter()
+        .for_each(|(model, program)| near(*model, *program));
     for nodes in [1, 30, 300, 1500, 6000] {
-        near(model::tellings(nodes as f64), f64::from(reelfall_fleet::members::max_transmissions(nodes)));
+        near(
+            model::tellings(nodes as f64),
+            f64::from(reelfall_fleet::members::max_transmissions(nodes)),
+        );
     }
 }
 
@@ -252,7 +323,10 @@
 #[test]
 fn sizes_are_in_the_target_s_proportion() {
     let few = model::size(300);
-    assert_eq!((few.servers, few.services, few.routes, few.tenants), (2500, 130, 3700, 28_000));
+    assert_eq!(
+        (few.servers, few.services, few.routes, few.tenants),
+        (2500, 130, 3700, 28_000)
+    );
     assert_eq!((few.changes, few.restarts), (650, 900));
     assert_eq!(model::size(6000), Size::TARGET);
     near(model::requests(&few), 85_000.0);
@@ -296,10 +370,16 @@
     let (costs, target) = (round(), Size::TARGET);
     near(model::at_rest(&costs, &target), 0.264);
     near(model::lapses(&costs, &target), 0.002);
-    near(model::judging(&costs, &target), 10.0 * 2730.0 * 2600.0 * 1e-7);
+    near(
+        model::judging(&costs, &target),
+        10.0 * 2730.0 * 2600.0 * 1e-7,
+    );
     near(model::update(&costs, 6000.0), 6e-6);
     near(model::draws(&costs, 6000.0), 0.006);
-    near(model::keeper_scans(&costs, &target), 20_280.0 * 33_800.0 * 1e-7);
+    near(
+        model::keeper_scans(&costs, &target),
+        20_280.0 * 33_800.0 * 1e-7,
+    );
 }
 
 #[test]
@@ -317,11 +397,17 @@
     assert_eq!(model::tellings(6000.0), 16.0);
     near(model::most_news(), 72_000.0);
     // Eleven verdicts in a datagram.
-    near(model::told_in(&costs, 3300.0, 6000.0), 3300.0 * 16.0 / 11.0 / 30.0);
+    near(
+        model::told_in(&costs, 3300.0, 6000.0),
+        3300.0 * 16.0 / 11.0 / 30.0,
+    );
     // 1 - e^(-420 / 5999)
     near(model::echoes(&costs, &target), 0.067_617_059_77);
     near(model::node_restarts(&target, 2.8), 0.3);
-    near(model::membership_news(&costs, &target, 2.8), 2.0 * 14.4 * 140.0);
+    near(
+        model::membership_news(&costs, &target, 2.8),
+        2.0 * 14.4 * 140.0,
+    );
     assert_eq!(model::condemned(&target), 2730.0);
     assert_eq!(model::condemned(&model::size(300)), 500.0);
 }
@@ -349,14 +435,28 @@
 
 fn input(name: &str) -> Input {
     let (name, unit, about) = (name.to_owned(), "B".to_owned(), "a thing".to_owned());
-    Input { name, value: 2.0, unit, kind: Kind::Assumed, about, command: None, commit: None }
+    Input {
+        name,
+        value: 2.0,
+        unit,
+        kind: Kind::Assumed,
+        about,
+        command: None,
+        commit: None,
+    }
 }
 
 #[test]
 fn an_input_that_is_missing_is_named() {
-    let inputs = Inputs { schema: SCHEMA, inputs: vec![input("settings_bytes")] };
+    let inputs = Inputs {
+        schema: SCHEMA,
+        inputs: vec![input("settings_bytes")],
+    };
     assert_eq!(inputs.get("settings_bytes").unwrap(), 2.0);
-    assert!(matches!(Costs::of(&inputs), Err(Fault::Missing("read_seconds"))));
+    assert!(matches!(
+        Costs::of(&inputs),
+        Err(Fault::Missing("read_seconds"))
+    ));
 }
 
 #[test]
@@ -364,10 +464,16 @@
     let folder = reelfall_rig::node::Folder::new().unwrap();
     let file = folder.path().join("inputs.json");
     std::fs::write(&file, r#"{"schema":9,"inputs":[]}"#).unwrap();
-    assert!(matches!(Inputs::read(&file), Err(Fault::Schema { found: 9, .. })));
+    assert!(matches!(
+        Inputs::read(&file),
+        Err(Fault::Schema { found: 9, .. })
+    ));
     std::fs::write(&file, "{").unwrap();
     assert!(matches!(Inputs::read(&file), Err(Fault::Form(..))));
-    assert!(matches!(Inputs::read(&folder.path().join("none")), Err(Fault::File(..))));
+    assert!(matches!(
+        Inputs::read(&folder.path().join("none")),
+        Err(Fault::File(..))
+    ));
 }
 
 #[test]
@@ -375,8 +481,21 @@
     let inputs = Inputs::read(&root().join(INPUTS)).unwrap();
     for input in &inputs.inputs {
         assert!(!input.about.is_empty(), "{}", input.name);
-        assert!(input.kind != Kind::Measured || input.commit.is_some(), "{}", input.name);
-        assert!(inputs.inputs.iter().filter(|i| i.name == input.name).count() == 1, "{} twice", input.name);
+        assert!(
+            input.kind != Kind::Measured || input.commit.is_some(),
+            "{}",
+            input.name
+        );
+        assert!(
+            inputs
+                .inputs
+                .iter()
+                .filter(|i| i.name == input.name)
+                .count()
+                == 1,
+            "{} twice",
+            input.name
+        );
     }
 }
 
@@ -394,8 +513,17 @@
         source: Source::HollowNodes,
         size: Size::TARGET,
         seconds: 60.0,
-        per_node: PerNode { traffic: vec![traffic], peak_bytes: 5000.0, cpu: 0.001, memory: Some(9e6) },
-        in_force: Some(Times { p50: 1.0, p99: 2.5, last: 4.0 }),
+        per_node: PerNode {
+            traffic: vec![traffic],
+            peak_bytes: 5000.0,
+            cpu: 0.001,
+            memory: Some(9e6),
+        },
+        in_force: Some(Times {
+            p50: 1.0,
+            p99: 2.5,
+            last: 4.0,
+        }),
         requests: None,
         read_bytes: None,
         played: None,
@@ -409,17 +537,35 @@
         standard_error: 0.01,
         bent,
         residuals: vec![0.0, 0.0],
-        bend: Some(Bend { t: 3.0, bound: 12.706, bent }),
-        projection: (!bent).then_some(Projection { at: 6_000.0, figure: 12_100.0, standard_error: 51.0 }),
+        bend: Some(Bend {
+            t: 3.0,
+            bound: 12.706,
+            bent,
+        }),
+        projection: (!bent).then_some(Projection {
+            at: 6_000.0,
+            figure: 12_100.0,
+            standard_error: 51.0,
+        }),
     };
     let commit = "0123456789abcdef".to_owned();
-    Report { schema: report::SCHEMA, commit, seed: 1, cores: 4, runs: vec![run], slopes: vec![slope] }
+    Report {
+        schema: report::SCHEMA,
+        commit,
+        seed: 1,
+        cores: 4,
+        runs: vec![run],
+        slopes: vec![slope],
+    }
 }
 
 #[test]
 fn what_scale_runs_have_measured_is_shown() {
     let folder = reelfall_rig::node::Folder::new().unwrap();
-    assert_eq!(Measured::read(&folder.path().join("none")).unwrap(), Measured::default());
+    assert_eq!(
+        Measured::read(&folder.path().join("none")).unwrap(),
+        Measured::default()
+    );
     let write = |report: &Report| {
         let text = serde_json::to_vec(report).unwrap();
         std::fs::write(folder.path().join("a.json"), text).unwrap();
@@ -434,12 +580,21 @@
     let lines = inputs::slopes_table(&measured.slopes);
     assert!(lines.contains("| 12,100, standard error 51 |"), "{lines}");
     let moments = moments::table(&costs(), &measured.runs);
-    assert!(moments.contains("6,000 nodes at 0123456: 5 KB; 2.5 s, 4 s; 9 MB"), "{moments}");
+    assert!(
+        moments.contains("6,000 nodes at 0123456: 5 KB; 2.5 s, 4 s; 9 MB"),
+        "{moments}"
+    );
     write(&report(true));
     let lines = inputs::slopes_table(&Measured::read(folder.path()).unwrap().slopes);
     assert!(lines.contains("| not extended: it bends |"), "{lines}");
-    write(&Report { schema: 9, ..report(false) });
-    assert!(matches!(Measured::read(folder.path()), Err(Fault::Schema { found: 9, .. })));
+    write(&Report {
+        schema: 9,
+        ..report(false)
+    });
+    assert!(matches!(
+        Measured::read(folder.path()),
+        Err(Fault::Schema { found: 9, .. })
+    ));
 }
 
 #[test]
@@ -452,8 +607,14 @@
     single.report = report(false);
     single.report.slopes.clear();
     single.report.runs[0].name = "quiet".to_owned();
-    single.gathered.push(Gathered { after: "start".to_owned(), seconds: Some(4.7) });
-    single.busy.push(Busy { run: "quiet".to_owned(), share: 0.625 });
+    single.gathered.push(Gathered {
+        after: "start".to_owned(),
+        seconds: Some(4.7),
+    });
+    single.busy.push(Busy {
+        run: "quiet".to_owned(),
+        share: 0.625,
+    });
     write("single.json", &single);
     let mut sweep = Record::new(1);
     sweep.report = report(false);
@@ -473,36 +634,64 @@
     sweep.left_out("a window");
     write("sweep.json", &sweep);
     let tables = scale_page::tables(folder.path()).unwrap();
-    let has = |table: &str, text: &str| assert!(tables[table].contains(text), "{table}: {}", tables[table]);
+    let has = |table: &str, text: &str| {
+        assert!(tables[table].contains(text), "{table}: {}", tables[table])
+    };
     has("one-node", "|  | 6,000 nodes | a node may use |");
     has("one-node", "| at rest, received | 1 KB/s | 8 KB/s |");
-    has("one-node", "| memory of a hollow node, at rest | 9 MB | 32 MB |");
-    has("in-force", "| all know all after the start of all | 4.7 s |  |");
+    has(
+        "one-node",
+        "| memory of a hollow node, at rest | 9 MB | 32 MB |",
+    );
+    has(
+        "in-force",
+        "| all know all after the start of all | 4.7 s |  |",
+    );
     has("in-force", "at rest | 63 % |");
     has("moments", "| a zone's nodes back at once | not played |");
     has("requests", "not measured");
-    has("lines", "| nodes, 300 to 1,500 | bytes a second | 2.000e0 (1.0e-2) | 0.0e0 | 3.00, bound 12.71 |");
+    has(
+        "lines",
+        "| nodes, 300 to 1,500 | bytes a second | 2.000e0 (1.0e-2) | 0.0e0 | 3.00, bound 12.71 |",
+    );
     has("lines", "| 12,100 (51) at 6,000 |");
-    has("products", "| services, routes | length, B | 1.000e0 (1.0e-1) |");
+    has(
+        "products",
+        "| services, routes | length, B | 1.000e0 (1.0e-1) |",
+    );
     has(
         "settings",
         "| settings | 50,000 | 2,600 | 74,000 | 560,000 | 45.5 MB | 1 ms | 9 MB | `sweep.json` |",
     );
-    has("reports", "| `sweep.json` | 0123456789abcdef | 4 | 1 | a window |");
-    has("reports", "| `single.json` | 0123456789abcdef | 4 | 1 | nothing |");
+    has(
+        "reports",
+        "| `sweep.json` | 0123456789abcdef | 4 | 1 | a window |",
+    );
+    has(
+        "reports",
+        "| `single.json` | 0123456789abcdef | 4 | 1 | nothing |",
+    );
     let none = scale_page::tables(&folder.path().join("none")).unwrap();
     assert!(none["one-node"].contains("Not measured yet"));
 }
 
 #[test]
 fn points_of_sweeps_are_not_told_one_by_one() {
-    let mut runs: Vec<(String, Run)> =
-        report(false).runs.into_iter().map(|run| ("0".to_owned(), run)).collect();
+    let mut runs: Vec<(String, Run)> = report(false)
+        .runs
+        .into_iter()
+        .map(|run| ("0".to_owned(), run))
+        .collect();
     let mut point = runs[0].clone();
     point.1.name = "sweep".to_owned();
     runs.push(point);
     let kept = inputs::without_points(&runs);
-    assert_eq!(kept.iter().map(|(_, run)| run.name.as_str()).collect::<Vec<_>>(), ["region-start"]);
+    assert_eq!(
+        kept.iter()
+            .map(|(_, run)| run.name.as_str())
+            .collect::<Vec<_>>(),
+        ["region-start"]
+    );
 }
 
 fn row(target: Option<f64>, budget: Option<f64>, with: Option<(&'static str, f64)>) -> Row {
@@ -521,9 +710,18 @@
 #[test]
 fn verdicts_by_hand() {
     assert_eq!(row(Some(10.0), Some(10.0), None).verdict(), Verdict::Fits);
-    assert_eq!(row(Some(15.0), Some(10.0), None).verdict(), Verdict::DoesNotFit(1.5));
-    assert_eq!(row(Some(15.0), Some(10.0), Some(("x", 9.0))).verdict(), Verdict::FitsWith("x", 9.0));
-    assert_eq!(row(Some(15.0), Some(10.0), Some(("x", 11.0))).verdict(), Verdict::DoesNotFit(1.5));
+    assert_eq!(
+        row(Some(15.0), Some(10.0), None).verdict(),
+        Verdict::DoesNotFit(1.5)
+    );
+    assert_eq!(
+        row(Some(15.0), Some(10.0), Some(("x", 9.0))).verdict(),
+        Verdict::FitsWith("x", 9.0)
+    );
+    assert_eq!(
+        row(Some(15.0), Some(10.0), Some(("x", 11.0))).verdict(),
+        Verdict::DoesNotFit(1.5)
+    );
     assert_eq!(row(Some(15.0), None, None).verdict(), Verdict::NoBudget);
     assert_eq!(row(None, Some(10.0), None).verdict(), Verdict::NotKnown);
 }
@@ -538,7 +736,9 @@
         (39.04, "39"),
         (0.5, "0.5"),
     ];
-    plains.iter().for_each(|(value, text)| assert_eq!(plain(*value), *text));
+    plains
+        .iter()
+        .for_each(|(value, text)| assert_eq!(plain(*value), *text));
     let amounts = [
         (39e6, Unit::Bytes, "39 MB"),
         (8000.0, Unit::BytesPerSecond, "8 KB/s"),
@@ -550,5 +750,7 @@
         (2600.0, Unit::Count, "2,600"),
         (0.0, Unit::Bytes, "0 B"),
     ];
-    amounts.iter().for_each(|(value, unit, text)| assert_eq!(amount(*value, *unit), *text));
+    amounts
+        .iter()
+        .for_each(|(value, unit, text)| assert_eq!(amount(*value, *unit), *text));
 }
--- a/crates/rig/tests/connection_bound.rs
+++ b/crates/rig/tests/connection_bound.rs
@@ -1,6 +1,8 @@
 //! Which client's connection a node closes when it has no room for another: the real program over loopback sockets.
 
-use reelfall_rig::scripted::{answer, connect, get, read_request, Discovery, Got, Node, Program, Server};
+use reelfall_rig::scripted::{
+    answer, connect, get, read_request, Discovery, Got, Node, Program, Server,
+};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::thread::JoinHandle;
@@ -15,7 +17,11 @@
 fn node_before(server: &Server) -> (Discovery, Node) {
     let discovery = Discovery::start();
     discovery.list(1, &[("s-1", server.address, "active")]);
-    let node = Node::start(&Program::in_rig(env!("CARGO_BIN_EXE_reelfall-rig")), discovery.address, SOCKETS);
+    let node = Node::start(
+        &Program::in_rig(env!("CARGO_BIN_EXE_reelfall-rig")),
+        discovery.address,
+        SOCKETS,
+    );
     (discovery, node)
 }
 
@@ -26,7 +32,10 @@
 }
 
 fn good(id: &str) -> Option<Got> {
-    Some(Got { status: 200, body: id.to_owned() })
+    Some(Got {
+        status: 200,
+        body: id.to_owned(),
+    })
 }
 
 /// A client that has its answer and rests.
@@ -45,7 +54,10 @@
 fn a_client_that_pauses_before_asking_is_answered_and_one_that_rests_goes_for_it() {
     let server = Server::good();
     let (_discovery, node) = node_before(&server);
-    let mut rest = (0..PLACES).map(|n| resting(&node, &format!("r-{n}"))).collect::<Vec<_>>().into_iter();
+    let mut rest = (0..PLACES)
+        .map(|n| resting(&node, &format!("r-{n}")))
+        .collect::<Vec<_>>()
+        .into_iter();
     let paused: Vec<TcpStream> = (0..4)
         .map(|_| {
             let stream = connect(node.address);
@@ -66,7 +78,11 @@
     }
     for (n, stream) in further.iter().enumerate() {
         let id = format!("g-{n}");
-        assert_eq!(ask(stream, &id), good(&id), "the most recently used go last");
+        assert_eq!(
+            ask(stream, &id),
+            good(&id),
+            "the most recently used go last"
+        );
     }
 }
 
@@ -75,7 +91,9 @@
     let server = Server::good();
     let (_discovery, node) = node_before(&server);
     let silent: Vec<TcpStream> = (0..5).map(|_| connect(node.address)).collect();
-    let rest: Vec<TcpStream> = (silent.len()..PLACES).map(|n| resting(&node, &format!("r-{n}"))).collect();
+    let rest: Vec<TcpStream> = (silent.len()..PLACES)
+        .map(|n| resting(&node, &format!("r-{n}")))
+        .collect();
     // Who connected before one that has its answer is connected by the node's clock too.
     let connected = Instant::now();
     let last = rest.last().expect("one that rests");
@@ -83,7 +101,10 @@
         assert_eq!(ask(last, "turn"), good("turn"));
     }
     let further: Vec<TcpStream> = (0..3).map(|n| resting(&node, &format!("f-{n}"))).collect();
-    silent.into_iter().take(further.len()).for_each(until_closed);
+    silent
+        .into_iter()
+        .take(further.len())
+        .for_each(until_closed);
     for (n, stream) in rest.iter().enumerate() {
         let id = format!("a-{n}");
         assert_eq!(ask(stream, &id), good(&id), "one that rests");
@@ -107,7 +128,10 @@
             }
             next
         });
-        Attentive { stream, next_answer }
+        Attentive {
+            stream,
+            next_answer,
+        }
     }
 
     /// Asks once more; whether there was an answer.
@@ -123,16 +147,25 @@
 fn a_flood_of_new_connections_leaves_places_to_those_that_ask_and_that_rest() {
     let server = Server::good();
     let (_discovery, node) = node_before(&server);
-    let rest: Vec<Attentive> = (0..PLACES).map(|n| Attentive::start(&node, &format!("r-{n}"))).collect();
+    let rest: Vec<Attentive> = (0..PLACES)
+        .map(|n| Attentive::start(&node, &format!("r-{n}")))
+        .collect();
     let mut flood = Vec::new();
     for n in 0..20 {
         flood.extend((0..15).map(|_| connect(node.address)));
-        assert_eq!(get(node.address, &format!("n-{n}")).status, 200, "one that asks at once");
+        assert_eq!(
+            get(node.address, &format!("n-{n}")).status,
+            200,
+            "one that asks at once"
+        );
     }
     let mut served = 0;
     for (n, client) in rest.into_iter().enumerate() {
         served += usize::from(client.ask_again(&format!("a-{n}")));
     }
     // Three quarters of the places, less those whose clients are slow in closing them.
-    assert!(served >= PLACES / 2, "{served} of {PLACES} that rested are served");
+    assert!(
+        served >= PLACES / 2,
+        "{served} of {PLACES} that rested are served"
+    );
 }
--- a/crates/rig/tests/discovery.rs
+++ b/crates/rig/tests/discovery.rs
@@ -34,7 +34,11 @@
 }
 
 fn whole(stream: &mut TcpStream, list: &str) {
-    let _ = write!(stream, "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{list}", list.len());
+    let _ = write!(
+        stream,
+        "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{list}",
+        list.len()
+    );
 }
 
 /// Beats as a watch does while nothing changes, until the other side has gone.
@@ -90,7 +94,13 @@
 
 #[test]
 fn a_change_that_cannot_be_used_is_healed_by_the_whole_list() {
-    for spoilt in ["nonsense\n", "{\"index\":\"x\"}\n", "{\"index\":7,\"endpoints\":{}}\n", "{]\n", "[1]\n"] {
+    for spoilt in [
+        "nonsense\n",
+        "{\"index\":\"x\"}\n",
+        "{\"index\":7,\"endpoints\":{}}\n",
+        "{]\n",
+        "[1]\n",
+    ] {
         let (old, new) = (Server::good(), Server::good());
         let (old_at, new_at) = (old.address, new.address);
         let address = service(move |call, _, stream| {
@@ -183,7 +193,8 @@
             let second = second.clone();
             std::thread::spawn(move || {
                 Message::read(&mut BufReader::new(stream.try_clone().unwrap()));
-                let _ = stream.write_all((WATCHES.to_owned() + &chunk(&(second + "\n"))).as_bytes());
+                let _ =
+                    stream.write_all((WATCHES.to_owned() + &chunk(&(second + "\n"))).as_bytes());
                 beats(&mut stream);
             });
         }
@@ -228,7 +239,8 @@
             return whole(stream, &now);
         }
         let _ = stream.write_all((WATCHES.to_owned() + &chunk(&(now + "\n"))).as_bytes());
-        while *is_down.lock().unwrap() == state && stream.write_all(chunk("\n").as_bytes()).is_ok() {
+        while *is_down.lock().unwrap() == state && stream.write_all(chunk("\n").as_bytes()).is_ok()
+        {
             std::thread::sleep(Duration::from_millis(50));
         }
         let _ = stream.shutdown(std::net::Shutdown::Both);
@@ -263,8 +275,10 @@
     let tell = Mutex::new((came, gone));
     let address = service(move |call, number, stream| {
         let _ = tell.lock().unwrap().0.send((number, Instant::now()));
-        let lists =
-            [list(5, true, &[("s-1", old_at, "active")]), list(9, true, &[("s-2", new_at, "active")])];
+        let lists = [
+            list(5, true, &[("s-1", old_at, "active")]),
+            list(9, true, &[("s-2", new_at, "active")]),
+        ];
         if (1..6).contains(&number) {
             silence(stream);
             let _ = tell.lock().unwrap().1.send((number, Instant::now()));
@@ -272,7 +286,8 @@
         }
         let list = &lists[usize::from(number > 0)];
         if call.contains("watch=1") {
-            let _ = stream.write_all((WATCHES.to_owned() + &chunk(&format!("{list}\n"))).as_bytes());
+            let _ =
+                stream.write_all((WATCHES.to_owned() + &chunk(&format!("{list}\n"))).as_bytes());
         } else {
             whole(stream, list);
         }
@@ -288,6 +303,9 @@
     for (number, gone) in ends.try_iter() {
         // What the agent hears in this gap counts at once; the strictest grace seen for a drain is 0.2 s, and 0.05 s more.
         let gap = came[&(number + 1)].saturating_duration_since(gone);
-        assert!(gap < Duration::from_millis(200), "{gap:?} after the watch {number}");
+        assert!(
+            gap < Duration::from_millis(200),
+            "{gap:?} after the watch {number}"
+        );
     }
 }
--- a/crates/rig/tests/endings.rs
+++ b/crates/rig/tests/endings.rs
@@ -31,7 +31,12 @@
     let ids = Ids::default();
     let keeps = ids.clone();
     let server = Server::start(move |request, number, stream| {
-        keeps.lock().unwrap().push(request.header("x-correlation-id").unwrap_or("none").to_owned());
+        keeps.lock().unwrap().push(
+            request
+                .header("x-correlation-id")
+                .unwrap_or("none")
+                .to_owned(),
+        );
         if number == 0 {
             at.wait();
             until.wait();
@@ -61,7 +66,9 @@
         let (server, [held, hold], ids) = breaks_the_first();
         let (_discovery, node) = before(server.address);
         let mut client = connect(node.address);
-        client.write_all((read_request("gone") + &ahead).as_bytes()).unwrap();
+        client
+            .write_all((read_request("gone") + &ahead).as_bytes())
+            .unwrap();
         held.wait();
         drop(client);
         // A tenth of a second is what a node has to find out.
@@ -73,8 +80,18 @@
         hold.wait();
         turn(&node, "last");
         // It may be repeated, and there is time: but nobody waits for it.
-        let gone = ids.lock().unwrap().iter().filter(|id| *id == "gone").count();
-        assert_eq!(gone, 1, "a further attempt, behind {} bytes sent ahead", ahead.len());
+        let gone = ids
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|id| *id == "gone")
+            .count();
+        assert_eq!(
+            gone,
+            1,
+            "a further attempt, behind {} bytes sent ahead",
+            ahead.len()
+        );
     }
 }
 
@@ -88,13 +105,18 @@
     client.write_all(all.as_bytes()).unwrap();
     let mut reader = BufReader::new(client);
     for n in 0..few {
-        assert_eq!(Message::read(&mut reader).expect("an answer").body, format!("p-{n}").as_bytes());
+        assert_eq!(
+            Message::read(&mut reader).expect("an answer").body,
+            format!("p-{n}").as_bytes()
+        );
     }
     // More than is kept: each request has its own answer, until the connection ends between two.
     let client = connect(node.address);
     let mut writer = client.try_clone().unwrap();
     let writing = std::thread::spawn(move || {
-        let all: String = (0..2_000).map(|n| read_request(&format!("q-{n}"))).collect();
+        let all: String = (0..2_000)
+            .map(|n| read_request(&format!("q-{n}")))
+            .collect();
         let _ = writer.write_all(all.as_bytes());
         let _ = writer.shutdown(std::net::Shutdown::Write);
     });
@@ -144,7 +166,10 @@
     // On its way before the client has heard of the end.
     rests.write_all(read_request("r-2").as_bytes()).unwrap();
     // A reset would have come back before the write was over.
-    assert!(rests.take_error().unwrap().is_none(), "the connection is reset");
+    assert!(
+        rests.take_error().unwrap().is_none(),
+        "the connection is reset"
+    );
     assert_eq!(rests.read(&mut end).unwrap(), 0, "the end is orderly");
     drop(rests);
     assert!(node.ended());
@@ -173,7 +198,10 @@
     writing.join().unwrap();
     // All that its process has to say on this connection is said.
     assert!(node.ended());
-    assert!(client.take_error().unwrap().is_none(), "the connection is reset");
+    assert!(
+        client.take_error().unwrap().is_none(),
+        "the connection is reset"
+    );
     assert_eq!(server.seen(), 1);
 }
 
@@ -196,12 +224,16 @@
     let (_discovery, node) = before(server);
     for version in ["HTTP/1.0", "HTTP/1.1"] {
         let mut client = connect(node.address);
-        client.write_all(read_request("cut").replace("HTTP/1.1", version).as_bytes()).unwrap();
+        client
+            .write_all(read_request("cut").replace("HTTP/1.1", version).as_bytes())
+            .unwrap();
         let mut some = vec![0; 1_000];
         client.read_exact(&mut some).unwrap();
         began.wait();
         let stream = cut.lock().unwrap().take().expect("the server's side");
-        socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
+        socket2::SockRef::from(&stream)
+            .set_linger(Some(Duration::ZERO))
+            .unwrap();
         drop(stream);
         let mut rest = Vec::new();
         let read = client.read_to_end(&mut rest);
@@ -221,9 +253,12 @@
     let told = Mutex::new(told);
     let server = serve(move |mut stream, number| {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
-        let Some(request) = Message::read(&mut reader) else { return };
+        let Some(request) = Message::read(&mut reader) else {
+            return;
+        };
         if number > 0 {
-            let head = "HTTP/1.1 503 Service Unavailable\r\nx-unprocessed: 1\r\nconnection: close\r\n";
+            let head =
+                "HTTP/1.1 503 Service Unavailable\r\nx-unprocessed: 1\r\nconnection: close\r\n";
             let _ = stream.write_all((head.to_owned() + "content-length: 0\r\n\r\n").as_bytes());
             return;
         }
--- a/crates/rig/tests/fleet.rs
+++ b/crates/rig/tests/fleet.rs
@@ -44,7 +44,9 @@
         // The line has been read when the node asks anew.
         let calls = discovery.calls();
         discovery.say(line);
-        until("a line that is no list is not given up", || discovery.calls() > calls);
+        until("a line that is no list is not given up", || {
+            discovery.calls() > calls
+        });
         served(&node, 10 * n);
     }
     assert_eq!(a.seen(), 10 * lines.len());
@@ -74,12 +76,17 @@
         "7".to_owned(),
         entry("s-b", &at_b),
     ];
-    discovery.say(&format!(r#"{{"index":6,"snapshot":true,"endpoints":[{}]}}"#, entries.join(",")));
+    discovery.say(&format!(
+        r#"{{"index":6,"snapshot":true,"endpoints":[{}]}}"#,
+        entries.join(",")
+    ));
     until("a server named beside unusable entries is not used", || {
         get(node.address, "n").status == 200 && b.seen() > 0
     });
     let before = a.seen();
-    until("a server named twice is not used", || get(node.address, "m").status == 200 && a.seen() > before);
+    until("a server named twice is not used", || {
+        get(node.address, "m").status == 200 && a.seen() > before
+    });
 }
 
 #[test]
@@ -111,6 +118,8 @@
     let b = Server::good();
     discovery.list(9, &[("s-b", b.address, "active")]);
     let seen = a.seen();
-    until("the list is not followed again", || get(node.address, "n").status == 200 && b.seen() > 0);
+    until("the list is not followed again", || {
+        get(node.address, "n").status == 200 && b.seen() > 0
+    });
     assert!(a.seen() >= seen);
 }
--- a/crates/rig/tests/fleets/mod.rs
+++ b/crates/rig/tests/fleets/mod.rs
@@ -19,13 +19,18 @@
 pub async fn start(made: Made) -> Rig {
     let rig = Rig::start(&program(), &made).await.unwrap();
     if made.fleet.is_some() {
-        rig.until("all know each other", async |rig| rig.gathered().await).await.unwrap();
+        rig.until("all know each other", async |rig| rig.gathered().await)
+            .await
+            .unwrap();
     }
     rig
 }
 
 pub fn warm() -> Made {
-    Made { service: WARM.to_owned(), ..Made::default() }
+    Made {
+        service: WARM.to_owned(),
+        ..Made::default()
+    }
 }
 
 /// Two fleets at once, however many tests run: more would have each other's nodes starve, and find fault with servers.
@@ -46,9 +51,19 @@
 /// What an operator sees who calls a node by the command line.
 pub async fn command(rig: &Rig, node: usize, args: &[&str]) -> String {
     let mut command = program().command();
-    command.args(args).arg("--management").arg(rig.management(node).unwrap().to_string());
-    let done = tokio::task::spawn_blocking(move || command.output()).await.unwrap().unwrap();
-    assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
+    command
+        .args(args)
+        .arg("--management")
+        .arg(rig.management(node).unwrap().to_string());
+    let done = tokio::task::spawn_blocking(move || command.output())
+        .await
+        .unwrap()
+        .unwrap();
+    assert!(
+        done.status.success(),
+        "{}",
+        String::from_utf8_lossy(&done.stderr)
+    );
     String::from_utf8_lossy(&done.stdout).into_owned()
 }
 
@@ -62,7 +77,11 @@
 /// That it is condemned is too early: on a busy machine one of the reports may stand on an attempt that is late, and is
 /// taken back with its answer.
 pub async fn until_errors_reported(rig: &Rig, server: &str, by: usize) {
-    let reports = |said: &str| said.lines().filter(|line| line.contains(": Failing: ")).count();
+    let reports = |said: &str| {
+        said.lines()
+            .filter(|line| line.contains(": Failing: "))
+            .count()
+    };
     until_all_explain(rig, server, "reports of errors", |said| reports(said) >= by).await;
 }
 
@@ -70,7 +89,9 @@
     let path = format!("/-/fleet/servers/{server}");
     rig.until(what, async |rig| {
         for n in rig.awake() {
-            let Ok((_, said)) = rig.call(n, "GET", &path).await else { return false };
+            let Ok((_, said)) = rig.call(n, "GET", &path).await else {
+                return false;
+            };
             if !holds(&said) {
                 return false;
             }
@@ -89,7 +110,9 @@
     let name = server_name(server);
     let is_left = |happened: &[(Duration, Event)], node: usize| {
         let said = happened.iter().rev().find_map(|(_, event)| match event {
-            Event::Said { node: by, line } if *by == node => line.split_once(&format!("fleet: {name} ")),
+            Event::Said { node: by, line } if *by == node => {
+                line.split_once(&format!("fleet: {name} "))
+            }
             _ => None,
         });
         said.is_some_and(|(_, words)| words.starts_with("fails several nodes"))
@@ -109,7 +132,9 @@
     let from = rig.history.now();
     rig.until("requests to the server by all", async |rig| {
         let happened = rig.history.events();
-        nodes.iter().all(|n| !check::attempts(&happened, server, from, Duration::MAX, &[*n]).is_empty())
+        nodes
+            .iter()
+            .all(|n| !check::attempts(&happened, server, from, Duration::MAX, &[*n]).is_empty())
     })
     .await
     .unwrap();
@@ -119,5 +144,11 @@
 /// everywhere, and the half that the rule on drains gives each node.
 pub fn late(rig: &Rig, server: usize, since: Duration, nodes: &[usize]) -> Vec<(Duration, String)> {
     let happened = rig.history.events();
-    check::attempts(&happened, server, since + SECOND + check::GRACE, Duration::MAX, nodes)
+    check::attempts(
+        &happened,
+        server,
+        since + SECOND + check::GRACE,
+        Duration::MAX,
+        nodes,
+    )
 }
