--- a/crates/rig/tests/graphql.rs
+++ b/crates/rig/tests/graphql.rs
@@ -16,7 +16,10 @@
 const RESPONSE: &str = "application/graphql-response+json";
 
 async fn start(manner: Manner, more: &str) -> (Node, Pool) {
-    running(manner, &graphql::app(), |pool| graphql::settings(pool, more)).await
+    running(manner, &graphql::app(), |pool| {
+        graphql::settings(pool, more)
+    })
+    .await
 }
 
 async fn running(manner: Manner, app: &App, settings: impl Fn(&Pool) -> String) -> (Node, Pool) {
@@ -37,23 +40,39 @@
         .header("host", "flags.example.org")
         .header("content-type", "application/json")
         .header("accept", accept);
-    client.ask(request.body(Full::new(body.into())).unwrap()).await.expect("an answer")
+    client
+        .ask(request.body(Full::new(body.into())).unwrap())
+        .await
+        .expect("an answer")
 }
 
 async fn ask(client: &Client, body: Value) -> (u16, Value) {
     let got = post(client, body.to_string(), RESPONSE).await;
-    (got.status.as_u16(), serde_json::from_slice(&got.body).expect("JSON"))
+    (
+        got.status.as_u16(),
+        serde_json::from_slice(&got.body).expect("JSON"),
+    )
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn queries_and_mutations_are_served_as_they_are_asked() {
     let (node, pool) = start(good(), "").await;
     let client = Client::new(node.address());
-    let (status, said) = ask(&client, json!({"query": "{ evaluate(flag: \"f\") { on } }"})).await;
-    assert_eq!((status, said), (200, json!({"data": {"evaluate": {"on": true}}})));
+    let (status, said) = ask(
+        &client,
+        json!({"query": "{ evaluate(flag: \"f\") { on } }"}),
+    )
+    .await;
+    assert_eq!(
+        (status, said),
+        (200, json!({"data": {"evaluate": {"on": true}}}))
+    );
     let query = "mutation M($id: ID!) { x: toggle(id: $id) { id } } query Q { __typename }";
-    let (status, said) =
-        ask(&client, json!({"query": query, "operationName": "M", "variables": {"id": "m-1"}})).await;
+    let (status, said) = ask(
+        &client,
+        json!({"query": query, "operationName": "M", "variables": {"id": "m-1"}}),
+    )
+    .await;
     assert_eq!((status, said), (200, json!({"data": {"x": {"id": "m-1"}}})));
     assert_eq!(pool.effects().get("m-1"), Some(&1));
     // The media types and their statuses.
@@ -64,7 +83,13 @@
     ] {
         let got = post(&client, r#"{"query":"{ __typename }"}"#, accept).await;
         assert_eq!(got.status, 200);
-        assert!(got.headers["content-type"].to_str().unwrap().starts_with(kind), "{accept}");
+        assert!(
+            got.headers["content-type"]
+                .to_str()
+                .unwrap()
+                .starts_with(kind),
+            "{accept}"
+        );
         let got = post(&client, r#"{"query":"{ __typename"}"#, accept).await;
         assert_eq!(got.status, bad, "{accept}");
         let said: Value = serde_json::from_slice(&got.body).unwrap();
@@ -74,7 +99,12 @@
         let got = post(&client, r#"{"query":"{ none }"}"#, accept).await;
         assert_eq!(got.status, bad, "{accept}: {:?}", got.body);
     }
-    assert_eq!(post(&client, r#"{"query":"{ __typename }"}"#, "text/html").await.status, 406);
+    assert_eq!(
+        post(&client, r#"{"query":"{ __typename }"}"#, "text/html")
+            .await
+            .status,
+        406
+    );
 }
 
 /// Requests that the working draft of GraphQL over HTTP has as examples, with the statuses that it gives them for
@@ -96,14 +126,26 @@
         (r#"{"query":"#, 400, 400),
         // Invalid parameters.
         (r#"{"qeury": "{__typename}"}"#, 400, 400),
-        (r#"{"query": "query Q ($i:Int!) { q(i: $i) }", "variables": [7]}"#, 400, 400),
+        (
+            r#"{"query": "query Q ($i:Int!) { q(i: $i) }", "variables": [7]}"#,
+            400,
+            400,
+        ),
         // Document parsing failure.
         (r#"{"query": "{"}"#, 400, 200),
         // Document validation failure: the server's word.
         (r#"{"query": "query Q { unknownField }"}"#, 400, 200),
         // Operation cannot be determined.
-        (r#"{"query": "query A { __typename } query B { __typename }"}"#, 400, 200),
-        (r#"{"query": "query A { __typename }", "operationName": "B"}"#, 400, 200),
+        (
+            r#"{"query": "query A { __typename } query B { __typename }"}"#,
+            400,
+            200,
+        ),
+        (
+            r#"{"query": "query A { __typename }", "operationName": "B"}"#,
+            400,
+            200,
+        ),
         // Variable coercion failure: the server's word.
         (
             r#"{"query": "query Q ($id: ID!) { user(id: $id) { name } }", "variables": {"id": null}}"#,
@@ -117,16 +159,33 @@
         for (accept, status) in [(RESPONSE, response), ("application/json", json)] {
             let got = post(&client, body, accept).await;
             assert_eq!(got.status.as_u16(), status, "{accept}: {body}");
-            assert!(got.headers["content-type"].to_str().unwrap().starts_with(accept));
+            assert!(got.headers["content-type"]
+                .to_str()
+                .unwrap()
+                .starts_with(accept));
             let said: Value = serde_json::from_slice(&got.body).unwrap();
-            assert!(said["data"].is_object() || said["errors"][0]["message"].is_string(), "{body}: {said}");
+            assert!(
+                said["data"].is_object() || said["errors"][0]["message"].is_string(),
+                "{body}: {said}"
+            );
         }
     }
     // Request: "GET".
     let path = "/graphql?query=query(%24id%3A%20ID!)%7Buser(id%3A%24id)%7Bname%7D%7D&variables=%7B%22id%22%3A%22QVBJcy5ndXJ1%22%7D";
-    let get = Request::get(path).header("host", "flags.example.org").header("accept", RESPONSE);
-    let got = client.ask(get.body(Full::new(Bytes::new())).unwrap()).await.unwrap();
-    assert_eq!((got.status.as_u16(), serde_json::from_slice::<Value>(&got.body).unwrap()), (200, user));
+    let get = Request::get(path)
+        .header("host", "flags.example.org")
+        .header("accept", RESPONSE);
+    let got = client
+        .ask(get.body(Full::new(Bytes::new())).unwrap())
+        .await
+        .unwrap();
+    assert_eq!(
+        (
+            got.status.as_u16(),
+            serde_json::from_slice::<Value>(&got.body).unwrap()
+        ),
+        (200, user)
+    );
     // What the node can tell by itself never came to a server.
     assert_eq!(pool.seen(), 9);
 }
@@ -142,7 +201,10 @@
         async move { client.ask(request).await.expect("an answer") }
     };
     let got = get("query=%7B__typename%7D").await;
-    assert_eq!((got.status.as_u16(), &got.body[..]), (200, &br#"{"data":{"__typename":"Query"}}"#[..]));
+    assert_eq!(
+        (got.status.as_u16(), &got.body[..]),
+        (200, &br#"{"data":{"__typename":"Query"}}"#[..])
+    );
     let seen = pool.seen();
     for hidden in [
         "query=mutation%7Btoggle(id:%22g%22)%7Bid%7D%7D",
@@ -153,7 +215,11 @@
         assert_eq!(got.status, 405, "{hidden}");
         assert_eq!(got.headers["allow"], "POST");
     }
-    assert_eq!((pool.seen(), pool.effects().len()), (seen, 0), "a mutation by GET went through");
+    assert_eq!(
+        (pool.seen(), pool.effects().len()),
+        (seen, 0),
+        "a mutation by GET went through"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -179,7 +245,8 @@
     ] {
         let got = post(&client, body, RESPONSE).await;
         assert!(
-            got.status.is_client_error() || got.body.windows(22).any(|w| w == b"PersistedQueryNotFound"),
+            got.status.is_client_error()
+                || got.body.windows(22).any(|w| w == b"PersistedQueryNotFound"),
             "{body}"
         );
     }
@@ -191,7 +258,10 @@
     let (node, pool) = start(good(), "").await;
     let client = Client::new(node.address());
     let text = "mutation P($id: ID!) { toggle(id: $id) { id } }";
-    let hash: String = reelfall_graphql::persisted::of(text).iter().map(|b| format!("{b:02x}")).collect();
+    let hash: String = reelfall_graphql::persisted::of(text)
+        .iter()
+        .map(|b| format!("{b:02x}"))
+        .collect();
     let asked = |query: Option<&str>, id: &str| {
         let mut body = json!({"variables": {"id": id}, "extensions": {"persistedQuery": {"version": 1, "sha256Hash": hash}}});
         if let Some(query) = query {
@@ -204,23 +274,42 @@
     assert_eq!(pool.seen(), 0);
     assert_eq!(ask(&client, asked(Some(text), "p-1")).await.0, 200);
     let (status, said) = ask(&client, asked(None, "p-2")).await;
-    assert_eq!((status, &said["data"]["toggle"]["id"]), (200, &json!("p-2")));
-    assert_eq!(ask(&client, asked(Some("{ flags }"), "p-3")).await.0, 400, "a hash of something else");
+    assert_eq!(
+        (status, &said["data"]["toggle"]["id"]),
+        (200, &json!("p-2"))
+    );
+    assert_eq!(
+        ask(&client, asked(Some("{ flags }"), "p-3")).await.0,
+        400,
+        "a hash of something else"
+    );
     let effects = pool.effects();
-    assert_eq!((effects.get("p-1"), effects.get("p-2"), effects.len()), (Some(&1), Some(&1), 2));
+    assert_eq!(
+        (effects.get("p-1"), effects.get("p-2"), effects.len()),
+        (Some(&1), Some(&1), 2)
+    );
 }
 
 /// Servers that fail at every stage: reads are tried again, mutations run once at most, and what is told is true.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn forced_failures_double_no_mutation_and_lose_no_answer() {
-    let manner = Manner { die_before: 0.1, die_after: 0.15, fail: 0.1, shed: 0.1, spoilt: 0.1, ..good() };
+    let manner = Manner {
+        die_before: 0.1,
+        die_after: 0.15,
+        fail: 0.1,
+        shed: 0.1,
+        spoilt: 0.1,
+        ..good()
+    };
     let (node, pool) = start(manner, "tries = { most = 4, retry_share = 1.0 }").await;
     let spoils = [Spoil::Half, Spoil::Noise, Spoil::Other];
     let client = Client::new(node.address());
     // Without retries, 45 % of the reads are served, and 20 % of the pairs of them in a batch.
     let (mut reads, mut batches, mut told_run) = (0, 0, 0);
     for n in 0..150 {
-        pool.servers.iter().for_each(|s| s.behave(|m| m.spoil = spoils[n % 3]));
+        pool.servers
+            .iter()
+            .for_each(|s| s.behave(|m| m.spoil = spoils[n % 3]));
         let (status, _) = ask(&client, json!({"query": "{ flags }"})).await;
         reads += usize::from(status == 200);
         let mutation = json!({"query": format!("mutation {{ toggle(id: \"one-{n}\") {{ id }} }}")});
@@ -232,7 +321,10 @@
                 assert!(!ran, "refused, and it ran");
                 assert_eq!(said["errors"][0]["extensions"]["retryable"], true);
             }
-            _ => assert_eq!(said["errors"][0]["extensions"]["retryable"], false, "{status} {said}"),
+            _ => assert_eq!(
+                said["errors"][0]["extensions"]["retryable"], false,
+                "{status} {said}"
+            ),
         }
         let batch = json!([
             {"query": "{ flags }"},
@@ -248,15 +340,25 @@
         for (entry, id) in [(&said[1], format!("a-{n}")), (&said[3], format!("b-{n}"))] {
             let ran = pool.effects().contains_key(&id);
             let retryable = &entry["errors"][0]["extensions"]["retryable"];
-            assert!(*retryable != true || !ran, "told that a repeat is harmless, and it ran: {entry}");
-            assert!(entry.get("data").is_none_or(Value::is_null) || ran, "{entry}");
+            assert!(
+                *retryable != true || !ran,
+                "told that a repeat is harmless, and it ran: {entry}"
+            );
+            assert!(
+                entry.get("data").is_none_or(Value::is_null) || ran,
+                "{entry}"
+            );
             told_run += usize::from(ran);
         }
-        batches +=
-            usize::from(said[0]["data"]["flags"].is_array() && said[2]["data"]["evaluate"]["on"] == true);
+        batches += usize::from(
+            said[0]["data"]["flags"].is_array() && said[2]["data"]["evaluate"]["on"] == true,
+        );
     }
     assert_eq!(pool.twice(), 0, "an effect twice: {:?}", pool.effects());
-    assert!(told_run > 100 && reads > 95 && batches > 75, "{told_run} ran, {reads} reads, {batches} batches");
+    assert!(
+        told_run > 100 && reads > 95 && batches > 75,
+        "{told_run} ran, {reads} reads, {batches} batches"
+    );
 }
 
 /// The server of a mutation dies at a chosen stage, and that of a read twice before the third attempt is served: what
@@ -266,7 +368,12 @@
     let attempts: Arc<Mutex<HashMap<String, u32>>> = Arc::default();
     let (counting, inner) = (attempts.clone(), graphql::app());
     let app: App = Arc::new(move |head, body| {
-        let id = head.headers.get("x-correlation-id").and_then(|v| v.to_str().ok()).unwrap_or("").to_owned();
+        let id = head
+            .headers
+            .get("x-correlation-id")
+            .and_then(|v| v.to_str().ok())
+            .unwrap_or("")
+            .to_owned();
         let mut attempts = counting.lock().unwrap();
         let attempt = attempts.entry(id.clone()).or_default();
         *attempt += 1;
@@ -285,27 +392,47 @@
     let (node, pool) = running(good(), &app, |pool| {
         // Attempts end by what the servers do, and never by time.
         let settings = graphql::settings(pool, "tries = { most = 4, retry_share = 1.0 }");
-        settings.replace("aim = \"200ms\"", "aim = \"5s\"").replace("deadline = \"2s\"", "deadline = \"30s\"")
+        settings
+            .replace("aim = \"200ms\"", "aim = \"5s\"")
+            .replace("deadline = \"2s\"", "deadline = \"30s\"")
     })
     .await;
     let client = Client::new(node.address());
     for round in 0..12 {
         let stage = ["before", "during", "after", "none"][round % 4];
         let id = format!("{stage}-{round}");
-        let mutation = |n: u32| json!({"query": format!("mutation {{ toggle(id: \"{id}-{n}\") {{ id }} }}")});
-        let batch =
-            json!([{"query": "{ flags }"}, mutation(1), {"query": "{ evaluate { on } }"}, mutation(2)]);
+        let mutation =
+            |n: u32| json!({"query": format!("mutation {{ toggle(id: \"{id}-{n}\") {{ id }} }}")});
+        let batch = json!([{"query": "{ flags }"}, mutation(1), {"query": "{ evaluate { on } }"}, mutation(2)]);
         let request = Request::post("/graphql")
             .header("host", "flags.example.org")
             .header("content-type", "application/json")
             .header("x-correlation-id", &id);
-        let got = client.ask(request.body(Full::new(Bytes::from(batch.to_string()))).unwrap()).await.unwrap();
+        let got = client
+            .ask(
+                request
+                    .body(Full::new(Bytes::from(batch.to_string())))
+                    .unwrap(),
+            )
+            .await
+            .unwrap();
         let said: Value = serde_json::from_slice(&got.body).unwrap();
-        assert_eq!((got.status.as_u16(), said.as_array().map(Vec::len)), (200, Some(4)), "{said}");
-        assert!(said[0]["data"]["flags"].is_array(), "{stage}: the read is lost: {said}");
+        assert_eq!(
+            (got.status.as_u16(), said.as_array().map(Vec::len)),
+            (200, Some(4)),
+            "{said}"
+        );
+        assert!(
+            said[0]["data"]["flags"].is_array(),
+            "{stage}: the read is lost: {said}"
+        );
         assert_eq!(said[2]["data"]["evaluate"]["on"], true, "{stage}: {said}");
         // The mutation behind it is a request of its own.
-        assert_eq!(said[3]["data"]["toggle"]["id"], format!("{id}-2"), "{stage}: {said}");
+        assert_eq!(
+            said[3]["data"]["toggle"]["id"],
+            format!("{id}-2"),
+            "{stage}: {said}"
+        );
         let effects = pool.effects();
         let ran = effects.get(&format!("{id}-1")).copied().unwrap_or(0);
         if stage == "none" {
@@ -320,7 +447,11 @@
         assert_eq!(ran, u32::from(stage != "before"), "{stage}");
         let attempts = attempts.lock().unwrap();
         let tried = |place: u32| attempts.get(&format!("{id}.{place}")).copied();
-        assert_eq!([tried(0), tried(1), tried(2), tried(3)], [Some(3), Some(1), Some(1), Some(1)], "{stage}");
+        assert_eq!(
+            [tried(0), tried(1), tried(2), tried(3)],
+            [Some(3), Some(1), Some(1), Some(1)],
+            "{stage}"
+        );
     }
     assert_eq!(pool.twice(), 0);
 }
@@ -333,7 +464,11 @@
     let (status, said) = ask(&client, json!({"query": "{ flags b: broken }"})).await;
     // It has `data`, so that both media types give it 200; it has run, and is not tried again.
     assert_eq!((status, &said, pool.seen()), (200, &broken, 1));
-    let (status, said) = ask(&client, json!([{"query": "{ b: broken }"}, {"query": "{ flags }"}])).await;
+    let (status, said) = ask(
+        &client,
+        json!([{"query": "{ b: broken }"}, {"query": "{ flags }"}]),
+    )
+    .await;
     assert_eq!((status, &said[0], pool.seen()), (200, &broken, 3));
     assert!(said[1]["data"]["flags"].is_array());
 }
@@ -345,15 +480,30 @@
     let one = |query: String| json!({ "query": query }).to_string();
     let entry = r#"{"query":"{ flags }"}"#;
     for (body, bound) in [
-        (format!("[{}]", vec![entry; 1_000].join(",")), "requests in a batch"),
         (
-            one(format!("{{ evaluate(flag: \"{}\") {{ on }} }}", "x".repeat((1 << 20) - 100))),
+            format!("[{}]", vec![entry; 1_000].join(",")),
+            "requests in a batch",
+        ),
+        (
+            one(format!(
+                "{{ evaluate(flag: \"{}\") {{ on }} }}",
+                "x".repeat((1 << 20) - 100)
+            )),
             "bytes of a document",
         ),
         (one("{a".repeat(30_000)), "tokens of a document"),
         (one("{".repeat(100_000)), "bytes of a document"),
-        (one((0..10_000).map(|n| format!("a{n}:a ")).collect::<String>()), "bytes of a document"),
-        (one(format!("{{ {} }}", (0..4_000).map(|n| format!("a{n}:a ")).collect::<String>())), "of a"),
+        (
+            one((0..10_000).map(|n| format!("a{n}:a ")).collect::<String>()),
+            "bytes of a document",
+        ),
+        (
+            one(format!(
+                "{{ {} }}",
+                (0..4_000).map(|n| format!("a{n}:a ")).collect::<String>()
+            )),
+            "of a",
+        ),
         (
             one("{ ...F } fragment F on Query { ...G } fragment G on Query { ...F }".to_owned()),
             "leads back to itself",
@@ -385,7 +535,9 @@
 async fn at_the_deadline_a_batch_is_answered_with_what_is_done() {
     let (node, pool) = start(good(), "").await;
     let client = Client::new(node.address());
-    pool.servers.iter().for_each(|s| s.behave(|m| m.frozen = true));
+    pool.servers
+        .iter()
+        .for_each(|s| s.behave(|m| m.frozen = true));
     let batch = json!([
         {"query": "{"},
         {"query": "mutation { toggle(id: \"d-1\") { id } }"},
@@ -396,13 +548,34 @@
         .header("content-type", "application/json")
         .header("x-time-left", "0.4");
     let begun = Instant::now();
-    let got = client.ask(request.body(Full::new(Bytes::from(batch.to_string()))).unwrap()).await.unwrap();
-    assert!(begun.elapsed() < Duration::from_secs(4), "the deadline is not kept");
+    let got = client
+        .ask(
+            request
+                .body(Full::new(Bytes::from(batch.to_string())))
+                .unwrap(),
+        )
+        .await
+        .unwrap();
+    assert!(
+        begun.elapsed() < Duration::from_secs(4),
+        "the deadline is not kept"
+    );
     let said: Value = serde_json::from_slice(&got.body).unwrap();
-    assert_eq!(said[0]["errors"][0]["extensions"]["code"], "GRAPHQL_PARSE_FAILED");
-    assert_eq!(said[1]["errors"][0]["extensions"], json!({"code": "FAILED", "retryable": false}));
-    assert_eq!(said[2]["errors"][0]["extensions"], json!({"code": "NOT_RUN", "retryable": true}));
-    pool.servers.iter().for_each(|s| s.behave(|m| m.frozen = false));
+    assert_eq!(
+        said[0]["errors"][0]["extensions"]["code"],
+        "GRAPHQL_PARSE_FAILED"
+    );
+    assert_eq!(
+        said[1]["errors"][0]["extensions"],
+        json!({"code": "FAILED", "retryable": false})
+    );
+    assert_eq!(
+        said[2]["errors"][0]["extensions"],
+        json!({"code": "NOT_RUN", "retryable": true})
+    );
+    pool.servers
+        .iter()
+        .for_each(|s| s.behave(|m| m.frozen = false));
     // The one that was told to be harmless never runs, however long one waits.
     let begun = Instant::now();
     while !pool.effects().contains_key("d-1") {
@@ -416,13 +589,16 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_client_that_leaves_starts_nothing_more() {
     let (node, pool) = start(good(), "").await;
-    pool.servers.iter().for_each(|s| s.behave(|m| m.frozen = true));
+    pool.servers
+        .iter()
+        .for_each(|s| s.behave(|m| m.frozen = true));
     let batch = json!([
         {"query": "mutation { toggle(id: \"l-1\") { id } }"},
         {"query": "mutation { toggle(id: \"l-2\") { id } }"},
     ]);
     let address = node.address();
-    let leaving = tokio::spawn(async move { post(&Client::new(address), batch.to_string(), RESPONSE).await });
+    let leaving =
+        tokio::spawn(async move { post(&Client::new(address), batch.to_string(), RESPONSE).await });
     let begun = Instant::now();
     while pool.seen() == 0 {
         assert!(begun.elapsed() < Duration::from_secs(20));
@@ -432,10 +608,15 @@
     let _ = leaving.await;
     // Requests of others tell that the node has seen it go: they go round it, and it is long gone by then.
     let client = Client::new(node.address());
-    pool.servers.iter().for_each(|s| s.behave(|m| m.frozen = false));
+    pool.servers
+        .iter()
+        .for_each(|s| s.behave(|m| m.frozen = false));
     for _ in 0..50 {
         assert_eq!(ask(&client, json!({"query": "{ flags }"})).await.0, 200);
     }
     let effects = pool.effects();
-    assert!(effects.contains_key("l-1") && !effects.contains_key("l-2"), "{effects:?}");
+    assert!(
+        effects.contains_key("l-1") && !effects.contains_key("l-2"),
+        "{effects:?}"
+    );
 }
--- a/crates/rig/tests/leases.rs
+++ b/crates/rig/tests/leases.rs
@@ -26,15 +26,30 @@
          [[fleet.leases.call]]\nname = \"roll\"\naddress = \"{}\"\npath = \"/roll\"\nevery = \"50ms\"\n",
         resource.address
     );
-    let made = Made { nodes, servers: 2, service: WARM.to_owned(), fleet: Some(leases), ..Made::default() };
-    let rig = Rig::start_in(&fleets::program(), &made, history).await.unwrap();
-    rig.until("all know each other", async |rig| rig.gathered().await).await.unwrap();
+    let made = Made {
+        nodes,
+        servers: 2,
+        service: WARM.to_owned(),
+        fleet: Some(leases),
+        ..Made::default()
+    };
+    let rig = Rig::start_in(&fleets::program(), &made, history)
+        .await
+        .unwrap();
+    rig.until("all know each other", async |rig| rig.gathered().await)
+        .await
+        .unwrap();
     for keeper in 0..3 {
-        rig.until("all keepers vote", async |rig| says(rig, keeper, "this keeper votes").await)
-            .await
-            .unwrap();
+        rig.until("all keepers vote", async |rig| {
+            says(rig, keeper, "this keeper votes").await
+        })
+        .await
+        .unwrap();
+    }
+    Place {
+        rig,
+        _resource: resource,
     }
-    Place { rig, _resource: resource }
 }
 
 /// The holder that acted last, and its token.
@@ -45,11 +60,16 @@
 
 /// Waits for an act by a token greater than this one; who it was, and when it came.
 async fn taken_over(rig: &Rig, token: u64) -> (usize, Duration) {
-    rig.until("the lease is taken over", async |rig| last(rig).is_some_and(|(_, t)| t > token))
-        .await
-        .unwrap();
+    rig.until("the lease is taken over", async |rig| {
+        last(rig).is_some_and(|(_, t)| t > token)
+    })
+    .await
+    .unwrap();
     let happened = rig.history.events();
-    let first = acts(&happened, "roll").into_iter().find(|act| act.token > token).unwrap();
+    let first = acts(&happened, "roll")
+        .into_iter()
+        .find(|act| act.token > token)
+        .unwrap();
     (first.by[1..].parse().unwrap(), first.at)
 }
 
@@ -72,7 +92,9 @@
 fn said_by_all(rig: &Rig) -> String {
     let all = rig.history.events();
     let lines = all.iter().filter_map(|(at, e)| match e {
-        Event::Said { node, line } if line.contains("lease") => Some(format!("{at:?} n{node} {line}\n")),
+        Event::Said { node, line } if line.contains("lease") => {
+            Some(format!("{at:?} n{node} {line}\n"))
+        }
         Event::Killed { .. } | Event::Began { .. } => Some(format!("{at:?} {e:?}\n")),
         _ => None,
     });
@@ -100,19 +122,30 @@
     let (same, token) = last(rig).unwrap();
     assert_eq!(same, holder, "a lease that is renewed stays");
     let said = command(rig, holder, &["fleet", "leases"]).await;
-    assert!(said.contains(&format!("roll: held here, token {token}")), "{said}");
+    assert!(
+        said.contains(&format!("roll: held here, token {token}")),
+        "{said}"
+    );
     // Killed: the next one begins when the lease is over, not before.
     let killed = rig.history.now();
     rig.kill(holder);
     let (next, at) = taken_over(rig, token).await;
     assert_ne!(next, holder);
-    assert!(at > killed + LENGTH / 2 && at < killed + 6 * SECOND, "{:?} after", at - killed);
+    assert!(
+        at > killed + LENGTH / 2 && at < killed + 6 * SECOND,
+        "{:?} after",
+        at - killed
+    );
     // It may be a keeper, of which two have to be there.
     rig.start_node(holder).await.unwrap();
-    rig.until("all know each other", async |rig| rig.gathered().await).await.unwrap();
-    rig.until("it votes", async |rig| holder > 2 || says(rig, holder, "this keeper votes").await)
+    rig.until("all know each other", async |rig| rig.gathered().await)
         .await
         .unwrap();
+    rig.until("it votes", async |rig| {
+        holder > 2 || says(rig, holder, "this keeper votes").await
+    })
+    .await
+    .unwrap();
     // Told to end: it gives the lease back.
     let token = last(rig).unwrap().1;
     let told = rig.history.now();
@@ -145,10 +178,28 @@
     rig.links().cut(&[holder], &others, true);
     let (_, at) = taken_over(rig, token).await;
     let happened = rig.history.events();
-    let end = acts(&happened, "roll").into_iter().filter(|a| a.token <= token).map(|a| a.at).max().unwrap();
-    assert!(end < at, "the former acted {:?} after the next began", end - at);
+    let end = acts(&happened, "roll")
+        .into_iter()
+        .filter(|a| a.token <= token)
+        .map(|a| a.at)
+        .max()
+        .unwrap();
+    assert!(
+        end < at,
+        "the former acted {:?} after the next began",
+        end - at
+    );
     // Its clock told it: what it did came to nobody's fence.
-    assert_eq!(stale(&happened.iter().filter(|(t, _)| *t > end).cloned().collect::<Vec<_>>()), 0);
+    assert_eq!(
+        stale(
+            &happened
+                .iter()
+                .filter(|(t, _)| *t > end)
+                .cloned()
+                .collect::<Vec<_>>()
+        ),
+        0
+    );
     rig.links().heal();
     sound(rig);
 }
@@ -164,7 +215,12 @@
     let token = last(rig).unwrap().1;
     rest(1.5).await;
     let before = rig.history.len();
-    if rig.history.until(before, |e| matches!(e, Event::Acted { let_by: true, .. })).await.is_err() {
+    if rig
+        .history
+        .until(before, |e| matches!(e, Event::Acted { let_by: true, .. }))
+        .await
+        .is_err()
+    {
         panic!("{}", said_by_all(rig));
     }
     let load = rig.load_at(&[3, 4], 40.0, 0.2, 7);
@@ -173,11 +229,21 @@
     let quiet = rig.history.now();
     rest(1.0).await;
     let happened = rig.history.events();
-    let late = acts(&happened, "roll").into_iter().filter(|a| a.at > quiet).count();
+    let late = acts(&happened, "roll")
+        .into_iter()
+        .filter(|a| a.at > quiet)
+        .count();
     assert_eq!(late, 0, "acts without a majority");
-    let served = happened
-        .iter()
-        .filter(|(at, e)| *at > quiet && matches!(e, Event::Answered { status: Some(200), .. }));
+    let served = happened.iter().filter(|(at, e)| {
+        *at > quiet
+            && matches!(
+                e,
+                Event::Answered {
+                    status: Some(200),
+                    ..
+                }
+            )
+    });
     assert!(served.count() > 20, "requests are held up by a lease");
     load.end().await;
     // All keepers begin anew, with what they have on their disks.
@@ -206,13 +272,19 @@
     rig.kill(1);
     std::fs::write(folder.join("leases"), backup).unwrap();
     rig.start_node(1).await.unwrap();
-    rig.until("the backup is refused", async |rig| says(rig, 1, "it is an old copy").await)
-        .await
-        .unwrap_or_else(|_| panic!("{}", said_by_all(rig)));
+    rig.until("the backup is refused", async |rig| {
+        says(rig, 1, "it is an old copy").await
+    })
+    .await
+    .unwrap_or_else(|_| panic!("{}", said_by_all(rig)));
     rig.kill(1);
     std::fs::remove_dir_all(&folder).unwrap();
     rig.start_node(1).await.unwrap();
-    rig.until("it votes", async |rig| says(rig, 1, "this keeper votes").await).await.unwrap();
+    rig.until("it votes", async |rig| {
+        says(rig, 1, "this keeper votes").await
+    })
+    .await
+    .unwrap();
     // Its vote is worth something: with the third keeper gone the lease goes on.
     rig.kill(2);
     hand_over(rig).await;
--- a/crates/rig/tests/membership.rs
+++ b/crates/rig/tests/membership.rs
@@ -21,17 +21,25 @@
 const SLOWER: Duration = Duration::from_millis(10);
 
 async fn server(name: &str) -> Server {
-    Server::start(name, 64, Manner::good(Duration::from_millis(1)), 1).await.unwrap()
+    Server::start(name, 64, Manner::good(Duration::from_millis(1)), 1)
+        .await
+        .unwrap()
 }
 
 async fn start(registry: &Registry, follow: &str, more: &str) -> Node {
-    let node = Node::start(&program(), &settings(registry, follow, more)).await.unwrap();
+    let node = Node::start(&program(), &settings(registry, follow, more))
+        .await
+        .unwrap();
     node.until_health("/_health", true).await.unwrap();
     node
 }
 
 fn request(method: &str, service: &str, id: &str) -> Request<Full<Bytes>> {
-    let body = if method == "GET" { Bytes::new() } else { Bytes::from_static(b"{}") };
+    let body = if method == "GET" {
+        Bytes::new()
+    } else {
+        Bytes::from_static(b"{}")
+    };
     Request::builder()
         .method(method)
         .uri("/api/x")
@@ -45,7 +53,10 @@
 async fn served(client: &Client, run: &str, n: usize) -> usize {
     let mut good = 0;
     for i in 0..n {
-        let got = client.ask(request("GET", "evaluate", &format!("{run}-{i}"))).await.expect("an answer");
+        let got = client
+            .ask(request("GET", "evaluate", &format!("{run}-{i}")))
+            .await
+            .expect("an answer");
         good += usize::from(got.status == 200);
     }
     good
@@ -91,7 +102,9 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn sessions_that_end_under_load_leave_no_request_late_and_none_lost() {
-    let report = scenario::run(&program(), scenario::Scale::SMALL).await.unwrap();
+    let report = scenario::run(&program(), scenario::Scale::SMALL)
+        .await
+        .unwrap();
     assert!(report.pass(), "{:#?}", report.broken());
 }
 
@@ -117,10 +130,17 @@
     let mut flying = tokio::task::JoinSet::new();
     for n in 0..8 {
         flying.spawn(async move {
-            Client::new(address).ask(request("POST", "toggle", &format!("fly-{n}"))).await.unwrap().status
+            Client::new(address)
+                .ask(request("POST", "toggle", &format!("fly-{n}")))
+                .await
+                .unwrap()
+                .status
         });
     }
-    until("toggles at both", async || one.seen() + two.seen() >= begun + 8).await;
+    until("toggles at both", async || {
+        one.seen() + two.seen() >= begun + 8
+    })
+    .await;
     let under_way = (one.seen() - at_one) as usize;
     entered.kill(&registry);
     two.behave(|m| m.frozen = false);
@@ -129,13 +149,26 @@
     until("the news", async || one.connections() <= under_way).await;
     let before = one.seen();
     assert_eq!(served(&client, "after", 200).await, 200);
-    assert_eq!(one.seen(), before, "new work for a server whose session has ended");
+    assert_eq!(
+        one.seen(),
+        before,
+        "new work for a server whose session has ended"
+    );
     one.behave(|m| m.frozen = false);
     while let Some(status) = flying.join_next().await {
         assert_eq!(status.unwrap(), 200, "what was under way is finished");
     }
-    assert!(one.effects().iter().chain(&two.effects()).all(|(_, n)| *n == 1), "something ran twice");
-    until("the end of idle connections", async || one.connections() == 0).await;
+    assert!(
+        one.effects()
+            .iter()
+            .chain(&two.effects())
+            .all(|(_, n)| *n == 1),
+        "something ran twice"
+    );
+    until("the end of idle connections", async || {
+        one.connections() == 0
+    })
+    .await;
     // The process, which has been there all along, is back with a new session: at once, and as warm as it is.
     let _back = Announced::enter(&registry, &one, "one", 0);
     until_sent_to(&client, &one, "back").await;
@@ -143,7 +176,11 @@
     assert_eq!(served(&client, "warm", 200).await, 200);
     let (ones, twos) = (one.seen() - ones, two.seen() - twos);
     // A cold one is sent a few at most in so short a time, however fast it is.
-    assert!(ones > twos, "{ones} of {} go to it: it is taken for a cold one", ones + twos);
+    assert!(
+        ones > twos,
+        "{ones} of {} go to it: it is taken for a cold one",
+        ones + twos
+    );
 }
 
 /// How often an entry goes and returns.
@@ -180,40 +217,70 @@
     let mut flying = tokio::task::JoinSet::new();
     until("a request that it holds", async || {
         let id = format!("held-{}", flying.len());
-        flying.spawn(async move { Client::new(address).ask(request("GET", "evaluate", &id)).await });
+        flying.spawn(async move {
+            Client::new(address)
+                .ask(request("GET", "evaluate", &id))
+                .await
+        });
         flappy.seen() > seen
     })
     .await;
     let begun = Instant::now();
     entered.kill(&registry);
     while let Some(got) = flying.join_next().await {
-        assert_eq!(got.unwrap().expect("an answer").status, 200, "a request that it held");
+        assert_eq!(
+            got.unwrap().expect("an answer").status,
+            200,
+            "a request that it held"
+        );
     }
     flappy.behave(|m| m.frozen = false);
-    until("the first end of its connections", async || flappy.connections() == 0).await;
+    until("the first end of its connections", async || {
+        flappy.connections() == 0
+    })
+    .await;
     let mut let_in = 0;
     for n in 0..RETURNS {
         let (seen, asked) = (flappy.seen(), registry.counts().requests);
         entered = Announced::enter(&registry, &flappy, "flappy", 0);
         // Both services read it, and have heard of its last end before.
-        until("the reading of its entry", async || registry.counts().requests >= asked + 2).await;
+        until("the reading of its entry", async || {
+            registry.counts().requests >= asked + 2
+        })
+        .await;
         if n == 0 {
             until_sent_to(&client, &flappy, "first-return").await;
         }
-        assert_eq!(served(&client, &format!("return-{n}"), AFTER_RETURN).await, AFTER_RETURN);
+        assert_eq!(
+            served(&client, &format!("return-{n}"), AFTER_RETURN).await,
+            AFTER_RETURN
+        );
         let was_sent_to = flappy.seen() > seen;
         let_in += usize::from(was_sent_to);
         entered.kill(&registry);
         // Whoever has the news closes what is idle. Without a connection nothing tells that the news is there.
-        until("the end of its connections", async || flappy.connections() == 0).await;
+        until("the end of its connections", async || {
+            flappy.connections() == 0
+        })
+        .await;
         if was_sent_to {
             let seen = flappy.seen();
-            assert_eq!(served(&client, &format!("end-{n}"), AFTER_RETURN).await, AFTER_RETURN);
-            assert_eq!(flappy.seen(), seen, "requests to a server whose entry has gone");
+            assert_eq!(
+                served(&client, &format!("end-{n}"), AFTER_RETURN).await,
+                AFTER_RETURN
+            );
+            assert_eq!(
+                flappy.seen(),
+                seen,
+                "requests to a server whose entry has gone"
+            );
         }
     }
     let most = most_let_in(begun.elapsed());
-    assert!(let_in <= most, "{let_in} of {RETURNS} returns were let in, {most} may be");
+    assert!(
+        let_in <= most,
+        "{let_in} of {RETURNS} returns were let in, {most} may be"
+    );
     // In the end it is there, and so is its work: the wait is about as long as all of this took.
     let _last = Announced::enter(&registry, &flappy, "flappy", 0);
     let patience = Duration::from_secs_f64(2.0 * LONGEST_HOLD);
@@ -238,7 +305,10 @@
     (0..3).for_each(|m| registry.freeze(m, true));
     entered.kill(&registry);
     let expired = registry.counts().expired;
-    until("the end of the node's sessions", async || registry.counts().expired >= expired + 2).await;
+    until("the end of the node's sessions", async || {
+        registry.counts().expired >= expired + 2
+    })
+    .await;
     assert_eq!(served(&client, "silent", 100).await, 100);
     until_sent_to(&client, &one, "silent-one").await;
     until_sent_to(&client, &two, "silent-two").await;
@@ -258,13 +328,27 @@
     let one = server("one").await;
     let _one = Announced::enter(&registry, &one, "one", 0);
     let follow = ", stale = \"refuse\", stale_after = \"1s\"";
-    let node = start(&registry, follow, "session = \"300ms\"\nconnect = \"100ms\"").await;
+    let node = start(
+        &registry,
+        follow,
+        "session = \"300ms\"\nconnect = \"100ms\"",
+    )
+    .await;
     let client = Client::new(node.address());
     assert_eq!(served(&client, "before", 20).await, 20);
-    let health =
-        || client.ask(Request::get("/_health/evaluate").header("host", "h").body(Full::default()).unwrap());
+    let health = || {
+        client.ask(
+            Request::get("/_health/evaluate")
+                .header("host", "h")
+                .body(Full::default())
+                .unwrap(),
+        )
+    };
     let said = health().await.unwrap();
-    assert!(String::from_utf8_lossy(&said.body).starts_with("registry heard "), "{said:?}");
+    assert!(
+        String::from_utf8_lossy(&said.body).starts_with("registry heard "),
+        "{said:?}"
+    );
     registry.drop_member(0, true);
     node.until_health("/_health/evaluate", false).await.unwrap();
     assert_eq!(served(&client, "stale", 5).await, 0);
@@ -289,7 +373,11 @@
     for (away, lags) in [(0, 1), (1, 0)] {
         // The node hears by the one. A node that is at the other from the start knows nothing yet, and is right.
         registry.drop_member(lags, true);
-        until("both sessions at the member that does not lag", async || registry.connected(away) == 2).await;
+        until(
+            "both sessions at the member that does not lag",
+            async || registry.connected(away) == 2,
+        )
+        .await;
         registry.drop_member(lags, false);
         registry.lag(lags, Duration::from_millis(1500));
         if away == 0 {
@@ -298,12 +386,18 @@
             registry.put("/elsewhere", b"", 0);
         }
         // Whoever has the news closes what is idle. That requests stay away could be chance: its share is small.
-        until("the news, by a member that does not lag", async || two.connections() == 0).await;
+        until("the news, by a member that does not lag", async || {
+            two.connections() == 0
+        })
+        .await;
         registry.drop_member(away, true);
         let before = two.seen();
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_millis(800) {
-            assert_eq!(served(&client, &format!("lag-{away}-{:?}", begun.elapsed()), 5).await, 5);
+            assert_eq!(
+                served(&client, &format!("lag-{away}-{:?}", begun.elapsed()), 5).await,
+                5
+            );
         }
         assert_eq!(two.seen(), before, "an older list counted");
         registry.lag(lags, Duration::ZERO);
@@ -332,7 +426,10 @@
     until_sent_to(&client, &two, "unheard").await;
     registry.lose_watches(1000);
     entered.kill(&registry);
-    until("the end that no watch told", async || one.connections() == 0).await;
+    until("the end that no watch told", async || {
+        one.connections() == 0
+    })
+    .await;
     registry.lose_watches(0);
     entered = Announced::enter(&registry, &one, "one", 0);
     until_sent_to(&client, &one, "again").await;
@@ -351,11 +448,15 @@
     let mut node = start(&registry, "", "").await;
     // Each is told, by both services; one after the other, since a node writes no more than five lines a second.
     registry.put(&format!("{PATH}/by-hand"), &data("127.0.0.1:9", 0), 0);
-    node.says("by-hand: it is not ephemeral").await.expect("a line");
+    node.says("by-hand: it is not ephemeral")
+        .await
+        .expect("a line");
     put("long", &vec![b'x'; (1 << 20) - 1000]);
     node.says("long: its data has").await.expect("a line");
     put("no-json", b"\x00\xff\xfe");
-    node.says("no-json: its data can't be read").await.expect("a line");
+    node.says("no-json: its data can't be read")
+        .await
+        .expect("a line");
     put("no-address", b"{}");
     put("odd name \u{1f600} \" ' %2f", b"[]");
     let client = Client::new(node.address());
@@ -408,10 +509,15 @@
         [&4u32.to_be_bytes()[..], b"junk"].concat(),
         [&16u32.to_be_bytes()[..], &9u32.to_be_bytes(), &[0; 12]].concat(),
     ];
-    let liars: Vec<String> = lies.into_iter().map(|l| format!("\"{}\"", liar(l))).collect();
+    let liars: Vec<String> = lies
+        .into_iter()
+        .map(|l| format!("\"{}\"", liar(l)))
+        .collect();
     let honest = settings(&registry, "", "connect = \"200ms\"");
     let members = format!("members = [{}, ", liars.join(", "));
-    let mut node = Node::start(&program(), &honest.replace("members = [", &members)).await.unwrap();
+    let mut node = Node::start(&program(), &honest.replace("members = [", &members))
+        .await
+        .unwrap();
     node.until_health("/_health", true).await.unwrap();
     let client = Client::new(node.address());
     assert_eq!(served(&client, "honest", 100).await, 100);
@@ -429,7 +535,11 @@
     let one = server("one").await;
     // What a life before has left.
     let old = registry.open_session();
-    registry.put("/nodes/n1", br#"{"name":"n1","address":"127.0.0.1:1","incarnation":1,"started":1}"#, old);
+    registry.put(
+        "/nodes/n1",
+        br#"{"name":"n1","address":"127.0.0.1:1","incarnation":1,"started":1}"#,
+        old,
+    );
     let entry = "[registry.entry]\npath = \"/nodes/n1\"\nname = \"n1\"\nsite = \"ikeja-dc\"";
     let more = format!("session = \"2s\"\n{entry}");
     let text = settings(&registry, "", &more);
@@ -439,7 +549,11 @@
     assert_eq!(registry.get("/nodes/n1").map(|(_, owner)| owner), Some(old));
     let _one = Announced::enter(&registry, &one, "one", 0);
     node.until_health("/_health", true).await.unwrap();
-    let stands = || registry.get("/nodes/n1").filter(|(_, owner)| *owner != old && *owner != 0);
+    let stands = || {
+        registry
+            .get("/nodes/n1")
+            .filter(|(_, owner)| *owner != old && *owner != 0)
+    };
     until("its entry", async || stands().is_some()).await;
     let (said, owner) = stands().unwrap();
     let said: serde_json::Value = serde_json::from_slice(&said).unwrap();
@@ -449,16 +563,25 @@
     );
     // Its session is killed: a new one makes it anew.
     registry.kill(owner);
-    until("its entry anew", async || stands().is_some_and(|(_, again)| again != owner)).await;
+    until("its entry anew", async || {
+        stands().is_some_and(|(_, again)| again != owner)
+    })
+    .await;
     // A request is under way at the end: the entry goes first.
     one.behave(|m| m.frozen = true);
     let address = node.address();
-    let flying =
-        tokio::spawn(async move { Client::new(address).ask(request("GET", "evaluate", "last")).await });
+    let flying = tokio::spawn(async move {
+        Client::new(address)
+            .ask(request("GET", "evaluate", "last"))
+            .await
+    });
     let seen = one.seen();
     until("the request", async || one.seen() > seen || one.seen() > 0).await;
     node.signal("TERM").unwrap();
-    until("the end of its entry", async || registry.get("/nodes/n1").is_none()).await;
+    until("the end of its entry", async || {
+        registry.get("/nodes/n1").is_none()
+    })
+    .await;
     one.behave(|m| m.frozen = false);
     assert_eq!(flying.await.unwrap().unwrap().status, 200);
     assert!(node.ended().await.unwrap());
@@ -490,7 +613,9 @@
     let client = Client::new(node.address());
     assert_eq!(served(&client, "owned", 100).await, 100);
     assert_eq!(strange.seen(), 0, "a stranger's entry counted");
-    node.says("others than those that are trusted may change it").await.unwrap();
+    node.says("others than those that are trusted may change it")
+        .await
+        .unwrap();
     until("its entry", async || registry.get("/nodes/n1").is_some()).await;
     let acl = registry.acl("/nodes/n1");
     assert!(
@@ -508,7 +633,10 @@
     let registry = Registry::start(1).await.unwrap();
     let (known, listed) = (server("known").await, server("listed").await);
     registry.drop_member(0, true);
-    let follow = format!(", known = [{{ name = \"known\", address = \"{}\" }}]", known.address);
+    let follow = format!(
+        ", known = [{{ name = \"known\", address = \"{}\" }}]",
+        known.address
+    );
     let node = start(&registry, &follow, "connect = \"100ms\"").await;
     let client = Client::new(node.address());
     assert_eq!(served(&client, "known", 20).await, 20);
@@ -519,7 +647,11 @@
     // What the registry does not list is not there.
     let before = known.seen();
     assert_eq!(served(&client, "after", 100).await, 100);
-    assert_eq!(known.seen(), before, "a server that the registry does not list");
+    assert_eq!(
+        known.seen(),
+        before,
+        "a server that the registry does not list"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -529,7 +661,11 @@
     let session = registry.open_session();
     for n in 0..2_000 {
         // Nobody is there; they drain, so that nobody asks.
-        let entry = format!("{{\"address\":\"127.8.{}.{}:9\",\"state\":\"draining\"}}", n / 250, 1 + n % 250);
+        let entry = format!(
+            "{{\"address\":\"127.8.{}.{}:9\",\"state\":\"draining\"}}",
+            n / 250,
+            1 + n % 250
+        );
         registry.put(&format!("{PATH}/s{n}"), entry.as_bytes(), session);
     }
     let _one = Announced::enter(&registry, &one, "one", 0);
@@ -538,7 +674,11 @@
     assert_eq!(served(&client, "many", 50).await, 50);
     // A thousand changes in a burst, and one that counts at their end.
     for n in 0..1_000 {
-        let entry = format!("{{\"address\":\"127.9.{}.{}:9\",\"state\":\"draining\"}}", n / 250, 1 + n % 250);
+        let entry = format!(
+            "{{\"address\":\"127.9.{}.{}:9\",\"state\":\"draining\"}}",
+            n / 250,
+            1 + n % 250
+        );
         registry.put(&format!("{PATH}/s{n}"), entry.as_bytes(), session);
     }
     let _last = Announced::enter(&registry, &last, "last", 0);
--- a/crates/rig/tests/node.rs
+++ b/crates/rig/tests/node.rs
@@ -1,8 +1,8 @@
 //! The real program over loopback sockets: one test for each failure that the socket side guards against.
 
 use reelfall_rig::scripted::{
-    answer, answer_to, connect, exchange, get, holding, read_request, write_request, Discovery, Got, Message,
-    Node, Program, Server,
+    answer, answer_to, connect, exchange, get, holding, read_request, write_request, Discovery,
+    Got, Message, Node, Program, Server,
 };
 use std::io::{BufReader, Write};
 use std::sync::{Arc, Barrier};
@@ -51,13 +51,20 @@
     let server = Server::good();
     let (_discovery, node) = before(&server, 256);
     let hidden = read_request("hidden");
-    let both = format!("content-length: {}\r\ntransfer-encoding: chunked", hidden.len() + 5);
+    let both = format!(
+        "content-length: {}\r\ntransfer-encoding: chunked",
+        hidden.len() + 5
+    );
     let bad = [
         "\x16\x03\x01 noise \x00\x01\r\n\r\n".to_owned(),
         format!("GET /api HTTP/1.1\r\nx: {}", "y".repeat(200_000)),
         format!("GET /api HTTP/1.1\r\n{}\r\n", "x: y\r\n".repeat(5_000)),
         write_request("b-1", &both, &format!("0\r\n\r\n{hidden}")),
-        write_request("b-2", "transfer-encoding: chunked\r\ncontent-length: 0", "0\r\n\r\n"),
+        write_request(
+            "b-2",
+            "transfer-encoding: chunked\r\ncontent-length: 0",
+            "0\r\n\r\n",
+        ),
         write_request("b-3", "content-length: 5\r\ncontent-length: 0", "12345"),
         write_request("b-4", "content-length: -5", "12345"),
         write_request("b-5", "content-length: +5", "12345"),
@@ -74,11 +81,25 @@
     ];
     for request in &bad {
         if let Some(got) = exchange(node.address, request.as_bytes()) {
-            assert!((400..500).contains(&got.status), "{got:?} to {:.80}", request);
+            assert!(
+                (400..500).contains(&got.status),
+                "{got:?} to {:.80}",
+                request
+            );
         }
     }
-    assert_eq!(server.seen(), 0, "a request that can't be used was passed on");
-    assert_eq!(get(node.address, "g-1"), Got { status: 200, body: "g-1".to_owned() });
+    assert_eq!(
+        server.seen(),
+        0,
+        "a request that can't be used was passed on"
+    );
+    assert_eq!(
+        get(node.address, "g-1"),
+        Got {
+            status: 200,
+            body: "g-1".to_owned()
+        }
+    );
 }
 
 #[test]
@@ -86,13 +107,23 @@
     let server = Server::good();
     let (_discovery, node) = before(&server, 256);
     let began = Instant::now();
-    for part in ["", "GET /api HT", &write_request("h-1", "content-length: 50", "half")] {
+    for part in [
+        "",
+        "GET /api HT",
+        &write_request("h-1", "content-length: 50", "half"),
+    ] {
         let mut stream = connect(node.address);
         stream.write_all(part.as_bytes()).unwrap();
         let got = answer(&stream);
-        assert!(got.as_ref().is_none_or(|g| (400..500).contains(&g.status)), "{got:?}");
+        assert!(
+            got.as_ref().is_none_or(|g| (400..500).contains(&g.status)),
+            "{got:?}"
+        );
     }
-    assert!(began.elapsed() < Duration::from_secs(15), "half a request holds its connection");
+    assert!(
+        began.elapsed() < Duration::from_secs(15),
+        "half a request holds its connection"
+    );
     assert_eq!((get(node.address, "g-1").status, server.seen()), (200, 1));
 }
 
@@ -104,7 +135,8 @@
     let mut crowd: Vec<_> = (0..60).map(|_| connect(node.address)).collect();
     for n in 0..20 {
         crowd.extend((0..5).map(|_| connect(node.address)));
-        good.write_all(read_request(&format!("g-{n}")).as_bytes()).unwrap();
+        good.write_all(read_request(&format!("g-{n}")).as_bytes())
+            .unwrap();
         if answer(&good).is_none() {
             // It may lose its place while idle, but a new one is to be had.
             good = connect(node.address);
@@ -129,11 +161,19 @@
     });
     let (_discovery, node) = before(&server, 256);
     let mut first = connect(node.address);
-    first.write_all(write_request("same", "content-length: 1", "x").as_bytes()).unwrap();
+    first
+        .write_all(write_request("same", "content-length: 1", "x").as_bytes())
+        .unwrap();
     held.wait();
     assert_eq!(get(node.address, "same").status, 409);
     hold.wait();
-    assert_eq!(answer(&first), Some(Got { status: 200, body: "same".to_owned() }));
+    assert_eq!(
+        answer(&first),
+        Some(Got {
+            status: 200,
+            body: "same".to_owned()
+        })
+    );
     // The id is free again once its request is over.
     assert_eq!(get(node.address, "same").status, 200);
     assert_eq!(server.seen(), 2);
@@ -148,7 +188,10 @@
     stream.write_all(two.as_bytes()).unwrap();
     let mut reader = BufReader::new(stream);
     for id in ["p-1", "p-2"] {
-        assert_eq!(Message::read(&mut reader).expect("an answer").body, id.as_bytes());
+        assert_eq!(
+            Message::read(&mut reader).expect("an answer").body,
+            id.as_bytes()
+        );
     }
 }
 
@@ -157,7 +200,12 @@
     let server = Server::good();
     let (_discovery, node) = before(&server, 256);
     let request = write_request("c-1", "transfer-encoding: chunked", "3\r\nabc\r\n0\r\n\r\n");
-    assert_eq!(exchange(node.address, request.as_bytes()).expect("an answer").status, 200);
+    assert_eq!(
+        exchange(node.address, request.as_bytes())
+            .expect("an answer")
+            .status,
+        200
+    );
 }
 
 #[test]
@@ -180,17 +228,27 @@
     let (server, held, hold) = holding();
     let (_discovery, mut node) = before(&server, 256);
     let mut open = connect(node.address);
-    open.write_all(write_request("open", "content-length: 1", "x").as_bytes()).unwrap();
+    open.write_all(write_request("open", "content-length: 1", "x").as_bytes())
+        .unwrap();
     held.wait();
     node.signal("TERM");
     // Connections come for a little longer; then the address is closed, though a client is still there.
     let began = Instant::now();
     while std::net::TcpStream::connect(node.address).is_ok() {
-        assert!(began.elapsed() < Duration::from_secs(4), "a node that ends lets clients connect and wait");
+        assert!(
+            began.elapsed() < Duration::from_secs(4),
+            "a node that ends lets clients connect and wait"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
     hold.wait();
-    assert_eq!(answer(&open), Some(Got { status: 200, body: "open".to_owned() }));
+    assert_eq!(
+        answer(&open),
+        Some(Got {
+            status: 200,
+            body: "open".to_owned()
+        })
+    );
     assert!(node.ended());
 }
 
@@ -218,10 +276,22 @@
         // What may have run is failed, never refused or repeated.
         let write = write_request("w-1", "content-length: 1", "x");
         let got = exchange(node.address, write.as_bytes());
-        let failed = got.as_ref().is_none_or(|g| g.status != 503 && g.status != 429 && g.status >= 400);
-        assert!(failed && server.seen() == 1, "{got:?} to {:?}", String::from_utf8_lossy(answer));
+        let failed = got
+            .as_ref()
+            .is_none_or(|g| g.status != 503 && g.status != 429 && g.status >= 400);
+        assert!(
+            failed && server.seen() == 1,
+            "{got:?} to {:?}",
+            String::from_utf8_lossy(answer)
+        );
         // The connection is of no further use: the next request has its own and its own answer.
-        assert_eq!(get(node.address, "r-1"), Got { status: 200, body: "r-1".to_owned() });
+        assert_eq!(
+            get(node.address, "r-1"),
+            Got {
+                status: 200,
+                body: "r-1".to_owned()
+            }
+        );
     }
 }
 
@@ -240,7 +310,10 @@
 
 #[test]
 fn surplus_bytes_after_an_answer_are_not_taken_for_the_next_answer() {
-    let extra: [&[u8]; 2] = [b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nother", b"\x00 noise"];
+    let extra: [&[u8]; 2] = [
+        b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nother",
+        b"\x00 noise",
+    ];
     for extra in extra {
         let server = Server::start(move |request, _, stream| {
             let early = b"HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n";
@@ -253,7 +326,13 @@
             let id = format!("m-{n}");
             let request = write_request(&id, "content-length: 1", "x");
             stream.write_all(request.as_bytes()).unwrap();
-            assert_eq!(answer(&stream), Some(Got { status: 200, body: id }));
+            assert_eq!(
+                answer(&stream),
+                Some(Got {
+                    status: 200,
+                    body: id
+                })
+            );
         }
     }
 }
@@ -282,7 +361,11 @@
     for n in 0..30 {
         assert_eq!(get(node.address, &format!("b-{n}")).status, 200);
     }
-    assert_eq!(server.seen(), before, "a server that drains is sent to under its old name");
+    assert_eq!(
+        server.seen(),
+        before,
+        "a server that drains is sent to under its old name"
+    );
 }
 
 #[test]
@@ -300,13 +383,18 @@
             std::thread::spawn(move || {
                 let mut stream = connect(address);
                 let ask = |n| {
-                    stream.write_all(read_request(&format!("s-{c}-{n}")).as_bytes()).unwrap();
+                    stream
+                        .write_all(read_request(&format!("s-{c}-{n}")).as_bytes())
+                        .unwrap();
                     answer(&stream).expect("an answer").status
                 };
                 (0..10).map(ask).collect()
             })
         })
         .collect();
-    let all: Vec<u16> = clients.into_iter().flat_map(|c| -> Vec<u16> { c.join().unwrap() }).collect();
+    let all: Vec<u16> = clients
+        .into_iter()
+        .flat_map(|c| -> Vec<u16> { c.join().unwrap() })
+        .collect();
     assert!(all.iter().all(|s| *s == 200), "{all:?}");
 }
--- a/crates/rig/tests/operations.rs
+++ b/crates/rig/tests/operations.rs
@@ -1,7 +1,8 @@
 //! Management requests, drains and upgrades of the real program, over loopback sockets.
 
 use reelfall_rig::scripted::{
-    answer, call, connect, exchange, get, read_request, Discovery, Got, Node, Program, Server, PATIENCE,
+    answer, call, connect, exchange, get, read_request, Discovery, Got, Node, Program, Server,
+    PATIENCE,
 };
 use std::io::Write;
 use std::net::SocketAddr;
@@ -17,7 +18,10 @@
 fn node() -> (Server, Server, Discovery, Node) {
     let (a, b) = (Server::good(), Server::good());
     let discovery = Discovery::start();
-    discovery.list(1, &[("s-a", a.address, "active"), ("s-b", b.address, "active")]);
+    discovery.list(
+        1,
+        &[("s-a", a.address, "active"), ("s-b", b.address, "active")],
+    );
     let node = Node::start(&program(), discovery.address, 256);
     (a, b, discovery, node)
 }
@@ -27,7 +31,10 @@
     let (before, began) = (server.seen(), Instant::now());
     for n in 0.. {
         // What is cold may be sent little, and what finds no other server is refused.
-        assert!(matches!(get(node.address, &format!("u-{n}")).status, 200 | 503));
+        assert!(matches!(
+            get(node.address, &format!("u-{n}")).status,
+            200 | 503
+        ));
         if server.seen() > before {
             return;
         }
@@ -49,7 +56,10 @@
         assert_eq!(get(node.address, &format!("d-{n}")).status, 200);
     }
     discovery.list_change(3, &[("s-a", a.address, "active")]);
-    discovery.list(4, &[("s-a", a.address, "active"), ("s-b", b.address, "active")]);
+    discovery.list(
+        4,
+        &[("s-a", a.address, "active"), ("s-b", b.address, "active")],
+    );
     for n in 0..40 {
         assert_eq!(get(node.address, &format!("r-{n}")).status, 200);
         std::thread::sleep(Duration::from_millis(5));
@@ -79,7 +89,11 @@
         ("GET", "/-/servers/s-a/disable", 405),
         ("GET", "/api", 404),
     ] {
-        assert_eq!(call(node.management, method, path), status, "{method} {path}");
+        assert_eq!(
+            call(node.management, method, path),
+            status,
+            "{method} {path}"
+        );
     }
     let body = b"POST /-/drain HTTP/1.1\r\nhost: n\r\ncontent-length: 3\r\n\r\nabc";
     assert_eq!(exchange(node.management, body).map(|g| g.status), Some(400));
@@ -91,7 +105,13 @@
     let (_a, _b, _discovery, node) = node();
     let run = |args: &[&str], to: SocketAddr| {
         let mut command = program().command();
-        command.args(args).args(["--management", &to.to_string()]).output().unwrap().status.code()
+        command
+            .args(args)
+            .args(["--management", &to.to_string()])
+            .output()
+            .unwrap()
+            .status
+            .code()
     };
     assert_eq!(run(&["ready"], node.management), Some(0));
     assert_eq!(run(&["disable", "s-a"], node.management), Some(0));
@@ -101,7 +121,10 @@
         assert_eq!(run(&[verb], node.management), Some(0));
     }
     drop(node);
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let nobody = std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     assert_eq!(run(&["ready"], nobody), Some(69));
 }
 
@@ -118,12 +141,18 @@
     for _ in 0..10 {
         let asked = Instant::now();
         assert_eq!(call(node.management, "GET", "/-/ready"), 200);
-        assert!(asked.elapsed() < Duration::from_secs(1), "a call is held up by callers that say nothing");
+        assert!(
+            asked.elapsed() < Duration::from_secs(1),
+            "a call is held up by callers that say nothing"
+        );
     }
     // Sixteen have a place at most: the first has long made room for the others.
     let asked = Instant::now();
     let _ = answer(&crowd[0]);
-    assert!(asked.elapsed() < Duration::from_secs(2), "callers that say nothing pile up");
+    assert!(
+        asked.elapsed() < Duration::from_secs(2),
+        "callers that say nothing pile up"
+    );
 }
 
 #[test]
@@ -140,11 +169,20 @@
     let health = b"GET /_health HTTP/1.1\r\nhost: n\r\n\r\n";
     assert_eq!(exchange(node.address, health).map(|g| g.status), Some(503));
     // What a client still asks on an open connection is answered, and the answer ends the connection.
-    assert_eq!(ask(&mut used, "d-2"), Some(Got { status: 200, body: "d-2".to_owned() }));
+    assert_eq!(
+        ask(&mut used, "d-2"),
+        Some(Got {
+            status: 200,
+            body: "d-2".to_owned()
+        })
+    );
     assert_eq!(answer(&used), None);
     let began = Instant::now();
     assert_eq!(answer(&idle), None);
-    assert!(began.elapsed() < Duration::from_secs(4), "an idle connection outlives the drain's patience");
+    assert!(
+        began.elapsed() < Duration::from_secs(4),
+        "an idle connection outlives the drain's patience"
+    );
     assert_eq!(call(node.management, "GET", "/-/ready"), 200);
     for path in ["/-/resume", "/-/drain", "/-/resume"] {
         assert_eq!(call(node.management, "POST", path), 200);
@@ -152,7 +190,10 @@
     assert_eq!(exchange(node.address, health).map(|g| g.status), Some(200));
     let mut again = connect(node.address);
     for n in 0..3 {
-        assert_eq!(ask(&mut again, &format!("e-{n}")).map(|g| g.status), Some(200));
+        assert_eq!(
+            ask(&mut again, &format!("e-{n}")).map(|g| g.status),
+            Some(200)
+        );
     }
 }
 
@@ -192,7 +233,10 @@
             let stop = stop.clone();
             std::thread::spawn(move || client(c, stop))
         };
-        Load { clients: (0..clients).map(start).collect(), stop }
+        Load {
+            clients: (0..clients).map(start).collect(),
+            stop,
+        }
     }
 
     /// How many were asked, and what became of those that were not served.
@@ -221,7 +265,11 @@
         node = next;
     }
     let (done, lost) = load.stop();
-    assert!(lost.is_empty(), "{} of {done} requests were lost at the door: {lost:?}", lost.len());
+    assert!(
+        lost.is_empty(),
+        "{} of {done} requests were lost at the door: {lost:?}",
+        lost.len()
+    );
     assert_eq!(a.seen(), before, "a ban does not outlive an upgrade");
     assert_eq!(call(node.management, "POST", "/-/servers/s-a/enable"), 200);
     until_seen(&node, &a);
@@ -239,7 +287,11 @@
     }
     let (done, lost) = load.stop();
     // Clients that a successor had accepted end with it; the old process takes the next ones.
-    assert!(done > 100 && lost.len() <= 6 * 6, "{} of {done}: {lost:?}", lost.len());
+    assert!(
+        done > 100 && lost.len() <= 6 * 6,
+        "{} of {done}: {lost:?}",
+        lost.len()
+    );
     for n in 0..20 {
         assert_eq!(get(node.address, &format!("after-{n}")).status, 200);
     }
@@ -289,7 +341,10 @@
     assert_eq!(call(next.management, "POST", "/-/servers/s-a/disable"), 200);
     node.signal("TERM");
     assert!(node.ended());
-    discovery.list(3, &[("s-a", a.address, "active"), ("s-b", b.address, "active")]);
+    discovery.list(
+        3,
+        &[("s-a", a.address, "active"), ("s-b", b.address, "active")],
+    );
     for n in 0..60 {
         assert_eq!(get(next.address, &format!("d-{n}")).status, 200);
         std::thread::sleep(Duration::from_millis(5));
@@ -338,6 +393,12 @@
     }
     assert_eq!(call(node.management, "POST", "/-/drain"), 200);
     node.signal("TERM");
-    assert_eq!(answer(&open), Some(Got { status: 200, body: "open".to_owned() }));
+    assert_eq!(
+        answer(&open),
+        Some(Got {
+            status: 200,
+            body: "open".to_owned()
+        })
+    );
     assert!(node.ended());
 }
--- a/crates/rig/tests/probers.rs
+++ b/crates/rig/tests/probers.rs
@@ -8,8 +8,12 @@
 const NODES: usize = 7;
 
 fn probes(name: &str) -> bool {
-    let server = ServerInstance { name: server_name(0), since: 0 };
-    let in_turn = |turn| (NODES / 2 + 1..=NODES).any(|members| is_prober(&server, turn, name, members));
+    let server = ServerInstance {
+        name: server_name(0),
+        since: 0,
+    };
+    let in_turn =
+        |turn| (NODES / 2 + 1..=NODES).any(|members| is_prober(&server, turn, name, members));
     (0..2).any(in_turn)
 }
 
--- a/crates/rig/tests/reload.rs
+++ b/crates/rig/tests/reload.rs
@@ -32,7 +32,9 @@
 
 /// What should come soon comes.
 async fn soon<T>(what: &str, wait: impl Future<Output = T>) -> T {
-    tokio::time::timeout(PATIENCE, wait).await.unwrap_or_else(|_| panic!("in vain: {what}"))
+    tokio::time::timeout(PATIENCE, wait)
+        .await
+        .unwrap_or_else(|_| panic!("in vain: {what}"))
 }
 
 /// Runs blocking code on a thread that nothing waits for if it never ends.
@@ -44,7 +46,8 @@
 
 /// A service at `NAME.example.org` with routes of these paths.
 fn service(name: &str, paths: &[&str], servers: &str) -> String {
-    let class = "[[service.class]]\nname = \"c\"\nrepeat = \"safe\"\naim = \"500ms\"\ndeadline = \"60s\"\n";
+    let class =
+        "[[service.class]]\nname = \"c\"\nrepeat = \"safe\"\naim = \"500ms\"\ndeadline = \"60s\"\n";
     let mut text = format!("[[service]]\nname = \"{name}\"\n{class}");
     for path in paths {
         text += &format!("[[service.route]]\nhost = \"{name}.example.org\"\npath = \"{path}\"\n");
@@ -57,7 +60,9 @@
 }
 
 async fn good(name: &str) -> Server {
-    Server::start(name, 64, Manner::good(Duration::from_millis(1)), 1).await.unwrap()
+    Server::start(name, 64, Manner::good(Duration::from_millis(1)), 1)
+        .await
+        .unwrap()
 }
 
 async fn start(settings: &str) -> Node {
@@ -67,15 +72,23 @@
 }
 
 async fn get(client: &Client, host: &str, path: &str, id: &str) -> Got {
-    let request = Request::get(path).header("host", host).header("x-correlation-id", id);
+    let request = Request::get(path)
+        .header("host", host)
+        .header("x-correlation-id", id);
     let request = request.body(Full::new(Bytes::new())).unwrap();
-    soon("an answer", client.ask(request)).await.expect("an answer")
+    soon("an answer", client.ask(request))
+        .await
+        .expect("an answer")
 }
 
 /// Makes a FIFO beside the settings file.
 fn fifo(file: &Path, name: &str) -> PathBuf {
     let path = file.with_file_name(name);
-    assert!(std::process::Command::new("mkfifo").arg(&path).status().unwrap().success());
+    assert!(std::process::Command::new("mkfifo")
+        .arg(&path)
+        .status()
+        .unwrap()
+        .success());
     path
 }
 
@@ -96,8 +109,14 @@
 
     async fn of(file: PathBuf) -> Reading {
         let path = file.clone();
-        let pipe = aside("the node reads its file", move || OpenOptions::new().write(true).open(path)).await;
-        Reading { file, pipe: pipe.unwrap() }
+        let pipe = aside("the node reads its file", move || {
+            OpenOptions::new().write(true).open(path)
+        })
+        .await;
+        Reading {
+            file,
+            pipe: pipe.unwrap(),
+        }
     }
 
     /// The node has read this, and reads again to see whether it is all: that reading is held up too.
@@ -118,7 +137,11 @@
 
     async fn write(mut self, settings: &str) {
         let settings = settings.to_owned();
-        aside("the node reads on", move || self.pipe.write_all(settings.as_bytes())).await.unwrap();
+        aside("the node reads on", move || {
+            self.pipe.write_all(settings.as_bytes())
+        })
+        .await
+        .unwrap();
     }
 }
 
@@ -131,7 +154,10 @@
 
 impl Asking {
     fn begin(node: SocketAddr, host: &str, path: &str, name: &str) -> Asking {
-        let (answered, stop) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicBool::new(false)));
+        let (answered, stop) = (
+            Arc::new(AtomicUsize::new(0)),
+            Arc::new(AtomicBool::new(false)),
+        );
         let (count, stopped) = (answered.clone(), stop.clone());
         let (host, path, name) = (host.to_owned(), path.to_owned(), name.to_owned());
         let task = tokio::spawn(async move {
@@ -143,7 +169,11 @@
                 count.fetch_add(1, Ordering::SeqCst);
             }
         });
-        Asking { answered, stop, task }
+        Asking {
+            answered,
+            stop,
+            task,
+        }
     }
 
     fn answered(&self) -> usize {
@@ -170,26 +200,50 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn requests_are_answered_while_the_file_is_read() {
     let server = good("s").await;
-    let with = |paths: &[&str]| HEAD.to_owned() + &service("a", paths, &listed("s", server.address));
+    let with =
+        |paths: &[&str]| HEAD.to_owned() + &service("a", paths, &listed("s", server.address));
     let mut node = start(&with(&["/old"])).await;
     let client = Client::new(node.address());
     let new = with(&["/old", "/new"]);
     let reading = Reading::begin(&node).await;
     for n in 0..100 {
-        assert_eq!(get(&client, "a.example.org", "/old", &format!("first-{n}")).await.status, 200);
+        assert_eq!(
+            get(&client, "a.example.org", "/old", &format!("first-{n}"))
+                .await
+                .status,
+            200
+        );
     }
     let reading = reading.again(&new).await;
     for n in 0..100 {
-        assert_eq!(get(&client, "a.example.org", "/old", &format!("second-{n}")).await.status, 200);
-        assert_eq!(get(&client, "a.example.org", "/new", &format!("new-{n}")).await.status, 404);
+        assert_eq!(
+            get(&client, "a.example.org", "/old", &format!("second-{n}"))
+                .await
+                .status,
+            200
+        );
+        assert_eq!(
+            get(&client, "a.example.org", "/new", &format!("new-{n}"))
+                .await
+                .status,
+            404
+        );
     }
     reading.end(&new, &new).await;
     node.says("is in force").await.unwrap();
-    assert_eq!(get(&client, "a.example.org", "/new", "last").await.status, 200);
+    assert_eq!(
+        get(&client, "a.example.org", "/new", "last").await.status,
+        200
+    );
 }
 
 /// A file that takes the program of a test some time to check.
-const LARGE: Size = Size { services: 130, servers: 2500, routes: 3700, listed: 5600 };
+const LARGE: Size = Size {
+    services: 130,
+    servers: 2500,
+    routes: 3700,
+    listed: 5600,
+};
 /// Requests that are answered in that time at least, one after the other; while the serving thread checks, none are.
 const MEANWHILE: usize = 10;
 
@@ -197,9 +251,16 @@
 async fn requests_are_answered_while_a_large_file_is_checked() {
     let server = good("s").await;
     let loaded = [listed("s", server.address)];
-    let mut node = Node::start(&program(), &settings::text(&LARGE, &loaded, 0)).await.unwrap();
+    let mut node = Node::start(&program(), &settings::text(&LARGE, &loaded, 0))
+        .await
+        .unwrap();
     node.until_health("/_health/service-0", true).await.unwrap();
-    let asking = Asking::begin(node.address(), &settings::host(0), settings::PATH, "meanwhile");
+    let asking = Asking::begin(
+        node.address(),
+        &settings::host(0),
+        settings::PATH,
+        "meanwhile",
+    );
     for revision in 1..=2 {
         asking.further(1).await;
         let new = settings::text(&LARGE, &loaded, revision);
@@ -209,7 +270,10 @@
         let before = asking.answered();
         node.says("is in force").await.unwrap();
         let answered = asking.answered() - before;
-        assert!(answered >= MEANWHILE, "{answered} requests were answered while the file was checked");
+        assert!(
+            answered >= MEANWHILE,
+            "{answered} requests were answered while the file was checked"
+        );
     }
     asking.end().await;
     let client = Client::new(node.address());
@@ -234,21 +298,36 @@
         node.signal("HUP").unwrap();
     }
     // An answer that is asked for after the signals tells that the node has taken them.
-    assert_eq!(get(&client, "a.example.org", "/n0", "before").await.status, 200);
+    assert_eq!(
+        get(&client, "a.example.org", "/n0", "before").await.status,
+        200
+    );
     reading.end(&with("/n1"), &with("/n2")).await;
     node.says("is in force").await.unwrap();
     node.says("is in force").await.unwrap();
-    assert_eq!(get(&client, "a.example.org", "/n2", "after").await.status, 200);
-    assert_eq!(get(&client, "a.example.org", "/n1", "gone").await.status, 404);
+    assert_eq!(
+        get(&client, "a.example.org", "/n2", "after").await.status,
+        200
+    );
+    assert_eq!(
+        get(&client, "a.example.org", "/n1", "gone").await.status,
+        404
+    );
     // A third reading would be told of before the end of this one.
     let reading = Reading::begin(&node).await;
     reading.end(&with("/n3"), &with("/n3")).await;
     node.says("is in force").await.unwrap();
-    assert_eq!(get(&client, "a.example.org", "/n3", "last").await.status, 200);
+    assert_eq!(
+        get(&client, "a.example.org", "/n3", "last").await.status,
+        200
+    );
     node.signal("TERM").unwrap();
     assert!(node.ended().await.unwrap());
     while let Some(line) = node.line().await {
-        assert!(!line.contains("is in force"), "one reading too many: {line}");
+        assert!(
+            !line.contains("is in force"),
+            "one reading too many: {line}"
+        );
     }
 }
 
@@ -264,7 +343,10 @@
         format!("{with_route}]"),
         with_route.replace("\"60s\"", "60"),
         with_route.replace("\"500ms\"", "\"500s\""),
-        format!("{with_route}[[listener]]\nname = \"other\"\naddress = \"{}\"\n", node.address()),
+        format!(
+            "{with_route}[[listener]]\nname = \"other\"\naddress = \"{}\"\n",
+            node.address()
+        ),
     ];
     let client = Client::new(node.address());
     for (n, wrong) in wrong.iter().enumerate() {
@@ -280,7 +362,10 @@
     }
     // The file that holds stays what the next one is compared with.
     node.reload(&with_route).await.unwrap();
-    assert_eq!(get(&client, "wrong.example.org", "/", "right").await.status, 200);
+    assert_eq!(
+        get(&client, "wrong.example.org", "/", "right").await.status,
+        200
+    );
     asking.end().await;
 }
 
@@ -289,7 +374,9 @@
     server.behave(|manner| manner.frozen = true);
     let (address, seen) = (node.address(), server.seen());
     let asking =
-        tokio::spawn(async move { get(&Client::new(address), "a.example.org", "/api", "held").await });
+        tokio::spawn(
+            async move { get(&Client::new(address), "a.example.org", "/api", "held").await },
+        );
     let arrives = async {
         while server.seen() == seen {
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -329,7 +416,9 @@
     soon("the listener's end", closed).await;
     let other = settings.replace("name = \"client\"", "name = \"other\"");
     reading.end(&other, &other).await;
-    node.says("is not taken in: the node is ending").await.unwrap();
+    node.says("is not taken in: the node is ending")
+        .await
+        .unwrap();
     server.behave(|manner| manner.frozen = false);
     assert_eq!(soon("the answer", held).await.unwrap().status, 200);
     assert!(node.ended().await.unwrap());
@@ -363,13 +452,28 @@
     .enumerate()
     {
         for m in 0..5 {
-            let got = get(&client, "kept.example.org", "/api", &format!("kept-{n}-{m}")).await;
+            let got = get(
+                &client,
+                "kept.example.org",
+                "/api",
+                &format!("kept-{n}-{m}"),
+            )
+            .await;
             assert_eq!(got.status, 200);
         }
         node.reload(&with(&paths, more)).await.unwrap();
     }
-    assert_eq!(get(&client, "kept.example.org", "/api", "kept-last").await.status, 200);
-    assert_eq!(peers.lock().unwrap().len(), 1, "a pool was made anew that had not changed");
+    assert_eq!(
+        get(&client, "kept.example.org", "/api", "kept-last")
+            .await
+            .status,
+        200
+    );
+    assert_eq!(
+        peers.lock().unwrap().len(),
+        1,
+        "a pool was made anew that had not changed"
+    );
 }
 
 /// It fails if one host is routed by the old file for 5 ms longer than the other. A mixture that lasts for one turn of the
@@ -377,7 +481,10 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn no_request_sees_half_of_a_change() {
     let named = |name: &'static str| {
-        let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{name}", name.len());
+        let answer = format!(
+            "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{name}",
+            name.len()
+        );
         scripted::Server::start(move |_, _, stream| {
             let _ = stream.write_all(answer.as_bytes());
         })
@@ -385,8 +492,10 @@
     let (one, two) = (named("1"), named("2"));
     // Two hosts and the services behind them, which every reload swaps.
     let service = |name: &str, host: &str, server: &scripted::Server| {
-        service(name, &["/"], &listed(name, server.address))
-            .replace(&format!("{name}.example.org"), &format!("{host}.example.org"))
+        service(name, &["/"], &listed(name, server.address)).replace(
+            &format!("{name}.example.org"),
+            &format!("{host}.example.org"),
+        )
     };
     let files = [
         HEAD.to_owned() + &service("one", "a", &one) + &service("two", "b", &two),
@@ -406,7 +515,13 @@
             }
             // Both hosts in turn: one that answers by the new file tells that the other does too.
             let host = ["a", "b"][n % 2];
-            let got = get(&client, &format!("{host}.example.org"), "/", &format!("swap-{n}")).await;
+            let got = get(
+                &client,
+                &format!("{host}.example.org"),
+                "/",
+                &format!("swap-{n}"),
+            )
+            .await;
             assert_eq!(got.status, 200);
             let now = (host == "a") != (got.body == "1");
             if now != swapped {
--- a/crates/rig/tests/scale_fit.rs
+++ b/crates/rig/tests/scale_fit.rs
@@ -7,8 +7,12 @@
 
 /// The first two of Anscombe's data sets ("Graphs in Statistical Analysis", 1973): one line, and in the second a curve.
 const X: [f64; 11] = [10.0, 8.0, 13.0, 9.0, 11.0, 14.0, 6.0, 4.0, 12.0, 7.0, 5.0];
-const SCATTERED: [f64; 11] = [8.04, 6.95, 7.58, 8.81, 8.33, 9.96, 7.24, 4.26, 10.84, 4.82, 5.68];
-const CURVED: [f64; 11] = [9.14, 8.14, 8.74, 8.77, 9.26, 8.10, 6.13, 3.10, 9.13, 7.26, 4.74];
+const SCATTERED: [f64; 11] = [
+    8.04, 6.95, 7.58, 8.81, 8.33, 9.96, 7.24, 4.26, 10.84, 4.82, 5.68,
+];
+const CURVED: [f64; 11] = [
+    9.14, 8.14, 8.74, 8.77, 9.26, 8.10, 6.13, 3.10, 9.13, 7.26, 4.74,
+];
 
 fn points(y: &[f64; 11]) -> Vec<(f64, f64)> {
     X.into_iter().zip(y.iter().copied()).collect()
@@ -45,7 +49,10 @@
 
 #[test]
 fn a_line_without_noise_is_found_exactly_and_does_not_bend() {
-    let exact: Vec<(f64, f64)> = (1..=6).map(|n| f64::from(n) * 1000.0).map(|x| (x, 2.0 + 3.0 * x)).collect();
+    let exact: Vec<(f64, f64)> = (1..=6)
+        .map(|n| f64::from(n) * 1000.0)
+        .map(|x| (x, 2.0 + 3.0 * x))
+        .collect();
     let line = line(&exact);
     near(line.slope, 3.0, 1e-9);
     near(line.intercept, 2.0, 1e-6);
@@ -75,8 +82,14 @@
 #[test]
 fn noise_around_a_line_is_no_bend_at_the_bound_that_is_stated() {
     // Alternating noise has no quadratic part to speak of.
-    let noisy: Vec<(f64, f64)> =
-        (0..6).map(|n| (f64::from(n), 2.0 * f64::from(n) + if n % 2 == 0 { 0.5 } else { -0.5 })).collect();
+    let noisy: Vec<(f64, f64)> = (0..6)
+        .map(|n| {
+            (
+                f64::from(n),
+                2.0 * f64::from(n) + if n % 2 == 0 { 0.5 } else { -0.5 },
+            )
+        })
+        .collect();
     let bend = bend(&noisy).expect("enough points");
     assert!(!bend.bent && bend.t.abs() < bend.bound, "{bend:?}");
 }
@@ -109,7 +122,10 @@
     assert_eq!(straight.bend, bend(&straight.points));
     let (figure, error) = projection(&straight, Size::TARGET.nodes as f64).expect("no bend");
     let there = straight.projection.expect("no bend");
-    assert_eq!((there.at, there.figure, there.standard_error), (6_000.0, figure, error));
+    assert_eq!(
+        (there.at, there.figure, there.standard_error),
+        (6_000.0, figure, error)
+    );
     let bent = line(&points(&CURVED));
     assert!(bent.bent && bent.bend.is_some_and(|bend| bend.bent && bend.t < -100.0));
     assert_eq!(bent.projection, None);
@@ -125,19 +141,34 @@
     let straight = slope_text(&line(&points(&SCATTERED)));
     assert!(straight.contains("at 6000: "), "{straight}");
     let bent = slope_text(&line(&points(&CURVED)));
-    assert!(bent.contains("no projection") && !bent.contains("at 6000"), "{bent}");
+    assert!(
+        bent.contains("no projection") && !bent.contains("at 6000"),
+        "{bent}"
+    );
     assert!(bent.contains("bound 2.31"), "{bent}");
     assert!(bent.contains("residuals"), "{bent}");
     // A slope of millionths is told as well.
-    let small: Vec<(f64, f64)> = (1..6).map(|n| (f64::from(n), 2e-8 * f64::from(n))).collect();
-    assert!(slope_text(&line(&small)).contains("2.0000e-8"), "{}", slope_text(&line(&small)));
+    let small: Vec<(f64, f64)> = (1..6)
+        .map(|n| (f64::from(n), 2e-8 * f64::from(n)))
+        .collect();
+    assert!(
+        slope_text(&line(&small)).contains("2.0000e-8"),
+        "{}",
+        slope_text(&line(&small))
+    );
 }
 
 #[test]
 fn two_axes_and_their_product_are_told_apart() {
-    let grid = || [10.0, 20.0, 30.0].into_iter().flat_map(|x| [1.0, 2.0, 5.0].map(|y| (x, y)));
+    let grid = || {
+        [10.0, 20.0, 30.0]
+            .into_iter()
+            .flat_map(|x| [1.0, 2.0, 5.0].map(|y| (x, y)))
+    };
     let rows: Vec<Vec<f64>> = grid().map(|(x, y)| vec![1.0, x, y, x * y]).collect();
-    let figures: Vec<f64> = grid().map(|(x, y)| 7.0 + 2.0 * x - 3.0 * y + 0.5 * x * y).collect();
+    let figures: Vec<f64> = grid()
+        .map(|(x, y)| 7.0 + 2.0 * x - 3.0 * y + 0.5 * x * y)
+        .collect();
     let fit = least_squares(&rows, &figures).expect("enough points");
     for (factor, expected) in fit.factors.iter().zip([7.0, 2.0, -3.0, 0.5]) {
         near(*factor, expected, 1e-8);
@@ -156,9 +187,16 @@
     Run {
         name: "sweep".to_owned(),
         source: Source::HollowNodes,
-        size: Size { nodes, restarts, ..sweep::BASE },
+        size: Size {
+            nodes,
+            restarts,
+            ..sweep::BASE
+        },
         seconds: 1.0,
-        per_node: PerNode { traffic: vec![traffic("a", bytes), traffic("b", 1.0)], ..PerNode::default() },
+        per_node: PerNode {
+            traffic: vec![traffic("a", bytes), traffic("b", 1.0)],
+            ..PerNode::default()
+        },
         in_force: None,
         requests: None,
         read_bytes: None,
@@ -169,8 +207,16 @@
 #[test]
 fn a_product_term_is_fitted_to_runs_by_nodes_and_restarts() {
     let bytes = |run: &Run| Some(run.per_node.traffic.iter().map(|t| t.bytes_in).sum());
-    let of = |(n, r): (usize, usize)| run(n, r, 10.0 + n as f64 + 2.0 * r as f64 + 0.25 * (n * r) as f64);
-    let sizes = [1, 2, 4].into_iter().flat_map(|n| [10, 20, 40].map(|r| (n, r)));
+    let of = |(n, r): (usize, usize)| {
+        run(
+            n,
+            r,
+            10.0 + n as f64 + 2.0 * r as f64 + 0.25 * (n * r) as f64,
+        )
+    };
+    let sizes = [1, 2, 4]
+        .into_iter()
+        .flat_map(|n| [10, 20, 40].map(|r| (n, r)));
     let runs: Vec<Run> = sizes.map(of).collect();
     let axes = (Axis::Nodes, Axis::Restarts);
     let product = sweep::product(axes, "bytes", bytes, &runs).expect("enough runs");
@@ -184,13 +230,24 @@
 
 #[test]
 fn a_report_without_lines_is_given_those_of_its_runs_and_nothing_else_changes() {
-    let mut runs: Vec<Run> = [50, 100, 150, 200].map(|n| run(n, 0, 10.0 * n as f64)).to_vec();
+    let mut runs: Vec<Run> = [50, 100, 150, 200]
+        .map(|n| run(n, 0, 10.0 * n as f64))
+        .to_vec();
     // These differ along two axes, and those are too few.
-    runs.extend([1, 2, 3, 4].map(|n| Run { name: "both".to_owned(), ..run(n, n, 1.0) }));
-    runs.extend([1, 2].map(|n| Run { name: "few".to_owned(), ..run(n, 0, 1.0) }));
+    runs.extend([1, 2, 3, 4].map(|n| Run {
+        name: "both".to_owned(),
+        ..run(n, n, 1.0)
+    }));
+    runs.extend([1, 2].map(|n| Run {
+        name: "few".to_owned(),
+        ..run(n, 0, 1.0)
+    }));
     let lines = lines::through(&runs);
     assert_eq!(lines.len(), 1, "{lines:?}");
-    assert_eq!(lines[0].figure, "sweep: control traffic of a node, in and out, B/s");
+    assert_eq!(
+        lines[0].figure,
+        "sweep: control traffic of a node, in and out, B/s"
+    );
     near(lines[0].slope, 10.0, 1e-9);
     let text = serde_json::json!({
         "schema": 1, "commit": "0", "seed": 1, "cores": 8, "runs": runs, "slopes": [], "further": { "field": 7 },
@@ -214,7 +271,10 @@
 
 #[test]
 fn terms_that_can_not_be_told_apart_have_no_fit() {
-    let rows: Vec<Vec<f64>> = (1..6).map(f64::from).map(|x| vec![1.0, x, 2.0 * x]).collect();
+    let rows: Vec<Vec<f64>> = (1..6)
+        .map(f64::from)
+        .map(|x| vec![1.0, x, 2.0 * x])
+        .collect();
     assert!(least_squares(&rows, &[1.0, 2.0, 3.0, 4.0, 5.0]).is_none());
     assert!(least_squares(&rows, &[1.0, 2.0]).is_none());
     assert!(least_squares(&[vec![1.0], vec![f64::NAN]], &[1.0, 2.0]).is_none());
@@ -230,7 +290,8 @@
     plot::all(&slopes, folder.path()).expect("plots");
     assert_eq!(plot::file_name(&slopes[0]), "nodes-control-traffic-b-s.svg");
     for (slope, marked) in slopes.iter().zip([false, true]) {
-        let svg = std::fs::read_to_string(folder.path().join(plot::file_name(slope))).expect("a file");
+        let svg =
+            std::fs::read_to_string(folder.path().join(plot::file_name(slope))).expect("a file");
         assert!(svg.starts_with("<svg"), "{}", &svg[..40]);
         assert_eq!(svg.matches("<circle").count(), 11);
         assert!(svg.contains(&slope.figure));
--- a/crates/rig/tests/services.rs
+++ b/crates/rig/tests/services.rs
@@ -28,22 +28,46 @@
 }
 
 fn listed(server: &Server, more: &str) -> String {
-    format!("[[service.server]]\nname = \"{}\"\naddress = \"{}\"\n{more}\n", server.name, server.address)
+    format!(
+        "[[service.server]]\nname = \"{}\"\naddress = \"{}\"\n{more}\n",
+        server.name, server.address
+    )
 }
 
 async fn good(name: &str, ms: u64) -> Server {
-    Server::start(name, 64, Manner::good(Duration::from_millis(ms)), 1).await.unwrap()
+    Server::start(name, 64, Manner::good(Duration::from_millis(ms)), 1)
+        .await
+        .unwrap()
 }
 
 fn request(method: &str, host: &str, path: &str, id: &str) -> Request<Full<Bytes>> {
-    let body = if method == "GET" { Bytes::new() } else { Bytes::from_static(b"{}") };
-    let request = Request::builder().method(method).uri(path).header("host", host);
-    let request = if id.is_empty() { request } else { request.header("x-correlation-id", id) };
+    let body = if method == "GET" {
+        Bytes::new()
+    } else {
+        Bytes::from_static(b"{}")
+    };
+    let request = Request::builder()
+        .method(method)
+        .uri(path)
+        .header("host", host);
+    let request = if id.is_empty() {
+        request
+    } else {
+        request.header("x-correlation-id", id)
+    };
     request.body(Full::new(body)).unwrap()
 }
 
 async fn get(client: &Client, service: &str, id: &str) -> Got {
-    client.ask(request("GET", &format!("{service}.example.org"), "/api/x", id)).await.expect("an answer")
+    client
+        .ask(request(
+            "GET",
+            &format!("{service}.example.org"),
+            "/api/x",
+            id,
+        ))
+        .await
+        .expect("an answer")
 }
 
 fn text(got: &Got) -> String {
@@ -52,43 +76,89 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_flood_on_one_service_starves_no_other_and_reloads_lose_nothing() {
-    let report = scenario::run(&program(), scenario::Scale::SMALL).await.unwrap();
+    let report = scenario::run(&program(), scenario::Scale::SMALL)
+        .await
+        .unwrap();
     assert!(report.pass(), "{:#?}", report.broken());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_drain_in_one_list_holds_for_the_pool_of_another() {
     let (shared, other) = (good("shared", 1).await, good("other", 1).await);
-    let discovery = Discovery::start(vec![Listed::active("d-shared", shared.address)]).await.unwrap();
+    let discovery = Discovery::start(vec![Listed::active("d-shared", shared.address)])
+        .await
+        .unwrap();
     let settings = HEAD.to_owned()
-        + &service("a", "safe", &format!("discovery = \"{}\"", discovery.address), "")
-        + &service("b", "safe", "", &(listed(&shared, "") + &listed(&other, "")));
+        + &service(
+            "a",
+            "safe",
+            &format!("discovery = \"{}\"", discovery.address),
+            "",
+        )
+        + &service(
+            "b",
+            "safe",
+            "",
+            &(listed(&shared, "") + &listed(&other, "")),
+        );
     let node = Node::start(&program(), &settings).await.unwrap();
     node.until_health("/_health", true).await.unwrap();
     let client = Client::new(node.address());
     // One whose first answer was slow is left out for a moment.
     let begun = Instant::now();
     while shared.seen() == 0 {
-        assert!(begun.elapsed() < Duration::from_secs(20), "the server is never used");
-        assert_eq!(get(&client, "b", &format!("before-{}", begun.elapsed().as_nanos())).await.status, 200);
+        assert!(
+            begun.elapsed() < Duration::from_secs(20),
+            "the server is never used"
+        );
+        assert_eq!(
+            get(
+                &client,
+                "b",
+                &format!("before-{}", begun.elapsed().as_nanos())
+            )
+            .await
+            .status,
+            200
+        );
     }
-    let draining = Listed { status: "draining", ..Listed::active("d-shared", shared.address) };
+    let draining = Listed {
+        status: "draining",
+        ..Listed::active("d-shared", shared.address)
+    };
     discovery.tell(&[draining]);
     // Once pool a has heard it and refuses, b has too.
     let told = Instant::now();
-    while get(&client, "a", &format!("drain-{}", told.elapsed().as_nanos())).await.status == 200 {
-        assert!(told.elapsed() < Duration::from_secs(20), "the drain is not kept");
+    while get(
+        &client,
+        "a",
+        &format!("drain-{}", told.elapsed().as_nanos()),
+    )
+    .await
+    .status
+        == 200
+    {
+        assert!(
+            told.elapsed() < Duration::from_secs(20),
+            "the drain is not kept"
+        );
     }
     let before = shared.seen();
     for n in 0..200 {
         assert_eq!(get(&client, "b", &format!("after-{n}")).await.status, 200);
     }
-    assert_eq!(shared.seen(), before, "a server that drains by another list got new requests");
+    assert_eq!(
+        shared.seen(),
+        before,
+        "a server that drains by another list got new requests"
+    );
 }
 
 /// Milliseconds of Unix time.
 fn unix_ms() -> u64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
+    let since = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap();
     u64::try_from(since.as_millis()).unwrap()
 }
 
@@ -107,7 +177,10 @@
 
 /// Services that sent something to a server.
 fn senders(to: &Server) -> std::collections::BTreeSet<String> {
-    to.effects().keys().filter_map(|id| Some(id.split('-').next()?.to_owned())).collect()
+    to.effects()
+        .keys()
+        .filter_map(|id| Some(id.split('-').next()?.to_owned()))
+        .collect()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -119,39 +192,81 @@
     let new = Server::start("new", 4, manner.clone(), 1).await.unwrap();
     let (mut own, mut lists, mut settings) = (vec![], vec![], HEAD.to_owned());
     for n in 0..TEN {
-        let server = Server::start(&format!("own-{n}"), 4, manner.clone(), 2).await.unwrap();
-        let list = Discovery::start(vec![Listed::active(&server.name, server.address)]).await.unwrap();
-        let more = format!("discovery = \"{}\"\ncold = {{ from = 0.15, warm_after = \"8s\" }}", list.address);
+        let server = Server::start(&format!("own-{n}"), 4, manner.clone(), 2)
+            .await
+            .unwrap();
+        let list = Discovery::start(vec![Listed::active(&server.name, server.address)])
+            .await
+            .unwrap();
+        let more = format!(
+            "discovery = \"{}\"\ncold = {{ from = 0.15, warm_after = \"8s\" }}",
+            list.address
+        );
         settings += &service(&format!("s{n}"), "safe", &more, "");
         own.push(server);
         lists.push(list);
     }
     let node = Node::start(&program(), &settings).await.unwrap();
     node.until_health("/_health", true).await.unwrap();
-    let kinds = |run: &str| (0..TEN).map(|n| kind(&format!("s{n}-{run}"), 30.0)).collect::<Vec<_>>();
+    let kinds = |run: &str| {
+        (0..TEN)
+            .map(|n| kind(&format!("s{n}-{run}"), 30.0))
+            .collect::<Vec<_>>()
+    };
     // What one server bears is learned first.
     load::run(node.address(), &kinds("before"), Duration::from_secs(6), 3).await;
-    new.start_cold(Cold { from: 0.15, warm_after, ..Cold::default() });
+    new.start_cold(Cold {
+        from: 0.15,
+        warm_after,
+        ..Cold::default()
+    });
     let began = Instant::now();
-    let line = Listed { since_ms: unix_ms(), ..Listed::active("new", new.address) };
-    lists.iter().for_each(|l| l.tell(std::slice::from_ref(&line)));
+    let line = Listed {
+        since_ms: unix_ms(),
+        ..Listed::active("new", new.address)
+    };
+    lists
+        .iter()
+        .for_each(|l| l.tell(std::slice::from_ref(&line)));
     let (address, cold) = (node.address(), kinds("cold"));
-    let loading = tokio::spawn(async move { load::run(address, &cold, Duration::from_secs(3), 4).await });
+    let loading =
+        tokio::spawn(async move { load::run(address, &cold, Duration::from_secs(3), 4).await });
     tokio::time::sleep_until((began + Duration::from_secs(3)).into()).await;
     let at_first = senders(&new);
     loading.await.unwrap();
-    assert!(new.push() < 3.0, "pushed to {:.2} times what it can do", new.push());
+    assert!(
+        new.push() < 3.0,
+        "pushed to {:.2} times what it can do",
+        new.push()
+    );
     assert!(!at_first.is_empty(), "nothing is sent at all");
-    assert!(at_first.len() <= 8 && !at_first.contains("s8") && !at_first.contains("s9"), "{at_first:?}");
+    assert!(
+        at_first.len() <= 8 && !at_first.contains("s8") && !at_first.contains("s9"),
+        "{at_first:?}"
+    );
     // Once it is warm, all send to it.
     for run in 0.. {
-        load::run(node.address(), &kinds(&format!("warm{run}")), Duration::from_secs(1), 5 + run).await;
+        load::run(
+            node.address(),
+            &kinds(&format!("warm{run}")),
+            Duration::from_secs(1),
+            5 + run,
+        )
+        .await;
         if senders(&new).len() == TEN {
             break;
         }
-        assert!(began.elapsed() < Duration::from_secs(60), "withheld for ever: {:?}", senders(&new));
+        assert!(
+            began.elapsed() < Duration::from_secs(60),
+            "withheld for ever: {:?}",
+            senders(&new)
+        );
     }
-    assert!(new.push() < 3.0, "pushed to {:.2} times what it can do", new.push());
+    assert!(
+        new.push() < 3.0,
+        "pushed to {:.2} times what it can do",
+        new.push()
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -161,17 +276,33 @@
         Server::start("old", 12, manner.clone(), 1).await.unwrap(),
         Server::start("new", 12, manner, 1).await.unwrap(),
     );
-    let list = Discovery::start(vec![Listed::active("d-old", old.address)]).await.unwrap();
+    let list = Discovery::start(vec![Listed::active("d-old", old.address)])
+        .await
+        .unwrap();
     let cold = "cold = { from = 0.05, warm_after = \"30s\" }";
     let settings = HEAD.to_owned()
-        + &service("a", "safe", &format!("discovery = \"{}\"\n{cold}", list.address), "")
+        + &service(
+            "a",
+            "safe",
+            &format!("discovery = \"{}\"\n{cold}", list.address),
+            "",
+        )
         + &service("b", "safe", cold, &(listed(&old, "") + &listed(&new, "")));
     let node = Node::start(&program(), &settings).await.unwrap();
     node.until_health("/_health", true).await.unwrap();
-    load::run(node.address(), &[kind("b-before", 100.0)], Duration::from_secs(2), 3).await;
+    load::run(
+        node.address(),
+        &[kind("b-before", 100.0)],
+        Duration::from_secs(2),
+        3,
+    )
+    .await;
     assert!(new.seen() > 0);
     // It starts anew at its address. Its own list does not tell service b; that of service a does.
-    let line = Listed { since_ms: unix_ms(), ..Listed::active("d-new", new.address) };
+    let line = Listed {
+        since_ms: unix_ms(),
+        ..Listed::active("d-new", new.address)
+    };
     list.tell(&[line]);
     let client = Client::new(node.address());
     let told = Instant::now();
@@ -180,10 +311,24 @@
         get(&client, "a", &format!("told-{}", told.elapsed().as_nanos())).await;
     }
     let warm_after = Duration::from_secs(30);
-    new.start_cold(Cold { from: 0.05, warm_after, ..Cold::default() });
-    load::run(node.address(), &[kind("b-after", 100.0)], Duration::from_secs(3), 4).await;
+    new.start_cold(Cold {
+        from: 0.05,
+        warm_after,
+        ..Cold::default()
+    });
+    load::run(
+        node.address(),
+        &[kind("b-after", 100.0)],
+        Duration::from_secs(3),
+        4,
+    )
+    .await;
     assert!(new.push() > 0.0, "nothing is sent at all");
-    assert!(new.push() < 3.0, "pushed to {:.2} times what it can do", new.push());
+    assert!(
+        new.push() < 3.0,
+        "pushed to {:.2} times what it can do",
+        new.push()
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -198,10 +343,18 @@
     let kinds = [kind("a", 40.0), kind("b", 40.0)];
     let came = load::run(node.address(), &kinds, Duration::from_secs(2), 3).await;
     // Without the bound it sees dozens.
-    assert!(server.most_connections() <= 4, "{} connections at once", server.most_connections());
+    assert!(
+        server.most_connections() <= 4,
+        "{} connections at once",
+        server.most_connections()
+    );
     for came in &came {
         assert_eq!(came.lost, 0);
-        assert!(came.of(&[200]) > 0, "a pool gets no connection at all: {:?}", came.statuses);
+        assert!(
+            came.of(&[200]) > 0,
+            "a pool gets no connection at all: {:?}",
+            came.statuses
+        );
     }
 }
 
@@ -210,17 +363,29 @@
     let (one, two) = (good("one", 1).await, good("two", 1).await);
     let a = service("a", "safe", "", &listed(&one, ""));
     let b = service("b", "safe", "", &listed(&two, ""));
-    let mut node = Node::start(&program(), &(HEAD.to_owned() + &a + &b)).await.unwrap();
+    let mut node = Node::start(&program(), &(HEAD.to_owned() + &a + &b))
+        .await
+        .unwrap();
     node.until_health("/_health", true).await.unwrap();
     let client = Client::new(node.address());
     let health = |name: &'static str| {
         let client = &client;
-        async move { client.ask(request("GET", "h", name, "")).await.unwrap().status.as_u16() }
+        async move {
+            client
+                .ask(request("GET", "h", name, ""))
+                .await
+                .unwrap()
+                .status
+                .as_u16()
+        }
     };
     assert_eq!(get(&client, "a", "a-1").await.status, 200);
     let empty = service("a", "safe", "server = []", "");
     let draining = a.replacen("name = \"a\"", "name = \"a\"\nstate = \"draining\"", 1);
-    for (n, (other, whole)) in [(empty, 503), (draining, 200), (a.clone(), 200)].into_iter().enumerate() {
+    for (n, (other, whole)) in [(empty, 503), (draining, 200), (a.clone(), 200)]
+        .into_iter()
+        .enumerate()
+    {
         node.reload(&(HEAD.to_owned() + &other + &b)).await.unwrap();
         let back = n == 2;
         let mut got = get(&client, "a", &format!("a-2{n}")).await;
@@ -230,7 +395,11 @@
             got = get(&client, "a", &format!("a-{}", begun.elapsed().as_nanos())).await;
         }
         assert_eq!(got.status, if back { 200 } else { 503 }, "{}", text(&got));
-        assert_eq!(got.headers.contains_key("retry-after"), !back, "no word on when to come back");
+        assert_eq!(
+            got.headers.contains_key("retry-after"),
+            !back,
+            "no word on when to come back"
+        );
         assert_eq!(health("/_health/a").await, if back { 200 } else { 503 });
         assert_eq!(health("/_health").await, whole);
         for m in 0..20 {
@@ -276,9 +445,17 @@
         ("GET /api HTTP/1.1", &[" flags.example.org."], 400),
         ("GET /api HTTP/1.1", &[" flags.example.org:"], 400),
         ("GET /api HTTP/1.1", &[" flags.example.org:http"], 400),
-        ("GET /api HTTP/1.1", &[" admin.example.org@flags.example.org"], 400),
+        (
+            "GET /api HTTP/1.1",
+            &[" admin.example.org@flags.example.org"],
+            400,
+        ),
         ("GET /api HTTP/1.1", &[" flags.example.org/admin"], 400),
-        ("GET /api HTTP/1.1", &[" flags.example.org, admin.example.org"], 400),
+        (
+            "GET /api HTTP/1.1",
+            &[" flags.example.org, admin.example.org"],
+            400,
+        ),
         ("GET http://admin.example.org/api HTTP/1.1", &[H], 400),
         ("GET http://u@flags.example.org/api HTTP/1.1", &[H], 400),
         ("GET https://flags.example.org/api HTTP/1.1", &[H], 400),
@@ -304,7 +481,11 @@
     for (first, hosts, status) in corpus {
         assert_eq!(ask(first, hosts), *status, "{first} {hosts:?}");
     }
-    assert_eq!((flags.seen(), admin.seen()), (good, 0), "something was passed on");
+    assert_eq!(
+        (flags.seen(), admin.seen()),
+        (good, 0),
+        "something was passed on"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -312,16 +493,21 @@
     let (one, two) = (good("one", 1).await, good("two", 1).await);
     let a = service("a", "safe", "", &listed(&one, ""));
     let b = service("b", "safe", "", &listed(&two, ""));
-    let mut node = Node::start(&program(), &(HEAD.to_owned() + &a + &b)).await.unwrap();
+    let mut node = Node::start(&program(), &(HEAD.to_owned() + &a + &b))
+        .await
+        .unwrap();
     node.until_health("/_health", true).await.unwrap();
     let address = node.address();
     let mut stream = tokio::task::block_in_place(|| scripted::connect(address));
     let mut ask = |service: &str, id: &str| {
-        let request =
-            format!("GET /api HTTP/1.1\r\nhost: {service}.example.org\r\nx-correlation-id: {id}\r\n\r\n");
+        let request = format!(
+            "GET /api HTTP/1.1\r\nhost: {service}.example.org\r\nx-correlation-id: {id}\r\n\r\n"
+        );
         tokio::task::block_in_place(|| {
             stream.write_all(request.as_bytes()).unwrap();
-            scripted::answer(&stream).expect("the connection stays").status
+            scripted::answer(&stream)
+                .expect("the connection stays")
+                .status
         })
     };
     for n in 0..10 {
@@ -329,7 +515,10 @@
     }
     node.reload(&(HEAD.to_owned() + &b)).await.unwrap();
     for n in 0..10 {
-        assert_eq!(ask(["a", "b"][n % 2], &format!("after-{n}")), [404, 200][n % 2]);
+        assert_eq!(
+            ask(["a", "b"][n % 2], &format!("after-{n}")),
+            [404, 200][n % 2]
+        );
     }
     assert_eq!((one.seen(), two.seen()), (5, 10));
 }
@@ -345,14 +534,29 @@
         node.configure(&settings(&format!("n{n}"))).unwrap();
     }
     let begun = Instant::now();
-    while get(&client, "n60", &format!("last-{}", begun.elapsed().as_nanos())).await.status != 200 {
-        assert!(begun.elapsed() < Duration::from_secs(20), "the last file is not in force");
+    while get(
+        &client,
+        "n60",
+        &format!("last-{}", begun.elapsed().as_nanos()),
+    )
+    .await
+    .status
+        != 200
+    {
+        assert!(
+            begun.elapsed() < Duration::from_secs(20),
+            "the last file is not in force"
+        );
     }
     assert_eq!(get(&client, "n59", "gone").await.status, 404);
     // Mistakes are named with file and line, and all stays as it was.
-    node.configure(&settings("n61").replace("\"5s\"", "500")).unwrap();
+    node.configure(&settings("n61").replace("\"5s\"", "500"))
+        .unwrap();
     let said = node.says("services.toml:").await.unwrap();
-    assert!(said.contains("services.toml:11: `500` is a number alone"), "{said}");
+    assert!(
+        said.contains("services.toml:11: `500` is a number alone"),
+        "{said}"
+    );
     node.says("from before stay in force").await.unwrap();
     assert_eq!(get(&client, "n60", "still").await.status, 200);
     std::fs::remove_file(node.file()).unwrap();
@@ -360,7 +564,10 @@
     node.says("from before stay in force").await.unwrap();
     // A listener that can't be had is a mistake as well.
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let more = format!("[[listener]]\nname = \"x\"\naddress = \"{}\"\n", taken.local_addr().unwrap());
+    let more = format!(
+        "[[listener]]\nname = \"x\"\naddress = \"{}\"\n",
+        taken.local_addr().unwrap()
+    );
     node.configure(&(settings("n62") + &more)).unwrap();
     let said = node.says("listener `x`").await.unwrap();
     assert!(said.contains("services.toml:19: listener `x`"), "{said}");
@@ -406,7 +613,10 @@
     let mut node = Node::start(&program(), &(a("\"10s\"") + &b)).await.unwrap();
     node.until_health("/_health", true).await.unwrap();
     let without = HEAD.to_owned() + &b;
-    for (n, next) in [a("\"600ms\"") + &b, without, a("\"10s\"") + &b].into_iter().enumerate() {
+    for (n, next) in [a("\"600ms\"") + &b, without, a("\"10s\"") + &b]
+        .into_iter()
+        .enumerate()
+    {
         // Service `a` is there at the start of each round, with a long deadline.
         node.reload(&(a("\"10s\"") + &b)).await.unwrap();
         server.behave(|m| m.frozen = true);
@@ -421,14 +631,20 @@
         });
         let begun = Instant::now();
         while server.seen() == seen {
-            assert!(begun.elapsed() < Duration::from_secs(20), "the request does not arrive");
+            assert!(
+                begun.elapsed() < Duration::from_secs(20),
+                "the request does not arrive"
+            );
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         node.reload(&next).await.unwrap();
         server.behave(|m| m.frozen = false);
         assert_eq!(asking.await.unwrap().unwrap(), 200, "round {n}");
     }
-    assert!(server.effects().values().all(|n| *n == 1), "an effect twice");
+    assert!(
+        server.effects().values().all(|n| *n == 1),
+        "an effect twice"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -438,20 +654,29 @@
          [[service.class]]\nname = \"write\"\nrepeat = \"unsafe\"\naim = \"1s\"\ndeadline = \"5s\"\n\
          [[service.route]]\nhost = \"a.example.org\"\npath = \"/w\"\nassign = \"write\"\n\
          [[service.route]]\nhost = \"a.example.org\"\npath = \"/any\"\n";
-    let settings = format!("{HEAD}[[service]]\nname = \"a\"\n{two}{}", listed(&server, ""));
+    let settings = format!(
+        "{HEAD}[[service]]\nname = \"a\"\n{two}{}",
+        listed(&server, "")
+    );
     let node = Node::start(&program(), &settings).await.unwrap();
     node.until_health("/_health", true).await.unwrap();
     let client = Client::new(node.address());
     let ask = |method: &'static str, path: &'static str, class: &'static str| {
         let mut request = request(method, "a.example.org", path, "");
         if !class.is_empty() {
-            request.headers_mut().insert("x-service-class", class.parse().unwrap());
+            request
+                .headers_mut()
+                .insert("x-service-class", class.parse().unwrap());
         }
         let client = &client;
         async move { client.ask(request).await.unwrap() }
     };
     let got = ask("POST", "/w", "").await;
-    assert_eq!((got.status.as_u16(), got.body.len()), (200, 16), "no id was made");
+    assert_eq!(
+        (got.status.as_u16(), got.body.len()),
+        (200, 16),
+        "no id was made"
+    );
     // Whatever it states, what comes by this route is unsafe.
     assert_eq!(ask("GET", "/w", "read").await.status, 405);
     assert_eq!(ask("PUT", "/w", "read").await.status, 200);
@@ -463,7 +688,11 @@
     assert_eq!(ask("GET", "/any", "").await.status, 400);
     assert_eq!(ask("GET", "/any", "other").await.status, 400);
     let ids = server.effects();
-    assert_eq!((ids.len(), server.seen()), (5, 5), "ids that were made are not all different: {ids:?}");
+    assert_eq!(
+        (ids.len(), server.seen()),
+        (5, 5),
+        "ids that were made are not all different: {ids:?}"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -481,17 +710,37 @@
         + &service("b", "safe", "", &pool.listed());
     let node = Node::start(&program(), &settings).await.unwrap();
     node.until_health("/_health", true).await.unwrap();
-    let kinds = [Kind { method: "POST", ..kind("a", 100.0) }, kind("b", 100.0)];
+    let kinds = [
+        Kind {
+            method: "POST",
+            ..kind("a", 100.0)
+        },
+        kind("b", 100.0),
+    ];
     let came = load::run(node.address(), &kinds, Duration::from_secs(3), 9).await;
-    assert_eq!(came.iter().map(|c| c.lost).sum::<u64>(), 0, "a request without an answer");
+    assert_eq!(
+        came.iter().map(|c| c.lost).sum::<u64>(),
+        0,
+        "a request without an answer"
+    );
     let effects = pool.effects();
-    let twice: Vec<_> = effects.iter().filter(|(id, n)| id.starts_with("a-") && **n > 1).collect();
+    let twice: Vec<_> = effects
+        .iter()
+        .filter(|(id, n)| id.starts_with("a-") && **n > 1)
+        .collect();
     assert!(twice.is_empty(), "effects twice: {twice:?}");
-    assert!(effects.iter().any(|(id, n)| id.starts_with("b-") && *n > 1), "nothing was ever retried");
+    assert!(
+        effects.iter().any(|(id, n)| id.starts_with("b-") && *n > 1),
+        "nothing was ever retried"
+    );
     // A refusal says that nothing ran.
     let ran = effects.keys().filter(|id| id.starts_with("a-")).count() as u64;
     let refused = came[0].of(&[429, 503]);
-    assert!(ran + refused <= came[0].sent, "{refused} refused and {ran} ran of {}", came[0].sent);
+    assert!(
+        ran + refused <= came[0].sent,
+        "{refused} refused and {ran} ran of {}",
+        came[0].sent
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -544,15 +793,24 @@
     let settings = "[process]\nmemory = \"16MiB\"\n".to_owned()
         + HEAD
         + &service("a", "unsafe", "", &listed(&frozen, ""))
-        + &service("b", "unsafe", "limits = { memory_reserved = \"1MiB\" }", &listed(&quick, ""));
+        + &service(
+            "b",
+            "unsafe",
+            "limits = { memory_reserved = \"1MiB\" }",
+            &listed(&quick, ""),
+        );
     let node = Node::start(&program(), &settings).await.unwrap();
     node.until_health("/_health", true).await.unwrap();
     let address = node.address();
     let post = move |service: &'static str, id: String| async move {
         let request = Request::post("/api").header("host", format!("{service}.example.org"));
-        let request =
-            request.header("x-correlation-id", id).body(Full::new(Bytes::from(vec![b'x'; 400 << 10])));
-        Client::new(address).ask(request.unwrap()).await.map(|g| g.status.as_u16())
+        let request = request
+            .header("x-correlation-id", id)
+            .body(Full::new(Bytes::from(vec![b'x'; 400 << 10])));
+        Client::new(address)
+            .ask(request.unwrap())
+            .await
+            .map(|g| g.status.as_u16())
     };
     // Half of the memory is for bodies, and one megabyte of it is kept: 17 bodies of 400 KiB fill the rest, and the others
     // flow as their server takes them.
@@ -561,7 +819,11 @@
         flood.spawn(post("a", format!("a-{n}")));
     }
     for n in 0..20 {
-        assert_eq!(post("b", format!("b-{n}")).await.unwrap(), 200, "request {n}");
+        assert_eq!(
+            post("b", format!("b-{n}")).await.unwrap(),
+            200,
+            "request {n}"
+        );
     }
     frozen.behave(|m| m.frozen = false);
     let mut statuses = vec![];
--- a/crates/rig/tests/settings_file.rs
+++ b/crates/rig/tests/settings_file.rs
@@ -9,7 +9,9 @@
 const SCALE: usize = 20;
 
 fn plan(size: &Size) -> Plan {
-    reader::toml("f.toml", &settings_file(size)).and_then(check).unwrap()
+    reader::toml("f.toml", &settings_file(size))
+        .and_then(check)
+        .unwrap()
 }
 
 /// Services, servers, routes and tenants.
@@ -20,7 +22,12 @@
         Source::Discovery(_) | Source::Registry(_) => 0,
     });
     let members = services.iter().map(|service| service.members.len());
-    [services.len(), servers.sum(), plan.matches.len(), members.sum()]
+    [
+        services.len(),
+        servers.sum(),
+        plan.matches.len(),
+        members.sum(),
+    ]
 }
 
 #[test]
@@ -36,24 +43,55 @@
     let plan = plan(&size);
     assert_eq!(counts(&plan), [130, 2_500, 3_700, 28_000]);
     assert_eq!(plan.model.process.nodes, 6_000);
-    let most = plan.model.services.iter().map(|service| service.members.len()).max();
-    let least = plan.model.services.iter().map(|service| service.members.len()).min();
+    let most = plan
+        .model
+        .services
+        .iter()
+        .map(|service| service.members.len())
+        .max();
+    let least = plan
+        .model
+        .services
+        .iter()
+        .map(|service| service.members.len())
+        .min();
     assert_eq!((least, most), (Some(215), Some(216)), "not spread evenly");
 }
 
 #[test]
 fn files_of_any_size_hold_together() {
-    for (services, servers, routes, tenants) in [(1, 1, 1, 0), (3, 2, 4, 1), (7, 100, 7, 50), (2, 0, 9, 9)] {
-        let size = Size { services, servers, routes, tenants, ..Size::TARGET };
+    for (services, servers, routes, tenants) in
+        [(1, 1, 1, 0), (3, 2, 4, 1), (7, 100, 7, 50), (2, 0, 9, 9)]
+    {
+        let size = Size {
+            services,
+            servers,
+            routes,
+            tenants,
+            ..Size::TARGET
+        };
         assert_eq!(counts(&plan(&size)), [services, servers, routes, tenants]);
     }
     // What no valid file can have is made up.
-    let size = Size { services: 0, servers: 0, routes: 0, tenants: 0, nodes: 0, ..Size::TARGET };
+    let size = Size {
+        services: 0,
+        servers: 0,
+        routes: 0,
+        tenants: 0,
+        nodes: 0,
+        ..Size::TARGET
+    };
     assert_eq!(counts(&plan(&size)), [1, 0, 1, 0]);
 }
 
 #[test]
 fn the_same_size_gives_the_same_file() {
-    let size = Size { services: 5, servers: 17, routes: 23, tenants: 40, ..Size::TARGET };
+    let size = Size {
+        services: 5,
+        servers: 17,
+        routes: 23,
+        tenants: 40,
+        ..Size::TARGET
+    };
     assert_eq!(settings_file(&size), settings_file(&size));
 }
--- a/crates/rig/tests/stand_ins.rs
+++ b/crates/rig/tests/stand_ins.rs
@@ -18,7 +18,9 @@
 }
 
 async fn server() -> Server {
-    Server::start("s", 4, Manner::good(Duration::from_millis(1)), 3).await.unwrap()
+    Server::start("s", 4, Manner::good(Duration::from_millis(1)), 3)
+        .await
+        .unwrap()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -30,7 +32,10 @@
     link.fault(|f| f.delay = Duration::from_millis(100));
     let begun = Instant::now();
     assert_eq!(client.ask(get("late")).await.unwrap().status, 200);
-    assert!(begun.elapsed() >= Duration::from_millis(200), "late both ways");
+    assert!(
+        begun.elapsed() >= Duration::from_millis(200),
+        "late both ways"
+    );
     link.fault(|f| (f.delay, f.frozen) = (Duration::ZERO, true));
     let waited = tokio::time::timeout(Duration::from_millis(300), client.ask(get("frozen"))).await;
     assert!(waited.is_err(), "something passed a frozen link");
@@ -49,8 +54,15 @@
     assert!(Client::new(link.address).ask(get("cut")).await.is_err());
     assert_eq!(server.seen(), 0, "half a request arrived whole");
     link.fault(|f| (f.cut_to_server, f.cut_to_client) = (None, Some(10)));
-    assert!(Client::new(link.address).ask(get("cut-back")).await.is_err());
-    assert_eq!(server.effects().get("cut-back"), Some(&1), "the effect is there, the answer is not");
+    assert!(Client::new(link.address)
+        .ask(get("cut-back"))
+        .await
+        .is_err());
+    assert_eq!(
+        server.effects().get("cut-back"),
+        Some(&1),
+        "the effect is there, the answer is not"
+    );
     link.fault(|f| (f.cut_to_client, f.deaf) = (None, true));
     let asking = tokio::spawn({
         let client = Client::new(link.address);
@@ -58,10 +70,16 @@
     });
     let begun = Instant::now();
     while !server.effects().contains_key("deaf") {
-        assert!(begun.elapsed() < Duration::from_secs(20), "the request does not arrive");
+        assert!(
+            begun.elapsed() < Duration::from_secs(20),
+            "the request does not arrive"
+        );
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    assert!(!asking.is_finished(), "the connection ended, or the answer came");
+    assert!(
+        !asking.is_finished(),
+        "the connection ended, or the answer came"
+    );
     asking.abort();
 }
 
@@ -91,7 +109,9 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn load_comes_at_its_rate_and_counts_from_the_intended_moment() {
-    let server = Server::start("s", 1, Manner::good(Duration::from_millis(1)), 3).await.unwrap();
+    let server = Server::start("s", 1, Manner::good(Duration::from_millis(1)), 3)
+        .await
+        .unwrap();
     let kind = Kind {
         name: "k".to_owned(),
         host: "h".to_owned(),
@@ -104,9 +124,16 @@
     };
     let time = Duration::from_secs(2);
     let first = load::run(server.address, std::slice::from_ref(&kind), time, 5).await;
-    assert!((300..500).contains(&first[0].sent), "{} requests", first[0].sent);
+    assert!(
+        (300..500).contains(&first[0].sent),
+        "{} requests",
+        first[0].sent
+    );
     assert_eq!(first[0].of(&[200]), first[0].sent);
-    let again = Kind { name: "again".to_owned(), ..kind.clone() };
+    let again = Kind {
+        name: "again".to_owned(),
+        ..kind.clone()
+    };
     assert_eq!(
         load::run(server.address, &[again], time, 5).await[0].sent,
         first[0].sent,
@@ -114,11 +141,17 @@
     );
     // While the server stands still, requests go on coming, and their wait is seen in full.
     server.behave(|m| m.frozen = true);
-    let frozen = [Kind { name: "frozen".to_owned(), ..kind }];
+    let frozen = [Kind {
+        name: "frozen".to_owned(),
+        ..kind
+    }];
     let thaw = async {
         tokio::time::sleep(Duration::from_millis(1500)).await;
         server.behave(|m| m.frozen = false);
     };
     let (came, ()) = tokio::join!(load::run(server.address, &frozen, time, 5), thaw);
-    assert!(came[0].latency.value_at_quantile(0.5) > 400_000, "an answer that was awaited counts as quick");
+    assert!(
+        came[0].latency.value_at_quantile(0.5) > 400_000,
+        "an answer that was awaited counts as quick"
+    );
 }
--- a/crates/rig/tests/streams.rs
+++ b/crates/rig/tests/streams.rs
@@ -1,7 +1,9 @@
 //! Bodies and answers that flow through the real program in pieces, over loopback sockets.
 
 use reelfall_rig::node::memory_kib;
-use reelfall_rig::scripted::{connect, get, write_request, Discovery, Message, Node, Program, Server};
+use reelfall_rig::scripted::{
+    connect, get, write_request, Discovery, Message, Node, Program, Server,
+};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Barrier};
@@ -79,10 +81,14 @@
                 return;
             }
             let length = head.to_lowercase();
-            let length = length.split("content-length: ").nth(1).and_then(|l| l.split("\r\n").next());
+            let length = length
+                .split("content-length: ")
+                .nth(1)
+                .and_then(|l| l.split("\r\n").next());
             let length = length.map_or(0, |l| l.parse().unwrap());
             let right = take(&mut reader, length);
-            let say = format!("HTTP/1.1 200 OK\r\ncontent-length: {LARGE}\r\nx-right: {right}\r\n\r\n");
+            let say =
+                format!("HTTP/1.1 200 OK\r\ncontent-length: {LARGE}\r\nx-right: {right}\r\n\r\n");
             let _ = stream.write_all(say.as_bytes());
             for at in (0..LARGE).step_by(256 << 10) {
                 if stream.write_all(&pattern(at, 256 << 10)).is_err() {
@@ -98,7 +104,9 @@
             std::thread::spawn(move || {
                 let mut stream = connect(address);
                 let framing = format!("content-length: {LARGE}");
-                stream.write_all(write_request(&format!("l-{c}"), &framing, "").as_bytes()).unwrap();
+                stream
+                    .write_all(write_request(&format!("l-{c}"), &framing, "").as_bytes())
+                    .unwrap();
                 for at in (0..LARGE).step_by(256 << 10) {
                     stream.write_all(&pattern(at, 256 << 10)).unwrap();
                 }
@@ -128,7 +136,12 @@
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
             for n in 0..16 {
                 let part = pattern(n * (64 << 10), 64 << 10);
-                let sent = [format!("{:x};x=y\r\n", part.len()).as_bytes(), &part, b"\r\n"].concat();
+                let sent = [
+                    format!("{:x};x=y\r\n", part.len()).as_bytes(),
+                    &part,
+                    b"\r\n",
+                ]
+                .concat();
                 if stream.write_all(&sent).is_err() {
                     return;
                 }
@@ -166,8 +179,13 @@
             let mut reader = BufReader::new(stream.try_clone().unwrap());
             let mut stream = stream;
             while !head(&mut reader).is_empty() {
-                let chunk = if framing.starts_with("t") { "493e0\r\n" } else { "" };
-                let _ = stream.write_all(format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n{chunk}").as_bytes());
+                let chunk = if framing.starts_with("t") {
+                    "493e0\r\n"
+                } else {
+                    ""
+                };
+                let _ = stream
+                    .write_all(format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n{chunk}").as_bytes());
                 let _ = stream.write_all(&pattern(0, 300_000));
                 std::thread::sleep(Duration::from_millis(200));
                 let _ = stream.shutdown(std::net::Shutdown::Both);
@@ -175,12 +193,17 @@
         });
         let (_discovery, node) = node(server);
         let mut stream = connect(node.address);
-        stream.write_all(write_request("w-1", "content-length: 1", "x").as_bytes()).unwrap();
+        stream
+            .write_all(write_request("w-1", "content-length: 1", "x").as_bytes())
+            .unwrap();
         let mut all = Vec::new();
         let _ = stream.read_to_end(&mut all);
         let text = String::from_utf8_lossy(&all[..all.len().min(200)]).into_owned();
         assert!(text.starts_with("HTTP/1.1 200"), "{text}");
-        assert!(all.len() < 1_000_000 && !all.ends_with(b"0\r\n\r\n"), "{framing}: it looks whole");
+        assert!(
+            all.len() < 1_000_000 && !all.ends_with(b"0\r\n\r\n"),
+            "{framing}: it looks whole"
+        );
     }
 }
 
@@ -189,8 +212,13 @@
     let server = Server::start(|request: &Message, _, stream| {
         let right = request.body == pattern(0, request.body.len());
         let text = format!("{right}");
-        let _ = stream
-            .write_all(format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{text}", text.len()).as_bytes());
+        let _ = stream.write_all(
+            format!(
+                "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{text}",
+                text.len()
+            )
+            .as_bytes(),
+        );
     });
     let (_discovery, node) = node(server.address);
     let mut stream = connect(node.address);
@@ -202,12 +230,17 @@
     }
     // About 64 kB a second, so that the whole takes longer than any head may.
     for at in (0..size).step_by(6_000) {
-        stream.write_all(&pattern(at, 6_000.min(size - at))).unwrap();
+        stream
+            .write_all(&pattern(at, 6_000.min(size - at)))
+            .unwrap();
         std::thread::sleep(Duration::from_millis(90));
     }
     let mut reader = BufReader::new(stream);
     let got = Message::read(&mut reader).expect("an answer");
-    assert_eq!((got.first.contains("200"), got.body.as_slice()), (true, b"true".as_slice()));
+    assert_eq!(
+        (got.first.contains("200"), got.body.as_slice()),
+        (true, b"true".as_slice())
+    );
     assert_eq!(server.seen(), 1);
 }
 
@@ -217,7 +250,9 @@
     let (_discovery, node) = node(server.address);
     for n in 0..5 {
         let mut stream = connect(node.address);
-        stream.write_all(write_request(&format!("b-{n}"), "content-length: 9000000", "").as_bytes()).unwrap();
+        stream
+            .write_all(write_request(&format!("b-{n}"), "content-length: 9000000", "").as_bytes())
+            .unwrap();
         stream.write_all(&pattern(0, 2_000_000)).unwrap();
         drop(stream);
         // The only server is neither blamed nor left with half a request that it might run.
@@ -231,7 +266,9 @@
     let server = Server::good();
     let (_discovery, node) = node(server.address);
     let mut stream = connect(node.address);
-    stream.write_all(write_request("t-1", "content-length: 9000000", "").as_bytes()).unwrap();
+    stream
+        .write_all(write_request("t-1", "content-length: 9000000", "").as_bytes())
+        .unwrap();
     let (began, mut writer) = (Instant::now(), stream.try_clone().unwrap());
     std::thread::spawn(move || {
         while writer.write_all(b"x").is_ok() {
@@ -240,8 +277,15 @@
     });
     let got = head(&mut BufReader::new(stream));
     // It never ran, and both say so.
-    assert!(got.starts_with("HTTP/1.1 408") || got.starts_with("HTTP/1.1 503"), "{got}");
-    assert!(began.elapsed() < Duration::from_secs(12), "a trickle holds its place for {:?}", began.elapsed());
+    assert!(
+        got.starts_with("HTTP/1.1 408") || got.starts_with("HTTP/1.1 503"),
+        "{got}"
+    );
+    assert!(
+        began.elapsed() < Duration::from_secs(12),
+        "a trickle holds its place for {:?}",
+        began.elapsed()
+    );
     assert_eq!(server.seen(), 0);
     assert_eq!(get(node.address, "t-2").status, 200);
 }
@@ -263,7 +307,9 @@
     });
     let (_discovery, node) = node(server);
     let mut stream = connect(node.address);
-    stream.write_all(write_request("m-1", "content-length: 4000000", "").as_bytes()).unwrap();
+    stream
+        .write_all(write_request("m-1", "content-length: 4000000", "").as_bytes())
+        .unwrap();
     let mut writer = stream.try_clone().unwrap();
     let writing = std::thread::spawn(move || {
         let _ = writer.write_all(&pattern(0, 4_000_000));
@@ -283,15 +329,29 @@
     let server = Server::good();
     discovery.list(1, &[("s-1", server.address, "leaving")]);
     let up = Server::good();
-    discovery.list(2, &[("s-1", server.address, "leaving"), ("s-2", up.address, "active")]);
+    discovery.list(
+        2,
+        &[
+            ("s-1", server.address, "leaving"),
+            ("s-2", up.address, "active"),
+        ],
+    );
     let node = Node::start(&program(), discovery.address, 256);
-    discovery.list(3, &[("s-1", server.address, "leaving"), ("s-2", up.address, "leaving")]);
+    discovery.list(
+        3,
+        &[
+            ("s-1", server.address, "leaving"),
+            ("s-2", up.address, "leaving"),
+        ],
+    );
     let began = Instant::now();
     while get(node.address, "probe").status == 200 {
         assert!(began.elapsed() < Duration::from_secs(10));
     }
     let mut stream = connect(node.address);
-    stream.write_all(write_request("e-1", "content-length: 3000000", "").as_bytes()).unwrap();
+    stream
+        .write_all(write_request("e-1", "content-length: 3000000", "").as_bytes())
+        .unwrap();
     let mut writer = stream.try_clone().unwrap();
     std::thread::spawn(move || {
         let _ = writer.write_all(&pattern(0, 3_000_000));
--- a/crates/rig/tests/together.rs
+++ b/crates/rig/tests/together.rs
@@ -4,7 +4,8 @@
 mod fleets;
 
 use fleets::{
-    command, late, none_broken, rest, start, turn, until_explained, until_left, until_sent, warm, SECOND,
+    command, late, none_broken, rest, start, turn, until_explained, until_left, until_sent, warm,
+    SECOND,
 };
 use reelfall_rig::fleet::probers::names_that_never_probe;
 use reelfall_rig::fleet::schedule::{drawn, play, Step};
@@ -21,8 +22,16 @@
     rig.ban(0, 2, None).await.unwrap();
     let at = rig.history.now();
     rest(3.0).await;
-    assert_eq!(late(&rig, 2, at, &all), [], "sent to a banned server\n{}", rig.history.tail(20));
-    let (status, said) = rig.call(4, "GET", &format!("/-/fleet/servers/{}", server_name(2))).await.unwrap();
+    assert_eq!(
+        late(&rig, 2, at, &all),
+        [],
+        "sent to a banned server\n{}",
+        rig.history.tail(20)
+    );
+    let (status, said) = rig
+        .call(4, "GET", &format!("/-/fleet/servers/{}", server_name(2)))
+        .await
+        .unwrap();
     assert_eq!(status, 200);
     assert!(said.contains("s2: out by hand, for 604"), "{said}");
     assert!(said.contains("s2: out by operator, call 1 at n0"), "{said}");
@@ -30,12 +39,22 @@
     let said = command(&rig, 4, &["fleet", "explain", "s2"]).await;
     assert!(said.contains("s2: out by operator"), "{said}");
     let said = command(&rig, 4, &["fleet", "members"]).await;
-    assert!(["n0 at", "n4 at"].iter().all(|n| said.contains(n)), "{said}");
+    assert!(
+        ["n0 at", "n4 at"].iter().all(|n| said.contains(n)),
+        "{said}"
+    );
     command(&rig, 1, &["disable", "s5"]).await;
     let at = rig.history.now();
     rest(2.5).await;
-    assert_eq!(late(&rig, 5, at, &[1]), [], "sent to a server that this node was told to leave");
-    assert!(!late(&rig, 5, at, &[0, 2, 3, 4]).is_empty(), "told to one, and done by all");
+    assert_eq!(
+        late(&rig, 5, at, &[1]),
+        [],
+        "sent to a server that this node was told to leave"
+    );
+    assert!(
+        !late(&rig, 5, at, &[0, 2, 3, 4]).is_empty(),
+        "told to one, and done by all"
+    );
     command(&rig, 1, &["enable", "s5"]).await;
     // Called back by way of another node.
     rig.lift(3, 2).await.unwrap();
@@ -57,12 +76,21 @@
     rig.ban(0, 1, None).await.unwrap();
     rest(2.0).await;
     let happened = rig.history.events();
-    let cut_off = check::attempts(&happened, 1, rig.history.now() - SECOND, Duration::MAX, &there);
+    let cut_off = check::attempts(
+        &happened,
+        1,
+        rig.history.now() - SECOND,
+        Duration::MAX,
+        &there,
+    );
     assert!(!cut_off.is_empty(), "a ban came through a cut");
     // The first one ends at its time on both sides, whoever is heard.
     until_sent(&rig, 0, &[0, 1, 2, 3, 4]).await;
     let last = rig.history.now() - first;
-    assert!(last < Duration::from_secs(9), "a ban of 6 s held at some node for {last:?}");
+    assert!(
+        last < Duration::from_secs(9),
+        "a ban of 6 s held at some node for {last:?}"
+    );
     let back = check::attempts(
         &rig.history.events(),
         0,
@@ -71,15 +99,22 @@
         &[0, 1, 2, 3, 4],
     );
     let after = back[0].0 - first;
-    assert!(after > Duration::from_millis(5500), "back after {after:?}, before its time");
-    assert!(after < Duration::from_secs(8), "a ban of 6 s held for {after:?}");
+    assert!(
+        after > Duration::from_millis(5500),
+        "back after {after:?}, before its time"
+    );
+    assert!(
+        after < Duration::from_secs(8),
+        "a ban of 6 s held for {after:?}"
+    );
     rig.links().heal();
     let healed = rig.history.now();
     let took = rig
         .until("the news after the cut", async |rig| {
             let recent = rig.history.now().saturating_sub(SECOND).max(healed);
             rig.history.now() > healed + SECOND
-                && check::attempts(&rig.history.events(), 1, recent, Duration::MAX, &there).is_empty()
+                && check::attempts(&rig.history.events(), 1, recent, Duration::MAX, &there)
+                    .is_empty()
         })
         .await
         .unwrap();
@@ -107,14 +142,25 @@
         until_sent(&rig, server, &[4]).await;
     }
     let took = rig.history.now() - woke;
-    assert!(took < Duration::from_secs(8), "old verdicts were kept for {took:?}");
+    assert!(
+        took < Duration::from_secs(8),
+        "old verdicts were kept for {took:?}"
+    );
     rest(3.0).await;
     // Nobody else took them for new: all others sent to both all the time.
     for server in [0, 1] {
-        let gaps =
-            check::attempts(&rig.history.events(), server, woke - SECOND, Duration::MAX, &[0, 1, 2, 3]);
+        let gaps = check::attempts(
+            &rig.history.events(),
+            server,
+            woke - SECOND,
+            Duration::MAX,
+            &[0, 1, 2, 3],
+        );
         let longest = gaps.windows(2).map(|w| w[1].0 - w[0].0).max().unwrap();
-        assert!(longest < Duration::from_secs(6), "server {server} was left for {longest:?}");
+        assert!(
+            longest < Duration::from_secs(6),
+            "server {server} was left for {longest:?}"
+        );
     }
     load.end().await;
     its.end().await;
@@ -127,7 +173,14 @@
     // Whose turn it is to try it does not change within the test, and it is not that of the last two.
     let fleet = Some("verdicts = { trial_every = \"60s\" }".to_owned());
     let named = names_that_never_probe(6, &[4, 5], &[0]);
-    let rig = start(Made { nodes: 6, servers: 8, fleet, named, ..Made::default() }).await;
+    let rig = start(Made {
+        nodes: 6,
+        servers: 8,
+        fleet,
+        named,
+        ..Made::default()
+    })
+    .await;
     let load = rig.load_at(&[0, 1, 2, 3], 60.0, 0.2, 4);
     until_sent(&rig, 0, &[0, 1, 2, 3]).await;
     rig.servers[0].behave(|m| m.fail = 1.0);
@@ -142,7 +195,12 @@
     until_sent(&rig, 1, &[4, 5]).await;
     rest(1.0).await;
     let sent = check::attempts(&rig.history.events(), 0, from, Duration::MAX, &[4, 5]);
-    assert_eq!(sent, [], "sent to what fails others\n{}", rig.history.tail(20));
+    assert_eq!(
+        sent,
+        [],
+        "sent to what fails others\n{}",
+        rig.history.tail(20)
+    );
     // Well again, it is found out by whose turn it is or when the verdict ends, and all send there.
     rig.servers[0].behave(|m| m.fail = 0.0);
     until_explained(&rig, "s0", "not condemned").await;
@@ -159,7 +217,11 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_node_with_a_bad_link_and_one_that_is_flooded_cost_nobody_else_anything() {
     let _turn = turn().await;
-    let mut rig = start(Made { nodes: 6, ..Made::default() }).await;
+    let mut rig = start(Made {
+        nodes: 6,
+        ..Made::default()
+    })
+    .await;
     // One node reaches no server, and finds fault with all.
     for server in 0..rig.servers.len() {
         rig.link(5, server).fault(|f| f.frozen = true);
@@ -176,7 +238,11 @@
     // What is condemned is tried by one node a second; each of these is sent more.
     for server in 0..rig.servers.len() {
         let sent = check::attempts(&happened, server, to - 4 * SECOND, to, &[0, 1, 2, 3, 4]);
-        assert!(sent.len() > 8, "server {server} was sent {} requests in 4 s", sent.len());
+        assert!(
+            sent.len() > 8,
+            "server {server} was sent {} requests in 4 s",
+            sent.len()
+        );
     }
     for server in 0..rig.servers.len() {
         rig.link(5, server).fault(|f| f.frozen = false);
@@ -224,16 +290,25 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn on_a_drawn_schedule_the_rules_hold_and_what_is_healed_agrees() {
     let _turn = turn().await;
-    let mut rig = start(Made { nodes: 7, ..Made::default() }).await;
+    let mut rig = start(Made {
+        nodes: 7,
+        ..Made::default()
+    })
+    .await;
     let steps = drawn(20261201, 7, 6, Duration::from_secs(15));
-    let read: Vec<Step> = steps.iter().map(|s| Step::read(&s.line()).unwrap()).collect();
+    let read: Vec<Step> = steps
+        .iter()
+        .map(|s| Step::read(&s.line()).unwrap())
+        .collect();
     assert_eq!(steps, read, "a schedule is not what was written down");
     let load = rig.load(30.0, 0.3, 7);
     play(&mut rig, &steps).await.unwrap();
     load.end().await;
-    rig.until("all know each other again", async |rig| rig.awake().len() == 7 && rig.gathered().await)
-        .await
-        .unwrap();
+    rig.until("all know each other again", async |rig| {
+        rig.awake().len() == 7 && rig.gathered().await
+    })
+    .await
+    .unwrap();
     rig.ban(2, 3, Some(60)).await.unwrap();
     until_explained(&rig, "s3", "s3: out by hand").await;
     none_broken(&rig);
--- a/crates/rig/tests/torn.rs
+++ b/crates/rig/tests/torn.rs
@@ -5,8 +5,8 @@
 mod fleets;
 
 use fleets::{
-    late, none_broken, rest, start, turn, until_errors_reported, until_explained, until_left, until_sent,
-    warm, SECOND,
+    late, none_broken, rest, start, turn, until_errors_reported, until_explained, until_left,
+    until_sent, warm, SECOND,
 };
 use reelfall_rig::discovery::Listed;
 use reelfall_rig::fleet::history::Event;
@@ -19,7 +19,10 @@
 /// Whether any node wrote a line with these words since a place in the history.
 fn was_said(rig: &Rig, from: usize, words: &str) -> bool {
     let happened = rig.history.events();
-    happened.iter().skip(from).any(|(_, e)| matches!(e, Event::Said { line, .. } if line.contains(words)))
+    happened
+        .iter()
+        .skip(from)
+        .any(|(_, e)| matches!(e, Event::Said { line, .. } if line.contains(words)))
 }
 
 /// Attempts at a server by these nodes since a moment.
@@ -32,8 +35,12 @@
     let mut held = BTreeSet::new();
     let mut most = 0;
     for (_, event) in rig.history.events().into_iter().skip(from) {
-        let Event::Said { node, line } = event else { continue };
-        let Some((_, line)) = line.split_once("fleet: ").filter(|_| node == of) else { continue };
+        let Event::Said { node, line } = event else {
+            continue;
+        };
+        let Some((_, line)) = line.split_once("fleet: ").filter(|_| node == of) else {
+            continue;
+        };
         let server = line.split(' ').next().unwrap_or_default().to_owned();
         if line.contains("fails several nodes") {
             held.insert(server);
@@ -62,7 +69,11 @@
         rig.ban(by, server, Some(300)).await.unwrap();
         let at = rig.history.now();
         rest(2.5).await;
-        assert_eq!(late(&rig, server, at, &[0, 1, 2, 3, 4]), [], "sent to a banned server");
+        assert_eq!(
+            late(&rig, server, at, &[0, 1, 2, 3, 4]),
+            [],
+            "sent to a banned server"
+        );
     }
     load.end().await;
     none_broken(&rig);
@@ -71,23 +82,36 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn of_two_processes_with_one_name_one_speaks_and_both_hear() {
     let _turn = turn().await;
-    let made = Made { nodes: 4, named: vec![(3, "n2".to_owned())], ..warm() };
+    let made = Made {
+        nodes: 4,
+        named: vec![(3, "n2".to_owned())],
+        ..warm()
+    };
     let rig = Rig::start(&fleets::program(), &made).await.unwrap();
     let load = rig.load(40.0, 0.2, 22);
-    rig.until("one stands aside", async |rig| was_said(rig, 0, "another process has this node's name"))
-        .await
-        .unwrap();
+    rig.until("one stands aside", async |rig| {
+        was_said(rig, 0, "another process has this node's name")
+    })
+    .await
+    .unwrap();
     let aside = rig.history.events().iter().find_map(|(_, e)| match e {
         Event::Said { node, line } if line.contains("another process has") => Some(*node),
         _ => None,
     });
     let (aside, speaks) = if aside == Some(3) { (3, 2) } else { (2, 3) };
-    assert!(rig.ban(aside, 0, Some(300)).await.is_err(), "one name, two voices");
+    assert!(
+        rig.ban(aside, 0, Some(300)).await.is_err(),
+        "one name, two voices"
+    );
     for (by, server) in [(speaks, 1), (0, 2)] {
         rig.ban(by, server, Some(300)).await.unwrap();
         let at = rig.history.now();
         rest(2.5).await;
-        assert_eq!(late(&rig, server, at, &[0, 1, 2, 3]), [], "sent to a banned server");
+        assert_eq!(
+            late(&rig, server, at, &[0, 1, 2, 3]),
+            [],
+            "sent to a banned server"
+        );
     }
     load.end().await;
     none_broken(&rig);
@@ -97,11 +121,15 @@
 async fn a_full_buffer_and_datagrams_that_the_system_refuses_end_nothing() {
     let _turn = turn().await;
     // The system refuses to send there: a broadcast, which a process has to be allowed.
-    let seeds = (1..6).map(|port| ([127, 255, 255, 255], port).into()).collect();
+    let seeds = (1..6)
+        .map(|port| ([127, 255, 255, 255], port).into())
+        .collect();
     let mut rig = start(Made { seeds, ..warm() }).await;
     let refused = async |rig: &Rig| {
         for n in 0..5 {
-            let Ok((200, said)) = rig.call(n, "GET", "/-/fleet/members").await else { return false };
+            let Ok((200, said)) = rig.call(n, "GET", "/-/fleet/members").await else {
+                return false;
+            };
             if !said.contains(" 0 not taken by the system") {
                 return true;
             }
@@ -119,7 +147,11 @@
     let load = rig.load(40.0, 0.2, 23);
     let at = rig.history.now();
     rest(3.0).await;
-    assert_eq!(sent(&rig, 0, at, &[0, 1, 2, 3, 4]), 0, "sent to a banned server");
+    assert_eq!(
+        sent(&rig, 0, at, &[0, 1, 2, 3, 4]),
+        0,
+        "sent to a banned server"
+    );
     load.end().await;
     none_broken(&rig);
 }
@@ -127,13 +159,21 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn where_all_servers_fail_all_nodes_none_is_condemned_and_all_are_back_at_once() {
     let _turn = turn().await;
-    let mut rig = start(Made { nodes: 6, servers: 8, ..warm() }).await;
+    let mut rig = start(Made {
+        nodes: 6,
+        servers: 8,
+        ..warm()
+    })
+    .await;
     let load = rig.load(50.0, 0.0, 24);
     rest(2.0).await;
     // Two of eight fail. No more than a fifth of the list is condemned, whichever services name it: one.
     let from = rig.history.len();
-    play(&mut rig, &[Step::Fails(0, 1.0), Step::Fails(1, 1.0)]).await.unwrap();
-    let condemned = |e: &Event| matches!(e, Event::Said { line, .. } if line.contains("fails several nodes"));
+    play(&mut rig, &[Step::Fails(0, 1.0), Step::Fails(1, 1.0)])
+        .await
+        .unwrap();
+    let condemned =
+        |e: &Event| matches!(e, Event::Said { line, .. } if line.contains("fails several nodes"));
     rig.history.until(from, condemned).await.unwrap();
     rest(2.5).await;
     let most = (0..6).map(|n| condemned_at_once(&rig, from, n)).max();
@@ -144,7 +184,9 @@
     let from = rig.history.now();
     rest(2.0).await;
     // One that is condemned is tried by about one node in a second.
-    let asked: Vec<usize> = (0..8).map(|s| sent(&rig, s, from, &[0, 1, 2, 3, 4, 5])).collect();
+    let asked: Vec<usize> = (0..8)
+        .map(|s| sent(&rig, s, from, &[0, 1, 2, 3, 4, 5]))
+        .collect();
     assert!(asked.iter().filter(|n| **n > 8).count() >= 6, "{asked:?}");
     let none: Vec<Step> = (0..8).map(|s| Step::Fails(s, 0.0)).collect();
     play(&mut rig, &none).await.unwrap();
@@ -161,7 +203,13 @@
 async fn a_server_that_pauses_is_left_before_any_wait_is_over_and_taken_back_when_it_answers() {
     let _turn = turn().await;
     let fleet = Some("verdicts = { trial_every = \"60s\", lasts = \"60s\" }".to_owned());
-    let mut rig = start(Made { nodes: 6, servers: 8, fleet, ..warm() }).await;
+    let mut rig = start(Made {
+        nodes: 6,
+        servers: 8,
+        fleet,
+        ..warm()
+    })
+    .await;
     let load = rig.load_at(&[0, 1, 2, 3], 60.0, 0.2, 25);
     until_sent(&rig, 0, &[0, 1, 2, 3]).await;
     let from = rig.history.len();
@@ -174,7 +222,10 @@
     play(&mut rig, &[Step::Server(0, false)]).await.unwrap();
     until_explained(&rig, "s0", "not condemned").await;
     let took = rig.history.now() - at - condemned;
-    assert!(took < 4 * SECOND, "it answers, and nodes kept for {took:?} to what was said of it");
+    assert!(
+        took < 4 * SECOND,
+        "it answers, and nodes kept for {took:?} to what was said of it"
+    );
     // All send there again, those that had no work before as well.
     let others = rig.load_at(&[4, 5], 60.0, 0.2, 26);
     until_sent(&rig, 0, &[0, 1, 2, 3, 4, 5]).await;
@@ -199,7 +250,11 @@
 fn begun(rig: &Rig, server: usize, status: &'static str) -> Listed {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
     let since_ms = now.as_millis() as u64;
-    Listed { status, since_ms, ..Listed::active(&server_name(server), rig.servers[server].address) }
+    Listed {
+        status,
+        since_ms,
+        ..Listed::active(&server_name(server), rig.servers[server].address)
+    }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -208,7 +263,15 @@
     let fleet = Some("verdicts = { trial_every = \"60s\", lasts = \"60s\" }".to_owned());
     // Nobody probes the server: a probe that it answers takes back one of the three reports that condemn it.
     let named = names_that_never_probe(7, &[0, 1, 2, 3, 4, 5, 6], &[0]);
-    let rig = start(Made { nodes: 7, servers: 6, lists: 2, fleet, named, ..warm() }).await;
+    let rig = start(Made {
+        nodes: 7,
+        servers: 6,
+        lists: 2,
+        fleet,
+        named,
+        ..warm()
+    })
+    .await;
     let (ahead, behind) = ([0, 2, 4, 6], [1, 3]);
     // A server is replaced under its name and address. One list tells of it, the other lags; the new one fails.
     let new = begun(&rig, 0, "active");
@@ -234,7 +297,12 @@
     let last = rig.load_at(&[5], 40.0, 0.2, 29);
     until_sent(&rig, 1, &[5]).await;
     until_asked(&rig, at, 5, 150).await;
-    assert_eq!(sent(&rig, 0, at, &[5]), 0, "sent to what fails others\n{}", rig.history.tail(20));
+    assert_eq!(
+        sent(&rig, 0, at, &[5]),
+        0,
+        "sent to what fails others\n{}",
+        rig.history.tail(20)
+    );
 
     // Out by hand, it stays out, whatever a list says of it, and of a new start of it.
     rig.ban(0, 1, None).await.unwrap();
@@ -242,7 +310,11 @@
     let at = rig.history.now();
     rig.lists[1].tell(&[begun(&rig, 1, "active")]);
     rest(6.0).await;
-    assert_eq!(sent(&rig, 1, at, &[0, 1, 2, 3, 4, 5, 6]), 0, "a list brought a banned server back");
+    assert_eq!(
+        sent(&rig, 1, at, &[0, 1, 2, 3, 4, 5, 6]),
+        0,
+        "a list brought a banned server back"
+    );
     // A list's own word holds for those it tells, whatever the fleet says: its call back brings nothing back.
     rig.lists[0].tell(&[begun(&rig, 2, "draining")]);
     rest(0.6).await;
@@ -250,7 +322,10 @@
     let at = rig.history.now();
     rest(6.0).await;
     assert_eq!(sent(&rig, 2, at, &ahead), 0, "sent to a draining server");
-    assert!(sent(&rig, 2, at, &behind) > 0, "their list says nothing of it");
+    assert!(
+        sent(&rig, 2, at, &behind) > 0,
+        "their list says nothing of it"
+    );
     for load in [load, others, last] {
         load.end().await;
     }
@@ -275,7 +350,11 @@
     until_sent(&rig, 0, &here).await;
     let at = rig.history.now();
     rest(1.5).await;
-    assert_eq!(sent(&rig, 0, at, &there) + sent(&rig, 1, at, &there), 0, "lifted through a cut");
+    assert_eq!(
+        sent(&rig, 0, at, &there) + sent(&rig, 1, at, &there),
+        0,
+        "lifted through a cut"
+    );
     rig.links().heal();
     // The newer word of the two operators is heard by all, and what was lifted alone is back for all.
     until_explained(&rig, "s0", "s0: out by hand").await;
@@ -283,7 +362,11 @@
     let at = rig.history.now();
     until_sent(&rig, 1, &all).await;
     rest(2.0).await;
-    assert_eq!(late(&rig, 0, at, &all), [], "a ban that was renewed is gone");
+    assert_eq!(
+        late(&rig, 0, at, &all),
+        [],
+        "a ban that was renewed is gone"
+    );
     rig.lift(2, 0).await.unwrap();
     until_sent(&rig, 0, &all).await;
     load.end().await;
--- a/crates/routes/src/budget.rs
+++ b/crates/routes/src/budget.rs
@@ -35,7 +35,11 @@
 
 impl Share {
     /// No reservation and no bound but the total.
-    pub const OPEN: Share = Share { reserve: 0, most: u64::MAX, weight: 1 };
+    pub const OPEN: Share = Share {
+        reserve: 0,
+        most: u64::MAX,
+        weight: 1,
+    };
 }
 
 /// Why a unit was not granted.
@@ -85,7 +89,12 @@
 
 impl Account {
     const fn new(share: Share) -> Self {
-        Account { share, used: 0, claimed: None, left: false }
+        Account {
+            share,
+            used: 0,
+            claimed: None,
+            left: false,
+        }
     }
 
     /// Whether another party may have its place.
@@ -135,7 +144,10 @@
 impl Budget {
     /// So many units and no parties yet.
     pub fn new(total: u64) -> Self {
-        Budget { total, ..Budget::default() }
+        Budget {
+            total,
+            ..Budget::default()
+        }
     }
 
     /// What there is.
@@ -165,7 +177,9 @@
             }
             reserved = reserved.saturating_add(reserve);
         }
-        (reserved <= total).then_some(()).ok_or(Misfit::Reserved { reserved, total })
+        (reserved <= total)
+            .then_some(())
+            .ok_or(Misfit::Reserved { reserved, total })
     }
 
     /// Changes the total; what is held stays held.
@@ -199,7 +213,11 @@
     /// A party leaves. What it holds it gives back in its own time; until then it counts.
     pub fn remove(&mut self, party: Party) {
         self.change(party, |account| {
-            account.share = Share { reserve: 0, most: 0, weight: 0 };
+            account.share = Share {
+                reserve: 0,
+                most: 0,
+                weight: 0,
+            };
             account.claimed = None;
             account.left = true;
         });
@@ -207,7 +225,9 @@
 
     /// Changes an account, and the sums and the free places with it.
     fn change(&mut self, party: Party, change: impl FnOnce(&mut Account)) {
-        let Some(account) = self.parties.get_mut(party) else { return };
+        let Some(account) = self.parties.get_mut(party) else {
+            return;
+        };
         let was_free = account.is_free();
         self.sums.subtract(account);
         change(account);
@@ -220,7 +240,9 @@
     fn fair(&self, share: Share) -> u64 {
         let open = u128::from(self.total.saturating_sub(self.sums.reserved));
         let part = open * u128::from(share.weight) / u128::from(self.sums.weights.max(1));
-        share.reserve.saturating_add(u64::try_from(part).unwrap_or(u64::MAX))
+        share
+            .reserve
+            .saturating_add(u64::try_from(part).unwrap_or(u64::MAX))
     }
 
     /// Takes `n` units for a party, all or none.
@@ -228,7 +250,9 @@
     /// # Errors
     /// Says why they are not to be had now.
     pub fn take(&mut self, now: Time, party: Party, n: u64) -> Result<(), Denied> {
-        let Some(account) = self.parties.get(party) else { return Err(Denied::Most) };
+        let Some(account) = self.parties.get(party) else {
+            return Err(Denied::Most);
+        };
         let (share, used) = (account.share, account.used.saturating_add(n));
         if used > share.most || account.left {
             return Err(Denied::Most);
@@ -244,7 +268,9 @@
         } else {
             None
         };
-        let Some(account) = self.parties.get_mut(party) else { return Err(Denied::Most) };
+        let Some(account) = self.parties.get_mut(party) else {
+            return Err(Denied::Most);
+        };
         match denied {
             None => {
                 account.used = used;
@@ -263,11 +289,16 @@
 
     fn claimed_by_others(&self, now: Time, party: Party) -> bool {
         let lives = |a: &Account| a.claimed.is_some_and(|at| now - at < CLAIM_LASTS);
-        self.parties.iter().enumerate().any(|(n, a)| n != party && lives(a))
+        self.parties
+            .iter()
+            .enumerate()
+            .any(|(n, a)| n != party && lives(a))
     }
 
     /// Gives back `n` units of a party.
     pub fn give(&mut self, party: Party, n: u64) {
-        self.change(party, |account| account.used = account.used.saturating_sub(n));
+        self.change(party, |account| {
+            account.used = account.used.saturating_sub(n)
+        });
     }
 }
--- a/crates/routes/src/common.rs
+++ b/crates/routes/src/common.rs
@@ -65,7 +65,12 @@
 impl CombinedView {
     /// A server that no other pool lists.
     pub fn unshared(ready_at: Time) -> CombinedView {
-        CombinedView { is_draining: false, sharers: 1, ready_at, withheld_until: None }
+        CombinedView {
+            is_draining: false,
+            sharers: 1,
+            ready_at,
+            withheld_until: None,
+        }
     }
 }
 
@@ -85,7 +90,9 @@
 
 impl<A, P> Default for SharedServers<A, P> {
     fn default() -> Self {
-        SharedServers { servers: HashMap::new() }
+        SharedServers {
+            servers: HashMap::new(),
+        }
     }
 }
 
@@ -94,7 +101,10 @@
     /// other pools.
     pub fn update(&mut self, now: Time, pool: P, address: &A, state: Option<ListedState>) -> bool {
         // A start in the future would leave the server cold for others for as long as somebody's clock is wrong.
-        let state = state.map(|s| ListedState { ready_at: s.ready_at.min(now), ..s });
+        let state = state.map(|s| ListedState {
+            ready_at: s.ready_at.min(now),
+            ..s
+        });
         let listings = self.servers.entry(address.clone()).or_default();
         let old = listings.iter().position(|listing| listing.pool == pool);
         let changed = match (old, state) {
@@ -104,9 +114,19 @@
                 true
             }
             // The end of a server that the pool never listed concerns nobody.
-            (None, Some(ListedState { status: ServerStatus::Gone, .. })) => false,
+            (
+                None,
+                Some(ListedState {
+                    status: ServerStatus::Gone,
+                    ..
+                }),
+            ) => false,
             (None, Some(state)) => {
-                listings.push(PoolListing { pool, state, since: now });
+                listings.push(PoolListing {
+                    pool,
+                    state,
+                    since: now,
+                });
                 true
             }
             (Some(n), Some(state)) => listings.get_mut(n).is_some_and(|listing| {
@@ -125,18 +145,33 @@
 
     /// The state of a server for a pool whose own list has it as `own`, and for which a server is warm `warm_after`
     /// seconds after its start.
-    pub fn view(&self, now: Time, pool: P, address: &A, own: ListedState, warm_after: Time) -> CombinedView {
-        let Some(listings) = self.servers.get(address) else { return CombinedView::unshared(own.ready_at) };
+    pub fn view(
+        &self,
+        now: Time,
+        pool: P,
+        address: &A,
+        own: ListedState,
+        warm_after: Time,
+    ) -> CombinedView {
+        let Some(listings) = self.servers.get(address) else {
+            return CombinedView::unshared(own.ready_at);
+        };
         let others = || listings.iter().filter(|listing| listing.pool != pool);
         let is_draining = others().any(|listing| match listing.state.status {
             ServerStatus::Up => false,
             ServerStatus::Draining => true,
-            ServerStatus::Gone => now - listing.since < GONE_TTL && own.ready_at <= listing.state.ready_at,
+            ServerStatus::Gone => {
+                now - listing.since < GONE_TTL && own.ready_at <= listing.state.ready_at
+            }
         });
         let senders = || others().filter(|listing| listing.state.status != ServerStatus::Gone);
         let ready_at = latest_start(own, senders().map(|listing| listing.state));
         let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
-        let warm_at = if ready_at > 0.0 { ready_at + warm_after } else { 0.0 };
+        let warm_at = if ready_at > 0.0 {
+            ready_at + warm_after
+        } else {
+            0.0
+        };
         let older_pools = count(senders().filter(|listing| listing.pool < pool).count());
         CombinedView {
             is_draining,
@@ -148,12 +183,18 @@
 
     /// The pools that list a server.
     pub fn pools<'a>(&'a self, address: &A) -> impl Iterator<Item = P> + 'a {
-        self.servers.get(address).into_iter().flatten().map(|listing| listing.pool)
+        self.servers
+            .get(address)
+            .into_iter()
+            .flatten()
+            .map(|listing| listing.pool)
     }
 
     /// Removes the listings of servers that have been gone for [`GONE_TTL`]. Returns their addresses.
     pub fn expire(&mut self, now: Time) -> Vec<A> {
-        self.retain(|listing| listing.state.status != ServerStatus::Gone || now - listing.since < GONE_TTL)
+        self.retain(|listing| {
+            listing.state.status != ServerStatus::Gone || now - listing.since < GONE_TTL
+        })
     }
 
     /// Removes all listings of a pool that has ended. Returns their addresses.
@@ -193,6 +234,8 @@
 /// Harm: a list that is wrong about a start makes the server cold, and slow to fill, for all pools that have it.
 fn latest_start(own: ListedState, others: impl Iterator<Item = ListedState>) -> Time {
     let states = std::iter::once(own).chain(others);
-    let starts = states.filter(|state| state.knows_start).map(|state| state.ready_at);
+    let starts = states
+        .filter(|state| state.knows_start)
+        .map(|state| state.ready_at);
     starts.reduce(f64::max).unwrap_or(own.ready_at)
 }
--- a/crates/routes/src/keep_alive.rs
+++ b/crates/routes/src/keep_alive.rs
@@ -23,7 +23,11 @@
 impl KeepAlive {
     /// Begins with the longest that servers allow, in seconds.
     pub fn new(most: f64) -> Self {
-        KeepAlive { most, now: most, turned_away: false }
+        KeepAlive {
+            most,
+            now: most,
+            turned_away: false,
+        }
     }
 
     /// How long an idle connection is kept now, in seconds.
--- a/crates/routes/src/limits.rs
+++ b/crates/routes/src/limits.rs
@@ -20,8 +20,12 @@
 
 impl Allowed {
     /// No bounds but those of the process.
-    pub const OPEN: Allowed =
-        Allowed { open: Share::OPEN, connections: Share::OPEN, memory: Share::OPEN, rate: None };
+    pub const OPEN: Allowed = Allowed {
+        open: Share::OPEN,
+        connections: Share::OPEN,
+        memory: Share::OPEN,
+        rate: None,
+    };
 }
 
 /// What the process has.
@@ -130,7 +134,9 @@
 
     /// A new service.
     pub fn add(&mut self, now: Time, allowed: &Allowed) -> Member {
-        let rate = allowed.rate.map(|(rate, burst)| Rate::new(now, rate, burst));
+        let rate = allowed
+            .rate
+            .map(|(rate, burst)| Rate::new(now, rate, burst));
         let at = self.free.pop().unwrap_or(self.rates.len());
         match self.rates.get_mut(at) {
             Some(place) => *place = rate,
@@ -147,12 +153,15 @@
     /// Changes what a service is allowed; what it holds stays held.
     pub fn set(&mut self, now: Time, member: Member, allowed: &Allowed) {
         self.open.set(member.open, allowed.open);
-        self.connections.set(member.connections, allowed.connections);
+        self.connections
+            .set(member.connections, allowed.connections);
         self.memory.set(member.memory, allowed.memory);
         if let Some(rate) = self.rates.get_mut(member.rate) {
             match (rate.as_mut(), allowed.rate) {
                 (Some(rate), Some((per_second, burst))) => rate.set(now, per_second, burst),
-                (_, new) => *rate = new.map(|(per_second, burst)| Rate::new(now, per_second, burst)),
+                (_, new) => {
+                    *rate = new.map(|(per_second, burst)| Rate::new(now, per_second, burst))
+                }
             }
         }
     }
@@ -173,7 +182,9 @@
     /// # Errors
     /// Says which limit it is over. Nothing is taken then.
     pub fn admit(&mut self, now: Time, member: Member) -> Result<(), Denial> {
-        self.open.take(now, member.open, 1).map_err(|d| Denial::Held(Kind::Open, d))?;
+        self.open
+            .take(now, member.open, 1)
+            .map_err(|d| Denial::Held(Kind::Open, d))?;
         let rate = self.rates.get_mut(member.rate).and_then(Option::as_mut);
         rate.map_or(Ok(()), |r| r.take(now)).map_err(|wait| {
             self.open.give(member.open, 1);
--- a/crates/routes/src/rate.rs
+++ b/crates/routes/src/rate.rs
@@ -14,7 +14,12 @@
 impl Rate {
     /// A full bucket. `per_second` and `burst` are positive numbers.
     pub fn new(now: Time, per_second: f64, burst: f64) -> Self {
-        Rate { per_second, burst: burst.max(1.0), level: burst.max(1.0), at: now }
+        Rate {
+            per_second,
+            burst: burst.max(1.0),
+            level: burst.max(1.0),
+            at: now,
+        }
     }
 
     /// Changes the figures; what was taken stays taken.
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -40,7 +40,9 @@
     #[error("a host pattern is a name, an address, or `*.` before a name")]
     Host,
     /// No path prefix.
-    #[error("a path prefix begins with `/` and has no dot segments, empty segments or needless escapes")]
+    #[error(
+        "a path prefix begins with `/` and has no dot segments, empty segments or needless escapes"
+    )]
     Path,
 }
 
@@ -56,10 +58,13 @@
         let lower = pattern.to_ascii_lowercase();
         if let Some(name) = lower.strip_prefix("*.") {
             let fits = crate::target::is_name(name);
-            return fits.then(|| Host::Below(name.into())).ok_or(PatternFault::Host);
+            return fits
+                .then(|| Host::Below(name.into()))
+                .ok_or(PatternFault::Host);
         }
         let fits = crate::target::host(&lower).is_ok_and(|h| h == lower);
-        fits.then(|| Host::Exact(lower.into())).ok_or(PatternFault::Host)
+        fits.then(|| Host::Exact(lower.into()))
+            .ok_or(PatternFault::Host)
     }
 }
 
@@ -99,7 +104,16 @@
 
 impl fmt::Display for Match {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "host {} path {}", self.host, if self.path.is_empty() { "/" } else { &self.path })?;
+        write!(
+            f,
+            "host {} path {}",
+            self.host,
+            if self.path.is_empty() {
+                "/"
+            } else {
+                &self.path
+            }
+        )?;
         if !self.methods.is_empty() {
             write!(f, " method {}", self.methods.join("|"))?;
         }
@@ -116,7 +130,11 @@
 impl Match {
     /// Whether all that is stated here holds of a request. [`Table::get`] finds the same without asking each route.
     pub fn fits(&self, q: &Query) -> bool {
-        let below = |name: &str| q.host.strip_suffix(name).is_some_and(|l| l.len() > 1 && l.ends_with('.'));
+        let below = |name: &str| {
+            q.host
+                .strip_suffix(name)
+                .is_some_and(|l| l.len() > 1 && l.ends_with('.'))
+        };
         let host = match &self.host {
             Host::Any => true,
             Host::Exact(name) => **name == *q.host,
@@ -137,7 +155,13 @@
             Host::Exact(_) => (2, 0),
         };
         let path = self.path.matches('/').count();
-        (self.listener.is_some(), host, path, !self.methods.is_empty(), self.class.is_some())
+        (
+            self.listener.is_some(),
+            host,
+            path,
+            !self.methods.is_empty(),
+            self.class.is_some(),
+        )
     }
 }
 
@@ -205,7 +229,12 @@
 impl Paths {
     fn get(&self, q: &Query) -> Option<usize> {
         // Where the prefixes of the path end, up to the depth that some route has.
-        let borders = q.path.match_indices('/').map(|(at, _)| at).skip(1).chain([q.path.len()]);
+        let borders = q
+            .path
+            .match_indices('/')
+            .map(|(at, _)| at)
+            .skip(1)
+            .chain([q.path.len()]);
         let mut ends = [0; Self::AT_ONCE];
         let mut from = 0;
         let mut best = self.leaf("", q);
@@ -217,7 +246,11 @@
                 *slot = at;
                 n += 1;
             }
-            let longest = ends.iter().take(n).rev().find_map(|end| self.leaf(q.path.get(..*end)?, q));
+            let longest = ends
+                .iter()
+                .take(n)
+                .rev()
+                .find_map(|end| self.leaf(q.path.get(..*end)?, q));
             best = longest.or(best);
             from += n;
             if n < Self::AT_ONCE || from >= self.depth {
@@ -253,8 +286,13 @@
         if self.below.is_empty() {
             return None;
         }
-        let suffixes = q.host.match_indices('.').filter_map(|(at, _)| q.host.get(at + 1..));
-        suffixes.filter_map(|name| self.below.get(name)).find_map(|p| p.get(q))
+        let suffixes = q
+            .host
+            .match_indices('.')
+            .filter_map(|(at, _)| q.host.get(at + 1..));
+        suffixes
+            .filter_map(|name| self.below.get(name))
+            .find_map(|p| p.get(q))
     }
 
     fn paths(&mut self, host: &Host) -> &mut Paths {
@@ -281,7 +319,9 @@
     pub fn new<'a>(routes: impl IntoIterator<Item = &'a Match>) -> Result<Table, Ambiguous> {
         let mut table = Table::default();
         for (n, route) in routes.into_iter().enumerate() {
-            table.add(n, route).map_err(|first| Ambiguous { first, second: n })?;
+            table
+                .add(n, route)
+                .map_err(|first| Ambiguous { first, second: n })?;
         }
         Ok(table)
     }
@@ -299,7 +339,12 @@
             return leaf.any_method.put(class, n).map_or(Ok(()), Err);
         }
         for method in &route.methods {
-            if let Some(old) = leaf.by_method.entry(method.clone()).or_default().put(class, n) {
+            if let Some(old) = leaf
+                .by_method
+                .entry(method.clone())
+                .or_default()
+                .put(class, n)
+            {
                 return Err(old);
             }
         }
--- a/crates/routes/src/target.rs
+++ b/crates/routes/src/target.rs
@@ -111,7 +111,10 @@
         }
     }
     path(said.path)?;
-    Ok(Target { host, path: said.path })
+    Ok(Target {
+        host,
+        path: said.path,
+    })
 }
 
 /// The host of an authority, in lower case.
@@ -128,7 +131,9 @@
     let (name, port) = match authority.strip_prefix('[') {
         Some(rest) => {
             let (inside, behind) = rest.split_once(']').ok_or(Fault::BadHost)?;
-            inside.parse::<std::net::Ipv6Addr>().map_err(|_| Fault::BadHost)?;
+            inside
+                .parse::<std::net::Ipv6Addr>()
+                .map_err(|_| Fault::BadHost)?;
             let name = &authority[..inside.len() + 2];
             match behind.strip_prefix(':') {
                 Some(port) => (name, Some(port)),
@@ -165,7 +170,8 @@
     let label = |l: &str| {
         !l.is_empty()
             && l.len() <= 63
-            && l.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_')
+            && l.bytes()
+                .all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_')
     };
     text.len() <= HOST_MOST && text.split('.').all(label)
 }
@@ -201,7 +207,8 @@
                 if read.is_ascii_control() {
                     return Err(Fault::BadCharacter);
                 }
-                needless |= read.is_ascii_alphanumeric() || matches!(read, b'-' | b'.' | b'_' | b'~');
+                needless |=
+                    read.is_ascii_alphanumeric() || matches!(read, b'-' | b'.' | b'_' | b'~');
                 read
             }
             b'\\' => return Err(Fault::HiddenSeparator),
--- a/crates/routes/tests/budget.rs
+++ b/crates/routes/tests/budget.rs
@@ -22,7 +22,12 @@
 
 impl WalkedBudget {
     fn add(&mut self, share: Share) -> usize {
-        self.parties.push(WalkedParty { share, used: 0, claimed: None, left: false });
+        self.parties.push(WalkedParty {
+            share,
+            used: 0,
+            claimed: None,
+            left: false,
+        });
         self.parties.len() - 1
     }
 
@@ -36,7 +41,11 @@
 
     fn remove(&mut self, party: usize) {
         let party = &mut self.parties[party];
-        party.share = Share { reserve: 0, most: 0, weight: 0 };
+        party.share = Share {
+            reserve: 0,
+            most: 0,
+            weight: 0,
+        };
         party.claimed = None;
         party.left = true;
     }
@@ -57,7 +66,12 @@
     }
 
     fn take(&mut self, now: f64, party: usize, n: u64) -> Result<(), Denied> {
-        let WalkedParty { share, used: before, left, .. } = self.parties[party];
+        let WalkedParty {
+            share,
+            used: before,
+            left,
+            ..
+        } = self.parties[party];
         let used = before + n;
         if used > share.most || left {
             return Err(Denied::Most);
@@ -66,7 +80,11 @@
         let is_over_total = held_by_others + used.max(share.reserve) > self.total;
         let fair = self.fair(share);
         let claims = |p: &WalkedParty| p.claimed.is_some_and(|at| now - at < CLAIM_LASTS);
-        let is_claimed = self.parties.iter().enumerate().any(|(n, p)| n != party && claims(p));
+        let is_claimed = self
+            .parties
+            .iter()
+            .enumerate()
+            .any(|(n, p)| n != party && claims(p));
         let taken = match used {
             _ if used <= share.reserve => Ok(()),
             _ if is_over_total => Err(Denied::Total),
@@ -123,8 +141,15 @@
 
 impl Pair {
     fn new(total: u64) -> Pair {
-        let walked = WalkedBudget { total, parties: Vec::new() };
-        Pair { kept: Budget::new(total), walked, parties: Vec::new() }
+        let walked = WalkedBudget {
+            total,
+            parties: Vec::new(),
+        };
+        Pair {
+            kept: Budget::new(total),
+            walked,
+            parties: Vec::new(),
+        }
     }
 
     /// The party that a draw picks. One that is gone for good has no number of its own any more.
@@ -136,27 +161,40 @@
 
     fn carry_out(&mut self, now: f64, operation: &Operation) -> Result<(), TestCaseError> {
         match *operation {
-            Operation::Add(share) => self.parties.push((self.kept.add(share), self.walked.add(share))),
+            Operation::Add(share) => self
+                .parties
+                .push((self.kept.add(share), self.walked.add(share))),
             Operation::SetTotal(total) => {
                 self.kept.set_total(total);
                 self.walked.total = total;
             }
             Operation::Set(pick, share) => {
-                let Some((kept, walked)) = self.picked(pick) else { return Ok(()) };
+                let Some((kept, walked)) = self.picked(pick) else {
+                    return Ok(());
+                };
                 self.kept.set(kept, share);
                 self.walked.set(walked, share);
             }
             Operation::Remove(pick) => {
-                let Some((kept, walked)) = self.picked(pick) else { return Ok(()) };
+                let Some((kept, walked)) = self.picked(pick) else {
+                    return Ok(());
+                };
                 self.kept.remove(kept);
                 self.walked.remove(walked);
             }
             Operation::Take(pick, n) => {
-                let Some((kept, walked)) = self.picked(pick) else { return Ok(()) };
-                prop_assert_eq!(self.kept.take(now, kept, n), self.walked.take(now, walked, n));
+                let Some((kept, walked)) = self.picked(pick) else {
+                    return Ok(());
+                };
+                prop_assert_eq!(
+                    self.kept.take(now, kept, n),
+                    self.walked.take(now, walked, n)
+                );
             }
             Operation::Give(pick, n) => {
-                let Some((kept, walked)) = self.picked(pick) else { return Ok(()) };
+                let Some((kept, walked)) = self.picked(pick) else {
+                    return Ok(());
+                };
                 self.kept.give(kept, n);
                 self.walked.give(walked, n);
             }
@@ -180,7 +218,11 @@
 fn kept_sums_grant_what_a_walk_over_all_parties_grants() {
     let operations = prop::collection::vec((0.0..0.4f64, operation()), 1..300);
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]);
-    let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 300,
+        failure_persistence: None,
+        ..Config::default()
+    };
     TestRunner::new_with_rng(config, rng)
         .run(&(0..80u64, operations), |(total, operations)| {
             let (mut pair, mut now) = (Pair::new(total), 0.0);
@@ -202,7 +244,12 @@
 #[test]
 fn the_cost_of_a_change_does_not_grow_with_the_number_of_parties() {
     let begun = Instant::now();
-    let in_time = || assert!(begun.elapsed() < IN_TIME, "each change walks over all parties");
+    let in_time = || {
+        assert!(
+            begun.elapsed() < IN_TIME,
+            "each change walks over all parties"
+        )
+    };
     let mut budget = Budget::new(u64::MAX);
     let parties: Vec<Party> = (0..MANY_PARTIES)
         .map(|_| {
@@ -212,7 +259,13 @@
         .collect();
     for party in &parties {
         in_time();
-        budget.set(*party, Share { reserve: 1, ..Share::OPEN });
+        budget.set(
+            *party,
+            Share {
+                reserve: 1,
+                ..Share::OPEN
+            },
+        );
     }
     for party in &parties {
         in_time();
--- a/crates/routes/tests/common.rs
+++ b/crates/routes/tests/common.rs
@@ -11,7 +11,11 @@
 
 /// The state of a server in a list that follows servers.
 fn listed(status: ServerStatus, ready_at: f64) -> ListedState {
-    ListedState { status, ready_at, knows_start: true }
+    ListedState {
+        status,
+        ready_at,
+        knows_start: true,
+    }
 }
 
 fn view(common: &SharedServers<&str, u8>, now: f64, pool: u8, ready_at: f64) -> CombinedView {
@@ -24,7 +28,13 @@
     assert!(common.update(0.0, 1, &"s", Some(listed(ServerStatus::Up, 0.0))));
     assert_eq!(view(&common, 0.0, 1, 0.0), CombinedView::unshared(0.0));
     assert!(common.update(0.0, 2, &"s", Some(listed(ServerStatus::Up, 0.0))));
-    assert_eq!(view(&common, 0.0, 1, 0.0), CombinedView { sharers: 2, ..CombinedView::unshared(0.0) });
+    assert_eq!(
+        view(&common, 0.0, 1, 0.0),
+        CombinedView {
+            sharers: 2,
+            ..CombinedView::unshared(0.0)
+        }
+    );
     assert!(
         !common.update(0.5, 2, &"s", Some(listed(ServerStatus::Up, 0.0))),
         "the same word twice is no news"
@@ -50,7 +60,10 @@
     assert!(!view(&common, 10.2, 1, 9.0).is_draining);
     assert!(common.expire(10.0 + GONE_TTL / 2.0).is_empty());
     assert_eq!(common.expire(10.0 + GONE_TTL), ["s"]);
-    assert_eq!(view(&common, 10.0 + GONE_TTL, 1, 5.0), CombinedView::unshared(5.0));
+    assert_eq!(
+        view(&common, 10.0 + GONE_TTL, 1, 5.0),
+        CombinedView::unshared(5.0)
+    );
 }
 
 #[test]
@@ -64,19 +77,29 @@
     assert_eq!(common.remove_pool(2), ["s"]);
     assert_eq!(view(&common, 2.0, 1, 0.0), CombinedView::unshared(0.0));
     assert_eq!(common.remove_pool(1), ["s"]);
-    assert!(common.is_empty(), "something is kept of a server that nobody lists");
+    assert!(
+        common.is_empty(),
+        "something is kept of a server that nobody lists"
+    );
 }
 
 #[test]
 fn a_start_that_one_list_knows_of_holds_for_all() {
     let mut common: SharedServers<&str, u8> = SharedServers::default();
-    let guess = |ready_at| ListedState { knows_start: false, ..listed(ServerStatus::Up, ready_at) };
-    let seen =
-        |common: &SharedServers<&str, u8>, pool, own| common.view(100.0, pool, &"s", own, WARM).ready_at;
+    let guess = |ready_at| ListedState {
+        knows_start: false,
+        ..listed(ServerStatus::Up, ready_at)
+    };
+    let seen = |common: &SharedServers<&str, u8>, pool, own| {
+        common.view(100.0, pool, &"s", own, WARM).ready_at
+    };
     common.update(100.0, 1, &"s", Some(guess(0.0)));
     // Nobody knows: each keeps its guess.
     assert_eq!(seen(&common, 2, guess(90.0)), 90.0);
-    assert!(common.update(100.0, 2, &"s", Some(listed(ServerStatus::Up, 95.0))), "a start is news");
+    assert!(
+        common.update(100.0, 2, &"s", Some(listed(ServerStatus::Up, 95.0))),
+        "a start is news"
+    );
     assert_eq!(seen(&common, 1, guess(0.0)), 95.0);
     // A guess tells nobody anything, however late it is.
     common.update(100.0, 1, &"s", Some(guess(99.0)));
@@ -101,17 +124,29 @@
         common.update(100.0, pool, &"s", Some(listed(ServerStatus::Up, 100.0)));
     }
     let open = |common: &SharedServers<&str, u8>, now| -> Vec<u8> {
-        (0..pools).filter(|p| view(common, now, *p, 100.0).withheld_until.is_none()).collect()
+        (0..pools)
+            .filter(|p| view(common, now, *p, 100.0).withheld_until.is_none())
+            .collect()
     };
-    assert_eq!(open(&common, 101.0), (0..SHARERS_MOST as u8).collect::<Vec<_>>());
-    assert_eq!(view(&common, 101.0, pools - 1, 100.0).withheld_until, Some(100.0 + WARM));
+    assert_eq!(
+        open(&common, 101.0),
+        (0..SHARERS_MOST as u8).collect::<Vec<_>>()
+    );
+    assert_eq!(
+        view(&common, 101.0, pools - 1, 100.0).withheld_until,
+        Some(100.0 + WARM)
+    );
     // One that leaves makes room for the next.
     common.remove_pool(0);
-    assert_eq!(open(&common, 102.0), (0..=SHARERS_MOST as u8).collect::<Vec<_>>());
+    assert_eq!(
+        open(&common, 102.0),
+        (0..=SHARERS_MOST as u8).collect::<Vec<_>>()
+    );
     assert_eq!(open(&common, 100.0 + WARM).len(), usize::from(pools));
     // What has been there for long is withheld from nobody.
     let mut warm: SharedServers<&str, u8> = SharedServers::default();
-    (0..pools).for_each(|p| assert!(warm.update(0.5, p, &"s", Some(listed(ServerStatus::Up, 0.0)))));
+    (0..pools)
+        .for_each(|p| assert!(warm.update(0.5, p, &"s", Some(listed(ServerStatus::Up, 0.0)))));
     assert!((0..pools).all(|p| view(&warm, 1.0, p, 0.0).withheld_until.is_none()));
 }
 
@@ -126,7 +161,11 @@
     ];
     let steps = prop::collection::vec((0.0..6.0f64, 0..3u8, 0..2u8, words, any::<bool>()), 1..60);
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]);
-    let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 400,
+        failure_persistence: None,
+        ..Config::default()
+    };
     TestRunner::new_with_rng(config, rng)
         .run(&steps, |steps| {
             let mut common: SharedServers<u8, u8> = SharedServers::default();
@@ -153,14 +192,17 @@
                 }
                 for pool in 0..3 {
                     for server in 0..2 {
-                        let others = || said.iter().filter(|((p, s), _)| *p != pool && *s == server);
+                        let others =
+                            || said.iter().filter(|((p, s), _)| *p != pool && *s == server);
                         let drained = others().any(|(_, (w, at))| match w {
                             ServerStatus::Up => false,
                             ServerStatus::Draining => true,
                             ServerStatus::Gone => now - at < GONE_TTL,
                         });
                         prop_assert_eq!(
-                            common.view(now, pool, &server, listed(ServerStatus::Up, 0.0), WARM).is_draining,
+                            common
+                                .view(now, pool, &server, listed(ServerStatus::Up, 0.0), WARM)
+                                .is_draining,
                             drained
                         );
                     }
--- a/crates/routes/tests/keep_alive.rs
+++ b/crates/routes/tests/keep_alive.rs
@@ -24,7 +24,9 @@
     const SERVERS: usize = 168;
     let mut draw = 7_u64;
     let mut random = move |n: usize| {
-        draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        draw = draw
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         ((draw >> 33) as usize) % n
     };
     let mut keeps = vec![KeepAlive::new(8.0); NODES];
@@ -43,7 +45,11 @@
                 }
             }
             for _ in 0..3 {
-                let server = if random(10) < 8 { (node * 7 + random(9)) % SERVERS } else { random(SERVERS) };
+                let server = if random(10) < 8 {
+                    (node * 7 + random(9)) % SERVERS
+                } else {
+                    random(SERVERS)
+                };
                 if used[node][server].is_none() {
                     if open[server] >= accepts {
                         keeps[node].turned_away();
--- a/crates/routes/tests/limits.rs
+++ b/crates/routes/tests/limits.rs
@@ -7,7 +7,11 @@
 use reelfall_routes::rate::Rate;
 
 fn share(reserve: u64, most: u64) -> Share {
-    Share { reserve, most, weight: 1 }
+    Share {
+        reserve,
+        most,
+        weight: 1,
+    }
 }
 
 #[derive(Clone, Debug)]
@@ -18,7 +22,14 @@
 
 fn runner() -> TestRunner {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
-    TestRunner::new_with_rng(Config { cases: 500, failure_persistence: None, ..Config::default() }, rng)
+    TestRunner::new_with_rng(
+        Config {
+            cases: 500,
+            failure_persistence: None,
+            ..Config::default()
+        },
+        rng,
+    )
 }
 
 #[test]
@@ -33,7 +44,11 @@
         .run(&(shares, 0..40u64, steps), |(shares, extra, steps)| {
             let shares: Vec<Share> = shares
                 .into_iter()
-                .map(|(reserve, more, weight)| Share { reserve, most: reserve + more, weight })
+                .map(|(reserve, more, weight)| Share {
+                    reserve,
+                    most: reserve + more,
+                    weight,
+                })
                 .collect();
             let total = shares.iter().map(|s| s.reserve).sum::<u64>() + extra;
             Budget::check(total, shares.iter().copied()).expect("shares that fit");
@@ -52,7 +67,10 @@
                             taken.is_ok() || used + n > shares[p].reserve,
                             "a reservation was denied"
                         );
-                        prop_assert!(taken.is_err() || used + n <= shares[p].most, "more than the most");
+                        prop_assert!(
+                            taken.is_err() || used + n <= shares[p].most,
+                            "more than the most"
+                        );
                         if taken.is_ok() {
                             held[p].push(n);
                         }
@@ -75,8 +93,12 @@
             prop_assert_eq!(budget.used_by_all(), 0);
             // With nothing held, all that a party may have is to be had at once.
             for (p, share) in shares.iter().enumerate() {
-                let others: u64 =
-                    shares.iter().enumerate().filter(|(q, _)| *q != p).map(|(_, s)| s.reserve).sum();
+                let others: u64 = shares
+                    .iter()
+                    .enumerate()
+                    .filter(|(q, _)| *q != p)
+                    .map(|(_, s)| s.reserve)
+                    .sum();
                 let n = share.most.min(total - others);
                 prop_assert_eq!(budget.take(now + CLAIM_LASTS, parties[p], n), Ok(()));
                 budget.give(parties[p], n);
@@ -104,7 +126,11 @@
     for n in 0..10 {
         let now = 1.0 + f64::from(n) * 0.5;
         budget.give(a, 1);
-        assert_eq!(budget.take(now, a, 1), Err(Denied::Claimed), "lent again while another waits");
+        assert_eq!(
+            budget.take(now, a, 1),
+            Err(Denied::Claimed),
+            "lent again while another waits"
+        );
         assert_eq!(budget.take(now, b, 1), Ok(()));
         assert_eq!(budget.take(now, b, 1), Err(Denied::Total));
     }
@@ -139,15 +165,31 @@
     budget.give(a, 6);
     assert_eq!(budget.take(0.0, b, 6), Ok(()));
     budget.give(b, 10);
-    assert_eq!(budget.add(share(1, 1)), a, "the places of those who left pile up");
+    assert_eq!(
+        budget.add(share(1, 1)),
+        a,
+        "the places of those who left pile up"
+    );
 }
 
 #[test]
 fn shares_that_do_not_fit_are_named() {
-    let fault = Misfit::Reserved { reserved: 12, total: 10 };
+    let fault = Misfit::Reserved {
+        reserved: 12,
+        total: 10,
+    };
     assert_eq!(Budget::check(10, [share(6, 9), share(6, 9)]), Err(fault));
-    assert_eq!(Budget::check(10, [share(6, 5)]), Err(Misfit::OverMost { reserve: 6, most: 5 }));
-    assert_eq!(Budget::check(u64::MAX, [share(u64::MAX, u64::MAX), share(0, 1)]), Ok(()));
+    assert_eq!(
+        Budget::check(10, [share(6, 5)]),
+        Err(Misfit::OverMost {
+            reserve: 6,
+            most: 5
+        })
+    );
+    assert_eq!(
+        Budget::check(u64::MAX, [share(u64::MAX, u64::MAX), share(0, 1)]),
+        Ok(())
+    );
 }
 
 #[test]
@@ -157,40 +199,85 @@
     assert_eq!(at_once, 5);
     let wait = rate.take(0.0).unwrap_err();
     assert!((wait - 0.1).abs() < 1e-9, "{wait}");
-    let passed = (0..1000).filter(|n| rate.take(f64::from(*n) * 0.01).is_ok()).count();
+    let passed = (0..1000)
+        .filter(|n| rate.take(f64::from(*n) * 0.01).is_ok())
+        .count();
     assert!((99..=100).contains(&passed), "{passed} in ten seconds");
     // A clock that steps back and forth gives nothing away.
     let mut rate = Rate::new(100.0, 10.0, 1.0);
     assert!(rate.take(100.0).is_ok());
-    let passed = (0..100).filter(|n| rate.take(if n % 2 == 0 { 99.0 } else { 100.05 }).is_ok()).count();
+    let passed = (0..100)
+        .filter(|n| rate.take(if n % 2 == 0 { 99.0 } else { 100.05 }).is_ok())
+        .count();
     assert_eq!(passed, 0);
 }
 
 #[test]
 fn a_refused_request_takes_nothing() {
-    let totals = Totals { open: 10, connections: 10, memory: 10 };
-    let allowed = Allowed { rate: Some((1.0, 2.0)), open: share(0, 3), ..Allowed::OPEN };
+    let totals = Totals {
+        open: 10,
+        connections: 10,
+        memory: 10,
+    };
+    let allowed = Allowed {
+        rate: Some((1.0, 2.0)),
+        open: share(0, 3),
+        ..Allowed::OPEN
+    };
     let mut limits = Limits::new(totals);
     let s = limits.add(0.0, &allowed);
     assert_eq!(limits.admit(0.0, s), Ok(()));
     assert_eq!(limits.admit(0.0, s), Ok(()));
     assert!(matches!(limits.admit(0.0, s), Err(Denial::Rate(wait)) if (wait - 1.0).abs() < 1e-9));
-    assert_eq!(limits.used(s, Kind::Open), 2, "a request over its rate is counted as open");
+    assert_eq!(
+        limits.used(s, Kind::Open),
+        2,
+        "a request over its rate is counted as open"
+    );
     assert_eq!(limits.admit(1.0, s), Ok(()));
     // Over its bound, a request leaves the rate alone.
-    assert_eq!(limits.admit(2.0, s), Err(Denial::Held(Kind::Open, Denied::Most)));
+    assert_eq!(
+        limits.admit(2.0, s),
+        Err(Denial::Held(Kind::Open, Denied::Most))
+    );
     limits.give(s, Kind::Open, 1);
     assert_eq!(limits.admit(2.0, s), Ok(()));
 }
 
 #[test]
 fn a_flood_on_one_service_leaves_the_reservation_of_another() {
-    let totals = Totals { open: 100, connections: 100, memory: 1000 };
+    let totals = Totals {
+        open: 100,
+        connections: 100,
+        memory: 1000,
+    };
     let mut limits = Limits::new(totals);
-    let flood =
-        limits.add(0.0, &Allowed { open: Share { reserve: 40, most: 80, weight: 3 }, ..Allowed::OPEN });
-    let rollout = limits.add(0.0, &Allowed { open: share(20, 40), ..Allowed::OPEN });
-    let taken = (0..400).filter(|_| limits.admit(0.0, flood).is_ok()).count();
+    let flood = limits.add(
+        0.0,
+        &Allowed {
+            open: Share {
+                reserve: 40,
+                most: 80,
+                weight: 3,
+            },
+            ..Allowed::OPEN
+        },
+    );
+    let rollout = limits.add(
+        0.0,
+        &Allowed {
+            open: share(20, 40),
+            ..Allowed::OPEN
+        },
+    );
+    let taken = (0..400)
+        .filter(|_| limits.admit(0.0, flood).is_ok())
+        .count();
     assert_eq!(taken, 80);
-    assert_eq!((0..25).filter(|_| limits.admit(0.0, rollout).is_ok()).count(), 20);
+    assert_eq!(
+        (0..25)
+            .filter(|_| limits.admit(0.0, rollout).is_ok())
+            .count(),
+        20
+    );
 }
