--- a/crates/routes/tests/table.rs
+++ b/crates/routes/tests/table.rs
@@ -10,9 +10,15 @@
         let host = match &m.host {
             Host::Any => true,
             Host::Exact(name) => **name == *q.host,
-            Host::Below(name) => q.host.len() > name.len() + 1 && q.host.ends_with(&format!(".{name}")),
+            Host::Below(name) => {
+                q.host.len() > name.len() + 1 && q.host.ends_with(&format!(".{name}"))
+            }
         };
-        let path = q.path.split('/').collect::<Vec<_>>().starts_with(&m.path.split('/').collect::<Vec<_>>());
+        let path = q
+            .path
+            .split('/')
+            .collect::<Vec<_>>()
+            .starts_with(&m.path.split('/').collect::<Vec<_>>());
         let listener = m.listener.is_none_or(|l| l == q.listener);
         let method = m.methods.is_empty() || m.methods.iter().any(|x| **x == *q.method);
         host && path && listener && method && m.class.as_deref().is_none_or(|c| Some(c) == q.class)
@@ -23,10 +29,22 @@
             Host::Below(name) => (1, name.len()),
             Host::Exact(_) => (2, 0),
         };
-        let path = if m.path.is_empty() { 0 } else { m.path.matches('/').count() };
-        (m.listener.is_some(), host, path, !m.methods.is_empty(), m.class.is_some())
+        let path = if m.path.is_empty() {
+            0
+        } else {
+            m.path.matches('/').count()
+        };
+        (
+            m.listener.is_some(),
+            host,
+            path,
+            !m.methods.is_empty(),
+            m.class.is_some(),
+        )
     };
-    (0..routes.len()).filter(|n| fits(&routes[*n])).max_by_key(|n| rank(&routes[*n]))
+    (0..routes.len())
+        .filter(|n| fits(&routes[*n]))
+        .max_by_key(|n| rank(&routes[*n]))
 }
 
 fn alike(a: &Match, b: &Match) -> bool {
@@ -35,7 +53,11 @@
         (false, false) => a.methods.iter().any(|m| b.methods.contains(m)),
         _ => false,
     };
-    methods && a.listener == b.listener && a.host == b.host && a.path == b.path && a.class == b.class
+    methods
+        && a.listener == b.listener
+        && a.host == b.host
+        && a.path == b.path
+        && a.class == b.class
 }
 
 fn label() -> impl Strategy<Value = &'static str> {
@@ -82,13 +104,20 @@
         20,
     );
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]);
-    let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 300,
+        failure_persistence: None,
+        ..Config::default()
+    };
     let mut found = 0;
     TestRunner::new_with_rng(config, rng).run_one_by_one(
         &(prop::collection::vec(route(), 0..30), queries),
         |(routes, queries)| {
-            let first = (0..routes.len())
-                .find_map(|n| (0..n).find(|m| alike(&routes[*m], &routes[n])).map(|m| (m, n)));
+            let first = (0..routes.len()).find_map(|n| {
+                (0..n)
+                    .find(|m| alike(&routes[*m], &routes[n]))
+                    .map(|m| (m, n))
+            });
             let table = Table::new(&routes);
             // One pair is named; it is a pair that can't be told apart, and none is overlooked.
             let routes: Vec<Match> = match (table, first) {
@@ -101,20 +130,32 @@
                     );
                     assert_eq!(second, n);
                     let alone = |n: &usize| !(0..*n).any(|m| alike(&routes[m], &routes[*n]));
-                    (0..routes.len()).filter(alone).map(|n| routes[n].clone()).collect()
+                    (0..routes.len())
+                        .filter(alone)
+                        .map(|n| routes[n].clone())
+                        .collect()
                 }
                 (Ok(_), None) => routes,
                 (table, first) => panic!("{table:?} where {first:?} are alike"),
             };
             let table = Table::new(&routes).expect("no two are alike");
             for (listener, host, path, method, class) in &queries {
-                let q = Query { listener: *listener, host, path, method, class: *class };
+                let q = Query {
+                    listener: *listener,
+                    host,
+                    path,
+                    method,
+                    class: *class,
+                };
                 assert_eq!(table.get(&q), naive(&routes, &q), "{q:?} in {routes:?}");
                 found += usize::from(table.get(&q).is_some());
             }
         },
     );
-    assert!(found > 1000, "too few of the requests match anything: {found}");
+    assert!(
+        found > 1000,
+        "too few of the requests match anything: {found}"
+    );
 }
 
 /// Runs a test over values drawn from a strategy, in order and without shrinking closures that count.
@@ -132,14 +173,26 @@
 }
 
 fn one(host: &str, path: &str) -> Match {
-    Match { host: Host::read(host).unwrap(), path: prefix(path).unwrap(), ..Match::default() }
+    Match {
+        host: Host::read(host).unwrap(),
+        path: prefix(path).unwrap(),
+        ..Match::default()
+    }
 }
 
 #[test]
 fn prefixes_end_on_segment_borders_and_a_slash_at_the_end_changes_nothing() {
     let routes = [one("a", "/api"), one("a", "/api/v1/"), one("a", "/")];
     let table = Table::new(&routes).unwrap();
-    let at = |path| table.get(&Query { listener: 0, host: "a", path, method: "GET", class: None });
+    let at = |path| {
+        table.get(&Query {
+            listener: 0,
+            host: "a",
+            path,
+            method: "GET",
+            class: None,
+        })
+    };
     assert_eq!(at("/api"), Some(0));
     assert_eq!(at("/api/"), Some(0));
     assert_eq!(at("/apis"), Some(2));
@@ -148,7 +201,10 @@
     assert_eq!(at("/"), Some(2));
     assert_eq!(
         Table::new(&[one("a", "/x"), one("a", "/x/")]).unwrap_err(),
-        Ambiguous { first: 0, second: 1 }
+        Ambiguous {
+            first: 0,
+            second: 1
+        }
     );
 }
 
@@ -156,7 +212,13 @@
 fn a_path_of_thousands_of_segments_costs_no_more_than_the_longest_prefix() {
     let table = Table::new(&[one("a", "/x/x")]).unwrap();
     let long = "/x".repeat(4_000);
-    let q = Query { listener: 0, host: "a", path: &long, method: "GET", class: None };
+    let q = Query {
+        listener: 0,
+        host: "a",
+        path: &long,
+        method: "GET",
+        class: None,
+    };
     // Were each prefix looked up, these would hash some 3 TB.
     for _ in 0..100_000 {
         assert_eq!(table.get(&q), Some(0));
@@ -165,10 +227,15 @@
 
 #[test]
 fn patterns_that_no_request_could_match_are_refused() {
-    for bad in ["", "a b", "*.", "*a", "a.*", "a:80", "a.", "**", "*.*", "http://a"] {
+    for bad in [
+        "", "a b", "*.", "*a", "a.*", "a:80", "a.", "**", "*.*", "http://a",
+    ] {
         assert_eq!(Host::read(bad), Err(PatternFault::Host), "{bad}");
     }
-    assert_eq!(Host::read("*.Example.ORG"), Ok(Host::Below("example.org".into())));
+    assert_eq!(
+        Host::read("*.Example.ORG"),
+        Ok(Host::Below("example.org".into()))
+    );
     for bad in ["", "api", "/a//b", "/../a", "/%61", "/a b", "/a%2fb"] {
         assert_eq!(prefix(bad), Err(PatternFault::Path), "{bad}");
     }
--- a/crates/routes/tests/target.rs
+++ b/crates/routes/tests/target.rs
@@ -3,7 +3,11 @@
 use reelfall_routes::target::{host, path, read, Fault, Said};
 
 fn said<'a>(path: &'a str, host: Option<&'a str>) -> Said<'a> {
-    Said { path, host: host.map(str::as_bytes), ..Said::default() }
+    Said {
+        path,
+        host: host.map(str::as_bytes),
+        ..Said::default()
+    }
 }
 
 #[test]
@@ -23,9 +27,18 @@
             "{given}"
         );
     }
-    for plain in
-        ["/", "/api", "/api/", "/api/v1/flags", "/a%20b", "/a;v=1/b", "/...", "/a.b/.c", "/%C3%A9", "/a+b"]
-    {
+    for plain in [
+        "/",
+        "/api",
+        "/api/",
+        "/api/v1/flags",
+        "/a%20b",
+        "/a;v=1/b",
+        "/...",
+        "/a.b/.c",
+        "/%C3%A9",
+        "/a+b",
+    ] {
         assert_eq!(path(plain), Ok(()), "{plain}");
     }
 }
@@ -57,15 +70,31 @@
     }
     assert_eq!(host(&"a".repeat(300)), Err(Fault::BadHost));
     assert_eq!(read(said("/", None)), Err(Fault::NoHost));
-    assert_eq!(read(Said { more_hosts: true, ..said("/", Some("a")) }), Err(Fault::SeveralHosts));
-    assert_eq!(read(Said { host: Some(b"fl\xe4gs"), ..said("/", None) }), Err(Fault::BadHost));
+    assert_eq!(
+        read(Said {
+            more_hosts: true,
+            ..said("/", Some("a"))
+        }),
+        Err(Fault::SeveralHosts)
+    );
+    assert_eq!(
+        read(Said {
+            host: Some(b"fl\xe4gs"),
+            ..said("/", None)
+        }),
+        Err(Fault::BadHost)
+    );
 }
 
 #[test]
 fn an_absolute_target_has_to_name_the_host_that_the_header_names() {
     let absolute = |scheme, authority, host| {
-        read(Said { scheme: Some(scheme), authority: Some(authority), ..said("/api", Some(host)) })
-            .map(|t| t.host.into_owned())
+        read(Said {
+            scheme: Some(scheme),
+            authority: Some(authority),
+            ..said("/api", Some(host))
+        })
+        .map(|t| t.host.into_owned())
     };
     assert_eq!(
         absolute("http", "flags.example.org", "flags.example.org"),
@@ -75,11 +104,26 @@
         absolute("HTTP", "FLAGS.example.org", "flags.example.org"),
         Ok("flags.example.org".to_owned())
     );
-    assert_eq!(absolute("http", "admin.example.org", "flags.example.org"), Err(Fault::HostDiffers));
-    assert_eq!(absolute("http", "flags.example.org:81", "flags.example.org"), Err(Fault::HostDiffers));
-    assert_eq!(absolute("http", "u@flags.example.org", "flags.example.org"), Err(Fault::UserInfo));
-    assert_eq!(absolute("ftp", "flags.example.org", "flags.example.org"), Err(Fault::Scheme));
-    assert_eq!(absolute("http", "flags.example.org", ""), Err(Fault::EmptyHost));
+    assert_eq!(
+        absolute("http", "admin.example.org", "flags.example.org"),
+        Err(Fault::HostDiffers)
+    );
+    assert_eq!(
+        absolute("http", "flags.example.org:81", "flags.example.org"),
+        Err(Fault::HostDiffers)
+    );
+    assert_eq!(
+        absolute("http", "u@flags.example.org", "flags.example.org"),
+        Err(Fault::UserInfo)
+    );
+    assert_eq!(
+        absolute("ftp", "flags.example.org", "flags.example.org"),
+        Err(Fault::Scheme)
+    );
+    assert_eq!(
+        absolute("http", "flags.example.org", ""),
+        Err(Fault::EmptyHost)
+    );
 }
 
 #[test]
--- a/fuzz/fuzz_targets/graphql.rs
+++ b/fuzz/fuzz_targets/graphql.rs
@@ -15,14 +15,31 @@
 fn judge(params: &Params, limits: &Limits) {
     let Some(text) = &params.query else { return };
     let name = params.operation_name.as_deref();
-    let Ok(read) = operation(text, name, &params.variables, limits) else { return };
+    let Ok(read) = operation(text, name, &params.variables, limits) else {
+        return;
+    };
     let keyword = naive::keyword(text, name);
-    let expected = if read.kind == Kind::Mutation { "mutation" } else { "query" };
+    let expected = if read.kind == Kind::Mutation {
+        "mutation"
+    } else {
+        "query"
+    };
     assert_eq!(keyword.as_deref(), Some(expected), "{text}");
-    let mapping = Mapping { query: [("a".to_owned(), 0)].into(), other_mutation: 1, ..Mapping::default() };
-    let info = |safe| ClassInfo { safe, deadline: 1.0 };
-    let classes = Classes::new(mapping, vec![info(true), info(false)]).expect("a mapping that is valid");
-    assert!(!classes.safe(&read) || keyword.as_deref() == Some("query"), "a mutation counts as safe: {text}");
+    let mapping = Mapping {
+        query: [("a".to_owned(), 0)].into(),
+        other_mutation: 1,
+        ..Mapping::default()
+    };
+    let info = |safe| ClassInfo {
+        safe,
+        deadline: 1.0,
+    };
+    let classes =
+        Classes::new(mapping, vec![info(true), info(false)]).expect("a mapping that is valid");
+    assert!(
+        !classes.safe(&read) || keyword.as_deref() == Some("query"),
+        "a mutation counts as safe: {text}"
+    );
 }
 
 fuzz_target!(|data: &[u8]| {
@@ -30,17 +47,28 @@
     // As the body of a POST, as the query of a GET, and as a document alone; as headers and as a server's answer.
     match decode::body(data, &limits) {
         Ok(Asked::One(params)) => judge(&params, &limits),
-        Ok(Asked::Batch(entries)) => entries.iter().for_each(|(params, _)| judge(params, &limits)),
+        Ok(Asked::Batch(entries)) => entries
+            .iter()
+            .for_each(|(params, _)| judge(params, &limits)),
         Err(_) => {}
     }
-    let Ok(text) = std::str::from_utf8(data) else { return };
+    let Ok(text) = std::str::from_utf8(data) else {
+        return;
+    };
     if let Ok(params) = decode::query(text) {
         judge(&params, &limits);
     }
     // Up to the first line is the name of the operation.
     let (name, document) = text.split_once('\n').unwrap_or(("", text));
     for operation_name in [None, Some(name.to_owned()).filter(|n| !n.is_empty())] {
-        judge(&Params { query: Some(document.to_owned()), operation_name, ..Params::default() }, &limits);
+        judge(
+            &Params {
+                query: Some(document.to_owned()),
+                operation_name,
+                ..Params::default()
+            },
+            &limits,
+        );
     }
     let _ = media::negotiate(Some(text));
     let _ = media::check_body(Some(text));
