--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,8 +1,8 @@
 //! The line-by-line JSON wire of the adapter: parsing and printing. No decision is made here.
 
-use reelfall_core::interface::*;
-use reelfall_core::settings::{self, stable_hash, Listed, Names, Vocabulary};
-use reelfall_core::Balancer;
+use reelfall_balancer::interface::*;
+use reelfall_balancer::settings::{self, stable_hash, Listed, Names, Vocabulary};
+use reelfall_balancer::Balancer;
 use serde::Deserialize;
 use std::borrow::Cow;
 use std::collections::BTreeMap;
--- a/crates/core/src/decide/mod.rs
+++ b/crates/balancer/src/decide/mod.rs
@@ -1,4 +1,4 @@
-//! Every decision of a node. The types, events and actions are in `crates/core/src/interface.rs`.
+//! Every decision of a node. The types, events and actions are in `crates/balancer/src/interface.rs`.
 //!
 //! One learning automaton a node, after Yazidi et al.: a request's server is drawn from the vector `p`; an
 //! answer no slower than the mean of the averages pays off and moves `p` towards the server that gave it.
--- a/crates/core/tests/automaton.rs
+++ b/crates/balancer/tests/automaton.rs
@@ -1,6 +1,6 @@
 //! The mechanism itself.
 
-use reelfall_core::Automaton;
+use reelfall_balancer::Automaton;
 
 fn of(n: usize) -> Automaton {
     let mut a = Automaton::default();
--- a/crates/core/tests/cold.rs
+++ b/crates/balancer/tests/cold.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{class, entry, settings};
-use reelfall_core::interface::*;
-use reelfall_core::Balancer;
+use reelfall_balancer::interface::*;
+use reelfall_balancer::Balancer;
 
 /// Mean work of a request, and how a deployment limits what a cold server may be sent.
 #[derive(Clone, Copy, Debug)]
--- a/crates/core/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Shared by the module tests: small settings, and a node that can be told things.
 #![allow(dead_code)]
 
-use reelfall_core::interface::*;
-use reelfall_core::Balancer;
+use reelfall_balancer::interface::*;
+use reelfall_balancer::Balancer;
 
 pub fn class(effect: Effect) -> Class {
     Class {
--- a/crates/core/tests/doubt.rs
+++ b/crates/balancer/tests/doubt.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{class, entry, settings, Node};
-use reelfall_core::interface::*;
+use reelfall_balancer::interface::*;
 use std::collections::BTreeMap;
 
 fn two() -> Vec<Class> {
--- a/crates/core/tests/engine.rs
+++ b/crates/balancer/tests/engine.rs
@@ -6,9 +6,9 @@
 use common::{class, entry, settings};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_core::engine::{never_ran, Arrival, Command, Decide, Engine, Final, Host, Place};
-use reelfall_core::interface::*;
-use reelfall_core::Balancer;
+use reelfall_balancer::engine::{never_ran, Arrival, Command, Decide, Engine, Final, Host, Place};
+use reelfall_balancer::interface::*;
+use reelfall_balancer::Balancer;
 use std::collections::{BTreeMap, HashMap};
 
 const ATTEMPTS: u32 = 3;
--- a/crates/core/tests/failures.rs
+++ b/crates/balancer/tests/failures.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{class, entry, settings, Node};
-use reelfall_core::interface::*;
-use reelfall_core::Balancer;
+use reelfall_balancer::interface::*;
+use reelfall_balancer::Balancer;
 
 fn two() -> Vec<Class> {
     vec![class(Effect::Idempotent), class(Effect::AtMostOnce)]
--- a/crates/core/tests/flaps.rs
+++ b/crates/balancer/tests/flaps.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use reelfall_core::interface::*;
+use reelfall_balancer::interface::*;
 
 fn up(hash: u64, ready_at: Time) -> Entry {
     Entry {
--- a/crates/core/tests/golden_decisions.rs
+++ b/crates/balancer/tests/golden_decisions.rs
@@ -2,9 +2,9 @@
 //! `golden/decisions.blake3` has a line for each deployment and seed. The module has no randomness and no clock of its own,
 //! so a digest that differs is a decision that differs.
 
-use reelfall_core::interface::*;
-use reelfall_core::settings::{self, stable_hash, Listed, Vocabulary};
-use reelfall_core::Balancer;
+use reelfall_balancer::interface::*;
+use reelfall_balancer::settings::{self, stable_hash, Listed, Vocabulary};
+use reelfall_balancer::Balancer;
 use std::collections::BTreeMap;
 
 const GOLDEN: &str = include_str!("golden/decisions.blake3");
--- a/crates/core/tests/list_costs.rs
+++ b/crates/balancer/tests/list_costs.rs
@@ -6,9 +6,9 @@
 mod common;
 
 use common::{class, entry, settings};
-use reelfall_core::engine::{Command, Decide, Engine, Host, Place, NUMBER_RESTS};
-use reelfall_core::interface::*;
-use reelfall_core::Balancer;
+use reelfall_balancer::engine::{Command, Decide, Engine, Host, Place, NUMBER_RESTS};
+use reelfall_balancer::interface::*;
+use reelfall_balancer::Balancer;
 use rustix::time::{clock_gettime, ClockId};
 
 const SHORT: u32 = 1_000;
--- a/crates/core/tests/list_reference.rs
+++ b/crates/balancer/tests/list_reference.rs
@@ -6,8 +6,8 @@
 mod common;
 
 use common::{class, settings};
-use reelfall_core::interface::*;
-use reelfall_core::Balancer;
+use reelfall_balancer::interface::*;
+use reelfall_balancer::Balancer;
 
 /// Figures of the decision module that the reference repeats.
 const FLOOR: f64 = 0.1;
--- a/crates/core/tests/overload.rs
+++ b/crates/balancer/tests/overload.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{class, entry, settings, Node};
-use reelfall_core::interface::*;
+use reelfall_balancer::interface::*;
 
 /// A node that sees some thirteen requests a second, and has seen them answered in 30 ms for a while.
 fn at_rest(servers: u32) -> Node {
--- a/crates/core/tests/parts.rs
+++ b/crates/balancer/tests/parts.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{class, entry, settings};
-use reelfall_core::interface::*;
-use reelfall_core::Balancer;
+use reelfall_balancer::interface::*;
+use reelfall_balancer::Balancer;
 
 /// A node of a fleet that takes 20 requests a second in each node.
 fn node(number: u32, replicas: u32, list: &[Entry]) -> Balancer {
--- a/crates/core/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -5,8 +5,8 @@
 use common::{class, entry, settings};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_core::interface::*;
-use reelfall_core::Balancer;
+use reelfall_balancer::interface::*;
+use reelfall_balancer::Balancer;
 use std::collections::{BTreeMap, BTreeSet};
 
 const SERVERS: u32 = 8;
--- a/crates/core/tests/shares.rs
+++ b/crates/balancer/tests/shares.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{class, entry, settings, Node};
-use reelfall_core::interface::*;
+use reelfall_balancer::interface::*;
 
 /// One of ten nodes, before tenants that may send 50 requests a second each.
 fn node(zones: bool) -> Node {
--- a/crates/core/tests/uploads.rs
+++ b/crates/balancer/tests/uploads.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{class, entry, settings};
-use reelfall_core::engine::{Arrival, Command, Engine, Final, Host, Place};
-use reelfall_core::interface::*;
-use reelfall_core::Balancer;
+use reelfall_balancer::engine::{Arrival, Command, Engine, Final, Host, Place};
+use reelfall_balancer::interface::*;
+use reelfall_balancer::Balancer;
 
 struct Test;
 
--- a/crates/conf/src/check.rs
+++ b/crates/conf/src/check.rs
@@ -13,7 +13,7 @@
 pub use plan::{Goal, Plan};
 
 use crate::model::{At, Fault, Faults, Model, Origin};
-use reelfall_core::interface as core;
+use reelfall_balancer::interface as core;
 use reelfall_routes::limits::Totals;
 use std::collections::hash_map::{Entry, HashMap};
 use std::net::SocketAddr;
--- a/crates/conf/src/check/graphql.rs
+++ b/crates/conf/src/check/graphql.rs
@@ -2,7 +2,7 @@
 
 use super::{numbers, Checker};
 use crate::model::{At, Class, GraphQl, Repeat, Service};
-use reelfall_core::interface as core;
+use reelfall_balancer::interface as core;
 use reelfall_graphql::class::{ClassInfo, Classes, Mapping};
 use std::collections::{BTreeMap, HashMap};
 
--- a/crates/conf/src/check/plan.rs
+++ b/crates/conf/src/check/plan.rs
@@ -1,8 +1,8 @@
 //! What a node follows: a model that holds together, with its routes.
 
 use crate::model::{Class, Model, Origin, Repeat, Service};
-use reelfall_core::interface as core;
-use reelfall_core::settings::{Figures, Vocabulary};
+use reelfall_balancer::interface as core;
+use reelfall_balancer::settings::{Figures, Vocabulary};
 use reelfall_routes::limits::Totals;
 use reelfall_routes::table::{Match, Query, Table};
 
--- a/crates/conf/src/check/routes.rs
+++ b/crates/conf/src/check/routes.rs
@@ -3,7 +3,7 @@
 use super::plan::Goal;
 use super::{numbers, Checker, METHODS, ROUTES_MOST};
 use crate::model::{At, Model, Route};
-use reelfall_core::interface as core;
+use reelfall_balancer::interface as core;
 use reelfall_routes::table::{Ambiguous, ListenerId, Match, Table};
 use std::collections::HashSet;
 
--- a/crates/conf/src/model.rs
+++ b/crates/conf/src/model.rs
@@ -1,6 +1,6 @@
 //! What a settings file says.
 
-use reelfall_core::interface::{ServerState, Time};
+use reelfall_balancer::interface::{ServerState, Time};
 use reelfall_routes::limits::Allowed;
 use reelfall_routes::table::Host;
 use std::collections::BTreeMap;
--- a/crates/conf/src/reader.rs
+++ b/crates/conf/src/reader.rs
@@ -19,7 +19,7 @@
 use crate::model::*;
 use document::Document;
 use lines::Lines;
-use reelfall_core::interface::ServerState;
+use reelfall_balancer::interface::ServerState;
 use reelfall_membership::follow;
 use reelfall_routes::budget::Share;
 use reelfall_routes::limits::Allowed;
--- a/crates/conf/src/reader/values.rs
+++ b/crates/conf/src/reader/values.rs
@@ -1,7 +1,7 @@
 //! Single values that are read from texts and numbers: units, addresses, patterns, bounded numbers.
 
 use crate::units;
-use reelfall_core::interface::Time;
+use reelfall_balancer::interface::Time;
 use reelfall_routes::table;
 use serde::de::{Deserializer, Error as _, Visitor};
 use serde::Deserialize;
--- a/crates/conf/src/units.rs
+++ b/crates/conf/src/units.rs
@@ -1,6 +1,6 @@
 //! Figures with their units.
 
-use reelfall_core::interface::Time;
+use reelfall_balancer::interface::Time;
 use thiserror::Error;
 
 /// Why a figure can't be read.
--- a/crates/emulator/examples/decision.rs
+++ b/crates/emulator/examples/decision.rs
@@ -3,8 +3,8 @@
 //!
 //! `cargo run --release -p reelfall-emulator --example decision [LENGTH...]`
 
-use reelfall_core::interface::*;
-use reelfall_core::Balancer;
+use reelfall_balancer::interface::*;
+use reelfall_balancer::Balancer;
 use std::time::Instant;
 
 const LENGTHS: [u32; 4] = [10, 60, 300, 1000];
@@ -38,7 +38,7 @@
 }
 
 fn main() -> Result<(), String> {
-    let (settings, ..) = reelfall_core::settings::read(SETTINGS)?;
+    let (settings, ..) = reelfall_balancer::settings::read(SETTINGS)?;
     let lengths: Result<Vec<u32>, _> = std::env::args()
         .skip(1)
         .map(|length| length.parse())
--- a/crates/emulator/src/digest.rs
+++ b/crates/emulator/src/digest.rs
@@ -1,7 +1,7 @@
 //! A digest of all commands of a run, by which two runs are told apart to the last bit.
 
-use reelfall_core::engine::{Command, Final, Host};
-use reelfall_core::interface::{Outcome, Time};
+use reelfall_balancer::engine::{Command, Final, Host};
+use reelfall_balancer::interface::{Outcome, Time};
 
 /// What stands for a value that is absent; no time is negative.
 const ABSENT: f64 = -1.0;
--- a/crates/emulator/src/plan.rs
+++ b/crates/emulator/src/plan.rs
@@ -1,6 +1,6 @@
 //! What there is in a run, and what happens.
 
-use reelfall_core::interface::{Effect, Time};
+use reelfall_balancer::interface::{Effect, Time};
 
 /// A class of requests.
 #[derive(Clone, Debug)]
--- a/crates/emulator/src/queue.rs
+++ b/crates/emulator/src/queue.rs
@@ -1,6 +1,6 @@
 //! What is to happen, in the order of time.
 
-use reelfall_core::interface::Time;
+use reelfall_balancer::interface::Time;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::digest::CommandDigest;
 use crate::rules::Rules;
-use reelfall_core::interface::Time;
+use reelfall_balancer::interface::Time;
 
 /// Counts of one second, by all nodes together.
 #[derive(Clone, Debug, Default)]
--- a/crates/emulator/src/rules.rs
+++ b/crates/emulator/src/rules.rs
@@ -1,6 +1,6 @@
 //! The four rules, watched on the way.
 
-use reelfall_core::interface::Time;
+use reelfall_balancer::interface::Time;
 use std::fmt;
 
 /// How a rule was broken.
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,7 +1,7 @@
 //! The plans that the project measures itself by. They are of its own making, and no copy of anybody's days.
 
 use crate::plan::{Class, Happening, Kind, Manner, Plan};
-use reelfall_core::interface::Effect;
+use reelfall_balancer::interface::Effect;
 
 /// A quiet fleet of flag servers in two zones, with 0.6 servers for each node.
 pub fn calm(nodes: usize, seed: u64) -> Plan {
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -1,7 +1,7 @@
 //! One modelled server: a core, a waiting room, a table of connections, and a start from cold.
 
 use crate::plan::{Manner, Plan};
-use reelfall_core::interface::{Entry, Time};
+use reelfall_balancer::interface::{Entry, Time};
 use std::collections::VecDeque;
 
 /// Number of an attempt in its world.
--- a/crates/emulator/src/streams.rs
+++ b/crates/emulator/src/streams.rs
@@ -3,7 +3,7 @@
 use rand::SeedableRng;
 use rand_distr::{Distribution, LogNormal};
 use rand_pcg::Pcg64Mcg;
-use reelfall_core::settings::stable_hash;
+use reelfall_balancer::settings::stable_hash;
 
 /// A stream of its own for each name; the same for the same seed and name.
 pub fn stream(seed: u64, name: &str) -> Pcg64Mcg {
--- a/crates/emulator/src/trials.rs
+++ b/crates/emulator/src/trials.rs
@@ -7,7 +7,7 @@
 use crate::streams::stream;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
-use reelfall_core::interface::Effect;
+use reelfall_balancer::interface::Effect;
 
 /// What happens to the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -22,9 +22,9 @@
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
-use reelfall_core::engine::{Arrival, Command, Engine, Final, Host, Place};
-use reelfall_core::interface::*;
-use reelfall_core::Balancer;
+use reelfall_balancer::engine::{Arrival, Command, Engine, Final, Host, Place};
+use reelfall_balancer::interface::*;
+use reelfall_balancer::Balancer;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The clock does not begin at 0: a start at 0 is one of long ago.
--- a/crates/emulator/tests/server.rs
+++ b/crates/emulator/tests/server.rs
@@ -1,6 +1,6 @@
 //! A server that stands still every so often.
 
-use reelfall_core::interface::{Entry, ServerState};
+use reelfall_balancer::interface::{Entry, ServerState};
 use reelfall_emulator::plan::Manner;
 use reelfall_emulator::server::Server;
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,6 @@
 //! One node on sockets: what it is told at its start, its command line, and the network on both sides.
 //!
-//! The choice of servers, retries and refusals is [`reelfall_core`]'s, the choice of a service
+//! The choice of servers, retries and refusals is [`reelfall_balancer`]'s, the choice of a service
 //! [`reelfall_routes`]'s; what is here translates, carries out and enforces.
 #![cfg_attr(
     not(test),
--- a/crates/node/src/net/answer.rs
+++ b/crates/node/src/net/answer.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::HeaderMap;
-use reelfall_core::engine::Final;
+use reelfall_balancer::engine::Final;
 use std::cell::Cell;
 use std::future::Future;
 use std::io;
--- a/crates/node/src/net/front/reply.rs
+++ b/crates/node/src/net/front/reply.rs
@@ -4,7 +4,7 @@
 use crate::net::answer::{Answer, Reply, ResponseBody};
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
-use reelfall_core::interface::Outcome;
+use reelfall_balancer::interface::Outcome;
 
 pub(super) fn with_reason(
     status: StatusCode,
--- a/crates/node/src/net/front/request.rs
+++ b/crates/node/src/net/front/request.rs
@@ -17,7 +17,7 @@
 use hyper::header::{self, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
-use reelfall_core::interface::Time;
+use reelfall_balancer::interface::Time;
 use reelfall_routes::limits::{Denial, Member};
 use reelfall_routes::table::{ListenerId, Query};
 use reelfall_routes::target;
--- a/crates/node/src/net/front/translate.rs
+++ b/crates/node/src/net/front/translate.rs
@@ -11,8 +11,8 @@
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Method, StatusCode};
-use reelfall_core::interface::{ClassId, Effect, Time};
-use reelfall_core::settings::stable_hash;
+use reelfall_balancer::interface::{ClassId, Effect, Time};
+use reelfall_balancer::settings::stable_hash;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
--- a/crates/node/src/net/graphql.rs
+++ b/crates/node/src/net/graphql.rs
@@ -18,7 +18,7 @@
 use hyper::header::{self, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Method, Response, StatusCode};
-use reelfall_core::interface::{Outcome, Time};
+use reelfall_balancer::interface::{Outcome, Time};
 use reelfall_graphql::answer;
 use reelfall_graphql::batch::{refusable, Batch, Fate};
 use reelfall_graphql::decode::{self, Asked};
--- a/crates/node/src/net/message.rs
+++ b/crates/node/src/net/message.rs
@@ -4,7 +4,7 @@
 use super::shared::{MemoryPermit, OpenId, Permit};
 use hyper::http::uri::PathAndQuery;
 use hyper::{HeaderMap, Method, StatusCode};
-use reelfall_core::interface::{ClassId, TenantId};
+use reelfall_balancer::interface::{ClassId, TenantId};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
--- a/crates/node/src/net/operations.rs
+++ b/crates/node/src/net/operations.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use hyper::http::uri::PathAndQuery;
 use hyper::{HeaderMap, Method};
-use reelfall_core::interface::{ClassId, Time};
+use reelfall_balancer::interface::{ClassId, Time};
 use reelfall_graphql::class::Classes;
 use reelfall_graphql::decode::Params;
 use reelfall_graphql::document::{operation, Kind, Operation};
--- a/crates/node/src/net/pool/list.rs
+++ b/crates/node/src/net/pool/list.rs
@@ -2,10 +2,10 @@
 
 use super::Pool;
 use crate::net::shared::ListedByPool;
+use reelfall_balancer::engine::Place;
+use reelfall_balancer::interface::{ListKind, ServerId, ServerState, Time};
+use reelfall_balancer::settings::Listed;
 use reelfall_conf::model;
-use reelfall_core::engine::Place;
-use reelfall_core::interface::{ListKind, ServerId, ServerState, Time};
-use reelfall_core::settings::Listed;
 use reelfall_routes::common::{ListedState, ServerStatus};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
--- a/crates/node/src/net/pool/outcome.rs
+++ b/crates/node/src/net/pool/outcome.rs
@@ -1,7 +1,7 @@
 //! What the fleet is told of attempts at this pool's servers.
 
 use super::{Missing, Pool};
-use reelfall_core::interface::{Outcome, RequestId, ServerId, Time};
+use reelfall_balancer::interface::{Outcome, RequestId, ServerId, Time};
 use reelfall_fleet::entry::ServerInstance;
 use reelfall_fleet::observer::AttemptOutcome;
 
--- a/crates/node/src/net/pool/peer.rs
+++ b/crates/node/src/net/pool/peer.rs
@@ -2,8 +2,8 @@
 
 use super::Pool;
 use crate::net::shared::{Condemnation, OverdueRequest, Peer};
-use reelfall_core::engine::Place;
-use reelfall_core::interface::{ListKind, Time};
+use reelfall_balancer::engine::Place;
+use reelfall_balancer::interface::{ListKind, Time};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Instant;
--- a/crates/node/src/net/registry.rs
+++ b/crates/node/src/net/registry.rs
@@ -17,8 +17,8 @@
 pub use own_entry::OwnEntry;
 
 use bytes::Bytes;
+use reelfall_balancer::interface::Time;
 use reelfall_conf::model;
-use reelfall_core::interface::Time;
 use reelfall_membership::session::{Session, SessionConfig};
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
--- a/crates/node/src/net/registry/driver.rs
+++ b/crates/node/src/net/registry/driver.rs
@@ -3,7 +3,7 @@
 use super::RegistryAccess;
 use crate::net::shared::Clock;
 use bytes::{Buf, BytesMut};
-use reelfall_core::interface::Time;
+use reelfall_balancer::interface::Time;
 use reelfall_membership::session::{Command, Event, Session, PENDING_MOST};
 use reelfall_membership::wire::Op;
 use std::future::Future;
--- a/crates/node/src/net/registry/own_entry.rs
+++ b/crates/node/src/net/registry/own_entry.rs
@@ -3,7 +3,7 @@
 use super::driver::{Driver, SessionUser};
 use super::RegistryAccess;
 use crate::net::shared::Shared;
-use reelfall_core::interface::Time;
+use reelfall_balancer::interface::Time;
 use reelfall_membership::registration::{EntryData, Registration, Report};
 use reelfall_membership::session::{Event, Session};
 use reelfall_membership::wire::{Acl, Op};
--- a/crates/node/src/net/service/prepared.rs
+++ b/crates/node/src/net/service/prepared.rs
@@ -4,8 +4,8 @@
 //! only the services that have changed.
 
 use crate::net::registry::RegistryAccess;
+use reelfall_balancer::interface::{ServerState, Time};
 use reelfall_conf::{model, Plan};
-use reelfall_core::interface::{ServerState, Time};
 use reelfall_routes::limits::Allowed;
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/node/src/net/shared.rs
+++ b/crates/node/src/net/shared.rs
@@ -12,7 +12,7 @@
 pub use permits::{ConnectionPermit, MemoryPermit, OpenId, Permit};
 
 use super::{Bounds, Log};
-use reelfall_core::interface::Time;
+use reelfall_balancer::interface::Time;
 use reelfall_operations::ban::{BanStatus, Bans};
 use reelfall_operations::ledger::Ledger;
 use reelfall_routes::common::{CombinedView, ListedState, SharedServers};
--- a/crates/node/src/net/shared/clock.rs
+++ b/crates/node/src/net/shared/clock.rs
@@ -1,6 +1,6 @@
 //! The clock of engines and limits.
 
-use reelfall_core::interface::Time;
+use reelfall_balancer::interface::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// The moments of engines and limits. Lists state starts in Unix time and 0 for long ago: a clock that began at 0
--- a/crates/node/src/net/shared/fleet.rs
+++ b/crates/node/src/net/shared/fleet.rs
@@ -1,7 +1,7 @@
 //! What the fleet and the pools tell each other.
 
 use super::{ListedByPool, PoolId, Shared};
-use reelfall_core::interface::Time;
+use reelfall_balancer::interface::Time;
 use reelfall_fleet::entry::ServerInstance;
 use reelfall_fleet::observer::AttemptOutcome;
 use std::collections::BTreeSet;
--- a/crates/node/src/net/shared/listed.rs
+++ b/crates/node/src/net/shared/listed.rs
@@ -1,7 +1,7 @@
 //! How many servers the lists of all pools name, kept as the lists change: counting them by a walk over all lists would
 //! hold up requests.
 
-use reelfall_core::interface::ServerId;
+use reelfall_balancer::interface::ServerId;
 use std::cell::RefCell;
 use std::collections::hash_map::{Entry, HashMap, RandomState};
 use std::hash::BuildHasher;
--- a/crates/node/src/net/shared/listed/tests.rs
+++ b/crates/node/src/net/shared/listed/tests.rs
@@ -2,9 +2,9 @@
 
 use crate::net::pool::{Missing, Pool};
 use crate::net::shared::Shared;
-use reelfall_core::engine::Place;
-use reelfall_core::interface::{ListKind, ServerState, Time};
-use reelfall_core::settings::{self, Listed};
+use reelfall_balancer::engine::Place;
+use reelfall_balancer::interface::{ListKind, ServerState, Time};
+use reelfall_balancer::settings::{self, Listed};
 use reelfall_routes::limits::Totals;
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
--- a/crates/node/src/net/tests.rs
+++ b/crates/node/src/net/tests.rs
@@ -6,7 +6,7 @@
 use super::shared::Shared;
 use super::task::AbortOnDrop;
 use super::Bounds;
-use reelfall_core::settings;
+use reelfall_balancer::settings;
 use std::io;
 use std::os::fd::OwnedFd;
 use std::rc::Rc;
--- a/crates/node/src/net/upstream.rs
+++ b/crates/node/src/net/upstream.rs
@@ -10,7 +10,7 @@
 use super::shared::{ConnectionPermit, Shared};
 use hyper::client::conn::http1::SendRequest;
 use hyper::header::HeaderName;
-use reelfall_core::interface::{Outcome, RequestId, ServerId, Time};
+use reelfall_balancer::interface::{Outcome, RequestId, ServerId, Time};
 use reelfall_routes::budget::Denied;
 use reelfall_routes::keep_alive::KeepAlive;
 use reelfall_routes::limits::Member;
--- a/crates/node/src/net/upstream/attempt.rs
+++ b/crates/node/src/net/upstream/attempt.rs
@@ -14,7 +14,7 @@
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode, Uri, Version};
 use hyper_util::rt::TokioIo;
-use reelfall_core::interface::{Outcome, RequestId, ServerId};
+use reelfall_balancer::interface::{Outcome, RequestId, ServerId};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -7,7 +7,7 @@
 use crate::net::shared::Shared;
 use crate::net::takeover::{HandoverSocket, Takeover};
 use crate::net::{discovery, source, Bounds};
-use reelfall_core::settings;
+use reelfall_balancer::settings;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/rig/src/capacity/model.rs
+++ b/crates/rig/src/capacity/model.rs
@@ -68,7 +68,7 @@
     pub const OUTCOMES: f64 = 5.0;
     /// Bytes of an answer about the fleet: `crates/node/src/report.rs`.
     pub const SAID: f64 = 12_288.0;
-    /// Requests that a tenant may send at once at one node beyond its part: `crates/core/src/decide/admission.rs`.
+    /// Requests that a tenant may send at once at one node beyond its part: `crates/balancer/src/decide/admission.rs`.
     pub const TENANT_BURST: f64 = 3.0;
     /// Voices that condemn a server: `crates/fleet/src/quorum.rs`.
     pub const WITNESSES: f64 = 3.0;
--- a/crates/rig/src/capacity/ranking.rs
+++ b/crates/rig/src/capacity/ranking.rs
@@ -232,7 +232,7 @@
     Misfit {
         what: "work of a node at rest that grows with services and servers; requests \
                 wait for it, as there is one thread",
-        carried: "`crates/core/src/decide/mod.rs`, `crates/node/src/net/shared.rs`",
+        carried: "`crates/balancer/src/decide/mod.rs`, `crates/node/src/net/shared.rs`",
         over: vec![
             over(
                 "words of lists, four times a second",
@@ -305,7 +305,7 @@
     Misfit {
         what: "connections to servers: by a settings file a node has no number, so it \
                 sends to all servers and meets each every three minutes",
-        carried: "`crates/core/src/decide/part.rs`, `crates/conf/src/check.rs`",
+        carried: "`crates/balancer/src/decide/part.rs`, `crates/conf/src/check.rs`",
         over: vec![assumed(
             "that would stand idle",
             standing,
--- a/crates/rig/src/capacity/roles/node_processor.rs
+++ b/crates/rig/src/capacity/roles/node_processor.rs
@@ -37,7 +37,7 @@
             .row(
                 at(|size| model::at_rest(costs, size)),
                 processor,
-                "`crates/core/src/decide/mod.rs` (`sweep`), `crates/node/src/net/pool.rs`, \
+                "`crates/balancer/src/decide/mod.rs` (`sweep`), `crates/node/src/net/pool.rs`, \
                 `crates/node/src/net/shared.rs`",
             ),
             "pools that rest without a timer: as one service",
@@ -108,7 +108,7 @@
         .row(
             [costs.choice_seconds_1000; 3],
             Some(budget::ADDED),
-            "`crates/core/src/decide/draw.rs`",
+            "`crates/balancer/src/decide/draw.rs`",
         ),
         Of(
             "a list of 5,000 servers taken in",
@@ -119,7 +119,7 @@
         .row(
             [costs.join_seconds_5000; 3],
             Some(budget::ADDED),
-            "`crates/core/src/decide/list.rs`, `crates/core/src/floored.rs`",
+            "`crates/balancer/src/decide/list.rs`, `crates/balancer/src/floored.rs`",
         ),
     ]
 }
--- a/crates/rig/src/capacity/roles/node_state.rs
+++ b/crates/rig/src/capacity/roles/node_state.rs
@@ -32,7 +32,7 @@
             Of("tenants", "`tenant_bytes` each", Measured, Unit::Bytes).row(
                 part(1),
                 memory,
-                "`crates/conf/src/model.rs`, `crates/core/src/settings.rs`, \
+                "`crates/conf/src/model.rs`, `crates/balancer/src/settings.rs`, \
                 `crates/node/src/net/service.rs` (`PoolKey`)",
             ),
             "a hash, a quota and a level each",
@@ -59,8 +59,8 @@
             .row(
                 part(3),
                 memory,
-                "`crates/node/src/net/pool.rs`, `crates/core/src/decide/state.rs`, \
-                `crates/core/src/engine.rs`, `crates/routes/src/common.rs`",
+                "`crates/node/src/net/pool.rs`, `crates/balancer/src/decide/state.rs`, \
+                `crates/balancer/src/engine.rs`, `crates/routes/src/common.rs`",
             ),
             "names and addresses alone for what is not sent to",
             compact[2],
--- a/crates/rig/src/capacity/roles/server.rs
+++ b/crates/rig/src/capacity/roles/server.rs
@@ -10,7 +10,7 @@
         Of("requests", "evenly spread", Assumed, Unit::CountPerSecond).row(
             at(|size| model::requests(size) / size.servers as f64),
             None,
-            "`crates/core`",
+            "`crates/balancer`",
         ),
         Of(
             "connections that stand idle",
@@ -53,7 +53,7 @@
         .row(
             at(|size| size.nodes as f64 * (1.0 - (-model::pair_rate(size)).exp())),
             None,
-            "`crates/core/src/decide/cold.rs`: tolerance is parted by `process.nodes`",
+            "`crates/balancer/src/decide/cold.rs`: tolerance is parted by `process.nodes`",
         ),
     ]
 }
--- a/crates/rig/src/scale/computation.rs
+++ b/crates/rig/src/scale/computation.rs
@@ -10,9 +10,9 @@
 use super::settings::settings_file;
 use crate::node::Folder;
 use crate::Result;
-use reelfall_core::interface::{Action, Entry, Event, ListKind, ServerState};
-use reelfall_core::settings::{Listed, Vocabulary};
-use reelfall_core::Balancer;
+use reelfall_balancer::interface::{Action, Entry, Event, ListKind, ServerState};
+use reelfall_balancer::settings::{Listed, Vocabulary};
+use reelfall_balancer::Balancer;
 use serde::{Deserialize, Serialize};
 use std::ffi::OsStr;
 use std::path::Path;
@@ -192,7 +192,7 @@
     fn new() -> Result<Module> {
         let json =
             r#"{"categories":[{"name":"a","promise":0.2,"deadline":2.0,"effect":"idempotent"}]}"#;
-        let (settings, names, _) = reelfall_core::settings::read(json)?;
+        let (settings, names, _) = reelfall_balancer::settings::read(json)?;
         let balancer = Balancer::new(settings, 1, 0.0)?;
         Ok(Module {
             balancer,
