--- a/crates/conf/tests/bounds.rs
+++ b/crates/config/tests/bounds.rs
@@ -4,10 +4,10 @@
 
 use common::*;
 use reelfall_balancer::interface::{ClassId, TenantId};
-use reelfall_conf::check::{
+use reelfall_config::check::{
     check, CLASSES_MOST, LISTENERS_MOST, MEMBERS_MOST, ROUTES_MOST, SERVICES_MOST,
 };
-use reelfall_conf::reader;
+use reelfall_config::reader;
 use reelfall_routes::table::ListenerId;
 
 fn faults(text: &str) -> Vec<String> {
--- a/crates/conf/tests/corpus.rs
+++ b/crates/config/tests/corpus.rs
@@ -1,6 +1,6 @@
 //! Broken files, each with what is said of it, and whole ones with what they mean.
 
-use reelfall_conf::{check, reader, units};
+use reelfall_config::{check, reader, units};
 
 const LISTENER: &str = "[[listener]]\nname = \"l\"\naddress = \"127.0.0.1:8443\"\n";
 const CLASS: &str =
--- a/crates/conf/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -1,8 +1,8 @@
 //! A settings file with every key is read as at commit c58caac. Keys that are unknown are refused, so a key that is renamed
 //! is seen here.
 
-use reelfall_conf::model::Source;
-use reelfall_conf::{check, reader};
+use reelfall_config::model::Source;
+use reelfall_config::{check, reader};
 
 #[test]
 fn every_key_of_a_settings_file_is_read() {
--- a/crates/conf/tests/growth.rs
+++ b/crates/config/tests/growth.rs
@@ -8,7 +8,7 @@
 
 use common::*;
 use nix::time::{clock_gettime, ClockId};
-use reelfall_conf::{check, reader, Model};
+use reelfall_config::{check, reader, Model};
 use std::hint::black_box;
 use std::time::Duration;
 
@@ -150,7 +150,7 @@
 #[test]
 fn with_the_routes_whose_places_are_asked_for() {
     let plan = |n| check(read(&(LISTENER.to_owned() + &times(n, whole_service)))).unwrap();
-    let places = |plan: &reelfall_conf::Plan| {
+    let places = |plan: &reelfall_config::Plan| {
         let lines = (0..plan.matches.len())
             .filter_map(|route| plan.origin(route))
             .map(|o| u64::from(o.line));
--- a/crates/conf/tests/memory.rs
+++ b/crates/config/tests/memory.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use reelfall_conf::reader;
+use reelfall_config::reader;
 
 const SERVICES: usize = 400;
 const MEMBERS: usize = 200;
--- a/crates/conf/tests/sections.rs
+++ b/crates/config/tests/sections.rs
@@ -6,8 +6,8 @@
 mod common;
 
 use common::*;
-use reelfall_conf::model::{Model, Origin};
-use reelfall_conf::{reader, Faults};
+use reelfall_config::model::{Model, Origin};
+use reelfall_config::{reader, Faults};
 
 /// Headers of the listener.
 const HEADERS: [&str; 2] = ["[[listener]]", "[[\"list\\u0065ner\"]]"];
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -2,7 +2,7 @@
 
 use crate::operate;
 use clap::{Args, Parser, Subcommand};
-use reelfall_conf::Plan;
+use reelfall_config::Plan;
 use reelfall_operations::request::{FleetRequest, ManagementRequest};
 use reelfall_routes::table::{ListenerId, Match, Query};
 use reelfall_routes::target;
@@ -225,7 +225,7 @@
 }
 
 fn load(file: &Path) -> Result<Plan, String> {
-    reelfall_conf::load(file).map_err(|e| e.to_string())
+    reelfall_config::load(file).map_err(|e| e.to_string())
 }
 
 fn check(file: &Path) -> Result<(), String> {
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -9,7 +9,7 @@
 use crate::net::Log;
 use clock::Clock;
 use events::{ListLag, CONDEMN_INTERVAL};
-use reelfall_conf::model;
+use reelfall_config::model;
 use reelfall_fleet::entry::ServerInstance;
 use reelfall_fleet::fleet::Fleet;
 use reelfall_fleet::node::Node;
--- a/crates/node/src/lease/call.rs
+++ b/crates/node/src/lease/call.rs
@@ -10,7 +10,7 @@
 use hyper::client::conn::http1::Builder;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use reelfall_conf::model;
+use reelfall_config::model;
 use reelfall_lease::token::LeaseName;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/crates/node/src/lease/dispatch.rs
+++ b/crates/node/src/lease/dispatch.rs
@@ -4,7 +4,7 @@
 use super::disk::{Disk, DiskEvent, Outbox};
 use super::{Leases, LocalKeeper};
 use crate::fleet::Recipient;
-use reelfall_conf::model;
+use reelfall_config::model;
 use reelfall_fleet::node::Node;
 use reelfall_lease::holder::LeaseEvent;
 use reelfall_lease::keeper::{self, Destination, Effects, Keeper};
--- a/crates/node/src/lease/mod.rs
+++ b/crates/node/src/lease/mod.rs
@@ -9,7 +9,7 @@
 use crate::fleet::FleetRuntime;
 use crate::net::Log;
 use disk::{Disk, DiskEvent};
-use reelfall_conf::model;
+use reelfall_config::model;
 use reelfall_lease::clock::Margins;
 use reelfall_lease::holder::{Config, Lease};
 use reelfall_lease::keeper::Keeper;
--- a/crates/node/src/net/client/eviction.rs
+++ b/crates/node/src/net/client/eviction.rs
@@ -13,7 +13,7 @@
 /// wait in the backlog meanwhile.
 pub(in crate::net) const CROWDED_GRACE: Duration = Duration::from_millis(20);
 /// The part of all places that connections which have not asked yet may hold while others rest. Requests hold three fifths
-/// at most (`reelfall_conf::check::parts`): some are left for connections that rest.
+/// at most (`reelfall_config::check::parts`): some are left for connections that rest.
 const NEW_PART: f64 = 0.25;
 
 /// Connections in one phase, the longest in it first.
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -40,7 +40,7 @@
 impl Bounds {
     /// Of a process with so many descriptors and so much memory.
     pub fn of(sockets: usize, memory_mb: usize) -> Self {
-        let (clients, upstream, body_kib) = reelfall_conf::check::parts(sockets, memory_mb);
+        let (clients, upstream, body_kib) = reelfall_config::check::parts(sockets, memory_mb);
         // What flows has its buffers beside what is held, and in an upgrade there are two processes.
         let body_kib = body_kib * 2 / 3;
         Bounds {
--- a/crates/node/src/net/pool/list.rs
+++ b/crates/node/src/net/pool/list.rs
@@ -5,7 +5,7 @@
 use reelfall_balancer::engine::Place;
 use reelfall_balancer::interface::{ListKind, ServerId, ServerState, Time};
 use reelfall_balancer::settings::Listed;
-use reelfall_conf::model;
+use reelfall_config::model;
 use reelfall_routes::common::{ListedState, ServerStatus};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
--- a/crates/node/src/net/registry.rs
+++ b/crates/node/src/net/registry.rs
@@ -18,7 +18,7 @@
 
 use bytes::Bytes;
 use reelfall_balancer::interface::Time;
-use reelfall_conf::model;
+use reelfall_config::model;
 use reelfall_membership::session::{Session, SessionConfig};
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
--- a/crates/node/src/net/registry/following.rs
+++ b/crates/node/src/net/registry/following.rs
@@ -7,7 +7,7 @@
 use reelfall_balancer::engine::Place;
 use reelfall_balancer::interface::{ListKind, ServerState, Time};
 use reelfall_balancer::settings::Listed;
-use reelfall_conf::model;
+use reelfall_config::model;
 use reelfall_membership::entry::Entry;
 use reelfall_membership::follow::{Follower, Limits, Report};
 use reelfall_membership::roster::Change;
--- a/crates/node/src/net/service.rs
+++ b/crates/node/src/net/service.rs
@@ -9,7 +9,7 @@
 use super::source::{follow, Source};
 use super::task::AbortOnDrop;
 use reelfall_balancer::interface::{ClassId, ListKind, Time};
-use reelfall_conf::model;
+use reelfall_config::model;
 use reelfall_graphql::persisted::Persisted;
 use reelfall_routes::limits::{Allowed, Member};
 use reelfall_routes::table::Query;
@@ -249,7 +249,7 @@
         return Ok(None);
     };
     Ok(Some(Rc::new(GraphQl {
-        classes: reelfall_conf::check::graphql_classes(service, graphql)?,
+        classes: reelfall_config::check::graphql_classes(service, graphql)?,
         limits: graphql.limits,
         field_work: graphql.field_work,
         side_by_side: graphql.side_by_side,
--- a/crates/node/src/net/service/prepared.rs
+++ b/crates/node/src/net/service/prepared.rs
@@ -5,7 +5,7 @@
 
 use crate::net::registry::RegistryAccess;
 use reelfall_balancer::interface::{ServerState, Time};
-use reelfall_conf::{model, Plan};
+use reelfall_config::{model, Plan};
 use reelfall_routes::limits::Allowed;
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/node/src/net/service/tests.rs
+++ b/crates/node/src/net/service/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::net::pool::Pool;
-use reelfall_conf::{check, reader, Plan};
+use reelfall_config::{check, reader, Plan};
 
 fn plan(text: &str) -> Plan {
     reader::toml("test", text).and_then(check).expect("a plan")
--- a/crates/node/src/standalone.rs
+++ b/crates/node/src/standalone.rs
@@ -11,8 +11,8 @@
 use crate::platform::plain;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use hyper::StatusCode;
-use reelfall_conf::model::{self, NodeEntry};
-use reelfall_conf::Plan;
+use reelfall_config::model::{self, NodeEntry};
+use reelfall_config::Plan;
 use reelfall_membership::registration::EntryData;
 use reelfall_operations::request::FleetRequest;
 use std::cell::{Cell, RefCell};
@@ -39,7 +39,7 @@
 /// # Errors
 /// What is wrong with the file, or which means can't be had.
 pub fn run(path: &Path) -> Result<(), String> {
-    let plan = reelfall_conf::load(path).map_err(|e| e.to_string())?;
+    let plan = reelfall_config::load(path).map_err(|e| e.to_string())?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
--- a/crates/node/src/standalone/reload.rs
+++ b/crates/node/src/standalone/reload.rs
@@ -2,7 +2,7 @@
 
 use crate::net::service::prepared::Prepared;
 use crate::net::shared::Clock;
-use reelfall_conf::{reader, Faults, Model, Plan};
+use reelfall_config::{reader, Faults, Model, Plan};
 use std::path::{Path, PathBuf};
 use std::sync::{mpsc, Arc};
 use std::time::Duration;
@@ -76,7 +76,7 @@
 fn read(path: &Path, clock: Clock, in_force: &Prepared) -> Result<Arc<Prepared>, String> {
     let name = path.display().to_string();
     let text = settled(path).map_err(|e| format!("{name}: {e}"))?;
-    let plan = checked(&name, text, reelfall_conf::check).map_err(|e| e.to_string())?;
+    let plan = checked(&name, text, reelfall_config::check).map_err(|e| e.to_string())?;
     Ok(Prepared::after(plan, in_force, clock.now()))
 }
 
--- a/crates/node/src/standalone/reload/tests.rs
+++ b/crates/node/src/standalone/reload/tests.rs
@@ -31,7 +31,7 @@
     let mut was_freed_before = false;
     let plan = checked("f.toml", Watched(is_freed.clone()), |model| {
         was_freed_before = is_freed.get();
-        reelfall_conf::check(model)
+        reelfall_config::check(model)
     });
     assert_eq!(plan.expect("a plan").model.services.len(), 1);
     assert!(was_freed_before, "the text is held while it is checked");
--- a/crates/rig/examples/state_size.rs
+++ b/crates/rig/examples/state_size.rs
@@ -10,8 +10,8 @@
 //! Each size has a process of its own, so that none holds what another has freed. The line through the sizes is given with the
 //! standard error of its slope.
 
-use reelfall_conf::model::{At, Member, Model, Route};
-use reelfall_conf::{check, reader, Plan};
+use reelfall_config::model::{At, Member, Model, Route};
+use reelfall_config::{check, reader, Plan};
 use reelfall_fleet::entry::{BanId, Entry, Finding, Key, Report, ServerInstance, Value, Version};
 use reelfall_fleet::fleet::{Config, Fleet};
 use reelfall_fleet::freshness::ClockEcho;
--- a/crates/rig/src/capacity/model.rs
+++ b/crates/rig/src/capacity/model.rs
@@ -34,7 +34,7 @@
 
 /// Bounds of the program, from its source.
 pub mod bound {
-    /// Services in a file: `crates/conf/src/check.rs`.
+    /// Services in a file: `crates/config/src/check.rs`.
     pub const SERVICES: f64 = 4096.0;
     /// Routes of all services: the same.
     pub const ROUTES: f64 = 100_000.0;
@@ -56,7 +56,7 @@
     pub const BANS: f64 = 4096.0;
     /// Servers of which outcomes are kept: `crates/fleet/src/observer.rs`.
     pub const WITNESSED: f64 = 4096.0;
-    /// Descriptors that are neither for clients nor for servers: `crates/conf/src/check.rs`.
+    /// Descriptors that are neither for clients nor for servers: `crates/config/src/check.rs`.
     pub const SPARE_DESCRIPTORS: f64 = 24.0;
     /// Connections to servers of a process with 1,024 descriptors: the same.
     pub const CONNECTIONS: f64 = 430.0;
--- a/crates/rig/src/capacity/ranking.rs
+++ b/crates/rig/src/capacity/ranking.rs
@@ -215,7 +215,7 @@
     let part = |what, bytes| over(what, bytes, budget::MEMORY, Unit::Bytes);
     Misfit {
         what: "memory: routes, tenants, pools and servers are held whole by every node",
-        carried: "`crates/conf/src/check.rs`, `crates/node/src/net/service.rs`, `pool.rs`",
+        carried: "`crates/config/src/check.rs`, `crates/node/src/net/service.rs`, `pool.rs`",
         over: vec![
             part("all", routes + tenants + pools + servers + peers + program),
             part("tenants", tenants),
@@ -289,7 +289,7 @@
 fn bounds(_: &Costs) -> Misfit {
     Misfit {
         what: "services in a file: more are refused",
-        carried: "`crates/conf/src/check.rs`",
+        carried: "`crates/config/src/check.rs`",
         over: vec![over(
             "services",
             Size::TARGET.services as f64,
@@ -305,7 +305,7 @@
     Misfit {
         what: "connections to servers: by a settings file a node has no number, so it \
                 sends to all servers and meets each every three minutes",
-        carried: "`crates/balancer/src/decide/part.rs`, `crates/conf/src/check.rs`",
+        carried: "`crates/balancer/src/decide/part.rs`, `crates/config/src/check.rs`",
         over: vec![assumed(
             "that would stand idle",
             standing,
--- a/crates/rig/src/capacity/roles/node_connections.rs
+++ b/crates/rig/src/capacity/roles/node_connections.rs
@@ -10,7 +10,7 @@
         Of("watches of lists", "services", WorkedOut, Unit::Count).row(
             at(|size| size.services as f64),
             Some(bound::SPARE_DESCRIPTORS),
-            "`crates/conf/src/check.rs`: descriptors that are neither for clients \
+            "`crates/config/src/check.rs`: descriptors that are neither for clients \
                 nor for servers",
         ),
         Of(
--- a/crates/rig/src/capacity/roles/node_processor.rs
+++ b/crates/rig/src/capacity/roles/node_processor.rs
@@ -25,7 +25,7 @@
         .row(
             at(|size| model::read_time(costs, model::settings(costs, size)) * model::changes(size)),
             processor,
-            "`crates/conf/src/reader.rs`",
+            "`crates/config/src/reader.rs`",
         ),
         with(
             Of(
--- a/crates/rig/src/capacity/roles/node_state.rs
+++ b/crates/rig/src/capacity/roles/node_state.rs
@@ -22,7 +22,7 @@
             Of("routes", "`route_bytes` each", Measured, Unit::Bytes).row(
                 part(0),
                 memory,
-                "`crates/routes/src/table.rs`, `crates/conf/src/check.rs` (the plan \
+                "`crates/routes/src/table.rs`, `crates/config/src/check.rs` (the plan \
                 keeps each route three times)",
             ),
             "one copy in flat tables",
@@ -32,7 +32,7 @@
             Of("tenants", "`tenant_bytes` each", Measured, Unit::Bytes).row(
                 part(1),
                 memory,
-                "`crates/conf/src/model.rs`, `crates/balancer/src/settings.rs`, \
+                "`crates/config/src/model.rs`, `crates/balancer/src/settings.rs`, \
                 `crates/node/src/net/service.rs` (`PoolKey`)",
             ),
             "a hash, a quota and a level each",
@@ -94,7 +94,7 @@
         .row(
             at(|size| model::read_memory(costs, model::settings(costs, size))),
             memory,
-            "`crates/conf/src/reader.rs`",
+            "`crates/config/src/reader.rs`",
         ),
         Of(
             "verdicts that can be held",
@@ -110,12 +110,12 @@
         Of("services in a file", "size", WorkedOut, Unit::Count).row(
             at(|size| size.services as f64),
             Some(bound::SERVICES),
-            "`crates/conf/src/check.rs`: more are refused",
+            "`crates/config/src/check.rs`: more are refused",
         ),
         Of("routes in a file", "size", WorkedOut, Unit::Count).row(
             at(|size| size.routes as f64),
             Some(bound::ROUTES),
-            "`crates/conf/src/check.rs`",
+            "`crates/config/src/check.rs`",
         ),
         Of(
             "other nodes whose clocks and lives are kept",
--- a/crates/rig/src/scale/computation.rs
+++ b/crates/rig/src/scale/computation.rs
@@ -115,10 +115,10 @@
     }
     let (bytes, begun) = (text.len(), machine::thread_cpu()?);
     let model =
-        reelfall_conf::reader::toml("scale.toml", &text).map_err(|faults| refused(&faults))?;
+        reelfall_config::reader::toml("scale.toml", &text).map_err(|faults| refused(&faults))?;
     // As the program does: a check takes memory of its own.
     drop(text);
-    let plan = reelfall_conf::check(model).map_err(|faults| refused(&faults))?;
+    let plan = reelfall_config::check(model).map_err(|faults| refused(&faults))?;
     let cpu = machine::thread_cpu()?.saturating_sub(begun);
     let cost = cost(cpu, bytes);
     drop(plan);
@@ -126,7 +126,7 @@
 }
 
 /// The first mistakes of a settings file, and how many there are.
-fn refused(faults: &reelfall_conf::Faults) -> String {
+fn refused(faults: &reelfall_config::Faults) -> String {
     let first: Vec<String> = faults.0.iter().take(3).map(ToString::to_string).collect();
     format!(
         "the settings file is refused, {} mistakes: {}",
--- a/crates/rig/tests/capacity.rs
+++ b/crates/rig/tests/capacity.rs
@@ -247,7 +247,7 @@
 
 #[test]
 fn the_bounds_of_the_model_are_the_program_s() {
-    use reelfall_conf::check;
+    use reelfall_config::check;
     use reelfall_fleet::{fleet, freshness, observer, quorum, table, wire};
     let keeper = reelfall_lease::keeper::Config::default();
     let gossip = fleet::Config::default();
--- a/crates/rig/tests/settings_file.rs
+++ b/crates/rig/tests/settings_file.rs
@@ -1,7 +1,7 @@
 //! Settings files that are written for measurements are valid and as large as they are asked to be.
 
-use reelfall_conf::model::Source;
-use reelfall_conf::{check, reader, Plan};
+use reelfall_config::model::Source;
+use reelfall_config::{check, reader, Plan};
 use reelfall_rig::scale::report::Size;
 use reelfall_rig::scale::settings::settings_file;
 
