--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -14,7 +14,7 @@
 
 use crate::model::{At, Fault, Faults, Model, Origin};
 use reelfall_balancer::interface as core;
-use reelfall_routes::limits::Totals;
+use reelfall_routing::limits::Totals;
 use std::collections::hash_map::{Entry, HashMap};
 use std::net::SocketAddr;
 
--- a/crates/config/src/check/plan.rs
+++ b/crates/config/src/check/plan.rs
@@ -3,8 +3,8 @@
 use crate::model::{Class, Model, Origin, Repeat, Service};
 use reelfall_balancer::interface as core;
 use reelfall_balancer::settings::{Figures, Vocabulary};
-use reelfall_routes::limits::Totals;
-use reelfall_routes::table::{Match, Query, Table};
+use reelfall_routing::limits::Totals;
+use reelfall_routing::table::{Match, Query, Table};
 
 /// Where a route leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/config/src/check/routes.rs
+++ b/crates/config/src/check/routes.rs
@@ -4,7 +4,7 @@
 use super::{numbers, Checker, METHODS, ROUTES_MOST};
 use crate::model::{At, Model, Route};
 use reelfall_balancer::interface as core;
-use reelfall_routes::table::{Ambiguous, ListenerId, Match, Table};
+use reelfall_routing::table::{Ambiguous, ListenerId, Match, Table};
 use std::collections::HashSet;
 
 /// Reads all routes: their table if nothing is wrong so far, where each leads, and what each matches.
--- a/crates/config/src/check/services.rs
+++ b/crates/config/src/check/services.rs
@@ -4,8 +4,8 @@
 use super::registries::followed;
 use super::{Checker, CLASSES_MOST, DEADLINE_MOST, MEMBERS_MOST, SERVICES_MOST};
 use crate::model::{At, Class, Model, Service, Source, Tries};
-use reelfall_routes::common;
-use reelfall_routes::limits::{Kind, Limits, Totals};
+use reelfall_routing::common;
+use reelfall_routing::limits::{Kind, Limits, Totals};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,8 +1,8 @@
 //! What a settings file says.
 
 use reelfall_balancer::interface::{ServerState, Time};
-use reelfall_routes::limits::Allowed;
-use reelfall_routes::table::Host;
+use reelfall_routing::limits::Allowed;
+use reelfall_routing::table::Host;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::net::SocketAddr;
@@ -384,7 +384,7 @@
     pub listener: Option<String>,
     /// The host.
     pub host: Host,
-    /// The path prefix, as `reelfall_routes::table::prefix` gives it.
+    /// The path prefix, as `reelfall_routing::table::prefix` gives it.
     pub path: Box<str>,
     /// The methods; any if none.
     pub methods: Vec<String>,
--- a/crates/config/src/reader/values.rs
+++ b/crates/config/src/reader/values.rs
@@ -2,7 +2,7 @@
 
 use crate::units;
 use reelfall_balancer::interface::Time;
-use reelfall_routes::table;
+use reelfall_routing::table;
 use serde::de::{Deserializer, Error as _, Visitor};
 use serde::Deserialize;
 use std::fmt;
--- a/crates/config/tests/bounds.rs
+++ b/crates/config/tests/bounds.rs
@@ -8,7 +8,7 @@
     check, CLASSES_MOST, LISTENERS_MOST, MEMBERS_MOST, ROUTES_MOST, SERVICES_MOST,
 };
 use reelfall_config::reader;
-use reelfall_routes::table::ListenerId;
+use reelfall_routing::table::ListenerId;
 
 fn faults(text: &str) -> Vec<String> {
     let read = reader::toml("f.toml", text).and_then(check);
--- a/crates/config/tests/corpus.rs
+++ b/crates/config/tests/corpus.rs
@@ -411,7 +411,7 @@
     let text = include_str!("../../../deploy/examples/services.toml");
     let plan = check(reader::toml("services.toml", text).unwrap()).unwrap();
     let service = |host, path, method| {
-        let q = reelfall_routes::table::Query {
+        let q = reelfall_routing::table::Query {
             listener: 0,
             host,
             path,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,7 @@
 //! One node on sockets: what it is told at its start, its command line, and the network on both sides.
 //!
 //! The choice of servers, retries and refusals is [`reelfall_balancer`]'s, the choice of a service
-//! [`reelfall_routes`]'s; what is here translates, carries out and enforces.
+//! [`reelfall_routing`]'s; what is here translates, carries out and enforces.
 #![cfg_attr(
     not(test),
     warn(
--- a/crates/node/src/net/client.rs
+++ b/crates/node/src/net/client.rs
@@ -13,7 +13,7 @@
 
 use super::message::Waiter;
 use hyper::StatusCode;
-use reelfall_routes::table::ListenerId;
+use reelfall_routing::table::ListenerId;
 use std::cell::{Cell, RefCell};
 use std::mem::MaybeUninit;
 use std::rc::{Rc, Weak};
--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/front.rs
@@ -25,7 +25,7 @@
 use super::shared::Shared;
 use super::task::AbortOnDrop;
 use super::SeededRng;
-use reelfall_routes::table::ListenerId;
+use reelfall_routing::table::ListenerId;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::future::Future;
--- a/crates/node/src/net/pool.rs
+++ b/crates/node/src/net/pool.rs
@@ -23,7 +23,7 @@
 use reelfall_balancer::interface::*;
 use reelfall_balancer::settings::{Figures, Vocabulary};
 use reelfall_balancer::Balancer;
-use reelfall_routes::limits::Member;
+use reelfall_routing::limits::Member;
 use serde::Deserialize;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/node/src/net/pool/list.rs
+++ b/crates/node/src/net/pool/list.rs
@@ -6,7 +6,7 @@
 use reelfall_balancer::interface::{ListKind, ServerId, ServerState, Time};
 use reelfall_balancer::settings::Listed;
 use reelfall_config::model;
-use reelfall_routes::common::{ListedState, ServerStatus};
+use reelfall_routing::common::{ListedState, ServerStatus};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/node/src/net/service/prepared.rs
+++ b/crates/node/src/net/service/prepared.rs
@@ -6,7 +6,7 @@
 use crate::net::registry::RegistryAccess;
 use reelfall_balancer::interface::{ServerState, Time};
 use reelfall_config::{model, Plan};
-use reelfall_routes::limits::Allowed;
+use reelfall_routing::limits::Allowed;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/node/src/net/shared/listed/tests.rs
+++ b/crates/node/src/net/shared/listed/tests.rs
@@ -5,7 +5,7 @@
 use reelfall_balancer::engine::Place;
 use reelfall_balancer::interface::{ListKind, ServerState, Time};
 use reelfall_balancer::settings::{self, Listed};
-use reelfall_routes::limits::Totals;
+use reelfall_routing::limits::Totals;
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/node/src/net/shared/permits.rs
+++ b/crates/node/src/net/shared/permits.rs
@@ -1,8 +1,8 @@
 //! Permits for what all pools of a process share: ids of open requests, memory, connections to servers.
 
 use super::Shared;
-use reelfall_routes::budget::Denied;
-use reelfall_routes::limits::{Allowed, Denial, Kind, Member};
+use reelfall_routing::budget::Denied;
+use reelfall_routing::limits::{Allowed, Denial, Kind, Member};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/rig/examples/state_size.rs
+++ b/crates/rig/examples/state_size.rs
@@ -22,8 +22,8 @@
     ClientId, LogPosition, Message, PeerMessage, Promise, Request, Response, StorageId, Vote,
 };
 use reelfall_lease::token::LeaseName;
-use reelfall_routes::common::{ListedState, ServerStatus, SharedServers};
-use reelfall_routes::table::Host;
+use reelfall_routing::common::{ListedState, ServerStatus, SharedServers};
+use reelfall_routing::table::Host;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hint::black_box;
--- a/crates/rig/src/capacity/roles/node_state.rs
+++ b/crates/rig/src/capacity/roles/node_state.rs
@@ -22,7 +22,7 @@
             Of("routes", "`route_bytes` each", Measured, Unit::Bytes).row(
                 part(0),
                 memory,
-                "`crates/routes/src/table.rs`, `crates/config/src/check.rs` (the plan \
+                "`crates/routing/src/table.rs`, `crates/config/src/check.rs` (the plan \
                 keeps each route three times)",
             ),
             "one copy in flat tables",
@@ -60,7 +60,7 @@
                 part(3),
                 memory,
                 "`crates/node/src/net/pool.rs`, `crates/balancer/src/decide/state.rs`, \
-                `crates/balancer/src/engine.rs`, `crates/routes/src/common.rs`",
+                `crates/balancer/src/engine.rs`, `crates/routing/src/common.rs`",
             ),
             "names and addresses alone for what is not sent to",
             compact[2],
--- a/crates/rig/src/measure/services.rs
+++ b/crates/rig/src/measure/services.rs
@@ -7,7 +7,7 @@
 use crate::pool::{Manner, Pool};
 use crate::scripted::Program;
 use crate::{Draw, Result};
-use reelfall_routes::table::{prefix, Host, Match, Query, Table};
+use reelfall_routing::table::{prefix, Host, Match, Query, Table};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::process::Stdio;
--- a/crates/routes/tests/budget.rs
+++ b/crates/routing/tests/budget.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_routes::budget::{Budget, Denied, Party, Share, CLAIM_LASTS};
+use reelfall_routing::budget::{Budget, Denied, Party, Share, CLAIM_LASTS};
 use std::time::{Duration, Instant};
 
 /// A party of the reference.
--- a/crates/routes/tests/common.rs
+++ b/crates/routing/tests/common.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_routes::common::{
+use reelfall_routing::common::{
     CombinedView, ListedState, ServerStatus, SharedServers, GONE_TTL, SHARERS_MOST,
 };
 
--- a/crates/routes/tests/keep_alive.rs
+++ b/crates/routing/tests/keep_alive.rs
@@ -1,6 +1,6 @@
 //! Idle connections to servers that have few to give.
 
-use reelfall_routes::keep_alive::KeepAlive;
+use reelfall_routing::keep_alive::KeepAlive;
 
 #[test]
 fn a_refusal_halves_the_keep_alive_once_a_look_and_quiet_gives_it_back() {
--- a/crates/routes/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -2,9 +2,9 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_routes::budget::{Budget, Denied, Misfit, Share, CLAIM_LASTS};
-use reelfall_routes::limits::{Allowed, Denial, Kind, Limits, Totals};
-use reelfall_routes::rate::Rate;
+use reelfall_routing::budget::{Budget, Denied, Misfit, Share, CLAIM_LASTS};
+use reelfall_routing::limits::{Allowed, Denial, Kind, Limits, Totals};
+use reelfall_routing::rate::Rate;
 
 fn share(reserve: u64, most: u64) -> Share {
     Share {
--- a/crates/routes/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_routes::table::{prefix, Ambiguous, Host, Match, PatternFault, Query, Table};
+use reelfall_routing::table::{prefix, Ambiguous, Host, Match, PatternFault, Query, Table};
 
 /// The rules of precedence, read off their text: everything stated must match, and the parts are compared in order.
 fn naive(routes: &[Match], q: &Query) -> Option<usize> {
--- a/crates/routes/tests/target.rs
+++ b/crates/routing/tests/target.rs
@@ -1,6 +1,6 @@
 //! Targets that two readers could take for different ones, each with what is said of it.
 
-use reelfall_routes::target::{host, path, read, Fault, Said};
+use reelfall_routing::target::{host, path, read, Fault, Said};
 
 fn said<'a>(path: &'a str, host: Option<&'a str>) -> Said<'a> {
     Said {
