--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -204,7 +204,7 @@
     /// Servers that are taken to be there until the registry has been heard.
     pub known: Vec<At<Server>>,
     /// Bounds and rules.
-    pub limits: reelfall_membership::follow::Limits,
+    pub limits: reelfall_registry_client::follow::Limits,
 }
 
 /// What concerns the process as a whole.
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -20,7 +20,7 @@
 use document::Document;
 use lines::Lines;
 use reelfall_balancer::interface::ServerState;
-use reelfall_membership::follow;
+use reelfall_registry_client::follow;
 use reelfall_routing::budget::Share;
 use reelfall_routing::limits::Allowed;
 use reelfall_routing::table;
--- a/crates/node/src/net/registry.rs
+++ b/crates/node/src/net/registry.rs
@@ -1,7 +1,7 @@
 //! Registries over sockets: a pool that follows entries, and the entry that this node has itself.
 //!
 //! Each has a session of its own, so that what costs one its session costs the other nothing. What is to be done is told by
-//! [`reelfall_membership`]; here it is done.
+//! [`reelfall_registry_client`]; here it is done.
 //!
 //! | module | responsibility |
 //! | --- | --- |
@@ -19,7 +19,7 @@
 use bytes::Bytes;
 use reelfall_balancer::interface::Time;
 use reelfall_config::model;
-use reelfall_membership::session::{Session, SessionConfig};
+use reelfall_registry_client::session::{Session, SessionConfig};
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
 use std::net::SocketAddr;
--- a/crates/membership/tests/follow.rs
+++ b/crates/registry-client/tests/follow.rs
@@ -4,11 +4,11 @@
 use bytes::Bytes;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_membership::entry::EntryError;
-use reelfall_membership::follow::{Follower, Limits, Report, Stale};
-use reelfall_membership::roster::{Change, HOLD_MOST};
-use reelfall_membership::session::{Event, LossReason};
-use reelfall_membership::wire::{Acl, Answer, Fired, Happened, Op, Refusal, Stat};
+use reelfall_registry_client::entry::EntryError;
+use reelfall_registry_client::follow::{Follower, Limits, Report, Stale};
+use reelfall_registry_client::roster::{Change, HOLD_MOST};
+use reelfall_registry_client::session::{Event, LossReason};
+use reelfall_registry_client::wire::{Acl, Answer, Fired, Happened, Op, Refusal, Stat};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const PATH: &str = "/flags/evaluate";
--- a/crates/membership/tests/golden.rs
+++ b/crates/registry-client/tests/golden.rs
@@ -2,8 +2,8 @@
 //! definitions, so `golden/session.txt` does not change.
 
 use bytes::Bytes;
-use reelfall_membership::session::{Command, Session, SessionConfig};
-use reelfall_membership::wire::{Acl, Op, Writer};
+use reelfall_registry_client::session::{Command, Session, SessionConfig};
+use reelfall_registry_client::wire::{Acl, Op, Writer};
 
 const GOLDEN: &str = include_str!("golden/session.txt");
 
--- a/crates/membership/tests/registration.rs
+++ b/crates/registry-client/tests/registration.rs
@@ -3,9 +3,9 @@
 use bytes::Bytes;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_membership::registration::{EntryData, Registration, Report, RETRY_INTERVAL};
-use reelfall_membership::session::{Event, LossReason};
-use reelfall_membership::wire::{Acl, Answer, Fired, Happened, Op, Refusal, Stat};
+use reelfall_registry_client::registration::{EntryData, Registration, Report, RETRY_INTERVAL};
+use reelfall_registry_client::session::{Event, LossReason};
+use reelfall_registry_client::wire::{Acl, Answer, Fired, Happened, Op, Refusal, Stat};
 use std::collections::VecDeque;
 
 const PATH: &str = "/nodes/n1";
--- a/crates/membership/tests/roster.rs
+++ b/crates/registry-client/tests/roster.rs
@@ -2,9 +2,9 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_membership::entry::{parse, without_sequence, Entry, EntryError, DATA_MOST};
-use reelfall_membership::roster::{Change, Roster, FLAPS_MOST, HOLD, HOLD_MOST, WINDOW};
-use reelfall_membership::wire::Stat;
+use reelfall_registry_client::entry::{parse, without_sequence, Entry, EntryError, DATA_MOST};
+use reelfall_registry_client::roster::{Change, Roster, FLAPS_MOST, HOLD, HOLD_MOST, WINDOW};
+use reelfall_registry_client::wire::Stat;
 use std::collections::BTreeMap;
 
 fn entry(name: &str, port: u16) -> Entry {
--- a/crates/membership/tests/session.rs
+++ b/crates/registry-client/tests/session.rs
@@ -3,10 +3,10 @@
 use bytes::Bytes;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_membership::session::{
+use reelfall_registry_client::session::{
     Command, Event, LossReason, Session, SessionConfig, PENDING_MOST,
 };
-use reelfall_membership::wire::{
+use reelfall_registry_client::wire::{
     Answer, Frames, Happened, Op, Refusal, WireFault, Writer, FRAME_MOST,
 };
 use std::net::SocketAddr;
--- a/crates/rig/src/capacity/ranking.rs
+++ b/crates/rig/src/capacity/ranking.rs
@@ -191,7 +191,7 @@
     Misfit {
         what: "following a registry: a session for each pool, and all entries are read \
                 again every 30 s",
-        carried: "`crates/membership/src/follow.rs`, `crates/node/src/net/registry.rs`",
+        carried: "`crates/registry-client/src/follow.rs`, `crates/node/src/net/registry.rs`",
         over: vec![
             over(
                 "sessions",
--- a/crates/rig/src/capacity/roles/node_messages.rs
+++ b/crates/rig/src/capacity/roles/node_messages.rs
@@ -111,7 +111,7 @@
         .row(
             at(|size| model::rereads(costs, size).0),
             traffic,
-            "`crates/membership/src/follow.rs` (`tick`)",
+            "`crates/registry-client/src/follow.rs` (`tick`)",
         ),
         quiet(costs, runs),
         Of(
--- a/crates/rig/src/capacity/roles/node_processor.rs
+++ b/crates/rig/src/capacity/roles/node_processor.rs
@@ -52,7 +52,7 @@
         .row(
             at(|size| model::rereads(costs, size).1),
             processor,
-            "`crates/membership/src/follow.rs` (`tick`)",
+            "`crates/registry-client/src/follow.rs` (`tick`)",
         ),
         Of(
             "words of lists looked through, four times a second",
