--- a/crates/fleet/tests/explore.rs
+++ b/crates/cluster/tests/explore.rs
@@ -1,10 +1,10 @@
 //! Three nodes, all orders of what can happen to their words: sent, brought late, brought twice, lost; a node that forgets
 //! all. The merge, the ages and the proofs are the code that runs.
 
-use reelfall_fleet::entry::{BanId, Entry, Key, Value, Version};
-use reelfall_fleet::freshness::{max_transit, ClockEcho};
-use reelfall_fleet::node::Incarnation;
-use reelfall_fleet::table::{HeldEntry, Table, PARTITIONS};
+use reelfall_cluster::entry::{BanId, Entry, Key, Value, Version};
+use reelfall_cluster::freshness::{max_transit, ClockEcho};
+use reelfall_cluster::node::Incarnation;
+use reelfall_cluster::table::{HeldEntry, Table, PARTITIONS};
 use stateright::{Checker, Model, Property};
 
 const NODES: usize = 3;
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/cluster/tests/fleet.rs
@@ -2,11 +2,11 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
+use reelfall_cluster::entry::{ServerInstance, Value};
+use reelfall_cluster::fleet::{Config, Fleet};
+use reelfall_cluster::observer::{AttemptOutcome, OverdueAttempt};
+use reelfall_cluster::wire::{self, DropReason, Secret};
 use reelfall_emulator::together::{address, rules, secret, Links, World};
-use reelfall_fleet::entry::{ServerInstance, Value};
-use reelfall_fleet::fleet::{Config, Fleet};
-use reelfall_fleet::observer::{AttemptOutcome, OverdueAttempt};
-use reelfall_fleet::wire::{self, DropReason, Secret};
 
 fn gathered(nodes: usize, seed: u64) -> World {
     let mut world = World::new(nodes, seed, |_| rules());
@@ -267,7 +267,7 @@
         let live = process.fleet.table().live(process.clock(world.t));
         live.filter(|(key, held)| {
             held.value == Value::Leaving
-                && matches!(key, reelfall_fleet::entry::Key::Leaving { incarnation: i, .. } if *i == incarnation)
+                && matches!(key, reelfall_cluster::entry::Key::Leaving { incarnation: i, .. } if *i == incarnation)
         })
         .count()
     };
--- a/crates/fleet/tests/golden.rs
+++ b/crates/cluster/tests/golden.rs
@@ -1,10 +1,10 @@
 //! The bytes of datagrams are those of wire version 2. `golden/datagrams.txt` was written by the code of commit c58caac and
 //! does not change while the version stays.
 
-use reelfall_fleet::entry::{BanId, Entry, Finding, Key, Report, ServerInstance, Value, Version};
-use reelfall_fleet::freshness::ClockEcho;
-use reelfall_fleet::node::{Incarnation, Node};
-use reelfall_fleet::wire::{
+use reelfall_cluster::entry::{BanId, Entry, Finding, Key, Report, ServerInstance, Value, Version};
+use reelfall_cluster::freshness::ClockEcho;
+use reelfall_cluster::node::{Incarnation, Node};
+use reelfall_cluster::wire::{
     self, AntiEntropy, AppMessage, Digests, Header, MemberState, MemberUpdate, Secret, Writer,
     MEMBER_PARTITIONS,
 };
--- a/crates/fleet/tests/quorum.rs
+++ b/crates/cluster/tests/quorum.rs
@@ -1,8 +1,8 @@
 //! Which servers are condemned where more fail than may be.
 
 use proptest::prelude::*;
-use reelfall_fleet::entry::ServerInstance;
-use reelfall_fleet::quorum::{condemned, Quorum, Votes};
+use reelfall_cluster::entry::ServerInstance;
+use reelfall_cluster::quorum::{condemned, Quorum, Votes};
 
 const LISTED: usize = 20;
 
--- a/crates/fleet/tests/table.rs
+++ b/crates/cluster/tests/table.rs
@@ -2,9 +2,9 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use reelfall_fleet::entry::{BanId, Entry, Finding, Key, Report, ServerInstance, Value, Version};
-use reelfall_fleet::node::Incarnation;
-use reelfall_fleet::table::{MergeOutcome, Table, MAX_ENTRIES, MAX_REPORTS_PER_NODE};
+use reelfall_cluster::entry::{BanId, Entry, Finding, Key, Report, ServerInstance, Value, Version};
+use reelfall_cluster::node::Incarnation;
+use reelfall_cluster::table::{MergeOutcome, Table, MAX_ENTRIES, MAX_REPORTS_PER_NODE};
 
 fn report(server: usize, by: &str, n: u64, bad: u16) -> Entry {
     let server = ServerInstance {
--- a/crates/config/src/check/fleet.rs
+++ b/crates/config/src/check/fleet.rs
@@ -9,14 +9,14 @@
     let Some(fleet) = &model.fleet else { return };
     leases(c, fleet);
     let (rules, pace) = (&fleet.rules, &fleet.rules.membership);
-    let named = |name: &str| !name.is_empty() && name.len() <= reelfall_fleet::node::MAX_NAME_LEN;
+    let named = |name: &str| !name.is_empty() && name.len() <= reelfall_cluster::node::MAX_NAME_LEN;
     c.want(
         named(&fleet.name) && named(&fleet.node),
         &fleet.origin,
         || {
             format!(
                 "fleet: name and node have 1 to {} bytes",
-                reelfall_fleet::node::MAX_NAME_LEN
+                reelfall_cluster::node::MAX_NAME_LEN
             )
         },
     );
@@ -32,12 +32,12 @@
     );
     let zone = model.process.zone.as_ref();
     c.want(
-        zone.is_none_or(|zone| zone.len() <= reelfall_fleet::node::MAX_NAME_LEN),
+        zone.is_none_or(|zone| zone.len() <= reelfall_cluster::node::MAX_NAME_LEN),
         &fleet.origin,
         || {
             format!(
                 "fleet: the zone's name has {} bytes at most",
-                reelfall_fleet::node::MAX_NAME_LEN
+                reelfall_cluster::node::MAX_NAME_LEN
             )
         },
     );
@@ -50,7 +50,7 @@
             "verdicts.lasts",
             rules.report_lasts,
             1.0,
-            reelfall_fleet::entry::MAX_REPORT_TTL,
+            reelfall_cluster::entry::MAX_REPORT_TTL,
         ),
         ("verdicts.trial_every", rules.trial_every, 0.1, 60.0),
     ];
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -127,7 +127,7 @@
     /// The file with the fleet's key.
     pub key_file: PathBuf,
     /// How the node takes part.
-    pub rules: reelfall_fleet::fleet::Config,
+    pub rules: reelfall_cluster::fleet::Config,
     /// Leases for tasks that one node does for all.
     pub leases: Option<Leases>,
 }
--- a/crates/config/src/reader/fleet.rs
+++ b/crates/config/src/reader/fleet.rs
@@ -2,9 +2,9 @@
 
 use super::values::{share, AddressText, TimeText};
 use crate::model::{Call, Fleet, Leases, Management};
-use reelfall_fleet::fleet::Config;
-use reelfall_fleet::members::MembershipConfig;
-use reelfall_fleet::quorum::Quorum;
+use reelfall_cluster::fleet::Config;
+use reelfall_cluster::members::MembershipConfig;
+use reelfall_cluster::quorum::Quorum;
 use serde::Deserialize;
 use std::path::PathBuf;
 
--- a/crates/distribution/src/link.rs
+++ b/crates/distribution/src/link.rs
@@ -5,7 +5,7 @@
 //! what is urgent waits for one frame at most.
 //!
 //! Each frame holds its writer's clock and the last that the writer heard of its reader's clock, by which the reader
-//! can tell how old the frame is at most (as `reelfall-fleet`'s `fresh` does for datagrams): what the writer heard was
+//! can tell how old the frame is at most (as `reelfall-cluster`'s `fresh` does for datagrams): what the writer heard was
 //! said before the frame was written, so the frame is no older than the reader's clock has gone on since, less the time
 //! that the writer held it.
 
--- a/crates/emulator/examples/scale/quiet.rs
+++ b/crates/emulator/examples/scale/quiet.rs
@@ -4,12 +4,12 @@
 use super::report::resident;
 use super::Output;
 use clap::Args;
+use reelfall_cluster::fleet::Config;
+use reelfall_cluster::members::MembershipConfig;
 use reelfall_emulator::control::account::Usage;
 use reelfall_emulator::control::report::{PerNode, Run, Size, Source};
 use reelfall_emulator::inspect::{Contents, Inspector};
 use reelfall_emulator::together::{rules, secret, World};
-use reelfall_fleet::fleet::Config;
-use reelfall_fleet::members::MembershipConfig;
 
 /// Joining is waited for so long at most, in seconds.
 const JOIN_WAIT: f64 = 60.0;
--- a/crates/emulator/examples/together.rs
+++ b/crates/emulator/examples/together.rs
@@ -2,9 +2,9 @@
 //! `cargo run --release -p reelfall-emulator --example together -- [seeds] [nodes...]`, or `members` for how soon ends are
 //! seen and what nodes that stand still do to the others.
 
+use reelfall_cluster::fleet::Config;
+use reelfall_cluster::members::MembershipConfig;
 use reelfall_emulator::together::{rules, World};
-use reelfall_fleet::fleet::Config;
-use reelfall_fleet::members::MembershipConfig;
 
 struct Seen {
     /// When each node had the news, in seconds, in order.
--- a/crates/emulator/src/control/membership.rs
+++ b/crates/emulator/src/control/membership.rs
@@ -1,4 +1,4 @@
-//! Nodes of [`reelfall_fleet`] as endpoints of a network.
+//! Nodes of [`reelfall_cluster`] as endpoints of a network.
 //!
 //! A fleet of thousands takes minutes to find itself, which is of no interest where its steady state is measured. So
 //! nodes are introduced to all others as they begin, by the datagrams that an earlier member would send them
@@ -9,11 +9,11 @@
 use crate::together::secret;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use reelfall_fleet::entry::Key;
-use reelfall_fleet::fleet::{Config, Fleet, FleetEvent, MAX_PEERS};
-use reelfall_fleet::members::{MemberEvent, MembershipConfig};
-use reelfall_fleet::node::{Incarnation, Node};
-use reelfall_fleet::wire::{Header, MemberState, MemberUpdate, Secret, Writer};
+use reelfall_cluster::entry::Key;
+use reelfall_cluster::fleet::{Config, Fleet, FleetEvent, MAX_PEERS};
+use reelfall_cluster::members::{MemberEvent, MembershipConfig};
+use reelfall_cluster::node::{Incarnation, Node};
+use reelfall_cluster::wire::{Header, MemberState, MemberUpdate, Secret, Writer};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
--- a/crates/emulator/src/control/mod.rs
+++ b/crates/emulator/src/control/mod.rs
@@ -13,7 +13,7 @@
 //! | [`network`] | the event queue, frames between endpoints, partitions, crashes and pauses |
 //! | [`account`] | what each endpoint sent, received and computed |
 //! | [`times`] | percentiles of times |
-//! | [`membership`] | nodes of [`reelfall_fleet`] as endpoints |
+//! | [`membership`] | nodes of [`reelfall_cluster`] as endpoints |
 //! | [`layout`] | authors, relays and nodes of a system: where they are, what they subscribe to |
 //! | [`contents`] | which resources there are, and how long their bodies are |
 //! | [`holdings`] | machines by themselves, for what they hold in memory |
--- a/crates/emulator/src/inspect.rs
+++ b/crates/emulator/src/inspect.rs
@@ -1,6 +1,6 @@
 //! What datagrams of a fleet contain, for figures.
 
-use reelfall_fleet::wire::{self, Secret};
+use reelfall_cluster::wire::{self, Secret};
 
 /// What datagrams contained, summed up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/emulator/src/together.rs
+++ b/crates/emulator/src/together.rs
@@ -1,16 +1,16 @@
 //! Nodes that know each other, in virtual time: links with faults, clocks that drift, processes that stand still, end and
-//! begin again. The code of each node is the one that runs ([`reelfall_fleet`]).
+//! begin again. The code of each node is the one that runs ([`reelfall_cluster`]).
 //!
 //! What is checked is checked against the world's one clock, never against a node's own.
 
 use crate::inspect::Inspector;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use reelfall_fleet::entry::{Key, Value, Version};
-use reelfall_fleet::fleet::{Config, Fleet, FleetEvent};
-use reelfall_fleet::members::MemberEvent;
-use reelfall_fleet::node::{Incarnation, Node};
-use reelfall_fleet::wire::Secret;
+use reelfall_cluster::entry::{Key, Value, Version};
+use reelfall_cluster::fleet::{Config, Fleet, FleetEvent};
+use reelfall_cluster::members::MemberEvent;
+use reelfall_cluster::node::{Incarnation, Node};
+use reelfall_cluster::wire::Secret;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
--- a/crates/node/src/fleet/admin.rs
+++ b/crates/node/src/fleet/admin.rs
@@ -3,10 +3,10 @@
 use super::{FleetRuntime, FollowedList};
 use crate::report::Report;
 use hyper::StatusCode;
-use reelfall_fleet::entry::{self, Key, ServerInstance, Value};
-use reelfall_fleet::fleet::Fleet;
-use reelfall_fleet::table::HeldEntry;
-use reelfall_fleet::Time;
+use reelfall_cluster::entry::{self, Key, ServerInstance, Value};
+use reelfall_cluster::fleet::Fleet;
+use reelfall_cluster::table::HeldEntry;
+use reelfall_cluster::Time;
 use reelfall_operations::request::FleetRequest;
 use std::collections::BTreeMap;
 
--- a/crates/node/src/fleet/clock.rs
+++ b/crates/node/src/fleet/clock.rs
@@ -1,6 +1,6 @@
 //! The clock that the fleet runs by.
 
-use reelfall_fleet::Time;
+use reelfall_cluster::Time;
 use rustix::time::{clock_gettime, ClockId};
 use std::time::Duration;
 
--- a/crates/node/src/fleet/events.rs
+++ b/crates/node/src/fleet/events.rs
@@ -2,11 +2,11 @@
 
 use super::FleetRuntime;
 use crate::net::shared::{Condemnation, OverdueRequest};
-use reelfall_fleet::entry::{Key, ServerInstance};
-use reelfall_fleet::fleet::{CondemnedServer, FleetEvent};
-use reelfall_fleet::members::MemberEvent;
-use reelfall_fleet::observer::OverdueAttempt;
-use reelfall_fleet::Time;
+use reelfall_cluster::entry::{Key, ServerInstance};
+use reelfall_cluster::fleet::{CondemnedServer, FleetEvent};
+use reelfall_cluster::members::MemberEvent;
+use reelfall_cluster::observer::OverdueAttempt;
+use reelfall_cluster::Time;
 use std::collections::BTreeMap;
 
 /// Interval at which condemnations are applied to the pools again: a server that joins a list is subject to them, too.
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! This node's part in a fleet, on a socket. The decisions are made by [`reelfall_fleet`]; this module sends and receives
+//! This node's part in a fleet, on a socket. The decisions are made by [`reelfall_cluster`]; this module sends and receives
 //! datagrams, schedules, and applies the results to the pools.
 
 mod admin;
@@ -9,13 +9,13 @@
 use crate::net::Log;
 use clock::Clock;
 use events::{ListLag, CONDEMN_INTERVAL};
+use reelfall_cluster::entry::ServerInstance;
+use reelfall_cluster::fleet::Fleet;
+use reelfall_cluster::node::Node;
+use reelfall_cluster::observer::AttemptOutcome;
+use reelfall_cluster::wire::{Secret, MAX_DATAGRAM_LEN};
+use reelfall_cluster::Time;
 use reelfall_config::model;
-use reelfall_fleet::entry::ServerInstance;
-use reelfall_fleet::fleet::Fleet;
-use reelfall_fleet::node::Node;
-use reelfall_fleet::observer::AttemptOutcome;
-use reelfall_fleet::wire::{Secret, MAX_DATAGRAM_LEN};
-use reelfall_fleet::Time;
 use std::cell::{Cell, RefCell};
 use std::collections::hash_map::RandomState;
 use std::collections::BTreeMap;
--- a/crates/node/src/net/pool/list.rs
+++ b/crates/node/src/net/pool/list.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Adds a server, or replaces it. `name` and `start_ms` identify its instance, as in [`reelfall_fleet::entry::ServerInstance`].
+    /// Adds a server, or replaces it. `name` and `start_ms` identify its instance, as in [`reelfall_cluster::entry::ServerInstance`].
     fn insert(
         &mut self,
         place: &Place<SocketAddr>,
--- a/crates/node/src/net/pool/outcome.rs
+++ b/crates/node/src/net/pool/outcome.rs
@@ -2,8 +2,8 @@
 
 use super::{Missing, Pool};
 use reelfall_balancer::interface::{Outcome, RequestId, ServerId, Time};
-use reelfall_fleet::entry::ServerInstance;
-use reelfall_fleet::observer::AttemptOutcome;
+use reelfall_cluster::entry::ServerInstance;
+use reelfall_cluster::observer::AttemptOutcome;
 
 impl Pool {
     /// The instance of a server that the list names, as the whole fleet knows it.
--- a/crates/node/src/net/shared/fleet.rs
+++ b/crates/node/src/net/shared/fleet.rs
@@ -2,8 +2,8 @@
 
 use super::{ListedByPool, PoolId, Shared};
 use reelfall_balancer::interface::Time;
-use reelfall_fleet::entry::ServerInstance;
-use reelfall_fleet::observer::AttemptOutcome;
+use reelfall_cluster::entry::ServerInstance;
+use reelfall_cluster::observer::AttemptOutcome;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
--- a/crates/node/src/net/shared/listed.rs
+++ b/crates/node/src/net/shared/listed.rs
@@ -56,7 +56,7 @@
     }
 
     /// The list names this instance of a server, and no other instance of it any more. The arguments are the fields of a
-    /// [`reelfall_fleet::entry::ServerInstance`], which would own a copy of the name.
+    /// [`reelfall_cluster::entry::ServerInstance`], which would own a copy of the name.
     pub fn insert(&mut self, server: ServerId, name: &str, start_ms: u64) {
         let fingerprint = self.all.add(name, start_ms);
         if let Some(old) = self.servers.insert(server, fingerprint) {
--- a/crates/rig/examples/state_size.rs
+++ b/crates/rig/examples/state_size.rs
@@ -10,13 +10,13 @@
 //! Each size has a process of its own, so that none holds what another has freed. The line through the sizes is given with the
 //! standard error of its slope.
 
+use reelfall_cluster::entry::{BanId, Entry, Finding, Key, Report, ServerInstance, Value, Version};
+use reelfall_cluster::fleet::{Config, Fleet};
+use reelfall_cluster::freshness::ClockEcho;
+use reelfall_cluster::node::{Incarnation, Node};
+use reelfall_cluster::wire::{AppMessage, Header, MemberState, MemberUpdate, Secret, Writer};
 use reelfall_config::model::{At, Member, Model, Route};
 use reelfall_config::{check, reader, Plan};
-use reelfall_fleet::entry::{BanId, Entry, Finding, Key, Report, ServerInstance, Value, Version};
-use reelfall_fleet::fleet::{Config, Fleet};
-use reelfall_fleet::freshness::ClockEcho;
-use reelfall_fleet::node::{Incarnation, Node};
-use reelfall_fleet::wire::{AppMessage, Header, MemberState, MemberUpdate, Secret, Writer};
 use reelfall_lease::keeper::{self, Keeper};
 use reelfall_lease::message::{
     ClientId, LogPosition, Message, PeerMessage, Promise, Request, Response, StorageId, Vote,
--- a/crates/rig/src/capacity/model.rs
+++ b/crates/rig/src/capacity/model.rs
@@ -38,9 +38,9 @@
     pub const SERVICES: f64 = 4096.0;
     /// Routes of all services: the same.
     pub const ROUTES: f64 = 100_000.0;
-    /// Others of which clocks and lives are kept: `crates/fleet/src/fleet`.
+    /// Others of which clocks and lives are kept: `crates/cluster/src/fleet`.
     pub const PEERS: f64 = 4096.0;
-    /// Verdicts that are held: `crates/fleet/src/table.rs`.
+    /// Verdicts that are held: `crates/cluster/src/table.rs`.
     pub const VERDICTS: f64 = 8192.0;
     /// Names that a keeper has: `crates/lease/src/keeper.rs`.
     pub const LEASES: f64 = 1024.0;
@@ -50,27 +50,27 @@
     pub const FRAME: f64 = 1_048_576.0;
     /// Longest list of servers, in bytes: `crates/node/src/net/discovery.rs`.
     pub const LIST: f64 = 4_194_304.0;
-    /// Longest datagram, in bytes: `crates/fleet/src/wire.rs`.
+    /// Longest datagram, in bytes: `crates/cluster/src/wire.rs`.
     pub const DATAGRAM: f64 = 1200.0;
     /// Servers out by hand at once: `crates/operations/src/ban.rs`.
     pub const BANS: f64 = 4096.0;
-    /// Servers of which outcomes are kept: `crates/fleet/src/observer.rs`.
+    /// Servers of which outcomes are kept: `crates/cluster/src/observer.rs`.
     pub const WITNESSED: f64 = 4096.0;
     /// Descriptors that are neither for clients nor for servers: `crates/config/src/check.rs`.
     pub const SPARE_DESCRIPTORS: f64 = 24.0;
     /// Connections to servers of a process with 1,024 descriptors: the same.
     pub const CONNECTIONS: f64 = 430.0;
-    /// Datagrams of news a second: `fanout` in each `spread_every`, `crates/fleet/src/fleet`.
+    /// Datagrams of news a second: `fanout` in each `spread_every`, `crates/cluster/src/fleet`.
     pub const NEWS: f64 = 30.0;
-    /// Seconds for which an echo of a clock counts: `crates/fleet/src/freshness.rs`.
+    /// Seconds for which an echo of a clock counts: `crates/cluster/src/freshness.rs`.
     pub const ECHO_HELD: f64 = 120.0;
-    /// Seconds for which outcomes are kept: `crates/fleet/src/observer.rs`.
+    /// Seconds for which outcomes are kept: `crates/cluster/src/observer.rs`.
     pub const OUTCOMES: f64 = 5.0;
     /// Bytes of an answer about the fleet: `crates/node/src/report.rs`.
     pub const SAID: f64 = 12_288.0;
     /// Requests that a tenant may send at once at one node beyond its part: `crates/balancer/src/decide/admission.rs`.
     pub const TENANT_BURST: f64 = 3.0;
-    /// Voices that condemn a server: `crates/fleet/src/quorum.rs`.
+    /// Voices that condemn a server: `crates/cluster/src/quorum.rs`.
     pub const WITNESSES: f64 = 3.0;
 }
 
@@ -337,7 +337,7 @@
 
 // ---- a fleet of nodes ----
 
-/// How often each node tells a piece of news, as `crates/fleet/src/members.rs` has it.
+/// How often each node tells a piece of news, as `crates/cluster/src/members.rs` has it.
 pub fn tellings(nodes: f64) -> f64 {
     ((nodes + 1.0).log10() * 4.0).ceil().clamp(2.0, 32.0)
 }
--- a/crates/rig/src/capacity/ranking.rs
+++ b/crates/rig/src/capacity/ranking.rs
@@ -255,7 +255,7 @@
     Misfit {
         what: "words of nodes on servers when many fail at once, and a zone sent out \
                 by hand",
-        carried: "`crates/fleet/src/fleet`, `table.rs`, `crates/node/src/fleet/mod.rs` \
+        carried: "`crates/cluster/src/fleet`, `table.rs`, `crates/node/src/fleet/mod.rs` \
                 (`judge`)",
         over: vec![
             over(
@@ -324,7 +324,7 @@
     let news = quiet + model::membership_news(costs, &target, restarts);
     Misfit {
         what: "who is there: all nodes in one fleet",
-        carried: "`crates/fleet/src/fleet`, `members.rs`",
+        carried: "`crates/cluster/src/fleet`, `members.rs`",
         over: vec![
             over(
                 "others whose clocks are remembered",
--- a/crates/rig/src/capacity/roles/node_messages.rs
+++ b/crates/rig/src/capacity/roles/node_messages.rs
@@ -34,7 +34,7 @@
     Of("fleet, quiet", how, Measured, Unit::BytesPerSecond).known(
         at,
         Some(budget::TRAFFIC),
-        "`crates/fleet`",
+        "`crates/cluster`",
     )
 }
 
@@ -124,7 +124,7 @@
         .row(
             at(|size| model::membership_news(costs, size, restarts(size))),
             traffic,
-            "`crates/fleet/src/members.rs`",
+            "`crates/cluster/src/members.rs`",
         ),
         Of(
             "fleet: news, all datagrams full",
@@ -135,7 +135,7 @@
         .row(
             [model::most_news(); 3],
             traffic,
-            "`crates/fleet/src/fleet`: nothing bounds bytes a second",
+            "`crates/cluster/src/fleet`: nothing bounds bytes a second",
         ),
         Of(
             "leases: a node that waits for one in each service",
--- a/crates/rig/src/capacity/roles/node_processor.rs
+++ b/crates/rig/src/capacity/roles/node_processor.rs
@@ -86,7 +86,7 @@
         .row(
             at(|size| model::draws(costs, size.nodes as f64)),
             processor,
-            "`crates/fleet/src/fleet` (`draw`)",
+            "`crates/cluster/src/fleet` (`draw`)",
         ),
         Of(
             "words about members, the day's mean",
@@ -97,7 +97,7 @@
         .row(
             at(updates),
             processor,
-            "the library `foca` below `crates/fleet/src/members.rs`",
+            "the library `foca` below `crates/cluster/src/members.rs`",
         ),
         Of(
             "a choice among 1,000 servers",
--- a/crates/rig/src/capacity/roles/node_state.rs
+++ b/crates/rig/src/capacity/roles/node_state.rs
@@ -68,7 +68,7 @@
         Of("other nodes", "`peer_bytes` each", Measured, Unit::Bytes).row(
             part(4),
             memory,
-            "`crates/fleet/src/members.rs`, `freshness.rs`, `fleet`",
+            "`crates/cluster/src/members.rs`, `freshness.rs`, `fleet`",
         ),
         Of(
             "the program with one service",
@@ -105,7 +105,7 @@
         .row(
             [bound::VERDICTS * 3.0 * costs.verdict_bytes; 3],
             memory,
-            "`crates/fleet/src/table.rs`",
+            "`crates/cluster/src/table.rs`",
         ),
         Of("services in a file", "size", WorkedOut, Unit::Count).row(
             at(|size| size.services as f64),
@@ -126,7 +126,7 @@
         .row(
             at(|size| size.nodes as f64 - 1.0),
             Some(bound::PEERS),
-            "`crates/fleet/src/freshness.rs`, `fleet.rs`: the first met is forgotten",
+            "`crates/cluster/src/freshness.rs`, `fleet.rs`: the first met is forgotten",
         ),
         Of(
             "servers met within 5 s",
@@ -137,7 +137,7 @@
         .row(
             at(|size| model::requests(size) / size.nodes as f64 * bound::OUTCOMES),
             Some(bound::WITNESSED),
-            "`crates/fleet/src/observer.rs`: further ones are not noted",
+            "`crates/cluster/src/observer.rs`: further ones are not noted",
         ),
     ]
 }
--- a/crates/rig/src/capacity/roles/operator.rs
+++ b/crates/rig/src/capacity/roles/operator.rs
@@ -27,7 +27,7 @@
         .row(
             at(|size| model::tellings(nodes(size))),
             None,
-            "`crates/fleet/src/table.rs`; p99 0.31 s at 300, 0.34 s at 1,000 \
+            "`crates/cluster/src/table.rs`; p99 0.31 s at 300, 0.34 s at 1,000 \
                 (docs/measurements/verdicts.md) and 0.41 s at 1,500 nodes",
         ),
         Of(
@@ -39,7 +39,7 @@
         .row(
             at(|size| model::told_in(costs, 3850.0 * nodes(size) / 6000.0, nodes(size))),
             Some(budget::IN_FORCE),
-            "`crates/fleet/src/table.rs`: no word for a zone",
+            "`crates/cluster/src/table.rs`: no word for a zone",
         ),
         Of(
             "servers out by hand at once",
--- a/crates/rig/src/capacity/roles/server.rs
+++ b/crates/rig/src/capacity/roles/server.rs
@@ -43,7 +43,7 @@
             WorkedOut,
             Unit::CountPerSecond,
         )
-        .row([0.0; 3], None, "`crates/fleet/src/quorum.rs`"),
+        .row([0.0; 3], None, "`crates/cluster/src/quorum.rs`"),
         Of(
             "a request from each node within a second of its start",
             "nodes that have it listed and a request for it",
--- a/crates/rig/src/fleet/probers.rs
+++ b/crates/rig/src/fleet/probers.rs
@@ -4,8 +4,8 @@
 //! probe has to choose the names, or it tests whatever the names at hand lead to.
 
 use super::{name, server_name};
-use reelfall_fleet::entry::ServerInstance;
-use reelfall_fleet::quorum::is_prober;
+use reelfall_cluster::entry::ServerInstance;
+use reelfall_cluster::quorum::is_prober;
 use std::ops::RangeInclusive;
 
 /// Turns in which a node with a chosen name does not probe, since its start.
--- a/crates/rig/src/scale/hollow.rs
+++ b/crates/rig/src/scale/hollow.rs
@@ -1,15 +1,15 @@
-//! The control side of one node, without its socket: the only file of the scale run that uses [`reelfall_fleet`].
+//! The control side of one node, without its socket: the only file of the scale run that uses [`reelfall_cluster`].
 //!
 //! A [`Hollow`] does what the node's program does between its socket and its pools, with the same pauses: it takes
 //! in datagrams, ticks, judges servers and tells what it has seen of them. There are no clients and no pools; what
 //! attempts at failing servers would have shown is drawn.
 
 use crate::Draw;
-use reelfall_fleet::entry::{Key, ServerInstance};
-use reelfall_fleet::fleet::{Config, Fleet, FleetEvent};
-use reelfall_fleet::members::MembershipConfig;
-use reelfall_fleet::observer::AttemptOutcome;
-use reelfall_fleet::wire::{self, AppMessage, Secret, Writer};
+use reelfall_cluster::entry::{Key, ServerInstance};
+use reelfall_cluster::fleet::{Config, Fleet, FleetEvent};
+use reelfall_cluster::members::MembershipConfig;
+use reelfall_cluster::observer::AttemptOutcome;
+use reelfall_cluster::wire::{self, AppMessage, Secret, Writer};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
--- a/crates/rig/tests/capacity.rs
+++ b/crates/rig/tests/capacity.rs
@@ -247,8 +247,8 @@
 
 #[test]
 fn the_bounds_of_the_model_are_the_program_s() {
+    use reelfall_cluster::{fleet, freshness, observer, quorum, table, wire};
     use reelfall_config::check;
-    use reelfall_fleet::{fleet, freshness, observer, quorum, table, wire};
     let keeper = reelfall_lease::keeper::Config::default();
     let gossip = fleet::Config::default();
     let pairs = [
@@ -271,7 +271,7 @@
     for nodes in [1, 30, 300, 1500, 6000] {
         near(
             model::tellings(nodes as f64),
-            f64::from(reelfall_fleet::members::max_transmissions(nodes)),
+            f64::from(reelfall_cluster::members::max_transmissions(nodes)),
         );
     }
 }
--- a/crates/rig/tests/probers.rs
+++ b/crates/rig/tests/probers.rs
@@ -1,7 +1,7 @@
 //! Names that tests choose for nodes that are not to probe a server.
 
-use reelfall_fleet::entry::ServerInstance;
-use reelfall_fleet::quorum::is_prober;
+use reelfall_cluster::entry::ServerInstance;
+use reelfall_cluster::quorum::is_prober;
 use reelfall_rig::fleet::probers::names_that_never_probe;
 use reelfall_rig::fleet::server_name;
 
