--- a/crates/operations/tests/golden.rs
+++ b/crates/admin/tests/golden.rs
@@ -2,8 +2,8 @@
 //! they had at commit c58caac: a process of an earlier version may be at the other end. The ledger has such a test in
 //! `operator_state.rs`.
 
-use reelfall_operations::request::{FleetRequest, ManagementRequest};
-use reelfall_operations::takeover::Frame;
+use reelfall_admin::request::{FleetRequest, ManagementRequest};
+use reelfall_admin::takeover::Frame;
 
 const FRAMES: &str = include_str!("golden/frames.txt");
 const REQUESTS: &str = include_str!("golden/requests.txt");
--- a/crates/operations/tests/operator_state.rs
+++ b/crates/admin/tests/operator_state.rs
@@ -1,9 +1,9 @@
 //! Bans, drains and their stored form, on random schedules.
 
 use proptest::prelude::*;
-use reelfall_operations::ban::{Bans, OUT_MOST};
-use reelfall_operations::drain::{Drain, IDLE_GRACE, LATE_IDLE_GRACE};
-use reelfall_operations::ledger::Ledger;
+use reelfall_admin::ban::{Bans, OUT_MOST};
+use reelfall_admin::drain::{Drain, IDLE_GRACE, LATE_IDLE_GRACE};
+use reelfall_admin::ledger::Ledger;
 use std::collections::HashMap;
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/operations/tests/requests.rs
+++ b/crates/admin/tests/requests.rs
@@ -1,7 +1,7 @@
 //! Requests on the management address: what they are parsed as, and what is rejected.
 
 use proptest::prelude::*;
-use reelfall_operations::request::{FleetRequest, ManagementRequest, RequestError};
+use reelfall_admin::request::{FleetRequest, ManagementRequest, RequestError};
 
 proptest! {
     #[test]
--- a/crates/operations/tests/takeover.rs
+++ b/crates/admin/tests/takeover.rs
@@ -1,8 +1,8 @@
 //! Two processes of one node and a client, through every order in which an upgrade can go, with deaths of the successor at
 //! any moment and SIGTERM early or late.
 
-use reelfall_operations::succession::{Predecessor, Successor};
-use reelfall_operations::takeover::{Frame, PROTOCOL_VERSION};
+use reelfall_admin::succession::{Predecessor, Successor};
+use reelfall_admin::takeover::{Frame, PROTOCOL_VERSION};
 use stateright::{Checker, Model, Property};
 
 /// Where the client's connection is.
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -2,8 +2,8 @@
 
 use crate::operate;
 use clap::{Args, Parser, Subcommand};
+use reelfall_admin::request::{FleetRequest, ManagementRequest};
 use reelfall_config::Plan;
-use reelfall_operations::request::{FleetRequest, ManagementRequest};
 use reelfall_routing::table::{ListenerId, Match, Query};
 use reelfall_routing::target;
 use std::ffi::OsString;
--- a/crates/node/src/fleet/admin.rs
+++ b/crates/node/src/fleet/admin.rs
@@ -3,11 +3,11 @@
 use super::{FleetRuntime, FollowedList};
 use crate::report::Report;
 use hyper::StatusCode;
+use reelfall_admin::request::FleetRequest;
 use reelfall_cluster::entry::{self, Key, ServerInstance, Value};
 use reelfall_cluster::fleet::Fleet;
 use reelfall_cluster::table::HeldEntry;
 use reelfall_cluster::Time;
-use reelfall_operations::request::FleetRequest;
 use std::collections::BTreeMap;
 
 impl FleetRuntime {
--- a/crates/node/src/net/ledger.rs
+++ b/crates/node/src/net/ledger.rs
@@ -1,6 +1,6 @@
 //! The ledger of bans and drains on the file system, shared by the processes of one node.
 
-use reelfall_operations::ledger::{Ledger, LEDGER_MOST};
+use reelfall_admin::ledger::{Ledger, LEDGER_MOST};
 use rustix::fs::{flock, FlockOperation};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
--- a/crates/node/src/net/shared.rs
+++ b/crates/node/src/net/shared.rs
@@ -12,9 +12,9 @@
 pub use permits::{ConnectionPermit, MemoryPermit, OpenId, Permit};
 
 use super::{Bounds, Log};
+use reelfall_admin::ban::{BanStatus, Bans};
+use reelfall_admin::ledger::Ledger;
 use reelfall_balancer::interface::Time;
-use reelfall_operations::ban::{BanStatus, Bans};
-use reelfall_operations::ledger::Ledger;
 use reelfall_routing::common::{CombinedView, ListedState, SharedServers};
 use reelfall_routing::limits::{Limits, Totals};
 use std::cell::{Cell, RefCell};
--- a/crates/node/src/net/takeover.rs
+++ b/crates/node/src/net/takeover.rs
@@ -1,13 +1,13 @@
 //! Taking over from a process that serves, over a Unix socket: listening sockets, what was learned, and clients.
 //!
-//! [`reelfall_operations::succession`] decides which of the two accepts, and who has the clients.
+//! [`reelfall_admin::succession`] decides which of the two accepts, and who has the clients.
 
 use super::front::{Front, Handover, HandoverState};
 use super::shared::Shared;
 use super::task::AbortOnDrop;
 use bytes::{Buf, BytesMut};
-use reelfall_operations::succession::{Predecessor, Successor};
-use reelfall_operations::takeover::{Frame, DESCRIPTORS_MOST, PROTOCOL_VERSION};
+use reelfall_admin::succession::{Predecessor, Successor};
+use reelfall_admin::takeover::{Frame, DESCRIPTORS_MOST, PROTOCOL_VERSION};
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
--- a/crates/node/src/operate.rs
+++ b/crates/node/src/operate.rs
@@ -1,6 +1,6 @@
 //! The client of the management address, for the command line.
 
-use reelfall_operations::request::ManagementRequest;
+use reelfall_admin::request::ManagementRequest;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::ExitCode;
--- a/crates/rig/src/capacity/model.rs
+++ b/crates/rig/src/capacity/model.rs
@@ -52,7 +52,7 @@
     pub const LIST: f64 = 4_194_304.0;
     /// Longest datagram, in bytes: `crates/cluster/src/wire.rs`.
     pub const DATAGRAM: f64 = 1200.0;
-    /// Servers out by hand at once: `crates/operations/src/ban.rs`.
+    /// Servers out by hand at once: `crates/admin/src/ban.rs`.
     pub const BANS: f64 = 4096.0;
     /// Servers of which outcomes are kept: `crates/cluster/src/observer.rs`.
     pub const WITNESSED: f64 = 4096.0;
--- a/crates/rig/src/capacity/roles/operator.rs
+++ b/crates/rig/src/capacity/roles/operator.rs
@@ -50,7 +50,7 @@
         .row(
             at(|size| size.servers as f64 / model::ZONES),
             Some(bound::BANS),
-            "`crates/operations/src/ban.rs`",
+            "`crates/admin/src/ban.rs`",
         ),
         Of(
             "who is there, asked of a node",
