--- a/crates/adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -5,10 +5,10 @@
 
 fn main() -> ExitCode {
     let input = BufReader::with_capacity(1 << 16, io::stdin().lock());
-    match reelfall_adapter::serve(input, BufWriter::new(io::stdout().lock())) {
+    match reelfall_simulator_adapter::serve(input, BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("reelfall-adapter: {fault}");
+            eprintln!("reelfall-simulator-adapter: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/crates/adapter/tests/golden.rs
+++ b/crates/simulator-adapter/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The simulator's lines, as at commit c58caac: `golden/input.txt` has an event of each kind and field, `golden/output.txt`
 //! what was answered. Neither changes.
 
-use reelfall_adapter::serve;
+use reelfall_simulator_adapter::serve;
 
 #[test]
 fn lines_are_answered_as_they_were() {
--- a/crates/adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The adapter's wire, on lines written by hand.
 
-use reelfall_adapter::serve;
+use reelfall_simulator_adapter::serve;
 
 const INFO: &str = r#"{"categories":[{"deadline":0.6,"effect":"idempotent","name":"get","promise":0.15,"worth":3}],"kinds":["box"],"failure-domains":["here"],"later":{"a":1}}"#;
 
