--- a/crates/rig/examples/reload/main.rs
+++ b/crates/testbed/examples/reload/main.rs
@@ -10,11 +10,11 @@
 
 use clap::Parser;
 use hdrhistogram::Histogram;
-use reelfall_rig::load::{self, Came, Kind};
-use reelfall_rig::node::Node;
-use reelfall_rig::pool::{Manner, Pool, Server};
-use reelfall_rig::scripted::Program;
-use reelfall_rig::Result;
+use reelfall_testbed::load::{self, Came, Kind};
+use reelfall_testbed::node::Node;
+use reelfall_testbed::pool::{Manner, Pool, Server};
+use reelfall_testbed::scripted::Program;
+use reelfall_testbed::Result;
 use serde_json::{json, Value};
 use settings::Size;
 use std::path::PathBuf;
--- a/crates/rig/examples/state_size.rs
+++ b/crates/testbed/examples/state_size.rs
@@ -2,9 +2,9 @@
 //! set, processor time by its own clock, messages by their length.
 //!
 //! ```text
-//! cargo run --release -p reelfall-rig --example state_size -- routes|tenants|peers|names|count SIZE SIZE...
-//! cargo run --release -p reelfall-rig --example state_size -- words
-//! cargo run --release -p reelfall-rig --example state_size -- rest|together PROGRAM SERVICES SERVICES...
+//! cargo run --release -p reelfall-testbed --example state_size -- routes|tenants|peers|names|count SIZE SIZE...
+//! cargo run --release -p reelfall-testbed --example state_size -- words
+//! cargo run --release -p reelfall-testbed --example state_size -- rest|together PROGRAM SERVICES SERVICES...
 //! ```
 //!
 //! Each size has a process of its own, so that none holds what another has freed. The line through the sizes is given with the
@@ -638,7 +638,7 @@
 /// A node with so many services of eight servers that nobody asks, by itself or in a fleet of one: what its main thread runs for in
 /// a second.
 fn rest(program: &str, services: usize, together: bool) -> Result<Figures> {
-    let folder = reelfall_rig::node::Folder::new().map_err(|e| e.to_string())?;
+    let folder = reelfall_testbed::node::Folder::new().map_err(|e| e.to_string())?;
     let file = folder.path().join("reelfall.toml");
     let key = folder.path().join("fleet.key");
     std::fs::write(&key, "a key for measuring sizes alone")?;
--- a/crates/rig/src/fleet/plays.rs
+++ b/crates/testbed/src/fleet/plays.rs
@@ -1,4 +1,4 @@
-//! One schedule over one fleet under load, and what came of it: the tool `reelfall-rig fleet`.
+//! One schedule over one fleet under load, and what came of it: the tool `reelfall-testbed fleet`.
 
 use super::history::{Event, History};
 use super::schedule::{self, Step};
--- a/crates/rig/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,17 +1,17 @@
-//! The program: `reelfall-rig`.
+//! The program: `reelfall-testbed`.
 
 use clap::{Parser, Subcommand};
-use reelfall_rig::discovery::{Discovery, Listed};
-use reelfall_rig::fleet::plays::Play;
-use reelfall_rig::fleet::{schedule, Made, WARM};
-use reelfall_rig::link::Link;
-use reelfall_rig::load::{self, Kind};
-use reelfall_rig::pool::{Manner, Pool};
-use reelfall_rig::registry::{self, Registry};
-use reelfall_rig::scale;
-use reelfall_rig::scenario::{self, graphql, membership, services, Report};
-use reelfall_rig::scripted::Program;
-use reelfall_rig::{demo, measure, relay, until_ended, Result};
+use reelfall_testbed::discovery::{Discovery, Listed};
+use reelfall_testbed::fleet::plays::Play;
+use reelfall_testbed::fleet::{schedule, Made, WARM};
+use reelfall_testbed::link::Link;
+use reelfall_testbed::load::{self, Kind};
+use reelfall_testbed::pool::{Manner, Pool};
+use reelfall_testbed::registry::{self, Registry};
+use reelfall_testbed::scale;
+use reelfall_testbed::scenario::{self, graphql, membership, services, Report};
+use reelfall_testbed::scripted::Program;
+use reelfall_testbed::{demo, measure, relay, until_ended, Result};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -21,7 +21,7 @@
 
 /// Stand-ins, load, faults and scenarios for reelfall, on loopback addresses.
 #[derive(Parser)]
-#[command(name = "reelfall-rig", version)]
+#[command(name = "reelfall-testbed", version)]
 struct Cli {
     /// The node's program; by default the node that is part of this one
     #[arg(long, global = true, value_name = "PROGRAM")]
@@ -256,7 +256,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(fault) => {
-            eprintln!("reelfall-rig: {fault}");
+            eprintln!("reelfall-testbed: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/crates/rig/src/registry/requests.rs
+++ b/crates/testbed/src/registry/requests.rs
@@ -38,7 +38,7 @@
     match head {
         b"ruok" => Some(Bytes::from_static(b"imok")),
         b"srvr" => Some(Bytes::from_static(
-            b"Zookeeper version: 3.9.0-reelfall-rig, built on 2026-01-01 00:00 UTC\nMode: follower\n",
+            b"Zookeeper version: 3.9.0-reelfall-testbed, built on 2026-01-01 00:00 UTC\nMode: follower\n",
         )),
         _ => None,
     }
--- a/crates/rig/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -1,14 +1,14 @@
 //! docs/CAPACITY.md says what its inputs make of it, names every bound of the program, and its formulas are right.
 
-use reelfall_rig::capacity::inputs::{self, Input, Inputs, Measured, SCHEMA};
-use reelfall_rig::capacity::kind::Kind;
-use reelfall_rig::capacity::model::{self, bound, Costs};
-use reelfall_rig::capacity::table::{amount, plain, Row, Unit, Verdict};
-use reelfall_rig::capacity::{
+use reelfall_testbed::capacity::inputs::{self, Input, Inputs, Measured, SCHEMA};
+use reelfall_testbed::capacity::kind::Kind;
+use reelfall_testbed::capacity::model::{self, bound, Costs};
+use reelfall_testbed::capacity::table::{amount, plain, Row, Unit, Verdict};
+use reelfall_testbed::capacity::{
     moments, page, pages, ranking, scale_page, tables, Fault, Page, INPUTS, PAGE,
 };
-use reelfall_rig::scale::record::{Busy, Gathered, Product, Record};
-use reelfall_rig::scale::report::{
+use reelfall_testbed::scale::record::{Busy, Gathered, Product, Record};
+use reelfall_testbed::scale::report::{
     self, Axis, Bend, PerNode, Projection, Report, Run, Size, Slope, Source, Times, Traffic,
 };
 use std::collections::BTreeMap;
@@ -38,7 +38,7 @@
     let stale = page::stale(&the_page(), &tables).unwrap();
     assert!(
         stale.is_empty(),
-        "{stale:?}: cargo run -p reelfall-rig --example capacity -- --write"
+        "{stale:?}: cargo run -p reelfall-testbed --example capacity -- --write"
     );
 }
 
@@ -49,7 +49,7 @@
         let stale = page::stale(&held, &tables).unwrap();
         assert!(
             stale.is_empty(),
-            "{name}, {stale:?}: cargo run -p reelfall-rig --example capacity -- --write"
+            "{name}, {stale:?}: cargo run -p reelfall-testbed --example capacity -- --write"
         );
         let markers: Vec<&str> = held
             .lines()
@@ -461,7 +461,7 @@
 
 #[test]
 fn inputs_of_another_format_are_refused() {
-    let folder = reelfall_rig::node::Folder::new().unwrap();
+    let folder = reelfall_testbed::node::Folder::new().unwrap();
     let file = folder.path().join("inputs.json");
     std::fs::write(&file, r#"{"schema":9,"inputs":[]}"#).unwrap();
     assert!(matches!(
@@ -561,7 +561,7 @@
 
 #[test]
 fn what_scale_runs_have_measured_is_shown() {
-    let folder = reelfall_rig::node::Folder::new().unwrap();
+    let folder = reelfall_testbed::node::Folder::new().unwrap();
     assert_eq!(
         Measured::read(&folder.path().join("none")).unwrap(),
         Measured::default()
@@ -599,7 +599,7 @@
 
 #[test]
 fn the_page_of_scale_runs_has_each_run_and_each_line_of_their_reports() {
-    let folder = reelfall_rig::node::Folder::new().unwrap();
+    let folder = reelfall_testbed::node::Folder::new().unwrap();
     let write = |name: &str, record: &Record| {
         std::fs::write(folder.path().join(name), record.to_json().unwrap()).unwrap();
     };
--- a/crates/rig/tests/connection_bound.rs
+++ b/crates/testbed/tests/connection_bound.rs
@@ -1,6 +1,6 @@
 //! Which client's connection a node closes when it has no room for another: the real program over loopback sockets.
 
-use reelfall_rig::scripted::{
+use reelfall_testbed::scripted::{
     answer, connect, get, read_request, Discovery, Got, Node, Program, Server,
 };
 use std::io::{Read, Write};
--- a/crates/rig/tests/discovery.rs
+++ b/crates/testbed/tests/discovery.rs
@@ -1,6 +1,6 @@
 //! News of servers, through a list service that stalls, dribbles, writes for people and goes down.
 
-use reelfall_rig::scripted::{
+use reelfall_testbed::scripted::{
     connect, full_queue, get, list, read_request, serve, Message, Node, Program, Server, PATIENCE,
 };
 use std::collections::HashMap;
@@ -258,7 +258,7 @@
         assert!(back.elapsed() < PATIENCE, "the news does not arrive");
         let mut stream = connect(node.address);
         let _ = stream.write_all(read_request(&format!("n-{n}")).as_bytes());
-        let _ = reelfall_rig::scripted::answer(&stream);
+        let _ = reelfall_testbed::scripted::answer(&stream);
         n += 1;
     }
     assert!(back.elapsed() < TOLD_WITHIN, "{:?}", back.elapsed());
--- a/crates/rig/tests/endings.rs
+++ b/crates/testbed/tests/endings.rs
@@ -1,6 +1,6 @@
 //! What is still owed when something ends: the real program over loopback sockets, each crossing forced by events.
 
-use reelfall_rig::scripted::{
+use reelfall_testbed::scripted::{
     answer, answer_to, connect, full_queue, get, holding, read_request, serve, until_connecting,
     write_request, Discovery, Message, Node, Program, Server, PATIENCE,
 };
--- a/crates/rig/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! What a node makes of a discovery that a large fleet has worn out, and of lists that can't be read.
 
-use reelfall_rig::scripted::{get, Discovery, Node, Program, Server, PATIENCE};
+use reelfall_testbed::scripted::{get, Discovery, Node, Program, Server, PATIENCE};
 use std::time::{Duration, Instant};
 
 fn program() -> Program {
--- a/crates/rig/tests/fleets/mod.rs
+++ b/crates/testbed/tests/fleets/mod.rs
@@ -3,9 +3,9 @@
 // Each file of tests uses a part of it.
 #![allow(dead_code)]
 
-use reelfall_rig::fleet::history::Event;
-use reelfall_rig::fleet::{check, server_name, Made, Rig, WARM};
-use reelfall_rig::scripted::Program;
+use reelfall_testbed::fleet::history::Event;
+use reelfall_testbed::fleet::{check, server_name, Made, Rig, WARM};
+use reelfall_testbed::scripted::Program;
 use std::time::Duration;
 
 pub const SECOND: Duration = Duration::from_secs(1);
--- a/crates/rig/tests/graphql.rs
+++ b/crates/testbed/tests/graphql.rs
@@ -3,11 +3,11 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
-use reelfall_rig::client::{Client, Got};
-use reelfall_rig::graphql;
-use reelfall_rig::node::Node;
-use reelfall_rig::pool::{App, End, Manner, Pool, Spoil};
-use reelfall_rig::scripted::Program;
+use reelfall_testbed::client::{Client, Got};
+use reelfall_testbed::graphql;
+use reelfall_testbed::node::Node;
+use reelfall_testbed::pool::{App, End, Manner, Pool, Spoil};
+use reelfall_testbed::scripted::Program;
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -525,7 +525,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_scenario_keeps_its_promises() {
-    use reelfall_rig::scenario::graphql::{run, Scale};
+    use reelfall_testbed::scenario::graphql::{run, Scale};
     let program = Program::in_rig(env!("CARGO_BIN_EXE_reelfall-rig"));
     let report = run(&program, Scale::SMALL).await.unwrap();
     assert!(report.pass(), "{:#?}", report.broken());
--- a/crates/rig/tests/leases.rs
+++ b/crates/testbed/tests/leases.rs
@@ -4,9 +4,9 @@
 mod fleets;
 
 use fleets::{command, rest, turn, SECOND};
-use reelfall_rig::fleet::history::Event;
-use reelfall_rig::fleet::resource::{acts, broken, stale, Resource};
-use reelfall_rig::fleet::{Made, Rig, WARM};
+use reelfall_testbed::fleet::history::Event;
+use reelfall_testbed::fleet::resource::{acts, broken, stale, Resource};
+use reelfall_testbed::fleet::{Made, Rig, WARM};
 use std::time::Duration;
 
 /// How long a lease lasts in these tests.
@@ -19,7 +19,7 @@
 
 async fn start(nodes: usize) -> Place {
     // The resource has to be there before the nodes, whose files name it; the history is the rig's.
-    let history = std::sync::Arc::new(reelfall_rig::fleet::history::History::begin());
+    let history = std::sync::Arc::new(reelfall_testbed::fleet::history::History::begin());
     let resource = Resource::start(history.clone()).await.unwrap();
     let leases = format!(
         "[fleet.leases]\nkeepers = [\"n0\", \"n1\", \"n2\"]\nfolder = \"{{folder}}\"\nlength = \"1s\"\n\
--- a/crates/rig/tests/membership.rs
+++ b/crates/testbed/tests/membership.rs
@@ -3,13 +3,13 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
-use reelfall_rig::client::Client;
-use reelfall_rig::membership::{data, settings, Announced, PATH};
-use reelfall_rig::node::Node;
-use reelfall_rig::pool::{Manner, Server};
-use reelfall_rig::registry::{digest_id, Registry};
-use reelfall_rig::scenario::membership as scenario;
-use reelfall_rig::scripted::Program;
+use reelfall_testbed::client::Client;
+use reelfall_testbed::membership::{data, settings, Announced, PATH};
+use reelfall_testbed::node::Node;
+use reelfall_testbed::pool::{Manner, Server};
+use reelfall_testbed::registry::{digest_id, Registry};
+use reelfall_testbed::scenario::membership as scenario;
+use reelfall_testbed::scripted::Program;
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
--- a/crates/rig/tests/node.rs
+++ b/crates/testbed/tests/node.rs
@@ -1,6 +1,6 @@
 //! The real program over loopback sockets: one test for each failure that the socket side guards against.
 
-use reelfall_rig::scripted::{
+use reelfall_testbed::scripted::{
     answer, answer_to, connect, exchange, get, holding, read_request, write_request, Discovery,
     Got, Message, Node, Program, Server,
 };
--- a/crates/rig/tests/operations.rs
+++ b/crates/testbed/tests/operations.rs
@@ -1,6 +1,6 @@
 //! Management requests, drains and upgrades of the real program, over loopback sockets.
 
-use reelfall_rig::scripted::{
+use reelfall_testbed::scripted::{
     answer, call, connect, exchange, get, read_request, Discovery, Got, Node, Program, Server,
     PATIENCE,
 };
@@ -381,7 +381,7 @@
 fn a_drained_process_ends_on_sigterm_and_answers_what_it_has() {
     let server = Server::start(|request, _, stream| {
         std::thread::sleep(Duration::from_millis(700));
-        let _ = stream.write_all(&reelfall_rig::scripted::answer_to(request));
+        let _ = stream.write_all(&reelfall_testbed::scripted::answer_to(request));
     });
     let discovery = Discovery::start();
     discovery.list(1, &[("s-1", server.address, "active")]);
--- a/crates/rig/tests/probers.rs
+++ b/crates/testbed/tests/probers.rs
@@ -2,8 +2,8 @@
 
 use reelfall_cluster::entry::ServerInstance;
 use reelfall_cluster::quorum::is_prober;
-use reelfall_rig::fleet::probers::names_that_never_probe;
-use reelfall_rig::fleet::server_name;
+use reelfall_testbed::fleet::probers::names_that_never_probe;
+use reelfall_testbed::fleet::server_name;
 
 const NODES: usize = 7;
 
--- a/crates/rig/tests/reload.rs
+++ b/crates/testbed/tests/reload.rs
@@ -6,10 +6,10 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
-use reelfall_rig::client::{Client, Got};
-use reelfall_rig::node::{Node, PATIENCE};
-use reelfall_rig::pool::{Manner, Server};
-use reelfall_rig::scripted::{self, Program};
+use reelfall_testbed::client::{Client, Got};
+use reelfall_testbed::node::{Node, PATIENCE};
+use reelfall_testbed::pool::{Manner, Server};
+use reelfall_testbed::scripted::{self, Program};
 use std::collections::HashSet;
 use std::fs::{File, OpenOptions};
 use std::future::Future;
--- a/crates/rig/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -1,25 +1,25 @@
 //! Scale runs: their report, their bounds, and small runs of each part.
 
-use reelfall_rig::scale::computation::{self, Computation};
-use reelfall_rig::scale::counters::{per_node, Counters, Meter, Sample, Totals};
-use reelfall_rig::scale::drive::ages;
-use reelfall_rig::scale::hollow::{self, Hollow, Parts, Setup, KINDS};
-use reelfall_rig::scale::limits::{
+use reelfall_testbed::scale::computation::{self, Computation};
+use reelfall_testbed::scale::counters::{per_node, Counters, Meter, Sample, Totals};
+use reelfall_testbed::scale::drive::ages;
+use reelfall_testbed::scale::hollow::{self, Hollow, Parts, Setup, KINDS};
+use reelfall_testbed::scale::limits::{
     memory_of, Deadline, Machine, TooLarge, FILES_RESERVED, RUN_MOST,
 };
-use reelfall_rig::scale::lists::{server_name, Lists, Read, FAILING};
-use reelfall_rig::scale::network::Network;
-use reelfall_rig::scale::record::{Added, Busy, Gathered, ListsInForce, Product, Record};
-use reelfall_rig::scale::report::{
+use reelfall_testbed::scale::lists::{server_name, Lists, Read, FAILING};
+use reelfall_testbed::scale::network::Network;
+use reelfall_testbed::scale::record::{Added, Busy, Gathered, ListsInForce, Product, Record};
+use reelfall_testbed::scale::report::{
     Axis, Bend, PerNode, Projection, Report, RequestTimes, Run, Size, Slope, Source, Times, Traffic,
 };
-use reelfall_rig::scale::shared::{Doing, ZONES};
-use reelfall_rig::scale::window::{
+use reelfall_testbed::scale::shared::{Doing, ZONES};
+use reelfall_testbed::scale::window::{
     measure, moments, schedule, times, until_gathered, Event, Rates, DAY,
 };
-use reelfall_rig::scale::{fleet, machine, smoke, sweep};
-use reelfall_rig::scripted::Program;
-use reelfall_rig::Draw;
+use reelfall_testbed::scale::{fleet, machine, smoke, sweep};
+use reelfall_testbed::scripted::Program;
+use reelfall_testbed::Draw;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -336,7 +336,7 @@
 
 #[test]
 fn a_run_whose_time_is_over_ends_with_a_partial_report_that_says_so() {
-    let folder = reelfall_rig::node::Folder::new().expect("a folder");
+    let folder = reelfall_testbed::node::Folder::new().expect("a folder");
     let single = written(
         &["--nodes", "12", "--real", "0", "--deadline", "0"],
         &folder.path().join("single.json"),
@@ -1057,7 +1057,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn real_nodes_join_the_hollow_ones_and_serve() {
-    use reelfall_rig::scale::real::{request_times, RealNodes};
+    use reelfall_testbed::scale::real::{request_times, RealNodes};
     let network = network(ZONES);
     let program = Program::in_rig(RIG);
     let real = RealNodes::start(&program, 1, &network, SIZE.servers)
--- a/crates/rig/tests/scale_fit.rs
+++ b/crates/testbed/tests/scale_fit.rs
@@ -1,9 +1,9 @@
 //! The statistics of scale runs on data whose answers are known.
 
-use reelfall_rig::scale::fit::{bend, least_squares, projection, residuals, slope, t_bound};
-use reelfall_rig::scale::record::slope_text;
-use reelfall_rig::scale::report::{Axis, Run, Size, Slope, Source};
-use reelfall_rig::scale::{lines, plot, report::PerNode, report::Traffic, sweep};
+use reelfall_testbed::scale::fit::{bend, least_squares, projection, residuals, slope, t_bound};
+use reelfall_testbed::scale::record::slope_text;
+use reelfall_testbed::scale::report::{Axis, Run, Size, Slope, Source};
+use reelfall_testbed::scale::{lines, plot, report::PerNode, report::Traffic, sweep};
 
 /// The first two of Anscombe's data sets ("Graphs in Statistical Analysis", 1973): one line, and in the second a curve.
 const X: [f64; 11] = [10.0, 8.0, 13.0, 9.0, 11.0, 14.0, 6.0, 4.0, 12.0, 7.0, 5.0];
@@ -283,7 +283,7 @@
 
 #[test]
 fn each_sweep_is_a_plot_of_its_own_with_its_points_and_its_line() {
-    let folder = reelfall_rig::node::Folder::new().expect("a folder");
+    let folder = reelfall_testbed::node::Folder::new().expect("a folder");
     let mut slopes = vec![line(&points(&SCATTERED)), line(&points(&CURVED))];
     slopes[0].figure = "control traffic, B/s".to_owned();
     slopes[1].axis = Axis::Restarts;
--- a/crates/rig/tests/services.rs
+++ b/crates/testbed/tests/services.rs
@@ -3,13 +3,13 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
-use reelfall_rig::client::{Client, Got};
-use reelfall_rig::discovery::{Discovery, Listed};
-use reelfall_rig::load::{self, Kind};
-use reelfall_rig::node::Node;
-use reelfall_rig::pool::{Cold, Manner, Pool, Server};
-use reelfall_rig::scenario::services as scenario;
-use reelfall_rig::scripted::{self, Program};
+use reelfall_testbed::client::{Client, Got};
+use reelfall_testbed::discovery::{Discovery, Listed};
+use reelfall_testbed::load::{self, Kind};
+use reelfall_testbed::node::Node;
+use reelfall_testbed::pool::{Cold, Manner, Pool, Server};
+use reelfall_testbed::scenario::services as scenario;
+use reelfall_testbed::scripted::{self, Program};
 use std::io::Write;
 use std::time::{Duration, Instant};
 
--- a/crates/rig/tests/settings_file.rs
+++ b/crates/testbed/tests/settings_file.rs
@@ -2,8 +2,8 @@
 
 use reelfall_config::model::Source;
 use reelfall_config::{check, reader, Plan};
-use reelfall_rig::scale::report::Size;
-use reelfall_rig::scale::settings::settings_file;
+use reelfall_testbed::scale::report::Size;
+use reelfall_testbed::scale::settings::settings_file;
 
 /// The whole size, scaled down.
 const SCALE: usize = 20;
--- a/crates/rig/tests/stand_ins.rs
+++ b/crates/testbed/tests/stand_ins.rs
@@ -3,10 +3,10 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
-use reelfall_rig::client::Client;
-use reelfall_rig::link::Link;
-use reelfall_rig::load::{self, Kind};
-use reelfall_rig::pool::{Manner, Pool, Server};
+use reelfall_testbed::client::Client;
+use reelfall_testbed::link::Link;
+use reelfall_testbed::load::{self, Kind};
+use reelfall_testbed::pool::{Manner, Pool, Server};
 use std::time::{Duration, Instant};
 
 fn get(id: &str) -> Request<Full<Bytes>> {
--- a/crates/rig/tests/streams.rs
+++ b/crates/testbed/tests/streams.rs
@@ -1,7 +1,7 @@
 //! Bodies and answers that flow through the real program in pieces, over loopback sockets.
 
-use reelfall_rig::node::memory_kib;
-use reelfall_rig::scripted::{
+use reelfall_testbed::node::memory_kib;
+use reelfall_testbed::scripted::{
     connect, get, write_request, Discovery, Message, Node, Program, Server,
 };
 use std::io::{BufRead, BufReader, Read, Write};
@@ -153,7 +153,7 @@
     let (_discovery, node) = node(server);
     let mut stream = connect(node.address);
     // The deadline is 6 s, and the answer takes 8; a connection without a request would be closed after 5.
-    let request = reelfall_rig::scripted::read_request("slow").replace("6.0", "1.0");
+    let request = reelfall_testbed::scripted::read_request("slow").replace("6.0", "1.0");
     stream.write_all(request.as_bytes()).unwrap();
     let mut reader = BufReader::new(stream);
     assert!(head(&mut reader).starts_with("HTTP/1.1 200"));
--- a/crates/rig/tests/together.rs
+++ b/crates/testbed/tests/together.rs
@@ -7,9 +7,9 @@
     command, late, none_broken, rest, start, turn, until_explained, until_left, until_sent, warm,
     SECOND,
 };
-use reelfall_rig::fleet::probers::names_that_never_probe;
-use reelfall_rig::fleet::schedule::{drawn, play, Step};
-use reelfall_rig::fleet::{check, server_name, Made};
+use reelfall_testbed::fleet::probers::names_that_never_probe;
+use reelfall_testbed::fleet::schedule::{drawn, play, Step};
+use reelfall_testbed::fleet::{check, server_name, Made};
 use std::time::Duration;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/crates/rig/tests/torn.rs
+++ b/crates/testbed/tests/torn.rs
@@ -8,11 +8,11 @@
     late, none_broken, rest, start, turn, until_errors_reported, until_explained, until_left,
     until_sent, warm, SECOND,
 };
-use reelfall_rig::discovery::Listed;
-use reelfall_rig::fleet::history::Event;
-use reelfall_rig::fleet::probers::names_that_never_probe;
-use reelfall_rig::fleet::schedule::{play, Step};
-use reelfall_rig::fleet::{check, server_name, Made, Rig};
+use reelfall_testbed::discovery::Listed;
+use reelfall_testbed::fleet::history::Event;
+use reelfall_testbed::fleet::probers::names_that_never_probe;
+use reelfall_testbed::fleet::schedule::{play, Step};
+use reelfall_testbed::fleet::{check, server_name, Made, Rig};
 use std::collections::BTreeSet;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
