--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -269,7 +269,7 @@
 async fn run(cli: Cli) -> Result<bool> {
     let program = match cli.node {
         Some(path) => Program::alone(path),
-        None => Program::in_rig(std::env::current_exe()?),
+        None => Program::in_testbed(std::env::current_exe()?),
     };
     match cli.command {
         Command::Pool {
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -27,7 +27,7 @@
 
 impl Program {
     /// The node that is part of the rig's own program at `path`.
-    pub fn in_rig(path: impl Into<PathBuf>) -> Program {
+    pub fn in_testbed(path: impl Into<PathBuf>) -> Program {
         Program {
             path: path.into(),
             args: vec!["node".to_owned()],
@@ -61,7 +61,7 @@
     pub fn new() -> Result<Folder> {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let n = NEXT.fetch_add(1, Ordering::Relaxed);
-        let path = std::env::temp_dir().join(format!("reelfall-rig-{}-{n}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("reelfall-testbed-{}-{n}", std::process::id()));
         std::fs::create_dir_all(&path)?;
         Ok(Folder(path))
     }
--- a/crates/testbed/tests/connection_bound.rs
+++ b/crates/testbed/tests/connection_bound.rs
@@ -18,7 +18,7 @@
     let discovery = Discovery::start();
     discovery.list(1, &[("s-1", server.address, "active")]);
     let node = Node::start(
-        &Program::in_rig(env!("CARGO_BIN_EXE_reelfall-rig")),
+        &Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed")),
         discovery.address,
         SOCKETS,
     );
--- a/crates/testbed/tests/discovery.rs
+++ b/crates/testbed/tests/discovery.rs
@@ -14,7 +14,7 @@
 const TOLD_WITHIN: Duration = Duration::from_secs(6);
 
 fn program() -> Program {
-    Program::in_rig(env!("CARGO_BIN_EXE_reelfall-rig"))
+    Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"))
 }
 
 fn chunk(text: &str) -> String {
--- a/crates/testbed/tests/endings.rs
+++ b/crates/testbed/tests/endings.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 fn program() -> Program {
-    Program::in_rig(env!("CARGO_BIN_EXE_reelfall-rig"))
+    Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"))
 }
 
 fn before(server: SocketAddr) -> (Discovery, Node) {
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 fn program() -> Program {
-    Program::in_rig(env!("CARGO_BIN_EXE_reelfall-rig"))
+    Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"))
 }
 
 fn until(what: &str, mut done: impl FnMut() -> bool) {
--- a/crates/testbed/tests/fleets/mod.rs
+++ b/crates/testbed/tests/fleets/mod.rs
@@ -13,7 +13,7 @@
 const LEFT: Duration = Duration::from_millis(500);
 
 pub fn program() -> Program {
-    Program::in_rig(env!("CARGO_BIN_EXE_reelfall-rig"))
+    Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"))
 }
 
 pub async fn start(made: Made) -> Rig {
--- a/crates/testbed/tests/graphql.rs
+++ b/crates/testbed/tests/graphql.rs
@@ -25,7 +25,7 @@
 async fn running(manner: Manner, app: &App, settings: impl Fn(&Pool) -> String) -> (Node, Pool) {
     let pool = Pool::running("g", 4, 16, manner, 3, app).await.unwrap();
     let settings = settings(&pool);
-    let program = Program::in_rig(env!("CARGO_BIN_EXE_reelfall-rig"));
+    let program = Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"));
     let node = Node::start(&program, &settings).await.unwrap();
     node.until_health("/_health", true).await.unwrap();
     (node, pool)
@@ -526,7 +526,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_scenario_keeps_its_promises() {
     use reelfall_testbed::scenario::graphql::{run, Scale};
-    let program = Program::in_rig(env!("CARGO_BIN_EXE_reelfall-rig"));
+    let program = Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"));
     let report = run(&program, Scale::SMALL).await.unwrap();
     assert!(report.pass(), "{:#?}", report.broken());
 }
--- a/crates/testbed/tests/membership.rs
+++ b/crates/testbed/tests/membership.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 fn program() -> Program {
-    Program::in_rig(env!("CARGO_BIN_EXE_reelfall-rig"))
+    Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"))
 }
 
 /// What a request takes at a server that is much slower than the others.
--- a/crates/testbed/tests/operations.rs
+++ b/crates/testbed/tests/operations.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 fn program() -> Program {
-    Program::in_rig(env!("CARGO_BIN_EXE_reelfall-rig"))
+    Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"))
 }
 
 /// A node before two servers.
--- a/crates/testbed/tests/reload.rs
+++ b/crates/testbed/tests/reload.rs
@@ -27,7 +27,7 @@
 use settings::{Size, HEAD};
 
 fn program() -> Program {
-    Program::in_rig(env!("CARGO_BIN_EXE_reelfall-rig"))
+    Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"))
 }
 
 /// What should come soon comes.
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -31,7 +31,7 @@
 /// No wait in these tests is longer; a passing one needs a small part of it.
 const PATIENCE: Duration = Duration::from_secs(60);
 
-const RIG: &str = env!("CARGO_BIN_EXE_reelfall-rig");
+const RIG: &str = env!("CARGO_BIN_EXE_reelfall-testbed");
 
 const SIZE: Size = Size {
     nodes: 12,
@@ -1059,7 +1059,7 @@
 async fn real_nodes_join_the_hollow_ones_and_serve() {
     use reelfall_testbed::scale::real::{request_times, RealNodes};
     let network = network(ZONES);
-    let program = Program::in_rig(RIG);
+    let program = Program::in_testbed(RIG);
     let real = RealNodes::start(&program, 1, &network, SIZE.servers)
         .await
         .expect("a real node");
--- a/crates/testbed/tests/services.rs
+++ b/crates/testbed/tests/services.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 fn program() -> Program {
-    Program::in_rig(env!("CARGO_BIN_EXE_reelfall-rig"))
+    Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"))
 }
 
 const HEAD: &str = "[[listener]]\nname = \"client\"\naddress = \"127.0.0.1:0\"\n";
--- a/crates/testbed/tests/streams.rs
+++ b/crates/testbed/tests/streams.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 fn program() -> Program {
-    Program::in_rig(env!("CARGO_BIN_EXE_reelfall-rig"))
+    Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"))
 }
 
 fn node(server: SocketAddr) -> (Discovery, Node) {
