--- a/crates/balancer/src/decide/admission.rs
+++ b/crates/balancer/src/decide/admission.rs
@@ -29,7 +29,7 @@
     /// This node's part of the traffic: that of one among all, or what it has of what the tenants may send
     /// where that is more: others may be gone.
     pub(super) fn traffic_part(&self) -> f64 {
-        let alike = 1.0 / f64::from(self.settings.replicas);
+        let alike = 1.0 / f64::from(self.settings.node_count);
         [alike, (self.arrivals / self.quota).clamp(alike, 1.0)][usize::from(self.quota > 0.0)]
     }
 
@@ -113,29 +113,30 @@
     fn value(&self, row: usize) -> f64 {
         let density = |row: usize| {
             let class = &self.settings.classes[row / 2];
-            let per = if self.settings.worth_by_work {
+            let per = if self.settings.weight_per_work {
                 1.0
             } else {
                 self.class_work[row / 2]
             };
             let share = if row % 2 == 1 {
-                self.settings.over_share_worth
+                self.settings.over_quota_weight
             } else {
                 1.0
             };
-            class.worth / per * share
+            class.priority_weight / per * share
         };
         let all: f64 = (0..self.tally.len())
             .map(|o| density(o) * self.tally[o].asked)
             .sum();
         let served =
             |row: usize| self.tally[row].served / self.tally[row].asked.max(f64::MIN_POSITIVE);
-        let mut value = self.settings.goal.overall * density(row) / all.max(f64::MIN_POSITIVE);
+        let mut value = self.settings.objective.overall * density(row) / all.max(f64::MIN_POSITIVE);
         let worst = (0..self.tally.len())
             .step_by(2)
             .all(|o| served(row) <= served(o));
         if row.is_multiple_of(2) && worst {
-            value += self.settings.goal.worst_class / self.tally[row].asked.max(f64::MIN_POSITIVE);
+            value +=
+                self.settings.objective.worst_class / self.tally[row].asked.max(f64::MIN_POSITIVE);
         }
         value
     }
--- a/crates/balancer/src/decide/cold.rs
+++ b/crates/balancer/src/decide/cold.rs
@@ -17,11 +17,11 @@
     /// The least share of its capacity that a fresh server has by now.
     pub(super) fn warmth(&self, s: &Server, now: Time) -> f64 {
         let rules = &self.settings.rules;
-        let age = (now - s.entry.ready_at).max(0.0);
-        if s.entry.ready_at <= 0.0 || age >= rules.warm_after {
+        let age = (now - s.entry.started_at).max(0.0);
+        if s.entry.started_at <= 0.0 || age >= rules.slow_start_duration {
             return 1.0;
         }
-        rules.cold_from + (1.0 - rules.cold_from) * age / rules.warm_after
+        rules.initial_capacity + (1.0 - rules.initial_capacity) * age / rules.slow_start_duration
     }
 
     /// Slow start: a cold server's draws shrink with its capacity, and stop beyond this node's part of what
@@ -42,7 +42,7 @@
         let kinds = self
             .servers
             .iter()
-            .map(|s| usize::from(s.entry.kind) + 1)
+            .map(|s| usize::from(s.entry.machine_type) + 1)
             .max()
             .unwrap_or(0);
         let mut sums = vec![(0.0, 0.0); kinds];
@@ -52,7 +52,7 @@
             .zip(&self.automaton.average)
             .filter(|(s, _)| s.own)
         {
-            let k = &mut sums[usize::from(s.entry.kind)];
+            let k = &mut sums[usize::from(s.entry.machine_type)];
             *k = (k.0 + 1.0, k.1 + average);
         }
         let all = sums.iter().fold((0.0, 0.0), |a, k| (a.0 + k.0, a.1 + k.1));
@@ -81,11 +81,12 @@
             let warmth = self.warmth(&self.servers[i], now);
             if warmth < 1.0 {
                 let s = &mut self.servers[i];
-                let size = f64::from(s.own) * listed(self.settings.weighted, s.entry.weight / size);
-                let nodes = nodes * f64::from(s.entry.sharers.max(1));
-                let size = size * pace[usize::from(s.entry.kind)];
+                let size = f64::from(s.own)
+                    * listed(self.settings.has_server_weights, s.entry.weight / size);
+                let nodes = nodes * f64::from(s.entry.local_balancers.max(1));
+                let size = size * pace[usize::from(s.entry.machine_type)];
                 let rate = rules.overload_factor * self.bearable * warmth * size / nodes;
-                s.most = typical + (COLD_PART[3] - part) * rate * rules.tip_after;
+                s.most = typical + (COLD_PART[3] - part) * rate * rules.overload_window;
                 s.budget += part * rate * dt;
                 s.budget -= typical * ((s.budget - s.most) / typical).ceil().max(0.0);
             }
--- a/crates/balancer/src/decide/draw.rs
+++ b/crates/balancer/src/decide/draw.rs
@@ -35,7 +35,7 @@
         let near = self.settings.zone;
         let size = self.mean_size();
         let mean = self.mean_by(now, |p| p);
-        let safe = |c: &Class| c.effect == Effect::Idempotent;
+        let safe = |c: &Class| c.idempotency == Idempotency::Idempotent;
         let risky = !safe(&self.settings.classes[r.class as usize])
             && self.settings.classes.iter().any(safe);
         for healthy in [true, false] {
@@ -68,7 +68,7 @@
             if total > 0.0 {
                 let sticky = self
                     .settings
-                    .warm_keys
+                    .has_key_affinity
                     .then_some(r.key)
                     .flatten()
                     .filter(|k| !self.hot(*k));
@@ -86,22 +86,24 @@
     /// there, against the server's listed size where the list tells one. A node that has few out, as among a
     /// hundred, is hardly touched by this.
     pub(super) fn room(&self, s: &Server, mean: f64) -> f64 {
-        (1.0 + f64::from(s.open) / listed(self.settings.weighted, s.entry.weight / mean))
+        (1.0 + f64::from(s.open) / listed(self.settings.has_server_weights, s.entry.weight / mean))
             .powi(-QUEUE_SHY)
     }
 
     /// A keyed request that may have run goes only where its repeat is dropped.
     fn may_take(&self, s: &Server, r: &Request) -> bool {
-        match (self.settings.classes[r.class as usize].effect, r.ran) {
+        match (self.settings.classes[r.class as usize].idempotency, r.ran) {
             (
-                Effect::Keyed {
-                    group: Group::Zone, ..
+                Idempotency::Keyed {
+                    scope: KeyScope::Zone,
+                    ..
                 },
                 Some((zone, ..)),
             ) => s.entry.zone == zone,
             (
-                Effect::Keyed {
-                    group: Group::Cell, ..
+                Idempotency::Keyed {
+                    scope: KeyScope::Cell,
+                    ..
                 },
                 Some((_, cell, _)),
             ) => s.entry.cell == cell,
--- a/crates/balancer/src/decide/health.rs
+++ b/crates/balancer/src/decide/health.rs
@@ -25,7 +25,7 @@
         // One that ends while its body comes has waited for nothing.
         let (sent, waited) = (out.sent.min(now), (now - out.sent).max(0.0));
         let (aim, class) = (
-            self.settings.classes[r.class as usize].aim,
+            self.settings.classes[r.class as usize].latency_objective,
             r.class as usize,
         );
         let s = &mut self.servers[i];
@@ -34,7 +34,7 @@
         let suspect = !s.sound && !self.common;
         let (response, far) = (waited / r.size, self.far(i));
         match outcome {
-            Outcome::Delivered => {
+            Outcome::Served => {
                 self.missed[far] += MISSED_STEP * (f64::from(waited > aim) - self.missed[far]);
                 let s = &mut self.servers[i];
                 s.heard = s.heard.max(sent);
@@ -54,11 +54,11 @@
                     self.class_work[class] += 0.02 * (waited - self.class_work[class]);
                 }
             }
-            Outcome::Unused | Outcome::Revoked => return,
+            Outcome::NotSent | Outcome::Cancelled => return,
             // The client's time was short: that tells nothing of the server but that it takes longer, and
             // nothing of the load. Taken for failures, a few hurried clients would eject a sound fleet.
-            Outcome::Expired if self.servers[i].heard > out.sent => return,
-            Outcome::Expired if waited < (OVERDUE * mean * r.size).min(aim) => {
+            Outcome::TimedOut if self.servers[i].heard > out.sent => return,
+            Outcome::TimedOut if waited < (OVERDUE * mean * r.size).min(aim) => {
                 return self
                     .automaton
                     .observe(i, response.max(self.automaton.average[i]));
@@ -68,21 +68,21 @@
                 self.automaton.observe(i, waited.max(aim) / r.size);
                 // One broken connection, spoilt or overlong answer can come from any server; the second in a
                 // row, silence to the end, or an error that the server itself states tells of a sick one.
-                let again =
-                    self.servers[i].strikes > u32::from(out.overdue) || outcome == Outcome::Expired;
-                let failing = outcome == Outcome::Error || (outcome != Outcome::Shed && again);
+                let again = self.servers[i].strikes > u32::from(out.overdue)
+                    || outcome == Outcome::TimedOut;
+                let failing = outcome == Outcome::Error || (outcome != Outcome::Rejected && again);
                 let silent = self.servers[i].strikes > 1 + u32::from(out.overdue);
                 let dead =
-                    outcome == Outcome::DialFailed || (silent && outcome == Outcome::Expired);
+                    outcome == Outcome::ConnectFailed || (silent && outcome == Outcome::TimedOut);
                 self.strike(now, i, failing, dead);
             }
         }
-        let late = outcome != Outcome::Delivered
+        let late = outcome != Outcome::Served
             || waited > early(aim, self.base * r.size).max(LATE_FROM * aim);
         // What a server already known to fail does says nothing of the fleet's load.
         let told = matches!(
             outcome,
-            Outcome::Error | Outcome::Dropped | Outcome::DialFailed
+            Outcome::Error | Outcome::ConnectionLost | Outcome::ConnectFailed
         );
         if !late || (!suspect && !out.overdue && !told) {
             self.pressure(now, late);
@@ -100,7 +100,7 @@
         let base = if failing {
             4.0 * self.shortest(|c| c.deadline)
         } else {
-            self.shortest(|c| c.aim)
+            self.shortest(|c| c.latency_objective)
         };
         let jitter = 0.75 + 0.5 * self.random();
         let cap = f64::from(dead) * DEAD_CAP * self.servers.len() as f64;
@@ -137,7 +137,7 @@
             let Some(out) = r.out.as_mut().filter(|o| !o.overdue) else {
                 continue;
             };
-            let aim = self.settings.classes[r.class as usize].aim;
+            let aim = self.settings.classes[r.class as usize].latency_objective;
             if now - out.sent > (OVERDUE * mean * r.size).clamp(early(aim, self.base * r.size), aim)
             {
                 out.overdue = true;
--- a/crates/balancer/src/decide/list.rs
+++ b/crates/balancer/src/decide/list.rs
@@ -19,22 +19,22 @@
     pub(super) fn members(
         &mut self,
         now: Time,
-        list: ListKind,
-        entries: Vec<Entry>,
+        list: UpdateKind,
+        entries: Vec<Endpoint>,
         actions: &mut Vec<Action>,
     ) {
-        if list == ListKind::Failed {
+        if list == UpdateKind::Failed {
             self.subscribed = false;
             let after = self.backoff * (0.5 + 0.5 * self.random());
             self.backoff = (self.backoff * 2.0).min(BACKOFF_MOST);
-            actions.push(Action::Timer { after, tag: WATCH });
+            actions.push(Action::StartTimer { after, tag: WATCH });
             return;
         }
-        if list != ListKind::Cached {
+        if list != UpdateKind::Cached {
             (self.subscribed, self.backoff) = (true, 1.0);
         }
         let mut sums = self.list_sums(now);
-        if list != ListKind::Delta {
+        if list != UpdateKind::Delta {
             let mut listed: Vec<ServerId> = entries.iter().map(|e| e.server).collect();
             listed.sort_unstable();
             for i in (0..self.servers.len()).rev() {
@@ -48,12 +48,12 @@
             match self.slot.get(e.server) {
                 // A drain is kept at once, not at the end of its grace.
                 Some(i) if e.state != ServerState::Up => self.leave(now, i, &mut sums),
-                Some(i) if self.servers[i].entry.ready_at < e.ready_at => {
+                Some(i) if self.servers[i].entry.started_at < e.started_at => {
                     self.leave(now, i, &mut sums);
                     self.join(now, e, &mut sums);
                 }
                 Some(i) => {
-                    sums.relist(i, e.kind, e.weight);
+                    sums.relist(i, e.machine_type, e.weight);
                     self.servers[i].entry = e;
                 }
                 None if e.state == ServerState::Up => self.join(now, e, &mut sums),
@@ -67,7 +67,11 @@
 
     fn list_sums(&self, now: Time) -> ListSums {
         let line = |(s, average): (&Server, &f64)| {
-            let Entry { kind, weight, .. } = s.entry;
+            let Endpoint {
+                machine_type: kind,
+                weight,
+                ..
+            } = s.entry;
             Line {
                 own: s.own,
                 kind,
@@ -90,7 +94,11 @@
         sums.leave(i);
         let average = self.automaton.average.swap_remove(i);
         let gone = self.servers.swap_remove(i);
-        let Entry { hash, ready_at, .. } = gone.entry;
+        let Endpoint {
+            hash,
+            started_at: ready_at,
+            ..
+        } = gone.entry;
         self.left
             .retain(|l| l.hash != hash && now - l.at < LEFT_FOR);
         if self.left.len() >= LEFT_MOST {
@@ -111,14 +119,14 @@
     }
 
     /// A new entry starts from what its kind showed, and from its listed weight before anything was shown.
-    fn join(&mut self, now: Time, entry: Entry, sums: &mut ListSums) {
+    fn join(&mut self, now: Time, entry: Endpoint, sums: &mut ListSums) {
         let r = self.servers.len() as f64;
         let own = self.owns(entry.hash, self.block(r + 1.0));
         let (mut share, mut average) = (1.0, self.typical);
-        if let Some((p, seen)) = sums.means_of_kin(own, entry.kind) {
+        if let Some((p, seen)) = sums.means_of_kin(own, entry.machine_type) {
             (share, average) = (r * p, seen);
         } else if let Some((p, size)) = sums.mean_of_part(own).zip(sums.mean_weight()) {
-            share = r * p * listed(self.settings.weighted, entry.weight / size);
+            share = r * p * listed(self.settings.has_server_weights, entry.weight / size);
         }
         // Guards what was learned against a server that is off the list for a moment, and the budget of a
         // cold one against being drawn anew at each return. Harm: one that went for a reason is taken for
@@ -126,7 +134,7 @@
         let known = self
             .left
             .iter()
-            .position(|l| l.hash == entry.hash && l.ready_at == entry.ready_at);
+            .position(|l| l.hash == entry.hash && l.ready_at == entry.started_at);
         let known = known
             .and_then(|n| self.left.remove(n))
             .filter(|l| now - l.at < LEFT_FOR);
@@ -140,7 +148,11 @@
             };
             (share, average) = (l.share, l.average.min(most));
         }
-        let Entry { kind, weight, .. } = entry;
+        let Endpoint {
+            machine_type: kind,
+            weight,
+            ..
+        } = entry;
         let line = Line {
             own,
             kind,
--- a/crates/balancer/src/decide/mod.rs
+++ b/crates/balancer/src/decide/mod.rs
@@ -25,7 +25,7 @@
 use crate::chance::stride;
 use crate::index::Index;
 use crate::interface::*;
-use crate::settings::check;
+use crate::settings::{check, SettingsError};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// How fast the unloaded response may rise a second, so that a slower fleet becomes the rule in a minute; and
@@ -40,13 +40,13 @@
     ///
     /// # Errors
     /// Says which setting cannot be used.
-    pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, String> {
+    pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
         check(&settings, now)?;
         let n = settings.classes.len();
         let first_guess = settings
             .classes
             .iter()
-            .map(|c| c.aim)
+            .map(|c| c.latency_objective)
             .fold(f64::MAX, f64::min)
             / 4.0;
         Ok(Balancer {
@@ -61,7 +61,7 @@
             class_work: vec![first_guess; n],
             typical: first_guess,
             tenants: vec![(f64::NAN, now); settings.tenants.len()],
-            stride: stride(u64::from(settings.replicas)),
+            stride: stride(u64::from(settings.node_count)),
             quota: settings.tenants.iter().map(|t| t.quota.max(0.0)).sum(),
             came: 0.0,
             arrivals: 0.0,
@@ -94,49 +94,47 @@
     }
 
     /// What it has learned.
-    pub fn learned(&self, now: Time) -> Learned {
+    pub fn learned(&self, now: Time) -> LearnedState {
         let r = self.servers.len() as f64;
         let of = |(i, s): (usize, &Server)| LearnedServer {
             hash: s.entry.hash,
-            ready_at: s.entry.ready_at,
-            share: self.automaton.p[i] * r,
-            average: self.automaton.average[i],
-            budget: s.budget,
-            out_for: (s.ejected_until - now).max(0.0),
+            started_at: s.entry.started_at,
+            relative_probability: self.automaton.p[i] * r,
+            mean_response: self.automaton.average[i],
+            slow_start_credit: s.budget,
+            ejected_for: (s.ejected_until - now).max(0.0),
         };
-        Learned {
+        LearnedState {
             servers: self.servers.iter().enumerate().map(of).collect(),
             class_work: self.class_work.clone(),
-            typical: self.typical,
-            base: self.base,
-            bearable: self.bearable,
-            admit: self.admit.min(1.0),
-            spill: self.spill,
+            typical_work: self.typical,
+            unloaded_response: self.base,
+            sustainable_work_rate: self.bearable,
+            admitted_share: self.admit.min(1.0),
+            zone_spill_weight: self.spill,
         }
     }
 
     /// Begins with what another has learned, after the first list. Figures that can be none are left.
-    pub fn adopt(&mut self, now: Time, learned: &Learned) {
+    pub fn adopt(&mut self, now: Time, learned: &LearnedState) {
         let fine = |x: f64| x.is_finite() && x > 0.0;
         let r = self.servers.len() as f64;
         // Zeros of either sign are equal.
         let start = |hash: u64, ready_at: Time| (hash, (ready_at + 0.0).to_bits());
         let starts = self.servers.iter().enumerate().rev();
         let places: HashMap<_, _> = starts
-            .map(|(i, s)| (start(s.entry.hash, s.entry.ready_at), i))
+            .map(|(i, s)| (start(s.entry.hash, s.entry.started_at), i))
             .collect();
-        for l in learned
-            .servers
-            .iter()
-            .filter(|l| fine(l.share) && fine(l.average) && l.budget.is_finite())
-        {
+        for l in learned.servers.iter().filter(|l| {
+            fine(l.relative_probability) && fine(l.mean_response) && l.slow_start_credit.is_finite()
+        }) {
             let LearnedServer {
                 hash,
-                ready_at,
-                share,
-                average,
-                budget,
-                out_for,
+                started_at: ready_at,
+                relative_probability: share,
+                mean_response: average,
+                slow_start_credit: budget,
+                ejected_for: out_for,
             } = *l;
             match places.get(&start(hash, ready_at)).copied() {
                 Some(i) => {
@@ -165,21 +163,21 @@
             self.class_work.clone_from(&learned.class_work);
         }
         let figures = [
-            (&mut self.typical, learned.typical),
-            (&mut self.base, learned.base),
-            (&mut self.bearable, learned.bearable),
+            (&mut self.typical, learned.typical_work),
+            (&mut self.base, learned.unloaded_response),
+            (&mut self.bearable, learned.sustainable_work_rate),
         ];
         figures
             .into_iter()
             .filter(|(_, new)| fine(*new))
             .for_each(|(old, new)| *old = new);
-        self.admit = if fine(learned.admit) {
-            learned.admit.clamp(ADMIT_MIN, 1.0)
+        self.admit = if fine(learned.admitted_share) {
+            learned.admitted_share.clamp(ADMIT_MIN, 1.0)
         } else {
             1.0
         };
-        self.spill = if fine(learned.spill) {
-            learned.spill.clamp(SPILL_MIN, 1.0)
+        self.spill = if fine(learned.zone_spill_weight) {
+            learned.zone_spill_weight.clamp(SPILL_MIN, 1.0)
         } else {
             SPILL_MIN
         };
@@ -194,30 +192,36 @@
             self.start(actions);
         }
         match event {
-            Event::Members { list, entries } => self.members(now, list, entries, actions),
+            Event::EndpointUpdate {
+                kind: list,
+                endpoints: entries,
+            } => self.members(now, list, entries, actions),
             Event::Request {
                 request,
                 class,
                 tenant,
-                hint,
+                work_hint: hint,
                 key,
-                left,
+                remaining: left,
             } => self.arrive(now, request, class, tenant, hint, key, left, actions),
-            Event::Outcome {
+            Event::AttemptEnded {
                 request,
                 attempt,
                 server,
                 outcome,
-                ended,
+                request_ended: ended,
                 ..
             } => self.outcome(now, request, attempt, server, outcome, ended, actions),
-            Event::Upload { request, left } => self.upload(now, request, left),
-            Event::Told {
+            Event::Upload {
+                request,
+                remaining: left,
+            } => self.upload(now, request, left),
+            Event::PeerVerdict {
                 server,
                 until,
-                tries,
+                is_prober: tries,
             } => self.told(server, until, tries),
-            Event::FirstByte { request, .. } | Event::Gone { request } => {
+            Event::ResponseStarted { request, .. } | Event::ClientGone { request } => {
                 if let Some(r) = self.requests.get_mut(&request) {
                     r.answered = true;
                     if r.out.is_none() {
@@ -227,23 +231,23 @@
             }
             Event::Timer { tag: SWEEP } => self.sweep(now, actions),
             Event::Timer { tag: WATCH } if !self.subscribed => actions.push(Action::Watch),
-            Event::Timer { .. } | Event::Probed { .. } => {}
+            Event::Timer { .. } | Event::HealthChecked { .. } => {}
         }
     }
 
     fn start(&mut self, actions: &mut Vec<Action>) {
         self.started = true;
         let after = self.sweep_period() * (0.5 + self.random());
-        actions.push(Action::Timer { after, tag: SWEEP });
-        if self.settings.discovery == Discovery::Ask {
+        actions.push(Action::StartTimer { after, tag: SWEEP });
+        if self.settings.discovery == Discovery::Poll {
             // All nodes start together; a fifth of the time in which they must ask spreads their calls.
-            let after = self.random() * self.settings.rules.must_ask_in / 5.0;
-            actions.push(Action::Timer { after, tag: WATCH });
+            let after = self.random() * self.settings.rules.max_poll_interval / 5.0;
+            actions.push(Action::StartTimer { after, tag: WATCH });
         }
     }
 
     fn sweep(&mut self, now: Time, actions: &mut Vec<Action>) {
-        actions.push(Action::Timer {
+        actions.push(Action::StartTimer {
             after: self.sweep_period(),
             tag: SWEEP,
         });
@@ -261,7 +265,7 @@
     }
 
     fn sweep_period(&self) -> Time {
-        (self.shortest(|c| c.aim) / 3.0).max(self.settings.tick)
+        (self.shortest(|c| c.latency_objective) / 3.0).max(self.settings.clock_resolution)
     }
 
     /// What needs no haste: rates, tallies, the zone's spill, kin.
@@ -295,7 +299,7 @@
         self.bearable = borne
             .max(self.bearable * (1.0 - BASE_CREEP * dt))
             .max(COLD_PRIOR);
-        let gain = self.missed[0] - self.missed[1] - self.settings.prices.cross_zone;
+        let gain = self.missed[0] - self.missed[1] - self.settings.costs.cross_zone;
         self.spill = (self.spill * (SPILL_PACE * gain * dt).exp()).clamp(SPILL_MIN, 1.0);
         let mean = self.mean(now);
         self.base = if mean < self.base {
--- a/crates/balancer/src/decide/part.rs
+++ b/crates/balancer/src/decide/part.rs
@@ -16,9 +16,9 @@
     /// have their share of what the tenants may send. All of them where that is not known, or nodes are not
     /// told from each other: they would have one part.
     pub(super) fn block(&self, r: f64) -> u32 {
-        let n = f64::from(self.settings.replicas);
-        if self.settings.number.is_none() || self.quota <= 0.0 || n < 2.0 * PART_LEAST {
-            return self.settings.replicas;
+        let n = f64::from(self.settings.node_count);
+        if self.settings.node_index.is_none() || self.quota <= 0.0 || n < 2.0 * PART_LEAST {
+            return self.settings.node_count;
         }
         let part = (self.quota / n / VISITS).max(PART_LEAST);
         (n * part / r.max(1.0)).clamp(2.0 * PART_LEAST, n).ceil() as u32
@@ -28,16 +28,16 @@
     /// scatters neighbours: all have as many nodes, a new one moves no other, and a zone's nodes gone are
     /// missed by all alike.
     pub(super) fn owns(&self, hash: u64, block: u32) -> bool {
-        let n = u64::from(self.settings.replicas);
+        let n = u64::from(self.settings.node_count);
         let first = (fraction(hash) * n as f64) as u64;
-        let place = u64::from(self.settings.number.unwrap_or(0)) * self.stride;
+        let place = u64::from(self.settings.node_index.unwrap_or(0)) * self.stride;
         (place + n - first) % n < u64::from(block)
     }
 
     /// Concentrates the vector on this node's part: at the start by listed size, later as the part changes.
     pub(super) fn part(&mut self, fresh: bool) {
         let block = self.block(self.servers.len() as f64);
-        if block >= self.settings.replicas && self.servers.iter().all(|s| s.own) {
+        if block >= self.settings.node_count && self.servers.iter().all(|s| s.own) {
             return;
         }
         let owned: Vec<bool> = self
@@ -56,7 +56,10 @@
         for (i, own) in owned.into_iter().enumerate() {
             let p = &mut self.automaton.p[i];
             if fresh {
-                let listed = listed(self.settings.weighted, self.servers[i].entry.weight / size);
+                let listed = listed(
+                    self.settings.has_server_weights,
+                    self.servers[i].entry.weight / size,
+                );
                 *p = if own { listed } else { 0.0 };
             } else if own != self.servers[i].own {
                 *p = if own { mean } else { 0.0 };
--- a/crates/balancer/src/decide/request.rs
+++ b/crates/balancer/src/decide/request.rs
@@ -26,7 +26,7 @@
         }
         let c = class as usize;
         if c >= self.settings.classes.len() || !left.is_finite() || left <= 0.0 {
-            return actions.push(Action::Refuse {
+            return actions.push(Action::Reject {
                 request: id,
                 retry_after: None,
             });
@@ -55,7 +55,7 @@
             row,
             ..Request::default()
         };
-        let share = self.settings.limits.retry_share;
+        let share = self.settings.limits.retry_budget_ratio;
         self.retries =
             (self.retries + share).min((share * self.arrivals).clamp(SAVED_LEAST, SAVED_MOST));
         self.requests.insert(id, request);
@@ -68,7 +68,7 @@
     fn refuse(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let longest = self.settings.limits.max_retry_after;
         let retry_after = (longest > 0.0).then(|| longest * (0.5 + 0.5 * self.random()));
-        actions.push(Action::Refuse {
+        actions.push(Action::Reject {
             request: id,
             retry_after,
         });
@@ -132,7 +132,7 @@
         };
         let never_ran = matches!(
             outcome,
-            Outcome::Shed | Outcome::DialFailed | Outcome::Unused
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
         );
         self.learn(now, &r, &out, outcome);
         if !never_ran && r.ran.is_none() {
@@ -145,16 +145,16 @@
         }
         let room = r.deadline - now > self.mean(now) * r.size / 2.0;
         let may = room
-            && outcome != Outcome::Unused
+            && outcome != Outcome::NotSent
             && r.made < self.settings.limits.max_attempts
             && self.retries >= 1.0
             && self.repeatable(now, &r);
         let class = &self.settings.classes[r.class as usize];
         let all = matches!(
-            class.effect,
-            Effect::Idempotent
-                | Effect::Keyed {
-                    group: Group::All,
+            class.idempotency,
+            Idempotency::Idempotent
+                | Idempotency::Keyed {
+                    scope: KeyScope::All,
                     ..
                 }
         );
@@ -184,10 +184,10 @@
 
     /// Whether another attempt keeps "no effect twice"; where it may go is `draw`'s to mask.
     fn repeatable(&self, now: Time, r: &Request) -> bool {
-        match (self.settings.classes[r.class as usize].effect, r.ran) {
-            (_, None) | (Effect::Idempotent, _) => true,
-            (Effect::AtMostOnce, Some(_)) => false,
-            (Effect::Keyed { window, .. }, Some((_, _, first))) => now < first + window,
+        match (self.settings.classes[r.class as usize].idempotency, r.ran) {
+            (_, None) | (Idempotency::Idempotent, _) => true,
+            (Idempotency::AtMostOnce, Some(_)) => false,
+            (Idempotency::Keyed { window, .. }, Some((_, _, first))) => now < first + window,
         }
     }
 }
@@ -198,11 +198,12 @@
 fn timeout(class: &Class, r: &Request, mean: f64, sound: bool, now: Time) -> Option<Time> {
     let left = r.deadline - now;
     let another = OVERDUE * mean * r.size;
-    let soon = another.max(class.aim);
+    let soon = another.max(class.latency_objective);
     let patience = if sound {
         soon.max(left - another)
     } else {
         soon
     };
-    (class.effect != Effect::AtMostOnce && left - patience > mean * r.size).then_some(patience)
+    (class.idempotency != Idempotency::AtMostOnce && left - patience > mean * r.size)
+        .then_some(patience)
 }
--- a/crates/balancer/src/decide/state.rs
+++ b/crates/balancer/src/decide/state.rs
@@ -21,7 +21,7 @@
 
 /// What this node knows of one listed server.
 pub(super) struct Server {
-    pub(super) entry: Entry,
+    pub(super) entry: Endpoint,
     /// Bad answers in a row, and whether the last of them was more than lateness.
     pub(super) strikes: u32,
     pub(super) failing: bool,
--- a/crates/balancer/src/engine.rs
+++ b/crates/balancer/src/engine.rs
@@ -139,7 +139,7 @@
 #[derive(Clone, Debug)]
 pub struct Place<A> {
     /// What the module is told.
-    pub entry: Entry,
+    pub entry: Endpoint,
     /// Where the server is reached.
     pub address: A,
 }
@@ -147,7 +147,7 @@
 struct Request<H: Host> {
     payload: H::Payload,
     deadline: Time,
-    effect: Effect,
+    effect: Idempotency,
     /// Gone once the request has its final answer or its client left.
     reply: Option<H::Reply>,
     made: u32,
@@ -169,9 +169,9 @@
     /// a repeat by its servers for ever.
     fn starts_by(&self) -> Time {
         match (self.effect, self.ran) {
-            (_, None) | (Effect::Idempotent, _) => self.deadline,
-            (Effect::AtMostOnce, Some(_)) => f64::NEG_INFINITY,
-            (Effect::Keyed { window, .. }, Some(first)) => {
+            (_, None) | (Idempotency::Idempotent, _) => self.deadline,
+            (Idempotency::AtMostOnce, Some(_)) => f64::NEG_INFINITY,
+            (Idempotency::Keyed { window, .. }, Some(first)) => {
                 self.deadline.min(first + window - ON_THE_WAY)
             }
         }
@@ -187,7 +187,7 @@
 /// A decision module with the requests and servers that it decides on.
 pub struct Engine<H: Host, D = crate::Balancer> {
     module: D,
-    effects: Vec<Effect>,
+    effects: Vec<Idempotency>,
     max_attempts: u32,
     requests: HashMap<RequestId, Request<H>>,
     next: RequestId,
@@ -202,7 +202,7 @@
     pub fn new(module: D, classes: &[Class], max_attempts: u32) -> Self {
         Engine {
             module,
-            effects: classes.iter().map(|c| c.effect).collect(),
+            effects: classes.iter().map(|c| c.idempotency).collect(),
             max_attempts,
             requests: HashMap::new(),
             next: 0,
@@ -255,10 +255,10 @@
     ) {
         self.feed(
             now,
-            Event::Told {
+            Event::PeerVerdict {
                 server,
                 until,
-                tries,
+                is_prober: tries,
             },
             out,
         );
@@ -318,7 +318,7 @@
                 .effects
                 .get(usize::from(a.class))
                 .copied()
-                .unwrap_or(Effect::AtMostOnce),
+                .unwrap_or(Idempotency::AtMostOnce),
             reply: Some(reply),
             made: 0,
             ran: None,
@@ -345,9 +345,9 @@
                 request: id,
                 class,
                 tenant,
-                hint,
+                work_hint: hint,
                 key,
-                left,
+                remaining: left,
             },
             out,
         );
@@ -376,7 +376,7 @@
             now,
             Event::Upload {
                 request,
-                left: Some(left),
+                remaining: Some(left),
             },
             out,
         );
@@ -393,7 +393,7 @@
             return;
         }
         self.tidy(request);
-        self.feed(now, Event::Gone { request }, out);
+        self.feed(now, Event::ClientGone { request }, out);
     }
 
     /// An attempt has ended. `answer` is what a server answered; without one, `Delivered` gives no final answer.
@@ -426,13 +426,13 @@
         let ended = r.reply.is_none();
         self.tidy(request);
         let latency = now - o.sent;
-        let event = Event::Outcome {
+        let event = Event::AttemptEnded {
             request,
             attempt,
             server: o.server,
             outcome,
             latency,
-            ended,
+            request_ended: ended,
             load: None,
         };
         self.feed(now, event, out);
@@ -467,14 +467,15 @@
             } => {
                 return self.attempt(now, request, server, timeout, out);
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
                 // Guards the second rule against the module itself: a refusal tells the client that trying again
                 // is harmless. Harm: none, the request has its final answer at the same moment.
                 let r = self.requests.get(&request)?;
-                let doubt = (r.ran.is_some() || r.out.is_some()) && r.effect == Effect::AtMostOnce;
+                let doubt =
+                    (r.ran.is_some() || r.out.is_some()) && r.effect == Idempotency::AtMostOnce;
                 let answer = if doubt {
                     Final::Failed(r.last)
                 } else {
@@ -490,28 +491,28 @@
                 let r = self.requests.get_mut(&request)?;
                 let o = r.out.take_if(|o| o.attempt == attempt)?;
                 out.push(Command::Abort { request, attempt });
-                r.last = Some(Outcome::Revoked);
+                r.last = Some(Outcome::Cancelled);
                 r.ran.get_or_insert(o.sent);
                 let (server, latency, ended) = (o.server, now - o.sent, r.reply.is_none());
                 self.tidy(request);
-                let outcome = Outcome::Revoked;
-                return Some(Event::Outcome {
+                let outcome = Outcome::Cancelled;
+                return Some(Event::AttemptEnded {
                     request,
                     attempt,
                     server,
                     outcome,
                     latency,
-                    ended,
+                    request_ended: ended,
                     load: None,
                 });
             }
             Action::Watch => out.push(Command::Watch),
-            Action::Timer { after, tag } => out.push(Command::Timer { after, tag }),
+            Action::StartTimer { after, tag } => out.push(Command::Timer { after, tag }),
             // Probes are allowed nowhere yet, and the module sends none.
-            Action::Probe { server } => {
-                return Some(Event::Probed {
+            Action::HealthCheck { server } => {
+                return Some(Event::HealthChecked {
                     server,
-                    outcome: Outcome::Unused,
+                    outcome: Outcome::NotSent,
                     load: None,
                 });
             }
@@ -566,18 +567,18 @@
                 r.made += 1;
             }
             let (outcome, ended) = (
-                Outcome::Unused,
+                Outcome::NotSent,
                 self.requests
                     .get(&request)
                     .is_none_or(|r| r.reply.is_none()),
             );
-            return Some(Event::Outcome {
+            return Some(Event::AttemptEnded {
                 request,
                 attempt,
                 server,
                 outcome,
                 latency: 0.0,
-                ended,
+                request_ended: ended,
                 load: None,
             });
         };
@@ -599,14 +600,14 @@
         });
         r.flows.map(|_| Event::Upload {
             request,
-            left: None,
+            remaining: None,
         })
     }
 }
 
 impl<H: Host> Engine<H> {
     /// Lets the module begin with what another has learned.
-    pub fn adopt(&mut self, now: Time, learned: &Learned) {
+    pub fn adopt(&mut self, now: Time, learned: &LearnedState) {
         self.module.adopt(now, learned);
     }
 }
@@ -615,6 +616,6 @@
 pub fn never_ran(outcome: Outcome) -> bool {
     matches!(
         outcome,
-        Outcome::Shed | Outcome::DialFailed | Outcome::Unused
+        Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
     )
 }
--- a/crates/balancer/src/engine/list.rs
+++ b/crates/balancer/src/engine/list.rs
@@ -8,29 +8,30 @@
 /// The lines that the module is told.
 #[derive(Default)]
 struct News {
-    lines: Vec<Entry>,
+    lines: Vec<Endpoint>,
     /// Servers that were supplanted, and how many of the lines were there then: those on such a server count no more.
     supplanted: HashMap<ServerId, usize>,
 }
 
 impl News {
     /// What was said of a server so far counts no more: it is gone, as another has its address.
-    fn supplant(&mut self, old: ServerId, by: &Entry) {
+    fn supplant(&mut self, old: ServerId, by: &Endpoint) {
         self.supplanted.insert(old, self.lines.len());
-        self.lines.push(Entry {
+        self.lines.push(Endpoint {
             server: old,
-            state: ServerState::Gone,
+            state: ServerState::Removed,
             ..by.clone()
         });
     }
 
-    fn into_entries(self) -> Vec<Entry> {
+    fn into_entries(self) -> Vec<Endpoint> {
         let News { lines, supplanted } = self;
         if supplanted.is_empty() {
             return lines;
         }
-        let counts =
-            |(n, line): &(usize, Entry)| supplanted.get(&line.server).is_none_or(|from| n >= from);
+        let counts = |(n, line): &(usize, Endpoint)| {
+            supplanted.get(&line.server).is_none_or(|from| n >= from)
+        };
         lines
             .into_iter()
             .enumerate()
@@ -45,11 +46,11 @@
     pub fn members(
         &mut self,
         now: Time,
-        list: ListKind,
+        list: UpdateKind,
         places: Vec<Place<H::Address>>,
         out: &mut Vec<Command<H>>,
     ) {
-        if matches!(list, ListKind::Full | ListKind::Cached) {
+        if matches!(list, UpdateKind::Snapshot | UpdateKind::Cached) {
             let named: HashSet<ServerId> = places.iter().map(|p| p.entry.server).collect();
             for server in self.servers.missing(&named) {
                 self.remove(now, server, out);
@@ -64,7 +65,14 @@
             out.push(Command::Release { server });
         }
         let entries = news.into_entries();
-        self.feed(now, Event::Members { list, entries }, out);
+        self.feed(
+            now,
+            Event::EndpointUpdate {
+                kind: list,
+                endpoints: entries,
+            },
+            out,
+        );
     }
 
     fn take_in(
@@ -76,14 +84,14 @@
     ) {
         let Place { entry, address } = place;
         let server = entry.server;
-        if entry.state == ServerState::Gone {
+        if entry.state == ServerState::Removed {
             self.remove(now, server, out);
         } else {
             if entry.state == ServerState::Up {
                 self.supplant(now, &entry, &address, news, out);
             }
             let old = self.servers.get(server);
-            let same = old.is_some_and(|o| o.address == address && o.ready_at == entry.ready_at);
+            let same = old.is_some_and(|o| o.address == address && o.ready_at == entry.started_at);
             if !same || entry.state != ServerState::Up {
                 out.push(Command::Forget { server });
             }
@@ -92,7 +100,7 @@
                 Listed {
                     address,
                     state: entry.state,
-                    ready_at: entry.ready_at,
+                    ready_at: entry.started_at,
                 },
             );
         }
@@ -112,7 +120,7 @@
     fn supplant(
         &mut self,
         now: Time,
-        by: &Entry,
+        by: &Endpoint,
         address: &H::Address,
         news: &mut News,
         out: &mut Vec<Command<H>>,
--- a/crates/balancer/src/list_sums.rs
+++ b/crates/balancer/src/list_sums.rs
@@ -4,7 +4,7 @@
 //! piece of news, so that rounding errors do not pile up over the life of a node.
 
 use crate::floored::{Floored, Groups};
-use crate::interface::KindId;
+use crate::interface::MachineTypeId;
 use crate::sums::Mean;
 
 /// What the sums hold of one listed server.
@@ -13,7 +13,7 @@
     /// It is of this node's part of the list.
     pub(crate) own: bool,
     /// Its machine kind.
-    pub(crate) kind: KindId,
+    pub(crate) kind: MachineTypeId,
     /// Listed weight.
     pub(crate) weight: f64,
     /// Average response.
@@ -30,7 +30,7 @@
 }
 
 /// The group of the servers of a kind in one part.
-fn kin(own: bool, kind: KindId) -> usize {
+fn kin(own: bool, kind: MachineTypeId) -> usize {
     2 + 2 * usize::from(kind) + usize::from(own)
 }
 
@@ -82,7 +82,7 @@
     }
 
     /// Takes over kind and weight as a server is listed now.
-    pub(crate) fn relist(&mut self, position: usize, kind: KindId, weight: f64) {
+    pub(crate) fn relist(&mut self, position: usize, kind: MachineTypeId, weight: f64) {
         let old = self.lines[position];
         if (old.kind, old.weight) == (kind, weight) {
             return;
@@ -104,7 +104,7 @@
     }
 
     /// The mean entry of the vector and the mean average of response over a kind in one part of the list.
-    pub(crate) fn means_of_kin(&self, own: bool, kind: KindId) -> Option<(f64, f64)> {
+    pub(crate) fn means_of_kin(&self, own: bool, kind: MachineTypeId) -> Option<(f64, f64)> {
         let kin = kin(own, kind);
         self.p
             .mean(kin)
--- a/crates/balancer/tests/cold.rs
+++ b/crates/balancer/tests/cold.rs
@@ -96,9 +96,9 @@
     able: f64,
 }
 
-fn cold() -> Entry {
-    Entry {
-        ready_at: 1.0,
+fn cold() -> Endpoint {
+    Endpoint {
+        started_at: 1.0,
         ..entry(WARM)
     }
 }
@@ -121,8 +121,8 @@
     }
 
     fn started(&mut self, number: u32, nodes: u32, now: f64, with_cold: bool) -> Balancer {
-        let mut s = settings(vec![class(Effect::Idempotent)]);
-        (s.replicas, s.number) = (nodes, Some(number));
+        let mut s = settings(vec![class(Idempotency::Idempotent)]);
+        (s.node_count, s.node_index) = (nodes, Some(number));
         let Deployment {
             cold_from,
             warm_after,
@@ -131,32 +131,39 @@
             ..
         } = self.of;
         s.rules = Rules {
-            cold_from,
-            warm_after,
+            initial_capacity: cold_from,
+            slow_start_duration: warm_after,
             overload_factor,
-            tip_after,
+            overload_window: tip_after,
             ..s.rules
         };
         // As much as a node may learn that a request takes, learned already.
-        s.classes[0].aim = 4.0 * self.of.work;
+        s.classes[0].latency_objective = 4.0 * self.of.work;
         let seed = self.seed ^ (u64::from(number) << 32) ^ now.to_bits();
         let mut node = Balancer::new(s, seed, now).expect("usable settings");
         let entries = (0..WARM).map(entry).chain(with_cold.then(cold)).collect();
         node.handle(
             now,
-            Event::Members {
-                list: ListKind::Cached,
-                entries,
+            Event::EndpointUpdate {
+                kind: UpdateKind::Cached,
+                endpoints: entries,
             },
             &mut vec![],
         );
         node
     }
 
-    fn list(&mut self, now: f64, list: ListKind, entries: &[Entry]) {
+    fn list(&mut self, now: f64, list: UpdateKind, entries: &[Endpoint]) {
         for (node, _) in &mut self.nodes {
             let entries = entries.to_vec();
-            node.handle(now, Event::Members { list, entries }, &mut vec![]);
+            node.handle(
+                now,
+                Event::EndpointUpdate {
+                    kind: list,
+                    endpoints: entries,
+                },
+                &mut vec![],
+            );
         }
     }
 
@@ -174,30 +181,30 @@
             request,
             class: 0,
             tenant: None,
-            hint,
+            work_hint: hint,
             key: None,
-            left: 0.6,
+            remaining: 0.6,
         };
         self.nodes[n].0.handle(now, event, &mut actions);
         let Some(Action::Attempt { server, .. }) = actions.first() else {
             return;
         };
-        let mut outcome = Outcome::Delivered;
+        let mut outcome = Outcome::Served;
         if *server == WARM {
             self.sent.push((now, work));
             if self.able < work {
-                outcome = Outcome::Revoked;
+                outcome = Outcome::Cancelled;
             } else {
                 self.able -= work;
             }
         }
-        let event = Event::Outcome {
+        let event = Event::AttemptEnded {
             request,
             attempt: 0,
             server: *server,
             outcome,
             latency: self.of.work,
-            ended: true,
+            request_ended: true,
             load: None,
         };
         self.nodes[n]
@@ -250,23 +257,23 @@
         let now = f64::from(step) * STEP;
         if now >= 1.0 && !listed {
             listed = true;
-            let drains = (0..WARM).map(|n| Entry {
+            let drains = (0..WARM).map(|n| Endpoint {
                 state: ServerState::Draining,
                 ..entry(n)
             });
             fleet.list(
                 now,
-                ListKind::Delta,
+                UpdateKind::Delta,
                 &drains.chain([cold()]).collect::<Vec<_>>(),
             );
         }
         if way == Way::Flaps && [80, 81, 110, 111].contains(&step) {
             let state = if step % 10 == 0 {
-                ServerState::Gone
+                ServerState::Removed
             } else {
                 ServerState::Up
             };
-            fleet.list(now, ListKind::Delta, &[Entry { state, ..cold() }]);
+            fleet.list(now, UpdateKind::Delta, &[Endpoint { state, ..cold() }]);
         }
         if listed {
             fleet.able = (fleet.able + CAPACITY * fleet.warmth(now) * STEP)
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -4,14 +4,14 @@
 use reelfall_balancer::interface::*;
 use reelfall_balancer::Balancer;
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: Idempotency) -> Class {
     Class {
-        aim: 0.2,
+        latency_objective: 0.2,
         deadline: 0.6,
-        worth: 1.0,
-        late_value: 0.5,
-        effect,
-        streamed: false,
+        priority_weight: 1.0,
+        late_response_weight: 0.5,
+        idempotency: effect,
+        streams_response: false,
     }
 }
 
@@ -20,52 +20,52 @@
         classes,
         tenants: vec![],
         zone: None,
-        replicas: 1,
-        number: None,
+        node_count: 1,
+        node_index: None,
         discovery: Discovery::Push,
-        reports: Reports::Silent,
+        load_reports: LoadReports::Absent,
         limits: Limits {
             max_attempts: 4,
-            retry_share: 0.2,
+            retry_budget_ratio: 0.2,
             max_retry_after: 0.3,
-            cancelling: true,
-            may_probe: false,
-            second_copies: false,
-            conn_idle: 5.0,
+            can_cancel: true,
+            can_health_check: false,
+            can_hedge: false,
+            idle_connection_timeout: 5.0,
         },
         rules: Rules {
             drain_grace: 0.5,
-            cold_from: 0.3,
-            warm_after: 10.0,
+            initial_capacity: 0.3,
+            slow_start_duration: 10.0,
             overload_factor: 3.0,
-            tip_after: 1.0,
-            must_ask_in: 10.0,
+            overload_window: 1.0,
+            max_poll_interval: 10.0,
         },
-        prices: Prices::default(),
-        goal: Goal {
+        costs: Costs::default(),
+        objective: Objective {
             overall: 0.8,
             worst_class: 0.2,
             worst_tenant: 0.0,
         },
-        over_share_worth: 0.1,
-        worth_by_work: true,
-        warm_keys: false,
-        weighted: false,
-        tick: 0.002,
+        over_quota_weight: 0.1,
+        weight_per_work: true,
+        has_key_affinity: false,
+        has_server_weights: false,
+        clock_resolution: 0.002,
     }
 }
 
-pub fn entry(server: ServerId) -> Entry {
-    Entry {
+pub fn entry(server: ServerId) -> Endpoint {
+    Endpoint {
         server,
         hash: u64::from(server + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
         zone: 0,
-        kind: 0,
+        machine_type: 0,
         cell: server / 2,
         state: ServerState::Up,
         weight: 1.0,
-        ready_at: 0.0,
-        sharers: 1,
+        started_at: 0.0,
+        local_balancers: 1,
     }
 }
 
@@ -86,7 +86,7 @@
             actions: vec![],
             next: 0,
         };
-        node.members(ListKind::Cached, (0..servers).map(entry).collect());
+        node.members(UpdateKind::Cached, (0..servers).map(entry).collect());
         node
     }
 
@@ -96,8 +96,11 @@
         &self.actions
     }
 
-    pub fn members(&mut self, list: ListKind, entries: Vec<Entry>) {
-        self.tell(Event::Members { list, entries });
+    pub fn members(&mut self, list: UpdateKind, entries: Vec<Endpoint>) {
+        self.tell(Event::EndpointUpdate {
+            kind: list,
+            endpoints: entries,
+        });
     }
 
     pub fn sweep(&mut self) {
@@ -117,9 +120,9 @@
             request,
             class,
             tenant: None,
-            hint: Some(0.02),
+            work_hint: Some(0.02),
             key,
-            left,
+            remaining: left,
         });
         (request, self.sent())
     }
@@ -135,7 +138,7 @@
     pub fn refused(&self) -> bool {
         self.actions
             .iter()
-            .any(|a| matches!(a, Action::Refuse { .. }))
+            .any(|a| matches!(a, Action::Reject { .. }))
     }
 
     pub fn failed(&self) -> bool {
@@ -152,14 +155,14 @@
         outcome: Outcome,
         latency: Time,
     ) {
-        let ended = outcome == Outcome::Delivered;
-        self.tell(Event::Outcome {
+        let ended = outcome == Outcome::Served;
+        self.tell(Event::AttemptEnded {
             request,
             attempt,
             server,
             outcome,
             latency,
-            ended,
+            request_ended: ended,
             load: None,
         });
     }
--- a/crates/balancer/tests/doubt.rs
+++ b/crates/balancer/tests/doubt.rs
@@ -7,7 +7,10 @@
 use std::collections::BTreeMap;
 
 fn two() -> Vec<Class> {
-    vec![class(Effect::Idempotent), class(Effect::AtMostOnce)]
+    vec![
+        class(Idempotency::Idempotent),
+        class(Idempotency::AtMostOnce),
+    ]
 }
 
 fn timeout(node: &Node) -> Option<Time> {
@@ -24,7 +27,7 @@
         let (id, server) = node.request(0, None, 0.6);
         let server = server.expect("a server");
         node.now += 0.02;
-        node.end(id, 0, server, Outcome::Delivered, 0.02);
+        node.end(id, 0, server, Outcome::Served, 0.02);
         unheard.retain(|s| *s != server);
     }
 }
@@ -32,10 +35,10 @@
 /// The server answers, or its client leaves before it could.
 fn end_or_leave(node: &mut Node, id: RequestId, server: ServerId, answers: bool) {
     if answers {
-        return node.end(id, 0, server, Outcome::Delivered, 0.02);
+        return node.end(id, 0, server, Outcome::Served, 0.02);
     }
-    node.tell(Event::Gone { request: id });
-    node.end(id, 0, server, Outcome::Revoked, 0.02);
+    node.tell(Event::ClientGone { request: id });
+    node.end(id, 0, server, Outcome::Cancelled, 0.02);
 }
 
 #[test]
@@ -45,7 +48,7 @@
     // Nobody has heard this server yet.
     let doubt = timeout(&node).expect("a time-out");
     assert!(doubt < 0.3, "{doubt}");
-    node.end(id, 0, server.expect("a server"), Outcome::Delivered, 0.02);
+    node.end(id, 0, server.expect("a server"), Outcome::Served, 0.02);
     heard(&mut node, 4);
     node.request(0, None, 0.6);
     // Under load, an attempt given up at a sound server runs on and makes the load worse; one that has just frozen
@@ -85,7 +88,10 @@
 
 #[test]
 fn a_server_that_cannot_be_reached_is_left_out_though_a_fifth_of_the_list_is() {
-    for (outcome, out) in [(Outcome::DialFailed, true), (Outcome::Dropped, false)] {
+    for (outcome, out) in [
+        (Outcome::ConnectFailed, true),
+        (Outcome::ConnectionLost, false),
+    ] {
         let mut node = Node::new(settings(two()), 20);
         let hash = |n: u32| entry(n).hash;
         let mut failed = 0;
@@ -98,7 +104,7 @@
                 .servers
                 .iter_mut()
                 .filter(four)
-                .for_each(|s| s.out_for = 60.0);
+                .for_each(|s| s.ejected_for = 60.0);
             node.balancer.adopt(node.now, &learned);
             let (id, server) = node.request(1, None, 0.6);
             let server = server.expect("a server");
@@ -110,12 +116,12 @@
                 if server == 10 {
                     outcome
                 } else {
-                    Outcome::Delivered
+                    Outcome::Served
                 },
                 0.0,
             );
             if let Some(next) = node.sent() {
-                node.end(id, 1, next, Outcome::Delivered, 0.0);
+                node.end(id, 1, next, Outcome::Served, 0.0);
             }
         }
         let after = node.balancer.learned(node.now);
@@ -124,7 +130,7 @@
             .iter()
             .find(|s| s.hash == hash(10))
             .expect("it is listed");
-        assert_eq!(it.out_for > 0.0, out, "{outcome:?}");
+        assert_eq!(it.ejected_for > 0.0, out, "{outcome:?}");
     }
 }
 
@@ -141,7 +147,7 @@
             node.sweep();
         }
     }
-    node.balancer.learned(node.now).admit
+    node.balancer.learned(node.now).admitted_share
 }
 
 #[test]
--- a/crates/balancer/tests/engine.rs
+++ b/crates/balancer/tests/engine.rs
@@ -32,15 +32,15 @@
     fn handle(&mut self, _: Time, event: Event, actions: &mut Vec<Action>) {
         let about = match event {
             Event::Request { request, .. }
-            | Event::Outcome { request, .. }
-            | Event::Gone { request } => Some(request),
+            | Event::AttemptEnded { request, .. }
+            | Event::ClientGone { request } => Some(request),
             _ => None,
         };
         for (same, mut action) in self.0.by_ref().take(1) {
             if let (true, Some(about)) = (same, about) {
                 match &mut action {
                     Action::Attempt { request, .. }
-                    | Action::Refuse { request, .. }
+                    | Action::Reject { request, .. }
                     | Action::Fail { request }
                     | Action::Cancel { request, .. } => *request = about,
                     _ => {}
@@ -76,11 +76,11 @@
     prop_oneof![
         6 => (0..12u32, 0..5u32, timeout)
             .prop_map(|(request, server, timeout)| Action::Attempt { request, server, timeout }),
-        1 => (0..12u32).prop_map(|request| Action::Refuse { request, retry_after: Some(0.1) }),
+        1 => (0..12u32).prop_map(|request| Action::Reject { request, retry_after: Some(0.1) }),
         1 => (0..12u32).prop_map(|request| Action::Fail { request }),
         1 => (0..12u32, 0..3u32).prop_map(|(request, attempt)| Action::Cancel { request, attempt }),
         1 => Just(Action::Watch),
-        1 => (0..4u32).prop_map(|server| Action::Probe { server }),
+        1 => (0..4u32).prop_map(|server| Action::HealthCheck { server }),
     ]
 }
 
@@ -88,14 +88,14 @@
 const WINDOW: f64 = 0.06;
 
 const OUTCOMES: [Outcome; 8] = [
-    Outcome::Delivered,
+    Outcome::Served,
     Outcome::Error,
-    Outcome::Shed,
-    Outcome::Expired,
-    Outcome::DialFailed,
-    Outcome::Dropped,
-    Outcome::Revoked,
-    Outcome::Unused,
+    Outcome::Rejected,
+    Outcome::TimedOut,
+    Outcome::ConnectFailed,
+    Outcome::ConnectionLost,
+    Outcome::Cancelled,
+    Outcome::NotSent,
 ];
 
 /// What the outside has seen of one request.
@@ -206,7 +206,7 @@
 
 fn place(server: u32, state: ServerState) -> Place<u32> {
     Place {
-        entry: Entry {
+        entry: Endpoint {
             state,
             ..entry(server)
         },
@@ -227,13 +227,13 @@
 }
 
 fn classes() -> Vec<Class> {
-    let keyed = Effect::Keyed {
-        group: Group::All,
+    let keyed = Idempotency::Keyed {
+        scope: KeyScope::All,
         window: WINDOW,
     };
     vec![
-        class(Effect::Idempotent),
-        class(Effect::AtMostOnce),
+        class(Idempotency::Idempotent),
+        class(Idempotency::AtMostOnce),
         class(keyed),
     ]
 }
@@ -255,7 +255,7 @@
             };
             let mut out = Out::new();
             let all = (0..4).map(|s| place(s, ServerState::Up)).collect();
-            engine.members(0.0, ListKind::Full, all, &mut out);
+            engine.members(0.0, UpdateKind::Snapshot, all, &mut out);
             world.listed = (0..4).map(|s| (s, ServerState::Up)).collect();
             world.check(out);
             for (after, step) in steps {
@@ -320,18 +320,18 @@
             full,
         } => {
             let state =
-                [ServerState::Up, ServerState::Draining, ServerState::Gone][usize::from(state)];
+                [ServerState::Up, ServerState::Draining, ServerState::Removed][usize::from(state)];
             if full {
                 world.listed.clear();
             }
             match state {
-                ServerState::Gone => world.listed.remove(&server),
+                ServerState::Removed => world.listed.remove(&server),
                 _ => world.listed.insert(server, state),
             };
             let list = if full {
-                ListKind::Full
+                UpdateKind::Snapshot
             } else {
-                ListKind::Delta
+                UpdateKind::Delta
             };
             engine.members(now, list, vec![place(server, state)], &mut out);
             let up = state == ServerState::Up;
@@ -361,12 +361,12 @@
     if r.maybe_ran {
         r.first.get_or_insert(r.last);
     }
-    let answer = (outcome == Outcome::Delivered).then_some("done");
+    let answer = (outcome == Outcome::Served).then_some("done");
     engine.ended(world.now, id, attempt, outcome, answer, out);
     // A second word on the same attempt changes nothing.
     let said = out.len();
     if world.requests[&id].out.is_none() && !out.iter().any(|c| matches!(c, Command::Send { .. })) {
-        engine.ended(world.now, id, attempt, Outcome::Shed, None, out);
+        engine.ended(world.now, id, attempt, Outcome::Rejected, None, out);
         assert_eq!(out.len(), said, "an attempt ended twice");
     }
 }
@@ -416,7 +416,7 @@
         let mut out = Out::new();
         engine.members(
             0.0,
-            ListKind::Cached,
+            UpdateKind::Cached,
             (0..6).map(|s| place(s, ServerState::Up)).collect(),
             &mut out,
         );
@@ -433,16 +433,16 @@
                         let fate = random();
                         let (took, outcome, ran) = match server {
                             0 if fate < 0.8 => (0.002, Outcome::Error, fate < 0.4),
-                            1 if fate < 0.5 => (9.0, Outcome::Expired, fate < 0.25),
-                            2 if fate < 0.3 => (0.01, Outcome::Dropped, fate < 0.15),
-                            3 if fate < 0.3 => (0.001, Outcome::DialFailed, false),
-                            4 if fate < 0.3 => (0.001, Outcome::Shed, false),
-                            _ => (0.01 + 0.02 * fate, Outcome::Delivered, true),
+                            1 if fate < 0.5 => (9.0, Outcome::TimedOut, fate < 0.25),
+                            2 if fate < 0.3 => (0.01, Outcome::ConnectionLost, fate < 0.15),
+                            3 if fate < 0.3 => (0.001, Outcome::ConnectFailed, false),
+                            4 if fate < 0.3 => (0.001, Outcome::Rejected, false),
+                            _ => (0.01 + 0.02 * fate, Outcome::Served, true),
                         };
                         *effects.entry(request).or_default() += u32::from(ran);
                         let at = (now + took).min(expires);
                         let outcome = if now + took > expires {
-                            Outcome::Expired
+                            Outcome::TimedOut
                         } else {
                             outcome
                         };
@@ -478,7 +478,7 @@
                     }
                 }
                 Due::End(request, attempt, outcome) => {
-                    let answer = (outcome == Outcome::Delivered).then_some("done");
+                    let answer = (outcome == Outcome::Served).then_some("done");
                     engine.ended(now, request, attempt, outcome, answer, &mut out);
                 }
                 Due::Timer(tag) => engine.timer(now, tag, &mut out),
@@ -514,7 +514,7 @@
     let mut out = Out::new();
     engine.members(
         0.0,
-        ListKind::Full,
+        UpdateKind::Snapshot,
         vec![place(1, ServerState::Up), place(2, ServerState::Up)],
         &mut out,
     );
@@ -522,14 +522,14 @@
     out.clear();
     engine.members(
         1.0,
-        ListKind::Delta,
+        UpdateKind::Delta,
         vec![place(1, ServerState::Draining)],
         &mut out,
     );
     assert_eq!(engine.address(1), None);
     engine.members(
         1.0,
-        ListKind::Full,
+        UpdateKind::Snapshot,
         vec![place(1, ServerState::Draining)],
         &mut out,
     );
@@ -546,12 +546,12 @@
         out.iter()
             .any(|c| matches!(c, Command::Release { server: 2 }))
     };
-    engine.members(30.0, ListKind::Delta, vec![], &mut out);
+    engine.members(30.0, UpdateKind::Delta, vec![], &mut out);
     assert!(
         !released(&out),
         "a number is given away while an attempt may name it"
     );
-    engine.members(31.5, ListKind::Delta, vec![], &mut out);
+    engine.members(31.5, UpdateKind::Delta, vec![], &mut out);
     assert!(
         released(&out),
         "the number of a server that went is kept for ever"
--- a/crates/balancer/tests/failures.rs
+++ b/crates/balancer/tests/failures.rs
@@ -7,7 +7,10 @@
 use reelfall_balancer::Balancer;
 
 fn two() -> Vec<Class> {
-    vec![class(Effect::Idempotent), class(Effect::AtMostOnce)]
+    vec![
+        class(Idempotency::Idempotent),
+        class(Idempotency::AtMostOnce),
+    ]
 }
 
 #[test]
@@ -21,9 +24,9 @@
 fn unsafe_request_that_may_have_run_is_failed_not_repeated_or_refused() {
     for outcome in [
         Outcome::Error,
-        Outcome::Expired,
-        Outcome::Dropped,
-        Outcome::Revoked,
+        Outcome::TimedOut,
+        Outcome::ConnectionLost,
+        Outcome::Cancelled,
     ] {
         let mut node = Node::new(settings(two()), 5);
         let (id, server) = node.request(1, None, 0.6);
@@ -40,14 +43,14 @@
 fn unsafe_request_that_never_ran_is_tried_elsewhere() {
     let mut node = Node::new(settings(two()), 5);
     let (id, server) = node.request(1, None, 0.6);
-    node.end(id, 0, server.unwrap(), Outcome::Shed, 0.0);
+    node.end(id, 0, server.unwrap(), Outcome::Rejected, 0.0);
     assert!(node.sent().is_some() && node.sent() != server);
 }
 
 #[test]
 fn keyed_repeat_stays_in_its_cell_and_its_window() {
-    let effect = Effect::Keyed {
-        group: Group::Cell,
+    let effect = Idempotency::Keyed {
+        scope: KeyScope::Cell,
         window: 0.3,
     };
     for (waited, again) in [(0.1, true), (0.35, false)] {
@@ -68,8 +71,8 @@
     let mut node = Node::new(settings(two()), 3);
     let mut drained = entry(0);
     drained.state = ServerState::Draining;
-    node.members(ListKind::Delta, vec![drained]);
-    node.members(ListKind::Full, vec![entry(2)]);
+    node.members(UpdateKind::Delta, vec![drained]);
+    node.members(UpdateKind::Snapshot, vec![entry(2)]);
     for _ in 0..50 {
         assert_eq!(node.request(0, None, 0.6).1, Some(2));
     }
@@ -90,7 +93,7 @@
         let (outcome, latency) = if server == 0 {
             (Outcome::Error, 0.001)
         } else {
-            (Outcome::Delivered, 0.02)
+            (Outcome::Served, 0.02)
         };
         node.end(id, 0, server, outcome, latency);
     }
@@ -106,7 +109,7 @@
     for _ in 0..40 {
         let (id, server) = node.request(1, None, 0.6);
         assert_ne!(server, hung);
-        node.end(id, 0, server.unwrap(), Outcome::Delivered, 0.02);
+        node.end(id, 0, server.unwrap(), Outcome::Served, 0.02);
     }
 }
 
@@ -130,7 +133,7 @@
 #[test]
 fn overload_is_refused_in_part_and_worth_least_first() {
     let mut classes = two();
-    classes[1].worth = 10.0;
+    classes[1].priority_weight = 10.0;
     let mut node = Node::new(settings(classes), 4);
     let mut refused = [0, 0];
     for n in 0..800u32 {
@@ -142,7 +145,7 @@
         match server {
             Some(server) => {
                 node.now += 0.19;
-                node.end(id, 0, server, Outcome::Delivered, 0.19);
+                node.end(id, 0, server, Outcome::Served, 0.19);
             }
             None => refused[(n % 2) as usize] += 1,
         }
@@ -154,12 +157,12 @@
 #[test]
 fn cold_server_gets_less_than_it_tolerates() {
     let mut s = settings(two());
-    s.replicas = 50;
+    s.node_count = 50;
     let mut node = Node::new(s, 4);
     let mut cold = entry(9);
     node.now = 100.0;
-    cold.ready_at = 100.0;
-    node.members(ListKind::Delta, vec![cold]);
+    cold.started_at = 100.0;
+    node.members(UpdateKind::Delta, vec![cold]);
     let mut work = 0.0;
     for _ in 0..10 {
         node.now += 0.1;
@@ -167,7 +170,7 @@
         let (id, server) = node.request(0, None, 0.6);
         let Some(server) = server else { continue };
         work += if server == 9 { 0.02 } else { 0.0 };
-        node.end(id, 0, server, Outcome::Delivered, 0.02);
+        node.end(id, 0, server, Outcome::Served, 0.02);
     }
     // What the warm ones bear at the cold share, times the tolerance, over 50 nodes, and one request for chance.
     let borne = 0.2 * 50.0 / 4.0;
@@ -177,7 +180,7 @@
 #[test]
 fn warm_keys_stick_to_their_server() {
     let mut s = settings(two());
-    s.warm_keys = true;
+    s.has_key_affinity = true;
     let mut node = Node::new(s, 20);
     let mut homes = std::collections::BTreeMap::new();
     let mut stayed = 0;
@@ -189,7 +192,7 @@
         stayed += u32::from(homes.insert(key, server) == Some(server));
         // Answers take as long from one server as from another.
         node.now += 0.02;
-        node.end(id, 0, server, Outcome::Delivered, 0.02);
+        node.end(id, 0, server, Outcome::Served, 0.02);
     }
     assert!(stayed > 1400, "{stayed} of 1800");
     assert!(
@@ -204,13 +207,16 @@
 #[test]
 fn failed_subscription_is_asked_again() {
     let mut s = settings(two());
-    s.discovery = Discovery::Ask;
+    s.discovery = Discovery::Poll;
     let mut node = Node::new(s, 2);
     assert_eq!(node.tell(Event::Timer { tag: 1 }), &[Action::Watch]);
-    node.members(ListKind::Failed, vec![]);
-    assert!(matches!(node.actions[..], [Action::Timer { tag: 1, .. }]));
+    node.members(UpdateKind::Failed, vec![]);
+    assert!(matches!(
+        node.actions[..],
+        [Action::StartTimer { tag: 1, .. }]
+    ));
     assert_eq!(node.tell(Event::Timer { tag: 1 }), &[Action::Watch]);
-    node.members(ListKind::Delta, vec![]);
+    node.members(UpdateKind::Delta, vec![]);
     assert!(node.tell(Event::Timer { tag: 1 }).is_empty());
 }
 
@@ -218,8 +224,8 @@
 fn unusable_input_is_ignored_or_refused() {
     assert!(Balancer::new(settings(vec![]), 1, 0.0).is_err());
     let mut node = Node::new(settings(two()), 2);
-    node.end(99, 0, 0, Outcome::Delivered, f64::NAN);
-    node.tell(Event::Gone { request: 77 });
+    node.end(99, 0, 0, Outcome::Served, f64::NAN);
+    node.tell(Event::ClientGone { request: 77 });
     node.tell(Event::Timer { tag: 99 });
     assert!(node.actions.is_empty());
     assert_eq!(node.request(0, None, f64::NAN).1, None);
@@ -241,11 +247,11 @@
             let server = server.expect("a server");
             after += u32::from(server == 0 && left == 0);
             let outcome = if server == 0 && left > 0 {
-                Outcome::Dropped
+                Outcome::ConnectionLost
             } else {
-                Outcome::Delivered
+                Outcome::Served
             };
-            left -= i32::from(outcome == Outcome::Dropped);
+            left -= i32::from(outcome == Outcome::ConnectionLost);
             node.now += 0.005;
             node.end(id, 0, server, outcome, 0.0);
             if left == 0 && node.now > until {
@@ -273,9 +279,9 @@
             used.insert(server);
         }
         let (outcome, took) = if n % 2 == 0 {
-            (Outcome::Expired, 0.02)
+            (Outcome::TimedOut, 0.02)
         } else {
-            (Outcome::Delivered, 0.05)
+            (Outcome::Served, 0.05)
         };
         node.now += took;
         node.end(id, 0, server, outcome, took);
@@ -298,7 +304,7 @@
         }
         while let Some(at) = out.iter().position(|(end, ..)| *end <= node.now) {
             let (_, id, server) = out.remove(at);
-            node.end(id, 0, server, Outcome::Delivered, 0.0);
+            node.end(id, 0, server, Outcome::Served, 0.0);
         }
         let (id, server) = node.request(0, None, 0.6);
         let server = server.unwrap_or_else(|| panic!("request {n} was refused"));
@@ -318,7 +324,7 @@
     for _ in 0..50 {
         let (id, server) = node.request(1, None, 0.6);
         node.now += 0.01;
-        node.end(id, 0, server.expect("a server"), Outcome::Delivered, 0.01);
+        node.end(id, 0, server.expect("a server"), Outcome::Served, 0.01);
         node.sweep();
         served += 1;
     }
@@ -344,11 +350,11 @@
     let mut back = entry(0);
     for state in [ServerState::Draining, ServerState::Up] {
         back.state = state;
-        node.members(ListKind::Delta, vec![back.clone(), entry(1)]);
+        node.members(UpdateKind::Delta, vec![back.clone(), entry(1)]);
     }
     // The old attempt's answer tells nothing of the server that came back, nor frees a place there.
     let average = node.balancer.automaton().average.clone();
-    node.end(old, 0, 0, Outcome::Delivered, 0.0);
+    node.end(old, 0, 0, Outcome::Served, 0.0);
     assert_eq!(node.balancer.automaton().average, average);
 }
 
@@ -367,7 +373,7 @@
         let latency = 0.01 + if server == 0 { 0.03 } else { 0.06 } * p[server as usize];
         // The module reads its clock, not the stated latency.
         node.now += latency;
-        node.end(id, 0, server, Outcome::Delivered, latency);
+        node.end(id, 0, server, Outcome::Served, latency);
     }
     let p = &node.balancer.automaton().p;
     assert!(p[0] > 0.55, "{p:?}");
@@ -388,7 +394,7 @@
         // One answer in three is quick, the others are past the aim.
         let latency = if id % 3 == 0 { 0.02 } else { 0.25 };
         node.now += latency;
-        node.end(id, 0, server, Outcome::Delivered, latency);
+        node.end(id, 0, server, Outcome::Served, latency);
     }
     // The least that is ever admitted is 100; one that reopens lets in several times that.
     assert!(admitted < 130, "{admitted} of 1000 admitted");
@@ -397,16 +403,16 @@
 /// The greatest work that balancers of one node, all over their cold server, send it in a second, as a multiple of
 /// what it can do at that moment.
 fn push_on_a_cold_server(balancers: usize, sharers: u32) -> f64 {
-    let cold = || Entry {
-        ready_at: 100.0,
-        sharers,
+    let cold = || Endpoint {
+        started_at: 100.0,
+        local_balancers: sharers,
         ..entry(0)
     };
     let mut nodes: Vec<Node> = (0..balancers)
         .map(|_| {
-            let mut node = Node::new(settings(vec![class(Effect::Idempotent)]), 0);
+            let mut node = Node::new(settings(vec![class(Idempotency::Idempotent)]), 0);
             node.now = 100.0;
-            node.members(ListKind::Full, vec![cold()]);
+            node.members(UpdateKind::Snapshot, vec![cold()]);
             node
         })
         .collect();
@@ -426,17 +432,19 @@
         out.retain(|(at, n, id)| {
             let due = *at <= now;
             if due {
-                nodes[*n].end(*id, 0, 0, Outcome::Delivered, 0.03);
+                nodes[*n].end(*id, 0, 0, Outcome::Served, 0.03);
             }
             !due
         });
     }
-    let rules = settings(vec![class(Effect::Idempotent)]).rules;
-    let capacity =
-        |at: f64| rules.cold_from + (1.0 - rules.cold_from) * (at - 100.0) / rules.warm_after;
+    let rules = settings(vec![class(Idempotency::Idempotent)]).rules;
+    let capacity = |at: f64| {
+        rules.initial_capacity
+            + (1.0 - rules.initial_capacity) * (at - 100.0) / rules.slow_start_duration
+    };
     let within = |from: f64| {
         sent.iter()
-            .filter(|at| **at >= from && **at < from + rules.tip_after)
+            .filter(|at| **at >= from && **at < from + rules.overload_window)
             .count() as f64
     };
     // Each request is 0.02 s of work on a server of one standard core.
@@ -448,7 +456,7 @@
 
 #[test]
 fn pools_that_share_a_cold_server_together_push_it_no_further_than_one_may() {
-    let factor = settings(vec![class(Effect::Idempotent)])
+    let factor = settings(vec![class(Idempotency::Idempotent)])
         .rules
         .overload_factor;
     let alone = push_on_a_cold_server(1, 1);
--- a/crates/balancer/tests/golden_decisions.rs
+++ b/crates/balancer/tests/golden_decisions.rs
@@ -3,7 +3,7 @@
 //! so a digest that differs is a decision that differs.
 
 use reelfall_balancer::interface::*;
-use reelfall_balancer::settings::{self, stable_hash, Listed, Vocabulary};
+use reelfall_balancer::settings::{self, stable_hash, ListedEndpoint, NameRegistry};
 use reelfall_balancer::Balancer;
 use std::collections::BTreeMap;
 
@@ -50,7 +50,7 @@
 struct Play {
     random: Random,
     balancer: Balancer,
-    names: Vocabulary,
+    names: NameRegistry,
     classes: usize,
     now: Time,
     due: BTreeMap<(u64, u64), Due>,
@@ -108,15 +108,15 @@
                 (*server).into(),
                 timeout.unwrap_or(NONE),
             ),
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => (1, (*request).into(), 0, retry_after.unwrap_or(NONE)),
             Action::Fail { request } => (2, (*request).into(), 0, NONE),
             Action::Cancel { request, attempt } => (3, (*request).into(), (*attempt).into(), NONE),
             Action::Watch => (4, 0, 0, NONE),
-            Action::Probe { server } => (5, (*server).into(), 0, NONE),
-            Action::Timer { after, tag } => (6, *tag, 0, *after),
+            Action::HealthCheck { server } => (5, (*server).into(), 0, NONE),
+            Action::StartTimer { after, tag } => (6, *tag, 0, *after),
         };
         self.actions += 1;
         self.digest
@@ -148,15 +148,18 @@
                 };
                 self.schedule(takes, ends);
             }
-            Action::Timer { after, tag } => self.schedule(after, Due::Timer(tag)),
+            Action::StartTimer { after, tag } => self.schedule(after, Due::Timer(tag)),
             Action::Watch => {
                 let entries = self.entries(|_| ServerState::Up);
                 let list = if self.random.below(3) == 0 {
-                    ListKind::Failed
+                    UpdateKind::Failed
                 } else {
-                    ListKind::Full
+                    UpdateKind::Snapshot
                 };
-                self.tell(Event::Members { list, entries });
+                self.tell(Event::EndpointUpdate {
+                    kind: list,
+                    endpoints: entries,
+                });
             }
             _ => {}
         }
@@ -169,32 +172,32 @@
         let sick = server % 7 == 3 && (self.now / 8.0) as u64 % 2 == 1;
         let outcome = match self.random.below(if sick { 8 } else { 80 }) {
             0 => Outcome::Error,
-            1 => Outcome::Dropped,
-            2 => Outcome::DialFailed,
-            3 => Outcome::Shed,
-            4 | 5 => Outcome::Expired,
-            _ => Outcome::Delivered,
+            1 => Outcome::ConnectionLost,
+            2 => Outcome::ConnectFailed,
+            3 => Outcome::Rejected,
+            4 | 5 => Outcome::TimedOut,
+            _ => Outcome::Served,
         };
         match (outcome, timeout) {
-            (Outcome::Expired, timeout) => (outcome, timeout.unwrap_or(0.45)),
-            (_, Some(timeout)) if takes > timeout => (Outcome::Expired, timeout),
+            (Outcome::TimedOut, timeout) => (outcome, timeout.unwrap_or(0.45)),
+            (_, Some(timeout)) if takes > timeout => (Outcome::TimedOut, timeout),
             _ => (outcome, takes),
         }
     }
 
-    fn entries(&mut self, state: impl Fn(u32) -> ServerState) -> Vec<Entry> {
+    fn entries(&mut self, state: impl Fn(u32) -> ServerState) -> Vec<Endpoint> {
         let mut entries = Vec::new();
         for n in 0..24u32 {
-            let line = Listed {
+            let line = ListedEndpoint {
                 name: &format!("server-{n}"),
                 zone: Some(["north", "south", "east"][n as usize % 3]),
-                kind: Some(["small", "large"][n as usize % 2]),
+                machine_type: Some(["small", "large"][n as usize % 2]),
                 cell: n / 4,
                 state: state(n),
                 weight: (n % 4 != 3).then(|| 0.5 + f64::from(n % 4)),
-                ready_at: n.is_multiple_of(5).then_some(self.now - f64::from(n % 3)),
+                started_at: n.is_multiple_of(5).then_some(self.now - f64::from(n % 3)),
             };
-            entries.push(self.names.entry(&line));
+            entries.push(self.names.endpoint(&line));
         }
         entries
     }
@@ -202,21 +205,24 @@
     fn change_list(&mut self) {
         let victim = self.random.below(24) as u32;
         let state =
-            [ServerState::Draining, ServerState::Gone, ServerState::Up][self.random.below(3)];
+            [ServerState::Draining, ServerState::Removed, ServerState::Up][self.random.below(3)];
         let of = |n: u32| if n == victim { state } else { ServerState::Up };
         let mut entries = self.entries(of);
         let list = match self.random.below(4) {
             0 => {
                 entries.remove(victim as usize);
-                ListKind::Full
+                UpdateKind::Snapshot
             }
-            1 => ListKind::Failed,
+            1 => UpdateKind::Failed,
             _ => {
                 entries.retain(|entry| entry.server == victim || entry.server % 9 == 0);
-                ListKind::Delta
+                UpdateKind::Delta
             }
         };
-        self.tell(Event::Members { list, entries });
+        self.tell(Event::EndpointUpdate {
+            kind: list,
+            endpoints: entries,
+        });
     }
 
     fn arrive(&mut self, request: RequestId) {
@@ -231,20 +237,20 @@
             request,
             class,
             tenant,
-            hint,
+            work_hint: hint,
             key,
-            left,
+            remaining: left,
         });
         match self.random.below(30) {
             0 => self.schedule(0.03, Due::Gone(request)),
             1 => {
                 self.tell(Event::Upload {
                     request,
-                    left: None,
+                    remaining: None,
                 });
                 self.schedule(0.04, Due::Uploaded(request));
             }
-            2 => self.tell(Event::FirstByte {
+            2 => self.tell(Event::ResponseStarted {
                 request,
                 attempt: 0,
                 latency: 0.01,
@@ -252,10 +258,10 @@
             3 => {
                 let server = self.random.below(24) as ServerId;
                 let (until, tries) = (self.now + self.random.unit(), self.random.below(2) == 0);
-                self.tell(Event::Told {
+                self.tell(Event::PeerVerdict {
                     server,
                     until,
-                    tries,
+                    is_prober: tries,
                 });
             }
             _ => {}
@@ -265,10 +271,10 @@
     fn happen(&mut self, due: Due) {
         match due {
             Due::Timer(tag) => self.tell(Event::Timer { tag }),
-            Due::Gone(request) => self.tell(Event::Gone { request }),
+            Due::Gone(request) => self.tell(Event::ClientGone { request }),
             Due::Uploaded(request) => self.tell(Event::Upload {
                 request,
-                left: Some(0.3),
+                remaining: Some(0.3),
             }),
             Due::Ends {
                 request,
@@ -277,19 +283,19 @@
                 sent,
                 outcome,
             } => {
-                let ended = outcome == Outcome::Delivered || self.random.below(40) == 0;
+                let ended = outcome == Outcome::Served || self.random.below(40) == 0;
                 let latency = self.now - sent;
-                let load = Some(Load {
-                    active: Some(2.0),
-                    ..Load::default()
+                let load = Some(LoadReport {
+                    in_flight: Some(2.0),
+                    ..LoadReport::default()
                 });
-                self.tell(Event::Outcome {
+                self.tell(Event::AttemptEnded {
                     request,
                     attempt,
                     server,
                     outcome,
                     latency,
-                    ended,
+                    request_ended: ended,
                     load,
                 });
             }
@@ -336,9 +342,9 @@
         self.balancer = Balancer::new(settings, 77, self.now).unwrap();
         self.due.clear();
         let entries = self.entries(|_| ServerState::Up);
-        self.tell(Event::Members {
-            list: ListKind::Cached,
-            entries,
+        self.tell(Event::EndpointUpdate {
+            kind: UpdateKind::Cached,
+            endpoints: entries,
         });
         self.balancer.adopt(self.now, &learned);
         for share in &self.balancer.automaton().p {
@@ -352,9 +358,9 @@
 fn digest(json: &str, seed: u64) -> String {
     let mut play = Play::new(json, seed);
     let entries = play.entries(|_| ServerState::Up);
-    play.tell(Event::Members {
-        list: ListKind::Cached,
-        entries,
+    play.tell(Event::EndpointUpdate {
+        kind: UpdateKind::Cached,
+        endpoints: entries,
     });
     play.run(12.0, 300.0);
     play.run(4.0, 1_500.0);
--- a/crates/balancer/tests/list_costs.rs
+++ b/crates/balancer/tests/list_costs.rs
@@ -49,36 +49,43 @@
 
 /// One of a hundred nodes, each of which has a part of the list.
 fn node() -> Balancer {
-    let mut s = settings(vec![class(Effect::Idempotent)]);
-    (s.replicas, s.number, s.weighted) = (100, Some(3), true);
+    let mut s = settings(vec![class(Idempotency::Idempotent)]);
+    (s.node_count, s.node_index, s.has_server_weights) = (100, Some(3), true);
     s.tenants = vec![Tenant { quota: 2000.0 }];
     Balancer::new(s, 1, 0.0).expect("usable settings")
 }
 
-fn server(n: u32) -> Entry {
-    Entry {
-        kind: (n % 5) as KindId,
+fn server(n: u32) -> Endpoint {
+    Endpoint {
+        machine_type: (n % 5) as MachineTypeId,
         weight: 1.0 + f64::from(n % 3),
         ..entry(n)
     }
 }
 
-fn gone(n: u32) -> Entry {
-    Entry {
-        state: ServerState::Gone,
+fn gone(n: u32) -> Endpoint {
+    Endpoint {
+        state: ServerState::Removed,
         ..server(n)
     }
 }
 
-fn tell(node: &mut Balancer, list: ListKind, entries: Vec<Entry>) {
-    node.handle(1.0, Event::Members { list, entries }, &mut vec![]);
+fn tell(node: &mut Balancer, list: UpdateKind, entries: Vec<Endpoint>) {
+    node.handle(
+        1.0,
+        Event::EndpointUpdate {
+            kind: list,
+            endpoints: entries,
+        },
+        &mut vec![],
+    );
 }
 
 fn listed(servers: u32) -> Balancer {
     let mut node = node();
     tell(
         &mut node,
-        ListKind::Cached,
+        UpdateKind::Cached,
         (0..servers).map(server).collect(),
     );
     node
@@ -88,7 +95,7 @@
 fn a_whole_list() {
     assert_in_proportion(
         |_| node(),
-        |servers, node| tell(node, ListKind::Cached, (0..servers).map(server).collect()),
+        |servers, node| tell(node, UpdateKind::Cached, (0..servers).map(server).collect()),
     );
 }
 
@@ -97,7 +104,7 @@
     assert_in_proportion(listed, |servers, node| {
         tell(
             node,
-            ListKind::Full,
+            UpdateKind::Snapshot,
             (servers..2 * servers).map(server).collect(),
         );
     });
@@ -108,7 +115,7 @@
     assert_in_proportion(listed, |servers, node| {
         tell(
             node,
-            ListKind::Delta,
+            UpdateKind::Delta,
             (servers..2 * servers).map(server).collect(),
         );
     });
@@ -117,18 +124,22 @@
 #[test]
 fn a_change_in_which_many_leave() {
     assert_in_proportion(listed, |servers, node| {
-        tell(node, ListKind::Delta, (0..servers).map(gone).collect());
+        tell(node, UpdateKind::Delta, (0..servers).map(gone).collect());
     });
 }
 
 #[test]
 fn a_change_in_which_many_restart() {
     assert_in_proportion(listed, |servers, node| {
-        let restarted = |n| Entry {
-            ready_at: 0.5,
+        let restarted = |n| Endpoint {
+            started_at: 0.5,
             ..server(n)
         };
-        tell(node, ListKind::Delta, (0..servers).map(restarted).collect());
+        tell(
+            node,
+            UpdateKind::Delta,
+            (0..servers).map(restarted).collect(),
+        );
     });
 }
 
@@ -137,7 +148,7 @@
     assert_in_proportion(listed, |servers, node| {
         let turns =
             (0..servers).flat_map(|n| [gone(n), server(servers + n), server(2 * servers + n)]);
-        tell(node, ListKind::Delta, turns.collect());
+        tell(node, UpdateKind::Delta, turns.collect());
     });
 }
 
@@ -178,7 +189,7 @@
     let mut engine = Engine::new(Idle, &[], 1);
     engine.members(
         0.0,
-        ListKind::Full,
+        UpdateKind::Snapshot,
         (0..servers).map(|n| at(n, n)).collect(),
         &mut vec![],
     );
@@ -192,7 +203,7 @@
         |servers, engine| {
             engine.members(
                 0.0,
-                ListKind::Full,
+                UpdateKind::Snapshot,
                 (0..servers).map(|n| at(n, n)).collect(),
                 &mut vec![],
             );
@@ -204,7 +215,7 @@
 fn new_servers_at_the_addresses_of_others() {
     assert_in_proportion(engine, |servers, engine| {
         let new = (0..servers).map(|n| at(servers + n, n)).collect();
-        engine.members(1.0, ListKind::Delta, new, &mut vec![]);
+        engine.members(1.0, UpdateKind::Delta, new, &mut vec![]);
         assert!(!engine.lists(0) && engine.lists(servers));
     });
 }
@@ -213,12 +224,17 @@
 fn numbers_that_are_free_again() {
     let prepare = |servers| {
         let mut engine = engine(servers);
-        engine.members(1.0, ListKind::Full, vec![], &mut vec![]);
+        engine.members(1.0, UpdateKind::Snapshot, vec![], &mut vec![]);
         engine
     };
     assert_in_proportion(prepare, |servers, engine| {
         let mut out = vec![];
-        engine.members(1.0 + 2.0 * NUMBER_RESTS, ListKind::Delta, vec![], &mut out);
+        engine.members(
+            1.0 + 2.0 * NUMBER_RESTS,
+            UpdateKind::Delta,
+            vec![],
+            &mut out,
+        );
         let released = out
             .iter()
             .filter(|c| matches!(c, Command::Release { .. }))
@@ -235,9 +251,9 @@
             let (old, new) = ((round - 1) * servers, round * servers);
             let now = 2.0 * NUMBER_RESTS * f64::from(round);
             let places = (0..servers).map(|n| at(new + n, n)).collect();
-            engine.members(now, ListKind::Delta, places, &mut vec![]);
+            engine.members(now, UpdateKind::Delta, places, &mut vec![]);
             let turns = (0..servers).flat_map(|n| [gone(old + n), server(new + n)]);
-            tell(node, ListKind::Delta, turns.collect());
+            tell(node, UpdateKind::Delta, turns.collect());
         }
     };
     assert_in_proportion(|servers| (engine(servers), listed(servers)), act);
@@ -246,7 +262,7 @@
 #[test]
 fn a_number_that_is_used_again_is_not_released() {
     let mut engine = engine(2);
-    let mut released = |now: Time, list: ListKind, places: Vec<Place<u32>>| {
+    let mut released = |now: Time, list: UpdateKind, places: Vec<Place<u32>>| {
         let mut out = vec![];
         engine.members(now, list, places, &mut out);
         let of = |c: &Command<Test>| match c {
@@ -255,12 +271,12 @@
         };
         out.iter().filter_map(of).collect::<Vec<ServerId>>()
     };
-    assert!(released(1.0, ListKind::Full, vec![]).is_empty());
-    assert!(released(2.0, ListKind::Full, vec![at(0, 0)]).is_empty());
-    assert!(released(20.0, ListKind::Full, vec![]).is_empty());
+    assert!(released(1.0, UpdateKind::Snapshot, vec![]).is_empty());
+    assert!(released(2.0, UpdateKind::Snapshot, vec![at(0, 0)]).is_empty());
+    assert!(released(20.0, UpdateKind::Snapshot, vec![]).is_empty());
     // The first rest of number 0 is over, its second is not.
-    assert_eq!(released(35.0, ListKind::Delta, vec![]), [1]);
-    assert_eq!(released(55.0, ListKind::Delta, vec![]), [0]);
+    assert_eq!(released(35.0, UpdateKind::Delta, vec![]), [1]);
+    assert_eq!(released(55.0, UpdateKind::Delta, vec![]), [0]);
 }
 
 #[test]
@@ -268,21 +284,24 @@
     struct Told(std::rc::Rc<std::cell::RefCell<Vec<(ServerId, ServerState)>>>);
     impl Decide for Told {
         fn handle(&mut self, _: Time, event: Event, _: &mut Vec<Action>) {
-            if let Event::Members { entries, .. } = event {
+            if let Event::EndpointUpdate {
+                endpoints: entries, ..
+            } = event
+            {
                 *self.0.borrow_mut() = entries.iter().map(|e| (e.server, e.state)).collect();
             }
         }
     }
     let told = std::rc::Rc::default();
     let mut engine: Engine<Test, Told> = Engine::new(Told(std::rc::Rc::clone(&told)), &[], 1);
-    let (up, gone) = (ServerState::Up, ServerState::Gone);
+    let (up, gone) = (ServerState::Up, ServerState::Removed);
     let places = vec![at(1, 7), at(2, 7), at(1, 7), at(3, 8)];
-    engine.members(0.0, ListKind::Full, places, &mut vec![]);
+    engine.members(0.0, UpdateKind::Snapshot, places, &mut vec![]);
     assert_eq!(*told.borrow(), [(1, gone), (2, gone), (1, up), (3, up)]);
     // One that moves to another address leaves its old one to others.
     engine.members(
         1.0,
-        ListKind::Delta,
+        UpdateKind::Delta,
         vec![at(3, 9), at(4, 8), at(5, 9)],
         &mut vec![],
     );
--- a/crates/balancer/tests/list_reference.rs
+++ b/crates/balancer/tests/list_reference.rs
@@ -50,7 +50,7 @@
 }
 
 struct Server {
-    entry: Entry,
+    entry: Endpoint,
     own: bool,
     ejected_until: Time,
     p: f64,
@@ -83,7 +83,7 @@
         let typical = settings
             .classes
             .iter()
-            .map(|c| c.aim)
+            .map(|c| c.latency_objective)
             .fold(f64::MAX, f64::min)
             / 4.0;
         let quota = settings.tenants.iter().map(|t| t.quota).sum();
@@ -102,18 +102,18 @@
     }
 
     fn block(&self, r: f64) -> u32 {
-        let n = f64::from(self.settings.replicas);
-        if self.settings.number.is_none() || self.quota <= 0.0 || n < 2.0 * PART_LEAST {
-            return self.settings.replicas;
+        let n = f64::from(self.settings.node_count);
+        if self.settings.node_index.is_none() || self.quota <= 0.0 || n < 2.0 * PART_LEAST {
+            return self.settings.node_count;
         }
         let part = (self.quota / n / VISITS).max(PART_LEAST);
         (n * part / r.max(1.0)).clamp(2.0 * PART_LEAST, n).ceil() as u32
     }
 
     fn owns(&self, hash: u64, block: u32) -> bool {
-        let n = u64::from(self.settings.replicas);
+        let n = u64::from(self.settings.node_count);
         let first = (fraction(hash) * n as f64) as u64;
-        let place = u64::from(self.settings.number.unwrap_or(0)) * stride(n);
+        let place = u64::from(self.settings.node_index.unwrap_or(0)) * stride(n);
         (place + n - first) % n < u64::from(block)
     }
 
@@ -121,7 +121,7 @@
         let mean =
             self.servers.iter().map(|s| s.entry.weight).sum::<f64>() / self.servers.len() as f64;
         let size = weight / mean;
-        if self.settings.weighted && size.is_finite() {
+        if self.settings.has_server_weights && size.is_finite() {
             size.clamp(SIZE_LEAST, SIZE_MOST)
         } else {
             1.0
@@ -146,7 +146,11 @@
         let share = self.servers[i].p * self.servers.len() as f64;
         let gone = self.servers.swap_remove(i);
         self.settle();
-        let Entry { hash, ready_at, .. } = gone.entry;
+        let Endpoint {
+            hash,
+            started_at: ready_at,
+            ..
+        } = gone.entry;
         self.left
             .retain(|l| l.hash != hash && now - l.at < LEFT_FOR);
         if self.left.len() >= LEFT_MOST {
@@ -165,14 +169,14 @@
         });
     }
 
-    fn join(&mut self, now: Time, entry: Entry) {
+    fn join(&mut self, now: Time, entry: Endpoint) {
         let r = self.servers.len() as f64;
         let own = self.owns(entry.hash, self.block(r + 1.0));
         let part: Vec<&Server> = self.servers.iter().filter(|s| s.own == own).collect();
         let kin: Vec<&Server> = part
             .iter()
             .copied()
-            .filter(|s| s.entry.kind == entry.kind)
+            .filter(|s| s.entry.machine_type == entry.machine_type)
             .collect();
         let mean = |of: &[&Server], what: fn(&Server) -> f64| {
             of.iter().map(|s| what(s)).sum::<f64>() / of.len() as f64
@@ -196,7 +200,7 @@
         let known = self
             .left
             .iter()
-            .position(|l| l.hash == entry.hash && l.ready_at == entry.ready_at);
+            .position(|l| l.hash == entry.hash && l.ready_at == entry.started_at);
         let known = known
             .map(|n| self.left.remove(n))
             .filter(|l| now - l.at < LEFT_FOR);
@@ -224,7 +228,7 @@
 
     fn part(&mut self, fresh: bool) {
         let block = self.block(self.servers.len() as f64);
-        if block >= self.settings.replicas && self.servers.iter().all(|s| s.own) {
+        if block >= self.settings.node_count && self.servers.iter().all(|s| s.own) {
             return;
         }
         let owned: Vec<bool> = self
@@ -256,16 +260,16 @@
     }
 
     /// What a failed call says of when to ask again, if it is one.
-    fn members(&mut self, now: Time, list: ListKind, entries: &[Entry]) -> Option<Time> {
-        if list == ListKind::Failed {
+    fn members(&mut self, now: Time, list: UpdateKind, entries: &[Endpoint]) -> Option<Time> {
+        if list == UpdateKind::Failed {
             let after = self.backoff * (0.5 + 0.5 * self.chance.draw());
             self.backoff = (self.backoff * 2.0).min(BACKOFF_MOST);
             return Some(after);
         }
-        if list != ListKind::Cached {
+        if list != UpdateKind::Cached {
             self.backoff = 1.0;
         }
-        if list != ListKind::Delta {
+        if list != UpdateKind::Delta {
             for i in (0..self.servers.len()).rev() {
                 if entries
                     .iter()
@@ -279,7 +283,7 @@
         for e in entries.iter().cloned() {
             match self.servers.iter().position(|s| s.entry.server == e.server) {
                 Some(i) if e.state != ServerState::Up => self.leave(now, i),
-                Some(i) if self.servers[i].entry.ready_at < e.ready_at => {
+                Some(i) if self.servers[i].entry.started_at < e.started_at => {
                     self.leave(now, i);
                     self.join(now, e);
                 }
@@ -292,20 +296,25 @@
         None
     }
 
-    fn adopt(&mut self, now: Time, learned: &Learned) {
+    fn adopt(&mut self, now: Time, learned: &LearnedState) {
         let r = self.servers.len() as f64;
         for l in &learned.servers {
-            let same = |s: &&mut Server| s.entry.hash == l.hash && s.entry.ready_at == l.ready_at;
+            let same =
+                |s: &&mut Server| s.entry.hash == l.hash && s.entry.started_at == l.started_at;
             if let Some(s) = self.servers.iter_mut().find(same) {
-                (s.p, s.average, s.budget) = (l.share / r, l.average, s.budget.min(l.budget));
-                s.ejected_until = now + l.out_for.clamp(0.0, LEFT_FOR);
+                (s.p, s.average, s.budget) = (
+                    l.relative_probability / r,
+                    l.mean_response,
+                    s.budget.min(l.slow_start_credit),
+                );
+                s.ejected_until = now + l.ejected_for.clamp(0.0, LEFT_FOR);
             } else if self.left.len() < LEFT_MOST {
                 let LearnedServer {
                     hash,
-                    ready_at,
-                    share,
-                    average,
-                    budget,
+                    started_at: ready_at,
+                    relative_probability: share,
+                    mean_response: average,
+                    slow_start_credit: budget,
                     ..
                 } = *l;
                 self.left.push(Left {
@@ -344,7 +353,7 @@
     reference: Reference,
     now: Time,
     chance: Chance,
-    names: Vec<Entry>,
+    names: Vec<Endpoint>,
     steps: Vec<String>,
 }
 
@@ -365,17 +374,23 @@
         }
     }
 
-    fn members(&mut self, list: ListKind, entries: Vec<Entry>) {
+    fn members(&mut self, list: UpdateKind, entries: Vec<Endpoint>) {
         self.steps
             .push(format!("{} {list:?} of {}", self.now, entries.len()));
         let after = self.reference.members(self.now, list, &entries);
         let mut actions = vec![];
-        self.node
-            .handle(self.now, Event::Members { list, entries }, &mut actions);
+        self.node.handle(
+            self.now,
+            Event::EndpointUpdate {
+                kind: list,
+                endpoints: entries,
+            },
+            &mut actions,
+        );
         if let Some(after) = after {
             let asked = actions
                 .iter()
-                .any(|a| matches!(a, Action::Timer { after: a, .. } if *a == after));
+                .any(|a| matches!(a, Action::StartTimer { after: a, .. } if *a == after));
             assert!(
                 asked,
                 "another draw of chance: {actions:?}, not {after}, after {:?}",
@@ -402,8 +417,8 @@
             assert_eq!(node.hash, plain.entry.hash, "{i} after {:?}", self.steps);
             let pairs = [
                 (p[i], plain.p),
-                (node.average, plain.average),
-                (node.budget, plain.budget),
+                (node.mean_response, plain.average),
+                (node.slow_start_credit, plain.budget),
             ];
             assert!(
                 pairs.iter().all(|(a, b)| close(*a, *b)),
@@ -416,15 +431,15 @@
     fn step(&mut self) {
         self.now += self.chance.one_of(&[0.1, 0.3, 0.7, 5.0, 70.0]);
         match self.chance.below(12) {
-            0 | 1 => self.whole(ListKind::Full),
-            2 => self.whole(ListKind::Cached),
-            3 => self.members(ListKind::Failed, vec![]),
+            0 | 1 => self.whole(UpdateKind::Snapshot),
+            2 => self.whole(UpdateKind::Cached),
+            3 => self.members(UpdateKind::Failed, vec![]),
             4..=6 => self.learn(),
             _ => self.delta(),
         }
     }
 
-    fn whole(&mut self, list: ListKind) {
+    fn whole(&mut self, list: UpdateKind) {
         let listed = self.chance.draw();
         let mut entries = vec![];
         for server in 0..self.names.len() {
@@ -444,26 +459,26 @@
             let server = self.chance.below(most);
             let comes = self.chance.draw() < joins;
             if comes && self.chance.below(4) == 0 {
-                self.names[server as usize].ready_at = self.now;
+                self.names[server as usize].started_at = self.now;
             } else if comes && self.chance.below(8) == 0 {
-                let ready_at = self.names[server as usize].ready_at;
-                self.names[server as usize] = Entry {
-                    ready_at,
+                let ready_at = self.names[server as usize].started_at;
+                self.names[server as usize] = Endpoint {
+                    started_at: ready_at,
                     ..drawn(&mut self.chance, server)
                 };
             }
-            let gone = [ServerState::Draining, ServerState::Gone];
+            let gone = [ServerState::Draining, ServerState::Removed];
             let state = if comes {
                 ServerState::Up
             } else {
                 self.chance.one_of(&gone)
             };
-            entries.push(Entry {
+            entries.push(Endpoint {
                 state,
                 ..self.names[server as usize].clone()
             });
         }
-        self.members(ListKind::Delta, entries);
+        self.members(UpdateKind::Delta, entries);
     }
 
     /// Puts drawn shares, averages, budgets and ejections in place of what answers would teach.
@@ -472,10 +487,10 @@
         let mut learned = self.node.learned(self.now);
         for l in &mut learned.servers {
             let share = self.chance.one_of(&[1e-3, 0.1, 0.1, 1.0, 1.0, 3.0]);
-            l.share = share * (0.5 + self.chance.draw());
-            l.average = 0.01 + 0.1 * self.chance.draw();
-            l.budget = 0.1 * self.chance.draw();
-            l.out_for = self.chance.one_of(&[0.0, 0.0, 0.4, 8.0]);
+            l.relative_probability = share * (0.5 + self.chance.draw());
+            l.mean_response = 0.01 + 0.1 * self.chance.draw();
+            l.slow_start_credit = 0.1 * self.chance.draw();
+            l.ejected_for = self.chance.one_of(&[0.0, 0.0, 0.4, 8.0]);
         }
         // One server that has nearly all.
         if let Some(l) = learned
@@ -483,7 +498,7 @@
             .first_mut()
             .filter(|_| self.chance.below(3) == 0)
         {
-            l.share = 1e4;
+            l.relative_probability = 1e4;
         }
         self.node.adopt(self.now, &learned);
         self.reference.adopt(self.now, &learned);
@@ -491,25 +506,25 @@
     }
 }
 
-fn drawn(chance: &mut Chance, server: ServerId) -> Entry {
+fn drawn(chance: &mut Chance, server: ServerId) -> Endpoint {
     let weight = 0.1 + 4.0 * chance.draw();
-    Entry {
-        kind: chance.below(4) as KindId,
+    Endpoint {
+        machine_type: chance.below(4) as MachineTypeId,
         weight,
         ..common::entry(server)
     }
 }
 
 fn alone() -> Settings {
-    settings(vec![class(Effect::Idempotent)])
+    settings(vec![class(Idempotency::Idempotent)])
 }
 
 /// One of a hundred nodes, each with a part of a long list.
 fn of_many() -> Settings {
     let tenants = vec![Tenant { quota: 2000.0 }];
     Settings {
-        replicas: 100,
-        number: Some(3),
+        node_count: 100,
+        node_index: Some(3),
         tenants,
         ..alone()
     }
@@ -523,11 +538,11 @@
                     seed,
                     names,
                     Settings {
-                        weighted,
+                        has_server_weights: weighted,
                         ..settings.clone()
                     },
                 );
-                both.whole(ListKind::Cached);
+                both.whole(UpdateKind::Cached);
                 (0..steps).for_each(|_| both.step());
             }
         }
@@ -550,24 +565,24 @@
 fn a_server_lower_than_those_at_the_floor_joins_as_it_was() {
     let mut both = Both::new(1, 300, of_many());
     let all = both.names.clone();
-    both.members(ListKind::Cached, all.clone());
-    let gone = |e: &Entry| Entry {
-        state: ServerState::Gone,
+    both.members(UpdateKind::Cached, all.clone());
+    let gone = |e: &Endpoint| Endpoint {
+        state: ServerState::Removed,
         ..e.clone()
     };
     for _ in 0..5 {
         both.learn();
         both.now += 0.1;
-        both.members(ListKind::Delta, all[..60].iter().map(gone).collect());
+        both.members(UpdateKind::Delta, all[..60].iter().map(gone).collect());
         both.now += 0.1;
         // Each that goes raises the floor; each that returns, often lower than that, lowers it.
         let turns = all[..60]
             .iter()
             .zip(&all[100..])
             .flat_map(|(back, goes)| [gone(goes), back.clone()]);
-        both.members(ListKind::Delta, turns.collect());
+        both.members(UpdateKind::Delta, turns.collect());
         both.now += 0.1;
-        both.members(ListKind::Full, all.clone());
+        both.members(UpdateKind::Snapshot, all.clone());
     }
 }
 
@@ -575,21 +590,21 @@
 fn rounding_does_not_pile_up_over_a_long_churn() {
     let mut both = Both::new(2, 40, of_many());
     let all = both.names.clone();
-    both.members(ListKind::Cached, all);
+    both.members(UpdateKind::Cached, all);
     both.learn();
     for round in 0..300 {
         both.now += 0.01;
         let server = round % 40;
-        both.names[server].ready_at = both.now;
+        both.names[server].started_at = both.now;
         let entry = both.names[server].clone();
-        both.members(ListKind::Delta, vec![entry]);
+        both.members(UpdateKind::Delta, vec![entry]);
     }
     // And in one piece of news that restarts the same few servers over and over.
-    let entries = (0..20_000).map(|n| Entry {
-        ready_at: both.now + f64::from(n) * 1e-6,
+    let entries = (0..20_000).map(|n| Endpoint {
+        started_at: both.now + f64::from(n) * 1e-6,
         ..both.names[n as usize % 7].clone()
     });
-    let entries: Vec<Entry> = entries.collect();
+    let entries: Vec<Endpoint> = entries.collect();
     both.now += 1.0;
-    both.members(ListKind::Delta, entries);
+    both.members(UpdateKind::Delta, entries);
 }
--- a/crates/balancer/tests/overload.rs
+++ b/crates/balancer/tests/overload.rs
@@ -7,7 +7,7 @@
 
 /// A node that sees some thirteen requests a second, and has seen them answered in 30 ms for a while.
 fn at_rest(servers: u32) -> Node {
-    let mut node = Node::new(settings(vec![class(Effect::Idempotent)]), servers);
+    let mut node = Node::new(settings(vec![class(Idempotency::Idempotent)]), servers);
     answers(&mut node, 60, 0.03);
     node
 }
@@ -18,7 +18,7 @@
         let (id, server) = node.request(0, None, 0.6);
         node.now += takes;
         if let Some(server) = server {
-            node.end(id, 0, server, Outcome::Delivered, takes);
+            node.end(id, 0, server, Outcome::Served, takes);
         }
         node.now += 0.045;
         node.sweep();
@@ -26,7 +26,7 @@
 }
 
 fn admit(node: &Node) -> f64 {
-    node.balancer.learned(node.now).admit
+    node.balancer.learned(node.now).admitted_share
 }
 
 #[test]
@@ -53,12 +53,12 @@
 #[test]
 fn lost_capacity_lowers_what_is_admitted_under_pressure_and_not_at_rest() {
     let mut quiet = at_rest(12);
-    quiet.members(ListKind::Full, (0..4).map(entry).collect());
+    quiet.members(UpdateKind::Snapshot, (0..4).map(entry).collect());
     assert_eq!(admit(&quiet), 1.0);
     let mut pressed = at_rest(12);
     answers(&mut pressed, 8, 0.19);
     let before = admit(&pressed);
-    pressed.members(ListKind::Full, (0..8).map(entry).collect());
+    pressed.members(UpdateKind::Snapshot, (0..8).map(entry).collect());
     assert!(
         before < 1.0 && admit(&pressed) < 0.9 * before,
         "{before} {}",
@@ -73,10 +73,10 @@
     for _ in 0..12 {
         let (id, server) = node.request(0, None, 0.6);
         let Some(server) = server else { continue };
-        node.end(id, 0, server, Outcome::Shed, 0.001);
+        node.end(id, 0, server, Outcome::Rejected, 0.001);
         if let Some(next) = node.sent() {
             repeats += 1;
-            node.end(id, 1, next, Outcome::Delivered, 0.001);
+            node.end(id, 1, next, Outcome::Served, 0.001);
         }
     }
     // A second's worth is under three; two and a half more are earned on the way.
@@ -85,22 +85,22 @@
 
 #[test]
 fn a_cold_server_of_a_slow_kind_is_sent_less_than_one_of_a_fast_kind() {
-    let kind = |server: ServerId, ready_at| Entry {
-        kind: (server % 2) as KindId,
-        ready_at,
+    let kind = |server: ServerId, ready_at| Endpoint {
+        machine_type: (server % 2) as MachineTypeId,
+        started_at: ready_at,
         ..entry(server)
     };
-    let mut node = Node::new(settings(vec![class(Effect::Idempotent)]), 0);
-    node.members(ListKind::Full, (0..8).map(|n| kind(n, 0.0)).collect());
+    let mut node = Node::new(settings(vec![class(Idempotency::Idempotent)]), 0);
+    node.members(UpdateKind::Snapshot, (0..8).map(|n| kind(n, 0.0)).collect());
     for _ in 0..400 {
         let (id, server) = node.request(0, None, 0.6);
         let server = server.expect("a sound fleet takes every request");
         node.now += if server % 2 == 0 { 0.02 } else { 0.06 };
-        node.end(id, 0, server, Outcome::Delivered, 0.0);
+        node.end(id, 0, server, Outcome::Served, 0.0);
         node.sweep();
     }
     let now = node.now;
-    node.members(ListKind::Delta, vec![kind(20, now), kind(21, now)]);
+    node.members(UpdateKind::Delta, vec![kind(20, now), kind(21, now)]);
     for _ in 0..200 {
         node.now += 0.01;
         node.sweep();
@@ -111,7 +111,7 @@
             .servers
             .iter()
             .find(|s| s.hash == entry(n).hash)
-            .map_or(0.0, |s| s.budget)
+            .map_or(0.0, |s| s.slow_start_credit)
     };
     assert!(
         budget(21) > 0.0 && budget(20) > 2.0 * budget(21),
--- a/crates/balancer/tests/parts.rs
+++ b/crates/balancer/tests/parts.rs
@@ -7,9 +7,12 @@
 use reelfall_balancer::Balancer;
 
 /// A node of a fleet that takes 20 requests a second in each node.
-fn node(number: u32, replicas: u32, list: &[Entry]) -> Balancer {
-    let mut s = settings(vec![class(Effect::Idempotent), class(Effect::AtMostOnce)]);
-    (s.replicas, s.number) = (replicas, Some(number));
+fn node(number: u32, replicas: u32, list: &[Endpoint]) -> Balancer {
+    let mut s = settings(vec![
+        class(Idempotency::Idempotent),
+        class(Idempotency::AtMostOnce),
+    ]);
+    (s.node_count, s.node_index) = (replicas, Some(number));
     s.tenants = vec![Tenant {
         quota: 20.0 * f64::from(replicas),
     }];
@@ -17,9 +20,9 @@
     let entries = list.to_vec();
     node.handle(
         0.0,
-        Event::Members {
-            list: ListKind::Cached,
-            entries,
+        Event::EndpointUpdate {
+            kind: UpdateKind::Cached,
+            endpoints: entries,
         },
         &mut vec![],
     );
@@ -32,7 +35,7 @@
     (0..p.len()).filter(|i| p[*i] > 1.5 * floor).collect()
 }
 
-fn fleet(replicas: u32, list: &[Entry]) -> Vec<Vec<usize>> {
+fn fleet(replicas: u32, list: &[Endpoint]) -> Vec<Vec<usize>> {
     (0..replicas)
         .map(|number| part(&node(number, replicas, list)))
         .collect()
@@ -46,7 +49,7 @@
 
 #[test]
 fn every_server_is_of_as_many_nodes_and_every_node_has_a_small_part() {
-    let list: Vec<Entry> = (0..60).map(entry).collect();
+    let list: Vec<Endpoint> = (0..60).map(entry).collect();
     let parts = fleet(100, &list);
     let nodes = nodes_of(&parts, 60);
     assert!(nodes.iter().all(|n| *n == nodes[0] && *n < 30), "{nodes:?}");
@@ -59,7 +62,7 @@
 
 #[test]
 fn nodes_that_die_together_are_missed_by_all_servers_alike() {
-    let list: Vec<Entry> = (0..60).map(entry).collect();
+    let list: Vec<Endpoint> = (0..60).map(entry).collect();
     let parts = fleet(100, &list);
     let before = nodes_of(&parts, 60)[0];
     // A zone's nodes may be numbered in a row or every other.
@@ -83,10 +86,10 @@
 
 #[test]
 fn a_server_that_is_new_moves_few_others() {
-    let list: Vec<Entry> = (0..60).map(entry).collect();
+    let list: Vec<Endpoint> = (0..60).map(entry).collect();
     let mut more = list.clone();
-    more.push(Entry {
-        ready_at: 0.0,
+    more.push(Endpoint {
+        started_at: 0.0,
         ..entry(60)
     });
     for number in 0..20 {
@@ -102,7 +105,7 @@
 
 #[test]
 fn where_nodes_meet_each_server_often_all_have_the_whole_list() {
-    let list: Vec<Entry> = (0..20).map(entry).collect();
+    let list: Vec<Endpoint> = (0..20).map(entry).collect();
     for replicas in [1, 3, 12] {
         assert!(
             fleet(replicas, &list).iter().all(|p| p.len() == 20),
@@ -113,7 +116,7 @@
 
 #[test]
 fn lists_and_fleets_of_any_size_are_parted() {
-    let long: Vec<Entry> = (0..10_000).map(entry).collect();
+    let long: Vec<Endpoint> = (0..10_000).map(entry).collect();
     assert!((1..2_000).contains(&part(&node(7_777, 10_000, &long)).len()));
     assert_eq!(part(&node(9_999, 10_000, &long[..1])), [0]);
     assert!(part(&node(3, 10_000, &[])).is_empty());
@@ -122,15 +125,15 @@
 
 #[test]
 fn nodes_that_are_not_told_from_each_other_have_the_whole_list() {
-    let mut s = settings(vec![class(Effect::Idempotent)]);
-    (s.replicas, s.tenants) = (100, vec![Tenant { quota: 2000.0 }]);
+    let mut s = settings(vec![class(Idempotency::Idempotent)]);
+    (s.node_count, s.tenants) = (100, vec![Tenant { quota: 2000.0 }]);
     let mut node = Balancer::new(s, 1, 0.0).expect("usable settings");
     let entries = (0..60).map(entry).collect();
     node.handle(
         0.0,
-        Event::Members {
-            list: ListKind::Cached,
-            entries,
+        Event::EndpointUpdate {
+            kind: UpdateKind::Cached,
+            endpoints: entries,
         },
         &mut vec![],
     );
@@ -140,18 +143,18 @@
 
 #[test]
 fn a_newcomer_of_a_kind_that_nobody_has_seen_is_of_its_part_or_has_the_floor() {
-    let list: Vec<Entry> = (0..60).map(entry).collect();
+    let list: Vec<Endpoint> = (0..60).map(entry).collect();
     for number in 0..40 {
         let mut node = node(number, 100, &list);
-        let entries = vec![Entry {
-            kind: 7,
+        let entries = vec![Endpoint {
+            machine_type: 7,
             ..entry(60)
         }];
         node.handle(
             0.1,
-            Event::Members {
-                list: ListKind::Delta,
-                entries,
+            Event::EndpointUpdate {
+                kind: UpdateKind::Delta,
+                endpoints: entries,
             },
             &mut vec![],
         );
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -35,7 +35,7 @@
 
 /// What a client and the servers know of one request.
 struct Told {
-    effect: Effect,
+    effect: Idempotency,
     deadline: f64,
     out: Option<(u32, ServerId, f64)>,
     made: u32,
@@ -44,18 +44,18 @@
 }
 
 const OUTCOMES: [Outcome; 7] = [
-    Outcome::Delivered,
+    Outcome::Served,
     Outcome::Error,
-    Outcome::Shed,
-    Outcome::Expired,
-    Outcome::DialFailed,
-    Outcome::Dropped,
-    Outcome::Revoked,
+    Outcome::Rejected,
+    Outcome::TimedOut,
+    Outcome::ConnectFailed,
+    Outcome::ConnectionLost,
+    Outcome::Cancelled,
 ];
 
 struct World {
     balancer: Balancer,
-    effects: Vec<Effect>,
+    effects: Vec<Idempotency>,
     now: f64,
     told: BTreeMap<RequestId, Told>,
     closed: BTreeSet<ServerId>,
@@ -71,10 +71,10 @@
                 Action::Attempt {
                     request, server, ..
                 } => self.attempted(request, server),
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let t = self.told.get_mut(&request).expect("a request that exists");
                     assert!(!t.answered && t.out.is_none(), "answered twice");
-                    let harmless = matches!(t.effect, Effect::Idempotent);
+                    let harmless = matches!(t.effect, Idempotency::Idempotent);
                     assert!(
                         harmless || t.ran.is_none(),
                         "refused though it may have run"
@@ -104,16 +104,19 @@
         assert!(!self.closed.contains(&server), "sent to a drained server");
         if let Some((first, at)) = t.ran {
             match t.effect {
-                Effect::Idempotent => {}
-                Effect::AtMostOnce => panic!("an effect twice"),
-                Effect::Keyed { group, window } => {
+                Idempotency::Idempotent => {}
+                Idempotency::AtMostOnce => panic!("an effect twice"),
+                Idempotency::Keyed {
+                    scope: group,
+                    window,
+                } => {
                     assert!(self.now < at + window, "repeat outside the window");
                     assert!(
-                        group != Group::Cell || first / 2 == server / 2,
+                        group != KeyScope::Cell || first / 2 == server / 2,
                         "repeat outside the cell"
                     );
                     assert!(
-                        group != Group::Zone || first % 2 == server % 2,
+                        group != KeyScope::Zone || first % 2 == server % 2,
                         "repeat outside the zone"
                     );
                 }
@@ -129,18 +132,18 @@
     fn end(&mut self, id: RequestId, outcome: Outcome) {
         let t = self.told.get_mut(&id).expect("a request that exists");
         let (attempt, server, sent) = t.out.take().expect("an attempt out");
-        if !matches!(outcome, Outcome::Shed | Outcome::DialFailed) && t.ran.is_none() {
+        if !matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed) && t.ran.is_none() {
             t.ran = Some((server, sent));
         }
-        t.answered |= outcome == Outcome::Delivered;
+        t.answered |= outcome == Outcome::Served;
         let (ended, latency) = (t.answered, self.now - sent);
-        self.tell(Event::Outcome {
+        self.tell(Event::AttemptEnded {
             request: id,
             attempt,
             server,
             outcome,
             latency,
-            ended,
+            request_ended: ended,
             load: None,
         });
     }
@@ -155,7 +158,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in late {
-            self.end(id, Outcome::Expired);
+            self.end(id, Outcome::TimedOut);
         }
     }
 
@@ -178,9 +181,9 @@
                     request: id,
                     class,
                     tenant: None,
-                    hint,
+                    work_hint: hint,
                     key: None,
-                    left,
+                    remaining: left,
                 });
             }
             Step::End { pick, outcome } => {
@@ -204,7 +207,7 @@
                 if !open.is_empty() {
                     let id = open[pick % open.len()];
                     self.told.get_mut(&id).expect("an open request").answered = true;
-                    self.tell(Event::Gone { request: id });
+                    self.tell(Event::ClientGone { request: id });
                 }
             }
             Step::Server { server, state } => {
@@ -213,9 +216,9 @@
                 self.cold_work.remove(&server);
                 match state {
                     0 => e.state = ServerState::Draining,
-                    1 => e.state = ServerState::Gone,
+                    1 => e.state = ServerState::Removed,
                     _ => {
-                        e.ready_at = self.now;
+                        e.started_at = self.now;
                         self.cold_work.insert(server, vec![]);
                     }
                 }
@@ -224,23 +227,23 @@
                 } else {
                     self.closed.insert(server);
                 }
-                self.tell(Event::Members {
-                    list: ListKind::Delta,
-                    entries: vec![e],
+                self.tell(Event::EndpointUpdate {
+                    kind: UpdateKind::Delta,
+                    endpoints: vec![e],
                 });
             }
             Step::Sweep => self.tell(Event::Timer { tag: 0 }),
             Step::Stray => {
-                self.tell(Event::Gone { request: 1 << 30 });
-                let (outcome, latency) = (Outcome::Delivered, f64::NAN);
+                self.tell(Event::ClientGone { request: 1 << 30 });
+                let (outcome, latency) = (Outcome::Served, f64::NAN);
                 let request = 1 << 30;
-                self.tell(Event::Outcome {
+                self.tell(Event::AttemptEnded {
                     request,
                     attempt: 0,
                     server: 0,
                     outcome,
                     latency,
-                    ended: false,
+                    request_ended: false,
                     load: None,
                 });
             }
@@ -259,14 +262,14 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let run = runner.run(&proptest::collection::vec(step(), 1..300), |steps| {
         let effects = vec![
-            Effect::Idempotent,
-            Effect::AtMostOnce,
-            Effect::Keyed {
-                group: Group::Cell,
+            Idempotency::Idempotent,
+            Idempotency::AtMostOnce,
+            Idempotency::Keyed {
+                scope: KeyScope::Cell,
                 window: 0.3,
             },
-            Effect::Keyed {
-                group: Group::Zone,
+            Idempotency::Keyed {
+                scope: KeyScope::Zone,
                 window: 0.2,
             },
         ];
@@ -280,14 +283,14 @@
             cold_work: BTreeMap::new(),
         };
         let list = (0..SERVERS)
-            .map(|s| Entry {
+            .map(|s| Endpoint {
                 zone: (s % 2) as ZoneId,
                 ..entry(s)
             })
             .collect();
-        world.tell(Event::Members {
-            list: ListKind::Cached,
-            entries: list,
+        world.tell(Event::EndpointUpdate {
+            kind: UpdateKind::Cached,
+            endpoints: list,
         });
         for (id, (dt, step)) in steps.into_iter().enumerate() {
             world.now += dt;
--- a/crates/balancer/tests/shares.rs
+++ b/crates/balancer/tests/shares.rs
@@ -7,16 +7,16 @@
 
 /// One of ten nodes, before tenants that may send 50 requests a second each.
 fn node(zones: bool) -> Node {
-    let mut s = settings(vec![class(Effect::Idempotent)]);
-    (s.replicas, s.tenants) = (10, vec![Tenant { quota: 50.0 }, Tenant { quota: 50.0 }]);
+    let mut s = settings(vec![class(Idempotency::Idempotent)]);
+    (s.node_count, s.tenants) = (10, vec![Tenant { quota: 50.0 }, Tenant { quota: 50.0 }]);
     s.zone = zones.then_some(0);
-    s.prices.cross_zone = 0.02;
+    s.costs.cross_zone = 0.02;
     let mut node = Node::new(s, 0);
-    let zone = |n: u32| Entry {
+    let zone = |n: u32| Endpoint {
         zone: if zones { (n % 2) as ZoneId } else { 0 },
         ..entry(n)
     };
-    node.members(ListKind::Full, (0..10).map(zone).collect());
+    node.members(UpdateKind::Snapshot, (0..10).map(zone).collect());
     node
 }
 
@@ -40,9 +40,9 @@
             request,
             class: 0,
             tenant: Some(tenant),
-            hint,
+            work_hint: hint,
             key,
-            left,
+            remaining: left,
         });
         let Some(server) = node.sent() else {
             refused[usize::from(tenant)] += 1;
@@ -51,7 +51,7 @@
         to[server as usize] += 1;
         let now = node.now;
         node.now += takes(server);
-        node.end(request, 0, server, Outcome::Delivered, 0.0);
+        node.end(request, 0, server, Outcome::Served, 0.0);
         node.now = now;
     }
     refused
@@ -67,8 +67,8 @@
     // Two in ten of the traffic too much: the tenant that is over its share bears it.
     let mut refused = [0; 2];
     for _ in 0..10 {
-        let learned = Learned {
-            admit: 0.8,
+        let learned = LearnedState {
+            admitted_share: 0.8,
             ..node.balancer.learned(node.now)
         };
         node.balancer.adopt(node.now, &learned);
@@ -88,7 +88,7 @@
     for _ in 0..20 {
         second(&mut node, [50, 50], |_| 0.005, &mut to);
     }
-    let alone = node.balancer.learned(node.now).bearable;
+    let alone = node.balancer.learned(node.now).sustainable_work_rate;
     // The whole fleet's traffic: 100 a second of 0.02 over ten servers is 0.2, and no ten nodes have as much each.
     assert!(alone <= 0.5, "{alone}");
 }
@@ -96,8 +96,8 @@
 #[test]
 fn what_servers_bear_is_forgotten() {
     let mut node = node(false);
-    let busy = Learned {
-        bearable: 40.0,
+    let busy = LearnedState {
+        sustainable_work_rate: 40.0,
         ..node.balancer.learned(0.0)
     };
     node.balancer.adopt(0.0, &busy);
@@ -105,7 +105,7 @@
     for _ in 0..120 {
         second(&mut node, [1, 2], |_| 0.01, &mut to);
     }
-    let after = node.balancer.learned(node.now).bearable;
+    let after = node.balancer.learned(node.now).sustainable_work_rate;
     assert!(after < 20.0, "{after}");
 }
 
--- a/crates/balancer/tests/uploads.rs
+++ b/crates/balancer/tests/uploads.rs
@@ -19,7 +19,7 @@
 type Out = Vec<Command<Test>>;
 
 fn engine() -> Engine<Test> {
-    let settings = settings(vec![class(Effect::AtMostOnce)]);
+    let settings = settings(vec![class(Idempotency::AtMostOnce)]);
     let classes = settings.classes.clone();
     let module = Balancer::new(settings, 7, 0.0).expect("usable settings");
     let mut engine = Engine::new(module, &classes, 4);
@@ -29,7 +29,7 @@
             address: s,
         })
         .collect();
-    engine.members(0.0, ListKind::Full, places, &mut Vec::new());
+    engine.members(0.0, UpdateKind::Snapshot, places, &mut Vec::new());
     engine
 }
 
@@ -93,7 +93,7 @@
         "the time runs twice"
     );
     out.clear();
-    engine.ended(20.02, id, attempt, Outcome::Delivered, Some(()), &mut out);
+    engine.ended(20.02, id, attempt, Outcome::Served, Some(()), &mut out);
     assert_eq!(answer(&out), Some(Final::Served(())));
     assert!(
         average(&engine).iter().all(|a| *a < 0.2),
@@ -112,7 +112,7 @@
             engine.spend(id);
         }
         out.clear();
-        engine.ended(3.0, id, attempt, Outcome::DialFailed, None, &mut out);
+        engine.ended(3.0, id, attempt, Outcome::ConnectFailed, None, &mut out);
         match sent(&out) {
             Some((again, _, other, _)) => assert!(!spent && again == id && other != first),
             // It never ran, and its client is told so.
@@ -128,8 +128,11 @@
     engine.spend(id);
     engine.written(5.0, id, &mut out);
     out.clear();
-    engine.ended(5.1, id, attempt, Outcome::Dropped, None, &mut out);
-    assert_eq!(answer(&out), Some(Final::Failed(Some(Outcome::Dropped))));
+    engine.ended(5.1, id, attempt, Outcome::ConnectionLost, None, &mut out);
+    assert_eq!(
+        answer(&out),
+        Some(Final::Failed(Some(Outcome::ConnectionLost)))
+    );
     assert!(sent(&out).is_none());
 }
 
@@ -157,7 +160,7 @@
             now + takes,
             id,
             attempt,
-            Outcome::Delivered,
+            Outcome::Served,
             Some(()),
             &mut out,
         );
@@ -172,8 +175,15 @@
     }
     // Figures that can be none change nothing.
     let mut spoilt = learned;
-    spoilt.servers.iter_mut().for_each(|s| s.share = f64::NAN);
-    (spoilt.typical, spoilt.admit, spoilt.class_work) = (-1.0, f64::INFINITY, vec![]);
+    spoilt
+        .servers
+        .iter_mut()
+        .for_each(|s| s.relative_probability = f64::NAN);
+    (
+        spoilt.typical_work,
+        spoilt.admitted_share,
+        spoilt.class_work,
+    ) = (-1.0, f64::INFINITY, vec![]);
     let mut other = engine();
     other.adopt(20.0, &spoilt);
     assert!(other
--- a/crates/config/src/check/plan.rs
+++ b/crates/config/src/check/plan.rs
@@ -2,7 +2,7 @@
 
 use crate::model::{Class, Model, Origin, Repeat, Service};
 use reelfall_balancer::interface as core;
-use reelfall_balancer::settings::{Figures, Vocabulary};
+use reelfall_balancer::settings::{ConnectionSettings, NameRegistry};
 use reelfall_routing::limits::Totals;
 use reelfall_routing::table::{Match, Query, Table};
 
@@ -34,8 +34,11 @@
 
 impl Plan {
     /// What the decision module of a service is told, the names that it goes by, and what its sockets need.
-    pub fn settings(&self, service: &Service) -> (core::Settings, Vocabulary, Figures) {
-        let mut names = Vocabulary::new(
+    pub fn settings(
+        &self,
+        service: &Service,
+    ) -> (core::Settings, NameRegistry, ConnectionSettings) {
+        let mut names = NameRegistry::new(
             service.classes.iter().map(|c| c.name.clone()),
             service.members.iter().map(|m| m.name.clone()),
         );
@@ -48,43 +51,43 @@
                 .map(|m| core::Tenant { quota: m.quota })
                 .collect(),
             zone: self.model.process.zone.as_ref().map(|z| names.zone(z)),
-            replicas: self.model.process.nodes,
+            node_count: self.model.process.nodes,
             // The file does not tell nodes from each other: each has the whole list.
-            number: None,
+            node_index: None,
             discovery: core::Discovery::Push,
-            reports: core::Reports::Silent,
+            load_reports: core::LoadReports::Absent,
             limits: core::Limits {
                 max_attempts: tries.most,
-                retry_share: tries.retry_share,
+                retry_budget_ratio: tries.retry_share,
                 max_retry_after: tries.retry_after,
-                cancelling: false,
-                may_probe: false,
-                second_copies: false,
-                conn_idle: tries.idle,
+                can_cancel: false,
+                can_health_check: false,
+                can_hedge: false,
+                idle_connection_timeout: tries.idle,
             },
             rules: core::Rules {
                 drain_grace: 0.5,
-                cold_from: cold.from,
-                warm_after: cold.warm_after,
+                initial_capacity: cold.from,
+                slow_start_duration: cold.warm_after,
                 overload_factor: cold.factor,
-                tip_after: cold.within,
-                must_ask_in: 10.0,
+                overload_window: cold.within,
+                max_poll_interval: 10.0,
             },
-            prices: core::Prices::default(),
-            goal: core::Goal {
+            costs: core::Costs::default(),
+            objective: core::Objective {
                 overall: 0.8,
                 worst_class: 0.1,
                 worst_tenant: 0.1,
             },
-            over_share_worth: 0.1,
-            worth_by_work: true,
-            warm_keys: false,
-            weighted: true,
-            tick: 1e-3,
+            over_quota_weight: 0.1,
+            weight_per_work: true,
+            has_key_affinity: false,
+            has_server_weights: true,
+            clock_resolution: 1e-3,
         };
-        let figures = Figures {
+        let figures = ConnectionSettings {
             connect_timeout: tries.connect,
-            answer_slack: 0.005,
+            response_slack: 0.005,
         };
         (settings, names, figures)
     }
@@ -109,14 +112,14 @@
 
 fn class(class: &Class) -> core::Class {
     core::Class {
-        aim: class.aim,
+        latency_objective: class.aim,
         deadline: class.deadline,
-        worth: class.worth,
-        late_value: class.late_value,
-        effect: match class.repeat {
-            Repeat::Safe => core::Effect::Idempotent,
-            Repeat::Unsafe => core::Effect::AtMostOnce,
+        priority_weight: class.worth,
+        late_response_weight: class.late_value,
+        idempotency: match class.repeat {
+            Repeat::Safe => core::Idempotency::Idempotent,
+            Repeat::Unsafe => core::Idempotency::AtMostOnce,
         },
-        streamed: false,
+        streams_response: false,
     }
 }
--- a/crates/emulator/examples/decision.rs
+++ b/crates/emulator/examples/decision.rs
@@ -21,23 +21,23 @@
     "tenants":[{"name":"a","portion":1.0,"quota-rps":2000.0}],
     "replicas-of-me":100,"my-number":3,"weight-kind":"nominal","limits":{"max-attempts":4}}"#;
 
-fn entry(server: ServerId) -> Entry {
+fn entry(server: ServerId) -> Endpoint {
     let hash = u64::from(server + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let (zone, kind, cell, state) = (0, 0, 0, ServerState::Up);
-    Entry {
+    Endpoint {
         server,
         hash,
         zone,
-        kind,
+        machine_type: kind,
         cell,
         state,
         weight: 1.0,
-        ready_at: 0.0,
-        sharers: 1,
+        started_at: 0.0,
+        local_balancers: 1,
     }
 }
 
-fn main() -> Result<(), String> {
+fn main() -> Result<(), Box<dyn std::error::Error>> {
     let (settings, ..) = reelfall_balancer::settings::read(SETTINGS)?;
     let lengths: Result<Vec<u32>, _> = std::env::args()
         .skip(1)
@@ -56,9 +56,9 @@
         let began = Instant::now();
         node.handle(
             0.0,
-            Event::Members {
-                list: ListKind::Cached,
-                entries,
+            Event::EndpointUpdate {
+                kind: UpdateKind::Cached,
+                endpoints: entries,
             },
             &mut actions,
         );
@@ -76,9 +76,9 @@
                     request,
                     class,
                     tenant,
-                    hint,
+                    work_hint: hint,
                     key,
-                    left: 0.6,
+                    remaining: 0.6,
                 },
                 &mut at,
             );
@@ -88,31 +88,30 @@
             }) else {
                 continue;
             };
-            let (attempt, outcome, latency, ended, load) =
-                (0, Outcome::Delivered, 0.005, true, None);
-            let ended = Event::Outcome {
+            let (attempt, outcome, latency, ended, load) = (0, Outcome::Served, 0.005, true, None);
+            let ended = Event::AttemptEnded {
                 request,
                 attempt,
                 server,
                 outcome,
                 latency,
-                ended,
+                request_ended: ended,
                 load,
             };
             node.handle(now + 0.005, ended, &mut at);
         }
         let each = began.elapsed().as_secs_f64() * 1e6 / f64::from(requests);
-        let restarted = |server| Entry {
-            ready_at: now,
+        let restarted = |server| Endpoint {
+            started_at: now,
             ..entry(server)
         };
         let entries = (0..servers).step_by(10).map(restarted).collect();
         let began = Instant::now();
         node.handle(
             now,
-            Event::Members {
-                list: ListKind::Delta,
-                entries,
+            Event::EndpointUpdate {
+                kind: UpdateKind::Delta,
+                endpoints: entries,
             },
             &mut actions,
         );
--- a/crates/emulator/src/digest.rs
+++ b/crates/emulator/src/digest.rs
@@ -64,13 +64,13 @@
 
 fn number(outcome: Outcome) -> u64 {
     match outcome {
-        Outcome::Delivered => 1,
+        Outcome::Served => 1,
         Outcome::Error => 2,
-        Outcome::Shed => 3,
-        Outcome::Expired => 4,
-        Outcome::DialFailed => 5,
-        Outcome::Dropped => 6,
-        Outcome::Revoked => 7,
-        Outcome::Unused => 8,
+        Outcome::Rejected => 3,
+        Outcome::TimedOut => 4,
+        Outcome::ConnectFailed => 5,
+        Outcome::ConnectionLost => 6,
+        Outcome::Cancelled => 7,
+        Outcome::NotSent => 8,
     }
 }
--- a/crates/emulator/src/plan.rs
+++ b/crates/emulator/src/plan.rs
@@ -1,6 +1,6 @@
 //! What there is in a run, and what happens.
 
-use reelfall_balancer::interface::{Effect, Time};
+use reelfall_balancer::interface::{Idempotency, Time};
 
 /// A class of requests.
 #[derive(Clone, Debug)]
@@ -16,7 +16,7 @@
     /// Worth of a unit of work.
     pub worth: f64,
     /// What a second run would do.
-    pub effect: Effect,
+    pub effect: Idempotency,
 }
 
 /// A kind of machines.
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,7 +1,7 @@
 //! The plans that the project measures itself by. They are of its own making, and no copy of anybody's days.
 
 use crate::plan::{Class, Happening, Kind, Manner, Plan};
-use reelfall_balancer::interface::Effect;
+use reelfall_balancer::interface::Idempotency;
 
 /// A quiet fleet of flag servers in two zones, with 0.6 servers for each node.
 pub fn calm(nodes: usize, seed: u64) -> Plan {
@@ -27,9 +27,9 @@
         length: 20.0,
         load: 0.65,
         classes: vec![
-            class(0.45, 0.027, 0.15, 0.6, 3.0, Effect::Idempotent),
-            class(0.45, 0.035, 0.2, 0.6, 5.0, Effect::AtMostOnce),
-            class(0.1, 0.04, 0.2, 0.5, 10.0, Effect::AtMostOnce),
+            class(0.45, 0.027, 0.15, 0.6, 3.0, Idempotency::Idempotent),
+            class(0.45, 0.035, 0.2, 0.6, 5.0, Idempotency::AtMostOnce),
+            class(0.1, 0.04, 0.2, 0.5, 10.0, Idempotency::AtMostOnce),
         ],
         kinds: vec![
             kind(0.4, 2.0, (1.7, 2.3)),
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -1,7 +1,7 @@
 //! One modelled server: a core, a waiting room, a table of connections, and a start from cold.
 
 use crate::plan::{Manner, Plan};
-use reelfall_balancer::interface::{Entry, Time};
+use reelfall_balancer::interface::{Endpoint, Time};
 use std::collections::VecDeque;
 
 /// Number of an attempt in its world.
@@ -21,7 +21,7 @@
 /// See the module.
 pub struct Server {
     /// What the list says of it.
-    pub entry: Entry,
+    pub entry: Endpoint,
     /// Work a second when warm.
     pub speed: f64,
     /// Whether it is there.
@@ -46,7 +46,7 @@
 
 impl Server {
     /// A warm server, idle.
-    pub fn new(entry: Entry, speed: f64, room: usize) -> Self {
+    pub fn new(entry: Endpoint, speed: f64, room: usize) -> Self {
         Server {
             entry,
             speed,
@@ -65,10 +65,10 @@
     /// Part of its capacity that it has by now; `cold` is the part at its start, and when it is warm.
     pub fn warmth(&self, now: Time, plan: &Plan) -> f64 {
         let (from, after) = plan.cold;
-        if self.entry.ready_at <= 0.0 {
+        if self.entry.started_at <= 0.0 {
             return 1.0;
         }
-        let age = ((now - self.entry.ready_at) / after).max(0.0);
+        let age = ((now - self.entry.started_at) / after).max(0.0);
         let work = if plan.warms < 1.0 {
             self.done / (plan.warms * after * self.speed)
         } else {
@@ -129,7 +129,7 @@
     /// It has started, cold.
     pub fn start(&mut self, now: Time) {
         self.state = State::Up;
-        self.entry.ready_at = now;
+        self.entry.started_at = now;
     }
 
     /// Takes work that has come to it while it is cold. Gives the multiple of what it can do in the window, and which
--- a/crates/emulator/src/trials.rs
+++ b/crates/emulator/src/trials.rs
@@ -7,7 +7,7 @@
 use crate::streams::stream;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
-use reelfall_balancer::interface::Effect;
+use reelfall_balancer::interface::Idempotency;
 
 /// What happens to the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -154,7 +154,7 @@
                 0.15,
                 0.6,
                 3.0,
-                Effect::Idempotent,
+                Idempotency::Idempotent,
             ),
             class(
                 0.45,
@@ -162,7 +162,7 @@
                 0.2,
                 0.6,
                 5.0,
-                Effect::AtMostOnce,
+                Idempotency::AtMostOnce,
             ),
             class(
                 0.1,
@@ -170,7 +170,7 @@
                 0.2,
                 0.5,
                 10.0,
-                Effect::AtMostOnce,
+                Idempotency::AtMostOnce,
             ),
         ],
         kinds: vec![
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -146,14 +146,14 @@
             Final::Served(()) => second.late += 1,
             Final::Refused { retry_after } => {
                 second.refused += 1;
-                if effect == Effect::AtMostOnce && ran > 0 {
+                if effect == Idempotency::AtMostOnce && ran > 0 {
                     self.report.rules.breach(now, Broken::RanTwice, id);
                 }
                 self.again(id, *retry_after);
             }
             Final::Failed(_) => {
                 second.failed += 1;
-                if effect == Effect::Idempotent {
+                if effect == Idempotency::Idempotent {
                     self.again(id, None);
                 }
             }
--- a/crates/emulator/src/world/happen.rs
+++ b/crates/emulator/src/world/happen.rs
@@ -68,7 +68,7 @@
             Happening::Vanish(part) => {
                 for id in self.some_servers(part) {
                     self.end_server(id, State::Ended);
-                    self.announce(id, ServerState::Gone);
+                    self.announce(id, ServerState::Removed);
                 }
             }
             Happening::Flap(part, times) => {
@@ -146,7 +146,7 @@
             .collect();
         for id in held {
             self.tries[id].answered = true;
-            if self.plan.classes[self.tries[id].class].effect == Effect::Idempotent {
+            if self.plan.classes[self.tries[id].class].effect == Idempotency::Idempotent {
                 self.again(id, None);
             }
         }
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -74,7 +74,7 @@
     /// A timer of a node's module.
     Timer(NodeId, u32, u64),
     /// A node hears what the list says of a server.
-    News(NodeId, Entry),
+    News(NodeId, Endpoint),
     /// The happening of this number.
     Happens(usize),
     NodesStart(Vec<NodeId>),
@@ -135,7 +135,7 @@
     /// Idle connections by server, since when, the latest last.
     idle: BTreeMap<ServerId, Vec<(Time, u32)>>,
     /// The list as it has been told, also while it is dead.
-    list: BTreeMap<ServerId, Entry>,
+    list: BTreeMap<ServerId, Endpoint>,
     /// Since when it knows that a server wants nothing new.
     gone: BTreeMap<ServerId, Time>,
 }
@@ -209,7 +209,7 @@
         }
         let speed: f64 = servers.iter().map(|s| s.speed).sum();
         let mean: f64 = plan.classes.iter().map(|c| c.share * c.work).sum();
-        let list: BTreeMap<ServerId, Entry> = servers
+        let list: BTreeMap<ServerId, Endpoint> = servers
             .iter()
             .map(|s| (s.entry.server, s.entry.clone()))
             .collect();
@@ -251,12 +251,12 @@
 
     fn settings(&self, node: NodeId) -> Settings {
         let class = |c: &crate::plan::Class| Class {
-            aim: c.aim,
+            latency_objective: c.aim,
             deadline: c.deadline,
-            worth: c.worth,
-            late_value: 0.3,
-            effect: c.effect,
-            streamed: false,
+            priority_weight: c.worth,
+            late_response_weight: 0.3,
+            idempotency: c.effect,
+            streams_response: false,
         };
         let (quota, plan) = (
             if self.plan.whole {
@@ -270,43 +270,43 @@
             classes: plan.classes.iter().map(class).collect(),
             tenants: vec![Tenant { quota }],
             zone: Some(self.nodes[node].zone),
-            replicas: plan.nodes as u32,
-            number: Some(node as u32),
+            node_count: plan.nodes as u32,
+            node_index: Some(node as u32),
             discovery: Discovery::Push,
-            reports: Reports::Silent,
+            load_reports: LoadReports::Absent,
             limits: Limits {
                 max_attempts: 4,
-                retry_share: 0.2,
+                retry_budget_ratio: 0.2,
                 max_retry_after: 0.3,
-                cancelling: true,
-                may_probe: false,
-                second_copies: false,
-                conn_idle: plan.idle,
+                can_cancel: true,
+                can_health_check: false,
+                can_hedge: false,
+                idle_connection_timeout: plan.idle,
             },
             rules: Rules {
                 drain_grace: 0.5,
-                cold_from: 0.8 * plan.cold.0,
-                warm_after: 1.2 * plan.cold.1,
+                initial_capacity: 0.8 * plan.cold.0,
+                slow_start_duration: 1.2 * plan.cold.1,
                 overload_factor: plan.tips.0,
-                tip_after: plan.tips.1,
-                must_ask_in: 10.0,
+                overload_window: plan.tips.1,
+                max_poll_interval: 10.0,
             },
-            prices: Prices {
+            costs: Costs {
                 cross_zone: 0.02,
-                waste: 0.05,
-                probe: 0.0,
-                handshake: 0.08,
+                wasted_work: 0.05,
+                health_check: 0.0,
+                new_connection: 0.08,
             },
-            goal: Goal {
+            objective: Objective {
                 overall: 0.8,
                 worst_class: 0.1,
                 worst_tenant: 0.1,
             },
-            over_share_worth: 0.1,
-            worth_by_work: true,
-            warm_keys: false,
-            weighted: true,
-            tick: 0.001,
+            over_quota_weight: 0.1,
+            weight_per_work: true,
+            has_key_affinity: false,
+            has_server_weights: true,
+            clock_resolution: 0.001,
         }
     }
 
@@ -315,16 +315,16 @@
         let now = self.queue.now();
         let settings = self.settings(n);
         let classes = settings.classes.clone();
-        let module = Balancer::new(settings, seed, now)?;
+        let module = Balancer::new(settings, seed, now).map_err(|error| error.to_string())?;
         let node = &mut self.nodes[n];
         node.engine = Some(Engine::new(module, &classes, 4));
         let known = node
             .list
             .values()
-            .filter(|e| e.state != ServerState::Gone)
+            .filter(|e| e.state != ServerState::Removed)
             .cloned()
             .collect();
-        self.tell(n, ListKind::Cached, known);
+        self.tell(n, UpdateKind::Cached, known);
         Ok(())
     }
 
@@ -335,7 +335,7 @@
             Event::Reaches(id) => self.reach(id),
             Event::Worked(server, life, id) => self.worked(server, life, id),
             Event::Ends(id, outcome) => self.end(id, outcome),
-            Event::Expires(id) => self.end(id, Outcome::Expired),
+            Event::Expires(id) => self.end(id, Outcome::TimedOut),
             Event::Timer(n, life, tag) if self.nodes[n].life == life => {
                 self.drive(n, |engine, now, out| engine.timer(now, tag, out));
             }
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -128,7 +128,7 @@
         };
         if !connected {
             self.queue
-                .put(at, Event::Ends(attempt, Outcome::DialFailed));
+                .put(at, Event::Ends(attempt, Outcome::ConnectFailed));
         }
         self.attempts.push(Attempt {
             node: n,
@@ -160,7 +160,10 @@
         let (n, server, request, number) = (a.node, a.server, a.request, a.number);
         let lives = self.servers[server as usize].life == a.server_life;
         if a.connected && lives {
-            if matches!(outcome, Outcome::Delivered | Outcome::Error | Outcome::Shed) {
+            if matches!(
+                outcome,
+                Outcome::Served | Outcome::Error | Outcome::Rejected
+            ) {
                 self.nodes[n]
                     .idle
                     .entry(server)
@@ -172,15 +175,15 @@
             }
         }
         let second = self.report.at(now - BEGINS);
-        second.expired += u32::from(outcome == Outcome::Expired);
-        second.shed += u32::from(outcome == Outcome::Shed);
-        let answer = (outcome == Outcome::Delivered).then_some(());
+        second.expired += u32::from(outcome == Outcome::TimedOut);
+        second.shed += u32::from(outcome == Outcome::Rejected);
+        let answer = (outcome == Outcome::Served).then_some(());
         self.drive(n, |engine, now, out| {
             engine.ended(now, request, number, outcome, answer, out)
         });
     }
 
-    pub(super) fn tell(&mut self, n: NodeId, kind: ListKind, entries: Vec<Entry>) {
+    pub(super) fn tell(&mut self, n: NodeId, kind: UpdateKind, entries: Vec<Endpoint>) {
         let places = entries
             .into_iter()
             .map(|entry| Place {
@@ -192,7 +195,7 @@
     }
 
     /// News of the list comes to a node, or to the place where it will find it at its start.
-    pub(super) fn hear(&mut self, n: NodeId, entry: Entry) {
+    pub(super) fn hear(&mut self, n: NodeId, entry: Endpoint) {
         let now = self.queue.now();
         let node = &mut self.nodes[n];
         if entry.state == ServerState::Up {
@@ -201,6 +204,6 @@
             node.gone.entry(entry.server).or_insert(now);
         }
         node.list.insert(entry.server, entry.clone());
-        self.tell(n, ListKind::Delta, vec![entry]);
+        self.tell(n, UpdateKind::Delta, vec![entry]);
     }
 }
--- a/crates/emulator/src/world/servers.rs
+++ b/crates/emulator/src/world/servers.rs
@@ -14,7 +14,7 @@
             // A machine that is cut off says nothing; one that ended has reset the connection.
             if server.state != State::Lost && !cut {
                 self.queue
-                    .put(now + back, Event::Ends(id, Outcome::Dropped));
+                    .put(now + back, Event::Ends(id, Outcome::ConnectionLost));
             }
             return;
         }
@@ -29,7 +29,9 @@
             return self.queue.put(now + back, Event::Ends(id, Outcome::Error));
         }
         if server.waiting.len() >= server.room {
-            return self.queue.put(now + back, Event::Ends(id, Outcome::Shed));
+            return self
+                .queue
+                .put(now + back, Event::Ends(id, Outcome::Rejected));
         }
         server.waiting.push_back(id);
         self.serve(sid);
@@ -49,7 +51,7 @@
         let knew = self.nodes[n]
             .list
             .get(&sid)
-            .is_some_and(|e| e.ready_at == server.entry.ready_at);
+            .is_some_and(|e| e.started_at == server.entry.started_at);
         let capacity = server.capacity(now, &self.plan);
         let (pushed, knowing) = server.push(now, work, knew, &self.plan);
         let waits: f64 = server
@@ -90,7 +92,7 @@
         let a = &self.attempts[id];
         let t = &mut self.tries[a.of];
         t.ran += 1;
-        if t.ran > 1 && self.plan.classes[t.class].effect == Effect::AtMostOnce {
+        if t.ran > 1 && self.plan.classes[t.class].effect == Idempotency::AtMostOnce {
             self.report.rules.breach(now, Broken::RanTwice, a.of);
         }
         let mut work = lognormal(&mut self.work, t.work, ATTEMPT_CV);
@@ -115,9 +117,9 @@
         let lost = now < self.losing.1 && self.network.random::<f64>() < self.losing.0;
         if !silent && !self.parted(n, sid) {
             let outcome = if lost {
-                Outcome::Dropped
+                Outcome::ConnectionLost
             } else {
-                Outcome::Delivered
+                Outcome::Served
             };
             self.queue.put(now + back, Event::Ends(id, outcome));
         }
@@ -134,8 +136,10 @@
             };
             let hit: Vec<AttemptId> = self.out.iter().filter(hit).copied().collect();
             for id in hit {
-                self.queue
-                    .put(now + self.plan.latency.1, Event::Ends(id, Outcome::Dropped));
+                self.queue.put(
+                    now + self.plan.latency.1,
+                    Event::Ends(id, Outcome::ConnectionLost),
+                );
             }
         }
     }
@@ -166,25 +170,29 @@
     };
     let zone = u16::from(rng.random::<f64>() >= plan.zones.1);
     let speed = k.speed.0 + (k.speed.1 - k.speed.0) * rng.random::<f64>();
-    Server::new(entry(id, zone, kind as KindId, k.weight, rng), speed, room)
+    Server::new(
+        entry(id, zone, kind as MachineTypeId, k.weight, rng),
+        speed,
+        room,
+    )
 }
 
 pub(super) fn entry(
     id: usize,
     zone: ZoneId,
-    kind: KindId,
+    kind: MachineTypeId,
     weight: f64,
     rng: &mut Pcg64Mcg,
-) -> Entry {
-    Entry {
+) -> Endpoint {
+    Endpoint {
         server: id as ServerId,
         hash: rng.random(),
         zone,
-        kind,
+        machine_type: kind,
         cell: 0,
         state: ServerState::Up,
         weight,
-        ready_at: 0.0,
-        sharers: 1,
+        started_at: 0.0,
+        local_balancers: 1,
     }
 }
--- a/crates/emulator/tests/server.rs
+++ b/crates/emulator/tests/server.rs
@@ -1,20 +1,20 @@
 //! A server that stands still every so often.
 
-use reelfall_balancer::interface::{Entry, ServerState};
+use reelfall_balancer::interface::{Endpoint, ServerState};
 use reelfall_emulator::plan::Manner;
 use reelfall_emulator::server::Server;
 
 fn pausing(hash: u64) -> Server {
-    let entry = Entry {
+    let entry = Endpoint {
         server: 0,
         hash,
         zone: 0,
-        kind: 0,
+        machine_type: 0,
         cell: 0,
         state: ServerState::Up,
         weight: 1.0,
-        ready_at: 0.0,
-        sharers: 1,
+        started_at: 0.0,
+        local_balancers: 1,
     };
     let mut server = Server::new(entry, 1.0, 10);
     server.manner = Manner::Pausing(1.0, 0.1);
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -9,8 +9,8 @@
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use reelfall_balancer::engine::Place;
-use reelfall_balancer::interface::{ListKind, ServerState};
-use reelfall_balancer::settings::Listed;
+use reelfall_balancer::interface::{ServerState, UpdateKind};
+use reelfall_balancer::settings::ListedEndpoint;
 use serde_json::Value;
 use std::cell::Cell;
 use std::fmt;
@@ -71,9 +71,9 @@
         .and_then(Value::as_bool)
         .unwrap_or(false);
     let kind = match (cached, whole) {
-        (true, _) => ListKind::Cached,
-        (false, true) => ListKind::Full,
-        (false, false) => ListKind::Delta,
+        (true, _) => UpdateKind::Cached,
+        (false, true) => UpdateKind::Snapshot,
+        (false, false) => UpdateKind::Delta,
     };
     let mut places = Vec::with_capacity(lines.len());
     let mut unusable = 0;
@@ -81,11 +81,11 @@
         match read(line) {
             // A server that left without ever being heard of needs no number.
             Some((listed, _))
-                if listed.state == ServerState::Gone
+                if listed.state == ServerState::Removed
                     && pool.names.borrow().servers.get(listed.name).is_none() => {}
             Some((listed, address)) => {
                 places.push(Place {
-                    entry: pool.names.borrow_mut().entry(&listed),
+                    entry: pool.names.borrow_mut().endpoint(&listed),
                     address,
                 });
             }
@@ -102,25 +102,25 @@
 }
 
 /// Reads a line of the list.
-fn read(line: &Value) -> Option<(Listed<'_>, SocketAddr)> {
+fn read(line: &Value) -> Option<(ListedEndpoint<'_>, SocketAddr)> {
     let text = |name: &str| line.get(name).and_then(Value::as_str);
     let address: SocketAddr = text("address")?.parse().ok()?;
-    let listed = Listed {
+    let listed = ListedEndpoint {
         name: text("name")?,
         zone: text("zone"),
-        kind: text("type"),
+        machine_type: text("type"),
         cell: line
             .get("group")
             .and_then(Value::as_u64)
             .map_or(0, |g| g as u32),
         state: match text("status") {
             Some("active") => ServerState::Up,
-            Some("left") => ServerState::Gone,
+            Some("left") => ServerState::Removed,
             // A word that is not known here is not leave to send.
             _ => ServerState::Draining,
         },
         weight: line.get("weight").and_then(Value::as_f64),
-        ready_at: line
+        started_at: line
             .get("since_ms")
             .and_then(Value::as_f64)
             .map(|ms| ms / 1e3),
@@ -182,7 +182,7 @@
         }
         if !pool.pushed() {
             // The module says when to ask again.
-            pool.members(ListKind::Failed, Vec::new());
+            pool.members(UpdateKind::Failed, Vec::new());
             continue;
         }
         let refused = index.get() == before && !matches!(ended, Err(Fault::Silent));
--- a/crates/node/src/net/front/reply.rs
+++ b/crates/node/src/net/front/reply.rs
@@ -47,10 +47,10 @@
         Reply::Failed(Some(Outcome::Error)) => {
             plain(StatusCode::BAD_GATEWAY, "the server failed\n")
         }
-        Reply::Failed(Some(Outcome::Expired)) => {
+        Reply::Failed(Some(Outcome::TimedOut)) => {
             plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n")
         }
-        Reply::Failed(Some(Outcome::Dropped)) => {
+        Reply::Failed(Some(Outcome::ConnectionLost)) => {
             plain(StatusCode::BAD_GATEWAY, "the connection broke\n")
         }
         Reply::Failed(_) => plain(StatusCode::INTERNAL_SERVER_ERROR, "failed\n"),
--- a/crates/node/src/net/front/request.rs
+++ b/crates/node/src/net/front/request.rs
@@ -259,7 +259,8 @@
         let mut waiting = PendingRequest::new(pool, id);
         // The guard: attempts end at the deadline and bring an answer; if nothing has, this is it.
         let guard = deadline
-            + Duration::try_from_secs_f64(pool.figures.answer_slack / 2.0).unwrap_or_default();
+            + Duration::try_from_secs_f64(pool.connection_settings.response_slack / 2.0)
+                .unwrap_or_default();
         match timeout_at(guard.into(), answer).await {
             Ok(Ok(reply)) => {
                 waiting.answered();
--- a/crates/node/src/net/front/translate.rs
+++ b/crates/node/src/net/front/translate.rs
@@ -11,7 +11,7 @@
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Method, StatusCode};
-use reelfall_balancer::interface::{ClassId, Effect, Time};
+use reelfall_balancer::interface::{ClassId, Idempotency, Time};
 use reelfall_balancer::settings::stable_hash;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -94,7 +94,7 @@
             .classes
             .get(usize::from(class))
             .ok_or(bad("unknown class\n"))?;
-        if !method_fits(&method, rules.effect, routed) {
+        if !method_fits(&method, rules.idempotency, routed) {
             return Err((
                 StatusCode::METHOD_NOT_ALLOWED,
                 "the class wants another method\n",
@@ -104,7 +104,7 @@
             return Err(bad("a GET with a body\n"));
         }
         correlation_id(&headers).map_err(bad)?;
-        if matches!(rules.effect, Effect::Keyed { .. })
+        if matches!(rules.idempotency, Idempotency::Keyed { .. })
             && text(&IDEMPOTENCY_KEY).is_none_or(str::is_empty)
         {
             return Err(bad("no Idempotency-Key\n"));
@@ -114,8 +114,8 @@
             .map_or(rules.deadline, |left| left.min(rules.deadline));
         // The answer has to be back before the client's time is up: the slack that answers have in the rules
         // is what the way back and a late wake-up may take.
-        let left =
-            Duration::try_from_secs_f64(left - pool.figures.answer_slack).unwrap_or_default();
+        let left = Duration::try_from_secs_f64(left - pool.connection_settings.response_slack)
+            .unwrap_or_default();
         drop(names);
         let flows = body.streamed().map(|_| left);
         let due = Instant::now() + flows.map_or(left, |_| FLOW_WITHIN);
@@ -225,11 +225,11 @@
 
 /// Whether a method goes with what a second run would do. On the platform the method follows from the class; by a
 /// route it is the operators', but for a GET: whoever stands between may repeat it, so it must be harmless.
-fn method_fits(method: &Method, effect: Effect, routed: bool) -> bool {
+fn method_fits(method: &Method, effect: Idempotency, routed: bool) -> bool {
     match (effect, routed) {
-        (Effect::Idempotent, true) => true,
+        (Idempotency::Idempotent, true) => true,
         (_, true) => method != Method::GET,
-        (Effect::Idempotent, false) => method == Method::GET,
+        (Idempotency::Idempotent, false) => method == Method::GET,
         (_, false) => method == Method::POST,
     }
 }
--- a/crates/node/src/net/graphql.rs
+++ b/crates/node/src/net/graphql.rs
@@ -212,7 +212,7 @@
         } else {
             head.taken
         };
-        let slack = pool.figures.answer_slack;
+        let slack = pool.connection_settings.response_slack;
         let due = from + Duration::try_from_secs_f64(left - slack).unwrap_or_default();
         let due = until.map_or(due, |until| due.min(until));
         let id = self.claim_correlation_id(&mut headers, place)?;
@@ -259,7 +259,7 @@
                 waiting.answered();
                 Ok(reply)
             }
-            _ => Ok(Reply::Failed(Some(Outcome::Expired))),
+            _ => Ok(Reply::Failed(Some(Outcome::TimedOut))),
         }
     }
 
@@ -319,7 +319,8 @@
         let longest = longest.map(|c| c.deadline).fold(0.0, f64::max);
         let left = head.left.map_or(longest, |left| left.min(longest));
         let until = head.taken
-            + Duration::try_from_secs_f64(left - pool.figures.answer_slack).unwrap_or_default();
+            + Duration::try_from_secs_f64(left - pool.connection_settings.response_slack)
+                .unwrap_or_default();
         let context = OperationContext {
             graphql,
             pool,
@@ -367,7 +368,8 @@
             }
             // The entries end by themselves at the deadline; this is for whatever does not.
             let guard = until
-                + Duration::try_from_secs_f64(pool.figures.answer_slack / 2.0).unwrap_or_default();
+                + Duration::try_from_secs_f64(pool.connection_settings.response_slack / 2.0)
+                    .unwrap_or_default();
             match timeout_at(guard.into(), running.next()).await {
                 Ok(Some((entry, reply))) => batch.done(entry, fate(reply)),
                 _ => {
@@ -442,7 +444,7 @@
             return response;
         }
         Reply::Refused { retry_after } => (503, Fate::Refused(retry_after)),
-        Reply::Failed(Some(Outcome::Expired)) => (504, Fate::Failed),
+        Reply::Failed(Some(Outcome::TimedOut)) => (504, Fate::Failed),
         Reply::Failed(_) => (502, Fate::Failed),
     };
     let after = match fate {
--- a/crates/node/src/net/pool.rs
+++ b/crates/node/src/net/pool.rs
@@ -21,7 +21,7 @@
 use list::ServerList;
 use reelfall_balancer::engine::{self, Command, Engine};
 use reelfall_balancer::interface::*;
-use reelfall_balancer::settings::{Figures, Vocabulary};
+use reelfall_balancer::settings::{ConnectionSettings, NameRegistry, SettingsError};
 use reelfall_balancer::Balancer;
 use reelfall_routing::limits::Member;
 use serde::Deserialize;
@@ -55,7 +55,7 @@
     engine: RefCell<Engine<Wire>>,
     /// Kept between calls for its room.
     commands: Cell<Vec<Command<Wire>>>,
-    pub names: RefCell<Vocabulary>,
+    pub names: RefCell<NameRegistry>,
     pub shared: Rc<Shared>,
     /// What this pool's list says, where other lists may say something of the same servers.
     own: RefCell<ServerList>,
@@ -67,7 +67,7 @@
     withheld: RefCell<HashMap<SocketAddr, Time>>,
     pub classes: Vec<Class>,
     pub upstream: Upstream,
-    pub figures: Figures,
+    pub connection_settings: ConnectionSettings,
     /// The module asks for a watch.
     pub watch: Notify,
     /// A list has come.
@@ -88,16 +88,19 @@
     /// Says which setting cannot be used.
     pub fn new(
         settings: Settings,
-        names: Vocabulary,
-        figures: Figures,
+        names: NameRegistry,
+        figures: ConnectionSettings,
         seed: u64,
         missing: Missing,
         shared: Rc<Shared>,
         member: Option<Member>,
-    ) -> Result<Rc<Self>, String> {
-        let (classes, conn_idle) = (settings.classes.clone(), settings.limits.conn_idle);
+    ) -> Result<Rc<Self>, SettingsError> {
+        let (classes, conn_idle) = (
+            settings.classes.clone(),
+            settings.limits.idle_connection_timeout,
+        );
         let (max_attempts, discovery) = (settings.limits.max_attempts, settings.discovery);
-        let warm_after = settings.rules.warm_after;
+        let warm_after = settings.rules.slow_start_duration;
         let module = Balancer::new(settings, seed, shared.clock.now())?;
         let listed = shared.listed_by_pool();
         let upstream = Upstream::new(shared.clone(), member, conn_idle, figures.connect_timeout);
@@ -113,7 +116,7 @@
             withheld: RefCell::default(),
             classes,
             upstream,
-            figures,
+            connection_settings: figures,
             watch: Notify::new(),
             listed: Notify::new(),
             ready: Cell::new(false),
@@ -161,7 +164,7 @@
 
     /// Restores what another process has learned; what can't be read is left.
     pub fn restore_learned(&self, learned: &serde_json::Value) {
-        match Learned::deserialize(learned) {
+        match LearnedState::deserialize(learned) {
             Ok(learned) => self
                 .engine
                 .borrow_mut()
--- a/crates/node/src/net/pool/list.rs
+++ b/crates/node/src/net/pool/list.rs
@@ -3,8 +3,8 @@
 use super::Pool;
 use crate::net::shared::ListedByPool;
 use reelfall_balancer::engine::Place;
-use reelfall_balancer::interface::{ListKind, ServerId, ServerState, Time};
-use reelfall_balancer::settings::Listed;
+use reelfall_balancer::interface::{ServerId, ServerState, Time, UpdateKind};
+use reelfall_balancer::settings::ListedEndpoint;
 use reelfall_config::model;
 use reelfall_routing::common::{ListedState, ServerStatus};
 use std::collections::{HashMap, HashSet};
@@ -86,23 +86,23 @@
 impl Pool {
     /// The entry of a server that stands in the settings and has been taking requests since `ready_at`.
     pub fn configured_entry(&self, server: &model::Server, ready_at: Time) -> Place<SocketAddr> {
-        let listed = Listed {
+        let listed = ListedEndpoint {
             name: &server.name,
             zone: server.zone.as_deref(),
-            kind: server.kind.as_deref(),
+            machine_type: server.kind.as_deref(),
             cell: 0,
             state: server.state,
             weight: server.weight,
-            ready_at: Some(ready_at),
+            started_at: Some(ready_at),
         };
         Place {
-            entry: self.names.borrow_mut().entry(&listed),
+            entry: self.names.borrow_mut().endpoint(&listed),
             address: server.address,
         }
     }
 
     /// Takes in a list, or a change of it.
-    pub fn members(self: &Rc<Self>, list: ListKind, mut places: Vec<Place<SocketAddr>>) {
+    pub fn members(self: &Rc<Self>, list: UpdateKind, mut places: Vec<Place<SocketAddr>>) {
         let changed = self.merge_lists(list, &mut places);
         self.dispatch(|engine, now, out| engine.members(now, list, places, out));
         self.listed.notify_waiters();
@@ -112,7 +112,7 @@
     }
 
     /// Combines this list with those of other pools. Returns the addresses that other pools have to be told of.
-    fn merge_lists(&self, list: ListKind, places: &mut [Place<SocketAddr>]) -> Vec<SocketAddr> {
+    fn merge_lists(&self, list: UpdateKind, places: &mut [Place<SocketAddr>]) -> Vec<SocketAddr> {
         let mut own = self.own.borrow_mut();
         let mut changed = Vec::new();
         let combines_lists = self.shared.combines_lists();
@@ -121,7 +121,7 @@
                 changed.push(address);
             }
         };
-        if matches!(list, ListKind::Full | ListKind::Cached) {
+        if matches!(list, UpdateKind::Snapshot | UpdateKind::Cached) {
             let named: HashSet<ServerId> = places.iter().map(|p| p.entry.server).collect();
             let missing: Vec<ServerId> = own
                 .places
@@ -134,7 +134,7 @@
                 .filter_map(|id| own.remove(id))
                 .collect();
             for p in missing.iter().filter(|p| !own.has(&p.address)) {
-                let gone = self.listed_state(ServerStatus::Gone, p.entry.ready_at);
+                let gone = self.listed_state(ServerStatus::Gone, p.entry.started_at);
                 update_listing(p.address, (self.missing == Missing::Ended).then_some(gone));
                 self.withheld.borrow_mut().remove(&p.address);
             }
@@ -142,11 +142,11 @@
         for place in places.iter_mut() {
             let status = status(place.entry.state);
             let old = match place.entry.state {
-                ServerState::Gone => own.remove(place.entry.server),
+                ServerState::Removed => own.remove(place.entry.server),
                 _ => {
                     let names = self.names.borrow();
                     let name = names.servers.name(place.entry.server);
-                    own.insert(place, name, self.start_ms(place.entry.ready_at))
+                    own.insert(place, name, self.start_ms(place.entry.started_at))
                 }
             };
             if let Some(old) =
@@ -157,7 +157,7 @@
             }
             // A server that took the place of another at its address is not gone with that one's name.
             if status != ServerStatus::Gone || !own.has(&place.address) {
-                let state = self.listed_state(status, place.entry.ready_at);
+                let state = self.listed_state(status, place.entry.started_at);
                 update_listing(place.address, Some(state));
             }
             self.adjust(place);
@@ -183,9 +183,9 @@
         let Some(name) = names.servers.name(entry.server) else {
             return;
         };
-        entry.sharers *= self.shared.processes();
-        let ban = self.shared.ban_status(name, entry.ready_at);
-        entry.ready_at = ban.ready_at;
+        entry.local_balancers *= self.shared.processes();
+        let ban = self.shared.ban_status(name, entry.started_at);
+        entry.started_at = ban.ready_at;
         if ban.is_banned && entry.state == ServerState::Up {
             entry.state = ServerState::Draining;
         }
@@ -193,11 +193,11 @@
 
     fn adjust_to_lists(&self, place: &mut Place<SocketAddr>) {
         let Place { entry, address } = place;
-        let own = self.listed_state(status(entry.state), entry.ready_at);
+        let own = self.listed_state(status(entry.state), entry.started_at);
         let view = self
             .shared
             .combined_view(self.id, *address, own, self.warm_after);
-        (entry.sharers, entry.ready_at) = (view.sharers, view.ready_at);
+        (entry.local_balancers, entry.started_at) = (view.sharers, view.ready_at);
         let mut withheld = self.withheld.borrow_mut();
         match view
             .withheld_until
@@ -216,6 +216,6 @@
     match state {
         ServerState::Up => ServerStatus::Up,
         ServerState::Draining => ServerStatus::Draining,
-        ServerState::Gone => ServerStatus::Gone,
+        ServerState::Removed => ServerStatus::Gone,
     }
 }
--- a/crates/node/src/net/pool/outcome.rs
+++ b/crates/node/src/net/pool/outcome.rs
@@ -9,7 +9,7 @@
     /// The instance of a server that the list names, as the whole fleet knows it.
     pub(super) fn instance_of(&self, server: ServerId) -> Option<ServerInstance> {
         let ready_at = match self.missing {
-            Missing::Ended => self.own.borrow().places.get(&server)?.entry.ready_at,
+            Missing::Ended => self.own.borrow().places.get(&server)?.entry.started_at,
             Missing::Unused => 0.0,
         };
         let name = self.names.borrow().servers.name(server)?.to_owned();
@@ -36,7 +36,11 @@
         let Some((server, class, sent)) = self.engine.borrow().attempt_of(request, attempt) else {
             return;
         };
-        let Some(aim) = self.classes.get(usize::from(class)).map(|c| c.aim) else {
+        let Some(aim) = self
+            .classes
+            .get(usize::from(class))
+            .map(|c| c.latency_objective)
+        else {
             return;
         };
         let waited = self.shared.clock.now() - sent;
@@ -52,13 +56,13 @@
 /// What the outcome of an attempt tells others about its server. A client with a short deadline tells nothing.
 fn attempt_outcome(outcome: Outcome, waited: Time, aim: Time) -> Option<AttemptOutcome> {
     match outcome {
-        Outcome::Delivered if waited <= aim => Some(AttemptOutcome::Answered),
-        Outcome::Delivered => Some(AttemptOutcome::AnsweredLate),
+        Outcome::Served if waited <= aim => Some(AttemptOutcome::Answered),
+        Outcome::Served => Some(AttemptOutcome::AnsweredLate),
         Outcome::Error => Some(AttemptOutcome::ServerError),
-        Outcome::Dropped => Some(AttemptOutcome::ConnectionBroken),
-        Outcome::Shed => Some(AttemptOutcome::Shed),
-        Outcome::Expired if waited >= aim => Some(AttemptOutcome::TimedOut),
-        Outcome::DialFailed => Some(AttemptOutcome::Unreachable),
-        Outcome::Expired | Outcome::Revoked | Outcome::Unused => None,
+        Outcome::ConnectionLost => Some(AttemptOutcome::ConnectionBroken),
+        Outcome::Rejected => Some(AttemptOutcome::Shed),
+        Outcome::TimedOut if waited >= aim => Some(AttemptOutcome::TimedOut),
+        Outcome::ConnectFailed => Some(AttemptOutcome::Unreachable),
+        Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => None,
     }
 }
--- a/crates/node/src/net/pool/peer.rs
+++ b/crates/node/src/net/pool/peer.rs
@@ -3,7 +3,7 @@
 use super::Pool;
 use crate::net::shared::{Condemnation, OverdueRequest, Peer};
 use reelfall_balancer::engine::Place;
-use reelfall_balancer::interface::{ListKind, Time};
+use reelfall_balancer::interface::{Time, UpdateKind};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Instant;
@@ -46,7 +46,7 @@
         places.iter_mut().for_each(|p| self.adjust(p));
         places.retain(|p| self.engine.borrow().lists(p.entry.server));
         if !places.is_empty() {
-            self.dispatch(|engine, now, out| engine.members(now, ListKind::Delta, places, out));
+            self.dispatch(|engine, now, out| engine.members(now, UpdateKind::Delta, places, out));
         }
     }
 
@@ -57,7 +57,11 @@
     fn overdue(&self, now: Time, to: &mut Vec<OverdueRequest>) {
         let engine = self.engine.borrow();
         for (server, class, since) in engine.waits() {
-            let Some(aim) = self.classes.get(usize::from(class)).map(|c| c.aim) else {
+            let Some(aim) = self
+                .classes
+                .get(usize::from(class))
+                .map(|c| c.latency_objective)
+            else {
                 continue;
             };
             let waited = now - since;
@@ -89,7 +93,7 @@
         let mut places: Vec<Place<SocketAddr>> = self.own.borrow().at(&address).cloned().collect();
         places.iter_mut().for_each(|p| self.adjust(p));
         if !places.is_empty() {
-            self.dispatch(|engine, now, out| engine.members(now, ListKind::Delta, places, out));
+            self.dispatch(|engine, now, out| engine.members(now, UpdateKind::Delta, places, out));
         }
     }
 }
--- a/crates/node/src/net/registry/following.rs
+++ b/crates/node/src/net/registry/following.rs
@@ -5,8 +5,8 @@
 use crate::net::pool::Pool;
 use crate::net::source::Source;
 use reelfall_balancer::engine::Place;
-use reelfall_balancer::interface::{ListKind, ServerState, Time};
-use reelfall_balancer::settings::Listed;
+use reelfall_balancer::interface::{ServerState, Time, UpdateKind};
+use reelfall_balancer::settings::ListedEndpoint;
 use reelfall_config::model;
 use reelfall_registry_client::entry::Entry;
 use reelfall_registry_client::follow::{Follower, Limits, Report};
@@ -33,7 +33,7 @@
             // Nobody knows when they started: whoever wrote them down knew them for some time.
             let entry = |server: &model::At<model::Server>| pool.configured_entry(server, 0.0);
             let places = self.known.iter().map(entry).collect();
-            pool.members(ListKind::Cached, places);
+            pool.members(UpdateKind::Cached, places);
         }
         let clock = pool.shared.clock;
         let follower = Follower::new(&self.path, self.limits, clock.now());
@@ -61,17 +61,17 @@
 
 impl Following {
     fn place(&self, entry: &Entry, state: ServerState) -> Place<SocketAddr> {
-        let listed = Listed {
+        let listed = ListedEndpoint {
             name: &entry.name,
             zone: entry.zone.as_deref(),
-            kind: entry.kind.as_deref(),
+            machine_type: entry.kind.as_deref(),
             cell: 0,
             state,
             weight: Some(entry.weight),
-            ready_at: Some(entry.started),
+            started_at: Some(entry.started),
         };
         Place {
-            entry: self.pool.names.borrow_mut().entry(&listed),
+            entry: self.pool.names.borrow_mut().endpoint(&listed),
             address: entry.address,
         }
     }
@@ -103,16 +103,16 @@
             Change::Listed(entry) => Some(self.listed(entry)),
             Change::Removed(name) => {
                 self.pool.names.borrow().servers.get(name)?;
-                let gone = Listed {
+                let gone = ListedEndpoint {
                     name,
                     zone: None,
-                    kind: None,
+                    machine_type: None,
                     cell: 0,
-                    state: ServerState::Gone,
+                    state: ServerState::Removed,
                     weight: None,
-                    ready_at: None,
+                    started_at: None,
                 };
-                let entry = self.pool.names.borrow_mut().entry(&gone);
+                let entry = self.pool.names.borrow_mut().endpoint(&gone);
                 // Where it was is known to the pool.
                 let address = self.pool.address_of(entry.server)?;
                 Some(Place { entry, address })
@@ -197,7 +197,7 @@
             // Nothing is told before all of it is known: half a list would draw all work to half of the servers.
             if self.follower.has_list() {
                 self.has_listed = true;
-                self.pool.members(ListKind::Full, self.full_list());
+                self.pool.members(UpdateKind::Snapshot, self.full_list());
             }
             return;
         }
@@ -206,7 +206,7 @@
                 .iter()
                 .filter_map(|c| self.changed_server(c))
                 .collect();
-            self.pool.members(ListKind::Delta, places);
+            self.pool.members(UpdateKind::Delta, places);
         }
     }
 
--- a/crates/node/src/net/service.rs
+++ b/crates/node/src/net/service.rs
@@ -8,7 +8,7 @@
 use super::shared::Shared;
 use super::source::{follow, Source};
 use super::task::AbortOnDrop;
-use reelfall_balancer::interface::{ClassId, ListKind, Time};
+use reelfall_balancer::interface::{ClassId, Time, UpdateKind};
 use reelfall_config::model;
 use reelfall_graphql::persisted::Persisted;
 use reelfall_routing::limits::{Allowed, Member};
@@ -63,7 +63,7 @@
 fn apply_list(pool: &Rc<Pool>, list: &[ListedServer]) {
     let entry = |listed: &ListedServer| pool.configured_entry(&listed.server, listed.since);
     let places = list.iter().map(entry).collect();
-    pool.members(ListKind::Full, places);
+    pool.members(UpdateKind::Snapshot, places);
 }
 
 /// One service.
@@ -136,7 +136,8 @@
             missing,
             shared.clone(),
             member,
-        )?;
+        )
+        .map_err(|error| error.to_string())?;
         let (follow, list_updates) = match &service.source {
             model::Source::Static(_) => {
                 let (sender, list) = watch::channel(parts.list.clone().unwrap_or_default());
--- a/crates/node/src/net/shared/listed/tests.rs
+++ b/crates/node/src/net/shared/listed/tests.rs
@@ -3,8 +3,8 @@
 use crate::net::pool::{Missing, Pool};
 use crate::net::shared::Shared;
 use reelfall_balancer::engine::Place;
-use reelfall_balancer::interface::{ListKind, ServerState, Time};
-use reelfall_balancer::settings::{self, Listed};
+use reelfall_balancer::interface::{ServerState, Time, UpdateKind};
+use reelfall_balancer::settings::{self, ListedEndpoint};
 use reelfall_routing::limits::Totals;
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
@@ -39,21 +39,21 @@
     ready_at: Time,
 }
 
-fn tell(pool: &Rc<Pool>, kind: ListKind, lines: &[Line]) {
+fn tell(pool: &Rc<Pool>, kind: UpdateKind, lines: &[Line]) {
     let place = |line: &Line| {
         let name = format!("server-{}", line.server);
-        let listed = Listed {
+        let listed = ListedEndpoint {
             name: &name,
             zone: None,
-            kind: None,
+            machine_type: None,
             cell: 0,
             state: line.state,
             weight: None,
-            ready_at: Some(line.ready_at),
+            started_at: Some(line.ready_at),
         };
         let address = SocketAddr::from(([127, 0, 0, 1], 1 + line.server as u16));
         Place {
-            entry: pool.names.borrow_mut().entry(&listed),
+            entry: pool.names.borrow_mut().endpoint(&listed),
             address,
         }
     };
@@ -78,7 +78,7 @@
 
     fn line(&mut self) -> Line {
         let state = match self.below(4) {
-            0 => ServerState::Gone,
+            0 => ServerState::Removed,
             1 => ServerState::Draining,
             _ => ServerState::Up,
         };
@@ -106,14 +106,14 @@
         }
     }
 
-    fn tell(&mut self, kind: ListKind, lines: &[Line]) {
+    fn tell(&mut self, kind: UpdateKind, lines: &[Line]) {
         tell(&self.pool, kind, lines);
-        if kind == ListKind::Full {
+        if kind == UpdateKind::Snapshot {
             self.listed.clear();
         }
         for line in lines {
             match line.state {
-                ServerState::Gone => drop(self.listed.remove(&line.server)),
+                ServerState::Removed => drop(self.listed.remove(&line.server)),
                 _ => drop(self.listed.insert(line.server, line.ready_at)),
             }
         }
@@ -148,9 +148,9 @@
                 }
                 n if !pools.is_empty() => {
                     let kind = if n < 5 {
-                        ListKind::Full
+                        UpdateKind::Snapshot
                     } else {
-                        ListKind::Delta
+                        UpdateKind::Delta
                     };
                     let lines: Vec<Line> = (0..draws.below(6)).map(|_| draws.line()).collect();
                     let pool = draws.below(pools.len() as u64) as usize;
@@ -188,7 +188,7 @@
             ready_at: 0.0,
         };
         let lines: Vec<Line> = (0..SERVERS).map(line).collect();
-        tell(&pool, ListKind::Full, &lines);
+        tell(&pool, UpdateKind::Snapshot, &lines);
         let begun = Instant::now();
         for _ in 0..COUNTS {
             assert_eq!(shared.listed(), lines.len());
--- a/crates/node/src/net/upstream/attempt.rs
+++ b/crates/node/src/net/upstream/attempt.rs
@@ -50,18 +50,18 @@
     let until = expires.min(Instant::now() + most);
     loop {
         if !host.wanted(id) {
-            return Err(Outcome::Unused);
+            return Err(Outcome::NotSent);
         }
         if let Some(connection) = upstream.take(server) {
             return Ok((connection, false));
         }
         let Some(address) = host.address(server) else {
-            return Err(Outcome::DialFailed);
+            return Err(Outcome::ConnectFailed);
         };
         if let Some(open) = upstream.reserve_connection(address) {
             let until = expires.min(Instant::now() + most);
             let new = connect(host, server, address, open, until).await;
-            return new.map(|c| (c, true)).ok_or(Outcome::DialFailed);
+            return new.map(|c| (c, true)).ok_or(Outcome::ConnectFailed);
         }
         let _waits = upstream.shared.wait();
         if timeout_at(until.into(), upstream.freed.notified())
@@ -72,7 +72,7 @@
                 .shared
                 .log
                 .write_line(format_args!("all connections to servers are in use"));
-            return Err(Outcome::Unused);
+            return Err(Outcome::NotSent);
         }
     }
 }
@@ -138,10 +138,10 @@
         // The list may have changed while the connection came up, and the client may have left.
         if !host.wanted(id) {
             host.upstream().put(connection);
-            return never(Outcome::Unused);
+            return never(Outcome::NotSent);
         }
         if host.address(server).is_none() || Instant::now() >= starts_by {
-            return never(Outcome::DialFailed);
+            return never(Outcome::ConnectFailed);
         }
         let before = connection.socket.written.get();
         // Whether the last byte may have been written: told by what the socket took, and of a flow by what was taken of it.
@@ -199,9 +199,9 @@
                 spent();
                 if unwritten(&connection) {
                     drop(connection);
-                    return never(Outcome::DialFailed);
+                    return never(Outcome::ConnectFailed);
                 }
-                host.ended(id, number, Outcome::Expired, None);
+                host.ended(id, number, Outcome::TimedOut, None);
                 // A second copy must not be out beside this one; with none, the connection outlives the time.
                 if !host.retried(id) {
                     if let Ok(Ok(response)) = tokio::time::timeout(LINGER, answer).await {
@@ -220,9 +220,9 @@
 fn broken(message: &Message, unwritten: bool) -> Outcome {
     match message.body.streamed() {
         // Its client broke off: that says nothing of the server.
-        Some(flow) if flow.fault().is_some() => Outcome::Unused,
-        _ if unwritten => Outcome::DialFailed,
-        _ => Outcome::Dropped,
+        Some(flow) if flow.fault().is_some() => Outcome::NotSent,
+        _ if unwritten => Outcome::ConnectFailed,
+        _ => Outcome::ConnectionLost,
     }
 }
 
@@ -258,22 +258,22 @@
     let validator = message.validator.as_deref();
     let unprocessed = head.headers.get(&UNPROCESSED).is_some_and(|v| v == "1");
     let outcome = match head.status {
-        StatusCode::OK => Outcome::Delivered,
+        StatusCode::OK => Outcome::Served,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => {
-            Outcome::Shed
+            Outcome::Rejected
         }
-        status if validator.is_some_and(|v| v.may_answer(status)) => Outcome::Delivered,
+        status if validator.is_some_and(|v| v.may_answer(status)) => Outcome::Served,
         _ => Outcome::Error,
     };
     let closes = head
         .headers
         .get(header::CONNECTION)
         .is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
-    if outcome == Outcome::Shed && closes && !connection.used {
+    if outcome == Outcome::Rejected && closes && !connection.used {
         // The server has all the connections that it takes, and ends this one.
         host.upstream().note_refused_connection();
     }
-    if outcome != Outcome::Delivered {
+    if outcome != Outcome::Served {
         host.ended(id, number, outcome, None);
         return finish(host, connection, body).await;
     }
@@ -291,7 +291,7 @@
         FLOW_MOST
     };
     if !framed || body.size_hint().lower() > most {
-        return host.ended(id, number, Outcome::Dropped, None);
+        return host.ended(id, number, Outcome::ConnectionLost, None);
     }
     let stated = body.size_hint().exact().map_or(0, |n| n as usize);
     let Upstream { shared, member, .. } = host.upstream();
@@ -333,7 +333,7 @@
                 }
                 if validator.is_some() {
                     if held.len() > ANSWER_MOST || memory.is_none() {
-                        return host.ended(id, number, Outcome::Dropped, None);
+                        return host.ended(id, number, Outcome::ConnectionLost, None);
                     }
                 } else if !held.is_empty()
                     && (memory.is_none() || held.len() > ANSWER_HELD || flows <= Instant::now())
@@ -341,11 +341,11 @@
                     break;
                 }
             }
-            Ok(Some(Err(_))) => return host.ended(id, number, Outcome::Dropped, None),
+            Ok(Some(Err(_))) => return host.ended(id, number, Outcome::ConnectionLost, None),
             Ok(None) => {
                 if !validator.is_none_or(|v| v.is_answer(&held)) {
                     // Nobody knows what went on behind it: the connection goes, and the request may have run.
-                    return host.ended(id, number, Outcome::Dropped, None);
+                    return host.ended(id, number, Outcome::ConnectionLost, None);
                 }
                 host.upstream().put(connection);
                 let answer = Answer {
@@ -358,7 +358,7 @@
             }
             Err(_) if patience => break,
             Err(_) => {
-                host.ended(id, number, Outcome::Expired, None);
+                host.ended(id, number, Outcome::TimedOut, None);
                 if !host.retried(id) {
                     finish(host, connection, body).await;
                 }
@@ -377,7 +377,7 @@
         rest: Some(rest),
         _memory: None,
     };
-    host.ended(id, number, Outcome::Delivered, Some(answer));
+    host.ended(id, number, Outcome::Served, Some(answer));
 }
 
 /// Reads what is left of an answer that nobody waits for, so that its connection can be used again.
