--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,7 +1,9 @@
 //! The line-by-line JSON wire of the adapter: parsing and printing. No decision is made here.
 
 use reelfall_balancer::interface::*;
-use reelfall_balancer::settings::{self, stable_hash, Listed, Names, Vocabulary};
+use reelfall_balancer::settings::{
+    self, stable_hash, ListedEndpoint, NameRegistry, NameTable, SettingsError,
+};
 use reelfall_balancer::Balancer;
 use serde::Deserialize;
 use std::borrow::Cow;
@@ -41,13 +43,13 @@
 }
 
 impl Metrics {
-    fn load(&self) -> Load {
+    fn load(&self) -> LoadReport {
         let service = self.avg_ms.map(|ms| ms / 1e3);
-        Load {
-            active: self.active,
-            waiting: self.waiting,
-            busy: self.cpu,
-            service,
+        LoadReport {
+            in_flight: self.active,
+            queued: self.waiting,
+            utilization: self.cpu,
+            service_time: service,
         }
     }
 }
@@ -84,11 +86,11 @@
 /// One hosted balancer with the names it alone has heard.
 struct Instance {
     balancer: Balancer,
-    names: Vocabulary,
+    names: NameRegistry,
 }
 
 impl Instance {
-    fn new(info: &str, salt: u64, now: Time) -> Result<Self, String> {
+    fn new(info: &str, salt: u64, now: Time) -> Result<Self, SettingsError> {
         let (settings, names, _) = settings::read(info)?;
         Ok(Instance {
             balancer: Balancer::new(settings, salt, now)?,
@@ -96,40 +98,40 @@
         })
     }
 
-    fn entry(&mut self, r: &Record) -> Entry {
-        self.names.entry(&Listed {
+    fn entry(&mut self, r: &Record) -> Endpoint {
+        self.names.endpoint(&ListedEndpoint {
             name: &r.server.0,
             zone: r.rack_zone.as_ref().map(|z| z.0.as_ref()),
-            kind: r.generation_hw.as_ref().map(|k| k.0.as_ref()),
+            machine_type: r.generation_hw.as_ref().map(|k| k.0.as_ref()),
             cell: r.cluster,
             state: match r.mode.as_ref().map(|m| m.0.as_ref()) {
                 Some("L") => ServerState::Draining,
-                Some("D") => ServerState::Gone,
+                Some("D") => ServerState::Removed,
                 _ => ServerState::Up,
             },
             weight: r.capacity_hint,
-            ready_at: r.ready_at,
+            started_at: r.ready_at,
         })
     }
 
     /// Translates one line; `None` for events that are not known here.
     fn event(&mut self, line: &Line) -> Result<Option<Event>, String> {
-        let server = |names: &Names| {
+        let server = |names: &NameTable| {
             names
                 .get(&need(&line.server, "server")?.0)
                 .ok_or("unknown server".to_owned())
         };
         let load = line.metrics.as_ref().map(Metrics::load);
         Ok(Some(match line.what.0.as_ref() {
-            "members" => Event::Members {
-                list: match need(&line.how, "how")?.0.as_ref() {
-                    "delta" => ListKind::Delta,
-                    "full" => ListKind::Full,
-                    "cached" => ListKind::Cached,
-                    "failed" => ListKind::Failed,
+            "members" => Event::EndpointUpdate {
+                kind: match need(&line.how, "how")?.0.as_ref() {
+                    "delta" => UpdateKind::Delta,
+                    "full" => UpdateKind::Snapshot,
+                    "cached" => UpdateKind::Cached,
+                    "failed" => UpdateKind::Failed,
                     other => return Err(format!("unknown list kind `{other}`")),
                 },
-                entries: line
+                endpoints: line
                     .records
                     .iter()
                     .flatten()
@@ -148,32 +150,32 @@
                     .as_ref()
                     .and_then(|v| v.as_str())
                     .and_then(|t| self.names.tenant(t)),
-                hint: line.expected,
+                work_hint: line.expected,
                 key: line.affinity.as_ref().map(|k| stable_hash(&k.0)),
-                left: *need(&line.left, "left")?,
+                remaining: *need(&line.left, "left")?,
             },
-            "report-back" => Event::Outcome {
+            "report-back" => Event::AttemptEnded {
                 request: *need(&line.id, "id")?,
                 attempt: *need(&line.attempt, "attempt")?,
                 server: server(&self.names.servers)?,
                 outcome: outcome(&need(&line.status, "status")?.0)?,
                 latency: *need(&line.wait_time, "wait-time")?,
-                ended: line.ended,
+                request_ended: line.ended,
                 load,
             },
-            "first-byte" => Event::FirstByte {
+            "first-byte" => Event::ResponseStarted {
                 request: *need(&line.id, "id")?,
                 attempt: *need(&line.attempt, "attempt")?,
                 latency: *need(&line.wait_time, "wait-time")?,
             },
-            "left" => Event::Gone {
+            "left" => Event::ClientGone {
                 request: *need(&line.id, "id")?,
             },
             "fired" => match need(&line.tag, "tag")?.0.parse() {
                 Ok(tag) => Event::Timer { tag },
                 Err(_) => return Ok(None),
             },
-            "probed" => Event::Probed {
+            "probed" => Event::HealthChecked {
                 server: server(&self.names.servers)?,
                 outcome: outcome(&need(&line.status, "status")?.0)?,
                 load,
@@ -191,14 +193,14 @@
 
 fn outcome(word: &str) -> Result<Outcome, String> {
     Ok(match word {
-        "delivered" => Outcome::Delivered,
+        "delivered" => Outcome::Served,
         "app_error" => Outcome::Error,
-        "shed" => Outcome::Shed,
-        "expired" => Outcome::Expired,
-        "dial_failed" => Outcome::DialFailed,
-        "dropped" => Outcome::Dropped,
-        "revoked" => Outcome::Revoked,
-        "unused" => Outcome::Unused,
+        "shed" => Outcome::Rejected,
+        "expired" => Outcome::TimedOut,
+        "dial_failed" => Outcome::ConnectFailed,
+        "dropped" => Outcome::ConnectionLost,
+        "revoked" => Outcome::Cancelled,
+        "unused" => Outcome::NotSent,
         other => return Err(format!("unknown outcome `{other}`")),
     })
 }
@@ -227,7 +229,7 @@
 }
 
 /// Prints one action. `serde_json` prints the numbers' texts; a name comes from the instance's own table.
-fn print(out: &mut Vec<u8>, node: u32, action: &Action, servers: &Names) {
+fn print(out: &mut Vec<u8>, node: u32, action: &Action, servers: &NameTable) {
     let name = |s: &ServerId| servers.name(*s).unwrap_or_default();
     let _ = match action {
         Action::Attempt {
@@ -245,7 +247,7 @@
                 None => writeln!(out, "}}"),
             }
         }
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after: Some(t),
         } => {
@@ -254,7 +256,7 @@
                 "{{\"what\":\"say-no\",\"node\":{node},\"id\":{request},\"not-before-for\":{t:.6}}}"
             )
         }
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after: None,
         } => {
@@ -274,12 +276,12 @@
             )
         }
         Action::Watch => writeln!(out, "{{\"what\":\"observe\",\"node\":{node},\"on\":true}}"),
-        Action::Probe { server } => {
+        Action::HealthCheck { server } => {
             let _ = write!(out, "{{\"what\":\"check\",\"node\":{node},\"server\":");
             quoted(out, name(server));
             writeln!(out, "}}")
         }
-        Action::Timer { after, tag } => {
+        Action::StartTimer { after, tag } => {
             writeln!(
                 out,
                 "{{\"what\":\"set-alarm\",\"node\":{node},\"after\":{after:.6},\"tag\":\"{tag}\"}}"
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -61,7 +61,8 @@
     pub fn new() -> Result<Folder> {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let n = NEXT.fetch_add(1, Ordering::Relaxed);
-        let path = std::env::temp_dir().join(format!("reelfall-testbed-{}-{n}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("reelfall-testbed-{}-{n}", std::process::id()));
         std::fs::create_dir_all(&path)?;
         Ok(Folder(path))
     }
--- a/crates/testbed/src/scale/computation.rs
+++ b/crates/testbed/src/scale/computation.rs
@@ -10,8 +10,8 @@
 use super::settings::settings_file;
 use crate::node::Folder;
 use crate::Result;
-use reelfall_balancer::interface::{Action, Entry, Event, ListKind, ServerState};
-use reelfall_balancer::settings::{Listed, Vocabulary};
+use reelfall_balancer::interface::{Action, Endpoint, Event, ServerState, UpdateKind};
+use reelfall_balancer::settings::{ListedEndpoint, NameRegistry};
 use reelfall_balancer::Balancer;
 use serde::{Deserialize, Serialize};
 use std::ffi::OsStr;
@@ -147,7 +147,7 @@
 fn server_list(text: &str) -> Result<Cost> {
     let mut module = Module::new()?;
     let begun = machine::thread_cpu()?;
-    module.take_in(text, ListKind::Full)?;
+    module.take_in(text, UpdateKind::Snapshot)?;
     cost(machine::thread_cpu()?.saturating_sub(begun), text.len())
 }
 
@@ -155,11 +155,11 @@
 fn server_changes(text: &str) -> Result<Cost> {
     let mut lines = text.lines();
     let mut module = Module::new()?;
-    module.take_in(lines.next().ok_or("no list")?, ListKind::Full)?;
+    module.take_in(lines.next().ok_or("no list")?, UpdateKind::Snapshot)?;
     let changes: Vec<&str> = lines.collect();
     let begun = machine::thread_cpu()?;
     for change in &changes {
-        module.take_in(change, ListKind::Delta)?;
+        module.take_in(change, UpdateKind::Delta)?;
     }
     let count = u32::try_from(changes.len()).unwrap_or(u32::MAX).max(1);
     let cpu = machine::thread_cpu()?.saturating_sub(begun) / count;
@@ -183,7 +183,7 @@
 /// A decision module with the names of its servers.
 struct Module {
     balancer: Balancer,
-    names: Vocabulary,
+    names: NameRegistry,
     actions: Vec<Action>,
     now: f64,
 }
@@ -202,38 +202,41 @@
         })
     }
 
-    fn take_in(&mut self, text: &str, list: ListKind) -> Result<()> {
+    fn take_in(&mut self, text: &str, list: UpdateKind) -> Result<()> {
         let read: serde_json::Value = serde_json::from_str(text)?;
         let lines = read
             .get("endpoints")
             .and_then(|lines| lines.as_array())
             .ok_or("no endpoints")?;
-        let entries: Vec<Entry> = lines.iter().filter_map(|line| self.entry(line)).collect();
+        let entries: Vec<Endpoint> = lines.iter().filter_map(|line| self.entry(line)).collect();
         self.now += 0.01;
         self.balancer.handle(
             self.now,
-            Event::Members { list, entries },
+            Event::EndpointUpdate {
+                kind: list,
+                endpoints: entries,
+            },
             &mut self.actions,
         );
         self.actions.clear();
         Ok(())
     }
 
-    fn entry(&mut self, line: &serde_json::Value) -> Option<Entry> {
+    fn entry(&mut self, line: &serde_json::Value) -> Option<Endpoint> {
         let text = |name: &str| line.get(name).and_then(|value| value.as_str());
-        let listed = Listed {
+        let listed = ListedEndpoint {
             name: text("name")?,
             zone: text("zone"),
-            kind: text("type"),
+            machine_type: text("type"),
             cell: 1,
             state: ServerState::Up,
             weight: line.get("weight").and_then(|weight| weight.as_f64()),
-            ready_at: line
+            started_at: line
                 .get("since_ms")
                 .and_then(|ms| ms.as_f64())
                 .map(|ms| ms / 1e3),
         };
-        Some(self.names.entry(&listed))
+        Some(self.names.endpoint(&listed))
     }
 }
 
