--- a/crates/balancer/src/decide/admission.rs
+++ b/crates/balancer/src/decide/admission.rs
@@ -1,148 +1,243 @@
-//! Admission: how much of the work asked for is taken on, and which.
-
-use super::state::*;
-use crate::interface::*;
-
-/// An answer past this part of the aim counts as late for admission: past the aim is too late to act.
-const EARLY: f64 = 0.95;
-
-/// Nothing under this part of the aim counts as late for admission: where the unloaded response is a small
-/// part of the aim, three of it are a short queue, and cutting on it refuses work that there is room for.
-pub(super) const LATE_FROM: f64 = 0.6;
-
-/// What a shortest deadline of nothing but late answers takes from admission: each takes its part of that by
-/// how many come, a quarter at most.
-const CUT: f64 = 2.0;
-const CUT_MOST: f64 = 0.25;
-/// Admission regained in one shortest deadline. Against `CUT`, some ten in a hundred answers may be late.
-const GAIN: f64 = 0.2;
-/// The share of late answers from which on each counts whole, and none is followed by regaining.
-const LATE_FULL: f64 = 0.25;
-/// Step of that share, at most.
-const LATE_STEP: f64 = 0.125;
-/// Admission rests so far past all: a few late answers are chance, and cost nobody a refusal.
-pub(super) const HEADROOM: f64 = 1.3;
-/// Admission never falls below this, or nothing would show that the trouble has passed.
-pub(super) const ADMIT_MIN: f64 = 0.1;
-
-impl Balancer {
-    /// This node's part of the traffic: that of one among all, or what it has of what the tenants may send
-    /// where that is more: others may be gone.
-    pub(super) fn traffic_part(&self) -> f64 {
-        let alike = 1.0 / f64::from(self.settings.node_count);
-        [alike, (self.arrivals / self.quota).clamp(alike, 1.0)][usize::from(self.quota > 0.0)]
-    }
-
-    /// A client's tenant is over its share when this node's part of the quota is used up.
-    pub(super) fn over_share(&mut self, now: Time, tenant: TenantId) -> bool {
-        let part = self.traffic_part();
-        let Some((tokens, at)) = self.tenants.get_mut(tenant as usize) else {
-            return false;
-        };
-        let rate = self.settings.tenants[tenant as usize].quota * part;
-        if rate <= 0.0 {
-            return false;
+//! Admission control: which share of the offered work is admitted, and which requests are shed first.
+//!
+//! The admitted share falls with each late response, rises steadily while few responses are late, and follows the capacity
+//! that the endpoint list tells of before any response is late.
+
+use super::estimates::WorkEstimates;
+use crate::interface::{Settings, Time};
+
+/// A response that takes more than this share of its latency objective counts as late: once the objective is missed it is
+/// too late to shed load.
+const LATE_OBJECTIVE_SHARE: f64 = 0.95;
+/// A response that takes less than this share of its latency objective is never late.
+const MIN_LATE_OBJECTIVE_SHARE: f64 = 0.6;
+/// A response that takes more than this multiple of the unloaded response time has been queued.
+pub(super) const QUEUED_RESPONSE_FACTOR: f64 = 3.0;
+
+/// What late responses alone would take off the admitted share within the shortest deadline.
+const DECREASE: f64 = 2.0;
+/// A late response takes off this share at most.
+const MAX_DECREASE: f64 = 0.25;
+/// What is added to the admitted share within the shortest deadline.
+const INCREASE: f64 = 0.2;
+/// From this share of late responses on each takes off its full part, and nothing is added.
+const HIGH_LATE_SHARE: f64 = 0.25;
+/// Maximum step of the share of late responses.
+const MAX_LATE_STEP: f64 = 0.125;
+/// The share of late responses decays within this multiple of the shortest deadline.
+const LATE_DECAY_DEADLINES: f64 = 4.0;
+/// The admitted share rises beyond 1 to this, so that a few late responses shed nothing.
+const MAX_ADMITTED_SHARE: f64 = 1.3;
+/// The least admitted share; without any requests nothing would show that the overload is over.
+const MIN_ADMITTED_SHARE: f64 = 0.1;
+
+/// How long a response may take before it is taken for late, and its server for overloaded.
+pub(super) fn queueing_threshold(latency_objective: Time, unloaded_response: Time) -> Time {
+    (LATE_OBJECTIVE_SHARE * latency_objective).min(QUEUED_RESPONSE_FACTOR * unloaded_response)
+}
+
+/// Whether a response that took so long counts as late for admission.
+pub(super) fn is_late(waited: Time, latency_objective: Time, unloaded_response: Time) -> bool {
+    let threshold = queueing_threshold(latency_objective, unloaded_response);
+    waited > threshold.max(MIN_LATE_OBJECTIVE_SHARE * latency_objective)
+}
+
+/// The requests of one class that are within, or over, the quotas of their tenants.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Segment(usize);
+
+impl Segment {
+    /// The segment of a request.
+    pub(super) fn new(class: usize, is_over_quota: bool) -> Self {
+        Segment(2 * class + usize::from(is_over_quota))
+    }
+
+    fn class(self) -> usize {
+        self.0 / 2
+    }
+
+    fn is_over_quota(self) -> bool {
+        self.0 % 2 == 1
+    }
+}
+
+/// Decaying sums of the work of one segment, in seconds on a standard core.
+#[derive(Clone, Copy, Debug, Default)]
+struct SegmentWork {
+    offered: f64,
+    served: f64,
+}
+
+impl SegmentWork {
+    fn served_share(&self) -> f64 {
+        self.served / self.offered.max(f64::MIN_POSITIVE)
+    }
+}
+
+/// The state of admission control.
+pub(super) struct Admission {
+    admitted_share: f64,
+    /// Smoothed share of late responses.
+    late_share: f64,
+    last_response_at: Time,
+    /// Capacity of the listed servers, in servers.
+    capacity: f64,
+    segments: Vec<SegmentWork>,
+}
+
+impl Admission {
+    /// Everything is admitted.
+    pub(super) fn new(classes: usize, now: Time) -> Self {
+        Admission {
+            admitted_share: MAX_ADMITTED_SHARE,
+            late_share: 0.0,
+            last_response_at: now,
+            capacity: 0.0,
+            segments: vec![SegmentWork::default(); 2 * classes],
         }
-        // Two seconds of quota and a few requests: arrivals at one node are uneven.
-        let most = 2.0 * rate + 3.0;
-        *tokens = if tokens.is_nan() {
-            most
+    }
+
+    /// The share of the offered work that is admitted, up to 1.
+    pub(super) fn admitted_share(&self) -> f64 {
+        self.admitted_share.min(1.0)
+    }
+
+    /// Whether everything is admitted.
+    pub(super) fn admits_all(&self) -> bool {
+        self.admitted_share >= 1.0
+    }
+
+    /// Restores the admitted share; one that can't be is replaced by 1.
+    pub(super) fn restore(&mut self, admitted_share: f64) {
+        let is_usable = admitted_share.is_finite() && admitted_share > 0.0;
+        self.admitted_share = if is_usable {
+            admitted_share.clamp(MIN_ADMITTED_SHARE, 1.0)
         } else {
-            (*tokens + rate * (now - *at)).min(most)
+            1.0
         };
-        *at = now;
-        let over = *tokens < 1.0;
-        *tokens -= if over { 0.0 } else { 1.0 };
-        over
-    }
-
-    /// A late or overdue answer counts at once: a node that sees few has no time for more. Harm: chance.
-    pub(super) fn pressure(&mut self, now: Time, late: bool) {
-        let shortest = self.shortest(|c| c.deadline);
-        let passed = (now - std::mem::replace(&mut self.late_at, now)).max(0.0);
-        let step = (1.0 - (-2.0 * passed / shortest).exp()).min(LATE_STEP);
-        self.late += step * (f64::from(late) - self.late);
-        if late {
-            let served = self.admit.min(1.0)
-                * if self.arrivals > 0.0 {
-                    self.arrivals
-                } else {
-                    self.came.max(1.0)
-                };
-            let cut = CUT / shortest / served * (self.late / LATE_FULL).min(1.0);
-            self.admit = (self.admit * (1.0 - cut.min(CUT_MOST))).max(ADMIT_MIN);
-        }
     }
 
-    pub(super) fn regain(&mut self, dt: Time) {
-        let shortest = self.shortest(|c| c.deadline);
-        self.late *= (-dt / (4.0 * shortest)).exp();
-        if self.late < LATE_FULL {
-            self.admit = (self.admit + GAIN * dt / shortest).min(HEADROOM);
+    /// Adds an offered request.
+    pub(super) fn record_offered(&mut self, segment: Segment, work: f64) {
+        self.segments[segment.0].offered += work;
+    }
+
+    /// Adds a served request.
+    pub(super) fn record_served(&mut self, segment: Segment, work: f64) {
+        self.segments[segment.0].served += work;
+    }
+
+    /// Reduces the sums of work to this share.
+    pub(super) fn decay(&mut self, retained: f64) {
+        for work in &mut self.segments {
+            work.offered *= retained;
+            work.served *= retained;
         }
     }
 
-    /// Admission follows what the list and the warmth of servers say of capacity, before any answer is late:
-    /// by the root, as some room was spare. While all is admitted it takes the headroom at most, or a quiet
-    /// fleet that shrinks would refuse beside idle servers.
-    pub(super) fn foresee(&mut self, now: Time) {
-        let capacity: f64 = self.servers.iter().map(|s| self.warmth(s, now)).sum();
-        let before = std::mem::replace(&mut self.capacity, capacity);
-        if before > 0.0 && capacity > 0.0 {
-            let least = if self.admit >= 1.0 { 1.0 } else { ADMIT_MIN };
-            self.admit = (self.admit * (capacity / before).sqrt()).clamp(least, HEADROOM);
+    /// Adds a response, or an attempt that is overdue, where so many requests arrive per second.
+    pub(super) fn record_response(
+        &mut self,
+        now: Time,
+        is_late: bool,
+        shortest_deadline: Time,
+        arrivals_per_second: f64,
+    ) {
+        let elapsed = (now - self.last_response_at).max(0.0);
+        self.last_response_at = now;
+        let step = (1.0 - (-2.0 * elapsed / shortest_deadline).exp()).min(MAX_LATE_STEP);
+        self.late_share += step * (f64::from(is_late) - self.late_share);
+        if is_late {
+            let admitted_per_second = self.admitted_share() * arrivals_per_second;
+            let severity = (self.late_share / HIGH_LATE_SHARE).min(1.0);
+            let decrease = DECREASE / shortest_deadline / admitted_per_second * severity;
+            let admitted = self.admitted_share * (1.0 - decrease.min(MAX_DECREASE));
+            self.admitted_share = admitted.max(MIN_ADMITTED_SHARE);
         }
     }
 
-    /// Under pressure, what is worth least for its work is refused first; a row at the edge in part.
-    pub(super) fn admitted(&mut self, row: usize) -> bool {
-        if self.admit >= 1.0 {
-            return true;
+    /// Raises the admitted share after this time, unless many responses are late.
+    pub(super) fn recover(&mut self, elapsed: Time, shortest_deadline: Time) {
+        self.late_share *= (-elapsed / (LATE_DECAY_DEADLINES * shortest_deadline)).exp();
+        if self.late_share < HIGH_LATE_SHARE {
+            let increase = INCREASE * elapsed / shortest_deadline;
+            self.admitted_share = (self.admitted_share + increase).min(MAX_ADMITTED_SHARE);
         }
-        let total: f64 = self.tally.iter().map(|t| t.asked).sum();
-        let mine = self.value(row);
-        let above: f64 = (0..self.tally.len())
-            .filter(|o| *o != row && (self.value(*o), *o) > (mine, row))
-            .map(|o| self.tally[o].asked)
-            .sum();
-        let room = (self.admit * total - above) / self.tally[row].asked;
-        self.random() < room
     }
 
-    /// What a unit of work of this row adds to the goal; the class served worst carries its own weight.
-    fn value(&self, row: usize) -> f64 {
-        let density = |row: usize| {
-            let class = &self.settings.classes[row / 2];
-            let per = if self.settings.weight_per_work {
+    /// Adjusts the admitted share to a change of the capacity, by its root, as some capacity was spare. As long as all is
+    /// admitted this does not shed load, so that a fleet with little load can shrink.
+    pub(super) fn set_capacity(&mut self, capacity: f64) {
+        let previous = std::mem::replace(&mut self.capacity, capacity);
+        if previous > 0.0 && capacity > 0.0 {
+            let min = if self.admits_all() {
                 1.0
             } else {
-                self.class_work[row / 2]
+                MIN_ADMITTED_SHARE
             };
-            let share = if row % 2 == 1 {
-                self.settings.over_quota_weight
-            } else {
-                1.0
-            };
-            class.priority_weight / per * share
-        };
-        let all: f64 = (0..self.tally.len())
-            .map(|o| density(o) * self.tally[o].asked)
+            let adjusted = self.admitted_share * (capacity / previous).sqrt();
+            self.admitted_share = adjusted.clamp(min, MAX_ADMITTED_SHARE);
+        }
+    }
+
+    /// The share of a segment that is admitted while load is shed: segments of less value for their work come last.
+    pub(super) fn segment_share(
+        &self,
+        segment: Segment,
+        settings: &Settings,
+        work: &WorkEstimates,
+    ) -> f64 {
+        let total: f64 = self.segments.iter().map(|work| work.offered).sum();
+        let value = self.value(segment, settings, work);
+        let offered_first: f64 = self
+            .all_segments()
+            .filter(|other| *other != segment)
+            .filter(|other| (self.value(*other, settings, work), *other) > (value, segment))
+            .map(|other| self.segments[other.0].offered)
+            .sum();
+        (self.admitted_share * total - offered_first) / self.segments[segment.0].offered
+    }
+
+    fn all_segments(&self) -> impl Iterator<Item = Segment> {
+        (0..self.segments.len()).map(Segment)
+    }
+
+    /// What a unit of work of this segment adds to the objective. The class that is served worst has a weight of its own.
+    fn value(&self, segment: Segment, settings: &Settings, work: &WorkEstimates) -> f64 {
+        let density = |segment| weight_per_work(segment, settings, work);
+        let offered = |segment: Segment| self.segments[segment.0].offered;
+        let total: f64 = self
+            .all_segments()
+            .map(|other| density(other) * offered(other))
             .sum();
-        let served =
-            |row: usize| self.tally[row].served / self.tally[row].asked.max(f64::MIN_POSITIVE);
-        let mut value = self.settings.objective.overall * density(row) / all.max(f64::MIN_POSITIVE);
-        let worst = (0..self.tally.len())
-            .step_by(2)
-            .all(|o| served(row) <= served(o));
-        if row.is_multiple_of(2) && worst {
-            value +=
-                self.settings.objective.worst_class / self.tally[row].asked.max(f64::MIN_POSITIVE);
+        let objective = &settings.objective;
+        let mut value = objective.overall * density(segment) / total.max(f64::MIN_POSITIVE);
+        if !segment.is_over_quota() && self.is_served_worst(segment) {
+            value += objective.worst_class / offered(segment).max(f64::MIN_POSITIVE);
         }
         value
     }
+
+    /// Whether no class has a smaller share of its requests within quotas served.
+    fn is_served_worst(&self, segment: Segment) -> bool {
+        let served_share = self.segments[segment.0].served_share();
+        let mut within_quota = self.all_segments().filter(|other| !other.is_over_quota());
+        within_quota.all(|other| served_share <= self.segments[other.0].served_share())
+    }
 }
 
-/// From when on an answer tells of waiting: short of the aim, or three unloaded responses if that is sooner.
-pub(super) fn early(aim: Time, unloaded: Time) -> Time {
-    (EARLY * aim).min(OVERDUE * unloaded)
+/// The priority weight of a unit of work.
+fn weight_per_work(segment: Segment, settings: &Settings, work: &WorkEstimates) -> f64 {
+    let class = &settings.classes[segment.class()];
+    let unit = if settings.weight_per_work {
+        1.0
+    } else {
+        work.of_class(segment.class())
+    };
+    let quota_factor = if segment.is_over_quota() {
+        settings.over_quota_weight
+    } else {
+        1.0
+    };
+    class.priority_weight / unit * quota_factor
 }
--- a/crates/balancer/src/decide/automaton.rs
+++ b/crates/balancer/src/decide/automaton.rs
@@ -1,81 +1,93 @@
-//! The automaton: the sampling vector and the averages of response.
+//! The automaton: the probability vector and the running averages of response times.
 
 use crate::floored::Floored;
 
-/// Step of an average. A node that sees a server once in seconds must learn from a handful of answers.
-const ALPHA: f64 = 0.2;
+/// Step of a running average.
+const AVERAGE_STEP: f64 = 0.2;
 
-/// Step of the vector, for a mean entry: theta = STEP / r, so that a payoff moves an entry by a tenth of its
-/// fair share however long the list. At hundreds of payoffs a second a larger step makes the vector noise.
-const STEP: f64 = 0.1;
+/// Step of the probability vector, as a share of the mean probability, so that a reward moves a server by the same share
+/// however long the list is.
+const REWARD_STEP: f64 = 0.1;
 
-/// From this many servers on, the step grows with the list, to three times as much.
+/// From this many servers on the step grows with the list, as rewards of each server become rarer.
 const LONG_LIST: f64 = 24.0;
 
-/// The whole floor: p_min = FLOOR / r leaves this share of the draws to exploration at any length.
-pub(super) const FLOOR: f64 = 0.1;
+/// The step grows to at most this multiple.
+const MAX_STEP_GROWTH: f64 = 3.0;
 
-/// Sampling vector and response averages of one node, by position in its list.
+/// The sum of the floors of all servers: the share of requests that is left to exploration.
+pub(super) const TOTAL_FLOOR: f64 = 0.1;
+
+/// The probability vector and the running averages of one node, by position in its list of servers.
 #[derive(Clone, Debug, Default)]
 pub struct Automaton {
-    /// Sending probabilities; they sum to 1 and none is under [`Automaton::floor`].
-    pub p: Vec<f64>,
-    /// Moving averages of response time.
-    pub average: Vec<f64>,
+    /// The probability of each server; they sum to 1, and none is below [`Automaton::floor`].
+    pub probability: Vec<f64>,
+    /// The running average of the response times of each server, in seconds for a request of typical size.
+    pub mean_response: Vec<f64>,
 }
 
 impl Automaton {
-    /// p_min: shrinks with the list, so that it never eats the vector.
+    /// The least probability. It shrinks with the list, so that the floors of a long list leave room for learning.
     pub fn floor(&self) -> f64 {
-        FLOOR / self.p.len().max(1) as f64
+        TOTAL_FLOOR / self.probability.len().max(1) as f64
     }
 
-    fn theta(&self) -> f64 {
-        let r = self.p.len().max(1) as f64;
-        // Payoffs are rare where many nodes share a long list: there the step stays what it was before.
-        (STEP * (r / LONG_LIST).clamp(1.0, 3.0) / r).min(ALPHA / 2.0)
+    /// The step of the probability vector, always well below that of the averages.
+    fn reward_step(&self) -> f64 {
+        let servers = self.probability.len().max(1) as f64;
+        let growth = (servers / LONG_LIST).clamp(1.0, MAX_STEP_GROWTH);
+        (REWARD_STEP * growth / servers).min(AVERAGE_STEP / 2.0)
     }
 
-    /// Moves the one average that was seen.
-    pub fn observe(&mut self, i: usize, response: f64) {
-        self.average[i] += ALPHA * (response - self.average[i]);
+    /// Adds a response time to the running average of a server.
+    pub fn observe(&mut self, position: usize, response: f64) {
+        self.mean_response[position] += AVERAGE_STEP * (response - self.mean_response[position]);
     }
 
-    /// A payoff for `i`: its entry moves towards p_max, all others towards p_min.
-    pub fn reward(&mut self, i: usize) {
-        let (theta, floor) = (self.theta(), self.floor());
-        for p in &mut self.p {
-            *p += theta * (floor - *p);
+    /// Rewards a server: its probability moves towards the maximum, all others towards the floor.
+    pub fn reward(&mut self, position: usize) {
+        let step = self.reward_step();
+        let floor = self.floor();
+        for probability in &mut self.probability {
+            *probability += step * (floor - *probability);
         }
-        // p_max - p_min = 1 - r p_min = 1 - FLOOR.
-        self.p[i] += theta * (1.0 - FLOOR);
+        // The maximum exceeds the floor by 1 - TOTAL_FLOOR.
+        self.probability[position] += step * (1.0 - TOTAL_FLOOR);
     }
 
-    /// Adds an entry with `share` times the mean entry.
-    pub fn join(&mut self, share: f64, average: f64) {
-        self.average.push(average);
-        self.change(|p| p.push(joining(share, p.len()), [0; 2]));
+    /// Adds a server with this multiple of the mean probability.
+    pub fn insert(&mut self, relative_probability: f64, mean_response: f64) {
+        self.mean_response.push(mean_response);
+        self.update(|vector| {
+            let probability = initial_probability(relative_probability, vector.len());
+            vector.push(probability, [0; 2]);
+        });
     }
 
-    /// Removes an entry; the last one takes its place.
-    pub fn leave(&mut self, i: usize) {
-        self.average.swap_remove(i);
-        self.change(|p| p.swap_remove(i));
+    /// Removes a server; the last one takes its position.
+    pub fn swap_remove(&mut self, position: usize) {
+        self.mean_response.swap_remove(position);
+        self.update(|vector| vector.swap_remove(position));
     }
 
-    /// Restores the sum and the floor, keeping the proportions of what lies above it.
-    pub fn settle(&mut self) {
-        self.change(Floored::restore);
+    /// Restores the sum and the floor; what exceeds the floor keeps its proportions.
+    pub fn normalize(&mut self) {
+        self.update(Floored::restore);
     }
 
-    fn change(&mut self, how: impl FnOnce(&mut Floored)) {
-        let mut p = Floored::new(FLOOR, self.p.iter().map(|p| (*p, [0; 2])));
-        how(&mut p);
-        self.p = p.values();
+    fn update(&mut self, change: impl FnOnce(&mut Floored)) {
+        let entries = self
+            .probability
+            .iter()
+            .map(|probability| (*probability, [0; 2]));
+        let mut vector = Floored::new(TOTAL_FLOOR, entries);
+        change(&mut vector);
+        self.probability = vector.values();
     }
 }
 
-/// The entry of one that joins a vector of `r` with `share` times the mean.
-pub(super) fn joining(share: f64, r: usize) -> f64 {
-    share.max(FLOOR) * (1.0 / r.max(1) as f64)
+/// The probability of a server that joins a list of this length with this multiple of the mean probability.
+pub(super) fn initial_probability(relative_probability: f64, servers: usize) -> f64 {
+    relative_probability.max(TOTAL_FLOOR) * (1.0 / servers.max(1) as f64)
 }
--- a/crates/balancer/src/decide/mod.rs
+++ b/crates/balancer/src/decide/mod.rs
@@ -1,311 +1,345 @@
-//! Every decision of a node. The types, events and actions are in `crates/balancer/src/interface.rs`.
+//! All decisions of a node. The types, events and actions are in `crates/balancer/src/interface.rs`.
 //!
-//! One learning automaton a node, after Yazidi et al.: a request's server is drawn from the vector `p`; an
-//! answer no slower than the mean of the averages pays off and moves `p` towards the server that gave it.
-//! Everything else is an exception around that draw, a function of its own with its condition stated.
+//! Each node runs one learning automaton (after Yazidi et al.): the server of a request is sampled from a probability
+//! vector with a floor, and a response that is no slower than the mean of the running averages rewards the server that
+//! gave it. All other concerns constrain or weight that sampling. Each owns its state:
+//!
+//! | module | responsibility |
+//! | --- | --- |
+//! | `automaton` | the probability vector and the running averages of response times |
+//! | `servers` | the listed servers, and what is known of each |
+//! | `selection` | sampling a server: which are eligible, and with which weights |
+//! | `requests` | a request from its arrival to the end of its last attempt; retries |
+//! | `attempts` | what the end of an attempt, or its delay, tells about a server |
+//! | `endpoint_list` | updates of the endpoint list |
+//! | `departed` | servers that left the list lately |
+//! | `subset` | the servers of a long list that this node prefers |
+//! | `outlier` | ejection of servers that fail or are slow |
+//! | `slow_start` | servers that have just started, and how much work they may be sent |
+//! | `admission` | which share of the requests is admitted, and which ones |
+//! | `tenant_quota` | the quotas of tenants |
+//! | `retry_budget` | how many retries are allowed |
+//! | `zone_spill` | the weight of servers in other zones |
+//! | `hot_keys` | keys that are too popular for key affinity |
+//! | `estimates` | estimates of work and of the arrival rate |
+//! | `handover` | what one balancer hands over to the next |
 
 mod admission;
+mod attempts;
 mod automaton;
-mod cold;
-mod draw;
-mod health;
-mod list;
-mod part;
-mod request;
-mod state;
+mod departed;
+mod endpoint_list;
+mod estimates;
+mod handover;
+mod hot_keys;
+mod outlier;
+mod requests;
+mod retry_budget;
+mod selection;
+mod servers;
+mod slow_start;
+mod subset;
+mod tenant_quota;
+mod zone_spill;
 
 pub use self::automaton::Automaton;
-pub use self::state::Balancer;
 
-use self::admission::{ADMIT_MIN, HEADROOM};
-use self::cold::COLD_PRIOR;
-use self::list::{LEFT_FOR, LEFT_MOST};
-use self::request::SAVED_LEAST;
-use self::state::*;
-use crate::chance::stride;
-use crate::index::Index;
-use crate::interface::*;
+use self::admission::Admission;
+use self::departed::DepartedServers;
+use self::endpoint_list::Watch;
+use self::estimates::{ArrivalRate, WorkEstimates};
+use self::hot_keys::KeyCounts;
+use self::outlier::FaultScope;
+use self::requests::Request;
+use self::retry_budget::RetryBudget;
+use self::servers::ServerTable;
+use self::slow_start::SustainedWork;
+use self::subset::Subset;
+use self::tenant_quota::TenantQuotas;
+use self::zone_spill::ZoneSpill;
+use crate::interface::{Action, Discovery, Event, RequestId, Settings, Time};
+use crate::random::SplitMix64;
 use crate::settings::{check, SettingsError};
-use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::collections::BTreeMap;
+
+/// Tag of the timer of the periodic sweep.
+const SWEEP_TIMER: u64 = 0;
+/// Tag of the timer after which the endpoint list is watched again.
+const WATCH_TIMER: u64 = 1;
 
-/// How fast the unloaded response may rise a second, so that a slower fleet becomes the rule in a minute; and
-/// how fast it is forgotten what servers were seen to bear.
-const BASE_CREEP: f64 = 0.01;
-/// How fast the weight of servers outside the zone follows what crossing gains: by which part a second for a
-/// gain of one request in time.
-const SPILL_PACE: f64 = 7.0;
+/// Rate at which the unloaded response time rises, per second, so that a slower fleet becomes the norm within a minute.
+const UNLOADED_RESPONSE_GROWTH: f64 = 0.01;
+/// Time constant of the exponential decay of counters, in seconds.
+const COUNTER_DECAY_TIME: Time = 5.0;
+/// The longest interval between two updates of rates and counters, in seconds.
+const MAX_COUNTER_INTERVAL: Time = 1.0;
+/// Number of sweeps within the shortest latency objective.
+const SWEEPS_PER_OBJECTIVE: f64 = 3.0;
+/// The first poll is delayed by up to the poll interval divided by this, as all nodes may start at once.
+const FIRST_POLL_DIVISOR: f64 = 5.0;
+
+/// The strictest values of all classes.
+#[derive(Clone, Copy, Debug)]
+struct StrictestClass {
+    latency_objective: Time,
+    deadline: Time,
+}
+
+impl StrictestClass {
+    fn of(settings: &Settings) -> Self {
+        let objectives = settings.classes.iter().map(|class| class.latency_objective);
+        let deadlines = settings.classes.iter().map(|class| class.deadline);
+        StrictestClass {
+            latency_objective: objectives.fold(f64::MAX, f64::min),
+            deadline: deadlines.fold(f64::MAX, f64::min),
+        }
+    }
+}
+
+/// The decision maker of one node.
+pub struct Balancer {
+    settings: Settings,
+    strictest: StrictestClass,
+    random: SplitMix64,
+    is_started: bool,
+    automaton: Automaton,
+    servers: ServerTable,
+    departed: DepartedServers,
+    subset: Subset,
+    watch: Watch,
+    requests: BTreeMap<RequestId, Request>,
+    work: WorkEstimates,
+    arrivals: ArrivalRate,
+    quotas: TenantQuotas,
+    retry_budget: RetryBudget,
+    admission: Admission,
+    zone_spill: ZoneSpill,
+    fault_scope: FaultScope,
+    sustained_work: SustainedWork,
+    key_counts: KeyCounts,
+    /// Mean response time of servers with short queues, in seconds: the lowest mean seen, slowly rising.
+    unloaded_response: Time,
+    last_sweep: Time,
+    last_counter_update: Time,
+    /// Weights of the last selection, kept to reuse the allocation.
+    selection_weights: Vec<f64>,
+}
 
 impl Balancer {
-    /// Makes a balancer for one life of a node.
+    /// A balancer for one incarnation of a node.
     ///
     /// # Errors
-    /// Says which setting cannot be used.
+    /// If the settings can't be used.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
         check(&settings, now)?;
-        let n = settings.classes.len();
-        let first_guess = settings
-            .classes
-            .iter()
-            .map(|c| c.latency_objective)
-            .fold(f64::MAX, f64::min)
-            / 4.0;
+        let strictest = StrictestClass::of(&settings);
+        let first_estimate = strictest.latency_objective / 4.0;
+        let quotas = TenantQuotas::new(&settings.tenants, now);
         Ok(Balancer {
-            rng: seed,
-            started: false,
+            strictest,
+            random: SplitMix64::new(seed),
+            is_started: false,
             automaton: Automaton::default(),
-            servers: Vec::new(),
-            slot: Index::default(),
-            stays: 0,
-            left: VecDeque::new(),
+            servers: ServerTable::default(),
+            departed: DepartedServers::default(),
+            subset: Subset::new(
+                settings.node_count,
+                settings.node_index,
+                quotas.total_rate(),
+            ),
+            watch: Watch::default(),
             requests: BTreeMap::new(),
-            class_work: vec![first_guess; n],
-            typical: first_guess,
-            tenants: vec![(f64::NAN, now); settings.tenants.len()],
-            stride: stride(u64::from(settings.node_count)),
-            quota: settings.tenants.iter().map(|t| t.quota.max(0.0)).sum(),
-            came: 0.0,
-            arrivals: 0.0,
-            retries: SAVED_LEAST,
-            tally: vec![Tally::default(); 2 * n],
-            admit: HEADROOM,
-            spill: 1.0,
-            missed: [0.0; 2],
-            common: false,
-            base: first_guess,
-            capacity: 0.0,
-            late: 0.0,
-            late_at: now,
-            delivered: 0.0,
-            delivered_rate: 0.0,
-            bearable: COLD_PRIOR,
-            keys: vec![0.0; KEY_SLOTS],
-            subscribed: false,
-            backoff: 1.0,
+            work: WorkEstimates::new(settings.classes.len(), first_estimate),
+            arrivals: ArrivalRate::default(),
+            quotas,
+            retry_budget: RetryBudget::default(),
+            admission: Admission::new(settings.classes.len(), now),
+            zone_spill: ZoneSpill::default(),
+            fault_scope: FaultScope::default(),
+            sustained_work: SustainedWork::default(),
+            key_counts: KeyCounts::default(),
+            unloaded_response: first_estimate,
             last_sweep: now,
-            last_slow: now,
-            weights: Vec::new(),
+            last_counter_update: now,
+            selection_weights: Vec::new(),
             settings,
         })
     }
 
-    /// For inspection.
+    /// The automaton, for inspection.
     pub fn automaton(&self) -> &Automaton {
         &self.automaton
     }
 
-    /// What it has learned.
-    pub fn learned(&self, now: Time) -> LearnedState {
-        let r = self.servers.len() as f64;
-        let of = |(i, s): (usize, &Server)| LearnedServer {
-            hash: s.entry.hash,
-            started_at: s.entry.started_at,
-            relative_probability: self.automaton.p[i] * r,
-            mean_response: self.automaton.average[i],
-            slow_start_credit: s.budget,
-            ejected_for: (s.ejected_until - now).max(0.0),
-        };
-        LearnedState {
-            servers: self.servers.iter().enumerate().map(of).collect(),
-            class_work: self.class_work.clone(),
-            typical_work: self.typical,
-            unloaded_response: self.base,
-            sustainable_work_rate: self.bearable,
-            admitted_share: self.admit.min(1.0),
-            zone_spill_weight: self.spill,
-        }
-    }
-
-    /// Begins with what another has learned, after the first list. Figures that can be none are left.
-    pub fn adopt(&mut self, now: Time, learned: &LearnedState) {
-        let fine = |x: f64| x.is_finite() && x > 0.0;
-        let r = self.servers.len() as f64;
-        // Zeros of either sign are equal.
-        let start = |hash: u64, ready_at: Time| (hash, (ready_at + 0.0).to_bits());
-        let starts = self.servers.iter().enumerate().rev();
-        let places: HashMap<_, _> = starts
-            .map(|(i, s)| (start(s.entry.hash, s.entry.started_at), i))
-            .collect();
-        for l in learned.servers.iter().filter(|l| {
-            fine(l.relative_probability) && fine(l.mean_response) && l.slow_start_credit.is_finite()
-        }) {
-            let LearnedServer {
-                hash,
-                started_at: ready_at,
-                relative_probability: share,
-                mean_response: average,
-                slow_start_credit: budget,
-                ejected_for: out_for,
-            } = *l;
-            match places.get(&start(hash, ready_at)).copied() {
-                Some(i) => {
-                    (self.automaton.p[i], self.automaton.average[i]) = (share / r, average);
-                    let s = &mut self.servers[i];
-                    s.budget = s.budget.min(budget);
-                    s.ejected_until = now + out_for.clamp(0.0, LEFT_FOR);
-                }
-                None if self.left.len() < LEFT_MOST => {
-                    self.left.push_back(Left {
-                        hash,
-                        ready_at,
-                        at: now,
-                        share,
-                        average,
-                        budget,
-                    });
-                }
-                None => {}
-            }
-        }
-        self.automaton.settle();
-        if learned.class_work.len() == self.class_work.len()
-            && learned.class_work.iter().all(|w| fine(*w))
-        {
-            self.class_work.clone_from(&learned.class_work);
-        }
-        let figures = [
-            (&mut self.typical, learned.typical_work),
-            (&mut self.base, learned.unloaded_response),
-            (&mut self.bearable, learned.sustainable_work_rate),
-        ];
-        figures
-            .into_iter()
-            .filter(|(_, new)| fine(*new))
-            .for_each(|(old, new)| *old = new);
-        self.admit = if fine(learned.admitted_share) {
-            learned.admitted_share.clamp(ADMIT_MIN, 1.0)
-        } else {
-            1.0
-        };
-        self.spill = if fine(learned.zone_spill_weight) {
-            learned.zone_spill_weight.clamp(SPILL_MIN, 1.0)
-        } else {
-            SPILL_MIN
-        };
-    }
-
-    /// Takes one event and appends what the node has to do about it.
+    /// Handles one event and appends the actions that the node has to take.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         if !now.is_finite() {
             return;
         }
-        if !self.started {
+        if !self.is_started {
             self.start(actions);
         }
         match event {
-            Event::EndpointUpdate {
-                kind: list,
-                endpoints: entries,
-            } => self.members(now, list, entries, actions),
+            Event::EndpointUpdate { kind, endpoints } => {
+                self.update_endpoints(now, kind, endpoints, actions);
+            }
             Event::Request {
                 request,
                 class,
                 tenant,
-                work_hint: hint,
+                work_hint,
                 key,
-                remaining: left,
-            } => self.arrive(now, request, class, tenant, hint, key, left, actions),
+                remaining,
+            } => {
+                let arrival = requests::Arrival {
+                    class,
+                    tenant,
+                    work_hint,
+                    key,
+                    remaining,
+                };
+                self.handle_request(now, request, arrival, actions);
+            }
             Event::AttemptEnded {
                 request,
                 attempt,
                 server,
                 outcome,
-                request_ended: ended,
+                request_ended,
                 ..
-            } => self.outcome(now, request, attempt, server, outcome, ended, actions),
-            Event::Upload {
-                request,
-                remaining: left,
-            } => self.upload(now, request, left),
+            } => {
+                let end = requests::AttemptEnd {
+                    attempt,
+                    server,
+                    outcome,
+                    request_ended,
+                };
+                self.handle_attempt_end(now, request, end, actions);
+            }
+            Event::Upload { request, remaining } => self.handle_upload(now, request, remaining),
             Event::PeerVerdict {
                 server,
                 until,
-                is_prober: tries,
-            } => self.told(server, until, tries),
+                is_prober,
+            } => {
+                self.servers.set_peer_verdict(server, until, is_prober);
+            }
             Event::ResponseStarted { request, .. } | Event::ClientGone { request } => {
-                if let Some(r) = self.requests.get_mut(&request) {
-                    r.answered = true;
-                    if r.out.is_none() {
-                        self.requests.remove(&request);
-                    }
-                }
+                self.end_request(request);
+            }
+            Event::Timer { tag: SWEEP_TIMER } => self.sweep(now, actions),
+            Event::Timer { tag: WATCH_TIMER } if !self.watch.is_active() => {
+                actions.push(Action::Watch);
             }
-            Event::Timer { tag: SWEEP } => self.sweep(now, actions),
-            Event::Timer { tag: WATCH } if !self.subscribed => actions.push(Action::Watch),
             Event::Timer { .. } | Event::HealthChecked { .. } => {}
         }
     }
 
     fn start(&mut self, actions: &mut Vec<Action>) {
-        self.started = true;
-        let after = self.sweep_period() * (0.5 + self.random());
-        actions.push(Action::StartTimer { after, tag: SWEEP });
+        self.is_started = true;
+        let after = self.sweep_interval() * (0.5 + self.random.fraction());
+        actions.push(Action::StartTimer {
+            after,
+            tag: SWEEP_TIMER,
+        });
         if self.settings.discovery == Discovery::Poll {
-            // All nodes start together; a fifth of the time in which they must ask spreads their calls.
-            let after = self.random() * self.settings.rules.max_poll_interval / 5.0;
-            actions.push(Action::StartTimer { after, tag: WATCH });
+            let max_interval = self.settings.rules.max_poll_interval;
+            let after = self.random.fraction() * max_interval / FIRST_POLL_DIVISOR;
+            actions.push(Action::StartTimer {
+                after,
+                tag: WATCH_TIMER,
+            });
         }
     }
 
+    fn sweep_interval(&self) -> Time {
+        let interval = self.strictest.latency_objective / SWEEPS_PER_OBJECTIVE;
+        interval.max(self.settings.clock_resolution)
+    }
+
+    /// The periodic sweep over admission, outliers and warming servers.
     fn sweep(&mut self, now: Time, actions: &mut Vec<Action>) {
         actions.push(Action::StartTimer {
-            after: self.sweep_period(),
-            tag: SWEEP,
+            after: self.sweep_interval(),
+            tag: SWEEP_TIMER,
         });
-        let dt = (now - self.last_sweep).max(0.0);
+        let elapsed = (now - self.last_sweep).max(0.0);
         self.last_sweep = now;
-        self.regain(dt);
-        self.foresee(now);
-        self.common =
-            self.servers.iter().filter(|s| s.failing && !s.dead).count() as f64 > self.ejectable();
-        self.charge_overdue(now);
-        self.refill_cold(now, dt);
-        if now - self.last_slow >= 2.0 * self.shortest(|c| c.deadline).min(0.5) {
-            self.slow_sweep(now);
+        self.admission.recover(elapsed, self.strictest.deadline);
+        self.admission
+            .set_capacity(self.servers.capacity(&self.settings.rules, now));
+        self.fault_scope.update(&self.servers);
+        self.penalize_overdue_attempts(now);
+        self.refill_slow_start_credit(now, elapsed);
+        let counter_interval = (2.0 * self.strictest.deadline).min(MAX_COUNTER_INTERVAL);
+        if now - self.last_counter_update >= counter_interval {
+            self.update_counters(now);
         }
     }
 
-    fn sweep_period(&self) -> Time {
-        (self.shortest(|c| c.latency_objective) / 3.0).max(self.settings.clock_resolution)
+    /// Updates rates and counters, which may be less recent than what [`Self::sweep`] updates.
+    fn update_counters(&mut self, now: Time) {
+        let elapsed = now - self.last_counter_update;
+        self.last_counter_update = now;
+        let retained = (-elapsed / COUNTER_DECAY_TIME).exp();
+        self.admission.decay(retained);
+        self.key_counts.decay(retained);
+        self.arrivals.update(elapsed);
+        let warm = self.servers.warm_count(&self.settings.rules, now);
+        let traffic_share = self.traffic_share();
+        self.sustained_work
+            .update(elapsed, retained, traffic_share, warm);
+        self.zone_spill
+            .update(elapsed, self.settings.costs.cross_zone);
+        let mean = self.mean_response(now);
+        self.unloaded_response = if mean < self.unloaded_response {
+            mean
+        } else {
+            self.unloaded_response * (1.0 + UNLOADED_RESPONSE_GROWTH * elapsed)
+        };
     }
 
-    /// What needs no haste: rates, tallies, the zone's spill, kin.
-    fn slow_sweep(&mut self, now: Time) {
-        let dt = now - self.last_slow;
-        self.last_slow = now;
-        let keep = (-dt / 5.0).exp();
-        for t in &mut self.tally {
-            t.asked *= keep;
-            t.served *= keep;
-        }
-        self.keys.iter_mut().for_each(|k| *k *= keep);
-        let rate = self.came / dt;
-        self.came = 0.0;
-        self.arrivals = if self.arrivals > 0.0 {
-            self.arrivals + 0.2 * (rate - self.arrivals)
+    /// The share of all nodes' traffic that this node has: at least that of one among equals, and more where it gets more
+    /// of what the tenants may send, as other nodes may be down.
+    fn traffic_share(&self) -> f64 {
+        let equal_share = 1.0 / f64::from(self.settings.node_count);
+        let total_rate = self.quotas.total_rate();
+        if total_rate > 0.0 {
+            (self.arrivals.per_second() / total_rate).clamp(equal_share, 1.0)
         } else {
-            rate
-        };
-        self.delivered_rate += (1.0 - keep) * (self.delivered / dt - self.delivered_rate);
-        self.delivered = 0.0;
-        let warm = self
-            .servers
+            equal_share
+        }
+    }
+
+    /// The mean of the running averages of response times. The average of an ejected server does not change, so it would
+    /// distort every comparison, and does not count.
+    fn mean_response(&self, now: Time) -> Time {
+        self.weighted_mean_response(now, |_| 1.0)
+    }
+
+    /// The same as seen by the sampling: servers count by their probabilities.
+    fn sampled_mean_response(&self, now: Time) -> Time {
+        self.weighted_mean_response(now, |probability| probability)
+    }
+
+    fn weighted_mean_response(&self, now: Time, weight: impl Fn(f64) -> f64) -> Time {
+        let mut sum = 0.0;
+        let mut total_weight = 0.0;
+        let entries = self
+            .automaton
+            .mean_response
             .iter()
-            .filter(|s| self.warmth(s, now) >= 1.0)
-            .count()
-            .max(1);
-        // Guards against one busy second, and against the traffic of nodes that died, being taken for what
-        // servers bear for ever. Harm: after a quiet hour, a cold server is sent less than it could do.
-        let borne = self.delivered_rate / self.traffic_part() / warm as f64;
-        self.bearable = borne
-            .max(self.bearable * (1.0 - BASE_CREEP * dt))
-            .max(COLD_PRIOR);
-        let gain = self.missed[0] - self.missed[1] - self.settings.costs.cross_zone;
-        self.spill = (self.spill * (SPILL_PACE * gain * dt).exp()).clamp(SPILL_MIN, 1.0);
-        let mean = self.mean(now);
-        self.base = if mean < self.base {
-            mean
+            .zip(&self.automaton.probability);
+        for (server, (mean_response, probability)) in self.servers.iter().zip(entries) {
+            if !server.health.is_ejected(now) {
+                sum += weight(*probability) * mean_response;
+                total_weight += weight(*probability);
+            }
+        }
+        if total_weight > 0.0 {
+            sum / total_weight
         } else {
-            self.base * (1.0 + BASE_CREEP * dt)
-        };
+            self.work.typical()
+        }
     }
 }
--- /dev/null
+++ b/crates/balancer/src/decide/selection.rs
@@ -0,0 +1,220 @@
+//! Sampling a server for an attempt. The automaton's probabilities are multiplied by weights for load, health, speed and
+//! zone, and by 0 for servers that must not be used; the server is sampled from the result.
+
+use super::requests::Request;
+use super::servers::{relative_size, Server};
+use super::slow_start::probability_factor;
+use super::Balancer;
+use crate::interface::{Idempotency, KeyScope, RequestId, Settings, Time};
+use crate::random::{rendezvous, sample};
+
+/// The weight of a server falls with this power of the attempts that this node has in flight there. The probability vector
+/// learns of a queue only when the responses that waited in it arrive.
+const LOAD_EXPONENT: i32 = 8;
+/// The weight of a server rises with this power of its speed.
+const SPEED_EXPONENT: i32 = 2;
+/// The speed of a server against the mean counts up to this factor, either way.
+const MAX_SPEED_FACTOR: f64 = 3.0;
+/// The running average of a server that was sent nothing for this time, in seconds, does not lower its weight.
+const AVERAGE_VALIDITY: Time = 2.0;
+/// The weight of a server that returns from ejection, until it has responded well.
+const RETURNING_WEIGHT: f64 = 0.3;
+/// The weight of a server that has not proven itself, for requests that can't be retried, where others can.
+const UNPROVEN_WEIGHT: f64 = 0.2;
+
+/// Which weights apply.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Eligibility {
+    /// All of them.
+    Preferred,
+    /// Only those that must not be ignored: subset, slow start, and where a repeat is discarded.
+    Permitted,
+}
+
+/// What the weights of all servers depend on.
+struct Selection<'a> {
+    settings: &'a Settings,
+    request: &'a Request,
+    now: Time,
+    /// Typical work of a request, in seconds on a standard core.
+    typical_work: f64,
+    mean_weight: f64,
+    mean_response: Time,
+    /// Weight of servers in other zones.
+    spill_weight: f64,
+    /// The faults that are seen are not the servers' own.
+    is_fault_common: bool,
+    /// The request can't be retried, and requests of another class can.
+    needs_proven_server: bool,
+}
+
+impl Selection<'_> {
+    /// The probability of a server after weighting; the results do not sum to 1.
+    fn weight(
+        &self,
+        server: &Server,
+        probability: f64,
+        mean_response: Time,
+        eligibility: Eligibility,
+    ) -> f64 {
+        let mut weight = if self.may_repeat_at(server) {
+            let (work, typical) = (self.request.work, self.typical_work);
+            let rules = &self.settings.rules;
+            probability * probability_factor(server, rules, self.now, work, typical)
+        } else {
+            0.0
+        };
+        if eligibility == Eligibility::Preferred {
+            let load = load_weight(server, self.settings.has_server_weights, self.mean_weight);
+            weight *= self.health_weight(server) * load * self.speed_weight(server, mean_response);
+            weight *= self.zone_weight(server);
+        }
+        weight
+    }
+
+    /// A request with an idempotency key that may have run is sent only where its repeat is discarded.
+    fn may_repeat_at(&self, server: &Server) -> bool {
+        let class = &self.settings.classes[usize::from(self.request.class)];
+        let (Idempotency::Keyed { scope, .. }, Some(first)) =
+            (class.idempotency, self.request.execution)
+        else {
+            return true;
+        };
+        match scope {
+            KeyScope::All => true,
+            KeyScope::Zone => server.endpoint.zone == first.zone,
+            KeyScope::Cell => server.endpoint.cell == first.cell,
+        }
+    }
+
+    fn health_weight(&self, server: &Server) -> f64 {
+        let health = &server.health;
+        if health.is_ejected(self.now)
+            || server.load.overdue > 0
+            || health.is_blocked_by_peers(self.now)
+            || self.request.tried_servers.contains(&server.endpoint.server)
+        {
+            return 0.0;
+        }
+        let is_excused = self.is_fault_common && !health.is_unreachable;
+        let has_failed = health.is_failing && !is_excused;
+        if health.has_peer_verdict(self.now) || has_failed {
+            // A trial: one attempt at a time, and none that can't be retried.
+            let is_allowed = !self.needs_proven_server && server.load.in_flight == 0;
+            return if is_allowed { RETURNING_WEIGHT } else { 0.0 };
+        }
+        if self.needs_proven_server && !health.is_proven {
+            UNPROVEN_WEIGHT
+        } else {
+            1.0
+        }
+    }
+
+    fn speed_weight(&self, server: &Server, mean_response: Time) -> f64 {
+        let is_average_valid = self.now - server.load.last_sent_at < AVERAGE_VALIDITY;
+        let min = if is_average_valid { 0.0 } else { 1.0 };
+        speed_weight(self.mean_response / mean_response).max(min)
+    }
+
+    fn zone_weight(&self, server: &Server) -> f64 {
+        let is_remote = self
+            .settings
+            .zone
+            .is_some_and(|zone| zone != server.endpoint.zone);
+        if is_remote {
+            self.spill_weight
+        } else {
+            1.0
+        }
+    }
+}
+
+impl Balancer {
+    /// Samples a server for an attempt of a request; returns its position. Where no server is preferred, one that is
+    /// permitted is used.
+    pub(super) fn select_server(&mut self, now: Time, id: RequestId) -> Option<usize> {
+        let random = self.random.fraction();
+        let mean_response = self.sampled_mean_response(now);
+        let request = self.requests.get(&id)?;
+        let selection = Selection {
+            settings: &self.settings,
+            request,
+            now,
+            typical_work: self.work.typical(),
+            mean_weight: self.servers.mean_weight(),
+            mean_response,
+            spill_weight: self.zone_spill.weight(),
+            is_fault_common: self.fault_scope.is_common(),
+            needs_proven_server: needs_proven_server(&self.settings, request),
+        };
+        for eligibility in [Eligibility::Preferred, Eligibility::Permitted] {
+            self.selection_weights.clear();
+            let mut total = 0.0;
+            let entries = self
+                .automaton
+                .probability
+                .iter()
+                .zip(&self.automaton.mean_response);
+            for (server, (probability, mean_response)) in self.servers.iter().zip(entries) {
+                let weight = selection.weight(server, *probability, *mean_response, eligibility);
+                total += weight;
+                self.selection_weights.push(weight);
+            }
+            if total > 0.0 {
+                let key = self.affinity_key(request);
+                return self.sample(key, random * total);
+            }
+        }
+        None
+    }
+
+    /// The key by which a request is sent to the same server each time, if it has one that is not too popular.
+    fn affinity_key(&self, request: &Request) -> Option<u64> {
+        let key = request.key.filter(|_| self.settings.has_key_affinity)?;
+        let eligible = self
+            .selection_weights
+            .iter()
+            .filter(|weight| **weight > 0.0)
+            .count();
+        (!self.key_counts.is_hot(key, eligible)).then_some(key)
+    }
+
+    fn sample(&self, key: Option<u64>, point: f64) -> Option<usize> {
+        let weights = &self.selection_weights;
+        match key {
+            Some(key) => {
+                let hashes = self.servers.iter().map(|server| server.endpoint.hash);
+                rendezvous(key, hashes.zip(weights.iter().copied()))
+            }
+            None => sample(weights, point),
+        }
+    }
+}
+
+/// Whether a request should go to a server that has proven itself: it can't be retried, and requests of other classes can.
+fn needs_proven_server(settings: &Settings, request: &Request) -> bool {
+    let is_idempotent = |idempotency| idempotency == Idempotency::Idempotent;
+    let class = &settings.classes[usize::from(request.class)];
+    !is_idempotent(class.idempotency)
+        && settings
+            .classes
+            .iter()
+            .any(|other| is_idempotent(other.idempotency))
+}
+
+/// The weight of a server by the attempts that this node has in flight there, against its size.
+fn load_weight(server: &Server, has_server_weights: bool, mean_weight: f64) -> f64 {
+    let size = relative_size(has_server_weights, server.endpoint.weight / mean_weight);
+    (1.0 + f64::from(server.load.in_flight) / size).powi(-LOAD_EXPONENT)
+}
+
+/// The weight of a server by its speed: the mean response time over its own.
+fn speed_weight(speed: f64) -> f64 {
+    if speed.is_finite() {
+        speed
+            .clamp(1.0 / MAX_SPEED_FACTOR, MAX_SPEED_FACTOR)
+            .powi(SPEED_EXPONENT)
+    } else {
+        1.0
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/decide/servers.rs
@@ -0,0 +1,161 @@
+//! The listed servers, and what this node knows of each.
+
+use super::outlier::ServerHealth;
+use super::slow_start::{capacity_share, WorkCredit};
+use crate::index::Index;
+use crate::interface::{Endpoint, Rules, ServerId, Time};
+use std::ops::{Deref, DerefMut};
+
+/// The least and the greatest size of a server against the mean that its listed weight can give it.
+const RELATIVE_SIZE_RANGE: (f64, f64) = (0.25, 4.0);
+
+/// The attempts that this node has in flight at one server.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct ServerLoad {
+    /// Attempts in flight.
+    pub(super) in_flight: u32,
+    /// Those of them that are overdue.
+    pub(super) overdue: u32,
+    /// When the last attempt was sent; 0 for none.
+    pub(super) last_sent_at: Time,
+    /// The latest sending time of an attempt that was answered. An earlier attempt that is still in flight is held up on
+    /// its own connection, which tells nothing about the server.
+    pub(super) last_answered_sent_at: Time,
+}
+
+/// What this node knows of one listed server.
+pub(super) struct Server {
+    pub(super) endpoint: Endpoint,
+    /// Distinguishes the server's present entry in the list from earlier ones, whose attempts do not count.
+    pub(super) list_entry: u32,
+    /// Whether it is in the subset that this node prefers.
+    pub(super) is_in_subset: bool,
+    pub(super) health: ServerHealth,
+    pub(super) load: ServerLoad,
+    /// Work that it may be sent during its slow start.
+    pub(super) credit: WorkCredit,
+}
+
+impl Server {
+    /// A server that has just been listed.
+    pub(super) fn new(endpoint: Endpoint, now: Time, is_in_subset: bool, credit: f64) -> Self {
+        Server {
+            endpoint,
+            list_entry: 0,
+            is_in_subset,
+            health: ServerHealth::new(now),
+            load: ServerLoad {
+                last_answered_sent_at: now,
+                ..ServerLoad::default()
+            },
+            credit: WorkCredit::new(credit),
+        }
+    }
+
+    /// The least share of its capacity that it has at present.
+    pub(super) fn capacity_share(&self, rules: &Rules, now: Time) -> f64 {
+        capacity_share(rules, self.endpoint.started_at, now)
+    }
+}
+
+/// The listed servers. Their positions are those of the automaton's vectors.
+#[derive(Default)]
+pub(super) struct ServerTable {
+    servers: Vec<Server>,
+    positions: Index,
+    /// Number of list entries so far.
+    list_entries: u32,
+}
+
+impl ServerTable {
+    /// The position of a server, if it is listed.
+    pub(super) fn position(&self, server: ServerId) -> Option<usize> {
+        self.positions.get(server)
+    }
+
+    /// The position of a server, if it is listed and has not been removed and listed again meanwhile.
+    pub(super) fn position_of_entry(&self, server: ServerId, list_entry: u32) -> Option<usize> {
+        let position = self.positions.get(server)?;
+        (self.servers[position].list_entry == list_entry).then_some(position)
+    }
+
+    /// Adds a server at the end.
+    pub(super) fn push(&mut self, server: Server) {
+        self.positions
+            .set(server.endpoint.server, Some(self.servers.len()));
+        self.list_entries = self.list_entries.wrapping_add(1);
+        self.servers.push(Server {
+            list_entry: self.list_entries,
+            ..server
+        });
+    }
+
+    /// Removes a server; the last one takes its position.
+    pub(super) fn swap_remove(&mut self, position: usize) -> Server {
+        let removed = self.servers.swap_remove(position);
+        self.positions.set(removed.endpoint.server, None);
+        if let Some(moved) = self.servers.get(position) {
+            self.positions.set(moved.endpoint.server, Some(position));
+        }
+        removed
+    }
+
+    /// Records what the nodes of a cluster have agreed on.
+    pub(super) fn set_peer_verdict(&mut self, server: ServerId, until: Time, is_prober: bool) {
+        if let Some(position) = self.positions.get(server) {
+            self.servers[position]
+                .health
+                .set_peer_verdict(until, is_prober);
+        }
+    }
+
+    /// The mean listed weight.
+    pub(super) fn mean_weight(&self) -> f64 {
+        let total: f64 = self
+            .servers
+            .iter()
+            .map(|server| server.endpoint.weight)
+            .sum();
+        total / self.servers.len() as f64
+    }
+
+    /// The capacity of all servers, in servers; one in its slow start counts in part.
+    pub(super) fn capacity(&self, rules: &Rules, now: Time) -> f64 {
+        self.servers
+            .iter()
+            .map(|server| server.capacity_share(rules, now))
+            .sum()
+    }
+
+    /// Number of servers with their full capacity.
+    pub(super) fn warm_count(&self, rules: &Rules, now: Time) -> usize {
+        self.servers
+            .iter()
+            .filter(|server| server.capacity_share(rules, now) >= 1.0)
+            .count()
+    }
+}
+
+impl Deref for ServerTable {
+    type Target = [Server];
+
+    fn deref(&self) -> &[Server] {
+        &self.servers
+    }
+}
+
+impl DerefMut for ServerTable {
+    fn deref_mut(&mut self) -> &mut [Server] {
+        &mut self.servers
+    }
+}
+
+/// The size of a server against the mean by its listed weight; 1 where weights tell nothing.
+pub(super) fn relative_size(has_server_weights: bool, relative_weight: f64) -> f64 {
+    if has_server_weights && relative_weight.is_finite() {
+        let (min, max) = RELATIVE_SIZE_RANGE;
+        relative_weight.clamp(min, max)
+    } else {
+        1.0
+    }
+}
--- a/crates/balancer/src/interface/event.rs
+++ b/crates/balancer/src/interface/event.rs
@@ -23,6 +23,16 @@
     NotSent,
 }
 
+impl Outcome {
+    /// Whether the request is known not to have run.
+    pub fn never_ran(self) -> bool {
+        matches!(
+            self,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
+        )
+    }
+}
+
 /// A server's report of its own load; `None` for what it does not state.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -4,13 +4,13 @@
 //! as values. [`Balancer`] decides; [`engine::Engine`] holds the requests in hand and lets no action break one
 //! of the four rules; [`settings`] reads what the platform tells a node.
 
-mod chance;
 mod decide;
 pub mod engine;
 mod floored;
 mod index;
 pub mod interface;
 mod list_sums;
+mod random;
 pub mod settings;
 mod sums;
 
--- a/crates/balancer/src/list_sums.rs
+++ b/crates/balancer/src/list_sums.rs
@@ -1,119 +1,138 @@
-//! What joins and leaves need to know of the whole server list, kept while news of it is taken in.
-//!
-//! Each of these sums would cost a walk over the list for each line of the news. They are computed anew with each
-//! piece of news, so that rounding errors do not pile up over the life of a node.
+//! Sums over the endpoint list that its updates need. Each would cost a walk over the list for each endpoint of an update.
+//! They are computed anew for each update, so that rounding errors do not accumulate.
 
 use crate::floored::{Floored, Groups};
 use crate::interface::MachineTypeId;
 use crate::sums::Mean;
 
-/// What the sums hold of one listed server.
+/// What the sums contain of one listed server.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Line {
-    /// It is of this node's part of the list.
-    pub(crate) own: bool,
-    /// Its machine kind.
-    pub(crate) kind: MachineTypeId,
-    /// Listed weight.
+pub(crate) struct ListedServer {
+    /// Whether it is in the subset that this node prefers.
+    pub(crate) is_in_subset: bool,
+    /// Its machine type.
+    pub(crate) machine_type: MachineTypeId,
+    /// Its listed weight.
     pub(crate) weight: f64,
-    /// Average response.
-    pub(crate) average: f64,
-    /// It is not ejected.
-    pub(crate) awake: bool,
+    /// The running average of its response times.
+    pub(crate) mean_response: f64,
+    /// Whether it is ejected.
+    pub(crate) is_ejected: bool,
 }
 
-impl Line {
-    /// The servers of the same part, and those of the same part and kind.
+impl ListedServer {
     fn groups(&self) -> Groups {
-        [usize::from(self.own), kin(self.own, self.kind)]
+        [
+            subset_group(self.is_in_subset),
+            type_group(self.is_in_subset, self.machine_type),
+        ]
     }
 }
 
-/// The group of the servers of a kind in one part.
-fn kin(own: bool, kind: MachineTypeId) -> usize {
-    2 + 2 * usize::from(kind) + usize::from(own)
+/// The group of the servers in the subset, or of those outside it.
+fn subset_group(is_in_subset: bool) -> usize {
+    usize::from(is_in_subset)
+}
+
+/// The group of those of them that have one machine type.
+fn type_group(is_in_subset: bool, machine_type: MachineTypeId) -> usize {
+    2 + 2 * usize::from(machine_type) + usize::from(is_in_subset)
+}
+
+/// The means of one machine type.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct TypeMeans {
+    /// The mean probability.
+    pub(crate) probability: f64,
+    /// The mean running average of response times.
+    pub(crate) response: f64,
 }
 
 /// The sums. Positions are those of the list.
 #[derive(Debug)]
 pub(crate) struct ListSums {
-    /// The sampling vector.
-    pub(crate) p: Floored,
-    lines: Vec<Line>,
-    averages: Vec<Mean>,
-    awake: Mean,
+    /// The probability vector.
+    pub(crate) probability: Floored,
+    servers: Vec<ListedServer>,
+    response_by_type: Vec<Mean>,
+    /// Over the servers that are not ejected.
+    response: Mean,
     weight: Mean,
 }
 
 impl ListSums {
-    /// The sums over a list with its sampling vector, whose floors come to `floors`.
-    pub(crate) fn new(floors: f64, p: &[f64], lines: Vec<Line>) -> Self {
-        let p = Floored::new(
-            floors,
-            p.iter().copied().zip(lines.iter().map(Line::groups)),
-        );
-        let (awake, weight) = (Mean::default(), Mean::default());
+    /// The sums over a list with its probability vector, whose floors sum to `total_floor`.
+    pub(crate) fn new(total_floor: f64, probability: &[f64], servers: Vec<ListedServer>) -> Self {
+        let groups = servers.iter().map(ListedServer::groups);
+        let probability = Floored::new(total_floor, probability.iter().copied().zip(groups));
         let mut sums = ListSums {
-            p,
-            lines: Vec::with_capacity(lines.len()),
-            averages: Vec::new(),
-            awake,
-            weight,
+            probability,
+            servers: Vec::with_capacity(servers.len()),
+            response_by_type: Vec::new(),
+            response: Mean::default(),
+            weight: Mean::default(),
         };
-        for line in lines {
-            sums.add(&line);
-            sums.lines.push(line);
+        for server in servers {
+            sums.add(&server);
+            sums.servers.push(server);
         }
         sums
     }
 
-    /// Adds a server at the end with its entry of the vector.
-    pub(crate) fn join(&mut self, p: f64, line: Line) {
-        self.p.push(p, line.groups());
-        self.add(&line);
-        self.lines.push(line);
+    /// Adds a server at the end.
+    pub(crate) fn push(&mut self, probability: f64, server: ListedServer) {
+        self.probability.push(probability, server.groups());
+        self.add(&server);
+        self.servers.push(server);
     }
 
-    /// Removes a server with its entry of the vector; the last one takes its place.
-    pub(crate) fn leave(&mut self, position: usize) {
-        self.p.swap_remove(position);
-        let line = self.lines.swap_remove(position);
-        self.remove(&line);
+    /// Removes a server; the last one takes its position.
+    pub(crate) fn swap_remove(&mut self, position: usize) {
+        self.probability.swap_remove(position);
+        let server = self.servers.swap_remove(position);
+        self.subtract(&server);
     }
 
-    /// Takes over kind and weight as a server is listed now.
-    pub(crate) fn relist(&mut self, position: usize, kind: MachineTypeId, weight: f64) {
-        let old = self.lines[position];
-        if (old.kind, old.weight) == (kind, weight) {
+    /// Changes the machine type and the weight of a server.
+    pub(crate) fn update(&mut self, position: usize, machine_type: MachineTypeId, weight: f64) {
+        let old = self.servers[position];
+        if old.machine_type == machine_type && old.weight == weight {
             return;
         }
-        let new = Line {
-            kind,
+        let new = ListedServer {
+            machine_type,
             weight,
             ..old
         };
-        self.remove(&old);
+        self.subtract(&old);
         self.add(&new);
-        self.lines[position] = new;
-        self.p.regroup(position, new.groups());
+        self.servers[position] = new;
+        self.probability.regroup(position, new.groups());
     }
 
-    /// The mean entry of the vector over one part of the list.
-    pub(crate) fn mean_of_part(&self, own: bool) -> Option<f64> {
-        self.p.mean(usize::from(own))
+    /// The mean probability in the subset, or outside it.
+    pub(crate) fn mean_of_subset(&self, is_in_subset: bool) -> Option<f64> {
+        self.probability.mean(subset_group(is_in_subset))
     }
 
-    /// The mean entry of the vector and the mean average of response over a kind in one part of the list.
-    pub(crate) fn means_of_kin(&self, own: bool, kind: MachineTypeId) -> Option<(f64, f64)> {
-        let kin = kin(own, kind);
-        self.p
-            .mean(kin)
-            .zip(self.averages.get(kin).and_then(Mean::value))
+    /// The means of a machine type in the subset, or outside it.
+    pub(crate) fn means_of_type(
+        &self,
+        is_in_subset: bool,
+        machine_type: MachineTypeId,
+    ) -> Option<TypeMeans> {
+        let group = type_group(is_in_subset, machine_type);
+        let probability = self.probability.mean(group)?;
+        let response = self.response_by_type.get(group).and_then(Mean::value)?;
+        Some(TypeMeans {
+            probability,
+            response,
+        })
     }
 
-    /// The mean average of response over the servers that are not ejected.
-    pub(crate) fn mean_average(&self) -> Option<f64> {
-        self.awake.value()
+    /// The mean running average of the servers that are not ejected.
+    pub(crate) fn mean_response(&self) -> Option<f64> {
+        self.response.value()
     }
 
     /// The mean listed weight.
@@ -121,23 +140,24 @@
         self.weight.value()
     }
 
-    fn add(&mut self, line: &Line) {
-        let kin = kin(line.own, line.kind);
-        if self.averages.len() <= kin {
-            self.averages.resize(kin + 1, Mean::default());
+    fn add(&mut self, server: &ListedServer) {
+        let group = type_group(server.is_in_subset, server.machine_type);
+        if self.response_by_type.len() <= group {
+            self.response_by_type.resize(group + 1, Mean::default());
         }
-        self.averages[kin].add(line.average);
-        self.weight.add(line.weight);
-        if line.awake {
-            self.awake.add(line.average);
+        self.response_by_type[group].add(server.mean_response);
+        self.weight.add(server.weight);
+        if !server.is_ejected {
+            self.response.add(server.mean_response);
         }
     }
 
-    fn remove(&mut self, line: &Line) {
-        self.averages[kin(line.own, line.kind)].remove(line.average);
-        self.weight.remove(line.weight);
-        if line.awake {
-            self.awake.remove(line.average);
+    fn subtract(&mut self, server: &ListedServer) {
+        let group = type_group(server.is_in_subset, server.machine_type);
+        self.response_by_type[group].remove(server.mean_response);
+        self.weight.remove(server.weight);
+        if !server.is_ejected {
+            self.response.remove(server.mean_response);
         }
     }
 }
--- a/crates/balancer/tests/failures.rs
+++ b/crates/balancer/tests/failures.rs
@@ -329,7 +329,7 @@
         served += 1;
     }
     // Its average is that of its answers, not of the one that hangs.
-    let average = node.balancer.automaton().average[0];
+    let average = node.balancer.automaton().mean_response[0];
     assert!(served == 50 && average < 0.02, "{average}");
 }
 
@@ -353,9 +353,9 @@
         node.members(UpdateKind::Delta, vec![back.clone(), entry(1)]);
     }
     // The old attempt's answer tells nothing of the server that came back, nor frees a place there.
-    let average = node.balancer.automaton().average.clone();
+    let average = node.balancer.automaton().mean_response.clone();
     node.end(old, 0, 0, Outcome::Served, 0.0);
-    assert_eq!(node.balancer.automaton().average, average);
+    assert_eq!(node.balancer.automaton().mean_response, average);
 }
 
 #[test]
@@ -369,13 +369,13 @@
         let (id, server) = node.request(1, None, 0.6);
         let Some(server) = server else { continue };
         // Each answers slower the more it is drawn.
-        let p = &node.balancer.automaton().p;
+        let p = &node.balancer.automaton().probability;
         let latency = 0.01 + if server == 0 { 0.03 } else { 0.06 } * p[server as usize];
         // The module reads its clock, not the stated latency.
         node.now += latency;
         node.end(id, 0, server, Outcome::Served, latency);
     }
-    let p = &node.balancer.automaton().p;
+    let p = &node.balancer.automaton().probability;
     assert!(p[0] > 0.55, "{p:?}");
 }
 
--- a/crates/balancer/tests/flaps.rs
+++ b/crates/balancer/tests/flaps.rs
@@ -32,7 +32,7 @@
     }
     let known = |node: &Node| {
         let automaton = node.balancer.automaton();
-        automaton.average.iter().copied().fold(0.0, f64::max)
+        automaton.mean_response.iter().copied().fold(0.0, f64::max)
     };
     let learned = known(&node);
     assert!(learned > 0.04, "{learned}");
--- a/crates/balancer/tests/golden_decisions.rs
+++ b/crates/balancer/tests/golden_decisions.rs
@@ -347,7 +347,7 @@
             endpoints: entries,
         });
         self.balancer.adopt(self.now, &learned);
-        for share in &self.balancer.automaton().p {
+        for share in &self.balancer.automaton().probability {
             self.digest.update(&share.to_bits().to_le_bytes());
         }
         let json = serde_json::to_string(&learned).unwrap();
--- a/crates/balancer/tests/list_reference.rs
+++ b/crates/balancer/tests/list_reference.rs
@@ -401,7 +401,10 @@
     }
 
     fn compare(&self) {
-        let (learned, p) = (self.node.learned(self.now), &self.node.automaton().p);
+        let (learned, p) = (
+            self.node.learned(self.now),
+            &self.node.automaton().probability,
+        );
         assert_eq!(
             p.len(),
             self.reference.servers.len(),
--- a/crates/balancer/tests/parts.rs
+++ b/crates/balancer/tests/parts.rs
@@ -31,7 +31,7 @@
 
 /// The places in the list that a node draws from, but for the floor.
 fn part(node: &Balancer) -> Vec<usize> {
-    let (p, floor) = (&node.automaton().p, node.automaton().floor());
+    let (p, floor) = (&node.automaton().probability, node.automaton().floor());
     (0..p.len()).filter(|i| p[*i] > 1.5 * floor).collect()
 }
 
@@ -158,7 +158,11 @@
             },
             &mut vec![],
         );
-        let (p, floor, own) = (&node.automaton().p, node.automaton().floor(), part(&node));
+        let (p, floor, own) = (
+            &node.automaton().probability,
+            node.automaton().floor(),
+            part(&node),
+        );
         let mean =
             own.iter().filter(|i| **i < 60).map(|i| p[*i]).sum::<f64>() / own.len().max(1) as f64;
         assert!(
--- a/crates/balancer/tests/uploads.rs
+++ b/crates/balancer/tests/uploads.rs
@@ -68,7 +68,7 @@
 }
 
 fn average(engine: &Engine<Test>) -> Vec<f64> {
-    engine.module().automaton().average.clone()
+    engine.module().automaton().mean_response.clone()
 }
 
 #[test]
@@ -170,8 +170,13 @@
     new.adopt(20.0, &learned);
     let (a, b) = (old.module().automaton(), new.module().automaton());
     for i in 0..4 {
-        assert!((a.p[i] - b.p[i]).abs() < 0.02, "{:?} {:?}", a.p, b.p);
-        assert!((a.average[i] - b.average[i]).abs() < 1e-9);
+        assert!(
+            (a.probability[i] - b.probability[i]).abs() < 0.02,
+            "{:?} {:?}",
+            a.probability,
+            b.probability
+        );
+        assert!((a.mean_response[i] - b.mean_response[i]).abs() < 1e-9);
     }
     // Figures that can be none change nothing.
     let mut spoilt = learned;
@@ -189,7 +194,7 @@
     assert!(other
         .module()
         .automaton()
-        .p
+        .probability
         .iter()
         .all(|p| (p - 0.25).abs() < 1e-9));
 }
--- a/tests/all.sh
+++ b/tests/all.sh
@@ -15,6 +15,6 @@
 bash tests/run-test.sh
 bash tests/run.sh
 policy=(crates/balancer/src/decide/*.rs)
-named=$(grep -o 'crates/balancer/src/decide/[a-z]*\.rs' deploy/balancer.toml | sort)
+named=$(grep -o 'crates/balancer/src/decide/[a-z_]*\.rs' deploy/balancer.toml | sort)
 [ "$named" = "$(printf '%s\n' "${policy[@]}" | sort)" ] || { echo "deploy/balancer.toml must name each file of the policy" >&2; exit 1; }
 head -n 3 crates/balancer/src/decide/mod.rs | grep -q 'crates/balancer/src/interface.rs' || { echo "the policy must name its interface" >&2; exit 1; }
