--- a/crates/balancer/src/engine/servers.rs
+++ b/crates/balancer/src/engine/servers.rs
@@ -1,57 +1,63 @@
-//! The servers that the newest list names, by number and by address, and the numbers of those that went.
+//! The servers that the latest list names, by identifier and by address, and the identifiers of those that were removed.
 
 use crate::interface::{ServerId, ServerState, Time};
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::hash::Hash;
 
-/// A number of a server that is gone is not given to another while an attempt may name it; in seconds.
-pub const NUMBER_RESTS: Time = 30.0;
+/// The identifier of a removed server is not reused for this time, in seconds, as an attempt may still refer to it.
+pub const SERVER_ID_QUARANTINE: Time = 30.0;
 
-/// A server that is listed, whether or not it may be sent to.
-pub(super) struct Listed<A> {
+/// A server that is listed, whether or not it can be sent to.
+pub(super) struct ListedServer<A> {
     pub(super) address: A,
     pub(super) state: ServerState,
-    pub(super) ready_at: Time,
+    pub(super) started_at: Time,
 }
 
-/// The servers of one list. Every operation on one of them costs the same however long the list is.
+/// A server that was removed.
+struct RemovedServer {
+    server: ServerId,
+    removed_at: Time,
+}
+
+/// The servers of one list. The cost of an operation on one of them does not depend on the length of the list.
 pub(super) struct Servers<A> {
-    listed: HashMap<ServerId, Listed<A>>,
-    /// The servers at each address; more than one while all but one of them drain.
-    at: HashMap<A, BTreeSet<ServerId>>,
-    /// Servers that went, oldest first, until their numbers are free.
-    gone: VecDeque<(Time, ServerId)>,
-    /// How often each of them stands there: one may have come back and gone again.
-    resting: HashMap<ServerId, usize>,
+    listed: HashMap<ServerId, ListedServer<A>>,
+    /// The servers at each address; of several, all but one drain.
+    by_address: HashMap<A, BTreeSet<ServerId>>,
+    /// Servers whose identifiers are in quarantine, oldest first.
+    removed: VecDeque<RemovedServer>,
+    /// How often each of them is in `removed`: it may have been listed and removed again.
+    removals: HashMap<ServerId, usize>,
 }
 
 impl<A: Clone + Eq + Hash> Servers<A> {
-    /// No servers.
     pub(super) fn new() -> Self {
         Servers {
             listed: HashMap::new(),
-            at: HashMap::new(),
-            gone: VecDeque::new(),
-            resting: HashMap::new(),
+            by_address: HashMap::new(),
+            removed: VecDeque::new(),
+            removals: HashMap::new(),
         }
     }
 
     /// Whether the list names a server.
-    pub(super) fn lists(&self, server: ServerId) -> bool {
+    pub(super) fn is_listed(&self, server: ServerId) -> bool {
         self.listed.contains_key(&server)
     }
 
-    /// What is listed of a server.
-    pub(super) fn get(&self, server: ServerId) -> Option<&Listed<A>> {
+    pub(super) fn get(&self, server: ServerId) -> Option<&ListedServer<A>> {
         self.listed.get(&server)
     }
 
-    /// Some server may be sent to.
+    /// Whether any server can be sent to.
     pub(super) fn any_up(&self) -> bool {
-        self.listed.values().any(|s| s.state == ServerState::Up)
+        self.listed
+            .values()
+            .any(|listed| listed.state == ServerState::Up)
     }
 
-    /// The servers that are not among those named.
+    /// The listed servers that are not among those named.
     pub(super) fn missing(&self, named: &HashSet<ServerId>) -> Vec<ServerId> {
         self.listed
             .keys()
@@ -60,80 +66,79 @@
             .collect()
     }
 
-    /// The servers at an address but for one.
-    pub(super) fn others_at(&self, address: &A, but: ServerId) -> Vec<ServerId> {
-        self.at
-            .get(address)
-            .into_iter()
-            .flatten()
-            .copied()
-            .filter(|server| *server != but)
-            .collect()
+    /// The servers at an address other than this one.
+    pub(super) fn others_at(&self, address: &A, server: ServerId) -> Vec<ServerId> {
+        let all = self.by_address.get(address).into_iter().flatten().copied();
+        all.filter(|other| *other != server).collect()
     }
 
-    /// Lists a server as it is now.
-    pub(super) fn insert(&mut self, server: ServerId, new: Listed<A>) {
-        let moved = self
+    /// Lists a server, or changes it.
+    pub(super) fn insert(&mut self, server: ServerId, new: ListedServer<A>) {
+        let has_moved = self
             .listed
             .get(&server)
             .is_some_and(|old| old.address != new.address);
-        if moved {
-            self.leave_address(server);
+        if has_moved {
+            self.remove_address(server);
         }
-        self.at
+        self.by_address
             .entry(new.address.clone())
             .or_default()
             .insert(server);
         self.listed.insert(server, new);
     }
 
-    /// Takes a server off the list; its number rests from now on.
+    /// Removes a server; the quarantine of its identifier begins.
     pub(super) fn remove(&mut self, now: Time, server: ServerId) {
-        self.leave_address(server);
+        self.remove_address(server);
         if self.listed.remove(&server).is_some() {
-            self.gone.push_back((now, server));
-            *self.resting.entry(server).or_default() += 1;
+            self.removed.push_back(RemovedServer {
+                server,
+                removed_at: now,
+            });
+            *self.removals.entry(server).or_default() += 1;
         }
     }
 
-    /// The numbers that have rested for long enough and are not in use again.
-    pub(super) fn rested(&mut self, now: Time) -> Vec<ServerId> {
+    /// The identifiers whose quarantine is over, and that are not listed again.
+    pub(super) fn take_free_ids(&mut self, now: Time) -> Vec<ServerId> {
         let mut free = Vec::new();
-        while let Some((since, server)) = self.gone.front().copied() {
-            if now - since <= NUMBER_RESTS {
+        while let Some(oldest) = self.removed.front() {
+            if now - oldest.removed_at <= SERVER_ID_QUARANTINE {
                 break;
             }
-            self.gone.pop_front();
-            if self.rests_no_more(server) && !self.lists(server) {
+            let server = oldest.server;
+            self.removed.pop_front();
+            if self.is_last_removal(server) && !self.is_listed(server) {
                 free.push(server);
             }
         }
         free
     }
 
-    /// Counts one rest of a number less; whether that was the last.
-    fn rests_no_more(&mut self, server: ServerId) -> bool {
-        let Some(count) = self.resting.get_mut(&server) else {
+    /// Counts one removal of a server less; returns whether it was the last.
+    fn is_last_removal(&mut self, server: ServerId) -> bool {
+        let Some(count) = self.removals.get_mut(&server) else {
             return true;
         };
         *count -= 1;
-        let last = *count == 0;
-        if last {
-            self.resting.remove(&server);
+        let is_last = *count == 0;
+        if is_last {
+            self.removals.remove(&server);
         }
-        last
+        is_last
     }
 
-    fn leave_address(&mut self, server: ServerId) {
-        let Some(address) = self.listed.get(&server).map(|listed| &listed.address) else {
+    fn remove_address(&mut self, server: ServerId) {
+        let Some(listed) = self.listed.get(&server) else {
             return;
         };
-        let Some(there) = self.at.get_mut(address) else {
+        let Some(servers) = self.by_address.get_mut(&listed.address) else {
             return;
         };
-        there.remove(&server);
-        if there.is_empty() {
-            self.at.remove(address);
+        servers.remove(&server);
+        if servers.is_empty() {
+            self.by_address.remove(&listed.address);
         }
     }
 }
--- a/crates/balancer/tests/engine.rs
+++ b/crates/balancer/tests/engine.rs
@@ -6,7 +6,9 @@
 use common::{class, entry, settings};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_balancer::engine::{never_ran, Arrival, Command, Decide, Engine, Final, Host, Place};
+use reelfall_balancer::engine::{
+    AddressedEndpoint, Arrival, Command, DecisionModule, Engine, FinalAnswer, Host,
+};
 use reelfall_balancer::interface::*;
 use reelfall_balancer::Balancer;
 use std::collections::{BTreeMap, HashMap};
@@ -28,7 +30,7 @@
 /// is about: there a rule is broken most easily.
 struct Hostile(std::vec::IntoIter<(bool, Action)>);
 
-impl Decide for Hostile {
+impl DecisionModule for Hostile {
     fn handle(&mut self, _: Time, event: Event, actions: &mut Vec<Action>) {
         let about = match event {
             Event::Request { request, .. }
@@ -128,8 +130,8 @@
                     request,
                     attempt,
                     server,
-                    starts_by,
-                    expires,
+                    send_by: starts_by,
+                    deadline: expires,
                 } => {
                     let r = self
                         .requests
@@ -167,7 +169,7 @@
                     r.last = self.now;
                     r.sent += 1;
                 }
-                Command::Abort { request, attempt } => {
+                Command::CancelAttempt { request, attempt } => {
                     let r = self
                         .requests
                         .get_mut(&request)
@@ -193,20 +195,20 @@
                     assert!(!r.left, "an answer for a client that left");
                     r.answers += 1;
                     assert_eq!(r.answers, 1, "two final answers");
-                    if matches!(answer, Final::Refused { .. }) && r.class == 1 {
+                    if matches!(answer, FinalAnswer::Rejected { .. }) && r.class == 1 {
                         assert!(!r.maybe_ran && r.out.is_none(), "refused what may have run");
                     }
                 }
-                Command::Watch | Command::Timer { .. } | Command::Forget { .. } => {}
-                Command::Release { server } => assert!(!self.listed.contains_key(&server)),
+                Command::Watch | Command::StartTimer { .. } | Command::CloseConnections { .. } => {}
+                Command::ReleaseServerId { server } => assert!(!self.listed.contains_key(&server)),
             }
         }
     }
 }
 
-fn place(server: u32, state: ServerState) -> Place<u32> {
-    Place {
-        entry: Endpoint {
+fn place(server: u32, state: ServerState) -> AddressedEndpoint<u32> {
+    AddressedEndpoint {
+        endpoint: Endpoint {
             state,
             ..entry(server)
         },
@@ -255,7 +257,7 @@
             };
             let mut out = Out::new();
             let all = (0..4).map(|s| place(s, ServerState::Up)).collect();
-            engine.members(0.0, UpdateKind::Snapshot, all, &mut out);
+            engine.update_endpoints(0.0, UpdateKind::Snapshot, all, &mut out);
             world.listed = (0..4).map(|s| (s, ServerState::Up)).collect();
             world.check(out);
             for (after, step) in steps {
@@ -268,7 +270,7 @@
         .unwrap();
 }
 
-fn play<D: Decide>(engine: &mut Engine<Test, D>, world: &mut World, step: Step) {
+fn play<D: DecisionModule>(engine: &mut Engine<Test, D>, world: &mut World, step: Step) {
     let (now, mut out) = (world.now, Out::new());
     match step {
         Step::Submit { class, left } => {
@@ -285,10 +287,10 @@
             let arrival = Arrival {
                 class,
                 tenant: None,
-                hint: None,
+                work_hint: None,
                 key: None,
                 deadline,
-                flows: None,
+                time_after_upload: None,
             };
             assert_eq!(engine.submit(now, id, id, arrival, &mut out), id);
         }
@@ -312,7 +314,7 @@
             if let Some(r) = world.requests.get_mut(&id).filter(|r| r.answers == 0) {
                 r.left = true;
             }
-            engine.gone(now, id, &mut out);
+            engine.abandon(now, id, &mut out);
         }
         Step::List {
             server,
@@ -333,7 +335,7 @@
             } else {
                 UpdateKind::Delta
             };
-            engine.members(now, list, vec![place(server, state)], &mut out);
+            engine.update_endpoints(now, list, vec![place(server, state)], &mut out);
             let up = state == ServerState::Up;
             assert_eq!(
                 engine.address(server).is_some(),
@@ -341,12 +343,12 @@
                 "a server that drains or went has an address"
             );
         }
-        Step::Timer => engine.timer(now, 0, &mut out),
+        Step::Timer => engine.handle_timer(now, 0, &mut out),
     }
     world.check(out);
 }
 
-fn end<D: Decide>(
+fn end<D: DecisionModule>(
     engine: &mut Engine<Test, D>,
     world: &mut World,
     id: u32,
@@ -357,28 +359,28 @@
     let Some((attempt, _)) = r.out.take() else {
         return;
     };
-    r.maybe_ran |= !never_ran(outcome);
+    r.maybe_ran |= !outcome.never_ran();
     if r.maybe_ran {
         r.first.get_or_insert(r.last);
     }
     let answer = (outcome == Outcome::Served).then_some("done");
-    engine.ended(world.now, id, attempt, outcome, answer, out);
+    engine.end_attempt(world.now, id, attempt, outcome, answer, out);
     // A second word on the same attempt changes nothing.
     let said = out.len();
     if world.requests[&id].out.is_none() && !out.iter().any(|c| matches!(c, Command::Send { .. })) {
-        engine.ended(world.now, id, attempt, Outcome::Rejected, None, out);
+        engine.end_attempt(world.now, id, attempt, Outcome::Rejected, None, out);
         assert_eq!(out.len(), said, "an attempt ended twice");
     }
 }
 
 /// Ends what is out and lets every client leave: nothing may be kept.
-fn drain<D: Decide>(engine: &mut Engine<Test, D>, world: &mut World) {
+fn drain<D: DecisionModule>(engine: &mut Engine<Test, D>, world: &mut World) {
     for id in 0..world.requests.len() as u32 {
         let mut out = Out::new();
         if let Some(r) = world.requests.get_mut(&id).filter(|r| r.answers == 0) {
             r.left = true;
         }
-        engine.gone(world.now, id, &mut out);
+        engine.abandon(world.now, id, &mut out);
         world.check(out);
     }
     while let Some(id) = world
@@ -391,7 +393,7 @@
         end(engine, world, id, Outcome::Error, &mut out);
         world.check(out);
     }
-    assert_eq!(engine.open(), 0, "a request is kept after its end");
+    assert_eq!(engine.open_requests(), 0, "a request is kept after its end");
 }
 
 /// A day in virtual time: servers of which some fail fast, some stall, some die before or after the effect.
@@ -414,7 +416,7 @@
             .map(|n| (f64::from(n) * 0.01, Due::Arrive))
             .collect();
         let mut out = Out::new();
-        engine.members(
+        engine.update_endpoints(
             0.0,
             UpdateKind::Cached,
             (0..6).map(|s| place(s, ServerState::Up)).collect(),
@@ -427,7 +429,7 @@
                         request,
                         attempt,
                         server,
-                        expires,
+                        deadline: expires,
                         ..
                     } => {
                         let fate = random();
@@ -449,7 +451,7 @@
                         due.push((at, Due::End(request, attempt, outcome)));
                     }
                     Command::Answer { request, .. } => *answers.entry(request).or_default() += 1,
-                    Command::Timer { after, tag } => due.push((now + after, Due::Timer(tag))),
+                    Command::StartTimer { after, tag } => due.push((now + after, Due::Timer(tag))),
                     _ => {}
                 }
             }
@@ -467,10 +469,10 @@
                     let arrival = Arrival {
                         class,
                         tenant: None,
-                        hint: Some(0.02),
+                        work_hint: Some(0.02),
                         key: None,
                         deadline: now + 0.6,
-                        flows: None,
+                        time_after_upload: None,
                     };
                     let id = engine.submit(now, 0, 0, arrival, &mut out);
                     if class == 0 {
@@ -479,9 +481,9 @@
                 }
                 Due::End(request, attempt, outcome) => {
                     let answer = (outcome == Outcome::Served).then_some("done");
-                    engine.ended(now, request, attempt, outcome, answer, &mut out);
+                    engine.end_attempt(now, request, attempt, outcome, answer, &mut out);
                 }
-                Due::Timer(tag) => engine.timer(now, tag, &mut out),
+                Due::Timer(tag) => engine.handle_timer(now, tag, &mut out),
             }
         }
         assert_eq!(
@@ -497,7 +499,7 @@
             effects.values().all(|n| *n <= 1 || *n >= u32::MAX / 2),
             "seed {seed}: an effect twice"
         );
-        assert_eq!(engine.open(), 0, "seed {seed}: a request is kept");
+        assert_eq!(engine.open_requests(), 0, "seed {seed}: a request is kept");
     }
 }
 
@@ -512,7 +514,7 @@
     let module = Balancer::new(settings(classes()), 1, 0.0).expect("usable settings");
     let mut engine: Engine<Test> = Engine::new(module, &classes(), 4);
     let mut out = Out::new();
-    engine.members(
+    engine.update_endpoints(
         0.0,
         UpdateKind::Snapshot,
         vec![place(1, ServerState::Up), place(2, ServerState::Up)],
@@ -520,14 +522,14 @@
     );
     assert_eq!((engine.address(1), engine.address(2)), (Some(&1), Some(&2)));
     out.clear();
-    engine.members(
+    engine.update_endpoints(
         1.0,
         UpdateKind::Delta,
         vec![place(1, ServerState::Draining)],
         &mut out,
     );
     assert_eq!(engine.address(1), None);
-    engine.members(
+    engine.update_endpoints(
         1.0,
         UpdateKind::Snapshot,
         vec![place(1, ServerState::Draining)],
@@ -536,7 +538,7 @@
     assert_eq!(engine.address(2), None);
     let forgotten = |out: &Out, s: u32| {
         out.iter()
-            .any(|c| matches!(c, Command::Forget { server } if *server == s))
+            .any(|c| matches!(c, Command::CloseConnections { server } if *server == s))
     };
     assert!(
         forgotten(&out, 1) && forgotten(&out, 2),
@@ -544,14 +546,14 @@
     );
     let released = |out: &Out| {
         out.iter()
-            .any(|c| matches!(c, Command::Release { server: 2 }))
+            .any(|c| matches!(c, Command::ReleaseServerId { server: 2 }))
     };
-    engine.members(30.0, UpdateKind::Delta, vec![], &mut out);
+    engine.update_endpoints(30.0, UpdateKind::Delta, vec![], &mut out);
     assert!(
         !released(&out),
         "a number is given away while an attempt may name it"
     );
-    engine.members(31.5, UpdateKind::Delta, vec![], &mut out);
+    engine.update_endpoints(31.5, UpdateKind::Delta, vec![], &mut out);
     assert!(
         released(&out),
         "the number of a server that went is kept for ever"
--- a/crates/balancer/tests/list_costs.rs
+++ b/crates/balancer/tests/list_costs.rs
@@ -6,7 +6,9 @@
 mod common;
 
 use common::{class, entry, settings};
-use reelfall_balancer::engine::{Command, Decide, Engine, Host, Place, NUMBER_RESTS};
+use reelfall_balancer::engine::{
+    AddressedEndpoint, Command, DecisionModule, Engine, Host, SERVER_ID_QUARANTINE,
+};
 use reelfall_balancer::interface::*;
 use reelfall_balancer::Balancer;
 use rustix::time::{clock_gettime, ClockId};
@@ -165,7 +167,7 @@
 /// A module that decides nothing.
 struct Idle;
 
-impl Decide for Idle {
+impl DecisionModule for Idle {
     fn handle(&mut self, _: Time, _: Event, _: &mut Vec<Action>) {}
 }
 
@@ -178,16 +180,16 @@
     type Answer = ();
 }
 
-fn at(n: u32, address: u32) -> Place<u32> {
-    Place {
-        entry: server(n),
+fn at(n: u32, address: u32) -> AddressedEndpoint<u32> {
+    AddressedEndpoint {
+        endpoint: server(n),
         address,
     }
 }
 
 fn engine(servers: u32) -> Engine<Test, Idle> {
     let mut engine = Engine::new(Idle, &[], 1);
-    engine.members(
+    engine.update_endpoints(
         0.0,
         UpdateKind::Snapshot,
         (0..servers).map(|n| at(n, n)).collect(),
@@ -201,7 +203,7 @@
     assert_in_proportion(
         |_| engine(0),
         |servers, engine| {
-            engine.members(
+            engine.update_endpoints(
                 0.0,
                 UpdateKind::Snapshot,
                 (0..servers).map(|n| at(n, n)).collect(),
@@ -215,8 +217,8 @@
 fn new_servers_at_the_addresses_of_others() {
     assert_in_proportion(engine, |servers, engine| {
         let new = (0..servers).map(|n| at(servers + n, n)).collect();
-        engine.members(1.0, UpdateKind::Delta, new, &mut vec![]);
-        assert!(!engine.lists(0) && engine.lists(servers));
+        engine.update_endpoints(1.0, UpdateKind::Delta, new, &mut vec![]);
+        assert!(!engine.is_listed(0) && engine.is_listed(servers));
     });
 }
 
@@ -224,20 +226,20 @@
 fn numbers_that_are_free_again() {
     let prepare = |servers| {
         let mut engine = engine(servers);
-        engine.members(1.0, UpdateKind::Snapshot, vec![], &mut vec![]);
+        engine.update_endpoints(1.0, UpdateKind::Snapshot, vec![], &mut vec![]);
         engine
     };
     assert_in_proportion(prepare, |servers, engine| {
         let mut out = vec![];
-        engine.members(
-            1.0 + 2.0 * NUMBER_RESTS,
+        engine.update_endpoints(
+            1.0 + 2.0 * SERVER_ID_QUARANTINE,
             UpdateKind::Delta,
             vec![],
             &mut out,
         );
         let released = out
             .iter()
-            .filter(|c| matches!(c, Command::Release { .. }))
+            .filter(|c| matches!(c, Command::ReleaseServerId { .. }))
             .count();
         assert_eq!(released, servers as usize);
     });
@@ -249,9 +251,9 @@
     let act = |servers: u32, (engine, node): &mut (Engine<Test, Idle>, Balancer)| {
         for round in 1..4 {
             let (old, new) = ((round - 1) * servers, round * servers);
-            let now = 2.0 * NUMBER_RESTS * f64::from(round);
+            let now = 2.0 * SERVER_ID_QUARANTINE * f64::from(round);
             let places = (0..servers).map(|n| at(new + n, n)).collect();
-            engine.members(now, UpdateKind::Delta, places, &mut vec![]);
+            engine.update_endpoints(now, UpdateKind::Delta, places, &mut vec![]);
             let turns = (0..servers).flat_map(|n| [gone(old + n), server(new + n)]);
             tell(node, UpdateKind::Delta, turns.collect());
         }
@@ -262,11 +264,11 @@
 #[test]
 fn a_number_that_is_used_again_is_not_released() {
     let mut engine = engine(2);
-    let mut released = |now: Time, list: UpdateKind, places: Vec<Place<u32>>| {
+    let mut released = |now: Time, list: UpdateKind, places: Vec<AddressedEndpoint<u32>>| {
         let mut out = vec![];
-        engine.members(now, list, places, &mut out);
+        engine.update_endpoints(now, list, places, &mut out);
         let of = |c: &Command<Test>| match c {
-            Command::Release { server } => Some(*server),
+            Command::ReleaseServerId { server } => Some(*server),
             _ => None,
         };
         out.iter().filter_map(of).collect::<Vec<ServerId>>()
@@ -282,7 +284,7 @@
 #[test]
 fn of_servers_at_one_address_the_one_named_last_stays() {
     struct Told(std::rc::Rc<std::cell::RefCell<Vec<(ServerId, ServerState)>>>);
-    impl Decide for Told {
+    impl DecisionModule for Told {
         fn handle(&mut self, _: Time, event: Event, _: &mut Vec<Action>) {
             if let Event::EndpointUpdate {
                 endpoints: entries, ..
@@ -296,10 +298,10 @@
     let mut engine: Engine<Test, Told> = Engine::new(Told(std::rc::Rc::clone(&told)), &[], 1);
     let (up, gone) = (ServerState::Up, ServerState::Removed);
     let places = vec![at(1, 7), at(2, 7), at(1, 7), at(3, 8)];
-    engine.members(0.0, UpdateKind::Snapshot, places, &mut vec![]);
+    engine.update_endpoints(0.0, UpdateKind::Snapshot, places, &mut vec![]);
     assert_eq!(*told.borrow(), [(1, gone), (2, gone), (1, up), (3, up)]);
     // One that moves to another address leaves its old one to others.
-    engine.members(
+    engine.update_endpoints(
         1.0,
         UpdateKind::Delta,
         vec![at(3, 9), at(4, 8), at(5, 9)],
--- a/crates/balancer/tests/uploads.rs
+++ b/crates/balancer/tests/uploads.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{class, entry, settings};
-use reelfall_balancer::engine::{Arrival, Command, Engine, Final, Host, Place};
+use reelfall_balancer::engine::{AddressedEndpoint, Arrival, Command, Engine, FinalAnswer, Host};
 use reelfall_balancer::interface::*;
 use reelfall_balancer::Balancer;
 
@@ -24,12 +24,12 @@
     let module = Balancer::new(settings, 7, 0.0).expect("usable settings");
     let mut engine = Engine::new(module, &classes, 4);
     let places = (0..4)
-        .map(|s| Place {
-            entry: entry(s),
+        .map(|s| AddressedEndpoint {
+            endpoint: entry(s),
             address: s,
         })
         .collect();
-    engine.members(0.0, UpdateKind::Snapshot, places, &mut Vec::new());
+    engine.update_endpoints(0.0, UpdateKind::Snapshot, places, &mut Vec::new());
     engine
 }
 
@@ -38,10 +38,10 @@
     let arrival = Arrival {
         class: 0,
         tenant: None,
-        hint: None,
+        work_hint: None,
         key: None,
         deadline: 900.0,
-        flows: Some(0.6),
+        time_after_upload: Some(0.6),
     };
     engine.submit(0.0, (), 0, arrival, out);
     sent(out).expect("an attempt")
@@ -53,14 +53,14 @@
             request,
             attempt,
             server,
-            expires,
+            deadline: expires,
             ..
         } => Some((*request, *attempt, *server, *expires)),
         _ => None,
     })
 }
 
-fn answer(out: &Out) -> Option<Final<()>> {
+fn answer(out: &Out) -> Option<FinalAnswer<()>> {
     out.iter().find_map(|c| match c {
         Command::Answer { answer, .. } => Some(answer.clone()),
         _ => None,
@@ -79,28 +79,28 @@
     let before = average(&engine);
     // Sweeps charge whatever is overdue; this is not.
     for n in 1..=200 {
-        engine.timer(f64::from(n) * 0.1, 0, &mut out);
+        engine.handle_timer(f64::from(n) * 0.1, 0, &mut out);
     }
     assert_eq!(
         average(&engine),
         before,
         "a server is charged for its client's slowness"
     );
-    assert_eq!(engine.written(20.0, id, &mut out), Some(20.6));
+    assert_eq!(engine.finish_upload(20.0, id, &mut out), Some(20.6));
     assert_eq!(
-        engine.written(20.1, id, &mut out),
+        engine.finish_upload(20.1, id, &mut out),
         None,
         "the time runs twice"
     );
     out.clear();
-    engine.ended(20.02, id, attempt, Outcome::Served, Some(()), &mut out);
-    assert_eq!(answer(&out), Some(Final::Served(())));
+    engine.end_attempt(20.02, id, attempt, Outcome::Served, Some(()), &mut out);
+    assert_eq!(answer(&out), Some(FinalAnswer::Served(())));
     assert!(
         average(&engine).iter().all(|a| *a < 0.2),
         "{:?}",
         average(&engine)
     );
-    assert_eq!(engine.open(), 0);
+    assert_eq!(engine.open_requests(), 0);
 }
 
 #[test]
@@ -109,14 +109,14 @@
         let (mut engine, mut out) = (engine(), Vec::new());
         let (id, attempt, first, _) = upload(&mut engine, &mut out);
         if spent {
-            engine.spend(id);
+            engine.mark_body_consumed(id);
         }
         out.clear();
-        engine.ended(3.0, id, attempt, Outcome::ConnectFailed, None, &mut out);
+        engine.end_attempt(3.0, id, attempt, Outcome::ConnectFailed, None, &mut out);
         match sent(&out) {
             Some((again, _, other, _)) => assert!(!spent && again == id && other != first),
             // It never ran, and its client is told so.
-            None => assert!(spent && matches!(answer(&out), Some(Final::Refused { .. }))),
+            None => assert!(spent && matches!(answer(&out), Some(FinalAnswer::Rejected { .. }))),
         }
     }
 }
@@ -125,13 +125,13 @@
 fn an_upload_that_may_have_run_is_failed_and_never_refused() {
     let (mut engine, mut out) = (engine(), Vec::new());
     let (id, attempt, ..) = upload(&mut engine, &mut out);
-    engine.spend(id);
-    engine.written(5.0, id, &mut out);
+    engine.mark_body_consumed(id);
+    engine.finish_upload(5.0, id, &mut out);
     out.clear();
-    engine.ended(5.1, id, attempt, Outcome::ConnectionLost, None, &mut out);
+    engine.end_attempt(5.1, id, attempt, Outcome::ConnectionLost, None, &mut out);
     assert_eq!(
         answer(&out),
-        Some(Final::Failed(Some(Outcome::ConnectionLost)))
+        Some(FinalAnswer::Failed(Some(Outcome::ConnectionLost)))
     );
     assert!(sent(&out).is_none());
 }
@@ -145,10 +145,10 @@
         let arrival = Arrival {
             class: 0,
             tenant: None,
-            hint: None,
+            work_hint: None,
             key: None,
             deadline: now + 0.6,
-            flows: None,
+            time_after_upload: None,
         };
         out.clear();
         old.submit(now, (), 0, arrival, &mut out);
@@ -156,7 +156,7 @@
             continue;
         };
         let takes = if server == 2 { 0.12 } else { 0.02 };
-        old.ended(
+        old.end_attempt(
             now + takes,
             id,
             attempt,
--- a/crates/emulator/src/digest.rs
+++ b/crates/emulator/src/digest.rs
@@ -1,6 +1,6 @@
 //! A digest of all commands of a run, by which two runs are told apart to the last bit.
 
-use reelfall_balancer::engine::{Command, Final, Host};
+use reelfall_balancer::engine::{Command, FinalAnswer, Host};
 use reelfall_balancer::interface::{Outcome, Time};
 
 /// What stands for a value that is absent; no time is negative.
@@ -20,30 +20,32 @@
                 request,
                 attempt,
                 server,
-                starts_by,
-                expires,
+                send_by: starts_by,
+                deadline: expires,
             } => {
                 self.words(0, [(*request).into(), (*attempt).into(), (*server).into()]);
                 self.word(starts_by.to_bits());
                 self.word(expires.to_bits());
             }
-            Command::Abort { request, attempt } => {
+            Command::CancelAttempt { request, attempt } => {
                 self.words(1, [(*request).into(), (*attempt).into(), 0])
             }
             Command::Answer {
                 request, answer, ..
             } => {
                 let (kind, detail) = match answer {
-                    Final::Served(_) => (0, 0),
-                    Final::Refused { retry_after } => (1, retry_after.unwrap_or(ABSENT).to_bits()),
-                    Final::Failed(outcome) => (2, outcome.map_or(0, number)),
+                    FinalAnswer::Served(_) => (0, 0),
+                    FinalAnswer::Rejected { retry_after } => {
+                        (1, retry_after.unwrap_or(ABSENT).to_bits())
+                    }
+                    FinalAnswer::Failed(outcome) => (2, outcome.map_or(0, number)),
                 };
                 self.words(2, [(*request).into(), kind, detail]);
             }
             Command::Watch => self.words(3, [0; 3]),
-            Command::Timer { after, tag } => self.words(4, [after.to_bits(), *tag, 0]),
-            Command::Forget { server } => self.words(5, [(*server).into(), 0, 0]),
-            Command::Release { server } => self.words(6, [(*server).into(), 0, 0]),
+            Command::StartTimer { after, tag } => self.words(4, [after.to_bits(), *tag, 0]),
+            Command::CloseConnections { server } => self.words(5, [(*server).into(), 0, 0]),
+            Command::ReleaseServerId { server } => self.words(6, [(*server).into(), 0, 0]),
         }
     }
 
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -94,10 +94,10 @@
         let arrival = Arrival {
             class: t.class as ClassId,
             tenant: Some(0),
-            hint: Some(t.hint),
+            work_hint: Some(t.hint),
             key: None,
             deadline: t.deadline,
-            flows: None,
+            time_after_upload: None,
         };
         self.drive(n, |engine, now, out| {
             engine.submit(now, id, id, arrival, out);
@@ -126,7 +126,7 @@
     }
 
     /// A try has its final answer.
-    pub(super) fn answer(&mut self, id: TryId, answer: &Final<()>) {
+    pub(super) fn answer(&mut self, id: TryId, answer: &FinalAnswer<()>) {
         let now = self.queue.now();
         let class = &self.plan.classes[self.tries[id].class];
         let (aim, worth, effect) = (class.aim, class.worth, class.effect);
@@ -140,18 +140,18 @@
         let (work, first, ran) = (t.work, t.first, t.ran);
         let second = self.report.at(now - BEGINS);
         match answer {
-            Final::Served(()) if now - first <= aim => {
+            FinalAnswer::Served(()) if now - first <= aim => {
                 self.report.at(first - BEGINS).earned += worth * work
             }
-            Final::Served(()) => second.late += 1,
-            Final::Refused { retry_after } => {
+            FinalAnswer::Served(()) => second.late += 1,
+            FinalAnswer::Rejected { retry_after } => {
                 second.refused += 1;
                 if effect == Idempotency::AtMostOnce && ran > 0 {
                     self.report.rules.breach(now, Broken::RanTwice, id);
                 }
                 self.again(id, *retry_after);
             }
-            Final::Failed(_) => {
+            FinalAnswer::Failed(_) => {
                 second.failed += 1;
                 if effect == Idempotency::Idempotent {
                     self.again(id, None);
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -22,7 +22,7 @@
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
-use reelfall_balancer::engine::{Arrival, Command, Engine, Final, Host, Place};
+use reelfall_balancer::engine::{AddressedEndpoint, Arrival, Command, Engine, FinalAnswer, Host};
 use reelfall_balancer::interface::*;
 use reelfall_balancer::Balancer;
 use std::collections::{BTreeMap, BTreeSet};
@@ -337,7 +337,7 @@
             Event::Ends(id, outcome) => self.end(id, outcome),
             Event::Expires(id) => self.end(id, Outcome::TimedOut),
             Event::Timer(n, life, tag) if self.nodes[n].life == life => {
-                self.drive(n, |engine, now, out| engine.timer(now, tag, out));
+                self.drive(n, |engine, now, out| engine.handle_timer(now, tag, out));
             }
             Event::Timer(..) => {}
             Event::News(n, entry) => self.hear(n, entry),
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -28,14 +28,14 @@
                 request,
                 attempt,
                 server,
-                expires,
+                deadline: expires,
                 ..
             } => self.send(n, request, attempt, server, expires),
             Command::Answer { to, answer, .. } => self.answer(to, &answer),
-            Command::Timer { after, tag } => {
+            Command::StartTimer { after, tag } => {
                 self.queue.put(now + after, Event::Timer(n, life, tag))
             }
-            Command::Forget { server } => {
+            Command::CloseConnections { server } => {
                 let closed = self.nodes[n].idle.remove(&server).unwrap_or_default();
                 let server = &mut self.servers[server as usize];
                 let open = closed
@@ -45,7 +45,7 @@
                 server.connections = server.connections.saturating_sub(open as u32);
             }
             // Lists come by themselves, no module of this project calls attempts off, and numbers are never reused.
-            Command::Abort { .. } | Command::Watch | Command::Release { .. } => {}
+            Command::CancelAttempt { .. } | Command::Watch | Command::ReleaseServerId { .. } => {}
         }
     }
 
@@ -179,19 +179,21 @@
         second.shed += u32::from(outcome == Outcome::Rejected);
         let answer = (outcome == Outcome::Served).then_some(());
         self.drive(n, |engine, now, out| {
-            engine.ended(now, request, number, outcome, answer, out)
+            engine.end_attempt(now, request, number, outcome, answer, out)
         });
     }
 
     pub(super) fn tell(&mut self, n: NodeId, kind: UpdateKind, entries: Vec<Endpoint>) {
         let places = entries
             .into_iter()
-            .map(|entry| Place {
+            .map(|entry| AddressedEndpoint {
                 address: entry.server,
-                entry,
+                endpoint: entry,
             })
             .collect();
-        self.drive(n, |engine, now, out| engine.members(now, kind, places, out));
+        self.drive(n, |engine, now, out| {
+            engine.update_endpoints(now, kind, places, out)
+        });
     }
 
     /// News of the list comes to a node, or to the place where it will find it at its start.
--- a/crates/node/src/net/answer.rs
+++ b/crates/node/src/net/answer.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::HeaderMap;
-use reelfall_balancer::engine::Final;
+use reelfall_balancer::engine::FinalAnswer;
 use std::cell::Cell;
 use std::future::Future;
 use std::io;
@@ -20,7 +20,7 @@
 const STALLED: Duration = Duration::from_secs(10);
 
 /// The one final answer of a request.
-pub type Reply = Final<Box<Answer>>;
+pub type Reply = FinalAnswer<Box<Answer>>;
 
 /// A server's answer.
 pub struct Answer {
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -8,7 +8,7 @@
 use hyper::client::conn::http1::{Builder, SendRequest};
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use reelfall_balancer::engine::Place;
+use reelfall_balancer::engine::AddressedEndpoint;
 use reelfall_balancer::interface::{ServerState, UpdateKind};
 use reelfall_balancer::settings::ListedEndpoint;
 use serde_json::Value;
@@ -84,8 +84,8 @@
                 if listed.state == ServerState::Removed
                     && pool.names.borrow().servers.get(listed.name).is_none() => {}
             Some((listed, address)) => {
-                places.push(Place {
-                    entry: pool.names.borrow_mut().endpoint(&listed),
+                places.push(AddressedEndpoint {
+                    endpoint: pool.names.borrow_mut().endpoint(&listed),
                     address,
                 });
             }
--- a/crates/node/src/net/front/reply.rs
+++ b/crates/node/src/net/front/reply.rs
@@ -35,7 +35,7 @@
             strip_hop_by_hop(response.headers_mut());
             response
         }
-        Reply::Refused { retry_after } => {
+        Reply::Rejected { retry_after } => {
             let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
             let after = retry_after.and_then(|t| HeaderValue::try_from(format!("{t:.3}")).ok());
             if let Some(after) = after {
--- a/crates/node/src/net/graphql.rs
+++ b/crates/node/src/net/graphql.rs
@@ -420,7 +420,7 @@
                 _memory,
             })
         }
-        Ok(Reply::Refused { retry_after }) => Fate::Refused(retry_after),
+        Ok(Reply::Rejected { retry_after }) => Fate::Refused(retry_after),
         Ok(Reply::Failed(_)) => Fate::Failed,
         Err(mistake) => entry_answer(&answer::fault(&Fault::new(
             FaultKind::Request,
@@ -443,7 +443,7 @@
             *response.body_mut() = ResponseBody::from(answer.body);
             return response;
         }
-        Reply::Refused { retry_after } => (503, Fate::Refused(retry_after)),
+        Reply::Rejected { retry_after } => (503, Fate::Refused(retry_after)),
         Reply::Failed(Some(Outcome::TimedOut)) => (504, Fate::Failed),
         Reply::Failed(_) => (502, Fate::Failed),
     };
--- a/crates/node/src/net/pool.rs
+++ b/crates/node/src/net/pool.rs
@@ -136,7 +136,7 @@
 
     /// Some server may be sent to.
     pub fn has_servers(&self) -> bool {
-        self.engine.borrow().has_servers()
+        self.engine.borrow().has_available_server()
     }
 
     /// Seconds since the source of the list was last heard, where that tells how old the list is.
@@ -178,7 +178,7 @@
 
     /// Requests that have no final answer yet, or an attempt that is out.
     pub fn open(&self) -> usize {
-        self.engine.borrow().open()
+        self.engine.borrow().open_requests()
     }
 
     /// Accepts a request. Its final answer comes over the channel.
@@ -201,10 +201,10 @@
         let arrival = engine::Arrival {
             class,
             tenant,
-            hint,
+            work_hint: hint,
             key,
             deadline,
-            flows,
+            time_after_upload: flows,
         };
         let ticket = Ticket {
             message: Rc::new(message),
@@ -216,7 +216,7 @@
 
     /// The client has left, or has its answer from elsewhere: nothing new is sent.
     pub fn cancel(self: &Rc<Self>, id: RequestId) {
-        self.dispatch(|engine, now, out| engine.gone(now, id, out));
+        self.dispatch(|engine, now, out| engine.abandon(now, id, out));
     }
 
     /// Tells the engine something and applies what it wants done.
@@ -243,8 +243,8 @@
                 request,
                 attempt,
                 server,
-                starts_by,
-                expires,
+                send_by: starts_by,
+                deadline: expires,
             } => {
                 let mut engine = self.engine.borrow_mut();
                 let Some(ticket) = engine.payload(request) else {
@@ -259,7 +259,7 @@
                 let run = upstream::attempt(pool, request, attempt, server, message, times);
                 ticket.task = Some(tokio::task::spawn_local(run).abort_handle());
             }
-            Command::Abort { request, .. } => {
+            Command::CancelAttempt { request, .. } => {
                 let task = self
                     .engine
                     .borrow_mut()
@@ -272,19 +272,19 @@
             // The client may have left in this very moment; the answer is dropped with it.
             Command::Answer { to, answer, .. } => drop(to.send(answer)),
             Command::Watch => self.watch.notify_one(),
-            Command::Timer { after, tag } => {
+            Command::StartTimer { after, tag } => {
                 // A pool that is removed ends with its last request, not with its last timer.
                 let pool = Rc::downgrade(self);
                 let after = Duration::try_from_secs_f64(after).unwrap_or_default();
                 tokio::task::spawn_local(async move {
                     tokio::time::sleep(after).await;
                     if let Some(pool) = pool.upgrade() {
-                        pool.dispatch(|engine, now, out| engine.timer(now, tag, out));
+                        pool.dispatch(|engine, now, out| engine.handle_timer(now, tag, out));
                     }
                 });
             }
-            Command::Forget { server } => self.upstream.forget(server),
-            Command::Release { server } => self.names.borrow_mut().servers.release(server),
+            Command::CloseConnections { server } => self.upstream.forget(server),
+            Command::ReleaseServerId { server } => self.names.borrow_mut().servers.release(server),
         }
     }
 }
@@ -300,28 +300,30 @@
 
     fn wanted(&self, request: RequestId) -> bool {
         let mut engine = self.engine.borrow_mut();
-        engine.wanted(request)
+        engine.needs_answer(request)
             && engine
                 .payload(request)
                 .is_some_and(|t| !t.message.waiter.has_left())
     }
 
     fn retried(&self, request: RequestId) -> bool {
-        self.engine.borrow().retried(request)
+        self.engine.borrow().has_attempt_in_flight(request)
     }
 
     fn spend(&self, request: RequestId) {
-        self.engine.borrow_mut().spend(request);
+        self.engine.borrow_mut().mark_body_consumed(request);
     }
 
     fn written(&self, request: RequestId) -> Option<Instant> {
-        let deadline = self.dispatch(|engine, now, out| engine.written(now, request, out));
+        let deadline = self.dispatch(|engine, now, out| engine.finish_upload(now, request, out));
         deadline.map(|deadline| self.shared.clock.instant(deadline))
     }
 
     fn ended(&self, request: RequestId, attempt: u32, outcome: Outcome, answer: Option<Answer>) {
         let answer = answer.map(Box::new);
         self.report_outcome(request, attempt, outcome);
-        self.dispatch(|engine, now, out| engine.ended(now, request, attempt, outcome, answer, out));
+        self.dispatch(|engine, now, out| {
+            engine.end_attempt(now, request, attempt, outcome, answer, out)
+        });
     }
 }
--- a/crates/node/src/net/pool/list.rs
+++ b/crates/node/src/net/pool/list.rs
@@ -2,7 +2,7 @@
 
 use super::Pool;
 use crate::net::shared::ListedByPool;
-use reelfall_balancer::engine::Place;
+use reelfall_balancer::engine::AddressedEndpoint;
 use reelfall_balancer::interface::{ServerId, ServerState, Time, UpdateKind};
 use reelfall_balancer::settings::ListedEndpoint;
 use reelfall_config::model;
@@ -13,7 +13,7 @@
 
 /// A list as its source has it, before other lists add anything.
 pub(super) struct ServerList {
-    pub(super) places: HashMap<ServerId, Place<SocketAddr>>,
+    pub(super) places: HashMap<ServerId, AddressedEndpoint<SocketAddr>>,
     /// The servers at each address.
     pub(super) at: HashMap<SocketAddr, Vec<ServerId>>,
     /// The same servers, as they are counted with those of all pools.
@@ -32,23 +32,23 @@
     /// Adds a server, or replaces it. `name` and `start_ms` identify its instance, as in [`reelfall_cluster::entry::ServerInstance`].
     fn insert(
         &mut self,
-        place: &Place<SocketAddr>,
+        place: &AddressedEndpoint<SocketAddr>,
         name: Option<&str>,
         start_ms: u64,
-    ) -> Option<Place<SocketAddr>> {
-        let old = self.remove(place.entry.server);
+    ) -> Option<AddressedEndpoint<SocketAddr>> {
+        let old = self.remove(place.endpoint.server);
         if let Some(name) = name {
-            self.listed.insert(place.entry.server, name, start_ms);
+            self.listed.insert(place.endpoint.server, name, start_ms);
         }
         self.at
             .entry(place.address)
             .or_default()
-            .push(place.entry.server);
-        self.places.insert(place.entry.server, place.clone());
+            .push(place.endpoint.server);
+        self.places.insert(place.endpoint.server, place.clone());
         old
     }
 
-    pub(super) fn remove(&mut self, server: ServerId) -> Option<Place<SocketAddr>> {
+    pub(super) fn remove(&mut self, server: ServerId) -> Option<AddressedEndpoint<SocketAddr>> {
         let old = self.places.remove(&server)?;
         self.listed.remove(server);
         if let Some(at) = self.at.get_mut(&old.address) {
@@ -61,7 +61,10 @@
     }
 
     /// The servers that the list has at an address.
-    pub(super) fn at(&self, address: &SocketAddr) -> impl Iterator<Item = &Place<SocketAddr>> {
+    pub(super) fn at(
+        &self,
+        address: &SocketAddr,
+    ) -> impl Iterator<Item = &AddressedEndpoint<SocketAddr>> {
         self.at
             .get(address)
             .into_iter()
@@ -85,7 +88,11 @@
 
 impl Pool {
     /// The entry of a server that stands in the settings and has been taking requests since `ready_at`.
-    pub fn configured_entry(&self, server: &model::Server, ready_at: Time) -> Place<SocketAddr> {
+    pub fn configured_entry(
+        &self,
+        server: &model::Server,
+        ready_at: Time,
+    ) -> AddressedEndpoint<SocketAddr> {
         let listed = ListedEndpoint {
             name: &server.name,
             zone: server.zone.as_deref(),
@@ -95,16 +102,20 @@
             weight: server.weight,
             started_at: Some(ready_at),
         };
-        Place {
-            entry: self.names.borrow_mut().endpoint(&listed),
+        AddressedEndpoint {
+            endpoint: self.names.borrow_mut().endpoint(&listed),
             address: server.address,
         }
     }
 
     /// Takes in a list, or a change of it.
-    pub fn members(self: &Rc<Self>, list: UpdateKind, mut places: Vec<Place<SocketAddr>>) {
+    pub fn members(
+        self: &Rc<Self>,
+        list: UpdateKind,
+        mut places: Vec<AddressedEndpoint<SocketAddr>>,
+    ) {
         let changed = self.merge_lists(list, &mut places);
-        self.dispatch(|engine, now, out| engine.members(now, list, places, out));
+        self.dispatch(|engine, now, out| engine.update_endpoints(now, list, places, out));
         self.listed.notify_waiters();
         changed
             .into_iter()
@@ -112,7 +123,11 @@
     }
 
     /// Combines this list with those of other pools. Returns the addresses that other pools have to be told of.
-    fn merge_lists(&self, list: UpdateKind, places: &mut [Place<SocketAddr>]) -> Vec<SocketAddr> {
+    fn merge_lists(
+        &self,
+        list: UpdateKind,
+        places: &mut [AddressedEndpoint<SocketAddr>],
+    ) -> Vec<SocketAddr> {
         let mut own = self.own.borrow_mut();
         let mut changed = Vec::new();
         let combines_lists = self.shared.combines_lists();
@@ -122,7 +137,7 @@
             }
         };
         if matches!(list, UpdateKind::Snapshot | UpdateKind::Cached) {
-            let named: HashSet<ServerId> = places.iter().map(|p| p.entry.server).collect();
+            let named: HashSet<ServerId> = places.iter().map(|p| p.endpoint.server).collect();
             let missing: Vec<ServerId> = own
                 .places
                 .keys()
@@ -134,19 +149,19 @@
                 .filter_map(|id| own.remove(id))
                 .collect();
             for p in missing.iter().filter(|p| !own.has(&p.address)) {
-                let gone = self.listed_state(ServerStatus::Gone, p.entry.started_at);
+                let gone = self.listed_state(ServerStatus::Gone, p.endpoint.started_at);
                 update_listing(p.address, (self.missing == Missing::Ended).then_some(gone));
                 self.withheld.borrow_mut().remove(&p.address);
             }
         }
         for place in places.iter_mut() {
-            let status = status(place.entry.state);
-            let old = match place.entry.state {
-                ServerState::Removed => own.remove(place.entry.server),
+            let status = status(place.endpoint.state);
+            let old = match place.endpoint.state {
+                ServerState::Removed => own.remove(place.endpoint.server),
                 _ => {
                     let names = self.names.borrow();
-                    let name = names.servers.name(place.entry.server);
-                    own.insert(place, name, self.start_ms(place.entry.started_at))
+                    let name = names.servers.name(place.endpoint.server);
+                    own.insert(place, name, self.start_ms(place.endpoint.started_at))
                 }
             };
             if let Some(old) =
@@ -157,7 +172,7 @@
             }
             // A server that took the place of another at its address is not gone with that one's name.
             if status != ServerStatus::Gone || !own.has(&place.address) {
-                let state = self.listed_state(status, place.entry.started_at);
+                let state = self.listed_state(status, place.endpoint.started_at);
                 update_listing(place.address, Some(state));
             }
             self.adjust(place);
@@ -174,11 +189,11 @@
     }
 
     /// Adjusts a server of this list to the lists of other pools, and to the bans, which come before all.
-    pub(super) fn adjust(&self, place: &mut Place<SocketAddr>) {
+    pub(super) fn adjust(&self, place: &mut AddressedEndpoint<SocketAddr>) {
         if self.shared.combines_lists() {
             self.adjust_to_lists(place);
         }
-        let entry = &mut place.entry;
+        let entry = &mut place.endpoint;
         let names = self.names.borrow();
         let Some(name) = names.servers.name(entry.server) else {
             return;
@@ -191,8 +206,11 @@
         }
     }
 
-    fn adjust_to_lists(&self, place: &mut Place<SocketAddr>) {
-        let Place { entry, address } = place;
+    fn adjust_to_lists(&self, place: &mut AddressedEndpoint<SocketAddr>) {
+        let AddressedEndpoint {
+            endpoint: entry,
+            address,
+        } = place;
         let own = self.listed_state(status(entry.state), entry.started_at);
         let view = self
             .shared
--- a/crates/node/src/net/pool/outcome.rs
+++ b/crates/node/src/net/pool/outcome.rs
@@ -9,7 +9,7 @@
     /// The instance of a server that the list names, as the whole fleet knows it.
     pub(super) fn instance_of(&self, server: ServerId) -> Option<ServerInstance> {
         let ready_at = match self.missing {
-            Missing::Ended => self.own.borrow().places.get(&server)?.entry.started_at,
+            Missing::Ended => self.own.borrow().places.get(&server)?.endpoint.started_at,
             Missing::Unused => 0.0,
         };
         let name = self.names.borrow().servers.name(server)?.to_owned();
@@ -33,21 +33,21 @@
         let Some(observer) = self.shared.fleet_observer() else {
             return;
         };
-        let Some((server, class, sent)) = self.engine.borrow().attempt_of(request, attempt) else {
+        let Some(awaited) = self.engine.borrow().attempt_in_flight(request, attempt) else {
             return;
         };
         let Some(aim) = self
             .classes
-            .get(usize::from(class))
+            .get(usize::from(awaited.class))
             .map(|c| c.latency_objective)
         else {
             return;
         };
-        let waited = self.shared.clock.now() - sent;
+        let waited = self.shared.clock.now() - awaited.since;
         let Some(attempt) = attempt_outcome(outcome, waited, aim) else {
             return;
         };
-        if let Some(instance) = self.instance_of(server) {
+        if let Some(instance) = self.instance_of(awaited.server) {
             observer.attempt_ended(instance, attempt);
         }
     }
--- a/crates/node/src/net/pool/peer.rs
+++ b/crates/node/src/net/pool/peer.rs
@@ -2,7 +2,7 @@
 
 use super::Pool;
 use crate::net::shared::{Condemnation, OverdueRequest, Peer};
-use reelfall_balancer::engine::Place;
+use reelfall_balancer::engine::AddressedEndpoint;
 use reelfall_balancer::interface::{Time, UpdateKind};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -39,14 +39,16 @@
     }
 
     fn refresh(self: Rc<Self>) {
-        let mut places: Vec<Place<SocketAddr>> =
+        let mut places: Vec<AddressedEndpoint<SocketAddr>> =
             self.own.borrow().places.values().cloned().collect();
         // The order in which they were named tells which of two at one address holds.
-        places.sort_unstable_by_key(|p| p.entry.server);
+        places.sort_unstable_by_key(|p| p.endpoint.server);
         places.iter_mut().for_each(|p| self.adjust(p));
-        places.retain(|p| self.engine.borrow().lists(p.entry.server));
+        places.retain(|p| self.engine.borrow().is_listed(p.endpoint.server));
         if !places.is_empty() {
-            self.dispatch(|engine, now, out| engine.members(now, UpdateKind::Delta, places, out));
+            self.dispatch(|engine, now, out| {
+                engine.update_endpoints(now, UpdateKind::Delta, places, out)
+            });
         }
     }
 
@@ -56,21 +58,24 @@
 
     fn overdue(&self, now: Time, to: &mut Vec<OverdueRequest>) {
         let engine = self.engine.borrow();
-        for (server, class, since) in engine.waits() {
+        for awaited in engine.awaited_attempts() {
             let Some(aim) = self
                 .classes
-                .get(usize::from(class))
+                .get(usize::from(awaited.class))
                 .map(|c| c.latency_objective)
             else {
                 continue;
             };
-            let waited = now - since;
+            let waited = now - awaited.since;
             if waited > aim {
-                to.extend(self.instance_of(server).map(|server| OverdueRequest {
-                    server,
-                    waited,
-                    aim,
-                }));
+                to.extend(
+                    self.instance_of(awaited.server)
+                        .map(|server| OverdueRequest {
+                            server,
+                            waited,
+                            aim,
+                        }),
+                );
             }
         }
     }
@@ -86,14 +91,19 @@
         let Condemnation {
             until, is_prober, ..
         } = *condemnation;
-        self.dispatch(|engine, now, out| engine.told(now, server, until, is_prober, out));
+        self.dispatch(|engine, now, out| {
+            engine.set_peer_verdict(now, server, until, is_prober, out)
+        });
     }
 
     fn listing_changed(self: Rc<Self>, address: SocketAddr) {
-        let mut places: Vec<Place<SocketAddr>> = self.own.borrow().at(&address).cloned().collect();
+        let mut places: Vec<AddressedEndpoint<SocketAddr>> =
+            self.own.borrow().at(&address).cloned().collect();
         places.iter_mut().for_each(|p| self.adjust(p));
         if !places.is_empty() {
-            self.dispatch(|engine, now, out| engine.members(now, UpdateKind::Delta, places, out));
+            self.dispatch(|engine, now, out| {
+                engine.update_endpoints(now, UpdateKind::Delta, places, out)
+            });
         }
     }
 }
--- a/crates/node/src/net/registry/following.rs
+++ b/crates/node/src/net/registry/following.rs
@@ -4,7 +4,7 @@
 use super::RegistryAccess;
 use crate::net::pool::Pool;
 use crate::net::source::Source;
-use reelfall_balancer::engine::Place;
+use reelfall_balancer::engine::AddressedEndpoint;
 use reelfall_balancer::interface::{ServerState, Time, UpdateKind};
 use reelfall_balancer::settings::ListedEndpoint;
 use reelfall_config::model;
@@ -60,7 +60,7 @@
 }
 
 impl Following {
-    fn place(&self, entry: &Entry, state: ServerState) -> Place<SocketAddr> {
+    fn place(&self, entry: &Entry, state: ServerState) -> AddressedEndpoint<SocketAddr> {
         let listed = ListedEndpoint {
             name: &entry.name,
             zone: entry.zone.as_deref(),
@@ -70,14 +70,14 @@
             weight: Some(entry.weight),
             started_at: Some(entry.started),
         };
-        Place {
-            entry: self.pool.names.borrow_mut().endpoint(&listed),
+        AddressedEndpoint {
+            endpoint: self.pool.names.borrow_mut().endpoint(&listed),
             address: entry.address,
         }
     }
 
     /// A server as its entry has it, unless nothing counts.
-    fn listed(&self, entry: &Entry) -> Place<SocketAddr> {
+    fn listed(&self, entry: &Entry) -> AddressedEndpoint<SocketAddr> {
         let drains = entry.draining || self.refused;
         self.place(
             entry,
@@ -89,7 +89,7 @@
         )
     }
 
-    fn full_list(&self) -> Vec<Place<SocketAddr>> {
+    fn full_list(&self) -> Vec<AddressedEndpoint<SocketAddr>> {
         self.follower
             .roster()
             .servers()
@@ -98,7 +98,7 @@
     }
 
     /// News of one server. Who has gone and was never told of needs no word.
-    fn changed_server(&self, change: &Change) -> Option<Place<SocketAddr>> {
+    fn changed_server(&self, change: &Change) -> Option<AddressedEndpoint<SocketAddr>> {
         match change {
             Change::Listed(entry) => Some(self.listed(entry)),
             Change::Removed(name) => {
@@ -115,7 +115,10 @@
                 let entry = self.pool.names.borrow_mut().endpoint(&gone);
                 // Where it was is known to the pool.
                 let address = self.pool.address_of(entry.server)?;
-                Some(Place { entry, address })
+                Some(AddressedEndpoint {
+                    endpoint: entry,
+                    address,
+                })
             }
         }
     }
--- a/crates/node/src/net/shared/listed/tests.rs
+++ b/crates/node/src/net/shared/listed/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::net::pool::{Missing, Pool};
 use crate::net::shared::Shared;
-use reelfall_balancer::engine::Place;
+use reelfall_balancer::engine::AddressedEndpoint;
 use reelfall_balancer::interface::{ServerState, Time, UpdateKind};
 use reelfall_balancer::settings::{self, ListedEndpoint};
 use reelfall_routing::limits::Totals;
@@ -52,8 +52,8 @@
             started_at: Some(line.ready_at),
         };
         let address = SocketAddr::from(([127, 0, 0, 1], 1 + line.server as u16));
-        Place {
-            entry: pool.names.borrow_mut().endpoint(&listed),
+        AddressedEndpoint {
+            endpoint: pool.names.borrow_mut().endpoint(&listed),
             address,
         }
     };
