--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -12,7 +12,7 @@
 pub use graphql::graphql_classes;
 pub use plan::{Goal, Plan};
 
-use crate::model::{At, Fault, Faults, Model, Origin};
+use crate::model::{Fault, Faults, Located, Model, Origin};
 use reelfall_balancer::interface as core;
 use reelfall_routing::limits::Totals;
 use std::collections::hash_map::{Entry, HashMap};
@@ -75,7 +75,7 @@
     fn names<'a, T: 'a>(
         &mut self,
         what: &str,
-        items: impl IntoIterator<Item = &'a At<T>>,
+        items: impl IntoIterator<Item = &'a Located<T>>,
         name: impl Fn(&'a T) -> &'a str,
     ) {
         let mut seen: HashMap<&str, &Origin> = HashMap::new();
@@ -101,7 +101,7 @@
     fn addresses<'a, T: 'a>(
         &mut self,
         what: &str,
-        items: impl IntoIterator<Item = &'a At<T>>,
+        items: impl IntoIterator<Item = &'a Located<T>>,
         named: impl Fn(&'a T) -> (&'a str, SocketAddr),
     ) {
         let mut firsts = HashMap::new();
@@ -130,30 +130,30 @@
 pub fn check(model: Model) -> Result<Plan, Faults> {
     let mut c = Checker { faults: Vec::new() };
     let process = &model.process;
-    c.want(process.descriptors >= 64, &process.origin, || {
+    c.want(process.max_descriptors >= 64, &process.origin, || {
         "descriptors: 64 at least".to_owned()
     });
-    c.want(process.memory >= 16 << 20, &process.origin, || {
+    c.want(process.max_memory >= 16 << 20, &process.origin, || {
         "memory: 16MiB at least".to_owned()
     });
-    c.want(process.nodes > 0, &process.origin, || {
+    c.want(process.node_count > 0, &process.origin, || {
         "nodes: this one counts, so 1 at least".to_owned()
     });
     c.want(
-        process.server_connections != Some(0),
+        process.max_connections_per_server != Some(0),
         &process.origin,
         || "server_connections: 1 at least".to_owned(),
     );
     let (clients, connections, memory) =
-        parts(process.descriptors, (process.memory >> 20) as usize);
-    let clients = process.clients.unwrap_or(clients);
+        parts(process.max_descriptors, (process.max_memory >> 20) as usize);
+    let clients = process.max_clients.unwrap_or(clients);
     c.want(
-        clients >= 8 && clients + connections <= process.descriptors.saturating_sub(SPARE),
+        clients >= 8 && clients + connections <= process.max_descriptors.saturating_sub(SPARE),
         &process.origin,
         || {
             format!(
                 "clients: {clients} do not fit into the descriptors, which leave room for 8 to {}",
-                process.descriptors.saturating_sub(SPARE + connections)
+                process.max_descriptors.saturating_sub(SPARE + connections)
             )
         },
     );
--- a/crates/config/src/check/fleet.rs
+++ b/crates/config/src/check/fleet.rs
@@ -1,7 +1,7 @@
 //! The part of a node in a fleet, and the leases of that.
 
 use super::Checker;
-use crate::model::{At, Fleet, Model};
+use crate::model::{Fleet, Located, Model};
 use std::collections::BTreeSet;
 use std::ops::Not;
 
@@ -80,7 +80,7 @@
     });
 }
 
-fn leases(c: &mut Checker, fleet: &At<Fleet>) {
+fn leases(c: &mut Checker, fleet: &Located<Fleet>) {
     let Some(leases) = &fleet.leases else { return };
     let most = reelfall_lease::message::MAX_KEEPERS;
     let keepers: BTreeSet<&String> = leases.keepers.iter().collect();
@@ -98,12 +98,16 @@
             )
         },
     );
-    c.want((0.5..=60.0).contains(&leases.length), &fleet.origin, || {
-        format!(
-            "fleet.leases: length is {}s, not between 0.5s and 60s",
-            leases.length
-        )
-    });
+    c.want(
+        (0.5..=60.0).contains(&leases.duration),
+        &fleet.origin,
+        || {
+            format!(
+                "fleet.leases: length is {}s, not between 0.5s and 60s",
+                leases.duration
+            )
+        },
+    );
     c.want((0.0..=0.1).contains(&leases.drift), &fleet.origin, || {
         "fleet.leases: drift is not between 0 and 10 %".to_owned()
     });
--- a/crates/config/src/check/graphql.rs
+++ b/crates/config/src/check/graphql.rs
@@ -1,13 +1,13 @@
 //! GraphQL over HTTP: the classes of root fields, and the bounds of a request.
 
 use super::{numbers, Checker};
-use crate::model::{At, Class, GraphQl, Repeat, Service};
+use crate::model::{Class, GraphQl, Located, RetrySafety, Service};
 use reelfall_balancer::interface as core;
 use reelfall_graphql::class::{ClassInfo, Classes, Mapping};
 use std::collections::{BTreeMap, HashMap};
 
 /// What a service says of GraphQL, if it does.
-pub(super) fn graphql(c: &mut Checker, service: &At<Service>) {
+pub(super) fn graphql(c: &mut Checker, service: &Located<Service>) {
     let Some(graphql) = &service.graphql else {
         return;
     };
@@ -17,7 +17,7 @@
     }
     let GraphQl {
         limits,
-        side_by_side,
+        max_parallel_reads: side_by_side,
         ..
     } = &graphql.value;
     c.want((1..=64).contains(&limits.depth), &graphql.origin, || {
@@ -57,8 +57,8 @@
         other_query: class(&graphql.other_query)?,
         other_mutation: class(&graphql.other_mutation)?,
     };
-    let info = |c: &At<Class>| ClassInfo {
-        safe: c.repeat == Repeat::Safe,
+    let info = |c: &Located<Class>| ClassInfo {
+        safe: c.retry_safety == RetrySafety::Idempotent,
         deadline: c.deadline,
     };
     Classes::new(mapping, service.classes.iter().map(info).collect()).map_err(|e| e.to_string())
--- a/crates/config/src/check/plan.rs
+++ b/crates/config/src/check/plan.rs
@@ -1,6 +1,6 @@
 //! What a node follows: a model that holds together, with its routes.
 
-use crate::model::{Class, Model, Origin, Repeat, Service};
+use crate::model::{Class, Model, Origin, RetrySafety, Service};
 use reelfall_balancer::interface as core;
 use reelfall_balancer::settings::{ConnectionSettings, NameRegistry};
 use reelfall_routing::limits::Totals;
@@ -40,37 +40,37 @@
     ) -> (core::Settings, NameRegistry, ConnectionSettings) {
         let mut names = NameRegistry::new(
             service.classes.iter().map(|c| c.name.clone()),
-            service.members.iter().map(|m| m.name.clone()),
+            service.tenants.iter().map(|m| m.name.clone()),
         );
-        let (tries, cold) = (service.tries, service.cold);
+        let (tries, cold) = (service.attempts, service.slow_start);
         let settings = core::Settings {
             classes: service.classes.iter().map(|c| class(c)).collect(),
             tenants: service
-                .members
+                .tenants
                 .iter()
                 .map(|m| core::Tenant { quota: m.quota })
                 .collect(),
             zone: self.model.process.zone.as_ref().map(|z| names.zone(z)),
-            node_count: self.model.process.nodes,
+            node_count: self.model.process.node_count,
             // The file does not tell nodes from each other: each has the whole list.
             node_index: None,
             discovery: core::Discovery::Push,
             load_reports: core::LoadReports::Absent,
             limits: core::Limits {
-                max_attempts: tries.most,
-                retry_budget_ratio: tries.retry_share,
-                max_retry_after: tries.retry_after,
+                max_attempts: tries.max,
+                retry_budget_ratio: tries.retry_budget_ratio,
+                max_retry_after: tries.max_retry_after,
                 can_cancel: false,
                 can_health_check: false,
                 can_hedge: false,
-                idle_connection_timeout: tries.idle,
+                idle_connection_timeout: tries.idle_timeout,
             },
             rules: core::Rules {
                 drain_grace: 0.5,
-                initial_capacity: cold.from,
-                slow_start_duration: cold.warm_after,
-                overload_factor: cold.factor,
-                overload_window: cold.within,
+                initial_capacity: cold.initial_capacity,
+                slow_start_duration: cold.duration,
+                overload_factor: cold.overload_factor,
+                overload_window: cold.overload_window,
                 max_poll_interval: 10.0,
             },
             costs: core::Costs::default(),
@@ -86,7 +86,7 @@
             clock_resolution: 1e-3,
         };
         let figures = ConnectionSettings {
-            connect_timeout: tries.connect,
+            connect_timeout: tries.connect_timeout,
             response_slack: 0.005,
         };
         (settings, names, figures)
@@ -112,13 +112,13 @@
 
 fn class(class: &Class) -> core::Class {
     core::Class {
-        latency_objective: class.aim,
+        latency_objective: class.latency_objective,
         deadline: class.deadline,
-        priority_weight: class.worth,
-        late_response_weight: class.late_value,
-        idempotency: match class.repeat {
-            Repeat::Safe => core::Idempotency::Idempotent,
-            Repeat::Unsafe => core::Idempotency::AtMostOnce,
+        priority_weight: class.priority_weight,
+        late_response_weight: class.late_response_weight,
+        idempotency: match class.retry_safety {
+            RetrySafety::Idempotent => core::Idempotency::Idempotent,
+            RetrySafety::AtMostOnce => core::Idempotency::AtMostOnce,
         },
         streams_response: false,
     }
--- a/crates/config/src/check/registries.rs
+++ b/crates/config/src/check/registries.rs
@@ -1,7 +1,7 @@
 //! Registries, and the services that follow them.
 
 use super::{Checker, NAME_MOST};
-use crate::model::{At, Followed, Model, Service, Source};
+use crate::model::{Located, Model, RegistrySource, Service, Source};
 use std::collections::HashSet;
 
 pub(super) fn registries(c: &mut Checker, model: &Model) {
@@ -12,17 +12,17 @@
             format!("registry `{name}` has no members: add their addresses")
         });
         c.want(
-            (0.1..=600.0).contains(&registry.session),
+            (0.1..=600.0).contains(&registry.session_timeout),
             &registry.origin,
             || {
                 format!(
                     "registry `{name}`: session is {}s, not between 100ms and 600s",
-                    registry.session
+                    registry.session_timeout
                 )
             },
         );
         c.want(
-            registry.connect > 0.0 && registry.connect <= registry.session,
+            registry.connect_timeout > 0.0 && registry.connect_timeout <= registry.session_timeout,
             &registry.origin,
             || format!("registry `{name}`: connect is more than 0 and at most session"),
         );
@@ -44,12 +44,12 @@
 }
 
 /// What a service says of the registry that it follows, if it does; `registries` are the names of those that are there.
-pub(super) fn followed(c: &mut Checker, registries: &HashSet<&str>, service: &At<Service>) {
-    let Source::Registry(Followed {
+pub(super) fn followed(c: &mut Checker, registries: &HashSet<&str>, service: &Located<Service>) {
+    let Source::Registry(RegistrySource {
         registry,
         path,
         limits,
-        known,
+        initial_servers: known,
     }) = &service.source
     else {
         return;
--- a/crates/config/src/check/routes.rs
+++ b/crates/config/src/check/routes.rs
@@ -2,7 +2,7 @@
 
 use super::plan::Goal;
 use super::{numbers, Checker, METHODS, ROUTES_MOST};
-use crate::model::{At, Model, Route};
+use crate::model::{Located, Model, Route};
 use reelfall_balancer::interface as core;
 use reelfall_routing::table::{Ambiguous, ListenerId, Match, Table};
 use std::collections::HashSet;
@@ -71,7 +71,7 @@
 }
 
 /// The methods of a route are served ones, and each is there once.
-fn methods(c: &mut Checker, route: &At<Route>) {
+fn methods(c: &mut Checker, route: &Located<Route>) {
     let mut seen = HashSet::with_capacity(route.methods.len());
     for method in &route.methods {
         c.want(METHODS.contains(&method.as_str()), &route.origin, || {
--- a/crates/config/src/check/services.rs
+++ b/crates/config/src/check/services.rs
@@ -3,7 +3,7 @@
 use super::graphql::graphql;
 use super::registries::followed;
 use super::{Checker, CLASSES_MOST, DEADLINE_MOST, MEMBERS_MOST, SERVICES_MOST};
-use crate::model::{At, Class, Model, Service, Source, Tries};
+use crate::model::{AttemptLimits, Class, Located, Model, Service, Source};
 use reelfall_routing::common;
 use reelfall_routing::limits::{Kind, Limits, Totals};
 use std::collections::{HashMap, HashSet};
@@ -34,7 +34,7 @@
 }
 
 /// What requests a service takes: something reaches it, and it knows classes for that.
-fn requests(c: &mut Checker, service: &At<Service>) {
+fn requests(c: &mut Checker, service: &Located<Service>) {
     let name = &service.name;
     c.want(!service.classes.is_empty(), &service.origin, || {
         format!("service `{name}` knows no requests: add [[service.class]]")
@@ -53,21 +53,21 @@
         },
     );
     c.want(
-        service.members.len() <= MEMBERS_MOST,
+        service.tenants.len() <= MEMBERS_MOST,
         &service.origin,
         || {
             format!(
                 "service `{name}` has {} members, {MEMBERS_MOST} at most",
-                service.members.len()
+                service.tenants.len()
             )
         },
     );
     c.names("class", &service.classes, |s| &s.name);
-    c.names("member", &service.members, |s| &s.name);
+    c.names("member", &service.tenants, |s| &s.name);
 }
 
 /// A static list has each name and each address once.
-fn servers(c: &mut Checker, service: &At<Service>) {
+fn servers(c: &mut Checker, service: &Located<Service>) {
     let Source::Static(servers) = &service.source else {
         return;
     };
@@ -75,8 +75,8 @@
     c.addresses("server", servers, |s| (&s.name, s.address));
 }
 
-fn members(c: &mut Checker, service: &At<Service>) {
-    for member in &service.members {
+fn members(c: &mut Checker, service: &Located<Service>) {
+    for member in &service.tenants {
         c.want(member.quota > 0.0, &member.origin, || {
             format!("member `{}`: a quota is more than 0/s", member.name)
         });
@@ -84,34 +84,36 @@
 }
 
 /// Attempts, cold servers and the rate.
-fn attempts(c: &mut Checker, service: &At<Service>) {
+fn attempts(c: &mut Checker, service: &Located<Service>) {
     let name = &service.name;
-    let Tries {
-        most,
-        connect,
-        idle,
+    let AttemptLimits {
+        max: most,
+        connect_timeout: connect,
+        idle_timeout: idle,
         ..
-    } = service.tries;
+    } = service.attempts;
     c.want((1..=16).contains(&most), &service.origin, || {
         format!("service `{name}`: tries.most is {most}, not between 1 and 16")
     });
     c.want(connect > 0.0 && idle > 0.0, &service.origin, || {
         format!("service `{name}`: tries.connect and tries.idle are more than 0")
     });
-    c.want(service.cold.within > 0.0, &service.origin, || {
-        format!("service `{name}`: cold.within is more than 0")
-    });
-    if let Some((rate, burst)) = service.allowed.rate {
-        c.want(rate > 0.0 && burst >= 1.0, &service.allowed.origin, || {
+    c.want(
+        service.slow_start.overload_window > 0.0,
+        &service.origin,
+        || format!("service `{name}`: cold.within is more than 0"),
+    );
+    if let Some((rate, burst)) = service.limits.rate {
+        c.want(rate > 0.0 && burst >= 1.0, &service.limits.origin, || {
             format!("service `{name}`: a rate is more than 0/s and its burst 1 at least")
         });
     }
 }
 
-fn class_figures(c: &mut Checker, class: &At<Class>) {
+fn class_figures(c: &mut Checker, class: &Located<Class>) {
     let Class {
         name,
-        aim,
+        latency_objective: aim,
         deadline,
         ..
     } = &class.value;
@@ -151,9 +153,9 @@
 
 /// What each service may hold, and all of them together.
 pub(super) fn limits(c: &mut Checker, model: &Model, totals: Totals) {
-    let allowed: Vec<_> = model.services.iter().map(|s| s.allowed.value).collect();
+    let allowed: Vec<_> = model.services.iter().map(|s| s.limits.value).collect();
     for service in &model.services {
-        let a = &service.allowed;
+        let a = &service.limits;
         for (kind, share) in [
             (Kind::Open, a.open),
             (Kind::Connections, a.connections),
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -41,14 +41,14 @@
 
 /// Something with the place where it was read. Two are equal if what they say is, wherever it was said.
 #[derive(Clone, Debug)]
-pub struct At<T> {
+pub struct Located<T> {
     /// What was said.
     pub value: T,
     /// Where.
     pub origin: Origin,
 }
 
-impl<T> Deref for At<T> {
+impl<T> Deref for Located<T> {
     type Target = T;
 
     fn deref(&self) -> &T {
@@ -56,7 +56,7 @@
     }
 }
 
-impl<T: PartialEq> PartialEq for At<T> {
+impl<T: PartialEq> PartialEq for Located<T> {
     fn eq(&self, other: &Self) -> bool {
         self.value == other.value
     }
@@ -91,17 +91,17 @@
     /// The file.
     pub origin: Origin,
     /// What concerns the process as a whole.
-    pub process: At<Process>,
+    pub process: Located<Process>,
     /// Where clients connect.
-    pub listeners: Vec<At<Listener>>,
+    pub listeners: Vec<Located<Listener>>,
     /// Where operators call.
-    pub management: Option<At<Management>>,
+    pub management: Option<Located<Management>>,
     /// The fleet that this node is part of.
-    pub fleet: Option<At<Fleet>>,
+    pub fleet: Option<Located<Fleet>>,
     /// Registries that services follow.
-    pub registries: Vec<At<Registry>>,
+    pub registries: Vec<Located<Registry>>,
     /// The services, in their order in the file.
-    pub services: Vec<At<Service>>,
+    pub services: Vec<Located<Service>>,
 }
 
 /// Where operators call, and where their word is written down.
@@ -140,7 +140,7 @@
     /// Where this node keeps them, if it does.
     pub folder: Option<PathBuf>,
     /// How long a lease lasts without being renewed, in seconds.
-    pub length: Time,
+    pub duration: Time,
     /// The most by which a clock of any node runs too fast or too slow, as a share.
     pub drift: f64,
     /// What one node calls for all.
@@ -168,15 +168,15 @@
     /// Its members; at least one.
     pub members: Vec<SocketAddr>,
     /// How long it keeps a session of this node without a word, in seconds.
-    pub session: Time,
+    pub session_timeout: Time,
     /// A member that does not answer by then is passed over, in seconds.
-    pub connect: Time,
+    pub connect_timeout: Time,
     /// After so long without any member's leave, the state that was seen counts no longer, in seconds.
     pub forget_after: Time,
     /// The file with `name:password`, for the scheme `digest`.
     pub digest_file: Option<PathBuf>,
     /// The entry that this node has there.
-    pub entry: Option<At<NodeEntry>>,
+    pub entry: Option<Located<NodeEntry>>,
 }
 
 /// This node's own entry in a registry.
@@ -196,13 +196,13 @@
 
 /// The entries of a registry that a service follows.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Followed {
+pub struct RegistrySource {
     /// The registry, by its name.
     pub registry: String,
     /// The path that the entries are under.
     pub path: String,
     /// Servers that are taken to be there until the registry has been heard.
-    pub known: Vec<At<Server>>,
+    pub initial_servers: Vec<Located<Server>>,
     /// Bounds and rules.
     pub limits: reelfall_registry_client::follow::Limits,
 }
@@ -211,17 +211,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Process {
     /// File descriptors that it may hold.
-    pub descriptors: usize,
+    pub max_descriptors: usize,
     /// Memory that it may use, in bytes.
-    pub memory: u64,
+    pub max_memory: u64,
     /// Connections of clients; by default what the descriptors leave.
-    pub clients: Option<usize>,
+    pub max_clients: Option<usize>,
     /// Connections to one server, over all pools that list it.
-    pub server_connections: Option<usize>,
+    pub max_connections_per_server: Option<usize>,
     /// The zone of this node.
     pub zone: Option<String>,
     /// How many nodes send to the same servers.
-    pub nodes: u32,
+    pub node_count: u32,
 }
 
 /// An address where clients connect.
@@ -252,30 +252,30 @@
     /// Where its list of servers comes from.
     pub source: Source,
     /// What it may hold.
-    pub allowed: At<Allowed>,
+    pub limits: Located<Allowed>,
     /// What its requests are, if they are not plain ones.
-    pub graphql: Option<At<GraphQl>>,
+    pub graphql: Option<Located<GraphQl>>,
     /// Attempts and connections.
-    pub tries: Tries,
+    pub attempts: AttemptLimits,
     /// How its servers bear a start.
-    pub cold: Cold,
+    pub slow_start: SlowStart,
     /// What kinds of requests it knows; at least one.
-    pub classes: Vec<At<Class>>,
+    pub classes: Vec<Located<Class>>,
     /// Whose requests are held to a share.
-    pub members: Vec<At<Member>>,
+    pub tenants: Vec<Located<Tenant>>,
     /// What reaches it.
-    pub routes: Vec<At<Route>>,
+    pub routes: Vec<Located<Route>>,
 }
 
 /// Where a list of servers comes from.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Source {
     /// The file.
-    Static(Vec<At<Server>>),
+    Static(Vec<Located<Server>>),
     /// The discovery at an address, as the platform has it.
     Discovery(SocketAddr),
     /// Ephemeral entries of a registry.
-    Registry(Followed),
+    Registry(RegistrySource),
 }
 
 /// A server in a static list.
@@ -288,7 +288,7 @@
     /// Its zone.
     pub zone: Option<String>,
     /// Its machine kind.
-    pub kind: Option<String>,
+    pub machine_type: Option<String>,
     /// Its size against the others'.
     pub weight: Option<f64>,
     /// Whether it takes requests.
@@ -297,39 +297,39 @@
 
 /// Attempts and connections of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Tries {
+pub struct AttemptLimits {
     /// Attempts for one request, the first included.
-    pub most: u32,
+    pub max: u32,
     /// Further attempts earned by each first one.
-    pub retry_share: f64,
+    pub retry_budget_ratio: f64,
     /// A connection is up by then, in seconds.
-    pub connect: Time,
+    pub connect_timeout: Time,
     /// The servers close idle connections after this time, in seconds.
-    pub idle: Time,
+    pub idle_timeout: Time,
     /// The longest advice on when to come back, in seconds; 0 for none.
-    pub retry_after: Time,
+    pub max_retry_after: Time,
 }
 
 /// How servers bear a start.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
+pub struct SlowStart {
     /// Share of its capacity that a fresh server has.
-    pub from: f64,
+    pub initial_capacity: f64,
     /// It is warm after this time, in seconds.
-    pub warm_after: Time,
+    pub duration: Time,
     /// Sent more than this multiple of its present capacity, it falls over.
-    pub factor: f64,
+    pub overload_factor: f64,
     /// The time over which that counts, in seconds.
-    pub within: Time,
+    pub overload_window: Time,
 }
 
 /// What a second run of a request would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetrySafety {
     /// Nothing.
-    Safe,
+    Idempotent,
     /// It must never happen.
-    Unsafe,
+    AtMostOnce,
 }
 
 /// How a service takes GraphQL over HTTP.
@@ -346,7 +346,7 @@
     /// What a field is as work, in seconds on a standard core.
     pub field_work: Time,
     /// How many reads of a batch run at once.
-    pub side_by_side: usize,
+    pub max_parallel_reads: usize,
     /// What a request may hold.
     pub limits: reelfall_graphql::Limits,
 }
@@ -357,20 +357,20 @@
     /// Its name.
     pub name: String,
     /// What a second run would do.
-    pub repeat: Repeat,
+    pub retry_safety: RetrySafety,
     /// Wanted within, in seconds.
-    pub aim: Time,
+    pub latency_objective: Time,
     /// Given up after, in seconds.
     pub deadline: Time,
     /// What one is worth against the others.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that an answer between aim and deadline earns.
-    pub late_value: f64,
+    pub late_response_weight: f64,
 }
 
 /// Somebody whose requests are held to a share.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Member {
+pub struct Tenant {
     /// The name, as in `X-Account`.
     pub name: String,
     /// Requests a second within the share.
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -51,7 +51,7 @@
     }
     let process = match read.process {
         Some(process) => lines.located(process, |_, p| self::process(p)),
-        None => At {
+        None => Located {
             value: process(ProcessText::default()),
             origin: lines.file(),
         },
@@ -79,16 +79,16 @@
 /// The services of a file, and what is wrong with those that are none.
 #[derive(Default)]
 struct Services {
-    found: Vec<At<Service>>,
+    found: Vec<Located<Service>>,
     faults: Vec<Fault>,
 }
 
 impl Services {
     fn take(&mut self, lines: &Lines, services: Vec<Spanned<ServiceText>>) {
         for service in services {
-            let At { value, origin } = lines.located(service, self::service);
+            let Located { value, origin } = lines.located(service, self::service);
             match value {
-                Ok(value) => self.found.push(At { value, origin }),
+                Ok(value) => self.found.push(Located { value, origin }),
                 Err(mistake) => self.faults.push(Fault { origin, mistake }),
             }
         }
@@ -97,12 +97,12 @@
 
 fn process(p: ProcessText) -> Process {
     Process {
-        descriptors: p.descriptors.unwrap_or(1024),
-        memory: p.memory.map_or(128 << 20, |m| m.0),
-        clients: p.clients,
-        server_connections: p.server_connections,
+        max_descriptors: p.descriptors.unwrap_or(1024),
+        max_memory: p.memory.map_or(128 << 20, |m| m.0),
+        max_clients: p.clients,
+        max_connections_per_server: p.server_connections,
         zone: p.zone,
-        nodes: p.nodes.unwrap_or(1),
+        node_count: p.nodes.unwrap_or(1),
     }
 }
 
@@ -126,39 +126,39 @@
             Some(StateText::Serving) | None => ServiceState::Serving,
         },
         source,
-        allowed: match s.limits {
+        limits: match s.limits {
             Some(limits) => lines.located(limits, |_, l| allowed(l)),
-            None => At {
+            None => Located {
                 value: Allowed::OPEN,
                 origin: lines.file(),
             },
         },
         graphql: s.graphql.map(|g| lines.located(g, |_, g| graphql(g))),
-        tries: Tries {
-            most: s.tries.most,
-            retry_share: s.tries.retry_share,
-            connect: s.tries.connect.0,
-            idle: s.tries.idle.0,
-            retry_after: s.tries.retry_after.0,
+        attempts: AttemptLimits {
+            max: s.tries.most,
+            retry_budget_ratio: s.tries.retry_share,
+            connect_timeout: s.tries.connect.0,
+            idle_timeout: s.tries.idle.0,
+            max_retry_after: s.tries.retry_after.0,
         },
-        cold: Cold {
-            from: s.cold.from,
-            warm_after: s.cold.warm_after.0,
-            factor: s.cold.factor,
-            within: s.cold.within.0,
+        slow_start: SlowStart {
+            initial_capacity: s.cold.from,
+            duration: s.cold.warm_after.0,
+            overload_factor: s.cold.factor,
+            overload_window: s.cold.within.0,
         },
         classes: lines.all(s.class, |_, c| Class {
             name: c.name,
-            repeat: match c.repeat {
-                RepeatText::Safe => Repeat::Safe,
-                RepeatText::Unsafe => Repeat::Unsafe,
+            retry_safety: match c.repeat {
+                RepeatText::Safe => RetrySafety::Idempotent,
+                RepeatText::Unsafe => RetrySafety::AtMostOnce,
             },
-            aim: c.aim.0,
+            latency_objective: c.aim.0,
             deadline: c.deadline.0,
-            worth: c.worth.unwrap_or(1.0),
-            late_value: c.late_value,
+            priority_weight: c.worth.unwrap_or(1.0),
+            late_response_weight: c.late_value,
         }),
-        members: lines.all(s.member, |_, m| Member {
+        tenants: lines.all(s.member, |_, m| Tenant {
             name: m.name,
             quota: m.quota.0,
         }),
@@ -179,8 +179,8 @@
     Registry {
         name: r.name,
         members: r.members.into_iter().map(|m| m.0).collect(),
-        session: time(r.session, 6.0),
-        connect: time(r.connect, 1.0),
+        session_timeout: time(r.session, 6.0),
+        connect_timeout: time(r.connect, 1.0),
         forget_after: time(r.forget_after, 60.0),
         digest_file: r.digest_file,
         entry: r.entry.map(|e| {
@@ -195,12 +195,12 @@
     }
 }
 
-fn followed(lines: &Lines, f: FollowText) -> Followed {
+fn followed(lines: &Lines, f: FollowText) -> RegistrySource {
     let usual = follow::Limits::default();
-    Followed {
+    RegistrySource {
         registry: f.name,
         path: f.path,
-        known: lines.all(f.known, |_, s| server(s)),
+        initial_servers: lines.all(f.known, |_, s| server(s)),
         limits: follow::Limits {
             entries: f.entries.unwrap_or(usual.entries),
             reread: f.reread.map_or(usual.reread, |t| t.0),
@@ -221,7 +221,7 @@
         name: s.name,
         address: s.address.0,
         zone: s.zone,
-        kind: s.kind,
+        machine_type: s.kind,
         weight: s.weight,
         state: match s.state {
             Some(ServerStateText::Draining) => ServerState::Draining,
@@ -241,7 +241,7 @@
         other_query: g.other_query,
         other_mutation: g.other_mutation,
         field_work: g.field_work.map_or(1e-3, |t| t.0),
-        side_by_side: g.side_by_side.unwrap_or(4),
+        max_parallel_reads: g.side_by_side.unwrap_or(4),
         limits: reelfall_graphql::Limits {
             document: bytes(g.document, usual.document),
             tokens: g.tokens.unwrap_or(usual.tokens),
--- a/crates/config/src/reader/fleet.rs
+++ b/crates/config/src/reader/fleet.rs
@@ -82,7 +82,7 @@
         Leases {
             keepers: self.keepers,
             folder: self.folder,
-            length: self.length.map_or(5.0, |t| t.0),
+            duration: self.length.map_or(5.0, |t| t.0),
             drift: self.drift.unwrap_or(0.001),
             calls: self.call.into_iter().map(call).collect(),
         }
--- a/crates/config/src/reader/lines.rs
+++ b/crates/config/src/reader/lines.rs
@@ -1,6 +1,6 @@
 //! Places in a text, told as lines of the file that the text is from.
 
-use crate::model::{At, Origin};
+use crate::model::{Located, Origin};
 use std::sync::Arc;
 use toml::Spanned;
 
@@ -66,9 +66,9 @@
         &self,
         spanned: Spanned<T>,
         as_model: impl FnOnce(&Self, T) -> U,
-    ) -> At<U> {
+    ) -> Located<U> {
         let origin = self.at(spanned.span().start);
-        At {
+        Located {
             value: as_model(self, spanned.into_inner()),
             origin,
         }
@@ -79,7 +79,7 @@
         &self,
         items: Vec<Spanned<T>>,
         as_model: impl Fn(&Self, T) -> U,
-    ) -> Vec<At<U>> {
+    ) -> Vec<Located<U>> {
         items
             .into_iter()
             .map(|item| self.located(item, &as_model))
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -11,14 +11,17 @@
     let model = &plan.model;
     assert_eq!(
         (
-            model.process.descriptors,
-            model.process.memory,
-            model.process.nodes
+            model.process.max_descriptors,
+            model.process.max_memory,
+            model.process.node_count
         ),
         (2048, 256 << 20, 4)
     );
     assert_eq!(
-        (model.process.clients, model.process.server_connections),
+        (
+            model.process.max_clients,
+            model.process.max_connections_per_server
+        ),
         (Some(700), Some(150))
     );
     let fleet = model.fleet.as_ref().unwrap();
@@ -28,7 +31,7 @@
     );
     let leases = fleet.leases.as_ref().unwrap();
     assert_eq!(
-        (leases.keepers.len(), leases.length, leases.drift),
+        (leases.keepers.len(), leases.duration, leases.drift),
         (3, 6.0, 0.001)
     );
     assert_eq!(
@@ -37,33 +40,57 @@
     );
     let registry = &model.registries[0];
     assert_eq!(
-        (registry.session, registry.connect, registry.forget_after),
+        (
+            registry.session_timeout,
+            registry.connect_timeout,
+            registry.forget_after
+        ),
         (8.0, 2.0, 90.0)
     );
     assert!(registry.entry.as_ref().unwrap().guarded);
     let service = &model.services[0];
     let (read, write) = (&service.classes[0], &service.classes[1]);
     assert_eq!(
-        (read.aim, read.deadline, read.worth, read.late_value),
+        (
+            read.latency_objective,
+            read.deadline,
+            read.priority_weight,
+            read.late_response_weight
+        ),
         (0.15, 0.6, 3.0, 0.25)
     );
     assert_eq!(
-        (write.aim, write.deadline, write.worth, write.late_value),
+        (
+            write.latency_objective,
+            write.deadline,
+            write.priority_weight,
+            write.late_response_weight
+        ),
         (0.2, 0.75, 1.0, 0.0)
     );
-    let (tries, cold) = (service.tries, service.cold);
+    let (tries, cold) = (service.attempts, service.slow_start);
     assert_eq!(
-        (tries.most, tries.retry_share, tries.connect, tries.idle),
+        (
+            tries.max,
+            tries.retry_budget_ratio,
+            tries.connect_timeout,
+            tries.idle_timeout
+        ),
         (4, 0.1, 0.3, 20.0)
     );
     assert_eq!(
-        (cold.from, cold.warm_after, cold.factor, cold.within),
+        (
+            cold.initial_capacity,
+            cold.duration,
+            cold.overload_factor,
+            cold.overload_window
+        ),
         (0.4, 12.0, 2.5, 2.0)
     );
     let graphql = service.graphql.as_ref().unwrap();
-    assert_eq!((graphql.field_work, graphql.side_by_side), (0.002, 4));
+    assert_eq!((graphql.field_work, graphql.max_parallel_reads), (0.002, 4));
     assert_eq!(
-        (service.members[0].name.as_str(), service.members[0].quota),
+        (service.tenants[0].name.as_str(), service.tenants[0].quota),
         ("okoli-pay", 50.0)
     );
     let Source::Static(servers) = &service.source else {
--- a/crates/config/tests/sections.rs
+++ b/crates/config/tests/sections.rs
@@ -21,8 +21,8 @@
 fn places(model: &Model) -> Vec<&Origin> {
     let services = model.services.iter().flat_map(|service| {
         let routes = service.routes.iter().map(|route| &route.origin);
-        let members = service.members.iter().map(|member| &member.origin);
-        [&service.origin, &service.allowed.origin]
+        let members = service.tenants.iter().map(|member| &member.origin);
+        [&service.origin, &service.limits.origin]
             .into_iter()
             .chain(routes)
             .chain(members)
--- a/crates/node/src/lease/mod.rs
+++ b/crates/node/src/lease/mod.rs
@@ -111,7 +111,7 @@
         let margins = Margins {
             drift_ppm: (settings.drift * 1e6).ceil() as u32,
         };
-        let length = (settings.length * MICROS_PER_SECOND) as Micros;
+        let length = (settings.duration * MICROS_PER_SECOND) as Micros;
         let (sender, disk_events) = mpsc::unbounded_channel();
         let leases = Rc::new(Leases {
             fleet: fleet.clone(),
--- a/crates/node/src/net/pool/list.rs
+++ b/crates/node/src/net/pool/list.rs
@@ -96,7 +96,7 @@
         let listed = ListedEndpoint {
             name: &server.name,
             zone: server.zone.as_deref(),
-            machine_type: server.kind.as_deref(),
+            machine_type: server.machine_type.as_deref(),
             cell: 0,
             state: server.state,
             weight: server.weight,
--- a/crates/node/src/net/registry.rs
+++ b/crates/node/src/net/registry.rs
@@ -54,8 +54,8 @@
         };
         Ok(RegistryAccess {
             members: registry.members.clone(),
-            timeout: registry.session,
-            connect_within: registry.connect,
+            timeout: registry.session_timeout,
+            connect_within: registry.connect_timeout,
             forget_after: registry.forget_after,
             auth: registry.digest_file.as_deref().map(proof).transpose()?,
         })
--- a/crates/node/src/net/registry/following.rs
+++ b/crates/node/src/net/registry/following.rs
@@ -24,14 +24,14 @@
     pub path: String,
     pub limits: Limits,
     /// Servers that are taken to be there until the registry has been heard.
-    pub known: Vec<model::At<model::Server>>,
+    pub known: Vec<model::Located<model::Server>>,
 }
 
 impl Source for Registry {
     fn follow(self, pool: Rc<Pool>) -> impl Future<Output = ()> + 'static {
         if !self.known.is_empty() {
             // Nobody knows when they started: whoever wrote them down knew them for some time.
-            let entry = |server: &model::At<model::Server>| pool.configured_entry(server, 0.0);
+            let entry = |server: &model::Located<model::Server>| pool.configured_entry(server, 0.0);
             let places = self.known.iter().map(entry).collect();
             pool.members(UpdateKind::Cached, places);
         }
--- a/crates/node/src/net/service.rs
+++ b/crates/node/src/net/service.rs
@@ -160,10 +160,10 @@
                 )
             }
             model::Source::Registry(followed) => {
-                let model::Followed {
+                let model::RegistrySource {
                     path,
                     limits,
-                    known,
+                    initial_servers: known,
                     ..
                 } = followed.clone();
                 let access = access.ok_or("no such registry")?;
@@ -186,7 +186,7 @@
             pool,
             member,
             draining: Cell::new(service.state == model::ServiceState::Draining),
-            retry_after: Cell::new(service.tries.retry_after),
+            retry_after: Cell::new(service.attempts.max_retry_after),
             graphql: RefCell::new(graphql(service, None)?),
             list_updates,
             key: Some(parts.key.clone()),
@@ -234,9 +234,9 @@
             .replace(graphql(service, known).unwrap_or_default());
         self.draining
             .set(service.state == model::ServiceState::Draining);
-        self.retry_after.set(service.tries.retry_after);
+        self.retry_after.set(service.attempts.max_retry_after);
         if let Some(member) = self.member {
-            shared.set_allowed(member, &service.allowed);
+            shared.set_allowed(member, &service.limits);
         }
     }
 }
@@ -253,7 +253,7 @@
         classes: reelfall_config::check::graphql_classes(service, graphql)?,
         limits: graphql.limits,
         field_work: graphql.field_work,
-        side_by_side: graphql.side_by_side,
+        side_by_side: graphql.max_parallel_reads,
         persisted: kept.unwrap_or_default(),
     })))
 }
@@ -363,8 +363,10 @@
         let services = self.start(&prepared)?;
         // Nothing fails from here on.
         let model = &prepared.plan.model;
-        self.shared
-            .set_totals(prepared.plan.totals, model.process.server_connections);
+        self.shared.set_totals(
+            prepared.plan.totals,
+            model.process.max_connections_per_server,
+        );
         for ((service, new), parts) in services.iter().zip(&model.services).zip(&prepared.services)
         {
             service.set_terms(&self.shared, new, &parts.terms);
@@ -400,7 +402,7 @@
             }
             // What is replaced and what replaces it have one place in the books: together they hold no more.
             let member = old.and_then(|old| old.member).or_else(|| {
-                let member = self.shared.add_member(&service.allowed);
+                let member = self.shared.add_member(&service.limits);
                 joined.extend(member);
                 member
             });
--- a/crates/node/src/net/service/prepared.rs
+++ b/crates/node/src/net/service/prepared.rs
@@ -39,10 +39,10 @@
 #[derive(PartialEq)]
 pub struct PoolKey {
     source: SourceKey,
-    tries: model::Tries,
-    cold: model::Cold,
-    classes: Vec<model::At<model::Class>>,
-    members: Vec<model::At<model::Member>>,
+    tries: model::AttemptLimits,
+    cold: model::SlowStart,
+    classes: Vec<model::Located<model::Class>>,
+    members: Vec<model::Located<model::Tenant>>,
     zone: Option<String>,
     nodes: u32,
 }
@@ -51,7 +51,7 @@
 enum SourceKey {
     Static,
     Discovery(SocketAddr),
-    Registry(Box<(Option<model::Registry>, model::Followed)>),
+    Registry(Box<(Option<model::Registry>, model::RegistrySource)>),
 }
 
 /// What can change under a pool, but for its list of servers and the routes to it.
@@ -60,7 +60,7 @@
     state: model::ServiceState,
     retry_after: Time,
     allowed: Allowed,
-    graphql: Option<model::At<model::GraphQl>>,
+    graphql: Option<model::Located<model::GraphQl>>,
 }
 
 /// A server of a list that somebody wrote, and since when it has been taking requests: 0 for long ago.
@@ -85,7 +85,7 @@
         let since = since(&plan.model, before.map(|before| &before.since), now);
         let old = before.map(Prepared::by_name).unwrap_or_default();
         let model = &plan.model;
-        let parts = |service: &model::At<model::Service>| {
+        let parts = |service: &model::Located<model::Service>| {
             let old = old.get(service.name.as_str()).copied();
             Parts::of(model, service, &since, old)
         };
@@ -144,12 +144,12 @@
         let process = &model.process;
         PoolKey {
             source: SourceKey::of(model, &service.source),
-            tries: service.tries,
-            cold: service.cold,
+            tries: service.attempts,
+            cold: service.slow_start,
             classes: service.classes.clone(),
-            members: service.members.clone(),
+            members: service.tenants.clone(),
             zone: process.zone.clone(),
-            nodes: process.nodes,
+            nodes: process.node_count,
         }
     }
 }
@@ -181,8 +181,8 @@
     fn of(service: &model::Service) -> Self {
         Terms {
             state: service.state,
-            retry_after: service.tries.retry_after,
-            allowed: service.allowed.value,
+            retry_after: service.attempts.max_retry_after,
+            allowed: service.limits.value,
             graphql: service.graphql.clone(),
         }
     }
@@ -216,7 +216,7 @@
     up.map(|s| (s.address, since(&s.address))).collect()
 }
 
-fn listed_servers(list: &[model::At<model::Server>], since: &Since) -> Vec<ListedServer> {
+fn listed_servers(list: &[model::Located<model::Server>], since: &Since) -> Vec<ListedServer> {
     let since = |s: &model::Server| since.get(&s.address).copied().unwrap_or(0.0);
     list.iter()
         .map(|s| ListedServer {
--- a/crates/node/src/standalone.rs
+++ b/crates/node/src/standalone.rs
@@ -77,7 +77,7 @@
     let mut hangup = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
     // Two starts must not share their choices.
     let seed = RandomState::new().hash_one(std::process::id());
-    let shared = Shared::parted(plan.totals, plan.model.process.server_connections);
+    let shared = Shared::parted(plan.totals, plan.model.process.max_connections_per_server);
     let reader = Reader::start(path.to_owned(), shared.clock).map_err(|e| e.to_string())?;
     let freeing = reader.clone();
     let services = Services::new(
--- a/crates/testbed/examples/state_size.rs
+++ b/crates/testbed/examples/state_size.rs
@@ -15,7 +15,7 @@
 use reelfall_cluster::freshness::ClockEcho;
 use reelfall_cluster::node::{Incarnation, Node};
 use reelfall_cluster::wire::{AppMessage, Header, MemberState, MemberUpdate, Secret, Writer};
-use reelfall_config::model::{At, Member, Model, Route};
+use reelfall_config::model::{Located, Model, Route, Tenant};
 use reelfall_config::{check, reader, Plan};
 use reelfall_lease::keeper::{self, Keeper};
 use reelfall_lease::message::{
@@ -180,7 +180,7 @@
     let route = |n: usize| {
         let host = Host::Exact(format!("service-{}.example.org", n / 28).into());
         let path = format!("/v1/resource-{n}").into();
-        At {
+        Located {
             value: Route {
                 host,
                 path,
@@ -200,21 +200,21 @@
 fn tenants(size: usize) -> Result<Figures> {
     let mut model = model()?;
     let service = model.services.first_mut().ok_or("no service")?;
-    let first = service.value.members.first().cloned().ok_or("no tenant")?;
+    let first = service.value.tenants.first().cloned().ok_or("no tenant")?;
     let before = resident("self")?;
-    let member = |n: usize| At {
-        value: Member {
+    let member = |n: usize| Located {
+        value: Tenant {
             name: format!("tenant-{n:07}"),
             ..first.value.clone()
         },
         origin: first.origin.clone(),
     };
-    service.value.members = (0..size).map(member).collect();
+    service.value.tenants = (0..size).map(member).collect();
     let plan: Plan = check(model)?;
     let service = plan.model.services.first().ok_or("no service")?;
     let made = plan.settings(service);
     // What a pool is compared by, and the levels in its decision module.
-    let key = service.members.clone();
+    let key = service.tenants.clone();
     let levels = vec![(f64::NAN, 0.0); size];
     let after = resident("self")?;
     black_box((&made, &key, &levels));
--- a/crates/testbed/tests/settings_file.rs
+++ b/crates/testbed/tests/settings_file.rs
@@ -21,7 +21,7 @@
         Source::Static(servers) => servers.len(),
         Source::Discovery(_) | Source::Registry(_) => 0,
     });
-    let members = services.iter().map(|service| service.members.len());
+    let members = services.iter().map(|service| service.tenants.len());
     [
         services.len(),
         servers.sum(),
@@ -42,18 +42,18 @@
     };
     let plan = plan(&size);
     assert_eq!(counts(&plan), [130, 2_500, 3_700, 28_000]);
-    assert_eq!(plan.model.process.nodes, 6_000);
+    assert_eq!(plan.model.process.node_count, 6_000);
     let most = plan
         .model
         .services
         .iter()
-        .map(|service| service.members.len())
+        .map(|service| service.tenants.len())
         .max();
     let least = plan
         .model
         .services
         .iter()
-        .map(|service| service.members.len())
+        .map(|service| service.tenants.len())
         .min();
     assert_eq!((least, most), (Some(215), Some(216)), "not spread evenly");
 }
