--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -7,8 +7,8 @@
     let input = BufReader::with_capacity(1 << 16, io::stdin().lock());
     match reelfall_simulator_adapter::serve(input, BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("reelfall-simulator-adapter: {fault}");
+        Err(error) => {
+            eprintln!("reelfall-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/simulator-adapter/tests/golden.rs
+++ b/crates/simulator-adapter/tests/golden.rs
@@ -7,6 +7,7 @@
 fn lines_are_answered_as_they_were() {
     let mut output = Vec::new();
     let end = serve(include_str!("golden/input.txt").as_bytes(), &mut output);
+    let end = end.map_err(|error| error.to_string());
     assert_eq!(end, Ok(()));
     assert_eq!(
         String::from_utf8(output).unwrap(),
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -6,7 +6,7 @@
 
 fn run(input: &str) -> (Result<(), String>, Vec<String>) {
     let mut out = Vec::new();
-    let end = serve(input.as_bytes(), &mut out);
+    let end = serve(input.as_bytes(), &mut out).map_err(|error| error.to_string());
     (
         end,
         String::from_utf8(out)
