--- a/crates/balancer/src/floored.rs
+++ b/crates/balancer/src/floored.rs
@@ -17,7 +17,7 @@
 const ROUNDING: f64 = 1e-12;
 
 /// Past this scale, or under its inverse, the raw values are computed anew, or they would lose precision.
-const SCALE_MOST: f64 = 1e6;
+const MAX_SCALE: f64 = 1e6;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
@@ -218,7 +218,7 @@
             return self.rebuild(vec![1.0 / self.len() as f64; self.len()]);
         }
         self.scale = above / now;
-        if !(1.0 / SCALE_MOST..=SCALE_MOST).contains(&self.scale) {
+        if !(1.0 / MAX_SCALE..=MAX_SCALE).contains(&self.scale) {
             self.rebuild(self.values());
         }
     }
