--- a/crates/testbed/examples/capacity.rs
+++ b/crates/capacity/examples/capacity.rs
@@ -1,8 +1,8 @@
 //! Writes the tables of docs/CAPACITY.md and docs/measurements/scale.md from their inputs, or says which are not what the
 //! inputs make of them.
-//! `cargo run -p reelfall-testbed --example capacity -- --write`, or `--check`, from the root of the repository.
+//! `cargo run -p reelfall-capacity --example capacity -- --write`, or `--check`, from the root of the repository.
 
-use reelfall_testbed::capacity::{page, pages, Page};
+use reelfall_capacity::budget::{page, pages, Page};
 use std::path::Path;
 use std::process::ExitCode;
 
--- a/crates/testbed/examples/settings_file.rs
+++ b/crates/capacity/examples/settings_file.rs
@@ -1,7 +1,7 @@
 //! Prints a settings file of any size: `settings_file SERVICES SERVERS ROUTES TENANTS`.
 
-use reelfall_testbed::scale::report::Size;
-use reelfall_testbed::scale::settings::settings_file;
+use reelfall_capacity::scale::report::Size;
+use reelfall_capacity::scale::settings::settings_file;
 use std::io::Write;
 use std::process::ExitCode;
 
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/capacity/src/budget/mod.rs
@@ -13,7 +13,7 @@
 //! | [`scale_page`] | the tables of the page of scale runs |
 //! | [`table`] | rows, units and verdicts as Markdown |
 //!
-//! `docs/CAPACITY.md` and `docs/measurements/scale.md` are made of these; `cargo run -p reelfall-testbed --example capacity --
+//! `docs/CAPACITY.md` and `docs/measurements/scale.md` are made of these; `cargo run -p reelfall-capacity --example capacity --
 //! --write` writes their tables.
 
 pub mod inputs;
--- a/crates/testbed/src/scale/command.rs
+++ b/crates/capacity/src/scale/command.rs
@@ -4,8 +4,8 @@
 use super::limits::{Deadline, RUN_MOST};
 use super::report::Size;
 use super::{fleet, lines, machine, plot, single, smoke, sweep};
-use crate::scripted::Program;
-use crate::Result;
+use reelfall_testbed::scripted::Program;
+use reelfall_testbed::Result;
 use std::path::PathBuf;
 use std::time::Duration;
 
--- a/crates/testbed/src/scale/computation.rs
+++ b/crates/capacity/src/scale/computation.rs
@@ -8,11 +8,11 @@
 use super::machine;
 use super::report::{PerNode, Run, Size, Source};
 use super::settings::settings_file;
-use crate::node::Folder;
-use crate::Result;
 use reelfall_balancer::interface::{Action, Endpoint, Event, ServerState, UpdateKind};
 use reelfall_balancer::settings::{ListedEndpoint, NameRegistry};
 use reelfall_balancer::Balancer;
+use reelfall_testbed::node::Folder;
+use reelfall_testbed::Result;
 use serde::{Deserialize, Serialize};
 use std::ffi::OsStr;
 use std::path::Path;
--- a/crates/testbed/src/scale/counters.rs
+++ b/crates/capacity/src/scale/counters.rs
@@ -123,7 +123,7 @@
     ///
     /// # Errors
     /// If the thread can't be started.
-    pub fn start() -> crate::Result<Sampler> {
+    pub fn start() -> reelfall_testbed::Result<Sampler> {
         let secret = hollow::secret()?;
         let (to, from): (SyncSender<Vec<u8>>, Receiver<Vec<u8>>) = sync_channel(SAMPLES_WAITING);
         let sample = Arc::new(Mutex::new(Sample::default()));
--- a/crates/testbed/src/scale/faults.rs
+++ b/crates/capacity/src/scale/faults.rs
@@ -6,7 +6,7 @@
 use super::report::Size;
 use super::shared::{Doing, REGION_ZONES, ZONES};
 use super::window::{measure, until_gathered, Measured, Rates};
-use crate::Result;
+use reelfall_testbed::Result;
 use std::time::Duration;
 
 /// How long each moment is looked at, in seconds.
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/capacity/src/scale/hollow.rs
@@ -4,12 +4,12 @@
 //! in datagrams, ticks, judges servers and tells what it has seen of them. There are no clients and no pools; what
 //! attempts at failing servers would have shown is drawn.
 
-use crate::Draw;
 use reelfall_cluster::entry::{Key, ServerInstance};
 use reelfall_cluster::fleet::{Config, Fleet, FleetEvent};
 use reelfall_cluster::members::MembershipConfig;
 use reelfall_cluster::observer::AttemptOutcome;
 use reelfall_cluster::wire::{self, AppMessage, Secret, Writer};
+use reelfall_testbed::Draw;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
--- a/crates/testbed/src/scale/lines.rs
+++ b/crates/capacity/src/scale/lines.rs
@@ -3,7 +3,7 @@
 use super::fit;
 use super::report::{Axis, Report, Run, Slope, SCHEMA};
 use super::sweep::{Figure, NETWORK_FIGURES};
-use crate::Result;
+use reelfall_testbed::Result;
 use std::path::Path;
 
 /// All axes.
--- a/crates/testbed/src/scale/lists.rs
+++ b/crates/capacity/src/scale/lists.rs
@@ -1,6 +1,6 @@
 //! A stand-in for the services that tell nodes their servers: whole lists, and changes at the rate of restarts.
 //!
-//! Its lines are those of [`crate::discovery`]. They reach hollow nodes over a channel of the process in place of a
+//! Its lines are those of [`reelfall_testbed::discovery`]. They reach hollow nodes over a channel of the process in place of a
 //! connection each, so that a thousand nodes need no thousand connections more; every node reads every line by itself.
 
 use super::hollow::Failing;
--- a/crates/testbed/src/scale/machine.rs
+++ b/crates/capacity/src/scale/machine.rs
@@ -1,8 +1,8 @@
 //! What the system tells of the machine and of processor time and memory.
 
 use super::limits::Machine;
-use crate::Result;
 use nix::time::{clock_gettime, ClockId};
+use reelfall_testbed::Result;
 use std::time::Duration;
 
 /// Reads what this machine allows this process.
--- a/crates/testbed/src/scale/network.rs
+++ b/crates/capacity/src/scale/network.rs
@@ -4,7 +4,7 @@
 use super::lists::Lists;
 use super::shared::{Doing, Forces, Place, Shared, ZONES};
 use super::{drive, machine};
-use crate::{Draw, Result};
+use reelfall_testbed::{Draw, Result};
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, PoisonError};
--- a/crates/testbed/src/scale/plot.rs
+++ b/crates/capacity/src/scale/plot.rs
@@ -2,8 +2,8 @@
 
 use super::fit::range;
 use super::report::Slope;
-use crate::Result;
 use plotters::prelude::*;
+use reelfall_testbed::Result;
 use std::path::Path;
 
 /// Width and height of a plot.
--- a/crates/testbed/src/scale/real.rs
+++ b/crates/capacity/src/scale/real.rs
@@ -6,13 +6,13 @@
 use super::network::Network;
 use super::report::{PerNode, RequestTimes, Run, Size, Source, Times};
 use super::shared::{zone_name, ZONES};
-use crate::discovery::{Discovery, Listed};
-use crate::load::{self, Kind};
-use crate::node::{cpu_seconds, memory_kib, Folder, Node};
-use crate::pool::{Manner, Server};
-use crate::scripted::Program;
-use crate::{Result, Task};
 use hdrhistogram::Histogram;
+use reelfall_testbed::discovery::{Discovery, Listed};
+use reelfall_testbed::load::{self, Kind};
+use reelfall_testbed::node::{cpu_seconds, memory_kib, Folder, Node};
+use reelfall_testbed::pool::{Manner, Server};
+use reelfall_testbed::scripted::Program;
+use reelfall_testbed::{Result, Task};
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -44,7 +44,7 @@
     /// Keeps a node, and reads what it says so that it never waits for that.
     fn keep(mut node: Node) -> Running {
         let (address, pid) = (node.address(), node.pid());
-        let task = crate::task(async move {
+        let task = reelfall_testbed::task(async move {
             while node.line().await.is_some() {}
             // Waited for, so that no process is left behind.
             let _ = node.ended().await;
--- a/crates/testbed/src/scale/record.rs
+++ b/crates/capacity/src/scale/record.rs
@@ -2,7 +2,7 @@
 
 use super::machine;
 use super::report::{Axis, Report, Run, Slope, Source, Times, Traffic, SCHEMA};
-use crate::Result;
+use reelfall_testbed::Result;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 use std::process::Command;
--- a/crates/testbed/src/scale/shared.rs
+++ b/crates/capacity/src/scale/shared.rs
@@ -3,7 +3,7 @@
 use super::counters::{Counters, Sampler};
 use super::hollow::Setup;
 use super::lists::{Line, Lists};
-use crate::Result;
+use reelfall_testbed::Result;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, AtomicU8, Ordering};
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
--- a/crates/testbed/src/scale/smoke.rs
+++ b/crates/capacity/src/scale/smoke.rs
@@ -5,8 +5,8 @@
 use super::record::Record;
 use super::report::{Axis, PerNode, Run, Size, Source, Traffic};
 use super::window::times;
-use crate::Result;
 use reelfall_emulator::together::{rules, World};
+use reelfall_testbed::Result;
 use serde_json::Value;
 use std::collections::BTreeSet;
 
--- a/crates/testbed/src/scale/sweep.rs
+++ b/crates/capacity/src/scale/sweep.rs
@@ -6,7 +6,7 @@
 use super::report::{Axis, Run, Size, Traffic};
 use super::window::Rates;
 use super::{fit, fleet, machine};
-use crate::Result;
+use reelfall_testbed::Result;
 use std::path::PathBuf;
 
 /// What stays as it is while another axis is swept.
--- a/crates/testbed/src/scale/window.rs
+++ b/crates/capacity/src/scale/window.rs
@@ -4,7 +4,7 @@
 use super::lists::FAILING;
 use super::network::Network;
 use super::report::{Run, Size, Source, Times};
-use crate::{Draw, Result};
+use reelfall_testbed::{Draw, Result};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -1,14 +1,14 @@
 //! docs/CAPACITY.md says what its inputs make of it, names every bound of the program, and its formulas are right.
 
-use reelfall_testbed::capacity::inputs::{self, Input, Inputs, Measured, SCHEMA};
-use reelfall_testbed::capacity::kind::Kind;
-use reelfall_testbed::capacity::model::{self, bound, Costs};
-use reelfall_testbed::capacity::table::{amount, plain, Row, Unit, Verdict};
-use reelfall_testbed::capacity::{
+use reelfall_capacity::budget::inputs::{self, Input, Inputs, Measured, SCHEMA};
+use reelfall_capacity::budget::kind::Kind;
+use reelfall_capacity::budget::model::{self, bound, Costs};
+use reelfall_capacity::budget::table::{amount, plain, Row, Unit, Verdict};
+use reelfall_capacity::budget::{
     moments, page, pages, ranking, scale_page, tables, Fault, Page, INPUTS, PAGE,
 };
-use reelfall_testbed::scale::record::{Busy, Gathered, Product, Record};
-use reelfall_testbed::scale::report::{
+use reelfall_capacity::scale::record::{Busy, Gathered, Product, Record};
+use reelfall_capacity::scale::report::{
     self, Axis, Bend, PerNode, Projection, Report, Run, Size, Slope, Source, Times, Traffic,
 };
 use std::collections::BTreeMap;
@@ -38,7 +38,7 @@
     let stale = page::stale(&the_page(), &tables).unwrap();
     assert!(
         stale.is_empty(),
-        "{stale:?}: cargo run -p reelfall-testbed --example capacity -- --write"
+        "{stale:?}: cargo run -p reelfall-capacity --example capacity -- --write"
     );
 }
 
@@ -49,7 +49,7 @@
         let stale = page::stale(&held, &tables).unwrap();
         assert!(
             stale.is_empty(),
-            "{name}, {stale:?}: cargo run -p reelfall-testbed --example capacity -- --write"
+            "{name}, {stale:?}: cargo run -p reelfall-capacity --example capacity -- --write"
         );
         let markers: Vec<&str> = held
             .lines()
--- a/crates/testbed/tests/mechanism.rs
+++ b/crates/capacity/tests/mechanism.rs
@@ -1,8 +1,8 @@
 //! The table of the mechanism for changes of settings: its verdicts follow from the budgets.
 
-use reelfall_testbed::capacity::mechanism::{excesses, Excess, Plays, BURST, HELD, PLAYS};
-use reelfall_testbed::capacity::{page, tables, PAGE};
-use reelfall_testbed::scale::report::{
+use reelfall_capacity::budget::mechanism::{excesses, Excess, Plays, BURST, HELD, PLAYS};
+use reelfall_capacity::budget::{page, tables, PAGE};
+use reelfall_capacity::scale::report::{
     Ages, Control, JudgedBy, PerNode, Played, Report, Run, Size, Source, Times, Traffic, SCHEMA,
 };
 use std::path::{Path, PathBuf};
--- a/crates/testbed/tests/scale.rs
+++ b/crates/capacity/tests/scale.rs
@@ -1,23 +1,23 @@
 //! Scale runs: their report, their bounds, and small runs of each part.
 
-use reelfall_testbed::scale::computation::{self, Computation};
-use reelfall_testbed::scale::counters::{per_node, Counters, Meter, Sample, Totals};
-use reelfall_testbed::scale::drive::ages;
-use reelfall_testbed::scale::hollow::{self, Hollow, Parts, Setup, KINDS};
-use reelfall_testbed::scale::limits::{
+use reelfall_capacity::scale::computation::{self, Computation};
+use reelfall_capacity::scale::counters::{per_node, Counters, Meter, Sample, Totals};
+use reelfall_capacity::scale::drive::ages;
+use reelfall_capacity::scale::hollow::{self, Hollow, Parts, Setup, KINDS};
+use reelfall_capacity::scale::limits::{
     memory_of, Deadline, Machine, TooLarge, FILES_RESERVED, RUN_MOST,
 };
-use reelfall_testbed::scale::lists::{server_name, Lists, Read, FAILING};
-use reelfall_testbed::scale::network::Network;
-use reelfall_testbed::scale::record::{Added, Busy, Gathered, ListsInForce, Product, Record};
-use reelfall_testbed::scale::report::{
+use reelfall_capacity::scale::lists::{server_name, Lists, Read, FAILING};
+use reelfall_capacity::scale::network::Network;
+use reelfall_capacity::scale::record::{Added, Busy, Gathered, ListsInForce, Product, Record};
+use reelfall_capacity::scale::report::{
     Axis, Bend, PerNode, Projection, Report, RequestTimes, Run, Size, Slope, Source, Times, Traffic,
 };
-use reelfall_testbed::scale::shared::{Doing, ZONES};
-use reelfall_testbed::scale::window::{
+use reelfall_capacity::scale::shared::{Doing, ZONES};
+use reelfall_capacity::scale::window::{
     measure, moments, schedule, times, until_gathered, Event, Rates, DAY,
 };
-use reelfall_testbed::scale::{fleet, machine, smoke, sweep};
+use reelfall_capacity::scale::{fleet, machine, smoke, sweep};
 use reelfall_testbed::scripted::Program;
 use reelfall_testbed::Draw;
 use std::collections::BTreeMap;
@@ -31,7 +31,7 @@
 /// No wait in these tests is longer; a passing one needs a small part of it.
 const PATIENCE: Duration = Duration::from_secs(60);
 
-const RIG: &str = env!("CARGO_BIN_EXE_reelfall-testbed");
+const RIG: &str = env!("CARGO_BIN_EXE_reelfall-capacity");
 
 const SIZE: Size = Size {
     nodes: 12,
@@ -1057,7 +1057,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn real_nodes_join_the_hollow_ones_and_serve() {
-    use reelfall_testbed::scale::real::{request_times, RealNodes};
+    use reelfall_capacity::scale::real::{request_times, RealNodes};
     let network = network(ZONES);
     let program = Program::in_testbed(RIG);
     let real = RealNodes::start(&program, 1, &network, SIZE.servers)
--- a/crates/testbed/tests/scale_fit.rs
+++ b/crates/capacity/tests/scale_fit.rs
@@ -1,9 +1,9 @@
 //! The statistics of scale runs on data whose answers are known.
 
-use reelfall_testbed::scale::fit::{bend, least_squares, projection, residuals, slope, t_bound};
-use reelfall_testbed::scale::record::slope_text;
-use reelfall_testbed::scale::report::{Axis, Run, Size, Slope, Source};
-use reelfall_testbed::scale::{lines, plot, report::PerNode, report::Traffic, sweep};
+use reelfall_capacity::scale::fit::{bend, least_squares, projection, residuals, slope, t_bound};
+use reelfall_capacity::scale::record::slope_text;
+use reelfall_capacity::scale::report::{Axis, Run, Size, Slope, Source};
+use reelfall_capacity::scale::{lines, plot, report::PerNode, report::Traffic, sweep};
 
 /// The first two of Anscombe's data sets ("Graphs in Statistical Analysis", 1973): one line, and in the second a curve.
 const X: [f64; 11] = [10.0, 8.0, 13.0, 9.0, 11.0, 14.0, 6.0, 4.0, 12.0, 7.0, 5.0];
--- a/crates/testbed/tests/settings_file.rs
+++ b/crates/capacity/tests/settings_file.rs
@@ -1,9 +1,9 @@
 //! Settings files that are written for measurements are valid and as large as they are asked to be.
 
+use reelfall_capacity::scale::report::Size;
+use reelfall_capacity::scale::settings::settings_file;
 use reelfall_config::model::Source;
 use reelfall_config::{check, reader, Plan};
-use reelfall_testbed::scale::report::Size;
-use reelfall_testbed::scale::settings::settings_file;
 
 /// The whole size, scaled down.
 const SCALE: usize = 20;
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -14,11 +14,8 @@
 //! | [`scenario`] | promises, kept or broken under load and faults |
 //! | [`demo`] | a node with its stand-ins, to be tried by hand |
 //! | [`measure`] | what the node costs |
-//! | [`capacity`] | what each part needs at a size, beside what it may spend |
-//! | [`scale`] | what the control side of a fleet costs as sizes grow |
 //! | [`scripted`] | peers of which each byte is told, in blocking code |
 
-pub mod capacity;
 pub mod client;
 pub mod demo;
 pub mod discovery;
@@ -33,7 +30,6 @@
 pub mod ports;
 pub mod registry;
 pub mod relay;
-pub mod scale;
 pub mod scenario;
 pub mod scripted;
 
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -8,7 +8,6 @@
 use reelfall_testbed::load::{self, Kind};
 use reelfall_testbed::pool::{Manner, Pool};
 use reelfall_testbed::registry::{self, Registry};
-use reelfall_testbed::scale;
 use reelfall_testbed::scenario::{self, graphql, membership, services, Report};
 use reelfall_testbed::scripted::Program;
 use reelfall_testbed::{demo, measure, relay, until_ended, Result};
@@ -128,8 +127,6 @@
         /// `services`, `graphql` or `membership`
         name: String,
     },
-    /// What the control side of a fleet costs each node: one run at one size, or sweeps
-    Scale(Box<scale::command::Args>),
     /// Measures what the node costs; the figures are the last line
     Measure {
         /// `services`, `graphql`, `membership` or `fleet`
@@ -411,7 +408,6 @@
             return Ok(report.pass());
         }
         Command::Fleet(args) => return fleet_of(&program, &args).await,
-        Command::Scale(args) => return scale::command::run(&program, &args).await,
         Command::Demo { name } => match name.as_str() {
             "services" => demo::services(&program).await?,
             "graphql" => demo::graphql(&program).await?,
