--- a/crates/emulator/examples/trials.rs
+++ b/crates/emulator/examples/trials.rs
@@ -37,7 +37,7 @@
 
 /// The whole and its worst ten seconds, less what connections cost.
 fn figure(r: &Report) -> f64 {
-    0.65 * r.whole() + 0.35 * r.worst(10) - 0.05 * r.handshakes()
+    0.65 * r.earned_share() + 0.35 * r.worst_earned_share(10) - 0.05 * r.connections_per_request()
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -130,30 +130,30 @@
     let mean = |of: &dyn Fn(&Report) -> f64| {
         reports.iter().map(|r| of(r)).sum::<f64>() / reports.len().max(1) as f64
     };
-    let first = |r: &Report| f64::from(r.sum(|s| s.first).max(1));
+    let first = |r: &Report| f64::from(r.sum(|s| s.requests).max(1));
     let part = |of: fn(&reelfall_emulator::report::Second) -> u32| {
         mean(&|r: &Report| 100.0 * f64::from(r.sum(of)) / first(r))
     };
     println!(
         "{name:<7} {:.4} {:.4}  {:.4} {:>5.1}    {:>5.1}   {:>5.1} {:>5.1}    {:.3} {:.3}     {:>5.2}  {:.2}   {:.2} {:>6}   {}",
         mean(&figure),
-        mean(&Report::whole),
-        mean(&|r| r.worst(10)),
+        mean(&Report::earned_share),
+        mean(&|r| r.worst_earned_share(10)),
         part(|s| s.late),
-        part(|s| s.refused),
+        part(|s| s.rejected),
         part(|s| s.failed),
-        part(|s| s.shed),
-        mean(&Report::repeats),
-        mean(&Report::handshakes),
-        part(|s| s.to_dead),
-        part(|s| s.tries) / 100.0,
-        reports.iter().map(|r| r.rules.pushed).fold(0.0, f64::max),
-        reports.iter().map(|r| r.rules.breaches.len()).sum::<usize>(),
+        part(|s| s.rejected_by_servers),
+        mean(&Report::retries_per_request),
+        mean(&Report::connections_per_request),
+        part(|s| s.to_unresponsive),
+        part(|s| s.client_attempts) / 100.0,
+        reports.iter().map(|r| r.violations.max_slow_start_load).fold(0.0, f64::max),
+        reports.iter().map(|r| r.violations.list.len()).sum::<usize>(),
         if changes.is_empty() { String::new() } else { change(changes) },
     );
     reports
         .iter()
-        .flat_map(|r| r.rules.breaches.first())
+        .flat_map(|r| r.violations.list.first())
         .for_each(|b| println!("    {b}"));
 }
 
@@ -161,8 +161,8 @@
     for (n, s) in r.seconds.iter().enumerate() {
         println!(
             "{name} {seed} {n:>3} s: first {:>5} tries {:>5} sends {:>5} repeats {:>4} earned {:.2} late {:>4} refused {:>5} failed {:>4} shed {:>4} expired {:>4} dials {:>4} dead {:>4}",
-            s.first, s.tries, s.sends, s.repeats, s.earned / s.asked.max(1e-9), s.late, s.refused, s.failed, s.shed,
-            s.expired, s.dials, s.to_dead
+            s.requests, s.client_attempts, s.attempts, s.retries, s.earned_weight / s.offered_weight.max(1e-9), s.late, s.rejected, s.failed, s.rejected_by_servers,
+            s.timed_out, s.connections, s.to_unresponsive
         );
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,8 +1,8 @@
 //! A fleet in virtual time: many nodes with the decision module that real nodes have, over modelled clients, servers,
 //! connections and a list of servers that comes late. One clock, one seed, no I/O: the same run each time.
 //!
-//! [`plan`] says what there is and what happens; [`world`] plays it; [`rules`] watches the four rules on the way;
-//! [`report`] tells what came of it. [`scenario`] holds the plans that the project measures itself by, [`trials`] those
+//! [`plan`] says what there is and what happens; [`world`] plays it; [`violations`] records broken rules;
+//! [`report`] is the result. [`scenario`] holds the plans that the project measures itself by, [`trials`] those
 //! drawn from seeds at the size of the whole fleet; [`together`] plays nodes that know each other, [`control`] the control
 //! side of thousands of nodes. The servers are models and no measurements of real machines.
 
@@ -12,12 +12,13 @@
 pub mod plan;
 pub mod queue;
 pub mod report;
-pub mod rules;
+
 pub mod scenario;
 pub mod server;
 pub mod streams;
 pub mod together;
 pub mod trials;
+pub mod violations;
 pub mod world;
 
 pub use plan::Plan;
--- a/crates/emulator/src/plan.rs
+++ b/crates/emulator/src/plan.rs
@@ -1,138 +1,285 @@
-//! What there is in a run, and what happens.
+//! What a run consists of: nodes, servers, clients, and the disturbances at their times.
 
 use reelfall_balancer::interface::{Idempotency, Time};
+use std::ops::RangeInclusive;
 
 /// A class of requests.
 #[derive(Clone, Debug)]
-pub struct Class {
-    /// Part of the requests.
-    pub share: f64,
+pub struct RequestClass {
+    /// Share of the requests.
+    pub request_share: f64,
     /// Mean work, in seconds on a standard core.
-    pub work: f64,
-    /// Answers within this time earn the worth.
-    pub aim: Time,
-    /// The client's whole patience.
+    pub mean_work: f64,
+    /// The latency objective, in seconds: a response within it earns the full priority weight.
+    pub latency_objective: Time,
+    /// How long a client waits in total, in seconds.
     pub deadline: Time,
-    /// Worth of a unit of work.
-    pub worth: f64,
+    /// Priority weight of a unit of work.
+    pub priority_weight: f64,
     /// What a second run would do.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
 }
 
-/// A kind of machines.
+/// A type of machines.
 #[derive(Clone, Debug)]
-pub struct Kind {
-    /// Part of the servers.
-    pub share: f64,
-    /// What the list says of its size.
-    pub weight: f64,
-    /// Work a second of a warm one, from and to.
-    pub speed: (f64, f64),
+pub struct MachineType {
+    /// Share of the servers.
+    pub server_share: f64,
+    /// The weight that the list states.
+    pub listed_weight: f64,
+    /// Work per second of a warm server: of the slowest and the fastest one.
+    pub speed: RangeInclusive<f64>,
 }
 
-/// How a server serves.
+/// How a server behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
+pub enum ServerBehavior {
     /// As it should.
-    Sound,
-    /// So many times slower.
+    Healthy,
+    /// Slower by this factor.
     Slow(f64),
-    /// It stands still every so often for so long.
-    Pausing(f64, f64),
-    /// It takes requests and says nothing.
-    Silent,
-    /// It answers at once that it failed.
+    /// It stops regularly.
+    Pausing {
+        /// Time from the start of one pause to that of the next, in seconds.
+        interval: Time,
+        /// Duration of a pause, in seconds.
+        duration: Time,
+    },
+    /// It accepts requests and sends no response.
+    Unresponsive,
+    /// It responds at once with an error.
     Failing,
 }
 
-/// Something that happens.
+/// Something that disturbs a run. Shares are of all nodes or servers; times are in seconds.
 #[derive(Clone, Debug)]
-pub enum Happening {
-    /// This part of the nodes dies at once; they start again after so long, knowing the list that they had.
-    NodesDie(f64, Time),
-    /// All nodes and servers of a zone vanish without a word and come back after so long, the servers cold.
-    ZoneLost(u16, Time),
-    /// This part of the servers drains and ends; as many cold ones under new names are there so much later.
-    Replace(f64, Time),
-    /// This part of the servers ends without a drain.
-    Vanish(f64),
-    /// Of this part of the servers, the list says so many times that they drain and that they don't.
-    Flap(f64, u32),
-    /// This part of the servers serves in this manner from now on, for so long.
-    Trouble(f64, Manner, Time),
-    /// The list tells nobody anything for so long.
-    ListDown(Time),
-    /// This part of the nodes gets no requests for so long.
-    Shunned(f64, Time),
-    /// All nodes are restarted in so many steps, so far apart: each answers what it has, ends, and is back so much later.
-    Restarts(u32, Time, Time),
-    /// Nothing passes between a zone and the others for so long; clients still reach the nodes of both.
-    Cut(u16, Time),
-    /// This part of the answers gets lost with its connection for so long.
-    Losing(f64, Time),
-    /// So many times the usual requests come for so long.
-    Surge(f64, Time),
-    /// This part of the clients is in the first zone from now on.
-    Shift(f64),
-    /// All servers work so many times slower for so long: what they share is slow.
-    AllSlow(f64, Time),
+pub enum Disturbance {
+    /// Nodes are killed at once; they start again with the list that they had.
+    KillNodes {
+        /// Share of the nodes.
+        share: f64,
+        /// For how long they are down.
+        down_for: Time,
+    },
+    /// All nodes and servers of a zone vanish and come back, the servers in slow start.
+    LoseZone {
+        /// The zone.
+        zone: u16,
+        /// For how long it is lost.
+        down_for: Time,
+    },
+    /// Servers drain and end; as many new ones start under new names.
+    ReplaceServers {
+        /// Share of the servers.
+        share: f64,
+        /// When the new ones start.
+        after: Time,
+    },
+    /// Servers end without draining.
+    EndServers {
+        /// Share of the servers.
+        share: f64,
+    },
+    /// The list repeatedly says of servers that they drain, and that they don't.
+    FlapEntries {
+        /// Share of the servers.
+        share: f64,
+        /// How often.
+        times: u32,
+    },
+    /// Servers misbehave.
+    ServerFault {
+        /// Share of the servers.
+        share: f64,
+        /// How they behave.
+        behavior: ServerBehavior,
+        /// For how long.
+        lasts: Time,
+    },
+    /// The endpoint list reports no changes.
+    DiscoveryOutage {
+        /// For how long.
+        lasts: Time,
+    },
+    /// Nodes get no requests.
+    IdleNodes {
+        /// Share of the nodes.
+        share: f64,
+        /// For how long.
+        lasts: Time,
+    },
+    /// All nodes are restarted: each completes its requests, ends, and starts again.
+    RollingRestart {
+        /// Number of steps.
+        steps: u32,
+        /// Time between two steps.
+        interval: Time,
+        /// For how long a node is down.
+        down_for: Time,
+    },
+    /// Nothing passes between a zone and the others; clients still reach the nodes of both.
+    Partition {
+        /// The zone.
+        zone: u16,
+        /// For how long.
+        lasts: Time,
+    },
+    /// Responses are lost with their connections.
+    LostResponses {
+        /// Share of the responses.
+        share: f64,
+        /// For how long.
+        lasts: Time,
+    },
+    /// More requests arrive.
+    TrafficSurge {
+        /// Times as many.
+        factor: f64,
+        /// For how long.
+        lasts: Time,
+    },
+    /// The traffic shifts between zones.
+    TrafficShift {
+        /// Share of the clients in the first zone from now on.
+        first_zone_share: f64,
+    },
+    /// All servers are slower, as something that they share is slow.
+    CommonSlowdown {
+        /// Times slower.
+        factor: f64,
+        /// For how long.
+        lasts: Time,
+    },
+}
+
+/// A disturbance with its time.
+#[derive(Clone, Debug)]
+pub struct ScheduledDisturbance {
+    /// From the start of the run, in seconds.
+    pub at: Time,
+    /// What happens.
+    pub disturbance: Disturbance,
+}
+
+/// The shares of the first of two zones.
+#[derive(Clone, Copy, Debug)]
+pub struct FirstZoneShare {
+    /// Of the nodes, and of the clients.
+    pub nodes: f64,
+    /// Of the servers.
+    pub servers: f64,
+}
+
+/// One-way latencies between nodes and servers, in seconds.
+#[derive(Clone, Copy, Debug)]
+pub struct Latency {
+    /// Within a zone.
+    pub same_zone: Time,
+    /// Between zones.
+    pub cross_zone: Time,
+}
+
+/// How a long queue slows a server down.
+#[derive(Clone, Copy, Debug)]
+pub struct Crowding {
+    /// Length of the queue beyond which each further request slows the server down.
+    pub threshold: usize,
+    /// By this share of its speed.
+    pub slowdown: f64,
+}
+
+/// The slow start of a server.
+#[derive(Clone, Copy, Debug)]
+pub struct SlowStart {
+    /// Share of its capacity that a server has when it starts.
+    pub initial_capacity: f64,
+    /// It has its full capacity after this time, in seconds.
+    pub duration: Time,
+    /// It has it sooner after this share of the work that it could do in that time; never for 1 and more.
+    pub work_share: f64,
+}
+
+/// When a server in its slow start is overloaded, which ends it.
+#[derive(Clone, Copy, Debug)]
+pub struct Overload {
+    /// At this multiple of its capacity.
+    pub factor: f64,
+    /// Over this window, in seconds.
+    pub window: Time,
+}
+
+/// How clients retry.
+#[derive(Clone, Copy, Debug)]
+pub struct ClientRetries {
+    /// Maximum number of retries.
+    pub max: u32,
+    /// Pause before each, in seconds.
+    pub pause: Time,
+    /// Share of the clients that respect `Retry-After`.
+    pub respecting_retry_after: f64,
 }
 
 /// A run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// What it is called.
+    /// Its name.
     pub name: String,
-    /// For all that is drawn.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// How many nodes share the servers.
+    /// Number of nodes that share the servers.
     pub nodes: usize,
-    /// How many servers there are at the start.
+    /// Number of servers at the start.
     pub servers: usize,
-    /// Part of the nodes, and of the servers, in the first of two zones.
-    pub zones: (f64, f64),
-    /// How long clients ask.
-    pub length: Time,
-    /// Work asked for, as a part of what the warm servers can do.
+    /// The first of two zones.
+    pub first_zone: FirstZoneShare,
+    /// How long clients send requests, in seconds.
+    pub duration: Time,
+    /// Offered work, as a share of what the warm servers can do.
     pub load: f64,
-    /// The classes.
-    pub classes: Vec<Class>,
-    /// The kinds.
-    pub kinds: Vec<Kind>,
-    /// Requests that the first node gets for each one that another gets.
-    pub heavy: f64,
-    /// Nodes hold the whole list rather than parts of it: they are not told what the tenants may send.
-    pub whole: bool,
-    /// One way between nodes and servers of one zone, and of two.
-    pub latency: (Time, Time),
-    /// Requests that wait at a server at most, from and to.
-    pub waiting: (usize, usize),
-    /// From so many requests in hand on, each further one takes such a part of a server's speed.
-    pub thrash: (usize, f64),
-    /// Connections that a server takes.
-    pub connections: u32,
-    /// Work that a new connection costs a server.
-    pub handshake: f64,
-    /// A dial is given up after.
-    pub connect_within: Time,
-    /// An idle connection is closed after.
-    pub idle: Time,
-    /// A server that starts has this part of its capacity, and all of it after this time.
-    pub cold: (f64, Time),
-    /// It is warm sooner when it has done so much of the work that it could do warm in that time; 1 and more: never.
-    pub warms: f64,
-    /// Work within the window past this multiple of its capacity ends a cold server, and the window.
-    pub tips: (f64, Time),
-    /// Nodes hear of a change after this time, and spread over as much again.
-    pub notice: Time,
-    /// The front goes on sending to a dead node for so long.
-    pub front: Time,
-    /// Part of the deadline after which a client gives a try up.
-    pub patience: f64,
-    /// Part of the clients that give up after a third of that.
-    pub hurried: f64,
-    /// Times that a client tries again, its pause, and how many follow advice on when to come back.
-    pub retries: (u32, Time, f64),
-    /// Each at its time from the start.
-    pub happenings: Vec<(Time, Happening)>,
+    /// The classes of requests.
+    pub classes: Vec<RequestClass>,
+    /// The types of machines.
+    pub machine_types: Vec<MachineType>,
+    /// Requests that the first node gets for each one that another node gets.
+    pub first_node_weight: f64,
+    /// Nodes use the whole list, as they are not told what the tenants may send.
+    pub is_subsetting_disabled: bool,
+    /// Latencies of the network.
+    pub latency: Latency,
+    /// Maximum number of requests in the queue of a server: the least and the greatest of all servers.
+    pub queue_capacity: RangeInclusive<usize>,
+    /// How a long queue slows a server down.
+    pub crowding: Crowding,
+    /// Maximum number of connections of a server.
+    pub max_connections: u32,
+    /// Work that a new connection costs a server, in seconds on a standard core.
+    pub connection_work: f64,
+    /// A connection that is not established after this time, in seconds, has failed.
+    pub connect_timeout: Time,
+    /// An idle connection is closed after this time, in seconds.
+    pub idle_timeout: Time,
+    /// The slow start of servers.
+    pub slow_start: SlowStart,
+    /// When a server in its slow start is overloaded.
+    pub overload: Overload,
+    /// Nodes are notified of a change after this time, in seconds, and spread over as much again.
+    pub notification_delay: Time,
+    /// How long the front end goes on sending to a node that is down, in seconds.
+    pub failover_delay: Time,
+    /// Share of the deadline after which a client gives an attempt up.
+    pub client_timeout_share: f64,
+    /// Share of the clients that give up after a third of that.
+    pub impatient_share: f64,
+    /// How clients retry.
+    pub client_retries: ClientRetries,
+    /// The disturbances.
+    pub disturbances: Vec<ScheduledDisturbance>,
+}
+
+impl Plan {
+    /// Adds a disturbance.
+    pub fn disturb(&mut self, at: Time, disturbance: Disturbance) {
+        self.disturbances
+            .push(ScheduledDisturbance { at, disturbance });
+    }
 }
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -1,106 +1,114 @@
-//! What came of a run.
+//! The result of a run.
 
 use crate::digest::CommandDigest;
-use crate::rules::Rules;
+use crate::violations::Violations;
 use reelfall_balancer::interface::Time;
 
-/// Counts of one second, by all nodes together.
+/// Counts of one second, over all nodes.
 #[derive(Clone, Debug, Default)]
 pub struct Second {
-    /// Worth asked for first in this second, and the part of it that was answered within its aim.
-    pub asked: f64,
-    /// See `asked`.
-    pub earned: f64,
-    /// First tries, and all tries that came to nodes.
-    pub first: u32,
-    /// See `first`.
-    pub tries: u32,
-    /// Attempts sent, and those after the first of their request.
-    pub sends: u32,
-    /// See `sends`.
-    pub repeats: u32,
-    /// Connections dialled, and those that did not come up.
-    pub dials: u32,
-    /// See `dials`.
-    pub undialled: u32,
-    /// Attempts that nobody answered in time.
-    pub expired: u32,
-    /// Attempts that a full waiting room turned away.
-    pub shed: u32,
-    /// Tries that were served past their aim.
+    /// Priority weight of the requests that clients first sent in this second.
+    pub offered_weight: f64,
+    /// The part of it that was answered within the latency objective.
+    pub earned_weight: f64,
+    /// New requests.
+    pub requests: u32,
+    /// The same with the retries of clients.
+    pub client_attempts: u32,
+    /// Attempts that nodes sent.
+    pub attempts: u32,
+    /// Those of them that were retries.
+    pub retries: u32,
+    /// Connections that nodes opened.
+    pub connections: u32,
+    /// Those of them that were not established.
+    pub failed_connections: u32,
+    /// Attempts that timed out.
+    pub timed_out: u32,
+    /// Attempts that a server with a full queue rejected.
+    pub rejected_by_servers: u32,
+    /// Requests that were served later than their latency objective.
     pub late: u32,
-    /// Requests refused, and failed.
-    pub refused: u32,
-    /// See `refused`.
+    /// Requests that were rejected.
+    pub rejected: u32,
+    /// Requests that failed.
     pub failed: u32,
-    /// Attempts sent to servers that answer nothing, whatever the reason.
-    pub to_dead: u32,
-    /// Work sent to servers that had a third of a second of it queued.
-    pub past: f64,
+    /// Attempts sent to servers that do not respond, for whatever reason.
+    pub to_unresponsive: u32,
+    /// Work sent to servers with a long queue, in seconds on a standard core.
+    pub work_to_long_queues: f64,
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
     /// By second from the start.
     pub seconds: Vec<Second>,
-    /// The rules.
-    pub rules: Rules,
+    /// The rules that were broken.
+    pub violations: Violations,
     /// Of all commands that nodes have given.
     pub commands: CommandDigest,
 }
 
 impl Report {
-    /// The second in which something happens; one past the end counts for the last.
-    pub fn at(&mut self, since: Time) -> &mut Second {
-        let n = since.max(0.0) as usize;
-        if self.seconds.len() <= n {
-            self.seconds.resize(n + 1, Second::default());
+    /// The second at this time from the start.
+    pub fn second_at(&mut self, since_start: Time) -> &mut Second {
+        let index = since_start.max(0.0) as usize;
+        if self.seconds.len() <= index {
+            self.seconds.resize(index + 1, Second::default());
         }
-        &mut self.seconds[n]
+        &mut self.seconds[index]
     }
 
-    /// Sum of a count over the run.
-    pub fn sum(&self, of: impl Fn(&Second) -> u32) -> u32 {
-        self.seconds.iter().map(of).sum()
+    /// The sum of a count over the run.
+    pub fn sum(&self, count: impl Fn(&Second) -> u32) -> u32 {
+        self.seconds.iter().map(count).sum()
     }
 
-    /// Share of the worth that was earned.
-    pub fn whole(&self) -> f64 {
-        share(&self.seconds)
+    /// Share of the priority weight that was earned.
+    pub fn earned_share(&self) -> f64 {
+        earned_share(&self.seconds)
     }
 
-    /// The same in the worst stretch of so many seconds.
-    pub fn worst(&self, seconds: usize) -> f64 {
-        self.seconds
-            .windows(seconds.max(1))
-            .filter(|w| w.iter().all(|s| s.first > 0))
-            .map(share)
-            .fold(1.0, f64::min)
+    /// The same in the worst window of so many seconds.
+    pub fn worst_earned_share(&self, seconds: usize) -> f64 {
+        let windows = self.seconds.windows(seconds.max(1));
+        let full = windows.filter(|window| window.iter().all(|second| second.requests > 0));
+        full.map(earned_share).fold(1.0, f64::min)
     }
 
-    /// New connections for each first try.
-    pub fn handshakes(&self) -> f64 {
-        f64::from(self.sum(|s| s.dials)) / f64::from(self.sum(|s| s.first).max(1))
+    /// New connections per request.
+    pub fn connections_per_request(&self) -> f64 {
+        self.per_request(|second| second.connections)
     }
 
-    /// Repeats by nodes for each first try.
-    pub fn repeats(&self) -> f64 {
-        f64::from(self.sum(|s| s.repeats)) / f64::from(self.sum(|s| s.first).max(1))
+    /// Retries by nodes per request.
+    pub fn retries_per_request(&self) -> f64 {
+        self.per_request(|second| second.retries)
     }
 
-    /// Work sent to servers that had a long queue, in seconds on a standard core.
-    pub fn past(&self) -> f64 {
-        self.seconds.iter().map(|s| s.past).sum()
+    fn per_request(&self, count: impl Fn(&Second) -> u32) -> f64 {
+        f64::from(self.sum(count)) / f64::from(self.sum(|second| second.requests).max(1))
+    }
+
+    /// Work sent to servers with a long queue, in seconds on a standard core.
+    pub fn work_to_long_queues(&self) -> f64 {
+        self.seconds
+            .iter()
+            .map(|second| second.work_to_long_queues)
+            .sum()
     }
 }
 
-fn share(seconds: &[Second]) -> f64 {
-    let (earned, asked) = seconds
-        .iter()
-        .fold((0.0, 0.0), |(e, a), s| (e + s.earned, a + s.asked));
-    if asked > 0.0 {
-        earned / asked
+fn earned_share(seconds: &[Second]) -> f64 {
+    let mut earned = 0.0;
+    let mut offered = 0.0;
+    for second in seconds {
+        earned += second.earned_weight;
+        offered += second.offered_weight;
+    }
+    if offered > 0.0 {
+        earned / offered
     } else {
         1.0
     }
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,105 +1,187 @@
-//! The plans that the project measures itself by. They are of its own making, and no copy of anybody's days.
+//! The plans that the project measures itself by.
 
-use crate::plan::{Class, Happening, Kind, Manner, Plan};
+use crate::plan::{
+    ClientRetries, Crowding, Disturbance, FirstZoneShare, Latency, MachineType, Overload, Plan,
+    RequestClass, ServerBehavior, SlowStart,
+};
 use reelfall_balancer::interface::Idempotency;
+use std::ops::RangeInclusive;
+
+/// From when on servers misbehave in [`with_faulty_servers`], in seconds.
+const FAULTS_BEGIN: f64 = 2.0;
+/// Longer than any run, in seconds.
+const WHOLE_RUN: f64 = 60.0;
 
 /// A quiet fleet of flag servers in two zones, with 0.6 servers for each node.
 pub fn calm(nodes: usize, seed: u64) -> Plan {
-    let class = |share, work, aim, deadline, worth, effect| Class {
-        share,
-        work,
-        aim,
-        deadline,
-        worth,
-        effect,
-    };
-    let kind = |share, weight, speed| Kind {
-        share,
-        weight,
-        speed,
-    };
     Plan {
         name: "calm".to_owned(),
         seed,
         nodes,
         servers: (nodes * 3 / 5).max(6),
-        zones: (0.5, 0.6),
-        length: 20.0,
+        first_zone: FirstZoneShare {
+            nodes: 0.5,
+            servers: 0.6,
+        },
+        duration: 20.0,
         load: 0.65,
-        classes: vec![
-            class(0.45, 0.027, 0.15, 0.6, 3.0, Idempotency::Idempotent),
-            class(0.45, 0.035, 0.2, 0.6, 5.0, Idempotency::AtMostOnce),
-            class(0.1, 0.04, 0.2, 0.5, 10.0, Idempotency::AtMostOnce),
+        classes: classes(),
+        machine_types: vec![
+            machine_type(0.4, 2.0, 1.7..=2.3),
+            machine_type(0.25, 1.5, 1.0..=1.4),
+            machine_type(0.35, 0.5, 0.7..=0.9),
         ],
-        kinds: vec![
-            kind(0.4, 2.0, (1.7, 2.3)),
-            kind(0.25, 1.5, (1.0, 1.4)),
-            kind(0.35, 0.5, (0.7, 0.9)),
-        ],
-        heavy: 1.0,
-        whole: false,
-        latency: (0.000_25, 0.000_9),
-        waiting: (20, 20),
-        thrash: (usize::MAX, 0.0),
-        connections: 120,
-        handshake: 0.002,
-        connect_within: 0.075,
-        idle: 5.0,
-        cold: (0.4, 6.0),
-        warms: 1.0,
-        tips: (3.0, 1.0),
-        notice: 1.0,
-        front: 1.5,
-        patience: 1.0,
-        hurried: 0.0,
-        retries: (1, 0.03, 0.5),
-        happenings: Vec::new(),
+        first_node_weight: 1.0,
+        is_subsetting_disabled: false,
+        latency: Latency {
+            same_zone: 0.000_25,
+            cross_zone: 0.000_9,
+        },
+        queue_capacity: 20..=20,
+        crowding: Crowding {
+            threshold: usize::MAX,
+            slowdown: 0.0,
+        },
+        max_connections: 120,
+        connection_work: 0.002,
+        connect_timeout: 0.075,
+        idle_timeout: 5.0,
+        slow_start: SlowStart {
+            initial_capacity: 0.4,
+            duration: 6.0,
+            work_share: 1.0,
+        },
+        overload: Overload {
+            factor: 3.0,
+            window: 1.0,
+        },
+        notification_delay: 1.0,
+        failover_delay: 1.5,
+        client_timeout_share: 1.0,
+        impatient_share: 0.0,
+        client_retries: ClientRetries {
+            max: 1,
+            pause: 0.03,
+            respecting_retry_after: 0.5,
+        },
+        disturbances: Vec::new(),
+    }
+}
+
+fn classes() -> Vec<RequestClass> {
+    let read = RequestClass {
+        request_share: 0.45,
+        mean_work: 0.027,
+        latency_objective: 0.15,
+        deadline: 0.6,
+        priority_weight: 3.0,
+        idempotency: Idempotency::Idempotent,
+    };
+    let write = RequestClass {
+        mean_work: 0.035,
+        latency_objective: 0.2,
+        priority_weight: 5.0,
+        idempotency: Idempotency::AtMostOnce,
+        ..read.clone()
+    };
+    let rollout = RequestClass {
+        request_share: 0.1,
+        mean_work: 0.04,
+        deadline: 0.5,
+        priority_weight: 10.0,
+        ..write.clone()
+    };
+    vec![read, write, rollout]
+}
+
+fn machine_type(server_share: f64, listed_weight: f64, speed: RangeInclusive<f64>) -> MachineType {
+    MachineType {
+        server_share,
+        listed_weight,
+        speed,
     }
 }
 
-/// A few bad servers from the second second on, as long as the run lasts.
-pub fn with_bad(mut plan: Plan, part: f64) -> Plan {
-    plan.name += " with bad servers";
-    plan.happenings
-        .push((2.0, Happening::Trouble(part / 2.0, Manner::Silent, 60.0)));
-    plan.happenings
-        .push((2.0, Happening::Trouble(part / 2.0, Manner::Slow(4.0), 60.0)));
+/// The same with faulty servers: this share of them, half unresponsive and half slow.
+pub fn with_faulty_servers(mut plan: Plan, share: f64) -> Plan {
+    plan.name += " with faulty servers";
+    for behavior in [ServerBehavior::Unresponsive, ServerBehavior::Slow(4.0)] {
+        let fault = Disturbance::ServerFault {
+            share: share / 2.0,
+            behavior,
+            lasts: WHOLE_RUN,
+        };
+        plan.disturb(FAULTS_BEGIN, fault);
+    }
     plan
 }
 
-/// Most nodes die at one moment of a release of the servers, and the list says nothing for a while.
+/// Most nodes are killed at once during a release of the servers, and discovery fails for a while.
 pub fn herd(nodes: usize, seed: u64) -> Plan {
-    let happenings = vec![
-        (5.0, Happening::Replace(0.15, 2.0)),
-        (7.0, Happening::NodesDie(0.7, 1.5)),
-        (7.0, Happening::ListDown(3.0)),
-        (9.0, Happening::Replace(0.15, 2.0)),
-    ];
-    Plan {
+    let mut plan = Plan {
         name: "herd".to_owned(),
-        happenings,
         ..calm(nodes, seed)
-    }
+    };
+    plan.disturb(
+        5.0,
+        Disturbance::ReplaceServers {
+            share: 0.15,
+            after: 2.0,
+        },
+    );
+    plan.disturb(
+        7.0,
+        Disturbance::KillNodes {
+            share: 0.7,
+            down_for: 1.5,
+        },
+    );
+    plan.disturb(7.0, Disturbance::DiscoveryOutage { lasts: 3.0 });
+    plan.disturb(
+        9.0,
+        Disturbance::ReplaceServers {
+            share: 0.15,
+            after: 2.0,
+        },
+    );
+    plan
 }
 
-/// A zone is lost and comes back cold.
+/// A zone is lost and comes back, its servers in slow start.
 pub fn zone(nodes: usize, seed: u64) -> Plan {
-    Plan {
+    let mut plan = Plan {
         name: "zone".to_owned(),
-        happenings: vec![(6.0, Happening::ZoneLost(1, 5.0))],
         ..calm(nodes, seed)
-    }
+    };
+    plan.disturb(
+        6.0,
+        Disturbance::LoseZone {
+            zone: 1,
+            down_for: 5.0,
+        },
+    );
+    plan
 }
 
 /// Six in ten servers are replaced within seven seconds.
 pub fn join(nodes: usize, seed: u64) -> Plan {
-    let happenings = vec![
-        (5.0, Happening::Replace(0.3, 2.0)),
-        (8.5, Happening::Replace(0.3, 2.0)),
-    ];
-    Plan {
+    let mut plan = Plan {
         name: "join".to_owned(),
-        happenings,
         ..calm(nodes, seed)
-    }
+    };
+    plan.disturb(
+        5.0,
+        Disturbance::ReplaceServers {
+            share: 0.3,
+            after: 2.0,
+        },
+    );
+    plan.disturb(
+        8.5,
+        Disturbance::ReplaceServers {
+            share: 0.3,
+            after: 2.0,
+        },
+    );
+    plan
 }
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -1,6 +1,6 @@
-//! One modelled server: a core, a waiting room, a table of connections, and a start from cold.
+//! One modelled server: a core, a queue, a number of connections, and a slow start.
 
-use crate::plan::{Manner, Plan};
+use crate::plan::{Plan, ServerBehavior};
 use reelfall_balancer::interface::{Endpoint, Time};
 use std::collections::VecDeque;
 
@@ -12,149 +12,174 @@
 pub enum State {
     /// It serves.
     Up,
-    /// It has ended: dials are refused, open connections are reset.
+    /// It has ended: connections are refused, open ones are reset.
     Ended,
-    /// It is cut off: nothing comes up and nothing is said.
+    /// It is cut off: no connection is established and nothing is received from it.
     Lost,
 }
 
-/// See the module.
+/// Work that a server in its slow start has received.
+struct ReceivedWork {
+    at: Time,
+    work: f64,
+    /// The sender knew of the start.
+    sender_knew: bool,
+}
+
+/// The load of a server in its slow start.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct SlowStartLoad {
+    /// Received work, as a multiple of what the server can do in the same time.
+    pub factor: f64,
+    /// Share of it that came from senders who knew of the start.
+    pub share_of_informed: f64,
+}
+
+/// A modelled server.
 pub struct Server {
-    /// What the list says of it.
-    pub entry: Endpoint,
-    /// Work a second when warm.
+    /// Its entry in the endpoint list.
+    pub endpoint: Endpoint,
+    /// Work per second when warm, in standard cores.
     pub speed: f64,
     /// Whether it is there.
     pub state: State,
-    /// How it serves.
-    pub manner: Manner,
-    /// Grows with each start: what was sent in an earlier life is not served in this one.
-    pub life: u32,
-    /// Requests that may wait.
-    pub room: usize,
+    /// How it behaves.
+    pub behavior: ServerBehavior,
+    /// Incremented when it ends: attempts that were sent to an earlier incarnation are not served.
+    pub incarnation: u32,
+    /// Maximum length of its queue.
+    pub queue_capacity: usize,
     /// Work done since it started.
-    pub done: f64,
+    pub work_done: f64,
     /// Open connections.
     pub connections: u32,
-    /// What it works on.
-    pub busy: Option<AttemptId>,
-    /// What waits, the next first.
-    pub waiting: VecDeque<AttemptId>,
-    /// While it is cold: when work came, how much, and whether its sender knew of the start.
-    pub pushed: VecDeque<(Time, f64, bool)>,
+    /// The attempt that it works on.
+    pub running: Option<AttemptId>,
+    /// The attempts that wait, the next one first.
+    pub queue: VecDeque<AttemptId>,
+    /// What it has received lately during its slow start.
+    received: VecDeque<ReceivedWork>,
 }
 
 impl Server {
-    /// A warm server, idle.
-    pub fn new(entry: Endpoint, speed: f64, room: usize) -> Self {
+    /// A warm and idle server.
+    pub fn new(endpoint: Endpoint, speed: f64, queue_capacity: usize) -> Self {
         Server {
-            entry,
+            endpoint,
             speed,
             state: State::Up,
-            manner: Manner::Sound,
-            life: 0,
-            room,
-            done: 0.0,
+            behavior: ServerBehavior::Healthy,
+            incarnation: 0,
+            queue_capacity,
+            work_done: 0.0,
             connections: 0,
-            busy: None,
-            waiting: VecDeque::new(),
-            pushed: VecDeque::new(),
+            running: None,
+            queue: VecDeque::new(),
+            received: VecDeque::new(),
         }
     }
 
-    /// Part of its capacity that it has by now; `cold` is the part at its start, and when it is warm.
-    pub fn warmth(&self, now: Time, plan: &Plan) -> f64 {
-        let (from, after) = plan.cold;
-        if self.entry.started_at <= 0.0 {
+    /// The share of its capacity that it has at present.
+    pub fn capacity_share(&self, now: Time, plan: &Plan) -> f64 {
+        let slow_start = plan.slow_start;
+        if self.endpoint.started_at <= 0.0 {
             return 1.0;
         }
-        let age = ((now - self.entry.started_at) / after).max(0.0);
-        let work = if plan.warms < 1.0 {
-            self.done / (plan.warms * after * self.speed)
+        let by_age = ((now - self.endpoint.started_at) / slow_start.duration).max(0.0);
+        let by_work = if slow_start.work_share < 1.0 {
+            self.work_done / (slow_start.work_share * slow_start.duration * self.speed)
         } else {
             0.0
         };
-        from + (1.0 - from) * age.max(work).min(1.0)
+        let progress = by_age.max(by_work).min(1.0);
+        slow_start.initial_capacity + (1.0 - slow_start.initial_capacity) * progress
     }
 
-    /// Work a second that it can do now.
+    /// Work per second that it can do at present.
     pub fn capacity(&self, now: Time, plan: &Plan) -> f64 {
-        let slow = if let Manner::Slow(times) = self.manner {
-            times
-        } else {
-            1.0
+        let slowdown = match self.behavior {
+            ServerBehavior::Slow(factor) => factor,
+            _ => 1.0,
         };
-        self.speed * self.warmth(now, plan) / slow
+        self.speed * self.capacity_share(now, plan) / slowdown
     }
 
-    /// The same with what crowding takes.
-    pub fn crowded(&self, now: Time, plan: &Plan) -> f64 {
-        let past = self.waiting.len().saturating_sub(plan.thrash.0) as f64;
-        self.capacity(now, plan) / (1.0 + plan.thrash.1 * past)
+    /// The same, with the effect of a long queue.
+    pub fn crowded_capacity(&self, now: Time, plan: &Plan) -> f64 {
+        let excess = self.queue.len().saturating_sub(plan.crowding.threshold) as f64;
+        self.capacity(now, plan) / (1.0 + plan.crowding.slowdown * excess)
     }
 
-    /// When it is done with what takes so long, standing still now and then if that is its manner.
-    pub fn awake(&self, now: Time, takes: Time) -> Time {
-        let Manner::Pausing(every, pause) = self.manner else {
-            return now + takes;
+    /// When work that takes this long is done, with the pauses of the server.
+    pub fn completion_time(&self, now: Time, work_time: Time) -> Time {
+        let ServerBehavior::Pausing { interval, duration } = self.behavior else {
+            return now + work_time;
         };
-        // Each has its own turn: the hash of its name is as good as any phase.
-        let phase = (self.entry.hash % 1000) as f64 / 1000.0 * every;
-        let (into, works) = ((now + phase).rem_euclid(every), every - pause);
-        // What is left of the pause that it stands in, then whole turns, then the rest of the work.
-        let (wait, first) = if into < pause {
-            (pause - into, works)
+        // Servers pause at different times.
+        let phase = (self.endpoint.hash % 1000) as f64 / 1000.0 * interval;
+        let since_pause_began = (now + phase).rem_euclid(interval);
+        let working_time = interval - duration;
+        let (rest_of_pause, until_next_pause) = if since_pause_began < duration {
+            (duration - since_pause_began, working_time)
         } else {
-            (0.0, every - into)
+            (0.0, interval - since_pause_began)
         };
-        let further = if takes <= first {
+        let further_pauses = if work_time <= until_next_pause {
             0.0
         } else {
-            1.0 + ((takes - first) / works).floor()
+            1.0 + ((work_time - until_next_pause) / working_time).floor()
         };
-        now + wait + takes + further * pause
+        now + rest_of_pause + work_time + further_pauses * duration
     }
 
-    /// It is gone, with all that it had in hand.
+    /// It is gone, with all that it had.
     pub fn end(&mut self, state: State) {
         self.state = state;
-        self.life += 1;
-        self.busy = None;
-        self.waiting.clear();
-        self.pushed.clear();
+        self.incarnation += 1;
+        self.running = None;
+        self.queue.clear();
+        self.received.clear();
         self.connections = 0;
-        self.done = 0.0;
+        self.work_done = 0.0;
     }
 
-    /// It has started, cold.
+    /// It starts, with slow start.
     pub fn start(&mut self, now: Time) {
         self.state = State::Up;
-        self.entry.started_at = now;
+        self.endpoint.started_at = now;
     }
 
-    /// Takes work that has come to it while it is cold. Gives the multiple of what it can do in the window, and which
-    /// part of that came from those who knew of its start.
-    pub fn push(&mut self, now: Time, work: f64, knew: bool, plan: &Plan) -> (f64, f64) {
-        let window = plan.tips.1;
-        if self.warmth(now, plan) >= 1.0 {
-            self.pushed.clear();
-            return (0.0, 0.0);
+    /// Counts received work; returns the load during its slow start.
+    pub fn receive(
+        &mut self,
+        now: Time,
+        work: f64,
+        sender_knew: bool,
+        plan: &Plan,
+    ) -> SlowStartLoad {
+        let window = plan.overload.window;
+        if self.capacity_share(now, plan) >= 1.0 {
+            self.received.clear();
+            return SlowStartLoad::default();
         }
-        self.pushed.push_back((now, work, knew));
+        self.received.push_back(ReceivedWork {
+            at: now,
+            work,
+            sender_knew,
+        });
         while self
-            .pushed
+            .received
             .front()
-            .is_some_and(|(at, ..)| now - at > window)
+            .is_some_and(|oldest| now - oldest.at > window)
         {
-            self.pushed.pop_front();
+            self.received.pop_front();
+        }
+        let total: f64 = self.received.iter().map(|received| received.work).sum();
+        let informed = self.received.iter().filter(|received| received.sender_knew);
+        let informed: f64 = informed.map(|received| received.work).sum();
+        SlowStartLoad {
+            factor: total / (self.capacity(now, plan) * window),
+            share_of_informed: informed / total,
         }
-        let sum: f64 = self.pushed.iter().map(|(_, work, _)| work).sum();
-        let knowing: f64 = self
-            .pushed
-            .iter()
-            .filter(|p| p.2)
-            .map(|(_, work, _)| work)
-            .sum();
-        (sum / (self.capacity(now, plan) * window), knowing / sum)
     }
 }
--- a/crates/emulator/src/trials.rs
+++ b/crates/emulator/src/trials.rs
@@ -1,32 +1,33 @@
-//! Six kinds of trials at the size of the whole fleet, each drawn from its seed: loads, speeds, patience, queues and the
-//! part that is hit differ from seed to seed, so that nothing is tuned to one of them.
-//!
-//! They are plans of the project's own, within the ranges that the platform's settings and its site file name.
+//! Six kinds of trials at the size of a whole fleet. Loads, speeds, timeouts, queues and the servers that are hit are sampled
+//! from the seed, so that nothing is tuned to one of them.
 
-use crate::plan::{Class, Happening, Kind, Manner, Plan};
+use crate::plan::{
+    ClientRetries, Crowding, Disturbance, FirstZoneShare, Latency, MachineType, Overload, Plan,
+    RequestClass, ScheduledDisturbance, ServerBehavior, SlowStart,
+};
 use crate::streams::stream;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
-use reelfall_balancer::interface::Idempotency;
+use reelfall_balancer::interface::{Idempotency, Time};
 
-/// What happens to the fleet.
+/// A kind of trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trial {
-    /// Nothing but half as much again for a while, and traffic that shifts between zones.
+    /// A traffic surge by half, and a shift between zones.
     Calm,
     /// Half of the servers are replaced in steps while all nodes are restarted.
     Roll,
-    /// A release; seven in ten nodes die at once; one of eight servers is bad.
+    /// A release; seven in ten nodes are killed at once; one of eight servers is faulty.
     Herd,
-    /// A zone is lost and comes back cold, and is cut off later; one of eight servers is bad.
+    /// A zone is lost and comes back, and is partitioned later; one of eight servers is faulty.
     Zone,
-    /// A zone is cut off while lists come late and answers get lost.
+    /// A partition of a zone, while discovery fails and responses are lost.
     Split,
     /// Six in ten servers are replaced within seven seconds.
     Join,
 }
 
-/// All of them.
+/// All trials.
 pub const ALL: [Trial; 6] = [
     Trial::Calm,
     Trial::Roll,
@@ -54,163 +55,252 @@
         let rng = &mut stream(seed, self.name());
         let mut plan = base(nodes, seed, rng);
         plan.name = self.name().to_owned();
-        let mut happenings = self.happenings(rng);
-        happenings.push((rng.random_range(1.0..4.0), site_trouble(rng)));
-        plan.happenings = happenings;
+        plan.disturbances = self.disturbances(rng);
+        let at = rng.random_range(1.0..4.0);
+        let disturbance = common_fault(rng);
+        plan.disturb(at, disturbance);
         plan
     }
 
-    fn happenings(self, rng: &mut Pcg64Mcg) -> Vec<(f64, Happening)> {
-        let bad = |rng: &mut Pcg64Mcg, manners: &[Manner]| {
-            let manner = manners[rng.random_range(0..manners.len())];
-            (
-                rng.random_range(3.0..5.0),
-                Happening::Trouble(0.125, manner, 60.0),
-            )
-        };
+    fn disturbances(self, rng: &mut Pcg64Mcg) -> Vec<ScheduledDisturbance> {
         match self {
-            Trial::Calm => vec![
-                (rng.random_range(5.0..8.0), Happening::Surge(1.5, 4.0)),
-                (
-                    rng.random_range(8.0..12.0),
-                    Happening::Shift(rng.random_range(0.3..0.7)),
-                ),
-            ],
-            Trial::Roll => {
-                let mut all = vec![(4.0, Happening::Restarts(10, 1.2, 0.3))];
-                all.extend(
-                    (0..5).map(|n| (4.0 + 2.0 * f64::from(n), Happening::Replace(0.1, 2.2))),
-                );
-                all
-            }
-            Trial::Herd => vec![
-                (5.0, Happening::Replace(0.15, 2.2)),
-                (7.0, Happening::NodesDie(0.7, rng.random_range(0.8..2.0))),
-                (9.0, Happening::Replace(0.15, 2.2)),
-                bad(rng, &[Manner::Silent, Manner::Slow(4.0), Manner::Failing]),
-            ],
-            Trial::Zone => vec![
-                (5.0, Happening::ZoneLost(rng.random_range(0..2), 5.0)),
-                (13.0, Happening::Cut(1, 3.0)),
-                bad(rng, &[Manner::Slow(4.0), Manner::Failing]),
-            ],
-            Trial::Split => vec![
-                (6.0, Happening::Cut(rng.random_range(0..2), 6.0)),
-                (6.0, Happening::ListDown(6.0)),
-                (6.0, Happening::Losing(rng.random_range(0.01..0.06), 6.0)),
-            ],
-            Trial::Join => vec![
-                (5.5, Happening::Replace(0.3, 2.2)),
-                (8.0, Happening::Replace(0.3, 2.2)),
-                (6.0, Happening::Losing(0.01, 10.0)),
-            ],
+            Trial::Calm => calm(rng),
+            Trial::Roll => roll(),
+            Trial::Herd => herd(rng),
+            Trial::Zone => zone(rng),
+            Trial::Split => split(rng),
+            Trial::Join => join(),
         }
     }
 }
 
-/// One more trouble, as the site has them.
-fn site_trouble(rng: &mut Pcg64Mcg) -> Happening {
-    match rng.random_range(0..3) {
-        0 => Happening::Trouble(
-            rng.random_range(0.06..0.19),
-            Manner::Failing,
-            rng.random_range(5.0..12.0),
+fn at(at: Time, disturbance: Disturbance) -> ScheduledDisturbance {
+    ScheduledDisturbance { at, disturbance }
+}
+
+fn release(share: f64) -> Disturbance {
+    Disturbance::ReplaceServers { share, after: 2.2 }
+}
+
+fn calm(rng: &mut Pcg64Mcg) -> Vec<ScheduledDisturbance> {
+    let surge_at = rng.random_range(5.0..8.0);
+    let shift_at = rng.random_range(8.0..12.0);
+    let first_zone_share = rng.random_range(0.3..0.7);
+    vec![
+        at(
+            surge_at,
+            Disturbance::TrafficSurge {
+                factor: 1.5,
+                lasts: 4.0,
+            },
+        ),
+        at(shift_at, Disturbance::TrafficShift { first_zone_share }),
+    ]
+}
+
+fn roll() -> Vec<ScheduledDisturbance> {
+    let restart = Disturbance::RollingRestart {
+        steps: 10,
+        interval: 1.2,
+        down_for: 0.3,
+    };
+    let mut all = vec![at(4.0, restart)];
+    all.extend((0..5).map(|n| at(4.0 + 2.0 * f64::from(n), release(0.1))));
+    all
+}
+
+fn herd(rng: &mut Pcg64Mcg) -> Vec<ScheduledDisturbance> {
+    let down_for = rng.random_range(0.8..2.0);
+    let behaviors = [
+        ServerBehavior::Unresponsive,
+        ServerBehavior::Slow(4.0),
+        ServerBehavior::Failing,
+    ];
+    vec![
+        at(5.0, release(0.15)),
+        at(
+            7.0,
+            Disturbance::KillNodes {
+                share: 0.7,
+                down_for,
+            },
+        ),
+        at(9.0, release(0.15)),
+        faulty_servers(rng, &behaviors),
+    ]
+}
+
+fn zone(rng: &mut Pcg64Mcg) -> Vec<ScheduledDisturbance> {
+    let zone = rng.random_range(0..2);
+    vec![
+        at(
+            5.0,
+            Disturbance::LoseZone {
+                zone,
+                down_for: 5.0,
+            },
+        ),
+        at(
+            13.0,
+            Disturbance::Partition {
+                zone: 1,
+                lasts: 3.0,
+            },
+        ),
+        faulty_servers(rng, &[ServerBehavior::Slow(4.0), ServerBehavior::Failing]),
+    ]
+}
+
+fn split(rng: &mut Pcg64Mcg) -> Vec<ScheduledDisturbance> {
+    let zone = rng.random_range(0..2);
+    let share = rng.random_range(0.01..0.06);
+    vec![
+        at(6.0, Disturbance::Partition { zone, lasts: 6.0 }),
+        at(6.0, Disturbance::DiscoveryOutage { lasts: 6.0 }),
+        at(6.0, Disturbance::LostResponses { share, lasts: 6.0 }),
+    ]
+}
+
+fn join() -> Vec<ScheduledDisturbance> {
+    vec![
+        at(5.5, release(0.3)),
+        at(8.0, release(0.3)),
+        at(
+            6.0,
+            Disturbance::LostResponses {
+                share: 0.01,
+                lasts: 10.0,
+            },
         ),
+    ]
+}
+
+/// One of eight servers misbehaves in one of these ways, as long as the run lasts.
+fn faulty_servers(rng: &mut Pcg64Mcg, behaviors: &[ServerBehavior]) -> ScheduledDisturbance {
+    let behavior = behaviors[rng.random_range(0..behaviors.len())];
+    let from = rng.random_range(3.0..5.0);
+    at(
+        from,
+        Disturbance::ServerFault {
+            share: 0.125,
+            behavior,
+            lasts: 60.0,
+        },
+    )
+}
+
+/// A fault that any trial may have.
+fn common_fault(rng: &mut Pcg64Mcg) -> Disturbance {
+    match rng.random_range(0..3) {
+        0 => Disturbance::ServerFault {
+            share: rng.random_range(0.06..0.19),
+            behavior: ServerBehavior::Failing,
+            lasts: rng.random_range(5.0..12.0),
+        },
         1 => {
-            let manner = Manner::Pausing(rng.random_range(1.0..2.4), rng.random_range(0.04..0.1));
-            Happening::Trouble(
-                rng.random_range(0.1..0.45),
-                manner,
-                rng.random_range(10.0..20.0),
-            )
+            let interval = rng.random_range(1.0..2.4);
+            let duration = rng.random_range(0.04..0.1);
+            Disturbance::ServerFault {
+                share: rng.random_range(0.1..0.45),
+                behavior: ServerBehavior::Pausing { interval, duration },
+                lasts: rng.random_range(10.0..20.0),
+            }
         }
-        _ => Happening::AllSlow(rng.random_range(1.2..2.2), rng.random_range(5.0..9.0)),
+        _ => Disturbance::CommonSlowdown {
+            factor: rng.random_range(1.2..2.2),
+            lasts: rng.random_range(5.0..9.0),
+        },
     }
 }
 
-/// Flag servers of three kinds in two zones, with hundreds of nodes before them.
+/// Flag servers of three types in two zones, with hundreds of nodes. The fields are in the order in which they are sampled.
 fn base(nodes: usize, seed: u64, rng: &mut Pcg64Mcg) -> Plan {
-    let class = |share, work, aim, deadline, worth, effect| Class {
-        share,
-        work,
-        aim,
-        deadline,
-        worth,
-        effect,
-    };
-    let speed = |mean: f64| (0.85 * mean, 1.15 * mean);
     Plan {
         name: String::new(),
         seed,
         nodes,
         servers: ((nodes as f64 * rng.random_range(0.45..0.65)) as usize).max(6),
-        zones: (rng.random_range(0.4..0.6), rng.random_range(0.4..0.6)),
-        length: 22.0,
+        first_zone: FirstZoneShare {
+            nodes: rng.random_range(0.4..0.6),
+            servers: rng.random_range(0.4..0.6),
+        },
+        duration: 22.0,
         load: rng.random_range(0.55..0.75),
-        classes: vec![
-            class(
-                0.45,
-                rng.random_range(0.02..0.035),
-                0.15,
-                0.6,
-                3.0,
-                Idempotency::Idempotent,
-            ),
-            class(
-                0.45,
-                rng.random_range(0.029..0.052),
-                0.2,
-                0.6,
-                5.0,
-                Idempotency::AtMostOnce,
-            ),
-            class(
-                0.1,
-                rng.random_range(0.032..0.057),
-                0.2,
-                0.5,
-                10.0,
-                Idempotency::AtMostOnce,
-            ),
+        classes: classes(rng),
+        machine_types: vec![
+            machine_type(0.4, 2.0),
+            machine_type(0.25, 1.2),
+            machine_type(0.35, 0.8),
         ],
-        kinds: vec![
-            Kind {
-                share: 0.4,
-                weight: 1.0,
-                speed: speed(2.0),
-            },
-            Kind {
-                share: 0.25,
-                weight: 1.0,
-                speed: speed(1.2),
-            },
-            Kind {
-                share: 0.35,
-                weight: 1.0,
-                speed: speed(0.8),
-            },
-        ],
-        heavy: 1.0 + 2.0 * rng.random::<f64>(),
-        whole: false,
-        latency: (0.000_25, 0.000_6),
-        waiting: (8, 30),
-        thrash: (9, 0.04),
-        connections: 500,
-        handshake: rng.random_range(0.000_35..0.002_7),
-        connect_within: 0.075,
-        idle: 5.0,
-        cold: (rng.random_range(0.35..0.57), rng.random_range(3.4..8.5)),
-        warms: 0.6,
-        tips: (3.0, 1.0),
-        notice: rng.random_range(0.3..1.0),
-        front: rng.random_range(0.95..2.0),
-        patience: rng.random_range(0.4..1.0),
-        hurried: rng.random_range(0.0..0.01),
-        retries: (
-            rng.random_range(0..3),
-            rng.random_range(0.007..0.06),
-            rng.random_range(0.3..0.9),
-        ),
-        happenings: Vec::new(),
+        first_node_weight: 1.0 + 2.0 * rng.random::<f64>(),
+        is_subsetting_disabled: false,
+        latency: Latency {
+            same_zone: 0.000_25,
+            cross_zone: 0.000_6,
+        },
+        queue_capacity: 8..=30,
+        crowding: Crowding {
+            threshold: 9,
+            slowdown: 0.04,
+        },
+        max_connections: 500,
+        connection_work: rng.random_range(0.000_35..0.002_7),
+        connect_timeout: 0.075,
+        idle_timeout: 5.0,
+        slow_start: SlowStart {
+            initial_capacity: rng.random_range(0.35..0.57),
+            duration: rng.random_range(3.4..8.5),
+            work_share: 0.6,
+        },
+        overload: Overload {
+            factor: 3.0,
+            window: 1.0,
+        },
+        notification_delay: rng.random_range(0.3..1.0),
+        failover_delay: rng.random_range(0.95..2.0),
+        client_timeout_share: rng.random_range(0.4..1.0),
+        impatient_share: rng.random_range(0.0..0.01),
+        client_retries: ClientRetries {
+            max: rng.random_range(0..3),
+            pause: rng.random_range(0.007..0.06),
+            respecting_retry_after: rng.random_range(0.3..0.9),
+        },
+        disturbances: Vec::new(),
+    }
+}
+
+fn classes(rng: &mut Pcg64Mcg) -> Vec<RequestClass> {
+    let read = RequestClass {
+        request_share: 0.45,
+        mean_work: rng.random_range(0.02..0.035),
+        latency_objective: 0.15,
+        deadline: 0.6,
+        priority_weight: 3.0,
+        idempotency: Idempotency::Idempotent,
+    };
+    let write = RequestClass {
+        mean_work: rng.random_range(0.029..0.052),
+        latency_objective: 0.2,
+        priority_weight: 5.0,
+        idempotency: Idempotency::AtMostOnce,
+        ..read.clone()
+    };
+    let rollout = RequestClass {
+        request_share: 0.1,
+        mean_work: rng.random_range(0.032..0.057),
+        deadline: 0.5,
+        priority_weight: 10.0,
+        ..write.clone()
+    };
+    vec![read, write, rollout]
+}
+
+/// Servers of this mean speed, whose weights the list does not tell.
+fn machine_type(server_share: f64, mean_speed: f64) -> MachineType {
+    let speed = 0.85 * mean_speed..=1.15 * mean_speed;
+    MachineType {
+        server_share,
+        listed_weight: 1.0,
+        speed,
     }
 }
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -1,172 +1,219 @@
-//! Clients and the front: what is asked, of which node, and what clients make of the answers.
+//! Clients, and the front end that sends their requests to nodes.
 
-use super::*;
+use super::model::{ClientAttempt, ClientAttemptId, Event, NodeId, NodeIncarnation};
+use super::{World, ANSWER_SLACK, START};
+use crate::streams::lognormal;
+use crate::violations::Rule;
+use rand::Rng;
+use rand_distr::{Distribution, Exp};
+use reelfall_balancer::engine::{Arrival, FinalAnswer};
+use reelfall_balancer::interface::{ClassId, Idempotency, Time, ZoneId};
+
+/// Coefficient of variation of a client's estimate of the work of a request.
+const HINT_VARIATION: f64 = 0.5;
+/// Coefficient of variation of the work of two requests of one class.
+const WORK_VARIATION: f64 = 0.5;
+/// Share of the usual timeout that impatient clients have.
+const IMPATIENT_TIMEOUT_SHARE: f64 = 1.0 / 3.0;
+/// A client does not retry with less time left than this, in seconds.
+const MIN_RETRY_TIME: Time = 0.02;
 
 impl World {
-    pub(super) fn ask(&mut self) {
+    /// A client sends a new request, and the next one is scheduled.
+    pub(super) fn send_new_request(&mut self) {
         let now = self.queue.now();
-        if now > BEGINS + self.plan.length {
+        if now > START + self.plan.duration {
             return;
         }
-        let next = Exp::new(
-            self.rate
-                * if now < self.surge.1 {
-                    self.surge.0
-                } else {
-                    1.0
-                },
-        )
-        .map_or(1.0, |d| d.sample(&mut self.clients));
-        self.queue.put(now + next, Event::Asks);
-        let mut at = self.clients.random::<f64>();
-        let class = self.plan.classes.iter().position(|c| {
-            at -= c.share;
-            at < 0.0
+        let factor = if now < self.surge.until {
+            self.surge.value
+        } else {
+            1.0
+        };
+        let gap = Exp::new(self.request_rate * factor);
+        let gap = gap.map_or(1.0, |distribution| {
+            distribution.sample(&mut self.client_random)
         });
-        let class = class.unwrap_or(0);
-        let c = &self.plan.classes[class];
-        let (mean, worth, deadline) = (c.work, c.worth, c.deadline);
-        let work = lognormal(&mut self.clients, mean, WORK_CV);
-        let hint = lognormal(&mut self.clients, work, HINT_CV);
-        let zone = u16::from(self.clients.random::<f64>() >= self.shift);
-        let hurried = self.clients.random::<f64>() < self.plan.hurried;
-        let second = self.report.at(now - BEGINS);
-        second.asked += worth * work;
-        second.first += 1;
-        let id = self.tries.len();
-        let patience = deadline * self.plan.patience * if hurried { 1.0 / 3.0 } else { 1.0 };
-        let until = now + deadline;
-        self.tries.push(Try {
+        self.queue.put(now + gap, Event::NewRequest);
+        let request = self.sample_request(now);
+        let weight = self.plan.classes[request.class].priority_weight;
+        let second = self.report.second_at(now - START);
+        second.offered_weight += weight * request.work;
+        second.requests += 1;
+        let id = self.client_attempts.len();
+        self.client_attempts.push(request);
+        self.queue.put(now, Event::ClientAttempt(id));
+    }
+
+    fn sample_request(&mut self, now: Time) -> ClientAttempt {
+        let class = self.sample_class();
+        let plan_class = &self.plan.classes[class];
+        let random = &mut self.client_random;
+        let work = lognormal(random, plan_class.mean_work, WORK_VARIATION);
+        let work_hint = lognormal(random, work, HINT_VARIATION);
+        let zone = u16::from(random.random::<f64>() >= self.first_zone_share);
+        let is_impatient = random.random::<f64>() < self.plan.impatient_share;
+        let share = if is_impatient {
+            IMPATIENT_TIMEOUT_SHARE
+        } else {
+            1.0
+        };
+        let timeout = plan_class.deadline * self.plan.client_timeout_share * share;
+        let client_deadline = now + plan_class.deadline;
+        ClientAttempt {
             class,
             work,
-            hint,
+            work_hint,
             zone,
-            first: now,
-            number: 0,
+            first_sent_at: now,
+            retries: 0,
             node: None,
-            until,
-            patience,
-            deadline: until.min(now + patience),
-            answered: false,
-            ran: 0,
+            client_deadline,
+            timeout,
+            deadline: client_deadline.min(now + timeout),
+            is_answered: false,
+            executions: 0,
+        }
+    }
+
+    fn sample_class(&mut self) -> usize {
+        let mut point = self.client_random.random::<f64>();
+        let class = self.plan.classes.iter().position(|class| {
+            point -= class.request_share;
+            point < 0.0
         });
-        self.queue.put(now, Event::Tries(id));
+        class.unwrap_or(0)
     }
 
-    /// The front picks a node of the client's zone; that one has died is noticed late.
-    pub(super) fn pick(&mut self, zone: ZoneId) -> Option<NodeId> {
-        let (now, front) = (self.queue.now(), self.plan.front);
-        let open = |n: &Node| {
-            (n.engine.is_some() || now - n.died < front)
-                && n.shunned <= now
-                && n.stops.iter().all(|(from, to)| now < *from || now >= *to)
-        };
-        let near: Vec<NodeId> = (0..self.nodes.len())
-            .filter(|n| self.nodes[*n].zone == zone && open(&self.nodes[*n]))
+    /// The node that the front end selects: one of the client's zone, if there is any.
+    fn select_node(&mut self, zone: ZoneId) -> Option<NodeId> {
+        let now = self.queue.now();
+        let failover_delay = self.plan.failover_delay;
+        let all: Vec<NodeId> = (0..self.nodes.len())
+            .filter(|node| self.nodes[*node].takes_requests(now, failover_delay))
             .collect();
-        let all = || {
-            (0..self.nodes.len())
-                .filter(|n| open(&self.nodes[*n]))
-                .collect()
-        };
-        let from: Vec<NodeId> = if near.is_empty() { all() } else { near };
-        // The first node may have a share of its own.
-        let heavy = self.plan.heavy / (self.plan.heavy + from.len() as f64 - 1.0);
-        if from.first() == Some(&0) && self.plan.heavy > 1.0 && self.clients.random::<f64>() < heavy
-        {
+        let mut nodes = all.clone();
+        nodes.retain(|node| self.nodes[*node].zone == zone);
+        if nodes.is_empty() {
+            nodes = all;
+        }
+        let weight = self.plan.first_node_weight;
+        let first_share = weight / (weight + nodes.len() as f64 - 1.0);
+        let has_first = nodes.first() == Some(&0) && weight > 1.0;
+        if has_first && self.client_random.random::<f64>() < first_share {
             return Some(0);
         }
-        (!from.is_empty()).then(|| from[self.clients.random_range(0..from.len())])
+        let random = &mut self.client_random;
+        (!nodes.is_empty()).then(|| nodes[random.random_range(0..nodes.len())])
     }
 
-    pub(super) fn try_once(&mut self, id: TryId) {
+    /// A client sends its request to a node. If there is none, nothing runs and the client retries.
+    pub(super) fn send_client_attempt(&mut self, id: ClientAttemptId) {
         let now = self.queue.now();
-        let picked = self.pick(self.tries[id].zone);
-        self.report.at(now - BEGINS).tries += 1;
-        let Some(n) = picked.filter(|n| self.nodes[*n].engine.is_some()) else {
-            // Nobody is there: nothing has run.
-            self.tries[id].answered = true;
-            return self.again(id, None);
+        let selected = self.select_node(self.client_attempts[id].zone);
+        self.report.second_at(now - START).client_attempts += 1;
+        let Some(node) = selected.filter(|node| self.nodes[*node].engine.is_some()) else {
+            self.client_attempts[id].is_answered = true;
+            return self.retry(id, None);
         };
-        let life = self.nodes[n].life;
-        let t = &mut self.tries[id];
-        t.node = Some((n, life));
+        let incarnation = self.nodes[node].incarnation;
+        let sent = &mut self.client_attempts[id];
+        sent.node = Some(NodeIncarnation { node, incarnation });
         let arrival = Arrival {
-            class: t.class as ClassId,
+            class: sent.class as ClassId,
             tenant: Some(0),
-            work_hint: Some(t.hint),
+            work_hint: Some(sent.work_hint),
             key: None,
-            deadline: t.deadline,
+            deadline: sent.deadline,
             time_after_upload: None,
         };
-        self.drive(n, |engine, now, out| {
-            engine.submit(now, id, id, arrival, out);
+        self.drive(node, |engine, now, commands| {
+            engine.submit(now, id, id, arrival, commands);
         });
     }
 
-    /// The client tries again, if it does and there is time.
-    pub(super) fn again(&mut self, id: TryId, retry_after: Option<Time>) {
-        let (now, (most, pause, follows)) = (self.queue.now(), self.plan.retries);
-        let advice = retry_after.filter(|_| self.clients.random::<f64>() < follows);
-        let at = now + advice.unwrap_or(pause);
-        let t = &self.tries[id];
-        if t.number >= most || at >= t.until - 0.02 {
+    /// The client retries its request, if it does and there is time.
+    pub(super) fn retry(&mut self, id: ClientAttemptId, retry_after: Option<Time>) {
+        let now = self.queue.now();
+        let retries = self.plan.client_retries;
+        let retry_after = retry_after
+            .filter(|_| self.client_random.random::<f64>() < retries.respecting_retry_after);
+        let at = now + retry_after.unwrap_or(retries.pause);
+        let previous = &self.client_attempts[id];
+        if previous.retries >= retries.max || at >= previous.client_deadline - MIN_RETRY_TIME {
             return;
         }
-        let next = Try {
-            number: t.number + 1,
+        let next = ClientAttempt {
+            retries: previous.retries + 1,
             node: None,
-            answered: false,
-            ran: 0,
-            deadline: t.until.min(at + t.patience),
-            ..*t
+            is_answered: false,
+            executions: 0,
+            deadline: previous.client_deadline.min(at + previous.timeout),
+            ..*previous
         };
-        self.tries.push(next);
-        self.queue.put(at, Event::Tries(self.tries.len() - 1));
+        self.client_attempts.push(next);
+        self.queue
+            .put(at, Event::ClientAttempt(self.client_attempts.len() - 1));
     }
 
-    /// A try has its final answer.
-    pub(super) fn answer(&mut self, id: TryId, answer: &FinalAnswer<()>) {
+    /// A client receives a final answer.
+    pub(super) fn receive_answer(&mut self, id: ClientAttemptId, answer: &FinalAnswer<()>) {
         let now = self.queue.now();
-        let class = &self.plan.classes[self.tries[id].class];
-        let (aim, worth, effect) = (class.aim, class.worth, class.effect);
-        let t = &mut self.tries[id];
-        if std::mem::replace(&mut t.answered, true) {
-            return self.report.rules.breach(now, Broken::AnsweredTwice, id);
+        let attempt = &mut self.client_attempts[id];
+        if std::mem::replace(&mut attempt.is_answered, true) {
+            return self.report.violations.record(now, Rule::AnsweredTwice, id);
         }
-        if now > t.deadline + SLACK {
-            self.report.rules.breach(now, Broken::Unanswered, id);
+        if now > attempt.deadline + ANSWER_SLACK {
+            self.report.violations.record(now, Rule::Unanswered, id);
         }
-        let (work, first, ran) = (t.work, t.first, t.ran);
-        let second = self.report.at(now - BEGINS);
+        let class = &self.plan.classes[attempt.class];
+        let idempotency = class.idempotency;
         match answer {
-            FinalAnswer::Served(()) if now - first <= aim => {
-                self.report.at(first - BEGINS).earned += worth * work
-            }
-            FinalAnswer::Served(()) => second.late += 1,
+            FinalAnswer::Served(()) => self.count_served(id),
             FinalAnswer::Rejected { retry_after } => {
-                second.refused += 1;
-                if effect == Idempotency::AtMostOnce && ran > 0 {
-                    self.report.rules.breach(now, Broken::RanTwice, id);
+                let may_have_run = attempt.executions > 0;
+                self.report.second_at(now - START).rejected += 1;
+                if idempotency == Idempotency::AtMostOnce && may_have_run {
+                    self.report.violations.record(now, Rule::RepeatedEffect, id);
                 }
-                self.again(id, *retry_after);
+                self.retry(id, *retry_after);
             }
             FinalAnswer::Failed(_) => {
-                second.failed += 1;
-                if effect == Idempotency::Idempotent {
-                    self.again(id, None);
+                self.report.second_at(now - START).failed += 1;
+                if idempotency == Idempotency::Idempotent {
+                    self.retry(id, None);
                 }
             }
         }
     }
 
-    /// Whatever a node took and lived to answer has its answer.
-    pub(super) fn judge_answers(&mut self) {
+    /// What is earned counts for the second in which the request was first sent.
+    fn count_served(&mut self, id: ClientAttemptId) {
+        let now = self.queue.now();
+        let served = &self.client_attempts[id];
+        let class = &self.plan.classes[served.class];
+        if now - served.first_sent_at <= class.latency_objective {
+            let earned = class.priority_weight * served.work;
+            self.report
+                .second_at(served.first_sent_at - START)
+                .earned_weight += earned;
+        } else {
+            self.report.second_at(now - START).late += 1;
+        }
+    }
+
+    /// Checks that every request whose node did not go down was answered.
+    pub(super) fn check_answers(&mut self) {
         let now = self.queue.now();
-        for (id, t) in self.tries.iter().enumerate() {
-            let lived = t.node.is_some_and(|(n, life)| self.nodes[n].life == life);
-            if !t.answered && lived && t.deadline + SLACK < now {
-                self.report.rules.breach(t.deadline, Broken::Unanswered, id);
+        for (id, attempt) in self.client_attempts.iter().enumerate() {
+            let node_is_same = attempt
+                .node
+                .is_some_and(|of| self.nodes[of.node].incarnation == of.incarnation);
+            let is_due = attempt.deadline + ANSWER_SLACK < now;
+            if !attempt.is_answered && node_is_same && is_due {
+                self.report
+                    .violations
+                    .record(attempt.deadline, Rule::Unanswered, id);
             }
         }
     }
--- /dev/null
+++ b/crates/emulator/src/world/disturbances.rs
@@ -0,0 +1,233 @@
+//! The disturbances of the plan.
+
+use super::model::{ClientAttempt, Event, NodeId, NodeIncarnation, RestartWindow};
+use super::servers::make_server;
+use super::{Until, World};
+use crate::plan::{Disturbance, ServerBehavior};
+use crate::server::{Server, State};
+use rand::Rng;
+use rand_pcg::Pcg64Mcg;
+use reelfall_balancer::interface::{Idempotency, ServerId, ServerState, Time};
+
+/// How long a flapping entry states each of its states, in seconds.
+const FLAP_INTERVAL: Time = 0.15;
+/// How long a node that is about to be restarted completes its requests, in seconds.
+const GRACEFUL_SHUTDOWN: Time = 0.7;
+/// The servers of a lost zone start later than its nodes by this, in seconds.
+const SERVER_START_DELAY: Time = 0.3;
+/// Time that a server has to drain beyond what notifications take, in seconds.
+const DRAIN_TIME: Time = 1.0;
+
+impl World {
+    /// The disturbance with this index happens.
+    pub(super) fn disturb(&mut self, index: usize) {
+        let now = self.queue.now();
+        match self.plan.disturbances[index].disturbance.clone() {
+            Disturbance::KillNodes { share, down_for } => {
+                let nodes = self.some_nodes(share);
+                self.kill_nodes(nodes, down_for);
+            }
+            Disturbance::LoseZone { zone, down_for } => self.lose_zone(zone, down_for),
+            Disturbance::ReplaceServers { share, after } => self.replace_servers(share, after),
+            Disturbance::EndServers { share } => {
+                for server in self.some_servers(share) {
+                    self.end_server(server, State::Ended);
+                    self.announce(server, ServerState::Removed);
+                }
+            }
+            Disturbance::FlapEntries { share, times } => self.flap_entries(share, times),
+            Disturbance::ServerFault {
+                share,
+                behavior,
+                lasts,
+            } => {
+                let servers = self.some_servers(share);
+                self.set_behavior(&servers, behavior);
+                self.queue.put(now + lasts, Event::RecoverServers(servers));
+            }
+            Disturbance::DiscoveryOutage { lasts } => self.discovery_outage_until = now + lasts,
+            Disturbance::IdleNodes { share, lasts } => {
+                for node in self.some_nodes(share) {
+                    self.nodes[node].idle_until = now + lasts;
+                }
+            }
+            Disturbance::RollingRestart {
+                steps,
+                interval,
+                down_for,
+            } => {
+                self.restart_all_nodes(steps, interval, down_for);
+            }
+            Disturbance::Partition { zone, lasts } => {
+                self.partition = Until {
+                    value: zone,
+                    until: now + lasts,
+                };
+            }
+            Disturbance::LostResponses { share, lasts } => {
+                self.lost_responses = Until {
+                    value: share,
+                    until: now + lasts,
+                };
+            }
+            Disturbance::TrafficSurge { factor, lasts } => {
+                self.surge = Until {
+                    value: factor,
+                    until: now + lasts,
+                };
+            }
+            Disturbance::TrafficShift { first_zone_share } => {
+                self.first_zone_share = first_zone_share;
+            }
+            Disturbance::CommonSlowdown { factor, lasts } => {
+                self.common_slowdown = factor;
+                self.queue.put(now + lasts, Event::EndCommonSlowdown);
+            }
+        }
+    }
+
+    /// A random selection of the healthy servers: this share of all.
+    fn some_servers(&mut self, share: f64) -> Vec<ServerId> {
+        let is_healthy = |server: &&Server| {
+            server.state == State::Up
+                && server.endpoint.state == ServerState::Up
+                && server.behavior == ServerBehavior::Healthy
+        };
+        let healthy = self.servers.iter().filter(is_healthy);
+        let mut servers: Vec<ServerId> = healthy.map(|server| server.endpoint.server).collect();
+        shuffle(&mut servers, &mut self.machine_random);
+        servers.truncate((share * self.plan.servers as f64).round() as usize);
+        servers
+    }
+
+    /// A random selection of this share of the nodes.
+    fn some_nodes(&mut self, share: f64) -> Vec<NodeId> {
+        let mut nodes: Vec<NodeId> = (0..self.nodes.len()).collect();
+        shuffle(&mut nodes, &mut self.machine_random);
+        nodes.truncate((share * self.nodes.len() as f64).round() as usize);
+        nodes
+    }
+
+    fn kill_nodes(&mut self, nodes: Vec<NodeId>, down_for: Time) {
+        nodes.iter().for_each(|node| self.kill_node(*node));
+        self.queue
+            .put(self.queue.now() + down_for, Event::StartNodes(nodes));
+    }
+
+    fn lose_zone(&mut self, zone: u16, down_for: Time) {
+        let now = self.queue.now();
+        let nodes = 0..self.nodes.len();
+        let nodes = nodes
+            .filter(|node| self.nodes[*node].zone == zone)
+            .collect();
+        self.kill_nodes(nodes, down_for);
+        let is_there = |server: &&Server| server.endpoint.zone == zone && server.state == State::Up;
+        let there = self.servers.iter().filter(is_there);
+        let servers: Vec<ServerId> = there.map(|server| server.endpoint.server).collect();
+        servers
+            .iter()
+            .for_each(|server| self.end_server(*server, State::Lost));
+        let start = now + down_for + SERVER_START_DELAY;
+        self.queue.put(start, Event::StartServers(servers));
+    }
+
+    fn replace_servers(&mut self, share: f64, after: Time) {
+        let now = self.queue.now();
+        let old = self.some_servers(share);
+        let mut new = Vec::new();
+        for id in &old {
+            self.announce(*id, ServerState::Draining);
+            let new_id = self.servers.len();
+            let mut server = make_server(&self.plan, &mut self.machine_random, new_id);
+            server.end(State::Ended);
+            self.servers.push(server);
+            new.push(new_id as ServerId);
+        }
+        let drained = now + 2.0 * self.plan.notification_delay + DRAIN_TIME;
+        self.queue.put(drained, Event::EndServers(old));
+        self.queue.put(now + after, Event::StartServers(new));
+    }
+
+    fn flap_entries(&mut self, share: f64, times: u32) {
+        let now = self.queue.now();
+        for server in self.some_servers(share) {
+            for n in 0..times {
+                let off = now + f64::from(2 * n) * FLAP_INTERVAL;
+                let on = now + f64::from(2 * n + 1) * FLAP_INTERVAL;
+                self.queue
+                    .put(off, Event::Announce(server, ServerState::Draining));
+                self.queue.put(on, Event::Announce(server, ServerState::Up));
+            }
+        }
+    }
+
+    fn restart_all_nodes(&mut self, steps: u32, interval: Time, down_for: Time) {
+        let now = self.queue.now();
+        let order = self.some_nodes(1.0);
+        let size = order.len().div_ceil(steps.max(1) as usize).max(1);
+        for (step, nodes) in order.chunks(size).enumerate() {
+            let end = now + step as f64 * interval + GRACEFUL_SHUTDOWN;
+            let window = RestartWindow {
+                from: end - GRACEFUL_SHUTDOWN,
+                to: end + down_for,
+            };
+            for node in nodes {
+                self.nodes[*node].restarts.push(window);
+            }
+            self.queue.put(
+                end,
+                Event::RestartNodes {
+                    nodes: nodes.to_vec(),
+                    down_for,
+                },
+            );
+        }
+    }
+
+    /// A node goes down with its connections. Clients that waited for it retry if that is harmless.
+    pub(super) fn kill_node(&mut self, id: NodeId) {
+        let now = self.queue.now();
+        let node = &mut self.nodes[id];
+        let killed = NodeIncarnation {
+            node: id,
+            incarnation: node.incarnation,
+        };
+        node.engine = None;
+        node.incarnation += 1;
+        node.went_down_at = now;
+        self.close_connections_of(id);
+        let is_waiting = |attempt: &ClientAttempt| {
+            attempt.node == Some(killed) && !attempt.is_answered && attempt.deadline > now
+        };
+        let all = 0..self.client_attempts.len();
+        let waiting = all.filter(|attempt| is_waiting(&self.client_attempts[*attempt]));
+        for attempt in waiting.collect::<Vec<_>>() {
+            self.client_attempts[attempt].is_answered = true;
+            let class = &self.plan.classes[self.client_attempts[attempt].class];
+            if class.idempotency == Idempotency::Idempotent {
+                self.retry(attempt, None);
+            }
+        }
+    }
+
+    fn close_connections_of(&mut self, id: NodeId) {
+        for (server, idle) in std::mem::take(&mut self.nodes[id].idle_connections) {
+            self.servers[server as usize].close_idle(&idle);
+        }
+        for attempt_id in std::mem::take(&mut self.in_flight) {
+            let attempt = &self.attempts[attempt_id];
+            let server = &mut self.servers[attempt.server as usize];
+            if attempt.node != id {
+                self.in_flight.insert(attempt_id);
+            } else if attempt.is_connected && server.incarnation == attempt.server_incarnation {
+                server.connections = server.connections.saturating_sub(1);
+            }
+        }
+    }
+}
+
+fn shuffle<T>(items: &mut [T], random: &mut Pcg64Mcg) {
+    for n in (1..items.len()).rev() {
+        items.swap(n, random.random_range(0..=n));
+    }
+}
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -1,211 +1,299 @@
-//! Nodes: what their engines want done, their connections, and what they are told of the list.
+//! The commands of nodes, their connections, and what they are notified of.
 
-use super::*;
+use super::model::{
+    Attempt, ClientAttemptId, Event, IdleConnection, NodeId, NodeIncarnation, Virtual,
+};
+use super::{World, START};
+use crate::plan::ServerBehavior;
+use crate::server::{AttemptId, Server, State};
+use crate::violations::Rule;
+use rand::Rng;
+use reelfall_balancer::engine::{AddressedEndpoint, Command, Engine};
+use reelfall_balancer::interface::{
+    Endpoint, Outcome, RequestId, ServerId, ServerState, Time, UpdateKind,
+};
+
+/// How long after it was notified of a drain a node may still send to the server, in seconds.
+const DRAIN_GRACE: Time = 0.5;
+/// Nodes use an idle connection for this share of the idle timeout.
+const IDLE_REUSE_SHARE: f64 = 0.8;
+/// One-way latencies that a refused connection takes.
+const REFUSAL_LATENCIES: f64 = 2.0;
+/// One-way latencies until a request arrives on a new connection.
+const NEW_CONNECTION_LATENCIES: f64 = 4.0;
+
+/// An attempt that a node sends.
+struct OutgoingAttempt {
+    request: RequestId,
+    number: u32,
+    server: ServerId,
+    deadline: Time,
+}
+
+/// How the connection for an attempt is obtained.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Connection {
+    Reused,
+    Opened,
+    /// The server refuses it.
+    Refused,
+    /// Nothing is received.
+    TimedOut,
+}
 
 impl World {
-    /// Tells a node's engine something and does what it wants done.
+    /// Calls a node's engine and carries out its commands.
     pub(super) fn drive(
         &mut self,
-        n: NodeId,
-        what: impl FnOnce(&mut Engine<Virtual>, Time, &mut Vec<Command<Virtual>>),
+        node: NodeId,
+        call: impl FnOnce(&mut Engine<Virtual>, Time, &mut Vec<Command<Virtual>>),
     ) {
         let now = self.queue.now();
-        let Some(engine) = self.nodes[n].engine.as_mut() else {
+        let Some(engine) = self.nodes[node].engine.as_mut() else {
             return;
         };
         let mut commands = Vec::new();
-        what(engine, now, &mut commands);
+        call(engine, now, &mut commands);
         for command in commands {
-            self.carry_out(n, command);
+            self.carry_out(node, command);
         }
     }
 
-    pub(super) fn carry_out(&mut self, n: NodeId, command: Command<Virtual>) {
-        let (now, life) = (self.queue.now(), self.nodes[n].life);
-        self.report.commands.add(now, n, &command);
+    fn carry_out(&mut self, node: NodeId, command: Command<Virtual>) {
+        let now = self.queue.now();
+        self.report.commands.add(now, node, &command);
         match command {
             Command::Send {
                 request,
                 attempt,
                 server,
-                deadline: expires,
+                deadline,
                 ..
-            } => self.send(n, request, attempt, server, expires),
-            Command::Answer { to, answer, .. } => self.answer(to, &answer),
+            } => {
+                let outgoing = OutgoingAttempt {
+                    request,
+                    number: attempt,
+                    server,
+                    deadline,
+                };
+                self.send_attempt(node, &outgoing);
+            }
+            Command::Answer { to, answer, .. } => self.receive_answer(to, &answer),
             Command::StartTimer { after, tag } => {
-                self.queue.put(now + after, Event::Timer(n, life, tag))
+                let of = NodeIncarnation {
+                    node,
+                    incarnation: self.nodes[node].incarnation,
+                };
+                self.queue.put(now + after, Event::Timer { of, tag });
             }
             Command::CloseConnections { server } => {
-                let closed = self.nodes[n].idle.remove(&server).unwrap_or_default();
-                let server = &mut self.servers[server as usize];
-                let open = closed
-                    .iter()
-                    .filter(|(_, life)| *life == server.life)
-                    .count();
-                server.connections = server.connections.saturating_sub(open as u32);
+                let idle = self.nodes[node].idle_connections.remove(&server);
+                self.servers[server as usize].close_idle(&idle.unwrap_or_default());
             }
-            // Lists come by themselves, no module of this project calls attempts off, and numbers are never reused.
+            // Lists are pushed, the balancer cancels no attempts, and identifiers are never reused here.
             Command::CancelAttempt { .. } | Command::Watch | Command::ReleaseServerId { .. } => {}
         }
     }
 
-    pub(super) fn delay(&mut self, n: NodeId, server: ServerId) -> Time {
-        let near = self.nodes[n].zone == self.servers[server as usize].entry.zone;
-        let mean = if near {
-            self.plan.latency.0
+    /// The one-way latency between a node and a server.
+    pub(super) fn latency(&mut self, node: NodeId, server: ServerId) -> Time {
+        let is_same_zone = self.nodes[node].zone == self.servers[server as usize].endpoint.zone;
+        let latency = self.plan.latency;
+        let mean = if is_same_zone {
+            latency.same_zone
         } else {
-            self.plan.latency.1
+            latency.cross_zone
         };
-        mean * (0.8 + 0.4 * self.network.random::<f64>())
+        mean * (0.8 + 0.4 * self.network_random.random::<f64>())
     }
 
-    /// An idle connection of a node to a server; those that are too old are closed on the way.
-    pub(super) fn kept(&mut self, n: NodeId, id: ServerId) -> bool {
-        let (now, idle) = (self.queue.now(), self.plan.idle);
+    /// Takes an idle connection of a node to a server; those that are too old are closed.
+    fn take_idle_connection(&mut self, node: NodeId, id: ServerId) -> bool {
+        let now = self.queue.now();
+        let max_age = IDLE_REUSE_SHARE * self.plan.idle_timeout;
         let server = &mut self.servers[id as usize];
-        let Some(kept) = self.nodes[n].idle.get_mut(&id) else {
+        let Some(idle) = self.nodes[node].idle_connections.get_mut(&id) else {
             return false;
         };
-        kept.retain(|(since, life)| {
-            let stays = *life == server.life && now - since < 0.8 * idle;
-            if !stays && *life == server.life {
+        idle.retain(|connection| {
+            let is_open = connection.server_incarnation == server.incarnation;
+            let is_usable = is_open && now - connection.since < max_age;
+            if is_open && !is_usable {
                 server.connections = server.connections.saturating_sub(1);
             }
-            stays
+            is_usable
         });
-        kept.pop().is_some()
+        idle.pop().is_some()
     }
 
-    pub(super) fn send(
-        &mut self,
-        n: NodeId,
-        request: RequestId,
-        number: u32,
-        id: ServerId,
-        expires: Time,
-    ) {
+    fn send_attempt(&mut self, node: NodeId, outgoing: &OutgoingAttempt) {
         let now = self.queue.now();
-        let Some(of) = self.nodes[n]
-            .engine
-            .as_mut()
-            .and_then(|e| e.payload(request).copied())
-        else {
+        let server_id = outgoing.server;
+        let engine = self.nodes[node].engine.as_mut();
+        let payload = engine.and_then(|engine| engine.payload(outgoing.request).copied());
+        let Some(client_attempt) = payload else {
             return;
         };
-        if self.tries[of].answered {
-            self.report.rules.breach(now, Broken::SentAfter, of);
+        self.check_attempt(node, server_id, client_attempt);
+        let is_new_connection = !self.take_idle_connection(node, server_id);
+        let latency = self.latency(node, server_id);
+        let is_cut_off = self.is_partitioned(node, server_id);
+        let connection = self.connect(server_id, is_new_connection, is_cut_off);
+        let server = &self.servers[server_id as usize];
+        let is_unresponsive = is_cut_off
+            || server.state != State::Up
+            || server.behavior == ServerBehavior::Unresponsive;
+        let server_incarnation = server.incarnation;
+        let id = self.attempts.len();
+        self.schedule_connection(id, connection, latency);
+        let is_connected = matches!(connection, Connection::Reused | Connection::Opened);
+        self.attempts.push(Attempt {
+            node,
+            request: outgoing.request,
+            number: outgoing.number,
+            client_attempt,
+            server: server_id,
+            server_incarnation,
+            is_new_connection,
+            is_connected,
+        });
+        self.in_flight.insert(id);
+        self.queue
+            .put(outgoing.deadline, Event::AttemptTimedOut(id));
+        let second = self.report.second_at(now - START);
+        second.attempts += 1;
+        second.retries += u32::from(outgoing.number > 0);
+        second.connections += u32::from(is_new_connection);
+        second.failed_connections += u32::from(!is_connected);
+        second.to_unresponsive += u32::from(is_unresponsive);
+    }
+
+    /// Checks the rules that concern the sending of attempts.
+    fn check_attempt(&mut self, node: NodeId, server: ServerId, of: ClientAttemptId) {
+        let now = self.queue.now();
+        if self.client_attempts[of].is_answered {
+            self.report
+                .violations
+                .record(now, Rule::SentAfterAnswer, of);
         }
-        if self.nodes[n]
-            .gone
-            .get(&id)
-            .is_some_and(|since| now - since > 0.5)
-        {
+        let unavailable_since = self.nodes[node].unavailable_since.get(&server);
+        if unavailable_since.is_some_and(|since| now - since > DRAIN_GRACE) {
             self.report
-                .rules
-                .breach(now, Broken::SentToGone, id as usize);
+                .violations
+                .record(now, Rule::SentToRemoved, server as usize);
         }
-        let fresh = !self.kept(n, id);
-        let there = self.delay(n, id);
-        let cut = self.parted(n, id);
+    }
+
+    fn connect(&mut self, id: ServerId, is_new: bool, is_cut_off: bool) -> Connection {
         let server = &mut self.servers[id as usize];
-        let dead = cut || server.state != State::Up || server.manner == Manner::Silent;
-        let attempt = self.attempts.len();
-        let server_life = server.life;
-        let mut connected = true;
-        let at = if !fresh {
-            self.queue.put(now + there, Event::Reaches(attempt));
-            now
-        } else if server.state == State::Lost || cut {
-            connected = false;
-            now + self.plan.connect_within
-        } else if server.state == State::Ended || server.connections >= self.plan.connections {
-            connected = false;
-            now + 2.0 * there
-        } else {
-            server.connections += 1;
-            self.queue.put(now + 4.0 * there, Event::Reaches(attempt));
-            now
-        };
-        if !connected {
-            self.queue
-                .put(at, Event::Ends(attempt, Outcome::ConnectFailed));
+        if !is_new {
+            return Connection::Reused;
         }
-        self.attempts.push(Attempt {
-            node: n,
+        if server.state == State::Lost || is_cut_off {
+            return Connection::TimedOut;
+        }
+        let is_full = server.connections >= self.plan.max_connections;
+        if server.state == State::Ended || is_full {
+            return Connection::Refused;
+        }
+        server.connections += 1;
+        Connection::Opened
+    }
+
+    fn schedule_connection(&mut self, id: AttemptId, connection: Connection, latency: Time) {
+        let now = self.queue.now();
+        let received = Event::AttemptReceived(id);
+        let failed = Event::AttemptEnded(id, Outcome::ConnectFailed);
+        match connection {
+            Connection::Reused => self.queue.put(now + latency, received),
+            Connection::Opened => {
+                self.queue
+                    .put(now + NEW_CONNECTION_LATENCIES * latency, received);
+            }
+            Connection::Refused => self.queue.put(now + REFUSAL_LATENCIES * latency, failed),
+            Connection::TimedOut => self.queue.put(now + self.plan.connect_timeout, failed),
+        }
+    }
+
+    /// A node is notified of the end of an attempt, unless it has ended before.
+    pub(super) fn end_attempt(&mut self, id: AttemptId, outcome: Outcome) {
+        let now = self.queue.now();
+        if !self.in_flight.remove(&id) {
+            return;
+        }
+        self.release_connection(id, outcome);
+        let second = self.report.second_at(now - START);
+        second.timed_out += u32::from(outcome == Outcome::TimedOut);
+        second.rejected_by_servers += u32::from(outcome == Outcome::Rejected);
+        let answer = (outcome == Outcome::Served).then_some(());
+        let Attempt {
+            node,
             request,
             number,
-            of,
-            server: id,
-            server_life,
-            fresh,
-            connected,
+            ..
+        } = self.attempts[id];
+        self.drive(node, |engine, now, commands| {
+            engine.end_attempt(now, request, number, outcome, answer, commands);
         });
-        self.out.insert(attempt);
-        self.queue.put(expires, Event::Expires(attempt));
-        let second = self.report.at(now - BEGINS);
-        second.sends += 1;
-        second.repeats += u32::from(number > 0);
-        second.dials += u32::from(fresh);
-        second.undialled += u32::from(!connected);
-        second.to_dead += u32::from(dead);
     }
 
-    /// The node hears how an attempt ended, unless it has stopped waiting for it.
-    pub(super) fn end(&mut self, id: AttemptId, outcome: Outcome) {
-        let now = self.queue.now();
-        if !self.out.remove(&id) {
+    /// The connection of an attempt becomes idle after a response, and is closed otherwise.
+    fn release_connection(&mut self, id: AttemptId, outcome: Outcome) {
+        let since = self.queue.now();
+        let attempt = &self.attempts[id];
+        let server_incarnation = attempt.server_incarnation;
+        let server = &mut self.servers[attempt.server as usize];
+        if !attempt.is_connected || server.incarnation != server_incarnation {
             return;
         }
-        let a = &self.attempts[id];
-        let (n, server, request, number) = (a.node, a.server, a.request, a.number);
-        let lives = self.servers[server as usize].life == a.server_life;
-        if a.connected && lives {
-            if matches!(
-                outcome,
-                Outcome::Served | Outcome::Error | Outcome::Rejected
-            ) {
-                self.nodes[n]
-                    .idle
-                    .entry(server)
-                    .or_default()
-                    .push((now, a.server_life));
-            } else {
-                let server = &mut self.servers[server as usize];
-                server.connections = server.connections.saturating_sub(1);
-            }
+        if matches!(
+            outcome,
+            Outcome::Served | Outcome::Error | Outcome::Rejected
+        ) {
+            let idle = self.nodes[attempt.node]
+                .idle_connections
+                .entry(attempt.server);
+            idle.or_default().push(IdleConnection {
+                since,
+                server_incarnation,
+            });
+        } else {
+            server.connections = server.connections.saturating_sub(1);
         }
-        let second = self.report.at(now - BEGINS);
-        second.expired += u32::from(outcome == Outcome::TimedOut);
-        second.shed += u32::from(outcome == Outcome::Rejected);
-        let answer = (outcome == Outcome::Served).then_some(());
-        self.drive(n, |engine, now, out| {
-            engine.end_attempt(now, request, number, outcome, answer, out)
-        });
     }
 
-    pub(super) fn tell(&mut self, n: NodeId, kind: UpdateKind, entries: Vec<Endpoint>) {
-        let places = entries
-            .into_iter()
-            .map(|entry| AddressedEndpoint {
-                address: entry.server,
-                endpoint: entry,
-            })
-            .collect();
-        self.drive(n, |engine, now, out| {
-            engine.update_endpoints(now, kind, places, out)
+    /// A node is notified of the endpoint list.
+    pub(super) fn notify(&mut self, node: NodeId, kind: UpdateKind, endpoints: Vec<Endpoint>) {
+        let addressed = |endpoint: Endpoint| AddressedEndpoint {
+            address: endpoint.server,
+            endpoint,
+        };
+        let endpoints = endpoints.into_iter().map(addressed).collect();
+        self.drive(node, |engine, now, commands| {
+            engine.update_endpoints(now, kind, endpoints, commands);
         });
     }
 
-    /// News of the list comes to a node, or to the place where it will find it at its start.
-    pub(super) fn hear(&mut self, n: NodeId, entry: Endpoint) {
+    /// A node is notified of a change; one that is down finds it when it starts.
+    pub(super) fn notify_of_change(&mut self, id: NodeId, endpoint: Endpoint) {
         let now = self.queue.now();
-        let node = &mut self.nodes[n];
-        if entry.state == ServerState::Up {
-            node.gone.remove(&entry.server);
+        let node = &mut self.nodes[id];
+        if endpoint.state == ServerState::Up {
+            node.unavailable_since.remove(&endpoint.server);
         } else {
-            node.gone.entry(entry.server).or_insert(now);
+            node.unavailable_since.entry(endpoint.server).or_insert(now);
         }
-        node.list.insert(entry.server, entry.clone());
-        self.tell(n, UpdateKind::Delta, vec![entry]);
+        node.endpoints.insert(endpoint.server, endpoint.clone());
+        self.notify(id, UpdateKind::Delta, vec![endpoint]);
+    }
+}
+
+impl Server {
+    /// Closes idle connections of a node; those to earlier incarnations are closed already.
+    pub(super) fn close_idle(&mut self, idle: &[IdleConnection]) {
+        let is_open =
+            |connection: &&IdleConnection| connection.server_incarnation == self.incarnation;
+        let open = idle.iter().filter(is_open).count();
+        self.connections = self.connections.saturating_sub(open as u32);
     }
 }
--- a/crates/emulator/src/world/servers.rs
+++ b/crates/emulator/src/world/servers.rs
@@ -1,194 +1,241 @@
-//! Servers: what comes to them, what they can do, and what the list says of them.
+//! Servers: the work that they receive, what they can do, and what the endpoint list says of them.
 
-use super::*;
+use super::model::{Event, NodeId};
+use super::{World, START};
+use crate::plan::{Plan, ServerBehavior};
+use crate::server::{AttemptId, Server, SlowStartLoad, State};
+use crate::streams::lognormal;
+use crate::violations::Rule;
+use rand::Rng;
+use rand_pcg::Pcg64Mcg;
+use reelfall_balancer::interface::{
+    Endpoint, Idempotency, MachineTypeId, Outcome, ServerId, ServerState, ZoneId,
+};
+
+/// Coefficient of variation of the work of two attempts of one request.
+const ATTEMPT_VARIATION: f64 = 0.3;
+/// A queue with more work than this, in seconds of the server's capacity, is long.
+const LONG_QUEUE: f64 = 0.3;
+/// An overload breaks the rule if this share of the work came from nodes that knew of the start.
+const INFORMED_SHARE: f64 = 2.0 / 3.0;
 
 impl World {
-    pub(super) fn reach(&mut self, id: AttemptId) {
+    /// An attempt arrives at its server.
+    pub(super) fn receive_attempt(&mut self, id: AttemptId) {
         let now = self.queue.now();
-        let a = &self.attempts[id];
-        let (n, sid, of, fresh, life) = (a.node, a.server, a.of, a.fresh, a.server_life);
-        let back = self.delay(n, sid);
-        let cut = self.parted(n, sid);
-        let server = &self.servers[sid as usize];
-        if server.life != life || server.state != State::Up || cut {
-            // A machine that is cut off says nothing; one that ended has reset the connection.
-            if server.state != State::Lost && !cut {
-                self.queue
-                    .put(now + back, Event::Ends(id, Outcome::ConnectionLost));
+        let attempt = &self.attempts[id];
+        let (node, server_id) = (attempt.node, attempt.server);
+        let (client_attempt, is_new) = (attempt.client_attempt, attempt.is_new_connection);
+        let incarnation = attempt.server_incarnation;
+        let latency = self.latency(node, server_id);
+        let is_cut_off = self.is_partitioned(node, server_id);
+        let server = &self.servers[server_id as usize];
+        if server.incarnation != incarnation || server.state != State::Up || is_cut_off {
+            // A server that has ended has reset the connection; one that is cut off sends nothing.
+            if server.state != State::Lost && !is_cut_off {
+                let event = Event::AttemptEnded(id, Outcome::ConnectionLost);
+                self.queue.put(now + latency, event);
             }
             return;
         }
-        let work = self.tries[of].work + if fresh { self.plan.handshake } else { 0.0 };
-        self.push(n, sid, work);
-        let server = &mut self.servers[sid as usize];
-        if server.state != State::Up || server.manner == Manner::Silent {
+        let connection_work = if is_new {
+            self.plan.connection_work
+        } else {
+            0.0
+        };
+        let work = self.client_attempts[client_attempt].work + connection_work;
+        self.add_load(node, server_id, work);
+        let server = &mut self.servers[server_id as usize];
+        if server.state != State::Up || server.behavior == ServerBehavior::Unresponsive {
             return;
         }
-        if server.manner == Manner::Failing {
-            self.tries[of].ran += 1;
-            return self.queue.put(now + back, Event::Ends(id, Outcome::Error));
-        }
-        if server.waiting.len() >= server.room {
-            return self
-                .queue
-                .put(now + back, Event::Ends(id, Outcome::Rejected));
+        if server.behavior == ServerBehavior::Failing {
+            self.client_attempts[client_attempt].executions += 1;
+            self.queue
+                .put(now + latency, Event::AttemptEnded(id, Outcome::Error));
+        } else if server.queue.len() >= server.queue_capacity {
+            self.queue
+                .put(now + latency, Event::AttemptEnded(id, Outcome::Rejected));
+        } else {
+            server.queue.push_back(id);
+            self.run_next(server_id);
         }
-        server.waiting.push_back(id);
-        self.serve(sid);
     }
 
     /// Whether nothing passes between a node and a server.
-    pub(super) fn parted(&self, n: NodeId, sid: ServerId) -> bool {
-        let (zone, until) = self.cut;
-        let (node, server) = (self.nodes[n].zone, self.servers[sid as usize].entry.zone);
-        self.queue.now() < until && node != server && (node == zone || server == zone)
+    pub(super) fn is_partitioned(&self, node: NodeId, server: ServerId) -> bool {
+        let node_zone = self.nodes[node].zone;
+        let server_zone = self.servers[server as usize].endpoint.zone;
+        let zone = self.partition.value;
+        self.queue.now() < self.partition.until
+            && node_zone != server_zone
+            && (node_zone == zone || server_zone == zone)
     }
 
-    /// Counts work against what a server can do; a cold one falls over past its multiple.
-    pub(super) fn push(&mut self, n: NodeId, sid: ServerId, work: f64) {
-        let (now, multiple) = (self.queue.now(), self.plan.tips.0);
-        let server = &mut self.servers[sid as usize];
-        let knew = self.nodes[n]
-            .list
-            .get(&sid)
-            .is_some_and(|e| e.started_at == server.entry.started_at);
+    /// Adds work to the load of a server. One in its slow start ends if that is too much.
+    fn add_load(&mut self, node: NodeId, id: ServerId, work: f64) {
+        let now = self.queue.now();
+        let server = &mut self.servers[id as usize];
+        let known = self.nodes[node].endpoints.get(&id);
+        let started_at = server.endpoint.started_at;
+        let knew = known.is_some_and(|endpoint| endpoint.started_at == started_at);
         let capacity = server.capacity(now, &self.plan);
-        let (pushed, knowing) = server.push(now, work, knew, &self.plan);
-        let waits: f64 = server
-            .waiting
-            .iter()
-            .map(|id| self.tries[self.attempts[*id].of].work)
-            .sum();
-        let past = if waits > QUEUE_LONG * capacity {
-            work
-        } else {
-            0.0
+        let load = server.receive(now, work, knew, &self.plan);
+        let work_of = |id: &AttemptId| {
+            let attempt = &self.attempts[*id];
+            self.client_attempts[attempt.client_attempt].work
         };
-        self.report.at(now - BEGINS).past += past;
-        if knowing >= 2.0 / 3.0 {
-            self.report.rules.pushed = self.report.rules.pushed.max(pushed);
+        let queued: f64 = server.queue.iter().map(work_of).sum();
+        if queued > LONG_QUEUE * capacity {
+            self.report.second_at(now - START).work_to_long_queues += work;
+        }
+        self.check_slow_start_load(id, load);
+    }
+
+    fn check_slow_start_load(&mut self, id: ServerId, load: SlowStartLoad) {
+        let violations = &mut self.report.violations;
+        let is_informed = load.share_of_informed >= INFORMED_SHARE;
+        if is_informed {
+            violations.max_slow_start_load = violations.max_slow_start_load.max(load.factor);
         }
-        if pushed > multiple {
-            if knowing >= 2.0 / 3.0 {
-                self.report
-                    .rules
-                    .breach(now, Broken::PushedOver, sid as usize);
+        if load.factor > self.plan.overload.factor {
+            if is_informed {
+                let now = self.queue.now();
+                violations.record(now, Rule::OverloadedDuringSlowStart, id as usize);
             }
-            self.end_server(sid, State::Ended);
+            self.end_server(id, State::Ended);
         }
     }
 
-    /// Works on what waits longest, if the server is free.
-    pub(super) fn serve(&mut self, sid: ServerId) {
+    /// Runs the next attempt of the queue, if the server is idle.
+    fn run_next(&mut self, id: ServerId) {
         let now = self.queue.now();
-        let server = &mut self.servers[sid as usize];
-        if server.busy.is_some() {
+        let server = &mut self.servers[id as usize];
+        if server.running.is_some() {
             return;
         }
-        let Some(id) = server.waiting.pop_front() else {
+        let Some(attempt_id) = server.queue.pop_front() else {
             return;
         };
-        server.busy = Some(id);
-        let a = &self.attempts[id];
-        let t = &mut self.tries[a.of];
-        t.ran += 1;
-        if t.ran > 1 && self.plan.classes[t.class].effect == Idempotency::AtMostOnce {
-            self.report.rules.breach(now, Broken::RanTwice, a.of);
+        server.running = Some(attempt_id);
+        let attempt = &self.attempts[attempt_id];
+        let request = &mut self.client_attempts[attempt.client_attempt];
+        request.executions += 1;
+        let class = &self.plan.classes[request.class];
+        if request.executions > 1 && class.idempotency == Idempotency::AtMostOnce {
+            let violations = &mut self.report.violations;
+            violations.record(now, Rule::RepeatedEffect, attempt.client_attempt);
         }
-        let mut work = lognormal(&mut self.work, t.work, ATTEMPT_CV);
-        work += if a.fresh { self.plan.handshake } else { 0.0 };
-        server.done += work;
-        let done = server.awake(
-            now,
-            work * self.common_slow / server.crowded(now, &self.plan),
-        );
-        self.queue.put(done, Event::Worked(sid, server.life, id));
+        let mut work = lognormal(&mut self.work_random, request.work, ATTEMPT_VARIATION);
+        work += if attempt.is_new_connection {
+            self.plan.connection_work
+        } else {
+            0.0
+        };
+        server.work_done += work;
+        let work_time = work * self.common_slowdown / server.crowded_capacity(now, &self.plan);
+        let done_at = server.completion_time(now, work_time);
+        let incarnation = server.incarnation;
+        let event = Event::WorkCompleted {
+            server: id,
+            incarnation,
+            attempt: attempt_id,
+        };
+        self.queue.put(done_at, event);
     }
 
-    pub(super) fn worked(&mut self, sid: ServerId, life: u32, id: AttemptId) {
-        let server = &mut self.servers[sid as usize];
-        if server.life != life || server.busy != Some(id) {
+    /// A server has completed the work of an attempt; its response may be lost.
+    pub(super) fn complete_work(&mut self, id: ServerId, incarnation: u32, attempt: AttemptId) {
+        let server = &mut self.servers[id as usize];
+        if server.incarnation != incarnation || server.running != Some(attempt) {
             return;
         }
-        server.busy = None;
-        let (now, silent) = (self.queue.now(), server.manner == Manner::Silent);
-        let n = self.attempts[id].node;
-        let back = self.delay(n, sid);
-        let lost = now < self.losing.1 && self.network.random::<f64>() < self.losing.0;
-        if !silent && !self.parted(n, sid) {
-            let outcome = if lost {
+        server.running = None;
+        let is_unresponsive = server.behavior == ServerBehavior::Unresponsive;
+        let now = self.queue.now();
+        let node = self.attempts[attempt].node;
+        let latency = self.latency(node, id);
+        let is_lost = now < self.lost_responses.until
+            && self.network_random.random::<f64>() < self.lost_responses.value;
+        if !is_unresponsive && !self.is_partitioned(node, id) {
+            let outcome = if is_lost {
                 Outcome::ConnectionLost
             } else {
                 Outcome::Served
             };
-            self.queue.put(now + back, Event::Ends(id, outcome));
+            self.queue
+                .put(now + latency, Event::AttemptEnded(attempt, outcome));
         }
-        self.serve(sid);
+        self.run_next(id);
     }
 
-    pub(super) fn end_server(&mut self, sid: ServerId, state: State) {
+    /// A server ends, or is cut off. Attempts at one that ends lose their connections.
+    pub(super) fn end_server(&mut self, id: ServerId, state: State) {
         let now = self.queue.now();
-        self.servers[sid as usize].end(state);
-        if state == State::Ended {
-            // Whoever waits there hears of it; what is on a machine that is cut off waits on.
-            let hit = |id: &&AttemptId| {
-                self.attempts[**id].server == sid && self.attempts[**id].connected
-            };
-            let hit: Vec<AttemptId> = self.out.iter().filter(hit).copied().collect();
-            for id in hit {
-                self.queue.put(
-                    now + self.plan.latency.1,
-                    Event::Ends(id, Outcome::ConnectionLost),
-                );
-            }
+        self.servers[id as usize].end(state);
+        if state != State::Ended {
+            return;
+        }
+        let is_there = |attempt: &&AttemptId| {
+            let attempt = &self.attempts[**attempt];
+            attempt.server == id && attempt.is_connected
+        };
+        let there: Vec<AttemptId> = self.in_flight.iter().filter(is_there).copied().collect();
+        let at = now + self.plan.latency.cross_zone;
+        for attempt in there {
+            self.queue
+                .put(at, Event::AttemptEnded(attempt, Outcome::ConnectionLost));
         }
     }
 
-    /// Tells every node what the list says of a server, each at its time.
-    pub(super) fn announce(&mut self, sid: ServerId, state: ServerState) {
-        let from = self.queue.now().max(self.list_down);
-        self.servers[sid as usize].entry.state = state;
-        let entry = self.servers[sid as usize].entry.clone();
-        for n in 0..self.nodes.len() {
-            // Each node hears all news with the same delay, so that none overtakes another.
-            let after = self.plan.notice * (1.0 + self.nodes[n].hears);
-            self.queue.put(from + after, Event::News(n, entry.clone()));
+    /// The endpoint list states this of a server. Each node is notified with a delay of its own that is always the same, so
+    /// that no change overtakes another.
+    pub(super) fn announce(&mut self, id: ServerId, state: ServerState) {
+        let from = self.queue.now().max(self.discovery_outage_until);
+        let endpoint = &mut self.servers[id as usize].endpoint;
+        endpoint.state = state;
+        let endpoint = endpoint.clone();
+        for (node, notified) in self.nodes.iter().enumerate() {
+            let delay = self.plan.notification_delay * (1.0 + notified.lateness);
+            self.queue
+                .put(from + delay, Event::EndpointChanged(node, endpoint.clone()));
         }
     }
 }
 
-pub(super) fn make(plan: &Plan, rng: &mut Pcg64Mcg, id: usize) -> Server {
-    let mut at = rng.random::<f64>();
-    let kind = plan.kinds.iter().position(|k| {
-        at -= k.share;
-        at < 0.0
+/// A server with sampled machine type, zone, speed and queue.
+pub(super) fn make_server(plan: &Plan, random: &mut Pcg64Mcg, id: usize) -> Server {
+    let mut point = random.random::<f64>();
+    let machine_type = plan.machine_types.iter().position(|machine_type| {
+        point -= machine_type.server_share;
+        point < 0.0
     });
-    let kind = kind.unwrap_or(0);
-    let room = rng.random_range(plan.waiting.0..=plan.waiting.1.max(plan.waiting.0));
-    let Some(k) = plan.kinds.get(kind) else {
-        return Server::new(entry(id, 0, 0, 1.0, rng), 1.0, room);
+    let index = machine_type.unwrap_or(0);
+    let (min, max) = (*plan.queue_capacity.start(), *plan.queue_capacity.end());
+    let queue_capacity = random.random_range(min..=max.max(min));
+    let Some(machine_type) = plan.machine_types.get(index) else {
+        return Server::new(make_endpoint(id, 0, 0, 1.0, random), 1.0, queue_capacity);
     };
-    let zone = u16::from(rng.random::<f64>() >= plan.zones.1);
-    let speed = k.speed.0 + (k.speed.1 - k.speed.0) * rng.random::<f64>();
-    Server::new(
-        entry(id, zone, kind as MachineTypeId, k.weight, rng),
-        speed,
-        room,
-    )
+    let zone = u16::from(random.random::<f64>() >= plan.first_zone.servers);
+    let (slowest, fastest) = (*machine_type.speed.start(), *machine_type.speed.end());
+    let speed = slowest + (fastest - slowest) * random.random::<f64>();
+    let weight = machine_type.listed_weight;
+    let endpoint = make_endpoint(id, zone, index as MachineTypeId, weight, random);
+    Server::new(endpoint, speed, queue_capacity)
 }
 
-pub(super) fn entry(
+fn make_endpoint(
     id: usize,
     zone: ZoneId,
-    kind: MachineTypeId,
+    machine_type: MachineTypeId,
     weight: f64,
-    rng: &mut Pcg64Mcg,
+    random: &mut Pcg64Mcg,
 ) -> Endpoint {
     Endpoint {
         server: id as ServerId,
-        hash: rng.random(),
+        hash: random.random(),
         zone,
-        machine_type: kind,
+        machine_type,
         cell: 0,
         state: ServerState::Up,
         weight,
--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_emulator::plan::{Happening, Manner, Plan};
+use reelfall_emulator::plan::{Disturbance, Plan, ScheduledDisturbance, ServerBehavior};
 use reelfall_emulator::{play, scenario, Report};
 
 fn played(plan: Plan) -> Report {
@@ -11,7 +11,11 @@
         plan.name, plan.nodes, plan.seed
     );
     let report = play(plan).expect("a usable plan");
-    assert!(report.rules.kept(), "{name}: {}", report.rules.breaches[0]);
+    assert!(
+        report.violations.is_empty(),
+        "{name}: {}",
+        report.violations.list[0]
+    );
     report
 }
 
@@ -19,11 +23,11 @@
 fn the_rules_hold_when_nodes_die_zones_are_lost_and_servers_are_replaced() {
     for nodes in [10, 100] {
         for plan in [scenario::herd, scenario::zone, scenario::join] {
-            let report = played(scenario::with_bad(plan(nodes, 5), 0.1));
+            let report = played(scenario::with_faulty_servers(plan(nodes, 5), 0.1));
             assert!(
-                report.sum(|s| s.sends) > 1000 && report.whole() > 0.4,
+                report.sum(|s| s.attempts) > 1000 && report.earned_share() > 0.4,
                 "{:.3}",
-                report.whole()
+                report.earned_share()
             );
         }
     }
@@ -33,13 +37,13 @@
 fn a_run_is_the_same_each_time_and_another_for_another_seed() {
     let sends = |seed| {
         let report = played(Plan {
-            length: 6.0,
-            ..scenario::with_bad(scenario::zone(20, seed), 0.2)
+            duration: 6.0,
+            ..scenario::with_faulty_servers(scenario::zone(20, seed), 0.2)
         });
         report
             .seconds
             .iter()
-            .map(|s| (s.sends, s.dials, s.refused))
+            .map(|s| (s.attempts, s.connections, s.rejected))
             .collect::<Vec<_>>()
     };
     assert_eq!(sends(3), sends(3));
@@ -51,16 +55,16 @@
     let sum = |whole| {
         let reports = (1..3).map(|seed| {
             played(Plan {
-                whole,
-                length: 12.0,
-                ..scenario::with_bad(scenario::calm(100, seed), 0.15)
+                is_subsetting_disabled: whole,
+                duration: 12.0,
+                ..scenario::with_faulty_servers(scenario::calm(100, seed), 0.15)
             })
         });
         reports.fold((0.0, 0, 0), |(w, dead, dials), r| {
             (
-                w + r.whole(),
-                dead + r.sum(|s| s.to_dead),
-                dials + r.sum(|s| s.dials),
+                w + r.earned_share(),
+                dead + r.sum(|s| s.to_unresponsive),
+                dials + r.sum(|s| s.connections),
             )
         })
     };
@@ -73,10 +77,16 @@
 #[test]
 fn a_node_that_gets_nothing_for_long_and_then_its_share_serves_it() {
     let mut plan = scenario::calm(40, 2);
-    plan.length = 16.0;
-    plan.happenings.push((2.0, Happening::Shunned(0.5, 8.0)));
+    plan.duration = 16.0;
+    plan.disturb(
+        2.0,
+        Disturbance::IdleNodes {
+            share: 0.5,
+            lasts: 8.0,
+        },
+    );
     // Half of the nodes bear all of the traffic; the servers are the same.
-    assert!(played(plan).whole() > 0.85);
+    assert!(played(plan).earned_share() > 0.85);
 }
 
 #[test]
@@ -84,11 +94,11 @@
     for (nodes, servers) in [(1, 1), (1, 30), (30, 1)] {
         let plan = Plan {
             servers,
-            length: 5.0,
+            duration: 5.0,
             ..scenario::calm(nodes, 1)
         };
         assert!(
-            played(plan).sum(|s| s.sends) > 50,
+            played(plan).sum(|s| s.attempts) > 50,
             "{nodes} nodes, {servers} servers"
         );
     }
@@ -102,33 +112,43 @@
 #[test]
 fn nodes_that_start_together_with_a_stale_list_find_what_is_there() {
     let mut plan = scenario::calm(100, 4);
-    plan.happenings.push((0.0, Happening::Vanish(0.3)));
+    plan.disturb(0.0, Disturbance::EndServers { share: 0.3 });
     let report = played(Plan {
         load: 0.4,
-        length: 10.0,
+        duration: 10.0,
         ..plan
     });
     // For a second or two nobody has heard that they are gone; then nobody may ask them.
     let (first, later): (Vec<_>, Vec<_>) =
         report.seconds.iter().enumerate().partition(|(n, _)| *n < 3);
-    assert!(first.iter().any(|(_, s)| s.to_dead > 0));
-    assert!(later.iter().all(|(_, s)| s.to_dead == 0));
-    assert!(report.whole() > 0.85, "{:.3}", report.whole());
+    assert!(first.iter().any(|(_, s)| s.to_unresponsive > 0));
+    assert!(later.iter().all(|(_, s)| s.to_unresponsive == 0));
+    assert!(report.earned_share() > 0.85, "{:.3}", report.earned_share());
 }
 
 #[test]
 fn when_the_last_sound_zone_is_cold_too_no_server_is_pushed_over() {
     for seed in 1..4 {
         let mut plan = scenario::calm(40, seed);
-        plan.happenings = vec![
-            (2.0, Happening::ZoneLost(0, 2.0)),
-            (5.0, Happening::ZoneLost(1, 2.0)),
-        ];
+        plan.disturb(
+            2.0,
+            Disturbance::LoseZone {
+                zone: 0,
+                down_for: 2.0,
+            },
+        );
+        plan.disturb(
+            5.0,
+            Disturbance::LoseZone {
+                zone: 1,
+                down_for: 2.0,
+            },
+        );
         let report = played(plan);
         assert!(
-            report.rules.pushed > 0.2 && report.whole() > 0.3,
+            report.violations.max_slow_start_load > 0.2 && report.earned_share() > 0.3,
             "{:.3}",
-            report.whole()
+            report.earned_share()
         );
     }
 }
@@ -138,44 +158,65 @@
     let (even, heavy) = (
         scenario::calm(50, 3),
         Plan {
-            heavy: 10.0,
+            first_node_weight: 10.0,
             ..scenario::calm(50, 3)
         },
     );
     let (even, heavy) = (played(even), played(heavy));
     assert!(
-        heavy.whole() > even.whole() - 0.05,
+        heavy.earned_share() > even.earned_share() - 0.05,
         "{:.3} {:.3}",
-        heavy.whole(),
-        even.whole()
+        heavy.earned_share(),
+        even.earned_share()
     );
 }
 
 #[test]
 fn a_list_that_flaps_moves_no_load_to_where_it_can_not_be_borne() {
     let mut plan = scenario::calm(50, 6);
-    plan.happenings.push((4.0, Happening::Flap(0.3, 20)));
+    plan.disturb(
+        4.0,
+        Disturbance::FlapEntries {
+            share: 0.3,
+            times: 20,
+        },
+    );
     let report = played(plan);
-    assert!(report.worst(5) > 0.6, "{:.3}", report.worst(5));
+    assert!(
+        report.worst_earned_share(5) > 0.6,
+        "{:.3}",
+        report.worst_earned_share(5)
+    );
 }
 
-fn happening() -> impl Strategy<Value = (f64, Happening)> {
-    let manner = prop_oneof![
-        Just(Manner::Silent),
-        Just(Manner::Failing),
-        Just(Manner::Slow(3.0))
+fn disturbance() -> impl Strategy<Value = ScheduledDisturbance> {
+    let behavior = prop_oneof![
+        Just(ServerBehavior::Unresponsive),
+        Just(ServerBehavior::Failing),
+        Just(ServerBehavior::Slow(3.0))
     ];
     let what = prop_oneof![
-        (0.1..0.9f64, 0.2..3.0f64).prop_map(|(part, back)| Happening::NodesDie(part, back)),
-        (0..2u16, 0.5..4.0f64).prop_map(|(zone, back)| Happening::ZoneLost(zone, back)),
-        (0.1..0.6f64, 0.1..3.0f64).prop_map(|(part, after)| Happening::Replace(part, after)),
-        (0.05..0.5f64, manner, 0.5..4.0f64).prop_map(|(part, m, t)| Happening::Trouble(part, m, t)),
-        (0.5..5.0f64).prop_map(Happening::ListDown),
-        (0.1..0.9f64, 0.5..4.0f64).prop_map(|(part, t)| Happening::Shunned(part, t)),
-        (0.1..0.5f64).prop_map(Happening::Vanish),
-        (0.1..0.5f64, 1..12u32).prop_map(|(part, times)| Happening::Flap(part, times)),
+        (0.1..0.9f64, 0.2..3.0f64)
+            .prop_map(|(share, down_for)| Disturbance::KillNodes { share, down_for }),
+        (0..2u16, 0.5..4.0f64)
+            .prop_map(|(zone, down_for)| Disturbance::LoseZone { zone, down_for }),
+        (0.1..0.6f64, 0.1..3.0f64)
+            .prop_map(|(share, after)| Disturbance::ReplaceServers { share, after }),
+        (0.05..0.5f64, behavior, 0.5..4.0f64).prop_map(|(share, behavior, lasts)| {
+            Disturbance::ServerFault {
+                share,
+                behavior,
+                lasts,
+            }
+        }),
+        (0.5..5.0f64).prop_map(|lasts| Disturbance::DiscoveryOutage { lasts }),
+        (0.1..0.9f64, 0.5..4.0f64)
+            .prop_map(|(share, lasts)| Disturbance::IdleNodes { share, lasts }),
+        (0.1..0.5f64).prop_map(|share| Disturbance::EndServers { share }),
+        (0.1..0.5f64, 1..12u32)
+            .prop_map(|(share, times)| Disturbance::FlapEntries { share, times }),
     ];
-    (0.5..7.0f64, what)
+    (0.5..7.0f64, what).prop_map(|(at, disturbance)| ScheduledDisturbance { at, disturbance })
 }
 
 #[test]
@@ -189,24 +230,28 @@
         rng,
     );
     let plans = (
-        proptest::collection::vec(happening(), 1..5),
+        proptest::collection::vec(disturbance(), 1..5),
         4..60usize,
         any::<u64>(),
         0.4..1.3f64,
     );
-    let checked = runner.run(&plans, |(happenings, nodes, seed, load)| {
+    let checked = runner.run(&plans, |(disturbances, nodes, seed, load)| {
         let plan = Plan {
-            happenings,
+            disturbances,
             load,
-            length: 9.0,
+            duration: 9.0,
             ..scenario::calm(nodes, seed)
         };
-        let report = play(plan).map_err(TestCaseError::fail)?;
-        prop_assert!(report.rules.kept(), "{}", report.rules.breaches[0]);
+        let report = play(plan).map_err(|error| TestCaseError::fail(error.to_string()))?;
+        prop_assert!(
+            report.violations.is_empty(),
+            "{}",
+            report.violations.list[0]
+        );
         // A fifth of the tries, and what each life of a node may have saved up.
-        let tries = f64::from(report.sum(|s| s.tries));
+        let tries = f64::from(report.sum(|s| s.client_attempts));
         let saved = 10.0 * nodes as f64 * 3.0;
-        prop_assert!(f64::from(report.sum(|s| s.repeats)) <= 0.2 * tries + saved);
+        prop_assert!(f64::from(report.sum(|s| s.retries)) <= 0.2 * tries + saved);
         Ok(())
     });
     checked.expect("every schedule keeps the rules");
