--- a/crates/emulator/src/together.rs
+++ b/crates/emulator/src/together.rs
@@ -106,9 +106,17 @@
     pub broken: Vec<String>,
 }
 
-/// Where a place is reached.
+/// The port of the first node.
+const FIRST_PORT: u16 = 10_000;
+
+/// The address of a node.
 pub fn address(n: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], 10_000 + n as u16))
+    SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + n as u16))
+}
+
+/// The number of the node with an address; out of range if there is none.
+fn node_number(address: SocketAddr) -> usize {
+    usize::from(address.port()).wrapping_sub(usize::from(FIRST_PORT))
 }
 
 /// A place's name.
@@ -247,87 +255,94 @@
             .insert((((self.t + after) * 1e6) as u64, self.next), (to, datagram));
     }
 
+    /// Carries out what a node asks for after a call, and records what it has learned.
     fn after(&mut self, n: usize) {
-        let t = self.t;
-        let (mut out, mut told, mut gone) = (Vec::new(), Vec::new(), Vec::new());
         let Some(process) = self.nodes[n].as_mut() else {
             return;
         };
-        while let Some(sent) = process.fleet.next_datagram() {
-            out.push(sent);
-        }
-        while let Some(change) = process.fleet.next_event() {
-            match change {
-                FleetEvent::Updated(key) => told.push(key),
+        let datagrams: Vec<_> = std::iter::from_fn(|| process.fleet.next_datagram()).collect();
+        let mut updated = Vec::new();
+        let mut declared_dead = Vec::new();
+        while let Some(event) = process.fleet.next_event() {
+            match event {
+                FleetEvent::Updated(key) => updated.push(key),
                 FleetEvent::Expired(key) => drop(process.in_force.remove(&key)),
-                FleetEvent::Member(MemberEvent::Down(node)) => gone.push(node),
+                FleetEvent::Member(MemberEvent::Down(node)) => declared_dead.push(node),
                 _ => {}
             }
         }
+        for key in updated {
+            self.record_update(n, key);
+        }
+        self.record_deaths(n, &declared_dead);
+        for (to, datagram) in datagrams {
+            self.send(n, to, &datagram);
+        }
+    }
+
+    /// Records the creation of an entry, and what a node does by it.
+    fn record_update(&mut self, n: usize, key: Key) {
+        let t = self.t;
+        let Some(process) = self.nodes[n].as_mut() else {
+            return;
+        };
         let now = process.clock(t);
-        for key in told {
-            let Some(held) = process.fleet.table().get(&key, now) else {
-                continue;
-            };
-            // An index is told by whoever sees it: each time is a making of its own.
-            if !matches!(key, Key::ListIndex { .. }) {
-                self.born.entry((key.clone(), held.version)).or_insert(t);
+        let Some(held) = process.fleet.table().get(&key, now) else {
+            return;
+        };
+        // Every node that sees an index publishes it, and each time is a creation of its own.
+        if !matches!(key, Key::ListIndex { .. }) {
+            self.born.entry((key.clone(), held.version)).or_insert(t);
+        }
+        match held.value {
+            Value::BanLifted { .. } => {
+                process.in_force.remove(&key);
+                process.lifted.insert(key);
             }
-            match held.value {
-                Value::BanLifted { .. } => {
-                    process.in_force.remove(&key);
-                    process.lifted.insert(key);
-                }
-                Value::Banned { .. } if process.lifted.contains(&key) => {
-                    self.broken
-                        .push(format!("{t:.3}: a lifted ban is back at node {n}"));
-                }
-                Value::Banned { .. } => drop(process.in_force.insert(key)),
-                _ => {}
+            Value::Banned { .. } if process.lifted.contains(&key) => {
+                let violation = format!("{t:.3}: a lifted ban is back at node {n}");
+                self.broken.push(violation);
             }
+            Value::Banned { .. } => drop(process.in_force.insert(key)),
+            _ => {}
         }
-        let there = |node: &Node| {
-            let process = self
-                .nodes
-                .iter()
-                .flatten()
-                .find(|p| p.fleet.members().me() == node);
-            process.is_some_and(|p| !p.frozen)
+    }
+
+    /// Counts the nodes that a node has declared dead by mistake.
+    fn record_deaths(&mut self, by: usize, declared_dead: &[Node]) {
+        let is_running = |node: &&Node| {
+            let mut processes = self.nodes.iter().flatten();
+            let process = processes.find(|process| process.fleet.members().me() == *node);
+            process.is_some_and(|process| !process.frozen)
         };
-        self.wrongly_gone += gone.iter().filter(|node| there(node)).count() as u64;
+        self.wrongly_gone += declared_dead.iter().filter(is_running).count() as u64;
         if let Some(sound) = self.sound {
-            let taken = gone
-                .iter()
-                .filter(|node| usize::from(node.address.port()) < 10_000 + sound)
-                .count() as u64;
-            let by = if n < sound {
-                &mut self.sound_gone.0
-            } else {
-                &mut self.sound_gone.1
-            };
-            *by += taken;
+            let is_sound = |node: &&Node| node_number(node.address) < sound;
+            let count = declared_dead.iter().filter(is_sound).count() as u64;
+            let (by_sound, by_other) = &mut self.sound_gone;
+            *(if by < sound { by_sound } else { by_other }) += count;
         }
-        for (to, datagram) in out {
-            self.sent += 1;
-            self.bytes += datagram.len() as u64;
-            if let Some(inspector) = &mut self.inspector {
-                inspector.add(&datagram);
-            }
-            let to = usize::from(to.port()).wrapping_sub(10_000);
-            if to >= self.nodes.len() || self.cut.contains(&(n, to)) {
-                continue;
-            }
-            let times = 1 + usize::from(self.draw.random::<f64>() < self.links.twice);
-            for _ in 0..times {
-                let deaf = self
-                    .deaf
-                    .get(&to)
-                    .is_some_and(|lost| self.draw.random::<f64>() < *lost);
-                if self.draw.random::<f64>() >= self.links.loss && !deaf {
-                    let (least, most) = self.links.delay;
-                    let delay = least + (most - least) * self.draw.random::<f64>();
-                    self.inject(to, datagram.clone(), delay);
-                }
+    }
+
+    /// Puts a datagram of a node on its way, as the links allow.
+    fn send(&mut self, from: usize, to: SocketAddr, datagram: &[u8]) {
+        self.sent += 1;
+        self.bytes += datagram.len() as u64;
+        if let Some(inspector) = &mut self.inspector {
+            inspector.add(datagram);
+        }
+        let to = node_number(to);
+        if to >= self.nodes.len() || self.cut.contains(&(from, to)) {
+            return;
+        }
+        let copies = 1 + usize::from(self.draw.random::<f64>() < self.links.twice);
+        for _ in 0..copies {
+            let deaf = self.deaf.get(&to);
+            let is_unheard = deaf.is_some_and(|lost| self.draw.random::<f64>() < *lost);
+            if self.draw.random::<f64>() >= self.links.loss && !is_unheard {
+                let (min, max) = self.links.delay;
+                let delay = min + (max - min) * self.draw.random::<f64>();
+                self.inject(to, datagram.to_vec(), delay);
             }
         }
     }
