--- /dev/null
+++ b/crates/testbed/src/commands/load.rs
@@ -0,0 +1,55 @@
+//! Requests at random times.
+
+use reelfall_testbed::load::{self, Kind};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// How long the clients wait.
+const CLIENT_DEADLINE: Duration = Duration::from_millis(600);
+
+#[derive(clap::Args)]
+pub struct LoadArgs {
+    /// Where to
+    #[arg(long)]
+    to: SocketAddr,
+    /// Host
+    #[arg(long, default_value = "flags.example.org")]
+    host: String,
+    /// Path
+    #[arg(long, default_value = "/api")]
+    path: String,
+    /// POST instead of GET
+    #[arg(long)]
+    post: bool,
+    /// X-Service-Class
+    #[arg(long)]
+    class: Option<String>,
+    /// Requests a second
+    #[arg(long, default_value_t = 100.0)]
+    rate: f64,
+    /// Seconds
+    #[arg(long, default_value_t = 10.0)]
+    seconds: f64,
+    /// For the moments
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+}
+
+/// Sends requests and prints the figures.
+pub async fn run(args: LoadArgs) {
+    let class = args.class.map(|class| ("x-service-class", class));
+    let kind = Kind {
+        name: format!("load{}", args.seed),
+        host: args.host,
+        method: if args.post { "POST" } else { "GET" },
+        path: args.path,
+        headers: class.into_iter().collect(),
+        body: None,
+        deadline: CLIENT_DEADLINE,
+        rate: args.rate,
+    };
+    let duration = Duration::from_secs_f64(args.seconds);
+    for result in load::run(args.to, &[kind], duration, args.seed).await {
+        println!("{}", result.figures());
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/commands/measure.rs
@@ -0,0 +1,47 @@
+//! Measurements of what the node costs.
+
+use reelfall_testbed::measure::{self, Plan};
+use reelfall_testbed::node::Program;
+use reelfall_testbed::Result;
+use std::path::PathBuf;
+use std::time::Duration;
+
+#[derive(clap::Args)]
+pub struct MeasureArgs {
+    /// `services`, `graphql`, `membership` or `fleet`
+    name: String,
+    /// Another node to compare with
+    #[arg(long, value_name = "PROGRAM")]
+    old: Option<PathBuf>,
+    /// Rounds of all subjects
+    #[arg(long, default_value_t = 7)]
+    rounds: usize,
+    /// Seconds of a subject in a round
+    #[arg(long, default_value_t = 4.0)]
+    seconds: f64,
+    /// Requests a second
+    #[arg(long, default_value_t = 1000.0)]
+    rate: f64,
+}
+
+/// Measures and prints the figures.
+pub async fn run(program: &Program, args: MeasureArgs) -> Result<()> {
+    let plan = Plan {
+        rounds: args.rounds,
+        time: Duration::from_secs_f64(args.seconds),
+        rate: args.rate,
+        old: args.old.map(Program::alone),
+    };
+    let figures = match args.name.as_str() {
+        "services" => measure::services::run(program, &plan).await?,
+        "graphql" => measure::graphql::run(program, &plan).await?,
+        "membership" => measure::membership::run(program, &plan).await?,
+        "fleet" => measure::fleet::run(program, &plan).await?,
+        name => {
+            let which = "services, graphql, membership, fleet";
+            return Err(format!("there is no measurement `{name}`: {which}").into());
+        }
+    };
+    println!("{figures}");
+    Ok(())
+}
--- /dev/null
+++ b/crates/testbed/src/commands/stand_ins.rs
@@ -0,0 +1,149 @@
+//! Stand-ins that run until they are ended.
+
+use super::print_ready;
+use reelfall_testbed::discovery::{Discovery, Listed};
+use reelfall_testbed::link::Link;
+use reelfall_testbed::pool::{Manner, Pool};
+use reelfall_testbed::registry::{self, Registry};
+use reelfall_testbed::{relay, until_ended, Result};
+use serde_json::{json, Map, Value};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+
+/// The seed of a pool that is started by hand.
+const POOL_SEED: u64 = 1;
+
+#[derive(clap::Args)]
+pub struct PoolArgs {
+    /// How many
+    #[arg(long, default_value_t = 3)]
+    servers: usize,
+    /// Milliseconds of a request
+    #[arg(long, default_value_t = 20)]
+    service_ms: u64,
+    /// Share of requests answered 500
+    #[arg(long, default_value_t = 0.0)]
+    fail: f64,
+    /// Share whose connection closes after the effect
+    #[arg(long, default_value_t = 0.0)]
+    die: f64,
+}
+
+/// Runs servers; prints what they have received at the end.
+pub async fn run_pool(args: &PoolArgs) -> Result<()> {
+    let manner = Manner {
+        fail: args.fail,
+        die_after: args.die,
+        ..Manner::good(Duration::from_millis(args.service_ms))
+    };
+    let pool = Pool::start("server", args.servers, manner, POOL_SEED).await?;
+    let mut addresses = Map::new();
+    for server in &pool.servers {
+        addresses.insert(server.name.clone(), server.address.to_string().into());
+    }
+    print_ready(Value::Object(addresses));
+    until_ended().await;
+    println!(
+        "{}",
+        json!({ "seen": pool.seen(), "effects_twice": pool.twice() })
+    );
+    Ok(())
+}
+
+#[derive(clap::Args)]
+pub struct DiscoveryArgs {
+    /// Their addresses
+    #[arg(long = "server", required = true)]
+    servers: Vec<SocketAddr>,
+}
+
+/// Runs the platform's discovery.
+pub async fn run_discovery(args: &DiscoveryArgs) -> Result<()> {
+    let mut listed = Vec::new();
+    for (index, address) in args.servers.iter().enumerate() {
+        listed.push(Listed::active(&format!("server-{}", index + 1), *address));
+    }
+    let discovery = Discovery::start(listed).await?;
+    print_ready(json!({ "discovery": discovery.address.to_string() }));
+    until_ended().await;
+    Ok(())
+}
+
+#[derive(clap::Args)]
+pub struct RegistryArgs {
+    /// Where the first member listens; port 0 is any
+    #[arg(long, default_value = "127.0.0.1:0")]
+    listen: SocketAddr,
+    /// How many
+    #[arg(long, default_value_t = 3)]
+    members: usize,
+}
+
+/// Runs a registry and the address of its controls.
+pub async fn run_registry(args: &RegistryArgs) -> Result<()> {
+    let registry = Arc::new(Registry::at(args.listen, args.members).await?);
+    let listener = TcpListener::bind((args.listen.ip(), 0)).await?;
+    let mut addresses = Map::new();
+    for (index, address) in registry.members.iter().enumerate() {
+        addresses.insert(format!("m{}", index + 1), address.to_string().into());
+    }
+    let control = listener.local_addr()?.to_string();
+    addresses.insert("control".to_owned(), control.into());
+    print_ready(Value::Object(addresses));
+    tokio::select! {
+        result = registry::control::serve(listener, registry.clone()) => result,
+        () = until_ended() => Ok(()),
+    }
+}
+
+#[derive(clap::Args)]
+pub struct LinkArgs {
+    /// Where it leads
+    #[arg(long)]
+    to: SocketAddr,
+    /// Milliseconds later, either way
+    #[arg(long, default_value_t = 0)]
+    delay_ms: u64,
+    /// Bytes after which a connection is cut, to the server
+    #[arg(long)]
+    cut: Option<u64>,
+    /// Bytes a second
+    #[arg(long)]
+    throttle: Option<u64>,
+    /// What the server says is lost
+    #[arg(long)]
+    deaf: bool,
+}
+
+/// Runs a network path with faults.
+pub async fn run_link(args: &LinkArgs) -> Result<()> {
+    let link = Link::start(args.to).await?;
+    link.fault(|fault| {
+        fault.delay = Duration::from_millis(args.delay_ms);
+        fault.cut_to_server = args.cut;
+        fault.throttle = args.throttle;
+        fault.deaf = args.deaf;
+    });
+    print_ready(json!({ "link": link.address.to_string() }));
+    until_ended().await;
+    Ok(())
+}
+
+#[derive(clap::Args)]
+pub struct RelayArgs {
+    /// The servers
+    #[arg(long = "to", required = true)]
+    to: Vec<SocketAddr>,
+}
+
+/// Runs a proxy that decides nothing.
+pub async fn run_relay(args: RelayArgs) -> Result<()> {
+    let listener = TcpListener::bind("127.0.0.1:0").await?;
+    print_ready(json!({ "client": listener.local_addr()?.to_string() }));
+    tokio::select! {
+        result = relay::serve(listener, args.to) => result,
+        () = until_ended() => Ok(()),
+    }
+}
