--- a/crates/testbed/tests/connection_bound.rs
+++ b/crates/testbed/tests/connection_bound.rs
@@ -1,7 +1,7 @@
 //! Which client's connection a node closes when it has no room for another: the real program over loopback sockets.
 
 use reelfall_testbed::scripted::{
-    answer, connect, get, read_request, Discovery, Got, Node, Program, Server,
+    connect, get, read_request, read_response, Discovery, Node, Program, Response, Server,
 };
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -16,7 +16,7 @@
 
 fn node_before(server: &Server) -> (Discovery, Node) {
     let discovery = Discovery::start();
-    discovery.list(1, &[("s-1", server.address, "active")]);
+    discovery.send_snapshot(1, &[("s-1", server.address, "active")]);
     let node = Node::start(
         &Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed")),
         discovery.address,
@@ -26,13 +26,13 @@
 }
 
 /// Asks on a connection and reads the answer.
-fn ask(mut stream: &TcpStream, id: &str) -> Option<Got> {
+fn ask(mut stream: &TcpStream, id: &str) -> Option<Response> {
     let _ = stream.write_all(read_request(id).as_bytes());
-    answer(stream)
+    read_response(stream)
 }
 
-fn good(id: &str) -> Option<Got> {
-    Some(Got {
+fn good(id: &str) -> Option<Response> {
+    Some(Response {
         status: 200,
         body: id.to_owned(),
     })
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_client_that_pauses_before_asking_is_answered_and_one_that_rests_goes_for_it() {
-    let server = Server::good();
+    let server = Server::healthy();
     let (_discovery, node) = node_before(&server);
     let mut rest = (0..PLACES)
         .map(|n| resting(&node, &format!("r-{n}")))
@@ -88,7 +88,7 @@
 
 #[test]
 fn silent_connections_beyond_their_grace_go_before_those_that_rest() {
-    let server = Server::good();
+    let server = Server::healthy();
     let (_discovery, node) = node_before(&server);
     let silent: Vec<TcpStream> = (0..5).map(|_| connect(node.address)).collect();
     let rest: Vec<TcpStream> = (silent.len()..PLACES)
@@ -114,7 +114,7 @@
 /// A client that rests, and closes its connection as soon as the node does.
 struct Attentive {
     stream: TcpStream,
-    next_answer: JoinHandle<Option<Got>>,
+    next_answer: JoinHandle<Option<Response>>,
 }
 
 impl Attentive {
@@ -122,7 +122,7 @@
         let stream = resting(node, id);
         let reads = stream.try_clone().expect("a second handle");
         let next_answer = std::thread::spawn(move || {
-            let next = answer(&reads);
+            let next = read_response(&reads);
             if next.is_none() {
                 let _ = reads.shutdown(Shutdown::Both);
             }
@@ -145,7 +145,7 @@
 
 #[test]
 fn a_flood_of_new_connections_leaves_places_to_those_that_ask_and_that_rest() {
-    let server = Server::good();
+    let server = Server::healthy();
     let (_discovery, node) = node_before(&server);
     let rest: Vec<Attentive> = (0..PLACES)
         .map(|n| Attentive::start(&node, &format!("r-{n}")))
--- a/crates/testbed/tests/discovery.rs
+++ b/crates/testbed/tests/discovery.rs
@@ -1,7 +1,8 @@
 //! News of servers, through a list service that stalls, dribbles, writes for people and goes down.
 
 use reelfall_testbed::scripted::{
-    connect, full_queue, get, list, read_request, serve, Message, Node, Program, Server, PATIENCE,
+    connect, endpoint_list, get, listener_with_full_backlog, read_request, serve, Message, Node,
+    Program, Server, PATIENCE,
 };
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
@@ -28,7 +29,7 @@
     serve(move |mut stream, number| {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Some(request) = Message::read(&mut reader) {
-            with(&request.first, number, &mut stream);
+            with(&request.start_line, number, &mut stream);
         }
     })
 }
@@ -51,7 +52,7 @@
 /// Asks until a request comes to a server; how long that took.
 fn until_used(node: &Node, server: &Server) -> Duration {
     let (began, mut n) = (Instant::now(), 0);
-    while server.seen() == 0 {
+    while server.requests() == 0 {
         assert!(began.elapsed() < PATIENCE, "the news does not arrive");
         get(node.address, &format!("u-{n}"));
         n += 1;
@@ -61,7 +62,7 @@
 
 #[test]
 fn lists_that_are_indented_and_cut_anywhere_are_read() {
-    let (old, new) = (Server::good(), Server::good());
+    let (old, new) = (Server::healthy(), Server::healthy());
     let (old_at, new_at) = (old.address, new.address);
     let (go, gone) = channel::<()>();
     let gone = Mutex::new(gone);
@@ -70,7 +71,7 @@
         serde_json::to_string_pretty(&value).unwrap() + "\n"
     };
     let address = service(move |call, _, stream| {
-        let first = pretty(list(5, true, &[("s-1", old_at, "active")]));
+        let first = pretty(endpoint_list(5, true, &[("s-1", old_at, "active")]));
         if !call.contains("watch=1") {
             return whole(stream, &first);
         }
@@ -79,8 +80,8 @@
             return;
         }
         // Two changes, the second right behind the first, in pieces of a few bytes.
-        let changes = pretty(list(6, false, &[("s-1", old_at, "left")]))
-            + &pretty(list(7, false, &[("s-2", new_at, "active")]));
+        let changes = pretty(endpoint_list(6, false, &[("s-1", old_at, "left")]))
+            + &pretty(endpoint_list(7, false, &[("s-2", new_at, "active")]));
         for piece in changes.as_bytes().chunks(7) {
             let _ = stream.write_all(chunk(std::str::from_utf8(piece).unwrap()).as_bytes());
         }
@@ -101,17 +102,20 @@
         "{]\n",
         "[1]\n",
     ] {
-        let (old, new) = (Server::good(), Server::good());
+        let (old, new) = (Server::healthy(), Server::healthy());
         let (old_at, new_at) = (old.address, new.address);
         let address = service(move |call, _, stream| {
             // Whoever asks for what is behind version 5 gets the same again.
             if !call.contains("watch=1") {
-                whole(stream, &list(8, true, &[("s-2", new_at, "active")]));
+                whole(
+                    stream,
+                    &endpoint_list(8, true, &[("s-2", new_at, "active")]),
+                );
             } else if call.contains("after=8") {
                 let _ = stream.write_all(WATCHES.as_bytes());
                 beats(stream);
             } else {
-                let first = chunk(&(list(5, true, &[("s-1", old_at, "active")]) + "\n"));
+                let first = chunk(&(endpoint_list(5, true, &[("s-1", old_at, "active")]) + "\n"));
                 let _ = stream.write_all((WATCHES.to_owned() + &first + &chunk(spoilt)).as_bytes());
                 beats(stream);
             }
@@ -124,20 +128,20 @@
 /// A node whose first watch tells of one server, and then goes on as `stalls` says; later watches tell of another. Gives
 /// how long the news took from the moment the first watch had told its list.
 fn stalled(stalls: fn(usize, &mut TcpStream) -> bool) -> Duration {
-    let (old, new) = (Server::good(), Server::good());
+    let (old, new) = (Server::healthy(), Server::healthy());
     let (old_at, new_at) = (old.address, new.address);
     let (told, when): (Sender<Instant>, _) = channel();
     let told = Mutex::new(told);
     let address = service(move |call, number, stream| {
         if number == 0 {
-            let first = chunk(&(list(5, true, &[("s-1", old_at, "active")]) + "\n"));
+            let first = chunk(&(endpoint_list(5, true, &[("s-1", old_at, "active")]) + "\n"));
             let _ = stream.write_all((WATCHES.to_owned() + &first).as_bytes());
             let _ = told.lock().unwrap().send(Instant::now());
         }
         if stalls(number, stream) {
             return;
         }
-        let second = list(9, true, &[("s-2", new_at, "active")]);
+        let second = endpoint_list(9, true, &[("s-2", new_at, "active")]);
         if call.contains("watch=1") {
             let _ = stream.write_all((WATCHES.to_owned() + &chunk(&(second + "\n"))).as_bytes());
             beats(stream);
@@ -165,10 +169,10 @@
 
 #[test]
 fn a_connection_that_comes_up_late_and_says_nothing_takes_no_more_than_its_one_deadline() {
-    let (old, new) = (Server::good(), Server::good());
-    let (listener, address) = full_queue();
-    let first = list(5, true, &[("s-1", old.address, "active")]);
-    let second = list(9, true, &[("s-2", new.address, "active")]);
+    let (old, new) = (Server::healthy(), Server::healthy());
+    let (listener, address) = listener_with_full_backlog();
+    let first = endpoint_list(5, true, &[("s-1", old.address, "active")]);
+    let second = endpoint_list(9, true, &[("s-2", new.address, "active")]);
     let (told, when) = channel();
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
@@ -223,17 +227,17 @@
 
 #[test]
 fn idle_clients_that_hold_every_descriptor_keep_no_news_out() {
-    let (old, new) = (Server::good(), Server::good());
+    let (old, new) = (Server::healthy(), Server::healthy());
     let (old_at, new_at) = (old.address, new.address);
     let down = Arc::new(Mutex::new(None::<bool>));
     let is_down = down.clone();
     let address = service(move |call, _, stream| {
         let state = *is_down.lock().unwrap();
         let now = match state {
-            None => list(5, true, &[("s-1", old_at, "active")]),
+            None => endpoint_list(5, true, &[("s-1", old_at, "active")]),
             // Down: connections end without a word.
             Some(true) => return drop(stream.shutdown(std::net::Shutdown::Both)),
-            Some(false) => list(9, true, &[("s-2", new_at, "active")]),
+            Some(false) => endpoint_list(9, true, &[("s-2", new_at, "active")]),
         };
         if !call.contains("watch=1") {
             return whole(stream, &now);
@@ -254,11 +258,11 @@
     *down.lock().unwrap() = Some(false);
     let back = Instant::now();
     let mut n = 0;
-    while new.seen() == 0 {
+    while new.requests() == 0 {
         assert!(back.elapsed() < PATIENCE, "the news does not arrive");
         let mut stream = connect(node.address);
         let _ = stream.write_all(read_request(&format!("n-{n}")).as_bytes());
-        let _ = reelfall_testbed::scripted::answer(&stream);
+        let _ = reelfall_testbed::scripted::read_response(&stream);
         n += 1;
     }
     assert!(back.elapsed() < TOLD_WITHIN, "{:?}", back.elapsed());
@@ -267,7 +271,7 @@
 
 #[test]
 fn between_two_watches_of_an_agent_that_says_nothing_nobody_rests() {
-    let (old, new) = (Server::good(), Server::good());
+    let (old, new) = (Server::healthy(), Server::healthy());
     let (old_at, new_at) = (old.address, new.address);
     // When each call came, and when the node gave it up.
     let (came, calls) = channel::<(usize, Instant)>();
@@ -276,8 +280,8 @@
     let address = service(move |call, number, stream| {
         let _ = tell.lock().unwrap().0.send((number, Instant::now()));
         let lists = [
-            list(5, true, &[("s-1", old_at, "active")]),
-            list(9, true, &[("s-2", new_at, "active")]),
+            endpoint_list(5, true, &[("s-1", old_at, "active")]),
+            endpoint_list(9, true, &[("s-2", new_at, "active")]),
         ];
         if (1..6).contains(&number) {
             silence(stream);
--- a/crates/testbed/tests/endings.rs
+++ b/crates/testbed/tests/endings.rs
@@ -1,8 +1,9 @@
 //! What is still owed when something ends: the real program over loopback sockets, each crossing forced by events.
 
 use reelfall_testbed::scripted::{
-    answer, answer_to, connect, full_queue, get, holding, read_request, serve, until_connecting,
-    write_request, Discovery, Message, Node, Program, Server, PATIENCE,
+    connect, get, listener_with_full_backlog, ok_response, read_request, read_response, serve,
+    wait_for_connection_attempt, write_request, Discovery, HoldingServer, Message, Node, Program,
+    Server, PATIENCE,
 };
 use std::io::{BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -16,7 +17,7 @@
 
 fn before(server: SocketAddr) -> (Discovery, Node) {
     let discovery = Discovery::start();
-    discovery.list(1, &[("s-1", server, "active")]);
+    discovery.send_snapshot(1, &[("s-1", server, "active")]);
     let node = Node::start(&program(), discovery.address, 256);
     (discovery, node)
 }
@@ -26,8 +27,8 @@
 /// A server that holds its first request until told to break its connection, and answers all others. The barriers tell that
 /// the request has come, and let it break. The ids of all that came are kept.
 fn breaks_the_first() -> (Server, [Arc<Barrier>; 2], Ids) {
-    let (held, hold) = (Arc::new(Barrier::new(2)), Arc::new(Barrier::new(2)));
-    let (at, until) = (held.clone(), hold.clone());
+    let (arrived, release) = (Arc::new(Barrier::new(2)), Arc::new(Barrier::new(2)));
+    let (at, until) = (arrived.clone(), release.clone());
     let ids = Ids::default();
     let keeps = ids.clone();
     let server = Server::start(move |request, number, stream| {
@@ -42,10 +43,10 @@
             until.wait();
             let _ = stream.shutdown(std::net::Shutdown::Both);
         } else {
-            let _ = stream.write_all(&answer_to(request));
+            let _ = stream.write_all(&ok_response(request));
         }
     });
-    (server, [held, hold], ids)
+    (server, [arrived, release], ids)
 }
 
 /// The node has turned since: it has answered somebody who came later.
@@ -63,13 +64,13 @@
         write_request("next", "content-length: 40", "half"),
     ];
     for ahead in ahead {
-        let (server, [held, hold], ids) = breaks_the_first();
+        let (server, [arrived, release], ids) = breaks_the_first();
         let (_discovery, node) = before(server.address);
         let mut client = connect(node.address);
         client
             .write_all((read_request("gone") + &ahead).as_bytes())
             .unwrap();
-        held.wait();
+        arrived.wait();
         drop(client);
         // A tenth of a second is what a node has to find out.
         let (left, mut n) = (Instant::now(), 0);
@@ -77,7 +78,7 @@
             turn(&node, &format!("t-{n}"));
             n += 1;
         }
-        hold.wait();
+        release.wait();
         turn(&node, "last");
         // It may be repeated, and there is time: but nobody waits for it.
         let gone = ids
@@ -97,7 +98,7 @@
 
 #[test]
 fn what_is_sent_ahead_is_answered_in_turn_or_its_connection_ends_in_order() {
-    let server = Server::good();
+    let server = Server::healthy();
     let (_discovery, node) = before(server.address);
     let mut client = connect(node.address);
     let few = 20;
@@ -132,12 +133,12 @@
 
 #[test]
 fn a_request_whose_client_leaves_while_a_connection_comes_up_is_sent_nowhere() {
-    let (listener, address) = full_queue();
+    let (listener, address) = listener_with_full_backlog();
     let (_discovery, node) = before(address);
     let filler = TcpStream::connect(address).unwrap();
     let mut client = connect(node.address);
     client.write_all(read_request("gone").as_bytes()).unwrap();
-    until_connecting(address.port());
+    wait_for_connection_attempt(address.port());
     drop(client);
     let (first, _) = listener.accept().unwrap();
     drop((filler, first));
@@ -149,17 +150,17 @@
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     let request = Message::read(&mut reader).expect("a request");
     assert_eq!(request.header("x-correlation-id"), Some("wanted"));
-    (&stream).write_all(&answer_to(&request)).unwrap();
+    (&stream).write_all(&ok_response(&request)).unwrap();
     assert_eq!(other.join().unwrap().status, 200);
 }
 
 #[test]
 fn a_request_that_crosses_the_end_of_a_resting_connection_resets_nothing() {
-    let server = Server::good();
+    let server = Server::healthy();
     let (_discovery, mut node) = before(server.address);
     let mut rests = connect(node.address);
     rests.write_all(read_request("r-1").as_bytes()).unwrap();
-    assert_eq!(answer(&rests).map(|g| g.status), Some(200));
+    assert_eq!(read_response(&rests).map(|g| g.status), Some(200));
     node.signal("TERM");
     let mut end = [0; 64];
     assert_eq!(rests.read(&mut end).unwrap(), 0, "the node ends what rests");
@@ -172,37 +173,45 @@
     );
     assert_eq!(rests.read(&mut end).unwrap(), 0, "the end is orderly");
     drop(rests);
-    assert!(node.ended());
-    assert_eq!(server.seen(), 1, "what is read after the end is sent on");
+    assert!(node.wait());
+    assert_eq!(
+        server.requests(),
+        1,
+        "what is read after the end is sent on"
+    );
 }
 
 #[test]
 fn an_answer_before_an_end_is_not_lost_to_what_its_client_sent_ahead() {
-    let (server, held, hold) = holding();
+    let HoldingServer {
+        server,
+        arrived,
+        release,
+    } = HoldingServer::start();
     let (_discovery, mut node) = before(server.address);
     let mut client = connect(node.address);
     client.write_all(read_request("a-1").as_bytes()).unwrap();
-    held.wait();
+    arrived.wait();
     node.signal("TERM");
     let mut writer = client.try_clone().unwrap();
     let ahead = write_request("a-2", "content-length: 150000", &"x".repeat(150_000));
     let writing = std::thread::spawn(move || drop(writer.write_all(ahead.as_bytes())));
     // An idle connection is closed when the node has heard the signal.
     let idle = connect(node.address);
-    assert_eq!(answer(&idle), None);
-    hold.wait();
+    assert_eq!(read_response(&idle), None);
+    release.wait();
     let mut all = String::new();
     let read = client.read_to_string(&mut all);
     assert!(all.ends_with("\r\n\r\na-1"), "{all:?}, {read:?}");
     assert!(read.is_ok(), "{read:?}");
     writing.join().unwrap();
     // All that its process has to say on this connection is said.
-    assert!(node.ended());
+    assert!(node.wait());
     assert!(
         client.take_error().unwrap().is_none(),
         "the connection is reset"
     );
-    assert_eq!(server.seen(), 1);
+    assert_eq!(server.requests(), 1);
 }
 
 #[test]
@@ -247,8 +256,8 @@
 
 #[test]
 fn a_server_that_turns_new_connections_away_gets_idle_ones_back_sooner() {
-    let (held, hold) = (Arc::new(Barrier::new(2)), Arc::new(Barrier::new(2)));
-    let (at, until) = (held.clone(), hold.clone());
+    let (arrived, release) = (Arc::new(Barrier::new(2)), Arc::new(Barrier::new(2)));
+    let (at, until) = (arrived.clone(), release.clone());
     let (told, gone) = channel();
     let told = Mutex::new(told);
     let server = serve(move |mut stream, number| {
@@ -264,7 +273,7 @@
         }
         at.wait();
         until.wait();
-        let _ = stream.write_all(&answer_to(&request));
+        let _ = stream.write_all(&ok_response(&request));
         let idle = Instant::now();
         // It is the node that closes.
         let _ = stream.read(&mut [0; 1]);
@@ -273,10 +282,10 @@
     let (_discovery, node) = before(server);
     let mut first = connect(node.address);
     first.write_all(read_request("held").as_bytes()).unwrap();
-    held.wait();
+    arrived.wait();
     assert_eq!(get(node.address, "away").status, 503);
-    hold.wait();
-    assert_eq!(answer(&first).map(|g| g.status), Some(200));
+    release.wait();
+    assert_eq!(read_response(&first).map(|g| g.status), Some(200));
     // Idle connections are kept for 4 s where none is turned away.
     let kept = gone.recv_timeout(PATIENCE).unwrap();
     assert!(kept < Duration::from_secs(3), "{kept:?}");
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -17,8 +17,8 @@
 
 /// A node before one server.
 fn node() -> (Server, Discovery, Node) {
-    let (server, discovery) = (Server::good(), Discovery::start());
-    discovery.list(5, &[("s-a", server.address, "active")]);
+    let (server, discovery) = (Server::healthy(), Discovery::start());
+    discovery.send_snapshot(5, &[("s-a", server.address, "active")]);
     let node = Node::start(&program(), discovery.address, 256);
     (server, discovery, node)
 }
@@ -43,25 +43,25 @@
     for (n, line) in (0..).zip(lines) {
         // The line has been read when the node asks anew.
         let calls = discovery.calls();
-        discovery.say(line);
+        discovery.send_line(line);
         until("a line that is no list is not given up", || {
             discovery.calls() > calls
         });
         served(&node, 10 * n);
     }
-    assert_eq!(a.seen(), 10 * lines.len());
+    assert_eq!(a.requests(), 10 * lines.len());
     // What comes next is taken in.
-    let b = Server::good();
-    discovery.list(7, &[("s-b", b.address, "active")]);
+    let b = Server::healthy();
+    discovery.send_snapshot(7, &[("s-b", b.address, "active")]);
     until("a list after unreadable ones is not taken in", || {
-        get(node.address, "n").status == 200 && b.seen() > 0
+        get(node.address, "n").status == 200 && b.requests() > 0
     });
 }
 
 #[test]
 fn entries_that_can_not_be_used_or_come_twice_cost_themselves_alone() {
     let (a, discovery, node) = node();
-    let b = Server::good();
+    let b = Server::healthy();
     let entry = |name: &str, address: &str| {
         format!(
             r#"{{"name":"{name}","address":"{address}","zone":"a","type":"k","group":1,"status":"active","weight":1.0,"since_ms":0}}"#
@@ -76,34 +76,34 @@
         "7".to_owned(),
         entry("s-b", &at_b),
     ];
-    discovery.say(&format!(
+    discovery.send_line(&format!(
         r#"{{"index":6,"snapshot":true,"endpoints":[{}]}}"#,
         entries.join(",")
     ));
     until("a server named beside unusable entries is not used", || {
-        get(node.address, "n").status == 200 && b.seen() > 0
+        get(node.address, "n").status == 200 && b.requests() > 0
     });
-    let before = a.seen();
+    let before = a.requests();
     until("a server named twice is not used", || {
-        get(node.address, "m").status == 200 && a.seen() > before
+        get(node.address, "m").status == 200 && a.requests() > before
     });
 }
 
 #[test]
 fn an_index_that_goes_back_is_another_list_and_is_taken_in() {
     let (_a, discovery, node) = node();
-    let b = Server::good();
-    discovery.list(2, &[("s-b", b.address, "active")]);
+    let b = Server::healthy();
+    discovery.send_snapshot(2, &[("s-b", b.address, "active")]);
     until("a list with an older index is not taken in", || {
-        get(node.address, "n").status == 200 && b.seen() > 0
+        get(node.address, "n").status == 200 && b.requests() > 0
     });
 }
 
 #[test]
 fn a_discovery_that_refuses_everyone_is_called_less_and_less_and_the_list_stays() {
     let (a, discovery, node) = node();
-    discovery.until_watched();
-    discovery.refuse(true);
+    discovery.wait_for_watch();
+    discovery.set_unavailable(true);
     let (before, began) = (discovery.calls(), Instant::now());
     let mut n = 0;
     while began.elapsed() < Duration::from_secs(4) {
@@ -114,12 +114,12 @@
     // Without the doubling of the pause it would be some eighty.
     let calls = discovery.calls() - before;
     assert!((1..25).contains(&calls), "{calls} calls in four seconds");
-    discovery.refuse(false);
-    let b = Server::good();
-    discovery.list(9, &[("s-b", b.address, "active")]);
-    let seen = a.seen();
+    discovery.set_unavailable(false);
+    let b = Server::healthy();
+    discovery.send_snapshot(9, &[("s-b", b.address, "active")]);
+    let seen = a.requests();
     until("the list is not followed again", || {
-        get(node.address, "n").status == 200 && b.seen() > 0
+        get(node.address, "n").status == 200 && b.requests() > 0
     });
-    assert!(a.seen() >= seen);
+    assert!(a.requests() >= seen);
 }
--- a/crates/testbed/tests/node.rs
+++ b/crates/testbed/tests/node.rs
@@ -1,8 +1,8 @@
 //! The real program over loopback sockets: one test for each failure that the socket side guards against.
 
 use reelfall_testbed::scripted::{
-    answer, answer_to, connect, exchange, get, holding, read_request, write_request, Discovery,
-    Got, Message, Node, Program, Server,
+    connect, exchange, get, ok_response, read_request, read_response, write_request, Discovery,
+    HoldingServer, Message, Node, Program, Response, Server,
 };
 use std::io::{BufReader, Write};
 use std::sync::{Arc, Barrier};
@@ -14,41 +14,41 @@
 
 #[test]
 fn a_new_configuration_moves_the_watch_and_costs_no_request() {
-    let (first, second) = (Server::good(), Server::good());
+    let (first, second) = (Server::healthy(), Server::healthy());
     let (old, new) = (Discovery::start(), Discovery::start());
-    old.list(40, &[("s-1", first.address, "active")]);
+    old.send_snapshot(40, &[("s-1", first.address, "active")]);
     // The new service counts its versions anew, and knows another server.
-    new.list(3, &[("s-2", second.address, "active")]);
+    new.send_snapshot(3, &[("s-2", second.address, "active")]);
     let node = Node::start(&program(), old.address, 256);
     assert_eq!(get(node.address, "r-1").status, 200);
-    assert_eq!((first.seen(), second.seen()), (1, 0));
-    node.configure(new.address);
+    assert_eq!((first.requests(), second.requests()), (1, 0));
+    node.set_discovery(new.address);
     node.signal("HUP");
-    new.until_watched();
+    new.wait_for_watch();
     let mut n = 2;
-    while second.seen() == 0 {
+    while second.requests() == 0 {
         assert_eq!(get(node.address, &format!("r-{n}")).status, 200);
         n += 1;
     }
     // A file that is no configuration leaves all as it is.
-    node.spoil_configuration();
+    node.corrupt_configuration();
     node.signal("HUP");
-    let before = second.seen();
+    let before = second.requests();
     assert_eq!(get(node.address, "r-last").status, 200);
-    assert_eq!(second.seen(), before + 1);
+    assert_eq!(second.requests(), before + 1);
 }
 
 /// A node with one server that answers as told.
 fn before(server: &Server, sockets: usize) -> (Discovery, Node) {
     let discovery = Discovery::start();
-    discovery.list(1, &[("s-1", server.address, "active")]);
+    discovery.send_snapshot(1, &[("s-1", server.address, "active")]);
     let node = Node::start(&program(), discovery.address, sockets);
     (discovery, node)
 }
 
 #[test]
 fn malformed_requests_are_rejected_and_reach_no_server() {
-    let server = Server::good();
+    let server = Server::healthy();
     let (_discovery, node) = before(&server, 256);
     let hidden = read_request("hidden");
     let both = format!(
@@ -89,13 +89,13 @@
         }
     }
     assert_eq!(
-        server.seen(),
+        server.requests(),
         0,
         "a request that can't be used was passed on"
     );
     assert_eq!(
         get(node.address, "g-1"),
-        Got {
+        Response {
             status: 200,
             body: "g-1".to_owned()
         }
@@ -104,7 +104,7 @@
 
 #[test]
 fn an_incomplete_request_ends_only_its_own_connection() {
-    let server = Server::good();
+    let server = Server::healthy();
     let (_discovery, node) = before(&server, 256);
     let began = Instant::now();
     for part in [
@@ -114,7 +114,7 @@
     ] {
         let mut stream = connect(node.address);
         stream.write_all(part.as_bytes()).unwrap();
-        let got = answer(&stream);
+        let got = read_response(&stream);
         assert!(
             got.as_ref().is_none_or(|g| (400..500).contains(&g.status)),
             "{got:?}"
@@ -124,12 +124,15 @@
         began.elapsed() < Duration::from_secs(15),
         "half a request holds its connection"
     );
-    assert_eq!((get(node.address, "g-1").status, server.seen()), (200, 1));
+    assert_eq!(
+        (get(node.address, "g-1").status, server.requests()),
+        (200, 1)
+    );
 }
 
 #[test]
 fn silent_connections_do_not_keep_other_clients_out() {
-    let server = Server::good();
+    let server = Server::healthy();
     let (_discovery, node) = before(&server, 64);
     let mut good = connect(node.address);
     let mut crowd: Vec<_> = (0..60).map(|_| connect(node.address)).collect();
@@ -137,51 +140,55 @@
         crowd.extend((0..5).map(|_| connect(node.address)));
         good.write_all(read_request(&format!("g-{n}")).as_bytes())
             .unwrap();
-        if answer(&good).is_none() {
+        if read_response(&good).is_none() {
             // It may lose its place while idle, but a new one is to be had.
             good = connect(node.address);
         }
         assert_eq!(get(node.address, &format!("n-{n}")).status, 200);
     }
     for silent in &crowd {
-        assert_eq!(answer(silent), None, "a silent connection gets an answer");
+        assert_eq!(
+            read_response(silent),
+            None,
+            "a silent connection gets an answer"
+        );
     }
 }
 
 #[test]
 fn the_id_of_an_open_request_is_not_taken_twice() {
-    let (held, hold) = (Arc::new(Barrier::new(2)), Arc::new(Barrier::new(2)));
-    let (at, until) = (held.clone(), hold.clone());
+    let (arrived, release) = (Arc::new(Barrier::new(2)), Arc::new(Barrier::new(2)));
+    let (at, until) = (arrived.clone(), release.clone());
     let server = Server::start(move |request, number, stream| {
         if number == 0 {
             at.wait();
             until.wait();
         }
-        let _ = stream.write_all(&answer_to(request));
+        let _ = stream.write_all(&ok_response(request));
     });
     let (_discovery, node) = before(&server, 256);
     let mut first = connect(node.address);
     first
         .write_all(write_request("same", "content-length: 1", "x").as_bytes())
         .unwrap();
-    held.wait();
+    arrived.wait();
     assert_eq!(get(node.address, "same").status, 409);
-    hold.wait();
+    release.wait();
     assert_eq!(
-        answer(&first),
-        Some(Got {
+        read_response(&first),
+        Some(Response {
             status: 200,
             body: "same".to_owned()
         })
     );
     // The id is free again once its request is over.
     assert_eq!(get(node.address, "same").status, 200);
-    assert_eq!(server.seen(), 2);
+    assert_eq!(server.requests(), 2);
 }
 
 #[test]
 fn pipelined_requests_are_answered_in_order() {
-    let server = Server::good();
+    let server = Server::healthy();
     let (_discovery, node) = before(&server, 256);
     let mut stream = connect(node.address);
     let two = write_request("p-1", "content-length: 3", "abc") + &read_request("p-2");
@@ -197,7 +204,7 @@
 
 #[test]
 fn a_chunked_body_arrives_whole() {
-    let server = Server::good();
+    let server = Server::healthy();
     let (_discovery, node) = before(&server, 256);
     let request = write_request("c-1", "transfer-encoding: chunked", "3\r\nabc\r\n0\r\n\r\n");
     assert_eq!(
@@ -210,27 +217,35 @@
 
 #[test]
 fn on_sigterm_what_is_open_is_answered_and_the_program_ends() {
-    let (server, held, hold) = holding();
+    let HoldingServer {
+        server,
+        arrived,
+        release,
+    } = HoldingServer::start();
     let (_discovery, mut node) = before(&server, 256);
     let idle = connect(node.address);
     let mut open = connect(node.address);
     open.write_all(read_request("t-1").as_bytes()).unwrap();
-    held.wait();
+    arrived.wait();
     node.signal("TERM");
-    assert_eq!(answer(&idle), None);
-    hold.wait();
-    assert_eq!(answer(&open).map(|g| g.status), Some(200));
-    assert!(node.ended(), "the program ends with a failure");
+    assert_eq!(read_response(&idle), None);
+    release.wait();
+    assert_eq!(read_response(&open).map(|g| g.status), Some(200));
+    assert!(node.wait(), "the program ends with a failure");
 }
 
 #[test]
 fn while_the_last_requests_are_answered_nobody_new_is_kept_waiting() {
-    let (server, held, hold) = holding();
+    let HoldingServer {
+        server,
+        arrived,
+        release,
+    } = HoldingServer::start();
     let (_discovery, mut node) = before(&server, 256);
     let mut open = connect(node.address);
     open.write_all(write_request("open", "content-length: 1", "x").as_bytes())
         .unwrap();
-    held.wait();
+    arrived.wait();
     node.signal("TERM");
     // Connections come for a little longer; then the address is closed, though a client is still there.
     let began = Instant::now();
@@ -241,15 +256,15 @@
         );
         std::thread::sleep(Duration::from_millis(20));
     }
-    hold.wait();
+    release.wait();
     assert_eq!(
-        answer(&open),
-        Some(Got {
+        read_response(&open),
+        Some(Response {
             status: 200,
             body: "open".to_owned()
         })
     );
-    assert!(node.ended());
+    assert!(node.wait());
 }
 
 #[test]
@@ -267,7 +282,7 @@
             let head_without_end = answer.ends_with(b"x: ");
             let _ = stream.write_all(if number % 2 == 0 { answer } else { b"" });
             if number % 2 == 1 {
-                let _ = stream.write_all(&answer_to(request));
+                let _ = stream.write_all(&ok_response(request));
             } else if head_without_end {
                 let _ = stream.write_all(&[b'y'; 200_000]);
             }
@@ -280,14 +295,14 @@
             .as_ref()
             .is_none_or(|g| g.status != 503 && g.status != 429 && g.status >= 400);
         assert!(
-            failed && server.seen() == 1,
+            failed && server.requests() == 1,
             "{got:?} to {:?}",
             String::from_utf8_lossy(answer)
         );
         // The connection is of no further use: the next request has its own and its own answer.
         assert_eq!(
             get(node.address, "r-1"),
-            Got {
+            Response {
                 status: 200,
                 body: "r-1".to_owned()
             }
@@ -317,7 +332,7 @@
     for extra in extra {
         let server = Server::start(move |request, _, stream| {
             let early = b"HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n";
-            let all = [&early[..], &answer_to(request), extra].concat();
+            let all = [&early[..], &ok_response(request), extra].concat();
             let _ = stream.write_all(&all);
         });
         let (_discovery, node) = before(&server, 256);
@@ -327,8 +342,8 @@
             let request = write_request(&id, "content-length: 1", "x");
             stream.write_all(request.as_bytes()).unwrap();
             assert_eq!(
-                answer(&stream),
-                Some(Got {
+                read_response(&stream),
+                Some(Response {
                     status: 200,
                     body: id
                 })
@@ -339,12 +354,12 @@
 
 #[test]
 fn a_new_server_at_the_address_of_another_takes_its_place() {
-    let (server, other) = (Server::good(), Server::good());
+    let (server, other) = (Server::healthy(), Server::healthy());
     let (discovery, node) = before(&server, 256);
     assert_eq!(get(node.address, "a-1").status, 200);
     // Nobody has said yet that s-1 is gone when its successor drains in turn.
-    discovery.list_change(2, &[("n-1", server.address, "active")]);
-    discovery.list_change(
+    discovery.send_delta(2, &[("n-1", server.address, "active")]);
+    discovery.send_delta(
         3,
         &[
             ("n-1", server.address, "active"),
@@ -353,16 +368,16 @@
         ],
     );
     let mut n = 2;
-    while other.seen() == 0 {
+    while other.requests() == 0 {
         assert_eq!(get(node.address, &format!("a-{n}")).status, 200);
         n += 1;
     }
-    let before = server.seen();
+    let before = server.requests();
     for n in 0..30 {
         assert_eq!(get(node.address, &format!("b-{n}")).status, 200);
     }
     assert_eq!(
-        server.seen(),
+        server.requests(),
         before,
         "a server that drains is sent to under its old name"
     );
@@ -372,7 +387,7 @@
 fn a_shortage_of_connections_is_waited_out_and_not_held_against_servers() {
     let server = Server::start(|request, _, stream| {
         std::thread::sleep(Duration::from_millis(5));
-        let _ = stream.write_all(&answer_to(request));
+        let _ = stream.write_all(&ok_response(request));
     });
     // Room for six connections to servers and ten of clients: eight clients wait for the former, and none of them has to
     // make room for another. Each has one connection for all its requests: of those that end, some are counted still.
@@ -386,7 +401,7 @@
                     stream
                         .write_all(read_request(&format!("s-{c}-{n}")).as_bytes())
                         .unwrap();
-                    answer(&stream).expect("an answer").status
+                    read_response(&stream).expect("an answer").status
                 };
                 (0..10).map(ask).collect()
             })
--- a/crates/testbed/tests/operations.rs
+++ b/crates/testbed/tests/operations.rs
@@ -1,8 +1,8 @@
 //! Management requests, drains and upgrades of the real program, over loopback sockets.
 
 use reelfall_testbed::scripted::{
-    answer, call, connect, exchange, get, read_request, Discovery, Got, Node, Program, Server,
-    PATIENCE,
+    call, connect, exchange, get, read_request, read_response, Discovery, Node, Program, Response,
+    Server, PATIENCE,
 };
 use std::io::Write;
 use std::net::SocketAddr;
@@ -16,9 +16,9 @@
 
 /// A node before two servers.
 fn node() -> (Server, Server, Discovery, Node) {
-    let (a, b) = (Server::good(), Server::good());
+    let (a, b) = (Server::healthy(), Server::healthy());
     let discovery = Discovery::start();
-    discovery.list(
+    discovery.send_snapshot(
         1,
         &[("s-a", a.address, "active"), ("s-b", b.address, "active")],
     );
@@ -28,14 +28,14 @@
 
 /// Asks until a server is reached.
 fn until_seen(node: &Node, server: &Server) {
-    let (before, began) = (server.seen(), Instant::now());
+    let (before, began) = (server.requests(), Instant::now());
     for n in 0.. {
         // What is cold may be sent little, and what finds no other server is refused.
         assert!(matches!(
             get(node.address, &format!("u-{n}")).status,
             200 | 503
         ));
-        if server.seen() > before {
+        if server.requests() > before {
             return;
         }
         assert!(began.elapsed() < PATIENCE, "a server stays unused");
@@ -49,14 +49,14 @@
     until_seen(&node, &b);
     assert_eq!(call(node.management, "POST", "/-/servers/s-a/disable"), 200);
     assert_eq!(call(node.management, "POST", "/-/servers/s-a/disable"), 200);
-    let before = a.seen();
+    let before = a.requests();
     // The list drops it, renews it, moves it back and forth.
-    discovery.list_change(2, &[("s-a", a.address, "left")]);
+    discovery.send_delta(2, &[("s-a", a.address, "left")]);
     for n in 0..20 {
         assert_eq!(get(node.address, &format!("d-{n}")).status, 200);
     }
-    discovery.list_change(3, &[("s-a", a.address, "active")]);
-    discovery.list(
+    discovery.send_delta(3, &[("s-a", a.address, "active")]);
+    discovery.send_snapshot(
         4,
         &[("s-a", a.address, "active"), ("s-b", b.address, "active")],
     );
@@ -64,12 +64,16 @@
         assert_eq!(get(node.address, &format!("r-{n}")).status, 200);
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert_eq!(a.seen(), before, "a server that is out by hand is sent to");
+    assert_eq!(
+        a.requests(),
+        before,
+        "a server that is out by hand is sent to"
+    );
     // With all out, requests are refused and run nowhere.
     assert_eq!(call(node.management, "POST", "/-/servers/s-b/disable"), 200);
-    let before = (a.seen(), b.seen());
+    let before = (a.requests(), b.requests());
     assert_eq!(get(node.address, "none").status, 503);
-    assert_eq!((a.seen(), b.seen()), before);
+    assert_eq!((a.requests(), b.requests()), before);
     assert_eq!(call(node.management, "POST", "/-/servers/s-b/enable"), 200);
     assert_eq!(call(node.management, "POST", "/-/servers/s-a/enable"), 200);
     until_seen(&node, &a);
@@ -148,7 +152,7 @@
     }
     // Sixteen have a place at most: the first has long made room for the others.
     let asked = Instant::now();
-    let _ = answer(&crowd[0]);
+    let _ = read_response(&crowd[0]);
     assert!(
         asked.elapsed() < Duration::from_secs(2),
         "callers that say nothing pile up"
@@ -161,7 +165,7 @@
     let mut used = connect(node.address);
     let ask = |stream: &mut std::net::TcpStream, id: &str| {
         stream.write_all(read_request(id).as_bytes()).unwrap();
-        answer(stream)
+        read_response(stream)
     };
     assert_eq!(ask(&mut used, "d-1").map(|g| g.status), Some(200));
     let idle = connect(node.address);
@@ -171,14 +175,14 @@
     // What a client still asks on an open connection is answered, and the answer ends the connection.
     assert_eq!(
         ask(&mut used, "d-2"),
-        Some(Got {
+        Some(Response {
             status: 200,
             body: "d-2".to_owned()
         })
     );
-    assert_eq!(answer(&used), None);
+    assert_eq!(read_response(&used), None);
     let began = Instant::now();
-    assert_eq!(answer(&idle), None);
+    assert_eq!(read_response(&idle), None);
     assert!(
         began.elapsed() < Duration::from_secs(4),
         "an idle connection outlives the drain's patience"
@@ -217,7 +221,7 @@
                 }
                 let id = format!("l-{c}-{done}");
                 let sent = kept.write_all(read_request(&id).as_bytes());
-                match answer(&kept) {
+                match read_response(&kept) {
                     Some(got) if got.status == 200 && got.body == id => {}
                     got => {
                         lost.push(format!("{id}: {sent:?} {got:?}"));
@@ -256,12 +260,12 @@
 fn twenty_upgrades_under_load_lose_no_request_and_no_connection() {
     let (a, _b, _discovery, mut node) = node();
     assert_eq!(call(node.management, "POST", "/-/servers/s-a/disable"), 200);
-    let before = a.seen();
+    let before = a.requests();
     let load = Load::start(node.address, 12);
     for _ in 0..20 {
-        let next = node.successor(&program());
+        let next = node.start_successor(&program());
         node.signal("TERM");
-        assert!(node.ended(), "the old process ends with a failure");
+        assert!(node.wait(), "the old process ends with a failure");
         node = next;
     }
     let (done, lost) = load.stop();
@@ -270,7 +274,7 @@
         "{} of {done} requests were lost at the door: {lost:?}",
         lost.len()
     );
-    assert_eq!(a.seen(), before, "a ban does not outlive an upgrade");
+    assert_eq!(a.requests(), before, "a ban does not outlive an upgrade");
     assert_eq!(call(node.management, "POST", "/-/servers/s-a/enable"), 200);
     until_seen(&node, &a);
 }
@@ -280,7 +284,7 @@
     let (_a, _b, _discovery, node) = node();
     let load = Load::start(node.address, 6);
     for n in 0..6 {
-        let mut successor = node.spawn_beside(&program());
+        let mut successor = node.spawn_successor(&program());
         std::thread::sleep(Duration::from_millis(15 * n));
         successor.kill();
         std::thread::sleep(Duration::from_millis(50));
@@ -305,15 +309,15 @@
     garbage.write_all(b"\xff\xff\xff\xffnonsense").unwrap();
     let _silent = std::os::unix::net::UnixStream::connect(&socket).unwrap();
     let load = Load::start(node.address, 4);
-    let next = node.successor(&program());
+    let next = node.start_successor(&program());
     node.signal("TERM");
-    assert!(node.ended());
+    assert!(node.wait());
     let (done, lost) = load.stop();
     assert!(lost.is_empty(), "{} of {done}: {lost:?}", lost.len());
     // What a killed process leaves there is in nobody's way.
     node = next;
     node.kill();
-    let after = node.successor(&program());
+    let after = node.start_successor(&program());
     assert_eq!(get(after.address, "after").status, 200);
 }
 
@@ -321,9 +325,9 @@
 fn a_drained_node_stays_drained_across_an_upgrade() {
     let (_a, _b, _discovery, mut node) = node();
     assert_eq!(call(node.management, "POST", "/-/drain"), 200);
-    let next = node.successor(&program());
+    let next = node.start_successor(&program());
     node.signal("TERM");
-    assert!(node.ended());
+    assert!(node.wait());
     let health = b"GET /_health HTTP/1.1\r\nhost: n\r\n\r\n";
     assert_eq!(exchange(next.address, health).map(|g| g.status), Some(503));
     assert_eq!(call(next.management, "POST", "/-/resume"), 200);
@@ -334,14 +338,14 @@
 fn a_ban_outlives_an_upgrade_in_which_the_list_drops_the_server_and_names_it_again() {
     let (a, b, discovery, mut node) = node();
     assert_eq!(call(node.management, "POST", "/-/servers/s-a/disable"), 200);
-    let before = a.seen();
-    discovery.list(2, &[("s-b", b.address, "active")]);
-    let next = node.successor(&program());
+    let before = a.requests();
+    discovery.send_snapshot(2, &[("s-b", b.address, "active")]);
+    let next = node.start_successor(&program());
     // Told to the new process, in force in the old one too; and known though no list names it at this moment.
     assert_eq!(call(next.management, "POST", "/-/servers/s-a/disable"), 200);
     node.signal("TERM");
-    assert!(node.ended());
-    discovery.list(
+    assert!(node.wait());
+    discovery.send_snapshot(
         3,
         &[("s-a", a.address, "active"), ("s-b", b.address, "active")],
     );
@@ -349,7 +353,7 @@
         assert_eq!(get(next.address, &format!("d-{n}")).status, 200);
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert_eq!(a.seen(), before);
+    assert_eq!(a.requests(), before);
     assert_eq!(call(next.management, "POST", "/-/servers/s-a/enable"), 200);
     until_seen(&next, &a);
 }
@@ -359,18 +363,18 @@
     let (a, _b, _discovery, node) = node();
     std::fs::remove_dir_all(node.folder()).unwrap();
     assert_eq!(call(node.management, "POST", "/-/servers/s-a/disable"), 500);
-    let before = a.seen();
+    let before = a.requests();
     for n in 0..30 {
         assert_eq!(get(node.address, &format!("w-{n}")).status, 200);
     }
-    assert_eq!(a.seen(), before);
+    assert_eq!(a.requests(), before);
 }
 
 #[test]
 fn a_frozen_process_does_not_keep_a_new_one_from_serving() {
     let (_a, _b, _discovery, mut node) = node();
     node.signal("STOP");
-    let next = node.successor(&program());
+    let next = node.start_successor(&program());
     node.kill();
     for n in 0..20 {
         assert_eq!(get(next.address, &format!("f-{n}")).status, 200);
@@ -381,24 +385,24 @@
 fn a_drained_process_ends_on_sigterm_and_answers_what_it_has() {
     let server = Server::start(|request, _, stream| {
         std::thread::sleep(Duration::from_millis(700));
-        let _ = stream.write_all(&reelfall_testbed::scripted::answer_to(request));
+        let _ = stream.write_all(&reelfall_testbed::scripted::ok_response(request));
     });
     let discovery = Discovery::start();
-    discovery.list(1, &[("s-1", server.address, "active")]);
+    discovery.send_snapshot(1, &[("s-1", server.address, "active")]);
     let mut node = Node::start(&program(), discovery.address, 256);
     let mut open = connect(node.address);
     open.write_all(read_request("open").as_bytes()).unwrap();
-    while server.seen() == 0 {
+    while server.requests() == 0 {
         std::thread::sleep(Duration::from_millis(5));
     }
     assert_eq!(call(node.management, "POST", "/-/drain"), 200);
     node.signal("TERM");
     assert_eq!(
-        answer(&open),
-        Some(Got {
+        read_response(&open),
+        Some(Response {
             status: 200,
             body: "open".to_owned()
         })
     );
-    assert!(node.ended());
+    assert!(node.wait());
 }
--- a/crates/testbed/tests/reload.rs
+++ b/crates/testbed/tests/reload.rs
@@ -431,7 +431,7 @@
     let seen = peers.clone();
     let server = scripted::Server::start(move |request, _, stream| {
         seen.lock().unwrap().insert(stream.peer_addr().unwrap());
-        let _ = stream.write_all(&scripted::answer_to(request));
+        let _ = stream.write_all(&scripted::ok_response(request));
     });
     let other = good("other").await;
     let kept = service("kept", &["/api"], &listed("s", server.address));
--- a/crates/testbed/tests/services.rs
+++ b/crates/testbed/tests/services.rs
@@ -505,7 +505,7 @@
         );
         tokio::task::block_in_place(|| {
             stream.write_all(request.as_bytes()).unwrap();
-            scripted::answer(&stream)
+            scripted::read_response(&stream)
                 .expect("the connection stays")
                 .status
         })
--- a/crates/testbed/tests/streams.rs
+++ b/crates/testbed/tests/streams.rs
@@ -15,7 +15,7 @@
 
 fn node(server: SocketAddr) -> (Discovery, Node) {
     let discovery = Discovery::start();
-    discovery.list(1, &[("s-1", server, "active")]);
+    discovery.send_snapshot(1, &[("s-1", server, "active")]);
     let node = Node::start(&program(), discovery.address, 1024);
     (discovery, node)
 }
@@ -238,15 +238,15 @@
     let mut reader = BufReader::new(stream);
     let got = Message::read(&mut reader).expect("an answer");
     assert_eq!(
-        (got.first.contains("200"), got.body.as_slice()),
+        (got.start_line.contains("200"), got.body.as_slice()),
         (true, b"true".as_slice())
     );
-    assert_eq!(server.seen(), 1);
+    assert_eq!(server.requests(), 1);
 }
 
 #[test]
 fn a_client_that_breaks_off_in_a_flowing_body_costs_its_server_nothing() {
-    let server = Server::good();
+    let server = Server::healthy();
     let (_discovery, node) = node(server.address);
     for n in 0..5 {
         let mut stream = connect(node.address);
@@ -258,12 +258,12 @@
         // The only server is neither blamed nor left with half a request that it might run.
         assert_eq!(get(node.address, &format!("g-{n}")).status, 200);
     }
-    assert_eq!(server.seen(), 5);
+    assert_eq!(server.requests(), 5);
 }
 
 #[test]
 fn a_body_that_only_trickles_is_given_up_though_it_never_rests_for_long() {
-    let server = Server::good();
+    let server = Server::healthy();
     let (_discovery, node) = node(server.address);
     let mut stream = connect(node.address);
     stream
@@ -286,7 +286,7 @@
         "a trickle holds its place for {:?}",
         began.elapsed()
     );
-    assert_eq!(server.seen(), 0);
+    assert_eq!(server.requests(), 0);
     assert_eq!(get(node.address, "t-2").status, 200);
 }
 
@@ -326,10 +326,10 @@
 fn an_answer_to_a_request_whose_body_still_comes_reaches_its_client() {
     // Nobody to send to: the node has its answer at once.
     let discovery = Discovery::start();
-    let server = Server::good();
-    discovery.list(1, &[("s-1", server.address, "leaving")]);
-    let up = Server::good();
-    discovery.list(
+    let server = Server::healthy();
+    discovery.send_snapshot(1, &[("s-1", server.address, "leaving")]);
+    let up = Server::healthy();
+    discovery.send_snapshot(
         2,
         &[
             ("s-1", server.address, "leaving"),
@@ -337,7 +337,7 @@
         ],
     );
     let node = Node::start(&program(), discovery.address, 256);
-    discovery.list(
+    discovery.send_snapshot(
         3,
         &[
             ("s-1", server.address, "leaving"),
@@ -358,7 +358,7 @@
     });
     let got = head(&mut BufReader::new(stream));
     assert!(got.starts_with("HTTP/1.1 503"), "{got}");
-    assert_eq!(server.seen(), 0);
+    assert_eq!(server.requests(), 0);
 }
 
 #[test]
