--- a/crates/distribution/src/attempts.rs
+++ b/crates/distribution/src/attempts.rs
@@ -10,8 +10,9 @@
 use crate::follow::FollowRules;
 use crate::link::Link;
 use crate::message::Payload;
-use crate::output::{Output, Reason};
+use crate::output::Output;
 use crate::peer::PeerId;
+use crate::session_end::Reason;
 use crate::Time;
 
 /// What the beginning of a session takes in a frame at most, beside the frame's own head, in bytes.
@@ -163,7 +164,7 @@
 
 /// When the budget allows the beginning of a session.
 fn link_ready(bucket: &Bucket, now: Time) -> Time {
-    bucket.ready(now, OPEN_BYTES + crate::message::FRAME_OVERHEAD)
+    bucket.ready(now, OPEN_BYTES + crate::frame::FRAME_OVERHEAD)
 }
 
 /// Guards against sessions that an upstream keeps though nobody wants them any more. Harm: one small frame for each.
--- a/crates/distribution/src/bucket.rs
+++ b/crates/distribution/src/bucket.rs
@@ -37,7 +37,7 @@
     /// The longest frame that may be written under it.
     pub fn frame_most(&self) -> usize {
         let most = (self.burst / 2.0) as usize;
-        most.clamp(512, crate::message::FRAME_MOST)
+        most.clamp(512, crate::frame::FRAME_MOST)
             .saturating_sub(TRANSPORT_OVERHEAD)
     }
 }
--- a/crates/distribution/src/child.rs
+++ b/crates/distribution/src/child.rs
@@ -11,11 +11,13 @@
 //! A change that a later one has replaced is in no log, so it is never sent.
 
 use crate::bucket::{Bucket, Budget};
+use crate::coverage::Span;
 use crate::feed::{Partial, Pass, Source, Subscription, Told, CHANGES_OVERHEAD};
 use crate::link::Link;
-use crate::message::{Payload, Span, Subscribe};
-use crate::output::{Output, Reason};
+use crate::message::{Payload, Subscribe};
+use crate::output::Output;
 use crate::resource::{Change, Content, Selector, Slot, Version};
+use crate::session_end::Reason;
 use crate::{Time, DRIFT};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/distribution/src/coverage.rs
+++ b/crates/distribution/src/coverage.rs
@@ -3,7 +3,6 @@
 //! A holder covers a version if, were this version the latest of its key, the holder would have it. Changes may come
 //! urgent ones first and newest first, so this is a set of spans. To forget a span is safe: its changes come again.
 
-use crate::message::Span;
 use crate::resource::Version;
 use serde::{Deserialize, Serialize};
 
@@ -15,6 +14,15 @@
 /// versions from zero on.
 pub const SPANS_URGENT_MOST: usize = SPANS_MOST - 2;
 
+/// The versions between `after` (not in it) and `upto` (in it).
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct Span {
+    /// Its lower end.
+    pub after: Version,
+    /// Its upper end.
+    pub upto: Version,
+}
+
 /// A set of versions: spans that neither meet nor overlap, in their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Coverage {
--- a/crates/distribution/src/downstream.rs
+++ b/crates/distribution/src/downstream.rs
@@ -6,10 +6,11 @@
 use crate::feed::Source;
 use crate::link::Link;
 use crate::message::{self, Head, Payload, Received};
-use crate::output::{Event, Output, Reason};
+use crate::output::{Event, Output};
 use crate::peer::PeerId;
 use crate::report::Report;
 use crate::resource::{Key, Selector};
+use crate::session_end::Reason;
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/distribution/src/feed.rs
+++ b/crates/distribution/src/feed.rs
@@ -1,8 +1,9 @@
 //! What one subscription of a child is sent.
 
-use crate::coverage::{Coverage, SPANS_MANY, SPANS_URGENT_MOST};
+use crate::coverage::{Coverage, Span, SPANS_MANY, SPANS_URGENT_MOST};
+use crate::epoch::Epoch;
 use crate::log::Log;
-use crate::message::{Chunk, Epoch, Payload, Span, Subscribe, MANIFEST_KEYS};
+use crate::message::{Chunk, Payload, Subscribe, MANIFEST_KEYS};
 use crate::resource::{Change, Selector, Version};
 use crate::Time;
 
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -7,6 +7,9 @@
 //! | --- | --- |
 //! | [`resource`] | names, versions, bodies with their hashes, changes, selectors |
 //! | [`message`] | frames between an upstream and its children |
+//! | [`frame`] | size limits of frames |
+//! | [`epoch`] | the author's term: fencing token and known versions |
+//! | [`session_end`] | why a session ends |
 //! | [`peer`] | numbers of processes |
 //! | [`output`] | what a machine asks its driver to do, and what is stored |
 //! | [`coverage`] | which versions a holder has been told of |
@@ -43,9 +46,11 @@
 pub mod chunks;
 pub mod coverage;
 pub mod downstream;
+pub mod epoch;
 pub mod feed;
 pub mod follow;
 mod force;
+pub mod frame;
 pub mod history;
 pub mod link;
 pub mod log;
@@ -60,6 +65,7 @@
 pub mod restore;
 pub mod rollout;
 pub mod session;
+pub mod session_end;
 pub mod status;
 pub mod subscriber;
 pub mod upstream;
--- a/crates/distribution/src/link.rs
+++ b/crates/distribution/src/link.rs
@@ -10,9 +10,11 @@
 //! that the writer held it.
 
 use crate::bucket::{Bucket, Budget, TRANSPORT_OVERHEAD};
-use crate::message::{self, Echo, Head, Payload, FRAME_OVERHEAD};
-use crate::output::{Output, Reason};
+use crate::frame::FRAME_OVERHEAD;
+use crate::message::{self, Echo, Head, Payload};
+use crate::output::Output;
 use crate::peer::PeerId;
+use crate::session_end::Reason;
 use crate::{Time, DRIFT};
 
 /// A payload that was not acknowledged is sent again after so long, in seconds; then after twice as long each time.
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -7,20 +7,17 @@
 //! The hash finds frames that were cut or changed under way; it proves nobody's name. Who may speak at all is for the
 //! driver's transport.
 
-use crate::coverage::Coverage;
-use crate::output::Reason;
+use crate::coverage::{Coverage, Span};
+use crate::epoch::Epoch;
+use crate::frame::FRAME_MOST;
 use crate::peer::PeerId;
 use crate::report::Report;
 use crate::resource::{Change, ContentHash, Key, Part, Selector, Urgency, Version};
-use reelfall_lease::token::Claim;
+use crate::session_end::Reason;
 use serde::{Deserialize, Serialize};
 
-/// Longest frame, in bytes.
-pub const FRAME_MOST: usize = 16 * 1024;
 /// Most keys in one [`Payload::Manifest`].
 pub const MANIFEST_KEYS: usize = 256;
-/// What a frame takes beside its payload at most, in bytes.
-pub const FRAME_OVERHEAD: usize = 80;
 
 const MAGIC: [u8; 3] = *b"rD\x01";
 const SUM: usize = 8;
@@ -51,15 +48,6 @@
     pub echo: Option<Echo>,
 }
 
-/// The versions between `after` (not in it) and `upto` (in it).
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Span {
-    /// Its lower end.
-    pub after: Version,
-    /// Its upper end.
-    pub upto: Version,
-}
-
 /// A part of a long body.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
@@ -85,15 +73,6 @@
     pub bytes: Vec<u8>,
 }
 
-/// Who an author is, and what it knew when it took over.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Epoch {
-    /// The lease and its token.
-    pub claim: Claim,
-    /// What the author had of earlier authors. Another change of theirs is an orphan.
-    pub known: Coverage,
-}
-
 /// One thing that is asked for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Subscribe {
@@ -225,8 +204,3 @@
     }
     postcard::from_bytes(body).ok()
 }
-
-/// How many bytes something takes in a frame.
-pub fn written<T: Serialize>(value: &T) -> usize {
-    postcard::to_allocvec(value).map_or(FRAME_MOST, |bytes| bytes.len())
-}
--- a/crates/distribution/src/output.rs
+++ b/crates/distribution/src/output.rs
@@ -1,11 +1,12 @@
 //! What a machine asks its driver to do.
 
 use crate::coverage::Coverage;
-use crate::message::Epoch;
+use crate::epoch::Epoch;
 use crate::peer::PeerId;
 use crate::resource::{Change, Key, Name, Selector, Version};
 use crate::rollout::record::RolloutState;
 use crate::rollout::stage::StageCounts;
+use crate::session_end::Reason;
 use serde::{Deserialize, Serialize};
 
 /// Something to be done. Outputs are done in their order.
@@ -124,24 +125,3 @@
         key: Key,
     },
 }
-
-/// Why a session ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Reason {
-    /// Nothing was heard for too long.
-    Silent,
-    /// Its own knowledge is too old.
-    Stale,
-    /// It sent what was not asked for, a wrong hash, more than a body's length, or what can't be read.
-    Misbehaved,
-    /// It sent more than its budget.
-    Flooded,
-    /// It does not know the session.
-    Unknown,
-    /// It has no room.
-    Busy,
-    /// It is an author without the lease, or with an earlier token.
-    Fenced,
-    /// A new session has taken its place.
-    Replaced,
-}
--- a/crates/distribution/src/publish.rs
+++ b/crates/distribution/src/publish.rs
@@ -1,7 +1,6 @@
 //! What an author is asked to write, and why it may not.
 
-use crate::log::Log;
-use crate::log::Room;
+use crate::log::{Log, Room};
 use crate::resource::{
     Content, Draft, Group, Key, Name, Part, Slot, Urgency, BODY_MOST, CHANGE_OVERHEAD, NAME_MOST,
     WHOLE,
--- a/crates/distribution/src/replica.rs
+++ b/crates/distribution/src/replica.rs
@@ -1,14 +1,15 @@
 //! A copy of all resources that follows an upstream: what relays and authors have in common.
 
-use crate::coverage::Coverage;
+use crate::coverage::{Coverage, Span};
+use crate::epoch::Epoch;
 use crate::feed::Source;
 use crate::log::{Log, Put};
-use crate::message::{Epoch, Span};
-use crate::output::{Event, Output, Reason, Record};
+use crate::output::{Event, Output, Record};
 use crate::report::Report;
 use crate::resource::{Change, Key, Selector, Version};
 use crate::restore::Restored;
 use crate::session::Heard;
+use crate::session_end::Reason;
 use crate::upstream::Upstream;
 use crate::{Time, DRIFT};
 use std::collections::BTreeSet;
--- a/crates/distribution/src/report.rs
+++ b/crates/distribution/src/report.rs
@@ -2,7 +2,6 @@
 
 mod refusals;
 
-use crate::message;
 use crate::peer::PeerId;
 use crate::resource::{Key, Version};
 use refusals::Refusals;
@@ -134,7 +133,7 @@
 impl Report {
     /// How many bytes it takes in a frame.
     pub fn size(&self) -> usize {
-        message::written(self)
+        crate::frame::written(self)
     }
 
     /// Whether its parts keep to their bounds.
--- a/crates/distribution/src/restore.rs
+++ b/crates/distribution/src/restore.rs
@@ -1,8 +1,8 @@
 //! What was persisted, read back.
 
 use crate::coverage::Coverage;
+use crate::epoch::Epoch;
 use crate::log::{Log, Room};
-use crate::message::Epoch;
 use crate::output::Record;
 use crate::resource::{Change, Name, Selector, Version};
 use std::collections::BTreeMap;
--- a/crates/distribution/src/session.rs
+++ b/crates/distribution/src/session.rs
@@ -2,12 +2,15 @@
 
 use crate::bucket::Bucket;
 use crate::chunks::Assemblies;
-use crate::coverage::Coverage;
+use crate::coverage::{Coverage, Span};
+use crate::epoch::Epoch;
+use crate::frame;
 use crate::link::{Arrival, Link};
-use crate::message::{self, Epoch, Payload, Span, Subscribe};
-use crate::output::{Output, Reason};
+use crate::message::{Payload, Subscribe};
+use crate::output::Output;
 use crate::report::{Report, Waiting};
 use crate::resource::{Change, Selector, Version};
+use crate::session_end::Reason;
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -226,7 +229,7 @@
                 floor,
                 has_changes,
             };
-            bytes += message::written(&subscribe);
+            bytes += frame::written(&subscribe);
             if bytes > room && !list.is_empty() {
                 break;
             }
--- a/crates/distribution/src/subscriber.rs
+++ b/crates/distribution/src/subscriber.rs
@@ -4,10 +4,11 @@
 //! is asked to apply it and accepts or rejects it. What it rejects is told to the author, and the last good one stays.
 
 use crate::coverage::Coverage;
+use crate::epoch::Epoch;
 use crate::follow::FollowRules;
 use crate::force::{Basis, Force};
 use crate::log::{Log, Put, Room};
-use crate::message::{self, Epoch};
+use crate::message::{self};
 use crate::output::{Event, Output, Record};
 use crate::peer::PeerId;
 use crate::replica::{lacking, orphans, unlisted};
--- a/crates/distribution/src/upstream/opening.rs
+++ b/crates/distribution/src/upstream/opening.rs
@@ -4,8 +4,9 @@
 use crate::bucket::Bucket;
 use crate::link::Link;
 use crate::message::{Payload, Received};
-use crate::output::{Event, Output, Reason};
+use crate::output::{Event, Output};
 use crate::session::Session;
+use crate::session_end::Reason;
 use crate::Time;
 
 impl Upstream {
--- a/crates/distribution/tests/any_bytes.rs
+++ b/crates/distribution/tests/any_bytes.rs
@@ -4,19 +4,19 @@
 
 use proptest::prelude::*;
 use reelfall_distribution::author::{Author, AuthorConfig};
-use reelfall_distribution::coverage::Coverage;
+use reelfall_distribution::coverage::{Coverage, Span};
 use reelfall_distribution::downstream::ServeRules;
+use reelfall_distribution::epoch::Epoch;
 use reelfall_distribution::follow::FollowRules;
 use reelfall_distribution::log::Room;
-use reelfall_distribution::message::{
-    decode, encode, Chunk, Epoch, Head, Payload, Span, Subscribe,
-};
-use reelfall_distribution::output::{Output, Reason};
+use reelfall_distribution::message::{decode, encode, Chunk, Head, Payload, Subscribe};
+use reelfall_distribution::output::Output;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::relay::{Relay, RelayConfig};
 use reelfall_distribution::resource::{
     Change, Content, ContentHash, Key, Name, Part, Selector, Slot, Urgency, Version,
 };
+use reelfall_distribution::session_end::Reason;
 use reelfall_distribution::subscriber::{Subscriber, SubscriberConfig};
 use world::{claim, lease};
 
--- a/crates/distribution/tests/cases_return.rs
+++ b/crates/distribution/tests/cases_return.rs
@@ -5,9 +5,10 @@
 
 use reelfall_distribution::downstream::ServeRules;
 use reelfall_distribution::follow::{FollowRules, PATIENCE_MOST};
-use reelfall_distribution::output::{Event, Reason};
+use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::resource::{Draft, Name, Version};
+use reelfall_distribution::session_end::Reason;
 use reelfall_distribution::Time;
 use std::ops::Range;
 use world::{claim, node_of_region, World, CALM};
--- a/crates/distribution/tests/cases_tree.rs
+++ b/crates/distribution/tests/cases_tree.rs
@@ -3,9 +3,10 @@
 mod world;
 
 use reelfall_distribution::follow::FollowRules;
-use reelfall_distribution::output::{Event, Reason};
+use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::resource::{Draft, Name, Selector, Version};
+use reelfall_distribution::session_end::Reason;
 use reelfall_distribution::Time;
 use world::{claim, hold, put, World, CALM};
 
--- a/crates/distribution/tests/defences.rs
+++ b/crates/distribution/tests/defences.rs
@@ -5,20 +5,22 @@
 use reelfall_distribution::author::{Author, AuthorConfig};
 use reelfall_distribution::bucket::Budget;
 use reelfall_distribution::child::Child;
-use reelfall_distribution::coverage::{Coverage, SPANS_MANY};
+use reelfall_distribution::coverage::{Coverage, Span, SPANS_MANY};
 use reelfall_distribution::downstream::ServeRules;
+use reelfall_distribution::epoch::Epoch;
 use reelfall_distribution::feed::Source;
 use reelfall_distribution::follow::FollowRules;
 use reelfall_distribution::link::Link;
 use reelfall_distribution::log::{Log, Room};
-use reelfall_distribution::message::{decode, Epoch, Payload, Span, Subscribe};
-use reelfall_distribution::output::{Event, Output, Reason, Record};
+use reelfall_distribution::message::{decode, Payload, Subscribe};
+use reelfall_distribution::output::{Event, Output, Record};
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::publish::Refusal;
 use reelfall_distribution::resource::{
     Change, Content, Draft, Key, Part, Selector, Slot, Urgency, Version,
 };
 use reelfall_distribution::restore::Restored;
+use reelfall_distribution::session_end::Reason;
 use reelfall_distribution::Time;
 use world::{claim, hold, lease, name, put, two_authors_and_relays, World, CALM};
 
--- a/crates/distribution/tests/false_peers.rs
+++ b/crates/distribution/tests/false_peers.rs
@@ -3,17 +3,18 @@
 
 mod world;
 
-use reelfall_distribution::coverage::Coverage;
+use reelfall_distribution::coverage::{Coverage, Span};
 use reelfall_distribution::downstream::ServeRules;
 use reelfall_distribution::follow::FollowRules;
 use reelfall_distribution::log::Room;
-use reelfall_distribution::message::{decode, encode, Chunk, Head, Payload, Span, Subscribe};
-use reelfall_distribution::output::{Event, Output, Reason};
+use reelfall_distribution::message::{decode, encode, Chunk, Head, Payload, Subscribe};
+use reelfall_distribution::output::{Event, Output};
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::relay::{Relay, RelayConfig};
 use reelfall_distribution::resource::{
     Change, Content, ContentHash, Key, Name, Part, Selector, Slot, Urgency, Version,
 };
+use reelfall_distribution::session_end::Reason;
 use reelfall_distribution::subscriber::{Subscriber, SubscriberConfig};
 use world::lease;
 
--- a/crates/distribution/tests/golden.rs
+++ b/crates/distribution/tests/golden.rs
@@ -5,11 +5,10 @@
 mod world;
 
 use rand::Rng;
-use reelfall_distribution::coverage::Coverage;
-use reelfall_distribution::message::{
-    decode, encode, Chunk, Echo, Epoch, Head, Payload, Span, Subscribe,
-};
-use reelfall_distribution::output::{Reason, Record};
+use reelfall_distribution::coverage::{Coverage, Span};
+use reelfall_distribution::epoch::Epoch;
+use reelfall_distribution::message::{decode, encode, Chunk, Echo, Head, Payload, Subscribe};
+use reelfall_distribution::output::Record;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::report::Report;
 use reelfall_distribution::resource::{
@@ -17,6 +16,7 @@
 };
 use reelfall_distribution::rollout::policy::{OnRefusals, RolloutPolicy};
 use reelfall_distribution::rollout::record::{RefusingNode, RolloutRecord, RolloutState, Stop};
+use reelfall_distribution::session_end::Reason;
 use world::{claim, Network, World};
 
 const GOLDEN: &str = include_str!("golden/frames.txt");
--- a/crates/distribution/tests/parts.rs
+++ b/crates/distribution/tests/parts.rs
@@ -2,11 +2,11 @@
 
 use proptest::prelude::*;
 use reelfall_distribution::bucket::{Bucket, Budget, TRANSPORT_OVERHEAD};
-use reelfall_distribution::coverage::{Coverage, SPANS_MOST};
+use reelfall_distribution::coverage::{Coverage, Span, SPANS_MOST};
 use reelfall_distribution::history::History;
 use reelfall_distribution::link::{transit, Link};
 use reelfall_distribution::log::{Log, Put, Room};
-use reelfall_distribution::message::{decode, Echo, Payload, Span};
+use reelfall_distribution::message::{decode, Echo, Payload};
 use reelfall_distribution::output::{Output, Record};
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::report::{Report, Waiting};
