--- a/crates/distribution/src/attempts.rs
+++ b/crates/distribution/src/attempts.rs
@@ -1,45 +1,45 @@
 //! Sessions that have been asked for and that nobody has answered yet.
 //!
-//! An upstream that has not answered within [`FollowRules::attempt_delay`] is not given up: the next candidate is asked
+//! An upstream that has not answered within [`UpstreamConfig::attempt_delay`] is not given up: the next candidate is asked
 //! beside it, and the first that answers is followed (connection attempts as in RFC 8305, "Happy Eyeballs"). So each
 //! candidate that is dead costs `attempt_delay` in place of `answer`, and one that is slow can still be followed.
 //!
 //! All attempts take from one bucket, the follower's own.
 
-use crate::bucket::Bucket;
-use crate::follow::FollowRules;
+use crate::bucket::TokenBucket;
+use crate::follow::UpstreamConfig;
 use crate::link::Link;
 use crate::message::Payload;
 use crate::output::Output;
 use crate::peer::PeerId;
-use crate::session_end::Reason;
+use crate::session_end::CloseReason;
 use crate::Time;
 
 /// What the beginning of a session takes in a frame at most, beside the frame's own head, in bytes.
-const OPEN_BYTES: usize = 8;
+const OPEN_PAYLOAD_BYTES: usize = 8;
 
 #[derive(Debug)]
 struct Attempt {
     link: Link,
-    until: Time,
+    deadline: Time,
 }
 
 /// See the module. There are no more attempts than candidates, since none is asked twice at once.
 #[derive(Debug)]
-pub(crate) struct Attempts {
+pub(crate) struct SessionAttempts {
     pending: Vec<Attempt>,
     /// How many were begun, those that have ended among them.
-    begun: u32,
+    begun_count: u32,
     /// When the next candidate may be asked.
     next_at: Time,
 }
 
-impl Attempts {
+impl SessionAttempts {
     /// None yet; the first candidate may be asked at once.
-    pub fn new(now: Time) -> Attempts {
-        Attempts {
+    pub fn new(now: Time) -> SessionAttempts {
+        SessionAttempts {
             pending: Vec::new(),
-            begun: 0,
+            begun_count: 0,
             next_at: now,
         }
     }
@@ -63,8 +63,9 @@
     }
 
     /// How much sooner all were asked than one after the other, in seconds.
-    pub fn time_saved(&self, rules: &FollowRules) -> Time {
-        f64::from(self.begun.saturating_sub(1)) * (rules.answer - rules.attempt_delay).max(0.0)
+    pub fn time_saved(&self, rules: &UpstreamConfig) -> Time {
+        f64::from(self.begun_count.saturating_sub(1))
+            * (rules.open_timeout - rules.attempt_delay).max(0.0)
     }
 
     /// When the next candidate may be asked.
@@ -77,18 +78,22 @@
         &mut self,
         now: Time,
         mut link: Link,
-        rules: &FollowRules,
-        bucket: &mut Bucket,
+        rules: &UpstreamConfig,
+        bucket: &mut TokenBucket,
         outputs: &mut Vec<Output>,
     ) -> bool {
-        let open = Payload::Open { relay: rules.relay };
-        let sent = lend(bucket, &mut link, |link| link.send(now, &open, outputs));
+        let open = Payload::Open {
+            is_relay: rules.is_relay,
+        };
+        let sent = with_shared_bucket(bucket, &mut link, |link| {
+            link.send_reliable(now, &open, outputs)
+        });
         if sent {
             self.pending.push(Attempt {
                 link,
-                until: now + rules.answer,
+                deadline: now + rules.open_timeout,
             });
-            self.begun += 1;
+            self.begun_count += 1;
             self.next_at = now + rules.attempt_delay;
         } else {
             self.next_at = link_ready(bucket, now);
@@ -97,10 +102,10 @@
     }
 
     /// Asks again where an answer is late.
-    pub fn repeat(&mut self, now: Time, bucket: &mut Bucket, outputs: &mut Vec<Output>) {
+    pub fn retransmit(&mut self, now: Time, bucket: &mut TokenBucket, outputs: &mut Vec<Output>) {
         for attempt in &mut self.pending {
-            lend(bucket, &mut attempt.link, |link| {
-                link.flush_repeats(now, outputs)
+            with_shared_bucket(bucket, &mut attempt.link, |link| {
+                link.retransmit_if_due(now, outputs)
             });
         }
     }
@@ -114,38 +119,38 @@
     }
 
     /// Ends the attempts that were not answered in time; gives back whom they asked.
-    pub fn end_late(
+    pub fn end_timed_out(
         &mut self,
         now: Time,
-        bucket: &mut Bucket,
+        bucket: &mut TokenBucket,
         outputs: &mut Vec<Output>,
     ) -> Vec<PeerId> {
-        let is_late = |attempt: &Attempt| now >= attempt.until;
+        let is_late = |attempt: &Attempt| now >= attempt.deadline;
         let (late, pending) = std::mem::take(&mut self.pending)
             .into_iter()
             .partition(is_late);
         self.pending = pending;
-        close(late, now, Reason::Silent, bucket, outputs)
+        close(late, now, CloseReason::TimedOut, bucket, outputs)
     }
 
     /// Ends all attempts; gives back whom they asked.
     pub fn end_all(
         &mut self,
         now: Time,
-        bucket: &mut Bucket,
+        bucket: &mut TokenBucket,
         outputs: &mut Vec<Output>,
     ) -> Vec<PeerId> {
         close(
             std::mem::take(&mut self.pending),
             now,
-            Reason::Replaced,
+            CloseReason::Replaced,
             bucket,
             outputs,
         )
     }
 
     /// When something is due, where the next candidate is free at `free_at`.
-    pub fn next_wakeup(&self, now: Time, bucket: &Bucket, free_at: Time) -> Time {
+    pub fn next_wakeup(&self, now: Time, bucket: &TokenBucket, free_at: Time) -> Time {
         let repeats = self
             .pending
             .iter()
@@ -156,29 +161,35 @@
         let late = self
             .pending
             .iter()
-            .map(|attempt| attempt.until)
+            .map(|attempt| attempt.deadline)
             .fold(f64::INFINITY, f64::min);
         repeat.min(late).min(self.next_at.max(free_at))
     }
 }
 
 /// When the budget allows the beginning of a session.
-fn link_ready(bucket: &Bucket, now: Time) -> Time {
-    bucket.ready(now, OPEN_BYTES + crate::frame::FRAME_OVERHEAD)
+fn link_ready(bucket: &TokenBucket, now: Time) -> Time {
+    bucket.ready_at(
+        now,
+        OPEN_PAYLOAD_BYTES + crate::frame::MAX_FRAME_OVERHEAD_BYTES,
+    )
 }
 
 /// Guards against sessions that an upstream keeps though nobody wants them any more. Harm: one small frame for each.
 fn close(
     attempts: Vec<Attempt>,
     now: Time,
-    why: Reason,
-    bucket: &mut Bucket,
+    why: CloseReason,
+    bucket: &mut TokenBucket,
     outputs: &mut Vec<Output>,
 ) -> Vec<PeerId> {
     let end = |mut attempt: Attempt| {
-        let payload = Payload::Close { why, rest_ms: 0 };
-        lend(bucket, &mut attempt.link, |link| {
-            link.say(now, &payload, outputs)
+        let payload = Payload::Close {
+            reason: why,
+            retry_after_ms: 0,
+        };
+        with_shared_bucket(bucket, &mut attempt.link, |link| {
+            link.send_unreliable(now, &payload, outputs)
         });
         attempt.link.peer()
     };
@@ -186,7 +197,11 @@
 }
 
 /// Lets a link take from a bucket that it shares with others.
-fn lend<T>(bucket: &mut Bucket, link: &mut Link, act: impl FnOnce(&mut Link) -> T) -> T {
+fn with_shared_bucket<T>(
+    bucket: &mut TokenBucket,
+    link: &mut Link,
+    act: impl FnOnce(&mut Link) -> T,
+) -> T {
     std::mem::swap(bucket, link.bucket_mut());
     let result = act(link);
     std::mem::swap(bucket, link.bucket_mut());
--- a/crates/distribution/src/author.rs
+++ b/crates/distribution/src/author.rs
@@ -3,7 +3,7 @@
 //! | state | ends |
 //! | --- | --- |
 //! | standing by: follows a relay, to have what others write | when the lease is held |
-//! | taking over: takes in what each first relay has, one after the other | when all have been heard; after [`AuthorConfig::takeover`] |
+//! | taking over: takes in what each first relay has, one after the other | when all have been heard; after [`AuthorConfig::takeover_timeout`] |
 //! | writing: serves relays, follows nobody | at the lease's end; when it is given back; when a later token is heard of |
 //!
 //! A later author may lack what an earlier one wrote just before it was cut off. What relays and nodes have of that are
@@ -16,22 +16,22 @@
 pub use rollouts::{RolloutDraft, RolloutStatus};
 
 use crate::coverage::Coverage;
-use crate::downstream::{Downstream, ServeRules};
+use crate::downstream::{Downstream, DownstreamConfig};
 use crate::epoch::Epoch;
-use crate::feed::Source;
-use crate::follow::FollowRules;
-use crate::history::History;
-use crate::log::{Log, Room};
+use crate::feed::ReplicaView;
+use crate::follow::UpstreamConfig;
+use crate::history::ChangeHistory;
+use crate::log::{Capacity, ChangeLog};
 use crate::message::{self, Payload};
 use crate::output::{Event, Output, Record};
 use crate::peer::PeerId;
-use crate::publish::{self, check_free, Refusal, Write};
-use crate::replica::{orphans, Replica, Update};
+use crate::publish::{self, check_writable, PendingChange, PublishError};
+use crate::replica::{orphaned_changes, Replica, ReplicaUpdate};
 use crate::report::Report;
-use crate::resource::{Change, Content, Draft, Key, Name, Part, Slot, Urgency, Version};
-use crate::restore::Restored;
-use crate::session_end::Reason;
-use crate::status::{Board, Refused, Status};
+use crate::resource::{Change, Content, Draft, Key, Name, NodeFraction, Slot, Urgency, Version};
+use crate::restore::RestoredState;
+use crate::session_end::CloseReason;
+use crate::status::{NodeStatuses, Rejection, VersionStatus};
 use crate::upstream::Upstream;
 use crate::Time;
 use reelfall_lease::token::{Claim, LeaseName};
@@ -44,15 +44,15 @@
     /// The lease of those who write.
     pub lease: LeaseName,
     /// Whom it follows while it does not write: the first relays.
-    pub follow: FollowRules,
+    pub upstream: UpstreamConfig,
     /// How it serves.
-    pub serve: ServeRules,
+    pub downstream: DownstreamConfig,
     /// How much it holds.
-    pub room: Room,
+    pub capacity: Capacity,
     /// How much it keeps for taking changes back, in bytes.
-    pub history: usize,
+    pub history_bytes: usize,
     /// How long it waits at most for what others wrote, in seconds.
-    pub takeover: Time,
+    pub takeover_timeout: Time,
     /// For what is drawn, sessions' numbers among it: another one at each start.
     pub seed: u64,
 }
@@ -80,8 +80,8 @@
     state: State,
     replica: Replica,
     downstream: Downstream,
-    history: History,
-    board: Board,
+    history: ChangeHistory,
+    node_statuses: NodeStatuses,
     rollouts: Rollouts,
     clock: Time,
 }
@@ -89,7 +89,7 @@
 impl Author {
     /// One that begins without records.
     pub fn new(config: AuthorConfig, now: Time) -> Author {
-        let restored = Restored::empty(config.room);
+        let restored = RestoredState::empty(config.capacity);
         Author::from_restored(config, restored, now)
     }
 
@@ -99,31 +99,32 @@
         records: impl IntoIterator<Item = Record>,
         now: Time,
     ) -> Author {
-        let restored = Restored::read(config.room, records);
+        let restored = RestoredState::from_records(config.capacity, records);
         Author::from_restored(config, restored, now)
     }
 
-    fn from_restored(config: AuthorConfig, mut restored: Restored, now: Time) -> Author {
+    fn from_restored(config: AuthorConfig, mut restored: RestoredState, now: Time) -> Author {
         let upstream = Upstream::new(
-            config.follow.clone(),
+            config.upstream.clone(),
             config.lease.clone(),
             config.seed,
             now,
         );
         let replica = Replica::new(upstream, &mut restored);
-        let mut history = History::new(config.history);
+        let mut history = ChangeHistory::new(config.history_bytes);
         for (old, new) in &restored.replaced {
-            history.replaced(old, new);
+            history.record_replaced(old, new);
         }
-        let downstream = Downstream::new(config.serve, crate::chance::mix(config.seed), now);
-        let board = Board::default();
+        let downstream =
+            Downstream::new(config.downstream, crate::chance::mix_bits(config.seed), now);
+        let board = NodeStatuses::default();
         let (state, rollouts) = (State::StandingBy, Rollouts::default());
         Author {
             state,
             replica,
             downstream,
             history,
-            board,
+            node_statuses: board,
             rollouts,
             clock: now,
             config,
@@ -131,7 +132,7 @@
     }
 
     /// What it has.
-    pub fn log(&self) -> &Log {
+    pub fn log(&self) -> &ChangeLog {
         &self.replica.log
     }
 
@@ -156,28 +157,28 @@
     }
 
     /// What the nodes have said of a version.
-    pub fn status(&self, version: Version) -> Status {
-        self.board.status(version)
+    pub fn status(&self, version: Version) -> VersionStatus {
+        self.node_statuses.status(version)
     }
 
     /// The lease is held until then, by this claim: its beginning, and each renewal.
     ///
     /// # Errors
     /// If it is another lease, or a later token has been seen.
-    pub fn hold(
+    pub fn hold_lease(
         &mut self,
         now: Time,
         claim: &Claim,
         until: Time,
         outputs: &mut Vec<Output>,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), PublishError> {
         self.clock = self.clock.max(now);
         if claim.lease != self.config.lease {
-            return Err(Refusal::NotHeld);
+            return Err(PublishError::LeaseNotHeld);
         }
-        let seen = self.token_seen();
+        let seen = self.highest_token();
         if claim.token < seen {
-            return Err(Refusal::Fenced(seen));
+            return Err(PublishError::Fenced(seen));
         }
         match &mut self.state {
             State::Writing {
@@ -190,7 +191,7 @@
             } if taking == claim => *held = until,
             _ => {
                 self.stand_down(now, outputs);
-                let deadline = now + self.config.takeover;
+                let deadline = now + self.config.takeover_timeout;
                 let (claim, heard) = (claim.clone(), BTreeSet::new());
                 self.state = State::TakingOver {
                     claim,
@@ -198,8 +199,8 @@
                     deadline,
                     heard,
                 };
-                if self.config.follow.upstreams.is_empty() {
-                    self.begin(now, outputs);
+                if self.config.upstream.upstreams.is_empty() {
+                    self.begin_writing(now, outputs);
                 }
             }
         }
@@ -209,26 +210,26 @@
     /// The lease is no longer held.
     pub fn stand_down(&mut self, now: Time, outputs: &mut Vec<Output>) {
         if self.is_writing() {
-            self.downstream.close_all(now, Reason::Fenced, outputs);
+            self.downstream.close_all(now, CloseReason::Fenced, outputs);
         }
         self.state = State::StandingBy;
         self.rollouts = Rollouts::default();
         self.replica.upstream.resume(now);
     }
 
-    fn token_seen(&self) -> u64 {
-        self.replica.upstream.token_seen().max(self.head().token)
+    fn highest_token(&self) -> u64 {
+        self.replica.upstream.highest_token().max(self.head().token)
     }
 
-    fn begin(&mut self, now: Time, outputs: &mut Vec<Output>) {
+    fn begin_writing(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let State::TakingOver { claim, until, .. } = &self.state else {
             return;
         };
         let (claim, until) = (claim.clone(), *until);
-        let seen = self.token_seen();
-        let known = self.replica.known();
+        let seen = self.highest_token();
+        let known = self.replica.known_versions();
         let epoch = Epoch { claim, known };
-        if seen > epoch.claim.token || self.replica.upstream.admit(&epoch).is_err() {
+        if seen > epoch.claim.token || self.replica.upstream.admit_epoch(&epoch).is_err() {
             outputs.push(Output::Event(Event::Fenced { token: seen }));
             self.stand_down(now, outputs);
             return;
@@ -239,26 +240,28 @@
             sequence: 0,
         };
         let head = self.head().max(start);
-        let own = orphans(self.log(), &epoch);
+        let own = orphaned_changes(self.log(), &epoch);
         // Stored the other way round, a crash between the two would leave what is covered by this word alone as known.
         self.replica.set_epoch(epoch.clone(), outputs);
-        self.replica.cover_all(head, outputs);
+        self.replica.mark_complete(head, outputs);
         self.state = State::Writing {
             epoch,
             until,
             orphans: 0,
         };
-        self.write_own_again(now, own, outputs);
+        self.rewrite_orphaned(now, own, outputs);
         self.take_over_rollouts(now, outputs);
     }
 
-    fn may_write(&self, now: Time, claim: &Claim) -> Result<(), Refusal> {
-        let seen = self.token_seen();
+    fn check_lease(&self, now: Time, claim: &Claim) -> Result<(), PublishError> {
+        let seen = self.highest_token();
         match &self.state {
-            _ if claim.token < seen => Err(Refusal::Fenced(seen)),
-            State::TakingOver { claim: taking, .. } if taking == claim => Err(Refusal::TakingOver),
+            _ if claim.token < seen => Err(PublishError::Fenced(seen)),
+            State::TakingOver { claim: taking, .. } if taking == claim => {
+                Err(PublishError::TakingOver)
+            }
             State::Writing { epoch, until, .. } if epoch.claim == *claim && now < *until => Ok(()),
-            _ => Err(Refusal::NotHeld),
+            _ => Err(PublishError::LeaseNotHeld),
         }
     }
 
@@ -272,61 +275,61 @@
         claim: &Claim,
         drafts: Vec<Draft>,
         outputs: &mut Vec<Output>,
-    ) -> Result<Version, Refusal> {
-        self.may_write(now, claim)?;
+    ) -> Result<Version, PublishError> {
+        self.check_lease(now, claim)?;
         drafts
             .iter()
-            .try_for_each(|draft| check_free(&draft.name))?;
-        let writes = drafts.into_iter().map(Write::whole).collect();
-        self.write(now, writes, outputs)
+            .try_for_each(|draft| check_writable(&draft.name))?;
+        let writes = drafts.into_iter().map(PendingChange::stable).collect();
+        self.publish_pending(now, writes, outputs)
     }
 
     /// Publishes a change for a part of the nodes; a later stage of the same trial has a greater part.
     ///
     /// # Errors
     /// Says why nothing was published.
-    pub fn stage(
+    pub fn publish_canary(
         &mut self,
         now: Time,
         claim: &Claim,
         draft: Draft,
-        part: Part,
+        part: NodeFraction,
         outputs: &mut Vec<Output>,
-    ) -> Result<Version, Refusal> {
-        self.may_write(now, claim)?;
-        check_free(&draft.name)?;
-        self.write(now, vec![Write::trial(draft, part)], outputs)
+    ) -> Result<Version, PublishError> {
+        self.check_lease(now, claim)?;
+        check_writable(&draft.name)?;
+        self.publish_pending(now, vec![PendingChange::canary(draft, part)], outputs)
     }
 
     /// Makes what is on trial hold for all nodes.
     ///
     /// # Errors
     /// Says why nothing was published.
-    pub fn release(
+    pub fn promote_canary(
         &mut self,
         now: Time,
         claim: &Claim,
         name: &Name,
         outputs: &mut Vec<Output>,
-    ) -> Result<Version, Refusal> {
-        self.may_write(now, claim)?;
+    ) -> Result<Version, PublishError> {
+        self.check_lease(now, claim)?;
         let key = Key {
             name: name.clone(),
-            slot: Slot::Trial,
+            slot: Slot::Canary,
         };
         let trial = self
             .log()
             .get(&key)
-            .filter(|trial| !trial.removes())
-            .ok_or(Refusal::NoTrial)?;
+            .filter(|trial| !trial.is_removal())
+            .ok_or(PublishError::NoCanary)?;
         let (content, urgency) = (trial.content.clone(), trial.urgency);
-        let whole = Write::whole(Draft {
+        let whole = PendingChange::stable(Draft {
             name: name.clone(),
             content,
             urgency,
         });
-        let end = Write::end_of_trial(name.clone(), urgency);
-        self.write(now, vec![whole, end], outputs)
+        let end = PendingChange::end_of_canary(name.clone(), urgency);
+        self.publish_pending(now, vec![whole, end], outputs)
     }
 
     /// Takes a change back: what was there before is published as a new, urgent version. Of a trial: it ends.
@@ -339,44 +342,55 @@
         claim: &Claim,
         version: Version,
         outputs: &mut Vec<Output>,
-    ) -> Result<Version, Refusal> {
-        self.may_write(now, claim)?;
-        let change = self.log().at(version).ok_or(Refusal::Superseded)?;
-        check_free(&change.key.name)?;
+    ) -> Result<Version, PublishError> {
+        self.check_lease(now, claim)?;
+        let change = self
+            .log()
+            .get_version(version)
+            .ok_or(PublishError::Superseded)?;
+        check_writable(&change.key.name)?;
         let content = match change.key.slot {
-            Slot::Trial => Content::Removed,
-            Slot::Whole => self.history.before(change).ok_or(Refusal::Forgotten)?,
+            Slot::Canary => Content::Removed,
+            Slot::Stable => self
+                .history
+                .content_before(change)
+                .ok_or(PublishError::HistoryExpired)?,
         };
         let key = change.key.clone();
-        let write = Write {
+        let write = PendingChange {
             key,
             content,
             urgency: Urgency::Urgent,
-            part: Part::ALL,
+            fraction: NodeFraction::ALL,
         };
-        self.write(now, vec![write], outputs)
+        self.publish_pending(now, vec![write], outputs)
     }
 
-    fn write(
+    fn publish_pending(
         &mut self,
         now: Time,
-        writes: Vec<Write>,
+        writes: Vec<PendingChange>,
         outputs: &mut Vec<Output>,
-    ) -> Result<Version, Refusal> {
-        publish::check(&writes, self.log(), self.config.room)?;
-        Ok(self.put_all(now, writes, outputs))
+    ) -> Result<Version, PublishError> {
+        publish::check(&writes, self.log(), self.config.capacity)?;
+        Ok(self.append_all(now, writes, outputs))
     }
 
-    fn put_all(&mut self, now: Time, writes: Vec<Write>, outputs: &mut Vec<Output>) -> Version {
+    fn append_all(
+        &mut self,
+        now: Time,
+        writes: Vec<PendingChange>,
+        outputs: &mut Vec<Output>,
+    ) -> Version {
         let mut version = self.head();
-        let mut update = Update::default();
+        let mut update = ReplicaUpdate::default();
         for write in writes {
             version.sequence += 1;
-            let Write {
+            let PendingChange {
                 key,
                 content,
                 urgency,
-                part,
+                fraction: part,
             } = write;
             let replaces = self
                 .log()
@@ -386,27 +400,27 @@
                 key,
                 version,
                 urgency,
-                part,
+                fraction: part,
                 replaces,
                 content,
             };
             self.replica.put(change, &mut update, outputs);
         }
-        update.keys.extend(self.replica.forget_removals(outputs));
-        self.replica.cover_all(version, outputs);
-        self.updated(now, &update);
+        update.keys.extend(self.replica.prune_tombstones(outputs));
+        self.replica.mark_complete(version, outputs);
+        self.propagate_update(now, &update);
         version
     }
 
-    fn updated(&mut self, now: Time, update: &Update) {
+    fn propagate_update(&mut self, now: Time, update: &ReplicaUpdate) {
         for (old, new) in &update.replaced {
-            self.history.replaced(old, new);
+            self.history.record_replaced(old, new);
         }
         if self.is_writing() {
-            self.rollouts.wake(now);
-            let source = as_author(self.replica.source(now));
+            self.rollouts.check_at(now);
+            let source = as_author(self.replica.view(now));
             for key in &update.keys {
-                self.downstream.changed(now, key, source);
+                self.downstream.notify_changed(now, key, source);
             }
         }
     }
@@ -414,48 +428,53 @@
     /// Takes a frame in; any bytes.
     pub fn receive(&mut self, now: Time, from: PeerId, frame: &[u8], outputs: &mut Vec<Output>) {
         self.clock = self.clock.max(now);
-        let Some(received) = message::read(from, frame) else {
+        let Some(received) = message::parse(from, frame) else {
             return;
         };
-        if !received.head.up {
+        if !received.head.from_child {
             let upstream = &mut self.replica.upstream;
             let heard = upstream.receive(now, received, outputs);
             if let Some(heard) = heard {
-                let update = self.replica.take(now, heard, outputs);
-                self.followed(now, &update, outputs);
+                let update = self.replica.apply_event(now, heard, outputs);
+                self.apply_update(now, &update, outputs);
             }
             return;
         }
         if !self.is_writing() {
             if !matches!(received.payload, Payload::Close { .. }) {
-                self.downstream
-                    .refuse(now, from, received.head.session, Reason::Fenced, outputs);
+                self.downstream.reject(
+                    now,
+                    from,
+                    received.head.session,
+                    CloseReason::Fenced,
+                    outputs,
+                );
             }
             return;
         }
-        let source = as_author(self.replica.source(now));
+        let source = as_author(self.replica.view(now));
         let reports = self.downstream.receive(now, received, source, outputs);
         for report in reports {
-            self.take_report(now, report, outputs);
+            self.handle_report(now, report, outputs);
         }
-        if self.downstream.take_fenced() {
-            self.fenced(now, outputs);
+        if self.downstream.take_fencing_notice() {
+            self.handle_fencing(now, outputs);
         }
     }
 
-    fn followed(&mut self, now: Time, update: &Update, outputs: &mut Vec<Output>) {
-        self.updated(now, update);
+    fn apply_update(&mut self, now: Time, update: &ReplicaUpdate, outputs: &mut Vec<Output>) {
+        self.propagate_update(now, update);
         for (key, version) in update.orphans.iter().cloned() {
             outputs.push(Output::Event(Event::Orphaned { key, version }));
         }
-        if update.current {
-            self.relay_heard(now, outputs);
+        if update.is_current {
+            self.relay_caught_up(now, outputs);
         }
     }
 
     /// Guards against the loss of what an earlier author has told one relay alone. Harm: the others' answers are waited
-    /// for, up to [`AuthorConfig::takeover`].
-    fn relay_heard(&mut self, now: Time, outputs: &mut Vec<Output>) {
+    /// for, up to [`AuthorConfig::takeover_timeout`].
+    fn relay_caught_up(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let State::TakingOver { heard, .. } = &mut self.state else {
             return;
         };
@@ -465,21 +484,21 @@
         heard.insert(relay);
         if self
             .config
-            .follow
+            .upstream
             .upstreams
             .iter()
             .all(|relay| heard.contains(relay))
         {
-            self.begin(now, outputs);
+            self.begin_writing(now, outputs);
         } else {
             self.replica
                 .upstream
-                .move_on(now, self.config.takeover, outputs);
+                .switch_upstream(now, self.config.takeover_timeout, outputs);
         }
     }
 
     /// A relay has heard of a later token: this author has lost the lease without knowing.
-    fn fenced(&mut self, now: Time, outputs: &mut Vec<Output>) {
+    fn handle_fencing(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let State::Writing { epoch, .. } = &self.state else {
             return;
         };
@@ -489,22 +508,32 @@
         self.stand_down(now, outputs);
     }
 
-    fn take_report(&mut self, now: Time, report: Report, outputs: &mut Vec<Output>) {
+    fn handle_report(&mut self, now: Time, report: Report, outputs: &mut Vec<Output>) {
         match report {
-            Report::Standing { node, upto } => {
-                self.board.standing(now, node, upto);
+            Report::Acknowledged {
+                node,
+                version: upto,
+            } => {
+                self.node_statuses.record_acknowledgement(now, node, upto);
             }
-            Report::Refused {
+            Report::Rejected {
                 node,
                 key,
                 version,
                 reason,
             } => {
-                self.rollouts
-                    .refused(now, node, &key, version, &reason, &self.replica.log);
-                self.board.refused(version, Refused { node, key, reason });
+                self.rollouts.record_rejection(
+                    now,
+                    node,
+                    &key,
+                    version,
+                    &reason,
+                    &self.replica.log,
+                );
+                self.node_statuses
+                    .record_rejection(version, Rejection { node, key, reason });
             }
-            Report::Orphan { key, version } => self.write_over(now, key, version, outputs),
+            Report::Orphan { key, version } => self.overwrite_orphan(now, key, version, outputs),
         }
     }
 
@@ -515,12 +544,14 @@
             State::TakingOver { until, .. } | State::Writing { until, .. } if now >= *until => {
                 self.stand_down(now, outputs);
             }
-            State::TakingOver { deadline, .. } if now >= *deadline => self.begin(now, outputs),
+            State::TakingOver { deadline, .. } if now >= *deadline => {
+                self.begin_writing(now, outputs)
+            }
             _ => {}
         }
         if self.is_writing() {
-            self.drive_rollouts(now, outputs);
-            let source = as_author(self.replica.source(now));
+            self.check_rollouts(now, outputs);
+            let source = as_author(self.replica.view(now));
             self.downstream.poll(now, source, outputs);
         } else {
             self.replica.upstream.poll(now, outputs);
@@ -538,15 +569,15 @@
             State::Writing { until, .. } => self
                 .downstream
                 .next_wakeup()
-                .min(self.rollouts.due())
+                .min(self.rollouts.next_check_at())
                 .min(*until),
         }
     }
 }
 
 /// What the author has is never old.
-fn as_author(source: Source) -> Source {
-    Source {
+fn as_author(source: ReplicaView) -> ReplicaView {
+    ReplicaView {
         age: Some(0.0),
         ..source
     }
--- a/crates/distribution/src/author/orphans.rs
+++ b/crates/distribution/src/author/orphans.rs
@@ -2,16 +2,16 @@
 
 use super::{Author, State};
 use crate::output::{Event, Output};
-use crate::publish::Write;
-use crate::resource::{Content, Key, Part, Urgency, Version};
+use crate::publish::PendingChange;
+use crate::resource::{Content, Key, NodeFraction, Urgency, Version};
 use crate::Time;
 
 /// Orphans that are written over by one holding of the lease at most; more are not believed.
-const ORPHANS_MOST: usize = 100_000;
+const MAX_OVERWRITTEN_ORPHANS: usize = 100_000;
 
 impl Author {
     /// What others take for known without having it gets a version that they do not know.
-    pub(super) fn write_own_again(
+    pub(super) fn rewrite_orphaned(
         &mut self,
         now: Time,
         own: Vec<(Key, Version)>,
@@ -21,26 +21,31 @@
             let Some(change) = self.log().get(&key) else {
                 continue;
             };
-            let (content, part) = (change.content.clone(), change.part);
-            let write = Write {
+            let (content, part) = (change.content.clone(), change.fraction);
+            let write = PendingChange {
                 key,
                 content,
                 urgency: Urgency::Normal,
-                part,
+                fraction: part,
             };
-            self.write_or_tell(now, write, outputs);
+            self.publish_or_report_full(now, write, outputs);
         }
     }
 
-    pub(super) fn write_or_tell(&mut self, now: Time, write: Write, outputs: &mut Vec<Output>) {
+    pub(super) fn publish_or_report_full(
+        &mut self,
+        now: Time,
+        write: PendingChange,
+        outputs: &mut Vec<Output>,
+    ) {
         let (key, version) = (write.key.clone(), self.head());
-        if self.write(now, vec![write], outputs).is_err() {
-            outputs.push(Output::Event(Event::Full { key, version }));
+        if self.publish_pending(now, vec![write], outputs).is_err() {
+            outputs.push(Output::Event(Event::CapacityExceeded { key, version }));
         }
     }
 
     /// Writes what is here over a change of an earlier author that is not here.
-    pub(super) fn write_over(
+    pub(super) fn overwrite_orphan(
         &mut self,
         now: Time,
         key: Key,
@@ -52,18 +57,18 @@
         let State::Writing { epoch, orphans, .. } = &mut self.state else {
             return;
         };
-        if there || version.token >= epoch.claim.token || *orphans >= ORPHANS_MOST {
+        if there || version.token >= epoch.claim.token || *orphans >= MAX_OVERWRITTEN_ORPHANS {
             return;
         }
         *orphans += 1;
         let content = own.map_or(Content::Removed, |own| own.content.clone());
-        let part = own.map_or(Part::ALL, |own| own.part);
-        let write = Write {
+        let part = own.map_or(NodeFraction::ALL, |own| own.fraction);
+        let write = PendingChange {
             key,
             content,
             urgency: Urgency::Urgent,
-            part,
+            fraction: part,
         };
-        self.write_or_tell(now, write, outputs);
+        self.publish_or_report_full(now, write, outputs);
     }
 }
--- a/crates/distribution/src/author/rollouts.rs
+++ b/crates/distribution/src/author/rollouts.rs
@@ -7,26 +7,28 @@
 //! | a later change for all nodes, with another content, or another trial | is superseded |
 //! | no trial | was ended |
 //!
-//! So an operator ends one by [`Author::release`] or [`Author::revert`] as with any trial, and an author that takes over
+//! So an operator ends one by [`Author::promote_canary`] or [`Author::revert`] as with any trial, and an author that takes over
 //! goes on from what it has. Counts and soak times begin anew there: moments of another clock say nothing.
 
 use super::Author;
-use crate::log::Log;
+use crate::log::ChangeLog;
 use crate::output::{Event, Output};
 use crate::peer::PeerId;
-use crate::publish::{check_free, Refusal, Write, ROLLOUTS_MOST};
+use crate::publish::{check_writable, PendingChange, PublishError, MAX_OPEN_ROLLOUTS};
 use crate::resource::{Change, Content, Draft, Group, Key, Name, Selector, Slot, Urgency, Version};
-use crate::rollout::policy::{BadPolicy, OnRefusals, RolloutPolicy};
-use crate::rollout::record::{RefusingNode, RolloutRecord, RolloutState, Stop, REFUSALS_STORED};
-use crate::rollout::stage::{self, Refusing, Stage, StageCounts, Verdict, Waiting};
+use crate::rollout::policy::{InvalidPolicy, OnRejections, RolloutPolicy};
+use crate::rollout::record::{
+    RejectingNode, RolloutRecord, RolloutState, StopSummary, MAX_STORED_REJECTIONS,
+};
+use crate::rollout::stage::{self, AdvanceBlocker, RejectingNodes, Stage, StageCounts, Verdict};
 use crate::Time;
 use reelfall_lease::token::Claim;
 use std::collections::BTreeMap;
 
 /// Most records of rollouts that are over; of more, the earliest are removed.
-pub const ENDED_MOST: usize = 64;
+pub const MAX_ENDED_RECORDS: usize = 64;
 /// A stage whose soak time is over is looked at so often, in seconds: reports grow old without a call.
-pub const CHECK_EVERY: Time = 1.0;
+pub const STAGE_CHECK_INTERVAL: Time = 1.0;
 
 /// A change that is to reach all nodes by stages.
 #[derive(Clone, Debug, PartialEq)]
@@ -35,7 +37,7 @@
     pub name: Name,
     /// What it is to be; a removal can't be on trial.
     pub content: Content,
-    /// Which nodes come first, as [`crate::resource::Part::seed`].
+    /// Which nodes come first, as [`crate::resource::NodeFraction::seed`].
     pub seed: u64,
     /// The rules.
     pub policy: RolloutPolicy,
@@ -51,9 +53,9 @@
     /// What the nodes of the stage have said to this author.
     pub counts: StageCounts,
     /// Why the stage does not end yet; none if it is over, was halted, or ends with the next call.
-    pub waiting: Option<Waiting>,
+    pub waiting: Option<AdvanceBlocker>,
     /// Who refused, as this author heard.
-    pub refusing: Vec<RefusingNode>,
+    pub rejecting_nodes: Vec<RejectingNode>,
 }
 
 /// One rollout, as the author that writes knows it.
@@ -63,19 +65,19 @@
     /// The change of the present stage, and when it began here.
     stage: Option<(Version, Time)>,
     counts: StageCounts,
-    waiting: Option<Waiting>,
-    refusing: Refusing,
+    waiting: Option<AdvanceBlocker>,
+    rejecting_nodes: RejectingNodes,
 }
 
 impl Rollout {
     fn new(record: RolloutRecord) -> Rollout {
-        let (counts, refusing) = (StageCounts::default(), Refusing::default());
+        let (counts, refusing) = (StageCounts::default(), RejectingNodes::default());
         Rollout {
             record,
             stage: None,
             counts,
             waiting: None,
-            refusing,
+            rejecting_nodes: refusing,
         }
     }
 
@@ -86,25 +88,27 @@
         };
         let RolloutPolicy {
             decision_time,
-            soak,
+            soak_time: soak,
             ..
         } = self.record.policy;
         let moments = [since + decision_time, since + soak];
         moments
             .into_iter()
             .find(|moment| *moment > now)
-            .unwrap_or(now + CHECK_EVERY)
+            .unwrap_or(now + STAGE_CHECK_INTERVAL)
     }
 
-    fn stop(&self, thousandths: u16) -> Stop {
+    fn stop_summary(&self, thousandths: u16) -> StopSummary {
         let StageCounts {
-            accepted, refused, ..
+            accepted,
+            rejected: refused,
+            ..
         } = self.counts;
-        Stop {
+        StopSummary {
             thousandths,
             accepted,
-            refused,
-            refusing: self.refusing.list(REFUSALS_STORED),
+            rejected: refused,
+            rejecting_nodes: self.rejecting_nodes.first(MAX_STORED_REJECTIONS),
         }
     }
 }
@@ -113,117 +117,120 @@
 #[derive(Debug)]
 pub(super) struct Rollouts {
     by_name: BTreeMap<Name, Rollout>,
-    due: Time,
+    next_check_at: Time,
     /// When the author began to write.
-    began: Time,
+    writing_since: Time,
 }
 
 impl Default for Rollouts {
     fn default() -> Rollouts {
         Rollouts {
             by_name: BTreeMap::new(),
-            due: f64::INFINITY,
-            began: f64::INFINITY,
+            next_check_at: f64::INFINITY,
+            writing_since: f64::INFINITY,
         }
     }
 }
 
 impl Rollouts {
     /// Something was written or heard: they are looked at with the next poll.
-    pub fn wake(&mut self, now: Time) {
+    pub fn check_at(&mut self, now: Time) {
         if !self.by_name.is_empty() {
-            self.due = self.due.min(now);
+            self.next_check_at = self.next_check_at.min(now);
         }
     }
 
     /// When they are to be looked at.
-    pub fn due(&self) -> Time {
-        self.due
+    pub fn next_check_at(&self) -> Time {
+        self.next_check_at
     }
 
     /// A node has refused a change. Nodes outside of the stage refuse what is for all nodes, under the trial's version.
-    pub fn refused(
+    pub fn record_rejection(
         &mut self,
         now: Time,
         node: PeerId,
         key: &Key,
         version: Version,
         reason: &str,
-        log: &Log,
+        log: &ChangeLog,
     ) {
         let Some(rollout) = self.by_name.get_mut(&key.name) else {
             return;
         };
-        let Found::Stage { trial, .. } = find(&rollout.record, log) else {
+        let RolloutProgress::Stage { trial, .. } = progress_of(&rollout.record, log) else {
             return;
         };
         if rollout.record.state.is_open()
             && version > rollout.record.after
-            && trial.part.holds(node)
+            && trial.fraction.contains(node)
         {
-            rollout.refusing.add(node, reason.to_owned());
-            self.due = self.due.min(now);
+            rollout.rejecting_nodes.add(node, reason.to_owned());
+            self.next_check_at = self.next_check_at.min(now);
         }
     }
 
-    fn open(&self) -> impl Iterator<Item = &Rollout> {
+    fn open_rollouts(&self) -> impl Iterator<Item = &Rollout> {
         self.by_name
             .values()
             .filter(|rollout| rollout.record.state.is_open())
     }
 
-    fn next_due(&self, now: Time) -> Time {
-        self.open()
+    fn earliest_check(&self, now: Time) -> Time {
+        self.open_rollouts()
             .map(|rollout| rollout.next_check(now))
             .fold(f64::INFINITY, Time::min)
     }
 }
 
 /// What the log says of a rollout.
-enum Found<'a> {
+enum RolloutProgress<'a> {
     Stage { trial: &'a Change, index: usize },
-    Released,
+    Promoted,
     Superseded,
-    Gone,
+    NoCanary,
 }
 
-fn find<'a>(record: &RolloutRecord, log: &'a Log) -> Found<'a> {
+fn progress_of<'a>(record: &RolloutRecord, log: &'a ChangeLog) -> RolloutProgress<'a> {
     let get = |slot| {
         log.get(&Key {
             name: record.name.clone(),
             slot,
         })
     };
-    let (whole, trial) = (get(Slot::Whole), get(Slot::Trial));
-    let own = record.own_trial(trial);
+    let (whole, trial) = (get(Slot::Stable), get(Slot::Canary));
+    let own = record.own_canary(trial);
     let since = own.map_or(record.after, |own| own.version);
     if let Some(whole) = whole.filter(|whole| whole.version > since) {
         return if record.is_content_of(whole) {
-            Found::Released
+            RolloutProgress::Promoted
         } else {
-            Found::Superseded
+            RolloutProgress::Superseded
         };
     }
     if let Some(trial) = own {
-        let index = record.policy.stage_of(trial.part.thousandths).unwrap_or(0);
-        return Found::Stage { trial, index };
+        let index = record
+            .policy
+            .stage_of(trial.fraction.thousandths)
+            .unwrap_or(0);
+        return RolloutProgress::Stage { trial, index };
     }
-    let other = trial.is_some_and(|trial| !trial.removes());
+    let other = trial.is_some_and(|trial| !trial.is_removal());
     if other {
-        Found::Superseded
+        RolloutProgress::Superseded
     } else {
-        Found::Gone
+        RolloutProgress::NoCanary
     }
 }
 
 /// The records of rollouts, with their versions; none in place of one that can't be read.
-fn records(log: &Log) -> impl Iterator<Item = (&Change, Option<RolloutRecord>)> {
+fn records(log: &ChangeLog) -> impl Iterator<Item = (&Change, Option<RolloutRecord>)> {
     let selector = Selector::Group(Group::Authors);
     let keys = log.keys_after(&selector, Version::ZERO).map(|(_, key)| key);
     let changes = keys
         .filter_map(|key| log.get(key))
-        .filter(|change| !change.removes());
-    changes.map(|change| (change, RolloutRecord::read(change)))
+        .filter(|change| !change.is_removal());
+    changes.map(|change| (change, RolloutRecord::from_change(change)))
 }
 
 impl Author {
@@ -231,44 +238,44 @@
     /// first stage.
     ///
     /// # Errors
-    /// Says why nothing was published: what [`Author::stage`] says, a policy out of its bounds, another open rollout of the
+    /// Says why nothing was published: what [`Author::publish_canary`] says, a policy out of its bounds, another open rollout of the
     /// resource, too many of others.
-    pub fn roll_out(
+    pub fn start_rollout(
         &mut self,
         now: Time,
         claim: &Claim,
         draft: RolloutDraft,
         outputs: &mut Vec<Output>,
-    ) -> Result<Version, Refusal> {
-        self.may_write(now, claim)?;
+    ) -> Result<Version, PublishError> {
+        self.check_lease(now, claim)?;
         let RolloutDraft {
             name,
             content,
             seed,
             policy,
         } = draft;
-        check_free(&name)?;
+        check_writable(&name)?;
         policy.check()?;
         if content == Content::Removed {
-            return Err(BadPolicy::Removal.into());
+            return Err(InvalidPolicy::Removal.into());
         }
-        self.check_rollouts(&name)?;
+        self.check_rollout_allowed(&name)?;
         let after = self.head();
         let state = RolloutState::Running;
         let hash = crate::resource::ContentHash::of(content.bytes());
         let expected = Vec::new();
         let mut record = RolloutRecord {
             name: name.clone(),
-            content: hash,
+            content_hash: hash,
             seed,
             after,
             policy,
             expected,
             state,
         };
-        record.expected = self.nodes_of_stages(&record);
-        let first = record.part(record.policy.stages.first().copied().unwrap_or(0));
-        let trial = Write::trial(
+        record.expected = self.known_nodes_per_stage(&record);
+        let first = record.fraction(record.policy.stages.first().copied().unwrap_or(0));
+        let trial = PendingChange::canary(
             Draft {
                 name: name.clone(),
                 content,
@@ -276,43 +283,43 @@
             },
             first,
         );
-        let mut writes = vec![Write::record(&record), trial];
-        writes.extend(self.earliest_ended_record());
-        let version = self.write(now, writes, outputs)?;
+        let mut writes = vec![PendingChange::record(&record), trial];
+        writes.extend(self.removal_of_oldest_ended_record());
+        let version = self.publish_pending(now, writes, outputs)?;
         self.rollouts.by_name.insert(name, Rollout::new(record));
-        self.rollouts.wake(now);
+        self.rollouts.check_at(now);
         Ok(version)
     }
 
-    fn check_rollouts(&self, name: &Name) -> Result<(), Refusal> {
+    fn check_rollout_allowed(&self, name: &Name) -> Result<(), PublishError> {
         if self
             .rollouts
-            .open()
+            .open_rollouts()
             .any(|rollout| rollout.record.name == *name)
         {
-            return Err(Refusal::RollingOut);
+            return Err(PublishError::RolloutOpen);
         }
-        if self.rollouts.open().count() >= ROLLOUTS_MOST {
-            return Err(Refusal::Rollouts);
+        if self.rollouts.open_rollouts().count() >= MAX_OPEN_ROLLOUTS {
+            return Err(PublishError::TooManyRollouts);
         }
         Ok(())
     }
 
     /// How many nodes that are known now each stage holds.
-    fn nodes_of_stages(&self, record: &RolloutRecord) -> Vec<u32> {
+    fn known_nodes_per_stage(&self, record: &RolloutRecord) -> Vec<u32> {
         let stages = record.policy.stages.iter();
         let count = |thousandths: &u16| {
-            let part = record.part(*thousandths);
-            self.board
-                .standings()
-                .filter(|(node, _)| part.holds(*node))
+            let part = record.fraction(*thousandths);
+            self.node_statuses
+                .iter()
+                .filter(|(node, _)| part.contains(*node))
                 .count() as u32
         };
         stages.map(count).collect()
     }
 
     /// The end of the earliest record of a rollout that is over, if there are too many.
-    fn earliest_ended_record(&mut self) -> Option<Write> {
+    fn removal_of_oldest_ended_record(&mut self) -> Option<PendingChange> {
         let ended = self
             .rollouts
             .by_name
@@ -326,50 +333,52 @@
                 )
             })
             .collect();
-        if keys.len() < ENDED_MOST {
+        if keys.len() < MAX_ENDED_RECORDS {
             return None;
         }
         let version = |key: &Key| self.log().get(key).map(|change| change.version);
         let (key, name) = keys.into_iter().min_by_key(|(key, _)| version(key))?;
         self.rollouts.by_name.remove(&name);
-        let part = crate::resource::Part::ALL;
-        Some(Write {
+        let part = crate::resource::NodeFraction::ALL;
+        Some(PendingChange {
             key,
             content: Content::Removed,
             urgency: Urgency::Normal,
-            part,
+            fraction: part,
         })
     }
 
     /// What is known of a resource's last rollout. Who does not write knows what was stored alone.
     pub fn rollout(&self, name: &Name) -> Option<RolloutStatus> {
         let Some(rollout) = self.rollouts.by_name.get(name) else {
-            let record = RolloutRecord::read(self.log().get(&RolloutRecord::key_of(name))?)?;
-            return Some(self.status_of(&Rollout::new(record)));
+            let record = RolloutRecord::from_change(self.log().get(&RolloutRecord::key_of(name))?)?;
+            return Some(self.rollout_status(&Rollout::new(record)));
         };
-        Some(self.status_of(rollout))
+        Some(self.rollout_status(rollout))
     }
 
-    fn status_of(&self, rollout: &Rollout) -> RolloutStatus {
+    fn rollout_status(&self, rollout: &Rollout) -> RolloutStatus {
         let record = rollout.record.clone();
-        let thousandths = match find(&record, self.log()) {
-            Found::Stage { trial, .. } if record.state.is_open() => Some(trial.part.thousandths),
+        let thousandths = match progress_of(&record, self.log()) {
+            RolloutProgress::Stage { trial, .. } if record.state.is_open() => {
+                Some(trial.fraction.thousandths)
+            }
             _ => None,
         };
-        let refusing = rollout.refusing.list(stage::REFUSING_MOST);
+        let refusing = rollout.rejecting_nodes.first(stage::MAX_REJECTING_NODES);
         RolloutStatus {
             record,
             thousandths,
             counts: rollout.counts,
             waiting: rollout.waiting,
-            refusing,
+            rejecting_nodes: refusing,
         }
     }
 
     /// The author begins to write: takes over the rollouts of earlier authors, and brings to an end what they had no time to.
     pub(super) fn take_over_rollouts(&mut self, now: Time, outputs: &mut Vec<Output>) {
         self.rollouts = Rollouts {
-            began: now,
+            writing_since: now,
             ..Rollouts::default()
         };
         let mut read = Vec::new();
@@ -383,22 +392,22 @@
             }
         }
         for (version, record) in read {
-            self.finish(now, version, &record, outputs);
+            self.complete_interrupted_rollout(now, version, &record, outputs);
             let name = record.name.clone();
-            self.resumed(&record, outputs);
+            self.report_resumed(&record, outputs);
             self.rollouts
                 .by_name
                 .entry(name)
                 .or_insert_with(|| Rollout::new(record));
         }
-        self.rollouts.wake(now);
+        self.rollouts.check_at(now);
     }
 
-    fn resumed(&self, record: &RolloutRecord, outputs: &mut Vec<Output>) {
-        if let (true, Found::Stage { trial, .. }) =
-            (record.state.is_open(), find(record, self.log()))
+    fn report_resumed(&self, record: &RolloutRecord, outputs: &mut Vec<Output>) {
+        if let (true, RolloutProgress::Stage { trial, .. }) =
+            (record.state.is_open(), progress_of(record, self.log()))
         {
-            let (name, thousandths) = (record.name.clone(), trial.part.thousandths);
+            let (name, thousandths) = (record.name.clone(), trial.fraction.thousandths);
             outputs.push(Output::Event(Event::RolloutResumed { name, thousandths }));
         }
     }
@@ -406,42 +415,43 @@
     /// Guards against an author that ended between storing that a rollout is over and writing what that means, and against
     /// one that writes its own trial anew, which an author between did not have. Harm: a trial by hand that has the content,
     /// the seed and a stage of a rollout that is over counts as that one's.
-    fn finish(
+    fn complete_interrupted_rollout(
         &mut self,
         now: Time,
         version: Version,
         record: &RolloutRecord,
         outputs: &mut Vec<Output>,
     ) {
-        match (&record.state, find(record, self.log())) {
-            (_, Found::Stage { .. }) if record.state.is_open() => {}
-            (RolloutState::Completed, Found::Stage { .. }) => {
-                for write in self.release_of(record) {
-                    self.write_or_tell(now, write, outputs);
+        match (&record.state, progress_of(record, self.log())) {
+            (_, RolloutProgress::Stage { .. }) if record.state.is_open() => {}
+            (RolloutState::Completed, RolloutProgress::Stage { .. }) => {
+                for write in self.promotion_of(record) {
+                    self.publish_or_report_full(now, write, outputs);
                 }
             }
-            (RolloutState::Completed, Found::Gone) => {
+            (RolloutState::Completed, RolloutProgress::NoCanary) => {
                 let whole = self.log().get(&Key {
                     name: record.name.clone(),
-                    slot: Slot::Whole,
+                    slot: Slot::Stable,
                 });
                 if whole.is_none_or(|whole| whole.version < version && !record.is_content_of(whole))
                 {
                     self.rollouts
                         .by_name
                         .insert(record.name.clone(), Rollout::new(record.clone()));
-                    self.stopped(now, &record.name, RolloutState::Lost, false, outputs);
+                    self.end_rollout(now, &record.name, RolloutState::Lost, false, outputs);
                 }
             }
             // The author that released it is back and has written its release anew.
-            (RolloutState::Lost, Found::Released) => {
+            (RolloutState::Lost, RolloutProgress::Promoted) => {
                 self.rollouts
                     .by_name
                     .insert(record.name.clone(), Rollout::new(record.clone()));
-                self.stopped(now, &record.name, RolloutState::Completed, false, outputs);
+                self.end_rollout(now, &record.name, RolloutState::Completed, false, outputs);
             }
-            (_, Found::Stage { .. }) | (RolloutState::Superseded, Found::Superseded) => {
-                self.end_trial(now, record, outputs);
+            (_, RolloutProgress::Stage { .. })
+            | (RolloutState::Superseded, RolloutProgress::Superseded) => {
+                self.end_canary(now, record, outputs);
             }
             _ => {}
         }
@@ -449,101 +459,105 @@
 
     /// What releases the trial of a record: latest last, so that a link carries the change for all nodes before the trial's
     /// end.
-    fn release_of(&self, record: &RolloutRecord) -> Vec<Write> {
+    fn promotion_of(&self, record: &RolloutRecord) -> Vec<PendingChange> {
         let key = Key {
             name: record.name.clone(),
-            slot: Slot::Trial,
+            slot: Slot::Canary,
         };
-        let Some(trial) = record.own_trial(self.log().get(&key)) else {
+        let Some(trial) = record.own_canary(self.log().get(&key)) else {
             return Vec::new();
         };
         let (name, urgency) = (record.name.clone(), Urgency::Normal);
-        let whole = Write::whole(Draft {
+        let whole = PendingChange::stable(Draft {
             name: name.clone(),
             content: trial.content.clone(),
             urgency,
         });
-        vec![Write::end_of_trial(name, urgency), whole]
+        vec![PendingChange::end_of_canary(name, urgency), whole]
     }
 
     /// Ends the trial of a record, if it is still there.
-    fn end_trial(&mut self, now: Time, record: &RolloutRecord, outputs: &mut Vec<Output>) {
+    fn end_canary(&mut self, now: Time, record: &RolloutRecord, outputs: &mut Vec<Output>) {
         let key = Key {
             name: record.name.clone(),
-            slot: Slot::Trial,
+            slot: Slot::Canary,
         };
-        if record.own_trial(self.log().get(&key)).is_some() {
-            let end = Write::end_of_trial(record.name.clone(), Urgency::Urgent);
+        if record.own_canary(self.log().get(&key)).is_some() {
+            let end = PendingChange::end_of_canary(record.name.clone(), Urgency::Urgent);
             // It takes less room than the trial, so there is room for it.
-            self.put_all(now, vec![end], outputs);
+            self.append_all(now, vec![end], outputs);
         }
     }
 
     /// Looks at all rollouts that are open, if that is due.
-    pub(super) fn drive_rollouts(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        if now < self.rollouts.due {
+    pub(super) fn check_rollouts(&mut self, now: Time, outputs: &mut Vec<Output>) {
+        if now < self.rollouts.next_check_at {
             return;
         }
         let names: Vec<Name> = self
             .rollouts
-            .open()
+            .open_rollouts()
             .map(|rollout| rollout.record.name.clone())
             .collect();
         for name in names {
-            self.drive_rollout(now, &name, outputs);
+            self.check_rollout(now, &name, outputs);
         }
-        self.rollouts.due = self.rollouts.next_due(now);
+        self.rollouts.next_check_at = self.rollouts.earliest_check(now);
     }
 
-    fn drive_rollout(&mut self, now: Time, name: &Name, outputs: &mut Vec<Output>) {
+    fn check_rollout(&mut self, now: Time, name: &Name, outputs: &mut Vec<Output>) {
         let Some(rollout) = self.rollouts.by_name.get_mut(name) else {
             return;
         };
         let log = &self.replica.log;
-        let (trial, index) = match find(&rollout.record, log) {
-            Found::Stage { trial, index } => (trial, index),
-            Found::Released => {
-                return self.stopped(now, name, RolloutState::Completed, false, outputs)
+        let (trial, index) = match progress_of(&rollout.record, log) {
+            RolloutProgress::Stage { trial, index } => (trial, index),
+            RolloutProgress::Promoted => {
+                return self.end_rollout(now, name, RolloutState::Completed, false, outputs)
             }
-            Found::Superseded => {
-                return self.stopped(now, name, RolloutState::Superseded, true, outputs)
+            RolloutProgress::Superseded => {
+                return self.end_rollout(now, name, RolloutState::Superseded, true, outputs)
+            }
+            RolloutProgress::NoCanary => {
+                return self.end_rollout(now, name, RolloutState::Ended, false, outputs)
             }
-            Found::Gone => return self.stopped(now, name, RolloutState::Ended, false, outputs),
         };
         let (_, since) = *rollout.stage.insert(match rollout.stage {
             Some(stage) if stage.0 == trial.version => stage,
             _ => (trial.version, now),
         });
         let Rollout {
-            record, refusing, ..
+            record,
+            rejecting_nodes: refusing,
+            ..
         } = &*rollout;
-        let (policy, part, version) = (&record.policy, trial.part, trial.version);
+        let (policy, part, version) = (&record.policy, trial.fraction, trial.version);
         let expected = record.expected.get(index).copied().unwrap_or(0);
         let stage = Stage {
             version,
-            part,
+            fraction: part,
             expected,
-            heard_since: self.rollouts.began,
+            reports_since: self.rollouts.writing_since,
         };
-        let counts = stage::count(now, stage, policy, &self.board, refusing);
-        let verdict = stage::judge(policy, counts, now - since);
-        let on_refusals = policy.on_refusals;
+        let counts = stage::count_nodes(now, stage, policy, &self.node_statuses, refusing);
+        let verdict = stage::evaluate(policy, counts, now - since);
+        let on_refusals = policy.on_rejections;
         rollout.counts = counts;
         rollout.waiting = None;
         if rollout.record.state != RolloutState::Running {
             return;
         }
         match verdict {
-            Verdict::Wait(waiting) => rollout.waiting = Some(waiting),
-            Verdict::Advance => self.advance(now, name, index + 1, outputs),
+            Verdict::Wait(blocker) => rollout.waiting = Some(blocker),
+            Verdict::Advance => self.advance_stage(now, name, index + 1, outputs),
             Verdict::Stop => {
-                let stop = rollout.stop(part.thousandths);
+                let stop = rollout.stop_summary(part.thousandths);
                 match on_refusals {
-                    OnRefusals::Halt => {
-                        self.stopped(now, name, RolloutState::Halted(stop), false, outputs);
+                    OnRejections::Halt => {
+                        self.end_rollout(now, name, RolloutState::Halted(stop), false, outputs);
                     }
-                    OnRefusals::RollBack => {
-                        self.stopped(now, name, RolloutState::RolledBack(stop), true, outputs);
+                    OnRejections::RollBack => {
+                        self.end_rollout(now, name, RolloutState::RolledBack(stop), true, outputs);
                     }
                 }
             }
@@ -551,28 +565,28 @@
     }
 
     /// The next stage begins, or the last one is over.
-    fn advance(&mut self, now: Time, name: &Name, next: usize, outputs: &mut Vec<Output>) {
+    fn advance_stage(&mut self, now: Time, name: &Name, next: usize, outputs: &mut Vec<Output>) {
         let Some(rollout) = self.rollouts.by_name.get_mut(name) else {
             return;
         };
         let key = Key {
             name: name.clone(),
-            slot: Slot::Trial,
+            slot: Slot::Canary,
         };
         let Some(trial) = self.replica.log.get(&key) else {
             return;
         };
         let counts = rollout.counts;
         let Some(thousandths) = rollout.record.policy.stages.get(next).copied() else {
-            return self.complete(now, name, outputs);
+            return self.complete_rollout(now, name, outputs);
         };
-        let part = rollout.record.part(thousandths);
+        let part = rollout.record.fraction(thousandths);
         let draft = Draft {
             name: name.clone(),
             content: trial.content.clone(),
             urgency: Urgency::Normal,
         };
-        match self.write(now, vec![Write::trial(draft, part)], outputs) {
+        match self.publish_pending(now, vec![PendingChange::canary(draft, part)], outputs) {
             Ok(version) => {
                 if let Some(rollout) = self.rollouts.by_name.get_mut(name) {
                     rollout.stage = Some((version, now));
@@ -584,28 +598,28 @@
                     counts,
                 }));
             }
-            Err(_) => self.tell_full(key, outputs),
+            Err(_) => self.report_full(key, outputs),
         }
     }
 
-    fn complete(&mut self, now: Time, name: &Name, outputs: &mut Vec<Output>) {
+    fn complete_rollout(&mut self, now: Time, name: &Name, outputs: &mut Vec<Output>) {
         let Some(rollout) = self.rollouts.by_name.get(name) else {
             return;
         };
         let (mut record, counts) = (rollout.record.clone(), rollout.counts);
-        let release = self.release_of(&record);
+        let release = self.promotion_of(&record);
         record.state = RolloutState::Completed;
-        let writes = std::iter::once(Write::record(&record))
+        let writes = std::iter::once(PendingChange::record(&record))
             .chain(release)
             .collect();
-        match self.write(now, writes, outputs) {
-            Ok(_) => self.over(name, record.state, counts, outputs),
-            Err(_) => self.tell_full(RolloutRecord::key_of(name), outputs),
+        match self.publish_pending(now, writes, outputs) {
+            Ok(_) => self.record_rollout_end(name, record.state, counts, outputs),
+            Err(_) => self.report_full(RolloutRecord::key_of(name), outputs),
         }
     }
 
     /// A rollout goes on no more by itself. `ends_trial`: nor does its trial, with the same write.
-    fn stopped(
+    fn end_rollout(
         &mut self,
         now: Time,
         name: &Name,
@@ -620,18 +634,18 @@
         record.state = state;
         // Without room for the record the trial ends all the same.
         if self
-            .write(now, vec![Write::record(&record)], outputs)
+            .publish_pending(now, vec![PendingChange::record(&record)], outputs)
             .is_err()
         {
-            self.tell_full(RolloutRecord::key_of(name), outputs);
+            self.report_full(RolloutRecord::key_of(name), outputs);
         }
         if ends_trial {
-            self.end_trial(now, &record, outputs);
+            self.end_canary(now, &record, outputs);
         }
-        self.over(name, record.state, counts, outputs);
+        self.record_rollout_end(name, record.state, counts, outputs);
     }
 
-    fn over(
+    fn record_rollout_end(
         &mut self,
         name: &Name,
         state: RolloutState,
@@ -642,7 +656,7 @@
             rollout.record.state = state.clone();
             rollout.waiting = None;
             if !state.is_open() {
-                rollout.refusing.shorten();
+                rollout.rejecting_nodes.drop_nodes_without_reason();
             }
         }
         let name = name.clone();
@@ -653,8 +667,8 @@
         }));
     }
 
-    fn tell_full(&self, key: Key, outputs: &mut Vec<Output>) {
+    fn report_full(&self, key: Key, outputs: &mut Vec<Output>) {
         let version = self.head();
-        outputs.push(Output::Event(Event::Full { key, version }));
+        outputs.push(Output::Event(Event::CapacityExceeded { key, version }));
     }
 }
--- a/crates/distribution/src/bucket.rs
+++ b/crates/distribution/src/bucket.rs
@@ -8,55 +8,55 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     /// Bytes a second.
-    pub rate: f64,
+    pub bytes_per_second: f64,
     /// Bytes at once.
-    pub burst: f64,
+    pub burst_bytes: f64,
 }
 
 /// What a frame takes on its way beside its own bytes: headers of IP and of the transport.
-pub const TRANSPORT_OVERHEAD: usize = 60;
+pub const TRANSPORT_OVERHEAD_BYTES: usize = 60;
 
 impl Budget {
     /// From a relay to a node. With [`Budget::UP`] it keeps to 8,000 bytes a second over any 10 s:
     /// `10 * (6000 + 1000) + 8000 + 1900 = 79900`.
     pub const DOWN: Budget = Budget {
-        rate: 6000.0,
-        burst: 8000.0,
+        bytes_per_second: 6000.0,
+        burst_bytes: 8000.0,
     };
     /// From a node to a relay.
     pub const UP: Budget = Budget {
-        rate: 1000.0,
-        burst: 1900.0,
+        bytes_per_second: 1000.0,
+        burst_bytes: 1900.0,
     };
     /// Between control machines.
     pub const CONTROL: Budget = Budget {
-        rate: 1_000_000.0,
-        burst: 64_000.0,
+        bytes_per_second: 1_000_000.0,
+        burst_bytes: 64_000.0,
     };
 
     /// The longest frame that may be written under it.
-    pub fn frame_most(&self) -> usize {
-        let most = (self.burst / 2.0) as usize;
-        most.clamp(512, crate::frame::FRAME_MOST)
-            .saturating_sub(TRANSPORT_OVERHEAD)
+    pub fn max_frame_bytes(&self) -> usize {
+        let most = (self.burst_bytes / 2.0) as usize;
+        most.clamp(512, crate::frame::MAX_FRAME_BYTES)
+            .saturating_sub(TRANSPORT_OVERHEAD_BYTES)
     }
 }
 
 /// A budget in use.
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     budget: Budget,
-    level: f64,
-    at: Time,
+    available: f64,
+    refilled_at: Time,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full one.
-    pub fn new(budget: Budget, now: Time) -> Bucket {
-        Bucket {
+    pub fn new(budget: Budget, now: Time) -> TokenBucket {
+        TokenBucket {
             budget,
-            level: budget.burst,
-            at: now,
+            available: budget.burst_bytes,
+            refilled_at: now,
         }
     }
 
@@ -66,35 +66,35 @@
     }
 
     /// How many bytes may pass now.
-    pub fn level(&self, now: Time) -> f64 {
-        let passed = (now - self.at).max(0.0);
-        (self.level + passed * self.budget.rate).min(self.budget.burst)
+    pub fn available(&self, now: Time) -> f64 {
+        let passed = (now - self.refilled_at).max(0.0);
+        (self.available + passed * self.budget.bytes_per_second).min(self.budget.burst_bytes)
     }
 
     fn refill(&mut self, now: Time) {
-        self.level = self.level(now);
-        self.at = self.at.max(now);
+        self.available = self.available(now);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
     /// Takes a frame's bytes, if they are there.
     pub fn take(&mut self, now: Time, frame: usize) -> bool {
         self.refill(now);
-        let cost = (frame + TRANSPORT_OVERHEAD) as f64;
-        let enough = self.level >= cost;
+        let cost = (frame + TRANSPORT_OVERHEAD_BYTES) as f64;
+        let enough = self.available >= cost;
         if enough {
-            self.level -= cost;
+            self.available -= cost;
         }
         enough
     }
 
     /// When a frame of so many bytes can be sent.
-    pub fn ready(&self, now: Time, frame: usize) -> Time {
-        let cost = ((frame + TRANSPORT_OVERHEAD) as f64).min(self.budget.burst);
-        let level = self.level(now);
+    pub fn ready_at(&self, now: Time, frame: usize) -> Time {
+        let cost = ((frame + TRANSPORT_OVERHEAD_BYTES) as f64).min(self.budget.burst_bytes);
+        let level = self.available(now);
         if level >= cost {
             return now;
         }
-        now + (cost - level) / self.budget.rate + WAKE_MARGIN
+        now + (cost - level) / self.budget.bytes_per_second + WAKE_MARGIN
     }
 }
 
--- a/crates/distribution/src/candidates.rs
+++ b/crates/distribution/src/candidates.rs
@@ -1,12 +1,12 @@
 //! Which upstream is tried next.
 //!
 //! A candidate that fails is tried again after all others. What is remembered of failures ends as soon as an upstream
-//! brings something fresh. Fallbacks are tried early: once [`UPSTREAMS_IN_VAIN`] upstreams have not answered, all of a
+//! brings something fresh. Fallbacks are tried early: once [`UNANSWERED_BEFORE_FALLBACK`] upstreams have not answered, all of a
 //! region may be lost. A candidate that is asked beside others is one that has not failed to answer: when all have, one
 //! at a time is asked, so that many followers do not come to the first relay that runs again at once.
 
-use crate::chance::Chance;
-use crate::follow::FollowRules;
+use crate::chance::SeededRng;
+use crate::follow::UpstreamConfig;
 use crate::peer::PeerId;
 use crate::Time;
 use std::collections::BTreeMap;
@@ -14,13 +14,13 @@
 /// After so many upstreams that did not answer, or have not answered yet, fallbacks and upstreams are tried by turns. One
 /// that is lost is an ordinary failure, for which the others of its region are there; one more may be slow, or the frame
 /// to it lost.
-const UPSTREAMS_IN_VAIN: usize = 3;
+const UNANSWERED_BEFORE_FALLBACK: usize = 3;
 
 #[derive(Clone, Copy, Debug)]
 struct Failure {
     at: Time,
     /// It was not heard in the end, or broke the rules. Others were only of no use then.
-    unusable: bool,
+    is_unusable: bool,
 }
 
 /// See the module. Both maps hold candidates alone, so there are no more entries than candidates.
@@ -29,20 +29,20 @@
     upstreams: Vec<PeerId>,
     fallbacks: Vec<PeerId>,
     /// Who is not tried at all until then.
-    barred: BTreeMap<PeerId, Time>,
+    barred_until: BTreeMap<PeerId, Time>,
     /// Who has failed since something fresh came last.
     failures: BTreeMap<PeerId, Failure>,
-    fallback_drawn_last: bool,
+    picked_fallback_last: bool,
 }
 
 impl Candidates {
-    pub fn new(rules: &FollowRules) -> Candidates {
+    pub fn new(rules: &UpstreamConfig) -> Candidates {
         Candidates {
             upstreams: rules.upstreams.clone(),
             fallbacks: rules.fallbacks.clone(),
-            barred: BTreeMap::new(),
+            barred_until: BTreeMap::new(),
             failures: BTreeMap::new(),
-            fallback_drawn_last: false,
+            picked_fallback_last: false,
         }
     }
 
@@ -56,17 +56,23 @@
     }
 
     /// A candidate is not tried until then.
-    pub fn bar(&mut self, peer: PeerId, until: Time) {
-        self.barred.insert(peer, until);
+    pub fn bar_until(&mut self, peer: PeerId, until: Time) {
+        self.barred_until.insert(peer, until);
     }
 
     /// A candidate was of no use.
-    pub fn failed(&mut self, peer: PeerId, at: Time, unusable: bool) {
-        self.failures.insert(peer, Failure { at, unusable });
+    pub fn record_failure(&mut self, peer: PeerId, at: Time, unusable: bool) {
+        self.failures.insert(
+            peer,
+            Failure {
+                at,
+                is_unusable: unusable,
+            },
+        );
     }
 
     /// One of them has brought something fresh.
-    pub fn succeeded(&mut self) {
+    pub fn clear_failures(&mut self) {
         self.failures.clear();
     }
 
@@ -78,68 +84,78 @@
     fn is_unusable(&self, peer: &PeerId) -> bool {
         self.failures
             .get(peer)
-            .is_some_and(|failure| failure.unusable)
+            .is_some_and(|failure| failure.is_unusable)
     }
 
     /// When the first of those that may be asked beside those that are asked already is not barred; never, if there is
     /// none.
-    pub fn free_at(&self, asked: &[PeerId]) -> Time {
-        let barred_until =
-            |peer: &PeerId| self.barred.get(peer).copied().unwrap_or(f64::NEG_INFINITY);
-        let open = self.all().filter(|peer| self.is_open(peer, asked));
+    pub fn available_at(&self, asked: &[PeerId]) -> Time {
+        let barred_until = |peer: &PeerId| {
+            self.barred_until
+                .get(peer)
+                .copied()
+                .unwrap_or(f64::NEG_INFINITY)
+        };
+        let open = self.all().filter(|peer| self.is_eligible(peer, asked));
         open.map(barred_until).fold(f64::INFINITY, f64::min)
     }
 
     /// Draws whom to ask beside those that are asked already: an upstream that has not failed, unless too many have not
     /// answered; else fallbacks and upstreams by turns, those that have not failed first, then the one that failed longest
     /// ago.
-    pub fn draw(&mut self, now: Time, asked: &[PeerId], chance: &mut Chance) -> Option<PeerId> {
-        let upstreams = self.free(&self.upstreams, now, asked);
-        let fallbacks = self.free(&self.fallbacks, now, asked);
-        let untried = self.untried(&upstreams);
-        let drawn = if !untried.is_empty() && self.upstreams_in_vain(asked) < UPSTREAMS_IN_VAIN {
+    pub fn pick(&mut self, now: Time, asked: &[PeerId], chance: &mut SeededRng) -> Option<PeerId> {
+        let upstreams = self.available(&self.upstreams, now, asked);
+        let fallbacks = self.available(&self.fallbacks, now, asked);
+        let untried = self.without_failures(&upstreams);
+        let drawn = if !untried.is_empty()
+            && self.unanswered_upstreams(asked) < UNANSWERED_BEFORE_FALLBACK
+        {
             any(&untried, chance)
-        } else if self.fallback_drawn_last {
-            self.least_tried(&upstreams, chance)
-                .or_else(|| self.least_tried(&fallbacks, chance))
+        } else if self.picked_fallback_last {
+            self.longest_since_failure(&upstreams, chance)
+                .or_else(|| self.longest_since_failure(&fallbacks, chance))
         } else {
-            self.least_tried(&fallbacks, chance)
-                .or_else(|| self.least_tried(&upstreams, chance))
+            self.longest_since_failure(&fallbacks, chance)
+                .or_else(|| self.longest_since_failure(&upstreams, chance))
         };
         if let Some(peer) = &drawn {
-            self.fallback_drawn_last = self.fallbacks.contains(peer);
+            self.picked_fallback_last = self.fallbacks.contains(peer);
         }
         drawn
     }
 
     /// Upstreams that have not answered yet, did not answer or broke the rules since something fresh came last.
-    fn upstreams_in_vain(&self, asked: &[PeerId]) -> usize {
+    fn unanswered_upstreams(&self, asked: &[PeerId]) -> usize {
         let in_vain = |peer: &&PeerId| asked.contains(peer) || self.is_unusable(peer);
         self.upstreams.iter().filter(in_vain).count()
     }
 
     /// Whether a candidate may be asked beside those that are asked already, unless it is barred.
-    fn is_open(&self, peer: &PeerId, asked: &[PeerId]) -> bool {
+    fn is_eligible(&self, peer: &PeerId, asked: &[PeerId]) -> bool {
         asked.is_empty() || !asked.contains(peer) && !self.is_unusable(peer)
     }
 
-    fn free(&self, list: &[PeerId], now: Time, asked: &[PeerId]) -> Vec<PeerId> {
-        let is_barred = |peer: &PeerId| self.barred.get(peer).is_some_and(|until| now < *until);
+    fn available(&self, list: &[PeerId], now: Time, asked: &[PeerId]) -> Vec<PeerId> {
+        let is_barred = |peer: &PeerId| {
+            self.barred_until
+                .get(peer)
+                .is_some_and(|until| now < *until)
+        };
         list.iter()
-            .filter(|peer| !is_barred(peer) && self.is_open(peer, asked))
+            .filter(|peer| !is_barred(peer) && self.is_eligible(peer, asked))
             .copied()
             .collect()
     }
 
-    fn untried(&self, list: &[PeerId]) -> Vec<PeerId> {
+    fn without_failures(&self, list: &[PeerId]) -> Vec<PeerId> {
         list.iter()
             .filter(|peer| !self.failures.contains_key(*peer))
             .copied()
             .collect()
     }
 
-    fn least_tried(&self, list: &[PeerId], chance: &mut Chance) -> Option<PeerId> {
-        let untried = self.untried(list);
+    fn longest_since_failure(&self, list: &[PeerId], chance: &mut SeededRng) -> Option<PeerId> {
+        let untried = self.without_failures(list);
         if !untried.is_empty() {
             return any(&untried, chance);
         }
@@ -150,6 +166,6 @@
     }
 }
 
-fn any(list: &[PeerId], chance: &mut Chance) -> Option<PeerId> {
-    list.get(chance.below(list.len())).copied()
+fn any(list: &[PeerId], chance: &mut SeededRng) -> Option<PeerId> {
+    list.get(chance.index_below(list.len())).copied()
 }
--- a/crates/distribution/src/chance.rs
+++ b/crates/distribution/src/chance.rs
@@ -3,7 +3,7 @@
 use crate::Time;
 
 /// A hash of one number (splitmix64's finalizer).
-pub fn mix(number: u64) -> u64 {
+pub fn mix_bits(number: u64) -> u64 {
     let mut z = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -12,34 +12,36 @@
 
 /// A stream of numbers.
 #[derive(Clone, Debug)]
-pub struct Chance {
+pub struct SeededRng {
     state: u64,
 }
 
-impl Chance {
+impl SeededRng {
     /// By a seed.
-    pub fn new(seed: u64) -> Chance {
-        Chance { state: mix(seed) }
+    pub fn new(seed: u64) -> SeededRng {
+        SeededRng {
+            state: mix_bits(seed),
+        }
     }
 
     /// The next number.
-    pub fn number(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        mix(self.state)
+        mix_bits(self.state)
     }
 
     /// Between 0 and 1.
-    pub fn unit(&mut self) -> f64 {
-        (self.number() >> 11) as f64 / (1u64 << 53) as f64
+    pub fn next_unit(&mut self) -> f64 {
+        (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
     /// Between two moments or lengths of time.
-    pub fn between(&mut self, least: Time, most: Time) -> Time {
-        least + (most - least).max(0.0) * self.unit()
+    pub fn uniform(&mut self, least: Time, most: Time) -> Time {
+        least + (most - least).max(0.0) * self.next_unit()
     }
 
     /// One of so many; 0 if there are none.
-    pub fn below(&mut self, count: usize) -> usize {
-        (self.number() % (count.max(1) as u64)) as usize
+    pub fn index_below(&mut self, count: usize) -> usize {
+        (self.next_u64() % (count.max(1) as u64)) as usize
     }
 }
--- a/crates/distribution/src/child.rs
+++ b/crates/distribution/src/child.rs
@@ -10,24 +10,26 @@
 //!
 //! A change that a later one has replaced is in no log, so it is never sent.
 
-use crate::bucket::{Bucket, Budget};
+use crate::bucket::{Budget, TokenBucket};
 use crate::coverage::Span;
-use crate::feed::{Partial, Pass, Source, Subscription, Told, CHANGES_OVERHEAD};
+use crate::feed::{
+    BodyCursor, CurrentNotice, ManifestCursor, ReplicaView, Subscription, CHANGES_OVERHEAD_BYTES,
+};
 use crate::link::Link;
 use crate::message::{Payload, Subscribe};
 use crate::output::Output;
 use crate::resource::{Change, Content, Selector, Slot, Version};
-use crate::session_end::Reason;
+use crate::session_end::CloseReason;
 use crate::{Time, DRIFT};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Most subscriptions of one child.
-pub const SUBSCRIPTIONS_MOST: usize = 16_384;
+pub const MAX_SUBSCRIPTIONS: usize = 16_384;
 /// An urgent change is sent as soon as the budget allows so many bytes.
-const URGENT_ROOM: usize = 600;
+const MIN_URGENT_PAYLOAD_BYTES: usize = 600;
 
 /// A child that has not asked for anything is told that all was sent after so long, in seconds.
-const FIRST_SUBSCRIPTION_WAIT: Time = 20.0;
+const FIRST_SUBSCRIPTION_TIMEOUT: Time = 20.0;
 
 /// What changes here once a payload was sent.
 enum Effect {
@@ -39,11 +41,11 @@
     },
     Part {
         urgent: bool,
-        partial: Partial,
+        partial: BodyCursor,
     },
     Listed {
         id: u32,
-        pass: Option<Pass>,
+        pass: Option<ManifestCursor>,
         floor: Version,
     },
     Current {
@@ -56,20 +58,20 @@
 #[derive(Debug)]
 pub struct Child {
     link: Link,
-    relay: bool,
+    is_relay: bool,
     subscriptions: BTreeMap<u32, Subscription>,
     /// Subscriptions with something to send: whether that is urgent, its version, the subscription.
     queue: BTreeSet<(bool, Version, u32)>,
-    partials: [Option<Partial>; 2],
-    epoch_told: u64,
-    told: Told,
-    told_at: Time,
+    partials: [Option<BodyCursor>; 2],
+    sent_epoch_token: u64,
+    current_notice: CurrentNotice,
+    current_sent_at: Time,
     /// The log's floor up to which all subscriptions know the removals.
-    floor_known: Version,
-    changed_since: bool,
-    keepalive: Time,
+    removals_known: Version,
+    has_changed_since_current: bool,
+    keepalive_interval: Time,
     opened_at: Time,
-    inflow: Bucket,
+    receive_bucket: TokenBucket,
 }
 
 impl Child {
@@ -77,22 +79,22 @@
     pub fn new(link: Link, relay: bool, keepalive: Time, inflow: Budget, now: Time) -> Child {
         Child {
             link,
-            relay,
+            is_relay: relay,
             subscriptions: BTreeMap::new(),
             queue: BTreeSet::new(),
             partials: [None, None],
-            epoch_told: 0,
-            told: Told {
-                count: 0,
+            sent_epoch_token: 0,
+            current_notice: CurrentNotice {
+                sequence: 0,
                 head: Version::ZERO,
                 removals: Version::ZERO,
             },
-            told_at: now,
-            floor_known: Version::ZERO,
-            changed_since: true,
-            keepalive,
+            current_sent_at: now,
+            removals_known: Version::ZERO,
+            has_changed_since_current: true,
+            keepalive_interval: keepalive,
             opened_at: now,
-            inflow: Bucket::new(inflow, now),
+            receive_bucket: TokenBucket::new(inflow, now),
         }
     }
 
@@ -103,12 +105,12 @@
 
     /// Whether it is a relay or an author.
     pub fn is_relay(&self) -> bool {
-        self.relay
+        self.is_relay
     }
 
     /// When it was heard last.
-    pub fn heard_at(&self) -> Time {
-        self.link.heard_at()
+    pub fn last_received_at(&self) -> Time {
+        self.link.last_received_at()
     }
 
     /// What it asks for.
@@ -121,26 +123,26 @@
     /// Takes the bytes of a frame from its budget; whether it kept to it.
     ///
     /// Guards against a child that sends without end. Harm: none; a child's own bucket is a quarter of it.
-    pub fn admits(&mut self, now: Time, frame: usize) -> bool {
-        self.inflow.take(now, frame)
+    pub fn admit_frame(&mut self, now: Time, frame: usize) -> bool {
+        self.receive_bucket.take(now, frame)
     }
 
     /// Takes a subscription in.
     ///
     /// # Errors
     /// If it can't be one.
-    pub fn subscribe(&mut self, new: Subscribe, source: Source) -> Result<(), Reason> {
-        if self.subscriptions.contains_key(&new.id) || !new.coverage.sound() {
-            return Err(Reason::Misbehaved);
+    pub fn subscribe(&mut self, new: Subscribe, source: ReplicaView) -> Result<(), CloseReason> {
+        if self.subscriptions.contains_key(&new.id) || !new.coverage.is_valid() {
+            return Err(CloseReason::ProtocolViolation);
         }
-        if self.subscriptions.len() >= SUBSCRIPTIONS_MOST {
-            return Err(Reason::Busy);
+        if self.subscriptions.len() >= MAX_SUBSCRIPTIONS {
+            return Err(CloseReason::CapacityExceeded);
         }
         let id = new.id;
-        let subscription = Subscription::new(new, self.told, source);
-        self.floor_known = Version::ZERO;
+        let subscription = Subscription::new(new, self.current_notice, source);
+        self.removals_known = Version::ZERO;
         self.subscriptions.insert(id, subscription);
-        self.changed_since = true;
+        self.has_changed_since_current = true;
         self.requeue(id, source);
         Ok(())
     }
@@ -158,11 +160,11 @@
     }
 
     /// The log has changed in what a subscription holds: looks anew for what comes next.
-    pub fn requeue(&mut self, id: u32, source: Source) {
+    pub fn requeue(&mut self, id: u32, source: ReplicaView) {
         let Some(subscription) = self.subscriptions.get_mut(&id) else {
             return;
         };
-        subscription.settle(self.told);
+        subscription.apply_current_notice(self.current_notice);
         if let Some((urgent, version)) = subscription.queued.take() {
             self.queue.remove(&(urgent, version, id));
         }
@@ -174,58 +176,63 @@
     }
 
     /// Sends what is due and what the budget allows.
-    pub fn poll(&mut self, now: Time, source: Source, outputs: &mut Vec<Output>) {
-        self.link.flush_repeats(now, outputs);
-        if self.link.is_free() {
+    pub fn poll(&mut self, now: Time, source: ReplicaView, outputs: &mut Vec<Output>) {
+        self.link.retransmit_if_due(now, outputs);
+        if self.link.is_idle() {
             self.send_next(now, source, outputs);
         }
-        self.link.flush(now, outputs);
-        if now >= self.link.wrote_at() + self.keepalive {
-            self.link.say(now, &Payload::Acknowledge, outputs);
+        self.link.flush_acknowledgement(now, outputs);
+        if now >= self.link.last_sent_at() + self.keepalive_interval {
+            self.link
+                .send_unreliable(now, &Payload::Acknowledge, outputs);
         }
     }
 
-    fn send_next(&mut self, now: Time, source: Source, outputs: &mut Vec<Output>) {
-        let Some((payload, effect)) = self.choose(now, source) else {
+    fn send_next(&mut self, now: Time, source: ReplicaView, outputs: &mut Vec<Output>) {
+        let Some((payload, effect)) = self.next_payload(now, source) else {
             return;
         };
-        if self.link.send(now, &payload, outputs) {
-            self.sent(now, effect, source);
+        if self.link.send_reliable(now, &payload, outputs) {
+            self.apply_sent(now, effect, source);
         }
     }
 
-    fn urgent_room(&self) -> usize {
-        URGENT_ROOM.min(self.link.room_most())
+    fn min_urgent_payload(&self) -> usize {
+        MIN_URGENT_PAYLOAD_BYTES.min(self.link.max_payload_bytes())
     }
 
-    fn choose(&mut self, now: Time, source: Source) -> Option<(Payload, Effect)> {
-        let room = self.link.room(now);
+    fn next_payload(&mut self, now: Time, source: ReplicaView) -> Option<(Payload, Effect)> {
+        let room = self.link.available_payload_bytes(now);
         if let Some(epoch) = source
             .epoch
-            .filter(|epoch| epoch.claim.token > self.epoch_told)
+            .filter(|epoch| epoch.claim.token > self.sent_epoch_token)
         {
             let effect = Effect::EpochTold(epoch.claim.token);
-            return (room >= self.link.room_most())
+            return (room >= self.link.max_payload_bytes())
                 .then(|| (Payload::Epoch(epoch.clone()), effect));
         }
-        self.drop_stale_partials(source);
+        self.drop_replaced_bodies(source);
         if self.has_urgent() {
-            return (room >= self.urgent_room())
-                .then(|| self.change(true, source, room))
+            return (room >= self.min_urgent_payload())
+                .then(|| self.change_payload(true, source, room))
                 .flatten();
         }
         if self.has_changes() {
-            return (room >= self.link.room_most())
-                .then(|| self.change(false, source, room))
+            return (room >= self.link.max_payload_bytes())
+                .then(|| self.change_payload(false, source, room))
                 .flatten();
         }
-        if !source.whole || room < self.urgent_room() || now < self.told_from() {
+        if !source.is_contiguous
+            || room < self.min_urgent_payload()
+            || now < self.current_allowed_from()
+        {
             return None;
         }
-        if let Some(id) = self.lacks_removals(source) {
-            return self.manifest(id, source, room);
+        if let Some(id) = self.subscription_lacking_removals(source) {
+            return self.manifest_payload(id, source, room);
         }
-        let due = self.changed_since || now >= self.told_at + self.keepalive;
+        let due =
+            self.has_changed_since_current || now >= self.current_sent_at + self.keepalive_interval;
         due.then(|| current(source))
     }
 
@@ -233,9 +240,9 @@
     ///
     /// Guards against a node that takes the word of all for what it has not asked for yet, and says that it has it. Harm: a
     /// child that asks for nothing hears the word later.
-    fn told_from(&self) -> Time {
+    fn current_allowed_from(&self) -> Time {
         if self.subscriptions.is_empty() {
-            self.opened_at + FIRST_SUBSCRIPTION_WAIT
+            self.opened_at + FIRST_SUBSCRIPTION_TIMEOUT
         } else {
             self.opened_at
         }
@@ -250,21 +257,26 @@
     }
 
     /// A body whose change was replaced meanwhile is not sent to its end.
-    fn drop_stale_partials(&mut self, source: Source) {
+    fn drop_replaced_bodies(&mut self, source: ReplicaView) {
         for partial in &mut self.partials {
-            partial.take_if(|partial| source.log.at(partial.version).is_none());
+            partial.take_if(|partial| source.log.get_version(partial.version).is_none());
         }
     }
 
-    fn change(&self, urgent: bool, source: Source, room: usize) -> Option<(Payload, Effect)> {
+    fn change_payload(
+        &self,
+        urgent: bool,
+        source: ReplicaView,
+        room: usize,
+    ) -> Option<(Payload, Effect)> {
         if let Some(partial) = self.partials[usize::from(urgent)] {
-            return self.part(partial, urgent, source, room);
+            return self.chunk_payload(partial, urgent, source, room);
         }
         let (_, version, id) = *self.queue.last()?;
         let view = |change: &Change| self.view(change);
-        if view(source.log.at(version)?).size() + CHANGES_OVERHEAD > room {
-            return self.part(
-                Partial {
+        if view(source.log.get_version(version)?).size_bytes() + CHANGES_OVERHEAD_BYTES > room {
+            return self.chunk_payload(
+                BodyCursor {
                     id,
                     version,
                     offset: 0,
@@ -279,16 +291,16 @@
         Some((payload, Effect::Covered { id, span, urgent }))
     }
 
-    fn part(
+    fn chunk_payload(
         &self,
-        partial: Partial,
+        partial: BodyCursor,
         urgent: bool,
-        source: Source,
+        source: ReplicaView,
         room: usize,
     ) -> Option<(Payload, Effect)> {
         let id = partial.id;
         let subscription = self.subscriptions.get(&id)?;
-        let (payload, rest) = subscription.part(partial, urgent, source, room)?;
+        let (payload, rest) = subscription.chunk(partial, urgent, source, room)?;
         let effect = match rest {
             Ok(span) => Effect::Covered { id, span, urgent },
             Err(partial) => Effect::Part { urgent, partial },
@@ -298,8 +310,9 @@
 
     /// A change as this child is to have it: of a trial that is not for it, it hears that there is none.
     fn view(&self, change: &Change) -> Change {
-        let outside =
-            !self.relay && change.key.slot == Slot::Trial && !change.part.holds(self.link.peer());
+        let outside = !self.is_relay
+            && change.key.slot == Slot::Canary
+            && !change.fraction.contains(self.link.peer());
         let content = if outside {
             Content::Removed
         } else {
@@ -311,17 +324,18 @@
         }
     }
 
-    fn lacks_removals(&self, source: Source) -> Option<u32> {
-        let floor = source.log.floor();
-        if self.floor_known >= floor {
+    fn subscription_lacking_removals(&self, source: ReplicaView) -> Option<u32> {
+        let floor = source.log.pruned_through();
+        if self.removals_known >= floor {
             return None;
         }
-        let lacks = |subscription: &Subscription| subscription.known(self.told) < floor;
+        let lacks =
+            |subscription: &Subscription| subscription.removals_known(self.current_notice) < floor;
         // A pass that was begun is brought to its end before another one.
         let mut under_way = self
             .subscriptions
             .iter()
-            .filter(|(_, subscription)| subscription.pass.is_some());
+            .filter(|(_, subscription)| subscription.manifest_cursor.is_some());
         let first = under_way.next();
         let next = || {
             self.subscriptions
@@ -331,67 +345,72 @@
         first.or_else(next).map(|(id, _)| *id)
     }
 
-    fn manifest(&self, id: u32, source: Source, room: usize) -> Option<(Payload, Effect)> {
-        let (payload, pass, floor) = self.subscriptions.get(&id)?.list(id, source, room);
+    fn manifest_payload(
+        &self,
+        id: u32,
+        source: ReplicaView,
+        room: usize,
+    ) -> Option<(Payload, Effect)> {
+        let (payload, pass, floor) = self.subscriptions.get(&id)?.manifest(id, source, room);
         Some((payload, Effect::Listed { id, pass, floor }))
     }
 
-    fn sent(&mut self, now: Time, effect: Effect, source: Source) {
+    fn apply_sent(&mut self, now: Time, effect: Effect, source: ReplicaView) {
         match effect {
-            Effect::EpochTold(token) => self.epoch_told = token,
+            Effect::EpochTold(token) => self.sent_epoch_token = token,
             Effect::Covered { id, span, urgent } => {
                 self.partials[usize::from(urgent)] = None;
                 if let Some(subscription) = self.subscriptions.get_mut(&id) {
                     subscription.span_sent(span);
                 }
-                self.changed_since = true;
+                self.has_changed_since_current = true;
                 self.requeue(id, source);
             }
             Effect::Part { urgent, partial } => self.partials[usize::from(urgent)] = Some(partial),
-            Effect::Listed { id, pass, floor } => self.listed(id, pass, floor),
+            Effect::Listed { id, pass, floor } => self.manifest_sent(id, pass, floor),
             Effect::Current { head, removals } => {
-                self.changed_since = false;
-                self.told_at = now;
-                self.told = Told {
-                    count: self.told.count + 1,
+                self.has_changed_since_current = false;
+                self.current_sent_at = now;
+                self.current_notice = CurrentNotice {
+                    sequence: self.current_notice.sequence + 1,
                     head,
                     removals,
                 };
-                self.floor_known = source.log.floor();
+                self.removals_known = source.log.pruned_through();
             }
         }
     }
 
-    fn listed(&mut self, id: u32, pass: Option<Pass>, floor: Version) {
+    fn manifest_sent(&mut self, id: u32, pass: Option<ManifestCursor>, floor: Version) {
         let Some(subscription) = self.subscriptions.get_mut(&id) else {
             return;
         };
-        subscription.settle(self.told);
-        subscription.pass = pass;
+        subscription.apply_current_notice(self.current_notice);
+        subscription.manifest_cursor = pass;
         if pass.is_none() {
-            subscription.list_sent(floor);
+            subscription.manifest_sent(floor);
         }
-        self.changed_since = true;
+        self.has_changed_since_current = true;
     }
 
     /// When there is something to send.
-    pub fn next_wakeup(&self, now: Time, source: Source) -> Time {
-        let keepalive = self.link.wrote_at() + self.keepalive;
-        let keepalive = keepalive.max(self.link.ready(now, 0));
-        let payload = if self.link.is_free() {
-            self.next_payload(now, source)
+    pub fn next_wakeup(&self, now: Time, source: ReplicaView) -> Time {
+        let keepalive = self.link.last_sent_at() + self.keepalive_interval;
+        let keepalive = keepalive.max(self.link.ready_at(now, 0));
+        let payload = if self.link.is_idle() {
+            self.next_payload_at(now, source)
         } else {
             f64::INFINITY
         };
         self.link.next_wakeup(now).min(keepalive).min(payload)
     }
 
-    fn next_payload(&self, now: Time, source: Source) -> Time {
-        let full = self.link.ready(now, self.link.room_most());
-        let small = self.link.ready(now, self.urgent_room());
+    fn next_payload_at(&self, now: Time, source: ReplicaView) -> Time {
+        let full = self.link.ready_at(now, self.link.max_payload_bytes());
+        let small = self.link.ready_at(now, self.min_urgent_payload());
         if source
             .epoch
-            .is_some_and(|epoch| epoch.claim.token > self.epoch_told)
+            .is_some_and(|epoch| epoch.claim.token > self.sent_epoch_token)
         {
             return full;
         }
@@ -401,20 +420,20 @@
         if self.has_changes() {
             return full;
         }
-        if !source.whole {
+        if !source.is_contiguous {
             return f64::INFINITY;
         }
-        if self.changed_since || self.lacks_removals(source).is_some() {
-            return small.max(self.told_from());
+        if self.has_changed_since_current || self.subscription_lacking_removals(source).is_some() {
+            return small.max(self.current_allowed_from());
         }
         small
-            .max(self.told_at + self.keepalive)
-            .max(self.told_from())
+            .max(self.current_sent_at + self.keepalive_interval)
+            .max(self.current_allowed_from())
     }
 }
 
-fn current(source: Source) -> (Payload, Effect) {
-    let head = source.coverage.top();
+fn current(source: ReplicaView) -> (Payload, Effect) {
+    let head = source.coverage.last_version();
     let age_us = source
         .age
         .map(|age| (age * (1.0 + 2.0 * DRIFT) * 1e6) as u64 + 1);
@@ -422,7 +441,7 @@
     let payload = Payload::Current {
         head,
         removals,
-        floor: source.log.floor(),
+        pruned_through: source.log.pruned_through(),
         age_us,
     };
     (payload, Effect::Current { head, removals })
--- a/crates/distribution/src/chunks.rs
+++ b/crates/distribution/src/chunks.rs
@@ -1,21 +1,21 @@
 //! Bodies that take several frames.
 
 use crate::message::Chunk;
-use crate::resource::{Change, Content, ContentHash, BODY_MOST};
+use crate::resource::{Change, Content, ContentHash, MAX_BODY_BYTES};
 
 /// What becomes of a part.
 #[derive(Debug, PartialEq)]
-pub enum Part {
+pub enum ChunkOutcome {
     /// More have to come.
-    More,
+    Incomplete,
     /// It was the last one; the change is whole and its hash is right.
-    Whole(Box<Change>),
+    Complete(Box<Change>),
     /// It fits nothing that was sent before, passes the stated length, or the hash is wrong.
-    Wrong,
+    Invalid,
 }
 
 #[derive(Debug)]
-struct Assembly {
+struct PartialBody {
     id: u32,
     first: Chunk,
     bytes: Vec<u8>,
@@ -23,25 +23,25 @@
 
 /// The bodies that are coming: one that goes before others, one that does not.
 #[derive(Debug, Default)]
-pub struct Assemblies {
-    express: Option<Assembly>,
-    other: Option<Assembly>,
+pub struct Reassembler {
+    express: Option<PartialBody>,
+    other: Option<PartialBody>,
 }
 
-impl Assemblies {
+impl Reassembler {
     /// Takes a part of subscription `id`.
     ///
     /// Guards against a body without an end, parts out of place, and bytes that were changed. Harm: none, for a link
     /// brings parts in their order.
-    pub fn take(&mut self, id: u32, chunk: Chunk) -> Part {
-        let place = if chunk.express {
+    pub fn take(&mut self, id: u32, chunk: Chunk) -> ChunkOutcome {
+        let place = if chunk.is_urgent {
             &mut self.express
         } else {
             &mut self.other
         };
         if chunk.offset == 0 {
             let bytes = Vec::new();
-            *place = Some(Assembly {
+            *place = Some(PartialBody {
                 id,
                 first: Chunk {
                     bytes: Vec::new(),
@@ -52,8 +52,8 @@
         }
         let part = place
             .as_mut()
-            .map_or(Part::Wrong, |assembly| assembly.add(id, &chunk));
-        if part != Part::More {
+            .map_or(ChunkOutcome::Invalid, |assembly| assembly.add(id, &chunk));
+        if part != ChunkOutcome::Incomplete {
             *place = None;
         }
         part
@@ -61,12 +61,12 @@
 
     /// Forgets all.
     pub fn clear(&mut self) {
-        *self = Assemblies::default();
+        *self = Reassembler::default();
     }
 }
 
-impl Assembly {
-    fn add(&mut self, id: u32, chunk: &Chunk) -> Part {
+impl PartialBody {
+    fn add(&mut self, id: u32, chunk: &Chunk) -> ChunkOutcome {
         let first = &self.first;
         let same = self.id == id
             && first.key == chunk.key
@@ -75,26 +75,27 @@
             && first.hash == chunk.hash;
         let end = self.bytes.len() + chunk.bytes.len();
         let total = chunk.total as usize;
-        let fits = chunk.offset as usize == self.bytes.len() && end <= total && total <= BODY_MOST;
+        let fits =
+            chunk.offset as usize == self.bytes.len() && end <= total && total <= MAX_BODY_BYTES;
         if !same || !fits || chunk.bytes.is_empty() {
-            return Part::Wrong;
+            return ChunkOutcome::Invalid;
         }
         self.bytes.extend_from_slice(&chunk.bytes);
         if end < total {
-            return Part::More;
+            return ChunkOutcome::Incomplete;
         }
         self.finish()
     }
 
-    fn finish(&self) -> Part {
+    fn finish(&self) -> ChunkOutcome {
         if ContentHash::of(&self.bytes) != self.first.hash {
-            return Part::Wrong;
+            return ChunkOutcome::Invalid;
         }
-        Part::Whole(Box::new(Change {
+        ChunkOutcome::Complete(Box::new(Change {
             key: self.first.key.clone(),
             version: self.first.version,
             urgency: self.first.urgency,
-            part: self.first.part,
+            fraction: self.first.fraction,
             replaces: self.first.replaces,
             content: Content::body(&self.bytes),
         }))
--- a/crates/distribution/src/coverage.rs
+++ b/crates/distribution/src/coverage.rs
@@ -7,12 +7,12 @@
 use serde::{Deserialize, Serialize};
 
 /// Most spans that are kept; of more, the smallest but the first is forgotten.
-pub const SPANS_MOST: usize = 64;
+pub const MAX_SPANS: usize = 64;
 /// From so many spans on changes that are not urgent are sent with the earliest first, which opens no new spans.
-pub const SPANS_MANY: usize = 48;
+pub const GAP_FILL_MIN_SPANS: usize = 48;
 /// From so many spans on urgent changes wait, too: one span is left for a body in parts that is under way, and one for the
 /// versions from zero on.
-pub const SPANS_URGENT_MOST: usize = SPANS_MOST - 2;
+pub const MAX_SPANS_FOR_URGENT: usize = MAX_SPANS - 2;
 
 /// The versions between `after` (not in it) and `upto` (in it).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -20,7 +20,7 @@
     /// Its lower end.
     pub after: Version,
     /// Its upper end.
-    pub upto: Version,
+    pub through: Version,
 }
 
 /// A set of versions: spans that neither meet nor overlap, in their order.
@@ -34,11 +34,11 @@
     pub const EMPTY: Coverage = Coverage { spans: Vec::new() };
 
     /// All versions up to this one.
-    pub fn upto(version: Version) -> Coverage {
+    pub fn up_to(version: Version) -> Coverage {
         let mut coverage = Coverage::default();
         coverage.add(Span {
             after: Version::ZERO,
-            upto: version,
+            through: version,
         });
         coverage
     }
@@ -54,37 +54,37 @@
     }
 
     /// Whether its spans are in order, and not too many: what comes from elsewhere may be anything.
-    pub fn sound(&self) -> bool {
-        let each = self.spans.iter().all(|s| s.after < s.upto);
+    pub fn is_valid(&self) -> bool {
+        let each = self.spans.iter().all(|s| s.after < s.through);
         let order = self
             .spans
             .windows(2)
-            .all(|pair| pair[0].upto < pair[1].after);
-        each && order && self.spans.len() <= SPANS_MOST
+            .all(|pair| pair[0].through < pair[1].after);
+        each && order && self.spans.len() <= MAX_SPANS
     }
 
     /// Whether a version is in it.
-    pub fn holds(&self, version: Version) -> bool {
+    pub fn contains(&self, version: Version) -> bool {
         self.spans
             .iter()
-            .any(|s| s.after < version && version <= s.upto)
+            .any(|s| s.after < version && version <= s.through)
     }
 
     /// All versions up to this one are in it.
-    pub fn floor(&self) -> Version {
+    pub fn contiguous_end(&self) -> Version {
         match self.spans.first() {
-            Some(span) if span.after == Version::ZERO => span.upto,
+            Some(span) if span.after == Version::ZERO => span.through,
             _ => Version::ZERO,
         }
     }
 
     /// The greatest version in it.
-    pub fn top(&self) -> Version {
-        self.spans.last().map_or(Version::ZERO, |s| s.upto)
+    pub fn last_version(&self) -> Version {
+        self.spans.last().map_or(Version::ZERO, |s| s.through)
     }
 
     /// The lower end of the first span above a version.
-    pub fn next_above(&self, version: Version) -> Option<Version> {
+    pub fn next_start_at_or_above(&self, version: Version) -> Option<Version> {
         self.spans
             .iter()
             .find(|s| s.after >= version)
@@ -92,30 +92,30 @@
     }
 
     /// The upper end of the last span below a version.
-    pub fn next_below(&self, version: Version) -> Version {
+    pub fn last_end_below(&self, version: Version) -> Version {
         self.spans
             .iter()
             .rev()
-            .map(|s| s.upto)
+            .map(|s| s.through)
             .find(|upto| *upto < version)
             .unwrap_or(Version::ZERO)
     }
 
     /// Whether it is all versions up to its top.
-    pub fn is_whole(&self) -> bool {
-        self.spans.len() == 1 && self.floor() == self.top()
+    pub fn is_contiguous(&self) -> bool {
+        self.spans.len() == 1 && self.contiguous_end() == self.last_version()
     }
 
     /// The span that a version is in.
-    pub fn span_of(&self, version: Version) -> Option<Span> {
+    pub fn span_containing(&self, version: Version) -> Option<Span> {
         self.spans
             .iter()
             .copied()
-            .find(|s| s.after < version && version <= s.upto)
+            .find(|s| s.after < version && version <= s.through)
     }
 
     /// The same, of its first span and the latest others so many spans at most.
-    pub fn cut(&self, most: usize) -> Coverage {
+    pub fn truncated(&self, most: usize) -> Coverage {
         let skip = self.spans.len().saturating_sub(most.max(1));
         let first = self.spans.iter().take(usize::from(skip > 0));
         let rest = self.spans.iter().skip(if skip > 0 { skip + 1 } else { 0 });
@@ -125,13 +125,13 @@
     }
 
     /// What is in both.
-    pub fn both(&self, other: &Coverage) -> Coverage {
+    pub fn intersection(&self, other: &Coverage) -> Coverage {
         let mut both = Coverage::EMPTY;
         for a in &self.spans {
             for b in &other.spans {
                 both.add(Span {
                     after: a.after.max(b.after),
-                    upto: a.upto.min(b.upto),
+                    through: a.through.min(b.through),
                 });
             }
         }
@@ -139,20 +139,20 @@
     }
 
     /// What is in this one alone.
-    pub fn without(&self, other: &Coverage) -> Coverage {
+    pub fn difference(&self, other: &Coverage) -> Coverage {
         let mut rest = Coverage::EMPTY;
         for span in &self.spans {
             let mut after = span.after;
             for taken in &other.spans {
                 rest.add(Span {
                     after,
-                    upto: span.upto.min(taken.after),
+                    through: span.through.min(taken.after),
                 });
-                after = after.max(taken.upto);
+                after = after.max(taken.through);
             }
             rest.add(Span {
                 after,
-                upto: span.upto,
+                through: span.through,
             });
         }
         rest
@@ -160,21 +160,27 @@
 
     /// Adds a span.
     pub fn add(&mut self, new: Span) {
-        if new.after >= new.upto {
+        if new.after >= new.through {
             return;
         }
-        let (mut after, mut upto) = (new.after, new.upto);
+        let (mut after, mut upto) = (new.after, new.through);
         let mut kept = Vec::with_capacity(self.spans.len() + 1);
         for span in self.spans.drain(..) {
-            if span.upto < after || upto < span.after {
+            if span.through < after || upto < span.after {
                 kept.push(span);
             } else {
                 after = after.min(span.after);
-                upto = upto.max(span.upto);
+                upto = upto.max(span.through);
             }
         }
-        let place = kept.partition_point(|s| s.upto < after);
-        kept.insert(place, Span { after, upto });
+        let place = kept.partition_point(|s| s.through < after);
+        kept.insert(
+            place,
+            Span {
+                after,
+                through: upto,
+            },
+        );
         self.spans = kept;
         self.trim();
     }
@@ -182,11 +188,11 @@
     /// Forgets the smallest spans of which there are too many, never the first: it is what is filled up from the earliest
     /// version on, so it only grows.
     fn trim(&mut self) {
-        while self.spans.len() > SPANS_MOST {
+        while self.spans.len() > MAX_SPANS {
             let width = |s: &Span| {
                 (
-                    s.upto.token - s.after.token,
-                    s.upto.sequence.wrapping_sub(s.after.sequence),
+                    s.through.token - s.after.token,
+                    s.through.sequence.wrapping_sub(s.after.sequence),
                 )
             };
             let least = (1..self.spans.len())
--- a/crates/distribution/src/downstream.rs
+++ b/crates/distribution/src/downstream.rs
@@ -1,51 +1,51 @@
 //! The children of a relay or of an author.
 
-use crate::bucket::{Bucket, Budget, TRANSPORT_OVERHEAD};
-use crate::chance::Chance;
+use crate::bucket::{Budget, TokenBucket, TRANSPORT_OVERHEAD_BYTES};
+use crate::chance::SeededRng;
 use crate::child::Child;
-use crate::feed::Source;
+use crate::feed::ReplicaView;
 use crate::link::Link;
 use crate::message::{self, Head, Payload, Received};
 use crate::output::{Event, Output};
 use crate::peer::PeerId;
 use crate::report::Report;
 use crate::resource::{Key, Selector};
-use crate::session_end::Reason;
+use crate::session_end::CloseReason;
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How children are served.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ServeRules {
+pub struct DownstreamConfig {
     /// Most children at once; more are told to go elsewhere.
-    pub children: usize,
+    pub max_children: usize,
     /// What is sent to a child that is a node.
-    pub to_node: Budget,
+    pub node_budget: Budget,
     /// What is sent to a child that is a relay or an author.
-    pub to_relay: Budget,
+    pub relay_budget: Budget,
     /// A child hears something at least so often, in seconds.
-    pub keepalive: Time,
+    pub keepalive_interval: Time,
     /// A child that was not heard for so long is forgotten, in seconds.
-    pub silence: Time,
+    pub silence_timeout: Time,
     /// New sessions a second; more are told to come back later.
-    pub opens: f64,
+    pub sessions_per_second: f64,
     /// A child that is sent away comes back after so long at least and after twice as long at most, in seconds.
-    pub rest: Time,
+    pub min_retry_after: Time,
     /// How many times a child's own budget it may send before it is sent away.
-    pub inflow: f64,
+    pub receive_budget_factor: f64,
 }
 
-impl Default for ServeRules {
-    fn default() -> ServeRules {
-        ServeRules {
-            children: 1024,
-            to_node: Budget::DOWN,
-            to_relay: Budget::CONTROL,
-            keepalive: 2.0,
-            silence: 20.0,
-            opens: 100.0,
-            rest: 2.0,
-            inflow: 4.0,
+impl Default for DownstreamConfig {
+    fn default() -> DownstreamConfig {
+        DownstreamConfig {
+            max_children: 1024,
+            node_budget: Budget::DOWN,
+            relay_budget: Budget::CONTROL,
+            keepalive_interval: 2.0,
+            silence_timeout: 20.0,
+            sessions_per_second: 100.0,
+            min_retry_after: 2.0,
+            receive_budget_factor: 4.0,
         }
     }
 }
@@ -53,58 +53,58 @@
 /// See the module.
 #[derive(Debug)]
 pub struct Downstream {
-    rules: ServeRules,
-    chance: Chance,
+    config: DownstreamConfig,
+    rng: SeededRng,
     children: BTreeMap<PeerId, Child>,
     interests: BTreeMap<Selector, BTreeSet<(PeerId, u32)>>,
     /// Budgets of children that have gone: a new session brings no new budget.
-    spent: BTreeMap<PeerId, Bucket>,
+    retained_buckets: BTreeMap<PeerId, TokenBucket>,
     /// Who sent more than it may is not heard until then.
-    barred: BTreeMap<PeerId, Time>,
-    opens: Bucket,
-    wakes: BTreeMap<PeerId, Time>,
+    banned_until: BTreeMap<PeerId, Time>,
+    session_bucket: TokenBucket,
+    wakeups: BTreeMap<PeerId, Time>,
     due: BTreeSet<(u64, PeerId)>,
-    fenced: bool,
+    has_fencing_notice: bool,
 }
 
 /// The longest that a child that broke the rules is not heard, in seconds.
-pub const BARRED_FOR: Time = 30.0;
+pub const BAN_DURATION: Time = 30.0;
 
 /// A child is looked at so often at most without a cause, in seconds.
-const LEAST_SLEEP: Time = 1e-3;
+const MIN_WAKEUP_INTERVAL: Time = 1e-3;
 
 /// For so many times as many peers as there may be children, budgets are kept.
-const SPENT_MOST: usize = 4;
+const RETAINED_BUCKETS_PER_CHILD: usize = 4;
 
 /// What one new session takes of the bucket of new sessions.
 const OPEN_COST: f64 = 100.0;
 
 /// Moments are not negative, so their bits are in their order.
-fn order(time: Time) -> u64 {
+fn sortable_bits(time: Time) -> u64 {
     time.max(0.0).to_bits()
 }
 
 impl Downstream {
     /// Without children.
-    pub fn new(rules: ServeRules, seed: u64, now: Time) -> Downstream {
-        let rate = rules.opens * OPEN_COST;
+    pub fn new(rules: DownstreamConfig, seed: u64, now: Time) -> Downstream {
+        let rate = rules.sessions_per_second * OPEN_COST;
         Downstream {
-            rules,
-            chance: Chance::new(seed),
+            config: rules,
+            rng: SeededRng::new(seed),
             children: BTreeMap::new(),
             interests: BTreeMap::new(),
-            spent: BTreeMap::new(),
-            barred: BTreeMap::new(),
-            opens: Bucket::new(
+            retained_buckets: BTreeMap::new(),
+            banned_until: BTreeMap::new(),
+            session_bucket: TokenBucket::new(
                 Budget {
-                    rate,
-                    burst: rate.max(OPEN_COST),
+                    bytes_per_second: rate,
+                    burst_bytes: rate.max(OPEN_COST),
                 },
                 now,
             ),
-            wakes: BTreeMap::new(),
+            wakeups: BTreeMap::new(),
             due: BTreeSet::new(),
-            fenced: false,
+            has_fencing_notice: false,
         }
     }
 
@@ -118,7 +118,7 @@
         &mut self,
         now: Time,
         received: Received,
-        source: Source,
+        source: ReplicaView,
         outputs: &mut Vec<Output>,
     ) -> Vec<Report> {
         let Received {
@@ -127,34 +127,50 @@
             head,
             payload,
         } = received;
-        if self.barred.get(&from).is_some_and(|until| now < *until) {
+        if self
+            .banned_until
+            .get(&from)
+            .is_some_and(|until| now < *until)
+        {
             return Vec::new();
         }
-        if let (Payload::Open { relay }, 1) = (&payload, head.number) {
-            if !self.open(now, from, &head, *relay, outputs) {
+        if let (Payload::Open { is_relay: relay }, 1) = (&payload, head.number) {
+            if !self.open_session(now, from, &head, *relay, outputs) {
                 return Vec::new();
             }
         }
         let Some(child) = self.children.get_mut(&from) else {
-            self.refuse(now, from, head.session, Reason::Unknown, outputs);
+            self.reject(
+                now,
+                from,
+                head.session,
+                CloseReason::UnknownSession,
+                outputs,
+            );
             return Vec::new();
         };
         if child.link().session() != head.session {
-            self.refuse(now, from, head.session, Reason::Unknown, outputs);
+            self.reject(
+                now,
+                from,
+                head.session,
+                CloseReason::UnknownSession,
+                outputs,
+            );
             return Vec::new();
         }
-        if !child.admits(now, bytes) {
-            self.close(now, from, Reason::Flooded, outputs);
+        if !child.admit_frame(now, bytes) {
+            self.close_session(now, from, CloseReason::RateExceeded, outputs);
             return Vec::new();
         }
-        let told = match child.link().take(now, &head) {
-            Ok(arrival) if arrival.fresh => self.handle(from, payload, source),
+        let told = match child.link().accept(now, &head) {
+            Ok(arrival) if arrival.is_new => self.handle(from, payload, source),
             Ok(_) => Ok(Vec::new()),
             Err(why) => Err(why),
         };
-        self.wake(now, from);
+        self.schedule(now, from);
         told.unwrap_or_else(|why| {
-            self.close(now, from, why, outputs);
+            self.close_session(now, from, why, outputs);
             Vec::new()
         })
     }
@@ -163,9 +179,12 @@
         &mut self,
         from: PeerId,
         payload: Payload,
-        source: Source,
-    ) -> Result<Vec<Report>, Reason> {
-        let child = self.children.get_mut(&from).ok_or(Reason::Unknown)?;
+        source: ReplicaView,
+    ) -> Result<Vec<Report>, CloseReason> {
+        let child = self
+            .children
+            .get_mut(&from)
+            .ok_or(CloseReason::UnknownSession)?;
         match payload {
             Payload::Acknowledge | Payload::Open { .. } => {}
             Payload::Subscribe(list) => {
@@ -186,35 +205,35 @@
                 }
             }
             Payload::Reports(reports) => {
-                let sound = reports.iter().all(Report::sound);
+                let sound = reports.iter().all(Report::is_valid);
                 return if sound {
                     Ok(reports)
                 } else {
-                    Err(Reason::Misbehaved)
+                    Err(CloseReason::ProtocolViolation)
                 };
             }
-            Payload::Close { why, .. } => {
-                self.fenced |= why == Reason::Fenced && child.is_relay();
-                return Err(if why == Reason::Fenced {
+            Payload::Close { reason: why, .. } => {
+                self.has_fencing_notice |= why == CloseReason::Fenced && child.is_relay();
+                return Err(if why == CloseReason::Fenced {
                     why
                 } else {
-                    Reason::Replaced
+                    CloseReason::Replaced
                 });
             }
-            _ => return Err(Reason::Misbehaved),
+            _ => return Err(CloseReason::ProtocolViolation),
         }
         Ok(Vec::new())
     }
 
     /// Whether a relay has said since the last call that it has heard of a later token.
-    pub fn take_fenced(&mut self) -> bool {
-        std::mem::take(&mut self.fenced)
+    pub fn take_fencing_notice(&mut self) -> bool {
+        std::mem::take(&mut self.has_fencing_notice)
     }
 
     /// Begins a session, unless there are too many or too many begin at once; whether it is there.
     ///
     /// Guards against all children of a relay that died coming at once. Harm: some come some seconds later.
-    fn open(
+    fn open_session(
         &mut self,
         now: Time,
         from: PeerId,
@@ -226,121 +245,143 @@
         if old.is_some_and(|child| child.link().session() == head.session) {
             return true;
         }
-        let full = !self.children.contains_key(&from) && self.children.len() >= self.rules.children;
+        let full =
+            !self.children.contains_key(&from) && self.children.len() >= self.config.max_children;
         if full
             || !self
-                .opens
-                .take(now, OPEN_COST as usize - TRANSPORT_OVERHEAD)
+                .session_bucket
+                .take(now, OPEN_COST as usize - TRANSPORT_OVERHEAD_BYTES)
         {
-            self.refuse(now, from, head.session, Reason::Busy, outputs);
+            self.reject(
+                now,
+                from,
+                head.session,
+                CloseReason::CapacityExceeded,
+                outputs,
+            );
             return false;
         }
         if self.children.contains_key(&from) {
             self.drop_child(from);
             outputs.push(Output::Event(Event::ChildLost {
                 child: from,
-                why: Reason::Replaced,
+                reason: CloseReason::Replaced,
             }));
         }
         let budget = if relay {
-            self.rules.to_relay
+            self.config.relay_budget
         } else {
-            self.rules.to_node
+            self.config.node_budget
         };
         let mut link = Link::new(from, head.session, false, budget, now);
-        let spent = self.spent.remove(&from);
+        let spent = self.retained_buckets.remove(&from);
         if let Some(bucket) = spent.filter(|bucket| bucket.budget() == budget) {
             link = link.with_bucket(bucket);
         }
         let own = if relay { Budget::CONTROL } else { Budget::UP };
         let inflow = Budget {
-            rate: self.rules.inflow * own.rate,
-            burst: self.rules.inflow * own.burst,
+            bytes_per_second: self.config.receive_budget_factor * own.bytes_per_second,
+            burst_bytes: self.config.receive_budget_factor * own.burst_bytes,
         };
         self.children.insert(
             from,
-            Child::new(link, relay, self.rules.keepalive, inflow, now),
+            Child::new(link, relay, self.config.keepalive_interval, inflow, now),
         );
         true
     }
 
     /// Ends a child's session and tells it so.
-    fn close(&mut self, now: Time, child: PeerId, why: Reason, outputs: &mut Vec<Output>) {
-        if matches!(why, Reason::Flooded | Reason::Misbehaved) {
-            self.bar(now, child);
+    fn close_session(
+        &mut self,
+        now: Time,
+        child: PeerId,
+        why: CloseReason,
+        outputs: &mut Vec<Output>,
+    ) {
+        if matches!(
+            why,
+            CloseReason::RateExceeded | CloseReason::ProtocolViolation
+        ) {
+            self.ban(now, child);
         }
         let session = self
             .children
             .get_mut(&child)
             .map(|child| child.link().session());
         self.drop_child(child);
-        outputs.push(Output::Event(Event::ChildLost { child, why }));
+        outputs.push(Output::Event(Event::ChildLost { child, reason: why }));
         if let Some(session) = session {
-            self.refuse(now, child, session, why, outputs);
+            self.reject(now, child, session, why, outputs);
         }
     }
 
     /// Ends all sessions: an author has lost its lease.
-    pub fn close_all(&mut self, now: Time, why: Reason, outputs: &mut Vec<Output>) {
+    pub fn close_all(&mut self, now: Time, why: CloseReason, outputs: &mut Vec<Output>) {
         let all: Vec<PeerId> = self.children().collect();
         for child in all {
-            self.close(now, child, why, outputs);
+            self.close_session(now, child, why, outputs);
         }
     }
 
-    fn bar(&mut self, now: Time, child: PeerId) {
-        self.barred.retain(|_, until| now < *until);
-        if self.barred.len() < self.rules.children {
-            self.barred.insert(child, now + BARRED_FOR);
+    fn ban(&mut self, now: Time, child: PeerId) {
+        self.banned_until.retain(|_, until| now < *until);
+        if self.banned_until.len() < self.config.max_children {
+            self.banned_until.insert(child, now + BAN_DURATION);
         }
     }
 
     /// Tells somebody that its session is not there, within its budget.
-    pub fn refuse(
+    pub fn reject(
         &mut self,
         now: Time,
         to: PeerId,
         session: u64,
-        why: Reason,
+        why: CloseReason,
         outputs: &mut Vec<Output>,
     ) {
-        let rest = self.chance.between(self.rules.rest, 2.0 * self.rules.rest);
+        let rest = self.rng.uniform(
+            self.config.min_retry_after,
+            2.0 * self.config.min_retry_after,
+        );
         let payload = Payload::Close {
-            why,
-            rest_ms: (rest * 1e3) as u32,
+            reason: why,
+            retry_after_ms: (rest * 1e3) as u32,
         };
         let head = Head {
             session,
-            up: false,
+            from_child: false,
             number: 0,
             acknowledged: 0,
-            stamp_us: 0,
+            sent_at_us: 0,
             echo: None,
         };
         let frame = message::encode(&head, &payload);
-        self.forget_spent(now);
-        if !self.spent.contains_key(&to) && self.spent.len() >= self.spent_most() {
+        self.drop_full_buckets(now);
+        if !self.retained_buckets.contains_key(&to)
+            && self.retained_buckets.len() >= self.max_retained_buckets()
+        {
             return;
         }
-        let full = Bucket::new(self.rules.to_node, now);
+        let full = TokenBucket::new(self.config.node_budget, now);
         let bucket = match self.children.get_mut(&to) {
             Some(child) => child.link().bucket_mut(),
-            None => self.spent.entry(to).or_insert(full),
+            None => self.retained_buckets.entry(to).or_insert(full),
         };
         if bucket.take(now, frame.len()) {
             outputs.push(Output::Send { to, frame });
         }
     }
 
-    fn spent_most(&self) -> usize {
-        SPENT_MOST * self.rules.children
+    fn max_retained_buckets(&self) -> usize {
+        RETAINED_BUCKETS_PER_CHILD * self.config.max_children
     }
 
     /// Buckets that are full again say nothing.
-    fn forget_spent(&mut self, now: Time) {
-        if self.spent.len() >= self.spent_most() {
-            let most = self.rules.to_node.burst;
-            self.spent.retain(|_, bucket| bucket.level(now) < most);
+    fn drop_full_buckets(&mut self, now: Time) {
+        if self.retained_buckets.len() >= self.max_retained_buckets() {
+            let most = self.config.node_budget.burst_bytes;
+            self.retained_buckets
+                .retain(|_, bucket| bucket.available(now) < most);
         }
     }
 
@@ -348,18 +389,19 @@
         let Some(mut child) = self.children.remove(&peer) else {
             return;
         };
-        if self.spent.len() < self.spent_most() {
-            self.spent.insert(peer, child.link().bucket().clone());
+        if self.retained_buckets.len() < self.max_retained_buckets() {
+            self.retained_buckets
+                .insert(peer, child.link().bucket().clone());
         }
         for (id, selector) in child.selectors() {
             forget(&mut self.interests, selector, (peer, id));
         }
-        self.unwake(peer);
+        self.unschedule(peer);
     }
 
     /// The log has changed at a key.
-    pub fn changed(&mut self, now: Time, key: &Key, source: Source) {
-        for selector in Selector::all_of(&key.name.group) {
+    pub fn notify_changed(&mut self, now: Time, key: &Key, source: ReplicaView) {
+        for selector in Selector::all_matching(&key.name.group) {
             let Some(interested) = self.interests.get(&selector) else {
                 continue;
             };
@@ -367,50 +409,50 @@
                 if let Some(child) = self.children.get_mut(&peer) {
                     child.requeue(id, source);
                 }
-                self.wake(now, peer);
+                self.schedule(now, peer);
             }
         }
     }
 
     /// Something has changed that concerns all children.
-    pub fn wake_all(&mut self, now: Time) {
+    pub fn schedule_all(&mut self, now: Time) {
         let all: Vec<PeerId> = self.children().collect();
         for peer in all {
-            self.wake(now, peer);
+            self.schedule(now, peer);
         }
     }
 
-    fn wake(&mut self, at: Time, peer: PeerId) {
+    fn schedule(&mut self, at: Time, peer: PeerId) {
         if !self.children.contains_key(&peer) {
             return;
         }
-        self.unwake(peer);
-        self.wakes.insert(peer, at);
-        self.due.insert((order(at), peer));
+        self.unschedule(peer);
+        self.wakeups.insert(peer, at);
+        self.due.insert((sortable_bits(at), peer));
     }
 
-    fn unwake(&mut self, peer: PeerId) {
-        if let Some(at) = self.wakes.remove(&peer) {
-            self.due.remove(&(order(at), peer));
+    fn unschedule(&mut self, peer: PeerId) {
+        if let Some(at) = self.wakeups.remove(&peer) {
+            self.due.remove(&(sortable_bits(at), peer));
         }
     }
 
     /// Sends what is due and what the budgets allow.
-    pub fn poll(&mut self, now: Time, source: Source, outputs: &mut Vec<Output>) {
-        let due = self.due.range(..=(order(now), PeerId(u32::MAX)));
+    pub fn poll(&mut self, now: Time, source: ReplicaView, outputs: &mut Vec<Output>) {
+        let due = self.due.range(..=(sortable_bits(now), PeerId(u32::MAX)));
         let due: Vec<PeerId> = due.map(|(_, peer)| *peer).collect();
         for peer in due {
             let Some(child) = self.children.get_mut(&peer) else {
                 continue;
             };
-            let silent_at = child.heard_at() + self.rules.silence;
+            let silent_at = child.last_received_at() + self.config.silence_timeout;
             if now >= silent_at {
-                self.close(now, peer, Reason::Silent, outputs);
+                self.close_session(now, peer, CloseReason::TimedOut, outputs);
                 continue;
             }
             child.poll(now, source, outputs);
             let next = child.next_wakeup(now, source).min(silent_at);
-            self.wake(next.max(now + LEAST_SLEEP), peer);
+            self.schedule(next.max(now + MIN_WAKEUP_INTERVAL), peer);
         }
     }
 
--- a/crates/distribution/src/feed.rs
+++ b/crates/distribution/src/feed.rs
@@ -1,28 +1,28 @@
 //! What one subscription of a child is sent.
 
-use crate::coverage::{Coverage, Span, SPANS_MANY, SPANS_URGENT_MOST};
+use crate::coverage::{Coverage, Span, GAP_FILL_MIN_SPANS, MAX_SPANS_FOR_URGENT};
 use crate::epoch::Epoch;
-use crate::log::Log;
-use crate::message::{Chunk, Payload, Subscribe, MANIFEST_KEYS};
+use crate::log::ChangeLog;
+use crate::message::{Chunk, Payload, Subscribe, MAX_MANIFEST_KEYS};
 use crate::resource::{Change, Selector, Version};
 use crate::Time;
 
 /// What a frame of changes takes beside the changes.
-pub(crate) const CHANGES_OVERHEAD: usize = 64;
+pub(crate) const CHANGES_OVERHEAD_BYTES: usize = 64;
 /// What a frame with a part of a body takes beside the part.
-const CHUNK_OVERHEAD: usize = 288;
+const CHUNK_OVERHEAD_BYTES: usize = 288;
 /// What one digest takes in a frame at most.
-const DIGEST_BYTES: usize = 10;
+const MAX_DIGEST_BYTES: usize = 10;
 
 /// What a relay or an author has to send.
 #[derive(Clone, Copy, Debug)]
-pub struct Source<'a> {
+pub struct ReplicaView<'a> {
     /// The changes.
-    pub log: &'a Log,
+    pub log: &'a ChangeLog,
     /// Which versions they cover.
     pub coverage: &'a Coverage,
     /// Whether they cover all versions up to the greatest.
-    pub whole: bool,
+    pub is_contiguous: bool,
     /// All removals up to this version are known.
     pub removals_known: Version,
     /// How old that is, in seconds, if it is known.
@@ -33,25 +33,25 @@
 
 /// How far a list of keys has come.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pass {
+pub(crate) struct ManifestCursor {
     /// Keys up to this version have been listed.
-    after: Version,
+    listed_through: Version,
     /// The log's floor when it began.
-    pub floor: Version,
-    first: bool,
+    pub pruned_through: Version,
+    is_first: bool,
 }
 
 /// The last [`Payload::Current`] that the child was sent.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Told {
-    pub count: u64,
+pub(crate) struct CurrentNotice {
+    pub sequence: u64,
     pub head: Version,
     pub removals: Version,
 }
 
 /// How far a body in parts has come.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Partial {
+pub(crate) struct BodyCursor {
     pub id: u32,
     pub version: Version,
     pub offset: usize,
@@ -63,57 +63,57 @@
     pub selector: Selector,
     coverage: Coverage,
     /// All removals up to here are known to the child.
-    known: Version,
-    pub pass: Option<Pass>,
+    removals_known: Version,
+    pub manifest_cursor: Option<ManifestCursor>,
     /// What is to be sent next, and whether that is urgent.
     pub queued: Option<(bool, Version)>,
     /// The last [`Payload::Current`] that is taken into account in `coverage` and `known`.
-    settled: u64,
+    applied_notice: u64,
 }
 
 impl Subscription {
-    pub fn new(asked: Subscribe, told: Told, source: Source) -> Subscription {
+    pub fn new(asked: Subscribe, told: CurrentNotice, source: ReplicaView) -> Subscription {
         // Who has nothing has no removals to hear of.
         let has_nothing = asked.coverage.is_empty() && !asked.has_changes;
         let known = if has_nothing {
-            source.log.floor()
+            source.log.pruned_through()
         } else {
-            asked.floor
+            asked.removals_known
         };
         Subscription {
             selector: asked.selector,
             coverage: asked.coverage,
-            known,
-            pass: None,
+            removals_known: known,
+            manifest_cursor: None,
             queued: None,
-            settled: told.count,
+            applied_notice: told.sequence,
         }
     }
 
     /// Takes into account that the child was told that all had been sent.
-    pub fn settle(&mut self, told: Told) {
-        if self.settled < told.count {
-            self.settled = told.count;
+    pub fn apply_current_notice(&mut self, told: CurrentNotice) {
+        if self.applied_notice < told.sequence {
+            self.applied_notice = told.sequence;
             self.coverage.add(Span {
                 after: Version::ZERO,
-                upto: told.head,
+                through: told.head,
             });
-            self.known = self.known.max(told.removals);
+            self.removals_known = self.removals_known.max(told.removals);
         }
     }
 
     /// All removals up to here are known to the child.
-    pub fn known(&self, told: Told) -> Version {
-        if self.settled == told.count {
-            self.known
+    pub fn removals_known(&self, told: CurrentNotice) -> Version {
+        if self.applied_notice == told.sequence {
+            self.removals_known
         } else {
-            self.known.max(told.removals)
+            self.removals_known.max(told.removals)
         }
     }
 
     /// A list of keys was sent to its end.
-    pub fn list_sent(&mut self, floor: Version) {
-        self.known = self.known.max(floor);
+    pub fn manifest_sent(&mut self, floor: Version) {
+        self.removals_known = self.removals_known.max(floor);
     }
 
     /// A span was sent.
@@ -123,55 +123,59 @@
 
     /// What is to be sent next, and whether that is urgent. Where what is covered has come to many spans, gaps are filled
     /// before new spans are opened.
-    pub fn next(&self, source: Source) -> Option<(bool, Version)> {
-        let urgent_fits = self.coverage.spans().len() < SPANS_URGENT_MOST;
+    pub fn next(&self, source: ReplicaView) -> Option<(bool, Version)> {
+        let urgent_fits = self.coverage.spans().len() < MAX_SPANS_FOR_URGENT;
         let urgent = || {
             source
                 .log
-                .newest_urgent(&self.selector, &self.coverage)
+                .newest_uncovered_urgent(&self.selector, &self.coverage)
                 .filter(|_| urgent_fits)
         };
         let gap = || self.earliest_gap(source).filter(|_| self.is_scattered());
-        let newest = || source.log.newest(&self.selector, &self.coverage);
+        let newest = || source.log.newest_uncovered(&self.selector, &self.coverage);
         let normal = || gap().or_else(newest).map(|version| (false, version));
         urgent().map(|version| (true, version)).or_else(normal)
     }
 
     /// Whether what is covered has come to so many spans that gaps are filled first.
     fn is_scattered(&self) -> bool {
-        self.coverage.spans().len() >= SPANS_MANY
+        self.coverage.spans().len() >= GAP_FILL_MIN_SPANS
     }
 
     /// The earliest uncovered change before which all is covered from the end of a span on, or from zero on: a frame that
     /// begins with it makes that span longer and opens none.
-    fn earliest_gap(&self, source: Source) -> Option<Version> {
-        let ends = self.coverage.spans().iter().map(|span| span.upto);
+    fn earliest_gap(&self, source: ReplicaView) -> Option<Version> {
+        let ends = self.coverage.spans().iter().map(|span| span.through);
         let mut starts = std::iter::once(Version::ZERO).chain(ends);
         starts.find_map(|start| {
-            let version = source
-                .log
-                .oldest_after(&self.selector, &self.coverage, start)?;
-            let own = source.coverage.span_of(version)?;
+            let version =
+                source
+                    .log
+                    .oldest_uncovered_after(&self.selector, &self.coverage, start)?;
+            let own = source.coverage.span_containing(version)?;
             (own.after <= start).then_some(version)
         })
     }
 
     /// The widest span around an uncovered version in which the source itself lacks nothing, the child has nothing, and
     /// nothing is later.
-    fn reach(&self, version: Version, source: Source) -> Span {
-        let point = point(version);
-        let own = source.coverage.span_of(version).unwrap_or(point);
-        let above = self.coverage.next_above(version).unwrap_or(own.upto);
-        let below = self.coverage.next_below(version);
-        let upto = own.upto.min(above).max(version);
+    fn widest_span(&self, version: Version, source: ReplicaView) -> Span {
+        let point = single_version(version);
+        let own = source.coverage.span_containing(version).unwrap_or(point);
+        let above = self
+            .coverage
+            .next_start_at_or_above(version)
+            .unwrap_or(own.through);
+        let below = self.coverage.last_end_below(version);
+        let upto = own.through.min(above).max(version);
         // A body in parts may have been overtaken by later changes, which the child has not got.
         let later = source
             .log
-            .later(&self.selector, version)
+            .next_version(&self.selector, version)
             .filter(|later| *later <= upto);
         Span {
             after: own.after.max(below),
-            upto: if later.is_some() { version } else { upto },
+            through: if later.is_some() { version } else { upto },
         }
     }
 
@@ -181,7 +185,7 @@
         id: u32,
         first: Version,
         urgent: bool,
-        source: Source,
+        source: ReplicaView,
         room: usize,
         view: impl Fn(&Change) -> Change,
     ) -> Option<(Payload, Span)> {
@@ -198,33 +202,37 @@
         &self,
         id: u32,
         oldest: Version,
-        source: Source,
+        source: ReplicaView,
         room: usize,
         view: impl Fn(&Change) -> Change,
     ) -> Option<(Payload, Span)> {
-        let own = source.coverage.span_of(oldest).unwrap_or(point(oldest));
-        let lacked_before = source
-            .log
-            .newest_before(&self.selector, &self.coverage, oldest);
+        let own = source
+            .coverage
+            .span_containing(oldest)
+            .unwrap_or(single_version(oldest));
+        let lacked_before =
+            source
+                .log
+                .newest_uncovered_before(&self.selector, &self.coverage, oldest);
         let after = lacked_before.map_or(own.after, |lacked| lacked.max(own.after));
         let mut span = Span {
             after,
-            upto: own.upto,
+            through: own.through,
         };
         let mut changes = Vec::new();
-        let mut bytes = CHANGES_OVERHEAD;
+        let mut bytes = CHANGES_OVERHEAD_BYTES;
         let mut next = Some(oldest);
-        while let Some(version) = next.filter(|version| *version <= own.upto) {
-            let change = view(source.log.at(version)?);
-            bytes += change.size();
+        while let Some(version) = next.filter(|version| *version <= own.through) {
+            let change = view(source.log.get_version(version)?);
+            bytes += change.size_bytes();
             if bytes > room {
-                span.upto = version.before();
+                span.through = version.predecessor();
                 break;
             }
             changes.push(change);
             next = source
                 .log
-                .oldest_after(&self.selector, &self.coverage, version);
+                .oldest_uncovered_after(&self.selector, &self.coverage, version);
         }
         Some((Payload::Changes { id, span, changes }, span))
     }
@@ -235,51 +243,53 @@
         id: u32,
         newest: Version,
         urgent: bool,
-        source: Source,
+        source: ReplicaView,
         room: usize,
         view: impl Fn(&Change) -> Change,
     ) -> Option<(Payload, Span)> {
-        let mut span = self.reach(newest, source);
+        let mut span = self.widest_span(newest, source);
         let least = span.after;
         let mut changes = Vec::new();
-        let mut bytes = CHANGES_OVERHEAD;
+        let mut bytes = CHANGES_OVERHEAD_BYTES;
         let mut next = Some(newest);
         while let Some(version) = next {
-            let change = view(source.log.at(version)?);
-            bytes += change.size();
+            let change = view(source.log.get_version(version)?);
+            bytes += change.size_bytes();
             if bytes > room {
                 break;
             }
             changes.push(change);
-            let earlier = source.log.earlier(&self.selector, version);
+            let earlier = source.log.previous_version(&self.selector, version);
             span.after = earlier.map_or(least, |earlier| earlier.max(least));
             next = earlier.filter(|earlier| *earlier > least && !urgent);
         }
-        let span = if urgent { point(newest) } else { span };
+        let span = if urgent { single_version(newest) } else { span };
         Some((Payload::Changes { id, span, changes }, span))
     }
 
     /// The next part of a long body; the span, if it is the last part; else how far it has come.
-    pub fn part(
+    pub fn chunk(
         &self,
-        partial: Partial,
+        partial: BodyCursor,
         urgent: bool,
-        source: Source,
+        source: ReplicaView,
         room: usize,
-    ) -> Option<(Payload, Result<Span, Partial>)> {
-        let Partial {
+    ) -> Option<(Payload, Result<Span, BodyCursor>)> {
+        let BodyCursor {
             id,
             version,
             offset,
         } = partial;
-        let change = source.log.at(version)?;
+        let change = source.log.get_version(version)?;
         let body = change.content.bytes();
-        let end = body.len().min(offset + room.saturating_sub(CHUNK_OVERHEAD));
-        let reach = self.reach(version, source);
-        let earlier = source.log.earlier(&self.selector, version);
+        let end = body
+            .len()
+            .min(offset + room.saturating_sub(CHUNK_OVERHEAD_BYTES));
+        let reach = self.widest_span(version, source);
+        let earlier = source.log.previous_version(&self.selector, version);
         let after = earlier.map_or(reach.after, |earlier| earlier.max(reach.after));
         let span = if urgent {
-            point(version)
+            single_version(version)
         } else {
             Span { after, ..reach }
         };
@@ -287,8 +297,8 @@
             key: change.key.clone(),
             version,
             urgency: change.urgency,
-            express: urgent,
-            part: change.part,
+            is_urgent: urgent,
+            fraction: change.fraction,
             replaces: change.replaces,
             total: u32::try_from(body.len()).ok()?,
             hash: change.hash(),
@@ -298,7 +308,7 @@
         let rest = if end == body.len() {
             Ok(span)
         } else {
-            Err(Partial {
+            Err(BodyCursor {
                 offset: end,
                 ..partial
             })
@@ -307,43 +317,50 @@
     }
 
     /// The next digests of keys; how far the list has come, none if to its end; the floor that it is for.
-    pub fn list(&self, id: u32, source: Source, room: usize) -> (Payload, Option<Pass>, Version) {
-        let fresh = Pass {
-            after: Version::ZERO,
-            floor: source.log.floor(),
-            first: true,
+    pub fn manifest(
+        &self,
+        id: u32,
+        source: ReplicaView,
+        room: usize,
+    ) -> (Payload, Option<ManifestCursor>, Version) {
+        let fresh = ManifestCursor {
+            listed_through: Version::ZERO,
+            pruned_through: source.log.pruned_through(),
+            is_first: true,
         };
-        let pass = self.pass.unwrap_or(fresh);
-        let count = MANIFEST_KEYS
-            .min(room.saturating_sub(CHANGES_OVERHEAD) / DIGEST_BYTES)
+        let pass = self.manifest_cursor.unwrap_or(fresh);
+        let count = MAX_MANIFEST_KEYS
+            .min(room.saturating_sub(CHANGES_OVERHEAD_BYTES) / MAX_DIGEST_BYTES)
             .max(1);
         let keys: Vec<_> = source
             .log
-            .keys_after(&self.selector, pass.after)
+            .keys_after(&self.selector, pass.listed_through)
             .take(count)
             .collect();
         let last = keys.len() < count;
         let digests = keys.iter().map(|(_, key)| key.digest()).collect();
-        let after = keys.last().map_or(pass.after, |(version, _)| *version);
-        let next = (!last).then_some(Pass {
-            after,
-            first: false,
+        let after = keys
+            .last()
+            .map_or(pass.listed_through, |(version, _)| *version);
+        let next = (!last).then_some(ManifestCursor {
+            listed_through: after,
+            is_first: false,
             ..pass
         });
         let payload = Payload::Manifest {
             id,
-            first: pass.first,
+            first: pass.is_first,
             last,
-            floor: pass.floor,
+            floor: pass.pruned_through,
             digests,
         };
-        (payload, next, pass.floor)
+        (payload, next, pass.pruned_through)
     }
 }
 
-fn point(version: Version) -> Span {
+fn single_version(version: Version) -> Span {
     Span {
-        after: version.before(),
-        upto: version,
+        after: version.predecessor(),
+        through: version,
     }
 }
--- a/crates/distribution/src/force.rs
+++ b/crates/distribution/src/force.rs
@@ -7,64 +7,64 @@
 /// What a resource's content was taken from: the versions of what is for all nodes and of what is on trial. Changes come in
 /// any order, so the later of the two alone does not tell whether something new is known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Basis {
-    pub whole: Option<Version>,
-    pub trial: Option<Version>,
+pub(crate) struct SlotVersions {
+    pub stable: Option<Version>,
+    pub canary: Option<Version>,
 }
 
 /// What is known of one resource.
 #[derive(Debug, Default)]
-struct Held {
+struct ResourceState {
     in_force: Option<Change>,
     /// The greatest version that was in force or asked for.
     version: Version,
     /// What was accepted or rejected last, or is asked for.
-    decided: Option<Basis>,
+    decided: Option<SlotVersions>,
     /// The driver was asked and has not answered.
     asked: bool,
 }
 
 /// See the module.
 #[derive(Debug, Default)]
-pub(crate) struct Force {
-    names: BTreeMap<Name, Held>,
+pub(crate) struct AppliedResources {
+    resources: BTreeMap<Name, ResourceState>,
     /// By version.
-    asked: BTreeMap<Version, Vec<Change>>,
+    pending: BTreeMap<Version, Vec<Change>>,
 }
 
-impl Force {
+impl AppliedResources {
     /// What was in force before.
-    pub fn restore(in_force: BTreeMap<Name, Change>) -> Force {
-        let held = |change: Change| Held {
+    pub fn restore(in_force: BTreeMap<Name, Change>) -> AppliedResources {
+        let held = |change: Change| ResourceState {
             version: change.version,
             in_force: Some(change),
-            ..Held::default()
+            ..ResourceState::default()
         };
         let names = in_force
             .into_iter()
             .map(|(name, change)| (name, held(change)))
             .collect();
-        Force {
-            names,
-            asked: BTreeMap::new(),
+        AppliedResources {
+            resources: names,
+            pending: BTreeMap::new(),
         }
     }
 
     /// What is in force of a resource.
     pub fn get(&self, name: &Name) -> Option<&Change> {
-        self.names.get(name)?.in_force.as_ref()
+        self.resources.get(name)?.in_force.as_ref()
     }
 
     /// All that is in force.
     pub fn all(&self) -> impl Iterator<Item = &Change> {
-        self.names
+        self.resources
             .values()
             .filter_map(|held| held.in_force.as_ref())
     }
 
     /// Whether the driver has answered all that it was asked.
     pub fn is_settled(&self) -> bool {
-        self.asked.is_empty()
+        self.pending.is_empty()
     }
 
     /// Asks the driver for what a resource is to be, if that was not decided and is another than what is in force. While
@@ -72,8 +72,8 @@
     ///
     /// What is wanted may come from an earlier version than the last one, where a list of keys has ended that one. It goes
     /// under the greatest version all the same: versions never go back.
-    pub fn want(&mut self, mut wanted: Change, basis: Basis, outputs: &mut Vec<Output>) {
-        let held = self.names.entry(wanted.key.name.clone()).or_default();
+    pub fn request(&mut self, mut wanted: Change, basis: SlotVersions, outputs: &mut Vec<Output>) {
+        let held = self.resources.entry(wanted.key.name.clone()).or_default();
         if held.asked || held.decided == Some(basis) {
             return;
         }
@@ -82,7 +82,7 @@
         wanted.version = held.version;
         let same = match &held.in_force {
             Some(change) => change.content == wanted.content,
-            None => wanted.removes(),
+            None => wanted.is_removal(),
         };
         if same {
             if let Some(change) = held
@@ -99,7 +99,7 @@
             return;
         }
         held.asked = true;
-        self.asked
+        self.pending
             .entry(wanted.version)
             .or_default()
             .push(wanted.clone());
@@ -107,10 +107,10 @@
     }
 
     /// The driver has answered for a version: what it was asked.
-    pub fn answered(&mut self, version: Version) -> Vec<Change> {
-        let changes = self.asked.remove(&version).unwrap_or_default();
+    pub fn take_answered(&mut self, version: Version) -> Vec<Change> {
+        let changes = self.pending.remove(&version).unwrap_or_default();
         for change in &changes {
-            if let Some(held) = self.names.get_mut(&change.key.name) {
+            if let Some(held) = self.resources.get_mut(&change.key.name) {
                 held.asked = false;
             }
         }
@@ -118,34 +118,34 @@
     }
 
     /// A change is in force.
-    pub fn accept(&mut self, change: Change, outputs: &mut Vec<Output>) {
-        outputs.push(Output::Persist(Record::InForce(change.clone())));
-        if let Some(held) = self.names.get_mut(&change.key.name) {
-            held.in_force = (!change.removes()).then_some(change);
+    pub fn mark_applied(&mut self, change: Change, outputs: &mut Vec<Output>) {
+        outputs.push(Output::Persist(Record::Applied(change.clone())));
+        if let Some(held) = self.resources.get_mut(&change.key.name) {
+            held.in_force = (!change.is_removal()).then_some(change);
         }
     }
 
     /// Forgets a resource of which nothing is in force and nothing was asked.
-    pub fn forget_idle(&mut self, name: &Name) {
-        let idle = |held: &Held| held.in_force.is_none() && !held.asked;
-        if self.names.get(name).is_some_and(idle) {
-            self.names.remove(name);
+    pub fn remove_if_idle(&mut self, name: &Name) {
+        let idle = |held: &ResourceState| held.in_force.is_none() && !held.asked;
+        if self.resources.get(name).is_some_and(idle) {
+            self.resources.remove(name);
         }
     }
 
     /// Forgets resources, whatever is in force of them.
-    pub fn drop_where(&mut self, gone: impl Fn(&Name) -> bool, outputs: &mut Vec<Output>) {
+    pub fn remove_where(&mut self, gone: impl Fn(&Name) -> bool, outputs: &mut Vec<Output>) {
         for change in self.all().filter(|change| gone(&change.key.name)) {
             let end = Change {
                 content: Content::Removed,
                 ..change.clone()
             };
-            outputs.push(Output::Persist(Record::InForce(end)));
+            outputs.push(Output::Persist(Record::Applied(end)));
         }
-        self.names.retain(|name, _| !gone(name));
-        for changes in self.asked.values_mut() {
+        self.resources.retain(|name, _| !gone(name));
+        for changes in self.pending.values_mut() {
             changes.retain(|change| !gone(&change.key.name));
         }
-        self.asked.retain(|_, changes| !changes.is_empty());
+        self.pending.retain(|_, changes| !changes.is_empty());
     }
 }
--- a/crates/distribution/src/frame.rs
+++ b/crates/distribution/src/frame.rs
@@ -3,11 +3,11 @@
 use serde::Serialize;
 
 /// Longest frame, in bytes.
-pub const FRAME_MOST: usize = 16 * 1024;
+pub const MAX_FRAME_BYTES: usize = 16 * 1024;
 /// Bytes that a frame takes beside its payload, at most.
-pub const FRAME_OVERHEAD: usize = 80;
+pub const MAX_FRAME_OVERHEAD_BYTES: usize = 80;
 
 /// How many bytes something takes in a frame.
-pub fn written<T: Serialize>(value: &T) -> usize {
-    postcard::to_allocvec(value).map_or(FRAME_MOST, |bytes| bytes.len())
+pub fn serialized_size<T: Serialize>(value: &T) -> usize {
+    postcard::to_allocvec(value).map_or(MAX_FRAME_BYTES, |bytes| bytes.len())
 }
--- a/crates/distribution/src/history.rs
+++ b/crates/distribution/src/history.rs
@@ -5,35 +5,35 @@
 
 /// See the module.
 #[derive(Debug)]
-pub struct History {
+pub struct ChangeHistory {
     /// Of each key, what its latest change took the place of, and that change's version.
-    earlier: BTreeMap<Key, (Change, Version)>,
+    previous: BTreeMap<Key, (Change, Version)>,
     /// By the versions of the changes that took their places.
-    order: BTreeSet<(Version, Key)>,
+    by_successor: BTreeSet<(Version, Key)>,
     bytes: usize,
-    most: usize,
+    max_bytes: usize,
 }
 
-impl History {
+impl ChangeHistory {
     /// Of so many bytes at most; of more, those that were replaced first are forgotten.
-    pub fn new(most: usize) -> History {
-        History {
-            earlier: BTreeMap::new(),
-            order: BTreeSet::new(),
+    pub fn new(most: usize) -> ChangeHistory {
+        ChangeHistory {
+            previous: BTreeMap::new(),
+            by_successor: BTreeSet::new(),
             bytes: 0,
-            most,
+            max_bytes: most,
         }
     }
 
     /// A change has taken the place of an earlier one.
-    pub fn replaced(&mut self, old: &Change, new: &Change) {
+    pub fn record_replaced(&mut self, old: &Change, new: &Change) {
         self.forget(&new.key);
-        self.bytes += old.size();
-        self.earlier
+        self.bytes += old.size_bytes();
+        self.previous
             .insert(new.key.clone(), (old.clone(), new.version));
-        self.order.insert((new.version, new.key.clone()));
-        while self.bytes > self.most {
-            let Some((_, key)) = self.order.first().cloned() else {
+        self.by_successor.insert((new.version, new.key.clone()));
+        while self.bytes > self.max_bytes {
+            let Some((_, key)) = self.by_successor.first().cloned() else {
                 break;
             };
             self.forget(&key);
@@ -41,19 +41,19 @@
     }
 
     fn forget(&mut self, key: &Key) {
-        let Some((old, by)) = self.earlier.remove(key) else {
+        let Some((old, by)) = self.previous.remove(key) else {
             return;
         };
-        self.bytes -= old.size();
-        self.order.remove(&(by, key.clone()));
+        self.bytes -= old.size_bytes();
+        self.by_successor.remove(&(by, key.clone()));
     }
 
     /// What a change took the place of; none if that is no longer known.
-    pub fn before(&self, change: &Change) -> Option<Content> {
+    pub fn content_before(&self, change: &Change) -> Option<Content> {
         if change.replaces == Version::ZERO {
             return Some(Content::Removed);
         }
-        let (earlier, _) = self.earlier.get(&change.key)?;
+        let (earlier, _) = self.previous.get(&change.key)?;
         (earlier.version == change.replaces).then(|| earlier.content.clone())
     }
 }
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -32,7 +32,7 @@
 //! [`output::Output::Persist`] is on the disk before a later [`output::Output::Send`] leaves. Frames may be lost,
 //! repeated, delayed and overtaken. A driver that stood still reads what has come before it polls.
 //!
-//! An author holds the lease of the settings: [`author::Author::hold`] tells it until when, and
+//! An author holds the lease of the settings: [`author::Author::hold_lease`] tells it until when, and
 //! [`author::Author::publish`] writes by that lease's claim. A relay follows one of its `upstreams` (authors for the
 //! first relays, relays for the others) and serves children. A subscriber follows one of its relays; on
 //! [`output::Output::Apply`] the driver answers with `accepted` or `rejected`.
--- a/crates/distribution/src/link.rs
+++ b/crates/distribution/src/link.rs
@@ -9,34 +9,34 @@
 //! said before the frame was written, so the frame is no older than the reader's clock has gone on since, less the time
 //! that the writer held it.
 
-use crate::bucket::{Bucket, Budget, TRANSPORT_OVERHEAD};
-use crate::frame::FRAME_OVERHEAD;
+use crate::bucket::{Budget, TokenBucket, TRANSPORT_OVERHEAD_BYTES};
+use crate::frame::MAX_FRAME_OVERHEAD_BYTES;
 use crate::message::{self, Echo, Head, Payload};
 use crate::output::Output;
 use crate::peer::PeerId;
-use crate::session_end::Reason;
+use crate::session_end::CloseReason;
 use crate::{Time, DRIFT};
 
 /// A payload that was not acknowledged is sent again after so long, in seconds; then after twice as long each time.
-pub const REPEAT_AFTER: Time = 1.0;
+pub const RETRANSMIT_TIMEOUT: Time = 1.0;
 /// The longest time between two sendings, in seconds.
-pub const REPEAT_MOST: Time = 4.0;
+pub const MAX_RETRANSMIT_TIMEOUT: Time = 4.0;
 
 #[derive(Debug)]
 struct Outstanding {
     number: u64,
     frame: Vec<u8>,
     sent_at: Time,
-    wait: Time,
+    retransmit_after: Time,
 }
 
 /// What a frame's head says to its reader.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Arrival {
+pub struct FrameReceipt {
     /// The payload is the next one, or needs no order.
-    pub fresh: bool,
+    pub is_new: bool,
     /// How long the frame was under way at most, in seconds.
-    pub transit: Option<Time>,
+    pub max_transit: Option<Time>,
     /// Payloads of ours up to this one had come when it was written.
     pub acknowledged: u64,
 }
@@ -46,16 +46,16 @@
 pub struct Link {
     peer: PeerId,
     session: u64,
-    up: bool,
-    bucket: Bucket,
+    is_child: bool,
+    bucket: TokenBucket,
     budget: Budget,
-    sent: u64,
-    received: u64,
+    last_sent: u64,
+    last_received: u64,
     outstanding: Option<Outstanding>,
-    acknowledge: bool,
-    heard_clock: Option<(u64, Time)>,
-    heard_at: Time,
-    wrote_at: Time,
+    owes_acknowledgement: bool,
+    peer_clock: Option<(u64, Time)>,
+    last_received_at: Time,
+    last_sent_at: Time,
 }
 
 fn micros(time: Time) -> u64 {
@@ -68,32 +68,32 @@
         Link {
             peer,
             session,
-            up,
-            bucket: Bucket::new(budget, now),
+            is_child: up,
+            bucket: TokenBucket::new(budget, now),
             budget,
-            sent: 0,
-            received: 0,
+            last_sent: 0,
+            last_received: 0,
             outstanding: None,
-            acknowledge: false,
-            heard_clock: None,
-            heard_at: now,
-            wrote_at: now,
+            owes_acknowledgement: false,
+            peer_clock: None,
+            last_received_at: now,
+            last_sent_at: now,
         }
     }
 
     /// With the bucket of an earlier session: a new one brings no new budget.
-    pub fn with_bucket(mut self, bucket: Bucket) -> Link {
+    pub fn with_bucket(mut self, bucket: TokenBucket) -> Link {
         self.bucket = bucket;
         self
     }
 
     /// The bucket, for the next session with the same peer.
-    pub fn bucket(&self) -> &Bucket {
+    pub fn bucket(&self) -> &TokenBucket {
         &self.bucket
     }
 
     /// The same, to take from.
-    pub fn bucket_mut(&mut self) -> &mut Bucket {
+    pub fn bucket_mut(&mut self) -> &mut TokenBucket {
         &mut self.bucket
     }
 
@@ -108,46 +108,49 @@
     }
 
     /// When a frame of this session came last.
-    pub fn heard_at(&self) -> Time {
-        self.heard_at
+    pub fn last_received_at(&self) -> Time {
+        self.last_received_at
     }
 
     /// Whether a frame of this session has come.
     pub fn is_answered(&self) -> bool {
-        self.heard_clock.is_some()
+        self.peer_clock.is_some()
     }
 
     /// When a frame was written last.
-    pub fn wrote_at(&self) -> Time {
-        self.wrote_at
+    pub fn last_sent_at(&self) -> Time {
+        self.last_sent_at
     }
 
     /// Whether no payload is under way.
-    pub fn is_free(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.outstanding.is_none()
     }
 
     /// The number of the payload that was sent last.
-    pub fn sent(&self) -> u64 {
-        self.sent
+    pub fn last_sent(&self) -> u64 {
+        self.last_sent
     }
 
     /// The longest payload that the budget allows at all.
-    pub fn room_most(&self) -> usize {
-        self.budget.frame_most().saturating_sub(FRAME_OVERHEAD)
+    pub fn max_payload_bytes(&self) -> usize {
+        self.budget
+            .max_frame_bytes()
+            .saturating_sub(MAX_FRAME_OVERHEAD_BYTES)
     }
 
     /// The longest payload that the budget allows now.
-    pub fn room(&self, now: Time) -> usize {
-        let level = self.bucket.level(now) as usize;
+    pub fn available_payload_bytes(&self, now: Time) -> usize {
+        let level = self.bucket.available(now) as usize;
         level
-            .saturating_sub(FRAME_OVERHEAD + TRANSPORT_OVERHEAD)
-            .min(self.room_most())
+            .saturating_sub(MAX_FRAME_OVERHEAD_BYTES + TRANSPORT_OVERHEAD_BYTES)
+            .min(self.max_payload_bytes())
     }
 
     /// When a payload of so many bytes can be sent.
-    pub fn ready(&self, now: Time, payload: usize) -> Time {
-        self.bucket.ready(now, payload + FRAME_OVERHEAD)
+    pub fn ready_at(&self, now: Time, payload: usize) -> Time {
+        self.bucket
+            .ready_at(now, payload + MAX_FRAME_OVERHEAD_BYTES)
     }
 
     /// Takes a frame's head in.
@@ -155,19 +158,19 @@
     /// # Errors
     /// If the peer is in another session, or in another state of it: a repeated beginning can bring a session back that had
     /// ended.
-    pub fn take(&mut self, now: Time, head: &Head) -> Result<Arrival, Reason> {
-        if head.session != self.session || head.up == self.up {
-            return Err(Reason::Unknown);
+    pub fn accept(&mut self, now: Time, head: &Head) -> Result<FrameReceipt, CloseReason> {
+        if head.session != self.session || head.from_child == self.is_child {
+            return Err(CloseReason::UnknownSession);
         }
-        if head.acknowledged > self.sent || head.number > self.received + 1 {
-            return Err(Reason::Unknown);
+        if head.acknowledged > self.last_sent || head.number > self.last_received + 1 {
+            return Err(CloseReason::UnknownSession);
         }
-        self.heard_at = self.heard_at.max(now);
+        self.last_received_at = self.last_received_at.max(now);
         if self
-            .heard_clock
-            .is_none_or(|(stamp, _)| stamp < head.stamp_us)
+            .peer_clock
+            .is_none_or(|(stamp, _)| stamp < head.sent_at_us)
         {
-            self.heard_clock = Some((head.stamp_us, now));
+            self.peer_clock = Some((head.sent_at_us, now));
         }
         if self
             .outstanding
@@ -176,68 +179,78 @@
         {
             self.outstanding = None;
         }
-        let next = head.number == self.received + 1;
+        let next = head.number == self.last_received + 1;
         if next {
-            self.received = head.number;
+            self.last_received = head.number;
         }
-        self.acknowledge |= head.number > 0;
-        let transit = head.echo.and_then(|echo| transit(now, echo));
-        Ok(Arrival {
-            fresh: next || head.number == 0,
-            transit,
+        self.owes_acknowledgement |= head.number > 0;
+        let transit = head.echo.and_then(|echo| max_transit_time(now, echo));
+        Ok(FrameReceipt {
+            is_new: next || head.number == 0,
+            max_transit: transit,
             acknowledged: head.acknowledged,
         })
     }
 
     fn head(&self, now: Time, number: u64) -> Head {
-        let echo = self.heard_clock.map(|(stamp_us, at)| Echo {
+        let echo = self.peer_clock.map(|(stamp_us, at)| Echo {
             stamp_us,
-            held_us: micros(now - at),
+            elapsed_us: micros(now - at),
         });
         Head {
             session: self.session,
-            up: self.up,
+            from_child: self.is_child,
             number,
-            acknowledged: self.received,
-            stamp_us: micros(now),
+            acknowledged: self.last_received,
+            sent_at_us: micros(now),
             echo,
         }
     }
 
     /// Sends a payload that is to be acknowledged; whether it went. Only one is under way at a time.
-    pub fn send(&mut self, now: Time, payload: &Payload, outputs: &mut Vec<Output>) -> bool {
-        if !self.is_free() {
+    pub fn send_reliable(
+        &mut self,
+        now: Time,
+        payload: &Payload,
+        outputs: &mut Vec<Output>,
+    ) -> bool {
+        if !self.is_idle() {
             return false;
         }
-        let number = self.sent + 1;
+        let number = self.last_sent + 1;
         let frame = message::encode(&self.head(now, number), payload);
         if !self.bucket.take(now, frame.len()) {
             return false;
         }
-        self.sent = number;
+        self.last_sent = number;
         self.outstanding = Some(Outstanding {
             number,
             frame: frame.clone(),
             sent_at: now,
-            wait: REPEAT_AFTER,
+            retransmit_after: RETRANSMIT_TIMEOUT,
         });
-        self.write(now, frame, outputs);
+        self.push_frame(now, frame, outputs);
         true
     }
 
     /// Sends a payload that needs no acknowledgement; whether it went.
-    pub fn say(&mut self, now: Time, payload: &Payload, outputs: &mut Vec<Output>) -> bool {
+    pub fn send_unreliable(
+        &mut self,
+        now: Time,
+        payload: &Payload,
+        outputs: &mut Vec<Output>,
+    ) -> bool {
         let frame = message::encode(&self.head(now, 0), payload);
         let goes = self.bucket.take(now, frame.len());
         if goes {
-            self.write(now, frame, outputs);
+            self.push_frame(now, frame, outputs);
         }
         goes
     }
 
-    fn write(&mut self, now: Time, frame: Vec<u8>, outputs: &mut Vec<Output>) {
-        self.acknowledge = false;
-        self.wrote_at = now;
+    fn push_frame(&mut self, now: Time, frame: Vec<u8>, outputs: &mut Vec<Output>) {
+        self.owes_acknowledgement = false;
+        self.last_sent_at = now;
         outputs.push(Output::Send {
             to: self.peer,
             frame,
@@ -245,41 +258,42 @@
     }
 
     /// Sends an acknowledgement, if one is due and nothing else has brought it.
-    pub fn flush(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        if self.acknowledge {
-            self.say(now, &Payload::Acknowledge, outputs);
+    pub fn flush_acknowledgement(&mut self, now: Time, outputs: &mut Vec<Output>) {
+        if self.owes_acknowledgement {
+            self.send_unreliable(now, &Payload::Acknowledge, outputs);
         }
     }
 
     /// Sends a payload again that has not been acknowledged in time.
-    pub fn flush_repeats(&mut self, now: Time, outputs: &mut Vec<Output>) {
+    pub fn retransmit_if_due(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let Some(outstanding) = &mut self.outstanding else {
             return;
         };
-        if now < outstanding.sent_at + outstanding.wait {
+        if now < outstanding.sent_at + outstanding.retransmit_after {
             return;
         }
         if !self.bucket.take(now, outstanding.frame.len()) {
             return;
         }
         outstanding.sent_at = now;
-        outstanding.wait = (2.0 * outstanding.wait).min(REPEAT_MOST);
+        outstanding.retransmit_after =
+            (2.0 * outstanding.retransmit_after).min(MAX_RETRANSMIT_TIMEOUT);
         let frame = outstanding.frame.clone();
-        self.wrote_at = now;
+        self.last_sent_at = now;
         outputs.push(Output::Send {
             to: self.peer,
             frame,
         });
     }
 
-    /// When [`Link::flush`] or [`Link::flush_repeats`] has something to do.
+    /// When [`Link::flush_acknowledgement`] or [`Link::retransmit_if_due`] has something to do.
     pub fn next_wakeup(&self, now: Time) -> Time {
         let repeat = self.outstanding.as_ref().map_or(f64::INFINITY, |o| {
-            let due = o.sent_at + o.wait;
-            due.max(self.bucket.ready(now.max(due), o.frame.len()))
+            let due = o.sent_at + o.retransmit_after;
+            due.max(self.bucket.ready_at(now.max(due), o.frame.len()))
         });
-        let acknowledge = if self.acknowledge {
-            self.ready(now, 0)
+        let acknowledge = if self.owes_acknowledgement {
+            self.ready_at(now, 0)
         } else {
             f64::INFINITY
         };
@@ -288,8 +302,8 @@
 }
 
 /// How long a frame that holds this can have been under way at most, in seconds; `None` if that can't be told.
-pub fn transit(now: Time, echo: Echo) -> Option<Time> {
+pub fn max_transit_time(now: Time, echo: Echo) -> Option<Time> {
     let since = now - echo.stamp_us as f64 / 1e6;
-    let held = echo.held_us as f64 / 1e6;
+    let held = echo.elapsed_us as f64 / 1e6;
     (since >= 0.0).then(|| (since / (1.0 - DRIFT) - held / (1.0 + DRIFT)).max(0.0))
 }
--- a/crates/distribution/src/log.rs
+++ b/crates/distribution/src/log.rs
@@ -2,7 +2,7 @@
 //!
 //! A later change of a key takes the place of the earlier one, so the log is as long as there are resources, and what a
 //! peer lacks since a version is what stands in the log above it. Removals stay until there are too many; the versions of
-//! those that were forgotten are below [`Log::floor`].
+//! those that were forgotten are below [`ChangeLog::pruned_through`].
 
 use crate::coverage::Coverage;
 use crate::resource::{Change, Key, Selector, Urgency, Version};
@@ -11,160 +11,160 @@
 
 /// How much a log holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Room {
+pub struct Capacity {
     /// Most keys.
-    pub keys: usize,
-    /// Most bytes, as [`Change::size`] counts them.
-    pub bytes: usize,
+    pub max_keys: usize,
+    /// Most bytes, as [`Change::size_bytes`] counts them.
+    pub max_bytes: usize,
     /// Most removals; of more, the earliest are forgotten.
-    pub removals: usize,
+    pub max_tombstones: usize,
 }
 
-impl Room {
+impl Capacity {
     /// On a control machine, for 640,000 resources.
-    pub const CONTROL: Room = Room {
-        keys: 2_000_000,
-        bytes: 1 << 30,
-        removals: 100_000,
+    pub const CONTROL: Capacity = Capacity {
+        max_keys: 2_000_000,
+        max_bytes: 1 << 30,
+        max_tombstones: 100_000,
     };
     /// At a node.
-    pub const NODE: Room = Room {
-        keys: 200_000,
-        bytes: 24 << 20,
-        removals: 10_000,
+    pub const NODE: Capacity = Capacity {
+        max_keys: 200_000,
+        max_bytes: 24 << 20,
+        max_tombstones: 10_000,
     };
 }
 
 /// What became of a change that was put in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Put {
+pub enum PutOutcome {
     /// It is the latest of its key.
-    Taken,
+    Stored,
     /// This one, or a later one, was there.
-    Old,
+    Outdated,
     /// There is no room.
-    Full,
+    CapacityExceeded,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Index {
-    all: BTreeMap<Version, Key>,
+    versions: BTreeMap<Version, Key>,
     urgent: BTreeSet<Version>,
 }
 
 impl Index {
     fn add(&mut self, change: &Change) {
-        self.all.insert(change.version, change.key.clone());
+        self.versions.insert(change.version, change.key.clone());
         if change.urgency == Urgency::Urgent {
             self.urgent.insert(change.version);
         }
     }
 
     fn remove(&mut self, version: Version) {
-        self.all.remove(&version);
+        self.versions.remove(&version);
         self.urgent.remove(&version);
     }
 }
 
 /// See the module.
 #[derive(Clone, Debug)]
-pub struct Log {
-    room: Room,
+pub struct ChangeLog {
+    capacity: Capacity,
     changes: BTreeMap<Key, Change>,
-    every: Index,
+    all_keys: Index,
     /// By what can be asked for.
-    parts: BTreeMap<Selector, Index>,
-    removals: BTreeSet<Version>,
+    by_selector: BTreeMap<Selector, Index>,
+    tombstones: BTreeSet<Version>,
     bytes: usize,
-    floor: Version,
+    pruned_through: Version,
 }
 
-impl Log {
+impl ChangeLog {
     /// An empty one.
-    pub fn new(room: Room) -> Log {
-        Log {
-            room,
+    pub fn new(room: Capacity) -> ChangeLog {
+        ChangeLog {
+            capacity: room,
             changes: BTreeMap::new(),
-            every: Index::default(),
-            parts: BTreeMap::new(),
-            removals: BTreeSet::new(),
+            all_keys: Index::default(),
+            by_selector: BTreeMap::new(),
+            tombstones: BTreeSet::new(),
             bytes: 0,
-            floor: Version::ZERO,
+            pruned_through: Version::ZERO,
         }
     }
 
     /// Puts a change in, if it is the latest of its key.
-    pub fn put(&mut self, change: Change) -> Put {
+    pub fn put(&mut self, change: Change) -> PutOutcome {
         let old = self.changes.get(&change.key);
         if old.is_some_and(|old| old.version >= change.version) {
-            return Put::Old;
+            return PutOutcome::Outdated;
         }
-        let old_bytes = old.map_or(0, Change::size);
-        let bytes = self.bytes - old_bytes + change.size();
+        let old_bytes = old.map_or(0, Change::size_bytes);
+        let bytes = self.bytes - old_bytes + change.size_bytes();
         let keys = self.changes.len() + usize::from(old.is_none());
-        if bytes > self.room.bytes || keys > self.room.keys {
-            return Put::Full;
+        if bytes > self.capacity.max_bytes || keys > self.capacity.max_keys {
+            return PutOutcome::CapacityExceeded;
         }
-        self.take_out(&change.key);
-        self.bytes += change.size();
-        self.every.add(&change);
-        for selector in parts_of(&change.key) {
-            self.parts.entry(selector).or_default().add(&change);
+        self.remove(&change.key);
+        self.bytes += change.size_bytes();
+        self.all_keys.add(&change);
+        for selector in narrow_selectors(&change.key) {
+            self.by_selector.entry(selector).or_default().add(&change);
         }
-        if change.removes() {
-            self.removals.insert(change.version);
+        if change.is_removal() {
+            self.tombstones.insert(change.version);
         }
         self.changes.insert(change.key.clone(), change);
-        Put::Taken
+        PutOutcome::Stored
     }
 
     /// Takes a key out, with its change.
-    pub fn take_out(&mut self, key: &Key) -> Option<Change> {
+    pub fn remove(&mut self, key: &Key) -> Option<Change> {
         let change = self.changes.remove(key)?;
-        self.bytes -= change.size();
-        self.every.remove(change.version);
-        self.removals.remove(&change.version);
-        for selector in parts_of(key) {
+        self.bytes -= change.size_bytes();
+        self.all_keys.remove(change.version);
+        self.tombstones.remove(&change.version);
+        for selector in narrow_selectors(key) {
             self.remove_from(&selector, change.version);
         }
         Some(change)
     }
 
     fn remove_from(&mut self, selector: &Selector, version: Version) {
-        let Some(index) = self.parts.get_mut(selector) else {
+        let Some(index) = self.by_selector.get_mut(selector) else {
             return;
         };
         index.remove(version);
-        if index.all.is_empty() {
-            self.parts.remove(selector);
+        if index.versions.is_empty() {
+            self.by_selector.remove(selector);
         }
     }
 
     /// Forgets the earliest removals of which there are too many; says which keys.
-    pub fn forget_removals(&mut self) -> Vec<Key> {
+    pub fn prune_tombstones(&mut self) -> Vec<Key> {
         let mut forgotten = Vec::new();
-        while self.removals.len() > self.room.removals {
-            let Some(version) = self.removals.first().copied() else {
+        while self.tombstones.len() > self.capacity.max_tombstones {
+            let Some(version) = self.tombstones.first().copied() else {
                 break;
             };
-            let Some(key) = self.every.all.get(&version).cloned() else {
+            let Some(key) = self.all_keys.versions.get(&version).cloned() else {
                 break;
             };
-            self.take_out(&key);
-            self.floor = self.floor.max(version);
+            self.remove(&key);
+            self.pruned_through = self.pruned_through.max(version);
             forgotten.push(key);
         }
         forgotten
     }
 
     /// Removals up to this version may have been forgotten.
-    pub fn floor(&self) -> Version {
-        self.floor
+    pub fn pruned_through(&self) -> Version {
+        self.pruned_through
     }
 
     /// Raises the floor: removals up to there are not known here.
-    pub fn raise_floor(&mut self, floor: Version) {
-        self.floor = self.floor.max(floor);
+    pub fn raise_pruned_through(&mut self, floor: Version) {
+        self.pruned_through = self.pruned_through.max(floor);
     }
 
     /// The latest change of a key.
@@ -173,8 +173,8 @@
     }
 
     /// The change of a version, if it is still the latest of its key.
-    pub fn at(&self, version: Version) -> Option<&Change> {
-        self.changes.get(self.every.all.get(&version)?)
+    pub fn get_version(&self, version: Version) -> Option<&Change> {
+        self.changes.get(self.all_keys.versions.get(&version)?)
     }
 
     /// How many keys there are.
@@ -193,9 +193,9 @@
     }
 
     /// The greatest version in it.
-    pub fn top(&self) -> Version {
-        self.every
-            .all
+    pub fn last_version(&self) -> Version {
+        self.all_keys
+            .versions
             .last_key_value()
             .map_or(Version::ZERO, |(version, _)| *version)
     }
@@ -207,37 +207,41 @@
 
     fn index(&self, selector: &Selector) -> Option<&Index> {
         match selector {
-            Selector::Everything => Some(&self.every),
-            part => self.parts.get(part),
+            Selector::Everything => Some(&self.all_keys),
+            part => self.by_selector.get(part),
         }
     }
 
     /// The latest urgent change of a selector that is not covered.
-    pub fn newest_urgent(&self, selector: &Selector, coverage: &Coverage) -> Option<Version> {
+    pub fn newest_uncovered_urgent(
+        &self,
+        selector: &Selector,
+        coverage: &Coverage,
+    ) -> Option<Version> {
         let index = self.index(selector)?;
         let below = |bound: Version| index.urgent.range(..=bound).next_back().copied();
         newest_uncovered(coverage, index.urgent.last().copied(), below)
     }
 
     /// The latest change of a selector that is not covered.
-    pub fn newest(&self, selector: &Selector, coverage: &Coverage) -> Option<Version> {
+    pub fn newest_uncovered(&self, selector: &Selector, coverage: &Coverage) -> Option<Version> {
         let index = self.index(selector)?;
         let below = |bound: Version| {
             index
-                .all
+                .versions
                 .range(..=bound)
                 .next_back()
                 .map(|(version, _)| *version)
         };
         newest_uncovered(
             coverage,
-            index.all.last_key_value().map(|(version, _)| *version),
+            index.versions.last_key_value().map(|(version, _)| *version),
             below,
         )
     }
 
     /// The latest change of a selector before a version that is not covered.
-    pub fn newest_before(
+    pub fn newest_uncovered_before(
         &self,
         selector: &Selector,
         coverage: &Coverage,
@@ -246,36 +250,40 @@
         let index = self.index(selector)?;
         let below = |bound: Version| {
             index
-                .all
+                .versions
                 .range(..=bound)
                 .next_back()
                 .map(|(version, _)| *version)
         };
-        newest_uncovered(coverage, self.earlier(selector, version), below)
+        newest_uncovered(coverage, self.previous_version(selector, version), below)
     }
 
     /// The earliest change of a selector after a version that is not covered.
-    pub fn oldest_after(
+    pub fn oldest_uncovered_after(
         &self,
         selector: &Selector,
         coverage: &Coverage,
         version: Version,
     ) -> Option<Version> {
-        let mut version = self.later(selector, version)?;
-        while let Some(span) = coverage.span_of(version) {
-            version = self.later(selector, span.upto)?;
+        let mut version = self.next_version(selector, version)?;
+        while let Some(span) = coverage.span_containing(version) {
+            version = self.next_version(selector, span.through)?;
         }
         Some(version)
     }
 
     /// The latest change of a selector before a version.
-    pub fn earlier(&self, selector: &Selector, version: Version) -> Option<Version> {
-        let (earlier, _) = self.index(selector)?.all.range(..version).next_back()?;
+    pub fn previous_version(&self, selector: &Selector, version: Version) -> Option<Version> {
+        let (earlier, _) = self
+            .index(selector)?
+            .versions
+            .range(..version)
+            .next_back()?;
         Some(*earlier)
     }
 
     /// The earliest change of a selector after a version.
-    pub fn later(&self, selector: &Selector, version: Version) -> Option<Version> {
+    pub fn next_version(&self, selector: &Selector, version: Version) -> Option<Version> {
         self.keys_after(selector, version)
             .next()
             .map(|(later, _)| later)
@@ -288,7 +296,9 @@
         after: Version,
     ) -> impl Iterator<Item = (Version, &'a Key)> + 'a {
         let range = (Bound::Excluded(after), Bound::Unbounded);
-        let keys = self.index(selector).map(|index| index.all.range(range));
+        let keys = self
+            .index(selector)
+            .map(|index| index.versions.range(range));
         keys.into_iter()
             .flatten()
             .map(|(version, key)| (*version, key))
@@ -296,8 +306,8 @@
 }
 
 /// The selectors but [`Selector::Everything`] that hold a key.
-fn parts_of(key: &Key) -> impl Iterator<Item = Selector> {
-    Selector::all_of(&key.name.group)
+fn narrow_selectors(key: &Key) -> impl Iterator<Item = Selector> {
+    Selector::all_matching(&key.name.group)
         .into_iter()
         .filter(|selector| *selector != Selector::Everything)
 }
@@ -309,7 +319,7 @@
     below: impl Fn(Version) -> Option<Version>,
 ) -> Option<Version> {
     let mut version = last?;
-    while let Some(span) = coverage.span_of(version) {
+    while let Some(span) = coverage.span_containing(version) {
         version = below(span.after)?;
     }
     Some(version)
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -9,18 +9,18 @@
 
 use crate::coverage::{Coverage, Span};
 use crate::epoch::Epoch;
-use crate::frame::FRAME_MOST;
+use crate::frame::MAX_FRAME_BYTES;
 use crate::peer::PeerId;
 use crate::report::Report;
-use crate::resource::{Change, ContentHash, Key, Part, Selector, Urgency, Version};
-use crate::session_end::Reason;
+use crate::resource::{Change, ContentHash, Key, NodeFraction, Selector, Urgency, Version};
+use crate::session_end::CloseReason;
 use serde::{Deserialize, Serialize};
 
 /// Most keys in one [`Payload::Manifest`].
-pub const MANIFEST_KEYS: usize = 256;
+pub const MAX_MANIFEST_KEYS: usize = 256;
 
 const MAGIC: [u8; 3] = *b"rD\x01";
-const SUM: usize = 8;
+const CHECKSUM_BYTES: usize = 8;
 
 /// What a writer has heard last of its reader's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -28,7 +28,7 @@
     /// The moment, in microseconds of the reader's clock.
     pub stamp_us: u64,
     /// How long ago the writer heard it, in microseconds of the writer's clock, rounded down.
-    pub held_us: u64,
+    pub elapsed_us: u64,
 }
 
 /// What every frame begins with.
@@ -37,13 +37,13 @@
     /// The session, as the child named it.
     pub session: u64,
     /// Written by the child.
-    pub up: bool,
+    pub from_child: bool,
     /// The number of this payload, from 1; 0 for one that needs no acknowledgement.
     pub number: u64,
     /// All payloads of the reader up to this one have come.
     pub acknowledged: u64,
     /// The writer's clock, in microseconds.
-    pub stamp_us: u64,
+    pub sent_at_us: u64,
     /// What the writer heard last of the reader's clock.
     pub echo: Option<Echo>,
 }
@@ -58,9 +58,9 @@
     /// The change's urgency.
     pub urgency: Urgency,
     /// Sent before other changes. One body of this kind and one of the other may be under way.
-    pub express: bool,
+    pub is_urgent: bool,
     /// The change's part of the nodes.
-    pub part: Part,
+    pub fraction: NodeFraction,
     /// The version that the change replaces.
     pub replaces: Version,
     /// The body's length.
@@ -83,7 +83,7 @@
     /// What the child has of it already.
     pub coverage: Coverage,
     /// Removals up to here are known to the child.
-    pub floor: Version,
+    pub removals_known: Version,
     /// The child has changes of it, whatever it covers: it has to hear of all removals since.
     pub has_changes: bool,
 }
@@ -96,7 +96,7 @@
     /// A child begins a session.
     Open {
         /// Whether it needs changes for other nodes than itself, as relays and authors do.
-        relay: bool,
+        is_relay: bool,
     },
     /// A child asks for more.
     Subscribe(Vec<Subscribe>),
@@ -107,9 +107,9 @@
     /// The session is over, or was never there.
     Close {
         /// Why.
-        why: Reason,
+        reason: CloseReason,
         /// When to come back at the earliest, in milliseconds.
-        rest_ms: u32,
+        retry_after_ms: u32,
     },
     /// Who the author is.
     Epoch(Epoch),
@@ -152,7 +152,7 @@
         /// The writer knows all removals up to this version, and has told them.
         removals: Version,
         /// Removals up to this version may not be told any more.
-        floor: Version,
+        pruned_through: Version,
         /// The age of the writer's own knowledge at most, in microseconds; none if it can't tell.
         age_us: Option<u64>,
     },
@@ -161,9 +161,9 @@
 /// The bytes of a frame.
 pub fn encode(head: &Head, payload: &Payload) -> Vec<u8> {
     let body = postcard::to_allocvec(&(head, payload)).unwrap_or_default();
-    let mut frame = Vec::with_capacity(MAGIC.len() + SUM + body.len());
+    let mut frame = Vec::with_capacity(MAGIC.len() + CHECKSUM_BYTES + body.len());
     frame.extend_from_slice(&MAGIC);
-    frame.extend_from_slice(&blake3::hash(&body).as_bytes()[..SUM]);
+    frame.extend_from_slice(&blake3::hash(&body).as_bytes()[..CHECKSUM_BYTES]);
     frame.extend_from_slice(&body);
     frame
 }
@@ -182,7 +182,7 @@
 }
 
 /// Reads a frame that has come; none if it is not one.
-pub fn read(from: PeerId, frame: &[u8]) -> Option<Received> {
+pub fn parse(from: PeerId, frame: &[u8]) -> Option<Received> {
     let (head, payload) = decode(frame)?;
     Some(Received {
         from,
@@ -194,12 +194,12 @@
 
 /// Reads a frame; none if it is not one.
 pub fn decode(frame: &[u8]) -> Option<(Head, Payload)> {
-    if frame.len() > FRAME_MOST {
+    if frame.len() > MAX_FRAME_BYTES {
         return None;
     }
     let rest = frame.strip_prefix(&MAGIC)?;
-    let (sum, body) = rest.split_at_checked(SUM)?;
-    if &blake3::hash(body).as_bytes()[..SUM] != sum {
+    let (sum, body) = rest.split_at_checked(CHECKSUM_BYTES)?;
+    if &blake3::hash(body).as_bytes()[..CHECKSUM_BYTES] != sum {
         return None;
     }
     postcard::from_bytes(body).ok()
--- a/crates/distribution/src/output.rs
+++ b/crates/distribution/src/output.rs
@@ -6,7 +6,7 @@
 use crate::resource::{Change, Key, Name, Selector, Version};
 use crate::rollout::record::RolloutState;
 use crate::rollout::stage::StageCounts;
-use crate::session_end::Reason;
+use crate::session_end::CloseReason;
 use serde::{Deserialize, Serialize};
 
 /// Something to be done. Outputs are done in their order.
@@ -34,13 +34,13 @@
     /// A change; it replaces earlier ones with its key.
     Put(Change),
     /// What is now in force at a node; `key.slot` says nothing. A removal: the resource is no longer in force.
-    InForce(Change),
+    Applied(Change),
     /// What is in force of a resource is what it is to be at this version, too.
     Confirmed(Name, Version),
     /// A removal that is no longer kept, and a snapshot's word that a key is no more.
     Forget(Key),
     /// Removals up to this version may have been forgotten.
-    Floor(Version),
+    PrunedThrough(Version),
     /// Who the author is, as an author or a relay has heard last.
     Epoch(Epoch),
     /// So much of what a selector holds has been stored.
@@ -50,7 +50,7 @@
         /// Which versions.
         coverage: Coverage,
         /// All removals up to this version are known.
-        floor: Version,
+        removals_known: Version,
     },
     /// The selector is no longer subscribed; what is gone by that is said beside.
     Unsubscribed(Selector),
@@ -66,14 +66,14 @@
         /// Which.
         upstream: PeerId,
         /// Why.
-        why: Reason,
+        reason: CloseReason,
     },
     /// A child's session was ended.
     ChildLost {
         /// Which.
         child: PeerId,
         /// Why.
-        why: Reason,
+        reason: CloseReason,
     },
     /// A change of ours that the present author does not have: it was taken back.
     Orphaned {
@@ -83,7 +83,7 @@
         version: Version,
     },
     /// A change was not taken, for lack of room.
-    Full {
+    CapacityExceeded {
         /// Of which key.
         key: Key,
         /// Which change.
