--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -1,14 +1,14 @@
 //! A relay: follows an author or another relay, and serves its children from what it has.
 
 use crate::coverage::Coverage;
-use crate::downstream::{Downstream, ServeRules};
-use crate::follow::FollowRules;
-use crate::log::{Log, Room};
+use crate::downstream::{Downstream, DownstreamConfig};
+use crate::follow::UpstreamConfig;
+use crate::log::{Capacity, ChangeLog};
 use crate::message;
 use crate::output::{Output, Record};
 use crate::peer::PeerId;
 use crate::replica::Replica;
-use crate::restore::Restored;
+use crate::restore::RestoredState;
 use crate::upstream::Upstream;
 use crate::Time;
 use reelfall_lease::token::LeaseName;
@@ -19,11 +19,11 @@
     /// The lease of those who write.
     pub lease: LeaseName,
     /// Whom it follows.
-    pub follow: FollowRules,
+    pub upstream: UpstreamConfig,
     /// How it serves.
-    pub serve: ServeRules,
+    pub downstream: DownstreamConfig,
     /// How much it holds.
-    pub room: Room,
+    pub capacity: Capacity,
     /// For what is drawn, sessions' numbers among it: another one at each start.
     pub seed: u64,
 }
@@ -33,14 +33,14 @@
 pub struct Relay {
     replica: Replica,
     downstream: Downstream,
-    was_whole: bool,
+    was_contiguous: bool,
     clock: Time,
 }
 
 impl Relay {
     /// One that begins without records.
     pub fn new(config: RelayConfig, now: Time) -> Relay {
-        let restored = Restored::empty(config.room);
+        let restored = RestoredState::empty(config.capacity);
         Relay::from_restored(config, restored, now)
     }
 
@@ -50,25 +50,26 @@
         records: impl IntoIterator<Item = Record>,
         now: Time,
     ) -> Relay {
-        let restored = Restored::read(config.room, records);
+        let restored = RestoredState::from_records(config.capacity, records);
         Relay::from_restored(config, restored, now)
     }
 
-    fn from_restored(config: RelayConfig, mut restored: Restored, now: Time) -> Relay {
-        let upstream = Upstream::new(config.follow, config.lease, config.seed, now);
+    fn from_restored(config: RelayConfig, mut restored: RestoredState, now: Time) -> Relay {
+        let upstream = Upstream::new(config.upstream, config.lease, config.seed, now);
         let replica = Replica::new(upstream, &mut restored);
-        let was_whole = replica.coverage().is_whole();
-        let downstream = Downstream::new(config.serve, crate::chance::mix(config.seed), now);
+        let was_whole = replica.coverage().is_contiguous();
+        let downstream =
+            Downstream::new(config.downstream, crate::chance::mix_bits(config.seed), now);
         Relay {
             replica,
             downstream,
-            was_whole,
+            was_contiguous: was_whole,
             clock: now,
         }
     }
 
     /// What it has.
-    pub fn log(&self) -> &Log {
+    pub fn log(&self) -> &ChangeLog {
         &self.replica.log
     }
 
@@ -89,34 +90,34 @@
 
     /// How old at most is what it has, in seconds; none if that can't be told.
     pub fn staleness(&self, now: Time) -> Option<Time> {
-        self.replica.age(now)
+        self.replica.staleness(now)
     }
 
     /// Takes a frame in; any bytes.
     pub fn receive(&mut self, now: Time, from: PeerId, frame: &[u8], outputs: &mut Vec<Output>) {
         self.clock = self.clock.max(now);
-        let Some(received) = message::read(from, frame) else {
+        let Some(received) = message::parse(from, frame) else {
             return;
         };
-        if received.head.up {
-            let source = self.replica.source(now);
+        if received.head.from_child {
+            let source = self.replica.view(now);
             let reports = self.downstream.receive(now, received, source, outputs);
             for report in reports {
-                self.replica.upstream.report(report);
+                self.replica.upstream.queue_report(report);
             }
             return;
         }
         let heard = self.replica.upstream.receive(now, received, outputs);
         let Some(heard) = heard else { return };
-        let update = self.replica.take(now, heard, outputs);
-        let source = self.replica.source(now);
+        let update = self.replica.apply_event(now, heard, outputs);
+        let source = self.replica.view(now);
         for key in &update.keys {
-            self.downstream.changed(now, key, source);
+            self.downstream.notify_changed(now, key, source);
         }
-        let now_whole = source.whole && !self.was_whole;
-        self.was_whole = source.whole;
-        if update.epoch || now_whole {
-            self.downstream.wake_all(now);
+        let now_whole = source.is_contiguous && !self.was_contiguous;
+        self.was_contiguous = source.is_contiguous;
+        if update.has_new_epoch || now_whole {
+            self.downstream.schedule_all(now);
         }
     }
 
@@ -124,7 +125,7 @@
     pub fn poll(&mut self, now: Time, outputs: &mut Vec<Output>) {
         self.clock = self.clock.max(now);
         self.replica.upstream.poll(now, outputs);
-        self.downstream.poll(now, self.replica.source(now), outputs);
+        self.downstream.poll(now, self.replica.view(now), outputs);
     }
 
     /// When [`Relay::poll`] is to be called.
--- a/crates/distribution/src/report/refusals.rs
+++ b/crates/distribution/src/report/refusals.rs
@@ -10,21 +10,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Most refusals that are kept of one node; of more, those of the earliest versions go.
-pub const OF_NODE_MOST: usize = 16;
+pub const MAX_REJECTIONS_PER_NODE: usize = 16;
 /// Most refusals that are kept of all nodes; of more, those of the earliest versions go.
-pub const REFUSALS_MOST: usize = 4096;
+pub const MAX_REJECTIONS: usize = 4096;
 
 /// The latest refusal of each node and key.
 #[derive(Debug, Default)]
-pub(crate) struct Refusals {
-    of_node: BTreeMap<PeerId, BTreeMap<Key, (Version, String)>>,
-    order: BTreeSet<(Version, PeerId, Key)>,
+pub(crate) struct RejectionHistory {
+    by_node: BTreeMap<PeerId, BTreeMap<Key, (Version, String)>>,
+    by_version: BTreeSet<(Version, PeerId, Key)>,
 }
 
-impl Refusals {
+impl RejectionHistory {
     /// Keeps a refusal; other reports are left.
     pub fn add(&mut self, report: &Report) {
-        let Report::Refused {
+        let Report::Rejected {
             node,
             key,
             version,
@@ -33,24 +33,24 @@
         else {
             return;
         };
-        let of_node = self.of_node.entry(*node).or_default();
+        let of_node = self.by_node.entry(*node).or_default();
         if let Some((known, _)) = of_node.get(key) {
             if known >= version {
                 return;
             }
-            self.order.remove(&(*known, *node, key.clone()));
+            self.by_version.remove(&(*known, *node, key.clone()));
         }
         of_node.insert(key.clone(), (*version, reason.clone()));
-        self.order.insert((*version, *node, key.clone()));
-        self.forget_earliest_of(*node);
-        self.forget_earliest();
+        self.by_version.insert((*version, *node, key.clone()));
+        self.evict_oldest_of(*node);
+        self.evict_oldest();
     }
 
-    fn forget_earliest_of(&mut self, node: PeerId) {
+    fn evict_oldest_of(&mut self, node: PeerId) {
         let Some(of_node) = self
-            .of_node
+            .by_node
             .get(&node)
-            .filter(|of_node| of_node.len() > OF_NODE_MOST)
+            .filter(|of_node| of_node.len() > MAX_REJECTIONS_PER_NODE)
         else {
             return;
         };
@@ -59,33 +59,33 @@
         else {
             return;
         };
-        self.forget((version, node, key));
+        self.remove((version, node, key));
     }
 
-    fn forget_earliest(&mut self) {
-        if self.order.len() > REFUSALS_MOST {
-            if let Some(earliest) = self.order.first().cloned() {
-                self.forget(earliest);
+    fn evict_oldest(&mut self) {
+        if self.by_version.len() > MAX_REJECTIONS {
+            if let Some(earliest) = self.by_version.first().cloned() {
+                self.remove(earliest);
             }
         }
     }
 
-    fn forget(&mut self, entry: (Version, PeerId, Key)) {
-        self.order.remove(&entry);
+    fn remove(&mut self, entry: (Version, PeerId, Key)) {
+        self.by_version.remove(&entry);
         let (_, node, key) = entry;
-        if let Some(of_node) = self.of_node.get_mut(&node) {
+        if let Some(of_node) = self.by_node.get_mut(&node) {
             of_node.remove(&key);
             if of_node.is_empty() {
-                self.of_node.remove(&node);
+                self.by_node.remove(&node);
             }
         }
     }
 
     /// All of them, by version.
     pub fn all(&self) -> impl Iterator<Item = Report> + '_ {
-        self.order.iter().filter_map(|(version, node, key)| {
-            let (_, reason) = self.of_node.get(node)?.get(key)?;
-            Some(Report::Refused {
+        self.by_version.iter().filter_map(|(version, node, key)| {
+            let (_, reason) = self.by_node.get(node)?.get(key)?;
+            Some(Report::Rejected {
                 node: *node,
                 key: key.clone(),
                 version: *version,
--- a/crates/distribution/src/resource.rs
+++ b/crates/distribution/src/resource.rs
@@ -6,20 +6,20 @@
 use thiserror::Error;
 
 /// Longest name of a group or of an item, in bytes.
-pub const NAME_MOST: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// Longest body, in bytes.
-pub const BODY_MOST: usize = 256 * 1024;
+pub const MAX_BODY_BYTES: usize = 256 * 1024;
 /// A stage that holds every node.
-pub const WHOLE: u16 = 1000;
+pub const ALL_NODES_THOUSANDTHS: u16 = 1000;
 
 /// What a name can't be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum BadName {
+pub enum InvalidName {
     /// It is empty.
     #[error("a resource's name is empty")]
     Empty,
     /// It is too long.
-    #[error("a resource's name has {NAME_MOST} bytes at most")]
+    #[error("a resource's name has {MAX_NAME_BYTES} bytes at most")]
     Long,
 }
 
@@ -45,10 +45,10 @@
     pub item: Arc<str>,
 }
 
-fn check(text: &str) -> Result<(), BadName> {
+fn check(text: &str) -> Result<(), InvalidName> {
     match text.len() {
-        0 => Err(BadName::Empty),
-        n if n > NAME_MOST => Err(BadName::Long),
+        0 => Err(InvalidName::Empty),
+        n if n > MAX_NAME_BYTES => Err(InvalidName::Long),
         _ => Ok(()),
     }
 }
@@ -78,11 +78,11 @@
         }
     }
 
-    /// Whether both parts have 1 to [`NAME_MOST`] bytes.
+    /// Whether both parts have 1 to [`MAX_NAME_BYTES`] bytes.
     ///
     /// # Errors
     /// Says which bound is passed.
-    pub fn check(&self) -> Result<(), BadName> {
+    pub fn check(&self) -> Result<(), InvalidName> {
         check(&self.item)?;
         match &self.group {
             Group::Common | Group::Authors => Ok(()),
@@ -119,16 +119,16 @@
     }
 
     /// All selectors that hold a group.
-    pub fn all_of(group: &Group) -> Vec<Selector> {
+    pub fn all_matching(group: &Group) -> Vec<Selector> {
         let mut all = vec![Selector::Everything, Selector::Group(group.clone())];
-        if Selector::Services.holds(group) {
+        if Selector::Services.matches(group) {
             all.push(Selector::Services);
         }
         all
     }
 
     /// Whether it asks for resources of this group.
-    pub fn holds(&self, group: &Group) -> bool {
+    pub fn matches(&self, group: &Group) -> bool {
         match self {
             Selector::Everything => true,
             Selector::Services => !matches!(group, Group::Tenant(_) | Group::Authors),
@@ -156,7 +156,7 @@
     };
 
     /// The greatest version that is less than this one among those of its token.
-    pub fn before(self) -> Version {
+    pub fn predecessor(self) -> Version {
         Version {
             sequence: self.sequence.saturating_sub(1),
             ..self
@@ -168,9 +168,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Slot {
     /// For all nodes.
-    Whole,
-    /// For a part of the nodes, on trial. Where it holds and is newer, it goes before [`Slot::Whole`].
-    Trial,
+    Stable,
+    /// For a part of the nodes, on trial. Where it holds and is newer, it goes before [`Slot::Stable`].
+    Canary,
 }
 
 /// The place that a change takes: a later change of the same key replaces an earlier one.
@@ -243,26 +243,27 @@
 
 /// A part of the nodes, in thousandths. A greater part of the same seed holds the smaller ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Part {
+pub struct NodeFraction {
     /// How many nodes of a thousand.
     pub thousandths: u16,
     /// Which nodes come first.
     pub seed: u64,
 }
 
-impl Part {
+impl NodeFraction {
     /// All nodes.
-    pub const ALL: Part = Part {
-        thousandths: WHOLE,
+    pub const ALL: NodeFraction = NodeFraction {
+        thousandths: ALL_NODES_THOUSANDTHS,
         seed: 0,
     };
 
     /// Whether a node is in it.
-    pub fn holds(&self, node: PeerId) -> bool {
-        if self.thousandths >= WHOLE {
+    pub fn contains(&self, node: PeerId) -> bool {
+        if self.thousandths >= ALL_NODES_THOUSANDTHS {
             return true;
         }
-        let place = crate::chance::mix(self.seed ^ (u64::from(node.0) << 20)) % u64::from(WHOLE);
+        let place = crate::chance::mix_bits(self.seed ^ (u64::from(node.0) << 20))
+            % u64::from(ALL_NODES_THOUSANDTHS);
         place < u64::from(self.thousandths)
     }
 }
@@ -316,7 +317,7 @@
     /// What goes first.
     pub urgency: Urgency,
     /// Which nodes it is for.
-    pub part: Part,
+    pub fraction: NodeFraction,
     /// The version of the change whose place it took at its author; [`Version::ZERO`] if there was none.
     pub replaces: Version,
     /// What the resource is by it.
@@ -330,26 +331,26 @@
     }
 
     /// Whether it is a removal.
-    pub fn removes(&self) -> bool {
+    pub fn is_removal(&self) -> bool {
         self.content == Content::Removed
     }
 
     /// About how many bytes it takes in memory and in a frame.
-    pub fn size(&self) -> usize {
+    pub fn size_bytes(&self) -> usize {
         let group = match &self.key.name.group {
             Group::Common | Group::Authors => 0,
             Group::Service(text) | Group::Tenant(text) => text.len(),
         };
-        CHANGE_OVERHEAD + group + self.key.name.item.len() + self.content.bytes().len()
+        CHANGE_OVERHEAD_BYTES + group + self.key.name.item.len() + self.content.bytes().len()
     }
 
     /// Whether its parts keep to their bounds.
-    pub fn sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         self.key.name.check().is_ok()
-            && self.content.bytes().len() <= BODY_MOST
+            && self.content.bytes().len() <= MAX_BODY_BYTES
             && self.version.sequence > 0
     }
 }
 
 /// What a change takes beside its names and its body, in bytes.
-pub const CHANGE_OVERHEAD: usize = 96;
+pub const CHANGE_OVERHEAD_BYTES: usize = 96;
--- a/crates/distribution/src/restore.rs
+++ b/crates/distribution/src/restore.rs
@@ -2,73 +2,76 @@
 
 use crate::coverage::Coverage;
 use crate::epoch::Epoch;
-use crate::log::{Log, Room};
+use crate::log::{Capacity, ChangeLog};
 use crate::output::Record;
 use crate::resource::{Change, Name, Selector, Version};
 use std::collections::BTreeMap;
 
 /// What the records say, in their order.
 #[derive(Debug)]
-pub struct Restored {
+pub struct RestoredState {
     /// The changes.
-    pub log: Log,
+    pub log: ChangeLog,
     /// What of each selector had come, and up to where removals are known.
-    pub covered: BTreeMap<Selector, (Coverage, Version)>,
+    pub coverage: BTreeMap<Selector, (Coverage, Version)>,
     /// Who the author was.
     pub epoch: Option<Epoch>,
     /// What was in force at a node.
-    pub in_force: BTreeMap<Name, Change>,
+    pub applied: BTreeMap<Name, Change>,
     /// Changes that others took the place of, each with its successor, in their order.
     pub replaced: Vec<(Change, Change)>,
 }
 
-impl Restored {
+impl RestoredState {
     /// Without records.
-    pub fn empty(room: Room) -> Restored {
-        Restored {
-            log: Log::new(room),
-            covered: BTreeMap::new(),
+    pub fn empty(room: Capacity) -> RestoredState {
+        RestoredState {
+            log: ChangeLog::new(room),
+            coverage: BTreeMap::new(),
             epoch: None,
-            in_force: BTreeMap::new(),
+            applied: BTreeMap::new(),
             replaced: Vec::new(),
         }
     }
 
     /// From the records that were stored. What is not sound is left out: a disk may bring anything.
-    pub fn read(room: Room, records: impl IntoIterator<Item = Record>) -> Restored {
-        let mut restored = Restored::empty(room);
+    pub fn from_records(
+        room: Capacity,
+        records: impl IntoIterator<Item = Record>,
+    ) -> RestoredState {
+        let mut restored = RestoredState::empty(room);
         for record in records {
-            restored.take(record);
+            restored.apply(record);
         }
         restored
     }
 
-    fn take(&mut self, record: Record) {
+    fn apply(&mut self, record: Record) {
         match record {
-            Record::Put(change) if change.sound() => self.put(change),
-            Record::InForce(change) if change.sound() => self.in_force(change),
-            Record::Put(_) | Record::InForce(_) => {}
+            Record::Put(change) if change.is_valid() => self.put(change),
+            Record::Applied(change) if change.is_valid() => self.put_applied(change),
+            Record::Put(_) | Record::Applied(_) => {}
             Record::Confirmed(name, version) => {
-                if let Some(change) = self.in_force.get_mut(&name) {
+                if let Some(change) = self.applied.get_mut(&name) {
                     change.version = change.version.max(version);
                 }
             }
             Record::Forget(key) => {
-                self.log.take_out(&key);
+                self.log.remove(&key);
             }
-            Record::Epoch(epoch) if epoch.known.sound() => self.epoch = Some(epoch),
+            Record::Epoch(epoch) if epoch.known.is_valid() => self.epoch = Some(epoch),
             Record::Epoch(_) => {}
-            Record::Floor(floor) => self.log.raise_floor(floor),
+            Record::PrunedThrough(floor) => self.log.raise_pruned_through(floor),
             Record::Covered {
                 selector,
                 coverage,
-                floor,
-            } if coverage.sound() => {
-                self.covered.insert(selector, (coverage, floor));
+                removals_known: floor,
+            } if coverage.is_valid() => {
+                self.coverage.insert(selector, (coverage, floor));
             }
             Record::Covered { .. } => {}
             Record::Unsubscribed(selector) => {
-                self.covered.remove(&selector);
+                self.coverage.remove(&selector);
             }
         }
     }
@@ -80,12 +83,12 @@
         self.log.put(change);
     }
 
-    fn in_force(&mut self, change: Change) {
+    fn put_applied(&mut self, change: Change) {
         let name = change.key.name.clone();
-        if change.removes() {
-            self.in_force.remove(&name);
+        if change.is_removal() {
+            self.applied.remove(&name);
         } else {
-            self.in_force.insert(name, change);
+            self.applied.insert(name, change);
         }
     }
 }
--- a/crates/distribution/src/rollout/record.rs
+++ b/crates/distribution/src/rollout/record.rs
@@ -6,14 +6,14 @@
 
 use crate::peer::PeerId;
 use crate::resource::{
-    Change, Content, ContentHash, Group, Key, Name, Part, Slot, Urgency, Version,
+    Change, Content, ContentHash, Group, Key, Name, NodeFraction, Slot, Urgency, Version,
 };
 use crate::rollout::policy::RolloutPolicy;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write as _;
 
 /// Most refusing nodes that a record names; the count tells of all.
-pub const REFUSALS_STORED: usize = 16;
+pub const MAX_STORED_REJECTIONS: usize = 16;
 
 /// How many bytes of a name's hash name its record.
 const DIGEST_BYTES: usize = 16;
@@ -22,7 +22,7 @@
 
 /// A node that refused what was rolled out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RefusingNode {
+pub struct RejectingNode {
     /// Which node.
     pub node: PeerId,
     /// Why, in the node's words; empty where too many refused to keep all reasons.
@@ -31,15 +31,15 @@
 
 /// Why a rollout was stopped.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stop {
+pub struct StopSummary {
     /// The stage that it had come to, in thousandths of the nodes.
     pub thousandths: u16,
     /// How many nodes accepted.
     pub accepted: u32,
     /// How many nodes refused.
-    pub refused: u32,
-    /// Some of those, [`REFUSALS_STORED`] at most.
-    pub refusing: Vec<RefusingNode>,
+    pub rejected: u32,
+    /// Some of those, [`MAX_STORED_REJECTIONS`] at most.
+    pub rejecting_nodes: Vec<RejectingNode>,
 }
 
 /// How far a rollout has come.
@@ -48,9 +48,9 @@
     /// It goes on by itself.
     Running,
     /// Too many nodes refused: it stays at its stage until an operator releases or reverts the trial.
-    Halted(Stop),
+    Halted(StopSummary),
     /// Too many nodes refused: the trial was ended.
-    RolledBack(Stop),
+    RolledBack(StopSummary),
     /// What was on trial holds for all nodes.
     Completed,
     /// The trial was ended by hand, or by an author that did not live to say why.
@@ -74,8 +74,8 @@
     /// Which resource is rolled out.
     pub name: Name,
     /// The hash of what is rolled out.
-    pub content: ContentHash,
-    /// Which nodes come first, as [`Part::seed`].
+    pub content_hash: ContentHash,
+    /// Which nodes come first, as [`NodeFraction::seed`].
     pub seed: u64,
     /// All changes of this rollout are later.
     pub after: Version,
@@ -101,7 +101,7 @@
                 group: Group::Authors,
                 item: item.into(),
             },
-            slot: Slot::Whole,
+            slot: Slot::Stable,
         }
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Reads a record back; none if it is not one of this form, or not sound.
-    pub fn read(change: &Change) -> Option<RolloutRecord> {
+    pub fn from_change(change: &Change) -> Option<RolloutRecord> {
         let body = change.content.bytes().strip_prefix(&[FORMAT])?;
         let record: RolloutRecord = postcard::from_bytes(body).ok()?;
         let sound =
@@ -121,16 +121,16 @@
     }
 
     /// The trial of this rollout, if it is what is on trial.
-    pub fn own_trial<'a>(&self, trial: Option<&'a Change>) -> Option<&'a Change> {
-        let trial = trial.filter(|trial| !trial.removes())?;
-        let staged = self.policy.stage_of(trial.part.thousandths).is_some();
-        let own = staged && trial.part.seed == self.seed && trial.hash() == self.content;
+    pub fn own_canary<'a>(&self, trial: Option<&'a Change>) -> Option<&'a Change> {
+        let trial = trial.filter(|trial| !trial.is_removal())?;
+        let staged = self.policy.stage_of(trial.fraction.thousandths).is_some();
+        let own = staged && trial.fraction.seed == self.seed && trial.hash() == self.content_hash;
         own.then_some(trial)
     }
 
     /// The part of the nodes that is in a stage.
-    pub fn part(&self, thousandths: u16) -> Part {
-        Part {
+    pub fn fraction(&self, thousandths: u16) -> NodeFraction {
+        NodeFraction {
             thousandths,
             seed: self.seed,
         }
@@ -138,7 +138,7 @@
 
     /// Whether a change of the resource is what this rollout brings.
     pub fn is_content_of(&self, change: &Change) -> bool {
-        !change.removes() && change.hash() == self.content
+        !change.is_removal() && change.hash() == self.content_hash
     }
 }
 
--- a/crates/distribution/src/rollout/stage.rs
+++ b/crates/distribution/src/rollout/stage.rs
@@ -1,10 +1,10 @@
 //! What the nodes of a stage have said, and what follows from it by the policy.
 
 use crate::peer::PeerId;
-use crate::resource::{Part, Version, WHOLE};
+use crate::resource::{NodeFraction, Version, ALL_NODES_THOUSANDTHS};
 use crate::rollout::policy::RolloutPolicy;
-use crate::rollout::record::RefusingNode;
-use crate::status::Board;
+use crate::rollout::record::RejectingNode;
+use crate::status::NodeStatuses;
 use crate::Time;
 use std::collections::BTreeMap;
 
@@ -16,14 +16,14 @@
     /// Nodes that have the stage's change and did not refuse it, whenever they said so.
     pub accepted: u32,
     /// Those among them that were heard within the policy's age of reports.
-    pub accepted_lately: u32,
+    pub accepted_recently: u32,
     /// Nodes that refused the content, in this stage or an earlier one.
-    pub refused: u32,
+    pub rejected: u32,
 }
 
 /// Why a stage does not end yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Waiting {
+pub enum AdvanceBlocker {
     /// Its soak time is not over.
     Soak,
     /// Too few nodes have decided.
@@ -38,29 +38,29 @@
     /// Refusals have passed the threshold.
     Stop,
     /// It goes on as it is.
-    Wait(Waiting),
+    Wait(AdvanceBlocker),
     /// It is over, and the next stage begins.
     Advance,
 }
 
 /// Who refused what is rolled out, with the first reasons.
 #[derive(Clone, Debug, Default)]
-pub struct Refusing {
+pub struct RejectingNodes {
     nodes: BTreeMap<PeerId, String>,
 }
 
 /// Most nodes whose refusals are kept; of more the threshold has long been passed.
-pub const REFUSING_MOST: usize = crate::status::NODES_MOST;
+pub const MAX_REJECTING_NODES: usize = crate::status::MAX_NODES;
 /// Most reasons that are kept with them.
-pub const REASONS_MOST: usize = 256;
+pub const MAX_REJECTION_REASONS: usize = 256;
 
-impl Refusing {
+impl RejectingNodes {
     /// A node has refused. It counts as refusing until the rollout ends.
     pub fn add(&mut self, node: PeerId, reason: String) {
-        if self.nodes.contains_key(&node) || self.nodes.len() >= REFUSING_MOST {
+        if self.nodes.contains_key(&node) || self.nodes.len() >= MAX_REJECTING_NODES {
             return;
         }
-        let reason = if self.nodes.len() < REASONS_MOST {
+        let reason = if self.nodes.len() < MAX_REJECTION_REASONS {
             reason
         } else {
             String::new()
@@ -69,10 +69,10 @@
     }
 
     /// Who refused, by number; so many at most.
-    pub fn list(&self, most: usize) -> Vec<RefusingNode> {
+    pub fn first(&self, most: usize) -> Vec<RejectingNode> {
         let named = self.nodes.iter().take(most);
         named
-            .map(|(node, reason)| RefusingNode {
+            .map(|(node, reason)| RejectingNode {
                 node: *node,
                 reason: reason.clone(),
             })
@@ -80,8 +80,8 @@
     }
 
     /// Forgets all but the first: the rollout is over.
-    pub fn shorten(&mut self) {
-        while self.nodes.len() > REASONS_MOST {
+    pub fn drop_nodes_without_reason(&mut self) {
+        while self.nodes.len() > MAX_REJECTION_REASONS {
             self.nodes.pop_last();
         }
     }
@@ -93,81 +93,81 @@
     /// The version of its change.
     pub version: Version,
     /// Which nodes it holds.
-    pub part: Part,
+    pub fraction: NodeFraction,
     /// How many of them were known when the rollout began.
     pub expected: u32,
     /// Since when this author hears what they refuse: who was heard before alone does not count as accepting.
-    pub heard_since: Time,
+    pub reports_since: Time,
 }
 
 /// Counts what the nodes of a stage have said of its change.
-pub fn count(
+pub fn count_nodes(
     now: Time,
     stage: Stage,
     policy: &RolloutPolicy,
-    board: &Board,
-    refusing: &Refusing,
+    board: &NodeStatuses,
+    refusing: &RejectingNodes,
 ) -> StageCounts {
     let Stage {
         version,
-        part,
+        fraction: part,
         expected,
-        heard_since,
+        reports_since: heard_since,
     } = stage;
     let mut counts = StageCounts::default();
-    for (node, standing) in board.standings().filter(|(node, _)| part.holds(*node)) {
+    for (node, standing) in board.iter().filter(|(node, _)| part.contains(*node)) {
         if refusing.nodes.contains_key(&node) {
             continue;
         }
         counts.known += 1;
-        if standing.upto >= version && standing.heard_at >= heard_since {
+        if standing.acknowledged >= version && standing.last_report_at >= heard_since {
             counts.accepted += 1;
-            let lately = now - standing.heard_at <= policy.max_report_age;
-            counts.accepted_lately += u32::from(lately);
+            let lately = now - standing.last_report_at <= policy.max_report_age;
+            counts.accepted_recently += u32::from(lately);
         }
     }
-    counts.refused = refusing
+    counts.rejected = refusing
         .nodes
         .keys()
-        .filter(|node| part.holds(**node))
+        .filter(|node| part.contains(**node))
         .count() as u32;
-    counts.known = (counts.known + counts.refused).max(expected);
+    counts.known = (counts.known + counts.rejected).max(expected);
     counts
 }
 
 /// What follows from the counts of a stage that has lasted so long, in seconds.
-pub fn judge(policy: &RolloutPolicy, counts: StageCounts, lasted: Time) -> Verdict {
+pub fn evaluate(policy: &RolloutPolicy, counts: StageCounts, lasted: Time) -> Verdict {
     if is_refused(policy, counts, lasted) {
         return Verdict::Stop;
     }
-    if lasted < policy.soak {
-        return Verdict::Wait(Waiting::Soak);
+    if lasted < policy.soak_time {
+        return Verdict::Wait(AdvanceBlocker::Soak);
     }
-    if counts.accepted_lately + counts.refused < policy.min_decisions {
-        return Verdict::Wait(Waiting::Decisions);
+    if counts.accepted_recently + counts.rejected < policy.min_decisions {
+        return Verdict::Wait(AdvanceBlocker::Decisions);
     }
     if is_share_below(
-        counts.accepted_lately,
+        counts.accepted_recently,
         counts.known,
         policy.min_accepted_share,
     ) {
-        return Verdict::Wait(Waiting::Acceptances);
+        return Verdict::Wait(AdvanceBlocker::Acceptances);
     }
     Verdict::Advance
 }
 
 fn is_refused(policy: &RolloutPolicy, counts: StageCounts, lasted: Time) -> bool {
-    let decided = counts.accepted + counts.refused;
+    let decided = counts.accepted + counts.rejected;
     let all = if lasted < policy.decision_time {
         counts.known
     } else {
         decided
     };
-    let allowed = u64::from(policy.max_refused_share) * u64::from(all.max(policy.min_decisions));
-    let share_passed = u64::from(counts.refused) * u64::from(WHOLE) > allowed;
-    share_passed || counts.refused > policy.max_refused
+    let allowed = u64::from(policy.max_rejected_share) * u64::from(all.max(policy.min_decisions));
+    let share_passed = u64::from(counts.rejected) * u64::from(ALL_NODES_THOUSANDTHS) > allowed;
+    share_passed || counts.rejected > policy.max_rejected
 }
 
 fn is_share_below(some: u32, all: u32, share: u16) -> bool {
-    u64::from(some) * u64::from(WHOLE) < u64::from(share) * u64::from(all)
+    u64::from(some) * u64::from(ALL_NODES_THOUSANDTHS) < u64::from(share) * u64::from(all)
 }
--- a/crates/distribution/src/session.rs
+++ b/crates/distribution/src/session.rs
@@ -1,36 +1,36 @@
 //! A child's session with its upstream: what it asked for, and what is on its way.
 
-use crate::bucket::Bucket;
-use crate::chunks::Assemblies;
+use crate::bucket::TokenBucket;
+use crate::chunks::Reassembler;
 use crate::coverage::{Coverage, Span};
 use crate::epoch::Epoch;
 use crate::frame;
-use crate::link::{Arrival, Link};
+use crate::link::{FrameReceipt, Link};
 use crate::message::{Payload, Subscribe};
 use crate::output::Output;
-use crate::report::{Report, Waiting};
+use crate::report::{Report, ReportQueue};
 use crate::resource::{Change, Selector, Version};
-use crate::session_end::Reason;
+use crate::session_end::CloseReason;
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Most subscriptions that have ended and are remembered in a session; with more, a new session begins.
-pub(crate) const ENDED_MOST: usize = 4096;
+pub(crate) const MAX_ENDED_SUBSCRIPTIONS: usize = 4096;
 /// Most keys in one listing.
-const LISTED_MOST: usize = 2_000_000;
+const MAX_MANIFEST_DIGESTS: usize = 2_000_000;
 /// Most spans of a subscription that are told to an upstream.
-const SPANS_TOLD: usize = 8;
+const MAX_SUBSCRIBE_SPANS: usize = 8;
 /// What a frame with a list takes beside it.
-const LIST_OVERHEAD: usize = 16;
+const LIST_OVERHEAD_BYTES: usize = 16;
 /// What one number of a subscription takes in a frame at most.
-const ID_BYTES: usize = 8;
+const MAX_ID_BYTES: usize = 8;
 
 /// What an upstream has said.
 #[derive(Debug, PartialEq)]
-pub enum Heard {
+pub enum UpstreamEvent {
     /// Who the author is.
     Epoch(Epoch),
-    /// Changes; once they are stored, [`crate::upstream::Upstream::cover`] is to be called.
+    /// Changes; once they are stored, [`crate::upstream::Upstream::add_coverage`] is to be called.
     Changes {
         /// Of which subscription.
         selector: Selector,
@@ -40,11 +40,11 @@
         changes: Vec<Change>,
     },
     /// All keys of a selector: others with this version or an earlier one are no more.
-    Listed {
+    Manifest {
         /// Of what.
         selector: Selector,
         /// The version.
-        floor: Version,
+        pruned_through: Version,
         /// The digests of the keys.
         digests: BTreeSet<u64>,
     },
@@ -53,7 +53,7 @@
         /// The latest version that the upstream has.
         head: Version,
         /// Removals up to this version may have been forgotten there.
-        floor: Version,
+        pruned_through: Version,
         /// How old that is at most, in seconds, if it holds for everything that was complete before.
         age: Option<Time>,
     },
@@ -61,34 +61,34 @@
 
 /// What is known of a subscription, in whatever session.
 #[derive(Clone, Debug, Default)]
-pub struct Held {
+pub struct SubscriptionState {
     /// Which versions have come.
     pub coverage: Coverage,
     /// All removals up to this version are known.
-    pub floor: Version,
+    pub removals_known: Version,
     /// All of it had come at some time.
-    pub complete: bool,
+    pub is_complete: bool,
     /// Changes of it may be here, also where nothing is covered.
     pub has_changes: bool,
     pub(crate) id: Option<u32>,
-    pub(crate) asked: Option<u64>,
+    pub(crate) subscribed_in: Option<u64>,
 }
 
 /// Subscriptions by what they ask for, and those that the upstream has not been asked for yet.
 #[derive(Debug, Default)]
 pub(crate) struct Subscriptions {
-    pub held: BTreeMap<Selector, Held>,
-    pub unasked: BTreeSet<Selector>,
+    pub by_selector: BTreeMap<Selector, SubscriptionState>,
+    pub pending: BTreeSet<Selector>,
 }
 
 impl Subscriptions {
     /// A session has ended: the next one is asked for all.
-    pub fn ask_again(&mut self) {
-        for held in self.held.values_mut() {
+    pub fn reset_for_new_session(&mut self) {
+        for held in self.by_selector.values_mut() {
             held.id = None;
-            held.asked = None;
+            held.subscribed_in = None;
         }
-        self.unasked = self.held.keys().cloned().collect();
+        self.pending = self.by_selector.keys().cloned().collect();
     }
 }
 
@@ -99,88 +99,98 @@
     selectors: BTreeMap<u32, Selector>,
     /// Subscriptions that have ended, and the payload that said so.
     ended: BTreeMap<u32, Option<u64>>,
-    pub assemblies: Assemblies,
-    listing: Option<(u32, BTreeSet<u64>)>,
+    pub assemblies: Reassembler,
+    manifest: Option<(u32, BTreeSet<u64>)>,
     /// Reports that are under way.
     pub reports: Vec<Report>,
     pub progress_at: Time,
     /// It was told something fresh.
-    pub brought_news: bool,
-    pub inflow: Bucket,
+    pub has_progressed: bool,
+    pub receive_bucket: TokenBucket,
 }
 
 impl Session {
     /// Over a link whose beginning the upstream has answered.
-    pub fn new(link: Link, inflow: Bucket, now: Time) -> Session {
+    pub fn new(link: Link, inflow: TokenBucket, now: Time) -> Session {
         Session {
             link,
             next_id: 0,
             selectors: BTreeMap::new(),
             ended: BTreeMap::new(),
-            assemblies: Assemblies::default(),
-            listing: None,
+            assemblies: Reassembler::default(),
+            manifest: None,
             reports: Vec::new(),
             progress_at: now,
-            brought_news: false,
-            inflow,
+            has_progressed: false,
+            receive_bucket: inflow,
         }
     }
 
     /// What a subscription asks for; none if it has ended and the upstream may not know.
     ///
     /// Guards against an upstream that sends what was never asked for. Harm: none.
-    pub fn asked_for(&self, id: u32, arrival: Arrival) -> Result<Option<Selector>, Reason> {
+    pub fn selector_of(
+        &self,
+        id: u32,
+        arrival: FrameReceipt,
+    ) -> Result<Option<Selector>, CloseReason> {
         if let Some(selector) = self.selectors.get(&id) {
             return Ok(Some(selector.clone()));
         }
         match self.ended.get(&id) {
-            Some(Some(said)) if *said <= arrival.acknowledged => Err(Reason::Misbehaved),
+            Some(Some(said)) if *said <= arrival.acknowledged => {
+                Err(CloseReason::ProtocolViolation)
+            }
             Some(_) => Ok(None),
-            None => Err(Reason::Misbehaved),
+            None => Err(CloseReason::ProtocolViolation),
         }
     }
 
     /// Ends a subscription; the upstream hears of it later.
-    pub fn end(&mut self, id: u32) {
+    pub fn end_subscription(&mut self, id: u32) {
         self.selectors.remove(&id);
         self.ended.insert(id, None);
     }
 
     /// Whether too many subscriptions have ended in this session.
-    pub fn is_worn(&self) -> bool {
-        self.ended.len() > ENDED_MOST
+    pub fn has_too_many_ended(&self) -> bool {
+        self.ended.len() > MAX_ENDED_SUBSCRIPTIONS
     }
 
     /// Takes in a part of a list of keys; gives back the list after its last part.
-    pub fn list(
+    pub fn add_digests(
         &mut self,
-        arrival: Arrival,
+        arrival: FrameReceipt,
         id: u32,
         first: bool,
         last: bool,
         digests: Vec<u64>,
-    ) -> Result<Option<(Selector, BTreeSet<u64>)>, Reason> {
-        let asked = self.asked_for(id, arrival)?;
+    ) -> Result<Option<(Selector, BTreeSet<u64>)>, CloseReason> {
+        let asked = self.selector_of(id, arrival)?;
         if first {
-            self.listing = Some((id, BTreeSet::new()));
+            self.manifest = Some((id, BTreeSet::new()));
         }
-        let listing = self.listing.as_mut().filter(|(listed, _)| *listed == id);
-        let (_, keys) = listing.ok_or(Reason::Misbehaved)?;
+        let listing = self.manifest.as_mut().filter(|(listed, _)| *listed == id);
+        let (_, keys) = listing.ok_or(CloseReason::ProtocolViolation)?;
         keys.extend(digests);
-        if keys.len() > LISTED_MOST {
-            return Err(Reason::Misbehaved);
+        if keys.len() > MAX_MANIFEST_DIGESTS {
+            return Err(CloseReason::ProtocolViolation);
         }
         if !last {
             return Ok(None);
         }
-        let keys = self.listing.take().map(|(_, keys)| keys);
+        let keys = self.manifest.take().map(|(_, keys)| keys);
         Ok(asked.zip(keys))
     }
 
     /// Whether there is something to tell the upstream.
-    pub fn has_work(&self, subscriptions: &Subscriptions, reports: &Waiting) -> bool {
+    pub fn has_pending_payloads(
+        &self,
+        subscriptions: &Subscriptions,
+        reports: &ReportQueue,
+    ) -> bool {
         let ended = self.ended.values().any(Option::is_none);
-        !subscriptions.unasked.is_empty() || ended || !reports.is_empty()
+        !subscriptions.pending.is_empty() || ended || !reports.is_empty()
     }
 
     /// Sends the next payload, if there is one and the budget allows the longest.
@@ -188,66 +198,70 @@
         &mut self,
         now: Time,
         subscriptions: &mut Subscriptions,
-        reports: &mut Waiting,
+        reports: &mut ReportQueue,
         outputs: &mut Vec<Output>,
     ) {
-        let room = self.link.room_most();
-        if !self.link.is_free()
-            || self.link.room(now) < room
-            || !self.has_work(subscriptions, reports)
+        let room = self.link.max_payload_bytes();
+        if !self.link.is_idle()
+            || self.link.available_payload_bytes(now) < room
+            || !self.has_pending_payloads(subscriptions, reports)
         {
             return;
         }
-        let payload = if !subscriptions.unasked.is_empty() {
-            Payload::Subscribe(self.ask(subscriptions, room))
+        let payload = if !subscriptions.pending.is_empty() {
+            Payload::Subscribe(self.next_subscriptions(subscriptions, room))
         } else if self.ended.values().any(Option::is_none) {
-            Payload::Unsubscribe(self.say_ended(room))
+            Payload::Unsubscribe(self.next_unsubscriptions(room))
         } else {
-            self.reports = reports.take(room - LIST_OVERHEAD);
+            self.reports = reports.take(room - LIST_OVERHEAD_BYTES);
             Payload::Reports(self.reports.clone())
         };
-        self.link.send(now, &payload, outputs);
+        self.link.send_reliable(now, &payload, outputs);
     }
 
     /// As many subscriptions as fit into a frame, and at least one.
-    fn ask(&mut self, subscriptions: &mut Subscriptions, room: usize) -> Vec<Subscribe> {
-        let number = self.link.sent() + 1;
+    fn next_subscriptions(
+        &mut self,
+        subscriptions: &mut Subscriptions,
+        room: usize,
+    ) -> Vec<Subscribe> {
+        let number = self.link.last_sent() + 1;
         let mut list = Vec::new();
-        let mut bytes = LIST_OVERHEAD;
-        while let Some(selector) = subscriptions.unasked.first().cloned() {
-            let Some(held) = subscriptions.held.get_mut(&selector) else {
-                subscriptions.unasked.pop_first();
+        let mut bytes = LIST_OVERHEAD_BYTES;
+        while let Some(selector) = subscriptions.pending.first().cloned() {
+            let Some(held) = subscriptions.by_selector.get_mut(&selector) else {
+                subscriptions.pending.pop_first();
                 continue;
             };
             let id = self.next_id;
-            let coverage = held.coverage.cut(SPANS_TOLD);
-            let (floor, has_changes) = (held.floor, held.has_changes);
+            let coverage = held.coverage.truncated(MAX_SUBSCRIBE_SPANS);
+            let (floor, has_changes) = (held.removals_known, held.has_changes);
             let subscribe = Subscribe {
                 id,
                 selector: selector.clone(),
                 coverage,
-                floor,
+                removals_known: floor,
                 has_changes,
             };
-            bytes += frame::written(&subscribe);
+            bytes += frame::serialized_size(&subscribe);
             if bytes > room && !list.is_empty() {
                 break;
             }
             held.id = Some(id);
-            held.asked = Some(number);
+            held.subscribed_in = Some(number);
             self.next_id += 1;
             self.selectors.insert(id, selector);
             list.push(subscribe);
-            subscriptions.unasked.pop_first();
+            subscriptions.pending.pop_first();
         }
         list
     }
 
-    fn say_ended(&mut self, room: usize) -> Vec<u32> {
-        let number = self.link.sent() + 1;
+    fn next_unsubscriptions(&mut self, room: usize) -> Vec<u32> {
+        let number = self.link.last_sent() + 1;
         let unsaid = self.ended.iter_mut().filter(|(_, said)| said.is_none());
         let mut list = Vec::new();
-        for (id, said) in unsaid.take(room / ID_BYTES) {
+        for (id, said) in unsaid.take(room / MAX_ID_BYTES) {
             *said = Some(number);
             list.push(*id);
         }
--- a/crates/distribution/src/session_end.rs
+++ b/crates/distribution/src/session_end.rs
@@ -4,19 +4,19 @@
 
 /// Why a session ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Reason {
+pub enum CloseReason {
     /// Nothing was heard for too long.
-    Silent,
+    TimedOut,
     /// Its own knowledge is too old.
     Stale,
     /// It sent what was not asked for, a wrong hash, more than a body's length, or what can't be read.
-    Misbehaved,
+    ProtocolViolation,
     /// It sent more than its budget.
-    Flooded,
+    RateExceeded,
     /// It does not know the session.
-    Unknown,
+    UnknownSession,
     /// It has no room.
-    Busy,
+    CapacityExceeded,
     /// It is an author without the lease, or with an earlier token.
     Fenced,
     /// A new session has taken its place.
--- a/crates/distribution/src/status.rs
+++ b/crates/distribution/src/status.rs
@@ -6,13 +6,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Most nodes whose standing is kept; others are not counted.
-pub const NODES_MOST: usize = 16_384;
+pub const MAX_NODES: usize = 16_384;
 /// Most refusals that are kept; of more, those of the earliest versions are forgotten.
-pub const REFUSALS_MOST: usize = 16_384;
+pub const MAX_REJECTIONS: usize = 16_384;
 
 /// A node's word that it can't use a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct Rejection {
     /// Which node.
     pub node: PeerId,
     /// Of which key.
@@ -23,74 +23,72 @@
 
 /// What a node has said last.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
+pub struct NodeStatus {
     /// It has decided on all changes up to this version.
-    pub upto: Version,
+    pub acknowledged: Version,
     /// When it was heard, by the author's clock.
-    pub heard_at: Time,
+    pub last_report_at: Time,
 }
 
 /// What is known of one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Status {
+pub struct VersionStatus {
     /// Nodes that have said that they have all up to this version.
-    pub have: BTreeSet<PeerId>,
+    pub acknowledged: BTreeSet<PeerId>,
     /// Nodes that were heard, and have not said so.
-    pub lack: BTreeSet<PeerId>,
+    pub pending: BTreeSet<PeerId>,
     /// Who refused the change of this version.
-    pub refused: Vec<Refused>,
+    pub rejections: Vec<Rejection>,
 }
 
 /// See the module.
 #[derive(Debug, Default)]
-pub struct Board {
-    standings: BTreeMap<PeerId, Standing>,
-    refusals: BTreeMap<(Version, PeerId), Refused>,
+pub struct NodeStatuses {
+    iter: BTreeMap<PeerId, NodeStatus>,
+    rejections: BTreeMap<(Version, PeerId), Rejection>,
 }
 
-impl Board {
+impl NodeStatuses {
     /// A node has all up to a version. An earlier word that was overtaken changes nothing.
-    pub fn standing(&mut self, now: Time, node: PeerId, upto: Version) {
-        if self.standings.len() >= NODES_MOST && !self.standings.contains_key(&node) {
+    pub fn record_acknowledgement(&mut self, now: Time, node: PeerId, upto: Version) {
+        if self.iter.len() >= MAX_NODES && !self.iter.contains_key(&node) {
             return;
         }
-        let known = self.standings.entry(node).or_insert(Standing {
-            upto,
-            heard_at: now,
+        let known = self.iter.entry(node).or_insert(NodeStatus {
+            acknowledged: upto,
+            last_report_at: now,
         });
-        known.upto = known.upto.max(upto);
-        known.heard_at = known.heard_at.max(now);
+        known.acknowledged = known.acknowledged.max(upto);
+        known.last_report_at = known.last_report_at.max(now);
     }
 
     /// What each node has said last.
-    pub fn standings(&self) -> impl Iterator<Item = (PeerId, Standing)> + '_ {
-        self.standings
-            .iter()
-            .map(|(node, standing)| (*node, *standing))
+    pub fn iter(&self) -> impl Iterator<Item = (PeerId, NodeStatus)> + '_ {
+        self.iter.iter().map(|(node, standing)| (*node, *standing))
     }
 
     /// A node has refused a change.
-    pub fn refused(&mut self, version: Version, refused: Refused) {
-        self.refusals.insert((version, refused.node), refused);
-        if self.refusals.len() > REFUSALS_MOST {
-            self.refusals.pop_first();
+    pub fn record_rejection(&mut self, version: Version, refused: Rejection) {
+        self.rejections.insert((version, refused.node), refused);
+        if self.rejections.len() > MAX_REJECTIONS {
+            self.rejections.pop_first();
         }
     }
 
     /// What is known of a version.
-    pub fn status(&self, version: Version) -> Status {
-        let mut status = Status::default();
-        for (node, standing) in &self.standings {
-            let set = if standing.upto >= version {
-                &mut status.have
+    pub fn status(&self, version: Version) -> VersionStatus {
+        let mut status = VersionStatus::default();
+        for (node, standing) in &self.iter {
+            let set = if standing.acknowledged >= version {
+                &mut status.acknowledged
             } else {
-                &mut status.lack
+                &mut status.pending
             };
             set.insert(*node);
         }
         let all = (version, PeerId(0))..=(version, PeerId(u32::MAX));
-        status.refused = self
-            .refusals
+        status.rejections = self
+            .rejections
             .range(all)
             .map(|(_, refused)| refused.clone())
             .collect();
--- a/crates/distribution/tests/any_bytes.rs
+++ b/crates/distribution/tests/any_bytes.rs
@@ -5,38 +5,38 @@
 use proptest::prelude::*;
 use reelfall_distribution::author::{Author, AuthorConfig};
 use reelfall_distribution::coverage::{Coverage, Span};
-use reelfall_distribution::downstream::ServeRules;
+use reelfall_distribution::downstream::DownstreamConfig;
 use reelfall_distribution::epoch::Epoch;
-use reelfall_distribution::follow::FollowRules;
-use reelfall_distribution::log::Room;
+use reelfall_distribution::follow::UpstreamConfig;
+use reelfall_distribution::log::Capacity;
 use reelfall_distribution::message::{decode, encode, Chunk, Head, Payload, Subscribe};
 use reelfall_distribution::output::Output;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::relay::{Relay, RelayConfig};
 use reelfall_distribution::resource::{
-    Change, Content, ContentHash, Key, Name, Part, Selector, Slot, Urgency, Version,
+    Change, Content, ContentHash, Key, Name, NodeFraction, Selector, Slot, Urgency, Version,
 };
-use reelfall_distribution::session_end::Reason;
+use reelfall_distribution::session_end::CloseReason;
 use reelfall_distribution::subscriber::{Subscriber, SubscriberConfig};
 use world::{claim, lease};
 
 const RELAY: PeerId = PeerId(20);
-const ROOM: Room = Room {
-    keys: 1000,
-    bytes: 1 << 20,
-    removals: 10,
+const ROOM: Capacity = Capacity {
+    max_keys: 1000,
+    max_bytes: 1 << 20,
+    max_tombstones: 10,
 };
 
 fn node() -> Subscriber {
-    let follow = FollowRules::node(vec![RELAY]);
+    let follow = UpstreamConfig::node(vec![RELAY]);
     let lease = lease();
     let node = PeerId(100);
     let config = SubscriberConfig {
         node,
         lease,
-        follow,
-        room: ROOM,
-        standing_every: 2.0,
+        upstream: follow,
+        capacity: ROOM,
+        acknowledgement_interval: 2.0,
         seed: 1,
     };
     let mut node = Subscriber::new(config, 0.0);
@@ -45,14 +45,14 @@
 }
 
 fn relay() -> Relay {
-    let follow = FollowRules::relay(vec![PeerId(1)]);
-    let serve = ServeRules::default();
+    let follow = UpstreamConfig::relay(vec![PeerId(1)]);
+    let serve = DownstreamConfig::default();
     Relay::new(
         RelayConfig {
             lease: lease(),
-            follow,
-            serve,
-            room: ROOM,
+            upstream: follow,
+            downstream: serve,
+            capacity: ROOM,
             seed: 1,
         },
         0.0,
@@ -66,14 +66,14 @@
 fn span(upto: u64) -> Span {
     Span {
         after: Version::ZERO,
-        upto: version(upto),
+        through: version(upto),
     }
 }
 
 fn key() -> Key {
     Key {
         name: Name::service("a", "x"),
-        slot: Slot::Whole,
+        slot: Slot::Stable,
     }
 }
 
@@ -82,7 +82,7 @@
         key: key(),
         version: version(sequence),
         urgency: Urgency::Normal,
-        part: Part::ALL,
+        fraction: NodeFraction::ALL,
         replaces: Version::ZERO,
         content: Content::body(b"one"),
     }
@@ -93,8 +93,8 @@
         key: key(),
         version: version(3),
         urgency: Urgency::Normal,
-        express: false,
-        part: Part::ALL,
+        is_urgent: false,
+        fraction: NodeFraction::ALL,
         replaces: Version::ZERO,
         total,
         hash: ContentHash::of(b"123456789"),
@@ -114,7 +114,7 @@
         id,
         selector,
         coverage,
-        floor: Version::ZERO,
+        removals_known: Version::ZERO,
         has_changes: id.is_multiple_of(2),
     }])
 }
@@ -123,8 +123,8 @@
     let numbers = (0..3u32, 0..9u64, any::<u64>());
     prop_oneof![
         Just(Payload::Acknowledge),
-        any::<bool>().prop_map(|relay| Payload::Open { relay }),
-        numbers.prop_map(|(id, upto, _)| subscribe(id, Coverage::upto(version(upto)))),
+        any::<bool>().prop_map(|relay| Payload::Open { is_relay: relay }),
+        numbers.prop_map(|(id, upto, _)| subscribe(id, Coverage::up_to(version(upto)))),
         prop::collection::vec(0..3u32, 0..3).prop_map(Payload::Unsubscribe),
         (0..3u32, 0..9u64, 0..9u64).prop_map(|(id, upto, at)| {
             let changes = vec![change(at)];
@@ -148,39 +148,41 @@
         (0..9u64, 0..9u64, any::<u64>()).prop_map(|(head, removals, age)| Payload::Current {
             head: version(head),
             removals: version(removals),
-            floor: Version::ZERO,
+            pruned_through: Version::ZERO,
             age_us: Some(age),
         }),
         (0..9u64, 0..9u64).prop_map(|(token, known)| {
             Payload::Epoch(Epoch {
                 claim: claim(token),
-                known: Coverage::upto(version(known)),
+                known: Coverage::up_to(version(known)),
             })
         }),
         any::<u32>().prop_map(|rest_ms| Payload::Close {
-            why: Reason::Busy,
-            rest_ms
+            reason: CloseReason::CapacityExceeded,
+            retry_after_ms: rest_ms
         }),
     ]
 }
 
 fn author() -> Author {
-    let follow = FollowRules::relay(vec![PeerId(10)]);
-    let serve = ServeRules::default();
+    let follow = UpstreamConfig::relay(vec![PeerId(10)]);
+    let serve = DownstreamConfig::default();
     let lease = lease();
     let mut author = Author::new(
         AuthorConfig {
             lease,
-            follow,
-            serve,
-            room: ROOM,
-            history: 1000,
-            takeover: 0.0,
+            upstream: follow,
+            downstream: serve,
+            capacity: ROOM,
+            history_bytes: 1000,
+            takeover_timeout: 0.0,
             seed: 1,
         },
         0.0,
     );
-    author.hold(0.0, &claim(1), 1e9, &mut Vec::new()).unwrap();
+    author
+        .hold_lease(0.0, &claim(1), 1e9, &mut Vec::new())
+        .unwrap();
     author.poll(0.0, &mut Vec::new());
     author
 }
@@ -211,7 +213,7 @@
                 _ => None,
             }).collect();
             let session = sessions.last().copied().unwrap_or(7);
-            let head = Head { session, up, number, acknowledged, stamp_us, echo: None };
+            let head = Head { session, from_child: up, number, acknowledged, sent_at_us: stamp_us, echo: None };
             let frame = encode(&head, &payload);
             for peer in [PeerId(1), PeerId(10), RELAY] {
                 node.receive(now, peer, &frame, &mut outputs);
--- a/crates/distribution/tests/cases_behind.rs
+++ b/crates/distribution/tests/cases_behind.rs
@@ -3,8 +3,8 @@
 mod world;
 
 use rand::Rng;
-use reelfall_distribution::coverage::SPANS_MANY;
-use reelfall_distribution::log::Log;
+use reelfall_distribution::coverage::GAP_FILL_MIN_SPANS;
+use reelfall_distribution::log::ChangeLog;
 use reelfall_distribution::output::Record;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::resource::{Draft, Key, Name, Selector, Version};
@@ -40,7 +40,7 @@
     world.relay(REGION_RELAY, &[FIRST_RELAY]);
     let until = world.seats[&PeerId(AUTHOR)].clock(1e6);
     let held = world.with_author(AUTHOR, |author, now, outputs| {
-        author.hold(now, &claim(1), until, outputs)
+        author.hold_lease(now, &claim(1), until, outputs)
     });
     assert_eq!(held, Some(Ok(())));
     world.run(30.0);
@@ -81,7 +81,7 @@
     let mut world = chain(1);
     let last = publish_batches(&mut world, 0..BATCHES);
     assert!(
-        !world.relay_of(FIRST_RELAY).coverage().is_whole(),
+        !world.relay_of(FIRST_RELAY).coverage().is_contiguous(),
         "the link was not too slow"
     );
     world.run(CALM_SECONDS);
@@ -89,7 +89,7 @@
     for (upstream, relay) in [(AUTHOR, FIRST_RELAY), (FIRST_RELAY, REGION_RELAY)] {
         let machine = world.relay_of(relay);
         assert_eq!(
-            machine.coverage().floor(),
+            machine.coverage().contiguous_end(),
             last,
             "relay {relay}: {:?}",
             machine.coverage().spans().len()
@@ -114,11 +114,11 @@
     world.run(0.4);
     for relay in [FIRST_RELAY, REGION_RELAY] {
         assert!(
-            !world.relay_of(relay).coverage().is_whole(),
+            !world.relay_of(relay).coverage().is_contiguous(),
             "the link was not too slow"
         );
         assert!(
-            world.relay_of(relay).log().at(version).is_some(),
+            world.relay_of(relay).log().get_version(version).is_some(),
             "relay {relay} has not got the ban"
         );
     }
@@ -143,7 +143,7 @@
     let published = world.author_of(AUTHOR).log().bytes();
     for (upstream, relay) in [(AUTHOR, FIRST_RELAY), (FIRST_RELAY, REGION_RELAY)] {
         assert_eq!(
-            world.relay_of(relay).coverage().floor(),
+            world.relay_of(relay).coverage().contiguous_end(),
             last,
             "relay {relay}"
         );
@@ -184,7 +184,7 @@
     let published = contents(world.author_of(AUTHOR).log());
     for relay in [FIRST_RELAY, REGION_RELAY] {
         let machine = world.relay_of(relay);
-        assert_eq!(machine.coverage().floor(), last, "relay {relay}");
+        assert_eq!(machine.coverage().contiguous_end(), last, "relay {relay}");
         let removed = contents(machine.log()).len() - published.len();
         assert_eq!(removed, 0, "relay {relay} has keys that were removed");
     }
@@ -242,7 +242,7 @@
     );
     let node = world.node_of(NODE);
     let kept = (0..LISTED_KEYS)
-        .filter(|item| node.in_force(&name(*item)).is_some())
+        .filter(|item| node.applied_change(&name(*item)).is_some())
         .count();
     assert_eq!(kept, published.len(), "resources in force at the node");
 }
@@ -278,8 +278,8 @@
 }
 
 /// What is there, without what was removed.
-fn contents(log: &Log) -> BTreeMap<Key, (Version, Vec<u8>)> {
-    let present = log.changes().filter(|change| !change.removes());
+fn contents(log: &ChangeLog) -> BTreeMap<Key, (Version, Vec<u8>)> {
+    let present = log.changes().filter(|change| !change.is_removal());
     let entry = |bytes: &[u8], version| (version, bytes.to_vec());
     present
         .map(|change| {
@@ -319,14 +319,17 @@
             world.start(relay);
         }
     }
-    assert!(most_spans >= SPANS_MANY, "seed {seed}: {most_spans} spans");
+    assert!(
+        most_spans >= GAP_FILL_MIN_SPANS,
+        "seed {seed}: {most_spans} spans"
+    );
     world.heal();
     world.run(60.0);
     let published = contents(world.author_of(AUTHOR).log());
     for relay in RELAYS {
         let machine = world.relay_of(relay);
         assert_eq!(
-            machine.coverage().floor(),
+            machine.coverage().contiguous_end(),
             last,
             "seed {seed}, relay {relay}"
         );
--- a/crates/distribution/tests/cases_changes.rs
+++ b/crates/distribution/tests/cases_changes.rs
@@ -4,8 +4,8 @@
 
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
-use reelfall_distribution::publish::Refusal;
-use reelfall_distribution::resource::{Draft, Name, Part, Selector, Version};
+use reelfall_distribution::publish::PublishError;
+use reelfall_distribution::resource::{Draft, Name, NodeFraction, Selector, Version};
 use reelfall_distribution::Time;
 use world::{claim, hold, name, put, two_authors_and_relays, World, BAD_FOR_ODD};
 
@@ -28,7 +28,7 @@
     author: u32,
     token: u64,
     drafts: Vec<Draft>,
-) -> Result<Version, Refusal> {
+) -> Result<Version, PublishError> {
     world
         .with_author(author, |author, now, outputs| {
             author.publish(now, &claim(token), drafts, outputs)
@@ -45,20 +45,20 @@
     world.run(10.0);
     let status = world.author_of(1).status(version);
     let refused: Vec<u32> = status
-        .refused
+        .rejections
         .iter()
         .map(|refused| refused.node.0)
         .collect();
     assert_eq!(refused, [101, 103, 105]);
     assert!(status
-        .refused
+        .rejections
         .iter()
         .all(|refused| refused.reason == "odd numbers can't"));
     assert!(status
-        .refused
+        .rejections
         .iter()
         .all(|refused| refused.key.name == name("x")));
-    assert_eq!(status.have.len(), 6, "who has refused has heard it");
+    assert_eq!(status.acknowledged.len(), 6, "who has refused has heard it");
     for id in NODES {
         let expected = if id % 2 == 1 {
             &b"good"[..]
@@ -76,7 +76,11 @@
     for id in NODES {
         assert_eq!(world.bytes_at(id, &name("x")).unwrap(), b"good");
         assert_eq!(
-            world.node_of(id).in_force(&name("x")).unwrap().version,
+            world
+                .node_of(id)
+                .applied_change(&name("x"))
+                .unwrap()
+                .version,
             back
         );
     }
@@ -98,7 +102,11 @@
     });
     world.run(1.5);
     let later = |id: u32, world: &World| {
-        let change = world.node_of(id).in_force(&name("x")).unwrap().clone();
+        let change = world
+            .node_of(id)
+            .applied_change(&name("x"))
+            .unwrap()
+            .clone();
         assert_eq!(change.content.bytes(), b"good");
         change.version > version
     };
@@ -131,10 +139,13 @@
     world.run(2.0);
     for id in NODES {
         assert!(
-            world.node_of(id).in_force(&Name::common("bans")).is_some(),
+            world
+                .node_of(id)
+                .applied_change(&Name::common("bans"))
+                .is_some(),
             "{id}"
         );
-        assert!(world.node_of(id).all_in_force().count() < 100);
+        assert!(world.node_of(id).applied_changes().count() < 100);
     }
 }
 
@@ -168,7 +179,7 @@
     world.run(35.0);
     for id in NODES {
         assert!(world.node_of(id).head() >= version);
-        assert_eq!(world.node_of(id).all_in_force().count(), 500);
+        assert_eq!(world.node_of(id).applied_changes().count(), 500);
     }
     assert!(
         world.judge.busiest > 40_000,
@@ -274,7 +285,7 @@
     hold(&mut world, 2, 2, 1e6);
     assert_eq!(
         publish(&mut world, 2, 2, vec![put("y", b"two")]),
-        Err(Refusal::TakingOver)
+        Err(PublishError::TakingOver)
     );
     world.run(60.0);
     publish(&mut world, 2, 2, vec![put("y", b"two")]).unwrap();
@@ -291,15 +302,15 @@
     let mut world = tree(9);
     publish(&mut world, 1, 1, vec![put("x", b"old")]).unwrap();
     world.run(5.0);
-    let part = Part {
+    let part = NodeFraction {
         thousandths: 400,
         seed: 3,
     };
-    let inside: Vec<u32> = NODES.filter(|id| part.holds(PeerId(*id))).collect();
+    let inside: Vec<u32> = NODES.filter(|id| part.contains(PeerId(*id))).collect();
     assert!(!inside.is_empty() && inside.len() < 6, "{inside:?}");
     let staged = world
         .with_author(1, |author, now, outputs| {
-            author.stage(now, &claim(1), put("x", b"new"), part, outputs)
+            author.publish_canary(now, &claim(1), put("x", b"new"), part, outputs)
         })
         .unwrap()
         .unwrap();
@@ -316,11 +327,11 @@
         assert_eq!(world.bytes_at(id, &name("x")).unwrap(), b"old");
     }
     world.with_author(1, |author, now, outputs| {
-        author.stage(now, &claim(1), put("x", b"newer"), part, outputs)
+        author.publish_canary(now, &claim(1), put("x", b"newer"), part, outputs)
     });
     world.run(5.0);
     world.with_author(1, |author, now, outputs| {
-        author.release(now, &claim(1), &name("x"), outputs)
+        author.promote_canary(now, &claim(1), &name("x"), outputs)
     });
     world.run(5.0);
     for id in NODES {
@@ -334,13 +345,13 @@
     let mut world = tree(10);
     publish(&mut world, 1, 1, vec![put("x", b"old")]).unwrap();
     let stage = |world: &mut World, thousandths| {
-        let part = Part {
+        let part = NodeFraction {
             thousandths,
             seed: 3,
         };
         let draft = put("x", b"new");
         world.with_author(1, |author, now, outputs| {
-            author.stage(now, &claim(1), draft, part, outputs)
+            author.publish_canary(now, &claim(1), draft, part, outputs)
         });
         world.run(5.0);
     };
@@ -380,7 +391,7 @@
     .unwrap();
     world.run(10.0);
     assert!(world.node_of(100).is_complete(&Selector::service("b")));
-    assert_eq!(world.node_of(100).all_in_force().count(), 0);
+    assert_eq!(world.node_of(100).applied_changes().count(), 0);
     world.judge.verdict();
 }
 
@@ -396,7 +407,7 @@
     )
     .unwrap();
     world.run(5.0);
-    assert_eq!(world.node_of(100).all_in_force().count(), 0);
+    assert_eq!(world.node_of(100).applied_changes().count(), 0);
     let ask = |world: &mut World, tenant: &str| {
         let selector = Selector::tenant(tenant);
         world.with_node(100, |node, _, _| node.subscribe(selector).unwrap());
@@ -413,11 +424,11 @@
         node.unsubscribe(&Selector::tenant("t7"), outputs)
     });
     world.run(2.0);
-    assert_eq!(world.node_of(100).all_in_force().count(), 0);
+    assert_eq!(world.node_of(100).applied_changes().count(), 0);
     world.kill(PeerId(100));
     world.start(PeerId(100));
     world.run(10.0);
-    assert_eq!(world.node_of(100).all_in_force().count(), 0);
+    assert_eq!(world.node_of(100).applied_changes().count(), 0);
 }
 
 #[test]
@@ -427,28 +438,31 @@
     let bad = |drafts| publish(&mut tree(13), 1, 1, drafts);
     assert!(matches!(
         bad(vec![put(&long, b"")]),
-        Err(Refusal::Unsound(_))
+        Err(PublishError::OutOfBounds(_))
+    ));
+    assert!(matches!(
+        bad(vec![put("", b"")]),
+        Err(PublishError::OutOfBounds(_))
     ));
-    assert!(matches!(bad(vec![put("", b"")]), Err(Refusal::Unsound(_))));
     assert!(matches!(
         bad(vec![put("x", &vec![0; 256 * 1024 + 1])]),
-        Err(Refusal::Unsound(_))
+        Err(PublishError::OutOfBounds(_))
     ));
-    assert_eq!(bad(Vec::new()), Err(Refusal::Count));
+    assert_eq!(bad(Vec::new()), Err(PublishError::ChangeCount));
     let many = (0..10_000).map(|n| put(&format!("r{n}"), b"")).collect();
     assert!(publish(&mut world, 1, 1, many).is_ok());
     assert!(matches!(
         publish(&mut world, 1, 1, vec![put("one more", b"")]),
-        Err(Refusal::Full(_))
+        Err(PublishError::CapacityExceeded(_))
     ));
     assert!(publish(&mut world, 1, 1, vec![put("r1", b"again")]).is_ok());
     assert_eq!(
         publish(&mut world, 1, 2, vec![put("x", b"")]),
-        Err(Refusal::NotHeld)
+        Err(PublishError::LeaseNotHeld)
     );
     assert_eq!(
         publish(&mut world, 2, 1, vec![put("x", b"")]),
-        Err(Refusal::NotHeld)
+        Err(PublishError::LeaseNotHeld)
     );
 }
 
@@ -461,6 +475,6 @@
     world.run(2.0);
     assert_eq!(
         publish(&mut world, 1, 1, vec![put("x", b"late")]),
-        Err(Refusal::NotHeld)
+        Err(PublishError::LeaseNotHeld)
     );
 }
--- a/crates/distribution/tests/cases_failover.rs
+++ b/crates/distribution/tests/cases_failover.rs
@@ -3,13 +3,13 @@
 
 mod world;
 
-use reelfall_distribution::bucket::{Budget, TRANSPORT_OVERHEAD};
-use reelfall_distribution::downstream::ServeRules;
-use reelfall_distribution::follow::FollowRules;
+use reelfall_distribution::bucket::{Budget, TRANSPORT_OVERHEAD_BYTES};
+use reelfall_distribution::downstream::DownstreamConfig;
+use reelfall_distribution::follow::UpstreamConfig;
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::resource::{Draft, Name};
-use reelfall_distribution::session_end::Reason;
+use reelfall_distribution::session_end::CloseReason;
 use reelfall_distribution::Time;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
@@ -55,8 +55,11 @@
 
 /// Until a node follows another relay after its own died, with so many others that are dead.
 fn session_elsewhere(dead: usize) -> Time {
-    let rules = FollowRules::node(Vec::new());
-    rules.silence + rules.spread + dead as Time * rules.attempt_delay + ROUND_TRIPS
+    let rules = UpstreamConfig::node(Vec::new());
+    rules.silence_timeout
+        + rules.reconnect_jitter
+        + dead as Time * rules.attempt_delay
+        + ROUND_TRIPS
 }
 
 /// When sessions were asked for by a process since a moment, and of whom.
@@ -102,7 +105,7 @@
     NEAR.chain(FAR).for_each(|id| world.kill(PeerId(id)));
     let began = world.t;
     world.run(300.0);
-    let rules = FollowRules::node(Vec::new());
+    let rules = UpstreamConfig::node(Vec::new());
     let others = NEAR.len() + FAR.len() - 1;
     for id in NODES {
         let asked = asked(&world, id, began);
@@ -121,7 +124,7 @@
         // Clocks run unlike.
         let is_delay = |pause: Time| (pause - rules.attempt_delay).abs() < 0.01;
         assert!(all.windows(2).map(pause).all(is_delay), "{id}: {all:?}");
-        let least = rules.answer + rules.rest_most / 2.0 - 0.01;
+        let least = rules.open_timeout + rules.max_backoff / 2.0 - 0.01;
         let from_last = &asked[others - 1..];
         assert!(
             later.len() > 10 && from_last.windows(2).map(pause).all(|pause| pause > least),
@@ -137,14 +140,14 @@
     const TEN_SECONDS: Time = 10.0;
     let mut world = World::new(12, CALM);
     let nobody: Vec<u32> = (20..100).collect();
-    let follow = FollowRules {
+    let follow = UpstreamConfig {
         attempt_delay: 0.02,
-        ..FollowRules::node(peers(&nobody))
+        ..UpstreamConfig::node(peers(&nobody))
     };
     NODES.for_each(|id| node_with(&mut world, id, follow.clone()));
     world.run(60.0);
     // Clocks run unlike by less than a thousandth.
-    let most = 1.001 * TEN_SECONDS * Budget::UP.rate + Budget::UP.burst;
+    let most = 1.001 * TEN_SECONDS * Budget::UP.bytes_per_second + Budget::UP.burst_bytes;
     let mut busiest: f64 = 0.0;
     for id in NODES {
         let whom: BTreeSet<PeerId> = asked(&world, id, 0.0)
@@ -154,7 +157,7 @@
         assert_eq!(whom.len(), nobody.len(), "{id}");
         let frames = world.sent.iter().filter(|frame| frame.1 == PeerId(id));
         let frames: Vec<(Time, f64)> = frames
-            .map(|f| (f.0, (f.3 + TRANSPORT_OVERHEAD) as f64))
+            .map(|f| (f.0, (f.3 + TRANSPORT_OVERHEAD_BYTES) as f64))
             .collect();
         for (from, _) in &frames {
             let window = frames
@@ -186,9 +189,9 @@
     hold(&mut world, 1, 1, 1e6);
     world.run(20.0);
     NODES.for_each(|id| node_of_region(&mut world, id, &relays, &[]));
-    let rules = FollowRules::node(Vec::new());
+    let rules = UpstreamConfig::node(Vec::new());
     // The session is there, and what the others were told last has come: less than their `silence` of 20 s.
-    let most = rules.spread + rules.answer + 2.0;
+    let most = rules.reconnect_jitter + rules.open_timeout + 2.0;
     world.run(most);
     let mut asked_more_than_one = 0;
     for id in NODES {
@@ -213,7 +216,7 @@
             && matches!(
                 event.2,
                 Event::Left {
-                    why: Reason::Silent,
+                    reason: CloseReason::TimedOut,
                     ..
                 }
             )
@@ -225,7 +228,7 @@
 /// An author that refused is asked again once it may be, also while one that is dead has not answered yet.
 #[test]
 fn relays_follow_a_successor_as_soon_as_it_may_be_asked_again() {
-    let rest = 2.0 * ServeRules::default().rest;
+    let rest = 2.0 * DownstreamConfig::default().min_retry_after;
     for seed in 21..27 {
         let mut world = World::new(seed, CALM);
         let relays: Vec<u32> = NEAR.chain(FAR).collect();
@@ -245,9 +248,10 @@
         });
         let version = published.unwrap().unwrap();
         let began = world.t;
-        let rules = FollowRules::relay(Vec::new());
+        let rules = UpstreamConfig::relay(Vec::new());
         let most = rest + rules.attempt_delay + 2.0 * ROUND_TRIPS;
-        let has_it = |world: &World, id: &u32| world.relay_of(*id).coverage().top() >= version;
+        let has_it =
+            |world: &World, id: &u32| world.relay_of(*id).coverage().last_version() >= version;
         let mut times: BTreeMap<u32, Time> = BTreeMap::new();
         while times.len() < relays.len() {
             let passed = world.t - began;
@@ -280,8 +284,8 @@
     world.run(20.0);
     let nobody: Vec<u32> = (FAR.end..NODES.start).collect();
     NODES.for_each(|id| node_of_region(&mut world, id, &nobody, &[FAR.start]));
-    let rules = FollowRules::node(Vec::new());
-    world.run(rules.spread + BEFORE_A_FALLBACK * rules.attempt_delay + ROUND_TRIPS);
+    let rules = UpstreamConfig::node(Vec::new());
+    world.run(rules.reconnect_jitter + BEFORE_A_FALLBACK * rules.attempt_delay + ROUND_TRIPS);
     let without: Vec<u32> = NODES
         .filter(|id| !is_child(&world, FAR.start, *id))
         .collect();
--- a/crates/distribution/tests/cases_return.rs
+++ b/crates/distribution/tests/cases_return.rs
@@ -3,12 +3,12 @@
 
 mod world;
 
-use reelfall_distribution::downstream::ServeRules;
-use reelfall_distribution::follow::{FollowRules, PATIENCE_MOST};
+use reelfall_distribution::downstream::DownstreamConfig;
+use reelfall_distribution::follow::{UpstreamConfig, MAX_STALE_FACTOR};
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::resource::{Draft, Name, Version};
-use reelfall_distribution::session_end::Reason;
+use reelfall_distribution::session_end::CloseReason;
 use reelfall_distribution::Time;
 use std::ops::Range;
 use world::{claim, node_of_region, World, CALM};
@@ -42,7 +42,7 @@
 fn hold(world: &mut World, author: u32, token: u64) {
     let until = world.seats[&PeerId(author)].clock(world.t + 1e6);
     let held = world.with_author(author, |author, now, outputs| {
-        author.hold(now, &claim(token), until, outputs)
+        author.hold_lease(now, &claim(token), until, outputs)
     });
     assert_eq!(held, Some(Ok(())));
 }
@@ -87,21 +87,24 @@
 /// Until a relay follows the author that writes, once it can: an attempt that is under way and a rest; then each author
 /// that refuses costs a short rest, and each that is dead an attempt.
 fn relay_finds_author(refusing: u32, dead: u32) -> Time {
-    let rules = FollowRules::relay(Vec::new());
+    let rules = UpstreamConfig::relay(Vec::new());
     let (refusing, dead) = (f64::from(refusing), f64::from(dead));
-    rules.answer + rules.rest_most + refusing * rules.spread + dead * rules.answer
+    rules.open_timeout
+        + rules.max_backoff
+        + refusing * rules.reconnect_jitter
+        + dead * rules.open_timeout
 }
 
 /// Until a node has a session again, once all its relays run: an attempt that is under way and a rest.
 fn node_finds_relay() -> Time {
-    let rules = FollowRules::node(Vec::new());
-    rules.answer + rules.rest_most
+    let rules = UpstreamConfig::node(Vec::new());
+    rules.open_timeout + rules.max_backoff
 }
 
 /// Until a node that goes from one stale relay to another one follows it: a rest, and a fallback that does not answer.
 fn node_moves_on() -> Time {
-    let rules = FollowRules::node(Vec::new());
-    rules.spread + rules.answer
+    let rules = UpstreamConfig::node(Vec::new());
+    rules.reconnect_jitter + rules.open_timeout
 }
 
 #[test]
@@ -114,15 +117,18 @@
 
 #[test]
 fn children_that_look_for_a_relay_in_vain_keep_to_its_new_sessions() {
-    let (serve, follow) = (ServeRules::default(), FollowRules::node(Vec::new()));
-    let between_attempts = follow.answer + 0.75 * follow.rest_most;
+    let (serve, follow) = (
+        DownstreamConfig::default(),
+        UpstreamConfig::node(Vec::new()),
+    );
+    let between_attempts = follow.open_timeout + 0.75 * follow.max_backoff;
     assert!(
-        between_attempts >= serve.children as f64 / serve.opens,
+        between_attempts >= serve.max_children as f64 / serve.sessions_per_second,
         "{between_attempts}"
     );
-    let control = FollowRules::relay(Vec::new());
+    let control = UpstreamConfig::relay(Vec::new());
     assert!(
-        control.rest_most >= 2.0 * serve.rest,
+        control.max_backoff >= 2.0 * serve.min_retry_after,
         "a relay does not keep to what it is asked"
     );
 }
@@ -184,9 +190,12 @@
         let mut world = regions(seed);
         let lost = [1, 3].into_iter().chain(NEAR);
         lost.for_each(|id| world.kill(PeerId(id)));
-        let rules = FollowRules::node(Vec::new());
+        let rules = UpstreamConfig::node(Vec::new());
         // The other two upstreams, which are dead, may both be asked before a fallback.
-        let most = rules.silence + rules.spread + 2.0 * rules.attempt_delay + ROUND_TRIPS;
+        let most = rules.silence_timeout
+            + rules.reconnect_jitter
+            + 2.0 * rules.attempt_delay
+            + ROUND_TRIPS;
         assert!(most <= IN_FORCE, "{most}");
         assert!(!NODES.into_iter().any(|id| follows_one_of(&world, id, &FAR)));
         let moved = until(&mut world, most, "nodes at other relays", |world| {
@@ -199,8 +208,8 @@
         });
         let version = publish(&mut world, 2, 2, "by the successor");
         // The two that are dead may both be tried first; the successor may have refused just before.
-        let relay = FollowRules::relay(Vec::new());
-        let most = relay.spread + 2.0 * relay.answer + ROUND_TRIPS;
+        let relay = UpstreamConfig::relay(Vec::new());
+        let most = relay.reconnect_jitter + 2.0 * relay.open_timeout + ROUND_TRIPS;
         let took = until_all_have(&mut world, version, most);
         println!("moved after {moved:.2} s; took over in {takeover:.2} s; {took:.2} s more, of {most:.2} s");
         world.judge.verdict();
@@ -224,14 +233,14 @@
     let began = world.t;
     world.run(lasts);
     // The first two relays are borne with for `stale` each, the next ones for 2, 4 and then 8 times as long.
-    let stale = FollowRules::node(Vec::new()).stale;
-    let most = 4.0 + (lasts / stale - 1.0 - 1.0 - 2.0 - 4.0) / PATIENCE_MOST;
+    let stale = UpstreamConfig::node(Vec::new()).stale_timeout;
+    let most = 4.0 + (lasts / stale - 1.0 - 1.0 - 2.0 - 4.0) / MAX_STALE_FACTOR;
     for id in NODES {
         let left = |event: &&(Time, PeerId, Event)| {
             let stale = matches!(
                 event.2,
                 Event::Left {
-                    why: Reason::Stale,
+                    reason: CloseReason::Stale,
                     ..
                 }
             );
@@ -261,8 +270,8 @@
     let version = publish(&mut world, 1, 1, "while the relays were away");
     RELAYS.iter().for_each(|id| world.start(PeerId(*id)));
     let began = world.t;
-    let serve = ServeRules::default();
-    let most = node_finds_relay() + 2.0 * serve.rest + ROUND_TRIPS;
+    let serve = DownstreamConfig::default();
+    let most = node_finds_relay() + 2.0 * serve.min_retry_after + ROUND_TRIPS;
     let mut children = [0; RELAYS.len()];
     while MANY
         .into_iter()
@@ -274,11 +283,11 @@
             let now = world.relay_of(id).children().count();
             let passed = world.t - began;
             assert!(
-                now as f64 <= serve.opens * (1.0 + passed),
+                now as f64 <= serve.sessions_per_second * (1.0 + passed),
                 "{now} children after {passed} s"
             );
             assert!(
-                now <= *before + (1.5 * serve.opens) as usize,
+                now <= *before + (1.5 * serve.sessions_per_second) as usize,
                 "{before}, then {now} children"
             );
             *before = now;
--- a/crates/distribution/tests/cases_tree.rs
+++ b/crates/distribution/tests/cases_tree.rs
@@ -2,11 +2,11 @@
 
 mod world;
 
-use reelfall_distribution::follow::FollowRules;
+use reelfall_distribution::follow::UpstreamConfig;
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::resource::{Draft, Name, Selector, Version};
-use reelfall_distribution::session_end::Reason;
+use reelfall_distribution::session_end::CloseReason;
 use reelfall_distribution::Time;
 use world::{claim, hold, put, World, CALM};
 
@@ -71,7 +71,7 @@
     }
     world.run(10.0);
     let status = world.author_of(1).status(version);
-    assert_eq!(status.have.len(), NODES.len());
+    assert_eq!(status.acknowledged.len(), NODES.len());
     world.judge.verdict();
 }
 
@@ -84,7 +84,7 @@
     let version = publish(&mut world, 1, drafts);
     world.run(8.0);
     let had: Vec<usize> = NODES
-        .map(|id| world.node_of(id).all_in_force().count())
+        .map(|id| world.node_of(id).applied_changes().count())
         .collect();
     assert!(had.iter().all(|n| (10..90).contains(n)), "{had:?}");
     let killed = world.node_of(100).following().unwrap();
@@ -92,7 +92,7 @@
     let at = world.t;
     let before = world.sent.len();
     until_all_have(&mut world, &all(), version, 40.0);
-    let left: Vec<Time> = lefts(&world, at, Reason::Silent);
+    let left: Vec<Time> = lefts(&world, at, CloseReason::TimedOut);
     assert!(
         !left.is_empty() && left.iter().all(|t| t - at < 8.5),
         "{left:?}"
@@ -107,11 +107,11 @@
     world.judge.verdict();
 }
 
-fn lefts(world: &World, since: Time, reason: Reason) -> Vec<Time> {
+fn lefts(world: &World, since: Time, reason: CloseReason) -> Vec<Time> {
     let of_node = |event: &&(Time, PeerId, Event)| {
         event.0 > since
             && event.1 .0 >= 100
-            && matches!(event.2, Event::Left { why, .. } if why == reason)
+            && matches!(event.2, Event::Left { reason: why, .. } if why == reason)
     };
     world
         .judge
@@ -177,12 +177,12 @@
     world.start(PeerId(20));
     world.start(PeerId(21));
     // An attempt that is under way, a rest, and the round trips of a session and a change.
-    let rules = FollowRules::node(Vec::new());
+    let rules = UpstreamConfig::node(Vec::new());
     until_all_have(
         &mut world,
         &all(),
         version,
-        rules.answer + rules.rest_most + 1.0,
+        rules.open_timeout + rules.max_backoff + 1.0,
     );
     world.judge.verdict();
 }
@@ -220,9 +220,10 @@
     let changed = 361.0;
     // What one change takes, by what the budget brings in a second, and an attempt that is under way and a rest before a relay
     // and a node return.
-    let rules = FollowRules::node(Vec::new());
-    let relay_rules = FollowRules::relay(Vec::new());
-    let rests = rules.answer + rules.rest_most + relay_rules.answer + relay_rules.rest_most;
+    let rules = UpstreamConfig::node(Vec::new());
+    let relay_rules = UpstreamConfig::relay(Vec::new());
+    let rests =
+        rules.open_timeout + rules.max_backoff + relay_rules.open_timeout + relay_rules.max_backoff;
     let most = changed * 400.0 / 6000.0 + rests;
     let took = until_all_have(&mut world, &all(), version, most);
     println!("caught up in {took:.1} s, of {most:.1} s");
@@ -238,8 +239,8 @@
     publish(&mut world, 1, drafts);
     world.run(12.0);
     let node = world.node_of(100);
-    assert!(node.in_force(&Name::service("a", "r79")).is_some());
-    assert!(node.in_force(&Name::service("a", "r0")).is_none());
+    assert!(node.applied_change(&Name::service("a", "r79")).is_some());
+    assert!(node.applied_change(&Name::service("a", "r0")).is_none());
 }
 
 #[test]
@@ -281,7 +282,7 @@
         reelfall_distribution::subscriber::Subscriber::restore(config, disk, Some(month), 5.0);
     let mut outputs = Vec::new();
     node.poll(5.0, &mut outputs);
-    let x = node.in_force(&Name::service("a", "x")).unwrap();
+    let x = node.applied_change(&Name::service("a", "x")).unwrap();
     assert_eq!(x.content.bytes(), b"old");
     assert!(node.staleness(5.0) >= month);
     assert!(node.staleness(65.0) >= month + 60.0);
@@ -301,7 +302,7 @@
         asked += outputs.iter().filter(followed).count();
     }
     assert!((5..60).contains(&asked), "{asked} sessions in ten minutes");
-    assert!(node.in_force(&Name::service("a", "x")).is_some());
+    assert!(node.applied_change(&Name::service("a", "x")).is_some());
 }
 
 #[test]
@@ -332,7 +333,7 @@
     assert!(
         world
             .node_of(100)
-            .in_force(&Name::service("a", "r3"))
+            .applied_change(&Name::service("a", "r3"))
             .is_none(),
         "a removal was missed"
     );
@@ -340,7 +341,7 @@
         world.bytes_at(100, &Name::service("a", "r4")).unwrap(),
         b"new"
     );
-    assert_eq!(world.node_of(100).all_in_force().count(), 29);
+    assert_eq!(world.node_of(100).applied_changes().count(), 29);
     let bytes: usize = world.sent[before..]
         .iter()
         .filter(|s| s.2 == PeerId(100))
--- a/crates/distribution/tests/cases_trial.rs
+++ b/crates/distribution/tests/cases_trial.rs
@@ -5,12 +5,14 @@
 use reelfall_distribution::author::{RolloutDraft, RolloutStatus};
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
-use reelfall_distribution::publish::{Refusal, ROLLOUTS_MOST};
-use reelfall_distribution::resource::{Content, Draft, Key, Name, Part, Selector, Slot, Version};
-use reelfall_distribution::rollout::policy::{BadPolicy, OnRefusals, RolloutPolicy};
+use reelfall_distribution::publish::{PublishError, MAX_OPEN_ROLLOUTS};
+use reelfall_distribution::resource::{
+    Content, Draft, Key, Name, NodeFraction, Selector, Slot, Version,
+};
+use reelfall_distribution::rollout::policy::{InvalidPolicy, OnRejections, RolloutPolicy};
 use reelfall_distribution::rollout::record::{RolloutRecord, RolloutState};
-use reelfall_distribution::rollout::stage::{self, StageCounts, Verdict, Waiting};
-use reelfall_distribution::subscriber::STANDING_AGAIN;
+use reelfall_distribution::rollout::stage::{self, AdvanceBlocker, StageCounts, Verdict};
+use reelfall_distribution::subscriber::ACKNOWLEDGEMENT_REFRESH_INTERVAL;
 use reelfall_distribution::Time;
 use world::{claim, hold, two_authors_and_relays, World, BAD_FOR_ODD};
 
@@ -27,14 +29,14 @@
 fn policy() -> RolloutPolicy {
     RolloutPolicy {
         stages: vec![FIRST_STAGE, 600, 1000],
-        soak: SOAK,
+        soak_time: SOAK,
         decision_time: 5.0,
-        max_refused_share: 100,
-        max_refused: 100,
+        max_rejected_share: 100,
+        max_rejected: 100,
         min_decisions: 1,
         min_accepted_share: 900,
         max_report_age: 150.0,
-        on_refusals: OnRefusals::RollBack,
+        on_rejections: OnRejections::RollBack,
     }
 }
 
@@ -52,11 +54,11 @@
 }
 
 fn stage_nodes(thousandths: u16) -> Vec<u32> {
-    let part = Part {
+    let part = NodeFraction {
         thousandths,
         seed: SEED,
     };
-    NODES.filter(|id| part.holds(PeerId(*id))).collect()
+    NODES.filter(|id| part.contains(PeerId(*id))).collect()
 }
 
 /// Two authors, of whom the first writes with token 1; two relays; the nodes follow those of `relays_of`.
@@ -85,7 +87,12 @@
     vec![10 + id % 2]
 }
 
-fn publish(world: &mut World, author: u32, token: u64, body: &[u8]) -> Result<Version, Refusal> {
+fn publish(
+    world: &mut World,
+    author: u32,
+    token: u64,
+    body: &[u8],
+) -> Result<Version, PublishError> {
     let drafts = vec![Draft::put(name(), body)];
     world
         .with_author(author, |author, now, outputs| {
@@ -99,10 +106,10 @@
     author: u32,
     token: u64,
     draft: RolloutDraft,
-) -> Result<Version, Refusal> {
+) -> Result<Version, PublishError> {
     world
         .with_author(author, |author, now, outputs| {
-            author.roll_out(now, &claim(token), draft, outputs)
+            author.start_rollout(now, &claim(token), draft, outputs)
         })
         .unwrap()
 }
@@ -166,7 +173,7 @@
     let seen = status(&world, 1);
     assert_eq!(
         (seen.thousandths, seen.waiting),
-        (Some(FIRST_STAGE), Some(Waiting::Soak))
+        (Some(FIRST_STAGE), Some(AdvanceBlocker::Soak))
     );
     for id in NODES {
         let expected = if stage_nodes(FIRST_STAGE).contains(&id) {
@@ -196,9 +203,9 @@
     assert_everywhere(&world, NEW);
     let trial = Key {
         name: name(),
-        slot: Slot::Trial,
+        slot: Slot::Canary,
     };
-    assert!(world.author_of(1).log().get(&trial).unwrap().removes());
+    assert!(world.author_of(1).log().get(&trial).unwrap().is_removal());
     world.judge.verdict();
 }
 
@@ -220,7 +227,7 @@
         .collect();
     let seen = status(&world, 1);
     let named: Vec<u32> = seen
-        .refusing
+        .rejecting_nodes
         .iter()
         .map(|refusing| refusing.node.0)
         .collect();
@@ -229,15 +236,15 @@
         "{named:?} of {refusing:?}"
     );
     assert!(seen
-        .refusing
+        .rejecting_nodes
         .iter()
         .all(|refusing| refusing.reason == "odd numbers can't"));
     let RolloutState::RolledBack(stop) = seen.record.state else {
         panic!("{:?}", seen.record.state)
     };
     assert_eq!(
-        (stop.thousandths, stop.refusing.len() as u32),
-        (FIRST_STAGE, stop.refused)
+        (stop.thousandths, stop.rejecting_nodes.len() as u32),
+        (FIRST_STAGE, stop.rejected)
     );
     assert_everywhere(&world, EARLIER);
     world.run(3.0 * SOAK);
@@ -254,7 +261,7 @@
 fn refusals_within_the_threshold_do_not_stop_it() {
     let mut world = tree(3, both_relays);
     let tolerant = RolloutPolicy {
-        max_refused_share: 800,
+        max_rejected_share: 800,
         min_accepted_share: 200,
         ..policy()
     };
@@ -272,8 +279,8 @@
 fn a_number_of_refusals_stops_it_whatever_their_share() {
     let mut world = tree(4, both_relays);
     let policy = RolloutPolicy {
-        max_refused_share: 1000,
-        max_refused: 0,
+        max_rejected_share: 1000,
+        max_rejected: 0,
         ..policy()
     };
     roll_out(&mut world, 1, 1, draft(BAD_FOR_ODD, policy)).unwrap();
@@ -286,7 +293,7 @@
 fn a_halted_rollout_stays_at_its_stage_until_it_is_ended_by_hand() {
     let mut world = tree(5, both_relays);
     let halting = RolloutPolicy {
-        on_refusals: OnRefusals::Halt,
+        on_rejections: OnRejections::Halt,
         ..policy()
     };
     roll_out(&mut world, 1, 1, draft(BAD_FOR_ODD, halting.clone())).unwrap();
@@ -302,7 +309,7 @@
     }
     assert_eq!(
         roll_out(&mut world, 1, 1, draft(NEW, halting)),
-        Err(Refusal::RollingOut)
+        Err(PublishError::RolloutOpen)
     );
     // A successor neither goes on.
     world.kill(PeerId(1));
@@ -323,7 +330,7 @@
         .log()
         .get(&Key {
             name: name(),
-            slot: Slot::Trial,
+            slot: Slot::Canary,
         })
         .unwrap()
         .version
@@ -347,7 +354,7 @@
         world.run(SOAK / 2.0);
         if releases {
             let released = world.with_author(1, |author, now, outputs| {
-                author.release(now, &claim(1), &name(), outputs)
+                author.promote_canary(now, &claim(1), &name(), outputs)
             });
             released.unwrap().unwrap();
         } else {
@@ -380,22 +387,22 @@
         .log()
         .get(&Key {
             name: name(),
-            slot: Slot::Trial
+            slot: Slot::Canary
         })
         .unwrap()
-        .removes());
+        .is_removal());
     assert_everywhere(&world, b"other");
     // A trial by hand takes the place of a rollout's trial, and is left alone.
     roll_out(&mut world, 1, 1, draft(NEW, policy())).unwrap();
     world.run(SOAK / 2.0);
     let by_hand = Draft::put(name(), b"by hand");
-    let part = Part {
+    let part = NodeFraction {
         thousandths: 1000,
         seed: SEED,
     };
     world
         .with_author(1, |author, now, outputs| {
-            author.stage(now, &claim(1), by_hand, part, outputs)
+            author.publish_canary(now, &claim(1), by_hand, part, outputs)
         })
         .unwrap()
         .unwrap();
@@ -415,7 +422,7 @@
     let seen = status(&world, 1);
     assert_eq!(
         (seen.thousandths, seen.waiting),
-        (Some(FIRST_STAGE), Some(Waiting::Acceptances))
+        (Some(FIRST_STAGE), Some(AdvanceBlocker::Acceptances))
     );
     assert!(
         seen.counts.accepted > 0 && seen.counts.accepted < seen.counts.known,
@@ -429,7 +436,7 @@
     let seen = status(&world, 2);
     assert_eq!(
         (seen.thousandths, seen.waiting),
-        (Some(FIRST_STAGE), Some(Waiting::Acceptances))
+        (Some(FIRST_STAGE), Some(AdvanceBlocker::Acceptances))
     );
     world.cut(PeerId(2), PeerId(11), 0.0);
     world.run(200.0);
@@ -442,13 +449,13 @@
 fn reports_that_grew_too_old_hold_a_stage_back() {
     let mut world = tree(9, own_relay);
     let slow = RolloutPolicy {
-        soak: 300.0,
+        soak_time: 300.0,
         max_report_age: 150.0,
         ..policy()
     };
     roll_out(&mut world, 1, 1, draft(NEW, slow)).unwrap();
     world.run(100.0);
-    assert_eq!(status(&world, 1).waiting, Some(Waiting::Soak));
+    assert_eq!(status(&world, 1).waiting, Some(AdvanceBlocker::Soak));
     for author in [1, 2] {
         world.cut(PeerId(author), PeerId(11), 400.0);
     }
@@ -456,14 +463,14 @@
     let seen = status(&world, 1);
     assert_eq!(
         (seen.thousandths, seen.waiting),
-        (Some(FIRST_STAGE), Some(Waiting::Acceptances))
+        (Some(FIRST_STAGE), Some(AdvanceBlocker::Acceptances))
     );
     assert_eq!(
         seen.counts.accepted, seen.counts.known,
         "all accepted once: {:?}",
         seen.counts
     );
-    assert!(seen.counts.accepted_lately < seen.counts.known);
+    assert!(seen.counts.accepted_recently < seen.counts.known);
     world.run(200.0);
     assert!(status(&world, 1).thousandths > Some(FIRST_STAGE));
 }
@@ -480,7 +487,7 @@
     let seen = status(&world, 1);
     assert_eq!(
         (seen.thousandths, seen.waiting),
-        (Some(FIRST_STAGE), Some(Waiting::Decisions))
+        (Some(FIRST_STAGE), Some(AdvanceBlocker::Decisions))
     );
 }
 
@@ -507,7 +514,7 @@
         .any(|(_, _, event)| *event == resumed));
     assert_eq!(
         status(&world, 1).waiting,
-        Some(Waiting::Soak),
+        Some(AdvanceBlocker::Soak),
         "the stage soaks anew"
     );
     world.run(150.0);
@@ -521,19 +528,19 @@
 fn a_successor_goes_on_and_knows_who_refused() {
     let mut world = tree(12, both_relays);
     let tolerant = RolloutPolicy {
-        max_refused_share: 800,
+        max_rejected_share: 800,
         min_accepted_share: 200,
         ..policy()
     };
     roll_out(&mut world, 1, 1, draft(BAD_FOR_ODD, tolerant)).unwrap();
     world.run(SOAK / 2.0);
     let counts = status(&world, 1).counts;
-    assert!(counts.refused > 0);
-    let refusing = status(&world, 1).refusing;
+    assert!(counts.rejected > 0);
+    let refusing = status(&world, 1).rejecting_nodes;
     world.kill(PeerId(1));
     take_over(&mut world, 2, 2);
     assert_eq!(status(&world, 2).thousandths, Some(FIRST_STAGE));
-    assert_eq!(status(&world, 2).refusing, refusing);
+    assert_eq!(status(&world, 2).rejecting_nodes, refusing);
     world.run(200.0);
     assert_eq!(state(&world, 2), RolloutState::Completed);
     world.judge.verdict();
@@ -544,9 +551,9 @@
 fn standings_of_an_earlier_lease_are_no_acceptances() {
     let mut world = tree(22, both_relays);
     let tolerant = RolloutPolicy {
-        max_refused_share: 800,
+        max_rejected_share: 800,
         min_accepted_share: 200,
-        soak: 300.0,
+        soak_time: 300.0,
         ..policy()
     };
     roll_out(&mut world, 1, 1, draft(BAD_FOR_ODD, tolerant)).unwrap();
@@ -561,7 +568,7 @@
     let counts = status(&world, 1).counts;
     assert!(world.author_of(1).is_writing() && counts.known > 0);
     assert_eq!(
-        (counts.accepted, counts.refused),
+        (counts.accepted, counts.rejected),
         (0, 0),
         "nobody was heard"
     );
@@ -572,7 +579,7 @@
 fn refusals_that_a_relay_took_and_lost_come_again() {
     let mut world = tree(13, own_relay);
     let patient = RolloutPolicy {
-        soak: 60.0,
+        soak_time: 60.0,
         ..policy()
     };
     roll_out(&mut world, 1, 1, draft(BAD_FOR_ODD, patient)).unwrap();
@@ -589,7 +596,7 @@
     let asked = |id: &u32| world.node_of(*id).head() >= trial_version(&world, 1);
     assert!(refusing.iter().all(asked), "the trial has not come");
     assert_eq!(state(&world, 1), RolloutState::Running);
-    assert_eq!(status(&world, 1).counts.refused, 0);
+    assert_eq!(status(&world, 1).counts.rejected, 0);
     world.kill(PeerId(11));
     world.start(PeerId(11));
     world.run(150.0);
@@ -666,7 +673,7 @@
         }
     }
     for id in stage_nodes(FIRST_STAGE) {
-        let version = world.node_of(id).in_force(&name()).unwrap().version;
+        let version = world.node_of(id).applied_change(&name()).unwrap().version;
         assert!(version > trial, "{id} has not heard of the end");
     }
     world.run(60.0);
@@ -772,69 +779,72 @@
     };
     assert_eq!(
         with(|policy| policy.stages = vec![]),
-        BadPolicy::Stages.into()
+        InvalidPolicy::Stages.into()
     );
     assert_eq!(
         with(|policy| policy.stages = vec![0, 1000]),
-        BadPolicy::Stages.into()
+        InvalidPolicy::Stages.into()
     );
     assert_eq!(
         with(|policy| policy.stages = vec![500, 400, 1000]),
-        BadPolicy::Stages.into()
+        InvalidPolicy::Stages.into()
     );
     assert_eq!(
         with(|policy| policy.stages = vec![500]),
-        BadPolicy::Stages.into()
+        InvalidPolicy::Stages.into()
     );
     assert_eq!(
         with(|policy| policy.stages = (984..=1000).collect()),
-        BadPolicy::Stages.into()
+        InvalidPolicy::Stages.into()
     );
     assert_eq!(
-        with(|policy| policy.max_refused_share = 1001),
-        BadPolicy::Share.into()
+        with(|policy| policy.max_rejected_share = 1001),
+        InvalidPolicy::Share.into()
     );
     assert_eq!(
         with(|policy| policy.min_accepted_share = 1001),
-        BadPolicy::Share.into()
+        InvalidPolicy::Share.into()
     );
     assert_eq!(
         with(|policy| policy.min_decisions = 0),
-        BadPolicy::Decisions.into()
+        InvalidPolicy::Decisions.into()
+    );
+    assert_eq!(
+        with(|policy| policy.soak_time = -1.0),
+        InvalidPolicy::Soak.into()
     );
-    assert_eq!(with(|policy| policy.soak = -1.0), BadPolicy::Soak.into());
     assert_eq!(
-        with(|policy| policy.soak = f64::NAN),
-        BadPolicy::Soak.into()
+        with(|policy| policy.soak_time = f64::NAN),
+        InvalidPolicy::Soak.into()
     );
     assert_eq!(
         with(|policy| policy.decision_time = SOAK + 1.0),
-        BadPolicy::DecisionTime.into()
+        InvalidPolicy::DecisionTime.into()
     );
     assert_eq!(
         with(|policy| policy.decision_time = f64::NAN),
-        BadPolicy::DecisionTime.into()
+        InvalidPolicy::DecisionTime.into()
     );
     assert_eq!(
         with(|policy| policy.max_report_age = 60.0),
-        BadPolicy::ReportAge.into()
+        InvalidPolicy::ReportAge.into()
     );
     assert_eq!(
         with(|policy| policy.max_report_age = f64::NAN),
-        BadPolicy::ReportAge.into()
+        InvalidPolicy::ReportAge.into()
     );
     let again = RolloutPolicy {
-        max_report_age: STANDING_AGAIN,
+        max_report_age: ACKNOWLEDGEMENT_REFRESH_INTERVAL,
         ..policy()
     };
-    assert_eq!(refused(draft(NEW, again)), BadPolicy::ReportAge.into());
+    assert_eq!(refused(draft(NEW, again)), InvalidPolicy::ReportAge.into());
     let removal = RolloutDraft {
         content: Content::Removed,
         ..draft(NEW, policy())
     };
-    assert_eq!(refused(removal), BadPolicy::Removal.into());
+    assert_eq!(refused(removal), InvalidPolicy::Removal.into());
     let record = RolloutRecord::key_of(&name()).name;
-    let reserved = Refusal::Reserved(Box::new(record.clone()));
+    let reserved = PublishError::Reserved(Box::new(record.clone()));
     assert_eq!(
         refused(RolloutDraft {
             name: record.clone(),
@@ -849,7 +859,7 @@
     assert_eq!(published, Some(Err(reserved)));
     assert_eq!(
         roll_out(&mut world, 2, 1, draft(NEW, policy())),
-        Err(Refusal::NotHeld)
+        Err(PublishError::LeaseNotHeld)
     );
 }
 
@@ -862,9 +872,9 @@
         Selector::service("a"),
         Selector::tenant("t"),
     ] {
-        assert!(!selector.holds(&group), "{selector:?}");
+        assert!(!selector.matches(&group), "{selector:?}");
     }
-    assert!(Selector::Everything.holds(&group));
+    assert!(Selector::Everything.matches(&group));
 }
 
 #[test]
@@ -874,15 +884,15 @@
         name: Name::service("a", &format!("n{n}")),
         ..draft(NEW, policy())
     };
-    for n in 0..ROLLOUTS_MOST {
+    for n in 0..MAX_OPEN_ROLLOUTS {
         roll_out(&mut world, 1, 1, of(n)).unwrap();
     }
     assert_eq!(
-        roll_out(&mut world, 1, 1, of(ROLLOUTS_MOST)),
-        Err(Refusal::Rollouts)
+        roll_out(&mut world, 1, 1, of(MAX_OPEN_ROLLOUTS)),
+        Err(PublishError::TooManyRollouts)
     );
     world.run(100.0);
-    for n in ROLLOUTS_MOST..100 {
+    for n in MAX_OPEN_ROLLOUTS..100 {
         roll_out(&mut world, 1, 1, of(n)).unwrap();
         let drafts = vec![Draft::put(Name::service("a", &format!("n{n}")), b"other")];
         world.with_author(1, |author, now, outputs| {
@@ -909,8 +919,8 @@
 #[test]
 fn verdicts_by_counts() {
     let policy = RolloutPolicy {
-        max_refused_share: 100,
-        max_refused: 50,
+        max_rejected_share: 100,
+        max_rejected: 50,
         min_decisions: 20,
         min_accepted_share: 800,
         ..policy()
@@ -919,35 +929,41 @@
         let counts = StageCounts {
             known,
             accepted,
-            accepted_lately,
-            refused,
+            accepted_recently: accepted_lately,
+            rejected: refused,
         };
-        stage::judge(&policy, counts, lasted)
+        stage::evaluate(&policy, counts, lasted)
     };
     let soaked = |counts| verdict_after(SOAK, counts);
     // Of 20 decisions two may refuse, also while fewer have decided.
-    assert_eq!(soaked((100, 0, 0, 2)), Verdict::Wait(Waiting::Decisions));
+    assert_eq!(
+        soaked((100, 0, 0, 2)),
+        Verdict::Wait(AdvanceBlocker::Decisions)
+    );
     assert_eq!(soaked((100, 0, 0, 3)), Verdict::Stop);
     assert_eq!(soaked((30, 27, 27, 3)), Verdict::Advance);
     assert_eq!(soaked((30, 26, 26, 4)), Verdict::Stop);
     // Whoever accepted once counts against refusals, though it was not heard of late.
     assert_eq!(
         soaked((1000, 90, 10, 10)),
-        Verdict::Wait(Waiting::Acceptances)
+        Verdict::Wait(AdvanceBlocker::Acceptances)
     );
     assert_eq!(
         soaked((1000, 800, 799, 0)),
-        Verdict::Wait(Waiting::Acceptances)
+        Verdict::Wait(AdvanceBlocker::Acceptances)
     );
     assert_eq!(soaked((1000, 800, 800, 0)), Verdict::Advance);
     assert_eq!(soaked((1000, 900, 900, 51)), Verdict::Stop);
     // While nodes still decide, the others are taken to accept.
     let early = |counts| verdict_after(policy.decision_time / 2.0, counts);
-    assert_eq!(early((100, 0, 0, 10)), Verdict::Wait(Waiting::Soak));
+    assert_eq!(early((100, 0, 0, 10)), Verdict::Wait(AdvanceBlocker::Soak));
     assert_eq!(
         verdict_after(policy.decision_time, (100, 0, 0, 10)),
         Verdict::Stop
     );
     assert_eq!(early((100, 0, 0, 11)), Verdict::Stop);
-    assert_eq!(early((100, 100, 100, 0)), Verdict::Wait(Waiting::Soak));
+    assert_eq!(
+        early((100, 100, 100, 0)),
+        Verdict::Wait(AdvanceBlocker::Soak)
+    );
 }
--- a/crates/distribution/tests/defences.rs
+++ b/crates/distribution/tests/defences.rs
@@ -5,22 +5,22 @@
 use reelfall_distribution::author::{Author, AuthorConfig};
 use reelfall_distribution::bucket::Budget;
 use reelfall_distribution::child::Child;
-use reelfall_distribution::coverage::{Coverage, Span, SPANS_MANY};
-use reelfall_distribution::downstream::ServeRules;
+use reelfall_distribution::coverage::{Coverage, Span, GAP_FILL_MIN_SPANS};
+use reelfall_distribution::downstream::DownstreamConfig;
 use reelfall_distribution::epoch::Epoch;
-use reelfall_distribution::feed::Source;
-use reelfall_distribution::follow::FollowRules;
+use reelfall_distribution::feed::ReplicaView;
+use reelfall_distribution::follow::UpstreamConfig;
 use reelfall_distribution::link::Link;
-use reelfall_distribution::log::{Log, Room};
+use reelfall_distribution::log::{Capacity, ChangeLog};
 use reelfall_distribution::message::{decode, Payload, Subscribe};
 use reelfall_distribution::output::{Event, Output, Record};
 use reelfall_distribution::peer::PeerId;
-use reelfall_distribution::publish::Refusal;
+use reelfall_distribution::publish::PublishError;
 use reelfall_distribution::resource::{
-    Change, Content, Draft, Key, Part, Selector, Slot, Urgency, Version,
+    Change, Content, Draft, Key, NodeFraction, Selector, Slot, Urgency, Version,
 };
-use reelfall_distribution::restore::Restored;
-use reelfall_distribution::session_end::Reason;
+use reelfall_distribution::restore::RestoredState;
+use reelfall_distribution::session_end::CloseReason;
 use reelfall_distribution::Time;
 use world::{claim, hold, lease, name, put, two_authors_and_relays, World, CALM};
 
@@ -30,15 +30,15 @@
 fn author_alone() -> Author {
     let config = AuthorConfig {
         lease: lease(),
-        follow: FollowRules::relay(Vec::new()),
-        serve: ServeRules::default(),
-        room: Room {
-            keys: 100,
-            bytes: 1 << 20,
-            removals: 10,
+        upstream: UpstreamConfig::relay(Vec::new()),
+        downstream: DownstreamConfig::default(),
+        capacity: Capacity {
+            max_keys: 100,
+            max_bytes: 1 << 20,
+            max_tombstones: 10,
         },
-        history: 1 << 20,
-        takeover: 5.0,
+        history_bytes: 1 << 20,
+        takeover_timeout: 5.0,
         seed: 1,
     };
     Author::new(config, 0.0)
@@ -71,25 +71,33 @@
 fn an_author_that_was_not_polled_writes_nothing_once_its_lease_is_over() {
     let mut author = author_alone();
     let mut outputs = Vec::new();
-    let part = Part {
+    let part = NodeFraction {
         thousandths: 500,
         seed: 1,
     };
-    author.hold(1.0, &claim(1), 5.0, &mut outputs).unwrap();
+    author
+        .hold_lease(1.0, &claim(1), 5.0, &mut outputs)
+        .unwrap();
     let in_time = author
         .publish(4.9, &claim(1), vec![put("x", b"in time")], &mut outputs)
         .unwrap();
     author
-        .stage(4.9, &claim(1), put("y", b"in time"), part, &mut outputs)
+        .publish_canary(4.9, &claim(1), put("y", b"in time"), part, &mut outputs)
         .unwrap();
     outputs.clear();
     let late = [
         author.publish(5.0, &claim(1), vec![put("x", b"late")], &mut outputs),
-        author.stage(5.0, &claim(1), put("y", b"late"), Part::ALL, &mut outputs),
-        author.release(5.0, &claim(1), &name("y"), &mut outputs),
+        author.publish_canary(
+            5.0,
+            &claim(1),
+            put("y", b"late"),
+            NodeFraction::ALL,
+            &mut outputs,
+        ),
+        author.promote_canary(5.0, &claim(1), &name("y"), &mut outputs),
         author.revert(5.0, &claim(1), in_time, &mut outputs),
     ];
-    assert_eq!(late, [const { Err(Refusal::NotHeld) }; 4]);
+    assert_eq!(late, [const { Err(PublishError::LeaseNotHeld) }; 4]);
     assert!(outputs.is_empty(), "{outputs:?}");
 }
 
@@ -109,7 +117,7 @@
             && matches!(
                 event.2,
                 Event::ChildLost {
-                    why: Reason::Fenced,
+                    reason: CloseReason::Fenced,
                     ..
                 }
             )
@@ -163,8 +171,8 @@
     world.cut(PeerId(1), PeerId(far), 60.0);
     let version = publish(&mut world, 1, 1, vec![put("x", b"one")]);
     world.run(2.0);
-    assert_eq!(world.relay_of(near).log().top(), version);
-    assert!(world.relay_of(far).log().top() < version);
+    assert_eq!(world.relay_of(near).log().last_version(), version);
+    assert!(world.relay_of(far).log().last_version() < version);
     world.kill(PeerId(1));
     hold(&mut world, 2, 2, 1e6);
     world.run(60.0);
@@ -236,7 +244,7 @@
     world.run(30.0);
     let known = publish(&mut world, 1, 1, vec![put("x", b"one")]);
     world.run(10.0);
-    let x = world.relay_of(10).log().at(known).unwrap().clone();
+    let x = world.relay_of(10).log().get_version(known).unwrap().clone();
     world.kill(PeerId(10));
     world.with_author(1, |author, now, outputs| author.stand_down(now, outputs));
     hold(&mut world, 1, 2, 1e6);
@@ -248,12 +256,12 @@
     };
     let covered = Record::Covered {
         selector: Selector::Everything,
-        coverage: Coverage::upto(version),
-        floor: Version::ZERO,
+        coverage: Coverage::up_to(version),
+        removals_known: Version::ZERO,
     };
     let epoch = Epoch {
         claim: claim(2),
-        known: Coverage::upto(known),
+        known: Coverage::up_to(known),
     };
     let orphan = Change {
         version,
@@ -276,7 +284,7 @@
     assert!(
         world
             .node_of(100)
-            .in_force(&name("x"))
+            .applied_change(&name("x"))
             .unwrap()
             .version
             .token
@@ -325,7 +333,7 @@
         );
     }
     world.cut(PeerId(2), PeerId(10), 1e6);
-    let top = world.relay_of(10).coverage().top();
+    let top = world.relay_of(10).coverage().last_version();
     assert_eq!(
         top.token, 1,
         "the second author has told more than its name"
@@ -346,11 +354,11 @@
     world.cut(PeerId(1), PeerId(10), 0.0);
     world.run(60.0);
     let relay = world.relay_of(10);
-    assert_eq!(relay.coverage().floor(), last);
+    assert_eq!(relay.coverage().contiguous_end(), last);
     let kept = relay
         .log()
         .changes()
-        .filter(|change| !change.removes())
+        .filter(|change| !change.is_removal())
         .count();
     assert_eq!(kept, 0, "keys that are no more");
 }
@@ -361,21 +369,21 @@
     let version = |sequence| Version { token: 1, sequence };
     let span = |after, upto| Span {
         after: version(after),
-        upto: version(upto),
+        through: version(upto),
     };
-    let mut log = Log::new(Room {
-        keys: 1000,
-        bytes: 1 << 20,
-        removals: 10,
+    let mut log = ChangeLog::new(Capacity {
+        max_keys: 1000,
+        max_bytes: 1 << 20,
+        max_tombstones: 10,
     });
     let change = |sequence: u64| Change {
         key: Key {
             name: name(&format!("r{sequence}")),
-            slot: Slot::Whole,
+            slot: Slot::Stable,
         },
         version: version(sequence),
         urgency: Urgency::Normal,
-        part: Part::ALL,
+        fraction: NodeFraction::ALL,
         replaces: Version::ZERO,
         content: Content::body(b"body"),
     };
@@ -386,13 +394,13 @@
     own.add(span(10, 20));
     own.add(span(90, 300));
     let mut coverage = Coverage::EMPTY;
-    for n in 0..SPANS_MANY as u64 {
+    for n in 0..GAP_FILL_MIN_SPANS as u64 {
         coverage.add(span(100 + 2 * n, 101 + 2 * n));
     }
-    let source = Source {
+    let source = ReplicaView {
         log: &log,
         coverage: &own,
-        whole: false,
+        is_contiguous: false,
         removals_known: Version::ZERO,
         age: None,
         epoch: None,
@@ -404,7 +412,7 @@
         id: 0,
         selector,
         coverage,
-        floor: Version::ZERO,
+        removals_known: Version::ZERO,
         has_changes: true,
     };
     child.subscribe(asked, source).unwrap();
@@ -431,9 +439,11 @@
 fn who_writes_by_an_older_claim_hears_of_the_later_token() {
     let mut author = author_alone();
     let mut outputs = Vec::new();
-    author.hold(1.0, &claim(2), 100.0, &mut outputs).unwrap();
+    author
+        .hold_lease(1.0, &claim(2), 100.0, &mut outputs)
+        .unwrap();
     let refused = author.publish(2.0, &claim(1), vec![put("x", b"late")], &mut outputs);
-    assert_eq!(refused, Err(Refusal::Fenced(2)));
+    assert_eq!(refused, Err(PublishError::Fenced(2)));
 }
 
 /// A node may end after any output of an unsubscription: what its disk says is in force has its version in the log, so that
@@ -469,18 +479,18 @@
     );
     for kept in 0..=records.len() {
         let disk = stored.iter().chain(&records[..kept]).cloned();
-        let restored = Restored::read(
-            Room {
-                keys: 100,
-                bytes: 1 << 20,
-                removals: 10,
+        let restored = RestoredState::from_records(
+            Capacity {
+                max_keys: 100,
+                max_bytes: 1 << 20,
+                max_tombstones: 10,
             },
             disk,
         );
-        for (name, change) in &restored.in_force {
+        for (name, change) in &restored.applied {
             let logged = restored.log.get(&Key {
                 name: name.clone(),
-                slot: Slot::Whole,
+                slot: Slot::Stable,
             });
             let version = logged.map(|logged| logged.version);
             assert!(
--- a/crates/distribution/tests/false_peers.rs
+++ b/crates/distribution/tests/false_peers.rs
@@ -4,35 +4,35 @@
 mod world;
 
 use reelfall_distribution::coverage::{Coverage, Span};
-use reelfall_distribution::downstream::ServeRules;
-use reelfall_distribution::follow::FollowRules;
-use reelfall_distribution::log::Room;
+use reelfall_distribution::downstream::DownstreamConfig;
+use reelfall_distribution::follow::UpstreamConfig;
+use reelfall_distribution::log::Capacity;
 use reelfall_distribution::message::{decode, encode, Chunk, Head, Payload, Subscribe};
 use reelfall_distribution::output::{Event, Output};
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::relay::{Relay, RelayConfig};
 use reelfall_distribution::resource::{
-    Change, Content, ContentHash, Key, Name, Part, Selector, Slot, Urgency, Version,
+    Change, Content, ContentHash, Key, Name, NodeFraction, Selector, Slot, Urgency, Version,
 };
-use reelfall_distribution::session_end::Reason;
+use reelfall_distribution::session_end::CloseReason;
 use reelfall_distribution::subscriber::{Subscriber, SubscriberConfig};
 use world::lease;
 
 const RELAY: PeerId = PeerId(20);
-const ROOM: Room = Room {
-    keys: 1000,
-    bytes: 1 << 20,
-    removals: 10,
+const ROOM: Capacity = Capacity {
+    max_keys: 1000,
+    max_bytes: 1 << 20,
+    max_tombstones: 10,
 };
 
 fn node() -> Subscriber {
-    let follow = FollowRules::node(vec![RELAY, PeerId(21)]);
+    let follow = UpstreamConfig::node(vec![RELAY, PeerId(21)]);
     let config = SubscriberConfig {
         node: PeerId(100),
         lease: lease(),
-        follow,
-        room: ROOM,
-        standing_every: 2.0,
+        upstream: follow,
+        capacity: ROOM,
+        acknowledgement_interval: 2.0,
         seed: 1,
     };
     let mut node = Subscriber::new(config, 0.0);
@@ -41,17 +41,17 @@
 }
 
 fn relay() -> Relay {
-    let follow = FollowRules::relay(vec![PeerId(1)]);
-    let serve = ServeRules {
-        children: 4,
-        ..ServeRules::default()
+    let follow = UpstreamConfig::relay(vec![PeerId(1)]);
+    let serve = DownstreamConfig {
+        max_children: 4,
+        ..DownstreamConfig::default()
     };
     Relay::new(
         RelayConfig {
             lease: lease(),
-            follow,
-            serve,
-            room: ROOM,
+            upstream: follow,
+            downstream: serve,
+            capacity: ROOM,
             seed: 1,
         },
         0.0,
@@ -111,10 +111,10 @@
         self.now += 2.0;
         let head = Head {
             session: self.session,
-            up: false,
+            from_child: false,
             number,
             acknowledged: self.acknowledged,
-            stamp_us: 1,
+            sent_at_us: 1,
             echo: None,
         };
         let mut outputs = Vec::new();
@@ -135,7 +135,7 @@
             matches!(
                 o,
                 Output::Event(Event::Left {
-                    why: Reason::Misbehaved,
+                    reason: CloseReason::ProtocolViolation,
                     ..
                 })
             )
@@ -151,7 +151,7 @@
 fn span(upto: u64) -> Span {
     Span {
         after: Version::ZERO,
-        upto: version(upto),
+        through: version(upto),
     }
 }
 
@@ -159,11 +159,11 @@
     Change {
         key: Key {
             name,
-            slot: Slot::Whole,
+            slot: Slot::Stable,
         },
         version: version(sequence),
         urgency: Urgency::Normal,
-        part: Part::ALL,
+        fraction: NodeFraction::ALL,
         replaces: Version::ZERO,
         content: Content::body(bytes),
     }
@@ -173,12 +173,12 @@
     let chunk = Chunk {
         key: Key {
             name: Name::service("a", "x"),
-            slot: Slot::Whole,
+            slot: Slot::Stable,
         },
         version: version(3),
         urgency: Urgency::Normal,
-        express: false,
-        part: Part::ALL,
+        is_urgent: false,
+        fraction: NodeFraction::ALL,
         replaces: Version::ZERO,
         total,
         hash,
@@ -222,7 +222,7 @@
             0,
             Span {
                 after: version(1),
-                upto: version(1),
+                through: version(1),
             },
             change(Name::service("a", "x"), 1, b"one"),
         ),
@@ -235,7 +235,7 @@
             changes: vec![change.clone()],
         });
         assert!(relay.is_left(&outputs), "{change:?}");
-        assert_eq!(relay.node.all_in_force().count(), 0);
+        assert_eq!(relay.node.applied_changes().count(), 0);
         assert!(!outputs
             .iter()
             .any(|output| matches!(output, Output::Apply(_) | Output::Persist(_))));
@@ -245,7 +245,7 @@
 #[test]
 fn payloads_of_the_other_side_end_the_session() {
     for payload in [
-        Payload::Open { relay: true },
+        Payload::Open { is_relay: true },
         Payload::Unsubscribe(vec![0]),
         Payload::Reports(Vec::new()),
     ] {
@@ -297,7 +297,7 @@
             matches!(
                 o,
                 Output::Event(Event::Left {
-                    why: Reason::Flooded,
+                    reason: CloseReason::RateExceeded,
                     ..
                 })
             )
@@ -318,10 +318,10 @@
     };
     let head = Head {
         session: relay.session,
-        up: false,
+        from_child: false,
         number: 1,
         acknowledged: 2,
-        stamp_us: 1,
+        sent_at_us: 1,
         echo: None,
     };
     let mut outputs = Vec::new();
@@ -390,10 +390,10 @@
     open(&mut relay, 100, 1.0, 7);
     let head = Head {
         session: 7,
-        up: true,
+        from_child: true,
         number: 2,
         acknowledged: 0,
-        stamp_us: 1,
+        sent_at_us: 1,
         echo: None,
     };
     let selector = Selector::service("a");
@@ -401,7 +401,7 @@
         id: 0,
         selector,
         coverage: Coverage::EMPTY,
-        floor: Version::ZERO,
+        removals_known: Version::ZERO,
         has_changes: false,
     };
     let frame = encode(&head, &Payload::Subscribe(vec![subscribe]));
@@ -432,7 +432,7 @@
     let all_sent = Payload::Current {
         head: version(5),
         removals: version(5),
-        floor: Version::ZERO,
+        pruned_through: Version::ZERO,
         age_us: Some(0),
     };
     relay.acknowledged = heard;
@@ -448,13 +448,13 @@
 fn a_frame_that_was_changed_or_cut_is_left() {
     let head = Head {
         session: 1,
-        up: true,
+        from_child: true,
         number: 1,
         acknowledged: 0,
-        stamp_us: 1,
+        sent_at_us: 1,
         echo: None,
     };
-    let frame = encode(&head, &Payload::Open { relay: false });
+    let frame = encode(&head, &Payload::Open { is_relay: false });
     assert!(decode(&frame).is_some());
     for place in 0..frame.len() {
         let mut other = frame.clone();
@@ -467,14 +467,14 @@
 fn open(relay: &mut Relay, child: u32, now: f64, session: u64) -> Vec<Output> {
     let head = Head {
         session,
-        up: true,
+        from_child: true,
         number: 1,
         acknowledged: 0,
-        stamp_us: 1,
+        sent_at_us: 1,
         echo: None,
     };
     let mut outputs = Vec::new();
-    let frame = encode(&head, &Payload::Open { relay: false });
+    let frame = encode(&head, &Payload::Open { is_relay: false });
     relay.receive(now, PeerId(child), &frame, &mut outputs);
     relay.poll(now, &mut outputs);
     outputs
@@ -495,7 +495,7 @@
                 Some((
                     _,
                     Payload::Close {
-                        why: Reason::Busy,
+                        reason: CloseReason::CapacityExceeded,
                         ..
                     }
                 ))
@@ -513,16 +513,16 @@
     open(&mut relay, 101, 1.0, 7);
     let head = Head {
         session: 7,
-        up: true,
+        from_child: true,
         number: 2,
         acknowledged: 0,
-        stamp_us: 1,
+        sent_at_us: 1,
         echo: None,
     };
     let wrong = Payload::Current {
         head: Version::ZERO,
         removals: Version::ZERO,
-        floor: Version::ZERO,
+        pruned_through: Version::ZERO,
         age_us: None,
     };
     let mut outputs = Vec::new();
--- a/crates/distribution/tests/golden.rs
+++ b/crates/distribution/tests/golden.rs
@@ -12,11 +12,14 @@
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::report::Report;
 use reelfall_distribution::resource::{
-    Change, Content, ContentHash, Draft, Group, Key, Name, Part, Selector, Slot, Urgency, Version,
+    Change, Content, ContentHash, Draft, Group, Key, Name, NodeFraction, Selector, Slot, Urgency,
+    Version,
 };
-use reelfall_distribution::rollout::policy::{OnRefusals, RolloutPolicy};
-use reelfall_distribution::rollout::record::{RefusingNode, RolloutRecord, RolloutState, Stop};
-use reelfall_distribution::session_end::Reason;
+use reelfall_distribution::rollout::policy::{OnRejections, RolloutPolicy};
+use reelfall_distribution::rollout::record::{
+    RejectingNode, RolloutRecord, RolloutState, StopSummary,
+};
+use reelfall_distribution::session_end::CloseReason;
 use world::{claim, Network, World};
 
 const GOLDEN: &str = include_str!("golden/frames.txt");
@@ -33,12 +36,12 @@
 fn span(after: u64, upto: u64) -> Span {
     Span {
         after: version(after),
-        upto: version(upto),
+        through: version(upto),
     }
 }
 
 fn coverage() -> Coverage {
-    let mut coverage = Coverage::upto(version(5));
+    let mut coverage = Coverage::up_to(version(5));
     coverage.add(span(300, 400));
     coverage
 }
@@ -49,17 +52,17 @@
 
 fn changes() -> Vec<Change> {
     let plain = Change {
-        key: key(Name::common("limits"), Slot::Whole),
+        key: key(Name::common("limits"), Slot::Stable),
         version: version(301),
         urgency: Urgency::Normal,
-        part: Part::ALL,
+        fraction: NodeFraction::ALL,
         replaces: Version::ZERO,
         content: Content::body(b"a body"),
     };
     let trial = Change {
-        key: key(Name::service("flags", "routes"), Slot::Trial),
+        key: key(Name::service("flags", "routes"), Slot::Canary),
         urgency: Urgency::Urgent,
-        part: Part {
+        fraction: NodeFraction {
             thousandths: 250,
             seed: 0x1234_5678_9abc,
         },
@@ -67,7 +70,7 @@
         ..plain.clone()
     };
     let removal = Change {
-        key: key(Name::tenant("okoli-pay", "quota"), Slot::Whole),
+        key: key(Name::tenant("okoli-pay", "quota"), Slot::Stable),
         content: Content::Removed,
         ..plain.clone()
     };
@@ -82,13 +85,13 @@
 }
 
 fn reports() -> Vec<Report> {
-    let key = key(Name::service("flags", "routes"), Slot::Trial);
+    let key = key(Name::service("flags", "routes"), Slot::Canary);
     vec![
-        Report::Standing {
+        Report::Acknowledged {
             node: PeerId(1001),
-            upto: version(400),
+            version: version(400),
         },
-        Report::Refused {
+        Report::Rejected {
             node: PeerId(2),
             key: key.clone(),
             version: version(400),
@@ -101,16 +104,16 @@
     ]
 }
 
-fn reasons() -> [Reason; 8] {
+fn reasons() -> [CloseReason; 8] {
     [
-        Reason::Silent,
-        Reason::Stale,
-        Reason::Misbehaved,
-        Reason::Flooded,
-        Reason::Unknown,
-        Reason::Busy,
-        Reason::Fenced,
-        Reason::Replaced,
+        CloseReason::TimedOut,
+        CloseReason::Stale,
+        CloseReason::ProtocolViolation,
+        CloseReason::RateExceeded,
+        CloseReason::UnknownSession,
+        CloseReason::CapacityExceeded,
+        CloseReason::Fenced,
+        CloseReason::Replaced,
     ]
 }
 
@@ -133,15 +136,15 @@
         id,
         selector,
         coverage: coverage(),
-        floor: version(4),
+        removals_known: version(4),
         has_changes: id % 2 == 0,
     });
     let chunk = Chunk {
-        key: key(Name::service("flags", "routes"), Slot::Trial),
+        key: key(Name::service("flags", "routes"), Slot::Canary),
         version: version(301),
         urgency: Urgency::Normal,
-        express: true,
-        part: Part {
+        is_urgent: true,
+        fraction: NodeFraction {
             thousandths: 10,
             seed: 8,
         },
@@ -154,13 +157,13 @@
     let current = |age_us| Payload::Current {
         head: version(500),
         removals: version(400),
-        floor: version(3),
+        pruned_through: version(3),
         age_us,
     };
     let mut all = vec![
         Payload::Acknowledge,
-        Payload::Open { relay: true },
-        Payload::Open { relay: false },
+        Payload::Open { is_relay: true },
+        Payload::Open { is_relay: false },
         Payload::Subscribe(subscriptions.collect()),
         Payload::Unsubscribe(vec![1, 300]),
         Payload::Reports(reports()),
@@ -186,22 +189,22 @@
         current(None),
     ];
     all.extend(reasons().map(|why| Payload::Close {
-        why,
-        rest_ms: 1_500,
+        reason: why,
+        retry_after_ms: 1_500,
     }));
     all
 }
 
 fn rollouts() -> Vec<RolloutRecord> {
-    let refusing = vec![RefusingNode {
+    let refusing = vec![RejectingNode {
         node: PeerId(5),
         reason: "unknown unit".to_owned(),
     }];
-    let stop = || Stop {
+    let stop = || StopSummary {
         thousandths: 100,
         accepted: 40,
-        refused: 9,
-        refusing: refusing.clone(),
+        rejected: 9,
+        rejecting_nodes: refusing.clone(),
     };
     let states = [
         RolloutState::Running,
@@ -214,24 +217,24 @@
     ];
     let policy = |on_refusals| RolloutPolicy {
         stages: vec![10, 100, 1000],
-        soak: 600.0,
+        soak_time: 600.0,
         decision_time: 60.0,
-        max_refused_share: 20,
-        max_refused: 5,
+        max_rejected_share: 20,
+        max_rejected: 5,
         min_decisions: 3,
         min_accepted_share: 900,
         max_report_age: 90.0,
-        on_refusals,
+        on_rejections: on_refusals,
     };
     let record = |(n, state): (u64, RolloutState)| RolloutRecord {
         name: Name::service("flags", "routes"),
-        content: ContentHash::of(b"a body"),
+        content_hash: ContentHash::of(b"a body"),
         seed: 99,
         after: version(300),
         policy: policy(if n % 2 == 0 {
-            OnRefusals::RollBack
+            OnRejections::RollBack
         } else {
-            OnRefusals::Halt
+            OnRejections::Halt
         }),
         expected: vec![1, 30, 300],
         state,
@@ -241,15 +244,15 @@
 
 fn records() -> Vec<Record> {
     let mut all = vec![
-        Record::InForce(changes().remove(1)),
+        Record::Applied(changes().remove(1)),
         Record::Confirmed(Name::service("flags", "routes"), version(310)),
-        Record::Forget(key(Name::tenant("t", "quota"), Slot::Trial)),
-        Record::Floor(version(200)),
+        Record::Forget(key(Name::tenant("t", "quota"), Slot::Canary)),
+        Record::PrunedThrough(version(200)),
         Record::Epoch(epoch()),
         Record::Covered {
             selector: Selector::Services,
             coverage: coverage(),
-            floor: version(2),
+            removals_known: version(2),
         },
         Record::Unsubscribed(Selector::tenant("t")),
     ];
@@ -261,22 +264,22 @@
 fn frames_and_records_have_the_bytes_that_they_had() {
     let plain = Head {
         session: 9,
-        up: false,
+        from_child: false,
         number: 0,
         acknowledged: 0,
-        stamp_us: 77,
+        sent_at_us: 77,
         echo: None,
     };
     let echo = Some(Echo {
         stamp_us: 5_000_000,
-        held_us: 1_250,
+        elapsed_us: 1_250,
     });
     let full = Head {
         session: u64::MAX,
-        up: true,
+        from_child: true,
         number: 300,
         acknowledged: 299,
-        stamp_us: 1 << 40,
+        sent_at_us: 1 << 40,
         echo,
     };
     let mut lines = Vec::new();
@@ -299,7 +302,7 @@
             content,
             ..changes().remove(0)
         };
-        assert_eq!(RolloutRecord::read(&change).as_ref(), Some(&rollout));
+        assert_eq!(RolloutRecord::from_change(&change).as_ref(), Some(&rollout));
         lines.push(format!(
             "rollout {} {}",
             change.key.name.item,
@@ -308,7 +311,7 @@
     }
     lines.push(format!(
         "digest {}",
-        key(Name::service("flags", "routes"), Slot::Trial).digest()
+        key(Name::service("flags", "routes"), Slot::Canary).digest()
     ));
     assert_eq!(lines, GOLDEN.lines().collect::<Vec<_>>());
 }
@@ -351,13 +354,13 @@
             2 => Draft::put(name.clone(), &[step as u8]).urgent(),
             _ => Draft::put(name.clone(), &[step as u8; 40]),
         };
-        let part = Part {
+        let part = NodeFraction {
             thousandths: 500,
             seed,
         };
         let _ = world.with_author(1, |author, now, outputs| match step % 6 {
-            3 => author.stage(now, &claim(1), draft, part, outputs),
-            4 => author.release(now, &claim(1), &name, outputs),
+            3 => author.publish_canary(now, &claim(1), draft, part, outputs),
+            4 => author.promote_canary(now, &claim(1), &name, outputs),
             _ => author.publish(now, &claim(1), vec![draft], outputs),
         });
         let victim = PeerId([10, 11, 20, 100, 102][world.draw.random_range(0..5)]);
--- a/crates/distribution/tests/parts.rs
+++ b/crates/distribution/tests/parts.rs
@@ -1,26 +1,26 @@
 //! The parts by themselves: coverage against a set, the log, budgets, links, chunks, what was stored.
 
 use proptest::prelude::*;
-use reelfall_distribution::bucket::{Bucket, Budget, TRANSPORT_OVERHEAD};
-use reelfall_distribution::coverage::{Coverage, Span, SPANS_MOST};
-use reelfall_distribution::history::History;
-use reelfall_distribution::link::{transit, Link};
-use reelfall_distribution::log::{Log, Put, Room};
+use reelfall_distribution::bucket::{Budget, TokenBucket, TRANSPORT_OVERHEAD_BYTES};
+use reelfall_distribution::coverage::{Coverage, Span, MAX_SPANS};
+use reelfall_distribution::history::ChangeHistory;
+use reelfall_distribution::link::{max_transit_time, Link};
+use reelfall_distribution::log::{Capacity, ChangeLog, PutOutcome};
 use reelfall_distribution::message::{decode, Echo, Payload};
 use reelfall_distribution::output::{Output, Record};
 use reelfall_distribution::peer::PeerId;
-use reelfall_distribution::report::{Report, Waiting};
+use reelfall_distribution::report::{Report, ReportQueue};
 use reelfall_distribution::resource::{
-    Change, Content, Key, Name, Part, Selector, Slot, Urgency, Version,
+    Change, Content, Key, Name, NodeFraction, Selector, Slot, Urgency, Version,
 };
-use reelfall_distribution::restore::Restored;
-use reelfall_distribution::status::{Board, Refused};
+use reelfall_distribution::restore::RestoredState;
+use reelfall_distribution::status::{NodeStatuses, Rejection};
 use std::collections::BTreeSet;
 
-const ROOM: Room = Room {
-    keys: 10,
-    bytes: 10_000,
-    removals: 2,
+const ROOM: Capacity = Capacity {
+    max_keys: 10,
+    max_bytes: 10_000,
+    max_tombstones: 2,
 };
 
 fn version(sequence: u64) -> Version {
@@ -31,11 +31,11 @@
     Change {
         key: Key {
             name: Name::service("a", item),
-            slot: Slot::Whole,
+            slot: Slot::Stable,
         },
         version: version(sequence),
         urgency: Urgency::Normal,
-        part: Part::ALL,
+        fraction: NodeFraction::ALL,
         replaces: Version::ZERO,
         content,
     }
@@ -53,7 +53,7 @@
     };
     Span {
         after: lower,
-        upto: version(upto),
+        through: version(upto),
     }
 }
 
@@ -65,13 +65,13 @@
         for (after, length) in spans {
             coverage.add(span(after, after + length));
             model.extend(after + 1..=after + length);
-            prop_assert!(coverage.sound());
+            prop_assert!(coverage.is_valid());
             for n in 1..90 {
-                prop_assert_eq!(coverage.holds(version(n)), model.contains(&n), "{}", n);
+                prop_assert_eq!(coverage.contains(version(n)), model.contains(&n), "{}", n);
             }
             let floor = (1..90).take_while(|n| model.contains(n)).last();
             let floor = if model.contains(&1) { floor } else { None };
-            prop_assert_eq!(coverage.floor(), floor.map_or(Version::ZERO, version));
+            prop_assert_eq!(coverage.contiguous_end(), floor.map_or(Version::ZERO, version));
         }
     }
 
@@ -86,11 +86,11 @@
             coverage
         };
         let (one, other) = (coverage(spans), coverage(others));
-        let rest = one.without(&other);
-        prop_assert!(rest.sound());
+        let rest = one.difference(&other);
+        prop_assert!(rest.is_valid());
         for n in 1..90 {
-            let alone = one.holds(version(n)) && !other.holds(version(n));
-            prop_assert_eq!(rest.holds(version(n)), alone, "{}", n);
+            let alone = one.contains(version(n)) && !other.contains(version(n));
+            prop_assert_eq!(rest.contains(version(n)), alone, "{}", n);
         }
     }
 
@@ -99,11 +99,11 @@
         let mut coverage = Coverage::default();
         for point in &points {
             coverage.add(span(point - 1, *point));
-            prop_assert!(coverage.sound() && coverage.spans().len() <= SPANS_MOST);
-            prop_assert!(coverage.cut(8).sound() && coverage.cut(8).spans().len() <= 8);
+            prop_assert!(coverage.is_valid() && coverage.spans().len() <= MAX_SPANS);
+            prop_assert!(coverage.truncated(8).is_valid() && coverage.truncated(8).spans().len() <= 8);
         }
         for n in 1..10_000 {
-            prop_assert!(!coverage.holds(version(n)) || points.contains(&n));
+            prop_assert!(!coverage.contains(version(n)) || points.contains(&n));
         }
     }
 
@@ -115,24 +115,24 @@
         for token in tokens {
             let after = Version { token: 4 * token, sequence: 1 };
             let upto = Version { token: 4 * token + 3, sequence: 1 };
-            coverage.add(Span { after, upto });
-            prop_assert_eq!(coverage.floor(), version(1));
+            coverage.add(Span { after, through: upto });
+            prop_assert_eq!(coverage.contiguous_end(), version(1));
         }
     }
 
     #[test]
     fn a_bucket_keeps_to_its_budget(steps in prop::collection::vec((0.0..0.5f64, 0..4000usize), 0..300)) {
-        let budget = Budget { rate: 6000.0, burst: 8000.0 };
-        let mut bucket = Bucket::new(budget, 0.0);
+        let budget = Budget { bytes_per_second: 6000.0, burst_bytes: 8000.0 };
+        let mut bucket = TokenBucket::new(budget, 0.0);
         let mut now = 0.0;
         let mut taken: Vec<(f64, usize)> = Vec::new();
         for (passes, bytes) in steps {
             now += passes;
-            let ready = bucket.ready(now, bytes);
+            let ready = bucket.ready_at(now, bytes);
             let goes = bucket.take(now, bytes);
             prop_assert_eq!(goes, ready <= now);
             if goes {
-                taken.push((now, bytes + TRANSPORT_OVERHEAD));
+                taken.push((now, bytes + TRANSPORT_OVERHEAD_BYTES));
             } else {
                 prop_assert!(bucket.clone().take(ready, bytes));
             }
@@ -150,7 +150,7 @@
         let stamp_us = (said * reader * 1e6) as u64;
         let held_us = (held * writer * 1e6) as u64;
         let now = (said + way + held + back) * reader;
-        let most = transit(now, Echo { stamp_us, held_us }).unwrap();
+        let most = max_transit_time(now, Echo { stamp_us, elapsed_us: held_us }).unwrap();
         prop_assert!(most >= back - 1e-5, "{} for {}", most, back);
         prop_assert!(most <= way + back + 0.5);
     }
@@ -158,38 +158,47 @@
 
 #[test]
 fn a_log_keeps_the_latest_of_each_key() {
-    let mut log = Log::new(ROOM);
-    assert_eq!(log.put(put("x", 2)), Put::Taken);
-    assert_eq!(log.put(put("x", 1)), Put::Old);
-    assert_eq!(log.put(put("x", 2)), Put::Old);
-    assert_eq!(log.put(put("x", 5)), Put::Taken);
-    assert_eq!(log.put(put("y", 4)), Put::Taken);
+    let mut log = ChangeLog::new(ROOM);
+    assert_eq!(log.put(put("x", 2)), PutOutcome::Stored);
+    assert_eq!(log.put(put("x", 1)), PutOutcome::Outdated);
+    assert_eq!(log.put(put("x", 2)), PutOutcome::Outdated);
+    assert_eq!(log.put(put("x", 5)), PutOutcome::Stored);
+    assert_eq!(log.put(put("y", 4)), PutOutcome::Stored);
     assert_eq!(log.len(), 2);
-    assert_eq!(log.at(version(2)), None);
+    assert_eq!(log.get_version(version(2)), None);
     let everything = Selector::Everything;
-    assert_eq!(log.newest(&everything, &Coverage::EMPTY), Some(version(5)));
+    assert_eq!(
+        log.newest_uncovered(&everything, &Coverage::EMPTY),
+        Some(version(5))
+    );
     let mut coverage = Coverage::default();
     coverage.add(span(4, 9));
-    assert_eq!(log.newest(&everything, &coverage), Some(version(4)));
     assert_eq!(
-        log.newest(&Selector::service("a"), &coverage),
+        log.newest_uncovered(&everything, &coverage),
+        Some(version(4))
+    );
+    assert_eq!(
+        log.newest_uncovered(&Selector::service("a"), &coverage),
         Some(version(4))
     );
-    assert_eq!(log.newest(&Selector::service("b"), &coverage), None);
+    assert_eq!(
+        log.newest_uncovered(&Selector::service("b"), &coverage),
+        None
+    );
     coverage.add(span(3, 4));
-    assert_eq!(log.newest(&everything, &coverage), None);
+    assert_eq!(log.newest_uncovered(&everything, &coverage), None);
 }
 
 #[test]
 fn a_log_has_bounds() {
-    let mut log = Log::new(ROOM);
+    let mut log = ChangeLog::new(ROOM);
     for n in 1..=10 {
-        assert_eq!(log.put(put(&n.to_string(), n)), Put::Taken);
+        assert_eq!(log.put(put(&n.to_string(), n)), PutOutcome::Stored);
     }
-    assert_eq!(log.put(put("more", 11)), Put::Full);
+    assert_eq!(log.put(put("more", 11)), PutOutcome::CapacityExceeded);
     assert_eq!(
         log.put(change("1", 12, Content::body(&[0; 10_000]))),
-        Put::Full
+        PutOutcome::CapacityExceeded
     );
     assert_eq!(
         log.get(&put("1", 1).key).unwrap().version,
@@ -199,8 +208,8 @@
     for n in 1..=4 {
         log.put(change(&n.to_string(), 20 + n, Content::Removed));
     }
-    assert_eq!(log.forget_removals().len(), 2);
-    assert_eq!(log.floor(), version(22));
+    assert_eq!(log.prune_tombstones().len(), 2);
+    assert_eq!(log.pruned_through(), version(22));
     assert_eq!(log.len(), 8);
 }
 
@@ -211,13 +220,13 @@
     let mut up = Link::new(b, 9, true, budget, 0.0);
     let mut down = Link::new(a, 9, false, budget, 0.0);
     let mut outputs = Vec::new();
-    assert!(up.send(0.0, &Payload::Open { relay: true }, &mut outputs));
+    assert!(up.send_reliable(0.0, &Payload::Open { is_relay: true }, &mut outputs));
     assert!(
-        !up.send(0.0, &Payload::Acknowledge, &mut outputs),
+        !up.send_reliable(0.0, &Payload::Acknowledge, &mut outputs),
         "one at a time"
     );
     assert_eq!(up.next_wakeup(0.0), 1.0);
-    up.flush_repeats(1.0, &mut outputs);
+    up.retransmit_if_due(1.0, &mut outputs);
     let heads: Vec<_> = outputs
         .iter()
         .map(|output| match output {
@@ -226,45 +235,48 @@
         })
         .collect();
     assert_eq!(heads.len(), 2);
-    assert!(down.take(1.1, &heads[0]).unwrap().fresh);
-    assert!(!down.take(1.1, &heads[1]).unwrap().fresh);
+    assert!(down.accept(1.1, &heads[0]).unwrap().is_new);
+    assert!(!down.accept(1.1, &heads[1]).unwrap().is_new);
     outputs.clear();
-    down.flush(1.2, &mut outputs);
+    down.flush_acknowledgement(1.2, &mut outputs);
     let Some(Output::Send { frame, .. }) = outputs.pop() else {
         panic!()
     };
-    let arrival = up.take(1.3, &decode(&frame).unwrap().0).unwrap();
+    let arrival = up.accept(1.3, &decode(&frame).unwrap().0).unwrap();
     assert_eq!(arrival.acknowledged, 1);
-    assert!(arrival.transit.unwrap() >= 0.1);
-    assert!(up.is_free());
+    assert!(arrival.max_transit.unwrap() >= 0.1);
+    assert!(up.is_idle());
 }
 
 #[test]
 fn history_brings_what_was_there() {
-    let mut history = History::new(500);
+    let mut history = ChangeHistory::new(500);
     let first = put("x", 1);
-    assert_eq!(history.before(&first), Some(Content::Removed));
+    assert_eq!(history.content_before(&first), Some(Content::Removed));
     let second = Change {
         replaces: version(1),
         ..change("x", 2, Content::body(b"two"))
     };
-    history.replaced(&first, &second);
-    assert_eq!(history.before(&second), Some(Content::body(b"body")));
+    history.record_replaced(&first, &second);
+    assert_eq!(
+        history.content_before(&second),
+        Some(Content::body(b"body"))
+    );
     let skipped = Change {
         replaces: version(3),
         ..put("x", 4)
     };
     assert_eq!(
-        history.before(&skipped),
+        history.content_before(&skipped),
         None,
         "what came between was not seen here"
     );
     for n in 10..20 {
         let (old, new) = (put(&n.to_string(), n), put(&n.to_string(), 100 + n));
-        history.replaced(&old, &new);
+        history.record_replaced(&old, &new);
     }
     assert_eq!(
-        history.before(&second),
+        history.content_before(&second),
         None,
         "the oldest is forgotten for room"
     );
@@ -272,11 +284,11 @@
 
 #[test]
 fn reports_that_wait_are_bounded_and_replaced() {
-    let mut waiting = Waiting::default();
+    let mut waiting = ReportQueue::default();
     for n in 1..=3 {
-        waiting.add(Report::Standing {
+        waiting.add(Report::Acknowledged {
             node: PeerId(7),
-            upto: version(n),
+            version: version(n),
         });
     }
     let orphan = Report::Orphan {
@@ -291,19 +303,19 @@
         taken,
         [
             orphan.clone(),
-            Report::Standing {
+            Report::Acknowledged {
                 node: PeerId(7),
-                upto: version(3)
+                version: version(3)
             }
         ]
     );
     assert!(waiting.is_empty());
-    waiting.restore(taken);
+    waiting.requeue(taken);
     assert_eq!(waiting.take(1), [orphan], "at least one");
     for n in 0..10_000 {
         let reason = String::new();
         let (key, node) = (put("x", 1).key, PeerId(n));
-        waiting.add(Report::Refused {
+        waiting.add(Report::Rejected {
             node,
             key,
             version: version(1),
@@ -315,20 +327,20 @@
 
 #[test]
 fn a_board_counts_who_has_what() {
-    let mut board = Board::default();
-    board.standing(0.0, PeerId(1), version(5));
-    board.standing(0.0, PeerId(1), version(3));
-    board.standing(0.0, PeerId(2), version(4));
-    let refused = Refused {
+    let mut board = NodeStatuses::default();
+    board.record_acknowledgement(0.0, PeerId(1), version(5));
+    board.record_acknowledgement(0.0, PeerId(1), version(3));
+    board.record_acknowledgement(0.0, PeerId(2), version(4));
+    let refused = Rejection {
         node: PeerId(2),
         key: put("x", 4).key,
         reason: "no".into(),
     };
-    board.refused(version(4), refused.clone());
+    board.record_rejection(version(4), refused.clone());
     let status = board.status(version(5));
-    assert_eq!((status.have.len(), status.lack.len()), (1, 1));
-    assert!(status.refused.is_empty());
-    assert_eq!(board.status(version(4)).refused, [refused]);
+    assert_eq!((status.acknowledged.len(), status.pending.len()), (1, 1));
+    assert!(status.rejections.is_empty());
+    assert_eq!(board.status(version(4)).rejections, [refused]);
 }
 
 #[test]
@@ -336,50 +348,50 @@
     let selector = Selector::service("a");
     let covered = |upto| Record::Covered {
         selector: selector.clone(),
-        coverage: Coverage::upto(version(upto)),
-        floor: version(upto),
+        coverage: Coverage::up_to(version(upto)),
+        removals_known: version(upto),
     };
     let records = [
         Record::Put(put("x", 1)),
-        Record::InForce(put("x", 1)),
+        Record::Applied(put("x", 1)),
         covered(1),
         Record::Put(put("y", 2)),
         Record::Put(put("x", 3)),
         Record::Put(change("long", 4, Content::body(&[0; 300_000]))),
         Record::Forget(put("y", 2).key),
-        Record::Floor(version(2)),
+        Record::PrunedThrough(version(2)),
         Record::Confirmed(Name::service("a", "x"), version(3)),
     ];
-    let restored = Restored::read(ROOM, records.clone());
+    let restored = RestoredState::from_records(ROOM, records.clone());
     assert_eq!(restored.log.len(), 1);
-    assert_eq!(restored.log.top(), version(3));
-    assert_eq!(restored.log.floor(), version(2));
+    assert_eq!(restored.log.last_version(), version(3));
+    assert_eq!(restored.log.pruned_through(), version(2));
     assert_eq!(
-        restored.in_force[&Name::service("a", "x")].version,
+        restored.applied[&Name::service("a", "x")].version,
         version(3)
     );
-    assert_eq!(restored.covered[&selector].0, Coverage::upto(version(1)));
+    assert_eq!(restored.coverage[&selector].0, Coverage::up_to(version(1)));
     let end = change("x", 1, Content::Removed);
     let gone = [
         Record::Unsubscribed(selector),
         Record::Forget(end.key.clone()),
-        Record::InForce(end),
+        Record::Applied(end),
     ];
-    let restored = Restored::read(ROOM, records.into_iter().chain(gone));
-    assert!(restored.log.is_empty() && restored.in_force.is_empty() && restored.covered.is_empty());
+    let restored = RestoredState::from_records(ROOM, records.into_iter().chain(gone));
+    assert!(restored.log.is_empty() && restored.applied.is_empty() && restored.coverage.is_empty());
 }
 
 #[test]
 fn greater_parts_hold_smaller_ones() {
-    let part = |thousandths| Part {
+    let part = |thousandths| NodeFraction {
         thousandths,
         seed: 11,
     };
     let mut counts = [0; 3];
     for node in (0..6000).map(PeerId) {
-        let held = [part(10), part(100), part(500)].map(|part| part.holds(node));
+        let held = [part(10), part(100), part(500)].map(|part| part.contains(node));
         assert!(held.windows(2).all(|pair| !pair[0] || pair[1]));
-        assert!(part(1000).holds(node) && !part(0).holds(node));
+        assert!(part(1000).contains(node) && !part(0).contains(node));
         for (count, held) in counts.iter_mut().zip(held) {
             *count += usize::from(held);
         }
--- a/crates/distribution/tests/schedules.rs
+++ b/crates/distribution/tests/schedules.rs
@@ -11,9 +11,11 @@
 use reelfall_distribution::author::Author;
 use reelfall_distribution::output::{Event, Output};
 use reelfall_distribution::peer::PeerId;
-use reelfall_distribution::publish::Refusal;
-use reelfall_distribution::resource::{Content, Draft, Key, Name, Part, Selector, Slot, Version};
-use reelfall_distribution::session_end::Reason;
+use reelfall_distribution::publish::PublishError;
+use reelfall_distribution::resource::{
+    Content, Draft, Key, Name, NodeFraction, Selector, Slot, Version,
+};
+use reelfall_distribution::session_end::CloseReason;
 use reelfall_distribution::Time;
 use rollouts::{Rollouts, Tally};
 use std::collections::BTreeMap;
@@ -110,7 +112,9 @@
         // A clock that goes slow must not take the lease for longer than it is.
         let local = local - 0.01;
         let held = self.world.with_author(holder, |author, now, outputs| {
-            author.hold(now, &claim(token), local, outputs).is_ok()
+            author
+                .hold_lease(now, &claim(token), local, outputs)
+                .is_ok()
         });
         if held == Some(true) {
             self.until = until;
@@ -119,7 +123,7 @@
 
     fn write(
         &mut self,
-        call: impl FnOnce(&mut Author, Time, &mut Vec<Output>) -> Result<Version, Refusal>,
+        call: impl FnOnce(&mut Author, Time, &mut Vec<Output>) -> Result<Version, PublishError>,
     ) -> Option<Version> {
         let holder = self.holder?;
         let t = self.world.t;
@@ -191,15 +195,19 @@
         let name = draft.name.clone();
         let token = self.token;
         self.last.remove(&name);
-        let part = Part {
+        let part = NodeFraction {
             thousandths: self.world.draw.random_range(100..900),
             seed: 5,
         };
-        self.write(|author, now, outputs| author.stage(now, &claim(token), draft, part, outputs));
+        self.write(|author, now, outputs| {
+            author.publish_canary(now, &claim(token), draft, part, outputs)
+        });
         if self.world.draw.random_bool(0.5) {
             let lasts = self.world.draw.random_range(0.0..3.0);
             self.world.run(lasts);
-            self.write(|author, now, outputs| author.release(now, &claim(token), &name, outputs));
+            self.write(|author, now, outputs| {
+                author.promote_canary(now, &claim(token), &name, outputs)
+            });
         }
     }
 
@@ -287,10 +295,13 @@
         self.world.judge.verdict();
         for (t, id, event) in &self.world.judge.events {
             let why = match event {
-                Event::Left { why, .. } | Event::ChildLost { why, .. } => *why,
+                Event::Left { reason: why, .. } | Event::ChildLost { reason: why, .. } => *why,
                 _ => continue,
             };
-            let honest = !matches!(why, Reason::Misbehaved | Reason::Flooded);
+            let honest = !matches!(
+                why,
+                CloseReason::ProtocolViolation | CloseReason::RateExceeded
+            );
             assert!(
                 honest,
                 "{t}: {id:?} takes an honest peer for a false one: {event:?}"
@@ -329,14 +340,14 @@
                 Name::service("b", &item),
             ];
             for name in names {
-                let wanted = selectors_of(id.0).iter().any(|s| s.holds(&name.group));
+                let wanted = selectors_of(id.0).iter().any(|s| s.matches(&name.group));
                 let expected = if wanted {
                     wanted_at(author, id, &name)
                 } else {
                     None
                 };
                 let found = node
-                    .in_force(&name)
+                    .applied_change(&name)
                     .map(|change| change.content.bytes().to_vec());
                 let refused = |bytes: &Vec<u8>| id.0 % 2 == 1 && bytes.starts_with(BAD_FOR_ODD);
                 if expected.as_ref().is_some_and(refused) {
@@ -354,9 +365,9 @@
         for (name, bytes) in &self.last {
             let key = Key {
                 name: name.clone(),
-                slot: Slot::Whole,
+                slot: Slot::Stable,
             };
-            let found = author.log().get(&key).filter(|change| !change.removes());
+            let found = author.log().get(&key).filter(|change| !change.is_removal());
             assert_eq!(
                 found.map(|change| change.content.bytes().to_vec()),
                 *bytes,
@@ -374,10 +385,10 @@
             slot,
         })
     };
-    let (whole, trial) = (get(Slot::Whole), get(Slot::Trial));
-    let on_trial = trial.filter(|trial| !trial.removes() && trial.part.holds(node));
+    let (whole, trial) = (get(Slot::Stable), get(Slot::Canary));
+    let on_trial = trial.filter(|trial| !trial.is_removal() && trial.fraction.contains(node));
     let on_trial = on_trial.filter(|trial| whole.is_none_or(|whole| whole.version < trial.version));
-    let change = on_trial.or(whole).filter(|change| !change.removes())?;
+    let change = on_trial.or(whole).filter(|change| !change.is_removal())?;
     Some(change.content.bytes().to_vec())
 }
 
--- a/crates/distribution/tests/schedules/rollouts.rs
+++ b/crates/distribution/tests/schedules/rollouts.rs
@@ -7,8 +7,8 @@
 use reelfall_distribution::author::{Author, RolloutDraft};
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
-use reelfall_distribution::resource::{Content, Key, Name, Part, Slot};
-use reelfall_distribution::rollout::policy::{OnRefusals, RolloutPolicy};
+use reelfall_distribution::resource::{Content, Key, Name, NodeFraction, Slot};
+use reelfall_distribution::rollout::policy::{OnRejections, RolloutPolicy};
 use reelfall_distribution::rollout::record::{RolloutRecord, RolloutState};
 use reelfall_distribution::rollout::stage::StageCounts;
 use reelfall_distribution::Time;
@@ -33,7 +33,7 @@
     }
 
     fn is_record(&self, record: &RolloutRecord) -> bool {
-        record.content
+        record.content_hash
             == reelfall_distribution::resource::ContentHash::of(self.draft.content.bytes())
     }
 }
@@ -105,17 +105,17 @@
                 self.draw.random_range(500..999),
                 1000,
             ],
-            soak,
+            soak_time: soak,
             decision_time: self.draw.random_range(0.0..soak),
-            max_refused_share: shares[self.draw.random_range(0..shares.len())],
-            max_refused: self.draw.random_range(0..4),
+            max_rejected_share: shares[self.draw.random_range(0..shares.len())],
+            max_rejected: self.draw.random_range(0..4),
             min_decisions: self.draw.random_range(1..3),
             min_accepted_share: self.draw.random_range(500..=1000),
             max_report_age: 150.0,
-            on_refusals: if self.draw.random_bool(0.8) {
-                OnRefusals::RollBack
+            on_rejections: if self.draw.random_bool(0.8) {
+                OnRejections::RollBack
             } else {
-                OnRefusals::Halt
+                OnRejections::Halt
             },
         };
         RolloutDraft {
@@ -135,8 +135,8 @@
         let (copy, token, t) = (draft.clone(), play.token, play.world.t);
         // What the rollout comes to is for all nodes at a moment that the schedule does not know.
         play.last.remove(&draft.name);
-        let version =
-            play.write(|author, now, outputs| author.roll_out(now, &claim(token), copy, outputs));
+        let version = play
+            .write(|author, now, outputs| author.start_rollout(now, &claim(token), copy, outputs));
         // An author that ended meanwhile may have told it.
         if version.is_some() || !play.runs(holder) {
             self.begun.push(Begun { t, draft, before });
@@ -156,7 +156,7 @@
         };
         let trial = play.world.author_of(holder).log().get(&Key {
             name: name.clone(),
-            slot: Slot::Trial,
+            slot: Slot::Canary,
         });
         let Some(version) = trial.map(|trial| trial.version) else {
             return;
@@ -164,7 +164,9 @@
         let token = play.token;
         play.last.remove(&name);
         if self.draw.random_bool(0.5) {
-            play.write(|author, now, outputs| author.release(now, &claim(token), &name, outputs));
+            play.write(|author, now, outputs| {
+                author.promote_canary(now, &claim(token), &name, outputs)
+            });
         } else {
             play.write(|author, now, outputs| author.revert(now, &claim(token), version, outputs));
         }
@@ -265,27 +267,27 @@
         };
         let policy = &begun.draft.policy;
         assert!(
-            lasted >= policy.soak * 0.999,
+            lasted >= policy.soak_time * 0.999,
             "{t}: {name:?} soaked for {lasted} s"
         );
-        let decided = counts.accepted_lately + counts.refused;
+        let decided = counts.accepted_recently + counts.rejected;
         assert!(decided >= policy.min_decisions, "{t}: {name:?} {counts:?}");
-        let of = (counts.accepted + counts.refused).max(policy.min_decisions);
-        let allowed = u32::from(policy.max_refused_share) * of;
+        let of = (counts.accepted + counts.rejected).max(policy.min_decisions);
+        let allowed = u32::from(policy.max_rejected_share) * of;
         assert!(
-            counts.refused * 1000 <= allowed,
+            counts.rejected * 1000 <= allowed,
             "{t}: {name:?} went on with {counts:?}"
         );
         assert!(
-            counts.refused <= policy.max_refused,
+            counts.rejected <= policy.max_rejected,
             "{t}: {name:?} went on with {counts:?}"
         );
-        let part = Part {
+        let part = NodeFraction {
             thousandths: steps.0,
             seed: begun.draft.seed,
         };
         let nodes = play.world.ids(|config| matches!(config, Config::Node(..)));
-        let able = |id: &&PeerId| part.holds(**id) && (id.0.is_multiple_of(2) || !begun.bad());
+        let able = |id: &&PeerId| part.contains(**id) && (id.0.is_multiple_of(2) || !begun.bad());
         let able = nodes.iter().filter(able).count() as u32;
         assert!(
             counts.accepted <= able,
@@ -303,7 +305,7 @@
             };
             let trial = author.log().get(&Key {
                 name: name.clone(),
-                slot: Slot::Trial,
+                slot: Slot::Canary,
             });
             if !begun.is_record(&status.record) {
                 continue;
@@ -314,7 +316,7 @@
             );
             if ended {
                 assert!(
-                    status.record.own_trial(trial).is_none(),
+                    status.record.own_canary(trial).is_none(),
                     "{name:?} is over and on trial"
                 );
                 self.check_nowhere(play, begun);
@@ -358,7 +360,7 @@
 fn body_of(author: &Author, name: &Name) -> Option<Vec<u8>> {
     let whole = author.log().get(&Key {
         name: name.clone(),
-        slot: Slot::Whole,
+        slot: Slot::Stable,
     })?;
-    (!whole.removes()).then(|| whole.content.bytes().to_vec())
+    (!whole.is_removal()).then(|| whole.content.bytes().to_vec())
 }
--- a/crates/distribution/tests/world/judge.rs
+++ b/crates/distribution/tests/world/judge.rs
@@ -1,7 +1,7 @@
 //! What must never be, whatever happens: looked at after each step of a process.
 
 use super::{Machine, Seat, BAD_FOR_ODD};
-use reelfall_distribution::bucket::TRANSPORT_OVERHEAD;
+use reelfall_distribution::bucket::TRANSPORT_OVERHEAD_BYTES;
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::resource::{Name, Selector, Version};
@@ -56,7 +56,7 @@
     /// A node has ended a subscription: it keeps nothing of it, the versions neither.
     pub fn unsubscribed(&mut self, node: PeerId, selector: &Selector) {
         self.in_force
-            .retain(|(id, name), _| *id != node || !selector.holds(&name.group));
+            .retain(|(id, name), _| *id != node || !selector.matches(&name.group));
     }
 
     pub fn event(&mut self, t: Time, id: PeerId, event: Event) {
@@ -72,7 +72,7 @@
             .windows
             .entry((from.min(to), from.max(to)))
             .or_default();
-        let sum = window.add(t, bytes + TRANSPORT_OVERHEAD);
+        let sum = window.add(t, bytes + TRANSPORT_OVERHEAD_BYTES);
         self.busiest = self.busiest.max(sum);
         if sum > BUDGET {
             self.broken.push(format!(
@@ -86,7 +86,7 @@
         let Some(Machine::Node(node)) = &seat.machine else {
             return;
         };
-        for change in node.all_in_force() {
+        for change in node.applied_changes() {
             let known = self
                 .in_force
                 .entry((id, change.key.name.clone()))
--- a/crates/distribution/tests/world/mod.rs
+++ b/crates/distribution/tests/world/mod.rs
@@ -10,9 +10,9 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use reelfall_distribution::author::{Author, AuthorConfig};
-use reelfall_distribution::downstream::ServeRules;
-use reelfall_distribution::follow::FollowRules;
-use reelfall_distribution::log::Room;
+use reelfall_distribution::downstream::DownstreamConfig;
+use reelfall_distribution::follow::UpstreamConfig;
+use reelfall_distribution::log::Capacity;
 use reelfall_distribution::output::{Output, Record};
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::relay::{Relay, RelayConfig};
@@ -37,7 +37,7 @@
 pub fn hold(world: &mut World, author: u32, token: u64, lasts: Time) {
     let until = world.seats[&PeerId(author)].clock(world.t + lasts);
     let held = world.with_author(author, |author, now, outputs| {
-        author.hold(now, &claim(token), until, outputs)
+        author.hold_lease(now, &claim(token), until, outputs)
     });
     assert_eq!(held, Some(Ok(())));
 }
@@ -54,25 +54,25 @@
 
 /// A node that asks for all services and follows relays of its region, with those of others as fallbacks.
 pub fn node_of_region(world: &mut World, id: u32, near: &[u32], far: &[u32]) {
-    let follow = FollowRules {
+    let follow = UpstreamConfig {
         fallbacks: peers(far),
-        ..FollowRules::node(peers(near))
+        ..UpstreamConfig::node(peers(near))
     };
     node_with(world, id, follow);
 }
 
 /// A node that asks for all services by these rules.
-pub fn node_with(world: &mut World, id: u32, follow: FollowRules) {
+pub fn node_with(world: &mut World, id: u32, follow: UpstreamConfig) {
     let config = SubscriberConfig {
         node: PeerId(id),
         lease: lease(),
-        follow,
-        room: Room {
-            keys: 10_000,
-            bytes: 8 << 20,
-            removals: 50,
+        upstream: follow,
+        capacity: Capacity {
+            max_keys: 10_000,
+            max_bytes: 8 << 20,
+            max_tombstones: 50,
         },
-        standing_every: 2.0,
+        acknowledgement_interval: 2.0,
         seed: world.draw.random(),
     };
     world.seat(PeerId(id), Config::Node(config, vec![Selector::Services]));
@@ -192,15 +192,15 @@
     pub fn author(&mut self, id: u32, relays: &[u32]) {
         let config = AuthorConfig {
             lease: lease(),
-            follow: FollowRules::relay(peers(relays)),
-            serve: ServeRules::default(),
-            room: Room {
-                keys: 10_000,
-                bytes: 64 << 20,
-                removals: 50,
+            upstream: UpstreamConfig::relay(peers(relays)),
+            downstream: DownstreamConfig::default(),
+            capacity: Capacity {
+                max_keys: 10_000,
+                max_bytes: 64 << 20,
+                max_tombstones: 50,
             },
-            history: 1 << 20,
-            takeover: 5.0,
+            history_bytes: 1 << 20,
+            takeover_timeout: 5.0,
             seed: self.draw.random(),
         };
         self.seat(PeerId(id), Config::Author(config));
@@ -209,12 +209,12 @@
     pub fn relay(&mut self, id: u32, upstreams: &[u32]) {
         let config = RelayConfig {
             lease: lease(),
-            follow: FollowRules::relay(peers(upstreams)),
-            serve: ServeRules::default(),
-            room: Room {
-                keys: 10_000,
-                bytes: 64 << 20,
-                removals: 50,
+            upstream: UpstreamConfig::relay(peers(upstreams)),
+            downstream: DownstreamConfig::default(),
+            capacity: Capacity {
+                max_keys: 10_000,
+                max_bytes: 64 << 20,
+                max_tombstones: 50,
             },
             seed: self.draw.random(),
         };
@@ -225,13 +225,13 @@
         let config = SubscriberConfig {
             node: PeerId(id),
             lease: lease(),
-            follow: FollowRules::node(peers(relays)),
-            room: Room {
-                keys: 10_000,
-                bytes: 8 << 20,
-                removals: 50,
+            upstream: UpstreamConfig::node(peers(relays)),
+            capacity: Capacity {
+                max_keys: 10_000,
+                max_bytes: 8 << 20,
+                max_tombstones: 50,
             },
-            standing_every: 2.0,
+            acknowledgement_interval: 2.0,
             seed: self.draw.random(),
         };
         self.seat(PeerId(id), Config::Node(config, selectors.to_vec()));
--- a/crates/distribution/tests/world/view.rs
+++ b/crates/distribution/tests/world/view.rs
@@ -64,7 +64,7 @@
     /// The bytes that are in force of a resource at a node.
     pub fn bytes_at(&self, node: u32, name: &Name) -> Option<Vec<u8>> {
         self.node_of(node)
-            .in_force(name)
+            .applied_change(name)
             .map(|change| change.content.bytes().to_vec())
     }
 
--- a/crates/emulator/src/control/check.rs
+++ b/crates/emulator/src/control/check.rs
@@ -56,10 +56,10 @@
 pub fn agrees(author: &Author, node: &Node, name: &Name) -> bool {
     let key = Key {
         name: name.clone(),
-        slot: Slot::Whole,
+        slot: Slot::Stable,
     };
-    let there = author.log().get(&key).filter(|change| !change.removes());
-    let here = node.subscriber.in_force(name);
+    let there = author.log().get(&key).filter(|change| !change.is_removal());
+    let here = node.subscriber.applied_change(name);
     there.map(|change| &change.content) == here.map(|change| &change.content)
 }
 
--- a/crates/emulator/src/control/holdings.rs
+++ b/crates/emulator/src/control/holdings.rs
@@ -9,7 +9,7 @@
 use reelfall_distribution::output::Record;
 use reelfall_distribution::relay::Relay;
 use reelfall_distribution::resource::{
-    Change, Content, Key, Part, Selector, Slot, Urgency, Version,
+    Change, Content, Key, NodeFraction, Selector, Slot, Urgency, Version,
 };
 use reelfall_distribution::subscriber::Subscriber;
 
@@ -29,7 +29,7 @@
         match self {
             Holder::Author(author) => author.log().changes().count(),
             Holder::Relay(relay) => relay.log().changes().count(),
-            Holder::Node(node) => node.all_in_force().count(),
+            Holder::Node(node) => node.applied_changes().count(),
         }
     }
 }
@@ -93,7 +93,7 @@
     ) -> Holder {
         // The change that is in force is the one that was put, as where a node has taken it in.
         let changes = changes(resources)
-            .flat_map(|change| [Record::Put(change.clone()), Record::InForce(change)]);
+            .flat_map(|change| [Record::Put(change.clone()), Record::Applied(change)]);
         let covered = selectors
             .into_iter()
             .map(|selector| covered(selector, u64::MAX));
@@ -122,8 +122,8 @@
     };
     Record::Covered {
         selector,
-        coverage: Coverage::upto(floor),
-        floor,
+        coverage: Coverage::up_to(floor),
+        removals_known: floor,
     }
 }
 
@@ -132,11 +132,11 @@
     (1..).zip(resources).map(|(sequence, resource)| Change {
         key: Key {
             name: resource.name(),
-            slot: Slot::Whole,
+            slot: Slot::Stable,
         },
         version: Version { token: 1, sequence },
         urgency: Urgency::Normal,
-        part: Part::ALL,
+        fraction: NodeFraction::ALL,
         replaces: Version::ZERO,
         content: Content::body(&vec![1; resource.body_bytes()]),
     })
--- a/crates/emulator/src/control/layout.rs
+++ b/crates/emulator/src/control/layout.rs
@@ -3,9 +3,9 @@
 use super::contents::Resource;
 use super::topology::{Scope, Topology};
 use reelfall_distribution::author::AuthorConfig;
-use reelfall_distribution::downstream::ServeRules;
-use reelfall_distribution::follow::FollowRules;
-use reelfall_distribution::log::Room;
+use reelfall_distribution::downstream::DownstreamConfig;
+use reelfall_distribution::follow::UpstreamConfig;
+use reelfall_distribution::log::Capacity;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::relay::RelayConfig;
 use reelfall_distribution::resource::{Name, Selector};
@@ -188,11 +188,11 @@
     pub fn author_config(&self, endpoint: u32, now: f64) -> AuthorConfig {
         AuthorConfig {
             lease: self.lease.clone(),
-            follow: FollowRules::relay(peers(&self.relays)),
-            serve: ServeRules::default(),
-            room: Room::CONTROL,
-            history: HISTORY,
-            takeover: TAKEOVER,
+            upstream: UpstreamConfig::relay(peers(&self.relays)),
+            downstream: DownstreamConfig::default(),
+            capacity: Capacity::CONTROL,
+            history_bytes: HISTORY,
+            takeover_timeout: TAKEOVER,
             seed: self.seed_of(endpoint, now),
         }
     }
@@ -201,9 +201,9 @@
     pub fn relay_config(&self, endpoint: u32, now: f64) -> RelayConfig {
         RelayConfig {
             lease: self.lease.clone(),
-            follow: FollowRules::relay(peers(&self.authors)),
-            serve: ServeRules::default(),
-            room: Room::CONTROL,
+            upstream: UpstreamConfig::relay(peers(&self.authors)),
+            downstream: DownstreamConfig::default(),
+            capacity: Capacity::CONTROL,
             seed: self.seed_of(endpoint, now),
         }
     }
@@ -224,12 +224,12 @@
         SubscriberConfig {
             node: PeerId(endpoint),
             lease: self.lease.clone(),
-            follow: FollowRules {
+            upstream: UpstreamConfig {
                 fallbacks,
-                ..FollowRules::node(near)
+                ..UpstreamConfig::node(near)
             },
-            room: Room::NODE,
-            standing_every: STANDING_EVERY,
+            capacity: Capacity::NODE,
+            acknowledgement_interval: STANDING_EVERY,
             seed: self.seed_of(endpoint, now),
         }
     }
--- a/crates/emulator/src/control/machine.rs
+++ b/crates/emulator/src/control/machine.rs
@@ -9,7 +9,7 @@
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::relay::{Relay, RelayConfig};
 use reelfall_distribution::resource::{Change, Key, Name, Selector, Version};
-use reelfall_distribution::subscriber::{Subscriber, SubscriberConfig, TooMany};
+use reelfall_distribution::subscriber::{Subscriber, SubscriberConfig, TooManySubscriptions};
 use std::collections::BTreeMap;
 
 /// What a machine has stored, without what was replaced since.
@@ -26,14 +26,14 @@
     fn store(&mut self, record: Record) {
         match record {
             Record::Put(change) => drop(self.changes.insert(change.key.clone(), change)),
-            Record::InForce(change) => drop(self.in_force.insert(change.key.name.clone(), change)),
+            Record::Applied(change) => drop(self.in_force.insert(change.key.name.clone(), change)),
             Record::Forget(key) => drop(self.changes.remove(&key)),
             Record::Confirmed(name, version) => {
                 if let Some(change) = self.in_force.get_mut(&name) {
                     change.version = change.version.max(version);
                 }
             }
-            Record::Floor(_) => self.floor = Some(record),
+            Record::PrunedThrough(_) => self.floor = Some(record),
             Record::Epoch(_) => self.epoch = Some(record),
             Record::Covered { ref selector, .. } => {
                 drop(self.covered.insert(selector.clone(), record))
@@ -45,7 +45,7 @@
     /// The records, as a successor reads them.
     fn records(&self) -> Vec<Record> {
         let changes = self.changes.values().cloned().map(Record::Put);
-        let in_force = self.in_force.values().cloned().map(Record::InForce);
+        let in_force = self.in_force.values().cloned().map(Record::Applied);
         let marks = self
             .floor
             .iter()
@@ -204,7 +204,7 @@
         now: f64,
         selector: Selector,
         sends: &mut Vec<(u32, Vec<u8>)>,
-    ) -> Result<(), TooMany> {
+    ) -> Result<(), TooManySubscriptions> {
         let local = self.clock.local(now);
         let Kind::Node(node) = &mut self.kind else {
             return Ok(());
--- a/crates/emulator/src/control/world.rs
+++ b/crates/emulator/src/control/world.rs
@@ -17,7 +17,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use reelfall_distribution::author::Author;
-use reelfall_distribution::bucket::TRANSPORT_OVERHEAD;
+use reelfall_distribution::bucket::TRANSPORT_OVERHEAD_BYTES;
 use reelfall_distribution::output::Output;
 use reelfall_distribution::resource::{Draft, Name, Selector, Version};
 use reelfall_lease::token::Claim;
@@ -37,7 +37,7 @@
 /// Links for the distribution's own account of headers.
 pub fn links() -> Links {
     Links {
-        overhead: TRANSPORT_OVERHEAD,
+        overhead: TRANSPORT_OVERHEAD_BYTES,
         ..Links::default()
     }
 }
@@ -186,7 +186,7 @@
                 "relay {relay} has {} resources in {} spans up to {:?} and follows {:?}, {} sessions ended",
                 held.log().changes().count(),
                 held.coverage().spans().len(),
-                held.coverage().top(),
+                held.coverage().last_version(),
                 held.following(),
                 machine.sessions_ended,
             ))
@@ -209,7 +209,7 @@
             .iter()
             .filter_map(|relay| self.network.endpoint(*relay));
         let mut relays = relays.filter_map(Machine::as_relay);
-        relays.all(|relay| relay.coverage().floor() >= head)
+        relays.all(|relay| relay.coverage().contiguous_end() >= head)
     }
 
     // ---- processes ----
@@ -422,7 +422,7 @@
         let name = tracked.resource.name();
         let lacks = |node: &&u32| {
             let machine = self.network.endpoint(**node).and_then(Machine::as_node);
-            let change = machine.and_then(|node| node.subscriber.in_force(&name));
+            let change = machine.and_then(|node| node.subscriber.applied_change(&name));
             change.is_none_or(|change| change.version < tracked.version)
         };
         tracked.missing.iter().filter(lacks).count()
--- a/crates/emulator/src/control/world/lease.rs
+++ b/crates/emulator/src/control/world/lease.rs
@@ -63,7 +63,7 @@
         let held = self.network.with(leader, |machine, now, sends| {
             let until = machine.clock().local(until);
             machine.with_author(now, sends, |author, local, outputs| {
-                author.hold(local, &claim, until, outputs)
+                author.hold_lease(local, &claim, until, outputs)
             })
         });
         if let Some(Some(Err(refusal))) = held {
--- a/crates/emulator/tests/distribution.rs
+++ b/crates/emulator/tests/distribution.rs
@@ -1,6 +1,6 @@
 //! Distribution of configuration in a small fleet, played with faults.
 
-use reelfall_distribution::follow::FollowRules;
+use reelfall_distribution::follow::UpstreamConfig;
 use reelfall_distribution::DRIFT;
 use reelfall_emulator::control::check::{agrees, BUDGET};
 use reelfall_emulator::control::contents::Resource;
@@ -147,7 +147,8 @@
         outcome.missing
     );
     // Its relays may rest for as long as they ever do, and then its nodes.
-    let rest = FollowRules::relay(Vec::new()).rest_most + FollowRules::node(Vec::new()).rest_most;
+    let rest = UpstreamConfig::relay(Vec::new()).max_backoff
+        + UpstreamConfig::node(Vec::new()).max_backoff;
     assert!(
         outcome.caught_up.is_some_and(|times| times.last < rest),
         "{:?}",
@@ -342,12 +343,12 @@
 #[test]
 fn a_lease_and_a_takeover_leave_time_for_the_way_of_a_change() {
     const ROUND_TRIPS: f64 = 1.0;
-    let relay = FollowRules::relay(Vec::new());
-    let way = relay.spread + 2.0 * relay.answer + ROUND_TRIPS;
+    let relay = UpstreamConfig::relay(Vec::new());
+    let way = relay.reconnect_jitter + 2.0 * relay.open_timeout + ROUND_TRIPS;
     let until_in_force = LEASE_LASTS + TAKEOVER + way;
     assert!(until_in_force <= IN_FORCE, "{until_in_force} s");
     assert!(
-        TAKEOVER > relay.answer,
+        TAKEOVER > relay.open_timeout,
         "one first relay that is dead takes all of the takeover"
     );
 }
