--- a/crates/distribution/src/author.rs
+++ b/crates/distribution/src/author.rs
@@ -15,14 +15,14 @@
 
 pub use rollouts::{RolloutDraft, RolloutStatus};
 
+use crate::child_subscription::ReplicaView;
 use crate::coverage::Coverage;
 use crate::downstream::{Downstream, DownstreamConfig};
 use crate::epoch::Epoch;
-use crate::feed::ReplicaView;
-use crate::follow::UpstreamConfig;
 use crate::history::ChangeHistory;
 use crate::log::{Capacity, ChangeLog};
 use crate::message::{self, Payload};
+use crate::node_status::{NodeStatuses, Rejection, VersionStatus};
 use crate::output::{Event, Output, Record};
 use crate::peer::PeerId;
 use crate::publish::{self, check_writable, PendingChange, PublishError};
@@ -31,8 +31,8 @@
 use crate::resource::{Change, Content, Draft, Key, Name, NodeFraction, Slot, Urgency, Version};
 use crate::restore::RestoredState;
 use crate::session_end::CloseReason;
-use crate::status::{NodeStatuses, Rejection, VersionStatus};
 use crate::upstream::Upstream;
+use crate::upstream_config::UpstreamConfig;
 use crate::Time;
 use reelfall_lease::token::{Claim, LeaseName};
 use rollouts::Rollouts;
@@ -116,7 +116,7 @@
             history.record_replaced(old, new);
         }
         let downstream =
-            Downstream::new(config.downstream, crate::chance::mix_bits(config.seed), now);
+            Downstream::new(config.downstream, crate::random::mix_bits(config.seed), now);
         let board = NodeStatuses::default();
         let (state, rollouts) = (State::StandingBy, Rollouts::default());
         Author {
--- a/crates/distribution/src/candidates.rs
+++ b/crates/distribution/src/candidates.rs
@@ -5,9 +5,9 @@
 //! region may be lost. A candidate that is asked beside others is one that has not failed to answer: when all have, one
 //! at a time is asked, so that many followers do not come to the first relay that runs again at once.
 
-use crate::chance::SeededRng;
-use crate::follow::UpstreamConfig;
 use crate::peer::PeerId;
+use crate::random::SeededRng;
+use crate::upstream_config::UpstreamConfig;
 use crate::Time;
 use std::collections::BTreeMap;
 
--- a/crates/distribution/src/child.rs
+++ b/crates/distribution/src/child.rs
@@ -10,16 +10,16 @@
 //!
 //! A change that a later one has replaced is in no log, so it is never sent.
 
-use crate::bucket::{Budget, TokenBucket};
-use crate::coverage::Span;
-use crate::feed::{
+use crate::child_subscription::{
     BodyCursor, CurrentNotice, ManifestCursor, ReplicaView, Subscription, CHANGES_OVERHEAD_BYTES,
 };
+use crate::coverage::Span;
 use crate::link::Link;
 use crate::message::{Payload, Subscribe};
 use crate::output::Output;
 use crate::resource::{Change, Content, Selector, Slot, Version};
 use crate::session_end::CloseReason;
+use crate::token_bucket::{Budget, TokenBucket};
 use crate::{Time, DRIFT};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/distribution/src/downstream.rs
+++ b/crates/distribution/src/downstream.rs
@@ -1,16 +1,16 @@
 //! The children of a relay or of an author.
 
-use crate::bucket::{Budget, TokenBucket, TRANSPORT_OVERHEAD_BYTES};
-use crate::chance::SeededRng;
 use crate::child::Child;
-use crate::feed::ReplicaView;
+use crate::child_subscription::ReplicaView;
 use crate::link::Link;
 use crate::message::{self, Head, Payload, Received};
 use crate::output::{Event, Output};
 use crate::peer::PeerId;
+use crate::random::SeededRng;
 use crate::report::Report;
 use crate::resource::{Key, Selector};
 use crate::session_end::CloseReason;
+use crate::token_bucket::{Budget, TokenBucket, TRANSPORT_OVERHEAD_BYTES};
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -15,13 +15,13 @@
 //! | [`coverage`] | which versions a holder has been told of |
 //! | [`log`] | the latest change of each resource, in order of versions |
 //! | [`link`] | one session with one peer: order, loss, repetition, proofs of age |
-//! | [`bucket`], [`chance`] | the budget of a link, spreads of time |
-//! | [`chunks`] | bodies that take several frames |
-//! | [`feed`], [`child`], [`downstream`] | what a relay sends its children, and in which order |
-//! | [`follow`], [`session`], [`upstream`] | whom a process follows, when it leaves, when it returns |
+//! | [`token_bucket`], [`random`] | the budget of a link, spreads of time |
+//! | [`reassembly`] | bodies that take several frames |
+//! | [`child_subscription`], [`child`], [`downstream`] | what a relay sends its children, and in which order |
+//! | [`upstream_config`], [`session`], [`upstream`] | whom a process follows, when it leaves, when it returns |
 //! | [`report`] | what is told upwards: standings, refusals, orphans |
 //! | [`restore`] | what was persisted, read back |
-//! | [`publish`], [`history`], [`status`] | what an author writes, takes back, and hears of it |
+//! | [`publish`], [`history`], [`node_status`] | what an author writes, takes back, and hears of it |
 //! | [`rollout`] | staged rollouts: policy, record, verdicts |
 //! | [`author`], [`relay`], [`subscriber`] | the three machines |
 //!
@@ -37,27 +37,25 @@
 //! first relays, relays for the others) and serves children. A subscriber follows one of its relays; on
 //! [`output::Output::Apply`] the driver answers with `accepted` or `rejected`.
 
-mod attempts;
+mod applied;
 pub mod author;
-pub mod bucket;
 mod candidates;
-pub mod chance;
 pub mod child;
-pub mod chunks;
+pub mod child_subscription;
 pub mod coverage;
 pub mod downstream;
 pub mod epoch;
-pub mod feed;
-pub mod follow;
-mod force;
 pub mod frame;
 pub mod history;
 pub mod link;
 pub mod log;
 pub mod message;
+pub mod node_status;
 pub mod output;
 pub mod peer;
 pub mod publish;
+pub mod random;
+pub mod reassembly;
 pub mod relay;
 mod replica;
 pub mod report;
@@ -65,10 +63,12 @@
 pub mod restore;
 pub mod rollout;
 pub mod session;
+mod session_attempts;
 pub mod session_end;
-pub mod status;
 pub mod subscriber;
+pub mod token_bucket;
 pub mod upstream;
+pub mod upstream_config;
 
 /// Seconds on one process's own monotonic clock; only differences matter.
 pub type Time = f64;
--- a/crates/distribution/src/link.rs
+++ b/crates/distribution/src/link.rs
@@ -9,12 +9,12 @@
 //! said before the frame was written, so the frame is no older than the reader's clock has gone on since, less the time
 //! that the writer held it.
 
-use crate::bucket::{Budget, TokenBucket, TRANSPORT_OVERHEAD_BYTES};
 use crate::frame::MAX_FRAME_OVERHEAD_BYTES;
 use crate::message::{self, Echo, Head, Payload};
 use crate::output::Output;
 use crate::peer::PeerId;
 use crate::session_end::CloseReason;
+use crate::token_bucket::{Budget, TokenBucket, TRANSPORT_OVERHEAD_BYTES};
 use crate::{Time, DRIFT};
 
 /// A payload that was not acknowledged is sent again after so long, in seconds; then after twice as long each time.
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -2,7 +2,6 @@
 
 use crate::coverage::Coverage;
 use crate::downstream::{Downstream, DownstreamConfig};
-use crate::follow::UpstreamConfig;
 use crate::log::{Capacity, ChangeLog};
 use crate::message;
 use crate::output::{Output, Record};
@@ -10,6 +9,7 @@
 use crate::replica::Replica;
 use crate::restore::RestoredState;
 use crate::upstream::Upstream;
+use crate::upstream_config::UpstreamConfig;
 use crate::Time;
 use reelfall_lease::token::LeaseName;
 
@@ -59,7 +59,7 @@
         let replica = Replica::new(upstream, &mut restored);
         let was_whole = replica.coverage().is_contiguous();
         let downstream =
-            Downstream::new(config.downstream, crate::chance::mix_bits(config.seed), now);
+            Downstream::new(config.downstream, crate::random::mix_bits(config.seed), now);
         Relay {
             replica,
             downstream,
--- a/crates/distribution/src/replica.rs
+++ b/crates/distribution/src/replica.rs
@@ -1,8 +1,8 @@
 //! A copy of all resources that follows an upstream: what relays and authors have in common.
 
+use crate::child_subscription::ReplicaView;
 use crate::coverage::{Coverage, Span};
 use crate::epoch::Epoch;
-use crate::feed::ReplicaView;
 use crate::log::{ChangeLog, PutOutcome};
 use crate::output::{Event, Output, Record};
 use crate::report::Report;
--- a/crates/distribution/src/report.rs
+++ b/crates/distribution/src/report.rs
@@ -1,10 +1,10 @@
 //! What is told upwards.
 
-mod refusals;
+mod rejections;
 
 use crate::peer::PeerId;
 use crate::resource::{Key, Version};
-use refusals::RejectionHistory;
+use rejections::RejectionHistory;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/distribution/src/resource.rs
+++ b/crates/distribution/src/resource.rs
@@ -262,7 +262,7 @@
         if self.thousandths >= ALL_NODES_THOUSANDTHS {
             return true;
         }
-        let place = crate::chance::mix_bits(self.seed ^ (u64::from(node.0) << 20))
+        let place = crate::random::mix_bits(self.seed ^ (u64::from(node.0) << 20))
             % u64::from(ALL_NODES_THOUSANDTHS);
         place < u64::from(self.thousandths)
     }
--- a/crates/distribution/src/rollout/stage.rs
+++ b/crates/distribution/src/rollout/stage.rs
@@ -1,10 +1,10 @@
 //! What the nodes of a stage have said, and what follows from it by the policy.
 
+use crate::node_status::NodeStatuses;
 use crate::peer::PeerId;
 use crate::resource::{NodeFraction, Version, ALL_NODES_THOUSANDTHS};
 use crate::rollout::policy::RolloutPolicy;
 use crate::rollout::record::RejectingNode;
-use crate::status::NodeStatuses;
 use crate::Time;
 use std::collections::BTreeMap;
 
@@ -50,7 +50,7 @@
 }
 
 /// Most nodes whose refusals are kept; of more the threshold has long been passed.
-pub const MAX_REJECTING_NODES: usize = crate::status::MAX_NODES;
+pub const MAX_REJECTING_NODES: usize = crate::node_status::MAX_NODES;
 /// Most reasons that are kept with them.
 pub const MAX_REJECTION_REASONS: usize = 256;
 
--- a/crates/distribution/src/session.rs
+++ b/crates/distribution/src/session.rs
@@ -1,16 +1,16 @@
 //! A child's session with its upstream: what it asked for, and what is on its way.
 
-use crate::bucket::TokenBucket;
-use crate::chunks::Reassembler;
 use crate::coverage::{Coverage, Span};
 use crate::epoch::Epoch;
 use crate::frame;
 use crate::link::{FrameReceipt, Link};
 use crate::message::{Payload, Subscribe};
 use crate::output::Output;
+use crate::reassembly::Reassembler;
 use crate::report::{Report, ReportQueue};
 use crate::resource::{Change, Selector, Version};
 use crate::session_end::CloseReason;
+use crate::token_bucket::TokenBucket;
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/distribution/src/attempts.rs
+++ b/crates/distribution/src/session_attempts.rs
@@ -6,13 +6,13 @@
 //!
 //! All attempts take from one bucket, the follower's own.
 
-use crate::bucket::TokenBucket;
-use crate::follow::UpstreamConfig;
 use crate::link::Link;
 use crate::message::Payload;
 use crate::output::Output;
 use crate::peer::PeerId;
 use crate::session_end::CloseReason;
+use crate::token_bucket::TokenBucket;
+use crate::upstream_config::UpstreamConfig;
 use crate::Time;
 
 /// What the beginning of a session takes in a frame at most, beside the frame's own head, in bytes.
--- a/crates/distribution/src/subscriber.rs
+++ b/crates/distribution/src/subscriber.rs
@@ -3,10 +3,9 @@
 //! Of each resource the log has what is for all nodes and what is on trial; the later of the two is what is wanted. The driver
 //! is asked to apply it and accepts or rejects it. What it rejects is told to the author, and the last good one stays.
 
+use crate::applied::{AppliedResources, SlotVersions};
 use crate::coverage::Coverage;
 use crate::epoch::Epoch;
-use crate::follow::UpstreamConfig;
-use crate::force::{AppliedResources, SlotVersions};
 use crate::log::{Capacity, ChangeLog, PutOutcome};
 use crate::message::{self};
 use crate::output::{Event, Output, Record};
@@ -17,6 +16,7 @@
 use crate::restore::RestoredState;
 use crate::session::UpstreamEvent;
 use crate::upstream::Upstream;
+use crate::upstream_config::UpstreamConfig;
 use crate::{Time, DRIFT};
 use reelfall_lease::token::LeaseName;
 use std::collections::BTreeSet;
--- a/crates/distribution/src/upstream.rs
+++ b/crates/distribution/src/upstream.rs
@@ -7,22 +7,22 @@
 //! | opening: one candidate after the other is asked | when the first answers; when none has answered within [`UpstreamConfig::open_timeout`] |
 //! | following | when nothing was heard for [`UpstreamConfig::silence_timeout`]; when nothing new came for [`UpstreamConfig::stale_timeout`] and there is somebody else; when the upstream says so or breaks the rules |
 
-use crate::attempts::SessionAttempts;
-use crate::bucket::TokenBucket;
 use crate::candidates::Candidates;
-use crate::chance::SeededRng;
-use crate::chunks::ChunkOutcome;
 use crate::coverage::{Coverage, Span};
 use crate::epoch::Epoch;
-use crate::follow::{UpstreamConfig, MAX_STALE_FACTOR};
 use crate::link::FrameReceipt;
 use crate::message::{Head, Payload, Received};
 use crate::output::{Event, Output};
 use crate::peer::PeerId;
+use crate::random::SeededRng;
+use crate::reassembly::ChunkOutcome;
 use crate::report::{Report, ReportQueue};
 use crate::resource::{Change, Selector, Version};
 use crate::session::{Session, SubscriptionState, Subscriptions, UpstreamEvent};
+use crate::session_attempts::SessionAttempts;
 use crate::session_end::CloseReason;
+use crate::token_bucket::TokenBucket;
+use crate::upstream_config::{UpstreamConfig, MAX_STALE_FACTOR};
 use crate::Time;
 use reelfall_lease::token::{Fence, LeaseName};
 
--- a/crates/distribution/src/upstream/opening.rs
+++ b/crates/distribution/src/upstream/opening.rs
@@ -1,12 +1,12 @@
 //! How a session is begun: candidates are asked one after the other until the first answers.
 
 use super::{State, Upstream};
-use crate::bucket::TokenBucket;
 use crate::link::Link;
 use crate::message::{Payload, Received};
 use crate::output::{Event, Output};
 use crate::session::Session;
 use crate::session_end::CloseReason;
+use crate::token_bucket::TokenBucket;
 use crate::Time;
 
 impl Upstream {
--- a/crates/distribution/src/follow.rs
+++ b/crates/distribution/src/upstream_config.rs
@@ -1,8 +1,8 @@
 //! Whom a process may follow, and for how long it bears with an upstream that is of no use.
 
-use crate::bucket::Budget;
 use crate::link::RETRANSMIT_TIMEOUT;
 use crate::peer::PeerId;
+use crate::token_bucket::Budget;
 use crate::Time;
 
 /// How upstreams are followed.
--- a/crates/distribution/tests/any_bytes.rs
+++ b/crates/distribution/tests/any_bytes.rs
@@ -7,7 +7,6 @@
 use reelfall_distribution::coverage::{Coverage, Span};
 use reelfall_distribution::downstream::DownstreamConfig;
 use reelfall_distribution::epoch::Epoch;
-use reelfall_distribution::follow::UpstreamConfig;
 use reelfall_distribution::log::Capacity;
 use reelfall_distribution::message::{decode, encode, Chunk, Head, Payload, Subscribe};
 use reelfall_distribution::output::Output;
@@ -18,6 +17,7 @@
 };
 use reelfall_distribution::session_end::CloseReason;
 use reelfall_distribution::subscriber::{Subscriber, SubscriberConfig};
+use reelfall_distribution::upstream_config::UpstreamConfig;
 use world::{claim, lease};
 
 const RELAY: PeerId = PeerId(20);
--- a/crates/distribution/tests/cases_failover.rs
+++ b/crates/distribution/tests/cases_failover.rs
@@ -3,13 +3,13 @@
 
 mod world;
 
-use reelfall_distribution::bucket::{Budget, TRANSPORT_OVERHEAD_BYTES};
 use reelfall_distribution::downstream::DownstreamConfig;
-use reelfall_distribution::follow::UpstreamConfig;
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::resource::{Draft, Name};
 use reelfall_distribution::session_end::CloseReason;
+use reelfall_distribution::token_bucket::{Budget, TRANSPORT_OVERHEAD_BYTES};
+use reelfall_distribution::upstream_config::UpstreamConfig;
 use reelfall_distribution::Time;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
--- a/crates/distribution/tests/cases_return.rs
+++ b/crates/distribution/tests/cases_return.rs
@@ -4,11 +4,11 @@
 mod world;
 
 use reelfall_distribution::downstream::DownstreamConfig;
-use reelfall_distribution::follow::{UpstreamConfig, MAX_STALE_FACTOR};
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::resource::{Draft, Name, Version};
 use reelfall_distribution::session_end::CloseReason;
+use reelfall_distribution::upstream_config::{UpstreamConfig, MAX_STALE_FACTOR};
 use reelfall_distribution::Time;
 use std::ops::Range;
 use world::{claim, node_of_region, World, CALM};
--- a/crates/distribution/tests/cases_tree.rs
+++ b/crates/distribution/tests/cases_tree.rs
@@ -2,11 +2,11 @@
 
 mod world;
 
-use reelfall_distribution::follow::UpstreamConfig;
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::resource::{Draft, Name, Selector, Version};
 use reelfall_distribution::session_end::CloseReason;
+use reelfall_distribution::upstream_config::UpstreamConfig;
 use reelfall_distribution::Time;
 use world::{claim, hold, put, World, CALM};
 
--- a/crates/distribution/tests/defences.rs
+++ b/crates/distribution/tests/defences.rs
@@ -3,13 +3,11 @@
 mod world;
 
 use reelfall_distribution::author::{Author, AuthorConfig};
-use reelfall_distribution::bucket::Budget;
 use reelfall_distribution::child::Child;
+use reelfall_distribution::child_subscription::ReplicaView;
 use reelfall_distribution::coverage::{Coverage, Span, GAP_FILL_MIN_SPANS};
 use reelfall_distribution::downstream::DownstreamConfig;
 use reelfall_distribution::epoch::Epoch;
-use reelfall_distribution::feed::ReplicaView;
-use reelfall_distribution::follow::UpstreamConfig;
 use reelfall_distribution::link::Link;
 use reelfall_distribution::log::{Capacity, ChangeLog};
 use reelfall_distribution::message::{decode, Payload, Subscribe};
@@ -21,6 +19,8 @@
 };
 use reelfall_distribution::restore::RestoredState;
 use reelfall_distribution::session_end::CloseReason;
+use reelfall_distribution::token_bucket::Budget;
+use reelfall_distribution::upstream_config::UpstreamConfig;
 use reelfall_distribution::Time;
 use world::{claim, hold, lease, name, put, two_authors_and_relays, World, CALM};
 
--- a/crates/distribution/tests/false_peers.rs
+++ b/crates/distribution/tests/false_peers.rs
@@ -5,7 +5,6 @@
 
 use reelfall_distribution::coverage::{Coverage, Span};
 use reelfall_distribution::downstream::DownstreamConfig;
-use reelfall_distribution::follow::UpstreamConfig;
 use reelfall_distribution::log::Capacity;
 use reelfall_distribution::message::{decode, encode, Chunk, Head, Payload, Subscribe};
 use reelfall_distribution::output::{Event, Output};
@@ -16,6 +15,7 @@
 };
 use reelfall_distribution::session_end::CloseReason;
 use reelfall_distribution::subscriber::{Subscriber, SubscriberConfig};
+use reelfall_distribution::upstream_config::UpstreamConfig;
 use world::lease;
 
 const RELAY: PeerId = PeerId(20);
--- a/crates/distribution/tests/parts.rs
+++ b/crates/distribution/tests/parts.rs
@@ -1,12 +1,12 @@
 //! The parts by themselves: coverage against a set, the log, budgets, links, chunks, what was stored.
 
 use proptest::prelude::*;
-use reelfall_distribution::bucket::{Budget, TokenBucket, TRANSPORT_OVERHEAD_BYTES};
 use reelfall_distribution::coverage::{Coverage, Span, MAX_SPANS};
 use reelfall_distribution::history::ChangeHistory;
 use reelfall_distribution::link::{max_transit_time, Link};
 use reelfall_distribution::log::{Capacity, ChangeLog, PutOutcome};
 use reelfall_distribution::message::{decode, Echo, Payload};
+use reelfall_distribution::node_status::{NodeStatuses, Rejection};
 use reelfall_distribution::output::{Output, Record};
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::report::{Report, ReportQueue};
@@ -14,7 +14,7 @@
     Change, Content, Key, Name, NodeFraction, Selector, Slot, Urgency, Version,
 };
 use reelfall_distribution::restore::RestoredState;
-use reelfall_distribution::status::{NodeStatuses, Rejection};
+use reelfall_distribution::token_bucket::{Budget, TokenBucket, TRANSPORT_OVERHEAD_BYTES};
 use std::collections::BTreeSet;
 
 const ROOM: Capacity = Capacity {
--- a/crates/distribution/tests/world/judge.rs
+++ b/crates/distribution/tests/world/judge.rs
@@ -1,10 +1,10 @@
 //! What must never be, whatever happens: looked at after each step of a process.
 
 use super::{Machine, Seat, BAD_FOR_ODD};
-use reelfall_distribution::bucket::TRANSPORT_OVERHEAD_BYTES;
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::resource::{Name, Selector, Version};
+use reelfall_distribution::token_bucket::TRANSPORT_OVERHEAD_BYTES;
 use reelfall_distribution::Time;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/emulator/src/control/layout.rs
+++ b/crates/emulator/src/control/layout.rs
@@ -4,12 +4,12 @@
 use super::topology::{Scope, Topology};
 use reelfall_distribution::author::AuthorConfig;
 use reelfall_distribution::downstream::DownstreamConfig;
-use reelfall_distribution::follow::UpstreamConfig;
 use reelfall_distribution::log::Capacity;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::relay::RelayConfig;
 use reelfall_distribution::resource::{Name, Selector};
 use reelfall_distribution::subscriber::SubscriberConfig;
+use reelfall_distribution::upstream_config::UpstreamConfig;
 use reelfall_lease::token::LeaseName;
 
 /// What an author keeps for taking changes back, in bytes.
--- a/crates/emulator/tests/distribution.rs
+++ b/crates/emulator/tests/distribution.rs
@@ -1,6 +1,6 @@
 //! Distribution of configuration in a small fleet, played with faults.
 
-use reelfall_distribution::follow::UpstreamConfig;
+use reelfall_distribution::upstream_config::UpstreamConfig;
 use reelfall_distribution::DRIFT;
 use reelfall_emulator::control::check::{agrees, BUDGET};
 use reelfall_emulator::control::contents::Resource;
