--- a/crates/distribution/src/author.rs
+++ b/crates/distribution/src/author.rs
@@ -15,7 +15,6 @@
 
 pub use rollouts::{RolloutDraft, RolloutStatus};
 
-use crate::child_subscription::ReplicaView;
 use crate::coverage::Coverage;
 use crate::downstream::{Downstream, DownstreamConfig};
 use crate::epoch::Epoch;
@@ -27,6 +26,7 @@
 use crate::peer::PeerId;
 use crate::publish::{self, check_writable, PendingChange, PublishError};
 use crate::replica::{orphaned_changes, Replica, ReplicaUpdate};
+use crate::replica_view::ReplicaView;
 use crate::report::Report;
 use crate::resource::{Change, Content, Draft, Key, Name, NodeFraction, Slot, Urgency, Version};
 use crate::restore::RestoredState;
--- a/crates/distribution/src/child_subscription.rs
+++ b/crates/distribution/src/child_subscription.rs
@@ -1,167 +1,197 @@
-//! What one subscription of a child is sent.
+//! One subscription of a child: what the child covers already, and which changes, chunks and manifest pages come next.
+//!
+//! Used by [`crate::child`] alone.
 
 use crate::coverage::{Coverage, Span, GAP_FILL_MIN_SPANS, MAX_SPANS_FOR_URGENT};
-use crate::epoch::Epoch;
-use crate::log::ChangeLog;
 use crate::message::{Chunk, Payload, Subscribe, MAX_MANIFEST_KEYS};
+use crate::replica_view::ReplicaView;
 use crate::resource::{Change, Selector, Version};
-use crate::Time;
 
-/// What a frame of changes takes beside the changes.
+/// Bytes that a frame of changes takes beside the changes.
 pub(crate) const CHANGES_OVERHEAD_BYTES: usize = 64;
-/// What a frame with a part of a body takes beside the part.
+/// Bytes that a frame with a chunk takes beside the chunk.
 const CHUNK_OVERHEAD_BYTES: usize = 288;
-/// What one digest takes in a frame at most.
+/// Largest encoding of one digest, in bytes.
 const MAX_DIGEST_BYTES: usize = 10;
 
-/// What a relay or an author has to send.
-#[derive(Clone, Copy, Debug)]
-pub struct ReplicaView<'a> {
-    /// The changes.
-    pub log: &'a ChangeLog,
-    /// Which versions they cover.
-    pub coverage: &'a Coverage,
-    /// Whether they cover all versions up to the greatest.
-    pub is_contiguous: bool,
-    /// All removals up to this version are known.
-    pub removals_known: Version,
-    /// How old that is, in seconds, if it is known.
-    pub age: Option<Time>,
-    /// Who the author is.
-    pub epoch: Option<&'a Epoch>,
-}
-
-/// How far a list of keys has come.
+/// Position in a manifest that is sent over several frames.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ManifestCursor {
     /// Keys up to this version have been listed.
     listed_through: Version,
-    /// The log's floor when it began.
+    /// The pruning floor of the log when the manifest was started.
     pub pruned_through: Version,
     is_first: bool,
 }
 
-/// The last [`Payload::Current`] that the child was sent.
+/// The contents of the last [`Payload::Current`] that was sent to the child.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CurrentNotice {
+    /// Counts the notices of this session; 0 before the first one.
     pub sequence: u64,
     pub head: Version,
     pub removals: Version,
 }
 
-/// How far a body in parts has come.
+/// Position in a body that is sent over several frames.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BodyCursor {
-    pub id: u32,
+    pub subscription: u32,
     pub version: Version,
     pub offset: usize,
 }
 
-/// See the module.
+/// The change that a subscription sends next. Urgent changes sort last, later versions after previous ones.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct QueuedChange {
+    pub is_urgent: bool,
+    pub version: Version,
+}
+
+/// Complete changes for one frame, and the span that they cover.
+pub(crate) struct Batch {
+    pub payload: Payload,
+    pub span: Span,
+}
+
+/// One frame of a long body.
+pub(crate) struct BodyChunk {
+    pub payload: Payload,
+    pub progress: ChunkProgress,
+}
+
+/// How far a long body has been sent after a chunk.
+pub(crate) enum ChunkProgress {
+    /// It was the last chunk; the child covers this span now.
+    Complete(Span),
+    /// The next chunk starts here.
+    Partial(BodyCursor),
+}
+
+/// One frame of a manifest.
+pub(crate) struct ManifestPage {
+    pub payload: Payload,
+    /// Where the next page starts; none after the last page.
+    pub next: Option<ManifestCursor>,
+    /// The pruning floor that the manifest brings the child up to.
+    pub pruned_through: Version,
+}
+
+/// State of one subscription at the sender.
 #[derive(Debug)]
 pub(crate) struct Subscription {
     pub selector: Selector,
     coverage: Coverage,
-    /// All removals up to here are known to the child.
+    /// The version up to which the child knows all removals, before `applied_notice`.
     removals_known: Version,
     pub manifest_cursor: Option<ManifestCursor>,
-    /// What is to be sent next, and whether that is urgent.
-    pub queued: Option<(bool, Version)>,
-    /// The last [`Payload::Current`] that is taken into account in `coverage` and `known`.
+    /// The change that is sent next, as it stands in the child's queue.
+    pub queued: Option<QueuedChange>,
+    /// Sequence of the last notice that `coverage` and `removals_known` include.
     applied_notice: u64,
 }
 
 impl Subscription {
-    pub fn new(asked: Subscribe, told: CurrentNotice, source: ReplicaView) -> Subscription {
-        // Who has nothing has no removals to hear of.
-        let has_nothing = asked.coverage.is_empty() && !asked.has_changes;
+    pub fn new(request: Subscribe, notice: CurrentNotice, replica: ReplicaView) -> Subscription {
+        // A child without any changes has nothing that a removal could concern.
+        let has_nothing = request.coverage.is_empty() && !request.has_changes;
         let known = if has_nothing {
-            source.log.pruned_through()
+            replica.log.pruned_through()
         } else {
-            asked.removals_known
+            request.removals_known
         };
         Subscription {
-            selector: asked.selector,
-            coverage: asked.coverage,
+            selector: request.selector,
+            coverage: request.coverage,
             removals_known: known,
             manifest_cursor: None,
             queued: None,
-            applied_notice: told.sequence,
+            applied_notice: notice.sequence,
         }
     }
 
-    /// Takes into account that the child was told that all had been sent.
-    pub fn apply_current_notice(&mut self, told: CurrentNotice) {
-        if self.applied_notice < told.sequence {
-            self.applied_notice = told.sequence;
+    /// Applies the last notice that everything had been sent.
+    pub fn apply_current_notice(&mut self, notice: CurrentNotice) {
+        if self.applied_notice < notice.sequence {
+            self.applied_notice = notice.sequence;
             self.coverage.add(Span {
                 after: Version::ZERO,
-                through: told.head,
+                through: notice.head,
             });
-            self.removals_known = self.removals_known.max(told.removals);
+            self.removals_known = self.removals_known.max(notice.removals);
         }
     }
 
-    /// All removals up to here are known to the child.
-    pub fn removals_known(&self, told: CurrentNotice) -> Version {
-        if self.applied_notice == told.sequence {
+    /// The version up to which the child knows all removals.
+    pub fn removals_known(&self, notice: CurrentNotice) -> Version {
+        if self.applied_notice == notice.sequence {
             self.removals_known
         } else {
-            self.removals_known.max(told.removals)
+            self.removals_known.max(notice.removals)
         }
     }
 
-    /// A list of keys was sent to its end.
+    /// Records that the last page of a manifest was sent.
     pub fn manifest_sent(&mut self, floor: Version) {
         self.removals_known = self.removals_known.max(floor);
     }
 
-    /// A span was sent.
+    /// Records that the changes of a span were sent.
     pub fn span_sent(&mut self, span: Span) {
         self.coverage.add(span);
     }
 
-    /// What is to be sent next, and whether that is urgent. Where what is covered has come to many spans, gaps are filled
-    /// before new spans are opened.
-    pub fn next(&self, source: ReplicaView) -> Option<(bool, Version)> {
+    /// The change to send next: urgent ones first, then the latest. Once the coverage has many spans, gaps are filled before
+    /// new spans are opened.
+    pub fn next(&self, replica: ReplicaView) -> Option<QueuedChange> {
         let urgent_fits = self.coverage.spans().len() < MAX_SPANS_FOR_URGENT;
         let urgent = || {
-            source
+            replica
                 .log
                 .newest_uncovered_urgent(&self.selector, &self.coverage)
                 .filter(|_| urgent_fits)
         };
-        let gap = || self.earliest_gap(source).filter(|_| self.is_scattered());
-        let newest = || source.log.newest_uncovered(&self.selector, &self.coverage);
-        let normal = || gap().or_else(newest).map(|version| (false, version));
-        urgent().map(|version| (true, version)).or_else(normal)
+        let gap = || self.earliest_gap(replica).filter(|_| self.is_scattered());
+        let newest = || replica.log.newest_uncovered(&self.selector, &self.coverage);
+        let normal = || {
+            gap().or_else(newest).map(|version| QueuedChange {
+                is_urgent: false,
+                version,
+            })
+        };
+        urgent()
+            .map(|version| QueuedChange {
+                is_urgent: true,
+                version,
+            })
+            .or_else(normal)
     }
 
-    /// Whether what is covered has come to so many spans that gaps are filled first.
+    /// Whether the coverage has so many spans that gaps are filled first.
     fn is_scattered(&self) -> bool {
         self.coverage.spans().len() >= GAP_FILL_MIN_SPANS
     }
 
     /// The earliest uncovered change before which all is covered from the end of a span on, or from zero on: a frame that
     /// begins with it makes that span longer and opens none.
-    fn earliest_gap(&self, source: ReplicaView) -> Option<Version> {
+    fn earliest_gap(&self, replica: ReplicaView) -> Option<Version> {
         let ends = self.coverage.spans().iter().map(|span| span.through);
         let mut starts = std::iter::once(Version::ZERO).chain(ends);
         starts.find_map(|start| {
             let version =
-                source
+                replica
                     .log
                     .oldest_uncovered_after(&self.selector, &self.coverage, start)?;
-            let own = source.coverage.span_containing(version)?;
+            let own = replica.coverage.span_containing(version)?;
             (own.after <= start).then_some(version)
         })
     }
 
-    /// The widest span around an uncovered version in which the source itself lacks nothing, the child has nothing, and
+    /// The widest span around an uncovered version in which the replica itself lacks nothing, the child has nothing, and
     /// nothing is later.
-    fn widest_span(&self, version: Version, source: ReplicaView) -> Span {
+    fn widest_span(&self, version: Version, replica: ReplicaView) -> Span {
         let point = single_version(version);
-        let own = source.coverage.span_containing(version).unwrap_or(point);
+        let own = replica.coverage.span_containing(version).unwrap_or(point);
         let above = self
             .coverage
             .next_start_at_or_above(version)
@@ -169,7 +199,7 @@
         let below = self.coverage.last_end_below(version);
         let upto = own.through.min(above).max(version);
         // A body in parts may have been overtaken by later changes, which the child has not got.
-        let later = source
+        let later = replica
             .log
             .next_version(&self.selector, version)
             .filter(|later| *later <= upto);
@@ -179,39 +209,39 @@
         }
     }
 
-    /// Whole changes that begin with a version, as the child is to see them.
+    /// A batch of complete changes that starts with a version; `view` maps a change to what the child may see.
     pub fn batch(
         &self,
         id: u32,
         first: Version,
         urgent: bool,
-        source: ReplicaView,
-        room: usize,
+        replica: ReplicaView,
+        max_bytes: usize,
         view: impl Fn(&Change) -> Change,
-    ) -> Option<(Payload, Span)> {
+    ) -> Option<Batch> {
         if !urgent && self.is_scattered() {
-            self.batch_upwards(id, first, source, room, view)
+            self.batch_upwards(id, first, replica, max_bytes, view)
         } else {
-            self.batch_downwards(id, first, urgent, source, room, view)
+            self.batch_downwards(id, first, urgent, replica, max_bytes, view)
         }
     }
 
-    /// Uncovered changes from a version upwards. The span reaches over all around them that the source covers and that the
+    /// Uncovered changes from a version upwards. The span reaches over all around them that the replica covers and that the
     /// child has got already.
     fn batch_upwards(
         &self,
         id: u32,
         oldest: Version,
-        source: ReplicaView,
-        room: usize,
+        replica: ReplicaView,
+        max_bytes: usize,
         view: impl Fn(&Change) -> Change,
-    ) -> Option<(Payload, Span)> {
-        let own = source
+    ) -> Option<Batch> {
+        let own = replica
             .coverage
             .span_containing(oldest)
             .unwrap_or(single_version(oldest));
         let lacked_before =
-            source
+            replica
                 .log
                 .newest_uncovered_before(&self.selector, &self.coverage, oldest);
         let after = lacked_before.map_or(own.after, |lacked| lacked.max(own.after));
@@ -223,71 +253,77 @@
         let mut bytes = CHANGES_OVERHEAD_BYTES;
         let mut next = Some(oldest);
         while let Some(version) = next.filter(|version| *version <= own.through) {
-            let change = view(source.log.get_version(version)?);
+            let change = view(replica.log.get_version(version)?);
             bytes += change.size_bytes();
-            if bytes > room {
+            if bytes > max_bytes {
                 span.through = version.predecessor();
                 break;
             }
             changes.push(change);
-            next = source
+            next = replica
                 .log
                 .oldest_uncovered_after(&self.selector, &self.coverage, version);
         }
-        Some((Payload::Changes { id, span, changes }, span))
+        Some(Batch {
+            payload: Payload::Changes { id, span, changes },
+            span,
+        })
     }
 
-    /// Whole changes from a version downwards; of urgent ones, that one alone.
+    /// Changes from a version downwards; an urgent change is sent alone.
     fn batch_downwards(
         &self,
         id: u32,
         newest: Version,
         urgent: bool,
-        source: ReplicaView,
-        room: usize,
+        replica: ReplicaView,
+        max_bytes: usize,
         view: impl Fn(&Change) -> Change,
-    ) -> Option<(Payload, Span)> {
-        let mut span = self.widest_span(newest, source);
+    ) -> Option<Batch> {
+        let mut span = self.widest_span(newest, replica);
         let least = span.after;
         let mut changes = Vec::new();
         let mut bytes = CHANGES_OVERHEAD_BYTES;
         let mut next = Some(newest);
         while let Some(version) = next {
-            let change = view(source.log.get_version(version)?);
+            let change = view(replica.log.get_version(version)?);
             bytes += change.size_bytes();
-            if bytes > room {
+            if bytes > max_bytes {
                 break;
             }
             changes.push(change);
-            let earlier = source.log.previous_version(&self.selector, version);
-            span.after = earlier.map_or(least, |earlier| earlier.max(least));
-            next = earlier.filter(|earlier| *earlier > least && !urgent);
+            let previous = replica.log.previous_version(&self.selector, version);
+            span.after = previous.map_or(least, |previous| previous.max(least));
+            next = previous.filter(|previous| *previous > least && !urgent);
         }
         let span = if urgent { single_version(newest) } else { span };
-        Some((Payload::Changes { id, span, changes }, span))
+        Some(Batch {
+            payload: Payload::Changes { id, span, changes },
+            span,
+        })
     }
 
-    /// The next part of a long body; the span, if it is the last part; else how far it has come.
+    /// The next chunk of a long body.
     pub fn chunk(
         &self,
-        partial: BodyCursor,
+        cursor: BodyCursor,
         urgent: bool,
-        source: ReplicaView,
-        room: usize,
-    ) -> Option<(Payload, Result<Span, BodyCursor>)> {
+        replica: ReplicaView,
+        max_bytes: usize,
+    ) -> Option<BodyChunk> {
         let BodyCursor {
-            id,
+            subscription: id,
             version,
             offset,
-        } = partial;
-        let change = source.log.get_version(version)?;
+        } = cursor;
+        let change = replica.log.get_version(version)?;
         let body = change.content.bytes();
         let end = body
             .len()
-            .min(offset + room.saturating_sub(CHUNK_OVERHEAD_BYTES));
-        let reach = self.widest_span(version, source);
-        let earlier = source.log.previous_version(&self.selector, version);
-        let after = earlier.map_or(reach.after, |earlier| earlier.max(reach.after));
+            .min(offset + max_bytes.saturating_sub(CHUNK_OVERHEAD_BYTES));
+        let reach = self.widest_span(version, replica);
+        let previous = replica.log.previous_version(&self.selector, version);
+        let after = previous.map_or(reach.after, |previous| previous.max(reach.after));
         let span = if urgent {
             single_version(version)
         } else {
@@ -305,56 +341,58 @@
             offset: u32::try_from(offset).ok()?,
             bytes: body.get(offset..end)?.to_vec(),
         };
-        let rest = if end == body.len() {
-            Ok(span)
+        let progress = if end == body.len() {
+            ChunkProgress::Complete(span)
         } else {
-            Err(BodyCursor {
+            ChunkProgress::Partial(BodyCursor {
                 offset: end,
-                ..partial
+                ..cursor
             })
         };
-        Some((Payload::Chunk { id, span, chunk }, rest))
+        Some(BodyChunk {
+            payload: Payload::Chunk { id, span, chunk },
+            progress,
+        })
     }
 
-    /// The next digests of keys; how far the list has come, none if to its end; the floor that it is for.
-    pub fn manifest(
-        &self,
-        id: u32,
-        source: ReplicaView,
-        room: usize,
-    ) -> (Payload, Option<ManifestCursor>, Version) {
+    /// The next page of the manifest of all keys.
+    pub fn manifest(&self, id: u32, replica: ReplicaView, max_bytes: usize) -> ManifestPage {
         let fresh = ManifestCursor {
             listed_through: Version::ZERO,
-            pruned_through: source.log.pruned_through(),
+            pruned_through: replica.log.pruned_through(),
             is_first: true,
         };
-        let pass = self.manifest_cursor.unwrap_or(fresh);
+        let cursor = self.manifest_cursor.unwrap_or(fresh);
         let count = MAX_MANIFEST_KEYS
-            .min(room.saturating_sub(CHANGES_OVERHEAD_BYTES) / MAX_DIGEST_BYTES)
+            .min(max_bytes.saturating_sub(CHANGES_OVERHEAD_BYTES) / MAX_DIGEST_BYTES)
             .max(1);
-        let keys: Vec<_> = source
+        let keys: Vec<_> = replica
             .log
-            .keys_after(&self.selector, pass.listed_through)
+            .keys_after(&self.selector, cursor.listed_through)
             .take(count)
             .collect();
         let last = keys.len() < count;
         let digests = keys.iter().map(|(_, key)| key.digest()).collect();
         let after = keys
             .last()
-            .map_or(pass.listed_through, |(version, _)| *version);
+            .map_or(cursor.listed_through, |(version, _)| *version);
         let next = (!last).then_some(ManifestCursor {
             listed_through: after,
             is_first: false,
-            ..pass
+            ..cursor
         });
         let payload = Payload::Manifest {
             id,
-            first: pass.is_first,
+            first: cursor.is_first,
             last,
-            floor: pass.pruned_through,
+            floor: cursor.pruned_through,
             digests,
         };
-        (payload, next, pass.pruned_through)
+        ManifestPage {
+            payload,
+            next,
+            pruned_through: cursor.pruned_through,
+        }
     }
 }
 
--- a/crates/distribution/src/downstream.rs
+++ b/crates/distribution/src/downstream.rs
@@ -1,12 +1,12 @@
 //! The children of a relay or of an author.
 
 use crate::child::Child;
-use crate::child_subscription::ReplicaView;
 use crate::link::Link;
 use crate::message::{self, Head, Payload, Received};
 use crate::output::{Event, Output};
 use crate::peer::PeerId;
 use crate::random::SeededRng;
+use crate::replica_view::ReplicaView;
 use crate::report::Report;
 use crate::resource::{Key, Selector};
 use crate::session_end::CloseReason;
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -58,6 +58,7 @@
 pub mod reassembly;
 pub mod relay;
 mod replica;
+pub mod replica_view;
 pub mod report;
 pub mod resource;
 pub mod restore;
--- a/crates/distribution/src/replica.rs
+++ b/crates/distribution/src/replica.rs
@@ -1,10 +1,10 @@
 //! A copy of all resources that follows an upstream: what relays and authors have in common.
 
-use crate::child_subscription::ReplicaView;
 use crate::coverage::{Coverage, Span};
 use crate::epoch::Epoch;
 use crate::log::{ChangeLog, PutOutcome};
 use crate::output::{Event, Output, Record};
+use crate::replica_view::ReplicaView;
 use crate::report::Report;
 use crate::resource::{Change, Key, Selector, Version};
 use crate::restore::RestoredState;
--- /dev/null
+++ b/crates/distribution/src/replica_view.rs
@@ -0,0 +1,24 @@
+//! A read-only view of a replica, from which a relay or an author serves its children.
+
+use crate::coverage::Coverage;
+use crate::epoch::Epoch;
+use crate::log::ChangeLog;
+use crate::resource::Version;
+use crate::Time;
+
+/// What a relay or an author can send to its children at one moment.
+#[derive(Clone, Copy, Debug)]
+pub struct ReplicaView<'a> {
+    /// The latest change of each key.
+    pub log: &'a ChangeLog,
+    /// The versions that the log covers.
+    pub coverage: &'a Coverage,
+    /// Whether the log covers every version up to the last one, without gaps.
+    pub is_contiguous: bool,
+    /// All removals up to this version are known.
+    pub removals_known: Version,
+    /// Upper bound of the replica's staleness in seconds, if it is known.
+    pub age: Option<Time>,
+    /// The term of the current author, once it is known.
+    pub epoch: Option<&'a Epoch>,
+}
--- a/crates/distribution/tests/defences.rs
+++ b/crates/distribution/tests/defences.rs
@@ -4,7 +4,6 @@
 
 use reelfall_distribution::author::{Author, AuthorConfig};
 use reelfall_distribution::child::Child;
-use reelfall_distribution::child_subscription::ReplicaView;
 use reelfall_distribution::coverage::{Coverage, Span, GAP_FILL_MIN_SPANS};
 use reelfall_distribution::downstream::DownstreamConfig;
 use reelfall_distribution::epoch::Epoch;
@@ -14,6 +13,7 @@
 use reelfall_distribution::output::{Event, Output, Record};
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::publish::PublishError;
+use reelfall_distribution::replica_view::ReplicaView;
 use reelfall_distribution::resource::{
     Change, Content, Draft, Key, NodeFraction, Selector, Slot, Urgency, Version,
 };
