--- a/crates/node/src/fleet/admin.rs
+++ b/crates/node/src/fleet/admin.rs
@@ -1,29 +1,31 @@
-//! The admin handlers for the fleet.
+//! Management requests that concern the fleet. Called by [`crate::standalone`].
 
 use super::{FleetRuntime, FollowedList};
+use crate::net::management::ManagementResponse;
 use crate::report::Report;
 use hyper::StatusCode;
 use reelfall_admin::request::FleetRequest;
 use reelfall_cluster::entry::{self, Key, ServerInstance, Value};
-use reelfall_cluster::fleet::Fleet;
+use reelfall_cluster::fleet::{CondemnedServer, Fleet};
 use reelfall_cluster::table::HeldEntry;
 use reelfall_cluster::Time;
 use std::collections::BTreeMap;
 
 impl FleetRuntime {
     /// Handles a management request.
-    pub fn handle_request(&self, request: &FleetRequest) -> (StatusCode, String) {
+    pub fn handle_request(&self, request: &FleetRequest) -> ManagementResponse {
         let now = self.clock.now();
         match request {
-            FleetRequest::Members => (StatusCode::OK, self.report_members(now)),
-            FleetRequest::Verdicts => (
-                StatusCode::OK,
-                report_entries(&self.fleet.borrow(), &self.lists.borrow(), now),
-            ),
-            FleetRequest::Explain(server) => (StatusCode::OK, self.explain(server, now)),
+            FleetRequest::Members => ManagementResponse::ok(self.report_members(now)),
+            FleetRequest::Verdicts => ManagementResponse::ok(report_entries(
+                &self.fleet.borrow(),
+                &self.lists.borrow(),
+                now,
+            )),
+            FleetRequest::Explain(server) => ManagementResponse::ok(self.explain(server, now)),
             // Handled by the leases.
             FleetRequest::Leases | FleetRequest::Release { .. } => {
-                (StatusCode::NOT_FOUND, String::new())
+                ManagementResponse::new(StatusCode::NOT_FOUND, "")
             }
             FleetRequest::Ban {
                 server,
@@ -34,69 +36,57 @@
         }
     }
 
-    fn ban(&self, now: Time, server: &str, seconds: Option<u32>, by: &str) -> (StatusCode, String) {
-        let ban = self
-            .fleet
-            .borrow_mut()
-            .ban(now, server, by, seconds.map(f64::from));
-        // In force here when the caller hears of it, and on its way to the others.
-        self.tick();
-        self.wake.notify_one();
-        match ban {
-            Some(_) => (
-                StatusCode::OK,
-                format!("{server} is out, and the fleet is told\n"),
-            ),
-            None => {
-                let why = "not done: another process has this node's name, or there is no room\n";
-                (StatusCode::CONFLICT, why.to_owned())
-            }
+    fn ban(&self, now: Time, server: &str, seconds: Option<u32>, by: &str) -> ManagementResponse {
+        let duration = seconds.map(f64::from);
+        let ban = self.fleet.borrow_mut().ban(now, server, by, duration);
+        self.apply_and_send();
+        if ban.is_none() {
+            let text = "not done: another process has this node's name, or there is no room\n";
+            return ManagementResponse::new(StatusCode::CONFLICT, text);
         }
+        ManagementResponse::ok(format!("{server} is out, and the fleet is told\n"))
     }
 
-    fn lift(&self, now: Time, server: &str, by: &str) -> (StatusCode, String) {
-        let n = self.fleet.borrow_mut().lift(now, server, by);
+    fn lift(&self, now: Time, server: &str, by: &str) -> ManagementResponse {
+        let lifted = self.fleet.borrow_mut().lift(now, server, by);
+        self.apply_and_send();
+        ManagementResponse::ok(format!(
+            "{lifted} bans of {server} are lifted, and the fleet is told\n"
+        ))
+    }
+
+    /// Applies a change before the caller gets the answer, and sends it to the other nodes.
+    fn apply_and_send(&self) {
         self.tick();
         self.wake.notify_one();
-        (
-            StatusCode::OK,
-            format!("{n} bans of {server} are lifted, and the fleet is told\n"),
-        )
     }
 
     fn report_members(&self, now: Time) -> String {
         let fleet = self.fleet.borrow();
-        let (members, counters) = (fleet.members(), fleet.counters());
-        let me = members.me();
         let mut report = Report::default();
-        report.add(format_args!(
-            "{} at {}, life {}, this node; doubt of its own health {}{}",
-            me.name,
-            me.address,
-            me.incarnation.number,
-            members.health_score(),
-            if fleet.has_name_conflict(now) {
-                "; stands aside, another process has its name"
-            } else {
-                ""
-            }
-        ));
-        let mut others: Vec<_> = members.others().collect();
+        add_this_node(&mut report, &fleet, now);
+        let mut others: Vec<_> = fleet.members().others().collect();
         others.sort_unstable_by(|a, b| a.name.cmp(&b.name));
-        for n in others {
+        for node in others {
             report.add(format_args!(
                 "{} at {}, life {}",
-                n.name, n.address, n.incarnation.number
+                node.name, node.address, node.incarnation.number
             ));
         }
+        self.add_counters(&mut report, &fleet);
+        report.finish()
+    }
+
+    fn add_counters(&self, report: &mut Report, fleet: &Fleet) {
+        let counters = fleet.counters();
         report.add(format_args!(
             "datagrams: {} sent, {} not taken by the system, {} taken",
             counters.sent,
             self.unsent.get(),
             counters.received
         ));
-        for (why, n) in &counters.dropped {
-            report.add(format_args!("datagrams dropped: {n} {why}"));
+        for (reason, count) in &counters.dropped {
+            report.add(format_args!("datagrams dropped: {count} {reason}"));
         }
         report.add(format_args!(
             "verdicts: {} held, {} unproven, {} too late, {} refused",
@@ -105,7 +95,6 @@
             counters.expired,
             counters.rejected
         ));
-        report.finish()
     }
 
     fn explain(&self, server: &str, now: Time) -> String {
@@ -120,34 +109,61 @@
         let instances: Vec<ServerInstance> = fleet
             .votes(now)
             .keys()
-            .filter(|s| s.name == server)
-            .map(|s| (*s).clone())
+            .filter(|instance| instance.name == server)
+            .map(|instance| (*instance).clone())
             .collect();
         let condemned = fleet.condemned_servers(now, self.shared.listed());
         for instance in &instances {
-            let since = instance.since;
-            match condemned.iter().find(|c| c.server == *instance) {
-                Some(c) => {
-                    report.add(format_args!(
-                        "start {since}: fails several nodes, for {:.1} s",
-                        c.left
-                    ));
-                }
-                None => report.add(format_args!("start {since}: not condemned")),
-            }
-            for published in fleet.reports(instance, now) {
-                let (by, evidence, age) = (published.by, describe(published.report), published.age);
-                report.add(format_args!("  {by}: {evidence}, {age:.1} s ago"));
-            }
+            add_instance(&mut report, &fleet, instance, &condemned, now);
         }
-        let is_on_server = |key: &Key| matches!(key, Key::Ban { server: s, .. } if s == server);
-        for (key, held) in fleet.table().live(now).filter(|(key, _)| is_on_server(key)) {
-            add_ban(&mut report, key, held, now);
+        for (key, held) in fleet.table().live(now) {
+            if matches!(key, Key::Ban { server: banned, .. } if banned == server) {
+                add_ban(&mut report, key, held, now);
+            }
         }
         report.finish()
     }
 }
 
+fn add_this_node(report: &mut Report, fleet: &Fleet, now: Time) {
+    let members = fleet.members();
+    let me = members.me();
+    let conflict = if fleet.has_name_conflict(now) {
+        "; stands aside, another process has its name"
+    } else {
+        ""
+    };
+    report.add(format_args!(
+        "{} at {}, life {}, this node; doubt of its own health {}{conflict}",
+        me.name,
+        me.address,
+        me.incarnation.number,
+        members.health_score(),
+    ));
+}
+
+/// Adds whether an instance of a server is condemned, and what each node reports of it.
+fn add_instance(
+    report: &mut Report,
+    fleet: &Fleet,
+    instance: &ServerInstance,
+    condemned: &[CondemnedServer],
+    now: Time,
+) {
+    let since = instance.since;
+    match condemned.iter().find(|found| found.server == *instance) {
+        Some(found) => report.add(format_args!(
+            "start {since}: fails several nodes, for {:.1} s",
+            found.left
+        )),
+        None => report.add(format_args!("start {since}: not condemned")),
+    }
+    for published in fleet.reports(instance, now) {
+        let (by, evidence, age) = (published.by, describe(published.report), published.age);
+        report.add(format_args!("  {by}: {evidence}, {age:.1} s ago"));
+    }
+}
+
 fn report_entries(fleet: &Fleet, lists: &BTreeMap<String, FollowedList>, now: Time) -> String {
     let mut report = Report::default();
     let banned: Vec<&str> = fleet.banned_servers(now).into_iter().collect();
@@ -200,13 +216,13 @@
 
 fn add_ban(report: &mut Report, key: &Key, held: &HeldEntry, now: Time) {
     let Key::Ban { server, id } = key else { return };
-    let (what, by) = match &held.value {
+    let (state, by) = match &held.value {
         Value::Banned { by } => ("out", by),
         Value::BanLifted { by } => ("lifted", by),
         _ => return,
     };
     report.add(format_args!(
-        "{server}: {what} by {by}, call {} at {}, {:.0} s ago, for {:.0} s",
+        "{server}: {state} by {by}, call {} at {}, {:.0} s ago, for {:.0} s",
         id.number,
         id.node,
         held.age(now),
--- a/crates/node/src/fleet/clock.rs
+++ b/crates/node/src/fleet/clock.rs
@@ -4,8 +4,7 @@
 use rustix::time::{clock_gettime, ClockId};
 use std::time::Duration;
 
-/// Time since this process began, on a clock that goes on while the machine sleeps: a node that was suspended must not take
-/// its entries for as young as they were.
+/// A clock that goes on while the machine sleeps: after a suspension, the entries of the fleet have aged by that time.
 pub struct Clock {
     start: Duration,
 }
--- a/crates/node/src/fleet/events.rs
+++ b/crates/node/src/fleet/events.rs
@@ -1,4 +1,4 @@
-//! Acting on the fleet's events: bans and condemnations are applied to the pools, and changes are logged.
+//! The effects of the fleet's events: bans and condemnations are applied to the pools, and changes are logged.
 
 use super::FleetRuntime;
 use crate::net::shared::{Condemnation, OverdueRequest};
@@ -9,12 +9,14 @@
 use reelfall_cluster::Time;
 use std::collections::BTreeMap;
 
-/// Interval at which condemnations are applied to the pools again: a server that joins a list is subject to them, too.
+/// Interval at which condemnations are applied to the pools again, in seconds: a server that joins a list is subject to
+/// them, too.
 pub(super) const CONDEMN_INTERVAL: Time = 0.1;
-/// How soon a changed report is applied; a flood of reports costs one evaluation in each such time.
+/// How soon a changed report is applied, in seconds: a flood of reports costs one evaluation in each such time.
 const CONDEMN_DELAY: Time = 0.02;
-/// A list that has lagged behind that of others for so long, in seconds, is logged: services notify watchers in some order.
-const LIST_LAG: Time = 2.0;
+/// A list that has lagged behind that of others for so long, in seconds, is logged. Shorter lags are common, as services
+/// notify their watchers one after the other.
+const LIST_LAG_TOLERANCE: Time = 2.0;
 /// Interval of log lines about dropped datagrams, in seconds.
 const DROPPED_LOG_INTERVAL: Time = 10.0;
 
@@ -29,15 +31,22 @@
     Logged,
 }
 
+/// When dropped datagrams were last logged, and how many there were.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct LoggedDropped {
+    at: Time,
+    count: u64,
+}
+
 impl FleetRuntime {
-    /// Tells the observer which attempts have waited past their target.
+    /// Notifies the observer of the attempts that have waited past their latency objective.
     pub(super) fn report_overdue(&self, now: Time) {
-        let to_attempt = |late: OverdueRequest| {
-            let since = now - late.waited;
+        let to_attempt = |request: OverdueRequest| {
+            let since = now - request.waited;
             OverdueAttempt {
-                server: late.server,
+                server: request.server,
                 since,
-                late_from: since + late.aim,
+                late_from: since + request.aim,
             }
         };
         let overdue: Vec<OverdueAttempt> =
@@ -110,14 +119,13 @@
             .fleet
             .borrow()
             .condemned_servers(now, self.shared.listed());
-        let to_condemnation = |c: CondemnedServer| {
-            let until = pool_clock + c.left;
+        let to_condemnation = |condemned: CondemnedServer| {
             let condemnation = Condemnation {
-                server: c.server.clone(),
-                until,
-                is_prober: c.is_prober,
+                server: condemned.server.clone(),
+                until: pool_clock + condemned.left,
+                is_prober: condemned.is_prober,
             };
-            (c.server, condemnation)
+            (condemned.server, condemnation)
         };
         condemned.into_iter().map(to_condemnation).collect()
     }
@@ -125,11 +133,13 @@
     fn log_event(&self, event: &FleetEvent, now: Time) {
         let log = &self.shared.log;
         match event {
-            FleetEvent::Member(MemberEvent::Up(n)) => {
-                log.write_line(format_args!("fleet: {} at {} is there", n.name, n.address));
+            FleetEvent::Member(MemberEvent::Up(node)) => {
+                let (name, address) = (&node.name, node.address);
+                log.write_line(format_args!("fleet: {name} at {address} is there"));
             }
-            FleetEvent::Member(MemberEvent::Down(n)) => {
-                log.write_line(format_args!("fleet: {} at {} is gone", n.name, n.address));
+            FleetEvent::Member(MemberEvent::Down(node)) => {
+                let (name, address) = (&node.name, node.address);
+                log.write_line(format_args!("fleet: {name} at {address} is gone"));
             }
             FleetEvent::Member(MemberEvent::Rejoined(_)) => {
                 log.write_line(format_args!(
@@ -163,8 +173,8 @@
         }
     }
 
-    /// Logs once for each list that other nodes have seen a later index for some time, and this one has not: its list
-    /// service lags, or its watch is broken.
+    /// Logs once for each list that other nodes have seen a later index of for some time: this node's list service lags, or
+    /// its watch is broken.
     pub(super) fn log_lagging_lists(&self, now: Time) {
         let fleet = self.fleet.borrow();
         for (list, followed) in self.lists.borrow_mut().iter_mut() {
@@ -174,7 +184,7 @@
             };
             match followed.lag {
                 ListLag::None => followed.lag = ListLag::Since(now),
-                ListLag::Since(since) if now - since > LIST_LAG => {
+                ListLag::Since(since) if now - since > LIST_LAG_TOLERANCE => {
                     followed.lag = ListLag::Logged;
                     let index = followed.index;
                     self.shared.log.write_line(format_args!(
@@ -188,15 +198,16 @@
 
     /// Logs how many datagrams were dropped, if there are more than at the last time.
     pub(super) fn log_dropped(&self, now: Time) {
-        let (logged_at, logged) = self.logged_dropped.get();
+        let logged = self.logged_dropped.get();
         let fleet = self.fleet.borrow();
         let by_reason = &fleet.counters().dropped;
         let dropped: u64 = by_reason.values().sum();
-        if dropped > logged && now - logged_at >= DROPPED_LOG_INTERVAL {
-            self.logged_dropped.set((now, dropped));
+        if dropped > logged.count && now - logged.at >= DROPPED_LOG_INTERVAL {
+            let (at, count) = (now, dropped);
+            self.logged_dropped.set(LoggedDropped { at, count });
             let by_reason: Vec<String> = by_reason
                 .iter()
-                .map(|(why, n)| format!("{n} {why}"))
+                .map(|(reason, count)| format!("{count} {reason}"))
                 .collect();
             self.shared.log.write_line(format_args!(
                 "fleet: datagrams dropped so far: {}",
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -1,5 +1,11 @@
-//! This node's part in a fleet, on a socket. The decisions are made by [`reelfall_cluster`]; this module sends and receives
-//! datagrams, schedules, and applies the results to the pools.
+//! This node's membership in a fleet, on a socket. The decisions are made by [`reelfall_cluster`]; this module sends and
+//! receives datagrams, schedules, and applies the results to the pools. Opened by [`crate::standalone`].
+//!
+//! | module | responsibility |
+//! | --- | --- |
+//! | `admin` | management requests that concern the fleet |
+//! | `clock` | the time that the fleet runs by |
+//! | `events` | the effects of the fleet's events on the pools and the log |
 
 mod admin;
 mod clock;
@@ -7,8 +13,9 @@
 
 use crate::net::shared::{Condemnation, FleetObserver, PoolId, Shared};
 use crate::net::Log;
+use crate::process::BoxError;
 use clock::Clock;
-use events::{ListLag, CONDEMN_INTERVAL};
+use events::{ListLag, LoggedDropped, CONDEMN_INTERVAL};
 use reelfall_cluster::entry::ServerInstance;
 use reelfall_cluster::fleet::Fleet;
 use reelfall_cluster::node::Node;
@@ -20,23 +27,56 @@
 use std::collections::hash_map::RandomState;
 use std::collections::BTreeMap;
 use std::hash::BuildHasher;
+use std::io;
 use std::net::SocketAddr;
+use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
+use thiserror::Error;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
-/// Maximum number of datagrams that are received before other tasks of the node have their turn.
-///
-/// Guards requests against a flood of datagrams. Harm: of a flood, what the system's buffer does not hold is lost.
-const RECEIVE_BATCH: usize = 64;
-/// Interval at which overdue attempts are looked for.
-///
-/// Guards the others' requests: each node that has not heard sends what it would have to a server that hangs. Harm: a look
-/// at what is open, forty times in a second.
+/// Maximum number of datagrams that are received before other tasks of the node run: a flood of datagrams must not delay
+/// requests.
+const MAX_RECEIVE_BATCH: usize = 64;
+/// Interval at which overdue attempts are looked for, in seconds: until it is notified, each other node goes on sending
+/// requests to a server that hangs.
 const OVERDUE_INTERVAL: Time = 0.025;
-/// The shortest and the longest rest of the event loop, in seconds.
-const REST: (Time, Time) = (0.001, 60.0);
+/// The shortest sleep of the event loop, in seconds.
+const MIN_SLEEP: Time = 0.001;
+/// The longest sleep of the event loop, in seconds.
+const MAX_SLEEP: Time = 60.0;
+/// Length of a receive buffer: one byte more than any datagram of the fleet, so that one that is too long is noticed.
+const RECEIVE_BUFFER_LEN: usize = MAX_DATAGRAM_LEN + 1;
+
+/// Why the node can't take part in its fleet.
+#[derive(Debug, Error)]
+pub enum FleetError {
+    /// The key file can't be read.
+    #[error("{path}: {source}", path = path.display())]
+    UnreadableKey {
+        /// The path of the key file.
+        path: PathBuf,
+        /// The error of the file system.
+        source: io::Error,
+    },
+    /// The key file has no usable key.
+    #[error("{path}: {source}", path = path.display())]
+    InvalidKey {
+        /// The path of the key file.
+        path: PathBuf,
+        /// What is wrong with the key.
+        source: BoxError,
+    },
+    /// The socket can't be opened.
+    #[error("fleet: {address}: {source}")]
+    Socket {
+        /// The address to bind.
+        address: SocketAddr,
+        /// The error of the system.
+        source: io::Error,
+    },
+}
 
 /// The receiver of an application message.
 pub enum Recipient {
@@ -56,15 +96,16 @@
 /// Handles application messages of other nodes.
 pub type MessageHandler = Box<dyn Fn(&Node, &[u8])>;
 
-/// This node's part in a fleet, on a socket. See the module.
+/// This node's membership in a fleet, on a socket.
 pub struct FleetRuntime {
     fleet: RefCell<Fleet>,
     shared: Rc<Shared>,
     socket: UdpSocket,
     clock: Clock,
-    /// Logs of their own, since the node's log is limited in lines, and the churn of a fleet in trouble uses them up just as
-    /// an operator waits for the confirmation of a ban.
+    /// Separate from the node's log, whose rate limit the churn of an unhealthy fleet exhausts just as an operator waits for
+    /// the confirmation of a ban.
     ban_log: Log,
+    /// Separate for the same reason.
     condemned_log: Log,
     /// There is something to send at once.
     wake: Notify,
@@ -77,8 +118,7 @@
     message_handler: RefCell<Option<MessageHandler>>,
     /// Datagrams that the system did not accept.
     unsent: Cell<u64>,
-    /// When dropped datagrams were last logged, and how many there were.
-    logged_dropped: Cell<(Time, u64)>,
+    logged_dropped: Cell<LoggedDropped>,
 }
 
 impl FleetRuntime {
@@ -86,15 +126,18 @@
     ///
     /// # Errors
     /// If the key can't be read or the address can't be bound.
-    pub fn open(shared: &Rc<Shared>, settings: &model::Fleet) -> Result<Rc<FleetRuntime>, String> {
+    pub fn open(
+        shared: &Rc<Shared>,
+        settings: &model::Fleet,
+    ) -> Result<Rc<FleetRuntime>, FleetError> {
         let secret = read_secret(settings)?;
-        let to_text = |e: std::io::Error| format!("fleet: {}: {e}", settings.listen);
-        let socket = std::net::UdpSocket::bind(settings.listen).map_err(to_text)?;
-        socket.set_nonblocking(true).map_err(to_text)?;
-        let address = settings
-            .advertise
-            .map_or_else(|| socket.local_addr().map_err(to_text), Ok)?;
-        let socket = UdpSocket::from_std(socket).map_err(to_text)?;
+        let to_error = |source| FleetError::Socket {
+            address: settings.listen,
+            source,
+        };
+        let socket = bind(settings.listen).map_err(to_error)?;
+        let address = settings.advertise.map_or_else(|| socket.local_addr(), Ok);
+        let address = address.map_err(to_error)?;
         let random = |what: &str| RandomState::new().hash_one((what, std::process::id()));
         let clock = Clock::start();
         let (tag, seed) = (random("tag") | 1, random("seed"));
@@ -122,7 +165,7 @@
             next_overdue: Cell::new(0.0),
             message_handler: RefCell::default(),
             unsent: Cell::new(0),
-            logged_dropped: Cell::new((0.0, 0)),
+            logged_dropped: Cell::default(),
         }))
     }
 
@@ -137,13 +180,12 @@
             let may_have_more = self.receive_datagrams();
             self.tick();
             if may_have_more {
-                // Requests have their turn between two batches of a flood.
+                // Requests are served between two batches of a flood.
                 tokio::task::yield_now().await;
                 continue;
             }
-            let rest = (self.deadline() - self.clock.now()).max(REST.0).min(REST.1);
-            let due =
-                tokio::time::sleep_until((Instant::now() + Duration::from_secs_f64(rest)).into());
+            let sleep = Duration::from_secs_f64(self.time_to_deadline());
+            let due = tokio::time::sleep_until((Instant::now() + sleep).into());
             tokio::select! {
                 _ = self.socket.readable() => {}
                 () = self.wake.notified() => {}
@@ -152,6 +194,13 @@
         }
     }
 
+    /// How long the event loop sleeps, in seconds.
+    fn time_to_deadline(&self) -> Time {
+        (self.deadline() - self.clock.now())
+            .max(MIN_SLEEP)
+            .min(MAX_SLEEP)
+    }
+
     fn deadline(&self) -> Time {
         let fleet = self.fleet.borrow().deadline();
         fleet
@@ -162,16 +211,15 @@
     /// Receives a batch of datagrams, before any timer: what was due while this process was paused may be answered by them.
     /// Returns whether there may be more.
     fn receive_datagrams(&self) -> bool {
-        // One byte more than any datagram of the fleet, so that one that is too long is noticed.
-        let mut buffer = [0; MAX_DATAGRAM_LEN + 1];
-        for _ in 0..RECEIVE_BATCH {
+        let mut buffer = [0; RECEIVE_BUFFER_LEN];
+        for _ in 0..MAX_RECEIVE_BATCH {
             match self.socket.try_recv_from(&mut buffer) {
-                Ok((n, _)) => {
-                    let datagram = buffer.get(..n).unwrap_or_default();
+                Ok((length, _)) => {
+                    let datagram = buffer.get(..length).unwrap_or_default();
                     self.fleet.borrow_mut().receive(self.clock.now(), datagram);
                     self.deliver_messages();
                 }
-                Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => return false,
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
                 // An earlier datagram could not be delivered; the next one may be another node's.
                 Err(_) => {}
             }
@@ -216,7 +264,7 @@
         self.fleet.borrow().members().me().clone()
     }
 
-    /// Microseconds since this process began, by the clock that goes on while the machine sleeps.
+    /// Microseconds since the socket was opened, by the clock that goes on while the machine sleeps.
     pub fn micros(&self) -> u64 {
         self.clock.micros()
     }
@@ -244,8 +292,8 @@
         }
     }
 
-    /// Sends the outgoing datagrams. What the system refuses (no buffer, no permission, no route) is lost, as a datagram
-    /// may be, and ends nothing.
+    /// Sends the outgoing datagrams. What the system refuses (no buffer, no permission, no route) is lost, as any datagram
+    /// may be.
     fn send_datagrams(&self) {
         let mut fleet = self.fleet.borrow_mut();
         while let Some((to, datagram)) = fleet.next_datagram() {
@@ -255,17 +303,29 @@
         }
     }
 
-    /// Tells the others that this node leaves.
+    /// Notifies the other nodes that this one leaves.
     pub fn leave(&self) {
         self.fleet.borrow_mut().leave(self.clock.now());
         self.send_datagrams();
     }
 }
 
-fn read_secret(settings: &model::Fleet) -> Result<Secret, String> {
-    let file = &settings.key_file;
-    let key = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    Secret::new(&key, &settings.name).map_err(|e| format!("{}: {e}", file.display()))
+fn bind(address: SocketAddr) -> io::Result<UdpSocket> {
+    let socket = std::net::UdpSocket::bind(address)?;
+    socket.set_nonblocking(true)?;
+    UdpSocket::from_std(socket)
+}
+
+fn read_secret(settings: &model::Fleet) -> Result<Secret, FleetError> {
+    let path = || settings.key_file.clone();
+    let key = std::fs::read(&settings.key_file).map_err(|source| FleetError::UnreadableKey {
+        path: path(),
+        source,
+    })?;
+    Secret::new(&key, &settings.name).map_err(|error| FleetError::InvalidKey {
+        path: path(),
+        source: error.into(),
+    })
 }
 
 impl FleetObserver for FleetRuntime {
@@ -287,7 +347,7 @@
     }
 
     fn list_dropped(&self, list: &str, pool: PoolId) {
-        // A reload may have put another pool in its place already, which follows a list of the same name.
+        // After a reload, another pool may follow a list of the same name already.
         self.lists
             .borrow_mut()
             .retain(|name, followed| name != list || followed.pool != pool);
--- a/crates/node/src/lease/admin.rs
+++ b/crates/node/src/lease/admin.rs
@@ -1,6 +1,7 @@
-//! The admin handlers for leases.
+//! Management requests that concern leases. Called by [`crate::standalone`].
 
-use super::{Leases, LocalKeeper, LocalLease};
+use super::{Leases, LocalKeeper, LocalLease, MICROS_PER_SECOND};
+use crate::net::management::ManagementResponse;
 use crate::report::Report;
 use hyper::StatusCode;
 use reelfall_lease::keeper::{Keeper, LeaseView};
@@ -17,13 +18,13 @@
         }
         Status::Verifying => "asks its fellows whether its folder is the latest".to_owned(),
         Status::Voting => "votes".to_owned(),
-        Status::Rejected(why) => format!("does not vote: {why}"),
+        Status::Rejected(reason) => format!("does not vote: {reason}"),
     }
 }
 
 impl Leases {
     /// Reports who holds what, as far as this node knows: its own leases, and as a keeper what it has promised.
-    pub fn report(&self) -> (StatusCode, String) {
+    pub fn report(&self) -> ManagementResponse {
         let (now, mut report) = (self.now(), Report::default());
         for (name, local) in self.local_leases.borrow().iter() {
             add_local_lease(&mut report, name, local, now);
@@ -35,20 +36,25 @@
             )),
             Some(local) => add_keeper(&mut report, local, now),
         }
-        (StatusCode::OK, report.finish())
+        ManagementResponse::ok(report.finish())
     }
 
     /// Releases a lease for a while, on behalf of an operator.
-    pub fn release(&self, lease: &str, why: &str) -> (StatusCode, String) {
-        match LeaseName::try_from(lease.to_owned()) {
-            Ok(name) if self.release_for_a_while(&name) => {
-                self.log
-                    .write_line(format_args!("lease {name}: released by an operator: {why}"));
-                (StatusCode::OK, format!("{name} is given back\n"))
+    pub fn release(&self, lease: &str, reason: &str) -> ManagementResponse {
+        let name = match LeaseName::try_from(lease.to_owned()) {
+            Ok(name) => name,
+            Err(error) => {
+                return ManagementResponse::new(StatusCode::BAD_REQUEST, format!("{error}\n"));
             }
-            Ok(name) => (StatusCode::CONFLICT, format!("{name} is not held here\n")),
-            Err(e) => (StatusCode::BAD_REQUEST, format!("{e}\n")),
+        };
+        if !self.release_for_a_while(&name) {
+            let text = format!("{name} is not held here\n");
+            return ManagementResponse::new(StatusCode::CONFLICT, text);
         }
+        self.log.write_line(format_args!(
+            "lease {name}: released by an operator: {reason}"
+        ));
+        ManagementResponse::ok(format!("{name} is given back\n"))
     }
 }
 
@@ -97,16 +103,14 @@
         Some(left) => format!("to {holder}, for {:.1} s", seconds(left)),
         None => "to nobody".to_owned(),
     };
-    let waiting = view
+    let waiting: Vec<&str> = view
         .waiting
         .iter()
         .map(|client| client.name.as_str())
-        .collect::<Vec<_>>()
-        .join(", ");
-    let waiting = if waiting.is_empty() {
-        waiting
-    } else {
-        format!("; waiting: {waiting}")
+        .collect();
+    let waiting = match waiting.as_slice() {
+        [] => String::new(),
+        waiting => format!("; waiting: {}", waiting.join(", ")),
     };
     let (lease, ballot) = (view.lease, view.promise.ballot);
     report.add(format_args!(
@@ -115,5 +119,5 @@
 }
 
 fn seconds(micros: Micros) -> f64 {
-    micros as f64 / 1e6
+    micros as f64 / MICROS_PER_SECOND
 }
--- a/crates/node/src/lease/disk.rs
+++ b/crates/node/src/lease/disk.rs
@@ -1,20 +1,20 @@
-//! A keeper's storage folder, on a thread of its own: a disk that takes half a second for a write delays no request.
+//! A keeper's storage folder, on a thread of its own: a slow disk delays no request. Used by `dispatch`.
 
 use reelfall_lease::durable::{DurableState, Record};
 use reelfall_lease::keeper::Destination;
 use reelfall_lease::message::Message;
-use reelfall_lease_store::Store;
+use reelfall_lease_store::{Store, StoreError};
 use std::cell::Cell;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc;
 use std::time::Duration;
 use tokio::sync::mpsc as async_mpsc;
 
-/// Maximum number of writes that wait for the disk; requests that come meanwhile are dropped, as if lost on the way.
+/// Maximum number of writes that wait for the disk; requests that arrive meanwhile are dropped, as if lost on the network.
 pub const MAX_PENDING_WRITES: usize = 256;
 /// Maximum number of writes in one batch.
 const MAX_BATCH: usize = 64;
-/// A folder that can't be used is tried again after this time.
+/// Pause before a folder that can't be used is opened again.
 const REOPEN_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Messages to send, with their receivers.
@@ -22,12 +22,24 @@
 
 /// An event of the folder.
 pub enum DiskEvent {
-    /// The folder is open, for the so manieth time, and holds this state.
-    Opened(u64, Box<DurableState>),
-    /// So many writes of this opening are durable, and these messages may be sent.
-    Written(u64, usize, Outbox),
+    /// The folder is open.
+    Opened {
+        /// The number of this opening, from 1.
+        opening: u64,
+        /// The state that is stored there.
+        state: Box<DurableState>,
+    },
+    /// Writes are durable.
+    Written {
+        /// The opening that the writes belong to.
+        opening: u64,
+        /// Number of writes.
+        writes: usize,
+        /// Messages that may be sent now.
+        messages: Outbox,
+    },
     /// The folder can't be used: nothing more is written for this opening of it.
-    Failed(String),
+    Failed(StoreError),
 }
 
 struct WriteJob {
@@ -44,7 +56,7 @@
 }
 
 impl Disk {
-    /// Starts the thread, which opens the folder and keeps trying where it can't be used. Its events come by `events`.
+    /// Starts the thread, which opens the folder, again and again while it can't be used. It reports to `events`.
     ///
     /// # Errors
     /// If no thread can be started.
@@ -63,7 +75,7 @@
     }
 
     /// Whether the keeper may handle more requests.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.pending.get() < MAX_PENDING_WRITES
     }
 
@@ -72,7 +84,7 @@
         self.pending.get() == 0
     }
 
-    /// Queues records to be written, and messages to be returned after that; returns whether there was room.
+    /// Queues records to be written, and messages to be returned after that; returns whether the queue had capacity.
     pub fn write(&self, opening: u64, records: Vec<Record>, messages: Outbox) -> bool {
         let queued = self
             .jobs
@@ -107,10 +119,8 @@
             Ok((store, state)) => {
                 // Jobs of the previous opening are not answered: its keeper is gone.
                 while jobs.try_recv().is_ok() {}
-                if events
-                    .send(DiskEvent::Opened(opening, Box::new(state)))
-                    .is_err()
-                {
+                let state = Box::new(state);
+                if events.send(DiskEvent::Opened { opening, state }).is_err() {
                     return;
                 }
                 match write_jobs(opening, store, jobs, events) {
@@ -118,7 +128,7 @@
                     None => return,
                 }
             }
-            Err(e) => e.to_string(),
+            Err(error) => error,
         };
         if events.send(DiskEvent::Failed(failure)).is_err() {
             return;
@@ -133,7 +143,7 @@
     mut store: Store,
     jobs: &mpsc::Receiver<WriteJob>,
     events: &async_mpsc::UnboundedSender<DiskEvent>,
-) -> Option<String> {
+) -> Option<StoreError> {
     while let Ok(first) = jobs.recv() {
         let mut batch = vec![first];
         while let Some(job) = jobs.try_recv().ok().filter(|_| batch.len() < MAX_BATCH) {
@@ -146,13 +156,16 @@
             messages.extend(job.messages);
         }
         if !records.is_empty() {
-            if let Err(e) = store.write(&records) {
-                return Some(e.to_string());
+            if let Err(error) = store.write(&records) {
+                return Some(error);
             }
         }
-        events
-            .send(DiskEvent::Written(opening, writes, messages))
-            .ok()?;
+        let written = DiskEvent::Written {
+            opening,
+            writes,
+            messages,
+        };
+        events.send(written).ok()?;
     }
     None
 }
--- a/crates/node/src/lease/dispatch.rs
+++ b/crates/node/src/lease/dispatch.rs
@@ -1,11 +1,12 @@
-//! Dispatch of lease messages: from the socket and the disk to the state machines, and their effects back.
+//! Dispatch of lease messages and disk events to the state machines, and of their effects back.
 
 use super::admin;
 use super::disk::{Disk, DiskEvent, Outbox};
-use super::{Leases, LocalKeeper};
+use super::{LeaseError, Leases, LocalKeeper};
 use crate::fleet::Recipient;
 use reelfall_cluster::node::Node;
 use reelfall_config::model;
+use reelfall_lease::durable::DurableState;
 use reelfall_lease::holder::LeaseEvent;
 use reelfall_lease::keeper::{self, Destination, Effects, Keeper};
 use reelfall_lease::message::{ClientId, Message, Request, Response};
@@ -20,12 +21,12 @@
         node: &str,
         settings: &model::Leases,
         events: mpsc::UnboundedSender<DiskEvent>,
-    ) -> Result<Option<LocalKeeper>, String> {
+    ) -> Result<Option<LocalKeeper>, LeaseError> {
         let place = settings.keepers.iter().position(|name| name == node);
         let Some((place, folder)) = place.zip(settings.folder.clone()) else {
             return Ok(None);
         };
-        let disk = Disk::start(folder, events).map_err(|e| format!("leases: {e}"))?;
+        let disk = Disk::start(folder, events).map_err(LeaseError::StorageThread)?;
         let (keeper, opening, last_status, dropped_requests) = Default::default();
         Ok(Some(LocalKeeper {
             place,
@@ -82,8 +83,8 @@
         let Some(local) = &self.local_keeper else {
             return;
         };
-        if !local.disk.has_room() {
-            // Guards against a disk that is slower than the requests. Harm: the clients ask again.
+        if !local.disk.has_capacity() {
+            // The disk is slower than the requests: the clients send them again.
             local.dropped_requests.set(local.dropped_requests.get() + 1);
             return;
         }
@@ -93,7 +94,7 @@
     }
 
     fn handle_response(&self, place: usize, response: Response) {
-        let (now, random) = (self.now(), self.draw());
+        let (now, random) = (self.now(), self.next_random());
         if let Some(local) = self.local_leases.borrow_mut().get_mut(response.lease()) {
             local.lease.handle_response(now, place, response, random);
         }
@@ -107,7 +108,7 @@
             let Some(message) = self.loopback.borrow_mut().pop_front() else {
                 return;
             };
-            let Some(place) = self.local_keeper.as_ref().map(|k| k.place) else {
+            let Some(place) = self.local_keeper.as_ref().map(|local| local.place) else {
                 continue;
             };
             match message {
@@ -136,29 +137,20 @@
     }
 
     fn log_event(&self, name: &LeaseName, event: &LeaseEvent) {
-        match event {
-            LeaseEvent::Acquired(token) => {
-                self.log.write_line(format_args!(
-                    "lease {name}: acquired, token {}",
-                    token.number()
-                ));
-            }
-            LeaseEvent::Released(token) => {
-                self.log.write_line(format_args!(
-                    "lease {name}: released, token {}",
-                    token.number()
-                ));
-            }
-            LeaseEvent::Lost(token) => {
-                self.log
-                    .write_line(format_args!("lease {name}: lost, token {}", token.number()));
-            }
-        }
+        let (change, token) = match event {
+            LeaseEvent::Acquired(token) => ("acquired", token),
+            LeaseEvent::Released(token) => ("released", token),
+            LeaseEvent::Lost(token) => ("lost", token),
+        };
+        let number = token.number();
+        self.log
+            .write_line(format_args!("lease {name}: {change}, token {number}"));
     }
 
     fn send_request(&self, place: usize, request: Request) {
         let message = Message::Request(request);
-        if self.local_keeper.as_ref().is_some_and(|k| k.place == place) {
+        let local = self.local_keeper.as_ref();
+        if local.is_some_and(|local| local.place == place) {
             self.loopback.borrow_mut().push_back(message);
         } else {
             self.send_to_keeper(place, &message);
@@ -223,45 +215,45 @@
             return;
         };
         match event {
-            DiskEvent::Opened(opening, state) => {
+            DiskEvent::Opened { opening, state } => {
                 local.opening.set(opening);
                 local.disk.reset();
-                let (margins, max_length) = (self.config.margins, self.max_length);
-                let config = keeper::Config {
-                    margins,
-                    max_length,
-                    ..keeper::Config::default()
-                };
-                let tag = self.random_tag();
-                let keeper = Keeper::open(
-                    local.place,
-                    self.keepers.len(),
-                    config,
-                    *state,
-                    tag,
-                    self.now(),
-                );
+                let keeper = self.open_keeper(local.place, *state);
                 local.keeper.replace(Some(keeper));
             }
-            DiskEvent::Written(opening, writes, messages) => {
+            DiskEvent::Written {
+                opening,
+                writes,
+                messages,
+            } => {
                 if opening == local.opening.get() && local.keeper.borrow().is_some() {
                     local.disk.complete(writes);
                     self.send_all(messages);
                 }
             }
-            DiskEvent::Failed(why) => self.stop_keeper(local, &why),
+            DiskEvent::Failed(error) => self.stop_keeper(local, &error.to_string()),
         }
         self.process_effects();
         self.log_status(local);
     }
 
+    fn open_keeper(&self, place: usize, state: DurableState) -> Keeper {
+        let config = keeper::Config {
+            margins: self.config.margins,
+            max_length: self.max_length,
+            ..keeper::Config::default()
+        };
+        let (tag, now) = (self.random_tag(), self.now());
+        Keeper::open(place, self.keepers.len(), config, state, tag, now)
+    }
+
     /// Stops the keeper until its folder is open again: its state in memory may be ahead of the disk.
-    fn stop_keeper(&self, local: &LocalKeeper, why: &str) {
+    fn stop_keeper(&self, local: &LocalKeeper, reason: &str) {
         local.keeper.replace(None);
         local.opening.set(0);
-        if local.last_status.replace(why.to_owned()) != why {
+        if local.last_status.replace(reason.to_owned()) != reason {
             self.log
-                .write_line(format_args!("leases: the keeper's folder: {why}"));
+                .write_line(format_args!("leases: the keeper's folder: {reason}"));
         }
     }
 
--- a/crates/node/src/lease/mod.rs
+++ b/crates/node/src/lease/mod.rs
@@ -1,5 +1,12 @@
 //! Leases over the fleet's socket, and a keeper's storage on a thread of its own. The decisions are made by
-//! [`reelfall_lease`]; this module sends, schedules and writes.
+//! [`reelfall_lease`]; this module sends, schedules and writes. Started by [`crate::standalone`].
+//!
+//! | module | responsibility |
+//! | --- | --- |
+//! | `admin` | management requests that concern leases |
+//! | `call` | the periodic calls of a lease's holder |
+//! | `disk` | the thread that writes a keeper's storage folder |
+//! | `dispatch` | messages and disk events to the state machines, and their effects back |
 
 mod admin;
 mod call;
@@ -14,31 +21,52 @@
 use reelfall_lease::holder::{Config, Lease};
 use reelfall_lease::keeper::Keeper;
 use reelfall_lease::message::{ClientId, Message};
-use reelfall_lease::token::{LeaseName, Operation};
+use reelfall_lease::token::{InvalidLeaseName, LeaseName, Operation};
 use reelfall_lease::Micros;
 use std::cell::{Cell, RefCell};
 use std::collections::hash_map::RandomState;
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::BuildHasher;
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::sync::{mpsc, Notify};
 
-/// A lease that an operator released is acquired again after so many times its length.
-const LENGTHS_UNTIL_REACQUIRED: u32 = 2;
-/// The shortest and the longest rest of the event loop, in microseconds.
-const REST: (Micros, Micros) = (1_000, 1_000_000);
+/// A lease that was released for a while is acquired again after so many times its length.
+const LENGTHS_UNTIL_REACQUIRED: u64 = 2;
+/// The shortest sleep of the event loop, in microseconds.
+const MIN_SLEEP: Micros = 1_000;
+/// The longest sleep of the event loop, in microseconds.
+const MAX_SLEEP: Micros = 1_000_000;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
+/// Parts per million in a whole.
+const PPM: f64 = 1e6;
 
 /// Length of a group identifier, in bytes.
 const GROUP_ID_LEN: usize = 8;
 
+/// Why the leases can't be started.
+#[derive(Debug, Error)]
+pub enum LeaseError {
+    /// The thread of the keeper's storage can't be started.
+    #[error("leases: {0}")]
+    StorageThread(#[source] io::Error),
+    /// A call has no valid lease name.
+    #[error("leases: call `{name}`: {source}")]
+    InvalidCallName {
+        /// The name of the call.
+        name: String,
+        /// What is wrong with it.
+        source: InvalidLeaseName,
+    },
+}
+
 /// The identifier of all nodes with the same keepers in the same order.
 ///
-/// Guards against files that name other keepers: two majorities of two lists need not intersect, and each would have a
-/// holder of its own. A process has one list, and with this identifier it counts in one group alone. Harm: nodes whose files
-/// differ keep and hold nothing together.
+/// Majorities of two different lists of keepers need not intersect, so each could have a holder of its own. With this
+/// identifier in each message, a node counts in the group of its own list alone.
 fn group_id(keepers: &[String]) -> [u8; GROUP_ID_LEN] {
     let mut hasher = blake3::Hasher::new();
     for name in keepers {
@@ -76,11 +104,11 @@
     reacquire_at: Option<Micros>,
 }
 
-/// This node's leases, and its keeper if it is one. See the module.
+/// This node's leases, and its keeper if it is one.
 pub struct Leases {
     fleet: Rc<FleetRuntime>,
     keepers: Vec<String>,
-    /// Precedes each message.
+    /// The first bytes of each message.
     group_id: [u8; GROUP_ID_LEN],
     config: Config,
     max_length: Micros,
@@ -93,8 +121,8 @@
     /// A lease was acquired, released or lost.
     changed: Notify,
     random: RandomState,
-    /// Counts random numbers.
-    drawn: Cell<u64>,
+    /// Number of random numbers so far.
+    random_count: Cell<u64>,
     log: Log,
 }
 
@@ -102,18 +130,34 @@
     /// Starts the leases, and the keeper with its storage if this node is one.
     ///
     /// # Errors
-    /// If the node can't have what it needs. A folder that can't be used now is no error: it is tried again.
+    /// If the storage thread can't be started, or a call has no valid name. A folder that can't be used now is no error: it
+    /// is opened again later.
     pub fn start(
         fleet: &Rc<FleetRuntime>,
         fleet_settings: &model::Fleet,
         settings: &model::Leases,
-    ) -> Result<Rc<Leases>, String> {
+    ) -> Result<Rc<Leases>, LeaseError> {
+        let (sender, disk_events) = mpsc::unbounded_channel();
+        let local_keeper = LocalKeeper::start(&fleet_settings.node, settings, sender)?;
+        let leases = Rc::new(Leases::new(fleet, settings, local_keeper));
+        leases.receive_messages();
+        tokio::task::spawn_local(leases.clone().run(disk_events));
+        for call in &settings.calls {
+            leases.start_call(call)?;
+        }
+        Ok(leases)
+    }
+
+    fn new(
+        fleet: &Rc<FleetRuntime>,
+        settings: &model::Leases,
+        local_keeper: Option<LocalKeeper>,
+    ) -> Leases {
         let margins = Margins {
-            drift_ppm: (settings.drift * 1e6).ceil() as u32,
+            drift_ppm: (settings.drift * PPM).ceil() as u32,
         };
         let length = (settings.duration * MICROS_PER_SECOND) as Micros;
-        let (sender, disk_events) = mpsc::unbounded_channel();
-        let leases = Rc::new(Leases {
+        Leases {
             fleet: fleet.clone(),
             keepers: settings.keepers.clone(),
             group_id: group_id(&settings.keepers),
@@ -122,24 +166,27 @@
                 ..Config::new(settings.keepers.len(), length)
             },
             max_length: length,
-            local_keeper: LocalKeeper::start(&fleet_settings.node, settings, sender)?,
+            local_keeper,
             local_leases: RefCell::default(),
             loopback: RefCell::default(),
             wake: Notify::new(),
             changed: Notify::new(),
             random: RandomState::new(),
-            drawn: Cell::new(0),
+            random_count: Cell::new(0),
             log: Log::default(),
-        });
-        leases.receive_messages();
-        tokio::task::spawn_local(leases.clone().run(disk_events));
-        for call in &settings.calls {
-            let name = LeaseName::try_from(call.name.clone())
-                .map_err(|e| format!("leases: call `{}`: {e}", call.name))?;
-            leases.acquire(&name);
-            tokio::task::spawn_local(call::run(leases.clone(), name, call.clone()));
         }
-        Ok(leases)
+    }
+
+    /// Acquires the lease of a call, and starts the task that calls while it is held.
+    fn start_call(self: &Rc<Self>, call: &model::Call) -> Result<(), LeaseError> {
+        let name = LeaseName::try_from(call.name.clone());
+        let name = name.map_err(|source| LeaseError::InvalidCallName {
+            name: call.name.clone(),
+            source,
+        })?;
+        self.acquire(&name);
+        tokio::task::spawn_local(call::run(self.clone(), name, call.clone()));
+        Ok(())
     }
 
     fn now(&self) -> Micros {
@@ -147,9 +194,9 @@
     }
 
     /// A new random number, uniform over all values.
-    fn draw(&self) -> u32 {
-        self.drawn.set(self.drawn.get() + 1);
-        self.random.hash_one(self.drawn.get()) as u32
+    fn next_random(&self) -> u32 {
+        self.random_count.set(self.random_count.get() + 1);
+        self.random.hash_one(self.random_count.get()) as u32
     }
 
     /// A random tag for a new storage folder.
@@ -169,12 +216,10 @@
     async fn run(self: Rc<Self>, mut disk_events: mpsc::UnboundedReceiver<DiskEvent>) {
         loop {
             self.tick();
-            let rest = self
-                .deadline()
-                .saturating_sub(self.now())
-                .clamp(REST.0, REST.1);
+            let time_to_deadline = self.deadline().saturating_sub(self.now());
+            let sleep = Duration::from_micros(time_to_deadline.clamp(MIN_SLEEP, MAX_SLEEP));
             tokio::select! {
-                () = tokio::time::sleep(Duration::from_micros(rest)) => {}
+                () = tokio::time::sleep(sleep) => {}
                 () = self.wake.notified() => {}
                 Some(event) = disk_events.recv() => self.handle_disk_event(event),
             }
@@ -189,7 +234,7 @@
         let keeper = self
             .local_keeper
             .iter()
-            .filter_map(|k| k.keeper.borrow().as_ref().map(Keeper::deadline));
+            .filter_map(|local| local.keeper.borrow().as_ref().map(Keeper::deadline));
         leases.chain(keeper).min().unwrap_or(Micros::MAX)
     }
 
@@ -200,11 +245,12 @@
                 local.lease.acquire(now);
             }
             if local.lease.deadline().is_some_and(|due| due <= now) {
-                local.lease.tick(now, self.draw());
+                local.lease.tick(now, self.next_random());
             }
         }
         if let Some(local) = &self.local_keeper {
-            let is_due = |k: &&mut Keeper| k.deadline() <= now && local.disk.has_room();
+            let is_due =
+                |keeper: &&mut Keeper| keeper.deadline() <= now && local.disk.has_capacity();
             if let Some(keeper) = local.keeper.borrow_mut().as_mut().filter(is_due) {
                 keeper.tick(now);
             }
@@ -212,7 +258,7 @@
         self.process_effects();
     }
 
-    /// Acquires the lease, and keeps it.
+    /// Acquires the lease, and renews it from then on.
     fn acquire(&self, name: &LeaseName) {
         let now = self.now();
         let new = || LocalLease {
@@ -256,8 +302,7 @@
         let was_held = self.operation(name, ()).is_some();
         if let Some(local) = self.local_leases.borrow_mut().get_mut(name) {
             local.lease.release(now);
-            local.reacquire_at =
-                Some(now + self.config.length * u64::from(LENGTHS_UNTIL_REACQUIRED));
+            local.reacquire_at = Some(now + self.config.length * LENGTHS_UNTIL_REACQUIRED);
         }
         self.process_effects();
         self.wake.notify_one();
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,19 @@
-//! One node on sockets: what it is told at its start, its command line, and the network on both sides.
+//! One node on sockets: its configuration, its command line, and the network on both sides.
 //!
-//! The choice of servers, retries and refusals is [`reelfall_balancer`]'s, the choice of a service
-//! [`reelfall_routing`]'s; what is here translates, carries out and enforces.
+//! [`reelfall_balancer`] chooses servers, retries requests and sheds load, [`reelfall_routing`] chooses a service; this
+//! crate translates, executes and enforces.
+//!
+//! | module | responsibility |
+//! | --- | --- |
+//! | [`cli`] | the command line |
+//! | `operate` | the client of the management address |
+//! | `platform` | a node that is configured by its platform: one pool behind one listener |
+//! | `standalone` | a node that is configured by a settings file |
+//! | `process` | the steps that both have in common |
+//! | `fleet` | the fleet's socket and its effects on the pools |
+//! | `lease` | leases over the fleet's socket |
+//! | `net` | connections to clients and servers |
+//! | `report` | text reports with a maximum length |
 #![cfg_attr(
     not(test),
     warn(
@@ -18,5 +30,6 @@
 mod net;
 mod operate;
 mod platform;
+mod process;
 mod report;
 mod standalone;
--- a/crates/node/src/net/management.rs
+++ b/crates/node/src/net/management.rs
@@ -1,5 +1,5 @@
-//! The management address: one request a connection, answered at once whatever the load, and bans and drains applied to
-//! every pool.
+//! The management address: one request for each connection, answered at once whatever the load, and bans and drains
+//! applied to every pool. Served by [`crate::platform`] and [`crate::standalone`].
 
 use super::ledger::LedgerFile;
 use super::shared::Shared;
@@ -14,6 +14,7 @@
 use hyper_util::rt::TokioIo;
 use reelfall_admin::ledger::Ledger;
 use reelfall_admin::request::{FleetRequest, ManagementRequest, RequestError};
+use reelfall_admin::Time;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -24,14 +25,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// Maximum number of concurrent connections. Descriptors for them are kept apart from those of clients.
-const CALLERS_MOST: usize = 16;
+/// Maximum number of concurrent connections. Descriptors for them are reserved, apart from those of clients.
+const MAX_CONNECTIONS: usize = 16;
 /// How long a connection may last, with its request and its answer.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
-/// Maximum length of the head of a request.
-const HEAD_MOST: usize = 8 << 10;
+/// Maximum length of the head of a request, in bytes.
+const MAX_HEAD_LEN: usize = 8 << 10;
 /// How often the ledger is checked for changes by other processes of this node.
 const LEDGER_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Pause after a connection that could not be accepted.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// Pause before another attempt to bind the address.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
@@ -46,13 +49,13 @@
     shared: Rc<Shared>,
     ledger_file: RefCell<Option<LedgerFile>>,
     /// Whether this process can serve.
-    ready: Box<dyn Fn() -> bool>,
+    is_ready: Box<dyn Fn() -> bool>,
     /// Answers requests that concern the fleet, if the node is part of one.
     fleet: Option<FleetHandler>,
 }
 
 /// Answers requests that concern the fleet.
-pub type FleetHandler = Box<dyn Fn(&FleetRequest) -> (StatusCode, String)>;
+pub type FleetHandler = Box<dyn Fn(&FleetRequest) -> ManagementResponse>;
 
 impl Management {
     /// Loads the ledger of the node of this name from `folder`; without a folder, bans and drains last as long as the
@@ -61,14 +64,14 @@
         shared: Rc<Shared>,
         folder: Option<&Path>,
         name: &str,
-        ready: Box<dyn Fn() -> bool>,
+        is_ready: Box<dyn Fn() -> bool>,
         fleet: Option<FleetHandler>,
     ) -> Rc<Self> {
         let ledger_file = folder.map(|folder| LedgerFile::new(folder, name));
         let management = Management {
             shared,
             ledger_file: RefCell::new(ledger_file),
-            ready,
+            is_ready,
             fleet,
         };
         management.reload_ledger();
@@ -83,7 +86,10 @@
         match ledger_file.read_if_changed() {
             Ok(Some(ledger)) => self.shared.apply_operations(ledger),
             Ok(None) => {}
-            Err(e) => self.shared.log.write_line(format_args!("the ledger: {e}")),
+            Err(error) => self
+                .shared
+                .log
+                .write_line(format_args!("the ledger: {error}")),
         }
     }
 
@@ -95,43 +101,40 @@
         }
     }
 
-    /// Answers requests for as long as it is polled.
-    ///
-    /// Guards against callers that send nothing, or half a request: each has a task of its own, and when there are too many,
-    /// the one that has been there longest goes. It ought to bear any number of them, and any load from clients. Harm: a
-    /// slow caller is cut off by sixteen quicker ones.
+    /// Binds the address, again and again until it succeeds, and answers requests for as long as it is polled.
     pub async fn serve(self: Rc<Self>, address: SocketAddr) {
         let listener = loop {
             match TcpListener::bind(address).await {
                 Ok(listener) => break listener,
-                // Another's, or an earlier life's: clients are served meanwhile.
-                Err(e) => self
+                // Another process has it, perhaps an earlier one of this node: clients are served meanwhile.
+                Err(error) => self
                     .shared
                     .log
-                    .write_line(format_args!("operators' address {address}: {e}")),
+                    .write_line(format_args!("operators' address {address}: {error}")),
             }
             sleep(BIND_RETRY_INTERVAL).await;
         };
         self.accept(listener).await;
     }
 
-    /// Answers requests that come to this listener for as long as it is polled.
+    /// Answers requests to this listener for as long as it is polled.
+    ///
+    /// Each connection has a task of its own, since a client may send nothing, or half a request. When there are too many,
+    /// the oldest connection is closed.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
-        let mut callers: VecDeque<AbortOnDrop> = VecDeque::new();
+        let mut connections: VecDeque<AbortOnDrop> = VecDeque::new();
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                callers.pop_front();
-                sleep(Duration::from_millis(20)).await;
+                connections.pop_front();
+                sleep(ACCEPT_RETRY_INTERVAL).await;
                 continue;
             };
-            callers.retain(|c| !c.0.is_finished());
-            if callers.len() >= CALLERS_MOST {
-                callers.pop_front();
+            connections.retain(|connection| !connection.0.is_finished());
+            if connections.len() >= MAX_CONNECTIONS {
+                connections.pop_front();
             }
-            let management = self.clone();
-            let task =
-                tokio::task::spawn_local(async move { management.serve_connection(stream).await });
-            callers.push_back(AbortOnDrop(task.abort_handle()));
+            let task = tokio::task::spawn_local(self.clone().serve_connection(stream));
+            connections.push_back(AbortOnDrop(task.abort_handle()));
         }
     }
 
@@ -143,117 +146,142 @@
         let connection = Builder::new()
             .keep_alive(false)
             .header_read_timeout(None)
-            .max_buf_size(HEAD_MOST)
+            .max_buf_size(MAX_HEAD_LEN)
             .serve_connection(TokioIo::new(stream), service);
-        // How it ended concerns the caller alone.
+        // How it ended concerns the client alone.
         let _ = timeout(CONNECTION_TIMEOUT, connection).await;
     }
 
     fn answer(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
-        let (status, text) = match ManagementRequest::parse(
-            request.method().as_str(),
-            &path_and_query(request.uri()),
-        ) {
-            Err(error) => error_response(error),
+        let method = request.method();
+        let parsed = ManagementRequest::parse(method.as_str(), &path_and_query(request.uri()));
+        let answer = match parsed {
+            Err(error) => reject(error),
             Ok(_) if request.body().size_hint().lower() > 0 => {
-                (StatusCode::BAD_REQUEST, "calls have no body\n".to_owned())
+                ManagementResponse::new(StatusCode::BAD_REQUEST, "calls have no body\n")
             }
             Ok(request) => self.execute(&request),
         };
-        let mut response = Response::new(Full::new(Bytes::from(text)));
-        *response.status_mut() = status;
-        response
-            .headers_mut()
-            .insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-        if status == StatusCode::METHOD_NOT_ALLOWED {
-            let other = if request.method() == Method::POST {
-                "GET"
-            } else {
-                "POST"
-            };
-            response
-                .headers_mut()
-                .insert(header::ALLOW, HeaderValue::from_static(other));
-        }
-        response
+        answer.into_http(method)
     }
 
-    fn execute(&self, request: &ManagementRequest) -> (StatusCode, String) {
+    fn execute(&self, request: &ManagementRequest) -> ManagementResponse {
         let now = self.shared.clock.now();
-        let ok = |text: String| (StatusCode::OK, text);
         match request {
-            ManagementRequest::Ready if (self.ready)() => ok("ready\n".to_owned()),
-            ManagementRequest::Ready => (
-                StatusCode::SERVICE_UNAVAILABLE,
-                "not ready yet\n".to_owned(),
-            ),
+            ManagementRequest::Ready if (self.is_ready)() => ManagementResponse::ok("ready\n"),
+            ManagementRequest::Ready => {
+                ManagementResponse::new(StatusCode::SERVICE_UNAVAILABLE, "not ready yet\n")
+            }
             ManagementRequest::Fleet(request) => match &self.fleet {
                 Some(handler) => handler(request),
-                None => (
+                None => ManagementResponse::new(
                     StatusCode::NOT_FOUND,
-                    "this node is part of no fleet\n".to_owned(),
+                    "this node is part of no fleet\n",
                 ),
             },
-            ManagementRequest::Drain => self.write(|l| l.drain.begin(now), "draining\n"),
-            ManagementRequest::Resume => self.write(|l| l.drain.end(), "serving\n"),
+            ManagementRequest::Drain => {
+                self.change_ledger(|ledger| ledger.drain.begin(now), "draining\n")
+            }
+            ManagementRequest::Resume => {
+                self.change_ledger(|ledger| ledger.drain.end(), "serving\n")
+            }
             ManagementRequest::Disable(name) | ManagementRequest::Enable(name)
                 if !self.shared.knows(name) =>
             {
-                (
-                    StatusCode::NOT_FOUND,
-                    "no list has named such a server\n".to_owned(),
-                )
-            }
-            ManagementRequest::Disable(name) => {
-                let mut result = Ok(());
-                let response = self.write(|l| result = l.bans.disable(name, now), "out\n");
-                match result {
-                    Ok(()) => response,
-                    Err(fault) => (StatusCode::INSUFFICIENT_STORAGE, format!("{fault}\n")),
-                }
+                let text = "no list has named such a server\n";
+                ManagementResponse::new(StatusCode::NOT_FOUND, text)
             }
-            ManagementRequest::Enable(name) => {
-                // One that is not out is served already, which is what the caller wants.
-                let lift_ban = |l: &mut Ledger| {
-                    l.bans.enable(name, now);
-                };
-                self.write(lift_ban, "back\n")
+            ManagementRequest::Disable(name) => self.ban(name, now),
+            ManagementRequest::Enable(name) => self.lift_ban(name, now),
+        }
+    }
+
+    fn ban(&self, server: &str, now: Time) -> ManagementResponse {
+        let mut banned = Ok(());
+        let response =
+            self.change_ledger(|ledger| banned = ledger.bans.disable(server, now), "out\n");
+        match banned {
+            Ok(()) => response,
+            Err(error) => {
+                ManagementResponse::new(StatusCode::INSUFFICIENT_STORAGE, format!("{error}\n"))
             }
         }
     }
 
-    /// Writes a change to the ledger and applies it, in this order; what can't be written is applied all the same, and the
-    /// caller gets an error.
-    fn write(&self, mut change: impl FnMut(&mut Ledger), done: &str) -> (StatusCode, String) {
+    /// Lifts the ban of a server. One that is not banned is used already, which is what the caller wants.
+    fn lift_ban(&self, server: &str, now: Time) -> ManagementResponse {
+        let lift = |ledger: &mut Ledger| {
+            ledger.bans.enable(server, now);
+        };
+        self.change_ledger(lift, "back\n")
+    }
+
+    /// Writes a change to the ledger and applies it, in this order. A change that can't be written is applied all the same,
+    /// and the caller gets an error.
+    fn change_ledger(&self, mut change: impl FnMut(&mut Ledger), done: &str) -> ManagementResponse {
         let mut ledger = self.shared.operations();
-        let result = match &mut *self.ledger_file.borrow_mut() {
+        let written = match &mut *self.ledger_file.borrow_mut() {
             Some(ledger_file) => ledger_file.change(&ledger, &mut change),
             None => {
                 change(&mut ledger);
                 Ok(ledger.clone())
             }
         };
-        match result {
+        match written {
             Ok(ledger) => {
                 self.shared.apply_operations(ledger);
-                (StatusCode::OK, done.to_owned())
+                ManagementResponse::ok(done)
             }
-            Err(e) => {
+            Err(error) => {
                 change(&mut ledger);
                 self.shared.apply_operations(ledger);
                 let text = format!(
-                    "in force in this process, but not written down, so it ends with it: {e}\n"
+                    "in force in this process, but not written down, so it ends with it: {error}\n"
                 );
-                (StatusCode::INTERNAL_SERVER_ERROR, text)
+                ManagementResponse::new(StatusCode::INTERNAL_SERVER_ERROR, text)
             }
         }
     }
 }
 
+/// The answer to a management request.
+pub struct ManagementResponse {
+    status: StatusCode,
+    text: String,
+}
+
+impl ManagementResponse {
+    /// An answer with this status and text.
+    pub fn new(status: StatusCode, text: impl Into<String>) -> ManagementResponse {
+        let text = text.into();
+        ManagementResponse { status, text }
+    }
+
+    /// The answer to a request that has succeeded.
+    pub fn ok(text: impl Into<String>) -> ManagementResponse {
+        ManagementResponse::new(StatusCode::OK, text)
+    }
+
+    /// The HTTP form of the answer to a request with this method.
+    fn into_http(self, method: &Method) -> Response<Full<Bytes>> {
+        let mut response = Response::new(Full::new(Bytes::from(self.text)));
+        *response.status_mut() = self.status;
+        let headers = response.headers_mut();
+        headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
+        if self.status == StatusCode::METHOD_NOT_ALLOWED {
+            let allowed = if method == Method::POST {
+                "GET"
+            } else {
+                "POST"
+            };
+            headers.insert(header::ALLOW, HeaderValue::from_static(allowed));
+        }
+        response
+    }
+}
+
 /// The answer to a request that is rejected.
-fn error_response(error: RequestError) -> (StatusCode, String) {
-    (
-        StatusCode::from_u16(error.status()).unwrap_or_default(),
-        format!("{error}\n"),
-    )
+fn reject(error: RequestError) -> ManagementResponse {
+    let status = StatusCode::from_u16(error.status()).unwrap_or_default();
+    ManagementResponse::new(status, format!("{error}\n"))
 }
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -1,195 +1,109 @@
-//! A node on its platform: told of all it needs by the environment, one pool behind one listener.
+//! A node that is configured by its platform: one pool behind one listener. Called by the command line.
+//!
+//! A new process takes over the sockets and the learned state of the process of the same name that serves already, if there
+//! is one: see [`crate::net::takeover`].
+
+mod config;
+mod reload;
 
 use crate::net::front::{Front, Listening};
 use crate::net::management::Management;
 use crate::net::pool::{Missing, Pool};
 use crate::net::service::{Discovery, Routing, Service};
 use crate::net::shared::Shared;
-use crate::net::takeover::{HandoverSocket, Takeover};
+use crate::net::takeover::{HandoverSocket, Snapshot, Takeover};
 use crate::net::{discovery, source, Bounds};
-use reelfall_balancer::settings;
-use serde::Deserialize;
+use crate::process::{self, BoxError, ProcessError, Signals};
+use config::{Config, ConfigError};
+use reelfall_balancer::interface::Settings;
+use reelfall_balancer::settings::{self, ConnectionSettings, NameRegistry, SettingsError};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::signal::unix::{signal, Signal, SignalKind};
+use thiserror::Error;
 use tokio::sync::watch;
 
-/// How often idle connections are looked through.
-const TICK_EVERY: Duration = Duration::from_millis(250);
-/// A configuration that can't be read may be half written: it is read again, so often and after this time.
-const RELOAD_TRIES: u32 = 10;
-const RELOAD_AGAIN: Duration = Duration::from_millis(100);
-
-/// How often a node that starts looks whether it can serve.
-const READY_EVERY: Duration = Duration::from_millis(20);
-/// What the one listener is called.
+/// Interval at which a node that starts checks whether it can serve.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The name of the only listener.
 const LISTENER: &str = "client";
+/// The name of the only pool.
+const POOL: &str = "";
 
-/// What a node is told at its start.
-#[derive(Deserialize)]
-struct Config {
-    #[serde(default)]
-    name: String,
-    listen: SocketAddr,
-    /// The operators' address.
-    management: Option<SocketAddr>,
-    discovery: SocketAddr,
-    #[serde(default)]
-    seed: String,
-    #[serde(default)]
-    limits: Limits,
-    #[serde(default)]
-    known: serde_json::Value,
-    settings: Box<serde_json::value::RawValue>,
-}
-
-#[derive(Deserialize)]
-#[serde(default)]
-struct Limits {
-    memory_mb: usize,
-    sockets: usize,
-}
-
-impl Default for Limits {
-    fn default() -> Self {
-        Limits {
-            memory_mb: 128,
-            sockets: 1024,
-        }
-    }
-}
-
-fn config() -> Result<Config, String> {
-    let path =
-        std::env::var("ROUTER_CONFIG").map_err(|_| "ROUTER_CONFIG names no file".to_owned())?;
-    let text = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
-    serde_json::from_str(&text).map_err(|e| format!("{path}: {e}"))
+/// Why a node can't start.
+#[derive(Debug, Error)]
+pub enum PlatformError {
+    /// The operating system does not provide what it needs.
+    #[error(transparent)]
+    Process(#[from] ProcessError),
+    /// There is no usable configuration.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The settings of the pool are unusable.
+    #[error("settings can't be used: {0}")]
+    Settings(#[from] SettingsError),
+    /// The endpoint list of an earlier run is unusable.
+    #[error("known: {0}")]
+    KnownList(#[source] BoxError),
+    /// The address can't be bound.
+    #[error("{0}")]
+    Listener(#[source] BoxError),
 }
 
 /// Serves until SIGTERM.
 ///
 /// # Errors
-/// Says what of the configuration can't be used, or which means can't be had.
-pub fn run() -> Result<(), String> {
-    let config = config()?;
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build();
-    let runtime = runtime.map_err(|e| e.to_string())?;
-    tokio::task::LocalSet::new().block_on(&runtime, node(config))
+/// If the configuration is unusable, or the system does not provide what the node needs.
+pub fn run() -> Result<(), PlatformError> {
+    let config = Config::load()?;
+    process::block_on(run_node(config))
 }
 
-async fn node(config: Config) -> Result<(), String> {
-    let mut terminate = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
-    let hangup = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
-    let operators = operators(config.management)?;
-    let bounds = Bounds::of(config.limits.sockets, config.limits.memory_mb);
-    let read =
-        settings::read(config.settings.get()).map_err(|e| format!("settings can't be used: {e}"));
-    let (settings, names, figures) = read?;
-    // Any text seeds the choices, but two starts must not share one.
-    let seed = u64::from_str_radix(&config.seed, 16)
-        .unwrap_or_else(|_| settings::stable_hash(&config.seed));
-    let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
-    let name = plain(&config.name);
-    let handover_socket = || {
-        folder
-            .as_deref()
-            .map(|folder| HandoverSocket::new(folder, &name))
-    };
-    let shared = Shared::alone(bounds);
-    let mut snapshot = match handover_socket() {
-        Some(handover_socket) => handover_socket.request_snapshot(&shared).await,
-        None => None,
-    };
-    let pool = Pool::new(
-        settings,
-        names,
-        figures,
-        seed,
-        Missing::Ended,
-        shared.clone(),
-        None,
-    );
-    let pool = pool.map_err(|e| format!("settings can't be used: {e}"))?;
-    let known = if config.known.is_null() {
-        0
-    } else {
-        discovery::apply_list(&pool, &config.known, true).map_err(|e| format!("known: {e}"))?
-    };
-    if let Some(learned) = snapshot.as_ref().and_then(|g| g.learned("")) {
-        pool.restore_learned(learned);
-    }
-    let (address, named) = watch::channel(config.discovery);
-    let listening = match snapshot.as_mut().and_then(|g| g.listener(LISTENER)) {
-        Some(socket) => Listening::from_descriptor(LISTENER, config.listen, socket),
-        None => Err("nothing given".to_owned()),
-    };
-    if listening.is_err() {
-        // Whoever is there has other sockets: it goes on with its clients, and this process has its own.
-        snapshot = None;
-    }
-    let listening =
-        listening.or_else(|_| Listening::bind(LISTENER, config.listen, bounds.clients, true))?;
-    let held = if snapshot.is_some() {
-        bounds.halved()
-    } else {
-        bounds
+async fn run_node(config: Config) -> Result<(), PlatformError> {
+    let Signals {
+        mut terminate,
+        hangup,
+    } = Signals::listen()?;
+    let identity = Identity::read(&config)?;
+    let settings = PoolSettings::parse(&config)?;
+    let shared = Shared::alone(identity.bounds);
+    let snapshot = identity.request_snapshot(&shared).await;
+    let pool = settings.build_pool(identity.seed, &shared)?;
+    let known_index = apply_known_list(&pool, &config.known)?;
+    let inherited = Inherited::take_over(snapshot, &pool, config.listen, identity.bounds)?;
+    shared.shrink(identity.bounds, inherited.initial_bounds);
+
+    let (discovery_address, address_updates) = watch::channel(config.discovery);
+    let list = Discovery {
+        address: address_updates,
+        known: known_index,
+        list: String::new(),
     };
-    shared.shrink(bounds, held);
-    let follow = source::follow(
-        &pool,
-        Discovery {
-            address: named,
-            known,
-            list: String::new(),
-        },
-    );
-    tokio::task::spawn_local(reload(shared.clone(), hangup, address));
-    let ticking = shared.clone();
-    tokio::task::spawn_local(async move {
-        loop {
-            tokio::time::sleep(TICK_EVERY).await;
-            ticking.tick();
-        }
-    });
-    let learning = pool.clone();
-    let collect_learned = Box::new(move || vec![(String::new(), learning.learned())]);
-    let takeover = Takeover::new(
+    let follow = source::follow(&pool, list);
+    tokio::task::spawn_local(reload::run(shared.clone(), hangup, discovery_address));
+    spawn_ticks(&shared);
+    let takeover = identity.build_takeover(&shared, &pool, inherited.snapshot.is_some());
+    identity.spawn_management(&shared, &takeover);
+    let service = Service::alone(pool.clone(), follow);
+    let Inherited {
+        snapshot,
+        listening,
+        initial_bounds,
+    } = inherited;
+    let front = Front::new(
         shared.clone(),
-        handover_socket(),
-        snapshot.is_some(),
-        collect_learned,
+        Routing::Alone(service),
+        initial_bounds.clients,
+        identity.seed,
     );
-    let serving = takeover.clone();
-    let ready = Box::new(move || serving.is_serving());
-    let management = Management::new(shared.clone(), folder.as_deref(), &name, ready, None);
-    if let Some(address) = operators {
-        tokio::task::spawn_local(management.clone().serve(address));
-    }
-    tokio::task::spawn_local(management.follow());
-    let routing = Routing::Alone(Service::alone(pool.clone(), follow));
-    let front = Front::new(shared.clone(), routing, held.clients, seed);
     tokio::task::spawn_local(front.clone().close_idle_while_draining());
     front.set_handover_state(&takeover);
     front.listen(vec![listening]);
     if snapshot.is_some() {
-        let (takeover, front) = (takeover.clone(), front.clone());
-        tokio::task::spawn_local(async move {
-            takeover.predecessor_gone.notified().await;
-            shared.grow(held, bounds);
-            front.set_max_clients(bounds.clients);
-        });
+        spawn_limit_restore(shared, &takeover, &front, initial_bounds, identity.bounds);
     }
-    let taking = front.clone();
-    tokio::task::spawn_local(async move {
-        while !pool.ready.get() {
-            tokio::time::sleep(READY_EVERY).await;
-        }
-        takeover.serve(taking, snapshot).await;
-    });
+    spawn_takeover(takeover, &front, pool, snapshot);
     let stop = async {
         terminate.recv().await;
     };
@@ -197,52 +111,175 @@
     Ok(())
 }
 
-/// The operators' address, if there is one.
-fn operators(configured: Option<SocketAddr>) -> Result<Option<SocketAddr>, String> {
-    match (configured, std::env::var("ROUTER_MANAGEMENT")) {
-        (Some(address), _) => Ok(Some(address)),
-        (None, Ok(text)) => text
-            .parse()
-            .map(Some)
-            .map_err(|e| format!("ROUTER_MANAGEMENT {text}: {e}")),
-        (None, Err(_)) => Ok(None),
+/// What distinguishes this node from others: its name, its addresses and its limits.
+struct Identity {
+    /// The name as it is in file names.
+    name: String,
+    /// The folder that the processes of the node share.
+    folder: Option<PathBuf>,
+    management: Option<SocketAddr>,
+    seed: u64,
+    bounds: Bounds,
+}
+
+impl Identity {
+    fn read(config: &Config) -> Result<Identity, ConfigError> {
+        Ok(Identity {
+            management: config.management_address()?,
+            name: process::file_name_of(&config.name),
+            folder: std::env::var_os("TMPDIR").map(PathBuf::from),
+            seed: config.random_seed(),
+            bounds: Bounds::of(config.limits.sockets, config.limits.memory_mb),
+        })
+    }
+
+    fn handover_socket(&self) -> Option<HandoverSocket> {
+        let folder = self.folder.as_deref()?;
+        Some(HandoverSocket::new(folder, &self.name))
+    }
+
+    /// The snapshot of the process that serves already, if there is one.
+    async fn request_snapshot(&self, shared: &Shared) -> Option<Snapshot> {
+        self.handover_socket()?.request_snapshot(shared).await
+    }
+
+    fn build_takeover(
+        &self,
+        shared: &Rc<Shared>,
+        pool: &Rc<Pool>,
+        has_predecessor: bool,
+    ) -> Rc<Takeover> {
+        let pool = pool.clone();
+        let collect_learned = Box::new(move || vec![(POOL.to_owned(), pool.learned())]);
+        let socket = self.handover_socket();
+        Takeover::new(shared.clone(), socket, has_predecessor, collect_learned)
+    }
+
+    /// Spawns the tasks that serve the management address, if there is one, and follow the ledger.
+    fn spawn_management(&self, shared: &Rc<Shared>, takeover: &Rc<Takeover>) {
+        let takeover = takeover.clone();
+        let is_ready = Box::new(move || takeover.is_serving());
+        let folder = self.folder.as_deref();
+        let management = Management::new(shared.clone(), folder, &self.name, is_ready, None);
+        if let Some(address) = self.management {
+            tokio::task::spawn_local(management.clone().serve(address));
+        }
+        tokio::task::spawn_local(management.follow());
     }
 }
 
-/// A node's name as part of a file's.
-pub fn plain(name: &str) -> String {
-    name.chars()
-        .map(|c| {
-            if c.is_ascii_alphanumeric() || c == '-' {
-                c
-            } else {
-                '_'
-            }
+/// What the pool is built from.
+struct PoolSettings {
+    settings: Settings,
+    names: NameRegistry,
+    connections: ConnectionSettings,
+}
+
+impl PoolSettings {
+    fn parse(config: &Config) -> Result<PoolSettings, SettingsError> {
+        let (settings, names, connections) = settings::read(config.settings.get())?;
+        Ok(PoolSettings {
+            settings,
+            names,
+            connections,
         })
-        .take(64)
-        .collect()
+    }
+
+    fn build_pool(self, seed: u64, shared: &Rc<Shared>) -> Result<Rc<Pool>, SettingsError> {
+        let (missing, shared) = (Missing::Ended, shared.clone());
+        Pool::new(
+            self.settings,
+            self.names,
+            self.connections,
+            seed,
+            missing,
+            shared,
+            None,
+        )
+    }
 }
 
-/// Takes in a new configuration at each SIGHUP.
-///
-/// Guards against the end that the signal brings by default, and against a file that is half written or no
-/// configuration: the node goes on with what it has, for a reload must never cost a request. What a running
-/// node can change without harm is where it hears of servers; the rest of the file holds from the next start.
-async fn reload(shared: Rc<Shared>, mut hangup: Signal, address: watch::Sender<SocketAddr>) {
-    while hangup.recv().await.is_some() {
-        for _ in 0..RELOAD_TRIES {
-            match config() {
-                Ok(new) => {
-                    address.send_if_modified(|old| {
-                        std::mem::replace(old, new.discovery) != new.discovery
-                    });
-                    break;
-                }
-                Err(fault) => shared
-                    .log
-                    .write_line(format_args!("the old configuration stays: {fault}")),
-            }
-            tokio::time::sleep(RELOAD_AGAIN).await;
+/// Applies the endpoint list of an earlier run and returns its index, 0 without one.
+fn apply_known_list(pool: &Rc<Pool>, known: &serde_json::Value) -> Result<u64, PlatformError> {
+    if known.is_null() {
+        return Ok(0);
+    }
+    discovery::apply_list(pool, known, true).map_err(|e| PlatformError::KnownList(e.into()))
+}
+
+/// What the process takes over from its predecessor, or has of its own without one.
+struct Inherited {
+    /// `None` without a predecessor whose socket can be used: then the two processes serve beside each other.
+    snapshot: Option<Snapshot>,
+    listening: Rc<Listening>,
+    /// The limits while the predecessor is there: the two share those of the node.
+    initial_bounds: Bounds,
+}
+
+impl Inherited {
+    fn take_over(
+        mut snapshot: Option<Snapshot>,
+        pool: &Rc<Pool>,
+        address: SocketAddr,
+        bounds: Bounds,
+    ) -> Result<Inherited, PlatformError> {
+        if let Some(learned) = snapshot.as_ref().and_then(|s| s.learned(POOL)) {
+            pool.restore_learned(learned);
         }
+        let socket = snapshot.as_mut().and_then(|s| s.listener(LISTENER));
+        let inherited = socket.and_then(|s| Listening::from_descriptor(LISTENER, address, s).ok());
+        if let Some(listening) = inherited {
+            return Ok(Inherited {
+                snapshot,
+                listening,
+                initial_bounds: bounds.halved(),
+            });
+        }
+        // A predecessor goes on with its own sockets and clients, and this process has its own.
+        drop(snapshot);
+        let listening = Listening::bind(LISTENER, address, bounds.clients, true)
+            .map_err(|e| PlatformError::Listener(e.into()))?;
+        Ok(Inherited {
+            snapshot: None,
+            listening,
+            initial_bounds: bounds,
+        })
     }
 }
+
+fn spawn_ticks(shared: &Rc<Shared>) {
+    let shared = shared.clone();
+    process::spawn_ticks(move || shared.tick());
+}
+
+/// Spawns the task that raises the limits to those of the whole node once the predecessor is gone.
+fn spawn_limit_restore(
+    shared: Rc<Shared>,
+    takeover: &Rc<Takeover>,
+    front: &Rc<Front>,
+    initial: Bounds,
+    bounds: Bounds,
+) {
+    let (takeover, front) = (takeover.clone(), front.clone());
+    tokio::task::spawn_local(async move {
+        takeover.predecessor_gone.notified().await;
+        shared.grow(initial, bounds);
+        front.set_max_clients(bounds.clients);
+    });
+}
+
+/// Spawns the task that completes the takeover once the pool can serve.
+fn spawn_takeover(
+    takeover: Rc<Takeover>,
+    front: &Rc<Front>,
+    pool: Rc<Pool>,
+    snapshot: Option<Snapshot>,
+) {
+    let front = front.clone();
+    tokio::task::spawn_local(async move {
+        while !pool.ready.get() {
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
+        }
+        takeover.serve(front, snapshot).await;
+    });
+}
--- a/crates/node/src/standalone.rs
+++ b/crates/node/src/standalone.rs
@@ -1,376 +1,169 @@
-//! A node with a settings file of its own: several services behind several listeners, changed by SIGHUP.
+//! A node that is configured by a settings file: several services behind several listeners, reloaded at SIGHUP. Called by
+//! the command line.
+//!
+//! | module | responsibility |
+//! | --- | --- |
+//! | `announce` | the line on standard output with the addresses |
+//! | `entries` | the node's own entries in registries |
+//! | `management` | the management address |
+//! | `membership` | the node's membership in a fleet |
+//! | `node` | the plan in force, and its replacement |
+//! | `reload` | the thread that reads the settings file again |
+
+mod announce;
+mod entries;
+mod management;
+mod membership;
+mod node;
+mod reload;
 
-use crate::fleet::FleetRuntime;
-use crate::lease::Leases;
-use crate::net::front::{Front, Listening};
-use crate::net::management::{FleetHandler, Management};
-use crate::net::registry::{OwnEntry, RegistryAccess};
+use crate::fleet::{FleetError, FleetRuntime};
+use crate::lease::LeaseError;
 use crate::net::service::prepared::Prepared;
-use crate::net::service::Services;
 use crate::net::shared::Shared;
-use crate::platform::plain;
-use futures_util::stream::{FuturesUnordered, StreamExt};
-use hyper::StatusCode;
-use reelfall_admin::request::FleetRequest;
-use reelfall_config::model::{self, NodeEntry};
-use reelfall_config::Plan;
-use reelfall_registry_client::registration::EntryData;
-use std::cell::{Cell, RefCell};
-use std::collections::hash_map::RandomState;
-use std::collections::HashMap;
-use std::hash::BuildHasher;
-use std::io::Write;
-use std::net::SocketAddr;
+use crate::process::{self, ProcessError, Signals};
+use management::ManagementError;
+use membership::Membership;
+use node::{ApplyError, Node};
+use reelfall_config::model::{self, Located, Model};
+use reelfall_config::{Faults, Plan};
+use reload::SettingsReader;
+use std::io;
 use std::path::Path;
 use std::rc::Rc;
-use std::sync::Arc;
-use std::time::Duration;
-use tokio::signal::unix::{signal, SignalKind};
-
-mod reload;
-
-use reload::Reader;
-
-/// How often idle connections and pools that leave are looked through.
-const TICK_EVERY: Duration = Duration::from_millis(250);
+use thiserror::Error;
+use tokio::signal::unix::Signal;
+
+/// Why a node can't start.
+#[derive(Debug, Error)]
+pub enum StandaloneError {
+    /// The settings file is unusable.
+    #[error(transparent)]
+    Settings(#[from] Faults),
+    /// The operating system does not provide what the node needs.
+    #[error(transparent)]
+    Process(#[from] ProcessError),
+    /// The thread that reads the settings file can't be started.
+    #[error("{0}")]
+    ReaderThread(#[source] io::Error),
+    /// The plan can't be put in force.
+    #[error(transparent)]
+    Apply(#[from] ApplyError),
+    /// The management address can't be served.
+    #[error(transparent)]
+    Management(#[from] ManagementError),
+    /// The node can't take part in its fleet.
+    #[error(transparent)]
+    Fleet(#[from] FleetError),
+    /// The leases can't be started.
+    #[error(transparent)]
+    Leases(#[from] LeaseError),
+}
 
-/// Serves by the file until SIGTERM.
+/// Serves as the settings file says, until SIGTERM.
 ///
 /// # Errors
-/// What is wrong with the file, or which means can't be had.
-pub fn run(path: &Path) -> Result<(), String> {
-    let plan = reelfall_config::load(path).map_err(|e| e.to_string())?;
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build();
-    let runtime = runtime.map_err(|e| e.to_string())?;
-    tokio::task::LocalSet::new().block_on(&runtime, node(path, plan))
+/// If the file is unusable, or the system does not provide what the node needs.
+pub fn run(path: &Path) -> Result<(), StandaloneError> {
+    let plan = reelfall_config::load(path)?;
+    process::block_on(run_node(path, plan))
 }
 
-/// Longest wait for this node's entries to be gone before it ends.
-const WITHDRAWN_IN: Duration = Duration::from_millis(500);
-
-/// What an entry of this node is made from: as long as this stays, the entry stays.
-#[derive(Clone, PartialEq)]
-struct Wanted {
-    access: RegistryAccess,
-    entry: NodeEntry,
-    zone: Option<String>,
-}
-
-struct Node {
-    shared: Rc<Shared>,
-    services: Services,
-    /// This node's own entries, by their registries.
-    entries: RefCell<HashMap<String, (Wanted, Rc<OwnEntry>)>>,
-    /// The node is on its way out: no entry is made any more.
-    leaving: Cell<bool>,
-    /// When this life of the node began, in milliseconds of Unix time.
-    began: u64,
-    /// Made with the first plan.
-    front: RefCell<Option<Rc<Front>>>,
-    seed: u64,
-}
-
-async fn node(path: &Path, plan: Plan) -> Result<(), String> {
-    let mut terminate = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
-    let mut hangup = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
-    // Two starts must not share their choices.
-    let seed = RandomState::new().hash_one(std::process::id());
-    let shared = Shared::parted(plan.totals, plan.model.process.max_connections_per_server);
-    let reader = Reader::start(path.to_owned(), shared.clock).map_err(|e| e.to_string())?;
-    let freeing = reader.clone();
-    let services = Services::new(
-        shared.clone(),
-        seed,
-        Rc::new(move |plan| freeing.free(plan)),
-    );
-    let began = (shared.clock.now() * 1e3) as u64;
-    let (front, entries) = (RefCell::default(), RefCell::default());
-    let leaving = Cell::new(false);
-    let (fleet, calls) = (plan.model.fleet.clone(), plan.model.management.clone());
-    let node = Rc::new(Node {
-        shared,
-        services,
-        entries,
-        leaving,
-        began,
-        front,
-        seed,
-    });
-    let together = fleet
-        .as_ref()
-        .map(|f| FleetRuntime::open(&node.shared, f))
-        .transpose()?;
+async fn run_node(path: &Path, plan: Plan) -> Result<(), StandaloneError> {
+    let Signals {
+        mut terminate,
+        hangup,
+    } = Signals::listen()?;
+    let settings = StartSettings::of(&plan.model);
+    let max_connections = plan.model.process.max_connections_per_server;
+    let shared = Shared::parted(plan.totals, max_connections);
+    let reader = SettingsReader::start(path.to_owned(), shared.clock)
+        .map_err(StandaloneError::ReaderThread)?;
+    let node = Node::new(shared, reader.clone());
+    let fleet = settings.open_fleet(&node.shared)?;
     let front = node.apply(Prepared::first(plan))?;
-    let management = calls.as_ref().map(|m| own_socket(m.address)).transpose()?;
-    announce(&front, management.as_ref(), together.as_deref());
-    if let Some(together) = &together {
-        node.shared.tell_of_attempts(together.clone());
-        tokio::task::spawn_local(together.clone().run());
+    let listener = settings.bind_management()?;
+    announce::print(&front, listener.as_ref(), fleet.as_deref());
+    let membership = settings.join_fleet(fleet, &node.shared)?;
+    if let Some(listener) = listener {
+        let (folder, name) = (settings.ledger_folder(), settings.node_name());
+        management::spawn(&node, folder, name, listener, membership.clone())?;
     }
-    let leases = match fleet
-        .as_ref()
-        .and_then(|f| f.leases.as_ref().map(|l| (f, l)))
-        .zip(together.as_ref())
-    {
-        Some(((fleet, settings), together)) => Some(Leases::start(together, fleet, settings)?),
-        None => None,
-    };
-    if let Some((listener, settings)) = management.zip(calls.as_deref()) {
-        manage(
-            &node,
-            settings,
-            fleet.as_deref(),
-            listener,
-            together.as_ref(),
-            leases.clone(),
-        )?;
-    }
-    let ticking = node.clone();
-    tokio::task::spawn_local(async move {
-        loop {
-            tokio::time::sleep(TICK_EVERY).await;
-            ticking.shared.tick();
-            ticking.services.tick();
-            if ticking.services.are_ready() {
-                ticking
-                    .entries
-                    .borrow()
-                    .values()
-                    .for_each(|(_, entered)| entered.publish());
-            }
-        }
-    });
-    let (reloading, name) = (node.clone(), path.display().to_string());
-    tokio::task::spawn_local(async move {
-        // Signals that come while a file is read are one more reading, however many they are.
-        while hangup.recv().await.is_some() {
-            reloading.reload(&reader, &name).await;
-        }
-    });
+    spawn_ticks(&node);
+    let file = path.display().to_string();
+    tokio::task::spawn_local(reload_at_hangup(node.clone(), reader, hangup, file));
     let stop = async {
         terminate.recv().await;
-        // Before anything else, so that nobody is drawn here any more.
-        node.leaving.set(true);
-        if let Some(leases) = &leases {
-            leases.leave();
+        // Before anything else, so that nobody chooses this node any more.
+        node.begin_shutdown();
+        if let Some(membership) = &membership {
+            membership.leave();
         }
-        if let Some(together) = &together {
-            together.leave();
-        }
-        let entries = node
-            .entries
-            .take()
-            .into_values()
-            .map(|(_, entered)| entered);
-        let leaving: FuturesUnordered<_> = entries
-            .map(|entered| async move { entered.withdraw(WITHDRAWN_IN).await })
-            .collect();
-        leaving.collect::<()>().await;
+        node.withdraw_entries().await;
     };
     front.serve(stop).await;
     Ok(())
 }
 
-/// Serves the management address. Like the fleet it is there from the start of the process to its end:
-/// what a reload says of it holds from the next start.
-fn manage(
-    node: &Rc<Node>,
-    settings: &model::Management,
-    fleet: Option<&model::Fleet>,
-    listener: std::net::TcpListener,
-    together: Option<&Rc<FleetRuntime>>,
-    leases: Option<Rc<Leases>>,
-) -> Result<(), String> {
-    let listener = tokio::net::TcpListener::from_std(listener).map_err(|e| e.to_string())?;
-    let name = fleet.map_or("node", |fleet| &fleet.node);
-    let serving = node.clone();
-    let ready = Box::new(move || serving.services.are_ready());
-    let handler = together.cloned().map(|t| {
-        Box::new(move |request: &_| handle_fleet_request(&t, leases.as_deref(), request))
-            as FleetHandler
-    });
-    let folder = settings.folder.as_deref();
-    let answering = Management::new(node.shared.clone(), folder, &plain(name), ready, handler);
-    tokio::task::spawn_local(answering.clone().accept(listener));
-    tokio::task::spawn_local(answering.follow());
-    if let Some(front) = node.front.borrow().clone() {
-        tokio::task::spawn_local(front.close_idle_while_draining());
-    }
-    Ok(())
+/// The settings that hold from the start of the process to its end, whatever a reload says.
+struct StartSettings {
+    fleet: Option<Located<model::Fleet>>,
+    management: Option<Located<model::Management>>,
 }
 
-/// Answers a management request that concerns the fleet.
-fn handle_fleet_request(
-    together: &FleetRuntime,
-    leases: Option<&Leases>,
-    request: &FleetRequest,
-) -> (StatusCode, String) {
-    match (request, leases) {
-        (FleetRequest::Leases, Some(leases)) => leases.report(),
-        (FleetRequest::Release { lease, reason }, Some(leases)) => leases.release(lease, reason),
-        (FleetRequest::Leases | FleetRequest::Release { .. }, None) => (
-            StatusCode::NOT_FOUND,
-            "this node has no [fleet.leases]\n".to_owned(),
-        ),
-        (request, _) => together.handle_request(request),
+impl StartSettings {
+    fn of(model: &Model) -> StartSettings {
+        StartSettings {
+            fleet: model.fleet.clone(),
+            management: model.management.clone(),
+        }
     }
-}
 
-fn own_socket(address: SocketAddr) -> Result<std::net::TcpListener, String> {
-    let listener = std::net::TcpListener::bind(address);
-    let listener = listener.and_then(|l| l.set_nonblocking(true).map(|()| l));
-    listener.map_err(|e| format!("operators' address {address}: {e}"))
-}
+    /// The folder of the ledger, if bans and drains outlive the process.
+    fn ledger_folder(&self) -> Option<&Path> {
+        self.management.as_ref()?.folder.as_deref()
+    }
 
-impl Node {
-    /// Puts a plan in force, whole or not at all.
-    fn apply(&self, prepared: Arc<Prepared>) -> Result<Rc<Front>, String> {
-        let (model, clients) = (&prepared.plan.model, prepared.plan.clients);
-        let old = self.front.borrow().clone();
-        let mut listening = Vec::with_capacity(model.listeners.len());
-        for listener in &model.listeners {
-            let kept = old
-                .as_ref()
-                .and_then(|front| front.listener(&listener.name, listener.address));
-            listening.push(match kept {
-                Some(kept) => kept,
-                None => Listening::bind(&listener.name, listener.address, clients, false).map_err(
-                    |e| format!("{}: listener `{}`: {e}", listener.origin, listener.name),
-                )?,
-            });
-        }
-        let entries = entries_of(&prepared)?;
-        let routing = self.services.apply(prepared)?;
-        let front = match old {
-            Some(front) => {
-                front.route(routing, clients);
-                front
-            }
-            None => Front::new(self.shared.clone(), routing, clients, self.seed),
-        };
-        front.listen(listening);
-        self.front.replace(Some(front.clone()));
-        self.enter(&front, entries);
-        Ok(front)
+    /// The node's name in its fleet, or one for all nodes without a fleet.
+    fn node_name(&self) -> &str {
+        self.fleet.as_ref().map_or("node", |fleet| &fleet.node)
     }
 
-    /// Keeps the entries that are wanted and lets the others go.
-    fn enter(&self, front: &Front, wanted: HashMap<String, Wanted>) {
-        if self.leaving.get() {
-            return;
-        }
-        let mut entries = self.entries.borrow_mut();
-        entries.retain(|registry, (old, entered)| {
-            let stays = wanted.get(registry) == Some(old);
-            if !stays {
-                let entered = entered.clone();
-                tokio::task::spawn_local(async move { entered.withdraw(WITHDRAWN_IN).await });
-            }
-            stays
-        });
-        let listens = front
-            .addresses()
-            .into_iter()
-            .map(|(_, address)| address.to_string())
-            .next();
-        for (registry, wanted) in wanted {
-            entries.entry(registry).or_insert_with(|| {
-                let Wanted {
-                    access,
-                    entry,
-                    zone,
-                } = wanted.clone();
-                let data = EntryData {
-                    name: entry.name,
-                    address: entry
-                        .address
-                        .or_else(|| listens.clone())
-                        .unwrap_or_default(),
-                    site: entry.site,
-                    zone,
-                    incarnation: self.began,
-                    started: self.began,
-                };
-                (
-                    wanted,
-                    OwnEntry::keep(&self.shared, access, entry.path, data, entry.guarded),
-                )
-            });
-        }
+    fn open_fleet(&self, shared: &Rc<Shared>) -> Result<Option<Rc<FleetRuntime>>, FleetError> {
+        let open = |settings| FleetRuntime::open(shared, settings);
+        self.fleet.as_deref().map(open).transpose()
     }
 
-    /// Takes in the file again. What is wrong with it is told, and then all stays as it was.
-    async fn reload(&self, reader: &Reader, name: &str) {
-        let Some(in_force) = self.services.in_force() else {
-            return;
-        };
-        let read = reader.read(in_force).await;
-        if self.leaving.get() {
-            // Listeners that have been closed would be opened again.
-            eprintln!("reelfall: {name} is not taken in: the node is ending");
-            return;
-        }
-        let applied = read.and_then(|prepared| {
-            let applied = self.apply(prepared.clone());
-            // If it was not put in force, nobody else uses it.
-            reader.free(prepared);
-            applied
-        });
-        match applied {
-            Ok(_) => eprintln!("reelfall: {name} is in force"),
-            // Not through the log, whose bound on lines could cut the list of mistakes short.
-            Err(fault) => eprintln!("{fault}\nreelfall: the settings from before stay in force"),
-        }
+    fn join_fleet(
+        &self,
+        runtime: Option<Rc<FleetRuntime>>,
+        shared: &Shared,
+    ) -> Result<Option<Rc<Membership>>, LeaseError> {
+        let opened = runtime.zip(self.fleet.as_deref());
+        let join = |(runtime, settings)| Membership::join(runtime, settings, shared);
+        opened.map(join).transpose()
+    }
+
+    fn bind_management(&self) -> Result<Option<std::net::TcpListener>, ManagementError> {
+        let bind = |settings: &Located<model::Management>| management::bind(settings.address);
+        self.management.as_ref().map(bind).transpose()
     }
 }
 
-/// The entries that a plan wants, by their registries.
-fn entries_of(prepared: &Prepared) -> Result<HashMap<String, Wanted>, String> {
-    let model = &prepared.plan.model;
-    let wanted = model
-        .registries
-        .iter()
-        .filter_map(|r| Some((r, r.entry.as_ref()?)));
-    let wanted = wanted.map(|(registry, entry)| {
-        let access = prepared
-            .access(&registry.name)
-            .map_err(|e| format!("{}: {e}", registry.origin))?
-            .clone();
-        let (entry, zone) = (entry.value.clone(), model.process.zone.clone());
-        Ok((
-            registry.name.clone(),
-            Wanted {
-                access,
-                entry,
-                zone,
-            },
-        ))
-    });
-    wanted.collect()
+fn spawn_ticks(node: &Rc<Node>) {
+    let node = node.clone();
+    process::spawn_ticks(move || node.tick());
 }
 
-/// Tells on standard output where clients can connect; with port 0 in the file, nobody else could know.
-fn announce(
-    front: &Front,
-    management: Option<&std::net::TcpListener>,
-    together: Option<&FleetRuntime>,
+/// Reloads the settings file at each SIGHUP, for as long as it is polled. Signals that arrive during a reload cause one
+/// more, however many they are.
+async fn reload_at_hangup(
+    node: Rc<Node>,
+    reader: SettingsReader,
+    mut hangup: Signal,
+    file: String,
 ) {
-    let addresses: serde_json::Map<String, serde_json::Value> = front
-        .addresses()
-        .into_iter()
-        .map(|(name, address)| (name, address.to_string().into()))
-        .collect();
-    let mut line = serde_json::Map::from_iter([("listening".to_owned(), addresses.into())]);
-    let further = [
-        ("management", management.and_then(|m| m.local_addr().ok())),
-        ("fleet", together.and_then(FleetRuntime::address)),
-    ];
-    for (name, address) in further {
-        line.extend(address.map(|address| (name.to_owned(), address.to_string().into())));
+    while hangup.recv().await.is_some() {
+        node.reload(&reader, &file).await;
     }
-    let line = serde_json::Value::from(line);
-    // Nobody may be there to read it.
-    let _ = writeln!(std::io::stdout(), "{line}");
 }
--- /dev/null
+++ b/crates/node/src/standalone/entries.rs
@@ -0,0 +1,153 @@
+//! The node's own entries in registries: which ones the plan wants, and which ones there are. Used by
+//! [`super::node::Node`].
+
+use super::node::ApplyError;
+use crate::net::front::Front;
+use crate::net::registry::{OwnEntry, RegistryAccess};
+use crate::net::service::prepared::Prepared;
+use crate::net::shared::Shared;
+use futures_util::stream::{FuturesUnordered, StreamExt};
+use reelfall_config::model::{Located, NodeEntry, Registry};
+use reelfall_registry_client::registration::EntryData;
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Maximum time that the withdrawal of an entry may take.
+const WITHDRAWAL_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Entries that a plan wants, by the names of their registries.
+pub type DesiredEntries = HashMap<String, DesiredEntry>;
+
+/// An entry that a plan wants. As long as this does not change, the entry stays.
+#[derive(Clone, PartialEq)]
+pub struct DesiredEntry {
+    access: RegistryAccess,
+    entry: NodeEntry,
+    zone: Option<String>,
+}
+
+impl DesiredEntry {
+    /// The entries that a plan wants.
+    ///
+    /// # Errors
+    /// If a registry can't be accessed.
+    pub fn all_of(prepared: &Prepared) -> Result<DesiredEntries, ApplyError> {
+        let mut desired = DesiredEntries::new();
+        for registry in &prepared.plan.model.registries {
+            if let Some(entry) = &registry.entry {
+                let entry = DesiredEntry::of(prepared, registry, entry)?;
+                desired.insert(registry.name.clone(), entry);
+            }
+        }
+        Ok(desired)
+    }
+
+    fn of(
+        prepared: &Prepared,
+        registry: &Located<Registry>,
+        entry: &NodeEntry,
+    ) -> Result<DesiredEntry, ApplyError> {
+        let access = prepared.access(&registry.name);
+        let access = access.map_err(|error| ApplyError::Registry {
+            origin: registry.origin.clone(),
+            source: error.into(),
+        })?;
+        Ok(DesiredEntry {
+            access: access.clone(),
+            entry: entry.clone(),
+            zone: prepared.plan.model.process.zone.clone(),
+        })
+    }
+
+    fn register(
+        &self,
+        shared: &Rc<Shared>,
+        listener_address: Option<&str>,
+        incarnation: u64,
+    ) -> Rc<OwnEntry> {
+        let DesiredEntry {
+            access,
+            entry,
+            zone,
+        } = self.clone();
+        let listener_address = || listener_address.map(str::to_owned);
+        let data = EntryData {
+            name: entry.name,
+            address: entry.address.or_else(listener_address).unwrap_or_default(),
+            site: entry.site,
+            zone,
+            incarnation,
+            started: incarnation,
+        };
+        OwnEntry::keep(shared, access, entry.path, data, entry.guarded)
+    }
+}
+
+/// An entry that there is, and what it was made from.
+struct ActiveEntry {
+    desired: DesiredEntry,
+    entry: Rc<OwnEntry>,
+}
+
+/// The entries of this node.
+pub struct OwnEntries {
+    shared: Rc<Shared>,
+    /// When this process started, in milliseconds of Unix time.
+    incarnation: u64,
+    /// By the names of their registries.
+    active: RefCell<HashMap<String, ActiveEntry>>,
+}
+
+impl OwnEntries {
+    /// No entries yet.
+    pub fn new(shared: Rc<Shared>) -> OwnEntries {
+        let incarnation = (shared.clock.now() * 1e3) as u64;
+        OwnEntries {
+            shared,
+            incarnation,
+            active: RefCell::default(),
+        }
+    }
+
+    /// Leaves the entries that are desired, withdraws the others, and makes the ones that are missing.
+    pub fn reconcile(&self, front: &Front, desired: DesiredEntries) {
+        let mut active = self.active.borrow_mut();
+        active.retain(|registry, active| {
+            let stays = desired.get(registry) == Some(&active.desired);
+            if !stays {
+                let entry = active.entry.clone();
+                tokio::task::spawn_local(async move { entry.withdraw(WITHDRAWAL_TIMEOUT).await });
+            }
+            stays
+        });
+        let addresses = front.addresses();
+        let listener_address = addresses.first().map(|(_, address)| address.to_string());
+        for (registry, desired) in desired {
+            active.entry(registry).or_insert_with(|| {
+                let address = listener_address.as_deref();
+                let entry = desired.register(&self.shared, address, self.incarnation);
+                ActiveEntry { desired, entry }
+            });
+        }
+    }
+
+    /// Publishes all entries: the node is ready.
+    pub fn publish(&self) {
+        for active in self.active.borrow().values() {
+            active.entry.publish();
+        }
+    }
+
+    /// Withdraws all entries, and waits for that as long as it may take.
+    pub async fn withdraw(&self) {
+        let withdrawals: FuturesUnordered<_> = self
+            .active
+            .take()
+            .into_values()
+            .map(|active| async move { active.entry.withdraw(WITHDRAWAL_TIMEOUT).await })
+            .collect();
+        withdrawals.collect::<()>().await;
+    }
+}
--- /dev/null
+++ b/crates/node/src/standalone/membership.rs
@@ -0,0 +1,58 @@
+//! The node's membership in a fleet, with its leases. It lasts from the start of the process to its end.
+
+use crate::fleet::FleetRuntime;
+use crate::lease::{LeaseError, Leases};
+use crate::net::management::ManagementResponse;
+use crate::net::shared::Shared;
+use hyper::StatusCode;
+use reelfall_admin::request::FleetRequest;
+use reelfall_config::model;
+use std::rc::Rc;
+
+/// The node's membership in a fleet.
+pub struct Membership {
+    fleet: Rc<FleetRuntime>,
+    /// `None` if the settings file has no leases.
+    leases: Option<Rc<Leases>>,
+}
+
+impl Membership {
+    /// Joins the fleet, and starts the leases.
+    ///
+    /// # Errors
+    /// If the leases can't be started.
+    pub fn join(
+        fleet: Rc<FleetRuntime>,
+        settings: &model::Fleet,
+        shared: &Shared,
+    ) -> Result<Rc<Membership>, LeaseError> {
+        shared.tell_of_attempts(fleet.clone());
+        tokio::task::spawn_local(fleet.clone().run());
+        let start_leases = |leases| Leases::start(&fleet, settings, leases);
+        let leases = settings.leases.as_ref().map(start_leases).transpose()?;
+        Ok(Rc::new(Membership { fleet, leases }))
+    }
+
+    /// Releases all leases and leaves the fleet, as the node shuts down.
+    pub fn leave(&self) {
+        if let Some(leases) = &self.leases {
+            leases.leave();
+        }
+        self.fleet.leave();
+    }
+
+    /// Answers a management request that concerns the fleet.
+    pub fn handle_request(&self, request: &FleetRequest) -> ManagementResponse {
+        match (request, &self.leases) {
+            (FleetRequest::Leases, Some(leases)) => leases.report(),
+            (FleetRequest::Release { lease, reason }, Some(leases)) => {
+                leases.release(lease, reason)
+            }
+            (FleetRequest::Leases | FleetRequest::Release { .. }, None) => {
+                let text = "this node has no [fleet.leases]\n";
+                ManagementResponse::new(StatusCode::NOT_FOUND, text)
+            }
+            (request, _) => self.fleet.handle_request(request),
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/standalone/node.rs
@@ -0,0 +1,182 @@
+//! The plan in force, and its replacement at a reload.
+
+use super::entries::{DesiredEntry, OwnEntries};
+use super::reload::{ReadError, SettingsReader};
+use crate::net::front::{Front, Listening};
+use crate::net::service::prepared::Prepared;
+use crate::net::service::Services;
+use crate::net::shared::Shared;
+use crate::process::BoxError;
+use reelfall_config::model::Origin;
+use std::cell::{Cell, RefCell};
+use std::collections::hash_map::RandomState;
+use std::hash::BuildHasher;
+use std::rc::Rc;
+use std::sync::Arc;
+use thiserror::Error;
+
+/// Why a plan can't be put in force.
+#[derive(Debug, Error)]
+pub enum ApplyError {
+    /// A listener's address can't be bound.
+    #[error("{origin}: listener `{name}`: {source}")]
+    Listener {
+        /// Where the listener is in the settings file.
+        origin: Origin,
+        /// The name of the listener.
+        name: String,
+        /// The error of the system.
+        source: BoxError,
+    },
+    /// A registry can't be accessed.
+    #[error("{origin}: {source}")]
+    Registry {
+        /// Where the registry is in the settings file.
+        origin: Origin,
+        /// What is missing for the access.
+        source: BoxError,
+    },
+    /// A service can't be started.
+    #[error("{0}")]
+    Services(#[source] BoxError),
+}
+
+/// Why a reload changes nothing.
+#[derive(Debug, Error)]
+enum ReloadError {
+    #[error(transparent)]
+    Read(#[from] ReadError),
+    #[error(transparent)]
+    Apply(#[from] ApplyError),
+}
+
+/// A node with a plan in force.
+pub struct Node {
+    /// What all services share.
+    pub shared: Rc<Shared>,
+    /// The services of the plan in force.
+    pub services: Services,
+    entries: OwnEntries,
+    /// The node shuts down: no plan is put in force any more.
+    is_leaving: Cell<bool>,
+    /// Created with the first plan.
+    front: RefCell<Option<Rc<Front>>>,
+    /// Seed of the random numbers, which two starts must not share.
+    seed: u64,
+}
+
+impl Node {
+    /// A node without a plan. Plans that are no longer used are freed by `reader`.
+    pub fn new(shared: Rc<Shared>, reader: SettingsReader) -> Rc<Node> {
+        let seed = RandomState::new().hash_one(std::process::id());
+        let free = Rc::new(move |plan| reader.free(plan));
+        Rc::new(Node {
+            services: Services::new(shared.clone(), seed, free),
+            entries: OwnEntries::new(shared.clone()),
+            shared,
+            is_leaving: Cell::new(false),
+            front: RefCell::default(),
+            seed,
+        })
+    }
+
+    /// The client side, once a plan is in force.
+    pub fn front(&self) -> Option<Rc<Front>> {
+        self.front.borrow().clone()
+    }
+
+    /// Does what is due periodically.
+    pub fn tick(&self) {
+        self.shared.tick();
+        self.services.tick();
+        if self.services.are_ready() {
+            self.entries.publish();
+        }
+    }
+
+    /// Notes that the node shuts down.
+    pub fn begin_shutdown(&self) {
+        self.is_leaving.set(true);
+    }
+
+    /// Withdraws the node's entries from all registries.
+    pub async fn withdraw_entries(&self) {
+        self.entries.withdraw().await;
+    }
+
+    /// Puts a plan in force completely, or not at all.
+    ///
+    /// # Errors
+    /// If a part of the plan can't be put in force.
+    pub fn apply(&self, prepared: Arc<Prepared>) -> Result<Rc<Front>, ApplyError> {
+        let max_clients = prepared.plan.clients;
+        let listening = self.open_listeners(&prepared)?;
+        let entries = DesiredEntry::all_of(&prepared)?;
+        let routing = self.services.apply(prepared);
+        let routing = routing.map_err(|error| ApplyError::Services(error.into()))?;
+        let front = match self.front() {
+            Some(front) => {
+                front.route(routing, max_clients);
+                front
+            }
+            None => Front::new(self.shared.clone(), routing, max_clients, self.seed),
+        };
+        front.listen(listening);
+        self.front.replace(Some(front.clone()));
+        if !self.is_leaving.get() {
+            self.entries.reconcile(&front, entries);
+        }
+        Ok(front)
+    }
+
+    /// The listeners of a plan: those that are open already stay open, the others are bound.
+    fn open_listeners(&self, prepared: &Prepared) -> Result<Vec<Rc<Listening>>, ApplyError> {
+        let front = self.front();
+        let mut listening = Vec::with_capacity(prepared.plan.model.listeners.len());
+        for listener in &prepared.plan.model.listeners {
+            let (name, address) = (&listener.name, listener.address);
+            let open = front.as_ref().and_then(|f| f.listener(name, address));
+            let opened = match open {
+                Some(open) => Ok(open),
+                None => Listening::bind(name, address, prepared.plan.clients, false),
+            };
+            listening.push(opened.map_err(|error| ApplyError::Listener {
+                origin: listener.origin.clone(),
+                name: name.clone(),
+                source: error.into(),
+            })?);
+        }
+        Ok(listening)
+    }
+
+    /// Reads the settings file again and puts it in force. If anything is wrong with it, that is reported on standard
+    /// error and nothing changes.
+    pub async fn reload(&self, reader: &SettingsReader, file: &str) {
+        let Some(in_force) = self.services.in_force() else {
+            return;
+        };
+        let read = reader.read(in_force).await;
+        if self.is_leaving.get() {
+            // Listeners that have been closed would be opened again.
+            eprintln!("reelfall: {file} is not taken in: the node is ending");
+            return;
+        }
+        match self.apply_read(read, reader) {
+            Ok(_) => eprintln!("reelfall: {file} is in force"),
+            // Not in the log, whose rate limit could cut off the list of errors.
+            Err(error) => eprintln!("{error}\nreelfall: the settings from before stay in force"),
+        }
+    }
+
+    fn apply_read(
+        &self,
+        read: Result<Arc<Prepared>, ReadError>,
+        reader: &SettingsReader,
+    ) -> Result<Rc<Front>, ReloadError> {
+        let prepared = read?;
+        let applied = self.apply(prepared.clone());
+        // If it was not put in force, nobody else uses it.
+        reader.free(prepared);
+        Ok(applied?)
+    }
+}
--- a/crates/node/src/standalone/reload.rs
+++ b/crates/node/src/standalone/reload.rs
@@ -1,57 +1,79 @@
-//! Reads the settings file anew on a thread of its own: however large the file is, no request waits for it.
+//! Reads the settings file again on a thread of its own: however large the file is, no request waits for it.
 
 use crate::net::service::prepared::Prepared;
 use crate::net::shared::Clock;
 use reelfall_config::{reader, Faults, Model, Plan};
+use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::{mpsc, Arc};
 use std::time::Duration;
+use thiserror::Error;
 use tokio::sync::oneshot;
 
-/// A file has to stay as it is for this long before it is taken for whole, and is waited for so many times.
-const SETTLES_IN: Duration = Duration::from_millis(30);
-const SETTLE_TRIES: u32 = 100;
+/// Time that a file has to stay unchanged before it counts as complete.
+const SETTLE_INTERVAL: Duration = Duration::from_millis(30);
+/// Maximum number of times that a file is read until it is unchanged.
+const MAX_SETTLE_ATTEMPTS: u32 = 100;
 
-/// What the thread does.
+/// Why there is no new plan.
+#[derive(Debug, Error)]
+pub enum ReadError {
+    /// The thread has ended.
+    #[error("the thread that reads the settings has ended")]
+    ThreadEnded,
+    /// The file can't be read.
+    #[error("{file}: {source}")]
+    File {
+        /// The path of the file.
+        file: String,
+        /// The error of the file system.
+        source: io::Error,
+    },
+    /// The settings are invalid.
+    #[error(transparent)]
+    Invalid(#[from] Faults),
+}
+
+/// A job of the thread.
 enum Job {
-    /// Reads the file and compares it with the plan that is in force.
+    /// Reads the file and prepares what has changed since the plan that is in force.
     Read {
         in_force: Arc<Prepared>,
-        done: oneshot::Sender<Result<Arc<Prepared>, String>>,
+        done: oneshot::Sender<Result<Arc<Prepared>, ReadError>>,
     },
     /// Frees a plan that nobody uses any more.
     Free(Arc<Prepared>),
 }
 
-/// The thread's jobs, done one after the other. It ends with the last of these; a process that ends waits for none.
+/// The sending end of the thread, which does its jobs one after the other. The thread ends when the last of these is
+/// dropped; the process does not wait for it.
 #[derive(Clone)]
-pub struct Reader {
+pub struct SettingsReader {
     jobs: mpsc::Sender<Job>,
 }
 
-impl Reader {
+impl SettingsReader {
     /// Starts the thread. Nothing is read yet.
     ///
     /// # Errors
-    /// If no thread is to be had.
-    pub fn start(path: PathBuf, clock: Clock) -> std::io::Result<Reader> {
-        let (jobs, work) = mpsc::channel();
+    /// If no thread can be started.
+    pub fn start(path: PathBuf, clock: Clock) -> io::Result<SettingsReader> {
+        let (jobs, receiver) = mpsc::channel();
         std::thread::Builder::new()
             .name("settings".to_owned())
-            .spawn(move || serve(&path, clock, &work))?;
-        Ok(Reader { jobs })
+            .spawn(move || run(&path, clock, &receiver))?;
+        Ok(SettingsReader { jobs })
     }
 
     /// Reads and checks the file.
     ///
     /// # Errors
     /// All that is wrong with it.
-    pub async fn read(&self, in_force: Arc<Prepared>) -> Result<Arc<Prepared>, String> {
-        let (done, read) = oneshot::channel();
-        let asked = self.jobs.send(Job::Read { in_force, done });
-        let ended = || "the thread that reads the settings has ended".to_owned();
-        asked.map_err(|_| ended())?;
-        read.await.unwrap_or_else(|_| Err(ended()))
+    pub async fn read(&self, in_force: Arc<Prepared>) -> Result<Arc<Prepared>, ReadError> {
+        let (done, prepared) = oneshot::channel();
+        let sent = self.jobs.send(Job::Read { in_force, done });
+        sent.map_err(|_| ReadError::ThreadEnded)?;
+        prepared.await.unwrap_or(Err(ReadError::ThreadEnded))
     }
 
     /// Frees a plan, once nobody else uses it.
@@ -61,11 +83,11 @@
     }
 }
 
-fn serve(path: &Path, clock: Clock, work: &mpsc::Receiver<Job>) {
-    while let Ok(job) = work.recv() {
+fn run(path: &Path, clock: Clock, jobs: &mpsc::Receiver<Job>) {
+    while let Ok(job) = jobs.recv() {
         match job {
             Job::Read { in_force, done } => {
-                // A node that is ending does not wait for it.
+                // A node that shuts down does not wait for it.
                 drop(done.send(read(path, clock, &in_force)));
             }
             Job::Free(prepared) => drop(prepared),
@@ -73,48 +95,52 @@
     }
 }
 
-fn read(path: &Path, clock: Clock, in_force: &Prepared) -> Result<Arc<Prepared>, String> {
-    let name = path.display().to_string();
-    let text = settled(path).map_err(|e| format!("{name}: {e}"))?;
-    let plan = checked(&name, text, reelfall_config::check).map_err(|e| e.to_string())?;
+fn read(path: &Path, clock: Clock, in_force: &Prepared) -> Result<Arc<Prepared>, ReadError> {
+    let file = path.display().to_string();
+    let text = match read_settled(path) {
+        Ok(text) => text,
+        Err(source) => return Err(ReadError::File { file, source }),
+    };
+    let plan = checked(&file, text, reelfall_config::check)?;
     Ok(Prepared::after(plan, in_force, clock.now()))
 }
 
-/// Reads a file's text and checks what it says.
+/// Parses and checks the text of a file.
 ///
-/// The text is freed before the check, which takes memory of its own: the model holds nothing of the text.
+/// The text is freed before the check, which takes memory of its own: the model borrows nothing from the text.
 fn checked<Text: AsRef<str>>(
-    name: &str,
+    file: &str,
     text: Text,
     check: impl FnOnce(Model) -> Result<Plan, Faults>,
 ) -> Result<Plan, Faults> {
-    let model = reader::toml(name, text.as_ref())?;
+    let model = reader::toml(file, text.as_ref())?;
     drop(text);
     check(model)
 }
 
-/// The text of a file that nobody is writing to.
+/// Reads a file that nobody is writing to.
 ///
-/// Guards against a file that is read while it is replaced in place, of which the first half may well be a whole
-/// file of other meaning: it counts only when two readings in a row are alike. Harm: a reload takes this much longer.
-/// What is stopped halfway for longer than that is not caught; a new file that is renamed into place has no halves.
-fn settled(path: &Path) -> std::io::Result<String> {
-    let mut last = None;
-    for _ in 0..SETTLE_TRIES {
-        let text = std::fs::read(path).map_err(|e| (e.kind(), e.to_string()));
-        match (text, last) {
-            (Ok(text), Some(Ok(before))) if text == before => {
+/// The first half of a file that is overwritten in place may be a valid file of another meaning, so two successive reads
+/// have to agree. A writer that pauses for longer than that is not noticed; a new file that is renamed into place is never
+/// incomplete.
+fn read_settled(path: &Path) -> io::Result<String> {
+    let mut previous = None;
+    for _ in 0..MAX_SETTLE_ATTEMPTS {
+        let current = std::fs::read(path).map_err(|e| (e.kind(), e.to_string()));
+        match (current, previous) {
+            (Ok(text), Some(Ok(previous))) if text == previous => {
                 return String::from_utf8(text)
-                    .map_err(|_| std::io::Error::other("the file is not text in UTF-8"));
+                    .map_err(|_| io::Error::other("the file is not text in UTF-8"));
             }
-            (Err(e), Some(Err(before))) if e == before => {
-                return Err(std::io::Error::new(e.0, e.1))
+            (Err(error), Some(Err(previous))) if error == previous => {
+                let (kind, text) = error;
+                return Err(io::Error::new(kind, text));
             }
-            (text, _) => last = Some(text),
+            (current, _) => previous = Some(current),
         }
-        std::thread::sleep(SETTLES_IN);
+        std::thread::sleep(SETTLE_INTERVAL);
     }
-    Err(std::io::Error::other("the file does not stop changing"))
+    Err(io::Error::other("the file does not stop changing"))
 }
 
 #[cfg(test)]
