--- a/crates/admin/src/ban.rs
+++ b/crates/admin/src/ban.rs
@@ -1,25 +1,25 @@
 //! Servers that operators have banned.
 //!
-//! A ban is independent of what a list says of a server and of what the decision module holds of it: neither can end it.
-//! It names a server, not an address, and stays when the list drops the server, renews it or moves it.
+//! A ban is independent of the endpoint lists and of the decision module: neither can end it. It names a server, not an
+//! address, and stays when a list drops the server, renews it or changes its address.
 //!
 //! | state of a name | owner | ends |
 //! | --- | --- | --- |
 //! | banned | [`Bans`] | when the ban is lifted |
-//! | lifted | [`Bans`] | when a list reports a later start, or [`BACK_MOST`] other bans were lifted after it |
+//! | lifted | [`Bans`] | when [`MAX_LIFTED_BANS`] other bans were lifted after it; a later start in a list supersedes it |
 
 use crate::Time;
 use std::collections::{BTreeMap, VecDeque};
 use thiserror::Error;
 
 /// Maximum number of servers that can be banned at once.
-pub const OUT_MOST: usize = 4096;
+pub const MAX_BANS: usize = 4096;
 /// Maximum number of lifted bans that are remembered.
-pub const BACK_MOST: usize = 1024;
+pub const MAX_LIFTED_BANS: usize = 1024;
 
 /// No more servers can be banned.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("{OUT_MOST} servers are out by hand, and no more can be")]
+#[error("{MAX_BANS} servers are out by hand, and no more can be")]
 pub struct TooManyBans;
 
 /// A ban that was lifted.
@@ -33,10 +33,10 @@
     pub lifted_at: Time,
 }
 
-/// What holds of a server when bans are applied to its entry in a list.
+/// The status of a server once the bans are applied to its entry in a list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BanStatus {
-    /// Nothing new may be sent to it.
+    /// No new requests may be sent to it.
     pub is_banned: bool,
     /// When it counts as started.
     pub ready_at: Time,
@@ -56,11 +56,11 @@
     ///
     /// # Errors
     /// If too many servers are banned already.
-    pub fn disable(&mut self, name: &str, now: Time) -> Result<(), TooManyBans> {
+    pub fn ban(&mut self, name: &str, now: Time) -> Result<(), TooManyBans> {
         if self.banned.contains_key(name) {
             return Ok(());
         }
-        if self.banned.len() >= OUT_MOST {
+        if self.banned.len() >= MAX_BANS {
             return Err(TooManyBans);
         }
         self.banned.insert(name.to_owned(), now);
@@ -69,12 +69,12 @@
     }
 
     /// Lifts the ban of a server. Returns whether it was banned.
-    pub fn enable(&mut self, name: &str, now: Time) -> bool {
+    pub fn lift(&mut self, name: &str, now: Time) -> bool {
         let Some(banned_at) = self.banned.remove(name) else {
             return false;
         };
         self.lifted.retain(|ban| ban.name != name);
-        if self.lifted.len() >= BACK_MOST {
+        if self.lifted.len() >= MAX_LIFTED_BANS {
             self.lifted.pop_front();
         }
         self.lifted.push_back(LiftedBan {
@@ -87,10 +87,8 @@
 
     /// Applies the bans to a server that started at `ready_at` according to its list.
     ///
-    /// Guards the rule on cold servers: operators restart a server while it is banned, perhaps more than once, and the
-    /// list may report that late or never. So a server whose ban was lifted counts as started at that moment, unless the
-    /// list knows of a later start. Harm: a server that was not restarted, or is warm again, gets less than its share for
-    /// as long as a start takes.
+    /// A server whose ban was lifted counts as started at that moment, and so is in slow start, unless the list has a later
+    /// start: operators restart servers while they are banned, and a list may report that late or never.
     pub fn status(&self, name: &str, ready_at: Time) -> BanStatus {
         if self.is_banned(name) {
             return BanStatus {
@@ -123,10 +121,10 @@
         self.lifted.iter()
     }
 
-    /// The bans of another process or an earlier run; what exceeds the limits is dropped.
+    /// The bans that another process or an earlier run has stored; what exceeds the limits is dropped.
     pub fn from_parts(banned: BTreeMap<String, Time>, lifted: Vec<LiftedBan>) -> Self {
-        let banned: BTreeMap<String, Time> = banned.into_iter().take(OUT_MOST).collect();
-        let excess = lifted.len().saturating_sub(BACK_MOST);
+        let banned: BTreeMap<String, Time> = banned.into_iter().take(MAX_BANS).collect();
+        let excess = lifted.len().saturating_sub(MAX_LIFTED_BANS);
         let recent = lifted.into_iter().skip(excess);
         let lifted = recent
             .filter(|ban| !banned.contains_key(&ban.name))
--- a/crates/admin/src/drain.rs
+++ b/crates/admin/src/drain.rs
@@ -1,4 +1,4 @@
-//! Draining a node: what its clients are told, and when their idle connections are closed.
+//! Draining a node: whether it is healthy, and when idle connections are closed.
 //!
 //! | state | health | answers | idle connections |
 //! | --- | --- | --- | --- |
@@ -7,8 +7,8 @@
 
 use crate::Time;
 
-/// Seconds from the beginning of the drain in which an idle connection may bring one more request, whose answer ends it:
-/// a close that crosses a request costs the client a second try, an answer that says so costs nothing.
+/// Seconds from the beginning of the drain in which an idle connection may carry one more request, whose answer announces
+/// the close: a close that crosses a request would cost the client a retry.
 pub const IDLE_GRACE: Time = 1.2;
 /// The same for a connection that is opened or becomes idle during the drain, from that moment on.
 pub const LATE_IDLE_GRACE: Time = 0.4;
@@ -27,12 +27,12 @@
         }
     }
 
-    /// Begins the drain; one that has begun goes on as it was.
+    /// Begins the drain, unless it has begun already.
     pub fn begin(&mut self, now: Time) {
         self.since.get_or_insert(now);
     }
 
-    /// Ends the drain without a trace.
+    /// Ends the drain.
     pub fn end(&mut self) {
         self.since = None;
     }
--- a/crates/admin/src/fault.rs
+++ b/crates/admin/src/error.rs
@@ -3,7 +3,7 @@
 use thiserror::Error;
 
 /// Maximum length of a name in a request, in bytes after decoding.
-pub const NAME_MOST: usize = 512;
+pub const MAX_NAME_LEN: usize = 512;
 
 /// Why a management request is rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
@@ -15,7 +15,9 @@
     #[error("this call wants the method {0}")]
     WrongMethod(&'static str),
     /// The name of the server is invalid.
-    #[error("the name of the server is empty, longer than {NAME_MOST} bytes, or no text in UTF-8")]
+    #[error(
+        "the name of the server is empty, longer than {MAX_NAME_LEN} bytes, or no text in UTF-8"
+    )]
     InvalidName,
     /// A duration is invalid.
     #[error("a time is a whole number of seconds")]
--- a/crates/admin/src/ledger.rs
+++ b/crates/admin/src/ledger.rs
@@ -1,7 +1,7 @@
-//! The stored form of bans and drains, so that they outlive the process that was told.
+//! The stored form of bans and drains, which outlive the process that received the requests.
 //!
-//! All processes of a node read and write one ledger. Whoever changes it reads it first, under a lock that is the
-//! caller's to hold, so that a change made by one process is not undone by another.
+//! All processes of a node read and write one ledger. A process reads it before it changes it, under a lock that the caller
+//! of this module holds, so that no process undoes a change of another.
 
 use crate::ban::{Bans, LiftedBan};
 use crate::drain::Drain;
@@ -13,7 +13,7 @@
 /// Version of the stored format.
 pub const FORMAT_VERSION: u32 = 1;
 /// Maximum length of a ledger, in bytes.
-pub const LEDGER_MOST: usize = 4 << 20;
+pub const MAX_LEDGER_LEN: usize = 4 << 20;
 
 /// Why a ledger can't be decoded.
 #[derive(Debug, Error)]
@@ -24,8 +24,8 @@
     /// A later program wrote it.
     #[error("it has version {0}, and this program knows {FORMAT_VERSION}")]
     UnknownVersion(u32),
-    /// It exceeds [`LEDGER_MOST`].
-    #[error("it is larger than {LEDGER_MOST} bytes")]
+    /// It exceeds [`MAX_LEDGER_LEN`].
+    #[error("it is larger than {MAX_LEDGER_LEN} bytes")]
     TooLarge,
 }
 
@@ -57,20 +57,20 @@
     /// # Errors
     /// If it is no ledger of a version that is known.
     pub fn decode(text: &[u8]) -> Result<Self, LedgerError> {
-        if text.len() > LEDGER_MOST {
+        if text.len() > MAX_LEDGER_LEN {
             return Err(LedgerError::TooLarge);
         }
         let stored: StoredLedger = serde_json::from_slice(text)?;
         if stored.version != FORMAT_VERSION {
             return Err(LedgerError::UnknownVersion(stored.version));
         }
-        let lifted = stored.lifted.into_iter();
-        let lifted = lifted.map(|(name, banned_at, lifted_at)| LiftedBan {
+        let to_lifted = |(name, banned_at, lifted_at)| LiftedBan {
             name,
             banned_at,
             lifted_at,
-        });
-        let bans = Bans::from_parts(stored.banned, lifted.collect());
+        };
+        let lifted = stored.lifted.into_iter().map(to_lifted).collect();
+        let bans = Bans::from_parts(stored.banned, lifted);
         Ok(Ledger {
             bans,
             drain: Drain::new(stored.draining_since),
--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -3,7 +3,7 @@
 mod fields;
 mod fleet;
 
-pub use crate::fault::{RequestError, NAME_MOST};
+pub use crate::error::{RequestError, MAX_NAME_LEN};
 pub use fleet::FleetRequest;
 
 use fields::{decode_name, encode_name, require_method};
@@ -11,7 +11,7 @@
 /// The path below which all management requests are.
 const ROOT: &str = "/-/";
 
-/// What a management request asks for.
+/// A request on the management address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ManagementRequest {
     /// Whether this process can serve.
@@ -24,7 +24,7 @@
     Drain,
     /// End the drain.
     Resume,
-    /// What concerns all nodes of a fleet.
+    /// A request that concerns all nodes of a fleet.
     Fleet(FleetRequest),
 }
 
--- a/crates/admin/src/request/fields.rs
+++ b/crates/admin/src/request/fields.rs
@@ -1,6 +1,6 @@
 //! The parts that all management requests have in common: methods, and names in paths and queries.
 
-use crate::fault::{RequestError, NAME_MOST};
+use crate::error::{RequestError, MAX_NAME_LEN};
 use percent_encoding::{percent_decode_str, utf8_percent_encode, NON_ALPHANUMERIC};
 
 /// Checks the method of a request; HEAD is as good as GET.
@@ -21,7 +21,7 @@
     let name = percent_decode_str(encoded)
         .decode_utf8()
         .map_err(|_| RequestError::InvalidName)?;
-    let is_valid = !name.is_empty() && name.len() <= NAME_MOST;
+    let is_valid = !name.is_empty() && name.len() <= MAX_NAME_LEN;
     is_valid
         .then(|| name.into_owned())
         .ok_or(RequestError::InvalidName)
--- a/crates/admin/src/request/fleet.rs
+++ b/crates/admin/src/request/fleet.rs
@@ -1,12 +1,12 @@
 //! Management requests that concern all nodes of a fleet.
 
 use super::fields::{decode_name, encode_name, require_method};
-use crate::fault::RequestError;
+use crate::error::RequestError;
 
-/// Who a ban is attributed to, if nobody is named.
+/// The author of a request that names none.
 const ANONYMOUS: &str = "operator";
 
-/// What a management request asks of a fleet.
+/// A request that concerns all nodes of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetRequest {
     /// The members of the fleet.
@@ -21,14 +21,14 @@
         server: String,
         /// How long the ban holds; until it is lifted if none.
         seconds: Option<u32>,
-        /// Who asks for it.
+        /// The author of the request.
         by: String,
     },
     /// Lift the bans of this server on all nodes.
     Lift {
         /// The server.
         server: String,
-        /// Who asks for it.
+        /// The author of the request.
         by: String,
     },
     /// The holders of all leases.
@@ -135,7 +135,7 @@
     }
 }
 
-/// Who asks, by the query of the request.
+/// The author of the request, by its query.
 fn parse_author(query: &str) -> Result<String, RequestError> {
     query_value(query, "by").map_or(Ok(ANONYMOUS.to_owned()), decode_name)
 }
--- a/crates/admin/src/succession.rs
+++ b/crates/admin/src/succession.rs
@@ -30,10 +30,10 @@
 }
 
 impl Predecessor {
-    /// A process asks to take over. Returns whether it is handed the sockets.
+    /// A process requests a takeover. Returns whether it is handed the sockets.
     ///
-    /// One successor at a time: with two, connections would be handed to whichever spoke last. Harm: while a frozen
-    /// successor has not been given up, a third process has to bind the address itself.
+    /// One successor at a time: with two, connections would be handed to whichever was the last to serve. Another process
+    /// has to bind the address itself until the first is lost.
     pub fn handle_hello(&mut self, version: u32) -> bool {
         let accepted = version == PROTOCOL_VERSION
             && self.successor == SuccessorPhase::Absent
@@ -117,7 +117,7 @@
         self.serving || !self.has_predecessor
     }
 
-    /// Number of processes that share the node's limits and what it may send to a cold server.
+    /// Number of processes that share the node's limits and what it may send to a server that warms up.
     pub fn process_count(&self) -> u32 {
         1 + u32::from(self.has_predecessor)
     }
--- a/crates/admin/src/takeover.rs
+++ b/crates/admin/src/takeover.rs
@@ -7,14 +7,14 @@
 /// Version of the protocol; processes of different versions do not take over from each other.
 pub const PROTOCOL_VERSION: u32 = 1;
 /// Maximum length of a frame, in bytes.
-pub const FRAME_MOST: usize = 8 << 20;
+pub const MAX_FRAME_LEN: usize = 8 << 20;
 /// Maximum number of descriptors with one frame.
-pub const DESCRIPTORS_MOST: usize = 32;
+pub const MAX_DESCRIPTORS: usize = 32;
 
 /// A message between the two processes of a takeover.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Frame {
-    /// The successor asks to take over.
+    /// The successor requests a takeover.
     Hello {
         /// The version of the protocol that it supports.
         version: u32,
@@ -54,7 +54,7 @@
     /// If it is too large to be decoded again.
     pub fn encode(&self) -> Result<Vec<u8>, serde_json::Error> {
         let text = serde_json::to_vec(self)?;
-        if text.len() > FRAME_MOST || self.descriptor_count() > DESCRIPTORS_MOST {
+        if text.len() > MAX_FRAME_LEN || self.descriptor_count() > MAX_DESCRIPTORS {
             return Err(serde::ser::Error::custom("too large a frame"));
         }
         let length = u32::try_from(text.len()).unwrap_or(u32::MAX);
@@ -70,14 +70,14 @@
             return Ok(None);
         };
         let length = u32::from_be_bytes(*length) as usize;
-        if length > FRAME_MOST {
+        if length > MAX_FRAME_LEN {
             return Err(serde::de::Error::custom("too large a frame"));
         }
         let Some(text) = rest.get(..length) else {
             return Ok(None);
         };
         let frame: Frame = serde_json::from_slice(text)?;
-        if frame.descriptor_count() > DESCRIPTORS_MOST {
+        if frame.descriptor_count() > MAX_DESCRIPTORS {
             return Err(serde::de::Error::custom("too many descriptors"));
         }
         Ok(Some((frame, 4 + length)))
--- a/crates/admin/tests/operator_state.rs
+++ b/crates/admin/tests/operator_state.rs
@@ -1,7 +1,7 @@
 //! Bans, drains and their stored form, on random schedules.
 
 use proptest::prelude::*;
-use reelfall_admin::ban::{Bans, OUT_MOST};
+use reelfall_admin::ban::{Bans, MAX_BANS};
 use reelfall_admin::drain::{Drain, IDLE_GRACE, LATE_IDLE_GRACE};
 use reelfall_admin::ledger::Ledger;
 use std::collections::HashMap;
@@ -50,12 +50,12 @@
             now += 1.0;
             match step {
                 Step::Ban(s) => {
-                    ledger.bans.disable(&s.to_string(), now).unwrap();
+                    ledger.bans.ban(&s.to_string(), now).unwrap();
                     expected.entry(s).or_default().banned_at.get_or_insert(now);
                 }
                 Step::LiftBan(s) => {
                     let was_banned_at = expected.entry(s).or_default().banned_at.take();
-                    prop_assert_eq!(ledger.bans.enable(&s.to_string(), now), was_banned_at.is_some());
+                    prop_assert_eq!(ledger.bans.lift(&s.to_string(), now), was_banned_at.is_some());
                 }
                 Step::Restart(s, late) => {
                     let p = expected.entry(s).or_default();
@@ -108,11 +108,11 @@
 #[test]
 fn bans_are_bounded_and_ledgers_of_other_versions_are_not_guessed_at() {
     let mut bans = Bans::default();
-    for n in 0..OUT_MOST {
-        bans.disable(&n.to_string(), 1.0).unwrap();
+    for n in 0..MAX_BANS {
+        bans.ban(&n.to_string(), 1.0).unwrap();
     }
-    assert!(bans.disable("one more", 1.0).is_err());
-    assert!(bans.disable("7", 1.0).is_ok());
+    assert!(bans.ban("one more", 1.0).is_err());
+    assert!(bans.ban("7", 1.0).is_ok());
     assert!(Ledger::decode(br#"{"version":2}"#).is_err());
     assert!(Ledger::decode(br#"{"version":1,"out":{"a":1."#).is_err());
 }
@@ -120,9 +120,9 @@
 #[test]
 fn the_stored_form_of_a_ledger_is_that_of_its_version() {
     let mut ledger = Ledger::default();
-    ledger.bans.disable("a", 1.0).unwrap();
-    ledger.bans.disable("b", 2.0).unwrap();
-    ledger.bans.enable("b", 3.5);
+    ledger.bans.ban("a", 1.0).unwrap();
+    ledger.bans.ban("b", 2.0).unwrap();
+    ledger.bans.lift("b", 3.5);
     ledger.drain.begin(4.0);
     let text = r#"{"version":1,"out":{"a":1.0},"back":[["b",2.0,3.5]],"draining_since":4.0}"#;
     assert_eq!(ledger.encode(), text);
--- a/crates/node/src/net/ledger.rs
+++ b/crates/node/src/net/ledger.rs
@@ -1,19 +1,42 @@
-//! The ledger of bans and drains on the file system, shared by the processes of one node.
+//! The ledger of bans and drains on the file system, shared by the processes of one node. Used by
+//! [`super::management::Management`].
 
-use reelfall_admin::ledger::{Ledger, LEDGER_MOST};
+use reelfall_admin::ledger::{Ledger, MAX_LEDGER_LEN};
 use rustix::fs::{flock, FlockOperation};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::os::unix::fs::{MetadataExt, OpenOptionsExt};
 use std::path::{Path, PathBuf};
+use std::time::Duration;
 
-/// How often a lock that another process holds is tried, and the pause between two tries; it is held while one small
-/// file is written.
-const LOCK_ATTEMPTS: u32 = 100;
-const LOCK_RETRY_INTERVAL: std::time::Duration = std::time::Duration::from_millis(1);
+/// Maximum number of attempts to take the lock after the first; another process holds it while it writes one small file.
+const MAX_LOCK_RETRIES: u32 = 100;
+/// Pause between two attempts to take the lock.
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(1);
+/// Permissions of the files: for their owner alone.
+const FILE_MODE: u32 = 0o600;
 
-/// What tells one writing of the file from another: each is a new file that takes the old one's place.
-type FileVersion = (u64, i64, i64, u64);
+/// Distinguishes the versions of the file, each of which is a new file that replaces the previous one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct FileVersion {
+    inode: u64,
+    modified_seconds: i64,
+    modified_nanoseconds: i64,
+    length: u64,
+}
+
+impl FileVersion {
+    /// The version of the file at this path, if there is one.
+    fn of(path: &Path) -> Option<FileVersion> {
+        let metadata = fs::metadata(path).ok()?;
+        Some(FileVersion {
+            inode: metadata.ino(),
+            modified_seconds: metadata.mtime(),
+            modified_nanoseconds: metadata.mtime_nsec(),
+            length: metadata.size(),
+        })
+    }
+}
 
 /// A ledger's file and its lock.
 pub struct LedgerFile {
@@ -24,29 +47,23 @@
 }
 
 impl LedgerFile {
-    /// The ledger in a folder; `name` tells the node from others that may share the folder.
+    /// The ledger of the node of this name, in a folder that other nodes may share.
     pub fn new(folder: &Path, name: &str) -> Self {
-        let at = |end: &str| folder.join(format!("reelfall-{name}.{end}"));
+        let path = |extension: &str| folder.join(format!("reelfall-{name}.{extension}"));
         LedgerFile {
-            file: at("ledger"),
-            lock: at("lock"),
-            replacement: at("ledger.new"),
+            file: path("ledger"),
+            lock: path("lock"),
+            replacement: path("ledger.new"),
             last_read: None,
         }
     }
 
-    fn version(&self) -> Option<FileVersion> {
-        fs::metadata(&self.file)
-            .ok()
-            .map(|m| (m.ino(), m.mtime(), m.mtime_nsec(), m.size()))
-    }
-
-    /// What was written since this was asked last; `None` if nothing was.
+    /// The ledger if it has been written since the last call; otherwise `None`.
     ///
     /// # Errors
-    /// If what was written can't be used.
+    /// If the file can't be read, or is no ledger.
     pub fn read_if_changed(&mut self) -> io::Result<Option<Ledger>> {
-        let version = self.version();
+        let version = FileVersion::of(&self.file);
         if version == self.last_read {
             return Ok(None);
         }
@@ -61,41 +78,51 @@
             Err(e) => return Err(e),
         };
         let mut text = Vec::new();
-        file.take(LEDGER_MOST as u64 + 1).read_to_end(&mut text)?;
+        file.take(MAX_LEDGER_LEN as u64 + 1)
+            .read_to_end(&mut text)?;
         Ledger::decode(&text).map(Some).map_err(io::Error::other)
     }
 
-    /// Changes what is written: reads it, has it changed, and puts the new one in its place, all under the lock. What
-    /// was there and can't be used is left out; `own` is what this process holds, for that case.
+    /// Reads the ledger, changes it and replaces the file, all under the lock. If there is no file that can be used, the
+    /// change is made to `own`, the ledger of this process.
     ///
     /// # Errors
-    /// If it can't be written; then what was there is there still.
+    /// If the ledger can't be written; then the file stays as it was.
     pub fn change(&mut self, own: &Ledger, change: impl FnOnce(&mut Ledger)) -> io::Result<Ledger> {
-        let lock = OpenOptions::new()
-            .create(true)
-            .truncate(false)
-            .write(true)
-            .mode(0o600)
-            .open(&self.lock)?;
-        let mut attempts = 0;
-        while let Err(e) = flock(&lock, FlockOperation::NonBlockingLockExclusive) {
-            attempts += 1;
-            if attempts > LOCK_ATTEMPTS {
-                return Err(e.into());
+        let _lock = self.take_lock()?;
+        let mut ledger = self.read().ok().flatten().unwrap_or_else(|| own.clone());
+        change(&mut ledger);
+        self.replace(&ledger)?;
+        self.last_read = FileVersion::of(&self.file);
+        Ok(ledger)
+    }
+
+    /// Takes the lock, which is released when the file is dropped.
+    fn take_lock(&self) -> io::Result<File> {
+        let lock = open_for_writing(&self.lock, false)?;
+        let mut retries = 0;
+        while let Err(error) = flock(&lock, FlockOperation::NonBlockingLockExclusive) {
+            retries += 1;
+            if retries > MAX_LOCK_RETRIES {
+                return Err(error.into());
             }
             std::thread::sleep(LOCK_RETRY_INTERVAL);
         }
-        let mut ledger = self.read().ok().flatten().unwrap_or_else(|| own.clone());
-        change(&mut ledger);
-        let mut replacement = OpenOptions::new()
-            .create(true)
-            .truncate(true)
-            .write(true)
-            .mode(0o600)
-            .open(&self.replacement)?;
+        Ok(lock)
+    }
+
+    fn replace(&self, ledger: &Ledger) -> io::Result<()> {
+        let mut replacement = open_for_writing(&self.replacement, true)?;
         replacement.write_all(ledger.encode().as_bytes())?;
-        fs::rename(&self.replacement, &self.file)?;
-        self.last_read = self.version();
-        Ok(ledger)
+        fs::rename(&self.replacement, &self.file)
     }
 }
+
+fn open_for_writing(path: &Path, truncate: bool) -> io::Result<File> {
+    OpenOptions::new()
+        .create(true)
+        .truncate(truncate)
+        .write(true)
+        .mode(FILE_MODE)
+        .open(path)
+}
--- a/crates/node/src/net/management.rs
+++ b/crates/node/src/net/management.rs
@@ -198,8 +198,7 @@
 
     fn ban(&self, server: &str, now: Time) -> ManagementResponse {
         let mut banned = Ok(());
-        let response =
-            self.change_ledger(|ledger| banned = ledger.bans.disable(server, now), "out\n");
+        let response = self.change_ledger(|ledger| banned = ledger.bans.ban(server, now), "out\n");
         match banned {
             Ok(()) => response,
             Err(error) => {
@@ -211,7 +210,7 @@
     /// Lifts the ban of a server. One that is not banned is used already, which is what the caller wants.
     fn lift_ban(&self, server: &str, now: Time) -> ManagementResponse {
         let lift = |ledger: &mut Ledger| {
-            ledger.bans.enable(server, now);
+            ledger.bans.lift(server, now);
         };
         self.change_ledger(lift, "back\n")
     }
--- a/crates/node/src/net/shared/fleet.rs
+++ b/crates/node/src/net/shared/fleet.rs
@@ -44,10 +44,10 @@
         let old = self.fleet_bans.borrow().clone();
         let mut new = old.clone();
         for name in old.banned().filter(|(name, _)| !banned.contains(*name)) {
-            new.enable(name.0, now);
+            new.lift(name.0, now);
         }
         for name in banned {
-            if let Err(error) = new.disable(name, now) {
+            if let Err(error) = new.ban(name, now) {
                 self.log.write_line(format_args!("fleet: {error}"));
             }
         }
--- a/crates/node/src/net/takeover.rs
+++ b/crates/node/src/net/takeover.rs
@@ -1,256 +1,39 @@
-//! Taking over from a process that serves, over a Unix socket: listening sockets, what was learned, and clients.
+//! Hot restart: a new process takes over the listening sockets, the learned state and the clients of one that serves, over a
+//! Unix socket. Used by [`crate::platform`].
 //!
 //! [`reelfall_admin::succession`] decides which of the two accepts, and who has the clients.
+//!
+//! | module | responsibility |
+//! | --- | --- |
+//! | `exchange` | frames and descriptors on a stream |
+//! | `socket` | the Unix socket, and the snapshot that a new process requests |
+
+mod exchange;
+mod socket;
 
-use super::front::{Front, Handover, HandoverState};
+pub use socket::{HandoverSocket, Snapshot};
+
+use super::front::{Front, Handover, HandoverState, Listening};
 use super::shared::Shared;
 use super::task::AbortOnDrop;
-use bytes::{Buf, BytesMut};
+use exchange::{Exchange, ExchangeError, ReceivedFrame, FRAME_TIMEOUT};
 use reelfall_admin::succession::{Predecessor, Successor};
-use reelfall_admin::takeover::{Frame, DESCRIPTORS_MOST, PROTOCOL_VERSION};
-use rustix::net::{
-    recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
-    SendAncillaryMessage, SendFlags,
-};
+use reelfall_admin::takeover::Frame;
 use std::cell::{Cell, RefCell};
-use std::collections::VecDeque;
-use std::io::{self, IoSlice, IoSliceMut};
-use std::mem::MaybeUninit;
-use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
-use std::path::{Path, PathBuf};
+use std::os::fd::{AsFd, BorrowedFd};
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::Interest;
 use tokio::net::{UnixListener, UnixStream};
-use tokio::sync::{mpsc, Notify};
+use tokio::sync::mpsc::{self, UnboundedReceiver};
+use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// How long a new process waits for the snapshot of the old one, before it binds the address itself.
-const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long the other side of an exchange may take for one frame that is on its way.
-const FRAME_TIMEOUT: Duration = Duration::from_secs(2);
-/// Maximum number of bytes of one read.
-const READ_LEN: usize = 16 << 10;
-
-/// The exchange between two processes of one node.
-struct Exchange {
-    stream: UnixStream,
-    buffer: BytesMut,
-    descriptors: VecDeque<OwnedFd>,
-}
-
-impl Exchange {
-    /// Guards against processes of other users, who could take the sockets over or hand in some of their own. Harm: none
-    /// where a node is started by one user.
-    fn new(stream: UnixStream) -> io::Result<Exchange> {
-        if stream.peer_cred()?.uid() != rustix::process::geteuid().as_raw() {
-            return Err(io::Error::other(
-                "the process on the other side has another user",
-            ));
-        }
-        Ok(Exchange {
-            stream,
-            buffer: BytesMut::new(),
-            descriptors: VecDeque::new(),
-        })
-    }
-
-    async fn send(&self, frame: &Frame, descriptors: &[BorrowedFd<'_>]) -> io::Result<()> {
-        let bytes = frame.encode()?;
-        let mut sent = 0;
-        let write = async {
-            while sent < bytes.len() {
-                let rest = bytes.get(sent..).unwrap_or_default();
-                let with = if sent == 0 { descriptors } else { &[] };
-                sent += self
-                    .stream
-                    .async_io(Interest::WRITABLE, || write(&self.stream, rest, with))
-                    .await?;
-            }
-            Ok(())
-        };
-        timeout(FRAME_TIMEOUT, write)
-            .await
-            .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
-    }
-
-    /// The next frame and its descriptors; may be dropped and called again.
-    async fn receive(&mut self) -> io::Result<(Frame, Vec<OwnedFd>)> {
-        loop {
-            if let Some((frame, length)) = Frame::decode(&self.buffer)? {
-                let n = frame.descriptor_count();
-                if self.descriptors.len() < n {
-                    return Err(io::Error::other("a frame without its descriptors"));
-                }
-                self.buffer.advance(length);
-                return Ok((frame, self.descriptors.drain(..n).collect()));
-            }
-            if self.descriptors.len() > 2 * DESCRIPTORS_MOST {
-                return Err(io::Error::other("descriptors without frames"));
-            }
-            let (buffer, descriptors, stream) =
-                (&mut self.buffer, &mut self.descriptors, &self.stream);
-            let n = stream
-                .async_io(Interest::READABLE, || read(stream, buffer, descriptors))
-                .await?;
-            if n == 0 {
-                return Err(io::ErrorKind::UnexpectedEof.into());
-            }
-        }
-    }
-}
-
-fn write(stream: &UnixStream, bytes: &[u8], descriptors: &[BorrowedFd]) -> io::Result<usize> {
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(DESCRIPTORS_MOST))];
-    let mut control = SendAncillaryBuffer::new(&mut space);
-    if !descriptors.is_empty() && !control.push(SendAncillaryMessage::ScmRights(descriptors)) {
-        return Err(io::Error::other("too many descriptors"));
-    }
-    Ok(sendmsg(
-        stream,
-        &[IoSlice::new(bytes)],
-        &mut control,
-        SendFlags::DONTWAIT | SendFlags::NOSIGNAL,
-    )?)
-}
-
-fn read(
-    stream: &UnixStream,
-    buffer: &mut BytesMut,
-    descriptors: &mut VecDeque<OwnedFd>,
-) -> io::Result<usize> {
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(DESCRIPTORS_MOST))];
-    let mut control = RecvAncillaryBuffer::new(&mut space);
-    let mut bytes = [0; READ_LEN];
-    let flags = RecvFlags::DONTWAIT | RecvFlags::CMSG_CLOEXEC;
-    let got = recvmsg(
-        stream,
-        &mut [IoSliceMut::new(&mut bytes)],
-        &mut control,
-        flags,
-    )?;
-    for message in control.drain() {
-        if let RecvAncillaryMessage::ScmRights(rights) = message {
-            descriptors.extend(rights);
-        }
-    }
-    buffer.extend_from_slice(bytes.get(..got.bytes).unwrap_or_default());
-    Ok(got.bytes)
-}
+/// Pause after a connection of a successor that could not be accepted.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Number of processes that share the node's limits while a successor takes over.
+const PROCESSES_IN_TAKEOVER: u32 = 2;
 
-/// The Unix socket at which the processes of a node meet.
-pub struct HandoverSocket {
-    folder: PathBuf,
-    name: String,
-}
-
-impl HandoverSocket {
-    /// The node of this name; `folder` is what its processes share.
-    pub fn new(folder: &Path, name: &str) -> Self {
-        HandoverSocket {
-            folder: folder.to_owned(),
-            name: name.to_owned(),
-        }
-    }
-
-    /// The path to use, and the folder that has to be held open for it. A path that is too long for a socket is gone
-    /// round by way of the folder's descriptor.
-    fn path(&self, end: &str) -> io::Result<(PathBuf, std::fs::File)> {
-        let folder = std::fs::File::open(&self.folder)?;
-        let file = format!("reelfall-{}.{end}", self.name);
-        let plain = self.folder.join(&file);
-        if plain.as_os_str().len() < 100 {
-            return Ok((plain, folder));
-        }
-        let descriptor = std::os::fd::AsRawFd::as_raw_fd(&folder);
-        Ok((
-            PathBuf::from(format!("/proc/self/fd/{descriptor}")).join(file),
-            folder,
-        ))
-    }
-
-    /// Listens for a process that takes over. The socket of an earlier run is replaced, never missing in between.
-    fn listen(&self) -> io::Result<UnixListener> {
-        let ((fresh, _folder), (path, _same)) =
-            (self.path("takeover.new")?, self.path("takeover")?);
-        let _ = std::fs::remove_file(&fresh);
-        let listener = UnixListener::bind(&fresh)?;
-        std::fs::rename(&fresh, &path)?;
-        Ok(listener)
-    }
-
-    /// Asks the process that serves for what it has. `None` if there is none, or nothing comes of it.
-    pub async fn request_snapshot(&self, shared: &Shared) -> Option<Snapshot> {
-        let (path, _folder) = self.path("takeover").ok()?;
-        let request = timeout(SNAPSHOT_TIMEOUT, async {
-            let mut exchange = Exchange::new(UnixStream::connect(path).await?)?;
-            exchange
-                .send(
-                    &Frame::Hello {
-                        version: PROTOCOL_VERSION,
-                    },
-                    &[],
-                )
-                .await?;
-            match exchange.receive().await? {
-                (Frame::Snapshot { listeners, learned }, descriptors) => {
-                    let listeners = listeners.into_iter().zip(descriptors).collect();
-                    Ok(Snapshot {
-                        listeners,
-                        learned,
-                        exchange,
-                    })
-                }
-                _ => Err(io::Error::other("it gives nothing")),
-            }
-        });
-        match request.await {
-            Ok(Ok(snapshot)) => Some(snapshot),
-            Ok(Err(e))
-                if matches!(
-                    e.kind(),
-                    io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused
-                ) =>
-            {
-                None
-            }
-            Ok(Err(e)) => {
-                shared.log.write_line(format_args!(
-                    "the process that serves: {e}; binding the address beside it"
-                ));
-                None
-            }
-            Err(_) => {
-                shared.log.write_line(format_args!(
-                    "the process that serves gives nothing; binding the address beside it"
-                ));
-                None
-            }
-        }
-    }
-}
-
-/// What the old process handed over.
-pub struct Snapshot {
-    listeners: Vec<(String, OwnedFd)>,
-    learned: Vec<(String, serde_json::Value)>,
-    exchange: Exchange,
-}
-
-impl Snapshot {
-    /// The listening socket of a name, if it was given.
-    pub fn listener(&mut self, name: &str) -> Option<OwnedFd> {
-        let at = self.listeners.iter().position(|(n, _)| n == name)?;
-        Some(self.listeners.swap_remove(at).1)
-    }
-
-    /// What the module of a pool had learned.
-    pub fn learned(&self, pool: &str) -> Option<&serde_json::Value> {
-        self.learned.iter().find(|(n, _)| n == pool).map(|(_, l)| l)
-    }
-}
-
-/// What the modules of a process have learned, by their pools' names.
+/// Collects what the modules of a process have learned, by the names of their pools.
 pub type CollectLearned = Box<dyn Fn() -> Vec<(String, serde_json::Value)>>;
 
 /// This process in the succession of the node's processes.
@@ -260,8 +43,8 @@
     predecessor: RefCell<Predecessor>,
     successor: Cell<Successor>,
     collect_learned: CollectLearned,
-    serving: Cell<bool>,
-    /// The old process is gone.
+    is_serving: Cell<bool>,
+    /// The predecessor is gone.
     pub predecessor_gone: Notify,
 }
 
@@ -278,21 +61,20 @@
             successor.handle_snapshot();
         }
         shared.set_processes(successor.process_count());
-        let (predecessor, successor) = (RefCell::default(), Cell::new(successor));
         Rc::new(Takeover {
             socket,
             shared,
-            predecessor,
-            successor,
+            predecessor: RefCell::default(),
+            successor: Cell::new(successor),
             collect_learned,
-            serving: Cell::new(false),
+            is_serving: Cell::new(false),
             predecessor_gone: Notify::new(),
         })
     }
 
-    /// Whether this process serves, and one that served before it knows.
+    /// Whether this process serves, and its predecessor has been notified of that.
     pub fn is_serving(&self) -> bool {
-        self.serving.get()
+        self.is_serving.get()
     }
 
     fn update_predecessor(&self, front: &Front, change: impl FnOnce(&mut Predecessor)) {
@@ -300,74 +82,79 @@
         front.notify_handover_changed();
     }
 
-    /// This process can serve: it accepts, tells the old one, accepts its clients, and listens for its own successor.
-    pub async fn serve(self: Rc<Self>, front: Rc<Front>, snapshot: Option<Snapshot>) {
+    fn update_successor(&self, change: impl FnOnce(&mut Successor)) {
         let mut successor = self.successor.get();
-        successor.set_ready();
+        change(&mut successor);
         self.successor.set(successor);
+    }
+
+    /// Serves, as this process can by now: it accepts, notifies its predecessor, accepts the clients of that, and listens
+    /// for its own successor, for as long as it is polled.
+    pub async fn serve(self: Rc<Self>, front: Rc<Front>, snapshot: Option<Snapshot>) {
+        self.update_successor(Successor::set_ready);
         front.notify_handover_changed();
         let _listening = self.listen_for_successor(&front);
-        let mut exchange = snapshot.map(|snapshot| snapshot.exchange);
-        let announced = match &exchange {
+        let mut exchange = snapshot.map(Snapshot::into_exchange);
+        let is_announced = match &exchange {
             Some(exchange) => exchange.send(&Frame::Serving, &[]).await.is_ok(),
             None => false,
         };
-        // Whoever is told yes ends the old process: it has to have heard before.
-        self.serving.set(true);
+        // Not before the predecessor is notified: whoever sees that this process serves ends the predecessor.
+        self.is_serving.set(true);
         if let Some(exchange) = &mut exchange {
-            if announced {
-                while let Ok((frame, descriptors)) = exchange.receive().await {
-                    let Frame::Client { listener } = frame else {
-                        break;
-                    };
-                    descriptors
-                        .into_iter()
-                        .for_each(|d| front.accept_handover(d.into(), &listener));
-                }
+            if is_announced {
+                accept_clients(exchange, &front).await;
             }
-            let mut successor = self.successor.get();
-            successor.handle_predecessor_gone();
-            self.successor.set(successor);
-            self.shared.set_processes(successor.process_count());
-            self.predecessor_gone.notify_one();
+            self.handle_predecessor_gone();
         }
         std::future::pending().await
     }
 
+    fn handle_predecessor_gone(&self) {
+        self.update_successor(Successor::handle_predecessor_gone);
+        self.shared
+            .set_processes(self.successor.get().process_count());
+        self.predecessor_gone.notify_one();
+    }
+
     fn listen_for_successor(self: &Rc<Self>, front: &Rc<Front>) -> Option<AbortOnDrop> {
         let listener = match self.socket.as_ref()?.listen() {
             Ok(listener) => listener,
-            Err(e) => {
-                self.shared
-                    .log
-                    .write_line(format_args!("no process will be able to take over: {e}"));
+            Err(error) => {
+                self.shared.log.write_line(format_args!(
+                    "no process will be able to take over: {error}"
+                ));
                 return None;
             }
         };
-        let (takeover, front) = (self.clone(), front.clone());
-        let task = tokio::task::spawn_local(async move {
-            loop {
-                match listener.accept().await {
-                    Ok((stream, _)) => {
-                        let (takeover, front) = (takeover.clone(), front.clone());
-                        tokio::task::spawn_local(async move {
-                            takeover.serve_successor(stream, &front).await
-                        });
-                    }
-                    Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
+        let accepting = self.clone().accept_successors(listener, front.clone());
+        Some(AbortOnDrop(
+            tokio::task::spawn_local(accepting).abort_handle(),
+        ))
+    }
+
+    async fn accept_successors(self: Rc<Self>, listener: UnixListener, front: Rc<Front>) {
+        loop {
+            match listener.accept().await {
+                Ok((stream, _)) => {
+                    let serving = self.clone().serve_successor(stream, front.clone());
+                    tokio::task::spawn_local(serving);
                 }
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await,
             }
-        });
-        Some(AbortOnDrop(task.abort_handle()))
+        }
     }
 
     /// Serves a process that wants to take over, to the end of either.
-    async fn serve_successor(&self, stream: UnixStream, front: &Rc<Front>) {
+    async fn serve_successor(self: Rc<Self>, stream: UnixStream, front: Rc<Front>) {
         let Ok(mut exchange) = Exchange::new(stream) else {
             return;
         };
-        let Ok(Ok((Frame::Hello { version }, _))) =
-            timeout(FRAME_TIMEOUT, exchange.receive()).await
+        let hello = timeout(FRAME_TIMEOUT, exchange.receive()).await;
+        let Ok(Ok(ReceivedFrame {
+            frame: Frame::Hello { version },
+            ..
+        })) = hello
         else {
             return;
         };
@@ -375,54 +162,49 @@
             let _ = exchange.send(&Frame::Busy, &[]).await;
             return;
         }
-        let ended = self.hand_over(&mut exchange, front).await;
+        let end = self.hand_over(&mut exchange, &front).await;
         self.shared
             .log
-            .write_line(format_args!("the process that takes over: {ended}"));
+            .write_line(format_args!("the process that takes over: {end}"));
         front.hand_over_to(None);
-        self.update_predecessor(front, Predecessor::handle_successor_lost);
+        self.update_predecessor(&front, Predecessor::handle_successor_lost);
         self.shared
             .set_processes(self.successor.get().process_count());
     }
 
-    /// Hands over all there is; comes back only when the successor is lost.
-    async fn hand_over(&self, exchange: &mut Exchange, front: &Rc<Front>) -> io::Error {
+    /// Hands over the sockets, the learned state and the clients; returns only when the successor is lost, and why it is.
+    async fn hand_over(&self, exchange: &mut Exchange, front: &Rc<Front>) -> ExchangeError {
+        // Open until the successor is lost, whatever becomes of this process's own listeners.
         let listening = front.listening();
-        let (names, listeners): (Vec<String>, Vec<_>) = listening
-            .iter()
-            .map(|l| (l.name().to_owned(), l.as_fd()))
-            .unzip();
-        self.shared.set_processes(2);
-        let snapshot = Frame::Snapshot {
-            listeners: names,
-            learned: (self.collect_learned)(),
-        };
-        if let Err(e) = exchange.send(&snapshot, &listeners).await {
-            return e;
+        if let Err(error) = self.send_snapshot(exchange, &listening).await {
+            return error;
         }
         match exchange.receive().await {
-            Ok((Frame::Serving, _)) => {}
-            Ok(_) => return io::Error::other("it violates the protocol"),
-            Err(e) => return e,
+            Ok(received) if matches!(received.frame, Frame::Serving) => {}
+            Ok(_) => return ExchangeError::ProtocolViolation,
+            Err(error) => return error,
         }
-        let (sender, mut handovers) = mpsc::unbounded_channel::<Handover>();
+        let (sender, mut handovers) = mpsc::unbounded_channel();
         front.hand_over_to(Some(sender));
         self.update_predecessor(front, Predecessor::handle_serving);
-        let ended = loop {
-            let next = tokio::select! {
-                ended = exchange.receive() => break ended.err().unwrap_or(io::Error::other("it violates the protocol")),
-                Some(next) = handovers.recv() => next,
-            };
-            if let Err(e) = send_client(exchange, next).await {
-                break e;
-            }
+        let end = send_clients(exchange, &mut handovers).await;
+        return_clients(handovers);
+        end
+    }
+
+    async fn send_snapshot(
+        &self,
+        exchange: &Exchange,
+        listening: &[Rc<Listening>],
+    ) -> Result<(), ExchangeError> {
+        let names = listening.iter().map(|listener| listener.name().to_owned());
+        let sockets: Vec<BorrowedFd> = listening.iter().map(|listener| listener.as_fd()).collect();
+        self.shared.set_processes(PROCESSES_IN_TAKEOVER);
+        let snapshot = Frame::Snapshot {
+            listeners: names.collect(),
+            learned: (self.collect_learned)(),
         };
-        // Whoever is on its way still comes back: this process serves on.
-        handovers.close();
-        while let Ok(Handover { stream, done, .. }) = handovers.try_recv() {
-            let _ = done.send(Err(stream));
-        }
-        ended
+        exchange.send(&snapshot, &sockets).await
     }
 }
 
@@ -448,16 +230,53 @@
     }
 }
 
-async fn send_client(exchange: &Exchange, handover: Handover) -> io::Result<()> {
+/// Accepts the clients that the predecessor hands over, until it is gone.
+async fn accept_clients(exchange: &mut Exchange, front: &Rc<Front>) {
+    while let Ok(received) = exchange.receive().await {
+        let Frame::Client { listener } = received.frame else {
+            return;
+        };
+        for descriptor in received.descriptors {
+            front.accept_handover(descriptor.into(), &listener);
+        }
+    }
+}
+
+/// Sends clients to the successor until it is lost; returns why it is.
+async fn send_clients(
+    exchange: &mut Exchange,
+    handovers: &mut UnboundedReceiver<Handover>,
+) -> ExchangeError {
+    loop {
+        let handover = tokio::select! {
+            received = exchange.receive() => {
+                return received.err().unwrap_or(ExchangeError::ProtocolViolation);
+            }
+            Some(handover) = handovers.recv() => handover,
+        };
+        if let Err(error) = send_client(exchange, handover).await {
+            return error;
+        }
+    }
+}
+
+async fn send_client(exchange: &Exchange, handover: Handover) -> Result<(), ExchangeError> {
     let Handover {
         stream,
         listener,
         done,
     } = handover;
-    let sent = exchange
-        .send(&Frame::Client { listener }, &[stream.as_fd()])
-        .await;
+    let client = Frame::Client { listener };
+    let sent = exchange.send(&client, &[stream.as_fd()]).await;
     // Whoever waits for the result may have ended meanwhile.
     let _ = done.send(if sent.is_ok() { Ok(()) } else { Err(stream) });
     sent
 }
+
+/// Returns the clients that have not been sent: this process goes on serving them.
+fn return_clients(mut handovers: UnboundedReceiver<Handover>) {
+    handovers.close();
+    while let Ok(Handover { stream, done, .. }) = handovers.try_recv() {
+        let _ = done.send(Err(stream));
+    }
+}
--- /dev/null
+++ b/crates/node/src/net/takeover/socket.rs
@@ -0,0 +1,152 @@
+//! The Unix socket at which the processes of a node meet, and the snapshot that a new process requests there. Used by
+//! [`crate::platform`] and [`super::Takeover`].
+
+use super::exchange::{Exchange, ExchangeError};
+use crate::net::shared::Shared;
+use reelfall_admin::takeover::{Frame, PROTOCOL_VERSION};
+use std::fs::File;
+use std::io;
+use std::os::fd::{AsRawFd, OwnedFd};
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+use tokio::net::{UnixListener, UnixStream};
+use tokio::time::timeout;
+
+/// How long a new process waits for the snapshot of its predecessor, before it binds the address itself.
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Maximum length of the path of a Unix socket, in bytes.
+const MAX_SOCKET_PATH_LEN: usize = 99;
+/// The extension of the socket's file name.
+const SOCKET: &str = "takeover";
+/// The extension of a new socket until it replaces the one of an earlier process.
+const NEW_SOCKET: &str = "takeover.new";
+
+/// A path of a socket, which is valid as long as this is not dropped.
+struct SocketPath {
+    path: PathBuf,
+    /// A path that is too long for a socket leads through the descriptor of its folder.
+    _folder: File,
+}
+
+/// The Unix socket at which the processes of a node meet.
+pub struct HandoverSocket {
+    folder: PathBuf,
+    name: String,
+}
+
+impl HandoverSocket {
+    /// The socket of the node of this name, in the folder that its processes share.
+    pub fn new(folder: &Path, name: &str) -> Self {
+        HandoverSocket {
+            folder: folder.to_owned(),
+            name: name.to_owned(),
+        }
+    }
+
+    fn path(&self, extension: &str) -> io::Result<SocketPath> {
+        let folder = File::open(&self.folder)?;
+        let file = format!("reelfall-{}.{extension}", self.name);
+        let direct = self.folder.join(&file);
+        let path = if direct.as_os_str().len() <= MAX_SOCKET_PATH_LEN {
+            direct
+        } else {
+            PathBuf::from(format!("/proc/self/fd/{}", folder.as_raw_fd())).join(file)
+        };
+        Ok(SocketPath {
+            path,
+            _folder: folder,
+        })
+    }
+
+    /// Listens for a successor. The socket of an earlier process is replaced, without a moment in which there is none.
+    ///
+    /// # Errors
+    /// If there can't be a socket in the folder.
+    pub(super) fn listen(&self) -> io::Result<UnixListener> {
+        let (new, current) = (self.path(NEW_SOCKET)?, self.path(SOCKET)?);
+        let _ = std::fs::remove_file(&new.path);
+        let listener = UnixListener::bind(&new.path)?;
+        std::fs::rename(&new.path, &current.path)?;
+        Ok(listener)
+    }
+
+    /// Requests the snapshot of the process that serves; `None` if there is no such process, or it gives none.
+    pub async fn request_snapshot(&self, shared: &Shared) -> Option<Snapshot> {
+        let socket = self.path(SOCKET).ok()?;
+        let log = &shared.log;
+        match timeout(SNAPSHOT_TIMEOUT, Snapshot::request(&socket.path)).await {
+            Ok(Ok(snapshot)) => Some(snapshot),
+            Ok(Err(error)) if has_no_listener(&error) => None,
+            Ok(Err(error)) => {
+                log.write_line(format_args!(
+                    "the process that serves: {error}; binding the address beside it"
+                ));
+                None
+            }
+            Err(_) => {
+                log.write_line(format_args!(
+                    "the process that serves gives nothing; binding the address beside it"
+                ));
+                None
+            }
+        }
+    }
+}
+
+/// Whether an error means that no process listens at the socket.
+fn has_no_listener(error: &ExchangeError) -> bool {
+    let ExchangeError::Stream(error) = error else {
+        return false;
+    };
+    matches!(
+        error.kind(),
+        io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused
+    )
+}
+
+/// The sockets and the learned state that a predecessor has handed over.
+pub struct Snapshot {
+    listeners: Vec<(String, OwnedFd)>,
+    learned: Vec<(String, serde_json::Value)>,
+    exchange: Exchange,
+}
+
+impl Snapshot {
+    async fn request(path: &Path) -> Result<Snapshot, ExchangeError> {
+        let mut exchange = Exchange::new(UnixStream::connect(path).await?)?;
+        let version = PROTOCOL_VERSION;
+        exchange.send(&Frame::Hello { version }, &[]).await?;
+        let received = exchange.receive().await?;
+        let Frame::Snapshot { listeners, learned } = received.frame else {
+            return Err(ExchangeError::Refused);
+        };
+        Ok(Snapshot {
+            listeners: listeners.into_iter().zip(received.descriptors).collect(),
+            learned,
+            exchange,
+        })
+    }
+
+    /// Takes the listening socket of this name out of the snapshot.
+    pub fn listener(&mut self, name: &str) -> Option<OwnedFd> {
+        let index = self
+            .listeners
+            .iter()
+            .position(|(listener, _)| listener == name)?;
+        let (_, socket) = self.listeners.swap_remove(index);
+        Some(socket)
+    }
+
+    /// The learned state of a pool.
+    pub fn learned(&self, pool: &str) -> Option<&serde_json::Value> {
+        let mut pools = self.learned.iter();
+        pools
+            .find(|(name, _)| name == pool)
+            .map(|(_, learned)| learned)
+    }
+
+    /// The exchange with the predecessor, which goes on; what else is left of the snapshot is dropped.
+    pub(super) fn into_exchange(self) -> Exchange {
+        self.exchange
+    }
+}
