--- /dev/null
+++ b/crates/node/src/cli/routes.rs
@@ -0,0 +1,114 @@
+//! The command that looks up the route of a request in a settings file, and explains why it wins over others.
+
+use super::args::RouteArgs;
+use reelfall_config::{Faults, Plan};
+use reelfall_routing::table::{ListenerId, Match, Query};
+use reelfall_routing::target;
+use std::path::PathBuf;
+use thiserror::Error;
+
+/// Why there is no route to print. The text is what the program prints.
+#[derive(Debug, Error)]
+pub enum RouteError {
+    /// The settings file is unusable.
+    #[error(transparent)]
+    Settings(#[from] Faults),
+    /// The file has no such listener.
+    #[error("{file}: there is no listener `{name}`", file = file.display())]
+    UnknownListener {
+        /// The settings file.
+        file: PathBuf,
+        /// The name of the listener.
+        name: String,
+    },
+    /// A node would reject the request.
+    #[error("400: {0}")]
+    InvalidTarget(#[from] target::Fault),
+    /// No route matches the request.
+    #[error("404: no route fits")]
+    NoRoute,
+}
+
+/// Looks up the route of a request, and prints it with the routes that it wins over.
+///
+/// # Errors
+/// If the settings file is unusable, or a node would reject the request.
+pub fn run(args: &RouteArgs) -> Result<(), RouteError> {
+    let plan = reelfall_config::load(&args.file)?;
+    let listener = find_listener(&plan, args)?;
+    let target = target::read(target::Said {
+        path: &args.path,
+        host: Some(args.host.as_bytes()),
+        ..Default::default()
+    })?;
+    let query = Query {
+        listener: ListenerId::try_from(listener).unwrap_or(ListenerId::MAX),
+        host: &target.host,
+        path: target.path,
+        method: &args.method,
+        class: args.class.as_deref(),
+    };
+    let route = plan.table.get(&query).ok_or(RouteError::NoRoute)?;
+    print_candidates(&plan, &query, route);
+    Ok(())
+}
+
+/// The index of the request's listener: the first one if none is named.
+fn find_listener(plan: &Plan, args: &RouteArgs) -> Result<usize, RouteError> {
+    let Some(name) = &args.listener else {
+        return Ok(0);
+    };
+    let mut listeners = plan.model.listeners.iter();
+    let index = listeners.position(|listener| listener.name == *name);
+    index.ok_or_else(|| RouteError::UnknownListener {
+        file: args.file.clone(),
+        name: name.clone(),
+    })
+}
+
+fn print_candidates(plan: &Plan, query: &Query, route: usize) {
+    let mut candidates = plan.candidates(query).into_iter();
+    let winner = candidates.next().unwrap_or(route);
+    println!("{}", describe(plan, winner));
+    for loser in candidates {
+        let reason = match (plan.matches.get(winner), plan.matches.get(loser)) {
+            (Some(winner), Some(loser)) => reason_to_win(winner, loser),
+            _ => "",
+        };
+        println!("  before {}: {reason}", describe(plan, loser));
+    }
+}
+
+/// Describes a route: its service, the class that it assigns, where it is in the file, and what it matches.
+fn describe(plan: &Plan, route: usize) -> String {
+    let goal = plan.goals.get(route);
+    let service = goal.and_then(|goal| plan.model.services.get(goal.service));
+    let class = goal.and_then(|goal| service?.classes.get(usize::from(goal.assign?)));
+    let origin = plan.origin(route).map(ToString::to_string);
+    let matched = plan.matches.get(route).map(ToString::to_string);
+    let name = service.map_or("", |service| &service.name);
+    let class = class.map(|class| format!(" as class {}", class.name));
+    format!(
+        "{name}{class} by {origin} ({matched})",
+        class = class.unwrap_or_default(),
+        origin = origin.unwrap_or_default(),
+        matched = matched.unwrap_or_default(),
+    )
+}
+
+/// The first criterion by which a route is more specific than another.
+fn reason_to_win(winner: &Match, loser: &Match) -> &'static str {
+    let (listener, host, path, method, _) = winner.rank();
+    let (other_listener, other_host, other_path, other_method, _) = loser.rank();
+    if listener != other_listener {
+        "its listener is named"
+    } else if host != other_host {
+        "its host is more special"
+    } else if path != other_path {
+        "its path is longer"
+    } else if method != other_method {
+        "its method is named"
+    } else {
+        "its class is named"
+    }
+}
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -196,9 +196,8 @@
 
     /// How long the event loop sleeps, in seconds.
     fn time_to_deadline(&self) -> Time {
-        (self.deadline() - self.clock.now())
-            .max(MIN_SLEEP)
-            .min(MAX_SLEEP)
+        let sleep = (self.deadline() - self.clock.now()).max(MIN_SLEEP);
+        sleep.min(MAX_SLEEP)
     }
 
     fn deadline(&self) -> Time {
--- a/crates/node/src/operate.rs
+++ b/crates/node/src/operate.rs
@@ -1,37 +1,74 @@
-//! The client of the management address, for the command line.
+//! The client of the management address. Called by the command line.
 
 use reelfall_admin::request::ManagementRequest;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::ExitCode;
 use std::time::Duration;
+use thiserror::Error;
 
 /// Timeout for connecting, writing and reading. Whatever the load, a node answers within a second.
 const TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum number of bytes of an answer that are read.
-const ANSWER_MOST: u64 = 16 << 10;
-/// The exit code if nobody answers, as in `sysexits.h`.
+const MAX_ANSWER_LEN: u64 = 16 << 10;
+/// Maximum number of headers of an answer.
+const MAX_HEADERS: usize = 32;
+/// The exit code if no node answers, as in `sysexits.h`.
 const UNAVAILABLE: u8 = 69;
 
-/// Sends a request and prints the answer. The exit code is 0 for success, 1 for an error, 69 if nobody answers.
+/// Why there is no answer.
+#[derive(Debug, Error)]
+enum SendError {
+    #[error(transparent)]
+    Connection(#[from] io::Error),
+    #[error("what came is no answer of a node")]
+    InvalidAnswer,
+}
+
+/// The answer of a node.
+struct Answer {
+    status: u16,
+    text: String,
+}
+
+impl Answer {
+    fn is_success(&self) -> bool {
+        (200..300).contains(&self.status)
+    }
+
+    fn parse(bytes: &[u8]) -> Result<Answer, SendError> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut response = httparse::Response::new(&mut headers);
+        let Ok(httparse::Status::Complete(head_len)) = response.parse(bytes) else {
+            return Err(SendError::InvalidAnswer);
+        };
+        let body = bytes.get(head_len..).unwrap_or_default();
+        Ok(Answer {
+            status: response.code.ok_or(SendError::InvalidAnswer)?,
+            text: String::from_utf8_lossy(body).into_owned(),
+        })
+    }
+}
+
+/// Sends a request and prints the answer. The exit code is 0 for success, 1 for an error, 69 if no node answers.
 pub fn run(management: SocketAddr, request: &ManagementRequest) -> ExitCode {
     match send(management, request) {
-        Ok((status, text)) if (200..300).contains(&status) => {
-            print!("{text}");
+        Ok(answer) if answer.is_success() => {
+            print!("{}", answer.text);
             ExitCode::SUCCESS
         }
-        Ok((status, text)) => {
+        Ok(Answer { status, text }) => {
             eprint!("{status}: {text}");
             ExitCode::FAILURE
         }
-        Err(e) => {
-            eprintln!("reelfall: {management}: {e}");
+        Err(error) => {
+            eprintln!("reelfall: {management}: {error}");
             ExitCode::from(UNAVAILABLE)
         }
     }
 }
 
-fn send(management: SocketAddr, request: &ManagementRequest) -> io::Result<(u16, String)> {
+fn send(management: SocketAddr, request: &ManagementRequest) -> Result<Answer, SendError> {
     let mut stream = TcpStream::connect_timeout(&management, TIMEOUT)?;
     stream.set_read_timeout(Some(TIMEOUT))?;
     stream.set_write_timeout(Some(TIMEOUT))?;
@@ -40,21 +77,6 @@
         format!("{method} {path} HTTP/1.1\r\nhost: {management}\r\nconnection: close\r\n\r\n");
     stream.write_all(head.as_bytes())?;
     let mut answer = Vec::new();
-    stream.take(ANSWER_MOST).read_to_end(&mut answer)?;
-    let mut headers = [httparse::EMPTY_HEADER; 32];
-    let mut response = httparse::Response::new(&mut headers);
-    let invalid = || {
-        io::Error::new(
-            io::ErrorKind::InvalidData,
-            "what came is no answer of a node",
-        )
-    };
-    match response.parse(&answer) {
-        Ok(httparse::Status::Complete(head_len)) => {
-            let text =
-                String::from_utf8_lossy(answer.get(head_len..).unwrap_or_default()).into_owned();
-            Ok((response.code.ok_or_else(invalid)?, text))
-        }
-        _ => Err(invalid()),
-    }
+    stream.take(MAX_ANSWER_LEN).read_to_end(&mut answer)?;
+    Answer::parse(&answer)
 }
