--- a/crates/admin/src/drain.rs
+++ b/crates/admin/src/drain.rs
@@ -23,7 +23,7 @@
     /// The drain of another process or an earlier run.
     pub fn new(since: Option<Time>) -> Self {
         Drain {
-            since: since.filter(|t| t.is_finite()),
+            since: since.filter(|since| since.is_finite()),
         }
     }
 
--- a/crates/admin/src/request/fleet.rs
+++ b/crates/admin/src/request/fleet.rs
@@ -52,10 +52,8 @@
             Self::Leases => ("GET", "/-/fleet/leases".to_owned()),
             Self::Release { lease, reason } => {
                 let (lease, reason) = (encode_name(lease), encode_name(reason));
-                (
-                    "POST",
-                    format!("/-/fleet/leases/{lease}/release?why={reason}"),
-                )
+                let path = format!("/-/fleet/leases/{lease}/release?why={reason}");
+                ("POST", path)
             }
             Self::Ban {
                 server,
@@ -63,11 +61,10 @@
                 by,
             } => {
                 let (server, by) = (encode_name(server), encode_name(by));
-                let duration = seconds.map_or(String::new(), |s| format!("&for={s}"));
-                (
-                    "POST",
-                    format!("/-/fleet/servers/{server}/ban?by={by}{duration}"),
-                )
+                let duration =
+                    seconds.map_or_else(String::new, |seconds| format!("&for={seconds}"));
+                let path = format!("/-/fleet/servers/{server}/ban?by={by}{duration}");
+                ("POST", path)
             }
             Self::Lift { server, by } => {
                 let (server, by) = (encode_name(server), encode_name(by));
--- a/crates/admin/src/succession.rs
+++ b/crates/admin/src/succession.rs
@@ -24,9 +24,9 @@
 pub struct Predecessor {
     successor: SuccessorPhase,
     /// SIGTERM has come.
-    terminating: bool,
+    is_terminating: bool,
     /// The time in which connections are still accepted after SIGTERM is over.
-    accept_grace_over: bool,
+    is_accept_grace_over: bool,
 }
 
 impl Predecessor {
@@ -37,7 +37,7 @@
     pub fn handle_hello(&mut self, version: u32) -> bool {
         let accepted = version == PROTOCOL_VERSION
             && self.successor == SuccessorPhase::Absent
-            && !self.accept_grace_over;
+            && !self.is_accept_grace_over;
         if accepted {
             self.successor = SuccessorPhase::Preparing;
         }
@@ -58,12 +58,12 @@
 
     /// SIGTERM has come.
     pub fn terminate(&mut self) {
-        self.terminating = true;
+        self.is_terminating = true;
     }
 
     /// The time in which connections are still accepted after SIGTERM is over.
     pub fn end_accept_grace(&mut self) {
-        self.accept_grace_over = self.terminating;
+        self.is_accept_grace_over = self.is_terminating;
     }
 
     /// Whether this process accepts on the listening sockets.
@@ -72,7 +72,7 @@
             SuccessorPhase::Serving => false,
             // Until the successor serves nobody else accepts, however long it takes.
             SuccessorPhase::Preparing => true,
-            SuccessorPhase::Absent => !self.accept_grace_over,
+            SuccessorPhase::Absent => !self.is_accept_grace_over,
         }
     }
 
@@ -93,7 +93,7 @@
     /// It has the sockets of a predecessor that is still there.
     has_predecessor: bool,
     /// It has announced that it serves.
-    serving: bool,
+    is_serving: bool,
 }
 
 impl Successor {
@@ -104,7 +104,7 @@
 
     /// This process can serve.
     pub fn set_ready(&mut self) {
-        self.serving = true;
+        self.is_serving = true;
     }
 
     /// The predecessor is gone.
@@ -114,7 +114,7 @@
 
     /// Whether this process accepts. Not before it can serve if there is a predecessor, which accepts until then.
     pub fn accepts(&self) -> bool {
-        self.serving || !self.has_predecessor
+        self.is_serving || !self.has_predecessor
     }
 
     /// Number of processes that share the node's limits and what it may send to a server that warms up.
--- a/crates/node/src/fleet/admin.rs
+++ b/crates/node/src/fleet/admin.rs
@@ -5,7 +5,7 @@
 use crate::report::Report;
 use hyper::StatusCode;
 use reelfall_admin::request::FleetRequest;
-use reelfall_cluster::entry::{self, Key, ServerInstance, Value};
+use reelfall_cluster::entry::{Key, Report as ServerReport, ServerInstance, Value};
 use reelfall_cluster::fleet::{CondemnedServer, Fleet};
 use reelfall_cluster::table::HeldEntry;
 use reelfall_cluster::Time;
@@ -116,9 +116,9 @@
         for instance in &instances {
             add_instance(&mut report, &fleet, instance, &condemned, now);
         }
-        for (key, held) in fleet.table().live(now) {
+        for (key, entry) in fleet.table().live(now) {
             if matches!(key, Key::Ban { server: banned, .. } if banned == server) {
-                add_ban(&mut report, key, held, now);
+                add_ban(&mut report, key, entry, now);
             }
         }
         report.finish()
@@ -168,19 +168,19 @@
     let mut report = Report::default();
     let banned: Vec<&str> = fleet.banned_servers(now).into_iter().collect();
     report.add(format_args!("out by hand: {}", banned.join(", ")));
-    for (key, held) in fleet.table().live(now) {
-        match (key, &held.value) {
+    for (key, entry) in fleet.table().live(now) {
+        match (key, &entry.value) {
             (Key::Report { server, by }, Value::Report(evidence)) => {
                 report.add(format_args!(
                     "{} since {}: {by} says {}, {:.1} s ago, for {:.1} s",
                     server.name,
                     server.since,
                     describe(evidence),
-                    held.age(now),
-                    held.left(now)
+                    entry.age(now),
+                    entry.left(now)
                 ));
             }
-            (Key::Ban { .. }, _) => add_ban(&mut report, key, held, now),
+            (Key::Ban { .. }, _) => add_ban(&mut report, key, entry, now),
             (Key::Leaving { node, incarnation }, _) => {
                 report.add(format_args!(
                     "{node}, life {}: on its way out",
@@ -193,7 +193,7 @@
                     .map_or("none".to_owned(), |followed| followed.index.to_string());
                 report.add(format_args!(
                     "list {list}: index {} was seen; here {here}",
-                    held.version.n
+                    entry.version.n
                 ));
             }
             (Key::Report { .. }, _) => {}
@@ -202,7 +202,7 @@
     report.finish()
 }
 
-fn describe(report: &entry::Report) -> String {
+fn describe(report: &ServerReport) -> String {
     let zone = if report.zone.is_empty() {
         String::new()
     } else {
@@ -214,9 +214,9 @@
     )
 }
 
-fn add_ban(report: &mut Report, key: &Key, held: &HeldEntry, now: Time) {
+fn add_ban(report: &mut Report, key: &Key, entry: &HeldEntry, now: Time) {
     let Key::Ban { server, id } = key else { return };
-    let (state, by) = match &held.value {
+    let (state, by) = match &entry.value {
         Value::Banned { by } => ("out", by),
         Value::BanLifted { by } => ("lifted", by),
         _ => return,
@@ -225,7 +225,7 @@
         "{server}: {state} by {by}, call {} at {}, {:.0} s ago, for {:.0} s",
         id.number,
         id.node,
-        held.age(now),
-        held.left(now)
+        entry.age(now),
+        entry.left(now)
     ));
 }
--- a/crates/node/src/lease/dispatch.rs
+++ b/crates/node/src/lease/dispatch.rs
@@ -12,6 +12,7 @@
 use reelfall_lease::message::{ClientId, Message, Request, Response};
 use reelfall_lease::token::LeaseName;
 use reelfall_lease::Micros;
+use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
@@ -27,14 +28,13 @@
             return Ok(None);
         };
         let disk = Disk::start(folder, events).map_err(LeaseError::StorageThread)?;
-        let (keeper, opening, last_status, dropped_requests) = Default::default();
         Ok(Some(LocalKeeper {
             place,
             disk,
-            keeper,
-            opening,
-            last_status,
-            dropped_requests,
+            keeper: RefCell::default(),
+            opening: Cell::default(),
+            last_status: RefCell::default(),
+            dropped_requests: Cell::default(),
         }))
     }
 }
@@ -54,25 +54,21 @@
         let Some(message) = body.strip_prefix(&self.group_id).and_then(Message::decode) else {
             return;
         };
-        let place = || self.keepers.iter().position(|name| *name == from.name);
-        match message {
-            Message::Request(request) => {
+        let place = self.keepers.iter().position(|name| *name == from.name);
+        match (message, place) {
+            (Message::Request(request), _) => {
                 let client = ClientId {
                     name: from.name.clone(),
                     tag: from.incarnation.tag,
                 };
                 self.with_keeper(|keeper, now| keeper.handle_request(now, &client, request));
             }
-            Message::Peer(message) => {
-                if let Some(place) = place() {
-                    self.with_keeper(|keeper, now| keeper.handle_peer_message(now, place, message));
-                }
-            }
-            Message::Response(response) => {
-                if let Some(place) = place() {
-                    self.handle_response(place, response);
-                }
+            (Message::Peer(message), Some(place)) => {
+                self.with_keeper(|keeper, now| keeper.handle_peer_message(now, place, message));
             }
+            (Message::Response(response), Some(place)) => self.handle_response(place, response),
+            // The sender is no keeper.
+            (Message::Peer(_) | Message::Response(_), None) => {}
         }
         self.process_effects();
         self.wake.notify_one();
--- a/crates/node/src/net/operations.rs
+++ b/crates/node/src/net/operations.rs
@@ -1,4 +1,5 @@
-//! A GraphQL service's settings, and what they make of a request: the operations that go to servers.
+//! A GraphQL service's settings, and the requests to servers that the operations of a client's request become. Called by
+//! [`super::graphql`].
 
 use super::message::Waiter;
 use bytes::Bytes;
@@ -15,41 +16,56 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// How a service takes GraphQL.
+/// The settings of a GraphQL service.
 pub struct GraphQl {
+    /// The class of an operation.
     pub classes: Classes,
+    /// The limits of a document.
     pub limits: Limits,
-    /// What a field is as work, in seconds on a standard core.
+    /// The work that a field costs, in seconds on a standard core.
     pub field_work: Time,
-    /// How many reads of a batch run at once.
+    /// Maximum number of reads of a batch that run at once.
     pub side_by_side: usize,
-    /// Documents known by their hash; they outlive a reload.
+    /// The cache of documents by their hash; it outlives a reload.
     pub persisted: Rc<RefCell<Persisted>>,
 }
 
-/// One operation, ready to be sent.
+/// An operation with its request to a server.
 pub struct Ready {
+    /// The class of the operation.
     pub class: ClassId,
+    /// The operation.
     pub operation: Rc<Operation>,
+    /// The method of the request.
     pub method: Method,
+    /// The path of the request with its query.
     pub path: PathAndQuery,
+    /// The body of the request.
     pub body: Bytes,
 }
 
-/// What all entries of a request have from its head.
+/// The head of a client's request, which all entries of a batch have in common.
 pub struct Head {
+    /// The headers.
     pub headers: HeaderMap,
+    /// The path with its query.
     pub path: PathAndQuery,
+    /// The method is GET.
     pub get: bool,
-    /// The client waits so long, if it says so.
+    /// How long the client waits for the answer, in seconds, if it says so.
     pub left: Option<Time>,
+    /// When the request was received.
     pub taken: Instant,
-    /// Who waits for the answer.
+    /// The receiver of the answer.
     pub waiter: Rc<dyn Waiter>,
 }
 
 impl GraphQl {
-    /// Finds what a request runs and how it goes to a server. `raw` is its text, where it came as a body.
+    /// Resolves the operation that a client requests, and builds the request to a server. `raw` is the body of the client's
+    /// request, if that has one.
+    ///
+    /// # Errors
+    /// If the operation can't be resolved, or may not be run.
     pub fn ready(&self, params: &Params, raw: Option<Bytes>, head: &Head) -> Result<Ready, Fault> {
         let hash = params.persisted()?;
         let text = self
@@ -68,31 +84,55 @@
             self.persisted.borrow_mut().keep(&text, &self.limits);
         }
         let class = self.classes.of(&operation);
-        let operation = Rc::new(operation);
-        let path = head.path.clone();
-        // As it came, unless the server would have to know a hash that was told to this node.
-        let (method, path, body) = match (params.query.is_some(), raw) {
-            (true, Some(raw)) => (Method::POST, path, raw),
-            (true, None) => (Method::GET, path, Bytes::new()),
-            (false, _) => {
-                let path = path
-                    .path()
-                    .parse()
-                    .map_err(|_| Fault::new(FaultKind::Request, "no path"))?;
-                (Method::POST, path, written(&text, params))
-            }
-        };
+        let request = ServerRequest::build(params, &text, raw, &head.path)?;
         Ok(Ready {
             class,
-            operation,
-            method,
-            path,
-            body,
+            operation: Rc::new(operation),
+            method: request.method,
+            path: request.path,
+            body: request.body,
         })
     }
 }
 
-fn written(text: &str, params: &Params) -> Bytes {
+/// The request to a server.
+struct ServerRequest {
+    method: Method,
+    path: PathAndQuery,
+    body: Bytes,
+}
+
+impl ServerRequest {
+    /// The client's request as it is if that has the document; otherwise one with the document, as the server need not know
+    /// its hash.
+    fn build(
+        params: &Params,
+        text: &str,
+        raw: Option<Bytes>,
+        path: &PathAndQuery,
+    ) -> Result<ServerRequest, Fault> {
+        if params.query.is_none() {
+            let path = path.path().parse();
+            return Ok(ServerRequest {
+                method: Method::POST,
+                path: path.map_err(|_| Fault::new(FaultKind::Request, "no path"))?,
+                body: encode_body(text, params),
+            });
+        }
+        Ok(ServerRequest {
+            method: if raw.is_some() {
+                Method::POST
+            } else {
+                Method::GET
+            },
+            path: path.clone(),
+            body: raw.unwrap_or_default(),
+        })
+    }
+}
+
+/// The body of a request for a document, as JSON.
+fn encode_body(text: &str, params: &Params) -> Bytes {
     let mut body = json!({ "query": text, "variables": params.variables });
     if let (Some(name), Some(body)) = (&params.operation_name, body.as_object_mut()) {
         body.insert("operationName".to_owned(), Value::String(name.clone()));
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -12,6 +12,7 @@
 use crate::net::service::{Discovery, Routing, Service};
 use crate::net::shared::Shared;
 use crate::net::takeover::{HandoverSocket, Snapshot, Takeover};
+use crate::net::task::AbortOnDrop;
 use crate::net::{discovery, source, Bounds};
 use crate::process::{self, BoxError, ProcessError, Signals};
 use config::{Config, ConfigError};
@@ -65,43 +66,29 @@
         mut terminate,
         hangup,
     } = Signals::listen()?;
-    let identity = Identity::read(&config)?;
-    let settings = PoolSettings::parse(&config)?;
-    let shared = Shared::alone(identity.bounds);
-    let snapshot = identity.request_snapshot(&shared).await;
-    let pool = settings.build_pool(identity.seed, &shared)?;
+    let settings = StartSettings::read(&config)?;
+    let pool_settings = PoolSettings::parse(&config)?;
+    let shared = Shared::alone(settings.bounds);
+    let snapshot = settings.request_snapshot(&shared).await;
+    let pool = pool_settings.build_pool(settings.seed, &shared)?;
     let known_index = apply_known_list(&pool, &config.known)?;
-    let inherited = Inherited::take_over(snapshot, &pool, config.listen, identity.bounds)?;
-    shared.shrink(identity.bounds, inherited.initial_bounds);
+    let inherited = Inherited::take_over(snapshot, &pool, config.listen, settings.bounds)?;
+    let (snapshot, initial_bounds) = (inherited.snapshot, inherited.initial_bounds);
+    shared.shrink(settings.bounds, initial_bounds);
 
     let (discovery_address, address_updates) = watch::channel(config.discovery);
-    let list = Discovery {
-        address: address_updates,
-        known: known_index,
-        list: String::new(),
-    };
-    let follow = source::follow(&pool, list);
+    let follow = follow_list(&pool, address_updates, known_index);
     tokio::task::spawn_local(reload::run(shared.clone(), hangup, discovery_address));
     spawn_ticks(&shared);
-    let takeover = identity.build_takeover(&shared, &pool, inherited.snapshot.is_some());
-    identity.spawn_management(&shared, &takeover);
+    let takeover = settings.build_takeover(&shared, &pool, snapshot.is_some());
+    settings.spawn_management(&shared, &takeover);
     let service = Service::alone(pool.clone(), follow);
-    let Inherited {
-        snapshot,
-        listening,
-        initial_bounds,
-    } = inherited;
-    let front = Front::new(
-        shared.clone(),
-        Routing::Alone(service),
-        initial_bounds.clients,
-        identity.seed,
-    );
+    let front = settings.build_front(&shared, service, initial_bounds);
     tokio::task::spawn_local(front.clone().close_idle_while_draining());
     front.set_handover_state(&takeover);
-    front.listen(vec![listening]);
+    front.listen(vec![inherited.listening]);
     if snapshot.is_some() {
-        spawn_limit_restore(shared, &takeover, &front, initial_bounds, identity.bounds);
+        spawn_limit_restore(shared, &takeover, &front, initial_bounds, settings.bounds);
     }
     spawn_takeover(takeover, &front, pool, snapshot);
     let stop = async {
@@ -111,8 +98,8 @@
     Ok(())
 }
 
-/// What distinguishes this node from others: its name, its addresses and its limits.
-struct Identity {
+/// The settings of the process, which hold from its start to its end.
+struct StartSettings {
     /// The name as it is in file names.
     name: String,
     /// The folder that the processes of the node share.
@@ -122,9 +109,9 @@
     bounds: Bounds,
 }
 
-impl Identity {
-    fn read(config: &Config) -> Result<Identity, ConfigError> {
-        Ok(Identity {
+impl StartSettings {
+    fn read(config: &Config) -> Result<StartSettings, ConfigError> {
+        Ok(StartSettings {
             management: config.management_address()?,
             name: process::file_name_of(&config.name),
             folder: std::env::var_os("TMPDIR").map(PathBuf::from),
@@ -155,6 +142,11 @@
         Takeover::new(shared.clone(), socket, has_predecessor, collect_learned)
     }
 
+    fn build_front(&self, shared: &Rc<Shared>, service: Rc<Service>, bounds: Bounds) -> Rc<Front> {
+        let routing = Routing::Alone(service);
+        Front::new(shared.clone(), routing, bounds.clients, self.seed)
+    }
+
     /// Spawns the tasks that serve the management address, if there is one, and follow the ledger.
     fn spawn_management(&self, shared: &Rc<Shared>, takeover: &Rc<Takeover>) {
         let takeover = takeover.clone();
@@ -204,7 +196,21 @@
     if known.is_null() {
         return Ok(0);
     }
-    discovery::apply_list(pool, known, true).map_err(|e| PlatformError::KnownList(e.into()))
+    discovery::apply_list(pool, known, true).map_err(|error| PlatformError::KnownList(error.into()))
+}
+
+/// Spawns the task that follows the endpoint list of the discovery service.
+fn follow_list(
+    pool: &Rc<Pool>,
+    address: watch::Receiver<SocketAddr>,
+    known_index: u64,
+) -> AbortOnDrop {
+    let list = Discovery {
+        address,
+        known: known_index,
+        list: String::new(),
+    };
+    source::follow(pool, list)
 }
 
 /// What the process takes over from its predecessor, or has of its own without one.
@@ -223,11 +229,17 @@
         address: SocketAddr,
         bounds: Bounds,
     ) -> Result<Inherited, PlatformError> {
-        if let Some(learned) = snapshot.as_ref().and_then(|s| s.learned(POOL)) {
+        if let Some(learned) = snapshot
+            .as_ref()
+            .and_then(|snapshot| snapshot.learned(POOL))
+        {
             pool.restore_learned(learned);
         }
-        let socket = snapshot.as_mut().and_then(|s| s.listener(LISTENER));
-        let inherited = socket.and_then(|s| Listening::from_descriptor(LISTENER, address, s).ok());
+        let socket = snapshot
+            .as_mut()
+            .and_then(|snapshot| snapshot.listener(LISTENER));
+        let inherited =
+            socket.and_then(|socket| Listening::from_descriptor(LISTENER, address, socket).ok());
         if let Some(listening) = inherited {
             return Ok(Inherited {
                 snapshot,
@@ -238,7 +250,7 @@
         // A predecessor goes on with its own sockets and clients, and this process has its own.
         drop(snapshot);
         let listening = Listening::bind(LISTENER, address, bounds.clients, true)
-            .map_err(|e| PlatformError::Listener(e.into()))?;
+            .map_err(|error| PlatformError::Listener(error.into()))?;
         Ok(Inherited {
             snapshot: None,
             listening,
--- a/crates/node/src/standalone/node.rs
+++ b/crates/node/src/standalone/node.rs
@@ -135,7 +135,9 @@
         let mut listening = Vec::with_capacity(prepared.plan.model.listeners.len());
         for listener in &prepared.plan.model.listeners {
             let (name, address) = (&listener.name, listener.address);
-            let open = front.as_ref().and_then(|f| f.listener(name, address));
+            let open = front
+                .as_ref()
+                .and_then(|front| front.listener(name, address));
             let opened = match open {
                 Some(open) => Ok(open),
                 None => Listening::bind(name, address, prepared.plan.clients, false),
--- a/crates/node/src/standalone/reload.rs
+++ b/crates/node/src/standalone/reload.rs
@@ -126,7 +126,7 @@
 fn read_settled(path: &Path) -> io::Result<String> {
     let mut previous = None;
     for _ in 0..MAX_SETTLE_ATTEMPTS {
-        let current = std::fs::read(path).map_err(|e| (e.kind(), e.to_string()));
+        let current = std::fs::read(path).map_err(|error| (error.kind(), error.to_string()));
         match (current, previous) {
             (Ok(text), Some(Ok(previous))) if text == previous => {
                 return String::from_utf8(text)
