--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -6,33 +6,32 @@
 //! | `admin` | management requests that concern the fleet |
 //! | `clock` | the time that the fleet runs by |
 //! | `events` | the effects of the fleet's events on the pools and the log |
+//! | `observer` | what the pools report to the fleet |
+//! | `open` | the socket and the key, as the node starts |
 
 mod admin;
 mod clock;
 mod events;
+mod observer;
+mod open;
 
-use crate::net::shared::{Condemnation, FleetObserver, PoolId, Shared};
+pub use open::FleetError;
+
+use crate::net::shared::{Condemnation, PoolId, Shared};
 use crate::net::Log;
-use crate::process::BoxError;
 use clock::Clock;
 use events::{ListLag, LoggedDropped, CONDEMN_INTERVAL};
 use reelfall_cluster::entry::ServerInstance;
 use reelfall_cluster::fleet::Fleet;
 use reelfall_cluster::node::Node;
-use reelfall_cluster::observer::AttemptOutcome;
-use reelfall_cluster::wire::{Secret, MAX_DATAGRAM_LEN};
+use reelfall_cluster::wire::MAX_DATAGRAM_LEN;
 use reelfall_cluster::Time;
-use reelfall_config::model;
 use std::cell::{Cell, RefCell};
-use std::collections::hash_map::RandomState;
 use std::collections::BTreeMap;
-use std::hash::BuildHasher;
 use std::io;
 use std::net::SocketAddr;
-use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use thiserror::Error;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
@@ -49,35 +48,6 @@
 /// Length of a receive buffer: one byte more than any datagram of the fleet, so that one that is too long is noticed.
 const RECEIVE_BUFFER_LEN: usize = MAX_DATAGRAM_LEN + 1;
 
-/// Why the node can't take part in its fleet.
-#[derive(Debug, Error)]
-pub enum FleetError {
-    /// The key file can't be read.
-    #[error("{path}: {source}", path = path.display())]
-    UnreadableKey {
-        /// The path of the key file.
-        path: PathBuf,
-        /// The error of the file system.
-        source: io::Error,
-    },
-    /// The key file has no usable key.
-    #[error("{path}: {source}", path = path.display())]
-    InvalidKey {
-        /// The path of the key file.
-        path: PathBuf,
-        /// What is wrong with the key.
-        source: BoxError,
-    },
-    /// The socket can't be opened.
-    #[error("fleet: {address}: {source}")]
-    Socket {
-        /// The address to bind.
-        address: SocketAddr,
-        /// The error of the system.
-        source: io::Error,
-    },
-}
-
 /// The receiver of an application message.
 pub enum Recipient {
     /// The node of this name, whichever incarnation of it.
@@ -122,53 +92,6 @@
 }
 
 impl FleetRuntime {
-    /// Opens the socket and reads the key. No datagram is sent yet.
-    ///
-    /// # Errors
-    /// If the key can't be read or the address can't be bound.
-    pub fn open(
-        shared: &Rc<Shared>,
-        settings: &model::Fleet,
-    ) -> Result<Rc<FleetRuntime>, FleetError> {
-        let secret = read_secret(settings)?;
-        let to_error = |source| FleetError::Socket {
-            address: settings.listen,
-            source,
-        };
-        let socket = bind(settings.listen).map_err(to_error)?;
-        let address = settings.advertise.map_or_else(|| socket.local_addr(), Ok);
-        let address = address.map_err(to_error)?;
-        let random = |what: &str| RandomState::new().hash_one((what, std::process::id()));
-        let clock = Clock::start();
-        let (tag, seed) = (random("tag") | 1, random("seed"));
-        let config = settings.rules.clone();
-        let fleet = Fleet::new(
-            &settings.node,
-            address,
-            tag,
-            config,
-            secret,
-            seed,
-            clock.now(),
-        );
-        Ok(Rc::new(FleetRuntime {
-            fleet: RefCell::new(fleet),
-            shared: shared.clone(),
-            socket,
-            clock,
-            ban_log: Log::default(),
-            condemned_log: Log::default(),
-            wake: Notify::new(),
-            condemned: RefCell::default(),
-            lists: RefCell::default(),
-            next_condemn: Cell::new(0.0),
-            next_overdue: Cell::new(0.0),
-            message_handler: RefCell::default(),
-            unsent: Cell::new(0),
-            logged_dropped: Cell::default(),
-        }))
-    }
-
     /// The address that datagrams are received at.
     pub fn address(&self) -> Option<SocketAddr> {
         self.socket.local_addr().ok()
@@ -308,47 +231,3 @@
         self.send_datagrams();
     }
 }
-
-fn bind(address: SocketAddr) -> io::Result<UdpSocket> {
-    let socket = std::net::UdpSocket::bind(address)?;
-    socket.set_nonblocking(true)?;
-    UdpSocket::from_std(socket)
-}
-
-fn read_secret(settings: &model::Fleet) -> Result<Secret, FleetError> {
-    let path = || settings.key_file.clone();
-    let key = std::fs::read(&settings.key_file).map_err(|source| FleetError::UnreadableKey {
-        path: path(),
-        source,
-    })?;
-    Secret::new(&key, &settings.name).map_err(|error| FleetError::InvalidKey {
-        path: path(),
-        source: error.into(),
-    })
-}
-
-impl FleetObserver for FleetRuntime {
-    fn attempt_ended(&self, server: ServerInstance, outcome: AttemptOutcome) {
-        self.fleet
-            .borrow_mut()
-            .record_outcome(self.clock.now(), &server, outcome);
-    }
-
-    fn list_updated(&self, list: &str, pool: PoolId, index: u64) {
-        let now = self.clock.now();
-        let followed = FollowedList {
-            pool,
-            index,
-            lag: ListLag::None,
-        };
-        self.lists.borrow_mut().insert(list.to_owned(), followed);
-        self.fleet.borrow_mut().publish_list_index(now, list, index);
-    }
-
-    fn list_dropped(&self, list: &str, pool: PoolId) {
-        // After a reload, another pool may follow a list of the same name already.
-        self.lists
-            .borrow_mut()
-            .retain(|name, followed| name != list || followed.pool != pool);
-    }
-}
--- a/crates/node/src/lease/dispatch.rs
+++ b/crates/node/src/lease/dispatch.rs
@@ -51,7 +51,7 @@
     }
 
     fn handle_message(&self, from: &Node, body: &[u8]) {
-        let Some(message) = body.strip_prefix(&self.group_id).and_then(Message::decode) else {
+        let Some(message) = self.group_id.strip_from(body).and_then(Message::decode) else {
             return;
         };
         let place = self.keepers.iter().position(|name| *name == from.name);
@@ -90,7 +90,7 @@
     }
 
     fn handle_response(&self, place: usize, response: Response) {
-        let (now, random) = (self.now(), self.next_random());
+        let (now, random) = (self.now(), self.random.next());
         if let Some(local) = self.local_leases.borrow_mut().get_mut(response.lease()) {
             local.lease.handle_response(now, place, response, random);
         }
@@ -170,7 +170,7 @@
     fn encode(&self, message: &Message) -> Option<Vec<u8>> {
         message
             .encode()
-            .map(|bytes| [self.group_id.as_slice(), &bytes].concat())
+            .map(|bytes| self.group_id.prepend_to(&bytes))
     }
 
     fn send_all(&self, messages: Outbox) {
@@ -239,7 +239,7 @@
             max_length: self.max_length,
             ..keeper::Config::default()
         };
-        let (tag, now) = (self.random_tag(), self.now());
+        let (tag, now) = (self.random.storage_tag(), self.now());
         Keeper::open(place, self.keepers.len(), config, state, tag, now)
     }
 
--- a/crates/node/src/lease/mod.rs
+++ b/crates/node/src/lease/mod.rs
@@ -7,30 +7,34 @@
 //! | `call` | the periodic calls of a lease's holder |
 //! | `disk` | the thread that writes a keeper's storage folder |
 //! | `dispatch` | messages and disk events to the state machines, and their effects back |
+//! | `group` | the identifier of the nodes that share leases |
+//! | `random` | random numbers |
+//! | `start` | the start of all this |
 
 mod admin;
 mod call;
 mod disk;
 mod dispatch;
+mod group;
+mod random;
+mod start;
+
+pub use start::LeaseError;
 
 use crate::fleet::FleetRuntime;
 use crate::net::Log;
 use disk::{Disk, DiskEvent};
-use reelfall_config::model;
-use reelfall_lease::clock::Margins;
+use group::GroupId;
+use random::RandomNumbers;
 use reelfall_lease::holder::{Config, Lease};
 use reelfall_lease::keeper::Keeper;
 use reelfall_lease::message::{ClientId, Message};
-use reelfall_lease::token::{InvalidLeaseName, LeaseName, Operation};
+use reelfall_lease::token::{LeaseName, Operation};
 use reelfall_lease::Micros;
 use std::cell::{Cell, RefCell};
-use std::collections::hash_map::RandomState;
 use std::collections::{BTreeMap, VecDeque};
-use std::hash::BuildHasher;
-use std::io;
 use std::rc::Rc;
 use std::time::Duration;
-use thiserror::Error;
 use tokio::sync::{mpsc, Notify};
 
 /// A lease that was released for a while is acquired again after so many times its length.
@@ -41,47 +45,6 @@
 const MAX_SLEEP: Micros = 1_000_000;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Parts per million in a whole.
-const PPM: f64 = 1e6;
-
-/// Length of a group identifier, in bytes.
-const GROUP_ID_LEN: usize = 8;
-
-/// Why the leases can't be started.
-#[derive(Debug, Error)]
-pub enum LeaseError {
-    /// The thread of the keeper's storage can't be started.
-    #[error("leases: {0}")]
-    StorageThread(#[source] io::Error),
-    /// A call has no valid lease name.
-    #[error("leases: call `{name}`: {source}")]
-    InvalidCallName {
-        /// The name of the call.
-        name: String,
-        /// What is wrong with it.
-        source: InvalidLeaseName,
-    },
-}
-
-/// The identifier of all nodes with the same keepers in the same order.
-///
-/// Majorities of two different lists of keepers need not intersect, so each could have a holder of its own. With this
-/// identifier in each message, a node counts in the group of its own list alone.
-fn group_id(keepers: &[String]) -> [u8; GROUP_ID_LEN] {
-    let mut hasher = blake3::Hasher::new();
-    for name in keepers {
-        hasher
-            .update(&(name.len() as u64).to_le_bytes())
-            .update(name.as_bytes());
-    }
-    hasher
-        .finalize()
-        .as_bytes()
-        .first_chunk()
-        .copied()
-        .unwrap_or_default()
-}
-
 /// The keeper on this node, and its storage.
 struct LocalKeeper {
     /// Its place in the list of keepers.
@@ -108,8 +71,7 @@
 pub struct Leases {
     fleet: Rc<FleetRuntime>,
     keepers: Vec<String>,
-    /// The first bytes of each message.
-    group_id: [u8; GROUP_ID_LEN],
+    group_id: GroupId,
     config: Config,
     max_length: Micros,
     local_keeper: Option<LocalKeeper>,
@@ -120,90 +82,15 @@
     wake: Notify,
     /// A lease was acquired, released or lost.
     changed: Notify,
-    random: RandomState,
-    /// Number of random numbers so far.
-    random_count: Cell<u64>,
+    random: RandomNumbers,
     log: Log,
 }
 
 impl Leases {
-    /// Starts the leases, and the keeper with its storage if this node is one.
-    ///
-    /// # Errors
-    /// If the storage thread can't be started, or a call has no valid name. A folder that can't be used now is no error: it
-    /// is opened again later.
-    pub fn start(
-        fleet: &Rc<FleetRuntime>,
-        fleet_settings: &model::Fleet,
-        settings: &model::Leases,
-    ) -> Result<Rc<Leases>, LeaseError> {
-        let (sender, disk_events) = mpsc::unbounded_channel();
-        let local_keeper = LocalKeeper::start(&fleet_settings.node, settings, sender)?;
-        let leases = Rc::new(Leases::new(fleet, settings, local_keeper));
-        leases.receive_messages();
-        tokio::task::spawn_local(leases.clone().run(disk_events));
-        for call in &settings.calls {
-            leases.start_call(call)?;
-        }
-        Ok(leases)
-    }
-
-    fn new(
-        fleet: &Rc<FleetRuntime>,
-        settings: &model::Leases,
-        local_keeper: Option<LocalKeeper>,
-    ) -> Leases {
-        let margins = Margins {
-            drift_ppm: (settings.drift * PPM).ceil() as u32,
-        };
-        let length = (settings.duration * MICROS_PER_SECOND) as Micros;
-        Leases {
-            fleet: fleet.clone(),
-            keepers: settings.keepers.clone(),
-            group_id: group_id(&settings.keepers),
-            config: Config {
-                margins,
-                ..Config::new(settings.keepers.len(), length)
-            },
-            max_length: length,
-            local_keeper,
-            local_leases: RefCell::default(),
-            loopback: RefCell::default(),
-            wake: Notify::new(),
-            changed: Notify::new(),
-            random: RandomState::new(),
-            random_count: Cell::new(0),
-            log: Log::default(),
-        }
-    }
-
-    /// Acquires the lease of a call, and starts the task that calls while it is held.
-    fn start_call(self: &Rc<Self>, call: &model::Call) -> Result<(), LeaseError> {
-        let name = LeaseName::try_from(call.name.clone());
-        let name = name.map_err(|source| LeaseError::InvalidCallName {
-            name: call.name.clone(),
-            source,
-        })?;
-        self.acquire(&name);
-        tokio::task::spawn_local(call::run(self.clone(), name, call.clone()));
-        Ok(())
-    }
-
     fn now(&self) -> Micros {
         self.fleet.micros()
     }
 
-    /// A new random number, uniform over all values.
-    fn next_random(&self) -> u32 {
-        self.random_count.set(self.random_count.get() + 1);
-        self.random.hash_one(self.random_count.get()) as u32
-    }
-
-    /// A random tag for a new storage folder.
-    fn random_tag(&self) -> u64 {
-        self.random.hash_one("storage") | 1
-    }
-
     fn client_id(&self) -> ClientId {
         let me = self.fleet.me();
         ClientId {
@@ -245,7 +132,7 @@
                 local.lease.acquire(now);
             }
             if local.lease.deadline().is_some_and(|due| due <= now) {
-                local.lease.tick(now, self.next_random());
+                local.lease.tick(now, self.random.next());
             }
         }
         if let Some(local) = &self.local_keeper {
--- /dev/null
+++ b/crates/node/src/lease/random.rs
@@ -0,0 +1,26 @@
+//! Random numbers for the leases.
+
+use std::cell::Cell;
+use std::collections::hash_map::RandomState;
+use std::hash::BuildHasher;
+
+/// A source of random numbers, seeded by the operating system.
+#[derive(Default)]
+pub struct RandomNumbers {
+    state: RandomState,
+    /// How many numbers there were.
+    count: Cell<u64>,
+}
+
+impl RandomNumbers {
+    /// A new number, uniform over all values.
+    pub fn next(&self) -> u32 {
+        self.count.set(self.count.get() + 1);
+        self.state.hash_one(self.count.get()) as u32
+    }
+
+    /// The tag of a new storage folder: the same at each call, and never 0.
+    pub fn storage_tag(&self) -> u64 {
+        self.state.hash_one("storage") | 1
+    }
+}
