--- a/crates/node/src/net/client.rs
+++ b/crates/node/src/net/client.rs
@@ -174,7 +174,7 @@
 impl Waiter for Client {
     /// Guards against attempts for clients that have gone, which nobody waits for: while the processor is short, an end
     /// that has come may wait long to be read. Harm: one look at the socket for what has waited for `LOOK_AGAIN`.
-    fn has_left(&self) -> bool {
+    fn has_disconnected(&self) -> bool {
         if !self.disconnected.get() && self.last_checked.get().elapsed() >= LOOK_AGAIN {
             self.check_disconnect();
         }
--- a/crates/node/src/net/front/request.rs
+++ b/crates/node/src/net/front/request.rs
@@ -251,7 +251,7 @@
             Ok(request) => request,
             Err((status, text)) => return plain(status, text),
         };
-        if client.has_left() {
+        if client.has_disconnected() {
             return plain(StatusCode::BAD_REQUEST, LEFT);
         }
         let deadline = arrival.deadline;
--- a/crates/node/src/net/front/translate.rs
+++ b/crates/node/src/net/front/translate.rs
@@ -121,7 +121,7 @@
         let due = Instant::now() + flows.map_or(left, |_| FLOW_WITHIN);
         let arrival = Arrival {
             class,
-            flows,
+            time_after_upload: flows,
             ..self.arrival(pool, &headers, due)
         };
         let path = uri.into_parts().path_and_query.ok_or(bad("no path\n"))?;
@@ -136,9 +136,9 @@
             path,
             headers,
             body,
-            _held: held.map(Rc::new),
-            _id: id,
-            _admitted: admitted,
+            _body_memory: held.map(Rc::new),
+            _id_claim: id,
+            _admission: admitted,
             validator: None,
             waiter,
         };
@@ -156,16 +156,16 @@
         Arrival {
             class: ClassId::MAX,
             tenant: text(&ACCOUNT).and_then(|name| pool.names.borrow().tenant(name)),
-            hint: text(&WEIGHT_HINT)
+            work_hint: text(&WEIGHT_HINT)
                 .and_then(|t| t.trim().parse::<f64>().ok())
                 .map(|us| us / 1e6),
-            key: headers
+            affinity_key: headers
                 .get_all(header::COOKIE)
                 .iter()
                 .find_map(routing_key)
                 .map(stable_hash),
             deadline,
-            flows: None,
+            time_after_upload: None,
         }
     }
 
--- a/crates/node/src/net/graphql.rs
+++ b/crates/node/src/net/graphql.rs
@@ -116,7 +116,7 @@
             Err(response) => return response,
         };
         client.set_phase(Phase::AwaitingAnswer);
-        if client.has_left() {
+        if client.has_disconnected() {
             return text(400, Media::Json, Bytes::new());
         }
         let taken = Instant::now();
@@ -219,7 +219,7 @@
         let hint = graphql.field_work * ready.operation.cost as f64;
         let arrival = Arrival {
             class: ready.class,
-            hint: Some(hint),
+            work_hint: Some(hint),
             ..self.arrival(pool, &headers, due)
         };
         super::front::strip_hop_by_hop(&mut headers);
@@ -245,9 +245,9 @@
             path,
             headers,
             body,
-            _held: held,
-            _id: id,
-            _admitted: admitted,
+            _body_memory: held,
+            _id_claim: id,
+            _admission: admitted,
             validator,
             waiter,
         };
--- a/crates/node/src/net/pool.rs
+++ b/crates/node/src/net/pool.rs
@@ -16,7 +16,7 @@
 use super::answer::{Answer, Reply};
 use super::message::{Arrival, Message};
 use super::shared::{Peer, PoolId, Shared};
-use super::upstream::{self, Times, Upstream};
+use super::upstream::{self, AttemptDeadlines, ConnectionPool};
 use super::SeededRng;
 use list::ServerList;
 use reelfall_balancer::engine::{self, Command, Engine};
@@ -66,7 +66,7 @@
     /// Cold servers that this pool may not send to until then.
     withheld: RefCell<HashMap<SocketAddr, Time>>,
     pub classes: Vec<Class>,
-    pub upstream: Upstream,
+    pub upstream: ConnectionPool,
     pub connection_settings: ConnectionSettings,
     /// The module asks for a watch.
     pub watch: Notify,
@@ -103,7 +103,8 @@
         let warm_after = settings.rules.slow_start_duration;
         let module = Balancer::new(settings, seed, shared.clock.now())?;
         let listed = shared.listed_by_pool();
-        let upstream = Upstream::new(shared.clone(), member, conn_idle, figures.connect_timeout);
+        let upstream =
+            ConnectionPool::new(shared.clone(), member, conn_idle, figures.connect_timeout);
         let pool = Rc::new(Pool {
             id: shared.next_pool_id(),
             engine: RefCell::new(Engine::new(module, &classes, max_attempts)),
@@ -191,20 +192,20 @@
         let Arrival {
             class,
             tenant,
-            hint,
-            key,
+            work_hint,
+            affinity_key,
             deadline,
-            flows,
+            time_after_upload,
         } = a;
         let deadline = self.shared.clock.time(deadline);
-        let flows = flows.map(|flows| flows.as_secs_f64());
+        let time_after_upload = time_after_upload.map(|time| time.as_secs_f64());
         let arrival = engine::Arrival {
             class,
             tenant,
-            work_hint: hint,
-            key,
+            work_hint,
+            key: affinity_key,
             deadline,
-            time_after_upload: flows,
+            time_after_upload,
         };
         let ticket = Ticket {
             message: Rc::new(message),
@@ -252,11 +253,11 @@
                 };
                 let (pool, message) = (self.clone(), ticket.message.clone());
                 let clock = &self.shared.clock;
-                let times = Times {
-                    starts_by: clock.instant(starts_by),
-                    expires: clock.instant(expires),
+                let times = AttemptDeadlines {
+                    send_by: clock.instant(starts_by),
+                    answer_by: clock.instant(expires),
                 };
-                let run = upstream::attempt(pool, request, attempt, server, message, times);
+                let run = upstream::run_attempt(pool, request, attempt, server, message, times);
                 ticket.task = Some(tokio::task::spawn_local(run).abort_handle());
             }
             Command::CancelAttempt { request, .. } => {
@@ -283,14 +284,14 @@
                     }
                 });
             }
-            Command::CloseConnections { server } => self.upstream.forget(server),
+            Command::CloseConnections { server } => self.upstream.remove_server(server),
             Command::ReleaseServerId { server } => self.names.borrow_mut().servers.release(server),
         }
     }
 }
 
-impl upstream::Host for Rc<Pool> {
-    fn upstream(&self) -> &Upstream {
+impl upstream::AttemptContext for Rc<Pool> {
+    fn connections(&self) -> &ConnectionPool {
         &self.upstream
     }
 
@@ -298,28 +299,34 @@
         self.engine.borrow().address(server).copied()
     }
 
-    fn wanted(&self, request: RequestId) -> bool {
+    fn is_answer_wanted(&self, request: RequestId) -> bool {
         let mut engine = self.engine.borrow_mut();
         engine.needs_answer(request)
             && engine
                 .payload(request)
-                .is_some_and(|t| !t.message.waiter.has_left())
+                .is_some_and(|t| !t.message.waiter.has_disconnected())
     }
 
-    fn retried(&self, request: RequestId) -> bool {
+    fn has_attempt_in_flight(&self, request: RequestId) -> bool {
         self.engine.borrow().has_attempt_in_flight(request)
     }
 
-    fn spend(&self, request: RequestId) {
+    fn mark_body_consumed(&self, request: RequestId) {
         self.engine.borrow_mut().mark_body_consumed(request);
     }
 
-    fn written(&self, request: RequestId) -> Option<Instant> {
+    fn finish_upload(&self, request: RequestId) -> Option<Instant> {
         let deadline = self.dispatch(|engine, now, out| engine.finish_upload(now, request, out));
         deadline.map(|deadline| self.shared.clock.instant(deadline))
     }
 
-    fn ended(&self, request: RequestId, attempt: u32, outcome: Outcome, answer: Option<Answer>) {
+    fn end_attempt(
+        &self,
+        request: RequestId,
+        attempt: u32,
+        outcome: Outcome,
+        answer: Option<Answer>,
+    ) {
         let answer = answer.map(Box::new);
         self.report_outcome(request, attempt, outcome);
         self.dispatch(|engine, now, out| {
--- a/crates/node/src/net/pool/peer.rs
+++ b/crates/node/src/net/pool/peer.rs
@@ -10,19 +10,19 @@
 
 impl Peer for Pool {
     fn idle_since(&self, to: Option<SocketAddr>) -> Option<Instant> {
-        self.upstream.oldest_idle(to)
+        self.upstream.oldest_idle_since(to)
     }
 
     fn close_idle(&self, to: Option<SocketAddr>) -> bool {
-        self.upstream.drop_oldest_idle(to)
+        self.upstream.close_oldest_idle(to)
     }
 
     fn freed(&self) {
-        self.upstream.freed();
+        self.upstream.notify_connection_available();
     }
 
     fn tick(self: Rc<Self>) {
-        self.upstream.retire();
+        self.upstream.close_expired();
         let now = self.shared.clock.now();
         let warm = |(address, until): (&SocketAddr, &Time)| (*until <= now).then_some(*address);
         let warm: Vec<SocketAddr> = self.withheld.borrow().iter().filter_map(warm).collect();
--- a/crates/node/src/net/service/tests.rs
+++ b/crates/node/src/net/service/tests.rs
@@ -159,7 +159,7 @@
         let (_shared, services, now) = start(&text(&[a.clone(), b.clone()]));
         let sends = |s: &Rc<Service>, name: &str| {
             let id = s.pool.names.borrow().servers.get(name);
-            id.and_then(|id| crate::net::upstream::Host::address(&s.pool, id))
+            id.and_then(|id| crate::net::upstream::AttemptContext::address(&s.pool, id))
                 .is_some()
         };
         assert!(sends(&now[0], "x") && sends(&now[1], "y"));
--- a/crates/node/src/net/upstream/attempt.rs
+++ b/crates/node/src/net/upstream/attempt.rs
@@ -1,396 +1,271 @@
-//! One attempt at a server: the request on a connection, and the answer from it.
+//! One attempt at a server: acquires a connection, sends the request and waits for the head of the answer.
+//!
+//! What an attempt reports about the server is proven: the request counts as never run only if its last byte was not
+//! written, or if the server says so.
 
-use super::socket::{Socket, SocketIo};
-use super::{Connection, Host, Upstream, TIME_LEFT};
-use crate::net::answer::{Answer, StreamedAnswer};
-use crate::net::body::{Payload, PayloadBody, FLOW_MOST};
+use super::connection::Connection;
+use super::response::read_response;
+use super::{AttemptContext, TIME_LEFT};
+use crate::net::body::{Payload, PayloadBody, StreamedBody};
 use crate::net::message::Message;
-use crate::net::shared::ConnectionPermit;
-use crate::net::{permits_for, set_nodelay, ANSWER_HELD, ANSWER_MOST, ANSWER_SMALL, BUFFER};
-use bytes::{Bytes, BytesMut};
-use http_body_util::BodyExt;
-use hyper::body::{Body, Incoming};
-use hyper::client::conn::http1::Builder;
-use hyper::header::{self, HeaderName, HeaderValue};
-use hyper::{Request, Response, StatusCode, Uri, Version};
-use hyper_util::rt::TokioIo;
+use hyper::body::Incoming;
+use hyper::client::conn::TrySendError;
+use hyper::header::HeaderValue;
+use hyper::{Request, Response, Uri};
 use reelfall_balancer::interface::{Outcome, RequestId, ServerId};
-use std::cell::Cell;
-use std::net::SocketAddr;
+use std::future::Future;
+use std::pin::{pin, Pin};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use tokio::net::TcpStream;
-use tokio::time::timeout_at;
+use tokio::time::{sleep_until, timeout, timeout_at};
 
-/// How long an attempt whose request is over may hold its connection for the answer that may yet come.
-const LINGER: Duration = Duration::from_secs(1);
-/// How long an answer that is too large to be held for sure is awaited whole before it is forwarded as it comes.
-const HELD_FOR: Duration = Duration::from_millis(25);
-const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
+/// How long an attempt that has ended may occupy its connection to read the rest of the answer.
+pub(super) const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The limits of an attempt.
+/// The deadlines of an attempt.
 #[derive(Clone, Copy)]
-pub struct Times {
-    /// It is not sent later: a repeat may no longer be known for one.
-    pub starts_by: Instant,
-    /// It ends by then.
-    pub expires: Instant,
+pub struct AttemptDeadlines {
+    /// The request is not sent later: the server might no longer recognize a retry as one.
+    pub send_by: Instant,
+    /// The attempt times out then.
+    pub answer_by: Instant,
 }
 
-/// A connection and whether it is new, or why there is none. That this node has none left says nothing of the
-/// server: counted against it, a shortage here would put out one server after the other. So one is waited for.
-async fn acquire(
-    host: &impl Host,
-    id: RequestId,
-    server: ServerId,
-    expires: Instant,
-) -> Result<(Connection, bool), Outcome> {
-    let upstream = host.upstream();
-    let most = upstream.connect_within;
-    let until = expires.min(Instant::now() + most);
-    loop {
-        if !host.wanted(id) {
-            return Err(Outcome::NotSent);
-        }
-        if let Some(connection) = upstream.take(server) {
-            return Ok((connection, false));
-        }
-        let Some(address) = host.address(server) else {
-            return Err(Outcome::ConnectFailed);
-        };
-        if let Some(open) = upstream.reserve_connection(address) {
-            let until = expires.min(Instant::now() + most);
-            let new = connect(host, server, address, open, until).await;
-            return new.map(|c| (c, true)).ok_or(Outcome::ConnectFailed);
-        }
-        let _waits = upstream.shared.wait();
-        if timeout_at(until.into(), upstream.freed.notified())
-            .await
-            .is_err()
-        {
-            host.upstream()
-                .shared
-                .log
-                .write_line(format_args!("all connections to servers are in use"));
-            return Err(Outcome::NotSent);
-        }
-    }
+/// One attempt of a request at a server.
+pub(super) struct Attempt<C> {
+    pub(super) message: Rc<Message>,
+    pub(super) context: C,
+    pub(super) request: RequestId,
+    pub(super) number: u32,
+    pub(super) server: ServerId,
+    pub(super) deadlines: AttemptDeadlines,
 }
 
-async fn connect(
-    host: &impl Host,
-    server: ServerId,
-    address: SocketAddr,
-    open: ConnectionPermit,
-    until: Instant,
-) -> Option<Connection> {
-    let generation = host.upstream().generation(server);
-    let stream = timeout_at(until.into(), TcpStream::connect(address))
-        .await
-        .ok()?
-        .ok()?;
-    set_nodelay(&stream);
-    let socket = Rc::new(Socket {
-        stream,
-        written: Cell::new(0),
-    });
-    let io = TokioIo::new(SocketIo(socket.clone()));
-    let (send, connection) = Builder::new()
-        .max_buf_size(BUFFER)
-        .handshake(io)
-        .await
-        .ok()?;
-    let task = tokio::task::spawn_local(async move {
-        // How it ended shows in the attempt that was on it.
-        let _ = connection.await;
-    });
-    let task = task.abort_handle();
-    Some(Connection {
-        send,
-        socket,
-        since: Instant::now(),
-        used: false,
-        server,
-        address,
-        generation,
-        task,
-        _open: open,
-    })
+/// What one exchange on a connection has come to.
+enum ExchangeResult {
+    /// The outcome of the attempt has been reported.
+    Ended,
+    /// An idle connection turned out to be closed before anything was sent; the attempt goes on with another one.
+    ConnectionWasStale,
 }
 
-/// Makes one attempt and tells its host how it ended. What it says of the server's side is proved: an
-/// attempt never ran only if its last byte was not written or the server says so.
-pub async fn attempt(
-    host: impl Host,
-    id: RequestId,
+/// What waiting for the head of an answer has come to.
+enum HeadWait {
+    Received(Response<Incoming>),
+    SendFailed(TrySendError<Request<PayloadBody>>),
+    TimedOut,
+}
+
+type HeadResult = Result<Response<Incoming>, TrySendError<Request<PayloadBody>>>;
+
+/// Makes one attempt and reports to its context how it ended.
+pub async fn run_attempt<C: AttemptContext>(
+    context: C,
+    request: RequestId,
     number: u32,
     server: ServerId,
     message: Rc<Message>,
-    times: Times,
+    deadlines: AttemptDeadlines,
 ) {
-    let Times { starts_by, expires } = times;
-    let never = |outcome| host.ended(id, number, outcome, None);
-    loop {
-        let (mut connection, fresh) = match acquire(&host, id, server, starts_by).await {
-            Ok(acquired) => acquired,
-            Err(outcome) => return never(outcome),
+    let attempt = Attempt {
+        message,
+        context,
+        request,
+        number,
+        server,
+        deadlines,
+    };
+    while let ExchangeResult::ConnectionWasStale = attempt.exchange().await {}
+}
+
+impl<C: AttemptContext> Attempt<C> {
+    /// Reports an outcome without an answer.
+    pub(super) fn end(&self, outcome: Outcome) {
+        self.context
+            .end_attempt(self.request, self.number, outcome, None);
+    }
+
+    /// Sends the request on one connection and reads the answer.
+    async fn exchange(&self) -> ExchangeResult {
+        let connection = match self.acquire().await {
+            Ok(connection) => connection,
+            Err(outcome) => {
+                self.end(outcome);
+                return ExchangeResult::Ended;
+            }
         };
-        // The list may have changed while the connection came up, and the client may have left.
-        if !host.wanted(id) {
-            host.upstream().put(connection);
-            return never(Outcome::NotSent);
+        // While the connection was opened, the client may have left and the endpoint list may have changed.
+        if !self.context.is_answer_wanted(self.request) {
+            self.context.connections().put(connection);
+            self.end(Outcome::NotSent);
+            return ExchangeResult::Ended;
         }
-        if host.address(server).is_none() || Instant::now() >= starts_by {
-            return never(Outcome::ConnectFailed);
+        if self.context.address(self.server).is_none() || Instant::now() >= self.deadlines.send_by {
+            self.end(Outcome::ConnectFailed);
+            return ExchangeResult::Ended;
         }
-        let before = connection.socket.written.get();
-        // Whether the last byte may have been written: told by what the socket took, and of a flow by what was taken of it.
-        let unwritten = |c: &Connection| match &message.body {
-            Payload::Buffered(held) => c.socket.written.get() - before <= held.len() as u64,
-            Payload::Streamed(flow) => !flow.is_done(),
-        };
-        let spent = || {
-            if message.body.streamed().is_some_and(|flow| flow.is_taken()) {
-                host.spend(id);
+        Exchange::new(self, connection).run().await
+    }
+
+    fn build_request(&self, answer_by: Instant) -> Request<PayloadBody> {
+        let message = &*self.message;
+        let mut request = Request::new(PayloadBody::new(&message.body));
+        *request.method_mut() = message.method.clone();
+        *request.uri_mut() = Uri::from(message.path.clone());
+        let mut headers = message.headers.clone();
+        // How long the upload of a streamed body takes is unknown; the client has stated its own time left after it.
+        if message.body.streamed().is_none() {
+            let time_left = answer_by
+                .saturating_duration_since(Instant::now())
+                .as_secs_f64();
+            if let Ok(time_left) = HeaderValue::try_from(format!("{time_left:.3}")) {
+                headers.insert(TIME_LEFT, time_left);
             }
-        };
-        let mut expires = expires;
-        let mut answer =
-            std::pin::pin!(connection.send.try_send_request(request(&message, expires)));
-        if let Some(flow) = message.body.streamed() {
-            tokio::select! {
-                biased;
-                () = flow.ended() => {}
-                () = tokio::time::sleep_until(expires.into()) => {}
-                early = answer.as_mut() => {
-                    if flow.is_done() {
-                        expires = host.written(id).unwrap_or(expires);
-                    }
-                    spent();
-                    match early {
-                        Ok(response) => return receive_answer(&host, id, number, connection, response, expires, &message).await,
-                        Err(mut e) => {
-                            if e.take_message().is_some() && !fresh && !flow.is_taken() {
-                                continue;
-                            }
-                            let broken = broken(&message, unwritten(&connection));
-                            return host.ended(id, number, broken, None);
-                        }
-                    }
-                }
+        }
+        *request.headers_mut() = headers;
+        request
+    }
+
+    /// Whether part of a streamed body was consumed, so that it can't be sent again.
+    fn is_body_consumed(&self) -> bool {
+        self.message
+            .body
+            .streamed()
+            .is_some_and(|body| body.is_taken())
+    }
+
+    fn report_body_consumed(&self) {
+        if self.is_body_consumed() {
+            self.context.mark_body_consumed(self.request);
+        }
+    }
+}
+
+/// The request of an attempt on its connection.
+struct Exchange<'a, C> {
+    attempt: &'a Attempt<C>,
+    connection: Connection,
+    /// What had been written on the connection before this request.
+    bytes_written_before: u64,
+    answer_by: Instant,
+}
+
+impl<'a, C: AttemptContext> Exchange<'a, C> {
+    fn new(attempt: &'a Attempt<C>, connection: Connection) -> Self {
+        Exchange {
+            attempt,
+            bytes_written_before: connection.bytes_written(),
+            connection,
+            answer_by: attempt.deadlines.answer_by,
+        }
+    }
+
+    async fn run(mut self) -> ExchangeResult {
+        let request = self.attempt.build_request(self.answer_by);
+        let mut head = pin!(self.connection.sender.try_send_request(request));
+        let result = self.wait_for_head(head.as_mut()).await;
+        self.attempt.report_body_consumed();
+        match result {
+            HeadWait::Received(response) => {
+                read_response(self.attempt, self.connection, response, self.answer_by).await;
+                ExchangeResult::Ended
             }
-            if flow.is_done() {
-                expires = host.written(id).unwrap_or(expires);
+            HeadWait::SendFailed(error) => self.handle_send_error(error),
+            HeadWait::TimedOut => {
+                self.handle_timeout(head).await;
+                ExchangeResult::Ended
             }
         }
-        let answer = match timeout_at(expires.into(), answer.as_mut()).await {
-            Ok(Ok(response)) => response,
-            Ok(Err(mut e)) => {
-                // Nothing was written: a stale connection is no outcome, a fresh one is.
-                let taken = message.body.streamed().is_some_and(|flow| flow.is_taken());
-                if e.take_message().is_some() && !fresh && !taken {
-                    continue;
+    }
+
+    async fn wait_for_head<F>(&mut self, mut head: Pin<&mut F>) -> HeadWait
+    where
+        F: Future<Output = HeadResult>,
+    {
+        if let Some(body) = self.attempt.message.body.streamed() {
+            let early_result = self.wait_for_upload(body, head.as_mut()).await;
+            if body.is_done() {
+                let attempt = self.attempt;
+                if let Some(answer_by) = attempt.context.finish_upload(attempt.request) {
+                    self.answer_by = answer_by;
                 }
-                spent();
-                let broken = broken(&message, unwritten(&connection));
-                return host.ended(id, number, broken, None);
             }
-            Err(_) => {
-                spent();
-                if unwritten(&connection) {
-                    drop(connection);
-                    return never(Outcome::ConnectFailed);
-                }
-                host.ended(id, number, Outcome::TimedOut, None);
-                // A second copy must not be out beside this one; with none, the connection outlives the time.
-                if !host.retried(id) {
-                    if let Ok(Ok(response)) = tokio::time::timeout(LINGER, answer).await {
-                        finish(&host, connection, response.into_body()).await;
-                    }
-                }
-                return;
+            if let Some(result) = early_result {
+                return HeadWait::from(result);
             }
-        };
-        spent();
-        return receive_answer(&host, id, number, connection, answer, expires, &message).await;
+        }
+        match timeout_at(self.answer_by.into(), head).await {
+            Ok(result) => HeadWait::from(result),
+            Err(_) => HeadWait::TimedOut,
+        }
     }
-}
 
-/// What an attempt has come to whose connection broke.
-fn broken(message: &Message, unwritten: bool) -> Outcome {
-    match message.body.streamed() {
-        // Its client broke off: that says nothing of the server.
-        Some(flow) if flow.fault().is_some() => Outcome::NotSent,
-        _ if unwritten => Outcome::ConnectFailed,
-        _ => Outcome::ConnectionLost,
+    /// Waits until a streamed body is uploaded or has broken off, or time is up. Returns the head of the answer if that
+    /// is received first.
+    async fn wait_for_upload<F>(&self, body: &StreamedBody, head: Pin<&mut F>) -> Option<HeadResult>
+    where
+        F: Future<Output = HeadResult>,
+    {
+        tokio::select! {
+            biased;
+            () = body.ended() => None,
+            () = sleep_until(self.answer_by.into()) => None,
+            result = head => Some(result),
+        }
     }
-}
 
-fn request(message: &Message, expires: Instant) -> Request<PayloadBody> {
-    let mut request = Request::new(PayloadBody::new(&message.body));
-    *request.method_mut() = message.method.clone();
-    *request.uri_mut() = Uri::from(message.path.clone());
-    let mut headers = message.headers.clone();
-    // How long the last byte of a flow takes is not known; its client has said how long it waits after that.
-    if message.body.streamed().is_none() {
-        let left = expires
-            .saturating_duration_since(Instant::now())
-            .as_secs_f64();
-        if let Ok(left) = HeaderValue::try_from(format!("{left:.3}")) {
-            headers.insert(TIME_LEFT, left);
+    /// Whether the last byte of the request may have been written.
+    fn may_be_fully_sent(&self) -> bool {
+        match &self.attempt.message.body {
+            Payload::Buffered(body) => {
+                self.connection.bytes_written() - self.bytes_written_before > body.len() as u64
+            }
+            Payload::Streamed(body) => body.is_done(),
         }
     }
-    *request.headers_mut() = headers;
-    request
-}
 
-/// Reads an answer whose head has come.
-async fn receive_answer(
-    host: &impl Host,
-    id: RequestId,
-    number: u32,
-    connection: Connection,
-    response: Response<Incoming>,
-    expires: Instant,
-    message: &Rc<Message>,
-) {
-    let (head, mut body) = response.into_parts();
-    let validator = message.validator.as_deref();
-    let unprocessed = head.headers.get(&UNPROCESSED).is_some_and(|v| v == "1");
-    let outcome = match head.status {
-        StatusCode::OK => Outcome::Served,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => {
-            Outcome::Rejected
+    fn handle_send_error(self, mut error: TrySendError<Request<PayloadBody>>) -> ExchangeResult {
+        let is_unsent = error.take_message().is_some();
+        if is_unsent && self.connection.is_reused && !self.attempt.is_body_consumed() {
+            return ExchangeResult::ConnectionWasStale;
         }
-        status if validator.is_some_and(|v| v.may_answer(status)) => Outcome::Served,
-        _ => Outcome::Error,
-    };
-    let closes = head
-        .headers
-        .get(header::CONNECTION)
-        .is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
-    if outcome == Outcome::Rejected && closes && !connection.used {
-        // The server has all the connections that it takes, and ends this one.
-        host.upstream().note_refused_connection();
-    }
-    if outcome != Outcome::Served {
-        host.ended(id, number, outcome, None);
-        return finish(host, connection, body).await;
+        self.attempt.end(self.connection_error_outcome());
+        ExchangeResult::Ended
     }
-    // Guards against answers that are spoilt: longer than any can be, or of a length that nothing states, so that
-    // none could tell a whole one from half of one. They may have run, and their connection is of no further use.
-    // It ought to catch every answer that is not plainly framed; it does harm to servers that end an answer by
-    // closing without having said so.
-    let framed = body.size_hint().exact().is_some()
-        || head.headers.contains_key(header::TRANSFER_ENCODING)
-        || closes
-        || head.version == Version::HTTP_10;
-    let most = if validator.is_some() {
-        ANSWER_MOST as u64
-    } else {
-        FLOW_MOST
-    };
-    if !framed || body.size_hint().lower() > most {
-        return host.ended(id, number, Outcome::ConnectionLost, None);
+
+    fn connection_error_outcome(&self) -> Outcome {
+        match self.attempt.message.body.streamed() {
+            // The client has broken off the upload, which says nothing about the server.
+            Some(body) if body.fault().is_some() => Outcome::NotSent,
+            _ if self.may_be_fully_sent() => Outcome::ConnectionLost,
+            _ => Outcome::ConnectFailed,
+        }
     }
-    let stated = body.size_hint().exact().map_or(0, |n| n as usize);
-    let Upstream { shared, member, .. } = host.upstream();
-    let mut memory = match (stated > ANSWER_SMALL, validator.is_some()) {
-        // Without a share in time, the answer is not read, and the next wait tells that time is up.
-        (true, true) => {
-            shared
-                .reserve_answer_by(*member, permits_for(stated), expires)
-                .await
+
+    async fn handle_timeout<F>(self, head: Pin<&mut F>)
+    where
+        F: Future<Output = HeadResult>,
+    {
+        let attempt = self.attempt;
+        if !self.may_be_fully_sent() {
+            drop(self.connection);
+            return attempt.end(Outcome::ConnectFailed);
         }
-        (true, false) => shared.reserve_answer(*member, permits_for(stated.min(ANSWER_HELD))),
-        (false, _) => None,
-    };
-    let mut held = BytesMut::new();
-    // From when on an answer that is too large to be held for sure is forwarded as it comes.
-    let flows = Instant::now() + HELD_FOR;
-    loop {
-        let large = stated > ANSWER_SMALL || held.len() > ANSWER_SMALL;
-        let patience = large && validator.is_none() && !held.is_empty();
-        let until = if patience {
-            expires.min(flows)
-        } else {
-            expires
-        };
-        match timeout_at(until.into(), body.frame()).await {
-            Ok(Some(Ok(frame))) => {
-                held.extend_from_slice(frame.data_ref().map_or(&[], |data| data));
-                if held.len() <= ANSWER_SMALL && stated <= ANSWER_SMALL {
-                    continue;
-                }
-                if memory.is_none() && stated == 0 {
-                    // Chunked, and growing: it gets a share at once, or is forwarded as it comes.
-                    let most = if validator.is_some() {
-                        ANSWER_MOST
-                    } else {
-                        ANSWER_HELD
-                    };
-                    memory = shared.reserve_answer(*member, permits_for(most));
-                }
-                if validator.is_some() {
-                    if held.len() > ANSWER_MOST || memory.is_none() {
-                        return host.ended(id, number, Outcome::ConnectionLost, None);
-                    }
-                } else if !held.is_empty()
-                    && (memory.is_none() || held.len() > ANSWER_HELD || flows <= Instant::now())
-                {
-                    break;
-                }
-            }
-            Ok(Some(Err(_))) => return host.ended(id, number, Outcome::ConnectionLost, None),
-            Ok(None) => {
-                if !validator.is_none_or(|v| v.is_answer(&held)) {
-                    // Nobody knows what went on behind it: the connection goes, and the request may have run.
-                    return host.ended(id, number, Outcome::ConnectionLost, None);
-                }
-                host.upstream().put(connection);
-                let answer = Answer {
-                    headers: head.headers,
-                    body: held.freeze(),
-                    rest: None,
-                    _memory: memory,
-                };
-                return host.ended(id, number, outcome, Some(answer));
-            }
-            Err(_) if patience => break,
-            Err(_) => {
-                host.ended(id, number, Outcome::TimedOut, None);
-                if !host.retried(id) {
-                    finish(host, connection, body).await;
-                }
-                return;
+        attempt.end(Outcome::TimedOut);
+        // Only without a retry in flight may this attempt linger: two copies must not run side by side.
+        if !attempt.context.has_attempt_in_flight(attempt.request) {
+            if let Ok(Ok(response)) = timeout(DRAIN_TIMEOUT, head).await {
+                attempt.drain(self.connection, response.into_body()).await;
             }
         }
     }
-    // It goes to its client while it still comes. The attempt has ended with that.
-    let back = host.clone();
-    let rest = StreamedAnswer::new(body, held.len() as u64, message.clone(), move || {
-        back.upstream().put(connection)
-    });
-    let answer = Answer {
-        headers: head.headers,
-        body: held.freeze(),
-        rest: Some(rest),
-        _memory: None,
-    };
-    host.ended(id, number, Outcome::Served, Some(answer));
 }
 
-/// Reads what is left of an answer that nobody waits for, so that its connection can be used again.
-async fn finish(host: &impl Host, connection: Connection, mut body: Incoming) {
-    let rest = async {
-        let mut size = 0;
-        while let Some(frame) = body.frame().await {
-            size += frame.ok()?.data_ref().map_or(0, Bytes::len);
-            (size <= ANSWER_MOST).then_some(())?;
+impl From<HeadResult> for HeadWait {
+    fn from(result: HeadResult) -> Self {
+        match result {
+            Ok(response) => HeadWait::Received(response),
+            Err(error) => HeadWait::SendFailed(error),
         }
-        Some(())
-    };
-    if let Ok(Some(())) = tokio::time::timeout(LINGER, rest).await {
-        host.upstream().put(connection);
     }
 }
--- /dev/null
+++ b/crates/node/src/net/upstream/connection.rs
@@ -0,0 +1,91 @@
+//! One connection to a server.
+
+use super::socket::{Socket, SocketIo};
+use crate::net::body::PayloadBody;
+use crate::net::shared::ConnectionPermit;
+use crate::net::{set_nodelay, BUFFER};
+use hyper::client::conn::http1::{Builder, SendRequest};
+use hyper_util::rt::TokioIo;
+use reelfall_balancer::interface::ServerId;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tokio::net::TcpStream;
+use tokio::task::AbortHandle;
+use tokio::time::timeout_at;
+
+/// The server that a connection leads to.
+#[derive(Clone, Copy)]
+pub(super) struct Target {
+    pub(super) server: ServerId,
+    pub(super) address: SocketAddr,
+    /// The generation of the server's connections that this one belongs to.
+    pub(super) generation: u64,
+}
+
+/// A connection to a server. Dropping it closes it.
+pub(super) struct Connection {
+    pub(super) sender: SendRequest<PayloadBody>,
+    socket: Rc<Socket>,
+    /// When it was opened, or returned to the pool last.
+    pub(super) idle_since: Instant,
+    /// Whether it has already carried an answer.
+    pub(super) is_reused: bool,
+    pub(super) target: Target,
+    task: AbortHandle,
+    _permit: ConnectionPermit,
+}
+
+impl Connection {
+    /// Opens a connection; `None` if the server can't be reached in time.
+    pub(super) async fn open(
+        target: Target,
+        permit: ConnectionPermit,
+        deadline: Instant,
+    ) -> Option<Self> {
+        let stream = timeout_at(deadline.into(), TcpStream::connect(target.address))
+            .await
+            .ok()?
+            .ok()?;
+        set_nodelay(&stream);
+        let socket = Rc::new(Socket::new(stream));
+        let io = TokioIo::new(SocketIo::new(socket.clone()));
+        let (sender, connection) = Builder::new()
+            .max_buf_size(BUFFER)
+            .handshake(io)
+            .await
+            .ok()?;
+        let task = tokio::task::spawn_local(async move {
+            // An error surfaces in the attempt that uses the connection.
+            let _ = connection.await;
+        });
+        Some(Connection {
+            sender,
+            socket,
+            idle_since: Instant::now(),
+            is_reused: false,
+            target,
+            task: task.abort_handle(),
+            _permit: permit,
+        })
+    }
+
+    /// Bytes that the socket has accepted so far, heads of requests included.
+    pub(super) fn bytes_written(&self) -> u64 {
+        self.socket.bytes_written()
+    }
+
+    /// Whether an idle connection can't be used any more: closed by either side, or idle for too long.
+    pub(super) fn is_expired(&self, now: Instant, idle_timeout: Duration) -> bool {
+        self.sender.is_closed() || now - self.idle_since >= idle_timeout || !self.socket.is_quiet()
+    }
+}
+
+impl Drop for Connection {
+    fn drop(&mut self) {
+        // Shut down now and not when the runtime drops the task: a server that limits its connections must see this
+        // one end before its replacement is opened.
+        self.socket.shutdown();
+        self.task.abort();
+    }
+}
--- a/crates/node/src/net/upstream/socket.rs
+++ b/crates/node/src/net/upstream/socket.rs
@@ -1,4 +1,4 @@
-//! The socket of a connection to a server.
+//! The socket of a connection to a server, shared by the HTTP library and the connection pool.
 
 use std::cell::Cell;
 use std::io;
@@ -9,15 +9,33 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A socket that counts what was written to it, and that the pool can look at beside its connection.
+/// A socket that counts the bytes written to it and can be inspected beside the HTTP library.
 pub(super) struct Socket {
-    pub(super) stream: TcpStream,
-    pub(super) written: Cell<u64>,
+    stream: TcpStream,
+    bytes_written: Cell<u64>,
 }
 
 impl Socket {
-    /// Whether the other side has said nothing. An end that has come is seen here before the connection's own
-    /// task has run, so that no request is written to a socket that is known to be closed.
+    /// Wraps a connected stream.
+    pub(super) fn new(stream: TcpStream) -> Self {
+        Socket {
+            stream,
+            bytes_written: Cell::new(0),
+        }
+    }
+
+    /// Bytes that the system has accepted so far.
+    pub(super) fn bytes_written(&self) -> u64 {
+        self.bytes_written.get()
+    }
+
+    /// Shuts both directions down.
+    pub(super) fn shutdown(&self) {
+        let _ = socket2::SockRef::from(&self.stream).shutdown(std::net::Shutdown::Both);
+    }
+
+    /// Whether the socket is open and nothing waits to be read. A close by the server is seen here before the
+    /// connection's own task has run, so that no request is written to a closed connection.
     pub(super) fn is_quiet(&self) -> bool {
         let peeked = socket2::SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
@@ -25,18 +43,40 @@
 }
 
 /// Reads and writes on a [`Socket`] for the HTTP library.
-pub(super) struct SocketIo(pub(super) Rc<Socket>);
+pub(super) struct SocketIo {
+    socket: Rc<Socket>,
+}
 
 impl SocketIo {
-    fn wrote(&self, n: io::Result<usize>) -> Poll<io::Result<usize>> {
-        if let Ok(n) = n {
-            self.0.written.set(self.0.written.get() + n as u64);
+    pub(super) fn new(socket: Rc<Socket>) -> Self {
+        SocketIo { socket }
+    }
+
+    /// Tries a write until the socket does not report that it would block, and counts what was written.
+    fn poll_counted_write(
+        &self,
+        cx: &mut Context,
+        try_write: impl Fn(&TcpStream) -> io::Result<usize>,
+    ) -> Poll<io::Result<usize>> {
+        let Socket {
+            stream,
+            bytes_written,
+        } = &*self.socket;
+        loop {
+            ready!(stream.poll_write_ready(cx))?;
+            let written = try_write(stream);
+            if would_block(&written) {
+                continue;
+            }
+            if let Ok(length) = written {
+                bytes_written.set(bytes_written.get() + length as u64);
+            }
+            return Poll::Ready(written);
         }
-        Poll::Ready(n)
     }
 }
 
-fn blocked<T>(result: &io::Result<T>) -> bool {
+fn would_block<T>(result: &io::Result<T>) -> bool {
     result
         .as_ref()
         .is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
@@ -49,9 +89,9 @@
         buf: &mut ReadBuf,
     ) -> Poll<io::Result<()>> {
         loop {
-            ready!(self.0.stream.poll_read_ready(cx))?;
-            let read = self.0.stream.try_read_buf(buf);
-            if !blocked(&read) {
+            ready!(self.socket.stream.poll_read_ready(cx))?;
+            let read = self.socket.stream.try_read_buf(buf);
+            if !would_block(&read) {
                 return Poll::Ready(read.map(drop));
             }
         }
@@ -60,13 +100,7 @@
 
 impl AsyncWrite for SocketIo {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, data: &[u8]) -> Poll<io::Result<usize>> {
-        loop {
-            ready!(self.0.stream.poll_write_ready(cx))?;
-            let wrote = self.0.stream.try_write(data);
-            if !blocked(&wrote) {
-                return self.wrote(wrote);
-            }
-        }
+        self.poll_counted_write(cx, |stream| stream.try_write(data))
     }
 
     fn poll_write_vectored(
@@ -74,13 +108,7 @@
         cx: &mut Context,
         data: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
-        loop {
-            ready!(self.0.stream.poll_write_ready(cx))?;
-            let wrote = self.0.stream.try_write_vectored(data);
-            if !blocked(&wrote) {
-                return self.wrote(wrote);
-            }
-        }
+        self.poll_counted_write(cx, |stream| stream.try_write_vectored(data))
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -92,6 +120,6 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
-        Poll::Ready(socket2::SockRef::from(&self.0.stream).shutdown(std::net::Shutdown::Write))
+        Poll::Ready(socket2::SockRef::from(&self.socket.stream).shutdown(std::net::Shutdown::Write))
     }
 }
