--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/front.rs
@@ -1,26 +1,48 @@
-//! The client side: the listeners and connections of a node, from the first client to the end of it all on SIGTERM.
+//! The client side of a node: listeners, connections and requests, from the first client to the shutdown on SIGTERM.
+//!
+//! `platform` and `standalone` create the one [`Front`] of a process; `takeover` hands its clients to a successor.
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | `listening` | the addresses where clients connect |
-//! | `accept` | the accept loop, and the conversation on each connection |
-//! | `request` | one request: its service, its body, its answer |
-//! | `translate` | heads of requests in the terms of the engine |
+//! | `accept` | the accept loop, and serving each connection |
+//! | `request` | one request from its head to its answer |
+//! | `request_body` | buffering, streaming or discarding its body |
+//! | `admission` | finding its service and admitting it there |
+//! | `health` | health checks |
+//! | `translate` | requests in the terms of servers and of the engine |
+//! | `headers` | the headers that the node reads, sets or removes |
+//! | `pending` | requests whose answer is awaited |
 //! | `reply` | answers to clients |
+//! | `error` | why requests are rejected |
+//! | `shutdown` | ending connections when the process ends or is drained |
 //! | `handover` | handing connections over to another process of the node |
 
 mod accept;
+mod admission;
+mod error;
 mod handover;
+mod headers;
+mod health;
 mod listening;
+mod pending;
 mod reply;
 mod request;
+mod request_body;
+mod shutdown;
 mod translate;
 
+pub(super) use error::RequestError;
 pub use handover::{Handover, HandoverState};
+pub(super) use headers::{header_text, strip_hop_by_hop, time_left};
 pub use listening::Listening;
-pub(super) use translate::{strip_hop_by_hop, time_left, AdmittedRequest, PendingRequest, ID_OPEN};
+pub(super) use pending::PendingRequest;
+pub(super) use reply::set_retry_after;
+pub(super) use request::half_response_slack;
+pub(super) use request_body::BufferedBody;
+pub(super) use translate::AdmittedRequest;
 
-use super::client::{Client, ClientId, EvictionOrder, Phase};
+use super::client::{Client, ClientId, EvictionOrder};
 use super::service::Routing;
 use super::shared::Shared;
 use super::task::AbortOnDrop;
@@ -28,57 +50,60 @@
 use reelfall_routing::table::ListenerId;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
-use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::{Duration, Instant};
+
 use tokio::sync::{mpsc, Notify};
 
-/// How long connections go on being accepted after SIGTERM: they come for 0.4 s at the most.
-const ACCEPT_ON: Duration = Duration::from_millis(500);
-/// SIGKILL comes no sooner than this after the longest deadline.
-const KILL_AFTER: Duration = Duration::from_millis(700);
-/// How often a node that is being emptied looks for connections that may go.
-const EMPTIES_EVERY: Duration = Duration::from_millis(100);
-/// What a process that ends keeps of its time for clients that nobody takes over.
-const LAST_WORDS: Duration = Duration::from_millis(400);
+/// A listener and the task that accepts on it.
+struct ActiveListener {
+    listening: Rc<Listening>,
+    _accept_task: AbortOnDrop,
+}
 
-/// The client side of a node.
+impl ActiveListener {
+    fn is(&self, listening: &Rc<Listening>) -> bool {
+        Rc::ptr_eq(&self.listening, listening)
+    }
+}
+
+/// The client side of a process: its listeners and clients.
 pub struct Front {
     shared: Rc<Shared>,
     routing: RefCell<Rc<Routing>>,
-    listening: RefCell<Vec<(Rc<Listening>, AbortOnDrop)>>,
+    listening: RefCell<Vec<ActiveListener>>,
     clients: RefCell<HashMap<ClientId, Rc<Client>>>,
-    next: Cell<ClientId>,
+    next_client_id: Cell<ClientId>,
     max_clients: Cell<usize>,
-    /// Which of the clients go first when there is no room.
+    /// Which client is evicted first at the limit.
     eviction_order: Rc<RefCell<EvictionOrder>>,
-    /// A client's connection has ended.
-    freed: Notify,
-    stopping: Cell<bool>,
-    /// Who accepts, where several processes of this node may.
+    /// Notified when a client's connection has ended.
+    client_ended: Notify,
+    /// Whether answers ask clients to connect elsewhere, since the process ends.
+    is_stopping: Cell<bool>,
+    /// Which process accepts, where several processes of this node run.
     handover: RefCell<Option<Rc<dyn HandoverState>>>,
-    /// That may have changed.
+    /// Notified when the state of the handover may have changed.
     handover_changed: Notify,
-    /// The way of clients to the process that takes over.
+    /// Leads to the process that takes clients over.
     handover_sender: RefCell<Option<mpsc::UnboundedSender<Handover>>>,
-    /// For ids of requests that came without one, and for advice on when to come back.
+    /// For the ids of requests without one, and to spread retry advice.
     rng: SeededRng,
 }
 
 impl Front {
-    /// No clients yet. `seed` is for ids and advice.
+    /// A front without listeners. `seed` is for generated ids and for retry advice.
     pub fn new(shared: Rc<Shared>, routing: Routing, clients: usize, seed: u64) -> Rc<Self> {
         Rc::new(Front {
             shared,
             routing: RefCell::new(Rc::new(routing)),
             listening: RefCell::default(),
             clients: RefCell::default(),
-            next: Cell::new(0),
+            next_client_id: Cell::new(0),
             max_clients: Cell::new(clients),
             eviction_order: Rc::default(),
-            freed: Notify::new(),
-            stopping: Cell::new(false),
+            client_ended: Notify::new(),
+            is_stopping: Cell::new(false),
             handover: RefCell::default(),
             handover_changed: Notify::new(),
             handover_sender: RefCell::default(),
@@ -86,61 +111,69 @@
         })
     }
 
-    /// Puts another routing in force. What has been routed stays where it is.
+    /// Replaces the routing. Requests that have been routed are not affected.
     pub fn route(&self, routing: Routing, clients: usize) {
         self.routing.replace(Rc::new(routing));
         self.max_clients.set(clients);
     }
 
-    /// Accepts clients on these listeners, and on no others from here on. Whoever has connected stays until its
-    /// request is answered.
+    /// Accepts clients on these listeners and no longer on others. Clients of removed listeners stay connected.
     pub fn listen(self: &Rc<Self>, listening: Vec<Rc<Listening>>) {
-        let mut now = self.listening.borrow_mut();
-        now.retain(|(old, _)| {
-            let stays = listening.iter().any(|new| Rc::ptr_eq(new, old));
+        let mut active = self.listening.borrow_mut();
+        active.retain(|old| {
+            let stays = listening.iter().any(|new| old.is(new));
             if !stays {
-                old.tag.id.set(None);
-                self.drain_backlog(old);
+                old.listening.tag.id.set(None);
+                self.drain_backlog(&old.listening);
             }
             stays
         });
         for (id, new) in listening.into_iter().enumerate() {
             new.tag.id.set(ListenerId::try_from(id).ok());
-            if now.iter().any(|(old, _)| Rc::ptr_eq(old, &new)) {
-                continue;
+            if !active.iter().any(|old| old.is(&new)) {
+                active.push(self.start_accepting(new));
             }
-            let (front, accepting) = (self.clone(), new.clone());
-            let task = tokio::task::spawn_local(async move { front.accept(&accepting).await });
-            now.push((new, AbortOnDrop(task.abort_handle())));
         }
     }
 
-    /// Changes how many clients there may be.
+    fn start_accepting(self: &Rc<Self>, listening: Rc<Listening>) -> ActiveListener {
+        let (front, accepting) = (self.clone(), listening.clone());
+        let task = tokio::task::spawn_local(async move { front.accept(&accepting).await });
+        ActiveListener {
+            listening,
+            _accept_task: AbortOnDrop(task.abort_handle()),
+        }
+    }
+
+    /// Changes the limit of clients.
     pub fn set_max_clients(&self, clients: usize) {
         self.max_clients.set(clients);
     }
 
-    /// Has the state of the handover say who accepts.
+    /// Lets the state of the handover decide whether this process accepts.
     pub fn set_handover_state<S: HandoverState + 'static>(&self, handover: &Rc<S>) {
         self.handover.replace(Some(handover.clone()));
         self.notify_handover_changed();
     }
 
-    /// Who accepts may have changed.
+    /// Reports that the state of the handover may have changed.
     pub fn notify_handover_changed(&self) {
         self.handover_changed.notify_waiters();
     }
 
-    fn accepts(&self) -> bool {
-        self.handover.borrow().as_ref().is_none_or(|t| t.accepts())
+    fn is_accepting(&self) -> bool {
+        self.handover
+            .borrow()
+            .as_ref()
+            .is_none_or(|handover| handover.accepts())
     }
 
-    /// The listeners there are.
+    /// The listeners in use.
     pub fn listening(&self) -> Vec<Rc<Listening>> {
         self.listening
             .borrow()
             .iter()
-            .map(|(l, _)| l.clone())
+            .map(|active| active.listening.clone())
             .collect()
     }
 
@@ -149,93 +182,22 @@
         let listening = self.listening.borrow();
         let found = listening
             .iter()
-            .find(|(l, _)| l.name() == name && l.address == address);
-        found.map(|(l, _)| l.clone())
+            .find(|active| active.listening.name() == name && active.listening.address == address);
+        found.map(|active| active.listening.clone())
     }
 
-    /// The addresses that are listened on, by name.
+    /// The names and bound addresses of the listeners.
     pub fn addresses(&self) -> Vec<(String, SocketAddr)> {
         let listening = self.listening.borrow();
-        let address = |l: &Listening| l.listener.local_addr().unwrap_or(l.address);
         listening
             .iter()
-            .map(|(l, _)| (l.name().to_owned(), address(l)))
+            .map(|active| {
+                let listening = &active.listening;
+                (listening.name().to_owned(), listening.bound_address())
+            })
             .collect()
     }
 
-    /// Serves until `stop`, and a little longer; ends when what was taken has its answers.
-    pub async fn serve(self: &Rc<Self>, stop: impl Future<Output = ()>) {
-        stop.await;
-        let told = Instant::now();
-        let longest = self.routing.borrow().longest_deadline();
-        let end = told + longest + KILL_AFTER - Duration::from_millis(100);
-        let handover = self.handover.borrow().clone();
-        if let Some(handover) = &handover {
-            handover.terminate();
-        }
-        loop {
-            let now = Instant::now();
-            let shares = handover.as_ref().is_some_and(|t| t.shares_listeners());
-            let (until, drains) = if handover.as_ref().is_some_and(|t| t.hands_over()) {
-                (end, false)
-            } else if shares && now < end - LAST_WORDS {
-                // A successor that gets ready has what is left of the time to do so.
-                (end - LAST_WORDS, false)
-            } else if !shares && now < told + ACCEPT_ON {
-                (told + ACCEPT_ON, false)
-            } else {
-                (end, true)
-            };
-            // Clients that go to another process need not be told to connect anew.
-            self.stopping.set(!shares || drains);
-            if drains {
-                self.drain_clients(handover.as_deref(), shares);
-            }
-            if now >= end || (until == end && self.clients.borrow().is_empty()) {
-                return;
-            }
-            tokio::select! {
-                () = tokio::time::sleep_until(until.into()) => {}
-                () = self.freed.notified() => {}
-                () = self.handover_changed.notified() => {}
-            }
-        }
-    }
-
-    /// Accepts nobody any more and ends every connection as soon as no request is on it.
-    fn drain_clients(self: &Rc<Self>, handover: Option<&dyn HandoverState>, shares: bool) {
-        if let Some(handover) = handover {
-            handover.end_accept_grace();
-        }
-        if !shares {
-            self.listen(Vec::new());
-        }
-        for client in self.clients.borrow().values() {
-            if !client.close_when_idle.replace(true) {
-                client.wake.notify_one();
-            }
-        }
-    }
-
-    /// Lets idle connections go while the node is being emptied, each at its time, for as long as it is polled.
-    pub async fn close_idle_while_draining(self: Rc<Self>) {
-        loop {
-            if !self.shared.draining() {
-                self.shared.drained.notified().await;
-                continue;
-            }
-            for client in self.clients.borrow().values() {
-                let idle = matches!(client.phase.get(), Phase::New | Phase::Idle);
-                let until = self.shared.idle_until(client.since.get());
-                if idle && until.is_some_and(|until| until <= Instant::now()) {
-                    client.close_when_idle.set(true);
-                    client.wake.notify_one();
-                }
-            }
-            tokio::time::sleep(EMPTIES_EVERY).await;
-        }
-    }
-
     pub(super) fn shared(&self) -> &Rc<Shared> {
         &self.shared
     }
--- a/crates/node/src/net/front/accept.rs
+++ b/crates/node/src/net/front/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, and the conversation on each.
+//! Accepting connections of clients, and serving each of them in a task of its own.
 
 use super::{Front, Listening};
 use crate::net::client::{close, Client, ClientIo, Phase, CROWDED_GRACE};
@@ -16,13 +16,14 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// What the library may read beyond the largest head.
+/// What the HTTP library may read beyond the largest head, in bytes.
 const BUFFER_MARGIN: usize = 16 << 10;
-/// Pause after a descriptor could not be had. What was new before it may be evicted after it.
-const DESCRIPTORS_OUT: Duration = CROWDED_GRACE;
+/// Pause before accepting again at the limit of clients or file descriptors. A client that was new before it may be
+/// evicted after it.
+const CAPACITY_RETRY_INTERVAL: Duration = CROWDED_GRACE;
 
 impl Front {
-    /// What the machine has accepted counts as taken: the backlog is emptied before a listener closes.
+    /// Serves the connections that the system has already accepted, since closing the listener would reset them.
     pub(super) fn drain_backlog(self: &Rc<Self>, listening: &Rc<Listening>) {
         let mut waker = Context::from_waker(Waker::noop());
         while let Poll::Ready(Ok((stream, _))) = listening.listener.poll_accept(&mut waker) {
@@ -33,10 +34,10 @@
     pub(super) async fn accept(self: &Rc<Self>, listening: &Rc<Listening>) {
         loop {
             if self.is_full() {
-                self.wait_for_room().await;
+                self.wait_for_capacity().await;
                 continue;
             }
-            if !self.accepts() {
+            if !self.is_accepting() {
                 self.handover_changed.notified().await;
                 continue;
             }
@@ -48,10 +49,10 @@
             match accepted {
                 Ok((stream, _)) => self.clone().spawn_client(stream, listening),
                 Err(e) => {
-                    // Out of descriptors, as a rule: the error stays until one is free, so don't spin on it.
+                    // Usually out of file descriptors; the error persists until one is free, so wait.
                     self.shared.log.write_line(format_args!("accept: {e}"));
-                    self.make_room();
-                    tokio::time::sleep(DESCRIPTORS_OUT).await;
+                    self.evict_client();
+                    tokio::time::sleep(CAPACITY_RETRY_INTERVAL).await;
                 }
             }
         }
@@ -61,20 +62,21 @@
         self.clients.borrow().len() >= self.max_clients.get()
     }
 
-    /// Waits for a place for one more client, a short time at most.
-    async fn wait_for_room(&self) {
-        // What has come already is read first: an end makes room without an eviction, and who has asked is not evicted.
+    /// Makes room for one more client, or waits a short time for it.
+    async fn wait_for_capacity(&self) {
+        // Input that has already arrived is processed first: a closed connection makes an eviction needless, and a
+        // client that has sent a request is not evicted.
         tokio::task::yield_now().await;
         if self.is_full() {
-            self.make_room();
-            // Without one to close, clients wait in the backlog.
-            let _ = timeout(DESCRIPTORS_OUT, self.freed.notified()).await;
+            self.evict_client();
+            // If no client could be evicted, new ones wait in the backlog.
+            let _ = timeout(CAPACITY_RETRY_INTERVAL, self.client_ended.notified()).await;
         }
     }
 
-    /// Closes the connection that is first in the [`EvictionOrder`](crate::net::client::EvictionOrder). One without a
-    /// request ends like one that has rested for long; a request that does not get on is answered 408.
-    fn make_room(&self) {
+    /// Closes the connection that is first in the [`EvictionOrder`](crate::net::client::EvictionOrder). Without a request
+    /// it ends as after its idle timeout; an incomplete request is answered 408.
+    fn evict_client(&self) {
         let evicted = self
             .eviction_order
             .borrow_mut()
@@ -91,8 +93,8 @@
     }
 
     pub(super) fn spawn_client(self: Rc<Self>, stream: TcpStream, listening: &Rc<Listening>) {
-        let id = self.next.get();
-        self.next.set(id + 1);
+        let id = self.next_client_id.get();
+        self.next_client_id.set(id + 1);
         let client = Rc::new(Client::new(
             id,
             listening.tag.clone(),
@@ -100,32 +102,32 @@
         ));
         self.clients.borrow_mut().insert(id, client.clone());
         tokio::task::spawn_local(async move {
-            self.connection(stream, &client).await;
+            self.serve_client(stream, &client).await;
             self.clients.borrow_mut().remove(&id);
-            self.freed.notify_waiters();
+            self.client_ended.notify_waiters();
         });
     }
 
-    async fn connection(self: &Rc<Self>, stream: TcpStream, client: &Rc<Client>) {
+    async fn serve_client(self: &Rc<Self>, stream: TcpStream, client: &Rc<Client>) {
         set_nodelay(&stream);
         let mut stream = Rc::new(stream);
         loop {
             client.enter_eviction_order();
-            let hands_over = self.serve_requests(&stream, client).await;
+            let must_hand_over = self.serve_requests(&stream, client).await;
             client.leave_eviction_order();
-            if !hands_over {
+            if !must_hand_over {
                 break;
             }
             match self.hand_over(stream, client).await {
-                Some(back) => stream = back,
+                Some(returned) => stream = returned,
                 None => return,
             }
         }
         close(&stream, client).await;
     }
 
-    /// Answers what a client asks; true if it goes to another process now, of which nothing has been read yet that was not
-    /// answered.
+    /// Answers the requests of a client. Returns whether the connection is to be handed over to another process: all that
+    /// was read from it is answered then.
     async fn serve_requests(self: &Rc<Self>, stream: &Rc<TcpStream>, client: &Rc<Client>) -> bool {
         let methods: &[&[u8]] = match &**self.routing.borrow() {
             Routing::Alone(_) => &gate::METHODS,
@@ -137,7 +139,7 @@
             Gate::new(methods),
         ));
         let service = service_fn(|request| self.clone().request(request, client.clone()));
-        // Times are kept by `ClientIo`, which knows whether a request has begun.
+        // `ClientIo` enforces the timeouts, as it knows whether a request has begun.
         let mut connection = pin!(Builder::new()
             .header_read_timeout(None)
             .max_buf_size(HEAD_MOST + BUFFER_MARGIN)
@@ -145,11 +147,11 @@
         loop {
             tokio::select! {
                 biased;
-                // How it ended concerns the client alone.
+                // An error concerns this client only.
                 _ = connection.as_mut() => return false,
                 () = client.wake.notified() => {
-                    let idle = matches!(client.phase.get(), Phase::New | Phase::Idle);
-                    if idle && client.handing_over.get() && client.fault.get().is_none() {
+                    let is_idle = matches!(client.phase.get(), Phase::New | Phase::Idle);
+                    if is_idle && client.handing_over.get() && client.fault.get().is_none() {
                         return true;
                     }
                 }
--- /dev/null
+++ b/crates/node/src/net/front/admission.rs
@@ -0,0 +1,103 @@
+//! Admitting a request to the service that its route leads to, or rejecting it.
+
+use super::error::{AdmissionError, RetryAdvice};
+use super::headers::{header_text, SERVICE_CLASS};
+use super::reply::{error_response, set_retry_after};
+use super::translate::AdmittedRequest;
+use super::Front;
+use crate::net::answer::ResponseBody;
+use crate::net::client::Client;
+use crate::net::service::{RouteMatch, Service, Table};
+use crate::net::shared::Permit;
+use hyper::header::{self, HeaderValue};
+use hyper::http::request::Parts;
+use hyper::Response;
+use reelfall_balancer::interface::Time;
+use reelfall_routing::limits::Denial;
+use reelfall_routing::table::{ListenerId, Query};
+use reelfall_routing::target;
+use std::rc::Rc;
+
+/// The shortest advice that the header can state, in seconds.
+const MIN_RETRY_AFTER: Time = 0.001;
+
+impl Front {
+    /// Finds the service of a request and admits the request to it.
+    pub(super) fn admit(
+        self: &Rc<Self>,
+        table: &Table,
+        head: &Parts,
+        client: &Client,
+    ) -> Result<AdmittedRequest, AdmissionError> {
+        let RouteMatch { service, assign } = find_route(table, head, client)?;
+        if service.draining.get() {
+            let max_retry_after = service.retry_after.get();
+            return Err(AdmissionError::Draining { max_retry_after });
+        }
+        let admission = self.admit_to_service(&service)?;
+        Ok(AdmittedRequest {
+            service,
+            assigned_class: assign,
+            is_routed: true,
+            admission,
+        })
+    }
+
+    /// Takes a place among the open requests of a service, where those are limited.
+    fn admit_to_service(
+        self: &Rc<Self>,
+        service: &Service,
+    ) -> Result<Option<Permit>, AdmissionError> {
+        let Some(member) = service.member else {
+            return Ok(None);
+        };
+        self.shared.admit(member).map_err(|denial| {
+            let max_retry_after = service.retry_after.get();
+            match denial {
+                Denial::Rate(next_slot_in) => AdmissionError::RateLimited {
+                    next_slot_in,
+                    max_retry_after,
+                },
+                Denial::Held(..) => AdmissionError::AtRequestLimit { max_retry_after },
+            }
+        })
+    }
+
+    /// The answer to a request that was not admitted.
+    pub(super) fn admission_error_response(&self, error: AdmissionError) -> Response<ResponseBody> {
+        let mut response = error_response(error.status(), &error);
+        if let Some(advice) = error.retry_advice() {
+            let retry_after = self.spread_retry(advice);
+            set_retry_after(&mut response, retry_after);
+        }
+        response
+    }
+
+    /// When to come back, in seconds: spread at random, so that not all clients come back together.
+    fn spread_retry(&self, advice: RetryAdvice) -> Option<Time> {
+        let RetryAdvice { delay, max_delay } = advice;
+        (max_delay > 0.0).then(|| {
+            let spread = 1.0 + self.rng.next_fraction();
+            (delay * spread).clamp(MIN_RETRY_AFTER, max_delay)
+        })
+    }
+}
+
+fn find_route(table: &Table, head: &Parts, client: &Client) -> Result<RouteMatch, AdmissionError> {
+    let mut hosts = head.headers.get_all(header::HOST).iter();
+    let target = target::read(target::Said {
+        scheme: head.uri.scheme_str(),
+        authority: head.uri.authority().map(|authority| authority.as_str()),
+        path: head.uri.path(),
+        host: hosts.next().map(HeaderValue::as_bytes),
+        more_hosts: hosts.next().is_some(),
+    })?;
+    let query = Query {
+        listener: client.listener_tag.id.get().unwrap_or(ListenerId::MAX),
+        host: &target.host,
+        path: target.path,
+        method: head.method.as_str(),
+        class: header_text(&head.headers, &SERVICE_CLASS),
+    };
+    table.find(&query).ok_or(AdmissionError::NoRoute)
+}
--- a/crates/node/src/net/front/handover.rs
+++ b/crates/node/src/net/front/handover.rs
@@ -1,4 +1,5 @@
-//! Handing connections without a request over to another process of the node, and taking them over from one.
+//! Handing idle connections over to another process of the node, and taking them over from one. `takeover` moves them
+//! between the processes.
 
 use super::Front;
 use crate::net::client::Client;
@@ -6,29 +7,29 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
 
-/// A connection on its way to the process that takes over; it comes back if it can't be handed over.
+/// A connection on its way to another process; `done` returns it if it can't be handed over.
 pub struct Handover {
     pub stream: std::net::TcpStream,
     pub listener: String,
     pub done: oneshot::Sender<Result<(), std::net::TcpStream>>,
 }
 
-/// The state of this process among those of the node, as far as it concerns clients.
+/// The state of a handover between processes of the node, as far as it concerns clients.
 pub trait HandoverState {
     /// Whether this process accepts clients.
     fn accepts(&self) -> bool;
-    /// Whether another process has the listening sockets too.
+    /// Whether another process uses the same listening sockets.
     fn shares_listeners(&self) -> bool;
-    /// Whether connections without a request are handed over.
+    /// Whether idle connections are handed over.
     fn hands_over(&self) -> bool;
-    /// SIGTERM has come: the process ends.
+    /// Reports that the process ends on SIGTERM.
     fn terminate(&self);
-    /// The time in which connections are accepted after SIGTERM is over.
+    /// Reports that connections are no longer accepted after SIGTERM.
     fn end_accept_grace(&self);
 }
 
 impl Front {
-    /// Hands clients over that have no request in hand, now or later, to another process; `None` ends that.
+    /// From now on hands each client over to another process as soon as it is idle; `None` ends that.
     pub fn hand_over_to(&self, sender: Option<mpsc::UnboundedSender<Handover>>) {
         let handing_over = sender.is_some();
         self.handover_sender.replace(sender);
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Accepts a client that another process hands over.
+    /// Takes a client over from another process.
     pub fn accept_handover(self: &Rc<Self>, descriptor: std::net::TcpStream, listener: &str) {
         let listening = self.listening().into_iter().find(|l| l.name() == listener);
         let stream = descriptor
@@ -46,12 +47,12 @@
             .and_then(|()| TcpStream::from_std(descriptor));
         match (listening, stream) {
             (Some(listening), Ok(stream)) => self.clone().spawn_client(stream, &listening),
-            // It ends here: its listener is no longer in the settings, or it is no socket.
+            // The listener is no longer in the settings, or the descriptor is unusable: the connection is closed.
             (_, stream) => drop(stream),
         }
     }
 
-    /// Hands a client over; it comes back if nobody takes it.
+    /// Hands a client over; returns its socket if the other process does not take it.
     pub(super) async fn hand_over(
         &self,
         stream: Rc<TcpStream>,
@@ -64,7 +65,7 @@
         let stream = stream.into_std().ok()?;
         let (done, handed_over) = oneshot::channel();
         let listener = client.listener_tag.name.clone();
-        let back = match sender.send(Handover {
+        let returned = match sender.send(Handover {
             stream,
             listener,
             done,
@@ -75,6 +76,6 @@
                 Ok(Err(stream)) => stream,
             },
         };
-        TcpStream::from_std(back).ok().map(Rc::new)
+        TcpStream::from_std(returned).ok().map(Rc::new)
     }
 }
--- a/crates/node/src/net/front/listening.rs
+++ b/crates/node/src/net/front/listening.rs
@@ -8,13 +8,13 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 
-/// Binds the address; one that an earlier life left is taken again at once. With `beside`, another process of this node
-/// may listen there too, which has to want that as well.
+/// Binds a listening socket; an address that an earlier process has left is available at once. With `reuse_port`,
+/// another process of this node may bind the address too, if it also sets this.
 ///
 /// # Errors
-/// Says why it can't be had.
-pub fn bind(listen: SocketAddr, backlog: usize, reuse_port: bool) -> Result<TcpListener, String> {
-    let bound = || -> io::Result<TcpListener> {
+/// Names the address and the error of the system.
+fn bind(listen: SocketAddr, backlog: usize, reuse_port: bool) -> Result<TcpListener, String> {
+    let try_bind = || -> io::Result<TcpListener> {
         let domain = socket2::Domain::for_address(listen);
         let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
@@ -24,10 +24,10 @@
         socket.listen(i32::try_from(backlog).unwrap_or(i32::MAX))?;
         TcpListener::from_std(socket.into())
     };
-    bound().map_err(|e| format!("{listen}: {e}"))
+    try_bind().map_err(|e| format!("{listen}: {e}"))
 }
 
-/// An address where clients connect.
+/// A listener for clients.
 pub struct Listening {
     pub(super) address: SocketAddr,
     pub(super) tag: Rc<ListenerTag>,
@@ -38,17 +38,18 @@
     /// Binds a listener.
     ///
     /// # Errors
-    /// Says why the address can't be had.
+    /// Names the address and the error of the system.
     pub fn bind(
         name: &str,
         address: SocketAddr,
         backlog: usize,
         reuse_port: bool,
     ) -> Result<Rc<Self>, String> {
-        Ok(Self::of(name, address, bind(address, backlog, reuse_port)?))
+        let listener = bind(address, backlog, reuse_port)?;
+        Ok(Self::new(name, address, listener))
     }
 
-    fn of(name: &str, address: SocketAddr, listener: TcpListener) -> Rc<Self> {
+    fn new(name: &str, address: SocketAddr, listener: TcpListener) -> Rc<Self> {
         let tag = Rc::new(ListenerTag {
             id: Cell::new(Some(0)),
             name: name.to_owned(),
@@ -60,30 +61,35 @@
         })
     }
 
-    /// A listener whose socket another process gave.
+    /// A listener whose socket was received from another process.
     ///
     /// # Errors
-    /// If it is none, or listens elsewhere.
+    /// If it is not a listening socket, or not one of this address.
     pub fn from_descriptor(
         name: &str,
         address: SocketAddr,
         descriptor: OwnedFd,
     ) -> Result<Rc<Self>, String> {
         let socket = socket2::Socket::from(descriptor);
-        let listens = socket.is_listener().map_err(|e| e.to_string())?;
-        let at = socket.local_addr().ok().and_then(|a| a.as_socket());
-        if !listens || at != Some(address) {
+        let is_listener = socket.is_listener().map_err(|e| e.to_string())?;
+        let bound_address = socket.local_addr().ok().and_then(|a| a.as_socket());
+        if !is_listener || bound_address != Some(address) {
             return Err("what was given is no socket that listens at this address".to_owned());
         }
         socket.set_nonblocking(true).map_err(|e| e.to_string())?;
         let listener = TcpListener::from_std(socket.into()).map_err(|e| e.to_string())?;
-        Ok(Self::of(name, address, listener))
+        Ok(Self::new(name, address, listener))
     }
 
-    /// Its name.
+    /// The name that the settings give it.
     pub fn name(&self) -> &str {
         &self.tag.name
     }
+
+    /// The address that it is bound to, which has a port of the system's choice if the settings ask for that.
+    pub(super) fn bound_address(&self) -> SocketAddr {
+        self.listener.local_addr().unwrap_or(self.address)
+    }
 }
 
 impl AsFd for Listening {
--- a/crates/node/src/net/front/reply.rs
+++ b/crates/node/src/net/front/reply.rs
@@ -1,58 +1,79 @@
 //! Answers to clients: those of servers, and those of the node itself.
 
-use super::translate::strip_hop_by_hop;
+use super::headers::strip_hop_by_hop;
 use crate::net::answer::{Answer, Reply, ResponseBody};
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
-use reelfall_balancer::interface::Outcome;
+use reelfall_balancer::interface::{Outcome, Time};
+use std::fmt::Display;
 
-pub(super) fn with_reason(
-    status: StatusCode,
-    why: &dyn std::fmt::Display,
-) -> Response<ResponseBody> {
-    let mut response = Response::new(ResponseBody::from(format!("{why}\n")));
+/// An answer whose text is an error's.
+pub(super) fn error_response(status: StatusCode, error: &dyn Display) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::from(format!("{error}\n")));
     *response.status_mut() = status;
     response
 }
 
+/// An answer of constant text.
 pub(super) fn plain(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::from(text));
     *response.status_mut() = status;
     response
 }
 
+/// The answer to a request whose deadline has passed.
+pub(super) fn timed_out() -> Response<ResponseBody> {
+    plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n")
+}
+
+/// Says when the client may come back, in seconds, if that is known.
+pub(in crate::net) fn set_retry_after(
+    response: &mut Response<ResponseBody>,
+    retry_after: Option<Time>,
+) {
+    let value = retry_after.and_then(|t| HeaderValue::try_from(format!("{t:.3}")).ok());
+    if let Some(value) = value {
+        response.headers_mut().insert(header::RETRY_AFTER, value);
+    }
+}
+
+/// Says that the connection ends with this answer.
+pub(super) fn set_connection_close(response: &mut Response<ResponseBody>) {
+    response
+        .headers_mut()
+        .insert(header::CONNECTION, HeaderValue::from_static("close"));
+}
+
+/// The answer to a client from the final answer of the engine.
 pub(super) fn respond(reply: Reply) -> Response<ResponseBody> {
     match reply {
-        Reply::Served(answer) => {
-            let Answer {
-                headers,
-                body,
-                rest,
-                ..
-            } = *answer;
-            let mut response = Response::new(ResponseBody::new(body, rest));
-            *response.headers_mut() = headers;
-            strip_hop_by_hop(response.headers_mut());
-            response
-        }
+        Reply::Served(answer) => forward_answer(*answer),
         Reply::Rejected { retry_after } => {
             let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
-            let after = retry_after.and_then(|t| HeaderValue::try_from(format!("{t:.3}")).ok());
-            if let Some(after) = after {
-                response.headers_mut().insert(header::RETRY_AFTER, after);
-            }
+            set_retry_after(&mut response, retry_after);
             response
         }
         // Never 429 or 503: those would promise that a retry is harmless.
         Reply::Failed(Some(Outcome::Error)) => {
             plain(StatusCode::BAD_GATEWAY, "the server failed\n")
         }
-        Reply::Failed(Some(Outcome::TimedOut)) => {
-            plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n")
-        }
+        Reply::Failed(Some(Outcome::TimedOut)) => timed_out(),
         Reply::Failed(Some(Outcome::ConnectionLost)) => {
             plain(StatusCode::BAD_GATEWAY, "the connection broke\n")
         }
         Reply::Failed(_) => plain(StatusCode::INTERNAL_SERVER_ERROR, "failed\n"),
     }
 }
+
+fn forward_answer(answer: Answer) -> Response<ResponseBody> {
+    let Answer {
+        headers,
+        body,
+        rest,
+        ..
+    } = answer;
+    let mut response = Response::new(ResponseBody::new(body, rest));
+    *response.headers_mut() = headers;
+    strip_hop_by_hop(response.headers_mut());
+    response
+}
--- /dev/null
+++ b/crates/node/src/net/front/request_body.rs
@@ -0,0 +1,126 @@
+//! Reading the bodies of requests: buffered whole, streamed on to a server, or discarded.
+
+use super::error::BodyError;
+use super::Front;
+use crate::net::body::{Payload, StreamedBody};
+use crate::net::shared::MemoryPermit;
+use crate::net::{permits_for, BODY_MOST, BODY_SMALL};
+use bytes::{Bytes, BytesMut};
+use http_body_util::BodyExt;
+use hyper::body::{Body, Incoming};
+use reelfall_routing::limits::Member;
+
+/// A request body and the memory that is reserved for what is buffered of it.
+pub(super) struct RequestBody {
+    pub(super) payload: Payload,
+    pub(super) memory: Option<MemoryPermit>,
+}
+
+/// A body that was read whole.
+pub(in crate::net) struct BufferedBody {
+    pub data: Bytes,
+    pub memory: Option<MemoryPermit>,
+}
+
+/// The next piece of a body; `None` at its end. Trailers concern the client's connection only and are skipped.
+async fn next_piece(body: &mut Incoming) -> Result<Option<Bytes>, BodyError> {
+    while let Some(frame) = body.frame().await {
+        let frame = frame.map_err(|_| BodyError::Truncated)?;
+        if let Ok(data) = frame.into_data() {
+            return Ok(Some(data));
+        }
+    }
+    Ok(None)
+}
+
+/// The size that a body is announced with, or else the largest that may be buffered.
+fn expected_size(body: &Incoming) -> usize {
+    body.size_hint()
+        .exact()
+        .map_or(BODY_MOST, |size| size as usize)
+}
+
+impl Front {
+    /// Buffers a body if it is small enough and there is memory for it; else it is streamed, with what was read of it.
+    pub(super) async fn buffer_or_stream(
+        &self,
+        mut body: Incoming,
+        member: Option<Member>,
+    ) -> Result<RequestBody, BodyError> {
+        let size = body.size_hint().exact();
+        if size.is_some_and(|size| size > BODY_MOST as u64) {
+            let payload = Payload::Streamed(StreamedBody::new(Bytes::new(), body, size));
+            return Ok(RequestBody {
+                payload,
+                memory: None,
+            });
+        }
+        let expected_size = expected_size(&body);
+        let mut data = BytesMut::new();
+        let mut memory = None;
+        while let Some(piece) = next_piece(&mut body).await? {
+            data.extend_from_slice(&piece);
+            let needs_memory = data.len() > BODY_SMALL;
+            if needs_memory && memory.is_none() {
+                // Reserved at once for the largest possible size: growing bodies must not wait for each other.
+                memory = self.shared.reserve_body(member, permits_for(expected_size));
+            }
+            if data.len() > BODY_MOST || (needs_memory && memory.is_none()) {
+                let payload = Payload::Streamed(StreamedBody::new(data.freeze(), body, size));
+                return Ok(RequestBody { payload, memory });
+            }
+        }
+        let payload = Payload::Buffered(data.freeze());
+        Ok(RequestBody { payload, memory })
+    }
+
+    /// Buffers a whole body. One that there is no memory for is read to its end before it is rejected.
+    pub(in crate::net) async fn buffer_body(
+        &self,
+        mut body: Incoming,
+        member: Option<Member>,
+    ) -> Result<BufferedBody, BodyError> {
+        let expected_size = expected_size(&body);
+        let mut memory: Option<MemoryPermit> = None;
+        let mut data = BytesMut::new();
+        let mut size = 0;
+        let mut granted_size = BODY_SMALL;
+        let mut is_out_of_memory = false;
+        while let Some(piece) = next_piece(&mut body).await? {
+            size += piece.len();
+            if size > BODY_MOST {
+                return Err(BodyError::TooLarge);
+            }
+            if !is_out_of_memory && size > granted_size {
+                // Reserved at once for the largest possible size: growing bodies must not wait for each other.
+                memory = self.shared.reserve_body(member, permits_for(expected_size));
+                if memory.is_some() {
+                    granted_size = BODY_MOST;
+                } else {
+                    data = BytesMut::new();
+                    is_out_of_memory = true;
+                }
+            }
+            if !is_out_of_memory {
+                data.extend_from_slice(&piece);
+            }
+        }
+        if is_out_of_memory {
+            return Err(BodyError::OutOfMemory);
+        }
+        let data = data.freeze();
+        Ok(BufferedBody { data, memory })
+    }
+}
+
+/// Reads a body to its end: an answer that is sent while data is unread may be lost.
+pub(super) async fn discard(mut body: Incoming) -> Result<(), BodyError> {
+    let mut size = 0;
+    while let Some(piece) = next_piece(&mut body).await? {
+        size += piece.len();
+        if size > BODY_MOST {
+            return Err(BodyError::TooLarge);
+        }
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/node/src/net/front/shutdown.rs
@@ -0,0 +1,123 @@
+//! Ending the connections of clients: on SIGTERM, and while an operator drains the node.
+
+use super::{Front, HandoverState};
+use crate::net::client::Phase;
+use std::future::Future;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+/// How long connections are still accepted after SIGTERM: clients may connect for 0.4 s after it.
+const ACCEPT_GRACE: Duration = Duration::from_millis(500);
+/// The process ends this long after the longest deadline; SIGKILL follows 100 ms later at the earliest.
+const END_AFTER_LONGEST_DEADLINE: Duration = Duration::from_millis(600);
+/// How often a node that is being drained closes idle connections.
+const DRAIN_INTERVAL: Duration = Duration::from_millis(100);
+/// Time reserved at the end for clients that no successor takes over.
+const FINAL_DRAIN_TIME: Duration = Duration::from_millis(400);
+
+/// The time between SIGTERM and the end of the process.
+struct Shutdown {
+    begins_at: Instant,
+    ends_at: Instant,
+}
+
+/// What the process does until when, as far as it is known now.
+struct ShutdownStep {
+    until: Instant,
+    /// Whether nothing is accepted any more and idle connections are closed.
+    is_draining: bool,
+}
+
+impl Shutdown {
+    fn step(&self, now: Instant, handover: Option<&dyn HandoverState>) -> ShutdownStep {
+        let shares_listeners = handover.is_some_and(|state| state.shares_listeners());
+        let accept_until = self.begins_at + ACCEPT_GRACE;
+        let await_successor_until = self.ends_at - FINAL_DRAIN_TIME;
+        let (until, is_draining) = if handover.is_some_and(|state| state.hands_over()) {
+            (self.ends_at, false)
+        } else if shares_listeners && now < await_successor_until {
+            (await_successor_until, false)
+        } else if !shares_listeners && now < accept_until {
+            (accept_until, false)
+        } else {
+            (self.ends_at, true)
+        };
+        ShutdownStep { until, is_draining }
+    }
+}
+
+impl Front {
+    /// Serves clients until `stop`, then for as long as the shutdown takes: it ends when all requests are answered or
+    /// time is up.
+    pub async fn serve(self: &Rc<Self>, stop: impl Future<Output = ()>) {
+        stop.await;
+        let begins_at = Instant::now();
+        let longest_deadline = self.routing.borrow().longest_deadline();
+        let shutdown = Shutdown {
+            begins_at,
+            ends_at: begins_at + longest_deadline + END_AFTER_LONGEST_DEADLINE,
+        };
+        let handover = self.handover.borrow().clone();
+        if let Some(handover) = &handover {
+            handover.terminate();
+        }
+        loop {
+            let now = Instant::now();
+            let handover = handover.as_deref();
+            let shares_listeners = handover.is_some_and(|state| state.shares_listeners());
+            let step = shutdown.step(now, handover);
+            // Clients that are handed over to a successor need not connect again.
+            self.is_stopping.set(!shares_listeners || step.is_draining);
+            if step.is_draining {
+                self.drain_clients(handover, shares_listeners);
+            }
+            let is_last_step = step.until == shutdown.ends_at;
+            if now >= shutdown.ends_at || (is_last_step && self.clients.borrow().is_empty()) {
+                return;
+            }
+            tokio::select! {
+                () = tokio::time::sleep_until(step.until.into()) => {}
+                () = self.client_ended.notified() => {}
+                () = self.handover_changed.notified() => {}
+            }
+        }
+    }
+
+    /// Stops accepting and closes every connection as soon as no request is on it.
+    fn drain_clients(
+        self: &Rc<Self>,
+        handover: Option<&dyn HandoverState>,
+        shares_listeners: bool,
+    ) {
+        if let Some(handover) = handover {
+            handover.end_accept_grace();
+        }
+        if !shares_listeners {
+            self.listen(Vec::new());
+        }
+        for client in self.clients.borrow().values() {
+            if !client.close_when_idle.replace(true) {
+                client.wake.notify_one();
+            }
+        }
+    }
+
+    /// Closes idle connections while an operator drains the node, each at its own time.
+    pub async fn close_idle_while_draining(self: Rc<Self>) {
+        loop {
+            if !self.shared.draining() {
+                self.shared.drained.notified().await;
+                continue;
+            }
+            for client in self.clients.borrow().values() {
+                let is_idle = matches!(client.phase.get(), Phase::New | Phase::Idle);
+                let idle_until = self.shared.idle_until(client.since.get());
+                if is_idle && idle_until.is_some_and(|until| until <= Instant::now()) {
+                    client.close_when_idle.set(true);
+                    client.wake.notify_one();
+                }
+            }
+            tokio::time::sleep(DRAIN_INTERVAL).await;
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/net/graphql/batch.rs
@@ -0,0 +1,214 @@
+//! Running a batch of operations: all under one deadline, with one answer to the client.
+
+use super::operation::{OperationContext, OperationPermits};
+use super::response::{json_response, request_fault, retry_advice, HttpResponse};
+use super::GraphQlRequest;
+use crate::net::answer::{Answer, Reply};
+use crate::net::front::{half_response_slack, set_retry_after, Front, RequestError};
+use crate::net::operations::Ready;
+use crate::net::service::Service;
+use crate::net::shared::{MemoryPermit, Permit};
+use bytes::Bytes;
+use futures_util::stream::{FuturesUnordered, StreamExt};
+use hyper::StatusCode;
+use reelfall_balancer::interface::Time;
+use reelfall_graphql::answer;
+use reelfall_graphql::batch::{refusable, Batch, Fate};
+use reelfall_graphql::media::Media;
+use reelfall_graphql::Fault;
+use std::rc::Rc;
+use std::time::Instant;
+use tokio::time::timeout_at;
+
+/// The text of an entry's answer, and the memory that is reserved for it until the batch is answered.
+struct EntryAnswer {
+    text: Bytes,
+    _memory: Option<MemoryPermit>,
+}
+
+impl AsRef<[u8]> for EntryAnswer {
+    fn as_ref(&self) -> &[u8] {
+        &self.text
+    }
+}
+
+/// An entry that has not been started, or why it can't be run.
+type Entry = Result<Ready, Fault>;
+
+/// A batch whose entries are being run.
+struct RunningBatch<'a> {
+    front: &'a Rc<Front>,
+    service: &'a Service,
+    context: OperationContext<'a>,
+    deadline: Instant,
+    batch: Batch<EntryAnswer>,
+    /// The entries by their place; taken when they are started.
+    entries: Vec<Option<Entry>>,
+    body_memory: Option<Rc<MemoryPermit>>,
+    admission: BatchAdmission,
+}
+
+/// Whether the admission of the batch itself has been passed to its first entry.
+enum BatchAdmission {
+    Unused(Option<Permit>),
+    Used,
+}
+
+impl Front {
+    /// Runs a batch and answers it.
+    pub(super) async fn answer_batch(
+        self: &Rc<Self>,
+        request: GraphQlRequest<'_>,
+        entries: Vec<Entry>,
+    ) -> HttpResponse {
+        let service = &*request.admitted.service;
+        let context = OperationContext {
+            graphql: request.graphql,
+            pool: &service.pool,
+            head: request.head,
+            batch_deadline: None,
+        };
+        let deadline =
+            request.head.taken + context.time_for_answer(longest_deadline(&context, &entries));
+        let writes = entries.iter().map(|entry| {
+            entry
+                .as_ref()
+                .is_ok_and(|ready| !request.graphql.classes.safe(&ready.operation))
+        });
+        let batch = Batch::new(writes.collect::<Vec<_>>(), request.graphql.side_by_side);
+        let running = RunningBatch {
+            front: self,
+            service,
+            context: OperationContext {
+                batch_deadline: Some(deadline),
+                ..context
+            },
+            deadline,
+            batch,
+            entries: entries.into_iter().map(Some).collect(),
+            body_memory: request.body_memory,
+            admission: BatchAdmission::Unused(request.admitted.admission),
+        };
+        let fates = running.run().await;
+        batch_response(fates, request.media, service)
+    }
+}
+
+/// The longest deadline of any entry, in seconds.
+fn longest_deadline(context: &OperationContext, entries: &[Entry]) -> Time {
+    entries
+        .iter()
+        .filter_map(|entry| context.class_deadline(entry.as_ref().ok()?.class))
+        .fold(0.0, f64::max)
+}
+
+impl RunningBatch<'_> {
+    /// Runs the entries until all have ended or the deadline has passed. Dropping this cancels the entries in flight.
+    async fn run(mut self) -> Vec<Fate<EntryAnswer>> {
+        let (front, context) = (self.front, self.context);
+        // Entries end by themselves at the deadline; this catches those that do not.
+        let timeout = self.deadline + half_response_slack(context.pool);
+        let mut in_flight = FuturesUnordered::new();
+        loop {
+            for entry in self.batch.start() {
+                if let Some((ready, permits)) = self.start_entry(entry) {
+                    let operation = front.run_operation(context, ready, Some(entry), permits);
+                    in_flight.push(async move { (entry, operation.await) });
+                }
+            }
+            if self.batch.complete() {
+                break;
+            }
+            if in_flight.is_empty() {
+                // Entries that were rejected at once have made room for others.
+                continue;
+            }
+            match timeout_at(timeout.into(), in_flight.next()).await {
+                Ok(Some((entry, result))) => self.batch.done(entry, entry_fate(result)),
+                _ => {
+                    self.batch.end();
+                    break;
+                }
+            }
+            if Instant::now() >= self.deadline {
+                self.batch.end();
+                break;
+            }
+        }
+        drop(in_flight);
+        self.batch.fates()
+    }
+
+    /// What an entry needs to run; `None` if it has ended instead.
+    fn start_entry(&mut self, entry: usize) -> Option<(Ready, OperationPermits)> {
+        let ready = match self.entries.get_mut(entry).and_then(Option::take) {
+            Some(Ok(ready)) => ready,
+            Some(Err(fault)) => {
+                self.batch.done(entry, fault_fate(&fault));
+                return None;
+            }
+            None => {
+                self.batch.done(entry, Fate::NeverRan);
+                return None;
+            }
+        };
+        let Some(admission) = self.admit_entry() else {
+            let retry_after = retry_advice(self.service.retry_after.get());
+            self.batch.done(entry, Fate::Refused(retry_after));
+            return None;
+        };
+        let permits = OperationPermits {
+            body_memory: self.body_memory.clone(),
+            admission,
+        };
+        Some((ready, permits))
+    }
+
+    /// Admits an entry: the first one by the admission of the batch, each other one by its own; `None` if rejected.
+    fn admit_entry(&mut self) -> Option<Option<Permit>> {
+        match std::mem::replace(&mut self.admission, BatchAdmission::Used) {
+            BatchAdmission::Unused(admission) => Some(admission),
+            BatchAdmission::Used => match self.service.member {
+                Some(member) => self.front.shared().admit(member).ok(),
+                None => Some(None),
+            },
+        }
+    }
+}
+
+fn entry_fate(result: Result<Reply, RequestError>) -> Fate<EntryAnswer> {
+    match result {
+        // Its attempt has validated the answer, so it is JSON.
+        Ok(Reply::Served(answer)) => {
+            let Answer { body, _memory, .. } = *answer;
+            Fate::Answered(EntryAnswer {
+                text: body,
+                _memory,
+            })
+        }
+        Ok(Reply::Rejected { retry_after }) => Fate::Refused(retry_after),
+        Ok(Reply::Failed(_)) => Fate::Failed,
+        Err(error) => fault_fate(&request_fault(error)),
+    }
+}
+
+fn fault_fate(fault: &Fault) -> Fate<EntryAnswer> {
+    Fate::Answered(EntryAnswer {
+        text: Bytes::from(answer::fault(fault).to_string()),
+        _memory: None,
+    })
+}
+
+fn batch_response(fates: Vec<Fate<EntryAnswer>>, media: Media, service: &Service) -> HttpResponse {
+    let is_rejected = refusable(&fates);
+    let status = if is_rejected {
+        StatusCode::SERVICE_UNAVAILABLE
+    } else {
+        StatusCode::OK
+    };
+    let mut response = json_response(status, media, answer::merge(fates));
+    if is_rejected {
+        set_retry_after(&mut response, retry_advice(service.retry_after.get()));
+    }
+    response
+}
--- /dev/null
+++ b/crates/node/src/net/graphql/operation.rs
@@ -0,0 +1,144 @@
+//! Running one operation: it is translated into a request of its own and submitted to the engine.
+
+use crate::net::answer::Reply;
+use crate::net::body::Payload;
+use crate::net::front::{
+    half_response_slack, strip_hop_by_hop, Front, PendingRequest, RequestError,
+};
+use crate::net::message::{AnswerValidator, Arrival, Message};
+use crate::net::operations::{GraphQl, Head, Ready};
+use crate::net::pool::Pool;
+use crate::net::shared::{MemoryPermit, Permit};
+use hyper::header::{self, HeaderMap, HeaderValue};
+use hyper::{Method, StatusCode};
+use reelfall_balancer::interface::{ClassId, Outcome, Time};
+use reelfall_graphql::answer;
+use reelfall_graphql::document::Operation;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tokio::time::timeout_at;
+
+/// Tells the valid answers to an operation from others.
+struct OperationAnswerValidator {
+    operation: Rc<Operation>,
+}
+
+impl AnswerValidator for OperationAnswerValidator {
+    /// A server may report a client's errors by a 4xx status; those are valid answers, and not failures of the server.
+    fn may_answer(&self, status: StatusCode) -> bool {
+        let is_transient = matches!(
+            status,
+            StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_EARLY | StatusCode::TOO_MANY_REQUESTS
+        );
+        status.is_client_error() && !is_transient
+    }
+
+    fn is_answer(&self, body: &[u8]) -> bool {
+        answer::check(body, &self.operation).is_ok()
+    }
+}
+
+/// What all operations of a client's request have in common.
+#[derive(Clone, Copy)]
+pub(super) struct OperationContext<'a> {
+    pub(super) graphql: &'a GraphQl,
+    pub(super) pool: &'a Rc<Pool>,
+    pub(super) head: &'a Head,
+    /// The deadline of the batch, if the operation is an entry of one.
+    pub(super) batch_deadline: Option<Instant>,
+}
+
+/// What an operation holds of its service's limits.
+pub(super) struct OperationPermits {
+    pub(super) body_memory: Option<Rc<MemoryPermit>>,
+    pub(super) admission: Option<Permit>,
+}
+
+impl OperationContext<'_> {
+    /// The deadline of a class, in seconds.
+    pub(super) fn class_deadline(&self, class: ClassId) -> Option<Time> {
+        self.pool
+            .classes
+            .get(usize::from(class))
+            .map(|class| class.deadline)
+    }
+
+    /// The time for an answer that has to reach a client within `deadline`, which the client may have shortened.
+    pub(super) fn time_for_answer(&self, deadline: Time) -> Duration {
+        let time_left = self.head.left.map_or(deadline, |left| left.min(deadline));
+        let slack = self.pool.connection_settings.response_slack;
+        Duration::try_from_secs_f64(time_left - slack).unwrap_or_default()
+    }
+
+    /// When the answer to an operation is due. The time of a batch entry begins when the entry starts.
+    fn answer_due(&self, class: ClassId, is_batch_entry: bool) -> Instant {
+        let time_for_answer = self.time_for_answer(self.class_deadline(class).unwrap_or(0.0));
+        let begins_at = if is_batch_entry {
+            Instant::now()
+        } else {
+            self.head.taken
+        };
+        let due = begins_at + time_for_answer;
+        self.batch_deadline
+            .map_or(due, |batch_deadline| due.min(batch_deadline))
+    }
+}
+
+impl Front {
+    /// Submits an operation to the engine and waits for its final answer.
+    pub(super) async fn run_operation(
+        self: &Rc<Self>,
+        context: OperationContext<'_>,
+        ready: Ready,
+        batch_entry: Option<usize>,
+        permits: OperationPermits,
+    ) -> Result<Reply, RequestError> {
+        let pool = context.pool;
+        let mut headers = context.head.headers.clone();
+        let due = context.answer_due(ready.class, batch_entry.is_some());
+        let id_claim = self.claim_correlation_id(&mut headers, batch_entry)?;
+        let work_hint = context.graphql.field_work * ready.operation.cost as f64;
+        let arrival = Arrival {
+            class: ready.class,
+            work_hint: Some(work_hint),
+            ..self.arrival(pool, &headers, due)
+        };
+        set_server_headers(&mut headers, &ready.method);
+        let validator = OperationAnswerValidator {
+            operation: ready.operation,
+        };
+        let message = Message {
+            method: ready.method,
+            path: ready.path,
+            headers,
+            body: Payload::Buffered(ready.body),
+            _body_memory: permits.body_memory,
+            _id_claim: id_claim,
+            _admission: permits.admission,
+            validator: Some(Box::new(validator)),
+            waiter: context.head.waiter.clone(),
+        };
+        let (request, answer) = pool.submit(message, arrival);
+        let mut pending = PendingRequest::new(pool, request);
+        // Attempts end at the deadline with an answer; this catches a request that has got none.
+        let timeout = due + half_response_slack(pool);
+        match timeout_at(timeout.into(), answer).await {
+            Ok(Ok(reply)) => {
+                pending.mark_answered();
+                Ok(reply)
+            }
+            _ => Ok(Reply::Failed(Some(Outcome::TimedOut))),
+        }
+    }
+}
+
+/// Makes the headers of a client's request those of an operation on its way to a server.
+fn set_server_headers(headers: &mut HeaderMap, method: &Method) {
+    const JSON: HeaderValue = HeaderValue::from_static("application/json");
+    strip_hop_by_hop(headers);
+    // In this media type a server reports a client's errors by status 200, which is a valid answer in any case.
+    headers.insert(header::ACCEPT, JSON);
+    if method == Method::POST {
+        headers.insert(header::CONTENT_TYPE, JSON);
+    }
+}
--- /dev/null
+++ b/crates/node/src/net/graphql/response.rs
@@ -0,0 +1,120 @@
+//! Answers to GraphQL clients.
+
+use crate::net::answer::{Reply, ResponseBody};
+use crate::net::front::{set_retry_after, RequestError};
+use bytes::Bytes;
+use hyper::header::{self, HeaderValue};
+use hyper::{Response, StatusCode};
+use reelfall_balancer::interface::{Outcome, Time};
+use reelfall_graphql::answer;
+use reelfall_graphql::batch::Fate;
+use reelfall_graphql::media::{self, Media};
+use reelfall_graphql::{Fault, FaultKind};
+use serde::de::IgnoredAny;
+use serde::{Deserialize, Deserializer};
+
+pub(super) type HttpResponse = Response<ResponseBody>;
+
+/// An answer of JSON text.
+pub(super) fn json_response(
+    status: StatusCode,
+    media: Media,
+    body: impl Into<Bytes>,
+) -> HttpResponse {
+    let mut response = Response::new(ResponseBody::from(body.into()));
+    *response.status_mut() = status;
+    response.headers_mut().insert(
+        header::CONTENT_TYPE,
+        HeaderValue::from_static(media.content_type()),
+    );
+    response
+}
+
+/// The answer to a request that can't be run.
+pub(super) fn fault_response(media: Media, fault: &Fault) -> HttpResponse {
+    let status = StatusCode::from_u16(media::status(media, fault.kind))
+        .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    let mut response = json_response(status, media, answer::fault(fault).to_string());
+    if fault.kind == FaultKind::Method {
+        set_allowed_methods(&mut response, "POST");
+    }
+    response
+}
+
+/// The answer to a request by a method that GraphQL is not served by.
+pub(super) fn method_not_allowed(media: Media) -> HttpResponse {
+    let fault = Fault::new(FaultKind::Method, "GraphQL is served by GET and POST");
+    let mut response = fault_response(media, &fault);
+    set_allowed_methods(&mut response, "GET, POST");
+    response
+}
+
+fn set_allowed_methods(response: &mut HttpResponse, methods: &'static str) {
+    response
+        .headers_mut()
+        .insert(header::ALLOW, HeaderValue::from_static(methods));
+}
+
+/// The fault that a rejected request is reported as.
+pub(super) fn request_fault(error: RequestError) -> Fault {
+    Fault::new(FaultKind::Request, error.to_string())
+}
+
+/// The answer to an operation that was not submitted.
+pub(super) fn request_error_response(media: Media, error: RequestError) -> HttpResponse {
+    let mut response = fault_response(media, &request_fault(error));
+    if error == RequestError::CorrelationIdInUse {
+        *response.status_mut() = StatusCode::CONFLICT;
+    }
+    response
+}
+
+/// The answer to a single operation from the final answer of the engine.
+pub(super) fn operation_response(reply: Reply, media: Media) -> HttpResponse {
+    match reply {
+        Reply::Served(answer) => served_response(answer.body, media),
+        Reply::Rejected { retry_after } => {
+            let fate = Fate::Refused(retry_after);
+            let mut response = error_response(StatusCode::SERVICE_UNAVAILABLE, media, &fate);
+            set_retry_after(&mut response, retry_after);
+            response
+        }
+        Reply::Failed(Some(Outcome::TimedOut)) => {
+            error_response(StatusCode::GATEWAY_TIMEOUT, media, &Fate::Failed)
+        }
+        Reply::Failed(_) => error_response(StatusCode::BAD_GATEWAY, media, &Fate::Failed),
+    }
+}
+
+fn served_response(body: Bytes, media: Media) -> HttpResponse {
+    // An answer without data is that of a request that was not run; the newer media type says so by the status.
+    let has_data =
+        serde_json::from_slice::<DataPresence>(&body).is_ok_and(|answer| answer.data.is_some());
+    let status = if media == Media::Response && !has_data {
+        StatusCode::BAD_REQUEST
+    } else {
+        StatusCode::OK
+    };
+    json_response(status, media, body)
+}
+
+fn error_response(status: StatusCode, media: Media, fate: &Fate<()>) -> HttpResponse {
+    let text = answer::made(fate).unwrap_or_default().to_string();
+    json_response(status, media, text)
+}
+
+/// Bounds advice on when to come back; 0 stands for no advice.
+pub(super) fn retry_advice(max_retry_after: Time) -> Option<Time> {
+    (max_retry_after > 0.0).then_some(max_retry_after)
+}
+
+/// Whether an answer has `data`, be it null.
+#[derive(Deserialize)]
+struct DataPresence {
+    #[serde(default, deserialize_with = "present")]
+    data: Option<IgnoredAny>,
+}
+
+fn present<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<IgnoredAny>, D::Error> {
+    Deserialize::deserialize(deserializer).map(Some)
+}
