--- a/crates/node/src/net/answer.rs
+++ b/crates/node/src/net/answer.rs
@@ -1,6 +1,8 @@
-//! Answers of servers on their way to clients: held whole, or forwarded in pieces.
+//! Answers of servers on their way to clients: buffered whole, or streamed while they still arrive.
+//!
+//! `upstream` makes an [`Answer`] of each server's answer, `front` a [`ResponseBody`] for its client.
 
-use super::body::{fault, FLOW_MOST};
+use super::body::MAX_STREAMED_BYTES;
 use super::message::Message;
 use super::shared::MemoryPermit;
 use bytes::Bytes;
@@ -14,10 +16,11 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 use std::time::Duration;
+use thiserror::Error;
 use tokio::time::{Instant, Sleep};
 
-/// An answer that flows has stalled when nothing of it has come for so long.
-const STALLED: Duration = Duration::from_secs(10);
+/// A streamed answer of which nothing arrives for so long is given up.
+const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The one final answer of a request.
 pub type Reply = FinalAnswer<Box<Answer>>;
@@ -25,115 +28,147 @@
 /// A server's answer.
 pub struct Answer {
     pub headers: HeaderMap,
-    /// All of it, or what has come of one that flows.
+    /// All of the body, or what was buffered of it before it was streamed.
     pub body: Bytes,
-    /// What is to come; never of an answer that has a judge.
-    pub rest: Option<StreamedAnswer>,
-    /// What the body holds of the memory for answers.
+    /// The rest of a streamed body; always `None` for an answer that was validated.
+    pub remainder: Option<StreamedAnswer>,
+    /// The memory that is reserved for the body.
     pub _memory: Option<MemoryPermit>,
 }
 
-/// What is to come of an answer that flows.
+/// Why a streamed answer has ended early.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+enum StreamedAnswerError {
+    #[error("an answer without end")]
+    TooLarge,
+    #[error("the answer has stalled")]
+    Stalled,
+}
+
+impl From<StreamedAnswerError> for io::Error {
+    fn from(error: StreamedAnswerError) -> Self {
+        io::Error::other(error)
+    }
+}
+
+/// The rest of an answer that still arrives while it is sent to its client.
+///
+/// If it ends early, the client's connection is aborted, so that the answer never looks complete.
 pub struct StreamedAnswer {
     incoming: Incoming,
-    passed: u64,
-    /// When it counts as stalled; set while nothing is here.
+    bytes_forwarded: u64,
+    /// Runs while nothing is there to be forwarded.
     stall_timer: Option<Pin<Box<Sleep>>>,
-    /// Has the connection used again when the answer came whole; dropped, it closes the connection.
+    /// Returns the connection to its pool once the answer is complete; dropped before, it closes the connection.
     on_complete: Option<Box<dyn FnOnce()>>,
-    /// More may come.
-    open: Rc<Cell<bool>>,
-    /// The request's id and place are held as long as its answer comes.
+    is_open: Rc<Cell<bool>>,
+    /// Keeps the request's claim on its id and its place in its service until the answer has ended.
     _message: Rc<Message>,
 }
 
 impl StreamedAnswer {
-    /// What is to come after `passed` bytes; `whole` is called when all has come.
+    /// The rest of an answer after `bytes_forwarded` bytes; `on_complete` is called at its regular end.
     pub fn new(
         incoming: Incoming,
-        passed: u64,
+        bytes_forwarded: u64,
         message: Rc<Message>,
         on_complete: impl FnOnce() + 'static,
     ) -> Self {
         StreamedAnswer {
             incoming,
-            passed,
+            bytes_forwarded,
             stall_timer: None,
             on_complete: Some(Box::new(on_complete)),
-            open: Rc::new(Cell::new(true)),
+            is_open: Rc::new(Cell::new(true)),
             _message: message,
         }
     }
 
-    fn end(&mut self) {
-        self.open.set(false);
+    fn complete(&mut self) {
+        self.is_open.set(false);
         if let Some(on_complete) = self.on_complete.take() {
             on_complete();
         }
     }
 
-    /// Guards against answers without end and servers that stop in the middle; the client is told by a message that is cut
-    /// off, never by one that looks whole. Harm: a server that rests for longer loses its client.
     fn poll(&mut self, cx: &mut Context) -> Poll<Option<Result<Bytes, io::Error>>> {
         loop {
             match Pin::new(&mut self.incoming).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
                     self.stall_timer = None;
-                    let Ok(data) = frame.into_data() else {
-                        continue;
-                    };
-                    self.passed += data.len() as u64;
-                    if self.passed > FLOW_MOST {
-                        return Poll::Ready(Some(Err(fault("an answer without end"))));
-                    }
-                    if self.incoming.is_end_stream() {
-                        // The library does not ask for the end of an answer whose length it knows.
-                        self.end();
+                    if let Ok(data) = frame.into_data() {
+                        return Poll::Ready(Some(self.forward(data)));
                     }
-                    return Poll::Ready(Some(Ok(data)));
                 }
-                Poll::Ready(Some(Err(e))) => return Poll::Ready(Some(Err(io::Error::other(e)))),
+                Poll::Ready(Some(Err(error))) => {
+                    return Poll::Ready(Some(Err(io::Error::other(error))));
+                }
                 Poll::Ready(None) => {
-                    self.end();
+                    self.complete();
                     return Poll::Ready(None);
                 }
                 Poll::Pending => {
-                    let due = || Box::pin(tokio::time::sleep_until(Instant::now() + STALLED));
-                    let stall_timer = self.stall_timer.get_or_insert_with(due);
-                    return match stall_timer.as_mut().poll(cx) {
-                        Poll::Pending => Poll::Pending,
-                        Poll::Ready(()) => Poll::Ready(Some(Err(fault("the answer has stalled")))),
-                    };
+                    return self
+                        .poll_stall(cx)
+                        .map(|error| Some(Err(io::Error::from(error))));
                 }
             }
         }
     }
+
+    fn forward(&mut self, data: Bytes) -> Result<Bytes, io::Error> {
+        self.bytes_forwarded += data.len() as u64;
+        if self.bytes_forwarded > MAX_STREAMED_BYTES {
+            return Err(StreamedAnswerError::TooLarge.into());
+        }
+        if self.incoming.is_end_stream() {
+            // The HTTP library does not poll for the end of an answer whose length it knows.
+            self.complete();
+        }
+        Ok(data)
+    }
+
+    /// Ready once the answer has stalled.
+    fn poll_stall(&mut self, cx: &mut Context) -> Poll<StreamedAnswerError> {
+        let stall_timer = self.stall_timer.get_or_insert_with(|| {
+            Box::pin(tokio::time::sleep_until(Instant::now() + STALL_TIMEOUT))
+        });
+        stall_timer
+            .as_mut()
+            .poll(cx)
+            .map(|()| StreamedAnswerError::Stalled)
+    }
 }
 
-/// The body of what a client is sent.
+/// The body of an answer to a client.
 #[derive(Default)]
 pub struct ResponseBody {
-    held: Bytes,
-    rest: Option<StreamedAnswer>,
+    buffered: Bytes,
+    remainder: Option<StreamedAnswer>,
 }
 
 impl ResponseBody {
-    /// What is here, and what is to come.
-    pub fn new(held: Bytes, rest: Option<StreamedAnswer>) -> Self {
-        ResponseBody { held, rest }
+    /// A body of which `buffered` is there and the rest is streamed.
+    pub fn new(buffered: Bytes, remainder: Option<StreamedAnswer>) -> Self {
+        ResponseBody {
+            buffered,
+            remainder,
+        }
     }
 
-    /// Tells, now and later, whether more of it may come; `None` if it is all here.
+    /// A flag that stays set while more of the body may arrive; `None` if it is all there.
     pub fn open_flag(&self) -> Option<Rc<Cell<bool>>> {
-        self.rest.as_ref().map(|r| r.open.clone())
+        self.remainder
+            .as_ref()
+            .map(|remainder| remainder.is_open.clone())
     }
 }
 
 impl<T: Into<Bytes>> From<T> for ResponseBody {
-    fn from(held: T) -> Self {
+    fn from(data: T) -> Self {
         ResponseBody {
-            held: held.into(),
-            rest: None,
+            buffered: data.into(),
+            remainder: None,
         }
     }
 }
@@ -146,29 +181,30 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        if !self.held.is_empty() {
-            return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut self.held)))));
+        if !self.buffered.is_empty() {
+            return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut self.buffered)))));
         }
-        match &mut self.rest {
+        match &mut self.remainder {
             None => Poll::Ready(None),
-            Some(rest) => rest
+            Some(remainder) => remainder
                 .poll(cx)
                 .map(|polled| polled.map(|data| data.map(Frame::data))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        // The end of a flow has to be polled, or its connection would not be used again.
-        self.held.is_empty() && self.rest.is_none()
+        // The end of a streamed answer has to be polled, or its connection would not be used again.
+        self.buffered.is_empty() && self.remainder.is_none()
     }
 
     fn size_hint(&self) -> SizeHint {
-        let held = self.held.len() as u64;
-        let rest = self.rest.as_ref().map(|r| r.incoming.size_hint());
-        match rest.map(|r| r.exact()) {
-            None => SizeHint::with_exact(held),
-            Some(Some(rest)) => SizeHint::with_exact(held + rest),
-            Some(None) => SizeHint::new(),
+        let buffered = self.buffered.len() as u64;
+        let Some(remainder) = &self.remainder else {
+            return SizeHint::with_exact(buffered);
+        };
+        match remainder.incoming.size_hint().exact() {
+            Some(remaining) => SizeHint::with_exact(buffered + remaining),
+            None => SizeHint::new(),
         }
     }
 }
--- a/crates/node/src/net/body.rs
+++ b/crates/node/src/net/body.rs
@@ -1,7 +1,7 @@
-//! Bodies of requests: held whole, or forwarded from the client's connection to the server's in pieces.
+//! Bodies of requests: buffered whole, or streamed from the client's connection to the server's.
 //!
-//! Whoever reads a flow polls the connection that it comes from, so that nothing is held between the two but their
-//! buffers, and the slower side sets the pace.
+//! Reading a streamed body polls the client's connection, so that nothing is buffered between the two connections but
+//! what they buffer themselves, and the slower side sets the pace. `front` makes the bodies, `upstream` sends them.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -10,142 +10,163 @@
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll};
+use thiserror::Error;
 use tokio::sync::Notify;
 
-/// Largest body or answer that flows; 32 MB and a little for whoever counts in other units.
-pub const FLOW_MOST: u64 = 40 << 20;
+/// Largest body of a request or answer that is streamed: 32 MB, with a margin for clients that count in other units.
+pub const MAX_STREAMED_BYTES: u64 = 40 << 20;
 
-pub(super) fn fault(text: &'static str) -> io::Error {
-    io::Error::other(text)
+/// Why a streamed body has ended early.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum StreamedBodyError {
+    #[error("the client has broken off")]
+    ClientAborted,
+    #[error("the body is too large")]
+    TooLarge,
 }
 
+type FrameResult = Result<Frame<Bytes>, io::Error>;
+
 /// The body of a request on its way from its client to one server.
 pub struct StreamedBody {
-    /// What was read before it was known that the body would flow.
-    first: RefCell<Option<Bytes>>,
-    rest: RefCell<Incoming>,
-    size: Option<u64>,
-    passed: Cell<u64>,
-    /// Some of it was taken: it can't be sent again.
-    taken: Cell<bool>,
-    /// All of it was taken.
-    done: Cell<bool>,
-    /// It is done, or has broken off.
+    /// What was read before it was decided to stream the body.
+    prefix: RefCell<Option<Bytes>>,
+    remainder: RefCell<Incoming>,
+    /// The size that the client has announced.
+    announced_size: Option<u64>,
+    bytes_forwarded: Cell<u64>,
+    is_consumed: Cell<bool>,
+    is_complete: Cell<bool>,
+    error: Cell<Option<StreamedBodyError>>,
+    /// Notified when the body is complete or has ended early.
     ended: Notify,
-    /// Why it can't come to its end.
-    fault: Cell<Option<&'static str>>,
 }
 
 impl StreamedBody {
-    /// A body of which `first` has been read.
-    pub fn new(first: Bytes, rest: Incoming, size: Option<u64>) -> Rc<Self> {
+    /// A body of which `prefix` has been read.
+    pub fn new(prefix: Bytes, remainder: Incoming, announced_size: Option<u64>) -> Rc<Self> {
         Rc::new(StreamedBody {
-            first: RefCell::new(Some(first).filter(|f| !f.is_empty())),
-            rest: RefCell::new(rest),
-            size,
-            passed: Cell::new(0),
-            taken: Cell::new(false),
-            done: Cell::new(false),
+            prefix: RefCell::new(Some(prefix).filter(|prefix| !prefix.is_empty())),
+            remainder: RefCell::new(remainder),
+            announced_size,
+            bytes_forwarded: Cell::new(0),
+            is_consumed: Cell::new(false),
+            is_complete: Cell::new(false),
+            error: Cell::new(None),
             ended: Notify::new(),
-            fault: Cell::new(None),
         })
     }
 
-    /// Some of it was taken: it can't be sent again.
-    pub fn is_taken(&self) -> bool {
-        self.taken.get()
+    /// Whether part of it was consumed, so that it can't be sent again.
+    pub fn is_consumed(&self) -> bool {
+        self.is_consumed.get()
     }
 
-    /// All of it was taken.
-    pub fn is_done(&self) -> bool {
-        self.done.get()
+    /// Whether all of it was consumed.
+    pub fn is_complete(&self) -> bool {
+        self.is_complete.get()
     }
 
-    /// Why it can't come to its end, if it can't.
-    pub fn fault(&self) -> Option<&'static str> {
-        self.fault.get()
+    /// Why it has ended early, if it has.
+    pub fn error(&self) -> Option<StreamedBodyError> {
+        self.error.get()
     }
 
-    /// Waits until all of it was taken, or it has broken off.
-    pub async fn ended(&self) {
-        while !self.done.get() && self.fault.get().is_none() {
+    /// Waits until it is complete or has ended early.
+    pub async fn wait_for_end(&self) {
+        while !self.is_complete.get() && self.error.get().is_none() {
             self.ended.notified().await;
         }
     }
 
-    fn end(&self, fault: Option<&'static str>) {
-        match fault {
-            Some(fault) => self.fault.set(Some(fault)),
-            None => self.done.set(true),
-        }
+    fn complete(&self) {
+        self.is_complete.set(true);
+        self.ended.notify_waiters();
+    }
+
+    fn fail(&self, error: StreamedBodyError) -> FrameResult {
+        self.error.set(Some(error));
         self.ended.notify_waiters();
+        Err(io::Error::other(error))
     }
 
-    fn poll(&self, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        self.taken.set(true);
-        if let Some(first) = self.first.borrow_mut().take() {
-            self.passed.set(first.len() as u64);
-            return Poll::Ready(Some(Ok(Frame::data(first))));
+    fn poll(&self, cx: &mut Context) -> Poll<Option<FrameResult>> {
+        self.is_consumed.set(true);
+        if let Some(prefix) = self.prefix.borrow_mut().take() {
+            self.bytes_forwarded.set(prefix.len() as u64);
+            return Poll::Ready(Some(Ok(Frame::data(prefix))));
         }
-        let broken = |why| {
-            self.end(Some(why));
-            Poll::Ready(Some(Err(fault(why))))
-        };
         loop {
-            let polled = Pin::new(&mut *self.rest.borrow_mut()).poll_frame(cx);
+            let polled = Pin::new(&mut *self.remainder.borrow_mut()).poll_frame(cx);
             match polled {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(None) => {
-                    self.end(None);
+                    self.complete();
                     return Poll::Ready(None);
                 }
-                Poll::Ready(Some(Err(_))) => return broken("the client has broken off"),
+                Poll::Ready(Some(Err(_))) => {
+                    return Poll::Ready(Some(self.fail(StreamedBodyError::ClientAborted)));
+                }
                 Poll::Ready(Some(Ok(frame))) => {
-                    // Trailers concern this connection.
-                    let Ok(data) = frame.into_data() else {
-                        continue;
-                    };
-                    self.passed.set(self.passed.get() + data.len() as u64);
-                    if self.passed.get() > FLOW_MOST {
-                        return broken("the body is too large");
-                    }
-                    if self.size == Some(self.passed.get()) {
-                        // The library may never ask for more of a body whose length it knows.
-                        self.end(None);
+                    // Trailers concern the client's connection only.
+                    if let Ok(data) = frame.into_data() {
+                        return Poll::Ready(Some(self.forward(data)));
                     }
-                    return Poll::Ready(Some(Ok(Frame::data(data))));
                 }
             }
         }
     }
+
+    fn forward(&self, data: Bytes) -> FrameResult {
+        let forwarded = self.bytes_forwarded.get() + data.len() as u64;
+        self.bytes_forwarded.set(forwarded);
+        if forwarded > MAX_STREAMED_BYTES {
+            return self.fail(StreamedBodyError::TooLarge);
+        }
+        if self.announced_size == Some(forwarded) {
+            // The HTTP library may never poll for the end of a body whose length it knows.
+            self.complete();
+        }
+        Ok(Frame::data(data))
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        self.announced_size.map_or_else(SizeHint::new, |size| {
+            SizeHint::with_exact(size.saturating_sub(self.bytes_forwarded.get()))
+        })
+    }
 }
 
-/// The body of a request, the same at every attempt.
+/// The body of a request, the same in every attempt.
 #[derive(Clone)]
 pub enum Payload {
-    /// It is held, and can be sent again.
+    /// Buffered whole; it can be sent again.
     Buffered(Bytes),
-    /// It flows, once.
+    /// Streamed; it can be sent once.
     Streamed(Rc<StreamedBody>),
 }
 
 impl Payload {
-    /// The flow, if it is one.
+    /// The streamed body, if it is one.
     pub fn streamed(&self) -> Option<&Rc<StreamedBody>> {
         match self {
             Payload::Buffered(_) => None,
-            Payload::Streamed(flow) => Some(flow),
+            Payload::Streamed(body) => Some(body),
         }
     }
 }
 
-/// A payload on its way to a server.
-pub struct PayloadBody(Payload);
+/// The body of one attempt's request, for the HTTP library.
+pub struct PayloadBody {
+    payload: Payload,
+}
 
 impl PayloadBody {
     /// For one attempt.
     pub fn new(payload: &Payload) -> Self {
-        PayloadBody(payload.clone())
+        PayloadBody {
+            payload: payload.clone(),
+        }
     }
 }
 
@@ -153,30 +174,25 @@
     type Data = Bytes;
     type Error = io::Error;
 
-    fn poll_frame(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context,
-    ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        match &mut self.0 {
-            Payload::Buffered(held) if held.is_empty() => Poll::Ready(None),
-            Payload::Buffered(held) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(held))))),
-            Payload::Streamed(flow) => flow.poll(cx),
+    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<FrameResult>> {
+        match &mut self.payload {
+            Payload::Buffered(data) if data.is_empty() => Poll::Ready(None),
+            Payload::Buffered(data) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(data))))),
+            Payload::Streamed(body) => body.poll(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        match &self.0 {
-            Payload::Buffered(held) => held.is_empty(),
-            Payload::Streamed(flow) => flow.is_done(),
+        match &self.payload {
+            Payload::Buffered(data) => data.is_empty(),
+            Payload::Streamed(body) => body.is_complete(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
-        match &self.0 {
-            Payload::Buffered(held) => SizeHint::with_exact(held.len() as u64),
-            Payload::Streamed(flow) => flow.size.map_or_else(SizeHint::new, |size| {
-                SizeHint::with_exact(size.saturating_sub(flow.passed.get()))
-            }),
+        match &self.payload {
+            Payload::Buffered(data) => SizeHint::with_exact(data.len() as u64),
+            Payload::Streamed(body) => body.size_hint(),
         }
     }
 }
--- a/crates/node/src/net/client.rs
+++ b/crates/node/src/net/client.rs
@@ -1,5 +1,12 @@
-//! One client's connection: where it stands, and who has left. Reading and its time-outs are in `io`, its orderly end in
-//! `close`, its place among those that may be closed to make room in `eviction`.
+//! The connection of one client: its phase, its progress and whether the client has disconnected.
+//!
+//! Created by `front::accept` for each connection.
+//!
+//! | module | responsibility |
+//! | --- | --- |
+//! | `io` | reading and writing its socket, with the timeouts of both |
+//! | `close` | closing it without losing an answer |
+//! | `eviction` | which connection is closed first at the limit of clients |
 
 mod close;
 mod eviction;
@@ -21,70 +28,73 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// A head may take so long from its first byte on, and nothing may rest for longer in the middle of a request.
-const REQUEST_WITHIN: Duration = Duration::from_millis(2600);
-/// A body may come as slowly as this, in bytes a second.
-const BODY_RATE: f64 = 40e3;
-/// A client that was seen on its connection this lately is taken to be there still. A tenth of a second is the most.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+/// How long the head of a request may take from its first byte on, and the longest pause within a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2600);
+/// The lowest rate at which the body of a request may be received, in bytes per second.
+const MIN_BODY_RATE: f64 = 40e3;
+/// How long the result of the last check whether a client is connected stays valid.
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Where a client's connection stands.
+/// The phase of a client's connection.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Phase {
-    /// Nothing has come yet.
+    /// Nothing has been received yet.
     New,
-    /// A request has begun to come.
+    /// A request is being received.
     Receiving,
-    /// A request's body flows on to a server as it comes.
+    /// The body of a request is streamed to a server while it is received.
     Streaming,
-    /// A request is whole and has no answer yet.
+    /// A complete request has no answer yet.
     AwaitingAnswer,
-    /// The answer is on its way.
+    /// The answer is being written.
     Answering,
-    /// The answer is out, and nothing has come since.
+    /// The answer was written, and nothing was received since.
     Idle,
 }
 
 /// One client's connection.
 pub(super) struct Client {
     id: ClientId,
-    /// What it is in while requests are read from it.
+    /// The queues that it is in while it may be evicted.
     eviction_order: Rc<RefCell<EvictionOrder>>,
-    /// Look at the connection again: something here has changed.
+    /// Wakes the task that serves the connection, after a change here.
     pub wake: Notify,
     pub phase: Cell<Phase>,
-    /// When the phase began; a first request begins with its connection.
-    pub since: Cell<Instant>,
-    /// It is closed as soon as no request is here.
+    /// When the phase began; that of a first request begins with the connection.
+    pub phase_since: Cell<Instant>,
+    /// Whether it is closed as soon as no request is in progress.
     pub close_when_idle: Cell<bool>,
-    /// What the client is told when its connection can't go on.
-    pub fault: Cell<Option<StatusCode>>,
-    /// Something was written since the last request began.
-    wrote: Cell<bool>,
-    /// Bytes of the request that is coming, and when the last of them came.
+    /// The status that is answered when the connection can't be used any more.
+    pub rejection_status: Cell<Option<StatusCode>>,
+    /// Whether anything was written since the last request began.
+    has_written: Cell<bool>,
+    /// Bytes received of the current request, and when the last of them were received.
     request_bytes: Cell<u64>,
     last_byte_at: Cell<Instant>,
-    /// How long more of a body that flows has been waited for, all rests together.
+    /// How long the reading of a streamed body has waited for the client, in total.
     time_stalled: Cell<Duration>,
-    /// Its answer flows.
+    /// Whether its answer is streamed.
     pub is_streaming: Cell<bool>,
-    /// Whether more of it may come.
-    pub answer_open: RefCell<Option<Rc<Cell<bool>>>>,
-    /// It was answered before its body was here: it is read on for a while, or the answer might be lost.
-    pub answered_early: Cell<bool>,
-    /// It goes to another process as soon as no request is here.
-    pub handing_over: Cell<bool>,
-    /// Where it came in.
+    /// Whether more of a streamed answer may arrive.
+    pub answer_open_flag: RefCell<Option<Rc<Cell<bool>>>>,
+    /// Whether it was answered before the body of its request was received. Closing then lingers, or the answer might be
+    /// lost.
+    pub was_answered_early: Cell<bool>,
+    /// Whether it is handed over to another process as soon as no request is in progress.
+    pub is_handing_over: Cell<bool>,
+    /// The listener that accepted it.
     pub listener_tag: Rc<ListenerTag>,
-    /// It has closed its connection, or its sending on it, or has reset it. A half-close counts as leaving: a client that
-    /// waits for an answer keeps its sending open.
-    disconnected: Cell<bool>,
-    /// The socket, and when all that had come on it was last read.
+    /// Whether the client has closed or reset its connection. A half-close counts: a client that waits for an answer keeps
+    /// its write side open.
+    is_disconnected: Cell<bool>,
+    /// The socket, for checks beside the HTTP library.
     stream: RefCell<Weak<TcpStream>>,
-    last_checked: Cell<Instant>,
+    /// When all that had arrived on the socket was last read.
+    last_disconnect_check: Cell<Instant>,
 }
 
 impl Client {
+    /// A connection that was just accepted.
     pub fn new(
         id: ClientId,
         listener_tag: Rc<ListenerTag>,
@@ -95,74 +105,75 @@
             eviction_order,
             wake: Notify::new(),
             phase: Cell::new(Phase::New),
-            since: Cell::new(Instant::now()),
+            phase_since: Cell::new(Instant::now()),
             close_when_idle: Cell::new(false),
-            fault: Cell::new(None),
-            wrote: Cell::new(false),
+            rejection_status: Cell::new(None),
+            has_written: Cell::new(false),
             request_bytes: Cell::new(0),
             last_byte_at: Cell::new(Instant::now()),
             time_stalled: Cell::default(),
             is_streaming: Cell::new(false),
-            answer_open: RefCell::default(),
-            answered_early: Cell::new(false),
-            handing_over: Cell::new(false),
+            answer_open_flag: RefCell::default(),
+            was_answered_early: Cell::new(false),
+            is_handing_over: Cell::new(false),
             listener_tag,
-            disconnected: Cell::new(false),
+            is_disconnected: Cell::new(false),
             stream: RefCell::default(),
-            last_checked: Cell::new(Instant::now()),
+            last_disconnect_check: Cell::new(Instant::now()),
         }
     }
 
-    /// The socket that it is on.
+    /// Sets the socket that is checked for a disconnect.
     pub fn set_socket(&self, stream: &Rc<TcpStream>) {
         self.stream.replace(Rc::downgrade(stream));
     }
 
-    /// Looks whether an end has come that the connection's own task has not read yet.
+    /// Checks for a disconnect that the connection's own task has not read yet.
     fn check_disconnect(&self) {
-        self.last_checked.set(Instant::now());
+        self.last_disconnect_check.set(Instant::now());
         let Some(stream) = self.stream.borrow().upgrade() else {
-            return self.disconnected.set(true);
+            return self.is_disconnected.set(true);
         };
         match socket2::SockRef::from(&*stream).peek(&mut [MaybeUninit::uninit()]) {
-            Ok(n) if n > 0 => {}
+            Ok(length) if length > 0 => {}
             Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
-            _ => self.disconnected.set(true),
+            _ => self.is_disconnected.set(true),
         }
     }
 
+    /// Enters a phase now.
     pub fn set_phase(&self, phase: Phase) {
         self.leave_eviction_order();
         self.phase.set(phase);
-        self.since.set(Instant::now());
+        self.phase_since.set(Instant::now());
         self.enter_eviction_order();
     }
 
-    /// It may be closed to make room from here on.
+    /// From now on it may be evicted, as far as its phase allows that.
     pub fn enter_eviction_order(&self) {
         self.eviction_order
             .borrow_mut()
-            .insert(self.phase.get(), self.since.get(), self.id);
+            .insert(self.phase.get(), self.phase_since.get(), self.id);
     }
 
-    /// It ends, or goes elsewhere: closing it would make no room sooner.
+    /// From now on it is not evicted.
     pub fn leave_eviction_order(&self) {
         self.eviction_order
             .borrow_mut()
-            .remove(self.phase.get(), self.since.get(), self.id);
+            .remove(self.phase.get(), self.phase_since.get(), self.id);
     }
 
-    /// How long what has come of a request may have taken.
+    /// How long the part of a request that was received may have taken.
     fn time_allowed(&self) -> Duration {
-        REQUEST_WITHIN + Duration::from_secs_f64(self.request_bytes.get() as f64 / BODY_RATE)
+        REQUEST_TIMEOUT + Duration::from_secs_f64(self.request_bytes.get() as f64 / MIN_BODY_RATE)
     }
 
-    /// Bytes of a request are here.
+    /// Records that bytes of a request were received.
     fn begin_request(&self) {
         match self.phase.get() {
             Phase::New | Phase::Idle => {
                 self.set_phase(Phase::Receiving);
-                self.wrote.set(false);
+                self.has_written.set(false);
                 self.request_bytes.set(0);
                 self.time_stalled.set(Duration::ZERO);
             }
@@ -172,21 +183,23 @@
 }
 
 impl Waiter for Client {
-    /// Guards against attempts for clients that have gone, which nobody waits for: while the processor is short, an end
-    /// that has come may wait long to be read. Harm: one look at the socket for what has waited for `LOOK_AGAIN`.
+    /// Checks the socket as well: on a busy processor, the connection's own task may read a disconnect late, and attempts
+    /// would be made for nobody.
     fn has_disconnected(&self) -> bool {
-        if !self.disconnected.get() && self.last_checked.get().elapsed() >= LOOK_AGAIN {
+        if !self.is_disconnected.get()
+            && self.last_disconnect_check.get().elapsed() >= DISCONNECT_CHECK_INTERVAL
+        {
             self.check_disconnect();
         }
-        self.disconnected.get()
+        self.is_disconnected.get()
     }
 }
 
-/// What clients keep of the listener that they came by. They must not keep the listener itself: its socket would stay
-/// open as long as they stay, and whoever connects then would wait in a backlog that nobody empties.
+/// The identity of a listener, shared with its clients. They must not share the listener itself: its socket would stay
+/// open as long as they do, and new clients would wait in a backlog that nobody empties.
 pub(super) struct ListenerTag {
-    /// Its place in the plan in force; none once it was removed.
+    /// Its index in the active settings; `None` once it was removed.
     pub id: Cell<Option<ListenerId>>,
-    /// What the listener is called.
+    /// The name that the settings give it.
     pub name: String,
 }
--- a/crates/node/src/net/client/close.rs
+++ b/crates/node/src/net/client/close.rs
@@ -1,68 +1,81 @@
-//! The orderly end of a client's connection.
+//! Closing a client's connection without losing the answer that was written to it.
 
 use super::{Client, Phase};
-use crate::net::body::FLOW_MOST;
+use crate::net::body::MAX_STREAMED_BYTES;
 use hyper::StatusCode;
 use std::io;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long, and for how much, a connection that is closed on its client reads on: an answer beside unread bytes
-/// may be lost with them.
-const CLOSE_WITHIN: Duration = Duration::from_millis(200);
-const CLOSE_READ: usize = 256 << 10;
-/// The same where the answer has come before the body.
-const EARLY_WITHIN: Duration = Duration::from_secs(3);
+/// Bounds of reading on before a close, since an answer may be lost beside unread bytes.
+const LINGER_LIMITS: LingerLimits = LingerLimits {
+    timeout: Duration::from_millis(200),
+    max_bytes: 256 << 10,
+};
+/// The same for a request that was answered before its body was read.
+const EARLY_ANSWER_LINGER_LIMITS: LingerLimits = LingerLimits {
+    timeout: Duration::from_secs(3),
+    max_bytes: MAX_STREAMED_BYTES as usize,
+};
+const READ_BYTES: usize = 4096;
 
-/// Ends a connection on which nothing more is served, without loss of what was written to it: a close over unread bytes
-/// resets it, and an answer that its client has not read yet goes with that. In turn: the write side is shut down, what
-/// still comes is read for a while and sent nowhere, and the socket is closed when this returns.
+/// How long and how far a connection that is being closed is read.
+#[derive(Clone, Copy)]
+struct LingerLimits {
+    timeout: Duration,
+    max_bytes: usize,
+}
+
+/// Closes a connection on which nothing more is served.
 ///
-/// Guards against requests, or their rest, that cross the end. Harm: a client that never closes holds its descriptor for
-/// `CLOSE_WITHIN` longer.
+/// The write side is shut down, and what still arrives is read for a while and discarded; the socket can be dropped when
+/// this returns. Closing it over unread bytes would reset the connection, and the client would lose an answer that it has
+/// not read yet.
 pub(in crate::net) async fn close(stream: &TcpStream, client: &Client) {
-    if let Some(status) = client.fault.get() {
-        return reject(stream, status, client.wrote.get()).await;
+    if let Some(status) = client.rejection_status.get() {
+        return reject(stream, status, client.has_written.get()).await;
     }
     if client
-        .answer_open
+        .answer_open_flag
         .borrow()
         .as_ref()
-        .is_some_and(|answer_open| answer_open.get())
+        .is_some_and(|is_open| is_open.get())
     {
-        // An answer was cut off. One of no stated length would look whole after an orderly end: a reset never does.
+        // The answer is truncated. Without an announced length it would look complete after a regular close, so the
+        // connection is reset.
         let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
-    } else if client.answered_early.get() {
-        linger(stream, FLOW_MOST as usize, EARLY_WITHIN).await;
-    } else if !client.disconnected.get() && client.phase.get() != Phase::New {
-        linger(stream, CLOSE_READ, CLOSE_WITHIN).await;
+    } else if client.was_answered_early.get() {
+        linger(stream, EARLY_ANSWER_LINGER_LIMITS).await;
+    } else if !client.is_disconnected.get() && client.phase.get() != Phase::New {
+        linger(stream, LINGER_LIMITS).await;
     }
 }
 
-/// Tells a client, if nothing was told yet, why its connection ends, and ends it.
-async fn reject(stream: &TcpStream, status: StatusCode, wrote: bool) {
-    if !wrote {
+/// Closes a connection after an answer of the status, unless part of another answer was already written.
+async fn reject(stream: &TcpStream, status: StatusCode, has_written: bool) {
+    if !has_written {
         let text = format!("HTTP/1.1 {status}\r\nconnection: close\r\ncontent-length: 0\r\n\r\n");
-        // A socket on which nothing was written takes so little at once, or its client is gone.
+        // The send buffer of a socket has space for this, unless its client is gone.
         let _ = stream.try_write(text.as_bytes());
     }
-    linger(stream, CLOSE_READ, CLOSE_WITHIN).await;
+    linger(stream, LINGER_LIMITS).await;
 }
 
-/// Shuts the write side down and reads to the client's end, so much and so long at most.
-async fn linger(stream: &TcpStream, most: usize, within: Duration) {
+/// Shuts the write side down and reads until the client closes, within the limits.
+async fn linger(stream: &TcpStream, limits: LingerLimits) {
     let _ = socket2::SockRef::from(stream).shutdown(std::net::Shutdown::Write);
-    let rest = async {
-        let (mut scratch, mut size) = ([0; 4096], 0);
-        while size < most && stream.readable().await.is_ok() {
+    let read_to_end = async {
+        let mut scratch = [0; READ_BYTES];
+        let mut bytes_read = 0;
+        while bytes_read < limits.max_bytes && stream.readable().await.is_ok() {
             match stream.try_read(&mut scratch) {
                 Ok(0) => break,
-                Ok(n) => size += n,
+                Ok(length) => bytes_read += length,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 Err(_) => break,
             }
         }
     };
-    let _ = timeout(within, rest).await;
+    let _ = timeout(limits.timeout, read_to_end).await;
 }
--- a/crates/node/src/net/client/eviction.rs
+++ b/crates/node/src/net/client/eviction.rs
@@ -1,4 +1,4 @@
-//! Which client's connection is closed first when there is no room for another.
+//! Which client's connection is closed first at the limit of clients.
 
 use super::Phase;
 use std::collections::BTreeSet;
@@ -7,28 +7,37 @@
 /// Identifies a client's connection within its process.
 pub(in crate::net) type ClientId = u64;
 
-/// Under pressure, a connection that has brought no whole request for so long loses its place before others.
+/// At the limit of clients, a connection without a complete request for so long is evicted before others.
 pub(super) const EVICTION_GRACE: Duration = Duration::from_secs(1);
-/// The same for a new connection where many of them have not asked yet, or none rests that could go in its place: others
-/// wait in the backlog meanwhile.
+/// The same for a new connection while there are many without a request, or no idle one that could be evicted instead:
+/// other clients wait in the backlog meanwhile.
 pub(in crate::net) const CROWDED_GRACE: Duration = Duration::from_millis(20);
-/// The part of all places that connections which have not asked yet may hold while others rest. Requests hold three fifths
-/// at most (`reelfall_config::check::parts`): some are left for connections that rest.
-const NEW_PART: f64 = 0.25;
+/// The share of all connections that may be new while others are idle. Requests occupy three fifths at most
+/// (`reelfall_config::check::parts`), which leaves some for idle connections.
+const MAX_NEW_SHARE: f64 = 0.25;
 
-/// Connections in one phase, the longest in it first.
-type Queue = BTreeSet<(Instant, ClientId)>;
+/// A connection that may be evicted. The order is that of the time when it entered its phase.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Candidate {
+    phase_since: Instant,
+    id: ClientId,
+}
+
+/// Connections in one phase, the oldest first.
+type Queue = BTreeSet<Candidate>;
 
 /// The connections that may be evicted. One whose request is being answered is in none of the queues.
 ///
-/// In this order: what has not asked anything for [`EVICTION_GRACE`]; what rests after an answer, the least recently used
-/// first; what has not asked for [`CROWDED_GRACE`], the oldest first; what has brought part of a request for
-/// [`EVICTION_GRACE`]. Where connections that have not asked yet hold more than [`NEW_PART`] of all places, they alone go,
-/// and none before its [`CROWDED_GRACE`] is over.
+/// The order of eviction:
+///
+/// 1. new connections without a request for [`EVICTION_GRACE`];
+/// 2. idle connections, the least recently used first;
+/// 3. new connections without a request for [`CROWDED_GRACE`], the oldest first;
+/// 4. connections with an incomplete request for [`EVICTION_GRACE`].
 ///
-/// Guards against a new connection's end while its client pauses before asking, and against floods of silent connections,
-/// which can push out neither all that rest nor keep any place. Harm: a client may find an idle connection closed sooner
-/// than usual, and others wait in the backlog for up to [`CROWDED_GRACE`] more.
+/// Where new connections exceed [`MAX_NEW_SHARE`], only they are evicted, and none before its [`CROWDED_GRACE`] is over.
+/// So a flood of silent connections neither evicts all idle ones nor stays, and a new client has time to send its
+/// request.
 #[derive(Default)]
 pub(in crate::net) struct EvictionOrder {
     new: Queue,
@@ -46,24 +55,25 @@
         }
     }
 
-    /// Adds a connection that is in a phase since then.
-    pub fn insert(&mut self, phase: Phase, since: Instant, id: ClientId) {
+    /// Adds a connection that entered its phase at `phase_since`.
+    pub fn insert(&mut self, phase: Phase, phase_since: Instant, id: ClientId) {
         if let Some(queue) = self.queue(phase) {
-            queue.insert((since, id));
+            queue.insert(Candidate { phase_since, id });
         }
     }
 
-    /// Takes a connection out that was added so, if it still is here.
-    pub fn remove(&mut self, phase: Phase, since: Instant, id: ClientId) {
+    /// Removes a connection that was added with the same arguments, if it is still in its queue.
+    pub fn remove(&mut self, phase: Phase, phase_since: Instant, id: ClientId) {
         if let Some(queue) = self.queue(phase) {
-            queue.remove(&(since, id));
+            queue.remove(&Candidate { phase_since, id });
         }
     }
 
-    /// Takes out the connection to be evicted where there are places for `max_clients`; `None` if all stay for now.
+    /// Removes and returns the connection to be evicted at a limit of `max_clients`; `None` if none may be evicted now.
     pub fn pop(&mut self, now: Instant, max_clients: usize) -> Option<ClientId> {
-        let crowded = self.idle.is_empty() || self.new.len() as f64 > max_clients as f64 * NEW_PART;
-        let grace = if crowded {
+        let is_crowded =
+            self.idle.is_empty() || self.new.len() as f64 > max_clients as f64 * MAX_NEW_SHARE;
+        let grace = if is_crowded {
             CROWDED_GRACE
         } else {
             EVICTION_GRACE
@@ -71,25 +81,22 @@
         if let Some(silent) = pop_overdue(&mut self.new, now, grace) {
             return Some(silent);
         }
-        if !crowded {
-            return self
-                .idle
-                .pop_first()
-                .map(|(_, least_recently_used)| least_recently_used);
+        if !is_crowded {
+            return self.idle.pop_first().map(|candidate| candidate.id);
         }
         if !self.new.is_empty() {
-            // The grace of one of them is over soon.
+            // One of them can be evicted soon.
             return None;
         }
         pop_overdue(&mut self.receiving, now, EVICTION_GRACE)
     }
 }
 
-/// Takes out the first connection of a queue if its grace is over.
+/// Removes and returns the first connection of a queue if its grace period is over.
 fn pop_overdue(queue: &mut Queue, now: Instant, grace: Duration) -> Option<ClientId> {
-    let (since, _) = queue.first()?;
-    if now.saturating_duration_since(*since) < grace {
+    let oldest = queue.first()?;
+    if now.saturating_duration_since(oldest.phase_since) < grace {
         return None;
     }
-    queue.pop_first().map(|(_, id)| id)
+    queue.pop_first().map(|candidate| candidate.id)
 }
--- a/crates/node/src/net/client/io.rs
+++ b/crates/node/src/net/client/io.rs
@@ -1,6 +1,8 @@
-//! A client's socket for the HTTP library: reading behind the gate, writing, and the time-outs of both.
+//! A client's socket for the HTTP library: reading through the gate, writing, and the timeouts of both.
+//!
+//! `front::accept` gives a [`ClientIo`] to the HTTP library for each connection.
 
-use super::{Client, Phase, REQUEST_WITHIN};
+use super::{Client, Phase, REQUEST_TIMEOUT};
 use crate::net::gate::Gate;
 use crate::net::HEAD_MOST;
 use hyper::StatusCode;
@@ -15,39 +17,40 @@
 use tokio::net::TcpStream;
 use tokio::time::Sleep;
 
-/// A new connection has to bring something within this time: what has not asked by then holds a descriptor for nothing.
-const ASKS_WITHIN: Duration = Duration::from_secs(2);
-/// A connection on which nothing was asked for so long is closed.
-const IDLE_WITHIN: Duration = Duration::from_secs(5);
-/// A client that takes nothing of its answer for this long has left; of one that flows, for the longer time.
-const WRITE_WITHIN: Duration = Duration::from_secs(3);
-const FLOW_TAKEN_WITHIN: Duration = Duration::from_secs(10);
-/// What the system may hold of an answer that flows. More would hide whether a slow client still takes something.
-const FLOW_BUFFER: usize = 128 << 10;
-/// What is kept of requests that come before the one ahead of them is answered.
-const AHEAD_MOST: usize = HEAD_MOST;
-/// How often more of a flood is read, and how much: an end behind a megabyte is found in a tenth of a second.
-const FLOOD_EVERY: Duration = Duration::from_millis(20);
-const FLOOD_READ: usize = 256 << 10;
+/// A new connection is closed after this time if nothing was received.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// An idle connection is closed after this time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// A client that reads nothing of its answer for so long has left.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
+/// The same for a streamed answer.
+const STREAM_WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Size of the system's send buffer for a streamed answer, in bytes. A larger one would hide whether a slow client still
+/// reads.
+const STREAM_SEND_BUFFER: usize = 128 << 10;
+/// How many bytes of pipelined requests are buffered while a request is being answered.
+const MAX_PIPELINED_BYTES: usize = HEAD_MOST;
+/// How often excess input is read, and how many bytes at a time: a disconnect behind a megabyte is found within 100 ms.
+const EXCESS_READ_INTERVAL: Duration = Duration::from_millis(20);
+const EXCESS_READ_BYTES: usize = 256 << 10;
 
-/// A client's socket behind its gate. It keeps the times of the connection and ends one whose client does not
-/// read.
+/// A client's socket behind its gate. It enforces the timeouts of the connection.
 pub(in crate::net) struct ClientIo {
     stream: Rc<TcpStream>,
     client: Rc<Client>,
     gate: Gate,
-    /// A whole request was handed over, and its answer is not out yet.
-    request_delivered: bool,
-    /// More came behind it than is kept: what follows can't be told apart any more.
-    overrun: bool,
-    timer: Option<Pin<Box<Sleep>>>,
-    stalled: Option<Pin<Box<Sleep>>>,
-    /// Until when nothing of a flood is read.
-    pause: Option<Pin<Box<Sleep>>>,
-    /// Since when more of a body that flows is waited for.
+    /// Whether a complete request was passed on and its answer is not written yet.
+    is_request_delivered: bool,
+    /// Whether more was received behind it than is buffered. Some of it was discarded, so no request can follow.
+    has_excess: bool,
+    read_timer: Option<Pin<Box<Sleep>>>,
+    write_timer: Option<Pin<Box<Sleep>>>,
+    /// Runs between two reads of excess input.
+    excess_timer: Option<Pin<Box<Sleep>>>,
+    /// Since when more of a streamed body is awaited.
     waiting_since: Option<Instant>,
-    /// The system holds little of what is written.
-    send_buffer_limited: bool,
+    /// Whether the system's send buffer was made small.
+    has_small_send_buffer: bool,
 }
 
 impl ClientIo {
@@ -57,59 +60,64 @@
             stream,
             client,
             gate,
-            request_delivered: false,
-            overrun: false,
-            timer: None,
-            stalled: None,
-            pause: None,
+            is_request_delivered: false,
+            has_excess: false,
+            read_timer: None,
+            write_timer: None,
+            excess_timer: None,
             waiting_since: None,
-            send_buffer_limited: false,
+            has_small_send_buffer: false,
         }
     }
 
+    /// Reads from the socket into the gate.
     fn fill(&mut self, cx: &mut Context) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.stream.poll_read_ready(cx))?;
             match self.stream.try_read_buf(self.gate.read_buffer()) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    self.client.last_checked.set(Instant::now())
+                    self.client.last_disconnect_check.set(Instant::now())
                 }
                 read => {
-                    if !matches!(read, Ok(n) if n > 0) {
-                        self.client.disconnected.set(true);
-                    }
-                    let time_stalled = self
-                        .waiting_since
-                        .take()
-                        .map_or(Duration::ZERO, |since| since.elapsed());
-                    self.client
-                        .time_stalled
-                        .set(self.client.time_stalled.get() + time_stalled);
-                    if let Ok(n) = read {
-                        self.client
-                            .request_bytes
-                            .set(self.client.request_bytes.get() + n as u64);
-                        self.client.last_byte_at.set(Instant::now());
-                    }
+                    self.record_read(&read);
                     return Poll::Ready(read);
                 }
             }
         }
     }
 
-    /// While a request is here, nothing behind it goes through: the library would read no further then, and not see that
-    /// its client has left. A little is kept for later, the rest is read and dropped, and the connection ends with the
-    /// answer.
+    /// Updates the client's progress after a read from its socket.
+    fn record_read(&mut self, read: &io::Result<usize>) {
+        let client = &self.client;
+        if is_disconnect(read) {
+            client.is_disconnected.set(true);
+        }
+        let time_stalled = self
+            .waiting_since
+            .take()
+            .map_or(Duration::ZERO, |since| since.elapsed());
+        client
+            .time_stalled
+            .set(client.time_stalled.get() + time_stalled);
+        if let Ok(length) = read {
+            client
+                .request_bytes
+                .set(client.request_bytes.get() + *length as u64);
+            client.last_byte_at.set(Instant::now());
+        }
+    }
+
+    /// Reads on while a request is being answered, to detect that its client disconnects; the HTTP library would not read.
     ///
-    /// Guards against clients that send much at once and go. Harm: one that sends more than `AHEAD_MOST` ahead of its
-    /// answers has to send it again on another connection.
+    /// Some pipelined input is buffered. What exceeds [`MAX_PIPELINED_BYTES`] is discarded, and the connection ends with
+    /// the answer.
     fn poll_disconnect(&mut self, cx: &mut Context) -> Poll<io::Result<()>> {
         loop {
-            if self.gate.buffered() > AHEAD_MOST {
-                self.overrun = true;
+            if self.gate.buffered() > MAX_PIPELINED_BYTES {
+                self.has_excess = true;
                 self.client.close_when_idle.set(true);
             }
-            let read = if self.overrun {
+            let read = if self.has_excess {
                 self.gate.clear();
                 self.discard_excess(cx)
             } else {
@@ -123,22 +131,22 @@
         }
     }
 
-    /// A flood is read by the piece, with rests: it must not take the processor from others.
+    /// Reads and discards excess input at a limited rate, which leaves the processor to other connections.
     fn discard_excess(&mut self, cx: &mut Context) -> Poll<io::Result<usize>> {
-        let due = || Box::pin(tokio::time::sleep(FLOOD_EVERY));
-        let pause = self.pause.get_or_insert_with(due);
-        ready!(pause.as_mut().poll(cx));
-        self.pause = None;
-        let mut scratch = vec![0; FLOOD_READ];
+        let start_timer = || Box::pin(tokio::time::sleep(EXCESS_READ_INTERVAL));
+        let excess_timer = self.excess_timer.get_or_insert_with(start_timer);
+        ready!(excess_timer.as_mut().poll(cx));
+        self.excess_timer = None;
+        let mut scratch = vec![0; EXCESS_READ_BYTES];
         loop {
             ready!(self.stream.poll_read_ready(cx))?;
             match self.stream.try_read(&mut scratch) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    self.client.last_checked.set(Instant::now())
+                    self.client.last_disconnect_check.set(Instant::now())
                 }
                 read => {
-                    if !matches!(read, Ok(n) if n > 0) {
-                        self.client.disconnected.set(true);
+                    if is_disconnect(&read) {
+                        self.client.is_disconnected.set(true);
                     }
                     return Poll::Ready(read);
                 }
@@ -146,101 +154,110 @@
         }
     }
 
-    /// Reads what has come behind a whole request before that goes on: its client may have left already.
+    /// Reads what follows a complete request before that is passed on: its client may have disconnected already.
     fn read_ahead(&mut self, cx: &mut Context) {
-        while self.gate.buffered() <= AHEAD_MOST && !self.client.disconnected.get() {
+        while self.gate.buffered() <= MAX_PIPELINED_BYTES && !self.client.is_disconnected.get() {
             if self.fill(cx).is_pending() {
                 return;
             }
         }
     }
 
-    /// An answer that flows is held by as little as will do.
+    /// Makes the send buffer small for a streamed answer.
     fn limit_send_buffer(&mut self) {
-        if self.client.is_streaming.get() && !self.send_buffer_limited {
-            // Without the bound the client is only judged later.
-            let _ = socket2::SockRef::from(&*self.stream).set_send_buffer_size(FLOW_BUFFER);
-            self.send_buffer_limited = true;
+        if self.client.is_streaming.get() && !self.has_small_send_buffer {
+            // If this fails, a slow client is only detected later.
+            let _ = socket2::SockRef::from(&*self.stream).set_send_buffer_size(STREAM_SEND_BUFFER);
+            self.has_small_send_buffer = true;
         }
     }
 
-    fn fault(&self, status: StatusCode) -> Poll<io::Result<()>> {
-        self.client.fault.set(Some(status));
+    /// Ends the connection; the status is answered when it is closed.
+    fn reject(&self, status: StatusCode) -> Poll<io::Result<()>> {
+        self.client.rejection_status.set(Some(status));
         Poll::Ready(Err(io::ErrorKind::InvalidData.into()))
     }
 
-    /// Nothing more is here now. Whether to wait for it: a connection that asks nothing ends like one that its
-    /// client has closed, one that is slow in asking with an error.
-    ///
-    /// Guards against silent connections, heads and bodies that never end, and clients that ask once and stay;
-    /// it ought to catch whatever holds a connection without a whole request. Harm: a request that takes longer
-    /// than `REQUEST_WITHIN` to come is turned away, however honest its client.
+    /// Enforces the timeouts of reading while nothing more can be read. A connection without a request ends as if its
+    /// client had closed it; one with an incomplete request is answered 408.
     fn poll_timeouts(&mut self, cx: &mut Context) -> Poll<io::Result<()>> {
-        let client = self.client.clone();
-        if let Some(status) = client.fault.get() {
-            return self.fault(status);
+        if let Some(status) = self.client.rejection_status.get() {
+            return self.reject(status);
+        }
+        let is_idle = matches!(self.client.phase.get(), Phase::New | Phase::Idle);
+        if is_idle && self.client.close_when_idle.get() {
+            return self.poll_end();
+        }
+        let Some(deadline) = self.read_deadline() else {
+            return Poll::Pending;
+        };
+        let deadline = deadline.into();
+        let read_timer = self
+            .read_timer
+            .get_or_insert_with(|| Box::pin(tokio::time::sleep_until(deadline)));
+        if read_timer.deadline() != deadline {
+            read_timer.as_mut().reset(deadline);
+        }
+        ready!(read_timer.as_mut().poll(cx));
+        match self.client.phase.get() {
+            Phase::Receiving | Phase::Streaming => self.reject(StatusCode::REQUEST_TIMEOUT),
+            _ => self.poll_end(),
         }
-        let due = match client.phase.get() {
-            Phase::New | Phase::Idle if client.close_when_idle.get() => return self.poll_end(),
-            Phase::New => client.since.get() + ASKS_WITHIN,
-            Phase::Idle => client.since.get() + IDLE_WITHIN,
-            // As slowly as a body may come, but never at rest for long.
-            Phase::Receiving => (client.since.get() + client.time_allowed())
-                .min(client.last_byte_at.get() + REQUEST_WITHIN),
-            // Here it is the server that may have kept the client waiting: only rests count.
+    }
+
+    /// When the client has to have sent more; `None` while nothing is expected from it.
+    fn read_deadline(&mut self) -> Option<Instant> {
+        let client = &self.client;
+        let phase_since = client.phase_since.get();
+        match client.phase.get() {
+            Phase::New => Some(phase_since + FIRST_REQUEST_TIMEOUT),
+            Phase::Idle => Some(phase_since + IDLE_TIMEOUT),
+            // The whole request is limited by the lowest rate, and each pause in it as well.
+            Phase::Receiving => {
+                let request_deadline = phase_since + client.time_allowed();
+                Some(request_deadline.min(client.last_byte_at.get() + REQUEST_TIMEOUT))
+            }
+            // The server may have slowed the client down, so only the time spent waiting for the client counts.
             Phase::Streaming if self.gate.is_mid_request() => {
-                let left = client
+                let time_left = client
                     .time_allowed()
                     .saturating_sub(client.time_stalled.get());
-                *self.waiting_since.get_or_insert_with(Instant::now) + left.min(REQUEST_WITHIN)
+                let waiting_since = *self.waiting_since.get_or_insert_with(Instant::now);
+                Some(waiting_since + time_left.min(REQUEST_TIMEOUT))
             }
-            Phase::Streaming | Phase::AwaitingAnswer | Phase::Answering => return Poll::Pending,
-        };
-        let due = due.into();
-        let timer = self
-            .timer
-            .get_or_insert_with(|| Box::pin(tokio::time::sleep_until(due)));
-        if timer.deadline() != due {
-            timer.as_mut().reset(due);
-        }
-        ready!(timer.as_mut().poll(cx));
-        match client.phase.get() {
-            Phase::Receiving | Phase::Streaming => self.fault(StatusCode::REQUEST_TIMEOUT),
-            _ => self.poll_end(),
+            Phase::Streaming | Phase::AwaitingAnswer | Phase::Answering => None,
         }
     }
 
-    /// Ends a connection on which nothing is asked, unless bytes have come that the runtime has not told of yet: it will,
-    /// and what they ask is answered first.
-    ///
-    /// Guards against requests that come in the moment of an eviction or a time-out, which would be dropped unread or
-    /// unanswered while the processor is short. Harm: one look at the socket for each such end.
+    /// Ends a connection without a request, unless input has arrived that the runtime has not reported yet. A request that
+    /// arrives at the moment of an eviction or a timeout is answered first.
     fn poll_end(&self) -> Poll<io::Result<()>> {
         match socket2::SockRef::from(&*self.stream).peek(&mut [MaybeUninit::uninit()]) {
-            Ok(n) if n > 0 => Poll::Pending,
+            Ok(length) if length > 0 => Poll::Pending,
             _ => Poll::Ready(Ok(())),
         }
     }
 
+    /// Records a write, or enforces the timeout of one that is pending.
     fn track_write(
         &mut self,
         cx: &mut Context,
-        wrote: Poll<io::Result<usize>>,
+        written: Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
-        if wrote.is_ready() {
-            self.client.wrote.set(true);
-            self.stalled = None;
-            return wrote;
+        if written.is_ready() {
+            self.client.has_written.set(true);
+            self.write_timer = None;
+            return written;
         }
-        let within = if self.client.is_streaming.get() {
-            FLOW_TAKEN_WITHIN
+        let timeout = if self.client.is_streaming.get() {
+            STREAM_WRITE_TIMEOUT
         } else {
-            WRITE_WITHIN
+            WRITE_TIMEOUT
         };
-        let stalled = self
-            .stalled
-            .get_or_insert_with(|| Box::pin(tokio::time::sleep(within)));
-        ready!(stalled.as_mut().poll(cx));
+        let write_timer = self
+            .write_timer
+            .get_or_insert_with(|| Box::pin(tokio::time::sleep(timeout)));
+        ready!(write_timer.as_mut().poll(cx));
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
 }
@@ -255,29 +272,29 @@
         if buf.remaining() == 0 {
             return Poll::Ready(Ok(()));
         }
-        if this.request_delivered || this.client.phase.get() == Phase::AwaitingAnswer {
+        if this.is_request_delivered || this.client.phase.get() == Phase::AwaitingAnswer {
             return this.poll_disconnect(cx);
         }
-        if this.overrun {
+        if this.has_excess {
             return Poll::Ready(Ok(()));
         }
         loop {
-            let passed = match this.gate.forward(buf) {
-                Ok(passed) => passed,
-                Err(status) => return this.fault(status),
+            let forwarded = match this.gate.forward(buf) {
+                Ok(forwarded) => forwarded,
+                Err(status) => return this.reject(status),
             };
-            if passed.is_break() || this.gate.is_mid_request() {
+            if forwarded.is_break() || this.gate.is_mid_request() {
                 this.client.begin_request();
             }
-            if passed.is_break() {
+            if forwarded.is_break() {
                 if this.gate.is_between_requests() {
-                    this.request_delivered = true;
+                    this.is_request_delivered = true;
                     this.read_ahead(cx);
                 }
                 return Poll::Ready(Ok(()));
             }
-            if this.client.disconnected.get() {
-                // Its end was read ahead.
+            if this.client.is_disconnected.get() {
+                // The disconnect was read ahead.
                 return Poll::Ready(Ok(()));
             }
             match this.fill(cx) {
@@ -294,8 +311,8 @@
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, data: &[u8]) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         this.limit_send_buffer();
-        let wrote = write_when_ready(&this.stream, cx, |stream| stream.try_write(data));
-        this.track_write(cx, wrote)
+        let written = write_when_ready(&this.stream, cx, |stream| stream.try_write(data));
+        this.track_write(cx, written)
     }
 
     fn poll_write_vectored(
@@ -305,33 +322,36 @@
     ) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         this.limit_send_buffer();
-        let wrote = write_when_ready(&this.stream, cx, |stream| stream.try_write_vectored(data));
-        this.track_write(cx, wrote)
+        let written = write_when_ready(&this.stream, cx, |stream| stream.try_write_vectored(data));
+        this.track_write(cx, written)
     }
 
     fn is_write_vectored(&self) -> bool {
         true
     }
 
-    /// The library flushes when all that is here of an answer is written.
+    /// Called by the HTTP library after each part of an answer; the last one ends the request.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
         let answer_open = self
             .client
-            .answer_open
+            .answer_open_flag
             .borrow()
             .as_ref()
-            .is_some_and(|answer_open| answer_open.get());
-        if self.client.phase.get() == Phase::Answering && self.client.wrote.get() && !answer_open {
-            self.request_delivered = false;
-            // What came meanwhile is here already: nobody else says that it is to be read.
+            .is_some_and(|is_open| is_open.get());
+        if self.client.phase.get() == Phase::Answering
+            && self.client.has_written.get()
+            && !answer_open
+        {
+            self.is_request_delivered = false;
+            // Input that was buffered meanwhile triggers no event of the socket.
             cx.waker().wake_by_ref();
             if self.gate.is_mid_request() {
-                // The next request is here already, in part or whole.
+                // A pipelined request was received at least in part.
                 self.client.set_phase(Phase::Receiving);
-                self.client.wrote.set(false);
+                self.client.has_written.set(false);
             } else {
                 self.client.set_phase(Phase::Idle);
-                if self.client.handing_over.get() {
+                if self.client.is_handing_over.get() {
                     self.client.wake.notify_one();
                 }
             }
@@ -340,14 +360,20 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
-        if self.client.fault.get().is_some() {
-            // The library ends what it can't read; the client is still to be told why (`reject`).
+        if self.client.rejection_status.get().is_some() {
+            // The HTTP library shuts a rejected connection down; `close` still has to answer the client.
             return Poll::Ready(Ok(()));
         }
         Poll::Ready(socket2::SockRef::from(&*self.stream).shutdown(std::net::Shutdown::Write))
     }
 }
 
+/// Whether a read found that the client has disconnected.
+fn is_disconnect(read: &io::Result<usize>) -> bool {
+    !matches!(read, Ok(length) if *length > 0)
+}
+
+/// Tries a write until the socket does not report that it would block.
 fn write_when_ready(
     stream: &TcpStream,
     cx: &mut Context,
@@ -357,7 +383,7 @@
         ready!(stream.poll_write_ready(cx))?;
         match write(stream) {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-            wrote => return Poll::Ready(wrote),
+            written => return Poll::Ready(written),
         }
     }
 }
--- a/crates/node/src/net/front/accept.rs
+++ b/crates/node/src/net/front/accept.rs
@@ -86,7 +86,9 @@
             return;
         };
         match client.phase.get() {
-            Phase::Receiving => client.fault.set(Some(StatusCode::REQUEST_TIMEOUT)),
+            Phase::Receiving => client
+                .rejection_status
+                .set(Some(StatusCode::REQUEST_TIMEOUT)),
             _ => client.close_when_idle.set(true),
         }
         client.wake.notify_one();
@@ -151,7 +153,7 @@
                 _ = connection.as_mut() => return false,
                 () = client.wake.notified() => {
                     let is_idle = matches!(client.phase.get(), Phase::New | Phase::Idle);
-                    if is_idle && client.handing_over.get() && client.fault.get().is_none() {
+                    if is_idle && client.is_handing_over.get() && client.rejection_status.get().is_none() {
                         return true;
                     }
                 }
--- a/crates/node/src/net/front/handover.rs
+++ b/crates/node/src/net/front/handover.rs
@@ -34,7 +34,7 @@
         let handing_over = sender.is_some();
         self.handover_sender.replace(sender);
         for client in self.clients.borrow().values() {
-            client.handing_over.set(handing_over);
+            client.is_handing_over.set(handing_over);
             client.wake.notify_one();
         }
     }
--- a/crates/node/src/net/front/reply.rs
+++ b/crates/node/src/net/front/reply.rs
@@ -69,10 +69,10 @@
     let Answer {
         headers,
         body,
-        rest,
+        remainder,
         ..
     } = answer;
-    let mut response = Response::new(ResponseBody::new(body, rest));
+    let mut response = Response::new(ResponseBody::new(body, remainder));
     *response.headers_mut() = headers;
     strip_hop_by_hop(response.headers_mut());
     response
--- a/crates/node/src/net/front/request.rs
+++ b/crates/node/src/net/front/request.rs
@@ -61,9 +61,9 @@
         if self.must_close(&response, &client) {
             set_connection_close(&mut response);
         }
-        let is_answer_open = response.body().open_flag();
-        client.is_streaming.set(is_answer_open.is_some());
-        client.answer_open.replace(is_answer_open);
+        let answer_open_flag = response.body().open_flag();
+        client.is_streaming.set(answer_open_flag.is_some());
+        client.answer_open_flag.replace(answer_open_flag);
         client.set_phase(Phase::Answering);
         Ok(response)
     }
@@ -134,9 +134,9 @@
             .submit(pool, admitted, head, body, client)
             .await
             .unwrap_or_else(RequestError::response);
-        if streamed_body.is_some_and(|body| !body.is_done()) {
+        if streamed_body.is_some_and(|body| !body.is_complete()) {
             // Nobody reads the rest of the body, so the next request can't be found.
-            client.answered_early.set(true);
+            client.was_answered_early.set(true);
             set_connection_close(&mut response);
         }
         response
--- a/crates/node/src/net/front/shutdown.rs
+++ b/crates/node/src/net/front/shutdown.rs
@@ -111,7 +111,7 @@
             }
             for client in self.clients.borrow().values() {
                 let is_idle = matches!(client.phase.get(), Phase::New | Phase::Idle);
-                let idle_until = self.shared.idle_until(client.since.get());
+                let idle_until = self.shared.idle_until(client.phase_since.get());
                 if is_idle && idle_until.is_some_and(|until| until <= Instant::now()) {
                     client.close_when_idle.set(true);
                     client.wake.notify_one();
--- a/crates/node/src/net/gate.rs
+++ b/crates/node/src/net/gate.rs
@@ -1,197 +1,229 @@
-//! What a client's connection lets through to the HTTP library: whole, plainly framed heads, and after each just
-//! the bytes that belong to it.
+//! Screening of a client's bytes before the HTTP library parses them: complete, unambiguously framed heads pass, and
+//! after each head the bytes that belong to its body. `client::io` feeds a [`Gate`] from each client's socket.
 
-use super::body::FLOW_MOST;
+use super::body::MAX_STREAMED_BYTES;
 use super::HEAD_MOST;
 use bytes::BytesMut;
 use hyper::StatusCode;
 use std::ops::ControlFlow;
 use tokio::io::ReadBuf;
 
-/// The methods that a class can have on the platform.
+/// The methods that are served without routes, each with the space that ends it.
 pub const METHODS: [&[u8]; 2] = [b"GET ", b"POST "];
-/// The methods that a route can have.
+/// The methods that are served with routes.
 pub const METHODS_ROUTED: [&[u8]; 5] = [b"GET ", b"POST ", b"PUT ", b"PATCH ", b"DELETE "];
-/// Most headers of a request.
-const HEADERS_MOST: usize = 64;
+/// Highest number of headers of a request.
+const MAX_HEADERS: usize = 64;
+/// Capacity that is reserved for each read from the socket, in bytes.
+const READ_BYTES: usize = 4096;
 
-/// Where in the stream of requests a connection stands.
+/// What the next bytes of a connection belong to.
 enum Stage {
-    /// A head is awaited or coming.
+    /// The head of a request, which is not complete yet.
     Head,
-    /// So many bytes of a request go through.
+    /// A complete request, of which so many bytes are left to forward.
     Forward(u64),
-    /// All goes through: a chunked body, whose end only the library knows. Such a connection ends after it.
+    /// A chunked body, whose end only the HTTP library finds. All bytes are forwarded, and the connection ends after it.
     Chunked,
 }
 
-/// Guards against requests whose end two readers could see in different places, and against what is no request
-/// at all: a second one hidden behind `Content-Length` beside `Transfer-Encoding`, lengths that are repeated,
-/// signed, no number or too large, heads without end, noise, and noise behind a body that is stated too short.
-/// Such a connection is of no use from there on: what follows can't be told apart, so it is closed.
-///
-/// It ought to catch other ways of smuggling too, since nothing passes that is not understood here first. It does
-/// harm where a client uses methods or heads larger than this node knows, or says one length twice.
+/// Prevents request smuggling: a request whose end two readers could see in different places is rejected, and so is
+/// what is no request at all. Examples are `Content-Length` beside `Transfer-Encoding`, lengths that are repeated, signed
+/// or too large, endless heads, and noise behind a body. What follows such a request can't be told apart, so its
+/// connection is closed.
 pub struct Gate {
     methods: &'static [&'static [u8]],
     stage: Stage,
-    held: BytesMut,
-    /// Bytes in `held` that hold no whole head.
+    /// Bytes that were received and not forwarded yet.
+    buffer: BytesMut,
+    /// How many bytes of `buffer` were found to contain no complete head.
     scanned: usize,
 }
 
 impl Gate {
+    /// A gate that lets requests by these methods pass.
     pub fn new(methods: &'static [&'static [u8]]) -> Self {
         Gate {
             methods,
             stage: Stage::Head,
-            held: BytesMut::new(),
+            buffer: BytesMut::new(),
             scanned: 0,
         }
     }
 
-    /// Room for what comes from the socket next; bounded, for what is held is let through or refused first.
+    /// Where to read the next bytes from the socket. Its size is bounded, since its content is forwarded or rejected
+    /// before more is read.
     pub fn read_buffer(&mut self) -> &mut BytesMut {
-        self.held.reserve(4096);
-        &mut self.held
+        self.buffer.reserve(READ_BYTES);
+        &mut self.buffer
     }
 
-    /// A request has begun and is not yet all here.
+    /// Whether a request has begun and is not complete.
     pub fn is_mid_request(&self) -> bool {
         match self.stage {
-            Stage::Head => !self.held.is_empty(),
+            Stage::Head => !self.buffer.is_empty(),
             Stage::Forward(left) => left > 0,
             Stage::Chunked => true,
         }
     }
 
-    /// All of the requests before is handed over.
+    /// Whether all requests that have begun to pass have been forwarded whole.
     pub fn is_between_requests(&self) -> bool {
         matches!(self.stage, Stage::Head)
     }
 
-    /// Bytes that wait here.
+    /// How many bytes are buffered.
     pub fn buffered(&self) -> usize {
-        self.held.len()
+        self.buffer.len()
     }
 
-    /// Drops what waits here: nothing more can go through.
+    /// Discards what is buffered.
     pub fn clear(&mut self) {
-        self.held = BytesMut::new();
+        self.buffer = BytesMut::new();
     }
 
-    /// Hands over what may go through; `Continue` if more has to come first.
-    pub fn forward(&mut self, to: &mut ReadBuf) -> Result<ControlFlow<()>, StatusCode> {
+    /// Forwards what may pass; `Continue` if more has to be read first.
+    ///
+    /// # Errors
+    /// The status of the answer, if the request is rejected.
+    pub fn forward(&mut self, destination: &mut ReadBuf) -> Result<ControlFlow<()>, StatusCode> {
         if let Stage::Head = self.stage {
-            self.stage = match self.head()? {
+            self.stage = match self.inspect_head()? {
                 Some(stage) => stage,
                 None => return Ok(ControlFlow::Continue(())),
             };
         }
-        let left = match self.stage {
-            Stage::Forward(left) => usize::try_from(left).unwrap_or(usize::MAX),
+        let remaining = match self.stage {
+            Stage::Forward(remaining) => usize::try_from(remaining).unwrap_or(usize::MAX),
             _ => usize::MAX,
         };
-        let n = left.min(self.held.len()).min(to.remaining());
-        if n == 0 {
+        let length = remaining
+            .min(self.buffer.len())
+            .min(destination.remaining());
+        if length == 0 {
             return Ok(ControlFlow::Continue(()));
         }
-        to.put_slice(&self.held.split_to(n));
-        if let Stage::Forward(left) = &mut self.stage {
-            *left -= n as u64;
-            if *left == 0 {
+        destination.put_slice(&self.buffer.split_to(length));
+        if let Stage::Forward(remaining) = &mut self.stage {
+            *remaining -= length as u64;
+            if *remaining == 0 {
                 self.stage = Stage::Head;
                 self.scanned = 0;
             }
         }
-        if self.held.is_empty() {
-            // An idle connection holds no buffer.
-            self.held = BytesMut::new();
+        if self.buffer.is_empty() {
+            // Idle connections keep no memory.
+            self.buffer = BytesMut::new();
         }
         Ok(ControlFlow::Break(()))
     }
 
-    /// How far the head at the front reaches, if it is whole.
-    fn head(&mut self) -> Result<Option<Stage>, StatusCode> {
-        let new = self.held.get(self.scanned..).unwrap_or_default();
-        // Only a line's end can complete a head; until one comes, looking at the first word is enough.
-        let complete = new.contains(&b'\n');
-        self.scanned = self.held.len();
-        self.begins(&self.held)?;
-        let parsed = if complete { parse(&self.held)? } else { None };
-        let Some((head, framing)) = parsed else {
-            return if self.held.len() > HEAD_MOST {
+    /// The stage that follows the head at the front of the buffer; `None` if that is not complete.
+    fn inspect_head(&mut self) -> Result<Option<Stage>, StatusCode> {
+        let unscanned = self.buffer.get(self.scanned..).unwrap_or_default();
+        // Only the end of a line can complete a head; until one is received, checking the method is enough.
+        let may_be_complete = unscanned.contains(&b'\n');
+        self.scanned = self.buffer.len();
+        self.check_method(&self.buffer)?;
+        let head = if may_be_complete {
+            parse_head(&self.buffer)?
+        } else {
+            None
+        };
+        let Some(head) = head else {
+            return if self.buffer.len() > HEAD_MOST {
                 Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE)
             } else {
                 Ok(None)
             };
         };
-        let Framing::Length(body) = framing else {
+        let Framing::Length(body_length) = head.framing else {
             return Ok(Some(Stage::Chunked));
         };
-        if let Some(behind) = head.checked_add(body).and_then(|end| self.held.get(end..)) {
-            self.begins(behind)?;
+        let next_request = head
+            .length
+            .checked_add(body_length)
+            .and_then(|end| self.buffer.get(end..));
+        if let Some(next_request) = next_request {
+            self.check_method(next_request)?;
         }
-        Ok(Some(Stage::Forward((head + body) as u64)))
+        Ok(Some(Stage::Forward((head.length + body_length) as u64)))
     }
 
-    /// Whether a request can begin like this.
-    fn begins(&self, with: &[u8]) -> Result<(), StatusCode> {
-        // An empty line before a request is passed over by every server.
-        let with = with.trim_ascii_start();
-        let fits = self
-            .methods
-            .iter()
-            .any(|m| m.iter().zip(with).all(|(a, b)| a == b));
-        fits.then_some(()).ok_or(StatusCode::BAD_REQUEST)
+    /// Checks that a request may begin like this.
+    fn check_method(&self, start: &[u8]) -> Result<(), StatusCode> {
+        // Servers skip empty lines before a request.
+        let start = start.trim_ascii_start();
+        let is_served = self.methods.iter().any(|method| {
+            method
+                .iter()
+                .zip(start)
+                .all(|(expected, received)| expected == received)
+        });
+        is_served.then_some(()).ok_or(StatusCode::BAD_REQUEST)
     }
 }
 
+/// How the end of a body is found.
 enum Framing {
     Length(usize),
     Chunked,
 }
 
-/// The length of a whole head and what its body is said to be.
-fn parse(held: &[u8]) -> Result<Option<(usize, Framing)>, StatusCode> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+/// A complete head of a request.
+struct Head {
+    /// Its length in bytes.
+    length: usize,
+    framing: Framing,
+}
+
+/// Parses the head at the front of the buffer; `None` if it is not complete.
+fn parse_head(buffer: &[u8]) -> Result<Option<Head>, StatusCode> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
-    let head = match request.parse(held) {
-        Ok(httparse::Status::Complete(head)) => head,
+    let length = match request.parse(buffer) {
+        Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(httparse::Error::TooManyHeaders) => {
             return Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE)
         }
         Err(_) => return Err(StatusCode::BAD_REQUEST),
     };
-    let named = |name: &str| {
-        let mut values = request
-            .headers
+    let framing = framing(request.headers)?;
+    Ok(Some(Head { length, framing }))
+}
+
+/// The framing that the headers of a request state without ambiguity.
+fn framing(headers: &[httparse::Header]) -> Result<Framing, StatusCode> {
+    let values = |name: &'static str| {
+        headers
             .iter()
-            .filter(|h| h.name.eq_ignore_ascii_case(name));
-        let first = values.next().map(|h| h.value);
-        (first, values.next().is_some())
+            .filter(move |header| header.name.eq_ignore_ascii_case(name))
+            .map(|header| header.value)
     };
-    let framing = match (named("content-length"), named("transfer-encoding")) {
-        ((None, _), (None, _)) => Framing::Length(0),
-        ((Some(length), false), (None, _)) => Framing::Length(number(length)?),
-        ((None, _), (Some(coding), false)) if coding.eq_ignore_ascii_case(b"chunked") => {
-            Framing::Chunked
-        }
-        _ => return Err(StatusCode::BAD_REQUEST),
-    };
-    Ok(Some((head, framing)))
+    let mut lengths = values("content-length");
+    let mut codings = values("transfer-encoding");
+    let (length, coding) = (lengths.next(), codings.next());
+    if lengths.next().is_some() || codings.next().is_some() {
+        return Err(StatusCode::BAD_REQUEST);
+    }
+    match (length, coding) {
+        (None, None) => Ok(Framing::Length(0)),
+        (Some(length), None) => parse_length(length).map(Framing::Length),
+        (None, Some(coding)) if coding.eq_ignore_ascii_case(b"chunked") => Ok(Framing::Chunked),
+        _ => Err(StatusCode::BAD_REQUEST),
+    }
 }
 
-/// A length is digits and nothing else.
-fn number(text: &[u8]) -> Result<usize, StatusCode> {
+/// Parses a length of digits only, at most that of the largest body.
+fn parse_length(text: &[u8]) -> Result<usize, StatusCode> {
     if text.is_empty() || !text.iter().all(u8::is_ascii_digit) {
         return Err(StatusCode::BAD_REQUEST);
     }
     let length = std::str::from_utf8(text)
         .ok()
-        .and_then(|t| t.parse::<usize>().ok());
+        .and_then(|text| text.parse::<usize>().ok());
     length
-        .filter(|n| *n as u64 <= FLOW_MOST)
+        .filter(|length| *length as u64 <= MAX_STREAMED_BYTES)
         .ok_or(StatusCode::PAYLOAD_TOO_LARGE)
 }
--- a/crates/node/src/net/upstream/attempt.rs
+++ b/crates/node/src/net/upstream/attempt.rs
@@ -131,7 +131,7 @@
         self.message
             .body
             .streamed()
-            .is_some_and(|body| body.is_taken())
+            .is_some_and(|body| body.is_consumed())
     }
 
     fn report_body_consumed(&self) {
@@ -184,7 +184,7 @@
     {
         if let Some(body) = self.attempt.message.body.streamed() {
             let early_result = self.wait_for_upload(body, head.as_mut()).await;
-            if body.is_done() {
+            if body.is_complete() {
                 let attempt = self.attempt;
                 if let Some(answer_by) = attempt.context.finish_upload(attempt.request) {
                     self.answer_by = answer_by;
@@ -208,7 +208,7 @@
     {
         tokio::select! {
             biased;
-            () = body.ended() => None,
+            () = body.wait_for_end() => None,
             () = sleep_until(self.answer_by.into()) => None,
             result = head => Some(result),
         }
@@ -220,7 +220,7 @@
             Payload::Buffered(body) => {
                 self.connection.bytes_written() - self.bytes_written_before > body.len() as u64
             }
-            Payload::Streamed(body) => body.is_done(),
+            Payload::Streamed(body) => body.is_complete(),
         }
     }
 
@@ -236,7 +236,7 @@
     fn connection_error_outcome(&self) -> Outcome {
         match self.attempt.message.body.streamed() {
             // The client has broken off the upload, which says nothing about the server.
-            Some(body) if body.fault().is_some() => Outcome::NotSent,
+            Some(body) if body.error().is_some() => Outcome::NotSent,
             _ if self.may_be_fully_sent() => Outcome::ConnectionLost,
             _ => Outcome::ConnectFailed,
         }
--- a/crates/node/src/net/upstream/response.rs
+++ b/crates/node/src/net/upstream/response.rs
@@ -10,7 +10,7 @@
 use super::connection::Connection;
 use super::AttemptContext;
 use crate::net::answer::{Answer, StreamedAnswer};
-use crate::net::body::FLOW_MOST;
+use crate::net::body::MAX_STREAMED_BYTES;
 use crate::net::message::AnswerValidator;
 use crate::net::shared::MemoryPermit;
 use crate::net::{permits_for, ANSWER_HELD, ANSWER_MOST, ANSWER_SMALL};
@@ -111,7 +111,7 @@
         if self.must_buffer_whole() {
             ANSWER_MOST as u64
         } else {
-            FLOW_MOST
+            MAX_STREAMED_BYTES
         }
     }
 
@@ -276,7 +276,7 @@
         let answer = Answer {
             headers: self.head.headers,
             body: self.buffer.freeze(),
-            rest: None,
+            remainder: None,
             _memory: self.memory,
         };
         attempt.end_with_answer(answer);
@@ -287,7 +287,7 @@
         let attempt = self.attempt;
         let (context, connection) = (attempt.context.clone(), self.connection);
         let return_connection = move || context.connections().put(connection);
-        let rest = StreamedAnswer::new(
+        let remainder = StreamedAnswer::new(
             self.body,
             self.buffer.len() as u64,
             attempt.message.clone(),
@@ -296,7 +296,7 @@
         let answer = Answer {
             headers: self.head.headers,
             body: self.buffer.freeze(),
-            rest: Some(rest),
+            remainder: Some(remainder),
             _memory: None,
         };
         attempt.end_with_answer(answer);
