--- a/crates/node/src/net/front/shutdown.rs
+++ b/crates/node/src/net/front/shutdown.rs
@@ -8,8 +8,10 @@
 
 /// How long connections are still accepted after SIGTERM: clients may connect for 0.4 s after it.
 const ACCEPT_GRACE: Duration = Duration::from_millis(500);
-/// The process ends this long after the longest deadline; SIGKILL follows 100 ms later at the earliest.
-const END_AFTER_LONGEST_DEADLINE: Duration = Duration::from_millis(600);
+/// SIGKILL follows this long after the longest deadline at the earliest.
+const KILL_AFTER_LONGEST_DEADLINE: Duration = Duration::from_millis(700);
+/// The process ends this long before SIGKILL.
+const EXIT_BEFORE_KILL: Duration = Duration::from_millis(100);
 /// How often a node that is being drained closes idle connections.
 const DRAIN_INTERVAL: Duration = Duration::from_millis(100);
 /// Time reserved at the end for clients that no successor takes over.
@@ -55,7 +57,7 @@
         let longest_deadline = self.routing.borrow().longest_deadline();
         let shutdown = Shutdown {
             begins_at,
-            ends_at: begins_at + longest_deadline + END_AFTER_LONGEST_DEADLINE,
+            ends_at: begins_at + longest_deadline + KILL_AFTER_LONGEST_DEADLINE - EXIT_BEFORE_KILL,
         };
         let handover = self.handover.borrow().clone();
         if let Some(handover) = &handover {
--- a/crates/node/src/net/graphql/batch.rs
+++ b/crates/node/src/net/graphql/batch.rs
@@ -16,6 +16,7 @@
 use reelfall_graphql::batch::{refusable, Batch, Fate};
 use reelfall_graphql::media::Media;
 use reelfall_graphql::Fault;
+use reelfall_routing::limits::Denial;
 use std::rc::Rc;
 use std::time::Instant;
 use tokio::time::timeout_at;
@@ -35,6 +36,12 @@
 /// An entry that has not been started, or why it can't be run.
 type Entry = Result<Ready, Fault>;
 
+/// What an entry needs to be submitted to the engine.
+struct StartedEntry {
+    ready: Ready,
+    permits: OperationPermits,
+}
+
 /// A batch whose entries are being run.
 struct RunningBatch<'a> {
     front: &'a Rc<Front>,
@@ -111,7 +118,7 @@
         let mut in_flight = FuturesUnordered::new();
         loop {
             for entry in self.batch.start() {
-                if let Some((ready, permits)) = self.start_entry(entry) {
+                if let Some(StartedEntry { ready, permits }) = self.start_entry(entry) {
                     let operation = front.run_operation(context, ready, Some(entry), permits);
                     in_flight.push(async move { (entry, operation.await) });
                 }
@@ -139,8 +146,8 @@
         self.batch.fates()
     }
 
-    /// What an entry needs to run; `None` if it has ended instead.
-    fn start_entry(&mut self, entry: usize) -> Option<(Ready, OperationPermits)> {
+    /// Prepares an entry to be submitted; `None` if it has ended instead.
+    fn start_entry(&mut self, entry: usize) -> Option<StartedEntry> {
         let ready = match self.entries.get_mut(entry).and_then(Option::take) {
             Some(Ok(ready)) => ready,
             Some(Err(fault)) => {
@@ -152,7 +159,7 @@
                 return None;
             }
         };
-        let Some(admission) = self.admit_entry() else {
+        let Ok(admission) = self.admit_entry() else {
             let retry_after = retry_advice(self.service.retry_after.get());
             self.batch.done(entry, Fate::Refused(retry_after));
             return None;
@@ -161,16 +168,16 @@
             body_memory: self.body_memory.clone(),
             admission,
         };
-        Some((ready, permits))
+        Some(StartedEntry { ready, permits })
     }
 
-    /// Admits an entry: the first one by the admission of the batch, each other one by its own; `None` if rejected.
-    fn admit_entry(&mut self) -> Option<Option<Permit>> {
+    /// Admits an entry: the first one by the admission of the batch, each other one by its own.
+    fn admit_entry(&mut self) -> Result<Option<Permit>, Denial> {
         match std::mem::replace(&mut self.admission, BatchAdmission::Used) {
-            BatchAdmission::Unused(admission) => Some(admission),
+            BatchAdmission::Unused(admission) => Ok(admission),
             BatchAdmission::Used => match self.service.member {
-                Some(member) => self.front.shared().admit(member).ok(),
-                None => Some(None),
+                Some(member) => self.front.shared().admit(member),
+                None => Ok(None),
             },
         }
     }
--- a/crates/node/src/net/graphql/operation.rs
+++ b/crates/node/src/net/graphql/operation.rs
@@ -25,7 +25,7 @@
 
 impl AnswerValidator for OperationAnswerValidator {
     /// A server may report a client's errors by a 4xx status; those are valid answers, and not failures of the server.
-    fn may_answer(&self, status: StatusCode) -> bool {
+    fn accepts_status(&self, status: StatusCode) -> bool {
         let is_transient = matches!(
             status,
             StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_EARLY | StatusCode::TOO_MANY_REQUESTS
@@ -33,7 +33,7 @@
         status.is_client_error() && !is_transient
     }
 
-    fn is_answer(&self, body: &[u8]) -> bool {
+    fn is_valid_answer(&self, body: &[u8]) -> bool {
         answer::check(body, &self.operation).is_ok()
     }
 }
--- a/crates/node/src/net/message.rs
+++ b/crates/node/src/net/message.rs
@@ -38,9 +38,9 @@
 /// Tells valid answers from others, for requests whose protocol says more than a status.
 pub trait AnswerValidator {
     /// Whether an answer with this status may be valid.
-    fn may_answer(&self, status: StatusCode) -> bool;
+    fn accepts_status(&self, status: StatusCode) -> bool;
     /// Whether a complete body is a valid answer to the request. If it is not, the request may have run.
-    fn is_answer(&self, body: &[u8]) -> bool;
+    fn is_valid_answer(&self, body: &[u8]) -> bool;
 }
 
 /// What the engine needs to know about a request.
--- a/crates/node/src/net/upstream/attempt.rs
+++ b/crates/node/src/net/upstream/attempt.rs
@@ -6,6 +6,7 @@
 use super::connection::Connection;
 use super::response::read_response;
 use super::{AttemptContext, TIME_LEFT};
+use crate::net::answer::Answer;
 use crate::net::body::{Payload, PayloadBody, StreamedBody};
 use crate::net::message::Message;
 use hyper::body::Incoming;
@@ -85,6 +86,13 @@
             .end_attempt(self.request, self.number, outcome, None);
     }
 
+    /// Reports an answer.
+    pub(super) fn end_with_answer(&self, answer: Answer) {
+        let (request, number) = (self.request, self.number);
+        self.context
+            .end_attempt(request, number, Outcome::Served, Some(answer));
+    }
+
     /// Sends the request on one connection and reads the answer.
     async fn exchange(&self) -> ExchangeResult {
         let connection = match self.acquire().await {
--- a/crates/node/src/net/upstream/response.rs
+++ b/crates/node/src/net/upstream/response.rs
@@ -74,7 +74,7 @@
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_unprocessed => {
             Outcome::Rejected
         }
-        status if validator.is_some_and(|validator| validator.may_answer(status)) => {
+        status if validator.is_some_and(|validator| validator.accepts_status(status)) => {
             Outcome::Served
         }
         _ => Outcome::Error,
@@ -237,7 +237,7 @@
     fn is_valid(&self) -> bool {
         self.attempt
             .validator()
-            .is_none_or(|validator| validator.is_answer(&self.buffer))
+            .is_none_or(|validator| validator.is_valid_answer(&self.buffer))
     }
 
     /// Decides after each piece whether buffering goes on.
@@ -310,11 +310,3 @@
         }
     }
 }
-
-impl<C: AttemptContext> Attempt<C> {
-    fn end_with_answer(&self, answer: Answer) {
-        let (request, number) = (self.request, self.number);
-        self.context
-            .end_attempt(request, number, Outcome::Served, Some(answer));
-    }
-}
