--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,6 +1,15 @@
-//! Holds a model against all that must be true of it, and makes a plan that a node can follow.
+//! Validates a model and makes a [`Plan`] of it.
 //!
-//! What is looked up for each item of a list is kept by its key: a check takes time in proportion to the file.
+//! | module | checks |
+//! | --- | --- |
+//! | [`fleet`] | membership in a fleet, and its leases |
+//! | [`registries`] | registries, and services whose servers they list |
+//! | [`services`] | servers, classes, tenants, attempts and limits of services |
+//! | [`graphql`] | the classes of GraphQL fields |
+//! | [`routes`] | routes, of which it makes the route table |
+//! | [`plan`] | the result |
+//!
+//! Look-ups go through hash maps, so that a check takes time in proportion to the size of the file.
 
 mod fleet;
 mod graphql;
@@ -9,10 +18,10 @@
 mod routes;
 mod services;
 
-pub use graphql::graphql_classes;
-pub use plan::{Goal, Plan};
+pub use graphql::{graphql_classes, GraphQlClassesError};
+pub use plan::{Plan, RouteTarget};
 
-use crate::model::{Fault, Faults, Located, Model, Origin};
+use crate::model::{Fault, Faults, Located, Model, Origin, Process};
 use reelfall_balancer::interface as core;
 use reelfall_routing::limits::Totals;
 use std::collections::hash_map::{Entry, HashMap};
@@ -20,102 +29,104 @@
 
 /// Methods that a route can name.
 pub const METHODS: [&str; 5] = ["GET", "POST", "PUT", "PATCH", "DELETE"];
-/// Longest name of a service, server, class, member or listener, in bytes.
-pub const NAME_MOST: usize = 128;
-/// Longest deadline, in seconds: what holds a request longer is no request of this kind.
-pub const DEADLINE_MOST: f64 = 60.0;
-/// Most services.
+/// Maximum length of the name of a service, server, class, tenant or listener, in bytes.
+pub const MAX_NAME_LEN: usize = 128;
+/// Maximum deadline of a class, in seconds.
+pub const MAX_DEADLINE: f64 = 60.0;
+/// Maximum number of services.
 pub const SERVICES_MOST: usize = 4_096;
-/// Most listeners.
-pub const LISTENERS_MOST: usize = 256;
-/// Most classes of a service.
-pub const CLASSES_MOST: usize = 256;
-/// Most members of a service: as many as the decision module has numbers for.
-pub const MEMBERS_MOST: usize = core::TenantId::MAX as usize;
-/// Most routes of all services together.
+/// Maximum number of listeners.
+pub const MAX_LISTENERS: usize = 256;
+/// Maximum number of classes of a service.
+pub const MAX_CLASSES: usize = 256;
+/// Maximum number of tenants of a service: the number of their ids.
+pub const MAX_TENANTS: usize = core::TenantId::MAX as usize;
+/// Maximum number of routes of all services together.
 pub const ROUTES_MOST: usize = 100_000;
 
-/// Descriptors for what is neither client nor server: listeners, discovery, the runtime's own, a margin.
-const SPARE: usize = 24;
+/// Descriptors that are used neither for clients nor for servers: listeners, discovery, the runtime, a margin.
+const RESERVED_DESCRIPTORS: usize = 24;
+
+const MIN_DESCRIPTORS: usize = 64;
+const MIN_MEMORY_BYTES: u64 = 16 << 20;
+const MIN_CLIENTS: usize = 8;
 
-/// How the descriptors and the memory of a process are parted: `(clients, to servers, KiB of bodies)`.
+/// Divides the descriptors and the memory of a process: `(client connections, server connections, KiB for bodies)`.
 ///
-/// Requests hold a third of the descriptors at most, and each needs one to a server; attempts that outlive their
-/// request need more. What is left is for clients that ask nothing at the moment, or never will. A quarter of the
-/// memory goes to bodies.
+/// Requests use a third of the descriptors at most, and each needs one to a server; attempts that outlive their
+/// request need more. The rest is for clients without a request. A quarter of the memory is for bodies.
 pub fn parts(descriptors: usize, memory_mb: usize) -> (usize, usize, usize) {
-    let all = descriptors.saturating_sub(SPARE).max(8);
-    let upstream = all * 43 / 100;
+    let available = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(8);
+    let upstream = available * 43 / 100;
     (
-        all - upstream,
+        available - upstream,
         upstream,
         memory_mb.saturating_mul(256).max(1024),
     )
 }
 
+/// Collects the faults of a model.
 struct Checker {
     faults: Vec<Fault>,
 }
 
 impl Checker {
-    fn say(&mut self, origin: &Origin, mistake: String) {
+    /// Adds a fault.
+    fn report(&mut self, origin: &Origin, message: String) {
         self.faults.push(Fault {
             origin: origin.clone(),
-            mistake,
+            message,
         });
     }
 
-    fn want(&mut self, holds: bool, origin: &Origin, mistake: impl FnOnce() -> String) {
+    /// Adds a fault unless a condition holds.
+    fn require(&mut self, holds: bool, origin: &Origin, message: impl FnOnce() -> String) {
         if !holds {
-            self.say(origin, mistake());
+            self.report(origin, message());
         }
     }
 
-    /// Names are short plain words, and each is there once.
-    fn names<'a, T: 'a>(
+    /// Requires names that are valid and unique; `kind` says what they name.
+    fn require_unique_names<'a, T: 'a>(
         &mut self,
-        what: &str,
+        kind: &str,
         items: impl IntoIterator<Item = &'a Located<T>>,
         name: impl Fn(&'a T) -> &'a str,
     ) {
         let mut seen: HashMap<&str, &Origin> = HashMap::new();
         for item in items {
             let name = name(&item.value);
-            let plain = !name.is_empty()
-                && name.len() <= NAME_MOST
-                && name
-                    .bytes()
-                    .all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.'));
-            self.want(plain, &item.origin, || {
-                format!("`{name}` is no name for a {what}: use letters, digits, `-`, `_` and `.`")
+            self.require(is_valid_name(name), &item.origin, || {
+                format!("`{name}` is no name for a {kind}: use letters, digits, `-`, `_` and `.`")
             });
             if let Some(first) = seen.insert(name, &item.origin) {
-                self.say(
+                self.report(
                     &item.origin,
-                    format!("{what} `{name}` is there already, at line {}", first.line),
+                    format!("{kind} `{name}` is there already, at line {}", first.line),
                 );
             }
         }
     }
-    /// Addresses are there but once each; `named` tells an item's name and address.
-    fn addresses<'a, T: 'a>(
+
+    /// Requires unique addresses; `key` gives the name and the address of an item.
+    fn require_unique_addresses<'a, T: 'a>(
         &mut self,
-        what: &str,
+        kind: &str,
         items: impl IntoIterator<Item = &'a Located<T>>,
-        named: impl Fn(&'a T) -> (&'a str, SocketAddr),
+        key: impl Fn(&'a T) -> (&'a str, SocketAddr),
     ) {
-        let mut firsts = HashMap::new();
+        let mut first_names = HashMap::new();
         for item in items {
-            let (name, address) = named(&item.value);
-            match firsts.entry(address) {
-                Entry::Vacant(free) => {
-                    free.insert(name);
+            let (name, address) = key(&item.value);
+            match first_names.entry(address) {
+                Entry::Vacant(entry) => {
+                    entry.insert(name);
                 }
-                Entry::Occupied(first) => {
-                    let first = first.get();
-                    self.say(
+                Entry::Occupied(entry) => {
+                    let first = entry.get();
+                    self.report(
                         &item.origin,
-                        format!("{what} `{first}` already has the address {address}"),
+                        format!("{kind} `{first}` already has the address {address}"),
                     );
                 }
             }
@@ -123,95 +134,120 @@
     }
 }
 
-/// Checks a model.
+/// Whether a text is a short plain word.
+fn is_valid_name(name: &str) -> bool {
+    let is_valid_byte = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
+    !name.is_empty() && name.len() <= MAX_NAME_LEN && name.bytes().all(is_valid_byte)
+}
+
+/// Validates a model.
 ///
 /// # Errors
-/// Everything that is wrong with it.
+/// All faults of the model, in the order of their lines.
 pub fn check(model: Model) -> Result<Plan, Faults> {
-    let mut c = Checker { faults: Vec::new() };
-    let process = &model.process;
-    c.want(process.max_descriptors >= 64, &process.origin, || {
+    let mut checker = Checker { faults: Vec::new() };
+    let capacity = process(&mut checker, &model.process);
+    listeners(&mut checker, &model);
+    registries::registries(&mut checker, &model);
+    fleet::fleet(&mut checker, &model);
+    services::services(&mut checker, &model);
+    services::shared_servers(&mut checker, &model);
+    services::limits(&mut checker, &model, capacity.totals);
+    let routes = routes::routes(&mut checker, &model);
+    match routes.table {
+        Some(table) if checker.faults.is_empty() => Ok(Plan {
+            model,
+            table,
+            goals: routes.targets,
+            matches: routes.matches,
+            totals: capacity.totals,
+            clients: capacity.max_clients,
+        }),
+        _ => {
+            checker.faults.sort_by_key(|fault| fault.origin.line);
+            Err(Faults(checker.faults))
+        }
+    }
+}
+
+/// What a process has for clients and services.
+struct ProcessCapacity {
+    /// Maximum number of client connections.
+    max_clients: usize,
+    /// What all services together may use.
+    totals: Totals,
+}
+
+/// Checks the settings of the process, and derives its capacity.
+fn process(checker: &mut Checker, process: &Located<Process>) -> ProcessCapacity {
+    let origin = &process.origin;
+    checker.require(process.max_descriptors >= MIN_DESCRIPTORS, origin, || {
         "descriptors: 64 at least".to_owned()
     });
-    c.want(process.max_memory >= 16 << 20, &process.origin, || {
+    checker.require(process.max_memory >= MIN_MEMORY_BYTES, origin, || {
         "memory: 16MiB at least".to_owned()
     });
-    c.want(process.node_count > 0, &process.origin, || {
+    checker.require(process.node_count > 0, origin, || {
         "nodes: this one counts, so 1 at least".to_owned()
     });
-    c.want(
+    checker.require(
         process.max_connections_per_server != Some(0),
-        &process.origin,
+        origin,
         || "server_connections: 1 at least".to_owned(),
     );
-    let (clients, connections, memory) =
-        parts(process.max_descriptors, (process.max_memory >> 20) as usize);
-    let clients = process.max_clients.unwrap_or(clients);
-    c.want(
-        clients >= 8 && clients + connections <= process.max_descriptors.saturating_sub(SPARE),
-        &process.origin,
+    let memory_mb = (process.max_memory >> 20) as usize;
+    let (default_clients, connections, body_kib) = parts(process.max_descriptors, memory_mb);
+    let max_clients = process.max_clients.unwrap_or(default_clients);
+    let available = process.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS);
+    checker.require(
+        max_clients >= MIN_CLIENTS && max_clients + connections <= available,
+        origin,
         || {
             format!(
-                "clients: {clients} do not fit into the descriptors, which leave room for 8 to {}",
-                process.max_descriptors.saturating_sub(SPARE + connections)
+                "clients: {max_clients} do not fit into the descriptors, which leave room for {MIN_CLIENTS} to {}",
+                process
+                    .max_descriptors
+                    .saturating_sub(RESERVED_DESCRIPTORS + connections)
             )
         },
     );
-    let totals = Totals {
-        // As many more clients as this may be connected without asking anything.
-        open: (clients.min(connections)) as u64,
-        connections: connections as u64,
-        // Bodies of requests, and as much for answers.
-        memory: 2 * memory as u64,
-    };
-    listeners(&mut c, &model);
-    registries::registries(&mut c, &model);
-    fleet::fleet(&mut c, &model);
-    services::services(&mut c, &model);
-    services::shared_servers(&mut c, &model);
-    services::limits(&mut c, &model, totals);
-    let (table, goals, matches) = routes::routes(&mut c, &model);
-    match table {
-        Some(table) if c.faults.is_empty() => Ok(Plan {
-            model,
-            table,
-            goals,
-            matches,
-            totals,
-            clients,
-        }),
-        _ => {
-            c.faults.sort_by_key(|f| f.origin.line);
-            Err(Faults(c.faults))
-        }
+    ProcessCapacity {
+        max_clients,
+        totals: Totals {
+            // Clients beyond that can stay connected without a request.
+            open: max_clients.min(connections) as u64,
+            connections: connections as u64,
+            // Half for bodies of requests, half for those of responses.
+            memory: 2 * body_kib as u64,
+        },
     }
 }
 
-fn listeners(c: &mut Checker, model: &Model) {
-    c.want(!model.listeners.is_empty(), &model.origin, || {
+fn listeners(checker: &mut Checker, model: &Model) {
+    checker.require(!model.listeners.is_empty(), &model.origin, || {
         "nothing to listen on: add [[listener]] with a name and an address".to_owned()
     });
-    c.want(
-        model.listeners.len() <= LISTENERS_MOST,
+    checker.require(
+        model.listeners.len() <= MAX_LISTENERS,
         &model.origin,
         || {
             format!(
-                "{} listeners, {LISTENERS_MOST} at most",
+                "{} listeners, {MAX_LISTENERS} at most",
                 model.listeners.len()
             )
         },
     );
-    c.names("listener", &model.listeners, |l| &l.name);
-    // Port 0 is another one for each.
+    checker.require_unique_names("listener", &model.listeners, |l| &l.name);
+    // The system assigns a different port to each listener with port 0.
     let fixed = model.listeners.iter().filter(|l| l.address.port() != 0);
-    c.addresses("listener", fixed, |l| (&l.name, l.address));
+    checker.require_unique_addresses("listener", fixed, |l| (&l.name, l.address));
 }
 
-/// The place of each name, the first if it is there more than once.
-fn numbers<'a>(names: impl IntoIterator<Item = &'a str>) -> HashMap<&'a str, usize> {
-    let mut numbers = HashMap::new();
-    for (n, name) in names.into_iter().enumerate() {
-        numbers.entry(name).or_insert(n);
+/// The index of each name, the first one of duplicates.
+fn indices<'a>(names: impl IntoIterator<Item = &'a str>) -> HashMap<&'a str, usize> {
+    let mut indices = HashMap::new();
+    for (index, name) in names.into_iter().enumerate() {
+        indices.entry(name).or_insert(index);
     }
-    numbers
+    indices
 }
--- a/crates/config/src/check/graphql.rs
+++ b/crates/config/src/check/graphql.rs
@@ -1,65 +1,94 @@
-//! GraphQL over HTTP: the classes of root fields, and the bounds of a request.
+//! Checks GraphQL settings: the classes of root fields, and the limits of a request.
 
-use super::{numbers, Checker};
+use super::{indices, Checker};
 use crate::model::{Class, GraphQl, Located, RetrySafety, Service};
 use reelfall_balancer::interface as core;
 use reelfall_graphql::class::{ClassInfo, Classes, Mapping};
 use std::collections::{BTreeMap, HashMap};
+use thiserror::Error;
 
-/// What a service says of GraphQL, if it does.
-pub(super) fn graphql(c: &mut Checker, service: &Located<Service>) {
+/// Checks the GraphQL settings of a service, if it has any.
+pub(super) fn graphql(checker: &mut Checker, service: &Located<Service>) {
     let Some(graphql) = &service.graphql else {
         return;
     };
     let name = &service.name;
-    if let Err(fault) = graphql_classes(service, graphql) {
-        c.say(&graphql.origin, format!("service `{name}`: {fault}"));
+    if let Err(error) = graphql_classes(service, graphql) {
+        checker.report(&graphql.origin, format!("service `{name}`: {error}"));
     }
-    let GraphQl {
-        limits,
-        max_parallel_reads: side_by_side,
-        ..
-    } = &graphql.value;
-    c.want((1..=64).contains(&limits.depth), &graphql.origin, || {
+    let limits = &graphql.limits;
+    checker.require((1..=64).contains(&limits.depth), &graphql.origin, || {
         format!(
             "service `{name}`: depth is {}, not between 1 and 64",
             limits.depth
         )
     });
-    c.want(
-        (1..=256).contains(&limits.batch) && (1..=64).contains(side_by_side),
+    checker.require(
+        (1..=256).contains(&limits.batch) && (1..=64).contains(&graphql.max_parallel_reads),
         &graphql.origin,
         || format!("service `{name}`: batch is 1 to 256, side_by_side 1 to 64"),
     );
 }
 
+/// Why the classes of GraphQL fields are invalid.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum GraphQlClassesError {
+    /// A field has a class that the service does not have.
+    #[error("there is no class `{name}`")]
+    UnknownClass {
+        /// The name of the class.
+        name: String,
+    },
+    /// The classes contradict each other.
+    #[error(transparent)]
+    Invalid(#[from] reelfall_graphql::class::MapFault),
+}
+
+/// For callers that report errors as text.
+impl From<GraphQlClassesError> for String {
+    fn from(error: GraphQlClassesError) -> Self {
+        error.to_string()
+    }
+}
+
 /// The classes of a service's root fields.
 ///
 /// # Errors
-/// If a name is that of no class, or a mutation would count as safe.
-pub fn graphql_classes(service: &Service, graphql: &GraphQl) -> Result<Classes, String> {
-    let numbers = numbers(service.classes.iter().map(|c| c.name.as_str()));
-    let class = |name: &String| {
-        let at = numbers.get(name.as_str()).copied();
-        at.and_then(|at| core::ClassId::try_from(at).ok())
-            .ok_or_else(|| format!("there is no class `{name}`"))
-    };
-    let fields =
-        |fields: &BTreeMap<String, String>| -> Result<HashMap<String, core::ClassId>, String> {
-            fields
-                .iter()
-                .map(|(field, name)| Ok((field.clone(), class(name)?)))
-                .collect()
-        };
+/// If a class is unknown, or that of a mutation allows retries.
+pub fn graphql_classes(
+    service: &Service,
+    graphql: &GraphQl,
+) -> Result<Classes, GraphQlClassesError> {
+    let ids = indices(service.classes.iter().map(|class| class.name.as_str()));
     let mapping = Mapping {
-        query: fields(&graphql.query)?,
-        mutation: fields(&graphql.mutation)?,
-        other_query: class(&graphql.other_query)?,
-        other_mutation: class(&graphql.other_mutation)?,
+        query: field_classes(&ids, &graphql.query)?,
+        mutation: field_classes(&ids, &graphql.mutation)?,
+        other_query: class_id(&ids, &graphql.other_query)?,
+        other_mutation: class_id(&ids, &graphql.other_mutation)?,
     };
-    let info = |c: &Located<Class>| ClassInfo {
-        safe: c.retry_safety == RetrySafety::Idempotent,
-        deadline: c.deadline,
+    let info = |class: &Located<Class>| ClassInfo {
+        safe: class.retry_safety == RetrySafety::Idempotent,
+        deadline: class.deadline,
     };
-    Classes::new(mapping, service.classes.iter().map(info).collect()).map_err(|e| e.to_string())
+    let classes = service.classes.iter().map(info).collect();
+    Ok(Classes::new(mapping, classes)?)
+}
+
+/// The ids of the classes of some fields.
+fn field_classes(
+    ids: &HashMap<&str, usize>,
+    fields: &BTreeMap<String, String>,
+) -> Result<HashMap<String, core::ClassId>, GraphQlClassesError> {
+    fields
+        .iter()
+        .map(|(field, class)| Ok((field.clone(), class_id(ids, class)?)))
+        .collect()
+}
+
+fn class_id(ids: &HashMap<&str, usize>, name: &str) -> Result<core::ClassId, GraphQlClassesError> {
+    ids.get(name)
+        .and_then(|index| core::ClassId::try_from(*index).ok())
+        .ok_or_else(|| GraphQlClassesError::UnknownClass {
+            name: name.to_owned(),
+        })
 }
--- a/crates/config/src/check/plan.rs
+++ b/crates/config/src/check/plan.rs
@@ -1,6 +1,6 @@
-//! What a node follows: a model that holds together, with its routes.
+//! The result of a check: what the node follows.
 
-use crate::model::{Class, Model, Origin, RetrySafety, Service};
+use crate::model::{AttemptLimits, Class, Model, Origin, RetrySafety, Service, SlowStart};
 use reelfall_balancer::interface as core;
 use reelfall_balancer::settings::{ConnectionSettings, NameRegistry};
 use reelfall_routing::limits::Totals;
@@ -8,71 +8,66 @@
 
 /// Where a route leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Goal {
-    /// The service, by its place in [`Model::services`].
+pub struct RouteTarget {
+    /// The index of the service in [`Model::services`].
     pub service: usize,
-    /// The class that its requests have, by its place in [`Service::classes`], if the route assigns one.
+    /// The index in [`Service::classes`] of the class that the route assigns, if it assigns one.
     pub assign: Option<core::ClassId>,
 }
 
-/// A model that holds together, and its routes ready for look-ups.
+/// A valid model, with its route table and the capacity of the process.
 #[derive(Debug)]
 pub struct Plan {
-    /// What the file says.
+    /// The content of the file.
     pub model: Model,
-    /// All routes.
+    /// The route table.
     pub table: Table,
-    /// Where each route leads, by its place in the table; those of a service stand together, in its order.
-    pub goals: Vec<Goal>,
-    /// What each route matches, by its place in the table.
+    /// Where each route leads, by its index in the table; the routes of a service are consecutive, in its order.
+    pub goals: Vec<RouteTarget>,
+    /// What each route matches, by its index in the table.
     pub matches: Vec<Match>,
-    /// What the services share.
+    /// What all services together may use.
     pub totals: Totals,
-    /// Most connections of clients.
+    /// Maximum number of client connections.
     pub clients: usize,
 }
 
 impl Plan {
-    /// What the decision module of a service is told, the names that it goes by, and what its sockets need.
+    /// The settings of a service's decision module, the names of its ids, and the settings of its connections.
     pub fn settings(
         &self,
         service: &Service,
     ) -> (core::Settings, NameRegistry, ConnectionSettings) {
         let mut names = NameRegistry::new(
-            service.classes.iter().map(|c| c.name.clone()),
-            service.tenants.iter().map(|m| m.name.clone()),
+            service.classes.iter().map(|class| class.name.clone()),
+            service.tenants.iter().map(|tenant| tenant.name.clone()),
         );
-        let (tries, cold) = (service.attempts, service.slow_start);
         let settings = core::Settings {
-            classes: service.classes.iter().map(|c| class(c)).collect(),
+            classes: service
+                .classes
+                .iter()
+                .map(|class| core_class(class))
+                .collect(),
             tenants: service
                 .tenants
                 .iter()
-                .map(|m| core::Tenant { quota: m.quota })
+                .map(|tenant| core::Tenant {
+                    quota: tenant.quota,
+                })
                 .collect(),
-            zone: self.model.process.zone.as_ref().map(|z| names.zone(z)),
+            zone: self
+                .model
+                .process
+                .zone
+                .as_ref()
+                .map(|zone| names.zone(zone)),
             node_count: self.model.process.node_count,
-            // The file does not tell nodes from each other: each has the whole list.
+            // The file does not number the nodes, so each of them has the whole list.
             node_index: None,
             discovery: core::Discovery::Push,
             load_reports: core::LoadReports::Absent,
-            limits: core::Limits {
-                max_attempts: tries.max,
-                retry_budget_ratio: tries.retry_budget_ratio,
-                max_retry_after: tries.max_retry_after,
-                can_cancel: false,
-                can_health_check: false,
-                can_hedge: false,
-                idle_connection_timeout: tries.idle_timeout,
-            },
-            rules: core::Rules {
-                drain_grace: 0.5,
-                initial_capacity: cold.initial_capacity,
-                slow_start_duration: cold.duration,
-                overload_factor: cold.overload_factor,
-                overload_window: cold.overload_window,
-                max_poll_interval: 10.0,
-            },
+            limits: limits(&service.attempts),
+            rules: rules(&service.slow_start),
             costs: core::Costs::default(),
             objective: core::Objective {
                 overall: 0.8,
@@ -85,32 +80,58 @@
             has_server_weights: true,
             clock_resolution: 1e-3,
         };
-        let figures = ConnectionSettings {
-            connect_timeout: tries.connect_timeout,
+        let connections = ConnectionSettings {
+            connect_timeout: service.attempts.connect_timeout,
             response_slack: 0.005,
         };
-        (settings, names, figures)
+        (settings, names, connections)
     }
 
-    /// Every route that a request fits, the one that wins first.
-    pub fn candidates(&self, q: &Query) -> Vec<usize> {
-        let mut fit: Vec<usize> = (0..self.matches.len())
-            .filter(|n| self.matches.get(*n).is_some_and(|m| m.fits(q)))
+    /// All routes that match a request, in descending order of precedence.
+    pub fn candidates(&self, query: &Query) -> Vec<usize> {
+        let rank = |route: &usize| self.matches.get(*route).map(Match::rank);
+        let mut candidates: Vec<usize> = (0..self.matches.len())
+            .filter(|route| self.matches.get(*route).is_some_and(|m| m.fits(query)))
             .collect();
-        fit.sort_by_key(|n| std::cmp::Reverse(self.matches.get(*n).map(Match::rank)));
-        fit
+        candidates.sort_by_key(|route| std::cmp::Reverse(rank(route)));
+        candidates
     }
 
-    /// Where a route was read.
+    /// The place of a route in the file.
     pub fn origin(&self, route: usize) -> Option<&Origin> {
         let service = self.goals.get(route)?.service;
-        let first = self.goals.partition_point(|goal| goal.service < service);
+        let first = self
+            .goals
+            .partition_point(|target| target.service < service);
         let routes = &self.model.services.get(service)?.routes;
         routes.get(route - first).map(|route| &route.origin)
     }
 }
 
-fn class(class: &Class) -> core::Class {
+fn limits(attempts: &AttemptLimits) -> core::Limits {
+    core::Limits {
+        max_attempts: attempts.max,
+        retry_budget_ratio: attempts.retry_budget_ratio,
+        max_retry_after: attempts.max_retry_after,
+        can_cancel: false,
+        can_health_check: false,
+        can_hedge: false,
+        idle_connection_timeout: attempts.idle_timeout,
+    }
+}
+
+fn rules(slow_start: &SlowStart) -> core::Rules {
+    core::Rules {
+        drain_grace: 0.5,
+        initial_capacity: slow_start.initial_capacity,
+        slow_start_duration: slow_start.duration,
+        overload_factor: slow_start.overload_factor,
+        overload_window: slow_start.overload_window,
+        max_poll_interval: 10.0,
+    }
+}
+
+fn core_class(class: &Class) -> core::Class {
     core::Class {
         latency_objective: class.latency_objective,
         deadline: class.deadline,
--- a/crates/config/src/check/routes.rs
+++ b/crates/config/src/check/routes.rs
@@ -1,39 +1,40 @@
-//! Routes: what each matches and where it leads.
+//! Checks routes, and makes the route table of them.
 
-use super::plan::Goal;
-use super::{numbers, Checker, METHODS, ROUTES_MOST};
-use crate::model::{Located, Model, Route};
+use super::plan::RouteTarget;
+use super::{indices, Checker, METHODS, ROUTES_MOST};
+use crate::model::{Located, Model, Origin, Route, Service};
 use reelfall_balancer::interface as core;
 use reelfall_routing::table::{Ambiguous, ListenerId, Match, Table};
-use std::collections::HashSet;
+use std::collections::{HashMap, HashSet};
 
-/// Reads all routes: their table if nothing is wrong so far, where each leads, and what each matches.
-pub(super) fn routes(c: &mut Checker, model: &Model) -> (Option<Table>, Vec<Goal>, Vec<Match>) {
+/// The routes of a model, by their index over all services.
+pub(super) struct Routes {
+    /// The table; `None` if the model has faults.
+    pub(super) table: Option<Table>,
+    /// Where each route leads.
+    pub(super) targets: Vec<RouteTarget>,
+    /// What each route matches.
+    pub(super) matches: Vec<Match>,
+}
+
+/// Checks all routes. The table is made only if there are no faults so far.
+pub(super) fn routes(checker: &mut Checker, model: &Model) -> Routes {
     let count = model.services.iter().map(|s| s.routes.len()).sum();
-    let mut goals = Vec::with_capacity(count);
+    let mut targets = Vec::with_capacity(count);
     let mut matches = Vec::with_capacity(count);
     let mut origins = Vec::with_capacity(count);
-    let listeners = numbers(model.listeners.iter().map(|l| l.name.as_str()));
-    for (n, service) in model.services.iter().enumerate() {
-        let classes = numbers(service.classes.iter().map(|x| x.name.as_str()));
+    let listeners = indices(model.listeners.iter().map(|l| l.name.as_str()));
+    for (index, service) in model.services.iter().enumerate() {
+        let classes = indices(service.classes.iter().map(|class| class.name.as_str()));
         for route in &service.routes {
-            let listener = route.listener.as_ref().and_then(|name| {
-                let at = listeners.get(name.as_str()).copied();
-                c.want(at.is_some(), &route.origin, || {
-                    format!("there is no listener `{name}`")
-                });
-                at.and_then(|at| ListenerId::try_from(at).ok())
-            });
-            let assign = route.assign.as_ref().and_then(|name| {
-                let at = classes.get(name.as_str()).copied();
-                c.want(at.is_some(), &route.origin, || {
-                    format!("service `{}` has no class `{name}`", service.name)
-                });
-                at.and_then(|at| core::ClassId::try_from(at).ok())
+            let listener = listener(checker, &listeners, route);
+            targets.push(RouteTarget {
+                service: index,
+                assign: assigned_class(checker, &classes, service, route),
             });
-            methods(c, route);
-            let own = *route.path == *"/_health" || route.path.starts_with("/_health/");
-            c.want(!own, &route.origin, || {
+            methods(checker, route);
+            let is_reserved = *route.path == *"/_health" || route.path.starts_with("/_health/");
+            checker.require(!is_reserved, &route.origin, || {
                 "`/_health` is the node's own".to_owned()
             });
             matches.push(Match {
@@ -43,41 +44,76 @@
                 methods: route.methods.iter().map(|m| m.as_str().into()).collect(),
                 class: route.class.as_deref().map(Into::into),
             });
-            goals.push(Goal { service: n, assign });
             origins.push(&route.origin);
         }
     }
-    c.want(matches.len() <= ROUTES_MOST, &model.origin, || {
+    checker.require(matches.len() <= ROUTES_MOST, &model.origin, || {
         format!("{} routes, {ROUTES_MOST} at most", matches.len())
     });
-    if !c.faults.is_empty() {
-        return (None, goals, matches);
+    Routes {
+        table: table(checker, &matches, &origins),
+        targets,
+        matches,
+    }
+}
+
+/// The listener that a route names.
+fn listener(
+    checker: &mut Checker,
+    listeners: &HashMap<&str, usize>,
+    route: &Located<Route>,
+) -> Option<ListenerId> {
+    let name = route.listener.as_ref()?;
+    let index = listeners.get(name.as_str()).copied();
+    checker.require(index.is_some(), &route.origin, || {
+        format!("there is no listener `{name}`")
+    });
+    ListenerId::try_from(index?).ok()
+}
+
+/// The class that a route assigns.
+fn assigned_class(
+    checker: &mut Checker,
+    classes: &HashMap<&str, usize>,
+    service: &Service,
+    route: &Located<Route>,
+) -> Option<core::ClassId> {
+    let name = route.assign.as_ref()?;
+    let index = classes.get(name.as_str()).copied();
+    checker.require(index.is_some(), &route.origin, || {
+        format!("service `{}` has no class `{name}`", service.name)
+    });
+    core::ClassId::try_from(index?).ok()
+}
+
+/// The route table, unless there are faults or two routes are ambiguous.
+fn table(checker: &mut Checker, matches: &[Match], origins: &[&Origin]) -> Option<Table> {
+    if !checker.faults.is_empty() {
+        return None;
     }
-    match Table::new(&matches) {
-        Ok(table) => (Some(table), goals, matches),
+    match Table::new(matches) {
+        Ok(table) => Some(table),
         Err(Ambiguous { first, second }) => {
             if let (Some(first), Some(second)) = (origins.get(first), origins.get(second)) {
-                c.say(
+                let line = first.line;
+                checker.report(
                     second,
-                    format!(
-                        "this route can't be told apart from the one at line {}",
-                        first.line
-                    ),
+                    format!("this route can't be told apart from the one at line {line}"),
                 );
             }
-            (None, goals, matches)
+            None
         }
     }
 }
 
-/// The methods of a route are served ones, and each is there once.
-fn methods(c: &mut Checker, route: &Located<Route>) {
+/// Requires methods that are supported, each of them once.
+fn methods(checker: &mut Checker, route: &Located<Route>) {
     let mut seen = HashSet::with_capacity(route.methods.len());
     for method in &route.methods {
-        c.want(METHODS.contains(&method.as_str()), &route.origin, || {
+        checker.require(METHODS.contains(&method.as_str()), &route.origin, || {
             format!("method `{method}` is not served: {}", METHODS.join(", "))
         });
-        c.want(seen.insert(method.as_str()), &route.origin, || {
+        checker.require(seen.insert(method.as_str()), &route.origin, || {
             format!("method `{method}` is named twice")
         });
     }
--- a/crates/config/src/check/services.rs
+++ b/crates/config/src/check/services.rs
@@ -1,197 +1,207 @@
-//! Services: their servers, classes, members, attempts and limits.
+//! Checks services: their servers, classes, tenants, attempts and limits.
 
 use super::graphql::graphql;
-use super::registries::followed;
-use super::{Checker, CLASSES_MOST, DEADLINE_MOST, MEMBERS_MOST, SERVICES_MOST};
-use crate::model::{AttemptLimits, Class, Located, Model, Service, Source};
+use super::registries::registry_source;
+use super::{Checker, MAX_CLASSES, MAX_DEADLINE, MAX_TENANTS, SERVICES_MOST};
+use crate::model::{Class, Located, Model, Origin, Service, Source};
+use reelfall_routing::budget::Share;
 use reelfall_routing::common;
 use reelfall_routing::limits::{Kind, Limits, Totals};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// All services, each by itself.
-pub(super) fn services(c: &mut Checker, model: &Model) {
-    c.want(!model.services.is_empty(), &model.origin, || {
+/// Checks each service by itself.
+pub(super) fn services(checker: &mut Checker, model: &Model) {
+    checker.require(!model.services.is_empty(), &model.origin, || {
         "no services: add [[service]]".to_owned()
     });
-    c.want(model.services.len() <= SERVICES_MOST, &model.origin, || {
+    checker.require(model.services.len() <= SERVICES_MOST, &model.origin, || {
         format!("{} services, {SERVICES_MOST} at most", model.services.len())
     });
-    c.names("service", &model.services, |s| &s.name);
+    checker.require_unique_names("service", &model.services, |s| &s.name);
     let registries: HashSet<&str> = model.registries.iter().map(|r| r.name.as_str()).collect();
     for service in &model.services {
-        requests(c, service);
-        followed(c, &registries, service);
-        servers(c, service);
-        service
-            .classes
-            .iter()
-            .for_each(|class| class_figures(c, class));
-        graphql(c, service);
-        members(c, service);
-        attempts(c, service);
+        routes_and_classes(checker, service);
+        registry_source(checker, &registries, service);
+        servers(checker, service);
+        for class in &service.classes {
+            self::class(checker, class);
+        }
+        graphql(checker, service);
+        tenants(checker, service);
+        attempts(checker, service);
     }
 }
 
-/// What requests a service takes: something reaches it, and it knows classes for that.
-fn requests(c: &mut Checker, service: &Located<Service>) {
+/// Requires routes and classes, and limits the number of classes and tenants.
+fn routes_and_classes(checker: &mut Checker, service: &Located<Service>) {
     let name = &service.name;
-    c.want(!service.classes.is_empty(), &service.origin, || {
+    checker.require(!service.classes.is_empty(), &service.origin, || {
         format!("service `{name}` knows no requests: add [[service.class]]")
     });
-    c.want(!service.routes.is_empty(), &service.origin, || {
+    checker.require(!service.routes.is_empty(), &service.origin, || {
         format!("nothing reaches service `{name}`: add [[service.route]]")
     });
-    c.want(
-        service.classes.len() <= CLASSES_MOST,
+    checker.require(
+        service.classes.len() <= MAX_CLASSES,
         &service.origin,
         || {
             format!(
-                "service `{name}` has {} classes, {CLASSES_MOST} at most",
+                "service `{name}` has {} classes, {MAX_CLASSES} at most",
                 service.classes.len()
             )
         },
     );
-    c.want(
-        service.tenants.len() <= MEMBERS_MOST,
+    checker.require(
+        service.tenants.len() <= MAX_TENANTS,
         &service.origin,
         || {
             format!(
-                "service `{name}` has {} members, {MEMBERS_MOST} at most",
+                "service `{name}` has {} members, {MAX_TENANTS} at most",
                 service.tenants.len()
             )
         },
     );
-    c.names("class", &service.classes, |s| &s.name);
-    c.names("member", &service.tenants, |s| &s.name);
+    checker.require_unique_names("class", &service.classes, |s| &s.name);
+    checker.require_unique_names("member", &service.tenants, |s| &s.name);
 }
 
-/// A static list has each name and each address once.
-fn servers(c: &mut Checker, service: &Located<Service>) {
+/// Requires unique names and addresses in a static list.
+fn servers(checker: &mut Checker, service: &Located<Service>) {
     let Source::Static(servers) = &service.source else {
         return;
     };
-    c.names("server", servers, |s| &s.name);
-    c.addresses("server", servers, |s| (&s.name, s.address));
+    checker.require_unique_names("server", servers, |s| &s.name);
+    checker.require_unique_addresses("server", servers, |s| (&s.name, s.address));
 }
 
-fn members(c: &mut Checker, service: &Located<Service>) {
-    for member in &service.tenants {
-        c.want(member.quota > 0.0, &member.origin, || {
-            format!("member `{}`: a quota is more than 0/s", member.name)
+/// Requires a positive quota of each tenant.
+fn tenants(checker: &mut Checker, service: &Located<Service>) {
+    for tenant in &service.tenants {
+        checker.require(tenant.quota > 0.0, &tenant.origin, || {
+            format!("member `{}`: a quota is more than 0/s", tenant.name)
         });
     }
 }
 
-/// Attempts, cold servers and the rate.
-fn attempts(c: &mut Checker, service: &Located<Service>) {
+/// Checks the limits of attempts and connections, slow start, and the request rate.
+fn attempts(checker: &mut Checker, service: &Located<Service>) {
     let name = &service.name;
-    let AttemptLimits {
-        max: most,
-        connect_timeout: connect,
-        idle_timeout: idle,
-        ..
-    } = service.attempts;
-    c.want((1..=16).contains(&most), &service.origin, || {
-        format!("service `{name}`: tries.most is {most}, not between 1 and 16")
+    let attempts = service.attempts;
+    checker.require((1..=16).contains(&attempts.max), &service.origin, || {
+        format!(
+            "service `{name}`: tries.most is {}, not between 1 and 16",
+            attempts.max
+        )
     });
-    c.want(connect > 0.0 && idle > 0.0, &service.origin, || {
+    let has_timeouts = attempts.connect_timeout > 0.0 && attempts.idle_timeout > 0.0;
+    checker.require(has_timeouts, &service.origin, || {
         format!("service `{name}`: tries.connect and tries.idle are more than 0")
     });
-    c.want(
+    checker.require(
         service.slow_start.overload_window > 0.0,
         &service.origin,
         || format!("service `{name}`: cold.within is more than 0"),
     );
     if let Some((rate, burst)) = service.limits.rate {
-        c.want(rate > 0.0 && burst >= 1.0, &service.limits.origin, || {
+        checker.require(rate > 0.0 && burst >= 1.0, &service.limits.origin, || {
             format!("service `{name}`: a rate is more than 0/s and its burst 1 at least")
         });
     }
 }
 
-fn class_figures(c: &mut Checker, class: &Located<Class>) {
+/// Checks the latency objective and the deadline of a class.
+fn class(checker: &mut Checker, class: &Located<Class>) {
     let Class {
         name,
-        latency_objective: aim,
+        latency_objective,
         deadline,
         ..
     } = &class.value;
-    c.want(*aim > 0.0, &class.origin, || {
+    checker.require(*latency_objective > 0.0, &class.origin, || {
         format!("class `{name}`: aim is more than 0")
     });
-    c.want(aim <= deadline, &class.origin, || {
-        format!("class `{name}`: aim ({aim}s) is past its deadline ({deadline}s)")
+    checker.require(latency_objective <= deadline, &class.origin, || {
+        format!("class `{name}`: aim ({latency_objective}s) is past its deadline ({deadline}s)")
     });
-    c.want(*deadline <= DEADLINE_MOST, &class.origin, || {
-        format!("class `{name}`: deadline is {deadline}s, {DEADLINE_MOST}s at most")
+    checker.require(*deadline <= MAX_DEADLINE, &class.origin, || {
+        format!("class `{name}`: deadline is {deadline}s, {MAX_DEADLINE}s at most")
     });
 }
 
-/// Past so many services that list one server, further ones would get nothing from it while it is cold.
-const SHARERS_MOST: usize = common::SHARERS_MOST as usize;
+/// Maximum number of services that list one server. A further one could not send to it while it warms up.
+const MAX_SERVICES_PER_SERVER: usize = common::SHARERS_MOST as usize;
 
-/// Servers that several services list.
-pub(super) fn shared_servers(c: &mut Checker, model: &Model) {
-    let mut listed: HashMap<SocketAddr, usize> = HashMap::new();
+/// Limits the number of services that list the same server.
+pub(super) fn shared_servers(checker: &mut Checker, model: &Model) {
+    let mut counts: HashMap<SocketAddr, usize> = HashMap::new();
     for service in &model.services {
         let Source::Static(servers) = &service.source else {
             continue;
         };
         for server in servers {
-            let n = listed.entry(server.address).or_default();
-            *n += 1;
-            c.want(*n != SHARERS_MOST + 1, &server.origin, || {
-                format!(
-                    "{} is listed by more than {SHARERS_MOST} services",
-                    server.address
-                )
-            });
+            let count = counts.entry(server.address).or_default();
+            *count += 1;
+            checker.require(
+                *count != MAX_SERVICES_PER_SERVER + 1,
+                &server.origin,
+                || {
+                    format!(
+                        "{} is listed by more than {MAX_SERVICES_PER_SERVER} services",
+                        server.address
+                    )
+                },
+            );
         }
     }
 }
 
-/// What each service may hold, and all of them together.
-pub(super) fn limits(c: &mut Checker, model: &Model, totals: Totals) {
-    let allowed: Vec<_> = model.services.iter().map(|s| s.limits.value).collect();
+/// Checks the limits of each service, and the reservations of all services together.
+pub(super) fn limits(checker: &mut Checker, model: &Model, totals: Totals) {
     for service in &model.services {
-        let a = &service.limits;
+        let limits = &service.limits;
+        // Limits that are not in the file have no line of their own.
+        let origin = if limits.origin.line == 0 {
+            &service.origin
+        } else {
+            &limits.origin
+        };
         for (kind, share) in [
-            (Kind::Open, a.open),
-            (Kind::Connections, a.connections),
-            (Kind::Memory, a.memory),
+            (Kind::Open, limits.open),
+            (Kind::Connections, limits.connections),
+            (Kind::Memory, limits.memory),
         ] {
-            let named = if a.origin.line == 0 {
-                &service.origin
-            } else {
-                &a.origin
-            };
-            c.want(share.reserve <= share.most, named, || {
-                format!(
-                    "service `{}`: {kind}: {} are reserved, but it may have {}",
-                    service.name, share.reserve, share.most
-                )
-            });
-            c.want((1..=1000).contains(&share.weight), named, || {
-                format!(
-                    "service `{}`: weight is {}, not between 1 and 1000",
-                    service.name, share.weight
-                )
-            });
-            c.want(share.most > 0, named, || {
-                format!(
-                    "service `{}`: {kind}: 0 lets nothing through; to stop it, write state = \"draining\"",
-                    service.name
-                )
-            });
+            self::share(checker, origin, &service.name, kind, share);
         }
     }
-    if c.faults.is_empty() {
+    if checker.faults.is_empty() {
+        let allowed: Vec<_> = model.services.iter().map(|s| s.limits.value).collect();
         if let Err(unfit) = Limits::check(totals, &allowed) {
-            c.say(
+            checker.report(
                 &model.process.origin,
                 format!("the reservations do not fit the process: {unfit}"),
             );
         }
     }
 }
+
+/// Checks the share that a service has of one resource.
+fn share(checker: &mut Checker, origin: &Origin, service: &str, kind: Kind, share: Share) {
+    checker.require(share.reserve <= share.most, origin, || {
+        format!(
+            "service `{service}`: {kind}: {} are reserved, but it may have {}",
+            share.reserve, share.most
+        )
+    });
+    checker.require((1..=1000).contains(&share.weight), origin, || {
+        format!(
+            "service `{service}`: weight is {}, not between 1 and 1000",
+            share.weight
+        )
+    });
+    checker.require(share.most > 0, origin, || {
+        format!(
+            "service `{service}`: {kind}: 0 lets nothing through; to stop it, write state = \"draining\""
+        )
+    });
+}
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,13 @@
-//! reelfall's own settings file: services with their routes, servers, classes and limits.
+//! reelfall's settings file: services with their routes, servers, classes and limits.
 //!
-//! [`model`] is what a file says, whatever it is written in, each part with the place that it came from.
-//! [`check`] holds a model against all that must be true of it and makes a [`check::Plan`] of it. [`reader`] reads
-//! TOML into the model; a reader for another language would stand beside it.
+//! | module | content |
+//! | --- | --- |
+//! | [`reader`] | parses TOML into the model |
+//! | [`units`] | quantities with units |
+//! | [`model`] | the content of a file, each item with its line |
+//! | [`check`] | validates a model and makes a [`Plan`] of it |
+//!
+//! The node loads a file with [`load`] and follows the [`Plan`]; its command `check` prints the [`Faults`].
 
 pub mod check;
 pub mod model;
@@ -12,20 +17,20 @@
 pub use check::{check, Plan};
 pub use model::{Fault, Faults, Model};
 
-/// Reads and checks a file.
+/// Reads, parses and validates a file.
 ///
 /// # Errors
-/// All that is wrong with it, each with file, line and mistake.
+/// All errors of the file, each with its line.
 pub fn load(path: &std::path::Path) -> Result<Plan, Faults> {
     let name = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|e| {
+    let text = std::fs::read_to_string(path).map_err(|error| {
         Faults(vec![Fault {
             origin: model::Origin::file(&name),
-            mistake: e.to_string(),
+            message: error.to_string(),
         }])
     })?;
     let model = reader::toml(&name, &text)?;
-    // The model holds nothing of the text, and the check takes memory of its own.
+    // The check allocates memory of its own, and the model does not borrow from the text.
     drop(text);
     check(model)
 }
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,395 +1,324 @@
-//! What a settings file says.
+//! The content of a settings file, independent of its syntax.
+//!
+//! [`crate::reader`] builds a [`Model`], [`crate::check`] validates it, and the node reads it through [`crate::Plan`].
+//! Each item has the line that it was read from, for errors. Durations are in seconds.
+
+mod origin;
+
+pub use origin::{Fault, Faults, Located, Origin};
 
 use reelfall_balancer::interface::{ServerState, Time};
 use reelfall_routing::limits::Allowed;
 use reelfall_routing::table::Host;
 use std::collections::BTreeMap;
-use std::fmt;
 use std::net::SocketAddr;
-use std::ops::Deref;
 use std::path::PathBuf;
-use std::sync::Arc;
-use thiserror::Error;
-
-/// Where something was read.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Origin {
-    /// The file.
-    pub file: Arc<str>,
-    /// The line, from 1; 0 for the file as a whole.
-    pub line: u32,
-}
-
-impl Origin {
-    /// A file as a whole.
-    pub fn file(name: &str) -> Origin {
-        Origin {
-            file: name.into(),
-            line: 0,
-        }
-    }
-}
-
-impl fmt::Display for Origin {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self.line {
-            0 => write!(f, "{}", self.file),
-            line => write!(f, "{}:{line}", self.file),
-        }
-    }
-}
-
-/// Something with the place where it was read. Two are equal if what they say is, wherever it was said.
-#[derive(Clone, Debug)]
-pub struct Located<T> {
-    /// What was said.
-    pub value: T,
-    /// Where.
-    pub origin: Origin,
-}
 
-impl<T> Deref for Located<T> {
-    type Target = T;
-
-    fn deref(&self) -> &T {
-        &self.value
-    }
-}
-
-impl<T: PartialEq> PartialEq for Located<T> {
-    fn eq(&self, other: &Self) -> bool {
-        self.value == other.value
-    }
-}
-
-/// One mistake.
-#[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{origin}: {mistake}")]
-pub struct Fault {
-    /// Where it stands.
-    pub origin: Origin,
-    /// What it is.
-    pub mistake: String,
-}
-
-/// All mistakes of a file; at least one.
-#[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub struct Faults(pub Vec<Fault>);
-
-impl fmt::Display for Faults {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        for (n, fault) in self.0.iter().enumerate() {
-            write!(f, "{}{fault}", if n > 0 { "\n" } else { "" })?;
-        }
-        Ok(())
-    }
-}
-
-/// A whole file.
+/// The content of a settings file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Model {
     /// The file.
     pub origin: Origin,
-    /// What concerns the process as a whole.
+    /// Settings of the process as a whole.
     pub process: Located<Process>,
-    /// Where clients connect.
+    /// The addresses where clients connect.
     pub listeners: Vec<Located<Listener>>,
-    /// Where operators call.
+    /// The address of the management interface.
     pub management: Option<Located<Management>>,
-    /// The fleet that this node is part of.
+    /// The fleet that this node is a member of.
     pub fleet: Option<Located<Fleet>>,
-    /// Registries that services follow.
+    /// The registries that services and this node use.
     pub registries: Vec<Located<Registry>>,
-    /// The services, in their order in the file.
+    /// The services in the order of the file.
     pub services: Vec<Located<Service>>,
 }
 
-/// Where operators call, and where their word is written down.
+/// The management interface, and where its state is stored.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Management {
-    /// The address; nobody but operators should reach it.
+    /// The address; only operators should be able to reach it.
     pub address: SocketAddr,
-    /// The folder that their word is kept in; without one it lasts as long as the process.
+    /// The folder where bans and drains are stored; without one they last as long as the process.
     pub folder: Option<PathBuf>,
 }
 
-/// A node's part in a fleet.
+/// The membership of this node in a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// The fleet's name, alike for all of its nodes.
+    /// The name of the fleet, the same for all of its nodes.
     pub name: String,
-    /// This node's name, unlike all others'.
+    /// The name of this node, unique in the fleet.
     pub node: String,
-    /// Where datagrams of the others are taken.
+    /// The address where this node receives datagrams of its peers.
     pub listen: SocketAddr,
-    /// Where the others send them, if that is another address.
+    /// The address where peers reach this node, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// The file with the fleet's key.
+    /// The file with the key of the fleet.
     pub key_file: PathBuf,
-    /// How the node takes part.
+    /// Intervals, quorum and seeds.
     pub rules: reelfall_cluster::fleet::Config,
-    /// Leases for tasks that one node does for all.
+    /// Leases for tasks that one node executes for all.
     pub leases: Option<Leases>,
 }
 
-/// Leases of a fleet: who keeps them, and what is done by them.
+/// Leases of a fleet: the nodes that store them, and the tasks that they guard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Leases {
-    /// The nodes that keep them, alike for all nodes and in the same order.
+    /// The nodes that store them, the same for all nodes and in the same order.
     pub keepers: Vec<String>,
-    /// Where this node keeps them, if it does.
+    /// The folder where this node stores them, if it is one of those.
     pub folder: Option<PathBuf>,
-    /// How long a lease lasts without being renewed, in seconds.
+    /// The time after which a lease expires unless it is renewed.
     pub duration: Time,
-    /// The most by which a clock of any node runs too fast or too slow, as a share.
+    /// The maximum relative error of the rate of any node's clock.
     pub drift: f64,
-    /// What one node calls for all.
+    /// The calls that the lease holder makes for all nodes.
     pub calls: Vec<Call>,
 }
 
-/// An address that one node of the fleet calls again and again.
+/// A periodic HTTP request that one node of the fleet makes: the lease holder.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    /// The lease's name.
+    /// The name of the lease.
     pub name: String,
-    /// Where.
+    /// The address of the server.
     pub address: SocketAddr,
     /// The path of the `POST`.
     pub path: String,
-    /// How often, in seconds.
+    /// The interval.
     pub every: Time,
 }
 
-/// A registry in the manner of ZooKeeper.
+/// A ZooKeeper-like registry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Registry {
-    /// Its name.
+    /// The name by which services refer to it.
     pub name: String,
-    /// Its members; at least one.
+    /// The addresses of its members; at least one.
     pub members: Vec<SocketAddr>,
-    /// How long it keeps a session of this node without a word, in seconds.
+    /// The time after which it expires a silent session of this node.
     pub session_timeout: Time,
-    /// A member that does not answer by then is passed over, in seconds.
+    /// The time after which an attempt to connect to a member fails.
     pub connect_timeout: Time,
-    /// After so long without any member's leave, the state that was seen counts no longer, in seconds.
+    /// The time without a connection after which the last known registry state is discarded.
     pub forget_after: Time,
     /// The file with `name:password`, for the scheme `digest`.
     pub digest_file: Option<PathBuf>,
-    /// The entry that this node has there.
+    /// The entry that this node registers.
     pub entry: Option<Located<NodeEntry>>,
 }
 
-/// This node's own entry in a registry.
+/// The entry of this node in a registry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeEntry {
-    /// Its path; what is above it is there already.
+    /// The path; its parent has to exist.
     pub path: String,
-    /// The node's name.
+    /// The name of the node.
     pub name: String,
-    /// Where the node takes requests; by default its first listener.
+    /// The address where the node accepts requests; by default that of its first listener.
     pub address: Option<String>,
-    /// Its site.
+    /// The site of the node.
     pub site: Option<String>,
-    /// Others may read it, and only this node change it; otherwise everybody may do everything.
+    /// Whether only this node may change the entry; otherwise everybody may.
     pub guarded: bool,
 }
 
-/// The entries of a registry that a service follows.
+/// The entries of a registry that list a service's servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegistrySource {
-    /// The registry, by its name.
+    /// The name of the registry.
     pub registry: String,
-    /// The path that the entries are under.
+    /// The path whose children are the entries.
     pub path: String,
-    /// Servers that are taken to be there until the registry has been heard.
+    /// The servers to use until the registry has been read.
     pub initial_servers: Vec<Located<Server>>,
-    /// Bounds and rules.
+    /// Limits, intervals, and the rule for outdated lists.
     pub limits: reelfall_registry_client::follow::Limits,
 }
 
-/// What concerns the process as a whole.
+/// Settings of the process as a whole.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Process {
-    /// File descriptors that it may hold.
+    /// Maximum number of file descriptors.
     pub max_descriptors: usize,
-    /// Memory that it may use, in bytes.
+    /// Maximum memory in bytes.
     pub max_memory: u64,
-    /// Connections of clients; by default what the descriptors leave.
+    /// Maximum number of client connections; by default what the descriptors allow.
     pub max_clients: Option<usize>,
-    /// Connections to one server, over all pools that list it.
+    /// Maximum number of connections to one server, over all pools that list it.
     pub max_connections_per_server: Option<usize>,
     /// The zone of this node.
     pub zone: Option<String>,
-    /// How many nodes send to the same servers.
+    /// The number of nodes that send to the same servers, this one included.
     pub node_count: u32,
 }
 
 /// An address where clients connect.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listener {
-    /// Its name.
+    /// The name by which routes refer to it.
     pub name: String,
-    /// Its address.
+    /// The address.
     pub address: SocketAddr,
 }
 
-/// Whether a service takes requests.
+/// Whether a service accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceState {
-    /// It does.
+    /// It accepts requests.
     Serving,
-    /// It finishes what it has and refuses what comes.
+    /// It completes the requests in flight and rejects new ones.
     Draining,
 }
 
-/// One service: what reaches it, what it may hold, and the servers behind it.
+/// A service: its routes, limits, classes and servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// The name, unique in the file.
     pub name: String,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: ServiceState,
-    /// Where its list of servers comes from.
+    /// The source of its list of servers.
     pub source: Source,
-    /// What it may hold.
+    /// Its share of requests, connections and memory, and its request rate.
     pub limits: Located<Allowed>,
-    /// What its requests are, if they are not plain ones.
+    /// GraphQL settings, if it is a GraphQL service.
     pub graphql: Option<Located<GraphQl>>,
-    /// Attempts and connections.
+    /// Limits of attempts and of connections to servers.
     pub attempts: AttemptLimits,
-    /// How its servers bear a start.
+    /// How its servers warm up.
     pub slow_start: SlowStart,
-    /// What kinds of requests it knows; at least one.
+    /// The classes of its requests; at least one.
     pub classes: Vec<Located<Class>>,
-    /// Whose requests are held to a share.
+    /// The tenants that have a quota.
     pub tenants: Vec<Located<Tenant>>,
-    /// What reaches it.
+    /// The routes that lead to it.
     pub routes: Vec<Located<Route>>,
 }
 
-/// Where a list of servers comes from.
+/// The source of a service's list of servers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Source {
-    /// The file.
+    /// The list is part of the file.
     Static(Vec<Located<Server>>),
-    /// The discovery at an address, as the platform has it.
+    /// The platform's discovery service at this address.
     Discovery(SocketAddr),
-    /// Ephemeral entries of a registry.
+    /// Entries of a registry.
     Registry(RegistrySource),
 }
 
-/// A server in a static list.
+/// A server of a static list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Its name.
+    /// The name, unique in its list.
     pub name: String,
-    /// Its address.
+    /// The address.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone.
     pub zone: Option<String>,
-    /// Its machine kind.
+    /// The machine type.
     pub machine_type: Option<String>,
-    /// Its size against the others'.
+    /// The capacity relative to the other servers.
     pub weight: Option<f64>,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: ServerState,
 }
 
-/// Attempts and connections of a service.
+/// Limits of a service's attempts and of its connections to servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptLimits {
-    /// Attempts for one request, the first included.
+    /// Maximum number of attempts for one request, the first included.
     pub max: u32,
-    /// Further attempts earned by each first one.
+    /// The number of retries that each first attempt adds to the retry budget.
     pub retry_budget_ratio: f64,
-    /// A connection is up by then, in seconds.
+    /// The time after which an attempt to connect to a server fails.
     pub connect_timeout: Time,
-    /// The servers close idle connections after this time, in seconds.
+    /// The time after which the servers close idle connections.
     pub idle_timeout: Time,
-    /// The longest advice on when to come back, in seconds; 0 for none.
+    /// The maximum `Retry-After` of a rejection; 0 for none.
     pub max_retry_after: Time,
 }
 
-/// How servers bear a start.
+/// How the capacity of a server grows after its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStart {
-    /// Share of its capacity that a fresh server has.
+    /// The fraction of its full capacity that a server has when it starts.
     pub initial_capacity: f64,
-    /// It is warm after this time, in seconds.
+    /// The time after which it has its full capacity.
     pub duration: Time,
-    /// Sent more than this multiple of its present capacity, it falls over.
+    /// The multiple of its current capacity above which it fails.
     pub overload_factor: f64,
-    /// The time over which that counts, in seconds.
+    /// The time over which that load is measured.
     pub overload_window: Time,
 }
 
-/// What a second run of a request would do.
+/// Whether a request may be executed twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// Nothing.
+    /// A second execution has no further effect.
     Idempotent,
-    /// It must never happen.
+    /// It must not be executed twice.
     AtMostOnce,
 }
 
-/// How a service takes GraphQL over HTTP.
+/// Settings of a GraphQL service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GraphQl {
-    /// Fields of the query root and their classes.
+    /// The classes of fields of the query root.
     pub query: BTreeMap<String, String>,
-    /// Fields of the mutation root and their classes.
+    /// The classes of fields of the mutation root.
     pub mutation: BTreeMap<String, String>,
     /// The class of all other fields of the query root.
     pub other_query: String,
     /// The class of all other fields of the mutation root.
     pub other_mutation: String,
-    /// What a field is as work, in seconds on a standard core.
+    /// The estimated work of a field, in seconds on a standard core.
     pub field_work: Time,
-    /// How many reads of a batch run at once.
+    /// Maximum number of reads of a batch that are executed concurrently.
     pub max_parallel_reads: usize,
-    /// What a request may hold.
+    /// Limits of a request.
     pub limits: reelfall_graphql::Limits,
 }
 
-/// A kind of requests.
+/// A class of requests with the same objectives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// The name, unique in its service.
     pub name: String,
-    /// What a second run would do.
+    /// Whether they may be executed twice.
     pub retry_safety: RetrySafety,
-    /// Wanted within, in seconds.
+    /// The response time to aim for.
     pub latency_objective: Time,
-    /// Given up after, in seconds.
+    /// The response time after which a request fails.
     pub deadline: Time,
-    /// What one is worth against the others.
+    /// The weight relative to the other classes when load is shed.
     pub priority_weight: f64,
-    /// Share of the worth that an answer between aim and deadline earns.
+    /// The fraction of the weight that a response between objective and deadline is worth.
     pub late_response_weight: f64,
 }
 
-/// Somebody whose requests are held to a share.
+/// A tenant with a quota of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// The name, as in `X-Account`.
+    /// The name, as in the header `X-Account`.
     pub name: String,
-    /// Requests a second within the share.
+    /// The quota in requests per second.
     pub quota: f64,
 }
 
-/// What reaches a service.
+/// A rule that leads requests to a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The listener by its name; any if none.
+    /// The name of the listener; `None` matches any.
     pub listener: Option<String>,
-    /// The host.
+    /// The host pattern.
     pub host: Host,
     /// The path prefix, as `reelfall_routing::table::prefix` gives it.
     pub path: Box<str>,
-    /// The methods; any if none.
+    /// The methods; an empty list matches any.
     pub methods: Vec<String>,
-    /// The class that a request has to state; any if none.
+    /// The class that the request has to state; `None` matches any.
     pub class: Option<String>,
-    /// The class that its requests have, whatever they state.
+    /// The class that its requests get, whatever they state.
     pub assign: Option<String>,
 }
--- a/crates/config/src/reader/document.rs
+++ b/crates/config/src/reader/document.rs
@@ -1,4 +1,4 @@
-//! A part of a file that is read at once.
+//! Parses one document of a file: some of its sections, joined.
 
 use super::lines::Lines;
 use super::sections::Section;
@@ -7,21 +7,21 @@
 use std::borrow::Cow;
 use std::sync::Arc;
 
-/// Sections of a file as one TOML document, with the lines that they have in the file.
+/// Sections of a file as one TOML document that remembers the lines that they have in the file.
 pub(super) struct Document<'a> {
     text: Cow<'a, str>,
     lines: Lines,
 }
 
 impl<'a> Document<'a> {
-    /// Sections of a file's text, one after the other.
+    /// Joins sections of a file's text.
     pub(super) fn of(file: &Arc<str>, text: &'a str, sections: &[Section]) -> Self {
         let mut lines = Lines::new(file.clone());
         let mut joined = Cow::Borrowed("");
         for section in sections {
-            let part = text.get(section.range.clone()).unwrap_or_default();
-            lines.add(joined.len(), part, section.first_line);
-            joined += part;
+            let section_text = text.get(section.range.clone()).unwrap_or_default();
+            lines.add(joined.len(), section_text, section.first_line);
+            joined += section_text;
         }
         Document {
             text: joined,
@@ -29,23 +29,23 @@
         }
     }
 
-    /// Where its lines are.
+    /// The lines of the document.
     pub(super) fn lines(&self) -> &Lines {
         &self.lines
     }
 
-    /// Reads it.
+    /// Parses the document.
     ///
     /// # Errors
-    /// Its first mistake of syntax, or else of a single value.
+    /// Its first syntax error, or else its first invalid value.
     pub(super) fn read(&self) -> Result<File, Faults> {
-        toml::from_str(&self.text).map_err(|e| {
-            let origin = e
+        toml::from_str(&self.text).map_err(|error| {
+            let origin = error
                 .span()
                 .map_or_else(|| self.lines.file(), |span| self.lines.at(span.start));
             Faults(vec![Fault {
                 origin,
-                mistake: e.message().replace('\n', ", "),
+                message: error.message().replace('\n', ", "),
             }])
         })
     }
--- a/crates/config/src/reader/fleet.rs
+++ b/crates/config/src/reader/fleet.rs
@@ -1,7 +1,11 @@
-//! The parts of a file that concern a fleet and its operators.
+//! The tables `[fleet]` and `[management]`: their fields are named as the keys of the file, and `into_model` converts them
+//! to the model's terms and fills in defaults.
+//!
+//! The counterpart for all other tables are [`super::tables`] and [`super::mapping`].
 
-use super::values::{share, AddressText, TimeText};
+use super::values::{optional_fraction, AddressText, TimeText};
 use crate::model::{Call, Fleet, Leases, Management};
+use reelfall_balancer::interface::Time;
 use reelfall_cluster::fleet::Config;
 use reelfall_cluster::members::MembershipConfig;
 use reelfall_cluster::quorum::Quorum;
@@ -10,13 +14,13 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct ManagementText {
+pub(super) struct ManagementTable {
     address: AddressText,
     folder: Option<PathBuf>,
 }
 
-impl ManagementText {
-    pub(super) fn model(self) -> Management {
+impl ManagementTable {
+    pub(super) fn into_model(self) -> Management {
         Management {
             address: self.address.0,
             folder: self.folder,
@@ -26,7 +30,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct FleetText {
+pub(super) struct FleetTable {
     name: String,
     node: String,
     listen: AddressText,
@@ -41,108 +45,122 @@
     spread_every: Option<TimeText>,
     heal_every: Option<TimeText>,
     #[serde(default)]
-    verdicts: VerdictsText,
-    leases: Option<LeasesText>,
+    verdicts: VerdictsTable,
+    leases: Option<LeasesTable>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct LeasesText {
+struct LeasesTable {
     keepers: Vec<String>,
     folder: Option<PathBuf>,
     length: Option<TimeText>,
-    #[serde(default, deserialize_with = "some_share")]
+    #[serde(default, deserialize_with = "optional_fraction")]
     drift: Option<f64>,
     #[serde(default)]
-    call: Vec<CallText>,
+    call: Vec<CallTable>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct CallText {
+struct CallTable {
     name: String,
     address: AddressText,
-    #[serde(default = "root")]
+    #[serde(default = "root_path")]
     path: String,
     every: TimeText,
 }
 
-fn root() -> String {
+fn root_path() -> String {
     "/".to_owned()
 }
 
-impl LeasesText {
-    fn model(self) -> Leases {
-        let call = |c: CallText| Call {
-            name: c.name,
-            address: c.address.0,
-            path: c.path,
-            every: c.every.0,
-        };
+impl CallTable {
+    fn into_model(self) -> Call {
+        Call {
+            name: self.name,
+            address: self.address.0,
+            path: self.path,
+            every: self.every.0,
+        }
+    }
+}
+
+impl LeasesTable {
+    fn into_model(self) -> Leases {
         Leases {
             keepers: self.keepers,
             folder: self.folder,
-            duration: self.length.map_or(5.0, |t| t.0),
+            duration: time_or(&self.length, 5.0),
             drift: self.drift.unwrap_or(0.001),
-            calls: self.call.into_iter().map(call).collect(),
+            calls: self.call.into_iter().map(CallTable::into_model).collect(),
         }
     }
 }
 
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields)]
-struct VerdictsText {
+struct VerdictsTable {
     witnesses: Option<usize>,
-    #[serde(default, deserialize_with = "some_share")]
+    #[serde(default, deserialize_with = "optional_fraction")]
     most: Option<f64>,
-    #[serde(default, deserialize_with = "some_share")]
+    #[serde(default, deserialize_with = "optional_fraction")]
     believed: Option<f64>,
     lasts: Option<TimeText>,
     trial_every: Option<TimeText>,
 }
 
-fn some_share<'de, D: serde::Deserializer<'de>>(from: D) -> Result<Option<f64>, D::Error> {
-    share(from).map(Some)
+fn time_or(time: &Option<TimeText>, default: Time) -> Time {
+    time.as_ref().map_or(default, |time| time.0)
 }
 
-impl FleetText {
-    pub(super) fn model(self, zone: Option<String>) -> Fleet {
-        let time = |text: Option<TimeText>, default: f64| text.map_or(default, |t| t.0);
-        let (rules, pace, quorum) = (
-            Config::default(),
-            MembershipConfig::default(),
-            Quorum::default(),
-        );
-        let verdicts = self.verdicts;
-        let rules = Config {
-            membership: MembershipConfig {
-                probe_every: time(self.probe_every, pace.probe_every),
-                answer_within: time(self.answer_within, pace.answer_within),
-                suspect_for: time(self.suspect_for, pace.suspect_for),
-                size: self.size.unwrap_or(pace.size),
-                ..pace
-            },
-            quorum: Quorum {
-                witnesses: verdicts.witnesses.unwrap_or(quorum.witnesses),
-                most: verdicts.most.unwrap_or(quorum.most),
-                believed: verdicts.believed.unwrap_or(quorum.believed),
-            },
-            spread_every: time(self.spread_every, rules.spread_every),
-            heal_every: time(self.heal_every, rules.heal_every),
-            report_lasts: time(verdicts.lasts, rules.report_lasts),
-            trial_every: time(verdicts.trial_every, rules.trial_every),
-            seeds: self.seeds.into_iter().map(|seed| seed.0).collect(),
-            zone: zone.unwrap_or_default(),
-            ..rules
-        };
+impl FleetTable {
+    pub(super) fn into_model(self, zone: Option<String>) -> Fleet {
         Fleet {
+            rules: self.rules(zone),
+            leases: self.leases.map(LeasesTable::into_model),
             name: self.name,
             node: self.node,
             listen: self.listen.0,
-            advertise: self.advertise.map(|a| a.0),
+            advertise: self.advertise.map(|address| address.0),
             key_file: self.key_file,
-            rules,
-            leases: self.leases.map(LeasesText::model),
+        }
+    }
+    fn rules(&self, zone: Option<String>) -> Config {
+        let default = Config::default();
+        let verdicts = &self.verdicts;
+        Config {
+            membership: self.membership(),
+            quorum: verdicts.quorum(),
+            spread_every: time_or(&self.spread_every, default.spread_every),
+            heal_every: time_or(&self.heal_every, default.heal_every),
+            report_lasts: time_or(&verdicts.lasts, default.report_lasts),
+            trial_every: time_or(&verdicts.trial_every, default.trial_every),
+            seeds: self.seeds.iter().map(|seed| seed.0).collect(),
+            zone: zone.unwrap_or_default(),
+            ..default
+        }
+    }
+
+    fn membership(&self) -> MembershipConfig {
+        let default = MembershipConfig::default();
+        MembershipConfig {
+            probe_every: time_or(&self.probe_every, default.probe_every),
+            answer_within: time_or(&self.answer_within, default.answer_within),
+            suspect_for: time_or(&self.suspect_for, default.suspect_for),
+            size: self.size.unwrap_or(default.size),
+            ..default
+        }
+    }
+}
+
+impl VerdictsTable {
+    fn quorum(&self) -> Quorum {
+        let default = Quorum::default();
+        Quorum {
+            witnesses: self.witnesses.unwrap_or(default.witnesses),
+            most: self.most.unwrap_or(default.most),
+            believed: self.believed.unwrap_or(default.believed),
         }
     }
 }
--- a/crates/config/src/reader/lines.rs
+++ b/crates/config/src/reader/lines.rs
@@ -1,4 +1,4 @@
-//! Places in a text, told as lines of the file that the text is from.
+//! Maps byte offsets in a document to lines of the file that it was taken from.
 
 use crate::model::{Located, Origin};
 use std::sync::Arc;
@@ -6,16 +6,16 @@
 
 /// Where a line begins.
 struct LineStart {
-    /// Its first byte in the text.
-    place: usize,
+    /// The offset of its first byte in the document.
+    offset: usize,
     /// Its number in the file.
     line: u32,
 }
 
-/// The lines of a text; a look-up takes as many steps as their number has digits in base 2.
+/// The lines of a document, found by binary search.
 pub(super) struct Lines {
     file: Arc<str>,
-    /// In their order in the text.
+    /// In ascending order of offsets.
     starts: Vec<LineStart>,
 }
 
@@ -28,15 +28,15 @@
         }
     }
 
-    /// Adds lines that begin at a place in the text, the first with its number in the file.
-    pub(super) fn add(&mut self, place: usize, lines: &str, first: u32) {
-        let mut line = first;
-        self.starts.push(LineStart { place, line });
-        for (end, byte) in lines.bytes().enumerate() {
+    /// Adds the lines of a text that begins at an offset of the document and at a line of the file.
+    pub(super) fn add(&mut self, offset: usize, text: &str, first_line: u32) {
+        let mut line = first_line;
+        self.starts.push(LineStart { offset, line });
+        for (position, byte) in text.bytes().enumerate() {
             if byte == b'\n' {
                 line = line.saturating_add(1);
                 self.starts.push(LineStart {
-                    place: place + end + 1,
+                    offset: offset + position + 1,
                     line,
                 });
             }
@@ -51,38 +51,40 @@
         }
     }
 
-    /// The line of a place in the text.
-    pub(super) fn at(&self, place: usize) -> Origin {
-        let behind = self.starts.partition_point(|start| start.place <= place);
-        let start = behind.checked_sub(1).and_then(|last| self.starts.get(last));
+    /// The line that contains an offset of the document.
+    pub(super) fn at(&self, offset: usize) -> Origin {
+        let next_start = self.starts.partition_point(|start| start.offset <= offset);
+        let start = next_start
+            .checked_sub(1)
+            .and_then(|last| self.starts.get(last));
         Origin {
             file: self.file.clone(),
             line: start.map_or(1, |start| start.line),
         }
     }
 
-    /// One item of the text as the model has it.
+    /// Converts an item of the document to the model, with its line.
     pub(super) fn located<T, U>(
         &self,
         spanned: Spanned<T>,
-        as_model: impl FnOnce(&Self, T) -> U,
+        convert: impl FnOnce(&Self, T) -> U,
     ) -> Located<U> {
         let origin = self.at(spanned.span().start);
         Located {
-            value: as_model(self, spanned.into_inner()),
+            value: convert(self, spanned.into_inner()),
             origin,
         }
     }
 
-    /// All items of a list as the model has them.
+    /// Converts all items of a list to the model, each with its line.
     pub(super) fn all<T, U>(
         &self,
         items: Vec<Spanned<T>>,
-        as_model: impl Fn(&Self, T) -> U,
+        convert: impl Fn(&Self, T) -> U,
     ) -> Vec<Located<U>> {
         items
             .into_iter()
-            .map(|item| self.located(item, &as_model))
+            .map(|item| self.located(item, &convert))
             .collect()
     }
 }
--- a/crates/config/src/reader/tables.rs
+++ b/crates/config/src/reader/tables.rs
@@ -1,32 +1,35 @@
-//! A settings file as its tables are written, before it becomes the model.
+//! The tables of a settings file as they are written: each field has the name of its key, which is part of the published
+//! format. [`super::mapping`] converts them to the model's terms.
 
-use super::fleet;
+use super::fleet::{FleetTable, ManagementTable};
 use super::values::{
-    positive, share, some_positive, AddressText, HostText, PathText, RateText, Read, SizeText,
-    TimeText,
+    fraction, optional_positive, positive, AddressText, HostText, Parsed, PathText, RateText,
+    SizeText, TimeText,
 };
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use toml::Spanned;
 
+/// A whole file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct File {
-    pub(super) process: Option<Spanned<ProcessText>>,
-    pub(super) management: Option<Spanned<fleet::ManagementText>>,
-    pub(super) fleet: Option<Spanned<fleet::FleetText>>,
+    pub(super) process: Option<Spanned<ProcessTable>>,
+    pub(super) management: Option<Spanned<ManagementTable>>,
+    pub(super) fleet: Option<Spanned<FleetTable>>,
     #[serde(default)]
-    pub(super) listener: Vec<Spanned<ListenerText>>,
+    pub(super) listener: Vec<Spanned<ListenerTable>>,
     #[serde(default)]
-    pub(super) registry: Vec<Spanned<RegistryText>>,
+    pub(super) registry: Vec<Spanned<RegistryTable>>,
     #[serde(default)]
-    pub(super) service: Vec<Spanned<ServiceText>>,
+    pub(super) service: Vec<Spanned<ServiceTable>>,
 }
 
+/// `[process]`.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields)]
-pub(super) struct ProcessText {
+pub(super) struct ProcessTable {
     pub(super) descriptors: Option<usize>,
     pub(super) memory: Option<SizeText>,
     pub(super) clients: Option<usize>,
@@ -35,28 +38,31 @@
     pub(super) nodes: Option<u32>,
 }
 
+/// `[[listener]]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct ListenerText {
+pub(super) struct ListenerTable {
     pub(super) name: String,
     pub(super) address: AddressText,
 }
 
+/// `[[registry]]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct RegistryText {
+pub(super) struct RegistryTable {
     pub(super) name: String,
     pub(super) members: Vec<AddressText>,
     pub(super) session: Option<TimeText>,
     pub(super) connect: Option<TimeText>,
     pub(super) forget_after: Option<TimeText>,
     pub(super) digest_file: Option<PathBuf>,
-    pub(super) entry: Option<Spanned<EntryText>>,
+    pub(super) entry: Option<Spanned<EntryTable>>,
 }
 
+/// `[registry.entry]`: the entry of this node.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct EntryText {
+pub(super) struct EntryTable {
     pub(super) path: String,
     pub(super) name: String,
     pub(super) address: Option<String>,
@@ -65,87 +71,95 @@
     pub(super) guarded: bool,
 }
 
+/// `stale`: what to do while the registry can't be reached for long.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(super) enum StaleText {
+pub(super) enum StaleValue {
     GoOn,
     Refuse,
 }
 
+/// `registry = { ... }` of a service: the entries that list its servers.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct FollowText {
+pub(super) struct ServiceRegistryTable {
     pub(super) name: String,
     pub(super) path: String,
     pub(super) entries: Option<usize>,
     pub(super) reread: Option<TimeText>,
     pub(super) stale_after: Option<TimeText>,
-    pub(super) stale: Option<StaleText>,
+    pub(super) stale: Option<StaleValue>,
     #[serde(default)]
     pub(super) persistent: bool,
-    pub(super) owner: Option<OwnerText>,
+    pub(super) owner: Option<OwnerTable>,
     #[serde(default)]
-    pub(super) known: Vec<Spanned<ServerText>>,
+    pub(super) known: Vec<Spanned<ServerTable>>,
 }
 
+/// `owner`: who has to have written the entries.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct OwnerText {
+pub(super) struct OwnerTable {
     pub(super) scheme: String,
     pub(super) id: String,
 }
 
+/// `state` of a service.
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub(super) enum StateText {
+pub(super) enum ServiceStateValue {
     Serving,
     Draining,
 }
 
+/// `[[service]]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct ServiceText {
+pub(super) struct ServiceTable {
     pub(super) name: String,
-    pub(super) state: Option<StateText>,
-    pub(super) server: Option<Vec<Spanned<ServerText>>>,
+    pub(super) state: Option<ServiceStateValue>,
+    pub(super) server: Option<Vec<Spanned<ServerTable>>>,
     pub(super) discovery: Option<AddressText>,
-    pub(super) registry: Option<FollowText>,
-    pub(super) limits: Option<Spanned<LimitsText>>,
-    pub(super) graphql: Option<Spanned<GraphQlText>>,
+    pub(super) registry: Option<ServiceRegistryTable>,
+    pub(super) limits: Option<Spanned<LimitsTable>>,
+    pub(super) graphql: Option<Spanned<GraphQlTable>>,
     #[serde(default)]
-    pub(super) tries: TriesText,
+    pub(super) tries: TriesTable,
     #[serde(default)]
-    pub(super) cold: ColdText,
+    pub(super) cold: SlowStartTable,
     #[serde(default)]
-    pub(super) class: Vec<Spanned<ClassText>>,
+    pub(super) class: Vec<Spanned<ClassTable>>,
     #[serde(default)]
-    pub(super) member: Vec<Spanned<MemberText>>,
+    pub(super) member: Vec<Spanned<MemberTable>>,
     #[serde(default)]
-    pub(super) route: Vec<Spanned<RouteText>>,
+    pub(super) route: Vec<Spanned<RouteTable>>,
 }
 
+/// `state` of a server.
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub(super) enum ServerStateText {
+pub(super) enum ServerStateValue {
     Up,
     Draining,
 }
 
+/// `[[service.server]]`, and the items of `known`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct ServerText {
+pub(super) struct ServerTable {
     pub(super) name: String,
     pub(super) address: AddressText,
     pub(super) zone: Option<String>,
     pub(super) kind: Option<String>,
-    #[serde(default, deserialize_with = "some_positive")]
+    #[serde(default, deserialize_with = "optional_positive")]
     pub(super) weight: Option<f64>,
-    pub(super) state: Option<ServerStateText>,
+    pub(super) state: Option<ServerStateValue>,
 }
 
+/// `[service.limits]`.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields)]
-pub(super) struct LimitsText {
+pub(super) struct LimitsTable {
     pub(super) open: Option<u64>,
     pub(super) open_reserved: Option<u64>,
     pub(super) connections: Option<u64>,
@@ -157,33 +171,35 @@
     pub(super) burst: Option<u32>,
 }
 
+/// `[service.tries]`: limits of attempts, and of connections to servers.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub(super) struct TriesText {
+pub(super) struct TriesTable {
     pub(super) most: u32,
-    #[serde(deserialize_with = "share")]
+    #[serde(deserialize_with = "fraction")]
     pub(super) retry_share: f64,
     pub(super) connect: TimeText,
     pub(super) idle: TimeText,
     pub(super) retry_after: TimeText,
 }
 
-impl Default for TriesText {
+impl Default for TriesTable {
     fn default() -> Self {
-        TriesText {
+        TriesTable {
             most: 3,
             retry_share: 0.2,
-            connect: Read::of(0.25),
-            idle: Read::of(15.0),
-            retry_after: Read::of(1.0),
+            connect: Parsed::default_value(0.25),
+            idle: Parsed::default_value(15.0),
+            retry_after: Parsed::default_value(1.0),
         }
     }
 }
 
+/// `[service.cold]`: how servers warm up.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub(super) struct ColdText {
-    #[serde(deserialize_with = "share")]
+pub(super) struct SlowStartTable {
+    #[serde(deserialize_with = "fraction")]
     pub(super) from: f64,
     pub(super) warm_after: TimeText,
     #[serde(deserialize_with = "positive")]
@@ -191,20 +207,21 @@
     pub(super) within: TimeText,
 }
 
-impl Default for ColdText {
+impl Default for SlowStartTable {
     fn default() -> Self {
-        ColdText {
+        SlowStartTable {
             from: 0.33,
-            warm_after: Read::of(10.0),
+            warm_after: Parsed::default_value(10.0),
             factor: 3.0,
-            within: Read::of(1.0),
+            within: Parsed::default_value(1.0),
         }
     }
 }
 
+/// `[service.graphql]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct GraphQlText {
+pub(super) struct GraphQlTable {
     #[serde(default)]
     pub(super) query: BTreeMap<String, String>,
     #[serde(default)]
@@ -225,36 +242,40 @@
     pub(super) persisted_size: Option<SizeText>,
 }
 
+/// `repeat`: whether a request may be executed twice.
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub(super) enum RepeatText {
+pub(super) enum RepeatValue {
     Safe,
     Unsafe,
 }
 
+/// `[[service.class]]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct ClassText {
+pub(super) struct ClassTable {
     pub(super) name: String,
-    pub(super) repeat: RepeatText,
+    pub(super) repeat: RepeatValue,
     pub(super) aim: TimeText,
     pub(super) deadline: TimeText,
-    #[serde(default, deserialize_with = "some_positive")]
+    #[serde(default, deserialize_with = "optional_positive")]
     pub(super) worth: Option<f64>,
-    #[serde(default, deserialize_with = "share")]
+    #[serde(default, deserialize_with = "fraction")]
     pub(super) late_value: f64,
 }
 
+/// `[[service.member]]`: a tenant.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct MemberText {
+pub(super) struct MemberTable {
     pub(super) name: String,
     pub(super) quota: RateText,
 }
 
+/// `[[service.route]]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct RouteText {
+pub(super) struct RouteTable {
     pub(super) listener: Option<String>,
     pub(super) host: Option<HostText>,
     pub(super) path: Option<PathText>,
--- a/crates/config/src/reader/values.rs
+++ b/crates/config/src/reader/values.rs
@@ -1,128 +1,190 @@
-//! Single values that are read from texts and numbers: units, addresses, patterns, bounded numbers.
+//! Single values of a file, parsed while the file is deserialized: quantities with units, addresses, patterns, bounded
+//! numbers. An error is reported with the place of its value.
 
-use crate::units;
+use crate::units::{self, UnitError};
 use reelfall_balancer::interface::Time;
-use reelfall_routing::table;
+use reelfall_routing::table::{self, PatternFault};
 use serde::de::{Deserializer, Error as _, Visitor};
 use serde::Deserialize;
 use std::fmt;
 use std::marker::PhantomData;
 use std::net::SocketAddr;
+use thiserror::Error;
 
-/// A value that is read from a text by a function of its own, so that a mistake is told with its place.
-pub(super) struct Read<T, R>(pub(super) T, PhantomData<R>);
+/// A value that the format `F` parses from a string of the file.
+pub(super) struct Parsed<T, F>(pub(super) T, PhantomData<F>);
 
-impl<T, R> Read<T, R> {
-    /// A value that stands where a file says nothing.
-    pub(super) fn of(value: T) -> Self {
-        Read(value, PhantomData)
+impl<T, F> Parsed<T, F> {
+    /// The value of a key that is absent.
+    pub(super) fn default_value(value: T) -> Self {
+        Parsed(value, PhantomData)
     }
 }
 
-impl<T: Clone, R> Clone for Read<T, R> {
+impl<T: Clone, F> Clone for Parsed<T, F> {
     fn clone(&self) -> Self {
-        Read(self.0.clone(), PhantomData)
+        Parsed(self.0.clone(), PhantomData)
     }
 }
 
-/// How a text becomes a value.
-pub(super) trait Reads<T> {
-    /// What a number alone lacks.
-    const WANTS: &'static str;
-    /// Reads it.
-    fn read(text: &str) -> Result<T, String>;
+/// Parses the strings of one kind of value.
+pub(super) trait Format<T> {
+    /// Says how such a value is written.
+    const HELP: &'static str;
+    /// Parses a string.
+    fn parse(text: &str) -> Result<T, ValueError>;
 }
 
-impl<'de, T, R: Reads<T>> Deserialize<'de> for Read<T, R> {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        struct Texts<T, R>(PhantomData<(T, R)>);
-        impl<T, R: Reads<T>> Visitor<'_> for Texts<T, R> {
-            type Value = T;
+/// Why a string is no value of its kind.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub(super) enum ValueError {
+    /// It is no quantity with a unit.
+    #[error(transparent)]
+    Unit(#[from] UnitError),
+    /// It is no socket address.
+    #[error("`{text}` is no address: write one with its port, as \"127.0.0.1:8443\"")]
+    Address {
+        /// The string.
+        text: String,
+    },
+    /// It is no pattern of a host or path.
+    #[error("`{text}`: {source}")]
+    Pattern {
+        /// The string.
+        text: String,
+        /// What is wrong with it.
+        source: PatternFault,
+    },
+}
 
-            fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-                f.write_str(R::WANTS)
-            }
+impl ValueError {
+    fn pattern(text: &str, source: PatternFault) -> Self {
+        ValueError::Pattern {
+            text: text.to_owned(),
+            source,
+        }
+    }
+}
 
-            fn visit_str<E: serde::de::Error>(self, text: &str) -> Result<T, E> {
-                R::read(text).map_err(E::custom)
-            }
+impl<'de, T, F: Format<T>> Deserialize<'de> for Parsed<T, F> {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        deserializer
+            .deserialize_any(FormatVisitor::<T, F>(PhantomData))
+            .map(|value| Parsed(value, PhantomData))
+    }
+}
 
-            fn visit_i64<E: serde::de::Error>(self, n: i64) -> Result<T, E> {
-                Err(E::custom(format!("`{n}` is a number alone: {}", R::WANTS)))
-            }
+/// Parses a string by its format, and rejects bare numbers with a hint to it.
+struct FormatVisitor<T, F>(PhantomData<(T, F)>);
 
-            fn visit_f64<E: serde::de::Error>(self, n: f64) -> Result<T, E> {
-                Err(E::custom(format!("`{n}` is a number alone: {}", R::WANTS)))
-            }
-        }
-        from.deserialize_any(Texts::<T, R>(PhantomData))
-            .map(|value| Read(value, PhantomData))
+impl<T, F: Format<T>> FormatVisitor<T, F> {
+    fn bare_number<E: serde::de::Error>(number: impl fmt::Display) -> E {
+        E::custom(format!("`{number}` is a number alone: {}", F::HELP))
     }
 }
 
-macro_rules! reads {
-    ($name:ident, $value:ty, $wants:expr, $read:expr) => {
+impl<T, F: Format<T>> Visitor<'_> for FormatVisitor<T, F> {
+    type Value = T;
+
+    fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(F::HELP)
+    }
+
+    fn visit_str<E: serde::de::Error>(self, text: &str) -> Result<T, E> {
+        F::parse(text).map_err(E::custom)
+    }
+
+    fn visit_i64<E: serde::de::Error>(self, number: i64) -> Result<T, E> {
+        Err(Self::bare_number(number))
+    }
+
+    fn visit_f64<E: serde::de::Error>(self, number: f64) -> Result<T, E> {
+        Err(Self::bare_number(number))
+    }
+}
+
+/// Declares a format: its name, its values, how they are written, and the function that parses them.
+macro_rules! value_format {
+    ($name:ident, $value:ty, $help:expr, $parse:expr) => {
         pub(super) struct $name;
-        impl Reads<$value> for $name {
-            const WANTS: &'static str = $wants;
-            fn read(text: &str) -> Result<$value, String> {
-                let read: fn(&str) -> Result<$value, String> = $read;
-                read(text)
+        impl Format<$value> for $name {
+            const HELP: &'static str = $help;
+            fn parse(text: &str) -> Result<$value, ValueError> {
+                let parse: fn(&str) -> Result<$value, ValueError> = $parse;
+                parse(text)
             }
         }
     };
 }
 
-reads!(AsTime, Time, units::TIMES, |t| units::time(t)
-    .map_err(|e| e.to_string()));
-reads!(AsSize, u64, units::SIZES, |t| units::size(t)
-    .map_err(|e| e.to_string()));
-reads!(AsRate, f64, units::RATES, |t| units::rate(t)
-    .map_err(|e| e.to_string()));
-reads!(
-    AsAddress,
+value_format!(TimeFormat, Time, units::TIMES, |text| Ok(units::time(
+    text
+)?));
+value_format!(SizeFormat, u64, units::SIZES, |text| Ok(units::size(text)?));
+value_format!(RateFormat, f64, units::RATES, |text| Ok(units::rate(text)?));
+value_format!(
+    AddressFormat,
     SocketAddr,
     "write an address with its port, as \"127.0.0.1:8443\"",
-    |t| t.parse().map_err(|_| format!(
-        "`{t}` is no address: write one with its port, as \"127.0.0.1:8443\""
-    ))
+    |text| text.parse().map_err(|_| ValueError::Address {
+        text: text.to_owned()
+    })
 );
-reads!(
-    AsHost,
+value_format!(
+    HostFormat,
     table::Host,
     "write a host, or `*.` before one, as a text",
-    |t| table::Host::read(t).map_err(|e| format!("`{t}`: {e}"))
+    |text| table::Host::read(text).map_err(|error| ValueError::pattern(text, error))
+);
+value_format!(
+    PathFormat,
+    Box<str>,
+    "write a path prefix as a text",
+    |text| table::prefix(text).map_err(|error| ValueError::pattern(text, error))
 );
-reads!(AsPath, Box<str>, "write a path prefix as a text", |t| {
-    table::prefix(t).map_err(|e| format!("`{t}`: {e}"))
-});
-
-pub(super) type TimeText = Read<Time, AsTime>;
-pub(super) type SizeText = Read<u64, AsSize>;
-pub(super) type RateText = Read<f64, AsRate>;
-pub(super) type AddressText = Read<SocketAddr, AsAddress>;
-pub(super) type HostText = Read<table::Host, AsHost>;
-pub(super) type PathText = Read<Box<str>, AsPath>;
-
-/// A number within bounds.
-fn within<'de, D: Deserializer<'de>>(from: D, low: f64, high: f64) -> Result<f64, D::Error> {
-    let n = f64::deserialize(from)?;
-    if (low..=high).contains(&n) {
-        return Ok(n);
+
+pub(super) type TimeText = Parsed<Time, TimeFormat>;
+pub(super) type SizeText = Parsed<u64, SizeFormat>;
+pub(super) type RateText = Parsed<f64, RateFormat>;
+pub(super) type AddressText = Parsed<SocketAddr, AddressFormat>;
+pub(super) type HostText = Parsed<table::Host, HostFormat>;
+pub(super) type PathText = Parsed<Box<str>, PathFormat>;
+
+/// Deserializes a number between two bounds, both included.
+fn bounded<'de, D: Deserializer<'de>>(
+    deserializer: D,
+    min: f64,
+    max: f64,
+) -> Result<f64, D::Error> {
+    let number = f64::deserialize(deserializer)?;
+    if (min..=max).contains(&number) {
+        return Ok(number);
     }
     Err(D::Error::custom(format!(
-        "`{n}` is not between {low} and {high}"
+        "`{number}` is not between {min} and {max}"
     )))
 }
 
-pub(super) fn share<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    within(from, 0.0, 1.0)
+/// Deserializes a number from 0 to 1.
+pub(super) fn fraction<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
+    bounded(deserializer, 0.0, 1.0)
+}
+
+/// Deserializes [`fraction`] for a key that may be absent.
+pub(super) fn optional_fraction<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Option<f64>, D::Error> {
+    fraction(deserializer).map(Some)
 }
 
-pub(super) fn positive<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    within(from, 1e-6, 1e6)
+/// Deserializes a positive number that is neither tiny nor huge.
+pub(super) fn positive<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
+    bounded(deserializer, 1e-6, 1e6)
 }
 
-pub(super) fn some_positive<'de, D: Deserializer<'de>>(from: D) -> Result<Option<f64>, D::Error> {
-    positive(from).map(Some)
+/// Deserializes [`positive`] for a key that may be absent.
+pub(super) fn optional_positive<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Option<f64>, D::Error> {
+    positive(deserializer).map(Some)
 }
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,26 +1,44 @@
-//! Figures with their units.
+//! Parses quantities with units: times, sizes and rates.
 
 use reelfall_balancer::interface::Time;
 use thiserror::Error;
 
-/// Why a figure can't be read.
+/// Why a quantity can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum UnitFault {
-    /// A number alone.
-    #[error("`{0}` has no unit: {1}")]
-    NoUnit(String, &'static str),
-    /// Another unit.
-    #[error("`{0}` is no {1}")]
-    Other(String, &'static str),
+pub enum UnitError {
+    /// The number has no unit.
+    #[error("`{text}` has no unit: {help}")]
+    MissingUnit {
+        /// What was written.
+        text: String,
+        /// How to write such a quantity.
+        help: &'static str,
+    },
+    /// Number or unit is not one of this quantity.
+    #[error("`{text}` is no {expected}")]
+    Invalid {
+        /// What was written.
+        text: String,
+        /// The quantity, and how to write it.
+        expected: &'static str,
+    },
 }
 
-/// Units of time.
+/// How to write a time.
 pub const TIMES: &str = "write a time with ms, s or m, as \"250ms\"";
-/// Units of size.
+/// How to write a size.
 pub const SIZES: &str = "write a size with B, KiB, MiB or GiB, as \"64KiB\"";
-/// Units of rates.
+/// How to write a rate.
 pub const RATES: &str = "write a rate with /s or /m, as \"300/s\"";
 
+/// A unit of a quantity.
+struct Unit {
+    name: &'static str,
+    /// The value of one such unit in the quantity's base unit.
+    factor: f64,
+}
+
+/// Splits a quantity into its number and its unit.
 fn split(text: &str) -> (&str, &str) {
     let text = text.trim();
     let end = text
@@ -30,69 +48,105 @@
     (number, unit.trim_start())
 }
 
-fn figure(
+fn quantity(
     text: &str,
-    what: &'static str,
+    expected: &'static str,
     help: &'static str,
-    units: &[(&str, f64)],
-) -> Result<f64, UnitFault> {
-    let (number, unit) = split(text);
-    let other = || UnitFault::Other(text.to_owned(), what);
-    let number: f64 = number.parse().map_err(|_| other())?;
-    if unit.is_empty() {
-        return Err(UnitFault::NoUnit(text.to_owned(), help));
+    units: &[Unit],
+) -> Result<f64, UnitError> {
+    let (number, unit_name) = split(text);
+    let invalid = || UnitError::Invalid {
+        text: text.to_owned(),
+        expected,
+    };
+    let number: f64 = number.parse().map_err(|_| invalid())?;
+    if unit_name.is_empty() {
+        return Err(UnitError::MissingUnit {
+            text: text.to_owned(),
+            help,
+        });
     }
-    let (_, factor) = units
+    let unit = units
         .iter()
-        .find(|(name, _)| *name == unit)
-        .ok_or_else(other)?;
-    Some(number * factor)
-        .filter(|n| n.is_finite())
-        .ok_or_else(other)
+        .find(|unit| unit.name == unit_name)
+        .ok_or_else(invalid)?;
+    Some(number * unit.factor)
+        .filter(|value| value.is_finite())
+        .ok_or_else(invalid)
 }
 
-/// A time in seconds: `250ms`, `1.5s`, `2m`.
+/// Parses a time to seconds: `250ms`, `1.5s`, `2m`.
 ///
 /// # Errors
-/// Without a unit, with another, or without a number.
-pub fn time(text: &str) -> Result<Time, UnitFault> {
-    figure(
+/// If number or unit is missing, or the unit is another one.
+pub fn time(text: &str) -> Result<Time, UnitError> {
+    quantity(
         text,
         "time: write it with ms, s or m, as \"250ms\"",
         TIMES,
-        &[("ms", 1e-3), ("s", 1.0), ("m", 60.0)],
+        &[
+            Unit {
+                name: "ms",
+                factor: 1e-3,
+            },
+            Unit {
+                name: "s",
+                factor: 1.0,
+            },
+            Unit {
+                name: "m",
+                factor: 60.0,
+            },
+        ],
     )
 }
 
-/// A rate by the second: `300/s`, `90/m`.
+/// Parses a rate to a number per second: `300/s`, `90/m`.
 ///
 /// # Errors
-/// Without a unit, with another, or without a number.
-pub fn rate(text: &str) -> Result<f64, UnitFault> {
-    figure(
+/// If number or unit is missing, or the unit is another one.
+pub fn rate(text: &str) -> Result<f64, UnitError> {
+    quantity(
         text,
         "rate: write it with /s or /m, as \"300/s\"",
         RATES,
-        &[("/s", 1.0), ("/m", 1.0 / 60.0)],
+        &[
+            Unit {
+                name: "/s",
+                factor: 1.0,
+            },
+            Unit {
+                name: "/m",
+                factor: 1.0 / 60.0,
+            },
+        ],
     )
 }
 
-/// A size in bytes: `512B`, `64KiB`, `8MiB`, `1GiB`.
+/// Parses a size to bytes: `512B`, `64KiB`, `8MiB`, `1GiB`.
 ///
 /// # Errors
-/// Without a unit, with another, or without a whole number.
-pub fn size(text: &str) -> Result<u64, UnitFault> {
-    const WHAT: &str = "size: write it with B, KiB, MiB or GiB, as \"64KiB\"";
+/// If the integer or its unit is missing, or the unit is another one.
+pub fn size(text: &str) -> Result<u64, UnitError> {
+    const EXPECTED: &str = "size: write it with B, KiB, MiB or GiB, as \"64KiB\"";
     let (number, unit) = split(text);
-    let other = || UnitFault::Other(text.to_owned(), WHAT);
-    let number: u64 = number.parse().map_err(|_| other())?;
+    let invalid = || UnitError::Invalid {
+        text: text.to_owned(),
+        expected: EXPECTED,
+    };
+    let number: u64 = number.parse().map_err(|_| invalid())?;
     let shift = match unit {
-        "" => return Err(UnitFault::NoUnit(text.to_owned(), SIZES)),
+        "" => {
+            return Err(UnitError::MissingUnit {
+                text: text.to_owned(),
+                help: SIZES,
+            })
+        }
         "B" => 0,
         "KiB" => 10,
         "MiB" => 20,
         "GiB" => 30,
-        _ => return Err(other()),
+        _ => return Err(invalid()),
     };
-    number.checked_mul(1 << shift).ok_or_else(other)
+    number.checked_mul(1 << shift).ok_or_else(invalid)
 }
--- a/crates/config/tests/bounds.rs
+++ b/crates/config/tests/bounds.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
-use common::*;
+use common::{class, listener, member, route, service, times, whole_service, CLASS, LISTENER};
 use reelfall_balancer::interface::{ClassId, TenantId};
 use reelfall_config::check::{
-    check, CLASSES_MOST, LISTENERS_MOST, MEMBERS_MOST, ROUTES_MOST, SERVICES_MOST,
+    check, MAX_CLASSES, MAX_LISTENERS, MAX_TENANTS, ROUTES_MOST, SERVICES_MOST,
 };
 use reelfall_config::reader;
 use reelfall_routing::table::ListenerId;
@@ -34,14 +34,14 @@
 #[test]
 fn listeners() {
     let file = |n| times(n, listener) + &whole_service(0);
-    bounded(LISTENERS_MOST, file, "f.toml: 257 listeners, 256 at most");
+    bounded(MAX_LISTENERS, file, "f.toml: 257 listeners, 256 at most");
 }
 
 #[test]
 fn classes_of_a_service() {
     let file = |n| LISTENER.to_owned() + &service("a") + &times(n, class) + &route(0, "");
     bounded(
-        CLASSES_MOST,
+        MAX_CLASSES,
         file,
         "f.toml:4: service `a` has 257 classes, 256 at most",
     );
@@ -51,7 +51,7 @@
 fn members_of_a_service() {
     let file = |n| LISTENER.to_owned() + &service("a") + CLASS + &route(0, "") + &times(n, member);
     bounded(
-        MEMBERS_MOST,
+        MAX_TENANTS,
         file,
         "f.toml:4: service `a` has 65536 members, 65535 at most",
     );
@@ -59,8 +59,8 @@
 
 #[test]
 fn the_numbers_of_things_hold_as_many_as_there_may_be() {
-    assert!(ListenerId::try_from(LISTENERS_MOST).is_ok());
-    assert!(ClassId::try_from(CLASSES_MOST).is_ok());
-    assert!(TenantId::try_from(MEMBERS_MOST).is_ok());
+    assert!(ListenerId::try_from(MAX_LISTENERS).is_ok());
+    assert!(ClassId::try_from(MAX_CLASSES).is_ok());
+    assert!(TenantId::try_from(MAX_TENANTS).is_ok());
     const { assert!(ROUTES_MOST >= 74_000) };
 }
--- a/crates/config/tests/growth.rs
+++ b/crates/config/tests/growth.rs
@@ -6,7 +6,9 @@
 
 mod common;
 
-use common::*;
+use common::{
+    class, listener, member, route, server, service, times, whole_service, CLASS, LISTENER,
+};
 use nix::time::{clock_gettime, ClockId};
 use reelfall_config::{check, reader, Model};
 use std::hint::black_box;
--- a/crates/config/tests/memory.rs
+++ b/crates/config/tests/memory.rs
@@ -3,13 +3,13 @@
 
 mod common;
 
-use common::*;
+use common::{member, times, whole_service, LISTENER};
 use reelfall_config::reader;
 
 const SERVICES: usize = 400;
 const MEMBERS: usize = 200;
 /// Memory for the text's length: what the model takes, and the tree of one service.
-const TIMES_MOST: usize = 8;
+const MAX_MEMORY_FACTOR: usize = 8;
 
 /// The most memory that the process has had, in bytes.
 fn peak() -> usize {
@@ -35,7 +35,7 @@
     assert_eq!(model.services.len(), SERVICES);
     let times = taken / text.len();
     assert!(
-        times < TIMES_MOST,
+        times < MAX_MEMORY_FACTOR,
         "{taken} bytes for a text of {}: {times} times as much",
         text.len()
     );
--- a/crates/config/tests/sections.rs
+++ b/crates/config/tests/sections.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use common::*;
+use common::{whole_service, LISTENER};
 use reelfall_config::model::{Model, Origin};
 use reelfall_config::{reader, Faults};
 
@@ -62,12 +62,12 @@
 ];
 
 /// The longest row of pieces.
-const PIECES_MOST: u32 = 4;
+const MAX_PIECES: u32 = 4;
 
 #[test]
 fn all_rows_of_pieces_are_read_alike() {
     let kinds = PIECES.len();
-    for length in 0..=PIECES_MOST {
+    for length in 0..=MAX_PIECES {
         for row in 0..kinds.pow(length) {
             let piece = |at| PIECES[row / kinds.pow(at) % kinds];
             alike(&(0..length).map(piece).collect::<String>());
