--- a/crates/config/src/check/routes.rs
+++ b/crates/config/src/check/routes.rs
@@ -4,7 +4,7 @@
 use super::{indices, Checker, METHODS, ROUTES_MOST};
 use crate::model::{Located, Model, Origin, Route, Service};
 use reelfall_balancer::interface as core;
-use reelfall_routing::table::{Ambiguous, ListenerId, Match, Table};
+use reelfall_routing::table::{AmbiguousRoutes, ListenerId, Match, Table};
 use std::collections::{HashMap, HashSet};
 
 /// The routes of a model, by their index over all services.
@@ -93,7 +93,7 @@
     }
     match Table::new(matches) {
         Ok(table) => Some(table),
-        Err(Ambiguous { first, second }) => {
+        Err(AmbiguousRoutes { first, second }) => {
             if let (Some(first), Some(second)) = (origins.get(first), origins.get(second)) {
                 let line = first.line;
                 checker.report(
--- a/crates/config/src/check/services.rs
+++ b/crates/config/src/check/services.rs
@@ -4,9 +4,9 @@
 use super::registries::registry_source;
 use super::{Checker, MAX_CLASSES, MAX_DEADLINE, MAX_TENANTS, SERVICES_MOST};
 use crate::model::{Class, Located, Model, Origin, Service, Source};
-use reelfall_routing::budget::Share;
-use reelfall_routing::common;
+use reelfall_routing::budget::Quota;
 use reelfall_routing::limits::{Kind, Limits, Totals};
+use reelfall_routing::shared_servers;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
@@ -103,10 +103,12 @@
         &service.origin,
         || format!("service `{name}`: cold.within is more than 0"),
     );
-    if let Some((rate, burst)) = service.limits.rate {
-        checker.require(rate > 0.0 && burst >= 1.0, &service.limits.origin, || {
-            format!("service `{name}`: a rate is more than 0/s and its burst 1 at least")
-        });
+    if let Some(rate) = service.limits.rate {
+        checker.require(
+            rate.per_second > 0.0 && rate.burst >= 1.0,
+            &service.limits.origin,
+            || format!("service `{name}`: a rate is more than 0/s and its burst 1 at least"),
+        );
     }
 }
 
@@ -130,7 +132,7 @@
 }
 
 /// Maximum number of services that list one server. A further one could not send to it while it warms up.
-const MAX_SERVICES_PER_SERVER: usize = common::SHARERS_MOST as usize;
+const MAX_SERVICES_PER_SERVER: usize = shared_servers::MAX_POOLS_WHILE_COLD as usize;
 
 /// Limits the number of services that list the same server.
 pub(super) fn shared_servers(checker: &mut Checker, model: &Model) {
@@ -166,12 +168,12 @@
         } else {
             &limits.origin
         };
-        for (kind, share) in [
+        for (kind, quota) in [
             (Kind::Open, limits.open),
             (Kind::Connections, limits.connections),
             (Kind::Memory, limits.memory),
         ] {
-            self::share(checker, origin, &service.name, kind, share);
+            self::quota(checker, origin, &service.name, kind, quota);
         }
     }
     if checker.faults.is_empty() {
@@ -185,21 +187,21 @@
     }
 }
 
-/// Checks the share that a service has of one resource.
-fn share(checker: &mut Checker, origin: &Origin, service: &str, kind: Kind, share: Share) {
-    checker.require(share.reserve <= share.most, origin, || {
+/// Checks the quota that a service has of one resource.
+fn quota(checker: &mut Checker, origin: &Origin, service: &str, kind: Kind, quota: Quota) {
+    checker.require(quota.reserved <= quota.max, origin, || {
         format!(
             "service `{service}`: {kind}: {} are reserved, but it may have {}",
-            share.reserve, share.most
+            quota.reserved, quota.max
         )
     });
-    checker.require((1..=1000).contains(&share.weight), origin, || {
+    checker.require((1..=1000).contains(&quota.weight), origin, || {
         format!(
             "service `{service}`: weight is {}, not between 1 and 1000",
-            share.weight
+            quota.weight
         )
     });
-    checker.require(share.most > 0, origin, || {
+    checker.require(quota.max > 0, origin, || {
         format!(
             "service `{service}`: {kind}: 0 lets nothing through; to stop it, write state = \"draining\""
         )
--- a/crates/config/src/reader/mapping.rs
+++ b/crates/config/src/reader/mapping.rs
@@ -16,8 +16,9 @@
 };
 use reelfall_balancer::interface::{ServerState, Time};
 use reelfall_registry_client::follow;
-use reelfall_routing::budget::Share;
+use reelfall_routing::budget::Quota;
 use reelfall_routing::limits::Allowed;
+use reelfall_routing::rate::RateLimit;
 use reelfall_routing::table;
 use thiserror::Error;
 
@@ -250,23 +251,20 @@
 
 fn allowed(table: LimitsTable) -> Allowed {
     let weight = table.weight.unwrap_or(1);
-    let share = |reserve: Option<u64>, max: Option<u64>| Share {
-        reserve: reserve.unwrap_or(0),
-        most: max.unwrap_or(u64::MAX),
+    let quota = |reserved: Option<u64>, max: Option<u64>| Quota {
+        reserved: reserved.unwrap_or(0),
+        max: max.unwrap_or(u64::MAX),
         weight,
     };
     let kib = |size: Option<SizeText>| size.map(|size| size.0 / 1024);
     let burst = table.burst;
     Allowed {
-        open: share(table.open_reserved, table.open),
-        connections: share(table.connections_reserved, table.connections),
-        memory: share(kib(table.memory_reserved), kib(table.memory)),
-        rate: table.rate.map(|rate| {
-            let per_second = rate.0;
-            (
-                per_second,
-                burst.map_or_else(|| per_second.max(1.0), f64::from),
-            )
+        open: quota(table.open_reserved, table.open),
+        connections: quota(table.connections_reserved, table.connections),
+        memory: quota(kib(table.memory_reserved), kib(table.memory)),
+        rate: table.rate.map(|rate| RateLimit {
+            per_second: rate.0,
+            burst: burst.map_or_else(|| rate.0.max(1.0), f64::from),
         }),
     }
 }
--- a/crates/config/src/reader/values.rs
+++ b/crates/config/src/reader/values.rs
@@ -3,7 +3,7 @@
 
 use crate::units::{self, UnitError};
 use reelfall_balancer::interface::Time;
-use reelfall_routing::table::{self, PatternFault};
+use reelfall_routing::table::{self, PatternError};
 use serde::de::{Deserializer, Error as _, Visitor};
 use serde::Deserialize;
 use std::fmt;
@@ -53,12 +53,12 @@
         /// The string.
         text: String,
         /// What is wrong with it.
-        source: PatternFault,
+        source: PatternError,
     },
 }
 
 impl ValueError {
-    fn pattern(text: &str, source: PatternFault) -> Self {
+    fn pattern(text: &str, source: PatternError) -> Self {
         ValueError::Pattern {
             text: text.to_owned(),
             source,
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -1,148 +1,158 @@
-//! Units of something limited, shared by parties.
+//! Divides a limited resource among consumers: a hierarchical budget with reservations, maxima and fair shares.
 //!
-//! Each party has a reservation that is its own, a most, and a fair share: its reservation and its part, by weight,
-//! of what nobody reserved. Three promises:
+//! Each consumer has a [`Quota`]: a reservation of its own, a maximum, and a weight. Its fair share is its reservation
+//! plus, by weight, its share of what nobody reserved. [`crate::limits`] has one budget for each resource.
 //!
-//! - what is held together is never over the total;
-//! - a unit within a reservation is always granted, whatever the others hold. For this the reservations of all are
-//!   kept free, used or not; what may be borrowed is what no reservation covers;
-//! - a party may borrow more than its fair share while nobody else asks. Once one that is under its own fair share
-//!   has asked in vain, nothing more is lent beyond fair shares until it has been served or has stopped asking.
-//!   Nothing that is held is taken away.
+//! - The units in use never exceed the total.
+//! - A unit within a reservation is always granted, whatever the others use. For this, reserved units stay free even
+//!   when they are unused; only unreserved units can be borrowed.
+//! - A consumer can borrow more than its fair share while there is no contention. Once a consumer below its own fair
+//!   share has been denied, nothing more is lent beyond fair shares until it is served or stops asking. Units in use
+//!   are never revoked.
 //!
-//! The first holds as long as the shape is left alone. [`Budget::set`] may leave more held than the new total; then
-//! nothing but reservations is granted until that is given back.
+//! The first rule holds as long as total and quotas stay the same. [`Budget::set_total`] and [`Budget::set`] can leave
+//! more in use than the total; then nothing but reservations is granted until the excess is released.
 
 use crate::Time;
 use thiserror::Error;
 
-/// A party's number, given by [`Budget::add`].
-pub type Party = usize;
+/// The index of a consumer, given by [`Budget::add`].
+pub type ConsumerId = usize;
 
-/// How long a request in vain keeps others from borrowing, in seconds.
-pub const CLAIM_LASTS: Time = 1.0;
+/// How long a denied consumer keeps others from borrowing, in seconds.
+pub const CLAIM_TTL: Time = 1.0;
 
-/// What a party may hold.
+/// What a consumer may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Share {
-    /// Its own, whatever the others hold.
-    pub reserve: u64,
-    /// Never more than this.
-    pub most: u64,
-    /// Its part of what nobody reserved, against those of the others.
+pub struct Quota {
+    /// The units that are always available to it.
+    pub reserved: u64,
+    /// The maximum number of units in use.
+    pub max: u64,
+    /// The weight of its share of unreserved units.
     pub weight: u32,
 }
 
-impl Share {
-    /// No reservation and no bound but the total.
-    pub const OPEN: Share = Share {
-        reserve: 0,
-        most: u64::MAX,
+impl Quota {
+    /// No reservation, and no maximum but the total.
+    pub const UNLIMITED: Quota = Quota {
+        reserved: 0,
+        max: u64::MAX,
         weight: 1,
     };
+
+    /// The quota of a removed consumer.
+    const NONE: Quota = Quota {
+        reserved: 0,
+        max: 0,
+        weight: 0,
+    };
 }
 
-/// Why a unit was not granted.
+/// Why units were not granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Denied {
-    /// The party holds the most that it may.
+    /// The consumer would exceed its maximum.
     #[error("its own bound is reached")]
     Most,
-    /// Nothing is left that may be borrowed.
+    /// All unreserved units are in use.
     #[error("nothing is left to borrow")]
     Total,
-    /// It has its fair share, and another is waiting for its own.
+    /// The consumer has its fair share, and another one is waiting for its own.
     #[error("another is waiting for its share")]
     Claimed,
 }
 
-/// Shares that do not fit.
+/// Why quotas are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Misfit {
-    /// Together, the reservations are more than there is.
+pub enum QuotaError {
+    /// The sum of the reservations exceeds the total.
     #[error("{reserved} units are reserved of {total}")]
-    Reserved {
+    OverTotal {
         /// The sum of the reservations.
         reserved: u64,
-        /// What there is.
+        /// The total.
         total: u64,
     },
-    /// A reservation is larger than what its party may hold.
-    #[error("a reservation of {reserve} is over its bound of {most}")]
-    OverMost {
+    /// A reservation exceeds the maximum of its consumer.
+    #[error("a reservation of {reserved} is over its bound of {max}")]
+    OverMax {
         /// The reservation.
-        reserve: u64,
-        /// The bound.
-        most: u64,
+        reserved: u64,
+        /// The maximum.
+        max: u64,
     },
 }
 
 #[derive(Clone, Debug)]
-struct Account {
-    share: Share,
+struct Consumer {
+    quota: Quota,
     used: u64,
-    /// When it last asked in vain while it was under its fair share.
-    claimed: Option<Time>,
-    /// It has left, and its place is free once it holds nothing.
-    left: bool,
+    /// When it was last denied units within its fair share.
+    claimed_at: Option<Time>,
+    /// It was removed; its index is free once it uses nothing.
+    is_removed: bool,
 }
 
-impl Account {
-    const fn new(share: Share) -> Self {
-        Account {
-            share,
+impl Consumer {
+    const fn new(quota: Quota) -> Self {
+        Consumer {
+            quota,
             used: 0,
-            claimed: None,
-            left: false,
+            claimed_at: None,
+            is_removed: false,
         }
     }
 
-    /// Whether another party may have its place.
+    /// Whether its index can be given to another consumer.
     fn is_free(&self) -> bool {
-        self.left && self.used == 0
+        self.is_removed && self.used == 0
     }
 
-    /// What the party holds or has reserved, whichever is more.
-    fn held(&self) -> u64 {
-        self.used.max(self.share.reserve)
+    /// The units that others can't have: those that it uses or has reserved, whichever is more.
+    fn committed(&self) -> u64 {
+        self.used.max(self.quota.reserved)
+    }
+
+    fn has_claim(&self, now: Time) -> bool {
+        self.claimed_at.is_some_and(|at| now - at < CLAIM_TTL)
     }
 }
 
-/// Sums over all parties. They are kept up to date account by account, so that no change costs a walk over the parties.
+/// Sums over all consumers, updated with each of them so that no change has to iterate over all.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sums {
-    /// What the parties hold or have reserved, whichever is more for each.
-    held: u64,
+    committed: u64,
     reserved: u64,
     weights: u64,
 }
 
 impl Sums {
-    fn add(&mut self, account: &Account) {
-        self.held += account.held();
-        self.reserved += account.share.reserve;
-        self.weights += u64::from(account.share.weight);
+    fn add(&mut self, consumer: &Consumer) {
+        self.committed += consumer.committed();
+        self.reserved += consumer.quota.reserved;
+        self.weights += u64::from(consumer.quota.weight);
     }
 
-    fn subtract(&mut self, account: &Account) {
-        self.held -= account.held();
-        self.reserved -= account.share.reserve;
-        self.weights -= u64::from(account.share.weight);
+    fn subtract(&mut self, consumer: &Consumer) {
+        self.committed -= consumer.committed();
+        self.reserved -= consumer.quota.reserved;
+        self.weights -= u64::from(consumer.quota.weight);
     }
 }
 
-/// The books of one limited thing.
+/// A limited resource and its consumers.
 #[derive(Clone, Debug, Default)]
 pub struct Budget {
     total: u64,
-    parties: Vec<Account>,
-    /// Places of parties that have left and hold nothing. Each is here once.
-    free: Vec<Party>,
+    consumers: Vec<Consumer>,
+    /// Free indices of `consumers`, without duplicates.
+    free: Vec<ConsumerId>,
     sums: Sums,
 }
 
 impl Budget {
-    /// So many units and no parties yet.
+    /// A budget of `total` units without consumers.
     pub fn new(total: u64) -> Self {
         Budget {
             total,
@@ -150,155 +160,158 @@
         }
     }
 
-    /// What there is.
+    /// The number of units.
     pub fn total(&self) -> u64 {
         self.total
     }
 
-    /// What a party holds.
-    pub fn used(&self, party: Party) -> u64 {
-        self.parties.get(party).map_or(0, |a| a.used)
+    /// The units in use by a consumer.
+    pub fn used(&self, id: ConsumerId) -> u64 {
+        self.consumers.get(id).map_or(0, |consumer| consumer.used)
     }
 
-    /// What all parties hold.
+    /// The units in use by all consumers.
     pub fn used_by_all(&self) -> u64 {
-        self.parties.iter().map(|a| a.used).sum()
+        self.consumers.iter().map(|consumer| consumer.used).sum()
     }
 
-    /// Checks shares against a total without changing anything.
+    /// Validates quotas against a total.
     ///
     /// # Errors
-    /// Says what does not fit.
-    pub fn check(total: u64, shares: impl IntoIterator<Item = Share>) -> Result<(), Misfit> {
-        let mut reserved = 0u64;
-        for Share { reserve, most, .. } in shares {
-            if reserve > most {
-                return Err(Misfit::OverMost { reserve, most });
+    /// If a reservation exceeds its maximum, or all reservations exceed the total.
+    pub fn check(total: u64, quotas: impl IntoIterator<Item = Quota>) -> Result<(), QuotaError> {
+        let mut sum = 0u64;
+        for Quota { reserved, max, .. } in quotas {
+            if reserved > max {
+                return Err(QuotaError::OverMax { reserved, max });
             }
-            reserved = reserved.saturating_add(reserve);
+            sum = sum.saturating_add(reserved);
+        }
+        if sum > total {
+            return Err(QuotaError::OverTotal {
+                reserved: sum,
+                total,
+            });
         }
-        (reserved <= total)
-            .then_some(())
-            .ok_or(Misfit::Reserved { reserved, total })
+        Ok(())
     }
 
-    /// Changes the total; what is held stays held.
+    /// Changes the total; units in use stay in use.
     pub fn set_total(&mut self, total: u64) {
         self.total = total;
     }
 
-    /// A new party.
-    pub fn add(&mut self, share: Share) -> Party {
-        let account = Account::new(share);
-        self.sums.add(&account);
-        // A free place counts for nothing in the sums.
-        let party = self.free.pop().unwrap_or(self.parties.len());
-        match self.parties.get_mut(party) {
-            Some(place) => *place = account,
-            None => self.parties.push(account),
+    /// Adds a consumer.
+    pub fn add(&mut self, quota: Quota) -> ConsumerId {
+        let consumer = Consumer::new(quota);
+        self.sums.add(&consumer);
+        // A free index contributes nothing to the sums, so there is nothing to subtract.
+        let id = self.free.pop().unwrap_or(self.consumers.len());
+        match self.consumers.get_mut(id) {
+            Some(slot) => *slot = consumer,
+            None => self.consumers.push(consumer),
         }
-        party
+        id
     }
 
-    /// Changes what a party may hold; what it holds stays held. One that has left gets nothing.
-    pub fn set(&mut self, party: Party, share: Share) {
-        self.change(party, |account| {
-            if !account.left {
-                account.share = share;
-                account.claimed = None;
+    /// Changes the quota of a consumer, unless it was removed; units in use stay in use.
+    pub fn set(&mut self, id: ConsumerId, quota: Quota) {
+        self.update(id, |consumer| {
+            if !consumer.is_removed {
+                consumer.quota = quota;
+                consumer.claimed_at = None;
             }
         });
     }
 
-    /// A party leaves. What it holds it gives back in its own time; until then it counts.
-    pub fn remove(&mut self, party: Party) {
-        self.change(party, |account| {
-            account.share = Share {
-                reserve: 0,
-                most: 0,
-                weight: 0,
-            };
-            account.claimed = None;
-            account.left = true;
+    /// Removes a consumer. Units that it uses count until it releases them.
+    pub fn remove(&mut self, id: ConsumerId) {
+        self.update(id, |consumer| {
+            consumer.quota = Quota::NONE;
+            consumer.claimed_at = None;
+            consumer.is_removed = true;
         });
     }
 
-    /// Changes an account, and the sums and the free places with it.
-    fn change(&mut self, party: Party, change: impl FnOnce(&mut Account)) {
-        let Some(account) = self.parties.get_mut(party) else {
+    /// Changes a consumer together with the sums and the free indices.
+    fn update(&mut self, id: ConsumerId, change: impl FnOnce(&mut Consumer)) {
+        let Some(consumer) = self.consumers.get_mut(id) else {
             return;
         };
-        let was_free = account.is_free();
-        self.sums.subtract(account);
-        change(account);
-        self.sums.add(account);
-        if account.is_free() && !was_free {
-            self.free.push(party);
+        let was_free = consumer.is_free();
+        self.sums.subtract(consumer);
+        change(consumer);
+        self.sums.add(consumer);
+        if consumer.is_free() && !was_free {
+            self.free.push(id);
         }
     }
 
-    fn fair(&self, share: Share) -> u64 {
-        let open = u128::from(self.total.saturating_sub(self.sums.reserved));
-        let part = open * u128::from(share.weight) / u128::from(self.sums.weights.max(1));
-        share
-            .reserve
-            .saturating_add(u64::try_from(part).unwrap_or(u64::MAX))
+    /// The reservation plus the weighted share of unreserved units.
+    fn fair_share(&self, quota: Quota) -> u64 {
+        let unreserved = u128::from(self.total.saturating_sub(self.sums.reserved));
+        let weights = u128::from(self.sums.weights.max(1));
+        let share = unreserved * u128::from(quota.weight) / weights;
+        quota
+            .reserved
+            .saturating_add(u64::try_from(share).unwrap_or(u64::MAX))
     }
 
-    /// Takes `n` units for a party, all or none.
+    /// Acquires units for a consumer, all or none.
     ///
     /// # Errors
-    /// Says why they are not to be had now.
-    pub fn take(&mut self, now: Time, party: Party, n: u64) -> Result<(), Denied> {
-        let Some(account) = self.parties.get(party) else {
+    /// Why they are not available now.
+    pub fn acquire(&mut self, now: Time, id: ConsumerId, units: u64) -> Result<(), Denied> {
+        let Some(consumer) = self.consumers.get(id) else {
             return Err(Denied::Most);
         };
-        let (share, used) = (account.share, account.used.saturating_add(n));
-        if used > share.most || account.left {
+        let quota = consumer.quota;
+        let used = consumer.used.saturating_add(units);
+        if used > quota.max || consumer.is_removed {
             return Err(Denied::Most);
         }
-        let held = self.sums.held - account.held() + used.max(share.reserve);
-        let fair = self.fair(share);
-        let denied = if used <= share.reserve {
+        let committed = self.sums.committed - consumer.committed() + used.max(quota.reserved);
+        let fair_share = self.fair_share(quota);
+        let denied = if used <= quota.reserved {
             None
-        } else if held > self.total {
+        } else if committed > self.total {
             Some(Denied::Total)
-        } else if used > fair && self.claimed_by_others(now, party) {
+        } else if used > fair_share && self.has_other_claim(now, id) {
             Some(Denied::Claimed)
         } else {
             None
         };
-        let Some(account) = self.parties.get_mut(party) else {
+        let Some(consumer) = self.consumers.get_mut(id) else {
             return Err(Denied::Most);
         };
         match denied {
             None => {
-                account.used = used;
-                account.claimed = None;
-                self.sums.held = held;
+                consumer.used = used;
+                consumer.claimed_at = None;
+                self.sums.committed = committed;
                 Ok(())
             }
             Some(denied) => {
-                if used <= fair {
-                    account.claimed = Some(now);
+                if used <= fair_share {
+                    consumer.claimed_at = Some(now);
                 }
                 Err(denied)
             }
         }
     }
 
-    fn claimed_by_others(&self, now: Time, party: Party) -> bool {
-        let lives = |a: &Account| a.claimed.is_some_and(|at| now - at < CLAIM_LASTS);
-        self.parties
+    /// Whether another consumer is waiting for its fair share.
+    fn has_other_claim(&self, now: Time, id: ConsumerId) -> bool {
+        self.consumers
             .iter()
             .enumerate()
-            .any(|(n, a)| n != party && lives(a))
+            .any(|(other, consumer)| other != id && consumer.has_claim(now))
     }
 
-    /// Gives back `n` units of a party.
-    pub fn give(&mut self, party: Party, n: u64) {
-        self.change(party, |account| {
-            account.used = account.used.saturating_sub(n)
+    /// Releases units of a consumer.
+    pub fn release(&mut self, id: ConsumerId, units: u64) {
+        self.update(id, |consumer| {
+            consumer.used = consumer.used.saturating_sub(units);
         });
     }
 }
--- a/crates/routing/src/keep_alive.rs
+++ b/crates/routing/src/keep_alive.rs
@@ -1,51 +1,50 @@
-//! How long idle connections to servers are kept, where servers have few to give.
+//! The keep-alive of idle connections to servers, which adapts to servers that accept few connections.
 
-/// The keep-alive of one service's idle connections, in seconds: multiplicative decrease when a server turns a new
-/// connection away, additive increase while none does.
+/// The keep-alive time of one service's idle connections, in seconds: multiplicative decrease when a server rejects a
+/// new connection, additive increase otherwise.
 ///
-/// Guards against a fleet that holds all the connections that its servers accept, most of them for nothing: each node draws
-/// a rare server now and then and would keep the connection to it until the server's own time-out, so that others are
-/// turned away there. How many a server accepts is told nowhere; that it turns one away is the only sign. It ought to catch
-/// any bound that is shared with strangers. Harm: where a server does so because it drains, some connections are opened
-/// anew that need not have been, for as long as `RECOVERY`.
+/// A node uses most servers only now and then. If each node of a fleet kept idle connections to all of them until the
+/// servers' own time-out, servers with a connection limit would have to reject other nodes. No server reports its
+/// limit; a rejected connection is the only sign of it.
 #[derive(Clone, Copy, Debug)]
 pub struct KeepAlive {
-    most: f64,
-    now: f64,
-    turned_away: bool,
+    max: f64,
+    current: f64,
+    /// Whether a server rejected a connection since the last tick.
+    was_rejected: bool,
 }
 
-/// Part of the longest keep-alive that is always left.
-const LEAST: f64 = 1.0 / 16.0;
-/// Seconds in which the whole of it is regained.
-const RECOVERY: f64 = 20.0;
+/// Minimum keep-alive, as a fraction of the maximum.
+const MIN_FRACTION: f64 = 1.0 / 16.0;
+/// Time to increase from nothing to the maximum, in seconds.
+const RECOVERY_TIME: f64 = 20.0;
 
 impl KeepAlive {
-    /// Begins with the longest that servers allow, in seconds.
-    pub fn new(most: f64) -> Self {
+    /// Begins with the maximum that servers allow, in seconds.
+    pub fn new(max: f64) -> Self {
         KeepAlive {
-            most,
-            now: most,
-            turned_away: false,
+            max,
+            current: max,
+            was_rejected: false,
         }
     }
 
-    /// How long an idle connection is kept now, in seconds.
+    /// The current keep-alive, in seconds.
     pub fn seconds(&self) -> f64 {
-        self.now
+        self.current
     }
 
-    /// A server has turned a new connection away. Several between two looks are one sign.
+    /// Records that a server rejected a new connection. Several of them before a tick count as one.
     pub fn turned_away(&mut self) {
-        self.turned_away = true;
+        self.was_rejected = true;
     }
 
-    /// What has been seen in the last `dt` seconds takes effect.
-    pub fn tick(&mut self, dt: f64) {
-        if std::mem::take(&mut self.turned_away) {
-            self.now = (self.now / 2.0).max(self.most * LEAST);
+    /// Adapts the keep-alive to the last `elapsed` seconds.
+    pub fn tick(&mut self, elapsed: f64) {
+        if std::mem::take(&mut self.was_rejected) {
+            self.current = (self.current / 2.0).max(self.max * MIN_FRACTION);
         } else {
-            self.now = (self.now + self.most * dt / RECOVERY).min(self.most);
+            self.current = (self.current + self.max * elapsed / RECOVERY_TIME).min(self.max);
         }
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,24 +1,27 @@
-//! Which service a request belongs to, and what each service may hold.
+//! Finds the service of a request, and limits what each service may use.
 //!
-//! Pure: no sockets, no clock, no randomness. Moments come in as seconds on whatever clock the caller keeps.
+//! Pure: no sockets, no clock, no randomness. The caller passes times as seconds of its own clock.
 //!
-//! | module | decides |
+//! | module | content |
 //! | --- | --- |
-//! | [`target`] | whether the target of a request can be read in one way only |
-//! | [`table`] | the service for host, path, method, class and listener |
-//! | [`budget`] | how many units of something limited each service may hold |
-//! | [`rate`] | how many requests a second a service takes |
-//! | [`limits`] | admission of one request, from the budgets and rates of all services |
-//! | [`common`] | what pools that list the same server have to tell each other |
+//! | [`target`] | validates the target of a request |
+//! | [`table`] | the route table: the service for host, path, method, class and listener |
+//! | [`limits`] | admission control over all services, with budgets and rate limits |
+//! | [`budget`] | divides one limited resource among its consumers |
+//! | [`rate`] | token bucket |
+//! | [`shared_servers`] | state of servers that several pools list |
+//! | [`keep_alive`] | adaptive keep-alive of idle connections to servers |
 
 pub mod budget;
-pub mod common;
-
 pub mod keep_alive;
 pub mod limits;
 pub mod rate;
+pub mod shared_servers;
 pub mod table;
 pub mod target;
 
-/// A moment or a span, in seconds.
+// The former name of this module, which the node still uses.
+pub use shared_servers as common;
+
+/// A point in time or a duration, in seconds.
 pub type Time = f64;
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -1,52 +1,52 @@
-//! Admission: what all services together hold, and whether one more request of a service fits.
+//! Admission control: the resources of a process, and what each of its services may use of them.
 
-use crate::budget::{Budget, Denied, Misfit, Party, Share};
-use crate::rate::Rate;
+use crate::budget::{Budget, ConsumerId, Denied, Quota, QuotaError};
+use crate::rate::{RateLimit, TokenBucket};
 use crate::Time;
 use thiserror::Error;
 
-/// What one service may hold and take.
+/// The limits of one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowed {
-    /// Requests that have no final answer yet, or an attempt that is still out.
-    pub open: Share,
+    /// Requests that have no final response yet, or an attempt in flight.
+    pub open: Quota,
     /// Connections to servers.
-    pub connections: Share,
-    /// KiB of bodies, of requests and of large answers.
-    pub memory: Share,
-    /// Requests a second and how many at once; `None` for no bound.
-    pub rate: Option<(f64, f64)>,
+    pub connections: Quota,
+    /// KiB of bodies, of requests and of large responses.
+    pub memory: Quota,
+    /// The request rate; `None` for no limit.
+    pub rate: Option<RateLimit>,
 }
 
 impl Allowed {
-    /// No bounds but those of the process.
+    /// No limits but those of the process.
     pub const OPEN: Allowed = Allowed {
-        open: Share::OPEN,
-        connections: Share::OPEN,
-        memory: Share::OPEN,
+        open: Quota::UNLIMITED,
+        connections: Quota::UNLIMITED,
+        memory: Quota::UNLIMITED,
         rate: None,
     };
 }
 
-/// What the process has.
+/// The resources of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Totals {
-    /// Requests that have no final answer yet, or an attempt that is still out.
+    /// Requests that have no final response yet, or an attempt in flight.
     pub open: u64,
     /// Connections to servers.
     pub connections: u64,
-    /// KiB of bodies, of requests and of large answers.
+    /// KiB of bodies, of requests and of large responses.
     pub memory: u64,
 }
 
-/// Something limited.
+/// A limited resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Requests that have no final answer yet, or an attempt that is still out.
+    /// Requests that have no final response yet, or an attempt in flight.
     Open,
     /// Connections to servers.
     Connections,
-    /// KiB of bodies, of requests and of large answers.
+    /// KiB of bodies, of requests and of large responses.
     Memory,
 }
 
@@ -60,167 +60,191 @@
     }
 }
 
-/// Why a request was not admitted.
+/// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub enum Denial {
-    /// Too many requests a second; the next fits after this time.
+    /// The service is over its request rate; the next request is admitted after this time, in seconds.
     #[error("over its rate")]
     Rate(Time),
-    /// Too many at once.
+    /// The service can't have more of a resource.
     #[error("{0}: {1}")]
     Held(Kind, Denied),
 }
 
-/// Shares that do not fit, and what of.
+/// The quotas of a resource are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("{kind}: {misfit}")]
-pub struct Unfit {
-    /// What there is too little of.
+#[error("{kind}: {source}")]
+pub struct LimitsError {
+    /// The resource.
     pub kind: Kind,
-    /// Why.
-    pub misfit: Misfit,
+    /// What is wrong.
+    pub source: QuotaError,
 }
 
-/// A service's number here.
+/// The handle of a service in [`Limits`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    open: Party,
-    connections: Party,
-    memory: Party,
+    open: ConsumerId,
+    connections: ConsumerId,
+    memory: ConsumerId,
+    /// The index of its rate limiter.
     rate: usize,
 }
 
-/// The books of a process with several services.
+impl Member {
+    /// The consumer of a resource's budget that stands for this service.
+    fn consumer(self, kind: Kind) -> ConsumerId {
+        match kind {
+            Kind::Open => self.open,
+            Kind::Connections => self.connections,
+            Kind::Memory => self.memory,
+        }
+    }
+}
+
+/// The resources of a process and the services that use them.
 #[derive(Debug)]
 pub struct Limits {
     open: Budget,
     connections: Budget,
     memory: Budget,
-    rates: Vec<Option<Rate>>,
+    rate_limiters: Vec<Option<TokenBucket>>,
+    /// Free indices of `rate_limiters`.
     free: Vec<usize>,
 }
 
 impl Limits {
-    /// No services yet.
+    /// Limits without services.
     pub fn new(totals: Totals) -> Self {
         Limits {
             open: Budget::new(totals.open),
             connections: Budget::new(totals.connections),
             memory: Budget::new(totals.memory),
-            rates: Vec::new(),
+            rate_limiters: Vec::new(),
             free: Vec::new(),
         }
     }
 
-    /// Checks what is to be allowed against what there is.
+    /// Validates the limits of all services against the resources of the process.
     ///
     /// # Errors
-    /// Says what does not fit.
-    pub fn check(totals: Totals, allowed: &[Allowed]) -> Result<(), Unfit> {
-        let fits = |kind, total, share: fn(&Allowed) -> Share| {
-            Budget::check(total, allowed.iter().map(share)).map_err(|misfit| Unfit { kind, misfit })
+    /// The first resource whose quotas are invalid.
+    pub fn check(totals: Totals, allowed: &[Allowed]) -> Result<(), LimitsError> {
+        let check = |kind, total, quota: fn(&Allowed) -> Quota| {
+            Budget::check(total, allowed.iter().map(quota))
+                .map_err(|source| LimitsError { kind, source })
         };
-        fits(Kind::Open, totals.open, |a| a.open)?;
-        fits(Kind::Connections, totals.connections, |a| a.connections)?;
-        fits(Kind::Memory, totals.memory, |a| a.memory)
+        check(Kind::Open, totals.open, |limits| limits.open)?;
+        check(Kind::Connections, totals.connections, |limits| {
+            limits.connections
+        })?;
+        check(Kind::Memory, totals.memory, |limits| limits.memory)
     }
 
-    /// Changes what there is; what is held stays held.
+    /// Changes the resources of the process; what is in use stays in use.
     pub fn set_totals(&mut self, totals: Totals) {
         self.open.set_total(totals.open);
         self.connections.set_total(totals.connections);
         self.memory.set_total(totals.memory);
     }
 
-    /// A new service.
+    /// Adds a service.
     pub fn add(&mut self, now: Time, allowed: &Allowed) -> Member {
-        let rate = allowed
-            .rate
-            .map(|(rate, burst)| Rate::new(now, rate, burst));
-        let at = self.free.pop().unwrap_or(self.rates.len());
-        match self.rates.get_mut(at) {
-            Some(place) => *place = rate,
-            None => self.rates.push(rate),
+        let rate_limiter = allowed.rate.map(|limit| TokenBucket::new(now, limit));
+        let index = self.free.pop().unwrap_or(self.rate_limiters.len());
+        match self.rate_limiters.get_mut(index) {
+            Some(slot) => *slot = rate_limiter,
+            None => self.rate_limiters.push(rate_limiter),
         }
         Member {
             open: self.open.add(allowed.open),
             connections: self.connections.add(allowed.connections),
             memory: self.memory.add(allowed.memory),
-            rate: at,
+            rate: index,
         }
     }
 
-    /// Changes what a service is allowed; what it holds stays held.
+    /// Changes the limits of a service; what is in use stays in use.
     pub fn set(&mut self, now: Time, member: Member, allowed: &Allowed) {
         self.open.set(member.open, allowed.open);
         self.connections
             .set(member.connections, allowed.connections);
         self.memory.set(member.memory, allowed.memory);
-        if let Some(rate) = self.rates.get_mut(member.rate) {
-            match (rate.as_mut(), allowed.rate) {
-                (Some(rate), Some((per_second, burst))) => rate.set(now, per_second, burst),
-                (_, new) => {
-                    *rate = new.map(|(per_second, burst)| Rate::new(now, per_second, burst))
-                }
+        if let Some(slot) = self.rate_limiters.get_mut(member.rate) {
+            match (slot.as_mut(), allowed.rate) {
+                (Some(rate_limiter), Some(limit)) => rate_limiter.set(now, limit),
+                (_, limit) => *slot = limit.map(|limit| TokenBucket::new(now, limit)),
             }
         }
     }
 
-    /// A service leaves; what it holds it gives back in its own time. Call it once, when nothing asks for it.
+    /// Removes a service, once. What it uses counts until it is given back; nothing may be acquired for it afterwards.
     pub fn remove(&mut self, member: Member) {
         self.open.remove(member.open);
         self.connections.remove(member.connections);
         self.memory.remove(member.memory);
-        if let Some(rate) = self.rates.get_mut(member.rate) {
-            *rate = None;
+        if let Some(slot) = self.rate_limiters.get_mut(member.rate) {
+            *slot = None;
             self.free.push(member.rate);
         }
     }
 
-    /// Takes one request in; [`Limits::give`] of one [`Kind::Open`] is owed for it.
+    /// Admits one request. The caller owes [`Limits::give`] of one [`Kind::Open`] at its end.
     ///
     /// # Errors
-    /// Says which limit it is over. Nothing is taken then.
+    /// The limit that the service would exceed; nothing is acquired then.
     pub fn admit(&mut self, now: Time, member: Member) -> Result<(), Denial> {
         self.open
-            .take(now, member.open, 1)
-            .map_err(|d| Denial::Held(Kind::Open, d))?;
-        let rate = self.rates.get_mut(member.rate).and_then(Option::as_mut);
-        rate.map_or(Ok(()), |r| r.take(now)).map_err(|wait| {
-            self.open.give(member.open, 1);
-            Denial::Rate(wait)
+            .acquire(now, member.open, 1)
+            .map_err(|denied| Denial::Held(Kind::Open, denied))?;
+        let slot = self.rate_limiters.get_mut(member.rate);
+        let Some(rate_limiter) = slot.and_then(Option::as_mut) else {
+            return Ok(());
+        };
+        rate_limiter.take(now).map_err(|exceeded| {
+            self.open.release(member.open, 1);
+            Denial::Rate(exceeded.retry_after)
         })
     }
 
-    /// Takes units of something for a service.
+    /// Acquires units of a resource for a service, all or none.
     ///
     /// # Errors
-    /// Says why they are not to be had now.
-    pub fn take(&mut self, now: Time, member: Member, kind: Kind, n: u64) -> Result<(), Denied> {
-        let (budget, party) = self.book(member, kind);
-        budget.take(now, party, n)
+    /// Why they are not available now.
+    pub fn take(
+        &mut self,
+        now: Time,
+        member: Member,
+        kind: Kind,
+        units: u64,
+    ) -> Result<(), Denied> {
+        self.budget_mut(kind)
+            .acquire(now, member.consumer(kind), units)
     }
 
-    /// Gives units back.
-    pub fn give(&mut self, member: Member, kind: Kind, n: u64) {
-        let (budget, party) = self.book(member, kind);
-        budget.give(party, n);
+    /// Releases units of a resource.
+    pub fn give(&mut self, member: Member, kind: Kind, units: u64) {
+        self.budget_mut(kind).release(member.consumer(kind), units);
     }
 
-    /// What a service holds.
+    /// The units of a resource that a service uses.
     pub fn used(&self, member: Member, kind: Kind) -> u64 {
+        self.budget(kind).used(member.consumer(kind))
+    }
+
+    fn budget(&self, kind: Kind) -> &Budget {
         match kind {
-            Kind::Open => self.open.used(member.open),
-            Kind::Connections => self.connections.used(member.connections),
-            Kind::Memory => self.memory.used(member.memory),
+            Kind::Open => &self.open,
+            Kind::Connections => &self.connections,
+            Kind::Memory => &self.memory,
         }
     }
 
-    fn book(&mut self, member: Member, kind: Kind) -> (&mut Budget, Party) {
+    fn budget_mut(&mut self, kind: Kind) -> &mut Budget {
         match kind {
-            Kind::Open => (&mut self.open, member.open),
-            Kind::Connections => (&mut self.connections, member.connections),
-            Kind::Memory => (&mut self.memory, member.memory),
+            Kind::Open => &mut self.open,
+            Kind::Connections => &mut self.connections,
+            Kind::Memory => &mut self.memory,
         }
     }
 }
--- a/crates/routing/src/rate.rs
+++ b/crates/routing/src/rate.rs
@@ -1,56 +1,77 @@
-//! Requests a second, with a burst: a token bucket.
+//! A token bucket, which limits the request rate of a service.
 
 use crate::Time;
+use thiserror::Error;
+
+/// The rate and the burst of a [`TokenBucket`]; positive numbers.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RateLimit {
+    /// Requests per second.
+    pub per_second: f64,
+    /// Maximum number of requests at once. Values below 1 count as 1.
+    pub burst: f64,
+}
+
+/// The bucket has no token.
+#[derive(Clone, Copy, Debug, PartialEq, Error)]
+#[error("over its rate")]
+pub struct RateExceeded {
+    /// The time until the next token, in seconds.
+    pub retry_after: Time,
+}
 
 /// A token bucket.
 #[derive(Clone, Debug)]
-pub struct Rate {
-    per_second: f64,
-    burst: f64,
-    level: f64,
-    at: Time,
+pub struct TokenBucket {
+    limit: RateLimit,
+    tokens: f64,
+    refilled_at: Time,
 }
 
-impl Rate {
-    /// A full bucket. `per_second` and `burst` are positive numbers.
-    pub fn new(now: Time, per_second: f64, burst: f64) -> Self {
-        Rate {
-            per_second,
-            burst: burst.max(1.0),
-            level: burst.max(1.0),
-            at: now,
+impl TokenBucket {
+    /// A full bucket.
+    pub fn new(now: Time, limit: RateLimit) -> Self {
+        let limit = at_least_one(limit);
+        TokenBucket {
+            limit,
+            tokens: limit.burst,
+            refilled_at: now,
         }
     }
 
-    /// Changes the figures; what was taken stays taken.
-    pub fn set(&mut self, now: Time, per_second: f64, burst: f64) {
-        self.fill(now);
-        (self.per_second, self.burst) = (per_second, burst.max(1.0));
-        self.level = self.level.min(self.burst);
+    /// Changes rate and burst; tokens that were taken stay taken.
+    pub fn set(&mut self, now: Time, limit: RateLimit) {
+        self.refill(now);
+        self.limit = at_least_one(limit);
+        self.tokens = self.tokens.min(self.limit.burst);
     }
 
-    fn fill(&mut self, now: Time) {
-        // A clock that steps back fills nothing, and the time it repeats is not counted again.
-        let passed = (now - self.at).max(0.0);
-        self.level = (self.level + passed * self.per_second).min(self.burst);
-        self.at = self.at.max(now);
+    fn refill(&mut self, now: Time) {
+        // If the clock steps back, nothing is refilled, and the repeated time is not counted again.
+        let elapsed = (now - self.refilled_at).max(0.0);
+        self.tokens = (self.tokens + elapsed * self.limit.per_second).min(self.limit.burst);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Takes one.
+    /// Takes one token.
     ///
     /// # Errors
-    /// In how many seconds the next is to be had.
-    pub fn take(&mut self, now: Time) -> Result<(), Time> {
-        self.fill(now);
-        if self.level >= 1.0 {
-            self.level -= 1.0;
+    /// If there is none.
+    pub fn take(&mut self, now: Time) -> Result<(), RateExceeded> {
+        self.refill(now);
+        if self.tokens >= 1.0 {
+            self.tokens -= 1.0;
             return Ok(());
         }
-        Err((1.0 - self.level) / self.per_second)
+        Err(RateExceeded {
+            retry_after: (1.0 - self.tokens) / self.limit.per_second,
+        })
     }
+}
 
-    /// Gives back one that was not used.
-    pub fn give(&mut self) {
-        self.level = (self.level + 1.0).min(self.burst);
+fn at_least_one(limit: RateLimit) -> RateLimit {
+    RateLimit {
+        burst: limit.burst.max(1.0),
+        ..limit
     }
 }
--- a/crates/routing/src/common.rs
+++ b/crates/routing/src/shared_servers.rs
@@ -1,18 +1,19 @@
-//! Servers that several pools list.
+//! Combines what the endpoint lists of several pools say of a server that all of them list.
 //!
 //! Each pool has a list of its own and decides for itself. What one list says of a server still concerns every pool
-//! that sends to it: a drain holds for all of them, and what a cold server tolerates is one amount that they share.
+//! that sends to it: a drain holds for all of them, and they share the load that a server tolerates while it warms up.
 //!
 //! | state of an address in another pool's list | effect on this pool |
 //! | --- | --- |
-//! | it serves | both send; the cold server's tolerance is shared |
-//! | it drains | it drains here |
-//! | it is gone | it drains here for [`GONE_TTL`], unless this pool's list reports a later start |
-//! | it started at some moment (a list that follows servers) | it started then, or later if this list says so |
-//! | not listed any more (the list was taken from the settings, or the pool ended) | none |
+//! | up | both send; they share what the server tolerates while it warms up |
+//! | draining | it drains here |
+//! | gone | it drains here for [`GONE_TTL`], unless this pool's list reports a later start |
+//! | started at some time (a list that follows servers) | it started then, or later if this list says so |
+//! | not listed any more (the list was replaced by new settings, or the pool ended) | none |
 //!
-//! A cold server's tolerance can't be divided at will: each pool has to be able to send one request now and then. So
-//! the [`SHARERS_MOST`] oldest pools send to it, and it is withheld from any further pool until it is warm.
+//! The load that a server tolerates while it warms up can't be divided at will: each pool has to be able to send at
+//! least one request at a time. So only the [`MAX_POOLS_WHILE_COLD`] oldest pools send to it; it is withheld from any
+//! other pool until it is warm.
 
 use crate::Time;
 use std::collections::HashMap;
@@ -22,9 +23,9 @@
 /// list that still has the server is most likely outdated; after this time it is believed.
 pub const GONE_TTL: Time = 10.0;
 
-/// Maximum number of pools that send to one cold server. Each of them may send one request at once; with more pools,
-/// these alone would be more than the server tolerates.
-pub const SHARERS_MOST: u32 = 8;
+/// Maximum number of pools that send to a server that is warming up. Each of them may send one request at a time; with
+/// more pools, these alone would overload the server.
+pub const MAX_POOLS_WHILE_COLD: u32 = 8;
 
 /// The state of a server in a pool's list.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -33,8 +34,8 @@
     pub status: ServerStatus,
     /// When it last started; 0 for long ago.
     pub ready_at: Time,
-    /// The list follows servers and knows when they start. Otherwise somebody wrote it, and `ready_at` is a guess
-    /// that concerns nobody else.
+    /// Whether the list follows servers and reports when they start. In a static list, `ready_at` is only an
+    /// assumption of its own pool.
     pub knows_start: bool,
 }
 
@@ -43,22 +44,22 @@
 pub enum ServerStatus {
     /// It takes requests.
     Up,
-    /// It finishes what it has.
+    /// It completes the requests in flight.
     Draining,
-    /// It has ended.
+    /// It has stopped.
     Gone,
 }
 
 /// The state of a server for one pool, with the lists of all pools combined.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CombinedView {
-    /// Nothing new may be sent to it, according to another list.
+    /// Whether it drains according to another list.
     pub is_draining: bool,
     /// Number of pools that send to it, this one included.
     pub sharers: u32,
     /// When it last started; 0 for long ago.
     pub ready_at: Time,
-    /// This pool may not send to it until then: the server is cold, and older pools send to it.
+    /// Until then, this pool may not send to it: the server is warming up, and enough older pools send to it.
     pub withheld_until: Option<Time>,
 }
 
@@ -78,11 +79,11 @@
 struct PoolListing<P> {
     pool: P,
     state: ListedState,
-    /// When the list reported this state first.
+    /// When the list first reported this state.
     since: Time,
 }
 
-/// The states of servers in the lists of all pools, by address.
+/// The states of all servers in the lists of all pools, by address. The node has one for all of its pools.
 #[derive(Clone, Debug)]
 pub struct SharedServers<A, P> {
     servers: HashMap<A, Vec<PoolListing<P>>>,
@@ -97,23 +98,23 @@
 }
 
 impl<A: Clone + Eq + Hash, P: Copy + Ord> SharedServers<A, P> {
-    /// Updates the state of a server in a pool's list; `None` removes it. Returns whether that may change what holds for
-    /// other pools.
+    /// Updates the state of a server in a pool's list; `None` removes it. Returns whether the view of other pools may
+    /// have changed.
     pub fn update(&mut self, now: Time, pool: P, address: &A, state: Option<ListedState>) -> bool {
-        // A start in the future would leave the server cold for others for as long as somebody's clock is wrong.
-        let state = state.map(|s| ListedState {
-            ready_at: s.ready_at.min(now),
-            ..s
+        // A start in the future, by a clock that is wrong, would keep the server cold for all other pools.
+        let state = state.map(|state| ListedState {
+            ready_at: state.ready_at.min(now),
+            ..state
         });
         let listings = self.servers.entry(address.clone()).or_default();
         let old = listings.iter().position(|listing| listing.pool == pool);
         let changed = match (old, state) {
             (None, None) => false,
-            (Some(n), None) => {
-                listings.swap_remove(n);
+            (Some(index), None) => {
+                listings.swap_remove(index);
                 true
             }
-            // The end of a server that the pool never listed concerns nobody.
+            // A server that the pool never listed.
             (
                 None,
                 Some(ListedState {
@@ -129,7 +130,7 @@
                 });
                 true
             }
-            (Some(n), Some(state)) => listings.get_mut(n).is_some_and(|listing| {
+            (Some(index), Some(state)) => listings.get_mut(index).is_some_and(|listing| {
                 let changed = listing.state != state;
                 if changed {
                     (listing.state, listing.since) = (state, now);
@@ -143,7 +144,7 @@
         changed
     }
 
-    /// The state of a server for a pool whose own list has it as `own`, and for which a server is warm `warm_after`
+    /// The state of a server for a pool whose own list has it as `own`. For this pool, a server is warm `warm_after`
     /// seconds after its start.
     pub fn view(
         &self,
@@ -177,7 +178,8 @@
             is_draining,
             sharers: count(1 + senders().count()),
             ready_at,
-            withheld_until: (older_pools >= SHARERS_MOST && now < warm_at).then_some(warm_at),
+            withheld_until: (older_pools >= MAX_POOLS_WHILE_COLD && now < warm_at)
+                .then_some(warm_at),
         }
     }
 
@@ -202,7 +204,7 @@
         self.retain(|listing| listing.pool != pool)
     }
 
-    /// Keeps the listings that fulfil a condition. Returns the addresses of the others.
+    /// Retains the listings that fulfil a condition. Returns the addresses of the others.
     fn retain(&mut self, keep: impl Fn(&PoolListing<P>) -> bool) -> Vec<A> {
         let mut removed = Vec::new();
         self.servers.retain(|address, listings| {
@@ -229,9 +231,7 @@
 
 /// When a server last started: the latest start that a list knows of; if none does, what this pool's list assumes.
 ///
-/// Guards against a pool that takes a server for warm (a written list knows no starts) while others know that it
-/// has just begun, and would overload it. It ought to catch every server that starts anew under its old address.
-/// Harm: a list that is wrong about a start makes the server cold, and slow to fill, for all pools that have it.
+/// A pool with a static list would otherwise overload a server that has just restarted under its old address.
 fn latest_start(own: ListedState, others: impl Iterator<Item = ListedState>) -> Time {
     let states = std::iter::once(own).chain(others);
     let starts = states
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,7 +1,7 @@
-//! The route table.
+//! The route table: finds the route of a request.
 //!
-//! Every part of a route that is stated must match. Among the routes that match, the most special one wins, parts
-//! compared in this order, the first difference deciding:
+//! Every condition of a route must match. Among the routes that match, the most specific one wins; conditions are
+//! compared in this order, and the first difference decides:
 //!
 //! 1. listener: a named one before any;
 //! 2. host: the name itself, then `*.` names, the longest first, then any;
@@ -9,37 +9,37 @@
 //! 4. method: a named one before any;
 //! 5. class: a named one before any.
 //!
-//! Two routes that match alike in all five can't be told apart and are an error when the table is made.
+//! Two routes that are equal in all five are ambiguous and an error when the table is made.
 //!
-//! A look-up walks the labels of a host and the segments of a path, never the routes, and no more segments than the
-//! longest prefix has: a hostile path costs no more than a plain one.
+//! A look-up iterates over the labels of a host and the segments of a path, never over the routes, and over no more
+//! segments than the longest prefix has, so that a hostile path costs no more than a plain one.
 
 use std::collections::HashMap;
 use std::fmt;
 use thiserror::Error;
 
-/// A listener's number, given by whoever makes the table.
+/// The id of a listener, assigned by the caller.
 pub type ListenerId = u16;
 
-/// Which hosts a route takes.
+/// The pattern of a route's hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 pub enum Host {
-    /// All.
+    /// Every host.
     #[default]
     Any,
-    /// This one; lower case.
+    /// This host; lower case.
     Exact(Box<str>),
-    /// All names below this one, at any depth, but not it itself; lower case, without `*.`.
+    /// All subdomains of this name, at any depth, but not the name itself; lower case, without `*.`.
     Below(Box<str>),
 }
 
-/// Why a host or path pattern can't be used.
+/// Why a host or path pattern is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum PatternFault {
-    /// Neither a host nor `*.` before one.
+pub enum PatternError {
+    /// The pattern is neither a host nor `*.` before one.
     #[error("a host pattern is a name, an address, or `*.` before a name")]
     Host,
-    /// No path prefix.
+    /// The pattern is not a path prefix that a valid request can match.
     #[error(
         "a path prefix begins with `/` and has no dot segments, empty segments or needless escapes"
     )]
@@ -47,24 +47,26 @@
 }
 
 impl Host {
-    /// Reads a pattern: a name, an address, `*.name`, or `*` for all.
+    /// Parses a pattern: a name, an address, `*.name`, or `*` for every host.
     ///
     /// # Errors
-    /// If it is none of these. A port is none of a host's business here.
-    pub fn read(pattern: &str) -> Result<Host, PatternFault> {
+    /// If it is none of these, or has a port.
+    pub fn read(pattern: &str) -> Result<Host, PatternError> {
         if pattern == "*" {
             return Ok(Host::Any);
         }
         let lower = pattern.to_ascii_lowercase();
         if let Some(name) = lower.strip_prefix("*.") {
-            let fits = crate::target::is_name(name);
-            return fits
-                .then(|| Host::Below(name.into()))
-                .ok_or(PatternFault::Host);
+            if !crate::target::is_name(name) {
+                return Err(PatternError::Host);
+            }
+            return Ok(Host::Below(name.into()));
+        }
+        let has_port = crate::target::host(&lower).map(|host| host != lower);
+        match has_port {
+            Ok(false) => Ok(Host::Exact(lower.into())),
+            Ok(true) | Err(_) => Err(PatternError::Host),
         }
-        let fits = crate::target::host(&lower).is_ok_and(|h| h == lower);
-        fits.then(|| Host::Exact(lower.into()))
-            .ok_or(PatternFault::Host)
     }
 }
 
@@ -78,42 +80,38 @@
     }
 }
 
-/// A path prefix, without a slash at its end: `/` itself is the empty prefix.
+/// Parses a path prefix, and removes a slash at its end: `/` becomes the empty prefix.
 ///
 /// # Errors
-/// If no request could match it.
-pub fn prefix(path: &str) -> Result<Box<str>, PatternFault> {
-    crate::target::path(path).map_err(|_| PatternFault::Path)?;
+/// If no valid request could match it.
+pub fn prefix(path: &str) -> Result<Box<str>, PatternError> {
+    crate::target::path(path).map_err(|_| PatternError::Path)?;
     Ok(path.strip_suffix('/').unwrap_or(path).into())
 }
 
-/// What a route matches. `None` and an empty list stand for any.
+/// The conditions of a route. `None` and an empty list match everything.
 #[derive(Clone, Debug, Default)]
 pub struct Match {
     /// The listener.
     pub listener: Option<ListenerId>,
-    /// The host.
+    /// The host pattern.
     pub host: Host,
     /// The path prefix, as [`prefix`] gives it.
     pub path: Box<str>,
     /// The methods.
     pub methods: Vec<Box<str>>,
-    /// The class that the request states.
+    /// The class that the request has to state.
     pub class: Option<Box<str>>,
 }
 
 impl fmt::Display for Match {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(
-            f,
-            "host {} path {}",
-            self.host,
-            if self.path.is_empty() {
-                "/"
-            } else {
-                &self.path
-            }
-        )?;
+        let path = if self.path.is_empty() {
+            "/"
+        } else {
+            &self.path
+        };
+        write!(f, "host {} path {path}", self.host)?;
         if !self.methods.is_empty() {
             write!(f, " method {}", self.methods.join("|"))?;
         }
@@ -128,26 +126,35 @@
 }
 
 impl Match {
-    /// Whether all that is stated here holds of a request. [`Table::get`] finds the same without asking each route.
-    pub fn fits(&self, q: &Query) -> bool {
-        let below = |name: &str| {
-            q.host
-                .strip_suffix(name)
-                .is_some_and(|l| l.len() > 1 && l.ends_with('.'))
-        };
-        let host = match &self.host {
+    /// Whether a request fulfils all conditions. [`Table::get`] finds the matching routes without iterating over all.
+    pub fn fits(&self, query: &Query) -> bool {
+        self.host_matches(query.host)
+            && self.path_matches(query.path)
+            && self.listener.is_none_or(|id| id == query.listener)
+            && (self.methods.is_empty() || self.methods.iter().any(|m| **m == *query.method))
+            && self
+                .class
+                .as_deref()
+                .is_none_or(|class| Some(class) == query.class)
+    }
+
+    fn host_matches(&self, host: &str) -> bool {
+        match &self.host {
             Host::Any => true,
-            Host::Exact(name) => **name == *q.host,
-            Host::Below(name) => below(name),
-        };
-        let behind = q.path.strip_prefix(&*self.path);
-        host && behind.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
-            && self.listener.is_none_or(|l| l == q.listener)
-            && (self.methods.is_empty() || self.methods.iter().any(|m| **m == *q.method))
-            && self.class.as_deref().is_none_or(|c| Some(c) == q.class)
+            Host::Exact(name) => **name == *host,
+            Host::Below(name) => host
+                .strip_suffix(&**name)
+                .is_some_and(|labels| labels.len() > 1 && labels.ends_with('.')),
+        }
+    }
+
+    fn path_matches(&self, path: &str) -> bool {
+        path.strip_prefix(&*self.path)
+            .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
     }
 
-    /// How special it is: of the routes that fit a request, the one with the greatest rank wins.
+    /// How specific the route is: of the routes that match a request, the one with the greatest rank wins. The
+    /// components are listener, host, path, methods and class.
     pub fn rank(&self) -> (bool, (u8, usize), usize, bool, bool) {
         let host = match &self.host {
             Host::Any => (0, 0),
@@ -165,10 +172,10 @@
     }
 }
 
-/// What a look-up is about.
+/// The properties of a request that determine its route.
 #[derive(Clone, Copy, Debug)]
 pub struct Query<'a> {
-    /// Where the request came in.
+    /// The listener that accepted it.
     pub listener: ListenerId,
     /// Its host, in lower case.
     pub host: &'a str,
@@ -180,180 +187,195 @@
     pub class: Option<&'a str>,
 }
 
-/// Two routes that can't be told apart, by their places in the list that the table was made from.
+/// Two routes have equal conditions. They are identified by their indices in the list that the table was made from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("routes {first} and {second} can't be told apart")]
-pub struct Ambiguous {
+pub struct AmbiguousRoutes {
     /// The earlier one.
     pub first: usize,
     /// The later one.
     pub second: usize,
 }
 
-/// The routes of one path: by method, then by class.
+/// The routes of one path prefix, by method and then by class.
 #[derive(Debug, Default)]
-struct Leaf {
-    by_method: HashMap<Box<str>, ByClass>,
-    any_method: ByClass,
+struct MethodTable {
+    by_method: HashMap<Box<str>, ClassTable>,
+    any_method: ClassTable,
 }
 
+/// The routes of one method, by class.
 #[derive(Debug, Default)]
-struct ByClass {
-    named: HashMap<Box<str>, usize>,
-    any: Option<usize>,
+struct ClassTable {
+    by_class: HashMap<Box<str>, usize>,
+    any_class: Option<usize>,
 }
 
-impl ByClass {
+impl ClassTable {
     fn get(&self, class: Option<&str>) -> Option<usize> {
-        class.and_then(|c| self.named.get(c)).copied().or(self.any)
+        class
+            .and_then(|class| self.by_class.get(class))
+            .copied()
+            .or(self.any_class)
     }
 
-    /// Puts a route in its place; the one that is there already if there is one.
-    fn put(&mut self, class: Option<&str>, route: usize) -> Option<usize> {
-        let old = match class {
-            Some(class) => self.named.insert(class.into(), route),
-            None => self.any.replace(route),
+    /// Inserts a route. Returns another route that had the same class.
+    fn insert(&mut self, class: Option<&str>, route: usize) -> Option<usize> {
+        let replaced = match class {
+            Some(class) => self.by_class.insert(class.into(), route),
+            None => self.any_class.replace(route),
         };
-        old.filter(|old| *old != route)
+        replaced.filter(|replaced| *replaced != route)
     }
 }
 
-/// The routes of one host.
+/// The routes of one host pattern, by path prefix.
 #[derive(Debug, Default)]
-struct Paths {
-    leaves: HashMap<Box<str>, Leaf>,
-    /// Segments of the longest prefix.
-    depth: usize,
+struct PathTable {
+    by_prefix: HashMap<Box<str>, MethodTable>,
+    /// Number of segments of the longest prefix.
+    max_segments: usize,
 }
 
-impl Paths {
-    fn get(&self, q: &Query) -> Option<usize> {
-        // Where the prefixes of the path end, up to the depth that some route has.
-        let borders = q
+impl PathTable {
+    /// The route with the longest prefix that matches.
+    ///
+    /// Prefixes are tried in chunks of bounded size: the chunks from short to long, the prefixes of a chunk from long to
+    /// short. A match in a later chunk replaces that of an earlier one.
+    fn get(&self, query: &Query) -> Option<usize> {
+        let segment_ends = query
             .path
             .match_indices('/')
-            .map(|(at, _)| at)
+            .map(|(offset, _)| offset)
             .skip(1)
-            .chain([q.path.len()]);
-        let mut ends = [0; Self::AT_ONCE];
-        let mut from = 0;
-        let mut best = self.leaf("", q);
-        // From short to long in pieces of bounded size; the longest that matches is the last.
-        let mut borders = borders.take(self.depth);
+            .chain([query.path.len()]);
+        let mut segment_ends = segment_ends.take(self.max_segments);
+        let mut chunk = [0; Self::CHUNK_LEN];
+        let mut segments_tried = 0;
+        let mut best = self.get_by_prefix("", query);
         loop {
-            let mut n = 0;
-            for (slot, at) in ends.iter_mut().zip(borders.by_ref()) {
-                *slot = at;
-                n += 1;
+            let mut chunk_len = 0;
+            for (slot, end) in chunk.iter_mut().zip(segment_ends.by_ref()) {
+                *slot = end;
+                chunk_len += 1;
             }
-            let longest = ends
+            let longest = chunk
                 .iter()
-                .take(n)
+                .take(chunk_len)
                 .rev()
-                .find_map(|end| self.leaf(q.path.get(..*end)?, q));
+                .find_map(|end| self.get_by_prefix(query.path.get(..*end)?, query));
             best = longest.or(best);
-            from += n;
-            if n < Self::AT_ONCE || from >= self.depth {
+            segments_tried += chunk_len;
+            if chunk_len < Self::CHUNK_LEN || segments_tried >= self.max_segments {
                 return best;
             }
         }
     }
 
-    const AT_ONCE: usize = 16;
+    const CHUNK_LEN: usize = 16;
 
-    fn leaf(&self, prefix: &str, q: &Query) -> Option<usize> {
-        let leaf = self.leaves.get(prefix)?;
-        let named = leaf.by_method.get(q.method).and_then(|c| c.get(q.class));
-        named.or_else(|| leaf.any_method.get(q.class))
+    fn get_by_prefix(&self, prefix: &str, query: &Query) -> Option<usize> {
+        let methods = self.by_prefix.get(prefix)?;
+        methods
+            .by_method
+            .get(query.method)
+            .and_then(|classes| classes.get(query.class))
+            .or_else(|| methods.any_method.get(query.class))
     }
 }
 
-/// The routes of one listener.
+/// The routes of one listener, by host pattern.
 #[derive(Debug, Default)]
-struct Hosts {
-    exact: HashMap<Box<str>, Paths>,
-    below: HashMap<Box<str>, Paths>,
-    any: Paths,
+struct HostTable {
+    by_host: HashMap<Box<str>, PathTable>,
+    /// Patterns for all subdomains of a name, by that name.
+    by_parent: HashMap<Box<str>, PathTable>,
+    any_host: PathTable,
 }
 
-impl Hosts {
-    fn get(&self, q: &Query) -> Option<usize> {
-        let exact = self.exact.get(q.host).and_then(|p| p.get(q));
-        exact.or_else(|| self.wild(q)).or_else(|| self.any.get(q))
+impl HostTable {
+    fn get(&self, query: &Query) -> Option<usize> {
+        self.by_host
+            .get(query.host)
+            .and_then(|paths| paths.get(query))
+            .or_else(|| self.get_by_parent(query))
+            .or_else(|| self.any_host.get(query))
     }
 
-    fn wild(&self, q: &Query) -> Option<usize> {
-        if self.below.is_empty() {
+    /// The route of the longest parent domain that has one.
+    fn get_by_parent(&self, query: &Query) -> Option<usize> {
+        if self.by_parent.is_empty() {
             return None;
         }
-        let suffixes = q
+        query
             .host
             .match_indices('.')
-            .filter_map(|(at, _)| q.host.get(at + 1..));
-        suffixes
-            .filter_map(|name| self.below.get(name))
-            .find_map(|p| p.get(q))
+            .filter_map(|(offset, _)| query.host.get(offset + 1..))
+            .filter_map(|parent| self.by_parent.get(parent))
+            .find_map(|paths| paths.get(query))
     }
 
-    fn paths(&mut self, host: &Host) -> &mut Paths {
+    fn paths(&mut self, host: &Host) -> &mut PathTable {
         match host {
-            Host::Any => &mut self.any,
-            Host::Exact(name) => self.exact.entry(name.clone()).or_default(),
-            Host::Below(name) => self.below.entry(name.clone()).or_default(),
+            Host::Any => &mut self.any_host,
+            Host::Exact(name) => self.by_host.entry(name.clone()).or_default(),
+            Host::Below(name) => self.by_parent.entry(name.clone()).or_default(),
         }
     }
 }
 
-/// All routes, ready for look-ups.
+/// All routes of a configuration.
 #[derive(Debug, Default)]
 pub struct Table {
-    by_listener: HashMap<ListenerId, Hosts>,
-    any_listener: Hosts,
+    by_listener: HashMap<ListenerId, HostTable>,
+    any_listener: HostTable,
 }
 
 impl Table {
-    /// Makes a table; routes are known by their places in the list.
+    /// Makes a table. Look-ups return the index of a route in `routes`.
     ///
     /// # Errors
-    /// Names two routes that can't be told apart.
-    pub fn new<'a>(routes: impl IntoIterator<Item = &'a Match>) -> Result<Table, Ambiguous> {
+    /// If two routes are ambiguous.
+    pub fn new<'a>(routes: impl IntoIterator<Item = &'a Match>) -> Result<Table, AmbiguousRoutes> {
         let mut table = Table::default();
-        for (n, route) in routes.into_iter().enumerate() {
-            table
-                .add(n, route)
-                .map_err(|first| Ambiguous { first, second: n })?;
+        for (index, route) in routes.into_iter().enumerate() {
+            table.insert(index, route)?;
         }
         Ok(table)
     }
 
-    fn add(&mut self, n: usize, route: &Match) -> Result<(), usize> {
+    fn insert(&mut self, index: usize, route: &Match) -> Result<(), AmbiguousRoutes> {
         let hosts = match route.listener {
             Some(listener) => self.by_listener.entry(listener).or_default(),
             None => &mut self.any_listener,
         };
         let paths = hosts.paths(&route.host);
-        paths.depth = paths.depth.max(route.path.matches('/').count());
-        let leaf = paths.leaves.entry(route.path.clone()).or_default();
+        let segments = route.path.matches('/').count();
+        paths.max_segments = paths.max_segments.max(segments);
+        let methods = paths.by_prefix.entry(route.path.clone()).or_default();
         let class = route.class.as_deref();
-        if route.methods.is_empty() {
-            return leaf.any_method.put(class, n).map_or(Ok(()), Err);
-        }
-        for method in &route.methods {
-            if let Some(old) = leaf
-                .by_method
-                .entry(method.clone())
-                .or_default()
-                .put(class, n)
-            {
-                return Err(old);
-            }
+        let replaced = if route.methods.is_empty() {
+            methods.any_method.insert(class, index)
+        } else {
+            route.methods.iter().find_map(|method| {
+                let classes = methods.by_method.entry(method.clone()).or_default();
+                classes.insert(class, index)
+            })
+        };
+        match replaced {
+            Some(first) => Err(AmbiguousRoutes {
+                first,
+                second: index,
+            }),
+            None => Ok(()),
         }
-        Ok(())
     }
 
     /// The route of a request.
-    pub fn get(&self, q: &Query) -> Option<usize> {
-        let own = self.by_listener.get(&q.listener).and_then(|h| h.get(q));
-        own.or_else(|| self.any_listener.get(q))
+    pub fn get(&self, query: &Query) -> Option<usize> {
+        self.by_listener
+            .get(&query.listener)
+            .and_then(|hosts| hosts.get(query))
+            .or_else(|| self.any_listener.get(query))
     }
 }
--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -1,4 +1,4 @@
-//! Reads the target of a request, or says why two readers could read it differently.
+//! Validates the target of a request: its host and its path have to mean the same to every implementation.
 //!
 //! Sources: RFC 9112 section 3.2 (request target and `Host`), RFC 9110 section 4.2.4 (no user information),
 //! RFC 3986 sections 3.2, 3.3 and 6.2.2 (authority, path, equivalence).
@@ -6,31 +6,34 @@
 use std::borrow::Cow;
 use thiserror::Error;
 
-/// Longest host name, in bytes (RFC 1035 section 2.3.4, without the root).
-pub const HOST_MOST: usize = 253;
+/// Maximum length of a host name, in bytes (RFC 1035 section 2.3.4, without the root).
+pub const MAX_HOST_LEN: usize = 253;
 
-/// Why a request's target is refused.
+/// Maximum length of a label of a host name, in bytes (RFC 1035 section 2.3.4).
+const MAX_LABEL_LEN: usize = 63;
+
+/// Why the target of a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
-    /// There is no `Host` (RFC 9112 section 3.2).
+pub enum TargetError {
+    /// There is no header `Host` (RFC 9112 section 3.2).
     #[error("no Host")]
     NoHost,
-    /// There are several (RFC 9112 section 3.2).
+    /// There are several headers `Host` (RFC 9112 section 3.2).
     #[error("more than one Host")]
     SeveralHosts,
-    /// It names nobody.
+    /// The host is empty.
     #[error("an empty Host")]
     EmptyHost,
-    /// It is no host name or address, or ends in a dot.
+    /// The host is no name or address, or ends in a dot.
     #[error("Host is no name or address")]
     BadHost,
-    /// Its port is no port.
+    /// The port is no port number.
     #[error("the port is none")]
     BadPort,
-    /// User information before the host (RFC 9110 section 4.2.4).
+    /// There is user information before the host (RFC 9110 section 4.2.4).
     #[error("user information in the authority")]
     UserInfo,
-    /// An absolute target of a scheme that is not served here.
+    /// The scheme of the absolute target is not supported.
     #[error("the scheme is not served here")]
     Scheme,
     /// The absolute target and `Host` name different hosts.
@@ -45,10 +48,10 @@
     /// An empty segment inside the path.
     #[error("an empty segment in the path")]
     EmptySegment,
-    /// `%2f`, `%5c` or a backslash: a separator to some readers.
+    /// `%2f`, `%5c` or a backslash, which some implementations take for a separator.
     #[error("a hidden separator in the path")]
     HiddenSeparator,
-    /// An escape of a character that needs none, so that some readers undo it (RFC 3986 section 6.2.2.2).
+    /// An escape of an unreserved character, which some implementations decode (RFC 3986 section 6.2.2.2).
     #[error("a needless escape in the path")]
     NeedlessEscape,
     /// `%` without two hexadecimal digits.
@@ -59,16 +62,16 @@
     BadCharacter,
 }
 
-/// A target that can be read in one way only.
+/// A valid target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target<'a> {
     /// The host in lower case, without its port.
     pub host: Cow<'a, str>,
-    /// The path, as it came.
+    /// The path, unchanged.
     pub path: &'a str,
 }
 
-/// What a request says of its target.
+/// The target of a request as it was received.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Said<'a> {
     /// The scheme of an absolute target.
@@ -77,86 +80,71 @@
     pub authority: Option<&'a str>,
     /// The path, without its query.
     pub path: &'a str,
-    /// The first `Host`.
+    /// The first header `Host`.
     pub host: Option<&'a [u8]>,
-    /// There is a second one.
+    /// Whether there is another one.
     pub more_hosts: bool,
 }
 
-/// Reads a target.
+/// Validates a target.
 ///
-/// Guards against requests that this node and the server behind it could take for different ones: a path that one
-/// of them normalises, a host that one of them reads elsewhere. What has two readings is refused rather than
-/// normalised, since what is passed on goes on as it came. It ought to catch readings not thought of, as only plain
-/// characters pass. Harm: a client that escapes what needs none, or ends a host in a dot, has to stop doing so.
+/// Requests are forwarded unchanged, so a target that this node and a server could interpret differently is rejected
+/// rather than normalized.
 ///
 /// # Errors
-/// The first [`Fault`] found; the caller answers 400.
-pub fn read<'a>(said: Said<'a>) -> Result<Target<'a>, Fault> {
-    if said.more_hosts {
-        return Err(Fault::SeveralHosts);
+/// The first [`TargetError`]; the caller responds with 400.
+pub fn read<'a>(received: Said<'a>) -> Result<Target<'a>, TargetError> {
+    if received.more_hosts {
+        return Err(TargetError::SeveralHosts);
     }
-    let named = std::str::from_utf8(said.host.ok_or(Fault::NoHost)?).map_err(|_| Fault::BadHost)?;
-    let named = named.trim_matches([' ', '\t']);
-    if said.scheme.is_some_and(|s| !s.eq_ignore_ascii_case("http")) {
-        return Err(Fault::Scheme);
+    let host_header = std::str::from_utf8(received.host.ok_or(TargetError::NoHost)?)
+        .map_err(|_| TargetError::BadHost)?;
+    let host_header = host_header.trim_matches([' ', '\t']);
+    if received
+        .scheme
+        .is_some_and(|s| !s.eq_ignore_ascii_case("http"))
+    {
+        return Err(TargetError::Scheme);
     }
-    let host = host(named)?;
-    if let Some(authority) = said.authority {
-        // RFC 9112 section 3.2.2 lets the target win; a reader that does not know that would take the header.
-        if !authority.eq_ignore_ascii_case(named) {
-            // Worse faults are named first.
+    let host = host(host_header)?;
+    if let Some(authority) = received.authority {
+        // By RFC 9112 section 3.2.2 the target takes precedence, but not every implementation knows that.
+        if !authority.eq_ignore_ascii_case(host_header) {
+            // An invalid authority is the more specific error.
             self::host(authority)?;
-            return Err(Fault::HostDiffers);
+            return Err(TargetError::HostDiffers);
         }
     }
-    path(said.path)?;
+    path(received.path)?;
     Ok(Target {
         host,
-        path: said.path,
+        path: received.path,
     })
 }
 
 /// The host of an authority, in lower case.
 ///
 /// # Errors
-/// Says what is no host or port.
-pub fn host(authority: &str) -> Result<Cow<'_, str>, Fault> {
+/// If host or port is invalid.
+pub fn host(authority: &str) -> Result<Cow<'_, str>, TargetError> {
     if authority.contains('@') {
-        return Err(Fault::UserInfo);
+        return Err(TargetError::UserInfo);
     }
     if authority.is_empty() {
-        return Err(Fault::EmptyHost);
+        return Err(TargetError::EmptyHost);
     }
-    let (name, port) = match authority.strip_prefix('[') {
-        Some(rest) => {
-            let (inside, behind) = rest.split_once(']').ok_or(Fault::BadHost)?;
-            inside
-                .parse::<std::net::Ipv6Addr>()
-                .map_err(|_| Fault::BadHost)?;
-            let name = &authority[..inside.len() + 2];
-            match behind.strip_prefix(':') {
-                Some(port) => (name, Some(port)),
-                None if behind.is_empty() => (name, None),
-                None => return Err(Fault::BadHost),
-            }
-        }
-        None => match authority.split_once(':') {
-            Some((name, port)) => (name, Some(port)),
-            None => (authority, None),
-        },
-    };
+    let Authority { name, port } = split_port(authority)?;
     if let Some(port) = port {
-        let digits = !port.is_empty() && port.bytes().all(|b| b.is_ascii_digit());
-        if !digits || port.parse::<u16>().is_err() {
-            return Err(Fault::BadPort);
+        let is_number = !port.is_empty() && port.bytes().all(|b| b.is_ascii_digit());
+        if !is_number || port.parse::<u16>().is_err() {
+            return Err(TargetError::BadPort);
         }
     }
     if name.is_empty() {
-        return Err(Fault::EmptyHost);
+        return Err(TargetError::EmptyHost);
     }
     if !name.starts_with('[') && !is_name(name) {
-        return Err(Fault::BadHost);
+        return Err(TargetError::BadHost);
     }
     Ok(if name.bytes().any(|b| b.is_ascii_uppercase()) {
         Cow::Owned(name.to_ascii_lowercase())
@@ -165,75 +153,128 @@
     })
 }
 
+/// An authority in its parts, which are not validated yet; an IPv6 address keeps its brackets and is valid.
+struct Authority<'a> {
+    name: &'a str,
+    port: Option<&'a str>,
+}
+
+fn split_port(authority: &str) -> Result<Authority<'_>, TargetError> {
+    let Some(rest) = authority.strip_prefix('[') else {
+        return Ok(match authority.split_once(':') {
+            Some((name, port)) => Authority {
+                name,
+                port: Some(port),
+            },
+            None => Authority {
+                name: authority,
+                port: None,
+            },
+        });
+    };
+    let (address, behind) = rest.split_once(']').ok_or(TargetError::BadHost)?;
+    address
+        .parse::<std::net::Ipv6Addr>()
+        .map_err(|_| TargetError::BadHost)?;
+    let name = &authority[..address.len() + 2];
+    match behind.strip_prefix(':') {
+        Some(port) => Ok(Authority {
+            name,
+            port: Some(port),
+        }),
+        None if behind.is_empty() => Ok(Authority { name, port: None }),
+        None => Err(TargetError::BadHost),
+    }
+}
+
 /// Whether a text is a host name or an IPv4 address: labels of letters, digits, `-` and `_`.
 pub fn is_name(text: &str) -> bool {
-    let label = |l: &str| {
-        !l.is_empty()
-            && l.len() <= 63
-            && l.bytes()
+    let is_label = |label: &str| {
+        !label.is_empty()
+            && label.len() <= MAX_LABEL_LEN
+            && label
+                .bytes()
                 .all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_')
     };
-    text.len() <= HOST_MOST && text.split('.').all(label)
+    text.len() <= MAX_HOST_LEN && text.split('.').all(is_label)
 }
 
-/// Checks a path that goes on as it came.
+/// Validates a path.
 ///
 /// # Errors
-/// Says how it could be read differently.
-pub fn path(path: &str) -> Result<(), Fault> {
-    let rest = path.strip_prefix('/').ok_or(Fault::NoPath)?;
+/// How it could be interpreted differently.
+pub fn path(path: &str) -> Result<(), TargetError> {
+    let rest = path.strip_prefix('/').ok_or(TargetError::NoPath)?;
     let last = rest.split('/').count() - 1;
-    for (n, segment) in rest.split('/').enumerate() {
-        if segment.is_empty() && n < last {
-            return Err(Fault::EmptySegment);
+    for (index, segment) in rest.split('/').enumerate() {
+        if segment.is_empty() && index < last {
+            return Err(TargetError::EmptySegment);
         }
         check_segment(segment)?;
     }
     Ok(())
 }
 
-fn check_segment(segment: &str) -> Result<(), Fault> {
+/// Validates a segment of a path.
+fn check_segment(segment: &str) -> Result<(), TargetError> {
     let mut bytes = segment.bytes();
-    let (mut dots, mut others, mut parameters, mut needless) = (0, 0, false, false);
+    let (mut dots, mut others) = (0, 0);
+    let (mut has_parameters, mut has_needless_escape) = (false, false);
     while let Some(byte) = bytes.next() {
-        let read = match byte {
+        let decoded = match byte {
             b'%' => {
-                let high = bytes.next().and_then(hex).ok_or(Fault::BadEscape)?;
-                let low = bytes.next().and_then(hex).ok_or(Fault::BadEscape)?;
-                let read = high * 16 + low;
-                if matches!(read, b'/' | b'\\') {
-                    return Err(Fault::HiddenSeparator);
-                }
-                if read.is_ascii_control() {
-                    return Err(Fault::BadCharacter);
-                }
-                needless |=
-                    read.is_ascii_alphanumeric() || matches!(read, b'-' | b'.' | b'_' | b'~');
-                read
+                let decoded = decode_escape(&mut bytes)?;
+                has_needless_escape |= is_unreserved(decoded);
+                decoded
             }
-            b'\\' => return Err(Fault::HiddenSeparator),
+            b'\\' => return Err(TargetError::HiddenSeparator),
             _ if byte.is_ascii_control() || !byte.is_ascii() || byte == b' ' => {
-                return Err(Fault::BadCharacter)
+                return Err(TargetError::BadCharacter)
             }
             _ => byte,
         };
-        // Some servers cut a segment at `;`, so that `..;` becomes `..` behind the check.
-        parameters |= read == b';';
-        match read {
-            _ if parameters => {}
+        // Some servers cut a segment at `;` after their check, so that `..;` becomes `..`.
+        has_parameters |= decoded == b';';
+        match decoded {
+            _ if has_parameters => {}
             b'.' => dots += 1,
             _ => others += 1,
         }
     }
     if others == 0 && (dots == 1 || dots == 2) {
-        return Err(Fault::DotSegment);
+        return Err(TargetError::DotSegment);
     }
-    if needless {
-        return Err(Fault::NeedlessEscape);
+    if has_needless_escape {
+        return Err(TargetError::NeedlessEscape);
     }
     Ok(())
 }
 
-fn hex(byte: u8) -> Option<u8> {
-    char::from(byte).to_digit(16).map(|d| d as u8)
+/// Decodes the two digits behind a `%`.
+fn decode_escape(bytes: &mut std::str::Bytes) -> Result<u8, TargetError> {
+    let high = bytes
+        .next()
+        .and_then(hex_digit)
+        .ok_or(TargetError::BadEscape)?;
+    let low = bytes
+        .next()
+        .and_then(hex_digit)
+        .ok_or(TargetError::BadEscape)?;
+    let decoded = high * 16 + low;
+    if matches!(decoded, b'/' | b'\\') {
+        return Err(TargetError::HiddenSeparator);
+    }
+    if decoded.is_ascii_control() {
+        return Err(TargetError::BadCharacter);
+    }
+    Ok(decoded)
+}
+
+/// Whether a character never needs an escape (RFC 3986 section 2.3).
+fn is_unreserved(byte: u8) -> bool {
+    byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'.' | b'_' | b'~')
+}
+
+fn hex_digit(byte: u8) -> Option<u8> {
+    char::from(byte).to_digit(16).map(|digit| digit as u8)
 }
--- a/crates/routing/tests/budget.rs
+++ b/crates/routing/tests/budget.rs
@@ -1,213 +1,216 @@
-//! A budget keeps its sums as its parties change. What it grants is compared with a reference that walks all parties for
-//! each answer, and the cost of a change is held against the number of parties.
+//! A budget keeps its sums as its consumers change. What it grants is compared with a reference that walks all consumers for
+//! each answer, and the cost of a change is held against the number of consumers.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_routing::budget::{Budget, Denied, Party, Share, CLAIM_LASTS};
+use reelfall_routing::budget::{Budget, ConsumerId, Denied, Quota, CLAIM_TTL};
 use std::time::{Duration, Instant};
 
-/// A party of the reference.
-struct WalkedParty {
-    share: Share,
+/// A consumer of the reference.
+struct ReferenceConsumer {
+    quota: Quota,
     used: u64,
-    claimed: Option<f64>,
-    left: bool,
+    claimed_at: Option<f64>,
+    is_removed: bool,
 }
 
-/// The same promises as [`Budget`], with every sum taken by a walk over all parties.
-struct WalkedBudget {
+/// The same promises as [`Budget`], with every sum computed by a walk over all consumers.
+struct ReferenceBudget {
     total: u64,
-    parties: Vec<WalkedParty>,
+    consumers: Vec<ReferenceConsumer>,
 }
 
-impl WalkedBudget {
-    fn add(&mut self, share: Share) -> usize {
-        self.parties.push(WalkedParty {
-            share,
+impl ReferenceBudget {
+    fn add(&mut self, quota: Quota) -> usize {
+        self.consumers.push(ReferenceConsumer {
+            quota,
             used: 0,
-            claimed: None,
-            left: false,
+            claimed_at: None,
+            is_removed: false,
         });
-        self.parties.len() - 1
+        self.consumers.len() - 1
     }
 
-    fn set(&mut self, party: usize, share: Share) {
-        let party = &mut self.parties[party];
-        if !party.left {
-            party.share = share;
-            party.claimed = None;
+    fn set(&mut self, consumer: usize, quota: Quota) {
+        let consumer = &mut self.consumers[consumer];
+        if !consumer.is_removed {
+            consumer.quota = quota;
+            consumer.claimed_at = None;
         }
     }
 
-    fn remove(&mut self, party: usize) {
-        let party = &mut self.parties[party];
-        party.share = Share {
-            reserve: 0,
-            most: 0,
+    fn remove(&mut self, consumer: usize) {
+        let consumer = &mut self.consumers[consumer];
+        consumer.quota = Quota {
+            reserved: 0,
+            max: 0,
             weight: 0,
         };
-        party.claimed = None;
-        party.left = true;
+        consumer.claimed_at = None;
+        consumer.is_removed = true;
     }
 
-    fn give(&mut self, party: usize, n: u64) {
-        let party = &mut self.parties[party];
-        party.used = party.used.saturating_sub(n);
+    fn release(&mut self, consumer: usize, n: u64) {
+        let consumer = &mut self.consumers[consumer];
+        consumer.used = consumer.used.saturating_sub(n);
     }
 
-    fn sum(&self, of: impl Fn(&WalkedParty) -> u64) -> u64 {
-        self.parties.iter().map(of).sum()
+    fn sum(&self, of: impl Fn(&ReferenceConsumer) -> u64) -> u64 {
+        self.consumers.iter().map(of).sum()
     }
 
-    fn fair(&self, share: Share) -> u64 {
-        let reserved = self.sum(|p| p.share.reserve);
-        let weights = self.sum(|p| u64::from(p.share.weight)).max(1);
-        share.reserve + self.total.saturating_sub(reserved) * u64::from(share.weight) / weights
+    fn fair_share(&self, quota: Quota) -> u64 {
+        let reserved = self.sum(|p| p.quota.reserved);
+        let weights = self.sum(|p| u64::from(p.quota.weight)).max(1);
+        quota.reserved + self.total.saturating_sub(reserved) * u64::from(quota.weight) / weights
     }
 
-    fn take(&mut self, now: f64, party: usize, n: u64) -> Result<(), Denied> {
-        let WalkedParty {
-            share,
+    fn acquire(&mut self, now: f64, consumer: usize, n: u64) -> Result<(), Denied> {
+        let ReferenceConsumer {
+            quota,
             used: before,
-            left,
+            is_removed,
             ..
-        } = self.parties[party];
+        } = self.consumers[consumer];
         let used = before + n;
-        if used > share.most || left {
+        if used > quota.max || is_removed {
             return Err(Denied::Most);
         }
-        let held_by_others = self.sum(|p| p.used.max(p.share.reserve)) - before.max(share.reserve);
-        let is_over_total = held_by_others + used.max(share.reserve) > self.total;
-        let fair = self.fair(share);
-        let claims = |p: &WalkedParty| p.claimed.is_some_and(|at| now - at < CLAIM_LASTS);
+        let committed_by_others =
+            self.sum(|p| p.used.max(p.quota.reserved)) - before.max(quota.reserved);
+        let is_over_total = committed_by_others + used.max(quota.reserved) > self.total;
+        let fair_share = self.fair_share(quota);
+        let claims = |p: &ReferenceConsumer| p.claimed_at.is_some_and(|at| now - at < CLAIM_TTL);
         let is_claimed = self
-            .parties
+            .consumers
             .iter()
             .enumerate()
-            .any(|(n, p)| n != party && claims(p));
+            .any(|(n, p)| n != consumer && claims(p));
         let taken = match used {
-            _ if used <= share.reserve => Ok(()),
+            _ if used <= quota.reserved => Ok(()),
             _ if is_over_total => Err(Denied::Total),
-            _ if used > fair && is_claimed => Err(Denied::Claimed),
+            _ if used > fair_share && is_claimed => Err(Denied::Claimed),
             _ => Ok(()),
         };
-        let party = &mut self.parties[party];
+        let consumer = &mut self.consumers[consumer];
         match taken {
-            Ok(()) => (party.used, party.claimed) = (used, None),
-            Err(_) if used <= fair => party.claimed = Some(now),
+            Ok(()) => (consumer.used, consumer.claimed_at) = (used, None),
+            Err(_) if used <= fair_share => consumer.claimed_at = Some(now),
             Err(_) => {}
         }
         taken
     }
 }
 
-/// One operation; parties are picked among all that there have been, those that have left included.
+/// One operation; consumers are picked among all that there have been, removed ones included.
 #[derive(Clone, Debug)]
 enum Operation {
-    Add(Share),
-    Set(usize, Share),
+    Add(Quota),
+    Set(usize, Quota),
     Remove(usize),
     SetTotal(u64),
     Take(usize, u64),
     Give(usize, u64),
 }
 
-fn share() -> impl Strategy<Value = Share> {
-    (0..8u64, 0..30u64, 0..4u32).prop_map(|(reserve, more, weight)| Share {
-        reserve,
-        most: reserve + more,
+fn quota() -> impl Strategy<Value = Quota> {
+    (0..8u64, 0..30u64, 0..4u32).prop_map(|(reserved, more, weight)| Quota {
+        reserved,
+        max: reserved + more,
         weight,
     })
 }
 
 fn operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
-        2 => share().prop_map(Operation::Add),
-        1 => (any::<usize>(), share()).prop_map(|(party, share)| Operation::Set(party, share)),
+        2 => quota().prop_map(Operation::Add),
+        1 => (any::<usize>(), quota()).prop_map(|(consumer, quota)| Operation::Set(consumer, quota)),
         1 => any::<usize>().prop_map(Operation::Remove),
         1 => (0..80u64).prop_map(Operation::SetTotal),
-        8 => (any::<usize>(), 1..6u64).prop_map(|(party, n)| Operation::Take(party, n)),
-        5 => (any::<usize>(), 1..8u64).prop_map(|(party, n)| Operation::Give(party, n)),
+        8 => (any::<usize>(), 1..6u64).prop_map(|(consumer, n)| Operation::Take(consumer, n)),
+        5 => (any::<usize>(), 1..8u64).prop_map(|(consumer, n)| Operation::Give(consumer, n)),
     ]
 }
 
 /// A budget and its reference, side by side.
 struct Pair {
-    kept: Budget,
-    walked: WalkedBudget,
-    /// The numbers of each party in both. The budget gives the number of one that is gone to another.
-    parties: Vec<(Party, usize)>,
+    budget: Budget,
+    reference: ReferenceBudget,
+    /// The ids of each consumer in both. The budget reuses the id of one that is gone.
+    consumers: Vec<(ConsumerId, usize)>,
 }
 
 impl Pair {
     fn new(total: u64) -> Pair {
-        let walked = WalkedBudget {
+        let reference = ReferenceBudget {
             total,
-            parties: Vec::new(),
+            consumers: Vec::new(),
         };
         Pair {
-            kept: Budget::new(total),
-            walked,
-            parties: Vec::new(),
+            budget: Budget::new(total),
+            reference,
+            consumers: Vec::new(),
         }
     }
 
-    /// The party that a draw picks. One that is gone for good has no number of its own any more.
-    fn picked(&self, pick: usize) -> Option<(Party, usize)> {
-        let (kept, walked) = *self.parties.get(pick.checked_rem(self.parties.len())?)?;
-        let party = &self.walked.parties[walked];
-        (!party.left || party.used > 0).then_some((kept, walked))
+    /// The consumer that a draw picks. One that is gone has no id of its own any more.
+    fn picked(&self, pick: usize) -> Option<(ConsumerId, usize)> {
+        let (budget, reference) = *self
+            .consumers
+            .get(pick.checked_rem(self.consumers.len())?)?;
+        let consumer = &self.reference.consumers[reference];
+        (!consumer.is_removed || consumer.used > 0).then_some((budget, reference))
     }
 
-    fn carry_out(&mut self, now: f64, operation: &Operation) -> Result<(), TestCaseError> {
+    fn apply(&mut self, now: f64, operation: &Operation) -> Result<(), TestCaseError> {
         match *operation {
-            Operation::Add(share) => self
-                .parties
-                .push((self.kept.add(share), self.walked.add(share))),
+            Operation::Add(quota) => self
+                .consumers
+                .push((self.budget.add(quota), self.reference.add(quota))),
             Operation::SetTotal(total) => {
-                self.kept.set_total(total);
-                self.walked.total = total;
+                self.budget.set_total(total);
+                self.reference.total = total;
             }
-            Operation::Set(pick, share) => {
-                let Some((kept, walked)) = self.picked(pick) else {
+            Operation::Set(pick, quota) => {
+                let Some((budget, reference)) = self.picked(pick) else {
                     return Ok(());
                 };
-                self.kept.set(kept, share);
-                self.walked.set(walked, share);
+                self.budget.set(budget, quota);
+                self.reference.set(reference, quota);
             }
             Operation::Remove(pick) => {
-                let Some((kept, walked)) = self.picked(pick) else {
+                let Some((budget, reference)) = self.picked(pick) else {
                     return Ok(());
                 };
-                self.kept.remove(kept);
-                self.walked.remove(walked);
+                self.budget.remove(budget);
+                self.reference.remove(reference);
             }
             Operation::Take(pick, n) => {
-                let Some((kept, walked)) = self.picked(pick) else {
+                let Some((budget, reference)) = self.picked(pick) else {
                     return Ok(());
                 };
                 prop_assert_eq!(
-                    self.kept.take(now, kept, n),
-                    self.walked.take(now, walked, n)
+                    self.budget.acquire(now, budget, n),
+                    self.reference.acquire(now, reference, n)
                 );
             }
             Operation::Give(pick, n) => {
-                let Some((kept, walked)) = self.picked(pick) else {
+                let Some((budget, reference)) = self.picked(pick) else {
                     return Ok(());
                 };
-                self.kept.give(kept, n);
-                self.walked.give(walked, n);
+                self.budget.release(budget, n);
+                self.reference.release(reference, n);
             }
         }
         Ok(())
     }
 
     fn compare(&self) -> Result<(), TestCaseError> {
-        prop_assert_eq!(self.kept.used_by_all(), self.walked.sum(|p| p.used));
-        for (kept, walked) in &self.parties {
-            let party = &self.walked.parties[*walked];
-            if !party.left || party.used > 0 {
-                prop_assert_eq!(self.kept.used(*kept), party.used);
+        prop_assert_eq!(self.budget.used_by_all(), self.reference.sum(|p| p.used));
+        for (budget, reference) in &self.consumers {
+            let consumer = &self.reference.consumers[*reference];
+            if !consumer.is_removed || consumer.used > 0 {
+                prop_assert_eq!(self.budget.used(*budget), consumer.used);
             }
         }
         Ok(())
@@ -228,7 +231,7 @@
             let (mut pair, mut now) = (Pair::new(total), 0.0);
             for (after, operation) in &operations {
                 now += after;
-                pair.carry_out(now, operation)?;
+                pair.apply(now, operation)?;
                 pair.compare()?;
             }
             Ok(())
@@ -236,43 +239,43 @@
         .unwrap();
 }
 
-/// With so many parties, a walk over all at each change takes minutes, and keeping the sums takes milliseconds.
-const MANY_PARTIES: usize = 100_000;
+/// With so many consumers, a walk over all at each change takes minutes, and keeping the sums takes milliseconds.
+const MANY_CONSUMERS: usize = 100_000;
 /// Far from both.
-const IN_TIME: Duration = Duration::from_secs(15);
+const MAX_TIME: Duration = Duration::from_secs(15);
 
 #[test]
 fn the_cost_of_a_change_does_not_grow_with_the_number_of_parties() {
     let begun = Instant::now();
-    let in_time = || {
+    let check_time = || {
         assert!(
-            begun.elapsed() < IN_TIME,
-            "each change walks over all parties"
+            begun.elapsed() < MAX_TIME,
+            "each change walks over all consumers"
         )
     };
     let mut budget = Budget::new(u64::MAX);
-    let parties: Vec<Party> = (0..MANY_PARTIES)
+    let consumers: Vec<ConsumerId> = (0..MANY_CONSUMERS)
         .map(|_| {
-            in_time();
-            budget.add(Share::OPEN)
+            check_time();
+            budget.add(Quota::UNLIMITED)
         })
         .collect();
-    for party in &parties {
-        in_time();
+    for consumer in &consumers {
+        check_time();
         budget.set(
-            *party,
-            Share {
-                reserve: 1,
-                ..Share::OPEN
+            *consumer,
+            Quota {
+                reserved: 1,
+                ..Quota::UNLIMITED
             },
         );
     }
-    for party in &parties {
-        in_time();
-        budget.remove(*party);
+    for consumer in &consumers {
+        check_time();
+        budget.remove(*consumer);
     }
-    for _ in &parties {
-        in_time();
-        budget.add(Share::OPEN);
+    for _ in &consumers {
+        check_time();
+        budget.add(Quota::UNLIMITED);
     }
 }
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -2,18 +2,22 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_routing::budget::{Budget, Denied, Misfit, Share, CLAIM_LASTS};
+use reelfall_routing::budget::{Budget, Denied, Quota, QuotaError, CLAIM_TTL};
 use reelfall_routing::limits::{Allowed, Denial, Kind, Limits, Totals};
-use reelfall_routing::rate::Rate;
+use reelfall_routing::rate::{RateLimit, TokenBucket};
 
-fn share(reserve: u64, most: u64) -> Share {
-    Share {
-        reserve,
-        most,
+fn quota(reserved: u64, max: u64) -> Quota {
+    Quota {
+        reserved,
+        max,
         weight: 1,
     }
 }
 
+fn rate_limit(per_second: f64, burst: f64) -> RateLimit {
+    RateLimit { per_second, burst }
+}
+
 #[derive(Clone, Debug)]
 enum Step {
     Take(usize, u64),
@@ -42,33 +46,33 @@
     let steps = prop::collection::vec((0.0..0.4f64, step), 1..200);
     runner()
         .run(&(shares, 0..40u64, steps), |(shares, extra, steps)| {
-            let shares: Vec<Share> = shares
+            let shares: Vec<Quota> = shares
                 .into_iter()
-                .map(|(reserve, more, weight)| Share {
-                    reserve,
-                    most: reserve + more,
+                .map(|(reserved, more, weight)| Quota {
+                    reserved,
+                    max: reserved + more,
                     weight,
                 })
                 .collect();
-            let total = shares.iter().map(|s| s.reserve).sum::<u64>() + extra;
+            let total = shares.iter().map(|s| s.reserved).sum::<u64>() + extra;
             Budget::check(total, shares.iter().copied()).expect("shares that fit");
             let mut budget = Budget::new(total);
-            let parties: Vec<_> = shares.iter().map(|s| budget.add(*s)).collect();
-            let mut held: Vec<Vec<u64>> = vec![vec![]; parties.len()];
+            let consumers: Vec<_> = shares.iter().map(|s| budget.add(*s)).collect();
+            let mut held: Vec<Vec<u64>> = vec![vec![]; consumers.len()];
             let mut now = 0.0;
             for (after, step) in steps {
                 now += after;
                 match step {
                     Step::Take(p, n) => {
-                        let p = p % parties.len();
+                        let p = p % consumers.len();
                         let used: u64 = held[p].iter().sum();
-                        let taken = budget.take(now, parties[p], n);
+                        let taken = budget.acquire(now, consumers[p], n);
                         prop_assert!(
-                            taken.is_ok() || used + n > shares[p].reserve,
+                            taken.is_ok() || used + n > shares[p].reserved,
                             "a reservation was denied"
                         );
                         prop_assert!(
-                            taken.is_err() || used + n <= shares[p].most,
+                            taken.is_err() || used + n <= shares[p].max,
                             "more than the most"
                         );
                         if taken.is_ok() {
@@ -76,10 +80,10 @@
                         }
                     }
                     Step::Give(p, pick) => {
-                        let p = p % parties.len();
+                        let p = p % consumers.len();
                         if !held[p].is_empty() {
                             let at = pick % held[p].len();
-                            budget.give(parties[p], held[p].swap_remove(at));
+                            budget.release(consumers[p], held[p].swap_remove(at));
                         }
                     }
                 }
@@ -88,7 +92,7 @@
                 prop_assert_eq!(all, budget.used_by_all());
             }
             for (p, held) in held.iter_mut().enumerate() {
-                held.drain(..).for_each(|n| budget.give(parties[p], n));
+                held.drain(..).for_each(|n| budget.release(consumers[p], n));
             }
             prop_assert_eq!(budget.used_by_all(), 0);
             // With nothing held, all that a party may have is to be had at once.
@@ -97,11 +101,11 @@
                     .iter()
                     .enumerate()
                     .filter(|(q, _)| *q != p)
-                    .map(|(_, s)| s.reserve)
+                    .map(|(_, s)| s.reserved)
                     .sum();
-                let n = share.most.min(total - others);
-                prop_assert_eq!(budget.take(now + CLAIM_LASTS, parties[p], n), Ok(()));
-                budget.give(parties[p], n);
+                let n = share.max.min(total - others);
+                prop_assert_eq!(budget.acquire(now + CLAIM_TTL, consumers[p], n), Ok(()));
+                budget.release(consumers[p], n);
             }
             Ok(())
         })
@@ -111,62 +115,62 @@
 #[test]
 fn what_is_idle_is_lent_and_comes_back_to_whoever_asks() {
     let mut budget = Budget::new(30);
-    let (a, b) = (budget.add(share(5, 100)), budget.add(share(5, 100)));
+    let (a, b) = (budget.add(quota(5, 100)), budget.add(quota(5, 100)));
     // Twenty units are nobody's; alone, one party has them all, but never the other's reservation.
     for _ in 0..25 {
-        assert_eq!(budget.take(0.0, a, 1), Ok(()));
+        assert_eq!(budget.acquire(0.0, a, 1), Ok(()));
     }
-    assert_eq!(budget.take(0.0, a, 1), Err(Denied::Total));
+    assert_eq!(budget.acquire(0.0, a, 1), Err(Denied::Total));
     // The other's reservation is there at once, and nothing beyond it.
     for _ in 0..5 {
-        assert_eq!(budget.take(1.0, b, 1), Ok(()));
+        assert_eq!(budget.acquire(1.0, b, 1), Ok(()));
     }
-    assert_eq!(budget.take(1.0, b, 1), Err(Denied::Total));
+    assert_eq!(budget.acquire(1.0, b, 1), Err(Denied::Total));
     // From here on what comes back goes to the one that is short of its fair share of fifteen.
     for n in 0..10 {
         let now = 1.0 + f64::from(n) * 0.5;
-        budget.give(a, 1);
+        budget.release(a, 1);
         assert_eq!(
-            budget.take(now, a, 1),
+            budget.acquire(now, a, 1),
             Err(Denied::Claimed),
             "lent again while another waits"
         );
-        assert_eq!(budget.take(now, b, 1), Ok(()));
-        assert_eq!(budget.take(now, b, 1), Err(Denied::Total));
+        assert_eq!(budget.acquire(now, b, 1), Ok(()));
+        assert_eq!(budget.acquire(now, b, 1), Err(Denied::Total));
     }
     assert_eq!((budget.used(a), budget.used(b)), (15, 15));
     // At its fair share it has no claim any more, and a claim that nobody renews lapses.
-    budget.give(b, 10);
-    assert_eq!(budget.take(5.9, a, 1), Ok(()));
+    budget.release(b, 10);
+    assert_eq!(budget.acquire(5.9, a, 1), Ok(()));
 }
 
 #[test]
 fn a_claim_that_is_not_renewed_lapses() {
     let mut budget = Budget::new(10);
-    let (a, b) = (budget.add(Share::OPEN), budget.add(Share::OPEN));
-    assert_eq!(budget.take(0.0, a, 10), Ok(()));
-    assert_eq!(budget.take(0.0, b, 1), Err(Denied::Total));
-    budget.give(a, 1);
-    assert_eq!(budget.take(0.9, a, 1), Err(Denied::Claimed));
-    assert_eq!(budget.take(1.1, a, 1), Ok(()));
+    let (a, b) = (budget.add(Quota::UNLIMITED), budget.add(Quota::UNLIMITED));
+    assert_eq!(budget.acquire(0.0, a, 10), Ok(()));
+    assert_eq!(budget.acquire(0.0, b, 1), Err(Denied::Total));
+    budget.release(a, 1);
+    assert_eq!(budget.acquire(0.9, a, 1), Err(Denied::Claimed));
+    assert_eq!(budget.acquire(1.1, a, 1), Ok(()));
 }
 
 #[test]
 fn a_party_that_left_counts_until_it_has_given_all_back() {
     let mut budget = Budget::new(10);
-    let a = budget.add(share(4, 10));
-    budget.take(0.0, a, 6).unwrap();
+    let a = budget.add(quota(4, 10));
+    budget.acquire(0.0, a, 6).unwrap();
     budget.remove(a);
-    assert_eq!(budget.take(0.0, a, 1), Err(Denied::Most));
-    let b = budget.add(share(4, 10));
+    assert_eq!(budget.acquire(0.0, a, 1), Err(Denied::Most));
+    let b = budget.add(quota(4, 10));
     assert_ne!(a, b, "a place that is still in use was given away");
-    assert_eq!(budget.take(0.0, b, 5), Err(Denied::Total));
-    assert_eq!(budget.take(0.0, b, 4), Ok(()));
-    budget.give(a, 6);
-    assert_eq!(budget.take(0.0, b, 6), Ok(()));
-    budget.give(b, 10);
+    assert_eq!(budget.acquire(0.0, b, 5), Err(Denied::Total));
+    assert_eq!(budget.acquire(0.0, b, 4), Ok(()));
+    budget.release(a, 6);
+    assert_eq!(budget.acquire(0.0, b, 6), Ok(()));
+    budget.release(b, 10);
     assert_eq!(
-        budget.add(share(1, 1)),
+        budget.add(quota(1, 1)),
         a,
         "the places of those who left pile up"
     );
@@ -174,37 +178,37 @@
 
 #[test]
 fn shares_that_do_not_fit_are_named() {
-    let fault = Misfit::Reserved {
+    let fault = QuotaError::OverTotal {
         reserved: 12,
         total: 10,
     };
-    assert_eq!(Budget::check(10, [share(6, 9), share(6, 9)]), Err(fault));
+    assert_eq!(Budget::check(10, [quota(6, 9), quota(6, 9)]), Err(fault));
     assert_eq!(
-        Budget::check(10, [share(6, 5)]),
-        Err(Misfit::OverMost {
-            reserve: 6,
-            most: 5
+        Budget::check(10, [quota(6, 5)]),
+        Err(QuotaError::OverMax {
+            reserved: 6,
+            max: 5
         })
     );
     assert_eq!(
-        Budget::check(u64::MAX, [share(u64::MAX, u64::MAX), share(0, 1)]),
+        Budget::check(u64::MAX, [quota(u64::MAX, u64::MAX), quota(0, 1)]),
         Ok(())
     );
 }
 
 #[test]
 fn a_rate_lets_through_its_burst_and_then_its_figure() {
-    let mut rate = Rate::new(0.0, 10.0, 5.0);
+    let mut rate = TokenBucket::new(0.0, rate_limit(10.0, 5.0));
     let at_once = (0..20).filter(|_| rate.take(0.0).is_ok()).count();
     assert_eq!(at_once, 5);
-    let wait = rate.take(0.0).unwrap_err();
+    let wait = rate.take(0.0).unwrap_err().retry_after;
     assert!((wait - 0.1).abs() < 1e-9, "{wait}");
     let passed = (0..1000)
         .filter(|n| rate.take(f64::from(*n) * 0.01).is_ok())
         .count();
     assert!((99..=100).contains(&passed), "{passed} in ten seconds");
     // A clock that steps back and forth gives nothing away.
-    let mut rate = Rate::new(100.0, 10.0, 1.0);
+    let mut rate = TokenBucket::new(100.0, rate_limit(10.0, 1.0));
     assert!(rate.take(100.0).is_ok());
     let passed = (0..100)
         .filter(|n| rate.take(if n % 2 == 0 { 99.0 } else { 100.05 }).is_ok())
@@ -220,8 +224,8 @@
         memory: 10,
     };
     let allowed = Allowed {
-        rate: Some((1.0, 2.0)),
-        open: share(0, 3),
+        rate: Some(rate_limit(1.0, 2.0)),
+        open: quota(0, 3),
         ..Allowed::OPEN
     };
     let mut limits = Limits::new(totals);
@@ -255,9 +259,9 @@
     let flood = limits.add(
         0.0,
         &Allowed {
-            open: Share {
-                reserve: 40,
-                most: 80,
+            open: Quota {
+                reserved: 40,
+                max: 80,
                 weight: 3,
             },
             ..Allowed::OPEN
@@ -266,7 +270,7 @@
     let rollout = limits.add(
         0.0,
         &Allowed {
-            open: share(20, 40),
+            open: quota(20, 40),
             ..Allowed::OPEN
         },
     );
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_routing::table::{prefix, Ambiguous, Host, Match, PatternFault, Query, Table};
+use reelfall_routing::table::{prefix, AmbiguousRoutes, Host, Match, PatternError, Query, Table};
 
 /// The rules of precedence, read off their text: everything stated must match, and the parts are compared in order.
 fn naive(routes: &[Match], q: &Query) -> Option<usize> {
@@ -121,7 +121,7 @@
             let table = Table::new(&routes);
             // One pair is named; it is a pair that can't be told apart, and none is overlooked.
             let routes: Vec<Match> = match (table, first) {
-                (Err(Ambiguous { first, second }), Some((_, n))) => {
+                (Err(AmbiguousRoutes { first, second }), Some((_, n))) => {
                     assert!(
                         alike(&routes[first], &routes[second]),
                         "{} and {}",
@@ -201,7 +201,7 @@
     assert_eq!(at("/"), Some(2));
     assert_eq!(
         Table::new(&[one("a", "/x"), one("a", "/x/")]).unwrap_err(),
-        Ambiguous {
+        AmbiguousRoutes {
             first: 0,
             second: 1
         }
@@ -230,13 +230,13 @@
     for bad in [
         "", "a b", "*.", "*a", "a.*", "a:80", "a.", "**", "*.*", "http://a",
     ] {
-        assert_eq!(Host::read(bad), Err(PatternFault::Host), "{bad}");
+        assert_eq!(Host::read(bad), Err(PatternError::Host), "{bad}");
     }
     assert_eq!(
         Host::read("*.Example.ORG"),
         Ok(Host::Below("example.org".into()))
     );
     for bad in ["", "api", "/a//b", "/../a", "/%61", "/a b", "/a%2fb"] {
-        assert_eq!(prefix(bad), Err(PatternFault::Path), "{bad}");
+        assert_eq!(prefix(bad), Err(PatternError::Path), "{bad}");
     }
 }
--- a/crates/routing/tests/target.rs
+++ b/crates/routing/tests/target.rs
@@ -1,6 +1,6 @@
 //! Targets that two readers could take for different ones, each with what is said of it.
 
-use reelfall_routing::target::{host, path, read, Fault, Said};
+use reelfall_routing::target::{host, path, read, Said, TargetError};
 
 fn said<'a>(path: &'a str, host: Option<&'a str>) -> Said<'a> {
     Said {
@@ -46,43 +46,43 @@
 #[test]
 fn a_host_that_can_be_read_two_ways_is_refused() {
     for (given, fault) in [
-        ("", Fault::EmptyHost),
-        (":80", Fault::EmptyHost),
-        ("user@flags.example.org", Fault::UserInfo),
-        ("flags.example.org@admin.example.org", Fault::UserInfo),
-        ("flags.example.org:", Fault::BadPort),
-        ("flags.example.org:port", Fault::BadPort),
-        ("flags.example.org:+80", Fault::BadPort),
-        ("flags.example.org:99999", Fault::BadPort),
-        ("flags.example.org:80:80", Fault::BadPort),
-        ("flags.example.org.", Fault::BadHost),
-        (".example.org", Fault::BadHost),
-        ("flags..org", Fault::BadHost),
-        ("flags.example.org,admin.example.org", Fault::BadHost),
-        ("flags.example.org/admin", Fault::BadHost),
-        ("flags%2eexample.org", Fault::BadHost),
-        ("flags example", Fault::BadHost),
-        ("[::1", Fault::BadHost),
-        ("[::1]x", Fault::BadHost),
-        ("[nothing]", Fault::BadHost),
+        ("", TargetError::EmptyHost),
+        (":80", TargetError::EmptyHost),
+        ("user@flags.example.org", TargetError::UserInfo),
+        ("flags.example.org@admin.example.org", TargetError::UserInfo),
+        ("flags.example.org:", TargetError::BadPort),
+        ("flags.example.org:port", TargetError::BadPort),
+        ("flags.example.org:+80", TargetError::BadPort),
+        ("flags.example.org:99999", TargetError::BadPort),
+        ("flags.example.org:80:80", TargetError::BadPort),
+        ("flags.example.org.", TargetError::BadHost),
+        (".example.org", TargetError::BadHost),
+        ("flags..org", TargetError::BadHost),
+        ("flags.example.org,admin.example.org", TargetError::BadHost),
+        ("flags.example.org/admin", TargetError::BadHost),
+        ("flags%2eexample.org", TargetError::BadHost),
+        ("flags example", TargetError::BadHost),
+        ("[::1", TargetError::BadHost),
+        ("[::1]x", TargetError::BadHost),
+        ("[nothing]", TargetError::BadHost),
     ] {
         assert_eq!(host(given), Err(fault), "{given}");
     }
-    assert_eq!(host(&"a".repeat(300)), Err(Fault::BadHost));
-    assert_eq!(read(said("/", None)), Err(Fault::NoHost));
+    assert_eq!(host(&"a".repeat(300)), Err(TargetError::BadHost));
+    assert_eq!(read(said("/", None)), Err(TargetError::NoHost));
     assert_eq!(
         read(Said {
             more_hosts: true,
             ..said("/", Some("a"))
         }),
-        Err(Fault::SeveralHosts)
+        Err(TargetError::SeveralHosts)
     );
     assert_eq!(
         read(Said {
             host: Some(b"fl\xe4gs"),
             ..said("/", None)
         }),
-        Err(Fault::BadHost)
+        Err(TargetError::BadHost)
     );
 }
 
@@ -106,59 +106,59 @@
     );
     assert_eq!(
         absolute("http", "admin.example.org", "flags.example.org"),
-        Err(Fault::HostDiffers)
+        Err(TargetError::HostDiffers)
     );
     assert_eq!(
         absolute("http", "flags.example.org:81", "flags.example.org"),
-        Err(Fault::HostDiffers)
+        Err(TargetError::HostDiffers)
     );
     assert_eq!(
         absolute("http", "u@flags.example.org", "flags.example.org"),
-        Err(Fault::UserInfo)
+        Err(TargetError::UserInfo)
     );
     assert_eq!(
         absolute("ftp", "flags.example.org", "flags.example.org"),
-        Err(Fault::Scheme)
+        Err(TargetError::Scheme)
     );
     assert_eq!(
         absolute("http", "flags.example.org", ""),
-        Err(Fault::EmptyHost)
+        Err(TargetError::EmptyHost)
     );
 }
 
 #[test]
 fn a_path_that_can_be_read_two_ways_is_refused() {
     for (given, fault) in [
-        ("", Fault::NoPath),
-        ("api", Fault::NoPath),
-        ("*", Fault::NoPath),
-        ("/a/./b", Fault::DotSegment),
-        ("/a/../b", Fault::DotSegment),
-        ("/..", Fault::DotSegment),
-        ("/a/.", Fault::DotSegment),
-        ("/a/%2e%2e/b", Fault::DotSegment),
-        ("/a/%2E./b", Fault::DotSegment),
-        ("/a/.%2e", Fault::DotSegment),
-        ("/a/..;/b", Fault::DotSegment),
-        ("/a/..;x=1/b", Fault::DotSegment),
-        ("/a/..%3bx/b", Fault::DotSegment),
-        ("/a//b", Fault::EmptySegment),
-        ("//b", Fault::EmptySegment),
-        ("/a//", Fault::EmptySegment),
-        ("/a%2fb", Fault::HiddenSeparator),
-        ("/a%2Fb", Fault::HiddenSeparator),
-        ("/a%5cb", Fault::HiddenSeparator),
-        ("/a\\b", Fault::HiddenSeparator),
-        ("/%61dmin", Fault::NeedlessEscape),
-        ("/a%2Db", Fault::NeedlessEscape),
-        ("/a%", Fault::BadEscape),
-        ("/a%2", Fault::BadEscape),
-        ("/a%zz", Fault::BadEscape),
-        ("/a%/b", Fault::BadEscape),
-        ("/a%00b", Fault::BadCharacter),
-        ("/a%0d%0ab", Fault::BadCharacter),
-        ("/a\u{7f}", Fault::BadCharacter),
-        ("/é", Fault::BadCharacter),
+        ("", TargetError::NoPath),
+        ("api", TargetError::NoPath),
+        ("*", TargetError::NoPath),
+        ("/a/./b", TargetError::DotSegment),
+        ("/a/../b", TargetError::DotSegment),
+        ("/..", TargetError::DotSegment),
+        ("/a/.", TargetError::DotSegment),
+        ("/a/%2e%2e/b", TargetError::DotSegment),
+        ("/a/%2E./b", TargetError::DotSegment),
+        ("/a/.%2e", TargetError::DotSegment),
+        ("/a/..;/b", TargetError::DotSegment),
+        ("/a/..;x=1/b", TargetError::DotSegment),
+        ("/a/..%3bx/b", TargetError::DotSegment),
+        ("/a//b", TargetError::EmptySegment),
+        ("//b", TargetError::EmptySegment),
+        ("/a//", TargetError::EmptySegment),
+        ("/a%2fb", TargetError::HiddenSeparator),
+        ("/a%2Fb", TargetError::HiddenSeparator),
+        ("/a%5cb", TargetError::HiddenSeparator),
+        ("/a\\b", TargetError::HiddenSeparator),
+        ("/%61dmin", TargetError::NeedlessEscape),
+        ("/a%2Db", TargetError::NeedlessEscape),
+        ("/a%", TargetError::BadEscape),
+        ("/a%2", TargetError::BadEscape),
+        ("/a%zz", TargetError::BadEscape),
+        ("/a%/b", TargetError::BadEscape),
+        ("/a%00b", TargetError::BadCharacter),
+        ("/a%0d%0ab", TargetError::BadCharacter),
+        ("/a\u{7f}", TargetError::BadCharacter),
+        ("/é", TargetError::BadCharacter),
     ] {
         assert_eq!(path(given), Err(fault), "{given}");
     }
