--- a/crates/gateway/src/forwarded.rs
+++ b/crates/gateway/src/forwarded.rs
@@ -1,16 +1,16 @@
-//! The origin's side of a forwarded request.
+//! A forwarded request at its origin: when to query its status, and how it ends.
 
 use crate::ticket::TicketStatus;
 use crate::Millis;
 
-/// How a forwarded request has ended.
+/// The result of a forwarded request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ForwardResult<A> {
-    /// With this answer.
+    /// The peer responded.
     Answered(A),
-    /// It never ran at the peer, and never will: it may run here, or be refused.
+    /// It never ran at the peer, and never will: the origin may run or reject it.
     NeverRan,
-    /// It may have run: it fails, and never runs again.
+    /// It may have run: it fails, and must not be retried.
     MayHaveRun,
 }
 
@@ -27,16 +27,16 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum State {
-    /// It was offered, and the link works.
+    /// It was offered, and the link has not failed.
     Offered,
-    /// The link has failed. The status was queried, and is queried again at `next_query`.
+    /// The link has failed. The status was queried, and will be queried again at `next_query`.
     Querying {
         next_query: Millis,
     },
     Ended,
 }
 
-/// A request that was forwarded, at its origin.
+/// A forwarded request at its origin.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ForwardedRequest {
     /// The incarnation of the peer that it was offered to; queries have to name it.
@@ -47,8 +47,8 @@
 }
 
 impl ForwardedRequest {
-    /// A request that has just been offered. Its client is answered by `deadline`; queries are repeated every
-    /// `query_interval`.
+    /// A request that has just been offered. It ends at `deadline` at the latest; after a failure of the link, its status
+    /// is queried every `query_interval`.
     pub fn new(offered_to: u64, deadline: Millis, query_interval: Millis) -> Self {
         ForwardedRequest {
             offered_to,
@@ -63,7 +63,7 @@
         self.state == State::Ended
     }
 
-    /// When [`ForwardedRequest::tick`] has something to do; `None` once it has ended.
+    /// The time of the next [`ForwardedRequest::tick`]; `None` once it has ended.
     pub fn due(&self) -> Option<Millis> {
         match self.state {
             State::Offered => Some(self.deadline),
@@ -72,15 +72,7 @@
         }
     }
 
-    fn finish<A>(&mut self, result: ForwardResult<A>) -> Action<A> {
-        if self.is_ended() {
-            return Action::Wait;
-        }
-        self.state = State::Ended;
-        Action::Finish(result)
-    }
-
-    /// The connection that it was offered over has failed, or was silent for too long.
+    /// Handles a failure or a time-out of the connection over which it was offered.
     pub fn link_failed<A>(&mut self, now: Millis) -> Action<A> {
         match self.state {
             State::Offered => {
@@ -93,20 +85,20 @@
         }
     }
 
-    /// The peer has reported the status: as the answer to the offer, or to a query. `reported_by` is its incarnation.
+    /// Handles the status that the incarnation `reported_by` of the peer sent in response to the offer or to a query.
     pub fn handle_status<A>(&mut self, reported_by: u64, status: TicketStatus<A>) -> Action<A> {
         match status {
-            // Another incarnation knows nothing of it, whatever it reports.
+            // Another incarnation has no record of it, whatever it reports.
             _ if reported_by != self.offered_to => self.finish(ForwardResult::MayHaveRun),
-            TicketStatus::Completed(answer) => self.finish(ForwardResult::Answered(answer)),
+            TicketStatus::Completed(response) => self.finish(ForwardResult::Answered(response)),
             TicketStatus::NeverRan => self.finish(ForwardResult::NeverRan),
             TicketStatus::Failed | TicketStatus::Unknown => self.finish(ForwardResult::MayHaveRun),
-            // The answer comes, or the next query brings it.
+            // The response is still to come, or the next query will return it.
             TicketStatus::InProgress => Action::Wait,
         }
     }
 
-    /// Time has passed.
+    /// Repeats the query, or ends the request at its deadline.
     pub fn tick<A>(&mut self, now: Millis) -> Action<A> {
         match self.state {
             State::Ended => Action::Wait,
@@ -120,4 +112,12 @@
             _ => Action::Wait,
         }
     }
+    /// Ends the request, once.
+    fn finish<A>(&mut self, result: ForwardResult<A>) -> Action<A> {
+        if self.is_ended() {
+            return Action::Wait;
+        }
+        self.state = State::Ended;
+        Action::Finish(result)
+    }
 }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -1,9 +1,9 @@
-//! The peer's side of a forwarded request: it executes each ticket at most once, and answers queries about tickets.
+//! The records of forwarded requests at the peer, which executes each ticket at most once and answers status queries.
 //!
-//! The memory is bounded. For each incarnation of an origin the store has a *floor*: of a ticket below the floor that has no
-//! record, nothing is known any more; a copy of it is not executed, and a query is answered with
-//! [`TicketStatus::Unknown`]. A ticket at or above the floor without a record was certainly never executed. Memory that runs
-//! out raises the floor.
+//! Memory is bounded. For each incarnation of an origin the store has a *floor*: the record of a ticket below it may have
+//! been removed, so that a copy without a record is not executed, and a query is answered with
+//! [`TicketStatus::Unknown`]. A ticket at or above the floor without a record was certainly never executed. Removing a
+//! record raises the floor.
 
 use crate::ticket::{OriginId, Ticket, TicketStatus};
 use crate::Millis;
@@ -30,20 +30,35 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Record<A> {
     state: RecordState<A>,
-    /// The record may be removed then.
+    /// When the record may be removed; requests in progress never expire.
     expires_at: Millis,
 }
 
+impl<A> Record<A> {
+    fn has_ended(&self) -> bool {
+        !matches!(self.state, RecordState::InProgress)
+    }
+}
+
+/// The place of a record in a store.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct RecordKey {
+    node: u32,
+    number: u64,
+}
+
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Origin<A> {
+    /// The latest known incarnation.
     incarnation: u64,
+    /// Tickets below it without a record are unknown.
     floor: u64,
     records: BTreeMap<u64, Record<A>>,
 }
 
-/// The records of all tickets that this incarnation of a peer was offered or asked about, as far as they are kept.
+/// The records of tickets that were offered to this incarnation of a peer, or whose status was queried.
 ///
-/// Bounded by `max_records` and by `retention`; an origin without records takes a few numbers.
+/// Their number is bounded by `max_records`, and their age by `retention`. An origin without records takes constant memory.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TicketStore<A> {
     incarnation: u64,
@@ -54,8 +69,8 @@
 }
 
 impl<A: Clone> TicketStore<A> {
-    /// An empty store. `incarnation` is that of the peer. Records of requests that have ended are kept for `retention` at
-    /// least, unless there would be more than `max_records`; then the oldest of them is removed.
+    /// An empty store. `incarnation` is that of the peer. Records of requests that have ended are retained for `retention`,
+    /// unless there would be more than `max_records`; then the oldest of them is removed.
     pub fn new(incarnation: u64, retention: Millis, max_records: usize) -> Self {
         let max_records = max_records.max(1);
         TicketStore {
@@ -72,8 +87,8 @@
         self.record_count
     }
 
-    /// The records of an origin, if `id` is its latest known incarnation. A later incarnation removes the records of the
-    /// earlier one: nobody asks for them any more, and copies of its requests must not be executed.
+    /// The origin, if `id` is its latest known incarnation. A later incarnation removes the records of the earlier one,
+    /// whose status nobody will query and whose requests must not be executed any more.
     fn origin(&mut self, id: OriginId) -> Option<&mut Origin<A>> {
         let new_origin = || Origin {
             incarnation: id.incarnation,
@@ -88,11 +103,11 @@
         (origin.incarnation == id.incarnation).then_some(origin)
     }
 
-    /// A request has arrived that was offered to the incarnation `offered_to` of this peer.
+    /// Decides on a request that was offered to the incarnation `offered_to` of this peer.
     ///
-    /// Guards against executing a request twice: by a copy that comes late, after its origin was told that it never ran or
-    /// after its record was removed, and by one that was offered to an earlier incarnation. Harm: while as many requests
-    /// are in progress as there may be records, further ones are rejected.
+    /// No request is executed twice: neither a late copy, after its origin received "never ran" or after its record was
+    /// removed, nor a copy that was offered to an earlier incarnation. Requests beyond `max_records` in progress are
+    /// rejected.
     pub fn admit(&mut self, now: Millis, ticket: Ticket, offered_to: u64) -> Admission<A> {
         if offered_to != self.incarnation {
             // The incarnation that it was offered to may have executed it.
@@ -104,11 +119,11 @@
         if self.insert(now, ticket, RecordState::InProgress) {
             return Admission::Execute;
         }
-        // Without a record, and never to be executed: the floor is above it now.
+        // It has no record, but the floor is above it now, so it will never be executed.
         Admission::Reply(TicketStatus::NeverRan)
     }
 
-    /// The status of a ticket; `None` if it is certain that it was never offered or asked about.
+    /// The status of a ticket; `None` if it is certain that it was neither offered nor queried before.
     fn known_status(&mut self, ticket: Ticket) -> Option<TicketStatus<A>> {
         let Some(origin) = self.origin(ticket.origin) else {
             return Some(TicketStatus::Unknown);
@@ -119,15 +134,15 @@
         }
     }
 
-    /// Inserts a record for a new ticket, if there is room. If there is none, the floor rises past the ticket, which fences
-    /// it as well, and all tickets below it without a record. Returns whether there was room.
+    /// Inserts a record for a new ticket and returns whether there was capacity for it. If there was none, the floor rises
+    /// past the ticket, which fences it as well, and all tickets below it without a record.
     fn insert(&mut self, now: Millis, ticket: Ticket, state: RecordState<A>) -> bool {
-        let has_room = self.make_room();
+        let has_capacity = self.ensure_capacity();
         let expires_at = now.saturating_add(self.retention);
         let Some(origin) = self.origin(ticket.origin) else {
             return false;
         };
-        if has_room {
+        if has_capacity {
             origin
                 .records
                 .insert(ticket.number, Record { state, expires_at });
@@ -135,21 +150,21 @@
         } else {
             origin.floor = origin.floor.max(ticket.number + 1);
         }
-        has_room
+        has_capacity
     }
 
-    /// A request that was executed has ended: with an answer, or without one, so that it may have run.
-    pub fn complete(&mut self, now: Millis, ticket: Ticket, answer: Option<A>) {
-        let state = answer.map_or(RecordState::Failed, RecordState::Completed);
+    /// Ends a request that was executed, with a response or without.
+    pub fn complete(&mut self, now: Millis, ticket: Ticket, response: Option<A>) {
+        let state = response.map_or(RecordState::Failed, RecordState::Completed);
         self.end(now, ticket, state);
     }
 
-    /// A request that was admitted is known not to have run after all: this site's module has refused it.
+    /// Ends a request that was admitted but is known not to have run, because this site rejected it.
     pub fn reject(&mut self, now: Millis, ticket: Ticket) {
         self.end(now, ticket, RecordState::Fenced);
     }
 
-    /// Ends a request that is in progress.
+    /// Sets the final state of a request in progress.
     fn end(&mut self, now: Millis, ticket: Ticket, state: RecordState<A>) {
         let expires_at = now.saturating_add(self.retention);
         let Some(origin) = self.origin(ticket.origin) else {
@@ -158,18 +173,17 @@
         let Some(record) = origin.records.get_mut(&ticket.number) else {
             return;
         };
-        if matches!(record.state, RecordState::InProgress) {
+        if !record.has_ended() {
             *record = Record { state, expires_at };
         }
     }
 
-    /// An origin asks for the status of a ticket. One that was never executed never will be from here on.
+    /// The status of a ticket, for its origin. If it was never executed, it is fenced: it never will be.
     pub fn query(&mut self, now: Millis, ticket: Ticket, offered_to: u64) -> TicketStatus<A> {
         if offered_to != self.incarnation {
             return TicketStatus::Unknown;
         }
         self.known_status(ticket).unwrap_or_else(|| {
-            // The fence.
             self.insert(now, ticket, RecordState::Fenced);
             TicketStatus::NeverRan
         })
@@ -179,56 +193,66 @@
         match state {
             RecordState::Fenced => TicketStatus::NeverRan,
             RecordState::InProgress => TicketStatus::InProgress,
-            RecordState::Completed(answer) => TicketStatus::Completed(answer.clone()),
+            RecordState::Completed(response) => TicketStatus::Completed(response.clone()),
             RecordState::Failed => TicketStatus::Failed,
         }
     }
 
-    /// Removes the oldest record of a request that has ended, if there is no room. Returns whether there is room now. Records
-    /// of requests in progress are never removed.
-    fn make_room(&mut self) -> bool {
+    /// Removes the oldest record of a request that has ended, if there is no capacity. Returns whether there is capacity
+    /// now. Records of requests in progress are never removed.
+    fn ensure_capacity(&mut self) -> bool {
         if self.record_count < self.max_records {
             return true;
         }
-        let ended = self.origins.iter().flat_map(|(node, o)| {
-            let ended = o
-                .records
-                .iter()
-                .filter(|(_, r)| !matches!(r.state, RecordState::InProgress));
-            ended.map(move |(number, r)| (r.expires_at, *node, *number))
-        });
-        match ended.min() {
-            Some((_, node, number)) => {
-                self.remove(node, number);
+        let oldest = self
+            .ended_records()
+            .map(|(key, record)| (record.expires_at, key))
+            .min();
+        match oldest {
+            Some((_, key)) => {
+                self.remove(key);
                 true
             }
             None => false,
         }
     }
 
-    fn remove(&mut self, node: u32, number: u64) {
-        if let Some(origin) = self.origins.get_mut(&node) {
-            if origin.records.remove(&number).is_some() {
-                self.record_count -= 1;
-                origin.floor = origin.floor.max(number + 1);
-            }
+    /// All records of requests that have ended.
+    fn ended_records(&self) -> impl Iterator<Item = (RecordKey, &Record<A>)> {
+        self.origins.iter().flat_map(|(node, origin)| {
+            origin
+                .records
+                .iter()
+                .filter(|(_, record)| record.has_ended())
+                .map(|(number, record)| {
+                    let key = RecordKey {
+                        node: *node,
+                        number: *number,
+                    };
+                    (key, record)
+                })
+        })
+    }
+
+    fn remove(&mut self, key: RecordKey) {
+        let Some(origin) = self.origins.get_mut(&key.node) else {
+            return;
+        };
+        if origin.records.remove(&key.number).is_some() {
+            self.record_count -= 1;
+            origin.floor = origin.floor.max(key.number + 1);
         }
     }
 
     /// Removes the records whose retention is over.
     pub fn tick(&mut self, now: Millis) {
-        let expired: Vec<(u32, u64)> = self
-            .origins
-            .iter()
-            .flat_map(|(node, o)| {
-                let expired = o.records.iter().filter(|(_, r)| {
-                    !matches!(r.state, RecordState::InProgress) && r.expires_at <= now
-                });
-                expired.map(move |(number, _)| (*node, *number))
-            })
+        let expired: Vec<RecordKey> = self
+            .ended_records()
+            .filter(|(_, record)| record.expires_at <= now)
+            .map(|(key, _)| key)
             .collect();
-        expired
-            .into_iter()
-            .for_each(|(node, number)| self.remove(node, number));
+        for key in expired {
+            self.remove(key);
+        }
     }
 }
--- a/crates/gateway/tests/ticket.rs
+++ b/crates/gateway/tests/ticket.rs
@@ -52,9 +52,9 @@
     }
 }
 
-/// What the client was told.
+/// What the client received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Told {
+enum Outcome {
     Answer,
     /// It never ran, and a repeat is harmless.
     Refused,
@@ -66,10 +66,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Request {
     forwarded: ForwardedRequest,
-    told: Vec<Told>,
+    outcomes: Vec<Outcome>,
     /// Effects at the peer, and at the origin.
-    at_peer: u8,
-    at_origin: u8,
+    executions_at_peer: u8,
+    executions_at_origin: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -104,7 +104,7 @@
 
 /// Which part is taken out, to see that the checker finds what it guards against.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Without {
+enum Disabled {
     Nothing,
     /// A query leaves no fence.
     Fence,
@@ -118,10 +118,10 @@
     requests: u64,
     max_records: usize,
     /// Whether the origin runs what never ran at the peer, or refuses it.
-    runs_here: bool,
-    without: Without,
+    runs_at_origin: bool,
+    disabled: Disabled,
     /// How often something may be duplicated, the peer restart, and what has ended be forgotten.
-    mishaps: [u8; 3],
+    faults: [u8; 3],
 }
 
 fn ticket(number: u64) -> Ticket {
@@ -143,7 +143,7 @@
         *world.net.entry(message).or_default() += 1;
     }
 
-    fn take_out(world: &mut World, message: &Message) -> bool {
+    fn remove_message(world: &mut World, message: &Message) -> bool {
         match world.net.get_mut(message) {
             Some(1) => world.net.remove(message).is_some(),
             Some(n) => {
@@ -162,13 +162,13 @@
                 let offered_to = request.forwarded.offered_to;
                 Self::send(world, Message::Query(number, offered_to));
             }
-            Action::Finish(ForwardResult::Answered(())) => request.told.push(Told::Answer),
-            Action::Finish(ForwardResult::MayHaveRun) => request.told.push(Told::MayHaveRun),
-            Action::Finish(ForwardResult::NeverRan) if self.runs_here => {
-                request.at_origin += 1;
-                request.told.push(Told::Here);
+            Action::Finish(ForwardResult::Answered(())) => request.outcomes.push(Outcome::Answer),
+            Action::Finish(ForwardResult::MayHaveRun) => request.outcomes.push(Outcome::MayHaveRun),
+            Action::Finish(ForwardResult::NeverRan) if self.runs_at_origin => {
+                request.executions_at_origin += 1;
+                request.outcomes.push(Outcome::Here);
             }
-            Action::Finish(ForwardResult::NeverRan) => request.told.push(Told::Refused),
+            Action::Finish(ForwardResult::NeverRan) => request.outcomes.push(Outcome::Refused),
         }
     }
 
@@ -177,7 +177,7 @@
         let incarnation = world.incarnation;
         match message {
             Message::Offer(number, to) => {
-                let to = if self.without == Without::Incarnation {
+                let to = if self.disabled == Disabled::Incarnation {
                     incarnation
                 } else {
                     *to
@@ -192,13 +192,13 @@
             }
             Message::Query(number, to) => {
                 let before = world.store.clone();
-                let to = if self.without == Without::Incarnation {
+                let to = if self.disabled == Disabled::Incarnation {
                     incarnation
                 } else {
                     *to
                 };
                 let status = world.store.query(now, ticket(*number), to);
-                if self.without == Without::Fence {
+                if self.disabled == Disabled::Fence {
                     world.store = before;
                 }
                 Self::send(
@@ -208,7 +208,7 @@
             }
             Message::Status(number, by, status) => {
                 let request = &mut world.requests[*number as usize];
-                let by = if self.without == Without::Incarnation {
+                let by = if self.disabled == Disabled::Incarnation {
                     request.forwarded.offered_to
                 } else {
                     *by
@@ -227,9 +227,9 @@
     fn init_states(&self) -> Vec<World> {
         let request = || Request {
             forwarded: ForwardedRequest::new(1, DEADLINE, QUERY_INTERVAL),
-            told: vec![],
-            at_peer: 0,
-            at_origin: 0,
+            outcomes: vec![],
+            executions_at_peer: 0,
+            executions_at_origin: 0,
         };
         let net = (0..self.requests)
             .map(|n| (Message::Offer(n, 1), 1))
@@ -240,9 +240,9 @@
             incarnation: 1,
             net,
             running: vec![],
-            duplicates: self.mishaps[0],
-            restarts: self.mishaps[1],
-            expiries: self.mishaps[2],
+            duplicates: self.faults[0],
+            restarts: self.faults[1],
+            expiries: self.faults[2],
             queries: 1,
         }]
     }
@@ -285,10 +285,10 @@
         let mut world = world.clone();
         match step {
             Step::Deliver(message) => {
-                Self::take_out(&mut world, &message);
+                Self::remove_message(&mut world, &message);
                 self.deliver(&mut world, &message);
             }
-            Step::Lose(message) => drop(Self::take_out(&mut world, &message)),
+            Step::Lose(message) => drop(Self::remove_message(&mut world, &message)),
             Step::Duplicate(message) => {
                 world.duplicates -= 1;
                 Self::send(&mut world, message);
@@ -308,7 +308,7 @@
             }
             Step::Completes(n, answered) => {
                 world.running.retain(|r| *r != n);
-                world.requests[n as usize].at_peer += 1;
+                world.requests[n as usize].executions_at_peer += 1;
                 world.store.complete(0, ticket(n), answered.then_some(()));
                 let status = if answered {
                     ReportedStatus::Completed
@@ -329,13 +329,13 @@
                 world.incarnation += 1;
                 // What ran had its effect, or will have it: the servers behind the peer's node go on.
                 for n in std::mem::take(&mut world.running) {
-                    world.requests[n as usize].at_peer += 1;
+                    world.requests[n as usize].executions_at_peer += 1;
                 }
                 world.store = self.new_store(world.incarnation);
             }
             Step::Expire => {
                 world.expiries -= 1;
-                if self.without == Without::Floor {
+                if self.disabled == Disabled::Floor {
                     // All records of requests that have ended are gone without a trace; the others stay.
                     let in_progress = world.running.clone();
                     world.store = self.new_store(world.incarnation);
@@ -353,30 +353,32 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("it runs once at most", |_: &Gateway, w: &World| {
-                w.requests.iter().all(|r| r.at_peer + r.at_origin <= 1)
+                w.requests
+                    .iter()
+                    .all(|r| r.executions_at_peer + r.executions_at_origin <= 1)
             }),
             Property::always("one final answer", |_: &Gateway, w: &World| {
-                w.requests.iter().all(|r| r.told.len() <= 1)
+                w.requests.iter().all(|r| r.outcomes.len() <= 1)
             }),
             Property::always(
                 "a refusal is of what never ran",
                 |_: &Gateway, w: &World| {
                     w.requests
                         .iter()
-                        .all(|r| r.told != [Told::Refused] || r.at_peer == 0)
+                        .all(|r| r.outcomes != [Outcome::Refused] || r.executions_at_peer == 0)
                 },
             ),
             Property::always("an answer is of what ran", |_: &Gateway, w: &World| {
                 w.requests
                     .iter()
-                    .all(|r| r.told != [Told::Answer] || r.at_peer == 1)
+                    .all(|r| r.outcomes != [Outcome::Answer] || r.executions_at_peer == 1)
             }),
             Property::always(
                 "whatever has ended was answered",
                 |_: &Gateway, w: &World| {
                     w.requests
                         .iter()
-                        .all(|r| r.forwarded.is_ended() == (r.told.len() == 1))
+                        .all(|r| r.forwarded.is_ended() == (r.outcomes.len() == 1))
                 },
             ),
             Property::always(
@@ -385,18 +387,20 @@
             ),
             // The explored worlds are not all of one kind.
             Property::sometimes("it runs at the peer", |_: &Gateway, w: &World| {
-                w.requests.iter().all(|r| r.told == [Told::Answer])
+                w.requests.iter().all(|r| r.outcomes == [Outcome::Answer])
             }),
             Property::sometimes(
                 "a fence lets it be run here or refused",
                 |_: &Gateway, w: &World| {
                     w.requests
                         .iter()
-                        .any(|r| matches!(r.told[..], [Told::Here | Told::Refused]))
+                        .any(|r| matches!(r.outcomes[..], [Outcome::Here | Outcome::Refused]))
                 },
             ),
             Property::sometimes("nobody knows", |_: &Gateway, w: &World| {
-                w.requests.iter().any(|r| r.told == [Told::MayHaveRun])
+                w.requests
+                    .iter()
+                    .any(|r| r.outcomes == [Outcome::MayHaveRun])
             }),
         ]
     }
@@ -409,7 +413,7 @@
 }
 
 /// The properties that hold are not found broken; those that should be found somewhere are.
-fn sound(found: &[&str]) -> bool {
+fn has_only_expected(found: &[&str]) -> bool {
     let mut found = found.to_vec();
     found.sort_unstable();
     found
@@ -429,25 +433,25 @@
         (2, 1, [0, 1, 0]),
         (2, 1, [0, 0, 1]),
     ];
-    for (requests, most, mishaps) in worlds {
+    for (requests, max_records, faults) in worlds {
         // What the origin does with a request that never ran changes nothing for the other one.
-        let does: &[bool] = if requests == 1 {
+        let modes: &[bool] = if requests == 1 {
             &[true, false]
         } else {
             &[true]
         };
-        for &runs_here in does {
-            let without = Without::Nothing;
+        for &runs_at_origin in modes {
+            let disabled = Disabled::Nothing;
             let (states, found) = check(Gateway {
                 requests,
-                max_records: most,
-                runs_here,
-                without,
-                mishaps,
+                max_records,
+                runs_at_origin,
+                disabled,
+                faults,
             });
             assert!(
-                sound(&found),
-                "{requests} requests, {most} held, {mishaps:?}: {found:?}"
+                has_only_expected(&found),
+                "{requests} requests, {max_records} held, {faults:?}: {found:?}"
             );
             assert!(states > 500, "only {states} states");
         }
@@ -456,17 +460,17 @@
 
 #[test]
 fn without_each_part_the_checker_finds_what_it_guards_against() {
-    for without in [Without::Fence, Without::Incarnation, Without::Floor] {
+    for disabled in [Disabled::Fence, Disabled::Incarnation, Disabled::Floor] {
         let (_, found) = check(Gateway {
             requests: 1,
             max_records: 2,
-            runs_here: true,
-            without,
-            mishaps: [1, 1, 1],
+            runs_at_origin: true,
+            disabled,
+            faults: [1, 1, 1],
         });
         assert!(
             found.contains(&"it runs once at most"),
-            "{without:?}: {found:?}"
+            "{disabled:?}: {found:?}"
         );
     }
 }
