--- a/crates/config/src/check/graphql.rs
+++ b/crates/config/src/check/graphql.rs
@@ -41,7 +41,7 @@
     },
     /// The classes contradict each other.
     #[error(transparent)]
-    Invalid(#[from] reelfall_graphql::class::MapFault),
+    Invalid(#[from] reelfall_graphql::class::MappingError),
 }
 
 /// For callers that report errors as text.
--- a/crates/graphql/src/answer.rs
+++ b/crates/graphql/src/answer.rs
@@ -1,4 +1,4 @@
-//! A server's answer, checked; and the answers that the node makes itself.
+//! Validates the responses of servers, and makes those of the node: errors, results of batch entries, whole batches.
 //!
 //! Source: GraphQL, October 2021, section 7.
 
@@ -12,39 +12,40 @@
 use std::fmt;
 use thiserror::Error;
 
-/// Why a server's answer is none.
+/// Why the body of a server's response is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BadAnswer {
-    /// No JSON, or half of it.
+    /// It is no JSON, or incomplete.
     #[error("the answer is no JSON")]
     NoJson,
-    /// A JSON that is no answer.
+    /// It is JSON, but no GraphQL response.
     #[error("the answer has neither data nor errors")]
     NoAnswer,
-    /// Data of fields that were not asked for.
+    /// It has data of other fields, so it belongs to another operation.
     #[error("the answer is to another operation")]
     Another,
 }
 
+/// The keys of a response that are validated.
 #[derive(Deserialize)]
-struct Shape {
+struct ResponseShape {
     #[serde(default)]
     data: Option<Keys>,
     #[serde(default)]
     errors: Option<Vec<IgnoredAny>>,
 }
 
-/// The keys of an object, whose values are of no concern.
+/// The keys of an object, whose values are ignored.
 struct Keys(Vec<String>);
 
 impl<'de> Deserialize<'de> for Keys {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        struct Each;
-        impl<'de> Visitor<'de> for Each {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        struct KeysVisitor;
+        impl<'de> Visitor<'de> for KeysVisitor {
             type Value = Keys;
 
-            fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-                f.write_str("an object")
+            fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+                formatter.write_str("an object")
             }
 
             fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Keys, A::Error> {
@@ -55,60 +56,59 @@
                 Ok(Keys(keys))
             }
         }
-        from.deserialize_map(Each)
+        deserializer.deserialize_map(KeysVisitor)
     }
 }
 
-/// Checks that a server's body is an answer to an operation.
-///
-/// Guards against answers that are cut short, that are no answers, and that belong to somebody else's operation; it
-/// ought to catch whatever mixes up connections. Harm: an answer with a key that was not asked for is dropped, which no
-/// server that follows the specification sends.
+/// Validates that the body of a server's response is complete and belongs to an operation, and not to one of another
+/// client.
 ///
 /// # Errors
-/// Says why it is none. Whatever it was, the operation may have run.
+/// Why it is invalid. In any case the operation may have run.
 pub fn check(body: &[u8], operation: &Operation) -> Result<(), BadAnswer> {
     let raw: &RawValue = serde_json::from_slice(body).map_err(|_| BadAnswer::NoJson)?;
     if !raw.get().starts_with('{') {
         return Err(BadAnswer::NoAnswer);
     }
-    let shape: Shape = serde_json::from_str(raw.get()).map_err(|_| BadAnswer::NoAnswer)?;
-    match shape.data {
-        None if shape.errors.as_ref().is_none_or(Vec::is_empty) => Err(BadAnswer::NoAnswer),
-        Some(Keys(keys))
-            if keys
-                .iter()
-                .any(|k| !operation.roots.iter().any(|r| r.key == *k)) =>
-        {
+    let response: ResponseShape =
+        serde_json::from_str(raw.get()).map_err(|_| BadAnswer::NoAnswer)?;
+    match response.data {
+        None if response.errors.as_ref().is_none_or(Vec::is_empty) => Err(BadAnswer::NoAnswer),
+        Some(Keys(keys)) if keys.iter().any(|key| !has_root(operation, key)) => {
             Err(BadAnswer::Another)
         }
         _ => Ok(()),
     }
 }
 
-/// The body of an answer to a request with a fault.
+fn has_root(operation: &Operation, key: &str) -> bool {
+    operation.roots.iter().any(|root| root.key == key)
+}
+
+/// The body of the response to an invalid request.
 pub fn fault(fault: &Fault) -> Value {
     let mut error =
         json!({ "message": fault.mistake, "extensions": { "code": fault.kind.code() } });
-    if let (Some(at), Some(error)) = (fault.at, error.as_object_mut()) {
+    if let (Some(location), Some(error)) = (fault.at, error.as_object_mut()) {
         error.insert(
             "locations".to_owned(),
-            json!([{ "line": at.line, "column": at.column }]),
+            json!([{ "line": location.line, "column": location.column }]),
         );
     }
     json!({ "errors": [error] })
 }
 
-/// The answer to an entry that has none from a server. It says that a repeat is harmless only of what never ran.
+/// The response to an entry without one of a server; `None` if a server responded. Only an entry that never ran is
+/// `retryable`.
 pub fn made<A>(fate: &Fate<A>) -> Option<Value> {
     let (message, extensions) = match fate {
         Fate::Answered(_) => return None,
-        Fate::Refused(after) => {
+        Fate::Refused(retry_after) => {
             let mut extensions = json!({ "code": "REFUSED", "retryable": true });
-            if let (Some(after), Some(e)) = (after, extensions.as_object_mut()) {
-                e.insert(
+            if let (Some(seconds), Some(extensions)) = (retry_after, extensions.as_object_mut()) {
+                extensions.insert(
                     "retryAfterMs".to_owned(),
-                    json!((after * 1e3).ceil().max(0.0) as u64),
+                    json!((seconds * 1e3).ceil().max(0.0) as u64),
                 );
             }
             ("refused; nothing has run", extensions)
@@ -122,19 +122,20 @@
     Some(json!({ "data": null, "errors": [{ "message": message, "extensions": extensions }] }))
 }
 
-/// The answers to a batch, in the client's order. What has been answered is JSON text, and is let go once it is copied.
+/// The response to a batch, in the order of the entries. Responses of servers are JSON texts; each is dropped once it is
+/// copied, to bound memory.
 pub fn merge<A: AsRef<[u8]>>(fates: Vec<Fate<A>>) -> Vec<u8> {
-    let mut out = b"[".to_vec();
-    for (n, fate) in fates.into_iter().enumerate() {
-        if n > 0 {
-            out.push(b',');
+    let mut merged = b"[".to_vec();
+    for (index, fate) in fates.into_iter().enumerate() {
+        if index > 0 {
+            merged.push(b',');
         }
         match (&fate, made(&fate)) {
-            (Fate::Answered(text), _) => out.extend_from_slice(text.as_ref().trim_ascii()),
-            (_, Some(made)) => out.extend_from_slice(made.to_string().as_bytes()),
-            (_, None) => out.extend_from_slice(b"null"),
+            (Fate::Answered(text), _) => merged.extend_from_slice(text.as_ref().trim_ascii()),
+            (_, Some(made)) => merged.extend_from_slice(made.to_string().as_bytes()),
+            (_, None) => merged.extend_from_slice(b"null"),
         }
     }
-    out.push(b']');
-    out
+    merged.push(b']');
+    merged
 }
--- a/crates/graphql/src/batch.rs
+++ b/crates/graphql/src/batch.rs
@@ -1,26 +1,26 @@
-//! Which entries of a batch may run now, and what became of each.
+//! Schedules the entries of a batch, and collects their results.
 //!
-//! | state | next |
+//! | state | next state |
 //! | --- | --- |
-//! | waiting | running, once its turn comes; never ran, once the batch has ended |
+//! | waiting | running, when there is a slot; never ran, if the batch ends before |
 //! | running | done |
 //! | done | |
 //!
-//! Entries that read run side by side, up to a bound; entries that write run one at a time in their order, as their
-//! client wrote them. One that may have run without an answer does not hold up the next: they are requests of their own.
-//! Once the batch has ended (its deadline, or its client left) nothing starts any more.
+//! Reads run concurrently up to a limit. Writes run one at a time, in the order of the client; one that may have run
+//! without a response does not stop the next, since entries are independent requests. Nothing starts after the end of
+//! the batch, which is at its deadline or when its client disconnects.
 
-/// An entry's place in its batch.
+/// The index of an entry in its batch.
 pub type Entry = usize;
 
-/// What became of an entry.
+/// The result of an entry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fate<A> {
-    /// A server's answer.
+    /// A server responded.
     Answered(A),
-    /// Refused; it is known not to have run. When to come back, in seconds.
+    /// It was rejected and certainly did not run. It may be retried after this time, in seconds.
     Refused(Option<f64>),
-    /// It may have run.
+    /// It failed, and may have run.
     Failed,
     /// It never ran, and never will.
     NeverRan,
@@ -33,77 +33,96 @@
     Done(Fate<A>),
 }
 
-/// A batch under way.
+#[derive(Clone, Debug)]
+struct EntryState<A> {
+    is_write: bool,
+    state: State<A>,
+}
+
+impl<A> EntryState<A> {
+    fn is_running(&self) -> bool {
+        matches!(self.state, State::Running)
+    }
+}
+
+/// A batch in progress.
 #[derive(Clone, Debug)]
 pub struct Batch<A> {
-    entries: Vec<(bool, State<A>)>,
-    side_by_side: usize,
-    ended: bool,
+    entries: Vec<EntryState<A>>,
+    max_parallel_reads: usize,
+    has_ended: bool,
 }
 
 impl<A> Batch<A> {
-    /// A batch of entries, each writing or not; so many reads run at once, one at least.
-    pub fn new(writes: impl IntoIterator<Item = bool>, side_by_side: usize) -> Self {
-        let entries = writes.into_iter().map(|w| (w, State::Waiting)).collect();
+    /// A batch with an entry for each item of `writes`, which says whether it is a write. At least one read runs at a time.
+    pub fn new(writes: impl IntoIterator<Item = bool>, max_parallel_reads: usize) -> Self {
+        let waiting = |is_write| EntryState {
+            is_write,
+            state: State::Waiting,
+        };
         Batch {
-            entries,
-            side_by_side: side_by_side.max(1),
-            ended: false,
+            entries: writes.into_iter().map(waiting).collect(),
+            max_parallel_reads: max_parallel_reads.max(1),
+            has_ended: false,
         }
     }
 
-    /// Starts what may run now, and gives it in its order.
+    /// Starts the entries that may run now, and returns them in their order.
     pub fn start(&mut self) -> Vec<Entry> {
-        if self.ended {
+        if self.has_ended {
             return Vec::new();
         }
-        let running = |writes: bool| {
-            let running = self
-                .entries
-                .iter()
-                .filter(|(w, s)| *w == writes && matches!(s, State::Running));
-            running.count()
-        };
-        let mut reads = self.side_by_side.saturating_sub(running(false));
-        let mut writes = 1usize.saturating_sub(running(true));
+        let mut free_reads = self.max_parallel_reads.saturating_sub(self.running(false));
+        let mut free_writes = 1usize.saturating_sub(self.running(true));
         let mut started = Vec::new();
-        for (n, (write, state)) in self.entries.iter_mut().enumerate() {
-            let room = if *write { &mut writes } else { &mut reads };
-            if *room > 0 && matches!(state, State::Waiting) {
-                *room -= 1;
-                *state = State::Running;
-                started.push(n);
+        for (index, entry) in self.entries.iter_mut().enumerate() {
+            let free = if entry.is_write {
+                &mut free_writes
+            } else {
+                &mut free_reads
+            };
+            if *free > 0 && matches!(entry.state, State::Waiting) {
+                *free -= 1;
+                entry.state = State::Running;
+                started.push(index);
             }
         }
         started
     }
 
-    /// An entry that was running has ended. A second word on it, or one on an entry that does not run, changes nothing.
+    /// Number of running writes, or of running reads.
+    fn running(&self, is_write: bool) -> usize {
+        self.entries
+            .iter()
+            .filter(|entry| entry.is_write == is_write && entry.is_running())
+            .count()
+    }
+
+    /// Sets the result of an entry that is running; for any other entry, it does nothing.
     pub fn done(&mut self, entry: Entry, fate: Fate<A>) {
-        if let Some((_, state)) = self
-            .entries
-            .get_mut(entry)
-            .filter(|(_, s)| matches!(s, State::Running))
-        {
-            *state = State::Done(fate);
+        let Some(entry) = self.entries.get_mut(entry) else {
+            return;
+        };
+        if entry.is_running() {
+            entry.state = State::Done(fate);
         }
     }
 
-    /// Nothing starts any more: the deadline has come, or the client left.
+    /// Ends the batch: nothing starts any more.
     pub fn end(&mut self) {
-        self.ended = true;
+        self.has_ended = true;
     }
 
-    /// All entries have ended.
+    /// Whether all entries are done.
     pub fn complete(&self) -> bool {
         self.entries
             .iter()
-            .all(|(_, s)| matches!(s, State::Done(_)))
+            .all(|entry| matches!(entry.state, State::Done(_)))
     }
 
-    /// What became of each entry, in the client's order. One that runs still may have run; one that waits never will.
+    /// The results in the order of the entries. One that is still running may have run; one that waits never will.
     pub fn fates(self) -> Vec<Fate<A>> {
-        let fate = |(_, state)| match state {
+        let fate = |entry: EntryState<A>| match entry.state {
             State::Done(fate) => fate,
             State::Running => Fate::Failed,
             State::Waiting => Fate::NeverRan,
@@ -112,9 +131,9 @@
     }
 }
 
-/// Whether a whole batch may be answered as a refusal: only if no entry has run.
+/// Whether the response to a batch may be a rejection as a whole: only if no entry has run.
 pub fn refusable<A>(fates: &[Fate<A>]) -> bool {
     fates
         .iter()
-        .all(|f| matches!(f, Fate::Refused(_) | Fate::NeverRan))
+        .all(|fate| matches!(fate, Fate::Refused(_) | Fate::NeverRan))
 }
--- a/crates/graphql/src/class.rs
+++ b/crates/graphql/src/class.rs
@@ -1,36 +1,36 @@
-//! The class of an operation: the strictest of its root fields.
+//! The class of an operation: the strictest one of its root fields.
 
 use crate::document::{Kind, Operation};
 use std::collections::HashMap;
 use thiserror::Error;
 
-/// A class's number, as the service has it.
+/// The id of a class: its index among those of the service.
 pub type ClassId = u16;
 
-/// What concerns the choice of a class.
+/// The properties of a class that its choice depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassInfo {
-    /// A second run does no harm.
+    /// Whether its requests may be retried.
     pub safe: bool,
-    /// Given up after, in seconds.
+    /// The time after which a request fails, in seconds.
     pub deadline: f64,
 }
 
-/// Why a mapping can't be used.
+/// Why a mapping is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum MapFault {
-    /// Field and class.
+pub enum MappingError {
+    /// A field of the mutation root has a class that allows retries.
     #[error("mutation field `{0}` is mapped to a class that is safe to repeat")]
     SafeMutation(String),
-    /// The default for mutations.
+    /// The default class of mutations allows retries.
     #[error("the class of mutations that are not mapped is safe to repeat")]
     SafeDefault,
-    /// A number that no class has.
+    /// There is no class with this id.
     #[error("there is no class {0}")]
     NoClass(ClassId),
 }
 
-/// Which root field is of which class.
+/// The classes of root fields.
 #[derive(Clone, Debug, Default)]
 pub struct Mapping {
     /// Fields of the query root.
@@ -43,7 +43,7 @@
     pub other_mutation: ClassId,
 }
 
-/// A mapping that never takes a mutation for safe.
+/// A valid mapping: no class of a mutation allows retries.
 #[derive(Clone, Debug)]
 pub struct Classes {
     mapping: Mapping,
@@ -51,62 +51,66 @@
 }
 
 impl Classes {
-    /// Checks a mapping against the classes.
+    /// Validates a mapping; `infos` are the classes by id.
     ///
     /// # Errors
-    /// If it names none, or one that is safe for a mutation.
-    pub fn new(mapping: Mapping, infos: Vec<ClassInfo>) -> Result<Classes, MapFault> {
-        let info = |c: ClassId| {
+    /// If a class does not exist, or that of a mutation allows retries.
+    pub fn new(mapping: Mapping, infos: Vec<ClassInfo>) -> Result<Classes, MappingError> {
+        let info = |class: ClassId| {
             infos
-                .get(usize::from(c))
+                .get(usize::from(class))
                 .copied()
-                .ok_or(MapFault::NoClass(c))
+                .ok_or(MappingError::NoClass(class))
         };
         for class in mapping.query.values().chain([&mapping.other_query]) {
             info(*class)?;
         }
         for (field, class) in &mapping.mutation {
             if info(*class)?.safe {
-                return Err(MapFault::SafeMutation(field.clone()));
+                return Err(MappingError::SafeMutation(field.clone()));
             }
         }
         if info(mapping.other_mutation)?.safe {
-            return Err(MapFault::SafeDefault);
+            return Err(MappingError::SafeDefault);
         }
         Ok(Classes { mapping, infos })
     }
 
-    /// The class of an operation. One that runs nothing has the class of fields that are not mapped.
+    /// The class of an operation. If it has no root fields, it is the class of fields that are not mapped.
     pub fn of(&self, operation: &Operation) -> ClassId {
         let (fields, other) = match operation.kind {
             Kind::Query => (&self.mapping.query, self.mapping.other_query),
             Kind::Mutation => (&self.mapping.mutation, self.mapping.other_mutation),
         };
-        // What every server answers about itself is no reason for a stricter class.
-        let about_itself = |field: &str| matches!(field, "__typename" | "__schema" | "__type");
-        let roots = operation
+        // Introspection is no reason for a stricter class.
+        let is_introspection = |field: &str| matches!(field, "__typename" | "__schema" | "__type");
+        operation
             .roots
             .iter()
-            .filter(|r| operation.kind == Kind::Mutation || !about_itself(&r.field));
-        let classes = roots.map(|r| fields.get(&r.field).copied().unwrap_or(other));
-        classes.reduce(|a, b| self.stricter(a, b)).unwrap_or(other)
+            .filter(|root| operation.kind == Kind::Mutation || !is_introspection(&root.field))
+            .map(|root| fields.get(&root.field).copied().unwrap_or(other))
+            .reduce(|first, second| self.stricter(first, second))
+            .unwrap_or(other)
     }
 
-    /// Unsafe before safe, then whichever is given up sooner.
-    fn stricter(&self, a: ClassId, b: ClassId) -> ClassId {
-        let rank = |c: ClassId| self.infos.get(usize::from(c)).map(|i| (i.safe, i.deadline));
-        match (rank(a), rank(b)) {
-            (Some(ra), Some(rb)) if rb < ra => b,
-            _ => a,
+    /// The stricter of two classes: one without retries before one with, then the one with the shorter deadline.
+    fn stricter(&self, first: ClassId, second: ClassId) -> ClassId {
+        let rank = |class: ClassId| {
+            let info = self.infos.get(usize::from(class))?;
+            Some((info.safe, info.deadline))
+        };
+        match (rank(first), rank(second)) {
+            (Some(first_rank), Some(second_rank)) if second_rank < first_rank => second,
+            _ => first,
         }
     }
 
-    /// Whether a second run of an operation would do no harm.
+    /// Whether an operation may be retried.
     pub fn safe(&self, operation: &Operation) -> bool {
         operation.kind == Kind::Query
             && self
                 .infos
                 .get(usize::from(self.of(operation)))
-                .is_some_and(|i| i.safe)
+                .is_some_and(|info| info.safe)
     }
 }
--- a/crates/graphql/src/decode.rs
+++ b/crates/graphql/src/decode.rs
@@ -1,28 +1,27 @@
-//! A request's parameters, read strictly.
+//! Decodes the parameters of a request from the body of a POST or the query of a GET.
 //!
-//! Whatever two readers could take differently is refused: a key twice, a key in another case (some readers take
-//! `Query` for `query`), keys that are not the specification's, a byte order mark, an empty `operationName` (some take
-//! it for none). Harm: a client that adds members of its own has to put them into `extensions`.
+//! What node and server could decode differently is rejected: duplicate keys, keys in another case (some servers accept
+//! `Query` for `query`), keys that the specification does not have, a byte order mark, an empty `operationName` (which
+//! some servers ignore). Clients have to put keys of their own into `extensions`.
 //!
 //! Source: GraphQL over HTTP, "Request" and "Request Parameters".
 
+mod strict_json;
+
 use crate::{Fault, FaultKind, Limits};
-use serde::de::{DeserializeSeed, Deserializer, Error as _, MapAccess, SeqAccess, Visitor};
-use serde::Deserialize;
 use serde_json::value::RawValue;
 use serde_json::{Map, Value};
-use std::fmt;
 
-/// One request's parameters.
+/// The parameters of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Params {
     /// The document.
     pub query: Option<String>,
-    /// Which of its operations runs.
+    /// The name of the operation to execute.
     pub operation_name: Option<String>,
-    /// Values of its variables.
+    /// The values of its variables.
     pub variables: Map<String, Value>,
-    /// Whatever else.
+    /// Extensions of the protocol.
     pub extensions: Map<String, Value>,
 }
 
@@ -30,150 +29,154 @@
     /// The hash of a persisted query, if the request has one (`extensions.persistedQuery`, version 1).
     ///
     /// # Errors
-    /// If it is there and can't be used.
+    /// If it is invalid.
     pub fn persisted(&self) -> Result<Option<[u8; 32]>, Fault> {
         let Some(persisted) = self.extensions.get("persistedQuery") else {
             return Ok(None);
         };
-        let bad = |what: &str| Fault::new(FaultKind::Request, format!("persistedQuery: {what}"));
+        let invalid = |message: &str| bad_request(format!("persistedQuery: {message}"));
         if persisted.get("version").and_then(Value::as_u64) != Some(1) {
-            return Err(bad("version 1 is served"));
+            return Err(invalid("version 1 is served"));
         }
         let hash = persisted
             .get("sha256Hash")
             .and_then(Value::as_str)
-            .ok_or_else(|| bad("no sha256Hash"))?;
-        hex(hash)
+            .ok_or_else(|| invalid("no sha256Hash"))?;
+        decode_hash(hash)
             .map(Some)
-            .ok_or_else(|| bad("sha256Hash is no SHA-256 in hexadecimal digits"))
+            .ok_or_else(|| invalid("sha256Hash is no SHA-256 in hexadecimal digits"))
     }
 }
 
-fn hex(text: &str) -> Option<[u8; 32]> {
-    let digit = |b: u8| char::from(b).to_digit(16).map(|d| d as u8);
+/// Decodes a SHA-256 in hexadecimal digits.
+fn decode_hash(text: &str) -> Option<[u8; 32]> {
+    let digit = |byte: u8| char::from(byte).to_digit(16).map(|digit| digit as u8);
     let bytes = text.as_bytes();
     if bytes.len() != 64 {
         return None;
     }
-    let mut out = [0; 32];
-    for (to, pair) in out.iter_mut().zip(bytes.chunks_exact(2)) {
+    let mut hash = [0; 32];
+    for (target, pair) in hash.iter_mut().zip(bytes.chunks_exact(2)) {
         if let [high, low] = pair {
-            *to = digit(*high)? << 4 | digit(*low)?;
+            *target = digit(*high)? << 4 | digit(*low)?;
         }
     }
-    Some(out)
+    Some(hash)
 }
 
-/// What a POST asks for.
+/// The content of a POST.
 #[derive(Clone, Debug)]
 pub enum Asked<'a> {
     /// One request.
     One(Params),
-    /// Several, each with its own part of the text.
+    /// Several requests, each with its JSON text.
     Batch(Vec<(Params, &'a str)>),
 }
 
-/// Deepest nesting of JSON; the reader of texts has the same bound of its own.
-const JSON_DEPTH: usize = 100;
-
-/// Reads the body of a POST.
+/// Decodes the body of a POST.
 ///
 /// # Errors
-/// If it is no request, or more than may be asked at once.
+/// If it is no valid request, or a batch over its limit.
 pub fn body<'a>(body: &'a [u8], limits: &Limits) -> Result<Asked<'a>, Fault> {
-    let text = std::str::from_utf8(body).map_err(|_| bad("the body is not text in UTF-8"))?;
+    let text =
+        std::str::from_utf8(body).map_err(|_| bad_request("the body is not text in UTF-8"))?;
     if text.starts_with('\u{feff}') {
-        return Err(bad("the body begins with a byte order mark"));
+        return Err(bad_request("the body begins with a byte order mark"));
     }
-    match text
+    let first = text
         .trim_start_matches([' ', '\t', '\r', '\n'])
         .as_bytes()
-        .first()
-    {
-        Some(b'[') => {
-            let entries: Vec<&RawValue> = serde_json::from_str(text).map_err(|e| json(&e))?;
-            if entries.is_empty() {
-                return Err(bad("an empty batch"));
-            }
-            if entries.len() > limits.batch {
-                return Err(Fault::limit("requests in a batch", limits.batch));
-            }
-            let entry = |raw: &'a RawValue| Ok((params(raw.get())?, raw.get()));
-            entries
-                .into_iter()
-                .map(entry)
-                .collect::<Result<_, Fault>>()
-                .map(Asked::Batch)
-        }
+        .first();
+    match first {
+        Some(b'[') => batch(text, limits),
         Some(b'{') => params(text).map(Asked::One),
-        _ => Err(bad("the body is no JSON object")),
+        _ => Err(bad_request("the body is no JSON object")),
     }
 }
 
-/// Reads the query of a GET.
+fn batch<'a>(text: &'a str, limits: &Limits) -> Result<Asked<'a>, Fault> {
+    let entries: Vec<&RawValue> =
+        serde_json::from_str(text).map_err(|error| invalid_json(&error))?;
+    if entries.is_empty() {
+        return Err(bad_request("an empty batch"));
+    }
+    if entries.len() > limits.batch {
+        return Err(Fault::limit("requests in a batch", limits.batch));
+    }
+    entries
+        .into_iter()
+        .map(|entry| Ok((params(entry.get())?, entry.get())))
+        .collect::<Result<_, Fault>>()
+        .map(Asked::Batch)
+}
+
+/// Decodes the query of a GET.
 ///
 /// # Errors
-/// If it is no request.
+/// If it is no valid request.
 pub fn query(query: &str) -> Result<Params, Fault> {
     let mut object = Map::new();
     for (name, value) in form_urlencoded::parse(query.as_bytes()) {
         if value.contains('\u{fffd}') {
-            return Err(bad("a parameter is not text in UTF-8"));
+            return Err(bad_request("a parameter is not text in UTF-8"));
         }
         let value = match name.as_ref() {
             "query" | "operationName" => Value::String(value.into_owned()),
             "variables" | "extensions" if value.is_empty() => Value::Null,
-            "variables" | "extensions" => strict(&value)?,
-            // What else a URL carries concerns nobody here, unless some reader could take it for a parameter.
+            "variables" | "extensions" => parse_json(&value)?,
+            // Other parameters of the URL are ignored, unless a server could take them for one of these.
             other => {
-                known_or(other)?;
+                check_case(other)?;
                 continue;
             }
         };
         if object.insert(name.clone().into_owned(), value).is_some() {
-            return Err(bad(format!("`{name}` is there twice")));
+            return Err(bad_request(format!("`{name}` is there twice")));
         }
     }
     from_object(object)
 }
 
-const KNOWN: [&str; 4] = ["query", "operationName", "variables", "extensions"];
+/// The keys of a request.
+const KEYS: [&str; 4] = ["query", "operationName", "variables", "extensions"];
 
-/// Refuses a name that is a known one but for its case.
-fn known_or(name: &str) -> Result<(), Fault> {
-    match KNOWN
+/// Rejects a name that differs from a key only by its case.
+fn check_case(name: &str) -> Result<(), Fault> {
+    let similar = KEYS
         .iter()
-        .find(|k| k.eq_ignore_ascii_case(name) && **k != name)
-    {
-        Some(known) => Err(bad(format!("`{name}` is not `{known}`"))),
+        .find(|key| key.eq_ignore_ascii_case(name) && **key != name);
+    match similar {
+        Some(key) => Err(bad_request(format!("`{name}` is not `{key}`"))),
         None => Ok(()),
     }
 }
 
-fn bad(mistake: impl Into<String>) -> Fault {
-    Fault::new(FaultKind::Request, mistake)
+fn bad_request(message: impl Into<String>) -> Fault {
+    Fault::new(FaultKind::Request, message)
 }
 
-fn json(e: &serde_json::Error) -> Fault {
-    bad(format!("the body is no JSON: {e}"))
+fn invalid_json(error: &serde_json::Error) -> Fault {
+    bad_request(format!("the body is no JSON: {error}"))
 }
 
-/// Reads one request's object.
+/// Decodes the JSON object of a request.
 ///
 /// # Errors
-/// If it is none.
+/// If it is no valid request.
 pub fn params(text: &str) -> Result<Params, Fault> {
-    match strict(text)? {
+    match parse_json(text)? {
         Value::Object(object) => {
             for name in object.keys() {
-                known_or(name)?;
-                if !KNOWN.contains(&name.as_str()) {
-                    return Err(bad(format!("`{name}` is no parameter of a request")));
+                check_case(name)?;
+                if !KEYS.contains(&name.as_str()) {
+                    return Err(bad_request(format!(
+                        "`{name}` is no parameter of a request"
+                    )));
                 }
             }
             from_object(object)
         }
-        _ => Err(bad("a request is a JSON object")),
+        _ => Err(bad_request("a request is a JSON object")),
     }
 }
 
@@ -181,18 +184,18 @@
     let mut text = |name: &str| match object.remove(name) {
         None | Some(Value::Null) => Ok(None),
         Some(Value::String(text)) => Ok(Some(text)),
-        Some(_) => Err(bad(format!("`{name}` is no text"))),
+        Some(_) => Err(bad_request(format!("`{name}` is no text"))),
     };
     let (query, operation_name) = (text("query")?, text("operationName")?);
     if operation_name.as_ref().is_some_and(String::is_empty) {
-        return Err(bad(
+        return Err(bad_request(
             "`operationName` is empty: leave it out, or name an operation",
         ));
     }
     let mut map = |name: &str| match object.remove(name) {
         None | Some(Value::Null) => Ok(Map::new()),
         Some(Value::Object(map)) => Ok(map),
-        Some(_) => Err(bad(format!("`{name}` is no object"))),
+        Some(_) => Err(bad_request(format!("`{name}` is no object"))),
     };
     let (variables, extensions) = (map("variables")?, map("extensions")?);
     let params = Params {
@@ -202,91 +205,11 @@
         extensions,
     };
     if params.query.is_none() && params.persisted()?.is_none() {
-        return Err(bad("no `query`"));
+        return Err(bad_request("no `query`"));
     }
     Ok(params)
 }
 
-/// Reads JSON in which no object has a key twice.
-fn strict(text: &str) -> Result<Value, Fault> {
-    let mut reader = serde_json::Deserializer::from_str(text);
-    let value = Strict(JSON_DEPTH)
-        .deserialize(&mut reader)
-        .map_err(|e| json(&e))?;
-    reader.end().map_err(|e| json(&e))?;
-    Ok(value)
+fn parse_json(text: &str) -> Result<Value, Fault> {
+    strict_json::parse(text).map_err(|error| invalid_json(&error))
 }
-
-/// A value that may nest so deep.
-struct Strict(usize);
-
-impl<'de> DeserializeSeed<'de> for Strict {
-    type Value = Value;
-
-    fn deserialize<D: Deserializer<'de>>(self, from: D) -> Result<Value, D::Error> {
-        from.deserialize_any(self)
-    }
-}
-
-impl Strict {
-    fn deeper<E: serde::de::Error>(&self) -> Result<Strict, E> {
-        self.0
-            .checked_sub(1)
-            .map(Strict)
-            .ok_or_else(|| E::custom("nested too deep"))
-    }
-}
-
-impl<'de> Visitor<'de> for Strict {
-    type Value = Value;
-
-    fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("a JSON value")
-    }
-
-    fn visit_bool<E>(self, b: bool) -> Result<Value, E> {
-        Ok(b.into())
-    }
-
-    fn visit_i64<E>(self, n: i64) -> Result<Value, E> {
-        Ok(n.into())
-    }
-
-    fn visit_u64<E>(self, n: u64) -> Result<Value, E> {
-        Ok(n.into())
-    }
-
-    fn visit_f64<E>(self, n: f64) -> Result<Value, E> {
-        Ok(n.into())
-    }
-
-    fn visit_str<E>(self, text: &str) -> Result<Value, E> {
-        Ok(text.into())
-    }
-
-    fn visit_unit<E>(self) -> Result<Value, E> {
-        Ok(Value::Null)
-    }
-
-    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Value, A::Error> {
-        let mut items = Vec::new();
-        while let Some(item) = seq.next_element_seed(self.deeper()?)? {
-            items.push(item);
-        }
-        Ok(Value::Array(items))
-    }
-
-    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Value, A::Error> {
-        let mut object = Map::new();
-        while let Some(key) = map.next_key::<Key>()? {
-            let value = map.next_value_seed(self.deeper()?)?;
-            if object.insert(key.0.clone(), value).is_some() {
-                return Err(A::Error::custom(format!("`{}` is there twice", key.0)));
-            }
-        }
-        Ok(Value::Object(object))
-    }
-}
-
-#[derive(Deserialize)]
-struct Key(String);
--- /dev/null
+++ b/crates/graphql/src/document/cycles.rs
@@ -0,0 +1,70 @@
+//! Rejects fragments that include themselves, directly or through others (5.5.2.2), on which counting and collecting
+//! fields would not terminate.
+
+use super::tree::{Fragments, Selection};
+use super::{fault_at, location};
+use crate::{Fault, FaultKind};
+use std::collections::HashSet;
+
+/// Checks all fragments of a document.
+pub(super) fn check(text: &str, fragments: &Fragments) -> Result<(), Fault> {
+    let mut search = CycleSearch {
+        text,
+        fragments,
+        path: Vec::new(),
+        visited: HashSet::new(),
+    };
+    for (name, selections) in fragments {
+        search.visit(name, selections)?;
+    }
+    Ok(())
+}
+
+/// A depth-first search.
+struct CycleSearch<'a> {
+    text: &'a str,
+    fragments: &'a Fragments,
+    /// The names of the fragments that lead to the current one.
+    path: Vec<&'a str>,
+    /// The names of fragments that lead to no cycle.
+    visited: HashSet<&'a str>,
+}
+
+impl<'a> CycleSearch<'a> {
+    /// Visits a fragment and all that it includes. The recursion is no deeper than there are fragments, which are
+    /// limited.
+    fn visit(&mut self, name: &'a str, selections: &'a [Selection]) -> Result<(), Fault> {
+        if self.visited.contains(name) {
+            return Ok(());
+        }
+        self.path.push(name);
+        let mut pending = vec![selections];
+        while let Some(selections) = pending.pop() {
+            for selection in selections {
+                match selection {
+                    Selection::Field { selections, .. }
+                    | Selection::InlineFragment { selections, .. } => pending.push(selections),
+                    Selection::FragmentSpread { name, offset, .. } => self.follow(name, *offset)?,
+                }
+            }
+        }
+        self.path.pop();
+        self.visited.insert(name);
+        Ok(())
+    }
+
+    fn follow(&mut self, name: &'a str, offset: usize) -> Result<(), Fault> {
+        if self.path.contains(&name) {
+            return Err(fault_at(
+                FaultKind::Validation,
+                format!("fragment `{name}` leads back to itself"),
+                location(self.text, offset),
+            ));
+        }
+        // Cost and root fields report unknown fragments.
+        match self.fragments.get(name) {
+            Some(selections) => self.visit(name, selections),
+            None => Ok(()),
+        }
+    }
+}
--- /dev/null
+++ b/crates/graphql/src/document/tree.rs
@@ -0,0 +1,75 @@
+//! What is needed of a document, independent of the parser that read it.
+//!
+//! Offsets are bytes of the text. Only faults need the line and column of an offset, and counting them for every
+//! selection would take time that grows with the square of the document.
+
+use super::Kind;
+use std::collections::HashMap;
+
+/// A document.
+#[derive(Debug, Default)]
+pub(super) struct Document {
+    pub(super) operations: Vec<OperationDefinition>,
+    pub(super) fragments: Fragments,
+}
+
+/// The selections of all fragments, by name.
+pub(super) type Fragments = HashMap<String, Vec<Selection>>;
+
+/// An operation of a document.
+#[derive(Debug)]
+pub(super) struct OperationDefinition {
+    /// The type; `None` for a subscription.
+    pub(super) kind: Option<Kind>,
+    pub(super) name: Option<String>,
+    /// The defaults of its variables; `None` for one without a Boolean default.
+    pub(super) defaults: HashMap<String, Option<bool>>,
+    pub(super) selections: Vec<Selection>,
+    pub(super) offset: usize,
+}
+
+/// A selection of a selection set.
+#[derive(Debug)]
+pub(super) enum Selection {
+    Field {
+        name: String,
+        alias: Option<String>,
+        conditions: Conditions,
+        selections: Vec<Selection>,
+    },
+    FragmentSpread {
+        name: String,
+        conditions: Conditions,
+        offset: usize,
+    },
+    InlineFragment {
+        conditions: Conditions,
+        selections: Vec<Selection>,
+    },
+}
+
+impl Selection {
+    pub(super) fn conditions(&self) -> &Conditions {
+        match self {
+            Selection::Field { conditions, .. }
+            | Selection::FragmentSpread { conditions, .. }
+            | Selection::InlineFragment { conditions, .. } => conditions,
+        }
+    }
+}
+
+/// The arguments of a selection's directives `@skip` and `@include`.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Conditions {
+    pub(super) skip: Vec<Condition>,
+    pub(super) include: Vec<Condition>,
+}
+
+/// The argument `if` of a directive.
+#[derive(Clone, Debug)]
+pub(super) enum Condition {
+    Literal(bool),
+    Variable(String),
+    /// Missing or of another type: servers reject it, so nothing is concluded from it.
+    Invalid,
+}
--- a/crates/graphql/src/lib.rs
+++ b/crates/graphql/src/lib.rs
@@ -1,18 +1,18 @@
 //! GraphQL over HTTP, without I/O.
 //!
-//! What a node has to know of a request before it may be sent, repeated or refused: which operation it runs, of which
-//! class that is, and whether a second run would be harmless. No schema is needed: a mapping of root fields to classes
-//! tells the classes, and whatever can't be told is taken for unsafe.
+//! Finds out what a node has to know before it may forward, retry or reject a request: the operation that it executes,
+//! the class of that operation, and whether a retry is safe. No schema is needed: a mapping of root fields to classes
+//! determines the class, and whatever is unknown counts as unsafe.
 //!
-//! | module | does |
+//! | module | content |
 //! | --- | --- |
-//! | [`decode`] | a request's parameters from a POST body or a GET query, strictly |
-//! | [`document`] | the operation that runs, with its root fields, from the text of a document |
+//! | [`decode`] | decodes the parameters of a request from a POST body or a GET query, strictly |
+//! | [`document`] | finds the operation of a document, with its root fields |
 //! | [`class`] | the class of an operation |
-//! | [`batch`] | which entries of a batch may run now, and what became of each |
-//! | [`persisted`] | documents known by their hash |
-//! | [`media`] | the media type of an answer and the status that goes with it |
-//! | [`answer`] | checks a server's answer and makes those of the node |
+//! | [`batch`] | schedules the entries of a batch |
+//! | [`persisted`] | cache of documents by their hash |
+//! | [`media`] | negotiates the media type of a response, and chooses its status |
+//! | [`answer`] | validates the response of a server, and makes those of the node |
 //!
 //! Sources: the GraphQL specification (October 2021) and GraphQL over HTTP (working draft).
 
@@ -26,28 +26,28 @@
 
 use thiserror::Error;
 
-/// Bounds of what a request may hold. Each is named by the error that it causes.
+/// Limits of a request. The error that a limit causes names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a document.
+    /// Maximum length of a document, in bytes.
     pub document: usize,
-    /// Lexical tokens of a document, comments and white space among them.
+    /// Maximum number of lexical tokens of a document, comments and white space included.
     pub tokens: usize,
-    /// Nested selection sets, lists and objects.
+    /// Maximum nesting of selection sets, lists and objects.
     pub depth: usize,
-    /// Aliases of an operation with its fragments, each counted as often as it is used.
+    /// Maximum number of aliases of an operation; those of a fragment count as often as it is used.
     pub aliases: usize,
-    /// Root fields of an operation.
+    /// Maximum number of root fields of an operation.
     pub root_fields: usize,
-    /// Fragment definitions of a document.
+    /// Maximum number of fragment definitions of a document.
     pub fragments: usize,
-    /// Fields of an operation with its fragments: its cost.
+    /// Maximum cost of an operation: its number of fields; those of a fragment count as often as it is used.
     pub cost: usize,
-    /// Requests in a batch.
+    /// Maximum number of requests in a batch.
     pub batch: usize,
-    /// Persisted documents.
+    /// Maximum number of persisted documents.
     pub persisted: usize,
-    /// Bytes of all persisted documents together.
+    /// Maximum length of all persisted documents together, in bytes.
     pub persisted_bytes: usize,
 }
 
@@ -68,47 +68,47 @@
     }
 }
 
-/// A place in a document, from 1.
+/// A position in a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location {
-    /// The line.
+    /// The line, from 1.
     pub line: usize,
-    /// The column, in characters.
+    /// The column in characters, from 1.
     pub column: usize,
 }
 
-/// Why a request can't be taken.
+/// Why a request is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{mistake}")]
 pub struct Fault {
-    /// What kind of mistake it is.
+    /// The kind of the error.
     pub kind: FaultKind,
-    /// What it is, for people.
+    /// The description for the client.
     pub mistake: String,
-    /// Where in the document.
+    /// The position in the document, if it has one.
     pub at: Option<Location>,
 }
 
-/// Kinds of mistakes; each has its status and its code.
+/// Kinds of errors, which determine status and code of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// No well-formed GraphQL over HTTP request: whoever sent it has to change it, whatever the document.
+    /// It is no well-formed GraphQL over HTTP request, whatever the document.
     Request,
     /// The document can't be parsed.
     Syntax,
-    /// The document or the choice of its operation is not valid.
+    /// The document or the choice of its operation is invalid.
     Validation,
     /// A mutation or subscription by GET.
     Method,
-    /// The body is of a media type or charset that is not served.
+    /// The media type or charset of the body is not supported.
     MediaType,
-    /// Nothing that the client accepts can be given.
+    /// The client accepts none of the supported media types.
     NotAcceptable,
-    /// Over a bound; the mistake names it.
+    /// A limit is exceeded; the message names it.
     Limit,
-    /// A hash that is not known here.
+    /// The hash of a persisted document is unknown.
     PersistedQueryNotFound,
-    /// Subscriptions are not served.
+    /// Subscriptions are not supported.
     Subscription,
 }
 
@@ -130,20 +130,20 @@
 }
 
 impl Fault {
-    /// A mistake without a place.
-    pub fn new(kind: FaultKind, mistake: impl Into<String>) -> Fault {
+    /// A fault without a position.
+    pub fn new(kind: FaultKind, message: impl Into<String>) -> Fault {
         Fault {
             kind,
-            mistake: mistake.into(),
+            mistake: message.into(),
             at: None,
         }
     }
 
-    /// Over a bound.
-    pub fn limit(name: &str, most: usize) -> Fault {
+    /// A fault for an exceeded limit.
+    pub fn limit(name: &str, max: usize) -> Fault {
         Fault::new(
             FaultKind::Limit,
-            format!("over the limit on {name}: {most} at most"),
+            format!("over the limit on {name}: {max} at most"),
         )
     }
 }
--- a/crates/graphql/src/media.rs
+++ b/crates/graphql/src/media.rs
@@ -1,16 +1,16 @@
-//! The media type of an answer, and the status that goes with it.
+//! Negotiates the media type of a response, validates that of a request, and chooses the status of an error.
 //!
 //! Sources: GraphQL over HTTP, "Media Types", "Request" and "Response"; RFC 9110 section 12.5.1 (Accept) and 8.3
 //! (Content-Type).
 
 use crate::{Fault, FaultKind};
 
-/// Media types of answers.
+/// The media type of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Media {
-    /// `application/graphql-response+json`: the status tells how the request went.
+    /// `application/graphql-response+json`: the status depends on the result.
     Response,
-    /// `application/json`: a well-formed answer is 200, whatever it says.
+    /// `application/json`: the status of a well-formed response is 200, whatever the result.
     Json,
 }
 
@@ -24,61 +24,98 @@
     }
 }
 
-/// The media type that a client wants most, of the two; by default `application/json`, as clients that state none know
-/// no other.
+/// Negotiates the media type of a response. Clients without `Accept` predate the newer type and get `application/json`.
 ///
 /// # Errors
-/// If it takes neither.
+/// If the client accepts neither type.
 pub fn negotiate(accept: Option<&str>) -> Result<Media, Fault> {
-    let Some(accept) = accept.filter(|a| !a.trim().is_empty()) else {
+    let Some(accept) = accept.filter(|accept| !accept.trim().is_empty()) else {
         return Ok(Media::Json);
     };
-    let quality = |name: &str| {
-        // The most special range that fits tells the quality.
-        let fits = accept.split(',').filter_map(|range| {
-            let mut parts = range.split(';').map(str::trim);
-            let kind = parts.next()?.to_ascii_lowercase();
-            let special = match kind.as_str() {
-                k if k == name => 2,
-                "application/*" => 1,
-                "*/*" => 0,
-                _ => return None,
-            };
-            let mut q = 1.0;
-            for parameter in parts {
-                let (key, value) = parameter.split_once('=').unwrap_or((parameter, ""));
-                let value = value.trim().trim_matches('"');
-                match key.trim().to_ascii_lowercase().as_str() {
-                    "q" => {
-                        q = value
-                            .parse::<f64>()
-                            .ok()
-                            .filter(|q| (0.0..=1.0).contains(q))?
-                    }
-                    "charset" if !value.eq_ignore_ascii_case("utf-8") => return None,
-                    _ => {}
-                }
-            }
-            Some((special, q))
-        });
-        fits.max_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)))
-    };
-    let json = quality("application/json");
-    let response = quality("application/graphql-response+json");
-    let worth = |q: Option<(u8, f64)>| q.map_or(0.0, |(_, q)| q);
-    // Named beats a wildcard at the same quality; with wildcards alone the older type is meant.
-    let named = |q: Option<(u8, f64)>| q.is_some_and(|(special, _)| special == 2);
-    match (worth(response), worth(json)) {
-        (r, j) if r <= 0.0 && j <= 0.0 => Err(Fault::new(
+    let json = Preference::of("application/json", accept);
+    let response = Preference::of("application/graphql-response+json", accept);
+    if json.quality <= 0.0 && response.quality <= 0.0 {
+        return Err(Fault::new(
             FaultKind::NotAcceptable,
             "answers are application/graphql-response+json or application/json, in UTF-8",
-        )),
-        (r, j) if r > j || (r == j && named(response)) => Ok(Media::Response),
-        _ => Ok(Media::Json),
+        ));
     }
+    // At equal quality, the newer type has to be named: a client with wildcards alone may not know it.
+    let is_preferred = response.quality > json.quality
+        || (response.quality == json.quality && response.precision == Precision::Type);
+    Ok(if is_preferred {
+        Media::Response
+    } else {
+        Media::Json
+    })
+}
+
+/// How precisely a range of `Accept` matches a media type, in ascending order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum Precision {
+    /// `*/*`.
+    Any,
+    /// `application/*`.
+    Subtypes,
+    /// The type itself.
+    Type,
+}
+
+/// How much a client wants a media type.
+#[derive(Clone, Copy, Debug)]
+struct Preference {
+    precision: Precision,
+    quality: f64,
+}
+
+impl Preference {
+    const NOT_ACCEPTED: Preference = Preference {
+        precision: Precision::Any,
+        quality: 0.0,
+    };
+
+    /// The preference by the most precise range that matches a media type (RFC 9110 section 12.5.1).
+    fn of(media_type: &str, accept: &str) -> Preference {
+        accept
+            .split(',')
+            .filter_map(|range| Preference::by_range(media_type, range))
+            .max_by(|a, b| {
+                let by_precision = a.precision.cmp(&b.precision);
+                by_precision.then(a.quality.total_cmp(&b.quality))
+            })
+            .unwrap_or(Preference::NOT_ACCEPTED)
+    }
+
+    /// The preference by one range; `None` if it is invalid or does not match.
+    fn by_range(media_type: &str, range: &str) -> Option<Preference> {
+        let mut parts = range.split(';').map(str::trim);
+        let pattern = parts.next()?.to_ascii_lowercase();
+        let precision = match pattern.as_str() {
+            pattern if pattern == media_type => Precision::Type,
+            "application/*" => Precision::Subtypes,
+            "*/*" => Precision::Any,
+            _ => return None,
+        };
+        let mut quality = 1.0;
+        for parameter in parts {
+            let (key, value) = parameter.split_once('=').unwrap_or((parameter, ""));
+            let value = value.trim().trim_matches('"');
+            match key.trim().to_ascii_lowercase().as_str() {
+                "q" => quality = parse_quality(value)?,
+                "charset" if !value.eq_ignore_ascii_case("utf-8") => return None,
+                _ => {}
+            }
+        }
+        Some(Preference { precision, quality })
+    }
+}
+
+fn parse_quality(value: &str) -> Option<f64> {
+    let quality = value.parse::<f64>().ok()?;
+    (0.0..=1.0).contains(&quality).then_some(quality)
 }
 
-/// Checks the media type of a body.
+/// Validates the media type of the body of a request.
 ///
 /// # Errors
 /// If it is not `application/json` in UTF-8.
@@ -88,16 +125,16 @@
         return fault("no Content-Type: send application/json");
     };
     let mut parts = content_type.split(';').map(str::trim);
-    if !parts
+    let is_json = parts
         .next()
-        .is_some_and(|kind| kind.eq_ignore_ascii_case("application/json"))
-    {
+        .is_some_and(|media_type| media_type.eq_ignore_ascii_case("application/json"));
+    if !is_json {
         return fault("the body has to be application/json");
     }
     for parameter in parts {
         if let Some((key, value)) = parameter.split_once('=') {
-            let utf8 = value.trim().trim_matches('"').eq_ignore_ascii_case("utf-8");
-            if key.trim().eq_ignore_ascii_case("charset") && !utf8 {
+            let is_utf8 = value.trim().trim_matches('"').eq_ignore_ascii_case("utf-8");
+            if key.trim().eq_ignore_ascii_case("charset") && !is_utf8 {
                 return fault("the body has to be in UTF-8");
             }
         }
@@ -105,17 +142,16 @@
     Ok(())
 }
 
-/// The status of an answer to a request with a fault.
+/// The status of the response to an invalid request.
 pub fn status(media: Media, kind: FaultKind) -> u16 {
     match (kind, media) {
         (FaultKind::Method, _) => 405,
         (FaultKind::MediaType, _) => 415,
         (FaultKind::NotAcceptable, _) => 406,
         (FaultKind::Request, _) => 400,
-        // The protocol of persisted queries: whoever hears it sends the document, whatever the status; caches keep
-        // nothing of either.
+        // By the protocol of persisted queries, clients then send the document, whatever the status. Caches store neither.
         (FaultKind::PersistedQueryNotFound, _) => 200,
-        // "SHOULD use 200 even if errors" of a well-formed request, where the client knows `application/json` alone.
+        // GraphQL over HTTP: a server SHOULD use 200 for a well-formed request, even if there are errors.
         (_, Media::Json) => 200,
         (_, Media::Response) => 400,
     }
--- a/crates/graphql/src/persisted.rs
+++ b/crates/graphql/src/persisted.rs
@@ -1,45 +1,49 @@
-//! Documents known by their hash, within bounds: those used least recently go first.
+//! A cache of persisted documents by their hash, with eviction of the least recently used ones.
 //!
-//! A hash alone says nothing of what it stands for: it is looked up here or refused, never passed on.
+//! A hash alone is resolved here or rejected, and never forwarded.
 
 use crate::{Fault, FaultKind, Limits};
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// A SHA-256.
+/// A SHA-256 hash.
 pub type Hash = [u8; 32];
 
 #[derive(Debug)]
-struct Kept {
+struct CachedDocument {
     document: Arc<str>,
-    used: u64,
+    /// The value of [`Persisted::uses`] at its last use.
+    last_use: u64,
 }
 
-/// The store.
+/// The cache.
 #[derive(Debug, Default)]
 pub struct Persisted {
-    kept: HashMap<Hash, Kept>,
-    by_use: BTreeMap<u64, Hash>,
+    documents: HashMap<Hash, CachedDocument>,
+    /// The documents in the order of their last use.
+    by_last_use: BTreeMap<u64, Hash>,
+    /// Counts all uses.
     uses: u64,
+    /// Length of all documents.
     bytes: usize,
 }
 
 impl Persisted {
-    /// An empty store.
+    /// An empty cache.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Documents kept, and their bytes.
+    /// Number of documents, and their length in bytes.
     pub fn size(&self) -> (usize, usize) {
-        (self.kept.len(), self.bytes)
+        (self.documents.len(), self.bytes)
     }
 
-    /// The document that a request stands for: its own, or the one kept under its hash. Nothing is kept by this.
+    /// The document of a request: its own, or the cached one with its hash. Does not cache anything.
     ///
     /// # Errors
-    /// If the hash is not that of the document, or is not known.
+    /// If the hash is not that of the document, or is unknown.
     pub fn resolve(&mut self, query: Option<&str>, hash: Option<Hash>) -> Result<Arc<str>, Fault> {
         match (query, hash) {
             (Some(query), None) => Ok(query.into()),
@@ -56,15 +60,15 @@
     }
 
     fn get(&mut self, hash: &Hash) -> Option<Arc<str>> {
-        let kept = self.kept.get_mut(hash)?;
+        let cached = self.documents.get_mut(hash)?;
         self.uses += 1;
-        self.by_use.remove(&kept.used);
-        kept.used = self.uses;
-        self.by_use.insert(kept.used, *hash);
-        Some(kept.document.clone())
+        self.by_last_use.remove(&cached.last_use);
+        cached.last_use = self.uses;
+        self.by_last_use.insert(self.uses, *hash);
+        Some(cached.document.clone())
     }
 
-    /// Keeps a document that was found to be valid under its hash. One larger than the store is not kept.
+    /// Caches a valid document, unless it is larger than the cache.
     pub fn keep(&mut self, document: &str, limits: &Limits) {
         let hash = of(document);
         if self.get(&hash).is_some()
@@ -73,24 +77,24 @@
         {
             return;
         }
-        while self.kept.len() >= limits.persisted
+        while self.documents.len() >= limits.persisted
             || self.bytes + document.len() > limits.persisted_bytes
         {
-            let Some((_, oldest)) = self.by_use.pop_first() else {
+            let Some((_, oldest)) = self.by_last_use.pop_first() else {
                 break;
             };
-            if let Some(old) = self.kept.remove(&oldest) {
-                self.bytes -= old.document.len();
+            if let Some(evicted) = self.documents.remove(&oldest) {
+                self.bytes -= evicted.document.len();
             }
         }
         self.uses += 1;
-        self.by_use.insert(self.uses, hash);
+        self.by_last_use.insert(self.uses, hash);
         self.bytes += document.len();
-        self.kept.insert(
+        self.documents.insert(
             hash,
-            Kept {
+            CachedDocument {
                 document: document.into(),
-                used: self.uses,
+                last_use: self.uses,
             },
         );
     }
--- a/crates/graphql/tests/document.rs
+++ b/crates/graphql/tests/document.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_graphql::class::{ClassInfo, Classes, MapFault, Mapping};
+use reelfall_graphql::class::{ClassInfo, Classes, Mapping, MappingError};
 use reelfall_graphql::document::{operation, Kind, Operation};
 use reelfall_graphql::{FaultKind, Limits, Location};
 use serde_json::{json, Map, Value};
@@ -576,9 +576,9 @@
     let fault = |m| Classes::new(m, infos.clone()).map(|_| ()).unwrap_err();
     assert_eq!(
         fault(mapping(&[("touch", 0)], 1)),
-        MapFault::SafeMutation("touch".to_owned())
+        MappingError::SafeMutation("touch".to_owned())
     );
-    assert_eq!(fault(mapping(&[], 0)), MapFault::SafeDefault);
-    assert_eq!(fault(mapping(&[("touch", 7)], 1)), MapFault::NoClass(7));
+    assert_eq!(fault(mapping(&[], 0)), MappingError::SafeDefault);
+    assert_eq!(fault(mapping(&[("touch", 7)], 1)), MappingError::NoClass(7));
     assert!(Classes::new(mapping(&[("touch", 1)], 1), infos.clone()).is_ok());
 }
