--- a/crates/node/src/cli/routes.rs
+++ b/crates/node/src/cli/routes.rs
@@ -23,7 +23,7 @@
     },
     /// A node would reject the request.
     #[error("400: {0}")]
-    InvalidTarget(#[from] target::Fault),
+    InvalidTarget(#[from] target::TargetError),
     /// No route matches the request.
     #[error("404: no route fits")]
     NoRoute,
--- a/crates/node/src/net/front/error.rs
+++ b/crates/node/src/net/front/error.rs
@@ -77,7 +77,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub(super) enum AdmissionError {
     #[error(transparent)]
-    InvalidTarget(#[from] target::Fault),
+    InvalidTarget(#[from] target::TargetError),
     #[error("no such route")]
     NoRoute,
     #[error("draining")]
