--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/front.rs
@@ -30,6 +30,8 @@
 mod request;
 mod request_body;
 mod shutdown;
+#[cfg(test)]
+mod tests;
 mod translate;
 
 pub(super) use error::RequestError;
--- /dev/null
+++ b/crates/node/src/net/front/tests.rs
@@ -0,0 +1,122 @@
+//! The texts and statuses of rejections, which clients see.
+
+use super::error::{AdmissionError, BodyError, RequestError};
+use super::reply::error_response;
+use crate::net::answer::ResponseBody;
+use http_body_util::BodyExt;
+use hyper::{Response, StatusCode};
+use reelfall_routing::target;
+
+/// Checks the status and the exact bytes of an answer.
+async fn assert_answer(response: Response<ResponseBody>, status: StatusCode, text: &str) {
+    assert_eq!(response.status(), status, "{text:?}");
+    let body = response.into_body().collect().await.expect("a body");
+    assert_eq!(body.to_bytes(), text.as_bytes());
+}
+
+#[tokio::test]
+async fn requests_that_cannot_be_translated_are_answered_by_their_texts() {
+    let bad = StatusCode::BAD_REQUEST;
+    let answers = [
+        (RequestError::UnknownClass, bad, "unknown class\n"),
+        (
+            RequestError::MethodMismatch,
+            StatusCode::METHOD_NOT_ALLOWED,
+            "the class wants another method\n",
+        ),
+        (RequestError::GetWithBody, bad, "a GET with a body\n"),
+        (
+            RequestError::MissingIdempotencyKey,
+            bad,
+            "no Idempotency-Key\n",
+        ),
+        (RequestError::MissingPath, bad, "no path\n"),
+        (
+            RequestError::MissingCorrelationId,
+            bad,
+            "no X-Correlation-Id\n",
+        ),
+        (
+            RequestError::RepeatedCorrelationId,
+            bad,
+            "more than one X-Correlation-Id\n",
+        ),
+        (
+            RequestError::CorrelationIdInUse,
+            StatusCode::CONFLICT,
+            "a request with this id is open\n",
+        ),
+        (
+            RequestError::InvalidTimeLeft,
+            bad,
+            "X-Time-Left is no time\n",
+        ),
+        (RequestError::ClientLeft, bad, "the client has left\n"),
+    ];
+    for (error, status, text) in answers {
+        assert_answer(error.response(), status, text).await;
+    }
+}
+
+#[tokio::test]
+async fn bodies_that_cannot_be_used_are_answered_by_their_texts() {
+    let answers = [
+        (
+            BodyError::Truncated,
+            StatusCode::BAD_REQUEST,
+            "half a body\n",
+        ),
+        (
+            BodyError::TooLarge,
+            StatusCode::PAYLOAD_TOO_LARGE,
+            "too large a body\n",
+        ),
+        (
+            BodyError::OutOfMemory,
+            StatusCode::SERVICE_UNAVAILABLE,
+            "no room\n",
+        ),
+    ];
+    for (error, status, text) in answers {
+        assert_answer(error.response(), status, text).await;
+    }
+}
+
+#[tokio::test]
+async fn requests_that_are_not_admitted_are_answered_by_their_texts() {
+    let max_retry_after = 1.0;
+    let unavailable = StatusCode::SERVICE_UNAVAILABLE;
+    let answers = [
+        (
+            AdmissionError::InvalidTarget(target::Fault::NoHost),
+            StatusCode::BAD_REQUEST,
+            "no Host\n",
+        ),
+        (
+            AdmissionError::NoRoute,
+            StatusCode::NOT_FOUND,
+            "no such route\n",
+        ),
+        (
+            AdmissionError::Draining { max_retry_after },
+            unavailable,
+            "draining\n",
+        ),
+        (
+            AdmissionError::RateLimited {
+                next_slot_in: 0.5,
+                max_retry_after,
+            },
+            StatusCode::TOO_MANY_REQUESTS,
+            "over the rate of this service\n",
+        ),
+        (
+            AdmissionError::AtRequestLimit { max_retry_after },
+            unavailable,
+            "this service has all the requests that it may hold\n",
+        ),
+    ];
+    for (error, status, text) in answers {
+        assert_answer(error_response(error.status(), &error), status, text).await;
+    }
+}
