--- a/crates/node/src/fleet/events.rs
+++ b/crates/node/src/fleet/events.rs
@@ -56,19 +56,8 @@
 
     /// Acts on events.
     pub(super) fn handle_events(&self, events: &[FleetEvent], now: Time) {
-        let is_ban = |event: &FleetEvent| {
-            matches!(
-                event,
-                FleetEvent::Updated(Key::Ban { .. }) | FleetEvent::Expired(Key::Ban { .. })
-            )
-        };
-        let is_report = |event: &FleetEvent| {
-            matches!(
-                event,
-                FleetEvent::Updated(Key::Report { .. }) | FleetEvent::Expired(Key::Report { .. })
-            )
-        };
-        if events.iter().any(is_ban) {
+        let changed_keys = || events.iter().filter_map(changed_key);
+        if changed_keys().any(|key| matches!(key, Key::Ban { .. })) {
             // The pools may report attempts as they act: the fleet is not borrowed meanwhile.
             let banned = self
                 .fleet
@@ -79,11 +68,13 @@
                 .collect();
             self.shared.banned_by_fleet(&banned);
         }
-        if events.iter().any(is_report) {
+        if changed_keys().any(|key| matches!(key, Key::Report { .. })) {
             let soon = self.next_condemn.get() - CONDEMN_INTERVAL + CONDEMN_DELAY;
             self.next_condemn.set(self.next_condemn.get().min(soon));
         }
-        events.iter().for_each(|event| self.log_event(event, now));
+        for event in events {
+            self.log_event(event, now);
+        }
     }
 
     /// Applies the condemnations to the pools.
@@ -216,3 +207,11 @@
         }
     }
 }
+
+/// The key of the entry that an event concerns, if it concerns one.
+fn changed_key(event: &FleetEvent) -> Option<&Key> {
+    match event {
+        FleetEvent::Updated(key) | FleetEvent::Expired(key) => Some(key),
+        FleetEvent::Member(_) | FleetEvent::NameConflict => None,
+    }
+}
--- a/crates/node/src/lease/call.rs
+++ b/crates/node/src/lease/call.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 use tokio::net::TcpStream;
-use tokio::time::error::Elapsed;
+use tokio::time::timeout;
 
 /// Maximum time for one call, however long the interval is.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
@@ -32,6 +32,8 @@
     Http(#[from] hyper::Error),
     #[error("{0}")]
     InvalidRequest(#[from] hyper::http::Error),
+    #[error("no answer in time")]
+    TimedOut,
 }
 
 /// Calls while the lease is held, for as long as it is polled.
@@ -42,8 +44,8 @@
         leases.until_held(&name).await;
         tokio::time::sleep_until(next.into()).await;
         next = Instant::now() + interval;
-        let timeout = interval.min(CALL_TIMEOUT);
-        let answer = tokio::time::timeout(timeout, call_once(&leases, &name, &call)).await;
+        let answer = timeout(interval.min(CALL_TIMEOUT), call_once(&leases, &name, &call));
+        let answer = answer.await.unwrap_or(Err(CallError::TimedOut));
         handle_answer(&leases, &name, &call, answer);
     }
 }
@@ -52,23 +54,25 @@
     leases: &Leases,
     name: &LeaseName,
     call: &model::Call,
-    answer: Result<Result<Option<StatusCode>, CallError>, Elapsed>,
+    answer: Result<Option<StatusCode>, CallError>,
 ) {
     let (log, address) = (&leases.log, call.address);
     match answer {
-        Ok(Ok(Some(StatusCode::CONFLICT | StatusCode::PRECONDITION_FAILED))) => {
+        Ok(Some(StatusCode::CONFLICT | StatusCode::PRECONDITION_FAILED)) => {
             log.write_line(format_args!(
                 "lease {name}: {address} has seen a token of a later holder"
             ));
             leases.release_for_a_while(name);
         }
-        Ok(Ok(Some(status))) if !status.is_success() => {
+        Ok(Some(status)) if !status.is_success() => {
             log.write_line(format_args!("lease {name}: {address} answers {status}"));
         }
         // It succeeded, or the lease was lost meanwhile: then there is nothing to call.
-        Ok(Ok(_)) => {}
-        Ok(Err(error)) => log.write_line(format_args!("lease {name}: {address}: {error}")),
-        Err(_) => log.write_line(format_args!("lease {name}: {address} does not answer")),
+        Ok(_) => {}
+        Err(CallError::TimedOut) => {
+            log.write_line(format_args!("lease {name}: {address} does not answer"));
+        }
+        Err(error) => log.write_line(format_args!("lease {name}: {address}: {error}")),
     }
 }
 
--- /dev/null
+++ b/crates/node/src/lease/local_keeper.rs
@@ -0,0 +1,148 @@
+//! The keeper on this node, if it is one: its storage, and its state machine between the storage and the messages.
+
+use super::admin;
+use super::disk::{Disk, DiskEvent};
+use super::{LeaseError, Leases};
+use reelfall_config::model;
+use reelfall_lease::durable::DurableState;
+use reelfall_lease::keeper::{self, Effects, Keeper};
+use reelfall_lease::Micros;
+use std::cell::{Cell, RefCell};
+use tokio::sync::mpsc;
+
+/// The keeper on this node, and its storage.
+pub struct LocalKeeper {
+    /// Its place in the list of keepers.
+    pub(super) place: usize,
+    pub(super) disk: Disk,
+    /// `None` while the storage folder can't be used.
+    pub(super) keeper: RefCell<Option<Keeper>>,
+    /// The opening of the folder that the keeper belongs to.
+    opening: Cell<u64>,
+    /// The last failure or status that was logged.
+    pub(super) last_status: RefCell<String>,
+    /// Requests that were dropped while too many writes waited for the disk.
+    pub(super) dropped_requests: Cell<u64>,
+}
+
+impl LocalKeeper {
+    /// Starts the storage of the keeper on this node, if the settings name the node as one.
+    pub(super) fn start(
+        node: &str,
+        settings: &model::Leases,
+        events: mpsc::UnboundedSender<DiskEvent>,
+    ) -> Result<Option<LocalKeeper>, LeaseError> {
+        let place = settings.keepers.iter().position(|name| name == node);
+        let Some((place, folder)) = place.zip(settings.folder.clone()) else {
+            return Ok(None);
+        };
+        let disk = Disk::start(folder, events).map_err(LeaseError::StorageThread)?;
+        Ok(Some(LocalKeeper {
+            place,
+            disk,
+            keeper: RefCell::default(),
+            opening: Cell::default(),
+            last_status: RefCell::default(),
+            dropped_requests: Cell::default(),
+        }))
+    }
+}
+
+impl Leases {
+    /// Calls the keeper on this node, if there is one and its disk keeps up.
+    pub(super) fn with_keeper(&self, call: impl FnOnce(&mut Keeper, Micros)) {
+        let Some(local) = &self.local_keeper else {
+            return;
+        };
+        if !local.disk.has_capacity() {
+            // The disk is slower than the requests: the clients send them again.
+            local.dropped_requests.set(local.dropped_requests.get() + 1);
+            return;
+        }
+        if let Some(keeper) = local.keeper.borrow_mut().as_mut() {
+            call(keeper, self.now());
+        }
+    }
+
+    /// Writes and sends the effects of the keeper on this node.
+    pub(super) fn process_keeper(&self) {
+        let Some(local) = &self.local_keeper else {
+            return;
+        };
+        let Effects { records, messages } = match local.keeper.borrow_mut().as_mut() {
+            Some(keeper) => keeper.take_effects(),
+            None => return,
+        };
+        if records.is_empty() && messages.is_empty() {
+            return;
+        }
+        if records.is_empty() && local.disk.is_idle() {
+            return self.send_all(messages);
+        }
+        // Messages after a write that waits must not overtake it.
+        if !local.disk.write(local.opening.get(), records, messages) {
+            self.stop_keeper(local, "more waits for the disk than may");
+        }
+    }
+
+    /// Handles an event of the keeper's storage folder.
+    pub(super) fn handle_disk_event(&self, event: DiskEvent) {
+        let Some(local) = &self.local_keeper else {
+            return;
+        };
+        match event {
+            DiskEvent::Opened { opening, state } => {
+                local.opening.set(opening);
+                local.disk.reset();
+                let keeper = self.open_keeper(local.place, *state);
+                local.keeper.replace(Some(keeper));
+            }
+            DiskEvent::Written {
+                opening,
+                writes,
+                messages,
+            } => {
+                if opening == local.opening.get() && local.keeper.borrow().is_some() {
+                    local.disk.complete(writes);
+                    self.send_all(messages);
+                }
+            }
+            DiskEvent::Failed(error) => self.stop_keeper(local, &error.to_string()),
+        }
+        self.process_effects();
+        self.log_status(local);
+    }
+
+    fn open_keeper(&self, place: usize, state: DurableState) -> Keeper {
+        let config = keeper::Config {
+            margins: self.config.margins,
+            max_length: self.max_length,
+            ..keeper::Config::default()
+        };
+        let (tag, now) = (self.random.storage_tag(), self.now());
+        Keeper::open(place, self.keepers.len(), config, state, tag, now)
+    }
+
+    /// Stops the keeper until its folder is open again: its state in memory may be ahead of the disk.
+    fn stop_keeper(&self, local: &LocalKeeper, reason: &str) {
+        local.keeper.replace(None);
+        local.opening.set(0);
+        if local.last_status.replace(reason.to_owned()) != reason {
+            self.log
+                .write_line(format_args!("leases: the keeper's folder: {reason}"));
+        }
+    }
+
+    /// Logs the keeper's status if it has changed.
+    fn log_status(&self, local: &LocalKeeper) {
+        let status = local.keeper.borrow().as_ref().map(Keeper::status);
+        let Some(status) = status.map(admin::describe) else {
+            return;
+        };
+        if *local.last_status.borrow() != status {
+            self.log
+                .write_line(format_args!("leases: this keeper {status}"));
+            local.last_status.replace(status);
+        }
+    }
+}
--- a/crates/node/src/lease/mod.rs
+++ b/crates/node/src/lease/mod.rs
@@ -6,16 +6,18 @@
 //! | `admin` | management requests that concern leases |
 //! | `call` | the periodic calls of a lease's holder |
 //! | `disk` | the thread that writes a keeper's storage folder |
-//! | `dispatch` | messages and disk events to the state machines, and their effects back |
+//! | `dispatch` | messages to the state machines, and their effects back |
 //! | `group` | the identifier of the nodes that share leases |
+//! | `local_keeper` | the keeper on this node, between its storage and the messages |
 //! | `random` | random numbers |
-//! | `start` | the start of all this |
+//! | `start` | the start of the leases, the keeper and the calls |
 
 mod admin;
 mod call;
 mod disk;
 mod dispatch;
 mod group;
+mod local_keeper;
 mod random;
 mod start;
 
@@ -23,15 +25,16 @@
 
 use crate::fleet::FleetRuntime;
 use crate::net::Log;
-use disk::{Disk, DiskEvent};
+use disk::DiskEvent;
 use group::GroupId;
+use local_keeper::LocalKeeper;
 use random::RandomNumbers;
 use reelfall_lease::holder::{Config, Lease};
 use reelfall_lease::keeper::Keeper;
 use reelfall_lease::message::{ClientId, Message};
 use reelfall_lease::token::{LeaseName, Operation};
 use reelfall_lease::Micros;
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
@@ -45,20 +48,6 @@
 const MAX_SLEEP: Micros = 1_000_000;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// The keeper on this node, and its storage.
-struct LocalKeeper {
-    /// Its place in the list of keepers.
-    place: usize,
-    disk: Disk,
-    /// `None` while the storage folder can't be used.
-    keeper: RefCell<Option<Keeper>>,
-    /// The opening of the folder that the keeper belongs to.
-    opening: Cell<u64>,
-    /// The last failure or status that was logged.
-    last_status: RefCell<String>,
-    /// Requests that were dropped while too many writes waited for the disk.
-    dropped_requests: Cell<u64>,
-}
 
 /// A lease that this node may hold.
 struct LocalLease {
--- a/crates/node/src/net/takeover/socket.rs
+++ b/crates/node/src/net/takeover/socket.rs
@@ -104,10 +104,22 @@
     )
 }
 
+/// The listening socket of a predecessor.
+struct InheritedListener {
+    name: String,
+    socket: OwnedFd,
+}
+
+/// What a module of the predecessor has learned.
+struct LearnedPool {
+    name: String,
+    state: serde_json::Value,
+}
+
 /// The sockets and the learned state that a predecessor has handed over.
 pub struct Snapshot {
-    listeners: Vec<(String, OwnedFd)>,
-    learned: Vec<(String, serde_json::Value)>,
+    listeners: Vec<InheritedListener>,
+    learned: Vec<LearnedPool>,
     exchange: Exchange,
 }
 
@@ -120,9 +132,12 @@
         let Frame::Snapshot { listeners, learned } = received.frame else {
             return Err(ExchangeError::Refused);
         };
+        let to_pool = |(name, state)| LearnedPool { name, state };
+        let to_listener = |(name, socket)| InheritedListener { name, socket };
+        let listeners = listeners.into_iter().zip(received.descriptors);
         Ok(Snapshot {
-            listeners: listeners.into_iter().zip(received.descriptors).collect(),
-            learned,
+            listeners: listeners.map(to_listener).collect(),
+            learned: learned.into_iter().map(to_pool).collect(),
             exchange,
         })
     }
@@ -132,17 +147,14 @@
         let index = self
             .listeners
             .iter()
-            .position(|(listener, _)| listener == name)?;
-        let (_, socket) = self.listeners.swap_remove(index);
-        Some(socket)
+            .position(|listener| listener.name == name)?;
+        Some(self.listeners.swap_remove(index).socket)
     }
 
     /// The learned state of a pool.
     pub fn learned(&self, pool: &str) -> Option<&serde_json::Value> {
-        let mut pools = self.learned.iter();
-        pools
-            .find(|(name, _)| name == pool)
-            .map(|(_, learned)| learned)
+        let learned = self.learned.iter().find(|learned| learned.name == pool)?;
+        Some(&learned.state)
     }
 
     /// The exchange with the predecessor, which goes on; what else is left of the snapshot is dropped.
