--- a/crates/config/src/check/registries.rs
+++ b/crates/config/src/check/registries.rs
@@ -90,17 +90,17 @@
         )
     });
     checker.require(
-        (1..=100_000).contains(&limits.entries),
+        (1..=100_000).contains(&limits.max_entries),
         &service.origin,
         || {
             format!(
                 "service `{name}`: entries is {}, not between 1 and 100000",
-                limits.entries
+                limits.max_entries
             )
         },
     );
     checker.require(
-        limits.reread >= 1.0 && limits.stale_after >= 1.0,
+        limits.reread_interval >= 1.0 && limits.stale_after >= 1.0,
         &service.origin,
         || format!("service `{name}`: reread and stale_after are 1s at least"),
     );
--- a/crates/config/src/reader/mapping.rs
+++ b/crates/config/src/reader/mapping.rs
@@ -15,7 +15,7 @@
     RetrySafety, Route, Server, Service, ServiceState, SlowStart, Source, Tenant,
 };
 use reelfall_balancer::interface::{ServerState, Time};
-use reelfall_registry_client::follow;
+use reelfall_registry_client::follow::{self, Identity, StalePolicy};
 use reelfall_routing::budget::Quota;
 use reelfall_routing::limits::Allowed;
 use reelfall_routing::rate::RateLimit;
@@ -197,15 +197,18 @@
         path: table.path,
         initial_servers: lines.all(table.known, |_, table| server(table)),
         limits: follow::Limits {
-            entries: table.entries.unwrap_or(default.entries),
-            reread: time_or(table.reread, default.reread),
+            max_entries: table.entries.unwrap_or(default.max_entries),
+            reread_interval: time_or(table.reread, default.reread_interval),
             stale_after: time_or(table.stale_after, default.stale_after),
-            stale: match table.stale {
-                Some(StaleValue::Refuse) => follow::Stale::Refuse,
-                Some(StaleValue::GoOn) | None => follow::Stale::GoOn,
+            stale_policy: match table.stale {
+                Some(StaleValue::Refuse) => StalePolicy::RejectRequests,
+                Some(StaleValue::GoOn) | None => StalePolicy::KeepServers,
             },
-            persistent: table.persistent,
-            owner: table.owner.map(|owner| (owner.scheme, owner.id)),
+            accepts_persistent: table.persistent,
+            owner: table.owner.map(|owner| Identity {
+                scheme: owner.scheme,
+                id: owner.id,
+            }),
             ..default
         },
     }
--- a/crates/registry-client/src/entry.rs
+++ b/crates/registry-client/src/entry.rs
@@ -1,14 +1,14 @@
-//! The description of a server in the data of its entry: a JSON object. Unknown members are ignored.
+//! Parses the description of a server in the data of an entry: a JSON object. Unknown members are ignored.
 //!
-//! | member | | |
+//! | member | type | meaning |
 //! | --- | --- | --- |
-//! | `name` | text | the server's name; by default that of the entry, without a sequence number behind it |
-//! | `address` | `"IP:PORT"`, or `"IP"` with `port` | where it is reached |
-//! | `addresses` | list of the same | the first that can be used, if there is no `address` |
+//! | `name` | text | the server's name; by default that of the entry, without its sequence number |
+//! | `address` | `"IP:PORT"`, or `"IP"` with `port` | where it accepts requests |
+//! | `addresses` | list of the same | the first valid one is used, after `address` |
 //! | `zone`, `type` | text | |
 //! | `weight` | number | over 0 up to 1000 |
 //! | `state` | `up` (by default) or `draining` | an unknown state counts as `draining` |
-//! | `started` | milliseconds of Unix time | when the process began; by default when the entry was made |
+//! | `started` | milliseconds of Unix time | when the process started; by default when the entry was created |
 
 use crate::wire::Stat;
 use crate::Time;
@@ -17,53 +17,55 @@
 use thiserror::Error;
 
 /// Maximum length of the data of an entry, in bytes.
-pub const DATA_MOST: usize = 16 << 10;
+pub const MAX_DATA_LEN: usize = 16 << 10;
 /// Maximum length of the name of a server, in bytes.
-pub const NAME_MOST: usize = 128;
+pub const MAX_NAME_LEN: usize = 128;
+/// Length of a sequence number, in digits.
+const SEQUENCE_LEN: usize = 10;
 /// Maximum weight.
-pub const WEIGHT_MOST: f64 = 1000.0;
+pub const MAX_WEIGHT: f64 = 1000.0;
 
 /// The server that an entry describes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// The server's name.
+    /// The name.
     pub name: String,
-    /// Where it is reached.
+    /// The address where it accepts requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone.
     pub zone: Option<String>,
-    /// Its machine kind.
+    /// The machine type.
     pub kind: Option<String>,
-    /// Its weight.
+    /// The capacity relative to other servers.
     pub weight: f64,
-    /// It accepts no new requests, and finishes those that it has.
+    /// Whether it drains: it completes the requests in flight and accepts no new ones.
     pub draining: bool,
-    /// When it started.
+    /// When the process started.
     pub started: Time,
 }
 
-/// Why an entry can't be used.
+/// Why an entry is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EntryError {
-    /// Its data is longer than any can be.
-    #[error("its data has {0} bytes, {DATA_MOST} at most")]
+    /// The data is too long.
+    #[error("its data has {0} bytes, {MAX_DATA_LEN} at most")]
     TooLong(usize),
-    /// Its data is no JSON object of the members that are known.
+    /// The data is no JSON object with members of these types.
     #[error("its data can't be read: {0}")]
     InvalidData(String),
-    /// Its name, or that in its data, can't be one.
+    /// The name, zone or machine type is invalid.
     #[error("its name is empty, too long, or holds what can't be shown")]
     InvalidName,
-    /// It names no address that can be used.
+    /// No address is valid.
     #[error("it has no address that can be used")]
     InvalidAddress,
-    /// Its weight can't be.
-    #[error("its weight is not over 0 up to {WEIGHT_MOST}")]
+    /// The weight is out of range.
+    #[error("its weight is not over 0 up to {MAX_WEIGHT}")]
     InvalidWeight,
     /// It does not end with a session.
     #[error("it is not ephemeral")]
     NotEphemeral,
-    /// Others than those that are trusted may change it.
+    /// Others than the trusted identity may change it.
     #[error("others than those that are trusted may change it")]
     UntrustedWriter,
 }
@@ -84,16 +86,16 @@
     started: Option<f64>,
 }
 
-/// The name of an entry without the ten digits that a registry puts behind a sequential one.
+/// The name of an entry without the sequence number of ten digits that a registry appends.
 pub fn without_sequence(child: &str) -> &str {
-    let Some(at) = child
+    let Some(split) = child
         .len()
-        .checked_sub(10)
-        .filter(|at| child.is_char_boundary(*at))
+        .checked_sub(SEQUENCE_LEN)
+        .filter(|split| child.is_char_boundary(*split))
     else {
         return child;
     };
-    let (name, digits) = child.split_at(at);
+    let (name, digits) = child.split_at(split);
     let name = name.trim_end_matches(['-', '_']);
     if digits.bytes().all(|b| b.is_ascii_digit()) && !name.is_empty() {
         name
@@ -105,18 +107,18 @@
 /// Parses an entry.
 ///
 /// # Errors
-/// Says why it can't be used. That concerns nothing but the entry.
+/// Why it is invalid.
 pub fn parse(child: &str, data: &[u8], stat: &Stat, now: Time) -> Result<Entry, EntryError> {
-    if data.len() > DATA_MOST {
+    if data.len() > MAX_DATA_LEN {
         return Err(EntryError::TooLong(data.len()));
     }
     let data: EntryData =
-        serde_json::from_slice(data).map_err(|e| EntryError::InvalidData(e.to_string()))?;
+        serde_json::from_slice(data).map_err(|error| EntryError::InvalidData(error.to_string()))?;
     let name = data
         .name
         .unwrap_or_else(|| without_sequence(child).to_owned());
     let is_valid_text = |text: &str| {
-        !text.is_empty() && text.len() <= NAME_MOST && !text.chars().any(char::is_control)
+        !text.is_empty() && text.len() <= MAX_NAME_LEN && !text.chars().any(char::is_control)
     };
     let is_valid_option = |text: &Option<String>| text.as_deref().is_none_or(is_valid_text);
     if !is_valid_text(&name) || !is_valid_option(&data.zone) || !is_valid_option(&data.kind) {
@@ -128,27 +130,27 @@
         .next()
         .ok_or(EntryError::InvalidAddress)?;
     let weight = data.weight.unwrap_or(1.0);
-    if !(weight > 0.0 && weight <= WEIGHT_MOST) {
+    if !(weight > 0.0 && weight <= MAX_WEIGHT) {
         return Err(EntryError::InvalidWeight);
     }
     let created = stat.ctime as f64 / 1e3;
     let started = data
         .started
-        .filter(|s| s.is_finite() && *s >= 0.0)
-        .map_or(created, |ms| ms / 1e3);
+        .filter(|started_ms| started_ms.is_finite() && *started_ms >= 0.0)
+        .map_or(created, |started_ms| started_ms / 1e3);
     Ok(Entry {
         name,
         address,
         zone: data.zone,
         kind: data.kind,
         weight,
-        draining: data.state.is_some_and(|s| s != "up"),
-        // A clock that is ahead makes nothing cold beyond its time.
+        draining: data.state.is_some_and(|state| state != "up"),
+        // A start in the future, by a clock that is ahead, would prolong the slow start.
         started: started.clamp(0.0, now),
     })
 }
 
-/// Parses an address that a server can be reached at.
+/// Parses an address; `port` is used if it has none. Unspecified and multicast addresses are invalid.
 fn parse_address(text: &str, port: Option<u16>) -> Option<SocketAddr> {
     let address: SocketAddr = match (text.parse(), text.parse::<IpAddr>(), port) {
         (Ok(address), ..) => address,
--- /dev/null
+++ b/crates/registry-client/src/follow/requests.rs
@@ -0,0 +1,65 @@
+//! Requests of a follower: a queue of those to be sent, and the purpose of each until its response arrives.
+
+use crate::wire::{Op, Stat};
+use bytes::Bytes;
+use std::collections::{HashMap, VecDeque};
+
+/// The data of an entry as it was read.
+#[derive(Debug, PartialEq)]
+pub(super) struct EntryData {
+    pub(super) data: Bytes,
+    pub(super) stat: Stat,
+}
+
+/// What a request is for.
+#[derive(Debug, PartialEq)]
+pub(super) enum Purpose {
+    /// Its response does not matter.
+    Sync,
+    /// Sets the persistent watch.
+    Watch,
+    /// Reads the list of children.
+    List,
+    /// Reads the data of a child.
+    ReadData(String),
+    /// Reads the access list of a child whose data has been read.
+    ReadAcl(String, Box<EntryData>),
+}
+
+/// Requests that are queued or in flight, by token.
+#[derive(Debug, Default)]
+pub(super) struct Requests {
+    pending: HashMap<u64, Purpose>,
+    last_token: u64,
+    queue: VecDeque<(u64, Op)>,
+}
+
+impl Requests {
+    /// Queues a request.
+    pub(super) fn add(&mut self, purpose: Purpose, op: Op) {
+        self.last_token += 1;
+        self.pending.insert(self.last_token, purpose);
+        self.queue.push_back((self.last_token, op));
+    }
+
+    /// The next request to be sent, with its token.
+    pub(super) fn next(&mut self) -> Option<(u64, Op)> {
+        self.queue.pop_front()
+    }
+
+    /// Ends a request; `None` if it was forgotten.
+    pub(super) fn complete(&mut self, token: u64) -> Option<Purpose> {
+        self.pending.remove(&token)
+    }
+
+    /// Forgets all requests. Tokens are not reused.
+    pub(super) fn clear(&mut self) {
+        self.queue.clear();
+        self.pending.clear();
+    }
+
+    /// Number of requests that are queued or in flight.
+    pub(super) fn pending_count(&self) -> usize {
+        self.pending.len()
+    }
+}
--- /dev/null
+++ b/crates/registry-client/src/follow/trust.rs
@@ -0,0 +1,50 @@
+//! Which entries count: those that end with their process, and that no stranger can change.
+
+use super::Limits;
+use crate::entry::EntryError;
+use crate::wire::{Acl, Stat};
+
+/// Permissions to change or remove an entry: write, delete, admin.
+const CHANGE_PERMISSIONS: i32 = 2 | 8 | 16;
+
+/// An identity in access lists.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Identity {
+    /// The scheme, such as `digest`.
+    pub scheme: String,
+    /// The id in this scheme.
+    pub id: String,
+}
+
+/// Checks that an entry is ephemeral and that only the owner can change it, as far as the limits demand that.
+pub(super) fn check(limits: &Limits, stat: &Stat, acl: &[Acl]) -> Result<(), EntryError> {
+    if !is_ephemeral(stat) && !limits.accepts_persistent {
+        return Err(EntryError::NotEphemeral);
+    }
+    let Some(owner) = &limits.owner else {
+        return Ok(());
+    };
+    let is_trusted = acl
+        .iter()
+        .filter(|acl| acl.permissions & CHANGE_PERMISSIONS != 0)
+        .all(|acl| names_identity(acl, owner));
+    if is_trusted {
+        Ok(())
+    } else {
+        Err(EntryError::UntrustedWriter)
+    }
+}
+
+/// Whether an entry ends with a session. A set top bit of the owner's top byte marks entries that end by a time to live or
+/// as empty containers (`EphemeralType`).
+fn is_ephemeral(stat: &Stat) -> bool {
+    stat.ephemeral_owner != 0 && (stat.ephemeral_owner as u64) >> 56 < 0x80
+}
+
+/// Whether an access list entry names an identity. To a session that may not change it, a registry shows `x` for a digest.
+fn names_identity(acl: &Acl, identity: &Identity) -> bool {
+    let Identity { scheme, id } = identity;
+    let user = id.split(':').next().unwrap_or_default();
+    let is_masked = || scheme == "digest" && acl.id == format!("{user}:x");
+    acl.scheme == *scheme && (acl.id == *id || is_masked())
+}
--- a/crates/registry-client/src/lib.rs
+++ b/crates/registry-client/src/lib.rs
@@ -1,14 +1,14 @@
-//! Follows the ephemeral entries of a registry in the manner of ZooKeeper, without I/O: bytes, times and randomness are
-//! arguments, and what is to be done is returned.
+//! Follows and registers ephemeral entries of a ZooKeeper-like registry, without I/O: bytes, times and randomness are
+//! arguments, and commands are return values.
 //!
-//! | module | does |
+//! | module | content |
 //! | --- | --- |
 //! | [`wire`] | frames, records and operations of the protocol |
-//! | [`session`] | one session with the registry, over connections to its members in turn |
-//! | [`entry`] | the description of a server in an entry, checked |
-//! | [`follow`] | keeps a mirror of the entries under a path, whatever watches fire or are lost |
-//! | [`roster`] | the listed servers: which of two entries is in force, and whose return is held back |
-//! | [`registration`] | the entry of this node itself |
+//! | [`session`] | a session with the registry, over connections to one member at a time |
+//! | [`entry`] | parses the description of a server in an entry |
+//! | [`follow`] | mirrors the entries under a path, whatever watches fire or are lost |
+//! | [`roster`] | the listed servers: resolves conflicts between entries, and delays servers that flap |
+//! | [`registration`] | registers the entry of this node |
 //!
 //! Sources: the ZooKeeper Programmer's Guide, Internals and record definitions, release 3.9.
 
@@ -19,5 +19,5 @@
 pub mod session;
 pub mod wire;
 
-/// Seconds of Unix time; only what lists say of starts needs more than differences.
+/// Seconds of Unix time, or a duration in seconds.
 pub type Time = f64;
--- a/crates/registry-client/src/registration.rs
+++ b/crates/registry-client/src/registration.rs
@@ -1,22 +1,22 @@
-//! The registration of this node: the entry of its own, by which peers and load balancers find it.
+//! Registers this node: creates the entry by which peers and load balancers find it, and removes it.
 //!
 //! | state | ends |
 //! | --- | --- |
-//! | idle | when it is wanted and the registry is connected: reading |
+//! | idle | when the entry is wanted and the session is connected: reading |
 //! | reading | no entry: creating; one of this session: registered; one of an earlier run of this node: removing stale; another owner's: waiting |
 //! | creating | created, or one exists, or the outcome is unknown: reading |
 //! | removing stale | removed: creating; otherwise: reading |
-//! | registered | removed by somebody: reading; connection lost: idle, since only the registry knows whether it still exists |
+//! | registered | removed by another client: reading; connection lost: idle, since only the registry knows whether it still exists |
 //! | waiting | the other owner's entry is removed, or [`RETRY_INTERVAL`] is over: reading |
 //! | deregistering | removed: idle, for good |
 //!
-//! Its path is fixed, so that there are never two at once. A request to create it whose answer was lost may have
-//! been carried out, so the entry is read and never guessed. An entry that an earlier run left behind would go on
-//! attracting requests to a process that is gone, or to this one before it is ready: it is removed, by its version, and
-//! created anew by this session. An entry of a later run of the same node wins: this process is about to end.
+//! The path is fixed, so that a node never has two entries. A request to create it whose response was lost may have been
+//! executed, so the entry is always read. The entry of an earlier run would attract requests to a process that is gone,
+//! or to this one before it is ready, so it is removed by its version and created by this session. The entry of a later
+//! run takes precedence: this process is about to end.
 
 use crate::session::Event;
-use crate::wire::{Acl, Answer, Fired, Happened, Op, Refusal, Stat};
+use crate::wire::{Acl, Op, OperationError, Response, Stat, WatchEvent, WatchEventKind};
 use crate::Time;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -27,17 +27,17 @@
 /// The data of the entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryData {
-    /// The node's name.
+    /// The name of the node.
     pub name: String,
-    /// Where it takes requests.
+    /// The address where it accepts requests.
     pub address: String,
-    /// Its site.
+    /// The site.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub site: Option<String>,
-    /// Its zone.
+    /// The zone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Grows with each start of the node.
+    /// The incarnation, which increases with each start of the node.
     pub incarnation: u64,
     /// When this process started, in milliseconds of Unix time.
     pub started: u64,
@@ -54,17 +54,17 @@
     Deregistering,
 }
 
-/// Something that is worth a log line.
+/// An event for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Report {
     /// The entry exists, with this session as its owner.
     Registered,
     /// An entry of another owner has its path.
     PathTaken(String),
-    /// A later run of this node has its path.
+    /// An entry of a later run of this node has its path.
     Superseded,
-    /// The registry refuses to create or remove it.
-    Refused(Refusal),
+    /// The registry rejects to create or remove it.
+    Refused(OperationError),
 }
 
 /// The registration of this node; see the module.
@@ -73,10 +73,10 @@
     path: String,
     data: EntryData,
     acl: Vec<Acl>,
-    wanted: bool,
-    up: bool,
+    is_wanted: bool,
+    is_connected: bool,
     state: State,
-    /// An entry of this session may exist: its creation was requested, and nothing has shown since that it is gone.
+    /// An entry of this session may exist: its creation was requested, and no later response showed that it is gone.
     may_exist: bool,
     token: u64,
     request: Option<(u64, Op)>,
@@ -91,8 +91,8 @@
             path,
             data,
             acl,
-            wanted: false,
-            up: false,
+            is_wanted: false,
+            is_connected: false,
             state: State::Idle,
             may_exist: false,
             token: 0,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The next request, with the token that its answer has.
+    /// The next request, with the token of its response.
     pub fn next_request(&mut self) -> Option<(u64, Op)> {
         self.request.take()
     }
@@ -112,27 +112,27 @@
         self.report.take()
     }
 
-    /// Whether the entry exists, as far as is known.
+    /// Whether the entry exists as far as is known.
     pub fn is_registered(&self) -> bool {
         self.state == State::Registered
     }
 
     /// Whether the entry is removed for good, or never existed.
     pub fn is_deregistered(&self) -> bool {
-        !self.wanted && self.state == State::Idle && !self.may_exist
+        !self.is_wanted && self.state == State::Idle && !self.may_exist
     }
 
-    /// Registers the node, as soon as the registry is connected.
+    /// Registers the node, as soon as the session is connected.
     pub fn register(&mut self) {
-        self.wanted = true;
-        if self.up && self.state == State::Idle {
+        self.is_wanted = true;
+        if self.is_connected && self.state == State::Idle {
             self.read();
         }
     }
 
     /// Removes the entry for good; the first step of a shutdown.
     pub fn deregister(&mut self) {
-        self.wanted = false;
+        self.is_wanted = false;
         match self.state {
             State::Registered => self.request(
                 State::Deregistering,
@@ -142,7 +142,7 @@
                 },
             ),
             State::Waiting { .. } => self.state = State::Idle,
-            // What is under way ends first; its answer tells what is to be removed.
+            // The response to the request in flight determines what is to be removed.
             _ => {}
         }
     }
@@ -201,31 +201,32 @@
     pub fn handle_event(&mut self, now: Time, session: i64, event: &Event) {
         match event {
             Event::Up { .. } => {
-                self.up = true;
-                // Also for the same session: what was under way when the connection went may have been carried out.
-                if self.wanted || self.may_exist {
+                self.is_connected = true;
+                // Also for the same session: a request in flight when the connection was lost may have been executed.
+                if self.is_wanted || self.may_exist {
                     self.read();
                 }
             }
             Event::Lost(_) | Event::Expired | Event::Reset => {
-                // Only the end of the session shows that its entry is gone.
+                // The entry is certainly gone only with the session.
                 self.may_exist &= matches!(event, Event::Lost(_));
-                self.up = false;
+                self.is_connected = false;
                 self.request = None;
                 self.state = State::Idle;
             }
-            Event::Answered(token, answer) if *token == self.token => {
-                self.handle_answer(now, session, answer)
+            Event::Response(token, response) if *token == self.token => {
+                self.handle_response(now, session, response)
             }
-            Event::Fired(Fired {
-                what: Happened::Deleted,
+            Event::Watch(WatchEvent {
+                kind: WatchEventKind::Deleted,
                 path,
             }) if *path == self.path => {
                 self.may_exist &= self.state == State::Creating;
                 if matches!(self.state, State::Registered | State::Waiting { .. }) {
-                    match self.wanted {
-                        true => self.read(),
-                        false => self.state = State::Idle,
+                    if self.is_wanted {
+                        self.read();
+                    } else {
+                        self.state = State::Idle;
                     }
                 }
             }
@@ -233,32 +234,40 @@
         }
     }
 
-    fn handle_answer(&mut self, now: Time, session: i64, answer: &Result<Answer, Refusal>) {
-        match (self.state, answer) {
-            (State::Reading, Ok(Answer::Data(data, stat))) => {
+    fn handle_response(
+        &mut self,
+        now: Time,
+        session: i64,
+        response: &Result<Response, OperationError>,
+    ) {
+        match (self.state, response) {
+            (State::Reading, Ok(Response::Data(data, stat))) => {
                 self.handle_entry(now, session, data, stat)
             }
-            (State::Reading, Err(Refusal::NoNode)) => {
+            (State::Reading, Err(OperationError::NoNode)) => {
                 self.may_exist = false;
-                match self.wanted {
-                    true => self.create(),
-                    false => self.state = State::Idle,
+                if self.is_wanted {
+                    self.create();
+                } else {
+                    self.state = State::Idle;
                 }
             }
             (State::Creating, Ok(_)) => {
-                // Read once more, which sets the watch that reports its removal.
+                // Reading it sets the watch that reports its removal.
                 self.read();
             }
-            (State::Creating, Err(Refusal::NodeExists)) => self.read(),
-            (State::RemovingStale, Ok(_) | Err(Refusal::NoNode)) if self.wanted => self.create(),
-            (State::RemovingStale, Err(Refusal::BadVersion)) => self.read(),
-            (State::Deregistering, Ok(_) | Err(Refusal::NoNode)) => {
+            (State::Creating, Err(OperationError::NodeExists)) => self.read(),
+            (State::RemovingStale, Ok(_) | Err(OperationError::NoNode)) if self.is_wanted => {
+                self.create()
+            }
+            (State::RemovingStale, Err(OperationError::BadVersion)) => self.read(),
+            (State::Deregistering, Ok(_) | Err(OperationError::NoNode)) => {
                 (self.state, self.may_exist) = (State::Idle, false);
             }
-            (State::Deregistering, Err(Refusal::BadVersion)) => self.read(),
-            (_, Err(refusal)) if self.wanted || self.state == State::Deregistering => {
-                self.report(Report::Refused(*refusal));
-                self.state = if self.wanted {
+            (State::Deregistering, Err(OperationError::BadVersion)) => self.read(),
+            (_, Err(error)) if self.is_wanted || self.state == State::Deregistering => {
+                self.report(Report::Refused(*error));
+                self.state = if self.is_wanted {
                     State::Waiting {
                         until: now + RETRY_INTERVAL,
                     }
@@ -276,21 +285,21 @@
             version: stat.version,
         };
         if stat.ephemeral_owner == session {
-            if !self.wanted {
+            if !self.is_wanted {
                 return self.request(State::Deregistering, remove);
             }
             self.state = State::Registered;
             return self.report(Report::Registered);
         }
         self.may_exist = false;
-        if !self.wanted {
+        if !self.is_wanted {
             self.state = State::Idle;
             return;
         }
-        let theirs: Option<EntryData> = serde_json::from_slice(data).ok();
-        match theirs.filter(|d| d.name == self.data.name) {
-            Some(theirs) if theirs.incarnation <= self.data.incarnation => {
-                // Of an earlier run, or of this one by a session that is over.
+        let existing: Option<EntryData> = serde_json::from_slice(data).ok();
+        match existing.filter(|entry| entry.name == self.data.name) {
+            Some(existing) if existing.incarnation <= self.data.incarnation => {
+                // An earlier run created it, or this run in a session that has expired.
                 return self.request(State::RemovingStale, remove);
             }
             Some(_) => self.report(Report::Superseded),
--- a/crates/registry-client/src/roster.rs
+++ b/crates/registry-client/src/roster.rs
@@ -1,96 +1,157 @@
-//! The servers that the entries of a registry describe.
+//! The listed servers: those that the entries of a registry describe, without conflicting and flapping ones.
 //!
-//! Removal is immediate, always. Admission waits where a server has come and gone too often: a first return is
-//! accepted at once, each further one within [`WINDOW`] waits twice as long as the one before, up to [`HOLD_MOST`].
+//! A removal is always immediate. A return is delayed if the server flaps: the first return is immediate, and each further
+//! one within [`FLAP_WINDOW`] is delayed twice as long as the one before, up to [`MAX_RETURN_DELAY`].
 //!
-//! Of two entries with one name or one address, the one that was made last counts (the greatest `czxid`): a process that
-//! has come back with a new session stands beside its old entry until the registry has noticed; and whoever holds an
-//! address now is the one that answers there. With the younger gone, the older counts again.
+//! Of two entries with the same name or address, the one that was created last (the greatest `czxid`) is in force: a
+//! process that returns with a new session has a second entry until the old session expires, and the latest owner of an
+//! address is the one that accepts connections there. If the later entry is removed, the earlier one is in force again.
 //!
 //! | an entry | its server |
 //! | --- | --- |
-//! | counts, and its name does not wait | up, or draining if it says so |
-//! | counts, and its name waits | gone, until its time has come |
-//! | does not count, or can't be used | gone, unless another with its name counts |
+//! | in force, and the return is not delayed | listed, as up or draining |
+//! | in force, and the return is delayed | removed, until the delay is over |
+//! | not in force, or invalid | removed, unless another entry of the same name is in force |
 
 use crate::entry::{Entry, EntryError};
 use crate::Time;
+use std::borrow::Borrow;
 use std::collections::{BTreeSet, HashMap};
 use std::hash::Hash;
 use std::net::SocketAddr;
 
-/// Returns of one server within this time, in seconds, count together.
-pub const WINDOW: Time = 30.0;
-/// How long the second return within the window is held back, in seconds.
-pub const HOLD: Time = 1.0;
-/// The longest time that a return is held back, in seconds.
-pub const HOLD_MOST: Time = 30.0;
-/// Maximum number of servers whose departures are counted. One that is dropped returns at once.
-pub const FLAPS_MOST: usize = 4096;
+/// Departures of a server within this time of the one before count as flapping, in seconds.
+pub const FLAP_WINDOW: Time = 30.0;
+/// The delay of the second return within the window, in seconds.
+pub const INITIAL_RETURN_DELAY: Time = 1.0;
+/// The maximum delay of a return, in seconds.
+pub const MAX_RETURN_DELAY: Time = 30.0;
+/// Maximum number of flap records. A server whose record is evicted returns without delay.
+pub const MAX_FLAP_RECORDS: usize = 4096;
+
+/// Enough doublings to reach [`MAX_RETURN_DELAY`].
+const MAX_DOUBLINGS: u32 = 16;
+/// The interval at which expired flap records are removed, in seconds.
+const SWEEP_INTERVAL: Time = 1.0;
 
 /// A change of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// It is listed, as this entry describes it.
+    /// It is listed, as described by this entry.
     Listed(Entry),
-    /// It is not listed any more, and gets no new requests.
+    /// It is not listed any more.
     Removed(String),
 }
 
+/// A valid entry.
 #[derive(Debug)]
 struct StoredEntry {
     czxid: i64,
     entry: Entry,
 }
 
+/// The departures of a server.
 #[derive(Clone, Copy, Debug)]
 struct FlapRecord {
     departures: u32,
     last_departure: Time,
     /// When the server may return.
-    hold_until: Time,
-    /// Its key among the waiting servers; one for each name, however often it comes and goes.
-    waiting_key: Option<u64>,
+    delayed_until: Time,
+    /// The time of its item in [`Roster::delayed`], if it has one.
+    scheduled_at: Option<Ticks>,
+}
+
+/// An entry in an [`Index`]. The order is that of creation.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct IndexedEntry {
+    czxid: i64,
+    child: String,
+}
+
+impl IndexedEntry {
+    fn new(czxid: i64, child: &str) -> Self {
+        IndexedEntry {
+            czxid,
+            child: child.to_owned(),
+        }
+    }
 }
 
-/// The entries with the same key, the one that was created last at the end.
+/// The entries that share a key, in the order of their creation.
 #[derive(Debug)]
-struct Index<K>(HashMap<K, BTreeSet<(i64, String)>>);
+struct Index<K>(HashMap<K, BTreeSet<IndexedEntry>>);
+
+impl<K> Default for Index<K> {
+    fn default() -> Self {
+        Index(HashMap::new())
+    }
+}
 
 impl<K: Eq + Hash + Clone> Index<K> {
     fn add(&mut self, key: &K, czxid: i64, child: &str) {
         self.0
             .entry(key.clone())
             .or_default()
-            .insert((czxid, child.to_owned()));
+            .insert(IndexedEntry::new(czxid, child));
     }
 
     fn remove(&mut self, key: &K, czxid: i64, child: &str) {
-        if let Some(set) = self.0.get_mut(key) {
-            set.remove(&(czxid, child.to_owned()));
-            if set.is_empty() {
+        if let Some(entries) = self.0.get_mut(key) {
+            entries.remove(&IndexedEntry::new(czxid, child));
+            if entries.is_empty() {
                 self.0.remove(key);
             }
         }
     }
 
-    fn last(&self, key: &K) -> Option<&str> {
-        self.0.get(key)?.last().map(|(_, child)| child.as_str())
+    /// The entry that was created last.
+    fn latest<Q>(&self, key: &Q) -> Option<&str>
+    where
+        K: Borrow<Q>,
+        Q: Eq + Hash + ?Sized,
+    {
+        self.0.get(key)?.last().map(|entry| entry.child.as_str())
     }
+
+    fn children(&self, key: &K) -> impl Iterator<Item = &str> {
+        self.0
+            .get(key)
+            .into_iter()
+            .flatten()
+            .map(|entry| entry.child.as_str())
+    }
+}
+
+/// The sizes of a roster's collections.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RosterSizes {
+    /// Valid entries.
+    pub entries: usize,
+    /// Listed servers.
+    pub servers: usize,
+    /// Servers whose departures are counted.
+    pub flap_records: usize,
+}
+
+/// A server that is listed after a delay. The order is that of the time.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct DelayedReturn {
+    at: Ticks,
+    name: String,
 }
 
-/// The listed servers, kept up to date with the entries; see the module.
+/// The listed servers; see the module. [`crate::follow`] keeps it up to date with the entries.
 #[derive(Debug)]
 pub struct Roster {
     entries: HashMap<String, StoredEntry>,
-    names: Index<String>,
-    addresses: Index<SocketAddr>,
-    /// The entry that was reported last of each listed server.
+    by_name: Index<String>,
+    by_address: Index<SocketAddr>,
+    /// The listed servers by name, each as it was reported last.
     listed: HashMap<String, Entry>,
     flaps: HashMap<String, FlapRecord>,
-    /// Names of servers whose return is held back, by when it is accepted.
-    waiting: BTreeSet<(u64, String)>,
-    /// When old flap records were removed last.
+    /// The servers whose return is delayed, in the order of its time.
+    delayed: BTreeSet<DelayedReturn>,
+    /// When expired flap records were removed last.
     last_sweep: Time,
     changes: Vec<Change>,
 }
@@ -99,25 +160,27 @@
     fn default() -> Self {
         Roster {
             entries: HashMap::new(),
-            names: Index(HashMap::new()),
-            addresses: Index(HashMap::new()),
+            by_name: Index::default(),
+            by_address: Index::default(),
             listed: HashMap::new(),
             flaps: HashMap::new(),
-            waiting: BTreeSet::new(),
+            delayed: BTreeSet::new(),
             last_sweep: 0.0,
             changes: Vec::new(),
         }
     }
 }
 
-/// Times as keys: whole microseconds that have passed.
-fn to_key(at: Time) -> u64 {
-    (at * 1e6) as u64
+/// A time in whole microseconds, which has a total order.
+type Ticks = u64;
+
+fn to_ticks(time: Time) -> Ticks {
+    (time * 1e6) as Ticks
 }
 
-/// The key from which on a time has surely passed, whatever was lost in counting.
-fn key_after(at: Time) -> u64 {
-    to_key(at) + 2
+/// The first tick that is certainly after a time, despite rounding.
+fn ticks_after(time: Time) -> Ticks {
+    to_ticks(time) + 2
 }
 
 impl Roster {
@@ -131,17 +194,21 @@
         self.listed.values()
     }
 
-    /// Numbers of entries, of listed servers, and of servers whose departures are counted.
-    pub fn sizes(&self) -> (usize, usize, usize) {
-        (self.entries.len(), self.listed.len(), self.flaps.len())
+    /// The sizes of the collections.
+    pub fn sizes(&self) -> RosterSizes {
+        RosterSizes {
+            entries: self.entries.len(),
+            servers: self.listed.len(),
+            flap_records: self.flaps.len(),
+        }
     }
 
-    /// Adds or updates an entry. An invalid one counts as missing.
+    /// Adds or updates an entry. An invalid one counts as removed.
     pub fn update(&mut self, now: Time, child: &str, czxid: i64, entry: Result<Entry, EntryError>) {
         let before = self.remove_entry(child);
         if let Ok(entry) = entry {
-            self.names.add(&entry.name, czxid, child);
-            self.addresses.add(&entry.address, czxid, child);
+            self.by_name.add(&entry.name, czxid, child);
+            self.by_address.add(&entry.address, czxid, child);
             self.entries
                 .insert(child.to_owned(), StoredEntry { czxid, entry });
         }
@@ -156,44 +223,37 @@
 
     fn remove_entry(&mut self, child: &str) -> Option<Entry> {
         let StoredEntry { czxid, entry } = self.entries.remove(child)?;
-        self.names.remove(&entry.name, czxid, child);
-        self.addresses.remove(&entry.address, czxid, child);
+        self.by_name.remove(&entry.name, czxid, child);
+        self.by_address.remove(&entry.address, czxid, child);
         Some(entry)
     }
 
-    /// Reevaluates all servers that share a name or an address with an entry, as it was and as it is.
+    /// Reevaluates all servers that share a name or an address with an entry, before or after its change.
     fn reevaluate_related(&mut self, now: Time, child: &str, before: Option<Entry>) {
-        let after = self.entries.get(child).map(|k| k.entry.clone());
+        let after = self.entries.get(child).map(|stored| stored.entry.clone());
         let mut names: Vec<String> = Vec::new();
         for entry in before.iter().chain(&after) {
             names.push(entry.name.clone());
-            // Those that share its address, whatever their names are.
-            let sharing = self.addresses.0.get(&entry.address).into_iter().flatten();
-            names
-                .extend(sharing.filter_map(|(_, c)| Some(self.entries.get(c)?.entry.name.clone())));
+            let same_address = self.by_address.children(&entry.address);
+            let stored = same_address.filter_map(|child| self.entries.get(child));
+            names.extend(stored.map(|stored| stored.entry.name.clone()));
         }
         names.sort_unstable();
         names.dedup();
-        // Removals are reported before additions: a server that takes another's address is not listed beside it.
+        // Removals are reported first, so that a server is never listed beside another one with its address.
         let (listed, removed): (Vec<String>, Vec<String>) = names
             .into_iter()
-            .partition(|n| self.effective_entry(n).is_some());
-        removed
-            .iter()
-            .chain(&listed)
-            .for_each(|name| self.reevaluate(now, name));
+            .partition(|name| self.effective_entry(name).is_some());
+        for name in removed.iter().chain(&listed) {
+            self.reevaluate(now, name);
+        }
     }
 
-    /// The entry in force for a name: the last one of this name, if it is the last one of its address too.
+    /// The entry in force for a name: the latest one of this name, if it is the latest one of its address as well.
     fn effective_entry(&self, name: &str) -> Option<&Entry> {
-        let child = self
-            .names
-            .0
-            .get(name)?
-            .last()
-            .map(|(_, child)| child.as_str())?;
+        let child = self.by_name.latest(name)?;
         let entry = &self.entries.get(child)?.entry;
-        (self.addresses.last(&entry.address) == Some(child)).then_some(entry)
+        (self.by_address.latest(&entry.address) == Some(child)).then_some(entry)
     }
 
     fn reevaluate(&mut self, now: Time, name: &str) {
@@ -205,82 +265,99 @@
                 self.changes.push(Change::Removed(name.to_owned()));
             }
             (Some(listed), Some(entry)) if *listed != entry => self.list(name, entry),
-            (None, Some(entry)) => match self.flaps.get_mut(name).filter(|f| now < f.hold_until) {
-                Some(flap) => {
-                    let at = key_after(flap.hold_until);
-                    if let Some(old) = flap.waiting_key.replace(at) {
-                        self.waiting.remove(&(old, name.to_owned()));
-                    }
-                    self.waiting.insert((at, name.to_owned()));
-                }
-                None => self.list(name, entry),
-            },
+            (None, Some(entry)) => self.list_or_delay(now, name, entry),
             _ => {}
         }
     }
 
+    /// Lists a server that was not listed, at once or, if it flaps, after a delay.
+    fn list_or_delay(&mut self, now: Time, name: &str, entry: Entry) {
+        let flap = self.flaps.get_mut(name);
+        let Some(flap) = flap.filter(|flap| now < flap.delayed_until) else {
+            return self.list(name, entry);
+        };
+        let item = |at| DelayedReturn {
+            at,
+            name: name.to_owned(),
+        };
+        let at = ticks_after(flap.delayed_until);
+        if let Some(replaced) = flap.scheduled_at.replace(at) {
+            self.delayed.remove(&item(replaced));
+        }
+        self.delayed.insert(item(at));
+    }
+
     fn list(&mut self, name: &str, entry: Entry) {
         self.listed.insert(name.to_owned(), entry.clone());
         self.changes.push(Change::Listed(entry));
     }
 
-    /// Records that a server was removed: its next return may be held back.
-    ///
-    /// Guards against an entry that comes and goes several times a second, each return of which would give a server
-    /// new work, flood the module with news, and end again. It ought to catch processes that lose their session over
-    /// and over. Harm: a server that was restarted twice within the window waits for a second or two.
+    /// Records that a server was removed, which may delay its next return. Otherwise a process that loses its session over
+    /// and over would be sent requests each time, and flood the balancer with updates.
     fn record_departure(&mut self, now: Time, name: &str) {
-        if self.flaps.len() >= FLAPS_MOST && !self.flaps.contains_key(name) {
-            let oldest = self
-                .flaps
-                .iter()
-                .min_by(|a, b| a.1.last_departure.total_cmp(&b.1.last_departure))
-                .map(|(n, _)| n.clone());
-            oldest.and_then(|n| self.flaps.remove(&n));
+        if self.flaps.len() >= MAX_FLAP_RECORDS && !self.flaps.contains_key(name) {
+            self.evict_flap_record();
         }
         let flap = self.flaps.entry(name.to_owned()).or_insert(FlapRecord {
             departures: 0,
             last_departure: now,
-            hold_until: now,
-            waiting_key: None,
+            delayed_until: now,
+            scheduled_at: None,
         });
-        flap.departures = if now - flap.last_departure <= WINDOW {
+        flap.departures = if now - flap.last_departure <= FLAP_WINDOW {
             flap.departures.saturating_add(1)
         } else {
             1
         };
         flap.last_departure = now;
-        flap.hold_until = match flap.departures {
+        flap.delayed_until = match flap.departures {
             0 | 1 => now,
-            n => now + (HOLD * f64::from(2u32.saturating_pow((n - 2).min(16)))).min(HOLD_MOST),
+            departures => {
+                let factor = 2u32.saturating_pow((departures - 2).min(MAX_DOUBLINGS));
+                now + (INITIAL_RETURN_DELAY * f64::from(factor)).min(MAX_RETURN_DELAY)
+            }
         };
     }
 
+    /// Removes the flap record with the oldest departure.
+    fn evict_flap_record(&mut self) {
+        let oldest = self
+            .flaps
+            .iter()
+            .min_by(|(_, a), (_, b)| a.last_departure.total_cmp(&b.last_departure))
+            .map(|(name, _)| name.clone());
+        if let Some(name) = oldest {
+            self.flaps.remove(&name);
+        }
+    }
+
     /// When [`Roster::tick`] has to be called next.
     pub fn deadline(&self) -> Option<Time> {
-        // Not before it, lest a look too early find nothing to do.
-        self.waiting.first().map(|(at, _)| (*at + 1) as f64 / 1e6)
+        // One tick later, so that rounding does not make it too early.
+        self.delayed
+            .first()
+            .map(|delayed| (delayed.at + 1) as f64 / 1e6)
     }
 
-    /// Lists the servers whose return is not held back any more.
+    /// Lists the servers whose delay is over.
     pub fn tick(&mut self, now: Time) {
-        while self
-            .waiting
-            .first()
-            .is_some_and(|(at, _)| *at <= to_key(now))
-        {
-            let Some((_, name)) = self.waiting.pop_first() else {
+        while let Some(delayed) = self.delayed.first() {
+            if delayed.at > to_ticks(now) {
+                break;
+            }
+            let Some(DelayedReturn { name, .. }) = self.delayed.pop_first() else {
                 break;
             };
             if let Some(flap) = self.flaps.get_mut(&name) {
-                flap.waiting_key = None;
+                flap.scheduled_at = None;
             }
             self.reevaluate(now, &name);
         }
-        // Not at each tick: news may come thousands of times a second.
-        if now - self.last_sweep >= 1.0 {
+        // Not at each tick, since there may be thousands of them per second.
+        if now - self.last_sweep >= SWEEP_INTERVAL {
             self.last_sweep = now;
-            self.flaps.retain(|_, f| now - f.last_departure <= WINDOW);
+            self.flaps
+                .retain(|_, flap| now - flap.last_departure <= FLAP_WINDOW);
         }
     }
 }
--- a/crates/registry-client/src/session.rs
+++ b/crates/registry-client/src/session.rs
@@ -1,52 +1,61 @@
-//! A session with a registry: connections to its members one after the other, pings, requests in their order.
+//! A session with a registry: a connection to one member at a time, pings, and requests with their responses in order.
 //!
 //! | state | ends |
 //! | --- | --- |
-//! | resting | when its time has come: connecting to the next member |
-//! | connecting | with a connection: greeting; without one in time: the next member |
-//! | greeting | with the registry's word: up, or the session is over and a new one is asked for; without one in time: the next member |
-//! | up | when the connection ends, goes silent, or says what can't be: the next member, with the same session |
+//! | backoff | after a pause: connecting to the next member |
+//! | connecting | with a connection: handshake; at its time-out: backoff |
+//! | handshake | with the response: up, or the session has expired and a new one is requested; at its time-out: backoff |
+//! | up | when the connection ends, is silent, or violates the protocol: backoff, with the same session |
 //! | closed | never |
 //!
-//! *Connection lost* and *session expired* are two things. Only the registry knows that a session is over, and says so to
-//! whoever comes back with it; until then its entries may stand. So losing a connection is told as [`Event::Lost`], and
-//! only the registry's word as [`Event::Expired`].
+//! *Connection lost* and *session expired* are different. Only the registry knows that a session is over, and reports it
+//! to a client that resumes it; until then its entries may exist. So the loss of a connection is [`Event::Lost`], and only
+//! the registry's response is [`Event::Expired`].
+//!
+//! | module | content |
+//! | --- | --- |
+//! | [`members`] | the order of members, and the backoff |
+//! | [`messages`] | messages of the session itself |
 //!
 //! Source: ZooKeeper Programmer's Guide, "ZooKeeper Sessions"; Internals, "Wire protocol".
 
-use crate::wire::{answer, Answer, Fired, Frames, Op, Reader, Refusal, WireFault, Writer};
+mod members;
+mod messages;
+
+use crate::wire::{
+    decode_response, Frames, Op, OperationError, Reader, Response, WatchEvent, WireError,
+};
 use crate::Time;
 use bytes::Bytes;
+use members::Members;
+use messages::{HandshakeResponse, ResponseHeader, SessionKey, AUTH_XID, PING_XID, WATCH_XID};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Most requests that wait for their answers.
+/// Maximum number of requests without a response.
 pub const PENDING_MOST: usize = 1024;
-/// The first pause after all members have failed in a row; it doubles up to [`REST_MOST`].
-const BACKOFF: Time = 0.1;
-const REST_MOST: Time = 5.0;
 
 /// Configuration of a session.
 #[derive(Clone, Debug)]
 pub struct SessionConfig {
     /// The members; at least one.
     pub members: Vec<SocketAddr>,
-    /// How long the registry keeps the session without a word, in seconds. The registry may give less or more.
+    /// The requested time after which the registry expires a silent session, in seconds. The registry may grant another.
     pub timeout: Time,
-    /// A member that has not answered the handshake by then is passed over, in seconds.
+    /// The time-out of connecting to a member, handshake included, in seconds.
     pub connect_within: Time,
     /// The credentials of the session: a scheme and its proof, such as `digest` and `name:password`.
     pub auth: Option<(String, Bytes)>,
-    /// If every member has turned it away for so long, in seconds, the session begins anew without asking for the state
-    /// that it has seen: the registry was set up again.
+    /// The time without a connection after which a new session is requested that does not insist on the last known state,
+    /// in seconds: the registry was probably set up again.
     pub forget_after: Time,
 }
 
-/// What the owner of the connection has to do.
+/// An instruction to the owner of the connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Connect to this member, and say how that went.
+    /// Connect to this member, and report the result.
     Connect(SocketAddr),
     /// Send these bytes.
     Send(Bytes),
@@ -54,44 +63,44 @@
     Close,
 }
 
-/// What has happened.
+/// An event for the users of the session. Numbers are tokens of requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The registry answers; `fresh` if the session is a new one, with nothing left of the one before.
+    /// The session is connected.
     Up {
-        /// The session is new.
-        fresh: bool,
+        /// It is a new session, without the entries and watches of the one before.
+        is_new: bool,
     },
-    /// The connection is lost. The session may live on.
+    /// The connection is lost. The session may still exist.
     Lost(LossReason),
-    /// The session is over: what ended with it is gone.
+    /// The session has expired, with its entries and watches.
     Expired,
-    /// The registry was set up again, as far as can be told: the state that was seen counts no longer.
+    /// The registry was probably set up again: the last known state is obsolete.
     Reset,
-    /// A request has been answered.
-    Answered(u64, Result<Answer, Refusal>),
-    /// A request has been lost with its connection: it may have been carried out.
-    Unanswered(u64),
+    /// A request has a response.
+    Response(u64, Result<Response, OperationError>),
+    /// A request was lost with its connection: it may have been executed.
+    RequestLost(u64),
     /// A watch has fired.
-    Fired(Fired),
+    Watch(WatchEvent),
 }
 
-/// LossReason a connection was lost.
+/// Why a connection was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LossReason {
-    /// It could not be made.
+    /// Connecting failed.
     #[error("no connection")]
     ConnectFailed,
-    /// It was closed from the other side.
+    /// The registry closed it.
     #[error("closed by the registry")]
     Closed,
-    /// Nothing came for too long.
+    /// The registry was silent for too long.
     #[error("the registry is silent")]
     Timeout,
-    /// What came is not what the protocol has.
+    /// The registry violated the protocol.
     #[error("{0}")]
-    Protocol(WireFault),
-    /// The registry does not take the session's proof.
+    Protocol(#[from] WireError),
+    /// The registry rejected the credentials.
     #[error("the registry does not take the credentials")]
     BadCredentials,
 }
@@ -105,73 +114,55 @@
     Closed,
 }
 
-/// See the module.
+/// A request without a response.
+#[derive(Debug)]
+struct PendingRequest {
+    xid: i32,
+    token: u64,
+    op: Op,
+}
+
+/// A session; see the module.
 #[derive(Debug)]
 pub struct Session {
     config: SessionConfig,
+    members: Members,
     state: State,
-    /// The next of the members.
-    next_member: usize,
-    /// Failures in a row.
-    failures: u32,
-    /// Since when no member has taken the session.
+    /// When the session was connected last, or began.
     disconnected_since: Time,
-    random: u64,
-    id: i64,
-    password: Bytes,
-    /// The time-out that was agreed on.
+    key: SessionKey,
+    /// The granted time-out.
     timeout: Time,
+    /// The newest state of the registry that was seen.
     last_zxid: i64,
-    xid: i32,
-    pending: VecDeque<(i32, u64, Op)>,
+    last_xid: i32,
+    pending: VecDeque<PendingRequest>,
     frames: Frames,
-    last_heard: Time,
+    last_received: Time,
     last_sent: Time,
     commands: VecDeque<Command>,
     events: VecDeque<Event>,
 }
 
-const PING: i32 = -2;
-const AUTH: i32 = -4;
-const WATCH_EVENT: i32 = -1;
-
 impl Session {
-    /// A session that is yet to be asked for. `random` sets the order of members and the rests.
-    pub fn new(config: SessionConfig, now: Time, random: u64) -> Session {
-        let mut session = Session {
+    /// A session that is not requested yet. `random` determines the order of members and the pauses.
+    pub fn new(mut config: SessionConfig, now: Time, random: u64) -> Session {
+        Session {
+            members: Members::new(std::mem::take(&mut config.members), random),
             timeout: config.timeout,
             config,
             state: State::Backoff { until: now },
-            next_member: 0,
-            failures: 0,
             disconnected_since: now,
-            random,
-            id: 0,
-            password: Bytes::from_static(&[0; 16]),
+            key: SessionKey::none(),
             last_zxid: 0,
-            xid: 0,
+            last_xid: 0,
             pending: VecDeque::new(),
             frames: Frames::default(),
-            last_heard: now,
+            last_received: now,
             last_sent: now,
             commands: VecDeque::new(),
             events: VecDeque::new(),
-        };
-        // So that many nodes do not all come to the first member.
-        for n in (1..session.config.members.len()).rev() {
-            let other = (session.fraction() * (n + 1) as f64) as usize;
-            session.config.members.swap(n, other.min(n));
         }
-        session
-    }
-
-    fn fraction(&mut self) -> f64 {
-        // SplitMix64: enough to spread members and rests.
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.random;
-        z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        ((z ^ (z >> 31)) >> 11) as f64 / (1u64 << 53) as f64
     }
 
     /// The next command for the owner of the connection.
@@ -184,70 +175,78 @@
         self.events.pop_front()
     }
 
-    /// Requests are answered.
+    /// Whether the session is connected.
     pub fn is_up(&self) -> bool {
         matches!(self.state, State::Up)
     }
 
-    /// The session's number with the registry, 0 for none yet. Entries that end with it have it as their owner.
+    /// The id of the session, 0 for none yet. It is the owner of the session's ephemeral entries.
     pub fn id(&self) -> i64 {
-        self.id
+        self.key.id
     }
 
-    /// The newest state that was seen.
+    /// The newest state of the registry that was seen.
     pub fn last_zxid(&self) -> i64 {
         self.last_zxid
     }
 
-    /// When the registry was last heard.
+    /// When a message of the registry was last received.
     pub fn last_heard(&self) -> Time {
-        self.last_heard
+        self.last_received
     }
 
-    /// Number of requests that wait for their answers.
+    /// Number of requests without a response.
     pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
+    /// When the next ping is due.
+    fn ping_at(&self) -> Time {
+        self.last_sent + self.timeout / 3.0
+    }
+
+    /// When the connection counts as lost, unless a message is received.
+    fn silent_at(&self) -> Time {
+        self.last_received + self.timeout * 2.0 / 3.0
+    }
+
     /// When [`Session::tick`] has to be called; `None` once it is closed.
     pub fn deadline(&self) -> Option<Time> {
         match self.state {
             State::Backoff { until } | State::Connecting { until } | State::Handshake { until } => {
                 Some(until)
             }
-            State::Up => Some(
-                (self.last_sent + self.timeout / 3.0)
-                    .min(self.last_heard + self.timeout * 2.0 / 3.0),
-            ),
+            State::Up => Some(self.ping_at().min(self.silent_at())),
             State::Closed => None,
         }
     }
 
-    /// Sends a request, whose answer comes as an event with `token`. Returns whether it could be sent.
+    /// Sends a request, whose response is an event with `token`. Returns whether it could be sent.
     pub fn request(&mut self, now: Time, token: u64, op: Op) -> bool {
         if !self.is_up() || self.pending.len() >= PENDING_MOST {
             return false;
         }
-        self.xid = if self.xid == i32::MAX {
+        self.last_xid = if self.last_xid == i32::MAX {
             1
         } else {
-            self.xid + 1
+            self.last_xid + 1
         };
-        self.send(now, op.frame(self.xid));
-        self.pending.push_back((self.xid, token, op));
+        let xid = self.last_xid;
+        self.send(now, op.frame(xid));
+        self.pending.push_back(PendingRequest { xid, token, op });
         true
     }
 
-    /// Ends the session: the registry drops what ends with it at once. Nothing else is done after this.
+    /// Ends the session, with which the registry removes its entries at once. The session can't be used afterwards.
     pub fn close(&mut self, now: Time) {
         if self.is_up() {
-            self.xid = self.xid.wrapping_add(1).max(1);
-            self.send(now, Writer::new().int(self.xid).int(-11).done());
+            self.last_xid = self.last_xid.wrapping_add(1).max(1);
+            self.send(now, messages::close(self.last_xid));
         } else if !matches!(self.state, State::Closed) {
             self.commands.push_back(Command::Close);
         }
         self.state = State::Closed;
-        self.fail_pending();
+        self.lose_pending();
     }
 
     /// Acts on timeouts; to be called at [`Session::deadline`].
@@ -255,50 +254,36 @@
         match self.state {
             State::Backoff { until } if now >= until => self.connect(now),
             State::Connecting { until } | State::Handshake { until } if now >= until => {
-                self.disconnect(now, LossReason::Timeout)
-            }
-            State::Up if now >= self.last_heard + self.timeout * 2.0 / 3.0 => {
-                self.disconnect(now, LossReason::Timeout)
-            }
-            State::Up if now >= self.last_sent + self.timeout / 3.0 => {
-                self.send(now, Writer::new().int(PING).int(11).done());
+                self.disconnect(now, LossReason::Timeout);
             }
+            State::Up if now >= self.silent_at() => self.disconnect(now, LossReason::Timeout),
+            State::Up if now >= self.ping_at() => self.send(now, messages::ping()),
             _ => {}
         }
     }
 
     fn connect(&mut self, now: Time) {
-        let Some(member) = self
-            .config
-            .members
-            .get(self.next_member % self.config.members.len().max(1))
-        else {
+        let Some(member) = self.members.current() else {
             return;
         };
-        self.commands.push_back(Command::Connect(*member));
+        self.commands.push_back(Command::Connect(member));
         self.state = State::Connecting {
             until: now + self.config.connect_within,
         };
     }
 
-    /// The connection was made.
+    /// Handles the success of [`Command::Connect`].
     pub fn handle_connected(&mut self, now: Time) {
         let State::Connecting { until } = self.state else {
             return;
         };
         self.frames = Frames::default();
-        let timeout = (self.config.timeout * 1e3).clamp(1.0, f64::from(i32::MAX)) as i32;
-        let handshake = Writer::new()
-            .int(0)
-            .long(self.last_zxid)
-            .int(timeout)
-            .long(self.id)
-            .buffer(&self.password);
-        self.send(now, handshake.boolean(false).done());
+        let handshake = messages::handshake(&self.key, self.last_zxid, self.config.timeout);
+        self.send(now, handshake);
         self.state = State::Handshake { until };
     }
 
-    /// The connection could not be made, or has ended.
+    /// Handles the failure of [`Command::Connect`], or the end of the connection.
     pub fn handle_disconnected(&mut self, now: Time) {
         match self.state {
             State::Connecting { .. } => self.disconnect(now, LossReason::ConnectFailed),
@@ -307,112 +292,114 @@
         }
     }
 
-    /// Bytes were received.
+    fn has_connection(&self) -> bool {
+        matches!(self.state, State::Handshake { .. } | State::Up)
+    }
+
+    /// Handles received bytes.
     pub fn handle_bytes(&mut self, now: Time, bytes: &[u8]) {
-        if !matches!(self.state, State::Handshake { .. } | State::Up) {
+        if !self.has_connection() {
             return;
         }
         self.frames.push(bytes);
-        loop {
-            let taken = match self.frames.frame() {
+        while self.has_connection() {
+            let result = match self.frames.next_frame() {
                 Ok(None) => return,
                 Ok(Some(frame)) => self.handle_frame(now, frame),
-                Err(fault) => Err(LossReason::Protocol(fault)),
+                Err(error) => Err(error.into()),
             };
-            if let Err(why) = taken {
-                return self.disconnect(now, why);
-            }
-            if !matches!(self.state, State::Handshake { .. } | State::Up) {
-                return;
+            if let Err(reason) = result {
+                return self.disconnect(now, reason);
             }
         }
     }
 
     fn handle_frame(&mut self, now: Time, frame: Bytes) -> Result<(), LossReason> {
-        self.last_heard = now;
-        let mut r = Reader::new(frame);
+        self.last_received = now;
+        let mut reader = Reader::new(frame);
         match self.state {
-            State::Handshake { .. } => self.handle_handshake(now, &mut r),
-            _ => self.handle_response(&mut r),
+            State::Handshake { .. } => self.handle_handshake(now, &mut reader),
+            _ => self.handle_message(&mut reader),
         }
     }
 
-    fn handle_handshake(&mut self, now: Time, r: &mut Reader) -> Result<(), LossReason> {
-        let mut read = || Ok((r.int()?, r.int()?, r.long()?, r.buffer()?));
-        let (_version, timeout, id, password) = read().map_err(LossReason::Protocol)?;
-        if timeout <= 0 || id == 0 {
-            if self.id == 0 {
-                // A new session was asked for and not given: no reason to ask again at once.
-                return Err(LossReason::Closed);
-            }
-            // The registry's word, and nothing else, ends a session.
-            self.id = 0;
-            self.password = Bytes::from_static(&[0; 16]);
-            self.commands.push_back(Command::Close);
-            self.events.push_back(Event::Expired);
-            // The same member gives a new one at once.
-            self.state = State::Backoff { until: now };
-            return Ok(());
+    fn handle_handshake(&mut self, now: Time, reader: &mut Reader) -> Result<(), LossReason> {
+        let response = HandshakeResponse::read(reader)?;
+        if !response.is_granted() {
+            return self.handle_expired(now);
         }
-        let fresh = self.id != id;
-        (self.id, self.password) = (id, password);
-        self.timeout = f64::from(timeout) / 1e3;
-        (self.state, self.failures) = (State::Up, 0);
-        if let Some((scheme, proof)) = self.config.auth.clone() {
-            self.send(
-                now,
-                Writer::new()
-                    .int(AUTH)
-                    .int(100)
-                    .int(0)
-                    .text(&scheme)
-                    .buffer(&proof)
-                    .done(),
-            );
+        let is_new = self.key.id != response.key.id;
+        self.key = response.key;
+        self.timeout = f64::from(response.timeout_ms) / 1e3;
+        self.state = State::Up;
+        self.members.succeed();
+        if let Some((scheme, proof)) = &self.config.auth {
+            let credentials = messages::credentials(scheme, proof);
+            self.send(now, credentials);
         }
-        self.events.push_back(Event::Up { fresh });
+        self.events.push_back(Event::Up { is_new });
         Ok(())
     }
 
-    fn handle_response(&mut self, r: &mut Reader) -> Result<(), LossReason> {
-        let (xid, zxid, code) = (
-            r.int().map_err(LossReason::Protocol)?,
-            r.long().map_err(LossReason::Protocol)?,
-            r.int().map_err(LossReason::Protocol)?,
-        );
-        match xid {
-            PING => return Ok(()),
-            AUTH if code != 0 => return Err(LossReason::BadCredentials),
-            AUTH => return Ok(()),
-            WATCH_EVENT => {
-                let fired = Fired::read(r).map_err(LossReason::Protocol)?;
-                self.last_zxid = self.last_zxid.max(zxid);
-                self.events.push_back(Event::Fired(fired));
-                return Ok(());
-            }
-            _ => {}
+    fn handle_expired(&mut self, now: Time) -> Result<(), LossReason> {
+        if self.key.id == 0 {
+            // A new session was requested and denied; the next member may grant one.
+            return Err(LossReason::Closed);
         }
-        if self.pending.front().is_none_or(|(next, ..)| *next != xid) {
-            return Err(LossReason::Protocol(WireFault::Order(xid)));
+        self.key = SessionKey::none();
+        self.commands.push_back(Command::Close);
+        self.events.push_back(Event::Expired);
+        // The same member can grant a new session at once.
+        self.state = State::Backoff { until: now };
+        Ok(())
+    }
+
+    fn handle_message(&mut self, reader: &mut Reader) -> Result<(), LossReason> {
+        let header = ResponseHeader::read(reader)?;
+        match header.xid {
+            PING_XID => Ok(()),
+            AUTH_XID if header.code != 0 => Err(LossReason::BadCredentials),
+            AUTH_XID => Ok(()),
+            WATCH_XID => {
+                let event = WatchEvent::read(reader)?;
+                self.last_zxid = self.last_zxid.max(header.zxid);
+                self.events.push_back(Event::Watch(event));
+                Ok(())
+            }
+            _ => self.handle_response(&header, reader),
         }
-        let Some((_, token, op)) = self.pending.pop_front() else {
-            return Ok(());
-        };
-        // Guards against a member that has lost what it once had, or never had what another showed: what it says next
-        // could bring back servers that are gone. Harm: none, since another member is asked.
-        if zxid > 0 && zxid < self.last_zxid {
-            self.events.push_back(Event::Unanswered(token));
-            return Err(LossReason::Protocol(WireFault::Older(zxid, self.last_zxid)));
+    }
+
+    fn handle_response(
+        &mut self,
+        header: &ResponseHeader,
+        reader: &mut Reader,
+    ) -> Result<(), LossReason> {
+        let unexpected = WireError::UnexpectedResponse(header.xid);
+        if self.pending.front().map(|next| next.xid) != Some(header.xid) {
+            return Err(unexpected.into());
         }
-        self.last_zxid = self.last_zxid.max(zxid);
-        match answer(&op, code, r) {
-            Ok(answer) => self.events.push_back(Event::Answered(token, answer)),
-            Err(fault) => {
-                self.events.push_back(Event::Unanswered(token));
-                return Err(LossReason::Protocol(fault));
-            }
+        let request = self.pending.pop_front().ok_or(unexpected)?;
+        let result = self.read_response(&request.op, header, reader);
+        self.events.push_back(match &result {
+            Ok(response) => Event::Response(request.token, response.clone()),
+            Err(_) => Event::RequestLost(request.token),
+        });
+        result.map(drop).map_err(LossReason::Protocol)
+    }
+
+    fn read_response(
+        &mut self,
+        op: &Op,
+        header: &ResponseHeader,
+        reader: &mut Reader,
+    ) -> Result<Result<Response, OperationError>, WireError> {
+        // A member that lost state, or never had what another one showed, could bring back servers that are gone.
+        if header.zxid > 0 && header.zxid < self.last_zxid {
+            return Err(WireError::StaleState(header.zxid, self.last_zxid));
         }
-        Ok(())
+        self.last_zxid = self.last_zxid.max(header.zxid);
+        decode_response(op, header.code, reader)
     }
 
     fn send(&mut self, now: Time, bytes: Bytes) {
@@ -420,41 +407,38 @@
         self.commands.push_back(Command::Send(bytes));
     }
 
-    fn fail_pending(&mut self) {
-        self.events.extend(
-            self.pending
-                .drain(..)
-                .map(|(_, token, _)| Event::Unanswered(token)),
-        );
+    /// Reports all requests without a response as lost.
+    fn lose_pending(&mut self) {
+        let lost = self.pending.drain(..);
+        self.events
+            .extend(lost.map(|request| Event::RequestLost(request.token)));
     }
 
-    /// Drops the connection, and goes on with the next member at once or after a pause.
-    fn disconnect(&mut self, now: Time, why: LossReason) {
+    /// Drops the connection, and schedules an attempt to connect to the next member.
+    fn disconnect(&mut self, now: Time, reason: LossReason) {
         if self.is_up() {
             self.disconnected_since = now;
         }
         self.commands.push_back(Command::Close);
         self.frames = Frames::default();
-        self.events.push_back(Event::Lost(why));
-        self.fail_pending();
-        self.next_member = (self.next_member + 1) % self.config.members.len().max(1);
-        self.failures = self.failures.saturating_add(1);
+        self.events.push_back(Event::Lost(reason));
+        self.lose_pending();
+        self.members.fail();
         if self.last_zxid > 0 && now - self.disconnected_since >= self.config.forget_after {
-            // Guards against waiting for ever for a state that no member will reach: the registry was set up again.
-            // Harm: if it was not, but every member that has the state stays away for so long, an older list counts.
-            (self.last_zxid, self.id, self.disconnected_since) = (0, 0, now);
-            self.password = Bytes::from_static(&[0; 16]);
-            self.events.push_back(Event::Reset);
+            self.reset(now);
         }
-        // Each member once without a pause, so that one that is gone costs no time; then rests that grow.
-        let rounds = self.failures as usize / self.config.members.len().max(1);
-        let pause = match rounds {
-            0 if why != LossReason::BadCredentials => 0.0,
-            n => {
-                (BACKOFF * f64::from(2u32.saturating_pow(n.min(10) as u32))).min(REST_MOST)
-                    * (0.5 + self.fraction())
-            }
+        let backoff = self.members.backoff(reason == LossReason::BadCredentials);
+        self.state = State::Backoff {
+            until: now + backoff,
         };
-        self.state = State::Backoff { until: now + pause };
+    }
+
+    /// Forgets session and state, so as not to wait forever for a state that a registry that was set up again never
+    /// reaches.
+    fn reset(&mut self, now: Time) {
+        self.last_zxid = 0;
+        self.key = SessionKey::none();
+        self.disconnected_since = now;
+        self.events.push_back(Event::Reset);
     }
 }
--- a/crates/registry-client/src/wire.rs
+++ b/crates/registry-client/src/wire.rs
@@ -1,17 +1,17 @@
-//! The registry's protocol, as a client speaks it: frames, records, operations.
+//! The client side of the registry's wire protocol.
 //!
-//! Whatever comes is untrusted: lengths are held against what is there before anything is taken, and a frame longer than
-//! [`FRAME_MOST`] ends the connection before it is kept.
+//! Received bytes are untrusted: lengths are checked against the available bytes before anything is allocated, and a frame
+//! longer than [`MAX_FRAME_LEN`] is rejected by its header.
 //!
-//! | module | responsibility |
+//! | module | content |
 //! | --- | --- |
-//! | `frames` | a stream of bytes cut into frames |
-//! | `fields` | the fields of records, read and written |
+//! | `frames` | splits a stream of bytes into frames |
+//! | `fields` | reads and writes the fields of records |
 //! | `records` | records that several operations share |
-//! | `operations` | operations, their answers and errors |
+//! | `operations` | requests, their responses and errors |
 //!
 //! Source: the ZooKeeper Programmer's Guide and Internals, and the published record definitions (`zookeeper.jute`,
-//! release 3.9): integers are big-endian, texts and buffers have a length of four bytes before them (-1 for none).
+//! release 3.9): integers are big-endian, texts and buffers are prefixed by a length of four bytes (-1 for none).
 
 mod fields;
 mod frames;
@@ -20,31 +20,31 @@
 
 pub use fields::{Reader, Writer};
 pub use frames::Frames;
-pub(crate) use operations::answer;
-pub use operations::{Answer, Op, Refusal};
-pub use records::{Acl, Fired, Happened, Stat};
+pub(crate) use operations::decode_response;
+pub use operations::{Op, OperationError, Response};
+pub use records::{Acl, Stat, WatchEvent, WatchEventKind};
 
 use thiserror::Error;
 
-/// Longest frame, in bytes: what registries take by default (`jute.maxbuffer`, 1 MiB), and room for its head.
-pub const FRAME_MOST: usize = (1 << 20) + (64 << 10);
+/// Maximum length of a frame, in bytes: the default of registries (`jute.maxbuffer`, 1 MiB), and space for headers.
+pub const MAX_FRAME_LEN: usize = (1 << 20) + (64 << 10);
 
-/// Why bytes are not what the protocol has.
+/// A violation of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum WireFault {
-    /// A frame of a length that can't be.
+pub enum WireError {
+    /// The length of a frame is negative or exceeds the maximum.
     #[error("a frame says that it has {0} bytes")]
-    Length(i64),
-    /// A record that ends before it should.
+    InvalidLength(i64),
+    /// A record ends too early.
     #[error("a record is cut short")]
-    Short,
-    /// A text that is none.
+    Truncated,
+    /// A text is not in UTF-8.
     #[error("a text is not in UTF-8")]
-    Text,
-    /// An answer to something that was not asked, or out of order.
+    InvalidText,
+    /// A response does not belong to the oldest request.
     #[error("an answer to request {0}, which is not next")]
-    Order(i32),
-    /// The registry went back to an older state than it has shown.
+    UnexpectedResponse(i32),
+    /// A member responded from an older state than the session has seen; both states are given.
     #[error("state {0:#x} after state {1:#x}")]
-    Older(i64, i64),
+    StaleState(i64, i64),
 }
--- a/crates/registry-client/src/wire/fields.rs
+++ b/crates/registry-client/src/wire/fields.rs
@@ -1,90 +1,90 @@
-//! The fields of records.
+//! Reads and writes the fields of records.
 
-use super::WireFault;
+use super::WireError;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// Reads a record's fields.
+/// Reads the fields of a record.
 pub struct Reader(Bytes);
 
 impl Reader {
-    /// Of a whole frame.
+    /// Reads a frame, without its length.
     pub fn new(frame: Bytes) -> Reader {
         Reader(frame)
     }
 
-    /// Nothing is left.
+    /// Whether everything has been read.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// A byte that tells yes or no.
+    /// A Boolean: one byte.
     ///
     /// # Errors
     /// If there is none.
-    pub fn boolean(&mut self) -> Result<bool, WireFault> {
+    pub fn boolean(&mut self) -> Result<bool, WireError> {
         self.0
             .try_get_u8()
-            .map(|b| b != 0)
-            .map_err(|_| WireFault::Short)
+            .map(|byte| byte != 0)
+            .map_err(|_| WireError::Truncated)
     }
 
-    /// Four bytes.
+    /// An integer of four bytes.
     ///
     /// # Errors
     /// If there are fewer.
-    pub fn int(&mut self) -> Result<i32, WireFault> {
-        self.0.try_get_i32().map_err(|_| WireFault::Short)
+    pub fn int(&mut self) -> Result<i32, WireError> {
+        self.0.try_get_i32().map_err(|_| WireError::Truncated)
     }
 
-    /// Eight bytes.
+    /// An integer of eight bytes.
     ///
     /// # Errors
     /// If there are fewer.
-    pub fn long(&mut self) -> Result<i64, WireFault> {
-        self.0.try_get_i64().map_err(|_| WireFault::Short)
+    pub fn long(&mut self) -> Result<i64, WireError> {
+        self.0.try_get_i64().map_err(|_| WireError::Truncated)
     }
 
-    /// Bytes with their length before them; none are as good as no bytes.
+    /// Bytes, prefixed by their length. A missing buffer is read as an empty one.
     ///
     /// # Errors
-    /// If there are fewer than it says, or it says what can't be.
-    pub fn buffer(&mut self) -> Result<Bytes, WireFault> {
-        match self.int()? {
-            -1 => Ok(Bytes::new()),
-            n => {
-                let length = usize::try_from(n).map_err(|_| WireFault::Length(n.into()))?;
-                if length > self.0.len() {
-                    return Err(WireFault::Short);
-                }
-                Ok(self.0.split_to(length))
-            }
+    /// If the length is invalid, or there are fewer bytes.
+    pub fn buffer(&mut self) -> Result<Bytes, WireError> {
+        let stated = self.int()?;
+        if stated == -1 {
+            return Ok(Bytes::new());
         }
+        let length =
+            usize::try_from(stated).map_err(|_| WireError::InvalidLength(stated.into()))?;
+        if length > self.0.len() {
+            return Err(WireError::Truncated);
+        }
+        Ok(self.0.split_to(length))
     }
 
     /// A text.
     ///
     /// # Errors
-    /// As for bytes, or if it is not in UTF-8.
-    pub fn text(&mut self) -> Result<String, WireFault> {
+    /// As for [`Reader::buffer`], or if it is not in UTF-8.
+    pub fn text(&mut self) -> Result<String, WireError> {
         let bytes = self.buffer()?;
         std::str::from_utf8(&bytes)
             .map(str::to_owned)
-            .map_err(|_| WireFault::Text)
+            .map_err(|_| WireError::InvalidText)
     }
 
-    /// Texts, with their number before them. One that is not in UTF-8 is given as `None`, so that a path with odd bytes
-    /// costs nothing but itself.
+    /// Texts, prefixed by their number. One that is not in UTF-8 is `None`, so that it does not invalidate the others.
     ///
     /// # Errors
-    /// If there are fewer than it says, or it says what can't be.
-    pub fn texts(&mut self) -> Result<Vec<Option<String>>, WireFault> {
-        let n = self.int()?;
-        let n = usize::try_from(n.max(0)).map_err(|_| WireFault::Length(n.into()))?;
-        // Each has a length of four bytes: a count that can't be must not make room for itself.
-        if n > self.0.len() / 4 {
-            return Err(WireFault::Short);
+    /// If there are fewer.
+    pub fn texts(&mut self) -> Result<Vec<Option<String>>, WireError> {
+        let stated = self.int()?;
+        let count =
+            usize::try_from(stated.max(0)).map_err(|_| WireError::InvalidLength(stated.into()))?;
+        // Each text has at least a length of four bytes, so nothing is allocated for an invalid number.
+        if count > self.0.len() / 4 {
+            return Err(WireError::Truncated);
         }
-        (0..n)
+        (0..count)
             .map(|_| Ok(String::from_utf8(self.buffer()?.to_vec()).ok()))
             .collect()
     }
@@ -107,28 +107,28 @@
         Writer(frame)
     }
 
-    /// A byte that tells yes or no.
+    /// A Boolean: one byte.
     #[must_use]
-    pub fn boolean(mut self, b: bool) -> Self {
-        self.0.put_u8(b.into());
+    pub fn boolean(mut self, value: bool) -> Self {
+        self.0.put_u8(value.into());
         self
     }
 
-    /// Four bytes.
+    /// An integer of four bytes.
     #[must_use]
-    pub fn int(mut self, n: i32) -> Self {
-        self.0.put_i32(n);
+    pub fn int(mut self, number: i32) -> Self {
+        self.0.put_i32(number);
         self
     }
 
-    /// Eight bytes.
+    /// An integer of eight bytes.
     #[must_use]
-    pub fn long(mut self, n: i64) -> Self {
-        self.0.put_i64(n);
+    pub fn long(mut self, number: i64) -> Self {
+        self.0.put_i64(number);
         self
     }
 
-    /// Bytes with their length before them.
+    /// Bytes, prefixed by their length.
     #[must_use]
     pub fn buffer(mut self, bytes: &[u8]) -> Self {
         self.0
@@ -143,14 +143,14 @@
         self.buffer(text.as_bytes())
     }
 
-    /// Texts, with their number before them.
+    /// Texts, prefixed by their number.
     #[must_use]
     pub fn texts(self, texts: &[String]) -> Self {
         let counted = self.int(i32::try_from(texts.len()).unwrap_or(i32::MAX));
-        texts.iter().fold(counted, |w, t| w.text(t))
+        texts.iter().fold(counted, |writer, text| writer.text(text))
     }
 
-    /// The frame, with its length before it.
+    /// The frame, prefixed by its length.
     pub fn done(mut self) -> Bytes {
         let length = u32::try_from(self.0.len().saturating_sub(4)).unwrap_or(u32::MAX);
         if let Some(head) = self.0.first_chunk_mut::<4>() {
--- a/crates/registry-client/src/wire/frames.rs
+++ b/crates/registry-client/src/wire/frames.rs
@@ -1,36 +1,37 @@
-//! Frames: a length of four bytes, and so many bytes.
+//! Splits a stream of bytes into frames: a length of four bytes, followed by as many bytes.
 
-use super::{WireFault, FRAME_MOST};
+use super::{WireError, MAX_FRAME_LEN};
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Cuts a stream of bytes into frames.
+/// The bytes that were received but do not form a complete frame yet.
 #[derive(Debug, Default)]
 pub struct Frames {
-    held: BytesMut,
+    buffer: BytesMut,
 }
 
 impl Frames {
-    /// Takes bytes as they came.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole frame.
+    /// The next complete frame, without its length.
     ///
     /// # Errors
-    /// If its length can't be: the stream is of no further use. At most [`FRAME_MOST`] bytes and what one read brings
-    /// are held.
-    pub fn frame(&mut self) -> Result<Option<Bytes>, WireFault> {
-        let Some(head) = self.held.first_chunk::<4>() else {
+    /// If its length is invalid, after which the stream can't be used any more.
+    pub fn next_frame(&mut self) -> Result<Option<Bytes>, WireError> {
+        let Some(head) = self.buffer.first_chunk::<4>() else {
             return Ok(None);
         };
         let stated = i32::from_be_bytes(*head);
-        let length = usize::try_from(stated).ok().filter(|n| *n <= FRAME_MOST);
-        let length = length.ok_or(WireFault::Length(stated.into()))?;
-        if self.held.len() < 4 + length {
+        let length = usize::try_from(stated)
+            .ok()
+            .filter(|length| *length <= MAX_FRAME_LEN)
+            .ok_or(WireError::InvalidLength(stated.into()))?;
+        if self.buffer.len() < 4 + length {
             return Ok(None);
         }
-        self.held.advance(4);
-        Ok(Some(self.held.split_to(length).freeze()))
+        self.buffer.advance(4);
+        Ok(Some(self.buffer.split_to(length).freeze()))
     }
 }
--- a/crates/registry-client/src/wire/operations.rs
+++ b/crates/registry-client/src/wire/operations.rs
@@ -1,71 +1,74 @@
-//! Operations, and what the registry answers to them.
+//! Requests to the registry, their responses and errors.
 
-use super::{Acl, Reader, Stat, WireFault, Writer};
+use super::{Acl, Reader, Stat, WireError, Writer};
 use bytes::Bytes;
 use thiserror::Error;
 
-/// What is asked of the registry.
+/// The mode of a watch that is persistent and recursive.
+const PERSISTENT_RECURSIVE: i32 = 1;
+
+/// A request to the registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Op {
-    /// Make an entry.
+    /// Creates an entry.
     Create {
-        /// Its path.
+        /// The path.
         path: String,
-        /// Its data.
+        /// The data.
         data: Bytes,
-        /// Who may do what with it.
+        /// The access list.
         acl: Vec<Acl>,
-        /// It ends with this session.
+        /// Whether it ends with this session.
         ephemeral: bool,
     },
-    /// Remove an entry, if its version is this one; -1 for any.
+    /// Removes an entry, if it has this version; -1 for any.
     Delete {
-        /// Its path.
+        /// The path.
         path: String,
-        /// The version that it must have.
+        /// The required version.
         version: i32,
     },
-    /// Replace an entry's data, if its version is this one; -1 for any.
+    /// Replaces the data of an entry, if it has this version; -1 for any.
     SetData {
-        /// Its path.
+        /// The path.
         path: String,
         /// The new data.
         data: Bytes,
-        /// The version that it must have.
+        /// The required version.
         version: i32,
     },
-    /// Whether an entry is there; a watch tells of the next change, also of its making.
+    /// Checks whether an entry exists. The watch reports its next change, or its creation.
     Exists {
-        /// Its path.
+        /// The path.
         path: String,
-        /// Watch it.
+        /// Whether to set a watch.
         watch: bool,
     },
-    /// An entry's data; a watch tells of the next change.
+    /// Reads the data of an entry. The watch reports the next change.
     GetData {
-        /// Its path.
+        /// The path.
         path: String,
-        /// Watch it.
+        /// Whether to set a watch.
         watch: bool,
     },
-    /// An entry's access list.
+    /// Reads the access list of an entry.
     GetAcl {
-        /// Its path.
+        /// The path.
         path: String,
     },
-    /// The names of an entry's children; a watch tells of the next change.
+    /// Lists the children of an entry. The watch reports the next change.
     GetChildren {
-        /// Its path.
+        /// The path.
         path: String,
-        /// Watch it.
+        /// Whether to set a watch.
         watch: bool,
     },
-    /// The member catches up with the others before it goes on.
+    /// Lets the member catch up with the others before it executes later requests.
     Sync {
         /// The path.
         path: String,
     },
-    /// Tell of every change of an entry and of all that is under it, for as long as the session lasts.
+    /// Sets a watch that reports every change of an entry and of all entries below it, until the session ends.
     AddWatch {
         /// The path.
         path: String,
@@ -73,7 +76,7 @@
 }
 
 impl Op {
-    /// The operation's number.
+    /// The code of the operation.
     fn code(&self) -> i32 {
         match self {
             Op::Create { .. } => 1,
@@ -88,9 +91,9 @@
         }
     }
 
-    /// Its frame.
+    /// The frame of the request.
     pub(crate) fn frame(&self, xid: i32) -> Bytes {
-        let w = Writer::new().int(xid).int(self.code());
+        let writer = Writer::new().int(xid).int(self.code());
         match self {
             Op::Create {
                 path,
@@ -98,108 +101,107 @@
                 acl,
                 ephemeral,
             } => {
-                let counted = w
+                let writer = writer
                     .text(path)
                     .buffer(data)
                     .int(i32::try_from(acl.len()).unwrap_or(0));
-                let listed = acl.iter().fold(counted, |w, a| {
-                    w.int(a.permissions).text(&a.scheme).text(&a.id)
+                let writer = acl.iter().fold(writer, |writer, acl| {
+                    writer.int(acl.permissions).text(&acl.scheme).text(&acl.id)
                 });
-                listed.int((*ephemeral).into()).done()
+                writer.int((*ephemeral).into()).done()
             }
-            Op::Delete { path, version } => w.text(path).int(*version).done(),
+            Op::Delete { path, version } => writer.text(path).int(*version).done(),
             Op::SetData {
                 path,
                 data,
                 version,
-            } => w.text(path).buffer(data).int(*version).done(),
+            } => writer.text(path).buffer(data).int(*version).done(),
             Op::Exists { path, watch }
             | Op::GetData { path, watch }
-            | Op::GetChildren { path, watch } => w.text(path).boolean(*watch).done(),
-            Op::GetAcl { path } | Op::Sync { path } => w.text(path).done(),
-            // 1 is the mode that is persistent and recursive.
-            Op::AddWatch { path } => w.text(path).int(1).done(),
+            | Op::GetChildren { path, watch } => writer.text(path).boolean(*watch).done(),
+            Op::GetAcl { path } | Op::Sync { path } => writer.text(path).done(),
+            Op::AddWatch { path } => writer.text(path).int(PERSISTENT_RECURSIVE).done(),
         }
     }
 }
 
-/// Errors that the registry answers with.
+/// An error response of the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Refusal {
-    /// There is no such entry.
+pub enum OperationError {
+    /// The entry does not exist.
     #[error("no such entry")]
     NoNode,
-    /// There is one already.
+    /// The entry exists already.
     #[error("there is one already")]
     NodeExists,
-    /// Its version is another.
+    /// The entry has another version.
     #[error("its version is another")]
     BadVersion,
-    /// This session may not.
+    /// The session does not have the permission.
     #[error("not allowed to this session")]
     NoAuth,
     /// The registry does not know the operation.
     #[error("the registry does not know the operation")]
     Unimplemented,
-    /// Some other.
+    /// Another error, by its code.
     #[error("error {0}")]
     Other(i32),
 }
 
-impl Refusal {
-    fn of(code: i32) -> Refusal {
+impl OperationError {
+    fn from_code(code: i32) -> OperationError {
         match code {
-            -101 => Refusal::NoNode,
-            -110 => Refusal::NodeExists,
-            -103 => Refusal::BadVersion,
-            -102 => Refusal::NoAuth,
-            -6 => Refusal::Unimplemented,
-            code => Refusal::Other(code),
+            -101 => OperationError::NoNode,
+            -110 => OperationError::NodeExists,
+            -103 => OperationError::BadVersion,
+            -102 => OperationError::NoAuth,
+            -6 => OperationError::Unimplemented,
+            code => OperationError::Other(code),
         }
     }
 }
 
-/// What the registry answers.
+/// A response of the registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
-    /// Done; nothing is told.
+pub enum Response {
+    /// The operation succeeded without a result.
     Done,
-    /// An entry's state.
+    /// The metadata of an entry.
     Stat(Stat),
-    /// An entry's data and state.
+    /// The data and metadata of an entry.
     Data(Bytes, Stat),
-    /// An entry's access list and state.
+    /// The access list and metadata of an entry.
     Acl(Vec<Acl>, Stat),
-    /// The names of its children; `None` for one that is not in UTF-8.
+    /// The names of an entry's children, `None` for one that is not in UTF-8, and the metadata of the entry.
     Children(Vec<Option<String>>, Stat),
 }
 
-/// Reads the answer to an operation: the rest of a frame whose head has been read.
+/// Decodes the response to an operation, behind the header that had the error code.
 ///
 /// # Errors
-/// If it is not what the operation is answered with.
-pub(crate) fn answer(
+/// If it is not a response to this operation.
+pub(crate) fn decode_response(
     op: &Op,
     code: i32,
-    r: &mut Reader,
-) -> Result<Result<Answer, Refusal>, WireFault> {
+    reader: &mut Reader,
+) -> Result<Result<Response, OperationError>, WireError> {
     if code != 0 {
-        return Ok(Err(Refusal::of(code)));
+        return Ok(Err(OperationError::from_code(code)));
     }
     Ok(Ok(match op {
         Op::Create { .. } | Op::Delete { .. } | Op::Sync { .. } | Op::AddWatch { .. } => {
-            Answer::Done
+            Response::Done
         }
-        Op::Exists { .. } | Op::SetData { .. } => Answer::Stat(Stat::read(r)?),
-        Op::GetData { .. } => Answer::Data(r.buffer()?, Stat::read(r)?),
-        Op::GetChildren { .. } => Answer::Children(r.texts()?, Stat::read(r)?),
+        Op::Exists { .. } | Op::SetData { .. } => Response::Stat(Stat::read(reader)?),
+        Op::GetData { .. } => Response::Data(reader.buffer()?, Stat::read(reader)?),
+        Op::GetChildren { .. } => Response::Children(reader.texts()?, Stat::read(reader)?),
         Op::GetAcl { .. } => {
-            let n = r.int()?;
+            let count = reader.int()?;
             let mut acl = Vec::new();
-            for _ in 0..n.max(0) {
-                acl.push(Acl::read(r)?);
+            for _ in 0..count.max(0) {
+                acl.push(Acl::read(reader)?);
             }
-            Answer::Acl(acl, Stat::read(r)?)
+            Response::Acl(acl, Stat::read(reader)?)
         }
     }))
 }
--- a/crates/registry-client/src/wire/records.rs
+++ b/crates/registry-client/src/wire/records.rs
@@ -1,69 +1,69 @@
-//! Records that several operations share: the state of an entry, its access list, and what a watch tells.
+//! Records that several operations share: metadata, access list items, and watch events.
 
-use super::{Reader, WireFault};
+use super::{Reader, WireError};
 
-/// What the registry knows of an entry beside its data.
+/// The metadata of an entry. States of the registry are transaction ids (zxid).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stat {
-    /// The state in which it was made.
+    /// The state that created it.
     pub czxid: i64,
-    /// The state in which its data last changed.
+    /// The state that last changed its data.
     pub mzxid: i64,
-    /// When it was made, in milliseconds of the registry's Unix time.
+    /// When it was created, in milliseconds of the registry's Unix time.
     pub ctime: i64,
-    /// When its data last changed.
+    /// When its data last changed, in milliseconds of the registry's Unix time.
     pub mtime: i64,
-    /// How often its data has changed.
+    /// Number of changes of its data.
     pub version: i32,
-    /// How often its children have changed.
+    /// Number of changes of its children.
     pub cversion: i32,
-    /// How often its access list has changed.
+    /// Number of changes of its access list.
     pub aversion: i32,
-    /// The session that it ends with; 0 for none.
+    /// The id of the session that it ends with; 0 for none.
     pub ephemeral_owner: i64,
-    /// Length of its data.
+    /// Length of its data, in bytes.
     pub data_length: i32,
-    /// How many children it has.
+    /// Number of its children.
     pub num_children: i32,
-    /// The state in which its children last changed.
+    /// The state that last changed its children.
     pub pzxid: i64,
 }
 
 impl Stat {
-    /// Reads one.
+    /// Reads the metadata.
     ///
     /// # Errors
-    /// If it is cut short.
-    pub fn read(r: &mut Reader) -> Result<Stat, WireFault> {
+    /// If it is truncated.
+    pub fn read(reader: &mut Reader) -> Result<Stat, WireError> {
         Ok(Stat {
-            czxid: r.long()?,
-            mzxid: r.long()?,
-            ctime: r.long()?,
-            mtime: r.long()?,
-            version: r.int()?,
-            cversion: r.int()?,
-            aversion: r.int()?,
-            ephemeral_owner: r.long()?,
-            data_length: r.int()?,
-            num_children: r.int()?,
-            pzxid: r.long()?,
+            czxid: reader.long()?,
+            mzxid: reader.long()?,
+            ctime: reader.long()?,
+            mtime: reader.long()?,
+            version: reader.int()?,
+            cversion: reader.int()?,
+            aversion: reader.int()?,
+            ephemeral_owner: reader.long()?,
+            data_length: reader.int()?,
+            num_children: reader.int()?,
+            pzxid: reader.long()?,
         })
     }
 }
 
-/// Who may do what with an entry.
+/// An item of an access list: the permissions of an identity.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Acl {
-    /// Read 1, write 2, create 4, delete 8, admin 16.
+    /// The sum of read 1, write 2, create 4, delete 8, admin 16.
     pub permissions: i32,
-    /// How somebody is known, such as `world` or `digest`.
+    /// The scheme of the identity, such as `world` or `digest`.
     pub scheme: String,
-    /// Who it is.
+    /// The id in this scheme.
     pub id: String,
 }
 
 impl Acl {
-    /// Everybody may do everything.
+    /// All permissions for everybody.
     pub fn open() -> Acl {
         Acl {
             permissions: 31,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Everybody may read.
+    /// Read permission for everybody.
     pub fn read_only() -> Acl {
         Acl {
             permissions: 1,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Whoever is known to this session may do everything.
+    /// All permissions for the identities of this session.
     pub fn creator() -> Acl {
         Acl {
             permissions: 31,
@@ -89,50 +89,50 @@
         }
     }
 
-    pub(super) fn read(r: &mut Reader) -> Result<Acl, WireFault> {
+    pub(super) fn read(reader: &mut Reader) -> Result<Acl, WireError> {
         Ok(Acl {
-            permissions: r.int()?,
-            scheme: r.text()?,
-            id: r.text()?,
+            permissions: reader.int()?,
+            scheme: reader.text()?,
+            id: reader.text()?,
         })
     }
 }
 
-/// What happened to a path that is watched.
+/// The kind of a watch event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Happened {
-    /// It was made.
+pub enum WatchEventKind {
+    /// The entry was created.
     Created,
-    /// It is gone.
+    /// The entry was deleted.
     Deleted,
     /// Its data changed.
-    Data,
+    DataChanged,
     /// Its children changed.
-    Children,
-    /// Something that is not known here, or a word on the session.
+    ChildrenChanged,
+    /// An unknown event, or one of the session.
     Other,
 }
 
-/// A watch has fired.
+/// The event of a watch that has fired.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fired {
+pub struct WatchEvent {
     /// What happened.
-    pub what: Happened,
-    /// To which path; empty if it is not in UTF-8.
+    pub kind: WatchEventKind,
+    /// The path of the entry; empty if it is not in UTF-8.
     pub path: String,
 }
 
-impl Fired {
-    pub(crate) fn read(r: &mut Reader) -> Result<Fired, WireFault> {
-        let what = match r.int()? {
-            1 => Happened::Created,
-            2 => Happened::Deleted,
-            3 => Happened::Data,
-            4 => Happened::Children,
-            _ => Happened::Other,
+impl WatchEvent {
+    pub(crate) fn read(reader: &mut Reader) -> Result<WatchEvent, WireError> {
+        let kind = match reader.int()? {
+            1 => WatchEventKind::Created,
+            2 => WatchEventKind::Deleted,
+            3 => WatchEventKind::DataChanged,
+            4 => WatchEventKind::ChildrenChanged,
+            _ => WatchEventKind::Other,
         };
-        let _state = r.int()?;
-        let path = String::from_utf8(r.buffer()?.to_vec()).unwrap_or_default();
-        Ok(Fired { what, path })
+        let _state = reader.int()?;
+        let path = String::from_utf8(reader.buffer()?.to_vec()).unwrap_or_default();
+        Ok(WatchEvent { kind, path })
     }
 }
--- a/crates/registry-client/tests/follow.rs
+++ b/crates/registry-client/tests/follow.rs
@@ -5,10 +5,14 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use reelfall_registry_client::entry::EntryError;
-use reelfall_registry_client::follow::{Follower, Limits, Report, Stale};
-use reelfall_registry_client::roster::{Change, HOLD_MOST};
+use reelfall_registry_client::follow::{
+    Follower, FollowerSizes, Identity, Limits, Report, StalePolicy,
+};
+use reelfall_registry_client::roster::{Change, MAX_RETURN_DELAY};
 use reelfall_registry_client::session::{Event, LossReason};
-use reelfall_registry_client::wire::{Acl, Answer, Fired, Happened, Op, Refusal, Stat};
+use reelfall_registry_client::wire::{
+    Acl, Op, OperationError, Response, Stat, WatchEvent, WatchEventKind,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const PATH: &str = "/flags/evaluate";
@@ -58,14 +62,15 @@
         }
     }
 
-    fn say(&mut self, what: Happened, child: &str, lose: bool) {
+    fn say(&mut self, kind: WatchEventKind, child: &str, lose: bool) {
         let path = if child.is_empty() {
             PATH.to_owned()
         } else {
             format!("{PATH}/{child}")
         };
         if !lose {
-            self.words.push_back(Event::Fired(Fired { what, path }));
+            self.words
+                .push_back(Event::Watch(WatchEvent { kind, path }));
         }
     }
 
@@ -84,14 +89,14 @@
         let watched = self.data.remove(child);
         if old.is_some() {
             if self.recursive || watched {
-                self.say(Happened::Data, child, lose);
+                self.say(WatchEventKind::DataChanged, child, lose);
             }
         } else {
             if self.recursive {
-                self.say(Happened::Created, child, lose);
+                self.say(WatchEventKind::Created, child, lose);
             }
             if std::mem::take(&mut self.children) {
-                self.say(Happened::Children, "", lose);
+                self.say(WatchEventKind::ChildrenChanged, "", lose);
             }
         }
     }
@@ -102,10 +107,10 @@
             return;
         }
         if self.data.remove(child) || self.recursive {
-            self.say(Happened::Deleted, child, lose);
+            self.say(WatchEventKind::Deleted, child, lose);
         }
         if std::mem::take(&mut self.children) {
-            self.say(Happened::Children, "", lose);
+            self.say(WatchEventKind::ChildrenChanged, "", lose);
         }
     }
 
@@ -126,37 +131,37 @@
             ..Stat::default()
         };
         let answer = match op {
-            Op::Sync { .. } => Ok(Answer::Done),
+            Op::Sync { .. } => Ok(Response::Done),
             Op::AddWatch { .. } if self.modern => {
                 self.recursive = true;
-                Ok(Answer::Done)
+                Ok(Response::Done)
             }
-            Op::AddWatch { .. } => Err(Refusal::Unimplemented),
+            Op::AddWatch { .. } => Err(OperationError::Unimplemented),
             Op::GetChildren { watch, .. } => {
                 self.children |= watch;
                 let names = self.nodes.keys().cloned().map(Some).collect();
-                Ok(Answer::Children(names, Stat::default()))
+                Ok(Response::Children(names, Stat::default()))
             }
             Op::GetData { path, watch } => {
                 let child = child(&path).expect("a path that was never asked for");
                 match self.nodes.get(&child) {
                     Some(node) => {
-                        let answer = Answer::Data(node.data.clone(), stat(node));
+                        let answer = Response::Data(node.data.clone(), stat(node));
                         if watch {
                             self.data.insert(child);
                         }
                         Ok(answer)
                     }
-                    None => Err(Refusal::NoNode),
+                    None => Err(OperationError::NoNode),
                 }
             }
             Op::GetAcl { path } => match self.nodes.get(&child(&path).unwrap()) {
-                Some(node) => Ok(Answer::Acl(node.acl.clone(), stat(node))),
-                None => Err(Refusal::NoNode),
+                Some(node) => Ok(Response::Acl(node.acl.clone(), stat(node))),
+                None => Err(OperationError::NoNode),
             },
-            _ => Err(Refusal::Unimplemented),
+            _ => Err(OperationError::Unimplemented),
         };
-        self.words.push_back(Event::Answered(token, answer));
+        self.words.push_back(Event::Response(token, answer));
     }
 
     /// The connection goes, and with it all watches and what was under way.
@@ -168,19 +173,19 @@
         self.data.clear();
         let lost: Vec<u64> = self.requests.drain(..).map(|(token, _)| token).collect();
         let answered = self.words.drain(..).filter_map(|w| match w {
-            Event::Answered(token, _) => Some(token),
+            Event::Response(token, _) => Some(token),
             _ => None,
         });
         let lost: Vec<u64> = answered.chain(lost).collect();
         follower.handle_event(now, &Event::Lost(LossReason::Closed));
         lost.into_iter()
-            .for_each(|token| follower.handle_event(now, &Event::Unanswered(token)));
+            .for_each(|token| follower.handle_event(now, &Event::RequestLost(token)));
     }
 
     fn come_up(&mut self, follower: &mut Follower, now: f64) {
         if !self.up {
             self.up = true;
-            follower.handle_event(now, &Event::Up { fresh: true });
+            follower.handle_event(now, &Event::Up { is_new: true });
         }
     }
 
@@ -244,7 +249,7 @@
         }
     }
     assert!(
-        !follower.has_list() && follower.sizes().2 <= 65,
+        !follower.has_list() && follower.sizes().pending_requests <= 65,
         "{:?}",
         follower.sizes()
     );
@@ -303,7 +308,7 @@
     table.settle(&mut follower, 32.0);
     assert_eq!(there(&follower).len(), 1);
     let limits = Limits {
-        persistent: true,
+        accepts_persistent: true,
         ..Limits::default()
     };
     let (mut table, mut follower) = self::follower(limits);
@@ -314,7 +319,10 @@
 
 #[test]
 fn a_strangers_entry_does_not_count_where_an_owner_is_named() {
-    let owner = ("digest".to_owned(), "ops:hash".to_owned());
+    let owner = Identity {
+        scheme: "digest".to_owned(),
+        id: "ops:hash".to_owned(),
+    };
     let limits = Limits {
         owner: Some(owner),
         ..Limits::default()
@@ -351,9 +359,9 @@
 
 #[test]
 fn a_silent_registry_makes_the_list_stale_after_its_time() {
-    for stale in [Stale::GoOn, Stale::Refuse] {
+    for stale_policy in [StalePolicy::KeepServers, StalePolicy::RejectRequests] {
         let limits = Limits {
-            stale,
+            stale_policy,
             stale_after: 20.0,
             ..Limits::default()
         };
@@ -372,7 +380,10 @@
         assert!(!follower.refuses_servers() && follower.age(20.0) == 19.0);
         assert_eq!(follower.deadline(), 21.0);
         follower.tick(21.0);
-        assert_eq!(follower.refuses_servers(), stale == Stale::Refuse);
+        assert_eq!(
+            follower.refuses_servers(),
+            stale_policy == StalePolicy::RejectRequests
+        );
         assert_eq!(follower.next_report(), Some(Report::Stale(20)));
         assert_eq!(there(&follower).len(), 1);
         table.come_up(&mut follower, 30.0);
@@ -387,14 +398,14 @@
 #[test]
 fn there_are_no_more_entries_than_the_bound() {
     let (mut table, mut follower) = follower(Limits {
-        entries: 10,
+        max_entries: 10,
         ..Limits::default()
     });
     for n in 1..=50 {
         table.put(&format!("s{n:02}"), payload(n), 9, false);
     }
     table.settle(&mut follower, 1.0);
-    assert_eq!((there(&follower).len(), follower.sizes().0), (10, 10));
+    assert_eq!((there(&follower).len(), follower.sizes().entries), (10, 10));
     assert_eq!(follower.next_report(), Some(Report::TooManyEntries(10)));
     // One that goes makes room, found when all is read again.
     table.remove("s01", false);
@@ -407,7 +418,7 @@
 #[test]
 fn entries_that_come_and_go_while_answers_are_slow_take_no_room() {
     let limits = Limits {
-        window: 1,
+        max_parallel_reads: 1,
         ..Limits::default()
     };
     let (mut table, mut follower) = follower(limits);
@@ -421,9 +432,9 @@
         }
         table.take(&mut follower);
         assert!(
-            follower.sizes().1 <= 80,
+            follower.sizes().waiting_reads <= 80,
             "{} wait to be read",
-            follower.sizes().1
+            follower.sizes().waiting_reads
         );
     }
     table.put("s1", payload(9), 9, false);
@@ -443,11 +454,11 @@
         // Whatever is asked of it, there is no such path.
         while let Some((token, op)) = table.requests.pop_front() {
             let answer = match op {
-                Op::AddWatch { .. } if !modern => Err(Refusal::Unimplemented),
-                Op::GetChildren { .. } | Op::Exists { .. } => Err(Refusal::NoNode),
-                _ => Ok(Answer::Done),
+                Op::AddWatch { .. } if !modern => Err(OperationError::Unimplemented),
+                Op::GetChildren { .. } | Op::Exists { .. } => Err(OperationError::NoNode),
+                _ => Ok(Response::Done),
             };
-            follower.handle_event(0.0, &Event::Answered(token, answer));
+            follower.handle_event(0.0, &Event::Response(token, answer));
             table.take(&mut follower);
         }
         assert_eq!(follower.next_report(), Some(Report::PathMissing));
@@ -455,8 +466,8 @@
         table.recursive = modern;
         follower.handle_event(
             1.0,
-            &Event::Fired(Fired {
-                what: Happened::Created,
+            &Event::Watch(WatchEvent {
+                kind: WatchEventKind::Created,
                 path: PATH.to_owned(),
             }),
         );
@@ -501,8 +512,8 @@
                     _ => {
                         if let Some(word) = table.words.pop_front() {
                             follower.handle_event(now, &word);
-                            if let Event::Fired(Fired {
-                                what: Happened::Deleted,
+                            if let Event::Watch(WatchEvent {
+                                kind: WatchEventKind::Deleted,
                                 path,
                             }) = &word
                             {
@@ -516,9 +527,13 @@
                         }
                     }
                 }
-                let (children, queue, asked) = follower.sizes();
+                let FollowerSizes {
+                    entries,
+                    waiting_reads,
+                    pending_requests,
+                } = follower.sizes();
                 prop_assert!(
-                    children <= 5 && queue <= 5 && asked <= 5 + 5,
+                    entries <= 5 && waiting_reads <= 5 && pending_requests <= 5 + 5,
                     "{:?}",
                     follower.sizes()
                 );
@@ -527,7 +542,7 @@
             table.come_up(&mut follower, now);
             table.settle(&mut follower, now);
             for _ in 0..2 {
-                now += HOLD_MOST + 1.0;
+                now += MAX_RETURN_DELAY + 1.0;
                 follower.tick(now);
                 table.settle(&mut follower, now);
             }
--- a/crates/registry-client/tests/registration.rs
+++ b/crates/registry-client/tests/registration.rs
@@ -5,7 +5,9 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use reelfall_registry_client::registration::{EntryData, Registration, Report, RETRY_INTERVAL};
 use reelfall_registry_client::session::{Event, LossReason};
-use reelfall_registry_client::wire::{Acl, Answer, Fired, Happened, Op, Refusal, Stat};
+use reelfall_registry_client::wire::{
+    Acl, Op, OperationError, Response, Stat, WatchEvent, WatchEventKind,
+};
 use std::collections::VecDeque;
 
 const PATH: &str = "/nodes/n1";
@@ -59,7 +61,7 @@
         if !self.up {
             self.up = true;
             self.registration
-                .handle_event(now, self.session, &Event::Up { fresh: true });
+                .handle_event(now, self.session, &Event::Up { is_new: true });
             self.take();
         }
     }
@@ -77,7 +79,7 @@
             .handle_event(now, self.session, &Event::Lost(LossReason::Closed));
         tokens.into_iter().for_each(|t| {
             self.registration
-                .handle_event(now, self.session, &Event::Unanswered(t))
+                .handle_event(now, self.session, &Event::RequestLost(t))
         });
     }
 
@@ -108,34 +110,34 @@
                     version: *version,
                     ..Stat::default()
                 };
-                Ok(Answer::Data(data.clone(), stat))
+                Ok(Response::Data(data.clone(), stat))
             }
-            (Op::GetData { .. }, None) => Err(Refusal::NoNode),
+            (Op::GetData { .. }, None) => Err(OperationError::NoNode),
             (Op::Create { data, .. }, entry @ None) => {
                 *entry = Some((self.session, data, 0));
-                Ok(Answer::Done)
+                Ok(Response::Done)
             }
-            (Op::Create { .. }, Some(_)) => Err(Refusal::NodeExists),
-            (Op::Delete { .. }, None) => Err(Refusal::NoNode),
+            (Op::Create { .. }, Some(_)) => Err(OperationError::NodeExists),
+            (Op::Delete { .. }, None) => Err(OperationError::NoNode),
             (Op::Delete { version, .. }, Some((_, _, is))) if version != -1 && version != *is => {
-                Err(Refusal::BadVersion)
+                Err(OperationError::BadVersion)
             }
             (Op::Delete { .. }, entry) => {
                 *entry = None;
                 if std::mem::take(&mut place.watched) {
                     self.gone();
                 }
-                Ok(Answer::Done)
+                Ok(Response::Done)
             }
-            _ => Err(Refusal::Unimplemented),
+            _ => Err(OperationError::Unimplemented),
         };
-        self.words.push_back(Event::Answered(token, answer));
+        self.words.push_back(Event::Response(token, answer));
     }
 
     fn gone(&mut self) {
         let path = PATH.to_owned();
-        self.words.push_back(Event::Fired(Fired {
-            what: Happened::Deleted,
+        self.words.push_back(Event::Watch(WatchEvent {
+            kind: WatchEventKind::Deleted,
             path,
         }));
     }
--- a/crates/registry-client/tests/roster.rs
+++ b/crates/registry-client/tests/roster.rs
@@ -2,8 +2,11 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_registry_client::entry::{parse, without_sequence, Entry, EntryError, DATA_MOST};
-use reelfall_registry_client::roster::{Change, Roster, FLAPS_MOST, HOLD, HOLD_MOST, WINDOW};
+use reelfall_registry_client::entry::{parse, without_sequence, Entry, EntryError, MAX_DATA_LEN};
+use reelfall_registry_client::roster::{
+    Change, Roster, RosterSizes, FLAP_WINDOW, INITIAL_RETURN_DELAY, MAX_FLAP_RECORDS,
+    MAX_RETURN_DELAY,
+};
 use reelfall_registry_client::wire::Stat;
 use std::collections::BTreeMap;
 
@@ -100,7 +103,7 @@
         "{{\"address\":\"127.0.0.1:9000\",\"x\":\"{}\"}}",
         "x".repeat(1 << 20)
     );
-    assert!(matches!(parse(&long), Err(EntryError::TooLong(n)) if n > DATA_MOST));
+    assert!(matches!(parse(&long), Err(EntryError::TooLong(n)) if n > MAX_DATA_LEN));
     for bad in ["", "[]", "{", "null", "\u{0}", r#"{"address":5}"#] {
         assert!(
             matches!(parse(bad), Err(EntryError::InvalidData(_))),
@@ -135,7 +138,7 @@
         let hold = if returns == 1 {
             0.0
         } else {
-            (HOLD * f64::from(1 << (returns - 2))).min(HOLD_MOST)
+            (INITIAL_RETURN_DELAY * f64::from(1 << (returns - 2))).min(MAX_RETURN_DELAY)
         };
         if returns > 1 {
             assert_eq!(
@@ -164,11 +167,16 @@
     }
     // After a quiet time all is forgiven, and nothing is kept.
     roster.remove(now, "c");
-    now += WINDOW + 1.0;
+    now += FLAP_WINDOW + 1.0;
     roster.tick(now);
     roster.update(now, "c", zxid + 1, Ok(entry("a", 1)));
     assert_eq!(roster.take_changes().len(), 2);
-    assert_eq!(roster.sizes(), (1, 1, 0));
+    let sizes = RosterSizes {
+        entries: 1,
+        servers: 1,
+        flap_records: 0,
+    };
+    assert_eq!(roster.sizes(), sizes);
 }
 
 #[test]
@@ -213,12 +221,12 @@
 #[test]
 fn names_that_flap_are_counted_up_to_a_bound() {
     let mut roster = Roster::default();
-    for n in 0..2 * FLAPS_MOST as i64 {
+    for n in 0..2 * MAX_FLAP_RECORDS as i64 {
         let (child, name) = (format!("c{n}"), format!("n{n}"));
         roster.update(1.0, &child, n, Ok(entry(&name, 1)));
         roster.remove(1.0, &child);
     }
-    assert!(roster.sizes().2 <= FLAPS_MOST);
+    assert!(roster.sizes().flap_records <= MAX_FLAP_RECORDS);
 }
 
 /// Whatever comes in whatever order: what is there is what counts, but for those that wait; in the end none waits.
@@ -301,7 +309,7 @@
                 prop_assert_eq!(addresses.len(), there.len(), "two servers at one address");
                 roster.tick(now);
                 if what == 2 {
-                    now += HOLD_MOST + 1.0;
+                    now += MAX_RETURN_DELAY + 1.0;
                     roster.tick(now);
                     prop_assert_eq!(
                         roster.servers().count(),
--- a/crates/registry-client/tests/session.rs
+++ b/crates/registry-client/tests/session.rs
@@ -7,7 +7,7 @@
     Command, Event, LossReason, Session, SessionConfig, PENDING_MOST,
 };
 use reelfall_registry_client::wire::{
-    Answer, Frames, Happened, Op, Refusal, WireFault, Writer, FRAME_MOST,
+    Frames, Op, OperationError, Response, WatchEventKind, WireError, Writer, MAX_FRAME_LEN,
 };
 use std::net::SocketAddr;
 
@@ -53,7 +53,7 @@
     session.tick(now);
     session.handle_connected(now);
     session.handle_bytes(now, &greeting(6000, 42));
-    assert_eq!(events(&mut session), [Event::Up { fresh: true }]);
+    assert_eq!(events(&mut session), [Event::Up { is_new: true }]);
     todo(&mut session);
     session
 }
@@ -96,9 +96,11 @@
         s.handle_bytes(0.1, &[byte]);
     }
     let got = events(&mut s);
-    assert_eq!(got[0], Event::Answered(1, Ok(Answer::Done)));
-    assert!(matches!(&got[1], Event::Fired(f) if f.what == Happened::Deleted && f.path == "/b"));
-    assert_eq!(got[2], Event::Answered(2, Err(Refusal::NoNode)));
+    assert_eq!(got[0], Event::Response(1, Ok(Response::Done)));
+    assert!(
+        matches!(&got[1], Event::Watch(f) if f.kind == WatchEventKind::Deleted && f.path == "/b")
+    );
+    assert_eq!(got[2], Event::Response(2, Err(OperationError::NoNode)));
     assert_eq!((s.last_zxid(), s.pending_count()), (11, 0));
     // No more than so many at once.
     for n in 0..PENDING_MOST as u64 {
@@ -134,7 +136,7 @@
     let got = events(&mut s);
     assert_eq!(
         got[1..],
-        [Event::Lost(LossReason::Closed), Event::Unanswered(9)]
+        [Event::Lost(LossReason::Closed), Event::RequestLost(9)]
     );
     assert!(
         !s.request(
@@ -154,7 +156,7 @@
     s.handle_connected(1.0);
     assert_eq!(greets(&mut s), (77, 42));
     s.handle_bytes(1.0, &greeting(6000, 42));
-    assert_eq!(events(&mut s), [Event::Up { fresh: false }]);
+    assert_eq!(events(&mut s), [Event::Up { is_new: false }]);
     // Only the registry's word ends it, and a new one is asked for.
     s.handle_disconnected(2.0);
     s.tick(2.0);
@@ -169,7 +171,7 @@
     s.handle_connected(2.0);
     assert_eq!(greets(&mut s), (77, 0));
     s.handle_bytes(2.0, &greeting(6000, 43));
-    assert_eq!(events(&mut s), [Event::Up { fresh: true }]);
+    assert_eq!(events(&mut s), [Event::Up { is_new: true }]);
     assert_eq!(s.id(), 43);
 }
 
@@ -258,8 +260,8 @@
     assert_eq!(
         got[1..],
         [
-            Event::Unanswered(2),
-            Event::Lost(LossReason::Protocol(WireFault::Older(99, 100)))
+            Event::RequestLost(2),
+            Event::Lost(LossReason::Protocol(WireError::StaleState(99, 100)))
         ]
     );
     // Members that lag close the connection; that goes on until the state is given up, and then it begins anew.
@@ -288,7 +290,7 @@
     let lies: [&[u8]; 5] = [
         &(-1i32).to_be_bytes(),
         &i32::MAX.to_be_bytes(),
-        &(FRAME_MOST as i32 + 1).to_be_bytes(),
+        &(MAX_FRAME_LEN as i32 + 1).to_be_bytes(),
         // A record cut short, and an answer that nobody asked for.
         &[0, 0, 0, 2, 1, 2],
         &[0, 0, 0, 16, 0, 0, 0, 99, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0],
@@ -316,8 +318,8 @@
     assert!(matches!(
         events(&mut s)[..],
         [
-            Event::Unanswered(1),
-            Event::Lost(LossReason::Protocol(WireFault::Short))
+            Event::RequestLost(1),
+            Event::Lost(LossReason::Protocol(WireError::Truncated))
         ]
     ));
     // Credentials that are not taken.
@@ -331,9 +333,12 @@
 fn frames_hold_no_more_than_one() {
     let mut frames = Frames::default();
     frames.push(&[0, 0, 0, 3, 1, 2, 3, 0, 0, 0, 0, 0, 0]);
-    assert_eq!(frames.frame(), Ok(Some(Bytes::from_static(&[1, 2, 3]))));
-    assert_eq!(frames.frame(), Ok(Some(Bytes::new())));
-    assert_eq!(frames.frame(), Ok(None));
+    assert_eq!(
+        frames.next_frame(),
+        Ok(Some(Bytes::from_static(&[1, 2, 3])))
+    );
+    assert_eq!(frames.next_frame(), Ok(Some(Bytes::new())));
+    assert_eq!(frames.next_frame(), Ok(None));
 }
 
 /// Whatever bytes come in whatever state: no panic, each request has one end, and what is to be done stays bounded.
@@ -395,7 +400,8 @@
                 }
                 todo(&mut s);
                 for event in events(&mut s) {
-                    ended += u64::from(matches!(event, Event::Answered(..) | Event::Unanswered(_)));
+                    ended +=
+                        u64::from(matches!(event, Event::Response(..) | Event::RequestLost(_)));
                 }
                 prop_assert_eq!(
                     asked,
@@ -406,7 +412,7 @@
             s.close(now);
             ended += events(&mut s)
                 .iter()
-                .filter(|e| matches!(e, Event::Unanswered(_)))
+                .filter(|e| matches!(e, Event::RequestLost(_)))
                 .count() as u64;
             prop_assert_eq!(asked, ended);
             prop_assert_eq!(s.deadline(), None);
