--- a/crates/registry-client/src/follow.rs
+++ b/crates/registry-client/src/follow.rs
@@ -16,70 +16,34 @@
 //! | --- | --- |
 //! | [`children`] | the known entries, and the queue of those to be read |
 //! | [`requests`] | requests in flight, each with its purpose |
+//! | [`updates`] | applies responses and watch events |
+//! | [`limits`] | limits and rules |
 //! | [`trust`] | which entries count |
 //!
 //! Source: ZooKeeper Programmer's Guide, "ZooKeeper Watches", "What ZooKeeper Guarantees about Watches" (a client sees the
 //! watch event before the state that caused it).
 
 mod children;
+mod limits;
 mod requests;
 mod trust;
+mod updates;
 
-use crate::entry::{self, EntryError};
+pub use limits::{Limits, StalePolicy};
+pub use trust::Identity;
+
+use crate::entry::EntryError;
 use crate::roster::{Change, Roster};
 use crate::session::Event;
-use crate::wire::{Acl, Op, OperationError, Response, Stat, WatchEvent, WatchEventKind};
+use crate::wire::Op;
 use crate::Time;
 use children::Children;
-use requests::{EntryData, Purpose, Requests};
-use std::collections::{BTreeSet, VecDeque};
-pub use trust::Identity;
+use requests::{Purpose, Requests};
+use std::collections::VecDeque;
 
 /// Maximum number of reports that wait for the caller.
 const MAX_REPORTS: usize = 64;
 
-/// What to do while the list is stale.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StalePolicy {
-    /// The last list stays in use.
-    KeepServers,
-    /// No server is used.
-    RejectRequests,
-}
-
-/// Limits and rules of a [`Follower`].
-#[derive(Clone, Debug, PartialEq)]
-pub struct Limits {
-    /// Maximum number of entries; further ones are ignored and reported.
-    pub max_entries: usize,
-    /// Maximum number of entries that are read concurrently.
-    pub max_parallel_reads: usize,
-    /// The interval at which everything is read again, in seconds, since watches can be lost.
-    pub reread_interval: Time,
-    /// The time without contact to the registry after which the list is stale, in seconds.
-    pub stale_after: Time,
-    /// What to do while the list is stale.
-    pub stale_policy: StalePolicy,
-    /// Whether entries count that do not end with a session.
-    pub accepts_persistent: bool,
-    /// An entry counts only if nobody but this identity can change or remove it. `None` trusts everybody.
-    pub owner: Option<Identity>,
-}
-
-impl Default for Limits {
-    fn default() -> Self {
-        Limits {
-            max_entries: 16_384,
-            max_parallel_reads: 64,
-            reread_interval: 30.0,
-            stale_after: 60.0,
-            stale_policy: StalePolicy::KeepServers,
-            accepts_persistent: false,
-            owner: None,
-        }
-    }
-}
-
 /// An event for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Report {
@@ -331,85 +295,6 @@
         format!("{}/{child}", self.parent_path())
     }
 
-    fn handle_response(
-        &mut self,
-        now: Time,
-        purpose: Purpose,
-        response: &Result<Response, OperationError>,
-    ) {
-        match (purpose, response) {
-            (Purpose::Sync, _) => {}
-            (Purpose::Watch, response) => {
-                self.uses_one_shot_watches = response.is_err();
-                self.request_list();
-            }
-            (Purpose::List, response) => {
-                self.is_listing = false;
-                self.handle_list(now, response);
-                if std::mem::take(&mut self.list_again) {
-                    self.request_list();
-                }
-            }
-            (Purpose::ReadData(child), Ok(Response::Data(data, stat))) => {
-                let entry = EntryData {
-                    data: data.clone(),
-                    stat: *stat,
-                };
-                if self.limits.owner.is_some() && self.children.contains(&child) {
-                    let path = self.child_path(&child);
-                    let purpose = Purpose::ReadAcl(child, Box::new(entry));
-                    self.requests.add(purpose, Op::GetAcl { path });
-                } else {
-                    self.handle_entry(now, &child, &entry, &[]);
-                }
-            }
-            (Purpose::ReadAcl(child, entry), Ok(Response::Acl(acl, _))) => {
-                self.handle_entry(now, &child, &entry, acl);
-            }
-            (
-                Purpose::ReadData(child) | Purpose::ReadAcl(child, _),
-                Err(OperationError::NoNode),
-            ) => {
-                self.children.end_read();
-                self.remove(now, &child);
-            }
-            (Purpose::ReadData(child) | Purpose::ReadAcl(child, _), _) => {
-                // An entry that can't be read can't be validated, so its server is not used.
-                self.children.fail_read(&child);
-                self.roster.remove(now, &child);
-                self.report(Report::AccessDenied);
-            }
-        }
-    }
-
-    fn handle_list(&mut self, now: Time, response: &Result<Response, OperationError>) {
-        let names: Vec<String> = match response {
-            Ok(Response::Children(names, _)) => names.iter().flatten().cloned().collect(),
-            Err(OperationError::NoNode) => {
-                self.report(Report::PathMissing);
-                if self.uses_one_shot_watches {
-                    // Sets a watch that reports when the path is created.
-                    let op = Op::Exists {
-                        path: self.path.clone(),
-                        watch: true,
-                    };
-                    self.requests.add(Purpose::Sync, op);
-                }
-                Vec::new()
-            }
-            // A denied access says nothing of the servers: the known list stays in use until it is stale.
-            _ => return self.report(Report::AccessDenied),
-        };
-        self.is_listed = true;
-        let listed: BTreeSet<&str> = names.iter().map(String::as_str).collect();
-        for child in self.children.missing_from(&listed) {
-            self.remove(now, &child);
-        }
-        for child in names {
-            self.add(child);
-        }
-    }
-
     /// Adds a child if it is unknown, and reads it.
     fn add(&mut self, child: String) {
         if !self.children.contains(&child) {
@@ -427,49 +312,6 @@
         }
     }
 
-    fn handle_watch(&mut self, now: Time, event: &WatchEvent) {
-        let Some(below) = event.path.strip_prefix(self.parent_path()) else {
-            return;
-        };
-        if below.is_empty() {
-            match event.kind {
-                WatchEventKind::ChildrenChanged
-                | WatchEventKind::Created
-                | WatchEventKind::Deleted => self.request_list(),
-                WatchEventKind::DataChanged | WatchEventKind::Other => {}
-            }
-            return;
-        }
-        let child = match below.strip_prefix('/') {
-            Some(child) if !child.is_empty() && !child.contains('/') => child.to_owned(),
-            // A path further below, or one that only begins alike.
-            _ => return,
-        };
-        match event.kind {
-            WatchEventKind::Deleted => self.remove(now, &child),
-            WatchEventKind::Created => self.add(child),
-            WatchEventKind::DataChanged => self.children.request_read(child),
-            WatchEventKind::ChildrenChanged | WatchEventKind::Other => {}
-        }
-    }
-
-    fn handle_entry(&mut self, now: Time, child: &str, read: &EntryData, acl: &[Acl]) {
-        let stat: &Stat = &read.stat;
-        // An entry that was removed during its read stays removed.
-        let Some(completed) = self.children.complete_read(child, stat.mzxid) else {
-            return;
-        };
-        let entry = trust::check(&self.limits, stat, acl)
-            .and_then(|()| entry::parse(child, &read.data, stat, now));
-        if let (Err(error), true) = (&entry, completed.is_new_version) {
-            self.report(Report::InvalidEntry(child.to_owned(), error.clone()));
-        }
-        self.roster.update(now, child, stat.czxid, entry);
-        if completed.read_again {
-            self.children.request_read(child.to_owned());
-        }
-    }
-
     /// Queues a report, unless the same one is queued or the queue is full.
     fn report(&mut self, report: Report) {
         if self.reports.len() < MAX_REPORTS && !self.reports.contains(&report) {
--- a/crates/registry-client/src/session.rs
+++ b/crates/registry-client/src/session.rs
@@ -14,14 +14,18 @@
 //!
 //! | module | content |
 //! | --- | --- |
+//! | [`interface`] | configuration, commands and events |
 //! | [`members`] | the order of members, and the backoff |
 //! | [`messages`] | messages of the session itself |
 //!
 //! Source: ZooKeeper Programmer's Guide, "ZooKeeper Sessions"; Internals, "Wire protocol".
 
+mod interface;
 mod members;
 mod messages;
 
+pub use interface::{Command, Event, LossReason, SessionConfig};
+
 use crate::wire::{
     decode_response, Frames, Op, OperationError, Reader, Response, WatchEvent, WireError,
 };
@@ -30,81 +34,10 @@
 use members::Members;
 use messages::{HandshakeResponse, ResponseHeader, SessionKey, AUTH_XID, PING_XID, WATCH_XID};
 use std::collections::VecDeque;
-use std::net::SocketAddr;
-use thiserror::Error;
 
 /// Maximum number of requests without a response.
 pub const PENDING_MOST: usize = 1024;
 
-/// Configuration of a session.
-#[derive(Clone, Debug)]
-pub struct SessionConfig {
-    /// The members; at least one.
-    pub members: Vec<SocketAddr>,
-    /// The requested time after which the registry expires a silent session, in seconds. The registry may grant another.
-    pub timeout: Time,
-    /// The time-out of connecting to a member, handshake included, in seconds.
-    pub connect_within: Time,
-    /// The credentials of the session: a scheme and its proof, such as `digest` and `name:password`.
-    pub auth: Option<(String, Bytes)>,
-    /// The time without a connection after which a new session is requested that does not insist on the last known state,
-    /// in seconds: the registry was probably set up again.
-    pub forget_after: Time,
-}
-
-/// An instruction to the owner of the connection.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Command {
-    /// Connect to this member, and report the result.
-    Connect(SocketAddr),
-    /// Send these bytes.
-    Send(Bytes),
-    /// Close the connection, if there is one.
-    Close,
-}
-
-/// An event for the users of the session. Numbers are tokens of requests.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Event {
-    /// The session is connected.
-    Up {
-        /// It is a new session, without the entries and watches of the one before.
-        is_new: bool,
-    },
-    /// The connection is lost. The session may still exist.
-    Lost(LossReason),
-    /// The session has expired, with its entries and watches.
-    Expired,
-    /// The registry was probably set up again: the last known state is obsolete.
-    Reset,
-    /// A request has a response.
-    Response(u64, Result<Response, OperationError>),
-    /// A request was lost with its connection: it may have been executed.
-    RequestLost(u64),
-    /// A watch has fired.
-    Watch(WatchEvent),
-}
-
-/// Why a connection was lost.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum LossReason {
-    /// Connecting failed.
-    #[error("no connection")]
-    ConnectFailed,
-    /// The registry closed it.
-    #[error("closed by the registry")]
-    Closed,
-    /// The registry was silent for too long.
-    #[error("the registry is silent")]
-    Timeout,
-    /// The registry violated the protocol.
-    #[error("{0}")]
-    Protocol(#[from] WireError),
-    /// The registry rejected the credentials.
-    #[error("the registry does not take the credentials")]
-    BadCredentials,
-}
-
 #[derive(Debug)]
 enum State {
     Backoff { until: Time },
