--- a/crates/node/src/fleet/admin.rs
+++ b/crates/node/src/fleet/admin.rs
@@ -123,7 +123,7 @@
             .filter(|s| s.name == server)
             .map(|s| (*s).clone())
             .collect();
-        let condemned = fleet.condemned_servers(now, self.shared.listed());
+        let condemned = fleet.condemned_servers(now, self.shared.listed_server_count());
         for instance in &instances {
             let since = instance.since;
             match condemned.iter().find(|c| c.server == *instance) {
--- a/crates/node/src/fleet/events.rs
+++ b/crates/node/src/fleet/events.rs
@@ -37,11 +37,15 @@
             OverdueAttempt {
                 server: late.server,
                 since,
-                late_from: since + late.aim,
+                late_from: since + late.latency_objective,
             }
         };
-        let overdue: Vec<OverdueAttempt> =
-            self.shared.overdue().into_iter().map(to_attempt).collect();
+        let overdue: Vec<OverdueAttempt> = self
+            .shared
+            .overdue_requests()
+            .into_iter()
+            .map(to_attempt)
+            .collect();
         self.fleet.borrow_mut().set_overdue(now, &overdue);
     }
 
@@ -68,7 +72,7 @@
                 .into_iter()
                 .map(str::to_owned)
                 .collect();
-            self.shared.banned_by_fleet(&banned);
+            self.shared.set_fleet_bans(&banned);
         }
         if events.iter().any(is_report) {
             let soon = self.next_condemn.get() - CONDEMN_INTERVAL + CONDEMN_DELAY;
@@ -109,7 +113,7 @@
         let condemned = self
             .fleet
             .borrow()
-            .condemned_servers(now, self.shared.listed());
+            .condemned_servers(now, self.shared.listed_server_count());
         let to_condemnation = |c: CondemnedServer| {
             let until = pool_clock + c.left;
             let condemnation = Condemnation {
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -228,7 +228,7 @@
             self.next_overdue.set(now + OVERDUE_INTERVAL);
             self.report_overdue(now);
         }
-        let listed = self.shared.listed();
+        let listed = self.shared.listed_server_count();
         let events = {
             let mut fleet = self.fleet.borrow_mut();
             fleet.tick(now, listed);
--- a/crates/node/src/net/client/io.rs
+++ b/crates/node/src/net/client/io.rs
@@ -2,7 +2,7 @@
 
 use super::{Client, Phase, REQUEST_WITHIN};
 use crate::net::gate::Gate;
-use crate::net::HEAD_MOST;
+use crate::net::MAX_REQUEST_HEAD_BYTES;
 use hyper::StatusCode;
 use std::future::Future;
 use std::io;
@@ -25,7 +25,7 @@
 /// What the system may hold of an answer that flows. More would hide whether a slow client still takes something.
 const FLOW_BUFFER: usize = 128 << 10;
 /// What is kept of requests that come before the one ahead of them is answered.
-const AHEAD_MOST: usize = HEAD_MOST;
+const AHEAD_MOST: usize = MAX_REQUEST_HEAD_BYTES;
 /// How often more of a flood is read, and how much: an end behind a megabyte is found in a tenth of a second.
 const FLOOD_EVERY: Duration = Duration::from_millis(20);
 const FLOOD_READ: usize = 256 << 10;
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -1,7 +1,7 @@
 //! The server list: reads it, watches it, and keeps the old one while there is no newer.
 
 use super::pool::Pool;
-use super::BUFFER;
+use super::READ_BUFFER_BYTES;
 use bytes::{Buf, Bytes, BytesMut};
 use http_body_util::{BodyExt, Empty};
 use hyper::body::{Frame, Incoming};
@@ -97,7 +97,7 @@
             "{unusable} entries of list {index} can't be used"
         ));
     }
-    pool.members(kind, places);
+    pool.update_endpoints(kind, places);
     Ok(index)
 }
 
@@ -160,8 +160,8 @@
     let index = Cell::new(Some(known));
     let mut backoff = BACKOFF;
     loop {
-        if !pool.pushed() {
-            pool.watch.notified().await;
+        if !pool.uses_push_discovery() {
+            pool.poll_requested.notified().await;
         }
         let at = *address.borrow_and_update();
         let (before, began) = (index.get(), Instant::now());
@@ -171,7 +171,7 @@
                 index.set(None);
                 backoff = BACKOFF;
                 // Where lists are asked for, the module's leave for the old address holds for the new one.
-                pool.watch.notify_one();
+                pool.poll_requested.notify_one();
                 continue;
             }
         };
@@ -180,9 +180,9 @@
                 .log
                 .write_line(format_args!("discovery: {fault}"));
         }
-        if !pool.pushed() {
+        if !pool.uses_push_discovery() {
             // The module says when to ask again.
-            pool.members(UpdateKind::Failed, Vec::new());
+            pool.update_endpoints(UpdateKind::Failed, Vec::new());
             continue;
         }
         let refused = index.get() == before && !matches!(ended, Err(Fault::Silent));
@@ -243,12 +243,12 @@
         Ok::<u64, String>(new)
     };
     // One deadline governs all that comes before the first word: parts that each take their time add up.
-    let (now, pushed) = (Instant::now(), pool.pushed());
+    let (now, pushed) = (Instant::now(), pool.uses_push_discovery());
     let opens = now + if pushed { OPENS } else { OPENS_ASKED };
     let connects = if pushed { now + CONNECTS } else { opens };
     let stream = by(connects, TcpStream::connect(address)).await?;
     let handshake = Builder::new()
-        .max_buf_size(BUFFER)
+        .max_buf_size(READ_BUFFER_BYTES)
         .handshake(TokioIo::new(stream));
     let (mut send, connection) = by(opens, handshake).await?;
     let task = tokio::task::spawn_local(async move {
--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/front.rs
@@ -220,13 +220,13 @@
     /// Lets idle connections go while the node is being emptied, each at its time, for as long as it is polled.
     pub async fn close_idle_while_draining(self: Rc<Self>) {
         loop {
-            if !self.shared.draining() {
-                self.shared.drained.notified().await;
+            if !self.shared.is_draining() {
+                self.shared.drain_changed.notified().await;
                 continue;
             }
             for client in self.clients.borrow().values() {
                 let idle = matches!(client.phase.get(), Phase::New | Phase::Idle);
-                let until = self.shared.idle_until(client.since.get());
+                let until = self.shared.idle_deadline(client.since.get());
                 if idle && until.is_some_and(|until| until <= Instant::now()) {
                     client.close_when_idle.set(true);
                     client.wake.notify_one();
--- a/crates/node/src/net/front/accept.rs
+++ b/crates/node/src/net/front/accept.rs
@@ -4,7 +4,7 @@
 use crate::net::client::{close, Client, ClientIo, Phase, CROWDED_GRACE};
 use crate::net::gate::{self, Gate};
 use crate::net::service::Routing;
-use crate::net::{set_nodelay, HEAD_MOST};
+use crate::net::{set_nodelay, MAX_REQUEST_HEAD_BYTES};
 use hyper::server::conn::http1::Builder;
 use hyper::service::service_fn;
 use hyper::StatusCode;
@@ -128,7 +128,7 @@
     /// answered.
     async fn serve_requests(self: &Rc<Self>, stream: &Rc<TcpStream>, client: &Rc<Client>) -> bool {
         let methods: &[&[u8]] = match &**self.routing.borrow() {
-            Routing::Alone(_) => &gate::METHODS,
+            Routing::Single(_) => &gate::METHODS,
             Routing::Table(_) => &gate::METHODS_ROUTED,
         };
         let io = TokioIo::new(ClientIo::new(
@@ -140,7 +140,7 @@
         // Times are kept by `ClientIo`, which knows whether a request has begun.
         let mut connection = pin!(Builder::new()
             .header_read_timeout(None)
-            .max_buf_size(HEAD_MOST + BUFFER_MARGIN)
+            .max_buf_size(MAX_REQUEST_HEAD_BYTES + BUFFER_MARGIN)
             .serve_connection(io, service));
         loop {
             tokio::select! {
--- a/crates/node/src/net/front/request.rs
+++ b/crates/node/src/net/front/request.rs
@@ -10,7 +10,7 @@
 use crate::net::pool::Pool;
 use crate::net::service::{RouteMatch, Routing, Table};
 use crate::net::shared::MemoryPermit;
-use crate::net::{permits_for, BODY_MOST, BODY_SMALL};
+use crate::net::{kib_permits, MAX_BUFFERED_BODY_BYTES, UNRESERVED_BODY_BYTES};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -40,11 +40,11 @@
         let (head, body) = request.into_parts();
         let routing = self.routing.borrow().clone();
         let mut response = match &*routing {
-            Routing::Alone(service) => match head.uri.path() {
-                "/_health" if self.shared.draining() => {
+            Routing::Single(service) => match head.uri.path() {
+                "/_health" if self.shared.is_draining() => {
                     plain(StatusCode::SERVICE_UNAVAILABLE, DRAINED)
                 }
-                "/_health" if service.pool.ready.get() => plain(StatusCode::OK, ""),
+                "/_health" if service.pool.is_ready.get() => plain(StatusCode::OK, ""),
                 "/_health" => plain(StatusCode::SERVICE_UNAVAILABLE, "no server list yet\n"),
                 path if path == "/api" || path.starts_with("/api/") => {
                     let service = service.clone();
@@ -61,7 +61,7 @@
             },
             Routing::Table(table) => match head.uri.path().strip_prefix("/_health") {
                 Some(name) if name.is_empty() || name.starts_with('/') => {
-                    if self.shared.draining() {
+                    if self.shared.is_draining() {
                         plain(StatusCode::SERVICE_UNAVAILABLE, DRAINED)
                     } else {
                         health(table, name)
@@ -90,7 +90,10 @@
             StatusCode::NOT_FOUND | StatusCode::TOO_MANY_REQUESTS
         );
         let unusable = response.status().is_client_error() && !(routed && elsewhere);
-        if self.stopping.get() || self.shared.draining() || unusable || client.close_when_idle.get()
+        if self.stopping.get()
+            || self.shared.is_draining()
+            || unusable
+            || client.close_when_idle.get()
         {
             response
                 .headers_mut()
@@ -134,9 +137,12 @@
         let found = table
             .find(&query)
             .ok_or_else(|| Box::new(plain(StatusCode::NOT_FOUND, "no such route\n")))?;
-        let RouteMatch { service, assign } = found;
-        if service.draining.get() {
-            let most = service.retry_after.get();
+        let RouteMatch {
+            service,
+            class: assign,
+        } = found;
+        if service.is_draining.get() {
+            let most = service.max_retry_after.get();
             return Err(Box::new(self.refusal(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "draining\n",
@@ -149,7 +155,7 @@
             Some(Ok(admitted)) => admitted,
             // Nothing of the request has run: trying again is harmless, as both say.
             Some(Err(denial)) => {
-                let most = service.retry_after.get();
+                let most = service.max_retry_after.get();
                 return Err(Box::new(match denial {
                     Denial::Rate(wait) => self.refusal(
                         StatusCode::TOO_MANY_REQUESTS,
@@ -277,13 +283,13 @@
         member: Option<Member>,
     ) -> Result<(Payload, Option<MemoryPermit>), Response<ResponseBody>> {
         let size = body.size_hint().exact();
-        if size.is_some_and(|size| size > BODY_MOST as u64) {
+        if size.is_some_and(|size| size > MAX_BUFFERED_BODY_BYTES as u64) {
             return Ok((
                 Payload::Streamed(StreamedBody::new(Bytes::new(), body, size)),
                 None,
             ));
         }
-        let stated = size.map_or(BODY_MOST, |n| n as usize);
+        let stated = size.map_or(MAX_BUFFERED_BODY_BYTES, |n| n as usize);
         let (mut data, mut held) = (BytesMut::new(), None);
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else {
@@ -293,11 +299,13 @@
                 continue;
             };
             data.extend_from_slice(&part);
-            if data.len() > BODY_SMALL && held.is_none() {
+            if data.len() > UNRESERVED_BODY_BYTES && held.is_none() {
                 // The largest that it can be, taken once: bodies that grow must not wait for each other.
-                held = self.shared.reserve_body(member, permits_for(stated));
+                held = self.shared.reserve_body(member, kib_permits(stated));
             }
-            if data.len() > BODY_MOST || (data.len() > BODY_SMALL && held.is_none()) {
+            if data.len() > MAX_BUFFERED_BODY_BYTES
+                || (data.len() > UNRESERVED_BODY_BYTES && held.is_none())
+            {
                 return Ok((
                     Payload::Streamed(StreamedBody::new(data.freeze(), body, size)),
                     held,
@@ -313,9 +321,13 @@
         mut body: Incoming,
         member: Option<Member>,
     ) -> Result<(Bytes, Option<MemoryPermit>), Response<ResponseBody>> {
-        let stated = body.size_hint().exact().map_or(BODY_MOST, |n| n as usize);
+        let stated = body
+            .size_hint()
+            .exact()
+            .map_or(MAX_BUFFERED_BODY_BYTES, |n| n as usize);
         let mut held: Option<MemoryPermit> = None;
-        let (mut data, mut size, mut granted, mut room) = (BytesMut::new(), 0, BODY_SMALL, true);
+        let (mut data, mut size, mut granted, mut room) =
+            (BytesMut::new(), 0, UNRESERVED_BODY_BYTES, true);
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else {
                 return Err(plain(StatusCode::BAD_REQUEST, "half a body\n"));
@@ -324,13 +336,13 @@
                 continue;
             };
             size += part.len();
-            if size > BODY_MOST {
+            if size > MAX_BUFFERED_BODY_BYTES {
                 return Err(plain(StatusCode::PAYLOAD_TOO_LARGE, "too large a body\n"));
             }
             if room && size > granted {
                 // The largest that it can be, taken once: bodies that grow must not wait for each other.
-                match self.shared.reserve_body(member, permits_for(stated)) {
-                    Some(leave) => (held, granted) = (Some(leave), BODY_MOST),
+                match self.shared.reserve_body(member, kib_permits(stated)) {
+                    Some(leave) => (held, granted) = (Some(leave), MAX_BUFFERED_BODY_BYTES),
                     None => (data, room) = (BytesMut::new(), false),
                 }
             }
@@ -353,10 +365,10 @@
         // One that drains on purpose does not make the process unready.
         None => services
             .iter()
-            .filter(|s| !s.draining.get())
-            .find_map(|s| s.unready()),
+            .filter(|s| !s.is_draining.get())
+            .find_map(|s| s.unavailable_reason()),
         Some(name) => match services.iter().find(|s| s.name == name) {
-            Some(service) => service.unready(),
+            Some(service) => service.unavailable_reason(),
             None => return plain(StatusCode::NOT_FOUND, "no such service\n"),
         },
     };
@@ -382,7 +394,7 @@
             return Err(plain(StatusCode::BAD_REQUEST, "half a body\n"));
         };
         size += frame.data_ref().map_or(0, Bytes::len);
-        if size > BODY_MOST {
+        if size > MAX_BUFFERED_BODY_BYTES {
             return Err(plain(StatusCode::PAYLOAD_TOO_LARGE, "too large a body\n"));
         }
     }
--- a/crates/node/src/net/front/translate.rs
+++ b/crates/node/src/net/front/translate.rs
@@ -128,7 +128,7 @@
         let id = correlation_id(&headers).map_err(bad)?;
         let id = self
             .shared
-            .claim(id)
+            .claim_request_id(id)
             .ok_or((StatusCode::CONFLICT, ID_OPEN))?;
         strip_hop_by_hop(&mut headers);
         let message = Message {
@@ -191,7 +191,9 @@
             let id = HeaderValue::from_bytes(&id).map_err(|_| "no X-Correlation-Id\n")?;
             headers.insert(CORRELATION_ID, id);
         }
-        self.shared.claim(correlation_id(headers)?).ok_or(ID_OPEN)
+        self.shared
+            .claim_request_id(correlation_id(headers)?)
+            .ok_or(ID_OPEN)
     }
 }
 
--- a/crates/node/src/net/gate.rs
+++ b/crates/node/src/net/gate.rs
@@ -2,7 +2,7 @@
 //! the bytes that belong to it.
 
 use super::body::FLOW_MOST;
-use super::HEAD_MOST;
+use super::MAX_REQUEST_HEAD_BYTES;
 use bytes::BytesMut;
 use hyper::StatusCode;
 use std::ops::ControlFlow;
@@ -120,7 +120,7 @@
         self.begins(&self.held)?;
         let parsed = if complete { parse(&self.held)? } else { None };
         let Some((head, framing)) = parsed else {
-            return if self.held.len() > HEAD_MOST {
+            return if self.held.len() > MAX_REQUEST_HEAD_BYTES {
                 Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE)
             } else {
                 Ok(None)
--- a/crates/node/src/net/graphql.rs
+++ b/crates/node/src/net/graphql.rs
@@ -345,7 +345,7 @@
                             None => service.member.map_or(Ok(None), |m| self.shared().admit(m)),
                         };
                         let Ok(admitted) = admitted else {
-                            batch.done(entry, Fate::Refused(advice(service.retry_after.get())));
+                            batch.done(entry, Fate::Refused(advice(service.max_retry_after.get())));
                             continue;
                         };
                         let holds = HeldResources {
@@ -387,7 +387,7 @@
         let refused = refusable(&fates);
         let mut response = text(if refused { 503 } else { 200 }, media, answer::merge(fates));
         if refused {
-            retry_after(&mut response, advice(service.retry_after.get()));
+            retry_after(&mut response, advice(service.max_retry_after.get()));
         }
         response
     }
--- a/crates/node/src/net/management.rs
+++ b/crates/node/src/net/management.rs
@@ -197,7 +197,7 @@
             ManagementRequest::Drain => self.write(|l| l.drain.begin(now), "draining\n"),
             ManagementRequest::Resume => self.write(|l| l.drain.end(), "serving\n"),
             ManagementRequest::Disable(name) | ManagementRequest::Enable(name)
-                if !self.shared.knows(name) =>
+                if !self.shared.knows_server(name) =>
             {
                 (
                     StatusCode::NOT_FOUND,
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -25,63 +25,62 @@
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// Bounds of all that grows. What is not here is bounded by these: a client's connection has one request, a
+/// ResourceLimits of all that grows. What is not here is bounded by these: a client's connection has one request, a
 /// request one attempt, an attempt one connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// Connections of clients.
-    pub clients: usize,
-    /// Connections to servers, used and idle.
-    pub upstream: usize,
-    /// KiB of request bodies held, beyond the small ones that each connection may have; as much for answers.
-    pub body_kib: usize,
+pub struct ResourceLimits {
+    /// Maximum number of client connections.
+    pub client_connections: usize,
+    /// Maximum number of connections to servers, in use and idle.
+    pub server_connections: usize,
+    /// Memory for buffered request bodies above [`UNRESERVED_BODY_BYTES`], in KiB; responses have as much again.
+    pub body_memory_kib: usize,
 }
 
-impl Bounds {
-    /// Of a process with so many descriptors and so much memory.
-    pub fn of(sockets: usize, memory_mb: usize) -> Self {
-        let (clients, upstream, body_kib) = reelfall_config::check::parts(sockets, memory_mb);
-        // What flows has its buffers beside what is held, and in an upgrade there are two processes.
-        let body_kib = body_kib * 2 / 3;
-        Bounds {
-            clients,
-            upstream,
-            body_kib,
+impl ResourceLimits {
+    /// The limits of a process with this many file descriptors and this much memory.
+    pub fn for_process(sockets: usize, memory_mb: usize) -> Self {
+        let (client_connections, server_connections, buffer_kib) =
+            reelfall_config::check::parts(sockets, memory_mb);
+        // Streamed data needs buffers besides what is stored, and two processes run during an upgrade.
+        let body_memory_kib = buffer_kib * 2 / 3;
+        ResourceLimits {
+            client_connections,
+            server_connections,
+            body_memory_kib,
         }
     }
-}
 
-impl Bounds {
-    /// What each of two processes of one node may hold while they serve beside each other.
+    /// The limits of each of two processes of one node while both serve.
     pub fn halved(self) -> Self {
-        Bounds {
-            clients: self.clients / 2,
-            upstream: self.upstream / 2,
-            body_kib: self.body_kib / 2,
+        ResourceLimits {
+            client_connections: self.client_connections / 2,
+            server_connections: self.server_connections / 2,
+            body_memory_kib: self.body_memory_kib / 2,
         }
     }
 }
 
 /// Largest head of a request.
-pub const HEAD_MOST: usize = 16 << 10;
+pub const MAX_REQUEST_HEAD_BYTES: usize = 16 << 10;
 /// Largest body of a request that is held whole.
-pub const BODY_MOST: usize = 1 << 20;
-/// A body up to this size needs no leave; a larger one needs its share of [`Bounds::body_kib`].
-pub const BODY_SMALL: usize = 4 << 10;
+pub const MAX_BUFFERED_BODY_BYTES: usize = 1 << 20;
+/// A body up to this size needs no leave; a larger one needs its share of [`ResourceLimits::body_kib`].
+pub const UNRESERVED_BODY_BYTES: usize = 4 << 10;
 /// Largest answer of a server that is held whole, where it has to be.
-pub const ANSWER_MOST: usize = 1 << 20;
+pub const MAX_BUFFERED_RESPONSE_BYTES: usize = 1 << 20;
 /// Largest answer that is held whole if it comes at once: servers were seen to send that much where 64 KiB were
 /// agreed, and a break on the way stays an outcome only of what is held.
-pub const ANSWER_HELD: usize = 512 << 10;
-/// An answer up to this size needs no leave; a larger one needs its share of [`Bounds::body_kib`].
-pub const ANSWER_SMALL: usize = 64 << 10;
+pub const MAX_IMMEDIATE_RESPONSE_BYTES: usize = 512 << 10;
+/// An answer up to this size needs no leave; a larger one needs its share of [`ResourceLimits::body_kib`].
+pub const UNRESERVED_RESPONSE_BYTES: usize = 64 << 10;
 
 /// Permits for so many bytes.
-pub fn permits_for(bytes: usize) -> u32 {
+pub fn kib_permits(bytes: usize) -> u32 {
     u32::try_from(bytes / 1024 + 1).unwrap_or(u32::MAX)
 }
 /// Read buffer of one connection.
-pub const BUFFER: usize = 64 << 10;
+pub const READ_BUFFER_BYTES: usize = 64 << 10;
 
 /// Numbers of chance from a node's own seed, the same when a run is played again: SplitMix64.
 pub struct SeededRng(Cell<u64>);
--- a/crates/node/src/net/pool.rs
+++ b/crates/node/src/net/pool.rs
@@ -11,11 +11,11 @@
 mod outcome;
 mod peer;
 
-pub use list::Missing;
+pub use list::ListOrigin;
 
 use super::answer::{Answer, Reply};
 use super::message::{Arrival, Message};
-use super::shared::{Peer, PoolId, Shared};
+use super::shared::{PoolId, PoolPeer, Shared};
 use super::upstream::{self, Times, Upstream};
 use super::SeededRng;
 use list::ServerList;
@@ -58,25 +58,25 @@
     pub names: RefCell<NameRegistry>,
     pub shared: Rc<Shared>,
     /// What this pool's list says, where other lists may say something of the same servers.
-    own: RefCell<ServerList>,
+    server_list: RefCell<ServerList>,
     /// Whether a server that the list no longer names has ended, or may serve others still.
-    missing: Missing,
+    list_origin: ListOrigin,
     /// A server is warm so long after its start, in seconds.
-    warm_after: Time,
+    slow_start_duration: Time,
     /// Cold servers that this pool may not send to until then.
-    withheld: RefCell<HashMap<SocketAddr, Time>>,
+    withheld_until: RefCell<HashMap<SocketAddr, Time>>,
     pub classes: Vec<Class>,
     pub upstream: Upstream,
     pub connection_settings: ConnectionSettings,
     /// The module asks for a watch.
-    pub watch: Notify,
+    pub poll_requested: Notify,
     /// A list has come.
-    pub listed: Notify,
+    pub list_received: Notify,
     /// Requests can be served.
-    pub ready: Cell<bool>,
+    pub is_ready: Cell<bool>,
     /// When the source of the list was last heard, where that tells how old the list is.
-    pub heard: Cell<Option<Time>>,
-    discovery: Discovery,
+    pub source_last_contact: Cell<Option<Time>>,
+    discovery_mode: Discovery,
     /// For rests that must not come in step with other nodes'.
     pub rng: SeededRng,
 }
@@ -91,7 +91,7 @@
         names: NameRegistry,
         figures: ConnectionSettings,
         seed: u64,
-        missing: Missing,
+        missing: ListOrigin,
         shared: Rc<Shared>,
         member: Option<Member>,
     ) -> Result<Rc<Self>, SettingsError> {
@@ -110,28 +110,28 @@
             commands: Cell::default(),
             names: RefCell::new(names),
             shared,
-            own: RefCell::new(ServerList::new(listed)),
-            missing,
-            warm_after,
-            withheld: RefCell::default(),
+            server_list: RefCell::new(ServerList::new(listed)),
+            list_origin: missing,
+            slow_start_duration: warm_after,
+            withheld_until: RefCell::default(),
             classes,
             upstream,
             connection_settings: figures,
-            watch: Notify::new(),
-            listed: Notify::new(),
-            ready: Cell::new(false),
-            heard: Cell::new(None),
-            discovery,
+            poll_requested: Notify::new(),
+            list_received: Notify::new(),
+            is_ready: Cell::new(false),
+            source_last_contact: Cell::new(None),
+            discovery_mode: discovery,
             rng: SeededRng::new(seed),
         });
         pool.shared
-            .register_pool(pool.id, &(pool.clone() as Rc<dyn Peer>));
+            .register_pool(pool.id, &(pool.clone() as Rc<dyn PoolPeer>));
         Ok(pool)
     }
 
     /// Lists come by themselves, or only when asked for.
-    pub fn pushed(&self) -> bool {
-        self.discovery == Discovery::Push
+    pub fn uses_push_discovery(&self) -> bool {
+        self.discovery_mode == Discovery::Push
     }
 
     /// Some server may be sent to.
@@ -141,18 +141,22 @@
 
     /// Seconds since the source of the list was last heard, where that tells how old the list is.
     pub fn list_age(&self) -> Option<Time> {
-        self.heard
+        self.source_last_contact
             .get()
             .map(|heard| (self.shared.clock.now() - heard).max(0.0))
     }
 
     /// Where a server of this list is, where several pools may list it.
     pub fn address_of(&self, server: ServerId) -> Option<SocketAddr> {
-        self.own.borrow().places.get(&server).map(|p| p.address)
+        self.server_list
+            .borrow()
+            .endpoints
+            .get(&server)
+            .map(|p| p.address)
     }
 
     /// What the module has learned, for a process that takes over.
-    pub fn learned(&self) -> serde_json::Value {
+    pub fn learned_state(&self) -> serde_json::Value {
         let learned = self
             .engine
             .borrow()
@@ -163,7 +167,7 @@
     }
 
     /// Restores what another process has learned; what can't be read is left.
-    pub fn restore_learned(&self, learned: &serde_json::Value) {
+    pub fn restore_learned_state(&self, learned: &serde_json::Value) {
         match LearnedState::deserialize(learned) {
             Ok(learned) => self
                 .engine
@@ -177,7 +181,7 @@
     }
 
     /// Requests that have no final answer yet, or an attempt that is out.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.engine.borrow().open_requests()
     }
 
@@ -271,7 +275,7 @@
             }
             // The client may have left in this very moment; the answer is dropped with it.
             Command::Answer { to, answer, .. } => drop(to.send(answer)),
-            Command::Watch => self.watch.notify_one(),
+            Command::Watch => self.poll_requested.notify_one(),
             Command::StartTimer { after, tag } => {
                 // A pool that is removed ends with its last request, not with its last timer.
                 let pool = Rc::downgrade(self);
--- a/crates/node/src/net/pool/list.rs
+++ b/crates/node/src/net/pool/list.rs
@@ -13,19 +13,19 @@
 
 /// A list as its source has it, before other lists add anything.
 pub(super) struct ServerList {
-    pub(super) places: HashMap<ServerId, AddressedEndpoint<SocketAddr>>,
+    pub(super) endpoints: HashMap<ServerId, AddressedEndpoint<SocketAddr>>,
     /// The servers at each address.
-    pub(super) at: HashMap<SocketAddr, Vec<ServerId>>,
+    pub(super) ids_by_address: HashMap<SocketAddr, Vec<ServerId>>,
     /// The same servers, as they are counted with those of all pools.
-    listed: ListedByPool,
+    registered_instances: ListedByPool,
 }
 
 impl ServerList {
     pub(super) fn new(listed: ListedByPool) -> ServerList {
         ServerList {
-            places: HashMap::new(),
-            at: HashMap::new(),
-            listed,
+            endpoints: HashMap::new(),
+            ids_by_address: HashMap::new(),
+            registered_instances: listed,
         }
     }
 
@@ -38,52 +38,53 @@
     ) -> Option<AddressedEndpoint<SocketAddr>> {
         let old = self.remove(place.endpoint.server);
         if let Some(name) = name {
-            self.listed.insert(place.endpoint.server, name, start_ms);
+            self.registered_instances
+                .insert(place.endpoint.server, name, start_ms);
         }
-        self.at
+        self.ids_by_address
             .entry(place.address)
             .or_default()
             .push(place.endpoint.server);
-        self.places.insert(place.endpoint.server, place.clone());
+        self.endpoints.insert(place.endpoint.server, place.clone());
         old
     }
 
     pub(super) fn remove(&mut self, server: ServerId) -> Option<AddressedEndpoint<SocketAddr>> {
-        let old = self.places.remove(&server)?;
-        self.listed.remove(server);
-        if let Some(at) = self.at.get_mut(&old.address) {
+        let old = self.endpoints.remove(&server)?;
+        self.registered_instances.remove(server);
+        if let Some(at) = self.ids_by_address.get_mut(&old.address) {
             at.retain(|s| *s != server);
             if at.is_empty() {
-                self.at.remove(&old.address);
+                self.ids_by_address.remove(&old.address);
             }
         }
         Some(old)
     }
 
     /// The servers that the list has at an address.
-    pub(super) fn at(
+    pub(super) fn endpoints_at(
         &self,
         address: &SocketAddr,
     ) -> impl Iterator<Item = &AddressedEndpoint<SocketAddr>> {
-        self.at
+        self.ids_by_address
             .get(address)
             .into_iter()
             .flatten()
-            .filter_map(|s| self.places.get(s))
+            .filter_map(|s| self.endpoints.get(s))
     }
 
-    pub(super) fn has(&self, address: &SocketAddr) -> bool {
-        self.at.contains_key(address)
+    pub(super) fn has_address(&self, address: &SocketAddr) -> bool {
+        self.ids_by_address.contains_key(address)
     }
 }
 
 /// What it means that a list no longer names a server.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Missing {
+pub enum ListOrigin {
     /// The server has ended: the list follows servers.
-    Ended,
+    Discovered,
     /// This pool has no use for it any more: the list is somebody's settings.
-    Unused,
+    Configured,
 }
 
 impl Pool {
@@ -109,14 +110,14 @@
     }
 
     /// Takes in a list, or a change of it.
-    pub fn members(
+    pub fn update_endpoints(
         self: &Rc<Self>,
         list: UpdateKind,
         mut places: Vec<AddressedEndpoint<SocketAddr>>,
     ) {
         let changed = self.merge_lists(list, &mut places);
         self.dispatch(|engine, now, out| engine.update_endpoints(now, list, places, out));
-        self.listed.notify_waiters();
+        self.list_received.notify_waiters();
         changed
             .into_iter()
             .for_each(|address| self.shared.notify_listing_changed(address, Some(self.id)));
@@ -128,7 +129,7 @@
         list: UpdateKind,
         places: &mut [AddressedEndpoint<SocketAddr>],
     ) -> Vec<SocketAddr> {
-        let mut own = self.own.borrow_mut();
+        let mut own = self.server_list.borrow_mut();
         let mut changed = Vec::new();
         let combines_lists = self.shared.combines_lists();
         let mut update_listing = |address, state| {
@@ -139,7 +140,7 @@
         if matches!(list, UpdateKind::Snapshot | UpdateKind::Cached) {
             let named: HashSet<ServerId> = places.iter().map(|p| p.endpoint.server).collect();
             let missing: Vec<ServerId> = own
-                .places
+                .endpoints
                 .keys()
                 .filter(|id| !named.contains(id))
                 .copied()
@@ -148,10 +149,13 @@
                 .into_iter()
                 .filter_map(|id| own.remove(id))
                 .collect();
-            for p in missing.iter().filter(|p| !own.has(&p.address)) {
+            for p in missing.iter().filter(|p| !own.has_address(&p.address)) {
                 let gone = self.listed_state(ServerStatus::Gone, p.endpoint.started_at);
-                update_listing(p.address, (self.missing == Missing::Ended).then_some(gone));
-                self.withheld.borrow_mut().remove(&p.address);
+                update_listing(
+                    p.address,
+                    (self.list_origin == ListOrigin::Discovered).then_some(gone),
+                );
+                self.withheld_until.borrow_mut().remove(&p.address);
             }
         }
         for place in places.iter_mut() {
@@ -165,13 +169,13 @@
                 }
             };
             if let Some(old) =
-                old.filter(|old| old.address != place.address && !own.has(&old.address))
+                old.filter(|old| old.address != place.address && !own.has_address(&old.address))
             {
                 update_listing(old.address, None);
-                self.withheld.borrow_mut().remove(&old.address);
+                self.withheld_until.borrow_mut().remove(&old.address);
             }
             // A server that took the place of another at its address is not gone with that one's name.
-            if status != ServerStatus::Gone || !own.has(&place.address) {
+            if status != ServerStatus::Gone || !own.has_address(&place.address) {
                 let state = self.listed_state(status, place.endpoint.started_at);
                 update_listing(place.address, Some(state));
             }
@@ -184,7 +188,7 @@
         ListedState {
             status,
             ready_at,
-            knows_start: self.missing == Missing::Ended,
+            knows_start: self.list_origin == ListOrigin::Discovered,
         }
     }
 
@@ -198,7 +202,7 @@
         let Some(name) = names.servers.name(entry.server) else {
             return;
         };
-        entry.local_balancers *= self.shared.processes();
+        entry.local_balancers *= self.shared.process_count();
         let ban = self.shared.ban_status(name, entry.started_at);
         entry.started_at = ban.ready_at;
         if ban.is_banned && entry.state == ServerState::Up {
@@ -214,9 +218,9 @@
         let own = self.listed_state(status(entry.state), entry.started_at);
         let view = self
             .shared
-            .combined_view(self.id, *address, own, self.warm_after);
+            .combined_view(self.id, *address, own, self.slow_start_duration);
         (entry.local_balancers, entry.started_at) = (view.sharers, view.ready_at);
-        let mut withheld = self.withheld.borrow_mut();
+        let mut withheld = self.withheld_until.borrow_mut();
         match view
             .withheld_until
             .filter(|_| entry.state == ServerState::Up)
--- a/crates/node/src/net/pool/outcome.rs
+++ b/crates/node/src/net/pool/outcome.rs
@@ -1,6 +1,6 @@
 //! What the fleet is told of attempts at this pool's servers.
 
-use super::{Missing, Pool};
+use super::{ListOrigin, Pool};
 use reelfall_balancer::interface::{Outcome, RequestId, ServerId, Time};
 use reelfall_cluster::entry::ServerInstance;
 use reelfall_cluster::observer::AttemptOutcome;
@@ -8,9 +8,16 @@
 impl Pool {
     /// The instance of a server that the list names, as the whole fleet knows it.
     pub(super) fn instance_of(&self, server: ServerId) -> Option<ServerInstance> {
-        let ready_at = match self.missing {
-            Missing::Ended => self.own.borrow().places.get(&server)?.endpoint.started_at,
-            Missing::Unused => 0.0,
+        let ready_at = match self.list_origin {
+            ListOrigin::Discovered => {
+                self.server_list
+                    .borrow()
+                    .endpoints
+                    .get(&server)?
+                    .endpoint
+                    .started_at
+            }
+            ListOrigin::Configured => 0.0,
         };
         let name = self.names.borrow().servers.name(server)?.to_owned();
         Some(ServerInstance {
@@ -22,9 +29,9 @@
     /// The start that identifies the instance of a server among all nodes, in milliseconds; 0 for long ago. A list that is
     /// written by hand tells of no start: when its file was read is different on each node.
     pub(super) fn start_ms(&self, ready_at: Time) -> u64 {
-        match self.missing {
-            Missing::Ended => (ready_at.max(0.0) * 1e3).round() as u64,
-            Missing::Unused => 0,
+        match self.list_origin {
+            ListOrigin::Discovered => (ready_at.max(0.0) * 1e3).round() as u64,
+            ListOrigin::Configured => 0,
         }
     }
 
--- a/crates/node/src/net/pool/peer.rs
+++ b/crates/node/src/net/pool/peer.rs
@@ -1,23 +1,23 @@
 //! What other pools, operators and the fleet ask of a pool.
 
 use super::Pool;
-use crate::net::shared::{Condemnation, OverdueRequest, Peer};
+use crate::net::shared::{Condemnation, OverdueRequest, PoolPeer};
 use reelfall_balancer::engine::AddressedEndpoint;
 use reelfall_balancer::interface::{Time, UpdateKind};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Instant;
 
-impl Peer for Pool {
-    fn idle_since(&self, to: Option<SocketAddr>) -> Option<Instant> {
+impl PoolPeer for Pool {
+    fn oldest_idle_since(&self, to: Option<SocketAddr>) -> Option<Instant> {
         self.upstream.oldest_idle(to)
     }
 
-    fn close_idle(&self, to: Option<SocketAddr>) -> bool {
+    fn close_oldest_idle(&self, to: Option<SocketAddr>) -> bool {
         self.upstream.drop_oldest_idle(to)
     }
 
-    fn freed(&self) {
+    fn connection_freed(&self) {
         self.upstream.freed();
     }
 
@@ -25,12 +25,17 @@
         self.upstream.retire();
         let now = self.shared.clock.now();
         let warm = |(address, until): (&SocketAddr, &Time)| (*until <= now).then_some(*address);
-        let warm: Vec<SocketAddr> = self.withheld.borrow().iter().filter_map(warm).collect();
+        let warm: Vec<SocketAddr> = self
+            .withheld_until
+            .borrow()
+            .iter()
+            .filter_map(warm)
+            .collect();
         warm.into_iter()
             .for_each(|address| self.clone().listing_changed(address));
     }
 
-    fn operators_changed(self: Rc<Self>, name: &str) {
+    fn ban_changed(self: Rc<Self>, name: &str) {
         let server = self.names.borrow().servers.get(name);
         let address = server.and_then(|server| self.address_of(server));
         if let Some(address) = address {
@@ -38,9 +43,14 @@
         }
     }
 
-    fn refresh(self: Rc<Self>) {
-        let mut places: Vec<AddressedEndpoint<SocketAddr>> =
-            self.own.borrow().places.values().cloned().collect();
+    fn refresh_endpoints(self: Rc<Self>) {
+        let mut places: Vec<AddressedEndpoint<SocketAddr>> = self
+            .server_list
+            .borrow()
+            .endpoints
+            .values()
+            .cloned()
+            .collect();
         // The order in which they were named tells which of two at one address holds.
         places.sort_unstable_by_key(|p| p.endpoint.server);
         places.iter_mut().for_each(|p| self.adjust(p));
@@ -52,11 +62,11 @@
         }
     }
 
-    fn knows(&self, name: &str) -> bool {
+    fn knows_server(&self, name: &str) -> bool {
         self.names.borrow().servers.get(name).is_some()
     }
 
-    fn overdue(&self, now: Time, to: &mut Vec<OverdueRequest>) {
+    fn collect_overdue(&self, now: Time, to: &mut Vec<OverdueRequest>) {
         let engine = self.engine.borrow();
         for awaited in engine.awaited_attempts() {
             let Some(aim) = self
@@ -73,7 +83,7 @@
                         .map(|server| OverdueRequest {
                             server,
                             waited,
-                            aim,
+                            latency_objective: aim,
                         }),
                 );
             }
@@ -97,8 +107,12 @@
     }
 
     fn listing_changed(self: Rc<Self>, address: SocketAddr) {
-        let mut places: Vec<AddressedEndpoint<SocketAddr>> =
-            self.own.borrow().at(&address).cloned().collect();
+        let mut places: Vec<AddressedEndpoint<SocketAddr>> = self
+            .server_list
+            .borrow()
+            .endpoints_at(&address)
+            .cloned()
+            .collect();
         places.iter_mut().for_each(|p| self.adjust(p));
         if !places.is_empty() {
             self.dispatch(|engine, now, out| {
--- a/crates/node/src/net/registry.rs
+++ b/crates/node/src/net/registry.rs
@@ -28,9 +28,9 @@
 /// A session's way to a registry.
 #[derive(Clone, PartialEq)]
 pub struct RegistryAccess {
-    members: Vec<SocketAddr>,
-    timeout: Time,
-    connect_within: Time,
+    addresses: Vec<SocketAddr>,
+    session_timeout: Time,
+    connect_timeout: Time,
     forget_after: Time,
     auth: Option<(String, Bytes)>,
 }
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     /// If the file can't be read.
-    pub fn of(registry: &model::Registry) -> Result<RegistryAccess, String> {
+    pub fn from_settings(registry: &model::Registry) -> Result<RegistryAccess, String> {
         let proof = |path: &Path| {
             let text =
                 std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
@@ -53,9 +53,9 @@
             }
         };
         Ok(RegistryAccess {
-            members: registry.members.clone(),
-            timeout: registry.session_timeout,
-            connect_within: registry.connect_timeout,
+            addresses: registry.members.clone(),
+            session_timeout: registry.session_timeout,
+            connect_timeout: registry.connect_timeout,
             forget_after: registry.forget_after,
             auth: registry.digest_file.as_deref().map(proof).transpose()?,
         })
@@ -63,9 +63,9 @@
 
     fn session(&self, now: Time) -> Session {
         let config = SessionConfig {
-            members: self.members.clone(),
-            timeout: self.timeout,
-            connect_within: self.connect_within,
+            members: self.addresses.clone(),
+            timeout: self.session_timeout,
+            connect_within: self.connect_timeout,
             auth: self.auth.clone(),
             forget_after: self.forget_after,
         };
--- a/crates/node/src/net/registry/following.rs
+++ b/crates/node/src/net/registry/following.rs
@@ -33,7 +33,7 @@
             // Nobody knows when they started: whoever wrote them down knew them for some time.
             let entry = |server: &model::Located<model::Server>| pool.configured_entry(server, 0.0);
             let places = self.known.iter().map(entry).collect();
-            pool.members(UpdateKind::Cached, places);
+            pool.update_endpoints(UpdateKind::Cached, places);
         }
         let clock = pool.shared.clock;
         let follower = Follower::new(&self.path, self.limits, clock.now());
@@ -126,7 +126,9 @@
     fn note_heard(&mut self, session: &Session) {
         if session.is_up() {
             self.follower.note_heard(session.last_heard());
-            self.pool.heard.set(Some(session.last_heard()));
+            self.pool
+                .source_last_contact
+                .set(Some(session.last_heard()));
         }
     }
 
@@ -200,7 +202,8 @@
             // Nothing is told before all of it is known: half a list would draw all work to half of the servers.
             if self.follower.has_list() {
                 self.has_listed = true;
-                self.pool.members(UpdateKind::Snapshot, self.full_list());
+                self.pool
+                    .update_endpoints(UpdateKind::Snapshot, self.full_list());
             }
             return;
         }
@@ -209,7 +212,7 @@
                 .iter()
                 .filter_map(|c| self.changed_server(c))
                 .collect();
-            self.pool.members(UpdateKind::Delta, places);
+            self.pool.update_endpoints(UpdateKind::Delta, places);
         }
     }
 
--- a/crates/node/src/net/service.rs
+++ b/crates/node/src/net/service.rs
@@ -3,7 +3,7 @@
 
 use super::discovery;
 use super::operations::GraphQl;
-use super::pool::{Missing, Pool};
+use super::pool::{ListOrigin, Pool};
 use super::registry::Registry;
 use super::shared::Shared;
 use super::source::{follow, Source};
@@ -24,7 +24,7 @@
 
 pub mod prepared;
 
-use prepared::{same, ListedServer, Parts, PoolKey, Prepared, Terms};
+use prepared::{is_same, ListedServer, PoolKey, PreparedPlan, RuntimeSettings, ServiceParts};
 
 /// The platform's discovery, at the address that is named last.
 pub struct Discovery {
@@ -50,7 +50,7 @@
     fn follow(mut self, pool: Rc<Pool>) -> impl Future<Output = ()> + 'static {
         // At once, so that nothing finds a pool that has not heard of its servers.
         apply_list(&pool, &self.list.borrow_and_update());
-        pool.ready.set(true);
+        pool.is_ready.set(true);
         async move {
             while self.list.changed().await.is_ok() {
                 apply_list(&pool, &self.list.borrow_and_update());
@@ -61,9 +61,9 @@
 }
 
 fn apply_list(pool: &Rc<Pool>, list: &[ListedServer]) {
-    let entry = |listed: &ListedServer| pool.configured_entry(&listed.server, listed.since);
+    let entry = |listed: &ListedServer| pool.configured_entry(&listed.server, listed.serving_since);
     let places = list.iter().map(entry).collect();
-    pool.members(UpdateKind::Snapshot, places);
+    pool.update_endpoints(UpdateKind::Snapshot, places);
 }
 
 /// One service.
@@ -73,16 +73,16 @@
     /// Its place in the books, where there are several.
     pub member: Option<Member>,
     /// It finishes what it has and refuses what comes.
-    pub draining: Cell<bool>,
+    pub is_draining: Cell<bool>,
     /// Longest advice on when to come back, in seconds; 0 for none.
-    pub retry_after: Cell<Time>,
+    pub max_retry_after: Cell<Time>,
     /// What its requests are, if they are not plain ones.
     pub graphql: RefCell<Option<Rc<GraphQl>>>,
     list_updates: ListUpdates,
     /// What the pool was made from, if that is a settings file.
     key: Option<Arc<PoolKey>>,
     /// What is in force of all that can change under the pool.
-    terms: RefCell<Option<Arc<Terms>>>,
+    terms: RefCell<Option<Arc<RuntimeSettings>>>,
     _follow: AbortOnDrop,
 }
 
@@ -96,13 +96,13 @@
 
 impl Service {
     /// The one service of a node on its platform.
-    pub fn alone(pool: Rc<Pool>, follow: AbortOnDrop) -> Rc<Self> {
+    pub fn single(pool: Rc<Pool>, follow: AbortOnDrop) -> Rc<Self> {
         Rc::new(Service {
             name: String::new(),
             pool,
             member: None,
-            draining: Cell::new(false),
-            retry_after: Cell::new(0.0),
+            is_draining: Cell::new(false),
+            max_retry_after: Cell::new(0.0),
             graphql: RefCell::default(),
             list_updates: ListUpdates::None,
             key: None,
@@ -113,19 +113,21 @@
 
     fn start(
         shared: &Rc<Shared>,
-        prepared: &Prepared,
+        prepared: &PreparedPlan,
         service: &model::Service,
-        parts: &Parts,
+        parts: &ServiceParts,
         seed: u64,
         member: Option<Member>,
     ) -> Result<Rc<Self>, String> {
         let (settings, names, figures) = prepared.plan.settings(service);
         let missing = match service.source {
-            model::Source::Static(_) => Missing::Unused,
-            model::Source::Discovery(_) | model::Source::Registry(_) => Missing::Ended,
+            model::Source::Static(_) => ListOrigin::Configured,
+            model::Source::Discovery(_) | model::Source::Registry(_) => ListOrigin::Discovered,
         };
         let access = match &service.source {
-            model::Source::Registry(followed) => Some(prepared.access(&followed.registry)?.clone()),
+            model::Source::Registry(followed) => {
+                Some(prepared.registry_access(&followed.registry)?.clone())
+            }
             _ => None,
         };
         let pool = Pool::new(
@@ -185,22 +187,22 @@
             name: service.name.clone(),
             pool,
             member,
-            draining: Cell::new(service.state == model::ServiceState::Draining),
-            retry_after: Cell::new(service.attempts.max_retry_after),
+            is_draining: Cell::new(service.state == model::ServiceState::Draining),
+            max_retry_after: Cell::new(service.attempts.max_retry_after),
             graphql: RefCell::new(graphql(service, None)?),
             list_updates,
-            key: Some(parts.key.clone()),
+            key: Some(parts.pool_key.clone()),
             terms: RefCell::default(),
             _follow: follow,
         }))
     }
 
     /// Why it can't serve now; `None` if it can.
-    pub fn unready(&self) -> Option<&'static str> {
-        if self.draining.get() {
+    pub fn unavailable_reason(&self) -> Option<&'static str> {
+        if self.is_draining.get() {
             return Some("draining\n");
         }
-        if !self.pool.ready.get() {
+        if !self.pool.is_ready.get() {
             return Some("no server list yet\n");
         }
         (!self.pool.has_servers()).then_some("no server takes requests\n")
@@ -208,14 +210,14 @@
 
     /// Whether its pool is one that is made from this.
     fn is_made_from(&self, key: &Arc<PoolKey>) -> bool {
-        self.key.as_ref().is_some_and(|own| same(own, key))
+        self.key.as_ref().is_some_and(|own| is_same(own, key))
     }
 
     /// Tells the pool its list, if that has changed.
     fn update_list(&self, list: Option<&Arc<Vec<ListedServer>>>) {
         if let (ListUpdates::Channel(list_updates), Some(list)) = (&self.list_updates, list) {
             list_updates.send_if_modified(|old| {
-                let changed = !same(old, list);
+                let changed = !is_same(old, list);
                 *old = list.clone();
                 changed
             });
@@ -223,18 +225,18 @@
     }
 
     /// Takes over what can change under its pool, if any of that has. `terms` are those of `service`.
-    fn set_terms(&self, shared: &Shared, service: &model::Service, terms: &Arc<Terms>) {
+    fn set_terms(&self, shared: &Shared, service: &model::Service, terms: &Arc<RuntimeSettings>) {
         let old = self.terms.replace(Some(terms.clone()));
-        if old.is_some_and(|old| same(&old, terms)) {
+        if old.is_some_and(|old| is_same(&old, terms)) {
             return;
         }
         let known = self.graphql.borrow().as_ref().map(|g| g.persisted.clone());
         // The plan was checked: what can't be made here can't be in it.
         self.graphql
             .replace(graphql(service, known).unwrap_or_default());
-        self.draining
+        self.is_draining
             .set(service.state == model::ServiceState::Draining);
-        self.retry_after.set(service.attempts.max_retry_after);
+        self.max_retry_after.set(service.attempts.max_retry_after);
         if let Some(member) = self.member {
             shared.set_allowed(member, &service.limits);
         }
@@ -262,24 +264,24 @@
 pub struct RouteMatch {
     pub service: Rc<Service>,
     /// The class that the route assigns.
-    pub assign: Option<ClassId>,
+    pub class: Option<ClassId>,
 }
 
 /// How requests find their services.
 pub enum Routing {
     /// All go to the one service.
-    Alone(Rc<Service>),
+    Single(Rc<Service>),
     /// By the table.
     Table(Rc<Table>),
 }
 
 /// Takes a plan that is no longer in force, to free it where nobody waits for that.
-pub type Retire = Rc<dyn Fn(Arc<Prepared>)>;
+pub type Retire = Rc<dyn Fn(Arc<PreparedPlan>)>;
 
 /// A plan and its services, in the same order.
 pub struct Table {
     /// `None` before the first plan.
-    prepared: Option<Arc<Prepared>>,
+    prepared: Option<Arc<PreparedPlan>>,
     services: Vec<Rc<Service>>,
     retire: Retire,
 }
@@ -290,7 +292,7 @@
         let goal = plan.goals.get(plan.table.get(q)?)?;
         Some(RouteMatch {
             service: self.services.get(goal.service)?.clone(),
-            assign: goal.assign,
+            class: goal.assign,
         })
     }
 
@@ -311,7 +313,7 @@
     /// The longest time that a client waits, over all services.
     pub fn longest_deadline(&self) -> Duration {
         let services = match self {
-            Routing::Alone(service) => std::slice::from_ref(service),
+            Routing::Single(service) => std::slice::from_ref(service),
             Routing::Table(table) => &table.services,
         };
         let deadlines = services
@@ -351,7 +353,7 @@
     }
 
     /// The plan that is in force, if there is one already.
-    pub fn in_force(&self) -> Option<Arc<Prepared>> {
+    pub fn current_plan(&self) -> Option<Arc<PreparedPlan>> {
         self.current.borrow().prepared.clone()
     }
 
@@ -359,7 +361,7 @@
     ///
     /// # Errors
     /// Says what of the plan can't be used; everything is as it was.
-    pub fn apply(&self, prepared: Arc<Prepared>) -> Result<Routing, String> {
+    pub fn apply(&self, prepared: Arc<PreparedPlan>) -> Result<Routing, String> {
         let services = self.start(&prepared)?;
         // Nothing fails from here on.
         let model = &prepared.plan.model;
@@ -369,7 +371,7 @@
         );
         for ((service, new), parts) in services.iter().zip(&model.services).zip(&prepared.services)
         {
-            service.set_terms(&self.shared, new, &parts.terms);
+            service.set_terms(&self.shared, new, &parts.runtime_settings);
             service.update_list(parts.list.as_ref());
         }
         let retire = self.retire.clone();
@@ -380,12 +382,12 @@
         });
         let old = self.current.replace(table.clone());
         self.release(&old, &table);
-        self.tick();
+        self.remove_drained();
         Ok(Routing::Table(table))
     }
 
     /// The services of a plan: those that there are, where their pools stay, and new ones.
-    fn start(&self, prepared: &Prepared) -> Result<Vec<Rc<Service>>, String> {
+    fn start(&self, prepared: &PreparedPlan) -> Result<Vec<Rc<Service>>, String> {
         let current = self.current.borrow().clone();
         let by_name: HashMap<&str, &Rc<Service>> = current
             .services
@@ -396,7 +398,7 @@
         let mut joined = Vec::new();
         for (service, parts) in prepared.plan.model.services.iter().zip(&prepared.services) {
             let old = by_name.get(service.name.as_str()).copied();
-            if let Some(old) = old.filter(|old| old.is_made_from(&parts.key)) {
+            if let Some(old) = old.filter(|old| old.is_made_from(&parts.pool_key)) {
                 services.push(old.clone());
                 continue;
             }
@@ -427,7 +429,7 @@
         let parts = new
             .prepared
             .as_ref()
-            .map(|new| new.by_name())
+            .map(|new| new.services_by_name())
             .unwrap_or_default();
         for old in old
             .services
@@ -453,16 +455,16 @@
             && current
                 .services
                 .iter()
-                .all(|s| s.draining.get() || s.unready().is_none())
+                .all(|s| s.is_draining.get() || s.unavailable_reason().is_none())
     }
 
     /// Lets pools go that have nothing in hand any more.
-    pub fn tick(&self) {
+    pub fn remove_drained(&self) {
         let done: Vec<Rc<Service>> = {
             let mut draining_services = self.draining_services.borrow_mut();
             let (done, left) = draining_services
                 .drain(..)
-                .partition(|s| s.pool.open() == 0);
+                .partition(|s| s.pool.open_requests() == 0);
             *draining_services = left;
             done
         };
--- a/crates/node/src/net/service/prepared.rs
+++ b/crates/node/src/net/service/prepared.rs
@@ -12,25 +12,25 @@
 use std::sync::Arc;
 
 /// Since when the servers of static lists have been taking requests.
-type Since = HashMap<SocketAddr, Time>;
+type StartTimes = HashMap<SocketAddr, Time>;
 
 /// A checked plan, ready to be put in force.
-pub struct Prepared {
+pub struct PreparedPlan {
     /// The plan.
     pub plan: Plan,
     /// The parts of its services, in the same order.
-    pub services: Vec<Parts>,
+    pub services: Vec<ServiceParts>,
     /// The ways to its registries, or why there is none, by their names.
-    accesses: HashMap<String, Result<RegistryAccess, String>>,
-    pub(super) since: Since,
+    registry_access: HashMap<String, Result<RegistryAccess, String>>,
+    pub(super) start_times: StartTimes,
 }
 
 /// A service by the parts that change independently of each other.
-pub struct Parts {
+pub struct ServiceParts {
     /// What its pool is made from.
-    pub key: Arc<PoolKey>,
+    pub pool_key: Arc<PoolKey>,
     /// What can change under a pool.
-    pub terms: Arc<Terms>,
+    pub runtime_settings: Arc<RuntimeSettings>,
     /// Its servers, if the file lists them.
     pub list: Option<Arc<Vec<ListedServer>>>,
 }
@@ -39,12 +39,12 @@
 #[derive(PartialEq)]
 pub struct PoolKey {
     source: SourceKey,
-    tries: model::AttemptLimits,
-    cold: model::SlowStart,
+    attempt_limits: model::AttemptLimits,
+    slow_start: model::SlowStart,
     classes: Vec<model::Located<model::Class>>,
-    members: Vec<model::Located<model::Tenant>>,
+    tenants: Vec<model::Located<model::Tenant>>,
     zone: Option<String>,
-    nodes: u32,
+    node_count: u32,
 }
 
 #[derive(PartialEq)]
@@ -56,10 +56,10 @@
 
 /// What can change under a pool, but for its list of servers and the routes to it.
 #[derive(PartialEq)]
-pub struct Terms {
+pub struct RuntimeSettings {
     state: model::ServiceState,
-    retry_after: Time,
-    allowed: Allowed,
+    max_retry_after: Time,
+    resource_limits: Allowed,
     graphql: Option<model::Located<model::GraphQl>>,
 }
 
@@ -67,44 +67,46 @@
 #[derive(Clone, PartialEq)]
 pub struct ListedServer {
     pub server: model::Server,
-    pub since: Time,
+    pub serving_since: Time,
 }
 
-impl Prepared {
+impl PreparedPlan {
     /// Prepares the first plan of a process.
-    pub fn first(plan: Plan) -> Arc<Prepared> {
+    pub fn initial(plan: Plan) -> Arc<PreparedPlan> {
         Self::new(plan, None, 0.0)
     }
 
     /// Prepares a plan that is to follow another.
-    pub fn after(plan: Plan, before: &Prepared, now: Time) -> Arc<Prepared> {
+    pub fn replacing(plan: Plan, before: &PreparedPlan, now: Time) -> Arc<PreparedPlan> {
         Self::new(plan, Some(before), now)
     }
 
-    fn new(plan: Plan, before: Option<&Prepared>, now: Time) -> Arc<Prepared> {
-        let since = since(&plan.model, before.map(|before| &before.since), now);
-        let old = before.map(Prepared::by_name).unwrap_or_default();
+    fn new(plan: Plan, before: Option<&PreparedPlan>, now: Time) -> Arc<PreparedPlan> {
+        let since = since(&plan.model, before.map(|before| &before.start_times), now);
+        let old = before
+            .map(PreparedPlan::services_by_name)
+            .unwrap_or_default();
         let model = &plan.model;
         let parts = |service: &model::Located<model::Service>| {
             let old = old.get(service.name.as_str()).copied();
-            Parts::of(model, service, &since, old)
+            ServiceParts::of(model, service, &since, old)
         };
         let services = model.services.iter().map(parts).collect();
         let accesses = model
             .registries
             .iter()
-            .map(|r| (r.name.clone(), RegistryAccess::of(r)))
+            .map(|r| (r.name.clone(), RegistryAccess::from_settings(r)))
             .collect();
-        Arc::new(Prepared {
+        Arc::new(PreparedPlan {
             plan,
             services,
-            accesses,
-            since,
+            registry_access: accesses,
+            start_times: since,
         })
     }
 
     /// The parts of the services by the services' names.
-    pub fn by_name(&self) -> HashMap<&str, &Parts> {
+    pub fn services_by_name(&self) -> HashMap<&str, &ServiceParts> {
         let names = self.plan.model.services.iter().map(|s| s.name.as_str());
         names.zip(&self.services).collect()
     }
@@ -113,27 +115,33 @@
     ///
     /// # Errors
     /// If there is no such registry, or its proof can't be read.
-    pub fn access(&self, registry: &str) -> Result<&RegistryAccess, String> {
-        let access = self.accesses.get(registry).ok_or("no such registry")?;
+    pub fn registry_access(&self, registry: &str) -> Result<&RegistryAccess, String> {
+        let access = self
+            .registry_access
+            .get(registry)
+            .ok_or("no such registry")?;
         access.as_ref().map_err(Clone::clone)
     }
 }
 
-impl Parts {
+impl ServiceParts {
     fn of(
         model: &model::Model,
         service: &model::Service,
-        since: &Since,
-        old: Option<&Parts>,
-    ) -> Parts {
+        since: &StartTimes,
+        old: Option<&ServiceParts>,
+    ) -> ServiceParts {
         let list = match &service.source {
             model::Source::Static(list) => Some(listed_servers(list, since)),
             model::Source::Discovery(_) | model::Source::Registry(_) => None,
         };
         let old_list = old.and_then(|old| old.list.as_ref());
-        Parts {
-            key: kept_or_new(old.map(|old| &old.key), PoolKey::of(model, service)),
-            terms: kept_or_new(old.map(|old| &old.terms), Terms::of(service)),
+        ServiceParts {
+            pool_key: kept_or_new(old.map(|old| &old.pool_key), PoolKey::of(model, service)),
+            runtime_settings: kept_or_new(
+                old.map(|old| &old.runtime_settings),
+                RuntimeSettings::of(service),
+            ),
             list: list.map(|list| kept_or_new(old_list, list)),
         }
     }
@@ -144,12 +152,12 @@
         let process = &model.process;
         PoolKey {
             source: SourceKey::of(model, &service.source),
-            tries: service.attempts,
-            cold: service.slow_start,
+            attempt_limits: service.attempts,
+            slow_start: service.slow_start,
             classes: service.classes.clone(),
-            members: service.tenants.clone(),
+            tenants: service.tenants.clone(),
             zone: process.zone.clone(),
-            nodes: process.node_count,
+            node_count: process.node_count,
         }
     }
 }
@@ -177,19 +185,19 @@
     }
 }
 
-impl Terms {
+impl RuntimeSettings {
     fn of(service: &model::Service) -> Self {
-        Terms {
+        RuntimeSettings {
             state: service.state,
-            retry_after: service.attempts.max_retry_after,
-            allowed: service.limits.value,
+            max_retry_after: service.attempts.max_retry_after,
+            resource_limits: service.limits.value,
             graphql: service.graphql.clone(),
         }
     }
 }
 
 /// Whether two parts are the same; those of services that did not change are so at a glance.
-pub fn same<T: PartialEq>(a: &Arc<T>, b: &Arc<T>) -> bool {
+pub fn is_same<T: PartialEq>(a: &Arc<T>, b: &Arc<T>) -> bool {
     Arc::ptr_eq(a, b) || a == b
 }
 
@@ -206,7 +214,7 @@
 ///
 /// Guards the rule on cold servers against servers that are started and written into the file. Harm: a warm
 /// server that is added gets less than its part for as long as a start takes.
-fn since(model: &model::Model, old: Option<&Since>, now: Time) -> Since {
+fn since(model: &model::Model, old: Option<&StartTimes>, now: Time) -> StartTimes {
     let lists = model.services.iter().filter_map(|s| match &s.source {
         model::Source::Static(list) => Some(list),
         model::Source::Discovery(_) | model::Source::Registry(_) => None,
@@ -216,12 +224,12 @@
     up.map(|s| (s.address, since(&s.address))).collect()
 }
 
-fn listed_servers(list: &[model::Located<model::Server>], since: &Since) -> Vec<ListedServer> {
+fn listed_servers(list: &[model::Located<model::Server>], since: &StartTimes) -> Vec<ListedServer> {
     let since = |s: &model::Server| since.get(&s.address).copied().unwrap_or(0.0);
     list.iter()
         .map(|s| ListedServer {
             server: s.value.clone(),
-            since: since(s),
+            serving_since: since(s),
         })
         .collect()
 }
--- a/crates/node/src/net/service/tests.rs
+++ b/crates/node/src/net/service/tests.rs
@@ -37,18 +37,22 @@
 
 fn start_with(text: &str, retire: Retire) -> (Rc<Shared>, Services, Vec<Rc<Service>>) {
     let plan = plan(text);
-    let shared = Shared::parted(plan.totals, None);
+    let shared = Shared::for_services(plan.totals, None);
     let services = Services::new(shared.clone(), 7, retire);
     let now = apply(&services, text);
     (shared, services, now)
 }
 
 /// What is costly is done on another thread, as in a node.
-fn prepare(services: &Services, text: &str) -> Arc<Prepared> {
-    let (plan, before, now) = (plan(text), services.in_force(), services.shared.clock.now());
+fn prepare(services: &Services, text: &str) -> Arc<PreparedPlan> {
+    let (plan, before, now) = (
+        plan(text),
+        services.current_plan(),
+        services.shared.clock.now(),
+    );
     let preparing = std::thread::spawn(move || match before {
-        Some(before) => Prepared::after(plan, &before, now),
-        None => Prepared::first(plan),
+        Some(before) => PreparedPlan::replacing(plan, &before, now),
+        None => PreparedPlan::initial(plan),
     });
     preparing.join().expect("a plan")
 }
@@ -80,7 +84,7 @@
         let emptied = a.replace("\"127.0.0.1:2\"", "\"127.0.0.1:2\"\nstate = \"draining\"");
         let second = apply(&services, &text(&[changed, emptied]));
         assert!(same(&first[0], &second[1]) && same(&first[1], &second[0]));
-        assert_eq!(second[0].unready(), Some("draining\n"));
+        assert_eq!(second[0].unavailable_reason(), Some("draining\n"));
         // A deadline is: the module has to be told anew.
         let later = a.replace("\"1s\"", "\"2s\"");
         let third = apply(&services, &text(&[later, b.clone()]));
@@ -89,7 +93,7 @@
             first[0].member, third[0].member,
             "old and new hold from two places in the books"
         );
-        assert!(third.iter().all(|s| s.unready().is_none()));
+        assert!(third.iter().all(|s| s.unavailable_reason().is_none()));
     })
     .await;
 }
@@ -129,8 +133,8 @@
         let since = |address: u16| {
             let address = SocketAddr::from(([127, 0, 0, 1], address));
             services
-                .in_force()
-                .and_then(|plan| plan.since.get(&address).copied())
+                .current_plan()
+                .and_then(|plan| plan.start_times.get(&address).copied())
         };
         assert_eq!(since(1), Some(0.0));
         let two = service("a", &[("a1", 1), ("a2", 2)]);
@@ -227,10 +231,10 @@
             "state = \"draining\"\n[[service.class]]",
         );
         apply(&services, &text(&[draining]));
-        assert!(first[0].draining.get());
+        assert!(first[0].is_draining.get());
         assert!(!list.has_changed().expect("the list is told still"));
         apply(&services, &text(&[two]));
-        assert!(!first[0].draining.get());
+        assert!(!first[0].is_draining.get());
     })
     .await;
 }
@@ -238,7 +242,7 @@
 #[tokio::test]
 async fn plans_no_longer_in_force_are_freed_by_whoever_is_to_free_them() {
     local(async {
-        let retired: Rc<RefCell<Vec<Arc<Prepared>>>> = Rc::default();
+        let retired: Rc<RefCell<Vec<Arc<PreparedPlan>>>> = Rc::default();
         let freeing = retired.clone();
         let a = service("a", &[("a1", 1)]);
         let (_shared, services, _first) = start_with(
@@ -267,7 +271,7 @@
     local(async {
         let a = service("a", &[("a1", 1)]);
         let (shared, services, first) = start(&text(std::slice::from_ref(&a)));
-        let before = services.in_force().expect("a plan");
+        let before = services.current_plan().expect("a plan");
         let registry = "[[registry]]\nname = \"r\"\nmembers = [\"127.0.0.1:1\"]\ndigest_file = \"/none\"\n";
         let changed = a.replace("[[service.class]]", "state = \"draining\"\n[[service.class]]");
         let follower = service("z", &[])
@@ -275,8 +279,8 @@
         let wrong = HEAD.to_owned() + registry + &changed + &follower;
         let fault = services.apply(prepare(&services, &wrong)).err();
         assert!(fault.is_some_and(|fault| fault.contains("service `z`") && fault.contains("/none")));
-        assert!(services.in_force().is_some_and(|now| Arc::ptr_eq(&now, &before)));
-        assert!(!first[0].draining.get());
+        assert!(services.current_plan().is_some_and(|now| Arc::ptr_eq(&now, &before)));
+        assert!(!first[0].is_draining.get());
         assert_eq!(shared.pools(), 1);
     })
     .await;
--- a/crates/node/src/net/shared.rs
+++ b/crates/node/src/net/shared.rs
@@ -11,7 +11,7 @@
 pub use listed::{ListedByPool, ListedServers};
 pub use permits::{ConnectionPermit, MemoryPermit, OpenId, Permit};
 
-use super::{Bounds, Log};
+use super::{Log, ResourceLimits};
 use reelfall_admin::ban::{BanStatus, Bans};
 use reelfall_admin::ledger::Ledger;
 use reelfall_balancer::interface::Time;
@@ -29,25 +29,25 @@
 pub type PoolId = u32;
 
 /// What pools ask of each other, by way of what they share.
-pub trait Peer {
+pub trait PoolPeer {
     /// Since when the longest idle connection, to one address or to any, has been idle.
-    fn idle_since(&self, to: Option<SocketAddr>) -> Option<Instant>;
+    fn oldest_idle_since(&self, to: Option<SocketAddr>) -> Option<Instant>;
     /// Closes that connection; whether there was one.
-    fn close_idle(&self, to: Option<SocketAddr>) -> bool;
+    fn close_oldest_idle(&self, to: Option<SocketAddr>) -> bool;
     /// Whoever waits for a connection looks again.
-    fn freed(&self);
+    fn connection_freed(&self);
     /// Looks at what time alone changes: connections that have been idle for too long, servers that have become warm.
     fn tick(self: Rc<Self>);
     /// What another list says of a server has changed, one that this one may name.
     fn listing_changed(self: Rc<Self>, address: SocketAddr);
     /// Operators have said something of a server that this pool may know.
-    fn operators_changed(self: Rc<Self>, name: &str);
+    fn ban_changed(self: Rc<Self>, name: &str);
     /// What holds of every server may have changed.
-    fn refresh(self: Rc<Self>);
+    fn refresh_endpoints(self: Rc<Self>);
     /// Whether its list has named a server, now or lately.
-    fn knows(&self, name: &str) -> bool;
+    fn knows_server(&self, name: &str) -> bool;
     /// Adds the attempts that have waited past their target.
-    fn overdue(&self, now: Time, to: &mut Vec<OverdueRequest>);
+    fn collect_overdue(&self, now: Time, to: &mut Vec<OverdueRequest>);
     /// Applies, or ends, the condemnation of a server by the fleet.
     fn apply_condemnation(self: Rc<Self>, condemnation: &Condemnation);
 }
@@ -56,24 +56,24 @@
 pub struct Shared {
     pub log: Log,
     pub clock: Clock,
-    ids: RefCell<HashSet<Box<[u8]>>>,
+    open_request_ids: RefCell<HashSet<Box<[u8]>>>,
     /// Connections to servers that are open, and the most that may be.
-    open: Cell<usize>,
-    most: Cell<usize>,
+    open_connections: Cell<usize>,
+    max_connections: Cell<usize>,
     /// The same for each server, where several services may send to one.
-    by_server: RefCell<HashMap<SocketAddr, usize>>,
-    most_by_server: Cell<Option<usize>>,
+    connections_by_server: RefCell<HashMap<SocketAddr, usize>>,
+    max_connections_per_server: Cell<Option<usize>>,
     /// Memory for bodies of requests and for large answers, where there is one service alone.
-    bodies: Arc<Semaphore>,
-    answers: Arc<Semaphore>,
+    body_memory: Arc<Semaphore>,
+    response_memory: Arc<Semaphore>,
     memory_freed: Notify,
     /// Attempts that wait for a connection.
-    waiting: Cell<usize>,
-    limits: Option<RefCell<Limits>>,
-    shared_servers: RefCell<SharedServers<SocketAddr, PoolId>>,
-    listed: Rc<ListedServers>,
-    pools: RefCell<HashMap<PoolId, Weak<dyn Peer>>>,
-    next_pool: Cell<PoolId>,
+    waiting_attempts: Cell<usize>,
+    service_limits: Option<RefCell<Limits>>,
+    combined_lists: RefCell<SharedServers<SocketAddr, PoolId>>,
+    listed_servers: Rc<ListedServers>,
+    pools: RefCell<HashMap<PoolId, Weak<dyn PoolPeer>>>,
+    next_pool_id: Cell<PoolId>,
     /// The bans and the drain that operators have ordered here.
     operations: RefCell<Ledger>,
     /// Servers that are banned in the whole fleet.
@@ -81,25 +81,29 @@
     /// The fleet, if the node is part of one.
     observer: RefCell<Option<Rc<dyn FleetObserver>>>,
     /// The node begins or ends to be emptied.
-    pub drained: Notify,
+    pub drain_changed: Notify,
     /// Processes of this node that serve beside each other, this one included.
-    processes: Cell<u32>,
+    process_count: Cell<u32>,
 }
 
 impl Shared {
     /// For one service alone, which has all that the process has.
-    pub fn alone(bounds: Bounds) -> Rc<Self> {
-        Rc::new(Self::new(bounds.upstream, bounds.body_kib, None))
+    pub fn for_single_service(bounds: ResourceLimits) -> Rc<Self> {
+        Rc::new(Self::new(
+            bounds.server_connections,
+            bounds.body_memory_kib,
+            None,
+        ))
     }
 
     /// For several services, which have what they are allowed of the totals.
-    pub fn parted(totals: Totals, most_by_server: Option<usize>) -> Rc<Self> {
+    pub fn for_services(totals: Totals, most_by_server: Option<usize>) -> Rc<Self> {
         let shared = Self::new(
             totals.connections as usize,
             0,
             Some(RefCell::new(Limits::new(totals))),
         );
-        shared.most_by_server.set(most_by_server);
+        shared.max_connections_per_server.set(most_by_server);
         Rc::new(shared)
     }
 
@@ -107,40 +111,40 @@
         Shared {
             log: Log::default(),
             clock: Clock::start(),
-            ids: RefCell::default(),
-            open: Cell::new(0),
-            most: Cell::new(most),
-            by_server: RefCell::default(),
-            most_by_server: Cell::new(None),
-            bodies: Arc::new(Semaphore::new(body_kib)),
-            answers: Arc::new(Semaphore::new(body_kib)),
+            open_request_ids: RefCell::default(),
+            open_connections: Cell::new(0),
+            max_connections: Cell::new(most),
+            connections_by_server: RefCell::default(),
+            max_connections_per_server: Cell::new(None),
+            body_memory: Arc::new(Semaphore::new(body_kib)),
+            response_memory: Arc::new(Semaphore::new(body_kib)),
             memory_freed: Notify::new(),
-            waiting: Cell::new(0),
-            limits,
-            shared_servers: RefCell::default(),
-            listed: Rc::default(),
+            waiting_attempts: Cell::new(0),
+            service_limits: limits,
+            combined_lists: RefCell::default(),
+            listed_servers: Rc::default(),
             pools: RefCell::default(),
-            next_pool: Cell::new(0),
+            next_pool_id: Cell::new(0),
             operations: RefCell::default(),
             fleet_bans: RefCell::default(),
             observer: RefCell::default(),
-            drained: Notify::new(),
-            processes: Cell::new(1),
+            drain_changed: Notify::new(),
+            process_count: Cell::new(1),
         }
     }
 
     /// Changes what there is; what is held stays held.
     pub fn set_totals(&self, totals: Totals, most_by_server: Option<usize>) {
-        self.most.set(totals.connections as usize);
-        self.most_by_server.set(most_by_server);
-        if let Some(limits) = &self.limits {
+        self.max_connections.set(totals.connections as usize);
+        self.max_connections_per_server.set(most_by_server);
+        if let Some(limits) = &self.service_limits {
             limits.borrow_mut().set_totals(totals);
         }
     }
 
     /// A connection has ended or is idle: whoever waits for one looks again.
-    pub fn freed(&self) {
-        if self.waiting.get() == 0 {
+    pub fn notify_connection_freed(&self) {
+        if self.waiting_attempts.get() == 0 {
             return;
         }
         // A pool that is being dropped gives its connections back in the middle of a look at the others.
@@ -148,7 +152,7 @@
             pools
                 .values()
                 .filter_map(Weak::upgrade)
-                .for_each(|p| p.freed());
+                .for_each(|p| p.connection_freed());
         }
     }
 
@@ -164,12 +168,10 @@
         let old = self.operations.replace(new.clone());
         let pools = self.peers();
         for name in old.bans.changed_servers(&new.bans) {
-            pools
-                .iter()
-                .for_each(|p| p.clone().operators_changed(&name));
+            pools.iter().for_each(|p| p.clone().ban_changed(&name));
         }
         if old.drain != new.drain {
-            self.drained.notify_waiters();
+            self.drain_changed.notify_waiters();
         }
     }
 
@@ -184,12 +186,12 @@
     }
 
     /// Whether the node is being emptied.
-    pub fn draining(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.operations.borrow().drain.is_active()
     }
 
     /// When a connection that has been idle since then has to go, if the node is being emptied.
-    pub fn idle_until(&self, since: Instant) -> Option<Instant> {
+    pub fn idle_deadline(&self, since: Instant) -> Option<Instant> {
         let until = self
             .operations
             .borrow()
@@ -199,40 +201,43 @@
     }
 
     /// How many processes of this node serve beside each other.
-    pub fn processes(&self) -> u32 {
-        self.processes.get()
+    pub fn process_count(&self) -> u32 {
+        self.process_count.get()
     }
 
     /// Changes how many do. Each has its part of what a cold server may be sent.
-    pub fn set_processes(&self, processes: u32) {
-        if self.processes.replace(processes) != processes {
-            self.peers().into_iter().for_each(Peer::refresh);
+    pub fn set_process_count(&self, processes: u32) {
+        if self.process_count.replace(processes) != processes {
+            self.peers()
+                .into_iter()
+                .for_each(PoolPeer::refresh_endpoints);
         }
     }
 
     /// Less may be held than at first, before anything is, where there is one service alone.
-    pub fn shrink(&self, from: Bounds, to: Bounds) {
-        self.most.set(to.upstream);
-        let less = from.body_kib.saturating_sub(to.body_kib);
-        self.bodies.forget_permits(less);
-        self.answers.forget_permits(less);
+    pub fn shrink(&self, from: ResourceLimits, to: ResourceLimits) {
+        self.max_connections.set(to.server_connections);
+        let less = from.body_memory_kib.saturating_sub(to.body_memory_kib);
+        self.body_memory.forget_permits(less);
+        self.response_memory.forget_permits(less);
     }
 
     /// More may be held from now on, where there is one service alone.
-    pub fn grow(&self, from: Bounds, to: Bounds) {
-        self.most.set(to.upstream);
-        let more = to.body_kib.saturating_sub(from.body_kib);
-        self.bodies.add_permits(more);
-        self.answers.add_permits(more);
-        self.freed();
+    pub fn grow(&self, from: ResourceLimits, to: ResourceLimits) {
+        self.max_connections.set(to.server_connections);
+        let more = to.body_memory_kib.saturating_sub(from.body_memory_kib);
+        self.body_memory.add_permits(more);
+        self.response_memory.add_permits(more);
+        self.notify_connection_freed();
     }
 
     /// Whether some list has named a server, now or lately, or it is banned.
-    pub fn knows(&self, name: &str) -> bool {
-        self.operations.borrow().bans.is_banned(name) || self.peers().iter().any(|p| p.knows(name))
+    pub fn knows_server(&self, name: &str) -> bool {
+        self.operations.borrow().bans.is_banned(name)
+            || self.peers().iter().any(|p| p.knows_server(name))
     }
 
-    fn peers(&self) -> Vec<Rc<dyn Peer>> {
+    fn peers(&self) -> Vec<Rc<dyn PoolPeer>> {
         self.pools
             .borrow()
             .values()
@@ -244,19 +249,19 @@
 
     /// The id of a new pool.
     pub fn next_pool_id(&self) -> PoolId {
-        let id = self.next_pool.get();
-        self.next_pool.set(id + 1);
+        let id = self.next_pool_id.get();
+        self.next_pool_id.set(id + 1);
         id
     }
 
     /// Registers a new pool.
-    pub fn register_pool(&self, id: PoolId, pool: &Rc<dyn Peer>) {
+    pub fn register_pool(&self, id: PoolId, pool: &Rc<dyn PoolPeer>) {
         self.pools.borrow_mut().insert(id, Rc::downgrade(pool));
     }
 
     /// Whether one pool's list concerns other pools.
     pub fn combines_lists(&self) -> bool {
-        self.limits.is_some()
+        self.service_limits.is_some()
     }
 
     /// Updates the state of a server in a pool's list; `None` removes it. Returns whether other pools have to be told.
@@ -266,7 +271,7 @@
         address: SocketAddr,
         state: Option<ListedState>,
     ) -> bool {
-        self.shared_servers
+        self.combined_lists
             .borrow_mut()
             .update(self.clock.now(), pool, &address, state)
     }
@@ -279,7 +284,7 @@
         own: ListedState,
         warm_after: Time,
     ) -> CombinedView {
-        self.shared_servers
+        self.combined_lists
             .borrow()
             .view(self.clock.now(), pool, &address, own, warm_after)
     }
@@ -287,7 +292,7 @@
     /// Tells the pools that list a server, but for the one that brought the news.
     pub fn notify_listing_changed(&self, address: SocketAddr, but: Option<PoolId>) {
         let ids: Vec<PoolId> = self
-            .shared_servers
+            .combined_lists
             .borrow()
             .pools(&address)
             .filter(|p| Some(*p) != but)
@@ -311,16 +316,16 @@
             .collect();
         for id in gone {
             self.pools.borrow_mut().remove(&id);
-            let removed = self.shared_servers.borrow_mut().remove_pool(id);
+            let removed = self.combined_lists.borrow_mut().remove_pool(id);
             removed
                 .into_iter()
                 .for_each(|address| self.notify_listing_changed(address, None));
         }
-        let expired = self.shared_servers.borrow_mut().expire(self.clock.now());
+        let expired = self.combined_lists.borrow_mut().expire(self.clock.now());
         expired
             .into_iter()
             .for_each(|address| self.notify_listing_changed(address, None));
-        self.peers().into_iter().for_each(Peer::tick);
+        self.peers().into_iter().for_each(PoolPeer::tick);
     }
 }
 
--- a/crates/node/src/net/shared/fleet.rs
+++ b/crates/node/src/net/shared/fleet.rs
@@ -24,7 +24,7 @@
     /// How long it has waited, in seconds.
     pub waited: Time,
     /// How long it should have waited at most, in seconds.
-    pub aim: Time,
+    pub latency_objective: Time,
 }
 
 /// Observes how attempts at servers end, and which lists are followed.
@@ -39,7 +39,7 @@
 
 impl Shared {
     /// Sets the servers that are banned in the whole fleet. What has changed holds in all pools when this returns.
-    pub fn banned_by_fleet(&self, banned: &BTreeSet<String>) {
+    pub fn set_fleet_bans(&self, banned: &BTreeSet<String>) {
         let now = self.clock.now();
         let old = self.fleet_bans.borrow().clone();
         let mut new = old.clone();
@@ -55,9 +55,7 @@
         self.fleet_bans.replace(new);
         let pools = self.peers();
         for name in changed {
-            pools
-                .iter()
-                .for_each(|p| p.clone().operators_changed(&name));
+            pools.iter().for_each(|p| p.clone().ban_changed(&name));
         }
     }
 
@@ -69,24 +67,26 @@
     }
 
     /// How many servers the lists name; one that several name is one.
-    pub fn listed(&self) -> usize {
-        self.listed.count()
+    pub fn listed_server_count(&self) -> usize {
+        self.listed_servers.count()
     }
 
     /// What the list of a new pool adds to that.
     pub fn listed_by_pool(&self) -> ListedByPool {
-        ListedByPool::new(self.listed.clone())
+        ListedByPool::new(self.listed_servers.clone())
     }
 
     /// The attempts of all pools that have waited past their target.
-    pub fn overdue(&self) -> Vec<OverdueRequest> {
+    pub fn overdue_requests(&self) -> Vec<OverdueRequest> {
         let (now, mut all) = (self.clock.now(), Vec::new());
-        self.peers().iter().for_each(|p| p.overdue(now, &mut all));
+        self.peers()
+            .iter()
+            .for_each(|p| p.collect_overdue(now, &mut all));
         all
     }
 
     /// Sets the observer of attempts and lists.
-    pub fn tell_of_attempts(&self, to: Rc<dyn FleetObserver>) {
+    pub fn set_fleet_observer(&self, to: Rc<dyn FleetObserver>) {
         self.observer.replace(Some(to));
     }
 
--- a/crates/node/src/net/shared/listed/tests.rs
+++ b/crates/node/src/net/shared/listed/tests.rs
@@ -1,6 +1,6 @@
 //! The count of listed servers against a walk over all lists.
 
-use crate::net::pool::{Missing, Pool};
+use crate::net::pool::{ListOrigin, Pool};
 use crate::net::shared::Shared;
 use reelfall_balancer::engine::AddressedEndpoint;
 use reelfall_balancer::interface::{ServerState, Time, UpdateKind};
@@ -16,7 +16,7 @@
     "limits":{"conn-idle":5.0,"connect-timeout":0.5,"max-attempts":4}}"#;
 
 fn shared() -> Rc<Shared> {
-    Shared::parted(
+    Shared::for_services(
         Totals {
             open: 1_000,
             connections: 1_000,
@@ -26,7 +26,7 @@
     )
 }
 
-fn pool(shared: &Rc<Shared>, missing: Missing) -> Rc<Pool> {
+fn pool(shared: &Rc<Shared>, missing: ListOrigin) -> Rc<Pool> {
     let (settings, names, figures) = settings::read(SETTINGS).expect("usable settings");
     Pool::new(settings, names, figures, 1, missing, shared.clone(), None).expect("a pool")
 }
@@ -58,7 +58,7 @@
         }
     };
     let places = lines.iter().map(place).collect();
-    pool.members(kind, places);
+    pool.update_endpoints(kind, places);
 }
 
 async fn local(test: impl Future<Output = ()>) {
@@ -93,12 +93,12 @@
 /// A pool, and the starts of the servers that it was told of.
 struct Followed {
     pool: Rc<Pool>,
-    missing: Missing,
+    missing: ListOrigin,
     listed: BTreeMap<u64, Time>,
 }
 
 impl Followed {
-    fn new(shared: &Rc<Shared>, missing: Missing) -> Followed {
+    fn new(shared: &Rc<Shared>, missing: ListOrigin) -> Followed {
         Followed {
             pool: pool(shared, missing),
             missing,
@@ -122,8 +122,8 @@
     /// The server instances that it names, by server and start; a list that is written by hand tells of no start.
     fn instances(&self) -> impl Iterator<Item = (u64, u64)> + '_ {
         let start = |ready_at: Time| match self.missing {
-            Missing::Ended => (ready_at * 1e3) as u64,
-            Missing::Unused => 0,
+            ListOrigin::Discovered => (ready_at * 1e3) as u64,
+            ListOrigin::Configured => 0,
         };
         self.listed
             .iter()
@@ -139,7 +139,8 @@
         for _ in 0..20_000 {
             match draws.below(20) {
                 0 if pools.len() < 5 => {
-                    let missing = [Missing::Ended, Missing::Unused][draws.below(2) as usize];
+                    let missing =
+                        [ListOrigin::Discovered, ListOrigin::Configured][draws.below(2) as usize];
                     pools.push(Followed::new(&shared, missing));
                 }
                 1 if !pools.is_empty() => {
@@ -159,11 +160,11 @@
                 _ => {}
             }
             let walked: BTreeSet<(u64, u64)> = pools.iter().flat_map(Followed::instances).collect();
-            assert_eq!(shared.listed(), walked.len());
+            assert_eq!(shared.listed_server_count(), walked.len());
         }
         pools.clear();
         assert_eq!(
-            shared.listed(),
+            shared.listed_server_count(),
             0,
             "something is kept of pools that are gone"
         );
@@ -181,7 +182,7 @@
 async fn a_count_does_not_walk_over_the_servers() {
     local(async {
         let shared = shared();
-        let pool = pool(&shared, Missing::Ended);
+        let pool = pool(&shared, ListOrigin::Discovered);
         let line = |server| Line {
             server,
             state: ServerState::Up,
@@ -191,7 +192,7 @@
         tell(&pool, UpdateKind::Snapshot, &lines);
         let begun = Instant::now();
         for _ in 0..COUNTS {
-            assert_eq!(shared.listed(), lines.len());
+            assert_eq!(shared.listed_server_count(), lines.len());
             assert!(begun.elapsed() < IN_TIME, "each count walks over the lists");
         }
     })
--- a/crates/node/src/net/shared/permits.rs
+++ b/crates/node/src/net/shared/permits.rs
@@ -18,7 +18,7 @@
 
 impl Drop for OpenId {
     fn drop(&mut self) {
-        self.shared.ids.borrow_mut().remove(&self.id);
+        self.shared.open_request_ids.borrow_mut().remove(&self.id);
     }
 }
 
@@ -27,17 +27,17 @@
     shared: Rc<Shared>,
     member: Member,
     kind: Kind,
-    n: u64,
+    units: u64,
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        if let Some(limits) = &self.shared.limits {
-            limits.borrow_mut().give(self.member, self.kind, self.n);
+        if let Some(limits) = &self.shared.service_limits {
+            limits.borrow_mut().give(self.member, self.kind, self.units);
         }
         match self.kind {
             Kind::Memory => self.shared.memory_freed.notify_waiters(),
-            Kind::Connections => self.shared.freed(),
+            Kind::Connections => self.shared.notify_connection_freed(),
             Kind::Open => {}
         }
     }
@@ -55,16 +55,18 @@
 pub struct ConnectionPermit {
     shared: Rc<Shared>,
     /// The server, where connections are counted by server.
-    counted: Option<SocketAddr>,
+    counted_server: Option<SocketAddr>,
     _permit: Option<Permit>,
 }
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         let shared = &self.shared;
-        shared.open.set(shared.open.get().saturating_sub(1));
-        if let Some(address) = &self.counted {
-            let mut by_server = shared.by_server.borrow_mut();
+        shared
+            .open_connections
+            .set(shared.open_connections.get().saturating_sub(1));
+        if let Some(address) = &self.counted_server {
+            let mut by_server = shared.connections_by_server.borrow_mut();
             if let Some(n) = by_server.get_mut(address) {
                 *n = n.saturating_sub(1);
                 if *n == 0 {
@@ -72,7 +74,7 @@
                 }
             }
         }
-        shared.freed();
+        shared.notify_connection_freed();
     }
 }
 
@@ -91,31 +93,34 @@
     /// Guards against a client that uses the id of another's request, so that servers, which know a request by
     /// it, would see a second copy; it ought to catch a proxy before this node that sends twice as well. Bounded
     /// by the requests that are open. Harm: a client that reuses an id too soon is told so and has to take a new.
-    pub fn claim(self: &Rc<Self>, id: &[u8]) -> Option<OpenId> {
+    pub fn claim_request_id(self: &Rc<Self>, id: &[u8]) -> Option<OpenId> {
         let id: Box<[u8]> = id.into();
-        self.ids.borrow_mut().insert(id.clone()).then(|| OpenId {
-            shared: self.clone(),
-            id,
-        })
+        self.open_request_ids
+            .borrow_mut()
+            .insert(id.clone())
+            .then(|| OpenId {
+                shared: self.clone(),
+                id,
+            })
     }
 
     /// A new service's place in the books; `None` where there is one service alone.
     pub fn add_member(&self, allowed: &Allowed) -> Option<Member> {
-        self.limits
+        self.service_limits
             .as_ref()
             .map(|l| l.borrow_mut().add(self.clock.now(), allowed))
     }
 
     /// Changes what a service is allowed.
     pub fn set_allowed(&self, member: Member, allowed: &Allowed) {
-        if let Some(limits) = &self.limits {
+        if let Some(limits) = &self.service_limits {
             limits.borrow_mut().set(self.clock.now(), member, allowed);
         }
     }
 
     /// A service leaves the books.
     pub fn remove_member(&self, member: Member) {
-        if let Some(limits) = &self.limits {
+        if let Some(limits) = &self.service_limits {
             limits.borrow_mut().remove(member);
         }
     }
@@ -125,7 +130,7 @@
     /// # Errors
     /// Says which limit it is over.
     pub fn admit(self: &Rc<Self>, member: Member) -> Result<Option<Permit>, Denial> {
-        let Some(limits) = &self.limits else {
+        let Some(limits) = &self.service_limits else {
             return Ok(None);
         };
         limits.borrow_mut().admit(self.clock.now(), member)?;
@@ -133,12 +138,17 @@
             shared: self.clone(),
             member,
             kind: Kind::Open,
-            n: 1,
+            units: 1,
         }))
     }
 
-    fn take(self: &Rc<Self>, member: Member, kind: Kind, n: u64) -> Result<Permit, Denied> {
-        let limits = self.limits.as_ref().ok_or(Denied::Most)?;
+    fn reserve_units(
+        self: &Rc<Self>,
+        member: Member,
+        kind: Kind,
+        n: u64,
+    ) -> Result<Permit, Denied> {
+        let limits = self.service_limits.as_ref().ok_or(Denied::Most)?;
         limits
             .borrow_mut()
             .take(self.clock.now(), member, kind, n)?;
@@ -146,7 +156,7 @@
             shared: self.clone(),
             member,
             kind,
-            n,
+            units: n,
         })
     }
 
@@ -154,11 +164,11 @@
     pub fn reserve_body(self: &Rc<Self>, member: Option<Member>, kib: u32) -> Option<MemoryPermit> {
         match member {
             Some(member) => self
-                .take(member, Kind::Memory, kib.into())
+                .reserve_units(member, Kind::Memory, kib.into())
                 .ok()
                 .map(MemoryPermit::Service),
             None => self
-                .bodies
+                .body_memory
                 .clone()
                 .try_acquire_many_owned(kib)
                 .ok()
@@ -174,11 +184,11 @@
     ) -> Option<MemoryPermit> {
         match member {
             Some(member) => self
-                .take(member, Kind::Memory, kib.into())
+                .reserve_units(member, Kind::Memory, kib.into())
                 .ok()
                 .map(MemoryPermit::Service),
             None => self
-                .answers
+                .response_memory
                 .clone()
                 .try_acquire_many_owned(kib)
                 .ok()
@@ -194,7 +204,7 @@
         until: Instant,
     ) -> Option<MemoryPermit> {
         if member.is_none() {
-            let share = self.answers.clone().acquire_many_owned(kib);
+            let share = self.response_memory.clone().acquire_many_owned(kib);
             return timeout_at(until.into(), share)
                 .await
                 .ok()
@@ -220,9 +230,9 @@
         address: SocketAddr,
         member: Option<Member>,
     ) -> Result<ConnectionPermit, Denied> {
-        if let Some(most) = self.most_by_server.get() {
+        if let Some(most) = self.max_connections_per_server.get() {
             if self
-                .by_server
+                .connections_by_server
                 .borrow()
                 .get(&address)
                 .is_some_and(|n| *n >= most)
@@ -230,43 +240,49 @@
                 self.evict_idle(Some(address)).ok_or(Denied::Total)?;
             }
         }
-        if self.open.get() >= self.most.get() {
+        if self.open_connections.get() >= self.max_connections.get() {
             self.evict_idle(None).ok_or(Denied::Total)?;
         }
         let permit = match member {
             None => None,
-            Some(member) => match self.take(member, Kind::Connections, 1) {
+            Some(member) => match self.reserve_units(member, Kind::Connections, 1) {
                 Ok(permit) => Some(permit),
                 Err(Denied::Most) => return Err(Denied::Most),
                 Err(denied) => {
                     self.evict_idle(None).ok_or(denied)?;
-                    Some(self.take(member, Kind::Connections, 1)?)
+                    Some(self.reserve_units(member, Kind::Connections, 1)?)
                 }
             },
         };
-        self.open.set(self.open.get() + 1);
+        self.open_connections.set(self.open_connections.get() + 1);
         let counted = self.combines_lists().then_some(address);
         if counted.is_some() {
-            *self.by_server.borrow_mut().entry(address).or_default() += 1;
+            *self
+                .connections_by_server
+                .borrow_mut()
+                .entry(address)
+                .or_default() += 1;
         }
         Ok(ConnectionPermit {
             shared: self.clone(),
-            counted,
+            counted_server: counted,
             _permit: permit,
         })
     }
 
     /// Counts an attempt that waits for a connection, until the guard is dropped.
-    pub fn wait(&self) -> WaitingAttempt<'_> {
-        self.waiting.set(self.waiting.get() + 1);
-        WaitingAttempt(&self.waiting)
+    pub fn count_waiting_attempt(&self) -> WaitingAttempt<'_> {
+        self.waiting_attempts.set(self.waiting_attempts.get() + 1);
+        WaitingAttempt(&self.waiting_attempts)
     }
 
     /// Closes the idle connection that has been idle longest.
     fn evict_idle(&self, to: Option<SocketAddr>) -> Option<()> {
         let pools = self.peers();
-        let oldest = pools.iter().filter_map(|p| Some((p.idle_since(to)?, p)));
+        let oldest = pools
+            .iter()
+            .filter_map(|p| Some((p.oldest_idle_since(to)?, p)));
         let (_, pool) = oldest.min_by_key(|(since, _)| *since)?;
-        pool.close_idle(to).then_some(())
+        pool.close_oldest_idle(to).then_some(())
     }
 }
--- a/crates/node/src/net/source.rs
+++ b/crates/node/src/net/source.rs
@@ -23,16 +23,16 @@
     let task = tokio::task::spawn_local(async move {
         let mut follow = std::pin::pin!(follow);
         let wait = async {
-            if ready.ready.get() {
+            if ready.is_ready.get() {
                 return std::future::pending().await;
             }
-            let news = ready.listed.notified();
+            let news = ready.list_received.notified();
             if ready.has_servers() {
                 let _ = tokio::time::timeout(NEWS_WITHIN, news).await;
             } else {
                 news.await;
             }
-            ready.ready.set(true);
+            ready.is_ready.set(true);
             std::future::pending::<()>().await;
         };
         // The wait is polled first, so that no list is missed.
--- a/crates/node/src/net/takeover.rs
+++ b/crates/node/src/net/takeover.rs
@@ -277,7 +277,7 @@
         if has_predecessor {
             successor.handle_snapshot();
         }
-        shared.set_processes(successor.process_count());
+        shared.set_process_count(successor.process_count());
         let (predecessor, successor) = (RefCell::default(), Cell::new(successor));
         Rc::new(Takeover {
             socket,
@@ -328,7 +328,7 @@
             let mut successor = self.successor.get();
             successor.handle_predecessor_gone();
             self.successor.set(successor);
-            self.shared.set_processes(successor.process_count());
+            self.shared.set_process_count(successor.process_count());
             self.predecessor_gone.notify_one();
         }
         std::future::pending().await
@@ -382,7 +382,7 @@
         front.hand_over_to(None);
         self.update_predecessor(front, Predecessor::handle_successor_lost);
         self.shared
-            .set_processes(self.successor.get().process_count());
+            .set_process_count(self.successor.get().process_count());
     }
 
     /// Hands over all there is; comes back only when the successor is lost.
@@ -392,7 +392,7 @@
             .iter()
             .map(|l| (l.name().to_owned(), l.as_fd()))
             .unzip();
-        self.shared.set_processes(2);
+        self.shared.set_process_count(2);
         let snapshot = Frame::Snapshot {
             listeners: names,
             learned: (self.collect_learned)(),
--- a/crates/node/src/net/tests.rs
+++ b/crates/node/src/net/tests.rs
@@ -1,11 +1,11 @@
 //! Sockets that are odd in ways that loopback TCP can't be made to be.
 
 use super::front::{Front, Listening};
-use super::pool::{Missing, Pool};
+use super::pool::{ListOrigin, Pool};
 use super::service::{Routing, Service};
 use super::shared::Shared;
 use super::task::AbortOnDrop;
-use super::Bounds;
+use super::ResourceLimits;
 use reelfall_balancer::settings;
 use std::io;
 use std::os::fd::OwnedFd;
@@ -18,19 +18,24 @@
 /// A front whose one pool has no list yet.
 fn front() -> Rc<Front> {
     let (settings, names, figures) = settings::read(SETTINGS).expect("usable settings");
-    let shared = Shared::alone(Bounds::of(256, 64));
+    let shared = Shared::for_single_service(ResourceLimits::for_process(256, 64));
     let pool = Pool::new(
         settings,
         names,
         figures,
         1,
-        Missing::Ended,
+        ListOrigin::Discovered,
         shared.clone(),
         None,
     )
     .expect("a pool");
     let follow = AbortOnDrop(tokio::task::spawn_local(std::future::pending::<()>()).abort_handle());
-    Front::new(shared, Routing::Alone(Service::alone(pool, follow)), 16, 1)
+    Front::new(
+        shared,
+        Routing::Single(Service::single(pool, follow)),
+        16,
+        1,
+    )
 }
 
 async fn asked(
--- a/crates/node/src/net/upstream.rs
+++ b/crates/node/src/net/upstream.rs
@@ -171,7 +171,7 @@
             .filter(|p| p.generation == connection.generation);
         if let Some(pool) = pool {
             pool.idle.push(connection);
-            self.shared.freed();
+            self.shared.notify_connection_freed();
         }
     }
 
--- a/crates/node/src/net/upstream/attempt.rs
+++ b/crates/node/src/net/upstream/attempt.rs
@@ -6,7 +6,10 @@
 use crate::net::body::{Payload, PayloadBody, FLOW_MOST};
 use crate::net::message::Message;
 use crate::net::shared::ConnectionPermit;
-use crate::net::{permits_for, set_nodelay, ANSWER_HELD, ANSWER_MOST, ANSWER_SMALL, BUFFER};
+use crate::net::{
+    kib_permits, set_nodelay, MAX_BUFFERED_RESPONSE_BYTES, MAX_IMMEDIATE_RESPONSE_BYTES,
+    READ_BUFFER_BYTES, UNRESERVED_RESPONSE_BYTES,
+};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -63,7 +66,7 @@
             let new = connect(host, server, address, open, until).await;
             return new.map(|c| (c, true)).ok_or(Outcome::ConnectFailed);
         }
-        let _waits = upstream.shared.wait();
+        let _waits = upstream.shared.count_waiting_attempt();
         if timeout_at(until.into(), upstream.freed.notified())
             .await
             .is_err()
@@ -96,7 +99,7 @@
     });
     let io = TokioIo::new(SocketIo(socket.clone()));
     let (send, connection) = Builder::new()
-        .max_buf_size(BUFFER)
+        .max_buf_size(READ_BUFFER_BYTES)
         .handshake(io)
         .await
         .ok()?;
@@ -286,7 +289,7 @@
         || closes
         || head.version == Version::HTTP_10;
     let most = if validator.is_some() {
-        ANSWER_MOST as u64
+        MAX_BUFFERED_RESPONSE_BYTES as u64
     } else {
         FLOW_MOST
     };
@@ -295,21 +298,24 @@
     }
     let stated = body.size_hint().exact().map_or(0, |n| n as usize);
     let Upstream { shared, member, .. } = host.upstream();
-    let mut memory = match (stated > ANSWER_SMALL, validator.is_some()) {
+    let mut memory = match (stated > UNRESERVED_RESPONSE_BYTES, validator.is_some()) {
         // Without a share in time, the answer is not read, and the next wait tells that time is up.
         (true, true) => {
             shared
-                .reserve_answer_by(*member, permits_for(stated), expires)
+                .reserve_answer_by(*member, kib_permits(stated), expires)
                 .await
         }
-        (true, false) => shared.reserve_answer(*member, permits_for(stated.min(ANSWER_HELD))),
+        (true, false) => shared.reserve_answer(
+            *member,
+            kib_permits(stated.min(MAX_IMMEDIATE_RESPONSE_BYTES)),
+        ),
         (false, _) => None,
     };
     let mut held = BytesMut::new();
     // From when on an answer that is too large to be held for sure is forwarded as it comes.
     let flows = Instant::now() + HELD_FOR;
     loop {
-        let large = stated > ANSWER_SMALL || held.len() > ANSWER_SMALL;
+        let large = stated > UNRESERVED_RESPONSE_BYTES || held.len() > UNRESERVED_RESPONSE_BYTES;
         let patience = large && validator.is_none() && !held.is_empty();
         let until = if patience {
             expires.min(flows)
@@ -319,24 +325,26 @@
         match timeout_at(until.into(), body.frame()).await {
             Ok(Some(Ok(frame))) => {
                 held.extend_from_slice(frame.data_ref().map_or(&[], |data| data));
-                if held.len() <= ANSWER_SMALL && stated <= ANSWER_SMALL {
+                if held.len() <= UNRESERVED_RESPONSE_BYTES && stated <= UNRESERVED_RESPONSE_BYTES {
                     continue;
                 }
                 if memory.is_none() && stated == 0 {
                     // Chunked, and growing: it gets a share at once, or is forwarded as it comes.
                     let most = if validator.is_some() {
-                        ANSWER_MOST
+                        MAX_BUFFERED_RESPONSE_BYTES
                     } else {
-                        ANSWER_HELD
+                        MAX_IMMEDIATE_RESPONSE_BYTES
                     };
-                    memory = shared.reserve_answer(*member, permits_for(most));
+                    memory = shared.reserve_answer(*member, kib_permits(most));
                 }
                 if validator.is_some() {
-                    if held.len() > ANSWER_MOST || memory.is_none() {
+                    if held.len() > MAX_BUFFERED_RESPONSE_BYTES || memory.is_none() {
                         return host.ended(id, number, Outcome::ConnectionLost, None);
                     }
                 } else if !held.is_empty()
-                    && (memory.is_none() || held.len() > ANSWER_HELD || flows <= Instant::now())
+                    && (memory.is_none()
+                        || held.len() > MAX_IMMEDIATE_RESPONSE_BYTES
+                        || flows <= Instant::now())
                 {
                     break;
                 }
@@ -386,7 +394,7 @@
         let mut size = 0;
         while let Some(frame) = body.frame().await {
             size += frame.ok()?.data_ref().map_or(0, Bytes::len);
-            (size <= ANSWER_MOST).then_some(())?;
+            (size <= MAX_BUFFERED_RESPONSE_BYTES).then_some(())?;
         }
         Some(())
     };
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -2,11 +2,11 @@
 
 use crate::net::front::{Front, Listening};
 use crate::net::management::Management;
-use crate::net::pool::{Missing, Pool};
+use crate::net::pool::{ListOrigin, Pool};
 use crate::net::service::{Discovery, Routing, Service};
 use crate::net::shared::Shared;
 use crate::net::takeover::{HandoverSocket, Takeover};
-use crate::net::{discovery, source, Bounds};
+use crate::net::{discovery, source, ResourceLimits};
 use reelfall_balancer::settings;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -85,7 +85,7 @@
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
     let hangup = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
     let operators = operators(config.management)?;
-    let bounds = Bounds::of(config.limits.sockets, config.limits.memory_mb);
+    let bounds = ResourceLimits::for_process(config.limits.sockets, config.limits.memory_mb);
     let read =
         settings::read(config.settings.get()).map_err(|e| format!("settings can't be used: {e}"));
     let (settings, names, figures) = read?;
@@ -99,7 +99,7 @@
             .as_deref()
             .map(|folder| HandoverSocket::new(folder, &name))
     };
-    let shared = Shared::alone(bounds);
+    let shared = Shared::for_single_service(bounds);
     let mut snapshot = match handover_socket() {
         Some(handover_socket) => handover_socket.request_snapshot(&shared).await,
         None => None,
@@ -109,7 +109,7 @@
         names,
         figures,
         seed,
-        Missing::Ended,
+        ListOrigin::Discovered,
         shared.clone(),
         None,
     );
@@ -120,7 +120,7 @@
         discovery::apply_list(&pool, &config.known, true).map_err(|e| format!("known: {e}"))?
     };
     if let Some(learned) = snapshot.as_ref().and_then(|g| g.learned("")) {
-        pool.restore_learned(learned);
+        pool.restore_learned_state(learned);
     }
     let (address, named) = watch::channel(config.discovery);
     let listening = match snapshot.as_mut().and_then(|g| g.listener(LISTENER)) {
@@ -131,8 +131,8 @@
         // Whoever is there has other sockets: it goes on with its clients, and this process has its own.
         snapshot = None;
     }
-    let listening =
-        listening.or_else(|_| Listening::bind(LISTENER, config.listen, bounds.clients, true))?;
+    let listening = listening
+        .or_else(|_| Listening::bind(LISTENER, config.listen, bounds.client_connections, true))?;
     let held = if snapshot.is_some() {
         bounds.halved()
     } else {
@@ -156,7 +156,7 @@
         }
     });
     let learning = pool.clone();
-    let collect_learned = Box::new(move || vec![(String::new(), learning.learned())]);
+    let collect_learned = Box::new(move || vec![(String::new(), learning.learned_state())]);
     let takeover = Takeover::new(
         shared.clone(),
         handover_socket(),
@@ -170,8 +170,8 @@
         tokio::task::spawn_local(management.clone().serve(address));
     }
     tokio::task::spawn_local(management.follow());
-    let routing = Routing::Alone(Service::alone(pool.clone(), follow));
-    let front = Front::new(shared.clone(), routing, held.clients, seed);
+    let routing = Routing::Single(Service::single(pool.clone(), follow));
+    let front = Front::new(shared.clone(), routing, held.client_connections, seed);
     tokio::task::spawn_local(front.clone().close_idle_while_draining());
     front.set_handover_state(&takeover);
     front.listen(vec![listening]);
@@ -180,12 +180,12 @@
         tokio::task::spawn_local(async move {
             takeover.predecessor_gone.notified().await;
             shared.grow(held, bounds);
-            front.set_max_clients(bounds.clients);
+            front.set_max_clients(bounds.client_connections);
         });
     }
     let taking = front.clone();
     tokio::task::spawn_local(async move {
-        while !pool.ready.get() {
+        while !pool.is_ready.get() {
             tokio::time::sleep(READY_EVERY).await;
         }
         takeover.serve(taking, snapshot).await;
--- a/crates/node/src/standalone.rs
+++ b/crates/node/src/standalone.rs
@@ -5,7 +5,7 @@
 use crate::net::front::{Front, Listening};
 use crate::net::management::{FleetHandler, Management};
 use crate::net::registry::{OwnEntry, RegistryAccess};
-use crate::net::service::prepared::Prepared;
+use crate::net::service::prepared::PreparedPlan;
 use crate::net::service::Services;
 use crate::net::shared::Shared;
 use crate::platform::plain;
@@ -77,7 +77,7 @@
     let mut hangup = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
     // Two starts must not share their choices.
     let seed = RandomState::new().hash_one(std::process::id());
-    let shared = Shared::parted(plan.totals, plan.model.process.max_connections_per_server);
+    let shared = Shared::for_services(plan.totals, plan.model.process.max_connections_per_server);
     let reader = Reader::start(path.to_owned(), shared.clock).map_err(|e| e.to_string())?;
     let freeing = reader.clone();
     let services = Services::new(
@@ -102,11 +102,11 @@
         .as_ref()
         .map(|f| FleetRuntime::open(&node.shared, f))
         .transpose()?;
-    let front = node.apply(Prepared::first(plan))?;
+    let front = node.apply(PreparedPlan::initial(plan))?;
     let management = calls.as_ref().map(|m| own_socket(m.address)).transpose()?;
     announce(&front, management.as_ref(), together.as_deref());
     if let Some(together) = &together {
-        node.shared.tell_of_attempts(together.clone());
+        node.shared.set_fleet_observer(together.clone());
         tokio::task::spawn_local(together.clone().run());
     }
     let leases = match fleet
@@ -132,7 +132,7 @@
         loop {
             tokio::time::sleep(TICK_EVERY).await;
             ticking.shared.tick();
-            ticking.services.tick();
+            ticking.services.remove_drained();
             if ticking.services.are_ready() {
                 ticking
                     .entries
@@ -226,7 +226,7 @@
 
 impl Node {
     /// Puts a plan in force, whole or not at all.
-    fn apply(&self, prepared: Arc<Prepared>) -> Result<Rc<Front>, String> {
+    fn apply(&self, prepared: Arc<PreparedPlan>) -> Result<Rc<Front>, String> {
         let (model, clients) = (&prepared.plan.model, prepared.plan.clients);
         let old = self.front.borrow().clone();
         let mut listening = Vec::with_capacity(model.listeners.len());
@@ -303,7 +303,7 @@
 
     /// Takes in the file again. What is wrong with it is told, and then all stays as it was.
     async fn reload(&self, reader: &Reader, name: &str) {
-        let Some(in_force) = self.services.in_force() else {
+        let Some(in_force) = self.services.current_plan() else {
             return;
         };
         let read = reader.read(in_force).await;
@@ -327,7 +327,7 @@
 }
 
 /// The entries that a plan wants, by their registries.
-fn entries_of(prepared: &Prepared) -> Result<HashMap<String, Wanted>, String> {
+fn entries_of(prepared: &PreparedPlan) -> Result<HashMap<String, Wanted>, String> {
     let model = &prepared.plan.model;
     let wanted = model
         .registries
@@ -335,7 +335,7 @@
         .filter_map(|r| Some((r, r.entry.as_ref()?)));
     let wanted = wanted.map(|(registry, entry)| {
         let access = prepared
-            .access(&registry.name)
+            .registry_access(&registry.name)
             .map_err(|e| format!("{}: {e}", registry.origin))?
             .clone();
         let (entry, zone) = (entry.value.clone(), model.process.zone.clone());
--- a/crates/node/src/standalone/reload.rs
+++ b/crates/node/src/standalone/reload.rs
@@ -1,6 +1,6 @@
 //! Reads the settings file anew on a thread of its own: however large the file is, no request waits for it.
 
-use crate::net::service::prepared::Prepared;
+use crate::net::service::prepared::PreparedPlan;
 use crate::net::shared::Clock;
 use reelfall_config::{reader, Faults, Model, Plan};
 use std::path::{Path, PathBuf};
@@ -16,11 +16,11 @@
 enum Job {
     /// Reads the file and compares it with the plan that is in force.
     Read {
-        in_force: Arc<Prepared>,
-        done: oneshot::Sender<Result<Arc<Prepared>, String>>,
+        in_force: Arc<PreparedPlan>,
+        done: oneshot::Sender<Result<Arc<PreparedPlan>, String>>,
     },
     /// Frees a plan that nobody uses any more.
-    Free(Arc<Prepared>),
+    Free(Arc<PreparedPlan>),
 }
 
 /// The thread's jobs, done one after the other. It ends with the last of these; a process that ends waits for none.
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     /// All that is wrong with it.
-    pub async fn read(&self, in_force: Arc<Prepared>) -> Result<Arc<Prepared>, String> {
+    pub async fn read(&self, in_force: Arc<PreparedPlan>) -> Result<Arc<PreparedPlan>, String> {
         let (done, read) = oneshot::channel();
         let asked = self.jobs.send(Job::Read { in_force, done });
         let ended = || "the thread that reads the settings has ended".to_owned();
@@ -55,7 +55,7 @@
     }
 
     /// Frees a plan, once nobody else uses it.
-    pub fn free(&self, prepared: Arc<Prepared>) {
+    pub fn free(&self, prepared: Arc<PreparedPlan>) {
         // Without the thread it is freed here.
         drop(self.jobs.send(Job::Free(prepared)));
     }
@@ -73,11 +73,11 @@
     }
 }
 
-fn read(path: &Path, clock: Clock, in_force: &Prepared) -> Result<Arc<Prepared>, String> {
+fn read(path: &Path, clock: Clock, in_force: &PreparedPlan) -> Result<Arc<PreparedPlan>, String> {
     let name = path.display().to_string();
     let text = settled(path).map_err(|e| format!("{name}: {e}"))?;
     let plan = checked(&name, text, reelfall_config::check).map_err(|e| e.to_string())?;
-    Ok(Prepared::after(plan, in_force, clock.now()))
+    Ok(PreparedPlan::replacing(plan, in_force, clock.now()))
 }
 
 /// Reads a file's text and checks what it says.
