--- a/crates/node/src/net/pool/list.rs
+++ b/crates/node/src/net/pool/list.rs
@@ -1,4 +1,7 @@
-//! A pool's list of servers, combined with the lists of other pools and the operators' bans.
+//! A pool's endpoint list, combined with the lists of other pools and the operators' bans.
+//!
+//! Sources deliver updates to [`Pool::update_endpoints`]. The engine is given each endpoint as it is after
+//! [`Pool::adjust`], while [`ServerList`] stores it as the source delivered it.
 
 use super::Pool;
 use crate::net::shared::ListedByPool;
@@ -11,85 +14,121 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A list as its source has it, before other lists add anything.
+/// An endpoint with the address that its server listens on.
+pub(super) type SocketEndpoint = AddressedEndpoint<SocketAddr>;
+
+/// An endpoint list as its source delivered it.
 pub(super) struct ServerList {
-    pub(super) endpoints: HashMap<ServerId, AddressedEndpoint<SocketAddr>>,
-    /// The servers at each address.
-    pub(super) ids_by_address: HashMap<SocketAddr, Vec<ServerId>>,
-    /// The same servers, as they are counted with those of all pools.
-    registered_instances: ListedByPool,
+    endpoints: HashMap<ServerId, SocketEndpoint>,
+    ids_by_address: HashMap<SocketAddr, Vec<ServerId>>,
+    /// The same servers, as they are counted among those of all pools.
+    instances: ListedByPool,
 }
 
 impl ServerList {
-    pub(super) fn new(listed: ListedByPool) -> ServerList {
+    /// An empty list.
+    pub(super) fn new(instances: ListedByPool) -> ServerList {
         ServerList {
             endpoints: HashMap::new(),
             ids_by_address: HashMap::new(),
-            registered_instances: listed,
+            instances,
         }
     }
 
-    /// Adds a server, or replaces it. `name` and `start_ms` identify its instance, as in [`reelfall_cluster::entry::ServerInstance`].
+    /// Adds or replaces an endpoint and returns the replaced one. `name` and `start_ms` identify its instance, as in
+    /// [`reelfall_cluster::entry::ServerInstance`].
     fn insert(
         &mut self,
-        place: &AddressedEndpoint<SocketAddr>,
+        endpoint: &SocketEndpoint,
         name: Option<&str>,
         start_ms: u64,
-    ) -> Option<AddressedEndpoint<SocketAddr>> {
-        let old = self.remove(place.endpoint.server);
+    ) -> Option<SocketEndpoint> {
+        let server = endpoint.endpoint.server;
+        let replaced = self.remove(server);
         if let Some(name) = name {
-            self.registered_instances
-                .insert(place.endpoint.server, name, start_ms);
+            self.instances.insert(server, name, start_ms);
         }
         self.ids_by_address
-            .entry(place.address)
+            .entry(endpoint.address)
             .or_default()
-            .push(place.endpoint.server);
-        self.endpoints.insert(place.endpoint.server, place.clone());
-        old
-    }
-
-    pub(super) fn remove(&mut self, server: ServerId) -> Option<AddressedEndpoint<SocketAddr>> {
-        let old = self.endpoints.remove(&server)?;
-        self.registered_instances.remove(server);
-        if let Some(at) = self.ids_by_address.get_mut(&old.address) {
-            at.retain(|s| *s != server);
-            if at.is_empty() {
-                self.ids_by_address.remove(&old.address);
+            .push(server);
+        self.endpoints.insert(server, endpoint.clone());
+        replaced
+    }
+
+    fn remove(&mut self, server: ServerId) -> Option<SocketEndpoint> {
+        let removed = self.endpoints.remove(&server)?;
+        self.instances.remove(server);
+        if let Some(ids) = self.ids_by_address.get_mut(&removed.address) {
+            ids.retain(|id| *id != server);
+            if ids.is_empty() {
+                self.ids_by_address.remove(&removed.address);
             }
         }
-        Some(old)
+        Some(removed)
+    }
+
+    /// Removes all endpoints but the `listed` ones and returns the removed ones.
+    fn remove_unlisted(&mut self, listed: &HashSet<ServerId>) -> Vec<SocketEndpoint> {
+        let unlisted: Vec<ServerId> = self
+            .endpoints
+            .keys()
+            .filter(|server| !listed.contains(server))
+            .copied()
+            .collect();
+        unlisted
+            .into_iter()
+            .filter_map(|server| self.remove(server))
+            .collect()
+    }
+
+    /// All endpoints, in no order.
+    pub(super) fn endpoints(&self) -> impl Iterator<Item = &SocketEndpoint> {
+        self.endpoints.values()
     }
 
-    /// The servers that the list has at an address.
+    /// The endpoints at an address.
     pub(super) fn endpoints_at(
         &self,
         address: &SocketAddr,
-    ) -> impl Iterator<Item = &AddressedEndpoint<SocketAddr>> {
+    ) -> impl Iterator<Item = &SocketEndpoint> {
         self.ids_by_address
             .get(address)
             .into_iter()
             .flatten()
-            .filter_map(|s| self.endpoints.get(s))
+            .filter_map(|server| self.endpoints.get(server))
     }
 
-    pub(super) fn has_address(&self, address: &SocketAddr) -> bool {
+    /// Whether an endpoint has this address.
+    fn has_address(&self, address: &SocketAddr) -> bool {
         self.ids_by_address.contains_key(address)
     }
+
+    /// The address of a server.
+    pub(super) fn address_of(&self, server: ServerId) -> Option<SocketAddr> {
+        self.endpoints.get(&server).map(|endpoint| endpoint.address)
+    }
+
+    /// When a server has started, according to the list.
+    pub(super) fn started_at(&self, server: ServerId) -> Option<Time> {
+        self.endpoints
+            .get(&server)
+            .map(|endpoint| endpoint.endpoint.started_at)
+    }
 }
 
-/// What it means that a list no longer names a server.
+/// Where an endpoint list comes from, which decides what it says of servers' lifetimes.
 #[derive(Clone, Copy, PartialEq)]
 pub enum ListOrigin {
-    /// The server has ended: the list follows servers.
+    /// Service discovery follows the servers: it knows their starts, and a server that is no longer listed has ended.
     Discovered,
-    /// This pool has no use for it any more: the list is somebody's settings.
+    /// Settings name the servers: a server that is no longer listed may still run and serve other pools.
     Configured,
 }
 
 impl Pool {
-    /// The entry of a server that stands in the settings and has been taking requests since `ready_at`.
-    pub fn configured_entry(
+    /// The endpoint of a server that the settings name and that has been accepting requests since `ready_at`.
+    pub fn configured_endpoint(
         &self,
         server: &model::Server,
         ready_at: Time,
@@ -109,79 +148,102 @@
         }
     }
 
-    /// Takes in a list, or a change of it.
+    /// Applies an update of the endpoint list and notifies other pools that list the same servers.
     pub fn update_endpoints(
         self: &Rc<Self>,
-        list: UpdateKind,
-        mut places: Vec<AddressedEndpoint<SocketAddr>>,
+        kind: UpdateKind,
+        mut endpoints: Vec<AddressedEndpoint<SocketAddr>>,
     ) {
-        let changed = self.merge_lists(list, &mut places);
-        self.dispatch(|engine, now, out| engine.update_endpoints(now, list, places, out));
+        let changed = self.merge_update(kind, &mut endpoints);
+        self.dispatch(|engine, now, commands| {
+            engine.update_endpoints(now, kind, endpoints, commands);
+        });
         self.list_received.notify_waiters();
+        for address in changed {
+            self.shared.notify_listing_changed(address, Some(self.id));
+        }
+    }
+
+    /// Stores an update in this pool's list and adjusts its endpoints to the other pools' lists. Returns the addresses
+    /// whose other pools have to be notified.
+    fn merge_update(&self, kind: UpdateKind, endpoints: &mut [SocketEndpoint]) -> Vec<SocketAddr> {
+        let mut server_list = self.server_list.borrow_mut();
+        let mut changed = Vec::new();
+        if matches!(kind, UpdateKind::Snapshot | UpdateKind::Cached) {
+            self.remove_unlisted(&mut server_list, endpoints, &mut changed);
+        }
+        for endpoint in endpoints {
+            self.store_endpoint(&mut server_list, endpoint, &mut changed);
+            self.adjust(endpoint);
+        }
         changed
-            .into_iter()
-            .for_each(|address| self.shared.notify_listing_changed(address, Some(self.id)));
     }
 
-    /// Combines this list with those of other pools. Returns the addresses that other pools have to be told of.
-    fn merge_lists(
+    /// Removes the servers that a snapshot no longer names.
+    fn remove_unlisted(
         &self,
-        list: UpdateKind,
-        places: &mut [AddressedEndpoint<SocketAddr>],
-    ) -> Vec<SocketAddr> {
-        let mut own = self.server_list.borrow_mut();
-        let mut changed = Vec::new();
-        let combines_lists = self.shared.combines_lists();
-        let mut update_listing = |address, state| {
-            if combines_lists && self.shared.update_listing(self.id, address, state) {
-                changed.push(address);
-            }
-        };
-        if matches!(list, UpdateKind::Snapshot | UpdateKind::Cached) {
-            let named: HashSet<ServerId> = places.iter().map(|p| p.endpoint.server).collect();
-            let missing: Vec<ServerId> = own
-                .endpoints
-                .keys()
-                .filter(|id| !named.contains(id))
-                .copied()
-                .collect();
-            let missing: Vec<_> = missing
-                .into_iter()
-                .filter_map(|id| own.remove(id))
-                .collect();
-            for p in missing.iter().filter(|p| !own.has_address(&p.address)) {
-                let gone = self.listed_state(ServerStatus::Gone, p.endpoint.started_at);
-                update_listing(
-                    p.address,
-                    (self.list_origin == ListOrigin::Discovered).then_some(gone),
-                );
-                self.withheld_until.borrow_mut().remove(&p.address);
+        server_list: &mut ServerList,
+        snapshot: &[SocketEndpoint],
+        changed: &mut Vec<SocketAddr>,
+    ) {
+        let listed: HashSet<ServerId> = snapshot
+            .iter()
+            .map(|endpoint| endpoint.endpoint.server)
+            .collect();
+        let removed = server_list.remove_unlisted(&listed);
+        for endpoint in removed {
+            if server_list.has_address(&endpoint.address) {
+                continue;
             }
+            let has_ended = self.list_origin == ListOrigin::Discovered;
+            let gone = self.listed_state(ServerStatus::Gone, endpoint.endpoint.started_at);
+            self.update_listing(endpoint.address, has_ended.then_some(gone), changed);
+            self.withheld_until.borrow_mut().remove(&endpoint.address);
         }
-        for place in places.iter_mut() {
-            let status = status(place.endpoint.state);
-            let old = match place.endpoint.state {
-                ServerState::Removed => own.remove(place.endpoint.server),
-                _ => {
-                    let names = self.names.borrow();
-                    let name = names.servers.name(place.endpoint.server);
-                    own.insert(place, name, self.start_ms(place.endpoint.started_at))
-                }
-            };
-            if let Some(old) =
-                old.filter(|old| old.address != place.address && !own.has_address(&old.address))
-            {
-                update_listing(old.address, None);
-                self.withheld_until.borrow_mut().remove(&old.address);
-            }
-            // A server that took the place of another at its address is not gone with that one's name.
-            if status != ServerStatus::Gone || !own.has_address(&place.address) {
-                let state = self.listed_state(status, place.endpoint.started_at);
-                update_listing(place.address, Some(state));
+    }
+
+    /// Stores one endpoint of an update, or removes it if the update says so.
+    fn store_endpoint(
+        &self,
+        server_list: &mut ServerList,
+        endpoint: &SocketEndpoint,
+        changed: &mut Vec<SocketAddr>,
+    ) {
+        let server = endpoint.endpoint.server;
+        let started_at = endpoint.endpoint.started_at;
+        let status = server_status(endpoint.endpoint.state);
+        let replaced = match endpoint.endpoint.state {
+            ServerState::Removed => server_list.remove(server),
+            ServerState::Up | ServerState::Draining => {
+                let names = self.names.borrow();
+                let name = names.servers.name(server);
+                server_list.insert(endpoint, name, self.start_ms(started_at))
             }
-            self.adjust(place);
+        };
+        let vacated = replaced
+            .map(|replaced| replaced.address)
+            .filter(|address| *address != endpoint.address && !server_list.has_address(address));
+        if let Some(address) = vacated {
+            self.update_listing(address, None, changed);
+            self.withheld_until.borrow_mut().remove(&address);
+        }
+        // The address of a removed server is still listed if another server has taken it over.
+        if status != ServerStatus::Gone || !server_list.has_address(&endpoint.address) {
+            let state = self.listed_state(status, started_at);
+            self.update_listing(endpoint.address, Some(state), changed);
+        }
+    }
+
+    /// Updates what this pool's list says of an address among the lists of all pools.
+    fn update_listing(
+        &self,
+        address: SocketAddr,
+        state: Option<ListedState>,
+        changed: &mut Vec<SocketAddr>,
+    ) {
+        if self.shared.combines_lists() && self.shared.update_listing(self.id, address, state) {
+            changed.push(address);
         }
-        changed
     }
 
     fn listed_state(&self, status: ServerStatus, ready_at: Time) -> ListedState {
@@ -192,49 +254,49 @@
         }
     }
 
-    /// Adjusts a server of this list to the lists of other pools, and to the bans, which come before all.
-    pub(super) fn adjust(&self, place: &mut AddressedEndpoint<SocketAddr>) {
+    /// Adjusts an endpoint of this pool's list to the other pools' lists and to the bans, which take precedence.
+    pub(super) fn adjust(&self, endpoint: &mut SocketEndpoint) {
         if self.shared.combines_lists() {
-            self.adjust_to_lists(place);
+            self.adjust_to_lists(endpoint);
         }
-        let entry = &mut place.endpoint;
+        let endpoint = &mut endpoint.endpoint;
         let names = self.names.borrow();
-        let Some(name) = names.servers.name(entry.server) else {
+        let Some(name) = names.servers.name(endpoint.server) else {
             return;
         };
-        entry.local_balancers *= self.shared.process_count();
-        let ban = self.shared.ban_status(name, entry.started_at);
-        entry.started_at = ban.ready_at;
-        if ban.is_banned && entry.state == ServerState::Up {
-            entry.state = ServerState::Draining;
+        endpoint.local_balancers *= self.shared.process_count();
+        let ban = self.shared.ban_status(name, endpoint.started_at);
+        endpoint.started_at = ban.ready_at;
+        if ban.is_banned && endpoint.state == ServerState::Up {
+            endpoint.state = ServerState::Draining;
         }
     }
 
-    fn adjust_to_lists(&self, place: &mut AddressedEndpoint<SocketAddr>) {
-        let AddressedEndpoint {
-            endpoint: entry,
-            address,
-        } = place;
-        let own = self.listed_state(status(entry.state), entry.started_at);
+    fn adjust_to_lists(&self, endpoint: &mut SocketEndpoint) {
+        let AddressedEndpoint { endpoint, address } = endpoint;
+        let own = self.listed_state(server_status(endpoint.state), endpoint.started_at);
         let view = self
             .shared
             .combined_view(self.id, *address, own, self.slow_start_duration);
-        (entry.local_balancers, entry.started_at) = (view.sharers, view.ready_at);
-        let mut withheld = self.withheld_until.borrow_mut();
-        match view
-            .withheld_until
-            .filter(|_| entry.state == ServerState::Up)
-        {
-            Some(until) => drop(withheld.insert(*address, until)),
-            None => drop(withheld.remove(address)),
+        endpoint.local_balancers = view.sharers;
+        endpoint.started_at = view.ready_at;
+        let mut withheld_until = self.withheld_until.borrow_mut();
+        match view.withheld_until {
+            Some(until) if endpoint.state == ServerState::Up => {
+                withheld_until.insert(*address, until);
+            }
+            _ => {
+                withheld_until.remove(address);
+            }
         }
-        if entry.state == ServerState::Up && (view.is_draining || view.withheld_until.is_some()) {
-            entry.state = ServerState::Draining;
+        let is_unavailable = view.is_draining || view.withheld_until.is_some();
+        if endpoint.state == ServerState::Up && is_unavailable {
+            endpoint.state = ServerState::Draining;
         }
     }
 }
 
-fn status(state: ServerState) -> ServerStatus {
+fn server_status(state: ServerState) -> ServerStatus {
     match state {
         ServerState::Up => ServerStatus::Up,
         ServerState::Draining => ServerStatus::Draining,
--- a/crates/node/src/net/pool/peer.rs
+++ b/crates/node/src/net/pool/peer.rs
@@ -1,20 +1,21 @@
-//! What other pools, operators and the fleet ask of a pool.
+//! What [`Shared`](crate::net::shared::Shared) requests of a pool on behalf of other pools, operators and the fleet.
 
+use super::list::SocketEndpoint;
 use super::Pool;
 use crate::net::shared::{Condemnation, OverdueRequest, PoolPeer};
-use reelfall_balancer::engine::AddressedEndpoint;
+use reelfall_balancer::engine::AwaitedAttempt;
 use reelfall_balancer::interface::{Time, UpdateKind};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Instant;
 
 impl PoolPeer for Pool {
-    fn oldest_idle_since(&self, to: Option<SocketAddr>) -> Option<Instant> {
-        self.upstream.oldest_idle(to)
+    fn oldest_idle_since(&self, address: Option<SocketAddr>) -> Option<Instant> {
+        self.upstream.oldest_idle(address)
     }
 
-    fn close_oldest_idle(&self, to: Option<SocketAddr>) -> bool {
-        self.upstream.drop_oldest_idle(to)
+    fn close_oldest_idle(&self, address: Option<SocketAddr>) -> bool {
+        self.upstream.drop_oldest_idle(address)
     }
 
     fn connection_freed(&self) {
@@ -24,15 +25,16 @@
     fn tick(self: Rc<Self>) {
         self.upstream.retire();
         let now = self.shared.clock.now();
-        let warm = |(address, until): (&SocketAddr, &Time)| (*until <= now).then_some(*address);
-        let warm: Vec<SocketAddr> = self
+        let released: Vec<SocketAddr> = self
             .withheld_until
             .borrow()
             .iter()
-            .filter_map(warm)
+            .filter(|(_, until)| **until <= now)
+            .map(|(address, _)| *address)
             .collect();
-        warm.into_iter()
-            .for_each(|address| self.clone().listing_changed(address));
+        for address in released {
+            self.clone().listing_changed(address);
+        }
     }
 
     fn ban_changed(self: Rc<Self>, name: &str) {
@@ -44,80 +46,82 @@
     }
 
     fn refresh_endpoints(self: Rc<Self>) {
-        let mut places: Vec<AddressedEndpoint<SocketAddr>> = self
-            .server_list
-            .borrow()
-            .endpoints
-            .values()
-            .cloned()
-            .collect();
-        // The order in which they were named tells which of two at one address holds.
-        places.sort_unstable_by_key(|p| p.endpoint.server);
-        places.iter_mut().for_each(|p| self.adjust(p));
-        places.retain(|p| self.engine.borrow().is_listed(p.endpoint.server));
-        if !places.is_empty() {
-            self.dispatch(|engine, now, out| {
-                engine.update_endpoints(now, UpdateKind::Delta, places, out)
-            });
+        let mut endpoints: Vec<SocketEndpoint> =
+            self.server_list.borrow().endpoints().cloned().collect();
+        // Ids grow in the order of listing, and of two servers at one address the one listed last counts.
+        endpoints.sort_unstable_by_key(|endpoint| endpoint.endpoint.server);
+        for endpoint in &mut endpoints {
+            self.adjust(endpoint);
         }
+        endpoints.retain(|endpoint| self.engine.borrow().is_listed(endpoint.endpoint.server));
+        self.update_engine(endpoints);
     }
 
     fn knows_server(&self, name: &str) -> bool {
         self.names.borrow().servers.get(name).is_some()
     }
 
-    fn collect_overdue(&self, now: Time, to: &mut Vec<OverdueRequest>) {
+    fn collect_overdue(&self, now: Time, overdue: &mut Vec<OverdueRequest>) {
         let engine = self.engine.borrow();
         for awaited in engine.awaited_attempts() {
-            let Some(aim) = self
-                .classes
-                .get(usize::from(awaited.class))
-                .map(|c| c.latency_objective)
-            else {
-                continue;
-            };
-            let waited = now - awaited.since;
-            if waited > aim {
-                to.extend(
-                    self.instance_of(awaited.server)
-                        .map(|server| OverdueRequest {
-                            server,
-                            waited,
-                            latency_objective: aim,
-                        }),
-                );
-            }
+            overdue.extend(self.overdue_request(&awaited, now));
         }
     }
 
     fn apply_condemnation(self: Rc<Self>, condemnation: &Condemnation) {
         let server = self.names.borrow().servers.get(&condemnation.server.name);
         // The condemnation of one instance says nothing about another.
-        let Some(server) =
-            server.filter(|s| self.instance_of(*s).as_ref() == Some(&condemnation.server))
+        let Some(server) = server
+            .filter(|server| self.instance_of(*server).as_ref() == Some(&condemnation.server))
         else {
             return;
         };
         let Condemnation {
             until, is_prober, ..
         } = *condemnation;
-        self.dispatch(|engine, now, out| {
-            engine.set_peer_verdict(now, server, until, is_prober, out)
+        self.dispatch(|engine, now, commands| {
+            engine.set_peer_verdict(now, server, until, is_prober, commands);
         });
     }
 
     fn listing_changed(self: Rc<Self>, address: SocketAddr) {
-        let mut places: Vec<AddressedEndpoint<SocketAddr>> = self
+        let mut endpoints: Vec<SocketEndpoint> = self
             .server_list
             .borrow()
             .endpoints_at(&address)
             .cloned()
             .collect();
-        places.iter_mut().for_each(|p| self.adjust(p));
-        if !places.is_empty() {
-            self.dispatch(|engine, now, out| {
-                engine.update_endpoints(now, UpdateKind::Delta, places, out)
-            });
+        for endpoint in &mut endpoints {
+            self.adjust(endpoint);
+        }
+        self.update_engine(endpoints);
+    }
+}
+
+impl Pool {
+    /// Gives the engine endpoints that were adjusted anew, if there are any.
+    fn update_engine(self: &Rc<Self>, endpoints: Vec<SocketEndpoint>) {
+        if endpoints.is_empty() {
+            return;
+        }
+        self.dispatch(|engine, now, commands| {
+            engine.update_endpoints(now, UpdateKind::Delta, endpoints, commands);
+        });
+    }
+
+    /// The attempt as an overdue one, if it has exceeded its latency objective.
+    fn overdue_request(&self, awaited: &AwaitedAttempt, now: Time) -> Option<OverdueRequest> {
+        let latency_objective = self.latency_objective(awaited.class)?;
+        let waited = now - awaited.since;
+        let is_overdue = waited > latency_objective;
+        if !is_overdue {
+            return None;
         }
+        let server = self.instance_of(awaited.server)?;
+        Some(OverdueRequest {
+            server,
+            waited,
+            latency_objective,
+        })
     }
 }
--- a/crates/node/src/net/registry/following.rs
+++ b/crates/node/src/net/registry/following.rs
@@ -31,7 +31,8 @@
     fn follow(self, pool: Rc<Pool>) -> impl Future<Output = ()> + 'static {
         if !self.known.is_empty() {
             // Nobody knows when they started: whoever wrote them down knew them for some time.
-            let entry = |server: &model::Located<model::Server>| pool.configured_entry(server, 0.0);
+            let entry =
+                |server: &model::Located<model::Server>| pool.configured_endpoint(server, 0.0);
             let places = self.known.iter().map(entry).collect();
             pool.update_endpoints(UpdateKind::Cached, places);
         }
--- a/crates/node/src/net/service.rs
+++ b/crates/node/src/net/service.rs
@@ -3,7 +3,7 @@
 
 use super::discovery;
 use super::operations::GraphQl;
-use super::pool::{ListOrigin, Pool};
+use super::pool::{ListOrigin, Pool, PoolConfig};
 use super::registry::Registry;
 use super::shared::Shared;
 use super::source::{follow, Source};
@@ -61,7 +61,8 @@
 }
 
 fn apply_list(pool: &Rc<Pool>, list: &[ListedServer]) {
-    let entry = |listed: &ListedServer| pool.configured_entry(&listed.server, listed.serving_since);
+    let entry =
+        |listed: &ListedServer| pool.configured_endpoint(&listed.server, listed.serving_since);
     let places = list.iter().map(entry).collect();
     pool.update_endpoints(UpdateKind::Snapshot, places);
 }
@@ -119,8 +120,8 @@
         seed: u64,
         member: Option<Member>,
     ) -> Result<Rc<Self>, String> {
-        let (settings, names, figures) = prepared.plan.settings(service);
-        let missing = match service.source {
+        let (settings, names, connection_settings) = prepared.plan.settings(service);
+        let list_origin = match service.source {
             model::Source::Static(_) => ListOrigin::Configured,
             model::Source::Discovery(_) | model::Source::Registry(_) => ListOrigin::Discovered,
         };
@@ -130,15 +131,15 @@
             }
             _ => None,
         };
-        let pool = Pool::new(
+        let pool = Pool::new(PoolConfig {
             settings,
             names,
-            figures,
+            connection_settings,
             seed,
-            missing,
-            shared.clone(),
+            list_origin,
+            shared: shared.clone(),
             member,
-        )
+        })
         .map_err(|error| error.to_string())?;
         let (follow, list_updates) = match &service.source {
             model::Source::Static(_) => {
--- a/crates/node/src/net/shared/listed/tests.rs
+++ b/crates/node/src/net/shared/listed/tests.rs
@@ -1,6 +1,6 @@
 //! The count of listed servers against a walk over all lists.
 
-use crate::net::pool::{ListOrigin, Pool};
+use crate::net::pool::{ListOrigin, Pool, PoolConfig};
 use crate::net::shared::Shared;
 use reelfall_balancer::engine::AddressedEndpoint;
 use reelfall_balancer::interface::{ServerState, Time, UpdateKind};
@@ -26,39 +26,48 @@
     )
 }
 
-fn pool(shared: &Rc<Shared>, missing: ListOrigin) -> Rc<Pool> {
-    let (settings, names, figures) = settings::read(SETTINGS).expect("usable settings");
-    Pool::new(settings, names, figures, 1, missing, shared.clone(), None).expect("a pool")
+fn pool(shared: &Rc<Shared>, list_origin: ListOrigin) -> Rc<Pool> {
+    let (settings, names, connection_settings) = settings::read(SETTINGS).expect("usable settings");
+    Pool::new(PoolConfig {
+        settings,
+        names,
+        connection_settings,
+        seed: 1,
+        list_origin,
+        shared: shared.clone(),
+        member: None,
+    })
+    .expect("a pool")
 }
 
-/// A line of a list.
+/// An entry of an endpoint list.
 #[derive(Clone, Copy)]
-struct Line {
+struct Entry {
     server: u64,
     state: ServerState,
     ready_at: Time,
 }
 
-fn tell(pool: &Rc<Pool>, kind: UpdateKind, lines: &[Line]) {
-    let place = |line: &Line| {
-        let name = format!("server-{}", line.server);
+fn update_list(pool: &Rc<Pool>, kind: UpdateKind, entries: &[Entry]) {
+    let endpoint = |entry: &Entry| {
+        let name = format!("server-{}", entry.server);
         let listed = ListedEndpoint {
             name: &name,
             zone: None,
             machine_type: None,
             cell: 0,
-            state: line.state,
+            state: entry.state,
             weight: None,
-            started_at: Some(line.ready_at),
+            started_at: Some(entry.ready_at),
         };
-        let address = SocketAddr::from(([127, 0, 0, 1], 1 + line.server as u16));
+        let address = SocketAddr::from(([127, 0, 0, 1], 1 + entry.server as u16));
         AddressedEndpoint {
             endpoint: pool.names.borrow_mut().endpoint(&listed),
             address,
         }
     };
-    let places = lines.iter().map(place).collect();
-    pool.update_endpoints(kind, places);
+    let endpoints = entries.iter().map(endpoint).collect();
+    pool.update_endpoints(kind, endpoints);
 }
 
 async fn local(test: impl Future<Output = ()>) {
@@ -66,9 +75,9 @@
 }
 
 /// The same draws in each run (splitmix64).
-struct Draws(u64);
+struct SeededDraws(u64);
 
-impl Draws {
+impl SeededDraws {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -76,13 +85,13 @@
         (mixed ^ (mixed >> 31)) % bound
     }
 
-    fn line(&mut self) -> Line {
+    fn entry(&mut self) -> Entry {
         let state = match self.below(4) {
             0 => ServerState::Removed,
             1 => ServerState::Draining,
             _ => ServerState::Up,
         };
-        Line {
+        Entry {
             server: self.below(12),
             state,
             ready_at: self.below(3) as Time,
@@ -91,37 +100,37 @@
 }
 
 /// A pool, and the starts of the servers that it was told of.
-struct Followed {
+struct FollowedPool {
     pool: Rc<Pool>,
-    missing: ListOrigin,
+    list_origin: ListOrigin,
     listed: BTreeMap<u64, Time>,
 }
 
-impl Followed {
-    fn new(shared: &Rc<Shared>, missing: ListOrigin) -> Followed {
-        Followed {
-            pool: pool(shared, missing),
-            missing,
+impl FollowedPool {
+    fn new(shared: &Rc<Shared>, list_origin: ListOrigin) -> FollowedPool {
+        FollowedPool {
+            pool: pool(shared, list_origin),
+            list_origin,
             listed: BTreeMap::new(),
         }
     }
 
-    fn tell(&mut self, kind: UpdateKind, lines: &[Line]) {
-        tell(&self.pool, kind, lines);
+    fn update_list(&mut self, kind: UpdateKind, entries: &[Entry]) {
+        update_list(&self.pool, kind, entries);
         if kind == UpdateKind::Snapshot {
             self.listed.clear();
         }
-        for line in lines {
-            match line.state {
-                ServerState::Removed => drop(self.listed.remove(&line.server)),
-                _ => drop(self.listed.insert(line.server, line.ready_at)),
+        for entry in entries {
+            match entry.state {
+                ServerState::Removed => drop(self.listed.remove(&entry.server)),
+                _ => drop(self.listed.insert(entry.server, entry.ready_at)),
             }
         }
     }
 
     /// The server instances that it names, by server and start; a list that is written by hand tells of no start.
     fn instances(&self) -> impl Iterator<Item = (u64, u64)> + '_ {
-        let start = |ready_at: Time| match self.missing {
+        let start = |ready_at: Time| match self.list_origin {
             ListOrigin::Discovered => (ready_at * 1e3) as u64,
             ListOrigin::Configured => 0,
         };
@@ -134,14 +143,14 @@
 #[tokio::test]
 async fn the_count_that_is_kept_is_that_of_a_walk_over_all_lists() {
     local(async {
-        let (shared, mut draws) = (shared(), Draws(7));
-        let mut pools: Vec<Followed> = Vec::new();
+        let (shared, mut draws) = (shared(), SeededDraws(7));
+        let mut pools: Vec<FollowedPool> = Vec::new();
         for _ in 0..20_000 {
             match draws.below(20) {
                 0 if pools.len() < 5 => {
-                    let missing =
+                    let list_origin =
                         [ListOrigin::Discovered, ListOrigin::Configured][draws.below(2) as usize];
-                    pools.push(Followed::new(&shared, missing));
+                    pools.push(FollowedPool::new(&shared, list_origin));
                 }
                 1 if !pools.is_empty() => {
                     // Its timers hold it weakly: this is its end.
@@ -153,13 +162,14 @@
                     } else {
                         UpdateKind::Delta
                     };
-                    let lines: Vec<Line> = (0..draws.below(6)).map(|_| draws.line()).collect();
+                    let entries: Vec<Entry> = (0..draws.below(6)).map(|_| draws.entry()).collect();
                     let pool = draws.below(pools.len() as u64) as usize;
-                    pools[pool].tell(kind, &lines);
+                    pools[pool].update_list(kind, &entries);
                 }
                 _ => {}
             }
-            let walked: BTreeSet<(u64, u64)> = pools.iter().flat_map(Followed::instances).collect();
+            let walked: BTreeSet<(u64, u64)> =
+                pools.iter().flat_map(FollowedPool::instances).collect();
             assert_eq!(shared.listed_server_count(), walked.len());
         }
         pools.clear();
@@ -183,16 +193,16 @@
     local(async {
         let shared = shared();
         let pool = pool(&shared, ListOrigin::Discovered);
-        let line = |server| Line {
+        let entry = |server| Entry {
             server,
             state: ServerState::Up,
             ready_at: 0.0,
         };
-        let lines: Vec<Line> = (0..SERVERS).map(line).collect();
-        tell(&pool, UpdateKind::Snapshot, &lines);
+        let entries: Vec<Entry> = (0..SERVERS).map(entry).collect();
+        update_list(&pool, UpdateKind::Snapshot, &entries);
         let begun = Instant::now();
         for _ in 0..COUNTS {
-            assert_eq!(shared.listed_server_count(), lines.len());
+            assert_eq!(shared.listed_server_count(), entries.len());
             assert!(begun.elapsed() < IN_TIME, "each count walks over the lists");
         }
     })
--- a/crates/node/src/net/tests.rs
+++ b/crates/node/src/net/tests.rs
@@ -1,7 +1,7 @@
 //! Sockets that are odd in ways that loopback TCP can't be made to be.
 
 use super::front::{Front, Listening};
-use super::pool::{ListOrigin, Pool};
+use super::pool::{ListOrigin, Pool, PoolConfig};
 use super::service::{Routing, Service};
 use super::shared::Shared;
 use super::task::AbortOnDrop;
@@ -17,17 +17,17 @@
 
 /// A front whose one pool has no list yet.
 fn front() -> Rc<Front> {
-    let (settings, names, figures) = settings::read(SETTINGS).expect("usable settings");
+    let (settings, names, connection_settings) = settings::read(SETTINGS).expect("usable settings");
     let shared = Shared::for_single_service(ResourceLimits::for_process(256, 64));
-    let pool = Pool::new(
+    let pool = Pool::new(PoolConfig {
         settings,
         names,
-        figures,
-        1,
-        ListOrigin::Discovered,
-        shared.clone(),
-        None,
-    )
+        connection_settings,
+        seed: 1,
+        list_origin: ListOrigin::Discovered,
+        shared: shared.clone(),
+        member: None,
+    })
     .expect("a pool");
     let follow = AbortOnDrop(tokio::task::spawn_local(std::future::pending::<()>()).abort_handle());
     Front::new(
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -2,7 +2,7 @@
 
 use crate::net::front::{Front, Listening};
 use crate::net::management::Management;
-use crate::net::pool::{ListOrigin, Pool};
+use crate::net::pool::{ListOrigin, Pool, PoolConfig};
 use crate::net::service::{Discovery, Routing, Service};
 use crate::net::shared::Shared;
 use crate::net::takeover::{HandoverSocket, Takeover};
@@ -104,15 +104,15 @@
         Some(handover_socket) => handover_socket.request_snapshot(&shared).await,
         None => None,
     };
-    let pool = Pool::new(
+    let pool = Pool::new(PoolConfig {
         settings,
         names,
-        figures,
+        connection_settings: figures,
         seed,
-        ListOrigin::Discovered,
-        shared.clone(),
-        None,
-    );
+        list_origin: ListOrigin::Discovered,
+        shared: shared.clone(),
+        member: None,
+    });
     let pool = pool.map_err(|e| format!("settings can't be used: {e}"))?;
     let known = if config.known.is_null() {
         0
