--- a/crates/node/src/net/service/tests.rs
+++ b/crates/node/src/net/service/tests.rs
@@ -118,7 +118,7 @@
         assert!(pool.upgrade().is_none(), "a removed pool is kept");
         assert!(services.draining_services.borrow().is_empty());
         assert_eq!(
-            shared.pools(),
+            shared.registered_pools(),
             1,
             "something is kept of pools that are gone"
         );
@@ -281,7 +281,7 @@
         assert!(fault.is_some_and(|fault| fault.contains("service `z`") && fault.contains("/none")));
         assert!(services.current_plan().is_some_and(|now| Arc::ptr_eq(&now, &before)));
         assert!(!first[0].is_draining.get());
-        assert_eq!(shared.pools(), 1);
+        assert_eq!(shared.registered_pools(), 1);
     })
     .await;
 }
--- a/crates/node/src/net/shared/clock.rs
+++ b/crates/node/src/net/shared/clock.rs
@@ -1,38 +1,47 @@
-//! The clock of engines and limits.
+//! The time of engines and limits.
 
 use reelfall_balancer::interface::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The moments of engines and limits. Lists state starts in Unix time and 0 for long ago: a clock that began at 0
-/// here would make every cold server look warm.
+/// Converts between monotonic instants and Unix time. Endpoint lists state starts in Unix time with 0 for long ago, so a
+/// clock that began at 0 would take every server to be past its slow start.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
-    unix: Time,
+    /// The Unix time at `started`, in seconds.
+    started_unix: Time,
 }
 
 impl Clock {
-    #[allow(clippy::disallowed_methods)] // Once, as the process begins; from there on it counts by itself.
+    #[allow(clippy::disallowed_methods)] // The one read of the system's clock: from here on time is monotonic.
     pub(super) fn start() -> Self {
-        let unix = SystemTime::now()
+        let started_unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
-            .map_or(1.0, |d| d.as_secs_f64().max(1.0));
+            .map_or(1.0, |since_epoch| since_epoch.as_secs_f64().max(1.0));
         Clock {
             started: Instant::now(),
-            unix,
+            started_unix,
         }
     }
 
+    /// The current Unix time, in seconds.
     pub fn now(&self) -> Time {
         self.time(Instant::now())
     }
 
-    pub fn time(&self, at: Instant) -> Time {
-        self.unix + at.saturating_duration_since(self.started).as_secs_f64()
+    /// An instant as Unix time, in seconds.
+    pub fn time(&self, instant: Instant) -> Time {
+        self.started_unix
+            + instant
+                .saturating_duration_since(self.started)
+                .as_secs_f64()
     }
 
-    pub fn instant(&self, at: Time) -> Instant {
-        let since = Duration::try_from_secs_f64(at - self.unix).unwrap_or_default();
-        self.started.checked_add(since).unwrap_or(self.started)
+    /// A Unix time as an instant; one before the start of the clock is the start.
+    pub fn instant(&self, time: Time) -> Instant {
+        let since_start = Duration::try_from_secs_f64(time - self.started_unix).unwrap_or_default();
+        self.started
+            .checked_add(since_start)
+            .unwrap_or(self.started)
     }
 }
--- a/crates/node/src/net/shared/fleet.rs
+++ b/crates/node/src/net/shared/fleet.rs
@@ -1,4 +1,4 @@
-//! What the fleet and the pools tell each other.
+//! What the fleet reports to the pools, and the pools to the fleet.
 
 use super::{ListedByPool, PoolId, Shared};
 use reelfall_balancer::interface::Time;
@@ -7,23 +7,25 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// The condemnation of one instance of a server by the nodes of the fleet: it fails others.
+/// The condemnation of one instance of a server, which fails requests of other nodes of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Condemnation {
+    /// The instance.
     pub server: ServerInstance,
-    /// When it expires without further reports; a time that has passed ends it.
+    /// When it expires without further reports; a time in the past ends it.
     pub until: Time,
-    /// Whether this node probes the server meanwhile, for all.
+    /// Whether this node checks the server's health in the meantime, for the whole fleet.
     pub is_prober: bool,
 }
 
-/// An attempt that has waited for an answer past its target.
+/// An attempt that has exceeded its latency objective.
 #[derive(Clone, Debug)]
 pub struct OverdueRequest {
+    /// The server that it was sent to.
     pub server: ServerInstance,
     /// How long it has waited, in seconds.
     pub waited: Time,
-    /// How long it should have waited at most, in seconds.
+    /// The latency objective of its class, in seconds.
     pub latency_objective: Time,
 }
 
@@ -38,13 +40,13 @@
 }
 
 impl Shared {
-    /// Sets the servers that are banned in the whole fleet. What has changed holds in all pools when this returns.
+    /// Sets the servers that are banned in the whole fleet, and applies the change to all pools.
     pub fn set_fleet_bans(&self, banned: &BTreeSet<String>) {
         let now = self.clock.now();
         let old = self.fleet_bans.borrow().clone();
         let mut new = old.clone();
-        for name in old.banned().filter(|(name, _)| !banned.contains(*name)) {
-            new.enable(name.0, now);
+        for (name, _) in old.banned().filter(|(name, _)| !banned.contains(*name)) {
+            new.enable(name, now);
         }
         for name in banned {
             if let Err(error) = new.disable(name, now) {
@@ -53,41 +55,44 @@
         }
         let changed = old.changed_servers(&new);
         self.fleet_bans.replace(new);
-        let pools = self.peers();
+        let pools = self.pools();
         for name in changed {
-            pools.iter().for_each(|p| p.clone().ban_changed(&name));
+            for pool in &pools {
+                pool.clone().ban_changed(&name);
+            }
         }
     }
 
     /// Applies, or ends, the condemnation of a server in all pools.
     pub fn apply_condemnation(&self, condemnation: &Condemnation) {
-        self.peers()
-            .into_iter()
-            .for_each(|p| p.apply_condemnation(condemnation));
+        for pool in self.pools() {
+            pool.apply_condemnation(condemnation);
+        }
     }
 
-    /// How many servers the lists name; one that several name is one.
+    /// The number of distinct servers in all endpoint lists.
     pub fn listed_server_count(&self) -> usize {
         self.listed_servers.count()
     }
 
-    /// What the list of a new pool adds to that.
+    /// Counts the servers of a new pool's list among those of all lists.
     pub fn listed_by_pool(&self) -> ListedByPool {
         ListedByPool::new(self.listed_servers.clone())
     }
 
-    /// The attempts of all pools that have waited past their target.
+    /// The attempts of all pools that have exceeded their latency objective.
     pub fn overdue_requests(&self) -> Vec<OverdueRequest> {
-        let (now, mut all) = (self.clock.now(), Vec::new());
-        self.peers()
-            .iter()
-            .for_each(|p| p.collect_overdue(now, &mut all));
-        all
+        let now = self.clock.now();
+        let mut overdue = Vec::new();
+        for pool in self.pools() {
+            pool.collect_overdue(now, &mut overdue);
+        }
+        overdue
     }
 
     /// Sets the observer of attempts and lists.
-    pub fn set_fleet_observer(&self, to: Rc<dyn FleetObserver>) {
-        self.observer.replace(Some(to));
+    pub fn set_fleet_observer(&self, observer: Rc<dyn FleetObserver>) {
+        self.observer.replace(Some(observer));
     }
 
     /// The observer of attempts and lists, if the node is part of a fleet.
--- a/crates/node/src/net/shared/listed.rs
+++ b/crates/node/src/net/shared/listed.rs
@@ -1,5 +1,5 @@
-//! How many servers the lists of all pools name, kept as the lists change: counting them by a walk over all lists would
-//! hold up requests.
+//! The number of distinct servers in the lists of all pools, updated as the lists change: an iteration over all lists
+//! for each count would delay requests.
 
 use reelfall_balancer::interface::ServerId;
 use std::cell::RefCell;
@@ -7,47 +7,51 @@
 use std::hash::BuildHasher;
 use std::rc::Rc;
 
-/// A hash in place of a server instance: the pools hold the names already.
+/// A hash that stands for a server instance, since the pools store the names already.
 type Fingerprint = u64;
 
-/// The distinct server instances in the lists of all pools. It is as large as these lists, and shrinks with them.
+/// The distinct server instances in the lists of all pools.
 #[derive(Default)]
 pub struct ListedServers {
     hasher: RandomState,
-    /// How many lists name each instance.
-    lists: RefCell<HashMap<Fingerprint, usize>>,
+    /// The number of lists that name each instance.
+    list_counts: RefCell<HashMap<Fingerprint, usize>>,
 }
 
 impl ListedServers {
     /// Number of distinct instances.
     pub fn count(&self) -> usize {
-        self.lists.borrow().len()
+        self.list_counts.borrow().len()
     }
 
     fn add(&self, name: &str, start_ms: u64) -> Fingerprint {
         let fingerprint = self.hasher.hash_one((name, start_ms));
-        *self.lists.borrow_mut().entry(fingerprint).or_default() += 1;
+        *self
+            .list_counts
+            .borrow_mut()
+            .entry(fingerprint)
+            .or_default() += 1;
         fingerprint
     }
 
     fn subtract(&self, fingerprint: Fingerprint) {
-        if let Entry::Occupied(mut lists) = self.lists.borrow_mut().entry(fingerprint) {
-            match lists.get() {
-                0 | 1 => drop(lists.remove()),
-                n => drop(lists.insert(n - 1)),
+        if let Entry::Occupied(mut list_count) = self.list_counts.borrow_mut().entry(fingerprint) {
+            match list_count.get() {
+                0 | 1 => drop(list_count.remove()),
+                count => drop(list_count.insert(count - 1)),
             }
         }
     }
 }
 
-/// What the list of one pool adds to [`ListedServers`]; it is taken back when this is dropped.
+/// The server instances of one pool's list, as counted in [`ListedServers`] until this is dropped.
 pub struct ListedByPool {
     all: Rc<ListedServers>,
     servers: HashMap<ServerId, Fingerprint>,
 }
 
 impl ListedByPool {
-    /// For a list that names no server yet.
+    /// An empty list.
     pub fn new(all: Rc<ListedServers>) -> ListedByPool {
         ListedByPool {
             all,
@@ -55,7 +59,7 @@
         }
     }
 
-    /// The list names this instance of a server, and no other instance of it any more. The arguments are the fields of a
+    /// Adds an instance of a server, in place of any other instance of it. The arguments are the fields of a
     /// [`reelfall_cluster::entry::ServerInstance`], which would own a copy of the name.
     pub fn insert(&mut self, server: ServerId, name: &str, start_ms: u64) {
         let fingerprint = self.all.add(name, start_ms);
@@ -64,7 +68,7 @@
         }
     }
 
-    /// The list does not name a server any more.
+    /// Removes a server.
     pub fn remove(&mut self, server: ServerId) {
         if let Some(old) = self.servers.remove(&server) {
             self.all.subtract(old);
--- /dev/null
+++ b/crates/node/src/net/shared/memory.rs
@@ -0,0 +1,111 @@
+//! Memory for buffered request bodies and responses.
+
+use super::{Permit, Shared};
+use reelfall_routing::limits::{Kind, Member};
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Instant;
+use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
+use tokio::time::timeout_at;
+
+/// Reserved memory for a body; it is free again when this is dropped.
+pub enum MemoryPermit {
+    /// Memory of the process, if it has one service only.
+    Process(#[allow(dead_code)] OwnedSemaphorePermit),
+    /// Memory of a service.
+    Service(#[allow(dead_code)] Permit),
+}
+
+/// The memory of a process with one service, in KiB. Services that share a process have theirs in the service limits.
+pub(super) struct BufferMemory {
+    request_bodies: Arc<Semaphore>,
+    responses: Arc<Semaphore>,
+    /// Notified when a service has freed memory.
+    freed: Notify,
+}
+
+impl BufferMemory {
+    pub(super) fn new(kib: usize) -> Self {
+        BufferMemory {
+            request_bodies: Arc::new(Semaphore::new(kib)),
+            responses: Arc::new(Semaphore::new(kib)),
+            freed: Notify::new(),
+        }
+    }
+
+    /// Lowers both amounts.
+    pub(super) fn shrink(&self, kib: usize) {
+        self.request_bodies.forget_permits(kib);
+        self.responses.forget_permits(kib);
+    }
+
+    /// Raises both amounts.
+    pub(super) fn grow(&self, kib: usize) {
+        self.request_bodies.add_permits(kib);
+        self.responses.add_permits(kib);
+    }
+
+    /// Wakes those that wait for memory of a service.
+    pub(super) fn notify_freed(&self) {
+        self.freed.notify_waiters();
+    }
+}
+
+impl Shared {
+    /// Reserves memory for the body of a request, if there is enough now.
+    pub fn reserve_body(self: &Rc<Self>, member: Option<Member>, kib: u32) -> Option<MemoryPermit> {
+        self.try_reserve(&self.buffer_memory.request_bodies, member, kib)
+    }
+
+    /// Reserves memory for a response, if there is enough now.
+    pub fn reserve_answer(
+        self: &Rc<Self>,
+        member: Option<Member>,
+        kib: u32,
+    ) -> Option<MemoryPermit> {
+        self.try_reserve(&self.buffer_memory.responses, member, kib)
+    }
+
+    fn try_reserve(
+        self: &Rc<Self>,
+        process_memory: &Arc<Semaphore>,
+        member: Option<Member>,
+        kib: u32,
+    ) -> Option<MemoryPermit> {
+        match member {
+            Some(member) => self
+                .reserve_units(member, Kind::Memory, kib.into())
+                .ok()
+                .map(MemoryPermit::Service),
+            None => process_memory
+                .clone()
+                .try_acquire_many_owned(kib)
+                .ok()
+                .map(MemoryPermit::Process),
+        }
+    }
+
+    /// Reserves memory for a response and waits for it until the deadline.
+    pub async fn reserve_answer_by(
+        self: &Rc<Self>,
+        member: Option<Member>,
+        kib: u32,
+        deadline: Instant,
+    ) -> Option<MemoryPermit> {
+        if member.is_none() {
+            let acquire = self.buffer_memory.responses.clone().acquire_many_owned(kib);
+            return timeout_at(deadline.into(), acquire)
+                .await
+                .ok()
+                .and_then(Result::ok)
+                .map(MemoryPermit::Process);
+        }
+        loop {
+            let freed = self.buffer_memory.freed.notified();
+            if let Some(permit) = self.reserve_answer(member, kib) {
+                return Some(permit);
+            }
+            timeout_at(deadline.into(), freed).await.ok()?;
+        }
+    }
+}
--- a/crates/node/src/net/shared/tests.rs
+++ b/crates/node/src/net/shared/tests.rs
@@ -1,10 +1,10 @@
-//! What tests want to know of the books.
+//! Numbers of the shared state that tests check.
 
 use super::Shared;
 
 impl Shared {
-    /// How many pools are known.
-    pub fn pools(&self) -> usize {
+    /// The number of registered pools.
+    pub fn registered_pools(&self) -> usize {
         self.pools.borrow().len()
     }
 }
