--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -1,4 +1,6 @@
-//! The node's side of the sockets. It translates and enforces; every choice is the module's.
+//! The node's networking: clients, servers, service discovery, management and the handover between processes.
+//!
+//! The code here translates between sockets and the decision module of each pool, which makes every decision.
 
 pub mod answer;
 pub mod body;
@@ -25,8 +27,8 @@
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// ResourceLimits of all that grows. What is not here is bounded by these: a client's connection has one request, a
-/// request one attempt, an attempt one connection.
+/// Limits of what grows with load. Everything else is limited by these: a client connection has one request at a time, a
+/// request one attempt, and an attempt one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceLimits {
     /// Maximum number of client connections.
@@ -61,62 +63,61 @@
     }
 }
 
-/// Largest head of a request.
+/// Maximum size of a request's head, in bytes.
 pub const MAX_REQUEST_HEAD_BYTES: usize = 16 << 10;
-/// Largest body of a request that is held whole.
+/// Maximum size of a request body that is buffered, in bytes.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 1 << 20;
-/// A body up to this size needs no leave; a larger one needs its share of [`ResourceLimits::body_kib`].
+/// Request bodies up to this size, in bytes, are buffered without a reservation of memory.
 pub const UNRESERVED_BODY_BYTES: usize = 4 << 10;
-/// Largest answer of a server that is held whole, where it has to be.
+/// Maximum size of a response that is buffered where it has to be, in bytes.
 pub const MAX_BUFFERED_RESPONSE_BYTES: usize = 1 << 20;
-/// Largest answer that is held whole if it comes at once: servers were seen to send that much where 64 KiB were
-/// agreed, and a break on the way stays an outcome only of what is held.
+/// Maximum size of a response that is buffered if it arrives at once, in bytes. Only a response that is still buffered
+/// can be replaced by that of another attempt if its connection breaks.
 pub const MAX_IMMEDIATE_RESPONSE_BYTES: usize = 512 << 10;
-/// An answer up to this size needs no leave; a larger one needs its share of [`ResourceLimits::body_kib`].
+/// Responses up to this size, in bytes, are buffered without a reservation of memory.
 pub const UNRESERVED_RESPONSE_BYTES: usize = 64 << 10;
+/// Size of a connection's read buffer, in bytes.
+pub const READ_BUFFER_BYTES: usize = 64 << 10;
 
-/// Permits for so many bytes.
+/// The number of KiB to reserve for a body of this size.
 pub fn kib_permits(bytes: usize) -> u32 {
     u32::try_from(bytes / 1024 + 1).unwrap_or(u32::MAX)
 }
-/// Read buffer of one connection.
-pub const READ_BUFFER_BYTES: usize = 64 << 10;
 
-/// Numbers of chance from a node's own seed, the same when a run is played again: SplitMix64.
+/// Pseudo-random numbers from a node's seed (SplitMix64), the same in each run with that seed.
 pub struct SeededRng(Cell<u64>);
 
 impl SeededRng {
-    /// From this seed.
+    /// A generator with this seed.
     pub fn new(seed: u64) -> Self {
         SeededRng(Cell::new(seed))
     }
 
     /// The next number.
     pub fn next_u64(&self) -> u64 {
-        let x = self.0.get().wrapping_add(0x9e37_79b9_7f4a_7c15);
-        self.0.set(x);
-        let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        x ^ (x >> 31)
+        let state = self.0.get().wrapping_add(SPLITMIX64_INCREMENT);
+        self.0.set(state);
+        let mixed = (state ^ (state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        mixed ^ (mixed >> 31)
     }
 
-    /// The next one as a fraction of [0, 1).
+    /// The next number as a fraction in `[0, 1)`.
     pub fn next_fraction(&self) -> f64 {
         (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
-/// Has small pieces written at once.
-///
-/// Guards a connection against a system that refuses the wish, as one was seen to do for the first option set on each
-/// connection it had accepted: whoever came was let in and closed on, and no node ever got ready. What is written may
-/// be a little late then, which is better than nothing. It ought to bear any socket that knows no such option. Harm: on
-/// such a system the last piece of an answer may wait for an acknowledgement.
+/// The increment of SplitMix64, which spreads successive seeds too.
+pub const SPLITMIX64_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// Disables Nagle's algorithm. A failure is ignored, since some systems refuse the option on accepted connections; the
+/// last segment of a response may be delayed there.
 pub fn set_nodelay(stream: &tokio::net::TcpStream) {
     let _ = stream.set_nodelay(true);
 }
 
-/// A log on standard error with a rate limit: a flood of faults must not become a flood of text.
+/// A rate-limited log on standard error, so that a burst of faults does not become a burst of text.
 #[derive(Default)]
 pub struct Log {
     window_start: Cell<Option<Instant>>,
--- a/crates/node/src/net/registry.rs
+++ b/crates/node/src/net/registry.rs
@@ -1,7 +1,7 @@
-//! Registries over sockets: a pool that follows entries, and the entry that this node has itself.
+//! Registries over sockets: a pool that follows the entries of a registry, and this node's own entry.
 //!
-//! Each has a session of its own, so that what costs one its session costs the other nothing. What is to be done is told by
-//! [`reelfall_registry_client`]; here it is done.
+//! Each of these has a session of its own, so that a session that is lost affects only its user. The protocol is
+//! implemented in [`reelfall_registry_client`], without any I/O; this module does the I/O.
 //!
 //! | module | responsibility |
 //! | --- | --- |
@@ -13,7 +13,7 @@
 mod following;
 mod own_entry;
 
-pub use following::Registry;
+pub use following::RegistrySource;
 pub use own_entry::OwnEntry;
 
 use bytes::Bytes;
@@ -22,42 +22,66 @@
 use reelfall_registry_client::session::{Session, SessionConfig};
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
+use std::io;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use thiserror::Error;
 
-/// A session's way to a registry.
+/// The scheme of the registry's credentials.
+const DIGEST_SCHEME: &str = "digest";
+
+/// Why a registry can't be accessed.
+#[derive(Clone, Debug, Error)]
+pub enum RegistryAccessError {
+    /// The settings name no such registry.
+    #[error("no such registry")]
+    UnknownRegistry,
+    /// The digest file can't be read.
+    #[error("{}: {source}", path.display())]
+    UnreadableDigest {
+        /// The file.
+        path: PathBuf,
+        /// Why it can't be read.
+        source: Arc<io::Error>,
+    },
+    /// The digest file does not contain a name and a password.
+    #[error("{}: write `name:password`", path.display())]
+    MalformedDigest {
+        /// The file.
+        path: PathBuf,
+    },
+}
+
+/// What sessions with a registry need.
 #[derive(Clone, PartialEq)]
 pub struct RegistryAccess {
     addresses: Vec<SocketAddr>,
     session_timeout: Time,
     connect_timeout: Time,
     forget_after: Time,
-    auth: Option<(String, Bytes)>,
+    credentials: Option<(String, Bytes)>,
 }
 
 impl RegistryAccess {
-    /// What the settings say; the proof is read from its file.
+    /// Takes the settings of a registry and reads its digest file.
     ///
     /// # Errors
-    /// If the file can't be read.
-    pub fn from_settings(registry: &model::Registry) -> Result<RegistryAccess, String> {
-        let proof = |path: &Path| {
-            let text =
-                std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-            match text.trim() {
-                proof if proof.contains(':') => Ok((
-                    "digest".to_owned(),
-                    Bytes::copy_from_slice(proof.as_bytes()),
-                )),
-                _ => Err(format!("{}: write `name:password`", path.display())),
-            }
-        };
+    /// If the digest file can't be used.
+    pub fn from_settings(
+        registry: &model::Registry,
+    ) -> Result<RegistryAccess, RegistryAccessError> {
+        let digest = registry
+            .digest_file
+            .as_deref()
+            .map(read_digest)
+            .transpose()?;
         Ok(RegistryAccess {
             addresses: registry.members.clone(),
             session_timeout: registry.session_timeout,
             connect_timeout: registry.connect_timeout,
             forget_after: registry.forget_after,
-            auth: registry.digest_file.as_deref().map(proof).transpose()?,
+            credentials: digest.map(|digest| (DIGEST_SCHEME.to_owned(), digest)),
         })
     }
 
@@ -66,9 +90,26 @@
             members: self.addresses.clone(),
             timeout: self.session_timeout,
             connect_within: self.connect_timeout,
-            auth: self.auth.clone(),
+            auth: self.credentials.clone(),
             forget_after: self.forget_after,
         };
-        Session::new(config, now, RandomState::new().hash_one(now.to_bits()))
+        let seed = RandomState::new().hash_one(now.to_bits());
+        Session::new(config, now, seed)
+    }
+}
+
+/// The name and password in a digest file.
+fn read_digest(path: &Path) -> Result<Bytes, RegistryAccessError> {
+    let text =
+        std::fs::read_to_string(path).map_err(|error| RegistryAccessError::UnreadableDigest {
+            path: path.to_owned(),
+            source: Arc::new(error),
+        })?;
+    let digest = text.trim();
+    if !digest.contains(':') {
+        return Err(RegistryAccessError::MalformedDigest {
+            path: path.to_owned(),
+        });
     }
+    Ok(Bytes::copy_from_slice(digest.as_bytes()))
 }
--- a/crates/node/src/net/registry/following.rs
+++ b/crates/node/src/net/registry/following.rs
@@ -19,21 +19,21 @@
 use tokio::sync::Notify;
 
 /// Entries under a path of a registry.
-pub struct Registry {
+pub struct RegistrySource {
     pub access: RegistryAccess,
     pub path: String,
     pub limits: Limits,
     /// Servers that are taken to be there until the registry has been heard.
-    pub known: Vec<model::Located<model::Server>>,
+    pub initial_servers: Vec<model::Located<model::Server>>,
 }
 
-impl Source for Registry {
+impl Source for RegistrySource {
     fn follow(self, pool: Rc<Pool>) -> impl Future<Output = ()> + 'static {
-        if !self.known.is_empty() {
+        if !self.initial_servers.is_empty() {
             // Nobody knows when they started: whoever wrote them down knew them for some time.
             let entry =
                 |server: &model::Located<model::Server>| pool.configured_endpoint(server, 0.0);
-            let places = self.known.iter().map(entry).collect();
+            let places = self.initial_servers.iter().map(entry).collect();
             pool.update_endpoints(UpdateKind::Cached, places);
         }
         let clock = pool.shared.clock;
--- a/crates/node/src/net/service.rs
+++ b/crates/node/src/net/service.rs
@@ -1,102 +1,79 @@
-//! Services at work: each with its pool, its place in the books and its source of servers, and how requests find
-//! them.
+//! Services: each has a pool of servers, the source of the pool's endpoint list and its limits.
+//!
+//! | module | responsibility |
+//! | --- | --- |
+//! | `error` | why a plan can't be put in force |
+//! | `prepared` | a plan with all that is costly to derive from it |
+//! | `routing` | how requests find their services |
+//! | `services` | all services of a node, across reloads of its settings |
+//! | `sources` | the sources of endpoint lists |
+
+mod error;
+pub mod prepared;
+mod routing;
+mod services;
+mod sources;
+
+pub use error::StartServiceError;
+pub use routing::{RouteMatch, Routing, Table};
+pub use services::Services;
+pub use sources::DiscoverySource;
 
-use super::discovery;
 use super::operations::GraphQl;
 use super::pool::{ListOrigin, Pool, PoolConfig};
-use super::registry::Registry;
+use super::registry::{RegistryAccess, RegistryAccessError, RegistrySource};
 use super::shared::Shared;
-use super::source::{follow, Source};
+use super::source::follow;
 use super::task::AbortOnDrop;
-use reelfall_balancer::interface::{ClassId, Time, UpdateKind};
+use prepared::{is_same, ListedServer, PlannedService, PoolKey, RuntimeSettings};
+use reelfall_balancer::interface::Time;
 use reelfall_config::model;
 use reelfall_graphql::persisted::Persisted;
-use reelfall_routing::limits::{Allowed, Member};
-use reelfall_routing::table::Query;
+use reelfall_routing::limits::Member;
+use sources::StaticSource;
 use std::cell::{Cell, RefCell};
-use std::collections::{HashMap, HashSet};
-use std::future::Future;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::sync::watch;
 
-pub mod prepared;
-
-use prepared::{is_same, ListedServer, PoolKey, PreparedPlan, RuntimeSettings, ServiceParts};
-
-/// The platform's discovery, at the address that is named last.
-pub struct Discovery {
-    pub address: watch::Receiver<SocketAddr>,
-    /// The version of the list that is known already.
-    pub known: u64,
-    /// What the list is called among the nodes of a fleet.
-    pub list: String,
-}
-
-impl Source for Discovery {
-    fn follow(self, pool: Rc<Pool>) -> impl Future<Output = ()> + 'static {
-        discovery::follow(pool, self.address, self.known, self.list)
-    }
-}
-
-/// A list that somebody wrote, in the form that was written last.
-pub struct Static {
-    pub list: watch::Receiver<Arc<Vec<ListedServer>>>,
-}
-
-impl Source for Static {
-    fn follow(mut self, pool: Rc<Pool>) -> impl Future<Output = ()> + 'static {
-        // At once, so that nothing finds a pool that has not heard of its servers.
-        apply_list(&pool, &self.list.borrow_and_update());
-        pool.is_ready.set(true);
-        async move {
-            while self.list.changed().await.is_ok() {
-                apply_list(&pool, &self.list.borrow_and_update());
-            }
-            std::future::pending().await
-        }
-    }
-}
-
-fn apply_list(pool: &Rc<Pool>, list: &[ListedServer]) {
-    let entry =
-        |listed: &ListedServer| pool.configured_endpoint(&listed.server, listed.serving_since);
-    let places = list.iter().map(entry).collect();
-    pool.update_endpoints(UpdateKind::Snapshot, places);
-}
-
 /// One service.
 pub struct Service {
+    /// Its name; empty if it is the only one.
     pub name: String,
+    /// Its servers.
     pub pool: Rc<Pool>,
-    /// Its place in the books, where there are several.
+    /// Its entry in the limits, if several services share the process.
     pub member: Option<Member>,
-    /// It finishes what it has and refuses what comes.
+    /// Whether it finishes its requests and rejects new ones.
     pub is_draining: Cell<bool>,
-    /// Longest advice on when to come back, in seconds; 0 for none.
+    /// Maximum time after which a rejected client is advised to retry, in seconds; 0 for no advice.
     pub max_retry_after: Cell<Time>,
-    /// What its requests are, if they are not plain ones.
+    /// How its requests are read, if they are GraphQL.
     pub graphql: RefCell<Option<Rc<GraphQl>>>,
     list_updates: ListUpdates,
     /// What the pool was made from, if that is a settings file.
-    key: Option<Arc<PoolKey>>,
-    /// What is in force of all that can change under the pool.
-    terms: RefCell<Option<Arc<RuntimeSettings>>>,
+    pool_key: Option<Arc<PoolKey>>,
+    /// The settings in force that can change without a new pool.
+    runtime_settings: RefCell<Option<Arc<RuntimeSettings>>>,
     _follow: AbortOnDrop,
 }
 
-/// How a source is told of changes in the settings.
+/// How the source of a service's list is updated when the settings change.
 enum ListUpdates {
-    /// The list of a static source.
+    /// The settings contain the list.
     Channel(watch::Sender<Arc<Vec<ListedServer>>>),
-    /// Nothing, or somebody else does.
+    /// The source follows its list by itself.
     None,
 }
 
+/// A task that follows a source, and how the source is updated.
+struct FollowedSource {
+    task: AbortOnDrop,
+    list_updates: ListUpdates,
+}
+
 impl Service {
-    /// The one service of a node on its platform.
+    /// The only service of a node on its platform.
     pub fn single(pool: Rc<Pool>, follow: AbortOnDrop) -> Rc<Self> {
         Rc::new(Service {
             name: String::new(),
@@ -106,95 +83,43 @@
             max_retry_after: Cell::new(0.0),
             graphql: RefCell::default(),
             list_updates: ListUpdates::None,
-            key: None,
-            terms: RefCell::default(),
+            pool_key: None,
+            runtime_settings: RefCell::default(),
             _follow: follow,
         })
     }
 
+    /// Starts a service of a plan.
     fn start(
         shared: &Rc<Shared>,
-        prepared: &PreparedPlan,
-        service: &model::Service,
-        parts: &ServiceParts,
+        planned: &PlannedService,
         seed: u64,
         member: Option<Member>,
-    ) -> Result<Rc<Self>, String> {
-        let (settings, names, connection_settings) = prepared.plan.settings(service);
-        let list_origin = match service.source {
-            model::Source::Static(_) => ListOrigin::Configured,
-            model::Source::Discovery(_) | model::Source::Registry(_) => ListOrigin::Discovered,
-        };
-        let access = match &service.source {
-            model::Source::Registry(followed) => {
-                Some(prepared.registry_access(&followed.registry)?.clone())
-            }
-            _ => None,
-        };
+    ) -> Result<Rc<Self>, StartServiceError> {
+        let service = planned.model;
+        let (settings, names, connection_settings) = planned.prepared.plan.settings(service);
+        let registry_access = registry_access(planned)?;
         let pool = Pool::new(PoolConfig {
             settings,
             names,
             connection_settings,
             seed,
-            list_origin,
+            list_origin: list_origin(&service.source),
             shared: shared.clone(),
             member,
-        })
-        .map_err(|error| error.to_string())?;
-        let (follow, list_updates) = match &service.source {
-            model::Source::Static(_) => {
-                let (sender, list) = watch::channel(parts.list.clone().unwrap_or_default());
-                (follow(&pool, Static { list }), ListUpdates::Channel(sender))
-            }
-            model::Source::Discovery(address) => {
-                // The address is part of the key: with another, there is another pool.
-                let (_, address) = watch::channel(*address);
-                let list = service.name.clone();
-                (
-                    follow(
-                        &pool,
-                        Discovery {
-                            address,
-                            known: 0,
-                            list,
-                        },
-                    ),
-                    ListUpdates::None,
-                )
-            }
-            model::Source::Registry(followed) => {
-                let model::RegistrySource {
-                    path,
-                    limits,
-                    initial_servers: known,
-                    ..
-                } = followed.clone();
-                let access = access.ok_or("no such registry")?;
-                (
-                    follow(
-                        &pool,
-                        Registry {
-                            access,
-                            path,
-                            limits,
-                            known,
-                        },
-                    ),
-                    ListUpdates::None,
-                )
-            }
-        };
+        })?;
+        let source = follow_source(&pool, planned, registry_access)?;
         Ok(Rc::new(Service {
             name: service.name.clone(),
             pool,
             member,
             is_draining: Cell::new(service.state == model::ServiceState::Draining),
             max_retry_after: Cell::new(service.attempts.max_retry_after),
-            graphql: RefCell::new(graphql(service, None)?),
-            list_updates,
-            key: Some(parts.pool_key.clone()),
-            terms: RefCell::default(),
-            _follow: follow,
+            graphql: RefCell::new(graphql_settings(service, None)?),
+            list_updates: source.list_updates,
+            pool_key: Some(planned.parts.pool_key.clone()),
+            runtime_settings: RefCell::default(),
+            _follow: source.task,
         }))
     }
 
@@ -209,32 +134,46 @@
         (!self.pool.has_servers()).then_some("no server takes requests\n")
     }
 
-    /// Whether its pool is one that is made from this.
-    fn is_made_from(&self, key: &Arc<PoolKey>) -> bool {
-        self.key.as_ref().is_some_and(|own| is_same(own, key))
+    /// Whether its pool was made from this key.
+    fn is_made_from(&self, pool_key: &Arc<PoolKey>) -> bool {
+        self.pool_key
+            .as_ref()
+            .is_some_and(|own| is_same(own, pool_key))
     }
 
-    /// Tells the pool its list, if that has changed.
+    /// Updates the list of a static source, if it has changed.
     fn update_list(&self, list: Option<&Arc<Vec<ListedServer>>>) {
-        if let (ListUpdates::Channel(list_updates), Some(list)) = (&self.list_updates, list) {
-            list_updates.send_if_modified(|old| {
-                let changed = !is_same(old, list);
-                *old = list.clone();
-                changed
+        if let (ListUpdates::Channel(sender), Some(list)) = (&self.list_updates, list) {
+            sender.send_if_modified(|current| {
+                let has_changed = !is_same(current, list);
+                *current = list.clone();
+                has_changed
             });
         }
     }
 
-    /// Takes over what can change under its pool, if any of that has. `terms` are those of `service`.
-    fn set_terms(&self, shared: &Shared, service: &model::Service, terms: &Arc<RuntimeSettings>) {
-        let old = self.terms.replace(Some(terms.clone()));
-        if old.is_some_and(|old| is_same(&old, terms)) {
+    /// Applies the settings that can change without a new pool, if any of them has changed. `runtime_settings` are
+    /// those of `service`.
+    fn update_settings(
+        &self,
+        shared: &Shared,
+        service: &model::Service,
+        runtime_settings: &Arc<RuntimeSettings>,
+    ) {
+        let previous = self
+            .runtime_settings
+            .replace(Some(runtime_settings.clone()));
+        if previous.is_some_and(|previous| is_same(&previous, runtime_settings)) {
             return;
         }
-        let known = self.graphql.borrow().as_ref().map(|g| g.persisted.clone());
-        // The plan was checked: what can't be made here can't be in it.
+        let persisted = self
+            .graphql
+            .borrow()
+            .as_ref()
+            .map(|graphql| graphql.persisted.clone());
+        // A checked plan has valid classes.
         self.graphql
-            .replace(graphql(service, known).unwrap_or_default());
+            .replace(graphql_settings(service, persisted).unwrap_or_default());
         self.is_draining
             .set(service.state == model::ServiceState::Draining);
         self.max_retry_after.set(service.attempts.max_retry_after);
@@ -244,242 +183,86 @@
     }
 }
 
-/// What a service needs to take GraphQL; the documents that it knows already are kept.
-fn graphql(
-    service: &model::Service,
-    kept: Option<Rc<RefCell<Persisted>>>,
-) -> Result<Option<Rc<GraphQl>>, String> {
-    let Some(graphql) = &service.graphql else {
-        return Ok(None);
-    };
-    Ok(Some(Rc::new(GraphQl {
-        classes: reelfall_config::check::graphql_classes(service, graphql)?,
-        limits: graphql.limits,
-        field_work: graphql.field_work,
-        side_by_side: graphql.max_parallel_reads,
-        persisted: kept.unwrap_or_default(),
-    })))
-}
-
-/// Where a request goes.
-pub struct RouteMatch {
-    pub service: Rc<Service>,
-    /// The class that the route assigns.
-    pub class: Option<ClassId>,
-}
-
-/// How requests find their services.
-pub enum Routing {
-    /// All go to the one service.
-    Single(Rc<Service>),
-    /// By the table.
-    Table(Rc<Table>),
-}
-
-/// Takes a plan that is no longer in force, to free it where nobody waits for that.
-pub type Retire = Rc<dyn Fn(Arc<PreparedPlan>)>;
-
-/// A plan and its services, in the same order.
-pub struct Table {
-    /// `None` before the first plan.
-    prepared: Option<Arc<PreparedPlan>>,
-    services: Vec<Rc<Service>>,
-    retire: Retire,
-}
-
-impl Table {
-    pub fn find(&self, q: &Query) -> Option<RouteMatch> {
-        let plan = &self.prepared.as_ref()?.plan;
-        let goal = plan.goals.get(plan.table.get(q)?)?;
-        Some(RouteMatch {
-            service: self.services.get(goal.service)?.clone(),
-            class: goal.assign,
-        })
-    }
-
-    pub fn services(&self) -> &[Rc<Service>] {
-        &self.services
-    }
-}
-
-impl Drop for Table {
-    fn drop(&mut self) {
-        if let Some(prepared) = self.prepared.take() {
-            (self.retire)(prepared);
-        }
+fn list_origin(source: &model::Source) -> ListOrigin {
+    match source {
+        model::Source::Static(_) => ListOrigin::Configured,
+        model::Source::Discovery(_) | model::Source::Registry(_) => ListOrigin::Discovered,
     }
 }
 
-impl Routing {
-    /// The longest time that a client waits, over all services.
-    pub fn longest_deadline(&self) -> Duration {
-        let services = match self {
-            Routing::Single(service) => std::slice::from_ref(service),
-            Routing::Table(table) => &table.services,
-        };
-        let deadlines = services
-            .iter()
-            .flat_map(|s| &s.pool.classes)
-            .map(|c| c.deadline);
-        Duration::try_from_secs_f64(deadlines.fold(0.0, f64::max)).unwrap_or_default()
+/// The access to a service's registry, if that is its source.
+fn registry_access(
+    planned: &PlannedService,
+) -> Result<Option<RegistryAccess>, RegistryAccessError> {
+    match &planned.model.source {
+        model::Source::Registry(followed) => planned
+            .prepared
+            .registry_access(&followed.registry)
+            .map(|access| Some(access.clone())),
+        model::Source::Static(_) | model::Source::Discovery(_) => Ok(None),
     }
 }
 
-/// The services of a node with a file of its own, over all its reloads.
-pub struct Services {
-    shared: Rc<Shared>,
-    current: RefCell<Rc<Table>>,
-    /// Pools that are replaced or removed and have requests in hand still. Their sources are followed to the end, so
-    /// that a drain is kept by what is left of them too.
-    draining_services: RefCell<Vec<Rc<Service>>>,
-    seeds: Cell<u64>,
-    retire: Retire,
-}
-
-impl Services {
-    /// No services yet. `seed` is for the choices of the modules.
-    pub fn new(shared: Rc<Shared>, seed: u64, retire: Retire) -> Self {
-        let none = Table {
-            prepared: None,
-            services: Vec::new(),
-            retire: retire.clone(),
-        };
-        Services {
-            shared,
-            current: RefCell::new(Rc::new(none)),
-            draining_services: RefCell::default(),
-            seeds: Cell::new(seed),
-            retire,
-        }
-    }
-
-    /// The plan that is in force, if there is one already.
-    pub fn current_plan(&self) -> Option<Arc<PreparedPlan>> {
-        self.current.borrow().prepared.clone()
-    }
-
-    /// Puts a plan in force, whole or not at all: what can fail is done before anything changes.
-    ///
-    /// # Errors
-    /// Says what of the plan can't be used; everything is as it was.
-    pub fn apply(&self, prepared: Arc<PreparedPlan>) -> Result<Routing, String> {
-        let services = self.start(&prepared)?;
-        // Nothing fails from here on.
-        let model = &prepared.plan.model;
-        self.shared.set_totals(
-            prepared.plan.totals,
-            model.process.max_connections_per_server,
-        );
-        for ((service, new), parts) in services.iter().zip(&model.services).zip(&prepared.services)
-        {
-            service.set_terms(&self.shared, new, &parts.runtime_settings);
-            service.update_list(parts.list.as_ref());
+/// Starts to follow the source of a service's list.
+fn follow_source(
+    pool: &Rc<Pool>,
+    planned: &PlannedService,
+    registry_access: Option<RegistryAccess>,
+) -> Result<FollowedSource, RegistryAccessError> {
+    let service = planned.model;
+    match &service.source {
+        model::Source::Static(_) => {
+            let (sender, list) = watch::channel(planned.parts.list.clone().unwrap_or_default());
+            Ok(FollowedSource {
+                task: follow(pool, StaticSource { list }),
+                list_updates: ListUpdates::Channel(sender),
+            })
         }
-        let retire = self.retire.clone();
-        let table = Rc::new(Table {
-            prepared: Some(prepared),
-            services,
-            retire,
-        });
-        let old = self.current.replace(table.clone());
-        self.release(&old, &table);
-        self.remove_drained();
-        Ok(Routing::Table(table))
-    }
-
-    /// The services of a plan: those that there are, where their pools stay, and new ones.
-    fn start(&self, prepared: &PreparedPlan) -> Result<Vec<Rc<Service>>, String> {
-        let current = self.current.borrow().clone();
-        let by_name: HashMap<&str, &Rc<Service>> = current
-            .services
-            .iter()
-            .map(|s| (s.name.as_str(), s))
-            .collect();
-        let mut services = Vec::with_capacity(prepared.services.len());
-        let mut joined = Vec::new();
-        for (service, parts) in prepared.plan.model.services.iter().zip(&prepared.services) {
-            let old = by_name.get(service.name.as_str()).copied();
-            if let Some(old) = old.filter(|old| old.is_made_from(&parts.pool_key)) {
-                services.push(old.clone());
-                continue;
-            }
-            // What is replaced and what replaces it have one place in the books: together they hold no more.
-            let member = old.and_then(|old| old.member).or_else(|| {
-                let member = self.shared.add_member(&service.limits);
-                joined.extend(member);
-                member
-            });
-            let seed = self.seeds.get().wrapping_add(0x9e37_79b9_7f4a_7c15);
-            self.seeds.set(seed);
-            match Service::start(&self.shared, prepared, service, parts, seed, member) {
-                Ok(new) => services.push(new),
-                Err(fault) => {
-                    joined
-                        .into_iter()
-                        .for_each(|member| self.shared.remove_member(member));
-                    return Err(format!("service `{}`: {fault}", service.name));
-                }
-            }
+        model::Source::Discovery(address) => {
+            // The address never changes: it is part of the pool's key.
+            let (_, address) = watch::channel(*address);
+            let source = DiscoverySource {
+                address,
+                known_index: 0,
+                list_name: service.name.clone(),
+            };
+            Ok(FollowedSource {
+                task: follow(pool, source),
+                list_updates: ListUpdates::None,
+            })
         }
-        Ok(services)
-    }
-
-    /// Services that are replaced or removed finish what they have.
-    fn release(&self, old: &Table, new: &Table) {
-        let stay: HashSet<*const Service> = new.services.iter().map(Rc::as_ptr).collect();
-        let parts = new
-            .prepared
-            .as_ref()
-            .map(|new| new.services_by_name())
-            .unwrap_or_default();
-        for old in old
-            .services
-            .iter()
-            .filter(|s| !stay.contains(&Rc::as_ptr(s)))
-        {
-            match parts.get(old.name.as_str()) {
-                Some(parts) => old.update_list(parts.list.as_ref()),
-                // It keeps its place, but no reservations, until what it has taken is done.
-                None => old
-                    .member
-                    .into_iter()
-                    .for_each(|member| self.shared.set_allowed(member, &Allowed::OPEN)),
-            }
-            self.draining_services.borrow_mut().push(old.clone());
+        model::Source::Registry(followed) => {
+            let source = RegistrySource {
+                access: registry_access.ok_or(RegistryAccessError::UnknownRegistry)?,
+                path: followed.path.clone(),
+                limits: followed.limits.clone(),
+                initial_servers: followed.initial_servers.clone(),
+            };
+            Ok(FollowedSource {
+                task: follow(pool, source),
+                list_updates: ListUpdates::None,
+            })
         }
     }
+}
 
-    /// Every service that is not drained on purpose can serve.
-    pub fn are_ready(&self) -> bool {
-        let current = self.current.borrow();
-        !current.services.is_empty()
-            && current
-                .services
-                .iter()
-                .all(|s| s.is_draining.get() || s.unavailable_reason().is_none())
-    }
-
-    /// Lets pools go that have nothing in hand any more.
-    pub fn remove_drained(&self) {
-        let done: Vec<Rc<Service>> = {
-            let mut draining_services = self.draining_services.borrow_mut();
-            let (done, left) = draining_services
-                .drain(..)
-                .partition(|s| s.pool.open_requests() == 0);
-            *draining_services = left;
-            done
-        };
-        for service in done {
-            let kept = |s: &Rc<Service>| s.member == service.member;
-            let used = self.current.borrow().services.iter().any(kept)
-                || self.draining_services.borrow().iter().any(kept);
-            service
-                .member
-                .into_iter()
-                .filter(|_| !used)
-                .for_each(|member| self.shared.remove_member(member));
-        }
-    }
+/// How a service's GraphQL requests are read, with the documents that are `persisted` already.
+fn graphql_settings(
+    service: &model::Service,
+    persisted: Option<Rc<RefCell<Persisted>>>,
+) -> Result<Option<Rc<GraphQl>>, StartServiceError> {
+    let Some(graphql) = &service.graphql else {
+        return Ok(None);
+    };
+    let classes = reelfall_config::check::graphql_classes(service, graphql)
+        .map_err(StartServiceError::GraphQlClasses)?;
+    Ok(Some(Rc::new(GraphQl {
+        classes,
+        limits: graphql.limits,
+        field_work: graphql.field_work,
+        side_by_side: graphql.max_parallel_reads,
+        persisted: persisted.unwrap_or_default(),
+    })))
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/node/src/net/service/error.rs
@@ -0,0 +1,36 @@
+//! Why a plan can't be put in force.
+
+use crate::net::registry::RegistryAccessError;
+use reelfall_balancer::settings::SettingsError;
+use thiserror::Error;
+
+/// A service of the plan can't be started.
+#[derive(Debug, Error)]
+#[error("service `{service}`: {source}")]
+pub struct ApplyPlanError {
+    /// The name of the service.
+    pub service: String,
+    /// Why it can't be started.
+    pub source: StartServiceError,
+}
+
+/// For callers that report errors to the operator as text.
+impl From<ApplyPlanError> for String {
+    fn from(error: ApplyPlanError) -> String {
+        error.to_string()
+    }
+}
+
+/// Why a service can't be started.
+#[derive(Debug, Error)]
+pub enum StartServiceError {
+    /// Its registry can't be accessed.
+    #[error(transparent)]
+    RegistryAccess(#[from] RegistryAccessError),
+    /// The settings of its pool can't be used.
+    #[error(transparent)]
+    PoolSettings(#[from] SettingsError),
+    /// Its GraphQL settings name no valid classes.
+    #[error("{0}")]
+    GraphQlClasses(String),
+}
--- a/crates/node/src/net/service/prepared.rs
+++ b/crates/node/src/net/service/prepared.rs
@@ -1,9 +1,9 @@
-//! A plan with all that is costly to derive from it, made on any thread.
+//! A plan with all that is costly to derive from it, prepared on any thread.
 //!
-//! What is the same as in the plan before is shared with it: the thread that serves compares pointers, and touches
-//! only the services that have changed.
+//! Parts that equal those of the plan before are shared with it, so that the serving thread compares pointers and
+//! updates only the services that have changed.
 
-use crate::net::registry::RegistryAccess;
+use crate::net::registry::{RegistryAccess, RegistryAccessError};
 use reelfall_balancer::interface::{ServerState, Time};
 use reelfall_config::{model, Plan};
 use reelfall_routing::limits::Allowed;
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Since when the servers of static lists have been taking requests.
+/// When the servers of static lists have started to accept requests.
 type StartTimes = HashMap<SocketAddr, Time>;
 
 /// A checked plan, ready to be put in force.
@@ -20,8 +20,8 @@
     pub plan: Plan,
     /// The parts of its services, in the same order.
     pub services: Vec<ServiceParts>,
-    /// The ways to its registries, or why there is none, by their names.
-    registry_access: HashMap<String, Result<RegistryAccess, String>>,
+    /// The access to its registries by their names.
+    registry_access: HashMap<String, Result<RegistryAccess, RegistryAccessError>>,
     pub(super) start_times: StartTimes,
 }
 
@@ -29,13 +29,20 @@
 pub struct ServiceParts {
     /// What its pool is made from.
     pub pool_key: Arc<PoolKey>,
-    /// What can change under a pool.
+    /// The settings that can change without a new pool.
     pub runtime_settings: Arc<RuntimeSettings>,
-    /// Its servers, if the file lists them.
+    /// Its servers, if the settings list them.
     pub list: Option<Arc<Vec<ListedServer>>>,
 }
 
-/// All that a pool is made from: as long as this stays, the pool stays, with all that it has learned.
+/// One service of a prepared plan.
+pub(super) struct PlannedService<'a> {
+    pub(super) prepared: &'a PreparedPlan,
+    pub(super) model: &'a model::Service,
+    pub(super) parts: &'a ServiceParts,
+}
+
+/// All that a pool is made from: while this is the same, a reload retains the pool and its learned state.
 #[derive(PartialEq)]
 pub struct PoolKey {
     source: SourceKey,
@@ -51,10 +58,17 @@
 enum SourceKey {
     Static,
     Discovery(SocketAddr),
-    Registry(Box<(Option<model::Registry>, model::RegistrySource)>),
+    Registry(Box<RegistryKey>),
+}
+
+#[derive(PartialEq)]
+struct RegistryKey {
+    /// The registry without this node's own entry, which does not concern the pool.
+    registry: Option<model::Registry>,
+    source: model::RegistrySource,
 }
 
-/// What can change under a pool, but for its list of servers and the routes to it.
+/// The settings that can change without a new pool, except for the list of servers and the routes.
 #[derive(PartialEq)]
 pub struct RuntimeSettings {
     state: model::ServiceState,
@@ -63,10 +77,12 @@
     graphql: Option<model::Located<model::GraphQl>>,
 }
 
-/// A server of a list that somebody wrote, and since when it has been taking requests: 0 for long ago.
+/// A server of a list in the settings.
 #[derive(Clone, PartialEq)]
 pub struct ListedServer {
+    /// The server.
     pub server: model::Server,
+    /// When it started to accept requests; 0 for long ago.
     pub serving_since: Time,
 }
 
@@ -76,82 +92,112 @@
         Self::new(plan, None, 0.0)
     }
 
-    /// Prepares a plan that is to follow another.
-    pub fn replacing(plan: Plan, before: &PreparedPlan, now: Time) -> Arc<PreparedPlan> {
-        Self::new(plan, Some(before), now)
+    /// Prepares a plan that replaces another.
+    pub fn replacing(plan: Plan, previous: &PreparedPlan, now: Time) -> Arc<PreparedPlan> {
+        Self::new(plan, Some(previous), now)
     }
 
-    fn new(plan: Plan, before: Option<&PreparedPlan>, now: Time) -> Arc<PreparedPlan> {
-        let since = since(&plan.model, before.map(|before| &before.start_times), now);
-        let old = before
+    fn new(plan: Plan, previous: Option<&PreparedPlan>, now: Time) -> Arc<PreparedPlan> {
+        let previous_start_times = previous.map(|previous| &previous.start_times);
+        let start_times = start_times(&plan.model, previous_start_times, now);
+        let previous_services = previous
             .map(PreparedPlan::services_by_name)
             .unwrap_or_default();
-        let model = &plan.model;
-        let parts = |service: &model::Located<model::Service>| {
-            let old = old.get(service.name.as_str()).copied();
-            ServiceParts::of(model, service, &since, old)
-        };
-        let services = model.services.iter().map(parts).collect();
-        let accesses = model
+        let services = plan
+            .model
+            .services
+            .iter()
+            .map(|service| {
+                let previous = previous_services.get(service.name.as_str()).copied();
+                ServiceParts::new(&plan.model, service, &start_times, previous)
+            })
+            .collect();
+        let registry_access = plan
+            .model
             .registries
             .iter()
-            .map(|r| (r.name.clone(), RegistryAccess::from_settings(r)))
+            .map(|registry| {
+                let access = RegistryAccess::from_settings(registry);
+                (registry.name.clone(), access)
+            })
             .collect();
         Arc::new(PreparedPlan {
             plan,
             services,
-            registry_access: accesses,
-            start_times: since,
+            registry_access,
+            start_times,
         })
     }
 
+    /// The services, in the plan's order.
+    pub(super) fn planned_services(&self) -> impl Iterator<Item = PlannedService<'_>> {
+        self.plan
+            .model
+            .services
+            .iter()
+            .zip(&self.services)
+            .map(|(service, parts)| PlannedService {
+                prepared: self,
+                model: service,
+                parts,
+            })
+    }
+
     /// The parts of the services by the services' names.
     pub fn services_by_name(&self) -> HashMap<&str, &ServiceParts> {
-        let names = self.plan.model.services.iter().map(|s| s.name.as_str());
+        let names = self
+            .plan
+            .model
+            .services
+            .iter()
+            .map(|service| service.name.as_str());
         names.zip(&self.services).collect()
     }
 
-    /// The way to a registry.
+    /// The access to a registry.
     ///
     /// # Errors
-    /// If there is no such registry, or its proof can't be read.
-    pub fn registry_access(&self, registry: &str) -> Result<&RegistryAccess, String> {
+    /// If there is no such registry, or its digest file can't be used.
+    pub fn registry_access(&self, registry: &str) -> Result<&RegistryAccess, RegistryAccessError> {
         let access = self
             .registry_access
             .get(registry)
-            .ok_or("no such registry")?;
+            .ok_or(RegistryAccessError::UnknownRegistry)?;
         access.as_ref().map_err(Clone::clone)
     }
 }
 
 impl ServiceParts {
-    fn of(
+    fn new(
         model: &model::Model,
         service: &model::Service,
-        since: &StartTimes,
-        old: Option<&ServiceParts>,
+        start_times: &StartTimes,
+        previous: Option<&ServiceParts>,
     ) -> ServiceParts {
         let list = match &service.source {
-            model::Source::Static(list) => Some(listed_servers(list, since)),
+            model::Source::Static(list) => Some(listed_servers(list, start_times)),
             model::Source::Discovery(_) | model::Source::Registry(_) => None,
         };
-        let old_list = old.and_then(|old| old.list.as_ref());
+        let previous_list = previous.and_then(|previous| previous.list.as_ref());
         ServiceParts {
-            pool_key: kept_or_new(old.map(|old| &old.pool_key), PoolKey::of(model, service)),
-            runtime_settings: kept_or_new(
-                old.map(|old| &old.runtime_settings),
-                RuntimeSettings::of(service),
+            pool_key: share_if_equal(
+                previous.map(|previous| &previous.pool_key),
+                PoolKey::new(model, service),
+            ),
+            runtime_settings: share_if_equal(
+                previous.map(|previous| &previous.runtime_settings),
+                RuntimeSettings::new(service),
             ),
-            list: list.map(|list| kept_or_new(old_list, list)),
+            list: list.map(|list| share_if_equal(previous_list, list)),
         }
     }
 }
 
 impl PoolKey {
-    fn of(model: &model::Model, service: &model::Service) -> Self {
+    fn new(model: &model::Model, service: &model::Service) -> Self {
         let process = &model.process;
         PoolKey {
-            source: SourceKey::of(model, &service.source),
+            source: SourceKey::new(model, &service.source),
             attempt_limits: service.attempts,
             slow_start: service.slow_start,
             classes: service.classes.clone(),
@@ -163,30 +209,31 @@
 }
 
 impl SourceKey {
-    fn of(model: &model::Model, source: &model::Source) -> Self {
+    fn new(model: &model::Model, source: &model::Source) -> Self {
         match source {
             model::Source::Static(_) => SourceKey::Static,
             model::Source::Discovery(address) => SourceKey::Discovery(*address),
-            model::Source::Registry(followed) => {
-                let registry = model
-                    .registries
-                    .iter()
-                    .find(|r| r.name == followed.registry)
-                    .map(|r| {
-                        // What concerns the node's own entry alone leaves the pool as it is.
-                        model::Registry {
-                            entry: None,
-                            ..r.value.clone()
-                        }
-                    });
-                SourceKey::Registry(Box::new((registry, followed.clone())))
-            }
+            model::Source::Registry(source) => SourceKey::Registry(Box::new(RegistryKey {
+                registry: registry_without_entry(model, &source.registry),
+                source: source.clone(),
+            })),
         }
     }
 }
 
+fn registry_without_entry(model: &model::Model, name: &str) -> Option<model::Registry> {
+    let registry = model
+        .registries
+        .iter()
+        .find(|registry| registry.name == name)?;
+    Some(model::Registry {
+        entry: None,
+        ..registry.value.clone()
+    })
+}
+
 impl RuntimeSettings {
-    fn of(service: &model::Service) -> Self {
+    fn new(service: &model::Service) -> Self {
         RuntimeSettings {
             state: service.state,
             max_retry_after: service.attempts.max_retry_after,
@@ -196,40 +243,47 @@
     }
 }
 
-/// Whether two parts are the same; those of services that did not change are so at a glance.
-pub fn is_same<T: PartialEq>(a: &Arc<T>, b: &Arc<T>) -> bool {
-    Arc::ptr_eq(a, b) || a == b
+/// Whether two parts are equal; shared ones are recognized by their pointers.
+pub fn is_same<T: PartialEq>(left: &Arc<T>, right: &Arc<T>) -> bool {
+    Arc::ptr_eq(left, right) || left == right
 }
 
-/// The old part if the new one is the same, so that both plans share it.
-fn kept_or_new<T: PartialEq>(old: Option<&Arc<T>>, new: T) -> Arc<T> {
-    match old {
-        Some(old) if **old == new => old.clone(),
+/// The previous part if the new one equals it, so that both plans share it.
+fn share_if_equal<T: PartialEq>(previous: Option<&Arc<T>>, new: T) -> Arc<T> {
+    match previous {
+        Some(previous) if **previous == new => previous.clone(),
         _ => Arc::new(new),
     }
 }
 
-/// A list that is written by hand says nothing of starts. What the first plan lists counts as warm; what is added
-/// later, or takes requests again after a drain, counts as started at that moment.
-///
-/// Guards the rule on cold servers against servers that are started and written into the file. Harm: a warm
-/// server that is added gets less than its part for as long as a start takes.
-fn since(model: &model::Model, old: Option<&StartTimes>, now: Time) -> StartTimes {
-    let lists = model.services.iter().filter_map(|s| match &s.source {
-        model::Source::Static(list) => Some(list),
-        model::Source::Discovery(_) | model::Source::Registry(_) => None,
-    });
-    let up = lists.flatten().filter(|s| s.state == ServerState::Up);
-    let since = |address: &SocketAddr| old.and_then(|old| old.get(address)).copied().unwrap_or(now);
-    up.map(|s| (s.address, since(&s.address))).collect()
+/// When the servers of static lists started, which the settings do not say. Those of the first plan have long been
+/// serving; one that is added later, or accepts requests again after a drain, counts as started at that moment, since it
+/// may need a slow start.
+fn start_times(model: &model::Model, previous: Option<&StartTimes>, now: Time) -> StartTimes {
+    model
+        .services
+        .iter()
+        .filter_map(|service| match &service.source {
+            model::Source::Static(list) => Some(list),
+            model::Source::Discovery(_) | model::Source::Registry(_) => None,
+        })
+        .flatten()
+        .filter(|server| server.state == ServerState::Up)
+        .map(|server| {
+            let known = previous.and_then(|previous| previous.get(&server.address));
+            (server.address, known.copied().unwrap_or(now))
+        })
+        .collect()
 }
 
-fn listed_servers(list: &[model::Located<model::Server>], since: &StartTimes) -> Vec<ListedServer> {
-    let since = |s: &model::Server| since.get(&s.address).copied().unwrap_or(0.0);
+fn listed_servers(
+    list: &[model::Located<model::Server>],
+    start_times: &StartTimes,
+) -> Vec<ListedServer> {
     list.iter()
-        .map(|s| ListedServer {
-            server: s.value.clone(),
-            serving_since: since(s),
+        .map(|server| ListedServer {
+            server: server.value.clone(),
+            serving_since: start_times.get(&server.address).copied().unwrap_or(0.0),
         })
         .collect()
 }
--- a/crates/node/src/net/service/tests.rs
+++ b/crates/node/src/net/service/tests.rs
@@ -1,8 +1,17 @@
 //! Services at work, from settings to pools.
 
-use super::*;
+use super::prepared::{ListedServer, PreparedPlan};
+use super::routing::Retire;
+use super::{ListUpdates, Routing, Service, Services};
 use crate::net::pool::Pool;
+use crate::net::shared::Shared;
 use reelfall_config::{check, reader, Plan};
+use std::cell::RefCell;
+use std::future::Future;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use tokio::sync::watch;
 
 fn plan(text: &str) -> Plan {
     reader::toml("test", text).and_then(check).expect("a plan")
@@ -198,7 +207,7 @@
         let (_shared, services, first) = start(&text(&[a.clone(), b.clone()]));
         let list = heard(&first[0]);
         let parsed = first[0].graphql.borrow().clone().expect("settings of GraphQL");
-        let terms = first[0].terms.borrow().clone().expect("terms");
+        let settings = first[0].runtime_settings.borrow().clone().expect("settings");
         // The neighbour's routes, limits, list and classes change, and all lines move.
         let further = "[[service.route]]\nhost = \"more.example.org\"\n";
         let routed = format!("{b}{further}");
@@ -210,7 +219,7 @@
             assert!(Rc::ptr_eq(&first[0], &now[1]));
             assert!(!list.has_changed().expect("the list is told still"), "told its list anew");
             assert!(now[1].graphql.borrow().as_ref().is_some_and(|g| Rc::ptr_eq(g, &parsed)));
-            assert!(now[1].terms.borrow().as_ref().is_some_and(|t| Arc::ptr_eq(t, &terms)));
+            assert!(now[1].runtime_settings.borrow().as_ref().is_some_and(|s| Arc::ptr_eq(s, &settings)));
         }
     })
     .await;
@@ -277,7 +286,7 @@
         let follower = service("z", &[])
             .replace("[[service.class]]", "registry = { name = \"r\", path = \"/z\" }\n[[service.class]]");
         let wrong = HEAD.to_owned() + registry + &changed + &follower;
-        let fault = services.apply(prepare(&services, &wrong)).err();
+        let fault = services.apply(prepare(&services, &wrong)).err().map(|error| error.to_string());
         assert!(fault.is_some_and(|fault| fault.contains("service `z`") && fault.contains("/none")));
         assert!(services.current_plan().is_some_and(|now| Arc::ptr_eq(&now, &before)));
         assert!(!first[0].is_draining.get());
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -3,7 +3,7 @@
 use crate::net::front::{Front, Listening};
 use crate::net::management::Management;
 use crate::net::pool::{ListOrigin, Pool, PoolConfig};
-use crate::net::service::{Discovery, Routing, Service};
+use crate::net::service::{DiscoverySource, Routing, Service};
 use crate::net::shared::Shared;
 use crate::net::takeover::{HandoverSocket, Takeover};
 use crate::net::{discovery, source, ResourceLimits};
@@ -141,10 +141,10 @@
     shared.shrink(bounds, held);
     let follow = source::follow(
         &pool,
-        Discovery {
+        DiscoverySource {
             address: named,
-            known,
-            list: String::new(),
+            known_index: known,
+            list_name: String::new(),
         },
     );
     tokio::task::spawn_local(reload(shared.clone(), hangup, address));
