--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -1,94 +1,86 @@
-//! The server list: reads it, watches it, and keeps the old one while there is no newer.
+//! Follows the endpoint list of the platform's discovery service: reads it, watches it for changes, and retains the
+//! last list while the service can't be reached.
+//!
+//! [`DiscoverySource`](super::service::DiscoverySource) runs [`follow`] for a pool; the node's start applies the list
+//! that it was given with [`apply_list`].
+//!
+//! | module | responsibility |
+//! | --- | --- |
+//! | `connection` | an HTTP connection to the service |
+//! | `error` | why a watch ends or a list can't be used |
+//! | `reader` | splits a stream of bytes into lists |
+//! | `wire` | the format of lists |
+
+mod connection;
+mod error;
+mod reader;
+mod wire;
+
+pub use error::ListError;
 
 use super::pool::Pool;
-use super::READ_BUFFER_BYTES;
-use bytes::{Buf, Bytes, BytesMut};
-use http_body_util::{BodyExt, Empty};
-use hyper::body::{Frame, Incoming};
-use hyper::client::conn::http1::{Builder, SendRequest};
-use hyper::{Request, StatusCode};
-use hyper_util::rt::TokioIo;
+use connection::{next_data, Connection};
+use error::WatchError;
+use hyper::body::Incoming;
+use reader::ListReader;
 use reelfall_balancer::engine::AddressedEndpoint;
 use reelfall_balancer::interface::{ServerState, UpdateKind};
 use reelfall_balancer::settings::ListedEndpoint;
 use serde_json::Value;
 use std::cell::Cell;
-use std::fmt;
-use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::net::TcpStream;
 use tokio::sync::watch;
-use tokio::time::{timeout_at, Instant};
+use tokio::time::Instant;
+use wire::{parse_endpoint, watch_path, ListUpdate, ParsedEndpoint, LIST_PATH};
 
-// What discovery has counts as told 6 s after it had it and could be reached, whatever failed before. The longest that
-// news can take, each part bounded by a constant here or by the module's backoff:
+// A node has to know what the discovery service knows at most 6 s after the service can be reached again. The longest
+// delay, of which each part is limited by a constant here or by the balancer's backoff:
 //
-// | lists that are pushed | s | lists that are asked for | s |
+// | pushed lists | s | polled lists | s |
 // | --- | --- | --- | --- |
-// | a watch falls silent: `SILENT` | 2.5 | the same | 2.5 |
-// | a connection that comes up and says nothing: `OPENS` | 1.5 | the module's first backoff, 1 s at most | 1.0 |
-// | another one that does, the next at once | 1.5 | an answer in its turn | 2.0 |
+// | a watch falls silent: `SILENCE_TIMEOUT` | 2.5 | the same | 2.5 |
+// | a connection opens and stays silent: `OPEN_TIMEOUT` | 1.5 | the balancer's first backoff, at most | 1.0 |
+// | another connection does so, opened at once | 1.5 | a response to a queued request | 2.0 |
 // | sum | 5.5 | sum | 5.5 |
 //
-// Where a call hangs as discovery comes back: `OPENS_ASKED` 3 s, the module's longest backoff 2 s, a call that is
-// answered within 1 s. After a new address: 1.5 + 1.5 s, of the 4 s that count there.
+// A poll that hangs when the service comes back: `POLL_OPEN_TIMEOUT` 3 s, the balancer's longest backoff 2 s, and a
+// response within 1 s. After a change of the address: 1.5 s + 1.5 s.
 //
-// Where lists are pushed, what the agent hears when discovery is back counts at once, with no more than the grace for
-// drains to hear of it. So nothing rests in between while it is silent: a connection waits there all the time but for
-// `CONNECTS`, and what has waited in vain begins anew at once. Who refuses calls is called less and less.
+// With pushed lists there is no backoff after a timeout, so that a connection waits at a silent service nearly all the
+// time; only connections that are refused are retried with a growing backoff.
 
-/// A watch says something every 2 s; one that has said nothing whole for this long is broken.
-const SILENT: Duration = Duration::from_millis(2500);
-/// From the connect to the first whole list, or the first sign of life, of a service that answers at once.
-const OPENS: Duration = Duration::from_millis(1500);
-/// Of that, for the connect to the agent on this machine: one that is held up is not worth waiting for.
-const CONNECTS: Duration = Duration::from_millis(150);
-/// What `OPENS` is where calls wait in turn: the service gives up on those that wait for 2 s.
-const OPENS_ASKED: Duration = Duration::from_secs(3);
-/// Backoff from the beginning of one watch to that of the next: the first, and the longest while calls are refused.
-const BACKOFF: Duration = Duration::from_millis(50);
-const BACKOFF_MOST: Duration = Duration::from_millis(800);
-/// Longest change of a watch, and the longest whole list, in bytes.
-const LIST_MOST: usize = 4 << 20;
+/// A watch receives something every 2 s; one that has received nothing complete for this long is broken.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// From the start of the connect to the first complete list or other sign of life, for pushed lists.
+const OPEN_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The part of [`OPEN_TIMEOUT`] for the connect itself, which is to an agent on the same machine.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// Like [`OPEN_TIMEOUT`], for polled lists: the service queues requests and rejects those that have waited for 2 s.
+const POLL_OPEN_TIMEOUT: Duration = Duration::from_secs(3);
+/// The first backoff, from the start of one watch to the start of the next.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// The longest backoff while connections are refused.
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// Applies a list or a change of it and returns its index.
+/// Applies a list or a change of one to a pool, and returns its index. `is_cached`: the list is known from before, and
+/// may be outdated. Endpoints that can't be used are skipped.
 ///
 /// # Errors
-/// Says why it is not one. An entry that cannot be used is passed over: the others still count.
-pub fn apply_list(pool: &Rc<Pool>, list: &Value, cached: bool) -> Result<u64, String> {
-    let lines = list
-        .get("endpoints")
-        .and_then(Value::as_array)
-        .ok_or("a list without `endpoints`")?;
-    let index = list
-        .get("index")
-        .and_then(Value::as_u64)
-        .ok_or("a list without `index`")?;
-    let whole = list
-        .get("snapshot")
-        .and_then(Value::as_bool)
-        .unwrap_or(false);
-    let kind = match (cached, whole) {
-        (true, _) => UpdateKind::Cached,
-        (false, true) => UpdateKind::Snapshot,
-        (false, false) => UpdateKind::Delta,
-    };
-    let mut places = Vec::with_capacity(lines.len());
+/// If it has no endpoints or no index.
+pub fn apply_list(pool: &Rc<Pool>, list: &Value, is_cached: bool) -> Result<u64, ListError> {
+    let update = ListUpdate::parse(list)?;
+    let index = update.index;
+    let mut endpoints = Vec::with_capacity(update.endpoints.len());
     let mut unusable = 0;
-    for line in lines {
-        match read(line) {
-            // A server that left without ever being heard of needs no number.
-            Some((listed, _))
-                if listed.state == ServerState::Removed
-                    && pool.names.borrow().servers.get(listed.name).is_none() => {}
-            Some((listed, address)) => {
-                places.push(AddressedEndpoint {
-                    endpoint: pool.names.borrow_mut().endpoint(&listed),
-                    address,
-                });
-            }
+    for endpoint in update.endpoints {
+        match parse_endpoint(endpoint) {
+            Some(parsed) if is_unknown_removal(pool, &parsed.listed) => {}
+            Some(ParsedEndpoint { listed, address }) => endpoints.push(AddressedEndpoint {
+                endpoint: pool.names.borrow_mut().endpoint(&listed),
+                address,
+            }),
             None => unusable += 1,
         }
     }
@@ -97,321 +89,179 @@
             "{unusable} entries of list {index} can't be used"
         ));
     }
-    pool.update_endpoints(kind, places);
+    pool.update_endpoints(update.kind(is_cached), endpoints);
     Ok(index)
 }
 
-/// Reads a line of the list.
-fn read(line: &Value) -> Option<(ListedEndpoint<'_>, SocketAddr)> {
-    let text = |name: &str| line.get(name).and_then(Value::as_str);
-    let address: SocketAddr = text("address")?.parse().ok()?;
-    let listed = ListedEndpoint {
-        name: text("name")?,
-        zone: text("zone"),
-        machine_type: text("type"),
-        cell: line
-            .get("group")
-            .and_then(Value::as_u64)
-            .map_or(0, |g| g as u32),
-        state: match text("status") {
-            Some("active") => ServerState::Up,
-            Some("left") => ServerState::Removed,
-            // A word that is not known here is not leave to send.
-            _ => ServerState::Draining,
-        },
-        weight: line.get("weight").and_then(Value::as_f64),
-        started_at: line
-            .get("since_ms")
-            .and_then(Value::as_f64)
-            .map(|ms| ms / 1e3),
-    };
-    Some((listed, address))
-}
-
-/// A pool follows a list for as long as this is kept.
-struct Following {
-    pool: Rc<Pool>,
-    name: String,
-}
-
-impl Drop for Following {
-    fn drop(&mut self) {
-        if let Some(observer) = self.pool.shared.fleet_observer() {
-            observer.list_dropped(&self.name, self.pool.id);
-        }
-    }
+/// Whether a server was removed that the pool has never known, and that needs no id therefore.
+fn is_unknown_removal(pool: &Pool, listed: &ListedEndpoint) -> bool {
+    listed.state == ServerState::Removed && pool.names.borrow().servers.get(listed.name).is_none()
 }
 
-/// Keeps a watch open for the life of the node, at whatever address the configuration names last.
-///
-/// A new address is turned to at once: the old one closes soon, and what the new one has to tell counts as told
-/// within seconds. What it calls a version need not be what the old one called so, hence the whole list is asked
-/// for first; that also heals any other change of the service behind an address. Harm: one list more a switch.
+/// Follows the list for as long as it is polled, at the latest of the service's addresses. `known_index` is the index of
+/// the list that the pool has already.
 pub async fn follow(
     pool: Rc<Pool>,
     mut address: watch::Receiver<SocketAddr>,
-    known: u64,
-    name: String,
+    known_index: u64,
+    list_name: String,
 ) {
-    let _following = Following {
+    let follower = ListFollower {
         pool: pool.clone(),
-        name: name.clone(),
+        list_name,
+        index: Cell::new(Some(known_index)),
     };
-    let index = Cell::new(Some(known));
-    let mut backoff = BACKOFF;
+    let mut backoff = MIN_BACKOFF;
     loop {
         if !pool.uses_push_discovery() {
             pool.poll_requested.notified().await;
         }
-        let at = *address.borrow_and_update();
-        let (before, began) = (index.get(), Instant::now());
-        let ended = tokio::select! {
-            ended = watch(&pool, at, &index, &name) => ended,
+        let current_address = *address.borrow_and_update();
+        let index_before = follower.index.get();
+        let started = Instant::now();
+        let result = tokio::select! {
+            result = follower.watch(current_address) => result,
             Ok(()) = address.changed() => {
-                index.set(None);
-                backoff = BACKOFF;
-                // Where lists are asked for, the module's leave for the old address holds for the new one.
+                // The old address closes soon, and the new one may count its lists differently.
+                follower.request_snapshot();
+                backoff = MIN_BACKOFF;
+                // The balancer's request to poll the old address holds for the new one.
                 pool.poll_requested.notify_one();
                 continue;
             }
         };
-        if let Err(fault) = &ended {
+        if let Err(error) = &result {
             pool.shared
                 .log
-                .write_line(format_args!("discovery: {fault}"));
+                .write_line(format_args!("discovery: {error}"));
         }
         if !pool.uses_push_discovery() {
-            // The module says when to ask again.
+            // The balancer decides when to poll again.
             pool.update_endpoints(UpdateKind::Failed, Vec::new());
             continue;
         }
-        let refused = index.get() == before && !matches!(ended, Err(Fault::Silent));
-        backoff = if refused {
-            (backoff * 2).min(BACKOFF_MOST)
-        } else {
-            BACKOFF
-        };
-        // Watches end for many nodes at once: they must not come back in step.
-        let rest =
-            tokio::time::sleep_until(began + backoff.mul_f64(0.5 + pool.rng.next_fraction()));
+        let was_refused =
+            follower.index.get() == index_before && !matches!(result, Err(WatchError::TimedOut));
+        backoff = next_backoff(backoff, was_refused);
+        // Jittered, since watches of many nodes end at the same time.
+        let retry_at = started + backoff.mul_f64(0.5 + pool.rng.next_fraction());
         tokio::select! {
-            () = rest => {}
+            () = tokio::time::sleep_until(retry_at) => {}
             Ok(()) = address.changed() => {
-                index.set(None);
-                backoff = BACKOFF;
+                follower.request_snapshot();
+                backoff = MIN_BACKOFF;
             }
         }
     }
 }
 
-/// Why a watch has ended.
-enum Fault {
-    /// Nothing came in time.
-    Silent,
-    /// What came, or its end.
-    Said(String),
-}
-
-impl From<String> for Fault {
-    fn from(said: String) -> Self {
-        Fault::Said(said)
+fn next_backoff(backoff: Duration, was_refused: bool) -> Duration {
+    if was_refused {
+        (backoff * 2).min(MAX_BACKOFF)
+    } else {
+        MIN_BACKOFF
     }
 }
 
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            Fault::Silent => f.write_str("nothing comes"),
-            Fault::Said(said) => f.write_str(said),
-        }
-    }
+/// Follows a list on behalf of a pool; the fleet's observer is notified when this is dropped.
+struct ListFollower {
+    pool: Rc<Pool>,
+    list_name: String,
+    /// The index of the last list; `None` if a snapshot has to be requested.
+    index: Cell<Option<u64>>,
 }
 
-async fn watch(
-    pool: &Rc<Pool>,
-    address: SocketAddr,
-    index: &Cell<Option<u64>>,
-    name: &str,
-) -> Result<(), Fault> {
-    let apply_list = |list: &Value| {
-        // What can't be used is not asked for again in the same way, for ever: the whole list heals it.
-        let new = apply_list(pool, list, false).inspect_err(|_| index.set(None))?;
-        index.set(Some(new));
-        if let Some(observer) = pool.shared.fleet_observer() {
-            observer.list_updated(name, pool.id, new);
-        }
-        Ok::<u64, String>(new)
-    };
-    // One deadline governs all that comes before the first word: parts that each take their time add up.
-    let (now, pushed) = (Instant::now(), pool.uses_push_discovery());
-    let opens = now + if pushed { OPENS } else { OPENS_ASKED };
-    let connects = if pushed { now + CONNECTS } else { opens };
-    let stream = by(connects, TcpStream::connect(address)).await?;
-    let handshake = Builder::new()
-        .max_buf_size(READ_BUFFER_BYTES)
-        .handshake(TokioIo::new(stream));
-    let (mut send, connection) = by(opens, handshake).await?;
-    let task = tokio::task::spawn_local(async move {
-        let _ = connection.await;
-    });
-    let _end = AbortOnDrop(task.abort_handle());
-    let after = match index.get() {
-        Some(after) => after,
-        None => {
-            let mut body = ask(&mut send, address, "/catalog/members", opens).await?;
-            let mut lists = Lists::default();
-            while let Some(data) = next(&mut body, opens).await? {
-                lists.push(&data)?;
-            }
-            let after = apply_list(
-                &lists
-                    .next()?
-                    .ok_or_else(|| "a list that is none".to_owned())?,
-            )?;
-            by(opens, send.ready()).await?;
-            after
-        }
-    };
-    let mut body = ask(
-        &mut send,
-        address,
-        &format!("/catalog/members?watch=1&after={after}"),
-        opens,
-    )
-    .await?;
-    let mut lists = Lists::default();
-    let mut until = opens;
-    // What the connection's end cut off stays in `lists` and is never taken for a whole one.
-    while let Some(data) = next(&mut body, until).await? {
-        lists.push(&data).inspect_err(|_| index.set(None))?;
-        while let Some(list) = lists.next().inspect_err(|_| index.set(None))? {
-            apply_list(&list)?;
-            until = Instant::now() + SILENT;
-        }
-        // An empty line tells that nothing has changed; half a change, however often more of it comes, tells nothing.
-        if lists.is_empty() {
-            until = Instant::now() + SILENT;
+impl Drop for ListFollower {
+    fn drop(&mut self) {
+        if let Some(observer) = self.pool.shared.fleet_observer() {
+            observer.list_dropped(&self.list_name, self.pool.id);
         }
     }
-    Ok(())
-}
-
-/// What comes of it in time.
-async fn by<T, E: std::fmt::Display>(
-    until: Instant,
-    of: impl Future<Output = Result<T, E>>,
-) -> Result<T, Fault> {
-    timeout_at(until, of)
-        .await
-        .map_err(|_| Fault::Silent)?
-        .map_err(|e| Fault::Said(e.to_string()))
 }
 
-/// The next piece of a body; `None` at its end.
-async fn next(body: &mut Incoming, until: Instant) -> Result<Option<Bytes>, Fault> {
-    loop {
-        let frame = timeout_at(until, body.frame())
-            .await
-            .map_err(|_| Fault::Silent)?;
-        match frame
-            .transpose()
-            .map_err(|e| e.to_string())?
-            .map(Frame::into_data)
-        {
-            None => return Ok(None),
-            Some(Ok(data)) => return Ok(Some(data)),
-            // Trailers tell nothing.
-            Some(Err(_)) => {}
-        }
+impl ListFollower {
+    /// Has the next watch begin with a snapshot, since changes can't be applied any more.
+    fn request_snapshot(&self) {
+        self.index.set(None);
     }
-}
 
-/// Lists one behind the other as they come: JSON objects, on a line each or indented, cut anywhere.
-///
-/// Guards against a service that writes for people, and against one that writes what is no list, or without end. Harm: a
-/// list of more than `LIST_MOST` bytes can't be followed.
-#[derive(Default)]
-pub struct Lists {
-    held: BytesMut,
-    /// How much was here when half a list was last read in vain.
-    vain: usize,
-}
+    /// Watches the list until the connection ends.
+    async fn watch(&self, address: SocketAddr) -> Result<(), WatchError> {
+        // One deadline for all steps until the first data, since timeouts of single steps would add up.
+        let now = Instant::now();
+        let is_pushed = self.pool.uses_push_discovery();
+        let open_timeout = if is_pushed {
+            OPEN_TIMEOUT
+        } else {
+            POLL_OPEN_TIMEOUT
+        };
+        let open_deadline = now + open_timeout;
+        let connect_deadline = if is_pushed {
+            now + CONNECT_TIMEOUT
+        } else {
+            open_deadline
+        };
+        let mut connection = Connection::open(address, connect_deadline, open_deadline).await?;
+        let index = match self.index.get() {
+            Some(index) => index,
+            None => self.fetch_snapshot(&mut connection, open_deadline).await?,
+        };
+        let body = connection.get(&watch_path(index), open_deadline).await?;
+        self.apply_changes(body, open_deadline).await
+    }
 
-impl Lists {
-    /// Takes what has come.
-    ///
-    /// # Errors
-    /// If it is too much for a list, or can begin none.
-    pub fn push(&mut self, data: &[u8]) -> Result<(), String> {
-        self.held.extend_from_slice(data);
-        self.skip();
-        match self.held.first() {
-            Some(b) if *b != b'{' => Err("what comes is no list".to_owned()),
-            _ if self.held.len() > LIST_MOST => Err("a list without end".to_owned()),
-            _ => Ok(()),
+    /// Requests and applies the complete list, and returns its index.
+    async fn fetch_snapshot(
+        &self,
+        connection: &mut Connection,
+        deadline: Instant,
+    ) -> Result<u64, WatchError> {
+        let mut body = connection.get(LIST_PATH, deadline).await?;
+        let mut reader = ListReader::default();
+        while let Some(data) = next_data(&mut body, deadline).await? {
+            reader.push(&data)?;
         }
+        let list = reader.next_list()?.ok_or(ListError::Incomplete)?;
+        let index = self.apply(&list)?;
+        connection.ready(deadline).await?;
+        Ok(index)
     }
 
-    /// The next list that is whole.
-    ///
-    /// # Errors
-    /// If what is here can become none.
-    pub fn next(&mut self) -> Result<Option<Value>, String> {
-        // One that comes in many pieces is not read anew with each: when it may have ended, or half as much more is here.
-        let ends = self.held.trim_ascii_end().last() == Some(&b'}');
-        if self.held.is_empty() || (!ends && 2 * self.held.len() < 3 * self.vain) {
-            return Ok(None);
-        }
-        let mut values = serde_json::Deserializer::from_slice(&self.held).into_iter::<Value>();
-        let (value, end) = (values.next(), values.byte_offset());
-        match value {
-            Some(Ok(value)) => {
-                self.held.advance(end);
-                self.vain = 0;
-                self.skip();
-                Ok(Some(value))
+    /// Applies the changes in the body of a watch until it ends. A change that is incomplete at the end is dropped.
+    async fn apply_changes(
+        &self,
+        mut body: Incoming,
+        open_deadline: Instant,
+    ) -> Result<(), WatchError> {
+        let mut reader = ListReader::default();
+        let mut deadline = open_deadline;
+        while let Some(data) = next_data(&mut body, deadline).await? {
+            reader
+                .push(&data)
+                .inspect_err(|_| self.request_snapshot())?;
+            while let Some(list) = reader
+                .next_list()
+                .inspect_err(|_| self.request_snapshot())?
+            {
+                self.apply(&list)?;
+                deadline = Instant::now() + SILENCE_TIMEOUT;
             }
-            Some(Err(e)) if !e.is_eof() => Err(format!("what comes is no list: {e}")),
-            _ => {
-                self.vain = self.held.len();
-                Ok(None)
+            // An empty line is a sign of life; a part of a change is none, even if more of it is received.
+            if reader.is_empty() {
+                deadline = Instant::now() + SILENCE_TIMEOUT;
             }
         }
+        Ok(())
     }
 
-    /// Whether nothing of a list is here.
-    pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
-    }
-
-    fn skip(&mut self) {
-        let blank = self.held.len() - self.held.trim_ascii_start().len();
-        self.held.advance(blank);
-    }
-}
-
-/// Asks for `path`; the body of an answer 200 is all that is of use.
-async fn ask(
-    send: &mut SendRequest<Empty<Bytes>>,
-    address: SocketAddr,
-    path: &str,
-    until: Instant,
-) -> Result<Incoming, Fault> {
-    let request = Request::get(path)
-        .header("host", address.to_string())
-        .body(Empty::new());
-    let request = request.map_err(|e| e.to_string())?;
-    let answer = by(until, send.send_request(request)).await?;
-    if answer.status() != StatusCode::OK {
-        return Err(Fault::Said(format!("answered {}", answer.status())));
-    }
-    Ok(answer.into_body())
-}
-
-struct AbortOnDrop(tokio::task::AbortHandle);
-
-impl Drop for AbortOnDrop {
-    fn drop(&mut self) {
-        self.0.abort();
+    /// Applies a list or a change of one, and returns its index. If it can't be used, a snapshot is requested next,
+    /// rather than the same change again.
+    fn apply(&self, list: &Value) -> Result<u64, ListError> {
+        let index = apply_list(&self.pool, list, false).inspect_err(|_| self.request_snapshot())?;
+        self.index.set(Some(index));
+        if let Some(observer) = self.pool.shared.fleet_observer() {
+            observer.list_updated(&self.list_name, self.pool.id, index);
+        }
+        Ok(index)
     }
 }
--- a/crates/node/src/net/source.rs
+++ b/crates/node/src/net/source.rs
@@ -1,4 +1,4 @@
-//! Where a pool's servers come from: what every source does, whatever it follows.
+//! The sources of endpoint lists: what all of them have in common. Services follow one source each.
 
 use super::pool::Pool;
 use super::task::AbortOnDrop;
@@ -6,41 +6,43 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A node that knows servers from before waits this long for newer news before it serves.
-const NEWS_WITHIN: Duration = Duration::from_secs(1);
+/// How long a pool that knows servers from before waits for a newer list before it serves.
+const NEWER_LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Where a pool hears of its servers. Each source is a task that tells the pool through [`Pool::members`].
+/// A source of endpoint lists, which delivers them to [`Pool::update_endpoints`].
 pub trait Source {
-    /// Tells the pool of its servers for as long as it is polled.
+    /// Delivers lists to the pool for as long as the future is polled.
     fn follow(self, pool: Rc<Pool>) -> impl Future<Output = ()> + 'static;
 }
 
-/// Starts to follow a source; the pool is ready when the first list has come. An old one serves too, if no newer
-/// comes.
+/// Starts a task that follows a source. The pool becomes ready with the first list, or, if it knows servers from before,
+/// after [`NEWER_LIST_TIMEOUT`] at the latest.
 pub fn follow(pool: &Rc<Pool>, source: impl Source) -> AbortOnDrop {
-    let ready = pool.clone();
+    let waiting_pool = pool.clone();
     let follow = source.follow(pool.clone());
     let task = tokio::task::spawn_local(async move {
         let mut follow = std::pin::pin!(follow);
-        let wait = async {
-            if ready.is_ready.get() {
-                return std::future::pending().await;
-            }
-            let news = ready.list_received.notified();
-            if ready.has_servers() {
-                let _ = tokio::time::timeout(NEWS_WITHIN, news).await;
-            } else {
-                news.await;
-            }
-            ready.is_ready.set(true);
-            std::future::pending::<()>().await;
-        };
         // The wait is polled first, so that no list is missed.
         tokio::select! {
             biased;
-            () = wait => {}
+            () = become_ready(waiting_pool) => {}
             () = follow.as_mut() => {}
         }
     });
     AbortOnDrop(task.abort_handle())
 }
+
+/// Sets the pool ready when its first list was received; never returns.
+async fn become_ready(pool: Rc<Pool>) {
+    if pool.is_ready.get() {
+        return std::future::pending().await;
+    }
+    let list_received = pool.list_received.notified();
+    if pool.has_servers() {
+        let _ = tokio::time::timeout(NEWER_LIST_TIMEOUT, list_received).await;
+    } else {
+        list_received.await;
+    }
+    pool.is_ready.set(true);
+    std::future::pending().await
+}
