--- a/crates/node/src/net/registry/driver.rs
+++ b/crates/node/src/net/registry/driver.rs
@@ -1,4 +1,6 @@
-//! A session with a registry over its socket: connects, sends, reads and waits as the session wants.
+//! Runs a session with a registry over its socket: connects, sends, reads and waits as the session requires.
+//!
+//! The two users of sessions are [`following`](super::following) and [`own_entry`](super::own_entry).
 
 use super::RegistryAccess;
 use crate::net::shared::Clock;
@@ -14,22 +16,26 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Maximum number of bytes of one read.
-const READ_LEN: usize = 64 << 10;
+/// Maximum size of one read, in bytes.
+const MAX_READ_BYTES: usize = 64 << 10;
+/// How long the registry has to receive what a closing session sends.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
+/// The longest wait, in seconds, when no deadline is set.
+const MAX_WAIT: Time = 3600.0;
 
-/// What uses a session.
+/// The user of a session.
 pub(super) trait SessionUser {
     /// Handles an event of the session.
     fn handle_event(&mut self, now: Time, session: &Session, event: &Event);
-    /// The next request, with the token that its answer has.
+    /// The next request, with the token that its response will have.
     fn next_request(&mut self) -> Option<(u64, Op)>;
-    /// Time has passed, and the session may have been heard.
+    /// Periodic work; the session may have received something.
     fn tick(&mut self, now: Time, session: &Session);
-    /// When `tick` has something to do.
+    /// When `tick` has work to do.
     fn deadline(&self) -> Time;
-    /// All events so far have been handled.
+    /// Called when all events so far have been handled.
     fn events_handled(&mut self, now: Time);
-    /// The session ends here, by its own wish.
+    /// Whether the user wants the session closed.
     fn is_done(&self) -> bool;
 }
 
@@ -39,56 +45,58 @@
 enum Connection {
     Closed,
     Connecting(Connecting),
-    Up(TcpStream),
+    Open(TcpStream),
 }
 
-/// What woke the driver.
+/// What the driver was woken by.
 enum Wakeup {
     Connected(io::Result<TcpStream>),
     Read(io::Result<usize>),
     Writable,
-    Other,
+    DeadlineOrChange,
 }
 
-pub(super) struct Driver<P> {
+/// A session with its user and its socket.
+pub(super) struct Driver<U> {
     session: Session,
-    user: P,
+    user: U,
     clock: Clock,
     connection: Connection,
-    out: BytesMut,
-    read: BytesMut,
+    write_buffer: BytesMut,
+    read_buffer: BytesMut,
 }
 
-impl<P: SessionUser> Driver<P> {
-    pub(super) fn new(access: &RegistryAccess, user: P, clock: Clock) -> Self {
+impl<U: SessionUser> Driver<U> {
+    /// A driver of a new session.
+    pub(super) fn new(access: &RegistryAccess, user: U, clock: Clock) -> Self {
         let session = access.session(clock.now());
         Driver {
             session,
             user,
             clock,
             connection: Connection::Closed,
-            out: BytesMut::new(),
-            read: BytesMut::with_capacity(READ_LEN),
+            write_buffer: BytesMut::new(),
+            read_buffer: BytesMut::with_capacity(MAX_READ_BYTES),
         }
     }
 
-    /// Runs until the user of the session is done; `changed` wakes it when there may be something new for it to do.
+    /// Runs until the user of the session is done. `changed` wakes the driver when the user may have new requests.
     pub(super) async fn run(mut self, changed: &Notify) {
         loop {
             self.step();
             if self.user.is_done() {
                 self.session.close(self.clock.now());
                 self.step();
-                // The registry drops what ends with the session when this is read; a moment, and no more.
-                let _ = tokio::time::timeout(Duration::from_millis(200), self.flush()).await;
+                // The registry removes the session's entries as soon as it reads that the session is closed.
+                let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.flush()).await;
                 return;
             }
-            let woken = self.wait(changed).await;
+            let wakeup = self.wait(changed).await;
             let now = self.clock.now();
-            match woken {
+            match wakeup {
                 Wakeup::Connected(Ok(stream)) => {
                     let _ = stream.set_nodelay(true);
-                    self.connection = Connection::Up(stream);
+                    self.connection = Connection::Open(stream);
                     self.session.handle_connected(now);
                 }
                 Wakeup::Connected(Err(_)) | Wakeup::Read(Ok(0) | Err(_)) => {
@@ -96,16 +104,16 @@
                     self.session.handle_disconnected(now);
                 }
                 Wakeup::Read(Ok(_)) => {
-                    let bytes = self.read.split();
+                    let bytes = self.read_buffer.split();
                     self.session.handle_bytes(now, &bytes);
                 }
                 Wakeup::Writable => self.write(),
-                Wakeup::Other => {}
+                Wakeup::DeadlineOrChange => {}
             }
         }
     }
 
-    /// Handles all that has happened and starts all that is to be done.
+    /// Handles all events and carries out all commands of the session.
     fn step(&mut self) {
         let now = self.clock.now();
         self.session.tick(now);
@@ -127,11 +135,11 @@
                 Command::Connect(address) => {
                     self.connection = Connection::Connecting(Box::pin(TcpStream::connect(address)))
                 }
-                Command::Send(bytes) => self.out.extend_from_slice(&bytes),
+                Command::Send(bytes) => self.write_buffer.extend_from_slice(&bytes),
                 Command::Close => {
                     self.connection = Connection::Closed;
-                    self.out.clear();
-                    self.read.clear();
+                    self.write_buffer.clear();
+                    self.read_buffer.clear();
                 }
             }
         }
@@ -140,21 +148,21 @@
     }
 
     fn write(&mut self) {
-        let Connection::Up(stream) = &self.connection else {
+        let Connection::Open(stream) = &self.connection else {
             return;
         };
-        while !self.out.is_empty() {
-            match stream.try_write(&self.out) {
-                Ok(n) => self.out.advance(n),
-                // What broke shows when it is read.
+        while !self.write_buffer.is_empty() {
+            match stream.try_write(&self.write_buffer) {
+                Ok(written) => self.write_buffer.advance(written),
+                // A broken connection is noticed when it is read from.
                 Err(_) => return,
             }
         }
     }
 
     async fn flush(&mut self) {
-        while !self.out.is_empty() {
-            let Connection::Up(stream) = &self.connection else {
+        while !self.write_buffer.is_empty() {
+            let Connection::Open(stream) = &self.connection else {
                 return;
             };
             if stream.writable().await.is_err() {
@@ -165,35 +173,35 @@
     }
 
     async fn wait(&mut self, changed: &Notify) -> Wakeup {
-        let until = self
+        let deadline = self
             .session
             .deadline()
             .unwrap_or(f64::MAX)
             .min(self.user.deadline());
-        // Without anything due, an hour is as good as any time.
-        let rest = Duration::from_secs_f64((until - self.clock.now()).clamp(0.0, 3600.0));
-        let sleep = tokio::time::sleep_until((Instant::now() + rest).into());
+        let seconds_left = (deadline - self.clock.now()).clamp(0.0, MAX_WAIT);
+        let wake_at = Instant::now() + Duration::from_secs_f64(seconds_left);
+        let sleep = tokio::time::sleep_until(wake_at.into());
         match &mut self.connection {
             Connection::Closed => tokio::select! {
-                () = sleep => Wakeup::Other,
-                () = changed.notified() => Wakeup::Other,
+                () = sleep => Wakeup::DeadlineOrChange,
+                () = changed.notified() => Wakeup::DeadlineOrChange,
             },
             Connection::Connecting(connecting) => tokio::select! {
                 connected = connecting.as_mut() => Wakeup::Connected(connected),
-                () = sleep => Wakeup::Other,
-                () = changed.notified() => Wakeup::Other,
+                () = sleep => Wakeup::DeadlineOrChange,
+                () = changed.notified() => Wakeup::DeadlineOrChange,
             },
-            Connection::Up(stream) => {
-                self.read.reserve(READ_LEN);
-                let (mut from, to) = stream.split();
-                let writes = !self.out.is_empty();
-                // News first: what a timer would do can wait for it.
+            Connection::Open(stream) => {
+                self.read_buffer.reserve(MAX_READ_BYTES);
+                let (mut reader, writer) = stream.split();
+                let has_output = !self.write_buffer.is_empty();
+                // Data is read before a timer acts, since it may make the timer obsolete.
                 tokio::select! {
                     biased;
-                    read = from.read_buf(&mut self.read) => Wakeup::Read(read),
-                    _ = to.writable(), if writes => Wakeup::Writable,
-                    () = changed.notified() => Wakeup::Other,
-                    () = sleep => Wakeup::Other,
+                    read = reader.read_buf(&mut self.read_buffer) => Wakeup::Read(read),
+                    _ = writer.writable(), if has_output => Wakeup::Writable,
+                    () = changed.notified() => Wakeup::DeadlineOrChange,
+                    () = sleep => Wakeup::DeadlineOrChange,
                 }
             }
         }
--- a/crates/node/src/net/registry/following.rs
+++ b/crates/node/src/net/registry/following.rs
@@ -1,4 +1,4 @@
-//! A pool that follows the entries under a path of a registry.
+//! A pool that follows the entries under a path of a registry. Services with a registry as their source start it.
 
 use super::driver::{Driver, SessionUser};
 use super::RegistryAccess;
@@ -18,50 +18,61 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Entries under a path of a registry.
+/// The entries under a path of a registry, as the source of a pool's endpoint list.
 pub struct RegistrySource {
+    /// The access to the registry.
     pub access: RegistryAccess,
+    /// The path.
     pub path: String,
+    /// The limits of the list.
     pub limits: Limits,
-    /// Servers that are taken to be there until the registry has been heard.
+    /// Servers that are assumed to be listed until the registry has been read.
     pub initial_servers: Vec<model::Located<model::Server>>,
 }
 
 impl Source for RegistrySource {
     fn follow(self, pool: Rc<Pool>) -> impl Future<Output = ()> + 'static {
         if !self.initial_servers.is_empty() {
-            // Nobody knows when they started: whoever wrote them down knew them for some time.
-            let entry =
-                |server: &model::Located<model::Server>| pool.configured_endpoint(server, 0.0);
-            let places = self.initial_servers.iter().map(entry).collect();
-            pool.update_endpoints(UpdateKind::Cached, places);
+            // Their starts are unknown; servers in the settings have been running for some time.
+            let endpoints = self
+                .initial_servers
+                .iter()
+                .map(|server| pool.configured_endpoint(server, 0.0))
+                .collect();
+            pool.update_endpoints(UpdateKind::Cached, endpoints);
         }
         let clock = pool.shared.clock;
         let follower = Follower::new(&self.path, self.limits, clock.now());
-        let user = Following {
+        let user = RegistryFollower {
             pool,
             path: self.path,
             follower,
-            has_listed: false,
-            refused: false,
+            has_list: false,
+            rejects_servers: false,
         };
         let driver = Driver::new(&self.access, user, clock);
         async move { driver.run(&Notify::new()).await }
     }
 }
 
-struct Following {
+struct RegistryFollower {
     pool: Rc<Pool>,
     path: String,
     follower: Follower,
-    /// The pool has had a whole list.
-    has_listed: bool,
-    /// It has been told that nothing counts, since the list is stale.
-    refused: bool,
+    /// Whether the pool has received a complete list.
+    has_list: bool,
+    /// Whether all servers are drained, since the list is stale.
+    rejects_servers: bool,
 }
 
-impl Following {
-    fn place(&self, entry: &Entry, state: ServerState) -> AddressedEndpoint<SocketAddr> {
+impl RegistryFollower {
+    /// The endpoint of an entry. All drain while the list is stale.
+    fn endpoint(&self, entry: &Entry) -> AddressedEndpoint<SocketAddr> {
+        let state = if entry.draining || self.rejects_servers {
+            ServerState::Draining
+        } else {
+            ServerState::Up
+        };
         let listed = ListedEndpoint {
             name: &entry.name,
             zone: entry.zone.as_deref(),
@@ -77,54 +88,39 @@
         }
     }
 
-    /// A server as its entry has it, unless nothing counts.
-    fn listed(&self, entry: &Entry) -> AddressedEndpoint<SocketAddr> {
-        let drains = entry.draining || self.refused;
-        self.place(
-            entry,
-            if drains {
-                ServerState::Draining
-            } else {
-                ServerState::Up
-            },
-        )
-    }
-
-    fn full_list(&self) -> Vec<AddressedEndpoint<SocketAddr>> {
+    fn all_endpoints(&self) -> Vec<AddressedEndpoint<SocketAddr>> {
         self.follower
             .roster()
             .servers()
-            .map(|entry| self.listed(entry))
+            .map(|entry| self.endpoint(entry))
             .collect()
     }
 
-    /// News of one server. Who has gone and was never told of needs no word.
-    fn changed_server(&self, change: &Change) -> Option<AddressedEndpoint<SocketAddr>> {
+    /// The endpoint of a changed entry; `None` for a removed server that the pool does not know.
+    fn changed_endpoint(&self, change: &Change) -> Option<AddressedEndpoint<SocketAddr>> {
         match change {
-            Change::Listed(entry) => Some(self.listed(entry)),
-            Change::Removed(name) => {
-                self.pool.names.borrow().servers.get(name)?;
-                let gone = ListedEndpoint {
-                    name,
-                    zone: None,
-                    machine_type: None,
-                    cell: 0,
-                    state: ServerState::Removed,
-                    weight: None,
-                    started_at: None,
-                };
-                let entry = self.pool.names.borrow_mut().endpoint(&gone);
-                // Where it was is known to the pool.
-                let address = self.pool.address_of(entry.server)?;
-                Some(AddressedEndpoint {
-                    endpoint: entry,
-                    address,
-                })
-            }
+            Change::Listed(entry) => Some(self.endpoint(entry)),
+            Change::Removed(name) => self.removed_endpoint(name),
         }
     }
 
-    fn note_heard(&mut self, session: &Session) {
+    fn removed_endpoint(&self, name: &str) -> Option<AddressedEndpoint<SocketAddr>> {
+        self.pool.names.borrow().servers.get(name)?;
+        let removed = ListedEndpoint {
+            name,
+            zone: None,
+            machine_type: None,
+            cell: 0,
+            state: ServerState::Removed,
+            weight: None,
+            started_at: None,
+        };
+        let endpoint = self.pool.names.borrow_mut().endpoint(&removed);
+        let address = self.pool.address_of(endpoint.server)?;
+        Some(AddressedEndpoint { endpoint, address })
+    }
+
+    fn record_contact(&mut self, session: &Session) {
         if session.is_up() {
             self.follower.note_heard(session.last_heard());
             self.pool
@@ -139,9 +135,9 @@
             Report::InvalidEntry(child, fault) => {
                 log.write_line(format_args!("registry {path}/{child}: {fault}"))
             }
-            Report::TooManyEntries(most) => {
-                log.write_line(format_args!("registry {path}: more than {most} entries"))
-            }
+            Report::TooManyEntries(max_entries) => log.write_line(format_args!(
+                "registry {path}: more than {max_entries} entries"
+            )),
             Report::PathMissing => {
                 log.write_line(format_args!("registry {path}: the path does not exist"))
             }
@@ -158,7 +154,7 @@
     }
 }
 
-impl SessionUser for Following {
+impl SessionUser for RegistryFollower {
     fn handle_event(&mut self, now: Time, session: &Session, event: &Event) {
         match event {
             Event::Lost(reason @ (LossReason::Protocol(_) | LossReason::BadCredentials)) => {
@@ -175,7 +171,7 @@
             }
             _ => {}
         }
-        self.note_heard(session);
+        self.record_contact(session);
         self.follower.handle_event(now, event);
     }
 
@@ -184,7 +180,7 @@
     }
 
     fn tick(&mut self, now: Time, session: &Session) {
-        self.note_heard(session);
+        self.record_contact(session);
         self.follower.tick(now);
     }
 
@@ -196,24 +192,24 @@
         while let Some(report) = self.follower.next_report() {
             self.log_report(&report);
         }
-        let refuses = self.follower.refuses_servers();
-        let flips = std::mem::replace(&mut self.refused, refuses) != refuses;
+        let rejects_servers = self.follower.refuses_servers();
+        let rejected_servers = std::mem::replace(&mut self.rejects_servers, rejects_servers);
         let changes = self.follower.take_changes();
-        if !self.has_listed || flips {
-            // Nothing is told before all of it is known: half a list would draw all work to half of the servers.
+        if !self.has_list || rejects_servers != rejected_servers {
+            // Nothing is applied before the list is complete: half a list would send all requests to half of the servers.
             if self.follower.has_list() {
-                self.has_listed = true;
+                self.has_list = true;
                 self.pool
-                    .update_endpoints(UpdateKind::Snapshot, self.full_list());
+                    .update_endpoints(UpdateKind::Snapshot, self.all_endpoints());
             }
             return;
         }
         if !changes.is_empty() {
-            let places = changes
+            let endpoints = changes
                 .iter()
-                .filter_map(|c| self.changed_server(c))
+                .filter_map(|change| self.changed_endpoint(change))
                 .collect();
-            self.pool.update_endpoints(UpdateKind::Delta, places);
+            self.pool.update_endpoints(UpdateKind::Delta, endpoints);
         }
     }
 
--- a/crates/node/src/net/registry/own_entry.rs
+++ b/crates/node/src/net/registry/own_entry.rs
@@ -1,4 +1,4 @@
-//! The entry that this node has in a registry, from when it is wanted until the node ends.
+//! This node's own entry in a registry: registered when the node is ready, and removed when it shuts down.
 
 use super::driver::{Driver, SessionUser};
 use super::RegistryAccess;
@@ -14,22 +14,28 @@
 
 /// This node's entry in one registry.
 pub struct OwnEntry {
-    wanted: Cell<Wanted>,
-    changed: Notify,
-    withdrawn: Notify,
-    done: Cell<bool>,
+    target: Cell<TargetState>,
+    /// Notified when the target has changed.
+    target_changed: Notify,
+    /// Notified when the session has been closed.
+    closed: Notify,
+    is_closed: Cell<bool>,
 }
 
+/// The state that the entry is to be in.
 #[derive(Clone, Copy, PartialEq)]
-enum Wanted {
+enum TargetState {
+    /// Not registered yet.
     Pending,
+    /// Registered.
     Published,
+    /// Removed.
     Withdrawn,
 }
 
 impl OwnEntry {
-    /// Starts the task that keeps the entry.
-    pub fn keep(
+    /// Starts the task that maintains the entry. With `guarded`, only this node may change it.
+    pub fn maintain(
         shared: &Rc<Shared>,
         access: RegistryAccess,
         path: String,
@@ -37,10 +43,10 @@
         guarded: bool,
     ) -> Rc<OwnEntry> {
         let entry = Rc::new(OwnEntry {
-            wanted: Cell::new(Wanted::Pending),
-            changed: Notify::new(),
-            withdrawn: Notify::new(),
-            done: Cell::new(false),
+            target: Cell::new(TargetState::Pending),
+            target_changed: Notify::new(),
+            closed: Notify::new(),
+            is_closed: Cell::new(false),
         });
         let acl = if guarded {
             vec![Acl::creator(), Acl::read_only()]
@@ -48,48 +54,49 @@
             vec![Acl::open()]
         };
         let registration = Registration::new(path.clone(), data, acl);
-        let user = EntryKeeper {
+        let user = EntryMaintainer {
             entry: entry.clone(),
             shared: shared.clone(),
             path,
             registration: RefCell::new(registration),
         };
         let driver = Driver::new(&access, user, shared.clock);
-        let keeping = entry.clone();
+        let maintained = entry.clone();
         tokio::task::spawn_local(async move {
-            driver.run(&keeping.changed).await;
-            keeping.done.set(true);
-            keeping.withdrawn.notify_one();
+            driver.run(&maintained.target_changed).await;
+            maintained.is_closed.set(true);
+            maintained.closed.notify_one();
         });
         entry
     }
 
-    /// Registers the node: it is ready.
+    /// Registers the node, which is ready.
     pub fn publish(&self) {
-        if self.wanted.get() == Wanted::Pending {
-            self.wanted.set(Wanted::Published);
-            self.changed.notify_one();
+        if self.target.get() == TargetState::Pending {
+            self.target.set(TargetState::Published);
+            self.target_changed.notify_one();
         }
     }
 
-    /// Removes the entry: the node is shutting down. Waits until it is removed, but not for long.
-    pub async fn withdraw(&self, within: Duration) {
-        self.wanted.set(Wanted::Withdrawn);
-        self.changed.notify_one();
-        if !self.done.get() {
-            let _ = tokio::time::timeout(within, self.withdrawn.notified()).await;
+    /// Removes the entry, since the node shuts down, and waits until it is removed or the timeout has passed.
+    pub async fn withdraw(&self, timeout: Duration) {
+        self.target.set(TargetState::Withdrawn);
+        self.target_changed.notify_one();
+        if !self.is_closed.get() {
+            let _ = tokio::time::timeout(timeout, self.closed.notified()).await;
         }
     }
 }
 
-struct EntryKeeper {
+/// Registers and deregisters the entry as its target state requires.
+struct EntryMaintainer {
     entry: Rc<OwnEntry>,
     shared: Rc<Shared>,
     path: String,
     registration: RefCell<Registration>,
 }
 
-impl SessionUser for EntryKeeper {
+impl SessionUser for EntryMaintainer {
     fn handle_event(&mut self, now: Time, session: &Session, event: &Event) {
         self.registration
             .get_mut()
@@ -102,10 +109,10 @@
 
     fn tick(&mut self, now: Time, _session: &Session) {
         let registration = self.registration.get_mut();
-        match self.entry.wanted.get() {
-            Wanted::Pending => {}
-            Wanted::Published => registration.register(),
-            Wanted::Withdrawn => registration.deregister(),
+        match self.entry.target.get() {
+            TargetState::Pending => {}
+            TargetState::Published => registration.register(),
+            TargetState::Withdrawn => registration.deregister(),
         }
         registration.tick(now);
     }
@@ -133,6 +140,7 @@
     }
 
     fn is_done(&self) -> bool {
-        self.entry.wanted.get() == Wanted::Withdrawn && self.registration.borrow().is_deregistered()
+        self.entry.target.get() == TargetState::Withdrawn
+            && self.registration.borrow().is_deregistered()
     }
 }
--- a/crates/node/src/standalone.rs
+++ b/crates/node/src/standalone.rs
@@ -295,7 +295,7 @@
                 };
                 (
                     wanted,
-                    OwnEntry::keep(&self.shared, access, entry.path, data, entry.guarded),
+                    OwnEntry::maintain(&self.shared, access, entry.path, data, entry.guarded),
                 )
             });
         }
