--- /dev/null
+++ b/crates/lease-store/src/frame.rs
@@ -0,0 +1,126 @@
+//! The frames of a file: encoding, checksums, decoding of a whole file.
+
+use crate::{file_header, StoreError, FILE_HEADER_LEN, MAGIC, VERSION};
+use reelfall_lease::durable::{DurableState, Record};
+use serde::{Deserialize, Serialize};
+
+const LENGTH_LEN: usize = 4;
+const CHECKSUM_LEN: usize = 16;
+const FRAME_HEADER_LEN: usize = LENGTH_LEN + CHECKSUM_LEN;
+/// Maximum length of a frame, in bytes: a snapshot of the maximum number of leases takes a quarter of it.
+const MAX_FRAME_LEN: usize = 1 << 20;
+/// Number of frames after a damaged one that are searched for; any one of them proves the damage.
+const FRAMES_AHEAD: u64 = 2;
+
+/// The body of a frame to be written.
+#[derive(Serialize)]
+pub(crate) enum Frame<'a> {
+    Snapshot(&'a DurableState),
+    Records(&'a [Record]),
+}
+
+/// The body of a frame that was read.
+#[derive(Deserialize)]
+enum OwnedFrame {
+    Snapshot(DurableState),
+    Records(Vec<Record>),
+}
+
+fn checksum(number: u64, body: &[u8]) -> [u8; 32] {
+    let mut hasher = blake3::Hasher::new();
+    hasher.update(&number.to_le_bytes()).update(body);
+    *hasher.finalize().as_bytes()
+}
+
+/// Encodes the frame with this number.
+pub(crate) fn encode_frame(number: u64, frame: &Frame) -> Result<Vec<u8>, StoreError> {
+    let body = postcard::to_stdvec(frame).map_err(std::io::Error::other)?;
+    let length = u32::try_from(body.len())
+        .ok()
+        .filter(|length| *length as usize <= MAX_FRAME_LEN)
+        .ok_or_else(|| std::io::Error::other("too many records at once"))?;
+    let mut bytes = length.to_le_bytes().to_vec();
+    bytes.extend_from_slice(&checksum(number, &body)[..CHECKSUM_LEN]);
+    bytes.extend_from_slice(&body);
+    Ok(bytes)
+}
+
+/// A frame that was read, and its length in bytes.
+struct DecodedFrame {
+    frame: OwnedFrame,
+    length: usize,
+}
+
+/// Decodes the frame with this number at the start of these bytes; `None` if there is no complete one.
+fn decode_frame(number: u64, bytes: &[u8]) -> Option<DecodedFrame> {
+    let (length, rest) = bytes.split_first_chunk::<LENGTH_LEN>()?;
+    let length = u32::from_le_bytes(*length) as usize;
+    let (expected, rest) = rest.split_at_checked(CHECKSUM_LEN)?;
+    let body = rest.get(..length).filter(|_| length <= MAX_FRAME_LEN)?;
+    if checksum(number, body)[..CHECKSUM_LEN] != *expected {
+        return None;
+    }
+    Some(DecodedFrame {
+        frame: postcard::from_bytes(body).ok()?,
+        length: FRAME_HEADER_LEN + length,
+    })
+}
+
+/// The contents of a file.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Contents {
+    /// The state that results from all complete frames.
+    pub state: DurableState,
+    /// Number of complete frames.
+    pub frames: u64,
+    /// Where the last complete frame ends, in bytes.
+    pub end: usize,
+}
+
+/// Decodes a file.
+///
+/// # Errors
+/// If it is no file of this version, or a frame is missing before another one.
+pub fn decode(bytes: &[u8]) -> Result<Contents, StoreError> {
+    if bytes.len() < FILE_HEADER_LEN && file_header().starts_with(bytes) {
+        return Ok(Contents::default());
+    }
+    let body = bytes.strip_prefix(MAGIC).ok_or(StoreError::Damaged(0))?;
+    match body.first() {
+        Some(&VERSION) => {}
+        Some(&version) if version > VERSION => return Err(StoreError::Newer(version)),
+        _ => return Err(StoreError::Damaged(MAGIC.len())),
+    }
+    let mut contents = Contents {
+        end: FILE_HEADER_LEN,
+        ..Contents::default()
+    };
+    while let Some(decoded) = decode_frame(contents.frames, &bytes[contents.end..]) {
+        match decoded.frame {
+            OwnedFrame::Snapshot(state) => contents.state = state,
+            OwnedFrame::Records(records) => {
+                records
+                    .iter()
+                    .for_each(|record| contents.state.apply(record));
+            }
+        }
+        contents.frames += 1;
+        contents.end += decoded.length;
+    }
+    if has_later_frame(&contents, bytes) {
+        return Err(StoreError::Damaged(contents.end));
+    }
+    Ok(contents)
+}
+
+/// Whether a complete frame follows anywhere after the last readable one: then a part in the middle is lost, since a
+/// truncated write is followed by nothing.
+fn has_later_frame(contents: &Contents, bytes: &[u8]) -> bool {
+    let numbers = contents.frames..=contents.frames + FRAMES_AHEAD;
+    let starts_frame = |offset: usize| {
+        numbers
+            .clone()
+            .any(|number| decode_frame(number, &bytes[offset..]).is_some())
+    };
+    (contents.end..bytes.len()).any(starts_frame)
+}
--- a/crates/lease-store/src/lib.rs
+++ b/crates/lease-store/src/lib.rs
@@ -14,12 +14,18 @@
 //! | another process has the folder | it is refused; two keepers never write to one folder |
 //! | the disk is full, or can't be written | the write fails, and so does every later one |
 //!
-//! A folder is never emptied here: a keeper that has lost it is admitted again by its peers, which is for an operator to
-//! begin.
+//! A folder is never emptied here: a keeper that has lost its storage is admitted again by its peers, and only an operator
+//! starts that.
+//!
+//! The node's disk thread opens a [`Store`] and writes each record before the messages that depend on it are sent.
+
+mod frame;
+
+pub use frame::{decode, Contents};
 
+use frame::{encode_frame, Frame};
 use reelfall_lease::durable::{DurableState, Record};
 use rustix::fs::{flock, FlockOperation};
-use serde::{Deserialize, Serialize};
 use std::fs::{File, OpenOptions};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -29,17 +35,16 @@
 pub const VERSION: u8 = 1;
 /// The file's name in the keeper's folder.
 pub const FILE: &str = "leases";
+/// The name of the file that replaces it at a compaction, until it is complete.
+const NEW_FILE: &str = "leases.new";
+/// The name of the file that locks the folder.
+const LOCK_FILE: &str = "lock";
 
 const MAGIC: &[u8] = b"reelfall leases";
+/// Length of the file's header, in bytes.
 const FILE_HEADER_LEN: usize = MAGIC.len() + 1;
-const CHECKSUM_LEN: usize = 16;
-const FRAME_HEADER_LEN: usize = 4 + CHECKSUM_LEN;
-/// Maximum length of a frame, in bytes: a snapshot of the maximum number of leases takes a quarter of it.
-const MAX_FRAME_LEN: usize = 1 << 20;
 /// A file of this length, in bytes, is compacted into one snapshot.
 const COMPACTION_LEN: u64 = 4 << 20;
-/// How many frames after a damaged one are searched for; any one of them proves the damage.
-const FRAMES_AHEAD: u64 = 2;
 
 /// Why a folder can't be used.
 #[derive(Debug, Error)]
@@ -60,122 +65,17 @@
     System(#[from] std::io::Error),
 }
 
-/// The body of a frame to be written.
-#[derive(Serialize)]
-enum Frame<'a> {
-    Snapshot(&'a DurableState),
-    Records(&'a [Record]),
-}
-
-/// The body of a frame that was read.
-#[derive(Deserialize)]
-enum OwnedFrame {
-    Snapshot(DurableState),
-    Records(Vec<Record>),
-}
-
-fn checksum(number: u64, body: &[u8]) -> [u8; 32] {
-    let mut hasher = blake3::Hasher::new();
-    hasher.update(&number.to_le_bytes()).update(body);
-    *hasher.finalize().as_bytes()
-}
-
-fn encode_frame(number: u64, frame: &Frame) -> Result<Vec<u8>, StoreError> {
-    let body = postcard::to_stdvec(frame).map_err(std::io::Error::other)?;
-    let length = u32::try_from(body.len())
-        .ok()
-        .filter(|n| *n as usize <= MAX_FRAME_LEN);
-    let length = length.ok_or_else(|| std::io::Error::other("too many records at once"))?;
-    let mut bytes = length.to_le_bytes().to_vec();
-    bytes.extend_from_slice(&checksum(number, &body)[..CHECKSUM_LEN]);
-    bytes.extend_from_slice(&body);
-    Ok(bytes)
-}
-
-/// Decodes the frame at the start of these bytes; returns it with its length, or `None` if there is no complete one.
-fn decode_frame(number: u64, bytes: &[u8]) -> Option<(OwnedFrame, usize)> {
-    let (length, rest) = bytes.split_first_chunk::<4>()?;
-    let length = u32::from_le_bytes(*length) as usize;
-    let (expected, rest) = rest.split_at_checked(CHECKSUM_LEN)?;
-    let body = rest.get(..length).filter(|_| length <= MAX_FRAME_LEN)?;
-    if checksum(number, body)[..CHECKSUM_LEN] != *expected {
-        return None;
-    }
-    Some((postcard::from_bytes(body).ok()?, FRAME_HEADER_LEN + length))
-}
-
-/// The contents of a file.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Contents {
-    /// The state that results from all complete frames.
-    pub state: DurableState,
-    /// Number of complete frames.
-    pub frames: u64,
-    /// Where the last complete frame ends, in bytes.
-    pub end: usize,
-}
-
-/// Decodes a file.
-///
-/// # Errors
-/// If it is no file of this version, or a frame is missing before another one.
-pub fn decode(bytes: &[u8]) -> Result<Contents, StoreError> {
-    if bytes.len() < FILE_HEADER_LEN && [MAGIC, &[VERSION]].concat().starts_with(bytes) {
-        return Ok(Contents::default());
-    }
-    let body = bytes.strip_prefix(MAGIC).ok_or(StoreError::Damaged(0))?;
-    match body.first() {
-        Some(&VERSION) => {}
-        Some(&version) if version > VERSION => return Err(StoreError::Newer(version)),
-        _ => return Err(StoreError::Damaged(MAGIC.len())),
-    }
-    let mut contents = Contents {
-        end: FILE_HEADER_LEN,
-        ..Contents::default()
-    };
-    while let Some((frame, length)) = decode_frame(contents.frames, &bytes[contents.end..]) {
-        match frame {
-            OwnedFrame::Snapshot(state) => contents.state = state,
-            OwnedFrame::Records(records) => {
-                records
-                    .iter()
-                    .for_each(|record| contents.state.apply(record));
-            }
-        }
-        contents.frames += 1;
-        contents.end += length;
-    }
-    if has_later_frame(&contents, bytes) {
-        return Err(StoreError::Damaged(contents.end));
-    }
-    Ok(contents)
-}
-
-/// Whether a complete frame follows anywhere after the last readable one.
-///
-/// Guards against a part in the middle that was lost: messages may have depended on all that follows. A truncated write is
-/// followed by nothing. Harm: a damaged file is searched once.
-fn has_later_frame(contents: &Contents, bytes: &[u8]) -> bool {
-    let numbers = contents.frames..=contents.frames + FRAMES_AHEAD;
-    let is_frame = |from: usize| {
-        numbers
-            .clone()
-            .any(|n| decode_frame(n, &bytes[from..]).is_some())
-    };
-    (contents.end..bytes.len()).any(is_frame)
-}
-
 /// An open storage folder.
 pub struct Store {
     folder: PathBuf,
     file: File,
     /// Number of frames in the file.
     frames: u64,
-    /// Length of the file.
-    bytes: u64,
+    /// Length of the file, in bytes.
+    file_len: u64,
     state: DurableState,
-    /// A write has failed: the contents of the file are unknown.
-    failed: bool,
+    /// Whether a write has failed, so that the contents of the file are unknown.
+    has_failed: bool,
     _lock: File,
 }
 
@@ -186,19 +86,9 @@
     /// If the folder can't be used.
     pub fn open(folder: &Path) -> Result<(Store, DurableState), StoreError> {
         std::fs::create_dir_all(folder)?;
-        let lock = OpenOptions::new()
-            .create(true)
-            .truncate(false)
-            .write(true)
-            .open(folder.join("lock"))?;
-        flock(&lock, FlockOperation::NonBlockingLockExclusive).map_err(|_| StoreError::InUse)?;
+        let lock = lock_folder(folder)?;
         let path = folder.join(FILE);
-        let bytes = match std::fs::read(&path) {
-            Ok(bytes) => bytes,
-            Err(e) if e.kind() == std::io::ErrorKind::NotFound => Vec::new(),
-            Err(e) => return Err(e.into()),
-        };
-        let Contents { state, frames, end } = decode(&bytes)?;
+        let Contents { state, frames, end } = decode(&read_if_exists(&path)?)?;
         let mut file = OpenOptions::new()
             .create(true)
             .truncate(false)
@@ -207,18 +97,17 @@
         // A truncated frame is removed, so that the next one follows the last complete one.
         file.set_len(end as u64)?;
         if end == 0 {
-            file.write_all(&[MAGIC, &[VERSION]].concat())?;
+            file.write_all(&file_header())?;
         }
         file.sync_all()?;
-        File::open(folder)?.sync_all()?;
-        let (bytes, folder) = (end.max(FILE_HEADER_LEN) as u64, folder.to_owned());
+        sync_folder(folder)?;
         let store = Store {
-            folder,
+            folder: folder.to_owned(),
             file,
             frames,
-            bytes,
+            file_len: end.max(FILE_HEADER_LEN) as u64,
             state: state.clone(),
-            failed: false,
+            has_failed: false,
             _lock: lock,
         };
         Ok((store, state))
@@ -229,35 +118,69 @@
     /// # Errors
     /// On an I/O error. Whether the records are durable is unknown then, and every later write fails.
     pub fn write(&mut self, records: &[Record]) -> Result<(), StoreError> {
-        if self.failed {
+        if self.has_failed {
             return Err(std::io::Error::other("an earlier write has failed").into());
         }
-        self.failed = true;
+        // Reset at the end, so that an early return leaves it set.
+        self.has_failed = true;
         let bytes = encode_frame(self.frames, &Frame::Records(records))?;
         self.file.write_all(&bytes)?;
         self.file.sync_data()?;
         self.frames += 1;
-        self.bytes += bytes.len() as u64;
-        records.iter().for_each(|record| self.state.apply(record));
-        if self.bytes > COMPACTION_LEN {
+        self.file_len += bytes.len() as u64;
+        for record in records {
+            self.state.apply(record);
+        }
+        if self.file_len > COMPACTION_LEN {
             self.compact()?;
         }
-        self.failed = false;
+        self.has_failed = false;
         Ok(())
     }
 
     /// Replaces the file by a new one with a single snapshot.
     fn compact(&mut self) -> Result<(), StoreError> {
-        let (new, path) = (self.folder.join("leases.new"), self.folder.join(FILE));
-        let mut bytes = [MAGIC, &[VERSION]].concat();
+        let new_path = self.folder.join(NEW_FILE);
+        let path = self.folder.join(FILE);
+        let mut bytes = file_header();
         bytes.extend(encode_frame(0, &Frame::Snapshot(&self.state))?);
-        let mut file = File::create(&new)?;
+        let mut file = File::create(&new_path)?;
         file.write_all(&bytes)?;
         file.sync_all()?;
-        std::fs::rename(&new, &path)?;
-        File::open(&self.folder)?.sync_all()?;
+        std::fs::rename(&new_path, &path)?;
+        sync_folder(&self.folder)?;
         self.file = OpenOptions::new().append(true).open(&path)?;
-        (self.frames, self.bytes) = (1, bytes.len() as u64);
+        self.frames = 1;
+        self.file_len = bytes.len() as u64;
         Ok(())
     }
 }
+
+/// What a file begins with.
+fn file_header() -> Vec<u8> {
+    [MAGIC, &[VERSION]].concat()
+}
+
+/// Locks a folder for this process until the returned file is dropped.
+fn lock_folder(folder: &Path) -> Result<File, StoreError> {
+    let lock = OpenOptions::new()
+        .create(true)
+        .truncate(false)
+        .write(true)
+        .open(folder.join(LOCK_FILE))?;
+    flock(&lock, FlockOperation::NonBlockingLockExclusive).map_err(|_| StoreError::InUse)?;
+    Ok(lock)
+}
+
+/// The contents of a file, empty if there is none.
+fn read_if_exists(path: &Path) -> std::io::Result<Vec<u8>> {
+    match std::fs::read(path) {
+        Err(error) if error.kind() == std::io::ErrorKind::NotFound => Ok(Vec::new()),
+        result => result,
+    }
+}
+
+/// Makes the creation and renaming of files in a folder durable.
+fn sync_folder(folder: &Path) -> std::io::Result<()> {
+    File::open(folder)?.sync_all()
+}
