--- /dev/null
+++ b/crates/lease/src/holder/responses.rs
@@ -0,0 +1,138 @@
+//! Handling the keepers' responses.
+
+use super::{Lease, LeaseEvent, State};
+use crate::message::{Refusal, Response, Vote};
+use crate::token::Token;
+use crate::Micros;
+
+/// A lease is renewed as often as this within its length.
+const RENEWALS_PER_LENGTH: u64 = 3;
+
+impl Lease {
+    /// Handles a response of a keeper. `random` is uniform over all values, and new for each call.
+    pub fn handle_response(&mut self, now: Micros, keeper: usize, response: Response, random: u32) {
+        if keeper >= self.config.keepers || response.lease() != &self.name {
+            return;
+        }
+        match response {
+            Response::Promised { round, vote, .. } if round == self.round => {
+                self.handle_promised(now, keeper, vote);
+            }
+            Response::Granted { round, vote, .. } if round == self.round => {
+                self.handle_granted(now, keeper, vote);
+            }
+            Response::Refused {
+                round,
+                reason,
+                promised,
+                ..
+            } => {
+                self.highest_ballot = self.highest_ballot.max(promised);
+                self.handle_refused(now, keeper, round, reason, random);
+            }
+            Response::Available { .. } => self.handle_available(now),
+            Response::Promised { .. } | Response::Granted { .. } => {}
+        }
+    }
+
+    fn handle_available(&mut self, now: Micros) {
+        match self.state {
+            State::BackingOff { .. } => {
+                self.failed_attempts = 0;
+                self.prepare(now);
+            }
+            // Keepers may have refused the request in progress before the lease was available.
+            State::Preparing { .. } | State::Proposing { .. } => self.was_announced = true,
+            State::Idle | State::Held { .. } => {}
+        }
+    }
+
+    fn handle_promised(&mut self, now: Micros, keeper: usize, vote: Vote) {
+        let State::Preparing { ballot, votes, .. } = &mut self.state else {
+            return;
+        };
+        votes.accepted[keeper] = Some(vote);
+        if votes.has_majority() {
+            let (token, peers) = (*ballot, votes.latest_positions());
+            self.propose(now, token, &peers);
+        }
+    }
+
+    fn handle_granted(&mut self, now: Micros, keeper: usize, vote: Vote) {
+        let holder_length = self.config.margins.holder_length(self.config.length);
+        let renew_after = self.config.length / RENEWALS_PER_LENGTH;
+        match &mut self.state {
+            State::Proposing {
+                token,
+                started,
+                votes,
+            } => {
+                votes.accepted[keeper] = Some(vote);
+                let token = *token;
+                let until = *started + holder_length;
+                let next_renewal = *started + renew_after;
+                if votes.has_majority() && now < until {
+                    self.state = State::Held {
+                        token,
+                        until,
+                        renewal: None,
+                        next_renewal,
+                    };
+                    self.failed_attempts = 0;
+                    self.events.push(LeaseEvent::Acquired(Token(token)));
+                }
+            }
+            State::Held {
+                until,
+                renewal: Some(renewal),
+                next_renewal,
+                ..
+            } => {
+                renewal.votes.accepted[keeper] = Some(vote);
+                // A grant after the expiry renews nothing, since there may be another holder by now.
+                if renewal.votes.has_majority() && now < *until {
+                    *until = renewal.started + holder_length;
+                    *next_renewal = renewal.started + renew_after;
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn handle_refused(
+        &mut self,
+        now: Micros,
+        keeper: usize,
+        round: u64,
+        reason: Refusal,
+        random: u32,
+    ) {
+        if round != self.round {
+            return;
+        }
+        if let Refusal::Held { left } = reason {
+            let until = now + left;
+            self.held_elsewhere_until = Some(
+                self.held_elsewhere_until
+                    .map_or(until, |known| known.min(until)),
+            );
+        }
+        let (State::Preparing { votes, .. } | State::Proposing { votes, .. }) = &mut self.state
+        else {
+            return;
+        };
+        votes.refused[keeper] = true;
+        if !votes.is_rejected() {
+            return;
+        }
+        let is_first_attempt =
+            self.failed_attempts == 0 && matches!(self.state, State::Preparing { .. });
+        if reason == Refusal::StaleBallot && is_first_attempt {
+            // Only the ballot was too low, so that the first time a higher one is tried at once.
+            self.failed_attempts = 1;
+            self.prepare(now);
+        } else {
+            self.back_off(now, random);
+        }
+    }
+}
--- /dev/null
+++ b/crates/lease/src/holder/votes.rs
@@ -0,0 +1,59 @@
+//! Counting the keepers' votes on one request.
+
+use crate::majority;
+use crate::message::{LogPosition, Vote};
+
+/// The votes on one request.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct Votes {
+    pub(super) accepted: Vec<Option<Vote>>,
+    pub(super) refused: Vec<bool>,
+}
+
+impl Votes {
+    pub(super) fn new(keepers: usize) -> Votes {
+        Votes {
+            accepted: vec![None; keepers],
+            refused: vec![false; keepers],
+        }
+    }
+
+    /// The latest log position of each keeper that any vote reports.
+    pub(super) fn latest_positions(&self) -> Vec<Option<LogPosition>> {
+        let mut latest = vec![None; self.accepted.len()];
+        for (keeper, vote) in self.accepted.iter().enumerate() {
+            let Some(vote) = vote else {
+                continue;
+            };
+            for (known, reported) in latest.iter_mut().zip(&vote.peers) {
+                *known = (*known).max(*reported);
+            }
+            latest[keeper] = latest[keeper].max(Some(vote.own));
+        }
+        latest
+    }
+
+    /// Whether a majority has accepted. The vote of a storage folder that another one has replaced does not count, since
+    /// its successor does not know what it promises.
+    pub(super) fn has_majority(&self) -> bool {
+        let latest = self.latest_positions();
+        let accepted = self
+            .accepted
+            .iter()
+            .zip(&latest)
+            .filter(|(vote, latest)| vote.as_ref().is_some_and(|vote| is_current(vote, latest)))
+            .count();
+        accepted >= majority(self.accepted.len())
+    }
+
+    /// Whether too many have refused for a majority to accept.
+    pub(super) fn is_rejected(&self) -> bool {
+        let refused = self.refused.iter().filter(|refused| **refused).count();
+        refused > self.refused.len() - majority(self.refused.len())
+    }
+}
+
+/// Whether a vote comes from the latest storage folder of its keeper that is known.
+fn is_current(vote: &Vote, latest: &Option<LogPosition>) -> bool {
+    latest.is_none_or(|latest| latest.storage <= vote.own.storage)
+}
--- a/crates/lease/src/keeper/peers.rs
+++ b/crates/lease/src/keeper/peers.rs
@@ -50,9 +50,8 @@
         let recorded = self.state.peers.get(&(from as u8)).copied();
         let new_storage =
             own.filter(|own| recorded.is_none_or(|recorded| recorded.storage < own.storage));
-        // Guards against an old copy that grows: with records of its own it would have as many as its peers know of before
-        // they have said so. Until it votes it writes nothing, and knows no new folder of a peer. Harm: a peer that is to
-        // be admitted waits until this keeper votes.
+        // Until this keeper votes it writes nothing here: an old copy of its folder would otherwise grow to the length that
+        // the peers know before they have reported that, and would be taken for the latest.
         let writes = !matches!(
             self.recovery.status(),
             Status::Verifying | Status::Rejected(_)
@@ -108,10 +107,8 @@
 
     /// Adopts the promises of a peer, so that no ballot that it has promised is promised here.
     ///
-    /// Guards against a vote by a promise that another keeper made: a client that holds the lease by this keeper's former
-    /// folder is known to one peer, and what another peer has promised since is no majority's. So these are promises to
-    /// nobody, and for a lease's whole length nobody gets one. Harm: a holder that has one peer's vote and the former
-    /// folder's loses its lease.
+    /// They are adopted without their clients, and nobody is granted the lease for its whole length: a promise that one peer
+    /// has made is not that of a majority, and the holder may owe its majority to this keeper's previous folder.
     fn adopt_promises(&mut self, now: Micros, promises: &[(LeaseName, Promise)], floor: u64) {
         if !matches!(self.recovery.status(), Status::CatchingUp) {
             return;
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -232,9 +232,7 @@
             .filter(|bytes| bytes.len() <= MAX_MESSAGE_LEN)
     }
 
-    /// Decodes a message; `None` if this program could not have encoded it.
-    ///
-    /// Guards against lists and names beyond their bounds. Harm: none.
+    /// Decodes a message; `None` if it is malformed or exceeds the limits on lists and names.
     pub fn decode(bytes: &[u8]) -> Option<Message> {
         if bytes.len() > MAX_MESSAGE_LEN {
             return None;
--- a/crates/lease/src/queue.rs
+++ b/crates/lease/src/queue.rs
@@ -9,10 +9,8 @@
 use crate::Micros;
 
 /// Clients whose waits began within the same interval of this length, in microseconds, are ordered by their identities.
-///
-/// Guards against keepers that disagree on the first client: a reported waiting time reaches each keeper after a different
-/// delay, and of two clients that began together one keeper would put the one first and another keeper the other. Harm: of
-/// two that began nearly together the second may be the first.
+/// Otherwise keepers would disagree on the order of two that began together, since the reported waiting times reach each
+/// keeper after a different delay.
 const ARRIVAL_INTERVAL: i64 = 250_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -105,11 +103,8 @@
         first
     }
 
-    /// Ends a turn whose time is over.
-    ///
-    /// Guards against a first client that is gone, and against keepers that disagree on the first client, where turn after
-    /// turn nobody would have a majority: from here on any client may acquire the lease. Harm: a client that is slow by
-    /// more than a turn has to wait further.
+    /// Ends a turn whose time is over. From then on any client may acquire the lease, since the first client may be gone,
+    /// or the keepers may disagree on it so that no client would ever get a majority.
     pub fn expire_turn(&mut self, now: Micros) {
         if self.turn.take_if(|(_, until)| *until <= now).is_some() {
             self.open = true;
--- a/crates/lease/src/token.rs
+++ b/crates/lease/src/token.rs
@@ -138,11 +138,8 @@
         }
     }
 
-    /// Admits an operation if no later holder of its lease has acted.
-    ///
-    /// Guards against a holder that was paused past its lease and resumes in the middle of an operation: by then another
-    /// holder may have performed it. Harm: an operation of the lease's last holder that comes after the next one's first is
-    /// lost.
+    /// Admits an operation if no later holder of its lease has acted: a holder that was paused past the end of its lease
+    /// may resume in the middle of an operation that another holder has performed since.
     ///
     /// # Errors
     /// If the operation must not be performed.
--- a/crates/lease/tests/explore.rs
+++ b/crates/lease/tests/explore.rs
@@ -164,7 +164,8 @@
             margins: self.margins(),
             length: self.length,
             response_timeout: 1,
-            backoff: (0, 0),
+            min_backoff: 0,
+            max_backoff: 0,
         }
     }
 
