--- /dev/null
+++ b/crates/cluster/src/members/anti_entropy.rs
@@ -0,0 +1,80 @@
+//! Comparison of two nodes' memberships by digests.
+
+use super::library::{to_member, to_update};
+use super::Members;
+use crate::node::{Incarnation, Node};
+use crate::wire::{MemberState, MemberUpdate, MEMBER_PARTITIONS};
+use crate::Time;
+use foca::{Member, State};
+use std::collections::HashSet;
+
+/// What an incarnation contributes to the digests.
+struct DigestShare {
+    /// The index of its partition.
+    partition: usize,
+    digest: u32,
+}
+
+impl DigestShare {
+    fn of(incarnation: &Incarnation) -> DigestShare {
+        let mixed = (incarnation.tag ^ incarnation.number.wrapping_mul(0x9e37_79b9_7f4a_7c15))
+            .wrapping_mul(0xd6e8_feb8_6659_fd93);
+        DigestShare {
+            partition: (mixed >> 61) as usize % MEMBER_PARTITIONS,
+            digest: (mixed >> 16) as u32,
+        }
+    }
+}
+
+impl Members {
+    /// A digest of each partition of the members, this node included. Partitions with equal digests have the same members,
+    /// up to collisions.
+    pub fn digests(&self) -> [u32; MEMBER_PARTITIONS] {
+        let mut digests = [0; MEMBER_PARTITIONS];
+        for node in self.by_tag.values().chain([&self.me]) {
+            let share = DigestShare::of(&node.incarnation);
+            digests[share.partition] ^= share.digest;
+        }
+        digests
+    }
+
+    /// The members, suspected ones included, of the partitions in which another node's digests differ; without that node.
+    pub fn differing(&self, digests: &[u32; MEMBER_PARTITIONS], from: &Node) -> Vec<MemberUpdate> {
+        let own = self.digests();
+        let differs = |node: &Node| {
+            let partition = DigestShare::of(&node.incarnation).partition;
+            own[partition] != digests[partition] && node != from
+        };
+        self.library
+            .iter_members()
+            .filter(|member| differs(member.id()))
+            .map(to_update)
+            .collect()
+    }
+
+    /// Applies the member updates of another node. Returns dead members that the other node believes alive, since it
+    /// would otherwise notice their deaths only by its own probes.
+    pub fn apply_updates(&mut self, now: Time, updates: &[MemberUpdate]) -> Vec<MemberUpdate> {
+        let is_known = |update: &&MemberUpdate| {
+            self.by_tag.get(&update.node.incarnation.tag) == Some(&update.node)
+        };
+        let unknown: HashSet<&Node> = updates
+            .iter()
+            .filter(|update| update.state != MemberState::Dead && !is_known(update))
+            .map(|update| &update.node)
+            .collect();
+        let is_dead =
+            |member: &&Member<Node>| member.state() == State::Down && unknown.contains(member.id());
+        let dead = self
+            .library
+            .iter_membership_state()
+            .filter(is_dead)
+            .map(to_update)
+            .collect();
+        // The updates are not gossiped: a node that misses one receives it in a comparison of its own.
+        let members = updates.iter().map(to_member);
+        let _ = self.library.apply_many(members, false, &mut self.output);
+        self.process_output(now);
+        dead
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/members/config.rs
@@ -0,0 +1,83 @@
+//! The configuration of the membership protocol.
+
+use super::MAX_HEALTH_SCORE;
+use crate::wire::MAX_SWIM_LEN;
+use crate::Time;
+use foca::{Config, PeriodicParams};
+use std::num::{NonZeroU8, NonZeroUsize};
+use std::time::Duration;
+
+/// A dead member is remembered for this time, in seconds.
+const REMOVE_DEAD_AFTER: Time = 3600.0;
+/// Interval of the library's announcements to a member, in seconds.
+const ANNOUNCE_INTERVAL: Time = 10.0;
+/// Interval of the library's announcements to a dead member, in seconds.
+const ANNOUNCE_TO_DEAD_INTERVAL: Time = 2.0;
+/// Interval of the library's gossip, in seconds.
+const GOSSIP_INTERVAL: Time = 0.2;
+/// Number of members that the library gossips with in each interval.
+const GOSSIP_FAN_OUT: usize = 3;
+
+/// How members are probed. The fields are named after the settings.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct MembershipConfig {
+    /// Interval of probes, in seconds; each is sent to one other member.
+    pub probe_every: Time,
+    /// A probe that is not answered directly within this time, in seconds, is repeated indirectly.
+    pub answer_within: Time,
+    /// A member that does not refute a suspicion within this time, in seconds, is declared dead.
+    pub suspect_for: Time,
+    /// Number of members that an indirect probe goes through.
+    pub indirect_probes: usize,
+    /// The expected number of nodes, which determines how often updates are retransmitted.
+    pub size: u32,
+    /// The worst health score: at a score of `n`, probes and suspicions take `n + 1` times as long. At 0 the node never
+    /// doubts its own health.
+    pub max_health_score: u32,
+}
+
+impl Default for MembershipConfig {
+    fn default() -> Self {
+        MembershipConfig {
+            probe_every: 1.0,
+            answer_within: 0.3,
+            suspect_for: 4.0,
+            indirect_probes: 3,
+            size: 32,
+            max_health_score: MAX_HEALTH_SCORE,
+        }
+    }
+}
+
+/// How often each node retransmits an update: 4 log10(N + 1), as in the library's own settings for a LAN.
+pub fn max_transmissions(size: usize) -> u32 {
+    ((size as f64 + 1.0).log10() * 4.0).ceil().clamp(2.0, 32.0) as u32
+}
+
+impl MembershipConfig {
+    pub(super) fn library_config(&self) -> Config {
+        let seconds = Duration::from_secs_f64;
+        let nonzero = |value: usize| NonZeroUsize::new(value).unwrap_or(NonZeroUsize::MIN);
+        let periodic = |interval: Time, members: usize| {
+            Some(PeriodicParams {
+                frequency: seconds(interval),
+                num_members: nonzero(members),
+            })
+        };
+        let transmissions = max_transmissions(self.size as usize) as u8;
+        Config {
+            probe_period: seconds(self.probe_every),
+            probe_rtt: seconds(self.answer_within),
+            num_indirect_probes: nonzero(self.indirect_probes),
+            max_transmissions: NonZeroU8::new(transmissions).unwrap_or(NonZeroU8::MIN),
+            suspect_to_down_after: seconds(self.suspect_for),
+            remove_down_after: Some(seconds(REMOVE_DEAD_AFTER)),
+            max_packet_size: nonzero(MAX_SWIM_LEN),
+            notify_down_members: true,
+            periodic_announce: periodic(ANNOUNCE_INTERVAL, 1),
+            // Dead members receive announcements too, so that the two sides of a healed partition find each other.
+            periodic_announce_to_down_members: periodic(ANNOUNCE_TO_DEAD_INTERVAL, 1),
+            periodic_gossip: periodic(GOSSIP_INTERVAL, GOSSIP_FAN_OUT),
+        }
+    }
+}
