--- a/crates/node/src/fleet/admin.rs
+++ b/crates/node/src/fleet/admin.rs
@@ -112,7 +112,7 @@
             .filter(|instance| instance.name == server)
             .map(|instance| (*instance).clone())
             .collect();
-        let condemned = fleet.condemned_servers(now, self.shared.listed());
+        let condemned = fleet.condemned_servers(now, self.shared.listed_server_count());
         for instance in &instances {
             add_instance(&mut report, &fleet, instance, &condemned, now);
         }
--- a/crates/node/src/net/client/io.rs
+++ b/crates/node/src/net/client/io.rs
@@ -4,7 +4,7 @@
 
 use super::{Client, Phase, REQUEST_TIMEOUT};
 use crate::net::gate::Gate;
-use crate::net::HEAD_MOST;
+use crate::net::MAX_REQUEST_HEAD_BYTES;
 use hyper::StatusCode;
 use std::future::Future;
 use std::io;
@@ -29,7 +29,7 @@
 /// reads.
 const STREAM_SEND_BUFFER: usize = 128 << 10;
 /// How many bytes of pipelined requests are buffered while a request is being answered.
-const MAX_PIPELINED_BYTES: usize = HEAD_MOST;
+const MAX_PIPELINED_BYTES: usize = MAX_REQUEST_HEAD_BYTES;
 /// How often excess input is read, and how many bytes at a time: a disconnect behind a megabyte is found within 100 ms.
 const EXCESS_READ_INTERVAL: Duration = Duration::from_millis(20);
 const EXCESS_READ_BYTES: usize = 256 << 10;
--- a/crates/node/src/net/front/accept.rs
+++ b/crates/node/src/net/front/accept.rs
@@ -4,7 +4,7 @@
 use crate::net::client::{close, Client, ClientIo, Phase, CROWDED_GRACE};
 use crate::net::gate::{self, Gate};
 use crate::net::service::Routing;
-use crate::net::{set_nodelay, HEAD_MOST};
+use crate::net::{set_nodelay, MAX_REQUEST_HEAD_BYTES};
 use hyper::server::conn::http1::Builder;
 use hyper::service::service_fn;
 use hyper::StatusCode;
@@ -132,7 +132,7 @@
     /// was read from it is answered then.
     async fn serve_requests(self: &Rc<Self>, stream: &Rc<TcpStream>, client: &Rc<Client>) -> bool {
         let methods: &[&[u8]] = match &**self.routing.borrow() {
-            Routing::Alone(_) => &gate::METHODS,
+            Routing::Single(_) => &gate::METHODS,
             Routing::Table(_) => &gate::METHODS_ROUTED,
         };
         let io = TokioIo::new(ClientIo::new(
@@ -144,7 +144,7 @@
         // `ClientIo` enforces the timeouts, as it knows whether a request has begun.
         let mut connection = pin!(Builder::new()
             .header_read_timeout(None)
-            .max_buf_size(HEAD_MOST + BUFFER_MARGIN)
+            .max_buf_size(MAX_REQUEST_HEAD_BYTES + BUFFER_MARGIN)
             .serve_connection(io, service));
         loop {
             tokio::select! {
--- a/crates/node/src/net/front/admission.rs
+++ b/crates/node/src/net/front/admission.rs
@@ -29,9 +29,12 @@
         head: &Parts,
         client: &Client,
     ) -> Result<AdmittedRequest, AdmissionError> {
-        let RouteMatch { service, assign } = find_route(table, head, client)?;
-        if service.draining.get() {
-            let max_retry_after = service.retry_after.get();
+        let RouteMatch {
+            service,
+            class: assign,
+        } = find_route(table, head, client)?;
+        if service.is_draining.get() {
+            let max_retry_after = service.max_retry_after.get();
             return Err(AdmissionError::Draining { max_retry_after });
         }
         let admission = self.admit_to_service(&service)?;
@@ -52,7 +55,7 @@
             return Ok(None);
         };
         self.shared.admit(member).map_err(|denial| {
-            let max_retry_after = service.retry_after.get();
+            let max_retry_after = service.max_retry_after.get();
             match denial {
                 Denial::Rate(next_slot_in) => AdmissionError::RateLimited {
                     next_slot_in,
--- a/crates/node/src/net/front/health.rs
+++ b/crates/node/src/net/front/health.rs
@@ -15,9 +15,9 @@
 impl Front {
     /// The health of a node that serves one service without routes.
     pub(super) fn platform_health(&self, service: &Service) -> Response<ResponseBody> {
-        if self.shared.draining() {
+        if self.shared.is_draining() {
             plain(StatusCode::SERVICE_UNAVAILABLE, DRAINED)
-        } else if service.pool.ready.get() {
+        } else if service.pool.is_ready.get() {
             plain(StatusCode::OK, "")
         } else {
             plain(StatusCode::SERVICE_UNAVAILABLE, "no server list yet\n")
@@ -26,7 +26,7 @@
 
     /// The health of a node that serves by routes, or of the service that follows [`HEALTH_PATH`].
     pub(super) fn routed_health(&self, table: &Table, path: &str) -> Response<ResponseBody> {
-        if self.shared.draining() {
+        if self.shared.is_draining() {
             return plain(StatusCode::SERVICE_UNAVAILABLE, DRAINED);
         }
         match path.strip_prefix('/') {
@@ -44,8 +44,8 @@
     let unready = table
         .services()
         .iter()
-        .filter(|service| !service.draining.get())
-        .find_map(|service| service.unready());
+        .filter(|service| !service.is_draining.get())
+        .find_map(|service| service.unavailable_reason());
     match unready {
         Some(reason) => plain(StatusCode::SERVICE_UNAVAILABLE, reason),
         None => plain(StatusCode::OK, ""),
@@ -53,7 +53,7 @@
 }
 
 fn service_health(service: &Service) -> Response<ResponseBody> {
-    if let Some(reason) = service.unready() {
+    if let Some(reason) = service.unavailable_reason() {
         return plain(StatusCode::SERVICE_UNAVAILABLE, reason);
     }
     let mut response = plain(StatusCode::OK, "");
--- a/crates/node/src/net/front/request.rs
+++ b/crates/node/src/net/front/request.rs
@@ -37,13 +37,13 @@
         let routing = self.routing.borrow().clone();
         let path = head.uri.path();
         let mut response = match &*routing {
-            Routing::Alone(service) if path == HEALTH_PATH => self.platform_health(service),
-            Routing::Alone(service) if is_platform_path(path) => {
+            Routing::Single(service) if path == HEALTH_PATH => self.platform_health(service),
+            Routing::Single(service) if is_platform_path(path) => {
                 let admitted = AdmittedRequest::without_route(service.clone());
                 drop(routing);
                 self.forward(admitted, head, body, &client).await
             }
-            Routing::Alone(_) => plain(StatusCode::NOT_FOUND, "no such path\n"),
+            Routing::Single(_) => plain(StatusCode::NOT_FOUND, "no such path\n"),
             Routing::Table(table) => match health_subpath(path) {
                 Some(subpath) => self.routed_health(table, subpath),
                 None => {
@@ -81,7 +81,7 @@
         // A client that sends unusable requests has to connect again for each of them.
         let is_unusable = response.status().is_client_error() && !concerns_one_service;
         self.is_stopping.get()
-            || self.shared.draining()
+            || self.shared.is_draining()
             || is_unusable
             || client.close_when_idle.get()
     }
--- a/crates/node/src/net/front/request_body.rs
+++ b/crates/node/src/net/front/request_body.rs
@@ -4,7 +4,7 @@
 use super::Front;
 use crate::net::body::{Payload, StreamedBody};
 use crate::net::shared::MemoryPermit;
-use crate::net::{permits_for, BODY_MOST, BODY_SMALL};
+use crate::net::{kib_permits, MAX_BUFFERED_BODY_BYTES, UNRESERVED_BODY_BYTES};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -37,7 +37,7 @@
 fn expected_size(body: &Incoming) -> usize {
     body.size_hint()
         .exact()
-        .map_or(BODY_MOST, |size| size as usize)
+        .map_or(MAX_BUFFERED_BODY_BYTES, |size| size as usize)
 }
 
 impl Front {
@@ -48,7 +48,7 @@
         member: Option<Member>,
     ) -> Result<RequestBody, BodyError> {
         let size = body.size_hint().exact();
-        if size.is_some_and(|size| size > BODY_MOST as u64) {
+        if size.is_some_and(|size| size > MAX_BUFFERED_BODY_BYTES as u64) {
             let payload = Payload::Streamed(StreamedBody::new(Bytes::new(), body, size));
             return Ok(RequestBody {
                 payload,
@@ -60,12 +60,12 @@
         let mut memory = None;
         while let Some(piece) = next_piece(&mut body).await? {
             data.extend_from_slice(&piece);
-            let needs_memory = data.len() > BODY_SMALL;
+            let needs_memory = data.len() > UNRESERVED_BODY_BYTES;
             if needs_memory && memory.is_none() {
                 // Reserved at once for the largest possible size: growing bodies must not wait for each other.
-                memory = self.shared.reserve_body(member, permits_for(expected_size));
+                memory = self.shared.reserve_body(member, kib_permits(expected_size));
             }
-            if data.len() > BODY_MOST || (needs_memory && memory.is_none()) {
+            if data.len() > MAX_BUFFERED_BODY_BYTES || (needs_memory && memory.is_none()) {
                 let payload = Payload::Streamed(StreamedBody::new(data.freeze(), body, size));
                 return Ok(RequestBody { payload, memory });
             }
@@ -84,18 +84,18 @@
         let mut memory: Option<MemoryPermit> = None;
         let mut data = BytesMut::new();
         let mut size = 0;
-        let mut granted_size = BODY_SMALL;
+        let mut granted_size = UNRESERVED_BODY_BYTES;
         let mut is_out_of_memory = false;
         while let Some(piece) = next_piece(&mut body).await? {
             size += piece.len();
-            if size > BODY_MOST {
+            if size > MAX_BUFFERED_BODY_BYTES {
                 return Err(BodyError::TooLarge);
             }
             if !is_out_of_memory && size > granted_size {
                 // Reserved at once for the largest possible size: growing bodies must not wait for each other.
-                memory = self.shared.reserve_body(member, permits_for(expected_size));
+                memory = self.shared.reserve_body(member, kib_permits(expected_size));
                 if memory.is_some() {
-                    granted_size = BODY_MOST;
+                    granted_size = MAX_BUFFERED_BODY_BYTES;
                 } else {
                     data = BytesMut::new();
                     is_out_of_memory = true;
@@ -118,7 +118,7 @@
     let mut size = 0;
     while let Some(piece) = next_piece(&mut body).await? {
         size += piece.len();
-        if size > BODY_MOST {
+        if size > MAX_BUFFERED_BODY_BYTES {
             return Err(BodyError::TooLarge);
         }
     }
--- a/crates/node/src/net/front/shutdown.rs
+++ b/crates/node/src/net/front/shutdown.rs
@@ -107,13 +107,13 @@
     /// Closes idle connections while an operator drains the node, each at its own time.
     pub async fn close_idle_while_draining(self: Rc<Self>) {
         loop {
-            if !self.shared.draining() {
-                self.shared.drained.notified().await;
+            if !self.shared.is_draining() {
+                self.shared.drain_changed.notified().await;
                 continue;
             }
             for client in self.clients.borrow().values() {
                 let is_idle = matches!(client.phase.get(), Phase::New | Phase::Idle);
-                let idle_until = self.shared.idle_until(client.phase_since.get());
+                let idle_until = self.shared.idle_deadline(client.phase_since.get());
                 if is_idle && idle_until.is_some_and(|until| until <= Instant::now()) {
                     client.close_when_idle.set(true);
                     client.wake.notify_one();
--- a/crates/node/src/net/front/translate.rs
+++ b/crates/node/src/net/front/translate.rs
@@ -80,7 +80,7 @@
             .ok_or(RequestError::MissingPath)?;
         let id_claim = self
             .shared
-            .claim(correlation_id(&headers)?)
+            .claim_request_id(correlation_id(&headers)?)
             .ok_or(RequestError::CorrelationIdInUse)?;
         strip_hop_by_hop(&mut headers);
         let message = Message {
@@ -139,7 +139,7 @@
             headers.insert(CORRELATION_ID, entry_id);
         }
         self.shared
-            .claim(correlation_id(headers)?)
+            .claim_request_id(correlation_id(headers)?)
             .ok_or(RequestError::CorrelationIdInUse)
     }
 }
--- a/crates/node/src/net/gate.rs
+++ b/crates/node/src/net/gate.rs
@@ -2,7 +2,7 @@
 //! after each head the bytes that belong to its body. `client::io` feeds a [`Gate`] from each client's socket.
 
 use super::body::MAX_STREAMED_BYTES;
-use super::HEAD_MOST;
+use super::MAX_REQUEST_HEAD_BYTES;
 use bytes::BytesMut;
 use hyper::StatusCode;
 use std::ops::ControlFlow;
@@ -131,7 +131,7 @@
             None
         };
         let Some(head) = head else {
-            return if self.buffer.len() > HEAD_MOST {
+            return if self.buffer.len() > MAX_REQUEST_HEAD_BYTES {
                 Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE)
             } else {
                 Ok(None)
--- a/crates/node/src/net/graphql/batch.rs
+++ b/crates/node/src/net/graphql/batch.rs
@@ -160,7 +160,7 @@
             }
         };
         let Ok(admission) = self.admit_entry() else {
-            let retry_after = retry_advice(self.service.retry_after.get());
+            let retry_after = retry_advice(self.service.max_retry_after.get());
             self.batch.done(entry, Fate::Refused(retry_after));
             return None;
         };
@@ -215,7 +215,7 @@
     };
     let mut response = json_response(status, media, answer::merge(fates));
     if is_rejected {
-        set_retry_after(&mut response, retry_advice(service.retry_after.get()));
+        set_retry_after(&mut response, retry_advice(service.max_retry_after.get()));
     }
     response
 }
--- a/crates/node/src/net/management.rs
+++ b/crates/node/src/net/management.rs
@@ -186,7 +186,7 @@
                 self.change_ledger(|ledger| ledger.drain.end(), "serving\n")
             }
             ManagementRequest::Disable(name) | ManagementRequest::Enable(name)
-                if !self.shared.knows(name) =>
+                if !self.shared.knows_server(name) =>
             {
                 let text = "no list has named such a server\n";
                 ManagementResponse::new(StatusCode::NOT_FOUND, text)
--- a/crates/node/src/net/service/tests.rs
+++ b/crates/node/src/net/service/tests.rs
@@ -1,8 +1,17 @@
 //! Services at work, from settings to pools.
 
-use super::*;
+use super::prepared::{ListedServer, PreparedPlan};
+use super::routing::Retire;
+use super::{ListUpdates, Routing, Service, Services};
 use crate::net::pool::Pool;
+use crate::net::shared::Shared;
 use reelfall_config::{check, reader, Plan};
+use std::cell::RefCell;
+use std::future::Future;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use tokio::sync::watch;
 
 fn plan(text: &str) -> Plan {
     reader::toml("test", text).and_then(check).expect("a plan")
@@ -37,18 +46,22 @@
 
 fn start_with(text: &str, retire: Retire) -> (Rc<Shared>, Services, Vec<Rc<Service>>) {
     let plan = plan(text);
-    let shared = Shared::parted(plan.totals, None);
+    let shared = Shared::for_services(plan.totals, None);
     let services = Services::new(shared.clone(), 7, retire);
     let now = apply(&services, text);
     (shared, services, now)
 }
 
 /// What is costly is done on another thread, as in a node.
-fn prepare(services: &Services, text: &str) -> Arc<Prepared> {
-    let (plan, before, now) = (plan(text), services.in_force(), services.shared.clock.now());
+fn prepare(services: &Services, text: &str) -> Arc<PreparedPlan> {
+    let (plan, before, now) = (
+        plan(text),
+        services.current_plan(),
+        services.shared.clock.now(),
+    );
     let preparing = std::thread::spawn(move || match before {
-        Some(before) => Prepared::after(plan, &before, now),
-        None => Prepared::first(plan),
+        Some(before) => PreparedPlan::replacing(plan, &before, now),
+        None => PreparedPlan::initial(plan),
     });
     preparing.join().expect("a plan")
 }
@@ -80,7 +93,7 @@
         let emptied = a.replace("\"127.0.0.1:2\"", "\"127.0.0.1:2\"\nstate = \"draining\"");
         let second = apply(&services, &text(&[changed, emptied]));
         assert!(same(&first[0], &second[1]) && same(&first[1], &second[0]));
-        assert_eq!(second[0].unready(), Some("draining\n"));
+        assert_eq!(second[0].unavailable_reason(), Some("draining\n"));
         // A deadline is: the module has to be told anew.
         let later = a.replace("\"1s\"", "\"2s\"");
         let third = apply(&services, &text(&[later, b.clone()]));
@@ -89,7 +102,7 @@
             first[0].member, third[0].member,
             "old and new hold from two places in the books"
         );
-        assert!(third.iter().all(|s| s.unready().is_none()));
+        assert!(third.iter().all(|s| s.unavailable_reason().is_none()));
     })
     .await;
 }
@@ -114,7 +127,7 @@
         assert!(pool.upgrade().is_none(), "a removed pool is kept");
         assert!(services.draining_services.borrow().is_empty());
         assert_eq!(
-            shared.pools(),
+            shared.registered_pools(),
             1,
             "something is kept of pools that are gone"
         );
@@ -129,8 +142,8 @@
         let since = |address: u16| {
             let address = SocketAddr::from(([127, 0, 0, 1], address));
             services
-                .in_force()
-                .and_then(|plan| plan.since.get(&address).copied())
+                .current_plan()
+                .and_then(|plan| plan.start_times.get(&address).copied())
         };
         assert_eq!(since(1), Some(0.0));
         let two = service("a", &[("a1", 1), ("a2", 2)]);
@@ -194,7 +207,7 @@
         let (_shared, services, first) = start(&text(&[a.clone(), b.clone()]));
         let list = heard(&first[0]);
         let parsed = first[0].graphql.borrow().clone().expect("settings of GraphQL");
-        let terms = first[0].terms.borrow().clone().expect("terms");
+        let settings = first[0].runtime_settings.borrow().clone().expect("settings");
         // The neighbour's routes, limits, list and classes change, and all lines move.
         let further = "[[service.route]]\nhost = \"more.example.org\"\n";
         let routed = format!("{b}{further}");
@@ -206,7 +219,7 @@
             assert!(Rc::ptr_eq(&first[0], &now[1]));
             assert!(!list.has_changed().expect("the list is told still"), "told its list anew");
             assert!(now[1].graphql.borrow().as_ref().is_some_and(|g| Rc::ptr_eq(g, &parsed)));
-            assert!(now[1].terms.borrow().as_ref().is_some_and(|t| Arc::ptr_eq(t, &terms)));
+            assert!(now[1].runtime_settings.borrow().as_ref().is_some_and(|s| Arc::ptr_eq(s, &settings)));
         }
     })
     .await;
@@ -227,10 +240,10 @@
             "state = \"draining\"\n[[service.class]]",
         );
         apply(&services, &text(&[draining]));
-        assert!(first[0].draining.get());
+        assert!(first[0].is_draining.get());
         assert!(!list.has_changed().expect("the list is told still"));
         apply(&services, &text(&[two]));
-        assert!(!first[0].draining.get());
+        assert!(!first[0].is_draining.get());
     })
     .await;
 }
@@ -238,7 +251,7 @@
 #[tokio::test]
 async fn plans_no_longer_in_force_are_freed_by_whoever_is_to_free_them() {
     local(async {
-        let retired: Rc<RefCell<Vec<Arc<Prepared>>>> = Rc::default();
+        let retired: Rc<RefCell<Vec<Arc<PreparedPlan>>>> = Rc::default();
         let freeing = retired.clone();
         let a = service("a", &[("a1", 1)]);
         let (_shared, services, _first) = start_with(
@@ -267,17 +280,17 @@
     local(async {
         let a = service("a", &[("a1", 1)]);
         let (shared, services, first) = start(&text(std::slice::from_ref(&a)));
-        let before = services.in_force().expect("a plan");
+        let before = services.current_plan().expect("a plan");
         let registry = "[[registry]]\nname = \"r\"\nmembers = [\"127.0.0.1:1\"]\ndigest_file = \"/none\"\n";
         let changed = a.replace("[[service.class]]", "state = \"draining\"\n[[service.class]]");
         let follower = service("z", &[])
             .replace("[[service.class]]", "registry = { name = \"r\", path = \"/z\" }\n[[service.class]]");
         let wrong = HEAD.to_owned() + registry + &changed + &follower;
-        let fault = services.apply(prepare(&services, &wrong)).err();
+        let fault = services.apply(prepare(&services, &wrong)).err().map(|error| error.to_string());
         assert!(fault.is_some_and(|fault| fault.contains("service `z`") && fault.contains("/none")));
-        assert!(services.in_force().is_some_and(|now| Arc::ptr_eq(&now, &before)));
-        assert!(!first[0].draining.get());
-        assert_eq!(shared.pools(), 1);
+        assert!(services.current_plan().is_some_and(|now| Arc::ptr_eq(&now, &before)));
+        assert!(!first[0].is_draining.get());
+        assert_eq!(shared.registered_pools(), 1);
     })
     .await;
 }
--- a/crates/node/src/net/takeover.rs
+++ b/crates/node/src/net/takeover.rs
@@ -60,7 +60,7 @@
         if has_predecessor {
             successor.handle_snapshot();
         }
-        shared.set_processes(successor.process_count());
+        shared.set_process_count(successor.process_count());
         Rc::new(Takeover {
             socket,
             shared,
@@ -113,7 +113,7 @@
     fn handle_predecessor_gone(&self) {
         self.update_successor(Successor::handle_predecessor_gone);
         self.shared
-            .set_processes(self.successor.get().process_count());
+            .set_process_count(self.successor.get().process_count());
         self.predecessor_gone.notify_one();
     }
 
@@ -169,7 +169,7 @@
         front.hand_over_to(None);
         self.update_predecessor(&front, Predecessor::handle_successor_lost);
         self.shared
-            .set_processes(self.successor.get().process_count());
+            .set_process_count(self.successor.get().process_count());
     }
 
     /// Hands over the sockets, the learned state and the clients; returns only when the successor is lost, and why it is.
@@ -199,7 +199,7 @@
     ) -> Result<(), ExchangeError> {
         let names = listening.iter().map(|listener| listener.name().to_owned());
         let sockets: Vec<BorrowedFd> = listening.iter().map(|listener| listener.as_fd()).collect();
-        self.shared.set_processes(PROCESSES_IN_TAKEOVER);
+        self.shared.set_process_count(PROCESSES_IN_TAKEOVER);
         let snapshot = Frame::Snapshot {
             listeners: names.collect(),
             learned: (self.collect_learned)(),
--- a/crates/node/src/net/upstream/acquire.rs
+++ b/crates/node/src/net/upstream/acquire.rs
@@ -58,7 +58,7 @@
 
     async fn wait_for_connection(&self, until: Instant) -> Result<(), Outcome> {
         let pool = self.context.connections();
-        let _waiting = pool.shared.wait();
+        let _waiting = pool.shared.count_waiting_attempt();
         timeout_at(until.into(), pool.connection_available.notified())
             .await
             .map_err(|_| {
--- a/crates/node/src/net/upstream/connection.rs
+++ b/crates/node/src/net/upstream/connection.rs
@@ -3,7 +3,7 @@
 use super::socket::{Socket, SocketIo};
 use crate::net::body::PayloadBody;
 use crate::net::shared::ConnectionPermit;
-use crate::net::{set_nodelay, BUFFER};
+use crate::net::{set_nodelay, READ_BUFFER_BYTES};
 use hyper::client::conn::http1::{Builder, SendRequest};
 use hyper_util::rt::TokioIo;
 use reelfall_balancer::interface::ServerId;
@@ -51,7 +51,7 @@
         let socket = Rc::new(Socket::new(stream));
         let io = TokioIo::new(SocketIo::new(socket.clone()));
         let (sender, connection) = Builder::new()
-            .max_buf_size(BUFFER)
+            .max_buf_size(READ_BUFFER_BYTES)
             .handshake(io)
             .await
             .ok()?;
--- a/crates/node/src/net/upstream/connection_pool.rs
+++ b/crates/node/src/net/upstream/connection_pool.rs
@@ -120,7 +120,7 @@
             .filter(|server| server.generation == target.generation);
         if let Some(server) = server {
             server.idle.push(connection);
-            self.shared.freed();
+            self.shared.notify_connection_freed();
         }
     }
 
--- a/crates/node/src/net/upstream/response.rs
+++ b/crates/node/src/net/upstream/response.rs
@@ -13,7 +13,10 @@
 use crate::net::body::MAX_STREAMED_BYTES;
 use crate::net::message::AnswerValidator;
 use crate::net::shared::MemoryPermit;
-use crate::net::{permits_for, ANSWER_HELD, ANSWER_MOST, ANSWER_SMALL};
+use crate::net::{
+    kib_permits, MAX_BUFFERED_RESPONSE_BYTES, MAX_IMMEDIATE_RESPONSE_BYTES,
+    UNRESERVED_RESPONSE_BYTES,
+};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -109,7 +112,7 @@
     /// The longest answer that is accepted.
     fn max_answer_bytes(&self) -> u64 {
         if self.must_buffer_whole() {
-            ANSWER_MOST as u64
+            MAX_BUFFERED_RESPONSE_BYTES as u64
         } else {
             MAX_STREAMED_BYTES
         }
@@ -118,9 +121,9 @@
     /// The longest answer that is buffered.
     fn max_buffered_bytes(&self) -> usize {
         if self.must_buffer_whole() {
-            ANSWER_MOST
+            MAX_BUFFERED_RESPONSE_BYTES
         } else {
-            ANSWER_HELD
+            MAX_IMMEDIATE_RESPONSE_BYTES
         }
     }
 
@@ -130,19 +133,19 @@
         announced_bytes: usize,
         deadline: Instant,
     ) -> Option<MemoryPermit> {
-        if announced_bytes <= ANSWER_SMALL {
+        if announced_bytes <= UNRESERVED_RESPONSE_BYTES {
             return None;
         }
         let pool = self.context.connections();
         if self.must_buffer_whole() {
             // Without memory in time the answer is not read, and the wait for its body times out.
-            let permits = permits_for(announced_bytes);
+            let permits = kib_permits(announced_bytes);
             return pool
                 .shared
                 .reserve_answer_by(pool.member, permits, deadline)
                 .await;
         }
-        let permits = permits_for(announced_bytes.min(ANSWER_HELD));
+        let permits = kib_permits(announced_bytes.min(MAX_IMMEDIATE_RESPONSE_BYTES));
         pool.shared.reserve_answer(pool.member, permits)
     }
 
@@ -152,7 +155,7 @@
             let mut size = 0;
             while let Some(frame) = body.frame().await {
                 size += frame.ok()?.data_ref().map_or(0, Bytes::len);
-                (size <= ANSWER_MOST).then_some(())?;
+                (size <= MAX_BUFFERED_RESPONSE_BYTES).then_some(())?;
             }
             Some(())
         };
@@ -227,7 +230,8 @@
 
     /// Whether the answer is too large to be buffered without a memory permit.
     fn is_large(&self) -> bool {
-        self.announced_bytes > ANSWER_SMALL || self.buffer.len() > ANSWER_SMALL
+        self.announced_bytes > UNRESERVED_RESPONSE_BYTES
+            || self.buffer.len() > UNRESERVED_RESPONSE_BYTES
     }
 
     fn can_stream(&self) -> bool {
@@ -265,7 +269,7 @@
     fn reserve_unannounced(&mut self) {
         if self.memory.is_none() && self.announced_bytes == 0 {
             let pool = self.attempt.context.connections();
-            let permits = permits_for(self.attempt.max_buffered_bytes());
+            let permits = kib_permits(self.attempt.max_buffered_bytes());
             self.memory = pool.shared.reserve_answer(pool.member, permits);
         }
     }
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -8,12 +8,12 @@
 
 use crate::net::front::{Front, Listening};
 use crate::net::management::Management;
-use crate::net::pool::{Missing, Pool};
-use crate::net::service::{Discovery, Routing, Service};
+use crate::net::pool::{ListOrigin, Pool, PoolConfig};
+use crate::net::service::{DiscoverySource, Routing, Service};
 use crate::net::shared::Shared;
 use crate::net::takeover::{HandoverSocket, Snapshot, Takeover};
 use crate::net::task::AbortOnDrop;
-use crate::net::{discovery, source, Bounds};
+use crate::net::{discovery, source, ResourceLimits};
 use crate::process::{self, BoxError, ProcessError, Signals};
 use config::{Config, ConfigError};
 use reelfall_balancer::interface::Settings;
@@ -68,7 +68,7 @@
     } = Signals::listen()?;
     let settings = StartSettings::read(&config)?;
     let pool_settings = PoolSettings::parse(&config)?;
-    let shared = Shared::alone(settings.bounds);
+    let shared = Shared::for_single_service(settings.bounds);
     let snapshot = settings.request_snapshot(&shared).await;
     let pool = pool_settings.build_pool(settings.seed, &shared)?;
     let known_index = apply_known_list(&pool, &config.known)?;
@@ -82,7 +82,7 @@
     spawn_ticks(&shared);
     let takeover = settings.build_takeover(&shared, &pool, snapshot.is_some());
     settings.spawn_management(&shared, &takeover);
-    let service = Service::alone(pool.clone(), follow);
+    let service = Service::single(pool.clone(), follow);
     let front = settings.build_front(&shared, service, initial_bounds);
     tokio::task::spawn_local(front.clone().close_idle_while_draining());
     front.set_handover_state(&takeover);
@@ -106,7 +106,7 @@
     folder: Option<PathBuf>,
     management: Option<SocketAddr>,
     seed: u64,
-    bounds: Bounds,
+    bounds: ResourceLimits,
 }
 
 impl StartSettings {
@@ -116,7 +116,7 @@
             name: process::file_name_of(&config.name),
             folder: std::env::var_os("TMPDIR").map(PathBuf::from),
             seed: config.random_seed(),
-            bounds: Bounds::of(config.limits.sockets, config.limits.memory_mb),
+            bounds: ResourceLimits::for_process(config.limits.sockets, config.limits.memory_mb),
         })
     }
 
@@ -137,14 +137,24 @@
         has_predecessor: bool,
     ) -> Rc<Takeover> {
         let pool = pool.clone();
-        let collect_learned = Box::new(move || vec![(POOL.to_owned(), pool.learned())]);
+        let collect_learned = Box::new(move || vec![(POOL.to_owned(), pool.learned_state())]);
         let socket = self.handover_socket();
         Takeover::new(shared.clone(), socket, has_predecessor, collect_learned)
     }
 
-    fn build_front(&self, shared: &Rc<Shared>, service: Rc<Service>, bounds: Bounds) -> Rc<Front> {
-        let routing = Routing::Alone(service);
-        Front::new(shared.clone(), routing, bounds.clients, self.seed)
+    fn build_front(
+        &self,
+        shared: &Rc<Shared>,
+        service: Rc<Service>,
+        bounds: ResourceLimits,
+    ) -> Rc<Front> {
+        let routing = Routing::Single(service);
+        Front::new(
+            shared.clone(),
+            routing,
+            bounds.client_connections,
+            self.seed,
+        )
     }
 
     /// Spawns the tasks that serve the management address, if there is one, and follow the ledger.
@@ -178,16 +188,15 @@
     }
 
     fn build_pool(self, seed: u64, shared: &Rc<Shared>) -> Result<Rc<Pool>, SettingsError> {
-        let (missing, shared) = (Missing::Ended, shared.clone());
-        Pool::new(
-            self.settings,
-            self.names,
-            self.connections,
+        Pool::new(PoolConfig {
+            settings: self.settings,
+            names: self.names,
+            connection_settings: self.connections,
             seed,
-            missing,
-            shared,
-            None,
-        )
+            list_origin: ListOrigin::Discovered,
+            shared: shared.clone(),
+            member: None,
+        })
     }
 }
 
@@ -205,10 +214,10 @@
     address: watch::Receiver<SocketAddr>,
     known_index: u64,
 ) -> AbortOnDrop {
-    let list = Discovery {
+    let list = DiscoverySource {
         address,
-        known: known_index,
-        list: String::new(),
+        known_index: known_index,
+        list_name: String::new(),
     };
     source::follow(pool, list)
 }
@@ -219,7 +228,7 @@
     snapshot: Option<Snapshot>,
     listening: Rc<Listening>,
     /// The limits while the predecessor is there: the two share those of the node.
-    initial_bounds: Bounds,
+    initial_bounds: ResourceLimits,
 }
 
 impl Inherited {
@@ -227,13 +236,13 @@
         mut snapshot: Option<Snapshot>,
         pool: &Rc<Pool>,
         address: SocketAddr,
-        bounds: Bounds,
+        bounds: ResourceLimits,
     ) -> Result<Inherited, PlatformError> {
         if let Some(learned) = snapshot
             .as_ref()
             .and_then(|snapshot| snapshot.learned(POOL))
         {
-            pool.restore_learned(learned);
+            pool.restore_learned_state(learned);
         }
         let socket = snapshot
             .as_mut()
@@ -249,7 +258,7 @@
         }
         // A predecessor goes on with its own sockets and clients, and this process has its own.
         drop(snapshot);
-        let listening = Listening::bind(LISTENER, address, bounds.clients, true)
+        let listening = Listening::bind(LISTENER, address, bounds.client_connections, true)
             .map_err(|error| PlatformError::Listener(error.into()))?;
         Ok(Inherited {
             snapshot: None,
@@ -269,14 +278,14 @@
     shared: Rc<Shared>,
     takeover: &Rc<Takeover>,
     front: &Rc<Front>,
-    initial: Bounds,
-    bounds: Bounds,
+    initial: ResourceLimits,
+    bounds: ResourceLimits,
 ) {
     let (takeover, front) = (takeover.clone(), front.clone());
     tokio::task::spawn_local(async move {
         takeover.predecessor_gone.notified().await;
         shared.grow(initial, bounds);
-        front.set_max_clients(bounds.clients);
+        front.set_max_clients(bounds.client_connections);
     });
 }
 
@@ -289,7 +298,7 @@
 ) {
     let front = front.clone();
     tokio::task::spawn_local(async move {
-        while !pool.ready.get() {
+        while !pool.is_ready.get() {
             tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
         takeover.serve(front, snapshot).await;
--- a/crates/node/src/standalone.rs
+++ b/crates/node/src/standalone.rs
@@ -19,7 +19,7 @@
 
 use crate::fleet::{FleetError, FleetRuntime};
 use crate::lease::LeaseError;
-use crate::net::service::prepared::Prepared;
+use crate::net::service::prepared::PreparedPlan;
 use crate::net::shared::Shared;
 use crate::process::{self, ProcessError, Signals};
 use management::ManagementError;
@@ -76,12 +76,12 @@
     } = Signals::listen()?;
     let settings = StartSettings::of(&plan.model);
     let max_connections = plan.model.process.max_connections_per_server;
-    let shared = Shared::parted(plan.totals, max_connections);
+    let shared = Shared::for_services(plan.totals, max_connections);
     let reader = SettingsReader::start(path.to_owned(), shared.clock)
         .map_err(StandaloneError::ReaderThread)?;
     let node = Node::new(shared, reader.clone());
     let fleet = settings.open_fleet(&node.shared)?;
-    let front = node.apply(Prepared::first(plan))?;
+    let front = node.apply(PreparedPlan::initial(plan))?;
     let listener = settings.bind_management()?;
     announce::print(&front, listener.as_ref(), fleet.as_deref());
     let membership = settings.join_fleet(fleet, &node.shared)?;
--- a/crates/node/src/standalone/entries.rs
+++ b/crates/node/src/standalone/entries.rs
@@ -4,7 +4,7 @@
 use super::node::ApplyError;
 use crate::net::front::Front;
 use crate::net::registry::{OwnEntry, RegistryAccess};
-use crate::net::service::prepared::Prepared;
+use crate::net::service::prepared::PreparedPlan;
 use crate::net::shared::Shared;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use reelfall_config::model::{Located, NodeEntry, Registry};
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     /// If a registry can't be accessed.
-    pub fn all_of(prepared: &Prepared) -> Result<DesiredEntries, ApplyError> {
+    pub fn all_of(prepared: &PreparedPlan) -> Result<DesiredEntries, ApplyError> {
         let mut desired = DesiredEntries::new();
         for registry in &prepared.plan.model.registries {
             if let Some(entry) = &registry.entry {
@@ -45,11 +45,11 @@
     }
 
     fn of(
-        prepared: &Prepared,
+        prepared: &PreparedPlan,
         registry: &Located<Registry>,
         entry: &NodeEntry,
     ) -> Result<DesiredEntry, ApplyError> {
-        let access = prepared.access(&registry.name);
+        let access = prepared.registry_access(&registry.name);
         let access = access.map_err(|error| ApplyError::Registry {
             origin: registry.origin.clone(),
             source: error.into(),
@@ -81,7 +81,7 @@
             incarnation,
             started: incarnation,
         };
-        OwnEntry::keep(shared, access, entry.path, data, entry.guarded)
+        OwnEntry::maintain(shared, access, entry.path, data, entry.guarded)
     }
 }
 
--- a/crates/node/src/standalone/membership.rs
+++ b/crates/node/src/standalone/membership.rs
@@ -26,7 +26,7 @@
         settings: &model::Fleet,
         shared: &Shared,
     ) -> Result<Rc<Membership>, LeaseError> {
-        shared.tell_of_attempts(fleet.clone());
+        shared.set_fleet_observer(fleet.clone());
         tokio::task::spawn_local(fleet.clone().run());
         let start_leases = |leases| Leases::start(&fleet, settings, leases);
         let leases = settings.leases.as_ref().map(start_leases).transpose()?;
--- a/crates/node/src/standalone/node.rs
+++ b/crates/node/src/standalone/node.rs
@@ -3,7 +3,7 @@
 use super::entries::{DesiredEntry, OwnEntries};
 use super::reload::{ReadError, SettingsReader};
 use crate::net::front::{Front, Listening};
-use crate::net::service::prepared::Prepared;
+use crate::net::service::prepared::PreparedPlan;
 use crate::net::service::Services;
 use crate::net::shared::Shared;
 use crate::process::BoxError;
@@ -88,7 +88,7 @@
     /// Does what is due periodically.
     pub fn tick(&self) {
         self.shared.tick();
-        self.services.tick();
+        self.services.remove_drained();
         if self.services.are_ready() {
             self.entries.publish();
         }
@@ -108,7 +108,7 @@
     ///
     /// # Errors
     /// If a part of the plan can't be put in force.
-    pub fn apply(&self, prepared: Arc<Prepared>) -> Result<Rc<Front>, ApplyError> {
+    pub fn apply(&self, prepared: Arc<PreparedPlan>) -> Result<Rc<Front>, ApplyError> {
         let max_clients = prepared.plan.clients;
         let listening = self.open_listeners(&prepared)?;
         let entries = DesiredEntry::all_of(&prepared)?;
@@ -130,7 +130,7 @@
     }
 
     /// The listeners of a plan: those that are open already stay open, the others are bound.
-    fn open_listeners(&self, prepared: &Prepared) -> Result<Vec<Rc<Listening>>, ApplyError> {
+    fn open_listeners(&self, prepared: &PreparedPlan) -> Result<Vec<Rc<Listening>>, ApplyError> {
         let front = self.front();
         let mut listening = Vec::with_capacity(prepared.plan.model.listeners.len());
         for listener in &prepared.plan.model.listeners {
@@ -154,7 +154,7 @@
     /// Reads the settings file again and puts it in force. If anything is wrong with it, that is reported on standard
     /// error and nothing changes.
     pub async fn reload(&self, reader: &SettingsReader, file: &str) {
-        let Some(in_force) = self.services.in_force() else {
+        let Some(in_force) = self.services.current_plan() else {
             return;
         };
         let read = reader.read(in_force).await;
@@ -172,7 +172,7 @@
 
     fn apply_read(
         &self,
-        read: Result<Arc<Prepared>, ReadError>,
+        read: Result<Arc<PreparedPlan>, ReadError>,
         reader: &SettingsReader,
     ) -> Result<Rc<Front>, ReloadError> {
         let prepared = read?;
--- a/crates/node/src/standalone/reload.rs
+++ b/crates/node/src/standalone/reload.rs
@@ -1,6 +1,6 @@
 //! Reads the settings file again on a thread of its own: however large the file is, no request waits for it.
 
-use crate::net::service::prepared::Prepared;
+use crate::net::service::prepared::PreparedPlan;
 use crate::net::shared::Clock;
 use reelfall_config::{reader, Faults, Model, Plan};
 use std::io;
@@ -38,11 +38,11 @@
 enum Job {
     /// Reads the file and prepares what has changed since the plan that is in force.
     Read {
-        in_force: Arc<Prepared>,
-        done: oneshot::Sender<Result<Arc<Prepared>, ReadError>>,
+        in_force: Arc<PreparedPlan>,
+        done: oneshot::Sender<Result<Arc<PreparedPlan>, ReadError>>,
     },
     /// Frees a plan that nobody uses any more.
-    Free(Arc<Prepared>),
+    Free(Arc<PreparedPlan>),
 }
 
 /// The sending end of the thread, which does its jobs one after the other. The thread ends when the last of these is
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     /// All that is wrong with it.
-    pub async fn read(&self, in_force: Arc<Prepared>) -> Result<Arc<Prepared>, ReadError> {
+    pub async fn read(&self, in_force: Arc<PreparedPlan>) -> Result<Arc<PreparedPlan>, ReadError> {
         let (done, prepared) = oneshot::channel();
         let sent = self.jobs.send(Job::Read { in_force, done });
         sent.map_err(|_| ReadError::ThreadEnded)?;
@@ -77,7 +77,7 @@
     }
 
     /// Frees a plan, once nobody else uses it.
-    pub fn free(&self, prepared: Arc<Prepared>) {
+    pub fn free(&self, prepared: Arc<PreparedPlan>) {
         // Without the thread it is freed here.
         drop(self.jobs.send(Job::Free(prepared)));
     }
@@ -95,14 +95,18 @@
     }
 }
 
-fn read(path: &Path, clock: Clock, in_force: &Prepared) -> Result<Arc<Prepared>, ReadError> {
+fn read(
+    path: &Path,
+    clock: Clock,
+    in_force: &PreparedPlan,
+) -> Result<Arc<PreparedPlan>, ReadError> {
     let file = path.display().to_string();
     let text = match read_settled(path) {
         Ok(text) => text,
         Err(source) => return Err(ReadError::File { file, source }),
     };
     let plan = checked(&file, text, reelfall_config::check)?;
-    Ok(Prepared::after(plan, in_force, clock.now()))
+    Ok(PreparedPlan::replacing(plan, in_force, clock.now()))
 }
 
 /// Parses and checks the text of a file.
