--- a/crates/distribution/src/author.rs
+++ b/crates/distribution/src/author.rs
@@ -10,13 +10,16 @@
 //! orphans: they report them, and the present author writes its own content anew over them. So all come to the same
 //! content, and versions go up everywhere.
 
+mod lease;
 mod orphans;
+mod publishing;
 mod rollouts;
 
 pub use rollouts::{RolloutDraft, RolloutStatus};
 
 use crate::coverage::Coverage;
-use crate::downstream::{Downstream, DownstreamConfig};
+use crate::downstream::Downstream;
+use crate::downstream_config::DownstreamConfig;
 use crate::epoch::Epoch;
 use crate::history::ChangeHistory;
 use crate::log::{Capacity, ChangeLog};
@@ -24,11 +27,9 @@
 use crate::node_status::{NodeStatuses, Rejection, VersionStatus};
 use crate::output::{Event, Output, Record};
 use crate::peer::PeerId;
-use crate::publish::{self, check_writable, PendingChange, PublishError};
-use crate::replica::{orphaned_changes, Replica, ReplicaUpdate};
-use crate::replica_view::ReplicaView;
+use crate::replica::{Replica, ReplicaUpdate};
 use crate::report::Report;
-use crate::resource::{Change, Content, Draft, Key, Name, NodeFraction, Slot, Urgency, Version};
+use crate::resource::Version;
 use crate::restore::RestoredState;
 use crate::session_end::CloseReason;
 use crate::upstream::Upstream;
@@ -161,270 +162,6 @@
         self.node_statuses.status(version)
     }
 
-    /// The lease is held until then, by this claim: its beginning, and each renewal.
-    ///
-    /// # Errors
-    /// If it is another lease, or a later token has been seen.
-    pub fn hold_lease(
-        &mut self,
-        now: Time,
-        claim: &Claim,
-        until: Time,
-        outputs: &mut Vec<Output>,
-    ) -> Result<(), PublishError> {
-        self.clock = self.clock.max(now);
-        if claim.lease != self.config.lease {
-            return Err(PublishError::LeaseNotHeld);
-        }
-        let seen = self.highest_token();
-        if claim.token < seen {
-            return Err(PublishError::Fenced(seen));
-        }
-        match &mut self.state {
-            State::Writing {
-                epoch, until: held, ..
-            } if epoch.claim == *claim => *held = until,
-            State::TakingOver {
-                claim: taking,
-                until: held,
-                ..
-            } if taking == claim => *held = until,
-            _ => {
-                self.stand_down(now, outputs);
-                let deadline = now + self.config.takeover_timeout;
-                let (claim, heard) = (claim.clone(), BTreeSet::new());
-                self.state = State::TakingOver {
-                    claim,
-                    until,
-                    deadline,
-                    heard,
-                };
-                if self.config.upstream.upstreams.is_empty() {
-                    self.begin_writing(now, outputs);
-                }
-            }
-        }
-        Ok(())
-    }
-
-    /// The lease is no longer held.
-    pub fn stand_down(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        if self.is_writing() {
-            self.downstream.close_all(now, CloseReason::Fenced, outputs);
-        }
-        self.state = State::StandingBy;
-        self.rollouts = Rollouts::default();
-        self.replica.upstream.resume(now);
-    }
-
-    fn highest_token(&self) -> u64 {
-        self.replica.upstream.highest_token().max(self.head().token)
-    }
-
-    fn begin_writing(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        let State::TakingOver { claim, until, .. } = &self.state else {
-            return;
-        };
-        let (claim, until) = (claim.clone(), *until);
-        let seen = self.highest_token();
-        let known = self.replica.known_versions();
-        let epoch = Epoch { claim, known };
-        if seen > epoch.claim.token || self.replica.upstream.admit_epoch(&epoch).is_err() {
-            outputs.push(Output::Event(Event::Fenced { token: seen }));
-            self.stand_down(now, outputs);
-            return;
-        }
-        self.replica.upstream.suspend(now, outputs);
-        let start = Version {
-            token: epoch.claim.token,
-            sequence: 0,
-        };
-        let head = self.head().max(start);
-        let own = orphaned_changes(self.log(), &epoch);
-        // Stored the other way round, a crash between the two would leave what is covered by this word alone as known.
-        self.replica.set_epoch(epoch.clone(), outputs);
-        self.replica.mark_complete(head, outputs);
-        self.state = State::Writing {
-            epoch,
-            until,
-            orphans: 0,
-        };
-        self.rewrite_orphaned(now, own, outputs);
-        self.take_over_rollouts(now, outputs);
-    }
-
-    fn check_lease(&self, now: Time, claim: &Claim) -> Result<(), PublishError> {
-        let seen = self.highest_token();
-        match &self.state {
-            _ if claim.token < seen => Err(PublishError::Fenced(seen)),
-            State::TakingOver { claim: taking, .. } if taking == claim => {
-                Err(PublishError::TakingOver)
-            }
-            State::Writing { epoch, until, .. } if epoch.claim == *claim && now < *until => Ok(()),
-            _ => Err(PublishError::LeaseNotHeld),
-        }
-    }
-
-    /// Publishes changes for all nodes; gives back the version of the last one.
-    ///
-    /// # Errors
-    /// Says why nothing was published.
-    pub fn publish(
-        &mut self,
-        now: Time,
-        claim: &Claim,
-        drafts: Vec<Draft>,
-        outputs: &mut Vec<Output>,
-    ) -> Result<Version, PublishError> {
-        self.check_lease(now, claim)?;
-        drafts
-            .iter()
-            .try_for_each(|draft| check_writable(&draft.name))?;
-        let writes = drafts.into_iter().map(PendingChange::stable).collect();
-        self.publish_pending(now, writes, outputs)
-    }
-
-    /// Publishes a change for a part of the nodes; a later stage of the same trial has a greater part.
-    ///
-    /// # Errors
-    /// Says why nothing was published.
-    pub fn publish_canary(
-        &mut self,
-        now: Time,
-        claim: &Claim,
-        draft: Draft,
-        part: NodeFraction,
-        outputs: &mut Vec<Output>,
-    ) -> Result<Version, PublishError> {
-        self.check_lease(now, claim)?;
-        check_writable(&draft.name)?;
-        self.publish_pending(now, vec![PendingChange::canary(draft, part)], outputs)
-    }
-
-    /// Makes what is on trial hold for all nodes.
-    ///
-    /// # Errors
-    /// Says why nothing was published.
-    pub fn promote_canary(
-        &mut self,
-        now: Time,
-        claim: &Claim,
-        name: &Name,
-        outputs: &mut Vec<Output>,
-    ) -> Result<Version, PublishError> {
-        self.check_lease(now, claim)?;
-        let key = Key {
-            name: name.clone(),
-            slot: Slot::Canary,
-        };
-        let trial = self
-            .log()
-            .get(&key)
-            .filter(|trial| !trial.is_removal())
-            .ok_or(PublishError::NoCanary)?;
-        let (content, urgency) = (trial.content.clone(), trial.urgency);
-        let whole = PendingChange::stable(Draft {
-            name: name.clone(),
-            content,
-            urgency,
-        });
-        let end = PendingChange::end_of_canary(name.clone(), urgency);
-        self.publish_pending(now, vec![whole, end], outputs)
-    }
-
-    /// Takes a change back: what was there before is published as a new, urgent version. Of a trial: it ends.
-    ///
-    /// # Errors
-    /// Says why nothing was published.
-    pub fn revert(
-        &mut self,
-        now: Time,
-        claim: &Claim,
-        version: Version,
-        outputs: &mut Vec<Output>,
-    ) -> Result<Version, PublishError> {
-        self.check_lease(now, claim)?;
-        let change = self
-            .log()
-            .get_version(version)
-            .ok_or(PublishError::Superseded)?;
-        check_writable(&change.key.name)?;
-        let content = match change.key.slot {
-            Slot::Canary => Content::Removed,
-            Slot::Stable => self
-                .history
-                .content_before(change)
-                .ok_or(PublishError::HistoryExpired)?,
-        };
-        let key = change.key.clone();
-        let write = PendingChange {
-            key,
-            content,
-            urgency: Urgency::Urgent,
-            fraction: NodeFraction::ALL,
-        };
-        self.publish_pending(now, vec![write], outputs)
-    }
-
-    fn publish_pending(
-        &mut self,
-        now: Time,
-        writes: Vec<PendingChange>,
-        outputs: &mut Vec<Output>,
-    ) -> Result<Version, PublishError> {
-        publish::check(&writes, self.log(), self.config.capacity)?;
-        Ok(self.append_all(now, writes, outputs))
-    }
-
-    fn append_all(
-        &mut self,
-        now: Time,
-        writes: Vec<PendingChange>,
-        outputs: &mut Vec<Output>,
-    ) -> Version {
-        let mut version = self.head();
-        let mut update = ReplicaUpdate::default();
-        for write in writes {
-            version.sequence += 1;
-            let PendingChange {
-                key,
-                content,
-                urgency,
-                fraction: part,
-            } = write;
-            let replaces = self
-                .log()
-                .get(&key)
-                .map_or(Version::ZERO, |old| old.version);
-            let change = Change {
-                key,
-                version,
-                urgency,
-                fraction: part,
-                replaces,
-                content,
-            };
-            self.replica.put(change, &mut update, outputs);
-        }
-        update.keys.extend(self.replica.prune_tombstones(outputs));
-        self.replica.mark_complete(version, outputs);
-        self.propagate_update(now, &update);
-        version
-    }
-
-    fn propagate_update(&mut self, now: Time, update: &ReplicaUpdate) {
-        for (old, new) in &update.replaced {
-            self.history.record_replaced(old, new);
-        }
-        if self.is_writing() {
-            self.rollouts.check_at(now);
-            let source = as_author(self.replica.view(now));
-            for key in &update.keys {
-                self.downstream.notify_changed(now, key, source);
-            }
-        }
-    }
-
     /// Takes a frame in; any bytes.
     pub fn receive(&mut self, now: Time, from: PeerId, frame: &[u8], outputs: &mut Vec<Output>) {
         self.clock = self.clock.max(now);
@@ -452,7 +189,7 @@
             }
             return;
         }
-        let source = as_author(self.replica.view(now));
+        let source = self.replica.view(now).authoritative();
         let reports = self.downstream.receive(now, received, source, outputs);
         for report in reports {
             self.handle_report(now, report, outputs);
@@ -472,42 +209,6 @@
         }
     }
 
-    /// Guards against the loss of what an earlier author has told one relay alone. Harm: the others' answers are waited
-    /// for, up to [`AuthorConfig::takeover_timeout`].
-    fn relay_caught_up(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        let State::TakingOver { heard, .. } = &mut self.state else {
-            return;
-        };
-        let Some(relay) = self.replica.upstream.following() else {
-            return;
-        };
-        heard.insert(relay);
-        if self
-            .config
-            .upstream
-            .upstreams
-            .iter()
-            .all(|relay| heard.contains(relay))
-        {
-            self.begin_writing(now, outputs);
-        } else {
-            self.replica
-                .upstream
-                .switch_upstream(now, self.config.takeover_timeout, outputs);
-        }
-    }
-
-    /// A relay has heard of a later token: this author has lost the lease without knowing.
-    fn handle_fencing(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        let State::Writing { epoch, .. } = &self.state else {
-            return;
-        };
-        outputs.push(Output::Event(Event::Fenced {
-            token: epoch.claim.token,
-        }));
-        self.stand_down(now, outputs);
-    }
-
     fn handle_report(&mut self, now: Time, report: Report, outputs: &mut Vec<Output>) {
         match report {
             Report::Acknowledged {
@@ -551,7 +252,7 @@
         }
         if self.is_writing() {
             self.check_rollouts(now, outputs);
-            let source = as_author(self.replica.view(now));
+            let source = self.replica.view(now).authoritative();
             self.downstream.poll(now, source, outputs);
         } else {
             self.replica.upstream.poll(now, outputs);
@@ -574,11 +275,3 @@
         }
     }
 }
-
-/// What the author has is never old.
-fn as_author(source: ReplicaView) -> ReplicaView {
-    ReplicaView {
-        age: Some(0.0),
-        ..source
-    }
-}
--- /dev/null
+++ b/crates/distribution/src/author/lease.rs
@@ -0,0 +1,155 @@
+//! The author's state by its lease: standing by, taking over, writing.
+
+use super::rollouts::Rollouts;
+use super::{Author, State};
+use crate::epoch::Epoch;
+use crate::output::{Event, Output};
+use crate::publish::PublishError;
+use crate::replica::orphaned_changes;
+use crate::resource::Version;
+use crate::session_end::CloseReason;
+use crate::Time;
+use reelfall_lease::token::Claim;
+use std::collections::BTreeSet;
+
+impl Author {
+    /// The lease is held until then, by this claim: its beginning, and each renewal.
+    ///
+    /// # Errors
+    /// If it is another lease, or a later token has been seen.
+    pub fn hold_lease(
+        &mut self,
+        now: Time,
+        claim: &Claim,
+        until: Time,
+        outputs: &mut Vec<Output>,
+    ) -> Result<(), PublishError> {
+        self.clock = self.clock.max(now);
+        if claim.lease != self.config.lease {
+            return Err(PublishError::LeaseNotHeld);
+        }
+        let seen = self.highest_token();
+        if claim.token < seen {
+            return Err(PublishError::Fenced(seen));
+        }
+        match &mut self.state {
+            State::Writing {
+                epoch, until: held, ..
+            } if epoch.claim == *claim => *held = until,
+            State::TakingOver {
+                claim: taking,
+                until: held,
+                ..
+            } if taking == claim => *held = until,
+            _ => {
+                self.stand_down(now, outputs);
+                let deadline = now + self.config.takeover_timeout;
+                let (claim, heard) = (claim.clone(), BTreeSet::new());
+                self.state = State::TakingOver {
+                    claim,
+                    until,
+                    deadline,
+                    heard,
+                };
+                if self.config.upstream.upstreams.is_empty() {
+                    self.begin_writing(now, outputs);
+                }
+            }
+        }
+        Ok(())
+    }
+
+    /// The lease is no longer held.
+    pub fn stand_down(&mut self, now: Time, outputs: &mut Vec<Output>) {
+        if self.is_writing() {
+            self.downstream.close_all(now, CloseReason::Fenced, outputs);
+        }
+        self.state = State::StandingBy;
+        self.rollouts = Rollouts::default();
+        self.replica.upstream.resume(now);
+    }
+
+    pub(super) fn highest_token(&self) -> u64 {
+        self.replica.upstream.highest_token().max(self.head().token)
+    }
+
+    pub(super) fn begin_writing(&mut self, now: Time, outputs: &mut Vec<Output>) {
+        let State::TakingOver { claim, until, .. } = &self.state else {
+            return;
+        };
+        let (claim, until) = (claim.clone(), *until);
+        let seen = self.highest_token();
+        let known = self.replica.known_versions();
+        let epoch = Epoch { claim, known };
+        if seen > epoch.claim.token || self.replica.upstream.admit_epoch(&epoch).is_err() {
+            outputs.push(Output::Event(Event::Fenced { token: seen }));
+            self.stand_down(now, outputs);
+            return;
+        }
+        self.replica.upstream.suspend(now, outputs);
+        let start = Version {
+            token: epoch.claim.token,
+            sequence: 0,
+        };
+        let head = self.head().max(start);
+        let own = orphaned_changes(self.log(), &epoch);
+        // Stored the other way round, a crash between the two would leave what is covered by this word alone as known.
+        self.replica.set_epoch(epoch.clone(), outputs);
+        self.replica.mark_complete(head, outputs);
+        self.state = State::Writing {
+            epoch,
+            until,
+            orphans: 0,
+        };
+        self.rewrite_orphaned(now, own, outputs);
+        self.take_over_rollouts(now, outputs);
+    }
+
+    pub(super) fn check_lease(&self, now: Time, claim: &Claim) -> Result<(), PublishError> {
+        let seen = self.highest_token();
+        match &self.state {
+            _ if claim.token < seen => Err(PublishError::Fenced(seen)),
+            State::TakingOver { claim: taking, .. } if taking == claim => {
+                Err(PublishError::TakingOver)
+            }
+            State::Writing { epoch, until, .. } if epoch.claim == *claim && now < *until => Ok(()),
+            _ => Err(PublishError::LeaseNotHeld),
+        }
+    }
+
+    /// Guards against the loss of what an earlier author has told one relay alone. Harm: the others' answers are waited
+    /// for, up to [`AuthorConfig::takeover_timeout`].
+    pub(super) fn relay_caught_up(&mut self, now: Time, outputs: &mut Vec<Output>) {
+        let State::TakingOver { heard, .. } = &mut self.state else {
+            return;
+        };
+        let Some(relay) = self.replica.upstream.following() else {
+            return;
+        };
+        heard.insert(relay);
+        if self
+            .config
+            .upstream
+            .upstreams
+            .iter()
+            .all(|relay| heard.contains(relay))
+        {
+            self.begin_writing(now, outputs);
+        } else {
+            self.replica
+                .upstream
+                .switch_upstream(now, self.config.takeover_timeout, outputs);
+        }
+    }
+
+    /// A relay has heard of a later token: this author has lost the lease without knowing.
+    pub(super) fn handle_fencing(&mut self, now: Time, outputs: &mut Vec<Output>) {
+        let State::Writing { epoch, .. } = &self.state else {
+            return;
+        };
+        outputs.push(Output::Event(Event::Fenced {
+            token: epoch.claim.token,
+        }));
+        self.stand_down(now, outputs);
+    }
+}
--- /dev/null
+++ b/crates/distribution/src/author/publishing.rs
@@ -0,0 +1,171 @@
+//! Publishing: changes for all nodes, canaries, promotions and reverts.
+
+use super::Author;
+use crate::output::Output;
+use crate::publish::{self, check_writable, PendingChange, PublishError};
+use crate::replica::ReplicaUpdate;
+use crate::resource::{Change, Content, Draft, Key, Name, NodeFraction, Slot, Urgency, Version};
+use crate::Time;
+use reelfall_lease::token::Claim;
+
+impl Author {
+    /// Publishes changes for all nodes; gives back the version of the last one.
+    ///
+    /// # Errors
+    /// Says why nothing was published.
+    pub fn publish(
+        &mut self,
+        now: Time,
+        claim: &Claim,
+        drafts: Vec<Draft>,
+        outputs: &mut Vec<Output>,
+    ) -> Result<Version, PublishError> {
+        self.check_lease(now, claim)?;
+        drafts
+            .iter()
+            .try_for_each(|draft| check_writable(&draft.name))?;
+        let writes = drafts.into_iter().map(PendingChange::stable).collect();
+        self.publish_pending(now, writes, outputs)
+    }
+
+    /// Publishes a change for a part of the nodes; a later stage of the same trial has a greater part.
+    ///
+    /// # Errors
+    /// Says why nothing was published.
+    pub fn publish_canary(
+        &mut self,
+        now: Time,
+        claim: &Claim,
+        draft: Draft,
+        part: NodeFraction,
+        outputs: &mut Vec<Output>,
+    ) -> Result<Version, PublishError> {
+        self.check_lease(now, claim)?;
+        check_writable(&draft.name)?;
+        self.publish_pending(now, vec![PendingChange::canary(draft, part)], outputs)
+    }
+
+    /// Makes what is on trial hold for all nodes.
+    ///
+    /// # Errors
+    /// Says why nothing was published.
+    pub fn promote_canary(
+        &mut self,
+        now: Time,
+        claim: &Claim,
+        name: &Name,
+        outputs: &mut Vec<Output>,
+    ) -> Result<Version, PublishError> {
+        self.check_lease(now, claim)?;
+        let key = Key {
+            name: name.clone(),
+            slot: Slot::Canary,
+        };
+        let trial = self
+            .log()
+            .get(&key)
+            .filter(|trial| !trial.is_removal())
+            .ok_or(PublishError::NoCanary)?;
+        let (content, urgency) = (trial.content.clone(), trial.urgency);
+        let whole = PendingChange::stable(Draft {
+            name: name.clone(),
+            content,
+            urgency,
+        });
+        let end = PendingChange::end_of_canary(name.clone(), urgency);
+        self.publish_pending(now, vec![whole, end], outputs)
+    }
+
+    /// Takes a change back: what was there before is published as a new, urgent version. Of a trial: it ends.
+    ///
+    /// # Errors
+    /// Says why nothing was published.
+    pub fn revert(
+        &mut self,
+        now: Time,
+        claim: &Claim,
+        version: Version,
+        outputs: &mut Vec<Output>,
+    ) -> Result<Version, PublishError> {
+        self.check_lease(now, claim)?;
+        let change = self
+            .log()
+            .get_version(version)
+            .ok_or(PublishError::Superseded)?;
+        check_writable(&change.key.name)?;
+        let content = match change.key.slot {
+            Slot::Canary => Content::Removed,
+            Slot::Stable => self
+                .history
+                .content_before(change)
+                .ok_or(PublishError::HistoryExpired)?,
+        };
+        let key = change.key.clone();
+        let write = PendingChange {
+            key,
+            content,
+            urgency: Urgency::Urgent,
+            fraction: NodeFraction::ALL,
+        };
+        self.publish_pending(now, vec![write], outputs)
+    }
+
+    pub(super) fn publish_pending(
+        &mut self,
+        now: Time,
+        writes: Vec<PendingChange>,
+        outputs: &mut Vec<Output>,
+    ) -> Result<Version, PublishError> {
+        publish::check(&writes, self.log(), self.config.capacity)?;
+        Ok(self.append_all(now, writes, outputs))
+    }
+
+    pub(super) fn append_all(
+        &mut self,
+        now: Time,
+        writes: Vec<PendingChange>,
+        outputs: &mut Vec<Output>,
+    ) -> Version {
+        let mut version = self.head();
+        let mut update = ReplicaUpdate::default();
+        for write in writes {
+            version.sequence += 1;
+            let PendingChange {
+                key,
+                content,
+                urgency,
+                fraction: part,
+            } = write;
+            let replaces = self
+                .log()
+                .get(&key)
+                .map_or(Version::ZERO, |old| old.version);
+            let change = Change {
+                key,
+                version,
+                urgency,
+                fraction: part,
+                replaces,
+                content,
+            };
+            self.replica.put(change, &mut update, outputs);
+        }
+        update.keys.extend(self.replica.prune_tombstones(outputs));
+        self.replica.mark_complete(version, outputs);
+        self.propagate_update(now, &update);
+        version
+    }
+
+    pub(super) fn propagate_update(&mut self, now: Time, update: &ReplicaUpdate) {
+        for (old, new) in &update.replaced {
+            self.history.record_replaced(old, new);
+        }
+        if self.is_writing() {
+            self.rollouts.check_at(now);
+            let source = self.replica.view(now).authoritative();
+            for key in &update.keys {
+                self.downstream.notify_changed(now, key, source);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/distribution/src/author/rollouts/advance.rs
@@ -0,0 +1,238 @@
+//! Checks open rollouts: begins the next stage, completes, halts or rolls back.
+
+use super::{progress_of, Author, Rollout, RolloutProgress};
+use crate::output::{Event, Output};
+use crate::publish::PendingChange;
+use crate::resource::{Draft, Key, Name, Slot, Urgency};
+use crate::rollout::policy::OnRejections;
+use crate::rollout::record::{RolloutRecord, RolloutState};
+use crate::rollout::stage::{self, Stage, StageCounts, Verdict};
+use crate::Time;
+
+impl Author {
+    /// Looks at all rollouts that are open, if that is due.
+    pub(in crate::author) fn check_rollouts(&mut self, now: Time, outputs: &mut Vec<Output>) {
+        if now < self.rollouts.next_check_at {
+            return;
+        }
+        let names: Vec<Name> = self
+            .rollouts
+            .open_rollouts()
+            .map(|rollout| rollout.record.name.clone())
+            .collect();
+        for name in names {
+            self.check_rollout(now, &name, outputs);
+        }
+        self.rollouts.next_check_at = self.rollouts.earliest_check(now);
+    }
+
+    pub(super) fn check_rollout(&mut self, now: Time, name: &Name, outputs: &mut Vec<Output>) {
+        let Some(rollout) = self.rollouts.by_name.get_mut(name) else {
+            return;
+        };
+        let log = &self.replica.log;
+        let (trial, index) = match progress_of(&rollout.record, log) {
+            RolloutProgress::Stage { trial, index } => (trial, index),
+            RolloutProgress::Promoted => {
+                return self.end_rollout(now, name, RolloutState::Completed, false, outputs)
+            }
+            RolloutProgress::Superseded => {
+                return self.end_rollout(now, name, RolloutState::Superseded, true, outputs)
+            }
+            RolloutProgress::NoCanary => {
+                return self.end_rollout(now, name, RolloutState::Ended, false, outputs)
+            }
+        };
+        let (_, since) = *rollout.stage.insert(match rollout.stage {
+            Some(stage) if stage.0 == trial.version => stage,
+            _ => (trial.version, now),
+        });
+        let Rollout {
+            record,
+            rejecting_nodes: refusing,
+            ..
+        } = &*rollout;
+        let (policy, part, version) = (&record.policy, trial.fraction, trial.version);
+        let expected = record.expected.get(index).copied().unwrap_or(0);
+        let stage = Stage {
+            version,
+            fraction: part,
+            expected,
+            reports_since: self.rollouts.writing_since,
+        };
+        let counts = stage::count_nodes(now, stage, policy, &self.node_statuses, refusing);
+        let verdict = stage::evaluate(policy, counts, now - since);
+        let on_refusals = policy.on_rejections;
+        rollout.counts = counts;
+        rollout.waiting = None;
+        if rollout.record.state != RolloutState::Running {
+            return;
+        }
+        match verdict {
+            Verdict::Wait(blocker) => rollout.waiting = Some(blocker),
+            Verdict::Advance => self.advance_stage(now, name, index + 1, outputs),
+            Verdict::Stop => {
+                let stop = rollout.stop_summary(part.thousandths);
+                match on_refusals {
+                    OnRejections::Halt => {
+                        self.end_rollout(now, name, RolloutState::Halted(stop), false, outputs);
+                    }
+                    OnRejections::RollBack => {
+                        self.end_rollout(now, name, RolloutState::RolledBack(stop), true, outputs);
+                    }
+                }
+            }
+        }
+    }
+
+    /// The next stage begins, or the last one is over.
+    pub(super) fn advance_stage(
+        &mut self,
+        now: Time,
+        name: &Name,
+        next: usize,
+        outputs: &mut Vec<Output>,
+    ) {
+        let Some(rollout) = self.rollouts.by_name.get_mut(name) else {
+            return;
+        };
+        let key = Key {
+            name: name.clone(),
+            slot: Slot::Canary,
+        };
+        let Some(trial) = self.replica.log.get(&key) else {
+            return;
+        };
+        let counts = rollout.counts;
+        let Some(thousandths) = rollout.record.policy.stages.get(next).copied() else {
+            return self.complete_rollout(now, name, outputs);
+        };
+        let part = rollout.record.fraction(thousandths);
+        let draft = Draft {
+            name: name.clone(),
+            content: trial.content.clone(),
+            urgency: Urgency::Normal,
+        };
+        match self.publish_pending(now, vec![PendingChange::canary(draft, part)], outputs) {
+            Ok(version) => {
+                if let Some(rollout) = self.rollouts.by_name.get_mut(name) {
+                    rollout.stage = Some((version, now));
+                }
+                let name = name.clone();
+                outputs.push(Output::Event(Event::RolloutAdvanced {
+                    name,
+                    thousandths,
+                    counts,
+                }));
+            }
+            Err(_) => self.report_full(key, outputs),
+        }
+    }
+
+    pub(super) fn complete_rollout(&mut self, now: Time, name: &Name, outputs: &mut Vec<Output>) {
+        let Some(rollout) = self.rollouts.by_name.get(name) else {
+            return;
+        };
+        let (mut record, counts) = (rollout.record.clone(), rollout.counts);
+        let release = self.promotion_of(&record);
+        record.state = RolloutState::Completed;
+        let writes = std::iter::once(PendingChange::record(&record))
+            .chain(release)
+            .collect();
+        match self.publish_pending(now, writes, outputs) {
+            Ok(_) => self.record_rollout_end(name, record.state, counts, outputs),
+            Err(_) => self.report_full(RolloutRecord::key_of(name), outputs),
+        }
+    }
+
+    /// A rollout goes on no more by itself. `ends_trial`: nor does its trial, with the same write.
+    pub(super) fn end_rollout(
+        &mut self,
+        now: Time,
+        name: &Name,
+        state: RolloutState,
+        ends_trial: bool,
+        outputs: &mut Vec<Output>,
+    ) {
+        let Some(rollout) = self.rollouts.by_name.get(name) else {
+            return;
+        };
+        let (mut record, counts) = (rollout.record.clone(), rollout.counts);
+        record.state = state;
+        // Without room for the record the trial ends all the same.
+        if self
+            .publish_pending(now, vec![PendingChange::record(&record)], outputs)
+            .is_err()
+        {
+            self.report_full(RolloutRecord::key_of(name), outputs);
+        }
+        if ends_trial {
+            self.end_canary(now, &record, outputs);
+        }
+        self.record_rollout_end(name, record.state, counts, outputs);
+    }
+
+    pub(super) fn record_rollout_end(
+        &mut self,
+        name: &Name,
+        state: RolloutState,
+        counts: StageCounts,
+        outputs: &mut Vec<Output>,
+    ) {
+        if let Some(rollout) = self.rollouts.by_name.get_mut(name) {
+            rollout.record.state = state.clone();
+            rollout.waiting = None;
+            if !state.is_open() {
+                rollout.rejecting_nodes.drop_nodes_without_reason();
+            }
+        }
+        let name = name.clone();
+        outputs.push(Output::Event(Event::RolloutStopped {
+            name,
+            state,
+            counts,
+        }));
+    }
+
+    pub(super) fn report_full(&self, key: Key, outputs: &mut Vec<Output>) {
+        let version = self.head();
+        outputs.push(Output::Event(Event::CapacityExceeded { key, version }));
+    }
+
+    /// What releases the trial of a record: latest last, so that a link carries the change for all nodes before the trial's
+    /// end.
+    pub(super) fn promotion_of(&self, record: &RolloutRecord) -> Vec<PendingChange> {
+        let key = Key {
+            name: record.name.clone(),
+            slot: Slot::Canary,
+        };
+        let Some(trial) = record.own_canary(self.log().get(&key)) else {
+            return Vec::new();
+        };
+        let (name, urgency) = (record.name.clone(), Urgency::Normal);
+        let whole = PendingChange::stable(Draft {
+            name: name.clone(),
+            content: trial.content.clone(),
+            urgency,
+        });
+        vec![PendingChange::end_of_canary(name, urgency), whole]
+    }
+
+    /// Ends the trial of a record, if it is still there.
+    pub(super) fn end_canary(
+        &mut self,
+        now: Time,
+        record: &RolloutRecord,
+        outputs: &mut Vec<Output>,
+    ) {
+        let key = Key {
+            name: record.name.clone(),
+            slot: Slot::Canary,
+        };
+        if record.own_canary(self.log().get(&key)).is_some() {
+            let end = PendingChange::end_of_canary(record.name.clone(), Urgency::Urgent);
+            // It takes less room than the trial, so there is room for it.
+            self.append_all(now, vec![end], outputs);
+        }
+    }
+}
--- /dev/null
+++ b/crates/distribution/src/author/rollouts/takeover.rs
@@ -0,0 +1,102 @@
+//! Takes over the rollouts of earlier authors when an author begins to write.
+
+use super::{progress_of, Author, Rollout, RolloutProgress, Rollouts};
+use crate::log::ChangeLog;
+use crate::output::{Event, Output};
+use crate::resource::{Change, Group, Key, Selector, Slot, Version};
+use crate::rollout::record::{RolloutRecord, RolloutState};
+use crate::Time;
+
+impl Author {
+    /// The author begins to write: takes over the rollouts of earlier authors, and brings to an end what they had no time to.
+    pub(in crate::author) fn take_over_rollouts(&mut self, now: Time, outputs: &mut Vec<Output>) {
+        self.rollouts = Rollouts {
+            writing_since: now,
+            ..Rollouts::default()
+        };
+        let mut read = Vec::new();
+        for (change, record) in records(self.log()) {
+            match record {
+                Some(record) => read.push((change.version, record)),
+                None => {
+                    let key = change.key.clone();
+                    outputs.push(Output::Event(Event::RolloutUnreadable { key }));
+                }
+            }
+        }
+        for (version, record) in read {
+            self.complete_interrupted_rollout(now, version, &record, outputs);
+            let name = record.name.clone();
+            self.report_resumed(&record, outputs);
+            self.rollouts
+                .by_name
+                .entry(name)
+                .or_insert_with(|| Rollout::new(record));
+        }
+        self.rollouts.check_at(now);
+    }
+
+    pub(super) fn report_resumed(&self, record: &RolloutRecord, outputs: &mut Vec<Output>) {
+        if let (true, RolloutProgress::Stage { trial, .. }) =
+            (record.state.is_open(), progress_of(record, self.log()))
+        {
+            let (name, thousandths) = (record.name.clone(), trial.fraction.thousandths);
+            outputs.push(Output::Event(Event::RolloutResumed { name, thousandths }));
+        }
+    }
+
+    /// Guards against an author that ended between storing that a rollout is over and writing what that means, and against
+    /// one that writes its own trial anew, which an author between did not have. Harm: a trial by hand that has the content,
+    /// the seed and a stage of a rollout that is over counts as that one's.
+    pub(super) fn complete_interrupted_rollout(
+        &mut self,
+        now: Time,
+        version: Version,
+        record: &RolloutRecord,
+        outputs: &mut Vec<Output>,
+    ) {
+        match (&record.state, progress_of(record, self.log())) {
+            (_, RolloutProgress::Stage { .. }) if record.state.is_open() => {}
+            (RolloutState::Completed, RolloutProgress::Stage { .. }) => {
+                for write in self.promotion_of(record) {
+                    self.publish_or_report_full(now, write, outputs);
+                }
+            }
+            (RolloutState::Completed, RolloutProgress::NoCanary) => {
+                let whole = self.log().get(&Key {
+                    name: record.name.clone(),
+                    slot: Slot::Stable,
+                });
+                if whole.is_none_or(|whole| whole.version < version && !record.is_content_of(whole))
+                {
+                    self.rollouts
+                        .by_name
+                        .insert(record.name.clone(), Rollout::new(record.clone()));
+                    self.end_rollout(now, &record.name, RolloutState::Lost, false, outputs);
+                }
+            }
+            // The author that released it is back and has written its release anew.
+            (RolloutState::Lost, RolloutProgress::Promoted) => {
+                self.rollouts
+                    .by_name
+                    .insert(record.name.clone(), Rollout::new(record.clone()));
+                self.end_rollout(now, &record.name, RolloutState::Completed, false, outputs);
+            }
+            (_, RolloutProgress::Stage { .. })
+            | (RolloutState::Superseded, RolloutProgress::Superseded) => {
+                self.end_canary(now, record, outputs);
+            }
+            _ => {}
+        }
+    }
+}
+
+/// The records of rollouts, with their versions; none in place of one that can't be read.
+pub(super) fn records(log: &ChangeLog) -> impl Iterator<Item = (&Change, Option<RolloutRecord>)> {
+    let selector = Selector::Group(Group::Authors);
+    let keys = log.keys_after(&selector, Version::ZERO).map(|(_, key)| key);
+    let changes = keys
+        .filter_map(|key| log.get(key))
+        .filter(|change| !change.is_removal());
+    changes.map(|change| (change, RolloutRecord::from_change(change)))
+}
--- /dev/null
+++ b/crates/distribution/src/downstream/admission.rs
@@ -0,0 +1,182 @@
+//! Which sessions are opened, closed and rejected, within the budgets.
+
+use super::{remove_interest, Downstream, BAN_DURATION, RETAINED_BUCKETS_PER_CHILD, SESSION_COST};
+use crate::child::Child;
+use crate::link::Link;
+use crate::message::{self, Head, Payload};
+use crate::output::{Event, Output};
+use crate::peer::PeerId;
+use crate::session_end::CloseReason;
+use crate::token_bucket::{Budget, TokenBucket, TRANSPORT_OVERHEAD_BYTES};
+use crate::Time;
+
+impl Downstream {
+    /// Begins a session, unless there are too many or too many begin at once; whether it is there.
+    ///
+    /// Guards against all children of a relay that died coming at once. Harm: some come some seconds later.
+    pub(super) fn open_session(
+        &mut self,
+        now: Time,
+        from: PeerId,
+        head: &Head,
+        relay: bool,
+        outputs: &mut Vec<Output>,
+    ) -> bool {
+        let old = self.children.get_mut(&from);
+        if old.is_some_and(|child| child.link().session() == head.session) {
+            return true;
+        }
+        let full =
+            !self.children.contains_key(&from) && self.children.len() >= self.config.max_children;
+        if full
+            || !self
+                .session_bucket
+                .take(now, SESSION_COST as usize - TRANSPORT_OVERHEAD_BYTES)
+        {
+            self.reject(
+                now,
+                from,
+                head.session,
+                CloseReason::CapacityExceeded,
+                outputs,
+            );
+            return false;
+        }
+        if self.children.contains_key(&from) {
+            self.drop_child(from);
+            outputs.push(Output::Event(Event::ChildLost {
+                child: from,
+                reason: CloseReason::Replaced,
+            }));
+        }
+        let budget = if relay {
+            self.config.relay_budget
+        } else {
+            self.config.node_budget
+        };
+        let mut link = Link::new(from, head.session, false, budget, now);
+        let spent = self.retained_buckets.remove(&from);
+        if let Some(bucket) = spent.filter(|bucket| bucket.budget() == budget) {
+            link = link.with_bucket(bucket);
+        }
+        let own = if relay { Budget::CONTROL } else { Budget::UP };
+        let inflow = Budget {
+            bytes_per_second: self.config.receive_budget_factor * own.bytes_per_second,
+            burst_bytes: self.config.receive_budget_factor * own.burst_bytes,
+        };
+        self.children.insert(
+            from,
+            Child::new(link, relay, self.config.keepalive_interval, inflow, now),
+        );
+        true
+    }
+
+    /// Ends a child's session and tells it so.
+    pub(super) fn close_session(
+        &mut self,
+        now: Time,
+        child: PeerId,
+        why: CloseReason,
+        outputs: &mut Vec<Output>,
+    ) {
+        if matches!(
+            why,
+            CloseReason::RateExceeded | CloseReason::ProtocolViolation
+        ) {
+            self.ban(now, child);
+        }
+        let session = self
+            .children
+            .get_mut(&child)
+            .map(|child| child.link().session());
+        self.drop_child(child);
+        outputs.push(Output::Event(Event::ChildLost { child, reason: why }));
+        if let Some(session) = session {
+            self.reject(now, child, session, why, outputs);
+        }
+    }
+
+    /// Ends all sessions: an author has lost its lease.
+    pub fn close_all(&mut self, now: Time, why: CloseReason, outputs: &mut Vec<Output>) {
+        let all: Vec<PeerId> = self.children().collect();
+        for child in all {
+            self.close_session(now, child, why, outputs);
+        }
+    }
+
+    pub(super) fn ban(&mut self, now: Time, child: PeerId) {
+        self.banned_until.retain(|_, until| now < *until);
+        if self.banned_until.len() < self.config.max_children {
+            self.banned_until.insert(child, now + BAN_DURATION);
+        }
+    }
+
+    /// Tells somebody that its session is not there, within its budget.
+    pub fn reject(
+        &mut self,
+        now: Time,
+        to: PeerId,
+        session: u64,
+        why: CloseReason,
+        outputs: &mut Vec<Output>,
+    ) {
+        let rest = self.rng.uniform(
+            self.config.min_retry_after,
+            2.0 * self.config.min_retry_after,
+        );
+        let payload = Payload::Close {
+            reason: why,
+            retry_after_ms: (rest * 1e3) as u32,
+        };
+        let head = Head {
+            session,
+            from_child: false,
+            number: 0,
+            acknowledged: 0,
+            sent_at_us: 0,
+            echo: None,
+        };
+        let frame = message::encode(&head, &payload);
+        self.drop_full_buckets(now);
+        if !self.retained_buckets.contains_key(&to)
+            && self.retained_buckets.len() >= self.max_retained_buckets()
+        {
+            return;
+        }
+        let full = TokenBucket::new(self.config.node_budget, now);
+        let bucket = match self.children.get_mut(&to) {
+            Some(child) => child.link().bucket_mut(),
+            None => self.retained_buckets.entry(to).or_insert(full),
+        };
+        if bucket.take(now, frame.len()) {
+            outputs.push(Output::Send { to, frame });
+        }
+    }
+
+    pub(super) fn max_retained_buckets(&self) -> usize {
+        RETAINED_BUCKETS_PER_CHILD * self.config.max_children
+    }
+
+    /// Buckets that are full again say nothing.
+    pub(super) fn drop_full_buckets(&mut self, now: Time) {
+        if self.retained_buckets.len() >= self.max_retained_buckets() {
+            let most = self.config.node_budget.burst_bytes;
+            self.retained_buckets
+                .retain(|_, bucket| bucket.available(now) < most);
+        }
+    }
+
+    pub(super) fn drop_child(&mut self, peer: PeerId) {
+        let Some(mut child) = self.children.remove(&peer) else {
+            return;
+        };
+        if self.retained_buckets.len() < self.max_retained_buckets() {
+            self.retained_buckets
+                .insert(peer, child.link().bucket().clone());
+        }
+        for (id, selector) in child.selectors() {
+            remove_interest(&mut self.interests, selector, (peer, id));
+        }
+        self.unschedule(peer);
+    }
+}
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -44,6 +44,7 @@
 pub mod child_subscription;
 pub mod coverage;
 pub mod downstream;
+pub mod downstream_config;
 pub mod epoch;
 pub mod frame;
 pub mod history;
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -1,7 +1,8 @@
 //! A relay: follows an author or another relay, and serves its children from what it has.
 
 use crate::coverage::Coverage;
-use crate::downstream::{Downstream, DownstreamConfig};
+use crate::downstream::Downstream;
+use crate::downstream_config::DownstreamConfig;
 use crate::log::{Capacity, ChangeLog};
 use crate::message;
 use crate::output::{Output, Record};
--- a/crates/distribution/src/replica_view.rs
+++ b/crates/distribution/src/replica_view.rs
@@ -22,3 +22,13 @@
     /// The term of the current author, once it is known.
     pub epoch: Option<&'a Epoch>,
 }
+
+impl ReplicaView<'_> {
+    /// The same view at the author that writes: its own changes are never stale.
+    pub(crate) fn authoritative(self) -> Self {
+        ReplicaView {
+            age: Some(0.0),
+            ..self
+        }
+    }
+}
--- /dev/null
+++ b/crates/distribution/src/upstream/receive.rs
@@ -0,0 +1,205 @@
+//! Takes in the frames of the upstream that is followed, and checks that they keep to the protocol.
+
+use super::{State, Upstream};
+use crate::coverage::Span;
+use crate::epoch::Epoch;
+use crate::link::FrameReceipt;
+use crate::message::{Head, Payload, Received};
+use crate::output::Output;
+use crate::reassembly::ChunkOutcome;
+use crate::resource::{Change, Version};
+use crate::session::UpstreamEvent;
+use crate::session_end::CloseReason;
+use crate::Time;
+
+impl Upstream {
+    /// Takes an upstream's frame in. Frames of others are left.
+    pub fn receive(
+        &mut self,
+        now: Time,
+        received: Received,
+        outputs: &mut Vec<Output>,
+    ) -> Option<UpstreamEvent> {
+        self.take_answer(now, &received, outputs);
+        let Received {
+            from,
+            bytes,
+            head,
+            payload,
+        } = received;
+        let State::Following(session) = &mut self.state else {
+            return None;
+        };
+        if session.link.peer() != from || session.link.session() != head.session {
+            return None;
+        }
+        // Guards against an upstream that sends without end. Harm: none; a relay's own bucket is a quarter of it.
+        if !session.receive_bucket.take(now, bytes) {
+            self.leave(now, CloseReason::RateExceeded, outputs);
+            return None;
+        }
+        self.handle(now, &head, payload, outputs)
+            .unwrap_or_else(|why| {
+                self.leave(now, why, outputs);
+                None
+            })
+    }
+
+    pub(super) fn handle(
+        &mut self,
+        now: Time,
+        head: &Head,
+        payload: Payload,
+        outputs: &mut Vec<Output>,
+    ) -> Result<Option<UpstreamEvent>, CloseReason> {
+        let State::Following(session) = &mut self.state else {
+            return Ok(None);
+        };
+        let arrival = session.link.accept(now, head)?;
+        if !arrival.is_new {
+            return Ok(None);
+        }
+        if session.link.is_idle() {
+            session.reports.clear();
+        }
+        match payload {
+            Payload::Acknowledge => Ok(None),
+            Payload::Close {
+                reason: why,
+                retry_after_ms: rest_ms,
+            } => {
+                self.end_session(now, why, self.requested_backoff(rest_ms), outputs);
+                Ok(None)
+            }
+            Payload::Epoch(epoch) => self.handle_epoch(epoch),
+            Payload::Changes { id, span, changes } => {
+                self.handle_changes(now, arrival, id, span, changes)
+            }
+            Payload::Chunk { id, span, chunk } => {
+                if session.selector_of(id, arrival)?.is_none() {
+                    return Ok(None);
+                }
+                session.progress_at = now;
+                match session.assemblies.take(id, chunk) {
+                    ChunkOutcome::Incomplete => Ok(None),
+                    ChunkOutcome::Complete(change) => {
+                        self.handle_changes(now, arrival, id, span, vec![*change])
+                    }
+                    ChunkOutcome::Invalid => Err(CloseReason::ProtocolViolation),
+                }
+            }
+            Payload::Manifest {
+                id,
+                first,
+                last,
+                floor,
+                digests,
+            } => {
+                let listed = session.add_digests(arrival, id, first, last, digests)?;
+                session.progress_at = now;
+                Ok(listed.map(|(selector, digests)| UpstreamEvent::Manifest {
+                    selector,
+                    pruned_through: floor,
+                    digests,
+                }))
+            }
+            Payload::Current {
+                head,
+                removals,
+                pruned_through: floor,
+                age_us,
+            } => {
+                let age = self.handle_current(now, arrival, head, removals, age_us);
+                Ok(Some(UpstreamEvent::Current {
+                    head,
+                    pruned_through: floor,
+                    age,
+                }))
+            }
+            _ => Err(CloseReason::ProtocolViolation),
+        }
+    }
+
+    pub(super) fn handle_epoch(
+        &mut self,
+        epoch: Epoch,
+    ) -> Result<Option<UpstreamEvent>, CloseReason> {
+        if !epoch.known.is_valid() {
+            return Err(CloseReason::ProtocolViolation);
+        }
+        self.admit_epoch(&epoch)?;
+        Ok(Some(UpstreamEvent::Epoch(epoch)))
+    }
+
+    /// Guards against changes that nobody asked for, and against spans that their changes are not in. Harm: none.
+    pub(super) fn handle_changes(
+        &mut self,
+        now: Time,
+        arrival: FrameReceipt,
+        id: u32,
+        span: Span,
+        changes: Vec<Change>,
+    ) -> Result<Option<UpstreamEvent>, CloseReason> {
+        let State::Following(session) = &mut self.state else {
+            return Ok(None);
+        };
+        let Some(selector) = session.selector_of(id, arrival)? else {
+            return Ok(None);
+        };
+        let fits = |change: &Change| {
+            let inside = span.after < change.version && change.version <= span.through;
+            change.is_valid() && inside && selector.matches(&change.key.name.group)
+        };
+        if span.after >= span.through || !changes.iter().all(fits) {
+            return Err(CloseReason::ProtocolViolation);
+        }
+        session.progress_at = now;
+        Ok(Some(UpstreamEvent::Changes {
+            selector,
+            span,
+            changes,
+        }))
+    }
+
+    /// How old what is here is at most, by the word that all was sent. What was asked for after the upstream wrote it is not
+    /// in it. Removals are known as far as the upstream knew them: it may have all changes before it is told which keys are
+    /// no more.
+    pub(super) fn handle_current(
+        &mut self,
+        now: Time,
+        arrival: FrameReceipt,
+        head: Version,
+        removals: Version,
+        age_us: Option<u64>,
+    ) -> Option<Time> {
+        let mut all = true;
+        for held in self.subscriptions.by_selector.values_mut() {
+            if held
+                .subscribed_in
+                .is_some_and(|asked| asked <= arrival.acknowledged)
+            {
+                held.coverage.add(Span {
+                    after: Version::ZERO,
+                    through: head,
+                });
+                held.removals_known = held.removals_known.max(removals);
+                held.is_complete = true;
+            } else {
+                // A copy of everything is whole or it is not; a node may wait for one subscription of many.
+                all &= !held.is_complete && !self.config.is_relay;
+            }
+        }
+        let age = age_us
+            .zip(arrival.max_transit)
+            .map(|(age_us, transit)| age_us as f64 / 1e6 + transit);
+        if let State::Following(session) = &mut self.state {
+            if age.is_some_and(|age| age <= self.config.stale_timeout) {
+                session.progress_at = now;
+                session.has_progressed = true;
+                self.stale_factor = 1.0;
+                self.candidates.clear_failures();
+            }
+        }
+        age.filter(|_| all)
+    }
+}
--- a/crates/distribution/tests/any_bytes.rs
+++ b/crates/distribution/tests/any_bytes.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use reelfall_distribution::author::{Author, AuthorConfig};
 use reelfall_distribution::coverage::{Coverage, Span};
-use reelfall_distribution::downstream::DownstreamConfig;
+use reelfall_distribution::downstream_config::DownstreamConfig;
 use reelfall_distribution::epoch::Epoch;
 use reelfall_distribution::log::Capacity;
 use reelfall_distribution::message::{decode, encode, Chunk, Head, Payload, Subscribe};
--- a/crates/distribution/tests/cases_return.rs
+++ b/crates/distribution/tests/cases_return.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use reelfall_distribution::downstream::DownstreamConfig;
+use reelfall_distribution::downstream_config::DownstreamConfig;
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::resource::{Draft, Name, Version};
--- a/crates/distribution/tests/defences.rs
+++ b/crates/distribution/tests/defences.rs
@@ -5,7 +5,7 @@
 use reelfall_distribution::author::{Author, AuthorConfig};
 use reelfall_distribution::child::Child;
 use reelfall_distribution::coverage::{Coverage, Span, GAP_FILL_MIN_SPANS};
-use reelfall_distribution::downstream::DownstreamConfig;
+use reelfall_distribution::downstream_config::DownstreamConfig;
 use reelfall_distribution::epoch::Epoch;
 use reelfall_distribution::link::Link;
 use reelfall_distribution::log::{Capacity, ChangeLog};
--- a/crates/distribution/tests/false_peers.rs
+++ b/crates/distribution/tests/false_peers.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use reelfall_distribution::coverage::{Coverage, Span};
-use reelfall_distribution::downstream::DownstreamConfig;
+use reelfall_distribution::downstream_config::DownstreamConfig;
 use reelfall_distribution::log::Capacity;
 use reelfall_distribution::message::{decode, encode, Chunk, Head, Payload, Subscribe};
 use reelfall_distribution::output::{Event, Output};
--- a/crates/distribution/tests/world/mod.rs
+++ b/crates/distribution/tests/world/mod.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use reelfall_distribution::author::{Author, AuthorConfig};
-use reelfall_distribution::downstream::DownstreamConfig;
+use reelfall_distribution::downstream_config::DownstreamConfig;
 use reelfall_distribution::log::Capacity;
 use reelfall_distribution::output::{Output, Record};
 use reelfall_distribution::peer::PeerId;
--- a/crates/emulator/src/control/layout.rs
+++ b/crates/emulator/src/control/layout.rs
@@ -3,7 +3,7 @@
 use super::contents::Resource;
 use super::topology::{Scope, Topology};
 use reelfall_distribution::author::AuthorConfig;
-use reelfall_distribution::downstream::DownstreamConfig;
+use reelfall_distribution::downstream_config::DownstreamConfig;
 use reelfall_distribution::log::Capacity;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::relay::RelayConfig;
