--- a/crates/distribution/src/child.rs
+++ b/crates/distribution/src/child.rs
@@ -13,12 +13,13 @@
 
 mod sender;
 
-use crate::child_subscription::{BodyCursor, CurrentNotice, QueuedChange, Subscription};
+use crate::child_subscription::Subscription;
 use crate::link::Link;
 use crate::message::{Payload, Subscribe};
 use crate::output::Output;
 use crate::replica_view::ReplicaView;
 use crate::resource::{Selector, Version};
+use crate::send_progress::{BodyCursor, CurrentNotice, QueuedChange};
 use crate::session_end::CloseReason;
 use crate::token_bucket::{Budget, TokenBucket};
 use crate::Time;
--- a/crates/distribution/src/child/sender.rs
+++ b/crates/distribution/src/child/sender.rs
@@ -1,14 +1,13 @@
 //! Chooses the next payload for a child, and records what was sent.
 
 use super::{Child, QueueEntry};
-use crate::child_subscription::{
-    BodyCursor, ChunkProgress, CurrentNotice, ManifestCursor, Subscription, CHANGES_OVERHEAD_BYTES,
-};
+use crate::child_subscription::{Subscription, CHANGES_OVERHEAD_BYTES};
 use crate::coverage::Span;
 use crate::message::Payload;
 use crate::output::Output;
 use crate::replica_view::ReplicaView;
 use crate::resource::{Change, Content, Slot, Version};
+use crate::send_progress::{BodyCursor, ChunkProgress, CurrentNotice, ManifestCursor};
 use crate::{Time, DRIFT};
 
 /// An urgent change is sent as soon as the budget allows a payload of this size.
--- a/crates/distribution/src/child_subscription.rs
+++ b/crates/distribution/src/child_subscription.rs
@@ -6,6 +6,10 @@
 use crate::message::{Chunk, Payload, Subscribe, MAX_MANIFEST_KEYS};
 use crate::replica_view::ReplicaView;
 use crate::resource::{Change, Selector, Version};
+use crate::send_progress::{
+    Batch, BodyChunk, BodyCursor, ChunkProgress, CurrentNotice, ManifestCursor, ManifestPage,
+    QueuedChange,
+};
 
 /// Bytes that a frame of changes takes beside the changes.
 pub(crate) const CHANGES_OVERHEAD_BYTES: usize = 64;
@@ -14,69 +18,6 @@
 /// Largest encoding of one digest, in bytes.
 const MAX_DIGEST_BYTES: usize = 10;
 
-/// Position in a manifest that is sent over several frames.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct ManifestCursor {
-    /// Keys up to this version have been listed.
-    listed_through: Version,
-    /// The pruning floor of the log when the manifest was started.
-    pub pruned_through: Version,
-    is_first: bool,
-}
-
-/// The contents of the last [`Payload::Current`] that was sent to the child.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct CurrentNotice {
-    /// Counts the notices of this session; 0 before the first one.
-    pub sequence: u64,
-    pub head: Version,
-    pub removals: Version,
-}
-
-/// Position in a body that is sent over several frames.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct BodyCursor {
-    pub subscription: u32,
-    pub version: Version,
-    pub offset: usize,
-}
-
-/// The change that a subscription sends next. Urgent changes sort last, later versions after previous ones.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct QueuedChange {
-    pub is_urgent: bool,
-    pub version: Version,
-}
-
-/// Complete changes for one frame, and the span that they cover.
-pub(crate) struct Batch {
-    pub payload: Payload,
-    pub span: Span,
-}
-
-/// One frame of a long body.
-pub(crate) struct BodyChunk {
-    pub payload: Payload,
-    pub progress: ChunkProgress,
-}
-
-/// How far a long body has been sent after a chunk.
-pub(crate) enum ChunkProgress {
-    /// It was the last chunk; the child covers this span now.
-    Complete(Span),
-    /// The next chunk starts here.
-    Partial(BodyCursor),
-}
-
-/// One frame of a manifest.
-pub(crate) struct ManifestPage {
-    pub payload: Payload,
-    /// Where the next page starts; none after the last page.
-    pub next: Option<ManifestCursor>,
-    /// The pruning floor that the manifest brings the child up to.
-    pub pruned_through: Version,
-}
-
 /// State of one subscription at the sender.
 #[derive(Debug)]
 pub(crate) struct Subscription {
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -64,13 +64,16 @@
 pub mod resource;
 pub mod restore;
 pub mod rollout;
+mod send_progress;
 pub mod session;
 mod session_attempts;
 pub mod session_end;
 pub mod subscriber;
+pub mod subscriptions;
 pub mod token_bucket;
 pub mod upstream;
 pub mod upstream_config;
+pub mod upstream_event;
 
 /// Seconds on one process's own monotonic clock; only differences matter.
 pub type Time = f64;
--- a/crates/distribution/src/replica.rs
+++ b/crates/distribution/src/replica.rs
@@ -8,9 +8,9 @@
 use crate::report::Report;
 use crate::resource::{Change, Key, Selector, Version};
 use crate::restore::RestoredState;
-use crate::session::UpstreamEvent;
 use crate::session_end::CloseReason;
 use crate::upstream::Upstream;
+use crate::upstream_event::UpstreamEvent;
 use crate::{Time, DRIFT};
 use std::collections::BTreeSet;
 
--- a/crates/distribution/src/session.rs
+++ b/crates/distribution/src/session.rs
@@ -1,15 +1,14 @@
 //! A child's session with its upstream: what it asked for, and what is on its way.
 
-use crate::coverage::{Coverage, Span};
-use crate::epoch::Epoch;
 use crate::frame;
 use crate::link::{FrameReceipt, Link};
 use crate::message::{Payload, Subscribe};
 use crate::output::Output;
 use crate::reassembly::Reassembler;
 use crate::report::{Report, ReportQueue};
-use crate::resource::{Change, Selector, Version};
+use crate::resource::Selector;
 use crate::session_end::CloseReason;
+use crate::subscriptions::Subscriptions;
 use crate::token_bucket::TokenBucket;
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,73 +24,27 @@
 /// What one number of a subscription takes in a frame at most.
 const MAX_ID_BYTES: usize = 8;
 
-/// What an upstream has said.
-#[derive(Debug, PartialEq)]
-pub enum UpstreamEvent {
-    /// Who the author is.
-    Epoch(Epoch),
-    /// Changes; once they are stored, [`crate::upstream::Upstream::add_coverage`] is to be called.
-    Changes {
-        /// Of which subscription.
-        selector: Selector,
-        /// What is covered by them.
-        span: Span,
-        /// The changes.
-        changes: Vec<Change>,
-    },
-    /// All keys of a selector: others with this version or an earlier one are no more.
-    Manifest {
-        /// Of what.
-        selector: Selector,
-        /// The version.
-        pruned_through: Version,
-        /// The digests of the keys.
-        digests: BTreeSet<u64>,
-    },
-    /// All that the upstream was asked for when it wrote this has come.
-    Current {
-        /// The latest version that the upstream has.
-        head: Version,
-        /// Removals up to this version may have been forgotten there.
-        pruned_through: Version,
-        /// How old that is at most, in seconds, if it holds for everything that was complete before.
-        age: Option<Time>,
-    },
+/// The digests of one frame of a manifest.
+pub(crate) struct ManifestDigests {
+    pub id: u32,
+    pub is_first: bool,
+    pub is_last: bool,
+    pub digests: Vec<u64>,
 }
 
-/// What is known of a subscription, in whatever session.
-#[derive(Clone, Debug, Default)]
-pub struct SubscriptionState {
-    /// Which versions have come.
-    pub coverage: Coverage,
-    /// All removals up to this version are known.
-    pub removals_known: Version,
-    /// All of it had come at some time.
-    pub is_complete: bool,
-    /// Changes of it may be here, also where nothing is covered.
-    pub has_changes: bool,
-    pub(crate) id: Option<u32>,
-    pub(crate) subscribed_in: Option<u64>,
+/// The digests of all keys of a subscription.
+pub(crate) struct CompleteManifest {
+    pub selector: Selector,
+    pub digests: BTreeSet<u64>,
 }
 
-/// Subscriptions by what they ask for, and those that the upstream has not been asked for yet.
-#[derive(Debug, Default)]
-pub(crate) struct Subscriptions {
-    pub by_selector: BTreeMap<Selector, SubscriptionState>,
-    pub pending: BTreeSet<Selector>,
-}
-
-impl Subscriptions {
-    /// A session has ended: the next one is asked for all.
-    pub fn reset_for_new_session(&mut self) {
-        for held in self.by_selector.values_mut() {
-            held.id = None;
-            held.subscribed_in = None;
-        }
-        self.pending = self.by_selector.keys().cloned().collect();
-    }
+#[derive(Debug)]
+struct PartialManifest {
+    subscription: u32,
+    digests: BTreeSet<u64>,
 }
 
+/// An open session with the upstream that is followed.
 #[derive(Debug)]
 pub(crate) struct Session {
     pub link: Link,
@@ -100,7 +53,7 @@
     /// Subscriptions that have ended, and the payload that said so.
     ended: BTreeMap<u32, Option<u64>>,
     pub assemblies: Reassembler,
-    manifest: Option<(u32, BTreeSet<u64>)>,
+    manifest: Option<PartialManifest>,
     /// Reports that are under way.
     pub reports: Vec<Report>,
     pub progress_at: Time,
@@ -132,13 +85,13 @@
     pub fn selector_of(
         &self,
         id: u32,
-        arrival: FrameReceipt,
+        receipt: FrameReceipt,
     ) -> Result<Option<Selector>, CloseReason> {
         if let Some(selector) = self.selectors.get(&id) {
             return Ok(Some(selector.clone()));
         }
         match self.ended.get(&id) {
-            Some(Some(said)) if *said <= arrival.acknowledged => {
+            Some(Some(said)) if *said <= receipt.acknowledged => {
                 Err(CloseReason::ProtocolViolation)
             }
             Some(_) => Ok(None),
@@ -160,27 +113,35 @@
     /// Takes in a part of a list of keys; gives back the list after its last part.
     pub fn add_digests(
         &mut self,
-        arrival: FrameReceipt,
-        id: u32,
-        first: bool,
-        last: bool,
-        digests: Vec<u64>,
-    ) -> Result<Option<(Selector, BTreeSet<u64>)>, CloseReason> {
-        let asked = self.selector_of(id, arrival)?;
-        if first {
-            self.manifest = Some((id, BTreeSet::new()));
+        receipt: FrameReceipt,
+        page: ManifestDigests,
+    ) -> Result<Option<CompleteManifest>, CloseReason> {
+        let selector = self.selector_of(page.id, receipt)?;
+        if page.is_first {
+            self.manifest = Some(PartialManifest {
+                subscription: page.id,
+                digests: BTreeSet::new(),
+            });
         }
-        let listing = self.manifest.as_mut().filter(|(listed, _)| *listed == id);
-        let (_, keys) = listing.ok_or(CloseReason::ProtocolViolation)?;
-        keys.extend(digests);
-        if keys.len() > MAX_MANIFEST_DIGESTS {
+        let manifest = self
+            .manifest
+            .as_mut()
+            .filter(|manifest| manifest.subscription == page.id)
+            .ok_or(CloseReason::ProtocolViolation)?;
+        manifest.digests.extend(page.digests);
+        if manifest.digests.len() > MAX_MANIFEST_DIGESTS {
             return Err(CloseReason::ProtocolViolation);
         }
-        if !last {
+        if !page.is_last {
             return Ok(None);
         }
-        let keys = self.manifest.take().map(|(_, keys)| keys);
-        Ok(asked.zip(keys))
+        let complete = self.manifest.take();
+        Ok(selector
+            .zip(complete)
+            .map(|(selector, manifest)| CompleteManifest {
+                selector,
+                digests: manifest.digests,
+            }))
     }
 
     /// Whether there is something to tell the upstream.
--- a/crates/distribution/src/subscriber/receive.rs
+++ b/crates/distribution/src/subscriber/receive.rs
@@ -10,7 +10,7 @@
 use crate::replica::{keys_not_listed, missing_versions, orphaned_changes};
 use crate::report::Report;
 use crate::resource::{Change, Key, Selector, Version};
-use crate::session::UpstreamEvent;
+use crate::upstream_event::UpstreamEvent;
 use crate::Time;
 use std::collections::BTreeSet;
 
--- a/crates/distribution/src/upstream/receive.rs
+++ b/crates/distribution/src/upstream/receive.rs
@@ -4,12 +4,13 @@
 use crate::coverage::Span;
 use crate::epoch::Epoch;
 use crate::link::FrameReceipt;
-use crate::message::{Head, Payload, Received};
+use crate::message::{Chunk, Head, Payload, Received};
 use crate::output::Output;
 use crate::reassembly::ChunkOutcome;
 use crate::resource::{Change, Version};
-use crate::session::UpstreamEvent;
+use crate::session::ManifestDigests;
 use crate::session_end::CloseReason;
+use crate::upstream_event::UpstreamEvent;
 use crate::Time;
 
 impl Upstream {
@@ -55,8 +56,8 @@
         let State::Following(session) = &mut self.state else {
             return Ok(None);
         };
-        let arrival = session.link.accept(now, head)?;
-        if !arrival.is_new {
+        let receipt = session.link.accept(now, head)?;
+        if !receipt.is_new {
             return Ok(None);
         }
         if session.link.is_idle() {
@@ -73,21 +74,9 @@
             }
             Payload::Epoch(epoch) => self.handle_epoch(epoch),
             Payload::Changes { id, span, changes } => {
-                self.handle_changes(now, arrival, id, span, changes)
-            }
-            Payload::Chunk { id, span, chunk } => {
-                if session.selector_of(id, arrival)?.is_none() {
-                    return Ok(None);
-                }
-                session.progress_at = now;
-                match session.assemblies.take(id, chunk) {
-                    ChunkOutcome::Incomplete => Ok(None),
-                    ChunkOutcome::Complete(change) => {
-                        self.handle_changes(now, arrival, id, span, vec![*change])
-                    }
-                    ChunkOutcome::Invalid => Err(CloseReason::ProtocolViolation),
-                }
+                self.handle_changes(now, receipt, id, span, changes)
             }
+            Payload::Chunk { id, span, chunk } => self.handle_chunk(now, receipt, id, span, chunk),
             Payload::Manifest {
                 id,
                 first,
@@ -95,13 +84,13 @@
                 floor,
                 digests,
             } => {
-                let listed = session.add_digests(arrival, id, first, last, digests)?;
-                session.progress_at = now;
-                Ok(listed.map(|(selector, digests)| UpstreamEvent::Manifest {
-                    selector,
-                    pruned_through: floor,
+                let page = ManifestDigests {
+                    id,
+                    is_first: first,
+                    is_last: last,
                     digests,
-                }))
+                };
+                self.handle_manifest(now, receipt, page, floor)
             }
             Payload::Current {
                 head,
@@ -109,7 +98,7 @@
                 pruned_through: floor,
                 age_us,
             } => {
-                let age = self.handle_current(now, arrival, head, removals, age_us);
+                let age = self.handle_current(now, receipt, head, removals, age_us);
                 Ok(Some(UpstreamEvent::Current {
                     head,
                     pruned_through: floor,
@@ -120,6 +109,49 @@
         }
     }
 
+    fn handle_chunk(
+        &mut self,
+        now: Time,
+        receipt: FrameReceipt,
+        id: u32,
+        span: Span,
+        chunk: Chunk,
+    ) -> Result<Option<UpstreamEvent>, CloseReason> {
+        let State::Following(session) = &mut self.state else {
+            return Ok(None);
+        };
+        if session.selector_of(id, receipt)?.is_none() {
+            return Ok(None);
+        }
+        session.progress_at = now;
+        match session.assemblies.take(id, chunk) {
+            ChunkOutcome::Incomplete => Ok(None),
+            ChunkOutcome::Complete(change) => {
+                self.handle_changes(now, receipt, id, span, vec![*change])
+            }
+            ChunkOutcome::Invalid => Err(CloseReason::ProtocolViolation),
+        }
+    }
+
+    fn handle_manifest(
+        &mut self,
+        now: Time,
+        receipt: FrameReceipt,
+        page: ManifestDigests,
+        pruned_through: Version,
+    ) -> Result<Option<UpstreamEvent>, CloseReason> {
+        let State::Following(session) = &mut self.state else {
+            return Ok(None);
+        };
+        let manifest = session.add_digests(receipt, page)?;
+        session.progress_at = now;
+        Ok(manifest.map(|manifest| UpstreamEvent::Manifest {
+            selector: manifest.selector,
+            pruned_through,
+            digests: manifest.digests,
+        }))
+    }
+
     pub(super) fn handle_epoch(
         &mut self,
         epoch: Epoch,
@@ -135,7 +167,7 @@
     pub(super) fn handle_changes(
         &mut self,
         now: Time,
-        arrival: FrameReceipt,
+        receipt: FrameReceipt,
         id: u32,
         span: Span,
         changes: Vec<Change>,
@@ -143,7 +175,7 @@
         let State::Following(session) = &mut self.state else {
             return Ok(None);
         };
-        let Some(selector) = session.selector_of(id, arrival)? else {
+        let Some(selector) = session.selector_of(id, receipt)? else {
             return Ok(None);
         };
         let fits = |change: &Change| {
@@ -167,7 +199,7 @@
     pub(super) fn handle_current(
         &mut self,
         now: Time,
-        arrival: FrameReceipt,
+        receipt: FrameReceipt,
         head: Version,
         removals: Version,
         age_us: Option<u64>,
@@ -176,7 +208,7 @@
         for held in self.subscriptions.by_selector.values_mut() {
             if held
                 .subscribed_in
-                .is_some_and(|asked| asked <= arrival.acknowledged)
+                .is_some_and(|asked| asked <= receipt.acknowledged)
             {
                 held.coverage.add(Span {
                     after: Version::ZERO,
@@ -190,7 +222,7 @@
             }
         }
         let age = age_us
-            .zip(arrival.max_transit)
+            .zip(receipt.max_transit)
             .map(|(age_us, transit)| age_us as f64 / 1e6 + transit);
         if let State::Following(session) = &mut self.state {
             if age.is_some_and(|age| age <= self.config.stale_timeout) {
