--- a/crates/distribution/src/applied.rs
+++ b/crates/distribution/src/applied.rs
@@ -15,13 +15,13 @@
 /// What is known of one resource.
 #[derive(Debug, Default)]
 struct ResourceState {
-    in_force: Option<Change>,
+    applied: Option<Change>,
     /// The greatest version that was in force or asked for.
     version: Version,
     /// What was accepted or rejected last, or is asked for.
     decided: Option<SlotVersions>,
     /// The driver was asked and has not answered.
-    asked: bool,
+    is_pending: bool,
 }
 
 /// See the module.
@@ -34,15 +34,15 @@
 
 impl AppliedResources {
     /// What was in force before.
-    pub fn restore(in_force: BTreeMap<Name, Change>) -> AppliedResources {
-        let held = |change: Change| ResourceState {
+    pub fn restore(applied: BTreeMap<Name, Change>) -> AppliedResources {
+        let restored = |change: Change| ResourceState {
             version: change.version,
-            in_force: Some(change),
+            applied: Some(change),
             ..ResourceState::default()
         };
-        let names = in_force
+        let names = applied
             .into_iter()
-            .map(|(name, change)| (name, held(change)))
+            .map(|(name, change)| (name, restored(change)))
             .collect();
         AppliedResources {
             resources: names,
@@ -52,14 +52,14 @@
 
     /// What is in force of a resource.
     pub fn get(&self, name: &Name) -> Option<&Change> {
-        self.resources.get(name)?.in_force.as_ref()
+        self.resources.get(name)?.applied.as_ref()
     }
 
     /// All that is in force.
     pub fn all(&self) -> impl Iterator<Item = &Change> {
         self.resources
             .values()
-            .filter_map(|held| held.in_force.as_ref())
+            .filter_map(|resource| resource.applied.as_ref())
     }
 
     /// Whether the driver has answered all that it was asked.
@@ -73,20 +73,20 @@
     /// What is wanted may come from an earlier version than the last one, where a list of keys has ended that one. It goes
     /// under the greatest version all the same: versions never go back.
     pub fn request(&mut self, mut wanted: Change, basis: SlotVersions, outputs: &mut Vec<Output>) {
-        let held = self.resources.entry(wanted.key.name.clone()).or_default();
-        if held.asked || held.decided == Some(basis) {
+        let resource = self.resources.entry(wanted.key.name.clone()).or_default();
+        if resource.is_pending || resource.decided == Some(basis) {
             return;
         }
-        held.decided = Some(basis);
-        held.version = held.version.max(wanted.version);
-        wanted.version = held.version;
-        let same = match &held.in_force {
+        resource.decided = Some(basis);
+        resource.version = resource.version.max(wanted.version);
+        wanted.version = resource.version;
+        let is_unchanged = match &resource.applied {
             Some(change) => change.content == wanted.content,
             None => wanted.is_removal(),
         };
-        if same {
-            if let Some(change) = held
-                .in_force
+        if is_unchanged {
+            if let Some(change) = resource
+                .applied
                 .as_mut()
                 .filter(|change| change.version < wanted.version)
             {
@@ -98,7 +98,7 @@
             }
             return;
         }
-        held.asked = true;
+        resource.is_pending = true;
         self.pending
             .entry(wanted.version)
             .or_default()
@@ -110,8 +110,8 @@
     pub fn take_answered(&mut self, version: Version) -> Vec<Change> {
         let changes = self.pending.remove(&version).unwrap_or_default();
         for change in &changes {
-            if let Some(held) = self.resources.get_mut(&change.key.name) {
-                held.asked = false;
+            if let Some(resource) = self.resources.get_mut(&change.key.name) {
+                resource.is_pending = false;
             }
         }
         changes
@@ -120,31 +120,35 @@
     /// A change is in force.
     pub fn mark_applied(&mut self, change: Change, outputs: &mut Vec<Output>) {
         outputs.push(Output::Persist(Record::Applied(change.clone())));
-        if let Some(held) = self.resources.get_mut(&change.key.name) {
-            held.in_force = (!change.is_removal()).then_some(change);
+        if let Some(resource) = self.resources.get_mut(&change.key.name) {
+            resource.applied = (!change.is_removal()).then_some(change);
         }
     }
 
     /// Forgets a resource of which nothing is in force and nothing was asked.
     pub fn remove_if_idle(&mut self, name: &Name) {
-        let idle = |held: &ResourceState| held.in_force.is_none() && !held.asked;
-        if self.resources.get(name).is_some_and(idle) {
+        let is_idle = |resource: &ResourceState| resource.applied.is_none() && !resource.is_pending;
+        if self.resources.get(name).is_some_and(is_idle) {
             self.resources.remove(name);
         }
     }
 
     /// Forgets resources, whatever is in force of them.
-    pub fn remove_where(&mut self, gone: impl Fn(&Name) -> bool, outputs: &mut Vec<Output>) {
-        for change in self.all().filter(|change| gone(&change.key.name)) {
+    pub fn remove_where(
+        &mut self,
+        should_remove: impl Fn(&Name) -> bool,
+        outputs: &mut Vec<Output>,
+    ) {
+        for change in self.all().filter(|change| should_remove(&change.key.name)) {
             let end = Change {
                 content: Content::Removed,
                 ..change.clone()
             };
             outputs.push(Output::Persist(Record::Applied(end)));
         }
-        self.resources.retain(|name, _| !gone(name));
+        self.resources.retain(|name, _| !should_remove(name));
         for changes in self.pending.values_mut() {
-            changes.retain(|change| !gone(&change.key.name));
+            changes.retain(|change| !should_remove(&change.key.name));
         }
         self.pending.retain(|_, changes| !changes.is_empty());
     }
--- a/crates/distribution/src/author.rs
+++ b/crates/distribution/src/author.rs
@@ -65,7 +65,7 @@
         claim: Claim,
         until: Time,
         deadline: Time,
-        heard: BTreeSet<PeerId>,
+        caught_up: BTreeSet<PeerId>,
     },
     Writing {
         epoch: Epoch,
@@ -170,9 +170,9 @@
         };
         if !received.head.from_child {
             let upstream = &mut self.replica.upstream;
-            let heard = upstream.receive(now, received, outputs);
-            if let Some(heard) = heard {
-                let update = self.replica.apply_event(now, heard, outputs);
+            let event = upstream.receive(now, received, outputs);
+            if let Some(event) = event {
+                let update = self.replica.apply_event(now, event, outputs);
                 self.apply_update(now, &update, outputs);
             }
             return;
@@ -189,8 +189,8 @@
             }
             return;
         }
-        let source = self.replica.view(now).authoritative();
-        let reports = self.downstream.receive(now, received, source, outputs);
+        let replica = self.replica.view(now).authoritative();
+        let reports = self.downstream.receive(now, received, replica, outputs);
         for report in reports {
             self.handle_report(now, report, outputs);
         }
@@ -211,11 +211,9 @@
 
     fn handle_report(&mut self, now: Time, report: Report, outputs: &mut Vec<Output>) {
         match report {
-            Report::Acknowledged {
-                node,
-                version: upto,
-            } => {
-                self.node_statuses.record_acknowledgement(now, node, upto);
+            Report::Acknowledged { node, version } => {
+                self.node_statuses
+                    .record_acknowledgement(now, node, version);
             }
             Report::Rejected {
                 node,
@@ -252,8 +250,8 @@
         }
         if self.is_writing() {
             self.check_rollouts(now, outputs);
-            let source = self.replica.view(now).authoritative();
-            self.downstream.poll(now, source, outputs);
+            let replica = self.replica.view(now).authoritative();
+            self.downstream.poll(now, replica, outputs);
         } else {
             self.replica.upstream.poll(now, outputs);
         }
--- a/crates/distribution/src/author/lease.rs
+++ b/crates/distribution/src/author/lease.rs
@@ -28,28 +28,30 @@
         if claim.lease != self.config.lease {
             return Err(PublishError::LeaseNotHeld);
         }
-        let seen = self.highest_token();
-        if claim.token < seen {
-            return Err(PublishError::Fenced(seen));
+        let highest_token = self.highest_token();
+        if claim.token < highest_token {
+            return Err(PublishError::Fenced(highest_token));
         }
         match &mut self.state {
             State::Writing {
-                epoch, until: held, ..
-            } if epoch.claim == *claim => *held = until,
+                epoch,
+                until: current_until,
+                ..
+            } if epoch.claim == *claim => *current_until = until,
             State::TakingOver {
-                claim: taking,
-                until: held,
+                claim: current_claim,
+                until: current_until,
                 ..
-            } if taking == claim => *held = until,
+            } if current_claim == claim => *current_until = until,
             _ => {
                 self.stand_down(now, outputs);
                 let deadline = now + self.config.takeover_timeout;
-                let (claim, heard) = (claim.clone(), BTreeSet::new());
+                let (claim, caught_up) = (claim.clone(), BTreeSet::new());
                 self.state = State::TakingOver {
                     claim,
                     until,
                     deadline,
-                    heard,
+                    caught_up,
                 };
                 if self.config.upstream.upstreams.is_empty() {
                     self.begin_writing(now, outputs);
@@ -78,11 +80,13 @@
             return;
         };
         let (claim, until) = (claim.clone(), *until);
-        let seen = self.highest_token();
+        let highest_token = self.highest_token();
         let known = self.replica.known_versions();
         let epoch = Epoch { claim, known };
-        if seen > epoch.claim.token || self.replica.upstream.admit_epoch(&epoch).is_err() {
-            outputs.push(Output::Event(Event::Fenced { token: seen }));
+        if highest_token > epoch.claim.token || self.replica.upstream.admit_epoch(&epoch).is_err() {
+            outputs.push(Output::Event(Event::Fenced {
+                token: highest_token,
+            }));
             self.stand_down(now, outputs);
             return;
         }
@@ -92,7 +96,7 @@
             sequence: 0,
         };
         let head = self.head().max(start);
-        let own = orphaned_changes(self.log(), &epoch);
+        let orphans = orphaned_changes(self.log(), &epoch);
         // Stored the other way round, a crash between the two would leave what is covered by this word alone as known.
         self.replica.set_epoch(epoch.clone(), outputs);
         self.replica.mark_complete(head, outputs);
@@ -101,17 +105,18 @@
             until,
             orphans: 0,
         };
-        self.rewrite_orphaned(now, own, outputs);
+        self.rewrite_orphaned(now, orphans, outputs);
         self.take_over_rollouts(now, outputs);
     }
 
     pub(super) fn check_lease(&self, now: Time, claim: &Claim) -> Result<(), PublishError> {
-        let seen = self.highest_token();
+        let highest_token = self.highest_token();
         match &self.state {
-            _ if claim.token < seen => Err(PublishError::Fenced(seen)),
-            State::TakingOver { claim: taking, .. } if taking == claim => {
-                Err(PublishError::TakingOver)
-            }
+            _ if claim.token < highest_token => Err(PublishError::Fenced(highest_token)),
+            State::TakingOver {
+                claim: current_claim,
+                ..
+            } if current_claim == claim => Err(PublishError::TakingOver),
             State::Writing { epoch, until, .. } if epoch.claim == *claim && now < *until => Ok(()),
             _ => Err(PublishError::LeaseNotHeld),
         }
@@ -120,19 +125,19 @@
     /// Guards against the loss of what an earlier author has told one relay alone. Harm: the others' answers are waited
     /// for, up to [`AuthorConfig::takeover_timeout`].
     pub(super) fn relay_caught_up(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        let State::TakingOver { heard, .. } = &mut self.state else {
+        let State::TakingOver { caught_up, .. } = &mut self.state else {
             return;
         };
         let Some(relay) = self.replica.upstream.following() else {
             return;
         };
-        heard.insert(relay);
+        caught_up.insert(relay);
         if self
             .config
             .upstream
             .upstreams
             .iter()
-            .all(|relay| heard.contains(relay))
+            .all(|relay| caught_up.contains(relay))
         {
             self.begin_writing(now, outputs);
         } else {
--- a/crates/distribution/src/author/orphans.rs
+++ b/crates/distribution/src/author/orphans.rs
@@ -14,32 +14,32 @@
     pub(super) fn rewrite_orphaned(
         &mut self,
         now: Time,
-        own: Vec<(Key, Version)>,
+        orphans: Vec<(Key, Version)>,
         outputs: &mut Vec<Output>,
     ) {
-        for (key, _) in own {
+        for (key, _) in orphans {
             let Some(change) = self.log().get(&key) else {
                 continue;
             };
-            let (content, part) = (change.content.clone(), change.fraction);
-            let write = PendingChange {
+            let (content, fraction) = (change.content.clone(), change.fraction);
+            let change = PendingChange {
                 key,
                 content,
                 urgency: Urgency::Normal,
-                fraction: part,
+                fraction,
             };
-            self.publish_or_report_full(now, write, outputs);
+            self.publish_or_report_full(now, change, outputs);
         }
     }
 
     pub(super) fn publish_or_report_full(
         &mut self,
         now: Time,
-        write: PendingChange,
+        change: PendingChange,
         outputs: &mut Vec<Output>,
     ) {
-        let (key, version) = (write.key.clone(), self.head());
-        if self.publish_pending(now, vec![write], outputs).is_err() {
+        let (key, version) = (change.key.clone(), self.head());
+        if self.publish_pending(now, vec![change], outputs).is_err() {
             outputs.push(Output::Event(Event::CapacityExceeded { key, version }));
         }
     }
@@ -53,22 +53,22 @@
         outputs: &mut Vec<Output>,
     ) {
         let own = self.replica.log.get(&key);
-        let there = own.is_some_and(|own| own.version >= version);
+        let is_newer = own.is_some_and(|own| own.version >= version);
         let State::Writing { epoch, orphans, .. } = &mut self.state else {
             return;
         };
-        if there || version.token >= epoch.claim.token || *orphans >= MAX_OVERWRITTEN_ORPHANS {
+        if is_newer || version.token >= epoch.claim.token || *orphans >= MAX_OVERWRITTEN_ORPHANS {
             return;
         }
         *orphans += 1;
         let content = own.map_or(Content::Removed, |own| own.content.clone());
-        let part = own.map_or(NodeFraction::ALL, |own| own.fraction);
-        let write = PendingChange {
+        let fraction = own.map_or(NodeFraction::ALL, |own| own.fraction);
+        let change = PendingChange {
             key,
             content,
             urgency: Urgency::Urgent,
-            fraction: part,
+            fraction,
         };
-        self.publish_or_report_full(now, write, outputs);
+        self.publish_or_report_full(now, change, outputs);
     }
 }
--- a/crates/distribution/src/author/publishing.rs
+++ b/crates/distribution/src/author/publishing.rs
@@ -24,8 +24,8 @@
         drafts
             .iter()
             .try_for_each(|draft| check_writable(&draft.name))?;
-        let writes = drafts.into_iter().map(PendingChange::stable).collect();
-        self.publish_pending(now, writes, outputs)
+        let pending = drafts.into_iter().map(PendingChange::stable).collect();
+        self.publish_pending(now, pending, outputs)
     }
 
     /// Publishes a change for a part of the nodes; a later stage of the same trial has a greater part.
@@ -37,12 +37,12 @@
         now: Time,
         claim: &Claim,
         draft: Draft,
-        part: NodeFraction,
+        fraction: NodeFraction,
         outputs: &mut Vec<Output>,
     ) -> Result<Version, PublishError> {
         self.check_lease(now, claim)?;
         check_writable(&draft.name)?;
-        self.publish_pending(now, vec![PendingChange::canary(draft, part)], outputs)
+        self.publish_pending(now, vec![PendingChange::canary(draft, fraction)], outputs)
     }
 
     /// Makes what is on trial hold for all nodes.
@@ -61,19 +61,19 @@
             name: name.clone(),
             slot: Slot::Canary,
         };
-        let trial = self
+        let canary = self
             .log()
             .get(&key)
-            .filter(|trial| !trial.is_removal())
+            .filter(|canary| !canary.is_removal())
             .ok_or(PublishError::NoCanary)?;
-        let (content, urgency) = (trial.content.clone(), trial.urgency);
-        let whole = PendingChange::stable(Draft {
+        let (content, urgency) = (canary.content.clone(), canary.urgency);
+        let stable = PendingChange::stable(Draft {
             name: name.clone(),
             content,
             urgency,
         });
         let end = PendingChange::end_of_canary(name.clone(), urgency);
-        self.publish_pending(now, vec![whole, end], outputs)
+        self.publish_pending(now, vec![stable, end], outputs)
     }
 
     /// Takes a change back: what was there before is published as a new, urgent version. Of a trial: it ends.
@@ -101,41 +101,41 @@
                 .ok_or(PublishError::HistoryExpired)?,
         };
         let key = change.key.clone();
-        let write = PendingChange {
+        let change = PendingChange {
             key,
             content,
             urgency: Urgency::Urgent,
             fraction: NodeFraction::ALL,
         };
-        self.publish_pending(now, vec![write], outputs)
+        self.publish_pending(now, vec![change], outputs)
     }
 
     pub(super) fn publish_pending(
         &mut self,
         now: Time,
-        writes: Vec<PendingChange>,
+        pending: Vec<PendingChange>,
         outputs: &mut Vec<Output>,
     ) -> Result<Version, PublishError> {
-        publish::check(&writes, self.log(), self.config.capacity)?;
-        Ok(self.append_all(now, writes, outputs))
+        publish::check(&pending, self.log(), self.config.capacity)?;
+        Ok(self.append_all(now, pending, outputs))
     }
 
     pub(super) fn append_all(
         &mut self,
         now: Time,
-        writes: Vec<PendingChange>,
+        pending: Vec<PendingChange>,
         outputs: &mut Vec<Output>,
     ) -> Version {
         let mut version = self.head();
         let mut update = ReplicaUpdate::default();
-        for write in writes {
+        for change in pending {
             version.sequence += 1;
             let PendingChange {
                 key,
                 content,
                 urgency,
-                fraction: part,
-            } = write;
+                fraction,
+            } = change;
             let replaces = self
                 .log()
                 .get(&key)
@@ -144,7 +144,7 @@
                 key,
                 version,
                 urgency,
-                fraction: part,
+                fraction,
                 replaces,
                 content,
             };
@@ -162,9 +162,9 @@
         }
         if self.is_writing() {
             self.rollouts.check_at(now);
-            let source = self.replica.view(now).authoritative();
+            let replica = self.replica.view(now).authoritative();
             for key in &update.keys {
-                self.downstream.notify_changed(now, key, source);
+                self.downstream.notify_changed(now, key, replica);
             }
         }
     }
--- a/crates/distribution/src/author/rollouts.rs
+++ b/crates/distribution/src/author/rollouts.rs
@@ -72,13 +72,13 @@
 
 impl Rollout {
     fn new(record: RolloutRecord) -> Rollout {
-        let (counts, refusing) = (StageCounts::default(), RejectingNodes::default());
+        let (counts, rejecting_nodes) = (StageCounts::default(), RejectingNodes::default());
         Rollout {
             record,
             stage: None,
             counts,
             waiting: None,
-            rejecting_nodes: refusing,
+            rejecting_nodes,
         }
     }
 
@@ -101,14 +101,12 @@
 
     fn stop_summary(&self, thousandths: u16) -> StopSummary {
         let StageCounts {
-            accepted,
-            rejected: refused,
-            ..
+            accepted, rejected, ..
         } = self.counts;
         StopSummary {
             thousandths,
             accepted,
-            rejected: refused,
+            rejected,
             rejecting_nodes: self.rejecting_nodes.first(MAX_STORED_REJECTIONS),
         }
     }
@@ -159,12 +157,12 @@
         let Some(rollout) = self.by_name.get_mut(&key.name) else {
             return;
         };
-        let RolloutProgress::Stage { trial, .. } = progress_of(&rollout.record, log) else {
+        let RolloutProgress::Stage { canary, .. } = progress_of(&rollout.record, log) else {
             return;
         };
         if rollout.record.state.is_open()
             && version > rollout.record.after
-            && trial.fraction.contains(node)
+            && canary.fraction.contains(node)
         {
             rollout.rejecting_nodes.add(node, reason.to_owned());
             self.next_check_at = self.next_check_at.min(now);
@@ -186,7 +184,7 @@
 
 /// What the log says of a rollout.
 enum RolloutProgress<'a> {
-    Stage { trial: &'a Change, index: usize },
+    Stage { canary: &'a Change, index: usize },
     Promoted,
     Superseded,
     NoCanary,
@@ -199,25 +197,25 @@
             slot,
         })
     };
-    let (whole, trial) = (get(Slot::Stable), get(Slot::Canary));
-    let own = record.own_canary(trial);
-    let since = own.map_or(record.after, |own| own.version);
-    if let Some(whole) = whole.filter(|whole| whole.version > since) {
-        return if record.is_content_of(whole) {
+    let (stable, canary) = (get(Slot::Stable), get(Slot::Canary));
+    let own_canary = record.own_canary(canary);
+    let since = own_canary.map_or(record.after, |own_canary| own_canary.version);
+    if let Some(stable) = stable.filter(|stable| stable.version > since) {
+        return if record.is_content_of(stable) {
             RolloutProgress::Promoted
         } else {
             RolloutProgress::Superseded
         };
     }
-    if let Some(trial) = own {
+    if let Some(canary) = own_canary {
         let index = record
             .policy
-            .stage_of(trial.fraction.thousandths)
+            .stage_of(canary.fraction.thousandths)
             .unwrap_or(0);
-        return RolloutProgress::Stage { trial, index };
+        return RolloutProgress::Stage { canary, index };
     }
-    let other = trial.is_some_and(|trial| !trial.is_removal());
-    if other {
+    let has_other_canary = canary.is_some_and(|canary| !canary.is_removal());
+    if has_other_canary {
         RolloutProgress::Superseded
     } else {
         RolloutProgress::NoCanary
@@ -237,18 +235,18 @@
     fn rollout_status(&self, rollout: &Rollout) -> RolloutStatus {
         let record = rollout.record.clone();
         let thousandths = match progress_of(&record, self.log()) {
-            RolloutProgress::Stage { trial, .. } if record.state.is_open() => {
-                Some(trial.fraction.thousandths)
+            RolloutProgress::Stage { canary, .. } if record.state.is_open() => {
+                Some(canary.fraction.thousandths)
             }
             _ => None,
         };
-        let refusing = rollout.rejecting_nodes.first(stage::MAX_REJECTING_NODES);
+        let rejecting_nodes = rollout.rejecting_nodes.first(stage::MAX_REJECTING_NODES);
         RolloutStatus {
             record,
             thousandths,
             counts: rollout.counts,
             waiting: rollout.waiting,
-            rejecting_nodes: refusing,
+            rejecting_nodes,
         }
     }
 }
--- a/crates/distribution/src/author/rollouts/advance.rs
+++ b/crates/distribution/src/author/rollouts/advance.rs
@@ -31,8 +31,8 @@
             return;
         };
         let log = &self.replica.log;
-        let (trial, index) = match progress_of(&rollout.record, log) {
-            RolloutProgress::Stage { trial, index } => (trial, index),
+        let (canary, index) = match progress_of(&rollout.record, log) {
+            RolloutProgress::Stage { canary, index } => (canary, index),
             RolloutProgress::Promoted => {
                 return self.end_rollout(now, name, RolloutState::Completed, false, outputs)
             }
@@ -44,23 +44,23 @@
             }
         };
         let (_, since) = *rollout.stage.insert(match rollout.stage {
-            Some(stage) if stage.0 == trial.version => stage,
-            _ => (trial.version, now),
+            Some(stage) if stage.0 == canary.version => stage,
+            _ => (canary.version, now),
         });
         let Rollout {
             record,
-            rejecting_nodes: refusing,
+            rejecting_nodes,
             ..
         } = &*rollout;
-        let (policy, part, version) = (&record.policy, trial.fraction, trial.version);
+        let (policy, fraction, version) = (&record.policy, canary.fraction, canary.version);
         let expected = record.expected.get(index).copied().unwrap_or(0);
         let stage = Stage {
             version,
-            fraction: part,
+            fraction,
             expected,
             reports_since: self.rollouts.writing_since,
         };
-        let counts = stage::count_nodes(now, stage, policy, &self.node_statuses, refusing);
+        let counts = stage::count_nodes(now, stage, policy, &self.node_statuses, rejecting_nodes);
         let verdict = stage::evaluate(policy, counts, now - since);
         let on_refusals = policy.on_rejections;
         rollout.counts = counts;
@@ -72,7 +72,7 @@
             Verdict::Wait(blocker) => rollout.waiting = Some(blocker),
             Verdict::Advance => self.advance_stage(now, name, index + 1, outputs),
             Verdict::Stop => {
-                let stop = rollout.stop_summary(part.thousandths);
+                let stop = rollout.stop_summary(fraction.thousandths);
                 match on_refusals {
                     OnRejections::Halt => {
                         self.end_rollout(now, name, RolloutState::Halted(stop), false, outputs);
@@ -100,20 +100,20 @@
             name: name.clone(),
             slot: Slot::Canary,
         };
-        let Some(trial) = self.replica.log.get(&key) else {
+        let Some(canary) = self.replica.log.get(&key) else {
             return;
         };
         let counts = rollout.counts;
         let Some(thousandths) = rollout.record.policy.stages.get(next).copied() else {
             return self.complete_rollout(now, name, outputs);
         };
-        let part = rollout.record.fraction(thousandths);
+        let fraction = rollout.record.fraction(thousandths);
         let draft = Draft {
             name: name.clone(),
-            content: trial.content.clone(),
+            content: canary.content.clone(),
             urgency: Urgency::Normal,
         };
-        match self.publish_pending(now, vec![PendingChange::canary(draft, part)], outputs) {
+        match self.publish_pending(now, vec![PendingChange::canary(draft, fraction)], outputs) {
             Ok(version) => {
                 if let Some(rollout) = self.rollouts.by_name.get_mut(name) {
                     rollout.stage = Some((version, now));
@@ -136,10 +136,10 @@
         let (mut record, counts) = (rollout.record.clone(), rollout.counts);
         let release = self.promotion_of(&record);
         record.state = RolloutState::Completed;
-        let writes = std::iter::once(PendingChange::record(&record))
+        let pending = std::iter::once(PendingChange::record(&record))
             .chain(release)
             .collect();
-        match self.publish_pending(now, writes, outputs) {
+        match self.publish_pending(now, pending, outputs) {
             Ok(_) => self.record_rollout_end(name, record.state, counts, outputs),
             Err(_) => self.report_full(RolloutRecord::key_of(name), outputs),
         }
@@ -206,16 +206,16 @@
             name: record.name.clone(),
             slot: Slot::Canary,
         };
-        let Some(trial) = record.own_canary(self.log().get(&key)) else {
+        let Some(canary) = record.own_canary(self.log().get(&key)) else {
             return Vec::new();
         };
         let (name, urgency) = (record.name.clone(), Urgency::Normal);
-        let whole = PendingChange::stable(Draft {
+        let stable = PendingChange::stable(Draft {
             name: name.clone(),
-            content: trial.content.clone(),
+            content: canary.content.clone(),
             urgency,
         });
-        vec![PendingChange::end_of_canary(name, urgency), whole]
+        vec![PendingChange::end_of_canary(name, urgency), stable]
     }
 
     /// Ends the trial of a record, if it is still there.
--- a/crates/distribution/src/author/rollouts/start.rs
+++ b/crates/distribution/src/author/rollouts/start.rs
@@ -51,7 +51,7 @@
         };
         record.expected = self.known_nodes_per_stage(&record);
         let first = record.fraction(record.policy.stages.first().copied().unwrap_or(0));
-        let trial = PendingChange::canary(
+        let canary = PendingChange::canary(
             Draft {
                 name: name.clone(),
                 content,
@@ -59,9 +59,9 @@
             },
             first,
         );
-        let mut writes = vec![PendingChange::record(&record), trial];
-        writes.extend(self.removal_of_oldest_ended_record());
-        let version = self.publish_pending(now, writes, outputs)?;
+        let mut pending = vec![PendingChange::record(&record), canary];
+        pending.extend(self.removal_of_oldest_ended_record());
+        let version = self.publish_pending(now, pending, outputs)?;
         self.rollouts.by_name.insert(name, Rollout::new(record));
         self.rollouts.check_at(now);
         Ok(version)
@@ -85,10 +85,10 @@
     pub(super) fn known_nodes_per_stage(&self, record: &RolloutRecord) -> Vec<u32> {
         let stages = record.policy.stages.iter();
         let count = |thousandths: &u16| {
-            let part = record.fraction(*thousandths);
+            let fraction = record.fraction(*thousandths);
             self.node_statuses
                 .iter()
-                .filter(|(node, _)| part.contains(*node))
+                .filter(|(node, _)| fraction.contains(*node))
                 .count() as u32
         };
         stages.map(count).collect()
@@ -115,12 +115,12 @@
         let version = |key: &Key| self.log().get(key).map(|change| change.version);
         let (key, name) = keys.into_iter().min_by_key(|(key, _)| version(key))?;
         self.rollouts.by_name.remove(&name);
-        let part = crate::resource::NodeFraction::ALL;
+        let fraction = crate::resource::NodeFraction::ALL;
         Some(PendingChange {
             key,
             content: Content::Removed,
             urgency: Urgency::Normal,
-            fraction: part,
+            fraction,
         })
     }
 }
--- a/crates/distribution/src/author/rollouts/takeover.rs
+++ b/crates/distribution/src/author/rollouts/takeover.rs
@@ -14,17 +14,17 @@
             writing_since: now,
             ..Rollouts::default()
         };
-        let mut read = Vec::new();
+        let mut readable = Vec::new();
         for (change, record) in records(self.log()) {
             match record {
-                Some(record) => read.push((change.version, record)),
+                Some(record) => readable.push((change.version, record)),
                 None => {
                     let key = change.key.clone();
                     outputs.push(Output::Event(Event::RolloutUnreadable { key }));
                 }
             }
         }
-        for (version, record) in read {
+        for (version, record) in readable {
             self.complete_interrupted_rollout(now, version, &record, outputs);
             let name = record.name.clone();
             self.report_resumed(&record, outputs);
@@ -37,10 +37,10 @@
     }
 
     pub(super) fn report_resumed(&self, record: &RolloutRecord, outputs: &mut Vec<Output>) {
-        if let (true, RolloutProgress::Stage { trial, .. }) =
+        if let (true, RolloutProgress::Stage { canary, .. }) =
             (record.state.is_open(), progress_of(record, self.log()))
         {
-            let (name, thousandths) = (record.name.clone(), trial.fraction.thousandths);
+            let (name, thousandths) = (record.name.clone(), canary.fraction.thousandths);
             outputs.push(Output::Event(Event::RolloutResumed { name, thousandths }));
         }
     }
@@ -58,16 +58,17 @@
         match (&record.state, progress_of(record, self.log())) {
             (_, RolloutProgress::Stage { .. }) if record.state.is_open() => {}
             (RolloutState::Completed, RolloutProgress::Stage { .. }) => {
-                for write in self.promotion_of(record) {
-                    self.publish_or_report_full(now, write, outputs);
+                for change in self.promotion_of(record) {
+                    self.publish_or_report_full(now, change, outputs);
                 }
             }
             (RolloutState::Completed, RolloutProgress::NoCanary) => {
-                let whole = self.log().get(&Key {
+                let stable = self.log().get(&Key {
                     name: record.name.clone(),
                     slot: Slot::Stable,
                 });
-                if whole.is_none_or(|whole| whole.version < version && !record.is_content_of(whole))
+                if stable
+                    .is_none_or(|stable| stable.version < version && !record.is_content_of(stable))
                 {
                     self.rollouts
                         .by_name
--- a/crates/distribution/src/candidates.rs
+++ b/crates/distribution/src/candidates.rs
@@ -89,60 +89,60 @@
 
     /// When the first of those that may be asked beside those that are asked already is not barred; never, if there is
     /// none.
-    pub fn available_at(&self, asked: &[PeerId]) -> Time {
+    pub fn available_at(&self, attempted: &[PeerId]) -> Time {
         let barred_until = |peer: &PeerId| {
             self.barred_until
                 .get(peer)
                 .copied()
                 .unwrap_or(f64::NEG_INFINITY)
         };
-        let open = self.all().filter(|peer| self.is_eligible(peer, asked));
+        let open = self.all().filter(|peer| self.is_eligible(peer, attempted));
         open.map(barred_until).fold(f64::INFINITY, f64::min)
     }
 
     /// Draws whom to ask beside those that are asked already: an upstream that has not failed, unless too many have not
     /// answered; else fallbacks and upstreams by turns, those that have not failed first, then the one that failed longest
     /// ago.
-    pub fn pick(&mut self, now: Time, asked: &[PeerId], chance: &mut SeededRng) -> Option<PeerId> {
-        let upstreams = self.available(&self.upstreams, now, asked);
-        let fallbacks = self.available(&self.fallbacks, now, asked);
+    pub fn pick(&mut self, now: Time, attempted: &[PeerId], rng: &mut SeededRng) -> Option<PeerId> {
+        let upstreams = self.available(&self.upstreams, now, attempted);
+        let fallbacks = self.available(&self.fallbacks, now, attempted);
         let untried = self.without_failures(&upstreams);
-        let drawn = if !untried.is_empty()
-            && self.unanswered_upstreams(asked) < UNANSWERED_BEFORE_FALLBACK
+        let picked = if !untried.is_empty()
+            && self.unanswered_upstreams(attempted) < UNANSWERED_BEFORE_FALLBACK
         {
-            any(&untried, chance)
+            any(&untried, rng)
         } else if self.picked_fallback_last {
-            self.longest_since_failure(&upstreams, chance)
-                .or_else(|| self.longest_since_failure(&fallbacks, chance))
+            self.longest_since_failure(&upstreams, rng)
+                .or_else(|| self.longest_since_failure(&fallbacks, rng))
         } else {
-            self.longest_since_failure(&fallbacks, chance)
-                .or_else(|| self.longest_since_failure(&upstreams, chance))
+            self.longest_since_failure(&fallbacks, rng)
+                .or_else(|| self.longest_since_failure(&upstreams, rng))
         };
-        if let Some(peer) = &drawn {
+        if let Some(peer) = &picked {
             self.picked_fallback_last = self.fallbacks.contains(peer);
         }
-        drawn
+        picked
     }
 
     /// Upstreams that have not answered yet, did not answer or broke the rules since something fresh came last.
-    fn unanswered_upstreams(&self, asked: &[PeerId]) -> usize {
-        let in_vain = |peer: &&PeerId| asked.contains(peer) || self.is_unusable(peer);
-        self.upstreams.iter().filter(in_vain).count()
+    fn unanswered_upstreams(&self, attempted: &[PeerId]) -> usize {
+        let is_unanswered = |peer: &&PeerId| attempted.contains(peer) || self.is_unusable(peer);
+        self.upstreams.iter().filter(is_unanswered).count()
     }
 
     /// Whether a candidate may be asked beside those that are asked already, unless it is barred.
-    fn is_eligible(&self, peer: &PeerId, asked: &[PeerId]) -> bool {
-        asked.is_empty() || !asked.contains(peer) && !self.is_unusable(peer)
+    fn is_eligible(&self, peer: &PeerId, attempted: &[PeerId]) -> bool {
+        attempted.is_empty() || !attempted.contains(peer) && !self.is_unusable(peer)
     }
 
-    fn available(&self, list: &[PeerId], now: Time, asked: &[PeerId]) -> Vec<PeerId> {
+    fn available(&self, list: &[PeerId], now: Time, attempted: &[PeerId]) -> Vec<PeerId> {
         let is_barred = |peer: &PeerId| {
             self.barred_until
                 .get(peer)
                 .is_some_and(|until| now < *until)
         };
         list.iter()
-            .filter(|peer| !is_barred(peer) && self.is_eligible(peer, asked))
+            .filter(|peer| !is_barred(peer) && self.is_eligible(peer, attempted))
             .copied()
             .collect()
     }
@@ -154,10 +154,10 @@
             .collect()
     }
 
-    fn longest_since_failure(&self, list: &[PeerId], chance: &mut SeededRng) -> Option<PeerId> {
+    fn longest_since_failure(&self, list: &[PeerId], rng: &mut SeededRng) -> Option<PeerId> {
         let untried = self.without_failures(list);
         if !untried.is_empty() {
-            return any(&untried, chance);
+            return any(&untried, rng);
         }
         let failed_at = |peer: &PeerId| self.failures.get(peer).map_or(0.0, |failure| failure.at);
         list.iter()
@@ -166,6 +166,6 @@
     }
 }
 
-fn any(list: &[PeerId], chance: &mut SeededRng) -> Option<PeerId> {
-    list.get(chance.index_below(list.len())).copied()
+fn any(list: &[PeerId], rng: &mut SeededRng) -> Option<PeerId> {
+    list.get(rng.index_below(list.len())).copied()
 }
--- a/crates/distribution/src/child_subscription.rs
+++ b/crates/distribution/src/child_subscription.rs
@@ -138,15 +138,15 @@
             .next_start_at_or_above(version)
             .unwrap_or(own.through);
         let below = self.coverage.last_end_below(version);
-        let upto = own.through.min(above).max(version);
+        let through = own.through.min(above).max(version);
         // A body in parts may have been overtaken by later changes, which the child has not got.
         let later = replica
             .log
             .next_version(&self.selector, version)
-            .filter(|later| *later <= upto);
+            .filter(|later| *later <= through);
         Span {
             after: own.after.max(below),
-            through: if later.is_some() { version } else { upto },
+            through: if later.is_some() { version } else { through },
         }
     }
 
--- a/crates/distribution/src/coverage.rs
+++ b/crates/distribution/src/coverage.rs
@@ -55,7 +55,7 @@
 
     /// Whether its spans are in order, and not too many: what comes from elsewhere may be anything.
     pub fn is_valid(&self) -> bool {
-        let each = self.spans.iter().all(|s| s.after < s.through);
+        let each = self.spans.iter().all(|span| span.after < span.through);
         let order = self
             .spans
             .windows(2)
@@ -67,7 +67,7 @@
     pub fn contains(&self, version: Version) -> bool {
         self.spans
             .iter()
-            .any(|s| s.after < version && version <= s.through)
+            .any(|span| span.after < version && version <= span.through)
     }
 
     /// All versions up to this one are in it.
@@ -80,15 +80,15 @@
 
     /// The greatest version in it.
     pub fn last_version(&self) -> Version {
-        self.spans.last().map_or(Version::ZERO, |s| s.through)
+        self.spans.last().map_or(Version::ZERO, |span| span.through)
     }
 
     /// The lower end of the first span above a version.
     pub fn next_start_at_or_above(&self, version: Version) -> Option<Version> {
         self.spans
             .iter()
-            .find(|s| s.after >= version)
-            .map(|s| s.after)
+            .find(|span| span.after >= version)
+            .map(|span| span.after)
     }
 
     /// The upper end of the last span below a version.
@@ -96,8 +96,8 @@
         self.spans
             .iter()
             .rev()
-            .map(|s| s.through)
-            .find(|upto| *upto < version)
+            .map(|span| span.through)
+            .find(|through| *through < version)
             .unwrap_or(Version::ZERO)
     }
 
@@ -111,51 +111,51 @@
         self.spans
             .iter()
             .copied()
-            .find(|s| s.after < version && version <= s.through)
+            .find(|span| span.after < version && version <= span.through)
     }
 
     /// The same, of its first span and the latest others so many spans at most.
-    pub fn truncated(&self, most: usize) -> Coverage {
-        let skip = self.spans.len().saturating_sub(most.max(1));
+    pub fn truncated(&self, max_spans: usize) -> Coverage {
+        let skip = self.spans.len().saturating_sub(max_spans.max(1));
         let first = self.spans.iter().take(usize::from(skip > 0));
-        let rest = self.spans.iter().skip(if skip > 0 { skip + 1 } else { 0 });
+        let difference = self.spans.iter().skip(if skip > 0 { skip + 1 } else { 0 });
         Coverage {
-            spans: first.chain(rest).copied().collect(),
+            spans: first.chain(difference).copied().collect(),
         }
     }
 
     /// What is in both.
     pub fn intersection(&self, other: &Coverage) -> Coverage {
-        let mut both = Coverage::EMPTY;
-        for a in &self.spans {
-            for b in &other.spans {
-                both.add(Span {
-                    after: a.after.max(b.after),
-                    through: a.through.min(b.through),
+        let mut intersection = Coverage::EMPTY;
+        for left in &self.spans {
+            for right in &other.spans {
+                intersection.add(Span {
+                    after: left.after.max(right.after),
+                    through: left.through.min(right.through),
                 });
             }
         }
-        both
+        intersection
     }
 
     /// What is in this one alone.
     pub fn difference(&self, other: &Coverage) -> Coverage {
-        let mut rest = Coverage::EMPTY;
+        let mut difference = Coverage::EMPTY;
         for span in &self.spans {
             let mut after = span.after;
             for taken in &other.spans {
-                rest.add(Span {
+                difference.add(Span {
                     after,
                     through: span.through.min(taken.after),
                 });
                 after = after.max(taken.through);
             }
-            rest.add(Span {
+            difference.add(Span {
                 after,
                 through: span.through,
             });
         }
-        rest
+        difference
     }
 
     /// Adds a span.
@@ -163,25 +163,19 @@
         if new.after >= new.through {
             return;
         }
-        let (mut after, mut upto) = (new.after, new.through);
-        let mut kept = Vec::with_capacity(self.spans.len() + 1);
+        let (mut after, mut through) = (new.after, new.through);
+        let mut merged = Vec::with_capacity(self.spans.len() + 1);
         for span in self.spans.drain(..) {
-            if span.through < after || upto < span.after {
-                kept.push(span);
+            if span.through < after || through < span.after {
+                merged.push(span);
             } else {
                 after = after.min(span.after);
-                upto = upto.max(span.through);
+                through = through.max(span.through);
             }
         }
-        let place = kept.partition_point(|s| s.through < after);
-        kept.insert(
-            place,
-            Span {
-                after,
-                through: upto,
-            },
-        );
-        self.spans = kept;
+        let place = merged.partition_point(|span| span.through < after);
+        merged.insert(place, Span { after, through });
+        self.spans = merged;
         self.trim();
     }
 
@@ -189,16 +183,16 @@
     /// version on, so it only grows.
     fn trim(&mut self) {
         while self.spans.len() > MAX_SPANS {
-            let width = |s: &Span| {
+            let width = |span: &Span| {
                 (
-                    s.through.token - s.after.token,
-                    s.through.sequence.wrapping_sub(s.after.sequence),
+                    span.through.token - span.after.token,
+                    span.through.sequence.wrapping_sub(span.after.sequence),
                 )
             };
-            let least = (1..self.spans.len())
-                .min_by_key(|&n| width(&self.spans[n]))
+            let narrowest = (1..self.spans.len())
+                .min_by_key(|&index| width(&self.spans[index]))
                 .unwrap_or(0);
-            self.spans.remove(least);
+            self.spans.remove(narrowest);
         }
     }
 }
--- a/crates/distribution/src/downstream.rs
+++ b/crates/distribution/src/downstream.rs
@@ -52,10 +52,10 @@
 
 impl Downstream {
     /// Without children.
-    pub fn new(rules: DownstreamConfig, seed: u64, now: Time) -> Downstream {
-        let rate = rules.sessions_per_second * SESSION_COST;
+    pub fn new(config: DownstreamConfig, seed: u64, now: Time) -> Downstream {
+        let rate = config.sessions_per_second * SESSION_COST;
         Downstream {
-            config: rules,
+            config,
             rng: SeededRng::new(seed),
             children: BTreeMap::new(),
             interests: BTreeMap::new(),
@@ -84,7 +84,7 @@
         &mut self,
         now: Time,
         received: Received,
-        source: ReplicaView,
+        replica: ReplicaView,
         outputs: &mut Vec<Output>,
     ) -> Vec<Report> {
         let Received {
@@ -129,14 +129,14 @@
             self.close_session(now, from, CloseReason::RateExceeded, outputs);
             return Vec::new();
         }
-        let told = match child.link().accept(now, &head) {
-            Ok(arrival) if arrival.is_new => self.handle(from, payload, source),
+        let reports = match child.link().accept(now, &head) {
+            Ok(receipt) if receipt.is_new => self.handle(from, payload, replica),
             Ok(_) => Ok(Vec::new()),
-            Err(why) => Err(why),
+            Err(reason) => Err(reason),
         };
         self.schedule(now, from);
-        told.unwrap_or_else(|why| {
-            self.close_session(now, from, why, outputs);
+        reports.unwrap_or_else(|reason| {
+            self.close_session(now, from, reason, outputs);
             Vec::new()
         })
     }
@@ -145,7 +145,7 @@
         &mut self,
         from: PeerId,
         payload: Payload,
-        source: ReplicaView,
+        replica: ReplicaView,
     ) -> Result<Vec<Report>, CloseReason> {
         let child = self
             .children
@@ -153,35 +153,35 @@
             .ok_or(CloseReason::UnknownSession)?;
         match payload {
             Payload::Acknowledge | Payload::Open { .. } => {}
-            Payload::Subscribe(list) => {
-                for new in list {
-                    let (id, selector) = (new.id, new.selector.clone());
-                    child.subscribe(new, source)?;
+            Payload::Subscribe(items) => {
+                for request in items {
+                    let (id, selector) = (request.id, request.selector.clone());
+                    child.subscribe(request, replica)?;
                     self.interests
                         .entry(selector)
                         .or_default()
                         .insert((from, id));
                 }
             }
-            Payload::Unsubscribe(list) => {
-                for id in list {
+            Payload::Unsubscribe(items) => {
+                for id in items {
                     if let Some(selector) = child.unsubscribe(id) {
                         remove_interest(&mut self.interests, &selector, (from, id));
                     }
                 }
             }
             Payload::Reports(reports) => {
-                let sound = reports.iter().all(Report::is_valid);
-                return if sound {
+                let are_valid = reports.iter().all(Report::is_valid);
+                return if are_valid {
                     Ok(reports)
                 } else {
                     Err(CloseReason::ProtocolViolation)
                 };
             }
-            Payload::Close { reason: why, .. } => {
-                self.has_fencing_notice |= why == CloseReason::Fenced && child.is_relay();
-                return Err(if why == CloseReason::Fenced {
-                    why
+            Payload::Close { reason, .. } => {
+                self.has_fencing_notice |= reason == CloseReason::Fenced && child.is_relay();
+                return Err(if reason == CloseReason::Fenced {
+                    reason
                 } else {
                     CloseReason::Replaced
                 });
@@ -197,14 +197,14 @@
     }
 
     /// The log has changed at a key.
-    pub fn notify_changed(&mut self, now: Time, key: &Key, source: ReplicaView) {
+    pub fn notify_changed(&mut self, now: Time, key: &Key, replica: ReplicaView) {
         for selector in Selector::all_matching(&key.name.group) {
             let Some(interested) = self.interests.get(&selector) else {
                 continue;
             };
             for (peer, id) in interested.clone() {
                 if let Some(child) = self.children.get_mut(&peer) {
-                    child.requeue(id, source);
+                    child.requeue(id, replica);
                 }
                 self.schedule(now, peer);
             }
@@ -235,7 +235,7 @@
     }
 
     /// Sends what is due and what the budgets allow.
-    pub fn poll(&mut self, now: Time, source: ReplicaView, outputs: &mut Vec<Output>) {
+    pub fn poll(&mut self, now: Time, replica: ReplicaView, outputs: &mut Vec<Output>) {
         let due = self.due.range(..=(sortable_bits(now), PeerId(u32::MAX)));
         let due: Vec<PeerId> = due.map(|(_, peer)| *peer).collect();
         for peer in due {
@@ -247,8 +247,8 @@
                 self.close_session(now, peer, CloseReason::TimedOut, outputs);
                 continue;
             }
-            child.poll(now, source, outputs);
-            let next = child.next_wakeup(now, source).min(silent_at);
+            child.poll(now, replica, outputs);
+            let next = child.next_wakeup(now, replica).min(silent_at);
             self.schedule(next.max(now + MIN_WAKEUP_INTERVAL), peer);
         }
     }
@@ -264,10 +264,10 @@
 fn remove_interest(
     interests: &mut BTreeMap<Selector, BTreeSet<(PeerId, u32)>>,
     selector: &Selector,
-    who: (PeerId, u32),
+    subscriber: (PeerId, u32),
 ) {
     if let Some(set) = interests.get_mut(selector) {
-        set.remove(&who);
+        set.remove(&subscriber);
         if set.is_empty() {
             interests.remove(selector);
         }
--- a/crates/distribution/src/downstream/admission.rs
+++ b/crates/distribution/src/downstream/admission.rs
@@ -22,8 +22,8 @@
         relay: bool,
         outputs: &mut Vec<Output>,
     ) -> bool {
-        let old = self.children.get_mut(&from);
-        if old.is_some_and(|child| child.link().session() == head.session) {
+        let existing = self.children.get_mut(&from);
+        if existing.is_some_and(|child| child.link().session() == head.session) {
             return true;
         }
         let full =
@@ -55,18 +55,24 @@
             self.config.node_budget
         };
         let mut link = Link::new(from, head.session, false, budget, now);
-        let spent = self.retained_buckets.remove(&from);
-        if let Some(bucket) = spent.filter(|bucket| bucket.budget() == budget) {
+        let retained = self.retained_buckets.remove(&from);
+        if let Some(bucket) = retained.filter(|bucket| bucket.budget() == budget) {
             link = link.with_bucket(bucket);
         }
-        let own = if relay { Budget::CONTROL } else { Budget::UP };
-        let inflow = Budget {
-            bytes_per_second: self.config.receive_budget_factor * own.bytes_per_second,
-            burst_bytes: self.config.receive_budget_factor * own.burst_bytes,
+        let child_budget = if relay { Budget::CONTROL } else { Budget::UP };
+        let receive_budget = Budget {
+            bytes_per_second: self.config.receive_budget_factor * child_budget.bytes_per_second,
+            burst_bytes: self.config.receive_budget_factor * child_budget.burst_bytes,
         };
         self.children.insert(
             from,
-            Child::new(link, relay, self.config.keepalive_interval, inflow, now),
+            Child::new(
+                link,
+                relay,
+                self.config.keepalive_interval,
+                receive_budget,
+                now,
+            ),
         );
         true
     }
@@ -76,11 +82,11 @@
         &mut self,
         now: Time,
         child: PeerId,
-        why: CloseReason,
+        reason: CloseReason,
         outputs: &mut Vec<Output>,
     ) {
         if matches!(
-            why,
+            reason,
             CloseReason::RateExceeded | CloseReason::ProtocolViolation
         ) {
             self.ban(now, child);
@@ -90,17 +96,17 @@
             .get_mut(&child)
             .map(|child| child.link().session());
         self.drop_child(child);
-        outputs.push(Output::Event(Event::ChildLost { child, reason: why }));
+        outputs.push(Output::Event(Event::ChildLost { child, reason }));
         if let Some(session) = session {
-            self.reject(now, child, session, why, outputs);
+            self.reject(now, child, session, reason, outputs);
         }
     }
 
     /// Ends all sessions: an author has lost its lease.
-    pub fn close_all(&mut self, now: Time, why: CloseReason, outputs: &mut Vec<Output>) {
+    pub fn close_all(&mut self, now: Time, reason: CloseReason, outputs: &mut Vec<Output>) {
         let all: Vec<PeerId> = self.children().collect();
         for child in all {
-            self.close_session(now, child, why, outputs);
+            self.close_session(now, child, reason, outputs);
         }
     }
 
@@ -117,16 +123,16 @@
         now: Time,
         to: PeerId,
         session: u64,
-        why: CloseReason,
+        reason: CloseReason,
         outputs: &mut Vec<Output>,
     ) {
-        let rest = self.rng.uniform(
+        let retry_after = self.rng.uniform(
             self.config.min_retry_after,
             2.0 * self.config.min_retry_after,
         );
         let payload = Payload::Close {
-            reason: why,
-            retry_after_ms: (rest * 1e3) as u32,
+            reason,
+            retry_after_ms: (retry_after * 1e3) as u32,
         };
         let head = Head {
             session,
@@ -160,9 +166,9 @@
     /// Buckets that are full again say nothing.
     pub(super) fn drop_full_buckets(&mut self, now: Time) {
         if self.retained_buckets.len() >= self.max_retained_buckets() {
-            let most = self.config.node_budget.burst_bytes;
+            let burst_bytes = self.config.node_budget.burst_bytes;
             self.retained_buckets
-                .retain(|_, bucket| bucket.available(now) < most);
+                .retain(|_, bucket| bucket.available(now) < burst_bytes);
         }
     }
 
--- a/crates/distribution/src/history.rs
+++ b/crates/distribution/src/history.rs
@@ -16,21 +16,21 @@
 
 impl ChangeHistory {
     /// Of so many bytes at most; of more, those that were replaced first are forgotten.
-    pub fn new(most: usize) -> ChangeHistory {
+    pub fn new(max_bytes: usize) -> ChangeHistory {
         ChangeHistory {
             previous: BTreeMap::new(),
             by_successor: BTreeSet::new(),
             bytes: 0,
-            max_bytes: most,
+            max_bytes,
         }
     }
 
     /// A change has taken the place of an earlier one.
-    pub fn record_replaced(&mut self, old: &Change, new: &Change) {
+    pub fn record_replaced(&mut self, replaced: &Change, new: &Change) {
         self.forget(&new.key);
-        self.bytes += old.size_bytes();
+        self.bytes += replaced.size_bytes();
         self.previous
-            .insert(new.key.clone(), (old.clone(), new.version));
+            .insert(new.key.clone(), (replaced.clone(), new.version));
         self.by_successor.insert((new.version, new.key.clone()));
         while self.bytes > self.max_bytes {
             let Some((_, key)) = self.by_successor.first().cloned() else {
@@ -41,11 +41,11 @@
     }
 
     fn forget(&mut self, key: &Key) {
-        let Some((old, by)) = self.previous.remove(key) else {
+        let Some((replaced, successor)) = self.previous.remove(key) else {
             return;
         };
-        self.bytes -= old.size_bytes();
-        self.by_successor.remove(&(by, key.clone()));
+        self.bytes -= replaced.size_bytes();
+        self.by_successor.remove(&(successor, key.clone()));
     }
 
     /// What a change took the place of; none if that is no longer known.
--- a/crates/distribution/src/link.rs
+++ b/crates/distribution/src/link.rs
@@ -304,6 +304,6 @@
 /// How long a frame that holds this can have been under way at most, in seconds; `None` if that can't be told.
 pub fn max_transit_time(now: Time, echo: Echo) -> Option<Time> {
     let since = now - echo.stamp_us as f64 / 1e6;
-    let held = echo.elapsed_us as f64 / 1e6;
-    (since >= 0.0).then(|| (since / (1.0 - DRIFT) - held / (1.0 + DRIFT)).max(0.0))
+    let elapsed = echo.elapsed_us as f64 / 1e6;
+    (since >= 0.0).then(|| (since / (1.0 - DRIFT) - elapsed / (1.0 + DRIFT)).max(0.0))
 }
--- a/crates/distribution/src/log.rs
+++ b/crates/distribution/src/log.rs
@@ -81,9 +81,9 @@
 
 impl ChangeLog {
     /// An empty one.
-    pub fn new(room: Capacity) -> ChangeLog {
+    pub fn new(capacity: Capacity) -> ChangeLog {
         ChangeLog {
-            capacity: room,
+            capacity,
             changes: BTreeMap::new(),
             all_keys: Index::default(),
             by_selector: BTreeMap::new(),
@@ -208,7 +208,7 @@
     fn index(&self, selector: &Selector) -> Option<&Index> {
         match selector {
             Selector::Everything => Some(&self.all_keys),
-            part => self.by_selector.get(part),
+            selector => self.by_selector.get(selector),
         }
     }
 
@@ -219,14 +219,14 @@
         coverage: &Coverage,
     ) -> Option<Version> {
         let index = self.index(selector)?;
-        let below = |bound: Version| index.urgent.range(..=bound).next_back().copied();
-        newest_uncovered(coverage, index.urgent.last().copied(), below)
+        let last_at_or_below = |bound: Version| index.urgent.range(..=bound).next_back().copied();
+        newest_uncovered(coverage, index.urgent.last().copied(), last_at_or_below)
     }
 
     /// The latest change of a selector that is not covered.
     pub fn newest_uncovered(&self, selector: &Selector, coverage: &Coverage) -> Option<Version> {
         let index = self.index(selector)?;
-        let below = |bound: Version| {
+        let last_at_or_below = |bound: Version| {
             index
                 .versions
                 .range(..=bound)
@@ -236,7 +236,7 @@
         newest_uncovered(
             coverage,
             index.versions.last_key_value().map(|(version, _)| *version),
-            below,
+            last_at_or_below,
         )
     }
 
@@ -248,14 +248,18 @@
         version: Version,
     ) -> Option<Version> {
         let index = self.index(selector)?;
-        let below = |bound: Version| {
+        let last_at_or_below = |bound: Version| {
             index
                 .versions
                 .range(..=bound)
                 .next_back()
                 .map(|(version, _)| *version)
         };
-        newest_uncovered(coverage, self.previous_version(selector, version), below)
+        newest_uncovered(
+            coverage,
+            self.previous_version(selector, version),
+            last_at_or_below,
+        )
     }
 
     /// The earliest change of a selector after a version that is not covered.
@@ -316,11 +320,11 @@
 fn newest_uncovered(
     coverage: &Coverage,
     last: Option<Version>,
-    below: impl Fn(Version) -> Option<Version>,
+    last_at_or_below: impl Fn(Version) -> Option<Version>,
 ) -> Option<Version> {
     let mut version = last?;
     while let Some(span) = coverage.span_containing(version) {
-        version = below(span.after)?;
+        version = last_at_or_below(span.after)?;
     }
     Some(version)
 }
--- a/crates/distribution/src/node_status.rs
+++ b/crates/distribution/src/node_status.rs
@@ -44,32 +44,32 @@
 /// See the module.
 #[derive(Debug, Default)]
 pub struct NodeStatuses {
-    iter: BTreeMap<PeerId, NodeStatus>,
+    by_node: BTreeMap<PeerId, NodeStatus>,
     rejections: BTreeMap<(Version, PeerId), Rejection>,
 }
 
 impl NodeStatuses {
     /// A node has all up to a version. An earlier word that was overtaken changes nothing.
-    pub fn record_acknowledgement(&mut self, now: Time, node: PeerId, upto: Version) {
-        if self.iter.len() >= MAX_NODES && !self.iter.contains_key(&node) {
+    pub fn record_acknowledgement(&mut self, now: Time, node: PeerId, version: Version) {
+        if self.by_node.len() >= MAX_NODES && !self.by_node.contains_key(&node) {
             return;
         }
-        let known = self.iter.entry(node).or_insert(NodeStatus {
-            acknowledged: upto,
+        let status = self.by_node.entry(node).or_insert(NodeStatus {
+            acknowledged: version,
             last_report_at: now,
         });
-        known.acknowledged = known.acknowledged.max(upto);
-        known.last_report_at = known.last_report_at.max(now);
+        status.acknowledged = status.acknowledged.max(version);
+        status.last_report_at = status.last_report_at.max(now);
     }
 
     /// What each node has said last.
     pub fn iter(&self) -> impl Iterator<Item = (PeerId, NodeStatus)> + '_ {
-        self.iter.iter().map(|(node, standing)| (*node, *standing))
+        self.by_node.iter().map(|(node, status)| (*node, *status))
     }
 
     /// A node has refused a change.
-    pub fn record_rejection(&mut self, version: Version, refused: Rejection) {
-        self.rejections.insert((version, refused.node), refused);
+    pub fn record_rejection(&mut self, version: Version, rejection: Rejection) {
+        self.rejections.insert((version, rejection.node), rejection);
         if self.rejections.len() > MAX_REJECTIONS {
             self.rejections.pop_first();
         }
@@ -78,8 +78,8 @@
     /// What is known of a version.
     pub fn status(&self, version: Version) -> VersionStatus {
         let mut status = VersionStatus::default();
-        for (node, standing) in &self.iter {
-            let set = if standing.acknowledged >= version {
+        for (node, node_status) in &self.by_node {
+            let set = if node_status.acknowledged >= version {
                 &mut status.acknowledged
             } else {
                 &mut status.pending
@@ -90,7 +90,7 @@
         status.rejections = self
             .rejections
             .range(all)
-            .map(|(_, refused)| refused.clone())
+            .map(|(_, rejection)| rejection.clone())
             .collect();
         status
     }
--- a/crates/distribution/src/publish.rs
+++ b/crates/distribution/src/publish.rs
@@ -84,7 +84,7 @@
     }
 
     /// For a part of the nodes.
-    pub fn canary(draft: Draft, part: NodeFraction) -> PendingChange {
+    pub fn canary(draft: Draft, fraction: NodeFraction) -> PendingChange {
         let key = Key {
             name: draft.name,
             slot: Slot::Canary,
@@ -93,7 +93,7 @@
             key,
             content: draft.content,
             urgency: draft.urgency,
-            fraction: part,
+            fraction,
         }
     }
 
@@ -133,29 +133,29 @@
 
 /// Whether writes keep to their bounds and there is room for all of them.
 pub(crate) fn check(
-    writes: &[PendingChange],
+    changes: &[PendingChange],
     log: &ChangeLog,
-    room: Capacity,
+    capacity: Capacity,
 ) -> Result<(), PublishError> {
-    if writes.is_empty() || writes.len() > MAX_DRAFTS {
+    if changes.is_empty() || changes.len() > MAX_DRAFTS {
         return Err(PublishError::ChangeCount);
     }
     let mut bytes = log.bytes();
     let mut keys = log.len();
-    for write in writes {
-        let name = &write.key.name;
-        let size = write.content.bytes().len();
+    for change in changes {
+        let name = &change.key.name;
+        let size = change.content.bytes().len();
         if name.check().is_err()
             || size > MAX_BODY_BYTES
-            || write.fraction.thousandths > ALL_NODES_THOUSANDTHS
+            || change.fraction.thousandths > ALL_NODES_THOUSANDTHS
         {
             return Err(PublishError::OutOfBounds(Box::new(name.clone())));
         }
-        let old = log.get(&write.key);
+        let previous = log.get(&change.key);
         bytes += size + CHANGE_OVERHEAD_BYTES + 2 * MAX_NAME_BYTES;
-        bytes = bytes.saturating_sub(old.map_or(0, |old| old.size_bytes()));
-        keys += usize::from(old.is_none());
-        if bytes > room.max_bytes || keys > room.max_keys {
+        bytes = bytes.saturating_sub(previous.map_or(0, |previous| previous.size_bytes()));
+        keys += usize::from(previous.is_none());
+        if bytes > capacity.max_bytes || keys > capacity.max_keys {
             return Err(PublishError::CapacityExceeded(Box::new(name.clone())));
         }
     }
--- a/crates/distribution/src/random.rs
+++ b/crates/distribution/src/random.rs
@@ -36,8 +36,8 @@
     }
 
     /// Between two moments or lengths of time.
-    pub fn uniform(&mut self, least: Time, most: Time) -> Time {
-        least + (most - least).max(0.0) * self.next_unit()
+    pub fn uniform(&mut self, low: Time, high: Time) -> Time {
+        low + (high - low).max(0.0) * self.next_unit()
     }
 
     /// One of so many; 0 if there are none.
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -101,23 +101,23 @@
             return;
         };
         if received.head.from_child {
-            let source = self.replica.view(now);
-            let reports = self.downstream.receive(now, received, source, outputs);
+            let replica = self.replica.view(now);
+            let reports = self.downstream.receive(now, received, replica, outputs);
             for report in reports {
                 self.replica.upstream.queue_report(report);
             }
             return;
         }
-        let heard = self.replica.upstream.receive(now, received, outputs);
-        let Some(heard) = heard else { return };
-        let update = self.replica.apply_event(now, heard, outputs);
-        let source = self.replica.view(now);
+        let event = self.replica.upstream.receive(now, received, outputs);
+        let Some(event) = event else { return };
+        let update = self.replica.apply_event(now, event, outputs);
+        let replica = self.replica.view(now);
         for key in &update.keys {
-            self.downstream.notify_changed(now, key, source);
+            self.downstream.notify_changed(now, key, replica);
         }
-        let now_whole = source.is_contiguous && !self.was_contiguous;
-        self.was_contiguous = source.is_contiguous;
-        if update.has_new_epoch || now_whole {
+        let became_contiguous = replica.is_contiguous && !self.was_contiguous;
+        self.was_contiguous = replica.is_contiguous;
+        if update.has_new_epoch || became_contiguous {
             self.downstream.schedule_all(now);
         }
     }
--- a/crates/distribution/src/replica.rs
+++ b/crates/distribution/src/replica.rs
@@ -49,8 +49,8 @@
 impl Replica {
     pub fn new(mut upstream: Upstream, restored: &mut RestoredState) -> Replica {
         let known = restored.coverage.remove(&Selector::Everything);
-        let (coverage, floor) = known.unwrap_or_default();
-        upstream.subscribe(Selector::Everything, coverage.clone(), floor);
+        let (coverage, removals_known) = known.unwrap_or_default();
+        upstream.subscribe(Selector::Everything, coverage.clone(), removals_known);
         let log = std::mem::replace(
             &mut restored.log,
             ChangeLog::new(crate::log::Capacity::NODE),
@@ -78,7 +78,7 @@
         static EMPTY: Coverage = Coverage::EMPTY;
         self.upstream
             .subscription(&Selector::Everything)
-            .map_or(&EMPTY, |held| &held.coverage)
+            .map_or(&EMPTY, |subscription| &subscription.coverage)
     }
 
     /// The latest version that is here.
@@ -95,13 +95,14 @@
     /// What there is to send, as a follower.
     pub fn view(&self, now: Time) -> ReplicaView<'_> {
         let coverage = self.coverage();
-        let (whole, age) = (coverage.is_contiguous(), self.staleness(now));
-        let held = self.upstream.subscription(&Selector::Everything);
-        let removals_known = held.map_or(Version::ZERO, |held| held.removals_known);
+        let (is_contiguous, age) = (coverage.is_contiguous(), self.staleness(now));
+        let subscription = self.upstream.subscription(&Selector::Everything);
+        let removals_known =
+            subscription.map_or(Version::ZERO, |subscription| subscription.removals_known);
         ReplicaView {
             log: &self.log,
             coverage,
-            is_contiguous: whole,
+            is_contiguous,
             removals_known,
             age,
             epoch: self.epoch.as_ref(),
@@ -112,25 +113,25 @@
     pub fn apply_event(
         &mut self,
         now: Time,
-        heard: UpstreamEvent,
+        event: UpstreamEvent,
         outputs: &mut Vec<Output>,
     ) -> ReplicaUpdate {
-        match heard {
+        match event {
             UpstreamEvent::Epoch(epoch) => self.apply_epoch(now, epoch, outputs),
             UpstreamEvent::Changes { span, changes, .. } => {
                 self.apply_changes(now, span, changes, outputs)
             }
             UpstreamEvent::Manifest {
-                pruned_through: floor,
+                pruned_through: removals_known,
                 digests,
                 ..
-            } => self.apply_manifest(floor, &digests, outputs),
+            } => self.apply_manifest(removals_known, &digests, outputs),
             UpstreamEvent::Current {
-                pruned_through: floor,
+                pruned_through: removals_known,
                 age,
                 ..
             } => {
-                self.raise_pruned_through(floor, outputs);
+                self.raise_pruned_through(removals_known, outputs);
                 if let Some(age) = age {
                     self.last_current = Some((now, age));
                 }
@@ -164,10 +165,10 @@
             };
         }
         let known = self.epoch.as_ref();
-        let lacking = known.map_or(Coverage::EMPTY, |known| {
+        let missing = known.map_or(Coverage::EMPTY, |known| {
             missing_versions(known, &epoch, self.coverage())
         });
-        self.upstream.resubscribe(now, &lacking, outputs);
+        self.upstream.resubscribe(now, &missing, outputs);
         self.store_coverage(outputs);
         self.set_epoch(epoch, outputs);
         ReplicaUpdate {
@@ -261,28 +262,28 @@
 
     fn apply_manifest(
         &mut self,
-        floor: Version,
+        removals_known: Version,
         digests: &BTreeSet<u64>,
         outputs: &mut Vec<Output>,
     ) -> ReplicaUpdate {
-        let keys = keys_not_listed(&self.log, &Selector::Everything, floor, digests);
+        let keys = keys_not_listed(&self.log, &Selector::Everything, removals_known, digests);
         for key in &keys {
             self.log.remove(key);
             outputs.push(Output::Persist(Record::Forget(key.clone())));
         }
-        self.raise_pruned_through(floor, outputs);
+        self.raise_pruned_through(removals_known, outputs);
         self.upstream
-            .mark_removals_known(&Selector::Everything, floor);
+            .mark_removals_known(&Selector::Everything, removals_known);
         ReplicaUpdate {
             keys,
             ..ReplicaUpdate::default()
         }
     }
 
-    fn raise_pruned_through(&mut self, floor: Version, outputs: &mut Vec<Output>) {
-        if floor > self.log.pruned_through() {
-            self.log.raise_pruned_through(floor);
-            outputs.push(Output::Persist(Record::PrunedThrough(floor)));
+    fn raise_pruned_through(&mut self, removals_known: Version, outputs: &mut Vec<Output>) {
+        if removals_known > self.log.pruned_through() {
+            self.log.raise_pruned_through(removals_known);
+            outputs.push(Output::Persist(Record::PrunedThrough(removals_known)));
         }
     }
 
@@ -302,19 +303,20 @@
 
     fn store_coverage(&mut self, outputs: &mut Vec<Output>) {
         self.unstored_frames = 0;
-        let Some(held) = self.upstream.subscription(&Selector::Everything) else {
+        let Some(subscription) = self.upstream.subscription(&Selector::Everything) else {
             return;
         };
-        if held.coverage == self.stored_coverage {
+        if subscription.coverage == self.stored_coverage {
             return;
         }
-        self.stored_coverage = held.coverage.clone();
-        let (coverage, floor) = (held.coverage.clone(), held.removals_known);
+        self.stored_coverage = subscription.coverage.clone();
+        let (coverage, removals_known) =
+            (subscription.coverage.clone(), subscription.removals_known);
         let selector = Selector::Everything;
         outputs.push(Output::Persist(Record::Covered {
             selector,
             coverage,
-            removals_known: floor,
+            removals_known,
         }));
     }
 }
@@ -354,11 +356,11 @@
 pub(crate) fn keys_not_listed(
     log: &ChangeLog,
     selector: &Selector,
-    floor: Version,
+    removals_known: Version,
     digests: &BTreeSet<u64>,
 ) -> Vec<Key> {
     let keys = log.keys_after(selector, Version::ZERO);
-    let old = keys.take_while(|(version, _)| *version <= floor);
+    let old = keys.take_while(|(version, _)| *version <= removals_known);
     old.filter(|(_, key)| !digests.contains(&key.digest()))
         .map(|(_, key)| key.clone())
         .collect()
--- a/crates/distribution/src/report.rs
+++ b/crates/distribution/src/report.rs
@@ -59,15 +59,11 @@
 impl ReportQueue {
     /// Adds one; it replaces what it outdates.
     pub fn add(&mut self, report: Report) {
-        if let Report::Acknowledged {
-            node,
-            version: upto,
-        } = report
-        {
+        if let Report::Acknowledged { node, version } = report {
             if self.acknowledgements.len() < MAX_QUEUED_ACKNOWLEDGEMENTS
                 || self.acknowledgements.contains_key(&node)
             {
-                self.acknowledgements.insert(node, upto);
+                self.acknowledgements.insert(node, version);
             }
             return;
         }
@@ -82,12 +78,12 @@
     }
 
     /// Takes as many as fit into so many bytes, and at least one if any waits.
-    pub fn take(&mut self, room: usize) -> Vec<Report> {
+    pub fn take(&mut self, max_bytes: usize) -> Vec<Report> {
         let mut taken = Vec::new();
         let mut bytes = 0;
         while let Some(report) = self.pop() {
             bytes += report.size_bytes();
-            if bytes > room && !taken.is_empty() {
+            if bytes > max_bytes && !taken.is_empty() {
                 self.put_back(report);
                 break;
             }
@@ -105,32 +101,26 @@
             self.put_back(report);
         }
         let waiting: BTreeSet<&Report> = self.urgent.iter().collect();
-        let told: Vec<Report> = self
+        let rejections: Vec<Report> = self
             .rejections
             .all()
             .filter(|report| !waiting.contains(report))
             .collect();
-        self.urgent.extend(told);
+        self.urgent.extend(rejections);
     }
 
     fn pop(&mut self) -> Option<Report> {
         if let Some(report) = self.urgent.pop_front() {
             return Some(report);
         }
-        let (node, upto) = self.acknowledgements.pop_first()?;
-        Some(Report::Acknowledged {
-            node,
-            version: upto,
-        })
+        let (node, version) = self.acknowledgements.pop_first()?;
+        Some(Report::Acknowledged { node, version })
     }
 
     fn put_back(&mut self, report: Report) {
         match report {
-            Report::Acknowledged {
-                node,
-                version: upto,
-            } => {
-                self.acknowledgements.entry(node).or_insert(upto);
+            Report::Acknowledged { node, version } => {
+                self.acknowledgements.entry(node).or_insert(version);
             }
             other => self.urgent.push_front(other),
         }
--- a/crates/distribution/src/restore.rs
+++ b/crates/distribution/src/restore.rs
@@ -24,9 +24,9 @@
 
 impl RestoredState {
     /// Without records.
-    pub fn empty(room: Capacity) -> RestoredState {
+    pub fn empty(capacity: Capacity) -> RestoredState {
         RestoredState {
-            log: ChangeLog::new(room),
+            log: ChangeLog::new(capacity),
             coverage: BTreeMap::new(),
             epoch: None,
             applied: BTreeMap::new(),
@@ -36,10 +36,10 @@
 
     /// From the records that were stored. What is not sound is left out: a disk may bring anything.
     pub fn from_records(
-        room: Capacity,
+        capacity: Capacity,
         records: impl IntoIterator<Item = Record>,
     ) -> RestoredState {
-        let mut restored = RestoredState::empty(room);
+        let mut restored = RestoredState::empty(capacity);
         for record in records {
             restored.apply(record);
         }
--- a/crates/distribution/src/rollout/record.rs
+++ b/crates/distribution/src/rollout/record.rs
@@ -115,17 +115,18 @@
     pub fn from_change(change: &Change) -> Option<RolloutRecord> {
         let body = change.content.bytes().strip_prefix(&[FORMAT])?;
         let record: RolloutRecord = postcard::from_bytes(body).ok()?;
-        let sound =
+        let is_valid =
             record.policy.check().is_ok() && record.expected.len() == record.policy.stages.len();
-        (sound && RolloutRecord::key_of(&record.name) == change.key).then_some(record)
+        (is_valid && RolloutRecord::key_of(&record.name) == change.key).then_some(record)
     }
 
     /// The trial of this rollout, if it is what is on trial.
-    pub fn own_canary<'a>(&self, trial: Option<&'a Change>) -> Option<&'a Change> {
-        let trial = trial.filter(|trial| !trial.is_removal())?;
-        let staged = self.policy.stage_of(trial.fraction.thousandths).is_some();
-        let own = staged && trial.fraction.seed == self.seed && trial.hash() == self.content_hash;
-        own.then_some(trial)
+    pub fn own_canary<'a>(&self, canary: Option<&'a Change>) -> Option<&'a Change> {
+        let canary = canary.filter(|canary| !canary.is_removal())?;
+        let is_stage = self.policy.stage_of(canary.fraction.thousandths).is_some();
+        let is_own =
+            is_stage && canary.fraction.seed == self.seed && canary.hash() == self.content_hash;
+        is_own.then_some(canary)
     }
 
     /// The part of the nodes that is in a stage.
--- a/crates/distribution/src/rollout/stage.rs
+++ b/crates/distribution/src/rollout/stage.rs
@@ -69,8 +69,8 @@
     }
 
     /// Who refused, by number; so many at most.
-    pub fn first(&self, most: usize) -> Vec<RejectingNode> {
-        let named = self.nodes.iter().take(most);
+    pub fn first(&self, max_nodes: usize) -> Vec<RejectingNode> {
+        let named = self.nodes.iter().take(max_nodes);
         named
             .map(|(node, reason)| RejectingNode {
                 node: *node,
@@ -106,41 +106,41 @@
     stage: Stage,
     policy: &RolloutPolicy,
     board: &NodeStatuses,
-    refusing: &RejectingNodes,
+    rejecting_nodes: &RejectingNodes,
 ) -> StageCounts {
     let Stage {
         version,
-        fraction: part,
+        fraction,
         expected,
         reports_since: heard_since,
     } = stage;
     let mut counts = StageCounts::default();
-    for (node, standing) in board.iter().filter(|(node, _)| part.contains(*node)) {
-        if refusing.nodes.contains_key(&node) {
+    for (node, status) in board.iter().filter(|(node, _)| fraction.contains(*node)) {
+        if rejecting_nodes.nodes.contains_key(&node) {
             continue;
         }
         counts.known += 1;
-        if standing.acknowledged >= version && standing.last_report_at >= heard_since {
+        if status.acknowledged >= version && status.last_report_at >= heard_since {
             counts.accepted += 1;
-            let lately = now - standing.last_report_at <= policy.max_report_age;
-            counts.accepted_recently += u32::from(lately);
+            let is_recent = now - status.last_report_at <= policy.max_report_age;
+            counts.accepted_recently += u32::from(is_recent);
         }
     }
-    counts.rejected = refusing
+    counts.rejected = rejecting_nodes
         .nodes
         .keys()
-        .filter(|node| part.contains(**node))
+        .filter(|node| fraction.contains(**node))
         .count() as u32;
     counts.known = (counts.known + counts.rejected).max(expected);
     counts
 }
 
 /// What follows from the counts of a stage that has lasted so long, in seconds.
-pub fn evaluate(policy: &RolloutPolicy, counts: StageCounts, lasted: Time) -> Verdict {
-    if is_refused(policy, counts, lasted) {
+pub fn evaluate(policy: &RolloutPolicy, counts: StageCounts, elapsed: Time) -> Verdict {
+    if is_refused(policy, counts, elapsed) {
         return Verdict::Stop;
     }
-    if lasted < policy.soak_time {
+    if elapsed < policy.soak_time {
         return Verdict::Wait(AdvanceBlocker::Soak);
     }
     if counts.accepted_recently + counts.rejected < policy.min_decisions {
@@ -156,18 +156,18 @@
     Verdict::Advance
 }
 
-fn is_refused(policy: &RolloutPolicy, counts: StageCounts, lasted: Time) -> bool {
+fn is_refused(policy: &RolloutPolicy, counts: StageCounts, elapsed: Time) -> bool {
     let decided = counts.accepted + counts.rejected;
-    let all = if lasted < policy.decision_time {
+    let total = if elapsed < policy.decision_time {
         counts.known
     } else {
         decided
     };
-    let allowed = u64::from(policy.max_rejected_share) * u64::from(all.max(policy.min_decisions));
+    let allowed = u64::from(policy.max_rejected_share) * u64::from(total.max(policy.min_decisions));
     let share_passed = u64::from(counts.rejected) * u64::from(ALL_NODES_THOUSANDTHS) > allowed;
     share_passed || counts.rejected > policy.max_rejected
 }
 
-fn is_share_below(some: u32, all: u32, share: u16) -> bool {
-    u64::from(some) * u64::from(ALL_NODES_THOUSANDTHS) < u64::from(share) * u64::from(all)
+fn is_share_below(count: u32, total: u32, share: u16) -> bool {
+    u64::from(count) * u64::from(ALL_NODES_THOUSANDTHS) < u64::from(share) * u64::from(total)
 }
--- a/crates/distribution/src/session.rs
+++ b/crates/distribution/src/session.rs
@@ -64,7 +64,7 @@
 
 impl Session {
     /// Over a link whose beginning the upstream has answered.
-    pub fn new(link: Link, inflow: TokenBucket, now: Time) -> Session {
+    pub fn new(link: Link, receive_budget: TokenBucket, now: Time) -> Session {
         Session {
             link,
             next_id: 0,
@@ -75,7 +75,7 @@
             reports: Vec::new(),
             progress_at: now,
             has_progressed: false,
-            receive_bucket: inflow,
+            receive_bucket: receive_budget,
         }
     }
 
@@ -91,7 +91,7 @@
             return Ok(Some(selector.clone()));
         }
         match self.ended.get(&id) {
-            Some(Some(said)) if *said <= receipt.acknowledged => {
+            Some(Some(sent_in)) if *sent_in <= receipt.acknowledged => {
                 Err(CloseReason::ProtocolViolation)
             }
             Some(_) => Ok(None),
@@ -162,19 +162,19 @@
         reports: &mut ReportQueue,
         outputs: &mut Vec<Output>,
     ) {
-        let room = self.link.max_payload_bytes();
+        let max_bytes = self.link.max_payload_bytes();
         if !self.link.is_idle()
-            || self.link.available_payload_bytes(now) < room
+            || self.link.available_payload_bytes(now) < max_bytes
             || !self.has_pending_payloads(subscriptions, reports)
         {
             return;
         }
         let payload = if !subscriptions.pending.is_empty() {
-            Payload::Subscribe(self.next_subscriptions(subscriptions, room))
+            Payload::Subscribe(self.next_subscriptions(subscriptions, max_bytes))
         } else if self.ended.values().any(Option::is_none) {
-            Payload::Unsubscribe(self.next_unsubscriptions(room))
+            Payload::Unsubscribe(self.next_unsubscriptions(max_bytes))
         } else {
-            self.reports = reports.take(room - LIST_OVERHEAD_BYTES);
+            self.reports = reports.take(max_bytes - LIST_OVERHEAD_BYTES);
             Payload::Reports(self.reports.clone())
         };
         self.link.send_reliable(now, &payload, outputs);
@@ -184,19 +184,19 @@
     fn next_subscriptions(
         &mut self,
         subscriptions: &mut Subscriptions,
-        room: usize,
+        max_bytes: usize,
     ) -> Vec<Subscribe> {
-        let number = self.link.last_sent() + 1;
+        let payload_number = self.link.last_sent() + 1;
         let mut list = Vec::new();
         let mut bytes = LIST_OVERHEAD_BYTES;
         while let Some(selector) = subscriptions.pending.first().cloned() {
-            let Some(held) = subscriptions.by_selector.get_mut(&selector) else {
+            let Some(subscription) = subscriptions.by_selector.get_mut(&selector) else {
                 subscriptions.pending.pop_first();
                 continue;
             };
             let id = self.next_id;
-            let coverage = held.coverage.truncated(MAX_SUBSCRIBE_SPANS);
-            let (floor, has_changes) = (held.removals_known, held.has_changes);
+            let coverage = subscription.coverage.truncated(MAX_SUBSCRIBE_SPANS);
+            let (floor, has_changes) = (subscription.removals_known, subscription.has_changes);
             let subscribe = Subscribe {
                 id,
                 selector: selector.clone(),
@@ -205,11 +205,11 @@
                 has_changes,
             };
             bytes += frame::serialized_size(&subscribe);
-            if bytes > room && !list.is_empty() {
+            if bytes > max_bytes && !list.is_empty() {
                 break;
             }
-            held.id = Some(id);
-            held.subscribed_in = Some(number);
+            subscription.id = Some(id);
+            subscription.subscribed_in = Some(payload_number);
             self.next_id += 1;
             self.selectors.insert(id, selector);
             list.push(subscribe);
@@ -218,12 +218,15 @@
         list
     }
 
-    fn next_unsubscriptions(&mut self, room: usize) -> Vec<u32> {
-        let number = self.link.last_sent() + 1;
-        let unsaid = self.ended.iter_mut().filter(|(_, said)| said.is_none());
+    fn next_unsubscriptions(&mut self, max_bytes: usize) -> Vec<u32> {
+        let payload_number = self.link.last_sent() + 1;
+        let unsent = self
+            .ended
+            .iter_mut()
+            .filter(|(_, sent_in)| sent_in.is_none());
         let mut list = Vec::new();
-        for (id, said) in unsaid.take(room / MAX_ID_BYTES) {
-            *said = Some(number);
+        for (id, sent_in) in unsent.take(max_bytes / MAX_ID_BYTES) {
+            *sent_in = Some(payload_number);
             list.push(*id);
         }
         list
--- a/crates/distribution/src/session_attempts.rs
+++ b/crates/distribution/src/session_attempts.rs
@@ -179,13 +179,13 @@
 fn close(
     attempts: Vec<Attempt>,
     now: Time,
-    why: CloseReason,
+    reason: CloseReason,
     bucket: &mut TokenBucket,
     outputs: &mut Vec<Output>,
 ) -> Vec<PeerId> {
     let end = |mut attempt: Attempt| {
         let payload = Payload::Close {
-            reason: why,
+            reason,
             retry_after_ms: 0,
         };
         with_shared_bucket(bucket, &mut attempt.link, |link| {
--- a/crates/distribution/src/subscriber.rs
+++ b/crates/distribution/src/subscriber.rs
@@ -151,7 +151,7 @@
         self.stored_selectors.remove(selector);
         outputs.push(Output::Persist(Record::Unsubscribed(selector.clone())));
         let upstream = &self.upstream;
-        let gone = |name: &Name| {
+        let is_unsubscribed = |name: &Name| {
             selector.matches(&name.group)
                 && !upstream
                     .subscriptions()
@@ -161,10 +161,13 @@
             .log
             .keys_after(selector, Version::ZERO)
             .map(|(_, key)| key);
-        let keys: Vec<Key> = keys.filter(|key| gone(&key.name)).cloned().collect();
+        let keys: Vec<Key> = keys
+            .filter(|key| is_unsubscribed(&key.name))
+            .cloned()
+            .collect();
         // Stored the other way round, a crash between the two would leave in force what the log knows no version of, and an
         // upstream that is behind would replace it by an earlier one.
-        self.applied.remove_where(gone, outputs);
+        self.applied.remove_where(is_unsubscribed, outputs);
         for key in &keys {
             outputs.push(Output::Persist(Record::Forget(key.clone())));
             self.log.remove(key);
@@ -185,7 +188,7 @@
     pub fn is_complete(&self, selector: &Selector) -> bool {
         self.upstream
             .subscription(selector)
-            .is_some_and(|held| held.is_complete)
+            .is_some_and(|subscription| subscription.is_complete)
     }
 
     /// How old at most is what is known here of the subscriptions that are complete, in seconds; without bound if that
--- a/crates/distribution/src/subscriber/receive.rs
+++ b/crates/distribution/src/subscriber/receive.rs
@@ -24,8 +24,8 @@
         if received.head.from_child {
             return;
         }
-        let heard = self.upstream.receive(now, received, outputs);
-        match heard {
+        let event = self.upstream.receive(now, received, outputs);
+        match event {
             None => {}
             Some(UpstreamEvent::Epoch(epoch)) => self.apply_epoch(now, epoch, outputs),
             Some(UpstreamEvent::Changes {
@@ -41,10 +41,10 @@
             }
             Some(UpstreamEvent::Manifest {
                 selector,
-                pruned_through: floor,
+                pruned_through: removals_known,
                 digests,
             }) => {
-                self.apply_manifest(&selector, floor, &digests, outputs);
+                self.apply_manifest(&selector, removals_known, &digests, outputs);
             }
             Some(UpstreamEvent::Current { head, age, .. }) => {
                 self.apply_current(now, head, age, outputs)
@@ -65,11 +65,11 @@
             return;
         }
         let covered = self.combined_coverage();
-        let lacking = known.map_or(Coverage::EMPTY, |known| {
+        let missing = known.map_or(Coverage::EMPTY, |known| {
             missing_versions(known, &epoch, &covered)
         });
-        self.upstream.resubscribe(now, &lacking, outputs);
-        if !lacking.is_empty() {
+        self.upstream.resubscribe(now, &missing, outputs);
+        if !missing.is_empty() {
             self.store_coverage(true, outputs);
         }
         outputs.push(Output::Persist(Record::Epoch(epoch.clone())));
@@ -82,7 +82,7 @@
         for span in self
             .upstream
             .subscriptions()
-            .flat_map(|(_, held)| held.coverage.spans())
+            .flat_map(|(_, subscription)| subscription.coverage.spans())
         {
             covered.add(*span);
         }
@@ -123,17 +123,17 @@
     pub(super) fn apply_manifest(
         &mut self,
         selector: &Selector,
-        floor: Version,
+        removals_known: Version,
         digests: &BTreeSet<u64>,
         outputs: &mut Vec<Output>,
     ) {
-        for key in keys_not_listed(&self.log, selector, floor, digests) {
+        for key in keys_not_listed(&self.log, selector, removals_known, digests) {
             self.log.remove(&key);
             outputs.push(Output::Persist(Record::Forget(key.clone())));
             self.reconcile(&key.name, outputs);
         }
         self.stored_selectors.remove(selector);
-        self.upstream.mark_removals_known(selector, floor);
+        self.upstream.mark_removals_known(selector, removals_known);
     }
 
     pub(super) fn apply_current(
@@ -147,24 +147,26 @@
             self.last_current = Some((now, age));
             self.head = self.head.max(head);
         }
-        let all = now >= self.stored_at + COVERAGE_STORE_INTERVAL;
-        if all {
+        let store_all = now >= self.stored_at + COVERAGE_STORE_INTERVAL;
+        if store_all {
             self.stored_at = now;
         }
-        self.store_coverage(all, outputs);
+        self.store_coverage(store_all, outputs);
     }
 
     /// Stores what is covered: of all subscriptions, or of those of which something has come since the last time.
-    pub(super) fn store_coverage(&mut self, all: bool, outputs: &mut Vec<Output>) {
-        for (selector, held) in self.upstream.subscriptions() {
-            if held.is_complete && (all || !self.stored_selectors.contains(selector)) {
-                let (coverage, floor) = (held.coverage.clone(), held.removals_known);
+    pub(super) fn store_coverage(&mut self, store_all: bool, outputs: &mut Vec<Output>) {
+        for (selector, subscription) in self.upstream.subscriptions() {
+            if subscription.is_complete && (store_all || !self.stored_selectors.contains(selector))
+            {
+                let (coverage, removals_known) =
+                    (subscription.coverage.clone(), subscription.removals_known);
                 let selector = selector.clone();
                 self.stored_selectors.insert(selector.clone());
                 outputs.push(Output::Persist(Record::Covered {
                     selector,
                     coverage,
-                    removals_known: floor,
+                    removals_known,
                 }));
             }
         }
--- a/crates/distribution/src/subscriber/reconcile.rs
+++ b/crates/distribution/src/subscriber/reconcile.rs
@@ -37,15 +37,15 @@
     }
 
     pub(super) fn slot_of(&self, name: &Name, version: Version) -> Slot {
-        let trial = Key {
+        let canary = Key {
             name: name.clone(),
             slot: Slot::Canary,
         };
-        let on_trial = self
+        let active_canary = self
             .log
-            .get(&trial)
-            .is_some_and(|trial| trial.version == version);
-        if on_trial {
+            .get(&canary)
+            .is_some_and(|canary| canary.version == version);
+        if active_canary {
             Slot::Canary
         } else {
             Slot::Stable
@@ -60,27 +60,30 @@
                 slot,
             })
         };
-        let (whole, trial) = (get(Slot::Stable), get(Slot::Canary));
-        let on_trial = trial.filter(|trial| !trial.is_removal());
-        let on_trial =
-            on_trial.filter(|trial| whole.is_none_or(|whole| whole.version < trial.version));
-        let basis = SlotVersions {
-            stable: whole.map(|c| c.version),
-            canary: trial.map(|c| c.version),
+        let (stable, canary) = (get(Slot::Stable), get(Slot::Canary));
+        let active_canary = canary.filter(|canary| !canary.is_removal());
+        let active_canary = active_canary
+            .filter(|canary| stable.is_none_or(|stable| stable.version < canary.version));
+        let versions = SlotVersions {
+            stable: stable.map(|change| change.version),
+            canary: canary.map(|change| change.version),
         };
-        let version = basis.stable.max(basis.canary).unwrap_or(Version::ZERO);
-        let content = match on_trial.or(whole) {
+        let version = versions
+            .stable
+            .max(versions.canary)
+            .unwrap_or(Version::ZERO);
+        let content = match active_canary.or(stable) {
             Some(change) => change.content.clone(),
             None => Content::Removed,
         };
-        (applied_change(name, version, content), basis)
+        (applied_change(name, version, content), versions)
     }
 
     /// Asks the driver for what a resource is to be, if it is another than what is in force.
     pub(super) fn reconcile(&mut self, name: &Name, outputs: &mut Vec<Output>) {
-        let (wanted, basis) = self.desired_change(name);
-        self.applied.request(wanted, basis, outputs);
-        if basis == SlotVersions::default() {
+        let (wanted, versions) = self.desired_change(name);
+        self.applied.request(wanted, versions, outputs);
+        if versions == SlotVersions::default() {
             self.applied.remove_if_idle(name);
         }
     }
--- a/crates/distribution/src/subscriptions.rs
+++ b/crates/distribution/src/subscriptions.rs
@@ -30,9 +30,9 @@
 impl Subscriptions {
     /// A session has ended: the next one is asked for all.
     pub fn reset_for_new_session(&mut self) {
-        for held in self.by_selector.values_mut() {
-            held.id = None;
-            held.subscribed_in = None;
+        for subscription in self.by_selector.values_mut() {
+            subscription.id = None;
+            subscription.subscribed_in = None;
         }
         self.pending = self.by_selector.keys().cloned().collect();
     }
--- a/crates/distribution/src/token_bucket.rs
+++ b/crates/distribution/src/token_bucket.rs
@@ -36,8 +36,9 @@
 
     /// The longest frame that may be written under it.
     pub fn max_frame_bytes(&self) -> usize {
-        let most = (self.burst_bytes / 2.0) as usize;
-        most.clamp(512, crate::frame::MAX_FRAME_BYTES)
+        let half_burst = (self.burst_bytes / 2.0) as usize;
+        half_burst
+            .clamp(512, crate::frame::MAX_FRAME_BYTES)
             .saturating_sub(TRANSPORT_OVERHEAD_BYTES)
     }
 }
@@ -77,9 +78,9 @@
     }
 
     /// Takes a frame's bytes, if they are there.
-    pub fn take(&mut self, now: Time, frame: usize) -> bool {
+    pub fn take(&mut self, now: Time, frame_bytes: usize) -> bool {
         self.refill(now);
-        let cost = (frame + TRANSPORT_OVERHEAD_BYTES) as f64;
+        let cost = (frame_bytes + TRANSPORT_OVERHEAD_BYTES) as f64;
         let enough = self.available >= cost;
         if enough {
             self.available -= cost;
@@ -88,8 +89,8 @@
     }
 
     /// When a frame of so many bytes can be sent.
-    pub fn ready_at(&self, now: Time, frame: usize) -> Time {
-        let cost = ((frame + TRANSPORT_OVERHEAD_BYTES) as f64).min(self.budget.burst_bytes);
+    pub fn ready_at(&self, now: Time, frame_bytes: usize) -> Time {
+        let cost = ((frame_bytes + TRANSPORT_OVERHEAD_BYTES) as f64).min(self.budget.burst_bytes);
         let level = self.available(now);
         if level >= cost {
             return now;
--- a/crates/distribution/src/upstream.rs
+++ b/crates/distribution/src/upstream.rs
@@ -59,15 +59,15 @@
 
 impl Upstream {
     /// Follows nobody yet; the first is drawn within [`UpstreamConfig::reconnect_jitter`].
-    pub fn new(rules: UpstreamConfig, lease: LeaseName, seed: u64, now: Time) -> Upstream {
-        let mut chance = SeededRng::new(seed);
-        let until = now + chance.uniform(0.0, rules.reconnect_jitter);
+    pub fn new(config: UpstreamConfig, lease: LeaseName, seed: u64, now: Time) -> Upstream {
+        let mut rng = SeededRng::new(seed);
+        let until = now + rng.uniform(0.0, config.reconnect_jitter);
         Upstream {
-            candidates: Candidates::new(&rules),
-            bucket: TokenBucket::new(rules.send_budget, now),
-            config: rules,
+            candidates: Candidates::new(&config),
+            bucket: TokenBucket::new(config.send_budget, now),
+            config,
             lease,
-            rng: chance,
+            rng,
             state: State::BackingOff { until },
             subscriptions: Subscriptions::default(),
             stale_factor: 1.0,
@@ -83,7 +83,7 @@
         }
         let complete = coverage.is_contiguous();
         let has_changes = !coverage.is_empty();
-        let held = SubscriptionState {
+        let subscription = SubscriptionState {
             coverage,
             removals_known: floor,
             is_complete: complete,
@@ -91,16 +91,18 @@
             ..SubscriptionState::default()
         };
         self.subscriptions.pending.insert(selector.clone());
-        self.subscriptions.by_selector.insert(selector, held);
+        self.subscriptions
+            .by_selector
+            .insert(selector, subscription);
     }
 
     /// Asks for less; whether it was asked for.
     pub fn unsubscribe(&mut self, selector: &Selector) -> bool {
-        let Some(held) = self.subscriptions.by_selector.remove(selector) else {
+        let Some(subscription) = self.subscriptions.by_selector.remove(selector) else {
             return false;
         };
         self.subscriptions.pending.remove(selector);
-        if let (State::Following(session), Some(id)) = (&mut self.state, held.id) {
+        if let (State::Following(session), Some(id)) = (&mut self.state, subscription.id) {
             session.end_subscription(id);
         }
         true
@@ -127,9 +129,9 @@
 
     /// A change has been stored: this span is covered.
     pub fn add_coverage(&mut self, selector: &Selector, span: Span) {
-        if let Some(held) = self.subscriptions.by_selector.get_mut(selector) {
-            held.coverage.add(span);
-            held.has_changes = true;
+        if let Some(subscription) = self.subscriptions.by_selector.get_mut(selector) {
+            subscription.coverage.add(span);
+            subscription.has_changes = true;
         }
     }
 
@@ -138,8 +140,8 @@
     /// Guards against removals that are never heard of: who ended before it stored what it covers would be taken for one
     /// that has nothing. Harm: a list of keys where removals were forgotten meanwhile.
     pub fn mark_has_changes(&mut self, selector: &Selector) {
-        if let Some(held) = self.subscriptions.by_selector.get_mut(selector) {
-            held.has_changes = true;
+        if let Some(subscription) = self.subscriptions.by_selector.get_mut(selector) {
+            subscription.has_changes = true;
         }
     }
 
@@ -148,17 +150,17 @@
         let Some(first) = lacking.spans().first() else {
             return;
         };
-        for held in self.subscriptions.by_selector.values_mut() {
-            held.coverage = held.coverage.difference(lacking);
-            held.removals_known = held.removals_known.min(first.after);
+        for subscription in self.subscriptions.by_selector.values_mut() {
+            subscription.coverage = subscription.coverage.difference(lacking);
+            subscription.removals_known = subscription.removals_known.min(first.after);
         }
         self.leave(now, CloseReason::Replaced, outputs);
     }
 
     /// All removals of a selector up to a version are known.
     pub fn mark_removals_known(&mut self, selector: &Selector, floor: Version) {
-        if let Some(held) = self.subscriptions.by_selector.get_mut(selector) {
-            held.removals_known = held.removals_known.max(floor);
+        if let Some(subscription) = self.subscriptions.by_selector.get_mut(selector) {
+            subscription.removals_known = subscription.removals_known.max(floor);
         }
     }
 
@@ -213,8 +215,8 @@
     }
 
     /// Leaves the upstream; another one is drawn after a rest.
-    pub fn leave(&mut self, now: Time, why: CloseReason, outputs: &mut Vec<Output>) {
-        let alone_for = match why {
+    pub fn leave(&mut self, now: Time, reason: CloseReason, outputs: &mut Vec<Output>) {
+        let backoff = match reason {
             CloseReason::ProtocolViolation | CloseReason::RateExceeded => VIOLATION_BACKOFF,
             CloseReason::CapacityExceeded => NO_CAPACITY_BACKOFF,
             CloseReason::Fenced => self.config.max_backoff,
@@ -227,32 +229,39 @@
             session.link.send_unreliable(
                 now,
                 &Payload::Close {
-                    reason: why,
+                    reason,
                     retry_after_ms: 0,
                 },
                 outputs,
             );
         }
-        self.end_session(now, why, alone_for, outputs);
+        self.end_session(now, reason, backoff, outputs);
     }
 
     fn end_session(
         &mut self,
         now: Time,
-        why: CloseReason,
-        alone_for: Time,
+        reason: CloseReason,
+        backoff: Time,
         outputs: &mut Vec<Output>,
     ) {
         if !matches!(self.state, State::Following(_)) {
             return;
         }
-        let old = std::mem::replace(&mut self.state, State::BackingOff { until: now });
-        let State::Following(session) = old else {
+        let previous = std::mem::replace(&mut self.state, State::BackingOff { until: now });
+        let State::Following(session) = previous else {
             return;
         };
         let is_silent = now >= self.silent_at(&session);
-        self.record_failure(now, session.link.peer(), why, is_silent, alone_for, outputs);
-        if why == CloseReason::Stale && !session.has_progressed {
+        self.record_failure(
+            now,
+            session.link.peer(),
+            reason,
+            is_silent,
+            backoff,
+            outputs,
+        );
+        if reason == CloseReason::Stale && !session.has_progressed {
             self.stale_factor = (2.0 * self.stale_factor).min(MAX_STALE_FACTOR);
         }
         let rest = if session.link.is_answered() {
@@ -271,24 +280,21 @@
         &mut self,
         now: Time,
         upstream: PeerId,
-        why: CloseReason,
+        reason: CloseReason,
         is_silent: bool,
-        alone_for: Time,
+        backoff: Time,
         outputs: &mut Vec<Output>,
     ) {
-        self.candidates.bar_until(upstream, now + alone_for);
-        if why != CloseReason::Replaced {
+        self.candidates.bar_until(upstream, now + backoff);
+        if reason != CloseReason::Replaced {
             let broke_rules = matches!(
-                why,
+                reason,
                 CloseReason::ProtocolViolation | CloseReason::RateExceeded
             );
             self.candidates
                 .record_failure(upstream, now, broke_rules || is_silent);
         }
-        outputs.push(Output::Event(Event::Left {
-            upstream,
-            reason: why,
-        }));
+        outputs.push(Output::Event(Event::Left { upstream, reason }));
     }
 
     /// How long to rest after an upstream that was heard. Guards against all children of a relay that died coming to the
@@ -308,8 +314,8 @@
             }
             State::BackingOff { .. } | State::Opening(_) => {}
             State::Following(session) => {
-                if let Some(why) = self.session_fault(now, session) {
-                    self.leave(now, why, outputs);
+                if let Some(reason) = self.session_fault(now, session) {
+                    self.leave(now, reason, outputs);
                 }
             }
         }
@@ -357,8 +363,8 @@
     }
 
     /// For how long an upstream asks to be left alone.
-    fn requested_backoff(&self, rest_ms: u32) -> Time {
-        let rest = f64::from(rest_ms) / 1e3;
+    fn requested_backoff(&self, retry_after_ms: u32) -> Time {
+        let rest = f64::from(retry_after_ms) / 1e3;
         rest.min(self.config.max_backoff)
     }
 
@@ -372,17 +378,17 @@
             }
             State::Following(session) => session,
         };
-        let fault = self.silent_at(session).min(self.stale_at(session));
+        let fault_at = self.silent_at(session).min(self.stale_at(session));
         let keepalive = session.link.last_sent_at() + self.config.keepalive_interval;
         let keepalive = keepalive.max(session.link.ready_at(now, 0));
-        let work = session.link.is_idle()
+        let has_work = session.link.is_idle()
             && session.has_pending_payloads(&self.subscriptions, &self.reports);
-        let payload = if work {
+        let payload = if has_work {
             session.link.ready_at(now, session.link.max_payload_bytes())
         } else {
             f64::INFINITY
         };
-        fault
+        fault_at
             .min(keepalive)
             .min(payload)
             .min(session.link.next_wakeup(now))
--- a/crates/distribution/src/upstream/opening.rs
+++ b/crates/distribution/src/upstream/opening.rs
@@ -24,17 +24,17 @@
             return;
         };
         if let Payload::Close {
-            reason: why,
-            retry_after_ms: rest_ms,
+            reason,
+            retry_after_ms,
         } = &received.payload
         {
             let is_last = attempts.is_empty();
             self.record_failure(
                 now,
                 received.from,
-                *why,
+                *reason,
                 false,
-                self.requested_backoff(*rest_ms),
+                self.requested_backoff(*retry_after_ms),
                 outputs,
             );
             if is_last {
@@ -46,8 +46,8 @@
         }
         self.end_attempts(now, outputs);
         let link = link.with_bucket(self.bucket.clone());
-        let inflow = TokenBucket::new(self.config.receive_budget, now);
-        self.state = State::Following(Box::new(Session::new(link, inflow, now)));
+        let receive_budget = TokenBucket::new(self.config.receive_budget, now);
+        self.state = State::Following(Box::new(Session::new(link, receive_budget, now)));
     }
 
     /// Ends the attempts that are under way: somebody has answered, or nobody is to be followed.
@@ -64,10 +64,10 @@
         let State::Opening(attempts) = &mut self.state else {
             return;
         };
-        let late = attempts.end_timed_out(now, &mut self.bucket, outputs);
-        let none_left = attempts.is_empty() && !late.is_empty();
+        let timed_out = attempts.end_timed_out(now, &mut self.bucket, outputs);
+        let none_left = attempts.is_empty() && !timed_out.is_empty();
         let time_saved = attempts.time_saved(&self.config);
-        for peer in late {
+        for peer in timed_out {
             self.record_failure(now, peer, CloseReason::TimedOut, true, 0.0, outputs);
         }
         if none_left {
@@ -86,10 +86,10 @@
         if now < attempts.next_at() {
             return;
         }
-        let asked = attempts.peers();
-        let Some(peer) = self.candidates.pick(now, &asked, &mut self.rng) else {
-            if asked.is_empty() {
-                let free_at = self.candidates.available_at(&asked).max(now);
+        let attempted = attempts.peers();
+        let Some(peer) = self.candidates.pick(now, &attempted, &mut self.rng) else {
+            if attempted.is_empty() {
+                let free_at = self.candidates.available_at(&attempted).max(now);
                 let until = free_at + self.rng.uniform(0.0, self.config.reconnect_jitter);
                 self.state = State::BackingOff { until };
             }
--- a/crates/distribution/src/upstream/receive.rs
+++ b/crates/distribution/src/upstream/receive.rs
@@ -40,8 +40,8 @@
             return None;
         }
         self.handle(now, &head, payload, outputs)
-            .unwrap_or_else(|why| {
-                self.leave(now, why, outputs);
+            .unwrap_or_else(|reason| {
+                self.leave(now, reason, outputs);
                 None
             })
     }
@@ -66,10 +66,10 @@
         match payload {
             Payload::Acknowledge => Ok(None),
             Payload::Close {
-                reason: why,
-                retry_after_ms: rest_ms,
+                reason,
+                retry_after_ms,
             } => {
-                self.end_session(now, why, self.requested_backoff(rest_ms), outputs);
+                self.end_session(now, reason, self.requested_backoff(retry_after_ms), outputs);
                 Ok(None)
             }
             Payload::Epoch(epoch) => self.handle_epoch(epoch),
@@ -204,21 +204,21 @@
         removals: Version,
         age_us: Option<u64>,
     ) -> Option<Time> {
-        let mut all = true;
-        for held in self.subscriptions.by_selector.values_mut() {
-            if held
+        let mut is_complete_answer = true;
+        for subscription in self.subscriptions.by_selector.values_mut() {
+            if subscription
                 .subscribed_in
-                .is_some_and(|asked| asked <= receipt.acknowledged)
+                .is_some_and(|number| number <= receipt.acknowledged)
             {
-                held.coverage.add(Span {
+                subscription.coverage.add(Span {
                     after: Version::ZERO,
                     through: head,
                 });
-                held.removals_known = held.removals_known.max(removals);
-                held.is_complete = true;
+                subscription.removals_known = subscription.removals_known.max(removals);
+                subscription.is_complete = true;
             } else {
                 // A copy of everything is whole or it is not; a node may wait for one subscription of many.
-                all &= !held.is_complete && !self.config.is_relay;
+                is_complete_answer &= !subscription.is_complete && !self.config.is_relay;
             }
         }
         let age = age_us
@@ -232,6 +232,6 @@
                 self.candidates.clear_failures();
             }
         }
-        age.filter(|_| all)
+        age.filter(|_| is_complete_answer)
     }
 }
--- a/crates/distribution/src/upstream_config.rs
+++ b/crates/distribution/src/upstream_config.rs
@@ -85,7 +85,7 @@
 
     /// For a relay or an author.
     pub fn relay(upstreams: Vec<PeerId>) -> UpstreamConfig {
-        let inflow = Budget {
+        let receive_budget = Budget {
             bytes_per_second: 4.0 * Budget::CONTROL.bytes_per_second,
             burst_bytes: 4.0 * Budget::CONTROL.burst_bytes,
         };
@@ -94,7 +94,7 @@
         UpstreamConfig {
             is_relay: true,
             send_budget: Budget::CONTROL,
-            receive_budget: inflow,
+            receive_budget,
             reconnect_jitter: spread,
             max_backoff: rest_most,
             ..rules
