--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -44,6 +44,7 @@
 pub mod child_subscription;
 pub mod coverage;
 pub mod downstream;
+pub mod downstream_config;
 pub mod epoch;
 pub mod frame;
 pub mod history;
@@ -63,13 +64,16 @@
 pub mod resource;
 pub mod restore;
 pub mod rollout;
+mod send_progress;
 pub mod session;
 mod session_attempts;
 pub mod session_end;
 pub mod subscriber;
+pub mod subscriptions;
 pub mod token_bucket;
 pub mod upstream;
 pub mod upstream_config;
+pub mod upstream_event;
 
 /// Seconds on one process's own monotonic clock; only differences matter.
 pub type Time = f64;
--- a/crates/distribution/src/session.rs
+++ b/crates/distribution/src/session.rs
@@ -1,15 +1,14 @@
 //! A child's session with its upstream: what it asked for, and what is on its way.
 
-use crate::coverage::{Coverage, Span};
-use crate::epoch::Epoch;
 use crate::frame;
 use crate::link::{FrameReceipt, Link};
 use crate::message::{Payload, Subscribe};
 use crate::output::Output;
 use crate::reassembly::Reassembler;
 use crate::report::{Report, ReportQueue};
-use crate::resource::{Change, Selector, Version};
+use crate::resource::Selector;
 use crate::session_end::CloseReason;
+use crate::subscriptions::Subscriptions;
 use crate::token_bucket::TokenBucket;
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,73 +24,27 @@
 /// What one number of a subscription takes in a frame at most.
 const MAX_ID_BYTES: usize = 8;
 
-/// What an upstream has said.
-#[derive(Debug, PartialEq)]
-pub enum UpstreamEvent {
-    /// Who the author is.
-    Epoch(Epoch),
-    /// Changes; once they are stored, [`crate::upstream::Upstream::add_coverage`] is to be called.
-    Changes {
-        /// Of which subscription.
-        selector: Selector,
-        /// What is covered by them.
-        span: Span,
-        /// The changes.
-        changes: Vec<Change>,
-    },
-    /// All keys of a selector: others with this version or an earlier one are no more.
-    Manifest {
-        /// Of what.
-        selector: Selector,
-        /// The version.
-        pruned_through: Version,
-        /// The digests of the keys.
-        digests: BTreeSet<u64>,
-    },
-    /// All that the upstream was asked for when it wrote this has come.
-    Current {
-        /// The latest version that the upstream has.
-        head: Version,
-        /// Removals up to this version may have been forgotten there.
-        pruned_through: Version,
-        /// How old that is at most, in seconds, if it holds for everything that was complete before.
-        age: Option<Time>,
-    },
+/// The digests of one frame of a manifest.
+pub(crate) struct ManifestDigests {
+    pub id: u32,
+    pub is_first: bool,
+    pub is_last: bool,
+    pub digests: Vec<u64>,
 }
 
-/// What is known of a subscription, in whatever session.
-#[derive(Clone, Debug, Default)]
-pub struct SubscriptionState {
-    /// Which versions have come.
-    pub coverage: Coverage,
-    /// All removals up to this version are known.
-    pub removals_known: Version,
-    /// All of it had come at some time.
-    pub is_complete: bool,
-    /// Changes of it may be here, also where nothing is covered.
-    pub has_changes: bool,
-    pub(crate) id: Option<u32>,
-    pub(crate) subscribed_in: Option<u64>,
+/// The digests of all keys of a subscription.
+pub(crate) struct CompleteManifest {
+    pub selector: Selector,
+    pub digests: BTreeSet<u64>,
 }
 
-/// Subscriptions by what they ask for, and those that the upstream has not been asked for yet.
-#[derive(Debug, Default)]
-pub(crate) struct Subscriptions {
-    pub by_selector: BTreeMap<Selector, SubscriptionState>,
-    pub pending: BTreeSet<Selector>,
-}
-
-impl Subscriptions {
-    /// A session has ended: the next one is asked for all.
-    pub fn reset_for_new_session(&mut self) {
-        for held in self.by_selector.values_mut() {
-            held.id = None;
-            held.subscribed_in = None;
-        }
-        self.pending = self.by_selector.keys().cloned().collect();
-    }
+#[derive(Debug)]
+struct PartialManifest {
+    subscription: u32,
+    digests: BTreeSet<u64>,
 }
 
+/// An open session with the upstream that is followed.
 #[derive(Debug)]
 pub(crate) struct Session {
     pub link: Link,
@@ -100,7 +53,7 @@
     /// Subscriptions that have ended, and the payload that said so.
     ended: BTreeMap<u32, Option<u64>>,
     pub assemblies: Reassembler,
-    manifest: Option<(u32, BTreeSet<u64>)>,
+    manifest: Option<PartialManifest>,
     /// Reports that are under way.
     pub reports: Vec<Report>,
     pub progress_at: Time,
@@ -111,7 +64,7 @@
 
 impl Session {
     /// Over a link whose beginning the upstream has answered.
-    pub fn new(link: Link, inflow: TokenBucket, now: Time) -> Session {
+    pub fn new(link: Link, receive_budget: TokenBucket, now: Time) -> Session {
         Session {
             link,
             next_id: 0,
@@ -122,7 +75,7 @@
             reports: Vec::new(),
             progress_at: now,
             has_progressed: false,
-            receive_bucket: inflow,
+            receive_bucket: receive_budget,
         }
     }
 
@@ -132,13 +85,13 @@
     pub fn selector_of(
         &self,
         id: u32,
-        arrival: FrameReceipt,
+        receipt: FrameReceipt,
     ) -> Result<Option<Selector>, CloseReason> {
         if let Some(selector) = self.selectors.get(&id) {
             return Ok(Some(selector.clone()));
         }
         match self.ended.get(&id) {
-            Some(Some(said)) if *said <= arrival.acknowledged => {
+            Some(Some(sent_in)) if *sent_in <= receipt.acknowledged => {
                 Err(CloseReason::ProtocolViolation)
             }
             Some(_) => Ok(None),
@@ -160,27 +113,35 @@
     /// Takes in a part of a list of keys; gives back the list after its last part.
     pub fn add_digests(
         &mut self,
-        arrival: FrameReceipt,
-        id: u32,
-        first: bool,
-        last: bool,
-        digests: Vec<u64>,
-    ) -> Result<Option<(Selector, BTreeSet<u64>)>, CloseReason> {
-        let asked = self.selector_of(id, arrival)?;
-        if first {
-            self.manifest = Some((id, BTreeSet::new()));
+        receipt: FrameReceipt,
+        page: ManifestDigests,
+    ) -> Result<Option<CompleteManifest>, CloseReason> {
+        let selector = self.selector_of(page.id, receipt)?;
+        if page.is_first {
+            self.manifest = Some(PartialManifest {
+                subscription: page.id,
+                digests: BTreeSet::new(),
+            });
         }
-        let listing = self.manifest.as_mut().filter(|(listed, _)| *listed == id);
-        let (_, keys) = listing.ok_or(CloseReason::ProtocolViolation)?;
-        keys.extend(digests);
-        if keys.len() > MAX_MANIFEST_DIGESTS {
+        let manifest = self
+            .manifest
+            .as_mut()
+            .filter(|manifest| manifest.subscription == page.id)
+            .ok_or(CloseReason::ProtocolViolation)?;
+        manifest.digests.extend(page.digests);
+        if manifest.digests.len() > MAX_MANIFEST_DIGESTS {
             return Err(CloseReason::ProtocolViolation);
         }
-        if !last {
+        if !page.is_last {
             return Ok(None);
         }
-        let keys = self.manifest.take().map(|(_, keys)| keys);
-        Ok(asked.zip(keys))
+        let complete = self.manifest.take();
+        Ok(selector
+            .zip(complete)
+            .map(|(selector, manifest)| CompleteManifest {
+                selector,
+                digests: manifest.digests,
+            }))
     }
 
     /// Whether there is something to tell the upstream.
@@ -201,19 +162,19 @@
         reports: &mut ReportQueue,
         outputs: &mut Vec<Output>,
     ) {
-        let room = self.link.max_payload_bytes();
+        let max_bytes = self.link.max_payload_bytes();
         if !self.link.is_idle()
-            || self.link.available_payload_bytes(now) < room
+            || self.link.available_payload_bytes(now) < max_bytes
             || !self.has_pending_payloads(subscriptions, reports)
         {
             return;
         }
         let payload = if !subscriptions.pending.is_empty() {
-            Payload::Subscribe(self.next_subscriptions(subscriptions, room))
+            Payload::Subscribe(self.next_subscriptions(subscriptions, max_bytes))
         } else if self.ended.values().any(Option::is_none) {
-            Payload::Unsubscribe(self.next_unsubscriptions(room))
+            Payload::Unsubscribe(self.next_unsubscriptions(max_bytes))
         } else {
-            self.reports = reports.take(room - LIST_OVERHEAD_BYTES);
+            self.reports = reports.take(max_bytes - LIST_OVERHEAD_BYTES);
             Payload::Reports(self.reports.clone())
         };
         self.link.send_reliable(now, &payload, outputs);
@@ -223,19 +184,19 @@
     fn next_subscriptions(
         &mut self,
         subscriptions: &mut Subscriptions,
-        room: usize,
+        max_bytes: usize,
     ) -> Vec<Subscribe> {
-        let number = self.link.last_sent() + 1;
+        let payload_number = self.link.last_sent() + 1;
         let mut list = Vec::new();
         let mut bytes = LIST_OVERHEAD_BYTES;
         while let Some(selector) = subscriptions.pending.first().cloned() {
-            let Some(held) = subscriptions.by_selector.get_mut(&selector) else {
+            let Some(subscription) = subscriptions.by_selector.get_mut(&selector) else {
                 subscriptions.pending.pop_first();
                 continue;
             };
             let id = self.next_id;
-            let coverage = held.coverage.truncated(MAX_SUBSCRIBE_SPANS);
-            let (floor, has_changes) = (held.removals_known, held.has_changes);
+            let coverage = subscription.coverage.truncated(MAX_SUBSCRIBE_SPANS);
+            let (floor, has_changes) = (subscription.removals_known, subscription.has_changes);
             let subscribe = Subscribe {
                 id,
                 selector: selector.clone(),
@@ -244,11 +205,11 @@
                 has_changes,
             };
             bytes += frame::serialized_size(&subscribe);
-            if bytes > room && !list.is_empty() {
+            if bytes > max_bytes && !list.is_empty() {
                 break;
             }
-            held.id = Some(id);
-            held.subscribed_in = Some(number);
+            subscription.id = Some(id);
+            subscription.subscribed_in = Some(payload_number);
             self.next_id += 1;
             self.selectors.insert(id, selector);
             list.push(subscribe);
@@ -257,12 +218,15 @@
         list
     }
 
-    fn next_unsubscriptions(&mut self, room: usize) -> Vec<u32> {
-        let number = self.link.last_sent() + 1;
-        let unsaid = self.ended.iter_mut().filter(|(_, said)| said.is_none());
+    fn next_unsubscriptions(&mut self, max_bytes: usize) -> Vec<u32> {
+        let payload_number = self.link.last_sent() + 1;
+        let unsent = self
+            .ended
+            .iter_mut()
+            .filter(|(_, sent_in)| sent_in.is_none());
         let mut list = Vec::new();
-        for (id, said) in unsaid.take(room / MAX_ID_BYTES) {
-            *said = Some(number);
+        for (id, sent_in) in unsent.take(max_bytes / MAX_ID_BYTES) {
+            *sent_in = Some(payload_number);
             list.push(*id);
         }
         list
--- a/crates/distribution/src/subscriber.rs
+++ b/crates/distribution/src/subscriber.rs
@@ -3,18 +3,18 @@
 //! Of each resource the log has what is for all nodes and what is on trial; the later of the two is what is wanted. The driver
 //! is asked to apply it and accepts or rejects it. What it rejects is told to the author, and the last good one stays.
 
-use crate::applied::{AppliedResources, SlotVersions};
+mod receive;
+mod reconcile;
+
+use crate::applied::AppliedResources;
 use crate::coverage::Coverage;
 use crate::epoch::Epoch;
-use crate::log::{Capacity, ChangeLog, PutOutcome};
-use crate::message::{self};
-use crate::output::{Event, Output, Record};
+use crate::log::{Capacity, ChangeLog};
+use crate::output::{Output, Record};
 use crate::peer::PeerId;
-use crate::replica::{keys_not_listed, missing_versions, orphaned_changes};
-use crate::report::{self, Report};
+use crate::report::Report;
 use crate::resource::{Change, Content, Key, Name, NodeFraction, Selector, Slot, Urgency, Version};
 use crate::restore::RestoredState;
-use crate::session::UpstreamEvent;
 use crate::upstream::Upstream;
 use crate::upstream_config::UpstreamConfig;
 use crate::{Time, DRIFT};
@@ -151,7 +151,7 @@
         self.stored_selectors.remove(selector);
         outputs.push(Output::Persist(Record::Unsubscribed(selector.clone())));
         let upstream = &self.upstream;
-        let gone = |name: &Name| {
+        let is_unsubscribed = |name: &Name| {
             selector.matches(&name.group)
                 && !upstream
                     .subscriptions()
@@ -161,10 +161,13 @@
             .log
             .keys_after(selector, Version::ZERO)
             .map(|(_, key)| key);
-        let keys: Vec<Key> = keys.filter(|key| gone(&key.name)).cloned().collect();
+        let keys: Vec<Key> = keys
+            .filter(|key| is_unsubscribed(&key.name))
+            .cloned()
+            .collect();
         // Stored the other way round, a crash between the two would leave in force what the log knows no version of, and an
         // upstream that is behind would replace it by an earlier one.
-        self.applied.remove_where(gone, outputs);
+        self.applied.remove_where(is_unsubscribed, outputs);
         for key in &keys {
             outputs.push(Output::Persist(Record::Forget(key.clone())));
             self.log.remove(key);
@@ -185,7 +188,7 @@
     pub fn is_complete(&self, selector: &Selector) -> bool {
         self.upstream
             .subscription(selector)
-            .is_some_and(|held| held.is_complete)
+            .is_some_and(|subscription| subscription.is_complete)
     }
 
     /// How old at most is what is known here of the subscriptions that are complete, in seconds; without bound if that
@@ -207,239 +210,6 @@
         self.upstream.following()
     }
 
-    /// The driver has put the change of this version in force.
-    pub fn accepted(&mut self, version: Version, outputs: &mut Vec<Output>) {
-        for change in self.applied.take_answered(version) {
-            let name = change.key.name.clone();
-            self.applied.mark_applied(change, outputs);
-            self.reconcile(&name, outputs);
-        }
-    }
-
-    /// The driver can't use the change of this version: the last good one stays in force, and the author hears of it.
-    pub fn rejected(&mut self, version: Version, reason: &str, outputs: &mut Vec<Output>) {
-        for change in self.applied.take_answered(version) {
-            let name = change.key.name.clone();
-            let slot = self.slot_of(&name, version);
-            let key = Key {
-                name: name.clone(),
-                slot,
-            };
-            let reason = report::truncate_reason(reason);
-            self.upstream.queue_report(Report::Rejected {
-                node: self.config.node,
-                key,
-                version,
-                reason,
-            });
-            self.reconcile(&name, outputs);
-        }
-    }
-
-    fn slot_of(&self, name: &Name, version: Version) -> Slot {
-        let trial = Key {
-            name: name.clone(),
-            slot: Slot::Canary,
-        };
-        let on_trial = self
-            .log
-            .get(&trial)
-            .is_some_and(|trial| trial.version == version);
-        if on_trial {
-            Slot::Canary
-        } else {
-            Slot::Stable
-        }
-    }
-
-    /// What a resource is to be here by the log.
-    fn desired_change(&self, name: &Name) -> (Change, SlotVersions) {
-        let get = |slot| {
-            self.log.get(&Key {
-                name: name.clone(),
-                slot,
-            })
-        };
-        let (whole, trial) = (get(Slot::Stable), get(Slot::Canary));
-        let on_trial = trial.filter(|trial| !trial.is_removal());
-        let on_trial =
-            on_trial.filter(|trial| whole.is_none_or(|whole| whole.version < trial.version));
-        let basis = SlotVersions {
-            stable: whole.map(|c| c.version),
-            canary: trial.map(|c| c.version),
-        };
-        let version = basis.stable.max(basis.canary).unwrap_or(Version::ZERO);
-        let content = match on_trial.or(whole) {
-            Some(change) => change.content.clone(),
-            None => Content::Removed,
-        };
-        (applied_change(name, version, content), basis)
-    }
-
-    /// Asks the driver for what a resource is to be, if it is another than what is in force.
-    fn reconcile(&mut self, name: &Name, outputs: &mut Vec<Output>) {
-        let (wanted, basis) = self.desired_change(name);
-        self.applied.request(wanted, basis, outputs);
-        if basis == SlotVersions::default() {
-            self.applied.remove_if_idle(name);
-        }
-    }
-
-    /// Takes a frame in; any bytes.
-    pub fn receive(&mut self, now: Time, from: PeerId, frame: &[u8], outputs: &mut Vec<Output>) {
-        self.clock = self.clock.max(now);
-        let Some(received) = message::parse(from, frame) else {
-            return;
-        };
-        if received.head.from_child {
-            return;
-        }
-        let heard = self.upstream.receive(now, received, outputs);
-        match heard {
-            None => {}
-            Some(UpstreamEvent::Epoch(epoch)) => self.apply_epoch(now, epoch, outputs),
-            Some(UpstreamEvent::Changes {
-                selector,
-                span,
-                changes,
-            }) => {
-                for change in changes {
-                    self.apply_change(change, outputs);
-                }
-                self.stored_selectors.remove(&selector);
-                self.upstream.add_coverage(&selector, span);
-            }
-            Some(UpstreamEvent::Manifest {
-                selector,
-                pruned_through: floor,
-                digests,
-            }) => {
-                self.apply_manifest(&selector, floor, &digests, outputs);
-            }
-            Some(UpstreamEvent::Current { head, age, .. }) => {
-                self.apply_current(now, head, age, outputs)
-            }
-        }
-    }
-
-    fn apply_epoch(&mut self, now: Time, epoch: Epoch, outputs: &mut Vec<Output>) {
-        if epoch.claim.token <= self.latest_token {
-            return;
-        }
-        self.latest_token = epoch.claim.token;
-        for (key, version) in orphaned_changes(&self.log, &epoch) {
-            self.upstream.queue_report(Report::Orphan { key, version });
-        }
-        let known = self.epoch.as_ref();
-        if known.is_some_and(|known| known.claim.token >= epoch.claim.token) {
-            return;
-        }
-        let covered = self.combined_coverage();
-        let lacking = known.map_or(Coverage::EMPTY, |known| {
-            missing_versions(known, &epoch, &covered)
-        });
-        self.upstream.resubscribe(now, &lacking, outputs);
-        if !lacking.is_empty() {
-            self.store_coverage(true, outputs);
-        }
-        outputs.push(Output::Persist(Record::Epoch(epoch.clone())));
-        self.epoch = Some(epoch);
-    }
-
-    /// What is covered by one subscription at least.
-    fn combined_coverage(&self) -> Coverage {
-        let mut covered = Coverage::EMPTY;
-        for span in self
-            .upstream
-            .subscriptions()
-            .flat_map(|(_, held)| held.coverage.spans())
-        {
-            covered.add(*span);
-        }
-        covered
-    }
-
-    fn apply_change(&mut self, change: Change, outputs: &mut Vec<Output>) {
-        let (key, version) = (change.key.clone(), change.version);
-        match self.log.put(change.clone()) {
-            PutOutcome::Outdated => {}
-            PutOutcome::Stored => {
-                outputs.push(Output::Persist(Record::Put(change)));
-                self.reconcile(&key.name, outputs);
-            }
-            PutOutcome::CapacityExceeded => {
-                let reason = "no room".to_owned();
-                let report = Report::Rejected {
-                    node: self.config.node,
-                    key: key.clone(),
-                    version,
-                    reason,
-                };
-                self.upstream.queue_report(report);
-                outputs.push(Output::Event(Event::CapacityExceeded { key, version }));
-            }
-        }
-        for key in self.log.prune_tombstones() {
-            self.forget_tombstone(&key, outputs);
-        }
-    }
-
-    /// A removal is no longer kept.
-    fn forget_tombstone(&mut self, key: &Key, outputs: &mut Vec<Output>) {
-        outputs.push(Output::Persist(Record::Forget(key.clone())));
-        self.reconcile(&key.name, outputs);
-    }
-
-    fn apply_manifest(
-        &mut self,
-        selector: &Selector,
-        floor: Version,
-        digests: &BTreeSet<u64>,
-        outputs: &mut Vec<Output>,
-    ) {
-        for key in keys_not_listed(&self.log, selector, floor, digests) {
-            self.log.remove(&key);
-            outputs.push(Output::Persist(Record::Forget(key.clone())));
-            self.reconcile(&key.name, outputs);
-        }
-        self.stored_selectors.remove(selector);
-        self.upstream.mark_removals_known(selector, floor);
-    }
-
-    fn apply_current(
-        &mut self,
-        now: Time,
-        head: Version,
-        age: Option<Time>,
-        outputs: &mut Vec<Output>,
-    ) {
-        if let Some(age) = age {
-            self.last_current = Some((now, age));
-            self.head = self.head.max(head);
-        }
-        let all = now >= self.stored_at + COVERAGE_STORE_INTERVAL;
-        if all {
-            self.stored_at = now;
-        }
-        self.store_coverage(all, outputs);
-    }
-
-    /// Stores what is covered: of all subscriptions, or of those of which something has come since the last time.
-    fn store_coverage(&mut self, all: bool, outputs: &mut Vec<Output>) {
-        for (selector, held) in self.upstream.subscriptions() {
-            if held.is_complete && (all || !self.stored_selectors.contains(selector)) {
-                let (coverage, floor) = (held.coverage.clone(), held.removals_known);
-                let selector = selector.clone();
-                self.stored_selectors.insert(selector.clone());
-                outputs.push(Output::Persist(Record::Covered {
-                    selector,
-                    coverage,
-                    removals_known: floor,
-                }));
-            }
-        }
-    }
-
     /// Sends what is due.
     pub fn poll(&mut self, now: Time, outputs: &mut Vec<Output>) {
         self.clock = self.clock.max(now);
