--- a/crates/cluster/src/entry.rs
+++ b/crates/cluster/src/entry.rs
@@ -219,19 +219,17 @@
         )
     }
 
-    /// Whether a node can have created it: names within their bounds, a value that fits its key, a bounded time to live.
-    ///
-    /// Guards the table against entries that would live too long or take too much room. Harm: none; this program creates no
-    /// others.
+    /// Whether it is within the limits of entries that nodes create: names of allowed lengths, a value that fits its key, a
+    /// limited time to live.
     pub fn is_valid(&self) -> bool {
         let are_names = |names: &[&String]| {
             names
                 .iter()
-                .all(|n| !n.is_empty() && n.len() <= MAX_NAME_LEN)
+                .all(|name| !name.is_empty() && name.len() <= MAX_NAME_LEN)
         };
         let (fits, max_ttl) = match (&self.key, &self.value) {
-            (Key::Report { server, by }, Value::Report(r)) => (
-                are_names(&[&server.name, by]) && r.zone.len() <= MAX_NAME_LEN,
+            (Key::Report { server, by }, Value::Report(report)) => (
+                are_names(&[&server.name, by]) && report.zone.len() <= MAX_NAME_LEN,
                 MAX_REPORT_TTL,
             ),
             (Key::Ban { server, id }, Value::Banned { by } | Value::BanLifted { by }) => (
--- a/crates/cluster/src/fleet/gossip.rs
+++ b/crates/cluster/src/fleet/gossip.rs
@@ -114,12 +114,9 @@
         }
     }
 
-    /// Asks a node that may be a member to let this one join: often while the node is isolated, otherwise seldom, lest two
-    /// parts of a fleet that were partitioned for so long that they forgot each other never meet again.
-    ///
-    /// Guards against a node whose members have all restarted: it knows their addresses and writes to former incarnations,
-    /// which nobody answers. So known addresses are asked as well, whatever is believed of them. Harm: a datagram to a random
-    /// address each ten seconds.
+    /// Announces this node to another one that may be a member: often while this node is isolated, otherwise rarely, so that
+    /// two sides of a long partition that have forgotten each other merge again. The addresses of known members are
+    /// candidates too, since all of them may have restarted and ignore datagrams to their former incarnations.
     pub(super) fn announce(&mut self, now: Time) {
         let is_isolated = self.members.count() == 0 || now - self.received_at > ISOLATION_TIMEOUT;
         let known = self.known_addresses();
--- a/crates/cluster/src/fleet/incarnations.rs
+++ b/crates/cluster/src/fleet/incarnations.rs
@@ -80,9 +80,9 @@
 impl Fleet {
     /// Handles a greater incarnation of this node's name: that of an earlier process, or of another one at the same time.
     ///
-    /// Guards against two processes that mistake each other for their own past and outbid one another for ever. After
-    /// [`MAX_CLAIMS`] claims the one with the smaller tag pauses. Harm: a process that was told so by mistake publishes
-    /// nothing for a minute; it receives, and acts on, all entries of the others.
+    /// Two processes with one name would take each other for their own past and outbid each other for ever, so that after
+    /// [`MAX_CLAIMS`] claims the one with the smaller tag publishes nothing for [`CONFLICT_PAUSE`] seconds. It still
+    /// receives the entries of the others.
     pub(super) fn handle_newer_incarnation(&mut self, now: Time, newer: Incarnation) {
         let me = self.members.me().incarnation;
         if newer <= me || newer.tag == me.tag {
--- a/crates/cluster/src/fleet/receive.rs
+++ b/crates/cluster/src/fleet/receive.rs
@@ -162,11 +162,8 @@
         self.send_unknown_members(now, to, &digests.members);
     }
 
-    /// Sends the members that another node may not know.
-    ///
-    /// Guards a node that joins a fleet: the library tells it some members, and of the others it would hear as they happen
-    /// to write to it, for minutes in a large fleet; their reports on servers would not count meanwhile. Harm: under heavy
-    /// churn some datagrams tell what is known.
+    /// Sends the members that another node may not know. A node that joins receives only some members from the library, and
+    /// it ignores the reports of nodes that it does not know.
     fn send_unknown_members(&mut self, now: Time, to: &Node, digests: &[u32; MEMBER_PARTITIONS]) {
         let mut updates = self.members.differing(digests, to);
         // Shuffled: members that two nodes have sent already, a third need not send first.
--- a/crates/cluster/src/freshness.rs
+++ b/crates/cluster/src/freshness.rs
@@ -1,10 +1,10 @@
 //! How old a datagram can be at most.
 //!
-//! An entry's age comes with it, as it was when the datagram was written. How long the datagram was in transit nobody
-//! tells: a link may delay it, and so may the system's buffer of a process that is paused. So each datagram echoes what
-//! its writer last heard of the reader's clock, and how long ago that was. What the writer heard was sent before the
-//! datagram was written; so the datagram is no older than the reader's clock has advanced since, less the time that the
-//! writer held the echo. Only differences of one and the same clock are used.
+//! An entry is sent with its age at the time of writing. How long the datagram was in transit is unknown: a link may delay
+//! it, and so may the receive buffer of a process that is paused. So each datagram echoes the last value of the reader's
+//! clock that its writer has received, and how long ago that was. That value was sent before the datagram was written, so
+//! the datagram is no older than the reader's clock has advanced since, less the time that the writer held the echo. Only
+//! differences of one and the same clock are used.
 //!
 //! A datagram without such an echo proves nothing about the age of its entries: a process that was paused over it, or an
 //! attacker who replays it, can't make an old entry new.
@@ -40,7 +40,7 @@
     (transit <= MAX_TRANSIT).then_some(transit)
 }
 
-/// The clocks of the peers, by the tags of their incarnations, and which of their datagrams have come.
+/// The clocks of the peers, by the tags of their incarnations, and which of their datagrams were received.
 #[derive(Debug)]
 pub struct PeerClocks {
     peers: HashMap<u64, PeerClock>,
@@ -52,14 +52,15 @@
 #[derive(Debug)]
 struct PeerClock {
     clock_us: u64,
-    heard_at: Time,
-    /// The greatest sequence number, and a bit for each of those before it that has come.
+    received_at: Time,
+    /// The greatest sequence number received.
     last_sequence: u64,
+    /// A bit for each of the last [`REPLAY_WINDOW`] sequence numbers, set if it was received.
     window: u64,
 }
 
 impl PeerClocks {
-    /// The clocks of at most so many peers; of more, those that were heard first are forgotten.
+    /// The clocks of at most this number of peers; of more, those that were recorded first are forgotten.
     pub fn new(max_peers: usize) -> PeerClocks {
         PeerClocks {
             peers: HashMap::new(),
@@ -68,17 +69,15 @@
         }
     }
 
-    /// Records a datagram's sequence number and clock; returns whether the datagram is new.
-    ///
-    /// Guards against datagrams that a link or somebody else repeats. Harm: one that is overtaken by more than 63 others of
-    /// its writer is lost, as datagrams may be.
+    /// Records a datagram's sequence number and clock. Returns whether the datagram is new: a duplicate is not, nor is one
+    /// that was overtaken by [`REPLAY_WINDOW`] others of its writer.
     pub fn record(&mut self, now: Time, tag: u64, sequence: u64, clock_us: u64) -> bool {
         let Some(peer) = self.peers.get_mut(&tag) else {
             self.insert(
                 tag,
                 PeerClock {
                     clock_us,
-                    heard_at: now,
+                    received_at: now,
                     last_sequence: sequence,
                     window: 1,
                 },
@@ -87,12 +86,15 @@
         };
         if sequence > peer.last_sequence {
             let shift = sequence - peer.last_sequence;
-            peer.window = if shift < REPLAY_WINDOW {
+            let shifted = if shift < REPLAY_WINDOW {
                 peer.window << shift
             } else {
                 0
-            } | 1;
-            (peer.last_sequence, peer.clock_us, peer.heard_at) = (sequence, clock_us, now);
+            };
+            peer.window = shifted | 1;
+            peer.last_sequence = sequence;
+            peer.clock_us = clock_us;
+            peer.received_at = now;
             return true;
         }
         let back = peer.last_sequence - sequence;
@@ -117,7 +119,7 @@
     /// The echo of a peer's clock to send to it.
     pub fn echo(&self, now: Time, tag: u64) -> Option<ClockEcho> {
         let peer = self.peers.get(&tag)?;
-        let held = now - peer.heard_at;
+        let held = now - peer.received_at;
         let held_us = (held.max(0.0) * MICROS_PER_SECOND) as u64;
         (held <= MAX_ECHO_AGE).then_some(ClockEcho {
             clock_us: peer.clock_us,
--- a/crates/cluster/src/quorum.rs
+++ b/crates/cluster/src/quorum.rs
@@ -91,35 +91,45 @@
     }
 }
 
-/// The condemned servers of a list of so many, by the votes on each.
+/// A server that has enough votes against it.
+struct Candidate<'a> {
+    majority: usize,
+    server: &'a ServerInstance,
+    votes: Votes,
+}
+
+/// The condemned servers, by the votes on each, of a list with `listed` servers.
 pub fn condemned<'a>(
     votes: impl Iterator<Item = (&'a ServerInstance, Votes)>,
     listed: usize,
     quorum: &Quorum,
 ) -> BTreeMap<&'a ServerInstance, Votes> {
-    let mut by_majority: Vec<_> = votes
-        .filter_map(|(server, v)| Some((v.majority(quorum)?, server, v)))
-        .collect();
-    // Guards against servers that alternate: where more fail than may be condemned, each report moved the count of one past
-    // another's, and each change sends requests to one that fails. Harm: of two that surely fail the worse may stay in.
+    // Larger majorities count as equal: if more servers fail than may be condemned, each report would otherwise change
+    // which of them are, and requests would be sent to a failing server with each change.
     let conclusive = CONCLUSIVE_QUORUMS * quorum.witnesses;
-    by_majority
-        .iter_mut()
-        .for_each(|(majority, ..)| *majority = (*majority).min(conclusive));
+    let mut candidates: Vec<Candidate> = votes
+        .filter_map(|(server, votes)| {
+            Some(Candidate {
+                majority: votes.majority(quorum)?.min(conclusive),
+                server,
+                votes,
+            })
+        })
+        .collect();
     // Of equal majorities the first by name, so that nodes with the same reports condemn the same servers.
-    by_majority.sort_by(|a, b| b.0.cmp(&a.0).then_with(|| a.1.cmp(b.1)));
-    by_majority.truncate(((quorum.most * listed as f64) as usize).max(1));
-    by_majority
+    candidates.sort_by(|first, second| {
+        let by_majority = second.majority.cmp(&first.majority);
+        by_majority.then_with(|| first.server.cmp(second.server))
+    });
+    candidates.truncate(((quorum.most * listed as f64) as usize).max(1));
+    candidates
         .into_iter()
-        .map(|(_, server, v)| (server, v))
+        .map(|candidate| (candidate.server, candidate.votes))
         .collect()
 }
 
-/// Whether a node reports that a server is healthy when that is nearly condemned: some of the nodes, the same for as long
-/// as the server is there.
-///
-/// Guards the fleet against as many reports for a server as there are nodes, each time that it fails three of them. Harm:
-/// where those that would report have sent it nothing lately, nobody does.
+/// Whether a node is one of those that report that a nearly condemned server is healthy. They are a subset of the nodes,
+/// the same for the lifetime of the server, so that a large fleet is not flooded with reports.
 pub fn reports_healthy(
     server: &ServerInstance,
     node: &str,
@@ -130,20 +140,17 @@
     rank < (HEALTHY_REPORTERS * witnesses) as u64
 }
 
-/// Whether a node probes a condemned server in this turn of its own clock: one of so many, at random.
-///
-/// Guards against three hundred nodes that probe a sick server at once, and against none that does. Nodes have no common
-/// clock, so that each draws for itself and one probes in a turn on average. Harm: in one turn of three nobody probes it,
-/// in one of four more than one does.
-pub fn is_prober(server: &ServerInstance, turn: u64, node: &str, nodes: usize) -> bool {
-    shared_random(turn.wrapping_add(1), server, node).is_multiple_of(nodes.max(1) as u64)
+/// Whether a node checks the health of a condemned server in this interval of its own clock. Nodes have no common clock, so
+/// that each decides by itself, at random; on average one of them does in each interval.
+pub fn is_prober(server: &ServerInstance, interval: u64, node: &str, nodes: usize) -> bool {
+    shared_random(interval.wrapping_add(1), server, node).is_multiple_of(nodes.max(1) as u64)
 }
 
 /// A pseudorandom number that is the same on all nodes.
-fn shared_random(turn: u64, server: &ServerInstance, node: &str) -> u64 {
+fn shared_random(round: u64, server: &ServerInstance, node: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher
-        .update(&turn.to_le_bytes())
+        .update(&round.to_le_bytes())
         .update(server.name.as_bytes())
         .update(&[0])
         .update(node.as_bytes());
--- a/crates/cluster/src/wire.rs
+++ b/crates/cluster/src/wire.rs
@@ -36,6 +36,14 @@
 /// Maximum length of the encoded number of member updates, in bytes.
 const MAX_COUNT_LEN: usize = 2;
 
+/// A key file is too short to be secret.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("the key has {len} bytes, {MIN_KEY_FILE_LEN} at least")]
+pub struct KeyTooShort {
+    /// Its length, in bytes.
+    pub len: usize,
+}
+
 /// The fleet's key.
 #[derive(Clone)]
 pub struct Secret([u8; 32]);
@@ -44,13 +52,10 @@
     /// Derives the key from the bytes of the key file and the fleet's name.
     ///
     /// # Errors
-    /// If they are too few to be a secret.
-    pub fn new(file: &[u8], fleet: &str) -> Result<Secret, String> {
+    /// If the key file is too short.
+    pub fn new(file: &[u8], fleet: &str) -> Result<Secret, KeyTooShort> {
         if file.len() < MIN_KEY_FILE_LEN {
-            return Err(format!(
-                "the key has {} bytes, {MIN_KEY_FILE_LEN} at least",
-                file.len()
-            ));
+            return Err(KeyTooShort { len: file.len() });
         }
         let mut hasher = blake3::Hasher::new_derive_key("reelfall fleet datagrams, version 1");
         // The length separates the name from the key: no two pairs of them have the same concatenation.
@@ -165,7 +170,7 @@
     /// It is authenticated and can't be decoded.
     #[error("unreadable")]
     Malformed,
-    /// It came before.
+    /// It was received before.
     #[error("repeated")]
     Duplicate,
     /// This node wrote it.
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -88,7 +88,7 @@
 /// # Errors
 /// If the key is too short, which it is not.
 pub fn secret() -> Result<Secret, String> {
-    Secret::new(KEY_FILE, FLEET_NAME)
+    Secret::new(KEY_FILE, FLEET_NAME).map_err(|error| error.to_string())
 }
 
 /// Reads a datagram's kinds; `None` for what is no datagram of this fleet.
