--- a/crates/node/src/net/pool.rs
+++ b/crates/node/src/net/pool.rs
@@ -26,7 +26,9 @@
 use commands::{PendingRequest, SocketHost};
 use list::ServerList;
 use reelfall_balancer::engine::{self, Command, Engine};
-use reelfall_balancer::interface::*;
+use reelfall_balancer::interface::{
+    Class, Discovery, LearnedState, RequestId, ServerId, Settings, Time,
+};
 use reelfall_balancer::settings::{ConnectionSettings, NameRegistry, SettingsError};
 use reelfall_balancer::Balancer;
 use reelfall_routing::limits::Member;
