--- a/crates/config/tests/bounds.rs
+++ b/crates/config/tests/bounds.rs
@@ -19,7 +19,7 @@
 
 /// As many as the bound are taken, and one more is refused.
 #[track_caller]
-fn bounded(most: usize, file: impl Fn(usize) -> String, refusal: &str) {
+fn assert_bounded(most: usize, file: impl Fn(usize) -> String, refusal: &str) {
     assert_eq!(faults(&file(most)), Vec::<String>::new());
     assert_eq!(faults(&file(most + 1)), [refusal]);
 }
@@ -28,19 +28,19 @@
 fn services() {
     const { assert!(SERVICES_MOST >= 2_600) };
     let file = |n| LISTENER.to_owned() + &times(n, whole_service);
-    bounded(SERVICES_MOST, file, "f.toml: 4097 services, 4096 at most");
+    assert_bounded(SERVICES_MOST, file, "f.toml: 4097 services, 4096 at most");
 }
 
 #[test]
 fn listeners() {
     let file = |n| times(n, listener) + &whole_service(0);
-    bounded(MAX_LISTENERS, file, "f.toml: 257 listeners, 256 at most");
+    assert_bounded(MAX_LISTENERS, file, "f.toml: 257 listeners, 256 at most");
 }
 
 #[test]
 fn classes_of_a_service() {
     let file = |n| LISTENER.to_owned() + &service("a") + &times(n, class) + &route(0, "");
-    bounded(
+    assert_bounded(
         MAX_CLASSES,
         file,
         "f.toml:4: service `a` has 257 classes, 256 at most",
@@ -50,7 +50,7 @@
 #[test]
 fn members_of_a_service() {
     let file = |n| LISTENER.to_owned() + &service("a") + CLASS + &route(0, "") + &times(n, member);
-    bounded(
+    assert_bounded(
         MAX_TENANTS,
         file,
         "f.toml:4: service `a` has 65536 members, 65535 at most",
--- a/crates/config/tests/corpus.rs
+++ b/crates/config/tests/corpus.rs
@@ -8,7 +8,7 @@
 const SERVER: &str = "[[service.server]]\nname = \"s\"\naddress = \"127.0.0.1:9000\"\n";
 const ROUTE: &str = "[[service.route]]\n";
 
-fn whole(service: &str) -> String {
+fn file_with_service(service: &str) -> String {
     format!("{LISTENER}[[service]]\nname = \"a\"\n{service}{CLASS}{SERVER}{ROUTE}")
 }
 
@@ -20,7 +20,7 @@
 }
 
 #[track_caller]
-fn says(text: &str, expected: &str) {
+fn assert_fault(text: &str, expected: &str) {
     let said = faults(text);
     assert!(
         said.iter().any(|s| s == expected),
@@ -29,10 +29,10 @@
 }
 
 /// A service that follows a registry; `registry` goes into that, `follow` into the service's part.
-fn followed(registry: &str, follow: &str) -> String {
+fn file_with_registry(registry: &str, follow: &str) -> String {
     let registry = format!("[[registry]]\nname = \"r\"\n{registry}\n");
     let follow = format!("registry = {{ name = \"r\", path = \"/flags\"{follow} }}\n");
-    registry + &whole(&follow).replace(SERVER, "")
+    registry + &file_with_service(&follow).replace(SERVER, "")
 }
 
 #[test]
@@ -40,7 +40,7 @@
     let fleet = |more: &str| {
         let head =
             "[fleet]\nname = \"f\"\nnode = \"n1\"\nlisten = \"127.0.0.1:7946\"\nkey_file = \"k\"\n";
-        format!("{head}{more}\n{}", whole(""))
+        format!("{head}{more}\n{}", file_with_service(""))
     };
     assert_eq!(faults(&fleet("")), Vec::<String>::new());
     assert_eq!(
@@ -51,7 +51,7 @@
     );
     let management = "[management]\naddress = \"127.0.0.1:7000\"\n";
     assert_eq!(
-        faults(&(management.to_owned() + &whole(""))),
+        faults(&(management.to_owned() + &file_with_service(""))),
         Vec::<String>::new()
     );
     for (more, said) in [
@@ -72,10 +72,10 @@
             "f.toml:1: fleet: size is 0, not between 1 and 100000",
         ),
     ] {
-        says(&fleet(more), said);
+        assert_fault(&fleet(more), said);
     }
     let open = fleet("").replace("127.0.0.1:7946", "0.0.0.0:7946");
-    says(
+    assert_fault(
         &open,
         "f.toml:1: fleet: nobody can send to 0.0.0.0:7946: add advertise",
     );
@@ -85,209 +85,220 @@
 
 #[test]
 fn mistakes_of_a_registry_are_told() {
-    assert_eq!(faults(&followed(MEMBERS, "")), Vec::<String>::new());
+    assert_eq!(
+        faults(&file_with_registry(MEMBERS, "")),
+        Vec::<String>::new()
+    );
     let good = "[registry.entry]\npath = \"/nodes/n1\"\nname = \"n1\"";
     assert_eq!(
-        faults(&followed(
+        faults(&file_with_registry(
             &format!("{MEMBERS}\n{good}"),
             ", stale = \"refuse\""
         )),
         Vec::<String>::new()
     );
-    says(
-        &followed("members = []", ""),
+    assert_fault(
+        &file_with_registry("members = []", ""),
         "f.toml:1: registry `r` has no members: add their addresses",
     );
-    says(
-        &followed(&format!("{MEMBERS}\nsession = \"1ms\""), ""),
+    assert_fault(
+        &file_with_registry(&format!("{MEMBERS}\nsession = \"1ms\""), ""),
         "f.toml:1: registry `r`: session is 0.001s, not between 100ms and 600s",
     );
-    says(
-        &followed(&format!("{MEMBERS}\nsession = 6"), ""),
+    assert_fault(
+        &file_with_registry(&format!("{MEMBERS}\nsession = 6"), ""),
         "f.toml:4: `6` is a number alone: write a time with ms, s or m, as \"250ms\"",
     );
-    says(
-        &followed(&format!("{MEMBERS}\nconnect = \"1m\""), ""),
+    assert_fault(
+        &file_with_registry(&format!("{MEMBERS}\nconnect = \"1m\""), ""),
         "f.toml:1: registry `r`: connect is more than 0 and at most session",
     );
-    says(
-        &followed(
+    assert_fault(
+        &file_with_registry(
             &format!("{MEMBERS}\n{}", good.replace("/nodes/n1", "nodes")),
             "",
         ),
         "f.toml:4: `nodes` is no path of a registry: write it as \"/nodes/n1\"",
     );
-    says(
-        &followed(&format!("{MEMBERS}\n{good}\nguarded = true"), ""),
+    assert_fault(
+        &file_with_registry(&format!("{MEMBERS}\n{good}\nguarded = true"), ""),
         "f.toml:4: registry `r`: a guarded entry needs digest_file, or nobody could change it",
     );
-    says(
-        &followed(MEMBERS, "").replace("path = \"/flags\"", "path = \"/flags/../x\""),
+    assert_fault(
+        &file_with_registry(MEMBERS, "").replace("path = \"/flags\"", "path = \"/flags/../x\""),
         "f.toml:7: service `a`: `/flags/../x` is no path of a registry: write it as \"/flags/evaluate\"",
     );
-    says(
-        &followed(MEMBERS, "").replace("registry = { name = \"r\"", "registry = { name = \"q\""),
+    assert_fault(
+        &file_with_registry(MEMBERS, "")
+            .replace("registry = { name = \"r\"", "registry = { name = \"q\""),
         "f.toml:7: service `a`: there is no registry `q`",
     );
-    says(
-        &followed(MEMBERS, ", entries = 0"),
+    assert_fault(
+        &file_with_registry(MEMBERS, ", entries = 0"),
         "f.toml:7: service `a`: entries is 0, not between 1 and 100000",
     );
-    says(
-        &followed(MEMBERS, ", reread = \"10ms\""),
+    assert_fault(
+        &file_with_registry(MEMBERS, ", reread = \"10ms\""),
         "f.toml:7: service `a`: reread and stale_after are 1s at least",
     );
-    says(
-        &followed(MEMBERS, ", stale = \"never\""),
+    assert_fault(
+        &file_with_registry(MEMBERS, ", stale = \"never\""),
         "f.toml:9: unknown variant `never`, expected `go-on` or `refuse`",
     );
 }
 
 #[test]
 fn each_mistake_is_told_with_its_file_and_line() {
-    assert_eq!(faults(&whole("")), Vec::<String>::new());
-    says(
+    assert_eq!(faults(&file_with_service("")), Vec::<String>::new());
+    assert_fault(
         "",
         "f.toml: nothing to listen on: add [[listener]] with a name and an address",
     );
-    says("", "f.toml: no services: add [[service]]");
-    says("[process\n", "f.toml:1: unclosed table, expected `]`");
-    says(
+    assert_fault("", "f.toml: no services: add [[service]]");
+    assert_fault("[process\n", "f.toml:1: unclosed table, expected `]`");
+    assert_fault(
         "[process]\nmemory = 500\n",
         "f.toml:2: `500` is a number alone: write a size with B, KiB, MiB or GiB, as \"64KiB\"",
     );
-    says(
+    assert_fault(
         "[process]\nmemory = \"500\"\n",
         "f.toml:2: `500` has no unit: write a size with B, KiB, MiB or GiB, as \"64KiB\"",
     );
-    says(
+    assert_fault(
         "[process]\nmemory = \"5ms\"\n",
         "f.toml:2: `5ms` is no size: write it with B, KiB, MiB or GiB, as \"64KiB\"",
     );
-    says(
-        &format!("[process]\nmemory = \"1MiB\"\n{}", whole("")),
+    assert_fault(
+        &format!("[process]\nmemory = \"1MiB\"\n{}", file_with_service("")),
         "f.toml:1: memory: 16MiB at least",
     );
-    says(
-        &format!("\n[process]\ndescriptors = 10\n{}", whole("")),
+    assert_fault(
+        &format!("\n[process]\ndescriptors = 10\n{}", file_with_service("")),
         "f.toml:2: descriptors: 64 at least",
     );
-    says(
-        &format!("[process]\nnodes = 0\n{}", whole("")),
+    assert_fault(
+        &format!("[process]\nnodes = 0\n{}", file_with_service("")),
         "f.toml:1: nodes: this one counts, so 1 at least",
     );
-    says(
-        &format!("[process]\nserver_connections = 0\n{}", whole("")),
+    assert_fault(
+        &format!(
+            "[process]\nserver_connections = 0\n{}",
+            file_with_service("")
+        ),
         "f.toml:1: server_connections: 1 at least",
     );
-    says(
-        &format!("[process]\nclients = 5000\n{}", whole("")),
+    assert_fault(
+        &format!("[process]\nclients = 5000\n{}", file_with_service("")),
         "f.toml:1: clients: 5000 do not fit into the descriptors, which leave room for 8 to 570",
     );
-    says(
+    assert_fault(
         "[[listener]]\nname = \"l\"\naddress = \"localhost\"\n",
         "f.toml:3: `localhost` is no address: write one with its port, as \"127.0.0.1:8443\"",
     );
-    says(
-        &format!("{LISTENER}{}", whole("")),
+    assert_fault(
+        &format!("{LISTENER}{}", file_with_service("")),
         "f.toml:4: listener `l` is there already, at line 1",
     );
-    says(
-        &format!("{}{}", LISTENER.replace("\"l\"", "\"m\""), whole("")),
+    assert_fault(
+        &format!(
+            "{}{}",
+            LISTENER.replace("\"l\"", "\"m\""),
+            file_with_service("")
+        ),
         "f.toml:4: listener `m` already has the address 127.0.0.1:8443",
     );
-    says(
-        &whole("").replace("name = \"a\"", "name = \"a b\""),
+    assert_fault(
+        &file_with_service("").replace("name = \"a\"", "name = \"a b\""),
         "f.toml:4: `a b` is no name for a service: use letters, digits, `-`, `_` and `.`",
     );
-    says(&whole("colour = 1\n"), "f.toml:6: unknown field `colour`, expected one of `name`, `state`, `server`, `discovery`, `registry`, `limits`, `graphql`, `tries`, `cold`, `class`, `member`, `route`");
-    says(
-        &whole("state = \"off\"\n"),
+    assert_fault(&file_with_service("colour = 1\n"), "f.toml:6: unknown field `colour`, expected one of `name`, `state`, `server`, `discovery`, `registry`, `limits`, `graphql`, `tries`, `cold`, `class`, `member`, `route`");
+    assert_fault(
+        &file_with_service("state = \"off\"\n"),
         "f.toml:6: unknown variant `off`, expected `serving` or `draining`",
     );
-    says(
-        &whole("discovery = \"127.0.0.1:8500\"\n"),
+    assert_fault(
+        &file_with_service("discovery = \"127.0.0.1:8500\"\n"),
         "f.toml:4: service `a`: servers, a discovery and a registry are three sources: keep one",
     );
-    says(
-        &whole("").replace(SERVER, ""),
+    assert_fault(
+        &file_with_service("").replace(SERVER, ""),
         "f.toml:4: service `a` has no servers: add [[service.server]], a discovery or a registry",
     );
-    says(
-        &whole("").replace(CLASS, ""),
+    assert_fault(
+        &file_with_service("").replace(CLASS, ""),
         "f.toml:4: service `a` knows no requests: add [[service.class]]",
     );
-    says(
-        &whole("").replace(ROUTE, ""),
+    assert_fault(
+        &file_with_service("").replace(ROUTE, ""),
         "f.toml:4: nothing reaches service `a`: add [[service.route]]",
     );
 }
 
 #[test]
 fn figures_are_held_to_their_ranges() {
-    says(
-        &whole("").replace("\"100ms\"", "100"),
+    assert_fault(
+        &file_with_service("").replace("\"100ms\"", "100"),
         "f.toml:9: `100` is a number alone: write a time with ms, s or m, as \"250ms\"",
     );
-    says(
-        &whole("").replace("\"100ms\"", "\"100\""),
+    assert_fault(
+        &file_with_service("").replace("\"100ms\"", "\"100\""),
         "f.toml:9: `100` has no unit: write a time with ms, s or m, as \"250ms\"",
     );
-    says(
-        &whole("").replace("\"100ms\"", "\"2s\""),
+    assert_fault(
+        &file_with_service("").replace("\"100ms\"", "\"2s\""),
         "f.toml:6: class `c`: aim (2s) is past its deadline (1s)",
     );
-    says(
-        &whole("").replace("\"100ms\"", "\"0s\""),
+    assert_fault(
+        &file_with_service("").replace("\"100ms\"", "\"0s\""),
         "f.toml:6: class `c`: aim is more than 0",
     );
-    says(
-        &whole("").replace("\"1s\"", "\"2m\""),
+    assert_fault(
+        &file_with_service("").replace("\"1s\"", "\"2m\""),
         "f.toml:6: class `c`: deadline is 120s, 60s at most",
     );
-    says(
-        &whole("").replace("\"safe\"", "\"maybe\""),
+    assert_fault(
+        &file_with_service("").replace("\"safe\"", "\"maybe\""),
         "f.toml:8: unknown variant `maybe`, expected `safe` or `unsafe`",
     );
-    says(
-        &whole("tries = { most = 0 }\n"),
+    assert_fault(
+        &file_with_service("tries = { most = 0 }\n"),
         "f.toml:4: service `a`: tries.most is 0, not between 1 and 16",
     );
-    says(
-        &whole("tries = { retry_share = 1.5 }\n"),
+    assert_fault(
+        &file_with_service("tries = { retry_share = 1.5 }\n"),
         "f.toml:6: `1.5` is not between 0 and 1",
     );
-    says(
-        &whole("tries = { connect = \"0s\" }\n"),
+    assert_fault(
+        &file_with_service("tries = { connect = \"0s\" }\n"),
         "f.toml:4: service `a`: tries.connect and tries.idle are more than 0",
     );
-    says(
-        &whole("cold = { factor = 0 }\n"),
+    assert_fault(
+        &file_with_service("cold = { factor = 0 }\n"),
         "f.toml:6: `0` is not between 0.000001 and 1000000",
     );
-    says(
-        &whole("limits = { rate = 300 }\n"),
+    assert_fault(
+        &file_with_service("limits = { rate = 300 }\n"),
         "f.toml:6: `300` is a number alone: write a rate with /s or /m, as \"300/s\"",
     );
-    says(
-        &whole("limits = { rate = \"0/s\" }\n"),
+    assert_fault(
+        &file_with_service("limits = { rate = \"0/s\" }\n"),
         "f.toml:6: service `a`: a rate is more than 0/s and its burst 1 at least",
     );
-    says(
-        &whole("limits = { open = 5, open_reserved = 6 }\n"),
+    assert_fault(
+        &file_with_service("limits = { open = 5, open_reserved = 6 }\n"),
         "f.toml:6: service `a`: open requests: 6 are reserved, but it may have 5",
     );
-    says(&whole("limits = { open = 0 }\n"), "f.toml:6: service `a`: open requests: 0 lets nothing through; to stop it, write state = \"draining\"");
-    says(
-        &whole("limits = { weight = 0 }\n"),
+    assert_fault(&file_with_service("limits = { open = 0 }\n"), "f.toml:6: service `a`: open requests: 0 lets nothing through; to stop it, write state = \"draining\"");
+    assert_fault(
+        &file_with_service("limits = { weight = 0 }\n"),
         "f.toml:6: service `a`: weight is 0, not between 1 and 1000",
     );
-    says(
-        &format!("[process]\ndescriptors = 100\n{}", whole("limits = { open_reserved = 90 }\n")),
+    assert_fault(
+        &format!("[process]\ndescriptors = 100\n{}", file_with_service("limits = { open_reserved = 90 }\n")),
         "f.toml:1: the reservations do not fit the process: open requests: 90 units are reserved of 32",
     );
-    says(
-        &(whole("") + "[[service.member]]\nname = \"m\"\nquota = \"0/s\"\n"),
+    assert_fault(
+        &(file_with_service("") + "[[service.member]]\nname = \"m\"\nquota = \"0/s\"\n"),
         "f.toml:15: member `m`: a quota is more than 0/s",
     );
 }
@@ -297,7 +308,7 @@
     let services: String = (0..9)
         .map(|n| format!("[[service]]\nname = \"s{n}\"\n{CLASS}{SERVER}{ROUTE}host = \"h{n}\"\n"))
         .collect();
-    says(
+    assert_fault(
         &(LISTENER.to_owned() + &services),
         "f.toml:107: 127.0.0.1:9000 is listed by more than 8 services",
     );
@@ -319,27 +330,27 @@
         )),
         Vec::<String>::new()
     );
-    says(
+    assert_fault(
         &with("mutation = { toggle = \"c\" }\n"),
         "f.toml:6: service `a`: mutation field `toggle` is mapped to a class that is safe to repeat",
     );
-    says(
+    assert_fault(
         &with("query = { evaluate = \"x\" }\n"),
         "f.toml:6: service `a`: there is no class `x`",
     );
-    says(
+    assert_fault(
         &with("depth = 100\n"),
         "f.toml:6: service `a`: depth is 100, not between 1 and 64",
     );
-    says(
+    assert_fault(
         &with("batch = 0\n"),
         "f.toml:6: service `a`: batch is 1 to 256, side_by_side 1 to 64",
     );
-    says(
+    assert_fault(
         &with("").replace("other_mutation = \"u\"", "other_mutation = \"c\""),
         "f.toml:6: service `a`: the class of mutations that are not mapped is safe to repeat",
     );
-    says(
+    assert_fault(
         &with("").replace("other_mutation = \"u\"\n", ""),
         "f.toml:6: missing field `other_mutation`",
     );
@@ -347,47 +358,47 @@
 
 #[test]
 fn routes_that_lead_nowhere_or_two_ways_are_named() {
-    says(
-        &(whole("") + "listener = \"x\"\n"),
+    assert_fault(
+        &(file_with_service("") + "listener = \"x\"\n"),
         "f.toml:14: there is no listener `x`",
     );
-    says(
-        &(whole("") + "assign = \"x\"\n"),
+    assert_fault(
+        &(file_with_service("") + "assign = \"x\"\n"),
         "f.toml:14: service `a` has no class `x`",
     );
-    says(
-        &(whole("") + "methods = [\"BREW\"]\n"),
+    assert_fault(
+        &(file_with_service("") + "methods = [\"BREW\"]\n"),
         "f.toml:14: method `BREW` is not served: GET, POST, PUT, PATCH, DELETE",
     );
-    says(
-        &(whole("") + "methods = [\"GET\", \"GET\"]\n"),
+    assert_fault(
+        &(file_with_service("") + "methods = [\"GET\", \"GET\"]\n"),
         "f.toml:14: method `GET` is named twice",
     );
-    says(
-        &(whole("") + "host = \"a:80\"\n"),
+    assert_fault(
+        &(file_with_service("") + "host = \"a:80\"\n"),
         "f.toml:15: `a:80`: a host pattern is a name, an address, or `*.` before a name",
     );
-    says(&(whole("") + "path = \"/../x\"\n"), "f.toml:15: `/../x`: a path prefix begins with `/` and has no dot segments, empty segments or needless escapes");
-    says(
-        &(whole("") + ROUTE),
+    assert_fault(&(file_with_service("") + "path = \"/../x\"\n"), "f.toml:15: `/../x`: a path prefix begins with `/` and has no dot segments, empty segments or needless escapes");
+    assert_fault(
+        &(file_with_service("") + ROUTE),
         "f.toml:15: this route can't be told apart from the one at line 14",
     );
     let other = "[[service]]\nname = \"b\"\n".to_owned() + CLASS + SERVER + ROUTE;
-    says(
-        &(whole("") + &other + "path = \"/\"\n"),
+    assert_fault(
+        &(file_with_service("") + &other + "path = \"/\"\n"),
         "f.toml:25: this route can't be told apart from the one at line 14",
     );
     // Alike but for the methods is no mistake.
     assert_eq!(
-        faults(&(whole("") + &other + "methods = [\"GET\"]\n")),
+        faults(&(file_with_service("") + &other + "methods = [\"GET\"]\n")),
         Vec::<String>::new()
     );
 }
 
 #[test]
 fn all_mistakes_are_told_at_once_in_their_order() {
-    let text =
-        whole("tries = { most = 0 }\n").replace("\"100ms\"", "\"2s\"") + "listener = \"x\"\n";
+    let text = file_with_service("tries = { most = 0 }\n").replace("\"100ms\"", "\"2s\"")
+        + "listener = \"x\"\n";
     let lines: Vec<String> = faults(&text)
         .iter()
         .map(|f| f.split(": ").next().unwrap_or_default().to_owned())
@@ -448,7 +459,7 @@
 
 #[test]
 fn no_text_brings_the_reader_down() {
-    let text = whole("limits = { rate = \"5/s\" }\n");
+    let text = file_with_service("limits = { rate = \"5/s\" }\n");
     for end in 0..text.len() {
         let _ = faults(&text[..end]);
         let mut spoilt = text.clone().into_bytes();
--- a/crates/config/tests/growth.rs
+++ b/crates/config/tests/growth.rs
@@ -17,7 +17,7 @@
 /// The large file has so many times the items of the small one.
 const LARGER: usize = 8;
 /// The large file may cost so many times what the small one does.
-const COST_MOST: f64 = 24.0;
+const MAX_COST_RATIO: f64 = 24.0;
 /// Runs of which the least counts.
 const RUNS: usize = 5;
 
@@ -45,65 +45,65 @@
 }
 
 #[track_caller]
-fn straight(what: &str, small: f64, large: f64) {
+fn assert_ratio(what: &str, small: f64, large: f64) {
     let times = large / small;
     assert!(
-        times < COST_MOST,
+        times < MAX_COST_RATIO,
         "{what} of {LARGER} times the size costs {times:.1} times as much"
     );
 }
 
 /// Reads and checks files that have `small` of something and [`LARGER`] times as many, made by `file`.
 #[track_caller]
-fn grows_straight(small: usize, file: impl Fn(usize) -> String) {
+fn assert_linear(small: usize, file: impl Fn(usize) -> String) {
     let texts = [file(small), file(small * LARGER)];
     let [first, second] = texts
         .each_ref()
         .map(|text| cost(|| text, |text| read(text)));
-    straight("reading", first, second);
+    assert_ratio("reading", first, second);
     let models = texts.each_ref().map(|text| read(text));
     let [first, second] = models.each_ref().map(|model| cost(|| model.clone(), check));
-    straight("checking", first, second);
+    assert_ratio("checking", first, second);
 }
 
 #[test]
 fn with_the_services() {
-    grows_straight(250, |n| LISTENER.to_owned() + &times(n, whole_service));
+    assert_linear(250, |n| LISTENER.to_owned() + &times(n, whole_service));
 }
 
 #[test]
 fn with_the_servers_of_a_service() {
     let head = LISTENER.to_owned() + "[[service]]\nname = \"a\"\n" + CLASS + &route(0, "");
-    grows_straight(1_000, |n| head.clone() + &times(n, server));
+    assert_linear(1_000, |n| head.clone() + &times(n, server));
 }
 
 #[test]
 fn with_the_servers_over_all_services() {
     let part = |n| whole_service(n).replace("server = []\n", "") + &server(n) + &server(n + 10_000);
-    grows_straight(250, |n| LISTENER.to_owned() + &times(n, part));
+    assert_linear(250, |n| LISTENER.to_owned() + &times(n, part));
 }
 
 #[test]
 fn with_the_routes_of_a_service() {
     let head = LISTENER.to_owned() + &service("a") + CLASS;
-    grows_straight(1_000, |n| head.clone() + &times(n, |n| route(n, "")));
+    assert_linear(1_000, |n| head.clone() + &times(n, |n| route(n, "")));
 }
 
 #[test]
 fn with_the_members_of_a_service() {
     let head = LISTENER.to_owned() + &service("a") + CLASS + &route(0, "");
-    grows_straight(1_000, |n| head.clone() + &times(n, member));
+    assert_linear(1_000, |n| head.clone() + &times(n, member));
 }
 
 #[test]
 fn with_the_listeners() {
-    grows_straight(1_000, |n| times(n, listener) + &whole_service(0));
+    assert_linear(1_000, |n| times(n, listener) + &whole_service(0));
 }
 
 #[test]
 fn with_the_listeners_that_routes_name() {
     let named = |n| route(n, &format!("listener = \"l{n}\"\n"));
-    grows_straight(1_000, |n| {
+    assert_linear(1_000, |n| {
         times(n, listener) + &service("a") + CLASS + &times(n, named)
     });
 }
@@ -112,7 +112,7 @@
 fn with_the_classes_that_routes_assign() {
     let assigns = |n| route(n, &format!("assign = \"c{n}\"\n"));
     let head = LISTENER.to_owned() + &service("a");
-    grows_straight(1_000, |n| {
+    assert_linear(1_000, |n| {
         head.clone() + &times(n, class) + &times(n, assigns)
     });
 }
@@ -125,7 +125,7 @@
     let unsafe_class = CLASS.replace("\"c\"", "\"u\"").replace("safe", "unsafe");
     let field = |n| format!("f{n} = \"c{n}\"\n");
     let tail = unsafe_class + &route(0, "");
-    grows_straight(1_000, |n| {
+    assert_linear(1_000, |n| {
         head.clone() + graphql + &times(n, field) + &times(n, class) + &tail
     });
 }
@@ -134,14 +134,14 @@
 fn with_the_methods_of_a_route() {
     let head = LISTENER.to_owned() + &service("a") + CLASS;
     let methods = |n| format!("methods = [{}]\n", times(n, |n| format!("\"M{n}\", ")));
-    grows_straight(1_000, |n| head.clone() + &route(0, &methods(n)));
+    assert_linear(1_000, |n| head.clone() + &route(0, &methods(n)));
 }
 
 #[test]
 fn with_the_registries_that_services_follow() {
     let registry = |n| format!("[[registry]]\nname = \"r{n}\"\nmembers = [\"127.0.0.1:2181\"]\n");
     let registries = |services| services * 8;
-    grows_straight(500, |n| {
+    assert_linear(500, |n| {
         let last = registries(n) - 1;
         let follows = format!("registry = {{ name = \"r{last}\", path = \"/a\" }}\n");
         let part = |n| whole_service(n).replace("server = []\n", &follows);
@@ -160,5 +160,5 @@
     };
     let plans = [plan(500), plan(500 * LARGER)];
     let [first, second] = plans.each_ref().map(|plan| cost(|| plan, places));
-    straight("the places of all routes", first, second);
+    assert_ratio("the places of all routes", first, second);
 }
--- a/crates/config/tests/sections.rs
+++ b/crates/config/tests/sections.rs
@@ -35,7 +35,7 @@
 }
 
 #[track_caller]
-fn alike(text: &str) {
+fn assert_same(text: &str) {
     match both(|listener| text.to_owned() + listener) {
         [Ok(split), Ok(whole)] => {
             assert_eq!(split, whole, "for\n{text}");
@@ -70,7 +70,7 @@
     for length in 0..=MAX_PIECES {
         for row in 0..kinds.pow(length) {
             let piece = |at| PIECES[row / kinds.pow(at) % kinds];
-            alike(&(0..length).map(piece).collect::<String>());
+            assert_same(&(0..length).map(piece).collect::<String>());
         }
     }
 }
@@ -113,7 +113,7 @@
 #[test]
 fn a_mark_of_the_byte_order_is_no_part_of_a_service() {
     let text = "\u{feff}".to_owned() + &whole_service(0);
-    alike(&text);
+    assert_same(&text);
     assert_eq!(reader::toml("f.toml", &text).unwrap().services.len(), 1);
 }
 
--- a/crates/graphql/tests/document.rs
+++ b/crates/graphql/tests/document.rs
@@ -40,7 +40,7 @@
 // ---- the tree ----
 
 #[derive(Clone, Debug)]
-enum If {
+enum Condition {
     No,
     Literal(bool),
     /// Given, defaulted, or neither.
@@ -52,23 +52,23 @@
     Field {
         alias: Option<&'static str>,
         name: &'static str,
-        skip: If,
-        include: If,
+        skip: Condition,
+        include: Condition,
         set: Vec<Node>,
     },
     Spread {
         to: usize,
-        include: If,
+        include: Condition,
     },
     Inline {
         on: bool,
-        skip: If,
+        skip: Condition,
         set: Vec<Node>,
     },
 }
 
 #[derive(Clone, Debug)]
-struct Doc {
+struct Document {
     /// `Some(true)` for a mutation, `None` for the shorthand.
     operations: Vec<(Option<bool>, Vec<Node>)>,
     fragments: Vec<Vec<Node>>,
@@ -78,8 +78,8 @@
     noise: bool,
 }
 
-fn iff() -> impl Strategy<Value = If> {
-    prop_oneof![4 => Just(If::No), 1 => any::<bool>().prop_map(If::Literal), 2 => (0..3u8).prop_map(If::Variable)]
+fn condition() -> impl Strategy<Value = Condition> {
+    prop_oneof![4 => Just(Condition::No), 1 => any::<bool>().prop_map(Condition::Literal), 2 => (0..3u8).prop_map(Condition::Variable)]
 }
 
 fn nodes(fragments: usize) -> impl Strategy<Value = Vec<Node>> {
@@ -96,15 +96,17 @@
         0.3,
         prop_oneof![Just("evaluate"), Just("x"), Just("toggle")],
     );
-    let leaf = (alias, name, iff(), iff()).prop_map(|(alias, name, skip, include)| Node::Field {
-        alias,
-        name,
-        skip,
-        include,
-        set: vec![],
+    let leaf = (alias, name, condition(), condition()).prop_map(|(alias, name, skip, include)| {
+        Node::Field {
+            alias,
+            name,
+            skip,
+            include,
+            set: vec![],
+        }
     });
     let spread =
-        (0..fragments.max(1), iff()).prop_map(|(to, include)| Node::Spread { to, include });
+        (0..fragments.max(1), condition()).prop_map(|(to, include)| Node::Spread { to, include });
     let node = if fragments == 0 {
         leaf.boxed()
     } else {
@@ -114,15 +116,15 @@
         prop_oneof![
             (
                 any::<bool>(),
-                iff(),
+                condition(),
                 prop::collection::vec(inner.clone(), 1..3)
             )
                 .prop_map(|(on, skip, set)| Node::Inline { on, skip, set }),
             prop::collection::vec(inner, 1..3).prop_map(|set| Node::Field {
                 alias: None,
                 name: "evaluate",
-                skip: If::No,
-                include: If::No,
+                skip: Condition::No,
+                include: Condition::No,
                 set
             }),
         ]
@@ -130,7 +132,7 @@
     prop::collection::vec(node, 1..4)
 }
 
-fn doc() -> impl Strategy<Value = Doc> {
+fn doc() -> impl Strategy<Value = Document> {
     // A fragment spreads only those before it, so that none leads back to itself.
     let fragments = (nodes(0), nodes(1), nodes(2)).prop_map(|(a, b, c)| vec![a, b, c]);
     let kind = prop_oneof![3 => Just(Some(false)), 2 => Just(Some(true)), 1 => Just(None)];
@@ -146,7 +148,7 @@
     )
         .prop_map(|(operations, fragments, chosen, given, defaults, noise)| {
             let chosen = chosen % operations.len();
-            Doc {
+            Document {
                 operations,
                 fragments,
                 chosen,
@@ -159,11 +161,11 @@
 
 // ---- its text ----
 
-fn print_if(out: &mut String, name: &str, iff: &If) {
-    match iff {
-        If::No => {}
-        If::Literal(b) => *out += &format!(" @{name}(if: {b})"),
-        If::Variable(v) => *out += &format!(" @{name} ( if : $v{v} )"),
+fn print_condition(out: &mut String, name: &str, condition: &Condition) {
+    match condition {
+        Condition::No => {}
+        Condition::Literal(b) => *out += &format!(" @{name}(if: {b})"),
+        Condition::Variable(v) => *out += &format!(" @{name} ( if : $v{v} )"),
     }
 }
 
@@ -189,19 +191,19 @@
                     *out +=
                         "(a: \"\"\"} mutation { \\\"\"\" toggle }\"\"\", b: \"} { \\\" mutation\")";
                 }
-                print_if(out, "skip", skip);
-                print_if(out, "include", include);
+                print_condition(out, "skip", skip);
+                print_condition(out, "include", include);
                 if !set.is_empty() {
                     print_set(out, set, noise);
                 }
             }
             Node::Spread { to, include } => {
                 *out += &format!(" ...F{to}");
-                print_if(out, "include", include);
+                print_condition(out, "include", include);
             }
             Node::Inline { on, skip, set } => {
                 *out += if *on { " ... on Query" } else { " ..." };
-                print_if(out, "skip", skip);
+                print_condition(out, "skip", skip);
                 print_set(out, set, noise);
             }
         }
@@ -209,7 +211,7 @@
     *out += " }\n";
 }
 
-fn print(doc: &Doc) -> (String, Option<String>) {
+fn print(doc: &Document) -> (String, Option<String>) {
     let mut out = String::new();
     let single = doc.operations.len() == 1;
     for (n, (kind, set)) in doc.operations.iter().enumerate() {
@@ -249,14 +251,14 @@
 // ---- its meaning ----
 
 /// Root fields that may run, by key and name; `shorthand` operations define no variables.
-fn naive(doc: &Doc) -> (bool, BTreeMap<(String, String), ()>) {
+fn naive(doc: &Document) -> (bool, BTreeMap<(String, String), ()>) {
     let (kind, set) = &doc.operations[doc.chosen];
     let shorthand = kind.is_none() && doc.operations.len() == 1;
-    let value = |iff: &If| match iff {
-        If::No => None,
-        If::Literal(b) => Some(*b),
-        If::Variable(_) if shorthand => None,
-        If::Variable(v) => doc.given[usize::from(*v)].or(doc.defaults[usize::from(*v)]),
+    let value = |condition: &Condition| match condition {
+        Condition::No => None,
+        Condition::Literal(b) => Some(*b),
+        Condition::Variable(_) if shorthand => None,
+        Condition::Variable(v) => doc.given[usize::from(*v)].or(doc.defaults[usize::from(*v)]),
     };
     let mut found = BTreeMap::new();
     let mut open: Vec<&Node> = set.iter().collect();
@@ -288,7 +290,7 @@
     (*kind == Some(true), found)
 }
 
-fn check(doc: &Doc) {
+fn check(doc: &Document) {
     let (text, name) = print(doc);
     let given: Map<String, Value> = doc
         .given
--- a/crates/registry-client/src/follow/limits.rs
+++ b/crates/registry-client/src/follow/limits.rs
@@ -12,7 +12,7 @@
     RejectRequests,
 }
 
-/// Limits and rules of a [`Follower`].
+/// Limits and rules of a [`super::Follower`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Maximum number of entries; further ones are ignored and reported.
--- a/crates/registry-client/tests/follow.rs
+++ b/crates/registry-client/tests/follow.rs
@@ -1,4 +1,4 @@
-//! The mirror of entries against a registry that exists as a table only: random changes, lost watches, lost connections and
+//! The mirror of entries against a fake registry: random changes, lost watches, lost connections and
 //! members that stand elsewhere, in virtual time.
 
 use bytes::Bytes;
@@ -27,7 +27,7 @@
 }
 
 /// A registry and the connection of one follower.
-struct Table {
+struct FakeRegistry {
     nodes: BTreeMap<String, Node>,
     zxid: i64,
     /// Watches: on everything under the path, on its children, on the data of some.
@@ -35,10 +35,10 @@
     children: bool,
     data: BTreeSet<String>,
     /// Whether it knows persistent watches.
-    modern: bool,
+    has_persistent_watches: bool,
     up: bool,
     requests: VecDeque<(u64, Op)>,
-    words: VecDeque<Event>,
+    events: VecDeque<Event>,
 }
 
 fn payload(port: u16) -> Bytes {
@@ -47,29 +47,29 @@
     ))
 }
 
-impl Table {
-    fn new(modern: bool) -> Table {
-        Table {
+impl FakeRegistry {
+    fn new(has_persistent_watches: bool) -> FakeRegistry {
+        FakeRegistry {
             nodes: BTreeMap::new(),
             zxid: 0,
             recursive: false,
             children: false,
             data: BTreeSet::new(),
-            modern,
+            has_persistent_watches,
             up: false,
             requests: VecDeque::new(),
-            words: VecDeque::new(),
+            events: VecDeque::new(),
         }
     }
 
-    fn say(&mut self, kind: WatchEventKind, child: &str, lose: bool) {
+    fn emit(&mut self, kind: WatchEventKind, child: &str, lose: bool) {
         let path = if child.is_empty() {
             PATH.to_owned()
         } else {
             format!("{PATH}/{child}")
         };
         if !lose {
-            self.words
+            self.events
                 .push_back(Event::Watch(WatchEvent { kind, path }));
         }
     }
@@ -89,14 +89,14 @@
         let watched = self.data.remove(child);
         if old.is_some() {
             if self.recursive || watched {
-                self.say(WatchEventKind::DataChanged, child, lose);
+                self.emit(WatchEventKind::DataChanged, child, lose);
             }
         } else {
             if self.recursive {
-                self.say(WatchEventKind::Created, child, lose);
+                self.emit(WatchEventKind::Created, child, lose);
             }
             if std::mem::take(&mut self.children) {
-                self.say(WatchEventKind::ChildrenChanged, "", lose);
+                self.emit(WatchEventKind::ChildrenChanged, "", lose);
             }
         }
     }
@@ -107,15 +107,15 @@
             return;
         }
         if self.data.remove(child) || self.recursive {
-            self.say(WatchEventKind::Deleted, child, lose);
+            self.emit(WatchEventKind::Deleted, child, lose);
         }
         if std::mem::take(&mut self.children) {
-            self.say(WatchEventKind::ChildrenChanged, "", lose);
+            self.emit(WatchEventKind::ChildrenChanged, "", lose);
         }
     }
 
     /// Works off one request, from the state that is there now.
-    fn work(&mut self) {
+    fn execute_request(&mut self) {
         let Some((token, op)) = self.requests.pop_front() else {
             return;
         };
@@ -132,7 +132,7 @@
         };
         let answer = match op {
             Op::Sync { .. } => Ok(Response::Done),
-            Op::AddWatch { .. } if self.modern => {
+            Op::AddWatch { .. } if self.has_persistent_watches => {
                 self.recursive = true;
                 Ok(Response::Done)
             }
@@ -161,7 +161,7 @@
             },
             _ => Err(OperationError::Unimplemented),
         };
-        self.words.push_back(Event::Response(token, answer));
+        self.events.push_back(Event::Response(token, answer));
     }
 
     /// The connection goes, and with it all watches and what was under way.
@@ -172,7 +172,7 @@
         (self.up, self.recursive, self.children) = (false, false, false);
         self.data.clear();
         let lost: Vec<u64> = self.requests.drain(..).map(|(token, _)| token).collect();
-        let answered = self.words.drain(..).filter_map(|w| match w {
+        let answered = self.events.drain(..).filter_map(|w| match w {
             Event::Response(token, _) => Some(token),
             _ => None,
         });
@@ -182,14 +182,14 @@
             .for_each(|token| follower.handle_event(now, &Event::RequestLost(token)));
     }
 
-    fn come_up(&mut self, follower: &mut Follower, now: f64) {
+    fn connect(&mut self, follower: &mut Follower, now: f64) {
         if !self.up {
             self.up = true;
             follower.handle_event(now, &Event::Up { is_new: true });
         }
     }
 
-    fn take(&mut self, follower: &mut Follower) {
+    fn receive_requests(&mut self, follower: &mut Follower) {
         while let Some(op) = follower.next_request().filter(|_| self.up) {
             self.requests.push_back(op);
         }
@@ -198,12 +198,12 @@
     /// All that is under way comes to its end.
     fn settle(&mut self, follower: &mut Follower, now: f64) {
         for _ in 0..100_000 {
-            self.take(follower);
-            self.work();
-            match self.words.pop_front() {
-                Some(word) => follower.handle_event(now, &word),
+            self.receive_requests(follower);
+            self.execute_request();
+            match self.events.pop_front() {
+                Some(event) => follower.handle_event(now, &event),
                 None if self.requests.is_empty() => {
-                    self.take(follower);
+                    self.receive_requests(follower);
                     if self.requests.is_empty() {
                         return;
                     }
@@ -215,7 +215,7 @@
     }
 }
 
-fn there(follower: &Follower) -> BTreeSet<(String, u16)> {
+fn listed_servers(follower: &Follower) -> BTreeSet<(String, u16)> {
     follower
         .roster()
         .servers()
@@ -223,29 +223,29 @@
         .collect()
 }
 
-fn follower(limits: Limits) -> (Table, Follower) {
-    let (mut table, mut follower) = (Table::new(true), Follower::new(PATH, limits, 0.0));
-    table.come_up(&mut follower, 0.0);
-    table.settle(&mut follower, 0.0);
-    (table, follower)
+fn follower(limits: Limits) -> (FakeRegistry, Follower) {
+    let (mut registry, mut follower) = (FakeRegistry::new(true), Follower::new(PATH, limits, 0.0));
+    registry.connect(&mut follower, 0.0);
+    registry.settle(&mut follower, 0.0);
+    (registry, follower)
 }
 
 #[test]
 fn what_is_there_is_known_once_all_of_it_has_been_read() {
-    let (mut table, mut follower) = (
-        Table::new(true),
+    let (mut registry, mut follower) = (
+        FakeRegistry::new(true),
         Follower::new(PATH, Limits::default(), 0.0),
     );
     for n in 1..=200 {
-        table.put(&format!("s{n}"), payload(n), 9, false);
+        registry.put(&format!("s{n}"), payload(n), 9, false);
     }
-    table.come_up(&mut follower, 0.0);
+    registry.connect(&mut follower, 0.0);
     // Half of it is not all of it.
     for _ in 0..100 {
-        table.take(&mut follower);
-        table.work();
-        if let Some(word) = table.words.pop_front() {
-            follower.handle_event(0.0, &word);
+        registry.receive_requests(&mut follower);
+        registry.execute_request();
+        if let Some(event) = registry.events.pop_front() {
+            follower.handle_event(0.0, &event);
         }
     }
     assert!(
@@ -253,43 +253,46 @@
         "{:?}",
         follower.sizes()
     );
-    table.settle(&mut follower, 0.0);
+    registry.settle(&mut follower, 0.0);
     assert!(follower.has_list() && follower.is_settled());
-    assert_eq!(there(&follower).len(), 200);
+    assert_eq!(listed_servers(&follower).len(), 200);
 }
 
 #[test]
 fn a_removal_needs_no_answer() {
-    let (mut table, mut follower) = follower(Limits::default());
-    table.put("a", payload(1), 9, false);
-    table.settle(&mut follower, 1.0);
+    let (mut registry, mut follower) = follower(Limits::default());
+    registry.put("a", payload(1), 9, false);
+    registry.settle(&mut follower, 1.0);
     follower.take_changes();
-    // A read of it is under way as it goes: what that brings is older than the word of its end.
-    table.put("a", payload(2), 9, false);
-    let word = table.words.pop_front().unwrap();
-    follower.handle_event(1.0, &word);
-    table.take(&mut follower);
+    // A read of it is under way as it goes: what that brings is older than the event of its end.
+    registry.put("a", payload(2), 9, false);
+    let event = registry.events.pop_front().unwrap();
+    follower.handle_event(1.0, &event);
+    registry.receive_requests(&mut follower);
     let answered = {
-        table.work();
-        table.words.pop_front().unwrap()
+        registry.execute_request();
+        registry.events.pop_front().unwrap()
     };
-    table.remove("a", false);
-    let gone = table.words.pop_front().unwrap();
+    registry.remove("a", false);
+    let gone = registry.events.pop_front().unwrap();
     follower.handle_event(1.0, &gone);
     assert_eq!(follower.take_changes(), [Change::Removed("a".to_owned())]);
     follower.handle_event(1.0, &answered);
-    assert!(there(&follower).is_empty(), "a read brought it back");
+    assert!(
+        listed_servers(&follower).is_empty(),
+        "a read brought it back"
+    );
     assert_eq!(follower.take_changes(), []);
 }
 
 #[test]
 fn entries_that_do_not_count_are_named_once() {
-    let (mut table, mut follower) = follower(Limits::default());
-    table.put("by-hand", payload(1), 0, false);
-    table.put("odd", Bytes::from_static(b"\xff\xfe"), 9, false);
-    table.put("good", payload(3), 9, false);
-    table.settle(&mut follower, 1.0);
-    assert_eq!(there(&follower), [("good".to_owned(), 3)].into());
+    let (mut registry, mut follower) = follower(Limits::default());
+    registry.put("by-hand", payload(1), 0, false);
+    registry.put("odd", Bytes::from_static(b"\xff\xfe"), 9, false);
+    registry.put("good", payload(3), 9, false);
+    registry.settle(&mut follower, 1.0);
+    assert_eq!(listed_servers(&follower), [("good".to_owned(), 3)].into());
     let reports: Vec<Report> = std::iter::from_fn(|| follower.next_report()).collect();
     assert!(
         reports.contains(&Report::InvalidEntry(
@@ -301,20 +304,20 @@
     assert_eq!(reports.len(), 2, "{reports:?}");
     // Read again from time to time, and not named again.
     follower.tick(31.0);
-    table.settle(&mut follower, 31.0);
+    registry.settle(&mut follower, 31.0);
     assert_eq!(follower.next_report(), None);
     // Those that end by a time to live belong to no session either.
-    table.put("ttl", payload(4), (0xff << 56) | 5000, false);
-    table.settle(&mut follower, 32.0);
-    assert_eq!(there(&follower).len(), 1);
+    registry.put("ttl", payload(4), (0xff << 56) | 5000, false);
+    registry.settle(&mut follower, 32.0);
+    assert_eq!(listed_servers(&follower).len(), 1);
     let limits = Limits {
         accepts_persistent: true,
         ..Limits::default()
     };
-    let (mut table, mut follower) = self::follower(limits);
-    table.put("by-hand", payload(1), 0, false);
-    table.settle(&mut follower, 1.0);
-    assert_eq!(there(&follower).len(), 1);
+    let (mut registry, mut follower) = self::follower(limits);
+    registry.put("by-hand", payload(1), 0, false);
+    registry.settle(&mut follower, 1.0);
+    assert_eq!(listed_servers(&follower).len(), 1);
 }
 
 #[test]
@@ -327,7 +330,7 @@
         owner: Some(owner),
         ..Limits::default()
     };
-    let (mut table, mut follower) = follower(limits);
+    let (mut registry, mut follower) = follower(limits);
     let acl = |id: &str, permissions| Acl {
         permissions,
         scheme: "digest".to_owned(),
@@ -344,12 +347,12 @@
     .enumerate()
     {
         let name = format!("s{n}");
-        table.put(&name, payload(n as u16 + 1), 9, false);
-        table.nodes.get_mut(&name).unwrap().acl = acls;
+        registry.put(&name, payload(n as u16 + 1), 9, false);
+        registry.nodes.get_mut(&name).unwrap().acl = acls;
     }
-    table.settle(&mut follower, 1.0);
+    registry.settle(&mut follower, 1.0);
     assert_eq!(
-        there(&follower)
+        listed_servers(&follower)
             .into_iter()
             .map(|(n, _)| n)
             .collect::<Vec<_>>(),
@@ -365,12 +368,12 @@
             stale_after: 20.0,
             ..Limits::default()
         };
-        let (mut table, mut follower) = follower(limits);
-        table.put("a", payload(1), 9, false);
-        table.settle(&mut follower, 1.0);
-        table.drop_connection(&mut follower, 5.0);
+        let (mut registry, mut follower) = follower(limits);
+        registry.put("a", payload(1), 9, false);
+        registry.settle(&mut follower, 1.0);
+        registry.drop_connection(&mut follower, 5.0);
         assert_eq!(
-            there(&follower).len(),
+            listed_servers(&follower).len(),
             1,
             "a lost connection is no end of anybody"
         );
@@ -385,9 +388,9 @@
             stale_policy == StalePolicy::RejectRequests
         );
         assert_eq!(follower.next_report(), Some(Report::Stale(20)));
-        assert_eq!(there(&follower).len(), 1);
-        table.come_up(&mut follower, 30.0);
-        table.settle(&mut follower, 30.0);
+        assert_eq!(listed_servers(&follower).len(), 1);
+        registry.connect(&mut follower, 30.0);
+        registry.settle(&mut follower, 30.0);
         assert_eq!(
             (follower.refuses_servers(), follower.next_report()),
             (false, Some(Report::UpToDate))
@@ -397,22 +400,25 @@
 
 #[test]
 fn there_are_no_more_entries_than_the_bound() {
-    let (mut table, mut follower) = follower(Limits {
+    let (mut registry, mut follower) = follower(Limits {
         max_entries: 10,
         ..Limits::default()
     });
     for n in 1..=50 {
-        table.put(&format!("s{n:02}"), payload(n), 9, false);
+        registry.put(&format!("s{n:02}"), payload(n), 9, false);
     }
-    table.settle(&mut follower, 1.0);
-    assert_eq!((there(&follower).len(), follower.sizes().entries), (10, 10));
+    registry.settle(&mut follower, 1.0);
+    assert_eq!(
+        (listed_servers(&follower).len(), follower.sizes().entries),
+        (10, 10)
+    );
     assert_eq!(follower.next_report(), Some(Report::TooManyEntries(10)));
     // One that goes makes room, found when all is read again.
-    table.remove("s01", false);
-    table.settle(&mut follower, 2.0);
+    registry.remove("s01", false);
+    registry.settle(&mut follower, 2.0);
     follower.tick(40.0);
-    table.settle(&mut follower, 40.0);
-    assert_eq!(there(&follower).len(), 10);
+    registry.settle(&mut follower, 40.0);
+    assert_eq!(listed_servers(&follower).len(), 10);
 }
 
 #[test]
@@ -421,49 +427,51 @@
         max_parallel_reads: 1,
         ..Limits::default()
     };
-    let (mut table, mut follower) = follower(limits);
+    let (mut registry, mut follower) = follower(limits);
     // One read is out and unanswered; the others wait, and come and go.
     for n in 0..20_000 {
         let child = format!("s{}", n % 7);
-        table.put(&child, payload(1 + n % 7), 9, false);
-        table.remove(&child, false);
-        for word in table.words.drain(..).collect::<Vec<_>>() {
-            follower.handle_event(1.0, &word);
+        registry.put(&child, payload(1 + n % 7), 9, false);
+        registry.remove(&child, false);
+        for event in registry.events.drain(..).collect::<Vec<_>>() {
+            follower.handle_event(1.0, &event);
         }
-        table.take(&mut follower);
+        registry.receive_requests(&mut follower);
         assert!(
             follower.sizes().waiting_reads <= 80,
             "{} wait to be read",
             follower.sizes().waiting_reads
         );
     }
-    table.put("s1", payload(9), 9, false);
-    table.settle(&mut follower, 2.0);
-    assert_eq!(there(&follower), [("s1".to_owned(), 9)].into());
+    registry.put("s1", payload(9), 9, false);
+    registry.settle(&mut follower, 2.0);
+    assert_eq!(listed_servers(&follower), [("s1".to_owned(), 9)].into());
 }
 
 #[test]
 fn a_path_that_is_not_there_yet_is_waited_for() {
-    for modern in [true, false] {
-        let (mut table, mut follower) = (
-            Table::new(modern),
+    for has_persistent_watches in [true, false] {
+        let (mut registry, mut follower) = (
+            FakeRegistry::new(has_persistent_watches),
             Follower::new(PATH, Limits::default(), 0.0),
         );
-        table.come_up(&mut follower, 0.0);
-        table.take(&mut follower);
+        registry.connect(&mut follower, 0.0);
+        registry.receive_requests(&mut follower);
         // Whatever is asked of it, there is no such path.
-        while let Some((token, op)) = table.requests.pop_front() {
+        while let Some((token, op)) = registry.requests.pop_front() {
             let answer = match op {
-                Op::AddWatch { .. } if !modern => Err(OperationError::Unimplemented),
+                Op::AddWatch { .. } if !has_persistent_watches => {
+                    Err(OperationError::Unimplemented)
+                }
                 Op::GetChildren { .. } | Op::Exists { .. } => Err(OperationError::NoNode),
                 _ => Ok(Response::Done),
             };
             follower.handle_event(0.0, &Event::Response(token, answer));
-            table.take(&mut follower);
+            registry.receive_requests(&mut follower);
         }
         assert_eq!(follower.next_report(), Some(Report::PathMissing));
         assert!(follower.has_list(), "nothing is there, and that is known");
-        table.recursive = modern;
+        registry.recursive = has_persistent_watches;
         follower.handle_event(
             1.0,
             &Event::Watch(WatchEvent {
@@ -471,9 +479,9 @@
                 path: PATH.to_owned(),
             }),
         );
-        table.put("a", payload(1), 9, !modern);
-        table.settle(&mut follower, 1.0);
-        assert_eq!(there(&follower).len(), 1);
+        registry.put("a", payload(1), 9, !has_persistent_watches);
+        registry.settle(&mut follower, 1.0);
+        assert_eq!(listed_servers(&follower).len(), 1);
     }
 }
 
@@ -490,86 +498,91 @@
         ..Config::default()
     };
     TestRunner::new_with_rng(config, rng)
-        .run(&(any::<bool>(), steps), |(modern, steps)| {
-            let (mut table, mut now) = (Table::new(modern), 1000.0);
-            let mut follower = Follower::new(PATH, Limits::default(), now);
-            // The state in which each entry's end was told last.
-            let mut ended = BTreeMap::<String, i64>::new();
-            for (what, child, port, after, lose) in steps {
-                now += after;
-                let child = format!("s{child}");
-                match what {
-                    0 | 1 => table.put(&child, payload(port), 9, lose && what == 0),
-                    2 | 3 => table.remove(&child, lose && what == 2),
-                    4 => table.put(&child, Bytes::from_static(b"nonsense"), 9, false),
-                    5 => table.drop_connection(&mut follower, now),
-                    6 => table.come_up(&mut follower, now),
-                    7 => follower.tick(now),
-                    8 | 9 => {
-                        table.take(&mut follower);
-                        table.work();
-                    }
-                    _ => {
-                        if let Some(word) = table.words.pop_front() {
-                            follower.handle_event(now, &word);
-                            if let Event::Watch(WatchEvent {
-                                kind: WatchEventKind::Deleted,
-                                path,
-                            }) = &word
-                            {
-                                let child = path.rsplit('/').next().unwrap().to_owned();
-                                prop_assert!(
-                                    !there(&follower).iter().any(|(n, _)| *n == child),
-                                    "its end was told, and it is there"
-                                );
-                                ended.insert(child, table.zxid);
+        .run(
+            &(any::<bool>(), steps),
+            |(has_persistent_watches, steps)| {
+                let (mut registry, mut now) = (FakeRegistry::new(has_persistent_watches), 1000.0);
+                let mut follower = Follower::new(PATH, Limits::default(), now);
+                // The state in which each entry's end was told last.
+                let mut ended = BTreeMap::<String, i64>::new();
+                for (what, child, port, after, lose) in steps {
+                    now += after;
+                    let child = format!("s{child}");
+                    match what {
+                        0 | 1 => registry.put(&child, payload(port), 9, lose && what == 0),
+                        2 | 3 => registry.remove(&child, lose && what == 2),
+                        4 => registry.put(&child, Bytes::from_static(b"nonsense"), 9, false),
+                        5 => registry.drop_connection(&mut follower, now),
+                        6 => registry.connect(&mut follower, now),
+                        7 => follower.tick(now),
+                        8 | 9 => {
+                            registry.receive_requests(&mut follower);
+                            registry.execute_request();
+                        }
+                        _ => {
+                            if let Some(event) = registry.events.pop_front() {
+                                follower.handle_event(now, &event);
+                                if let Event::Watch(WatchEvent {
+                                    kind: WatchEventKind::Deleted,
+                                    path,
+                                }) = &event
+                                {
+                                    let child = path.rsplit('/').next().unwrap().to_owned();
+                                    prop_assert!(
+                                        !listed_servers(&follower).iter().any(|(n, _)| *n == child),
+                                        "its end was told, and it is there"
+                                    );
+                                    ended.insert(child, registry.zxid);
+                                }
                             }
                         }
                     }
+                    let FollowerSizes {
+                        entries,
+                        waiting_reads,
+                        pending_requests,
+                    } = follower.sizes();
+                    prop_assert!(
+                        entries <= 5 && waiting_reads <= 5 && pending_requests <= 5 + 5,
+                        "{:?}",
+                        follower.sizes()
+                    );
                 }
-                let FollowerSizes {
-                    entries,
-                    waiting_reads,
-                    pending_requests,
-                } = follower.sizes();
-                prop_assert!(
-                    entries <= 5 && waiting_reads <= 5 && pending_requests <= 5 + 5,
-                    "{:?}",
-                    follower.sizes()
-                );
-            }
-            // All is quiet; what watches have lost is found when all is read again, and whoever waits has waited.
-            table.come_up(&mut follower, now);
-            table.settle(&mut follower, now);
-            for _ in 0..2 {
-                now += MAX_RETURN_DELAY + 1.0;
-                follower.tick(now);
-                table.settle(&mut follower, now);
-            }
-            let mut registry = BTreeMap::<u16, (i64, String)>::new();
-            for (name, node) in table.nodes.iter().filter(|(_, n)| n.data != "nonsense") {
-                let text = String::from_utf8(node.data.to_vec()).unwrap();
-                let port = text
-                    .split("1:")
-                    .nth(1)
-                    .unwrap()
-                    .split('"')
-                    .next()
-                    .unwrap()
-                    .parse()
-                    .unwrap();
-                let last = registry.entry(port).or_insert((node.czxid, name.clone()));
-                if last.0 < node.czxid {
-                    *last = (node.czxid, name.clone());
+                // All is quiet; what watches have lost is found when all is read again, and whoever waits has waited.
+                registry.connect(&mut follower, now);
+                registry.settle(&mut follower, now);
+                for _ in 0..2 {
+                    now += MAX_RETURN_DELAY + 1.0;
+                    follower.tick(now);
+                    registry.settle(&mut follower, now);
                 }
-            }
-            let expected: BTreeSet<(String, u16)> = registry
-                .into_iter()
-                .map(|(port, (_, name))| (name, port))
-                .collect();
-            prop_assert_eq!(there(&follower), expected);
-            prop_assert!(follower.is_settled());
-            Ok(())
-        })
+                let mut latest_by_port = BTreeMap::<u16, (i64, String)>::new();
+                for (name, node) in registry.nodes.iter().filter(|(_, n)| n.data != "nonsense") {
+                    let text = String::from_utf8(node.data.to_vec()).unwrap();
+                    let port = text
+                        .split("1:")
+                        .nth(1)
+                        .unwrap()
+                        .split('"')
+                        .next()
+                        .unwrap()
+                        .parse()
+                        .unwrap();
+                    let last = latest_by_port
+                        .entry(port)
+                        .or_insert((node.czxid, name.clone()));
+                    if last.0 < node.czxid {
+                        *last = (node.czxid, name.clone());
+                    }
+                }
+                let expected: BTreeSet<(String, u16)> = latest_by_port
+                    .into_iter()
+                    .map(|(port, (_, name))| (name, port))
+                    .collect();
+                prop_assert_eq!(listed_servers(&follower), expected);
+                prop_assert!(follower.is_settled());
+                Ok(())
+            },
+        )
         .unwrap();
 }
--- a/crates/registry-client/tests/registration.rs
+++ b/crates/registry-client/tests/registration.rs
@@ -1,4 +1,4 @@
-//! This node's own entry against a registry that exists as one place only.
+//! This node's own entry against a fake registry.
 
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -23,9 +23,9 @@
     }
 }
 
-/// The place in the registry: who owns what is there, its data, its version.
+/// A registry with a single path: the owner, data and version of its entry.
 #[derive(Default)]
-struct Place {
+struct FakeRegistry {
     entry: Option<(i64, Bytes, i32)>,
     watched: bool,
 }
@@ -36,7 +36,7 @@
     session: i64,
     up: bool,
     requests: VecDeque<(u64, Op)>,
-    words: VecDeque<Event>,
+    events: VecDeque<Event>,
 }
 
 impl Node {
@@ -47,34 +47,34 @@
             session,
             up: false,
             requests: VecDeque::new(),
-            words: VecDeque::new(),
+            events: VecDeque::new(),
         }
     }
 
-    fn take(&mut self) {
+    fn take_requests(&mut self) {
         while let Some(op) = self.registration.next_request().filter(|_| self.up) {
             self.requests.push_back(op);
         }
     }
 
-    fn come_up(&mut self, now: f64) {
+    fn connect(&mut self, now: f64) {
         if !self.up {
             self.up = true;
             self.registration
                 .handle_event(now, self.session, &Event::Up { is_new: true });
-            self.take();
+            self.take_requests();
         }
     }
 
     /// What was asked for may have been carried out or not; nobody hears.
-    fn lose(&mut self, now: f64, place: &mut Place, carried_out: bool) {
+    fn lose(&mut self, now: f64, registry: &mut FakeRegistry, carried_out: bool) {
         while carried_out && !self.requests.is_empty() {
-            self.work(place);
+            self.execute_request(registry);
         }
         self.up = false;
-        place.watched = false;
+        registry.watched = false;
         let tokens: Vec<u64> = self.requests.drain(..).map(|(t, _)| t).collect();
-        self.words.clear();
+        self.events.clear();
         self.registration
             .handle_event(now, self.session, &Event::Lost(LossReason::Closed));
         tokens.into_iter().for_each(|t| {
@@ -84,27 +84,27 @@
     }
 
     /// Its session is over, and the registry has dropped what ended with it.
-    fn expire(&mut self, now: f64, place: &mut Place, session: i64) {
-        self.lose(now, place, false);
-        if place
+    fn expire(&mut self, now: f64, registry: &mut FakeRegistry, session: i64) {
+        self.lose(now, registry, false);
+        if registry
             .entry
             .as_ref()
             .is_some_and(|(owner, ..)| *owner == self.session)
         {
-            place.entry = None;
+            registry.entry = None;
         }
         self.registration
             .handle_event(now, self.session, &Event::Expired);
         self.session = session;
     }
 
-    fn work(&mut self, place: &mut Place) {
+    fn execute_request(&mut self, registry: &mut FakeRegistry) {
         let Some((token, op)) = self.requests.pop_front() else {
             return;
         };
-        let answer = match (op, &mut place.entry) {
+        let answer = match (op, &mut registry.entry) {
             (Op::GetData { .. }, Some((owner, data, version))) => {
-                place.watched = true;
+                registry.watched = true;
                 let stat = Stat {
                     ephemeral_owner: *owner,
                     version: *version,
@@ -124,39 +124,39 @@
             }
             (Op::Delete { .. }, entry) => {
                 *entry = None;
-                if std::mem::take(&mut place.watched) {
-                    self.gone();
+                if std::mem::take(&mut registry.watched) {
+                    self.report_deleted();
                 }
                 Ok(Response::Done)
             }
             _ => Err(OperationError::Unimplemented),
         };
-        self.words.push_back(Event::Response(token, answer));
+        self.events.push_back(Event::Response(token, answer));
     }
 
-    fn gone(&mut self) {
+    fn report_deleted(&mut self) {
         let path = PATH.to_owned();
-        self.words.push_back(Event::Watch(WatchEvent {
+        self.events.push_back(Event::Watch(WatchEvent {
             kind: WatchEventKind::Deleted,
             path,
         }));
     }
 
-    fn hear(&mut self, now: f64) {
-        if let Some(word) = self.words.pop_front() {
-            self.registration.handle_event(now, self.session, &word);
+    fn handle_event(&mut self, now: f64) {
+        if let Some(event) = self.events.pop_front() {
+            self.registration.handle_event(now, self.session, &event);
         }
-        self.take();
+        self.take_requests();
     }
 
-    fn settle(&mut self, now: f64, place: &mut Place) {
+    fn settle(&mut self, now: f64, registry: &mut FakeRegistry) {
         for _ in 0..1000 {
-            self.take();
-            if self.requests.is_empty() && self.words.is_empty() {
+            self.take_requests();
+            if self.requests.is_empty() && self.events.is_empty() {
                 return;
             }
-            self.work(place);
-            self.hear(now);
+            self.execute_request(registry);
+            self.handle_event(now);
         }
         panic!("it never settles");
     }
@@ -164,44 +164,44 @@
 
 #[test]
 fn it_stands_from_when_it_is_wanted_until_it_is_not() {
-    let (mut place, mut node) = (Place::default(), Node::new(1, 100));
-    node.come_up(0.0);
-    node.settle(0.0, &mut place);
-    assert!(place.entry.is_none(), "nobody wants it yet");
+    let (mut registry, mut node) = (FakeRegistry::default(), Node::new(1, 100));
+    node.connect(0.0);
+    node.settle(0.0, &mut registry);
+    assert!(registry.entry.is_none(), "nobody wants it yet");
     node.registration.register();
-    node.settle(0.0, &mut place);
+    node.settle(0.0, &mut registry);
     assert!(node.registration.is_registered());
-    let (owner, bytes, _) = place.entry.clone().unwrap();
+    let (owner, bytes, _) = registry.entry.clone().unwrap();
     assert_eq!(
         (owner, serde_json::from_slice::<EntryData>(&bytes).unwrap()),
         (100, data(1))
     );
     assert_eq!(node.registration.next_report(), Some(Report::Registered));
     // Somebody removes it.
-    place.entry = None;
-    node.gone();
-    node.settle(1.0, &mut place);
-    assert!(place.entry.is_some() && node.registration.is_registered());
+    registry.entry = None;
+    node.report_deleted();
+    node.settle(1.0, &mut registry);
+    assert!(registry.entry.is_some() && node.registration.is_registered());
     node.registration.deregister();
     assert!(!node.registration.is_deregistered());
-    node.settle(2.0, &mut place);
-    assert!(place.entry.is_none() && node.registration.is_deregistered());
+    node.settle(2.0, &mut registry);
+    assert!(registry.entry.is_none() && node.registration.is_deregistered());
 }
 
 #[test]
 fn what_an_earlier_life_left_goes_and_a_strangers_or_a_later_lifes_stays() {
     let entry =
         |data: &EntryData, owner| Some((owner, Bytes::from(serde_json::to_vec(data).unwrap()), 3));
-    let mut place = Place {
+    let mut registry = FakeRegistry {
         entry: entry(&data(1), 50),
-        ..Place::default()
+        ..FakeRegistry::default()
     };
     let mut node = Node::new(2, 100);
     node.registration.register();
-    node.come_up(0.0);
-    node.settle(0.0, &mut place);
+    node.connect(0.0);
+    node.settle(0.0, &mut registry);
     assert_eq!(
-        place.entry.as_ref().map(|(owner, ..)| *owner),
+        registry.entry.as_ref().map(|(owner, ..)| *owner),
         Some(100),
         "the entry of the life before stands"
     );
@@ -215,20 +215,20 @@
             Report::PathTaken(PATH.to_owned()),
         ),
     ] {
-        let mut place = Place {
+        let mut registry = FakeRegistry {
             entry: entry(&theirs, 50),
-            ..Place::default()
+            ..FakeRegistry::default()
         };
         let mut node = Node::new(2, 100);
         node.registration.register();
-        node.come_up(0.0);
-        node.settle(0.0, &mut place);
+        node.connect(0.0);
+        node.settle(0.0, &mut registry);
         assert_eq!(node.registration.next_report(), Some(report));
-        assert_eq!(place.entry.as_ref().map(|(owner, ..)| *owner), Some(50));
+        assert_eq!(registry.entry.as_ref().map(|(owner, ..)| *owner), Some(50));
         // When it goes, this one comes, told by the watch or by looking again.
-        place.entry = None;
+        registry.entry = None;
         node.registration.tick(node.registration.deadline());
-        node.settle(RETRY_INTERVAL, &mut place);
+        node.settle(RETRY_INTERVAL, &mut registry);
         assert!(node.registration.is_registered());
     }
 }
@@ -246,46 +246,46 @@
     };
     TestRunner::new_with_rng(config, rng)
         .run(&(steps, any::<bool>()), |(steps, leaves)| {
-            let (mut place, mut node, mut now, mut session) =
-                (Place::default(), Node::new(1, 100), 0.0, 100);
+            let (mut registry, mut node, mut now, mut session) =
+                (FakeRegistry::default(), Node::new(1, 100), 0.0, 100);
             node.registration.register();
             for (what, after) in steps {
                 now += after;
                 match what {
-                    0 => node.come_up(now),
-                    1 => node.lose(now, &mut place, false),
-                    2 => node.lose(now, &mut place, true),
+                    0 => node.connect(now),
+                    1 => node.lose(now, &mut registry, false),
+                    2 => node.lose(now, &mut registry, true),
                     3 => {
                         session += 1;
-                        node.expire(now, &mut place, session);
+                        node.expire(now, &mut registry, session);
                     }
                     4 => {
-                        if place.entry.take().is_some()
-                            && std::mem::take(&mut place.watched)
+                        if registry.entry.take().is_some()
+                            && std::mem::take(&mut registry.watched)
                             && node.up
                         {
-                            node.gone();
+                            node.report_deleted();
                         }
                     }
                     5 => node.registration.tick(now),
                     _ => {
-                        node.take();
-                        node.work(&mut place);
-                        node.hear(now);
+                        node.take_requests();
+                        node.execute_request(&mut registry);
+                        node.handle_event(now);
                     }
                 }
             }
             if leaves {
                 node.registration.deregister();
             }
-            node.come_up(now);
+            node.connect(now);
             for _ in 0..4 {
                 now += RETRY_INTERVAL;
-                node.settle(now, &mut place);
+                node.settle(now, &mut registry);
                 node.registration.tick(now);
             }
-            node.settle(now, &mut place);
-            let owner = place.entry.as_ref().map(|(owner, ..)| *owner);
+            node.settle(now, &mut registry);
+            let owner = registry.entry.as_ref().map(|(owner, ..)| *owner);
             if leaves {
                 prop_assert_eq!(owner, None);
                 prop_assert!(node.registration.is_deregistered());
--- a/crates/registry-client/tests/session.rs
+++ b/crates/registry-client/tests/session.rs
@@ -25,7 +25,7 @@
     }
 }
 
-fn greeting(timeout: i32, id: i64) -> Bytes {
+fn handshake_response(timeout: i32, id: i64) -> Bytes {
     Writer::new()
         .int(0)
         .int(timeout)
@@ -35,11 +35,11 @@
         .done()
 }
 
-fn head(xid: i32, zxid: i64, error: i32) -> Writer {
+fn response_header(xid: i32, zxid: i64, error: i32) -> Writer {
     Writer::new().int(xid).long(zxid).int(error)
 }
 
-fn todo(session: &mut Session) -> Vec<Command> {
+fn commands(session: &mut Session) -> Vec<Command> {
     std::iter::from_fn(|| session.next_command()).collect()
 }
 
@@ -48,19 +48,19 @@
 }
 
 /// A session that is up at `now`.
-fn up(now: f64) -> Session {
+fn connected_session(now: f64) -> Session {
     let mut session = Session::new(config(3), now, 1);
     session.tick(now);
     session.handle_connected(now);
-    session.handle_bytes(now, &greeting(6000, 42));
+    session.handle_bytes(now, &handshake_response(6000, 42));
     assert_eq!(events(&mut session), [Event::Up { is_new: true }]);
-    todo(&mut session);
+    commands(&mut session);
     session
 }
 
 /// The fields of the greeting that a session sends: the state that it has seen, and its id.
-fn greets(session: &mut Session) -> (i64, i64) {
-    let sent = todo(session).into_iter().find_map(|d| match d {
+fn sent_handshake(session: &mut Session) -> (i64, i64) {
+    let sent = commands(session).into_iter().find_map(|d| match d {
         Command::Send(bytes) => Some(bytes),
         _ => None,
     });
@@ -71,7 +71,7 @@
 
 #[test]
 fn requests_are_answered_in_their_order_and_watches_tell() {
-    let mut s = up(0.0);
+    let mut s = connected_session(0.0);
     assert!(s.request(
         0.0,
         1,
@@ -87,10 +87,10 @@
             version: -1
         }
     ));
-    assert_eq!(todo(&mut s).len(), 2);
-    let mut bytes = head(1, 10, 0).text("/a").done().to_vec();
-    bytes.extend_from_slice(&head(-1, 11, 0).int(2).int(3).text("/b").done());
-    bytes.extend_from_slice(&head(2, 11, -101).done());
+    assert_eq!(commands(&mut s).len(), 2);
+    let mut bytes = response_header(1, 10, 0).text("/a").done().to_vec();
+    bytes.extend_from_slice(&response_header(-1, 11, 0).int(2).int(3).text("/b").done());
+    bytes.extend_from_slice(&response_header(2, 11, -101).done());
     // In whatever pieces they come.
     for byte in bytes {
         s.handle_bytes(0.1, &[byte]);
@@ -123,7 +123,7 @@
 
 #[test]
 fn a_lost_connection_is_not_an_expired_session() {
-    let mut s = up(0.0);
+    let mut s = connected_session(0.0);
     s.request(
         0.0,
         9,
@@ -131,7 +131,10 @@
             path: "/".to_owned(),
         },
     );
-    s.handle_bytes(0.0, &head(-1, 77, 0).int(3).int(3).text("/x").done());
+    s.handle_bytes(
+        0.0,
+        &response_header(-1, 77, 0).int(3).int(3).text("/x").done(),
+    );
     s.handle_disconnected(1.0);
     let got = events(&mut s);
     assert_eq!(
@@ -149,45 +152,45 @@
         "asked of nobody"
     );
     // The next member, at once, with the same session and the state that was seen.
-    let first = todo(&mut s);
+    let first = commands(&mut s);
     assert_eq!(first.last(), Some(&Command::Close));
     s.tick(1.0);
-    assert!(matches!(todo(&mut s)[..], [Command::Connect(_)]));
+    assert!(matches!(commands(&mut s)[..], [Command::Connect(_)]));
     s.handle_connected(1.0);
-    assert_eq!(greets(&mut s), (77, 42));
-    s.handle_bytes(1.0, &greeting(6000, 42));
+    assert_eq!(sent_handshake(&mut s), (77, 42));
+    s.handle_bytes(1.0, &handshake_response(6000, 42));
     assert_eq!(events(&mut s), [Event::Up { is_new: false }]);
     // Only the registry's word ends it, and a new one is asked for.
     s.handle_disconnected(2.0);
     s.tick(2.0);
     s.handle_connected(2.0);
-    todo(&mut s);
-    s.handle_bytes(2.0, &greeting(0, 0));
+    commands(&mut s);
+    s.handle_bytes(2.0, &handshake_response(0, 0));
     assert_eq!(
         events(&mut s),
         [Event::Lost(LossReason::Closed), Event::Expired]
     );
     s.tick(2.0);
     s.handle_connected(2.0);
-    assert_eq!(greets(&mut s), (77, 0));
-    s.handle_bytes(2.0, &greeting(6000, 43));
+    assert_eq!(sent_handshake(&mut s), (77, 0));
+    s.handle_bytes(2.0, &handshake_response(6000, 43));
     assert_eq!(events(&mut s), [Event::Up { is_new: true }]);
     assert_eq!(s.id(), 43);
 }
 
 #[test]
 fn a_silent_member_is_left_in_time_and_pings_keep_a_quiet_one() {
-    let mut s = up(0.0);
+    let mut s = connected_session(0.0);
     let mut now = 0.0;
     let mut pings = 0;
     // Quiet, but alive.
     for _ in 0..20 {
         now = s.deadline().unwrap();
         s.tick(now);
-        for d in todo(&mut s) {
+        for d in commands(&mut s) {
             assert!(matches!(d, Command::Send(_)), "{d:?}");
             pings += 1;
-            s.handle_bytes(now + 0.01, &head(-2, 5, 0).done());
+            s.handle_bytes(now + 0.01, &response_header(-2, 5, 0).done());
         }
     }
     assert!(pings >= 19 && events(&mut s).is_empty() && s.is_up());
@@ -204,7 +207,7 @@
         now - heard
     );
     // One that accepts and says nothing is passed over.
-    todo(&mut s);
+    commands(&mut s);
     s.tick(now);
     s.handle_connected(now);
     now = s.deadline().unwrap();
@@ -218,7 +221,7 @@
     let (mut now, mut tried, mut rests) = (0.0, vec![], vec![]);
     for _ in 0..30 {
         s.tick(now);
-        for d in todo(&mut s) {
+        for d in commands(&mut s) {
             if let Command::Connect(address) = d {
                 tried.push(address);
             }
@@ -239,7 +242,7 @@
 
 #[test]
 fn an_older_state_is_never_taken_unless_nobody_has_the_newer() {
-    let mut s = up(0.0);
+    let mut s = connected_session(0.0);
     s.request(
         0.0,
         1,
@@ -247,7 +250,7 @@
             path: "/".to_owned(),
         },
     );
-    s.handle_bytes(0.0, &head(1, 100, 0).text("/").done());
+    s.handle_bytes(0.0, &response_header(1, 100, 0).text("/").done());
     s.request(
         0.0,
         2,
@@ -255,7 +258,7 @@
             path: "/".to_owned(),
         },
     );
-    s.handle_bytes(0.0, &head(2, 99, 0).text("/").done());
+    s.handle_bytes(0.0, &response_header(2, 99, 0).text("/").done());
     let got = events(&mut s);
     assert_eq!(
         got[1..],
@@ -269,7 +272,9 @@
     while reset.is_none() && now < 200.0 {
         s.tick(now);
         s.handle_connected(now);
-        let greeted = todo(&mut s).iter().any(|d| matches!(d, Command::Send(_)));
+        let greeted = commands(&mut s)
+            .iter()
+            .any(|d| matches!(d, Command::Send(_)));
         if greeted {
             s.handle_disconnected(now);
         }
@@ -282,7 +287,7 @@
     );
     s.tick(now);
     s.handle_connected(now);
-    assert_eq!(greets(&mut s), (0, 0));
+    assert_eq!(sent_handshake(&mut s), (0, 0));
 }
 
 #[test]
@@ -296,7 +301,7 @@
         &[0, 0, 0, 16, 0, 0, 0, 99, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0],
     ];
     for lie in lies {
-        let mut s = up(0.0);
+        let mut s = connected_session(0.0);
         s.handle_bytes(0.0, lie);
         assert!(
             matches!(events(&mut s)[..], [Event::Lost(LossReason::Protocol(_))]),
@@ -305,7 +310,7 @@
         assert!(!s.is_up());
     }
     // A list of two thousand million names in a frame of sixteen bytes.
-    let mut s = up(0.0);
+    let mut s = connected_session(0.0);
     s.request(
         0.0,
         1,
@@ -314,7 +319,10 @@
             watch: false,
         },
     );
-    s.handle_bytes(0.0, &head(1, 1, 0).int(2_000_000_000).int(0).done());
+    s.handle_bytes(
+        0.0,
+        &response_header(1, 1, 0).int(2_000_000_000).int(0).done(),
+    );
     assert!(matches!(
         events(&mut s)[..],
         [
@@ -323,8 +331,8 @@
         ]
     ));
     // Credentials that are not taken.
-    let mut s = up(0.0);
-    s.handle_bytes(0.0, &head(-4, 0, -115).done());
+    let mut s = connected_session(0.0);
+    s.handle_bytes(0.0, &response_header(-4, 0, -115).done());
     assert_eq!(events(&mut s), [Event::Lost(LossReason::BadCredentials)]);
     assert!(s.deadline().unwrap() > 0.0, "tried again without a rest");
 }
@@ -358,20 +366,23 @@
     };
     TestRunner::new_with_rng(config, rng)
         .run(&steps, |steps| {
-            let (mut s, mut now) = (up(0.0), 0.0);
+            let (mut s, mut now) = (connected_session(0.0), 0.0);
             let (mut asked, mut ended, mut token, mut xid) = (0u64, 0u64, 0, 0);
             for (what, bytes, after) in steps {
                 now += after;
                 match what {
                     0 => s.handle_bytes(now, &bytes),
-                    1 => {
-                        s.handle_bytes(now, &greeting(6000, 42 + i64::from(bytes.len() as u8 % 3)))
-                    }
+                    1 => s.handle_bytes(
+                        now,
+                        &handshake_response(6000, 42 + i64::from(bytes.len() as u8 % 3)),
+                    ),
                     2 => {
                         // An answer that is next, with a body that may be anything.
                         let frame = bytes
                             .iter()
-                            .fold(head(xid + 1, token as i64, 0), |w, b| w.boolean(*b > 99));
+                            .fold(response_header(xid + 1, token as i64, 0), |w, b| {
+                                w.boolean(*b > 99)
+                            });
                         s.handle_bytes(now, &frame.done());
                     }
                     3 => s.handle_disconnected(now),
@@ -398,7 +409,7 @@
                     }
                     _ => s.tick(now),
                 }
-                todo(&mut s);
+                commands(&mut s);
                 for event in events(&mut s) {
                     ended +=
                         u64::from(matches!(event, Event::Response(..) | Event::RequestLost(_)));
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -38,15 +38,15 @@
 
 #[test]
 fn never_over_the_total_reservations_always_granted_and_all_returned() {
-    let shares = prop::collection::vec((0..20u64, 0..60u64, 1..4u32), 1..5);
+    let quotas = prop::collection::vec((0..20u64, 0..60u64, 1..4u32), 1..5);
     let step = prop_oneof![
         3 => (0..5usize, 1..6u64).prop_map(|(p, n)| Step::Take(p, n)),
         2 => (0..5usize, any::<usize>()).prop_map(|(p, pick)| Step::Give(p, pick)),
     ];
     let steps = prop::collection::vec((0.0..0.4f64, step), 1..200);
     runner()
-        .run(&(shares, 0..40u64, steps), |(shares, extra, steps)| {
-            let shares: Vec<Quota> = shares
+        .run(&(quotas, 0..40u64, steps), |(quotas, extra, steps)| {
+            let quotas: Vec<Quota> = quotas
                 .into_iter()
                 .map(|(reserved, more, weight)| Quota {
                     reserved,
@@ -54,10 +54,10 @@
                     weight,
                 })
                 .collect();
-            let total = shares.iter().map(|s| s.reserved).sum::<u64>() + extra;
-            Budget::check(total, shares.iter().copied()).expect("shares that fit");
+            let total = quotas.iter().map(|s| s.reserved).sum::<u64>() + extra;
+            Budget::check(total, quotas.iter().copied()).expect("quotas that fit");
             let mut budget = Budget::new(total);
-            let consumers: Vec<_> = shares.iter().map(|s| budget.add(*s)).collect();
+            let consumers: Vec<_> = quotas.iter().map(|s| budget.add(*s)).collect();
             let mut held: Vec<Vec<u64>> = vec![vec![]; consumers.len()];
             let mut now = 0.0;
             for (after, step) in steps {
@@ -68,11 +68,11 @@
                         let used: u64 = held[p].iter().sum();
                         let taken = budget.acquire(now, consumers[p], n);
                         prop_assert!(
-                            taken.is_ok() || used + n > shares[p].reserved,
+                            taken.is_ok() || used + n > quotas[p].reserved,
                             "a reservation was denied"
                         );
                         prop_assert!(
-                            taken.is_err() || used + n <= shares[p].max,
+                            taken.is_err() || used + n <= quotas[p].max,
                             "more than the most"
                         );
                         if taken.is_ok() {
@@ -96,14 +96,14 @@
             }
             prop_assert_eq!(budget.used_by_all(), 0);
             // With nothing held, all that a party may have is to be had at once.
-            for (p, share) in shares.iter().enumerate() {
-                let others: u64 = shares
+            for (p, quota) in quotas.iter().enumerate() {
+                let others: u64 = quotas
                     .iter()
                     .enumerate()
                     .filter(|(q, _)| *q != p)
                     .map(|(_, s)| s.reserved)
                     .sum();
-                let n = share.max.min(total - others);
+                let n = quota.max.min(total - others);
                 prop_assert_eq!(budget.acquire(now + CLAIM_TTL, consumers[p], n), Ok(()));
                 budget.release(consumers[p], n);
             }
