--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -216,7 +216,7 @@
 ) -> AbortOnDrop {
     let list = DiscoverySource {
         address,
-        known_index: known_index,
+        known_index,
         list_name: String::new(),
     };
     source::follow(pool, list)
