--- a/crates/emulator/src/control/machine.rs
+++ b/crates/emulator/src/control/machine.rs
@@ -36,7 +36,7 @@
             Record::PrunedThrough(_) => self.floor = Some(record),
             Record::Epoch(_) => self.epoch = Some(record),
             Record::Covered { ref selector, .. } => {
-                drop(self.covered.insert(selector.clone(), record))
+                drop(self.covered.insert(selector.clone(), record));
             }
             Record::Unsubscribed(selector) => drop(self.covered.remove(&selector)),
         }
--- a/crates/emulator/src/control/network.rs
+++ b/crates/emulator/src/control/network.rs
@@ -299,7 +299,7 @@
             slot.account.received(now, bytes);
         }
         self.with(to, |process, now, sends| {
-            process.receive(now, from, frame, sends)
+            process.receive(now, from, frame, sends);
         });
     }
 
@@ -318,7 +318,7 @@
             .is_some_and(|process| process.next_wakeup() <= now);
         if due {
             slot.polled = now;
-            self.with(endpoint, |process, now, sends| process.poll(now, sends));
+            self.with(endpoint, super::endpoint::Endpoint::poll);
         } else {
             self.schedule(endpoint);
         }
--- a/crates/emulator/src/digest.rs
+++ b/crates/emulator/src/digest.rs
@@ -28,7 +28,7 @@
                 self.word(expires.to_bits());
             }
             Command::CancelAttempt { request, attempt } => {
-                self.words(1, [(*request).into(), (*attempt).into(), 0])
+                self.words(1, [(*request).into(), (*attempt).into(), 0]);
             }
             Command::Answer {
                 request, answer, ..
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -225,7 +225,7 @@
     fn handle_timer(&mut self, of: NodeIncarnation, tag: u64) {
         if self.nodes[of.node].incarnation == of.incarnation {
             self.drive(of.node, |engine, now, commands| {
-                engine.handle_timer(now, tag, commands)
+                engine.handle_timer(now, tag, commands);
             });
         }
     }
--- a/crates/node/src/net/client/io.rs
+++ b/crates/node/src/net/client/io.rs
@@ -76,7 +76,7 @@
             ready!(self.stream.poll_read_ready(cx))?;
             match self.stream.try_read_buf(self.gate.read_buffer()) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    self.client.last_disconnect_check.set(Instant::now())
+                    self.client.last_disconnect_check.set(Instant::now());
                 }
                 read => {
                     self.record_read(&read);
@@ -142,7 +142,7 @@
             ready!(self.stream.poll_read_ready(cx))?;
             match self.stream.try_read(&mut scratch) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    self.client.last_disconnect_check.set(Instant::now())
+                    self.client.last_disconnect_check.set(Instant::now());
                 }
                 read => {
                     if is_disconnect(&read) {
--- a/crates/node/src/net/front/admission.rs
+++ b/crates/node/src/net/front/admission.rs
@@ -90,7 +90,10 @@
     let mut hosts = head.headers.get_all(header::HOST).iter();
     let target = target::read(target::Said {
         scheme: head.uri.scheme_str(),
-        authority: head.uri.authority().map(|authority| authority.as_str()),
+        authority: head
+            .uri
+            .authority()
+            .map(hyper::http::uri::Authority::as_str),
         path: head.uri.path(),
         host: hosts.next().map(HeaderValue::as_bytes),
         more_hosts: hosts.next().is_some(),
--- a/crates/node/src/net/front/shutdown.rs
+++ b/crates/node/src/net/front/shutdown.rs
@@ -32,18 +32,20 @@
 
 impl Shutdown {
     fn step(&self, now: Instant, handover: Option<&dyn HandoverState>) -> ShutdownStep {
-        let shares_listeners = handover.is_some_and(|state| state.shares_listeners());
+        let shares_listeners =
+            handover.is_some_and(super::handover::HandoverState::shares_listeners);
         let accept_until = self.begins_at + ACCEPT_GRACE;
         let await_successor_until = self.ends_at - FINAL_DRAIN_TIME;
-        let (until, is_draining) = if handover.is_some_and(|state| state.hands_over()) {
-            (self.ends_at, false)
-        } else if shares_listeners && now < await_successor_until {
-            (await_successor_until, false)
-        } else if !shares_listeners && now < accept_until {
-            (accept_until, false)
-        } else {
-            (self.ends_at, true)
-        };
+        let (until, is_draining) =
+            if handover.is_some_and(super::handover::HandoverState::hands_over) {
+                (self.ends_at, false)
+            } else if shares_listeners && now < await_successor_until {
+                (await_successor_until, false)
+            } else if !shares_listeners && now < accept_until {
+                (accept_until, false)
+            } else {
+                (self.ends_at, true)
+            };
         ShutdownStep { until, is_draining }
     }
 }
@@ -66,7 +68,8 @@
         loop {
             let now = Instant::now();
             let handover = handover.as_deref();
-            let shares_listeners = handover.is_some_and(|state| state.shares_listeners());
+            let shares_listeners =
+                handover.is_some_and(super::handover::HandoverState::shares_listeners);
             let step = shutdown.step(now, handover);
             // Clients that are handed over to a successor need not connect again.
             self.is_stopping.set(!shares_listeners || step.is_draining);
--- a/crates/node/src/net/pool/commands.rs
+++ b/crates/node/src/net/pool/commands.rs
@@ -178,7 +178,7 @@
         let answer = answer.map(Box::new);
         self.report_outcome(request, attempt, outcome);
         self.dispatch(|engine, now, commands| {
-            engine.end_attempt(now, request, attempt, outcome, answer, commands)
+            engine.end_attempt(now, request, attempt, outcome, answer, commands);
         });
     }
 }
--- a/crates/node/src/net/registry/driver.rs
+++ b/crates/node/src/net/registry/driver.rs
@@ -133,7 +133,7 @@
             };
             match command {
                 Command::Connect(address) => {
-                    self.connection = Connection::Connecting(Box::pin(TcpStream::connect(address)))
+                    self.connection = Connection::Connecting(Box::pin(TcpStream::connect(address)));
                 }
                 Command::Send(bytes) => self.write_buffer.extend_from_slice(&bytes),
                 Command::Close => {
--- a/crates/node/src/net/registry/following.rs
+++ b/crates/node/src/net/registry/following.rs
@@ -133,13 +133,13 @@
         let (log, path) = (&self.pool.shared.log, &self.path);
         match report {
             Report::InvalidEntry(child, fault) => {
-                log.write_line(format_args!("registry {path}/{child}: {fault}"))
+                log.write_line(format_args!("registry {path}/{child}: {fault}"));
             }
             Report::TooManyEntries(max_entries) => log.write_line(format_args!(
                 "registry {path}: more than {max_entries} entries"
             )),
             Report::PathMissing => {
-                log.write_line(format_args!("registry {path}: the path does not exist"))
+                log.write_line(format_args!("registry {path}: the path does not exist"));
             }
             Report::AccessDenied => log.write_line(format_args!(
                 "registry {path}: this session has no permission to read it"
@@ -148,7 +148,7 @@
                 "registry {path}: no update received for {age} s"
             )),
             Report::UpToDate => {
-                log.write_line(format_args!("registry {path}: updates are received again"))
+                log.write_line(format_args!("registry {path}: updates are received again"));
             }
         }
     }
--- a/crates/node/src/net/service/sources.rs
+++ b/crates/node/src/net/service/sources.rs
@@ -42,7 +42,7 @@
             while self.list.changed().await.is_ok() {
                 apply_list(&pool, &self.list.borrow_and_update());
             }
-            std::future::pending().await
+            std::future::pending::<()>().await;
         }
     }
 }
--- a/crates/node/src/net/source.rs
+++ b/crates/node/src/net/source.rs
@@ -44,5 +44,5 @@
         list_received.await;
     }
     pool.is_ready.set(true);
-    std::future::pending().await
+    std::future::pending::<()>().await;
 }
--- a/crates/node/src/net/takeover.rs
+++ b/crates/node/src/net/takeover.rs
@@ -107,7 +107,7 @@
             }
             self.handle_predecessor_gone();
         }
-        std::future::pending().await
+        std::future::pending::<()>().await;
     }
 
     fn handle_predecessor_gone(&self) {
