--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -23,7 +23,7 @@
 
 use crate::model::{Fault, Faults, Located, Model, Origin, Process};
 use reelfall_balancer::interface as core;
-use reelfall_routing::limits::Totals;
+use reelfall_routing::limits::ProcessResources;
 use std::collections::hash_map::{Entry, HashMap};
 use std::net::SocketAddr;
 
@@ -175,7 +175,7 @@
     /// Maximum number of client connections.
     max_clients: usize,
     /// What all services together may use.
-    totals: Totals,
+    totals: ProcessResources,
 }
 
 /// Checks the settings of the process, and derives its capacity.
@@ -213,7 +213,7 @@
     );
     ProcessCapacity {
         max_clients,
-        totals: Totals {
+        totals: ProcessResources {
             // Clients beyond that can stay connected without a request.
             open: max_clients.min(connections) as u64,
             connections: connections as u64,
--- a/crates/config/src/check/graphql.rs
+++ b/crates/config/src/check/graphql.rs
@@ -67,7 +67,7 @@
         other_mutation: class_id(&ids, &graphql.other_mutation)?,
     };
     let info = |class: &Located<Class>| ClassInfo {
-        safe: class.retry_safety == RetrySafety::Idempotent,
+        is_idempotent: class.retry_safety == RetrySafety::Idempotent,
         deadline: class.deadline,
     };
     let classes = service.classes.iter().map(info).collect();
--- a/crates/config/src/check/plan.rs
+++ b/crates/config/src/check/plan.rs
@@ -3,8 +3,8 @@
 use crate::model::{AttemptLimits, Class, Model, Origin, RetrySafety, Service, SlowStart};
 use reelfall_balancer::interface as core;
 use reelfall_balancer::settings::{ConnectionSettings, NameRegistry};
-use reelfall_routing::limits::Totals;
-use reelfall_routing::table::{Match, Query, Table};
+use reelfall_routing::limits::ProcessResources;
+use reelfall_routing::table::{RouteConditions, RouteQuery, RouteTable};
 
 /// Where a route leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,13 +21,13 @@
     /// The content of the file.
     pub model: Model,
     /// The route table.
-    pub table: Table,
+    pub table: RouteTable,
     /// Where each route leads, by its index in the table; the routes of a service are consecutive, in its order.
     pub goals: Vec<RouteTarget>,
     /// What each route matches, by its index in the table.
-    pub matches: Vec<Match>,
+    pub matches: Vec<RouteConditions>,
     /// What all services together may use.
-    pub totals: Totals,
+    pub totals: ProcessResources,
     /// Maximum number of client connections.
     pub clients: usize,
 }
@@ -88,10 +88,10 @@
     }
 
     /// All routes that match a request, in descending order of precedence.
-    pub fn candidates(&self, query: &Query) -> Vec<usize> {
-        let rank = |route: &usize| self.matches.get(*route).map(Match::rank);
+    pub fn candidates(&self, query: &RouteQuery) -> Vec<usize> {
+        let rank = |route: &usize| self.matches.get(*route).map(RouteConditions::rank);
         let mut candidates: Vec<usize> = (0..self.matches.len())
-            .filter(|route| self.matches.get(*route).is_some_and(|m| m.fits(query)))
+            .filter(|route| self.matches.get(*route).is_some_and(|m| m.matches(query)))
             .collect();
         candidates.sort_by_key(|route| std::cmp::Reverse(rank(route)));
         candidates
--- a/crates/config/src/check/routes.rs
+++ b/crates/config/src/check/routes.rs
@@ -4,17 +4,17 @@
 use super::{indices, Checker, METHODS, ROUTES_MOST};
 use crate::model::{Located, Model, Origin, Route, Service};
 use reelfall_balancer::interface as core;
-use reelfall_routing::table::{AmbiguousRoutes, ListenerId, Match, Table};
+use reelfall_routing::table::{AmbiguousRoutes, ListenerId, RouteConditions, RouteTable};
 use std::collections::{HashMap, HashSet};
 
 /// The routes of a model, by their index over all services.
 pub(super) struct Routes {
     /// The table; `None` if the model has faults.
-    pub(super) table: Option<Table>,
+    pub(super) table: Option<RouteTable>,
     /// Where each route leads.
     pub(super) targets: Vec<RouteTarget>,
     /// What each route matches.
-    pub(super) matches: Vec<Match>,
+    pub(super) matches: Vec<RouteConditions>,
 }
 
 /// Checks all routes. The table is made only if there are no faults so far.
@@ -37,7 +37,7 @@
             checker.require(!is_reserved, &route.origin, || {
                 "`/_health` is the node's own".to_owned()
             });
-            matches.push(Match {
+            matches.push(RouteConditions {
                 listener,
                 host: route.host.clone(),
                 path: route.path.clone(),
@@ -87,11 +87,15 @@
 }
 
 /// The route table, unless there are faults or two routes are ambiguous.
-fn table(checker: &mut Checker, matches: &[Match], origins: &[&Origin]) -> Option<Table> {
+fn table(
+    checker: &mut Checker,
+    matches: &[RouteConditions],
+    origins: &[&Origin],
+) -> Option<RouteTable> {
     if !checker.faults.is_empty() {
         return None;
     }
-    match Table::new(matches) {
+    match RouteTable::new(matches) {
         Ok(table) => Some(table),
         Err(AmbiguousRoutes { first, second }) => {
             if let (Some(first), Some(second)) = (origins.get(first), origins.get(second)) {
--- a/crates/config/src/check/services.rs
+++ b/crates/config/src/check/services.rs
@@ -5,7 +5,7 @@
 use super::{Checker, MAX_CLASSES, MAX_DEADLINE, MAX_TENANTS, SERVICES_MOST};
 use crate::model::{Class, Located, Model, Origin, Service, Source};
 use reelfall_routing::budget::Quota;
-use reelfall_routing::limits::{Kind, Limits, Totals};
+use reelfall_routing::limits::{Limits, ProcessResources, Resource};
 use reelfall_routing::shared_servers;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -159,7 +159,7 @@
 }
 
 /// Checks the limits of each service, and the reservations of all services together.
-pub(super) fn limits(checker: &mut Checker, model: &Model, totals: Totals) {
+pub(super) fn limits(checker: &mut Checker, model: &Model, totals: ProcessResources) {
     for service in &model.services {
         let limits = &service.limits;
         // Limits that are not in the file have no line of their own.
@@ -169,9 +169,9 @@
             &limits.origin
         };
         for (kind, quota) in [
-            (Kind::Open, limits.open),
-            (Kind::Connections, limits.connections),
-            (Kind::Memory, limits.memory),
+            (Resource::Open, limits.open),
+            (Resource::Connections, limits.connections),
+            (Resource::Memory, limits.memory),
         ] {
             self::quota(checker, origin, &service.name, kind, quota);
         }
@@ -188,7 +188,7 @@
 }
 
 /// Checks the quota that a service has of one resource.
-fn quota(checker: &mut Checker, origin: &Origin, service: &str, kind: Kind, quota: Quota) {
+fn quota(checker: &mut Checker, origin: &Origin, service: &str, kind: Resource, quota: Quota) {
     checker.require(quota.reserved <= quota.max, origin, || {
         format!(
             "service `{service}`: {kind}: {} are reserved, but it may have {}",
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -8,7 +8,7 @@
 pub use origin::{Fault, Faults, Located, Origin};
 
 use reelfall_balancer::interface::{ServerState, Time};
-use reelfall_routing::limits::Allowed;
+use reelfall_routing::limits::ServiceLimits;
 use reelfall_routing::table::Host;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -181,7 +181,7 @@
     /// The source of its list of servers.
     pub source: Source,
     /// Its share of requests, connections and memory, and its request rate.
-    pub limits: Located<Allowed>,
+    pub limits: Located<ServiceLimits>,
     /// GraphQL settings, if it is a GraphQL service.
     pub graphql: Option<Located<GraphQl>>,
     /// Limits of attempts and of connections to servers.
--- a/crates/config/src/reader/mapping.rs
+++ b/crates/config/src/reader/mapping.rs
@@ -17,7 +17,7 @@
 use reelfall_balancer::interface::{ServerState, Time};
 use reelfall_registry_client::follow::{self, Identity, StalePolicy};
 use reelfall_routing::budget::Quota;
-use reelfall_routing::limits::Allowed;
+use reelfall_routing::limits::ServiceLimits;
 use reelfall_routing::rate::RateLimit;
 use reelfall_routing::table;
 use thiserror::Error;
@@ -71,7 +71,7 @@
         limits: match table.limits {
             Some(limits) => lines.located(limits, |_, table| allowed(table)),
             None => Located {
-                value: Allowed::OPEN,
+                value: ServiceLimits::UNLIMITED,
                 origin: lines.file(),
             },
         },
@@ -252,7 +252,7 @@
     }
 }
 
-fn allowed(table: LimitsTable) -> Allowed {
+fn allowed(table: LimitsTable) -> ServiceLimits {
     let weight = table.weight.unwrap_or(1);
     let quota = |reserved: Option<u64>, max: Option<u64>| Quota {
         reserved: reserved.unwrap_or(0),
@@ -261,7 +261,7 @@
     };
     let kib = |size: Option<SizeText>| size.map(|size| size.0 / 1024);
     let burst = table.burst;
-    Allowed {
+    ServiceLimits {
         open: quota(table.open_reserved, table.open),
         connections: quota(table.connections_reserved, table.connections),
         memory: quota(kib(table.memory_reserved), kib(table.memory)),
--- a/crates/config/src/reader/values.rs
+++ b/crates/config/src/reader/values.rs
@@ -134,13 +134,13 @@
     HostFormat,
     table::Host,
     "write a host, or `*.` before one, as a text",
-    |text| table::Host::read(text).map_err(|error| ValueError::pattern(text, error))
+    |text| table::Host::parse(text).map_err(|error| ValueError::pattern(text, error))
 );
 value_format!(
     PathFormat,
     Box<str>,
     "write a path prefix as a text",
-    |text| table::prefix(text).map_err(|error| ValueError::pattern(text, error))
+    |text| table::parse_prefix(text).map_err(|error| ValueError::pattern(text, error))
 );
 
 pub(super) type TimeText = Parsed<Time, TimeFormat>;
--- a/crates/config/tests/corpus.rs
+++ b/crates/config/tests/corpus.rs
@@ -422,14 +422,14 @@
     let text = include_str!("../../../deploy/examples/services.toml");
     let plan = check(reader::toml("services.toml", text).unwrap()).unwrap();
     let service = |host, path, method| {
-        let q = reelfall_routing::table::Query {
+        let q = reelfall_routing::table::RouteQuery {
             listener: 0,
             host,
             path,
             method,
             class: None,
         };
-        let route = plan.table.get(&q);
+        let route = plan.table.find(&q);
         assert_eq!(
             plan.candidates(&q).first().copied(),
             route,
--- a/crates/graphql/src/answer.rs
+++ b/crates/graphql/src/answer.rs
@@ -2,9 +2,9 @@
 //!
 //! Source: GraphQL, October 2021, section 7.
 
-use crate::batch::Fate;
+use crate::batch::EntryResult;
 use crate::document::Operation;
-use crate::Fault;
+use crate::GraphQlError;
 use serde::de::{IgnoredAny, MapAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
@@ -14,16 +14,16 @@
 
 /// Why the body of a server's response is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum BadAnswer {
+pub enum InvalidResponse {
     /// It is no JSON, or incomplete.
     #[error("the answer is no JSON")]
-    NoJson,
+    NotJson,
     /// It is JSON, but no GraphQL response.
     #[error("the answer has neither data nor errors")]
-    NoAnswer,
+    NotGraphQl,
     /// It has data of other fields, so it belongs to another operation.
     #[error("the answer is to another operation")]
-    Another,
+    OtherOperation,
 }
 
 /// The keys of a response that are validated.
@@ -65,17 +65,19 @@
 ///
 /// # Errors
 /// Why it is invalid. In any case the operation may have run.
-pub fn check(body: &[u8], operation: &Operation) -> Result<(), BadAnswer> {
-    let raw: &RawValue = serde_json::from_slice(body).map_err(|_| BadAnswer::NoJson)?;
+pub fn check(body: &[u8], operation: &Operation) -> Result<(), InvalidResponse> {
+    let raw: &RawValue = serde_json::from_slice(body).map_err(|_| InvalidResponse::NotJson)?;
     if !raw.get().starts_with('{') {
-        return Err(BadAnswer::NoAnswer);
+        return Err(InvalidResponse::NotGraphQl);
     }
     let response: ResponseShape =
-        serde_json::from_str(raw.get()).map_err(|_| BadAnswer::NoAnswer)?;
+        serde_json::from_str(raw.get()).map_err(|_| InvalidResponse::NotGraphQl)?;
     match response.data {
-        None if response.errors.as_ref().is_none_or(Vec::is_empty) => Err(BadAnswer::NoAnswer),
+        None if response.errors.as_ref().is_none_or(Vec::is_empty) => {
+            Err(InvalidResponse::NotGraphQl)
+        }
         Some(Keys(keys)) if keys.iter().any(|key| !has_root(operation, key)) => {
-            Err(BadAnswer::Another)
+            Err(InvalidResponse::OtherOperation)
         }
         _ => Ok(()),
     }
@@ -86,10 +88,10 @@
 }
 
 /// The body of the response to an invalid request.
-pub fn fault(fault: &Fault) -> Value {
+pub fn error_response(fault: &GraphQlError) -> Value {
     let mut error =
-        json!({ "message": fault.mistake, "extensions": { "code": fault.kind.code() } });
-    if let (Some(location), Some(error)) = (fault.at, error.as_object_mut()) {
+        json!({ "message": fault.message, "extensions": { "code": fault.kind.code() } });
+    if let (Some(location), Some(error)) = (fault.location, error.as_object_mut()) {
         error.insert(
             "locations".to_owned(),
             json!([{ "line": location.line, "column": location.column }]),
@@ -100,10 +102,10 @@
 
 /// The response to an entry without one of a server; `None` if a server responded. Only an entry that never ran is
 /// `retryable`.
-pub fn made<A>(fate: &Fate<A>) -> Option<Value> {
+pub fn entry_response<A>(fate: &EntryResult<A>) -> Option<Value> {
     let (message, extensions) = match fate {
-        Fate::Answered(_) => return None,
-        Fate::Refused(retry_after) => {
+        EntryResult::Answered(_) => return None,
+        EntryResult::Rejected(retry_after) => {
             let mut extensions = json!({ "code": "REFUSED", "retryable": true });
             if let (Some(seconds), Some(extensions)) = (retry_after, extensions.as_object_mut()) {
                 extensions.insert(
@@ -113,8 +115,8 @@
             }
             ("refused; nothing has run", extensions)
         }
-        Fate::NeverRan => ("not run", json!({ "code": "NOT_RUN", "retryable": true })),
-        Fate::Failed => (
+        EntryResult::NeverRan => ("not run", json!({ "code": "NOT_RUN", "retryable": true })),
+        EntryResult::Failed => (
             "failed; it may have run",
             json!({ "code": "FAILED", "retryable": false }),
         ),
@@ -124,14 +126,16 @@
 
 /// The response to a batch, in the order of the entries. Responses of servers are JSON texts; each is dropped once it is
 /// copied, to bound memory.
-pub fn merge<A: AsRef<[u8]>>(fates: Vec<Fate<A>>) -> Vec<u8> {
+pub fn merge<A: AsRef<[u8]>>(fates: Vec<EntryResult<A>>) -> Vec<u8> {
     let mut merged = b"[".to_vec();
     for (index, fate) in fates.into_iter().enumerate() {
         if index > 0 {
             merged.push(b',');
         }
-        match (&fate, made(&fate)) {
-            (Fate::Answered(text), _) => merged.extend_from_slice(text.as_ref().trim_ascii()),
+        match (&fate, entry_response(&fate)) {
+            (EntryResult::Answered(text), _) => {
+                merged.extend_from_slice(text.as_ref().trim_ascii())
+            }
             (_, Some(made)) => merged.extend_from_slice(made.to_string().as_bytes()),
             (_, None) => merged.extend_from_slice(b"null"),
         }
--- a/crates/graphql/src/batch.rs
+++ b/crates/graphql/src/batch.rs
@@ -11,15 +11,15 @@
 //! the batch, which is at its deadline or when its client disconnects.
 
 /// The index of an entry in its batch.
-pub type Entry = usize;
+pub type EntryIndex = usize;
 
 /// The result of an entry.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fate<A> {
+pub enum EntryResult<A> {
     /// A server responded.
     Answered(A),
     /// It was rejected and certainly did not run. It may be retried after this time, in seconds.
-    Refused(Option<f64>),
+    Rejected(Option<f64>),
     /// It failed, and may have run.
     Failed,
     /// It never ran, and never will.
@@ -30,7 +30,7 @@
 enum State<A> {
     Waiting,
     Running,
-    Done(Fate<A>),
+    Done(EntryResult<A>),
 }
 
 #[derive(Clone, Debug)]
@@ -68,7 +68,7 @@
     }
 
     /// Starts the entries that may run now, and returns them in their order.
-    pub fn start(&mut self) -> Vec<Entry> {
+    pub fn start_ready(&mut self) -> Vec<EntryIndex> {
         if self.has_ended {
             return Vec::new();
         }
@@ -99,7 +99,7 @@
     }
 
     /// Sets the result of an entry that is running; for any other entry, it does nothing.
-    pub fn done(&mut self, entry: Entry, fate: Fate<A>) {
+    pub fn finish(&mut self, entry: EntryIndex, fate: EntryResult<A>) {
         let Some(entry) = self.entries.get_mut(entry) else {
             return;
         };
@@ -114,26 +114,26 @@
     }
 
     /// Whether all entries are done.
-    pub fn complete(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.entries
             .iter()
             .all(|entry| matches!(entry.state, State::Done(_)))
     }
 
     /// The results in the order of the entries. One that is still running may have run; one that waits never will.
-    pub fn fates(self) -> Vec<Fate<A>> {
+    pub fn into_results(self) -> Vec<EntryResult<A>> {
         let fate = |entry: EntryState<A>| match entry.state {
             State::Done(fate) => fate,
-            State::Running => Fate::Failed,
-            State::Waiting => Fate::NeverRan,
+            State::Running => EntryResult::Failed,
+            State::Waiting => EntryResult::NeverRan,
         };
         self.entries.into_iter().map(fate).collect()
     }
 }
 
 /// Whether the response to a batch may be a rejection as a whole: only if no entry has run.
-pub fn refusable<A>(fates: &[Fate<A>]) -> bool {
+pub fn can_be_rejected<A>(fates: &[EntryResult<A>]) -> bool {
     fates
         .iter()
-        .all(|fate| matches!(fate, Fate::Refused(_) | Fate::NeverRan))
+        .all(|fate| matches!(fate, EntryResult::Rejected(_) | EntryResult::NeverRan))
 }
--- a/crates/graphql/src/class.rs
+++ b/crates/graphql/src/class.rs
@@ -1,6 +1,6 @@
 //! The class of an operation: the strictest one of its root fields.
 
-use crate::document::{Kind, Operation};
+use crate::document::{Operation, OperationKind};
 use std::collections::HashMap;
 use thiserror::Error;
 
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassInfo {
     /// Whether its requests may be retried.
-    pub safe: bool,
+    pub is_idempotent: bool,
     /// The time after which a request fails, in seconds.
     pub deadline: f64,
 }
@@ -66,28 +66,30 @@
             info(*class)?;
         }
         for (field, class) in &mapping.mutation {
-            if info(*class)?.safe {
+            if info(*class)?.is_idempotent {
                 return Err(MappingError::SafeMutation(field.clone()));
             }
         }
-        if info(mapping.other_mutation)?.safe {
+        if info(mapping.other_mutation)?.is_idempotent {
             return Err(MappingError::SafeDefault);
         }
         Ok(Classes { mapping, infos })
     }
 
     /// The class of an operation. If it has no root fields, it is the class of fields that are not mapped.
-    pub fn of(&self, operation: &Operation) -> ClassId {
+    pub fn class_of(&self, operation: &Operation) -> ClassId {
         let (fields, other) = match operation.kind {
-            Kind::Query => (&self.mapping.query, self.mapping.other_query),
-            Kind::Mutation => (&self.mapping.mutation, self.mapping.other_mutation),
+            OperationKind::Query => (&self.mapping.query, self.mapping.other_query),
+            OperationKind::Mutation => (&self.mapping.mutation, self.mapping.other_mutation),
         };
         // Introspection is no reason for a stricter class.
         let is_introspection = |field: &str| matches!(field, "__typename" | "__schema" | "__type");
         operation
             .roots
             .iter()
-            .filter(|root| operation.kind == Kind::Mutation || !is_introspection(&root.field))
+            .filter(|root| {
+                operation.kind == OperationKind::Mutation || !is_introspection(&root.field)
+            })
             .map(|root| fields.get(&root.field).copied().unwrap_or(other))
             .reduce(|first, second| self.stricter(first, second))
             .unwrap_or(other)
@@ -97,7 +99,7 @@
     fn stricter(&self, first: ClassId, second: ClassId) -> ClassId {
         let rank = |class: ClassId| {
             let info = self.infos.get(usize::from(class))?;
-            Some((info.safe, info.deadline))
+            Some((info.is_idempotent, info.deadline))
         };
         match (rank(first), rank(second)) {
             (Some(first_rank), Some(second_rank)) if second_rank < first_rank => second,
@@ -106,11 +108,11 @@
     }
 
     /// Whether an operation may be retried.
-    pub fn safe(&self, operation: &Operation) -> bool {
-        operation.kind == Kind::Query
+    pub fn is_idempotent(&self, operation: &Operation) -> bool {
+        operation.kind == OperationKind::Query
             && self
                 .infos
-                .get(usize::from(self.of(operation)))
-                .is_some_and(|info| info.safe)
+                .get(usize::from(self.class_of(operation)))
+                .is_some_and(|info| info.is_idempotent)
     }
 }
--- a/crates/graphql/src/decode.rs
+++ b/crates/graphql/src/decode.rs
@@ -8,7 +8,7 @@
 
 mod strict_json;
 
-use crate::{Fault, FaultKind, Limits};
+use crate::{GraphQlError, GraphQlErrorKind, Limits};
 use serde_json::value::RawValue;
 use serde_json::{Map, Value};
 
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     /// If it is invalid.
-    pub fn persisted(&self) -> Result<Option<[u8; 32]>, Fault> {
+    pub fn persisted_hash(&self) -> Result<Option<[u8; 32]>, GraphQlError> {
         let Some(persisted) = self.extensions.get("persistedQuery") else {
             return Ok(None);
         };
@@ -66,9 +66,9 @@
 
 /// The content of a POST.
 #[derive(Clone, Debug)]
-pub enum Asked<'a> {
+pub enum DecodedRequest<'a> {
     /// One request.
-    One(Params),
+    Single(Params),
     /// Several requests, each with its JSON text.
     Batch(Vec<(Params, &'a str)>),
 }
@@ -77,7 +77,7 @@
 ///
 /// # Errors
 /// If it is no valid request, or a batch over its limit.
-pub fn body<'a>(body: &'a [u8], limits: &Limits) -> Result<Asked<'a>, Fault> {
+pub fn parse_body<'a>(body: &'a [u8], limits: &Limits) -> Result<DecodedRequest<'a>, GraphQlError> {
     let text =
         std::str::from_utf8(body).map_err(|_| bad_request("the body is not text in UTF-8"))?;
     if text.starts_with('\u{feff}') {
@@ -89,32 +89,32 @@
         .first();
     match first {
         Some(b'[') => batch(text, limits),
-        Some(b'{') => params(text).map(Asked::One),
+        Some(b'{') => parse_params(text).map(DecodedRequest::Single),
         _ => Err(bad_request("the body is no JSON object")),
     }
 }
 
-fn batch<'a>(text: &'a str, limits: &Limits) -> Result<Asked<'a>, Fault> {
+fn batch<'a>(text: &'a str, limits: &Limits) -> Result<DecodedRequest<'a>, GraphQlError> {
     let entries: Vec<&RawValue> =
         serde_json::from_str(text).map_err(|error| invalid_json(&error))?;
     if entries.is_empty() {
         return Err(bad_request("an empty batch"));
     }
     if entries.len() > limits.batch {
-        return Err(Fault::limit("requests in a batch", limits.batch));
+        return Err(GraphQlError::limit("requests in a batch", limits.batch));
     }
     entries
         .into_iter()
-        .map(|entry| Ok((params(entry.get())?, entry.get())))
-        .collect::<Result<_, Fault>>()
-        .map(Asked::Batch)
+        .map(|entry| Ok((parse_params(entry.get())?, entry.get())))
+        .collect::<Result<_, GraphQlError>>()
+        .map(DecodedRequest::Batch)
 }
 
 /// Decodes the query of a GET.
 ///
 /// # Errors
 /// If it is no valid request.
-pub fn query(query: &str) -> Result<Params, Fault> {
+pub fn parse_query(query: &str) -> Result<Params, GraphQlError> {
     let mut object = Map::new();
     for (name, value) in form_urlencoded::parse(query.as_bytes()) {
         if value.contains('\u{fffd}') {
@@ -141,7 +141,7 @@
 const KEYS: [&str; 4] = ["query", "operationName", "variables", "extensions"];
 
 /// Rejects a name that differs from a key only by its case.
-fn check_case(name: &str) -> Result<(), Fault> {
+fn check_case(name: &str) -> Result<(), GraphQlError> {
     let similar = KEYS
         .iter()
         .find(|key| key.eq_ignore_ascii_case(name) && **key != name);
@@ -151,11 +151,11 @@
     }
 }
 
-fn bad_request(message: impl Into<String>) -> Fault {
-    Fault::new(FaultKind::Request, message)
+fn bad_request(message: impl Into<String>) -> GraphQlError {
+    GraphQlError::new(GraphQlErrorKind::Request, message)
 }
 
-fn invalid_json(error: &serde_json::Error) -> Fault {
+fn invalid_json(error: &serde_json::Error) -> GraphQlError {
     bad_request(format!("the body is no JSON: {error}"))
 }
 
@@ -163,7 +163,7 @@
 ///
 /// # Errors
 /// If it is no valid request.
-pub fn params(text: &str) -> Result<Params, Fault> {
+pub fn parse_params(text: &str) -> Result<Params, GraphQlError> {
     match parse_json(text)? {
         Value::Object(object) => {
             for name in object.keys() {
@@ -180,7 +180,7 @@
     }
 }
 
-fn from_object(mut object: Map<String, Value>) -> Result<Params, Fault> {
+fn from_object(mut object: Map<String, Value>) -> Result<Params, GraphQlError> {
     let mut text = |name: &str| match object.remove(name) {
         None | Some(Value::Null) => Ok(None),
         Some(Value::String(text)) => Ok(Some(text)),
@@ -204,12 +204,12 @@
         variables,
         extensions,
     };
-    if params.query.is_none() && params.persisted()?.is_none() {
+    if params.query.is_none() && params.persisted_hash()?.is_none() {
         return Err(bad_request("no `query`"));
     }
     Ok(params)
 }
 
-fn parse_json(text: &str) -> Result<Value, Fault> {
+fn parse_json(text: &str) -> Result<Value, GraphQlError> {
     strict_json::parse(text).map_err(|error| invalid_json(&error))
 }
--- a/crates/graphql/src/document.rs
+++ b/crates/graphql/src/document.rs
@@ -15,7 +15,7 @@
 mod parse;
 mod tree;
 
-use crate::{Fault, FaultKind, Limits, Location};
+use crate::{GraphQlError, GraphQlErrorKind, Limits, Location};
 use collect::{Collector, CostCounter};
 use serde_json::{Map, Value};
 use std::collections::HashSet;
@@ -23,7 +23,7 @@
 
 /// The type of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum OperationKind {
     /// It reads.
     Query,
     /// It writes.
@@ -32,7 +32,7 @@
 
 /// A root field of an operation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Root {
+pub struct RootField {
     /// The name in the schema.
     pub field: String,
     /// The key in the response: the alias, if there is one.
@@ -43,11 +43,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Operation {
     /// The type.
-    pub kind: Kind,
+    pub kind: OperationKind,
     /// The name, if it has one.
     pub name: Option<String>,
     /// The root fields in their order, without those that are certainly skipped.
-    pub roots: Vec<Root>,
+    pub roots: Vec<RootField>,
     /// The number of fields at all depths; fragments count as often as they are used.
     pub cost: usize,
 }
@@ -56,21 +56,21 @@
 ///
 /// # Errors
 /// If the document can't be parsed, is invalid as far as that can be known without a schema, or exceeds a limit.
-pub fn operation(
+pub fn parse_operation(
     text: &str,
     name: Option<&str>,
     variables: &Map<String, Value>,
     limits: &Limits,
-) -> Result<Operation, Fault> {
+) -> Result<Operation, GraphQlError> {
     if text.len() > limits.document {
-        return Err(Fault::limit("bytes of a document", limits.document));
+        return Err(GraphQlError::limit("bytes of a document", limits.document));
     }
     check_characters(text)?;
     let document = parse::document(text, limits)?;
     let chosen = choose(text, &document.operations, name)?;
     let Some(kind) = chosen.kind else {
         return Err(fault_at(
-            FaultKind::Subscription,
+            GraphQlErrorKind::Subscription,
             "subscriptions are not served here",
             location(text, chosen.offset),
         ));
@@ -94,7 +94,7 @@
 /// Rejects characters that end a line, a text or a token for some parsers and not for others: a carriage return without
 /// line feed, control characters, a byte order mark. Otherwise an operation could hide in what one parser takes for a
 /// comment.
-fn check_characters(text: &str) -> Result<(), Fault> {
+fn check_characters(text: &str) -> Result<(), GraphQlError> {
     let mut characters = text.chars().peekable();
     while let Some(character) = characters.next() {
         let is_allowed = match character {
@@ -103,8 +103,8 @@
             _ => !character.is_control() && character != '\u{feff}',
         };
         if !is_allowed {
-            return Err(Fault::new(
-                FaultKind::Syntax,
+            return Err(GraphQlError::new(
+                GraphQlErrorKind::Syntax,
                 format!(
                     "the document holds U+{:04X}, which readers take differently",
                     character as u32
@@ -120,9 +120,9 @@
     text: &str,
     operations: &'a [OperationDefinition],
     name: Option<&str>,
-) -> Result<&'a OperationDefinition, Fault> {
+) -> Result<&'a OperationDefinition, GraphQlError> {
     check_names(text, operations)?;
-    let invalid = |message: String| Fault::new(FaultKind::Validation, message);
+    let invalid = |message: String| GraphQlError::new(GraphQlErrorKind::Validation, message);
     match (name, operations) {
         (_, []) => Err(invalid("the document has no operation".to_owned())),
         (None, [only]) => Ok(only),
@@ -137,7 +137,7 @@
 }
 
 /// Requires unique names, and a name for each of several operations.
-fn check_names(text: &str, operations: &[OperationDefinition]) -> Result<(), Fault> {
+fn check_names(text: &str, operations: &[OperationDefinition]) -> Result<(), GraphQlError> {
     let mut names = HashSet::new();
     for operation in operations {
         let message = match &operation.name {
@@ -146,16 +146,20 @@
             _ => continue,
         };
         let location = location(text, operation.offset);
-        return Err(fault_at(FaultKind::Validation, message, location));
+        return Err(fault_at(GraphQlErrorKind::Validation, message, location));
     }
     Ok(())
 }
 
-fn fault_at(kind: FaultKind, message: impl Into<String>, location: Location) -> Fault {
-    Fault {
+fn fault_at(
+    kind: GraphQlErrorKind,
+    message: impl Into<String>,
+    location: Location,
+) -> GraphQlError {
+    GraphQlError {
         kind,
-        mistake: message.into(),
-        at: Some(location),
+        message: message.into(),
+        location: Some(location),
     }
 }
 
--- a/crates/graphql/src/document/collect.rs
+++ b/crates/graphql/src/document/collect.rs
@@ -1,8 +1,8 @@
 //! The cost and the root fields of an operation.
 
 use super::tree::{Condition, Conditions, Fragments, Selection};
-use super::{fault_at, location, Root};
-use crate::{Fault, FaultKind, Limits};
+use super::{fault_at, location, RootField};
+use crate::{GraphQlError, GraphQlErrorKind, Limits};
 use serde_json::{Map, Value};
 use std::collections::{HashMap, HashSet};
 
@@ -28,12 +28,12 @@
     }
 
     /// The cost of an operation with these selections.
-    pub(super) fn cost(mut self, selections: &[Selection]) -> Result<usize, Fault> {
+    pub(super) fn cost(mut self, selections: &[Selection]) -> Result<usize, GraphQlError> {
         self.count(selections)?;
         Ok(self.cost)
     }
 
-    fn count(&mut self, selections: &[Selection]) -> Result<(), Fault> {
+    fn count(&mut self, selections: &[Selection]) -> Result<(), GraphQlError> {
         for selection in selections {
             match selection {
                 Selection::Field {
@@ -53,25 +53,28 @@
         Ok(())
     }
 
-    fn count_field(&mut self, has_alias: bool) -> Result<(), Fault> {
+    fn count_field(&mut self, has_alias: bool) -> Result<(), GraphQlError> {
         self.cost += 1;
         self.aliases += usize::from(has_alias);
         if self.cost > self.limits.cost {
-            return Err(Fault::limit(
+            return Err(GraphQlError::limit(
                 "cost: fields of an operation",
                 self.limits.cost,
             ));
         }
         if self.aliases > self.limits.aliases {
-            return Err(Fault::limit("aliases of an operation", self.limits.aliases));
+            return Err(GraphQlError::limit(
+                "aliases of an operation",
+                self.limits.aliases,
+            ));
         }
         Ok(())
     }
 
-    fn fragment(&self, name: &str, offset: usize) -> Result<&'a [Selection], Fault> {
+    fn fragment(&self, name: &str, offset: usize) -> Result<&'a [Selection], GraphQlError> {
         let selections = self.fragments.get(name).ok_or_else(|| {
             fault_at(
-                FaultKind::Validation,
+                GraphQlErrorKind::Validation,
                 format!("there is no fragment `{name}`"),
                 location(self.text, offset),
             )
@@ -95,7 +98,10 @@
 
 impl<'a> Collector<'a> {
     /// The root fields of an operation with these selections, in their order and without duplicates.
-    pub(super) fn root_fields(&self, selections: &'a [Selection]) -> Result<Vec<Root>, Fault> {
+    pub(super) fn root_fields(
+        &self,
+        selections: &'a [Selection],
+    ) -> Result<Vec<RootField>, GraphQlError> {
         let mut roots = Vec::new();
         self.collect(selections, &mut HashSet::new(), &mut roots)?;
         Ok(roots)
@@ -105,8 +111,8 @@
         &self,
         selections: &'a [Selection],
         visited: &mut HashSet<&'a str>,
-        roots: &mut Vec<Root>,
-    ) -> Result<(), Fault> {
+        roots: &mut Vec<RootField>,
+    ) -> Result<(), GraphQlError> {
         for selection in selections {
             if self.is_skipped(selection.conditions()) {
                 continue;
@@ -132,8 +138,13 @@
         Ok(())
     }
 
-    fn add_root(&self, roots: &mut Vec<Root>, field: &str, key: &str) -> Result<(), Fault> {
-        let root = Root {
+    fn add_root(
+        &self,
+        roots: &mut Vec<RootField>,
+        field: &str,
+        key: &str,
+    ) -> Result<(), GraphQlError> {
+        let root = RootField {
             field: field.to_owned(),
             key: key.to_owned(),
         };
@@ -141,7 +152,7 @@
             roots.push(root);
         }
         if roots.len() > self.max_root_fields {
-            return Err(Fault::limit(
+            return Err(GraphQlError::limit(
                 "root fields of an operation",
                 self.max_root_fields,
             ));
--- a/crates/graphql/src/document/cycles.rs
+++ b/crates/graphql/src/document/cycles.rs
@@ -3,11 +3,11 @@
 
 use super::tree::{Fragments, Selection};
 use super::{fault_at, location};
-use crate::{Fault, FaultKind};
+use crate::{GraphQlError, GraphQlErrorKind};
 use std::collections::HashSet;
 
 /// Checks all fragments of a document.
-pub(super) fn check(text: &str, fragments: &Fragments) -> Result<(), Fault> {
+pub(super) fn check(text: &str, fragments: &Fragments) -> Result<(), GraphQlError> {
     let mut search = CycleSearch {
         text,
         fragments,
@@ -33,7 +33,7 @@
 impl<'a> CycleSearch<'a> {
     /// Visits a fragment and all that it includes. The recursion is no deeper than there are fragments, which are
     /// limited.
-    fn visit(&mut self, name: &'a str, selections: &'a [Selection]) -> Result<(), Fault> {
+    fn visit(&mut self, name: &'a str, selections: &'a [Selection]) -> Result<(), GraphQlError> {
         if self.visited.contains(name) {
             return Ok(());
         }
@@ -53,10 +53,10 @@
         Ok(())
     }
 
-    fn follow(&mut self, name: &'a str, offset: usize) -> Result<(), Fault> {
+    fn follow(&mut self, name: &'a str, offset: usize) -> Result<(), GraphQlError> {
         if self.path.contains(&name) {
             return Err(fault_at(
-                FaultKind::Validation,
+                GraphQlErrorKind::Validation,
                 format!("fragment `{name}` leads back to itself"),
                 location(self.text, offset),
             ));
--- a/crates/graphql/src/document/parse.rs
+++ b/crates/graphql/src/document/parse.rs
@@ -2,14 +2,14 @@
 //! [`super::tree`]. No other module depends on that library.
 
 use super::tree::{Condition, Conditions, Document, Fragments, OperationDefinition, Selection};
-use super::{fault_at, location, Kind};
-use crate::{Fault, FaultKind, Limits};
+use super::{fault_at, location, OperationKind};
+use crate::{GraphQlError, GraphQlErrorKind, Limits};
 use apollo_parser::cst::{self, CstNode};
 use apollo_parser::{Parser, SyntaxTree};
 use std::collections::HashMap;
 
 /// Parses a document.
-pub(super) fn document(text: &str, limits: &Limits) -> Result<Document, Fault> {
+pub(super) fn document(text: &str, limits: &Limits) -> Result<Document, GraphQlError> {
     // The limits bound time and stack: 100,000 nested braces end at the first one beyond the limit.
     let parser = Parser::new(text)
         .recursion_limit(limits.depth)
@@ -27,12 +27,15 @@
             cst::Definition::FragmentDefinition(fragment) => {
                 converter.add_fragment(&mut document.fragments, fragment)?;
                 if document.fragments.len() > limits.fragments {
-                    return Err(Fault::limit("fragments of a document", limits.fragments));
+                    return Err(GraphQlError::limit(
+                        "fragments of a document",
+                        limits.fragments,
+                    ));
                 }
             }
             _ => {
                 return Err(converter.fault(
-                    FaultKind::Validation,
+                    GraphQlErrorKind::Validation,
                     "a document that is run holds operations and fragments only",
                     &definition,
                 ));
@@ -43,18 +46,18 @@
 }
 
 /// Reports a limit that the parser reached, or else its first syntax error.
-fn check_errors(text: &str, limits: &Limits, tree: &SyntaxTree) -> Result<(), Fault> {
+fn check_errors(text: &str, limits: &Limits, tree: &SyntaxTree) -> Result<(), GraphQlError> {
     if tree.errors().any(apollo_parser::Error::is_limit) {
         let is_over_tokens = tree.token_limit().high > limits.tokens;
         return Err(if is_over_tokens {
-            Fault::limit("tokens of a document", limits.tokens)
+            GraphQlError::limit("tokens of a document", limits.tokens)
         } else {
-            Fault::limit("depth of a document", limits.depth)
+            GraphQlError::limit("depth of a document", limits.depth)
         });
     }
     match tree.errors().next() {
         Some(error) => Err(fault_at(
-            FaultKind::Syntax,
+            GraphQlErrorKind::Syntax,
             format!("syntax error: {}", error.message()),
             location(text, error.index()),
         )),
@@ -64,7 +67,7 @@
 
 /// Rejects a line end in a string that is no block string, which the parser accepts against 2.9.4. A server that ends
 /// the string with its line would find another operation behind it.
-fn check_strings(text: &str, tree: &SyntaxTree) -> Result<(), Fault> {
+fn check_strings(text: &str, tree: &SyntaxTree) -> Result<(), GraphQlError> {
     let document = tree.document();
     let tokens = document.syntax().descendants_with_tokens();
     for token in tokens.filter_map(|element| element.into_token()) {
@@ -72,7 +75,7 @@
         let is_string = source.starts_with('"') && !source.starts_with("\"\"\"");
         if is_string && source.contains('\n') {
             return Err(fault_at(
-                FaultKind::Syntax,
+                GraphQlErrorKind::Syntax,
                 "a string runs past the end of its line",
                 location(text, token.text_range().start().into()),
             ));
@@ -92,7 +95,12 @@
 }
 
 impl Converter<'_> {
-    fn fault(&self, kind: FaultKind, message: impl Into<String>, node: &impl CstNode) -> Fault {
+    fn fault(
+        &self,
+        kind: GraphQlErrorKind,
+        message: impl Into<String>,
+        node: &impl CstNode,
+    ) -> GraphQlError {
         fault_at(kind, message, location(self.text, offset(node)))
     }
 
@@ -100,16 +108,22 @@
         &self,
         fragments: &mut Fragments,
         fragment: &cst::FragmentDefinition,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), GraphQlError> {
         let name = fragment
             .fragment_name()
             .and_then(|name| name.name())
             .map(|name| name.text().to_string())
-            .ok_or_else(|| self.fault(FaultKind::Syntax, "a fragment without a name", fragment))?;
+            .ok_or_else(|| {
+                self.fault(
+                    GraphQlErrorKind::Syntax,
+                    "a fragment without a name",
+                    fragment,
+                )
+            })?;
         let selections = self.selections(fragment.selection_set())?;
         if fragments.insert(name.clone(), selections).is_some() {
             let message = format!("two fragments are named `{name}`");
-            return Err(self.fault(FaultKind::Validation, message, fragment));
+            return Err(self.fault(GraphQlErrorKind::Validation, message, fragment));
         }
         Ok(())
     }
@@ -117,7 +131,7 @@
     fn operation(
         &self,
         operation: &cst::OperationDefinition,
-    ) -> Result<OperationDefinition, Fault> {
+    ) -> Result<OperationDefinition, GraphQlError> {
         Ok(OperationDefinition {
             kind: kind(operation.operation_type()),
             defaults: self.defaults(operation)?,
@@ -131,7 +145,7 @@
     fn defaults(
         &self,
         operation: &cst::OperationDefinition,
-    ) -> Result<HashMap<String, Option<bool>>, Fault> {
+    ) -> Result<HashMap<String, Option<bool>>, GraphQlError> {
         let mut defaults = HashMap::new();
         let definitions = operation.variable_definitions();
         for variable in definitions
@@ -147,21 +161,21 @@
             };
             if defaults.insert(name.text().to_string(), default).is_some() {
                 let message = format!("two variables are named `{}`", name.text());
-                return Err(self.fault(FaultKind::Validation, message, &variable));
+                return Err(self.fault(GraphQlErrorKind::Validation, message, &variable));
             }
         }
         Ok(defaults)
     }
 
-    fn selections(&self, set: Option<cst::SelectionSet>) -> Result<Vec<Selection>, Fault> {
+    fn selections(&self, set: Option<cst::SelectionSet>) -> Result<Vec<Selection>, GraphQlError> {
         set.iter()
             .flat_map(|set| set.selections())
             .map(|selection| self.selection(&selection))
             .collect()
     }
 
-    fn selection(&self, selection: &cst::Selection) -> Result<Selection, Fault> {
-        let unnamed = || self.fault(FaultKind::Syntax, "a name is missing", selection);
+    fn selection(&self, selection: &cst::Selection) -> Result<Selection, GraphQlError> {
+        let unnamed = || self.fault(GraphQlErrorKind::Syntax, "a name is missing", selection);
         Ok(match selection {
             cst::Selection::Field(field) => Selection::Field {
                 name: field.name().ok_or_else(unnamed)?.text().to_string(),
@@ -191,11 +205,11 @@
 }
 
 /// The type of an operation; the shorthand without a type is a query, and a subscription is `None`.
-fn kind(operation_type: Option<cst::OperationType>) -> Option<Kind> {
+fn kind(operation_type: Option<cst::OperationType>) -> Option<OperationKind> {
     match operation_type {
-        None => Some(Kind::Query),
-        Some(keyword) if keyword.query_token().is_some() => Some(Kind::Query),
-        Some(keyword) if keyword.mutation_token().is_some() => Some(Kind::Mutation),
+        None => Some(OperationKind::Query),
+        Some(keyword) if keyword.query_token().is_some() => Some(OperationKind::Query),
+        Some(keyword) if keyword.mutation_token().is_some() => Some(OperationKind::Mutation),
         Some(_) => None,
     }
 }
--- a/crates/graphql/src/document/tree.rs
+++ b/crates/graphql/src/document/tree.rs
@@ -3,7 +3,7 @@
 //! Offsets are bytes of the text. Only faults need the line and column of an offset, and counting them for every
 //! selection would take time that grows with the square of the document.
 
-use super::Kind;
+use super::OperationKind;
 use std::collections::HashMap;
 
 /// A document.
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub(super) struct OperationDefinition {
     /// The type; `None` for a subscription.
-    pub(super) kind: Option<Kind>,
+    pub(super) kind: Option<OperationKind>,
     pub(super) name: Option<String>,
     /// The defaults of its variables; `None` for one without a Boolean default.
     pub(super) defaults: HashMap<String, Option<bool>>,
--- a/crates/graphql/src/lib.rs
+++ b/crates/graphql/src/lib.rs
@@ -79,19 +79,19 @@
 
 /// Why a request is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{mistake}")]
-pub struct Fault {
+#[error("{message}")]
+pub struct GraphQlError {
     /// The kind of the error.
-    pub kind: FaultKind,
+    pub kind: GraphQlErrorKind,
     /// The description for the client.
-    pub mistake: String,
+    pub message: String,
     /// The position in the document, if it has one.
-    pub at: Option<Location>,
+    pub location: Option<Location>,
 }
 
 /// Kinds of errors, which determine status and code of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FaultKind {
+pub enum GraphQlErrorKind {
     /// It is no well-formed GraphQL over HTTP request, whatever the document.
     Request,
     /// The document can't be parsed.
@@ -112,37 +112,37 @@
     Subscription,
 }
 
-impl FaultKind {
+impl GraphQlErrorKind {
     /// The value of `extensions.code`.
     pub fn code(self) -> &'static str {
         match self {
-            FaultKind::Request => "BAD_REQUEST",
-            FaultKind::Syntax => "GRAPHQL_PARSE_FAILED",
-            FaultKind::Validation => "GRAPHQL_VALIDATION_FAILED",
-            FaultKind::Method => "METHOD_NOT_ALLOWED",
-            FaultKind::MediaType => "UNSUPPORTED_MEDIA_TYPE",
-            FaultKind::NotAcceptable => "NOT_ACCEPTABLE",
-            FaultKind::Limit => "LIMIT_EXCEEDED",
-            FaultKind::PersistedQueryNotFound => "PERSISTED_QUERY_NOT_FOUND",
-            FaultKind::Subscription => "SUBSCRIPTION_NOT_SUPPORTED",
+            GraphQlErrorKind::Request => "BAD_REQUEST",
+            GraphQlErrorKind::Syntax => "GRAPHQL_PARSE_FAILED",
+            GraphQlErrorKind::Validation => "GRAPHQL_VALIDATION_FAILED",
+            GraphQlErrorKind::Method => "METHOD_NOT_ALLOWED",
+            GraphQlErrorKind::MediaType => "UNSUPPORTED_MEDIA_TYPE",
+            GraphQlErrorKind::NotAcceptable => "NOT_ACCEPTABLE",
+            GraphQlErrorKind::Limit => "LIMIT_EXCEEDED",
+            GraphQlErrorKind::PersistedQueryNotFound => "PERSISTED_QUERY_NOT_FOUND",
+            GraphQlErrorKind::Subscription => "SUBSCRIPTION_NOT_SUPPORTED",
         }
     }
 }
 
-impl Fault {
+impl GraphQlError {
     /// A fault without a position.
-    pub fn new(kind: FaultKind, message: impl Into<String>) -> Fault {
-        Fault {
+    pub fn new(kind: GraphQlErrorKind, message: impl Into<String>) -> GraphQlError {
+        GraphQlError {
             kind,
-            mistake: message.into(),
-            at: None,
+            message: message.into(),
+            location: None,
         }
     }
 
     /// A fault for an exceeded limit.
-    pub fn limit(name: &str, max: usize) -> Fault {
-        Fault::new(
-            FaultKind::Limit,
+    pub fn limit(name: &str, max: usize) -> GraphQlError {
+        GraphQlError::new(
+            GraphQlErrorKind::Limit,
             format!("over the limit on {name}: {max} at most"),
         )
     }
--- a/crates/graphql/src/media.rs
+++ b/crates/graphql/src/media.rs
@@ -3,7 +3,7 @@
 //! Sources: GraphQL over HTTP, "Media Types", "Request" and "Response"; RFC 9110 section 12.5.1 (Accept) and 8.3
 //! (Content-Type).
 
-use crate::{Fault, FaultKind};
+use crate::{GraphQlError, GraphQlErrorKind};
 
 /// The media type of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,15 +28,15 @@
 ///
 /// # Errors
 /// If the client accepts neither type.
-pub fn negotiate(accept: Option<&str>) -> Result<Media, Fault> {
+pub fn negotiate(accept: Option<&str>) -> Result<Media, GraphQlError> {
     let Some(accept) = accept.filter(|accept| !accept.trim().is_empty()) else {
         return Ok(Media::Json);
     };
     let json = Preference::of("application/json", accept);
     let response = Preference::of("application/graphql-response+json", accept);
     if json.quality <= 0.0 && response.quality <= 0.0 {
-        return Err(Fault::new(
-            FaultKind::NotAcceptable,
+        return Err(GraphQlError::new(
+            GraphQlErrorKind::NotAcceptable,
             "answers are application/graphql-response+json or application/json, in UTF-8",
         ));
     }
@@ -119,8 +119,8 @@
 ///
 /// # Errors
 /// If it is not `application/json` in UTF-8.
-pub fn check_body(content_type: Option<&str>) -> Result<(), Fault> {
-    let fault = |mistake: &str| Err(Fault::new(FaultKind::MediaType, mistake));
+pub fn check_body(content_type: Option<&str>) -> Result<(), GraphQlError> {
+    let fault = |mistake: &str| Err(GraphQlError::new(GraphQlErrorKind::MediaType, mistake));
     let Some(content_type) = content_type else {
         return fault("no Content-Type: send application/json");
     };
@@ -143,14 +143,14 @@
 }
 
 /// The status of the response to an invalid request.
-pub fn status(media: Media, kind: FaultKind) -> u16 {
+pub fn status(media: Media, kind: GraphQlErrorKind) -> u16 {
     match (kind, media) {
-        (FaultKind::Method, _) => 405,
-        (FaultKind::MediaType, _) => 415,
-        (FaultKind::NotAcceptable, _) => 406,
-        (FaultKind::Request, _) => 400,
+        (GraphQlErrorKind::Method, _) => 405,
+        (GraphQlErrorKind::MediaType, _) => 415,
+        (GraphQlErrorKind::NotAcceptable, _) => 406,
+        (GraphQlErrorKind::Request, _) => 400,
         // By the protocol of persisted queries, clients then send the document, whatever the status. Caches store neither.
-        (FaultKind::PersistedQueryNotFound, _) => 200,
+        (GraphQlErrorKind::PersistedQueryNotFound, _) => 200,
         // GraphQL over HTTP: a server SHOULD use 200 for a well-formed request, even if there are errors.
         (_, Media::Json) => 200,
         (_, Media::Response) => 400,
--- a/crates/graphql/src/persisted.rs
+++ b/crates/graphql/src/persisted.rs
@@ -2,13 +2,13 @@
 //!
 //! A hash alone is resolved here or rejected, and never forwarded.
 
-use crate::{Fault, FaultKind, Limits};
+use crate::{GraphQlError, GraphQlErrorKind, Limits};
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
 /// A SHA-256 hash.
-pub type Hash = [u8; 32];
+pub type DocumentHash = [u8; 32];
 
 #[derive(Debug)]
 struct CachedDocument {
@@ -19,17 +19,17 @@
 
 /// The cache.
 #[derive(Debug, Default)]
-pub struct Persisted {
-    documents: HashMap<Hash, CachedDocument>,
+pub struct PersistedDocuments {
+    documents: HashMap<DocumentHash, CachedDocument>,
     /// The documents in the order of their last use.
-    by_last_use: BTreeMap<u64, Hash>,
+    by_last_use: BTreeMap<u64, DocumentHash>,
     /// Counts all uses.
     uses: u64,
     /// Length of all documents.
     bytes: usize,
 }
 
-impl Persisted {
+impl PersistedDocuments {
     /// An empty cache.
     pub fn new() -> Self {
         Self::default()
@@ -44,22 +44,29 @@
     ///
     /// # Errors
     /// If the hash is not that of the document, or is unknown.
-    pub fn resolve(&mut self, query: Option<&str>, hash: Option<Hash>) -> Result<Arc<str>, Fault> {
+    pub fn resolve(
+        &mut self,
+        query: Option<&str>,
+        hash: Option<DocumentHash>,
+    ) -> Result<Arc<str>, GraphQlError> {
         match (query, hash) {
             (Some(query), None) => Ok(query.into()),
-            (Some(query), Some(hash)) if hash == of(query) => Ok(query.into()),
-            (Some(_), Some(_)) => Err(Fault::new(
-                FaultKind::Request,
+            (Some(query), Some(hash)) if hash == hash_of(query) => Ok(query.into()),
+            (Some(_), Some(_)) => Err(GraphQlError::new(
+                GraphQlErrorKind::Request,
                 "provided sha does not match query",
             )),
             (None, Some(hash)) => self.get(&hash).ok_or_else(|| {
-                Fault::new(FaultKind::PersistedQueryNotFound, "PersistedQueryNotFound")
+                GraphQlError::new(
+                    GraphQlErrorKind::PersistedQueryNotFound,
+                    "PersistedQueryNotFound",
+                )
             }),
-            (None, None) => Err(Fault::new(FaultKind::Request, "no `query`")),
+            (None, None) => Err(GraphQlError::new(GraphQlErrorKind::Request, "no `query`")),
         }
     }
 
-    fn get(&mut self, hash: &Hash) -> Option<Arc<str>> {
+    fn get(&mut self, hash: &DocumentHash) -> Option<Arc<str>> {
         let cached = self.documents.get_mut(hash)?;
         self.uses += 1;
         self.by_last_use.remove(&cached.last_use);
@@ -69,8 +76,8 @@
     }
 
     /// Caches a valid document, unless it is larger than the cache.
-    pub fn keep(&mut self, document: &str, limits: &Limits) {
-        let hash = of(document);
+    pub fn insert(&mut self, document: &str, limits: &Limits) {
+        let hash = hash_of(document);
         if self.get(&hash).is_some()
             || document.len() > limits.persisted_bytes
             || limits.persisted == 0
@@ -101,6 +108,6 @@
 }
 
 /// The hash of a document.
-pub fn of(document: &str) -> Hash {
+pub fn hash_of(document: &str) -> DocumentHash {
     Sha256::digest(document.as_bytes()).into()
 }
--- a/crates/graphql/tests/batch.rs
+++ b/crates/graphql/tests/batch.rs
@@ -2,11 +2,11 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_graphql::answer::{check, fault, made, merge, BadAnswer};
-use reelfall_graphql::batch::{refusable, Batch, Fate};
-use reelfall_graphql::document::operation;
-use reelfall_graphql::persisted::{of, Persisted};
-use reelfall_graphql::{Fault, FaultKind, Limits, Location};
+use reelfall_graphql::answer::{check, entry_response, error_response, merge, InvalidResponse};
+use reelfall_graphql::batch::{can_be_rejected, Batch, EntryResult};
+use reelfall_graphql::document::parse_operation;
+use reelfall_graphql::persisted::{hash_of, PersistedDocuments};
+use reelfall_graphql::{GraphQlError, GraphQlErrorKind, Limits, Location};
 use serde_json::{json, Map, Value};
 
 #[derive(Clone, Debug)]
@@ -46,7 +46,7 @@
             let (mut running, mut begun, mut ended) =
                 (Vec::<usize>::new(), Vec::<usize>::new(), false);
             let mut fates = vec![None; writes.len()];
-            let mut started = batch.start();
+            let mut started = batch.start_ready();
             for step in steps {
                 prop_assert!(!ended || started.is_empty(), "started after the end");
                 for n in started {
@@ -69,18 +69,21 @@
                 match step {
                     Step::Done { pick, fate } if !running.is_empty() => {
                         let n = running.swap_remove(pick % running.len());
-                        let fate = [Fate::Answered(n), Fate::Refused(None), Fate::Failed]
-                            [usize::from(fate)]
+                        let fate = [
+                            EntryResult::Answered(n),
+                            EntryResult::Rejected(None),
+                            EntryResult::Failed,
+                        ][usize::from(fate)]
                         .clone();
                         fates[n] = Some(fate.clone());
-                        batch.done(n, fate);
+                        batch.finish(n, fate);
                     }
                     Step::Twice { pick } => {
                         // A word on an entry counts if it was running, and changes nothing otherwise.
                         let n = pick % writes.len();
-                        batch.done(n, Fate::NeverRan);
+                        batch.finish(n, EntryResult::NeverRan);
                         if running.contains(&n) {
-                            fates[n] = Some(Fate::NeverRan);
+                            fates[n] = Some(EntryResult::NeverRan);
                         }
                     }
                     Step::End => {
@@ -90,17 +93,17 @@
                     Step::Done { .. } => {}
                 }
                 running.retain(|n| fates[*n].is_none());
-                started = batch.start();
+                started = batch.start_ready();
             }
             running.extend(started.iter().copied());
             begun.extend(started);
-            let complete = batch.complete();
+            let complete = batch.is_complete();
             prop_assert_eq!(complete, fates.iter().all(Option::is_some));
-            for (n, fate) in batch.fates().into_iter().enumerate() {
+            for (n, fate) in batch.into_results().into_iter().enumerate() {
                 let expected = match &fates[n] {
                     Some(fate) => fate.clone(),
-                    None if begun.contains(&n) => Fate::Failed,
-                    None => Fate::NeverRan,
+                    None if begun.contains(&n) => EntryResult::Failed,
+                    None => EntryResult::NeverRan,
                 };
                 prop_assert_eq!(fate, expected, "entry {}", n);
             }
@@ -111,10 +114,16 @@
 
 #[test]
 fn a_whole_batch_is_a_refusal_only_if_nothing_ran() {
-    let fates = |last: Fate<u8>| vec![Fate::Refused(Some(0.1)), Fate::NeverRan, last];
-    assert!(refusable(&fates(Fate::NeverRan)));
-    assert!(!refusable(&fates(Fate::Failed)));
-    assert!(!refusable(&fates(Fate::Answered(1))));
+    let fates = |last: EntryResult<u8>| {
+        vec![
+            EntryResult::Rejected(Some(0.1)),
+            EntryResult::NeverRan,
+            last,
+        ]
+    };
+    assert!(can_be_rejected(&fates(EntryResult::NeverRan)));
+    assert!(!can_be_rejected(&fates(EntryResult::Failed)));
+    assert!(!can_be_rejected(&fates(EntryResult::Answered(1))));
 }
 
 #[test]
@@ -124,52 +133,52 @@
         persisted_bytes: 100,
         ..Limits::default()
     };
-    let mut store = Persisted::new();
-    let kind = |r: Result<std::sync::Arc<str>, Fault>| r.map_err(|f| f.kind);
+    let mut store = PersistedDocuments::new();
+    let kind = |r: Result<std::sync::Arc<str>, GraphQlError>| r.map_err(|f| f.kind);
     assert_eq!(
-        kind(store.resolve(None, Some(of("{a}")))),
-        Err(FaultKind::PersistedQueryNotFound)
+        kind(store.resolve(None, Some(hash_of("{a}")))),
+        Err(GraphQlErrorKind::PersistedQueryNotFound)
     );
     assert_eq!(
-        kind(store.resolve(Some("{a}"), Some(of("{b}")))),
-        Err(FaultKind::Request)
+        kind(store.resolve(Some("{a}"), Some(hash_of("{b}")))),
+        Err(GraphQlErrorKind::Request)
     );
     assert_eq!(
-        kind(store.resolve(Some("{a}"), Some(of("{a}")))).as_deref(),
+        kind(store.resolve(Some("{a}"), Some(hash_of("{a}")))).as_deref(),
         Ok("{a}")
     );
     assert_eq!(store.size(), (0, 0), "kept before it was found to be valid");
     for document in ["{a}", "{b}", "{c}"] {
-        store.keep(document, &limits);
+        store.insert(document, &limits);
     }
     // The one that was used lately stays.
     assert_eq!(
-        kind(store.resolve(None, Some(of("{a}")))).as_deref(),
+        kind(store.resolve(None, Some(hash_of("{a}")))).as_deref(),
         Ok("{a}")
     );
-    store.keep("{d}", &limits);
+    store.insert("{d}", &limits);
     assert_eq!(store.size(), (3, 9));
     assert_eq!(
-        kind(store.resolve(None, Some(of("{b}")))),
-        Err(FaultKind::PersistedQueryNotFound)
+        kind(store.resolve(None, Some(hash_of("{b}")))),
+        Err(GraphQlErrorKind::PersistedQueryNotFound)
     );
     assert_eq!(
-        kind(store.resolve(None, Some(of("{a}")))).as_deref(),
+        kind(store.resolve(None, Some(hash_of("{a}")))).as_deref(),
         Ok("{a}")
     );
-    store.keep(&"x".repeat(95), &limits);
+    store.insert(&"x".repeat(95), &limits);
     assert_eq!(store.size(), (2, 98), "over its bytes");
-    store.keep(&"y".repeat(101), &limits);
+    store.insert(&"y".repeat(101), &limits);
     assert_eq!(store.size().0, 2, "something larger than the store is kept");
     for n in 0..10_000 {
-        store.keep(&format!("{{a{n}}}"), &limits);
+        store.insert(&format!("{{a{n}}}"), &limits);
         assert!(store.size().0 <= 3 && store.size().1 <= 100);
     }
 }
 
 #[test]
 fn an_answer_is_to_its_own_operation_or_none() {
-    let asked = operation(
+    let asked = parse_operation(
         "{ x: evaluate __typename }",
         None,
         &Map::new(),
@@ -187,20 +196,26 @@
         assert_eq!(said(good), Ok(()), "{good}");
     }
     for (bad, why) in [
-        ("", BadAnswer::NoJson),
-        (r#"{"data":{"x":1"#, BadAnswer::NoJson),
-        (r#"{"data":{"x":1}}x"#, BadAnswer::NoJson),
-        ("<html>", BadAnswer::NoJson),
-        ("[]", BadAnswer::NoAnswer),
-        ("null", BadAnswer::NoAnswer),
-        ("{}", BadAnswer::NoAnswer),
-        (r#"{"data":null}"#, BadAnswer::NoAnswer),
-        (r#"{"data":null,"errors":[]}"#, BadAnswer::NoAnswer),
-        (r#"{"data":1}"#, BadAnswer::NoAnswer),
-        (r#"{"errors":{"message":"no"}}"#, BadAnswer::NoAnswer),
-        (r#"{"data":{"toggle":1}}"#, BadAnswer::Another),
-        (r#"{"data":{"x":1,"y":2}}"#, BadAnswer::Another),
-        (r#"{"data":{"evaluate":1}}"#, BadAnswer::Another),
+        ("", InvalidResponse::NotJson),
+        (r#"{"data":{"x":1"#, InvalidResponse::NotJson),
+        (r#"{"data":{"x":1}}x"#, InvalidResponse::NotJson),
+        ("<html>", InvalidResponse::NotJson),
+        ("[]", InvalidResponse::NotGraphQl),
+        ("null", InvalidResponse::NotGraphQl),
+        ("{}", InvalidResponse::NotGraphQl),
+        (r#"{"data":null}"#, InvalidResponse::NotGraphQl),
+        (r#"{"data":null,"errors":[]}"#, InvalidResponse::NotGraphQl),
+        (r#"{"data":1}"#, InvalidResponse::NotGraphQl),
+        (
+            r#"{"errors":{"message":"no"}}"#,
+            InvalidResponse::NotGraphQl,
+        ),
+        (r#"{"data":{"toggle":1}}"#, InvalidResponse::OtherOperation),
+        (r#"{"data":{"x":1,"y":2}}"#, InvalidResponse::OtherOperation),
+        (
+            r#"{"data":{"evaluate":1}}"#,
+            InvalidResponse::OtherOperation,
+        ),
     ] {
         assert_eq!(said(bad), Err(why), "{bad}");
     }
@@ -215,27 +230,28 @@
 
 #[test]
 fn what_the_client_is_told_says_whether_a_repeat_is_harmless() {
-    let code = |fate: &Fate<()>| made(fate).map(|m| m["errors"][0]["extensions"].clone());
-    assert_eq!(code(&Fate::Answered(())), None);
+    let code =
+        |fate: &EntryResult<()>| entry_response(fate).map(|m| m["errors"][0]["extensions"].clone());
+    assert_eq!(code(&EntryResult::Answered(())), None);
     assert_eq!(
-        code(&Fate::Refused(Some(0.25))),
+        code(&EntryResult::Rejected(Some(0.25))),
         Some(json!({"code":"REFUSED","retryable":true,"retryAfterMs":250}))
     );
     assert_eq!(
-        code(&Fate::Refused(None)),
+        code(&EntryResult::Rejected(None)),
         Some(json!({"code":"REFUSED","retryable":true}))
     );
     assert_eq!(
-        code(&Fate::NeverRan),
+        code(&EntryResult::NeverRan),
         Some(json!({"code":"NOT_RUN","retryable":true}))
     );
     assert_eq!(
-        code(&Fate::Failed),
+        code(&EntryResult::Failed),
         Some(json!({"code":"FAILED","retryable":false}))
     );
     let merged = merge(vec![
-        Fate::Failed,
-        Fate::Answered("{\"data\":{\"x\": 1.0}}\n"),
+        EntryResult::Failed,
+        EntryResult::Answered("{\"data\":{\"x\": 1.0}}\n"),
     ]);
     let merged = String::from_utf8(merged).unwrap();
     let read: Vec<Value> = serde_json::from_str(&merged).unwrap();
@@ -245,10 +261,10 @@
         "an answer was changed: {merged}"
     );
     let at = Some(Location { line: 2, column: 3 });
-    let told = fault(&Fault {
-        kind: FaultKind::Syntax,
-        mistake: "no".to_owned(),
-        at,
+    let told = error_response(&GraphQlError {
+        kind: GraphQlErrorKind::Syntax,
+        message: "no".to_owned(),
+        location: at,
     });
     let expected = json!({"errors":[{"message":"no","locations":[{"line":2,"column":3}],"extensions":{"code":"GRAPHQL_PARSE_FAILED"}}]});
     assert_eq!(told, expected);
--- a/crates/graphql/tests/decode.rs
+++ b/crates/graphql/tests/decode.rs
@@ -1,14 +1,14 @@
 //! Parameters, media types and statuses, with the requests that two readers could take differently.
 
-use reelfall_graphql::decode::{body, query, Asked, Params};
+use reelfall_graphql::decode::{parse_body, parse_query, DecodedRequest, Params};
 use reelfall_graphql::media::{check_body, negotiate, status, Media};
-use reelfall_graphql::{FaultKind, Limits};
+use reelfall_graphql::{GraphQlErrorKind, Limits};
 
 fn one(text: &str) -> Result<Params, String> {
-    match body(text.as_bytes(), &Limits::default()) {
-        Ok(Asked::One(params)) => Ok(params),
-        Ok(Asked::Batch(_)) => panic!("a batch"),
-        Err(fault) => Err(fault.mistake),
+    match parse_body(text.as_bytes(), &Limits::default()) {
+        Ok(DecodedRequest::Single(params)) => Ok(params),
+        Ok(DecodedRequest::Batch(_)) => panic!("a batch"),
+        Err(fault) => Err(fault.message),
     }
 }
 
@@ -101,22 +101,22 @@
         "[[{\"query\":\"{a}\"}]]",
         "{\"query\":\"{a}\",}",
     ] {
-        let fault = body(text.as_bytes(), &Limits::default()).unwrap_err();
-        assert_eq!(fault.kind, FaultKind::Request, "{text}");
+        let fault = parse_body(text.as_bytes(), &Limits::default()).unwrap_err();
+        assert_eq!(fault.kind, GraphQlErrorKind::Request, "{text}");
     }
-    assert!(body(b"{\"query\":\"\xff\"}", &Limits::default()).is_err());
+    assert!(parse_body(b"{\"query\":\"\xff\"}", &Limits::default()).is_err());
     let deep = format!(
         "{{\"query\":\"{{a}}\",\"variables\":{{\"x\":{}1{}}}}}",
         "[".repeat(100_000),
         "]".repeat(100_000)
     );
-    assert!(body(deep.as_bytes(), &Limits::default()).is_err());
+    assert!(parse_body(deep.as_bytes(), &Limits::default()).is_err());
 }
 
 #[test]
 fn a_batch_keeps_each_entry_as_it_came_and_is_bounded() {
     let text = r#"[ {"query":"{a}"} , {"variables":{"x": 1.0e0},"query":"mutation { b }"}]"#;
-    let Ok(Asked::Batch(entries)) = body(text.as_bytes(), &Limits::default()) else {
+    let Ok(DecodedRequest::Batch(entries)) = parse_body(text.as_bytes(), &Limits::default()) else {
         panic!("no batch")
     };
     assert_eq!(
@@ -124,11 +124,11 @@
         r#"{"variables":{"x": 1.0e0},"query":"mutation { b }"}"#
     );
     let many = format!("[{}]", vec![r#"{"query":"{a}"}"#; 1000].join(","));
-    let fault = body(many.as_bytes(), &Limits::default()).unwrap_err();
+    let fault = parse_body(many.as_bytes(), &Limits::default()).unwrap_err();
     assert_eq!(
-        (fault.kind, fault.mistake.as_str()),
+        (fault.kind, fault.message.as_str()),
         (
-            FaultKind::Limit,
+            GraphQlErrorKind::Limit,
             "over the limit on requests in a batch: 50 at most"
         )
     );
@@ -136,7 +136,7 @@
 
 #[test]
 fn a_get_is_read_from_its_query() {
-    let params = query(
+    let params = parse_query(
         "query=query+A%28%24x%3AInt%29%7Ba%7D&operationName=A&variables=%7B%22x%22%3A1%7D&other=1",
     )
     .unwrap();
@@ -151,7 +151,7 @@
         "query=%ff",
         "operationName=A",
     ] {
-        assert!(query(bad).is_err(), "{bad}");
+        assert!(parse_query(bad).is_err(), "{bad}");
     }
 }
 
@@ -160,7 +160,7 @@
     let hash = "ab".repeat(32);
     let with = |p: &str| one(&format!("{{\"extensions\":{{\"persistedQuery\":{p}}}}}"));
     let params = with(&format!("{{\"version\":1,\"sha256Hash\":\"{hash}\"}}")).unwrap();
-    assert_eq!(params.persisted(), Ok(Some([0xab; 32])));
+    assert_eq!(params.persisted_hash(), Ok(Some([0xab; 32])));
     for bad in [
         "null",
         "{}",
@@ -236,7 +236,7 @@
     ] {
         assert_eq!(
             check_body(bad).unwrap_err().kind,
-            FaultKind::MediaType,
+            GraphQlErrorKind::MediaType,
             "{bad:?}"
         );
     }
@@ -245,15 +245,15 @@
 #[test]
 fn statuses_are_those_that_each_media_type_demands() {
     for (kind, response, json) in [
-        (FaultKind::Request, 400, 400),
-        (FaultKind::Syntax, 400, 200),
-        (FaultKind::Validation, 400, 200),
-        (FaultKind::Limit, 400, 200),
-        (FaultKind::Subscription, 400, 200),
-        (FaultKind::Method, 405, 405),
-        (FaultKind::MediaType, 415, 415),
-        (FaultKind::NotAcceptable, 406, 406),
-        (FaultKind::PersistedQueryNotFound, 200, 200),
+        (GraphQlErrorKind::Request, 400, 400),
+        (GraphQlErrorKind::Syntax, 400, 200),
+        (GraphQlErrorKind::Validation, 400, 200),
+        (GraphQlErrorKind::Limit, 400, 200),
+        (GraphQlErrorKind::Subscription, 400, 200),
+        (GraphQlErrorKind::Method, 405, 405),
+        (GraphQlErrorKind::MediaType, 415, 415),
+        (GraphQlErrorKind::NotAcceptable, 406, 406),
+        (GraphQlErrorKind::PersistedQueryNotFound, 200, 200),
     ] {
         assert_eq!(
             (status(Media::Response, kind), status(Media::Json, kind)),
--- a/crates/graphql/tests/document.rs
+++ b/crates/graphql/tests/document.rs
@@ -8,8 +8,8 @@
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use reelfall_graphql::class::{ClassInfo, Classes, Mapping, MappingError};
-use reelfall_graphql::document::{operation, Kind, Operation};
-use reelfall_graphql::{FaultKind, Limits, Location};
+use reelfall_graphql::document::{parse_operation, Operation, OperationKind};
+use reelfall_graphql::{GraphQlErrorKind, Limits, Location};
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
 
@@ -17,9 +17,9 @@
     text: &str,
     name: Option<&str>,
     variables: Value,
-) -> Result<Operation, (FaultKind, String)> {
+) -> Result<Operation, (GraphQlErrorKind, String)> {
     let variables = variables.as_object().cloned().unwrap_or_default();
-    operation(text, name, &variables, &Limits::default()).map_err(|f| (f.kind, f.mistake))
+    parse_operation(text, name, &variables, &Limits::default()).map_err(|f| (f.kind, f.message))
 }
 
 fn classes() -> Classes {
@@ -29,7 +29,10 @@
         other_query: 0,
         other_mutation: 1,
     };
-    let info = |safe, deadline| ClassInfo { safe, deadline };
+    let info = |safe, deadline| ClassInfo {
+        is_idempotent: safe,
+        deadline,
+    };
     Classes::new(
         mapping,
         vec![info(true, 0.6), info(false, 0.6), info(false, 0.5)],
@@ -304,10 +307,10 @@
         cost: 100_000,
         ..Limits::default()
     };
-    let read = operation(&text, name.as_deref(), &given, &limits)
+    let read = parse_operation(&text, name.as_deref(), &given, &limits)
         .unwrap_or_else(|f| panic!("{f:?} for\n{text}"));
     let (writes, roots) = naive(doc);
-    assert_eq!(read.kind == Kind::Mutation, writes, "{text}");
+    assert_eq!(read.kind == OperationKind::Mutation, writes, "{text}");
     let found: BTreeMap<_, _> = read
         .roots
         .iter()
@@ -316,7 +319,7 @@
     assert_eq!(found, roots, "{text}");
     let classes = classes();
     assert!(
-        !(writes && classes.safe(&read)),
+        !(writes && classes.is_idempotent(&read)),
         "a mutation counts as safe: {text}"
     );
     let fields = |name: &str| roots.keys().any(|(_, f)| f == name);
@@ -326,7 +329,7 @@
         false if fields("audit") => 1,
         false => 0,
     };
-    assert_eq!(classes.of(&read), class, "{text}");
+    assert_eq!(classes.class_of(&read), class, "{text}");
 }
 
 /// How many documents are made of each kind.
@@ -386,14 +389,16 @@
             }
         }
         let text = String::from_utf8_lossy(&bytes).into_owned();
-        if let Ok(operation) = operation(&text, name.as_deref(), &Map::new(), &Limits::default()) {
+        if let Ok(operation) =
+            parse_operation(&text, name.as_deref(), &Map::new(), &Limits::default())
+        {
             read += 1;
             let keyword = naive::keyword(&text, name.as_deref());
             let kind = keyword.as_deref().map(|k| {
                 if k == "mutation" {
-                    Kind::Mutation
+                    OperationKind::Mutation
                 } else {
-                    Kind::Query
+                    OperationKind::Query
                 }
             });
             assert_eq!(
@@ -402,7 +407,7 @@
                 "{keyword:?} is read otherwise: {text}"
             );
             assert!(
-                !classes().safe(&operation) || keyword.as_deref() == Some("query"),
+                !classes().is_idempotent(&operation) || keyword.as_deref() == Some("query"),
                 "{text}"
             );
         }
@@ -419,10 +424,13 @@
 fn the_operation_is_chosen_as_the_specification_has_it() {
     let two = "query A { evaluate } mutation B { toggle }";
     let kind = |text, name| read(text, name, json!({})).map(|o| o.kind);
-    assert_eq!(kind("{ evaluate }", None), Ok(Kind::Query));
-    assert_eq!(kind("mutation { toggle }", None), Ok(Kind::Mutation));
-    assert_eq!(kind(two, Some("A")), Ok(Kind::Query));
-    assert_eq!(kind(two, Some("B")), Ok(Kind::Mutation));
+    assert_eq!(kind("{ evaluate }", None), Ok(OperationKind::Query));
+    assert_eq!(
+        kind("mutation { toggle }", None),
+        Ok(OperationKind::Mutation)
+    );
+    assert_eq!(kind(two, Some("A")), Ok(OperationKind::Query));
+    assert_eq!(kind(two, Some("B")), Ok(OperationKind::Mutation));
     for (text, name) in [
         (two, None),
         (two, Some("C")),
@@ -448,13 +456,13 @@
     ] {
         assert_eq!(
             kind(text, name).map_err(|f| f.0),
-            Err(FaultKind::Validation),
+            Err(GraphQlErrorKind::Validation),
             "{text} {name:?}"
         );
     }
     assert_eq!(
         kind("subscription { a }", None).map_err(|f| f.0),
-        Err(FaultKind::Subscription)
+        Err(GraphQlErrorKind::Subscription)
     );
     for text in [
         "",
@@ -473,18 +481,21 @@
 
 #[test]
 fn a_mistake_is_told_with_its_place() {
-    let fault = operation(
+    let fault = parse_operation(
         "{ evaluate }\n# é\n  { toggle }",
         None,
         &Map::new(),
         &Limits::default(),
     )
     .unwrap_err();
-    assert_eq!(fault.at, Some(Location { line: 1, column: 1 }));
-    let fault = operation("{ a\n  é }", None, &Map::new(), &Limits::default()).unwrap_err();
+    assert_eq!(fault.location, Some(Location { line: 1, column: 1 }));
+    let fault = parse_operation("{ a\n  é }", None, &Map::new(), &Limits::default()).unwrap_err();
     assert_eq!(
-        (fault.kind, fault.at),
-        (FaultKind::Syntax, Some(Location { line: 2, column: 3 }))
+        (fault.kind, fault.location),
+        (
+            GraphQlErrorKind::Syntax,
+            Some(Location { line: 2, column: 3 })
+        )
     );
 }
 
@@ -501,7 +512,7 @@
     ] {
         assert_eq!(
             read(text, None, json!({})).map_err(|f| f.0),
-            Err(FaultKind::Syntax),
+            Err(GraphQlErrorKind::Syntax),
             "{text:?}"
         );
     }
@@ -513,7 +524,7 @@
     let names = |text: &str, bound: &str| {
         let begun = std::time::Instant::now();
         let (kind, mistake) = read(text, None, json!({})).unwrap_err();
-        assert_eq!(kind, FaultKind::Limit, "{mistake}");
+        assert_eq!(kind, GraphQlErrorKind::Limit, "{mistake}");
         assert!(mistake.contains(bound), "{mistake} instead of {bound}");
         assert!(begun.elapsed().as_secs() < 5, "it takes too long");
     };
@@ -563,7 +574,7 @@
 #[test]
 fn no_mapping_makes_a_mutation_safe() {
     let info = |safe| ClassInfo {
-        safe,
+        is_idempotent: safe,
         deadline: 1.0,
     };
     let infos = vec![info(true), info(false)];
--- a/crates/node/src/cli/routes.rs
+++ b/crates/node/src/cli/routes.rs
@@ -2,7 +2,7 @@
 
 use super::args::RouteArgs;
 use reelfall_config::{Faults, Plan};
-use reelfall_routing::table::{ListenerId, Match, Query};
+use reelfall_routing::table::{ListenerId, RouteConditions, RouteQuery};
 use reelfall_routing::target;
 use std::path::PathBuf;
 use thiserror::Error;
@@ -36,19 +36,19 @@
 pub fn run(args: &RouteArgs) -> Result<(), RouteError> {
     let plan = reelfall_config::load(&args.file)?;
     let listener = find_listener(&plan, args)?;
-    let target = target::read(target::Said {
+    let target = target::parse(target::ReceivedTarget {
         path: &args.path,
         host: Some(args.host.as_bytes()),
         ..Default::default()
     })?;
-    let query = Query {
+    let query = RouteQuery {
         listener: ListenerId::try_from(listener).unwrap_or(ListenerId::MAX),
         host: &target.host,
         path: target.path,
         method: &args.method,
         class: args.class.as_deref(),
     };
-    let route = plan.table.get(&query).ok_or(RouteError::NoRoute)?;
+    let route = plan.table.find(&query).ok_or(RouteError::NoRoute)?;
     print_candidates(&plan, &query, route);
     Ok(())
 }
@@ -66,7 +66,7 @@
     })
 }
 
-fn print_candidates(plan: &Plan, query: &Query, route: usize) {
+fn print_candidates(plan: &Plan, query: &RouteQuery, route: usize) {
     let mut candidates = plan.candidates(query).into_iter();
     let winner = candidates.next().unwrap_or(route);
     println!("{}", describe(plan, winner));
@@ -97,7 +97,7 @@
 }
 
 /// The first criterion by which a route is more specific than another.
-fn reason_to_win(winner: &Match, loser: &Match) -> &'static str {
+fn reason_to_win(winner: &RouteConditions, loser: &RouteConditions) -> &'static str {
     let (listener, host, path, method, _) = winner.rank();
     let (other_listener, other_host, other_path, other_method, _) = loser.rank();
     if listener != other_listener {
--- a/crates/node/src/net/front/admission.rs
+++ b/crates/node/src/net/front/admission.rs
@@ -13,8 +13,8 @@
 use hyper::http::request::Parts;
 use hyper::Response;
 use reelfall_balancer::interface::Time;
-use reelfall_routing::limits::Denial;
-use reelfall_routing::table::{ListenerId, Query};
+use reelfall_routing::limits::LimitExceeded;
+use reelfall_routing::table::{ListenerId, RouteQuery};
 use reelfall_routing::target;
 use std::rc::Rc;
 
@@ -57,11 +57,13 @@
         self.shared.admit(member).map_err(|denial| {
             let max_retry_after = service.max_retry_after.get();
             match denial {
-                Denial::Rate(next_slot_in) => AdmissionError::RateLimited {
+                LimitExceeded::RateExceeded(next_slot_in) => AdmissionError::RateLimited {
                     next_slot_in,
                     max_retry_after,
                 },
-                Denial::Held(..) => AdmissionError::AtRequestLimit { max_retry_after },
+                LimitExceeded::NotAvailable(..) => {
+                    AdmissionError::AtRequestLimit { max_retry_after }
+                }
             }
         })
     }
@@ -88,7 +90,7 @@
 
 fn find_route(table: &Table, head: &Parts, client: &Client) -> Result<RouteMatch, AdmissionError> {
     let mut hosts = head.headers.get_all(header::HOST).iter();
-    let target = target::read(target::Said {
+    let target = target::parse(target::ReceivedTarget {
         scheme: head.uri.scheme_str(),
         authority: head
             .uri
@@ -96,9 +98,9 @@
             .map(hyper::http::uri::Authority::as_str),
         path: head.uri.path(),
         host: hosts.next().map(HeaderValue::as_bytes),
-        more_hosts: hosts.next().is_some(),
+        has_several_hosts: hosts.next().is_some(),
     })?;
-    let query = Query {
+    let query = RouteQuery {
         listener: client.listener_tag.id.get().unwrap_or(ListenerId::MAX),
         host: &target.host,
         path: target.path,
--- a/crates/node/src/net/front/request_body.rs
+++ b/crates/node/src/net/front/request_body.rs
@@ -8,7 +8,7 @@
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
-use reelfall_routing::limits::Member;
+use reelfall_routing::limits::ServiceId;
 
 /// A request body and the memory that is reserved for what is buffered of it.
 pub(super) struct RequestBody {
@@ -45,7 +45,7 @@
     pub(super) async fn buffer_or_stream(
         &self,
         mut body: Incoming,
-        member: Option<Member>,
+        member: Option<ServiceId>,
     ) -> Result<RequestBody, BodyError> {
         let size = body.size_hint().exact();
         if size.is_some_and(|size| size > MAX_BUFFERED_BODY_BYTES as u64) {
@@ -78,7 +78,7 @@
     pub(in crate::net) async fn buffer_body(
         &self,
         mut body: Incoming,
-        member: Option<Member>,
+        member: Option<ServiceId>,
     ) -> Result<BufferedBody, BodyError> {
         let expected_size = expected_size(&body);
         let mut memory: Option<MemoryPermit> = None;
--- a/crates/node/src/net/graphql.rs
+++ b/crates/node/src/net/graphql.rs
@@ -17,7 +17,7 @@
 use super::client::{Client, Phase};
 use super::front::{header_text, time_left, AdmittedRequest, BufferedBody, Front};
 use super::message::Waiter;
-use super::operations::{GraphQl, Head, Ready};
+use super::operations::{GraphQl, OperationHead, PreparedOperation};
 use super::shared::MemoryPermit;
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -25,9 +25,9 @@
 use hyper::http::request::Parts;
 use hyper::{Method, StatusCode};
 use operation::{OperationContext, OperationPermits};
-use reelfall_graphql::decode::{self, Asked};
+use reelfall_graphql::decode::{self, DecodedRequest};
 use reelfall_graphql::media::{self, Media};
-use reelfall_graphql::{Fault, FaultKind};
+use reelfall_graphql::{GraphQlError, GraphQlErrorKind};
 use response::{
     fault_response, json_response, method_not_allowed, operation_response, request_error_response,
     request_fault, HttpResponse,
@@ -39,7 +39,7 @@
 struct GraphQlRequest<'a> {
     graphql: &'a GraphQl,
     admitted: AdmittedRequest,
-    head: &'a Head,
+    head: &'a OperationHead,
     /// The media type of the answer.
     media: Media,
     body_memory: Option<Rc<MemoryPermit>>,
@@ -93,23 +93,23 @@
     async fn answer_operations(
         self: &Rc<Self>,
         request: GraphQlRequest<'_>,
-        asked: Asked<'_>,
+        asked: DecodedRequest<'_>,
         body: &Bytes,
     ) -> HttpResponse {
         let (graphql, head) = (request.graphql, request.head);
         match asked {
-            Asked::One(params) => {
-                let text = (!head.get).then(|| body.clone());
-                match graphql.ready(&params, text, head) {
+            DecodedRequest::Single(params) => {
+                let text = (!head.is_get).then(|| body.clone());
+                match graphql.prepare(&params, text, head) {
                     Ok(ready) => self.answer_operation(request, ready).await,
                     Err(fault) => fault_response(request.media, &fault),
                 }
             }
-            Asked::Batch(entries) => {
+            DecodedRequest::Batch(entries) => {
                 let ready = entries
                     .iter()
                     .map(|(params, text)| (params, body.slice_ref(text.as_bytes())))
-                    .map(|(params, text)| graphql.ready(params, Some(text), head))
+                    .map(|(params, text)| graphql.prepare(params, Some(text), head))
                     .collect();
                 drop(entries);
                 self.answer_batch(request, ready).await
@@ -120,7 +120,7 @@
     async fn answer_operation(
         self: &Rc<Self>,
         request: GraphQlRequest<'_>,
-        ready: Ready,
+        ready: PreparedOperation,
     ) -> HttpResponse {
         let AdmittedRequest {
             service, admission, ..
@@ -143,12 +143,17 @@
 }
 
 /// Finds the operations that a request consists of.
-fn decode_request<'a>(graphql: &GraphQl, head: &Parts, body: &'a [u8]) -> Result<Asked<'a>, Fault> {
+fn decode_request<'a>(
+    graphql: &GraphQl,
+    head: &Parts,
+    body: &'a [u8],
+) -> Result<DecodedRequest<'a>, GraphQlError> {
     if head.method == Method::GET {
-        return decode::query(head.uri.query().unwrap_or_default()).map(Asked::One);
+        return decode::parse_query(head.uri.query().unwrap_or_default())
+            .map(DecodedRequest::Single);
     }
     media::check_body(header_text(&head.headers, &header::CONTENT_TYPE))?;
-    decode::body(body, &graphql.limits)
+    decode::parse_body(body, &graphql.limits)
 }
 
 /// What all operations of a request take from its head.
@@ -156,19 +161,19 @@
     head: Parts,
     received_at: Instant,
     waiter: Rc<dyn Waiter>,
-) -> Result<Head, Fault> {
+) -> Result<OperationHead, GraphQlError> {
     let left = time_left(&head.headers).map_err(request_fault)?;
     let path = head
         .uri
         .path_and_query()
         .cloned()
-        .ok_or_else(|| Fault::new(FaultKind::Request, "no path"))?;
-    Ok(Head {
+        .ok_or_else(|| GraphQlError::new(GraphQlErrorKind::Request, "no path"))?;
+    Ok(OperationHead {
         headers: head.headers,
         path,
-        get: head.method == Method::GET,
-        left,
-        taken: received_at,
+        is_get: head.method == Method::GET,
+        time_left: left,
+        received_at: received_at,
         waiter,
     })
 }
--- a/crates/node/src/net/graphql/batch.rs
+++ b/crates/node/src/net/graphql/batch.rs
@@ -5,7 +5,7 @@
 use super::GraphQlRequest;
 use crate::net::answer::{Answer, Reply};
 use crate::net::front::{half_response_slack, set_retry_after, Front, RequestError};
-use crate::net::operations::Ready;
+use crate::net::operations::PreparedOperation;
 use crate::net::service::Service;
 use crate::net::shared::{MemoryPermit, Permit};
 use bytes::Bytes;
@@ -13,10 +13,10 @@
 use hyper::StatusCode;
 use reelfall_balancer::interface::Time;
 use reelfall_graphql::answer;
-use reelfall_graphql::batch::{refusable, Batch, Fate};
+use reelfall_graphql::batch::{can_be_rejected, Batch, EntryResult};
 use reelfall_graphql::media::Media;
-use reelfall_graphql::Fault;
-use reelfall_routing::limits::Denial;
+use reelfall_graphql::GraphQlError;
+use reelfall_routing::limits::LimitExceeded;
 use std::rc::Rc;
 use std::time::Instant;
 use tokio::time::timeout_at;
@@ -34,11 +34,11 @@
 }
 
 /// An entry that has not been started, or why it can't be run.
-type Entry = Result<Ready, Fault>;
+type Entry = Result<PreparedOperation, GraphQlError>;
 
 /// What an entry needs to be submitted to the engine.
 struct StartedEntry {
-    ready: Ready,
+    ready: PreparedOperation,
     permits: OperationPermits,
 }
 
@@ -75,14 +75,17 @@
             head: request.head,
             batch_deadline: None,
         };
-        let deadline =
-            request.head.taken + context.time_for_answer(longest_deadline(&context, &entries));
+        let deadline = request.head.received_at
+            + context.time_for_answer(longest_deadline(&context, &entries));
         let writes = entries.iter().map(|entry| {
             entry
                 .as_ref()
-                .is_ok_and(|ready| !request.graphql.classes.safe(&ready.operation))
+                .is_ok_and(|ready| !request.graphql.classes.is_idempotent(&ready.operation))
         });
-        let batch = Batch::new(writes.collect::<Vec<_>>(), request.graphql.side_by_side);
+        let batch = Batch::new(
+            writes.collect::<Vec<_>>(),
+            request.graphql.max_parallel_reads,
+        );
         let running = RunningBatch {
             front: self,
             service,
@@ -111,19 +114,19 @@
 
 impl RunningBatch<'_> {
     /// Runs the entries until all have ended or the deadline has passed. Dropping this cancels the entries in flight.
-    async fn run(mut self) -> Vec<Fate<EntryAnswer>> {
+    async fn run(mut self) -> Vec<EntryResult<EntryAnswer>> {
         let (front, context) = (self.front, self.context);
         // Entries end by themselves at the deadline; this catches those that do not.
         let timeout = self.deadline + half_response_slack(context.pool);
         let mut in_flight = FuturesUnordered::new();
         loop {
-            for entry in self.batch.start() {
+            for entry in self.batch.start_ready() {
                 if let Some(StartedEntry { ready, permits }) = self.start_entry(entry) {
                     let operation = front.run_operation(context, ready, Some(entry), permits);
                     in_flight.push(async move { (entry, operation.await) });
                 }
             }
-            if self.batch.complete() {
+            if self.batch.is_complete() {
                 break;
             }
             if in_flight.is_empty() {
@@ -131,7 +134,7 @@
                 continue;
             }
             match timeout_at(timeout.into(), in_flight.next()).await {
-                Ok(Some((entry, result))) => self.batch.done(entry, entry_fate(result)),
+                Ok(Some((entry, result))) => self.batch.finish(entry, entry_fate(result)),
                 _ => {
                     self.batch.end();
                     break;
@@ -143,7 +146,7 @@
             }
         }
         drop(in_flight);
-        self.batch.fates()
+        self.batch.into_results()
     }
 
     /// Prepares an entry to be submitted; `None` if it has ended instead.
@@ -151,17 +154,17 @@
         let ready = match self.entries.get_mut(entry).and_then(Option::take) {
             Some(Ok(ready)) => ready,
             Some(Err(fault)) => {
-                self.batch.done(entry, fault_fate(&fault));
+                self.batch.finish(entry, fault_fate(&fault));
                 return None;
             }
             None => {
-                self.batch.done(entry, Fate::NeverRan);
+                self.batch.finish(entry, EntryResult::NeverRan);
                 return None;
             }
         };
         let Ok(admission) = self.admit_entry() else {
             let retry_after = retry_advice(self.service.max_retry_after.get());
-            self.batch.done(entry, Fate::Refused(retry_after));
+            self.batch.finish(entry, EntryResult::Rejected(retry_after));
             return None;
         };
         let permits = OperationPermits {
@@ -172,7 +175,7 @@
     }
 
     /// Admits an entry: the first one by the admission of the batch, each other one by its own.
-    fn admit_entry(&mut self) -> Result<Option<Permit>, Denial> {
+    fn admit_entry(&mut self) -> Result<Option<Permit>, LimitExceeded> {
         match std::mem::replace(&mut self.admission, BatchAdmission::Used) {
             BatchAdmission::Unused(admission) => Ok(admission),
             BatchAdmission::Used => match self.service.member {
@@ -183,31 +186,35 @@
     }
 }
 
-fn entry_fate(result: Result<Reply, RequestError>) -> Fate<EntryAnswer> {
+fn entry_fate(result: Result<Reply, RequestError>) -> EntryResult<EntryAnswer> {
     match result {
         // Its attempt has validated the answer, so it is JSON.
         Ok(Reply::Served(answer)) => {
             let Answer { body, _memory, .. } = *answer;
-            Fate::Answered(EntryAnswer {
+            EntryResult::Answered(EntryAnswer {
                 text: body,
                 _memory,
             })
         }
-        Ok(Reply::Rejected { retry_after }) => Fate::Refused(retry_after),
-        Ok(Reply::Failed(_)) => Fate::Failed,
+        Ok(Reply::Rejected { retry_after }) => EntryResult::Rejected(retry_after),
+        Ok(Reply::Failed(_)) => EntryResult::Failed,
         Err(error) => fault_fate(&request_fault(error)),
     }
 }
 
-fn fault_fate(fault: &Fault) -> Fate<EntryAnswer> {
-    Fate::Answered(EntryAnswer {
-        text: Bytes::from(answer::fault(fault).to_string()),
+fn fault_fate(fault: &GraphQlError) -> EntryResult<EntryAnswer> {
+    EntryResult::Answered(EntryAnswer {
+        text: Bytes::from(answer::error_response(fault).to_string()),
         _memory: None,
     })
 }
 
-fn batch_response(fates: Vec<Fate<EntryAnswer>>, media: Media, service: &Service) -> HttpResponse {
-    let is_rejected = refusable(&fates);
+fn batch_response(
+    fates: Vec<EntryResult<EntryAnswer>>,
+    media: Media,
+    service: &Service,
+) -> HttpResponse {
+    let is_rejected = can_be_rejected(&fates);
     let status = if is_rejected {
         StatusCode::SERVICE_UNAVAILABLE
     } else {
--- a/crates/node/src/net/graphql/operation.rs
+++ b/crates/node/src/net/graphql/operation.rs
@@ -6,7 +6,7 @@
     half_response_slack, strip_hop_by_hop, Front, PendingRequest, RequestError,
 };
 use crate::net::message::{AnswerValidator, Arrival, Message};
-use crate::net::operations::{GraphQl, Head, Ready};
+use crate::net::operations::{GraphQl, OperationHead, PreparedOperation};
 use crate::net::pool::Pool;
 use crate::net::shared::{MemoryPermit, Permit};
 use hyper::header::{self, HeaderMap, HeaderValue};
@@ -43,7 +43,7 @@
 pub(super) struct OperationContext<'a> {
     pub(super) graphql: &'a GraphQl,
     pub(super) pool: &'a Rc<Pool>,
-    pub(super) head: &'a Head,
+    pub(super) head: &'a OperationHead,
     /// The deadline of the batch, if the operation is an entry of one.
     pub(super) batch_deadline: Option<Instant>,
 }
@@ -65,7 +65,10 @@
 
     /// The time for an answer that has to reach a client within `deadline`, which the client may have shortened.
     pub(super) fn time_for_answer(&self, deadline: Time) -> Duration {
-        let time_left = self.head.left.map_or(deadline, |left| left.min(deadline));
+        let time_left = self
+            .head
+            .time_left
+            .map_or(deadline, |left| left.min(deadline));
         let slack = self.pool.connection_settings.response_slack;
         Duration::try_from_secs_f64(time_left - slack).unwrap_or_default()
     }
@@ -76,7 +79,7 @@
         let begins_at = if is_batch_entry {
             Instant::now()
         } else {
-            self.head.taken
+            self.head.received_at
         };
         let due = begins_at + time_for_answer;
         self.batch_deadline
@@ -89,7 +92,7 @@
     pub(super) async fn run_operation(
         self: &Rc<Self>,
         context: OperationContext<'_>,
-        ready: Ready,
+        ready: PreparedOperation,
         batch_entry: Option<usize>,
         permits: OperationPermits,
     ) -> Result<Reply, RequestError> {
--- a/crates/node/src/net/graphql/response.rs
+++ b/crates/node/src/net/graphql/response.rs
@@ -7,9 +7,9 @@
 use hyper::{Response, StatusCode};
 use reelfall_balancer::interface::{Outcome, Time};
 use reelfall_graphql::answer;
-use reelfall_graphql::batch::Fate;
+use reelfall_graphql::batch::EntryResult;
 use reelfall_graphql::media::{self, Media};
-use reelfall_graphql::{Fault, FaultKind};
+use reelfall_graphql::{GraphQlError, GraphQlErrorKind};
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Deserializer};
 
@@ -31,11 +31,11 @@
 }
 
 /// The answer to a request that can't be run.
-pub(super) fn fault_response(media: Media, fault: &Fault) -> HttpResponse {
+pub(super) fn fault_response(media: Media, fault: &GraphQlError) -> HttpResponse {
     let status = StatusCode::from_u16(media::status(media, fault.kind))
         .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let mut response = json_response(status, media, answer::fault(fault).to_string());
-    if fault.kind == FaultKind::Method {
+    let mut response = json_response(status, media, answer::error_response(fault).to_string());
+    if fault.kind == GraphQlErrorKind::Method {
         set_allowed_methods(&mut response, "POST");
     }
     response
@@ -43,7 +43,10 @@
 
 /// The answer to a request by a method that GraphQL is not served by.
 pub(super) fn method_not_allowed(media: Media) -> HttpResponse {
-    let fault = Fault::new(FaultKind::Method, "GraphQL is served by GET and POST");
+    let fault = GraphQlError::new(
+        GraphQlErrorKind::Method,
+        "GraphQL is served by GET and POST",
+    );
     let mut response = fault_response(media, &fault);
     set_allowed_methods(&mut response, "GET, POST");
     response
@@ -56,8 +59,8 @@
 }
 
 /// The fault that a rejected request is reported as.
-pub(super) fn request_fault(error: RequestError) -> Fault {
-    Fault::new(FaultKind::Request, error.to_string())
+pub(super) fn request_fault(error: RequestError) -> GraphQlError {
+    GraphQlError::new(GraphQlErrorKind::Request, error.to_string())
 }
 
 /// The answer to an operation that was not submitted.
@@ -74,15 +77,15 @@
     match reply {
         Reply::Served(answer) => served_response(answer.body, media),
         Reply::Rejected { retry_after } => {
-            let fate = Fate::Refused(retry_after);
+            let fate = EntryResult::Rejected(retry_after);
             let mut response = error_response(StatusCode::SERVICE_UNAVAILABLE, media, &fate);
             set_retry_after(&mut response, retry_after);
             response
         }
         Reply::Failed(Some(Outcome::TimedOut)) => {
-            error_response(StatusCode::GATEWAY_TIMEOUT, media, &Fate::Failed)
+            error_response(StatusCode::GATEWAY_TIMEOUT, media, &EntryResult::Failed)
         }
-        Reply::Failed(_) => error_response(StatusCode::BAD_GATEWAY, media, &Fate::Failed),
+        Reply::Failed(_) => error_response(StatusCode::BAD_GATEWAY, media, &EntryResult::Failed),
     }
 }
 
@@ -98,8 +101,8 @@
     json_response(status, media, body)
 }
 
-fn error_response(status: StatusCode, media: Media, fate: &Fate<()>) -> HttpResponse {
-    let text = answer::made(fate).unwrap_or_default().to_string();
+fn error_response(status: StatusCode, media: Media, fate: &EntryResult<()>) -> HttpResponse {
+    let text = answer::entry_response(fate).unwrap_or_default().to_string();
     json_response(status, media, text)
 }
 
--- a/crates/node/src/net/operations.rs
+++ b/crates/node/src/net/operations.rs
@@ -8,9 +8,9 @@
 use reelfall_balancer::interface::{ClassId, Time};
 use reelfall_graphql::class::Classes;
 use reelfall_graphql::decode::Params;
-use reelfall_graphql::document::{operation, Kind, Operation};
-use reelfall_graphql::persisted::Persisted;
-use reelfall_graphql::{Fault, FaultKind, Limits};
+use reelfall_graphql::document::{parse_operation, Operation, OperationKind};
+use reelfall_graphql::persisted::PersistedDocuments;
+use reelfall_graphql::{GraphQlError, GraphQlErrorKind, Limits};
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -25,13 +25,13 @@
     /// The work that a field costs, in seconds on a standard core.
     pub field_work: Time,
     /// Maximum number of reads of a batch that run at once.
-    pub side_by_side: usize,
+    pub max_parallel_reads: usize,
     /// The cache of documents by their hash; it outlives a reload.
-    pub persisted: Rc<RefCell<Persisted>>,
+    pub persisted: Rc<RefCell<PersistedDocuments>>,
 }
 
 /// An operation with its request to a server.
-pub struct Ready {
+pub struct PreparedOperation {
     /// The class of the operation.
     pub class: ClassId,
     /// The operation.
@@ -45,17 +45,17 @@
 }
 
 /// The head of a client's request, which all entries of a batch have in common.
-pub struct Head {
+pub struct OperationHead {
     /// The headers.
     pub headers: HeaderMap,
     /// The path with its query.
     pub path: PathAndQuery,
     /// The method is GET.
-    pub get: bool,
+    pub is_get: bool,
     /// How long the client waits for the answer, in seconds, if it says so.
-    pub left: Option<Time>,
+    pub time_left: Option<Time>,
     /// When the request was received.
-    pub taken: Instant,
+    pub received_at: Instant,
     /// The receiver of the answer.
     pub waiter: Rc<dyn Waiter>,
 }
@@ -66,26 +66,31 @@
     ///
     /// # Errors
     /// If the operation can't be resolved, or may not be run.
-    pub fn ready(&self, params: &Params, raw: Option<Bytes>, head: &Head) -> Result<Ready, Fault> {
-        let hash = params.persisted()?;
+    pub fn prepare(
+        &self,
+        params: &Params,
+        raw: Option<Bytes>,
+        head: &OperationHead,
+    ) -> Result<PreparedOperation, GraphQlError> {
+        let hash = params.persisted_hash()?;
         let text = self
             .persisted
             .borrow_mut()
             .resolve(params.query.as_deref(), hash)?;
         let name = params.operation_name.as_deref();
-        let operation = operation(&text, name, &params.variables, &self.limits)?;
-        if head.get && operation.kind == Kind::Mutation {
-            return Err(Fault::new(
-                FaultKind::Method,
+        let operation = parse_operation(&text, name, &params.variables, &self.limits)?;
+        if head.is_get && operation.kind == OperationKind::Mutation {
+            return Err(GraphQlError::new(
+                GraphQlErrorKind::Method,
                 "a mutation by GET: whoever stands between may repeat it",
             ));
         }
         if hash.is_some() && params.query.is_some() {
-            self.persisted.borrow_mut().keep(&text, &self.limits);
+            self.persisted.borrow_mut().insert(&text, &self.limits);
         }
-        let class = self.classes.of(&operation);
+        let class = self.classes.class_of(&operation);
         let request = ServerRequest::build(params, &text, raw, &head.path)?;
-        Ok(Ready {
+        Ok(PreparedOperation {
             class,
             operation: Rc::new(operation),
             method: request.method,
@@ -110,12 +115,12 @@
         text: &str,
         raw: Option<Bytes>,
         path: &PathAndQuery,
-    ) -> Result<ServerRequest, Fault> {
+    ) -> Result<ServerRequest, GraphQlError> {
         if params.query.is_none() {
             let path = path.path().parse();
             return Ok(ServerRequest {
                 method: Method::POST,
-                path: path.map_err(|_| Fault::new(FaultKind::Request, "no path"))?,
+                path: path.map_err(|_| GraphQlError::new(GraphQlErrorKind::Request, "no path"))?,
                 body: encode_body(text, params),
             });
         }
--- a/crates/node/src/net/pool.rs
+++ b/crates/node/src/net/pool.rs
@@ -31,7 +31,7 @@
 };
 use reelfall_balancer::settings::{ConnectionSettings, NameRegistry, SettingsError};
 use reelfall_balancer::Balancer;
-use reelfall_routing::limits::Member;
+use reelfall_routing::limits::ServiceId;
 use serde::Deserialize;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -54,7 +54,7 @@
     /// What the pools of the process share.
     pub shared: Rc<Shared>,
     /// The service's entry in the shared limits, if several services share the process.
-    pub member: Option<Member>,
+    pub member: Option<ServiceId>,
 }
 
 /// The engine of one pool and all that it acts on.
--- a/crates/node/src/net/service.rs
+++ b/crates/node/src/net/service.rs
@@ -28,8 +28,8 @@
 use prepared::{is_same, ListedServer, PlannedService, PoolKey, RuntimeSettings};
 use reelfall_balancer::interface::Time;
 use reelfall_config::model;
-use reelfall_graphql::persisted::Persisted;
-use reelfall_routing::limits::Member;
+use reelfall_graphql::persisted::PersistedDocuments;
+use reelfall_routing::limits::ServiceId;
 use sources::StaticSource;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -43,7 +43,7 @@
     /// Its servers.
     pub pool: Rc<Pool>,
     /// Its entry in the limits, if several services share the process.
-    pub member: Option<Member>,
+    pub member: Option<ServiceId>,
     /// Whether it finishes its requests and rejects new ones.
     pub is_draining: Cell<bool>,
     /// Maximum time after which a rejected client is advised to retry, in seconds; 0 for no advice.
@@ -94,7 +94,7 @@
         shared: &Rc<Shared>,
         planned: &PlannedService,
         seed: u64,
-        member: Option<Member>,
+        member: Option<ServiceId>,
     ) -> Result<Rc<Self>, StartServiceError> {
         let service = planned.model;
         let (settings, names, connection_settings) = planned.prepared.plan.settings(service);
@@ -249,7 +249,7 @@
 /// How a service's GraphQL requests are read, with the documents that are `persisted` already.
 fn graphql_settings(
     service: &model::Service,
-    persisted: Option<Rc<RefCell<Persisted>>>,
+    persisted: Option<Rc<RefCell<PersistedDocuments>>>,
 ) -> Result<Option<Rc<GraphQl>>, StartServiceError> {
     let Some(graphql) = &service.graphql else {
         return Ok(None);
@@ -259,7 +259,7 @@
         classes,
         limits: graphql.limits,
         field_work: graphql.field_work,
-        side_by_side: graphql.max_parallel_reads,
+        max_parallel_reads: graphql.max_parallel_reads,
         persisted: persisted.unwrap_or_default(),
     })))
 }
--- a/crates/node/src/net/service/prepared.rs
+++ b/crates/node/src/net/service/prepared.rs
@@ -6,7 +6,7 @@
 use crate::net::registry::{RegistryAccess, RegistryAccessError};
 use reelfall_balancer::interface::{ServerState, Time};
 use reelfall_config::{model, Plan};
-use reelfall_routing::limits::Allowed;
+use reelfall_routing::limits::ServiceLimits;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -73,7 +73,7 @@
 pub struct RuntimeSettings {
     state: model::ServiceState,
     max_retry_after: Time,
-    resource_limits: Allowed,
+    resource_limits: ServiceLimits,
     graphql: Option<model::Located<model::GraphQl>>,
 }
 
--- a/crates/node/src/net/service/routing.rs
+++ b/crates/node/src/net/service/routing.rs
@@ -3,7 +3,7 @@
 use super::prepared::PreparedPlan;
 use super::Service;
 use reelfall_balancer::interface::ClassId;
-use reelfall_routing::table::Query;
+use reelfall_routing::table::RouteQuery;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -80,9 +80,9 @@
     }
 
     /// Finds the service and class of a request; `None` if no route matches.
-    pub fn find(&self, query: &Query) -> Option<RouteMatch> {
+    pub fn find(&self, query: &RouteQuery) -> Option<RouteMatch> {
         let plan = &self.prepared.as_ref()?.plan;
-        let goal = plan.goals.get(plan.table.get(query)?)?;
+        let goal = plan.goals.get(plan.table.find(query)?)?;
         Some(RouteMatch {
             service: self.services.get(goal.service)?.clone(),
             class: goal.assign,
--- a/crates/node/src/net/service/services.rs
+++ b/crates/node/src/net/service/services.rs
@@ -6,7 +6,7 @@
 use super::Service;
 use crate::net::shared::Shared;
 use crate::net::SPLITMIX64_INCREMENT;
-use reelfall_routing::limits::{Allowed, Member};
+use reelfall_routing::limits::{ServiceId, ServiceLimits};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -109,7 +109,7 @@
         seed
     }
 
-    fn remove_members(&self, members: impl IntoIterator<Item = Member>) {
+    fn remove_members(&self, members: impl IntoIterator<Item = ServiceId>) {
         for member in members {
             self.shared.remove_member(member);
         }
@@ -138,7 +138,7 @@
     /// Leaves a removed service what it uses until it has finished, but reserves nothing for it.
     fn release_reservations(&self, service: &Service) {
         if let Some(member) = service.member {
-            self.shared.set_allowed(member, &Allowed::OPEN);
+            self.shared.set_allowed(member, &ServiceLimits::UNLIMITED);
         }
     }
 
--- a/crates/node/src/net/shared.rs
+++ b/crates/node/src/net/shared.rs
@@ -39,7 +39,7 @@
 use reelfall_admin::ledger::Ledger;
 use reelfall_balancer::interface::Time;
 use reelfall_routing::common::SharedServers;
-use reelfall_routing::limits::{Limits, Totals};
+use reelfall_routing::limits::{Limits, ProcessResources};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -112,7 +112,10 @@
     }
 
     /// The state of a process with several services, each with its share of the totals.
-    pub fn for_services(totals: Totals, max_connections_per_server: Option<usize>) -> Rc<Self> {
+    pub fn for_services(
+        totals: ProcessResources,
+        max_connections_per_server: Option<usize>,
+    ) -> Rc<Self> {
         let shared = Self::new(
             totals.connections as usize,
             0,
@@ -149,7 +152,7 @@
     }
 
     /// Changes the totals of a process with several services. What is in use stays in use.
-    pub fn set_totals(&self, totals: Totals, max_connections_per_server: Option<usize>) {
+    pub fn set_totals(&self, totals: ProcessResources, max_connections_per_server: Option<usize>) {
         self.connections.set_max(totals.connections as usize);
         self.connections
             .set_max_per_server(max_connections_per_server);
--- a/crates/node/src/net/shared/connections.rs
+++ b/crates/node/src/net/shared/connections.rs
@@ -5,7 +5,7 @@
 
 use super::{Permit, Shared};
 use reelfall_routing::budget::Denied;
-use reelfall_routing::limits::{Kind, Member};
+use reelfall_routing::limits::{Resource, ServiceId};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -114,7 +114,7 @@
     pub fn reserve_connection(
         self: &Rc<Self>,
         address: SocketAddr,
-        member: Option<Member>,
+        member: Option<ServiceId>,
     ) -> Result<ConnectionPermit, Denied> {
         if self.connections.is_server_full(&address) {
             self.evict_idle(Some(address)).ok_or(Denied::Total)?;
@@ -135,13 +135,13 @@
         })
     }
 
-    fn reserve_service_connection(self: &Rc<Self>, member: Member) -> Result<Permit, Denied> {
-        match self.reserve_units(member, Kind::Connections, 1) {
+    fn reserve_service_connection(self: &Rc<Self>, member: ServiceId) -> Result<Permit, Denied> {
+        match self.reserve_units(member, Resource::Connections, 1) {
             Ok(permit) => Ok(permit),
             Err(Denied::Most) => Err(Denied::Most),
             Err(denied) => {
                 self.evict_idle(None).ok_or(denied)?;
-                self.reserve_units(member, Kind::Connections, 1)
+                self.reserve_units(member, Resource::Connections, 1)
             }
         }
     }
--- a/crates/node/src/net/shared/listed/tests.rs
+++ b/crates/node/src/net/shared/listed/tests.rs
@@ -5,7 +5,7 @@
 use reelfall_balancer::engine::AddressedEndpoint;
 use reelfall_balancer::interface::{ServerState, Time, UpdateKind};
 use reelfall_balancer::settings::{self, ListedEndpoint};
-use reelfall_routing::limits::Totals;
+use reelfall_routing::limits::ProcessResources;
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 
 fn shared() -> Rc<Shared> {
     Shared::for_services(
-        Totals {
+        ProcessResources {
             open: 1_000,
             connections: 1_000,
             memory: 1_000,
--- a/crates/node/src/net/shared/memory.rs
+++ b/crates/node/src/net/shared/memory.rs
@@ -1,7 +1,7 @@
 //! Memory for buffered request bodies and responses.
 
 use super::{Permit, Shared};
-use reelfall_routing::limits::{Kind, Member};
+use reelfall_routing::limits::{Resource, ServiceId};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Instant;
@@ -53,14 +53,18 @@
 
 impl Shared {
     /// Reserves memory for the body of a request, if there is enough now.
-    pub fn reserve_body(self: &Rc<Self>, member: Option<Member>, kib: u32) -> Option<MemoryPermit> {
+    pub fn reserve_body(
+        self: &Rc<Self>,
+        member: Option<ServiceId>,
+        kib: u32,
+    ) -> Option<MemoryPermit> {
         self.try_reserve(&self.buffer_memory.request_bodies, member, kib)
     }
 
     /// Reserves memory for a response, if there is enough now.
     pub fn reserve_answer(
         self: &Rc<Self>,
-        member: Option<Member>,
+        member: Option<ServiceId>,
         kib: u32,
     ) -> Option<MemoryPermit> {
         self.try_reserve(&self.buffer_memory.responses, member, kib)
@@ -69,12 +73,12 @@
     fn try_reserve(
         self: &Rc<Self>,
         process_memory: &Arc<Semaphore>,
-        member: Option<Member>,
+        member: Option<ServiceId>,
         kib: u32,
     ) -> Option<MemoryPermit> {
         match member {
             Some(member) => self
-                .reserve_units(member, Kind::Memory, kib.into())
+                .reserve_units(member, Resource::Memory, kib.into())
                 .ok()
                 .map(MemoryPermit::Service),
             None => process_memory
@@ -88,7 +92,7 @@
     /// Reserves memory for a response and waits for it until the deadline.
     pub async fn reserve_answer_by(
         self: &Rc<Self>,
-        member: Option<Member>,
+        member: Option<ServiceId>,
         kib: u32,
         deadline: Instant,
     ) -> Option<MemoryPermit> {
--- a/crates/node/src/net/shared/service_limits.rs
+++ b/crates/node/src/net/shared/service_limits.rs
@@ -2,47 +2,49 @@
 
 use super::Shared;
 use reelfall_routing::budget::Denied;
-use reelfall_routing::limits::{Allowed, Denial, Kind, Member};
+use reelfall_routing::limits::{LimitExceeded, Resource, ServiceId, ServiceLimits};
 use std::rc::Rc;
 
 /// Units of a limit that a service uses; they are returned when this is dropped.
 pub struct Permit {
     shared: Rc<Shared>,
-    member: Member,
-    kind: Kind,
+    member: ServiceId,
+    kind: Resource,
     units: u64,
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
         if let Some(limits) = &self.shared.service_limits {
-            limits.borrow_mut().give(self.member, self.kind, self.units);
+            limits
+                .borrow_mut()
+                .release(self.member, self.kind, self.units);
         }
         match self.kind {
-            Kind::Memory => self.shared.buffer_memory.notify_freed(),
-            Kind::Connections => self.shared.notify_connection_freed(),
-            Kind::Open => {}
+            Resource::Memory => self.shared.buffer_memory.notify_freed(),
+            Resource::Connections => self.shared.notify_connection_freed(),
+            Resource::Open => {}
         }
     }
 }
 
 impl Shared {
     /// Adds a service to the limits; `None` if the process has one service only.
-    pub fn add_member(&self, allowed: &Allowed) -> Option<Member> {
+    pub fn add_member(&self, allowed: &ServiceLimits) -> Option<ServiceId> {
         self.service_limits
             .as_ref()
             .map(|limits| limits.borrow_mut().add(self.clock.now(), allowed))
     }
 
     /// Changes the limits of a service.
-    pub fn set_allowed(&self, member: Member, allowed: &Allowed) {
+    pub fn set_allowed(&self, member: ServiceId, allowed: &ServiceLimits) {
         if let Some(limits) = &self.service_limits {
             limits.borrow_mut().set(self.clock.now(), member, allowed);
         }
     }
 
     /// Removes a service from the limits.
-    pub fn remove_member(&self, member: Member) {
+    pub fn remove_member(&self, member: ServiceId) {
         if let Some(limits) = &self.service_limits {
             limits.borrow_mut().remove(member);
         }
@@ -52,7 +54,7 @@
     ///
     /// # Errors
     /// Names the limit that the service has reached.
-    pub fn admit(self: &Rc<Self>, member: Member) -> Result<Option<Permit>, Denial> {
+    pub fn admit(self: &Rc<Self>, member: ServiceId) -> Result<Option<Permit>, LimitExceeded> {
         let Some(limits) = &self.service_limits else {
             return Ok(None);
         };
@@ -60,7 +62,7 @@
         Ok(Some(Permit {
             shared: self.clone(),
             member,
-            kind: Kind::Open,
+            kind: Resource::Open,
             units: 1,
         }))
     }
@@ -68,14 +70,14 @@
     /// Reserves units of a limit for a service.
     pub(super) fn reserve_units(
         self: &Rc<Self>,
-        member: Member,
-        kind: Kind,
+        member: ServiceId,
+        kind: Resource,
         units: u64,
     ) -> Result<Permit, Denied> {
         let limits = self.service_limits.as_ref().ok_or(Denied::Most)?;
         limits
             .borrow_mut()
-            .take(self.clock.now(), member, kind, units)?;
+            .acquire(self.clock.now(), member, kind, units)?;
         Ok(Permit {
             shared: self.clone(),
             member,
--- a/crates/node/src/net/upstream/connection_pool.rs
+++ b/crates/node/src/net/upstream/connection_pool.rs
@@ -5,7 +5,7 @@
 use reelfall_balancer::interface::{ServerId, Time};
 use reelfall_routing::budget::Denied;
 use reelfall_routing::keep_alive::KeepAlive;
-use reelfall_routing::limits::Member;
+use reelfall_routing::limits::ServiceId;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
     last_generation: Cell<u64>,
     pub(super) shared: Rc<Shared>,
     /// The service whose limits apply, where there are several services.
-    pub(super) member: Option<Member>,
+    pub(super) member: Option<ServiceId>,
     /// Notified when a connection may have become available.
     pub(super) connection_available: Notify,
     keep_alive: Cell<KeepAlive>,
@@ -43,7 +43,7 @@
     /// An empty pool. `idle_timeout` is that of the servers.
     pub fn new(
         shared: Rc<Shared>,
-        member: Option<Member>,
+        member: Option<ServiceId>,
         idle_timeout: Time,
         connect_timeout: Time,
     ) -> Self {
@@ -80,13 +80,13 @@
 
     /// How long a connection may be idle at present.
     fn idle_timeout(&self) -> Duration {
-        Duration::try_from_secs_f64(self.keep_alive.get().seconds()).unwrap_or(Duration::MAX)
+        Duration::try_from_secs_f64(self.keep_alive.get().idle_timeout()).unwrap_or(Duration::MAX)
     }
 
     /// Records that a server has rejected a new connection.
     pub(super) fn record_rejected_connection(&self) {
         let mut keep_alive = self.keep_alive.get();
-        keep_alive.turned_away();
+        keep_alive.record_rejection();
         self.keep_alive.set(keep_alive);
     }
 
--- a/crates/routing/src/keep_alive.rs
+++ b/crates/routing/src/keep_alive.rs
@@ -30,12 +30,12 @@
     }
 
     /// The current keep-alive, in seconds.
-    pub fn seconds(&self) -> f64 {
+    pub fn idle_timeout(&self) -> f64 {
         self.current
     }
 
     /// Records that a server rejected a new connection. Several of them before a tick count as one.
-    pub fn turned_away(&mut self) {
+    pub fn record_rejection(&mut self) {
         self.was_rejected = true;
     }
 
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -7,7 +7,7 @@
 
 /// The limits of one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowed {
+pub struct ServiceLimits {
     /// Requests that have no final response yet, or an attempt in flight.
     pub open: Quota,
     /// Connections to servers.
@@ -18,9 +18,9 @@
     pub rate: Option<RateLimit>,
 }
 
-impl Allowed {
+impl ServiceLimits {
     /// No limits but those of the process.
-    pub const OPEN: Allowed = Allowed {
+    pub const UNLIMITED: ServiceLimits = ServiceLimits {
         open: Quota::UNLIMITED,
         connections: Quota::UNLIMITED,
         memory: Quota::UNLIMITED,
@@ -30,7 +30,7 @@
 
 /// The resources of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Totals {
+pub struct ProcessResources {
     /// Requests that have no final response yet, or an attempt in flight.
     pub open: u64,
     /// Connections to servers.
@@ -41,7 +41,7 @@
 
 /// A limited resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum Resource {
     /// Requests that have no final response yet, or an attempt in flight.
     Open,
     /// Connections to servers.
@@ -50,25 +50,25 @@
     Memory,
 }
 
-impl std::fmt::Display for Kind {
+impl std::fmt::Display for Resource {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str(match self {
-            Kind::Open => "open requests",
-            Kind::Connections => "connections",
-            Kind::Memory => "memory",
+            Resource::Open => "open requests",
+            Resource::Connections => "connections",
+            Resource::Memory => "memory",
         })
     }
 }
 
 /// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
-pub enum Denial {
+pub enum LimitExceeded {
     /// The service is over its request rate; the next request is admitted after this time, in seconds.
     #[error("over its rate")]
-    Rate(Time),
+    RateExceeded(Time),
     /// The service can't have more of a resource.
     #[error("{0}: {1}")]
-    Held(Kind, Denied),
+    NotAvailable(Resource, Denied),
 }
 
 /// The quotas of a resource are invalid.
@@ -76,14 +76,14 @@
 #[error("{kind}: {source}")]
 pub struct LimitsError {
     /// The resource.
-    pub kind: Kind,
+    pub kind: Resource,
     /// What is wrong.
     pub source: QuotaError,
 }
 
 /// The handle of a service in [`Limits`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Member {
+pub struct ServiceId {
     open: ConsumerId,
     connections: ConsumerId,
     memory: ConsumerId,
@@ -91,13 +91,13 @@
     rate: usize,
 }
 
-impl Member {
+impl ServiceId {
     /// The consumer of a resource's budget that stands for this service.
-    fn consumer(self, kind: Kind) -> ConsumerId {
+    fn consumer(self, kind: Resource) -> ConsumerId {
         match kind {
-            Kind::Open => self.open,
-            Kind::Connections => self.connections,
-            Kind::Memory => self.memory,
+            Resource::Open => self.open,
+            Resource::Connections => self.connections,
+            Resource::Memory => self.memory,
         }
     }
 }
@@ -115,7 +115,7 @@
 
 impl Limits {
     /// Limits without services.
-    pub fn new(totals: Totals) -> Self {
+    pub fn new(totals: ProcessResources) -> Self {
         Limits {
             open: Budget::new(totals.open),
             connections: Budget::new(totals.connections),
@@ -129,34 +129,34 @@
     ///
     /// # Errors
     /// The first resource whose quotas are invalid.
-    pub fn check(totals: Totals, allowed: &[Allowed]) -> Result<(), LimitsError> {
-        let check = |kind, total, quota: fn(&Allowed) -> Quota| {
+    pub fn check(totals: ProcessResources, allowed: &[ServiceLimits]) -> Result<(), LimitsError> {
+        let check = |kind, total, quota: fn(&ServiceLimits) -> Quota| {
             Budget::check(total, allowed.iter().map(quota))
                 .map_err(|source| LimitsError { kind, source })
         };
-        check(Kind::Open, totals.open, |limits| limits.open)?;
-        check(Kind::Connections, totals.connections, |limits| {
+        check(Resource::Open, totals.open, |limits| limits.open)?;
+        check(Resource::Connections, totals.connections, |limits| {
             limits.connections
         })?;
-        check(Kind::Memory, totals.memory, |limits| limits.memory)
+        check(Resource::Memory, totals.memory, |limits| limits.memory)
     }
 
     /// Changes the resources of the process; what is in use stays in use.
-    pub fn set_totals(&mut self, totals: Totals) {
+    pub fn set_totals(&mut self, totals: ProcessResources) {
         self.open.set_total(totals.open);
         self.connections.set_total(totals.connections);
         self.memory.set_total(totals.memory);
     }
 
     /// Adds a service.
-    pub fn add(&mut self, now: Time, allowed: &Allowed) -> Member {
+    pub fn add(&mut self, now: Time, allowed: &ServiceLimits) -> ServiceId {
         let rate_limiter = allowed.rate.map(|limit| TokenBucket::new(now, limit));
         let index = self.free.pop().unwrap_or(self.rate_limiters.len());
         match self.rate_limiters.get_mut(index) {
             Some(slot) => *slot = rate_limiter,
             None => self.rate_limiters.push(rate_limiter),
         }
-        Member {
+        ServiceId {
             open: self.open.add(allowed.open),
             connections: self.connections.add(allowed.connections),
             memory: self.memory.add(allowed.memory),
@@ -165,7 +165,7 @@
     }
 
     /// Changes the limits of a service; what is in use stays in use.
-    pub fn set(&mut self, now: Time, member: Member, allowed: &Allowed) {
+    pub fn set(&mut self, now: Time, member: ServiceId, allowed: &ServiceLimits) {
         self.open.set(member.open, allowed.open);
         self.connections
             .set(member.connections, allowed.connections);
@@ -179,7 +179,7 @@
     }
 
     /// Removes a service, once. What it uses counts until it is given back; nothing may be acquired for it afterwards.
-    pub fn remove(&mut self, member: Member) {
+    pub fn remove(&mut self, member: ServiceId) {
         self.open.remove(member.open);
         self.connections.remove(member.connections);
         self.memory.remove(member.memory);
@@ -193,17 +193,17 @@
     ///
     /// # Errors
     /// The limit that the service would exceed; nothing is acquired then.
-    pub fn admit(&mut self, now: Time, member: Member) -> Result<(), Denial> {
+    pub fn admit(&mut self, now: Time, member: ServiceId) -> Result<(), LimitExceeded> {
         self.open
             .acquire(now, member.open, 1)
-            .map_err(|denied| Denial::Held(Kind::Open, denied))?;
+            .map_err(|denied| LimitExceeded::NotAvailable(Resource::Open, denied))?;
         let slot = self.rate_limiters.get_mut(member.rate);
         let Some(rate_limiter) = slot.and_then(Option::as_mut) else {
             return Ok(());
         };
         rate_limiter.take(now).map_err(|exceeded| {
             self.open.release(member.open, 1);
-            Denial::Rate(exceeded.retry_after)
+            LimitExceeded::RateExceeded(exceeded.retry_after)
         })
     }
 
@@ -211,11 +211,11 @@
     ///
     /// # Errors
     /// Why they are not available now.
-    pub fn take(
+    pub fn acquire(
         &mut self,
         now: Time,
-        member: Member,
-        kind: Kind,
+        member: ServiceId,
+        kind: Resource,
         units: u64,
     ) -> Result<(), Denied> {
         self.budget_mut(kind)
@@ -223,28 +223,28 @@
     }
 
     /// Releases units of a resource.
-    pub fn give(&mut self, member: Member, kind: Kind, units: u64) {
+    pub fn release(&mut self, member: ServiceId, kind: Resource, units: u64) {
         self.budget_mut(kind).release(member.consumer(kind), units);
     }
 
     /// The units of a resource that a service uses.
-    pub fn used(&self, member: Member, kind: Kind) -> u64 {
+    pub fn used(&self, member: ServiceId, kind: Resource) -> u64 {
         self.budget(kind).used(member.consumer(kind))
     }
 
-    fn budget(&self, kind: Kind) -> &Budget {
+    fn budget(&self, kind: Resource) -> &Budget {
         match kind {
-            Kind::Open => &self.open,
-            Kind::Connections => &self.connections,
-            Kind::Memory => &self.memory,
+            Resource::Open => &self.open,
+            Resource::Connections => &self.connections,
+            Resource::Memory => &self.memory,
         }
     }
 
-    fn budget_mut(&mut self, kind: Kind) -> &mut Budget {
+    fn budget_mut(&mut self, kind: Resource) -> &mut Budget {
         match kind {
-            Kind::Open => &mut self.open,
-            Kind::Connections => &mut self.connections,
-            Kind::Memory => &mut self.memory,
+            Resource::Open => &mut self.open,
+            Resource::Connections => &mut self.connections,
+            Resource::Memory => &mut self.memory,
         }
     }
 }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     /// If it is none of these, or has a port.
-    pub fn read(pattern: &str) -> Result<Host, PatternError> {
+    pub fn parse(pattern: &str) -> Result<Host, PatternError> {
         if pattern == "*" {
             return Ok(Host::Any);
         }
@@ -62,7 +62,7 @@
             }
             return Ok(Host::Below(name.into()));
         }
-        let has_port = crate::target::host(&lower).map(|host| host != lower);
+        let has_port = crate::target::parse_host(&lower).map(|host| host != lower);
         match has_port {
             Ok(false) => Ok(Host::Exact(lower.into())),
             Ok(true) | Err(_) => Err(PatternError::Host),
@@ -84,14 +84,14 @@
 ///
 /// # Errors
 /// If no valid request could match it.
-pub fn prefix(path: &str) -> Result<Box<str>, PatternError> {
-    crate::target::path(path).map_err(|_| PatternError::Path)?;
+pub fn parse_prefix(path: &str) -> Result<Box<str>, PatternError> {
+    crate::target::check_path(path).map_err(|_| PatternError::Path)?;
     Ok(path.strip_suffix('/').unwrap_or(path).into())
 }
 
 /// The conditions of a route. `None` and an empty list match everything.
 #[derive(Clone, Debug, Default)]
-pub struct Match {
+pub struct RouteConditions {
     /// The listener.
     pub listener: Option<ListenerId>,
     /// The host pattern.
@@ -104,7 +104,7 @@
     pub class: Option<Box<str>>,
 }
 
-impl fmt::Display for Match {
+impl fmt::Display for RouteConditions {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let path = if self.path.is_empty() {
             "/"
@@ -125,9 +125,9 @@
     }
 }
 
-impl Match {
+impl RouteConditions {
     /// Whether a request fulfils all conditions. [`Table::get`] finds the matching routes without iterating over all.
-    pub fn fits(&self, query: &Query) -> bool {
+    pub fn matches(&self, query: &RouteQuery) -> bool {
         self.host_matches(query.host)
             && self.path_matches(query.path)
             && self.listener.is_none_or(|id| id == query.listener)
@@ -174,7 +174,7 @@
 
 /// The properties of a request that determine its route.
 #[derive(Clone, Copy, Debug)]
-pub struct Query<'a> {
+pub struct RouteQuery<'a> {
     /// The listener that accepted it.
     pub listener: ListenerId,
     /// Its host, in lower case.
@@ -242,7 +242,7 @@
     ///
     /// Prefixes are tried in chunks of bounded size: the chunks from short to long, the prefixes of a chunk from long to
     /// short. A match in a later chunk replaces that of an earlier one.
-    fn get(&self, query: &Query) -> Option<usize> {
+    fn get(&self, query: &RouteQuery) -> Option<usize> {
         let segment_ends = query
             .path
             .match_indices('/')
@@ -274,7 +274,7 @@
 
     const CHUNK_LEN: usize = 16;
 
-    fn get_by_prefix(&self, prefix: &str, query: &Query) -> Option<usize> {
+    fn get_by_prefix(&self, prefix: &str, query: &RouteQuery) -> Option<usize> {
         let methods = self.by_prefix.get(prefix)?;
         methods
             .by_method
@@ -294,7 +294,7 @@
 }
 
 impl HostTable {
-    fn get(&self, query: &Query) -> Option<usize> {
+    fn get(&self, query: &RouteQuery) -> Option<usize> {
         self.by_host
             .get(query.host)
             .and_then(|paths| paths.get(query))
@@ -303,7 +303,7 @@
     }
 
     /// The route of the longest parent domain that has one.
-    fn get_by_parent(&self, query: &Query) -> Option<usize> {
+    fn get_by_parent(&self, query: &RouteQuery) -> Option<usize> {
         if self.by_parent.is_empty() {
             return None;
         }
@@ -326,25 +326,27 @@
 
 /// All routes of a configuration.
 #[derive(Debug, Default)]
-pub struct Table {
+pub struct RouteTable {
     by_listener: HashMap<ListenerId, HostTable>,
     any_listener: HostTable,
 }
 
-impl Table {
+impl RouteTable {
     /// Makes a table. Look-ups return the index of a route in `routes`.
     ///
     /// # Errors
     /// If two routes are ambiguous.
-    pub fn new<'a>(routes: impl IntoIterator<Item = &'a Match>) -> Result<Table, AmbiguousRoutes> {
-        let mut table = Table::default();
+    pub fn new<'a>(
+        routes: impl IntoIterator<Item = &'a RouteConditions>,
+    ) -> Result<RouteTable, AmbiguousRoutes> {
+        let mut table = RouteTable::default();
         for (index, route) in routes.into_iter().enumerate() {
             table.insert(index, route)?;
         }
         Ok(table)
     }
 
-    fn insert(&mut self, index: usize, route: &Match) -> Result<(), AmbiguousRoutes> {
+    fn insert(&mut self, index: usize, route: &RouteConditions) -> Result<(), AmbiguousRoutes> {
         let hosts = match route.listener {
             Some(listener) => self.by_listener.entry(listener).or_default(),
             None => &mut self.any_listener,
@@ -372,7 +374,7 @@
     }
 
     /// The route of a request.
-    pub fn get(&self, query: &Query) -> Option<usize> {
+    pub fn find(&self, query: &RouteQuery) -> Option<usize> {
         self.by_listener
             .get(&query.listener)
             .and_then(|hosts| hosts.get(query))
--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -73,7 +73,7 @@
 
 /// The target of a request as it was received.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Said<'a> {
+pub struct ReceivedTarget<'a> {
     /// The scheme of an absolute target.
     pub scheme: Option<&'a str>,
     /// The authority of an absolute target.
@@ -83,7 +83,7 @@
     /// The first header `Host`.
     pub host: Option<&'a [u8]>,
     /// Whether there is another one.
-    pub more_hosts: bool,
+    pub has_several_hosts: bool,
 }
 
 /// Validates a target.
@@ -93,8 +93,8 @@
 ///
 /// # Errors
 /// The first [`TargetError`]; the caller responds with 400.
-pub fn read<'a>(received: Said<'a>) -> Result<Target<'a>, TargetError> {
-    if received.more_hosts {
+pub fn parse<'a>(received: ReceivedTarget<'a>) -> Result<Target<'a>, TargetError> {
+    if received.has_several_hosts {
         return Err(TargetError::SeveralHosts);
     }
     let host_header = std::str::from_utf8(received.host.ok_or(TargetError::NoHost)?)
@@ -106,16 +106,16 @@
     {
         return Err(TargetError::Scheme);
     }
-    let host = host(host_header)?;
+    let host = parse_host(host_header)?;
     if let Some(authority) = received.authority {
         // By RFC 9112 section 3.2.2 the target takes precedence, but not every implementation knows that.
         if !authority.eq_ignore_ascii_case(host_header) {
             // An invalid authority is the more specific error.
-            self::host(authority)?;
+            self::parse_host(authority)?;
             return Err(TargetError::HostDiffers);
         }
     }
-    path(received.path)?;
+    check_path(received.path)?;
     Ok(Target {
         host,
         path: received.path,
@@ -126,7 +126,7 @@
 ///
 /// # Errors
 /// If host or port is invalid.
-pub fn host(authority: &str) -> Result<Cow<'_, str>, TargetError> {
+pub fn parse_host(authority: &str) -> Result<Cow<'_, str>, TargetError> {
     if authority.contains('@') {
         return Err(TargetError::UserInfo);
     }
@@ -203,7 +203,7 @@
 ///
 /// # Errors
 /// How it could be interpreted differently.
-pub fn path(path: &str) -> Result<(), TargetError> {
+pub fn check_path(path: &str) -> Result<(), TargetError> {
     let rest = path.strip_prefix('/').ok_or(TargetError::NoPath)?;
     let last = rest.split('/').count() - 1;
     for (index, segment) in rest.split('/').enumerate() {
--- a/crates/routing/tests/keep_alive.rs
+++ b/crates/routing/tests/keep_alive.rs
@@ -5,17 +5,17 @@
 #[test]
 fn a_refusal_halves_the_keep_alive_once_a_look_and_quiet_gives_it_back() {
     let mut keep = KeepAlive::new(8.0);
-    (0..100).for_each(|_| keep.turned_away());
-    assert_eq!(keep.seconds(), 8.0);
+    (0..100).for_each(|_| keep.record_rejection());
+    assert_eq!(keep.idle_timeout(), 8.0);
     keep.tick(0.25);
-    assert_eq!(keep.seconds(), 4.0);
+    assert_eq!(keep.idle_timeout(), 4.0);
     for _ in 0..20 {
-        keep.turned_away();
+        keep.record_rejection();
         keep.tick(0.25);
     }
-    assert_eq!(keep.seconds(), 0.5);
+    assert_eq!(keep.idle_timeout(), 0.5);
     (0..80).for_each(|_| keep.tick(0.25));
-    assert_eq!(keep.seconds(), 8.0);
+    assert_eq!(keep.idle_timeout(), 8.0);
 }
 
 /// Nodes that each use a few servers often and all of them now and then; a server accepts so many connections.
@@ -38,7 +38,11 @@
         let now = f64::from(step) * 0.25;
         for node in 0..NODES {
             keeps[node].tick(0.25);
-            let keep = if adapts { keeps[node].seconds() } else { 8.0 };
+            let keep = if adapts {
+                keeps[node].idle_timeout()
+            } else {
+                8.0
+            };
             for (server, last) in used[node].iter_mut().enumerate() {
                 if last.is_some_and(|last| now - last >= keep) {
                     (*last, open[server]) = (None, open[server] - 1);
@@ -52,7 +56,7 @@
                 };
                 if used[node][server].is_none() {
                     if open[server] >= accepts {
-                        keeps[node].turned_away();
+                        keeps[node].record_rejection();
                         refused += usize::from(step >= 60);
                         continue;
                     }
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use reelfall_routing::budget::{Budget, Denied, Quota, QuotaError, CLAIM_TTL};
-use reelfall_routing::limits::{Allowed, Denial, Kind, Limits, Totals};
+use reelfall_routing::limits::{LimitExceeded, Limits, ProcessResources, Resource, ServiceLimits};
 use reelfall_routing::rate::{RateLimit, TokenBucket};
 
 fn quota(reserved: u64, max: u64) -> Quota {
@@ -218,23 +218,25 @@
 
 #[test]
 fn a_refused_request_takes_nothing() {
-    let totals = Totals {
+    let totals = ProcessResources {
         open: 10,
         connections: 10,
         memory: 10,
     };
-    let allowed = Allowed {
+    let allowed = ServiceLimits {
         rate: Some(rate_limit(1.0, 2.0)),
         open: quota(0, 3),
-        ..Allowed::OPEN
+        ..ServiceLimits::UNLIMITED
     };
     let mut limits = Limits::new(totals);
     let s = limits.add(0.0, &allowed);
     assert_eq!(limits.admit(0.0, s), Ok(()));
     assert_eq!(limits.admit(0.0, s), Ok(()));
-    assert!(matches!(limits.admit(0.0, s), Err(Denial::Rate(wait)) if (wait - 1.0).abs() < 1e-9));
+    assert!(
+        matches!(limits.admit(0.0, s), Err(LimitExceeded::RateExceeded(wait)) if (wait - 1.0).abs() < 1e-9)
+    );
     assert_eq!(
-        limits.used(s, Kind::Open),
+        limits.used(s, Resource::Open),
         2,
         "a request over its rate is counted as open"
     );
@@ -242,15 +244,15 @@
     // Over its bound, a request leaves the rate alone.
     assert_eq!(
         limits.admit(2.0, s),
-        Err(Denial::Held(Kind::Open, Denied::Most))
+        Err(LimitExceeded::NotAvailable(Resource::Open, Denied::Most))
     );
-    limits.give(s, Kind::Open, 1);
+    limits.release(s, Resource::Open, 1);
     assert_eq!(limits.admit(2.0, s), Ok(()));
 }
 
 #[test]
 fn a_flood_on_one_service_leaves_the_reservation_of_another() {
-    let totals = Totals {
+    let totals = ProcessResources {
         open: 100,
         connections: 100,
         memory: 1000,
@@ -258,20 +260,20 @@
     let mut limits = Limits::new(totals);
     let flood = limits.add(
         0.0,
-        &Allowed {
+        &ServiceLimits {
             open: Quota {
                 reserved: 40,
                 max: 80,
                 weight: 3,
             },
-            ..Allowed::OPEN
+            ..ServiceLimits::UNLIMITED
         },
     );
     let rollout = limits.add(
         0.0,
-        &Allowed {
+        &ServiceLimits {
             open: quota(20, 40),
-            ..Allowed::OPEN
+            ..ServiceLimits::UNLIMITED
         },
     );
     let taken = (0..400)
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -2,11 +2,13 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_routing::table::{prefix, AmbiguousRoutes, Host, Match, PatternError, Query, Table};
+use reelfall_routing::table::{
+    parse_prefix, AmbiguousRoutes, Host, PatternError, RouteConditions, RouteQuery, RouteTable,
+};
 
 /// The rules of precedence, read off their text: everything stated must match, and the parts are compared in order.
-fn naive(routes: &[Match], q: &Query) -> Option<usize> {
-    let fits = |m: &Match| {
+fn naive(routes: &[RouteConditions], q: &RouteQuery) -> Option<usize> {
+    let fits = |m: &RouteConditions| {
         let host = match &m.host {
             Host::Any => true,
             Host::Exact(name) => **name == *q.host,
@@ -23,7 +25,7 @@
         let method = m.methods.is_empty() || m.methods.iter().any(|x| **x == *q.method);
         host && path && listener && method && m.class.as_deref().is_none_or(|c| Some(c) == q.class)
     };
-    let rank = |m: &Match| {
+    let rank = |m: &RouteConditions| {
         let host = match &m.host {
             Host::Any => (0, 0),
             Host::Below(name) => (1, name.len()),
@@ -47,7 +49,7 @@
         .max_by_key(|n| rank(&routes[*n]))
 }
 
-fn alike(a: &Match, b: &Match) -> bool {
+fn alike(a: &RouteConditions, b: &RouteConditions) -> bool {
     let methods = match (a.methods.is_empty(), b.methods.is_empty()) {
         (true, true) => true,
         (false, false) => a.methods.iter().any(|m| b.methods.contains(m)),
@@ -72,7 +74,7 @@
     prop::collection::vec(label(), 0..most).prop_map(|l| format!("/{}", l.join("/")))
 }
 
-fn route() -> impl Strategy<Value = Match> {
+fn route() -> impl Strategy<Value = RouteConditions> {
     let host = prop_oneof![
         1 => Just("*".to_owned()),
         2 => name(),
@@ -81,10 +83,10 @@
     let methods = prop::sample::subsequence(vec!["GET", "POST"], 0..=2);
     let class = prop::option::of(prop_oneof![Just("x"), Just("y")]);
     (prop::option::of(0..2u16), host, path(4), methods, class).prop_map(
-        |(listener, host, path, methods, class)| Match {
+        |(listener, host, path, methods, class)| RouteConditions {
             listener,
-            host: Host::read(&host).unwrap(),
-            path: prefix(&path).unwrap(),
+            host: Host::parse(&host).unwrap(),
+            path: parse_prefix(&path).unwrap(),
             methods: methods.into_iter().map(Into::into).collect(),
             class: class.map(Into::into),
         },
@@ -118,9 +120,9 @@
                     .find(|m| alike(&routes[*m], &routes[n]))
                     .map(|m| (m, n))
             });
-            let table = Table::new(&routes);
+            let table = RouteTable::new(&routes);
             // One pair is named; it is a pair that can't be told apart, and none is overlooked.
-            let routes: Vec<Match> = match (table, first) {
+            let routes: Vec<RouteConditions> = match (table, first) {
                 (Err(AmbiguousRoutes { first, second }), Some((_, n))) => {
                     assert!(
                         alike(&routes[first], &routes[second]),
@@ -138,17 +140,17 @@
                 (Ok(_), None) => routes,
                 (table, first) => panic!("{table:?} where {first:?} are alike"),
             };
-            let table = Table::new(&routes).expect("no two are alike");
+            let table = RouteTable::new(&routes).expect("no two are alike");
             for (listener, host, path, method, class) in &queries {
-                let q = Query {
+                let q = RouteQuery {
                     listener: *listener,
                     host,
                     path,
                     method,
                     class: *class,
                 };
-                assert_eq!(table.get(&q), naive(&routes, &q), "{q:?} in {routes:?}");
-                found += usize::from(table.get(&q).is_some());
+                assert_eq!(table.find(&q), naive(&routes, &q), "{q:?} in {routes:?}");
+                found += usize::from(table.find(&q).is_some());
             }
         },
     );
@@ -172,20 +174,20 @@
     }
 }
 
-fn one(host: &str, path: &str) -> Match {
-    Match {
-        host: Host::read(host).unwrap(),
-        path: prefix(path).unwrap(),
-        ..Match::default()
+fn one(host: &str, path: &str) -> RouteConditions {
+    RouteConditions {
+        host: Host::parse(host).unwrap(),
+        path: parse_prefix(path).unwrap(),
+        ..RouteConditions::default()
     }
 }
 
 #[test]
 fn prefixes_end_on_segment_borders_and_a_slash_at_the_end_changes_nothing() {
     let routes = [one("a", "/api"), one("a", "/api/v1/"), one("a", "/")];
-    let table = Table::new(&routes).unwrap();
+    let table = RouteTable::new(&routes).unwrap();
     let at = |path| {
-        table.get(&Query {
+        table.find(&RouteQuery {
             listener: 0,
             host: "a",
             path,
@@ -200,7 +202,7 @@
     assert_eq!(at("/api/v10"), Some(0));
     assert_eq!(at("/"), Some(2));
     assert_eq!(
-        Table::new(&[one("a", "/x"), one("a", "/x/")]).unwrap_err(),
+        RouteTable::new(&[one("a", "/x"), one("a", "/x/")]).unwrap_err(),
         AmbiguousRoutes {
             first: 0,
             second: 1
@@ -210,9 +212,9 @@
 
 #[test]
 fn a_path_of_thousands_of_segments_costs_no_more_than_the_longest_prefix() {
-    let table = Table::new(&[one("a", "/x/x")]).unwrap();
+    let table = RouteTable::new(&[one("a", "/x/x")]).unwrap();
     let long = "/x".repeat(4_000);
-    let q = Query {
+    let q = RouteQuery {
         listener: 0,
         host: "a",
         path: &long,
@@ -221,7 +223,7 @@
     };
     // Were each prefix looked up, these would hash some 3 TB.
     for _ in 0..100_000 {
-        assert_eq!(table.get(&q), Some(0));
+        assert_eq!(table.find(&q), Some(0));
     }
 }
 
@@ -230,13 +232,13 @@
     for bad in [
         "", "a b", "*.", "*a", "a.*", "a:80", "a.", "**", "*.*", "http://a",
     ] {
-        assert_eq!(Host::read(bad), Err(PatternError::Host), "{bad}");
+        assert_eq!(Host::parse(bad), Err(PatternError::Host), "{bad}");
     }
     assert_eq!(
-        Host::read("*.Example.ORG"),
+        Host::parse("*.Example.ORG"),
         Ok(Host::Below("example.org".into()))
     );
     for bad in ["", "api", "/a//b", "/../a", "/%61", "/a b", "/a%2fb"] {
-        assert_eq!(prefix(bad), Err(PatternError::Path), "{bad}");
+        assert_eq!(parse_prefix(bad), Err(PatternError::Path), "{bad}");
     }
 }
--- a/crates/routing/tests/target.rs
+++ b/crates/routing/tests/target.rs
@@ -1,12 +1,12 @@
 //! Targets that two readers could take for different ones, each with what is said of it.
 
-use reelfall_routing::target::{host, path, read, Said, TargetError};
+use reelfall_routing::target::{check_path, parse, parse_host, ReceivedTarget, TargetError};
 
-fn said<'a>(path: &'a str, host: Option<&'a str>) -> Said<'a> {
-    Said {
+fn said<'a>(path: &'a str, host: Option<&'a str>) -> ReceivedTarget<'a> {
+    ReceivedTarget {
         path,
         host: host.map(str::as_bytes),
-        ..Said::default()
+        ..ReceivedTarget::default()
     }
 }
 
@@ -22,7 +22,7 @@
         (" flags.example.org\t", "flags.example.org"),
     ] {
         assert_eq!(
-            read(said("/api", Some(given))).map(|t| t.host.into_owned()),
+            parse(said("/api", Some(given))).map(|t| t.host.into_owned()),
             Ok(host.to_owned()),
             "{given}"
         );
@@ -39,7 +39,7 @@
         "/%C3%A9",
         "/a+b",
     ] {
-        assert_eq!(path(plain), Ok(()), "{plain}");
+        assert_eq!(check_path(plain), Ok(()), "{plain}");
     }
 }
 
@@ -66,19 +66,19 @@
         ("[::1]x", TargetError::BadHost),
         ("[nothing]", TargetError::BadHost),
     ] {
-        assert_eq!(host(given), Err(fault), "{given}");
+        assert_eq!(parse_host(given), Err(fault), "{given}");
     }
-    assert_eq!(host(&"a".repeat(300)), Err(TargetError::BadHost));
-    assert_eq!(read(said("/", None)), Err(TargetError::NoHost));
+    assert_eq!(parse_host(&"a".repeat(300)), Err(TargetError::BadHost));
+    assert_eq!(parse(said("/", None)), Err(TargetError::NoHost));
     assert_eq!(
-        read(Said {
-            more_hosts: true,
+        parse(ReceivedTarget {
+            has_several_hosts: true,
             ..said("/", Some("a"))
         }),
         Err(TargetError::SeveralHosts)
     );
     assert_eq!(
-        read(Said {
+        parse(ReceivedTarget {
             host: Some(b"fl\xe4gs"),
             ..said("/", None)
         }),
@@ -89,7 +89,7 @@
 #[test]
 fn an_absolute_target_has_to_name_the_host_that_the_header_names() {
     let absolute = |scheme, authority, host| {
-        read(Said {
+        parse(ReceivedTarget {
             scheme: Some(scheme),
             authority: Some(authority),
             ..said("/api", Some(host))
@@ -160,6 +160,6 @@
         ("/a\u{7f}", TargetError::BadCharacter),
         ("/é", TargetError::BadCharacter),
     ] {
-        assert_eq!(path(given), Err(fault), "{given}");
+        assert_eq!(check_path(given), Err(fault), "{given}");
     }
 }
--- a/crates/testbed/src/measure/graphql.rs
+++ b/crates/testbed/src/measure/graphql.rs
@@ -12,8 +12,8 @@
 use http_body_util::Full;
 use hyper::Request;
 use reelfall_graphql::class::{ClassInfo, Classes, Mapping};
-use reelfall_graphql::decode::{self, Asked};
-use reelfall_graphql::document::operation;
+use reelfall_graphql::decode::{self, DecodedRequest};
+use reelfall_graphql::document::parse_operation;
 use reelfall_graphql::Limits;
 use serde_json::{json, Value};
 use std::sync::Arc;
@@ -61,7 +61,7 @@
         ..Mapping::default()
     };
     let info = |safe| ClassInfo {
-        safe,
+        is_idempotent: safe,
         deadline: 1.0,
     };
     let classes = Classes::new(mapping, vec![info(true), info(false)])?;
@@ -72,12 +72,13 @@
         ..Limits::default()
     };
     let once = |body: &[u8]| -> Result<usize> {
-        let Ok(Asked::One(params)) = decode::body(body, &limits) else {
+        let Ok(DecodedRequest::Single(params)) = decode::parse_body(body, &limits) else {
             return Err("no request".into());
         };
         let text = params.query.as_deref().unwrap_or_default();
-        let operation = operation(text, None, &params.variables, &limits).map_err(|f| f.mistake)?;
-        Ok(usize::from(classes.of(&operation)))
+        let operation =
+            parse_operation(text, None, &params.variables, &limits).map_err(|f| f.message)?;
+        Ok(usize::from(classes.class_of(&operation)))
     };
     let mut figures = serde_json::Map::new();
     for (name, fields) in [
--- a/crates/testbed/src/measure/services.rs
+++ b/crates/testbed/src/measure/services.rs
@@ -7,7 +7,7 @@
 use crate::pool::{Manner, Pool};
 use crate::scripted::Program;
 use crate::{Draw, Result};
-use reelfall_routing::table::{prefix, Host, Match, Query, Table};
+use reelfall_routing::table::{parse_prefix, Host, RouteConditions, RouteQuery, RouteTable};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::process::Stdio;
@@ -220,22 +220,22 @@
 fn routes() -> Value {
     let mut figures = serde_json::Map::new();
     for n in [10usize, 1_000, 10_000] {
-        let routes: Vec<Match> = (0..n)
+        let routes: Vec<RouteConditions> = (0..n)
             .filter_map(|i| {
                 let host = match i % 3 {
                     0 => format!("h{}.example.org", i / 7),
                     1 => format!("*.z{}.example.org", i / 7),
                     _ => "*".to_owned(),
                 };
-                let path = prefix(&format!("/api/v{i}")).ok()?;
-                Some(Match {
-                    host: Host::read(&host).ok()?,
+                let path = parse_prefix(&format!("/api/v{i}")).ok()?;
+                Some(RouteConditions {
+                    host: Host::parse(&host).ok()?,
                     path,
-                    ..Match::default()
+                    ..RouteConditions::default()
                 })
             })
             .collect();
-        let Ok(table) = Table::new(&routes) else {
+        let Ok(table) = RouteTable::new(&routes) else {
             continue;
         };
         let mut draw = Draw(3);
@@ -253,14 +253,14 @@
         let (mut found, begun, times) = (0u64, Instant::now(), 200u64);
         for _ in 0..times {
             for (host, path) in &asked {
-                let q = Query {
+                let q = RouteQuery {
                     listener: 0,
                     host,
                     path,
                     method: "GET",
                     class: None,
                 };
-                found += u64::from(table.get(&q).is_some());
+                found += u64::from(table.find(&q).is_some());
             }
         }
         let ns = begun.elapsed().as_nanos() as f64 / (times * 1000) as f64;
--- a/crates/testbed/tests/graphql.rs
+++ b/crates/testbed/tests/graphql.rs
@@ -258,7 +258,7 @@
     let (node, pool) = start(good(), "").await;
     let client = Client::new(node.address());
     let text = "mutation P($id: ID!) { toggle(id: $id) { id } }";
-    let hash: String = reelfall_graphql::persisted::of(text)
+    let hash: String = reelfall_graphql::persisted::hash_of(text)
         .iter()
         .map(|b| format!("{b:02x}"))
         .collect();
--- a/fuzz/fuzz_targets/graphql.rs
+++ b/fuzz/fuzz_targets/graphql.rs
@@ -8,18 +8,18 @@
 
 use libfuzzer_sys::fuzz_target;
 use reelfall_graphql::class::{ClassInfo, Classes, Mapping};
-use reelfall_graphql::decode::{self, Asked, Params};
-use reelfall_graphql::document::{operation, Kind};
+use reelfall_graphql::decode::{self, DecodedRequest, Params};
+use reelfall_graphql::document::{parse_operation, OperationKind};
 use reelfall_graphql::{answer, media, Limits};
 
 fn judge(params: &Params, limits: &Limits) {
     let Some(text) = &params.query else { return };
     let name = params.operation_name.as_deref();
-    let Ok(read) = operation(text, name, &params.variables, limits) else {
+    let Ok(read) = parse_operation(text, name, &params.variables, limits) else {
         return;
     };
     let keyword = naive::keyword(text, name);
-    let expected = if read.kind == Kind::Mutation {
+    let expected = if read.kind == OperationKind::Mutation {
         "mutation"
     } else {
         "query"
@@ -30,14 +30,14 @@
         other_mutation: 1,
         ..Mapping::default()
     };
-    let info = |safe| ClassInfo {
-        safe,
+    let info = |is_idempotent| ClassInfo {
+        is_idempotent,
         deadline: 1.0,
     };
     let classes =
         Classes::new(mapping, vec![info(true), info(false)]).expect("a mapping that is valid");
     assert!(
-        !classes.safe(&read) || keyword.as_deref() == Some("query"),
+        !classes.is_idempotent(&read) || keyword.as_deref() == Some("query"),
         "a mutation counts as safe: {text}"
     );
 }
@@ -45,9 +45,9 @@
 fuzz_target!(|data: &[u8]| {
     let limits = Limits::default();
     // As the body of a POST, as the query of a GET, and as a document alone; as headers and as a server's answer.
-    match decode::body(data, &limits) {
-        Ok(Asked::One(params)) => judge(&params, &limits),
-        Ok(Asked::Batch(entries)) => entries
+    match decode::parse_body(data, &limits) {
+        Ok(DecodedRequest::Single(params)) => judge(&params, &limits),
+        Ok(DecodedRequest::Batch(entries)) => entries
             .iter()
             .for_each(|(params, _)| judge(params, &limits)),
         Err(_) => {}
@@ -55,7 +55,7 @@
     let Ok(text) = std::str::from_utf8(data) else {
         return;
     };
-    if let Ok(params) = decode::query(text) {
+    if let Ok(params) = decode::parse_query(text) {
         judge(&params, &limits);
     }
     // Up to the first line is the name of the operation.
