--- a/crates/distribution/src/applied.rs
+++ b/crates/distribution/src/applied.rs
@@ -1,39 +1,39 @@
-//! What is in force at a node, and what its driver was asked to apply and has not answered.
+//! The resources that a node has applied, and the changes that its driver was asked to apply and has not answered.
 
 use crate::output::{Output, Record};
 use crate::resource::{Change, Content, Name, Version};
 use std::collections::BTreeMap;
 
-/// What a resource's content was taken from: the versions of what is for all nodes and of what is on trial. Changes come in
-/// any order, so the later of the two alone does not tell whether something new is known.
+/// The versions of a resource's stable and canary changes from which its content was taken. Changes arrive in any
+/// order, so the later version alone does not tell whether anything is new.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct SlotVersions {
     pub stable: Option<Version>,
     pub canary: Option<Version>,
 }
 
-/// What is known of one resource.
+/// State of one resource.
 #[derive(Debug, Default)]
 struct ResourceState {
     applied: Option<Change>,
-    /// The greatest version that was in force or asked for.
+    /// The greatest version that was applied or requested.
     version: Version,
-    /// What was accepted or rejected last, or is asked for.
+    /// The versions that were last accepted, rejected or requested.
     decided: Option<SlotVersions>,
-    /// The driver was asked and has not answered.
+    /// Whether the driver has a request that it has not answered.
     is_pending: bool,
 }
 
-/// See the module.
+/// All applied resources and open requests.
 #[derive(Debug, Default)]
 pub(crate) struct AppliedResources {
     resources: BTreeMap<Name, ResourceState>,
-    /// By version.
+    /// Open requests, by version.
     pending: BTreeMap<Version, Vec<Change>>,
 }
 
 impl AppliedResources {
-    /// What was in force before.
+    /// From the changes that were applied in an earlier run.
     pub fn restore(applied: BTreeMap<Name, Change>) -> AppliedResources {
         let restored = |change: Change| ResourceState {
             version: change.version,
@@ -50,28 +50,28 @@
         }
     }
 
-    /// What is in force of a resource.
+    /// The applied change of a resource.
     pub fn get(&self, name: &Name) -> Option<&Change> {
         self.resources.get(name)?.applied.as_ref()
     }
 
-    /// All that is in force.
+    /// All applied changes.
     pub fn all(&self) -> impl Iterator<Item = &Change> {
         self.resources
             .values()
             .filter_map(|resource| resource.applied.as_ref())
     }
 
-    /// Whether the driver has answered all that it was asked.
+    /// Whether the driver has answered all requests.
     pub fn is_settled(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Asks the driver for what a resource is to be, if that was not decided and is another than what is in force. While
-    /// the driver has not answered it is not asked for more of that resource.
+    /// Requests a change from the driver, unless it was decided on already or equals what is applied. A resource has
+    /// one open request at a time.
     ///
-    /// What is wanted may come from an earlier version than the last one, where a list of keys has ended that one. It goes
-    /// under the greatest version all the same: versions never go back.
+    /// After a manifest ended a later change, the desired content may stem from an earlier version. It is applied
+    /// under the greatest version nevertheless: versions never go back.
     pub fn request(&mut self, mut wanted: Change, basis: SlotVersions, outputs: &mut Vec<Output>) {
         let resource = self.resources.entry(wanted.key.name.clone()).or_default();
         if resource.is_pending || resource.decided == Some(basis) {
@@ -106,7 +106,7 @@
         outputs.push(Output::Apply(wanted));
     }
 
-    /// The driver has answered for a version: what it was asked.
+    /// Takes the requests of a version that the driver has answered.
     pub fn take_answered(&mut self, version: Version) -> Vec<Change> {
         let changes = self.pending.remove(&version).unwrap_or_default();
         for change in &changes {
@@ -117,7 +117,7 @@
         changes
     }
 
-    /// A change is in force.
+    /// Records that a change was applied.
     pub fn mark_applied(&mut self, change: Change, outputs: &mut Vec<Output>) {
         outputs.push(Output::Persist(Record::Applied(change.clone())));
         if let Some(resource) = self.resources.get_mut(&change.key.name) {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Forgets a resource of which nothing is in force and nothing was asked.
+    /// Drops a resource that is neither applied nor requested.
     pub fn remove_if_idle(&mut self, name: &Name) {
         let is_idle = |resource: &ResourceState| resource.applied.is_none() && !resource.is_pending;
         if self.resources.get(name).is_some_and(is_idle) {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Forgets resources, whatever is in force of them.
+    /// Drops resources, whatever is applied of them.
     pub fn remove_where(
         &mut self,
         should_remove: impl Fn(&Name) -> bool,
--- a/crates/distribution/src/author.rs
+++ b/crates/distribution/src/author.rs
@@ -1,14 +1,14 @@
-//! An author: writes by grace of a lease, and serves the first relays.
+//! An author: publishes changes while it holds the lease, and serves the first relays.
 //!
 //! | state | ends |
 //! | --- | --- |
-//! | standing by: follows a relay, to have what others write | when the lease is held |
-//! | taking over: takes in what each first relay has, one after the other | when all have been heard; after [`AuthorConfig::takeover_timeout`] |
-//! | writing: serves relays, follows nobody | at the lease's end; when it is given back; when a later token is heard of |
+//! | standing by: follows a relay, to replicate what others write | when the lease is held |
+//! | taking over: reads what each first relay has, one after the other | when all have been read; after [`AuthorConfig::takeover_timeout`] |
+//! | writing: serves relays, follows nobody | when the lease ends or is given back; when a later fencing token is seen |
 //!
-//! A later author may lack what an earlier one wrote just before it was cut off. What relays and nodes have of that are
-//! orphans: they report them, and the present author writes its own content anew over them. So all come to the same
-//! content, and versions go up everywhere.
+//! A later author may lack changes that an earlier one wrote just before it was cut off. Relays and nodes report them as
+//! orphans, and the present author overwrites them with its own content. So all replicas converge, and versions only
+//! ever increase.
 
 mod lease;
 mod orphans;
@@ -39,22 +39,22 @@
 use rollouts::Rollouts;
 use std::collections::BTreeSet;
 
-/// What an author is given.
+/// Configuration of an author.
 #[derive(Clone, Debug)]
 pub struct AuthorConfig {
-    /// The lease of those who write.
+    /// The authors' lease.
     pub lease: LeaseName,
-    /// Whom it follows while it does not write: the first relays.
+    /// How it follows the first relays while it does not write.
     pub upstream: UpstreamConfig,
-    /// How it serves.
+    /// How it serves its children.
     pub downstream: DownstreamConfig,
-    /// How much it holds.
+    /// Limits of its log.
     pub capacity: Capacity,
-    /// How much it keeps for taking changes back, in bytes.
+    /// Size of the history for reverts, in bytes.
     pub history_bytes: usize,
-    /// How long it waits at most for what others wrote, in seconds.
+    /// Longest wait for the first relays when taking over, in seconds.
     pub takeover_timeout: Time,
-    /// For what is drawn, sessions' numbers among it: another one at each start.
+    /// Seed of its random numbers, session ids among them; another one at each start.
     pub seed: u64,
 }
 
@@ -74,7 +74,7 @@
     },
 }
 
-/// See the module.
+/// An author: standing by, taking over or writing.
 #[derive(Debug)]
 pub struct Author {
     config: AuthorConfig,
@@ -88,13 +88,13 @@
 }
 
 impl Author {
-    /// One that begins without records.
+    /// An author without records.
     pub fn new(config: AuthorConfig, now: Time) -> Author {
         let restored = RestoredState::empty(config.capacity);
         Author::from_restored(config, restored, now)
     }
 
-    /// One that goes on from what was stored.
+    /// An author from stored records.
     pub fn restore(
         config: AuthorConfig,
         records: impl IntoIterator<Item = Record>,
@@ -132,37 +132,37 @@
         }
     }
 
-    /// What it has.
+    /// The latest changes.
     pub fn log(&self) -> &ChangeLog {
         &self.replica.log
     }
 
-    /// Which versions it covers.
+    /// The versions that are covered.
     pub fn coverage(&self) -> &Coverage {
         self.replica.coverage()
     }
 
-    /// The latest version that it has.
+    /// The last version.
     pub fn head(&self) -> Version {
         self.replica.head()
     }
 
-    /// Whether it can publish.
+    /// Whether it holds the lease and can publish.
     pub fn is_writing(&self) -> bool {
         matches!(self.state, State::Writing { .. })
     }
 
-    /// Who follows it.
+    /// The children.
     pub fn children(&self) -> impl Iterator<Item = PeerId> + '_ {
         self.downstream.children()
     }
 
-    /// What the nodes have said of a version.
+    /// What the nodes reported of a version.
     pub fn status(&self, version: Version) -> VersionStatus {
         self.node_statuses.status(version)
     }
 
-    /// Takes a frame in; any bytes.
+    /// Handles a frame; any bytes are allowed.
     pub fn receive(&mut self, now: Time, from: PeerId, frame: &[u8], outputs: &mut Vec<Output>) {
         self.clock = self.clock.max(now);
         let Some(received) = message::parse(from, frame) else {
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Sends what is due; ends what the lease's end ends.
+    /// Sends what is due; stands down when the lease ends.
     pub fn poll(&mut self, now: Time, outputs: &mut Vec<Output>) {
         self.clock = self.clock.max(now);
         match &self.state {
--- a/crates/distribution/src/author/lease.rs
+++ b/crates/distribution/src/author/lease.rs
@@ -13,10 +13,10 @@
 use std::collections::BTreeSet;
 
 impl Author {
-    /// The lease is held until then, by this claim: its beginning, and each renewal.
+    /// Records that a claim holds the lease until a time: when it is acquired, and at each renewal.
     ///
     /// # Errors
-    /// If it is another lease, or a later token has been seen.
+    /// If it is another lease, or a later fencing token has been seen.
     pub fn hold_lease(
         &mut self,
         now: Time,
@@ -61,7 +61,7 @@
         Ok(())
     }
 
-    /// The lease is no longer held.
+    /// Records that the lease is no longer held.
     pub fn stand_down(&mut self, now: Time, outputs: &mut Vec<Output>) {
         if self.is_writing() {
             self.downstream.close_all(now, CloseReason::Fenced, outputs);
@@ -97,7 +97,7 @@
         };
         let head = self.head().max(start);
         let orphans = orphaned_changes(self.log(), &epoch);
-        // Stored the other way round, a crash between the two would leave what is covered by this word alone as known.
+        // In the reverse order a crash in between would leave versions as known that only this coverage claims.
         self.replica.set_epoch(epoch.clone(), outputs);
         self.replica.mark_complete(head, outputs);
         self.state = State::Writing {
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Guards against the loss of what an earlier author has told one relay alone. Harm: the others' answers are waited
-    /// for, up to [`AuthorConfig::takeover_timeout`].
+    /// Records that a relay has sent everything. All first relays are read before the author writes, since its
+    /// predecessor may have reached one of them only; the wait is limited by [`super::AuthorConfig::takeover_timeout`].
     pub(super) fn relay_caught_up(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let State::TakingOver { caught_up, .. } = &mut self.state else {
             return;
@@ -147,7 +147,7 @@
         }
     }
 
-    /// A relay has heard of a later token: this author has lost the lease without knowing.
+    /// A relay has reported a later fencing token: this author lost the lease without knowing.
     pub(super) fn handle_fencing(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let State::Writing { epoch, .. } = &self.state else {
             return;
--- a/crates/distribution/src/author/orphans.rs
+++ b/crates/distribution/src/author/orphans.rs
@@ -1,4 +1,4 @@
-//! What an author does about changes of earlier authors that did not reach everybody.
+//! Orphans: changes of earlier authors that did not reach everybody, which the present author overwrites.
 
 use super::{Author, State};
 use crate::output::{Event, Output};
@@ -6,11 +6,11 @@
 use crate::resource::{Content, Key, NodeFraction, Urgency, Version};
 use crate::Time;
 
-/// Orphans that are written over by one holding of the lease at most; more are not believed.
+/// Most orphans that are overwritten in one term; reports beyond it are ignored.
 const MAX_OVERWRITTEN_ORPHANS: usize = 100_000;
 
 impl Author {
-    /// What others take for known without having it gets a version that they do not know.
+    /// Publishes own orphaned changes again: others cover their versions without having them.
     pub(super) fn rewrite_orphaned(
         &mut self,
         now: Time,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Writes what is here over a change of an earlier author that is not here.
+    /// Overwrites an orphan with the content that the author has.
     pub(super) fn overwrite_orphan(
         &mut self,
         now: Time,
--- a/crates/distribution/src/author/publishing.rs
+++ b/crates/distribution/src/author/publishing.rs
@@ -9,10 +9,10 @@
 use reelfall_lease::token::Claim;
 
 impl Author {
-    /// Publishes changes for all nodes; gives back the version of the last one.
+    /// Publishes changes for all nodes; gives back the last version.
     ///
     /// # Errors
-    /// Says why nothing was published.
+    /// If nothing was published.
     pub fn publish(
         &mut self,
         now: Time,
@@ -28,10 +28,10 @@
         self.publish_pending(now, pending, outputs)
     }
 
-    /// Publishes a change for a part of the nodes; a later stage of the same trial has a greater part.
+    /// Publishes a canary for a fraction of the nodes; a later stage of the same canary has a greater fraction.
     ///
     /// # Errors
-    /// Says why nothing was published.
+    /// If nothing was published.
     pub fn publish_canary(
         &mut self,
         now: Time,
@@ -45,10 +45,10 @@
         self.publish_pending(now, vec![PendingChange::canary(draft, fraction)], outputs)
     }
 
-    /// Makes what is on trial hold for all nodes.
+    /// Promotes a canary to all nodes.
     ///
     /// # Errors
-    /// Says why nothing was published.
+    /// If nothing was published.
     pub fn promote_canary(
         &mut self,
         now: Time,
@@ -76,10 +76,10 @@
         self.publish_pending(now, vec![stable, end], outputs)
     }
 
-    /// Takes a change back: what was there before is published as a new, urgent version. Of a trial: it ends.
+    /// Reverts a change: publishes the previous content as a new, urgent version. Reverting a canary ends it.
     ///
     /// # Errors
-    /// Says why nothing was published.
+    /// If nothing was published.
     pub fn revert(
         &mut self,
         now: Time,
--- a/crates/distribution/src/author/rollouts.rs
+++ b/crates/distribution/src/author/rollouts.rs
@@ -1,14 +1,14 @@
-//! Staged rollouts at the author: begins them, counts what the nodes say, goes on or takes back.
+//! Staged rollouts at the author.
 //!
-//! | the log says | the rollout |
+//! | the log has | the rollout |
 //! | --- | --- |
-//! | the trial of the record is there | is at the stage that the trial's part says |
-//! | a later change for all nodes, with the same content | is completed |
-//! | a later change for all nodes, with another content, or another trial | is superseded |
-//! | no trial | was ended |
+//! | the canary of the record | is at the stage of the canary's fraction |
+//! | a later stable change with the same content | is completed |
+//! | a later stable change with another content, or another canary | is superseded |
+//! | no canary | was ended |
 //!
-//! So an operator ends one by [`Author::promote_canary`] or [`Author::revert`] as with any trial, and an author that takes over
-//! goes on from what it has. Counts and soak times begin anew there: moments of another clock say nothing.
+//! So an operator ends a rollout by [`Author::promote_canary`] or [`Author::revert`] as with any canary, and an author that
+//! takes over continues from its log. Counts and soak times start again there, since they are on another clock.
 
 mod advance;
 mod start;
@@ -26,44 +26,44 @@
 use crate::Time;
 use std::collections::BTreeMap;
 
-/// Most records of rollouts that are over; of more, the earliest are removed.
+/// Most records of ended rollouts; beyond it the oldest are removed.
 pub const MAX_ENDED_RECORDS: usize = 64;
-/// A stage whose soak time is over is looked at so often, in seconds: reports grow old without a call.
+/// Interval in seconds at which a stage is checked after its soak time: reports age without any event.
 pub const STAGE_CHECK_INTERVAL: Time = 1.0;
 
-/// A change that is to reach all nodes by stages.
+/// A change that is to be rolled out by stages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutDraft {
-    /// Of which resource.
+    /// The resource.
     pub name: Name,
-    /// What it is to be; a removal can't be on trial.
+    /// Its new content; a removal cannot be rolled out.
     pub content: Content,
-    /// Which nodes come first, as [`crate::resource::NodeFraction::seed`].
+    /// Order of the nodes, as [`crate::resource::NodeFraction::seed`].
     pub seed: u64,
-    /// The rules.
+    /// The policy.
     pub policy: RolloutPolicy,
 }
 
-/// What an operator sees of a rollout.
+/// Status of a rollout, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutStatus {
-    /// What is stored of it.
+    /// The stored record.
     pub record: RolloutRecord,
-    /// Its stage, in thousandths of the nodes; none once it is over.
+    /// The current stage, in thousandths of the nodes; none once the rollout has ended.
     pub thousandths: Option<u16>,
-    /// What the nodes of the stage have said to this author.
+    /// What the nodes of the stage reported to this author.
     pub counts: StageCounts,
-    /// Why the stage does not end yet; none if it is over, was halted, or ends with the next call.
+    /// Why the stage does not advance yet; none if the rollout has ended or halted, or advances with the next poll.
     pub waiting: Option<AdvanceBlocker>,
-    /// Who refused, as this author heard.
+    /// The nodes that rejected the change, as reported to this author.
     pub rejecting_nodes: Vec<RejectingNode>,
 }
 
-/// One rollout, as the author that writes knows it.
+/// A rollout at the author that writes.
 #[derive(Debug)]
 struct Rollout {
     record: RolloutRecord,
-    /// The change of the present stage, and when it began here.
+    /// The version of the current stage, and when it began here.
     stage: Option<(Version, Time)>,
     counts: StageCounts,
     waiting: Option<AdvanceBlocker>,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// When the verdict on the present stage may be another one without a call, after a moment.
+    /// When the verdict on the current stage can change without an event.
     fn next_check(&self, now: Time) -> Time {
         let (RolloutState::Running, Some((_, since))) = (&self.record.state, self.stage) else {
             return f64::INFINITY;
@@ -112,7 +112,7 @@
     }
 }
 
-/// All rollouts of which the writing author has records.
+/// The rollouts of the author that writes.
 #[derive(Debug)]
 pub(super) struct Rollouts {
     by_name: BTreeMap<Name, Rollout>,
@@ -132,19 +132,20 @@
 }
 
 impl Rollouts {
-    /// Something was written or heard: they are looked at with the next poll.
+    /// Checks the rollouts with the next poll.
     pub fn check_at(&mut self, now: Time) {
         if !self.by_name.is_empty() {
             self.next_check_at = self.next_check_at.min(now);
         }
     }
 
-    /// When they are to be looked at.
+    /// When the rollouts are to be checked.
     pub fn next_check_at(&self) -> Time {
         self.next_check_at
     }
 
-    /// A node has refused a change. Nodes outside of the stage refuse what is for all nodes, under the trial's version.
+    /// Records a rejection. Nodes outside of the stage reject the stable change under the canary's version; they are
+    /// not counted.
     pub fn record_rejection(
         &mut self,
         now: Time,
@@ -182,7 +183,7 @@
     }
 }
 
-/// What the log says of a rollout.
+/// State of a rollout by the log.
 enum RolloutProgress<'a> {
     Stage { canary: &'a Change, index: usize },
     Promoted,
@@ -223,7 +224,7 @@
 }
 
 impl Author {
-    /// What is known of a resource's last rollout. Who does not write knows what was stored alone.
+    /// The status of a resource's last rollout. An author that does not write knows the stored record only.
     pub fn rollout(&self, name: &Name) -> Option<RolloutStatus> {
         let Some(rollout) = self.rollouts.by_name.get(name) else {
             let record = RolloutRecord::from_change(self.log().get(&RolloutRecord::key_of(name))?)?;
--- a/crates/distribution/src/author/rollouts/advance.rs
+++ b/crates/distribution/src/author/rollouts/advance.rs
@@ -10,7 +10,7 @@
 use crate::Time;
 
 impl Author {
-    /// Looks at all rollouts that are open, if that is due.
+    /// Checks all open rollouts, if that is due.
     pub(in crate::author) fn check_rollouts(&mut self, now: Time, outputs: &mut Vec<Output>) {
         if now < self.rollouts.next_check_at {
             return;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The next stage begins, or the last one is over.
+    /// Begins the next stage, or completes the rollout after the last one.
     pub(super) fn advance_stage(
         &mut self,
         now: Time,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// A rollout goes on no more by itself. `ends_trial`: nor does its trial, with the same write.
+    /// Ends or halts a rollout; `ends_trial`: the canary ends, too.
     pub(super) fn end_rollout(
         &mut self,
         now: Time,
@@ -159,7 +159,7 @@
         };
         let (mut record, counts) = (rollout.record.clone(), rollout.counts);
         record.state = state;
-        // Without room for the record the trial ends all the same.
+        // The canary ends even if there is no capacity for the record.
         if self
             .publish_pending(now, vec![PendingChange::record(&record)], outputs)
             .is_err()
@@ -199,8 +199,8 @@
         outputs.push(Output::Event(Event::CapacityExceeded { key, version }));
     }
 
-    /// What releases the trial of a record: latest last, so that a link carries the change for all nodes before the trial's
-    /// end.
+    /// The changes that promote a canary. The stable change has the later version, so a link sends it before the
+    /// canary's end.
     pub(super) fn promotion_of(&self, record: &RolloutRecord) -> Vec<PendingChange> {
         let key = Key {
             name: record.name.clone(),
@@ -218,7 +218,7 @@
         vec![PendingChange::end_of_canary(name, urgency), stable]
     }
 
-    /// Ends the trial of a record, if it is still there.
+    /// Ends a rollout's canary, if it is still there.
     pub(super) fn end_canary(
         &mut self,
         now: Time,
@@ -231,7 +231,7 @@
         };
         if record.own_canary(self.log().get(&key)).is_some() {
             let end = PendingChange::end_of_canary(record.name.clone(), Urgency::Urgent);
-            // It takes less room than the trial, so there is room for it.
+            // The removal is smaller than the canary, so the log has capacity for it.
             self.append_all(now, vec![end], outputs);
         }
     }
--- a/crates/distribution/src/author/rollouts/start.rs
+++ b/crates/distribution/src/author/rollouts/start.rs
@@ -1,4 +1,4 @@
-//! Starts rollouts.
+//! Starting a rollout: its record and its first stage.
 
 use super::{Author, Rollout, RolloutDraft, MAX_ENDED_RECORDS};
 use crate::output::Output;
@@ -10,12 +10,12 @@
 use reelfall_lease::token::Claim;
 
 impl Author {
-    /// Publishes a change for the first stage of its rollout; it goes on by itself from there. Gives back the version of the
+    /// Starts a rollout: publishes its first stage, from which it advances by itself. Gives back the version of the
     /// first stage.
     ///
     /// # Errors
-    /// Says why nothing was published: what [`Author::publish_canary`] says, a policy out of its bounds, another open rollout of the
-    /// resource, too many of others.
+    /// If nothing was published: as with [`Author::publish_canary`], or if the policy is invalid, the resource has an
+    /// open rollout, or there are too many of them.
     pub fn start_rollout(
         &mut self,
         now: Time,
@@ -81,7 +81,7 @@
         Ok(())
     }
 
-    /// How many nodes that are known now each stage holds.
+    /// The number of known nodes in each stage.
     pub(super) fn known_nodes_per_stage(&self, record: &RolloutRecord) -> Vec<u32> {
         let stages = record.policy.stages.iter();
         let count = |thousandths: &u16| {
@@ -94,7 +94,7 @@
         stages.map(count).collect()
     }
 
-    /// The end of the earliest record of a rollout that is over, if there are too many.
+    /// The removal of the oldest record of an ended rollout, if there are too many.
     pub(super) fn removal_of_oldest_ended_record(&mut self) -> Option<PendingChange> {
         let ended = self
             .rollouts
--- a/crates/distribution/src/author/rollouts/takeover.rs
+++ b/crates/distribution/src/author/rollouts/takeover.rs
@@ -8,7 +8,7 @@
 use crate::Time;
 
 impl Author {
-    /// The author begins to write: takes over the rollouts of earlier authors, and brings to an end what they had no time to.
+    /// Takes over the rollouts of earlier authors, and completes what they had begun.
     pub(in crate::author) fn take_over_rollouts(&mut self, now: Time, outputs: &mut Vec<Output>) {
         self.rollouts = Rollouts {
             writing_since: now,
@@ -45,9 +45,9 @@
         }
     }
 
-    /// Guards against an author that ended between storing that a rollout is over and writing what that means, and against
-    /// one that writes its own trial anew, which an author between did not have. Harm: a trial by hand that has the content,
-    /// the seed and a stage of a rollout that is over counts as that one's.
+    /// Completes a rollout whose author failed between storing that it had ended and writing the consequences, or
+    /// whose canary was published again by an author that returned. A manual canary with the content, the seed and a
+    /// stage of an ended rollout counts as that rollout's.
     pub(super) fn complete_interrupted_rollout(
         &mut self,
         now: Time,
@@ -76,7 +76,7 @@
                     self.end_rollout(now, &record.name, RolloutState::Lost, false, outputs);
                 }
             }
-            // The author that released it is back and has written its release anew.
+            // The author that promoted it is back and has published the promotion again.
             (RolloutState::Lost, RolloutProgress::Promoted) => {
                 self.rollouts
                     .by_name
@@ -92,7 +92,7 @@
     }
 }
 
-/// The records of rollouts, with their versions; none in place of one that can't be read.
+/// The stored rollout records; none in place of an unreadable one.
 pub(super) fn records(log: &ChangeLog) -> impl Iterator<Item = (&Change, Option<RolloutRecord>)> {
     let selector = Selector::Group(Group::Authors);
     let keys = log.keys_after(&selector, Version::ZERO).map(|(_, key)| key);
--- a/crates/distribution/src/candidates.rs
+++ b/crates/distribution/src/candidates.rs
@@ -1,9 +1,11 @@
-//! Which upstream is tried next.
+//! Selection of the upstream to try next.
 //!
-//! A candidate that fails is tried again after all others. What is remembered of failures ends as soon as an upstream
-//! brings something fresh. Fallbacks are tried early: once [`UNANSWERED_BEFORE_FALLBACK`] upstreams have not answered, all of a
-//! region may be lost. A candidate that is asked beside others is one that has not failed to answer: when all have, one
-//! at a time is asked, so that many followers do not come to the first relay that runs again at once.
+//! A candidate that failed is tried again after all others; failures are forgotten once an upstream brings anything
+//! fresh. After [`UNANSWERED_BEFORE_FALLBACK`] upstreams without an answer a whole region may be lost, so fallbacks
+//! are tried early. Attempts run in parallel only with candidates that have not failed to answer: once all have, one
+//! is tried at a time, which keeps many followers from opening sessions with the first relay that recovers.
+//!
+//! Used by [`crate::upstream`].
 
 use crate::peer::PeerId;
 use crate::random::SeededRng;
@@ -11,26 +13,25 @@
 use crate::Time;
 use std::collections::BTreeMap;
 
-/// After so many upstreams that did not answer, or have not answered yet, fallbacks and upstreams are tried by turns. One
-/// that is lost is an ordinary failure, for which the others of its region are there; one more may be slow, or the frame
-/// to it lost.
+/// After this number of upstreams without an answer, fallbacks and upstreams are tried alternately. One lost upstream
+/// is an ordinary failure, which others of its region make up for; one more may be slow, or its frame lost.
 const UNANSWERED_BEFORE_FALLBACK: usize = 3;
 
 #[derive(Clone, Copy, Debug)]
 struct Failure {
     at: Time,
-    /// It was not heard in the end, or broke the rules. Others were only of no use then.
+    /// It timed out or broke the protocol; other failures leave it usable.
     is_unusable: bool,
 }
 
-/// See the module. Both maps hold candidates alone, so there are no more entries than candidates.
+/// The candidates and their failures. Both maps hold candidates alone, which bounds them.
 #[derive(Debug)]
 pub(crate) struct Candidates {
     upstreams: Vec<PeerId>,
     fallbacks: Vec<PeerId>,
-    /// Who is not tried at all until then.
+    /// Candidates that are not tried until a time.
     barred_until: BTreeMap<PeerId, Time>,
-    /// Who has failed since something fresh came last.
+    /// Failures since an upstream last brought anything fresh.
     failures: BTreeMap<PeerId, Failure>,
     picked_fallback_last: bool,
 }
@@ -50,17 +51,17 @@
         self.upstreams.iter().chain(&self.fallbacks)
     }
 
-    /// Whether there is more than one.
+    /// Whether there is more than one candidate.
     pub fn has_others(&self) -> bool {
         self.all().count() > 1
     }
 
-    /// A candidate is not tried until then.
+    /// Excludes a candidate until a time.
     pub fn bar_until(&mut self, peer: PeerId, until: Time) {
         self.barred_until.insert(peer, until);
     }
 
-    /// A candidate was of no use.
+    /// Records that a candidate failed.
     pub fn record_failure(&mut self, peer: PeerId, at: Time, unusable: bool) {
         self.failures.insert(
             peer,
@@ -71,12 +72,12 @@
         );
     }
 
-    /// One of them has brought something fresh.
+    /// Forgets all failures: an upstream has brought something fresh.
     pub fn clear_failures(&mut self) {
         self.failures.clear();
     }
 
-    /// Whether all of them have been tried in vain, and none is known to run and to keep to the rules.
+    /// Whether every candidate timed out or broke the protocol.
     pub fn all_unusable(&self) -> bool {
         self.all().all(|peer| self.is_unusable(peer))
     }
@@ -87,8 +88,7 @@
             .is_some_and(|failure| failure.is_unusable)
     }
 
-    /// When the first of those that may be asked beside those that are asked already is not barred; never, if there is
-    /// none.
+    /// When the first candidate can be tried beside those that are being tried; never, if there is none.
     pub fn available_at(&self, attempted: &[PeerId]) -> Time {
         let barred_until = |peer: &PeerId| {
             self.barred_until
@@ -100,9 +100,9 @@
         open.map(barred_until).fold(f64::INFINITY, f64::min)
     }
 
-    /// Draws whom to ask beside those that are asked already: an upstream that has not failed, unless too many have not
-    /// answered; else fallbacks and upstreams by turns, those that have not failed first, then the one that failed longest
-    /// ago.
+    /// Picks the next candidate beside those that are being tried: an upstream without failures, unless too many have
+    /// not answered; else fallbacks and upstreams alternately, those without failures first, then the one with the
+    /// oldest failure.
     pub fn pick(&mut self, now: Time, attempted: &[PeerId], rng: &mut SeededRng) -> Option<PeerId> {
         let upstreams = self.available(&self.upstreams, now, attempted);
         let fallbacks = self.available(&self.fallbacks, now, attempted);
@@ -124,13 +124,13 @@
         picked
     }
 
-    /// Upstreams that have not answered yet, did not answer or broke the rules since something fresh came last.
+    /// Number of upstreams that have not answered or broke the protocol.
     fn unanswered_upstreams(&self, attempted: &[PeerId]) -> usize {
         let is_unanswered = |peer: &&PeerId| attempted.contains(peer) || self.is_unusable(peer);
         self.upstreams.iter().filter(is_unanswered).count()
     }
 
-    /// Whether a candidate may be asked beside those that are asked already, unless it is barred.
+    /// Whether a candidate may be tried beside those that are being tried, unless it is barred.
     fn is_eligible(&self, peer: &PeerId, attempted: &[PeerId]) -> bool {
         attempted.is_empty() || !attempted.contains(peer) && !self.is_unusable(peer)
     }
--- a/crates/distribution/src/child/sender.rs
+++ b/crates/distribution/src/child/sender.rs
@@ -22,25 +22,26 @@
     effect: SendEffect,
 }
 
+/// What was sent, by which the state is updated.
 enum SendEffect {
-    EpochSent {
+    Epoch {
         token: u64,
     },
-    SpanSent {
+    Span {
         subscription: u32,
         span: Span,
         is_urgent: bool,
     },
-    ChunkSent {
+    Chunk {
         is_urgent: bool,
         cursor: BodyCursor,
     },
-    ManifestPageSent {
+    ManifestPage {
         subscription: u32,
         next: Option<ManifestCursor>,
         pruned_through: Version,
     },
-    CurrentSent {
+    Current {
         head: Version,
         removals: Version,
     },
@@ -69,7 +70,7 @@
         if let Some(epoch) = unsent_epoch {
             return fits_longest.then(|| Outgoing {
                 payload: Payload::Epoch(epoch.clone()),
-                effect: SendEffect::EpochSent {
+                effect: SendEffect::Epoch {
                     token: epoch.claim.token,
                 },
             });
@@ -157,7 +158,7 @@
         let batch = subscription.batch(id, version, is_urgent, replica, max_bytes, view)?;
         Some(Outgoing {
             payload: batch.payload,
-            effect: SendEffect::SpanSent {
+            effect: SendEffect::Span {
                 subscription: id,
                 span: batch.span,
                 is_urgent,
@@ -175,12 +176,12 @@
         let subscription = self.subscriptions.get(&cursor.subscription)?;
         let chunk = subscription.chunk(cursor, is_urgent, replica, max_bytes)?;
         let effect = match chunk.progress {
-            ChunkProgress::Complete(span) => SendEffect::SpanSent {
+            ChunkProgress::Complete(span) => SendEffect::Span {
                 subscription: cursor.subscription,
                 span,
                 is_urgent,
             },
-            ChunkProgress::Partial(cursor) => SendEffect::ChunkSent { is_urgent, cursor },
+            ChunkProgress::Partial(cursor) => SendEffect::Chunk { is_urgent, cursor },
         };
         Some(Outgoing {
             payload: chunk.payload,
@@ -211,7 +212,7 @@
         }
         let lacks_removals =
             |subscription: &Subscription| subscription.removals_known(self.current_notice) < floor;
-        // A manifest that was begun is sent to its end before another one.
+        // Complete a manifest before the next one is started.
         let mut begun = self
             .subscriptions
             .iter()
@@ -237,7 +238,7 @@
             .manifest(id, replica, max_bytes);
         Some(Outgoing {
             payload: page.payload,
-            effect: SendEffect::ManifestPageSent {
+            effect: SendEffect::ManifestPage {
                 subscription: id,
                 next: page.next,
                 pruned_through: page.pruned_through,
@@ -247,8 +248,8 @@
 
     fn apply_sent(&mut self, now: Time, effect: SendEffect, replica: ReplicaView) {
         match effect {
-            SendEffect::EpochSent { token } => self.sent_epoch_token = token,
-            SendEffect::SpanSent {
+            SendEffect::Epoch { token } => self.sent_epoch_token = token,
+            SendEffect::Span {
                 subscription: id,
                 span,
                 is_urgent,
@@ -260,15 +261,15 @@
                 self.has_changed_since_current = true;
                 self.requeue(id, replica);
             }
-            SendEffect::ChunkSent { is_urgent, cursor } => {
+            SendEffect::Chunk { is_urgent, cursor } => {
                 self.partial_bodies.set(is_urgent, Some(cursor));
             }
-            SendEffect::ManifestPageSent {
+            SendEffect::ManifestPage {
                 subscription,
                 next,
                 pruned_through,
             } => self.manifest_page_sent(subscription, next, pruned_through),
-            SendEffect::CurrentSent { head, removals } => {
+            SendEffect::Current { head, removals } => {
                 self.has_changed_since_current = false;
                 self.current_sent_at = now;
                 self.current_notice = CurrentNotice {
@@ -340,6 +341,6 @@
     };
     Outgoing {
         payload,
-        effect: SendEffect::CurrentSent { head, removals },
+        effect: SendEffect::Current { head, removals },
     }
 }
--- a/crates/distribution/src/child_subscription.rs
+++ b/crates/distribution/src/child_subscription.rs
@@ -139,7 +139,7 @@
             .unwrap_or(own.through);
         let below = self.coverage.last_end_below(version);
         let through = own.through.min(above).max(version);
-        // A body in parts may have been overtaken by later changes, which the child has not got.
+        // Later changes that the child lacks may have overtaken a body that is sent in chunks.
         let later = replica
             .log
             .next_version(&self.selector, version)
--- a/crates/distribution/src/coverage.rs
+++ b/crates/distribution/src/coverage.rs
@@ -1,36 +1,40 @@
-//! Which versions a holder has been told of.
+//! Coverage: the set of versions that a holder has received.
 //!
-//! A holder covers a version if, were this version the latest of its key, the holder would have it. Changes may come
-//! urgent ones first and newest first, so this is a set of spans. To forget a span is safe: its changes come again.
+//! A holder covers a version if it would have the change of this version, were it still the latest change of its key.
+//! Urgent and recent changes are sent first, so a coverage has gaps and is stored as spans. Dropping a span is always
+//! safe: its changes are sent again.
+//!
+//! Used by the log's readers, subscriptions and stored records alike.
 
 use crate::resource::Version;
 use serde::{Deserialize, Serialize};
 
-/// Most spans that are kept; of more, the smallest but the first is forgotten.
+/// Most spans of a coverage; beyond it the narrowest span is dropped, but never the first one.
 pub const MAX_SPANS: usize = 64;
-/// From so many spans on changes that are not urgent are sent with the earliest first, which opens no new spans.
+/// From this number of spans on, changes that are not urgent are sent oldest first, which fills gaps and opens no new
+/// spans.
 pub const GAP_FILL_MIN_SPANS: usize = 48;
-/// From so many spans on urgent changes wait, too: one span is left for a body in parts that is under way, and one for the
-/// versions from zero on.
+/// From this number of spans on, urgent changes wait, too: one span is reserved for a body that is being sent in
+/// chunks, and one for the versions from zero on.
 pub const MAX_SPANS_FOR_URGENT: usize = MAX_SPANS - 2;
 
-/// The versions between `after` (not in it) and `upto` (in it).
+/// The versions after `after` (exclusive) up to `through` (inclusive).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Span {
-    /// Its lower end.
+    /// The exclusive lower end.
     pub after: Version,
-    /// Its upper end.
+    /// The inclusive upper end.
     pub through: Version,
 }
 
-/// A set of versions: spans that neither meet nor overlap, in their order.
+/// A set of versions: sorted spans that neither overlap nor touch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Coverage {
     spans: Vec<Span>,
 }
 
 impl Coverage {
-    /// Without versions.
+    /// No versions.
     pub const EMPTY: Coverage = Coverage { spans: Vec::new() };
 
     /// All versions up to this one.
@@ -43,17 +47,17 @@
         coverage
     }
 
-    /// Whether there is nothing in it.
+    /// Whether it covers no version.
     pub fn is_empty(&self) -> bool {
         self.spans.is_empty()
     }
 
-    /// Its spans.
+    /// The spans, in ascending order.
     pub fn spans(&self) -> &[Span] {
         &self.spans
     }
 
-    /// Whether its spans are in order, and not too many: what comes from elsewhere may be anything.
+    /// Whether the spans are sorted, disjoint and within [`MAX_SPANS`]; to be checked on received and stored values.
     pub fn is_valid(&self) -> bool {
         let each = self.spans.iter().all(|span| span.after < span.through);
         let order = self
@@ -63,14 +67,14 @@
         each && order && self.spans.len() <= MAX_SPANS
     }
 
-    /// Whether a version is in it.
+    /// Whether a version is covered.
     pub fn contains(&self, version: Version) -> bool {
         self.spans
             .iter()
             .any(|span| span.after < version && version <= span.through)
     }
 
-    /// All versions up to this one are in it.
+    /// The end of the span that starts at zero; [`Version::ZERO`] if there is none.
     pub fn contiguous_end(&self) -> Version {
         match self.spans.first() {
             Some(span) if span.after == Version::ZERO => span.through,
@@ -78,12 +82,12 @@
         }
     }
 
-    /// The greatest version in it.
+    /// The last covered version.
     pub fn last_version(&self) -> Version {
         self.spans.last().map_or(Version::ZERO, |span| span.through)
     }
 
-    /// The lower end of the first span above a version.
+    /// The start of the first span at or above a version.
     pub fn next_start_at_or_above(&self, version: Version) -> Option<Version> {
         self.spans
             .iter()
@@ -91,7 +95,7 @@
             .map(|span| span.after)
     }
 
-    /// The upper end of the last span below a version.
+    /// The end of the last span below a version.
     pub fn last_end_below(&self, version: Version) -> Version {
         self.spans
             .iter()
@@ -101,12 +105,12 @@
             .unwrap_or(Version::ZERO)
     }
 
-    /// Whether it is all versions up to its top.
+    /// Whether there is exactly one span, and it starts at zero.
     pub fn is_contiguous(&self) -> bool {
         self.spans.len() == 1 && self.contiguous_end() == self.last_version()
     }
 
-    /// The span that a version is in.
+    /// The span that contains a version.
     pub fn span_containing(&self, version: Version) -> Option<Span> {
         self.spans
             .iter()
@@ -114,7 +118,7 @@
             .find(|span| span.after < version && version <= span.through)
     }
 
-    /// The same, of its first span and the latest others so many spans at most.
+    /// The first span and the last others, `max_spans` in all.
     pub fn truncated(&self, max_spans: usize) -> Coverage {
         let skip = self.spans.len().saturating_sub(max_spans.max(1));
         let first = self.spans.iter().take(usize::from(skip > 0));
@@ -124,7 +128,7 @@
         }
     }
 
-    /// What is in both.
+    /// The versions that both cover.
     pub fn intersection(&self, other: &Coverage) -> Coverage {
         let mut intersection = Coverage::EMPTY;
         for left in &self.spans {
@@ -138,7 +142,7 @@
         intersection
     }
 
-    /// What is in this one alone.
+    /// The versions that `self` covers and `other` does not.
     pub fn difference(&self, other: &Coverage) -> Coverage {
         let mut difference = Coverage::EMPTY;
         for span in &self.spans {
@@ -158,7 +162,7 @@
         difference
     }
 
-    /// Adds a span.
+    /// Adds a span; merges it with the spans that it overlaps or touches.
     pub fn add(&mut self, new: Span) {
         if new.after >= new.through {
             return;
@@ -179,8 +183,7 @@
         self.trim();
     }
 
-    /// Forgets the smallest spans of which there are too many, never the first: it is what is filled up from the earliest
-    /// version on, so it only grows.
+    /// Drops the narrowest spans beyond [`MAX_SPANS`]. The first span stays, since it only ever grows.
     fn trim(&mut self) {
         while self.spans.len() > MAX_SPANS {
             let width = |span: &Span| {
--- a/crates/distribution/src/downstream.rs
+++ b/crates/distribution/src/downstream.rs
@@ -1,4 +1,4 @@
-//! The children of a relay or of an author.
+//! The children of a relay or of an author: their sessions, subscriptions and wakeups.
 
 mod admission;
 
@@ -16,16 +16,16 @@
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// See the module.
+/// All children, and the budgets of those that have left.
 #[derive(Debug)]
 pub struct Downstream {
     config: DownstreamConfig,
     rng: SeededRng,
     children: BTreeMap<PeerId, Child>,
     interests: BTreeMap<Selector, BTreeSet<(PeerId, u32)>>,
-    /// Budgets of children that have gone: a new session brings no new budget.
+    /// Budgets of children that have left: a new session brings no new budget.
     retained_buckets: BTreeMap<PeerId, TokenBucket>,
-    /// Who sent more than it may is not heard until then.
+    /// Frames of these peers are ignored until a time, since they exceeded their budget or broke the protocol.
     banned_until: BTreeMap<PeerId, Time>,
     session_bucket: TokenBucket,
     wakeups: BTreeMap<PeerId, Time>,
@@ -33,25 +33,25 @@
     has_fencing_notice: bool,
 }
 
-/// The longest that a child that broke the rules is not heard, in seconds.
+/// Seconds for which the frames of a child that broke the protocol are ignored.
 pub const BAN_DURATION: Time = 30.0;
 
-/// A child is looked at so often at most without a cause, in seconds.
+/// Shortest time between two polls of a child without cause, in seconds.
 const MIN_WAKEUP_INTERVAL: Time = 1e-3;
 
-/// For so many times as many peers as there may be children, budgets are kept.
+/// Buckets are retained for this multiple of the allowed number of children.
 const RETAINED_BUCKETS_PER_CHILD: usize = 4;
 
-/// What one new session takes of the bucket of new sessions.
+/// What one new session takes from the bucket of new sessions.
 const SESSION_COST: f64 = 100.0;
 
-/// Moments are not negative, so their bits are in their order.
+/// Bits that sort like the time; times are not negative.
 fn sortable_bits(time: Time) -> u64 {
     time.max(0.0).to_bits()
 }
 
 impl Downstream {
-    /// Without children.
+    /// No children.
     pub fn new(config: DownstreamConfig, seed: u64, now: Time) -> Downstream {
         let rate = config.sessions_per_second * SESSION_COST;
         Downstream {
@@ -74,12 +74,12 @@
         }
     }
 
-    /// Who the children are.
+    /// The children.
     pub fn children(&self) -> impl Iterator<Item = PeerId> + '_ {
         self.children.keys().copied()
     }
 
-    /// Takes a child's frame in; gives back what it reports.
+    /// Handles a child's frame; gives back its reports.
     pub fn receive(
         &mut self,
         now: Time,
@@ -191,12 +191,12 @@
         Ok(Vec::new())
     }
 
-    /// Whether a relay has said since the last call that it has heard of a later token.
+    /// Whether a relay has reported a later fencing token since the last call.
     pub fn take_fencing_notice(&mut self) -> bool {
         std::mem::take(&mut self.has_fencing_notice)
     }
 
-    /// The log has changed at a key.
+    /// Queues the change of a key for all children that subscribe to it.
     pub fn notify_changed(&mut self, now: Time, key: &Key, replica: ReplicaView) {
         for selector in Selector::all_matching(&key.name.group) {
             let Some(interested) = self.interests.get(&selector) else {
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Something has changed that concerns all children.
+    /// Polls all children with the next call: something has changed for all of them.
     pub fn schedule_all(&mut self, now: Time) {
         let all: Vec<PeerId> = self.children().collect();
         for peer in all {
--- a/crates/distribution/src/downstream/admission.rs
+++ b/crates/distribution/src/downstream/admission.rs
@@ -1,4 +1,4 @@
-//! Which sessions are opened, closed and rejected, within the budgets.
+//! Admission of sessions: which are opened, closed and rejected, within the limits.
 
 use super::{remove_interest, Downstream, BAN_DURATION, RETAINED_BUCKETS_PER_CHILD, SESSION_COST};
 use crate::child::Child;
@@ -11,9 +11,8 @@
 use crate::Time;
 
 impl Downstream {
-    /// Begins a session, unless there are too many or too many begin at once; whether it is there.
-    ///
-    /// Guards against all children of a relay that died coming at once. Harm: some come some seconds later.
+    /// Opens a session, unless there are too many children or too many new sessions; whether it is open. The limit of
+    /// new sessions spreads the children of a relay that failed.
     pub(super) fn open_session(
         &mut self,
         now: Time,
@@ -77,7 +76,7 @@
         true
     }
 
-    /// Ends a child's session and tells it so.
+    /// Ends a child's session and tells the child.
     pub(super) fn close_session(
         &mut self,
         now: Time,
@@ -102,7 +101,7 @@
         }
     }
 
-    /// Ends all sessions: an author has lost its lease.
+    /// Ends all sessions.
     pub fn close_all(&mut self, now: Time, reason: CloseReason, outputs: &mut Vec<Output>) {
         let all: Vec<PeerId> = self.children().collect();
         for child in all {
@@ -117,7 +116,7 @@
         }
     }
 
-    /// Tells somebody that its session is not there, within its budget.
+    /// Rejects a session, within the peer's budget.
     pub fn reject(
         &mut self,
         now: Time,
@@ -163,7 +162,7 @@
         RETAINED_BUCKETS_PER_CHILD * self.config.max_children
     }
 
-    /// Buckets that are full again say nothing.
+    /// Drops buckets that are full again; a new one would be the same.
     pub(super) fn drop_full_buckets(&mut self, now: Time) {
         if self.retained_buckets.len() >= self.max_retained_buckets() {
             let burst_bytes = self.config.node_budget.burst_bytes;
--- a/crates/distribution/src/downstream_config.rs
+++ b/crates/distribution/src/downstream_config.rs
@@ -6,21 +6,21 @@
 /// How children are served.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DownstreamConfig {
-    /// Most children at once; more are told to go elsewhere.
+    /// Most children at once; further sessions are rejected.
     pub max_children: usize,
-    /// What is sent to a child that is a node.
+    /// Send budget for a node.
     pub node_budget: Budget,
-    /// What is sent to a child that is a relay or an author.
+    /// Send budget for a relay or an author.
     pub relay_budget: Budget,
-    /// A child hears something at least so often, in seconds.
+    /// Longest time between two frames to a child, in seconds.
     pub keepalive_interval: Time,
-    /// A child that was not heard for so long is forgotten, in seconds.
+    /// Seconds without a frame after which a child's session ends.
     pub silence_timeout: Time,
-    /// New sessions a second; more are told to come back later.
+    /// New sessions a second; further ones are rejected.
     pub sessions_per_second: f64,
-    /// A child that is sent away comes back after so long at least and after twice as long at most, in seconds.
+    /// A rejected child retries after this many seconds at least, and twice as many at most.
     pub min_retry_after: Time,
-    /// How many times a child's own budget it may send before it is sent away.
+    /// A child may send this multiple of its own budget before its session ends.
     pub receive_budget_factor: f64,
 }
 
--- a/crates/distribution/src/epoch.rs
+++ b/crates/distribution/src/epoch.rs
@@ -4,11 +4,11 @@
 use reelfall_lease::token::Claim;
 use serde::{Deserialize, Serialize};
 
-/// Who an author is, and what it knew when it took over.
+/// An author's claim, and what the author knew when it took over.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Epoch {
-    /// The lease and its token.
+    /// The lease and its fencing token.
     pub claim: Claim,
-    /// What the author had of earlier authors. Another change of theirs is an orphan.
+    /// Versions of earlier authors that the author had. Other changes of theirs are orphans.
     pub known: Coverage,
 }
--- a/crates/distribution/src/history.rs
+++ b/crates/distribution/src/history.rs
@@ -1,21 +1,21 @@
-//! What each key was before its latest change, for taking that change back.
+//! The previous content of each key, by which an author reverts a change.
 
 use crate::resource::{Change, Content, Key, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// See the module.
+/// The previous change of each key, within a byte limit.
 #[derive(Debug)]
 pub struct ChangeHistory {
-    /// Of each key, what its latest change took the place of, and that change's version.
+    /// The replaced change of each key, and the version of its successor.
     previous: BTreeMap<Key, (Change, Version)>,
-    /// By the versions of the changes that took their places.
+    /// Keys by the version of the successor: the oldest are dropped first.
     by_successor: BTreeSet<(Version, Key)>,
     bytes: usize,
     max_bytes: usize,
 }
 
 impl ChangeHistory {
-    /// Of so many bytes at most; of more, those that were replaced first are forgotten.
+    /// A history of `max_bytes` at most; beyond it the oldest replacements are dropped.
     pub fn new(max_bytes: usize) -> ChangeHistory {
         ChangeHistory {
             previous: BTreeMap::new(),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// A change has taken the place of an earlier one.
+    /// Records that a change replaced another one.
     pub fn record_replaced(&mut self, replaced: &Change, new: &Change) {
         self.forget(&new.key);
         self.bytes += replaced.size_bytes();
@@ -48,7 +48,7 @@
         self.by_successor.remove(&(successor, key.clone()));
     }
 
-    /// What a change took the place of; none if that is no longer known.
+    /// The content before a change; none if it is no longer known.
     pub fn content_before(&self, change: &Change) -> Option<Content> {
         if change.replaces == Version::ZERO {
             return Some(Content::Removed);
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,39 +1,40 @@
 //! Distribution of configuration from authors over relays to nodes.
 //!
-//! No I/O: frames, moments and the seed of chance are arguments; what is to be sent, stored or applied comes back as
-//! values, in the order in which it is to be done.
+//! Replicated, versioned configuration without I/O: frames, times and the random seed are arguments; what is to be sent,
+//! stored or applied is returned as values, in the order in which it is to be done.
 //!
 //! | module | what belongs there |
 //! | --- | --- |
-//! | [`resource`] | names, versions, bodies with their hashes, changes, selectors |
+//! | [`resource`] | names, versions, contents, changes, selectors |
 //! | [`message`] | frames between an upstream and its children |
 //! | [`frame`] | size limits of frames |
 //! | [`epoch`] | the author's term: fencing token and known versions |
 //! | [`session_end`] | why a session ends |
-//! | [`peer`] | numbers of processes |
-//! | [`output`] | what a machine asks its driver to do, and what is stored |
-//! | [`coverage`] | which versions a holder has been told of |
-//! | [`log`] | the latest change of each resource, in order of versions |
-//! | [`link`] | one session with one peer: order, loss, repetition, proofs of age |
-//! | [`token_bucket`], [`random`] | the budget of a link, spreads of time |
-//! | [`reassembly`] | bodies that take several frames |
-//! | [`child_subscription`], [`child`], [`downstream`] | what a relay sends its children, and in which order |
-//! | [`upstream_config`], [`session`], [`upstream`] | whom a process follows, when it leaves, when it returns |
-//! | [`report`] | what is told upwards: standings, refusals, orphans |
-//! | [`restore`] | what was persisted, read back |
-//! | [`publish`], [`history`], [`node_status`] | what an author writes, takes back, and hears of it |
+//! | [`peer`] | ids of processes |
+//! | [`output`] | what a state machine asks its driver to do, and the stored records |
+//! | [`coverage`] | the set of versions that a holder has received |
+//! | [`log`] | the latest change of each key, by version |
+//! | [`link`] | one session's link: sequence, retransmission, bounds of a frame's age |
+//! | [`token_bucket`], [`random`] | flow control, jitter |
+//! | [`reassembly`] | bodies that arrive in chunks |
+//! | [`child_subscription`], [`child`], [`downstream`], [`downstream_config`] | what children are sent, and in which order |
+//! | [`replica_view`] | the view of a replica from which children are served |
+//! | [`upstream`], [`upstream_config`], [`upstream_event`], [`session`], [`subscriptions`] | which upstream a process follows, and what it receives |
+//! | [`report`] | reports to the author: acknowledgements, rejections, orphans |
+//! | [`restore`] | state from stored records |
+//! | [`publish`], [`history`], [`node_status`] | changes to publish, their history, what nodes reported of them |
 //! | [`rollout`] | staged rollouts: policy, record, verdicts |
-//! | [`author`], [`relay`], [`subscriber`] | the three machines |
+//! | [`author`], [`relay`], [`subscriber`] | the three state machines |
 //!
 //! # Use
 //!
-//! Each machine has `receive(now, from, frame, outputs)`, `poll(now, outputs)` and `next_wakeup()`. The driver calls
+//! Each state machine has `receive(now, from, frame, outputs)`, `poll(now, outputs)` and `next_wakeup()`. The driver calls
 //! `poll` after each call that changes something and when `next_wakeup` is due, and performs outputs in their order: a
 //! [`output::Output::Persist`] is on the disk before a later [`output::Output::Send`] leaves. Frames may be lost,
-//! repeated, delayed and overtaken. A driver that stood still reads what has come before it polls.
+//! repeated, delayed and overtaken. A driver that was stopped passes on received frames before it polls.
 //!
-//! An author holds the lease of the settings: [`author::Author::hold_lease`] tells it until when, and
-//! [`author::Author::publish`] writes by that lease's claim. A relay follows one of its `upstreams` (authors for the
+//! An author holds the lease of the settings: [`author::Author::hold_lease`] says until when, and
+//! [`author::Author::publish`] writes with that lease's claim. A relay follows one of its `upstreams` (authors for the
 //! first relays, relays for the others) and serves children. A subscriber follows one of its relays; on
 //! [`output::Output::Apply`] the driver answers with `accepted` or `rejected`.
 
--- a/crates/distribution/src/link.rs
+++ b/crates/distribution/src/link.rs
@@ -1,13 +1,14 @@
-//! One session with one peer.
+//! The link of one session: ordering, acknowledgement, retransmission and clock echoes.
 //!
-//! Each side has one payload under way at a time; it is sent again until it is acknowledged, and the reader takes payloads
-//! in the order of their numbers, each once. A budget of a few thousand bytes a second needs no more than that, and
-//! what is urgent waits for one frame at most.
+//! Each side has one reliable payload in flight; it is retransmitted until it is acknowledged, and the reader accepts
+//! payloads in sequence, each once. A budget of a few thousand bytes a second needs no larger window, and an urgent
+//! payload waits for one frame at most.
 //!
-//! Each frame holds its writer's clock and the last that the writer heard of its reader's clock, by which the reader
-//! can tell how old the frame is at most (as `reelfall-cluster`'s `fresh` does for datagrams): what the writer heard was
-//! said before the frame was written, so the frame is no older than the reader's clock has gone on since, less the time
-//! that the writer held it.
+//! Each frame carries its sender's clock and an echo of the receiver's clock. The echoed time was sent before the
+//! frame was, so the frame is no older than the receiver's clock has advanced since, less the time that the sender
+//! spent before replying (as in `reelfall-cluster`'s `fresh`).
+//!
+//! Used by children, sessions and session attempts.
 
 use crate::frame::MAX_FRAME_OVERHEAD_BYTES;
 use crate::message::{self, Echo, Head, Payload};
@@ -17,9 +18,9 @@
 use crate::token_bucket::{Budget, TokenBucket, TRANSPORT_OVERHEAD_BYTES};
 use crate::{Time, DRIFT};
 
-/// A payload that was not acknowledged is sent again after so long, in seconds; then after twice as long each time.
+/// First retransmission timeout in seconds; it doubles with each retransmission.
 pub const RETRANSMIT_TIMEOUT: Time = 1.0;
-/// The longest time between two sendings, in seconds.
+/// Longest retransmission timeout, in seconds.
 pub const MAX_RETRANSMIT_TIMEOUT: Time = 4.0;
 
 #[derive(Debug)]
@@ -30,18 +31,18 @@
     retransmit_after: Time,
 }
 
-/// What a frame's head says to its reader.
+/// Result of accepting a frame's head.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FrameReceipt {
-    /// The payload is the next one, or needs no order.
+    /// Whether the payload is the next in sequence, or needs no sequence.
     pub is_new: bool,
-    /// How long the frame was under way at most, in seconds.
+    /// Upper bound of the frame's transit time in seconds, if it is known.
     pub max_transit: Option<Time>,
-    /// Payloads of ours up to this one had come when it was written.
+    /// The peer had received our payloads up to this number when it sent the frame.
     pub acknowledged: u64,
 }
 
-/// See the module.
+/// One side of a session.
 #[derive(Debug)]
 pub struct Link {
     peer: PeerId,
@@ -63,7 +64,7 @@
 }
 
 impl Link {
-    /// A session's beginning. `up`: this side is the child.
+    /// A link of a new session. `up`: this side is the child.
     pub fn new(peer: PeerId, session: u64, up: bool, budget: Budget, now: Time) -> Link {
         Link {
             peer,
@@ -81,65 +82,65 @@
         }
     }
 
-    /// With the bucket of an earlier session: a new one brings no new budget.
+    /// The same link with the bucket of an earlier session: a new session brings no new budget.
     pub fn with_bucket(mut self, bucket: TokenBucket) -> Link {
         self.bucket = bucket;
         self
     }
 
-    /// The bucket, for the next session with the same peer.
+    /// The send bucket, for the next session with the same peer.
     pub fn bucket(&self) -> &TokenBucket {
         &self.bucket
     }
 
-    /// The same, to take from.
+    /// The send bucket, to take from.
     pub fn bucket_mut(&mut self) -> &mut TokenBucket {
         &mut self.bucket
     }
 
-    /// With whom.
+    /// The peer.
     pub fn peer(&self) -> PeerId {
         self.peer
     }
 
-    /// The session's number.
+    /// The session's id, chosen by the child.
     pub fn session(&self) -> u64 {
         self.session
     }
 
-    /// When a frame of this session came last.
+    /// When the last frame of this session was received.
     pub fn last_received_at(&self) -> Time {
         self.last_received_at
     }
 
-    /// Whether a frame of this session has come.
+    /// Whether a frame of this session was received.
     pub fn is_answered(&self) -> bool {
         self.peer_clock.is_some()
     }
 
-    /// When a frame was written last.
+    /// When the last frame was sent.
     pub fn last_sent_at(&self) -> Time {
         self.last_sent_at
     }
 
-    /// Whether no payload is under way.
+    /// Whether no payload is in flight.
     pub fn is_idle(&self) -> bool {
         self.outstanding.is_none()
     }
 
-    /// The number of the payload that was sent last.
+    /// The number of the last reliable payload.
     pub fn last_sent(&self) -> u64 {
         self.last_sent
     }
 
-    /// The longest payload that the budget allows at all.
+    /// Largest payload that the budget ever allows, in bytes.
     pub fn max_payload_bytes(&self) -> usize {
         self.budget
             .max_frame_bytes()
             .saturating_sub(MAX_FRAME_OVERHEAD_BYTES)
     }
 
-    /// The longest payload that the budget allows now.
+    /// Largest payload that the budget allows now, in bytes.
     pub fn available_payload_bytes(&self, now: Time) -> usize {
         let level = self.bucket.available(now) as usize;
         level
@@ -147,17 +148,17 @@
             .min(self.max_payload_bytes())
     }
 
-    /// When a payload of so many bytes can be sent.
+    /// When a payload of this size can be sent.
     pub fn ready_at(&self, now: Time, payload: usize) -> Time {
         self.bucket
             .ready_at(now, payload + MAX_FRAME_OVERHEAD_BYTES)
     }
 
-    /// Takes a frame's head in.
+    /// Accepts the head of a received frame.
     ///
     /// # Errors
-    /// If the peer is in another session, or in another state of it: a repeated beginning can bring a session back that had
-    /// ended.
+    /// If the frame belongs to another session, or to a state that this session never was in: a repeated opening
+    /// frame can revive a session that had ended.
     pub fn accept(&mut self, now: Time, head: &Head) -> Result<FrameReceipt, CloseReason> {
         if head.session != self.session || head.from_child == self.is_child {
             return Err(CloseReason::UnknownSession);
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Sends a payload that is to be acknowledged; whether it went. Only one is under way at a time.
+    /// Sends a payload that the peer acknowledges; false if one is in flight or the budget does not allow it.
     pub fn send_reliable(
         &mut self,
         now: Time,
@@ -233,7 +234,7 @@
         true
     }
 
-    /// Sends a payload that needs no acknowledgement; whether it went.
+    /// Sends a payload without acknowledgement; false if the budget does not allow it.
     pub fn send_unreliable(
         &mut self,
         now: Time,
@@ -257,14 +258,14 @@
         });
     }
 
-    /// Sends an acknowledgement, if one is due and nothing else has brought it.
+    /// Sends an acknowledgement, if one is owed and no payload has carried it.
     pub fn flush_acknowledgement(&mut self, now: Time, outputs: &mut Vec<Output>) {
         if self.owes_acknowledgement {
             self.send_unreliable(now, &Payload::Acknowledge, outputs);
         }
     }
 
-    /// Sends a payload again that has not been acknowledged in time.
+    /// Retransmits the payload in flight, if its timeout is over.
     pub fn retransmit_if_due(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let Some(outstanding) = &mut self.outstanding else {
             return;
@@ -301,7 +302,8 @@
     }
 }
 
-/// How long a frame that holds this can have been under way at most, in seconds; `None` if that can't be told.
+/// Upper bound of the transit time of a frame that carries this echo, in seconds; none if the echo is from the
+/// future.
 pub fn max_transit_time(now: Time, echo: Echo) -> Option<Time> {
     let since = now - echo.stamp_us as f64 / 1e6;
     let elapsed = echo.elapsed_us as f64 / 1e6;
--- a/crates/distribution/src/log.rs
+++ b/crates/distribution/src/log.rs
@@ -1,33 +1,33 @@
-//! The latest change of each key, in the order of versions.
+//! The change log: the latest change of each key, ordered by version.
 //!
-//! A later change of a key takes the place of the earlier one, so the log is as long as there are resources, and what a
-//! peer lacks since a version is what stands in the log above it. Removals stay until there are too many; the versions of
-//! those that were forgotten are below [`ChangeLog::pruned_through`].
+//! A change replaces the previous change of its key, so the log is as long as there are keys, and what a peer lacks
+//! since some version is the log's tail above it. Removals stay as tombstones until there are too many; pruned ones
+//! have versions up to [`ChangeLog::pruned_through`].
 
 use crate::coverage::Coverage;
 use crate::resource::{Change, Key, Selector, Urgency, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-/// How much a log holds.
+/// Limits of a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
     /// Most keys.
     pub max_keys: usize,
-    /// Most bytes, as [`Change::size_bytes`] counts them.
+    /// Most bytes, as counted by [`Change::size_bytes`].
     pub max_bytes: usize,
-    /// Most removals; of more, the earliest are forgotten.
+    /// Most tombstones; beyond it the oldest are pruned.
     pub max_tombstones: usize,
 }
 
 impl Capacity {
-    /// On a control machine, for 640,000 resources.
+    /// For a control machine with 640,000 resources.
     pub const CONTROL: Capacity = Capacity {
         max_keys: 2_000_000,
         max_bytes: 1 << 30,
         max_tombstones: 100_000,
     };
-    /// At a node.
+    /// For a node.
     pub const NODE: Capacity = Capacity {
         max_keys: 200_000,
         max_bytes: 24 << 20,
@@ -35,14 +35,14 @@
     };
 }
 
-/// What became of a change that was put in.
+/// Result of [`ChangeLog::put`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PutOutcome {
-    /// It is the latest of its key.
+    /// The change is now the latest of its key.
     Stored,
-    /// This one, or a later one, was there.
+    /// The log has this change or a later one of its key.
     Outdated,
-    /// There is no room.
+    /// The log has no capacity for the change.
     CapacityExceeded,
 }
 
@@ -66,13 +66,13 @@
     }
 }
 
-/// See the module.
+/// The latest change of each key, with indexes by selector.
 #[derive(Clone, Debug)]
 pub struct ChangeLog {
     capacity: Capacity,
     changes: BTreeMap<Key, Change>,
     all_keys: Index,
-    /// By what can be asked for.
+    /// Indexes for every selector but [`Selector::Everything`].
     by_selector: BTreeMap<Selector, Index>,
     tombstones: BTreeSet<Version>,
     bytes: usize,
@@ -80,7 +80,7 @@
 }
 
 impl ChangeLog {
-    /// An empty one.
+    /// An empty log.
     pub fn new(capacity: Capacity) -> ChangeLog {
         ChangeLog {
             capacity,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Puts a change in, if it is the latest of its key.
+    /// Stores a change, if it is the latest of its key.
     pub fn put(&mut self, change: Change) -> PutOutcome {
         let old = self.changes.get(&change.key);
         if old.is_some_and(|old| old.version >= change.version) {
@@ -118,7 +118,7 @@
         PutOutcome::Stored
     }
 
-    /// Takes a key out, with its change.
+    /// Removes a key and its change.
     pub fn remove(&mut self, key: &Key) -> Option<Change> {
         let change = self.changes.remove(key)?;
         self.bytes -= change.size_bytes();
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Forgets the earliest removals of which there are too many; says which keys.
+    /// Removes the oldest tombstones beyond the capacity; gives back their keys.
     pub fn prune_tombstones(&mut self) -> Vec<Key> {
         let mut forgotten = Vec::new();
         while self.tombstones.len() > self.capacity.max_tombstones {
@@ -157,12 +157,12 @@
         forgotten
     }
 
-    /// Removals up to this version may have been forgotten.
+    /// Tombstones up to this version may have been pruned.
     pub fn pruned_through(&self) -> Version {
         self.pruned_through
     }
 
-    /// Raises the floor: removals up to there are not known here.
+    /// Raises the pruning floor: removals up to it are not known here.
     pub fn raise_pruned_through(&mut self, floor: Version) {
         self.pruned_through = self.pruned_through.max(floor);
     }
@@ -177,22 +177,22 @@
         self.changes.get(self.all_keys.versions.get(&version)?)
     }
 
-    /// How many keys there are.
+    /// Number of keys.
     pub fn len(&self) -> usize {
         self.changes.len()
     }
 
-    /// Whether there are none.
+    /// Whether the log has no keys.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 
-    /// How many bytes its changes take.
+    /// Total size of all changes, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The greatest version in it.
+    /// The last version in the log.
     pub fn last_version(&self) -> Version {
         self.all_keys
             .versions
@@ -200,7 +200,7 @@
             .map_or(Version::ZERO, |(version, _)| *version)
     }
 
-    /// All changes, by their keys.
+    /// All changes, by key.
     pub fn changes(&self) -> impl Iterator<Item = &Change> {
         self.changes.values()
     }
@@ -212,7 +212,7 @@
         }
     }
 
-    /// The latest urgent change of a selector that is not covered.
+    /// The last urgent change of a selector that a coverage lacks.
     pub fn newest_uncovered_urgent(
         &self,
         selector: &Selector,
@@ -223,7 +223,7 @@
         newest_uncovered(coverage, index.urgent.last().copied(), last_at_or_below)
     }
 
-    /// The latest change of a selector that is not covered.
+    /// The last change of a selector that a coverage lacks.
     pub fn newest_uncovered(&self, selector: &Selector, coverage: &Coverage) -> Option<Version> {
         let index = self.index(selector)?;
         let last_at_or_below = |bound: Version| {
@@ -240,7 +240,7 @@
         )
     }
 
-    /// The latest change of a selector before a version that is not covered.
+    /// The last change of a selector before a version that a coverage lacks.
     pub fn newest_uncovered_before(
         &self,
         selector: &Selector,
@@ -262,7 +262,7 @@
         )
     }
 
-    /// The earliest change of a selector after a version that is not covered.
+    /// The first change of a selector after a version that a coverage lacks.
     pub fn oldest_uncovered_after(
         &self,
         selector: &Selector,
@@ -276,7 +276,7 @@
         Some(version)
     }
 
-    /// The latest change of a selector before a version.
+    /// The last change of a selector before a version.
     pub fn previous_version(&self, selector: &Selector, version: Version) -> Option<Version> {
         let (earlier, _) = self
             .index(selector)?
@@ -286,14 +286,14 @@
         Some(*earlier)
     }
 
-    /// The earliest change of a selector after a version.
+    /// The first change of a selector after a version.
     pub fn next_version(&self, selector: &Selector, version: Version) -> Option<Version> {
         self.keys_after(selector, version)
             .next()
             .map(|(later, _)| later)
     }
 
-    /// The keys of a selector whose changes are later than a version, in their order.
+    /// The keys of a selector whose changes are later than a version, in version order.
     pub fn keys_after<'a>(
         &'a self,
         selector: &Selector,
@@ -309,14 +309,14 @@
     }
 }
 
-/// The selectors but [`Selector::Everything`] that hold a key.
+/// The selectors other than [`Selector::Everything`] that match a key.
 fn narrow_selectors(key: &Key) -> impl Iterator<Item = Selector> {
     Selector::all_matching(&key.name.group)
         .into_iter()
         .filter(|selector| *selector != Selector::Everything)
 }
 
-/// The latest version that is not covered, where `below` gives the latest one up to a bound.
+/// The last version that a coverage lacks; `last_at_or_below` gives the last version up to a bound.
 fn newest_uncovered(
     coverage: &Coverage,
     last: Option<Version>,
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -1,11 +1,10 @@
-//! Frames between an upstream and its children.
+//! The wire format: frames between an upstream and its children.
 //!
 //! ```text
 //! "rD" | version | first 8 bytes of BLAKE3 of what follows | head (postcard) | payload (postcard)
 //! ```
 //!
-//! The hash finds frames that were cut or changed under way; it proves nobody's name. Who may speak at all is for the
-//! driver's transport.
+//! The hash detects truncated and corrupt frames; it does not authenticate, which is up to the driver's transport.
 
 use crate::coverage::{Coverage, Span};
 use crate::epoch::Epoch;
@@ -22,130 +21,130 @@
 const MAGIC: [u8; 3] = *b"rD\x01";
 const CHECKSUM_BYTES: usize = 8;
 
-/// What a writer has heard last of its reader's clock.
+/// The last clock value that the sender received from the receiver of this frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// The moment, in microseconds of the reader's clock.
+    /// The receiver's clock when it sent that value, in microseconds.
     pub stamp_us: u64,
-    /// How long ago the writer heard it, in microseconds of the writer's clock, rounded down.
+    /// Microseconds on the sender's clock since it received the value, rounded down.
     pub elapsed_us: u64,
 }
 
-/// What every frame begins with.
+/// Head of every frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// The session, as the child named it.
+    /// The session's id, chosen by the child.
     pub session: u64,
-    /// Written by the child.
+    /// Whether the child sent the frame.
     pub from_child: bool,
-    /// The number of this payload, from 1; 0 for one that needs no acknowledgement.
+    /// Sequence number of the payload, from 1; 0 if it needs no acknowledgement.
     pub number: u64,
-    /// All payloads of the reader up to this one have come.
+    /// All payloads of the receiver up to this number have arrived.
     pub acknowledged: u64,
-    /// The writer's clock, in microseconds.
+    /// The sender's clock, in microseconds.
     pub sent_at_us: u64,
-    /// What the writer heard last of the reader's clock.
+    /// Echo of the receiver's clock, once a frame of it has arrived.
     pub echo: Option<Echo>,
 }
 
-/// A part of a long body.
+/// One chunk of a body that takes several frames.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// Of which key.
+    /// The key of the change.
     pub key: Key,
-    /// Of which change.
+    /// The version of the change.
     pub version: Version,
     /// The change's urgency.
     pub urgency: Urgency,
-    /// Sent before other changes. One body of this kind and one of the other may be under way.
+    /// Whether it overtakes other changes. One urgent and one other body may be in transit at a time.
     pub is_urgent: bool,
-    /// The change's part of the nodes.
+    /// The nodes that the change is for.
     pub fraction: NodeFraction,
     /// The version that the change replaces.
     pub replaces: Version,
-    /// The body's length.
+    /// Length of the complete body, in bytes.
     pub total: u32,
-    /// The body's hash.
+    /// Hash of the complete body.
     pub hash: ContentHash,
-    /// Where these bytes stand in it.
+    /// Offset of these bytes in the body.
     pub offset: u32,
-    /// The bytes.
+    /// The bytes of this chunk.
     pub bytes: Vec<u8>,
 }
 
-/// One thing that is asked for.
+/// One subscription of a child.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Subscribe {
-    /// The child's number of this subscription, in this session.
+    /// The subscription's id in this session, chosen by the child.
     pub id: u32,
-    /// What it asks for.
+    /// The resources that it asks for.
     pub selector: Selector,
-    /// What the child has of it already.
+    /// The versions that the child covers already.
     pub coverage: Coverage,
-    /// Removals up to here are known to the child.
+    /// The child knows all removals up to this version.
     pub removals_known: Version,
-    /// The child has changes of it, whatever it covers: it has to hear of all removals since.
+    /// Whether the child has changes that the selector matches, whatever it covers: it then needs all removals since.
     pub has_changes: bool,
 }
 
-/// What a frame says.
+/// Content of a frame.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing but its head.
+    /// No content: acknowledges by its head alone.
     Acknowledge,
-    /// A child begins a session.
+    /// A child opens a session.
     Open {
-        /// Whether it needs changes for other nodes than itself, as relays and authors do.
+        /// Whether the child is a relay or an author, which needs changes for other nodes, too.
         is_relay: bool,
     },
-    /// A child asks for more.
+    /// A child adds subscriptions.
     Subscribe(Vec<Subscribe>),
-    /// A child asks for less.
+    /// A child ends subscriptions.
     Unsubscribe(Vec<u32>),
-    /// A child tells what is to be told upwards.
+    /// A child reports to the author.
     Reports(Vec<Report>),
-    /// The session is over, or was never there.
+    /// The session has ended, or is unknown.
     Close {
-        /// Why.
+        /// Why it ended.
         reason: CloseReason,
-        /// When to come back at the earliest, in milliseconds.
+        /// Earliest reconnect, in milliseconds.
         retry_after_ms: u32,
     },
-    /// Who the author is.
+    /// The term of the current author.
     Epoch(Epoch),
-    /// Whole changes of a subscription. Of each key whose latest change is in the span, this change is in here or has
-    /// been sent before.
+    /// Complete changes of a subscription. For each key whose latest change is in the span, this change is included
+    /// or was sent before.
     Changes {
-        /// Which subscription.
+        /// The subscription's id.
         id: u32,
-        /// The span.
+        /// The span that is covered.
         span: Span,
         /// The changes.
         changes: Vec<Change>,
     },
-    /// A part of a body of a subscription. The last one stands for a [`Payload::Changes`] with this change and span.
+    /// A chunk of a body. The last chunk stands for [`Payload::Changes`] with this change and span.
     Chunk {
-        /// Which subscription.
+        /// The subscription's id.
         id: u32,
-        /// The span.
+        /// The span that is covered after the last chunk.
         span: Span,
-        /// The part.
+        /// The chunk.
         chunk: Chunk,
     },
-    /// Digests of all keys of a subscription that are not removed, for one that has to hear of forgotten removals.
+    /// Digests of all keys of a subscription, without removed ones, for a child that missed pruned tombstones.
     Manifest {
-        /// Which subscription.
+        /// The subscription's id.
         id: u32,
-        /// Whether these are the first ones.
+        /// Whether this is the first page.
         first: bool,
-        /// Whether these are the last ones.
+        /// Whether this is the last page.
         last: bool,
-        /// What has an earlier version or this one, and is not listed, is no more.
+        /// A key with a version up to this one that is not listed was removed.
         floor: Version,
-        /// The digests.
+        /// Digests of the keys.
         digests: Vec<u64>,
     },
-    /// Everything that the writer has of all subscriptions has been sent.
+    /// Everything that the sender has of all subscriptions was sent.
     Current {
         /// The latest version that the writer has.
         head: Version,
@@ -158,7 +157,7 @@
     },
 }
 
-/// The bytes of a frame.
+/// Encodes a frame.
 pub fn encode(head: &Head, payload: &Payload) -> Vec<u8> {
     let body = postcard::to_allocvec(&(head, payload)).unwrap_or_default();
     let mut frame = Vec::with_capacity(MAGIC.len() + CHECKSUM_BYTES + body.len());
@@ -168,20 +167,20 @@
     frame
 }
 
-/// A frame that has come.
+/// A received frame.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Received {
-    /// From whom.
+    /// The sender.
     pub from: PeerId,
-    /// Its length.
+    /// Length of the frame.
     pub bytes: usize,
-    /// What it begins with.
+    /// The head.
     pub head: Head,
-    /// What it says.
+    /// The payload.
     pub payload: Payload,
 }
 
-/// Reads a frame that has come; none if it is not one.
+/// Decodes a received frame; none if it is invalid.
 pub fn parse(from: PeerId, frame: &[u8]) -> Option<Received> {
     let (head, payload) = decode(frame)?;
     Some(Received {
@@ -192,7 +191,7 @@
     })
 }
 
-/// Reads a frame; none if it is not one.
+/// Decodes a frame; none if it is invalid.
 pub fn decode(frame: &[u8]) -> Option<(Head, Payload)> {
     if frame.len() > MAX_FRAME_BYTES {
         return None;
--- a/crates/distribution/src/node_status.rs
+++ b/crates/distribution/src/node_status.rs
@@ -1,47 +1,47 @@
-//! What the nodes have said of changes: who has which version, who refused what and why.
+//! What the nodes reported to the author: acknowledged versions and rejected changes.
 
 use crate::peer::PeerId;
 use crate::resource::{Key, Version};
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most nodes whose standing is kept; others are not counted.
+/// Most nodes that are tracked; reports of others are ignored.
 pub const MAX_NODES: usize = 16_384;
-/// Most refusals that are kept; of more, those of the earliest versions are forgotten.
+/// Most rejections that are retained; beyond it those of the oldest versions are dropped.
 pub const MAX_REJECTIONS: usize = 16_384;
 
-/// A node's word that it can't use a change.
+/// A change that a node rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// Which node.
+    /// The node.
     pub node: PeerId,
-    /// Of which key.
+    /// The key of the change.
     pub key: Key,
-    /// Why.
+    /// The node's reason.
     pub reason: String,
 }
 
-/// What a node has said last.
+/// The last acknowledgement of a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeStatus {
-    /// It has decided on all changes up to this version.
+    /// The node has applied or rejected every change up to this version.
     pub acknowledged: Version,
-    /// When it was heard, by the author's clock.
+    /// When the last report was received, on the author's clock.
     pub last_report_at: Time,
 }
 
 /// What is known of one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VersionStatus {
-    /// Nodes that have said that they have all up to this version.
+    /// Nodes that acknowledged the version.
     pub acknowledged: BTreeSet<PeerId>,
-    /// Nodes that were heard, and have not said so.
+    /// Nodes that reported, and have not acknowledged the version.
     pub pending: BTreeSet<PeerId>,
-    /// Who refused the change of this version.
+    /// Rejections of the change of this version.
     pub rejections: Vec<Rejection>,
 }
 
-/// See the module.
+/// The reported state of all nodes.
 #[derive(Debug, Default)]
 pub struct NodeStatuses {
     by_node: BTreeMap<PeerId, NodeStatus>,
@@ -49,7 +49,7 @@
 }
 
 impl NodeStatuses {
-    /// A node has all up to a version. An earlier word that was overtaken changes nothing.
+    /// Records that a node acknowledged a version. A report that was overtaken by a later one changes nothing.
     pub fn record_acknowledgement(&mut self, now: Time, node: PeerId, version: Version) {
         if self.by_node.len() >= MAX_NODES && !self.by_node.contains_key(&node) {
             return;
@@ -62,12 +62,12 @@
         status.last_report_at = status.last_report_at.max(now);
     }
 
-    /// What each node has said last.
+    /// The last acknowledgement of each node.
     pub fn iter(&self) -> impl Iterator<Item = (PeerId, NodeStatus)> + '_ {
         self.by_node.iter().map(|(node, status)| (*node, *status))
     }
 
-    /// A node has refused a change.
+    /// Records that a node rejected a change.
     pub fn record_rejection(&mut self, version: Version, rejection: Rejection) {
         self.rejections.insert((version, rejection.node), rejection);
         if self.rejections.len() > MAX_REJECTIONS {
--- a/crates/distribution/src/output.rs
+++ b/crates/distribution/src/output.rs
@@ -1,4 +1,4 @@
-//! What a machine asks its driver to do.
+//! Outputs of the state machines: what the driver is asked to send, apply, store and log.
 
 use crate::coverage::Coverage;
 use crate::epoch::Epoch;
@@ -9,119 +9,119 @@
 use crate::session_end::CloseReason;
 use serde::{Deserialize, Serialize};
 
-/// Something to be done. Outputs are done in their order.
+/// Work for the driver, to be done in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// A frame for a peer; it may be lost.
+    /// Sends a frame to a peer; it may be lost.
     Send {
-        /// Whom to.
+        /// The receiver.
         to: PeerId,
-        /// The bytes.
+        /// The frame.
         frame: Vec<u8>,
     },
-    /// A change to put in force (a subscriber's alone). Its `key.slot` says nothing here: it is what the resource is
-    /// now at this node. The driver answers with `accepted` or `rejected` and its version.
+    /// Applies a change (subscribers only). `key.slot` has no meaning here: the change is what the resource is now at
+    /// this node. The driver answers with `accepted` or `rejected` and the version.
     Apply(Change),
-    /// To be stored, before any later [`Output::Send`] leaves.
+    /// Stores a record before any later [`Output::Send`] is sent.
     Persist(Record),
-    /// For logs and figures.
+    /// Logs an event.
     Event(Event),
 }
 
-/// What is stored; the records that were stored, in their order, start a machine anew.
+/// A stored record; all records in order restore a state machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// A change; it replaces earlier ones with its key.
+    /// A change; it replaces earlier ones of its key.
     Put(Change),
-    /// What is now in force at a node; `key.slot` says nothing. A removal: the resource is no longer in force.
+    /// The change that a node has applied; `key.slot` has no meaning. A removal: the resource is no longer applied.
     Applied(Change),
-    /// What is in force of a resource is what it is to be at this version, too.
+    /// What is applied of a resource is also its content at this version.
     Confirmed(Name, Version),
-    /// A removal that is no longer kept, and a snapshot's word that a key is no more.
+    /// The key was pruned or removed.
     Forget(Key),
-    /// Removals up to this version may have been forgotten.
+    /// Tombstones up to this version may have been pruned.
     PrunedThrough(Version),
-    /// Who the author is, as an author or a relay has heard last.
+    /// The term of the last known author.
     Epoch(Epoch),
-    /// So much of what a selector holds has been stored.
+    /// The coverage of a selector.
     Covered {
-        /// Of what.
+        /// The selector.
         selector: Selector,
-        /// Which versions.
+        /// The versions whose changes have been stored.
         coverage: Coverage,
         /// All removals up to this version are known.
         removals_known: Version,
     },
-    /// The selector is no longer subscribed; what is gone by that is said beside.
+    /// The subscription has ended; records of the keys that it drops are stored separately.
     Unsubscribed(Selector),
 }
 
-/// Something worth telling.
+/// An event for logs and metrics.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// An upstream is followed.
+    /// An upstream is followed or tried.
     Following(PeerId),
     /// An upstream was left.
     Left {
-        /// Which.
+        /// The upstream.
         upstream: PeerId,
-        /// Why.
+        /// The reason.
         reason: CloseReason,
     },
-    /// A child's session was ended.
+    /// A child's session ended.
     ChildLost {
-        /// Which.
+        /// The child.
         child: PeerId,
-        /// Why.
+        /// The reason.
         reason: CloseReason,
     },
-    /// A change of ours that the present author does not have: it was taken back.
+    /// A change of an earlier author that the present author does not have was reported.
     Orphaned {
-        /// Of which key.
+        /// The key.
         key: Key,
-        /// Which change.
+        /// The version.
         version: Version,
     },
-    /// A change was not taken, for lack of room.
+    /// A change was not stored, for lack of capacity.
     CapacityExceeded {
-        /// Of which key.
+        /// The key.
         key: Key,
-        /// Which change.
+        /// The version.
         version: Version,
     },
-    /// An author with a later token has been heard: this one writes no more.
+    /// A later fencing token was seen; this author no longer writes.
     Fenced {
-        /// The later token.
+        /// The token.
         token: u64,
     },
-    /// A rollout has come to its next stage.
+    /// A rollout advanced to its next stage.
     RolloutAdvanced {
-        /// Of which resource.
+        /// The resource.
         name: Name,
         /// The new stage, in thousandths of the nodes.
         thousandths: u16,
-        /// What the nodes of the stage before had said.
+        /// What the nodes of the previous stage reported.
         counts: StageCounts,
     },
-    /// An author has taken over a rollout: its stage soaks anew.
+    /// An author has taken over a rollout, and its stage soaks again.
     RolloutResumed {
-        /// Of which resource.
+        /// The resource.
         name: Name,
         /// The stage, in thousandths of the nodes.
         thousandths: u16,
     },
-    /// A rollout goes on no more by itself.
+    /// A rollout ended or halted.
     RolloutStopped {
-        /// Of which resource.
+        /// The resource.
         name: Name,
-        /// Why.
+        /// The state that it ended in.
         state: RolloutState,
-        /// What the nodes of its last stage had said.
+        /// What the nodes of its last stage reported.
         counts: StageCounts,
     },
-    /// A record of a rollout can't be read: its trial stays as it is, and nobody watches it.
+    /// A rollout's record is unreadable: its canary stays, and nobody checks it.
     RolloutUnreadable {
-        /// Of which record.
+        /// The key of the record.
         key: Key,
     },
 }
--- a/crates/distribution/src/peer.rs
+++ b/crates/distribution/src/peer.rs
@@ -1,7 +1,7 @@
-//! Numbers of processes.
+//! Ids of processes.
 
 use serde::{Deserialize, Serialize};
 
-/// A process: an author, a relay or a node. The driver knows its address.
+/// An author, a relay or a node. The driver knows its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PeerId(pub u32);
--- a/crates/distribution/src/publish.rs
+++ b/crates/distribution/src/publish.rs
@@ -1,4 +1,4 @@
-//! What an author is asked to write, and why it may not.
+//! Changes to be published, and the reasons for which an author does not publish them.
 
 use crate::log::{Capacity, ChangeLog};
 use crate::resource::{
@@ -9,46 +9,46 @@
 use crate::rollout::record::{RolloutRecord, RECORD_URGENCY};
 use thiserror::Error;
 
-/// Most changes that are published at once.
+/// Most changes in one publication.
 pub const MAX_DRAFTS: usize = 10_000;
 
-/// Why something was not published.
+/// Why an author did not publish.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PublishError {
-    /// The lease is not held by this claim, or no longer.
+    /// The claim does not hold the lease, or no longer.
     #[error("the lease is not held")]
     LeaseNotHeld,
-    /// What others wrote has not come yet.
+    /// The author is still receiving what earlier authors wrote.
     #[error("what earlier authors wrote is still coming")]
     TakingOver,
-    /// A later token has been seen.
+    /// The author has seen a later fencing token.
     #[error("a later author has token {0}")]
     Fenced(u64),
-    /// There is nothing to publish, or too much at once.
+    /// There are no changes, or too many.
     #[error("1 to {MAX_DRAFTS} changes at once")]
     ChangeCount,
-    /// A name, a body or a part is out of its bounds.
+    /// A name, a body or a node fraction exceeds its limit.
     #[error("the name, the body or the part of {0:?} is out of its bounds")]
     OutOfBounds(Box<Name>),
-    /// There is no room.
+    /// The log has no capacity.
     #[error("no room for {0:?}")]
     CapacityExceeded(Box<Name>),
-    /// The change was replaced, or there was none of this version.
+    /// The change was replaced, or there is no change of this version.
     #[error("no resource is at this version")]
     Superseded,
-    /// What was there before the change is no longer known.
+    /// The previous content is no longer in the history.
     #[error("what was there before is no longer known")]
     HistoryExpired,
-    /// There is no trial of this resource.
+    /// The resource has no canary.
     #[error("there is no trial of this resource")]
     NoCanary,
-    /// The resource belongs to authors alone.
+    /// Only authors write this group.
     #[error("{0:?} is written by authors alone")]
     Reserved(Box<Name>),
-    /// A rollout's policy is out of its bounds.
+    /// The rollout's policy is invalid.
     #[error(transparent)]
     Policy(#[from] InvalidPolicy),
-    /// A rollout of this resource runs, or was halted: it is to be released or reverted first.
+    /// A rollout of this resource is running or halted; it has to be promoted or reverted first.
     #[error("a rollout of this resource is open")]
     RolloutOpen,
     /// Too many rollouts are open.
@@ -56,10 +56,10 @@
     TooManyRollouts,
 }
 
-/// Most rollouts that are open at once.
+/// Most open rollouts.
 pub const MAX_OPEN_ROLLOUTS: usize = 16;
 
-/// A change that is to get a version.
+/// A change that has no version yet.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingChange {
     pub key: Key,
@@ -69,7 +69,7 @@
 }
 
 impl PendingChange {
-    /// For all nodes.
+    /// A change for all nodes.
     pub fn stable(draft: Draft) -> PendingChange {
         let key = Key {
             name: draft.name,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// For a part of the nodes.
+    /// A change for a fraction of the nodes.
     pub fn canary(draft: Draft, fraction: NodeFraction) -> PendingChange {
         let key = Key {
             name: draft.name,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// What ends a trial.
+    /// The removal that ends a canary.
     pub fn end_of_canary(name: Name, urgency: Urgency) -> PendingChange {
         let key = Key {
             name,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// What is stored of a rollout.
+    /// The stored record of a rollout.
     pub fn record(record: &RolloutRecord) -> PendingChange {
         let key = RolloutRecord::key_of(&record.name);
         PendingChange {
@@ -123,7 +123,7 @@
     }
 }
 
-/// Whether an operator may write a resource.
+/// Checks that an operator may write a resource.
 pub(crate) fn check_writable(name: &Name) -> Result<(), PublishError> {
     match name.group {
         Group::Authors => Err(PublishError::Reserved(Box::new(name.clone()))),
@@ -131,7 +131,7 @@
     }
 }
 
-/// Whether writes keep to their bounds and there is room for all of them.
+/// Checks that changes are within their limits, and that the log has capacity for all of them.
 pub(crate) fn check(
     changes: &[PendingChange],
     log: &ChangeLog,
--- a/crates/distribution/src/random.rs
+++ b/crates/distribution/src/random.rs
@@ -1,8 +1,8 @@
-//! Chance from a seed, so that the same seed brings the same run.
+//! Deterministic pseudo-random numbers: the same seed gives the same run.
 
 use crate::Time;
 
-/// A hash of one number (splitmix64's finalizer).
+/// Hashes a number (splitmix64's finalizer).
 pub fn mix_bits(number: u64) -> u64 {
     let mut z = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -10,14 +10,14 @@
     z ^ (z >> 31)
 }
 
-/// A stream of numbers.
+/// A pseudo-random generator (splitmix64).
 #[derive(Clone, Debug)]
 pub struct SeededRng {
     state: u64,
 }
 
 impl SeededRng {
-    /// By a seed.
+    /// A generator with this seed.
     pub fn new(seed: u64) -> SeededRng {
         SeededRng {
             state: mix_bits(seed),
@@ -30,17 +30,17 @@
         mix_bits(self.state)
     }
 
-    /// Between 0 and 1.
+    /// Uniform in `[0, 1)`.
     pub fn next_unit(&mut self) -> f64 {
         (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Between two moments or lengths of time.
+    /// Uniform between two times.
     pub fn uniform(&mut self, low: Time, high: Time) -> Time {
         low + (high - low).max(0.0) * self.next_unit()
     }
 
-    /// One of so many; 0 if there are none.
+    /// A random index below `count`; 0 if there are none.
     pub fn index_below(&mut self, count: usize) -> usize {
         (self.next_u64() % (count.max(1) as u64)) as usize
     }
--- a/crates/distribution/src/reassembly.rs
+++ b/crates/distribution/src/reassembly.rs
@@ -1,16 +1,16 @@
-//! Bodies that take several frames.
+//! Reassembly of bodies that arrive in chunks.
 
 use crate::message::Chunk;
 use crate::resource::{Change, Content, ContentHash, MAX_BODY_BYTES};
 
-/// What becomes of a part.
+/// Result of adding a chunk.
 #[derive(Debug, PartialEq)]
 pub enum ChunkOutcome {
-    /// More have to come.
+    /// More chunks have to arrive.
     Incomplete,
-    /// It was the last one; the change is whole and its hash is right.
+    /// It was the last chunk, and the hash is right.
     Complete(Box<Change>),
-    /// It fits nothing that was sent before, passes the stated length, or the hash is wrong.
+    /// The chunk is out of place, exceeds the stated length, or the hash is wrong.
     Invalid,
 }
 
@@ -21,7 +21,7 @@
     bytes: Vec<u8>,
 }
 
-/// The bodies that are coming: one that goes before others, one that does not.
+/// The bodies in transit: an urgent one and another one.
 #[derive(Debug, Default)]
 pub struct Reassembler {
     express: Option<PartialBody>,
@@ -29,10 +29,8 @@
 }
 
 impl Reassembler {
-    /// Takes a part of subscription `id`.
-    ///
-    /// Guards against a body without an end, parts out of place, and bytes that were changed. Harm: none, for a link
-    /// brings parts in their order.
+    /// Adds a chunk of subscription `id`. A link delivers chunks in order, so one that is out of place breaks the
+    /// protocol.
     pub fn take(&mut self, id: u32, chunk: Chunk) -> ChunkOutcome {
         let place = if chunk.is_urgent {
             &mut self.express
@@ -59,7 +57,7 @@
         part
     }
 
-    /// Forgets all.
+    /// Drops all partial bodies.
     pub fn clear(&mut self) {
         *self = Reassembler::default();
     }
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay: follows an author or another relay, and serves its children from what it has.
+//! A relay: follows an author or another relay, and serves its children from its replica.
 
 use crate::coverage::Coverage;
 use crate::downstream::Downstream;
@@ -14,22 +14,22 @@
 use crate::Time;
 use reelfall_lease::token::LeaseName;
 
-/// What a relay is given.
+/// Configuration of a relay.
 #[derive(Clone, Debug)]
 pub struct RelayConfig {
-    /// The lease of those who write.
+    /// The authors' lease.
     pub lease: LeaseName,
-    /// Whom it follows.
+    /// How it follows its upstream.
     pub upstream: UpstreamConfig,
-    /// How it serves.
+    /// How it serves its children.
     pub downstream: DownstreamConfig,
-    /// How much it holds.
+    /// Limits of its log.
     pub capacity: Capacity,
-    /// For what is drawn, sessions' numbers among it: another one at each start.
+    /// Seed of its random numbers, session ids among them; another one at each start.
     pub seed: u64,
 }
 
-/// See the module.
+/// A replica with an upstream and children.
 #[derive(Debug)]
 pub struct Relay {
     replica: Replica,
@@ -39,13 +39,13 @@
 }
 
 impl Relay {
-    /// One that begins without records.
+    /// A relay without records.
     pub fn new(config: RelayConfig, now: Time) -> Relay {
         let restored = RestoredState::empty(config.capacity);
         Relay::from_restored(config, restored, now)
     }
 
-    /// One that goes on from what was stored.
+    /// A relay from stored records.
     pub fn restore(
         config: RelayConfig,
         records: impl IntoIterator<Item = Record>,
@@ -69,32 +69,32 @@
         }
     }
 
-    /// What it has.
+    /// The latest changes.
     pub fn log(&self) -> &ChangeLog {
         &self.replica.log
     }
 
-    /// Which versions it covers.
+    /// The versions that are covered.
     pub fn coverage(&self) -> &Coverage {
         self.replica.coverage()
     }
 
-    /// Whom it follows.
+    /// The upstream that is followed.
     pub fn following(&self) -> Option<PeerId> {
         self.replica.upstream.following()
     }
 
-    /// Who follows it.
+    /// The children.
     pub fn children(&self) -> impl Iterator<Item = PeerId> + '_ {
         self.downstream.children()
     }
 
-    /// How old at most is what it has, in seconds; none if that can't be told.
+    /// Upper bound of the staleness in seconds, if it is known.
     pub fn staleness(&self, now: Time) -> Option<Time> {
         self.replica.staleness(now)
     }
 
-    /// Takes a frame in; any bytes.
+    /// Handles a frame; any bytes are allowed.
     pub fn receive(&mut self, now: Time, from: PeerId, frame: &[u8], outputs: &mut Vec<Output>) {
         self.clock = self.clock.max(now);
         let Some(received) = message::parse(from, frame) else {
--- a/crates/distribution/src/replica.rs
+++ b/crates/distribution/src/replica.rs
@@ -1,4 +1,4 @@
-//! A copy of all resources that follows an upstream: what relays and authors have in common.
+//! A full replica that follows an upstream: what relays and authors have in common.
 
 use crate::coverage::{Coverage, Span};
 use crate::epoch::Epoch;
@@ -14,33 +14,33 @@
 use crate::{Time, DRIFT};
 use std::collections::BTreeSet;
 
-/// The coverage is stored at least once in so many frames of changes.
+/// The coverage is stored after this number of frames of changes at most.
 const MAX_UNSTORED_FRAMES: u32 = 64;
 
-/// What has changed by something that was heard.
+/// What an upstream event has changed.
 #[derive(Debug, Default)]
 pub(crate) struct ReplicaUpdate {
-    /// Keys with another change, or without one now.
+    /// Keys whose change is another one, or was removed.
     pub keys: Vec<Key>,
-    /// Changes that were replaced, and by what.
+    /// Replaced changes, each with its successor.
     pub replaced: Vec<(Change, Change)>,
     /// Changes that the present author does not have.
     pub orphans: Vec<(Key, Version)>,
-    /// There is another author.
+    /// Whether there is another author.
     pub has_new_epoch: bool,
-    /// All that the upstream has is here.
+    /// Whether everything that the upstream has is here.
     pub is_current: bool,
 }
 
-/// See the module.
+/// The log, the author's epoch and the session with the upstream.
 #[derive(Debug)]
 pub(crate) struct Replica {
     pub upstream: Upstream,
     pub log: ChangeLog,
     pub epoch: Option<Epoch>,
-    /// The token of the author that was heard last in this run.
+    /// The last author's fencing token in this run.
     latest_token: u64,
-    /// When the upstream said last that all had been sent, and how old that was.
+    /// When the upstream last said that everything was sent, and the staleness at that time.
     last_current: Option<(Time, Time)>,
     stored_coverage: Coverage,
     unstored_frames: u32,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Which versions are covered.
+    /// The versions that are covered.
     pub fn coverage(&self) -> &Coverage {
         static EMPTY: Coverage = Coverage::EMPTY;
         self.upstream
@@ -81,18 +81,18 @@
             .map_or(&EMPTY, |subscription| &subscription.coverage)
     }
 
-    /// The latest version that is here.
+    /// The last version that is here.
     pub fn head(&self) -> Version {
         self.coverage().last_version().max(self.log.last_version())
     }
 
-    /// How old at most is what is here, in seconds; none if that can't be told.
+    /// Upper bound of the staleness in seconds, if it is known.
     pub fn staleness(&self, now: Time) -> Option<Time> {
         self.last_current
             .map(|(at, age)| age + (now - at).max(0.0) * (1.0 + 2.0 * DRIFT))
     }
 
-    /// What there is to send, as a follower.
+    /// The view from which children are served.
     pub fn view(&self, now: Time) -> ReplicaView<'_> {
         let coverage = self.coverage();
         let (is_contiguous, age) = (coverage.is_contiguous(), self.staleness(now));
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Takes in what the upstream has said.
+    /// Applies a message of the upstream.
     pub fn apply_event(
         &mut self,
         now: Time,
@@ -149,7 +149,7 @@
             return ReplicaUpdate::default();
         }
         self.latest_token = epoch.claim.token;
-        // Once in each run: the last one may have ended before it could report.
+        // In each run again: the last one may have failed before it could report.
         let orphans = orphaned_changes(&self.log, &epoch);
         for (key, version) in orphans.iter().cloned() {
             self.upstream.queue_report(Report::Orphan { key, version });
@@ -178,14 +178,14 @@
         }
     }
 
-    /// This is the author now.
+    /// Sets the current author.
     pub fn set_epoch(&mut self, epoch: Epoch, outputs: &mut Vec<Output>) {
         outputs.push(Output::Persist(Record::Epoch(epoch.clone())));
         self.epoch = Some(epoch);
     }
 
-    /// What is here of what authors wrote: what the last one knew when it took over, and what it wrote itself. It may be
-    /// less than what is covered, where an earlier author wrote what its successor never heard.
+    /// The versions of known authors' changes that are here: what the last author knew when it took over, and what it
+    /// wrote. This can be less than the coverage, where an earlier author wrote what its successor never received.
     pub fn known_versions(&self) -> Coverage {
         let Some(epoch) = &self.epoch else {
             return self.coverage().clone();
@@ -207,7 +207,7 @@
         }
         update.keys.extend(self.prune_tombstones(outputs));
         if full {
-            // What is not held must not be covered: children would take it for no change at all.
+            // Covering what was not stored would tell children that there is no such change.
             self.upstream
                 .leave(now, CloseReason::CapacityExceeded, outputs);
         } else {
@@ -220,7 +220,7 @@
         update
     }
 
-    /// Stores a change, if it is the latest of its key; whether there was room.
+    /// Stores a change, if it is the latest of its key; false if there is no capacity.
     pub fn put(
         &mut self,
         change: Change,
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Forgets removals of which there are too many.
+    /// Prunes tombstones beyond the capacity.
     pub fn prune_tombstones(&mut self, outputs: &mut Vec<Output>) -> Vec<Key> {
         let forgotten = self.log.prune_tombstones();
         for key in &forgotten {
@@ -287,7 +287,7 @@
         }
     }
 
-    /// All versions up to this one are here, by an author's own word.
+    /// Covers all versions up to this one, by the word of the author itself.
     pub fn mark_complete(&mut self, head: Version, outputs: &mut Vec<Output>) {
         self.upstream.add_coverage(
             &Selector::Everything,
@@ -345,14 +345,14 @@
     known
 }
 
-/// Versions that the present author knows, and that are covered here by the word of an earlier one alone, which did not know
-/// them: a change among them has never come.
+/// Versions that the present author knows, and that are covered here on the word of an earlier author that did not
+/// know them: their changes were never received.
 pub(crate) fn missing_versions(earlier: &Epoch, present: &Epoch, covered: &Coverage) -> Coverage {
     let known = known_since(earlier, covered.last_version());
     present.known.intersection(covered).difference(&known)
 }
 
-/// The keys of a selector with a version up to a floor that a list does not hold.
+/// Keys of a selector up to a pruning floor that a manifest does not list.
 pub(crate) fn keys_not_listed(
     log: &ChangeLog,
     selector: &Selector,
--- a/crates/distribution/src/report.rs
+++ b/crates/distribution/src/report.rs
@@ -1,4 +1,4 @@
-//! What is told upwards.
+//! Reports from nodes to the author, and the queue in which a process keeps them until its upstream has them.
 
 mod rejections;
 
@@ -8,56 +8,57 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Longest reason of a refusal, in bytes; the rest is cut.
+/// Longest reason of a rejection, in bytes; longer ones are truncated.
 pub const MAX_REASON_BYTES: usize = 200;
-/// Most refusals and orphans that wait for the way up; of more, the oldest go.
+/// Most rejections and orphans in the queue; beyond it the oldest are dropped.
 pub const MAX_QUEUED_REPORTS: usize = 4096;
-/// Most nodes whose standing waits for the way up; of more, others wait at the nodes' next report.
+/// Most nodes with an acknowledgement in the queue; others are left to their next report.
 pub const MAX_QUEUED_ACKNOWLEDGEMENTS: usize = 16_384;
 
-/// Something that the author has to hear.
+/// A report to the author.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Report {
-    /// A node has all that it asks for up to this version, and has accepted or refused each change.
+    /// A node has applied or rejected every change of its subscriptions up to this version.
     Acknowledged {
-        /// Which node.
+        /// The node.
         node: PeerId,
-        /// Up to which version.
+        /// The version.
         version: Version,
     },
-    /// A node can't use a change.
+    /// A node rejected a change.
     Rejected {
-        /// Which node.
+        /// The node.
         node: PeerId,
-        /// Of which key.
+        /// The key of the change.
         key: Key,
-        /// Which change.
+        /// The version of the change.
         version: Version,
-        /// Why.
+        /// The node's reason.
         reason: String,
     },
-    /// A change of an earlier author that the present one does not have.
+    /// A change of an earlier author that the present author does not have.
     Orphan {
-        /// Of which key.
+        /// The key of the change.
         key: Key,
-        /// Which change.
+        /// The version of the change.
         version: Version,
     },
 }
 
-/// Reports that wait for the way up: one standing of each node, each refusal and orphan once. Refusals go before
-/// standings, in each session anew: who hears a standing has heard what its node refused.
+/// Reports to be sent: one acknowledgement for each node, each rejection and orphan once. In each session rejections
+/// are sent before acknowledgements, so an author that has a node's acknowledgement has its rejections, too.
 #[derive(Debug, Default)]
 pub struct ReportQueue {
-    /// [`MAX_QUEUED_REPORTS`] at most, and once a session is over the refusals that are told again beside them.
+    /// Rejections and orphans, [`MAX_QUEUED_REPORTS`] at most; after a session also the rejections that are sent
+    /// again.
     urgent: VecDeque<Report>,
     acknowledgements: BTreeMap<PeerId, Version>,
-    /// Told already, perhaps.
+    /// Rejections that were sent before, perhaps.
     rejections: RejectionHistory,
 }
 
 impl ReportQueue {
-    /// Adds one; it replaces what it outdates.
+    /// Adds a report; an acknowledgement replaces the node's previous one.
     pub fn add(&mut self, report: Report) {
         if let Report::Acknowledged { node, version } = report {
             if self.acknowledgements.len() < MAX_QUEUED_ACKNOWLEDGEMENTS
@@ -77,7 +78,7 @@
         self.urgent.push_back(report);
     }
 
-    /// Takes as many as fit into so many bytes, and at least one if any waits.
+    /// Takes as many reports as fit into `max_bytes`, and at least one if there is any.
     pub fn take(&mut self, max_bytes: usize) -> Vec<Report> {
         let mut taken = Vec::new();
         let mut bytes = 0;
@@ -92,10 +93,8 @@
         taken
     }
 
-    /// The session is over: puts back the reports whose way up was cut, and refusals that were told in it.
-    ///
-    /// Guards against refusals that an upstream took and lost, and against another author that never heard them. Harm: they
-    /// are told again in each session.
+    /// Puts back the reports that were in flight when a session ended, and the rejections that were sent in it: the
+    /// upstream may have failed before it forwarded them, and another author never received them.
     pub fn requeue(&mut self, reports: Vec<Report>) {
         for report in reports.into_iter().rev() {
             self.put_back(report);
@@ -126,19 +125,19 @@
         }
     }
 
-    /// Whether none waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.urgent.is_empty() && self.acknowledgements.is_empty()
     }
 }
 
 impl Report {
-    /// How many bytes it takes in a frame.
+    /// Its size in a frame, in bytes.
     pub fn size_bytes(&self) -> usize {
         crate::frame::serialized_size(self)
     }
 
-    /// Whether its parts keep to their bounds.
+    /// Whether all fields are within their limits.
     pub fn is_valid(&self) -> bool {
         match self {
             Report::Acknowledged { .. } => true,
@@ -150,7 +149,7 @@
     }
 }
 
-/// The reason of a refusal, cut to [`MAX_REASON_BYTES`] bytes.
+/// A rejection's reason, truncated to [`MAX_REASON_BYTES`].
 pub fn truncate_reason(reason: &str) -> String {
     let mut end = reason.len().min(MAX_REASON_BYTES);
     while !reason.is_char_boundary(end) {
--- a/crates/distribution/src/report/rejections.rs
+++ b/crates/distribution/src/report/rejections.rs
@@ -1,20 +1,20 @@
-//! Refusals that were told upwards once, to be told again to another upstream.
+//! Rejections that were reported before, to be reported again to another upstream.
 //!
-//! An upstream may end between taking a refusal and passing it on, and another author knows nothing of what the last one
-//! heard; a node's standing alone would then count as an acceptance. So each process tells its refusals again in each new
-//! session, before any standing.
+//! An upstream may fail after it acknowledged a rejection and before it forwarded it, and a new author does not know
+//! what its predecessor received. The node's acknowledgement alone would then count as an acceptance. So each process
+//! reports its rejections again in each new session, before any acknowledgement.
 
 use super::Report;
 use crate::peer::PeerId;
 use crate::resource::{Key, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most refusals that are kept of one node; of more, those of the earliest versions go.
+/// Most rejections that are retained for one node; beyond it those of the oldest versions are dropped.
 pub const MAX_REJECTIONS_PER_NODE: usize = 16;
-/// Most refusals that are kept of all nodes; of more, those of the earliest versions go.
+/// Most rejections that are retained in all; beyond it those of the oldest versions are dropped.
 pub const MAX_REJECTIONS: usize = 4096;
 
-/// The latest refusal of each node and key.
+/// The latest rejection of each node and key.
 #[derive(Debug, Default)]
 pub(crate) struct RejectionHistory {
     by_node: BTreeMap<PeerId, BTreeMap<Key, (Version, String)>>,
@@ -22,7 +22,7 @@
 }
 
 impl RejectionHistory {
-    /// Keeps a refusal; other reports are left.
+    /// Retains a rejection; ignores other reports.
     pub fn add(&mut self, report: &Report) {
         let Report::Rejected {
             node,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// All of them, by version.
+    /// All rejections, by version.
     pub fn all(&self) -> impl Iterator<Item = Report> + '_ {
         self.by_version.iter().filter_map(|(version, node, key)| {
             let (_, reason) = self.by_node.get(node)?.get(key)?;
--- a/crates/distribution/src/resource.rs
+++ b/crates/distribution/src/resource.rs
@@ -1,4 +1,4 @@
-//! Resources: their names, versions, bodies and changes.
+//! Resources: names, versions, contents, changes and selectors.
 
 use crate::peer::PeerId;
 use serde::{Deserialize, Serialize};
@@ -9,10 +9,10 @@
 pub const MAX_NAME_BYTES: usize = 64;
 /// Longest body, in bytes.
 pub const MAX_BODY_BYTES: usize = 256 * 1024;
-/// A stage that holds every node.
+/// The fraction that has all nodes, in thousandths.
 pub const ALL_NODES_THOUSANDTHS: u16 = 1000;
 
-/// What a name can't be.
+/// Why a name is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InvalidName {
     /// It is empty.
@@ -23,25 +23,25 @@
     Long,
 }
 
-/// What a resource belongs to; nodes subscribe by group.
+/// The group that a resource belongs to; nodes subscribe by group.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Group {
-    /// What every node needs.
+    /// Resources that every node needs.
     Common,
-    /// One service's settings, routes and servers.
+    /// Settings, routes and servers of one service.
     Service(Arc<str>),
-    /// One tenant's settings, which a node asks for when it first meets the tenant.
+    /// Settings of one tenant, to which a node subscribes when it first meets the tenant.
     Tenant(Arc<str>),
-    /// What authors alone need: relays and authors hold it, nodes do not.
+    /// Resources of authors: relays and authors hold them, nodes do not.
     Authors,
 }
 
 /// The name of a resource.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Name {
-    /// What it belongs to.
+    /// The group.
     pub group: Group,
-    /// Which resource of the group.
+    /// The resource in the group.
     pub item: Arc<str>,
 }
 
@@ -78,10 +78,10 @@
         }
     }
 
-    /// Whether both parts have 1 to [`MAX_NAME_BYTES`] bytes.
+    /// Checks that both parts have 1 to [`MAX_NAME_BYTES`] bytes.
     ///
     /// # Errors
-    /// Says which bound is passed.
+    /// Says which limit is violated.
     pub fn check(&self) -> Result<(), InvalidName> {
         check(&self.item)?;
         match &self.group {
@@ -91,34 +91,34 @@
     }
 }
 
-/// What somebody asks for.
+/// The resources of a subscription.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Selector {
-    /// All resources: relays and authors.
+    /// All resources, for relays and authors.
     Everything,
-    /// What every node needs and all services, without tenants: nodes that serve all.
+    /// Common resources and all services, without tenants, for nodes that serve everything.
     Services,
     /// The resources of one group.
     Group(Group),
 }
 
 impl Selector {
-    /// What every node needs.
+    /// The common resources.
     pub fn common() -> Selector {
         Selector::Group(Group::Common)
     }
 
-    /// A service.
+    /// The resources of a service.
     pub fn service(service: &str) -> Selector {
         Selector::Group(Group::Service(service.into()))
     }
 
-    /// A tenant.
+    /// The resources of a tenant.
     pub fn tenant(tenant: &str) -> Selector {
         Selector::Group(Group::Tenant(tenant.into()))
     }
 
-    /// All selectors that hold a group.
+    /// All selectors that match a group.
     pub fn all_matching(group: &Group) -> Vec<Selector> {
         let mut all = vec![Selector::Everything, Selector::Group(group.clone())];
         if Selector::Services.matches(group) {
@@ -127,7 +127,7 @@
         all
     }
 
-    /// Whether it asks for resources of this group.
+    /// Whether it matches a group.
     pub fn matches(&self, group: &Group) -> bool {
         match self {
             Selector::Everything => true,
@@ -137,14 +137,14 @@
     }
 }
 
-/// The version of a change: the token of its author's lease, then the author's count. Ordered in this order.
+/// The version of a change: its author's fencing token, then the author's sequence number; ordered in this order.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Version {
-    /// The number of the lease's token.
+    /// The fencing token.
     pub token: u64,
-    /// Counted by the author, from 1.
+    /// The author's sequence number, from 1.
     pub sequence: u64,
 }
 
@@ -155,7 +155,7 @@
         sequence: 0,
     };
 
-    /// The greatest version that is less than this one among those of its token.
+    /// The greatest smaller version of the same token.
     pub fn predecessor(self) -> Version {
         Version {
             sequence: self.sequence.saturating_sub(1),
@@ -164,26 +164,26 @@
     }
 }
 
-/// Which of a resource's two places a change is for.
+/// The slot of a resource that a change is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Slot {
     /// For all nodes.
     Stable,
-    /// For a part of the nodes, on trial. Where it holds and is newer, it goes before [`Slot::Stable`].
+    /// For a fraction of the nodes. Where it applies and is newer, it takes precedence over [`Slot::Stable`].
     Canary,
 }
 
-/// The place that a change takes: a later change of the same key replaces an earlier one.
+/// A resource's slot; a later change of the same key replaces an earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
-    /// Of which resource.
+    /// The resource.
     pub name: Name,
-    /// Which place of it.
+    /// The slot.
     pub slot: Slot,
 }
 
 impl Key {
-    /// A short hash, by which snapshots list keys.
+    /// A short hash, by which manifests list keys.
     pub fn digest(&self) -> u64 {
         let bytes = postcard::to_allocvec(self).unwrap_or_default();
         let hash = blake3::hash(&bytes);
@@ -194,33 +194,33 @@
     }
 }
 
-/// The hash of a body.
+/// The BLAKE3 hash of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ContentHash(pub [u8; 32]);
 
 impl ContentHash {
-    /// Of these bytes.
+    /// Hashes a body.
     pub fn of(body: &[u8]) -> ContentHash {
         ContentHash(*blake3::hash(body).as_bytes())
     }
 }
 
-/// What a resource is after a change.
+/// The content of a resource.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Content {
-    /// These bytes, opaque here.
+    /// A body of opaque bytes.
     Body(Arc<[u8]>),
-    /// It is no more. Of a trial: the trial is over, and what is for all nodes holds.
+    /// Removed. For a canary: it has ended, and the stable change applies.
     Removed,
 }
 
 impl Content {
-    /// A body.
+    /// A body with these bytes.
     pub fn body(bytes: &[u8]) -> Content {
         Content::Body(bytes.into())
     }
 
-    /// Its bytes; none if it was removed.
+    /// The body's bytes; none for a removal.
     pub fn bytes(&self) -> &[u8] {
         match self {
             Content::Body(bytes) => bytes,
@@ -229,24 +229,24 @@
     }
 }
 
-/// What goes first where a link is full.
+/// Priority of a change where a link's budget is exhausted.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum Urgency {
-    /// After all that is urgent.
+    /// Sent after urgent changes.
     #[default]
     Normal,
-    /// A ban, a drain, a change taken back.
+    /// Sent first: a ban, a drain, a revert.
     Urgent,
 }
 
-/// A part of the nodes, in thousandths. A greater part of the same seed holds the smaller ones.
+/// A fraction of the nodes. A greater fraction with the same seed contains the smaller ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct NodeFraction {
-    /// How many nodes of a thousand.
+    /// Nodes in a thousand.
     pub thousandths: u16,
-    /// Which nodes come first.
+    /// Order of the nodes.
     pub seed: u64,
 }
 
@@ -257,7 +257,7 @@
         seed: 0,
     };
 
-    /// Whether a node is in it.
+    /// Whether it contains a node.
     pub fn contains(&self, node: PeerId) -> bool {
         if self.thousandths >= ALL_NODES_THOUSANDTHS {
             return true;
@@ -268,19 +268,19 @@
     }
 }
 
-/// A change as an author asks for it.
+/// A change that an author is asked to publish.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Draft {
-    /// Of which resource.
+    /// The resource.
     pub name: Name,
-    /// What it is to be.
+    /// The new content.
     pub content: Content,
-    /// What goes first.
+    /// The priority.
     pub urgency: Urgency,
 }
 
 impl Draft {
-    /// A body that is not urgent.
+    /// A body with normal priority.
     pub fn put(name: Name, body: &[u8]) -> Draft {
         Draft {
             name,
@@ -289,7 +289,7 @@
         }
     }
 
-    /// The resource's end.
+    /// A removal with normal priority.
     pub fn remove(name: Name) -> Draft {
         Draft {
             name,
@@ -298,7 +298,7 @@
         }
     }
 
-    /// The same, urgent.
+    /// The same with urgent priority.
     pub fn urgent(self) -> Draft {
         Draft {
             urgency: Urgency::Urgent,
@@ -307,25 +307,25 @@
     }
 }
 
-/// A change.
+/// A published change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// What it replaces.
+    /// The key whose previous change it replaces.
     pub key: Key,
-    /// Its version; greater than those of all earlier changes.
+    /// The version, greater than those of all earlier changes.
     pub version: Version,
-    /// What goes first.
+    /// The priority.
     pub urgency: Urgency,
-    /// Which nodes it is for.
+    /// The nodes that it is for.
     pub fraction: NodeFraction,
-    /// The version of the change whose place it took at its author; [`Version::ZERO`] if there was none.
+    /// The version of the change that it replaced at its author; [`Version::ZERO`] if there was none.
     pub replaces: Version,
-    /// What the resource is by it.
+    /// The new content.
     pub content: Content,
 }
 
 impl Change {
-    /// The hash of its body; of no bytes if it is a removal.
+    /// Hash of the body; of no bytes for a removal.
     pub fn hash(&self) -> ContentHash {
         ContentHash::of(self.content.bytes())
     }
@@ -335,7 +335,7 @@
         self.content == Content::Removed
     }
 
-    /// About how many bytes it takes in memory and in a frame.
+    /// Its approximate size in memory and in a frame, in bytes.
     pub fn size_bytes(&self) -> usize {
         let group = match &self.key.name.group {
             Group::Common | Group::Authors => 0,
@@ -344,7 +344,7 @@
         CHANGE_OVERHEAD_BYTES + group + self.key.name.item.len() + self.content.bytes().len()
     }
 
-    /// Whether its parts keep to their bounds.
+    /// Whether all fields are within their limits.
     pub fn is_valid(&self) -> bool {
         self.key.name.check().is_ok()
             && self.content.bytes().len() <= MAX_BODY_BYTES
@@ -352,5 +352,5 @@
     }
 }
 
-/// What a change takes beside its names and its body, in bytes.
+/// Bytes of a change beside its names and its body.
 pub const CHANGE_OVERHEAD_BYTES: usize = 96;
--- a/crates/distribution/src/restore.rs
+++ b/crates/distribution/src/restore.rs
@@ -1,4 +1,4 @@
-//! What was persisted, read back.
+//! Restores a process's state from its stored records.
 
 use crate::coverage::Coverage;
 use crate::epoch::Epoch;
@@ -7,23 +7,23 @@
 use crate::resource::{Change, Name, Selector, Version};
 use std::collections::BTreeMap;
 
-/// What the records say, in their order.
+/// The state that the records give.
 #[derive(Debug)]
 pub struct RestoredState {
-    /// The changes.
+    /// The latest changes.
     pub log: ChangeLog,
-    /// What of each selector had come, and up to where removals are known.
+    /// For each selector the coverage, and the version up to which removals are known.
     pub coverage: BTreeMap<Selector, (Coverage, Version)>,
-    /// Who the author was.
+    /// The term of the last known author.
     pub epoch: Option<Epoch>,
-    /// What was in force at a node.
+    /// The changes that a node had applied.
     pub applied: BTreeMap<Name, Change>,
-    /// Changes that others took the place of, each with its successor, in their order.
+    /// Replaced changes, each with its successor, in order.
     pub replaced: Vec<(Change, Change)>,
 }
 
 impl RestoredState {
-    /// Without records.
+    /// The state without any records.
     pub fn empty(capacity: Capacity) -> RestoredState {
         RestoredState {
             log: ChangeLog::new(capacity),
@@ -34,7 +34,8 @@
         }
     }
 
-    /// From the records that were stored. What is not sound is left out: a disk may bring anything.
+    /// From records in the order in which they were stored. Invalid ones are skipped, since a disk may return
+    /// anything.
     pub fn from_records(
         capacity: Capacity,
         records: impl IntoIterator<Item = Record>,
--- a/crates/distribution/src/rollout/policy.rs
+++ b/crates/distribution/src/rollout/policy.rs
@@ -1,4 +1,4 @@
-//! What an operator asks of a staged rollout.
+//! The policy of a staged rollout, as the operator asks for it.
 
 use crate::resource::ALL_NODES_THOUSANDTHS;
 use crate::Time;
@@ -7,78 +7,79 @@
 
 /// Most stages of one rollout.
 pub const MAX_STAGES: usize = 16;
-/// A node in good order is heard again within [`crate::subscriber::ACKNOWLEDGEMENT_REFRESH_INTERVAL`] and its way up; a report counts for
-/// longer than so many seconds.
+/// Nodes report within [`crate::subscriber::ACKNOWLEDGEMENT_REFRESH_INTERVAL`] and the time to the author, so the age
+/// limit of reports has to exceed this many seconds.
 pub const MIN_REPORT_AGE: Time = 60.0;
 /// Longest soak time and greatest age of a report, in seconds: thirty days.
 pub const MAX_DURATION: Time = 30.0 * 86_400.0;
 
-/// What is done once refusals pass the threshold.
+/// What is done once rejections exceed the threshold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OnRejections {
-    /// The trial ends: all nodes return to the earlier content.
+    /// The canary ends: all nodes return to the stable content.
     RollBack,
-    /// The trial stays at its stage until an operator releases or reverts it.
+    /// The canary stays at its stage until an operator promotes or reverts it.
     Halt,
 }
 
-/// The rules of one rollout. Shares are thousandths.
+/// The policy of one rollout. Shares are in thousandths.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutPolicy {
-    /// The part of the nodes in each stage, rising; the last stage holds all of them.
+    /// The fraction of the nodes in each stage, ascending; the last stage has all of them.
     pub stages: Vec<u16>,
-    /// How long a stage lasts at least, in seconds.
+    /// Shortest duration of a stage, in seconds.
     pub soak_time: Time,
-    /// How long the nodes of a stage get to decide, in seconds; no longer than the soak time. Refusals are told at once and
-    /// acceptances with the next standing, so until then whoever has not decided counts as accepting.
+    /// Seconds within which the nodes of a stage decide, no longer than the soak time. Rejections are reported at
+    /// once and acceptances with the next acknowledgement, so until then a node that has not reported counts as
+    /// accepting.
     pub decision_time: Time,
-    /// The greatest share of refusals: among all known nodes of the stage during its `decision_time`, among the nodes that
-    /// decided afterwards; of no fewer than `min_decisions`.
+    /// Largest share of rejections: among all known nodes of the stage during `decision_time`, among the nodes that
+    /// decided afterwards; of `min_decisions` at least.
     pub max_rejected_share: u16,
-    /// The greatest number of nodes that refuse, whatever their share. The author does not know which nodes ask for a
-    /// resource: those that do not count as accepting, so a resource of few nodes needs this bound.
+    /// Largest number of rejecting nodes, whatever their share. The author does not know which nodes subscribe to a
+    /// resource; the others count as accepting, so a resource of few nodes needs this limit.
     pub max_rejected: u32,
-    /// So many nodes have to have decided before a stage ends.
+    /// Number of nodes that have to decide before a stage ends.
     pub min_decisions: u32,
-    /// The least share of nodes that accepted among all known nodes of the stage, before a stage ends.
+    /// Smallest share of accepting nodes among all known nodes of the stage, before it ends.
     pub min_accepted_share: u16,
-    /// An acceptance counts for the end of a stage if its node was heard within so many seconds.
+    /// An acceptance counts towards the end of a stage if its node reported within this many seconds.
     pub max_report_age: Time,
-    /// What is done once refusals pass the threshold.
+    /// What is done once rejections exceed the threshold.
     pub on_rejections: OnRejections,
 }
 
-/// Why a policy can't be used.
+/// Why a policy is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InvalidPolicy {
-    /// The stages are not 1 to [`MAX_STAGES`] rising parts, of which the last holds all nodes.
+    /// The stages are not 1 to [`MAX_STAGES`] ascending fractions, of which the last has all nodes.
     #[error("1 to {MAX_STAGES} rising stages of thousandths, the last of {ALL_NODES_THOUSANDTHS}")]
     Stages,
-    /// A removal can't be on trial: a trial that is removed is over.
+    /// A removal cannot be a canary: removing a canary ends it.
     #[error("a removal can't be rolled out by stages")]
     Removal,
-    /// A share is greater than the whole.
+    /// A share exceeds the whole.
     #[error("a share has {ALL_NODES_THOUSANDTHS} thousandths at most")]
     Share,
-    /// No decision at all would be enough.
+    /// No decision would be enough.
     #[error("at least one node has to decide")]
     Decisions,
     /// The soak time is negative or too long.
     #[error("the soak time is not between 0 and {MAX_DURATION} s")]
     Soak,
-    /// The time to decide is negative or longer than the soak time.
+    /// The decision time is negative or exceeds the soak time.
     #[error("the time to decide is not between 0 and the soak time")]
     DecisionTime,
-    /// A node in good order would count as unheard between two reports.
+    /// A healthy node would count as missing between two reports.
     #[error("the age of reports is not between {MIN_REPORT_AGE} and {MAX_DURATION} s")]
     ReportAge,
 }
 
 impl RolloutPolicy {
-    /// Whether all parts keep to their bounds.
+    /// Checks that all fields are within their limits.
     ///
     /// # Errors
-    /// Says which part does not.
+    /// Says which field is not.
     pub fn check(&self) -> Result<(), InvalidPolicy> {
         let rising = self.stages.windows(2).all(|pair| pair[0] < pair[1]);
         let starts_above_zero = self.stages.first().is_some_and(|first| *first > 0);
@@ -107,7 +108,7 @@
             .ok_or(InvalidPolicy::ReportAge)
     }
 
-    /// The number of the stage with this part of the nodes.
+    /// The index of the stage with this fraction.
     pub fn stage_of(&self, thousandths: u16) -> Option<usize> {
         self.stages.iter().position(|stage| *stage == thousandths)
     }
--- a/crates/distribution/src/rollout/record.rs
+++ b/crates/distribution/src/rollout/record.rs
@@ -1,7 +1,7 @@
-//! What is stored of a rollout.
+//! The stored record of a rollout.
 //!
-//! The record is a resource of [`Group::Authors`]: relays and authors hold it, nodes do not. It is written before the first
-//! trial and again when the rollout ends; which stage it has come to is told by the trial itself. So an author that takes
+//! The record is a resource of [`Group::Authors`]: relays and authors hold it, nodes do not. It is written before the
+//! first canary and again when the rollout ends; the current stage follows from the canary. So an author that takes
 //! over finds both, or knows what is missing.
 
 use crate::peer::PeerId;
@@ -12,78 +12,78 @@
 use serde::{Deserialize, Serialize};
 use std::fmt::Write as _;
 
-/// Most refusing nodes that a record names; the count tells of all.
+/// Most rejecting nodes that a record names; the count includes all.
 pub const MAX_STORED_REJECTIONS: usize = 16;
 
-/// How many bytes of a name's hash name its record.
+/// Bytes of a name's hash in its record's name.
 const DIGEST_BYTES: usize = 16;
-/// The form of the record, first in its bytes.
+/// Format of the record, its first byte.
 const FORMAT: u8 = 1;
 
-/// A node that refused what was rolled out.
+/// A node that rejected the change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RejectingNode {
-    /// Which node.
+    /// The node.
     pub node: PeerId,
-    /// Why, in the node's words; empty where too many refused to keep all reasons.
+    /// The node's reason; empty where too many nodes rejected to retain all reasons.
     pub reason: String,
 }
 
-/// Why a rollout was stopped.
+/// The state of a rollout when it was stopped.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StopSummary {
-    /// The stage that it had come to, in thousandths of the nodes.
+    /// Its stage, in thousandths of the nodes.
     pub thousandths: u16,
-    /// How many nodes accepted.
+    /// Number of accepting nodes.
     pub accepted: u32,
-    /// How many nodes refused.
+    /// Number of rejecting nodes.
     pub rejected: u32,
-    /// Some of those, [`MAX_STORED_REJECTIONS`] at most.
+    /// Some of the rejecting nodes, [`MAX_STORED_REJECTIONS`] at most.
     pub rejecting_nodes: Vec<RejectingNode>,
 }
 
-/// How far a rollout has come.
+/// State of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutState {
-    /// It goes on by itself.
+    /// It advances by itself.
     Running,
-    /// Too many nodes refused: it stays at its stage until an operator releases or reverts the trial.
+    /// Too many nodes rejected: it stays at its stage until an operator promotes or reverts the canary.
     Halted(StopSummary),
-    /// Too many nodes refused: the trial was ended.
+    /// Too many nodes rejected: the canary was ended.
     RolledBack(StopSummary),
-    /// What was on trial holds for all nodes.
+    /// The change was promoted to all nodes.
     Completed,
-    /// The trial was ended by hand, or by an author that did not live to say why.
+    /// The canary was ended manually, or by an author that failed before it stored the reason.
     Ended,
-    /// A later change of the resource has taken its place.
+    /// A later change of the resource replaced it.
     Superseded,
-    /// It was completed by an earlier author, and what was released has not come: the earlier content holds.
+    /// An earlier author completed it, and the promoted change was never received: the earlier content stays.
     Lost,
 }
 
 impl RolloutState {
-    /// Whether the trial is still in force at its stage.
+    /// Whether the canary is still active at its stage.
     pub fn is_open(&self) -> bool {
         matches!(self, RolloutState::Running | RolloutState::Halted(_))
     }
 }
 
-/// See the module.
+/// Record of one rollout.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutRecord {
-    /// Which resource is rolled out.
+    /// The resource.
     pub name: Name,
-    /// The hash of what is rolled out.
+    /// Hash of the new content.
     pub content_hash: ContentHash,
-    /// Which nodes come first, as [`NodeFraction::seed`].
+    /// Order of the nodes, as [`NodeFraction::seed`].
     pub seed: u64,
-    /// All changes of this rollout are later.
+    /// All changes of this rollout are later than this version.
     pub after: Version,
-    /// The rules.
+    /// The policy.
     pub policy: RolloutPolicy,
-    /// How many nodes of each stage were known when it began: a later author may not have heard of all of them.
+    /// Number of known nodes in each stage when it began; a later author may not know all of them.
     pub expected: Vec<u32>,
-    /// How far it has come.
+    /// Its state.
     pub state: RolloutState,
 }
 
@@ -105,13 +105,13 @@
         }
     }
 
-    /// The record's bytes, as a resource's content.
+    /// The record as a resource's content.
     pub fn to_content(&self) -> Content {
         let body = postcard::to_allocvec(self).unwrap_or_default();
         Content::body(&[&[FORMAT], body.as_slice()].concat())
     }
 
-    /// Reads a record back; none if it is not one of this form, or not sound.
+    /// Decodes a record; none if the format is another one, or a field is invalid.
     pub fn from_change(change: &Change) -> Option<RolloutRecord> {
         let body = change.content.bytes().strip_prefix(&[FORMAT])?;
         let record: RolloutRecord = postcard::from_bytes(body).ok()?;
@@ -120,7 +120,7 @@
         (is_valid && RolloutRecord::key_of(&record.name) == change.key).then_some(record)
     }
 
-    /// The trial of this rollout, if it is what is on trial.
+    /// The canary, if it belongs to this rollout.
     pub fn own_canary<'a>(&self, canary: Option<&'a Change>) -> Option<&'a Change> {
         let canary = canary.filter(|canary| !canary.is_removal())?;
         let is_stage = self.policy.stage_of(canary.fraction.thousandths).is_some();
@@ -129,7 +129,7 @@
         is_own.then_some(canary)
     }
 
-    /// The part of the nodes that is in a stage.
+    /// The nodes of a stage.
     pub fn fraction(&self, thousandths: u16) -> NodeFraction {
         NodeFraction {
             thousandths,
@@ -137,12 +137,12 @@
         }
     }
 
-    /// Whether a change of the resource is what this rollout brings.
+    /// Whether a change has the content of this rollout.
     pub fn is_content_of(&self, change: &Change) -> bool {
         !change.is_removal() && change.hash() == self.content_hash
     }
 }
 
-/// The record is urgent and the trial is not: each link carries the record first, so nobody has a trial that its author
-/// watched without the record.
+/// The record is urgent and the canary is not: each link sends the record first, so nobody has the canary of a
+/// rollout without its record.
 pub const RECORD_URGENCY: Urgency = Urgency::Urgent;
--- a/crates/distribution/src/rollout/stage.rs
+++ b/crates/distribution/src/rollout/stage.rs
@@ -1,4 +1,4 @@
-//! What the nodes of a stage have said, and what follows from it by the policy.
+//! Evaluation of a rollout's stage: counts what its nodes reported, and decides by the policy.
 
 use crate::node_status::NodeStatuses;
 use crate::peer::PeerId;
@@ -8,54 +8,54 @@
 use crate::Time;
 use std::collections::BTreeMap;
 
-/// What the nodes of a stage have said.
+/// What the nodes of a stage reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StageCounts {
-    /// Nodes of the stage that were heard at some time, or were known when the rollout began.
+    /// Nodes of the stage that ever reported, or were known when the rollout began.
     pub known: u32,
-    /// Nodes that have the stage's change and did not refuse it, whenever they said so.
+    /// Nodes that acknowledged the stage's change and did not reject it.
     pub accepted: u32,
-    /// Those among them that were heard within the policy's age of reports.
+    /// Those of them that reported within the policy's age limit.
     pub accepted_recently: u32,
-    /// Nodes that refused the content, in this stage or an earlier one.
+    /// Nodes that rejected the content, in this stage or an earlier one.
     pub rejected: u32,
 }
 
-/// Why a stage does not end yet.
+/// Why a stage does not advance yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdvanceBlocker {
-    /// Its soak time is not over.
+    /// The soak time is not over.
     Soak,
     /// Too few nodes have decided.
     Decisions,
-    /// Too few of the known nodes were heard lately and have accepted.
+    /// Too few of the known nodes accepted and reported recently.
     Acceptances,
 }
 
-/// What is to be done with a stage.
+/// Verdict on a stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Refusals have passed the threshold.
+    /// Rejections exceed the threshold.
     Stop,
-    /// It goes on as it is.
+    /// It stays as it is.
     Wait(AdvanceBlocker),
-    /// It is over, and the next stage begins.
+    /// It ends, and the next stage begins.
     Advance,
 }
 
-/// Who refused what is rolled out, with the first reasons.
+/// The nodes that rejected a rollout, with the first reasons.
 #[derive(Clone, Debug, Default)]
 pub struct RejectingNodes {
     nodes: BTreeMap<PeerId, String>,
 }
 
-/// Most nodes whose refusals are kept; of more the threshold has long been passed.
+/// Most rejecting nodes that are retained; the threshold is exceeded long before.
 pub const MAX_REJECTING_NODES: usize = crate::node_status::MAX_NODES;
-/// Most reasons that are kept with them.
+/// Most reasons that are retained.
 pub const MAX_REJECTION_REASONS: usize = 256;
 
 impl RejectingNodes {
-    /// A node has refused. It counts as refusing until the rollout ends.
+    /// Adds a rejecting node; it counts as rejecting until the rollout ends.
     pub fn add(&mut self, node: PeerId, reason: String) {
         if self.nodes.contains_key(&node) || self.nodes.len() >= MAX_REJECTING_NODES {
             return;
@@ -68,7 +68,7 @@
         self.nodes.insert(node, reason);
     }
 
-    /// Who refused, by number; so many at most.
+    /// The first rejecting nodes, by id.
     pub fn first(&self, max_nodes: usize) -> Vec<RejectingNode> {
         let named = self.nodes.iter().take(max_nodes);
         named
@@ -79,7 +79,7 @@
             .collect()
     }
 
-    /// Forgets all but the first: the rollout is over.
+    /// Retains the nodes with reasons only: the rollout has ended.
     pub fn drop_nodes_without_reason(&mut self) {
         while self.nodes.len() > MAX_REJECTION_REASONS {
             self.nodes.pop_last();
@@ -87,20 +87,20 @@
     }
 }
 
-/// A stage whose nodes are counted.
+/// A stage to be evaluated.
 #[derive(Clone, Copy, Debug)]
 pub struct Stage {
     /// The version of its change.
     pub version: Version,
-    /// Which nodes it holds.
+    /// Its nodes.
     pub fraction: NodeFraction,
-    /// How many of them were known when the rollout began.
+    /// Number of its nodes that were known when the rollout began.
     pub expected: u32,
-    /// Since when this author hears what they refuse: who was heard before alone does not count as accepting.
+    /// When this author began to receive rejections: an earlier acknowledgement does not count as acceptance.
     pub reports_since: Time,
 }
 
-/// Counts what the nodes of a stage have said of its change.
+/// Counts what the nodes of a stage reported of its change.
 pub fn count_nodes(
     now: Time,
     stage: Stage,
@@ -135,7 +135,7 @@
     counts
 }
 
-/// What follows from the counts of a stage that has lasted so long, in seconds.
+/// The verdict on a stage after `elapsed` seconds.
 pub fn evaluate(policy: &RolloutPolicy, counts: StageCounts, elapsed: Time) -> Verdict {
     if is_refused(policy, counts, elapsed) {
         return Verdict::Stop;
--- a/crates/distribution/src/session.rs
+++ b/crates/distribution/src/session.rs
@@ -1,4 +1,7 @@
-//! A child's session with its upstream: what it asked for, and what is on its way.
+//! A child's session with its upstream: its subscriptions, their manifests and chunks in transit, and reports in
+//! flight.
+//!
+//! Driven by [`crate::upstream`].
 
 use crate::frame;
 use crate::link::{FrameReceipt, Link};
@@ -13,15 +16,15 @@
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most subscriptions that have ended and are remembered in a session; with more, a new session begins.
+/// Most ended subscriptions in one session; beyond it a new session is opened.
 pub(crate) const MAX_ENDED_SUBSCRIPTIONS: usize = 4096;
-/// Most keys in one listing.
+/// Most digests of one manifest.
 const MAX_MANIFEST_DIGESTS: usize = 2_000_000;
-/// Most spans of a subscription that are told to an upstream.
+/// Most spans of a subscription that are sent to an upstream.
 const MAX_SUBSCRIBE_SPANS: usize = 8;
-/// What a frame with a list takes beside it.
+/// Bytes that a frame with a list takes beside the list.
 const LIST_OVERHEAD_BYTES: usize = 16;
-/// What one number of a subscription takes in a frame at most.
+/// Largest encoding of a subscription id, in bytes.
 const MAX_ID_BYTES: usize = 8;
 
 /// The digests of one frame of a manifest.
@@ -50,20 +53,20 @@
     pub link: Link,
     next_id: u32,
     selectors: BTreeMap<u32, Selector>,
-    /// Subscriptions that have ended, and the payload that said so.
+    /// Ended subscriptions, each with the number of the payload that said so, once that was sent.
     ended: BTreeMap<u32, Option<u64>>,
     pub assemblies: Reassembler,
     manifest: Option<PartialManifest>,
-    /// Reports that are under way.
+    /// Reports in flight.
     pub reports: Vec<Report>,
     pub progress_at: Time,
-    /// It was told something fresh.
+    /// Whether the upstream has sent anything fresh.
     pub has_progressed: bool,
     pub receive_bucket: TokenBucket,
 }
 
 impl Session {
-    /// Over a link whose beginning the upstream has answered.
+    /// A session over a link whose opening the upstream has answered.
     pub fn new(link: Link, receive_budget: TokenBucket, now: Time) -> Session {
         Session {
             link,
@@ -79,9 +82,10 @@
         }
     }
 
-    /// What a subscription asks for; none if it has ended and the upstream may not know.
+    /// The selector of a subscription; none if it has ended and the upstream may not know yet.
     ///
-    /// Guards against an upstream that sends what was never asked for. Harm: none.
+    /// # Errors
+    /// If the subscription never was, or the upstream knows that it has ended.
     pub fn selector_of(
         &self,
         id: u32,
@@ -99,7 +103,7 @@
         }
     }
 
-    /// Ends a subscription; the upstream hears of it later.
+    /// Ends a subscription; the upstream is told with a later payload.
     pub fn end_subscription(&mut self, id: u32) {
         self.selectors.remove(&id);
         self.ended.insert(id, None);
@@ -110,7 +114,10 @@
         self.ended.len() > MAX_ENDED_SUBSCRIPTIONS
     }
 
-    /// Takes in a part of a list of keys; gives back the list after its last part.
+    /// Adds a page of a manifest; gives back the manifest after the last page.
+    ///
+    /// # Errors
+    /// If the page belongs to no subscription or manifest, or the manifest is too long.
     pub fn add_digests(
         &mut self,
         receipt: FrameReceipt,
@@ -144,7 +151,7 @@
             }))
     }
 
-    /// Whether there is something to tell the upstream.
+    /// Whether there is a payload for the upstream.
     pub fn has_pending_payloads(
         &self,
         subscriptions: &Subscriptions,
--- a/crates/distribution/src/session_attempts.rs
+++ b/crates/distribution/src/session_attempts.rs
@@ -1,10 +1,10 @@
-//! Sessions that have been asked for and that nobody has answered yet.
+//! Attempts to open a session, until the first candidate answers.
 //!
-//! An upstream that has not answered within [`UpstreamConfig::attempt_delay`] is not given up: the next candidate is asked
-//! beside it, and the first that answers is followed (connection attempts as in RFC 8305, "Happy Eyeballs"). So each
-//! candidate that is dead costs `attempt_delay` in place of `answer`, and one that is slow can still be followed.
+//! A candidate that has not answered within [`UpstreamConfig::attempt_delay`] is not given up: the next one is tried
+//! beside it, and the first that answers is followed (RFC 8305, "Happy Eyeballs"). So a dead candidate costs
+//! `attempt_delay` and not `open_timeout`, and a slow one can still be followed.
 //!
-//! All attempts take from one bucket, the follower's own.
+//! All attempts take from one bucket, the follower's own. Used by `upstream::opening`.
 
 use crate::link::Link;
 use crate::message::Payload;
@@ -15,7 +15,7 @@
 use crate::upstream_config::UpstreamConfig;
 use crate::Time;
 
-/// What the beginning of a session takes in a frame at most, beside the frame's own head, in bytes.
+/// Largest payload that opens a session, in bytes.
 const OPEN_PAYLOAD_BYTES: usize = 8;
 
 #[derive(Debug)]
@@ -24,18 +24,18 @@
     deadline: Time,
 }
 
-/// See the module. There are no more attempts than candidates, since none is asked twice at once.
+/// The attempts in progress; each candidate has one at most.
 #[derive(Debug)]
 pub(crate) struct SessionAttempts {
     pending: Vec<Attempt>,
-    /// How many were begun, those that have ended among them.
+    /// Number of attempts begun, with those that have ended.
     begun_count: u32,
-    /// When the next candidate may be asked.
+    /// When the next candidate may be tried.
     next_at: Time,
 }
 
 impl SessionAttempts {
-    /// None yet; the first candidate may be asked at once.
+    /// No attempts; the first candidate may be tried at once.
     pub fn new(now: Time) -> SessionAttempts {
         SessionAttempts {
             pending: Vec::new(),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Who has been asked.
+    /// The candidates that are being tried.
     pub fn peers(&self) -> Vec<PeerId> {
         self.pending
             .iter()
@@ -52,28 +52,28 @@
             .collect()
     }
 
-    /// Who was asked last.
+    /// The candidate that was tried last.
     pub fn latest(&self) -> Option<PeerId> {
         self.pending.last().map(|attempt| attempt.link.peer())
     }
 
-    /// Whether nobody is asked at present.
+    /// Whether no candidate is being tried.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// How much sooner all were asked than one after the other, in seconds.
+    /// Seconds saved against trying one candidate after the other.
     pub fn time_saved(&self, rules: &UpstreamConfig) -> Time {
         f64::from(self.begun_count.saturating_sub(1))
             * (rules.open_timeout - rules.attempt_delay).max(0.0)
     }
 
-    /// When the next candidate may be asked.
+    /// When the next candidate may be tried.
     pub fn next_at(&self) -> Time {
         self.next_at
     }
 
-    /// Asks for a session; whether the budget allowed it.
+    /// Begins an attempt; false if the budget does not allow it.
     pub fn begin(
         &mut self,
         now: Time,
@@ -101,7 +101,7 @@
         sent
     }
 
-    /// Asks again where an answer is late.
+    /// Retransmits the openings that are not answered in time.
     pub fn retransmit(&mut self, now: Time, bucket: &mut TokenBucket, outputs: &mut Vec<Output>) {
         for attempt in &mut self.pending {
             with_shared_bucket(bucket, &mut attempt.link, |link| {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The attempt of this session, which has been answered.
+    /// Takes the link of an attempt that was answered.
     pub fn take_answered(&mut self, peer: PeerId, session: u64) -> Option<Link> {
         let answered =
             |attempt: &Attempt| attempt.link.peer() == peer && attempt.link.session() == session;
@@ -118,7 +118,7 @@
         Some(self.pending.remove(position).link)
     }
 
-    /// Ends the attempts that were not answered in time; gives back whom they asked.
+    /// Ends the attempts that timed out; gives back their candidates.
     pub fn end_timed_out(
         &mut self,
         now: Time,
@@ -133,7 +133,7 @@
         close(late, now, CloseReason::TimedOut, bucket, outputs)
     }
 
-    /// Ends all attempts; gives back whom they asked.
+    /// Ends all attempts; gives back their candidates.
     pub fn end_all(
         &mut self,
         now: Time,
@@ -149,7 +149,7 @@
         )
     }
 
-    /// When something is due, where the next candidate is free at `free_at`.
+    /// When something is due, if the next candidate is available at `free_at`.
     pub fn next_wakeup(&self, now: Time, bucket: &TokenBucket, free_at: Time) -> Time {
         let repeats = self
             .pending
@@ -167,7 +167,7 @@
     }
 }
 
-/// When the budget allows the beginning of a session.
+/// When the budget allows an attempt.
 fn link_ready(bucket: &TokenBucket, now: Time) -> Time {
     bucket.ready_at(
         now,
@@ -175,7 +175,7 @@
     )
 }
 
-/// Guards against sessions that an upstream keeps though nobody wants them any more. Harm: one small frame for each.
+/// Closes attempts, so that the upstreams do not keep sessions that nobody wants.
 fn close(
     attempts: Vec<Attempt>,
     now: Time,
--- a/crates/distribution/src/session_end.rs
+++ b/crates/distribution/src/session_end.rs
@@ -5,20 +5,20 @@
 /// Why a session ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CloseReason {
-    /// Nothing was heard for too long.
+    /// No frame was received within the timeout.
     TimedOut,
-    /// Its own knowledge is too old.
+    /// The upstream's replica is too old.
     Stale,
-    /// It sent what was not asked for, a wrong hash, more than a body's length, or what can't be read.
+    /// The peer sent what was not requested, a wrong hash, an oversized body, or an unreadable frame.
     ProtocolViolation,
-    /// It sent more than its budget.
+    /// The peer exceeded its receive budget.
     RateExceeded,
-    /// It does not know the session.
+    /// The peer does not know the session.
     UnknownSession,
-    /// It has no room.
+    /// The peer, or this process, has no capacity.
     CapacityExceeded,
-    /// It is an author without the lease, or with an earlier token.
+    /// An author without the lease, or with an earlier fencing token.
     Fenced,
-    /// A new session has taken its place.
+    /// A new session replaces it.
     Replaced,
 }
--- a/crates/distribution/src/subscriber.rs
+++ b/crates/distribution/src/subscriber.rs
@@ -1,7 +1,7 @@
-//! A node: subscribes to what it needs, and puts changes in force.
+//! A subscriber, at each node: follows a relay and applies the changes of its subscriptions.
 //!
-//! Of each resource the log has what is for all nodes and what is on trial; the later of the two is what is wanted. The driver
-//! is asked to apply it and accepts or rejects it. What it rejects is told to the author, and the last good one stays.
+//! For each resource the log has a stable and a canary change; the later one is desired. The driver is asked to apply
+//! it, and accepts or rejects it. Rejections are reported to the author, and the last applied change stays.
 
 mod receive;
 mod reconcile;
@@ -22,26 +22,26 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// What a subscriber is given.
+/// Configuration of a subscriber.
 #[derive(Clone, Debug)]
 pub struct SubscriberConfig {
-    /// Which node this is.
+    /// This node.
     pub node: PeerId,
-    /// The lease of those who write.
+    /// The authors' lease.
     pub lease: LeaseName,
-    /// Whom it follows.
+    /// How it follows its upstream.
     pub upstream: UpstreamConfig,
-    /// How much it holds.
+    /// Limits of its log.
     pub capacity: Capacity,
-    /// It says up to which version it has all, so often at most, in seconds.
+    /// Shortest time between two acknowledgements, in seconds.
     pub acknowledgement_interval: Time,
-    /// For what is drawn, sessions' numbers among it: another one at each start.
+    /// Seed of its random numbers, session ids among them; another one at each start.
     pub seed: u64,
 }
 
-/// Its standing is said again after so long without news, in seconds: the author may be another one.
+/// An acknowledgement is repeated after this many seconds without changes: the author may be a new one.
 pub const ACKNOWLEDGEMENT_REFRESH_INTERVAL: Time = 60.0;
-/// What has come of subscriptions without changes is stored so often, in seconds.
+/// The coverage of subscriptions without changes is stored after this many seconds.
 pub const COVERAGE_STORE_INTERVAL: Time = 60.0;
 
 /// There are too many subscriptions.
@@ -49,38 +49,38 @@
 #[error("{most} subscriptions at most", most = crate::child::MAX_SUBSCRIPTIONS)]
 pub struct TooManySubscriptions;
 
-/// See the module.
+/// The replica of a node, and what it has applied.
 #[derive(Debug)]
 pub struct Subscriber {
     config: SubscriberConfig,
     upstream: Upstream,
     log: ChangeLog,
     applied: AppliedResources,
-    /// Resources that were stored and have not been compared with what is in force.
+    /// Restored resources that have not been compared with what is applied.
     unverified: Vec<Name>,
-    /// When all was last known to be there, and how old that was.
+    /// When everything was last known to be here, and the staleness at that time.
     last_current: Option<(Time, Time)>,
     head: Version,
     last_acknowledgement: Option<(Time, Version)>,
     stored_at: Time,
-    /// Subscriptions of which something was stored, and nothing has come since.
+    /// Subscriptions whose coverage was stored, and which have received nothing since.
     stored_selectors: BTreeSet<Selector>,
-    /// The author that was heard last, in whatever run of the process.
+    /// The last known author, whatever run it was received in.
     epoch: Option<Epoch>,
-    /// The token of the author that was heard last in this run.
+    /// The last author's fencing token in this run.
     latest_token: u64,
     clock: Time,
 }
 
 impl Subscriber {
-    /// One that begins without records.
+    /// A subscriber without records.
     pub fn new(config: SubscriberConfig, now: Time) -> Subscriber {
         let restored = RestoredState::empty(config.capacity);
         Subscriber::from_restored(config, restored, None, now)
     }
 
-    /// One that goes on from what was stored, with its subscriptions. `age`: how old the records are, in seconds, if the
-    /// driver knows. What was stored and not accepted is asked to be applied again with the next poll.
+    /// A subscriber from stored records, with its subscriptions. `age`: the records' age in seconds, if it is known.
+    /// Changes that were stored and not accepted are requested again with the next poll.
     pub fn restore(
         config: SubscriberConfig,
         records: impl IntoIterator<Item = Record>,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Asks for more.
+    /// Adds a subscription.
     ///
     /// # Errors
     /// If there are too many subscriptions.
@@ -143,7 +143,7 @@
         Ok(())
     }
 
-    /// Asks for less. The resources are no longer in force here; the driver is not asked to apply that.
+    /// Ends a subscription. Its resources are dropped without asking the driver.
     pub fn unsubscribe(&mut self, selector: &Selector, outputs: &mut Vec<Output>) {
         if !self.upstream.unsubscribe(selector) {
             return;
@@ -165,8 +165,8 @@
             .filter(|key| is_unsubscribed(&key.name))
             .cloned()
             .collect();
-        // Stored the other way round, a crash between the two would leave in force what the log knows no version of, and an
-        // upstream that is behind would replace it by an earlier one.
+        // In the reverse order a crash in between would leave applied changes without a version in the log, which an
+        // upstream that lags could replace with an earlier one.
         self.applied.remove_where(is_unsubscribed, outputs);
         for key in &keys {
             outputs.push(Output::Persist(Record::Forget(key.clone())));
@@ -174,25 +174,24 @@
         }
     }
 
-    /// What is in force of a resource.
+    /// The applied change of a resource.
     pub fn applied_change(&self, name: &Name) -> Option<&Change> {
         self.applied.get(name)
     }
 
-    /// All that is in force.
+    /// All applied changes.
     pub fn applied_changes(&self) -> impl Iterator<Item = &Change> {
         self.applied.all()
     }
 
-    /// Whether all of a subscription had come at some time: what is not in force then is not there.
+    /// Whether everything of a subscription has been received: a resource that is not applied then does not exist.
     pub fn is_complete(&self, selector: &Selector) -> bool {
         self.upstream
             .subscription(selector)
             .is_some_and(|subscription| subscription.is_complete)
     }
 
-    /// How old at most is what is known here of the subscriptions that are complete, in seconds; without bound if that
-    /// can't be told.
+    /// Upper bound of the staleness of the complete subscriptions, in seconds; infinite if it is unknown.
     pub fn staleness(&self, now: Time) -> Time {
         match self.last_current {
             Some((at, age)) => age + (now - at).max(0.0) * (1.0 + 2.0 * DRIFT),
@@ -200,12 +199,12 @@
         }
     }
 
-    /// Up to which version all is known here.
+    /// The version up to which everything is known.
     pub fn head(&self) -> Version {
         self.head
     }
 
-    /// Whom it follows.
+    /// The upstream that is followed.
     pub fn following(&self) -> Option<PeerId> {
         self.upstream.following()
     }
@@ -253,7 +252,7 @@
     }
 }
 
-/// What a resource is to be, as the driver is told.
+/// The change that the driver is asked to apply.
 fn applied_change(name: &Name, version: Version, content: Content) -> Change {
     let key = Key {
         name: name.clone(),
@@ -270,7 +269,7 @@
     }
 }
 
-/// Lets the upstream know of changes of a subscription that are here already.
+/// Tells the upstream of changes of a subscription that are here already.
 fn announce_changes(upstream: &mut Upstream, log: &ChangeLog, selector: &Selector) {
     if log.keys_after(selector, Version::ZERO).next().is_some() {
         upstream.mark_has_changes(selector);
--- a/crates/distribution/src/subscriber/receive.rs
+++ b/crates/distribution/src/subscriber/receive.rs
@@ -1,4 +1,4 @@
-//! Takes in what the upstream sends.
+//! Handles the messages of a subscriber's upstream.
 
 use super::{Subscriber, COVERAGE_STORE_INTERVAL};
 use crate::coverage::Coverage;
@@ -15,7 +15,7 @@
 use std::collections::BTreeSet;
 
 impl Subscriber {
-    /// Takes a frame in; any bytes.
+    /// Handles a frame; any bytes are allowed.
     pub fn receive(&mut self, now: Time, from: PeerId, frame: &[u8], outputs: &mut Vec<Output>) {
         self.clock = self.clock.max(now);
         let Some(received) = message::parse(from, frame) else {
@@ -76,7 +76,7 @@
         self.epoch = Some(epoch);
     }
 
-    /// What is covered by one subscription at least.
+    /// What at least one subscription covers.
     pub(super) fn combined_coverage(&self) -> Coverage {
         let mut covered = Coverage::EMPTY;
         for span in self
@@ -114,7 +114,7 @@
         }
     }
 
-    /// A removal is no longer kept.
+    /// Forgets a pruned tombstone.
     pub(super) fn forget_tombstone(&mut self, key: &Key, outputs: &mut Vec<Output>) {
         outputs.push(Output::Persist(Record::Forget(key.clone())));
         self.reconcile(&key.name, outputs);
@@ -154,7 +154,7 @@
         self.store_coverage(store_all, outputs);
     }
 
-    /// Stores what is covered: of all subscriptions, or of those of which something has come since the last time.
+    /// Stores the coverage of all subscriptions, or of those that have received something since the last time.
     pub(super) fn store_coverage(&mut self, store_all: bool, outputs: &mut Vec<Output>) {
         for (selector, subscription) in self.upstream.subscriptions() {
             if subscription.is_complete && (store_all || !self.stored_selectors.contains(selector))
--- a/crates/distribution/src/subscriber/reconcile.rs
+++ b/crates/distribution/src/subscriber/reconcile.rs
@@ -1,4 +1,4 @@
-//! Compares what is applied with what the log says, and asks the driver for the difference.
+//! Reconciles what is applied with what the log says, and takes the driver's answers.
 
 use super::{applied_change, Subscriber};
 use crate::applied::SlotVersions;
@@ -7,7 +7,7 @@
 use crate::resource::{Change, Content, Key, Name, Slot, Version};
 
 impl Subscriber {
-    /// The driver has put the change of this version in force.
+    /// The driver has applied the change of this version.
     pub fn accepted(&mut self, version: Version, outputs: &mut Vec<Output>) {
         for change in self.applied.take_answered(version) {
             let name = change.key.name.clone();
@@ -16,7 +16,7 @@
         }
     }
 
-    /// The driver can't use the change of this version: the last good one stays in force, and the author hears of it.
+    /// The driver rejects the change of this version: the last applied change stays, and the rejection is reported.
     pub fn rejected(&mut self, version: Version, reason: &str, outputs: &mut Vec<Output>) {
         for change in self.applied.take_answered(version) {
             let name = change.key.name.clone();
@@ -52,7 +52,7 @@
         }
     }
 
-    /// What a resource is to be here by the log.
+    /// The change that the log asks for.
     pub(super) fn desired_change(&self, name: &Name) -> (Change, SlotVersions) {
         let get = |slot| {
             self.log.get(&Key {
@@ -79,7 +79,7 @@
         (applied_change(name, version, content), versions)
     }
 
-    /// Asks the driver for what a resource is to be, if it is another than what is in force.
+    /// Requests the desired change from the driver, if it differs from what is applied.
     pub(super) fn reconcile(&mut self, name: &Name, outputs: &mut Vec<Output>) {
         let (wanted, versions) = self.desired_change(name);
         self.applied.request(wanted, versions, outputs);
--- a/crates/distribution/src/subscriptions.rs
+++ b/crates/distribution/src/subscriptions.rs
@@ -5,22 +5,22 @@
 use crate::resource::{Selector, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is known of a subscription, in whatever session.
+/// State of a subscription across sessions.
 #[derive(Clone, Debug, Default)]
 pub struct SubscriptionState {
-    /// Which versions have come.
+    /// The versions that have been received.
     pub coverage: Coverage,
     /// All removals up to this version are known.
     pub removals_known: Version,
-    /// All of it had come at some time.
+    /// Whether everything had been received at some time.
     pub is_complete: bool,
-    /// Changes of it may be here, also where nothing is covered.
+    /// Whether changes of it may be here, even where nothing is covered.
     pub has_changes: bool,
     pub(crate) id: Option<u32>,
     pub(crate) subscribed_in: Option<u64>,
 }
 
-/// Subscriptions by what they ask for, and those that the upstream has not been asked for yet.
+/// All subscriptions, and those that the present upstream has not been sent.
 #[derive(Debug, Default)]
 pub(crate) struct Subscriptions {
     pub by_selector: BTreeMap<Selector, SubscriptionState>,
@@ -28,7 +28,7 @@
 }
 
 impl Subscriptions {
-    /// A session has ended: the next one is asked for all.
+    /// A session has ended: the next upstream is sent all subscriptions.
     pub fn reset_for_new_session(&mut self) {
         for subscription in self.by_selector.values_mut() {
             subscription.id = None;
--- a/crates/distribution/src/token_bucket.rs
+++ b/crates/distribution/src/token_bucket.rs
@@ -1,24 +1,24 @@
-//! The budget of a link: a token bucket.
+//! Flow control by token bucket.
 //!
-//! Over any time `t` no more than `rate * t + burst` bytes pass.
+//! In any `t` seconds no more than `bytes_per_second * t + burst_bytes` bytes pass.
 
 use crate::Time;
 
-/// A budget.
+/// Rate and burst of a bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Bytes a second.
+    /// Refill rate.
     pub bytes_per_second: f64,
-    /// Bytes at once.
+    /// Capacity.
     pub burst_bytes: f64,
 }
 
-/// What a frame takes on its way beside its own bytes: headers of IP and of the transport.
+/// Bytes of IP and transport headers that a frame takes beside its own.
 pub const TRANSPORT_OVERHEAD_BYTES: usize = 60;
 
 impl Budget {
-    /// From a relay to a node. With [`Budget::UP`] it keeps to 8,000 bytes a second over any 10 s:
-    /// `10 * (6000 + 1000) + 8000 + 1900 = 79900`.
+    /// From a relay to a node. Together with [`Budget::UP`] it stays within 8,000 bytes a second over any 10 s: `10 *
+    /// (6000 + 1000) + 8000 + 1900 = 79900`.
     pub const DOWN: Budget = Budget {
         bytes_per_second: 6000.0,
         burst_bytes: 8000.0,
@@ -34,7 +34,7 @@
         burst_bytes: 64_000.0,
     };
 
-    /// The longest frame that may be written under it.
+    /// The longest frame that may be sent within the budget.
     pub fn max_frame_bytes(&self) -> usize {
         let half_burst = (self.burst_bytes / 2.0) as usize;
         half_burst
@@ -43,7 +43,7 @@
     }
 }
 
-/// A budget in use.
+/// A token bucket.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     budget: Budget,
@@ -52,7 +52,7 @@
 }
 
 impl TokenBucket {
-    /// A full one.
+    /// A full bucket.
     pub fn new(budget: Budget, now: Time) -> TokenBucket {
         TokenBucket {
             budget,
@@ -61,12 +61,12 @@
         }
     }
 
-    /// Its budget.
+    /// Its rate and burst.
     pub fn budget(&self) -> Budget {
         self.budget
     }
 
-    /// How many bytes may pass now.
+    /// Bytes that may pass now.
     pub fn available(&self, now: Time) -> f64 {
         let passed = (now - self.refilled_at).max(0.0);
         (self.available + passed * self.budget.bytes_per_second).min(self.budget.burst_bytes)
@@ -77,7 +77,7 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Takes a frame's bytes, if they are there.
+    /// Takes a frame's bytes, if they are available.
     pub fn take(&mut self, now: Time, frame_bytes: usize) -> bool {
         self.refill(now);
         let cost = (frame_bytes + TRANSPORT_OVERHEAD_BYTES) as f64;
@@ -88,7 +88,7 @@
         enough
     }
 
-    /// When a frame of so many bytes can be sent.
+    /// When a frame of this size can be sent.
     pub fn ready_at(&self, now: Time, frame_bytes: usize) -> Time {
         let cost = ((frame_bytes + TRANSPORT_OVERHEAD_BYTES) as f64).min(self.budget.burst_bytes);
         let level = self.available(now);
@@ -99,5 +99,5 @@
     }
 }
 
-/// A wake-up a little later than the moment itself, so that rounding doesn't wake in vain, in seconds.
+/// Delay in seconds that keeps rounding from waking the driver too early.
 const WAKE_MARGIN: Time = 1e-6;
--- a/crates/distribution/src/upstream.rs
+++ b/crates/distribution/src/upstream.rs
@@ -1,11 +1,11 @@
-//! Whom a process follows: an author for the first relays, a relay for the others and for nodes.
+//! The upstream of a process: an author for the first relays, a relay for other relays and for nodes.
 //!
 //! | state | ends |
 //! | --- | --- |
 //! | idle | when [`Upstream::resume`] is called |
-//! | resting | after a drawn time, see [`Upstream::reconnect_delay`] and [`Upstream::backoff_after_failures`] |
-//! | opening: one candidate after the other is asked | when the first answers; when none has answered within [`UpstreamConfig::open_timeout`] |
-//! | following | when nothing was heard for [`UpstreamConfig::silence_timeout`]; when nothing new came for [`UpstreamConfig::stale_timeout`] and there is somebody else; when the upstream says so or breaks the rules |
+//! | backing off | after a random delay or a backoff |
+//! | opening: candidates are tried | when the first answers; when none has answered within [`UpstreamConfig::open_timeout`] |
+//! | following | after no frame for [`UpstreamConfig::silence_timeout`]; after nothing fresh for [`UpstreamConfig::stale_timeout`] if there is another candidate; when the upstream ends the session or breaks the protocol |
 
 use crate::candidates::Candidates;
 use crate::coverage::{Coverage, Span};
@@ -35,12 +35,13 @@
     Following(Box<Session>),
 }
 
-/// An upstream is left alone after it broke the rules, in seconds.
+/// Seconds for which an upstream is avoided after it broke the protocol.
 const VIOLATION_BACKOFF: Time = 120.0;
-/// Any upstream would send what there is no room for again, so it is left alone for longer, in seconds.
+/// Seconds for which an upstream is avoided after this process ran out of capacity; any upstream would send the same
+/// again.
 const NO_CAPACITY_BACKOFF: Time = 30.0;
 
-/// See the module.
+/// Connection state, subscriptions and reports of a follower.
 #[derive(Debug)]
 pub struct Upstream {
     config: UpstreamConfig,
@@ -49,16 +50,16 @@
     state: State,
     subscriptions: Subscriptions,
     candidates: Candidates,
-    /// How many times [`UpstreamConfig::stale_timeout`] the upstream is borne with.
+    /// Factor on [`UpstreamConfig::stale_timeout`]; grows with each upstream that brought nothing fresh.
     stale_factor: f64,
     fence: Fence,
-    /// What may be sent, while no session is followed.
+    /// The send bucket while no session is followed.
     bucket: TokenBucket,
     reports: ReportQueue,
 }
 
 impl Upstream {
-    /// Follows nobody yet; the first is drawn within [`UpstreamConfig::reconnect_jitter`].
+    /// Follows nobody yet; the first attempt is made within [`UpstreamConfig::reconnect_jitter`].
     pub fn new(config: UpstreamConfig, lease: LeaseName, seed: u64, now: Time) -> Upstream {
         let mut rng = SeededRng::new(seed);
         let until = now + rng.uniform(0.0, config.reconnect_jitter);
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Asks for more, of which so much is known already.
+    /// Adds a subscription, of which this coverage is known already.
     pub fn subscribe(&mut self, selector: Selector, coverage: Coverage, floor: Version) {
         if self.subscriptions.by_selector.contains_key(&selector) {
             return;
@@ -96,7 +97,7 @@
             .insert(selector, subscription);
     }
 
-    /// Asks for less; whether it was asked for.
+    /// Ends a subscription; whether there was one.
     pub fn unsubscribe(&mut self, selector: &Selector) -> bool {
         let Some(subscription) = self.subscriptions.by_selector.remove(selector) else {
             return false;
@@ -108,17 +109,17 @@
         true
     }
 
-    /// What is asked for.
+    /// All subscriptions.
     pub fn subscriptions(&self) -> impl Iterator<Item = (&Selector, &SubscriptionState)> {
         self.subscriptions.by_selector.iter()
     }
 
-    /// What is known of a subscription.
+    /// The state of a subscription.
     pub fn subscription(&self, selector: &Selector) -> Option<&SubscriptionState> {
         self.subscriptions.by_selector.get(selector)
     }
 
-    /// Whom it follows; while nobody has answered, whom it asked last.
+    /// The upstream that is followed; while none has answered, the one that was tried last.
     pub fn following(&self) -> Option<PeerId> {
         match &self.state {
             State::Following(session) => Some(session.link.peer()),
@@ -127,7 +128,7 @@
         }
     }
 
-    /// A change has been stored: this span is covered.
+    /// Records that the changes of a span have been stored.
     pub fn add_coverage(&mut self, selector: &Selector, span: Span) {
         if let Some(subscription) = self.subscriptions.by_selector.get_mut(selector) {
             subscription.coverage.add(span);
@@ -135,17 +136,15 @@
         }
     }
 
-    /// Changes of a subscription are here, though none may be covered.
-    ///
-    /// Guards against removals that are never heard of: who ended before it stored what it covers would be taken for one
-    /// that has nothing. Harm: a list of keys where removals were forgotten meanwhile.
+    /// Records that changes of a subscription are here, whatever is covered. Without it a process that failed before
+    /// it stored its coverage would pass for one without changes, and would never receive the removals since.
     pub fn mark_has_changes(&mut self, selector: &Selector) {
         if let Some(subscription) = self.subscriptions.by_selector.get_mut(selector) {
             subscription.has_changes = true;
         }
     }
 
-    /// What was taken for covered has never come: it is asked for again in a new session.
+    /// Subscribes again without the versions that were taken for covered and never received.
     pub(crate) fn resubscribe(&mut self, now: Time, lacking: &Coverage, outputs: &mut Vec<Output>) {
         let Some(first) = lacking.spans().first() else {
             return;
@@ -157,22 +156,22 @@
         self.leave(now, CloseReason::Replaced, outputs);
     }
 
-    /// All removals of a selector up to a version are known.
+    /// Records that all removals of a selector up to a version are known.
     pub fn mark_removals_known(&mut self, selector: &Selector, floor: Version) {
         if let Some(subscription) = self.subscriptions.by_selector.get_mut(selector) {
             subscription.removals_known = subscription.removals_known.max(floor);
         }
     }
 
-    /// Something to tell upwards.
+    /// Queues a report for the upstream.
     pub fn queue_report(&mut self, report: Report) {
         self.reports.add(report);
     }
 
-    /// Takes an author's claim in.
+    /// Checks the fencing token of an author's epoch.
     ///
     /// # Errors
-    /// If it is of another lease, or if a later token has been seen.
+    /// If the claim is of another lease, or a later token has been seen.
     pub fn admit_epoch(&mut self, epoch: &Epoch) -> Result<(), CloseReason> {
         if epoch.claim.lease != self.lease {
             return Err(CloseReason::ProtocolViolation);
@@ -182,12 +181,12 @@
             .map_err(|_| CloseReason::Fenced)
     }
 
-    /// The highest token that was seen.
+    /// The highest fencing token that was seen.
     pub fn highest_token(&self) -> u64 {
         self.fence.highest(&self.lease).unwrap_or(0)
     }
 
-    /// Follows nobody until [`Upstream::resume`].
+    /// Ends the session, and follows nobody until [`Upstream::resume`].
     pub fn suspend(&mut self, now: Time, outputs: &mut Vec<Output>) {
         self.end_attempts(now, outputs);
         self.leave(now, CloseReason::Replaced, outputs);
@@ -203,7 +202,7 @@
         }
     }
 
-    /// Leaves the upstream, which has nothing more to say, and follows another one at once.
+    /// Leaves an upstream that has sent everything, and follows another one at once.
     pub fn switch_upstream(&mut self, now: Time, rest: Time, outputs: &mut Vec<Output>) {
         let State::Following(session) = &self.state else {
             return;
@@ -214,7 +213,7 @@
         self.state = State::BackingOff { until: now };
     }
 
-    /// Leaves the upstream; another one is drawn after a rest.
+    /// Leaves the upstream; another one is picked after a backoff.
     pub fn leave(&mut self, now: Time, reason: CloseReason, outputs: &mut Vec<Output>) {
         let backoff = match reason {
             CloseReason::ProtocolViolation | CloseReason::RateExceeded => VIOLATION_BACKOFF,
@@ -275,7 +274,7 @@
         self.subscriptions.reset_for_new_session();
     }
 
-    /// A candidate was of no use; it is left alone for a time.
+    /// Records a failed candidate, which is avoided for `backoff` seconds.
     fn record_failure(
         &mut self,
         now: Time,
@@ -297,8 +296,7 @@
         outputs.push(Output::Event(Event::Left { upstream, reason }));
     }
 
-    /// How long to rest after an upstream that was heard. Guards against all children of a relay that died coming to the
-    /// next at once. Harm: a child alone waits, too.
+    /// Jitter before the next attempt, which spreads the children of a relay that failed.
     fn reconnect_delay(&mut self) -> Time {
         self.rng.uniform(
             0.0,
@@ -306,7 +304,7 @@
         )
     }
 
-    /// Sends what is due; draws an upstream after a rest, and leaves one that is of no use.
+    /// Sends what is due; picks an upstream after a backoff, and leaves one that has failed.
     pub fn poll(&mut self, now: Time, outputs: &mut Vec<Output>) {
         match &self.state {
             State::BackingOff { until } if now >= *until => {
@@ -334,8 +332,7 @@
         }
     }
 
-    /// Guards against an upstream that died, stands still, or is itself cut off. Harm: a child of a relay that is silent for
-    /// a moment longer comes back elsewhere, with what it has.
+    /// The reason to leave the upstream, if it is silent, stale or cut off.
     fn session_fault(&self, now: Time, session: &Session) -> Option<CloseReason> {
         if now >= self.silent_at(session) {
             return Some(CloseReason::TimedOut);
@@ -352,8 +349,8 @@
         session.link.last_received_at() + self.config.silence_timeout
     }
 
-    /// Guards against children that go from one relay to the next while all are cut off: each finds the others as old as the
-    /// first. Harm: after two that are cut off, a third that is not is found later.
+    /// When the upstream counts as stale. The timeout grows with each stale upstream in a row: while all relays are
+    /// cut off, their children would otherwise move between them for nothing.
     fn stale_at(&self, session: &Session) -> Time {
         if self.candidates.has_others() {
             session.progress_at + self.stale_factor * self.config.stale_timeout
@@ -362,7 +359,7 @@
         }
     }
 
-    /// For how long an upstream asks to be left alone.
+    /// The backoff that an upstream asks for, within the configured limit.
     fn requested_backoff(&self, retry_after_ms: u32) -> Time {
         let rest = f64::from(retry_after_ms) / 1e3;
         rest.min(self.config.max_backoff)
--- a/crates/distribution/src/upstream/opening.rs
+++ b/crates/distribution/src/upstream/opening.rs
@@ -1,4 +1,4 @@
-//! How a session is begun: candidates are asked one after the other until the first answers.
+//! Opening a session: candidates are tried until the first one answers.
 
 use super::{State, Upstream};
 use crate::link::Link;
@@ -10,7 +10,7 @@
 use crate::Time;
 
 impl Upstream {
-    /// Follows who has answered first, unless the answer is a refusal.
+    /// Follows the candidate that answered, unless it rejects the session.
     pub(super) fn take_answer(
         &mut self,
         now: Time,
@@ -50,7 +50,7 @@
         self.state = State::Following(Box::new(Session::new(link, receive_budget, now)));
     }
 
-    /// Ends the attempts that are under way: somebody has answered, or nobody is to be followed.
+    /// Ends the attempts in progress.
     pub(super) fn end_attempts(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let State::Opening(attempts) = &mut self.state else {
             return;
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Asks one more candidate for a session, if one is due.
+    /// Tries one more candidate, if that is due.
     pub(super) fn begin_attempt_if_due(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let State::Opening(attempts) = &mut self.state else {
             return;
@@ -107,14 +107,14 @@
         }
     }
 
-    /// How long to rest after attempts that nobody answered.
+    /// The backoff after attempts that no candidate answered.
     ///
-    /// | | rest |
+    /// | candidates | backoff |
     /// | --- | --- |
-    /// | there is a candidate left that may answer | none: the rest after the upstream that was lost has spread the children already |
-    /// | none of them has answered, or all broke the rules | between half of [`UpstreamConfig::max_backoff`] and all of it, and the time that was saved by asking them beside each other, up to `rest_most` together |
+    /// | one of them may still answer | none: the jitter after the lost upstream has spread the children already |
+    /// | all have timed out or broken the protocol | between half of `max_backoff` and all of it, plus the time saved by parallel attempts, up to `max_backoff` in all |
     ///
-    /// Guards against more new sessions than relays take once they run again. Harm: a child alone waits, too.
+    /// This limits the sessions that are opened at once when the relays run again.
     pub(super) fn backoff_after_failures(&mut self, time_saved: Time) -> Time {
         if !self.candidates.all_unusable() {
             return 0.0;
--- a/crates/distribution/src/upstream/receive.rs
+++ b/crates/distribution/src/upstream/receive.rs
@@ -14,7 +14,7 @@
 use crate::Time;
 
 impl Upstream {
-    /// Takes an upstream's frame in. Frames of others are left.
+    /// Handles a frame of the upstream; frames of others are ignored.
     pub fn receive(
         &mut self,
         now: Time,
@@ -34,7 +34,7 @@
         if session.link.peer() != from || session.link.session() != head.session {
             return None;
         }
-        // Guards against an upstream that sends without end. Harm: none; a relay's own bucket is a quarter of it.
+        // Four times a relay's send budget: only an upstream that sends without end exceeds it.
         if !session.receive_bucket.take(now, bytes) {
             self.leave(now, CloseReason::RateExceeded, outputs);
             return None;
@@ -163,7 +163,7 @@
         Ok(Some(UpstreamEvent::Epoch(epoch)))
     }
 
-    /// Guards against changes that nobody asked for, and against spans that their changes are not in. Harm: none.
+    /// Checks that changes were subscribed to and lie in their span.
     pub(super) fn handle_changes(
         &mut self,
         now: Time,
@@ -193,9 +193,9 @@
         }))
     }
 
-    /// How old what is here is at most, by the word that all was sent. What was asked for after the upstream wrote it is not
-    /// in it. Removals are known as far as the upstream knew them: it may have all changes before it is told which keys are
-    /// no more.
+    /// Handles the notice that everything was sent; gives back the upper bound of the staleness. A subscription that
+    /// was requested after the upstream sent the notice is not included. Removals are known as far as the upstream
+    /// knew them: it may have all changes before it has its manifest.
     pub(super) fn handle_current(
         &mut self,
         now: Time,
@@ -217,7 +217,7 @@
                 subscription.removals_known = subscription.removals_known.max(removals);
                 subscription.is_complete = true;
             } else {
-                // A copy of everything is whole or it is not; a node may wait for one subscription of many.
+                // A full replica is complete or it is not; a node may wait for one subscription of many.
                 is_complete_answer &= !subscription.is_complete && !self.config.is_relay;
             }
         }
