--- a/crates/distribution/src/upstream_config.rs
+++ b/crates/distribution/src/upstream_config.rs
@@ -1,64 +1,64 @@
-//! Whom a process may follow, and for how long it bears with an upstream that is of no use.
+//! Configuration of a follower: its candidates, budgets and timeouts.
 
 use crate::link::RETRANSMIT_TIMEOUT;
 use crate::peer::PeerId;
 use crate::token_bucket::Budget;
 use crate::Time;
 
-/// How upstreams are followed.
+/// How a process follows its upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamConfig {
-    /// Those to follow; one is drawn.
+    /// The preferred upstreams; one is picked at random.
     pub upstreams: Vec<PeerId>,
-    /// Those to follow while none of the others can be.
+    /// Upstreams to follow while no preferred one is usable.
     pub fallbacks: Vec<PeerId>,
-    /// Whether changes for other nodes are needed, too.
+    /// Whether this process is a relay or an author, which needs changes for other nodes, too.
     pub is_relay: bool,
-    /// What is sent.
+    /// Limit of what is sent.
     pub send_budget: Budget,
-    /// What is taken in; who sends more is left.
+    /// Limit of what is received; an upstream that exceeds it is left.
     pub receive_budget: Budget,
-    /// An upstream that has not answered the beginning of a session for so long is left, in seconds.
+    /// Seconds to wait for the answer to an opening.
     pub open_timeout: Time,
-    /// While nobody has answered, the next candidate is asked after so long, in seconds; those before are still waited for.
+    /// Seconds until the next candidate is tried while earlier attempts are still open.
     pub attempt_delay: Time,
-    /// An upstream that was not heard for so long is left, in seconds.
+    /// Seconds without a frame after which an upstream is left.
     pub silence_timeout: Time,
-    /// An upstream that has brought nothing new for so long is left if there is another one, in seconds; after each one
-    /// in a row that brought nothing new at all, the next is borne with for twice as long, up to [`MAX_STALE_FACTOR`] times.
+    /// Seconds without anything fresh after which an upstream is left, if there is another one. The time doubles with
+    /// each upstream in a row that brought nothing fresh, up to [`MAX_STALE_FACTOR`] times.
     pub stale_timeout: Time,
-    /// An upstream hears something at least so often, in seconds.
+    /// Longest time between two frames to the upstream, in seconds.
     pub keepalive_interval: Time,
-    /// The rest after an upstream that was heard is drawn up to this, in seconds: all its children may leave it at once.
+    /// Longest random delay after losing an upstream, in seconds: all its children may lose it at once.
     pub reconnect_jitter: Time,
-    /// The longest rest, in seconds. Between half of it and all of it is rested after each attempt while all candidates
-    /// have been tried and none was heard.
+    /// Longest backoff in seconds. Half of it to all of it is waited after each attempt while every candidate has
+    /// failed.
     pub max_backoff: Time,
 }
 
-/// How many times [`UpstreamConfig::stale_timeout`] an upstream is borne with at most.
+/// Largest factor on [`UpstreamConfig::stale_timeout`].
 pub const MAX_STALE_FACTOR: f64 = 8.0;
 
-/// A beginning is sent at once and again after [`RETRANSMIT_TIMEOUT`], and each is waited for that long, several round trips
-/// between regions. Only if both or both answers are lost is an upstream that runs taken for one that doesn't.
+/// An opening is sent, and once more after [`RETRANSMIT_TIMEOUT`]; each is waited for that long, several round trips
+/// between regions. An upstream that runs is missed only if both openings or both answers are lost.
 const OPEN_TIMEOUT: Time = 2.0 * RETRANSMIT_TIMEOUT;
 
-/// The "Connection Attempt Delay" that RFC 8305 recommends. It is longer than a round trip between regions, so an upstream
-/// that runs has answered before the next is asked, and few sessions are begun in vain.
+/// The "Connection Attempt Delay" that RFC 8305 recommends. It exceeds a round trip between regions, so an upstream
+/// that runs has answered before the next one is tried.
 const ATTEMPT_DELAY: Time = 0.25;
 
-/// An upstream says something every 2 s ([`crate::downstream::DownstreamConfig::keepalive_interval`]) and once more after
-/// [`RETRANSMIT_TIMEOUT`] if it was not heard. After two of these that did not come it is left, so that a node whose relay was
-/// lost has a session elsewhere well within the 15 s in which a change is in force, also after eight more relays that are
-/// dead: `SILENCE_TIMEOUT + spread + 8 * ATTEMPT_DELAY = 11` s.
+/// An upstream sends a frame every 2 s ([`crate::downstream_config::DownstreamConfig::keepalive_interval`]), and once
+/// more after [`RETRANSMIT_TIMEOUT`] without an acknowledgement. It is left after two of these are missing, so a node
+/// that lost its relay has a new session well within the 15 s in which a change has to be applied, even after eight
+/// more dead relays: `SILENCE_TIMEOUT + reconnect_jitter + 8 * ATTEMPT_DELAY = 11` s.
 const SILENCE_TIMEOUT: Time = 5.0;
 
-/// A relay has up to 1,024 children and takes 100 new sessions a second. If all of them look for it in vain, each begins
-/// a session every `OPEN_TIMEOUT + 0.75 * MAX_NODE_BACKOFF = 10.25` s at the mean, which is no less than `1024 / 100`.
+/// A relay has up to 1,024 children and accepts 100 new sessions a second. If all of them try it in vain, each opens
+/// a session every `OPEN_TIMEOUT + 0.75 * MAX_NODE_BACKOFF = 10.25` s on average, which is no less than `1024 / 100`.
 const MAX_NODE_BACKOFF: Time = 11.0;
 
-/// The longest rest that a relay or an author asks of whom it refuses ([`crate::downstream::DownstreamConfig::min_retry_after`], twice).
-/// Relays and authors are few; their sessions come nowhere near what an author takes in a second.
+/// Twice [`crate::downstream_config::DownstreamConfig::min_retry_after`], the longest that a rejected child is asked
+/// to wait. Relays and authors are few; their sessions stay far below the limit of an author.
 const MAX_RELAY_BACKOFF: Time = 4.0;
 
 impl UpstreamConfig {
--- a/crates/distribution/src/upstream_event.rs
+++ b/crates/distribution/src/upstream_event.rs
@@ -6,36 +6,36 @@
 use crate::Time;
 use std::collections::BTreeSet;
 
-/// What an upstream has said.
+/// A checked message of the upstream.
 #[derive(Debug, PartialEq)]
 pub enum UpstreamEvent {
-    /// Who the author is.
+    /// The term of the current author.
     Epoch(Epoch),
-    /// Changes; once they are stored, [`crate::upstream::Upstream::add_coverage`] is to be called.
+    /// Changes; [`crate::upstream::Upstream::add_coverage`] is to be called once they are stored.
     Changes {
-        /// Of which subscription.
+        /// The selector of the subscription.
         selector: Selector,
-        /// What is covered by them.
+        /// The span that they cover.
         span: Span,
         /// The changes.
         changes: Vec<Change>,
     },
-    /// All keys of a selector: others with this version or an earlier one are no more.
+    /// All keys of a selector: others up to the pruning floor were removed.
     Manifest {
-        /// Of what.
+        /// The selector.
         selector: Selector,
-        /// The version.
+        /// The pruning floor.
         pruned_through: Version,
         /// The digests of the keys.
         digests: BTreeSet<u64>,
     },
-    /// All that the upstream was asked for when it wrote this has come.
+    /// Everything that was requested before the upstream sent this has arrived.
     Current {
-        /// The latest version that the upstream has.
+        /// The last version of the upstream.
         head: Version,
-        /// Removals up to this version may have been forgotten there.
+        /// The upstream may have pruned tombstones up to this version.
         pruned_through: Version,
-        /// How old that is at most, in seconds, if it holds for everything that was complete before.
+        /// Upper bound of the staleness in seconds, if it holds for everything that was complete before.
         age: Option<Time>,
     },
 }
