--- a/crates/distribution/src/author.rs
+++ b/crates/distribution/src/author.rs
@@ -29,7 +29,7 @@
 use crate::peer::PeerId;
 use crate::replica::{Replica, ReplicaUpdate};
 use crate::report::Report;
-use crate::resource::Version;
+use crate::resource::{ChangeId, Version};
 use crate::restore::RestoredState;
 use crate::session_end::CloseReason;
 use crate::upstream::Upstream;
@@ -113,8 +113,8 @@
         );
         let replica = Replica::new(upstream, &mut restored);
         let mut history = ChangeHistory::new(config.history_bytes);
-        for (old, new) in &restored.replaced {
-            history.record_replaced(old, new);
+        for replacement in &restored.replaced {
+            history.record_replaced(&replacement.previous, &replacement.successor);
         }
         let downstream =
             Downstream::new(config.downstream, crate::random::mix_bits(config.seed), now);
@@ -201,7 +201,7 @@
 
     fn apply_update(&mut self, now: Time, update: &ReplicaUpdate, outputs: &mut Vec<Output>) {
         self.propagate_update(now, update);
-        for (key, version) in update.orphans.iter().cloned() {
+        for ChangeId { key, version } in update.orphans.iter().cloned() {
             outputs.push(Output::Event(Event::Orphaned { key, version }));
         }
         if update.is_current {
--- a/crates/distribution/src/author/orphans.rs
+++ b/crates/distribution/src/author/orphans.rs
@@ -3,7 +3,7 @@
 use super::{Author, State};
 use crate::output::{Event, Output};
 use crate::publish::PendingChange;
-use crate::resource::{Content, Key, NodeFraction, Urgency, Version};
+use crate::resource::{ChangeId, Content, Key, NodeFraction, Urgency, Version};
 use crate::Time;
 
 /// Most orphans that are overwritten in one term; reports beyond it are ignored.
@@ -14,10 +14,10 @@
     pub(super) fn rewrite_orphaned(
         &mut self,
         now: Time,
-        orphans: Vec<(Key, Version)>,
+        orphans: Vec<ChangeId>,
         outputs: &mut Vec<Output>,
     ) {
-        for (key, _) in orphans {
+        for ChangeId { key, .. } in orphans {
             let Some(change) = self.log().get(&key) else {
                 continue;
             };
--- a/crates/distribution/src/author/publishing.rs
+++ b/crates/distribution/src/author/publishing.rs
@@ -157,8 +157,9 @@
     }
 
     pub(super) fn propagate_update(&mut self, now: Time, update: &ReplicaUpdate) {
-        for (old, new) in &update.replaced {
-            self.history.record_replaced(old, new);
+        for replacement in &update.replaced {
+            self.history
+                .record_replaced(&replacement.previous, &replacement.successor);
         }
         if self.is_writing() {
             self.rollouts.check_at(now);
--- a/crates/distribution/src/author/rollouts.rs
+++ b/crates/distribution/src/author/rollouts.rs
@@ -59,12 +59,21 @@
     pub rejecting_nodes: Vec<RejectingNode>,
 }
 
+/// The stage that a rollout is at.
+#[derive(Clone, Copy, Debug)]
+struct CurrentStage {
+    /// The version of its canary.
+    version: Version,
+    /// When it began, on this author's clock.
+    began_at: Time,
+}
+
 /// A rollout at the author that writes.
 #[derive(Debug)]
 struct Rollout {
     record: RolloutRecord,
-    /// The version of the current stage, and when it began here.
-    stage: Option<(Version, Time)>,
+    /// The current stage, once it has been checked.
+    stage: Option<CurrentStage>,
     counts: StageCounts,
     waiting: Option<AdvanceBlocker>,
     rejecting_nodes: RejectingNodes,
@@ -84,7 +93,7 @@
 
     /// When the verdict on the current stage can change without an event.
     fn next_check(&self, now: Time) -> Time {
-        let (RolloutState::Running, Some((_, since))) = (&self.record.state, self.stage) else {
+        let (RolloutState::Running, Some(stage)) = (&self.record.state, self.stage) else {
             return f64::INFINITY;
         };
         let RolloutPolicy {
@@ -92,7 +101,7 @@
             soak_time: soak,
             ..
         } = self.record.policy;
-        let moments = [since + decision_time, since + soak];
+        let moments = [stage.began_at + decision_time, stage.began_at + soak];
         moments
             .into_iter()
             .find(|moment| *moment > now)
--- a/crates/distribution/src/author/rollouts/advance.rs
+++ b/crates/distribution/src/author/rollouts/advance.rs
@@ -1,6 +1,6 @@
 //! Checks open rollouts: begins the next stage, completes, halts or rolls back.
 
-use super::{progress_of, Author, Rollout, RolloutProgress};
+use super::{progress_of, Author, CurrentStage, Rollout, RolloutProgress};
 use crate::output::{Event, Output};
 use crate::publish::PendingChange;
 use crate::resource::{Draft, Key, Name, Slot, Urgency};
@@ -43,9 +43,12 @@
                 return self.end_rollout(now, name, RolloutState::Ended, false, outputs)
             }
         };
-        let (_, since) = *rollout.stage.insert(match rollout.stage {
-            Some(stage) if stage.0 == canary.version => stage,
-            _ => (canary.version, now),
+        let current = *rollout.stage.insert(match rollout.stage {
+            Some(stage) if stage.version == canary.version => stage,
+            _ => CurrentStage {
+                version: canary.version,
+                began_at: now,
+            },
         });
         let Rollout {
             record,
@@ -61,7 +64,7 @@
             reports_since: self.rollouts.writing_since,
         };
         let counts = stage::count_nodes(now, stage, policy, &self.node_statuses, rejecting_nodes);
-        let verdict = stage::evaluate(policy, counts, now - since);
+        let verdict = stage::evaluate(policy, counts, now - current.began_at);
         let on_refusals = policy.on_rejections;
         rollout.counts = counts;
         rollout.waiting = None;
@@ -116,7 +119,10 @@
         match self.publish_pending(now, vec![PendingChange::canary(draft, fraction)], outputs) {
             Ok(version) => {
                 if let Some(rollout) = self.rollouts.by_name.get_mut(name) {
-                    rollout.stage = Some((version, now));
+                    rollout.stage = Some(CurrentStage {
+                        version,
+                        began_at: now,
+                    });
                 }
                 let name = name.clone();
                 outputs.push(Output::Event(Event::RolloutAdvanced {
--- a/crates/distribution/src/child_subscription.rs
+++ b/crates/distribution/src/child_subscription.rs
@@ -324,9 +324,9 @@
         });
         let payload = Payload::Manifest {
             id,
-            first: cursor.is_first,
-            last,
-            floor: cursor.pruned_through,
+            is_first: cursor.is_first,
+            is_last: last,
+            pruned_through: cursor.pruned_through,
             digests,
         };
         ManifestPage {
--- a/crates/distribution/src/downstream.rs
+++ b/crates/distribution/src/downstream.rs
@@ -22,14 +22,14 @@
     config: DownstreamConfig,
     rng: SeededRng,
     children: BTreeMap<PeerId, Child>,
-    interests: BTreeMap<Selector, BTreeSet<(PeerId, u32)>>,
+    interests: BTreeMap<Selector, BTreeSet<SubscriptionId>>,
     /// Budgets of children that have left: a new session brings no new budget.
     retained_buckets: BTreeMap<PeerId, TokenBucket>,
     /// Frames of these peers are ignored until a time, since they exceeded their budget or broke the protocol.
     banned_until: BTreeMap<PeerId, Time>,
     session_bucket: TokenBucket,
     wakeups: BTreeMap<PeerId, Time>,
-    due: BTreeSet<(u64, PeerId)>,
+    due: BTreeSet<Wakeup>,
     has_fencing_notice: bool,
 }
 
@@ -45,9 +45,31 @@
 /// What one new session takes from the bucket of new sessions.
 const SESSION_COST: f64 = 100.0;
 
-/// Bits that sort like the time; times are not negative.
-fn sortable_bits(time: Time) -> u64 {
-    time.max(0.0).to_bits()
+/// A child's subscription.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct SubscriptionId {
+    peer: PeerId,
+    id: u32,
+}
+
+/// When a child is to be polled. The time's bits sort like the time, since times are not negative.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Wakeup {
+    time_bits: u64,
+    peer: PeerId,
+}
+
+impl Wakeup {
+    fn new(at: Time, peer: PeerId) -> Wakeup {
+        Wakeup {
+            time_bits: at.max(0.0).to_bits(),
+            peer,
+        }
+    }
+
+    fn at(&self) -> Time {
+        f64::from_bits(self.time_bits)
+    }
 }
 
 impl Downstream {
@@ -160,13 +182,17 @@
                     self.interests
                         .entry(selector)
                         .or_default()
-                        .insert((from, id));
+                        .insert(SubscriptionId { peer: from, id });
                 }
             }
             Payload::Unsubscribe(items) => {
                 for id in items {
                     if let Some(selector) = child.unsubscribe(id) {
-                        remove_interest(&mut self.interests, &selector, (from, id));
+                        remove_interest(
+                            &mut self.interests,
+                            &selector,
+                            SubscriptionId { peer: from, id },
+                        );
                     }
                 }
             }
@@ -202,7 +228,7 @@
             let Some(interested) = self.interests.get(&selector) else {
                 continue;
             };
-            for (peer, id) in interested.clone() {
+            for SubscriptionId { peer, id } in interested.clone() {
                 if let Some(child) = self.children.get_mut(&peer) {
                     child.requeue(id, replica);
                 }
@@ -225,19 +251,19 @@
         }
         self.unschedule(peer);
         self.wakeups.insert(peer, at);
-        self.due.insert((sortable_bits(at), peer));
+        self.due.insert(Wakeup::new(at, peer));
     }
 
     fn unschedule(&mut self, peer: PeerId) {
         if let Some(at) = self.wakeups.remove(&peer) {
-            self.due.remove(&(sortable_bits(at), peer));
+            self.due.remove(&Wakeup::new(at, peer));
         }
     }
 
     /// Sends what is due and what the budgets allow.
     pub fn poll(&mut self, now: Time, replica: ReplicaView, outputs: &mut Vec<Output>) {
-        let due = self.due.range(..=(sortable_bits(now), PeerId(u32::MAX)));
-        let due: Vec<PeerId> = due.map(|(_, peer)| *peer).collect();
+        let due = self.due.range(..=Wakeup::new(now, PeerId(u32::MAX)));
+        let due: Vec<PeerId> = due.map(|wakeup| wakeup.peer).collect();
         for peer in due {
             let Some(child) = self.children.get_mut(&peer) else {
                 continue;
@@ -255,16 +281,14 @@
 
     /// When a child is due.
     pub fn next_wakeup(&self) -> Time {
-        self.due
-            .first()
-            .map_or(f64::INFINITY, |(bits, _)| f64::from_bits(*bits))
+        self.due.first().map_or(f64::INFINITY, Wakeup::at)
     }
 }
 
 fn remove_interest(
-    interests: &mut BTreeMap<Selector, BTreeSet<(PeerId, u32)>>,
+    interests: &mut BTreeMap<Selector, BTreeSet<SubscriptionId>>,
     selector: &Selector,
-    subscriber: (PeerId, u32),
+    subscriber: SubscriptionId,
 ) {
     if let Some(set) = interests.get_mut(selector) {
         set.remove(&subscriber);
--- a/crates/distribution/src/downstream/admission.rs
+++ b/crates/distribution/src/downstream/admission.rs
@@ -1,6 +1,9 @@
 //! Admission of sessions: which are opened, closed and rejected, within the limits.
 
-use super::{remove_interest, Downstream, BAN_DURATION, RETAINED_BUCKETS_PER_CHILD, SESSION_COST};
+use super::{
+    remove_interest, Downstream, SubscriptionId, BAN_DURATION, RETAINED_BUCKETS_PER_CHILD,
+    SESSION_COST,
+};
 use crate::child::Child;
 use crate::link::Link;
 use crate::message::{self, Head, Payload};
@@ -18,16 +21,16 @@
         now: Time,
         from: PeerId,
         head: &Head,
-        relay: bool,
+        is_relay: bool,
         outputs: &mut Vec<Output>,
     ) -> bool {
         let existing = self.children.get_mut(&from);
         if existing.is_some_and(|child| child.link().session() == head.session) {
             return true;
         }
-        let full =
+        let is_full =
             !self.children.contains_key(&from) && self.children.len() >= self.config.max_children;
-        if full
+        if is_full
             || !self
                 .session_bucket
                 .take(now, SESSION_COST as usize - TRANSPORT_OVERHEAD_BYTES)
@@ -48,32 +51,39 @@
                 reason: CloseReason::Replaced,
             }));
         }
-        let budget = if relay {
+        let child = self.new_child(now, from, head.session, is_relay);
+        self.children.insert(from, child);
+        true
+    }
+
+    /// A child with a new session; a bucket that was retained for the peer is used again.
+    fn new_child(&mut self, now: Time, peer: PeerId, session: u64, is_relay: bool) -> Child {
+        let budget = if is_relay {
             self.config.relay_budget
         } else {
             self.config.node_budget
         };
-        let mut link = Link::new(from, head.session, false, budget, now);
-        let retained = self.retained_buckets.remove(&from);
+        let mut link = Link::new(peer, session, false, budget, now);
+        let retained = self.retained_buckets.remove(&peer);
         if let Some(bucket) = retained.filter(|bucket| bucket.budget() == budget) {
             link = link.with_bucket(bucket);
         }
-        let child_budget = if relay { Budget::CONTROL } else { Budget::UP };
+        let child_budget = if is_relay {
+            Budget::CONTROL
+        } else {
+            Budget::UP
+        };
         let receive_budget = Budget {
             bytes_per_second: self.config.receive_budget_factor * child_budget.bytes_per_second,
             burst_bytes: self.config.receive_budget_factor * child_budget.burst_bytes,
         };
-        self.children.insert(
-            from,
-            Child::new(
-                link,
-                relay,
-                self.config.keepalive_interval,
-                receive_budget,
-                now,
-            ),
-        );
-        true
+        Child::new(
+            link,
+            is_relay,
+            self.config.keepalive_interval,
+            receive_budget,
+            now,
+        )
     }
 
     /// Ends a child's session and tells the child.
@@ -180,7 +190,7 @@
                 .insert(peer, child.link().bucket().clone());
         }
         for (id, selector) in child.selectors() {
-            remove_interest(&mut self.interests, selector, (peer, id));
+            remove_interest(&mut self.interests, selector, SubscriptionId { peer, id });
         }
         self.unschedule(peer);
     }
--- a/crates/distribution/src/history.rs
+++ b/crates/distribution/src/history.rs
@@ -3,11 +3,18 @@
 use crate::resource::{Change, Content, Key, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
+#[derive(Debug)]
+struct ReplacedChange {
+    change: Change,
+    /// The version of the change that replaced it.
+    successor: Version,
+}
+
 /// The previous change of each key, within a byte limit.
 #[derive(Debug)]
 pub struct ChangeHistory {
     /// The replaced change of each key, and the version of its successor.
-    previous: BTreeMap<Key, (Change, Version)>,
+    previous: BTreeMap<Key, ReplacedChange>,
     /// Keys by the version of the successor: the oldest are dropped first.
     by_successor: BTreeSet<(Version, Key)>,
     bytes: usize,
@@ -29,8 +36,13 @@
     pub fn record_replaced(&mut self, replaced: &Change, new: &Change) {
         self.forget(&new.key);
         self.bytes += replaced.size_bytes();
-        self.previous
-            .insert(new.key.clone(), (replaced.clone(), new.version));
+        self.previous.insert(
+            new.key.clone(),
+            ReplacedChange {
+                change: replaced.clone(),
+                successor: new.version,
+            },
+        );
         self.by_successor.insert((new.version, new.key.clone()));
         while self.bytes > self.max_bytes {
             let Some((_, key)) = self.by_successor.first().cloned() else {
@@ -41,10 +53,10 @@
     }
 
     fn forget(&mut self, key: &Key) {
-        let Some((replaced, successor)) = self.previous.remove(key) else {
+        let Some(ReplacedChange { change, successor }) = self.previous.remove(key) else {
             return;
         };
-        self.bytes -= replaced.size_bytes();
+        self.bytes -= change.size_bytes();
         self.by_successor.remove(&(successor, key.clone()));
     }
 
@@ -53,7 +65,7 @@
         if change.replaces == Version::ZERO {
             return Some(Content::Removed);
         }
-        let (earlier, _) = self.previous.get(&change.key)?;
+        let earlier = &self.previous.get(&change.key)?.change;
         (earlier.version == change.replaces).then(|| earlier.content.clone())
     }
 }
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -69,6 +69,7 @@
 pub mod session;
 mod session_attempts;
 pub mod session_end;
+mod staleness;
 pub mod subscriber;
 pub mod subscriptions;
 pub mod token_bucket;
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -136,11 +136,11 @@
         /// The subscription's id.
         id: u32,
         /// Whether this is the first page.
-        first: bool,
+        is_first: bool,
         /// Whether this is the last page.
-        last: bool,
+        is_last: bool,
         /// A key with a version up to this one that is not listed was removed.
-        floor: Version,
+        pruned_through: Version,
         /// Digests of the keys.
         digests: Vec<u64>,
     },
--- a/crates/distribution/src/replica.rs
+++ b/crates/distribution/src/replica.rs
@@ -6,12 +6,13 @@
 use crate::output::{Event, Output, Record};
 use crate::replica_view::ReplicaView;
 use crate::report::Report;
-use crate::resource::{Change, Key, Selector, Version};
-use crate::restore::RestoredState;
+use crate::resource::{Change, ChangeId, Key, Replacement, Selector, Version};
+use crate::restore::{RestoredState, StoredCoverage};
 use crate::session_end::CloseReason;
+use crate::staleness::KnownAge;
 use crate::upstream::Upstream;
 use crate::upstream_event::UpstreamEvent;
-use crate::{Time, DRIFT};
+use crate::Time;
 use std::collections::BTreeSet;
 
 /// The coverage is stored after this number of frames of changes at most.
@@ -23,9 +24,9 @@
     /// Keys whose change is another one, or was removed.
     pub keys: Vec<Key>,
     /// Replaced changes, each with its successor.
-    pub replaced: Vec<(Change, Change)>,
+    pub replaced: Vec<Replacement>,
     /// Changes that the present author does not have.
-    pub orphans: Vec<(Key, Version)>,
+    pub orphans: Vec<ChangeId>,
     /// Whether there is another author.
     pub has_new_epoch: bool,
     /// Whether everything that the upstream has is here.
@@ -41,7 +42,7 @@
     /// The last author's fencing token in this run.
     latest_token: u64,
     /// When the upstream last said that everything was sent, and the staleness at that time.
-    last_current: Option<(Time, Time)>,
+    last_current: Option<KnownAge>,
     stored_coverage: Coverage,
     unstored_frames: u32,
 }
@@ -49,7 +50,10 @@
 impl Replica {
     pub fn new(mut upstream: Upstream, restored: &mut RestoredState) -> Replica {
         let known = restored.coverage.remove(&Selector::Everything);
-        let (coverage, removals_known) = known.unwrap_or_default();
+        let StoredCoverage {
+            coverage,
+            removals_known,
+        } = known.unwrap_or_default();
         upstream.subscribe(Selector::Everything, coverage.clone(), removals_known);
         let log = std::mem::replace(
             &mut restored.log,
@@ -88,8 +92,7 @@
 
     /// Upper bound of the staleness in seconds, if it is known.
     pub fn staleness(&self, now: Time) -> Option<Time> {
-        self.last_current
-            .map(|(at, age)| age + (now - at).max(0.0) * (1.0 + 2.0 * DRIFT))
+        self.last_current.map(|known| known.at_time(now))
     }
 
     /// The view from which children are served.
@@ -133,7 +136,7 @@
             } => {
                 self.raise_pruned_through(removals_known, outputs);
                 if let Some(age) = age {
-                    self.last_current = Some((now, age));
+                    self.last_current = Some(KnownAge { at: now, age });
                 }
                 self.store_coverage(outputs);
                 ReplicaUpdate {
@@ -151,7 +154,7 @@
         self.latest_token = epoch.claim.token;
         // In each run again: the last one may have failed before it could report.
         let orphans = orphaned_changes(&self.log, &epoch);
-        for (key, version) in orphans.iter().cloned() {
+        for ChangeId { key, version } in orphans.iter().cloned() {
             self.upstream.queue_report(Report::Orphan { key, version });
         }
         if self
@@ -240,7 +243,10 @@
             PutOutcome::Stored => {
                 outputs.push(Output::Persist(Record::Put(change.clone())));
                 update.keys.push(change.key.clone());
-                update.replaced.extend(old.map(|old| (old, change)));
+                update.replaced.extend(old.map(|previous| Replacement {
+                    previous,
+                    successor: change,
+                }));
                 true
             }
         }
@@ -322,12 +328,15 @@
 }
 
 /// Changes of earlier authors that the present one did not have when it took over.
-pub(crate) fn orphaned_changes(log: &ChangeLog, epoch: &Epoch) -> Vec<(Key, Version)> {
+pub(crate) fn orphaned_changes(log: &ChangeLog, epoch: &Epoch) -> Vec<ChangeId> {
     let earlier = |change: &&Change| change.version.token < epoch.claim.token;
     let unknown = |change: &&Change| !epoch.known.contains(change.version);
     let orphans = log.changes().filter(earlier).filter(unknown);
     orphans
-        .map(|change| (change.key.clone(), change.version))
+        .map(|change| ChangeId {
+            key: change.key.clone(),
+            version: change.version,
+        })
         .collect()
 }
 
--- a/crates/distribution/src/resource.rs
+++ b/crates/distribution/src/resource.rs
@@ -352,5 +352,23 @@
     }
 }
 
+/// A change that a later one of the same key has replaced.
+#[derive(Clone, Debug)]
+pub struct Replacement {
+    /// The replaced change.
+    pub previous: Change,
+    /// The change that replaced it.
+    pub successor: Change,
+}
+
+/// A change by its key and its version.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ChangeId {
+    /// The key.
+    pub key: Key,
+    /// The version.
+    pub version: Version,
+}
+
 /// Bytes of a change beside its names and its body.
 pub const CHANGE_OVERHEAD_BYTES: usize = 96;
--- a/crates/distribution/src/restore.rs
+++ b/crates/distribution/src/restore.rs
@@ -4,22 +4,31 @@
 use crate::epoch::Epoch;
 use crate::log::{Capacity, ChangeLog};
 use crate::output::Record;
-use crate::resource::{Change, Name, Selector, Version};
+use crate::resource::{Change, Name, Replacement, Selector, Version};
 use std::collections::BTreeMap;
 
+/// The stored coverage of a selector.
+#[derive(Clone, Debug, Default)]
+pub struct StoredCoverage {
+    /// The covered versions.
+    pub coverage: Coverage,
+    /// All removals up to this version are known.
+    pub removals_known: Version,
+}
+
 /// The state that the records give.
 #[derive(Debug)]
 pub struct RestoredState {
     /// The latest changes.
     pub log: ChangeLog,
-    /// For each selector the coverage, and the version up to which removals are known.
-    pub coverage: BTreeMap<Selector, (Coverage, Version)>,
+    /// The coverage of each selector.
+    pub coverage: BTreeMap<Selector, StoredCoverage>,
     /// The term of the last known author.
     pub epoch: Option<Epoch>,
     /// The changes that a node had applied.
     pub applied: BTreeMap<Name, Change>,
     /// Replaced changes, each with its successor, in order.
-    pub replaced: Vec<(Change, Change)>,
+    pub replaced: Vec<Replacement>,
 }
 
 impl RestoredState {
@@ -68,7 +77,13 @@
                 coverage,
                 removals_known: floor,
             } if coverage.is_valid() => {
-                self.coverage.insert(selector, (coverage, floor));
+                self.coverage.insert(
+                    selector,
+                    StoredCoverage {
+                        coverage,
+                        removals_known: floor,
+                    },
+                );
             }
             Record::Covered { .. } => {}
             Record::Unsubscribed(selector) => {
@@ -79,7 +94,10 @@
 
     fn put(&mut self, change: Change) {
         if let Some(old) = self.log.get(&change.key) {
-            self.replaced.push((old.clone(), change.clone()));
+            self.replaced.push(Replacement {
+                previous: old.clone(),
+                successor: change.clone(),
+            });
         }
         self.log.put(change);
     }
--- a/crates/distribution/src/subscriber.rs
+++ b/crates/distribution/src/subscriber.rs
@@ -15,9 +15,10 @@
 use crate::report::Report;
 use crate::resource::{Change, Content, Key, Name, NodeFraction, Selector, Slot, Urgency, Version};
 use crate::restore::RestoredState;
+use crate::staleness::KnownAge;
 use crate::upstream::Upstream;
 use crate::upstream_config::UpstreamConfig;
-use crate::{Time, DRIFT};
+use crate::Time;
 use reelfall_lease::token::LeaseName;
 use std::collections::BTreeSet;
 use thiserror::Error;
@@ -49,6 +50,13 @@
 #[error("{most} subscriptions at most", most = crate::child::MAX_SUBSCRIPTIONS)]
 pub struct TooManySubscriptions;
 
+/// The last acknowledgement that was reported.
+#[derive(Clone, Copy, Debug)]
+struct SentAcknowledgement {
+    at: Time,
+    version: Version,
+}
+
 /// The replica of a node, and what it has applied.
 #[derive(Debug)]
 pub struct Subscriber {
@@ -59,9 +67,9 @@
     /// Restored resources that have not been compared with what is applied.
     unverified: Vec<Name>,
     /// When everything was last known to be here, and the staleness at that time.
-    last_current: Option<(Time, Time)>,
+    last_current: Option<KnownAge>,
     head: Version,
-    last_acknowledgement: Option<(Time, Version)>,
+    last_acknowledgement: Option<SentAcknowledgement>,
     stored_at: Time,
     /// Subscriptions whose coverage was stored, and which have received nothing since.
     stored_selectors: BTreeSet<Selector>,
@@ -104,8 +112,8 @@
             now,
         );
         let stored = restored.coverage.keys().cloned().collect();
-        for (selector, (coverage, floor)) in restored.coverage {
-            upstream.subscribe(selector.clone(), coverage, floor);
+        for (selector, stored) in restored.coverage {
+            upstream.subscribe(selector.clone(), stored.coverage, stored.removals_known);
             announce_changes(&mut upstream, &restored.log, &selector);
         }
         let stored_names = restored.log.changes().map(|change| change.key.name.clone());
@@ -118,7 +126,7 @@
             unverified: unchecked,
             log: restored.log,
             applied: AppliedResources::restore(restored.applied),
-            last_current: age.map(|age| (now, age)),
+            last_current: age.map(|age| KnownAge { at: now, age }),
             head: Version::ZERO,
             last_acknowledgement: None,
             stored_at: f64::NEG_INFINITY,
@@ -193,10 +201,8 @@
 
     /// Upper bound of the staleness of the complete subscriptions, in seconds; infinite if it is unknown.
     pub fn staleness(&self, now: Time) -> Time {
-        match self.last_current {
-            Some((at, age)) => age + (now - at).max(0.0) * (1.0 + 2.0 * DRIFT),
-            None => f64::INFINITY,
-        }
+        self.last_current
+            .map_or(f64::INFINITY, |known| known.at_time(now))
     }
 
     /// The version up to which everything is known.
@@ -223,7 +229,10 @@
         if now < self.next_acknowledgement_at() {
             return;
         }
-        self.last_acknowledgement = Some((now, self.head));
+        self.last_acknowledgement = Some(SentAcknowledgement {
+            at: now,
+            version: self.head,
+        });
         self.upstream.queue_report(Report::Acknowledged {
             node: self.config.node,
             version: self.head,
@@ -236,8 +245,10 @@
         }
         match self.last_acknowledgement {
             None => self.clock,
-            Some((at, version)) if version < self.head => at + self.config.acknowledgement_interval,
-            Some((at, _)) => at + ACKNOWLEDGEMENT_REFRESH_INTERVAL,
+            Some(sent) if sent.version < self.head => {
+                sent.at + self.config.acknowledgement_interval
+            }
+            Some(sent) => sent.at + ACKNOWLEDGEMENT_REFRESH_INTERVAL,
         }
     }
 
--- a/crates/distribution/src/subscriber/receive.rs
+++ b/crates/distribution/src/subscriber/receive.rs
@@ -9,7 +9,8 @@
 use crate::peer::PeerId;
 use crate::replica::{keys_not_listed, missing_versions, orphaned_changes};
 use crate::report::Report;
-use crate::resource::{Change, Key, Selector, Version};
+use crate::resource::{Change, ChangeId, Key, Selector, Version};
+use crate::staleness::KnownAge;
 use crate::upstream_event::UpstreamEvent;
 use crate::Time;
 use std::collections::BTreeSet;
@@ -57,7 +58,7 @@
             return;
         }
         self.latest_token = epoch.claim.token;
-        for (key, version) in orphaned_changes(&self.log, &epoch) {
+        for ChangeId { key, version } in orphaned_changes(&self.log, &epoch) {
             self.upstream.queue_report(Report::Orphan { key, version });
         }
         let known = self.epoch.as_ref();
@@ -144,7 +145,7 @@
         outputs: &mut Vec<Output>,
     ) {
         if let Some(age) = age {
-            self.last_current = Some((now, age));
+            self.last_current = Some(KnownAge { at: now, age });
             self.head = self.head.max(head);
         }
         let store_all = now >= self.stored_at + COVERAGE_STORE_INTERVAL;
--- a/crates/distribution/src/upstream/receive.rs
+++ b/crates/distribution/src/upstream/receive.rs
@@ -79,9 +79,9 @@
             Payload::Chunk { id, span, chunk } => self.handle_chunk(now, receipt, id, span, chunk),
             Payload::Manifest {
                 id,
-                first,
-                last,
-                floor,
+                is_first: first,
+                is_last: last,
+                pruned_through: floor,
                 digests,
             } => {
                 let page = ManifestDigests {
--- a/crates/distribution/tests/any_bytes.rs
+++ b/crates/distribution/tests/any_bytes.rs
@@ -139,9 +139,9 @@
         (0..3u32, any::<bool>(), any::<bool>(), 0..9u64).prop_map(|(id, first, last, floor)| {
             Payload::Manifest {
                 id,
-                first,
-                last,
-                floor: version(floor),
+                is_first: first,
+                is_last: last,
+                pruned_through: version(floor),
                 digests: vec![1],
             }
         }),
--- a/crates/distribution/tests/golden.rs
+++ b/crates/distribution/tests/golden.rs
@@ -180,9 +180,9 @@
         },
         Payload::Manifest {
             id: 3,
-            first: true,
-            last: false,
-            floor: version(3),
+            is_first: true,
+            is_last: false,
+            pruned_through: version(3),
             digests: vec![1, u64::MAX],
         },
         current(Some(1_500_000)),
--- a/crates/distribution/tests/parts.rs
+++ b/crates/distribution/tests/parts.rs
@@ -370,7 +370,10 @@
         restored.applied[&Name::service("a", "x")].version,
         version(3)
     );
-    assert_eq!(restored.coverage[&selector].0, Coverage::up_to(version(1)));
+    assert_eq!(
+        restored.coverage[&selector].coverage,
+        Coverage::up_to(version(1))
+    );
     let end = change("x", 1, Content::Removed);
     let gone = [
         Record::Unsubscribed(selector),
