--- a/crates/cluster/src/fleet/incarnations.rs
+++ b/crates/cluster/src/fleet/incarnations.rs
@@ -12,7 +12,7 @@
 /// How long a process whose name another one has publishes nothing, in seconds.
 pub const CONFLICT_PAUSE: Time = 60.0;
 
-/// The greatest incarnation of each name, so that a restarted process can be told of those before it.
+/// The greatest incarnation of each name, so that a restarted process can be notified of its predecessors.
 #[derive(Default)]
 pub(super) struct KnownIncarnations {
     by_name: HashMap<String, Incarnation>,
--- a/crates/cluster/src/fleet/mod.rs
+++ b/crates/cluster/src/fleet/mod.rs
@@ -45,7 +45,7 @@
 
 /// Maximum number of other processes whose clocks and incarnations are remembered.
 pub const MAX_PEERS: usize = 4096;
-/// A node that has heard no other for so long, in seconds, assumes that it is partitioned and asks to join again.
+/// A node that was in contact with no other for this time, in seconds, assumes that it is partitioned and announces itself.
 pub const ISOLATION_TIMEOUT: Time = 3.0;
 /// Delay of an announcement once the node is isolated, in seconds.
 const ISOLATED_ANNOUNCE_DELAY: Time = 0.5;
@@ -78,13 +78,13 @@
     pub dropped: BTreeMap<DropReason, u64>,
     /// Entries ignored, since nothing proved how old they were.
     pub unproven: u64,
-    /// Entries ignored, since they had expired when they came.
+    /// Entries ignored, since they had expired when they were received.
     pub expired: u64,
-    /// Entries rejected: there was no room, or no node can have created them.
+    /// Entries rejected: the table was full, or they were invalid.
     pub rejected: u64,
 }
 
-/// One node's part in a fleet. See the module.
+/// One node's part in a fleet.
 pub struct Fleet {
     config: Config,
     secret: Secret,
@@ -95,7 +95,7 @@
     rng: Pcg64Mcg,
     incarnations: KnownIncarnations,
     claims: NameClaims,
-    /// Peers that were asked for an echo, so that they can be sent entries.
+    /// Peers that an echo was requested from, so that they can be sent entries.
     awaiting_echo: BTreeSet<u64>,
     next_gossip: Time,
     next_anti_entropy: Time,
@@ -111,7 +111,7 @@
     /// Bans of this node that have no end of their own.
     permanent_bans: BTreeSet<Key>,
     outgoing: VecDeque<(SocketAddr, Vec<u8>)>,
-    /// Application messages that have come.
+    /// Application messages that were received.
     messages: VecDeque<(Node, Vec<u8>)>,
     events: VecDeque<FleetEvent>,
     counters: Counters,
--- a/crates/cluster/src/fleet/query.rs
+++ b/crates/cluster/src/fleet/query.rs
@@ -14,7 +14,7 @@
     pub server: ServerInstance,
     /// The votes on it.
     pub votes: Votes,
-    /// Whether it is this node's turn to probe it.
+    /// Whether this node checks its health in the present interval.
     pub is_prober: bool,
     /// How long this can hold without further reports, in seconds.
     pub left: Time,
@@ -103,12 +103,12 @@
         let votes = self.votes(now);
         let votes = votes.iter().map(|(server, votes)| (*server, *votes));
         let condemned = quorum::condemned(votes, listed, &self.config.quorum);
-        let turn = (now / self.config.trial_every) as u64;
+        let interval = (now / self.config.trial_every) as u64;
         let (me, nodes) = (self.members.me().name.as_str(), self.members.count() + 1);
         let to_condemned = |(server, votes): (&ServerInstance, Votes)| CondemnedServer {
             server: server.clone(),
             votes,
-            is_prober: quorum::is_prober(server, turn, me, nodes),
+            is_prober: quorum::is_prober(server, interval, me, nodes),
             left: self.condemned_for(server, now),
         };
         condemned.into_iter().map(to_condemned).collect()
--- a/crates/cluster/src/fleet/receive.rs
+++ b/crates/cluster/src/fleet/receive.rs
@@ -35,7 +35,7 @@
         if let Some(newer) = header.newer_incarnation {
             self.handle_newer_incarnation(now, newer);
         }
-        self.members.note_heard(now);
+        self.members.record_contact(now);
         if !header.swim.is_empty() {
             self.members.receive(now, &header.swim);
         }
--- a/crates/cluster/src/freshness.rs
+++ b/crates/cluster/src/freshness.rs
@@ -13,23 +13,23 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, VecDeque};
 
-/// A peer's clock is echoed for so long after it was heard, in seconds; the error grows with that by [`DRIFT`].
+/// A peer's clock is echoed for this time after it was received, in seconds; the error grows with that by [`DRIFT`].
 pub const MAX_ECHO_AGE: Time = 120.0;
 /// Entries in a datagram that may have been in transit for longer, in seconds, are ignored.
 pub const MAX_TRANSIT: Time = 60.0;
 /// Number of a peer's last datagrams for which duplicates are detected.
 const REPLAY_WINDOW: u64 = 64;
 
-/// What a writer last heard of its reader's clock.
+/// The last value of its reader's clock that a writer has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockEcho {
-    /// The time that was heard, in microseconds of the reader's clock.
+    /// The value, in microseconds of the reader's clock.
     pub clock_us: u64,
-    /// How long ago the writer heard it, in microseconds of the writer's clock, rounded down.
+    /// How long ago the writer received it, in microseconds of the writer's clock, rounded down.
     pub held_us: u64,
 }
 
-/// How long a datagram with this echo can have been in transit at most, in seconds; `None` if that can't be told.
+/// How long a datagram with this echo can have been in transit at most, in seconds; `None` if that is unknown.
 pub fn max_transit(now: Time, echo: ClockEcho) -> Option<Time> {
     let since = now - echo.clock_us as f64 / MICROS_PER_SECOND;
     let held = echo.held_us as f64 / MICROS_PER_SECOND;
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -155,7 +155,7 @@
     }
 
     /// Notes that a datagram of any kind was received from another node.
-    pub fn note_heard(&mut self, now: Time) {
+    pub fn record_contact(&mut self, now: Time) {
         self.last_contact = now;
     }
 
--- a/crates/cluster/src/observer.rs
+++ b/crates/cluster/src/observer.rs
@@ -14,7 +14,7 @@
 
 /// Outcomes count for so long, in seconds.
 pub const WINDOW: Time = 5.0;
-/// Maximum number of outcomes kept per server; the latest count.
+/// Maximum number of outcomes stored per server; the latest count.
 pub const MAX_OUTCOMES: usize = 32;
 /// Maximum number of servers that are observed.
 pub const MAX_SERVERS: usize = 4096;
@@ -66,7 +66,7 @@
     }
 
     /// Whether the server answered anything, be it that it fails.
-    fn is_heard(self) -> bool {
+    fn is_response(self) -> bool {
         matches!(
             self,
             AttemptOutcome::Answered
@@ -104,7 +104,7 @@
 struct Observations {
     outcomes: VecDeque<(Time, AttemptOutcome)>,
     /// When the server last answered anything.
-    heard_at: Time,
+    last_response_at: Time,
     /// Number of overdue attempts.
     overdue: usize,
     /// When the latest overdue attempt became late.
@@ -212,7 +212,7 @@
         })
     }
 
-    /// When the last evidence came.
+    /// When the last evidence was recorded.
     fn last_evidence(&self) -> Time {
         let ended = self.outcomes.back().map_or(f64::MIN, |(at, _)| *at);
         if self.overdue > 0 {
@@ -251,8 +251,7 @@
         }
     }
 
-    /// The observations of a server. A new server has to wait until another one is forgotten: nobody can push out what is
-    /// known of others.
+    /// The observations of a server; `None` for a new server at the limit, which evicts no other.
     fn observations(&mut self, server: &ServerInstance) -> Option<&mut Observations> {
         if !self.servers.contains_key(server) {
             if self.servers.len() >= MAX_SERVERS {
@@ -268,8 +267,8 @@
         let Some(observations) = self.observations(server) else {
             return;
         };
-        if outcome.is_heard() {
-            observations.heard_at = now;
+        if outcome.is_response() {
+            observations.last_response_at = now;
         }
         if observations.outcomes.len() >= MAX_OUTCOMES {
             observations.outcomes.pop_front();
@@ -291,7 +290,9 @@
             late_from,
         } in attempts
         {
-            let observations = self.observations(server).filter(|o| o.heard_at <= *since);
+            let observations = self
+                .observations(server)
+                .filter(|o| o.last_response_at <= *since);
             let Some(observations) = observations else {
                 continue;
             };
--- a/crates/cluster/src/table.rs
+++ b/crates/cluster/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of entries that a node holds: a replicated map, kept in step with others by gossip and anti-entropy.
+//! The table of entries that a node holds: a map that is replicated by gossip and anti-entropy.
 //!
 //! | state of an entry | owner | ends |
 //! | --- | --- | --- |
@@ -33,7 +33,7 @@
     Unchanged,
     /// It has expired.
     Expired,
-    /// There is no room, or it is invalid.
+    /// The table is full, or the entry is invalid.
     Rejected,
 }
 
@@ -98,7 +98,7 @@
     }
 }
 
-/// The table. See the module.
+/// The table of entries that a node holds.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     entries: BTreeMap<Key, HeldEntry>,
@@ -152,7 +152,7 @@
                 }
                 Ordering::Greater => {}
             }
-        } else if !self.make_room(&entry) {
+        } else if !self.ensure_capacity(&entry) {
             return MergeOutcome::Rejected;
         }
         self.remove(&entry.key);
@@ -160,7 +160,7 @@
         MergeOutcome::Updated
     }
 
-    /// The same entry came by a faster path: its age is known better.
+    /// Lowers the bound of an entry's age, since the entry was received by a faster path as well.
     fn reduce_age(&mut self, now: Time, entry: &Entry) {
         let Some(held) = self.entries.get(&entry.key) else {
             return;
@@ -176,8 +176,9 @@
         }
     }
 
-    /// Makes room for a new entry; returns whether there is any. A report gives way to a manual entry.
-    fn make_room(&mut self, entry: &Entry) -> bool {
+    /// Makes sure that there is capacity for a new entry, and returns whether there is. A report is evicted for a manual
+    /// entry.
+    fn ensure_capacity(&mut self, entry: &Entry) -> bool {
         if let Key::Report { by, .. } = &entry.key {
             if self
                 .reports
@@ -249,8 +250,8 @@
         }
     }
 
-    /// Drops what has expired. Whichever call notices it, the expiry is kept until it is taken: whoever acts on an entry
-    /// and never heard of its expiry would act on it for ever.
+    /// Drops the expired entries. Their keys are stored until they are taken, so that no expiry goes unreported, whichever
+    /// call notices it.
     pub fn expire(&mut self, now: Time) {
         let now_us = (now * MICROS_PER_SECOND) as u64;
         while self.expiries.first().is_some_and(|(at, _)| *at <= now_us) {
--- a/crates/cluster/src/wire.rs
+++ b/crates/cluster/src/wire.rs
@@ -122,7 +122,7 @@
     pub sequence: u64,
     /// The writer's clock, in microseconds.
     pub clock_us: u64,
-    /// What the writer last heard of the clock of `to`.
+    /// The last value of the clock of `to` that the writer has received.
     pub echo: Option<ClockEcho>,
     /// The writer has entries to send that need a proof of their age: any answer gives it an echo.
     pub requests_echo: bool,
--- a/crates/lease/src/clock.rs
+++ b/crates/lease/src/clock.rs
@@ -1,6 +1,6 @@
 //! How long holders and keepers count a lease, on clocks that drift.
 //!
-//! A holder counts from *before* it asked, a keeper from *after* it granted, so that only the rates of their clocks can
+//! A holder counts from *before* its request, a keeper from *after* it granted, so that only the rates of their clocks can
 //! bring the keeper's end before the holder's. With a drift of `r` (each clock's rate between `1 - r` and `1 + r` of true
 //! time) a keeper that counts `L` waits a true time of `L / (1 + r)` at least, and a holder that counts `H` has done so
 //! after `H / (1 - r)` at most. `H = L (1 - 2r)` is enough: `(1 - r) / (1 + r) >= 1 - 2r`.
@@ -25,7 +25,7 @@
 }
 
 impl Margins {
-    /// How long a holder counts a lease of this length, from before it asked.
+    /// How long a holder counts a lease of this length, from before its request.
     pub fn holder_length(&self, length: Micros) -> Micros {
         let slack = u128::from(length) * 2 * u128::from(self.drift_ppm);
         length.saturating_sub(u64::try_from(slack.div_ceil(PPM)).unwrap_or(u64::MAX))
--- a/crates/lease/src/holder.rs
+++ b/crates/lease/src/holder.rs
@@ -85,7 +85,7 @@
     waiting_since: Micros,
     /// The highest ballot known.
     highest_ballot: u64,
-    /// Counts requests, so that responses to earlier ones are told apart.
+    /// Counts requests, so that responses to earlier ones are recognized.
     round: u64,
     /// Consecutive failed attempts.
     failed_attempts: u32,
--- a/crates/lease/src/keeper/clients.rs
+++ b/crates/lease/src/keeper/clients.rs
@@ -5,6 +5,7 @@
 use crate::message::{
     ClientId, LogPosition, Message, Promise, Refusal, Request, Response, StorageId, Vote,
 };
+use crate::queue::Queue;
 use crate::token::LeaseName;
 use crate::Micros;
 
@@ -17,6 +18,33 @@
     records: 0,
 };
 
+/// A client's request for a promise.
+struct Prepare<'a> {
+    client: &'a ClientId,
+    lease: &'a LeaseName,
+    ballot: u64,
+    length: Micros,
+    waited: Micros,
+}
+
+impl Prepare<'_> {
+    /// Adds the client to the queue of the lease. Returns why the request is refused: the given reason, or that the queue
+    /// is full.
+    fn enqueue(
+        &self,
+        now: Micros,
+        queue: &mut Queue,
+        max_waiters: usize,
+        reason: Refusal,
+    ) -> Refusal {
+        if queue.enqueue(now, self.client, self.waited, max_waiters) {
+            reason
+        } else {
+            Refusal::AtCapacity
+        }
+    }
+}
+
 impl Keeper {
     /// Handles a request from a client.
     pub fn handle_request(&mut self, now: Micros, from: &ClientId, request: Request) {
@@ -27,16 +55,23 @@
                 ballot,
                 length,
                 waited,
-            } => Some(
-                match self.promise(now, from, &lease, ballot, length, waited) {
+            } => {
+                let prepare = Prepare {
+                    client: from,
+                    lease: &lease,
+                    ballot,
+                    length,
+                    waited,
+                };
+                Some(match self.promise(now, &prepare) {
                     Ok(()) => Response::Promised {
                         lease,
                         round,
                         vote: self.vote(),
                     },
                     Err(reason) => self.refuse(lease, round, reason),
-                },
-            ),
+                })
+            }
             Request::Grant {
                 lease,
                 round,
@@ -83,17 +118,16 @@
         Vote { own, peers }
     }
 
-    /// Nobody is promised a lease that is granted to somebody else, and no ballot is promised twice: the safety of leases
-    /// rests on this.
-    fn promise(
-        &mut self,
-        now: Micros,
-        from: &ClientId,
-        lease: &LeaseName,
-        ballot: u64,
-        length: Micros,
-        waited: Micros,
-    ) -> Result<(), Refusal> {
+    /// Promises a ballot to a client. The safety of leases rests on this: nobody is promised a lease that is granted to
+    /// somebody else, and no ballot is promised twice.
+    fn promise(&mut self, now: Micros, prepare: &Prepare) -> Result<(), Refusal> {
+        let Prepare {
+            client,
+            lease,
+            ballot,
+            length,
+            ..
+        } = *prepare;
         if !self.recovery.is_voting() {
             return Err(Refusal::NotVoting);
         }
@@ -101,52 +135,41 @@
             return Err(Refusal::InvalidLength);
         }
         self.ensure_capacity(now, lease)?;
-        let (config, promised) = (self.config, self.state.promised_ballot(lease));
+        let config = self.config;
+        let promised_ballot = self.state.promised_ballot(lease);
         let is_own = self
             .state
             .leases
             .get(lease)
-            .is_some_and(|p| p.client.as_ref() == Some(from));
-        let is_repeated = is_own && ballot == promised;
+            .is_some_and(|promise| promise.client.as_ref() == Some(client));
         let volatile = self.leases.entry(lease.clone()).or_default();
         volatile.last_use = config.round_use(now);
-        if let Some(until) = volatile
+        let granted_to_other = volatile
             .granted_until
-            .filter(|until| *until > now && !is_own)
-        {
-            let has_room = volatile
-                .queue
-                .enqueue(now, from, waited, config.max_waiters);
-            return Err(if has_room {
-                Refusal::Held { left: until - now }
-            } else {
-                Refusal::AtCapacity
-            });
+            .filter(|until| *until > now && !is_own);
+        if let Some(until) = granted_to_other {
+            let reason = Refusal::Held { left: until - now };
+            return Err(prepare.enqueue(now, &mut volatile.queue, config.max_waiters, reason));
         }
+        let is_repeated = is_own && ballot == promised_ballot;
         if is_repeated {
             return Ok(());
         }
-        if ballot <= promised {
+        if ballot <= promised_ballot {
             return Err(Refusal::StaleBallot);
         }
-        // A greater ballot of the same process: whatever it held before, it holds no more.
+        // A greater ballot of the same process releases whatever it was granted before.
         volatile.granted_until = None;
-        if !volatile
+        let may_acquire = volatile
             .queue
-            .may_acquire(now, from, &config.queue_timeouts)
-        {
-            let has_room = volatile
-                .queue
-                .enqueue(now, from, waited, config.max_waiters);
-            return Err(if has_room {
-                Refusal::NotFirstInQueue
-            } else {
-                Refusal::AtCapacity
-            });
+            .may_acquire(now, client, &config.queue_timeouts);
+        if !may_acquire {
+            let reason = Refusal::NotFirstInQueue;
+            return Err(prepare.enqueue(now, &mut volatile.queue, config.max_waiters, reason));
         }
         let promise = Promise {
             ballot,
-            client: Some(from.clone()),
+            client: Some(client.clone()),
             length,
         };
         self.append(Record::Promised(lease.clone(), promise));
@@ -192,19 +215,19 @@
         })
     }
 
-    /// Records the keepers that this one grants with, so that none of them can come back with less than it had.
+    /// Records the keepers that this one grants with, so that none of them can return with an older folder unnoticed.
     fn record_peers(&mut self, peers: &[Option<LogPosition>]) {
         let (me, keepers) = (self.me, self.keepers);
-        for (n, position) in peers
+        for (keeper, position) in peers
             .iter()
             .enumerate()
-            .filter(|(n, _)| *n != me && *n < keepers)
+            .filter(|(keeper, _)| *keeper != me && *keeper < keepers)
         {
-            let known = self.state.peers.get(&(n as u8));
+            let known = self.state.peers.get(&(keeper as u8));
             let newer = position.filter(|position| known.is_none_or(|known| known < position));
             if let Some(position) = newer {
-                self.append(Record::Peer(n as u8, position));
-                self.peer_positions[n] = self.peer_positions[n].max(Some(position));
+                self.append(Record::Peer(keeper as u8, position));
+                self.peer_positions[keeper] = self.peer_positions[keeper].max(Some(position));
             }
         }
     }
--- a/crates/lease/src/keeper/mod.rs
+++ b/crates/lease/src/keeper/mod.rs
@@ -38,7 +38,7 @@
     pub max_waiters: usize,
     /// Time limits of the queues.
     pub queue_timeouts: QueueTimeouts,
-    /// A lease that no client has asked for in so long is evicted, in microseconds.
+    /// A lease that no client has requested for this time, in microseconds, is evicted.
     pub evict_after: Micros,
 }
 
@@ -92,7 +92,7 @@
     /// This ballot was released: a late grant request for it counts for nothing.
     released: Option<u64>,
     queue: Queue,
-    /// When a client last asked for it, rounded.
+    /// When a client last requested it, rounded.
     last_use: Micros,
 }
 
--- a/crates/lease/src/keeper/peers.rs
+++ b/crates/lease/src/keeper/peers.rs
@@ -127,7 +127,7 @@
             self.append(Record::Floor(promise.ballot));
             return;
         }
-        // The longest length that any peer tells: after a restart the disk alone says for how long nobody gets the lease.
+        // The longest length of all peers: after a restart only the disk states for how long nobody is granted the lease.
         let own = self
             .state
             .leases
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -25,7 +25,7 @@
 pub struct StorageId {
     /// Counts the folders that this keeper name has had.
     pub generation: u32,
-    /// Random, so that two folders created at the same time are told apart.
+    /// Random, so that two folders created at the same time are distinct.
     pub tag: u64,
 }
 
@@ -50,7 +50,7 @@
 /// A request from a client to a keeper.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Request {
-    /// Asks for a promise that no lower ballot is granted the lease.
+    /// Requests a promise that no lower ballot is granted the lease.
     Prepare {
         /// The lease.
         lease: LeaseName,
@@ -63,7 +63,7 @@
         /// How long the client has been waiting for the lease, in microseconds.
         waited: Micros,
     },
-    /// Asks to grant or to renew the lease from now on.
+    /// Requests that the lease is granted or renewed from now on.
     Grant {
         /// The lease.
         lease: LeaseName,
@@ -181,7 +181,7 @@
 /// A message between keepers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Announces the sender's log position and asks what the receiver has recorded of it.
+    /// Announces the sender's log position and queries what the receiver has recorded of it.
     PositionQuery {
         /// The sender's position; `None` if its folder is empty.
         own: Option<LogPosition>,
@@ -193,7 +193,7 @@
         /// Whether the sender votes.
         voting: bool,
     },
-    /// Asks for a page of the promises to leases whose names come after this one.
+    /// Requests a page of the promises to leases whose names come after this one.
     PromiseQuery {
         /// The last name of the previous page; `None` for the first page.
         after: Option<LeaseName>,
--- a/crates/lease/src/queue.rs
+++ b/crates/lease/src/queue.rs
@@ -18,11 +18,11 @@
     client: ClientId,
     /// When the wait began, by this keeper's clock; negative if it began before the clock did.
     since: i64,
-    /// When the client last asked.
+    /// When its last request was received.
     last_request: Micros,
 }
 
-/// The clients that wait for one lease. See the module.
+/// The clients that wait for one lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Queue {
     waiters: Vec<Waiter>,
@@ -37,12 +37,12 @@
 pub struct QueueTimeouts {
     /// The time that a client has to acquire the lease in its turn, in microseconds.
     pub turn: Micros,
-    /// A client that has not asked for so long, in microseconds, leaves the queue.
+    /// A client that has sent no request for this time, in microseconds, is removed from the queue.
     pub idle: Micros,
 }
 
 impl Queue {
-    /// Adds a client whose request was refused; returns whether there is room for it.
+    /// Adds a client whose request was refused. Returns whether the queue has capacity for it.
     pub fn enqueue(
         &mut self,
         now: Micros,
