--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -265,3 +265,6 @@
         Ok(index)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/node/src/net/service/tests.rs
+++ b/crates/node/src/net/service/tests.rs
@@ -287,6 +287,8 @@
             .replace("[[service.class]]", "registry = { name = \"r\", path = \"/z\" }\n[[service.class]]");
         let wrong = HEAD.to_owned() + registry + &changed + &follower;
         let fault = services.apply(prepare(&services, &wrong)).err().map(|error| error.to_string());
+        let expected = "service `z`: /none: No such file or directory (os error 2)";
+        assert_eq!(fault.as_deref(), Some(expected));
         assert!(fault.is_some_and(|fault| fault.contains("service `z`") && fault.contains("/none")));
         assert!(services.current_plan().is_some_and(|now| Arc::ptr_eq(&now, &before)));
         assert!(!first[0].is_draining.get());
