--- a/crates/distribution/src/author/rollouts/advance.rs
+++ b/crates/distribution/src/author/rollouts/advance.rs
@@ -1,6 +1,6 @@
 //! Checks open rollouts: begins the next stage, completes, halts or rolls back.
 
-use super::{progress_of, Author, Rollout, RolloutProgress};
+use super::{progress_of, Author, CurrentStage, Rollout, RolloutProgress};
 use crate::output::{Event, Output};
 use crate::publish::PendingChange;
 use crate::resource::{Draft, Key, Name, Slot, Urgency};
@@ -10,7 +10,7 @@
 use crate::Time;
 
 impl Author {
-    /// Looks at all rollouts that are open, if that is due.
+    /// Checks all open rollouts, if that is due.
     pub(in crate::author) fn check_rollouts(&mut self, now: Time, outputs: &mut Vec<Output>) {
         if now < self.rollouts.next_check_at {
             return;
@@ -43,9 +43,12 @@
                 return self.end_rollout(now, name, RolloutState::Ended, false, outputs)
             }
         };
-        let (_, since) = *rollout.stage.insert(match rollout.stage {
-            Some(stage) if stage.0 == canary.version => stage,
-            _ => (canary.version, now),
+        let current = *rollout.stage.insert(match rollout.stage {
+            Some(stage) if stage.version == canary.version => stage,
+            _ => CurrentStage {
+                version: canary.version,
+                began_at: now,
+            },
         });
         let Rollout {
             record,
@@ -61,7 +64,7 @@
             reports_since: self.rollouts.writing_since,
         };
         let counts = stage::count_nodes(now, stage, policy, &self.node_statuses, rejecting_nodes);
-        let verdict = stage::evaluate(policy, counts, now - since);
+        let verdict = stage::evaluate(policy, counts, now - current.began_at);
         let on_refusals = policy.on_rejections;
         rollout.counts = counts;
         rollout.waiting = None;
@@ -85,7 +88,7 @@
         }
     }
 
-    /// The next stage begins, or the last one is over.
+    /// Begins the next stage, or completes the rollout after the last one.
     pub(super) fn advance_stage(
         &mut self,
         now: Time,
@@ -116,7 +119,10 @@
         match self.publish_pending(now, vec![PendingChange::canary(draft, fraction)], outputs) {
             Ok(version) => {
                 if let Some(rollout) = self.rollouts.by_name.get_mut(name) {
-                    rollout.stage = Some((version, now));
+                    rollout.stage = Some(CurrentStage {
+                        version,
+                        began_at: now,
+                    });
                 }
                 let name = name.clone();
                 outputs.push(Output::Event(Event::RolloutAdvanced {
@@ -145,7 +151,7 @@
         }
     }
 
-    /// A rollout goes on no more by itself. `ends_trial`: nor does its trial, with the same write.
+    /// Ends or halts a rollout; `ends_trial`: the canary ends, too.
     pub(super) fn end_rollout(
         &mut self,
         now: Time,
@@ -159,7 +165,7 @@
         };
         let (mut record, counts) = (rollout.record.clone(), rollout.counts);
         record.state = state;
-        // Without room for the record the trial ends all the same.
+        // The canary ends even if there is no capacity for the record.
         if self
             .publish_pending(now, vec![PendingChange::record(&record)], outputs)
             .is_err()
@@ -199,8 +205,8 @@
         outputs.push(Output::Event(Event::CapacityExceeded { key, version }));
     }
 
-    /// What releases the trial of a record: latest last, so that a link carries the change for all nodes before the trial's
-    /// end.
+    /// The changes that promote a canary. The stable change has the later version, so a link sends it before the
+    /// canary's end.
     pub(super) fn promotion_of(&self, record: &RolloutRecord) -> Vec<PendingChange> {
         let key = Key {
             name: record.name.clone(),
@@ -218,7 +224,7 @@
         vec![PendingChange::end_of_canary(name, urgency), stable]
     }
 
-    /// Ends the trial of a record, if it is still there.
+    /// Ends a rollout's canary, if it is still there.
     pub(super) fn end_canary(
         &mut self,
         now: Time,
@@ -231,7 +237,7 @@
         };
         if record.own_canary(self.log().get(&key)).is_some() {
             let end = PendingChange::end_of_canary(record.name.clone(), Urgency::Urgent);
-            // It takes less room than the trial, so there is room for it.
+            // The removal is smaller than the canary, so the log has capacity for it.
             self.append_all(now, vec![end], outputs);
         }
     }
--- a/crates/distribution/src/downstream.rs
+++ b/crates/distribution/src/downstream.rs
@@ -1,4 +1,4 @@
-//! The children of a relay or of an author.
+//! The children of a relay or of an author: their sessions, subscriptions and wakeups.
 
 mod admission;
 
@@ -16,42 +16,64 @@
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// See the module.
+/// All children, and the budgets of those that have left.
 #[derive(Debug)]
 pub struct Downstream {
     config: DownstreamConfig,
     rng: SeededRng,
     children: BTreeMap<PeerId, Child>,
-    interests: BTreeMap<Selector, BTreeSet<(PeerId, u32)>>,
-    /// Budgets of children that have gone: a new session brings no new budget.
+    interests: BTreeMap<Selector, BTreeSet<SubscriptionId>>,
+    /// Budgets of children that have left: a new session brings no new budget.
     retained_buckets: BTreeMap<PeerId, TokenBucket>,
-    /// Who sent more than it may is not heard until then.
+    /// Frames of these peers are ignored until a time, since they exceeded their budget or broke the protocol.
     banned_until: BTreeMap<PeerId, Time>,
     session_bucket: TokenBucket,
     wakeups: BTreeMap<PeerId, Time>,
-    due: BTreeSet<(u64, PeerId)>,
+    due: BTreeSet<Wakeup>,
     has_fencing_notice: bool,
 }
 
-/// The longest that a child that broke the rules is not heard, in seconds.
+/// Seconds for which the frames of a child that broke the protocol are ignored.
 pub const BAN_DURATION: Time = 30.0;
 
-/// A child is looked at so often at most without a cause, in seconds.
+/// Shortest time between two polls of a child without cause, in seconds.
 const MIN_WAKEUP_INTERVAL: Time = 1e-3;
 
-/// For so many times as many peers as there may be children, budgets are kept.
+/// Buckets are retained for this multiple of the allowed number of children.
 const RETAINED_BUCKETS_PER_CHILD: usize = 4;
 
-/// What one new session takes of the bucket of new sessions.
+/// What one new session takes from the bucket of new sessions.
 const SESSION_COST: f64 = 100.0;
 
-/// Moments are not negative, so their bits are in their order.
-fn sortable_bits(time: Time) -> u64 {
-    time.max(0.0).to_bits()
+/// A child's subscription.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct SubscriptionId {
+    peer: PeerId,
+    id: u32,
+}
+
+/// When a child is to be polled. The time's bits sort like the time, since times are not negative.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Wakeup {
+    time_bits: u64,
+    peer: PeerId,
+}
+
+impl Wakeup {
+    fn new(at: Time, peer: PeerId) -> Wakeup {
+        Wakeup {
+            time_bits: at.max(0.0).to_bits(),
+            peer,
+        }
+    }
+
+    fn at(&self) -> Time {
+        f64::from_bits(self.time_bits)
+    }
 }
 
 impl Downstream {
-    /// Without children.
+    /// No children.
     pub fn new(config: DownstreamConfig, seed: u64, now: Time) -> Downstream {
         let rate = config.sessions_per_second * SESSION_COST;
         Downstream {
@@ -74,12 +96,12 @@
         }
     }
 
-    /// Who the children are.
+    /// The children.
     pub fn children(&self) -> impl Iterator<Item = PeerId> + '_ {
         self.children.keys().copied()
     }
 
-    /// Takes a child's frame in; gives back what it reports.
+    /// Handles a child's frame; gives back its reports.
     pub fn receive(
         &mut self,
         now: Time,
@@ -160,13 +182,17 @@
                     self.interests
                         .entry(selector)
                         .or_default()
-                        .insert((from, id));
+                        .insert(SubscriptionId { peer: from, id });
                 }
             }
             Payload::Unsubscribe(items) => {
                 for id in items {
                     if let Some(selector) = child.unsubscribe(id) {
-                        remove_interest(&mut self.interests, &selector, (from, id));
+                        remove_interest(
+                            &mut self.interests,
+                            &selector,
+                            SubscriptionId { peer: from, id },
+                        );
                     }
                 }
             }
@@ -191,18 +217,18 @@
         Ok(Vec::new())
     }
 
-    /// Whether a relay has said since the last call that it has heard of a later token.
+    /// Whether a relay has reported a later fencing token since the last call.
     pub fn take_fencing_notice(&mut self) -> bool {
         std::mem::take(&mut self.has_fencing_notice)
     }
 
-    /// The log has changed at a key.
+    /// Queues the change of a key for all children that subscribe to it.
     pub fn notify_changed(&mut self, now: Time, key: &Key, replica: ReplicaView) {
         for selector in Selector::all_matching(&key.name.group) {
             let Some(interested) = self.interests.get(&selector) else {
                 continue;
             };
-            for (peer, id) in interested.clone() {
+            for SubscriptionId { peer, id } in interested.clone() {
                 if let Some(child) = self.children.get_mut(&peer) {
                     child.requeue(id, replica);
                 }
@@ -211,7 +237,7 @@
         }
     }
 
-    /// Something has changed that concerns all children.
+    /// Polls all children with the next call: something has changed for all of them.
     pub fn schedule_all(&mut self, now: Time) {
         let all: Vec<PeerId> = self.children().collect();
         for peer in all {
@@ -225,19 +251,19 @@
         }
         self.unschedule(peer);
         self.wakeups.insert(peer, at);
-        self.due.insert((sortable_bits(at), peer));
+        self.due.insert(Wakeup::new(at, peer));
     }
 
     fn unschedule(&mut self, peer: PeerId) {
         if let Some(at) = self.wakeups.remove(&peer) {
-            self.due.remove(&(sortable_bits(at), peer));
+            self.due.remove(&Wakeup::new(at, peer));
         }
     }
 
     /// Sends what is due and what the budgets allow.
     pub fn poll(&mut self, now: Time, replica: ReplicaView, outputs: &mut Vec<Output>) {
-        let due = self.due.range(..=(sortable_bits(now), PeerId(u32::MAX)));
-        let due: Vec<PeerId> = due.map(|(_, peer)| *peer).collect();
+        let due = self.due.range(..=Wakeup::new(now, PeerId(u32::MAX)));
+        let due: Vec<PeerId> = due.map(|wakeup| wakeup.peer).collect();
         for peer in due {
             let Some(child) = self.children.get_mut(&peer) else {
                 continue;
@@ -255,16 +281,14 @@
 
     /// When a child is due.
     pub fn next_wakeup(&self) -> Time {
-        self.due
-            .first()
-            .map_or(f64::INFINITY, |(bits, _)| f64::from_bits(*bits))
+        self.due.first().map_or(f64::INFINITY, Wakeup::at)
     }
 }
 
 fn remove_interest(
-    interests: &mut BTreeMap<Selector, BTreeSet<(PeerId, u32)>>,
+    interests: &mut BTreeMap<Selector, BTreeSet<SubscriptionId>>,
     selector: &Selector,
-    subscriber: (PeerId, u32),
+    subscriber: SubscriptionId,
 ) {
     if let Some(set) = interests.get_mut(selector) {
         set.remove(&subscriber);
--- a/crates/distribution/src/history.rs
+++ b/crates/distribution/src/history.rs
@@ -1,21 +1,28 @@
-//! What each key was before its latest change, for taking that change back.
+//! The previous content of each key, by which an author reverts a change.
 
 use crate::resource::{Change, Content, Key, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// See the module.
+#[derive(Debug)]
+struct ReplacedChange {
+    change: Change,
+    /// The version of the change that replaced it.
+    successor: Version,
+}
+
+/// The previous change of each key, within a byte limit.
 #[derive(Debug)]
 pub struct ChangeHistory {
-    /// Of each key, what its latest change took the place of, and that change's version.
-    previous: BTreeMap<Key, (Change, Version)>,
-    /// By the versions of the changes that took their places.
+    /// The replaced change of each key, and the version of its successor.
+    previous: BTreeMap<Key, ReplacedChange>,
+    /// Keys by the version of the successor: the oldest are dropped first.
     by_successor: BTreeSet<(Version, Key)>,
     bytes: usize,
     max_bytes: usize,
 }
 
 impl ChangeHistory {
-    /// Of so many bytes at most; of more, those that were replaced first are forgotten.
+    /// A history of `max_bytes` at most; beyond it the oldest replacements are dropped.
     pub fn new(max_bytes: usize) -> ChangeHistory {
         ChangeHistory {
             previous: BTreeMap::new(),
@@ -25,12 +32,17 @@
         }
     }
 
-    /// A change has taken the place of an earlier one.
+    /// Records that a change replaced another one.
     pub fn record_replaced(&mut self, replaced: &Change, new: &Change) {
         self.forget(&new.key);
         self.bytes += replaced.size_bytes();
-        self.previous
-            .insert(new.key.clone(), (replaced.clone(), new.version));
+        self.previous.insert(
+            new.key.clone(),
+            ReplacedChange {
+                change: replaced.clone(),
+                successor: new.version,
+            },
+        );
         self.by_successor.insert((new.version, new.key.clone()));
         while self.bytes > self.max_bytes {
             let Some((_, key)) = self.by_successor.first().cloned() else {
@@ -41,19 +53,19 @@
     }
 
     fn forget(&mut self, key: &Key) {
-        let Some((replaced, successor)) = self.previous.remove(key) else {
+        let Some(ReplacedChange { change, successor }) = self.previous.remove(key) else {
             return;
         };
-        self.bytes -= replaced.size_bytes();
+        self.bytes -= change.size_bytes();
         self.by_successor.remove(&(successor, key.clone()));
     }
 
-    /// What a change took the place of; none if that is no longer known.
+    /// The content before a change; none if it is no longer known.
     pub fn content_before(&self, change: &Change) -> Option<Content> {
         if change.replaces == Version::ZERO {
             return Some(Content::Removed);
         }
-        let (earlier, _) = self.previous.get(&change.key)?;
+        let earlier = &self.previous.get(&change.key)?.change;
         (earlier.version == change.replaces).then(|| earlier.content.clone())
     }
 }
--- a/crates/distribution/src/restore.rs
+++ b/crates/distribution/src/restore.rs
@@ -1,29 +1,38 @@
-//! What was persisted, read back.
+//! Restores a process's state from its stored records.
 
 use crate::coverage::Coverage;
 use crate::epoch::Epoch;
 use crate::log::{Capacity, ChangeLog};
 use crate::output::Record;
-use crate::resource::{Change, Name, Selector, Version};
+use crate::resource::{Change, Name, Replacement, Selector, Version};
 use std::collections::BTreeMap;
 
-/// What the records say, in their order.
+/// The stored coverage of a selector.
+#[derive(Clone, Debug, Default)]
+pub struct StoredCoverage {
+    /// The covered versions.
+    pub coverage: Coverage,
+    /// All removals up to this version are known.
+    pub removals_known: Version,
+}
+
+/// The state that the records give.
 #[derive(Debug)]
 pub struct RestoredState {
-    /// The changes.
+    /// The latest changes.
     pub log: ChangeLog,
-    /// What of each selector had come, and up to where removals are known.
-    pub coverage: BTreeMap<Selector, (Coverage, Version)>,
-    /// Who the author was.
+    /// The coverage of each selector.
+    pub coverage: BTreeMap<Selector, StoredCoverage>,
+    /// The term of the last known author.
     pub epoch: Option<Epoch>,
-    /// What was in force at a node.
+    /// The changes that a node had applied.
     pub applied: BTreeMap<Name, Change>,
-    /// Changes that others took the place of, each with its successor, in their order.
-    pub replaced: Vec<(Change, Change)>,
+    /// Replaced changes, each with its successor, in order.
+    pub replaced: Vec<Replacement>,
 }
 
 impl RestoredState {
-    /// Without records.
+    /// The state without any records.
     pub fn empty(capacity: Capacity) -> RestoredState {
         RestoredState {
             log: ChangeLog::new(capacity),
@@ -34,7 +43,8 @@
         }
     }
 
-    /// From the records that were stored. What is not sound is left out: a disk may bring anything.
+    /// From records in the order in which they were stored. Invalid ones are skipped, since a disk may return
+    /// anything.
     pub fn from_records(
         capacity: Capacity,
         records: impl IntoIterator<Item = Record>,
@@ -67,7 +77,13 @@
                 coverage,
                 removals_known: floor,
             } if coverage.is_valid() => {
-                self.coverage.insert(selector, (coverage, floor));
+                self.coverage.insert(
+                    selector,
+                    StoredCoverage {
+                        coverage,
+                        removals_known: floor,
+                    },
+                );
             }
             Record::Covered { .. } => {}
             Record::Unsubscribed(selector) => {
@@ -78,7 +94,10 @@
 
     fn put(&mut self, change: Change) {
         if let Some(old) = self.log.get(&change.key) {
-            self.replaced.push((old.clone(), change.clone()));
+            self.replaced.push(Replacement {
+                previous: old.clone(),
+                successor: change.clone(),
+            });
         }
         self.log.put(change);
     }
