--- a/crates/graphql/src/answer.rs
+++ b/crates/graphql/src/answer.rs
@@ -134,7 +134,7 @@
         }
         match (&fate, entry_response(&fate)) {
             (EntryResult::Answered(text), _) => {
-                merged.extend_from_slice(text.as_ref().trim_ascii())
+                merged.extend_from_slice(text.as_ref().trim_ascii());
             }
             (_, Some(made)) => merged.extend_from_slice(made.to_string().as_bytes()),
             (_, None) => merged.extend_from_slice(b"null"),
--- a/crates/node/src/net/graphql.rs
+++ b/crates/node/src/net/graphql.rs
@@ -173,7 +173,7 @@
         path,
         is_get: head.method == Method::GET,
         time_left: left,
-        received_at: received_at,
+        received_at,
         waiter,
     })
 }
--- a/crates/registry-client/src/registration.rs
+++ b/crates/registry-client/src/registration.rs
@@ -215,7 +215,7 @@
                 self.state = State::Idle;
             }
             Event::Response(token, response) if *token == self.token => {
-                self.handle_response(now, session, response)
+                self.handle_response(now, session, response);
             }
             Event::Watch(WatchEvent {
                 kind: WatchEventKind::Deleted,
@@ -242,7 +242,7 @@
     ) {
         match (self.state, response) {
             (State::Reading, Ok(Response::Data(data, stat))) => {
-                self.handle_entry(now, session, data, stat)
+                self.handle_entry(now, session, data, stat);
             }
             (State::Reading, Err(OperationError::NoNode)) => {
                 self.may_exist = false;
@@ -258,7 +258,7 @@
             }
             (State::Creating, Err(OperationError::NodeExists)) => self.read(),
             (State::RemovingStale, Ok(_) | Err(OperationError::NoNode)) if self.is_wanted => {
-                self.create()
+                self.create();
             }
             (State::RemovingStale, Err(OperationError::BadVersion)) => self.read(),
             (State::Deregistering, Ok(_) | Err(OperationError::NoNode)) => {
