--- a/crates/capacity/examples/state_size.rs
+++ b/crates/capacity/examples/state_size.rs
@@ -387,7 +387,7 @@
     for n in 0..size {
         let state = ListedState {
             status: ServerStatus::Up,
-            ready_at: 0.0,
+            started_at: 0.0,
             knows_start: true,
         };
         servers.update(0.0, (n / 19) as u32, &node(n).address, Some(state));
--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -252,9 +252,12 @@
     let keeper = reelfall_lease::keeper::Config::default();
     let gossip = fleet::Config::default();
     let pairs = [
-        (bound::SERVICES, check::SERVICES_MOST as f64),
-        (bound::ROUTES, check::ROUTES_MOST as f64),
-        (bound::CONNECTIONS, check::parts(1024, 128).1 as f64),
+        (bound::SERVICES, check::MAX_SERVICES as f64),
+        (bound::ROUTES, check::MAX_ROUTES as f64),
+        (
+            bound::CONNECTIONS,
+            check::ProcessShares::of_process(1024, 128).server_connections as f64,
+        ),
         (bound::PEERS, fleet::MAX_PEERS as f64),
         (bound::VERDICTS, table::MAX_ENTRIES as f64),
         (bound::DATAGRAM, wire::MAX_DATAGRAM_LEN as f64),
--- a/crates/cluster/src/quorum.rs
+++ b/crates/cluster/src/quorum.rs
@@ -29,18 +29,18 @@
     /// Number of nodes that have to report a fault.
     pub witnesses: usize,
     /// Maximum share of the list that can be condemned; one server of a short list.
-    pub most: f64,
+    pub max_condemned_share: f64,
     /// The reports of a node that finds more than this share of its list faulty are ignored; two servers are always
     /// believed.
-    pub believed: f64,
+    pub max_accused_share: f64,
 }
 
 impl Default for Quorum {
     fn default() -> Self {
         Quorum {
             witnesses: 3,
-            most: 0.2,
-            believed: 0.3,
+            max_condemned_share: 0.2,
+            max_accused_share: 0.3,
         }
     }
 }
@@ -66,7 +66,7 @@
         let faults = usize::from(report.accused);
         if report.finding.is_fault()
             && faults > ALWAYS_BELIEVED
-            && faults as f64 > quorum.believed * f64::from(report.listed)
+            && faults as f64 > quorum.max_accused_share * f64::from(report.listed)
         {
             self.ignored += 1;
             return;
@@ -121,7 +121,7 @@
         let by_majority = second.majority.cmp(&first.majority);
         by_majority.then_with(|| first.server.cmp(second.server))
     });
-    candidates.truncate(((quorum.most * listed as f64) as usize).max(1));
+    candidates.truncate(((quorum.max_condemned_share * listed as f64) as usize).max(1));
     candidates
         .into_iter()
         .map(|candidate| (candidate.server, candidate.votes))
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -34,7 +34,7 @@
 /// Maximum deadline of a class, in seconds.
 pub const MAX_DEADLINE: f64 = 60.0;
 /// Maximum number of services.
-pub const SERVICES_MOST: usize = 4_096;
+pub const MAX_SERVICES: usize = 4_096;
 /// Maximum number of listeners.
 pub const MAX_LISTENERS: usize = 256;
 /// Maximum number of classes of a service.
@@ -42,7 +42,7 @@
 /// Maximum number of tenants of a service: the number of their ids.
 pub const MAX_TENANTS: usize = core::TenantId::MAX as usize;
 /// Maximum number of routes of all services together.
-pub const ROUTES_MOST: usize = 100_000;
+pub const MAX_ROUTES: usize = 100_000;
 
 /// Descriptors that are used neither for clients nor for servers: listeners, discovery, the runtime, a margin.
 const RESERVED_DESCRIPTORS: usize = 24;
@@ -50,19 +50,39 @@
 const MIN_DESCRIPTORS: usize = 64;
 const MIN_MEMORY_BYTES: u64 = 16 << 20;
 const MIN_CLIENTS: usize = 8;
+/// The share of the available descriptors that is for connections to servers.
+const SERVER_CONNECTION_PERCENT: usize = 43;
+/// A quarter of each MB is for bodies.
+const BODY_KIB_PER_MB: usize = 256;
+const MIN_BODY_KIB: usize = 1024;
 
-/// Divides the descriptors and the memory of a process: `(client connections, server connections, KiB for bodies)`.
-///
-/// Requests use a third of the descriptors at most, and each needs one to a server; attempts that outlive their
-/// request need more. The rest is for clients without a request. A quarter of the memory is for bodies.
-pub fn parts(descriptors: usize, memory_mb: usize) -> (usize, usize, usize) {
-    let available = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(8);
-    let upstream = available * 43 / 100;
-    (
-        available - upstream,
-        upstream,
-        memory_mb.saturating_mul(256).max(1024),
-    )
+/// How the descriptors and the memory of a process are divided.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ProcessShares {
+    /// Connections of clients.
+    pub client_connections: usize,
+    /// Connections to servers.
+    pub server_connections: usize,
+    /// Memory for bodies, in KiB.
+    pub body_memory_kib: usize,
+}
+
+impl ProcessShares {
+    /// Divides the descriptors and the memory of a process.
+    ///
+    /// Requests use a third of the descriptors at most, and each needs one to a server; attempts that outlive their
+    /// request need more. The rest is for clients without a request. A quarter of the memory is for bodies.
+    pub fn of_process(descriptors: usize, memory_mb: usize) -> ProcessShares {
+        let available = descriptors
+            .saturating_sub(RESERVED_DESCRIPTORS)
+            .max(MIN_CLIENTS);
+        let server_connections = available * SERVER_CONNECTION_PERCENT / 100;
+        ProcessShares {
+            client_connections: available - server_connections,
+            server_connections,
+            body_memory_kib: memory_mb.saturating_mul(BODY_KIB_PER_MB).max(MIN_BODY_KIB),
+        }
+    }
 }
 
 /// Collects the faults of a model.
@@ -196,18 +216,18 @@
         || "server_connections: 1 at least".to_owned(),
     );
     let memory_mb = (process.max_memory >> 20) as usize;
-    let (default_clients, connections, body_kib) = parts(process.max_descriptors, memory_mb);
-    let max_clients = process.max_clients.unwrap_or(default_clients);
+    let shares = ProcessShares::of_process(process.max_descriptors, memory_mb);
+    let max_clients = process.max_clients.unwrap_or(shares.client_connections);
     let available = process.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS);
     checker.require(
-        max_clients >= MIN_CLIENTS && max_clients + connections <= available,
+        max_clients >= MIN_CLIENTS && max_clients + shares.server_connections <= available,
         origin,
         || {
             format!(
                 "clients: {max_clients} do not fit into the descriptors, which leave room for {MIN_CLIENTS} to {}",
                 process
                     .max_descriptors
-                    .saturating_sub(RESERVED_DESCRIPTORS + connections)
+                    .saturating_sub(RESERVED_DESCRIPTORS + shares.server_connections)
             )
         },
     );
@@ -215,10 +235,10 @@
         max_clients,
         totals: ProcessResources {
             // Clients beyond that can stay connected without a request.
-            open: max_clients.min(connections) as u64,
-            connections: connections as u64,
+            open: max_clients.min(shares.server_connections) as u64,
+            connections: shares.server_connections as u64,
             // Half for bodies of requests, half for those of responses.
-            memory: 2 * body_kib as u64,
+            memory: 2 * shares.body_memory_kib as u64,
         },
     }
 }
--- a/crates/config/src/check/routes.rs
+++ b/crates/config/src/check/routes.rs
@@ -1,7 +1,7 @@
 //! Checks routes, and makes the route table of them.
 
 use super::plan::RouteTarget;
-use super::{indices, Checker, METHODS, ROUTES_MOST};
+use super::{indices, Checker, MAX_ROUTES, METHODS};
 use crate::model::{Located, Model, Origin, Route, Service};
 use reelfall_balancer::interface as core;
 use reelfall_routing::table::{AmbiguousRoutes, ListenerId, RouteConditions, RouteTable};
@@ -47,8 +47,8 @@
             origins.push(&route.origin);
         }
     }
-    checker.require(matches.len() <= ROUTES_MOST, &model.origin, || {
-        format!("{} routes, {ROUTES_MOST} at most", matches.len())
+    checker.require(matches.len() <= MAX_ROUTES, &model.origin, || {
+        format!("{} routes, {MAX_ROUTES} at most", matches.len())
     });
     Routes {
         table: table(checker, &matches, &origins),
--- a/crates/config/src/check/services.rs
+++ b/crates/config/src/check/services.rs
@@ -2,7 +2,7 @@
 
 use super::graphql::graphql;
 use super::registries::registry_source;
-use super::{Checker, MAX_CLASSES, MAX_DEADLINE, MAX_TENANTS, SERVICES_MOST};
+use super::{Checker, MAX_CLASSES, MAX_DEADLINE, MAX_SERVICES, MAX_TENANTS};
 use crate::model::{Class, Located, Model, Origin, Service, Source};
 use reelfall_routing::budget::Quota;
 use reelfall_routing::limits::{Limits, ProcessResources, Resource};
@@ -15,8 +15,8 @@
     checker.require(!model.services.is_empty(), &model.origin, || {
         "no services: add [[service]]".to_owned()
     });
-    checker.require(model.services.len() <= SERVICES_MOST, &model.origin, || {
-        format!("{} services, {SERVICES_MOST} at most", model.services.len())
+    checker.require(model.services.len() <= MAX_SERVICES, &model.origin, || {
+        format!("{} services, {MAX_SERVICES} at most", model.services.len())
     });
     checker.require_unique_names("service", &model.services, |s| &s.name);
     let registries: HashSet<&str> = model.registries.iter().map(|r| r.name.as_str()).collect();
--- a/crates/config/src/reader/fleet.rs
+++ b/crates/config/src/reader/fleet.rs
@@ -159,8 +159,8 @@
         let default = Quorum::default();
         Quorum {
             witnesses: self.witnesses.unwrap_or(default.witnesses),
-            most: self.most.unwrap_or(default.most),
-            believed: self.believed.unwrap_or(default.believed),
+            max_condemned_share: self.most.unwrap_or(default.max_condemned_share),
+            max_accused_share: self.believed.unwrap_or(default.max_accused_share),
         }
     }
 }
--- a/crates/config/tests/bounds.rs
+++ b/crates/config/tests/bounds.rs
@@ -5,7 +5,7 @@
 use common::{class, listener, member, route, service, times, whole_service, CLASS, LISTENER};
 use reelfall_balancer::interface::{ClassId, TenantId};
 use reelfall_config::check::{
-    check, MAX_CLASSES, MAX_LISTENERS, MAX_TENANTS, ROUTES_MOST, SERVICES_MOST,
+    check, MAX_CLASSES, MAX_LISTENERS, MAX_ROUTES, MAX_SERVICES, MAX_TENANTS,
 };
 use reelfall_config::reader;
 use reelfall_routing::table::ListenerId;
@@ -26,9 +26,9 @@
 
 #[test]
 fn services() {
-    const { assert!(SERVICES_MOST >= 2_600) };
+    const { assert!(MAX_SERVICES >= 2_600) };
     let file = |n| LISTENER.to_owned() + &times(n, whole_service);
-    assert_bounded(SERVICES_MOST, file, "f.toml: 4097 services, 4096 at most");
+    assert_bounded(MAX_SERVICES, file, "f.toml: 4097 services, 4096 at most");
 }
 
 #[test]
@@ -62,5 +62,5 @@
     assert!(ListenerId::try_from(MAX_LISTENERS).is_ok());
     assert!(ClassId::try_from(MAX_CLASSES).is_ok());
     assert!(TenantId::try_from(MAX_TENANTS).is_ok());
-    const { assert!(ROUTES_MOST >= 74_000) };
+    const { assert!(MAX_ROUTES >= 74_000) };
 }
--- a/crates/emulator/src/together.rs
+++ b/crates/emulator/src/together.rs
@@ -36,7 +36,7 @@
 }
 
 /// What the buffer of a socket holds: 208 KiB by the system's default, of which a small datagram takes 0.75 to 1.25.
-pub const INBOX_MOST: usize = 200;
+pub const MAX_INBOX: usize = 200;
 
 /// One process of a node.
 pub struct Process {
@@ -150,7 +150,7 @@
             cut: BTreeSet::new(),
             deaf: BTreeMap::new(),
             listed: 20,
-            inbox_most: INBOX_MOST,
+            inbox_most: MAX_INBOX,
             rules: Box::new(rules),
             under_way: BTreeMap::new(),
             next: 0,
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -24,6 +24,7 @@
 mod tests;
 pub mod upstream;
 
+use reelfall_config::check::ProcessShares;
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
@@ -42,13 +43,12 @@
 impl ResourceLimits {
     /// The limits of a process with this many file descriptors and this much memory.
     pub fn for_process(sockets: usize, memory_mb: usize) -> Self {
-        let (client_connections, server_connections, buffer_kib) =
-            reelfall_config::check::parts(sockets, memory_mb);
+        let shares = ProcessShares::of_process(sockets, memory_mb);
         // Streamed data needs buffers besides what is stored, and two processes run during an upgrade.
-        let body_memory_kib = buffer_kib * 2 / 3;
+        let body_memory_kib = shares.body_memory_kib * 2 / 3;
         ResourceLimits {
-            client_connections,
-            server_connections,
+            client_connections: shares.client_connections,
+            server_connections: shares.server_connections,
             body_memory_kib,
         }
     }
--- a/crates/node/src/net/pool/list.rs
+++ b/crates/node/src/net/pool/list.rs
@@ -249,7 +249,7 @@
     fn listed_state(&self, status: ServerStatus, ready_at: Time) -> ListedState {
         ListedState {
             status,
-            ready_at,
+            started_at: ready_at,
             knows_start: self.list_origin == ListOrigin::Discovered,
         }
     }
@@ -278,8 +278,8 @@
         let view = self
             .shared
             .combined_view(self.id, *address, own, self.slow_start_duration);
-        endpoint.local_balancers = view.sharers;
-        endpoint.started_at = view.ready_at;
+        endpoint.local_balancers = view.pools;
+        endpoint.started_at = view.started_at;
         let mut withheld_until = self.withheld_until.borrow_mut();
         match view.withheld_until {
             Some(until) if endpoint.state == ServerState::Up => {
--- a/crates/node/src/net/registry.rs
+++ b/crates/node/src/net/registry.rs
@@ -89,8 +89,8 @@
         let config = SessionConfig {
             members: self.addresses.clone(),
             timeout: self.session_timeout,
-            connect_within: self.connect_timeout,
-            auth: self.credentials.clone(),
+            connect_timeout: self.connect_timeout,
+            credentials: self.credentials.clone(),
             forget_after: self.forget_after,
         };
         let seed = RandomState::new().hash_one(now.to_bits());
--- a/crates/node/src/net/registry/driver.rs
+++ b/crates/node/src/net/registry/driver.rs
@@ -6,7 +6,7 @@
 use crate::net::shared::Clock;
 use bytes::{Buf, BytesMut};
 use reelfall_balancer::interface::Time;
-use reelfall_registry_client::session::{Command, Event, Session, PENDING_MOST};
+use reelfall_registry_client::session::{Command, Event, Session, MAX_PENDING_REQUESTS};
 use reelfall_registry_client::wire::Op;
 use std::future::Future;
 use std::io;
@@ -122,7 +122,7 @@
             while let Some(event) = self.session.next_event() {
                 self.user.handle_event(now, &self.session, &event);
             }
-            while self.session.is_up() && self.session.pending_count() < PENDING_MOST {
+            while self.session.is_up() && self.session.pending_count() < MAX_PENDING_REQUESTS {
                 let Some((token, op)) = self.user.next_request() else {
                     break;
                 };
--- a/crates/node/src/net/shared/connections.rs
+++ b/crates/node/src/net/shared/connections.rs
@@ -4,7 +4,7 @@
 //! some pool is closed for it.
 
 use super::{Permit, Shared};
-use reelfall_routing::budget::Denied;
+use reelfall_routing::budget::QuotaExceeded;
 use reelfall_routing::limits::{Resource, ServiceId};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -115,12 +115,13 @@
         self: &Rc<Self>,
         address: SocketAddr,
         member: Option<ServiceId>,
-    ) -> Result<ConnectionPermit, Denied> {
+    ) -> Result<ConnectionPermit, QuotaExceeded> {
         if self.connections.is_server_full(&address) {
-            self.evict_idle(Some(address)).ok_or(Denied::Total)?;
+            self.evict_idle(Some(address))
+                .ok_or(QuotaExceeded::Exhausted)?;
         }
         if self.connections.is_full() {
-            self.evict_idle(None).ok_or(Denied::Total)?;
+            self.evict_idle(None).ok_or(QuotaExceeded::Exhausted)?;
         }
         let permit = match member {
             None => None,
@@ -135,10 +136,13 @@
         })
     }
 
-    fn reserve_service_connection(self: &Rc<Self>, member: ServiceId) -> Result<Permit, Denied> {
+    fn reserve_service_connection(
+        self: &Rc<Self>,
+        member: ServiceId,
+    ) -> Result<Permit, QuotaExceeded> {
         match self.reserve_units(member, Resource::Connections, 1) {
             Ok(permit) => Ok(permit),
-            Err(Denied::Most) => Err(Denied::Most),
+            Err(QuotaExceeded::OwnLimit) => Err(QuotaExceeded::OwnLimit),
             Err(denied) => {
                 self.evict_idle(None).ok_or(denied)?;
                 self.reserve_units(member, Resource::Connections, 1)
--- a/crates/node/src/net/shared/service_limits.rs
+++ b/crates/node/src/net/shared/service_limits.rs
@@ -1,7 +1,7 @@
 //! The limits of each service, if several services share the process.
 
 use super::Shared;
-use reelfall_routing::budget::Denied;
+use reelfall_routing::budget::QuotaExceeded;
 use reelfall_routing::limits::{LimitExceeded, Resource, ServiceId, ServiceLimits};
 use std::rc::Rc;
 
@@ -73,8 +73,11 @@
         member: ServiceId,
         kind: Resource,
         units: u64,
-    ) -> Result<Permit, Denied> {
-        let limits = self.service_limits.as_ref().ok_or(Denied::Most)?;
+    ) -> Result<Permit, QuotaExceeded> {
+        let limits = self
+            .service_limits
+            .as_ref()
+            .ok_or(QuotaExceeded::OwnLimit)?;
         limits
             .borrow_mut()
             .acquire(self.clock.now(), member, kind, units)?;
--- a/crates/node/src/net/upstream/connection_pool.rs
+++ b/crates/node/src/net/upstream/connection_pool.rs
@@ -3,7 +3,7 @@
 use super::connection::Connection;
 use crate::net::shared::{ConnectionPermit, Shared};
 use reelfall_balancer::interface::{ServerId, Time};
-use reelfall_routing::budget::Denied;
+use reelfall_routing::budget::QuotaExceeded;
 use reelfall_routing::keep_alive::KeepAlive;
 use reelfall_routing::limits::ServiceId;
 use std::cell::{Cell, RefCell};
@@ -127,7 +127,7 @@
     /// Reserves capacity for one more connection. A service at its own limit closes one of its idle connections first.
     pub(super) fn reserve_connection(&self, address: SocketAddr) -> Option<ConnectionPermit> {
         match self.shared.reserve_connection(address, self.member) {
-            Err(Denied::Most) if self.close_oldest_idle(None) => {
+            Err(QuotaExceeded::OwnLimit) if self.close_oldest_idle(None) => {
                 self.shared.reserve_connection(address, self.member).ok()
             }
             reserved => reserved.ok(),
--- a/crates/registry-client/src/session.rs
+++ b/crates/registry-client/src/session.rs
@@ -36,7 +36,7 @@
 use std::collections::VecDeque;
 
 /// Maximum number of requests without a response.
-pub const PENDING_MOST: usize = 1024;
+pub const MAX_PENDING_REQUESTS: usize = 1024;
 
 #[derive(Debug)]
 enum State {
@@ -156,7 +156,7 @@
 
     /// Sends a request, whose response is an event with `token`. Returns whether it could be sent.
     pub fn request(&mut self, now: Time, token: u64, op: Op) -> bool {
-        if !self.is_up() || self.pending.len() >= PENDING_MOST {
+        if !self.is_up() || self.pending.len() >= MAX_PENDING_REQUESTS {
             return false;
         }
         self.last_xid = if self.last_xid == i32::MAX {
@@ -201,7 +201,7 @@
         };
         self.commands.push_back(Command::Connect(member));
         self.state = State::Connecting {
-            until: now + self.config.connect_within,
+            until: now + self.config.connect_timeout,
         };
     }
 
@@ -266,7 +266,7 @@
         self.timeout = f64::from(response.timeout_ms) / 1e3;
         self.state = State::Up;
         self.members.succeed();
-        if let Some((scheme, proof)) = &self.config.auth {
+        if let Some((scheme, proof)) = &self.config.credentials {
             let credentials = messages::credentials(scheme, proof);
             self.send(now, credentials);
         }
--- a/crates/registry-client/src/session/interface.rs
+++ b/crates/registry-client/src/session/interface.rs
@@ -14,9 +14,9 @@
     /// The requested time after which the registry expires a silent session, in seconds. The registry may grant another.
     pub timeout: Time,
     /// The time-out of connecting to a member, handshake included, in seconds.
-    pub connect_within: Time,
+    pub connect_timeout: Time,
     /// The credentials of the session: a scheme and its proof, such as `digest` and `name:password`.
-    pub auth: Option<(String, Bytes)>,
+    pub credentials: Option<(String, Bytes)>,
     /// The time without a connection after which a new session is requested that does not insist on the last known state,
     /// in seconds: the registry was probably set up again.
     pub forget_after: Time,
--- a/crates/registry-client/tests/golden.rs
+++ b/crates/registry-client/tests/golden.rs
@@ -21,8 +21,8 @@
     let config = SessionConfig {
         members: vec![([127, 0, 0, 1], 2181).into()],
         timeout: 6.0,
-        connect_within: 1.0,
-        auth: Some(("digest".to_owned(), Bytes::from_static(b"ada:secret"))),
+        connect_timeout: 1.0,
+        credentials: Some(("digest".to_owned(), Bytes::from_static(b"ada:secret"))),
         forget_after: 60.0,
     };
     let mut session = Session::new(config, 10.0, 1);
--- a/crates/registry-client/tests/session.rs
+++ b/crates/registry-client/tests/session.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use reelfall_registry_client::session::{
-    Command, Event, LossReason, Session, SessionConfig, PENDING_MOST,
+    Command, Event, LossReason, Session, SessionConfig, MAX_PENDING_REQUESTS,
 };
 use reelfall_registry_client::wire::{
     Frames, Op, OperationError, Response, WatchEventKind, WireError, Writer, MAX_FRAME_LEN,
@@ -19,8 +19,8 @@
     SessionConfig {
         members: (0..members).map(member).collect(),
         timeout: 6.0,
-        connect_within: 1.0,
-        auth: None,
+        connect_timeout: 1.0,
+        credentials: None,
         forget_after: 60.0,
     }
 }
@@ -103,7 +103,7 @@
     assert_eq!(got[2], Event::Response(2, Err(OperationError::NoNode)));
     assert_eq!((s.last_zxid(), s.pending_count()), (11, 0));
     // No more than so many at once.
-    for n in 0..PENDING_MOST as u64 {
+    for n in 0..MAX_PENDING_REQUESTS as u64 {
         assert!(s.request(
             0.2,
             n,
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -51,16 +51,16 @@
 
 /// Why units were not granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Denied {
+pub enum QuotaExceeded {
     /// The consumer would exceed its maximum.
     #[error("its own bound is reached")]
-    Most,
+    OwnLimit,
     /// All unreserved units are in use.
     #[error("nothing is left to borrow")]
-    Total,
+    Exhausted,
     /// The consumer has its fair share, and another one is waiting for its own.
     #[error("another is waiting for its share")]
-    Claimed,
+    ReservedForOthers,
 }
 
 /// Why quotas are invalid.
@@ -261,28 +261,28 @@
     ///
     /// # Errors
     /// Why they are not available now.
-    pub fn acquire(&mut self, now: Time, id: ConsumerId, units: u64) -> Result<(), Denied> {
+    pub fn acquire(&mut self, now: Time, id: ConsumerId, units: u64) -> Result<(), QuotaExceeded> {
         let Some(consumer) = self.consumers.get(id) else {
-            return Err(Denied::Most);
+            return Err(QuotaExceeded::OwnLimit);
         };
         let quota = consumer.quota;
         let used = consumer.used.saturating_add(units);
         if used > quota.max || consumer.is_removed {
-            return Err(Denied::Most);
+            return Err(QuotaExceeded::OwnLimit);
         }
         let committed = self.sums.committed - consumer.committed() + used.max(quota.reserved);
         let fair_share = self.fair_share(quota);
         let denied = if used <= quota.reserved {
             None
         } else if committed > self.total {
-            Some(Denied::Total)
+            Some(QuotaExceeded::Exhausted)
         } else if used > fair_share && self.has_other_claim(now, id) {
-            Some(Denied::Claimed)
+            Some(QuotaExceeded::ReservedForOthers)
         } else {
             None
         };
         let Some(consumer) = self.consumers.get_mut(id) else {
-            return Err(Denied::Most);
+            return Err(QuotaExceeded::OwnLimit);
         };
         match denied {
             None => {
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -1,6 +1,6 @@
 //! Admission control: the resources of a process, and what each of its services may use of them.
 
-use crate::budget::{Budget, ConsumerId, Denied, Quota, QuotaError};
+use crate::budget::{Budget, ConsumerId, Quota, QuotaError, QuotaExceeded};
 use crate::rate::{RateLimit, TokenBucket};
 use crate::Time;
 use thiserror::Error;
@@ -68,7 +68,7 @@
     RateExceeded(Time),
     /// The service can't have more of a resource.
     #[error("{0}: {1}")]
-    NotAvailable(Resource, Denied),
+    NotAvailable(Resource, QuotaExceeded),
 }
 
 /// The quotas of a resource are invalid.
@@ -217,7 +217,7 @@
         member: ServiceId,
         kind: Resource,
         units: u64,
-    ) -> Result<(), Denied> {
+    ) -> Result<(), QuotaExceeded> {
         self.budget_mut(kind)
             .acquire(now, member.consumer(kind), units)
     }
--- a/crates/routing/src/shared_servers.rs
+++ b/crates/routing/src/shared_servers.rs
@@ -33,7 +33,7 @@
     /// Whether it takes requests.
     pub status: ServerStatus,
     /// When it last started; 0 for long ago.
-    pub ready_at: Time,
+    pub started_at: Time,
     /// Whether the list follows servers and reports when they start. In a static list, `ready_at` is only an
     /// assumption of its own pool.
     pub knows_start: bool,
@@ -56,9 +56,9 @@
     /// Whether it drains according to another list.
     pub is_draining: bool,
     /// Number of pools that send to it, this one included.
-    pub sharers: u32,
+    pub pools: u32,
     /// When it last started; 0 for long ago.
-    pub ready_at: Time,
+    pub started_at: Time,
     /// Until then, this pool may not send to it: the server is warming up, and enough older pools send to it.
     pub withheld_until: Option<Time>,
 }
@@ -68,8 +68,8 @@
     pub fn unshared(ready_at: Time) -> CombinedView {
         CombinedView {
             is_draining: false,
-            sharers: 1,
-            ready_at,
+            pools: 1,
+            started_at: ready_at,
             withheld_until: None,
         }
     }
@@ -103,7 +103,7 @@
     pub fn update(&mut self, now: Time, pool: P, address: &A, state: Option<ListedState>) -> bool {
         // A start in the future, by a clock that is wrong, would keep the server cold for all other pools.
         let state = state.map(|state| ListedState {
-            ready_at: state.ready_at.min(now),
+            started_at: state.started_at.min(now),
             ..state
         });
         let listings = self.servers.entry(address.clone()).or_default();
@@ -155,14 +155,14 @@
         warm_after: Time,
     ) -> CombinedView {
         let Some(listings) = self.servers.get(address) else {
-            return CombinedView::unshared(own.ready_at);
+            return CombinedView::unshared(own.started_at);
         };
         let others = || listings.iter().filter(|listing| listing.pool != pool);
         let is_draining = others().any(|listing| match listing.state.status {
             ServerStatus::Up => false,
             ServerStatus::Draining => true,
             ServerStatus::Gone => {
-                now - listing.since < GONE_TTL && own.ready_at <= listing.state.ready_at
+                now - listing.since < GONE_TTL && own.started_at <= listing.state.started_at
             }
         });
         let senders = || others().filter(|listing| listing.state.status != ServerStatus::Gone);
@@ -176,8 +176,8 @@
         let older_pools = count(senders().filter(|listing| listing.pool < pool).count());
         CombinedView {
             is_draining,
-            sharers: count(1 + senders().count()),
-            ready_at,
+            pools: count(1 + senders().count()),
+            started_at: ready_at,
             withheld_until: (older_pools >= MAX_POOLS_WHILE_COLD && now < warm_at)
                 .then_some(warm_at),
         }
@@ -236,6 +236,6 @@
     let states = std::iter::once(own).chain(others);
     let starts = states
         .filter(|state| state.knows_start)
-        .map(|state| state.ready_at);
-    starts.reduce(f64::max).unwrap_or(own.ready_at)
+        .map(|state| state.started_at);
+    starts.reduce(f64::max).unwrap_or(own.started_at)
 }
--- a/crates/routing/tests/budget.rs
+++ b/crates/routing/tests/budget.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_routing::budget::{Budget, ConsumerId, Denied, Quota, CLAIM_TTL};
+use reelfall_routing::budget::{Budget, ConsumerId, Quota, QuotaExceeded, CLAIM_TTL};
 use std::time::{Duration, Instant};
 
 /// A consumer of the reference.
@@ -65,7 +65,7 @@
         quota.reserved + self.total.saturating_sub(reserved) * u64::from(quota.weight) / weights
     }
 
-    fn acquire(&mut self, now: f64, consumer: usize, n: u64) -> Result<(), Denied> {
+    fn acquire(&mut self, now: f64, consumer: usize, n: u64) -> Result<(), QuotaExceeded> {
         let ReferenceConsumer {
             quota,
             used: before,
@@ -74,7 +74,7 @@
         } = self.consumers[consumer];
         let used = before + n;
         if used > quota.max || is_removed {
-            return Err(Denied::Most);
+            return Err(QuotaExceeded::OwnLimit);
         }
         let committed_by_others =
             self.sum(|p| p.used.max(p.quota.reserved)) - before.max(quota.reserved);
@@ -88,8 +88,8 @@
             .any(|(n, p)| n != consumer && claims(p));
         let taken = match used {
             _ if used <= quota.reserved => Ok(()),
-            _ if is_over_total => Err(Denied::Total),
-            _ if used > fair_share && is_claimed => Err(Denied::Claimed),
+            _ if is_over_total => Err(QuotaExceeded::Exhausted),
+            _ if used > fair_share && is_claimed => Err(QuotaExceeded::ReservedForOthers),
             _ => Ok(()),
         };
         let consumer = &mut self.consumers[consumer];
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_routing::budget::{Budget, Denied, Quota, QuotaError, CLAIM_TTL};
+use reelfall_routing::budget::{Budget, Quota, QuotaError, QuotaExceeded, CLAIM_TTL};
 use reelfall_routing::limits::{LimitExceeded, Limits, ProcessResources, Resource, ServiceLimits};
 use reelfall_routing::rate::{RateLimit, TokenBucket};
 
@@ -120,23 +120,23 @@
     for _ in 0..25 {
         assert_eq!(budget.acquire(0.0, a, 1), Ok(()));
     }
-    assert_eq!(budget.acquire(0.0, a, 1), Err(Denied::Total));
+    assert_eq!(budget.acquire(0.0, a, 1), Err(QuotaExceeded::Exhausted));
     // The other's reservation is there at once, and nothing beyond it.
     for _ in 0..5 {
         assert_eq!(budget.acquire(1.0, b, 1), Ok(()));
     }
-    assert_eq!(budget.acquire(1.0, b, 1), Err(Denied::Total));
+    assert_eq!(budget.acquire(1.0, b, 1), Err(QuotaExceeded::Exhausted));
     // From here on what comes back goes to the one that is short of its fair share of fifteen.
     for n in 0..10 {
         let now = 1.0 + f64::from(n) * 0.5;
         budget.release(a, 1);
         assert_eq!(
             budget.acquire(now, a, 1),
-            Err(Denied::Claimed),
+            Err(QuotaExceeded::ReservedForOthers),
             "lent again while another waits"
         );
         assert_eq!(budget.acquire(now, b, 1), Ok(()));
-        assert_eq!(budget.acquire(now, b, 1), Err(Denied::Total));
+        assert_eq!(budget.acquire(now, b, 1), Err(QuotaExceeded::Exhausted));
     }
     assert_eq!((budget.used(a), budget.used(b)), (15, 15));
     // At its fair share it has no claim any more, and a claim that nobody renews lapses.
@@ -149,9 +149,12 @@
     let mut budget = Budget::new(10);
     let (a, b) = (budget.add(Quota::UNLIMITED), budget.add(Quota::UNLIMITED));
     assert_eq!(budget.acquire(0.0, a, 10), Ok(()));
-    assert_eq!(budget.acquire(0.0, b, 1), Err(Denied::Total));
+    assert_eq!(budget.acquire(0.0, b, 1), Err(QuotaExceeded::Exhausted));
     budget.release(a, 1);
-    assert_eq!(budget.acquire(0.9, a, 1), Err(Denied::Claimed));
+    assert_eq!(
+        budget.acquire(0.9, a, 1),
+        Err(QuotaExceeded::ReservedForOthers)
+    );
     assert_eq!(budget.acquire(1.1, a, 1), Ok(()));
 }
 
@@ -161,10 +164,10 @@
     let a = budget.add(quota(4, 10));
     budget.acquire(0.0, a, 6).unwrap();
     budget.remove(a);
-    assert_eq!(budget.acquire(0.0, a, 1), Err(Denied::Most));
+    assert_eq!(budget.acquire(0.0, a, 1), Err(QuotaExceeded::OwnLimit));
     let b = budget.add(quota(4, 10));
     assert_ne!(a, b, "a place that is still in use was given away");
-    assert_eq!(budget.acquire(0.0, b, 5), Err(Denied::Total));
+    assert_eq!(budget.acquire(0.0, b, 5), Err(QuotaExceeded::Exhausted));
     assert_eq!(budget.acquire(0.0, b, 4), Ok(()));
     budget.release(a, 6);
     assert_eq!(budget.acquire(0.0, b, 6), Ok(()));
@@ -244,7 +247,10 @@
     // Over its bound, a request leaves the rate alone.
     assert_eq!(
         limits.admit(2.0, s),
-        Err(LimitExceeded::NotAvailable(Resource::Open, Denied::Most))
+        Err(LimitExceeded::NotAvailable(
+            Resource::Open,
+            QuotaExceeded::OwnLimit
+        ))
     );
     limits.release(s, Resource::Open, 1);
     assert_eq!(limits.admit(2.0, s), Ok(()));
--- a/crates/routing/tests/shared_servers.rs
+++ b/crates/routing/tests/shared_servers.rs
@@ -13,7 +13,7 @@
 fn listed(status: ServerStatus, ready_at: f64) -> ListedState {
     ListedState {
         status,
-        ready_at,
+        started_at: ready_at,
         knows_start: true,
     }
 }
@@ -39,7 +39,7 @@
     assert_eq!(
         view(&shared_servers, 0.0, 1, 0.0),
         CombinedView {
-            sharers: 2,
+            pools: 2,
             ..CombinedView::unshared(0.0)
         }
     );
@@ -63,7 +63,7 @@
     shared_servers.update(10.0, 2, &"s", Some(listed(ServerStatus::Gone, 5.0)));
     // The list of pool 1 is late and repeats what it said.
     assert!(view(&shared_servers, 10.1, 1, 5.0).is_draining);
-    assert_eq!(view(&shared_servers, 10.1, 1, 5.0).sharers, 1);
+    assert_eq!(view(&shared_servers, 10.1, 1, 5.0).pools, 1);
     // A start after the end that was told is news.
     assert!(!view(&shared_servers, 10.2, 1, 9.0).is_draining);
     assert!(shared_servers.expire(10.0 + GONE_TTL / 2.0).is_empty());
@@ -105,7 +105,7 @@
         ..listed(ServerStatus::Up, ready_at)
     };
     let seen = |shared_servers: &SharedServers<&str, u8>, pool, own| {
-        shared_servers.view(100.0, pool, &"s", own, WARM).ready_at
+        shared_servers.view(100.0, pool, &"s", own, WARM).started_at
     };
     shared_servers.update(100.0, 1, &"s", Some(guess(0.0)));
     // Nobody knows: each keeps its guess.
