--- a/crates/capacity/examples/state_size.rs
+++ b/crates/capacity/examples/state_size.rs
@@ -22,7 +22,7 @@
     ClientId, LogPosition, Message, PeerMessage, Promise, Request, Response, StorageId, Vote,
 };
 use reelfall_lease::token::LeaseName;
-use reelfall_routing::common::{ListedState, ServerStatus, SharedServers};
+use reelfall_routing::shared_servers::{ListedState, ServerStatus, SharedServers};
 use reelfall_routing::table::Host;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/crates/config/src/check/graphql.rs
+++ b/crates/config/src/check/graphql.rs
@@ -44,13 +44,6 @@
     Invalid(#[from] reelfall_graphql::class::MappingError),
 }
 
-/// For callers that report errors as text.
-impl From<GraphQlClassesError> for String {
-    fn from(error: GraphQlClassesError) -> Self {
-        error.to_string()
-    }
-}
-
 /// The classes of a service's root fields.
 ///
 /// # Errors
--- a/crates/node/src/fleet/open.rs
+++ b/crates/node/src/fleet/open.rs
@@ -4,9 +4,8 @@
 use super::FleetRuntime;
 use crate::net::shared::Shared;
 use crate::net::Log;
-use crate::process::BoxError;
 use reelfall_cluster::fleet::Fleet;
-use reelfall_cluster::wire::Secret;
+use reelfall_cluster::wire::{KeyTooShort, Secret};
 use reelfall_cluster::Time;
 use reelfall_config::model;
 use std::cell::{Cell, RefCell};
@@ -37,7 +36,7 @@
         /// The path of the key file.
         path: PathBuf,
         /// What is wrong with the key.
-        source: BoxError,
+        source: KeyTooShort,
     },
     /// The socket can't be opened.
     #[error("fleet: {address}: {source}")]
@@ -109,6 +108,6 @@
     })?;
     Secret::new(&key, &settings.name).map_err(|error| FleetError::InvalidKey {
         path: path(),
-        source: error.into(),
+        source: error,
     })
 }
--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/front.rs
@@ -37,7 +37,7 @@
 pub(super) use error::RequestError;
 pub use handover::{Handover, HandoverState};
 pub(super) use headers::{header_text, strip_hop_by_hop, time_left};
-pub use listening::Listening;
+pub use listening::{BindError, Listening};
 pub(super) use pending::PendingRequest;
 pub(super) use reply::set_retry_after;
 pub(super) use request::half_response_slack;
--- a/crates/node/src/net/front/listening.rs
+++ b/crates/node/src/net/front/listening.rs
@@ -6,25 +6,47 @@
 use std::net::SocketAddr;
 use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
 use std::rc::Rc;
+use thiserror::Error;
 use tokio::net::TcpListener;
 
+/// An address can't be bound.
+#[derive(Debug, Error)]
+#[error("{address}: {source}")]
+pub struct BindError {
+    /// The address.
+    pub address: SocketAddr,
+    /// The error of the system.
+    pub source: io::Error,
+}
+
+/// Why a socket that was received from another process can't be used.
+#[derive(Debug, Error)]
+pub enum InheritError {
+    /// It is not a listening socket, or not one of this address.
+    #[error("what was given is no socket that listens at this address")]
+    OtherSocket,
+    /// The system refuses it.
+    #[error(transparent)]
+    System(#[from] io::Error),
+}
+
 /// Binds a listening socket; an address that an earlier process has left is available at once. With `reuse_port`,
 /// another process of this node may bind the address too, if it also sets this.
 ///
 /// # Errors
-/// Names the address and the error of the system.
-fn bind(listen: SocketAddr, backlog: usize, reuse_port: bool) -> Result<TcpListener, String> {
+/// If the system refuses it.
+fn bind(address: SocketAddr, backlog: usize, reuse_port: bool) -> Result<TcpListener, BindError> {
     let try_bind = || -> io::Result<TcpListener> {
-        let domain = socket2::Domain::for_address(listen);
+        let domain = socket2::Domain::for_address(address);
         let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
         socket.set_reuse_port(reuse_port)?;
         socket.set_nonblocking(true)?;
-        socket.bind(&listen.into())?;
+        socket.bind(&address.into())?;
         socket.listen(i32::try_from(backlog).unwrap_or(i32::MAX))?;
         TcpListener::from_std(socket.into())
     };
-    try_bind().map_err(|e| format!("{listen}: {e}"))
+    try_bind().map_err(|source| BindError { address, source })
 }
 
 /// A listener for clients.
@@ -38,13 +60,13 @@
     /// Binds a listener.
     ///
     /// # Errors
-    /// Names the address and the error of the system.
+    /// If the system refuses the address.
     pub fn bind(
         name: &str,
         address: SocketAddr,
         backlog: usize,
         reuse_port: bool,
-    ) -> Result<Rc<Self>, String> {
+    ) -> Result<Rc<Self>, BindError> {
         let listener = bind(address, backlog, reuse_port)?;
         Ok(Self::new(name, address, listener))
     }
@@ -69,15 +91,15 @@
         name: &str,
         address: SocketAddr,
         descriptor: OwnedFd,
-    ) -> Result<Rc<Self>, String> {
+    ) -> Result<Rc<Self>, InheritError> {
         let socket = socket2::Socket::from(descriptor);
-        let is_listener = socket.is_listener().map_err(|e| e.to_string())?;
+        let is_listener = socket.is_listener()?;
         let bound_address = socket.local_addr().ok().and_then(|a| a.as_socket());
         if !is_listener || bound_address != Some(address) {
-            return Err("what was given is no socket that listens at this address".to_owned());
+            return Err(InheritError::OtherSocket);
         }
-        socket.set_nonblocking(true).map_err(|e| e.to_string())?;
-        let listener = TcpListener::from_std(socket.into()).map_err(|e| e.to_string())?;
+        socket.set_nonblocking(true)?;
+        let listener = TcpListener::from_std(socket.into())?;
         Ok(Self::new(name, address, listener))
     }
 
--- a/crates/node/src/net/pool/list.rs
+++ b/crates/node/src/net/pool/list.rs
@@ -9,7 +9,7 @@
 use reelfall_balancer::interface::{ServerId, ServerState, Time, UpdateKind};
 use reelfall_balancer::settings::ListedEndpoint;
 use reelfall_config::model;
-use reelfall_routing::common::{ListedState, ServerStatus};
+use reelfall_routing::shared_servers::{ListedState, ServerStatus};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/node/src/net/service.rs
+++ b/crates/node/src/net/service.rs
@@ -14,7 +14,7 @@
 mod services;
 mod sources;
 
-pub use error::StartServiceError;
+pub use error::{ApplyPlanError, StartServiceError};
 pub use routing::{RouteMatch, Routing, Table};
 pub use services::Services;
 pub use sources::DiscoverySource;
--- a/crates/node/src/net/service/error.rs
+++ b/crates/node/src/net/service/error.rs
@@ -15,13 +15,6 @@
     pub source: StartServiceError,
 }
 
-/// For callers that report errors to the operator as text.
-impl From<ApplyPlanError> for String {
-    fn from(error: ApplyPlanError) -> String {
-        error.to_string()
-    }
-}
-
 /// Why a service can't be started.
 #[derive(Debug, Error)]
 pub enum StartServiceError {
--- a/crates/node/src/net/shared/endpoint_lists.rs
+++ b/crates/node/src/net/shared/endpoint_lists.rs
@@ -4,7 +4,7 @@
 
 use super::{PoolId, Shared};
 use reelfall_balancer::interface::Time;
-use reelfall_routing::common::{CombinedView, ListedState};
+use reelfall_routing::shared_servers::{CombinedView, ListedState};
 use std::net::SocketAddr;
 use std::rc::Weak;
 
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -6,7 +6,8 @@
 mod config;
 mod reload;
 
-use crate::net::front::{Front, Listening};
+use crate::net::discovery::ListError;
+use crate::net::front::{BindError, Front, Listening};
 use crate::net::management::Management;
 use crate::net::pool::{ListOrigin, Pool, PoolConfig};
 use crate::net::service::{DiscoverySource, Routing, Service};
@@ -14,7 +15,7 @@
 use crate::net::takeover::{HandoverSocket, Snapshot, Takeover};
 use crate::net::task::AbortOnDrop;
 use crate::net::{discovery, source, ResourceLimits};
-use crate::process::{self, BoxError, ProcessError, Signals};
+use crate::process::{self, ProcessError, Signals};
 use config::{Config, ConfigError};
 use reelfall_balancer::interface::Settings;
 use reelfall_balancer::settings::{self, ConnectionSettings, NameRegistry, SettingsError};
@@ -46,10 +47,10 @@
     Settings(#[from] SettingsError),
     /// The endpoint list of an earlier run is unusable.
     #[error("known: {0}")]
-    KnownList(#[source] BoxError),
+    KnownList(#[from] ListError),
     /// The address can't be bound.
-    #[error("{0}")]
-    Listener(#[source] BoxError),
+    #[error(transparent)]
+    Listener(#[from] BindError),
 }
 
 /// Serves until SIGTERM.
@@ -205,7 +206,7 @@
     if known.is_null() {
         return Ok(0);
     }
-    discovery::apply_list(pool, known, true).map_err(|error| PlatformError::KnownList(error.into()))
+    Ok(discovery::apply_list(pool, known, true)?)
 }
 
 /// Spawns the task that follows the endpoint list of the discovery service.
@@ -258,8 +259,7 @@
         }
         // A predecessor goes on with its own sockets and clients, and this process has its own.
         drop(snapshot);
-        let listening = Listening::bind(LISTENER, address, bounds.client_connections, true)
-            .map_err(|error| PlatformError::Listener(error.into()))?;
+        let listening = Listening::bind(LISTENER, address, bounds.client_connections, true)?;
         Ok(Inherited {
             snapshot: None,
             listening,
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -13,9 +13,6 @@
 /// Maximum length of a node's name in a file name, in characters.
 const MAX_FILE_NAME_LEN: usize = 64;
 
-/// The source of an error, whatever its type.
-pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
-
 /// Why the operating system does not provide what every node needs.
 #[derive(Debug, Error)]
 pub enum ProcessError {
--- a/crates/node/src/standalone/entries.rs
+++ b/crates/node/src/standalone/entries.rs
@@ -52,7 +52,7 @@
         let access = prepared.registry_access(&registry.name);
         let access = access.map_err(|error| ApplyError::Registry {
             origin: registry.origin.clone(),
-            source: error.into(),
+            source: error.clone(),
         })?;
         Ok(DesiredEntry {
             access: access.clone(),
--- a/crates/node/src/standalone/node.rs
+++ b/crates/node/src/standalone/node.rs
@@ -2,11 +2,11 @@
 
 use super::entries::{DesiredEntry, OwnEntries};
 use super::reload::{ReadError, SettingsReader};
-use crate::net::front::{Front, Listening};
+use crate::net::front::{BindError, Front, Listening};
+use crate::net::registry::RegistryAccessError;
 use crate::net::service::prepared::PreparedPlan;
-use crate::net::service::Services;
+use crate::net::service::{ApplyPlanError, Services};
 use crate::net::shared::Shared;
-use crate::process::BoxError;
 use reelfall_config::model::Origin;
 use std::cell::{Cell, RefCell};
 use std::collections::hash_map::RandomState;
@@ -25,8 +25,8 @@
         origin: Origin,
         /// The name of the listener.
         name: String,
-        /// The error of the system.
-        source: BoxError,
+        /// Why it can't be bound.
+        source: BindError,
     },
     /// A registry can't be accessed.
     #[error("{origin}: {source}")]
@@ -34,11 +34,11 @@
         /// Where the registry is in the settings file.
         origin: Origin,
         /// What is missing for the access.
-        source: BoxError,
+        source: RegistryAccessError,
     },
     /// A service can't be started.
-    #[error("{0}")]
-    Services(#[source] BoxError),
+    #[error(transparent)]
+    Services(#[from] ApplyPlanError),
 }
 
 /// Why a reload changes nothing.
@@ -112,8 +112,7 @@
         let max_clients = prepared.plan.clients;
         let listening = self.open_listeners(&prepared)?;
         let entries = DesiredEntry::all_of(&prepared)?;
-        let routing = self.services.apply(prepared);
-        let routing = routing.map_err(|error| ApplyError::Services(error.into()))?;
+        let routing = self.services.apply(prepared)?;
         let front = match self.front() {
             Some(front) => {
                 front.route(routing, max_clients);
@@ -145,7 +144,7 @@
             listening.push(opened.map_err(|error| ApplyError::Listener {
                 origin: listener.origin.clone(),
                 name: name.clone(),
-                source: error.into(),
+                source: error,
             })?);
         }
         Ok(listening)
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -20,8 +20,5 @@
 pub mod table;
 pub mod target;
 
-// The former name of this module, which the node still uses.
-pub use shared_servers as common;
-
 /// A point in time or a duration, in seconds.
 pub type Time = f64;
