--- a/crates/distribution/src/author/publishing.rs
+++ b/crates/distribution/src/author/publishing.rs
@@ -139,7 +139,7 @@
             let replaces = self
                 .log()
                 .get(&key)
-                .map_or(Version::ZERO, |old| old.version);
+                .map_or(Version::ZERO, |previous| previous.version);
             let change = Change {
                 key,
                 version,
--- a/crates/distribution/src/candidates.rs
+++ b/crates/distribution/src/candidates.rs
@@ -37,10 +37,10 @@
 }
 
 impl Candidates {
-    pub fn new(rules: &UpstreamConfig) -> Candidates {
+    pub fn new(config: &UpstreamConfig) -> Candidates {
         Candidates {
-            upstreams: rules.upstreams.clone(),
-            fallbacks: rules.fallbacks.clone(),
+            upstreams: config.upstreams.clone(),
+            fallbacks: config.fallbacks.clone(),
             barred_until: BTreeMap::new(),
             failures: BTreeMap::new(),
             picked_fallback_last: false,
--- a/crates/distribution/src/child/sender.rs
+++ b/crates/distribution/src/child/sender.rs
@@ -206,12 +206,13 @@
     }
 
     fn subscription_lacking_removals(&self, replica: ReplicaView) -> Option<u32> {
-        let floor = replica.log.pruned_through();
-        if self.removals_known >= floor {
+        let pruned_through = replica.log.pruned_through();
+        if self.removals_known >= pruned_through {
             return None;
         }
-        let lacks_removals =
-            |subscription: &Subscription| subscription.removals_known(self.current_notice) < floor;
+        let lacks_removals = |subscription: &Subscription| {
+            subscription.removals_known(self.current_notice) < pruned_through
+        };
         // Complete a manifest before the next one is started.
         let mut begun = self
             .subscriptions
--- a/crates/distribution/src/child_subscription.rs
+++ b/crates/distribution/src/child_subscription.rs
@@ -73,8 +73,8 @@
     }
 
     /// Records that the last page of a manifest was sent.
-    pub fn manifest_sent(&mut self, floor: Version) {
-        self.removals_known = self.removals_known.max(floor);
+    pub fn manifest_sent(&mut self, version: Version) {
+        self.removals_known = self.removals_known.max(version);
     }
 
     /// Records that the changes of a span were sent.
@@ -123,8 +123,8 @@
                 replica
                     .log
                     .oldest_uncovered_after(&self.selector, &self.coverage, start)?;
-            let own = replica.coverage.span_containing(version)?;
-            (own.after <= start).then_some(version)
+            let replica_span = replica.coverage.span_containing(version)?;
+            (replica_span.after <= start).then_some(version)
         })
     }
 
@@ -132,20 +132,20 @@
     /// nothing is later.
     fn widest_span(&self, version: Version, replica: ReplicaView) -> Span {
         let point = single_version(version);
-        let own = replica.coverage.span_containing(version).unwrap_or(point);
+        let replica_span = replica.coverage.span_containing(version).unwrap_or(point);
         let above = self
             .coverage
             .next_start_at_or_above(version)
-            .unwrap_or(own.through);
+            .unwrap_or(replica_span.through);
         let below = self.coverage.last_end_below(version);
-        let through = own.through.min(above).max(version);
+        let through = replica_span.through.min(above).max(version);
         // Later changes that the child lacks may have overtaken a body that is sent in chunks.
         let later = replica
             .log
             .next_version(&self.selector, version)
             .filter(|later| *later <= through);
         Span {
-            after: own.after.max(below),
+            after: replica_span.after.max(below),
             through: if later.is_some() { version } else { through },
         }
     }
@@ -155,15 +155,15 @@
         &self,
         id: u32,
         first: Version,
-        urgent: bool,
+        is_urgent: bool,
         replica: ReplicaView,
         max_bytes: usize,
         view: impl Fn(&Change) -> Change,
     ) -> Option<Batch> {
-        if !urgent && self.is_scattered() {
+        if !is_urgent && self.is_scattered() {
             self.batch_upwards(id, first, replica, max_bytes, view)
         } else {
-            self.batch_downwards(id, first, urgent, replica, max_bytes, view)
+            self.batch_downwards(id, first, is_urgent, replica, max_bytes, view)
         }
     }
 
@@ -177,7 +177,7 @@
         max_bytes: usize,
         view: impl Fn(&Change) -> Change,
     ) -> Option<Batch> {
-        let own = replica
+        let replica_span = replica
             .coverage
             .span_containing(oldest)
             .unwrap_or(single_version(oldest));
@@ -185,15 +185,16 @@
             replica
                 .log
                 .newest_uncovered_before(&self.selector, &self.coverage, oldest);
-        let after = lacked_before.map_or(own.after, |lacked| lacked.max(own.after));
+        let after =
+            lacked_before.map_or(replica_span.after, |lacked| lacked.max(replica_span.after));
         let mut span = Span {
             after,
-            through: own.through,
+            through: replica_span.through,
         };
         let mut changes = Vec::new();
         let mut bytes = CHANGES_OVERHEAD_BYTES;
         let mut next = Some(oldest);
-        while let Some(version) = next.filter(|version| *version <= own.through) {
+        while let Some(version) = next.filter(|version| *version <= replica_span.through) {
             let change = view(replica.log.get_version(version)?);
             bytes += change.size_bytes();
             if bytes > max_bytes {
@@ -216,13 +217,13 @@
         &self,
         id: u32,
         newest: Version,
-        urgent: bool,
+        is_urgent: bool,
         replica: ReplicaView,
         max_bytes: usize,
         view: impl Fn(&Change) -> Change,
     ) -> Option<Batch> {
         let mut span = self.widest_span(newest, replica);
-        let least = span.after;
+        let lower_end = span.after;
         let mut changes = Vec::new();
         let mut bytes = CHANGES_OVERHEAD_BYTES;
         let mut next = Some(newest);
@@ -234,10 +235,14 @@
             }
             changes.push(change);
             let previous = replica.log.previous_version(&self.selector, version);
-            span.after = previous.map_or(least, |previous| previous.max(least));
-            next = previous.filter(|previous| *previous > least && !urgent);
+            span.after = previous.map_or(lower_end, |previous| previous.max(lower_end));
+            next = previous.filter(|previous| *previous > lower_end && !is_urgent);
         }
-        let span = if urgent { single_version(newest) } else { span };
+        let span = if is_urgent {
+            single_version(newest)
+        } else {
+            span
+        };
         Some(Batch {
             payload: Payload::Changes { id, span, changes },
             span,
@@ -248,7 +253,7 @@
     pub fn chunk(
         &self,
         cursor: BodyCursor,
-        urgent: bool,
+        is_urgent: bool,
         replica: ReplicaView,
         max_bytes: usize,
     ) -> Option<BodyChunk> {
@@ -265,7 +270,7 @@
         let reach = self.widest_span(version, replica);
         let previous = replica.log.previous_version(&self.selector, version);
         let after = previous.map_or(reach.after, |previous| previous.max(reach.after));
-        let span = if urgent {
+        let span = if is_urgent {
             single_version(version)
         } else {
             Span { after, ..reach }
@@ -274,7 +279,7 @@
             key: change.key.clone(),
             version,
             urgency: change.urgency,
-            is_urgent: urgent,
+            is_urgent,
             fraction: change.fraction,
             replaces: change.replaces,
             total: u32::try_from(body.len()).ok()?,
--- a/crates/distribution/src/log.rs
+++ b/crates/distribution/src/log.rs
@@ -95,13 +95,13 @@
 
     /// Stores a change, if it is the latest of its key.
     pub fn put(&mut self, change: Change) -> PutOutcome {
-        let old = self.changes.get(&change.key);
-        if old.is_some_and(|old| old.version >= change.version) {
+        let previous = self.changes.get(&change.key);
+        if previous.is_some_and(|previous| previous.version >= change.version) {
             return PutOutcome::Outdated;
         }
-        let old_bytes = old.map_or(0, Change::size_bytes);
-        let bytes = self.bytes - old_bytes + change.size_bytes();
-        let keys = self.changes.len() + usize::from(old.is_none());
+        let previous_bytes = previous.map_or(0, Change::size_bytes);
+        let bytes = self.bytes - previous_bytes + change.size_bytes();
+        let keys = self.changes.len() + usize::from(previous.is_none());
         if bytes > self.capacity.max_bytes || keys > self.capacity.max_keys {
             return PutOutcome::CapacityExceeded;
         }
@@ -163,8 +163,8 @@
     }
 
     /// Raises the pruning floor: removals up to it are not known here.
-    pub fn raise_pruned_through(&mut self, floor: Version) {
-        self.pruned_through = self.pruned_through.max(floor);
+    pub fn raise_pruned_through(&mut self, version: Version) {
+        self.pruned_through = self.pruned_through.max(version);
     }
 
     /// The latest change of a key.
--- a/crates/distribution/src/reassembly.rs
+++ b/crates/distribution/src/reassembly.rs
@@ -48,13 +48,13 @@
                 bytes,
             });
         }
-        let part = place
+        let outcome = place
             .as_mut()
             .map_or(ChunkOutcome::Invalid, |assembly| assembly.add(id, &chunk));
-        if part != ChunkOutcome::Incomplete {
+        if outcome != ChunkOutcome::Incomplete {
             *place = None;
         }
-        part
+        outcome
     }
 
     /// Drops all partial bodies.
--- a/crates/distribution/src/replica.rs
+++ b/crates/distribution/src/replica.rs
@@ -230,7 +230,7 @@
         update: &mut ReplicaUpdate,
         outputs: &mut Vec<Output>,
     ) -> bool {
-        let old = self.log.get(&change.key).cloned();
+        let previous = self.log.get(&change.key).cloned();
         match self.log.put(change.clone()) {
             PutOutcome::Outdated => true,
             PutOutcome::CapacityExceeded => {
@@ -243,7 +243,7 @@
             PutOutcome::Stored => {
                 outputs.push(Output::Persist(Record::Put(change.clone())));
                 update.keys.push(change.key.clone());
-                update.replaced.extend(old.map(|previous| Replacement {
+                update.replaced.extend(previous.map(|previous| Replacement {
                     previous,
                     successor: change,
                 }));
@@ -369,8 +369,9 @@
     digests: &BTreeSet<u64>,
 ) -> Vec<Key> {
     let keys = log.keys_after(selector, Version::ZERO);
-    let old = keys.take_while(|(version, _)| *version <= removals_known);
-    old.filter(|(_, key)| !digests.contains(&key.digest()))
+    let previous = keys.take_while(|(version, _)| *version <= removals_known);
+    previous
+        .filter(|(_, key)| !digests.contains(&key.digest()))
         .map(|(_, key)| key.clone())
         .collect()
 }
--- a/crates/distribution/src/restore.rs
+++ b/crates/distribution/src/restore.rs
@@ -71,17 +71,17 @@
             }
             Record::Epoch(epoch) if epoch.known.is_valid() => self.epoch = Some(epoch),
             Record::Epoch(_) => {}
-            Record::PrunedThrough(floor) => self.log.raise_pruned_through(floor),
+            Record::PrunedThrough(version) => self.log.raise_pruned_through(version),
             Record::Covered {
                 selector,
                 coverage,
-                removals_known: floor,
+                removals_known,
             } if coverage.is_valid() => {
                 self.coverage.insert(
                     selector,
                     StoredCoverage {
                         coverage,
-                        removals_known: floor,
+                        removals_known,
                     },
                 );
             }
@@ -93,9 +93,9 @@
     }
 
     fn put(&mut self, change: Change) {
-        if let Some(old) = self.log.get(&change.key) {
+        if let Some(previous) = self.log.get(&change.key) {
             self.replaced.push(Replacement {
-                previous: old.clone(),
+                previous: previous.clone(),
                 successor: change.clone(),
             });
         }
--- a/crates/distribution/src/session.rs
+++ b/crates/distribution/src/session.rs
@@ -203,12 +203,13 @@
             };
             let id = self.next_id;
             let coverage = subscription.coverage.truncated(MAX_SUBSCRIBE_SPANS);
-            let (floor, has_changes) = (subscription.removals_known, subscription.has_changes);
+            let (removals_known, has_changes) =
+                (subscription.removals_known, subscription.has_changes);
             let subscribe = Subscribe {
                 id,
                 selector: selector.clone(),
                 coverage,
-                removals_known: floor,
+                removals_known,
                 has_changes,
             };
             bytes += frame::serialized_size(&subscribe);
--- a/crates/distribution/src/session_attempts.rs
+++ b/crates/distribution/src/session_attempts.rs
@@ -63,9 +63,9 @@
     }
 
     /// Seconds saved against trying one candidate after the other.
-    pub fn time_saved(&self, rules: &UpstreamConfig) -> Time {
+    pub fn time_saved(&self, config: &UpstreamConfig) -> Time {
         f64::from(self.begun_count.saturating_sub(1))
-            * (rules.open_timeout - rules.attempt_delay).max(0.0)
+            * (config.open_timeout - config.attempt_delay).max(0.0)
     }
 
     /// When the next candidate may be tried.
@@ -78,12 +78,12 @@
         &mut self,
         now: Time,
         mut link: Link,
-        rules: &UpstreamConfig,
+        config: &UpstreamConfig,
         bucket: &mut TokenBucket,
         outputs: &mut Vec<Output>,
     ) -> bool {
         let open = Payload::Open {
-            is_relay: rules.is_relay,
+            is_relay: config.is_relay,
         };
         let sent = with_shared_bucket(bucket, &mut link, |link| {
             link.send_reliable(now, &open, outputs)
@@ -91,10 +91,10 @@
         if sent {
             self.pending.push(Attempt {
                 link,
-                deadline: now + rules.open_timeout,
+                deadline: now + config.open_timeout,
             });
             self.begun_count += 1;
-            self.next_at = now + rules.attempt_delay;
+            self.next_at = now + config.attempt_delay;
         } else {
             self.next_at = link_ready(bucket, now);
         }
@@ -126,11 +126,11 @@
         outputs: &mut Vec<Output>,
     ) -> Vec<PeerId> {
         let is_late = |attempt: &Attempt| now >= attempt.deadline;
-        let (late, pending) = std::mem::take(&mut self.pending)
+        let (timed_out, pending) = std::mem::take(&mut self.pending)
             .into_iter()
             .partition(is_late);
         self.pending = pending;
-        close(late, now, CloseReason::TimedOut, bucket, outputs)
+        close(timed_out, now, CloseReason::TimedOut, bucket, outputs)
     }
 
     /// Ends all attempts; gives back their candidates.
@@ -158,12 +158,12 @@
         let repeat = repeats
             .fold(f64::INFINITY, f64::min)
             .max(link_ready(bucket, now));
-        let late = self
+        let timed_out = self
             .pending
             .iter()
             .map(|attempt| attempt.deadline)
             .fold(f64::INFINITY, f64::min);
-        repeat.min(late).min(self.next_at.max(free_at))
+        repeat.min(timed_out).min(self.next_at.max(free_at))
     }
 }
 
--- a/crates/distribution/src/upstream.rs
+++ b/crates/distribution/src/upstream.rs
@@ -78,7 +78,7 @@
     }
 
     /// Adds a subscription, of which this coverage is known already.
-    pub fn subscribe(&mut self, selector: Selector, coverage: Coverage, floor: Version) {
+    pub fn subscribe(&mut self, selector: Selector, coverage: Coverage, removals_known: Version) {
         if self.subscriptions.by_selector.contains_key(&selector) {
             return;
         }
@@ -86,7 +86,7 @@
         let has_changes = !coverage.is_empty();
         let subscription = SubscriptionState {
             coverage,
-            removals_known: floor,
+            removals_known,
             is_complete: complete,
             has_changes,
             ..SubscriptionState::default()
@@ -157,9 +157,9 @@
     }
 
     /// Records that all removals of a selector up to a version are known.
-    pub fn mark_removals_known(&mut self, selector: &Selector, floor: Version) {
+    pub fn mark_removals_known(&mut self, selector: &Selector, removals_known: Version) {
         if let Some(subscription) = self.subscriptions.by_selector.get_mut(selector) {
-            subscription.removals_known = subscription.removals_known.max(floor);
+            subscription.removals_known = subscription.removals_known.max(removals_known);
         }
     }
 
--- a/crates/distribution/src/upstream/receive.rs
+++ b/crates/distribution/src/upstream/receive.rs
@@ -81,7 +81,7 @@
                 id,
                 is_first: first,
                 is_last: last,
-                pruned_through: floor,
+                pruned_through,
                 digests,
             } => {
                 let page = ManifestDigests {
@@ -90,18 +90,18 @@
                     is_last: last,
                     digests,
                 };
-                self.handle_manifest(now, receipt, page, floor)
+                self.handle_manifest(now, receipt, page, pruned_through)
             }
             Payload::Current {
                 head,
                 removals,
-                pruned_through: floor,
+                pruned_through,
                 age_us,
             } => {
                 let age = self.handle_current(now, receipt, head, removals, age_us);
                 Ok(Some(UpstreamEvent::Current {
                     head,
-                    pruned_through: floor,
+                    pruned_through,
                     age,
                 }))
             }
--- a/crates/distribution/src/upstream_config.rs
+++ b/crates/distribution/src/upstream_config.rs
@@ -89,7 +89,7 @@
             bytes_per_second: 4.0 * Budget::CONTROL.bytes_per_second,
             burst_bytes: 4.0 * Budget::CONTROL.burst_bytes,
         };
-        let rules = UpstreamConfig::node(upstreams);
+        let node_config = UpstreamConfig::node(upstreams);
         let (spread, rest_most) = (1.0, MAX_RELAY_BACKOFF);
         UpstreamConfig {
             is_relay: true,
@@ -97,7 +97,7 @@
             receive_budget,
             reconnect_jitter: spread,
             max_backoff: rest_most,
-            ..rules
+            ..node_config
         }
     }
 }
