--- a/crates/distribution/tests/cases_behind.rs
+++ b/crates/distribution/tests/cases_behind.rs
@@ -38,7 +38,7 @@
     world.author(AUTHOR, &[FIRST_RELAY]);
     world.relay(FIRST_RELAY, &[AUTHOR]);
     world.relay(REGION_RELAY, &[FIRST_RELAY]);
-    let until = world.seats[&PeerId(AUTHOR)].clock(1e6);
+    let until = world.processes[&PeerId(AUTHOR)].clock(1e6);
     let held = world.with_author(AUTHOR, |author, now, outputs| {
         author.hold_lease(now, &claim(1), until, outputs)
     });
@@ -207,7 +207,7 @@
     world.relay(REGION_RELAY + 1, &[FIRST_RELAY]);
     world.node(NODE, &[FIRST_RELAY], &[Selector::Services]);
     for newcomer in newcomers {
-        while !world.seats[&newcomer]
+        while !world.processes[&newcomer]
             .disk
             .iter()
             .any(|record| matches!(record, Record::Put(_)))
@@ -216,7 +216,7 @@
         }
         let is_covered = |record: &Record| matches!(record, Record::Covered { .. });
         assert!(
-            !world.seats[&newcomer].disk.iter().any(is_covered),
+            !world.processes[&newcomer].disk.iter().any(is_covered),
             "{newcomer:?} has stored what it covers"
         );
         world.kill(newcomer);
@@ -253,7 +253,7 @@
 const DRAWN_NAMES: u32 = 3_000;
 
 fn drawn_change(world: &mut World) -> Draft {
-    let draw = &mut world.draw;
+    let draw = &mut world.rng;
     let name = Name::service("a", &format!("r{}", draw.random_range(0..DRAWN_NAMES)));
     let content: u64 = draw.random();
     let mut body = content.to_le_bytes().to_vec();
@@ -302,20 +302,20 @@
     let mut last = Version::ZERO;
     let mut most_spans = 0;
     for _ in 0..2 * BATCHES {
-        let count = world.draw.random_range(1..2 * BATCH_CHANGES);
+        let count = world.rng.random_range(1..2 * BATCH_CHANGES);
         let drafts = (0..count).map(|_| drawn_change(&mut world)).collect();
         last = publish(&mut world, drafts);
         world.run(BATCH_EVERY);
         let running = RELAYS
             .iter()
-            .filter(|relay| world.seats[&PeerId(**relay)].machine.is_some());
+            .filter(|relay| world.processes[&PeerId(**relay)].machine.is_some());
         let spans = running.map(|relay| world.relay_of(*relay).coverage().spans().len());
         most_spans = spans.max().unwrap_or(0).max(most_spans);
-        let relay = PeerId(RELAYS[world.draw.random_range(0..RELAYS.len())]);
-        if world.draw.random_bool(0.01) {
+        let relay = PeerId(RELAYS[world.rng.random_range(0..RELAYS.len())]);
+        if world.rng.random_bool(0.01) {
             world.kill(relay);
         }
-        if world.draw.random_bool(0.1) {
+        if world.rng.random_bool(0.1) {
             world.start(relay);
         }
     }
--- a/crates/distribution/tests/cases_changes.rs
+++ b/crates/distribution/tests/cases_changes.rs
@@ -7,7 +7,7 @@
 use reelfall_distribution::publish::PublishError;
 use reelfall_distribution::resource::{Draft, Name, NodeFraction, Selector, Version};
 use reelfall_distribution::Time;
-use world::{claim, hold, name, put, two_authors_and_relays, World, BAD_FOR_ODD};
+use world::{claim, hold, name, put, two_authors_and_relays, World, REJECTED_BY_ODD_NODES};
 
 const NODES: std::ops::Range<u32> = 100..106;
 
@@ -41,7 +41,7 @@
     let mut world = tree(1);
     publish(&mut world, 1, 1, vec![put("x", b"good")]).unwrap();
     world.run(10.0);
-    let version = publish(&mut world, 1, 1, vec![put("x", BAD_FOR_ODD)]).unwrap();
+    let version = publish(&mut world, 1, 1, vec![put("x", REJECTED_BY_ODD_NODES)]).unwrap();
     world.run(10.0);
     let status = world.author_of(1).status(version);
     let refused: Vec<u32> = status
@@ -63,7 +63,7 @@
         let expected = if id % 2 == 1 {
             &b"good"[..]
         } else {
-            BAD_FOR_ODD
+            REJECTED_BY_ODD_NODES
         };
         assert_eq!(world.bytes_at(id, &name("x")).unwrap(), expected);
     }
@@ -84,7 +84,7 @@
             back
         );
     }
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 #[test]
@@ -116,7 +116,7 @@
     );
     world.run(40.0);
     assert!(NODES.into_iter().all(|id| later(id, &world)));
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 #[test]
@@ -182,11 +182,11 @@
         assert_eq!(world.node_of(id).applied_changes().count(), 500);
     }
     assert!(
-        world.judge.busiest > 40_000,
+        world.invariants.max_window_bytes > 40_000,
         "the budget was not used: {}",
-        world.judge.busiest
+        world.invariants.max_window_bytes
     );
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 #[test]
@@ -216,7 +216,7 @@
         event.1 == PeerId(1) && matches!(event.2, Event::Fenced { .. })
     };
     assert!(
-        world.judge.events.iter().any(fenced),
+        world.invariants.events.iter().any(fenced),
         "the first author was not told"
     );
     assert!(!world.author_of(1).is_writing());
@@ -230,7 +230,7 @@
             && matches!(&event.2, Event::Orphaned { key, .. } if key.name == name("x"))
     };
     assert!(
-        world.judge.events.iter().any(orphaned),
+        world.invariants.events.iter().any(orphaned),
         "the first author's change was lost silently"
     );
 }
@@ -273,7 +273,7 @@
         assert_eq!(world.bytes_at(id, &name("y")), None, "{id}");
         assert_eq!(world.bytes_at(id, &name("z")).unwrap(), b"two", "{id}");
     }
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 #[test]
@@ -294,7 +294,7 @@
         assert_eq!(world.bytes_at(id, &name("x")).unwrap(), b"one");
         assert_eq!(world.bytes_at(id, &name("y")).unwrap(), b"two");
     }
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 #[test]
@@ -337,7 +337,7 @@
     for id in NODES {
         assert_eq!(world.bytes_at(id, &name("x")).unwrap(), b"newer");
     }
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 #[test]
@@ -392,7 +392,7 @@
     world.run(10.0);
     assert!(world.node_of(100).is_complete(&Selector::service("b")));
     assert_eq!(world.node_of(100).applied_changes().count(), 0);
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 #[test]
--- a/crates/distribution/tests/cases_failover.rs
+++ b/crates/distribution/tests/cases_failover.rs
@@ -68,7 +68,7 @@
         Event::Following(peer) if *id == PeerId(by) && *at > since => Some((*at, *peer)),
         _ => None,
     };
-    world.judge.events.iter().filter_map(of).collect()
+    world.invariants.events.iter().filter_map(of).collect()
 }
 
 #[test]
@@ -80,19 +80,19 @@
         dead.iter().for_each(|id| world.kill(PeerId(*id)));
         let most = session_elsewhere(dead.len() - 1);
         assert!(most <= SESSION_ELSEWHERE, "{most}");
-        let began = world.t;
+        let began = world.now;
         while !NODES
             .into_iter()
             .all(|id| alive.iter().any(|relay| is_child(&world, *relay, id)))
         {
-            assert!(world.t - began < most, "seed {seed}: not within {most} s");
+            assert!(world.now - began < most, "seed {seed}: not within {most} s");
             world.run(0.05);
         }
         println!(
             "seed {seed}: all have a session after {:.2} s, of {most:.2} s",
-            world.t - began
+            world.now - began
         );
-        world.judge.verdict();
+        world.invariants.verdict();
     }
 }
 
@@ -103,7 +103,7 @@
         .filter_map(|id| Some((id, world.node_of(id).following()?)))
         .collect();
     NEAR.chain(FAR).for_each(|id| world.kill(PeerId(id)));
-    let began = world.t;
+    let began = world.now;
     world.run(300.0);
     let rules = UpstreamConfig::node(Vec::new());
     let others = NEAR.len() + FAR.len() - 1;
@@ -131,7 +131,7 @@
             "{id}"
         );
     }
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 /// What a node sends to all that it asks keeps to the budget of one link, also where it asks more than that allows.
@@ -221,8 +221,8 @@
                 }
             )
     };
-    assert_eq!(world.judge.events.iter().find(silent), None);
-    world.judge.verdict();
+    assert_eq!(world.invariants.events.iter().find(silent), None);
+    world.invariants.verdict();
 }
 
 /// An author that refused is asked again once it may be, also while one that is dead has not answered yet.
@@ -247,14 +247,14 @@
             author.publish(now, &claim(2), vec![draft], outputs)
         });
         let version = published.unwrap().unwrap();
-        let began = world.t;
+        let began = world.now;
         let rules = UpstreamConfig::relay(Vec::new());
         let most = rest + rules.attempt_delay + 2.0 * ROUND_TRIPS;
         let has_it =
             |world: &World, id: &u32| world.relay_of(*id).coverage().last_version() >= version;
         let mut times: BTreeMap<u32, Time> = BTreeMap::new();
         while times.len() < relays.len() {
-            let passed = world.t - began;
+            let passed = world.now - began;
             assert!(
                 passed < most,
                 "seed {seed}: {} of {} relays within {most} s",
@@ -269,7 +269,7 @@
         }
         let last = times.values().copied().fold(0.0, f64::max);
         println!("seed {seed}: all relays have it after {last:.2} s, of {most:.2} s");
-        world.judge.verdict();
+        world.invariants.verdict();
     }
 }
 
--- a/crates/distribution/tests/cases_return.rs
+++ b/crates/distribution/tests/cases_return.rs
@@ -40,7 +40,7 @@
 }
 
 fn hold(world: &mut World, author: u32, token: u64) {
-    let until = world.seats[&PeerId(author)].clock(world.t + 1e6);
+    let until = world.processes[&PeerId(author)].clock(world.now + 1e6);
     let held = world.with_author(author, |author, now, outputs| {
         author.hold_lease(now, &claim(token), until, outputs)
     });
@@ -48,24 +48,24 @@
 }
 
 fn publish(world: &mut World, author: u32, token: u64, text: &str) -> Version {
-    let t = world.t;
+    let t = world.now;
     let drafts = vec![Draft::put(Name::service("a", "x"), text.as_bytes())];
     let version = world.with_author(author, |author, now, outputs| {
         author.publish(now, &claim(token), drafts, outputs)
     });
     let version = version.unwrap().unwrap();
-    world.judge.published(t, version);
+    world.invariants.published(t, version);
     version
 }
 
 /// How long it takes until something holds; fails after `most` seconds.
 fn until(world: &mut World, most: Time, what: &str, holds: impl Fn(&World) -> bool) -> Time {
-    let began = world.t;
+    let began = world.now;
     while !holds(world) {
-        assert!(world.t - began < most, "{what}: not within {most} s");
+        assert!(world.now - began < most, "{what}: not within {most} s");
         world.run(0.05);
     }
-    world.t - began
+    world.now - began
 }
 
 fn until_all_have(world: &mut World, version: Version, most: Time) -> Time {
@@ -157,7 +157,7 @@
         let most = relay_finds_author(2, 0).max(node_moves_on()) + ROUND_TRIPS;
         let took = until_all_have(&mut world, version, most);
         println!("apart for {lasts} s: all have it after {took:.2} s, of {most:.2} s");
-        world.judge.verdict();
+        world.invariants.verdict();
     }
 }
 
@@ -175,12 +175,12 @@
             world.author_of(2).is_writing()
         });
         let version = publish(&mut world, 2, 2, "while apart");
-        let left = lasts - world.t + 40.0;
+        let left = lasts - world.now + 40.0;
         world.run(left);
         let most = relay_finds_author(2, 0).max(node_moves_on()) + ROUND_TRIPS;
         let took = until_all_have(&mut world, version, most);
         println!("author apart for {lasts} s: all have it after {took:.2} s, of {most:.2} s");
-        world.judge.verdict();
+        world.invariants.verdict();
     }
 }
 
@@ -212,7 +212,7 @@
         let most = relay.reconnect_jitter + 2.0 * relay.open_timeout + ROUND_TRIPS;
         let took = until_all_have(&mut world, version, most);
         println!("moved after {moved:.2} s; took over in {takeover:.2} s; {took:.2} s more, of {most:.2} s");
-        world.judge.verdict();
+        world.invariants.verdict();
     }
 }
 
@@ -230,7 +230,7 @@
     let near: Vec<u32> = NEAR.into_iter().chain(NODES).collect();
     let others: Vec<u32> = AUTHORS.into_iter().chain(FAR).collect();
     cut_between(&mut world, &near, &others, lasts);
-    let began = world.t;
+    let began = world.now;
     world.run(lasts);
     // The first two relays are borne with for `stale` each, the next ones for 2, 4 and then 8 times as long.
     let stale = UpstreamConfig::node(Vec::new()).stale_timeout;
@@ -246,13 +246,13 @@
             );
             event.0 > began && event.1 == PeerId(id) && stale
         };
-        let moves = world.judge.events.iter().filter(left).count();
+        let moves = world.invariants.events.iter().filter(left).count();
         assert!(
             (2..=most.ceil() as usize).contains(&moves),
             "{id} moved {moves} times, of {most}"
         );
     }
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 #[test]
@@ -269,7 +269,7 @@
     world.run(60.0);
     let version = publish(&mut world, 1, 1, "while the relays were away");
     RELAYS.iter().for_each(|id| world.start(PeerId(*id)));
-    let began = world.t;
+    let began = world.now;
     let serve = DownstreamConfig::default();
     let most = node_finds_relay() + 2.0 * serve.min_retry_after + ROUND_TRIPS;
     let mut children = [0; RELAYS.len()];
@@ -277,11 +277,14 @@
         .into_iter()
         .any(|id| world.node_of(id).head() < version)
     {
-        assert!(world.t - began < most.min(IN_FORCE), "not within {most} s");
+        assert!(
+            world.now - began < most.min(IN_FORCE),
+            "not within {most} s"
+        );
         world.run(0.5);
         for (before, id) in children.iter_mut().zip(RELAYS) {
             let now = world.relay_of(id).children().count();
-            let passed = world.t - began;
+            let passed = world.now - began;
             assert!(
                 now as f64 <= serve.sessions_per_second * (1.0 + passed),
                 "{now} children after {passed} s"
@@ -295,7 +298,7 @@
     }
     println!(
         "1,500 nodes have it after {:.2} s, of {most:.2} s; {children:?} children",
-        world.t - began
+        world.now - began
     );
-    world.judge.verdict();
+    world.invariants.verdict();
 }
--- a/crates/distribution/tests/cases_tree.rs
+++ b/crates/distribution/tests/cases_tree.rs
@@ -29,23 +29,23 @@
 }
 
 fn publish(world: &mut World, token: u64, drafts: Vec<Draft>) -> Version {
-    let t = world.t;
+    let t = world.now;
     let version = world.with_author(1, |author, now, outputs| {
         author.publish(now, &claim(token), drafts, outputs)
     });
     let version = version.unwrap().unwrap();
-    world.judge.published(t, version);
+    world.invariants.published(t, version);
     version
 }
 
 /// When all of these nodes have a version; fails after `most` seconds.
 fn until_all_have(world: &mut World, nodes: &[u32], version: Version, most: Time) -> Time {
-    let began = world.t;
+    let began = world.now;
     while nodes.iter().any(|id| world.node_of(*id).head() < version) {
-        assert!(world.t - began < most, "not within {most} s");
+        assert!(world.now - began < most, "not within {most} s");
         world.run(0.1);
     }
-    world.t - began
+    world.now - began
 }
 
 fn all() -> Vec<u32> {
@@ -65,14 +65,14 @@
         assert!(
             world
                 .node_of(id)
-                .staleness(world.seats[&PeerId(id)].clock(world.t))
+                .staleness(world.processes[&PeerId(id)].clock(world.now))
                 < 8.0
         );
     }
     world.run(10.0);
     let status = world.author_of(1).status(version);
     assert_eq!(status.acknowledged.len(), NODES.len());
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 #[test]
@@ -89,7 +89,7 @@
     assert!(had.iter().all(|n| (10..90).contains(n)), "{had:?}");
     let killed = world.node_of(100).following().unwrap();
     world.kill(killed);
-    let at = world.t;
+    let at = world.now;
     let before = world.sent.len();
     until_all_have(&mut world, &all(), version, 40.0);
     let left: Vec<Time> = lefts(&world, at, CloseReason::TimedOut);
@@ -104,7 +104,7 @@
         .sum();
     let lacked = (100 - had[0]) * 1100;
     assert!(to_node < lacked + 20_000, "{to_node} bytes for {lacked}");
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 fn lefts(world: &World, since: Time, reason: CloseReason) -> Vec<Time> {
@@ -114,7 +114,7 @@
             && matches!(event.2, Event::Left { reason: why, .. } if why == reason)
     };
     world
-        .judge
+        .invariants
         .events
         .iter()
         .filter(of_node)
@@ -135,13 +135,13 @@
     hold(&mut world, 1, 1, 1e6);
     world.run(30.0);
     world.kill(PeerId(20));
-    let at = world.t;
+    let at = world.now;
     world.run(30.0);
     let follows = |event: &&(Time, PeerId, Event)| {
         event.0 > at && matches!(event.2, Event::Following(peer) if peer == PeerId(21))
     };
     let mut back: Vec<Time> = world
-        .judge
+        .invariants
         .events
         .iter()
         .filter(follows)
@@ -172,7 +172,7 @@
     let version = publish(&mut world, 1, vec![put("x", b"two")]);
     let stale = world
         .node_of(100)
-        .staleness(world.seats[&PeerId(100)].clock(world.t));
+        .staleness(world.processes[&PeerId(100)].clock(world.now));
     assert!((58.0..72.0).contains(&stale), "{stale}");
     world.start(PeerId(20));
     world.start(PeerId(21));
@@ -184,7 +184,7 @@
         version,
         rules.open_timeout + rules.max_backoff + 1.0,
     );
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 #[test]
@@ -198,7 +198,7 @@
     let version = publish(&mut world, 1, vec![put("y", b"last")]);
     until_all_have(&mut world, &[100], version, 20.0);
     assert_eq!(world.bytes_at(100, &Name::service("a", "x")).unwrap(), [19]);
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 #[test]
@@ -227,7 +227,7 @@
     let most = changed * 400.0 / 6000.0 + rests;
     let took = until_all_have(&mut world, &all(), version, most);
     println!("caught up in {took:.1} s, of {most:.1} s");
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 #[test]
@@ -261,7 +261,7 @@
     let nodes: Vec<u32> = (100..180).collect();
     // 33 kB at 6 kB/s, and up to 4 s before each begins.
     until_all_have(&mut world, &nodes, version, 20.0);
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 #[test]
@@ -274,8 +274,8 @@
         world.kill(PeerId(relay));
     }
     let month = 30.0 * 86_400.0;
-    let disk = world.seats[&PeerId(100)].disk.clone();
-    let world::Config::Node(config, _) = world.seats[&PeerId(100)].config.clone() else {
+    let disk = world.processes[&PeerId(100)].disk.clone();
+    let world::Config::Node(config, _) = world.processes[&PeerId(100)].config.clone() else {
         panic!()
     };
     let mut node =
@@ -351,5 +351,5 @@
         bytes < 15_000,
         "{bytes} bytes: 29 bodies of 800 bytes were there already"
     );
-    world.judge.verdict();
+    world.invariants.verdict();
 }
--- a/crates/distribution/tests/cases_trial.rs
+++ b/crates/distribution/tests/cases_trial.rs
@@ -14,7 +14,7 @@
 use reelfall_distribution::rollout::stage::{self, AdvanceBlocker, StageCounts, Verdict};
 use reelfall_distribution::subscriber::ACKNOWLEDGEMENT_REFRESH_INTERVAL;
 use reelfall_distribution::Time;
-use world::{claim, hold, two_authors_and_relays, World, BAD_FOR_ODD};
+use world::{claim, hold, two_authors_and_relays, World, REJECTED_BY_ODD_NODES};
 
 const NODES: std::ops::Range<u32> = 100..112;
 const EARLIER: &[u8] = b"earlier";
@@ -140,7 +140,7 @@
         _ => None,
     };
     world
-        .judge
+        .invariants
         .events
         .iter()
         .filter_map(|(t, _, event)| Some((*t, step(event)?)))
@@ -167,7 +167,7 @@
 #[test]
 fn what_all_accept_soaks_in_each_stage_and_comes_to_all() {
     let mut world = tree(1, both_relays);
-    let begun = world.t;
+    let begun = world.now;
     roll_out(&mut world, 1, 1, draft(NEW, policy())).unwrap();
     world.run(SOAK / 2.0);
     let seen = status(&world, 1);
@@ -206,14 +206,14 @@
         slot: Slot::Canary,
     };
     assert!(world.author_of(1).log().get(&trial).unwrap().is_removal());
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 #[test]
 fn what_too_many_refuse_is_taken_back_with_their_reasons() {
     let mut world = tree(2, both_relays);
-    let begun = world.t;
-    roll_out(&mut world, 1, 1, draft(BAD_FOR_ODD, policy())).unwrap();
+    let begun = world.now;
+    roll_out(&mut world, 1, 1, draft(REJECTED_BY_ODD_NODES, policy())).unwrap();
     world.run(5.0);
     let (stopped_at, _) = steps(&world)[0];
     assert!(
@@ -254,7 +254,7 @@
     world.kill(PeerId(1));
     take_over(&mut world, 2, 2);
     assert_eq!(state(&world, 2), RolloutState::RolledBack(stop));
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 #[test]
@@ -265,14 +265,18 @@
         min_accepted_share: 200,
         ..policy()
     };
-    roll_out(&mut world, 1, 1, draft(BAD_FOR_ODD, tolerant)).unwrap();
+    roll_out(&mut world, 1, 1, draft(REJECTED_BY_ODD_NODES, tolerant)).unwrap();
     world.run(120.0);
     assert_eq!(state(&world, 1), RolloutState::Completed);
     for id in NODES {
-        let expected = if id % 2 == 1 { EARLIER } else { BAD_FOR_ODD };
+        let expected = if id % 2 == 1 {
+            EARLIER
+        } else {
+            REJECTED_BY_ODD_NODES
+        };
         assert_eq!(world.bytes_at(id, &name()).unwrap(), expected, "{id}");
     }
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 #[test]
@@ -283,7 +287,7 @@
         max_rejected: 0,
         ..policy()
     };
-    roll_out(&mut world, 1, 1, draft(BAD_FOR_ODD, policy)).unwrap();
+    roll_out(&mut world, 1, 1, draft(REJECTED_BY_ODD_NODES, policy)).unwrap();
     world.run(5.0);
     assert!(is_rolled_back(&world, 1));
     assert_everywhere(&world, EARLIER);
@@ -296,7 +300,13 @@
         on_rejections: OnRejections::Halt,
         ..policy()
     };
-    roll_out(&mut world, 1, 1, draft(BAD_FOR_ODD, halting.clone())).unwrap();
+    roll_out(
+        &mut world,
+        1,
+        1,
+        draft(REJECTED_BY_ODD_NODES, halting.clone()),
+    )
+    .unwrap();
     world.run(3.0 * SOAK);
     assert!(matches!(state(&world, 1), RolloutState::Halted(_)));
     assert_eq!(status(&world, 1).thousandths, Some(FIRST_STAGE));
@@ -304,7 +314,11 @@
         let accepted = id % 2 == 0 && stage_nodes(FIRST_STAGE).contains(&id);
         assert_eq!(
             world.bytes_at(id, &name()).unwrap(),
-            if accepted { BAD_FOR_ODD } else { EARLIER }
+            if accepted {
+                REJECTED_BY_ODD_NODES
+            } else {
+                EARLIER
+            }
         );
     }
     assert_eq!(
@@ -321,7 +335,7 @@
     world.run(5.0);
     assert_eq!(state(&world, 2), RolloutState::Ended);
     assert_everywhere(&world, EARLIER);
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 fn trial_version(world: &World, author: u32) -> Version {
@@ -370,7 +384,7 @@
         assert_eq!(steps(&world).len(), 1, "it went on by itself");
         assert_everywhere(&world, body);
         roll_out(&mut world, 1, 1, draft(b"newer", policy())).unwrap();
-        world.judge.verdict();
+        world.invariants.verdict();
     }
 }
 
@@ -409,7 +423,7 @@
     world.run(3.0 * SOAK);
     assert_eq!(state(&world, 1), RolloutState::Superseded);
     assert_everywhere(&world, b"by hand");
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 #[test]
@@ -442,7 +456,7 @@
     world.run(200.0);
     assert_eq!(state(&world, 2), RolloutState::Completed);
     assert_everywhere(&world, NEW);
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 #[test]
@@ -501,14 +515,14 @@
     world.run(60.0);
     assert_eq!(steps(&world).len(), 1, "nobody writes");
     world.start(PeerId(1));
-    let began = world.t;
+    let began = world.now;
     take_over(&mut world, 1, 2);
     let resumed = Event::RolloutResumed {
         name: name(),
         thousandths: 600,
     };
     assert!(world
-        .judge
+        .invariants
         .events
         .iter()
         .any(|(_, _, event)| *event == resumed));
@@ -521,7 +535,7 @@
     assert!(steps(&world)[1].0 - began >= SOAK, "{:?}", steps(&world));
     assert_eq!(state(&world, 1), RolloutState::Completed);
     assert_everywhere(&world, NEW);
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 #[test]
@@ -532,7 +546,7 @@
         min_accepted_share: 200,
         ..policy()
     };
-    roll_out(&mut world, 1, 1, draft(BAD_FOR_ODD, tolerant)).unwrap();
+    roll_out(&mut world, 1, 1, draft(REJECTED_BY_ODD_NODES, tolerant)).unwrap();
     world.run(SOAK / 2.0);
     let counts = status(&world, 1).counts;
     assert!(counts.rejected > 0);
@@ -543,7 +557,7 @@
     assert_eq!(status(&world, 2).rejecting_nodes, refusing);
     world.run(200.0);
     assert_eq!(state(&world, 2), RolloutState::Completed);
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 /// An author that loses the lease and gets it again has the standings that it heard, and nothing of who refused.
@@ -556,7 +570,7 @@
         soak_time: 300.0,
         ..policy()
     };
-    roll_out(&mut world, 1, 1, draft(BAD_FOR_ODD, tolerant)).unwrap();
+    roll_out(&mut world, 1, 1, draft(REJECTED_BY_ODD_NODES, tolerant)).unwrap();
     world.run(20.0);
     assert!(status(&world, 1).counts.accepted > 0);
     world.with_author(1, |author, now, outputs| author.stand_down(now, outputs));
@@ -582,7 +596,7 @@
         soak_time: 60.0,
         ..policy()
     };
-    roll_out(&mut world, 1, 1, draft(BAD_FOR_ODD, patient)).unwrap();
+    roll_out(&mut world, 1, 1, draft(REJECTED_BY_ODD_NODES, patient)).unwrap();
     // The relay has the trial, and what the nodes say of it does not leave it.
     world.run(0.08);
     for author in [1, 2] {
@@ -608,7 +622,7 @@
         "the stage ended without them"
     );
     assert_everywhere(&world, EARLIER);
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 /// The author with the older token was cut off with its trial. What its successor decides holds.
@@ -637,14 +651,14 @@
     assert!(roll_out(&mut world, 1, 1, draft(NEW, policy())).is_err());
     world.run(60.0);
     assert_everywhere(&world, EARLIER);
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 /// Nodes that have much else to take get the end of the trial alone.
 #[test]
 fn the_end_of_a_rollout_overtakes_its_change() {
     let mut world = tree(15, own_relay);
-    let mut body = BAD_FOR_ODD.to_vec();
+    let mut body = REJECTED_BY_ODD_NODES.to_vec();
     body.resize(30_000, 7);
     // Even numbers are behind by a half of the trial; the odd ones refuse it meanwhile.
     for id in NODES.filter(|id| id % 2 == 0) {
@@ -654,7 +668,7 @@
     let trial = trial_version(&world, 1);
     while !is_rolled_back(&world, 1) {
         world.run(0.01);
-        assert!(world.t < 200.0, "it was not taken back");
+        assert!(world.now < 200.0, "it was not taken back");
     }
     let drafts = (0..60)
         .map(|n| Draft::put(Name::service("a", &format!("r{n}")), &[n; 1000]))
@@ -678,14 +692,14 @@
     }
     world.run(60.0);
     assert_everywhere(&world, EARLIER);
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 /// A node outside of the stage that refuses what is for all says so under the version of the trial's end.
 #[test]
 fn refusals_outside_of_the_stage_do_not_count() {
     let mut world = tree(16, both_relays);
-    publish(&mut world, 1, 1, BAD_FOR_ODD).unwrap();
+    publish(&mut world, 1, 1, REJECTED_BY_ODD_NODES).unwrap();
     world.run(10.0);
     roll_out(&mut world, 1, 1, draft(NEW, policy())).unwrap();
     world.run(150.0);
@@ -697,7 +711,7 @@
 #[test]
 fn refusals_of_an_earlier_rollout_do_not_count() {
     let mut world = tree(17, both_relays);
-    roll_out(&mut world, 1, 1, draft(BAD_FOR_ODD, policy())).unwrap();
+    roll_out(&mut world, 1, 1, draft(REJECTED_BY_ODD_NODES, policy())).unwrap();
     world.run(10.0);
     assert!(is_rolled_back(&world, 1));
     roll_out(&mut world, 1, 1, draft(NEW, policy())).unwrap();
@@ -715,7 +729,7 @@
 /// content, and says how the rollout ended.
 #[test]
 fn an_author_may_end_after_any_output_of_the_end_of_a_rollout() {
-    for body in [BAD_FOR_ODD, NEW] {
+    for body in [REJECTED_BY_ODD_NODES, NEW] {
         for outputs in 0..12 {
             for successor in [1, 2] {
                 end_after(body, outputs, successor);
@@ -737,12 +751,12 @@
     }
     // Of acknowledgements nothing is left then, so that what follows is what the end asks for.
     while state(&world, 1) == RolloutState::Running {
-        let seat = &world.seats[&PeerId(1)];
+        let seat = &world.processes[&PeerId(1)];
         let ends_soon = seat.machine.is_some();
         assert!(ends_soon);
         world.kill_after(PeerId(1), outputs);
         world.run(0.02);
-        if world.seats[&PeerId(1)].machine.is_none() {
+        if world.processes[&PeerId(1)].machine.is_none() {
             break;
         }
     }
@@ -765,7 +779,7 @@
         "{outputs} {successor}: {ended:?}"
     );
     assert_everywhere(&world, expected);
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 #[test]
@@ -911,7 +925,7 @@
         let mut world = tree(seed, both_relays);
         roll_out(&mut world, 1, 1, draft(NEW, policy())).unwrap();
         world.run(100.0);
-        world.judge.events
+        world.invariants.events
     };
     assert_eq!(events(21), events(21));
 }
--- a/crates/distribution/tests/defences.rs
+++ b/crates/distribution/tests/defences.rs
@@ -55,14 +55,14 @@
 }
 
 fn publish(world: &mut World, author: u32, token: u64, drafts: Vec<Draft>) -> Version {
-    let t = world.t;
+    let t = world.now;
     let version = world
         .with_author(author, |author, now, outputs| {
             author.publish(now, &claim(token), drafts, outputs)
         })
         .unwrap()
         .unwrap();
-    world.judge.published(t, version);
+    world.invariants.published(t, version);
     version
 }
 
@@ -122,12 +122,12 @@
                 }
             )
     };
-    assert_eq!(world.judge.events.iter().filter(sent_away).count(), 2);
+    assert_eq!(world.invariants.events.iter().filter(sent_away).count(), 2);
     world.run(20.0);
     for id in NODES {
         let age = world
             .node_of(id)
-            .staleness(world.seats[&PeerId(id)].clock(world.t));
+            .staleness(world.processes[&PeerId(id)].clock(world.now));
         assert!(
             age >= 20.0,
             "{id} shows an age of {age} s, 20 s after the last author"
@@ -152,7 +152,7 @@
             "{id}"
         );
     }
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 /// The next author hears all first relays, not the first of them alone: the last one told one relay, and died.
@@ -184,7 +184,7 @@
             "{id}"
         );
     }
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 /// An author that was cut off writes again, without having heard of the one that wrote meanwhile and did not know its last
@@ -270,7 +270,7 @@
     };
     let stored = [Record::Put(orphan), covered, Record::Epoch(epoch)];
     world
-        .seats
+        .processes
         .get_mut(&PeerId(10))
         .unwrap()
         .disk
@@ -291,7 +291,7 @@
             == 2,
         "it was written anew"
     );
-    world.judge.verdict();
+    world.invariants.verdict();
 }
 
 /// A relay that has lost all that it covered, since the author before did not know it, has changes all the same: it hears of
@@ -323,12 +323,12 @@
     let heard = |world: &World| {
         let epoch =
             |record: &Record| matches!(record, Record::Epoch(epoch) if epoch.claim.token == 2);
-        world.seats[&PeerId(10)].disk.iter().any(epoch)
+        world.processes[&PeerId(10)].disk.iter().any(epoch)
     };
     while !heard(&world) {
         world.run(0.001);
         assert!(
-            world.t < 300.0,
+            world.now < 300.0,
             "the relay does not follow the second author"
         );
     }
@@ -460,7 +460,7 @@
     );
     world.run(20.0);
     let id = NODES.start;
-    let stored = world.seats[&PeerId(id)].disk.clone();
+    let stored = world.processes[&PeerId(id)].disk.clone();
     let outputs = world.with_node(id, |node, _, outputs| {
         node.unsubscribe(&Selector::service("a"), outputs);
         outputs.clone()
--- a/crates/distribution/tests/golden.rs
+++ b/crates/distribution/tests/golden.rs
@@ -363,14 +363,14 @@
             4 => author.promote_canary(now, &claim(1), &name, outputs),
             _ => author.publish(now, &claim(1), vec![draft], outputs),
         });
-        let victim = PeerId([10, 11, 20, 100, 102][world.draw.random_range(0..5)]);
-        match world.draw.random_range(0..6) {
+        let victim = PeerId([10, 11, 20, 100, 102][world.rng.random_range(0..5)]);
+        match world.rng.random_range(0..6) {
             0 => world.kill(victim),
             1 => world.freeze(victim, 4.0),
             2 => world.cut(PeerId(20), victim, 3.0),
             _ => world.start(victim),
         }
-        let lasts = world.draw.random_range(0.0..3.0);
+        let lasts = world.rng.random_range(0.0..3.0);
         world.run(lasts);
     }
     world.heal();
--- a/crates/distribution/tests/schedules.rs
+++ b/crates/distribution/tests/schedules.rs
@@ -19,7 +19,7 @@
 use reelfall_distribution::Time;
 use rollouts::{Rollouts, Tally};
 use std::collections::BTreeMap;
-use world::{claim, Config, Network, World, BAD_FOR_ODD};
+use world::{claim, Config, Network, World, REJECTED_BY_ODD_NODES};
 
 /// How long a lease is held without being renewed, in seconds.
 const LEASE: Time = 10.0;
@@ -66,9 +66,9 @@
                 delay,
             },
         );
-        let authors: Vec<u32> = (1..=world.draw.random_range(1..=2)).collect();
-        let first: Vec<u32> = (10..10 + world.draw.random_range(1..=2)).collect();
-        let second: Vec<u32> = (20..20 + world.draw.random_range(1..=2)).collect();
+        let authors: Vec<u32> = (1..=world.rng.random_range(1..=2)).collect();
+        let first: Vec<u32> = (10..10 + world.rng.random_range(1..=2)).collect();
+        let second: Vec<u32> = (20..20 + world.rng.random_range(1..=2)).collect();
         for id in &authors {
             world.author(*id, &first);
         }
@@ -78,10 +78,10 @@
         for id in &second {
             world.relay(*id, &first);
         }
-        for id in 100..100 + world.draw.random_range(3..=8) {
+        for id in 100..100 + world.rng.random_range(3..=8) {
             world.node(id, &second, &selectors_of(id));
-            let applies_in = world.draw.random_range(0.0..0.5);
-            world.seats.get_mut(&PeerId(id)).unwrap().applies_in = applies_in;
+            let applies_in = world.rng.random_range(0.0..0.5);
+            world.processes.get_mut(&PeerId(id)).unwrap().apply_delay = applies_in;
         }
         Play {
             world,
@@ -97,18 +97,18 @@
 
     /// Renews the lease of its holder, or gives it to another one once it is over.
     fn lease(&mut self, change: bool) {
-        let over = self.world.t > self.until + 0.1;
+        let over = self.world.now > self.until + 0.1;
         if self.holder.is_none() || over {
-            let n = self.world.draw.random_range(0..self.authors.len());
+            let n = self.world.rng.random_range(0..self.authors.len());
             self.holder = Some(self.authors[n]);
             self.token += 1;
         } else if change {
             return;
         }
-        let until = self.world.t + LEASE;
+        let until = self.world.now + LEASE;
         let Some(holder) = self.holder else { return };
         let token = self.token;
-        let local = self.world.seats[&PeerId(holder)].clock(until);
+        let local = self.world.processes[&PeerId(holder)].clock(until);
         // A clock that goes slow must not take the lease for longer than it is.
         let local = local - 0.01;
         let held = self.world.with_author(holder, |author, now, outputs| {
@@ -126,10 +126,10 @@
         call: impl FnOnce(&mut Author, Time, &mut Vec<Output>) -> Result<Version, PublishError>,
     ) -> Option<Version> {
         let holder = self.holder?;
-        let t = self.world.t;
+        let t = self.world.now;
         let version = self.world.with_author(holder, call)?.ok()?;
-        self.world.seats[&PeerId(holder)].machine.as_ref()?;
-        self.world.judge.published(t, version);
+        self.world.processes[&PeerId(holder)].machine.as_ref()?;
+        self.world.invariants.published(t, version);
         self.versions.push(version);
         self.published += 1;
         Some(version)
@@ -137,12 +137,12 @@
 
     /// Whether a process runs and does not stand still.
     fn runs(&self, id: u32) -> bool {
-        let seat = &self.world.seats[&PeerId(id)];
-        seat.machine.is_some() && self.world.t >= seat.frozen_until
+        let seat = &self.world.processes[&PeerId(id)];
+        seat.machine.is_some() && self.world.now >= seat.paused_until
     }
 
     fn draft(&mut self) -> Draft {
-        let draw = &mut self.world.draw;
+        let draw = &mut self.world.rng;
         let item = format!("r{}", draw.random_range(0..4));
         let name = match draw.random_range(0..5) {
             0 => Name::common(&item),
@@ -154,7 +154,7 @@
         let mut bytes = number.to_le_bytes().to_vec();
         match draw.random_range(0..10) {
             0 => bytes.resize(9_000, 7),
-            1 => bytes = [BAD_FOR_ODD, &bytes].concat(),
+            1 => bytes = [REJECTED_BY_ODD_NODES, &bytes].concat(),
             2 => return Draft::remove(name),
             _ => {}
         }
@@ -167,7 +167,7 @@
     }
 
     fn publish(&mut self) {
-        let count = if self.world.draw.random_bool(0.1) {
+        let count = if self.world.rng.random_bool(0.1) {
             20
         } else {
             1
@@ -196,14 +196,14 @@
         let token = self.token;
         self.last.remove(&name);
         let part = NodeFraction {
-            thousandths: self.world.draw.random_range(100..900),
+            thousandths: self.world.rng.random_range(100..900),
             seed: 5,
         };
         self.write(|author, now, outputs| {
             author.publish_canary(now, &claim(token), draft, part, outputs)
         });
-        if self.world.draw.random_bool(0.5) {
-            let lasts = self.world.draw.random_range(0.0..3.0);
+        if self.world.rng.random_bool(0.5) {
+            let lasts = self.world.rng.random_range(0.0..3.0);
             self.world.run(lasts);
             self.write(|author, now, outputs| {
                 author.promote_canary(now, &claim(token), &name, outputs)
@@ -221,17 +221,17 @@
     }
 
     fn any(&mut self) -> PeerId {
-        let ids: Vec<PeerId> = self.world.seats.keys().copied().collect();
-        ids[self.world.draw.random_range(0..ids.len())]
+        let ids: Vec<PeerId> = self.world.processes.keys().copied().collect();
+        ids[self.world.rng.random_range(0..ids.len())]
     }
 
     fn fault(&mut self) {
         let id = self.any();
-        let lasts = self.world.draw.random_range(0.5..20.0);
-        match self.world.draw.random_range(0..7) {
+        let lasts = self.world.rng.random_range(0.5..20.0);
+        match self.world.rng.random_range(0..7) {
             0 => self.world.kill(id),
             1 | 2 => {
-                let outputs = self.world.draw.random_range(0..6);
+                let outputs = self.world.rng.random_range(0..6);
                 self.world.kill_after(id, outputs);
             }
             3 | 4 => self.world.freeze(id, lasts),
@@ -248,8 +248,8 @@
         if nodes.is_empty() {
             return;
         }
-        let id = nodes[self.world.draw.random_range(0..nodes.len())];
-        let ends = self.world.draw.random_bool(0.5);
+        let id = nodes[self.world.rng.random_range(0..nodes.len())];
+        let ends = self.world.rng.random_bool(0.5);
         self.world.with_node(id.0, |node, _, outputs| {
             let selector = Selector::tenant("t");
             if ends {
@@ -259,14 +259,16 @@
             }
         });
         if ends {
-            self.world.judge.unsubscribed(id, &Selector::tenant("t"));
+            self.world
+                .invariants
+                .unsubscribed(id, &Selector::tenant("t"));
         }
     }
 
     fn step(&mut self) {
-        let change = self.world.draw.random_bool(0.1);
+        let change = self.world.rng.random_bool(0.1);
         self.lease(change);
-        match self.world.draw.random_range(0..20) {
+        match self.world.rng.random_range(0..20) {
             0..=7 => self.publish(),
             8 => self.stage(),
             9 => self.revert(),
@@ -278,22 +280,22 @@
             }
             _ => {}
         }
-        let lasts = self.world.draw.random_range(0.0..3.0);
+        let lasts = self.world.rng.random_range(0.0..3.0);
         self.world.run(lasts);
     }
 
     fn quiet(&mut self) {
         self.world.heal();
-        let end = self.world.t + QUIET;
-        while self.world.t < end {
+        let end = self.world.now + QUIET;
+        while self.world.now < end {
             self.lease(false);
             self.world.run(2.0);
         }
     }
 
     fn check(&mut self) {
-        self.world.judge.verdict();
-        for (t, id, event) in &self.world.judge.events {
+        self.world.invariants.verdict();
+        for (t, id, event) in &self.world.invariants.events {
             let why = match event {
                 Event::Left { reason: why, .. } | Event::ChildLost { reason: why, .. } => *why,
                 _ => continue,
@@ -327,9 +329,9 @@
             "{id:?} follows {:?}",
             node.following()
         );
-        let seat = &self.world.seats[&id];
+        let seat = &self.world.processes[&id];
         assert!(
-            node.staleness(seat.clock(self.world.t)) < 15.0,
+            node.staleness(seat.clock(self.world.now)) < 15.0,
             "{id:?} is old"
         );
         for item in 0..4 {
@@ -349,7 +351,8 @@
                 let found = node
                     .applied_change(&name)
                     .map(|change| change.content.bytes().to_vec());
-                let refused = |bytes: &Vec<u8>| id.0 % 2 == 1 && bytes.starts_with(BAD_FOR_ODD);
+                let refused =
+                    |bytes: &Vec<u8>| id.0 % 2 == 1 && bytes.starts_with(REJECTED_BY_ODD_NODES);
                 if expected.as_ref().is_some_and(refused) {
                     continue;
                 }
@@ -545,7 +548,7 @@
         published += play.published;
         kept += play.last.len();
         let gone = |event: &&(Time, PeerId, Event)| matches!(event.2, Event::Left { .. });
-        lost += play.world.judge.events.iter().filter(gone).count();
+        lost += play.world.invariants.events.iter().filter(gone).count();
     }
     assert!(published > 200, "{published} changes");
     assert!(lost > 100, "{lost} upstreams left");
--- a/crates/distribution/tests/schedules/rollouts.rs
+++ b/crates/distribution/tests/schedules/rollouts.rs
@@ -1,7 +1,7 @@
 //! Rollouts in drawn schedules, from a generator of their own: schedules without them play as they did.
 
 use super::world::{claim, Config};
-use super::{wanted_at, Play, BAD_FOR_ODD};
+use super::{wanted_at, Play, REJECTED_BY_ODD_NODES};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use reelfall_distribution::author::{Author, RolloutDraft};
@@ -29,7 +29,10 @@
 
 impl Begun {
     fn bad(&self) -> bool {
-        self.draft.content.bytes().starts_with(BAD_FOR_ODD)
+        self.draft
+            .content
+            .bytes()
+            .starts_with(REJECTED_BY_ODD_NODES)
     }
 
     fn is_record(&self, record: &RolloutRecord) -> bool {
@@ -92,7 +95,7 @@
         let number: u64 = self.draw.random();
         let mut bytes = number.to_le_bytes().to_vec();
         if self.draw.random_bool(0.5) {
-            bytes = [BAD_FOR_ODD, &bytes].concat();
+            bytes = [REJECTED_BY_ODD_NODES, &bytes].concat();
         }
         if self.draw.random_bool(0.2) {
             bytes.resize(9_000, 7);
@@ -132,7 +135,7 @@
             return;
         };
         let before = body_of(play.world.author_of(holder), &draft.name);
-        let (copy, token, t) = (draft.clone(), play.token, play.world.t);
+        let (copy, token, t) = (draft.clone(), play.token, play.world.now);
         // What the rollout comes to is for all nodes at a moment that the schedule does not know.
         play.last.remove(&draft.name);
         let version = play
@@ -180,7 +183,7 @@
         };
         let mut since: BTreeMap<Name, (Time, u16)> = BTreeMap::new();
         let mut begun = self.begun.iter().peekable();
-        for (t, _, event) in &play.world.judge.events {
+        for (t, _, event) in &play.world.invariants.events {
             while let Some(next) = begun.next_if(|begun| begun.t <= *t) {
                 since.insert(
                     next.draft.name.clone(),
@@ -344,7 +347,9 @@
         let author = play.world.author_of(play.holder.unwrap());
         for id in play.world.ids(|config| matches!(config, Config::Node(..))) {
             let wanted = wanted_at(author, id, &begun.draft.name);
-            if id.0 % 2 == 1 && wanted.is_some_and(|wanted| wanted.starts_with(BAD_FOR_ODD)) {
+            if id.0 % 2 == 1
+                && wanted.is_some_and(|wanted| wanted.starts_with(REJECTED_BY_ODD_NODES))
+            {
                 continue;
             }
             let found = play.world.bytes_at(id.0, &begun.draft.name);
--- a/crates/distribution/tests/world/judge.rs
+++ b/crates/distribution/tests/world/judge.rs
@@ -1,6 +1,6 @@
 //! What must never be, whatever happens: looked at after each step of a process.
 
-use super::{Machine, Seat, BAD_FOR_ODD};
+use super::{Machine, Process, REJECTED_BY_ODD_NODES};
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::resource::{Name, Selector, Version};
@@ -15,7 +15,7 @@
 /// Nodes have numbers from this one on.
 pub const FIRST_NODE: u32 = 100;
 
-type Life = (PeerId, u64);
+type ProcessRun = (PeerId, u64);
 
 /// What passed between two processes of late.
 #[derive(Default)]
@@ -37,25 +37,25 @@
 }
 
 #[derive(Default)]
-pub struct Judge {
-    in_force: BTreeMap<(PeerId, Name), Version>,
-    windows: BTreeMap<(Life, Life), Window>,
+pub struct InvariantChecker {
+    applied: BTreeMap<(PeerId, Name), Version>,
+    windows: BTreeMap<(ProcessRun, ProcessRun), Window>,
     /// What the author with the lease has published, and when.
     published: Vec<(Time, Version)>,
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     pub events: Vec<(Time, PeerId, Event)>,
     /// The most that passed between a relay and a node over any window.
-    pub busiest: usize,
+    pub max_window_bytes: usize,
 }
 
-impl Judge {
+impl InvariantChecker {
     pub fn published(&mut self, t: Time, version: Version) {
         self.published.push((t, version));
     }
 
     /// A node has ended a subscription: it keeps nothing of it, the versions neither.
     pub fn unsubscribed(&mut self, node: PeerId, selector: &Selector) {
-        self.in_force
+        self.applied
             .retain(|(id, name), _| *id != node || !selector.matches(&name.group));
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// A frame was sent.
-    pub fn sent(&mut self, t: Time, from: Life, to: Life, bytes: usize) {
+    pub fn sent(&mut self, t: Time, from: ProcessRun, to: ProcessRun, bytes: usize) {
         if from.0 .0 < FIRST_NODE && to.0 .0 < FIRST_NODE {
             return;
         }
@@ -73,37 +73,37 @@
             .entry((from.min(to), from.max(to)))
             .or_default();
         let sum = window.add(t, bytes + TRANSPORT_OVERHEAD_BYTES);
-        self.busiest = self.busiest.max(sum);
+        self.max_window_bytes = self.max_window_bytes.max(sum);
         if sum > BUDGET {
-            self.broken.push(format!(
+            self.violations.push(format!(
                 "{t}: {sum} bytes between {from:?} and {to:?} in {WINDOW} s"
             ));
         }
     }
 
     /// A process has done something.
-    pub fn look(&mut self, t: Time, id: PeerId, seat: &Seat) {
-        let Some(Machine::Node(node)) = &seat.machine else {
+    pub fn look(&mut self, t: Time, id: PeerId, process: &Process) {
+        let Some(Machine::Node(node)) = &process.machine else {
             return;
         };
         for change in node.applied_changes() {
             let known = self
-                .in_force
+                .applied
                 .entry((id, change.key.name.clone()))
                 .or_default();
             if change.version < *known {
-                self.broken.push(format!(
+                self.violations.push(format!(
                     "{t}: {id:?} went back from {known:?} to {:?} of {:?}",
                     change.version, change.key.name
                 ));
             }
             *known = change.version;
-            if id.0 % 2 == 1 && change.content.bytes().starts_with(BAD_FOR_ODD) {
-                self.broken
+            if id.0 % 2 == 1 && change.content.bytes().starts_with(REJECTED_BY_ODD_NODES) {
+                self.violations
                     .push(format!("{t}: {id:?} has in force what it refused"));
             }
         }
-        let staleness = node.staleness(seat.clock(t));
+        let staleness = node.staleness(process.clock(t));
         let at = t - staleness;
         let before = self
             .published
@@ -114,7 +114,7 @@
             .max();
         if must.is_some_and(|must| node.head() < must) {
             let head = node.head();
-            self.broken.push(format!(
+            self.violations.push(format!(
                 "{t}: {id:?} says {staleness} s, and has {head:?}, not {must:?}"
             ));
         }
@@ -122,9 +122,9 @@
 
     pub fn verdict(&self) {
         assert!(
-            self.broken.is_empty(),
+            self.violations.is_empty(),
             "{:#?}",
-            &self.broken[..self.broken.len().min(5)]
+            &self.violations[..self.violations.len().min(5)]
         );
     }
 }
--- a/crates/distribution/tests/world/mod.rs
+++ b/crates/distribution/tests/world/mod.rs
@@ -6,7 +6,7 @@
 pub mod judge;
 mod view;
 
-use judge::Judge;
+use judge::InvariantChecker;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use reelfall_distribution::author::{Author, AuthorConfig};
@@ -35,7 +35,7 @@
 
 /// An author gets the lease with this token, for so many seconds.
 pub fn hold(world: &mut World, author: u32, token: u64, lasts: Time) {
-    let until = world.seats[&PeerId(author)].clock(world.t + lasts);
+    let until = world.processes[&PeerId(author)].clock(world.now + lasts);
     let held = world.with_author(author, |author, now, outputs| {
         author.hold_lease(now, &claim(token), until, outputs)
     });
@@ -73,9 +73,9 @@
             max_tombstones: 50,
         },
         acknowledgement_interval: 2.0,
-        seed: world.draw.random(),
+        seed: world.rng.random(),
     };
-    world.seat(PeerId(id), Config::Node(config, vec![Selector::Services]));
+    world.add_process(PeerId(id), Config::Node(config, vec![Selector::Services]));
 }
 
 /// A resource of the service that the tests' nodes ask for.
@@ -89,7 +89,7 @@
 }
 
 /// A body that begins so is refused by nodes with an odd number.
-pub const BAD_FOR_ODD: &[u8] = b"bad for odd";
+pub const REJECTED_BY_ODD_NODES: &[u8] = b"bad for odd";
 
 pub enum Machine {
     Author(Box<Author>),
@@ -104,21 +104,21 @@
     Node(SubscriberConfig, Vec<Selector>),
 }
 
-pub struct Seat {
+pub struct Process {
     pub config: Config,
     pub machine: Option<Machine>,
     pub disk: Vec<Record>,
-    pub life: u64,
-    pub frozen_until: Time,
+    pub incarnation: u64,
+    pub paused_until: Time,
     offset: Time,
     rate: f64,
     /// It ends after so many more outputs.
-    ends_after: Option<usize>,
+    crash_after_outputs: Option<usize>,
     /// Answers to [`Output::Apply`] take so long.
-    pub applies_in: Time,
+    pub apply_delay: Time,
 }
 
-impl Seat {
+impl Process {
     pub fn clock(&self, t: Time) -> Time {
         self.offset + t * self.rate
     }
@@ -152,16 +152,16 @@
 };
 
 pub struct World {
-    pub t: Time,
-    pub draw: Pcg64Mcg,
+    pub now: Time,
+    pub rng: Pcg64Mcg,
     events: BTreeMap<(u64, u64), Event>,
     next: u64,
-    pub seats: BTreeMap<PeerId, Seat>,
+    pub processes: BTreeMap<PeerId, Process>,
     /// When each process is due, as a key of `events`.
     wakes: BTreeMap<PeerId, (u64, u64)>,
     cuts: BTreeMap<(PeerId, PeerId), Time>,
     pub network: Network,
-    pub judge: Judge,
+    pub invariants: InvariantChecker,
     /// Frames between two processes, for cases that look at them.
     pub sent: Vec<(Time, PeerId, PeerId, usize)>,
     /// Of all frames with their times, if somebody asks for it.
@@ -175,15 +175,15 @@
 impl World {
     pub fn new(seed: u64, network: Network) -> World {
         World {
-            t: 0.0,
-            draw: Pcg64Mcg::seed_from_u64(seed),
+            now: 0.0,
+            rng: Pcg64Mcg::seed_from_u64(seed),
             events: BTreeMap::new(),
             next: 0,
-            seats: BTreeMap::new(),
+            processes: BTreeMap::new(),
             wakes: BTreeMap::new(),
             cuts: BTreeMap::new(),
             network,
-            judge: Judge::default(),
+            invariants: InvariantChecker::default(),
             sent: Vec::new(),
             digest: None,
         }
@@ -201,9 +201,9 @@
             },
             history_bytes: 1 << 20,
             takeover_timeout: 5.0,
-            seed: self.draw.random(),
+            seed: self.rng.random(),
         };
-        self.seat(PeerId(id), Config::Author(config));
+        self.add_process(PeerId(id), Config::Author(config));
     }
 
     pub fn relay(&mut self, id: u32, upstreams: &[u32]) {
@@ -216,9 +216,9 @@
                 max_bytes: 64 << 20,
                 max_tombstones: 50,
             },
-            seed: self.draw.random(),
+            seed: self.rng.random(),
         };
-        self.seat(PeerId(id), Config::Relay(config));
+        self.add_process(PeerId(id), Config::Relay(config));
     }
 
     pub fn node(&mut self, id: u32, relays: &[u32], selectors: &[Selector]) {
@@ -232,42 +232,42 @@
                 max_tombstones: 50,
             },
             acknowledgement_interval: 2.0,
-            seed: self.draw.random(),
+            seed: self.rng.random(),
         };
-        self.seat(PeerId(id), Config::Node(config, selectors.to_vec()));
+        self.add_process(PeerId(id), Config::Node(config, selectors.to_vec()));
     }
 
-    pub fn seat(&mut self, id: PeerId, config: Config) {
-        let seat = Seat {
+    pub fn add_process(&mut self, id: PeerId, config: Config) {
+        let seat = Process {
             config,
             machine: None,
             disk: Vec::new(),
-            life: 0,
-            frozen_until: 0.0,
-            offset: self.draw.random_range(0.0..1000.0),
-            rate: 1.0 + self.draw.random_range(-0.0004..0.0004),
-            ends_after: None,
-            applies_in: 0.0,
+            incarnation: 0,
+            paused_until: 0.0,
+            offset: self.rng.random_range(0.0..1000.0),
+            rate: 1.0 + self.rng.random_range(-0.0004..0.0004),
+            crash_after_outputs: None,
+            apply_delay: 0.0,
         };
-        self.seats.insert(id, seat);
+        self.processes.insert(id, seat);
         self.start(id);
     }
 
     /// Begins a process from its disk.
     pub fn start(&mut self, id: PeerId) {
-        let t = self.t;
-        let seat = self.seats.get_mut(&id).unwrap();
+        let t = self.now;
+        let seat = self.processes.get_mut(&id).unwrap();
         if seat.machine.is_some() {
             return;
         }
-        seat.life += 1;
+        seat.incarnation += 1;
         let now = seat.clock(t);
         let disk = seat.disk.clone();
         let mut config = seat.config.clone();
         match &mut config {
-            Config::Author(config) => config.seed ^= seat.life,
-            Config::Relay(config) => config.seed ^= seat.life,
-            Config::Node(config, _) => config.seed ^= seat.life,
+            Config::Author(config) => config.seed ^= seat.incarnation,
+            Config::Relay(config) => config.seed ^= seat.incarnation,
+            Config::Node(config, _) => config.seed ^= seat.incarnation,
         }
         let machine = match config {
             Config::Author(config) => Machine::Author(Box::new(Author::restore(config, disk, now))),
@@ -285,35 +285,35 @@
     }
 
     pub fn kill(&mut self, id: PeerId) {
-        let seat = self.seats.get_mut(&id).unwrap();
+        let seat = self.processes.get_mut(&id).unwrap();
         seat.machine = None;
-        seat.ends_after = None;
+        seat.crash_after_outputs = None;
     }
 
     /// Ends a process in the middle of what it asks for next.
     pub fn kill_after(&mut self, id: PeerId, outputs: usize) {
-        self.seats.get_mut(&id).unwrap().ends_after = Some(outputs);
+        self.processes.get_mut(&id).unwrap().crash_after_outputs = Some(outputs);
     }
 
     pub fn freeze(&mut self, id: PeerId, lasts: Time) {
-        let until = self.t + lasts;
-        let seat = self.seats.get_mut(&id).unwrap();
-        seat.frozen_until = seat.frozen_until.max(until);
+        let until = self.now + lasts;
+        let seat = self.processes.get_mut(&id).unwrap();
+        seat.paused_until = seat.paused_until.max(until);
     }
 
     pub fn cut(&mut self, a: PeerId, b: PeerId, lasts: Time) {
-        self.cuts.insert((a.min(b), a.max(b)), self.t + lasts);
+        self.cuts.insert((a.min(b), a.max(b)), self.now + lasts);
     }
 
     /// All links work and all processes run.
     pub fn heal(&mut self) {
         self.cuts.clear();
         self.network = CALM;
-        let ids: Vec<PeerId> = self.seats.keys().copied().collect();
+        let ids: Vec<PeerId> = self.processes.keys().copied().collect();
         for id in ids {
-            let seat = self.seats.get_mut(&id).unwrap();
-            seat.frozen_until = 0.0;
-            seat.ends_after = None;
+            let seat = self.processes.get_mut(&id).unwrap();
+            seat.paused_until = 0.0;
+            seat.crash_after_outputs = None;
             self.start(id);
             self.wake(id);
         }
@@ -327,7 +327,7 @@
     }
 
     pub fn wake(&mut self, id: PeerId) {
-        self.wake_at(id, self.t);
+        self.wake_at(id, self.now);
     }
 
     fn wake_at(&mut self, id: PeerId, at: Time) {
@@ -342,17 +342,17 @@
 
     /// Lets time pass.
     pub fn run(&mut self, lasts: Time) {
-        let end = self.t + lasts;
+        let end = self.now + lasts;
         while let Some(((bits, _), _)) = self.events.first_key_value() {
             let at = f64::from_bits(*bits);
             if at > end {
                 break;
             }
             let (_, event) = self.events.pop_first().unwrap();
-            self.t = self.t.max(at);
+            self.now = self.now.max(at);
             self.happen(event);
         }
-        self.t = end;
+        self.now = end;
     }
 
     fn happen(&mut self, event: Event) {
@@ -360,11 +360,11 @@
             Event::Frame { to, .. } => *to,
             Event::Wake(id) | Event::Answer(id, _, _) => *id,
         };
-        let Some(seat) = self.seats.get(&id) else {
+        let Some(seat) = self.processes.get(&id) else {
             return;
         };
-        if self.t < seat.frozen_until {
-            let at = seat.frozen_until;
+        if self.now < seat.paused_until {
+            let at = seat.paused_until;
             match event {
                 Event::Wake(id) => self.wake_at(id, at),
                 other => {
@@ -384,7 +384,7 @@
             Event::Wake(id) => {
                 self.act(id, |_, _, _| {});
             }
-            Event::Answer(id, life, change) if self.seats[&id].life == life => {
+            Event::Answer(id, life, change) if self.processes[&id].incarnation == life => {
                 self.answer(id, &change)
             }
             Event::Answer(..) => {}
@@ -392,7 +392,7 @@
     }
 
     fn answer(&mut self, id: PeerId, change: &Change) {
-        let bad = change.content.bytes().starts_with(BAD_FOR_ODD) && id.0 % 2 == 1;
+        let bad = change.content.bytes().starts_with(REJECTED_BY_ODD_NODES) && id.0 % 2 == 1;
         self.act(id, |machine, _, outputs| {
             let Machine::Node(node) = machine else { return };
             if bad {
@@ -409,8 +409,8 @@
         id: PeerId,
         call: impl FnOnce(&mut Machine, Time, &mut Vec<Output>) -> T,
     ) -> Option<T> {
-        let t = self.t;
-        let seat = self.seats.get_mut(&id)?;
+        let t = self.now;
+        let seat = self.processes.get_mut(&id)?;
         let now = seat.clock(t);
         let machine = seat.machine.as_mut()?;
         let mut outputs = Vec::new();
@@ -432,14 +432,14 @@
         let at = seat.true_time(next).max(t + 1e-4);
         self.wake_at(id, at);
         self.perform(id, outputs);
-        self.judge.look(t, id, &self.seats[&id]);
+        self.invariants.look(t, id, &self.processes[&id]);
         Some(result)
     }
 
     fn perform(&mut self, id: PeerId, outputs: Vec<Output>) {
         for output in outputs {
-            let seat = self.seats.get_mut(&id).unwrap();
-            if let Some(left) = &mut seat.ends_after {
+            let seat = self.processes.get_mut(&id).unwrap();
+            if let Some(left) = &mut seat.crash_after_outputs {
                 if *left == 0 {
                     self.kill(id);
                     return;
@@ -450,44 +450,44 @@
                 Output::Send { to, frame } => self.send(id, to, frame),
                 Output::Persist(record) => seat.disk.push(record),
                 Output::Apply(change) => {
-                    let (at, life) = (self.t + seat.applies_in, seat.life);
+                    let (at, life) = (self.now + seat.apply_delay, seat.incarnation);
                     self.push(at, Event::Answer(id, life, change));
                 }
-                Output::Event(event) => self.judge.event(self.t, id, event),
+                Output::Event(event) => self.invariants.event(self.now, id, event),
             }
         }
     }
 
     pub fn send(&mut self, from: PeerId, to: PeerId, frame: Vec<u8>) {
         let lives = (
-            self.seats[&from].life,
-            self.seats.get(&to).map_or(0, |seat| seat.life),
+            self.processes[&from].incarnation,
+            self.processes.get(&to).map_or(0, |seat| seat.incarnation),
         );
-        self.judge
-            .sent(self.t, (from, lives.0), (to, lives.1), frame.len());
-        self.sent.push((self.t, from, to, frame.len()));
+        self.invariants
+            .sent(self.now, (from, lives.0), (to, lives.1), frame.len());
+        self.sent.push((self.now, from, to, frame.len()));
         if let Some(digest) = &mut self.digest {
-            digest.update(&self.t.to_bits().to_le_bytes());
+            digest.update(&self.now.to_bits().to_le_bytes());
             digest
                 .update(&from.0.to_le_bytes())
                 .update(&to.0.to_le_bytes())
                 .update(&frame);
         }
         let pair = (from.min(to), from.max(to));
-        if self.cuts.get(&pair).is_some_and(|until| self.t < *until) {
+        if self.cuts.get(&pair).is_some_and(|until| self.now < *until) {
             return;
         }
-        if self.draw.random_bool(self.network.loss) {
+        if self.rng.random_bool(self.network.loss) {
             return;
         }
-        let copies = if self.draw.random_bool(self.network.twice) {
+        let copies = if self.rng.random_bool(self.network.twice) {
             2
         } else {
             1
         };
         for _ in 0..copies {
             let (least, most) = self.network.delay;
-            let at = self.t + self.draw.random_range(least..most);
+            let at = self.now + self.rng.random_range(least..most);
             self.push(
                 at,
                 Event::Frame {
--- a/crates/distribution/tests/world/view.rs
+++ b/crates/distribution/tests/world/view.rs
@@ -12,21 +12,21 @@
 
 impl World {
     pub fn node_of(&self, id: u32) -> &Subscriber {
-        match self.seats[&PeerId(id)].machine.as_ref() {
+        match self.processes[&PeerId(id)].machine.as_ref() {
             Some(Machine::Node(node)) => node,
             _ => panic!("{id} is no running node"),
         }
     }
 
     pub fn relay_of(&self, id: u32) -> &Relay {
-        match self.seats[&PeerId(id)].machine.as_ref() {
+        match self.processes[&PeerId(id)].machine.as_ref() {
             Some(Machine::Relay(relay)) => relay,
             _ => panic!("{id} is no running relay"),
         }
     }
 
     pub fn author_of(&self, id: u32) -> &Author {
-        match self.seats[&PeerId(id)].machine.as_ref() {
+        match self.processes[&PeerId(id)].machine.as_ref() {
             Some(Machine::Author(author)) => author,
             _ => panic!("{id} is no running author"),
         }
@@ -38,7 +38,7 @@
         id: u32,
         call: impl FnOnce(&mut Author, Time, &mut Vec<Output>) -> T,
     ) -> Option<T> {
-        if self.t < self.seats[&PeerId(id)].frozen_until {
+        if self.now < self.processes[&PeerId(id)].paused_until {
             return None;
         }
         self.act(PeerId(id), |machine, now, outputs| match machine {
@@ -69,7 +69,7 @@
     }
 
     pub fn ids(&self, kind: fn(&Config) -> bool) -> BTreeSet<PeerId> {
-        self.seats
+        self.processes
             .iter()
             .filter(|(_, seat)| kind(&seat.config))
             .map(|(id, _)| *id)
