--- a/crates/capacity/src/budget/roles/node_processor.rs
+++ b/crates/capacity/src/budget/roles/node_processor.rs
@@ -63,7 +63,7 @@
         .row(
             at(|size| model::lapses(costs, size)),
             processor,
-            "`crates/routing/src/common.rs` (`expire`)",
+            "`crates/routing/src/shared_servers.rs` (`expire`)",
         ),
         Of(
             "each pool told of each server held for sick, at the worst moment",
--- a/crates/capacity/src/budget/roles/node_state.rs
+++ b/crates/capacity/src/budget/roles/node_state.rs
@@ -60,7 +60,7 @@
                 part(3),
                 memory,
                 "`crates/node/src/net/pool.rs`, `crates/balancer/src/decide/state.rs`, \
-                `crates/balancer/src/engine.rs`, `crates/routing/src/common.rs`",
+                `crates/balancer/src/engine.rs`, `crates/routing/src/shared_servers.rs`",
             ),
             "names and addresses alone for what is not sent to",
             compact[2],
