--- a/crates/distribution/src/author/rollouts/advance.rs
+++ b/crates/distribution/src/author/rollouts/advance.rs
@@ -5,7 +5,7 @@
 use crate::publish::PendingChange;
 use crate::resource::{Draft, Key, Name, Slot, Urgency};
 use crate::rollout::policy::OnRejections;
-use crate::rollout::record::{RolloutRecord, RolloutState};
+use crate::rollout::record::{RolloutRecord, RolloutState, StopSummary};
 use crate::rollout::stage::{self, Stage, StageCounts, Verdict};
 use crate::Time;
 
@@ -65,7 +65,7 @@
         };
         let counts = stage::count_nodes(now, stage, policy, &self.node_statuses, rejecting_nodes);
         let verdict = stage::evaluate(policy, counts, now - current.began_at);
-        let on_refusals = policy.on_rejections;
+        let on_rejections = policy.on_rejections;
         rollout.counts = counts;
         rollout.waiting = None;
         if rollout.record.state != RolloutState::Running {
@@ -76,14 +76,26 @@
             Verdict::Advance => self.advance_stage(now, name, index + 1, outputs),
             Verdict::Stop => {
                 let stop = rollout.stop_summary(fraction.thousandths);
-                match on_refusals {
-                    OnRejections::Halt => {
-                        self.end_rollout(now, name, RolloutState::Halted(stop), false, outputs);
-                    }
-                    OnRejections::RollBack => {
-                        self.end_rollout(now, name, RolloutState::RolledBack(stop), true, outputs);
-                    }
-                }
+                self.stop_rollout(now, name, on_rejections, stop, outputs);
+            }
+        }
+    }
+
+    /// Halts or rolls back a rollout that too many nodes rejected.
+    fn stop_rollout(
+        &mut self,
+        now: Time,
+        name: &Name,
+        on_rejections: OnRejections,
+        stop: StopSummary,
+        outputs: &mut Vec<Output>,
+    ) {
+        match on_rejections {
+            OnRejections::Halt => {
+                self.end_rollout(now, name, RolloutState::Halted(stop), false, outputs);
+            }
+            OnRejections::RollBack => {
+                self.end_rollout(now, name, RolloutState::RolledBack(stop), true, outputs);
             }
         }
     }
@@ -151,13 +163,13 @@
         }
     }
 
-    /// Ends or halts a rollout; `ends_trial`: the canary ends, too.
+    /// Ends or halts a rollout; `ends_canary`: the canary ends, too.
     pub(super) fn end_rollout(
         &mut self,
         now: Time,
         name: &Name,
         state: RolloutState,
-        ends_trial: bool,
+        ends_canary: bool,
         outputs: &mut Vec<Output>,
     ) {
         let Some(rollout) = self.rollouts.by_name.get(name) else {
@@ -172,7 +184,7 @@
         {
             self.report_full(RolloutRecord::key_of(name), outputs);
         }
-        if ends_trial {
+        if ends_canary {
             self.end_canary(now, &record, outputs);
         }
         self.record_rollout_end(name, record.state, counts, outputs);
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -146,13 +146,13 @@
     },
     /// Everything that the sender has of all subscriptions was sent.
     Current {
-        /// The latest version that the writer has.
+        /// The last version of the sender.
         head: Version,
-        /// The writer knows all removals up to this version, and has told them.
+        /// All removals up to this version were sent.
         removals: Version,
-        /// Removals up to this version may not be told any more.
+        /// Tombstones up to this version may have been pruned.
         pruned_through: Version,
-        /// The age of the writer's own knowledge at most, in microseconds; none if it can't tell.
+        /// Upper bound of the sender's staleness in microseconds, if it is known.
         age_us: Option<u64>,
     },
 }
--- a/crates/distribution/src/rollout.rs
+++ b/crates/distribution/src/rollout.rs
@@ -1,12 +1,12 @@
-//! Staged rollouts: a change goes to a growing part of the nodes, and is taken back once too many of them refuse it.
+//! Staged rollouts: a canary reaches a growing fraction of the nodes, and is rolled back once too many of them reject it.
 //!
 //! | module | what belongs there |
 //! | --- | --- |
-//! | [`policy`] | what the operator asks for: stages, soak time, thresholds |
-//! | [`record`] | what is stored of a rollout, so that another author goes on with it |
-//! | [`stage`] | what the nodes of a stage have said, and what follows from it by the policy |
+//! | [`policy`] | the policy: stages, soak time, thresholds |
+//! | [`record`] | the stored record, from which another author continues |
+//! | [`stage`] | what the nodes of a stage reported, and the verdict on it |
 //!
-//! The author's part is `author::rollouts`.
+//! Driven by `author::rollouts`.
 
 pub mod policy;
 pub mod record;
--- a/crates/distribution/src/rollout/stage.rs
+++ b/crates/distribution/src/rollout/stage.rs
@@ -105,22 +105,25 @@
     now: Time,
     stage: Stage,
     policy: &RolloutPolicy,
-    board: &NodeStatuses,
+    node_statuses: &NodeStatuses,
     rejecting_nodes: &RejectingNodes,
 ) -> StageCounts {
     let Stage {
         version,
         fraction,
         expected,
-        reports_since: heard_since,
+        reports_since,
     } = stage;
     let mut counts = StageCounts::default();
-    for (node, status) in board.iter().filter(|(node, _)| fraction.contains(*node)) {
+    for (node, status) in node_statuses
+        .iter()
+        .filter(|(node, _)| fraction.contains(*node))
+    {
         if rejecting_nodes.nodes.contains_key(&node) {
             continue;
         }
         counts.known += 1;
-        if status.acknowledged >= version && status.last_report_at >= heard_since {
+        if status.acknowledged >= version && status.last_report_at >= reports_since {
             counts.accepted += 1;
             let is_recent = now - status.last_report_at <= policy.max_report_age;
             counts.accepted_recently += u32::from(is_recent);
--- a/crates/distribution/src/upstream/receive.rs
+++ b/crates/distribution/src/upstream/receive.rs
@@ -46,7 +46,8 @@
             })
     }
 
-    pub(super) fn handle(
+    /// Accepts a frame in sequence and handles its payload.
+    fn handle(
         &mut self,
         now: Time,
         head: &Head,
@@ -63,6 +64,17 @@
         if session.link.is_idle() {
             session.reports.clear();
         }
+        self.dispatch(now, receipt, payload, outputs)
+    }
+
+    /// Handles a payload that is next in sequence.
+    fn dispatch(
+        &mut self,
+        now: Time,
+        receipt: FrameReceipt,
+        payload: Payload,
+        outputs: &mut Vec<Output>,
+    ) -> Result<Option<UpstreamEvent>, CloseReason> {
         match payload {
             Payload::Acknowledge => Ok(None),
             Payload::Close {
@@ -79,15 +91,15 @@
             Payload::Chunk { id, span, chunk } => self.handle_chunk(now, receipt, id, span, chunk),
             Payload::Manifest {
                 id,
-                is_first: first,
-                is_last: last,
+                is_first,
+                is_last,
                 pruned_through,
                 digests,
             } => {
                 let page = ManifestDigests {
                     id,
-                    is_first: first,
-                    is_last: last,
+                    is_first,
+                    is_last,
                     digests,
                 };
                 self.handle_manifest(now, receipt, page, pruned_through)
