--- a/crates/capacity/src/budget/model.rs
+++ b/crates/capacity/src/budget/model.rs
@@ -42,7 +42,7 @@
     pub const PEERS: f64 = 4096.0;
     /// Verdicts that are held: `crates/cluster/src/table.rs`.
     pub const VERDICTS: f64 = 8192.0;
-    /// Names that a keeper has: `crates/lease/src/keeper.rs`.
+    /// Names that a keeper has: `crates/lease/src/keeper/mod.rs`.
     pub const LEASES: f64 = 1024.0;
     /// Askers that wait for one name: the same.
     pub const WAITERS: f64 = 512.0;
--- a/crates/capacity/src/budget/ranking.rs
+++ b/crates/capacity/src/budget/ranking.rs
@@ -130,7 +130,7 @@
     let target = Size::TARGET;
     Misfit {
         what: "one asker of a list for each service and zone, by leases",
-        carried: "`crates/lease/src/keeper.rs`, `crates/node/src/lease/mod.rs`",
+        carried: "`crates/lease/src/keeper/mod.rs`, `crates/node/src/lease/mod.rs`",
         over: vec![
             over("names", model::names(&target), bound::LEASES, Unit::Count),
             over(
@@ -305,7 +305,7 @@
     Misfit {
         what: "connections to servers: by a settings file a node has no number, so it \
                 sends to all servers and meets each every three minutes",
-        carried: "`crates/balancer/src/decide/part.rs`, `crates/config/src/check.rs`",
+        carried: "`crates/balancer/src/decide/subset.rs`, `crates/config/src/check.rs`",
         over: vec![assumed(
             "that would stand idle",
             standing,
--- a/crates/capacity/src/budget/roles/keeper.rs
+++ b/crates/capacity/src/budget/roles/keeper.rs
@@ -6,7 +6,7 @@
 use super::row::{at, Of};
 
 pub fn keeper(costs: &Costs) -> Vec<Row> {
-    let carried = "`crates/lease/src/keeper.rs`";
+    let carried = "`crates/lease/src/keeper/mod.rs`";
     vec![
         Of(
             "names, one for each service and zone",
@@ -17,7 +17,7 @@
         .row(
             at(model::names),
             Some(bound::LEASES),
-            "`crates/lease/src/keeper.rs`: further ones are refused as full while \
+            "`crates/lease/src/keeper/mod.rs`: further ones are refused as full while \
                 all are held",
         ),
         Of(
@@ -59,7 +59,7 @@
         .row(
             at(|size| model::keeper_scans(costs, size)),
             Some(1.0),
-            "`crates/lease/src/keeper.rs` (`deadline`, `tick`)",
+            "`crates/lease/src/keeper/mod.rs` (`deadline`, `tick`)",
         ),
         Of(
             "askers that wait for one name",
--- a/crates/capacity/src/budget/roles/node_connections.rs
+++ b/crates/capacity/src/budget/roles/node_connections.rs
@@ -34,7 +34,7 @@
         .row(
             at(model::pair_rate),
             None,
-            "`crates/balancer/src/decide/part.rs`: 2 a second are wanted; without a \
+            "`crates/balancer/src/decide/subset.rs`: 2 a second are wanted; without a \
                 number each node has the whole list",
         ),
         Of(
--- a/crates/capacity/src/budget/roles/node_processor.rs
+++ b/crates/capacity/src/budget/roles/node_processor.rs
@@ -108,7 +108,7 @@
         .row(
             [costs.choice_seconds_1000; 3],
             Some(budget::ADDED),
-            "`crates/balancer/src/decide/draw.rs`",
+            "`crates/balancer/src/decide/selection.rs`",
         ),
         Of(
             "a list of 5,000 servers taken in",
@@ -119,7 +119,7 @@
         .row(
             [costs.join_seconds_5000; 3],
             Some(budget::ADDED),
-            "`crates/balancer/src/decide/list.rs`, `crates/balancer/src/floored.rs`",
+            "`crates/balancer/src/decide/endpoint_list.rs`, `crates/balancer/src/floored.rs`",
         ),
     ]
 }
--- a/crates/capacity/src/budget/roles/node_state.rs
+++ b/crates/capacity/src/budget/roles/node_state.rs
@@ -59,7 +59,7 @@
             .row(
                 part(3),
                 memory,
-                "`crates/node/src/net/pool.rs`, `crates/balancer/src/decide/state.rs`, \
+                "`crates/node/src/net/pool.rs`, `crates/balancer/src/decide/servers.rs`, \
                 `crates/balancer/src/engine.rs`, `crates/routing/src/shared_servers.rs`",
             ),
             "names and addresses alone for what is not sent to",
--- a/crates/capacity/src/budget/roles/server.rs
+++ b/crates/capacity/src/budget/roles/server.rs
@@ -53,7 +53,7 @@
         .row(
             at(|size| size.nodes as f64 * (1.0 - (-model::pair_rate(size)).exp())),
             None,
-            "`crates/balancer/src/decide/cold.rs`: tolerance is parted by `process.nodes`",
+            "`crates/balancer/src/decide/slow_start.rs`: tolerance is parted by `process.nodes`",
         ),
     ]
 }
--- a/crates/cluster/src/quorum.rs
+++ b/crates/cluster/src/quorum.rs
@@ -10,7 +10,7 @@
 //! | of a node that is not a member, unless it is this one | not at all |
 //!
 //! A server is condemned when at least [`Quorum::witnesses`] nodes report a fault, each with one vote, and more than report
-//! that it is healthy. Of a list no more than [`Quorum::most`] is condemned, the best proven first: where all nodes condemn
+//! that it is healthy. Of a list no more than [`Quorum::max_condemned_share`] is condemned, the best proven first: where all nodes condemn
 //! all servers, something else is wrong.
 
 use crate::entry::{Finding, Report, ServerInstance};
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -5,7 +5,7 @@
 //! | [`reader`] | parses TOML into the model |
 //! | [`units`] | quantities with units |
 //! | [`model`] | the content of a file, each item with its line |
-//! | [`check`] | validates a model and makes a [`Plan`] of it |
+//! | [`mod@check`] | validates a model and makes a [`Plan`] of it |
 //!
 //! The node loads a file with [`load`] and follows the [`Plan`]; its command `check` prints the [`Faults`].
 
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,6 +1,6 @@
 //! The content of a settings file, independent of its syntax.
 //!
-//! [`crate::reader`] builds a [`Model`], [`crate::check`] validates it, and the node reads it through [`crate::Plan`].
+//! [`crate::reader`] builds a [`Model`], [`mod@crate::check`] validates it, and the node reads it through [`crate::Plan`].
 //! Each item has the line that it was read from, for errors. Durations are in seconds.
 
 mod origin;
--- a/crates/distribution/src/author.rs
+++ b/crates/distribution/src/author.rs
@@ -244,7 +244,7 @@
                 self.stand_down(now, outputs);
             }
             State::TakingOver { deadline, .. } if now >= *deadline => {
-                self.begin_writing(now, outputs)
+                self.begin_writing(now, outputs);
             }
             _ => {}
         }
--- a/crates/distribution/src/session_attempts.rs
+++ b/crates/distribution/src/session_attempts.rs
@@ -105,7 +105,7 @@
     pub fn retransmit(&mut self, now: Time, bucket: &mut TokenBucket, outputs: &mut Vec<Output>) {
         for attempt in &mut self.pending {
             with_shared_bucket(bucket, &mut attempt.link, |link| {
-                link.retransmit_if_due(now, outputs)
+                link.retransmit_if_due(now, outputs);
             });
         }
     }
--- a/crates/distribution/src/subscriber/receive.rs
+++ b/crates/distribution/src/subscriber/receive.rs
@@ -48,7 +48,7 @@
                 self.apply_manifest(&selector, removals_known, &digests, outputs);
             }
             Some(UpstreamEvent::Current { head, age, .. }) => {
-                self.apply_current(now, head, age, outputs)
+                self.apply_current(now, head, age, outputs);
             }
         }
     }
--- a/crates/distribution/src/upstream.rs
+++ b/crates/distribution/src/upstream.rs
@@ -308,7 +308,7 @@
     pub fn poll(&mut self, now: Time, outputs: &mut Vec<Output>) {
         match &self.state {
             State::BackingOff { until } if now >= *until => {
-                self.state = State::Opening(SessionAttempts::new(now))
+                self.state = State::Opening(SessionAttempts::new(now));
             }
             State::BackingOff { .. } | State::Opening(_) => {}
             State::Following(session) => {
--- a/crates/emulator/src/control/layout.rs
+++ b/crates/emulator/src/control/layout.rs
@@ -15,7 +15,7 @@
 /// What an author keeps for taking changes back, in bytes.
 const HISTORY: usize = 64 << 20;
 /// How long an author waits at most for what others wrote, in seconds: longer than a follower waits for an answer
-/// ([`FollowRules::answer`]); a first relay that is dead costs no more than [`FollowRules::attempt_delay`].
+/// ([`UpstreamConfig::open_timeout`]); a first relay that is dead costs no more than [`UpstreamConfig::attempt_delay`].
 pub const TAKEOVER: f64 = 3.0;
 /// A node tells its standing so often at most, in seconds.
 const STANDING_EVERY: f64 = 10.0;
--- a/crates/graphql/src/persisted.rs
+++ b/crates/graphql/src/persisted.rs
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 struct CachedDocument {
     document: Arc<str>,
-    /// The value of [`Persisted::uses`] at its last use.
+    /// The value of [`PersistedDocuments::uses`] at its last use.
     last_use: u64,
 }
 
--- a/crates/node/src/net/shared/connections.rs
+++ b/crates/node/src/net/shared/connections.rs
@@ -109,8 +109,8 @@
     /// server if the limit is the server's, else the one of all pools that has been idle longest.
     ///
     /// # Errors
-    /// [`Denied::Most`] if the service has reached its limit: no other service's connection is closed for it then.
-    /// [`Denied::Total`] if no connection can be closed.
+    /// [`QuotaExceeded::OwnLimit`] if the service has reached its limit: no other service's connection is closed for it then.
+    /// [`QuotaExceeded::Exhausted`] if no connection can be closed.
     pub fn reserve_connection(
         self: &Rc<Self>,
         address: SocketAddr,
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Admits one request. The caller owes [`Limits::give`] of one [`Kind::Open`] at its end.
+    /// Admits one request. The caller owes [`Limits::release`] of one [`Resource::Open`] at its end.
     ///
     /// # Errors
     /// The limit that the service would exceed; nothing is acquired then.
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -96,7 +96,7 @@
     pub listener: Option<ListenerId>,
     /// The host pattern.
     pub host: Host,
-    /// The path prefix, as [`prefix`] gives it.
+    /// The path prefix, as [`parse_prefix`] gives it.
     pub path: Box<str>,
     /// The methods.
     pub methods: Vec<Box<str>>,
@@ -126,7 +126,7 @@
 }
 
 impl RouteConditions {
-    /// Whether a request fulfils all conditions. [`Table::get`] finds the matching routes without iterating over all.
+    /// Whether a request fulfils all conditions. [`RouteTable::find`] finds the matching routes without iterating over all.
     pub fn matches(&self, query: &RouteQuery) -> bool {
         self.host_matches(query.host)
             && self.path_matches(query.path)
--- a/tests/all.sh
+++ b/tests/all.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# Format, lints, tests, the programs of the deployment, and the files of the decision module that it names.
+# Format, lints, documentation, tests, the programs of the deployment, and the files of the decision module that it names.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cargo fmt --all --check
@@ -9,6 +9,7 @@
 release=$!
 trap 'kill "$release" 2>/dev/null || true' EXIT
 cargo clippy --locked --workspace --all-targets -- -D warnings
+bash tests/lints.sh
 cargo test --locked --workspace --no-run
 wait "$release"
 trap - EXIT
