--- a/crates/capacity/examples/state_size.rs
+++ b/crates/capacity/examples/state_size.rs
@@ -248,7 +248,7 @@
         clock_us: 86_400_000_000,
         echo: Some(ClockEcho {
             clock_us: 86_400_000_000,
-            held_us: 500_000,
+            elapsed_us: 500_000,
         }),
         requests_echo: false,
         newer_incarnation: None,
@@ -448,7 +448,7 @@
     let after = resident("self")?;
     let held = keeper
         .leases(now)
-        .filter(|lease| lease.left.is_some())
+        .filter(|lease| lease.remaining.is_some())
         .count();
     if held != size {
         return Err(format!("{held} names are held of {size}").into());
--- a/crates/cluster/src/fleet/publish.rs
+++ b/crates/cluster/src/fleet/publish.rs
@@ -77,7 +77,9 @@
             let is_fault =
                 |value: &Value| matches!(value, Value::Report(r) if r.finding.is_fault());
             let reports = super::query::reports_on(table, server, now);
-            let accusers = reports.filter(|(_, _, held)| is_fault(&held.value)).count();
+            let accusers = reports
+                .filter(|(_, _, stored)| is_fault(&stored.value))
+                .count();
             accusers + 1 >= witnesses
                 && quorum::reports_healthy(server, &members.me().name, nodes, witnesses)
         };
@@ -122,7 +124,7 @@
     pub fn lift(&mut self, now: Time, server: &str, by: &str) -> usize {
         let known: Vec<(Key, Version)> = self
             .bans_of(server, now)
-            .map(|(key, held)| (key.clone(), held.version))
+            .map(|(key, stored)| (key.clone(), stored.version))
             .collect();
         for (key, version) in &known {
             self.permanent_bans.remove(key);
@@ -153,17 +155,17 @@
         let is_banned = |key: &Key| {
             table
                 .get(key, now)
-                .is_some_and(|held| matches!(held.value, Value::Banned { .. }))
+                .is_some_and(|stored| matches!(stored.value, Value::Banned { .. }))
         };
         self.permanent_bans.retain(is_banned);
         let is_due = |key: &&Key| {
             table
                 .get(key, now)
-                .is_some_and(|held| held.left(now) < MAX_BAN_TTL * REFRESH_BELOW)
+                .is_some_and(|stored| stored.remaining_ttl(now) < MAX_BAN_TTL * REFRESH_BELOW)
         };
         let due: Vec<Key> = self.permanent_bans.iter().filter(is_due).cloned().collect();
         for key in due {
-            let Some(value) = self.table.get(&key, now).map(|held| held.value.clone()) else {
+            let Some(value) = self.table.get(&key, now).map(|stored| stored.value.clone()) else {
                 continue;
             };
             self.publish(now, key, value, MAX_BAN_TTL);
--- a/crates/cluster/src/fleet/query.rs
+++ b/crates/cluster/src/fleet/query.rs
@@ -3,7 +3,7 @@
 use super::Fleet;
 use crate::entry::{Key, Report, ServerInstance, Value};
 use crate::quorum::{self, Votes};
-use crate::table::{HeldEntry, Table};
+use crate::table::{StoredEntry, Table};
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,7 +37,7 @@
         &'a self,
         server: &'a str,
         now: Time,
-    ) -> impl Iterator<Item = (&'a Key, &'a HeldEntry)> {
+    ) -> impl Iterator<Item = (&'a Key, &'a StoredEntry)> {
         let from = Key::first_ban(server.to_owned());
         let is_on_server =
             move |key: &Key| matches!(key, Key::Ban { server: s, .. } if s == server);
@@ -45,13 +45,13 @@
             .table
             .live_from(&from, now)
             .take_while(move |(key, _)| is_on_server(key));
-        all.filter(|(_, held)| matches!(held.value, Value::Banned { .. }))
+        all.filter(|(_, stored)| matches!(stored.value, Value::Banned { .. }))
     }
 
     /// For how many seconds a server is banned, without further calls; `None` if it is not banned.
     pub fn ban_left(&self, server: &str, now: Time) -> Option<Time> {
         self.bans_of(server, now)
-            .map(|(_, held)| held.left(now))
+            .map(|(_, stored)| stored.remaining_ttl(now))
             .reduce(f64::max)
     }
 
@@ -59,7 +59,7 @@
     pub fn banned_servers(&self, now: Time) -> BTreeSet<&str> {
         let all = self.table.live_from(&Key::first(), now);
         let bans = all.take_while(|(key, _)| matches!(key, Key::Ban { .. }));
-        let banned = bans.filter(|(_, held)| matches!(held.value, Value::Banned { .. }));
+        let banned = bans.filter(|(_, stored)| matches!(stored.value, Value::Banned { .. }));
         banned
             .filter_map(|(key, _)| match key {
                 Key::Ban { server, .. } => Some(server.as_str()),
@@ -77,14 +77,14 @@
                 },
                 now,
             )
-            .map(|held| held.version.n)
+            .map(|stored| stored.version.n)
     }
 
     /// The votes on each server that there are reports on, as they count in this node's zone.
     pub fn votes(&self, now: Time) -> BTreeMap<&ServerInstance, Votes> {
         let mut votes: BTreeMap<&ServerInstance, Votes> = BTreeMap::new();
-        for (key, held) in self.table.live_from(&Key::first_report(), now) {
-            let (Key::Report { server, by }, Value::Report(report)) = (key, &held.value) else {
+        for (key, stored) in self.table.live_from(&Key::first_report(), now) {
+            let (Key::Report { server, by }, Value::Report(report)) = (key, &stored.value) else {
                 break;
             };
             let on_server = votes.entry(server).or_default();
@@ -122,10 +122,10 @@
             votes.failed + votes.unreachable > 0
         };
         let mut left: Vec<Time> = reports_on(&self.table, server, now)
-            .filter(|(_, by, held)| {
-                self.members.contains(by) && matches!(&held.value, Value::Report(r) if counts(r))
+            .filter(|(_, by, stored)| {
+                self.members.contains(by) && matches!(&stored.value, Value::Report(r) if counts(r))
             })
-            .map(|(_, _, held)| held.left(now))
+            .map(|(_, _, stored)| stored.remaining_ttl(now))
             .collect();
         left.sort_by(|a, b| b.total_cmp(a));
         left.get(self.config.quorum.witnesses.saturating_sub(1))
@@ -140,11 +140,11 @@
         now: Time,
     ) -> Vec<PublishedReport<'a>> {
         let all = reports_on(&self.table, server, now);
-        all.filter_map(|(_, by, held)| match &held.value {
+        all.filter_map(|(_, by, stored)| match &stored.value {
             Value::Report(report) => Some(PublishedReport {
                 by,
                 report,
-                age: held.age(now),
+                age: stored.age(now),
             }),
             _ => None,
         })
@@ -157,7 +157,7 @@
     table: &'a Table,
     server: &'a ServerInstance,
     now: Time,
-) -> impl Iterator<Item = (&'a Key, &'a str, &'a HeldEntry)> {
+) -> impl Iterator<Item = (&'a Key, &'a str, &'a StoredEntry)> {
     let from = Key::Report {
         server: server.clone(),
         by: String::new(),
@@ -168,5 +168,5 @@
     };
     table
         .live_from(&from, now)
-        .map_while(move |(key, held)| Some((key, by(key)?, held)))
+        .map_while(move |(key, stored)| Some((key, by(key)?, stored)))
 }
--- a/crates/cluster/src/freshness.rs
+++ b/crates/cluster/src/freshness.rs
@@ -3,7 +3,7 @@
 //! An entry is sent with its age at the time of writing. How long the datagram was in transit is unknown: a link may delay
 //! it, and so may the receive buffer of a process that is paused. So each datagram echoes the last value of the reader's
 //! clock that its writer has received, and how long ago that was. That value was sent before the datagram was written, so
-//! the datagram is no older than the reader's clock has advanced since, less the time that the writer held the echo. Only
+//! the datagram is no older than the reader's clock has advanced since, less the time that the writer took to send the echo. Only
 //! differences of one and the same clock are used.
 //!
 //! A datagram without such an echo proves nothing about the age of its entries: a process that was paused over it, or an
@@ -26,17 +26,17 @@
     /// The value, in microseconds of the reader's clock.
     pub clock_us: u64,
     /// How long ago the writer received it, in microseconds of the writer's clock, rounded down.
-    pub held_us: u64,
+    pub elapsed_us: u64,
 }
 
 /// How long a datagram with this echo can have been in transit at most, in seconds; `None` if that is unknown.
 pub fn max_transit(now: Time, echo: ClockEcho) -> Option<Time> {
     let since = now - echo.clock_us as f64 / MICROS_PER_SECOND;
-    let held = echo.held_us as f64 / MICROS_PER_SECOND;
-    if since < 0.0 || held > MAX_ECHO_AGE {
+    let elapsed = echo.elapsed_us as f64 / MICROS_PER_SECOND;
+    if since < 0.0 || elapsed > MAX_ECHO_AGE {
         return None;
     }
-    let transit = (since / (1.0 - DRIFT) - held / (1.0 + DRIFT)).max(0.0);
+    let transit = (since / (1.0 - DRIFT) - elapsed / (1.0 + DRIFT)).max(0.0);
     (transit <= MAX_TRANSIT).then_some(transit)
 }
 
@@ -119,11 +119,11 @@
     /// The echo of a peer's clock to send to it.
     pub fn echo(&self, now: Time, tag: u64) -> Option<ClockEcho> {
         let peer = self.peers.get(&tag)?;
-        let held = now - peer.received_at;
-        let held_us = (held.max(0.0) * MICROS_PER_SECOND) as u64;
-        (held <= MAX_ECHO_AGE).then_some(ClockEcho {
+        let elapsed = now - peer.received_at;
+        let elapsed_us = (elapsed.max(0.0) * MICROS_PER_SECOND) as u64;
+        (elapsed <= MAX_ECHO_AGE).then_some(ClockEcho {
             clock_us: peer.clock_us,
-            held_us,
+            elapsed_us,
         })
     }
 }
--- a/crates/cluster/src/table.rs
+++ b/crates/cluster/src/table.rs
@@ -3,7 +3,7 @@
 //! | state of an entry | owner | ends |
 //! | --- | --- | --- |
 //! | pending: not yet sent to enough others | [`Table`] | when it was sent so often, or replaced, or expired |
-//! | held | [`Table`] | replaced by one of a greater precedence, or expired |
+//! | stored | [`Table`] | replaced by one of a greater precedence, or expired |
 //! | expired | nobody | at once |
 //!
 //! An age is never less than the true one: it comes with the entry, grows by the time that the entry may have been in
@@ -39,7 +39,7 @@
 
 /// An entry in the table.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HeldEntry {
+pub struct StoredEntry {
     /// Its version.
     pub version: Version,
     /// Its value.
@@ -54,19 +54,19 @@
     digest: u64,
 }
 
-impl HeldEntry {
+impl StoredEntry {
     /// An upper bound of its age, in seconds.
     pub fn age(&self, now: Time) -> Time {
         self.received_age + (now - self.received_at).max(0.0) / (1.0 - DRIFT)
     }
 
     /// Its remaining time to live, in seconds.
-    pub fn left(&self, now: Time) -> Time {
+    pub fn remaining_ttl(&self, now: Time) -> Time {
         f64::from(self.ttl_ms) / MILLIS_PER_SECOND - self.age(now)
     }
 
     fn is_live(&self, now: Time) -> bool {
-        self.left(now) > 0.0
+        self.remaining_ttl(now) > 0.0
     }
 
     fn entry(&self, key: &Key, now: Time) -> Entry {
@@ -101,7 +101,7 @@
 /// The table of entries that a node holds.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    entries: BTreeMap<Key, HeldEntry>,
+    entries: BTreeMap<Key, StoredEntry>,
     /// Entries that have to be sent to others, by how often they were.
     pending: BTreeSet<(u32, Key)>,
     /// When entries expire, in microseconds.
@@ -143,8 +143,8 @@
         if entry.age() >= entry.ttl() {
             return MergeOutcome::Expired;
         }
-        if let Some(held) = self.entries.get(&entry.key) {
-            match entry.precedence().cmp(&held.precedence()) {
+        if let Some(stored) = self.entries.get(&entry.key) {
+            match entry.precedence().cmp(&stored.precedence()) {
                 Ordering::Less => return MergeOutcome::Unchanged,
                 Ordering::Equal => {
                     self.reduce_age(now, &entry);
@@ -162,17 +162,17 @@
 
     /// Lowers the bound of an entry's age, since the entry was received by a faster path as well.
     fn reduce_age(&mut self, now: Time, entry: &Entry) {
-        let Some(held) = self.entries.get(&entry.key) else {
+        let Some(stored) = self.entries.get(&entry.key) else {
             return;
         };
-        if entry.age() < held.age(now) {
-            let mut held = held.clone();
+        if entry.age() < stored.age(now) {
+            let mut stored = stored.clone();
             self.expiries
-                .remove(&(held.expires_at_us(), entry.key.clone()));
-            (held.received_age, held.received_at) = (entry.age(), now);
+                .remove(&(stored.expires_at_us(), entry.key.clone()));
+            (stored.received_age, stored.received_at) = (entry.age(), now);
             self.expiries
-                .insert((held.expires_at_us(), entry.key.clone()));
-            self.entries.insert(entry.key.clone(), held);
+                .insert((stored.expires_at_us(), entry.key.clone()));
+            self.entries.insert(entry.key.clone(), stored);
         }
     }
 
@@ -211,7 +211,7 @@
             ttl_ms,
             ..
         } = entry;
-        let held = HeldEntry {
+        let stored = StoredEntry {
             version,
             value,
             ttl_ms,
@@ -223,22 +223,22 @@
         if let Key::Report { by, .. } = &key {
             *self.reports.entry(by.clone()).or_default() += 1;
         }
-        self.digests[partition(&key)] ^= held.digest;
-        self.expiries.insert((held.expires_at_us(), key.clone()));
-        self.pending.insert((held.transmissions, key.clone()));
-        self.entries.insert(key, held);
+        self.digests[partition(&key)] ^= stored.digest;
+        self.expiries.insert((stored.expires_at_us(), key.clone()));
+        self.pending.insert((stored.transmissions, key.clone()));
+        self.entries.insert(key, stored);
     }
 
     fn remove(&mut self, key: &Key) {
-        let Some(held) = self.entries.remove(key) else {
+        let Some(stored) = self.entries.remove(key) else {
             return;
         };
         if let Key::Report { by, .. } = key {
             self.forget_report(by);
         }
-        self.digests[partition(key)] ^= held.digest;
-        self.expiries.remove(&(held.expires_at_us(), key.clone()));
-        self.pending.remove(&(held.transmissions, key.clone()));
+        self.digests[partition(key)] ^= stored.digest;
+        self.expiries.remove(&(stored.expires_at_us(), key.clone()));
+        self.pending.remove(&(stored.transmissions, key.clone()));
     }
 
     fn forget_report(&mut self, by: &str) {
@@ -276,10 +276,10 @@
     }
 
     /// The live entries.
-    pub fn live(&self, now: Time) -> impl Iterator<Item = (&Key, &HeldEntry)> {
+    pub fn live(&self, now: Time) -> impl Iterator<Item = (&Key, &StoredEntry)> {
         self.entries
             .iter()
-            .filter(move |(_, held)| held.is_live(now))
+            .filter(move |(_, stored)| stored.is_live(now))
     }
 
     /// The live entries from this key on.
@@ -287,15 +287,15 @@
         &'a self,
         from: &Key,
         now: Time,
-    ) -> impl Iterator<Item = (&'a Key, &'a HeldEntry)> {
+    ) -> impl Iterator<Item = (&'a Key, &'a StoredEntry)> {
         self.entries
             .range(from.clone()..)
-            .filter(move |(_, held)| held.is_live(now))
+            .filter(move |(_, stored)| stored.is_live(now))
     }
 
     /// The entry of a key, if it is live.
-    pub fn get(&self, key: &Key, now: Time) -> Option<&HeldEntry> {
-        self.entries.get(key).filter(|held| held.is_live(now))
+    pub fn get(&self, key: &Key, now: Time) -> Option<&StoredEntry> {
+        self.entries.get(key).filter(|stored| stored.is_live(now))
     }
 
     /// Number of entries.
@@ -326,10 +326,10 @@
         self.expire(now);
         let mut sent = Vec::new();
         for (transmissions, key) in self.pending.range(..(max_transmissions, Key::first())) {
-            let Some(held) = self.entries.get(key) else {
+            let Some(stored) = self.entries.get(key) else {
                 continue;
             };
-            if !add(&held.entry(key, now)) {
+            if !add(&stored.entry(key, now)) {
                 break;
             }
             sent.push((*transmissions, key.clone()));
@@ -341,8 +341,8 @@
 
     fn count_transmission(&mut self, transmissions: u32, key: Key, max_transmissions: u32) {
         self.pending.remove(&(transmissions, key.clone()));
-        if let Some(held) = self.entries.get_mut(&key) {
-            held.transmissions = transmissions + 1;
+        if let Some(stored) = self.entries.get_mut(&key) {
+            stored.transmissions = transmissions + 1;
         }
         if transmissions + 1 < max_transmissions {
             self.pending.insert((transmissions + 1, key));
@@ -361,7 +361,7 @@
             self.digests[partition] != digests[partition]
         };
         let live = self.live(now).filter(|(key, _)| differs(key));
-        let mut entries: Vec<Entry> = live.map(|(key, held)| held.entry(key, now)).collect();
+        let mut entries: Vec<Entry> = live.map(|(key, stored)| stored.entry(key, now)).collect();
         entries.sort_by_key(|e| {
             let ttl_us = u64::from(e.ttl_ms) * MICROS_PER_MILLI;
             Reverse(ttl_us - e.age_us.min(ttl_us))
--- a/crates/cluster/tests/explore.rs
+++ b/crates/cluster/tests/explore.rs
@@ -4,7 +4,7 @@
 use reelfall_cluster::entry::{BanId, Entry, Key, Value, Version};
 use reelfall_cluster::freshness::{max_transit, ClockEcho};
 use reelfall_cluster::node::Incarnation;
-use reelfall_cluster::table::{HeldEntry, Table, PARTITIONS};
+use reelfall_cluster::table::{StoredEntry, Table, PARTITIONS};
 use stateright::{Checker, Model, Property};
 
 const NODES: usize = 3;
@@ -95,7 +95,7 @@
     }
 }
 
-fn form(key: &Key, held: &HeldEntry) -> (bool, u32, u64) {
+fn form(key: &Key, held: &StoredEntry) -> (bool, u32, u64) {
     let number = if let Key::Ban { id, .. } = key {
         id.number
     } else {
@@ -280,7 +280,7 @@
                 node.heard[d.from] = Some((d.sent, now));
                 let echo = d.heard.map(|(stamp, came)| ClockEcho {
                     clock_us: u64::from(stamp) * 1_000_000,
-                    held_us: u64::from(d.sent - came) * 1_000_000,
+                    elapsed_us: u64::from(d.sent - came) * 1_000_000,
                 });
                 if let Some(most) = echo.and_then(|echo| max_transit(f64::from(now), echo)) {
                     for (l, c, n, age) in d.entries {
--- a/crates/cluster/tests/golden.rs
+++ b/crates/cluster/tests/golden.rs
@@ -79,7 +79,7 @@
         sequence: 70_000,
         echo: Some(ClockEcho {
             clock_us: 99_000_000,
-            held_us: 1_500,
+            elapsed_us: 1_500,
         }),
         requests_echo: true,
         newer_incarnation: Some(incarnation(9)),
--- a/crates/cluster/tests/table.rs
+++ b/crates/cluster/tests/table.rs
@@ -84,7 +84,7 @@
                 "{key:?} {:?} {:?} {:.5}",
                 held.version,
                 held.value,
-                held.left(1.0)
+                held.remaining_ttl(1.0)
             )
         })
         .collect()
--- a/crates/distribution/src/link.rs
+++ b/crates/distribution/src/link.rs
@@ -6,7 +6,7 @@
 //!
 //! Each frame carries its sender's clock and an echo of the receiver's clock. The echoed time was sent before the
 //! frame was, so the frame is no older than the receiver's clock has advanced since, less the time that the sender
-//! spent before replying (as in `reelfall-cluster`'s `fresh`).
+//! spent before replying (as in the `freshness` module of `reelfall-cluster`).
 //!
 //! Used by children, sessions and session attempts.
 
--- a/crates/lease/src/holder.rs
+++ b/crates/lease/src/holder.rs
@@ -4,8 +4,8 @@
 //! | --- | --- |
 //! | idle | when the lease is wanted |
 //! | backing off | at its end, or when a keeper announces that the lease is available |
-//! | preparing | by a majority of promises; by too many refusals; after [`Config::response_timeout`] |
-//! | proposing | by a majority of grants; by too many refusals; after [`Config::response_timeout`] |
+//! | preparing | by a majority of promises; by too many rejections; after [`Config::response_timeout`] |
+//! | proposing | by a majority of grants; by too many rejections; after [`Config::response_timeout`] |
 //! | held | when it is released, or on expiry if a majority has not renewed it |
 //!
 //! Requests that the node serves never wait for any of this: a node that does not hold a lease does what its task does
@@ -103,7 +103,7 @@
 pub struct Held<'a> {
     name: &'a LeaseName,
     token: u64,
-    left: Micros,
+    remaining: Micros,
 }
 
 impl Held<'_> {
@@ -118,8 +118,8 @@
     }
 
     /// Remaining time without renewal, in microseconds.
-    pub fn left(&self) -> Micros {
-        self.left
+    pub fn remaining(&self) -> Micros {
+        self.remaining
     }
 }
 
@@ -163,7 +163,7 @@
             State::Held { token, until, .. } if now < until => Some(Held {
                 name: &self.name,
                 token,
-                left: until - now,
+                remaining: until - now,
             }),
             _ => None,
         }
--- a/crates/lease/src/holder/responses.rs
+++ b/crates/lease/src/holder/responses.rs
@@ -1,7 +1,7 @@
 //! Handling the keepers' responses.
 
 use super::{Lease, LeaseEvent, State};
-use crate::message::{Refusal, Response, Vote};
+use crate::message::{RejectionReason, Response, Vote};
 use crate::token::Token;
 use crate::Micros;
 
@@ -21,14 +21,14 @@
             Response::Granted { round, vote, .. } if round == self.round => {
                 self.handle_granted(now, keeper, vote);
             }
-            Response::Refused {
+            Response::Rejected {
                 round,
                 reason,
                 promised,
                 ..
             } => {
                 self.highest_ballot = self.highest_ballot.max(promised);
-                self.handle_refused(now, keeper, round, reason, random);
+                self.handle_rejected(now, keeper, round, reason, random);
             }
             Response::Available { .. } => self.handle_available(now),
             Response::Promised { .. } | Response::Granted { .. } => {}
@@ -41,7 +41,7 @@
                 self.failed_attempts = 0;
                 self.prepare(now);
             }
-            // Keepers may have refused the request in progress before the lease was available.
+            // Keepers may have rejected the request in progress before the lease was available.
             State::Preparing { .. } | State::Proposing { .. } => self.was_announced = true,
             State::Idle | State::Held { .. } => {}
         }
@@ -99,19 +99,19 @@
         }
     }
 
-    fn handle_refused(
+    fn handle_rejected(
         &mut self,
         now: Micros,
         keeper: usize,
         round: u64,
-        reason: Refusal,
+        reason: RejectionReason,
         random: u32,
     ) {
         if round != self.round {
             return;
         }
-        if let Refusal::Held { left } = reason {
-            let until = now + left;
+        if let RejectionReason::Held { remaining } = reason {
+            let until = now + remaining;
             self.held_elsewhere_until = Some(
                 self.held_elsewhere_until
                     .map_or(until, |known| known.min(until)),
@@ -121,13 +121,13 @@
         else {
             return;
         };
-        votes.refused[keeper] = true;
+        votes.rejected[keeper] = true;
         if !votes.is_rejected() {
             return;
         }
         let is_first_attempt =
             self.failed_attempts == 0 && matches!(self.state, State::Preparing { .. });
-        if reason == Refusal::StaleBallot && is_first_attempt {
+        if reason == RejectionReason::StaleBallot && is_first_attempt {
             // Only the ballot was too low, so that the first time a higher one is tried at once.
             self.failed_attempts = 1;
             self.prepare(now);
--- a/crates/lease/src/holder/votes.rs
+++ b/crates/lease/src/holder/votes.rs
@@ -7,14 +7,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Votes {
     pub(super) accepted: Vec<Option<Vote>>,
-    pub(super) refused: Vec<bool>,
+    pub(super) rejected: Vec<bool>,
 }
 
 impl Votes {
     pub(super) fn new(keepers: usize) -> Votes {
         Votes {
             accepted: vec![None; keepers],
-            refused: vec![false; keepers],
+            rejected: vec![false; keepers],
         }
     }
 
@@ -46,10 +46,10 @@
         accepted >= majority(self.accepted.len())
     }
 
-    /// Whether too many have refused for a majority to accept.
+    /// Whether too many have rejected for a majority to accept.
     pub(super) fn is_rejected(&self) -> bool {
-        let refused = self.refused.iter().filter(|refused| **refused).count();
-        refused > self.refused.len() - majority(self.refused.len())
+        let rejected = self.rejected.iter().filter(|rejected| **rejected).count();
+        rejected > self.rejected.len() - majority(self.rejected.len())
     }
 }
 
--- a/crates/lease/src/keeper/clients.rs
+++ b/crates/lease/src/keeper/clients.rs
@@ -3,7 +3,7 @@
 use super::{Destination, Keeper};
 use crate::durable::Record;
 use crate::message::{
-    ClientId, LogPosition, Message, Promise, Refusal, Request, Response, StorageId, Vote,
+    ClientId, LogPosition, Message, Promise, RejectionReason, Request, Response, StorageId, Vote,
 };
 use crate::queue::Queue;
 use crate::token::LeaseName;
@@ -28,19 +28,19 @@
 }
 
 impl Prepare<'_> {
-    /// Adds the client to the queue of the lease. Returns why the request is refused: the given reason, or that the queue
+    /// Adds the client to the queue of the lease. Returns why the request is rejected: the given reason, or that the queue
     /// is full.
     fn enqueue(
         &self,
         now: Micros,
         queue: &mut Queue,
         max_waiters: usize,
-        reason: Refusal,
-    ) -> Refusal {
+        reason: RejectionReason,
+    ) -> RejectionReason {
         if queue.enqueue(now, self.client, self.waited, max_waiters) {
             reason
         } else {
-            Refusal::AtCapacity
+            RejectionReason::AtCapacity
         }
     }
 }
@@ -69,7 +69,7 @@
                         round,
                         vote: self.vote(),
                     },
-                    Err(reason) => self.refuse(lease, round, reason),
+                    Err(reason) => self.reject(lease, round, reason),
                 })
             }
             Request::Grant {
@@ -84,7 +84,7 @@
                     round,
                     vote: self.vote(),
                 },
-                Err(reason) => self.refuse(lease, round, reason),
+                Err(reason) => self.reject(lease, round, reason),
             }),
             Request::Release { lease, token } => {
                 self.release(now, from, &lease, token);
@@ -99,9 +99,9 @@
         }
     }
 
-    fn refuse(&self, lease: LeaseName, round: u64, reason: Refusal) -> Response {
+    fn reject(&self, lease: LeaseName, round: u64, reason: RejectionReason) -> Response {
         let promised = self.state.promised_ballot(&lease);
-        Response::Refused {
+        Response::Rejected {
             lease,
             round,
             reason,
@@ -120,7 +120,7 @@
 
     /// Promises a ballot to a client. The safety of leases rests on this: nobody is promised a lease that is granted to
     /// somebody else, and no ballot is promised twice.
-    fn promise(&mut self, now: Micros, prepare: &Prepare) -> Result<(), Refusal> {
+    fn promise(&mut self, now: Micros, prepare: &Prepare) -> Result<(), RejectionReason> {
         let Prepare {
             client,
             lease,
@@ -129,10 +129,10 @@
             ..
         } = *prepare;
         if !self.recovery.is_voting() {
-            return Err(Refusal::NotVoting);
+            return Err(RejectionReason::NotVoting);
         }
         if length == 0 || length > self.config.max_length {
-            return Err(Refusal::InvalidLength);
+            return Err(RejectionReason::InvalidLength);
         }
         self.ensure_capacity(now, lease)?;
         let config = self.config;
@@ -148,7 +148,9 @@
             .granted_until
             .filter(|until| *until > now && !is_own);
         if let Some(until) = granted_to_other {
-            let reason = Refusal::Held { left: until - now };
+            let reason = RejectionReason::Held {
+                remaining: until - now,
+            };
             return Err(prepare.enqueue(now, &mut volatile.queue, config.max_waiters, reason));
         }
         let is_repeated = is_own && ballot == promised_ballot;
@@ -156,7 +158,7 @@
             return Ok(());
         }
         if ballot <= promised_ballot {
-            return Err(Refusal::StaleBallot);
+            return Err(RejectionReason::StaleBallot);
         }
         // A greater ballot of the same process releases whatever it was granted before.
         volatile.granted_until = None;
@@ -164,7 +166,7 @@
             .queue
             .may_acquire(now, client, &config.queue_timeouts);
         if !may_acquire {
-            let reason = Refusal::NotFirstInQueue;
+            let reason = RejectionReason::NotFirstInQueue;
             return Err(prepare.enqueue(now, &mut volatile.queue, config.max_waiters, reason));
         }
         let promise = Promise {
@@ -184,14 +186,14 @@
         token: u64,
         length: Micros,
         peers: &[Option<LogPosition>],
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), RejectionReason> {
         if !self.recovery.is_voting() {
-            return Err(Refusal::NotVoting);
+            return Err(RejectionReason::NotVoting);
         }
         let is_promised = self.is_promised(lease, token, from, Some(length));
         let volatile = self.leases.entry(lease.clone()).or_default();
         if !is_promised || volatile.released == Some(token) {
-            return Err(Refusal::StaleBallot);
+            return Err(RejectionReason::StaleBallot);
         }
         volatile.granted_until = Some(now + self.config.margins.keeper_length(length));
         volatile.last_use = self.config.round_use(now);
--- a/crates/lease/src/keeper/mod.rs
+++ b/crates/lease/src/keeper/mod.rs
@@ -15,7 +15,7 @@
 
 use crate::clock::Margins;
 use crate::durable::{DurableState, Record};
-use crate::message::{ClientId, LogPosition, Message, Promise, Refusal};
+use crate::message::{ClientId, LogPosition, Message, Promise, RejectionReason};
 use crate::queue::{Queue, QueueTimeouts};
 use crate::recovery::{Recovery, Status};
 use crate::token::LeaseName;
@@ -114,7 +114,7 @@
     /// The last promise.
     pub promise: &'a Promise,
     /// Remaining time of the grant, in microseconds; `None` if it is not granted.
-    pub left: Option<Micros>,
+    pub remaining: Option<Micros>,
     /// The waiting clients, longest wait first.
     pub waiting: Vec<&'a ClientId>,
 }
@@ -195,14 +195,14 @@
             let granted_until = volatile
                 .and_then(|v| v.granted_until)
                 .filter(|until| *until > now);
-            let left = granted_until.map(|until| until - now);
+            let remaining = granted_until.map(|until| until - now);
             let waiting = volatile
                 .map(|v| v.queue.clients().collect())
                 .unwrap_or_default();
             LeaseView {
                 lease,
                 promise,
-                left,
+                remaining,
                 waiting,
             }
         })
@@ -218,7 +218,7 @@
     }
 
     /// Ensures that there is capacity for this lease; a new one may evict another.
-    fn ensure_capacity(&mut self, now: Micros, lease: &LeaseName) -> Result<(), Refusal> {
+    fn ensure_capacity(&mut self, now: Micros, lease: &LeaseName) -> Result<(), RejectionReason> {
         if self.state.leases.contains_key(lease) || self.state.leases.len() < self.config.max_leases
         {
             return Ok(());
@@ -229,7 +229,7 @@
         let oldest = candidates
             .min_by_key(last_use)
             .cloned()
-            .ok_or(Refusal::AtCapacity)?;
+            .ok_or(RejectionReason::AtCapacity)?;
         self.evict(oldest);
         Ok(())
     }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -6,7 +6,7 @@
 //! | module | responsibility |
 //! | --- | --- |
 //! | [`clock`] | how long holder and keeper count, on clocks that drift |
-//! | [`token`] | lease names, fencing tokens, operations that can't be built without one, fences that refuse lower ones |
+//! | [`token`] | lease names, fencing tokens, operations that can't be built without one, fences that reject lower ones |
 //! | [`message`] | the messages between clients and keepers |
 //! | [`durable`] | the state that a keeper has on its disk |
 //! | [`queue`] | the clients that wait, in a fair order |
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -96,15 +96,15 @@
     }
 }
 
-/// Why a keeper refuses a request.
+/// Why a keeper rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Refusal {
+pub enum RejectionReason {
     /// The same ballot or a higher one was promised already.
     StaleBallot,
     /// Another client holds the lease.
     Held {
         /// Remaining time of that grant, in microseconds.
-        left: Micros,
+        remaining: Micros,
     },
     /// Other clients have waited longer.
     NotFirstInQueue,
@@ -137,14 +137,14 @@
         /// The keeper's vote.
         vote: Vote,
     },
-    /// Refuses a request.
-    Refused {
+    /// Rejects a request.
+    Rejected {
         /// The lease.
         lease: LeaseName,
         /// The round of the request.
         round: u64,
         /// The reason.
-        reason: Refusal,
+        reason: RejectionReason,
         /// The highest ballot that was promised, so that the client's next one is higher.
         promised: u64,
     },
@@ -161,7 +161,7 @@
         match self {
             Response::Promised { lease, .. }
             | Response::Granted { lease, .. }
-            | Response::Refused { lease, .. }
+            | Response::Rejected { lease, .. }
             | Response::Available { lease } => lease,
         }
     }
--- a/crates/lease/src/queue.rs
+++ b/crates/lease/src/queue.rs
@@ -42,7 +42,7 @@
 }
 
 impl Queue {
-    /// Adds a client whose request was refused. Returns whether the queue has capacity for it.
+    /// Adds a client whose request was rejected. Returns whether the queue has capacity for it.
     pub fn enqueue(
         &mut self,
         now: Micros,
--- a/crates/lease/tests/explore.rs
+++ b/crates/lease/tests/explore.rs
@@ -6,7 +6,7 @@
 use reelfall_lease::durable::DurableState;
 use reelfall_lease::holder::{Config, Lease, LeaseEvent};
 use reelfall_lease::keeper::{self, Destination, Keeper};
-use reelfall_lease::message::{ClientId, Message, Refusal, Request, Response};
+use reelfall_lease::message::{ClientId, Message, RejectionReason, Request, Response};
 use reelfall_lease::queue::QueueTimeouts;
 use reelfall_lease::token::{Claim, Fence, LeaseName};
 use reelfall_lease::Micros;
@@ -322,10 +322,10 @@
                     client.handle_response(
                         now,
                         place,
-                        Response::Refused {
+                        Response::Rejected {
                             lease: lease(),
                             round,
-                            reason: Refusal::StaleBallot,
+                            reason: RejectionReason::StaleBallot,
                             promised,
                         },
                         0,
--- a/crates/lease/tests/folders.rs
+++ b/crates/lease/tests/folders.rs
@@ -4,7 +4,7 @@
 use reelfall_lease::holder::{Config, Lease};
 use reelfall_lease::keeper::{self, Destination, Keeper};
 use reelfall_lease::message::{
-    ClientId, Message, PeerMessage, Promise, Refusal, Request, Response,
+    ClientId, Message, PeerMessage, Promise, RejectionReason, Request, Response,
 };
 use reelfall_lease::recovery::{Status, StorageFault};
 use reelfall_lease::token::{Claim, Fence, FenceError, LeaseName};
@@ -365,8 +365,8 @@
     ));
     assert!(matches!(
         respond(&mut group, 0, 2, promise(2)),
-        Response::Refused {
-            reason: Refusal::Held { .. },
+        Response::Rejected {
+            reason: RejectionReason::Held { .. },
             ..
         }
     ));
@@ -374,8 +374,8 @@
     // Others come sooner than the one who waits.
     assert!(matches!(
         respond(&mut group, 0, 3, promise(3)),
-        Response::Refused {
-            reason: Refusal::NotFirstInQueue,
+        Response::Rejected {
+            reason: RejectionReason::NotFirstInQueue,
             promised: 1,
             ..
         }
@@ -383,8 +383,8 @@
     group.now += SECOND / 4;
     assert!(matches!(
         respond(&mut group, 0, 3, promise(3)),
-        Response::Refused {
-            reason: Refusal::NotFirstInQueue,
+        Response::Rejected {
+            reason: RejectionReason::NotFirstInQueue,
             ..
         }
     ));
@@ -405,11 +405,13 @@
             lease.handle_response(1, 0, Response::Available { lease: task() }, 0);
         }
         for keeper in 0..3 {
-            let reason = Refusal::Held { left: 3 * SECOND };
+            let reason = RejectionReason::Held {
+                remaining: 3 * SECOND,
+            };
             lease.handle_response(
                 2,
                 keeper,
-                Response::Refused {
+                Response::Rejected {
                     lease: task(),
                     round: 1,
                     reason,
--- a/crates/lease/tests/golden.rs
+++ b/crates/lease/tests/golden.rs
@@ -3,8 +3,8 @@
 
 use reelfall_lease::durable::{DurableState, Record};
 use reelfall_lease::message::{
-    ClientId, LogPosition, Message, PeerMessage, Promise, Refusal, Request, Response, StorageId,
-    Vote,
+    ClientId, LogPosition, Message, PeerMessage, Promise, RejectionReason, Request, Response,
+    StorageId, Vote,
 };
 use reelfall_lease::token::LeaseName;
 
@@ -73,14 +73,14 @@
         },
     ];
     let refusals = [
-        Refusal::StaleBallot,
-        Refusal::Held { left: 777_000 },
-        Refusal::NotFirstInQueue,
-        Refusal::NotVoting,
-        Refusal::InvalidLength,
-        Refusal::AtCapacity,
+        RejectionReason::StaleBallot,
+        RejectionReason::Held { remaining: 777_000 },
+        RejectionReason::NotFirstInQueue,
+        RejectionReason::NotVoting,
+        RejectionReason::InvalidLength,
+        RejectionReason::AtCapacity,
     ];
-    let refused = refusals.map(|reason| Response::Refused {
+    let refused = refusals.map(|reason| Response::Rejected {
         lease: lease(),
         round: 5,
         reason,
--- a/crates/node/src/fleet/admin.rs
+++ b/crates/node/src/fleet/admin.rs
@@ -7,7 +7,7 @@
 use reelfall_admin::request::FleetRequest;
 use reelfall_cluster::entry::{Key, Report as ServerReport, ServerInstance, Value};
 use reelfall_cluster::fleet::{CondemnedServer, Fleet};
-use reelfall_cluster::table::HeldEntry;
+use reelfall_cluster::table::StoredEntry;
 use reelfall_cluster::Time;
 use std::collections::BTreeMap;
 
@@ -177,7 +177,7 @@
                     server.since,
                     describe(evidence),
                     entry.age(now),
-                    entry.left(now)
+                    entry.remaining_ttl(now)
                 ));
             }
             (Key::Ban { .. }, _) => add_ban(&mut report, key, entry, now),
@@ -214,7 +214,7 @@
     )
 }
 
-fn add_ban(report: &mut Report, key: &Key, entry: &HeldEntry, now: Time) {
+fn add_ban(report: &mut Report, key: &Key, entry: &StoredEntry, now: Time) {
     let Key::Ban { server, id } = key else { return };
     let (state, by) = match &entry.value {
         Value::Banned { by } => ("out", by),
@@ -226,6 +226,6 @@
         id.number,
         id.node,
         entry.age(now),
-        entry.left(now)
+        entry.remaining_ttl(now)
     ));
 }
--- a/crates/node/src/lease/admin.rs
+++ b/crates/node/src/lease/admin.rs
@@ -63,7 +63,7 @@
         Some(held) => report.add(format_args!(
             "{name}: held here, token {}, for {:.1} s without a renewal",
             held.token().number(),
-            seconds(held.left())
+            seconds(held.remaining())
         )),
         None if local.lease.is_wanted() => report.add(format_args!("{name}: wanted here")),
         None => report.add(format_args!("{name}: given back here")),
@@ -99,8 +99,8 @@
         .client
         .as_ref()
         .map_or("a fellow's asker", |client| client.name.as_str());
-    let granted = match view.left {
-        Some(left) => format!("to {holder}, for {:.1} s", seconds(left)),
+    let granted = match view.remaining {
+        Some(remaining) => format!("to {holder}, for {:.1} s", seconds(remaining)),
         None => "to nobody".to_owned(),
     };
     let waiting: Vec<&str> = view
--- a/crates/node/src/net/registry/following.rs
+++ b/crates/node/src/net/registry/following.rs
@@ -122,10 +122,10 @@
 
     fn record_contact(&mut self, session: &Session) {
         if session.is_up() {
-            self.follower.note_heard(session.last_heard());
+            self.follower.record_contact(session.last_received());
             self.pool
                 .source_last_contact
-                .set(Some(session.last_heard()));
+                .set(Some(session.last_received()));
         }
     }
 
--- a/crates/registry-client/src/follow.rs
+++ b/crates/registry-client/src/follow.rs
@@ -201,7 +201,7 @@
     }
 
     /// Records contact to the registry: the list is up to date as of then.
-    pub fn note_heard(&mut self, now: Time) {
+    pub fn record_contact(&mut self, now: Time) {
         self.last_contact = self.last_contact.max(now);
     }
 
--- a/crates/registry-client/src/session.rs
+++ b/crates/registry-client/src/session.rs
@@ -124,7 +124,7 @@
     }
 
     /// When a message of the registry was last received.
-    pub fn last_heard(&self) -> Time {
+    pub fn last_received(&self) -> Time {
         self.last_received
     }
 
