--- a/crates/balancer/src/decide/attempts.rs
+++ b/crates/balancer/src/decide/attempts.rs
@@ -2,8 +2,9 @@
 //! requests.
 
 use super::admission::{is_late, queueing_threshold};
-use super::outlier::{record_failure, Failure};
+use super::outlier::record_failure;
 use super::requests::{Attempt, Request, OVERDUE_FACTOR};
+use super::server_health::Failure;
 use super::Balancer;
 use crate::interface::{Outcome, ServerId, Time};
 
--- a/crates/balancer/src/decide/mod.rs
+++ b/crates/balancer/src/decide/mod.rs
@@ -8,6 +8,7 @@
 //! | --- | --- |
 //! | `automaton` | the probability vector and the running averages of response times |
 //! | `servers` | the listed servers, and what is known of each |
+//! | `server_health` | the health of one server |
 //! | `selection` | sampling a server: which are eligible, and with which weights |
 //! | `requests` | a request from its arrival to the end of its last attempt; retries |
 //! | `attempts` | what the end of an attempt, or its delay, tells about a server |
@@ -16,6 +17,7 @@
 //! | `subset` | the servers of a long list that this node prefers |
 //! | `outlier` | ejection of servers that fail or are slow |
 //! | `slow_start` | servers that have just started, and how much work they may be sent |
+//! | `work_credit` | the bucket of work of a server in its slow start |
 //! | `admission` | which share of the requests is admitted, and which ones |
 //! | `tenant_quota` | the quotas of tenants |
 //! | `retry_budget` | how many retries are allowed |
@@ -36,10 +38,12 @@
 mod requests;
 mod retry_budget;
 mod selection;
+mod server_health;
 mod servers;
 mod slow_start;
 mod subset;
 mod tenant_quota;
+mod work_credit;
 mod zone_spill;
 
 pub use self::automaton::Automaton;
--- /dev/null
+++ b/crates/balancer/src/decide/server_health.rs
@@ -0,0 +1,88 @@
+//! The health of one server, as its attempts and the nodes of a cluster tell it.
+
+use crate::interface::Time;
+
+/// The duration of ejections doubles at most this many times.
+const MAX_DOUBLINGS: u32 = 3;
+
+/// What a failed or overdue attempt tells about a server.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct Failure {
+    /// The server fails, beyond being late.
+    pub(super) is_failing: bool,
+    /// The server can't be reached, or has not responded several times in a row, which load does not explain.
+    pub(super) is_unreachable: bool,
+}
+
+/// The health of one server.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ServerHealth {
+    /// Failed or overdue attempts in a row.
+    pub(super) consecutive_failures: u32,
+    pub(super) is_failing: bool,
+    pub(super) is_unreachable: bool,
+    /// It has responded well, and not failed since.
+    pub(super) is_proven: bool,
+    pub(super) ejected_until: Time,
+    /// When the verdict of the cluster's nodes against it expires.
+    peer_verdict_until: Time,
+    /// This node sends it trial requests in spite of the verdict.
+    is_prober: bool,
+}
+
+impl ServerHealth {
+    /// The health of a server that nothing is known of.
+    pub(super) fn new(now: Time) -> Self {
+        ServerHealth {
+            consecutive_failures: 0,
+            is_failing: false,
+            is_unreachable: false,
+            is_proven: false,
+            ejected_until: now,
+            peer_verdict_until: now,
+            is_prober: false,
+        }
+    }
+
+    /// Whether it is ejected.
+    pub(super) fn is_ejected(&self, now: Time) -> bool {
+        self.ejected_until > now
+    }
+
+    /// Whether the verdict of the cluster's nodes holds.
+    pub(super) fn has_peer_verdict(&self, now: Time) -> bool {
+        self.peer_verdict_until > now
+    }
+
+    /// Whether the verdict of the cluster's nodes keeps this node from sending to it.
+    pub(super) fn is_blocked_by_peers(&self, now: Time) -> bool {
+        self.has_peer_verdict(now) && !self.is_prober
+    }
+
+    /// Records the verdict of the cluster's nodes.
+    pub(super) fn set_peer_verdict(&mut self, until: Time, is_prober: bool) {
+        self.peer_verdict_until = until;
+        self.is_prober = is_prober;
+    }
+
+    /// It has responded well.
+    pub(super) fn record_success(&mut self) {
+        self.consecutive_failures = 0;
+        self.is_failing = false;
+        self.is_unreachable = false;
+        self.is_proven = true;
+    }
+
+    /// An attempt has failed or is overdue. It is ejected if that is allowed; each failure in a row doubles the time.
+    pub(super) fn record_failure(&mut self, now: Time, failure: Failure, ejection: Option<Time>) {
+        self.is_proven = false;
+        if let Some(duration) = ejection {
+            self.is_unreachable |= failure.is_unreachable;
+            self.is_failing |= failure.is_failing;
+            let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
+            let factor = f64::from(1u32 << doublings);
+            self.ejected_until = self.ejected_until.max(now + duration * factor);
+        }
+        self.consecutive_failures += 1;
+    }
+}
--- a/crates/balancer/src/decide/servers.rs
+++ b/crates/balancer/src/decide/servers.rs
@@ -1,7 +1,7 @@
 //! The listed servers, and what this node knows of each.
 
-use super::outlier::ServerHealth;
-use super::slow_start::{capacity_share, WorkCredit};
+use super::server_health::ServerHealth;
+use super::work_credit::{capacity_share, WorkCredit};
 use crate::index::Index;
 use crate::interface::{Endpoint, Rules, ServerId, Time};
 use std::ops::{Deref, DerefMut};
--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/front.rs
@@ -32,6 +32,7 @@
 mod shutdown;
 #[cfg(test)]
 mod tests;
+mod text_response;
 mod translate;
 
 pub(super) use error::RequestError;
--- a/crates/node/src/net/front/admission.rs
+++ b/crates/node/src/net/front/admission.rs
@@ -2,7 +2,8 @@
 
 use super::error::{AdmissionError, RetryAdvice};
 use super::headers::{header_text, SERVICE_CLASS};
-use super::reply::{error_response, set_retry_after};
+use super::reply::set_retry_after;
+use super::text_response::error_response;
 use super::translate::AdmittedRequest;
 use super::Front;
 use crate::net::answer::ResponseBody;
--- a/crates/node/src/net/front/error.rs
+++ b/crates/node/src/net/front/error.rs
@@ -1,6 +1,6 @@
 //! Why a client's request is rejected before it is sent to a server. Each error's text is the body of the answer.
 
-use super::reply::error_response;
+use super::text_response::error_response;
 use crate::net::answer::ResponseBody;
 use hyper::{Response, StatusCode};
 use reelfall_balancer::interface::Time;
--- a/crates/node/src/net/front/health.rs
+++ b/crates/node/src/net/front/health.rs
@@ -1,6 +1,6 @@
 //! Answers to health checks of the node and of its services.
 
-use super::reply::plain;
+use super::text_response::plain;
 use super::Front;
 use crate::net::answer::ResponseBody;
 use crate::net::service::{Service, Table};
--- a/crates/node/src/net/front/reply.rs
+++ b/crates/node/src/net/front/reply.rs
@@ -1,25 +1,11 @@
 //! Answers to clients: those of servers, and those of the node itself.
 
 use super::headers::strip_hop_by_hop;
+use super::text_response::plain;
 use crate::net::answer::{Answer, Reply, ResponseBody};
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
 use reelfall_balancer::interface::{Outcome, Time};
-use std::fmt::Display;
-
-/// An answer whose text is an error's.
-pub(super) fn error_response(status: StatusCode, error: &dyn Display) -> Response<ResponseBody> {
-    let mut response = Response::new(ResponseBody::from(format!("{error}\n")));
-    *response.status_mut() = status;
-    response
-}
-
-/// An answer of constant text.
-pub(super) fn plain(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
-    let mut response = Response::new(ResponseBody::from(text));
-    *response.status_mut() = status;
-    response
-}
 
 /// The answer to a request whose deadline has passed.
 pub(super) fn timed_out() -> Response<ResponseBody> {
--- a/crates/node/src/net/front/request.rs
+++ b/crates/node/src/net/front/request.rs
@@ -5,8 +5,9 @@
 use super::error::RequestError;
 use super::health::HEALTH_PATH;
 use super::pending::PendingRequest;
-use super::reply::{plain, respond, set_connection_close, timed_out};
+use super::reply::{respond, set_connection_close, timed_out};
 use super::request_body::{discard, RequestBody};
+use super::text_response::plain;
 use super::translate::{AdmittedRequest, TranslatedRequest};
 use super::Front;
 use crate::net::answer::ResponseBody;
--- a/crates/node/src/net/front/tests.rs
+++ b/crates/node/src/net/front/tests.rs
@@ -1,7 +1,7 @@
 //! The texts and statuses of rejections, which clients see.
 
 use super::error::{AdmissionError, BodyError, RequestError};
-use super::reply::error_response;
+use super::text_response::error_response;
 use crate::net::answer::ResponseBody;
 use http_body_util::BodyExt;
 use hyper::{Response, StatusCode};
--- a/crates/node/src/net/upstream.rs
+++ b/crates/node/src/net/upstream.rs
@@ -16,11 +16,13 @@
 mod attempt;
 mod connection;
 mod connection_pool;
+mod exchange;
 mod response;
 mod socket;
 
-pub use attempt::{run_attempt, AttemptDeadlines};
+pub use attempt::AttemptDeadlines;
 pub use connection_pool::ConnectionPool;
+pub use exchange::run_attempt;
 
 use super::answer::Answer;
 use hyper::header::HeaderName;
--- a/crates/node/src/net/upstream/attempt.rs
+++ b/crates/node/src/net/upstream/attempt.rs
@@ -3,22 +3,15 @@
 //! What an attempt reports about the server is proven: the request counts as never run only if its last byte was not
 //! written, or if the server says so.
 
-use super::connection::Connection;
-use super::response::read_response;
 use super::{AttemptContext, TIME_LEFT};
 use crate::net::answer::Answer;
-use crate::net::body::{Payload, PayloadBody, StreamedBody};
+use crate::net::body::PayloadBody;
 use crate::net::message::Message;
-use hyper::body::Incoming;
-use hyper::client::conn::TrySendError;
 use hyper::header::HeaderValue;
-use hyper::{Request, Response, Uri};
+use hyper::{Request, Uri};
 use reelfall_balancer::interface::{Outcome, RequestId, ServerId};
-use std::future::Future;
-use std::pin::{pin, Pin};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use tokio::time::{sleep_until, timeout, timeout_at};
 
 /// How long an attempt that has ended may occupy its connection to read the rest of the answer.
 pub(super) const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
@@ -42,43 +35,6 @@
     pub(super) deadlines: AttemptDeadlines,
 }
 
-/// What one exchange on a connection has come to.
-enum ExchangeResult {
-    /// The outcome of the attempt has been reported.
-    Ended,
-    /// An idle connection turned out to be closed before anything was sent; the attempt goes on with another one.
-    ConnectionWasStale,
-}
-
-/// What waiting for the head of an answer has come to.
-enum HeadWait {
-    Received(Response<Incoming>),
-    SendFailed(TrySendError<Request<PayloadBody>>),
-    TimedOut,
-}
-
-type HeadResult = Result<Response<Incoming>, TrySendError<Request<PayloadBody>>>;
-
-/// Makes one attempt and reports to its context how it ended.
-pub async fn run_attempt<C: AttemptContext>(
-    context: C,
-    request: RequestId,
-    number: u32,
-    server: ServerId,
-    message: Rc<Message>,
-    deadlines: AttemptDeadlines,
-) {
-    let attempt = Attempt {
-        message,
-        context,
-        request,
-        number,
-        server,
-        deadlines,
-    };
-    while let ExchangeResult::ConnectionWasStale = attempt.exchange().await {}
-}
-
 impl<C: AttemptContext> Attempt<C> {
     /// Reports an outcome without an answer.
     pub(super) fn end(&self, outcome: Outcome) {
@@ -93,29 +49,7 @@
             .end_attempt(request, number, Outcome::Served, Some(answer));
     }
 
-    /// Sends the request on one connection and reads the answer.
-    async fn exchange(&self) -> ExchangeResult {
-        let connection = match self.acquire().await {
-            Ok(connection) => connection,
-            Err(outcome) => {
-                self.end(outcome);
-                return ExchangeResult::Ended;
-            }
-        };
-        // While the connection was opened, the client may have left and the endpoint list may have changed.
-        if !self.context.is_answer_wanted(self.request) {
-            self.context.connections().put(connection);
-            self.end(Outcome::NotSent);
-            return ExchangeResult::Ended;
-        }
-        if self.context.address(self.server).is_none() || Instant::now() >= self.deadlines.send_by {
-            self.end(Outcome::ConnectFailed);
-            return ExchangeResult::Ended;
-        }
-        Exchange::new(self, connection).run().await
-    }
-
-    fn build_request(&self, answer_by: Instant) -> Request<PayloadBody> {
+    pub(super) fn build_request(&self, answer_by: Instant) -> Request<PayloadBody> {
         let message = &*self.message;
         let mut request = Request::new(PayloadBody::new(&message.body));
         *request.method_mut() = message.method.clone();
@@ -135,145 +69,16 @@
     }
 
     /// Whether part of a streamed body was consumed, so that it can't be sent again.
-    fn is_body_consumed(&self) -> bool {
+    pub(super) fn is_body_consumed(&self) -> bool {
         self.message
             .body
             .streamed()
             .is_some_and(|body| body.is_consumed())
     }
 
-    fn report_body_consumed(&self) {
+    pub(super) fn report_body_consumed(&self) {
         if self.is_body_consumed() {
             self.context.mark_body_consumed(self.request);
         }
     }
 }
-
-/// The request of an attempt on its connection.
-struct Exchange<'a, C> {
-    attempt: &'a Attempt<C>,
-    connection: Connection,
-    /// What had been written on the connection before this request.
-    bytes_written_before: u64,
-    answer_by: Instant,
-}
-
-impl<'a, C: AttemptContext> Exchange<'a, C> {
-    fn new(attempt: &'a Attempt<C>, connection: Connection) -> Self {
-        Exchange {
-            attempt,
-            bytes_written_before: connection.bytes_written(),
-            connection,
-            answer_by: attempt.deadlines.answer_by,
-        }
-    }
-
-    async fn run(mut self) -> ExchangeResult {
-        let request = self.attempt.build_request(self.answer_by);
-        let mut head = pin!(self.connection.sender.try_send_request(request));
-        let result = self.wait_for_head(head.as_mut()).await;
-        self.attempt.report_body_consumed();
-        match result {
-            HeadWait::Received(response) => {
-                read_response(self.attempt, self.connection, response, self.answer_by).await;
-                ExchangeResult::Ended
-            }
-            HeadWait::SendFailed(error) => self.handle_send_error(error),
-            HeadWait::TimedOut => {
-                self.handle_timeout(head).await;
-                ExchangeResult::Ended
-            }
-        }
-    }
-
-    async fn wait_for_head<F>(&mut self, mut head: Pin<&mut F>) -> HeadWait
-    where
-        F: Future<Output = HeadResult>,
-    {
-        if let Some(body) = self.attempt.message.body.streamed() {
-            let early_result = self.wait_for_upload(body, head.as_mut()).await;
-            if body.is_complete() {
-                let attempt = self.attempt;
-                if let Some(answer_by) = attempt.context.finish_upload(attempt.request) {
-                    self.answer_by = answer_by;
-                }
-            }
-            if let Some(result) = early_result {
-                return HeadWait::from(result);
-            }
-        }
-        match timeout_at(self.answer_by.into(), head).await {
-            Ok(result) => HeadWait::from(result),
-            Err(_) => HeadWait::TimedOut,
-        }
-    }
-
-    /// Waits until a streamed body is uploaded or has broken off, or time is up. Returns the head of the answer if that
-    /// is received first.
-    async fn wait_for_upload<F>(&self, body: &StreamedBody, head: Pin<&mut F>) -> Option<HeadResult>
-    where
-        F: Future<Output = HeadResult>,
-    {
-        tokio::select! {
-            biased;
-            () = body.wait_for_end() => None,
-            () = sleep_until(self.answer_by.into()) => None,
-            result = head => Some(result),
-        }
-    }
-
-    /// Whether the last byte of the request may have been written.
-    fn may_be_fully_sent(&self) -> bool {
-        match &self.attempt.message.body {
-            Payload::Buffered(body) => {
-                self.connection.bytes_written() - self.bytes_written_before > body.len() as u64
-            }
-            Payload::Streamed(body) => body.is_complete(),
-        }
-    }
-
-    fn handle_send_error(self, mut error: TrySendError<Request<PayloadBody>>) -> ExchangeResult {
-        let is_unsent = error.take_message().is_some();
-        if is_unsent && self.connection.is_reused && !self.attempt.is_body_consumed() {
-            return ExchangeResult::ConnectionWasStale;
-        }
-        self.attempt.end(self.connection_error_outcome());
-        ExchangeResult::Ended
-    }
-
-    fn connection_error_outcome(&self) -> Outcome {
-        match self.attempt.message.body.streamed() {
-            // The client has broken off the upload, which says nothing about the server.
-            Some(body) if body.error().is_some() => Outcome::NotSent,
-            _ if self.may_be_fully_sent() => Outcome::ConnectionLost,
-            _ => Outcome::ConnectFailed,
-        }
-    }
-
-    async fn handle_timeout<F>(self, head: Pin<&mut F>)
-    where
-        F: Future<Output = HeadResult>,
-    {
-        let attempt = self.attempt;
-        if !self.may_be_fully_sent() {
-            drop(self.connection);
-            return attempt.end(Outcome::ConnectFailed);
-        }
-        attempt.end(Outcome::TimedOut);
-        // Only without a retry in flight may this attempt linger: two copies must not run side by side.
-        if !attempt.context.has_attempt_in_flight(attempt.request) {
-            if let Ok(Ok(response)) = timeout(DRAIN_TIMEOUT, head).await {
-                attempt.drain(self.connection, response.into_body()).await;
-            }
-        }
-    }
-}
-
-impl From<HeadResult> for HeadWait {
-    fn from(result: HeadResult) -> Self {
-        match result {
-            Ok(response) => HeadWait::Received(response),
-            Err(error) => HeadWait::SendFailed(error),
-        }
-    }
-}
--- a/crates/node/src/net/upstream/response.rs
+++ b/crates/node/src/net/upstream/response.rs
@@ -1,6 +1,6 @@
 //! Reading an answer whose head was received: it is buffered whole, or handed on as a stream while it still arrives.
 //!
-//! Called by `attempt`. The states of an answer:
+//! Called by `exchange`. The states of an answer:
 //!
 //! - head received: rejected answers and server errors end the attempt here;
 //! - buffering: pieces of the body are collected;
--- a/crates/node/src/standalone.rs
+++ b/crates/node/src/standalone.rs
@@ -12,6 +12,7 @@
 
 mod announce;
 mod entries;
+mod error;
 mod management;
 mod membership;
 mod node;
@@ -22,9 +23,10 @@
 use crate::net::service::prepared::PreparedPlan;
 use crate::net::shared::Shared;
 use crate::process::{self, ProcessError, Signals};
+use error::ApplyError;
 use management::ManagementError;
 use membership::Membership;
-use node::{ApplyError, Node};
+use node::Node;
 use reelfall_config::model::{self, Located, Model};
 use reelfall_config::{Faults, Plan};
 use reload::SettingsReader;
--- a/crates/node/src/standalone/entries.rs
+++ b/crates/node/src/standalone/entries.rs
@@ -1,7 +1,7 @@
 //! The node's own entries in registries: which ones the plan wants, and which ones there are. Used by
 //! [`super::node::Node`].
 
-use super::node::ApplyError;
+use super::error::ApplyError;
 use crate::net::front::Front;
 use crate::net::registry::{OwnEntry, RegistryAccess};
 use crate::net::service::prepared::PreparedPlan;
--- a/crates/node/src/standalone/node.rs
+++ b/crates/node/src/standalone/node.rs
@@ -1,13 +1,12 @@
 //! The plan in force, and its replacement at a reload.
 
 use super::entries::{DesiredEntry, OwnEntries};
+use super::error::ApplyError;
 use super::reload::{ReadError, SettingsReader};
-use crate::net::front::{BindError, Front, Listening};
-use crate::net::registry::RegistryAccessError;
+use crate::net::front::{Front, Listening};
 use crate::net::service::prepared::PreparedPlan;
-use crate::net::service::{ApplyPlanError, Services};
+use crate::net::service::Services;
 use crate::net::shared::Shared;
-use reelfall_config::model::Origin;
 use std::cell::{Cell, RefCell};
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
@@ -15,32 +14,6 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Why a plan can't be put in force.
-#[derive(Debug, Error)]
-pub enum ApplyError {
-    /// A listener's address can't be bound.
-    #[error("{origin}: listener `{name}`: {source}")]
-    Listener {
-        /// Where the listener is in the settings file.
-        origin: Origin,
-        /// The name of the listener.
-        name: String,
-        /// Why it can't be bound.
-        source: BindError,
-    },
-    /// A registry can't be accessed.
-    #[error("{origin}: {source}")]
-    Registry {
-        /// Where the registry is in the settings file.
-        origin: Origin,
-        /// What is missing for the access.
-        source: RegistryAccessError,
-    },
-    /// A service can't be started.
-    #[error(transparent)]
-    Services(#[from] ApplyPlanError),
-}
-
 /// Why a reload changes nothing.
 #[derive(Debug, Error)]
 enum ReloadError {
