--- a/crates/capacity/src/budget/scale_page.rs
+++ b/crates/capacity/src/budget/scale_page.rs
@@ -1,20 +1,23 @@
 //! The tables of the page of scale runs, from their reports.
 
+mod cells;
+
 use super::inputs::json;
 use super::model::budget;
 use super::table::{amount, markdown, plain, Unit};
 use super::Fault;
 use crate::scale::computation::Computation;
-use crate::scale::record::{Added, Product, Record};
-use crate::scale::report::{RequestTimes, Run, Slope, Source, Times, Traffic};
+use crate::scale::record::{Product, Record};
+use crate::scale::report::{Run, Slope, Source};
 use crate::scale::{fit, plot};
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// What is said where nothing was measured.
-const NOT_MEASURED: &str = "not measured";
-/// The kind of traffic that tells which servers fail.
-const VERDICTS: &str = "verdicts";
+use cells::{
+    added, bans, busy, gathered, hollow, list_lines, memory, nodes, of, peak, processor,
+    request_times, traffic, verdicts, NOT_MEASURED,
+};
+
 /// One of the worst moments.
 struct Moment {
     /// The name of its window, if it has one.
@@ -119,53 +122,6 @@
     ]))
 }
 
-// ---- parts of reports ----
-
-/// Runs of hollow nodes of a name.
-fn hollow<'a>(record: &'a Record, name: &'a str) -> impl Iterator<Item = &'a Run> {
-    of(record, name, Source::HollowNodes)
-}
-
-fn of<'a>(record: &'a Record, name: &'a str, source: Source) -> impl Iterator<Item = &'a Run> {
-    record
-        .report
-        .runs
-        .iter()
-        .filter(move |run| run.name == name && run.source == source)
-}
-
-fn nodes(record: &Record) -> usize {
-    hollow(record, "quiet")
-        .next()
-        .map_or(0, |run| run.size.nodes)
-}
-
-fn bytes(run: &Run, of: fn(&Traffic) -> f64) -> Option<f64> {
-    Some(run.per_node.traffic.iter().map(of).sum())
-}
-
-fn verdicts_out(run: &Run) -> Option<f64> {
-    run.per_node
-        .traffic
-        .iter()
-        .find(|traffic| traffic.kind == VERDICTS)
-        .map(|traffic| traffic.bytes_out)
-}
-
-/// One amount, or the least and the most of several.
-fn range(values: impl Iterator<Item = f64>, unit: Unit) -> String {
-    let mut sorted: Vec<f64> = values.collect();
-    sorted.sort_by(f64::total_cmp);
-    let (Some(least), Some(most)) = (sorted.first(), sorted.last()) else {
-        return NOT_MEASURED.to_owned();
-    };
-    let (least, most) = (amount(*least, unit), amount(*most, unit));
-    if least == most {
-        return least;
-    }
-    format!("{least} to {most}")
-}
-
 /// A row of a table with one column for each single run.
 struct RunsRow {
     what: &'static str,
@@ -213,116 +169,6 @@
     markdown(&head.iter().map(String::as_str).collect::<Vec<_>>(), &rows)
 }
 
-/// Traffic of a node in the windows of a name.
-fn traffic(record: &Record, name: &str, of: fn(&Traffic) -> f64) -> String {
-    range(
-        hollow(record, name).filter_map(|run| bytes(run, of)),
-        Unit::BytesPerSecond,
-    )
-}
-
-/// What a node sends of verdicts in the windows of a name.
-fn verdicts(record: &Record, name: &str) -> String {
-    range(
-        hollow(record, name).filter_map(verdicts_out),
-        Unit::BytesPerSecond,
-    )
-}
-
-/// Most bytes at any node within a second of the windows of a name.
-fn peak(record: &Record, name: &str) -> String {
-    range(
-        hollow(record, name).map(|run| run.per_node.peak_bytes),
-        Unit::Bytes,
-    )
-}
-
-/// Processor time of a node in the windows of a name.
-fn processor(record: &Record, name: &str, source: Source) -> String {
-    range(
-        of(record, name, source).map(|run| run.per_node.cpu),
-        Unit::Cores,
-    )
-}
-
-/// Memory of a node in the windows of a name.
-fn memory(record: &Record, name: &str, source: Source) -> String {
-    range(
-        of(record, name, source).filter_map(|run| run.per_node.memory),
-        Unit::Bytes,
-    )
-}
-
-/// Times until bans were in force in the windows under changes.
-fn bans(record: &Record, at: fn(&Times) -> f64) -> String {
-    range(
-        hollow(record, "changes").filter_map(|run| run.in_force.as_ref().map(at)),
-        Unit::Seconds,
-    )
-}
-
-/// Times until lines of lists were taken in, in the windows under changes.
-fn list_lines(record: &Record, at: fn(&Times) -> f64) -> String {
-    let lists = record
-        .lists_in_force
-        .iter()
-        .filter(|lists| lists.run == "changes");
-    range(lists.map(|lists| at(&lists.times)), Unit::Seconds)
-}
-
-/// How busy the threads were in the windows of a name.
-fn busy(record: &Record, name: &str) -> String {
-    let shares = record
-        .busy
-        .iter()
-        .filter(|busy| busy.run == name)
-        .map(|busy| busy.share * 100.0);
-    let text = range(shares, Unit::Count);
-    if text == NOT_MEASURED {
-        return text;
-    }
-    format!("{text} %")
-}
-
-/// How long it took after something until all knew all.
-fn gathered(record: &Record, after: &str) -> String {
-    match record
-        .gathered
-        .iter()
-        .find(|gathered| gathered.after == after)
-        .map(|gathered| gathered.seconds)
-    {
-        Some(Some(seconds)) => amount(seconds, Unit::Seconds),
-        Some(None) => "not in time".to_owned(),
-        None => "not played".to_owned(),
-    }
-}
-
-/// Two quantiles of the times of requests.
-fn request_times(record: &Record, of: fn(&RequestTimes) -> [f64; 2]) -> String {
-    match record.report.runs.iter().find_map(|run| run.requests) {
-        Some(times) => of(&times)
-            .map(|seconds| amount(seconds, Unit::Seconds))
-            .join(", "),
-        None => NOT_MEASURED.to_owned(),
-    }
-}
-
-/// What changes added to times of requests, round by round.
-fn added(record: &Record, of: fn(&Added) -> f64) -> String {
-    let rounds: Vec<String> = record
-        .added
-        .iter()
-        .map(|added| format!("{:+.2} ms", of(added) * 1e3))
-        .collect();
-    if rounds.is_empty() {
-        return NOT_MEASURED.to_owned();
-    }
-    rounds.join(", ")
-}
-
-// ---- tables ----
-
 fn reports_table(reports: &Reports) -> String {
     let row = |(name, record): &(String, Record)| {
         let left_out: Vec<&str> = record
--- a/crates/distribution/src/child.rs
+++ b/crates/distribution/src/child.rs
@@ -115,6 +115,11 @@
         }
     }
 
+    /// The number of its session.
+    pub fn session(&self) -> u64 {
+        self.link.session()
+    }
+
     /// The session's link.
     pub fn link(&mut self) -> &mut Link {
         &mut self.link
--- a/crates/distribution/src/downstream.rs
+++ b/crates/distribution/src/downstream.rs
@@ -127,26 +127,12 @@
                 return Vec::new();
             }
         }
-        let Some(child) = self.children.get_mut(&from) else {
-            self.reject(
-                now,
-                from,
-                head.session,
-                CloseReason::UnknownSession,
-                outputs,
-            );
+        let child = self.children.get_mut(&from);
+        let Some(child) = child.filter(|child| child.session() == head.session) else {
+            let reason = CloseReason::UnknownSession;
+            self.reject(now, from, head.session, reason, outputs);
             return Vec::new();
         };
-        if child.link().session() != head.session {
-            self.reject(
-                now,
-                from,
-                head.session,
-                CloseReason::UnknownSession,
-                outputs,
-            );
-            return Vec::new();
-        }
         if !child.admit_frame(now, bytes) {
             self.close_session(now, from, CloseReason::RateExceeded, outputs);
             return Vec::new();
--- a/crates/distribution/src/log.rs
+++ b/crates/distribution/src/log.rs
@@ -64,6 +64,12 @@
         self.versions.remove(&version);
         self.urgent.remove(&version);
     }
+
+    /// The last version up to a bound.
+    fn last_at_or_below(&self, bound: Version) -> Option<Version> {
+        let last = self.versions.range(..=bound).next_back();
+        last.map(|(version, _)| *version)
+    }
 }
 
 /// The latest change of each key, with indexes by selector.
@@ -226,17 +232,10 @@
     /// The last change of a selector that a coverage lacks.
     pub fn newest_uncovered(&self, selector: &Selector, coverage: &Coverage) -> Option<Version> {
         let index = self.index(selector)?;
-        let last_at_or_below = |bound: Version| {
-            index
-                .versions
-                .range(..=bound)
-                .next_back()
-                .map(|(version, _)| *version)
-        };
         newest_uncovered(
             coverage,
             index.versions.last_key_value().map(|(version, _)| *version),
-            last_at_or_below,
+            |bound| index.last_at_or_below(bound),
         )
     }
 
@@ -248,17 +247,10 @@
         version: Version,
     ) -> Option<Version> {
         let index = self.index(selector)?;
-        let last_at_or_below = |bound: Version| {
-            index
-                .versions
-                .range(..=bound)
-                .next_back()
-                .map(|(version, _)| *version)
-        };
         newest_uncovered(
             coverage,
             self.previous_version(selector, version),
-            last_at_or_below,
+            |bound| index.last_at_or_below(bound),
         )
     }
 
--- a/crates/emulator/examples/scale/holdings.rs
+++ b/crates/emulator/examples/scale/holdings.rs
@@ -5,8 +5,8 @@
 use clap::Args;
 use reelfall_emulator::control::account::Usage;
 use reelfall_emulator::control::holdings::{Holder, Holdings};
-use reelfall_emulator::control::layout::Sizes;
 use reelfall_emulator::control::report::{PerNode, Run, Size, Source};
+use reelfall_emulator::control::sizes::Sizes;
 
 #[derive(Args)]
 pub struct Arguments {
--- a/crates/emulator/src/control/check.rs
+++ b/crates/emulator/src/control/check.rs
@@ -1,13 +1,11 @@
 //! Promises of the distribution, checked by what nodes do and not by what they say.
 
-use super::account::LONG_SPAN;
-use super::machine::{Applied, Machine, Node};
-use super::world::World;
+use super::machine::{Applied, Node};
 use reelfall_distribution::author::Author;
 use reelfall_distribution::resource::{Key, Name, Slot, Version};
 use std::collections::HashMap;
 
-/// What a node's link has for control, in bytes a second, over any [`LONG_SPAN`].
+/// What a node's link has for control, in bytes a second, over any [`super::account::LONG_SPAN`].
 pub const BUDGET: f64 = 8_000.0;
 /// Faults that are kept; further ones are counted alone.
 const FAULTS_MOST: usize = 20;
@@ -62,39 +60,3 @@
     let here = node.subscriber.applied_change(name);
     there.map(|change| &change.content) == here.map(|change| &change.content)
 }
-
-/// All nodes that run and can hear have what the author has; those that don't are faults.
-pub fn check_agreement(world: &mut World, nodes: &[u32]) {
-    let behind: Vec<u32> = nodes
-        .iter()
-        .copied()
-        .filter(|node| !world.is_up_to_date(*node))
-        .collect();
-    let now = world.network.now();
-    for node in behind {
-        let following = world.network.endpoint(node).and_then(Machine::as_node);
-        let following = following.and_then(|node| node.subscriber.following());
-        let what = format!(
-            "node {node}, which follows {following:?}, has other resources than the author"
-        );
-        world.checker.fault(now, what);
-    }
-}
-
-/// No node used more than its budget since accounts began.
-pub fn check_budget(world: &mut World) {
-    let most = BUDGET * LONG_SPAN;
-    let now = world.network.now();
-    for node in world.layout.nodes() {
-        let used = world
-            .network
-            .account(node)
-            .map_or(0, |account| account.long.most());
-        if used as f64 > most {
-            world.checker.fault(
-                now,
-                format!("node {node} used {used} bytes within {LONG_SPAN} s"),
-            );
-        }
-    }
-}
--- a/crates/emulator/src/control/contents.rs
+++ b/crates/emulator/src/control/contents.rs
@@ -1,6 +1,5 @@
 //! Which resources a system has, and how long their bodies are.
 
-use super::layout::{service_name, Sizes};
 use reelfall_distribution::resource::Name;
 
 /// Bytes of a service's settings.
@@ -51,42 +50,12 @@
     }
 }
 
+/// A service's name.
+pub fn service_name(service: u32) -> String {
+    format!("service-{service}")
+}
+
 /// A tenant's name.
 pub fn tenant_name(tenant: u32) -> String {
     format!("tenant-{tenant}")
 }
-
-impl Sizes {
-    /// How many resources a service has.
-    pub fn resources_of_service(&self, service: u32) -> u32 {
-        2 + self.routes_of(service)
-    }
-
-    /// A service's resource, by its number among those of the service.
-    pub fn resource(&self, service: u32, number: u32) -> Resource {
-        match number {
-            0 => Resource::Settings(service),
-            1 => Resource::Servers(service),
-            route => Resource::Route(service, route - 2),
-        }
-    }
-
-    /// The resources of a service.
-    pub fn service_resources(&self, service: u32) -> impl Iterator<Item = Resource> + use<> {
-        let sizes = *self;
-        (0..self.resources_of_service(service)).map(move |number| sizes.resource(service, number))
-    }
-
-    /// All resources.
-    pub fn resources(&self) -> impl Iterator<Item = Resource> + use<> {
-        let sizes = *self;
-        let services = (0..self.services).flat_map(move |service| sizes.service_resources(service));
-        services.chain((0..self.tenants).map(Resource::Tenant))
-    }
-
-    /// Routes are spread evenly over services.
-    fn routes_of(&self, service: u32) -> u32 {
-        let services = self.services.max(1);
-        self.routes / services + u32::from(service < self.routes % services)
-    }
-}
--- a/crates/emulator/src/control/holdings.rs
+++ b/crates/emulator/src/control/holdings.rs
@@ -3,7 +3,8 @@
 //! What a machine has stored is not kept beside it, as it is where machines are played ([`super::machine::Disk`]).
 
 use super::contents::Resource;
-use super::layout::{Layout, Sizes};
+use super::layout::Layout;
+use super::sizes::Sizes;
 use reelfall_distribution::author::Author;
 use reelfall_distribution::coverage::Coverage;
 use reelfall_distribution::output::Record;
--- a/crates/emulator/src/control/layout.rs
+++ b/crates/emulator/src/control/layout.rs
@@ -1,6 +1,7 @@
 //! Which endpoint is what: nodes, authors and relays, what each subscribes to and whom it follows.
 
-use super::contents::Resource;
+use super::contents::{service_name, Resource};
+use super::sizes::Sizes;
 use super::topology::{Scope, Topology};
 use reelfall_distribution::author::AuthorConfig;
 use reelfall_distribution::downstream_config::DownstreamConfig;
@@ -20,59 +21,6 @@
 /// A node tells its standing so often at most, in seconds.
 const STANDING_EVERY: f64 = 10.0;
 
-/// How large a system is.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sizes {
-    /// Zones of each region.
-    pub zones: &'static [u16],
-    /// Nodes, spread evenly over the zones.
-    pub nodes: u32,
-    /// Control machines that can write; one of each of the first regions.
-    pub authors: u32,
-    /// Control machines that serve nodes; spread evenly over the regions.
-    pub relays: u32,
-    /// Services.
-    pub services: u32,
-    /// Groups of nodes that serve the same services: each service is served by the nodes of one group.
-    pub groups: u32,
-    /// Routes that are resources of their own, over all services.
-    pub routes: u32,
-    /// Tenants that are resources.
-    pub tenants: u32,
-}
-
-impl Sizes {
-    /// The target system: 18 control machines; each node serves 20 services, each service has 46 nodes. Its routes are in the
-    /// services' settings, its tenants are left out.
-    pub const TARGET: Sizes = Sizes {
-        zones: &super::topology::TARGET_ZONES,
-        nodes: 6_000,
-        authors: 3,
-        relays: 15,
-        services: 2_600,
-        groups: 130,
-        routes: 0,
-        tenants: 0,
-    };
-
-    /// Routes of the target system.
-    pub const TARGET_ROUTES: u32 = 74_000;
-    /// Tenants of the target system.
-    pub const TARGET_TENANTS: u32 = 560_000;
-
-    /// A small system for tests.
-    pub const SMALL: Sizes = Sizes {
-        zones: &[2, 2],
-        nodes: 24,
-        authors: 2,
-        relays: 4,
-        services: 12,
-        groups: 4,
-        routes: 0,
-        tenants: 0,
-    };
-}
-
 /// See the module.
 pub struct Layout {
     /// How large it is.
@@ -245,11 +193,6 @@
     endpoints.iter().map(|endpoint| PeerId(*endpoint)).collect()
 }
 
-/// A service's name.
-pub fn service_name(service: u32) -> String {
-    format!("service-{service}")
-}
-
 /// The number of a zone of a region; zones are taken in turn.
 fn zone_in(zones: &[u16], region: usize, turn: usize) -> u16 {
     let before: u16 = zones.iter().take(region).sum();
--- a/crates/emulator/src/control/mod.rs
+++ b/crates/emulator/src/control/mod.rs
@@ -15,6 +15,7 @@
 //! | [`times`] | percentiles of times |
 //! | [`membership`] | nodes of [`reelfall_cluster`] as endpoints |
 //! | [`layout`] | authors, relays and nodes of a system: where they are, what they subscribe to |
+//! | [`sizes`] | how large a system is |
 //! | [`contents`] | which resources there are, and how long their bodies are |
 //! | [`holdings`] | machines by themselves, for what they hold in memory |
 //! | [`machine`] | machines of [`reelfall_distribution`] as endpoints, with their disks |
@@ -41,6 +42,7 @@
 pub mod network;
 pub mod plays;
 pub mod report;
+pub mod sizes;
 pub mod times;
 pub mod topology;
 pub mod whole_copies;
--- a/crates/emulator/src/control/plays.rs
+++ b/crates/emulator/src/control/plays.rs
@@ -1,11 +1,10 @@
 //! What is played with a [`World`], and what came of it.
 
 use super::account::Usage;
-use super::check::{check_agreement, check_budget};
 use super::contents::Resource;
 use super::times::Times;
 use super::topology::Scope;
-use super::world::{Ages, World};
+use super::world::{check_agreement, check_budget, Ages, World};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
--- a/crates/emulator/tests/distribution.rs
+++ b/crates/emulator/tests/distribution.rs
@@ -5,9 +5,10 @@
 use reelfall_emulator::control::check::{agrees, BUDGET};
 use reelfall_emulator::control::contents::Resource;
 use reelfall_emulator::control::holdings::Holdings;
-use reelfall_emulator::control::layout::{Layout, Sizes, TAKEOVER};
+use reelfall_emulator::control::layout::{Layout, TAKEOVER};
 use reelfall_emulator::control::machine::Machine;
 use reelfall_emulator::control::plays::{self, JudgedBy, Outcome};
+use reelfall_emulator::control::sizes::Sizes;
 use reelfall_emulator::control::topology::Scope;
 use reelfall_emulator::control::world::{links, Ages, World, LEASE_LASTS};
 
