--- a/crates/balancer/tests/engine.rs
+++ b/crates/balancer/tests/engine.rs
@@ -130,8 +130,8 @@
                     request,
                     attempt,
                     server,
-                    send_by: starts_by,
-                    deadline: expires,
+                    send_by,
+                    deadline,
                 } => {
                     let r = self
                         .requests
@@ -151,21 +151,18 @@
                     );
                     assert!(self.now < r.deadline, "sent after the deadline");
                     assert!(
-                        expires <= r.deadline && expires >= self.now,
+                        deadline <= r.deadline && deadline >= self.now,
                         "an attempt past the deadline"
                     );
                     if let Some(first) = r.first.filter(|_| r.class == 2) {
                         // It has to be there while its servers still know the first for one of the same.
                         assert!(
-                            starts_by < first + WINDOW,
+                            send_by < first + WINDOW,
                             "a keyed request is repeated past its window"
                         );
                     }
-                    assert!(
-                        starts_by <= expires,
-                        "an attempt that is sent after its end"
-                    );
-                    r.out = Some((attempt, expires));
+                    assert!(send_by <= deadline, "an attempt that is sent after its end");
+                    r.out = Some((attempt, deadline));
                     r.last = self.now;
                     r.sent += 1;
                 }
@@ -429,7 +426,7 @@
                         request,
                         attempt,
                         server,
-                        deadline: expires,
+                        deadline,
                         ..
                     } => {
                         let fate = random();
@@ -442,8 +439,8 @@
                             _ => (0.01 + 0.02 * fate, Outcome::Served, true),
                         };
                         *effects.entry(request).or_default() += u32::from(ran);
-                        let at = (now + took).min(expires);
-                        let outcome = if now + took > expires {
+                        let at = (now + took).min(deadline);
+                        let outcome = if now + took > deadline {
                             Outcome::TimedOut
                         } else {
                             outcome
--- a/crates/balancer/tests/uploads.rs
+++ b/crates/balancer/tests/uploads.rs
@@ -53,9 +53,9 @@
             request,
             attempt,
             server,
-            deadline: expires,
+            deadline,
             ..
-        } => Some((*request, *attempt, *server, *expires)),
+        } => Some((*request, *attempt, *server, *deadline)),
         _ => None,
     })
 }
@@ -74,8 +74,8 @@
 #[test]
 fn a_slow_upload_is_not_held_against_its_server_and_the_answer_is_due_after_the_last_byte() {
     let (mut engine, mut out) = (engine(), Vec::new());
-    let (id, attempt, _, expires) = upload(&mut engine, &mut out);
-    assert_eq!(expires, 900.0);
+    let (id, attempt, _, deadline) = upload(&mut engine, &mut out);
+    assert_eq!(deadline, 900.0);
     let before = average(&engine);
     // Sweeps charge whatever is overdue; this is not.
     for n in 1..=200 {
--- a/crates/emulator/src/digest.rs
+++ b/crates/emulator/src/digest.rs
@@ -20,12 +20,12 @@
                 request,
                 attempt,
                 server,
-                send_by: starts_by,
-                deadline: expires,
+                send_by,
+                deadline,
             } => {
                 self.words(0, [(*request).into(), (*attempt).into(), (*server).into()]);
-                self.word(starts_by.to_bits());
-                self.word(expires.to_bits());
+                self.word(send_by.to_bits());
+                self.word(deadline.to_bits());
             }
             Command::CancelAttempt { request, attempt } => {
                 self.words(1, [(*request).into(), (*attempt).into(), 0]);
