--- a/crates/node/src/net/answer.rs
+++ b/crates/node/src/net/answer.rs
@@ -1,6 +1,6 @@
 //! Answers of servers on their way to clients: buffered whole, or streamed while they still arrive.
 //!
-//! `upstream` makes an [`Answer`] of each server's answer, `front` a [`ResponseBody`] for its client.
+//! `upstream` makes an [`Answer`] of each server's answer, `frontend` a [`ResponseBody`] for its client.
 
 use super::body::MAX_STREAMED_BYTES;
 use super::message::Message;
--- a/crates/node/src/net/body.rs
+++ b/crates/node/src/net/body.rs
@@ -1,7 +1,7 @@
 //! Bodies of requests: buffered whole, or streamed from the client's connection to the server's.
 //!
 //! Reading a streamed body polls the client's connection, so that nothing is buffered between the two connections but
-//! what they buffer themselves, and the slower side sets the pace. `front` makes the bodies, `upstream` sends them.
+//! what they buffer themselves, and the slower side sets the pace. `frontend` makes the bodies, `upstream` sends them.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
--- a/crates/node/src/net/client.rs
+++ b/crates/node/src/net/client.rs
@@ -1,6 +1,6 @@
 //! The connection of one client: its phase, its progress and whether the client has disconnected.
 //!
-//! Created by `front::accept` for each connection.
+//! Created by `frontend::accept` for each connection.
 //!
 //! | module | responsibility |
 //! | --- | --- |
--- a/crates/node/src/net/client/io.rs
+++ b/crates/node/src/net/client/io.rs
@@ -1,6 +1,6 @@
 //! A client's socket for the HTTP library: reading through the gate, writing, and the timeouts of both.
 //!
-//! `front::accept` gives a [`ClientIo`] to the HTTP library for each connection.
+//! `frontend::accept` gives a [`ClientIo`] to the HTTP library for each connection.
 
 use super::{Client, Phase, REQUEST_TIMEOUT};
 use crate::net::gate::Gate;
--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/frontend.rs
@@ -1,10 +1,10 @@
 //! The client side of a node: listeners, connections and requests, from the first client to the shutdown on SIGTERM.
 //!
-//! `platform` and `standalone` create the one [`Front`] of a process; `takeover` hands its clients to a successor.
+//! `platform` and `standalone` create the one [`Frontend`] of a process; `takeover` hands its clients to a successor.
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `listening` | the addresses where clients connect |
+//! | `listen_socket` | the addresses where clients connect |
 //! | `accept` | the accept loop, and serving each connection |
 //! | `request` | one request from its head to its answer |
 //! | `request_body` | buffering, streaming or discarding its body |
@@ -24,7 +24,7 @@
 mod handover;
 mod headers;
 mod health;
-mod listening;
+mod listen_socket;
 mod pending;
 mod reply;
 mod request;
@@ -38,7 +38,7 @@
 pub(super) use error::RequestError;
 pub use handover::{Handover, HandoverState};
 pub(super) use headers::{header_text, strip_hop_by_hop, time_left};
-pub use listening::{BindError, Listening};
+pub use listen_socket::{BindError, ListenSocket};
 pub(super) use pending::PendingRequest;
 pub(super) use reply::set_retry_after;
 pub(super) use request::half_response_slack;
@@ -60,18 +60,18 @@
 
 /// A listener and the task that accepts on it.
 struct ActiveListener {
-    listening: Rc<Listening>,
+    listening: Rc<ListenSocket>,
     _accept_task: AbortOnDrop,
 }
 
 impl ActiveListener {
-    fn is(&self, listening: &Rc<Listening>) -> bool {
+    fn is(&self, listening: &Rc<ListenSocket>) -> bool {
         Rc::ptr_eq(&self.listening, listening)
     }
 }
 
 /// The client side of a process: its listeners and clients.
-pub struct Front {
+pub struct Frontend {
     shared: Rc<Shared>,
     routing: RefCell<Rc<Routing>>,
     listening: RefCell<Vec<ActiveListener>>,
@@ -94,10 +94,10 @@
     rng: SeededRng,
 }
 
-impl Front {
-    /// A front without listeners. `seed` is for generated ids and for retry advice.
+impl Frontend {
+    /// A frontend without listeners. `seed` is for generated ids and for retry advice.
     pub fn new(shared: Rc<Shared>, routing: Routing, clients: usize, seed: u64) -> Rc<Self> {
-        Rc::new(Front {
+        Rc::new(Frontend {
             shared,
             routing: RefCell::new(Rc::new(routing)),
             listening: RefCell::default(),
@@ -121,7 +121,7 @@
     }
 
     /// Accepts clients on these listeners and no longer on others. Clients of removed listeners stay connected.
-    pub fn listen(self: &Rc<Self>, listening: Vec<Rc<Listening>>) {
+    pub fn listen(self: &Rc<Self>, listening: Vec<Rc<ListenSocket>>) {
         let mut active = self.listening.borrow_mut();
         active.retain(|old| {
             let stays = listening.iter().any(|new| old.is(new));
@@ -139,9 +139,9 @@
         }
     }
 
-    fn start_accepting(self: &Rc<Self>, listening: Rc<Listening>) -> ActiveListener {
-        let (front, accepting) = (self.clone(), listening.clone());
-        let task = tokio::task::spawn_local(async move { front.accept(&accepting).await });
+    fn start_accepting(self: &Rc<Self>, listening: Rc<ListenSocket>) -> ActiveListener {
+        let (frontend, accepting) = (self.clone(), listening.clone());
+        let task = tokio::task::spawn_local(async move { frontend.accept(&accepting).await });
         ActiveListener {
             listening,
             _accept_task: AbortOnDrop(task.abort_handle()),
@@ -172,7 +172,7 @@
     }
 
     /// The listeners in use.
-    pub fn listening(&self) -> Vec<Rc<Listening>> {
+    pub fn listening(&self) -> Vec<Rc<ListenSocket>> {
         self.listening
             .borrow()
             .iter()
@@ -181,7 +181,7 @@
     }
 
     /// The listener of a name and address, if there is one.
-    pub fn listener(&self, name: &str, address: SocketAddr) -> Option<Rc<Listening>> {
+    pub fn listener(&self, name: &str, address: SocketAddr) -> Option<Rc<ListenSocket>> {
         let listening = self.listening.borrow();
         let found = listening
             .iter()
--- a/crates/node/src/net/front/accept.rs
+++ b/crates/node/src/net/frontend/accept.rs
@@ -1,6 +1,6 @@
 //! Accepting connections of clients, and serving each of them in a task of its own.
 
-use super::{Front, Listening};
+use super::{Frontend, ListenSocket};
 use crate::net::client::{close, Client, ClientIo, Phase, CROWDED_GRACE};
 use crate::net::gate::{self, Gate};
 use crate::net::service::Routing;
@@ -22,16 +22,16 @@
 /// evicted after it.
 const CAPACITY_RETRY_INTERVAL: Duration = CROWDED_GRACE;
 
-impl Front {
+impl Frontend {
     /// Serves the connections that the system has already accepted, since closing the listener would reset them.
-    pub(super) fn drain_backlog(self: &Rc<Self>, listening: &Rc<Listening>) {
+    pub(super) fn drain_backlog(self: &Rc<Self>, listening: &Rc<ListenSocket>) {
         let mut waker = Context::from_waker(Waker::noop());
         while let Poll::Ready(Ok((stream, _))) = listening.listener.poll_accept(&mut waker) {
             self.clone().spawn_client(stream, listening);
         }
     }
 
-    pub(super) async fn accept(self: &Rc<Self>, listening: &Rc<Listening>) {
+    pub(super) async fn accept(self: &Rc<Self>, listening: &Rc<ListenSocket>) {
         loop {
             if self.is_full() {
                 self.wait_for_capacity().await;
@@ -94,7 +94,7 @@
         client.wake.notify_one();
     }
 
-    pub(super) fn spawn_client(self: Rc<Self>, stream: TcpStream, listening: &Rc<Listening>) {
+    pub(super) fn spawn_client(self: Rc<Self>, stream: TcpStream, listening: &Rc<ListenSocket>) {
         let id = self.next_client_id.get();
         self.next_client_id.set(id + 1);
         let client = Rc::new(Client::new(
--- a/crates/node/src/net/front/admission.rs
+++ b/crates/node/src/net/frontend/admission.rs
@@ -5,7 +5,7 @@
 use super::reply::set_retry_after;
 use super::text_response::error_response;
 use super::translate::AdmittedRequest;
-use super::Front;
+use super::Frontend;
 use crate::net::answer::ResponseBody;
 use crate::net::client::Client;
 use crate::net::service::{RouteMatch, Service, Table};
@@ -22,7 +22,7 @@
 /// The shortest advice that the header can state, in seconds.
 const MIN_RETRY_AFTER: Time = 0.001;
 
-impl Front {
+impl Frontend {
     /// Finds the service of a request and admits the request to it.
     pub(super) fn admit(
         self: &Rc<Self>,
--- a/crates/node/src/net/front/handover.rs
+++ b/crates/node/src/net/frontend/handover.rs
@@ -1,7 +1,7 @@
 //! Handing idle connections over to another process of the node, and taking them over from one. `takeover` moves them
 //! between the processes.
 
-use super::Front;
+use super::Frontend;
 use crate::net::client::Client;
 use std::rc::Rc;
 use tokio::net::TcpStream;
@@ -28,7 +28,7 @@
     fn end_accept_grace(&self);
 }
 
-impl Front {
+impl Frontend {
     /// From now on hands each client over to another process as soon as it is idle; `None` ends that.
     pub fn hand_over_to(&self, sender: Option<mpsc::UnboundedSender<Handover>>) {
         let handing_over = sender.is_some();
--- a/crates/node/src/net/front/health.rs
+++ b/crates/node/src/net/frontend/health.rs
@@ -1,7 +1,7 @@
 //! Answers to health checks of the node and of its services.
 
 use super::text_response::plain;
-use super::Front;
+use super::Frontend;
 use crate::net::answer::ResponseBody;
 use crate::net::service::{Service, Table};
 use bytes::Bytes;
@@ -12,7 +12,7 @@
 /// The answer of a node that is being drained.
 const DRAINED: &str = "drained by hand\n";
 
-impl Front {
+impl Frontend {
     /// The health of a node that serves one service without routes.
     pub(super) fn platform_health(&self, service: &Service) -> Response<ResponseBody> {
         if self.shared.is_draining() {
--- a/crates/node/src/net/front/listening.rs
+++ b/crates/node/src/net/frontend/listen_socket.rs
@@ -50,13 +50,13 @@
 }
 
 /// A listener for clients.
-pub struct Listening {
+pub struct ListenSocket {
     pub(super) address: SocketAddr,
     pub(super) tag: Rc<ListenerTag>,
     pub(super) listener: TcpListener,
 }
 
-impl Listening {
+impl ListenSocket {
     /// Binds a listener.
     ///
     /// # Errors
@@ -76,7 +76,7 @@
             id: Cell::new(Some(0)),
             name: name.to_owned(),
         });
-        Rc::new(Listening {
+        Rc::new(ListenSocket {
             address,
             tag,
             listener,
@@ -114,7 +114,7 @@
     }
 }
 
-impl AsFd for Listening {
+impl AsFd for ListenSocket {
     fn as_fd(&self) -> BorrowedFd<'_> {
         self.listener.as_fd()
     }
--- a/crates/node/src/net/front/request.rs
+++ b/crates/node/src/net/frontend/request.rs
@@ -1,6 +1,6 @@
 //! One request of a client: finding its service, reading its body, submitting it to the engine and answering it.
 //!
-//! [`Front::request`] is called by `accept` for every request on a connection.
+//! [`Frontend::request`] is called by `accept` for every request on a connection.
 
 use super::error::RequestError;
 use super::health::HEALTH_PATH;
@@ -9,7 +9,7 @@
 use super::request_body::{discard, RequestBody};
 use super::text_response::plain;
 use super::translate::{AdmittedRequest, TranslatedRequest};
-use super::Front;
+use super::Frontend;
 use crate::net::answer::ResponseBody;
 use crate::net::client::{Client, Phase};
 use crate::net::message::Waiter;
@@ -27,7 +27,7 @@
 /// Path of all requests to the service of a node without routes.
 const PLATFORM_PATH: &str = "/api";
 
-impl Front {
+impl Frontend {
     /// Answers one request.
     pub(super) async fn request(
         self: Rc<Self>,
--- a/crates/node/src/net/front/request_body.rs
+++ b/crates/node/src/net/frontend/request_body.rs
@@ -1,7 +1,7 @@
 //! Reading the bodies of requests: buffered whole, streamed on to a server, or discarded.
 
 use super::error::BodyError;
-use super::Front;
+use super::Frontend;
 use crate::net::body::{Payload, StreamedBody};
 use crate::net::shared::MemoryPermit;
 use crate::net::{kib_permits, MAX_BUFFERED_BODY_BYTES, UNRESERVED_BODY_BYTES};
@@ -40,7 +40,7 @@
         .map_or(MAX_BUFFERED_BODY_BYTES, |size| size as usize)
 }
 
-impl Front {
+impl Frontend {
     /// Buffers a body if it is small enough and there is memory for it; else it is streamed, with what was read of it.
     pub(super) async fn buffer_or_stream(
         &self,
--- a/crates/node/src/net/front/shutdown.rs
+++ b/crates/node/src/net/frontend/shutdown.rs
@@ -1,6 +1,6 @@
 //! Ending the connections of clients: on SIGTERM, and while an operator drains the node.
 
-use super::{Front, HandoverState};
+use super::{Frontend, HandoverState};
 use crate::net::client::Phase;
 use std::future::Future;
 use std::rc::Rc;
@@ -50,7 +50,7 @@
     }
 }
 
-impl Front {
+impl Frontend {
     /// Serves clients until `stop`, then for as long as the shutdown takes: it ends when all requests are answered or
     /// time is up.
     pub async fn serve(self: &Rc<Self>, stop: impl Future<Output = ()>) {
--- a/crates/node/src/net/front/translate.rs
+++ b/crates/node/src/net/frontend/translate.rs
@@ -8,7 +8,7 @@
     CORRELATION_ID, IDEMPOTENCY_KEY, SERVICE_CLASS,
 };
 use super::request_body::RequestBody;
-use super::Front;
+use super::Frontend;
 use crate::net::body::Payload;
 use crate::net::client::Client;
 use crate::net::message::{Arrival, Message};
@@ -42,7 +42,7 @@
     pub(super) arrival: Arrival,
 }
 
-impl Front {
+impl Frontend {
     /// Translates a request whose body was buffered or is streamed.
     pub(super) fn translate(
         &self,
--- a/crates/node/src/net/gate.rs
+++ b/crates/node/src/net/gate.rs
@@ -118,7 +118,7 @@
         Ok(ControlFlow::Break(()))
     }
 
-    /// The stage that follows the head at the front of the buffer; `None` if that is not complete.
+    /// The stage that follows the head at the start of the buffer; `None` if that is not complete.
     fn inspect_head(&mut self) -> Result<Option<Stage>, StatusCode> {
         let unscanned = self.buffer.get(self.scanned..).unwrap_or_default();
         // Only the end of a line can complete a head; until one is received, checking the method is enough.
@@ -177,7 +177,7 @@
     framing: Framing,
 }
 
-/// Parses the head at the front of the buffer; `None` if it is not complete.
+/// Parses the head at the start of the buffer; `None` if it is not complete.
 fn parse_head(buffer: &[u8]) -> Result<Option<Head>, StatusCode> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
--- a/crates/node/src/net/graphql.rs
+++ b/crates/node/src/net/graphql.rs
@@ -2,7 +2,7 @@
 //! one answer to the client.
 //!
 //! [`reelfall_graphql`] decides what a request is, of which class it is and what is a valid answer; the engine chooses
-//! servers and retries. Called by `front::request` for services with GraphQL.
+//! servers and retries. Called by `frontend::request` for services with GraphQL.
 //!
 //! | module | responsibility |
 //! | --- | --- |
@@ -15,7 +15,7 @@
 mod response;
 
 use super::client::{Client, Phase};
-use super::front::{header_text, time_left, AdmittedRequest, BufferedBody, Front};
+use super::frontend::{header_text, time_left, AdmittedRequest, BufferedBody, Frontend};
 use super::message::Waiter;
 use super::operations::{GraphQl, OperationHead, PreparedOperation};
 use super::shared::MemoryPermit;
@@ -45,7 +45,7 @@
     body_memory: Option<Rc<MemoryPermit>>,
 }
 
-impl Front {
+impl Frontend {
     /// Answers a request to a GraphQL service.
     pub(super) async fn graphql(
         self: &Rc<Self>,
--- a/crates/node/src/net/graphql/batch.rs
+++ b/crates/node/src/net/graphql/batch.rs
@@ -4,7 +4,7 @@
 use super::response::{json_response, request_fault, retry_advice, HttpResponse};
 use super::GraphQlRequest;
 use crate::net::answer::{Answer, Reply};
-use crate::net::front::{half_response_slack, set_retry_after, Front, RequestError};
+use crate::net::frontend::{half_response_slack, set_retry_after, Frontend, RequestError};
 use crate::net::operations::PreparedOperation;
 use crate::net::service::Service;
 use crate::net::shared::{MemoryPermit, Permit};
@@ -44,7 +44,7 @@
 
 /// A batch whose entries are being run.
 struct RunningBatch<'a> {
-    front: &'a Rc<Front>,
+    frontend: &'a Rc<Frontend>,
     service: &'a Service,
     context: OperationContext<'a>,
     deadline: Instant,
@@ -61,7 +61,7 @@
     Used,
 }
 
-impl Front {
+impl Frontend {
     /// Runs a batch and answers it.
     pub(super) async fn answer_batch(
         self: &Rc<Self>,
@@ -87,7 +87,7 @@
             request.graphql.max_parallel_reads,
         );
         let running = RunningBatch {
-            front: self,
+            frontend: self,
             service,
             context: OperationContext {
                 batch_deadline: Some(deadline),
@@ -115,14 +115,14 @@
 impl RunningBatch<'_> {
     /// Runs the entries until all have ended or the deadline has passed. Dropping this cancels the entries in flight.
     async fn run(mut self) -> Vec<EntryResult<EntryAnswer>> {
-        let (front, context) = (self.front, self.context);
+        let (frontend, context) = (self.frontend, self.context);
         // Entries end by themselves at the deadline; this catches those that do not.
         let timeout = self.deadline + half_response_slack(context.pool);
         let mut in_flight = FuturesUnordered::new();
         loop {
             for entry in self.batch.start_ready() {
                 if let Some(StartedEntry { ready, permits }) = self.start_entry(entry) {
-                    let operation = front.run_operation(context, ready, Some(entry), permits);
+                    let operation = frontend.run_operation(context, ready, Some(entry), permits);
                     in_flight.push(async move { (entry, operation.await) });
                 }
             }
@@ -179,7 +179,7 @@
         match std::mem::replace(&mut self.admission, BatchAdmission::Used) {
             BatchAdmission::Unused(admission) => Ok(admission),
             BatchAdmission::Used => match self.service.member {
-                Some(member) => self.front.shared().admit(member),
+                Some(member) => self.frontend.shared().admit(member),
                 None => Ok(None),
             },
         }
--- a/crates/node/src/net/graphql/operation.rs
+++ b/crates/node/src/net/graphql/operation.rs
@@ -2,8 +2,8 @@
 
 use crate::net::answer::Reply;
 use crate::net::body::Payload;
-use crate::net::front::{
-    half_response_slack, strip_hop_by_hop, Front, PendingRequest, RequestError,
+use crate::net::frontend::{
+    half_response_slack, strip_hop_by_hop, Frontend, PendingRequest, RequestError,
 };
 use crate::net::message::{AnswerValidator, Arrival, Message};
 use crate::net::operations::{GraphQl, OperationHead, PreparedOperation};
@@ -87,7 +87,7 @@
     }
 }
 
-impl Front {
+impl Frontend {
     /// Submits an operation to the engine and waits for its final answer.
     pub(super) async fn run_operation(
         self: &Rc<Self>,
--- a/crates/node/src/net/graphql/response.rs
+++ b/crates/node/src/net/graphql/response.rs
@@ -1,7 +1,7 @@
 //! Answers to GraphQL clients.
 
 use crate::net::answer::{Reply, ResponseBody};
-use crate::net::front::{set_retry_after, RequestError};
+use crate::net::frontend::{set_retry_after, RequestError};
 use bytes::Bytes;
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
--- a/crates/node/src/net/message.rs
+++ b/crates/node/src/net/message.rs
@@ -1,6 +1,6 @@
 //! Requests on their way from clients through pools to servers.
 //!
-//! `front` and `graphql` make a [`Message`] and an [`Arrival`] of each request and submit both to its
+//! `frontend` and `graphql` make a [`Message`] and an [`Arrival`] of each request and submit both to its
 //! [`Pool`](super::pool::Pool); `upstream` sends the message.
 
 use super::body::Payload;
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -6,7 +6,7 @@
 pub mod body;
 mod client;
 pub mod discovery;
-pub mod front;
+pub mod frontend;
 pub mod gate;
 pub mod graphql;
 pub mod ledger;
--- a/crates/node/src/net/pool.rs
+++ b/crates/node/src/net/pool.rs
@@ -1,7 +1,7 @@
 //! One pool of servers: connects the pool's [`Engine`], which makes every decision, with the sockets that carry out
 //! its commands.
 //!
-//! The front submits requests, the source of the endpoint list delivers updates, and [`Shared`] links the pool with
+//! The frontend submits requests, the source of the endpoint list delivers updates, and [`Shared`] links the pool with
 //! the other pools of the process.
 //!
 //! | module | responsibility |
@@ -78,7 +78,7 @@
     /// The classes of requests.
     pub classes: Vec<Class>,
     /// The connections to the servers.
-    pub upstream: ConnectionPool,
+    pub connections: ConnectionPool,
     /// The settings of these connections.
     pub connection_settings: ConnectionSettings,
     /// Notified when the engine wants the endpoint list to be polled.
@@ -117,7 +117,8 @@
         let module = Balancer::new(settings, seed, shared.clock.now())?;
         let instances = shared.listed_by_pool();
         let connect_timeout = connection_settings.connect_timeout;
-        let upstream = ConnectionPool::new(shared.clone(), member, idle_timeout, connect_timeout);
+        let connections =
+            ConnectionPool::new(shared.clone(), member, idle_timeout, connect_timeout);
         let pool = Rc::new(Pool {
             id: shared.next_pool_id(),
             engine: RefCell::new(Engine::new(module, &classes, max_attempts)),
@@ -129,7 +130,7 @@
             slow_start_duration,
             withheld_until: RefCell::default(),
             classes,
-            upstream,
+            connections,
             connection_settings,
             poll_requested: Notify::new(),
             list_received: Notify::new(),
--- a/crates/node/src/net/pool/commands.rs
+++ b/crates/node/src/net/pool/commands.rs
@@ -86,7 +86,7 @@
             Command::Answer { to, answer, .. } => drop(to.send(answer)),
             Command::Watch => self.poll_requested.notify_one(),
             Command::StartTimer { after, tag } => self.start_timer(after, tag),
-            Command::CloseConnections { server } => self.upstream.remove_server(server),
+            Command::CloseConnections { server } => self.connections.remove_server(server),
             Command::ReleaseServerId { server } => self.names.borrow_mut().servers.release(server),
         }
     }
@@ -139,7 +139,7 @@
 
 impl upstream::AttemptContext for Rc<Pool> {
     fn connections(&self) -> &ConnectionPool {
-        &self.upstream
+        &self.connections
     }
 
     fn address(&self, server: ServerId) -> Option<SocketAddr> {
--- a/crates/node/src/net/pool/peer.rs
+++ b/crates/node/src/net/pool/peer.rs
@@ -11,19 +11,19 @@
 
 impl PoolPeer for Pool {
     fn oldest_idle_since(&self, address: Option<SocketAddr>) -> Option<Instant> {
-        self.upstream.oldest_idle_since(address)
+        self.connections.oldest_idle_since(address)
     }
 
     fn close_oldest_idle(&self, address: Option<SocketAddr>) -> bool {
-        self.upstream.close_oldest_idle(address)
+        self.connections.close_oldest_idle(address)
     }
 
     fn connection_freed(&self) {
-        self.upstream.notify_connection_available();
+        self.connections.notify_connection_available();
     }
 
     fn tick(self: Rc<Self>) {
-        self.upstream.close_expired();
+        self.connections.close_expired();
         let now = self.shared.clock.now();
         let released: Vec<SocketAddr> = self
             .withheld_until
--- a/crates/node/src/net/takeover.rs
+++ b/crates/node/src/net/takeover.rs
@@ -13,7 +13,7 @@
 
 pub use socket::{HandoverSocket, Snapshot};
 
-use super::front::{Front, Handover, HandoverState, Listening};
+use super::frontend::{Frontend, Handover, HandoverState, ListenSocket};
 use super::shared::Shared;
 use super::task::AbortOnDrop;
 use exchange::{Exchange, ExchangeError, ReceivedFrame, FRAME_TIMEOUT};
@@ -77,9 +77,9 @@
         self.is_serving.get()
     }
 
-    fn update_predecessor(&self, front: &Front, change: impl FnOnce(&mut Predecessor)) {
+    fn update_predecessor(&self, frontend: &Frontend, change: impl FnOnce(&mut Predecessor)) {
         change(&mut self.predecessor.borrow_mut());
-        front.notify_handover_changed();
+        frontend.notify_handover_changed();
     }
 
     fn update_successor(&self, change: impl FnOnce(&mut Successor)) {
@@ -90,10 +90,10 @@
 
     /// Serves, as this process can by now: it accepts, notifies its predecessor, accepts the clients of that, and listens
     /// for its own successor, for as long as it is polled.
-    pub async fn serve(self: Rc<Self>, front: Rc<Front>, snapshot: Option<Snapshot>) {
+    pub async fn serve(self: Rc<Self>, frontend: Rc<Frontend>, snapshot: Option<Snapshot>) {
         self.update_successor(Successor::set_ready);
-        front.notify_handover_changed();
-        let _listening = self.listen_for_successor(&front);
+        frontend.notify_handover_changed();
+        let _listening = self.listen_for_successor(&frontend);
         let mut exchange = snapshot.map(Snapshot::into_exchange);
         let is_announced = match &exchange {
             Some(exchange) => exchange.send(&Frame::Serving, &[]).await.is_ok(),
@@ -103,7 +103,7 @@
         self.is_serving.set(true);
         if let Some(exchange) = &mut exchange {
             if is_announced {
-                accept_clients(exchange, &front).await;
+                accept_clients(exchange, &frontend).await;
             }
             self.handle_predecessor_gone();
         }
@@ -117,7 +117,7 @@
         self.predecessor_gone.notify_one();
     }
 
-    fn listen_for_successor(self: &Rc<Self>, front: &Rc<Front>) -> Option<AbortOnDrop> {
+    fn listen_for_successor(self: &Rc<Self>, frontend: &Rc<Frontend>) -> Option<AbortOnDrop> {
         let listener = match self.socket.as_ref()?.listen() {
             Ok(listener) => listener,
             Err(error) => {
@@ -127,17 +127,17 @@
                 return None;
             }
         };
-        let accepting = self.clone().accept_successors(listener, front.clone());
+        let accepting = self.clone().accept_successors(listener, frontend.clone());
         Some(AbortOnDrop(
             tokio::task::spawn_local(accepting).abort_handle(),
         ))
     }
 
-    async fn accept_successors(self: Rc<Self>, listener: UnixListener, front: Rc<Front>) {
+    async fn accept_successors(self: Rc<Self>, listener: UnixListener, frontend: Rc<Frontend>) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let serving = self.clone().serve_successor(stream, front.clone());
+                    let serving = self.clone().serve_successor(stream, frontend.clone());
                     tokio::task::spawn_local(serving);
                 }
                 Err(_) => tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await,
@@ -146,7 +146,7 @@
     }
 
     /// Serves a process that wants to take over, to the end of either.
-    async fn serve_successor(self: Rc<Self>, stream: UnixStream, front: Rc<Front>) {
+    async fn serve_successor(self: Rc<Self>, stream: UnixStream, frontend: Rc<Frontend>) {
         let Ok(mut exchange) = Exchange::new(stream) else {
             return;
         };
@@ -162,20 +162,20 @@
             let _ = exchange.send(&Frame::Busy, &[]).await;
             return;
         }
-        let end = self.hand_over(&mut exchange, &front).await;
+        let end = self.hand_over(&mut exchange, &frontend).await;
         self.shared
             .log
             .write_line(format_args!("the process that takes over: {end}"));
-        front.hand_over_to(None);
-        self.update_predecessor(&front, Predecessor::handle_successor_lost);
+        frontend.hand_over_to(None);
+        self.update_predecessor(&frontend, Predecessor::handle_successor_lost);
         self.shared
             .set_process_count(self.successor.get().process_count());
     }
 
     /// Hands over the sockets, the learned state and the clients; returns only when the successor is lost, and why it is.
-    async fn hand_over(&self, exchange: &mut Exchange, front: &Rc<Front>) -> ExchangeError {
+    async fn hand_over(&self, exchange: &mut Exchange, frontend: &Rc<Frontend>) -> ExchangeError {
         // Open until the successor is lost, whatever becomes of this process's own listeners.
-        let listening = front.listening();
+        let listening = frontend.listening();
         if let Err(error) = self.send_snapshot(exchange, &listening).await {
             return error;
         }
@@ -185,8 +185,8 @@
             Err(error) => return error,
         }
         let (sender, mut handovers) = mpsc::unbounded_channel();
-        front.hand_over_to(Some(sender));
-        self.update_predecessor(front, Predecessor::handle_serving);
+        frontend.hand_over_to(Some(sender));
+        self.update_predecessor(frontend, Predecessor::handle_serving);
         let end = send_clients(exchange, &mut handovers).await;
         return_clients(handovers);
         end
@@ -195,7 +195,7 @@
     async fn send_snapshot(
         &self,
         exchange: &Exchange,
-        listening: &[Rc<Listening>],
+        listening: &[Rc<ListenSocket>],
     ) -> Result<(), ExchangeError> {
         let names = listening.iter().map(|listener| listener.name().to_owned());
         let sockets: Vec<BorrowedFd> = listening.iter().map(|listener| listener.as_fd()).collect();
@@ -231,13 +231,13 @@
 }
 
 /// Accepts the clients that the predecessor hands over, until it is gone.
-async fn accept_clients(exchange: &mut Exchange, front: &Rc<Front>) {
+async fn accept_clients(exchange: &mut Exchange, frontend: &Rc<Frontend>) {
     while let Ok(received) = exchange.receive().await {
         let Frame::Client { listener } = received.frame else {
             return;
         };
         for descriptor in received.descriptors {
-            front.accept_handover(descriptor.into(), &listener);
+            frontend.accept_handover(descriptor.into(), &listener);
         }
     }
 }
--- a/crates/node/src/net/tests.rs
+++ b/crates/node/src/net/tests.rs
@@ -1,6 +1,6 @@
 //! Sockets that are odd in ways that loopback TCP can't be made to be.
 
-use super::front::{Front, Listening};
+use super::frontend::{Frontend, ListenSocket};
 use super::pool::{ListOrigin, Pool, PoolConfig};
 use super::service::{Routing, Service};
 use super::shared::Shared;
@@ -15,8 +15,8 @@
 const SETTINGS: &str = r#"{"categories":[{"name":"read","promise":1.5,"deadline":6.0,"worth":1.0,"effect":"idempotent"}],
     "limits":{"conn-idle":5.0,"connect-timeout":0.5,"max-attempts":4}}"#;
 
-/// A front whose one pool has no list yet.
-fn front() -> Rc<Front> {
+/// A frontend whose one pool has no list yet.
+fn frontend() -> Rc<Frontend> {
     let (settings, names, connection_settings) = settings::read(SETTINGS).expect("usable settings");
     let shared = Shared::for_single_service(ResourceLimits::for_process(256, 64));
     let pool = Pool::new(PoolConfig {
@@ -30,7 +30,7 @@
     })
     .expect("a pool");
     let follow = AbortOnDrop(tokio::task::spawn_local(std::future::pending::<()>()).abort_handle());
-    Front::new(
+    Frontend::new(
         shared,
         Routing::Single(Service::single(pool, follow)),
         16,
@@ -40,10 +40,10 @@
 
 async fn asked(
     client: OwnedFd,
-    front: &Rc<Front>,
+    frontend: &Rc<Frontend>,
     mut far: tokio::net::UnixStream,
 ) -> io::Result<String> {
-    front.accept_handover(client.into(), "client");
+    frontend.accept_handover(client.into(), "client");
     far.write_all(b"GET /_health HTTP/1.1\r\nhost: n\r\nconnection: close\r\n\r\n")
         .await?;
     let mut answer = String::new();
@@ -58,16 +58,16 @@
         .build()
         .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let front = front();
+        let frontend = frontend();
         let address = "127.0.0.1:0".parse().expect("an address");
-        front.listen(vec![
-            Listening::bind("client", address, 16, false).expect("a listener")
+        frontend.listen(vec![
+            ListenSocket::bind("client", address, 16, false).expect("a listener")
         ]);
         // A stream socket that is no TCP socket knows no TCP_NODELAY.
         let (near, far) = std::os::unix::net::UnixStream::pair().expect("a pair");
         far.set_nonblocking(true).expect("a socket");
         let far = tokio::net::UnixStream::from_std(far).expect("a socket");
-        let answer = asked(near.into(), &front, far).await.expect("an answer");
+        let answer = asked(near.into(), &frontend, far).await.expect("an answer");
         assert!(answer.starts_with("HTTP/1.1 503"), "{answer:?}");
     });
 }
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -7,7 +7,7 @@
 mod reload;
 
 use crate::net::discovery::ListError;
-use crate::net::front::{BindError, Front, Listening};
+use crate::net::frontend::{BindError, Frontend, ListenSocket};
 use crate::net::management::Management;
 use crate::net::pool::{ListOrigin, Pool, PoolConfig};
 use crate::net::service::{DiscoverySource, Routing, Service};
@@ -84,18 +84,24 @@
     let takeover = settings.build_takeover(&shared, &pool, snapshot.is_some());
     settings.spawn_management(&shared, &takeover);
     let service = Service::single(pool.clone(), follow);
-    let front = settings.build_front(&shared, service, initial_bounds);
-    tokio::task::spawn_local(front.clone().close_idle_while_draining());
-    front.set_handover_state(&takeover);
-    front.listen(vec![inherited.listening]);
+    let frontend = settings.build_front(&shared, service, initial_bounds);
+    tokio::task::spawn_local(frontend.clone().close_idle_while_draining());
+    frontend.set_handover_state(&takeover);
+    frontend.listen(vec![inherited.listening]);
     if snapshot.is_some() {
-        spawn_limit_restore(shared, &takeover, &front, initial_bounds, settings.bounds);
+        spawn_limit_restore(
+            shared,
+            &takeover,
+            &frontend,
+            initial_bounds,
+            settings.bounds,
+        );
     }
-    spawn_takeover(takeover, &front, pool, snapshot);
+    spawn_takeover(takeover, &frontend, pool, snapshot);
     let stop = async {
         terminate.recv().await;
     };
-    front.serve(stop).await;
+    frontend.serve(stop).await;
     Ok(())
 }
 
@@ -148,9 +154,9 @@
         shared: &Rc<Shared>,
         service: Rc<Service>,
         bounds: ResourceLimits,
-    ) -> Rc<Front> {
+    ) -> Rc<Frontend> {
         let routing = Routing::Single(service);
-        Front::new(
+        Frontend::new(
             shared.clone(),
             routing,
             bounds.client_connections,
@@ -227,7 +233,7 @@
 struct Inherited {
     /// `None` without a predecessor whose socket can be used: then the two processes serve beside each other.
     snapshot: Option<Snapshot>,
-    listening: Rc<Listening>,
+    listening: Rc<ListenSocket>,
     /// The limits while the predecessor is there: the two share those of the node.
     initial_bounds: ResourceLimits,
 }
@@ -249,7 +255,7 @@
             .as_mut()
             .and_then(|snapshot| snapshot.listener(LISTENER));
         let inherited =
-            socket.and_then(|socket| Listening::from_descriptor(LISTENER, address, socket).ok());
+            socket.and_then(|socket| ListenSocket::from_descriptor(LISTENER, address, socket).ok());
         if let Some(listening) = inherited {
             return Ok(Inherited {
                 snapshot,
@@ -259,7 +265,7 @@
         }
         // A predecessor goes on with its own sockets and clients, and this process has its own.
         drop(snapshot);
-        let listening = Listening::bind(LISTENER, address, bounds.client_connections, true)?;
+        let listening = ListenSocket::bind(LISTENER, address, bounds.client_connections, true)?;
         Ok(Inherited {
             snapshot: None,
             listening,
@@ -277,30 +283,30 @@
 fn spawn_limit_restore(
     shared: Rc<Shared>,
     takeover: &Rc<Takeover>,
-    front: &Rc<Front>,
+    frontend: &Rc<Frontend>,
     initial: ResourceLimits,
     bounds: ResourceLimits,
 ) {
-    let (takeover, front) = (takeover.clone(), front.clone());
+    let (takeover, frontend) = (takeover.clone(), frontend.clone());
     tokio::task::spawn_local(async move {
         takeover.predecessor_gone.notified().await;
         shared.grow(initial, bounds);
-        front.set_max_clients(bounds.client_connections);
+        frontend.set_max_clients(bounds.client_connections);
     });
 }
 
 /// Spawns the task that completes the takeover once the pool can serve.
 fn spawn_takeover(
     takeover: Rc<Takeover>,
-    front: &Rc<Front>,
+    frontend: &Rc<Frontend>,
     pool: Rc<Pool>,
     snapshot: Option<Snapshot>,
 ) {
-    let front = front.clone();
+    let frontend = frontend.clone();
     tokio::task::spawn_local(async move {
         while !pool.is_ready.get() {
             tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
-        takeover.serve(front, snapshot).await;
+        takeover.serve(frontend, snapshot).await;
     });
 }
--- a/crates/node/src/standalone.rs
+++ b/crates/node/src/standalone.rs
@@ -83,9 +83,9 @@
         .map_err(StandaloneError::ReaderThread)?;
     let node = Node::new(shared, reader.clone());
     let fleet = settings.open_fleet(&node.shared)?;
-    let front = node.apply(PreparedPlan::initial(plan))?;
+    let frontend = node.apply(PreparedPlan::initial(plan))?;
     let listener = settings.bind_management()?;
-    announce::print(&front, listener.as_ref(), fleet.as_deref());
+    announce::print(&frontend, listener.as_ref(), fleet.as_deref());
     let membership = settings.join_fleet(fleet, &node.shared)?;
     if let Some(listener) = listener {
         let (folder, name) = (settings.ledger_folder(), settings.node_name());
@@ -103,7 +103,7 @@
         }
         node.withdraw_entries().await;
     };
-    front.serve(stop).await;
+    frontend.serve(stop).await;
     Ok(())
 }
 
--- a/crates/node/src/standalone/announce.rs
+++ b/crates/node/src/standalone/announce.rs
@@ -1,14 +1,14 @@
 //! The line on standard output with the node's addresses: with port 0 in the settings file, nobody else knows them.
 
 use crate::fleet::FleetRuntime;
-use crate::net::front::Front;
+use crate::net::frontend::Frontend;
 use serde_json::{Map, Value};
 use std::io::Write;
 use std::net::TcpListener;
 
 /// Prints the addresses of the listeners, the management address and the fleet's as one line of JSON.
-pub fn print(front: &Front, management: Option<&TcpListener>, fleet: Option<&FleetRuntime>) {
-    let listeners: Map<String, Value> = front
+pub fn print(frontend: &Frontend, management: Option<&TcpListener>, fleet: Option<&FleetRuntime>) {
+    let listeners: Map<String, Value> = frontend
         .addresses()
         .into_iter()
         .map(|(name, address)| (name, address.to_string().into()))
--- a/crates/node/src/standalone/entries.rs
+++ b/crates/node/src/standalone/entries.rs
@@ -2,7 +2,7 @@
 //! [`super::node::Node`].
 
 use super::error::ApplyError;
-use crate::net::front::Front;
+use crate::net::frontend::Frontend;
 use crate::net::registry::{OwnEntry, RegistryAccess};
 use crate::net::service::prepared::PreparedPlan;
 use crate::net::shared::Shared;
@@ -112,7 +112,7 @@
     }
 
     /// Leaves the entries that are desired, withdraws the others, and makes the ones that are missing.
-    pub fn reconcile(&self, front: &Front, desired: DesiredEntries) {
+    pub fn reconcile(&self, frontend: &Frontend, desired: DesiredEntries) {
         let mut active = self.active.borrow_mut();
         active.retain(|registry, active| {
             let stays = desired.get(registry) == Some(&active.desired);
@@ -122,7 +122,7 @@
             }
             stays
         });
-        let addresses = front.addresses();
+        let addresses = frontend.addresses();
         let listener_address = addresses.first().map(|(_, address)| address.to_string());
         for (registry, desired) in desired {
             active.entry(registry).or_insert_with(|| {
--- a/crates/node/src/standalone/error.rs
+++ b/crates/node/src/standalone/error.rs
@@ -1,6 +1,6 @@
 //! Why a plan can't be put in force.
 
-use crate::net::front::BindError;
+use crate::net::frontend::BindError;
 use crate::net::registry::RegistryAccessError;
 use crate::net::service::ApplyPlanError;
 use reelfall_config::model::Origin;
--- a/crates/node/src/standalone/management.rs
+++ b/crates/node/src/standalone/management.rs
@@ -63,8 +63,8 @@
     let management = Management::new(shared, folder, &name, is_ready, fleet_handler);
     tokio::task::spawn_local(management.clone().accept(listener));
     tokio::task::spawn_local(management.follow());
-    if let Some(front) = node.front() {
-        tokio::task::spawn_local(front.close_idle_while_draining());
+    if let Some(frontend) = node.frontend() {
+        tokio::task::spawn_local(frontend.close_idle_while_draining());
     }
     Ok(())
 }
--- a/crates/node/src/standalone/node.rs
+++ b/crates/node/src/standalone/node.rs
@@ -3,7 +3,7 @@
 use super::entries::{DesiredEntry, OwnEntries};
 use super::error::ApplyError;
 use super::reload::{ReadError, SettingsReader};
-use crate::net::front::{Front, Listening};
+use crate::net::frontend::{Frontend, ListenSocket};
 use crate::net::service::prepared::PreparedPlan;
 use crate::net::service::Services;
 use crate::net::shared::Shared;
@@ -33,7 +33,7 @@
     /// The node shuts down: no plan is put in force any more.
     is_leaving: Cell<bool>,
     /// Created with the first plan.
-    front: RefCell<Option<Rc<Front>>>,
+    frontend: RefCell<Option<Rc<Frontend>>>,
     /// Seed of the random numbers, which two starts must not share.
     seed: u64,
 }
@@ -48,14 +48,14 @@
             entries: OwnEntries::new(shared.clone()),
             shared,
             is_leaving: Cell::new(false),
-            front: RefCell::default(),
+            frontend: RefCell::default(),
             seed,
         })
     }
 
     /// The client side, once a plan is in force.
-    pub fn front(&self) -> Option<Rc<Front>> {
-        self.front.borrow().clone()
+    pub fn frontend(&self) -> Option<Rc<Frontend>> {
+        self.frontend.borrow().clone()
     }
 
     /// Does what is due periodically.
@@ -81,38 +81,38 @@
     ///
     /// # Errors
     /// If a part of the plan can't be put in force.
-    pub fn apply(&self, prepared: Arc<PreparedPlan>) -> Result<Rc<Front>, ApplyError> {
+    pub fn apply(&self, prepared: Arc<PreparedPlan>) -> Result<Rc<Frontend>, ApplyError> {
         let max_clients = prepared.plan.clients;
         let listening = self.open_listeners(&prepared)?;
         let entries = DesiredEntry::all_of(&prepared)?;
         let routing = self.services.apply(prepared)?;
-        let front = match self.front() {
-            Some(front) => {
-                front.route(routing, max_clients);
-                front
+        let frontend = match self.frontend() {
+            Some(frontend) => {
+                frontend.route(routing, max_clients);
+                frontend
             }
-            None => Front::new(self.shared.clone(), routing, max_clients, self.seed),
+            None => Frontend::new(self.shared.clone(), routing, max_clients, self.seed),
         };
-        front.listen(listening);
-        self.front.replace(Some(front.clone()));
+        frontend.listen(listening);
+        self.frontend.replace(Some(frontend.clone()));
         if !self.is_leaving.get() {
-            self.entries.reconcile(&front, entries);
+            self.entries.reconcile(&frontend, entries);
         }
-        Ok(front)
+        Ok(frontend)
     }
 
     /// The listeners of a plan: those that are open already stay open, the others are bound.
-    fn open_listeners(&self, prepared: &PreparedPlan) -> Result<Vec<Rc<Listening>>, ApplyError> {
-        let front = self.front();
+    fn open_listeners(&self, prepared: &PreparedPlan) -> Result<Vec<Rc<ListenSocket>>, ApplyError> {
+        let frontend = self.frontend();
         let mut listening = Vec::with_capacity(prepared.plan.model.listeners.len());
         for listener in &prepared.plan.model.listeners {
             let (name, address) = (&listener.name, listener.address);
-            let open = front
+            let open = frontend
                 .as_ref()
-                .and_then(|front| front.listener(name, address));
+                .and_then(|frontend| frontend.listener(name, address));
             let opened = match open {
                 Some(open) => Ok(open),
-                None => Listening::bind(name, address, prepared.plan.clients, false),
+                None => ListenSocket::bind(name, address, prepared.plan.clients, false),
             };
             listening.push(opened.map_err(|error| ApplyError::Listener {
                 origin: listener.origin.clone(),
@@ -146,7 +146,7 @@
         &self,
         read: Result<Arc<PreparedPlan>, ReadError>,
         reader: &SettingsReader,
-    ) -> Result<Rc<Front>, ReloadError> {
+    ) -> Result<Rc<Frontend>, ReloadError> {
         let prepared = read?;
         let applied = self.apply(prepared.clone());
         // If it was not put in force, nobody else uses it.
