--- a/crates/node/src/net/takeover.rs
+++ b/crates/node/src/net/takeover.rs
@@ -46,6 +46,8 @@
     is_serving: Cell<bool>,
     /// The predecessor is gone.
     pub predecessor_gone: Notify,
+    /// A successor that served, and so had replaced the socket where successors connect, is gone.
+    serving_successor_lost: Notify,
 }
 
 impl Takeover {
@@ -69,6 +71,7 @@
             collect_learned,
             is_serving: Cell::new(false),
             predecessor_gone: Notify::new(),
+            serving_successor_lost: Notify::new(),
         })
     }
 
@@ -118,24 +121,36 @@
     }
 
     fn listen_for_successor(self: &Rc<Self>, frontend: &Rc<Frontend>) -> Option<AbortOnDrop> {
-        let listener = match self.socket.as_ref()?.listen() {
-            Ok(listener) => listener,
+        let listener = self.bind_handover_socket()?;
+        let accepting = self.clone().accept_successors(listener, frontend.clone());
+        Some(AbortOnDrop(
+            tokio::task::spawn_local(accepting).abort_handle(),
+        ))
+    }
+
+    fn bind_handover_socket(&self) -> Option<UnixListener> {
+        match self.socket.as_ref()?.listen() {
+            Ok(listener) => Some(listener),
             Err(error) => {
                 self.shared.log.write_line(format_args!(
                     "no process will be able to take over: {error}"
                 ));
-                return None;
+                None
             }
-        };
-        let accepting = self.clone().accept_successors(listener, frontend.clone());
-        Some(AbortOnDrop(
-            tokio::task::spawn_local(accepting).abort_handle(),
-        ))
+        }
     }
 
-    async fn accept_successors(self: Rc<Self>, listener: UnixListener, frontend: Rc<Frontend>) {
+    async fn accept_successors(self: Rc<Self>, mut listener: UnixListener, frontend: Rc<Frontend>) {
         loop {
-            match listener.accept().await {
+            let accepted = tokio::select! {
+                biased;
+                () = self.serving_successor_lost.notified() => {
+                    listener = self.bind_handover_socket().unwrap_or(listener);
+                    continue;
+                }
+                accepted = listener.accept() => accepted,
+            };
+            match accepted {
                 Ok((stream, _)) => {
                     let serving = self.clone().serve_successor(stream, frontend.clone());
                     tokio::task::spawn_local(serving);
@@ -167,6 +182,9 @@
             .log
             .write_line(format_args!("the process that takes over: {end}"));
         frontend.hand_over_to(None);
+        if self.hands_over() {
+            self.serving_successor_lost.notify_one();
+        }
         self.update_predecessor(&frontend, Predecessor::handle_successor_lost);
         self.shared
             .set_process_count(self.successor.get().process_count());
--- a/crates/testbed/src/scripted/client.rs
+++ b/crates/testbed/src/scripted/client.rs
@@ -6,14 +6,18 @@
 
 /// A connection, if it can be established.
 pub(super) fn try_connect(to: SocketAddr) -> Option<TcpStream> {
-    let stream = TcpStream::connect(to).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    Some(stream)
+    connect_in_time(to).ok()
 }
 
 /// A connection.
 pub fn connect(to: SocketAddr) -> TcpStream {
-    try_connect(to).expect("a connection to the node")
+    connect_in_time(to).unwrap_or_else(|error| panic!("a connection to {to}: {error}"))
+}
+
+fn connect_in_time(to: SocketAddr) -> std::io::Result<TcpStream> {
+    let stream = TcpStream::connect(to)?;
+    stream.set_read_timeout(Some(PATIENCE))?;
+    Ok(stream)
 }
 
 /// A response.
--- a/crates/testbed/tests/operations.rs
+++ b/crates/testbed/tests/operations.rs
@@ -5,8 +5,8 @@
     Server, PATIENCE,
 };
 use std::io::Write;
-use std::net::SocketAddr;
-use std::sync::atomic::{AtomicBool, Ordering};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -201,56 +201,89 @@
     }
 }
 
-/// Clients that ask one request after the other on connections of their own, until told to stop.
+/// Clients that send one request after the other on connections of their own, until told to stop.
 struct Load {
     stop: Arc<AtomicBool>,
-    clients: Vec<std::thread::JoinHandle<(usize, Vec<String>)>>,
+    /// Number of requests that have ended, of all clients.
+    ended: Arc<AtomicUsize>,
+    clients: Vec<std::thread::JoinHandle<LoadReport>>,
+}
+
+/// What became of the requests of a load.
+#[derive(Default)]
+struct LoadReport {
+    /// Number of requests.
+    requests: usize,
+    /// Those that were not served, with what was seen instead.
+    lost: Vec<String>,
 }
 
 impl Load {
     /// Every third client connects anew for each request; the others keep their connections, and rest between requests
     /// so that some are idle at any time.
     fn start(node: SocketAddr, clients: usize) -> Load {
-        let stop = Arc::new(AtomicBool::new(false));
-        let client = move |c: usize, stop: Arc<AtomicBool>| {
-            let (mut done, mut lost) = (0, Vec::new());
-            let mut kept = connect(node);
-            while !stop.load(Ordering::SeqCst) {
-                if c.is_multiple_of(3) {
-                    kept = connect(node);
-                }
-                let id = format!("l-{c}-{done}");
-                let sent = kept.write_all(read_request(&id).as_bytes());
-                match read_response(&kept) {
-                    Some(got) if got.status == 200 && got.body == id => {}
-                    got => {
-                        lost.push(format!("{id}: {sent:?} {got:?}"));
-                        kept = connect(node);
-                    }
-                }
-                done += 1;
-                std::thread::sleep(Duration::from_millis(c as u64 % 7));
-            }
-            (done, lost)
-        };
-        let start = |c| {
-            let stop = stop.clone();
-            std::thread::spawn(move || client(c, stop))
+        let (stop, ended) = (Arc::new(AtomicBool::new(false)), Arc::default());
+        let start = |client| {
+            let (stop, ended) = (Arc::clone(&stop), Arc::clone(&ended));
+            std::thread::spawn(move || Self::run_client(node, client, &stop, &ended))
         };
         Load {
             clients: (0..clients).map(start).collect(),
             stop,
+            ended,
         }
     }
 
-    /// How many were asked, and what became of those that were not served.
-    fn stop(self) -> (usize, Vec<String>) {
+    fn run_client(
+        node: SocketAddr,
+        client: usize,
+        stop: &AtomicBool,
+        ended: &AtomicUsize,
+    ) -> LoadReport {
+        let mut report = LoadReport::default();
+        let mut connection = Err("not connected".to_owned());
+        while !stop.load(Ordering::SeqCst) {
+            let id = format!("l-{client}-{}", report.requests);
+            if client.is_multiple_of(3) || connection.is_err() {
+                connection = TcpStream::connect(node).map_err(|error| error.to_string());
+            }
+            connection = connection.and_then(|stream| Self::request(stream, &id));
+            if let Err(seen) = &connection {
+                report.lost.push(format!("{id}: {seen}"));
+            }
+            report.requests += 1;
+            ended.fetch_add(1, Ordering::SeqCst);
+            std::thread::sleep(Duration::from_millis(client as u64 % 7));
+        }
+        report
+    }
+
+    /// Sends a request and returns the connection if it was served; otherwise what was seen instead.
+    fn request(mut stream: TcpStream, id: &str) -> Result<TcpStream, String> {
+        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        let sent = stream.write_all(read_request(id).as_bytes());
+        match read_response(&stream) {
+            Some(response) if response.status == 200 && response.body == id => Ok(stream),
+            response => Err(format!("{sent:?} {response:?}")),
+        }
+    }
+
+    /// Waits until more than this number of requests have ended.
+    fn wait_for_more_than(&self, requests: usize) {
+        let began = Instant::now();
+        while self.ended.load(Ordering::SeqCst) <= requests {
+            assert!(began.elapsed() < PATIENCE, "the load has stopped");
+            std::thread::sleep(Duration::from_millis(5));
+        }
+    }
+
+    fn stop(self) -> LoadReport {
         self.stop.store(true, Ordering::SeqCst);
-        let mut all = (0, Vec::new());
+        let mut all = LoadReport::default();
         for client in self.clients {
-            let (done, lost) = client.join().unwrap();
-            all.0 += done;
-            all.1.extend(lost);
+            let report = client.join().unwrap();
+            all.requests += report.requests;
+            all.lost.extend(report.lost);
         }
         all
     }
@@ -268,10 +301,10 @@
         assert!(node.wait(), "the old process ends with a failure");
         node = next;
     }
-    let (done, lost) = load.stop();
+    let LoadReport { requests, lost } = load.stop();
     assert!(
         lost.is_empty(),
-        "{} of {done} requests were lost at the door: {lost:?}",
+        "{} of {requests} requests were lost: {lost:?}",
         lost.len()
     );
     assert_eq!(a.requests(), before, "a ban does not outlive an upgrade");
@@ -289,11 +322,12 @@
         successor.kill();
         std::thread::sleep(Duration::from_millis(50));
     }
-    let (done, lost) = load.stop();
+    load.wait_for_more_than(100);
+    let LoadReport { requests, lost } = load.stop();
     // Clients that a successor had accepted end with it; the old process takes the next ones.
     assert!(
-        done > 100 && lost.len() <= 6 * 6,
-        "{} of {done}: {lost:?}",
+        requests > 100 && lost.len() <= 6 * 6,
+        "{} of {requests}: {lost:?}",
         lost.len()
     );
     for n in 0..20 {
@@ -301,6 +335,28 @@
     }
 }
 
+#[test]
+fn after_a_successor_that_served_has_died_the_next_one_takes_over_the_connections() {
+    let (_a, _b, _discovery, mut node) = node();
+    let mut first = node.start_successor(&program());
+    first.kill();
+    let request = |stream: &mut TcpStream, id: &str| {
+        stream.write_all(read_request(id).as_bytes()).unwrap();
+        let served = Response {
+            status: 200,
+            body: id.to_owned(),
+        };
+        assert_eq!(read_response(stream), Some(served));
+    };
+    // The old process serves this one: there is no other.
+    let mut connection = connect(node.address);
+    request(&mut connection, "before");
+    let _second = node.start_successor(&program());
+    node.signal("TERM");
+    assert!(node.wait());
+    request(&mut connection, "after");
+}
+
 #[test]
 fn garbage_or_silence_on_the_handover_socket_prevents_no_upgrade() {
     let (_a, _b, _discovery, mut node) = node();
@@ -312,8 +368,8 @@
     let next = node.start_successor(&program());
     node.signal("TERM");
     assert!(node.wait());
-    let (done, lost) = load.stop();
-    assert!(lost.is_empty(), "{} of {done}: {lost:?}", lost.len());
+    let LoadReport { requests, lost } = load.stop();
+    assert!(lost.is_empty(), "{} of {requests}: {lost:?}", lost.len());
     // What a killed process leaves there is in nobody's way.
     node = next;
     node.kill();
