--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -11,7 +11,7 @@
 use crate::operate;
 use crate::platform::{self, PlatformError};
 use crate::standalone::{self, StandaloneError};
-use args::{At, Cli, Command, FleetCommand};
+use args::{Cli, Command, FleetCommand, ManagementTarget};
 use clap::Parser;
 use reelfall_admin::request::{FleetRequest, ManagementRequest};
 use reelfall_config::Faults;
@@ -63,49 +63,49 @@
         Command::Run { config: Some(file) } => standalone::run(&file)?,
         Command::Check { file } => check(&file)?,
         Command::Routes(args) => routes::run(&args)?,
-        Command::Ready(at) => return Ok(send(&at, &ManagementRequest::Ready)),
-        Command::Disable { server, at } => {
-            return Ok(send(&at, &ManagementRequest::Disable(server)));
+        Command::Ready(target) => return Ok(send(&target, &ManagementRequest::Ready)),
+        Command::Disable { server, target } => {
+            return Ok(send(&target, &ManagementRequest::Disable(server)));
         }
-        Command::Enable { server, at } => {
-            return Ok(send(&at, &ManagementRequest::Enable(server)));
+        Command::Enable { server, target } => {
+            return Ok(send(&target, &ManagementRequest::Enable(server)));
         }
-        Command::Drain(at) => return Ok(send(&at, &ManagementRequest::Drain)),
-        Command::Resume(at) => return Ok(send(&at, &ManagementRequest::Resume)),
+        Command::Drain(target) => return Ok(send(&target, &ManagementRequest::Drain)),
+        Command::Resume(target) => return Ok(send(&target, &ManagementRequest::Resume)),
         Command::Fleet { command } => return Ok(send_to_fleet(command)),
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn send(at: &At, request: &ManagementRequest) -> ExitCode {
-    operate::run(at.management, request)
+fn send(target: &ManagementTarget, request: &ManagementRequest) -> ExitCode {
+    operate::run(target.management, request)
 }
 
 fn send_to_fleet(command: FleetCommand) -> ExitCode {
-    let (request, at) = match command {
-        FleetCommand::Members(at) => (FleetRequest::Members, at),
-        FleetCommand::Verdicts(at) => (FleetRequest::Verdicts, at),
-        FleetCommand::Explain { server, at } => (FleetRequest::Explain(server), at),
+    let (request, target) = match command {
+        FleetCommand::Members(target) => (FleetRequest::Members, target),
+        FleetCommand::Verdicts(target) => (FleetRequest::Verdicts, target),
+        FleetCommand::Explain { server, target } => (FleetRequest::Explain(server), target),
         FleetCommand::Ban {
             server,
             seconds,
             by,
-            at,
+            target,
         } => {
             let request = FleetRequest::Ban {
                 server,
                 seconds,
                 by,
             };
-            (request, at)
+            (request, target)
         }
-        FleetCommand::Lift { server, by, at } => (FleetRequest::Lift { server, by }, at),
-        FleetCommand::Leases(at) => (FleetRequest::Leases, at),
-        FleetCommand::Release { lease, why, at } => {
-            (FleetRequest::Release { lease, reason: why }, at)
+        FleetCommand::Lift { server, by, target } => (FleetRequest::Lift { server, by }, target),
+        FleetCommand::Leases(target) => (FleetRequest::Leases, target),
+        FleetCommand::Release { lease, why, target } => {
+            (FleetRequest::Release { lease, reason: why }, target)
         }
     };
-    send(&at, &ManagementRequest::Fleet(request))
+    send(&target, &ManagementRequest::Fleet(request))
 }
 
 /// Checks a settings file, and prints how much is in it.
--- a/crates/node/src/cli/args.rs
+++ b/crates/node/src/cli/args.rs
@@ -14,100 +14,100 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Serve until SIGTERM; a bare `reelfall` does the same, told by its environment
+    /// Serve until SIGTERM; `reelfall` without a command does the same
     Run {
-        /// Serve by a settings file; without one, by the ROUTER_ variables of the platform
+        /// A settings file; without one, the ROUTER_ variables of the environment configure the node
         #[arg(long, value_name = "FILE")]
         config: Option<PathBuf>,
     },
-    /// Ask a node whether it can serve; exits with 0 for yes, 1 for no, 69 where nobody answers
-    Ready(At),
-    /// Have a node send nothing more to a server
+    /// Check whether a node is ready; exits with 0 if it is, 1 if it isn't, 69 if it can't be reached
+    Ready(ManagementTarget),
+    /// Ban a server at one node: it is sent no new requests
     Disable {
         /// The server's name, as in the list
         server: String,
         #[command(flatten)]
-        at: At,
+        target: ManagementTarget,
     },
-    /// Put a server back that was sent out by hand
+    /// Lift the ban of a server at one node
     Enable {
         /// The server's name, as in the list
         server: String,
         #[command(flatten)]
-        at: At,
+        target: ManagementTarget,
     },
-    /// Send a node's clients away
-    Drain(At),
-    /// Have a node take clients again
-    Resume(At),
-    /// Ask or tell all nodes of a fleet, by way of one of them
+    /// Drain a node: its clients are asked to connect elsewhere
+    Drain(ManagementTarget),
+    /// End the drain of a node
+    Resume(ManagementTarget),
+    /// Inspect and control a fleet, by way of one of its nodes
     Fleet {
         #[command(subcommand)]
         command: FleetCommand,
     },
-    /// Say what is wrong with a settings file
+    /// Validate a settings file
     Check {
         /// The file
         file: PathBuf,
     },
-    /// Say which service a request would reach, and why
+    /// Show which route a request would take, and why
     Routes(RouteArgs),
 }
 
 #[derive(Subcommand)]
 pub enum FleetCommand {
-    /// Say who is there
-    Members(At),
-    /// Say which verdicts hold
-    Verdicts(At),
-    /// Say what is known of a server, and who says so
+    /// List the members
+    Members(ManagementTarget),
+    /// List the verdicts on servers
+    Verdicts(ManagementTarget),
+    /// Show what the nodes report of a server
     Explain {
         /// The server's name, as in the list
         server: String,
         #[command(flatten)]
-        at: At,
+        target: ManagementTarget,
     },
-    /// Have all nodes send nothing more to a server
+    /// Ban a server at all nodes
     Ban {
         /// The server's name, as in the list
         server: String,
-        /// For so many seconds, a week at most; until it is lifted if none are given
+        /// Duration in seconds, a week at most; without one the ban holds until it is lifted
         #[arg(long = "for", value_name = "SECONDS")]
         seconds: Option<u32>,
-        /// Who says so
+        /// Who requests this, for the record
         #[arg(long, default_value = "operator")]
         by: String,
         #[command(flatten)]
-        at: At,
+        target: ManagementTarget,
     },
-    /// End all bans of a server, on all nodes
+    /// Lift all bans of a server at all nodes
     Lift {
         /// The server's name, as in the list
         server: String,
-        /// Who says so
+        /// Who requests this, for the record
         #[arg(long, default_value = "operator")]
         by: String,
         #[command(flatten)]
-        at: At,
+        target: ManagementTarget,
     },
-    /// Say who holds which lease
-    Leases(At),
-    /// Have the node that is called give a lease back, for another one to have it
+    /// List the leases and their holders
+    Leases(ManagementTarget),
+    /// Make this node release a lease, so that another node can acquire it
     Release {
         /// The lease's name
         lease: String,
-        /// Why, for its log
+        /// The reason, for the node's log
         #[arg(long)]
         why: String,
         #[command(flatten)]
-        at: At,
+        target: ManagementTarget,
     },
 }
 
-/// Where operators call.
+/// The address of the node that a command is sent to.
 #[derive(Args)]
-pub struct At {
-    /// The operators' address of the node
+pub struct ManagementTarget {
+    /// The management address of the node
     #[arg(long, value_name = "ADDRESS", env = "ROUTER_MANAGEMENT")]
     pub management: SocketAddr,
 }
@@ -126,10 +126,10 @@
     /// Its method
     #[arg(long, default_value = "GET")]
     pub method: String,
-    /// The class that it states, as in X-Service-Class
+    /// Its class, as in X-Service-Class
     #[arg(long)]
     pub class: Option<String>,
-    /// The name of the listener where it comes in; the first if none is given
+    /// The name of the listener that receives it; the first if none is given
     #[arg(long)]
     pub listener: Option<String>,
 }
--- a/crates/node/src/fleet/events.rs
+++ b/crates/node/src/fleet/events.rs
@@ -88,9 +88,8 @@
         let old = self.condemned.replace(new.clone());
         for server in old.keys().filter(|server| !new.contains_key(server)) {
             let name = &server.name;
-            self.condemned_log.write_line(format_args!(
-                "fleet: {name} is well, or nobody says otherwise"
-            ));
+            self.condemned_log
+                .write_line(format_args!("fleet: {name} is no longer ejected"));
             let ended = Condemnation {
                 server: server.clone(),
                 until: pool_clock,
@@ -102,7 +101,7 @@
             if !old.contains_key(server) {
                 let (name, left) = (&server.name, condemnation.until - pool_clock);
                 self.condemned_log.write_line(format_args!(
-                    "fleet: {name} fails several nodes, for {left:.1} s"
+                    "fleet: {name} is ejected, a quorum of nodes reports it as faulty, for {left:.1} s"
                 ));
             }
             self.shared.apply_condemnation(condemnation);
@@ -130,11 +129,11 @@
         match event {
             FleetEvent::Member(MemberEvent::Up(node)) => {
                 let (name, address) = (&node.name, node.address);
-                log.write_line(format_args!("fleet: {name} at {address} is there"));
+                log.write_line(format_args!("fleet: {name} at {address} is up"));
             }
             FleetEvent::Member(MemberEvent::Down(node)) => {
                 let (name, address) = (&node.name, node.address);
-                log.write_line(format_args!("fleet: {name} at {address} is gone"));
+                log.write_line(format_args!("fleet: {name} at {address} is down"));
             }
             FleetEvent::Member(MemberEvent::Rejoined(_)) => {
                 log.write_line(format_args!(
@@ -159,12 +158,12 @@
         match self.fleet.borrow().ban_left(server, now) {
             Some(left) => {
                 self.ban_log.write_line(format_args!(
-                    "fleet: {server} is out by hand, for {left:.0} s at most"
+                    "fleet: {server} is banned, for {left:.0} s at most"
                 ));
             }
             None => self
                 .ban_log
-                .write_line(format_args!("fleet: {server} is not out by hand")),
+                .write_line(format_args!("fleet: {server} is not banned")),
         }
     }
 
@@ -183,7 +182,7 @@
                     followed.lag = ListLag::Logged;
                     let index = followed.index;
                     self.shared.log.write_line(format_args!(
-                        "fleet: list {list} is at {index} here, others heard of {latest}"
+                        "fleet: list {list} has index {index} here and {latest} at other nodes"
                     ));
                 }
                 ListLag::Since(_) | ListLag::Logged => {}
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -86,7 +86,7 @@
     }
     if unusable > 0 {
         pool.shared.log.write_line(format_args!(
-            "{unusable} entries of list {index} can't be used"
+            "discovery: {unusable} invalid entries in list {index}"
         ));
     }
     pool.update_endpoints(update.kind(is_cached), endpoints);
--- a/crates/node/src/net/discovery/error.rs
+++ b/crates/node/src/net/discovery/error.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Error)]
 pub(super) enum WatchError {
     /// Nothing was received in time.
-    #[error("nothing comes")]
+    #[error("no data in time")]
     TimedOut,
     /// The connection could not be opened.
     #[error(transparent)]
@@ -20,7 +20,7 @@
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
     /// The service responded with another status than 200.
-    #[error("answered {0}")]
+    #[error("status {0}")]
     Status(StatusCode),
     /// A list can't be used.
     #[error(transparent)]
@@ -37,15 +37,15 @@
     #[error("a list without `index`")]
     NoIndex,
     /// The response ended before the list was complete.
-    #[error("a list that is none")]
+    #[error("the list ended before it was complete")]
     Incomplete,
     /// It is larger than a list may be.
-    #[error("a list without end")]
+    #[error("the list is larger than the limit")]
     TooLarge,
     /// The data does not begin like a list.
-    #[error("what comes is no list")]
+    #[error("not an endpoint list")]
     NotAList,
     /// The data is not valid JSON.
-    #[error("what comes is no list: {0}")]
+    #[error("not an endpoint list: {0}")]
     Malformed(#[source] serde_json::Error),
 }
--- a/crates/node/src/net/discovery/tests.rs
+++ b/crates/node/src/net/discovery/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn errors_have_the_texts_that_operators_know() {
+fn errors_have_the_texts_of_the_operators_pages() {
     let no_endpoints = ListUpdate::parse(&json!({"index": 1})).err();
     let no_index = ListUpdate::parse(&json!({"endpoints": []})).err();
     let not_a_list = ListReader::default().push(b" [").err();
@@ -25,17 +25,23 @@
         Some("a list without `endpoints`")
     );
     assert_eq!(text(no_index).as_deref(), Some("a list without `index`"));
-    assert_eq!(text(not_a_list).as_deref(), Some("what comes is no list"));
+    assert_eq!(text(not_a_list).as_deref(), Some("not an endpoint list"));
     assert_eq!(
         text(malformed).as_deref(),
-        Some("what comes is no list: key must be a string at line 1 column 2")
+        Some("not an endpoint list: key must be a string at line 1 column 2")
     );
-    assert_eq!(text(too_large).as_deref(), Some("a list without end"));
-    assert_eq!(ListError::Incomplete.to_string(), "a list that is none");
-    assert_eq!(WatchError::TimedOut.to_string(), "nothing comes");
+    assert_eq!(
+        text(too_large).as_deref(),
+        Some("the list is larger than the limit")
+    );
+    assert_eq!(
+        ListError::Incomplete.to_string(),
+        "the list ended before it was complete"
+    );
+    assert_eq!(WatchError::TimedOut.to_string(), "no data in time");
     assert_eq!(
         WatchError::Status(StatusCode::SERVICE_UNAVAILABLE).to_string(),
-        "answered 503 Service Unavailable"
+        "status 503 Service Unavailable"
     );
 }
 
--- a/crates/node/src/net/management.rs
+++ b/crates/node/src/net/management.rs
@@ -110,7 +110,7 @@
                 Err(error) => self
                     .shared
                     .log
-                    .write_line(format_args!("operators' address {address}: {error}")),
+                    .write_line(format_args!("management address {address}: {error}")),
             }
             sleep(BIND_RETRY_INTERVAL).await;
         };
--- a/crates/node/src/net/pool.rs
+++ b/crates/node/src/net/pool.rs
@@ -184,10 +184,9 @@
                 .engine
                 .borrow_mut()
                 .adopt(self.shared.clock.now(), &learned),
-            Err(error) => self
-                .shared
-                .log
-                .write_line(format_args!("what was learned can't be read: {error}")),
+            Err(error) => self.shared.log.write_line(format_args!(
+                "takeover: the learned state can't be read: {error}"
+            )),
         }
     }
 
--- a/crates/node/src/net/takeover.rs
+++ b/crates/node/src/net/takeover.rs
@@ -133,7 +133,7 @@
             Ok(listener) => Some(listener),
             Err(error) => {
                 self.shared.log.write_line(format_args!(
-                    "no process will be able to take over: {error}"
+                    "takeover: the socket for a successor can't be bound: {error}"
                 ));
                 None
             }
@@ -180,7 +180,7 @@
         let end = self.hand_over(&mut exchange, &frontend).await;
         self.shared
             .log
-            .write_line(format_args!("the process that takes over: {end}"));
+            .write_line(format_args!("takeover: the successor is lost: {end}"));
         frontend.hand_over_to(None);
         if self.hands_over() {
             self.serving_successor_lost.notify_one();
--- a/crates/node/src/net/takeover/exchange.rs
+++ b/crates/node/src/net/takeover/exchange.rs
@@ -34,7 +34,7 @@
     #[error(transparent)]
     Frame(#[from] serde_json::Error),
     /// The process at the other end belongs to another user, who could take the sockets over or pass in others.
-    #[error("the process on the other side has another user")]
+    #[error("the process at the other end belongs to another user")]
     ForeignUser,
     /// A frame came without its descriptors.
     #[error("a frame without its descriptors")]
@@ -43,7 +43,7 @@
     #[error("descriptors without frames")]
     MissingFrame,
     /// The predecessor refuses a takeover.
-    #[error("it gives nothing")]
+    #[error("it refuses the takeover")]
     Refused,
     /// The process at the other end sent a frame that it may not send now.
     #[error("it violates the protocol")]
--- a/crates/node/src/net/takeover/socket.rs
+++ b/crates/node/src/net/takeover/socket.rs
@@ -79,13 +79,13 @@
             Ok(Err(error)) if has_no_listener(&error) => None,
             Ok(Err(error)) => {
                 log.write_line(format_args!(
-                    "the process that serves: {error}; binding the address beside it"
+                    "takeover: the predecessor does not hand over: {error}; binding the address with SO_REUSEPORT"
                 ));
                 None
             }
             Err(_) => {
                 log.write_line(format_args!(
-                    "the process that serves gives nothing; binding the address beside it"
+                    "takeover: the predecessor does not answer in time; binding the address with SO_REUSEPORT"
                 ));
                 None
             }
--- a/crates/node/src/platform/reload.rs
+++ b/crates/node/src/platform/reload.rs
@@ -31,9 +31,9 @@
                     });
                     break;
                 }
-                Err(error) => shared
-                    .log
-                    .write_line(format_args!("the old configuration stays: {error}")),
+                Err(error) => shared.log.write_line(format_args!(
+                    "reload failed, the old configuration stays in force: {error}"
+                )),
             }
             tokio::time::sleep(LOAD_RETRY_INTERVAL).await;
         }
--- a/crates/node/src/standalone/management.rs
+++ b/crates/node/src/standalone/management.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Error)]
 pub enum ManagementError {
     /// The address can't be bound.
-    #[error("operators' address {address}: {source}")]
+    #[error("management address {address}: {source}")]
     Bind {
         /// The address.
         address: SocketAddr,
--- a/crates/node/src/standalone/node.rs
+++ b/crates/node/src/standalone/node.rs
@@ -138,7 +138,9 @@
         match self.apply_read(read, reader) {
             Ok(_) => eprintln!("reelfall: {file} is in force"),
             // Not in the log, whose rate limit could cut off the list of errors.
-            Err(error) => eprintln!("{error}\nreelfall: the settings from before stay in force"),
+            Err(error) => {
+                eprintln!("{error}\nreelfall: reload failed, the old settings stay in force")
+            }
         }
     }
 
--- a/crates/testbed/src/fleet/verdicts.rs
+++ b/crates/testbed/src/fleet/verdicts.rs
@@ -152,13 +152,13 @@
         ends: &BTreeMap<usize, Duration>,
         seen: &mut Verdicts,
     ) {
-        if line.contains("is out by hand") {
+        if line.contains("is banned") {
             self.out.insert(server);
-        } else if line.contains("is not out by hand") {
+        } else if line.contains("is not banned") {
             if self.out.remove(&server) {
                 self.let_go(at, server, ends, seen);
             }
-        } else if line.contains("fails several nodes") {
+        } else if line.contains("is ejected, a quorum") {
             seen.condemned += 1;
             self.condemned.insert(server);
             let well = sound
@@ -169,9 +169,7 @@
                     "{at:?}: s{server} is condemned, and well since {since:?}"
                 ));
             }
-        } else if line.contains("is well, or nobody says otherwise")
-            && self.condemned.remove(&server)
-        {
+        } else if line.contains("is no longer ejected") && self.condemned.remove(&server) {
             // Who slept could not let go before.
             let from = self.awake_since.unwrap_or_default();
             seen.condemned_over.extend(
--- a/crates/testbed/src/fleet/verdicts/tests.rs
+++ b/crates/testbed/src/fleet/verdicts/tests.rs
@@ -23,21 +23,39 @@
                 seconds: Some(4),
             },
         ),
-        (SECOND, said(0, "s1 is out by hand, for 4 s at most")),
-        (SECOND, said(1, "s1 is out by hand, for 4 s at most")),
-        (SECOND, said(2, "s1 is out by hand, for 4 s at most")),
+        (SECOND, said(0, "s1 is banned, for 4 s at most")),
+        (SECOND, said(1, "s1 is banned, for 4 s at most")),
+        (SECOND, said(2, "s1 is banned, for 4 s at most")),
         (2 * SECOND, Event::Froze { node: 2 }),
-        (5 * SECOND, said(0, "s1 is not out by hand")),
-        (9 * SECOND, said(1, "s1 is not out by hand")),
+        (5 * SECOND, said(0, "s1 is not banned")),
+        (9 * SECOND, said(1, "s1 is not banned")),
         (30 * SECOND, Event::Thawed { node: 2 }),
-        (31 * SECOND, said(2, "s1 is not out by hand")),
+        (31 * SECOND, said(2, "s1 is not banned")),
         (40 * SECOND, fault(Step::Fails(0, 1.0))),
-        (41 * SECOND, said(0, "s0 fails several nodes, for 9.9 s")),
+        (
+            41 * SECOND,
+            said(
+                0,
+                "s0 is ejected, a quorum of nodes reports it as faulty, for 9.9 s",
+            ),
+        ),
         (42 * SECOND, fault(Step::Fails(0, 0.0))),
-        (49 * SECOND, said(0, "s0 is well, or nobody says otherwise")),
-        (50 * SECOND, said(1, "s0 fails several nodes, for 9.9 s")),
-        (60 * SECOND, said(1, "s0 fails several nodes, for 9.9 s")),
-        (60 * SECOND, said(0, "n1 at 127.0.0.1:7 is gone")),
+        (49 * SECOND, said(0, "s0 is no longer ejected")),
+        (
+            50 * SECOND,
+            said(
+                1,
+                "s0 is ejected, a quorum of nodes reports it as faulty, for 9.9 s",
+            ),
+        ),
+        (
+            60 * SECOND,
+            said(
+                1,
+                "s0 is ejected, a quorum of nodes reports it as faulty, for 9.9 s",
+            ),
+        ),
+        (60 * SECOND, said(0, "n1 at 127.0.0.1:7 is down")),
     ];
     let seen = verdicts(&happened);
     assert_eq!(seen.bans_over, [Duration::ZERO, SECOND, 4 * SECOND]);
--- a/crates/testbed/tests/fleets/mod.rs
+++ b/crates/testbed/tests/fleets/mod.rs
@@ -115,7 +115,7 @@
             }
             _ => None,
         });
-        said.is_some_and(|(_, words)| words.starts_with("fails several nodes"))
+        said.is_some_and(|(_, words)| words.starts_with("is ejected, a quorum"))
     };
     rig.until("no more requests to the server", async |rig| {
         let happened = rig.history.events();
--- a/crates/testbed/tests/reload.rs
+++ b/crates/testbed/tests/reload.rs
@@ -355,7 +355,9 @@
         asking.further(5).await;
         reading.end(wrong, wrong).await;
         node.says("services.toml:").await.unwrap();
-        node.says("from before stay in force").await.unwrap();
+        node.says("reload failed, the old settings stay in force")
+            .await
+            .unwrap();
         let got = get(&client, "wrong.example.org", "/", &format!("wrong-{n}")).await;
         assert_eq!(got.status, 404, "a wrong file is in force: {wrong}");
         asking.further(5).await;
--- a/crates/testbed/tests/services.rs
+++ b/crates/testbed/tests/services.rs
@@ -557,11 +557,15 @@
         said.contains("services.toml:11: `500` is a number alone"),
         "{said}"
     );
-    node.says("from before stay in force").await.unwrap();
+    node.says("reload failed, the old settings stay in force")
+        .await
+        .unwrap();
     assert_eq!(get(&client, "n60", "still").await.status, 200);
     std::fs::remove_file(node.file()).unwrap();
     node.signal("HUP").unwrap();
-    node.says("from before stay in force").await.unwrap();
+    node.says("reload failed, the old settings stay in force")
+        .await
+        .unwrap();
     // A listener that can't be had is a mistake as well.
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let more = format!(
--- a/crates/testbed/tests/torn.rs
+++ b/crates/testbed/tests/torn.rs
@@ -42,9 +42,9 @@
             continue;
         };
         let server = line.split(' ').next().unwrap_or_default().to_owned();
-        if line.contains("fails several nodes") {
+        if line.contains("is ejected, a quorum") {
             held.insert(server);
-        } else if line.contains("is well, or nobody says otherwise") {
+        } else if line.contains("is no longer ejected") {
             held.remove(&server);
         }
         most = most.max(held.len());
@@ -64,7 +64,7 @@
     until_sent(&rig, 0, &[0, 1, 2, 3, 4]).await;
     // Longer than a probe and a suspicion take.
     rest(9.0).await;
-    assert!(!was_said(&rig, from, "is gone"), "{}", rig.history.tail(20));
+    assert!(!was_said(&rig, from, "is down"), "{}", rig.history.tail(20));
     for (by, server) in [(0, 0), (2, 1)] {
         rig.ban(by, server, Some(300)).await.unwrap();
         let at = rig.history.now();
@@ -173,7 +173,7 @@
         .await
         .unwrap();
     let condemned =
-        |e: &Event| matches!(e, Event::Said { line, .. } if line.contains("fails several nodes"));
+        |e: &Event| matches!(e, Event::Said { line, .. } if line.contains("is ejected, a quorum"));
     rig.history.until(from, condemned).await.unwrap();
     rest(2.5).await;
     let most = (0..6).map(|n| condemned_at_once(&rig, from, n)).max();
@@ -215,7 +215,7 @@
     let from = rig.history.len();
     play(&mut rig, &[Step::Server(0, true)]).await.unwrap();
     let at = rig.history.now();
-    let first = |e: &Event| matches!(e, Event::Said { line, .. } if line.contains("s0 fails several nodes"));
+    let first = |e: &Event| matches!(e, Event::Said { line, .. } if line.contains("s0 is ejected, a quorum"));
     let condemned = rig.history.until(from, first).await.unwrap() - at;
     // An attempt waits for two seconds; that answers are late is known after a tenth of it.
     assert!(condemned < Duration::from_millis(1500), "{condemned:?}");
@@ -278,7 +278,7 @@
     rig.lists[0].tell(std::slice::from_ref(&new));
     rest(0.5).await;
     // Its nodes hear from the others that theirs lags, and say so.
-    let lags = |e: &Event| matches!(e, Event::Said { node: 1, line } if line.contains("is at 1 here, others heard of 2"));
+    let lags = |e: &Event| matches!(e, Event::Said { node: 1, line } if line.contains("has index 1 here and 2 at other nodes"));
     rig.history.until(0, lags).await.unwrap();
     rig.servers[0].behave(|m| m.fail = 1.0);
     // Few a second: nodes that are short of time find fault with all servers, and then send to any.
