--- a/crates/node/src/fleet/events.rs
+++ b/crates/node/src/fleet/events.rs
@@ -147,7 +147,7 @@
             }
             FleetEvent::Updated(_) | FleetEvent::Expired(_) => {}
             FleetEvent::NameConflict => {
-                log.write_line(format_args!(
+                self.name_conflict_log.write_line(format_args!(
                     "fleet: another process has this node's name; this one publishes nothing"
                 ));
             }
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -77,6 +77,8 @@
     ban_log: Log,
     /// Separate for the same reason.
     condemned_log: Log,
+    /// Name conflicts, which member changes precede in numbers that reach the rate limit of a log.
+    name_conflict_log: Log,
     /// There is something to send at once.
     wake: Notify,
     /// The condemnations that are applied to the pools.
--- a/crates/node/src/fleet/open.rs
+++ b/crates/node/src/fleet/open.rs
@@ -74,6 +74,7 @@
             clock,
             ban_log: Log::default(),
             condemned_log: Log::default(),
+            name_conflict_log: Log::default(),
             wake: Notify::new(),
             condemned: RefCell::default(),
             lists: RefCell::default(),
