--- a/crates/capacity/src/scale/hollow.rs
+++ b/crates/capacity/src/scale/hollow.rs
@@ -8,7 +8,7 @@
 use reelfall_cluster::fleet::{Config, Fleet, FleetEvent};
 use reelfall_cluster::members::MembershipConfig;
 use reelfall_cluster::observer::AttemptOutcome;
-use reelfall_cluster::wire::{self, AppMessage, Secret, Writer};
+use reelfall_cluster::wire::{self, AppMessage, GossipDatagram, Secret, Writer};
 use reelfall_testbed::Draw;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -100,7 +100,7 @@
             verdicts: 0,
         });
     }
-    let (header, entries) = wire::open(secret, datagram).ok()?;
+    let GossipDatagram { header, entries } = GossipDatagram::open(secret, datagram).ok()?;
     let own = if entries.is_empty() {
         datagram.len()
     } else {
@@ -206,7 +206,8 @@
 
     /// What is to be sent next, and where to.
     pub fn outgoing(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
-        self.fleet.next_datagram()
+        let datagram = self.fleet.next_datagram()?;
+        Some((datagram.to, datagram.bytes))
     }
 
     /// How many others are there.
--- a/crates/cluster/src/entry.rs
+++ b/crates/cluster/src/entry.rs
@@ -198,6 +198,27 @@
     pub age_us: u64,
 }
 
+/// The order of entries with the same key, whatever their ages: of two, the greater one is retained. A lifted ban comes
+/// before any version of the ban.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Precedence<'a> {
+    is_lifted_ban: bool,
+    version: Version,
+    value: &'a Value,
+    ttl_ms: u32,
+}
+
+impl<'a> Precedence<'a> {
+    pub(crate) fn new(version: Version, value: &'a Value, ttl_ms: u32) -> Self {
+        Precedence {
+            is_lifted_ban: matches!(value, Value::BanLifted { .. }),
+            version,
+            value,
+            ttl_ms,
+        }
+    }
+}
+
 impl Entry {
     /// An upper bound of its age, in seconds.
     pub fn age(&self) -> Time {
@@ -209,14 +230,9 @@
         f64::from(self.ttl_ms) / MILLIS_PER_SECOND
     }
 
-    /// The order of entries with the same key, without their ages.
-    pub fn precedence(&self) -> (bool, Version, &Value, u32) {
-        (
-            matches!(self.value, Value::BanLifted { .. }),
-            self.version,
-            &self.value,
-            self.ttl_ms,
-        )
+    /// Its precedence over entries with the same key.
+    pub fn precedence(&self) -> Precedence<'_> {
+        Precedence::new(self.version, &self.value, self.ttl_ms)
     }
 
     /// Whether it is within the limits of entries that nodes create: names of allowed lengths, a value that fits its key, a
--- a/crates/cluster/src/fleet/gossip.rs
+++ b/crates/cluster/src/fleet/gossip.rs
@@ -1,6 +1,6 @@
 //! Gossip and anti-entropy rounds, announcements, and sending datagrams.
 
-use super::{Fleet, ISOLATION_TIMEOUT};
+use super::{Fleet, OutgoingDatagram, ISOLATION_TIMEOUT};
 use crate::members::max_transmissions;
 use crate::node::Node;
 use crate::wire::{AntiEntropy, AppMessage, Header, Writer};
@@ -67,7 +67,10 @@
     fn enqueue(&mut self, to: SocketAddr, datagram: Vec<u8>) {
         self.counters.sent += 1;
         self.counters.sent_bytes += datagram.len() as u64;
-        self.outgoing.push_back((to, datagram));
+        self.outgoing.push_back(OutgoingDatagram {
+            to,
+            bytes: datagram,
+        });
     }
 
     /// A random sample of so many other members.
--- a/crates/cluster/src/fleet/mod.rs
+++ b/crates/cluster/src/fleet/mod.rs
@@ -31,7 +31,7 @@
 
 use crate::entry::Key;
 use crate::freshness::PeerClocks;
-use crate::members::{MemberEvent, Members};
+use crate::members::{MemberEvent, Members, SwimDatagram};
 use crate::node::{Incarnation, Node};
 use crate::observer::Observer;
 use crate::table::Table;
@@ -65,6 +65,24 @@
     NameConflict,
 }
 
+/// A datagram that the caller has to send.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct OutgoingDatagram {
+    /// The address of its receiver.
+    pub to: SocketAddr,
+    /// Its bytes.
+    pub bytes: Vec<u8>,
+}
+
+/// A message that the application of another node has sent.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct NodeMessage {
+    /// The node.
+    pub from: Node,
+    /// The bytes that the application gave it.
+    pub body: Vec<u8>,
+}
+
 /// Counters of datagrams and entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
@@ -110,9 +128,9 @@
     bans: u32,
     /// Bans of this node that have no end of their own.
     permanent_bans: BTreeSet<Key>,
-    outgoing: VecDeque<(SocketAddr, Vec<u8>)>,
+    outgoing: VecDeque<OutgoingDatagram>,
     /// Application messages that were received.
-    messages: VecDeque<(Node, Vec<u8>)>,
+    messages: VecDeque<NodeMessage>,
     events: VecDeque<FleetEvent>,
     counters: Counters,
 }
@@ -176,8 +194,8 @@
         &self.counters
     }
 
-    /// Takes the next datagram to send, and its receiver's address.
-    pub fn next_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
+    /// Takes the next datagram to send.
+    pub fn next_datagram(&mut self) -> Option<OutgoingDatagram> {
         self.outgoing.pop_front()
     }
 
@@ -186,8 +204,8 @@
         self.events.pop_front()
     }
 
-    /// Takes the next application message, and its writer.
-    pub fn next_message(&mut self) -> Option<(Node, Vec<u8>)> {
+    /// Takes the next application message.
+    pub fn next_message(&mut self) -> Option<NodeMessage> {
         self.messages.pop_front()
     }
 
@@ -234,9 +252,9 @@
         for key in self.table.take_expired() {
             self.events.push_back(FleetEvent::Expired(key));
         }
-        while let Some((to, swim)) = self.members.next_datagram() {
+        while let Some(SwimDatagram { to, payload }) = self.members.next_datagram() {
             let mut header = self.header(now, &to);
-            header.swim = swim;
+            header.swim = payload;
             self.send_with_entries(now, to.address, &header);
         }
         while let Some(suspect) = self.members.next_suspicion_notice(now) {
--- a/crates/cluster/src/fleet/receive.rs
+++ b/crates/cluster/src/fleet/receive.rs
@@ -1,13 +1,13 @@
 //! Handling of received datagrams.
 
-use super::{Fleet, FleetEvent};
+use super::{Fleet, FleetEvent, NodeMessage};
 use crate::entry::Entry;
 use crate::freshness;
 use crate::node::Node;
 use crate::table::MergeOutcome;
 use crate::wire::{
-    self, AntiEntropy, AppMessage, Digests, DropReason, Header, MemberState, MemberUpdate, Writer,
-    MEMBER_PARTITIONS,
+    AntiEntropy, AppMessage, Digests, DropReason, GossipDatagram, Header, MemberState,
+    MemberUpdate, Writer, MEMBER_PARTITIONS,
 };
 use crate::{Time, MICROS_PER_SECOND};
 use rand::RngExt;
@@ -25,7 +25,7 @@
         if AppMessage::matches(datagram) {
             return self.receive_message(datagram);
         }
-        let (header, entries) = match self.open(now, datagram) {
+        let GossipDatagram { header, entries } = match self.open(now, datagram) {
             Ok(opened) => opened,
             Err(reason) => return self.count_dropped(reason),
         };
@@ -47,8 +47,9 @@
         self.process_effects(now);
     }
 
-    fn open(&mut self, now: Time, datagram: &[u8]) -> Result<(Header, Vec<Entry>), DropReason> {
-        let (header, entries) = wire::open(&self.secret, datagram)?;
+    fn open(&mut self, now: Time, datagram: &[u8]) -> Result<GossipDatagram, DropReason> {
+        let opened = GossipDatagram::open(&self.secret, datagram)?;
+        let header = &opened.header;
         let tag = header.from.incarnation.tag;
         if tag == self.members.me().incarnation.tag {
             return Err(DropReason::Own);
@@ -59,7 +60,7 @@
         {
             return Err(DropReason::Duplicate);
         }
-        Ok((header, entries))
+        Ok(opened)
     }
 
     fn count_dropped(&mut self, reason: DropReason) {
@@ -85,7 +86,10 @@
             Ok(message) if message.to != me => self.count_dropped(DropReason::Misdirected),
             Ok(message) if self.messages.len() < MAX_MESSAGES => {
                 self.counters.received += 1;
-                self.messages.push_back((message.from, message.body));
+                self.messages.push_back(NodeMessage {
+                    from: message.from,
+                    body: message.body,
+                });
             }
             // The application does not take its messages: as good as lost.
             Ok(_) => {}
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -32,6 +32,7 @@
 use crate::wire::MemberUpdate;
 use crate::Time;
 use foca::{Foca, NoCustomBroadcast, PostcardCodec, Timer};
+pub use library::SwimDatagram;
 use library::{LibraryEvent, LibraryOutput};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -181,8 +182,8 @@
         self.process_output(now);
     }
 
-    /// Takes the next datagram to send: its receiver, and the membership protocol's part.
-    pub fn next_datagram(&mut self) -> Option<(Node, Vec<u8>)> {
+    /// Takes the next datagram of the membership protocol to send.
+    pub fn next_datagram(&mut self) -> Option<SwimDatagram> {
         self.output.datagrams.pop_front()
     }
 
--- a/crates/cluster/src/members/library.rs
+++ b/crates/cluster/src/members/library.rs
@@ -13,11 +13,18 @@
     pub(super) after: Duration,
 }
 
+/// A datagram of the membership protocol (SWIM) to send.
+pub struct SwimDatagram {
+    /// Its receiver.
+    pub to: Node,
+    /// The bytes of the protocol.
+    pub payload: Vec<u8>,
+}
+
 /// What the library has requested and reported.
 #[derive(Default)]
 pub(super) struct LibraryOutput {
-    /// Datagrams to send, with their receivers.
-    pub(super) datagrams: VecDeque<(Node, Vec<u8>)>,
+    pub(super) datagrams: VecDeque<SwimDatagram>,
     pub(super) timers: Vec<RequestedTimer>,
     pub(super) events: Vec<LibraryEvent>,
     pub(super) failed_probes: u32,
@@ -58,7 +65,10 @@
     }
 
     fn send_to(&mut self, to: Node, data: &[u8]) {
-        self.datagrams.push_back((to, data.to_vec()));
+        self.datagrams.push_back(SwimDatagram {
+            to,
+            payload: data.to_vec(),
+        });
     }
 
     fn submit_after(&mut self, timer: Timer<Node>, after: Duration) {
--- a/crates/cluster/src/table.rs
+++ b/crates/cluster/src/table.rs
@@ -10,7 +10,7 @@
 //! transit and by this node's own clock, which is assumed to run as slow as [`DRIFT`] allows. So whoever holds an entry
 //! drops it no later than its creator meant.
 
-use crate::entry::{Entry, Key, Value, Version};
+use crate::entry::{Entry, Key, Precedence, Value, Version};
 use crate::{Time, DRIFT, MICROS_PER_SECOND, MILLIS_PER_SECOND};
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BTreeSet};
@@ -81,13 +81,8 @@
         }
     }
 
-    fn precedence(&self) -> (bool, Version, &Value, u32) {
-        (
-            matches!(self.value, Value::BanLifted { .. }),
-            self.version,
-            &self.value,
-            self.ttl_ms,
-        )
+    fn precedence(&self) -> Precedence<'_> {
+        Precedence::new(self.version, &self.value, self.ttl_ms)
     }
 
     /// When it expires, in whole microseconds, rounded up.
@@ -96,16 +91,45 @@
         let expires_at = self.received_at + (ttl - self.received_age) * (1.0 - DRIFT);
         (expires_at.max(0.0) * MICROS_PER_SECOND).ceil() as u64
     }
+
+    fn expiry(&self, key: &Key) -> Expiry {
+        Expiry {
+            at_us: self.expires_at_us(),
+            key: key.clone(),
+        }
+    }
+
+    fn pending(&self, key: &Key) -> PendingEntry {
+        PendingEntry {
+            transmissions: self.transmissions,
+            key: key.clone(),
+        }
+    }
+}
+
+/// An entry that has to be sent to others, in the order of sending.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct PendingEntry {
+    /// How often it was sent.
+    transmissions: u32,
+    key: Key,
+}
+
+/// When an entry expires.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Expiry {
+    at_us: u64,
+    key: Key,
 }
 
 /// The table of entries that a node holds.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     entries: BTreeMap<Key, StoredEntry>,
-    /// Entries that have to be sent to others, by how often they were.
-    pending: BTreeSet<(u32, Key)>,
-    /// When entries expire, in microseconds.
-    expiries: BTreeSet<(u64, Key)>,
+    /// Entries that have to be sent to others, the least often sent first.
+    pending: BTreeSet<PendingEntry>,
+    /// When entries expire, the first first.
+    expiries: BTreeSet<Expiry>,
     /// Number of reports by reporting node.
     reports: BTreeMap<String, usize>,
     /// Expired entries that have not been taken.
@@ -167,11 +191,9 @@
         };
         if entry.age() < stored.age(now) {
             let mut stored = stored.clone();
-            self.expiries
-                .remove(&(stored.expires_at_us(), entry.key.clone()));
+            self.expiries.remove(&stored.expiry(&entry.key));
             (stored.received_age, stored.received_at) = (entry.age(), now);
-            self.expiries
-                .insert((stored.expires_at_us(), entry.key.clone()));
+            self.expiries.insert(stored.expiry(&entry.key));
             self.entries.insert(entry.key.clone(), stored);
         }
     }
@@ -192,7 +214,11 @@
             return true;
         }
         let is_report = |key: &&Key| matches!(key, Key::Report { .. });
-        let first_to_expire = self.expiries.iter().map(|(_, key)| key).find(is_report);
+        let first_to_expire = self
+            .expiries
+            .iter()
+            .map(|expiry| &expiry.key)
+            .find(is_report);
         match first_to_expire.cloned().filter(|_| entry.is_manual()) {
             Some(key) => {
                 self.remove(&key);
@@ -224,8 +250,8 @@
             *self.reports.entry(by.clone()).or_default() += 1;
         }
         self.digests[partition(&key)] ^= stored.digest;
-        self.expiries.insert((stored.expires_at_us(), key.clone()));
-        self.pending.insert((stored.transmissions, key.clone()));
+        self.expiries.insert(stored.expiry(&key));
+        self.pending.insert(stored.pending(&key));
         self.entries.insert(key, stored);
     }
 
@@ -237,8 +263,8 @@
             self.forget_report(by);
         }
         self.digests[partition(key)] ^= stored.digest;
-        self.expiries.remove(&(stored.expires_at_us(), key.clone()));
-        self.pending.remove(&(stored.transmissions, key.clone()));
+        self.expiries.remove(&stored.expiry(key));
+        self.pending.remove(&stored.pending(key));
     }
 
     fn forget_report(&mut self, by: &str) {
@@ -254,8 +280,9 @@
     /// call notices it.
     pub fn expire(&mut self, now: Time) {
         let now_us = (now * MICROS_PER_SECOND) as u64;
-        while self.expiries.first().is_some_and(|(at, _)| *at <= now_us) {
-            let Some((_, key)) = self.expiries.pop_first() else {
+        let is_over = |expiry: &Expiry| expiry.at_us <= now_us;
+        while self.expiries.first().is_some_and(is_over) {
+            let Some(Expiry { key, .. }) = self.expiries.pop_first() else {
                 break;
             };
             self.remove(&key);
@@ -272,7 +299,7 @@
     pub fn next_expiry(&self) -> Option<Time> {
         self.expiries
             .first()
-            .map(|(at, _)| *at as f64 / MICROS_PER_SECOND)
+            .map(|expiry| expiry.at_us as f64 / MICROS_PER_SECOND)
     }
 
     /// The live entries.
@@ -312,7 +339,7 @@
     pub fn has_pending(&self, max_transmissions: u32) -> bool {
         self.pending
             .first()
-            .is_some_and(|(transmissions, _)| *transmissions < max_transmissions)
+            .is_some_and(|pending| pending.transmissions < max_transmissions)
     }
 
     /// Offers the pending entries to a datagram, the least often sent first. `add` returns whether one fits; it counts as
@@ -325,27 +352,32 @@
     ) {
         self.expire(now);
         let mut sent = Vec::new();
-        for (transmissions, key) in self.pending.range(..(max_transmissions, Key::first())) {
-            let Some(stored) = self.entries.get(key) else {
+        let end = PendingEntry {
+            transmissions: max_transmissions,
+            key: Key::first(),
+        };
+        for pending in self.pending.range(..end) {
+            let Some(stored) = self.entries.get(&pending.key) else {
                 continue;
             };
-            if !add(&stored.entry(key, now)) {
+            if !add(&stored.entry(&pending.key, now)) {
                 break;
             }
-            sent.push((*transmissions, key.clone()));
+            sent.push(pending.clone());
         }
-        for (transmissions, key) in sent {
-            self.count_transmission(transmissions, key, max_transmissions);
+        for pending in sent {
+            self.count_transmission(pending, max_transmissions);
         }
     }
 
-    fn count_transmission(&mut self, transmissions: u32, key: Key, max_transmissions: u32) {
-        self.pending.remove(&(transmissions, key.clone()));
-        if let Some(stored) = self.entries.get_mut(&key) {
-            stored.transmissions = transmissions + 1;
+    fn count_transmission(&mut self, mut pending: PendingEntry, max_transmissions: u32) {
+        self.pending.remove(&pending);
+        pending.transmissions += 1;
+        if let Some(stored) = self.entries.get_mut(&pending.key) {
+            stored.transmissions = pending.transmissions;
         }
-        if transmissions + 1 < max_transmissions {
-            self.pending.insert((transmissions + 1, key));
+        if pending.transmissions < max_transmissions {
+            self.pending.insert(pending);
         }
     }
 
--- a/crates/cluster/src/wire.rs
+++ b/crates/cluster/src/wire.rs
@@ -223,29 +223,39 @@
     }
 }
 
-/// Authenticates and decodes a datagram.
-///
-/// # Errors
-/// Why it is dropped. Nothing of it is decoded before it is authenticated.
-pub fn open(secret: &Secret, datagram: &[u8]) -> Result<(Header, Vec<Entry>), DropReason> {
-    let body = authenticate(secret, datagram, GOSSIP_MAGIC)?;
-    let (header, mut rest): (Header, &[u8]) =
-        postcard::take_from_bytes(body).map_err(|_| DropReason::Malformed)?;
-    if !has_valid_name(&header.from)
-        || !header
-            .members
-            .iter()
-            .all(|update| has_valid_name(&update.node))
-    {
-        return Err(DropReason::Malformed);
-    }
-    let mut entries = Vec::new();
-    while !rest.is_empty() {
-        let (entry, more) = postcard::take_from_bytes(rest).map_err(|_| DropReason::Malformed)?;
-        entries.push(entry);
-        rest = more;
+/// A received datagram with entries and membership updates.
+#[derive(Clone, Debug, PartialEq)]
+pub struct GossipDatagram {
+    /// Its sender, receiver and membership updates.
+    pub header: Header,
+    /// Its entries.
+    pub entries: Vec<Entry>,
+}
+
+impl GossipDatagram {
+    /// Authenticates and decodes a datagram.
+    ///
+    /// # Errors
+    /// Why it is dropped. Nothing of it is decoded before it is authenticated.
+    pub fn open(secret: &Secret, datagram: &[u8]) -> Result<GossipDatagram, DropReason> {
+        let body = authenticate(secret, datagram, GOSSIP_MAGIC)?;
+        let (header, mut rest): (Header, &[u8]) =
+            postcard::take_from_bytes(body).map_err(|_| DropReason::Malformed)?;
+        let mut updates = header.members.iter();
+        let are_names_valid =
+            has_valid_name(&header.from) && updates.all(|update| has_valid_name(&update.node));
+        if !are_names_valid {
+            return Err(DropReason::Malformed);
+        }
+        let mut entries = Vec::new();
+        while !rest.is_empty() {
+            let (entry, more) =
+                postcard::take_from_bytes(rest).map_err(|_| DropReason::Malformed)?;
+            entries.push(entry);
+            rest = more;
+        }
+        Ok(GossipDatagram { header, entries })
     }
-    Ok((header, entries))
 }
 
 fn has_valid_name(node: &Node) -> bool {
--- a/crates/cluster/tests/fleet.rs
+++ b/crates/cluster/tests/fleet.rs
@@ -5,7 +5,7 @@
 use reelfall_cluster::entry::{ServerInstance, Value};
 use reelfall_cluster::fleet::{Config, Fleet};
 use reelfall_cluster::observer::{AttemptOutcome, OverdueAttempt};
-use reelfall_cluster::wire::{self, DropReason, Secret};
+use reelfall_cluster::wire::{DropReason, GossipDatagram, Secret};
 use reelfall_emulator::together::{address, rules, secret, Links, World};
 
 fn gathered(nodes: usize, seed: u64) -> World {
@@ -553,8 +553,8 @@
     let process = world.nodes[0].as_mut().unwrap();
     let now = process.clock(world.t);
     process.fleet.tick(now + 0.2, 20);
-    while let Some((to, datagram)) = process.fleet.next_datagram() {
-        kept.push((to, datagram));
+    while let Some(datagram) = process.fleet.next_datagram() {
+        kept.push((datagram.to, datagram.bytes));
     }
     assert!(!kept.is_empty());
     for (to, datagram) in &kept {
@@ -592,7 +592,7 @@
     }
     let other = Secret::new(b"a key of this world's own", "abuja").unwrap();
     assert_eq!(
-        wire::open(&other, &kept[0].1).unwrap_err(),
+        GossipDatagram::open(&other, &kept[0].1).unwrap_err(),
         DropReason::Unauthenticated,
         "another fleet's name is another key"
     );
@@ -610,11 +610,11 @@
     while t < 3.0 {
         one.tick(t, 1);
         two.tick(t, 1);
-        while let Some((_, d)) = two.next_datagram() {
-            one.receive(t, &d);
+        while let Some(datagram) = two.next_datagram() {
+            one.receive(t, &datagram.bytes);
         }
-        while let Some((_, d)) = one.next_datagram() {
-            late.push(d);
+        while let Some(datagram) = one.next_datagram() {
+            late.push(datagram.bytes);
         }
         t += 0.05;
     }
--- a/crates/cluster/tests/golden.rs
+++ b/crates/cluster/tests/golden.rs
@@ -5,8 +5,8 @@
 use reelfall_cluster::freshness::ClockEcho;
 use reelfall_cluster::node::{Incarnation, Node};
 use reelfall_cluster::wire::{
-    self, AntiEntropy, AppMessage, Digests, Header, MemberState, MemberUpdate, Secret, Writer,
-    MEMBER_PARTITIONS,
+    AntiEntropy, AppMessage, Digests, GossipDatagram, Header, MemberState, MemberUpdate, Secret,
+    Writer, MEMBER_PARTITIONS,
 };
 
 const GOLDEN: &str = include_str!("golden/datagrams.txt");
@@ -191,7 +191,9 @@
     let mut lines = Vec::new();
     for (name, header) in headers() {
         let datagram = Writer::new(&header).unwrap().seal(&secret());
-        assert_eq!(wire::open(&secret(), &datagram), Ok((header, Vec::new())));
+        let opened = GossipDatagram::open(&secret(), &datagram);
+        let entries = Vec::new();
+        assert_eq!(opened, Ok(GossipDatagram { header, entries }));
         lines.push(format!("{name} {}", hex(&datagram)));
     }
     for entry in entries() {
@@ -200,7 +202,9 @@
         let mut writer = Writer::new(&header).unwrap();
         assert!(writer.add(&entry));
         let datagram = writer.seal(&secret());
-        assert_eq!(wire::open(&secret(), &datagram), Ok((header, vec![entry])));
+        let opened = GossipDatagram::open(&secret(), &datagram);
+        let entries = vec![entry];
+        assert_eq!(opened, Ok(GossipDatagram { header, entries }));
         lines.push(format!("entry {}", hex(&datagram)));
     }
     let message = AppMessage {
--- a/crates/emulator/src/control/membership.rs
+++ b/crates/emulator/src/control/membership.rs
@@ -246,9 +246,9 @@
 
     fn flush(&mut self, now: f64, sends: &mut Vec<(u32, Vec<u8>)>) {
         let Some(fleet) = &mut self.fleet else { return };
-        while let Some((address, datagram)) = fleet.next_datagram() {
-            if let Some(to) = endpoint_of(address) {
-                sends.push((to, datagram));
+        while let Some(datagram) = fleet.next_datagram() {
+            if let Some(to) = endpoint_of(datagram.to) {
+                sends.push((to, datagram.bytes));
             }
         }
         while let Some(event) = fleet.next_event() {
--- a/crates/emulator/src/inspect.rs
+++ b/crates/emulator/src/inspect.rs
@@ -1,6 +1,6 @@
 //! What datagrams of a fleet contain, for figures.
 
-use reelfall_cluster::wire::{self, Secret};
+use reelfall_cluster::wire::{GossipDatagram, Secret};
 
 /// What datagrams contained, summed up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -51,7 +51,8 @@
         self.seen.datagrams += 1;
         self.seen.bytes += datagram.len() as u64;
         // Messages of applications are of another kind and have none of these parts.
-        let Ok((header, entries)) = wire::open(&self.secret, datagram) else {
+        let Ok(GossipDatagram { header, entries }) = GossipDatagram::open(&self.secret, datagram)
+        else {
             return;
         };
         self.seen.swim_bytes += header.swim.len() as u64;
--- a/crates/emulator/src/together.rs
+++ b/crates/emulator/src/together.rs
@@ -275,8 +275,8 @@
             self.record_update(n, key);
         }
         self.record_deaths(n, &declared_dead);
-        for (to, datagram) in datagrams {
-            self.send(n, to, &datagram);
+        for datagram in datagrams {
+            self.send(n, datagram.to, &datagram.bytes);
         }
     }
 
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -155,11 +155,11 @@
     fn deliver_messages(&self) {
         loop {
             // The handler may send others: the fleet is not borrowed meanwhile.
-            let Some((from, body)) = self.fleet.borrow_mut().next_message() else {
+            let Some(message) = self.fleet.borrow_mut().next_message() else {
                 return;
             };
             if let Some(handler) = &*self.message_handler.borrow() {
-                handler(&from, &body);
+                handler(&message.from, &message.body);
             }
         }
     }
@@ -220,8 +220,9 @@
     /// may be.
     fn send_datagrams(&self) {
         let mut fleet = self.fleet.borrow_mut();
-        while let Some((to, datagram)) = fleet.next_datagram() {
-            if self.socket.try_send_to(&datagram, to).is_err() {
+        while let Some(datagram) = fleet.next_datagram() {
+            let sent = self.socket.try_send_to(&datagram.bytes, datagram.to);
+            if sent.is_err() {
                 self.unsent.set(self.unsent.get() + 1);
             }
         }
