--- a/crates/capacity/examples/capacity.rs
+++ b/crates/capacity/examples/capacity.rs
@@ -1,49 +1,76 @@
-//! Writes the tables of docs/CAPACITY.md and docs/measurements/scale.md from their inputs, or says which are not what the
-//! inputs make of them.
+//! Writes the generated tables of docs/CAPACITY.md and docs/measurements/scale.md, or checks that they match their inputs.
 //! `cargo run -p reelfall-capacity --example capacity -- --write`, or `--check`, from the root of the repository.
 
-use reelfall_capacity::budget::{page, pages, Page};
+use reelfall_capacity::budget::{self, page, pages, Page};
 use std::path::Path;
 use std::process::ExitCode;
+use thiserror::Error;
+
+/// The root of the repository, in which the example runs.
+const ROOT: &str = ".";
+
+/// Why pages are not written, or not as they should be.
+#[derive(Debug, Error)]
+enum Failure {
+    #[error("say --check or --write")]
+    Usage,
+    #[error("{file}: {source}")]
+    File {
+        file: &'static str,
+        source: std::io::Error,
+    },
+    #[error("{file}: {source}")]
+    Page {
+        file: &'static str,
+        source: budget::Error,
+    },
+    #[error(transparent)]
+    Inputs(budget::Error),
+    #[error("these tables differ from their inputs; write them anew: {}", .0.join(", "))]
+    Stale(Vec<String>),
+}
 
 fn main() -> ExitCode {
-    let done = match std::env::args().nth(1).as_deref() {
+    let result = match std::env::args().nth(1).as_deref() {
         Some("--check") => check(),
         Some("--write") => write(),
-        _ => Err("say --check or --write".to_owned()),
+        _ => Err(Failure::Usage),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("capacity: {why}");
+        Err(failure) => {
+            eprintln!("capacity: {failure}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn held(name: &str) -> Result<String, String> {
-    std::fs::read_to_string(name).map_err(|e| format!("{name}: {e}"))
+fn generated_pages() -> Result<[Page; 2], Failure> {
+    pages(Path::new(ROOT)).map_err(Failure::Inputs)
+}
+
+fn read(file: &'static str) -> Result<String, Failure> {
+    std::fs::read_to_string(file).map_err(|source| Failure::File { file, source })
 }
 
-fn check() -> Result<(), String> {
-    let mut differ = Vec::new();
-    for Page { file: name, tables } in pages(Path::new(".")).map_err(|e| e.to_string())? {
-        let stale = page::stale(&held(name)?, &tables).map_err(|e| format!("{name}: {e}"))?;
-        differ.extend(stale.iter().map(|table| format!("{name}: {table}")));
+fn check() -> Result<(), Failure> {
+    let mut stale = Vec::new();
+    for Page { file, tables } in generated_pages()? {
+        let names = page::stale_tables(&read(file)?, &tables)
+            .map_err(|source| Failure::Page { file, source })?;
+        stale.extend(names.iter().map(|table| format!("{file}: {table}")));
     }
-    if differ.is_empty() {
+    if stale.is_empty() {
         return Ok(());
     }
-    Err(format!(
-        "these tables differ from their inputs; write them anew: {}",
-        differ.join(", ")
-    ))
+    Err(Failure::Stale(stale))
 }
 
-fn write() -> Result<(), String> {
-    for Page { file: name, tables } in pages(Path::new(".")).map_err(|e| e.to_string())? {
-        let page = page::with_tables(&held(name)?, &tables).map_err(|e| format!("{name}: {e}"))?;
-        std::fs::write(name, page).map_err(|e| format!("{name}: {e}"))?;
+fn write() -> Result<(), Failure> {
+    for Page { file, tables } in generated_pages()? {
+        let page = page::replace_tables(&read(file)?, &tables)
+            .map_err(|source| Failure::Page { file, source })?;
+        std::fs::write(file, page).map_err(|source| Failure::File { file, source })?;
     }
     Ok(())
 }
--- /dev/null
+++ b/crates/capacity/src/budget/markdown.rs
@@ -0,0 +1,17 @@
+//! Tables in Markdown. All tables of the pages are rendered here.
+
+/// The cell of a figure that was not measured.
+pub const NOT_MEASURED: &str = "not measured";
+/// The text in place of a table without rows.
+pub const NO_ROWS: &str = "Not measured yet.\n";
+
+/// A Markdown table.
+pub fn table(header: &[&str], rows: &[Vec<String>]) -> String {
+    let separator = vec!["---"; header.len()];
+    let rows: String = rows.iter().map(|row| line(&row.join(" | "))).collect();
+    line(&header.join(" | ")) + &line(&separator.join(" | ")) + &rows
+}
+
+fn line(cells: &str) -> String {
+    format!("| {cells} |\n")
+}
--- a/crates/capacity/src/budget/mod.rs
+++ b/crates/capacity/src/budget/mod.rs
@@ -1,40 +1,52 @@
-//! What the system needs at a given size, worked out from measured inputs, beside what it may spend.
+//! The capacity model: what the system needs at a given size, computed from measured inputs, beside its budgets.
 //!
-//! | module | what belongs there |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`kind`] | how well a figure is known |
-//! | [`inputs`] | figures that were measured, worked out or assumed elsewhere, read from JSON |
-//! | [`mechanism`] | how the mechanism for changes of settings fares, as the emulator plays it |
+//! | [`distribution_runs`] | how the distribution of settings fares in the emulator, beside the budgets |
+//! | [`error`] | why tables can't be generated |
+//! | [`inputs`] | the figures that formulas rest on, read from JSON |
+//! | [`json`] | reading JSON files of a known schema |
+//! | [`markdown`] | tables in Markdown |
+//! | [`measurements`] | what scale runs have measured |
 //! | [`model`] | the formulas |
-//! | [`moments`] | the worst moments |
 //! | [`page`] | the tables between the markers of a page |
+//! | [`provenance`] | how well a figure is known |
 //! | [`ranking`] | what does not fit, by how far |
-//! | [`roles`] | what each role needs at three sizes |
+//! | [`requirement`] | what a role requires of one resource, and its verdict |
+//! | [`roles`] | what each role requires at three sizes |
 //! | [`scale_page`] | the tables of the page of scale runs |
-//! | [`table`] | rows, units and verdicts as Markdown |
+//! | [`units`] | amounts with their units as text |
+//! | [`worst_cases`] | the worst cases |
 //!
-//! `docs/CAPACITY.md` and `docs/measurements/scale.md` are made of these; `cargo run -p reelfall-capacity --example capacity --
-//! --write` writes their tables.
+//! `docs/CAPACITY.md` and `docs/measurements/scale.md` are generated from these; `cargo run -p reelfall-capacity --example capacity
+//! -- --write` writes their tables.
 
+pub mod distribution_runs;
+pub mod error;
 pub mod inputs;
-pub mod kind;
-pub mod mechanism;
+mod json;
+pub mod markdown;
+pub mod measurements;
 pub mod model;
-pub mod moments;
 pub mod page;
+pub mod provenance;
 pub mod ranking;
+pub mod requirement;
 pub mod roles;
 pub mod scale_page;
-pub mod table;
+pub mod units;
+pub mod worst_cases;
 
-use inputs::{Inputs, Measured};
-use model::Costs;
+use distribution_runs::DistributionRuns;
+pub use error::Error;
+use inputs::Inputs;
+use measurements::Measurements;
+use model::costs::Costs;
 use std::collections::BTreeMap;
-use std::fmt;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 
-/// The page, from the root of the repository.
-pub const PAGE: &str = "docs/CAPACITY.md";
+/// The capacity page, from the root of the repository.
+pub const CAPACITY_PAGE: &str = "docs/CAPACITY.md";
 /// The page of scale runs, from the root of the repository.
 pub const SCALE_PAGE: &str = "docs/measurements/scale.md";
 /// The inputs, from the root of the repository.
@@ -42,93 +54,50 @@
 /// The folder of scale runs, from the root of the repository.
 pub const SCALE_RUNS: &str = "docs/measurements/scale";
 
-/// Why tables can't be made.
-#[derive(Debug)]
-pub enum Fault {
-    /// A file can't be read or written.
-    File(PathBuf, std::io::Error),
-    /// A file is not what it should be.
-    Form(PathBuf, serde_json::Error),
-    /// A file is of another format.
-    Schema {
-        /// The file.
-        path: PathBuf,
-        /// The schema that it states.
-        found: u32,
-        /// The schema that this program reads.
-        known: u32,
-    },
-    /// A formula needs an input that is not there.
-    Missing(&'static str),
-    /// The page has no such marker, or no end after it.
-    NoPlace(String),
-}
-
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            Fault::File(path, e) => write!(f, "{}: {e}", path.display()),
-            Fault::Form(path, e) => write!(f, "{}: {e}", path.display()),
-            Fault::Schema { path, found, known } => {
-                write!(f, "{}: schema {found}, {known} is known", path.display())
-            }
-            Fault::Missing(input) => write!(f, "there is no input `{input}`"),
-            Fault::NoPlace(table) => write!(f, "the page has no place for the table `{table}`"),
-        }
-    }
-}
-
-impl std::error::Error for Fault {
-    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        match self {
-            Fault::File(_, e) => Some(e),
-            Fault::Form(_, e) => Some(e),
-            Fault::Schema { .. } | Fault::Missing(_) | Fault::NoPlace(_) => None,
-        }
-    }
-}
+/// Tables by their names.
+pub type Tables = BTreeMap<&'static str, String>;
 
-/// A page and what its tables have to be.
+/// A page and its generated tables.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Page {
     /// The page, from the root of the repository.
     pub file: &'static str,
-    /// Its tables by their names.
-    pub tables: BTreeMap<&'static str, String>,
+    /// Its tables.
+    pub tables: Tables,
 }
 
 /// All pages.
 ///
 /// # Errors
 /// If an input can't be read or is missing.
-pub fn pages(root: &Path) -> Result<[Page; 2], Fault> {
-    let scale = scale_page::tables(&root.join(SCALE_RUNS))?;
+pub fn pages(root: &Path) -> Result<[Page; 2], Error> {
     Ok([
         Page {
-            file: PAGE,
-            tables: tables(root)?,
+            file: CAPACITY_PAGE,
+            tables: capacity_tables(root)?,
         },
         Page {
             file: SCALE_PAGE,
-            tables: scale,
+            tables: scale_page::tables(&root.join(SCALE_RUNS))?,
         },
     ])
 }
 
-/// All tables of the page, by their names.
+/// All tables of the capacity page.
 ///
 /// # Errors
 /// If an input can't be read or is missing.
-pub fn tables(root: &Path) -> Result<BTreeMap<&'static str, String>, Fault> {
+pub fn capacity_tables(root: &Path) -> Result<Tables, Error> {
     let inputs = Inputs::read(&root.join(INPUTS))?;
-    let Measured { runs, slopes } = Measured::read(&root.join(SCALE_RUNS))?;
-    let costs = Costs::of(&inputs)?;
+    let Measurements { runs, slopes } = Measurements::read(&root.join(SCALE_RUNS))?;
+    let single_runs = measurements::without_sweep_points(&runs);
+    let costs = Costs::from_inputs(&inputs)?;
     let mut tables = roles::tables(&costs, &runs);
     tables.insert("ranking", ranking::table(&costs));
-    tables.insert("moments", moments::table(&costs, &runs));
-    tables.insert("scale", inputs::runs_table(&inputs::without_points(&runs)));
-    tables.insert("slopes", inputs::slopes_table(&slopes));
-    tables.insert("mechanism", mechanism::Plays::read(root)?.table());
+    tables.insert("moments", worst_cases::table(&costs, &runs));
+    tables.insert("scale", measurements::runs_table(&single_runs));
+    tables.insert("slopes", measurements::slopes_table(&slopes));
+    tables.insert("mechanism", DistributionRuns::read(root)?.table());
     tables.insert("inputs", inputs.table());
     Ok(tables)
 }
--- /dev/null
+++ b/crates/capacity/src/budget/model/endpoint_lists.rs
@@ -0,0 +1,56 @@
+//! Lists of servers, as list services push them or a registry is polled for them.
+
+use super::costs::Costs;
+use super::{program_limits, DAY_SECONDS};
+use crate::scale::report::Size;
+
+/// What polling all entries of a registry costs a node.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RegistryPolling {
+    /// Bytes a second.
+    pub traffic: f64,
+    /// Processor seconds a second.
+    pub cores: f64,
+}
+
+/// Bytes a second of a heartbeat on one watch: a packet, and its acknowledgement.
+pub fn watch_heartbeat_traffic(costs: &Costs) -> f64 {
+    (costs.heartbeat_bytes + 2.0 * costs.packet_overhead) / costs.heartbeat_interval
+}
+
+/// Bytes a second of the heartbeats of a watch for each service.
+pub fn heartbeat_traffic(costs: &Costs, size: &Size) -> f64 {
+    size.services as f64 / costs.heartbeat_interval
+        * (costs.heartbeat_bytes + 2.0 * costs.packet_overhead)
+}
+
+/// Bytes of lists that name so many servers.
+pub fn list_bytes(costs: &Costs, servers: f64) -> f64 {
+    costs.list_line_bytes * servers
+}
+
+/// The longest list that a node accepts, in servers.
+pub fn max_list_servers(costs: &Costs) -> f64 {
+    (program_limits::ENDPOINT_LIST_BYTES / costs.list_line_bytes).floor()
+}
+
+/// Restarts a second, averaged over a day.
+pub fn restart_rate(size: &Size) -> f64 {
+    size.restarts as f64 / DAY_SECONDS
+}
+
+/// Bytes a second of changes of lists, at a rate of restarts a second.
+pub fn change_traffic(costs: &Costs, restart_rate: f64) -> f64 {
+    restart_rate
+        * costs.list_changes_per_restart
+        * (costs.list_line_bytes + 2.0 * costs.packet_overhead)
+}
+
+/// What it costs to poll all entries of a registry.
+pub fn registry_polling(costs: &Costs, size: &Size) -> RegistryPolling {
+    let read_rate = size.servers as f64 / costs.registry_poll_interval;
+    RegistryPolling {
+        traffic: read_rate * costs.registry_entry_bytes,
+        cores: read_rate * costs.registry_entry_seconds,
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/budget/model/node.rs
@@ -0,0 +1,94 @@
+//! Memory and processor time that a node takes for control.
+
+use super::costs::Costs;
+use super::program_limits;
+use crate::scale::report::Size;
+
+/// Servers of the pool at which `pool_bytes` was measured.
+const MEASURED_POOL_SERVERS: f64 = 8.0;
+/// Services in a region at the target.
+const REGION_SERVICES: f64 = 650.0;
+/// Scans of the listed states for expired ones, a second.
+const EXPIRY_SCAN_RATE: f64 = 4.0;
+/// Rounds a second in which verdicts are applied to all pools.
+const VERDICT_RATE: f64 = 10.0;
+/// Most servers that the quorum condemns, of all.
+const CONDEMNED_RATIO_LIMIT: f64 = 0.2;
+
+/// Bytes that a node holds, by resource.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct NodeMemory {
+    /// All routes.
+    pub routes: f64,
+    /// All tenants.
+    pub tenants: f64,
+    /// All pools, without their servers.
+    pub pools: f64,
+    /// All servers.
+    pub servers: f64,
+    /// The other nodes.
+    pub peers: f64,
+    /// The program with one service.
+    pub program: f64,
+}
+
+impl NodeMemory {
+    /// The sum.
+    pub fn total(&self) -> f64 {
+        let NodeMemory {
+            routes,
+            tenants,
+            pools,
+            servers,
+            peers,
+            program,
+        } = *self;
+        routes + tenants + pools + servers + peers + program
+    }
+}
+
+/// Bytes of a pool without its servers.
+fn empty_pool_bytes(costs: &Costs) -> f64 {
+    (costs.pool_bytes - MEASURED_POOL_SERVERS * costs.endpoint_bytes).max(0.0)
+}
+
+/// Bytes that a node holds.
+pub fn memory(costs: &Costs, size: &Size) -> NodeMemory {
+    NodeMemory {
+        routes: size.routes as f64 * costs.route_bytes,
+        tenants: size.tenants as f64 * costs.tenant_bytes,
+        pools: size.services as f64 * empty_pool_bytes(costs),
+        servers: size.servers as f64 * costs.endpoint_bytes,
+        peers: (size.nodes as f64 - 1.0) * costs.peer_bytes,
+        program: costs.idle_node_bytes,
+    }
+}
+
+/// Bytes of pools if a node creates only those of its region's services.
+pub fn region_pool_bytes(costs: &Costs) -> f64 {
+    REGION_SERVICES * empty_pool_bytes(costs)
+}
+
+/// Processor time of a node in a cluster without requests: each pool has a timer of its own and is checked by itself, so that the
+/// line through 64 to 256 services goes on.
+pub fn idle_cores(costs: &Costs, size: &Size) -> f64 {
+    costs.idle_node_cores + size.services as f64 * costs.idle_service_cores
+}
+
+/// Processor time of scanning the listed states of servers for expired ones.
+pub fn expiry_cores(costs: &Costs, size: &Size) -> f64 {
+    EXPIRY_SCAN_RATE * size.servers as f64 * costs.expiry_seconds
+}
+
+/// Servers that can be condemned at once: the table is full, with as many witnesses on each as the quorum takes, or a fifth of the
+/// servers.
+pub fn max_condemned_servers(size: &Size) -> f64 {
+    (program_limits::VERDICTS / program_limits::QUORUM_WITNESSES)
+        .floor()
+        .min(CONDEMNED_RATIO_LIMIT * size.servers as f64)
+}
+
+/// Processor time of applying the verdict on every condemned server to every pool.
+pub fn verdict_cores(costs: &Costs, size: &Size) -> f64 {
+    VERDICT_RATE * max_condemned_servers(size) * size.services as f64 * costs.verdict_seconds
+}
--- a/crates/capacity/src/budget/page.rs
+++ b/crates/capacity/src/budget/page.rs
@@ -1,4 +1,4 @@
-//! The tables between the markers of a page.
+//! Tables between the markers of a page. The example `capacity` writes and checks pages with it.
 //!
 //! ```text
 //! <!-- table: NAME -->
@@ -6,54 +6,54 @@
 //! <!-- end -->
 //! ```
 
-use super::Fault;
-use std::collections::BTreeMap;
+use super::error::Error;
+use super::Tables;
+use std::ops::Range;
 
-const END: &str = "<!-- end -->";
+const START_MARKER: &str = "<!-- table: ";
+const END_MARKER: &str = "<!-- end -->";
 
-fn begin(name: &str) -> String {
-    format!("<!-- table: {name} -->\n")
+fn start_marker(name: &str) -> String {
+    format!("{START_MARKER}{name} -->\n")
 }
 
-/// Where a table stands in a page: what is between its marker and the next end.
-fn place(page: &str, name: &str) -> Result<std::ops::Range<usize>, Fault> {
-    let none = || Fault::NoPlace(name.to_owned());
-    let marker = begin(name);
-    let from = page.find(&marker).ok_or_else(none)? + marker.len();
-    let rest = page.get(from..).ok_or_else(none)?;
-    let to = from + rest.find(END).ok_or_else(none)?;
+/// The range of a table in a page: what is between its marker and the next end.
+fn table_range(page: &str, name: &str) -> Result<Range<usize>, Error> {
+    let missing = || Error::MissingMarker(name.to_owned());
+    let marker = start_marker(name);
+    let start = page.find(&marker).ok_or_else(missing)? + marker.len();
+    let rest = page.get(start..).ok_or_else(missing)?;
+    let end = start + rest.find(END_MARKER).ok_or_else(missing)?;
+    let content = page.get(start..end).ok_or_else(missing)?;
     // The next table's marker before this one's end: the end is missing.
-    let held = page.get(from..to).ok_or_else(none)?;
-    (!held.contains("<!-- table: "))
-        .then_some(from..to)
-        .ok_or_else(none)
+    if content.contains(START_MARKER) {
+        return Err(missing());
+    }
+    Ok(start..end)
 }
 
 /// The page with these tables in their places.
 ///
 /// # Errors
-/// If the page has no place for one.
-pub fn with_tables(page: &str, tables: &BTreeMap<&'static str, String>) -> Result<String, Fault> {
+/// If the page has no marker of one.
+pub fn replace_tables(page: &str, tables: &Tables) -> Result<String, Error> {
     let mut page = page.to_owned();
     for (name, table) in tables {
-        let place = place(&page, name)?;
-        page.replace_range(place, &format!("\n{table}\n"));
+        let range = table_range(&page, name)?;
+        page.replace_range(range, &format!("\n{table}\n"));
     }
     Ok(page)
 }
 
-/// The tables of which the page has other text, by their names.
+/// The names of tables whose text differs in the page.
 ///
 /// # Errors
-/// If the page has no place for one.
-pub fn stale(
-    page: &str,
-    tables: &BTreeMap<&'static str, String>,
-) -> Result<Vec<&'static str>, Fault> {
+/// If the page has no marker of one.
+pub fn stale_tables(page: &str, tables: &Tables) -> Result<Vec<&'static str>, Error> {
     let mut stale = Vec::new();
     for (name, table) in tables {
-        let held = page.get(place(page, name)?).unwrap_or_default();
-        if held.trim() != table.trim() {
+        let current = page.get(table_range(page, name)?).unwrap_or_default();
+        if current.trim() != table.trim() {
             stale.push(*name);
         }
     }
--- /dev/null
+++ b/crates/capacity/src/budget/ranking/mod.rs
@@ -0,0 +1,157 @@
+//! What does not fit, by how far: the first row is what to build first. The table `ranking` shows it.
+
+mod shortfalls;
+
+use super::markdown;
+use super::model::budget;
+use super::model::costs::Costs;
+use super::units::{amount, times, Unit};
+
+/// Processor time of one thread, in cores.
+const THREAD_CORES: f64 = 1.0;
+
+/// An amount at the target beside its budget.
+#[derive(Clone, Copy, Debug)]
+pub struct BudgetComparison {
+    /// What it is.
+    pub name: &'static str,
+    /// The amount at the target.
+    pub amount: f64,
+    /// The budget.
+    pub budget: f64,
+    /// The unit of both.
+    pub unit: Unit,
+    /// It rests on an assumption.
+    pub is_assumed: bool,
+}
+
+impl BudgetComparison {
+    fn new(name: &'static str, amount: f64, budget: f64, unit: Unit) -> BudgetComparison {
+        BudgetComparison {
+            name,
+            amount,
+            budget,
+            unit,
+            is_assumed: false,
+        }
+    }
+
+    /// Bytes a second at a node.
+    fn traffic(name: &'static str, amount: f64) -> BudgetComparison {
+        BudgetComparison::new(name, amount, budget::NODE_TRAFFIC, Unit::BytesPerSecond)
+    }
+
+    /// Processor time at a node.
+    fn cores(name: &'static str, amount: f64) -> BudgetComparison {
+        BudgetComparison::new(name, amount, budget::NODE_CORES, Unit::Cores)
+    }
+
+    /// Processor time of a program with one thread.
+    fn thread(name: &'static str, amount: f64) -> BudgetComparison {
+        BudgetComparison::new(name, amount, THREAD_CORES, Unit::Cores)
+    }
+
+    /// Memory at a node.
+    fn memory(name: &'static str, amount: f64) -> BudgetComparison {
+        BudgetComparison::new(name, amount, budget::NODE_MEMORY_BYTES, Unit::Bytes)
+    }
+
+    /// Seconds until a change is in force.
+    fn until_in_force(name: &'static str, amount: f64) -> BudgetComparison {
+        BudgetComparison::new(name, amount, budget::IN_FORCE_SECONDS, Unit::Seconds)
+    }
+
+    /// A number of things beside a limit of the program.
+    fn count(name: &'static str, amount: f64, limit: f64) -> BudgetComparison {
+        BudgetComparison::new(name, amount, limit, Unit::Count)
+    }
+
+    /// Bytes beside a limit of the program.
+    fn bytes(name: &'static str, amount: f64, limit: f64) -> BudgetComparison {
+        BudgetComparison::new(name, amount, limit, Unit::Bytes)
+    }
+
+    /// The same, resting on an assumption.
+    fn assumed(self) -> BudgetComparison {
+        BudgetComparison {
+            is_assumed: true,
+            ..self
+        }
+    }
+
+    /// How many times over the budget the amount is.
+    pub fn factor(&self) -> f64 {
+        self.amount / self.budget
+    }
+
+    fn amount_text(&self) -> String {
+        let note = if self.is_assumed { " (assumed)" } else { "" };
+        format!("{}: {}{note}", self.name, amount(self.amount, self.unit))
+    }
+}
+
+/// A mechanism, and what of it is over its budget.
+#[derive(Clone, Debug)]
+pub struct Shortfall {
+    /// What does not fit.
+    pub name: &'static str,
+    /// The mechanism behind it today, by source file; or that there is none.
+    pub mechanism: &'static str,
+    /// The amounts that are over their budgets.
+    pub comparisons: Vec<BudgetComparison>,
+}
+
+impl Shortfall {
+    /// The greatest factor.
+    pub fn factor(&self) -> f64 {
+        let factors = self.comparisons.iter().map(BudgetComparison::factor);
+        factors.fold(0.0, f64::max)
+    }
+
+    fn cells(&self, rank: usize) -> Vec<String> {
+        let mut comparisons = self.comparisons.clone();
+        comparisons.sort_by(|one, other| other.factor().total_cmp(&one.factor()));
+        let column = |cell: fn(&BudgetComparison) -> String| {
+            let cells: Vec<String> = comparisons.iter().map(cell).collect();
+            cells.join("<br>")
+        };
+        vec![
+            rank.to_string(),
+            self.name.to_owned(),
+            self.mechanism.to_owned(),
+            column(BudgetComparison::amount_text),
+            column(|comparison| amount(comparison.budget, comparison.unit)),
+            column(|comparison| times(comparison.factor())),
+        ]
+    }
+}
+
+/// All that does not fit at the target, the worst first.
+pub fn shortfalls(costs: &Costs) -> Vec<Shortfall> {
+    let mut all = shortfalls::all(costs);
+    for shortfall in &mut all {
+        shortfall
+            .comparisons
+            .retain(|comparison| comparison.factor() > 1.0);
+    }
+    all.retain(|shortfall| !shortfall.comparisons.is_empty());
+    all.sort_by(|one, other| other.factor().total_cmp(&one.factor()));
+    all
+}
+
+/// The ranking as a table.
+pub fn table(costs: &Costs) -> String {
+    let header = [
+        "",
+        "what",
+        "carried by",
+        "at the target",
+        "budget",
+        "times over",
+    ];
+    let ranked = shortfalls(costs).into_iter().zip(1..);
+    let rows: Vec<_> = ranked
+        .map(|(shortfall, rank)| shortfall.cells(rank))
+        .collect();
+    markdown::table(&header, &rows)
+}
--- /dev/null
+++ b/crates/capacity/src/budget/requirement.rs
@@ -0,0 +1,203 @@
+//! What a role requires of one resource at the three sizes, and whether it fits its budget. The modules of
+//! [`roles`](super::roles) build these.
+
+use super::markdown::{self, NOT_MEASURED};
+use super::model;
+use super::provenance::Provenance;
+use super::units::{amount, times, Unit};
+use crate::scale::report::Size;
+
+/// A change of the design, and the amount at the target with it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Improvement {
+    /// The change.
+    pub name: &'static str,
+    /// The amount at the target.
+    pub amount: f64,
+}
+
+/// Whether an amount is within its budget.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Verdict {
+    /// It is.
+    Fits,
+    /// It is not, and would be with an improvement that is not there yet.
+    FitsWith(Improvement),
+    /// It is not, by this factor.
+    DoesNotFit(f64),
+    /// It has no budget.
+    NoBudget,
+    /// The amount at the target is not known.
+    NotKnown,
+}
+
+/// What a role requires of one resource, at the three sizes of the page.
+#[derive(Clone, Debug)]
+pub struct Requirement {
+    /// What is required.
+    pub name: &'static str,
+    /// How the amounts are computed, in words.
+    pub derivation: &'static str,
+    /// How well they are known: as well as the worst of the inputs.
+    pub provenance: Provenance,
+    /// The amounts at the [`page_sizes`](model::page_sizes), as far as they are known.
+    pub amounts: [Option<f64>; 3],
+    /// The budget at the target.
+    pub budget: Option<f64>,
+    /// The unit of the amounts and the budget.
+    pub unit: Unit,
+    /// The mechanism behind it, by source file; or that there is none.
+    pub mechanism: &'static str,
+    /// What would reduce it.
+    pub improvement: Option<Improvement>,
+}
+
+impl Requirement {
+    fn new(
+        name: &'static str,
+        unit: Unit,
+        provenance: Provenance,
+        derivation: &'static str,
+    ) -> Requirement {
+        Requirement {
+            name,
+            derivation,
+            provenance,
+            amounts: [None; 3],
+            budget: None,
+            unit,
+            mechanism: "",
+            improvement: None,
+        }
+    }
+
+    /// A requirement that follows from measured inputs alone.
+    pub fn measured(name: &'static str, unit: Unit, derivation: &'static str) -> Requirement {
+        Requirement::new(name, unit, Provenance::Measured, derivation)
+    }
+
+    /// A requirement that a formula gives.
+    pub fn derived(name: &'static str, unit: Unit, derivation: &'static str) -> Requirement {
+        Requirement::new(name, unit, Provenance::Derived, derivation)
+    }
+
+    /// A requirement that rests on an assumption.
+    pub fn assumed(name: &'static str, unit: Unit, derivation: &'static str) -> Requirement {
+        Requirement::new(name, unit, Provenance::Assumed, derivation)
+    }
+
+    /// With the amount that a formula gives at each size.
+    pub fn at_sizes(self, formula: impl Fn(&Size) -> f64) -> Requirement {
+        let amounts = model::page_sizes().map(|size| Some(formula(&size)));
+        self.amounts(amounts)
+    }
+
+    /// With the same amount at all sizes.
+    pub fn constant(self, amount: f64) -> Requirement {
+        self.amounts([Some(amount); 3])
+    }
+
+    /// With these amounts, some of which may not be known.
+    pub fn amounts(self, amounts: [Option<f64>; 3]) -> Requirement {
+        Requirement { amounts, ..self }
+    }
+
+    /// With a budget at the target.
+    pub fn budget(self, budget: f64) -> Requirement {
+        Requirement {
+            budget: Some(budget),
+            ..self
+        }
+    }
+
+    /// With the mechanism behind it.
+    pub fn mechanism(self, mechanism: &'static str) -> Requirement {
+        Requirement { mechanism, ..self }
+    }
+
+    /// With what would reduce it.
+    pub fn improved_by(self, name: &'static str, amount: f64) -> Requirement {
+        Requirement {
+            improvement: Some(Improvement { name, amount }),
+            ..self
+        }
+    }
+
+    /// The amount at the target, if it is known.
+    pub fn at_target(&self) -> Option<f64> {
+        let [.., target] = self.amounts;
+        target
+    }
+
+    /// Whether it fits at the target.
+    pub fn verdict(&self) -> Verdict {
+        let Some(budget) = self.budget else {
+            return Verdict::NoBudget;
+        };
+        let Some(target) = self.at_target() else {
+            return Verdict::NotKnown;
+        };
+        if target <= budget {
+            return Verdict::Fits;
+        }
+        let sufficient = |improvement: &Improvement| improvement.amount <= budget;
+        match self.improvement.filter(sufficient) {
+            Some(improvement) => Verdict::FitsWith(improvement),
+            None => Verdict::DoesNotFit(target / budget),
+        }
+    }
+
+    /// How many times over its budget it is at the target.
+    fn excess_factor(&self) -> f64 {
+        self.at_target()
+            .zip(self.budget)
+            .map_or(0.0, |(target, budget)| target / budget)
+    }
+
+    fn verdict_text(&self) -> String {
+        match self.verdict() {
+            Verdict::Fits => "fits".to_owned(),
+            Verdict::FitsWith(improvement) => format!(
+                "{} times over; fits with {}: {}",
+                times(self.excess_factor()),
+                improvement.name,
+                amount(improvement.amount, self.unit)
+            ),
+            Verdict::DoesNotFit(factor) => format!("does not fit, {} times over", times(factor)),
+            Verdict::NoBudget => "no budget".to_owned(),
+            Verdict::NotKnown => "not known".to_owned(),
+        }
+    }
+
+    fn amount_text(&self, value: Option<f64>, unknown: &str) -> String {
+        value.map_or(unknown.to_owned(), |value| amount(value, self.unit))
+    }
+
+    fn cells(&self) -> Vec<String> {
+        let mut cells = vec![
+            self.name.to_owned(),
+            format!("{}: {}", self.provenance.label(), self.derivation),
+        ];
+        cells.extend(self.amounts.map(|at| self.amount_text(at, NOT_MEASURED)));
+        cells.push(self.amount_text(self.budget, "-"));
+        cells.push(self.verdict_text());
+        cells.push(self.mechanism.to_owned());
+        cells
+    }
+}
+
+/// Requirements as a table.
+pub fn table(requirements: &[Requirement]) -> String {
+    let header = [
+        "what",
+        "how",
+        "300 nodes",
+        "1,500",
+        "6,000",
+        "budget",
+        "verdict",
+        "carried by",
+    ];
+    let rows: Vec<_> = requirements.iter().map(Requirement::cells).collect();
+    markdown::table(&header, &rows)
+}
--- a/crates/capacity/src/budget/roles/node_connections.rs
+++ b/crates/capacity/src/budget/roles/node_connections.rs
@@ -1,60 +1,58 @@
-//! Connections of a node.
+//! Connections of a node. The table `node-connections` shows them.
 
-use super::super::kind::Kind::{Assumed, WorkedOut};
-use super::super::model::{self, bound, Costs};
-use super::super::table::{Row, Unit};
-use super::row::{at, Of};
+use crate::budget::model::costs::Costs;
+use crate::budget::model::{self, connections, program_limits};
+use crate::budget::requirement::Requirement;
+use crate::budget::units::Unit;
 
-pub fn node_connections(costs: &Costs) -> Vec<Row> {
+/// What a node requires of connections.
+pub fn requirements(costs: &Costs) -> Vec<Requirement> {
     vec![
-        Of("watches of lists", "services", WorkedOut, Unit::Count).row(
-            at(|size| size.services as f64),
-            Some(bound::SPARE_DESCRIPTORS),
-            "`crates/config/src/check.rs`: descriptors that are neither for clients \
+        Requirement::derived("watches of lists", Unit::Count, "services")
+            .at_sizes(|size| size.services as f64)
+            .budget(program_limits::SPARE_DESCRIPTORS)
+            .mechanism(
+                "`crates/config/src/check.rs`: descriptors that are neither for clients \
                 nor for servers",
-        ),
-        Of(
+            ),
+        Requirement::derived(
             "connections to servers that would stand idle",
-            "evenly spread, kept `idle_kept`",
-            WorkedOut,
             Unit::Count,
+            "evenly spread, kept `idle_kept`",
         )
-        .row(
-            at(|size| model::standing(costs, size) * size.servers as f64),
-            Some(bound::CONNECTIONS),
+        .at_sizes(|size| connections::idle_ratio(costs, size) * size.servers as f64)
+        .budget(program_limits::SERVER_CONNECTIONS)
+        .mechanism(
             "`crates/node/src/net/upstream.rs`: the oldest goes, so that a request \
                 dials",
         ),
-        Of(
+        Requirement::assumed(
             "requests a second to one server",
-            "evenly spread",
-            Assumed,
             Unit::CountPerSecond,
+            "evenly spread",
         )
-        .row(
-            at(model::pair_rate),
-            None,
+        .at_sizes(connections::request_rate_to_server)
+        .mechanism(
             "`crates/balancer/src/decide/subset.rs`: 2 a second are wanted; without a \
                 number each node has the whole list",
         ),
-        Of(
+        Requirement::assumed(
             "servers that could have 2 a second each",
-            "requests of a node",
-            Assumed,
             Unit::Count,
+            "requests of a node",
         )
-        .row(at(model::well_met), None, "the same"),
-        Of(
+        .at_sizes(connections::servers_at_warm_rate)
+        .mechanism("the same"),
+        Requirement::assumed(
             "requests that dial",
-            "no idle connection is there",
-            Assumed,
             Unit::CountPerSecond,
+            "no idle connection is there",
         )
-        .row(
-            at(|size| {
-                model::requests(size) / size.nodes as f64 * (1.0 - model::standing(costs, size))
-            }),
-            None,
+        .at_sizes(|size| {
+            model::request_rate(size) / size.nodes as f64
+                * (1.0 - connections::idle_ratio(costs, size))
+        })
+        .mechanism(
             "`crates/node/src/net/upstream.rs`: a round trip and a handshake of the \
                 system each",
         ),
--- a/crates/capacity/src/budget/roles/node_messages.rs
+++ b/crates/capacity/src/budget/roles/node_messages.rs
@@ -1,152 +1,153 @@
-//! What a node sends and receives for control.
+//! What a node sends and receives for control. The table `node-messages` shows it.
 
-use super::super::kind::Kind::{Assumed, Measured, WorkedOut};
-use super::super::model::{self, budget, Costs};
-use super::super::table::{Row, Unit};
-use super::row::{at, with, Of};
-use crate::scale::report::{Run, Size};
+use crate::budget::measurements::MeasuredRun;
+use crate::budget::model::costs::Costs;
+use crate::budget::model::{self, budget, endpoint_lists, gossip, leases, settings};
+use crate::budget::requirement::Requirement;
+use crate::budget::units::Unit;
+use crate::scale::report::Size;
 
-/// What nodes tell each other with nothing to tell: as measured, at the sizes at which it was.
-fn quiet(costs: &Costs, runs: &[(String, Run)]) -> Row {
-    let measured = |size: &Size| {
-        let run = runs
-            .iter()
-            .map(|(_, run)| run)
-            .find(|run| run.name == "quiet" && run.size.nodes == size.nodes);
-        let bytes = |run: &Run| {
-            run.per_node
-                .traffic
-                .iter()
-                .map(|t| t.bytes_in + t.bytes_out)
-                .sum()
-        };
-        run.map(bytes)
-    };
-    let [few, middle, target] = model::sizes();
-    let (at_300, at_1500) = (2.0 * costs.gossip_bytes_300, 2.0 * costs.gossip_bytes_1500);
-    let at = [
-        measured(&few).or(Some(at_300)),
-        measured(&middle).or(Some(at_1500)),
-        measured(&target),
-    ];
-    let how = "in and out; nothing is extended: out of a node come 604 bytes at 300 nodes, 602 \
-                at 1,000 and 604 at 1,500";
-    Of("fleet, quiet", how, Measured, Unit::BytesPerSecond).known(
-        at,
-        Some(budget::TRAFFIC),
-        "`crates/cluster`",
-    )
+/// The scale run without updates.
+const QUIET_RUN: &str = "quiet";
+
+/// What a node requires for the messages of control.
+pub fn requirements(costs: &Costs, runs: &[MeasuredRun]) -> Vec<Requirement> {
+    let mut requirements = settings_changes(costs);
+    requirements.extend(server_lists(costs));
+    requirements.push(quiet_cluster(costs, runs));
+    requirements.extend(cluster_updates(costs));
+    requirements.push(leases(costs));
+    requirements
 }
 
-pub fn node_messages(costs: &Costs, runs: &[(String, Run)]) -> Vec<Row> {
-    let target = Size::TARGET;
-    let traffic = Some(budget::TRAFFIC);
-    let by_change =
-        |size: &Size| model::changes(size) * (costs.change_bytes + 2.0 * costs.packet_overhead);
-    let restarts = |size: &Size| size.restarts as f64 / model::DAY;
+/// Changes of the settings.
+fn settings_changes(costs: &Costs) -> Vec<Requirement> {
     vec![
-        with(
-            Of(
-                "settings, a file for each change, the day's mean",
-                "`settings_bytes` by entries, changes a day",
-                WorkedOut,
-                Unit::BytesPerSecond,
-            )
-            .row(
-                at(|size| model::settings(costs, size) * model::changes(size)),
-                traffic,
-                "none: nothing carries files; `crates/node/src/standalone.rs` reads one \
+        Requirement::derived(
+            "settings, a file for each change, the day's mean",
+            Unit::BytesPerSecond,
+            "`settings_bytes` by entries, changes a day",
+        )
+        .at_sizes(|size| settings::file_bytes(costs, size) * settings::change_rate(size))
+        .budget(budget::NODE_TRAFFIC)
+        .mechanism(
+            "none: nothing carries files; `crates/node/src/standalone.rs` reads one \
                 from the disk",
-            ),
+        )
+        .improved_by(
             "each change by itself",
-            by_change(&target),
+            settings::change_rate(&Size::TARGET) * settings::change_packet_bytes(costs),
         ),
-        with(
-            Of(
-                "the same at the rate of 500 changes in a minute",
-                "the same",
-                WorkedOut,
-                Unit::BytesPerSecond,
-            )
-            .row(
-                at(|size| model::settings(costs, size) * 500.0 / 60.0),
-                traffic,
-                "none",
-            ),
+        Requirement::derived(
+            "the same at the rate of 500 changes in a minute",
+            Unit::BytesPerSecond,
+            "the same",
+        )
+        .at_sizes(|size| settings::burst_traffic(settings::file_bytes(costs, size)))
+        .budget(budget::NODE_TRAFFIC)
+        .mechanism("none")
+        .improved_by(
             "each change by itself",
-            500.0 / 60.0 * (costs.change_bytes + 2.0 * costs.packet_overhead),
+            settings::burst_traffic(settings::change_packet_bytes(costs)),
         ),
-        with(
-            Of(
-                "lists: signs of life of the watches",
-                "services, each `beat_every`",
-                Assumed,
-                Unit::BytesPerSecond,
-            )
-            .row(
-                at(|size| model::beats(costs, size)),
-                traffic,
-                "`crates/node/src/net/discovery.rs`: a connection for each service",
-            ),
+    ]
+}
+
+/// Endpoint lists.
+fn server_lists(costs: &Costs) -> Vec<Requirement> {
+    vec![
+        Requirement::assumed(
+            "lists: signs of life of the watches",
+            Unit::BytesPerSecond,
+            "services, each `beat_every`",
+        )
+        .at_sizes(|size| endpoint_lists::heartbeat_traffic(costs, size))
+        .budget(budget::NODE_TRAFFIC)
+        .mechanism("`crates/node/src/net/discovery.rs`: a connection for each service")
+        .improved_by(
             "one connection for all lists",
-            (costs.beat_bytes + 2.0 * costs.packet_overhead) / costs.beat_every,
+            endpoint_lists::watch_heartbeat_traffic(costs),
         ),
-        Of(
+        Requirement::assumed(
             "lists: changes",
-            "restarts a day, three changes each",
-            Assumed,
             Unit::BytesPerSecond,
+            "restarts a day, three changes each",
         )
-        .row(
-            at(|size| model::list_changes(costs, restarts(size))),
-            traffic,
-            "`crates/node/src/net/discovery.rs`",
-        ),
-        Of(
+        .at_sizes(|size| endpoint_lists::change_traffic(costs, endpoint_lists::restart_rate(size)))
+        .budget(budget::NODE_TRAFFIC)
+        .mechanism("`crates/node/src/net/discovery.rs`"),
+        Requirement::derived(
             "a registry in place of list services: entries read again",
-            "all entries each `reread_every`, `entry_read_bytes` each",
-            WorkedOut,
             Unit::BytesPerSecond,
+            "all entries each `reread_every`, `entry_read_bytes` each",
         )
-        .row(
-            at(|size| model::rereads(costs, size).0),
-            traffic,
-            "`crates/registry-client/src/follow.rs` (`tick`)",
-        ),
-        quiet(costs, runs),
-        Of(
+        .at_sizes(|size| endpoint_lists::registry_polling(costs, size).traffic)
+        .budget(budget::NODE_TRAFFIC)
+        .mechanism("`crates/registry-client/src/follow.rs` (`tick`)"),
+    ]
+}
+
+/// Bytes a second, in and out, of a node without updates at this size, if a run measured it.
+fn measured_quiet_traffic(runs: &[MeasuredRun], size: &Size) -> Option<f64> {
+    runs.iter()
+        .map(|measured| &measured.run)
+        .find(|run| run.name == QUIET_RUN && run.size.nodes == size.nodes)
+        .map(|run| run.per_node.bytes())
+}
+
+/// Gossip without updates, at the sizes at which it was measured.
+fn quiet_cluster(costs: &Costs, runs: &[MeasuredRun]) -> Requirement {
+    let [small, medium, target] = model::page_sizes();
+    // As much is received as is sent.
+    let small_input = 2.0 * costs.gossip_traffic_300;
+    let medium_input = 2.0 * costs.gossip_traffic_1500;
+    let amounts = [
+        measured_quiet_traffic(runs, &small).or(Some(small_input)),
+        measured_quiet_traffic(runs, &medium).or(Some(medium_input)),
+        measured_quiet_traffic(runs, &target),
+    ];
+    let derivation =
+        "in and out; nothing is extended: out of a node come 604 bytes at 300 nodes, 602 \
+                      at 1,000 and 604 at 1,500";
+    Requirement::measured("fleet, quiet", Unit::BytesPerSecond, derivation)
+        .amounts(amounts)
+        .budget(budget::NODE_TRAFFIC)
+        .mechanism("`crates/cluster`")
+}
+
+/// Gossip with updates.
+fn cluster_updates(costs: &Costs) -> Vec<Requirement> {
+    vec![
+        Requirement::assumed(
             "fleet: restarts of nodes, the day's mean",
+            Unit::BytesPerSecond,
             "an end, a beginning and a later life, each told as often as the size \
                 asks",
-            Assumed,
-            Unit::BytesPerSecond,
         )
-        .row(
-            at(|size| model::membership_news(costs, size, restarts(size))),
-            traffic,
-            "`crates/cluster/src/members.rs`",
-        ),
-        Of(
+        .at_sizes(|size| {
+            gossip::membership_traffic(costs, size, endpoint_lists::restart_rate(size))
+        })
+        .budget(budget::NODE_TRAFFIC)
+        .mechanism("`crates/cluster/src/members.rs`"),
+        Requirement::derived(
             "fleet: news, all datagrams full",
-            "three to each tenth of a second, in and out",
-            WorkedOut,
-            Unit::BytesPerSecond,
-        )
-        .row(
-            [model::most_news(); 3],
-            traffic,
-            "`crates/cluster/src/fleet`: nothing bounds bytes a second",
-        ),
-        Of(
-            "leases: a node that waits for one in each service",
-            "all keepers once in a lease's length",
-            WorkedOut,
             Unit::BytesPerSecond,
+            "three to each tenth of a second, in and out",
         )
-        .row(
-            at(|size| model::asker_traffic(costs, size)),
-            traffic,
-            "`crates/lease/src/holder.rs`; not switched on for lists",
-        ),
+        .constant(gossip::max_traffic())
+        .budget(budget::NODE_TRAFFIC)
+        .mechanism("`crates/cluster/src/fleet`: nothing bounds bytes a second"),
     ]
 }
+
+/// Requests for leases.
+fn leases(costs: &Costs) -> Requirement {
+    Requirement::derived(
+        "leases: a node that waits for one in each service",
+        Unit::BytesPerSecond,
+        "all keepers once in a lease's length",
+    )
+    .at_sizes(|size| leases::requester_traffic(costs, size))
+    .budget(budget::NODE_TRAFFIC)
+    .mechanism("`crates/lease/src/holder.rs`; not switched on for lists")
+}
--- a/crates/capacity/src/budget/roles/node_processor.rs
+++ b/crates/capacity/src/budget/roles/node_processor.rs
@@ -1,124 +1,130 @@
-//! Processor time that a node takes for control.
+//! Processor time that a node takes for control. The table `node-processor` shows it.
 
-use super::super::kind::Kind::{Measured, WorkedOut};
-use super::super::model::{self, budget, Costs};
-use super::super::table::{Row, Unit};
-use super::row::{at, with, Of};
+use crate::budget::model::costs::Costs;
+use crate::budget::model::{budget, endpoint_lists, gossip, node, settings};
+use crate::budget::requirement::Requirement;
+use crate::budget::units::Unit;
 use crate::scale::report::Size;
 
-pub fn node_processor(costs: &Costs) -> Vec<Row> {
-    let processor = Some(budget::PROCESSOR);
-    let restarts = |size: &Size| size.restarts as f64 / model::DAY;
-    let updates = |size: &Size| {
-        let nodes = size.nodes as f64;
-        3.0 * model::node_restarts(size, restarts(size))
-            * model::tellings(nodes)
-            * model::update(costs, nodes)
-    };
+/// What a node requires of its processor.
+pub fn requirements(costs: &Costs) -> Vec<Requirement> {
+    [
+        settings_and_pools(costs),
+        server_lists(costs),
+        cluster(costs),
+        requests(costs),
+    ]
+    .concat()
+}
+
+/// Reading settings, and idle pools.
+fn settings_and_pools(costs: &Costs) -> Vec<Requirement> {
     vec![
-        Of(
+        Requirement::derived(
             "reading the whole file at each change",
+            Unit::Cores,
             "`read_seconds` by length, changes a day",
-            WorkedOut,
+        )
+        .at_sizes(|size| {
+            settings::read_seconds(costs, settings::file_bytes(costs, size))
+                * settings::change_rate(size)
+        })
+        .budget(budget::NODE_CORES)
+        .mechanism("`crates/config/src/reader.rs`"),
+        Requirement::derived(
+            "at rest, nobody asking: timers of pools, looks at pools",
             Unit::Cores,
+            "`rest_cores`, `service_rest_cores`; measured to 256 services",
         )
-        .row(
-            at(|size| model::read_time(costs, model::settings(costs, size)) * model::changes(size)),
-            processor,
-            "`crates/config/src/reader.rs`",
-        ),
-        with(
-            Of(
-                "at rest, nobody asking: timers of pools, looks at pools",
-                "`rest_cores`, `service_rest_cores`; measured to 256 services",
-                WorkedOut,
-                Unit::Cores,
-            )
-            .row(
-                at(|size| model::at_rest(costs, size)),
-                processor,
-                "`crates/balancer/src/decide/mod.rs` (`sweep`), `crates/node/src/net/pool.rs`, \
+        .at_sizes(|size| node::idle_cores(costs, size))
+        .budget(budget::NODE_CORES)
+        .mechanism(
+            "`crates/balancer/src/decide/mod.rs` (`sweep`), `crates/node/src/net/pool.rs`, \
                 `crates/node/src/net/shared.rs`",
-            ),
+        )
+        .improved_by(
             "pools that rest without a timer: as one service",
-            costs.rest_cores,
+            costs.idle_node_cores,
         ),
-        Of(
+    ]
+}
+
+/// Endpoint lists and the verdicts on their servers.
+fn server_lists(costs: &Costs) -> Vec<Requirement> {
+    vec![
+        Requirement::derived(
             "entries of a registry read again",
-            "all of them each `reread_every`, `entry_read_seconds` each",
-            WorkedOut,
             Unit::Cores,
+            "all of them each `reread_every`, `entry_read_seconds` each",
         )
-        .row(
-            at(|size| model::rereads(costs, size).1),
-            processor,
-            "`crates/registry-client/src/follow.rs` (`tick`)",
-        ),
-        Of(
+        .at_sizes(|size| endpoint_lists::registry_polling(costs, size).cores)
+        .budget(budget::NODE_CORES)
+        .mechanism("`crates/registry-client/src/follow.rs` (`tick`)"),
+        Requirement::derived(
             "words of lists looked through, four times a second",
-            "`lapse_seconds` for each server",
-            WorkedOut,
             Unit::Cores,
+            "`lapse_seconds` for each server",
         )
-        .row(
-            at(|size| model::lapses(costs, size)),
-            processor,
-            "`crates/routing/src/shared_servers.rs` (`expire`)",
-        ),
-        Of(
+        .at_sizes(|size| node::expiry_cores(costs, size))
+        .budget(budget::NODE_CORES)
+        .mechanism("`crates/routing/src/shared_servers.rs` (`expire`)"),
+        Requirement::derived(
             "each pool told of each server held for sick, at the worst moment",
-            "a full table of verdicts, ten times a second",
-            WorkedOut,
             Unit::Cores,
+            "a full table of verdicts, ten times a second",
         )
-        .row(
-            at(|size| model::judging(costs, size)),
-            processor,
+        .at_sizes(|size| node::verdict_cores(costs, size))
+        .budget(budget::NODE_CORES)
+        .mechanism(
             "`crates/node/src/fleet/mod.rs` (`judge`), \
                 `crates/node/src/net/shared.rs`",
         ),
-        Of(
+    ]
+}
+
+/// Membership of the cluster.
+fn cluster(costs: &Costs) -> Vec<Requirement> {
+    vec![
+        Requirement::derived(
             "sorting members while there is news",
-            "ten draws a second",
-            WorkedOut,
             Unit::Cores,
+            "ten draws a second",
         )
-        .row(
-            at(|size| model::draws(costs, size.nodes as f64)),
-            processor,
-            "`crates/cluster/src/fleet` (`draw`)",
-        ),
-        Of(
+        .at_sizes(|size| gossip::sampling_cores(costs, size.nodes as f64))
+        .budget(budget::NODE_CORES)
+        .mechanism("`crates/cluster/src/fleet` (`draw`)"),
+        Requirement::derived(
             "words about members, the day's mean",
-            "members are looked through for each",
-            WorkedOut,
             Unit::Cores,
+            "members are looked through for each",
         )
-        .row(
-            at(updates),
-            processor,
-            "the library `foca` below `crates/cluster/src/members.rs`",
-        ),
-        Of(
-            "a choice among 1,000 servers",
-            "one core",
-            Measured,
-            Unit::Seconds,
-        )
-        .row(
-            [costs.choice_seconds_1000; 3],
-            Some(budget::ADDED),
-            "`crates/balancer/src/decide/selection.rs`",
-        ),
-        Of(
+        .at_sizes(|size| member_update_cores(costs, size))
+        .budget(budget::NODE_CORES)
+        .mechanism("the library `foca` below `crates/cluster/src/members.rs`"),
+    ]
+}
+
+/// Processor time of applying member updates, averaged over a day.
+fn member_update_cores(costs: &Costs, size: &Size) -> f64 {
+    gossip::member_update_rate(size, endpoint_lists::restart_rate(size))
+        * gossip::member_update_seconds(costs, size.nodes as f64)
+}
+
+/// Work that delays requests.
+fn requests(costs: &Costs) -> Vec<Requirement> {
+    vec![
+        Requirement::measured("a choice among 1,000 servers", Unit::Seconds, "one core")
+            .constant(costs.selection_seconds_1000)
+            .budget(budget::ADDED_LATENCY_SECONDS)
+            .mechanism("`crates/balancer/src/decide/selection.rs`"),
+        Requirement::measured(
             "a list of 5,000 servers taken in",
-            "one core; requests wait",
-            Measured,
             Unit::Seconds,
+            "one core; requests wait",
         )
-        .row(
-            [costs.join_seconds_5000; 3],
-            Some(budget::ADDED),
+        .constant(costs.list_update_seconds_5000)
+        .budget(budget::ADDED_LATENCY_SECONDS)
+        .mechanism(
             "`crates/balancer/src/decide/endpoint_list.rs`, `crates/balancer/src/floored.rs`",
         ),
     ]
--- a/crates/capacity/src/budget/roles/node_state.rs
+++ b/crates/capacity/src/budget/roles/node_state.rs
@@ -1,143 +1,178 @@
-//! What a node holds, and the bounds of what it may hold.
+//! What a node holds, and the limits of what it may hold. The table `node-state` shows it.
 
-use super::super::kind::Kind::{Measured, WorkedOut};
-use super::super::model::{self, bound, budget, Costs};
-use super::super::table::{Row, Unit};
-use super::row::{at, with, Of};
+use crate::budget::model::costs::Costs;
+use crate::budget::model::{self, budget, node, program_limits, settings};
+use crate::budget::requirement::Requirement;
+use crate::budget::units::Unit;
 use crate::scale::report::Size;
 
-pub fn node_state(costs: &Costs) -> Vec<Row> {
-    let target = Size::TARGET;
-    let part = |n: usize| at(|size| model::held(costs, size).get(n).copied().unwrap_or_default());
-    let all = at(|size| model::held(costs, size).iter().sum());
-    let memory = Some(budget::MEMORY);
-    let compact = [
-        target.routes as f64 * costs.compact_route_bytes,
-        target.tenants as f64 * costs.compact_tenant_bytes,
-        target.servers as f64 * costs.compact_server_bytes,
-    ];
-    let region = target.nodes as f64 / model::REGIONS;
+/// Copies of a verdict in the table.
+const COPIES_PER_VERDICT: f64 = 3.0;
+
+/// Bytes of the parts of a node's state at the target, in compact tables.
+struct Compact {
+    routes: f64,
+    tenants: f64,
+    servers: f64,
+}
+
+impl Compact {
+    fn at_target(costs: &Costs) -> Compact {
+        let target = Size::TARGET;
+        Compact {
+            routes: target.routes as f64 * costs.compact_route_bytes,
+            tenants: target.tenants as f64 * costs.compact_tenant_bytes,
+            servers: target.servers as f64 * costs.compact_server_bytes,
+        }
+    }
+
+    fn total(&self) -> f64 {
+        self.routes + self.tenants + self.servers
+    }
+}
+
+/// What a node requires for its state.
+pub fn requirements(costs: &Costs) -> Vec<Requirement> {
+    [
+        configured_state(costs),
+        learned_state(costs),
+        configuration_limits(),
+        observation_limits(),
+    ]
+    .concat()
+}
+
+/// Memory of what the settings and lists configure.
+fn configured_state(costs: &Costs) -> Vec<Requirement> {
     vec![
-        with(
-            Of("routes", "`route_bytes` each", Measured, Unit::Bytes).row(
-                part(0),
-                memory,
+        Requirement::measured("routes", Unit::Bytes, "`route_bytes` each")
+            .at_sizes(|size| node::memory(costs, size).routes)
+            .budget(budget::NODE_MEMORY_BYTES)
+            .mechanism(
                 "`crates/routing/src/table.rs`, `crates/config/src/check.rs` (the plan \
                 keeps each route three times)",
-            ),
-            "one copy in flat tables",
-            compact[0],
-        ),
-        with(
-            Of("tenants", "`tenant_bytes` each", Measured, Unit::Bytes).row(
-                part(1),
-                memory,
+            )
+            .improved_by("one copy in flat tables", Compact::at_target(costs).routes),
+        Requirement::measured("tenants", Unit::Bytes, "`tenant_bytes` each")
+            .at_sizes(|size| node::memory(costs, size).tenants)
+            .budget(budget::NODE_MEMORY_BYTES)
+            .mechanism(
                 "`crates/config/src/model.rs`, `crates/balancer/src/settings.rs`, \
                 `crates/node/src/net/service.rs` (`PoolKey`)",
-            ),
-            "a hash, a quota and a level each",
-            compact[1],
-        ),
-        with(
-            Of(
-                "pools without their servers",
-                "`pool_bytes` less eight of `entry_bytes`",
-                WorkedOut,
-                Unit::Bytes,
             )
-            .row(part(2), memory, "`crates/node/src/net/pool.rs`"),
-            "pools made by their first request: 650 of a region",
-            650.0 * (costs.pool_bytes - 8.0 * costs.entry_bytes).max(0.0),
-        ),
-        with(
-            Of(
-                "servers",
-                "`entry_bytes` each, in one pool; straight from 50 to 5,000 entries",
-                WorkedOut,
-                Unit::Bytes,
-            )
-            .row(
-                part(3),
-                memory,
-                "`crates/node/src/net/pool.rs`, `crates/balancer/src/decide/servers.rs`, \
-                `crates/balancer/src/engine.rs`, `crates/routing/src/shared_servers.rs`",
+            .improved_by(
+                "a hash, a quota and a level each",
+                Compact::at_target(costs).tenants,
             ),
-            "names and addresses alone for what is not sent to",
-            compact[2],
-        ),
-        Of("other nodes", "`peer_bytes` each", Measured, Unit::Bytes).row(
-            part(4),
-            memory,
-            "`crates/cluster/src/members.rs`, `freshness.rs`, `fleet`",
+        Requirement::derived(
+            "pools without their servers",
+            Unit::Bytes,
+            "`pool_bytes` less eight of `entry_bytes`",
+        )
+        .at_sizes(|size| node::memory(costs, size).pools)
+        .budget(budget::NODE_MEMORY_BYTES)
+        .mechanism("`crates/node/src/net/pool.rs`")
+        .improved_by(
+            "pools made by their first request: 650 of a region",
+            node::region_pool_bytes(costs),
         ),
-        Of(
-            "the program with one service",
-            "`rest_bytes`",
-            Measured,
+        Requirement::derived(
+            "servers",
             Unit::Bytes,
+            "`entry_bytes` each, in one pool; straight from 50 to 5,000 entries",
+        )
+        .at_sizes(|size| node::memory(costs, size).servers)
+        .budget(budget::NODE_MEMORY_BYTES)
+        .mechanism(
+            "`crates/node/src/net/pool.rs`, `crates/balancer/src/decide/servers.rs`, \
+                `crates/balancer/src/engine.rs`, `crates/routing/src/shared_servers.rs`",
         )
-        .row(part(5), memory, "`crates/node`"),
-        with(
-            Of("all of these", "sum", WorkedOut, Unit::Bytes).row(all, memory, "`crates/node`"),
-            "all of the above, and other nodes of the region alone",
-            compact.iter().sum::<f64>()
-                + 650.0 * (costs.pool_bytes - 8.0 * costs.entry_bytes).max(0.0)
-                + region * costs.peer_bytes
-                + costs.rest_bytes,
+        .improved_by(
+            "names and addresses alone for what is not sent to",
+            Compact::at_target(costs).servers,
         ),
-        Of(
+    ]
+}
+
+/// Memory of the rest, the sum, and memory at particular moments.
+fn learned_state(costs: &Costs) -> Vec<Requirement> {
+    vec![
+        Requirement::measured("other nodes", Unit::Bytes, "`peer_bytes` each")
+            .at_sizes(|size| node::memory(costs, size).peers)
+            .budget(budget::NODE_MEMORY_BYTES)
+            .mechanism("`crates/cluster/src/members.rs`, `freshness.rs`, `fleet`"),
+        Requirement::measured("the program with one service", Unit::Bytes, "`rest_bytes`")
+            .at_sizes(|size| node::memory(costs, size).program)
+            .budget(budget::NODE_MEMORY_BYTES)
+            .mechanism("`crates/node`"),
+        Requirement::derived("all of these", Unit::Bytes, "sum")
+            .at_sizes(|size| node::memory(costs, size).total())
+            .budget(budget::NODE_MEMORY_BYTES)
+            .mechanism("`crates/node`")
+            .improved_by(
+                "all of the above, and other nodes of the region alone",
+                improved_total(costs),
+            ),
+        Requirement::derived(
             "while a settings file is read",
-            "`read_memory` by length; straight as it grows with entries",
-            WorkedOut,
             Unit::Bytes,
+            "`read_memory` by length; straight as it grows with entries",
         )
-        .row(
-            at(|size| model::read_memory(costs, model::settings(costs, size))),
-            memory,
-            "`crates/config/src/reader.rs`",
-        ),
-        Of(
+        .at_sizes(|size| settings::read_memory(costs, settings::file_bytes(costs, size)))
+        .budget(budget::NODE_MEMORY_BYTES)
+        .mechanism("`crates/config/src/reader.rs`"),
+        Requirement::derived(
             "verdicts that can be held",
-            "bound of the table, `verdict_bytes` three times each",
-            WorkedOut,
             Unit::Bytes,
+            "bound of the table, `verdict_bytes` three times each",
         )
-        .row(
-            [bound::VERDICTS * 3.0 * costs.verdict_bytes; 3],
-            memory,
-            "`crates/cluster/src/table.rs`",
-        ),
-        Of("services in a file", "size", WorkedOut, Unit::Count).row(
-            at(|size| size.services as f64),
-            Some(bound::SERVICES),
-            "`crates/config/src/check.rs`: more are refused",
-        ),
-        Of("routes in a file", "size", WorkedOut, Unit::Count).row(
-            at(|size| size.routes as f64),
-            Some(bound::ROUTES),
-            "`crates/config/src/check.rs`",
-        ),
-        Of(
+        .constant(program_limits::VERDICTS * COPIES_PER_VERDICT * costs.verdict_bytes)
+        .budget(budget::NODE_MEMORY_BYTES)
+        .mechanism("`crates/cluster/src/table.rs`"),
+    ]
+}
+
+/// Bytes of a node's state with all improvements, and with the peers of its region alone.
+fn improved_total(costs: &Costs) -> f64 {
+    let region_nodes = Size::TARGET.nodes as f64 / model::REGIONS;
+    Compact::at_target(costs).total()
+        + node::region_pool_bytes(costs)
+        + region_nodes * costs.peer_bytes
+        + costs.idle_node_bytes
+}
+
+/// Limits of a settings file.
+fn configuration_limits() -> Vec<Requirement> {
+    vec![
+        Requirement::derived("services in a file", Unit::Count, "size")
+            .at_sizes(|size| size.services as f64)
+            .budget(program_limits::SERVICES)
+            .mechanism("`crates/config/src/check.rs`: more are refused"),
+        Requirement::derived("routes in a file", Unit::Count, "size")
+            .at_sizes(|size| size.routes as f64)
+            .budget(program_limits::ROUTES)
+            .mechanism("`crates/config/src/check.rs`"),
+    ]
+}
+
+/// Limits of what a node retains of peers and servers.
+fn observation_limits() -> Vec<Requirement> {
+    vec![
+        Requirement::derived(
             "other nodes whose clocks and lives are kept",
-            "nodes less one",
-            WorkedOut,
             Unit::Count,
+            "nodes less one",
         )
-        .row(
-            at(|size| size.nodes as f64 - 1.0),
-            Some(bound::PEERS),
-            "`crates/cluster/src/freshness.rs`, `fleet.rs`: the first met is forgotten",
-        ),
-        Of(
+        .at_sizes(|size| size.nodes as f64 - 1.0)
+        .budget(program_limits::PEERS)
+        .mechanism("`crates/cluster/src/freshness.rs`, `fleet.rs`: the first met is forgotten"),
+        Requirement::derived(
             "servers met within 5 s",
-            "requests of 5 s at one node, at most",
-            WorkedOut,
             Unit::Count,
+            "requests of 5 s at one node, at most",
         )
-        .row(
-            at(|size| model::requests(size) / size.nodes as f64 * bound::OUTCOMES),
-            Some(bound::WITNESSED),
-            "`crates/cluster/src/observer.rs`: further ones are not noted",
-        ),
+        .at_sizes(|size| model::node_request_rate(size) * program_limits::OUTCOME_WINDOW_SECONDS)
+        .budget(program_limits::OBSERVED_SERVERS)
+        .mechanism("`crates/cluster/src/observer.rs`: further ones are not noted"),
     ]
 }
--- a/crates/capacity/src/budget/roles/operator.rs
+++ b/crates/capacity/src/budget/roles/operator.rs
@@ -1,67 +1,58 @@
-//! An operator, by hand.
+//! What manual operations require. The table `operator` shows them.
 
-use super::super::kind::Kind::WorkedOut;
-use super::super::model::{self, bound, budget, Costs};
-use super::super::table::{Row, Unit};
-use super::row::{at, Of};
+use crate::budget::model::costs::Costs;
+use crate::budget::model::{self, budget, gossip, program_limits};
+use crate::budget::requirement::Requirement;
+use crate::budget::units::Unit;
 use crate::scale::report::Size;
 
-pub fn operator(costs: &Costs) -> Vec<Row> {
-    let nodes = |size: &Size| size.nodes as f64;
-    // A line of `crates/node/src/report.rs`: a name, an address and a life.
-    let line = 36.0;
+/// A line of `crates/node/src/report.rs` on one member, in bytes.
+const MEMBER_LINE_BYTES: f64 = 36.0;
+
+/// Bans of all servers of a zone: those of the target, scaled by the nodes.
+fn zone_bans(size: &Size) -> f64 {
+    model::ZONE_SERVERS * size.nodes as f64 / Size::TARGET.nodes as f64
+}
+
+/// What an operator's commands require.
+pub fn requirements(costs: &Costs) -> Vec<Requirement> {
     vec![
-        Of(
+        Requirement::derived(
             "a change of settings",
-            "a file at each node and SIGHUP, by hand",
-            WorkedOut,
             Unit::Count,
+            "a file at each node and SIGHUP, by hand",
         )
-        .row(at(nodes), None, "none: nothing takes a call to all nodes"),
-        Of(
+        .at_sizes(|size| size.nodes as f64)
+        .mechanism("none: nothing takes a call to all nodes"),
+        Requirement::derived(
             "one ban, told by one node",
-            "tellings, one datagram each",
-            WorkedOut,
             Unit::Count,
+            "tellings, one datagram each",
         )
-        .row(
-            at(|size| model::tellings(nodes(size))),
-            None,
+        .at_sizes(|size| gossip::transmissions(size.nodes as f64))
+        .mechanism(
             "`crates/cluster/src/table.rs`; p99 0.31 s at 300, 0.34 s at 1,000 \
                 (docs/measurements/verdicts.md) and 0.41 s at 1,500 nodes",
         ),
-        Of(
+        Requirement::derived(
             "bans of a zone, until told",
-            "3,850 at the target, in proportion",
-            WorkedOut,
             Unit::Seconds,
+            "3,850 at the target, in proportion",
         )
-        .row(
-            at(|size| model::told_in(costs, 3850.0 * nodes(size) / 6000.0, nodes(size))),
-            Some(budget::IN_FORCE),
-            "`crates/cluster/src/table.rs`: no word for a zone",
-        ),
-        Of(
-            "servers out by hand at once",
-            "a zone's",
-            WorkedOut,
-            Unit::Count,
-        )
-        .row(
-            at(|size| size.servers as f64 / model::ZONES),
-            Some(bound::BANS),
-            "`crates/admin/src/ban.rs`",
-        ),
-        Of(
+        .at_sizes(|size| gossip::spread_seconds(costs, zone_bans(size), size.nodes as f64))
+        .budget(budget::IN_FORCE_SECONDS)
+        .mechanism("`crates/cluster/src/table.rs`: no word for a zone"),
+        Requirement::derived("servers out by hand at once", Unit::Count, "a zone's")
+            .at_sizes(|size| size.servers as f64 / model::ZONES)
+            .budget(program_limits::BANS)
+            .mechanism("`crates/admin/src/ban.rs`"),
+        Requirement::derived(
             "who is there, asked of a node",
-            "a line for each",
-            WorkedOut,
             Unit::Bytes,
+            "a line for each",
         )
-        .row(
-            at(|size| nodes(size) * line),
-            Some(bound::SAID),
-            "`crates/node/src/report.rs`: cut, and the rest is counted",
-        ),
+        .at_sizes(|size| size.nodes as f64 * MEMBER_LINE_BYTES)
+        .budget(program_limits::MANAGEMENT_RESPONSE_BYTES)
+        .mechanism("`crates/node/src/report.rs`: cut, and the rest is counted"),
     ]
 }
--- a/crates/capacity/src/budget/roles/server.rs
+++ b/crates/capacity/src/budget/roles/server.rs
@@ -1,58 +1,52 @@
-//! A server that requests are sent to.
+//! What a server that nodes send requests to has to handle. The table `server` shows it.
 
-use super::super::kind::Kind::{Assumed, WorkedOut};
-use super::super::model::{self, Costs};
-use super::super::table::{Row, Unit};
-use super::row::{at, Of};
+use crate::budget::model::costs::Costs;
+use crate::budget::model::{self, connections};
+use crate::budget::requirement::Requirement;
+use crate::budget::units::Unit;
 
-pub fn server(costs: &Costs) -> Vec<Row> {
+/// What a server requires.
+pub fn requirements(costs: &Costs) -> Vec<Requirement> {
     vec![
-        Of("requests", "evenly spread", Assumed, Unit::CountPerSecond).row(
-            at(|size| model::requests(size) / size.servers as f64),
-            None,
-            "`crates/balancer`",
-        ),
-        Of(
+        Requirement::assumed("requests", Unit::CountPerSecond, "evenly spread")
+            .at_sizes(connections::server_request_rate)
+            .mechanism("`crates/balancer`"),
+        Requirement::derived(
             "connections that stand idle",
-            "from all nodes, kept `idle_kept`",
-            WorkedOut,
             Unit::Count,
+            "from all nodes, kept `idle_kept`",
         )
-        .row(
-            at(|size| model::standing(costs, size) * size.nodes as f64),
-            None,
+        .at_sizes(|size| connections::idle_ratio(costs, size) * size.nodes as f64)
+        .mechanism(
             "`crates/node/src/net/upstream.rs`; `process.server_connections` bounds \
                 them for one node alone",
         ),
-        Of(
+        Requirement::derived(
             "connections opened",
-            "requests that meet none",
-            WorkedOut,
             Unit::CountPerSecond,
+            "requests that meet none",
         )
-        .row(
-            at(|size| {
-                model::requests(size) / size.servers as f64 * (1.0 - model::standing(costs, size))
-            }),
-            None,
-            "the same",
-        ),
-        Of(
+        .at_sizes(|size| {
+            model::request_rate(size) / size.servers as f64
+                * (1.0 - connections::idle_ratio(costs, size))
+        })
+        .mechanism("the same"),
+        Requirement::derived(
             "probes",
-            "nodes send none; one node in a second tries a condemned server",
-            WorkedOut,
             Unit::CountPerSecond,
+            "nodes send none; one node in a second tries a condemned server",
         )
-        .row([0.0; 3], None, "`crates/cluster/src/quorum.rs`"),
-        Of(
+        .constant(0.0)
+        .mechanism("`crates/cluster/src/quorum.rs`"),
+        Requirement::assumed(
             "a request from each node within a second of its start",
-            "nodes that have it listed and a request for it",
-            Assumed,
             Unit::Count,
+            "nodes that have it listed and a request for it",
         )
-        .row(
-            at(|size| size.nodes as f64 * (1.0 - (-model::pair_rate(size)).exp())),
-            None,
+        .at_sizes(|size| {
+            size.nodes as f64 * (1.0 - (-connections::request_rate_to_server(size)).exp())
+        })
+        .mechanism(
             "`crates/balancer/src/decide/slow_start.rs`: tolerance is parted by `process.nodes`",
         ),
     ]
--- a/crates/capacity/src/budget/scale_page/cells.rs
+++ b/crates/capacity/src/budget/scale_page/cells.rs
@@ -1,20 +1,17 @@
-//! Cells of the tables: figures of the runs of one report.
+//! Figures of the runs of one report as text. The tables of the page of scale runs call these.
 
-use crate::budget::table::{amount, Unit};
+use crate::budget::markdown::NOT_MEASURED;
+use crate::budget::units::{amount, Unit};
 use crate::scale::record::{Added, Record};
 use crate::scale::report::{RequestTimes, Run, Source, Times, Traffic};
 
-/// What is said where nothing was measured.
-pub(super) const NOT_MEASURED: &str = "not measured";
-/// The kind of traffic that tells which servers fail.
-const VERDICTS: &str = "verdicts";
+/// The kind of traffic that reports faulty servers.
+const VERDICT_TRAFFIC: &str = "verdicts";
+/// The run in which changes arrive at a steady rate.
+pub(super) const CHANGES_RUN: &str = "changes";
 
-/// Runs of hollow nodes of a name.
-pub(super) fn hollow<'a>(record: &'a Record, name: &'a str) -> impl Iterator<Item = &'a Run> {
-    of(record, name, Source::HollowNodes)
-}
-
-pub(super) fn of<'a>(
+/// Runs of a name and a source.
+pub(super) fn runs<'a>(
     record: &'a Record,
     name: &'a str,
     source: Source,
@@ -26,139 +23,147 @@
         .filter(move |run| run.name == name && run.source == source)
 }
 
-pub(super) fn nodes(record: &Record) -> usize {
-    hollow(record, "quiet")
-        .next()
-        .map_or(0, |run| run.size.nodes)
-}
-
-fn bytes(run: &Run, of: fn(&Traffic) -> f64) -> Option<f64> {
-    Some(run.per_node.traffic.iter().map(of).sum())
+/// Runs of hollow nodes of a name.
+pub(super) fn hollow_runs<'a>(record: &'a Record, name: &'a str) -> impl Iterator<Item = &'a Run> {
+    runs(record, name, Source::HollowNodes)
 }
 
-pub(super) fn verdicts_out(run: &Run) -> Option<f64> {
-    run.per_node
-        .traffic
-        .iter()
-        .find(|traffic| traffic.kind == VERDICTS)
-        .map(|traffic| traffic.bytes_out)
+/// How many nodes a single run had.
+pub(super) fn node_count(record: &Record) -> usize {
+    hollow_runs(record, super::QUIET_RUN)
+        .next()
+        .map_or(0, |run| run.size.nodes)
 }
 
-/// One amount, or the least and the most of several.
+/// One amount, or the smallest and the largest of several.
 fn range(values: impl Iterator<Item = f64>, unit: Unit) -> String {
     let mut sorted: Vec<f64> = values.collect();
     sorted.sort_by(f64::total_cmp);
-    let (Some(least), Some(most)) = (sorted.first(), sorted.last()) else {
+    let (Some(smallest), Some(largest)) = (sorted.first(), sorted.last()) else {
         return NOT_MEASURED.to_owned();
     };
-    let (least, most) = (amount(*least, unit), amount(*most, unit));
-    if least == most {
-        return least;
+    let (smallest, largest) = (amount(*smallest, unit), amount(*largest, unit));
+    if smallest == largest {
+        return smallest;
     }
-    format!("{least} to {most}")
+    format!("{smallest} to {largest}")
 }
 
-/// Traffic of a node in the windows of a name.
-pub(super) fn traffic(record: &Record, name: &str, of: fn(&Traffic) -> f64) -> String {
-    range(
-        hollow(record, name).filter_map(|run| bytes(run, of)),
-        Unit::BytesPerSecond,
-    )
+/// Traffic of a node in the runs of a name, summed over its kinds.
+fn traffic(record: &Record, name: &str, direction: fn(&Traffic) -> f64) -> String {
+    let rate = |run: &Run| run.per_node.traffic.iter().map(direction).sum();
+    range(hollow_runs(record, name).map(rate), Unit::BytesPerSecond)
+}
+
+/// What a node receives in the runs of a name.
+pub(super) fn received(record: &Record, name: &str) -> String {
+    traffic(record, name, |traffic| traffic.bytes_in)
+}
+
+/// What a node sends in the runs of a name.
+pub(super) fn sent(record: &Record, name: &str) -> String {
+    traffic(record, name, |traffic| traffic.bytes_out)
 }
 
-/// What a node sends of verdicts in the windows of a name.
+/// What a node sends of verdicts in the runs of a name.
 pub(super) fn verdicts(record: &Record, name: &str) -> String {
     range(
-        hollow(record, name).filter_map(verdicts_out),
+        hollow_runs(record, name).filter_map(sent_verdict_bytes),
         Unit::BytesPerSecond,
     )
 }
 
-/// Most bytes at any node within a second of the windows of a name.
+fn sent_verdict_bytes(run: &Run) -> Option<f64> {
+    run.per_node
+        .traffic
+        .iter()
+        .find(|traffic| traffic.kind == VERDICT_TRAFFIC)
+        .map(|traffic| traffic.bytes_out)
+}
+
+/// Most bytes at any node within a second of the runs of a name.
 pub(super) fn peak(record: &Record, name: &str) -> String {
     range(
-        hollow(record, name).map(|run| run.per_node.peak_bytes),
+        hollow_runs(record, name).map(|run| run.per_node.peak_bytes),
         Unit::Bytes,
     )
 }
 
-/// Processor time of a node in the windows of a name.
+/// Processor time of a node in the runs of a name.
 pub(super) fn processor(record: &Record, name: &str, source: Source) -> String {
     range(
-        of(record, name, source).map(|run| run.per_node.cpu),
+        runs(record, name, source).map(|run| run.per_node.cpu),
         Unit::Cores,
     )
 }
 
-/// Memory of a node in the windows of a name.
+/// Memory of a node in the runs of a name.
 pub(super) fn memory(record: &Record, name: &str, source: Source) -> String {
     range(
-        of(record, name, source).filter_map(|run| run.per_node.memory),
+        runs(record, name, source).filter_map(|run| run.per_node.memory),
         Unit::Bytes,
     )
 }
 
-/// Times until bans were in force in the windows under changes.
-pub(super) fn bans(record: &Record, at: fn(&Times) -> f64) -> String {
-    range(
-        hollow(record, "changes").filter_map(|run| run.in_force.as_ref().map(at)),
-        Unit::Seconds,
-    )
+/// A quantile of the times until bans were in force under changes.
+pub(super) fn bans(record: &Record, quantile: fn(&Times) -> f64) -> String {
+    let times = hollow_runs(record, CHANGES_RUN).filter_map(|run| run.in_force.as_ref());
+    range(times.map(quantile), Unit::Seconds)
 }
 
-/// Times until lines of lists were taken in, in the windows under changes.
-pub(super) fn list_lines(record: &Record, at: fn(&Times) -> f64) -> String {
+/// A quantile of the times until changes of lists were in force under changes.
+pub(super) fn list_lines(record: &Record, quantile: fn(&Times) -> f64) -> String {
     let lists = record
         .lists_in_force
         .iter()
-        .filter(|lists| lists.run == "changes");
-    range(lists.map(|lists| at(&lists.times)), Unit::Seconds)
+        .filter(|lists| lists.run == CHANGES_RUN);
+    range(lists.map(|lists| quantile(&lists.times)), Unit::Seconds)
 }
 
-/// How busy the threads were in the windows of a name.
+/// How busy the threads were in the runs of a name.
 pub(super) fn busy(record: &Record, name: &str) -> String {
-    let shares = record
+    let percentages = record
         .busy
         .iter()
         .filter(|busy| busy.run == name)
         .map(|busy| busy.share * 100.0);
-    let text = range(shares, Unit::Count);
+    let text = range(percentages, Unit::Count);
     if text == NOT_MEASURED {
         return text;
     }
     format!("{text} %")
 }
 
-/// How long it took after something until all knew all.
-pub(super) fn gathered(record: &Record, after: &str) -> String {
-    match record
+/// How long after an event all nodes knew all members.
+pub(super) fn gathered(record: &Record, event: &str) -> String {
+    let recorded = record
         .gathered
         .iter()
-        .find(|gathered| gathered.after == after)
-        .map(|gathered| gathered.seconds)
-    {
+        .find(|gathered| gathered.after == event);
+    match recorded.map(|gathered| gathered.seconds) {
         Some(Some(seconds)) => amount(seconds, Unit::Seconds),
         Some(None) => "not in time".to_owned(),
         None => "not played".to_owned(),
     }
 }
 
-/// Two quantiles of the times of requests.
-pub(super) fn request_times(record: &Record, of: fn(&RequestTimes) -> [f64; 2]) -> String {
-    match record.report.runs.iter().find_map(|run| run.requests) {
-        Some(times) => of(&times)
-            .map(|seconds| amount(seconds, Unit::Seconds))
-            .join(", "),
-        None => NOT_MEASURED.to_owned(),
-    }
+/// The median and the 99th percentile of the times of requests.
+pub(super) fn request_quantiles(record: &Record, phase: fn(&RequestTimes) -> Times) -> String {
+    let Some(requests) = record.report.runs.iter().find_map(|run| run.requests) else {
+        return NOT_MEASURED.to_owned();
+    };
+    let Times { p50, p99, .. } = phase(&requests);
+    [p50, p99]
+        .map(|seconds| amount(seconds, Unit::Seconds))
+        .join(", ")
 }
 
 /// What changes added to times of requests, round by round.
-pub(super) fn added(record: &Record, of: fn(&Added) -> f64) -> String {
+pub(super) fn added(record: &Record, quantile: fn(&Added) -> f64) -> String {
     let rounds: Vec<String> = record
         .added
         .iter()
-        .map(|added| format!("{:+.2} ms", of(added) * 1e3))
+        .map(|added| format!("{:+.2} ms", quantile(added) * 1e3))
         .collect();
     if rounds.is_empty() {
         return NOT_MEASURED.to_owned();
--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -1,11 +1,15 @@
 //! docs/CAPACITY.md says what its inputs make of it, names every bound of the program, and its formulas are right.
 
-use reelfall_capacity::budget::inputs::{self, Input, Inputs, Measured, SCHEMA};
-use reelfall_capacity::budget::kind::Kind;
-use reelfall_capacity::budget::model::{self, bound, Costs};
-use reelfall_capacity::budget::table::{amount, plain, Row, Unit, Verdict};
+use reelfall_capacity::budget::inputs::{Input, Inputs, SCHEMA};
+use reelfall_capacity::budget::measurements::{self, MeasuredRun, Measurements};
+use reelfall_capacity::budget::model::costs::Costs;
+use reelfall_capacity::budget::model::{self, program_limits};
+use reelfall_capacity::budget::provenance::Provenance;
+use reelfall_capacity::budget::requirement::{Improvement, Requirement, Verdict};
+use reelfall_capacity::budget::units::{amount, plain, Unit};
 use reelfall_capacity::budget::{
-    moments, page, pages, ranking, scale_page, tables, Fault, Page, INPUTS, PAGE,
+    capacity_tables, page, pages, ranking, scale_page, worst_cases, Error, Page, CAPACITY_PAGE,
+    INPUTS,
 };
 use reelfall_capacity::scale::record::{Busy, Gathered, Product, Record};
 use reelfall_capacity::scale::report::{
@@ -19,11 +23,11 @@
 }
 
 fn the_page() -> String {
-    std::fs::read_to_string(root().join(PAGE)).unwrap()
+    std::fs::read_to_string(root().join(CAPACITY_PAGE)).unwrap()
 }
 
 fn costs() -> Costs {
-    Costs::of(&Inputs::read(&root().join(INPUTS)).unwrap()).unwrap()
+    Costs::from_inputs(&Inputs::read(&root().join(INPUTS)).unwrap()).unwrap()
 }
 
 fn near(a: f64, b: f64) {
@@ -34,8 +38,8 @@
 
 #[test]
 fn the_tables_of_the_page_are_what_the_inputs_make_of_them() {
-    let tables = tables(&root()).unwrap();
-    let stale = page::stale(&the_page(), &tables).unwrap();
+    let tables = capacity_tables(&root()).unwrap();
+    let stale = page::stale_tables(&the_page(), &tables).unwrap();
     assert!(
         stale.is_empty(),
         "{stale:?}: cargo run -p reelfall-capacity --example capacity -- --write"
@@ -46,7 +50,7 @@
 fn the_tables_of_all_pages_are_what_their_inputs_make_of_them() {
     for Page { file: name, tables } in pages(&root()).unwrap() {
         let held = std::fs::read_to_string(root().join(name)).unwrap();
-        let stale = page::stale(&held, &tables).unwrap();
+        let stale = page::stale_tables(&held, &tables).unwrap();
         assert!(
             stale.is_empty(),
             "{name}, {stale:?}: cargo run -p reelfall-capacity --example capacity -- --write"
@@ -64,19 +68,22 @@
 
 #[test]
 fn a_page_with_another_figure_is_told() {
-    let mut tables = tables(&root()).unwrap();
+    let mut tables = capacity_tables(&root()).unwrap();
     tables
         .get_mut("ranking")
         .unwrap()
         .push_str("| another row |\n");
-    assert_eq!(page::stale(&the_page(), &tables).unwrap(), ["ranking"]);
-    let written = page::with_tables(&the_page(), &tables).unwrap();
-    assert_eq!(page::stale(&written, &tables).unwrap(), [""; 0]);
+    assert_eq!(
+        page::stale_tables(&the_page(), &tables).unwrap(),
+        ["ranking"]
+    );
+    let written = page::replace_tables(&the_page(), &tables).unwrap();
+    assert_eq!(page::stale_tables(&written, &tables).unwrap(), [""; 0]);
 }
 
 #[test]
 fn each_marker_of_the_page_has_a_table() {
-    let tables = tables(&root()).unwrap();
+    let tables = capacity_tables(&root()).unwrap();
     let page = the_page();
     let markers: Vec<&str> = page
         .lines()
@@ -102,25 +109,28 @@
         "<!-- table: a -->\n<!-- table: b -->\n<!-- end -->\n",
     ] {
         assert!(
-            matches!(page::with_tables(page, &tables), Err(Fault::NoPlace(_))),
+            matches!(
+                page::replace_tables(page, &tables),
+                Err(Error::MissingMarker(_))
+            ),
             "{page}"
         );
     }
-    let whole = page::with_tables("<!-- table: a -->\n<!-- end -->\n", &tables).unwrap();
+    let whole = page::replace_tables("<!-- table: a -->\n<!-- end -->\n", &tables).unwrap();
     assert_eq!(whole, "<!-- table: a -->\n\n| x |\n\n<!-- end -->\n");
 }
 
 #[test]
 fn the_first_row_is_the_changes_of_settings() {
-    let first = &ranking::misfits(&costs())[0];
+    let first = &ranking::shortfalls(&costs())[0];
     assert!(
-        first.what.starts_with("changes of settings"),
+        first.name.starts_with("changes of settings"),
         "{}",
-        first.what
+        first.name
     );
-    let factors: Vec<f64> = ranking::misfits(&costs())
+    let factors: Vec<f64> = ranking::shortfalls(&costs())
         .iter()
-        .map(ranking::Misfit::factor)
+        .map(ranking::Shortfall::factor)
         .collect();
     assert!(
         factors.is_sorted_by(|a, b| a >= b) && factors.iter().all(|f| *f > 1.0),
@@ -201,7 +211,7 @@
     let unlisted = unlisted(&the_page(), &bounds);
     assert!(
         unlisted.is_empty(),
-        "rows wanted in {PAGE}:\n{}",
+        "rows wanted in {CAPACITY_PAGE}:\n{}",
         unlisted.join("\n")
     );
 }
@@ -252,28 +262,40 @@
     let keeper = reelfall_lease::keeper::Config::default();
     let gossip = fleet::Config::default();
     let pairs = [
-        (bound::SERVICES, check::MAX_SERVICES as f64),
-        (bound::ROUTES, check::MAX_ROUTES as f64),
+        (program_limits::SERVICES, check::MAX_SERVICES as f64),
+        (program_limits::ROUTES, check::MAX_ROUTES as f64),
         (
-            bound::CONNECTIONS,
+            program_limits::SERVER_CONNECTIONS,
             check::ProcessShares::of_process(1024, 128).server_connections as f64,
         ),
-        (bound::PEERS, fleet::MAX_PEERS as f64),
-        (bound::VERDICTS, table::MAX_ENTRIES as f64),
-        (bound::DATAGRAM, wire::MAX_DATAGRAM_LEN as f64),
-        (bound::WITNESSED, observer::MAX_SERVERS as f64),
-        (bound::ECHO_HELD, freshness::MAX_ECHO_AGE),
-        (bound::WITNESSES, quorum::Quorum::default().witnesses as f64),
-        (bound::LEASES, keeper.max_leases as f64),
-        (bound::WAITERS, keeper.max_waiters as f64),
-        (bound::NEWS, gossip.fanout as f64 / gossip.spread_every),
+        (program_limits::PEERS, fleet::MAX_PEERS as f64),
+        (program_limits::VERDICTS, table::MAX_ENTRIES as f64),
+        (
+            program_limits::DATAGRAM_BYTES,
+            wire::MAX_DATAGRAM_LEN as f64,
+        ),
+        (
+            program_limits::OBSERVED_SERVERS,
+            observer::MAX_SERVERS as f64,
+        ),
+        (program_limits::ECHO_AGE_SECONDS, freshness::MAX_ECHO_AGE),
+        (
+            program_limits::QUORUM_WITNESSES,
+            quorum::Quorum::default().witnesses as f64,
+        ),
+        (program_limits::LEASE_NAMES, keeper.max_leases as f64),
+        (program_limits::LEASE_WAITERS, keeper.max_waiters as f64),
+        (
+            program_limits::GOSSIP_DATAGRAM_RATE,
+            gossip.fanout as f64 / gossip.spread_every,
+        ),
     ];
     pairs
         .iter()
         .for_each(|(model, program)| near(*model, *program));
     for nodes in [1, 30, 300, 1500, 6000] {
         near(
-            model::tellings(nodes as f64),
+            model::gossip::transmissions(nodes as f64),
             f64::from(reelfall_cluster::members::max_transmissions(nodes)),
         );
     }
@@ -291,96 +313,106 @@
         route_bytes: 1000.0,
         tenant_bytes: 100.0,
         pool_bytes: 20_000.0,
-        entry_bytes: 2000.0,
+        endpoint_bytes: 2000.0,
         peer_bytes: 500.0,
         list_line_bytes: 200.0,
-        list_changes_a_restart: 3.0,
+        list_changes_per_restart: 3.0,
         packet_overhead: 50.0,
-        beat_bytes: 6.0,
-        beat_every: 2.0,
-        idle_kept: 12.0,
-        gossip_datagrams: 3.5,
+        heartbeat_bytes: 6.0,
+        heartbeat_interval: 2.0,
+        idle_timeout: 12.0,
+        gossip_datagram_rate: 3.5,
         verdict_bytes: 100.0,
-        member_bytes: 40.0,
-        head_bytes: 100.0,
+        member_update_bytes: 40.0,
+        header_bytes: 100.0,
         lease_length: 5.0,
         keepers: 5.0,
-        lease_ask_bytes: 100.0,
-        lease_said_bytes: 150.0,
-        machine_link: 1e9,
-        rest_cores: 0.004,
-        service_rest_cores: 1e-4,
-        rest_bytes: 6e6,
-        lapse_seconds: 1e-8,
-        judge_seconds: 1e-7,
-        update_seconds: 1e-9,
-        draw_seconds: 1e-7,
+        lease_request_bytes: 100.0,
+        lease_response_bytes: 150.0,
+        machine_bandwidth: 1e9,
+        idle_node_cores: 0.004,
+        idle_service_cores: 1e-4,
+        idle_node_bytes: 6e6,
+        expiry_seconds: 1e-8,
+        verdict_seconds: 1e-7,
+        member_update_seconds: 1e-9,
+        sampling_seconds: 1e-7,
         lease_scan_seconds: 1e-7,
-        reread_every: 30.0,
-        entry_read_bytes: 210.0,
-        entry_read_seconds: 60e-6,
+        registry_poll_interval: 30.0,
+        registry_entry_bytes: 210.0,
+        registry_entry_seconds: 60e-6,
         ..costs()
     }
 }
 
 #[test]
 fn sizes_are_in_the_target_s_proportion() {
-    let few = model::size(300);
+    let few = model::scaled_size(300);
     assert_eq!(
         (few.servers, few.services, few.routes, few.tenants),
         (2500, 130, 3700, 28_000)
     );
     assert_eq!((few.changes, few.restarts), (650, 900));
-    assert_eq!(model::size(6000), Size::TARGET);
-    near(model::requests(&few), 85_000.0);
+    assert_eq!(model::scaled_size(6000), Size::TARGET);
+    near(model::request_rate(&few), 85_000.0);
 }
 
 #[test]
 fn settings_by_hand() {
     let (costs, target) = (round(), Size::TARGET);
-    assert_eq!(model::entries(&target), 686_600.0);
-    near(model::settings(&costs, &target), 39e6);
-    near(model::settings(&costs, &model::size(1500)), 9.75e6);
-    near(model::changes(&target), 13_000.0 / 86_400.0);
-    near(model::read_time(&costs, 40e6), 800.0);
-    near(model::read_memory(&costs, 40e6), 1.5e9);
-    near(39e6 * model::changes(&target), 5_868_055.555_555);
+    assert_eq!(model::settings::entries(&target), 686_600.0);
+    near(model::settings::file_bytes(&costs, &target), 39e6);
+    near(
+        model::settings::file_bytes(&costs, &model::scaled_size(1500)),
+        9.75e6,
+    );
+    near(model::settings::change_rate(&target), 13_000.0 / 86_400.0);
+    near(model::settings::read_seconds(&costs, 40e6), 800.0);
+    near(model::settings::read_memory(&costs, 40e6), 1.5e9);
+    near(
+        39e6 * model::settings::change_rate(&target),
+        5_868_055.555_555,
+    );
 }
 
 #[test]
 fn lists_by_hand() {
     let (costs, target) = (round(), Size::TARGET);
-    near(model::beats(&costs, &target), 1300.0 * 106.0);
-    near(model::lists(&costs, 50_000.0), 1e7);
-    assert_eq!(model::longest_list(&costs), 20_971.0);
-    near(model::list_changes(&costs, 2.5), 2250.0);
-    let (bytes, cores) = model::rereads(&costs, &target);
-    near(bytes, 350_000.0);
-    near(cores, 0.1);
+    near(
+        model::endpoint_lists::heartbeat_traffic(&costs, &target),
+        1300.0 * 106.0,
+    );
+    near(model::endpoint_lists::list_bytes(&costs, 50_000.0), 1e7);
+    assert_eq!(model::endpoint_lists::max_list_servers(&costs), 20_971.0);
+    near(model::endpoint_lists::change_traffic(&costs, 2.5), 2250.0);
+    let polling = model::endpoint_lists::registry_polling(&costs, &target);
+    near(polling.traffic, 350_000.0);
+    near(polling.cores, 0.1);
 }
 
 #[test]
 fn what_a_node_holds_by_hand() {
-    let held = model::held(&round(), &Size::TARGET);
-    [74e6, 56e6, 2600.0 * 4000.0, 100e6, 2_999_500.0]
-        .iter()
-        .zip(held)
-        .for_each(|(hand, held)| near(held, *hand));
+    let memory = model::node::memory(&round(), &Size::TARGET);
+    near(memory.routes, 74e6);
+    near(memory.tenants, 56e6);
+    near(memory.pools, 2600.0 * 4000.0);
+    near(memory.servers, 100e6);
+    near(memory.peers, 2_999_500.0);
 }
 
 #[test]
 fn work_by_hand() {
     let (costs, target) = (round(), Size::TARGET);
-    near(model::at_rest(&costs, &target), 0.264);
-    near(model::lapses(&costs, &target), 0.002);
+    near(model::node::idle_cores(&costs, &target), 0.264);
+    near(model::node::expiry_cores(&costs, &target), 0.002);
     near(
-        model::judging(&costs, &target),
+        model::node::verdict_cores(&costs, &target),
         10.0 * 2730.0 * 2600.0 * 1e-7,
     );
-    near(model::update(&costs, 6000.0), 6e-6);
-    near(model::draws(&costs, 6000.0), 0.006);
+    near(model::gossip::member_update_seconds(&costs, 6000.0), 6e-6);
+    near(model::gossip::sampling_cores(&costs, 6000.0), 0.006);
     near(
-        model::keeper_scans(&costs, &target),
+        model::leases::keeper_scan_cores(&costs, &target),
         20_280.0 * 33_800.0 * 1e-7,
     );
 }
@@ -388,50 +420,74 @@
 #[test]
 fn connections_by_hand() {
     let (costs, target) = (round(), Size::TARGET);
-    near(model::pair_rate(&target), 1.7e6 / 3e8);
+    near(
+        model::connections::request_rate_to_server(&target),
+        1.7e6 / 3e8,
+    );
     // 1 - e^-0.068
-    near(model::standing(&costs, &target), 0.065_739_526_42);
-    near(model::well_met(&target), 850.0 / 6.0);
+    near(
+        model::connections::idle_ratio(&costs, &target),
+        0.065_739_526_42,
+    );
+    near(
+        model::connections::servers_at_warm_rate(&target),
+        850.0 / 6.0,
+    );
 }
 
 #[test]
 fn a_fleet_by_hand() {
     let (costs, target) = (round(), Size::TARGET);
-    assert_eq!(model::tellings(6000.0), 16.0);
-    near(model::most_news(), 72_000.0);
+    assert_eq!(model::gossip::transmissions(6000.0), 16.0);
+    near(model::gossip::max_traffic(), 72_000.0);
     // Eleven verdicts in a datagram.
     near(
-        model::told_in(&costs, 3300.0, 6000.0),
+        model::gossip::spread_seconds(&costs, 3300.0, 6000.0),
         3300.0 * 16.0 / 11.0 / 30.0,
     );
     // 1 - e^(-420 / 5999)
-    near(model::echoes(&costs, &target), 0.067_617_059_77);
-    near(model::node_restarts(&target, 2.8), 0.3);
     near(
-        model::membership_news(&costs, &target, 2.8),
+        model::gossip::recent_echo_ratio(&costs, &target),
+        0.067_617_059_77,
+    );
+    near(model::gossip::node_restart_rate(&target, 2.8), 0.3);
+    near(
+        model::gossip::membership_traffic(&costs, &target, 2.8),
         2.0 * 14.4 * 140.0,
     );
-    assert_eq!(model::condemned(&target), 2730.0);
-    assert_eq!(model::condemned(&model::size(300)), 500.0);
+    assert_eq!(model::node::max_condemned_servers(&target), 2730.0);
+    assert_eq!(
+        model::node::max_condemned_servers(&model::scaled_size(300)),
+        500.0
+    );
 }
 
 #[test]
 fn leases_by_hand() {
     let (costs, target) = (round(), Size::TARGET);
-    assert_eq!(model::names(&target), 33_800.0);
-    near(model::renewals(&costs, &target), 20_280.0);
-    near(model::keeper_traffic(&costs, &target), 5_070_000.0);
-    near(model::asker_traffic(&costs, &target), 650_000.0);
+    assert_eq!(model::leases::names(&target), 33_800.0);
+    near(model::leases::renewal_rate(&costs, &target), 20_280.0);
+    near(model::leases::keeper_traffic(&costs, &target), 5_070_000.0);
+    near(model::leases::requester_traffic(&costs, &target), 650_000.0);
 }
 
 #[test]
 fn tenants_and_machines_by_hand() {
     let (costs, target) = (round(), Size::TARGET);
     // e^(-17,000 / 560,000)
-    near(model::first_requests(&target, 60.0), 0.970_099_007_74);
-    assert_eq!(model::beyond_quota(&target), 18_000.0);
-    near(model::nodes_of_a_machine(&target, 13.0), 461.538_461_538);
-    near(model::given_in(&costs, 39e6, 1500.0, 4.5), 13.0);
+    near(
+        model::tenants::cold_request_ratio(&target, 60.0),
+        0.970_099_007_74,
+    );
+    assert_eq!(model::tenants::over_quota_burst(&target), 18_000.0);
+    near(
+        model::distribution::nodes_per_machine(&target, 13.0),
+        461.538_461_538,
+    );
+    near(
+        model::distribution::transfer_seconds(&costs, 39e6, 1500.0, 4.5),
+        13.0,
+    );
 }
 
 // ---- inputs, rows and words ----
@@ -442,8 +498,8 @@
         name,
         value: 2.0,
         unit,
-        kind: Kind::Assumed,
-        about,
+        provenance: Provenance::Assumed,
+        description: about,
         command: None,
         commit: None,
     }
@@ -455,10 +511,10 @@
         schema: SCHEMA,
         inputs: vec![input("settings_bytes")],
     };
-    assert_eq!(inputs.get("settings_bytes").unwrap(), 2.0);
+    assert_eq!(inputs.value("settings_bytes").unwrap(), 2.0);
     assert!(matches!(
-        Costs::of(&inputs),
-        Err(Fault::Missing("read_seconds"))
+        Costs::from_inputs(&inputs),
+        Err(Error::MissingInput("read_seconds"))
     ));
 }
 
@@ -469,13 +525,13 @@
     std::fs::write(&file, r#"{"schema":9,"inputs":[]}"#).unwrap();
     assert!(matches!(
         Inputs::read(&file),
-        Err(Fault::Schema { found: 9, .. })
+        Err(Error::Schema { found: 9, .. })
     ));
     std::fs::write(&file, "{").unwrap();
-    assert!(matches!(Inputs::read(&file), Err(Fault::Form(..))));
+    assert!(matches!(Inputs::read(&file), Err(Error::Json { .. })));
     assert!(matches!(
         Inputs::read(&folder.path().join("none")),
-        Err(Fault::File(..))
+        Err(Error::File { .. })
     ));
 }
 
@@ -483,9 +539,9 @@
 fn measured_inputs_say_at_which_commit_and_all_say_what_they_are() {
     let inputs = Inputs::read(&root().join(INPUTS)).unwrap();
     for input in &inputs.inputs {
-        assert!(!input.about.is_empty(), "{}", input.name);
+        assert!(!input.description.is_empty(), "{}", input.name);
         assert!(
-            input.kind != Kind::Measured || input.commit.is_some(),
+            input.provenance != Provenance::Measured || input.commit.is_some(),
             "{}",
             input.name
         );
@@ -566,37 +622,37 @@
 fn what_scale_runs_have_measured_is_shown() {
     let folder = reelfall_testbed::node::Folder::new().unwrap();
     assert_eq!(
-        Measured::read(&folder.path().join("none")).unwrap(),
-        Measured::default()
+        Measurements::read(&folder.path().join("none")).unwrap(),
+        Measurements::default()
     );
     let write = |report: &Report| {
         let text = serde_json::to_vec(report).unwrap();
         std::fs::write(folder.path().join("a.json"), text).unwrap();
     };
     write(&report(false));
-    let measured = Measured::read(folder.path()).unwrap();
-    let runs = inputs::runs_table(&measured.runs);
+    let measured = Measurements::read(folder.path()).unwrap();
+    let runs = measurements::runs_table(&measured.runs);
     assert!(
         runs.contains("| region-start | hollow nodes | 6,000 | 50,000 | 3 KB/s | 3/s | 5 KB |"),
         "{runs}"
     );
-    let lines = inputs::slopes_table(&measured.slopes);
+    let lines = measurements::slopes_table(&measured.slopes);
     assert!(lines.contains("| 12,100, standard error 51 |"), "{lines}");
-    let moments = moments::table(&costs(), &measured.runs);
+    let moments = worst_cases::table(&costs(), &measured.runs);
     assert!(
         moments.contains("6,000 nodes at 0123456: 5 KB; 2.5 s, 4 s; 9 MB"),
         "{moments}"
     );
     write(&report(true));
-    let lines = inputs::slopes_table(&Measured::read(folder.path()).unwrap().slopes);
+    let lines = measurements::slopes_table(&Measurements::read(folder.path()).unwrap().slopes);
     assert!(lines.contains("| not extended: it bends |"), "{lines}");
     write(&Report {
         schema: 9,
         ..report(false)
     });
     assert!(matches!(
-        Measured::read(folder.path()),
-        Err(Fault::Schema { found: 9, .. })
+        Measurements::read(folder.path()),
+        Err(Error::Schema { found: 9, .. })
     ));
 }
 
@@ -680,33 +736,36 @@
 
 #[test]
 fn points_of_sweeps_are_not_told_one_by_one() {
-    let mut runs: Vec<(String, Run)> = report(false)
+    let mut runs: Vec<MeasuredRun> = report(false)
         .runs
         .into_iter()
-        .map(|run| ("0".to_owned(), run))
+        .map(|run| MeasuredRun {
+            commit: "0".to_owned(),
+            run,
+        })
         .collect();
     let mut point = runs[0].clone();
-    point.1.name = "sweep".to_owned();
+    point.run.name = "sweep".to_owned();
     runs.push(point);
-    let kept = inputs::without_points(&runs);
+    let kept = measurements::without_sweep_points(&runs);
     assert_eq!(
         kept.iter()
-            .map(|(_, run)| run.name.as_str())
+            .map(|measured| measured.run.name.as_str())
             .collect::<Vec<_>>(),
         ["region-start"]
     );
 }
 
-fn row(target: Option<f64>, budget: Option<f64>, with: Option<(&'static str, f64)>) -> Row {
-    Row {
-        what: "a thing",
-        how: "counted",
-        kind: Kind::Measured,
-        at: [Some(1.0), None, target],
+fn row(target: Option<f64>, budget: Option<f64>, with: Option<(&'static str, f64)>) -> Requirement {
+    Requirement {
+        name: "a thing",
+        derivation: "counted",
+        provenance: Provenance::Measured,
+        amounts: [Some(1.0), None, target],
         budget,
         unit: Unit::Count,
-        carried: "nobody",
-        with,
+        mechanism: "nobody",
+        improvement: with.map(|(name, amount)| Improvement { name, amount }),
     }
 }
 
@@ -719,7 +778,10 @@
     );
     assert_eq!(
         row(Some(15.0), Some(10.0), Some(("x", 9.0))).verdict(),
-        Verdict::FitsWith("x", 9.0)
+        Verdict::FitsWith(Improvement {
+            name: "x",
+            amount: 9.0
+        })
     );
     assert_eq!(
         row(Some(15.0), Some(10.0), Some(("x", 11.0))).verdict(),
--- a/crates/capacity/tests/mechanism.rs
+++ b/crates/capacity/tests/mechanism.rs
@@ -1,7 +1,9 @@
 //! The table of the mechanism for changes of settings: its verdicts follow from the budgets.
 
-use reelfall_capacity::budget::mechanism::{excesses, Excess, Plays, BURST, HELD, PLAYS};
-use reelfall_capacity::budget::{page, tables, PAGE};
+use reelfall_capacity::budget::distribution_runs::{
+    excesses, DistributionRuns, Excess, BURST_BYTES, MEMORY_RUN_PREFIX, REPORT_FILES,
+};
+use reelfall_capacity::budget::{capacity_tables, page, CAPACITY_PAGE};
 use reelfall_capacity::scale::report::{
     Ages, Control, JudgedBy, PerNode, Played, Report, Run, Size, Source, Times, Traffic, SCHEMA,
 };
@@ -73,8 +75,8 @@
     }
 }
 
-fn plays(runs: Vec<Run>) -> Plays {
-    Plays {
+fn plays(runs: Vec<Run>) -> DistributionRuns {
+    DistributionRuns {
         reports: vec![report("abc", runs)],
     }
 }
@@ -82,7 +84,7 @@
 #[test]
 fn a_play_within_all_budgets_fits() {
     let at_the_budgets = Played {
-        peak_bytes_10s: BURST,
+        peak_bytes_10s: BURST_BYTES,
         ..played(JudgedBy::InForce)
     };
     assert_eq!(
@@ -112,13 +114,16 @@
     );
     assert_eq!(
         excesses(&play(None, 16_000.0), &played(JudgedBy::InForce)),
-        [Excess::Mean(2.0)]
+        [Excess::MeanTraffic(2.0)]
     );
     let burst = Played {
-        peak_bytes_10s: 3.0 * BURST,
+        peak_bytes_10s: 3.0 * BURST_BYTES,
         ..played(JudgedBy::InForce)
     };
-    assert_eq!(excesses(&play(None, 100.0), &burst), [Excess::Burst(3.0)]);
+    assert_eq!(
+        excesses(&play(None, 100.0), &burst),
+        [Excess::BurstTraffic(3.0)]
+    );
     let broken = Played {
         faults: 2,
         missing: 3,
@@ -126,7 +131,7 @@
     };
     assert_eq!(
         excesses(&play(None, 100.0), &broken),
-        [Excess::Broken(2), Excess::Missing(3)]
+        [Excess::ViolatedGuarantees(2), Excess::Missing(3)]
     );
 }
 
@@ -198,7 +203,7 @@
         report("abc", vec![titled("one")]),
         report("def", vec![titled("two"), other, titled("three")]),
     ];
-    let table = Plays { reports }.table();
+    let table = DistributionRuns { reports }.table();
     let rows: Vec<&str> = table
         .lines()
         .filter(|line| line.starts_with("| t") || line.starts_with("| o"))
@@ -214,7 +219,7 @@
 
 #[test]
 fn reports_of_plays_have_a_line_for_each_field() {
-    for file in PLAYS {
+    for file in REPORT_FILES {
         let text = std::fs::read_to_string(root().join(file)).unwrap();
         let longest = text.lines().map(str::len).max().unwrap();
         assert!(longest < 200, "{file}: a line of {longest} bytes");
@@ -229,7 +234,7 @@
             ..PerNode::default()
         };
         Run {
-            name: format!("{HELD}{name}"),
+            name: format!("{MEMORY_RUN_PREFIX}{name}"),
             per_node,
             ..play(None, 0.0)
         }
@@ -251,12 +256,12 @@
 
 #[test]
 fn the_page_s_table_is_what_the_plays_make_of_it() {
-    let plays = Plays::read(&root()).unwrap();
-    let held = std::fs::read_to_string(root().join(PAGE)).unwrap();
-    let mut tables = tables(&root()).unwrap();
+    let plays = DistributionRuns::read(&root()).unwrap();
+    let held = std::fs::read_to_string(root().join(CAPACITY_PAGE)).unwrap();
+    let mut tables = capacity_tables(&root()).unwrap();
     assert_eq!(tables["mechanism"], plays.table());
     tables.retain(|name, _| *name == "mechanism");
-    assert_eq!(page::stale(&held, &tables).unwrap(), [""; 0]);
+    assert_eq!(page::stale_tables(&held, &tables).unwrap(), [""; 0]);
     // One figure of one play, and the page is told to be stale.
     let mut other = plays;
     let played = other
@@ -267,5 +272,5 @@
         .unwrap();
     played.peak_bytes_10s += 10_000.0;
     tables.insert("mechanism", other.table());
-    assert_eq!(page::stale(&held, &tables).unwrap(), ["mechanism"]);
+    assert_eq!(page::stale_tables(&held, &tables).unwrap(), ["mechanism"]);
 }
