--- a/crates/capacity/examples/state_size/cluster.rs
+++ b/crates/capacity/examples/state_size/cluster.rs
@@ -1,4 +1,4 @@
-//! Memory and processor time of a node among many peers.
+//! Memory and processor time of a node among many peers: the command `peers`.
 
 use crate::error::{Error, Result};
 use crate::fixtures::{alive, datagram, header, node, secret};
--- a/crates/capacity/examples/state_size/idle_node.rs
+++ b/crates/capacity/examples/state_size/idle_node.rs
@@ -1,4 +1,4 @@
-//! Processor time and memory of a process of the program that gets no requests.
+//! Processor time and memory of a process of the program that gets no requests: the commands `rest` and `together`.
 
 use crate::error::{Error, Result};
 use crate::fixtures::KEY;
--- a/crates/capacity/examples/state_size/leases.rs
+++ b/crates/capacity/examples/state_size/leases.rs
@@ -1,4 +1,4 @@
-//! Memory and processor time of a keeper with many leases.
+//! Memory and processor time of a keeper with many leases: the command `names`.
 
 use crate::error::{Error, Result};
 use crate::fixtures::{node_name, tag};
--- a/crates/capacity/examples/state_size/lists.rs
+++ b/crates/capacity/examples/state_size/lists.rs
@@ -1,4 +1,5 @@
-//! Processor time of endpoint lists: counting their servers, expiring states, and applying verdicts to pools.
+//! Processor time of endpoint lists: counting their servers, expiring states, and applying verdicts to pools. The command
+//! `count`.
 
 use crate::fixtures::node;
 use crate::measure::{mean_seconds, Figures};
--- a/crates/capacity/examples/state_size/messages.rs
+++ b/crates/capacity/examples/state_size/messages.rs
@@ -1,4 +1,4 @@
-//! Lengths of datagrams, entries and messages.
+//! Lengths of datagrams, entries and messages: the command `words`.
 
 use crate::error::{Error, Result};
 use crate::fixtures::{alive, datagram, header, node, secret};
--- a/crates/capacity/examples/state_size/plan.rs
+++ b/crates/capacity/examples/state_size/plan.rs
@@ -1,4 +1,4 @@
-//! Memory of routes and tenants in a plan.
+//! Memory of routes and tenants in a plan: the commands `routes` and `tenants`.
 
 use crate::error::{Error, Result};
 use crate::measure::{memory_figure, resident_bytes, Figures, THIS_PROCESS};
--- a/crates/capacity/src/budget/distribution_runs.rs
+++ b/crates/capacity/src/budget/distribution_runs.rs
@@ -215,18 +215,18 @@
 
     /// The commits that were run, and which rows are of which.
     fn commits(&self) -> String {
-        let commit = |(position, report): (usize, &Report)| {
-            let rows = match position {
-                0 => "Commit".to_owned(),
-                _ => format!(
-                    "the next {} rows: commit",
-                    distribution_runs(report).count()
-                ),
-            };
-            format!("{rows} {}, seed {}", report.commit, report.seed)
+        let Some((first, others)) = self.reports.split_first() else {
+            return String::new();
         };
-        let commits: Vec<String> = self.reports.iter().enumerate().map(commit).collect();
-        commits.join("; ")
+        let mut commits = format!("Commit {}, seed {}", first.commit, first.seed);
+        for report in others {
+            let rows = distribution_runs(report).count();
+            commits += &format!(
+                "; the next {rows} rows: commit {}, seed {}",
+                report.commit, report.seed
+            );
+        }
+        commits
     }
 
     /// The greatest value of a figure in all runs.
--- a/crates/capacity/src/budget/inputs.rs
+++ b/crates/capacity/src/budget/inputs.rs
@@ -1,4 +1,4 @@
-//! The figures that formulas rest on, with their provenance. The model takes its costs from them.
+//! The figures that formulas depend on, with their provenance. The model takes its costs from them.
 
 use super::error::Error;
 use super::json;
--- a/crates/capacity/src/budget/measurements.rs
+++ b/crates/capacity/src/budget/measurements.rs
@@ -1,4 +1,4 @@
-//! What scale runs have measured, and its tables on the capacity page.
+//! What scale runs have measured, and its tables on the capacity page. The worst cases and the messages of a node use it too.
 
 use super::error::Error;
 use super::json;
--- a/crates/capacity/src/budget/mod.rs
+++ b/crates/capacity/src/budget/mod.rs
@@ -4,7 +4,7 @@
 //! | --- | --- |
 //! | [`distribution_runs`] | how the distribution of settings fares in the emulator, beside the budgets |
 //! | [`error`] | why tables can't be generated |
-//! | [`inputs`] | the figures that formulas rest on, read from JSON |
+//! | [`inputs`] | the figures that formulas depend on, read from JSON |
 //! | [`json`] | reading JSON files of a known schema |
 //! | [`markdown`] | tables in Markdown |
 //! | [`measurements`] | what scale runs have measured |
--- a/crates/capacity/src/budget/model/connections.rs
+++ b/crates/capacity/src/budget/model/connections.rs
@@ -1,4 +1,4 @@
-//! Connections between nodes and servers.
+//! Connections between nodes and servers. The tables of roles and the ranking call it.
 
 use super::costs::Costs;
 use super::{node_request_rate, request_rate};
--- a/crates/capacity/src/budget/model/distribution.rs
+++ b/crates/capacity/src/budget/model/distribution.rs
@@ -1,4 +1,4 @@
-//! Control machines that distribute settings to nodes.
+//! Control machines that distribute settings to nodes. The tables of roles and the worst cases call it.
 
 use super::costs::Costs;
 use crate::scale::report::Size;
--- a/crates/capacity/src/budget/model/endpoint_lists.rs
+++ b/crates/capacity/src/budget/model/endpoint_lists.rs
@@ -1,4 +1,5 @@
-//! Lists of servers, as list services push them or a registry is polled for them.
+//! Lists of servers, as list services push them or a registry is polled for them. The tables of roles, the ranking and the worst
+//! cases call it.
 
 use super::costs::Costs;
 use super::{program_limits, DAY_SECONDS};
--- a/crates/capacity/src/budget/model/gossip.rs
+++ b/crates/capacity/src/budget/model/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip among nodes: membership and verdicts on servers.
+//! Gossip among nodes: membership and verdicts on servers. The tables of roles, the ranking and the worst cases call it.
 
 use super::costs::Costs;
 use super::program_limits;
--- a/crates/capacity/src/budget/model/leases.rs
+++ b/crates/capacity/src/budget/model/leases.rs
@@ -1,4 +1,4 @@
-//! Leases, one for each service and zone, and their keepers.
+//! Leases, one for each service and zone, and their keepers. The tables of roles and the ranking call it.
 
 use super::costs::Costs;
 use super::ZONES;
--- a/crates/capacity/src/budget/model/node.rs
+++ b/crates/capacity/src/budget/model/node.rs
@@ -1,4 +1,4 @@
-//! Memory and processor time that a node takes for control.
+//! Memory and processor time that a node takes for control. The tables of roles and the ranking call it.
 
 use super::costs::Costs;
 use super::program_limits;
--- a/crates/capacity/src/budget/model/program_limits.rs
+++ b/crates/capacity/src/budget/model/program_limits.rs
@@ -1,4 +1,5 @@
-//! Limits of the node's program, each from the source file that its comment names.
+//! Limits of the node's program, each from the source file that its comment names. Requirements are compared with them; the test
+//! `capacity` compares them with the program.
 
 /// Services in a file: `crates/config/src/check.rs`.
 pub const SERVICES: f64 = 4096.0;
--- a/crates/capacity/src/budget/model/settings.rs
+++ b/crates/capacity/src/budget/model/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file and its changes.
+//! The settings file and its changes. The tables of roles, the ranking and the worst cases call it.
 
 use super::costs::Costs;
 use super::DAY_SECONDS;
--- a/crates/capacity/src/budget/model/tenants.rs
+++ b/crates/capacity/src/budget/model/tenants.rs
@@ -1,10 +1,10 @@
-//! Tenants and their quotas across nodes.
+//! Tenants and their quotas across nodes. The table of alternatives calls it.
 
 use super::{node_request_rate, program_limits};
 use crate::scale::report::Size;
 
 /// Share of requests whose tenant sent none within this window of seconds, if all tenants send alike.
-pub fn cold_request_ratio(size: &Size, window: f64) -> f64 {
+pub fn uncached_request_ratio(size: &Size, window: f64) -> f64 {
     (-node_request_rate(size) * window / size.tenants as f64).exp()
 }
 
--- a/crates/capacity/src/budget/ranking/mod.rs
+++ b/crates/capacity/src/budget/ranking/mod.rs
@@ -21,7 +21,7 @@
     pub budget: f64,
     /// The unit of both.
     pub unit: Unit,
-    /// It rests on an assumption.
+    /// It depends on an assumption.
     pub is_assumed: bool,
 }
 
@@ -71,7 +71,7 @@
         BudgetComparison::new(name, amount, limit, Unit::Bytes)
     }
 
-    /// The same, resting on an assumption.
+    /// The same, which depends on an assumption.
     fn assumed(self) -> BudgetComparison {
         BudgetComparison {
             is_assumed: true,
--- a/crates/capacity/src/budget/requirement.rs
+++ b/crates/capacity/src/budget/requirement.rs
@@ -81,7 +81,7 @@
         Requirement::new(name, unit, Provenance::Derived, derivation)
     }
 
-    /// A requirement that rests on an assumption.
+    /// A requirement that depends on an assumption.
     pub fn assumed(name: &'static str, unit: Unit, derivation: &'static str) -> Requirement {
         Requirement::new(name, unit, Provenance::Assumed, derivation)
     }
--- a/crates/capacity/src/budget/roles/alternatives.rs
+++ b/crates/capacity/src/budget/roles/alternatives.rs
@@ -120,16 +120,16 @@
              minute's memory, {} with ten minutes', if all tenants ask alike",
             seconds(costs.rtt_zone),
             seconds(costs.rtt_region),
-            cold_requests(SHORT_CACHE_SECONDS),
-            cold_requests(LONG_CACHE_SECONDS)
+            uncached_requests(SHORT_CACHE_SECONDS),
+            uncached_requests(LONG_CACHE_SECONDS)
         ),
         ..Alternative::stored("tenants", &stored, on_demand)
     }
 }
 
 /// The share of requests whose tenant is not cached.
-fn cold_requests(cache_seconds: f64) -> String {
-    let ratio = tenants::cold_request_ratio(&Size::TARGET, cache_seconds);
+fn uncached_requests(cache_seconds: f64) -> String {
+    let ratio = tenants::uncached_request_ratio(&Size::TARGET, cache_seconds);
     format!("{:.0} of 100", 100.0 * ratio)
 }
 
--- a/crates/capacity/src/budget/roles/node_connections.rs
+++ b/crates/capacity/src/budget/roles/node_connections.rs
@@ -48,10 +48,7 @@
             Unit::CountPerSecond,
             "no idle connection is there",
         )
-        .at_sizes(|size| {
-            model::request_rate(size) / size.nodes as f64
-                * (1.0 - connections::idle_ratio(costs, size))
-        })
+        .at_sizes(|size| model::node_request_rate(size) * connections::dial_ratio(costs, size))
         .mechanism(
             "`crates/node/src/net/upstream.rs`: a round trip and a handshake of the \
                 system each",
--- a/crates/capacity/src/budget/roles/server.rs
+++ b/crates/capacity/src/budget/roles/server.rs
@@ -1,7 +1,7 @@
 //! What a server that nodes send requests to has to handle. The table `server` shows it.
 
+use crate::budget::model::connections;
 use crate::budget::model::costs::Costs;
-use crate::budget::model::{self, connections};
 use crate::budget::requirement::Requirement;
 use crate::budget::units::Unit;
 
@@ -27,8 +27,7 @@
             "requests that meet none",
         )
         .at_sizes(|size| {
-            model::request_rate(size) / size.servers as f64
-                * (1.0 - connections::idle_ratio(costs, size))
+            connections::server_request_rate(size) * connections::dial_ratio(costs, size)
         })
         .mechanism("the same"),
         Requirement::derived(
--- a/crates/capacity/src/budget/scale_page/cells.rs
+++ b/crates/capacity/src/budget/scale_page/cells.rs
@@ -66,7 +66,7 @@
 }
 
 /// What a node sends of verdicts in the runs of a name.
-pub(super) fn verdicts(record: &Record, name: &str) -> String {
+pub(super) fn verdict_traffic(record: &Record, name: &str) -> String {
     range(
         hollow_runs(record, name).filter_map(sent_verdict_bytes),
         Unit::BytesPerSecond,
@@ -82,7 +82,7 @@
 }
 
 /// Most bytes at any node within a second of the runs of a name.
-pub(super) fn peak(record: &Record, name: &str) -> String {
+pub(super) fn peak_traffic(record: &Record, name: &str) -> String {
     range(
         hollow_runs(record, name).map(|run| run.per_node.peak_bytes),
         Unit::Bytes,
@@ -106,13 +106,13 @@
 }
 
 /// A quantile of the times until bans were in force under changes.
-pub(super) fn bans(record: &Record, quantile: fn(&Times) -> f64) -> String {
+pub(super) fn ban_times(record: &Record, quantile: fn(&Times) -> f64) -> String {
     let times = hollow_runs(record, CHANGES_RUN).filter_map(|run| run.in_force.as_ref());
     range(times.map(quantile), Unit::Seconds)
 }
 
 /// A quantile of the times until changes of lists were in force under changes.
-pub(super) fn list_lines(record: &Record, quantile: fn(&Times) -> f64) -> String {
+pub(super) fn list_change_times(record: &Record, quantile: fn(&Times) -> f64) -> String {
     let lists = record
         .lists_in_force
         .iter()
@@ -121,7 +121,7 @@
 }
 
 /// How busy the threads were in the runs of a name.
-pub(super) fn busy(record: &Record, name: &str) -> String {
+pub(super) fn thread_utilization(record: &Record, name: &str) -> String {
     let percentages = record
         .busy
         .iter()
@@ -135,7 +135,7 @@
 }
 
 /// How long after an event all nodes knew all members.
-pub(super) fn gathered(record: &Record, event: &str) -> String {
+pub(super) fn convergence_time(record: &Record, event: &str) -> String {
     let recorded = record
         .gathered
         .iter()
@@ -148,7 +148,7 @@
 }
 
 /// The median and the 99th percentile of the times of requests.
-pub(super) fn request_quantiles(record: &Record, phase: fn(&RequestTimes) -> Times) -> String {
+pub(super) fn request_latency(record: &Record, phase: fn(&RequestTimes) -> Times) -> String {
     let Some(requests) = record.report.runs.iter().find_map(|run| run.requests) else {
         return NOT_MEASURED.to_owned();
     };
@@ -159,7 +159,7 @@
 }
 
 /// What changes added to times of requests, round by round.
-pub(super) fn added(record: &Record, quantile: fn(&Added) -> f64) -> String {
+pub(super) fn added_latency(record: &Record, quantile: fn(&Added) -> f64) -> String {
     let rounds: Vec<String> = record
         .added
         .iter()
--- a/crates/capacity/src/budget/scale_page/run_tables.rs
+++ b/crates/capacity/src/budget/scale_page/run_tables.rs
@@ -1,8 +1,9 @@
 //! Tables of the page of scale runs with one column for each single run. [`tables`](super::tables) calls them.
 
 use super::cells::{
-    added, bans, busy, gathered, hollow_runs, list_lines, memory, node_count, peak, processor,
-    received, request_quantiles, sent, verdicts, CHANGES_RUN,
+    added_latency, ban_times, convergence_time, hollow_runs, list_change_times, memory, node_count,
+    peak_traffic, processor, received, request_latency, sent, thread_utilization, verdict_traffic,
+    CHANGES_RUN,
 };
 use super::{NamedRecord, QUIET_RUN};
 use crate::budget::markdown::{self, NO_ROWS};
@@ -95,18 +96,22 @@
     vec![
         RunsRow::new("at rest, received", |record| received(record, QUIET_RUN)).traffic_budget(),
         RunsRow::new("at rest, sent", |record| sent(record, QUIET_RUN)).traffic_budget(),
-        RunsRow::new("of it verdicts", |record| verdicts(record, QUIET_RUN)),
+        RunsRow::new("of it verdicts", |record| {
+            verdict_traffic(record, QUIET_RUN)
+        }),
         RunsRow::new("under changes, received", |record| {
             received(record, CHANGES_RUN)
         })
         .traffic_budget(),
         RunsRow::new("under changes, sent", |record| sent(record, CHANGES_RUN)).traffic_budget(),
-        RunsRow::new("of it verdicts", |record| verdicts(record, CHANGES_RUN)),
+        RunsRow::new("of it verdicts", |record| {
+            verdict_traffic(record, CHANGES_RUN)
+        }),
         RunsRow::new("most in and out in 1 s at any node, at rest", |record| {
-            peak(record, QUIET_RUN)
+            peak_traffic(record, QUIET_RUN)
         }),
         RunsRow::new("the same, under changes", |record| {
-            peak(record, CHANGES_RUN)
+            peak_traffic(record, CHANGES_RUN)
         }),
     ]
 }
@@ -148,29 +153,29 @@
 pub(super) fn propagation_times(singles: &[NamedRecord]) -> String {
     let rows = [
         RunsRow::new("ban at one node, in force: p50", |record| {
-            bans(record, |times| times.p50)
+            ban_times(record, |times| times.p50)
         }),
-        RunsRow::new("p99", |record| bans(record, |times| times.p99)),
+        RunsRow::new("p99", |record| ban_times(record, |times| times.p99)),
         RunsRow::new("at the last node", |record| {
-            bans(record, |times| times.last)
+            ban_times(record, |times| times.last)
         })
         .in_force_budget(),
         RunsRow::new("line of a list taken in: p50", |record| {
-            list_lines(record, |times| times.p50)
+            list_change_times(record, |times| times.p50)
         }),
-        RunsRow::new("p99", |record| list_lines(record, |times| times.p99)),
+        RunsRow::new("p99", |record| list_change_times(record, |times| times.p99)),
         RunsRow::new("at the last node", |record| {
-            list_lines(record, |times| times.last)
+            list_change_times(record, |times| times.last)
         })
         .in_force_budget(),
         RunsRow::new("all know all after the start of all", |record| {
-            gathered(record, "start")
+            convergence_time(record, "start")
         }),
         RunsRow::new("threads that drive hollow nodes busy, at rest", |record| {
-            busy(record, QUIET_RUN)
+            thread_utilization(record, QUIET_RUN)
         }),
         RunsRow::new("the same, under changes", |record| {
-            busy(record, CHANGES_RUN)
+            thread_utilization(record, CHANGES_RUN)
         }),
     ];
     table(singles, &rows)
@@ -180,16 +185,16 @@
 pub(super) fn request_times(singles: &[NamedRecord]) -> String {
     let rows = [
         RunsRow::new("at rest: p50, p99", |record| {
-            request_quantiles(record, |times| times.at_rest)
+            request_latency(record, |times| times.at_rest)
         }),
         RunsRow::new("under changes: p50, p99", |record| {
-            request_quantiles(record, |times| times.under_changes)
+            request_latency(record, |times| times.under_changes)
         }),
         RunsRow::new("difference of p50, by rounds", |record| {
-            added(record, |round| round.p50)
+            added_latency(record, |round| round.p50)
         }),
         RunsRow::new("difference of p99, by rounds", |record| {
-            added(record, |round| round.p99)
+            added_latency(record, |round| round.p99)
         })
         .budget(budget::ADDED_LATENCY_SECONDS, Unit::Seconds),
     ];
@@ -239,7 +244,7 @@
     fn cell(&self, record: &Record) -> String {
         let run = self.run.and_then(|run| hollow_runs(record, run).next());
         let peak = run.map(|run| amount(run.per_node.peak_bytes, Unit::Bytes));
-        let recovered = gathered(record, self.event);
+        let recovered = convergence_time(record, self.event);
         match peak {
             Some(peak) => format!("{recovered}; {peak}"),
             None => recovered,
--- a/crates/capacity/src/budget/worst_cases.rs
+++ b/crates/capacity/src/budget/worst_cases.rs
@@ -1,4 +1,5 @@
-//! The worst cases at the target: what they cost one node, and what runs have measured of them. The table `moments` shows them.
+//! The worst cases at the target: what they cost one node, and what runs have measured of them. The table `moments` shows them; the
+//! ranking uses the rate of restarts.
 
 use super::markdown::{self, NOT_MEASURED};
 use super::measurements::{in_force_text, MeasuredRun};
@@ -18,7 +19,7 @@
 /// Nodes outside of a region.
 const OTHER_REGIONS_NODES: f64 = 4500.0;
 /// Control machines that are left when half of them are lost.
-const HALF_OF_CONTROL_MACHINES: f64 = 9.0;
+const HALF_OF_CONTROL_MACHINES: f64 = model::CONTROL_MACHINES / 2.0;
 
 /// A worst case for one node.
 #[derive(Clone, Debug)]
--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -476,7 +476,7 @@
     let (costs, target) = (round(), Size::TARGET);
     // e^(-17,000 / 560,000)
     near(
-        model::tenants::cold_request_ratio(&target, 60.0),
+        model::tenants::uncached_request_ratio(&target, 60.0),
         0.970_099_007_74,
     );
     assert_eq!(model::tenants::over_quota_burst(&target), 18_000.0);
