--- a/crates/testbed/src/fleet/history.rs
+++ b/crates/testbed/src/fleet/history.rs
@@ -1,6 +1,6 @@
 //! All that happened, by one clock.
 
-use crate::node::PATIENCE;
+use crate::node::WAIT_TIMEOUT;
 use crate::Result;
 use std::fmt::Write;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -179,7 +179,7 @@
                 }
             }
         };
-        let found = tokio::time::timeout(PATIENCE, wait).await;
+        let found = tokio::time::timeout(WAIT_TIMEOUT, wait).await;
         found.map_err(|_| format!("it does not happen\n{}", self.tail(40)).into())
     }
 
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -34,7 +34,7 @@
 use crate::client::Client;
 use crate::discovery::{Discovery, Listed};
 use crate::link::Link;
-use crate::node::{until_health, Folder, Node, PATIENCE};
+use crate::node::{until_health, Folder, Node, WAIT_TIMEOUT};
 use crate::pool::{Manner, Server};
 use crate::scripted::Program;
 use crate::{Draw, Result, Task};
@@ -421,10 +421,12 @@
     ) -> Result<Duration> {
         let begun = Instant::now();
         while !holds(self).await {
-            if begun.elapsed() > PATIENCE {
-                return Err(
-                    format!("{what}: not within {PATIENCE:?}\n{}", self.history.tail(40)).into(),
-                );
+            if begun.elapsed() > WAIT_TIMEOUT {
+                return Err(format!(
+                    "{what}: not within {WAIT_TIMEOUT:?}\n{}",
+                    self.history.tail(40)
+                )
+                .into());
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
--- a/crates/testbed/src/measure/graphql.rs
+++ b/crates/testbed/src/measure/graphql.rs
@@ -4,7 +4,7 @@
 use crate::client::Client;
 use crate::graphql;
 use crate::load::{self, Kind};
-use crate::node::{memory_kib, Node, PATIENCE};
+use crate::node::{memory_kib, Node, WAIT_TIMEOUT};
 use crate::pool::{Manner, Pool};
 use crate::scripted::Program;
 use crate::Result;
@@ -235,7 +235,7 @@
     }
     // One request of each is at a server, the others of a batch wait their turn.
     let begun = Instant::now();
-    while pool.seen() < BATCHES as u64 && begun.elapsed() < PATIENCE {
+    while pool.seen() < BATCHES as u64 && begun.elapsed() < WAIT_TIMEOUT {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let (open, during) = (pool.seen(), memory_kib(node.pid())?);
--- a/crates/testbed/src/measure/membership.rs
+++ b/crates/testbed/src/measure/membership.rs
@@ -3,7 +3,7 @@
 use super::{median, one_round, round1, Plan, Subject};
 use crate::load;
 use crate::membership::{kind, settings, Announced, PATH};
-use crate::node::{cpu_seconds, memory_kib, Node, PATIENCE};
+use crate::node::{cpu_seconds, memory_kib, Node, WAIT_TIMEOUT};
 use crate::pool::{Manner, Pool};
 use crate::registry::Registry;
 use crate::scripted::Program;
@@ -119,7 +119,7 @@
     let asked_again = async |before: u64| -> Result<f64> {
         let begun = Instant::now();
         while registry.counts().requests < before + 10 {
-            if begun.elapsed() > PATIENCE {
+            if begun.elapsed() > WAIT_TIMEOUT {
                 return Err("it does not heal".into());
             }
             tokio::time::sleep(Duration::from_millis(1)).await;
--- a/crates/testbed/src/measure/services.rs
+++ b/crates/testbed/src/measure/services.rs
@@ -3,7 +3,7 @@
 use super::{median, one_round, round1, Plan, Subject};
 use crate::discovery::{Discovery, Listed};
 use crate::load::{self, Kind};
-use crate::node::{cpu_seconds, memory_kib, until_health, Folder, Node, PATIENCE};
+use crate::node::{cpu_seconds, memory_kib, until_health, Folder, Node, WAIT_TIMEOUT};
 use crate::pool::{Manner, Pool};
 use crate::scripted::Program;
 use crate::{Draw, Result};
@@ -65,7 +65,8 @@
     }
     let mut child = command.stdout(Stdio::piped()).kill_on_drop(true).spawn()?;
     let out = child.stdout.take().ok_or("no output")?;
-    let line = tokio::time::timeout(PATIENCE, BufReader::new(out).lines().next_line()).await??;
+    let line =
+        tokio::time::timeout(WAIT_TIMEOUT, BufReader::new(out).lines().next_line()).await??;
     let ready: Value = serde_json::from_str(&line.unwrap_or_default())?;
     let address = ready["addresses"]["client"]
         .as_str()
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -14,7 +14,7 @@
 use tokio::process::{Child, ChildStderr};
 
 /// No wait for a node is longer; a passing one needs a small part of it.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How a node is started.
 #[derive(Clone, Debug)]
@@ -114,7 +114,7 @@
         );
         let mut said = BufReader::new(err).lines();
         let mut lines = BufReader::new(out).lines();
-        let first = tokio::time::timeout(PATIENCE, lines.next_line()).await??;
+        let first = tokio::time::timeout(WAIT_TIMEOUT, lines.next_line()).await??;
         let Some(first) = first else {
             let mut why = String::new();
             while let Ok(Some(line)) = said.next_line().await {
@@ -200,7 +200,7 @@
             }
             Err(format!("the node ended without saying `{text}`").into())
         };
-        tokio::time::timeout(PATIENCE, wait).await?
+        tokio::time::timeout(WAIT_TIMEOUT, wait).await?
     }
 
     /// The next line on standard error; `None` at its end.
@@ -236,7 +236,7 @@
     /// # Errors
     /// If it does not end.
     pub async fn ended(&mut self) -> Result<bool> {
-        Ok(tokio::time::timeout(PATIENCE, self.child.wait())
+        Ok(tokio::time::timeout(WAIT_TIMEOUT, self.child.wait())
             .await??
             .success())
     }
@@ -257,7 +257,7 @@
         if got.is_ok_and(|g| (g.status == 200) == good) {
             return Ok(());
         }
-        if begun.elapsed() > PATIENCE {
+        if begun.elapsed() > WAIT_TIMEOUT {
             return Err(format!("{path} does not become {good}").into());
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
--- a/crates/testbed/src/scripted/client.rs
+++ b/crates/testbed/src/scripted/client.rs
@@ -1,49 +1,53 @@
-//! Requests of clients and operators.
+//! Requests of clients and operators, as the tests that drive a [`Node`](super::Node) send them.
 
-use super::{Message, PATIENCE};
+use super::{Message, WAIT_TIMEOUT};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A connection, if it can be established.
-pub(super) fn try_connect(to: SocketAddr) -> Option<TcpStream> {
-    connect_in_time(to).ok()
+/// Opens a connection, if it can be established.
+pub(super) fn try_connect(address: SocketAddr) -> Option<TcpStream> {
+    connect_with_timeout(address).ok()
 }
 
-/// A connection.
-pub fn connect(to: SocketAddr) -> TcpStream {
-    connect_in_time(to).unwrap_or_else(|error| panic!("a connection to {to}: {error}"))
+/// Opens a connection whose reads time out after [`WAIT_TIMEOUT`].
+///
+/// # Panics
+/// Panics if the connection can't be established.
+pub fn connect(address: SocketAddr) -> TcpStream {
+    connect_with_timeout(address)
+        .unwrap_or_else(|error| panic!("a connection to {address}: {error}"))
 }
 
-fn connect_in_time(to: SocketAddr) -> std::io::Result<TcpStream> {
-    let stream = TcpStream::connect(to)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+fn connect_with_timeout(address: SocketAddr) -> std::io::Result<TcpStream> {
+    let stream = TcpStream::connect(address)?;
+    stream.set_read_timeout(Some(WAIT_TIMEOUT))?;
     Ok(stream)
 }
 
-/// A response.
+/// A response to a request.
 #[derive(Debug, PartialEq)]
 pub struct Response {
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// Its body.
+    /// Body, as text.
     pub body: String,
 }
 
-/// An idempotent request.
+/// The text of an idempotent request.
 pub fn read_request(id: &str) -> String {
     format!(
         "GET /api HTTP/1.1\r\nhost: n\r\nx-correlation-id: {id}\r\nx-service-class: read\r\nx-time-left: 6.0\r\n\r\n"
     )
 }
 
-/// A request that must not run twice, with header lines for its framing.
+/// The text of a request that must run at most once, with header lines for its framing.
 pub fn write_request(id: &str, framing: &str, body: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nhost: n\r\nx-correlation-id: {id}\r\nx-service-class: write\r\nx-time-left: 6.0\r\n{framing}\r\n\r\n{body}"
     )
 }
 
-/// The next response on a connection; `None` if it ends or is reset instead.
+/// Reads the next response on a connection; `None` if it ends or is reset instead.
 pub fn read_response(stream: &TcpStream) -> Option<Response> {
     let message = Message::read(&mut BufReader::new(stream))?;
     let status = message.start_line.split(' ').nth(1)?.parse().ok()?;
@@ -53,22 +57,31 @@
     })
 }
 
-/// Sends bytes on a new connection and reads the response.
+/// Sends bytes on a new connection and reads the response; `None` if the connection ends instead.
+///
+/// # Panics
+/// Panics if the connection can't be established.
 pub fn exchange(node: SocketAddr, bytes: &[u8]) -> Option<Response> {
     let mut stream = connect(node);
     let _ = stream.write_all(bytes);
     read_response(&stream)
 }
 
-/// Sends a request to the management address; returns the status of its answer.
-pub fn call(management: SocketAddr, method: &str, path: &str) -> u16 {
-    let text = format!("{method} {path} HTTP/1.1\r\nhost: n\r\n\r\n");
-    exchange(management, text.as_bytes())
-        .expect("an answer to a call")
+/// Sends a request to the management address; returns the status of the response.
+///
+/// # Panics
+/// Panics if there is no response.
+pub fn call_management(management: SocketAddr, method: &str, path: &str) -> u16 {
+    let request = format!("{method} {path} HTTP/1.1\r\nhost: n\r\n\r\n");
+    exchange(management, request.as_bytes())
+        .expect("the management address responds")
         .status
 }
 
-/// Sends an idempotent request on a new connection.
+/// Sends an idempotent request on a new connection and reads the response.
+///
+/// # Panics
+/// Panics if there is no response.
 pub fn get(node: SocketAddr, id: &str) -> Response {
-    exchange(node, read_request(id).as_bytes()).expect("an answer")
+    exchange(node, read_request(id).as_bytes()).expect("the node responds")
 }
--- a/crates/testbed/src/scripted/discovery.rs
+++ b/crates/testbed/src/scripted/discovery.rs
@@ -1,31 +1,55 @@
-//! The discovery service of the platform.
+//! A discovery service of the platform that sends the lines a test prescribes.
 
-use super::{serve, Message, PATIENCE};
+use super::{serve, Message, WAIT_TIMEOUT};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
-use std::sync::{Arc, Condvar, Mutex};
+use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 /// Interval of the empty lines that a watch sends as heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// An endpoint list as discovery sends it. The servers have a name, an address and a status.
-pub fn endpoint_list(
-    index: u64,
-    is_snapshot: bool,
-    servers: &[(&str, SocketAddr, &str)],
-) -> String {
-    let endpoint = |(name, address, status): &(&str, SocketAddr, &str)| {
+/// A server in an endpoint list.
+#[derive(Clone, Copy, Debug)]
+pub struct ListedServer<'a> {
+    /// Name, by which the node identifies it.
+    pub name: &'a str,
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// Status on the list: `active`, `leaving`, `left` or another one.
+    pub status: &'a str,
+}
+
+impl<'a> ListedServer<'a> {
+    /// A server with this name, address and status.
+    pub fn new(name: &'a str, address: SocketAddr, status: &'a str) -> ListedServer<'a> {
+        ListedServer {
+            name,
+            address,
+            status,
+        }
+    }
+
+    fn to_json(self) -> String {
+        let ListedServer {
+            name,
+            address,
+            status,
+        } = self;
         format!(
             r#"{{"name":"{name}","address":"{address}","zone":"a","type":"k","group":1,"status":"{status}","weight":1.0,"since_ms":0}}"#
         )
-    };
-    let endpoints: Vec<String> = servers.iter().map(endpoint).collect();
+    }
+}
+
+/// An endpoint list as discovery sends it.
+pub fn endpoint_list(index: u64, is_snapshot: bool, servers: &[ListedServer<'_>]) -> String {
+    let endpoints: Vec<String> = servers.iter().map(|server| server.to_json()).collect();
     let endpoints = endpoints.join(",");
     format!(r#"{{"index":{index},"snapshot":{is_snapshot},"endpoints":[{endpoints}]}}"#)
 }
 
-/// A discovery service. Each watch gets the latest line, again whenever it changes.
+/// A discovery service. Each watch is sent the latest line, again whenever it changes.
 pub struct Discovery {
     /// Where it listens.
     pub address: SocketAddr,
@@ -43,78 +67,91 @@
     line: String,
     changes: usize,
     watches: usize,
-    /// Calls are answered 503, and watches end.
+    /// Requests are answered 503, and watches end.
     is_unavailable: bool,
-    calls: usize,
+    requests: usize,
+}
+
+impl Shared {
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
 }
 
 impl Discovery {
-    /// Starts without a list.
+    /// Starts a service without a list.
     pub fn start() -> Discovery {
         let shared = Arc::new(Shared::default());
-        let of_thread = shared.clone();
-        let address = serve(move |stream, _| serve_connection(stream, &of_thread));
+        let connection_shared = shared.clone();
+        let address = serve(move |stream, _| serve_connection(stream, &connection_shared));
         Discovery { address, shared }
     }
 
     /// Sends a complete list.
-    pub fn send_snapshot(&self, index: u64, servers: &[(&str, SocketAddr, &str)]) {
+    pub fn send_snapshot(&self, index: u64, servers: &[ListedServer<'_>]) {
         self.send_line(&endpoint_list(index, true, servers));
     }
 
     /// Sends changes of the list.
-    pub fn send_delta(&self, index: u64, servers: &[(&str, SocketAddr, &str)]) {
+    pub fn send_delta(&self, index: u64, servers: &[ListedServer<'_>]) {
         self.send_line(&endpoint_list(index, false, servers));
     }
 
     /// Sends a line, which need not be a list.
     pub fn send_line(&self, line: &str) {
-        let mut state = self.shared.state.lock().unwrap();
+        let mut state = self.shared.lock();
         line.clone_into(&mut state.line);
         state.changes += 1;
         self.shared.changed.notify_all();
     }
 
-    /// Whether calls are answered 503 from now on; open watches end.
+    /// Sets whether requests are answered 503 from now on; open watches end.
     pub fn set_unavailable(&self, is_unavailable: bool) {
-        self.shared.state.lock().unwrap().is_unavailable = is_unavailable;
+        self.shared.lock().is_unavailable = is_unavailable;
         self.shared.changed.notify_all();
     }
 
-    /// Number of calls so far.
-    pub fn calls(&self) -> usize {
-        self.shared.state.lock().unwrap().calls
+    /// Number of requests so far.
+    pub fn requests(&self) -> usize {
+        self.shared.lock().requests
     }
 
     /// Waits for the first watch.
+    ///
+    /// # Panics
+    /// Panics if there is none within [`WAIT_TIMEOUT`].
     pub fn wait_for_watch(&self) {
-        let state = self.shared.state.lock().unwrap();
+        let state = self.shared.lock();
         let is_missing = |state: &mut State| state.watches == 0;
-        let waited = self
+        let (_state, waited) = self
             .shared
             .changed
-            .wait_timeout_while(state, PATIENCE, is_missing);
-        assert!(!waited.unwrap().1.timed_out(), "nobody watches");
+            .wait_timeout_while(state, WAIT_TIMEOUT, is_missing)
+            .unwrap_or_else(PoisonError::into_inner);
+        assert!(!waited.timed_out(), "nobody watches");
     }
 }
 
 fn serve_connection(mut stream: TcpStream, shared: &Shared) {
-    let mut reader = BufReader::new(stream.try_clone().unwrap());
+    let mut reader = BufReader::new(stream.try_clone().expect("a socket can be cloned"));
     while let Some(request) = Message::read(&mut reader) {
         let is_unavailable = {
-            let mut state = shared.state.lock().unwrap();
-            state.calls += 1;
+            let mut state = shared.lock();
+            state.requests += 1;
             state.is_unavailable
         };
         if is_unavailable {
-            let answer = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n";
-            let _ = stream.write_all(answer);
+            let response = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n";
+            let _ = stream.write_all(response);
         } else if request.start_line.contains("watch=1") {
             return serve_watch(&mut stream, shared);
         } else {
-            let line = shared.state.lock().unwrap().line.clone();
+            let line = shared.lock().line.clone();
             let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", line.len());
-            stream.write_all((head + &line).as_bytes()).unwrap();
+            let response = head + &line;
+            stream
+                .write_all(response.as_bytes())
+                .expect("the node reads the list");
         }
     }
 }
@@ -126,12 +163,12 @@
         return;
     }
     let mut sent_changes = 0;
-    let mut state = shared.state.lock().unwrap();
+    let mut state = shared.lock();
     state.watches += 1;
     shared.changed.notify_all();
     while !state.is_unavailable {
-        let is_new = state.changes > sent_changes;
-        let line = if is_new {
+        let is_changed = state.changes > sent_changes;
+        let line = if is_changed {
             state.line.clone() + "\n"
         } else {
             "\n".to_owned()
@@ -144,7 +181,7 @@
         state = shared
             .changed
             .wait_timeout(state, HEARTBEAT_INTERVAL)
-            .unwrap()
+            .unwrap_or_else(PoisonError::into_inner)
             .0;
     }
 }
--- a/crates/testbed/src/scripted/message.rs
+++ b/crates/testbed/src/scripted/message.rs
@@ -1,48 +1,61 @@
-//! One HTTP message.
+//! Parsing of one HTTP message, for the scripted servers and clients.
 
 use std::io::BufRead;
 
+/// A header of a [`Message`].
+pub struct Header {
+    /// Name, in lower case.
+    pub name: String,
+    /// Value, without surrounding white space.
+    pub value: String,
+}
+
 /// One message as it was received.
 pub struct Message {
     /// The request line or the status line.
     pub start_line: String,
-    /// Names in lower case, and values.
-    pub headers: Vec<(String, String)>,
+    /// Headers, in the order received.
+    pub headers: Vec<Header>,
     /// As many bytes as `Content-Length` states.
     pub body: Vec<u8>,
 }
 
 impl Message {
     /// Reads a message; `None` if the connection ends before it is complete.
-    pub fn read(from: &mut impl BufRead) -> Option<Message> {
-        let start_line = read_line(from)?;
+    ///
+    /// # Panics
+    /// Panics if the content length is no number.
+    pub fn read(reader: &mut impl BufRead) -> Option<Message> {
+        let start_line = read_line(reader)?;
         let mut headers = Vec::new();
-        while let Some((name, value)) = read_line(from)?.split_once(':') {
-            headers.push((name.to_lowercase(), value.trim().to_owned()));
+        while let Some((name, value)) = read_line(reader)?.split_once(':') {
+            headers.push(Header {
+                name: name.to_lowercase(),
+                value: value.trim().to_owned(),
+            });
         }
         let mut message = Message {
             start_line,
             headers,
             body: Vec::new(),
         };
-        let length = message.header("content-length");
-        let length = length.map_or(0, |length| length.parse().unwrap());
+        let length = message.header("content-length").map_or(0, |length| {
+            length.parse().expect("the content length is a number")
+        });
         message.body.resize(length, 0);
-        from.read_exact(&mut message.body).ok()?;
+        reader.read_exact(&mut message.body).ok()?;
         Some(message)
     }
 
-    /// The value of a header, by its name in lower case.
+    /// Returns the value of the first header of that name, given in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        let mut headers = self.headers.iter();
-        headers
-            .find(|(other, _)| other == name)
-            .map(|(_, value)| value.as_str())
+        let header = self.headers.iter().find(|header| header.name == name);
+        header.map(|header| header.value.as_str())
     }
 }
 
-fn read_line(from: &mut impl BufRead) -> Option<String> {
+fn read_line(reader: &mut impl BufRead) -> Option<String> {
     let mut line = String::new();
-    let length = from.read_line(&mut line).ok()?;
+    let length = reader.read_line(&mut line).ok()?;
     (length > 0).then(|| line.trim_end().to_owned())
 }
--- a/crates/testbed/src/scripted/node.rs
+++ b/crates/testbed/src/scripted/node.rs
@@ -1,7 +1,7 @@
-//! The program under test.
+//! The process of the program under test, with the configuration of a platform.
 
 use super::client::{read_response, try_connect};
-use super::{Message, PATIENCE};
+use super::{Message, WAIT_TIMEOUT};
 use crate::node::{Folder, Program};
 use crate::ports::Port;
 use std::io::{BufReader, Write};
@@ -18,8 +18,8 @@
     /// The management address.
     pub management: SocketAddr,
     child: Child,
-    config: PathBuf,
-    sockets: usize,
+    config_path: PathBuf,
+    max_sockets: usize,
     /// Its `TMPDIR`; the processes of an upgrade share it.
     folder: Arc<Folder>,
     discovery: SocketAddr,
@@ -30,20 +30,27 @@
 
 impl Node {
     /// Starts the program, and waits until it is ready.
-    pub fn start(program: &Program, discovery: SocketAddr, sockets: usize) -> Node {
-        let folder = Arc::new(Folder::new().unwrap());
+    ///
+    /// # Panics
+    /// Panics if the program does not start, ends, or is not ready within [`WAIT_TIMEOUT`].
+    pub fn start(program: &Program, discovery: SocketAddr, max_sockets: usize) -> Node {
+        let folder = Folder::new().expect("a temporary folder can be created");
+        let port = Port::take().expect("a port is left");
         let mut node = Node::spawn(
             program,
-            Arc::new(Port::take().unwrap()),
+            Arc::new(port),
             discovery,
-            sockets,
-            folder,
+            max_sockets,
+            Arc::new(folder),
         );
         let started = Instant::now();
         let address = node.address;
         while !is_healthy(address) || !node.is_ready() {
             node.assert_running();
-            assert!(started.elapsed() < PATIENCE, "the node does not get ready");
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "the node does not get ready"
+            );
             std::thread::sleep(Duration::from_millis(10));
         }
         node
@@ -53,25 +60,27 @@
         program: &Program,
         port: Arc<Port>,
         discovery: SocketAddr,
-        sockets: usize,
+        max_sockets: usize,
         folder: Arc<Folder>,
     ) -> Node {
-        let management_port = Port::take().unwrap();
+        let management_port = Port::take().expect("a port is left");
         let (address, management) = (port.address(), management_port.address());
-        let config = folder.path().join(format!("{}.json", management.port()));
-        std::fs::write(&config, configuration(address, discovery, sockets)).unwrap();
+        let config_path = folder.path().join(format!("{}.json", management.port()));
+        let configuration = configuration(address, discovery, max_sockets);
+        std::fs::write(&config_path, configuration).expect("the configuration can be written");
         let mut command = program.command();
         command
-            .env("ROUTER_CONFIG", &config)
-            .env("ROUTER_MANAGEMENT", management.to_string());
-        command.env("TMPDIR", folder.path()).stdout(Stdio::null());
-        let child = command.spawn().unwrap();
+            .env("ROUTER_CONFIG", &config_path)
+            .env("ROUTER_MANAGEMENT", management.to_string())
+            .env("TMPDIR", folder.path())
+            .stdout(Stdio::null());
+        let child = command.spawn().expect("the program starts");
         Node {
             address,
             management,
             child,
-            config,
-            sockets,
+            config_path,
+            max_sockets,
             folder,
             discovery,
             port,
@@ -81,19 +90,23 @@
 
     /// Panics if the program has ended.
     fn assert_running(&mut self) {
-        if let Some(status) = self.child.try_wait().unwrap() {
+        let status = self.child.try_wait().expect("the process is a child");
+        if let Some(status) = status {
             panic!("the node has ended by itself: {status}");
         }
     }
 
     /// Starts the program again at the same address, as an upgrade does, and waits until it is ready.
+    ///
+    /// # Panics
+    /// Panics if the program does not start, ends, or is not ready within [`WAIT_TIMEOUT`].
     pub fn start_successor(&self, program: &Program) -> Node {
         let mut node = self.spawn_successor(program);
         let started = Instant::now();
         while !node.is_ready() {
             node.assert_running();
             assert!(
-                started.elapsed() < PATIENCE,
+                started.elapsed() < WAIT_TIMEOUT,
                 "the new process does not get ready"
             );
             std::thread::sleep(Duration::from_millis(5));
@@ -102,22 +115,25 @@
     }
 
     /// Starts the program again at the same address.
+    ///
+    /// # Panics
+    /// Panics if the program does not start.
     pub fn spawn_successor(&self, program: &Program) -> Node {
         Node::spawn(
             program,
             self.port.clone(),
             self.discovery,
-            self.sockets,
+            self.max_sockets,
             self.folder.clone(),
         )
     }
 
-    /// Its process id.
+    /// Process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Whether it states that it is ready.
+    /// Whether the readiness path responds 200.
     fn is_ready(&self) -> bool {
         let Some(mut stream) = try_connect(self.management) else {
             return false;
@@ -138,32 +154,45 @@
     }
 
     /// Replaces the configuration by one with another discovery.
+    ///
+    /// # Panics
+    /// Panics if the file can't be written.
     pub fn set_discovery(&self, discovery: SocketAddr) {
-        std::fs::write(
-            &self.config,
-            configuration(self.address, discovery, self.sockets),
-        )
-        .unwrap();
+        self.write_configuration(&configuration(self.address, discovery, self.max_sockets));
     }
 
     /// Replaces the configuration by an incomplete one.
+    ///
+    /// # Panics
+    /// Panics if the file can't be written.
     pub fn corrupt_configuration(&self) {
-        std::fs::write(&self.config, "{\"discovery\": ").unwrap();
+        self.write_configuration("{\"discovery\": ");
+    }
+
+    fn write_configuration(&self, text: &str) {
+        std::fs::write(&self.config_path, text).expect("the configuration can be written");
     }
 
     /// Waits for the end of the program; returns whether it was successful.
+    ///
+    /// # Panics
+    /// Panics if the process was waited for by somebody else.
     pub fn wait(&mut self) -> bool {
-        self.child.wait().unwrap().success()
+        let status = self.child.wait().expect("the process is a child");
+        status.success()
     }
 
     /// Sends a signal, by its name.
+    ///
+    /// # Panics
+    /// Panics if the signal can't be sent.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill")
+        let status = Command::new("kill")
             .args(["-s", name, &pid])
             .status()
-            .unwrap()
-            .success());
+            .expect("the system has `kill`");
+        assert!(status.success(), "no signal {name} to process {pid}");
     }
 }
 
@@ -174,15 +203,16 @@
     }
 }
 
-fn configuration(listen: SocketAddr, discovery: SocketAddr, sockets: usize) -> String {
-    let class = |name: &str, effect: &str| {
+/// A configuration as the platform writes it.
+fn configuration(listen: SocketAddr, discovery: SocketAddr, max_sockets: usize) -> String {
+    let class = |name: &str, idempotency: &str| {
         format!(
-            r#"{{"name":"{name}","promise":1.5,"deadline":6.0,"worth":1.0,"late-value":0.5,"effect":"{effect}"}}"#
+            r#"{{"name":"{name}","promise":1.5,"deadline":6.0,"worth":1.0,"late-value":0.5,"effect":"{idempotency}"}}"#
         )
     };
     format!(
         r#"{{"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"1f",
-        "limits":{{"cores":1.0,"memory_mb":64,"sockets":{sockets}}},"known":null,
+        "limits":{{"cores":1.0,"memory_mb":64,"sockets":{max_sockets}}},"known":null,
         "settings":{{"categories":[{},{}],"discovery":"push","kinds":["k"],"failure-domains":["a"],
         "limits":{{"max-attempts":4,"conn-idle":5.0,"connect-timeout":2.0,"retry-after":true,
         "max-retry-after":0.3}},"rules":{{"answer-slack":0.05}}}}}}"#,
--- a/crates/testbed/src/scripted/server.rs
+++ b/crates/testbed/src/scripted/server.rs
@@ -1,4 +1,4 @@
-//! Servers that respond as a test prescribes.
+//! Servers that respond as a test prescribes, and one that a test releases request by request.
 
 use super::{serve, Message};
 use std::io::{BufReader, Write};
@@ -14,23 +14,26 @@
 }
 
 impl Server {
-    /// Calls `respond` with each request, its number from 0, and the socket.
+    /// Starts a server that calls `respond` with each request, its number from 0, and the socket.
+    ///
+    /// # Panics
+    /// The thread of a connection panics if its socket can't be cloned.
     pub fn start(
         respond: impl Fn(&Message, usize, &mut TcpStream) + Send + Sync + 'static,
     ) -> Server {
         let requests = Arc::new(AtomicUsize::new(0));
-        let count = requests.clone();
+        let counter = requests.clone();
         let address = serve(move |mut stream, _| {
-            let mut reader = BufReader::new(stream.try_clone().unwrap());
+            let mut reader = BufReader::new(stream.try_clone().expect("a socket can be cloned"));
             while let Some(request) = Message::read(&mut reader) {
-                let number = count.fetch_add(1, Ordering::SeqCst);
+                let number = counter.fetch_add(1, Ordering::SeqCst);
                 respond(&request, number, &mut stream);
             }
         });
         Server { address, requests }
     }
 
-    /// A server that answers 200 with the id of the request.
+    /// Starts a server that responds 200 with the id of the request.
     pub fn healthy() -> Server {
         Server::start(|request, _, stream| {
             let _ = stream.write_all(&ok_response(request));
@@ -43,8 +46,8 @@
     }
 }
 
-/// A server that holds each request until it is released.
-pub struct HoldingServer {
+/// A server that lets each request wait until the test releases it.
+pub struct GatedServer {
     /// The server.
     pub server: Server,
     /// Passed with the server when a request has arrived.
@@ -53,9 +56,9 @@
     pub release: Arc<Barrier>,
 }
 
-impl HoldingServer {
-    /// Starts it.
-    pub fn start() -> HoldingServer {
+impl GatedServer {
+    /// Starts the server.
+    pub fn start() -> GatedServer {
         let arrived = Arc::new(Barrier::new(2));
         let release = Arc::new(Barrier::new(2));
         let (server_arrived, server_release) = (arrived.clone(), release.clone());
@@ -64,7 +67,7 @@
             server_release.wait();
             let _ = stream.write_all(&ok_response(request));
         });
-        HoldingServer {
+        GatedServer {
             server,
             arrived,
             release,
--- a/crates/testbed/tests/connection_bound.rs
+++ b/crates/testbed/tests/connection_bound.rs
@@ -1,7 +1,8 @@
 //! Which client's connection a node closes when it has no room for another: the real program over loopback sockets.
 
 use reelfall_testbed::scripted::{
-    connect, get, read_request, read_response, Discovery, Node, Program, Response, Server,
+    connect, get, read_request, read_response, Discovery, ListedServer, Node, Program, Response,
+    Server,
 };
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -16,7 +17,7 @@
 
 fn node_before(server: &Server) -> (Discovery, Node) {
     let discovery = Discovery::start();
-    discovery.send_snapshot(1, &[("s-1", server.address, "active")]);
+    discovery.send_snapshot(1, &[ListedServer::new("s-1", server.address, "active")]);
     let node = Node::start(
         &Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed")),
         discovery.address,
--- a/crates/testbed/tests/discovery.rs
+++ b/crates/testbed/tests/discovery.rs
@@ -1,8 +1,8 @@
 //! News of servers, through a list service that stalls, dribbles, writes for people and goes down.
 
 use reelfall_testbed::scripted::{
-    connect, endpoint_list, get, listener_with_full_backlog, read_request, serve, Message, Node,
-    Program, Server, PATIENCE,
+    connect, endpoint_list, get, listener_with_full_backlog, read_request, serve, ListedServer,
+    Message, Node, Program, Server, WAIT_TIMEOUT,
 };
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
@@ -53,7 +53,7 @@
 fn until_used(node: &Node, server: &Server) -> Duration {
     let (began, mut n) = (Instant::now(), 0);
     while server.requests() == 0 {
-        assert!(began.elapsed() < PATIENCE, "the news does not arrive");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "the news does not arrive");
         get(node.address, &format!("u-{n}"));
         n += 1;
     }
@@ -71,7 +71,11 @@
         serde_json::to_string_pretty(&value).unwrap() + "\n"
     };
     let address = service(move |call, _, stream| {
-        let first = pretty(endpoint_list(5, true, &[("s-1", old_at, "active")]));
+        let first = pretty(endpoint_list(
+            5,
+            true,
+            &[ListedServer::new("s-1", old_at, "active")],
+        ));
         if !call.contains("watch=1") {
             return whole(stream, &first);
         }
@@ -80,8 +84,15 @@
             return;
         }
         // Two changes, the second right behind the first, in pieces of a few bytes.
-        let changes = pretty(endpoint_list(6, false, &[("s-1", old_at, "left")]))
-            + &pretty(endpoint_list(7, false, &[("s-2", new_at, "active")]));
+        let changes = pretty(endpoint_list(
+            6,
+            false,
+            &[ListedServer::new("s-1", old_at, "left")],
+        )) + &pretty(endpoint_list(
+            7,
+            false,
+            &[ListedServer::new("s-2", new_at, "active")],
+        ));
         for piece in changes.as_bytes().chunks(7) {
             let _ = stream.write_all(chunk(std::str::from_utf8(piece).unwrap()).as_bytes());
         }
@@ -109,13 +120,15 @@
             if !call.contains("watch=1") {
                 whole(
                     stream,
-                    &endpoint_list(8, true, &[("s-2", new_at, "active")]),
+                    &endpoint_list(8, true, &[ListedServer::new("s-2", new_at, "active")]),
                 );
             } else if call.contains("after=8") {
                 let _ = stream.write_all(WATCHES.as_bytes());
                 beats(stream);
             } else {
-                let first = chunk(&(endpoint_list(5, true, &[("s-1", old_at, "active")]) + "\n"));
+                let first = chunk(
+                    &(endpoint_list(5, true, &[ListedServer::new("s-1", old_at, "active")]) + "\n"),
+                );
                 let _ = stream.write_all((WATCHES.to_owned() + &first + &chunk(spoilt)).as_bytes());
                 beats(stream);
             }
@@ -134,14 +147,16 @@
     let told = Mutex::new(told);
     let address = service(move |call, number, stream| {
         if number == 0 {
-            let first = chunk(&(endpoint_list(5, true, &[("s-1", old_at, "active")]) + "\n"));
+            let first = chunk(
+                &(endpoint_list(5, true, &[ListedServer::new("s-1", old_at, "active")]) + "\n"),
+            );
             let _ = stream.write_all((WATCHES.to_owned() + &first).as_bytes());
             let _ = told.lock().unwrap().send(Instant::now());
         }
         if stalls(number, stream) {
             return;
         }
-        let second = endpoint_list(9, true, &[("s-2", new_at, "active")]);
+        let second = endpoint_list(9, true, &[ListedServer::new("s-2", new_at, "active")]);
         if call.contains("watch=1") {
             let _ = stream.write_all((WATCHES.to_owned() + &chunk(&(second + "\n"))).as_bytes());
             beats(stream);
@@ -170,9 +185,10 @@
 #[test]
 fn a_connection_that_comes_up_late_and_says_nothing_takes_no_more_than_its_one_deadline() {
     let (old, new) = (Server::healthy(), Server::healthy());
-    let (listener, address) = listener_with_full_backlog();
-    let first = endpoint_list(5, true, &[("s-1", old.address, "active")]);
-    let second = endpoint_list(9, true, &[("s-2", new.address, "active")]);
+    let listener = listener_with_full_backlog();
+    let address = listener.local_addr().unwrap();
+    let first = endpoint_list(5, true, &[ListedServer::new("s-1", old.address, "active")]);
+    let second = endpoint_list(9, true, &[ListedServer::new("s-2", new.address, "active")]);
     let (told, when) = channel();
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
@@ -234,10 +250,10 @@
     let address = service(move |call, _, stream| {
         let state = *is_down.lock().unwrap();
         let now = match state {
-            None => endpoint_list(5, true, &[("s-1", old_at, "active")]),
+            None => endpoint_list(5, true, &[ListedServer::new("s-1", old_at, "active")]),
             // Down: connections end without a word.
             Some(true) => return drop(stream.shutdown(std::net::Shutdown::Both)),
-            Some(false) => endpoint_list(9, true, &[("s-2", new_at, "active")]),
+            Some(false) => endpoint_list(9, true, &[ListedServer::new("s-2", new_at, "active")]),
         };
         if !call.contains("watch=1") {
             return whole(stream, &now);
@@ -259,7 +275,7 @@
     let back = Instant::now();
     let mut n = 0;
     while new.requests() == 0 {
-        assert!(back.elapsed() < PATIENCE, "the news does not arrive");
+        assert!(back.elapsed() < WAIT_TIMEOUT, "the news does not arrive");
         let mut stream = connect(node.address);
         let _ = stream.write_all(read_request(&format!("n-{n}")).as_bytes());
         let _ = reelfall_testbed::scripted::read_response(&stream);
@@ -280,8 +296,8 @@
     let address = service(move |call, number, stream| {
         let _ = tell.lock().unwrap().0.send((number, Instant::now()));
         let lists = [
-            endpoint_list(5, true, &[("s-1", old_at, "active")]),
-            endpoint_list(9, true, &[("s-2", new_at, "active")]),
+            endpoint_list(5, true, &[ListedServer::new("s-1", old_at, "active")]),
+            endpoint_list(9, true, &[ListedServer::new("s-2", new_at, "active")]),
         ];
         if (1..6).contains(&number) {
             silence(stream);
--- a/crates/testbed/tests/endings.rs
+++ b/crates/testbed/tests/endings.rs
@@ -2,8 +2,8 @@
 
 use reelfall_testbed::scripted::{
     connect, get, listener_with_full_backlog, ok_response, read_request, read_response, serve,
-    wait_for_connection_attempt, write_request, Discovery, HoldingServer, Message, Node, Program,
-    Server, PATIENCE,
+    wait_for_connection_attempt, write_request, Discovery, GatedServer, ListedServer, Message,
+    Node, Program, Server, WAIT_TIMEOUT,
 };
 use std::io::{BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -17,7 +17,7 @@
 
 fn before(server: SocketAddr) -> (Discovery, Node) {
     let discovery = Discovery::start();
-    discovery.send_snapshot(1, &[("s-1", server, "active")]);
+    discovery.send_snapshot(1, &[ListedServer::new("s-1", server, "active")]);
     let node = Node::start(&program(), discovery.address, 256);
     (discovery, node)
 }
@@ -133,7 +133,8 @@
 
 #[test]
 fn a_request_whose_client_leaves_while_a_connection_comes_up_is_sent_nowhere() {
-    let (listener, address) = listener_with_full_backlog();
+    let listener = listener_with_full_backlog();
+    let address = listener.local_addr().unwrap();
     let (_discovery, node) = before(address);
     let filler = TcpStream::connect(address).unwrap();
     let mut client = connect(node.address);
@@ -146,7 +147,7 @@
     let (stream, _) = listener.accept().unwrap();
     let to = node.address;
     let other = std::thread::spawn(move || get(to, "wanted"));
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     let request = Message::read(&mut reader).expect("a request");
     assert_eq!(request.header("x-correlation-id"), Some("wanted"));
@@ -183,11 +184,11 @@
 
 #[test]
 fn an_answer_before_an_end_is_not_lost_to_what_its_client_sent_ahead() {
-    let HoldingServer {
+    let GatedServer {
         server,
         arrived,
         release,
-    } = HoldingServer::start();
+    } = GatedServer::start();
     let (_discovery, mut node) = before(server.address);
     let mut client = connect(node.address);
     client.write_all(read_request("a-1").as_bytes()).unwrap();
@@ -287,6 +288,6 @@
     release.wait();
     assert_eq!(read_response(&first).map(|g| g.status), Some(200));
     // Idle connections are kept for 4 s where none is turned away.
-    let kept = gone.recv_timeout(PATIENCE).unwrap();
+    let kept = gone.recv_timeout(WAIT_TIMEOUT).unwrap();
     assert!(kept < Duration::from_secs(3), "{kept:?}");
 }
--- a/crates/testbed/tests/golden_answers.rs
+++ b/crates/testbed/tests/golden_answers.rs
@@ -2,7 +2,7 @@
 //! c58caac: status, headers and body. Numbers in the bodies of reports change from run to run; a `#` stands for each.
 
 use reelfall_testbed::node::Folder;
-use reelfall_testbed::scripted::{connect, Program, PATIENCE};
+use reelfall_testbed::scripted::{connect, Program, WAIT_TIMEOUT};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
@@ -90,7 +90,10 @@
         };
         let started = Instant::now();
         while !node.is_up() {
-            assert!(started.elapsed() < PATIENCE, "the node does not get ready");
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "the node does not get ready"
+            );
         }
         node
     }
--- a/crates/testbed/tests/node.rs
+++ b/crates/testbed/tests/node.rs
@@ -2,7 +2,7 @@
 
 use reelfall_testbed::scripted::{
     connect, exchange, get, ok_response, read_request, read_response, write_request, Discovery,
-    HoldingServer, Message, Node, Program, Response, Server,
+    GatedServer, ListedServer, Message, Node, Program, Response, Server,
 };
 use std::io::{BufReader, Write};
 use std::sync::{Arc, Barrier};
@@ -16,9 +16,9 @@
 fn a_new_configuration_moves_the_watch_and_costs_no_request() {
     let (first, second) = (Server::healthy(), Server::healthy());
     let (old, new) = (Discovery::start(), Discovery::start());
-    old.send_snapshot(40, &[("s-1", first.address, "active")]);
+    old.send_snapshot(40, &[ListedServer::new("s-1", first.address, "active")]);
     // The new service counts its versions anew, and knows another server.
-    new.send_snapshot(3, &[("s-2", second.address, "active")]);
+    new.send_snapshot(3, &[ListedServer::new("s-2", second.address, "active")]);
     let node = Node::start(&program(), old.address, 256);
     assert_eq!(get(node.address, "r-1").status, 200);
     assert_eq!((first.requests(), second.requests()), (1, 0));
@@ -41,7 +41,7 @@
 /// A node with one server that answers as told.
 fn before(server: &Server, sockets: usize) -> (Discovery, Node) {
     let discovery = Discovery::start();
-    discovery.send_snapshot(1, &[("s-1", server.address, "active")]);
+    discovery.send_snapshot(1, &[ListedServer::new("s-1", server.address, "active")]);
     let node = Node::start(&program(), discovery.address, sockets);
     (discovery, node)
 }
@@ -217,11 +217,11 @@
 
 #[test]
 fn on_sigterm_what_is_open_is_answered_and_the_program_ends() {
-    let HoldingServer {
+    let GatedServer {
         server,
         arrived,
         release,
-    } = HoldingServer::start();
+    } = GatedServer::start();
     let (_discovery, mut node) = before(&server, 256);
     let idle = connect(node.address);
     let mut open = connect(node.address);
@@ -236,11 +236,11 @@
 
 #[test]
 fn while_the_last_requests_are_answered_nobody_new_is_kept_waiting() {
-    let HoldingServer {
+    let GatedServer {
         server,
         arrived,
         release,
-    } = HoldingServer::start();
+    } = GatedServer::start();
     let (_discovery, mut node) = before(&server, 256);
     let mut open = connect(node.address);
     open.write_all(write_request("open", "content-length: 1", "x").as_bytes())
@@ -358,13 +358,13 @@
     let (discovery, node) = before(&server, 256);
     assert_eq!(get(node.address, "a-1").status, 200);
     // Nobody has said yet that s-1 is gone when its successor drains in turn.
-    discovery.send_delta(2, &[("n-1", server.address, "active")]);
+    discovery.send_delta(2, &[ListedServer::new("n-1", server.address, "active")]);
     discovery.send_delta(
         3,
         &[
-            ("n-1", server.address, "active"),
-            ("n-1", server.address, "leaving"),
-            ("n-2", other.address, "active"),
+            ListedServer::new("n-1", server.address, "active"),
+            ListedServer::new("n-1", server.address, "leaving"),
+            ListedServer::new("n-2", other.address, "active"),
         ],
     );
     let mut n = 2;
--- a/crates/testbed/tests/operations.rs
+++ b/crates/testbed/tests/operations.rs
@@ -1,8 +1,8 @@
 //! Management requests, drains and upgrades of the real program, over loopback sockets.
 
 use reelfall_testbed::scripted::{
-    call, connect, exchange, get, read_request, read_response, Discovery, Node, Program, Response,
-    Server, PATIENCE,
+    call_management, connect, exchange, get, read_request, read_response, Discovery, ListedServer,
+    Node, Program, Response, Server, WAIT_TIMEOUT,
 };
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -20,7 +20,10 @@
     let discovery = Discovery::start();
     discovery.send_snapshot(
         1,
-        &[("s-a", a.address, "active"), ("s-b", b.address, "active")],
+        &[
+            ListedServer::new("s-a", a.address, "active"),
+            ListedServer::new("s-b", b.address, "active"),
+        ],
     );
     let node = Node::start(&program(), discovery.address, 256);
     (a, b, discovery, node)
@@ -38,7 +41,7 @@
         if server.requests() > before {
             return;
         }
-        assert!(began.elapsed() < PATIENCE, "a server stays unused");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "a server stays unused");
     }
 }
 
@@ -47,18 +50,27 @@
     let (a, b, discovery, node) = node();
     until_seen(&node, &a);
     until_seen(&node, &b);
-    assert_eq!(call(node.management, "POST", "/-/servers/s-a/disable"), 200);
-    assert_eq!(call(node.management, "POST", "/-/servers/s-a/disable"), 200);
+    assert_eq!(
+        call_management(node.management, "POST", "/-/servers/s-a/disable"),
+        200
+    );
+    assert_eq!(
+        call_management(node.management, "POST", "/-/servers/s-a/disable"),
+        200
+    );
     let before = a.requests();
     // The list drops it, renews it, moves it back and forth.
-    discovery.send_delta(2, &[("s-a", a.address, "left")]);
+    discovery.send_delta(2, &[ListedServer::new("s-a", a.address, "left")]);
     for n in 0..20 {
         assert_eq!(get(node.address, &format!("d-{n}")).status, 200);
     }
-    discovery.send_delta(3, &[("s-a", a.address, "active")]);
+    discovery.send_delta(3, &[ListedServer::new("s-a", a.address, "active")]);
     discovery.send_snapshot(
         4,
-        &[("s-a", a.address, "active"), ("s-b", b.address, "active")],
+        &[
+            ListedServer::new("s-a", a.address, "active"),
+            ListedServer::new("s-b", b.address, "active"),
+        ],
     );
     for n in 0..40 {
         assert_eq!(get(node.address, &format!("r-{n}")).status, 200);
@@ -70,12 +82,21 @@
         "a server that is out by hand is sent to"
     );
     // With all out, requests are refused and run nowhere.
-    assert_eq!(call(node.management, "POST", "/-/servers/s-b/disable"), 200);
+    assert_eq!(
+        call_management(node.management, "POST", "/-/servers/s-b/disable"),
+        200
+    );
     let before = (a.requests(), b.requests());
     assert_eq!(get(node.address, "none").status, 503);
     assert_eq!((a.requests(), b.requests()), before);
-    assert_eq!(call(node.management, "POST", "/-/servers/s-b/enable"), 200);
-    assert_eq!(call(node.management, "POST", "/-/servers/s-a/enable"), 200);
+    assert_eq!(
+        call_management(node.management, "POST", "/-/servers/s-b/enable"),
+        200
+    );
+    assert_eq!(
+        call_management(node.management, "POST", "/-/servers/s-a/enable"),
+        200
+    );
     until_seen(&node, &a);
     until_seen(&node, &b);
 }
@@ -94,7 +115,7 @@
         ("GET", "/api", 404),
     ] {
         assert_eq!(
-            call(node.management, method, path),
+            call_management(node.management, method, path),
             status,
             "{method} {path}"
         );
@@ -144,7 +165,7 @@
         .collect();
     for _ in 0..10 {
         let asked = Instant::now();
-        assert_eq!(call(node.management, "GET", "/-/ready"), 200);
+        assert_eq!(call_management(node.management, "GET", "/-/ready"), 200);
         assert!(
             asked.elapsed() < Duration::from_secs(1),
             "a call is held up by callers that say nothing"
@@ -169,7 +190,7 @@
     };
     assert_eq!(ask(&mut used, "d-1").map(|g| g.status), Some(200));
     let idle = connect(node.address);
-    assert_eq!(call(node.management, "POST", "/-/drain"), 200);
+    assert_eq!(call_management(node.management, "POST", "/-/drain"), 200);
     let health = b"GET /_health HTTP/1.1\r\nhost: n\r\n\r\n";
     assert_eq!(exchange(node.address, health).map(|g| g.status), Some(503));
     // What a client still asks on an open connection is answered, and the answer ends the connection.
@@ -187,9 +208,9 @@
         began.elapsed() < Duration::from_secs(4),
         "an idle connection outlives the drain's patience"
     );
-    assert_eq!(call(node.management, "GET", "/-/ready"), 200);
+    assert_eq!(call_management(node.management, "GET", "/-/ready"), 200);
     for path in ["/-/resume", "/-/drain", "/-/resume"] {
-        assert_eq!(call(node.management, "POST", path), 200);
+        assert_eq!(call_management(node.management, "POST", path), 200);
     }
     assert_eq!(exchange(node.address, health).map(|g| g.status), Some(200));
     let mut again = connect(node.address);
@@ -260,7 +281,7 @@
 
     /// Sends a request and returns the connection if it was served; otherwise what was seen instead.
     fn request(mut stream: TcpStream, id: &str) -> Result<TcpStream, String> {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let sent = stream.write_all(read_request(id).as_bytes());
         match read_response(&stream) {
             Some(response) if response.status == 200 && response.body == id => Ok(stream),
@@ -272,7 +293,7 @@
     fn wait_for_more_than(&self, requests: usize) {
         let began = Instant::now();
         while self.ended.load(Ordering::SeqCst) <= requests {
-            assert!(began.elapsed() < PATIENCE, "the load has stopped");
+            assert!(began.elapsed() < WAIT_TIMEOUT, "the load has stopped");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -292,7 +313,10 @@
 #[test]
 fn twenty_upgrades_under_load_lose_no_request_and_no_connection() {
     let (a, _b, _discovery, mut node) = node();
-    assert_eq!(call(node.management, "POST", "/-/servers/s-a/disable"), 200);
+    assert_eq!(
+        call_management(node.management, "POST", "/-/servers/s-a/disable"),
+        200
+    );
     let before = a.requests();
     let load = Load::start(node.address, 12);
     for _ in 0..20 {
@@ -308,7 +332,10 @@
         lost.len()
     );
     assert_eq!(a.requests(), before, "a ban does not outlive an upgrade");
-    assert_eq!(call(node.management, "POST", "/-/servers/s-a/enable"), 200);
+    assert_eq!(
+        call_management(node.management, "POST", "/-/servers/s-a/enable"),
+        200
+    );
     until_seen(&node, &a);
 }
 
@@ -380,37 +407,49 @@
 #[test]
 fn a_drained_node_stays_drained_across_an_upgrade() {
     let (_a, _b, _discovery, mut node) = node();
-    assert_eq!(call(node.management, "POST", "/-/drain"), 200);
+    assert_eq!(call_management(node.management, "POST", "/-/drain"), 200);
     let next = node.start_successor(&program());
     node.signal("TERM");
     assert!(node.wait());
     let health = b"GET /_health HTTP/1.1\r\nhost: n\r\n\r\n";
     assert_eq!(exchange(next.address, health).map(|g| g.status), Some(503));
-    assert_eq!(call(next.management, "POST", "/-/resume"), 200);
+    assert_eq!(call_management(next.management, "POST", "/-/resume"), 200);
     assert_eq!(exchange(next.address, health).map(|g| g.status), Some(200));
 }
 
 #[test]
 fn a_ban_outlives_an_upgrade_in_which_the_list_drops_the_server_and_names_it_again() {
     let (a, b, discovery, mut node) = node();
-    assert_eq!(call(node.management, "POST", "/-/servers/s-a/disable"), 200);
+    assert_eq!(
+        call_management(node.management, "POST", "/-/servers/s-a/disable"),
+        200
+    );
     let before = a.requests();
-    discovery.send_snapshot(2, &[("s-b", b.address, "active")]);
+    discovery.send_snapshot(2, &[ListedServer::new("s-b", b.address, "active")]);
     let next = node.start_successor(&program());
     // Told to the new process, in force in the old one too; and known though no list names it at this moment.
-    assert_eq!(call(next.management, "POST", "/-/servers/s-a/disable"), 200);
+    assert_eq!(
+        call_management(next.management, "POST", "/-/servers/s-a/disable"),
+        200
+    );
     node.signal("TERM");
     assert!(node.wait());
     discovery.send_snapshot(
         3,
-        &[("s-a", a.address, "active"), ("s-b", b.address, "active")],
+        &[
+            ListedServer::new("s-a", a.address, "active"),
+            ListedServer::new("s-b", b.address, "active"),
+        ],
     );
     for n in 0..60 {
         assert_eq!(get(next.address, &format!("d-{n}")).status, 200);
         std::thread::sleep(Duration::from_millis(5));
     }
     assert_eq!(a.requests(), before);
-    assert_eq!(call(next.management, "POST", "/-/servers/s-a/enable"), 200);
+    assert_eq!(
+        call_management(next.management, "POST", "/-/servers/s-a/enable"),
+        200
+    );
     until_seen(&next, &a);
 }
 
@@ -418,7 +457,10 @@
 fn a_change_that_cannot_be_stored_is_applied_and_reported_as_an_error() {
     let (a, _b, _discovery, node) = node();
     std::fs::remove_dir_all(node.folder()).unwrap();
-    assert_eq!(call(node.management, "POST", "/-/servers/s-a/disable"), 500);
+    assert_eq!(
+        call_management(node.management, "POST", "/-/servers/s-a/disable"),
+        500
+    );
     let before = a.requests();
     for n in 0..30 {
         assert_eq!(get(node.address, &format!("w-{n}")).status, 200);
@@ -444,14 +486,14 @@
         let _ = stream.write_all(&reelfall_testbed::scripted::ok_response(request));
     });
     let discovery = Discovery::start();
-    discovery.send_snapshot(1, &[("s-1", server.address, "active")]);
+    discovery.send_snapshot(1, &[ListedServer::new("s-1", server.address, "active")]);
     let mut node = Node::start(&program(), discovery.address, 256);
     let mut open = connect(node.address);
     open.write_all(read_request("open").as_bytes()).unwrap();
     while server.requests() == 0 {
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert_eq!(call(node.management, "POST", "/-/drain"), 200);
+    assert_eq!(call_management(node.management, "POST", "/-/drain"), 200);
     node.signal("TERM");
     assert_eq!(
         read_response(&open),
--- a/crates/testbed/tests/reload.rs
+++ b/crates/testbed/tests/reload.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 use hyper::Request;
 use reelfall_testbed::client::{Client, Got};
-use reelfall_testbed::node::{Node, PATIENCE};
+use reelfall_testbed::node::{Node, WAIT_TIMEOUT};
 use reelfall_testbed::pool::{Manner, Server};
 use reelfall_testbed::scripted::{self, Program};
 use std::collections::HashSet;
@@ -32,7 +32,7 @@
 
 /// What should come soon comes.
 async fn soon<T>(what: &str, wait: impl Future<Output = T>) -> T {
-    tokio::time::timeout(PATIENCE, wait)
+    tokio::time::timeout(WAIT_TIMEOUT, wait)
         .await
         .unwrap_or_else(|_| panic!("in vain: {what}"))
 }
--- a/crates/testbed/tests/streams.rs
+++ b/crates/testbed/tests/streams.rs
@@ -2,7 +2,7 @@
 
 use reelfall_testbed::node::memory_kib;
 use reelfall_testbed::scripted::{
-    connect, get, write_request, Discovery, Message, Node, Program, Server,
+    connect, get, write_request, Discovery, ListedServer, Message, Node, Program, Server,
 };
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,7 +15,7 @@
 
 fn node(server: SocketAddr) -> (Discovery, Node) {
     let discovery = Discovery::start();
-    discovery.send_snapshot(1, &[("s-1", server, "active")]);
+    discovery.send_snapshot(1, &[ListedServer::new("s-1", server, "active")]);
     let node = Node::start(&program(), discovery.address, 1024);
     (discovery, node)
 }
@@ -327,21 +327,21 @@
     // Nobody to send to: the node has its answer at once.
     let discovery = Discovery::start();
     let server = Server::healthy();
-    discovery.send_snapshot(1, &[("s-1", server.address, "leaving")]);
+    discovery.send_snapshot(1, &[ListedServer::new("s-1", server.address, "leaving")]);
     let up = Server::healthy();
     discovery.send_snapshot(
         2,
         &[
-            ("s-1", server.address, "leaving"),
-            ("s-2", up.address, "active"),
+            ListedServer::new("s-1", server.address, "leaving"),
+            ListedServer::new("s-2", up.address, "active"),
         ],
     );
     let node = Node::start(&program(), discovery.address, 256);
     discovery.send_snapshot(
         3,
         &[
-            ("s-1", server.address, "leaving"),
-            ("s-2", up.address, "leaving"),
+            ListedServer::new("s-1", server.address, "leaving"),
+            ListedServer::new("s-2", up.address, "leaving"),
         ],
     );
     let began = Instant::now();
