--- a/crates/testbed/src/commands/fleet.rs
+++ b/crates/testbed/src/commands/fleet.rs
@@ -1,7 +1,8 @@
-//! A fleet of nodes under load, and a schedule of faults.
+//! The command `fleet`: a fleet of nodes under load, and a schedule of faults.
 
-use reelfall_testbed::fleet::plays::Play;
-use reelfall_testbed::fleet::{schedule, Made, WARM};
+use reelfall_testbed::fleet::schedule::{self, Step};
+use reelfall_testbed::fleet::schedule_run::ScheduleRun;
+use reelfall_testbed::fleet::{FleetSpec, SHORT_SLOW_START};
 use reelfall_testbed::node::Program;
 use reelfall_testbed::Result;
 use std::path::PathBuf;
@@ -51,45 +52,65 @@
     shorten: usize,
 }
 
-/// Plays a schedule and prints the figures; returns whether no rule was broken.
+impl ScheduleArgs {
+    fn schedule_run(&self) -> ScheduleRun {
+        let spec = FleetSpec {
+            node_count: self.nodes,
+            server_count: self.servers,
+            zone_count: self.zones,
+            discovery_count: self.lists,
+            fleet_settings: Some(self.fleet.clone()),
+            service_settings: SHORT_SLOW_START.to_owned(),
+            ..FleetSpec::default()
+        };
+        ScheduleRun {
+            spec,
+            rate: self.rate,
+            at_most_once_ratio: self.risky,
+            seed: self.seed,
+        }
+    }
+
+    /// The schedule of the file, or else a generated one.
+    fn steps(&self) -> Result<Vec<Step>> {
+        let Some(file) = &self.schedule else {
+            let duration = Duration::from_secs_f64(self.seconds);
+            return Ok(schedule::generate(
+                self.seed,
+                self.nodes,
+                self.servers,
+                duration,
+            ));
+        };
+        let text = std::fs::read_to_string(file)?;
+        Ok(schedule::parse(&text, self.nodes, self.servers)?)
+    }
+}
+
+/// Runs a schedule and prints the figures; returns whether no invariant was violated.
 pub async fn run(program: &Program, args: &ScheduleArgs) -> Result<bool> {
-    let made = Made {
-        nodes: args.nodes,
-        servers: args.servers,
-        zones: args.zones,
-        lists: args.lists,
-        fleet: Some(args.fleet.clone()),
-        service: WARM.to_owned(),
-        ..Made::default()
-    };
-    let play = Play {
-        made,
-        rate: args.rate,
-        risky: args.risky,
-        seed: args.seed,
-    };
-    let time = Duration::from_secs_f64(args.seconds);
-    let mut steps = match &args.schedule {
-        Some(file) => schedule::read(&std::fs::read_to_string(file)?, args.nodes, args.servers)?,
-        None => schedule::drawn(args.seed, args.nodes, args.servers, time),
-    };
-    let result = play.run(program, &steps).await?;
+    let schedule_run = args.schedule_run();
+    let mut steps = args.steps()?;
+    let outcome = schedule_run.execute(program, &steps).await?;
     if let Some(file) = &args.history {
-        std::fs::write(file, result.lines())?;
+        std::fs::write(file, outcome.history.to_text())?;
     }
-    if !result.broken.is_empty() && args.shorten > 0 {
-        let (shorter, plays) = play.shorten(program, &steps, args.shorten).await;
+    if !outcome.violations.is_empty() && args.shorten > 0 {
+        let minimized = schedule_run.minimize(program, &steps, args.shorten).await;
         eprintln!(
-            "{} steps in place of {}, after {plays} plays",
-            shorter.len(),
-            steps.len()
+            "{} steps in place of {}, after {} plays",
+            minimized.steps.len(),
+            steps.len(),
+            minimized.trials
         );
-        steps = shorter;
+        steps = minimized.steps;
     }
     if let Some(file) = &args.write {
-        std::fs::write(file, schedule::write(&steps))?;
+        std::fs::write(file, schedule::format(&steps))?;
+    }
+    for violation in &outcome.violations {
+        eprintln!("broken: {violation}");
     }
-    result.broken.iter().for_each(|b| eprintln!("broken: {b}"));
-    println!("{}", result.figures());
-    Ok(result.broken.is_empty())
+    println!("{}", outcome.figures());
+    Ok(outcome.violations.is_empty())
 }
--- a/crates/testbed/src/fleet/load.rs
+++ b/crates/testbed/src/fleet/load.rs
@@ -1,7 +1,7 @@
-//! Clients at the nodes of a fleet, that ask at random moments and write the history of it.
+//! Clients of the nodes of a fleet. They send requests at random times and record them in the history.
 
 use super::history::{Event, History};
-use super::name;
+use super::{node_name, TestFleet};
 use crate::client::Client;
 use crate::Draw;
 use bytes::Bytes;
@@ -11,23 +11,27 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
+use tokio::task::{JoinHandle, JoinSet};
 
-/// Where clients reach each node now; a process that begins again has another port.
+/// The latency objective of the services.
+pub const LATENCY_OBJECTIVE: Duration = Duration::from_millis(200);
+/// The deadline of requests.
+pub const DEADLINE: Duration = Duration::from_secs(2);
+/// How much longer than the deadline a client waits, so that a late response is seen as late and not as missing.
+const CLIENT_TIMEOUT_MARGIN: Duration = Duration::from_secs(40);
+
+/// The address of each node for clients; it changes when a process is started again.
 pub(super) type Addresses = Arc<Mutex<Vec<Option<SocketAddr>>>>;
 
-/// Clients at work.
+/// Clients that are running. They stop when this is dropped.
 pub struct Load {
-    clients: Vec<tokio::task::JoinHandle<()>>,
+    clients: Vec<JoinHandle<()>>,
     stop: Arc<AtomicBool>,
 }
 
 impl Load {
-    pub(super) fn new(clients: Vec<tokio::task::JoinHandle<()>>, stop: Arc<AtomicBool>) -> Load {
-        Load { clients, stop }
-    }
-
-    /// No more is asked; waits for what is under way.
-    pub async fn end(mut self) {
+    /// Stops sending, and waits for the responses to all requests.
+    pub async fn stop(mut self) {
         self.stop.store(true, Ordering::Relaxed);
         for client in self.clients.drain(..) {
             let _ = client.await;
@@ -41,86 +45,138 @@
     }
 }
 
-/// In what time an answer is worth all.
-pub const AIM: Duration = Duration::from_millis(200);
-/// What clients wait for an answer.
-pub const DEADLINE: Duration = Duration::from_secs(2);
+impl TestFleet {
+    /// Starts clients that send so many requests a second to each node, a share of which must run at most once.
+    pub fn start_load(&self, rate: f64, at_most_once_ratio: f64, seed: u64) -> Load {
+        let nodes: Vec<usize> = (0..self.node_count()).collect();
+        self.start_load_at(&nodes, rate, at_most_once_ratio, seed)
+    }
+
+    /// The same for some of the nodes.
+    pub fn start_load_at(
+        &self,
+        nodes: &[usize],
+        rate: f64,
+        at_most_once_ratio: f64,
+        seed: u64,
+    ) -> Load {
+        let stop = Arc::new(AtomicBool::new(false));
+        let clients = nodes.iter().copied().map(|node| {
+            let clients = NodeClients {
+                node,
+                addresses: self.addresses.clone(),
+                rate,
+                at_most_once_ratio,
+                random: Draw(seed.wrapping_mul(0x9e37).wrapping_add(node as u64)),
+                history: self.history.clone(),
+                stop: stop.clone(),
+                client: None,
+            };
+            tokio::spawn(clients.run())
+        });
+        Load {
+            clients: clients.collect(),
+            stop,
+        }
+    }
+}
+
+/// A client, and the address that it is connected to.
+struct ConnectedClient {
+    address: SocketAddr,
+    client: Arc<Client>,
+}
 
-pub(super) async fn clients(
+/// The clients of one node.
+struct NodeClients {
     node: usize,
     addresses: Addresses,
+    /// Requests a second.
     rate: f64,
-    risky: f64,
-    mut draw: Draw,
+    at_most_once_ratio: f64,
+    random: Draw,
     history: Arc<History>,
     stop: Arc<AtomicBool>,
-) {
-    let mut to: Option<(SocketAddr, Arc<Client>)> = None;
-    let mut running = tokio::task::JoinSet::new();
-    let tag = draw.number() & 0xffff;
-    let mut due = Instant::now();
-    for n in 0u64.. {
-        due += Duration::from_secs_f64(draw.gap(rate));
-        tokio::time::sleep_until(due.into()).await;
-        if stop.load(Ordering::Relaxed) {
-            break;
+    client: Option<ConnectedClient>,
+}
+
+impl NodeClients {
+    async fn run(mut self) {
+        let mut in_flight = JoinSet::new();
+        let tag = self.random.number() & 0xffff;
+        let mut due = Instant::now();
+        for sequence in 0u64.. {
+            due += Duration::from_secs_f64(self.random.gap(self.rate));
+            tokio::time::sleep_until(due.into()).await;
+            if self.stop.load(Ordering::Relaxed) {
+                break;
+            }
+            while in_flight.try_join_next().is_some() {}
+            // Nothing is sent to a node without a process.
+            let Some(client) = self.current_client() else {
+                continue;
+            };
+            let at_most_once = self.random.fraction() < self.at_most_once_ratio;
+            let kind = if at_most_once { "w" } else { "r" };
+            let id = format!("{}-{kind}{tag:x}-{sequence}", node_name(self.node));
+            let (node, history) = (self.node, self.history.clone());
+            in_flight.spawn(async move { send(node, &client, &history, id, at_most_once).await });
         }
-        while running.try_join_next().is_some() {}
-        let now = addresses
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .get(node)
-            .copied()
-            .flatten();
-        // Where nobody is, nobody is asked.
-        let Some(address) = now else { continue };
-        let client = match &to {
-            Some((at, client)) if *at == address => client.clone(),
-            _ => to
-                .insert((address, Arc::new(Client::new(address))))
-                .1
-                .clone(),
+        while in_flight.join_next().await.is_some() {}
+    }
+
+    /// The client of the node's current process; `None` if it has none.
+    fn current_client(&mut self) -> Option<Arc<Client>> {
+        let address = {
+            let addresses = self
+                .addresses
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
+            addresses.get(self.node).copied().flatten()?
         };
-        let risky = draw.fraction() < risky;
-        let id = format!(
-            "{}-{}{tag:x}-{n}",
-            name(node),
-            if risky { "w" } else { "r" }
-        );
-        let history = history.clone();
-        running.spawn(async move { ask(node, &client, &history, id, risky).await });
+        let connected = self
+            .client
+            .take()
+            .filter(|connected| connected.address == address)
+            .unwrap_or_else(|| ConnectedClient {
+                address,
+                client: Arc::new(Client::new(address)),
+            });
+        let client = connected.client.clone();
+        self.client = Some(connected);
+        Some(client)
     }
-    while running.join_next().await.is_some() {}
 }
 
-async fn ask(node: usize, client: &Client, history: &History, id: String, risky: bool) {
-    let request = Request::builder()
-        .method(if risky { "POST" } else { "GET" })
-        .uri("/api/flags")
-        .header(
-            "host",
-            if risky {
-                "toggle.example.org"
-            } else {
-                "evaluate.example.org"
-            },
-        )
-        .header("x-correlation-id", &id)
-        .body(Full::new(if risky {
-            Bytes::from_static(b"{}")
-        } else {
-            Bytes::new()
-        }));
-    let Ok(request) = request else { return };
-    history.add(Event::Asked {
+/// Sends a request and waits for its response; records both.
+async fn send(node: usize, client: &Client, history: &History, id: String, at_most_once: bool) {
+    let Ok(request) = request(&id, at_most_once) else {
+        return;
+    };
+    history.record(Event::RequestSent {
         node,
         id: id.clone(),
-        risky,
+        at_most_once,
     });
-    let got = tokio::time::timeout(DEADLINE + Duration::from_secs(40), client.ask(request)).await;
-    let status = match got {
-        Ok(Ok(got)) => Some(got.status.as_u16()),
+    let timeout = DEADLINE + CLIENT_TIMEOUT_MARGIN;
+    let response = tokio::time::timeout(timeout, client.ask(request)).await;
+    let status = match response {
+        Ok(Ok(response)) => Some(response.status.as_u16()),
         Ok(Err(_)) | Err(_) => None,
     };
-    history.add(Event::Answered { node, id, status });
+    history.record(Event::ResponseReceived { node, id, status });
+}
+
+fn request(id: &str, at_most_once: bool) -> hyper::http::Result<Request<Full<Bytes>>> {
+    let (method, host, body) = if at_most_once {
+        ("POST", "toggle.example.org", Bytes::from_static(b"{}"))
+    } else {
+        ("GET", "evaluate.example.org", Bytes::new())
+    };
+    Request::builder()
+        .method(method)
+        .uri("/api/flags")
+        .header("host", host)
+        .header("x-correlation-id", id)
+        .body(Full::new(body))
 }
--- a/crates/testbed/src/fleet/node_settings.rs
+++ b/crates/testbed/src/fleet/node_settings.rs
@@ -1,85 +1,104 @@
-//! The settings files of a fleet's nodes.
+//! The settings files of a fleet's nodes. [`TestFleet`](super::TestFleet) writes them at its start.
 
-use super::links::Links;
-use super::{name, server_name, Made, AIM};
+use super::datagrams::DatagramNetwork;
+use super::{node_name, server_name, FleetSpec, LATENCY_OBJECTIVE};
 use crate::link::Link;
+use std::path::{Path, PathBuf};
 
-pub(super) fn part(
-    n: usize,
-    made: &Made,
-    links: &Links,
-    key: &std::path::Path,
-    more: &str,
+/// Number of nodes that all nodes use as seeds.
+const SEED_NODES: usize = 3;
+
+/// The folder that a node's process finds again after a restart, beside the others of the fleet.
+pub(super) fn node_folder(parent: &Path, node: usize) -> PathBuf {
+    parent.join(format!("folder-{node}"))
+}
+
+/// The parts `[management]` and `[fleet]` of a node, with `extra` lines in the latter.
+pub(super) fn fleet_part(
+    node: usize,
+    spec: &FleetSpec,
+    network: &DatagramNetwork,
+    key_file: &Path,
+    extra: &str,
 ) -> String {
-    let places = (0..links.count().min(3)).map(|s| links.address(s));
-    let seeds: Vec<String> = places
-        .chain(made.seeds.iter().copied())
-        .map(|s| format!("\"{s}\""))
+    let seed_nodes = 0..network.node_count().min(SEED_NODES);
+    let seeds: Vec<String> = seed_nodes
+        .map(|seed| network.address(seed))
+        .chain(spec.seeds.iter().copied())
+        .map(|address| format!("\"{address}\""))
         .collect();
-    let named = made
-        .named
-        .iter()
-        .find(|(of, _)| *of == n)
-        .map_or_else(|| name(n), |(_, name)| name.clone());
-    let own = key.with_file_name(format!("folder-{n}"));
-    let more = more.replace("{folder}", &own.display().to_string());
+    let name = spec
+        .node_names
+        .get(&node)
+        .cloned()
+        .unwrap_or_else(|| node_name(node));
+    let folder = node_folder(key_file.parent().unwrap_or(key_file), node);
+    let extra = extra.replace("{folder}", &folder.display().to_string());
     format!(
-        "[management]\naddress = \"127.0.0.1:0\"\n\n[fleet]\nname = \"rig\"\nnode = \"{}\"\nlisten = \"127.0.0.1:0\"\n\
-         advertise = \"{}\"\nkey_file = \"{}\"\nseeds = [{}]\n{more}\n",
-        named,
-        links.address(n),
-        key.display(),
+        "[management]\naddress = \"127.0.0.1:0\"\n\n[fleet]\nname = \"rig\"\nnode = \"{name}\"\nlisten = \"127.0.0.1:0\"\n\
+         advertise = \"{}\"\nkey_file = \"{}\"\nseeds = [{}]\n{extra}\n",
+        network.address(node),
+        key_file.display(),
         seeds.join(", ")
     )
 }
 
-fn zone(of: usize, made: &Made) -> String {
-    format!("z{}", of % made.zones.max(1))
+/// Name of the zone of a node or server; `None` in a fleet with a single zone.
+fn zone(index: usize, spec: &FleetSpec) -> Option<String> {
+    (spec.zone_count > 1).then(|| format!("z{}", index % spec.zone_count))
 }
 
-/// The servers as a node's file names them, each by the node's own link to it.
-pub(super) fn written(made: &Made, links: &[Link]) -> String {
-    let zoned = |s: usize| match made.zones {
-        0 | 1 => String::new(),
-        _ => format!("zone = \"{}\"\n", zone(s, made)),
-    };
-    let server = |(s, link): (usize, &Link)| {
-        let name = server_name(s);
+fn zone_line(index: usize, spec: &FleetSpec) -> String {
+    zone(index, spec).map_or(String::new(), |zone| format!("zone = \"{zone}\"\n"))
+}
+
+/// The list of servers in a node's settings, each with the address of the node's own link to it.
+pub(super) fn server_list(spec: &FleetSpec, links: &[Link]) -> String {
+    let entry = |(server, link): (usize, &Link)| {
+        let name = server_name(server);
+        let zone = zone_line(server, spec);
         format!(
-            "[[service.server]]\nname = \"{name}\"\naddress = \"{}\"\n{}",
-            link.address,
-            zoned(s)
+            "[[service.server]]\nname = \"{name}\"\naddress = \"{}\"\n{zone}",
+            link.address
         )
     };
-    links.iter().enumerate().map(server).collect()
+    links.iter().enumerate().map(entry).collect()
 }
 
-pub(super) fn settings(n: usize, made: &Made, source: &str, fleet: &str) -> String {
-    let process = match made.zones {
-        0 | 1 => format!("[process]\nnodes = {}\n", made.nodes),
-        _ => format!(
-            "[process]\nnodes = {}\nzone = \"{}\"\n",
-            made.nodes,
-            zone(n, made)
-        ),
-    };
-    let service = |name: &str, repeat: &str| {
-        let (before, after) = if made.lists > 0 {
-            (source, "")
-        } else {
-            ("", source)
-        };
-        format!(
-            "[[service]]\nname = \"{name}\"\n{before}tries = {{ most = 3, retry_share = 0.5 }}\n{}\n[[service.class]]\n\
-             name = \"{name}\"\nrepeat = \"{repeat}\"\naim = \"{}ms\"\ndeadline = \"2s\"\n[[service.route]]\n\
-             host = \"{name}.example.org\"\npath = \"/api\"\n{after}\n",
-            made.service,
-            AIM.as_millis()
-        )
+/// Where a node takes its servers from, as lines of a service's part.
+pub(super) enum ServerSource {
+    /// A line that names the discovery service.
+    Discovery(String),
+    /// The list of servers.
+    List(String),
+}
+
+/// The settings of a node, with its parts of the fleet.
+pub(super) fn node_settings(
+    node: usize,
+    spec: &FleetSpec,
+    source: &ServerSource,
+    fleet_part: &str,
+) -> String {
+    let zone = zone_line(node, spec);
+    let process = format!("[process]\nnodes = {}\n{zone}", spec.node_count);
+    format!(
+        "{process}\n{fleet_part}\n[[listener]]\nname = \"client\"\naddress = \"127.0.0.1:0\"\n\n{}{}",
+        service_part("evaluate", "safe", spec, source),
+        service_part("toggle", "unsafe", spec, source)
+    )
+}
+
+fn service_part(name: &str, retry_safety: &str, spec: &FleetSpec, source: &ServerSource) -> String {
+    let (discovery, servers) = match source {
+        ServerSource::Discovery(line) => (line.as_str(), ""),
+        ServerSource::List(lines) => ("", lines.as_str()),
     };
     format!(
-        "{process}\n{fleet}\n[[listener]]\nname = \"client\"\naddress = \"127.0.0.1:0\"\n\n{}{}",
-        service("evaluate", "safe"),
-        service("toggle", "unsafe")
+        "[[service]]\nname = \"{name}\"\n{discovery}tries = {{ most = 3, retry_share = 0.5 }}\n{}\n[[service.class]]\n\
+         name = \"{name}\"\nrepeat = \"{retry_safety}\"\naim = \"{}ms\"\ndeadline = \"2s\"\n[[service.route]]\n\
+         host = \"{name}.example.org\"\npath = \"/api\"\n{servers}\n",
+        spec.service_settings,
+        LATENCY_OBJECTIVE.as_millis()
     )
 }
--- /dev/null
+++ b/crates/testbed/src/fleet/operators.rs
@@ -0,0 +1,102 @@
+//! Requests to the management addresses of a fleet's nodes, as operators send them.
+
+use super::history::Event;
+use super::{server_name, TestFleet};
+use crate::client::Client;
+use crate::Result;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::Request;
+use std::time::Duration;
+
+/// How long a node may take to respond to an operator.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// The response of a node to an operator.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ManagementResponse {
+    /// Status code.
+    pub status: u16,
+    /// Body, as text.
+    pub body: String,
+}
+
+impl ManagementResponse {
+    fn into_result(self) -> Result<()> {
+        if self.status == 200 {
+            Ok(())
+        } else {
+            Err(format!("{}: {}", self.status, self.body).into())
+        }
+    }
+}
+
+impl TestFleet {
+    /// Sends a request to the management address of a node.
+    ///
+    /// # Errors
+    /// Fails if there is no response within two seconds.
+    pub async fn call_management(
+        &self,
+        node: usize,
+        method: &str,
+        path: &str,
+    ) -> Result<ManagementResponse> {
+        let address = self.management(node).ok_or("no operators' address")?;
+        let request = Request::builder()
+            .method(method)
+            .uri(path)
+            .header("host", "node")
+            .body(Full::new(Bytes::new()))?;
+        let client = Client::new(address);
+        let response = tokio::time::timeout(RESPONSE_TIMEOUT, client.ask(request)).await??;
+        Ok(ManagementResponse {
+            status: response.status.as_u16(),
+            body: String::from_utf8_lossy(&response.body).into_owned(),
+        })
+    }
+
+    /// Bans a server by way of a node, for some seconds or as long as possible. Recorded when the node has accepted it.
+    ///
+    /// # Errors
+    /// Fails if the node rejects it.
+    pub async fn ban_server(&self, node: usize, server: usize, seconds: Option<u32>) -> Result<()> {
+        let query = seconds.map_or(String::new(), |seconds| format!("?for={seconds}"));
+        let path = format!("/-/fleet/servers/{}/ban{query}", server_name(server));
+        let response = self.call_management(node, "POST", &path).await?;
+        response.into_result()?;
+        self.history.record(Event::Banned {
+            node,
+            server,
+            seconds,
+        });
+        Ok(())
+    }
+
+    /// Lifts the ban of a server by way of a node.
+    ///
+    /// # Errors
+    /// Fails if the node rejects it.
+    pub async fn lift_ban(&self, node: usize, server: usize) -> Result<()> {
+        self.history.record(Event::BanLifted { node, server });
+        let path = format!("/-/fleet/servers/{}/lift", server_name(server));
+        let response = self.call_management(node, "POST", &path).await?;
+        response.into_result()
+    }
+
+    /// Whether each running node knows exactly the running nodes as members.
+    pub async fn is_converged(&self) -> bool {
+        let running = self.running_nodes();
+        for node in &running {
+            let response = self.call_management(*node, "GET", "/-/fleet/members").await;
+            let Ok(ManagementResponse { status: 200, body }) = response else {
+                return false;
+            };
+            let is_member = |line: &&str| line.contains(", life ");
+            if body.lines().filter(is_member).count() != running.len() {
+                return false;
+            }
+        }
+        true
+    }
+}
--- a/crates/testbed/src/fleet/probers.rs
+++ b/crates/testbed/src/fleet/probers.rs
@@ -1,45 +1,49 @@
 //! Names under which nodes do not probe a condemned server.
 //!
-//! Which nodes probe a server follows from their names, the server's and the turn. A test of what nodes do that do not
-//! probe has to choose the names, or it tests whatever the names at hand lead to.
+//! Which nodes probe a server follows from their names, the server's name and the turn. Tests of nodes that do not probe
+//! choose the names with [`names_that_never_probe`]; otherwise the default names would decide what is tested.
 
-use super::{name, server_name};
+use super::{node_name, server_name};
 use reelfall_cluster::entry::ServerInstance;
 use reelfall_cluster::quorum::is_prober;
+use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 
-/// Turns in which a node with a chosen name does not probe, since its start.
-const TURNS: u64 = 2;
+/// Turns since the start of a node in which it does not probe under a chosen name.
+const TURNS_WITHOUT_PROBE: u64 = 2;
 
-/// Names for these nodes of a fleet under which none of them probes any of these servers in its first two turns, also
-/// while it takes some of the others, but less than half, for gone.
+/// Names for these nodes under which none of them probes any of these servers in its first two turns, also while it
+/// considers less than half of the other nodes dead.
 pub fn names_that_never_probe(
-    fleet: usize,
+    node_count: usize,
     nodes: &[usize],
     servers: &[usize],
-) -> Vec<(usize, String)> {
+) -> BTreeMap<usize, String> {
     let servers: Vec<ServerInstance> = servers
         .iter()
-        .map(|n| ServerInstance {
-            name: server_name(*n),
+        .map(|server| ServerInstance {
+            name: server_name(*server),
             since: 0,
         })
         .collect();
-    let members = fleet / 2 + 1..=fleet;
-    let of_node = |n: usize| {
-        let mut candidates = (0u32..).map(|suffix| format!("{}-{suffix}", name(n)));
+    let live_nodes = node_count / 2 + 1..=node_count;
+    let name_of = |node: usize| {
+        let mut candidates = (0u32..).map(|suffix| format!("{}-{suffix}", node_name(node)));
         candidates
-            .find(|name| !probes(name, &members, &servers))
+            .find(|name| !probes_any(name, &live_nodes, &servers))
             .unwrap_or_default()
     };
-    nodes.iter().map(|n| (*n, of_node(*n))).collect()
+    nodes.iter().map(|node| (*node, name_of(*node))).collect()
 }
 
-/// Whether a node probes any of the servers, in a fleet of any of these sizes.
-fn probes(node: &str, members: &RangeInclusive<usize>, servers: &[ServerInstance]) -> bool {
-    let in_turn =
-        |server: &ServerInstance, turn| members.clone().any(|n| is_prober(server, turn, node, n));
+/// Whether a node probes any of the servers, with any of these numbers of live nodes.
+fn probes_any(node: &str, live_nodes: &RangeInclusive<usize>, servers: &[ServerInstance]) -> bool {
+    let probes = |server: &ServerInstance, turn| {
+        live_nodes
+            .clone()
+            .any(|count| is_prober(server, turn, node, count))
+    };
     servers
         .iter()
-        .any(|server| (0..TURNS).any(|turn| in_turn(server, turn)))
+        .any(|server| (0..TURNS_WITHOUT_PROBE).any(|turn| probes(server, turn)))
 }
--- /dev/null
+++ b/crates/testbed/src/fleet/start.rs
@@ -0,0 +1,142 @@
+//! Start of a whole fleet: servers, discovery services, network, settings, then the processes of the nodes.
+
+use super::datagrams::DatagramNetwork;
+use super::history::{Event, History};
+use super::node_settings::{fleet_part, node_settings, server_list, ServerSource};
+use super::{server_name, FleetNode, FleetSpec, TestFleet};
+use crate::discovery::{Discovery, Listed};
+use crate::link::Link;
+use crate::node::{until_health, Folder};
+use crate::pool::{Manner, Server};
+use crate::scripted::Program;
+use crate::Result;
+use std::path::{Path, PathBuf};
+use std::sync::{Arc, Mutex};
+
+/// Requests that a server processes at a time.
+const SERVER_WORKERS: usize = 16;
+
+impl TestFleet {
+    /// Starts a fleet, and waits until every node is healthy.
+    ///
+    /// # Errors
+    /// Fails if a part of it does not start.
+    pub async fn start(program: &Program, spec: &FleetSpec) -> Result<TestFleet> {
+        TestFleet::start_with_history(program, spec, Arc::new(History::start())).await
+    }
+
+    /// The same, with a history that others record events in, too.
+    ///
+    /// # Errors
+    /// Fails if a part of it does not start.
+    pub async fn start_with_history(
+        program: &Program,
+        spec: &FleetSpec,
+        history: Arc<History>,
+    ) -> Result<TestFleet> {
+        let servers = start_servers(spec, &history).await?;
+        let folder = Folder::new()?;
+        let key_file = write_key(folder.path())?;
+        let network = DatagramNetwork::open(spec.node_count).await?;
+        let discoveries = start_discoveries(spec, &servers).await?;
+        let mut nodes = Vec::with_capacity(spec.node_count);
+        for node in 0..spec.node_count {
+            let server_links = start_links(&servers).await?;
+            let source = server_source(node, spec, &discoveries, &server_links);
+            let fleet_settings = spec.fleet_settings.as_ref();
+            let fleet_part =
+                fleet_settings.map(|extra| fleet_part(node, spec, &network, &key_file, extra));
+            nodes.push(FleetNode {
+                settings: node_settings(node, spec, &source, fleet_part.as_deref().unwrap_or("")),
+                process: None,
+                server_links,
+            });
+        }
+        let mut fleet = TestFleet {
+            program: program.clone(),
+            nodes,
+            servers,
+            discoveries,
+            network,
+            addresses: Arc::new(Mutex::new(vec![None; spec.node_count])),
+            history,
+            folder,
+        };
+        fleet.start_all_nodes().await?;
+        Ok(fleet)
+    }
+
+    async fn start_all_nodes(&mut self) -> Result<()> {
+        for node in 0..self.node_count() {
+            self.start_node(node).await?;
+        }
+        for node in 0..self.node_count() {
+            if let Some(address) = self.address(node) {
+                until_health(address, "/_health", true).await?;
+            }
+        }
+        Ok(())
+    }
+}
+
+async fn start_servers(spec: &FleetSpec, history: &Arc<History>) -> Result<Vec<Server>> {
+    let mut servers = Vec::with_capacity(spec.server_count);
+    for server in 0..spec.server_count {
+        let name = server_name(server);
+        let manner = Manner::good(spec.service_time);
+        let started = Server::start(&name, SERVER_WORKERS, manner, server as u64).await?;
+        let history = history.clone();
+        started.observe(Arc::new(move |id, is_executed| {
+            let id = id.to_owned();
+            history.record(if is_executed {
+                Event::Executed { server, id }
+            } else {
+                Event::AttemptReceived { server, id }
+            });
+        }));
+        servers.push(started);
+    }
+    Ok(servers)
+}
+
+/// Writes the key that the nodes of the fleet share.
+fn write_key(folder: &Path) -> Result<PathBuf> {
+    let key_file = folder.join("fleet.key");
+    std::fs::write(&key_file, "the rig's own key, and nobody else's")?;
+    Ok(key_file)
+}
+
+async fn start_discoveries(spec: &FleetSpec, servers: &[Server]) -> Result<Vec<Discovery>> {
+    let list: Vec<Listed> = servers
+        .iter()
+        .enumerate()
+        .map(|(index, server)| Listed::active(&server_name(index), server.address))
+        .collect();
+    let mut discoveries = Vec::with_capacity(spec.discovery_count);
+    for _ in 0..spec.discovery_count {
+        discoveries.push(Discovery::start(list.clone()).await?);
+    }
+    Ok(discoveries)
+}
+
+async fn start_links(servers: &[Server]) -> Result<Vec<Link>> {
+    let mut links = Vec::with_capacity(servers.len());
+    for server in servers {
+        links.push(Link::start(server.address).await?);
+    }
+    Ok(links)
+}
+
+fn server_source(
+    node: usize,
+    spec: &FleetSpec,
+    discoveries: &[Discovery],
+    server_links: &[Link],
+) -> ServerSource {
+    match discoveries.get(node % discoveries.len().max(1)) {
+        Some(discovery) => {
+            ServerSource::Discovery(format!("discovery = \"{}\"\n", discovery.address))
+        }
+        None => ServerSource::List(server_list(spec, server_links)),
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/fleet/verdict_stats/tests.rs
@@ -0,0 +1,80 @@
+//! Verdict figures of histories that are written here.
+
+use super::*;
+
+const SECOND: Duration = Duration::from_secs(1);
+
+fn logged(node: usize, line: &str) -> Event {
+    Event::Logged {
+        node,
+        line: format!("reelfall: fleet: {line}"),
+    }
+}
+
+fn at_times<const N: usize>(events: [(Duration, Event); N]) -> Vec<TimedEvent> {
+    let timed = events.map(|(at, event)| TimedEvent { at, event });
+    timed.to_vec()
+}
+
+#[test]
+fn what_is_held_for_too_long_and_what_was_never_wrong_is_seen() {
+    let fault = |step: Step| Event::ScheduleStep(step.to_line());
+    let events = at_times([
+        (
+            SECOND,
+            Event::Banned {
+                node: 0,
+                server: 1,
+                seconds: Some(4),
+            },
+        ),
+        (SECOND, logged(0, "s1 is out by hand, for 4 s at most")),
+        (SECOND, logged(1, "s1 is out by hand, for 4 s at most")),
+        (SECOND, logged(2, "s1 is out by hand, for 4 s at most")),
+        (2 * SECOND, Event::Paused { node: 2 }),
+        (5 * SECOND, logged(0, "s1 is not out by hand")),
+        (9 * SECOND, logged(1, "s1 is not out by hand")),
+        (30 * SECOND, Event::Resumed { node: 2 }),
+        (31 * SECOND, logged(2, "s1 is not out by hand")),
+        (
+            40 * SECOND,
+            fault(Step::SetServerFailures {
+                server: 0,
+                ratio: 1.0,
+            }),
+        ),
+        (41 * SECOND, logged(0, "s0 fails several nodes, for 9.9 s")),
+        (
+            42 * SECOND,
+            fault(Step::SetServerFailures {
+                server: 0,
+                ratio: 0.0,
+            }),
+        ),
+        (
+            49 * SECOND,
+            logged(0, "s0 is well, or nobody says otherwise"),
+        ),
+        (50 * SECOND, logged(1, "s0 fails several nodes, for 9.9 s")),
+        (60 * SECOND, logged(1, "s0 fails several nodes, for 9.9 s")),
+        (60 * SECOND, logged(0, "n1 at 127.0.0.1:7 is gone")),
+    ]);
+    let stats = VerdictStats::from_events(&events);
+    assert_eq!(stats.ban_overruns, [Duration::ZERO, SECOND, 4 * SECOND]);
+    assert_eq!(
+        (stats.condemnations, stats.unfounded_condemnations.len()),
+        (3, 1),
+        "{:?}",
+        stats.unfounded_condemnations
+    );
+    assert_eq!(stats.condemnation_overruns, [7 * SECOND]);
+    // Held to the end of the history.
+    let stats = VerdictStats::from_events(&events[..6]);
+    assert_eq!(stats.ban_overruns, [Duration::ZERO, Duration::ZERO]);
+    let mut held = events[..6].to_vec();
+    held.extend(at_times([(8 * SECOND, Event::ProcessStarted { node: 9 })]));
+    assert_eq!(
+        VerdictStats::from_events(&held).ban_overruns,
+        [Duration::ZERO, 3 * SECOND]
+    );
+}
--- a/crates/testbed/src/measure/fleet.rs
+++ b/crates/testbed/src/measure/fleet.rs
@@ -1,83 +1,102 @@
-//! Processor time and latency for each request with what nodes tell each other, without it, and of another program.
+//! The measurement `fleet`: processor time and latency of a request with gossip between nodes, without it, and with another
+//! build of the program.
 
 use super::{median, one_round, Alive, Plan, Subject};
-use crate::fleet::{Made, Rig};
+use crate::fleet::{FleetSpec, TestFleet};
 use crate::load::{self, Kind};
 use crate::scripted::Program;
 use crate::Result;
-use serde_json::{json, Value};
+use serde_json::{json, Map, Value};
 use std::time::Duration;
 
-/// Nodes of the fleet; one of them is loaded.
+/// Nodes of the fleet with gossip; one of them is loaded.
 const NODES: usize = 5;
 
-async fn subject(
+/// Servers of each subject.
+const SERVERS: usize = 8;
+/// Load before the first round, so that connections are open.
+const WARM_UP: Duration = Duration::from_secs(1);
+/// Seed of the load of the warm-up.
+const WARM_UP_SEED: u64 = 1;
+/// Seed of the load of the first round; each later one adds one.
+const FIRST_ROUND_SEED: u64 = 2;
+
+/// Starts a fleet of which the first node is the subject.
+async fn start_subject(
     name: &'static str,
     program: &Program,
-    nodes: usize,
-    fleet: bool,
+    node_count: usize,
+    has_gossip: bool,
     rate: f64,
 ) -> Result<Subject> {
-    let made = Made {
-        nodes,
-        servers: 8,
-        fleet: fleet.then(String::new),
-        ..Made::default()
+    let spec = FleetSpec {
+        node_count,
+        server_count: SERVERS,
+        fleet_settings: has_gossip.then(String::new),
+        ..FleetSpec::default()
     };
-    let rig = Rig::start(program, &made).await?;
-    if fleet {
-        rig.until("all know each other", async |rig| rig.gathered().await)
+    let fleet = TestFleet::start(program, &spec).await?;
+    if has_gossip {
+        fleet
+            .wait_until("all know each other", async |fleet| {
+                fleet.is_converged().await
+            })
             .await?;
     }
-    let (address, pid) = (
-        rig.address(0).ok_or("no node")?,
-        rig.pid(0).ok_or("no node")?,
-    );
+    let address = fleet.address(0).ok_or("no node")?;
+    let pid = fleet.pid(0).ok_or("no node")?;
     let alive = Alive::Fleet {
-        _rig: Box::new(rig),
+        _fleet: Box::new(fleet),
     };
-    Ok(Subject::of(
-        name,
-        address,
-        pid,
-        vec![Kind::evaluate(name.to_owned(), rate)],
-        alive,
-    ))
+    let kinds = vec![Kind::evaluate(name.to_owned(), rate)];
+    Ok(Subject::of(name, address, pid, kinds, alive))
 }
 
-/// Runs all measurements and gives the figures.
-///
-/// # Errors
-/// If a subject can't be started.
-pub async fn run(program: &Program, plan: &Plan) -> Result<Value> {
+async fn start_subjects(program: &Program, plan: &Plan) -> Result<Vec<Subject>> {
     let mut subjects = Vec::new();
     if let Some(old) = &plan.old {
-        subjects.push(subject("old", old, 1, false, plan.rate).await?);
+        subjects.push(start_subject("old", old, 1, false, plan.rate).await?);
     }
-    subjects.push(subject("off", program, 1, false, plan.rate).await?);
-    subjects.push(subject("on", program, NODES, true, plan.rate).await?);
+    subjects.push(start_subject("off", program, 1, false, plan.rate).await?);
+    subjects.push(start_subject("on", program, NODES, true, plan.rate).await?);
+    Ok(subjects)
+}
+
+/// Median, minimum and maximum over the rounds of the ratio between the processor times of two subjects.
+fn cpu_ratio(subjects: &[Subject], of: &str, to: &str) -> Option<Value> {
+    let find = |name: &str| subjects.iter().find(|subject| subject.name == name);
+    let (numerator, denominator) = (find(of)?, find(to)?);
+    let rounds = numerator.cpu.iter().zip(&denominator.cpu);
+    let mut ratios: Vec<f64> = rounds.map(|(above, below)| above / below).collect();
+    ratios.sort_by(f64::total_cmp);
+    Some(json!({
+        "median": median(ratios.iter().copied()),
+        "least": ratios.first(),
+        "most": ratios.last(),
+    }))
+}
+
+/// Runs all rounds and returns the figures.
+///
+/// # Errors
+/// Fails if a subject can't be started.
+pub async fn run(program: &Program, plan: &Plan) -> Result<Value> {
+    let mut subjects = start_subjects(program, plan).await?;
     for subject in &subjects {
-        load::run(subject.address, &subject.kinds, Duration::from_secs(1), 1).await;
+        load::run(subject.address, &subject.kinds, WARM_UP, WARM_UP_SEED).await;
     }
     for round in 0..plan.rounds {
         for subject in &mut subjects {
-            one_round(subject, plan, round as u64 + 2).await?;
+            one_round(subject, plan, round as u64 + FIRST_ROUND_SEED).await?;
         }
     }
-    let ratio = |of: &str, to: &str| {
-        let find = |name: &str| subjects.iter().find(|s| s.name == name);
-        let (a, b) = (find(of)?, find(to)?);
-        let mut all: Vec<f64> = a.cpu.iter().zip(&b.cpu).map(|(a, b)| a / b).collect();
-        all.sort_by(f64::total_cmp);
-        Some(
-            json!({ "median": median(all.iter().copied()), "least": all.first(), "most": all.last() }),
-        )
-    };
-    let figures: serde_json::Map<_, _> = subjects
+    let figures: Map<String, Value> = subjects
         .iter()
-        .map(|s| (s.name.to_owned(), s.figures()))
+        .map(|subject| (subject.name.to_owned(), subject.figures()))
         .collect();
-    Ok(
-        json!({ "subjects": figures, "on_to_off": ratio("on", "off"), "off_to_old": ratio("off", "old") }),
-    )
+    Ok(json!({
+        "subjects": figures,
+        "on_to_off": cpu_ratio(&subjects, "on", "off"),
+        "off_to_old": cpu_ratio(&subjects, "off", "old"),
+    }))
 }
--- a/crates/testbed/src/measure/mod.rs
+++ b/crates/testbed/src/measure/mod.rs
@@ -6,7 +6,7 @@
 pub mod membership;
 pub mod services;
 
-use crate::fleet::Rig;
+use crate::fleet::TestFleet;
 use crate::load::{self, Kind};
 use crate::node::{cpu_seconds, Folder, Node};
 use crate::scripted::Program;
@@ -50,7 +50,7 @@
         _node: Node,
     },
     Fleet {
-        _rig: Box<Rig>,
+        _fleet: Box<TestFleet>,
     },
 }
 
--- /dev/null
+++ b/crates/testbed/src/scenario/fleet/ban.rs
@@ -0,0 +1,106 @@
+//! A ban of a server at one node: when the last node stops sending to the server, and when the first and the last send again.
+
+use super::{
+    wait_until_converged, Scale, AT_MOST_ONCE_RATIO, MILLISECONDS_PER_SECOND, PROPAGATION_TIME,
+};
+use crate::fleet::history::TimedEvent;
+use crate::fleet::invariants::BAN_GRACE;
+use crate::fleet::{queries, TestFleet};
+use crate::scenario::Report;
+use crate::scripted::Program;
+use crate::Result;
+use serde_json::{json, Value};
+use std::time::Duration;
+
+/// The server that is banned.
+const SERVER: usize = 0;
+/// Time to live of the ban.
+const BAN_SECONDS: u32 = 6;
+const BAN_TTL: Duration = Duration::from_secs(BAN_SECONDS as u64);
+/// Observation before the ban and after its end.
+const OBSERVATION: Duration = Duration::from_secs(6);
+/// A node may send again so much before the ban's end, as its ban began earlier by the clock of the history.
+const CLOCK_TOLERANCE: Duration = Duration::from_millis(300);
+/// Lowest rate at which every node sends to the server often enough.
+const LOWEST_RATE: f64 = 20.0;
+const SEED: u64 = 99;
+
+/// The times of this phase, by the clock of the history.
+struct Timeline {
+    observed_since: Duration,
+    banned_at: Duration,
+    ends_at: Duration,
+}
+
+/// Runs the phase on a fleet of its own.
+pub(super) async fn run(program: &Program, scale: &Scale, report: &mut Report) -> Result<Value> {
+    let fleet = TestFleet::start(program, &scale.fleet_spec(Some(""))).await?;
+    wait_until_converged(&fleet).await?;
+    let timeline = ban(&fleet, scale).await?;
+    let events = fleet.history.events();
+    Ok(evaluate(&events, &timeline, scale, report))
+}
+
+async fn ban(fleet: &TestFleet, scale: &Scale) -> Result<Timeline> {
+    let load = fleet.start_load(scale.rate.max(LOWEST_RATE), AT_MOST_ONCE_RATIO, SEED);
+    let observed_since = fleet.history.now();
+    tokio::time::sleep(OBSERVATION).await;
+    let last_node = scale.nodes - 1;
+    fleet
+        .ban_server(last_node, SERVER, Some(BAN_SECONDS))
+        .await?;
+    let banned_at = fleet.history.now();
+    tokio::time::sleep(BAN_TTL + OBSERVATION).await;
+    load.stop().await;
+    Ok(Timeline {
+        observed_since,
+        banned_at,
+        ends_at: banned_at + BAN_TTL - CLOCK_TOLERANCE,
+    })
+}
+
+fn evaluate(
+    events: &[TimedEvent],
+    timeline: &Timeline,
+    scale: &Scale,
+    report: &mut Report,
+) -> Value {
+    let nodes = scale.all_nodes();
+    let Timeline {
+        observed_since,
+        banned_at,
+        ends_at,
+    } = *timeline;
+    let last_attempt = queries::attempts(events, SERVER, banned_at, ends_at, &nodes)
+        .last()
+        .map_or(Duration::ZERO, |attempt| attempt.at - banned_at);
+    report.promise(last_attempt <= PROPAGATION_TIME + BAN_GRACE, || {
+        format!("a ban was kept by the last node after {last_attempt:?}")
+    });
+    let first_attempt_after = |node: &usize| {
+        let attempts = queries::attempts(events, SERVER, ends_at, Duration::MAX, &[*node]);
+        attempts.first().map(|attempt| attempt.at)
+    };
+    let resumed: Vec<Duration> = nodes.iter().filter_map(first_attempt_after).collect();
+    // A node may randomly not send to a server for seconds: only those that sent in an interval of the same length before
+    // are expected to send again.
+    let sent_before = |node: &&usize| {
+        !queries::attempts(events, SERVER, observed_since, banned_at, &[**node]).is_empty()
+    };
+    let senders = nodes.iter().filter(sent_before).count();
+    report.promise(2 * resumed.len() >= senders, || {
+        format!("{} nodes of {senders} send again", resumed.len())
+    });
+    let milliseconds_after_ban = |at: Option<&Duration>| {
+        at.map_or(f64::NAN, |at| {
+            (at.as_secs_f64() - banned_at.as_secs_f64()) * MILLISECONDS_PER_SECOND
+        })
+    };
+    json!({
+        "nodes_before": senders,
+        "nodes_again": resumed.len(),
+        "last_attempt_ms": last_attempt.as_secs_f64() * MILLISECONDS_PER_SECOND,
+        "first_again_ms": milliseconds_after_ban(resumed.iter().min()),
+        "last_again_ms": milliseconds_after_ban(resumed.iter().max()),
+    })
+}
--- /dev/null
+++ b/crates/testbed/src/scenario/fleet/mod.rs
@@ -0,0 +1,126 @@
+//! The scenario `fleet`: nodes that know each other, under random faults and load.
+//!
+//! | module | phase |
+//! | --- | --- |
+//! | `random_faults` | generated schedules of faults |
+//! | `mass_restart` | most of the nodes are killed at once and started again |
+//! | `ban` | an operator bans a server for some seconds |
+//! | `silent_server` | a server that stops answering, with and without gossip between the nodes |
+//! | `detection` | how soon all nodes leave a server with a fault |
+//!
+//! Promises: no effect twice; every request is answered once and in time; a ban holds at all nodes within a second and the
+//! grace that each has to act on it, and ends at its time; after the faults all nodes agree. The command `scenario` and the
+//! tests call it.
+
+mod ban;
+mod detection;
+mod mass_restart;
+mod random_faults;
+mod silent_server;
+
+use super::Report;
+use crate::fleet::{FleetSpec, TestFleet, SHORT_SLOW_START};
+use crate::scripted::Program;
+use crate::Result;
+use serde_json::json;
+use std::time::Duration;
+
+/// The size of the fleet and the length of the phases.
+#[derive(Clone, Copy, Debug)]
+pub struct Scale {
+    /// Nodes.
+    pub nodes: usize,
+    /// Servers.
+    pub servers: usize,
+    /// Duration of a schedule of random faults.
+    pub time: Duration,
+    /// Number of schedules of random faults.
+    pub seeds: u64,
+    /// Requests a second at each node.
+    pub rate: f64,
+}
+
+impl Scale {
+    /// The full scenario: some minutes.
+    pub const WHOLE: Scale = Scale {
+        nodes: 30,
+        servers: 15,
+        time: Duration::from_secs(60),
+        seeds: 3,
+        rate: 12.0,
+    };
+    /// A scenario that fits into a test.
+    pub const SMALL: Scale = Scale {
+        nodes: 5,
+        servers: 6,
+        time: Duration::from_secs(5),
+        seeds: 1,
+        rate: 30.0,
+    };
+
+    fn fleet_spec(&self, fleet_settings: Option<&str>) -> FleetSpec {
+        FleetSpec {
+            node_count: self.nodes,
+            server_count: self.servers,
+            fleet_settings: fleet_settings.map(str::to_owned),
+            service_settings: SHORT_SLOW_START.to_owned(),
+            ..FleetSpec::default()
+        }
+    }
+
+    fn all_nodes(&self) -> Vec<usize> {
+        (0..self.nodes).collect()
+    }
+}
+
+const MILLISECONDS_PER_SECOND: f64 = 1e3;
+/// An update reaches all nodes within this time.
+const PROPAGATION_TIME: Duration = Duration::from_secs(1);
+/// Share of the requests that must run at most once.
+const AT_MOST_ONCE_RATIO: f64 = 0.3;
+/// Violations that the report lists of each phase.
+const REPORTED_VIOLATIONS: usize = 5;
+
+async fn wait_until_converged(fleet: &TestFleet) -> Result<Duration> {
+    fleet
+        .wait_until("all know each other", async |fleet| {
+            fleet.running_nodes().len() == fleet.node_count() && fleet.is_converged().await
+        })
+        .await
+}
+
+/// Runs the scenario.
+///
+/// # Errors
+/// Fails if a process can't be started; a broken promise is no error.
+pub async fn run(program: &Program, scale: Scale) -> Result<Report> {
+    let mut report = Report::default();
+    let mut storms = Vec::new();
+    for seed in 1..=scale.seeds {
+        let outcome = random_faults::run(program, &scale, seed, &mut report).await?;
+        storms.push(json!({ "seed": seed, "came": outcome.figures() }));
+    }
+    report.figure("storms", storms);
+    let mass_restart = mass_restart::run(program, &scale, &mut report).await?;
+    report.figure("most_killed", mass_restart);
+    let ban = ban::run(program, &scale, &mut report).await?;
+    report.figure("ban", ban);
+    report_silent_server(program, &scale, &mut report).await?;
+    let failing = detection::of_failing_server(program, &scale).await?;
+    report.figure("evidence_to_last_ms", failing);
+    let paused = detection::of_paused_server(program, &scale).await?;
+    report.figure("waits_to_last_ms", paused);
+    Ok(report)
+}
+
+async fn report_silent_server(program: &Program, scale: &Scale, report: &mut Report) -> Result<()> {
+    let with = silent_server::run(program, scale, Some("")).await?;
+    let without = silent_server::run(program, scale, None).await?;
+    report.figure(
+        "silent_server",
+        json!({ "with": with.figures(), "without": without.figures() }),
+    );
+    let ratio = with.attempts as f64 / without.attempts.max(1) as f64;
+    report.figure("silent_server_attempts_ratio", (ratio * 1e3).round() / 1e3);
+    Ok(())
+}
--- /dev/null
+++ b/crates/testbed/src/scenario/fleet/random_faults.rs
@@ -0,0 +1,36 @@
+//! Generated schedules of faults under load.
+
+use super::{Scale, AT_MOST_ONCE_RATIO, REPORTED_VIOLATIONS};
+use crate::fleet::invariants::SCHEDULING_SLACK;
+use crate::fleet::schedule;
+use crate::fleet::schedule_run::{RunOutcome, ScheduleRun};
+use crate::fleet::verdict_stats::VerdictStats;
+use crate::scenario::Report;
+use crate::scripted::Program;
+use crate::Result;
+
+/// Runs the schedule of a seed.
+pub(super) async fn run(
+    program: &Program,
+    scale: &Scale,
+    seed: u64,
+    report: &mut Report,
+) -> Result<RunOutcome> {
+    let schedule_run = ScheduleRun {
+        spec: scale.fleet_spec(Some("")),
+        rate: scale.rate,
+        at_most_once_ratio: AT_MOST_ONCE_RATIO,
+        seed,
+    };
+    let steps = schedule::generate(seed, scale.nodes, scale.servers, scale.time);
+    let outcome = schedule_run.execute(program, &steps).await?;
+    for violation in outcome.violations.iter().take(REPORTED_VIOLATIONS) {
+        report.promise(false, || format!("seed {seed}: {violation}"));
+    }
+    let stats = VerdictStats::from_events(&outcome.history.events());
+    let overrun = stats.ban_overruns.last().copied().unwrap_or_default();
+    report.promise(overrun <= SCHEDULING_SLACK, || {
+        format!("seed {seed}: a ban was in force {overrun:?} after its end")
+    });
+    Ok(outcome)
+}
--- /dev/null
+++ b/crates/testbed/src/scenario/fleet/silent_server.rs
@@ -0,0 +1,78 @@
+//! A server that stops answering for some seconds, and what that costs.
+
+use super::{wait_until_converged, Scale, AT_MOST_ONCE_RATIO, PROPAGATION_TIME};
+use crate::fleet::{queries, TestFleet};
+use crate::scripted::Program;
+use crate::Result;
+use serde_json::{json, Value};
+use std::time::Duration;
+
+/// The server that stops answering.
+const SERVER: usize = 0;
+/// Load before it stops answering.
+const WARM_UP: Duration = Duration::from_secs(4);
+/// For how long it does not answer.
+const SILENCE: Duration = Duration::from_secs(10);
+const SEED: u64 = 7;
+
+/// What a server that does not answer costs.
+pub(super) struct SilenceCost {
+    /// Attempts at the server.
+    pub(super) attempts: usize,
+    /// Attempts before an update could reach all nodes; with gossip, the later ones are probes.
+    early_attempts: usize,
+    /// Nodes that sent an attempt.
+    nodes: usize,
+    /// Requests that were not served in time.
+    unserved: usize,
+    /// All requests.
+    requests: usize,
+}
+
+impl SilenceCost {
+    /// The figures of a report.
+    pub(super) fn figures(&self) -> Value {
+        json!({
+            "attempts": self.attempts,
+            "in_the_first_second": self.early_attempts,
+            "nodes": self.nodes,
+            "not_served": self.unserved,
+            "asked": self.requests,
+        })
+    }
+}
+
+/// Runs the phase on a fleet of its own; without `fleet_settings` its nodes don't know each other.
+pub(super) async fn run(
+    program: &Program,
+    scale: &Scale,
+    fleet_settings: Option<&str>,
+) -> Result<SilenceCost> {
+    let fleet = TestFleet::start(program, &scale.fleet_spec(fleet_settings)).await?;
+    if fleet_settings.is_some() {
+        wait_until_converged(&fleet).await?;
+    }
+    let load = fleet.start_load(scale.rate, AT_MOST_ONCE_RATIO, SEED);
+    tokio::time::sleep(WARM_UP).await;
+    fleet.servers[SERVER].behave(|manner| manner.frozen = true);
+    let from = fleet.history.now();
+    tokio::time::sleep(SILENCE).await;
+    let to = fleet.history.now();
+    fleet.servers[SERVER].behave(|manner| manner.frozen = false);
+    load.stop().await;
+    let events = fleet.history.events();
+    let nodes = scale.all_nodes();
+    let attempts = |to, nodes: &[usize]| queries::attempts(&events, SERVER, from, to, nodes).len();
+    let served = queries::served_ratio(&events, from, to);
+    let served_requests = (served.ratio * served.requests as f64).round() as usize;
+    Ok(SilenceCost {
+        attempts: attempts(to, &nodes),
+        early_attempts: attempts(from + PROPAGATION_TIME, &nodes),
+        nodes: nodes
+            .iter()
+            .filter(|node| attempts(to, &[**node]) > 0)
+            .count(),
+        unserved: served.requests - served_requests,
+        requests: served.requests,
+    })
+}
--- a/crates/testbed/tests/fleets/mod.rs
+++ b/crates/testbed/tests/fleets/mod.rs
@@ -3,8 +3,10 @@
 // Each file of tests uses a part of it.
 #![allow(dead_code)]
 
-use reelfall_testbed::fleet::history::Event;
-use reelfall_testbed::fleet::{check, server_name, Made, Rig, WARM};
+use reelfall_testbed::fleet::history::{Event, TimedEvent};
+use reelfall_testbed::fleet::{
+    invariants, queries, server_name, FleetSpec, ManagementResponse, TestFleet, SHORT_SLOW_START,
+};
 use reelfall_testbed::scripted::Program;
 use std::time::Duration;
 
@@ -16,20 +18,20 @@
     Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"))
 }
 
-pub async fn start(made: Made) -> Rig {
-    let rig = Rig::start(&program(), &made).await.unwrap();
-    if made.fleet.is_some() {
-        rig.until("all know each other", async |rig| rig.gathered().await)
+pub async fn start(made: FleetSpec) -> TestFleet {
+    let rig = TestFleet::start(&program(), &made).await.unwrap();
+    if made.fleet_settings.is_some() {
+        rig.wait_until("all know each other", async |rig| rig.is_converged().await)
             .await
             .unwrap();
     }
     rig
 }
 
-pub fn warm() -> Made {
-    Made {
-        service: WARM.to_owned(),
-        ..Made::default()
+pub fn warm() -> FleetSpec {
+    FleetSpec {
+        service_settings: SHORT_SLOW_START.to_owned(),
+        ..FleetSpec::default()
     }
 }
 
@@ -43,13 +45,13 @@
     tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
 }
 
-pub fn none_broken(rig: &Rig) {
-    let broken = check::all(&rig.history.events());
+pub fn none_broken(rig: &TestFleet) {
+    let broken = invariants::violations(&rig.history.events());
     assert!(broken.is_empty(), "{broken:#?}\n{}", rig.history.tail(60));
 }
 
 /// What an operator sees who calls a node by the command line.
-pub async fn command(rig: &Rig, node: usize, args: &[&str]) -> String {
+pub async fn command(rig: &TestFleet, node: usize, args: &[&str]) -> String {
     let mut command = program().command();
     command
         .args(args)
@@ -68,7 +70,7 @@
 }
 
 /// Waits until all nodes that are awake explain a server with these words.
-pub async fn until_explained(rig: &Rig, server: &str, words: &str) {
+pub async fn until_explained(rig: &TestFleet, server: &str, words: &str) {
     until_all_explain(rig, server, words, |said| said.contains(words)).await;
 }
 
@@ -76,7 +78,7 @@
 ///
 /// That it is condemned is too early: on a busy machine one of the reports may stand on an attempt that is late, and is
 /// taken back with its answer.
-pub async fn until_errors_reported(rig: &Rig, server: &str, by: usize) {
+pub async fn until_errors_reported(rig: &TestFleet, server: &str, by: usize) {
     let reports = |said: &str| {
         said.lines()
             .filter(|line| line.contains(": Failing: "))
@@ -85,11 +87,18 @@
     until_all_explain(rig, server, "reports of errors", |said| reports(said) >= by).await;
 }
 
-async fn until_all_explain(rig: &Rig, server: &str, what: &str, holds: impl Fn(&str) -> bool) {
+async fn until_all_explain(
+    rig: &TestFleet,
+    server: &str,
+    what: &str,
+    holds: impl Fn(&str) -> bool,
+) {
     let path = format!("/-/fleet/servers/{server}");
-    rig.until(what, async |rig| {
-        for n in rig.awake() {
-            let Ok((_, said)) = rig.call(n, "GET", &path).await else {
+    rig.wait_until(what, async |rig| {
+        for n in rig.running_nodes() {
+            let Ok(ManagementResponse { body: said, .. }) =
+                rig.call_management(n, "GET", &path).await
+            else {
                 return false;
             };
             if !holds(&said) {
@@ -106,21 +115,21 @@
 /// and none of them has sent anything there for a while: what it chose before is over.
 ///
 /// That a node explains it so is too early: it knows of the reports, and its pools may send for a moment more.
-pub async fn until_left(rig: &Rig, server: usize, nodes: &[usize]) {
+pub async fn until_left(rig: &TestFleet, server: usize, nodes: &[usize]) {
     let name = server_name(server);
-    let is_left = |happened: &[(Duration, Event)], node: usize| {
-        let said = happened.iter().rev().find_map(|(_, event)| match event {
-            Event::Said { node: by, line } if *by == node => {
+    let is_left = |happened: &[TimedEvent], node: usize| {
+        let said = happened.iter().rev().find_map(|entry| match &entry.event {
+            Event::Logged { node: by, line } if *by == node => {
                 line.split_once(&format!("fleet: {name} "))
             }
             _ => None,
         });
         said.is_some_and(|(_, words)| words.starts_with("fails several nodes"))
     };
-    rig.until("no more requests to the server", async |rig| {
+    rig.wait_until("no more requests to the server", async |rig| {
         let happened = rig.history.events();
         let from = rig.history.now().saturating_sub(LEFT);
-        let sent = check::attempts(&happened, server, from, Duration::MAX, nodes);
+        let sent = queries::attempts(&happened, server, from, Duration::MAX, nodes);
         sent.is_empty() && nodes.iter().all(|n| is_left(&happened, *n))
     })
     .await
@@ -128,13 +137,13 @@
 }
 
 /// Every one of these nodes has sent something to the server lately.
-pub async fn until_sent(rig: &Rig, server: usize, nodes: &[usize]) {
+pub async fn until_sent(rig: &TestFleet, server: usize, nodes: &[usize]) {
     let from = rig.history.now();
-    rig.until("requests to the server by all", async |rig| {
+    rig.wait_until("requests to the server by all", async |rig| {
         let happened = rig.history.events();
         nodes
             .iter()
-            .all(|n| !check::attempts(&happened, server, from, Duration::MAX, &[*n]).is_empty())
+            .all(|n| !queries::attempts(&happened, server, from, Duration::MAX, &[*n]).is_empty())
     })
     .await
     .unwrap();
@@ -142,12 +151,17 @@
 
 /// Attempts by these nodes that came later than a second and a half after a moment: a second for the news to be
 /// everywhere, and the half that the rule on drains gives each node.
-pub fn late(rig: &Rig, server: usize, since: Duration, nodes: &[usize]) -> Vec<(Duration, String)> {
+pub fn late(
+    rig: &TestFleet,
+    server: usize,
+    since: Duration,
+    nodes: &[usize],
+) -> Vec<queries::Attempt> {
     let happened = rig.history.events();
-    check::attempts(
+    queries::attempts(
         &happened,
         server,
-        since + SECOND + check::GRACE,
+        since + SECOND + invariants::BAN_GRACE,
         Duration::MAX,
         nodes,
     )
--- a/crates/testbed/tests/leases.rs
+++ b/crates/testbed/tests/leases.rs
@@ -4,43 +4,45 @@
 mod fleets;
 
 use fleets::{command, rest, turn, SECOND};
-use reelfall_testbed::fleet::history::Event;
-use reelfall_testbed::fleet::resource::{acts, broken, stale, Resource};
-use reelfall_testbed::fleet::{Made, Rig, WARM};
+use reelfall_testbed::fleet::fenced_resource::{
+    admitted_writes, fencing_violations, rejected_writes, FencedResource,
+};
+use reelfall_testbed::fleet::history::{Event, TimedEvent};
+use reelfall_testbed::fleet::{FleetSpec, ManagementResponse, TestFleet, SHORT_SLOW_START};
 use std::time::Duration;
 
 /// How long a lease lasts in these tests.
 const LENGTH: Duration = Duration::from_millis(1000);
 
 struct Place {
-    rig: Rig,
-    _resource: Resource,
+    rig: TestFleet,
+    _resource: FencedResource,
 }
 
 async fn start(nodes: usize) -> Place {
     // The resource has to be there before the nodes, whose files name it; the history is the rig's.
-    let history = std::sync::Arc::new(reelfall_testbed::fleet::history::History::begin());
-    let resource = Resource::start(history.clone()).await.unwrap();
+    let history = std::sync::Arc::new(reelfall_testbed::fleet::history::History::start());
+    let resource = FencedResource::start(history.clone()).await.unwrap();
     let leases = format!(
         "[fleet.leases]\nkeepers = [\"n0\", \"n1\", \"n2\"]\nfolder = \"{{folder}}\"\nlength = \"1s\"\n\
          [[fleet.leases.call]]\nname = \"roll\"\naddress = \"{}\"\npath = \"/roll\"\nevery = \"50ms\"\n",
         resource.address
     );
-    let made = Made {
-        nodes,
-        servers: 2,
-        service: WARM.to_owned(),
-        fleet: Some(leases),
-        ..Made::default()
+    let made = FleetSpec {
+        node_count: nodes,
+        server_count: 2,
+        service_settings: SHORT_SLOW_START.to_owned(),
+        fleet_settings: Some(leases),
+        ..FleetSpec::default()
     };
-    let rig = Rig::start_in(&fleets::program(), &made, history)
+    let rig = TestFleet::start_with_history(&fleets::program(), &made, history)
         .await
         .unwrap();
-    rig.until("all know each other", async |rig| rig.gathered().await)
+    rig.wait_until("all know each other", async |rig| rig.is_converged().await)
         .await
         .unwrap();
     for keeper in 0..3 {
-        rig.until("all keepers vote", async |rig| {
+        rig.wait_until("all keepers vote", async |rig| {
             says(rig, keeper, "this keeper votes").await
         })
         .await
@@ -53,61 +55,65 @@
 }
 
 /// The holder that acted last, and its token.
-fn last(rig: &Rig) -> Option<(usize, u64)> {
-    let last = acts(&rig.history.events(), "roll").pop()?;
-    Some((last.by.strip_prefix('n')?.parse().ok()?, last.token))
+fn last(rig: &TestFleet) -> Option<(usize, u64)> {
+    let last = admitted_writes(&rig.history.events(), "roll").pop()?;
+    Some((last.holder.strip_prefix('n')?.parse().ok()?, last.token))
 }
 
 /// Waits for an act by a token greater than this one; who it was, and when it came.
-async fn taken_over(rig: &Rig, token: u64) -> (usize, Duration) {
-    rig.until("the lease is taken over", async |rig| {
+async fn taken_over(rig: &TestFleet, token: u64) -> (usize, Duration) {
+    rig.wait_until("the lease is taken over", async |rig| {
         last(rig).is_some_and(|(_, t)| t > token)
     })
     .await
     .unwrap();
     let happened = rig.history.events();
-    let first = acts(&happened, "roll")
+    let first = admitted_writes(&happened, "roll")
         .into_iter()
         .find(|act| act.token > token)
         .unwrap();
-    (first.by[1..].parse().unwrap(), first.at)
+    (first.holder[1..].parse().unwrap(), first.at)
 }
 
 /// An operator has whoever holds the lease give it back, and somebody else has it.
-async fn hand_over(rig: &Rig) {
+async fn hand_over(rig: &TestFleet) {
     let (_, token) = last(rig).unwrap();
-    rig.until("a holder gives it back", async |rig| {
+    rig.wait_until("a holder gives it back", async |rig| {
         let (holder, now) = last(rig).unwrap();
         now > token
             || rig
-                .call(holder, "POST", "/-/fleet/leases/roll/release?why=test")
+                .call_management(holder, "POST", "/-/fleet/leases/roll/release?why=test")
                 .await
-                .is_ok_and(|(status, _)| status == 200)
+                .is_ok_and(|response| response.status == 200)
     })
     .await
     .unwrap();
     taken_over(rig, token).await;
 }
 
-fn said_by_all(rig: &Rig) -> String {
+fn said_by_all(rig: &TestFleet) -> String {
     let all = rig.history.events();
-    let lines = all.iter().filter_map(|(at, e)| match e {
-        Event::Said { node, line } if line.contains("lease") => {
-            Some(format!("{at:?} n{node} {line}\n"))
-        }
-        Event::Killed { .. } | Event::Began { .. } => Some(format!("{at:?} {e:?}\n")),
-        _ => None,
-    });
+    let lines = all
+        .iter()
+        .filter_map(|TimedEvent { at, event }| match event {
+            Event::Logged { node, line } if line.contains("lease") => {
+                Some(format!("{at:?} n{node} {line}\n"))
+            }
+            Event::Killed { .. } | Event::ProcessStarted { .. } => {
+                Some(format!("{at:?} {event}\n"))
+            }
+            _ => None,
+        });
     lines.collect()
 }
 
 /// Whether a node says so of its leases.
-async fn says(rig: &Rig, node: usize, words: &str) -> bool {
-    matches!(rig.call(node, "GET", "/-/fleet/leases").await, Ok((200, said)) if said.contains(words))
+async fn says(rig: &TestFleet, node: usize, words: &str) -> bool {
+    matches!(rig.call_management(node, "GET", "/-/fleet/leases").await, Ok(ManagementResponse { status: 200, body: said }) if said.contains(words))
 }
 
-fn sound(rig: &Rig) {
-    let broken = broken(&rig.history.events(), "roll");
+fn sound(rig: &TestFleet) {
+    let broken = fencing_violations(&rig.history.events(), "roll");
     assert!(broken.is_empty(), "{broken:#?}");
     fleets::none_broken(rig);
 }
@@ -138,10 +144,10 @@
     );
     // It may be a keeper, of which two have to be there.
     rig.start_node(holder).await.unwrap();
-    rig.until("all know each other", async |rig| rig.gathered().await)
+    rig.wait_until("all know each other", async |rig| rig.is_converged().await)
         .await
         .unwrap();
-    rig.until("it votes", async |rig| {
+    rig.wait_until("it votes", async |rig| {
         holder > 2 || says(rig, holder, "this keeper votes").await
     })
     .await
@@ -149,7 +155,7 @@
     // Told to end: it gives the lease back.
     let token = last(rig).unwrap().1;
     let told = rig.history.now();
-    rig.end(next).await.unwrap();
+    rig.terminate(next).await.unwrap();
     let (_, at) = taken_over(rig, token).await;
     assert!(at < told + 6 * SECOND, "{:?} after", at - told);
     sound(rig);
@@ -166,19 +172,19 @@
         token = last(rig).unwrap().1;
         // Somewhere between two acts, or in the middle of one.
         rest(0.07 + 0.013 * f64::from(round)).await;
-        rig.freeze(holder, true);
+        rig.set_paused(holder, true);
         taken_over(rig, token).await;
-        rig.freeze(holder, false);
+        rig.set_paused(holder, false);
         rest(0.3).await;
     }
     sound(rig);
     // Cut off from all others, and not from what it acts on.
     let (holder, token) = last(rig).unwrap();
-    let others: Vec<usize> = (0..rig.nodes()).filter(|n| *n != holder).collect();
-    rig.links().cut(&[holder], &others, true);
+    let others: Vec<usize> = (0..rig.node_count()).filter(|n| *n != holder).collect();
+    rig.network().partition(&[holder], &others, true);
     let (_, at) = taken_over(rig, token).await;
     let happened = rig.history.events();
-    let end = acts(&happened, "roll")
+    let end = admitted_writes(&happened, "roll")
         .into_iter()
         .filter(|a| a.token <= token)
         .map(|a| a.at)
@@ -191,16 +197,16 @@
     );
     // Its clock told it: what it did came to nobody's fence.
     assert_eq!(
-        stale(
+        rejected_writes(
             &happened
                 .iter()
-                .filter(|(t, _)| *t > end)
+                .filter(|entry| entry.at > end)
                 .cloned()
                 .collect::<Vec<_>>()
         ),
         0
     );
-    rig.links().heal();
+    rig.network().heal();
     sound(rig);
 }
 
@@ -217,35 +223,37 @@
     let before = rig.history.len();
     if rig
         .history
-        .until(before, |e| matches!(e, Event::Acted { let_by: true, .. }))
+        .wait_for(before, |e| {
+            matches!(e, Event::LeaseWrite { admitted: true, .. })
+        })
         .await
         .is_err()
     {
         panic!("{}", said_by_all(rig));
     }
-    let load = rig.load_at(&[3, 4], 40.0, 0.2, 7);
+    let load = rig.start_load_at(&[3, 4], 40.0, 0.2, 7);
     rig.kill(1);
     rest(2.0).await;
     let quiet = rig.history.now();
     rest(1.0).await;
     let happened = rig.history.events();
-    let late = acts(&happened, "roll")
+    let late = admitted_writes(&happened, "roll")
         .into_iter()
         .filter(|a| a.at > quiet)
         .count();
     assert_eq!(late, 0, "acts without a majority");
-    let served = happened.iter().filter(|(at, e)| {
+    let served = happened.iter().filter(|TimedEvent { at, event }| {
         *at > quiet
             && matches!(
-                e,
-                Event::Answered {
+                event,
+                Event::ResponseReceived {
                     status: Some(200),
                     ..
                 }
             )
     });
     assert!(served.count() > 20, "requests are held up by a lease");
-    load.end().await;
+    load.stop().await;
     // All keepers begin anew, with what they have on their disks.
     rig.kill(0);
     for n in 0..3 {
@@ -272,7 +280,7 @@
     rig.kill(1);
     std::fs::write(folder.join("leases"), backup).unwrap();
     rig.start_node(1).await.unwrap();
-    rig.until("the backup is refused", async |rig| {
+    rig.wait_until("the backup is refused", async |rig| {
         says(rig, 1, "it is an old copy").await
     })
     .await
@@ -280,7 +288,7 @@
     rig.kill(1);
     std::fs::remove_dir_all(&folder).unwrap();
     rig.start_node(1).await.unwrap();
-    rig.until("it votes", async |rig| {
+    rig.wait_until("it votes", async |rig| {
         says(rig, 1, "this keeper votes").await
     })
     .await
--- a/crates/testbed/tests/probers.rs
+++ b/crates/testbed/tests/probers.rs
@@ -21,8 +21,8 @@
 fn nodes_of_the_chosen_names_probe_in_no_turn_that_a_test_reaches() {
     let all: Vec<usize> = (0..NODES).collect();
     let named = names_that_never_probe(NODES, &all, &[0]);
-    assert_eq!(named.iter().map(|(n, _)| *n).collect::<Vec<_>>(), all);
-    assert!(named.iter().all(|(_, name)| !probes(name)), "{named:?}");
+    assert_eq!(named.keys().copied().collect::<Vec<_>>(), all);
+    assert!(named.values().all(|name| !probes(name)), "{named:?}");
     // The names that nodes have otherwise do not keep to it, so that the choice is what does.
     assert!(all.iter().any(|n| probes(&format!("n{n}"))));
 }
--- a/crates/testbed/tests/together.rs
+++ b/crates/testbed/tests/together.rs
@@ -8,18 +8,18 @@
     SECOND,
 };
 use reelfall_testbed::fleet::probers::names_that_never_probe;
-use reelfall_testbed::fleet::schedule::{drawn, play, Step};
-use reelfall_testbed::fleet::{check, server_name, Made};
+use reelfall_testbed::fleet::schedule::{execute, generate, Step};
+use reelfall_testbed::fleet::{invariants, queries, server_name, FleetSpec, ManagementResponse};
 use std::time::Duration;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_ban_at_one_node_holds_at_all_and_its_lift_does() {
     let _turn = turn().await;
-    let rig = start(Made::default()).await;
-    let load = rig.load(60.0, 0.3, 1);
+    let rig = start(FleetSpec::default()).await;
+    let load = rig.start_load(60.0, 0.3, 1);
     let all = [0, 1, 2, 3, 4];
     until_sent(&rig, 2, &all).await;
-    rig.ban(0, 2, None).await.unwrap();
+    rig.ban_server(0, 2, None).await.unwrap();
     let at = rig.history.now();
     rest(3.0).await;
     assert_eq!(
@@ -28,8 +28,8 @@
         "sent to a banned server\n{}",
         rig.history.tail(20)
     );
-    let (status, said) = rig
-        .call(4, "GET", &format!("/-/fleet/servers/{}", server_name(2)))
+    let ManagementResponse { status, body: said } = rig
+        .call_management(4, "GET", &format!("/-/fleet/servers/{}", server_name(2)))
         .await
         .unwrap();
     assert_eq!(status, 200);
@@ -57,9 +57,9 @@
     );
     command(&rig, 1, &["enable", "s5"]).await;
     // Called back by way of another node.
-    rig.lift(3, 2).await.unwrap();
+    rig.lift_ban(3, 2).await.unwrap();
     until_sent(&rig, 2, &all).await;
-    load.end().await;
+    load.stop().await;
     none_broken(&rig);
 }
 
@@ -67,16 +67,16 @@
 async fn a_ban_is_heard_after_a_cut_and_ends_by_itself_where_nobody_is_heard() {
     let _turn = turn().await;
     let rig = start(warm()).await;
-    let load = rig.load(60.0, 0.2, 2);
+    let load = rig.start_load(60.0, 0.2, 2);
     let (here, there) = ([0, 1], [2, 3, 4]);
-    rig.ban(0, 0, Some(6)).await.unwrap();
+    rig.ban_server(0, 0, Some(6)).await.unwrap();
     let first = rig.history.now();
     rest(0.5).await;
-    rig.links().cut(&here, &there, true);
-    rig.ban(0, 1, None).await.unwrap();
+    rig.network().partition(&here, &there, true);
+    rig.ban_server(0, 1, None).await.unwrap();
     rest(2.0).await;
     let happened = rig.history.events();
-    let cut_off = check::attempts(
+    let cut_off = queries::attempts(
         &happened,
         1,
         rig.history.now() - SECOND,
@@ -91,14 +91,14 @@
         last < Duration::from_secs(9),
         "a ban of 6 s held at some node for {last:?}"
     );
-    let back = check::attempts(
+    let back = queries::attempts(
         &rig.history.events(),
         0,
-        first + SECOND + check::GRACE,
+        first + SECOND + invariants::BAN_GRACE,
         Duration::MAX,
         &[0, 1, 2, 3, 4],
     );
-    let after = back[0].0 - first;
+    let after = back[0].at - first;
     assert!(
         after > Duration::from_millis(5500),
         "back after {after:?}, before its time"
@@ -107,19 +107,19 @@
         after < Duration::from_secs(8),
         "a ban of 6 s held for {after:?}"
     );
-    rig.links().heal();
+    rig.network().heal();
     let healed = rig.history.now();
     let took = rig
-        .until("the news after the cut", async |rig| {
+        .wait_until("the news after the cut", async |rig| {
             let recent = rig.history.now().saturating_sub(SECOND).max(healed);
             rig.history.now() > healed + SECOND
-                && check::attempts(&rig.history.events(), 1, recent, Duration::MAX, &there)
+                && queries::attempts(&rig.history.events(), 1, recent, Duration::MAX, &there)
                     .is_empty()
         })
         .await
         .unwrap();
     assert!(took < Duration::from_secs(10), "{took:?}");
-    load.end().await;
+    load.stop().await;
     none_broken(&rig);
 }
 
@@ -128,16 +128,16 @@
     let _turn = turn().await;
     let mut rig = start(warm()).await;
     // It has no work as it falls asleep: requests that slept with it would tell it of slow servers.
-    let load = rig.load_at(&[0, 1, 2, 3], 40.0, 0.2, 3);
+    let load = rig.start_load_at(&[0, 1, 2, 3], 40.0, 0.2, 3);
     // It has heard of one as it stands still, and the other comes to its buffer meanwhile.
-    rig.ban(0, 0, Some(12)).await.unwrap();
+    rig.ban_server(0, 0, Some(12)).await.unwrap();
     rest(1.0).await;
-    rig.freeze(4, true);
-    rig.ban(1, 1, Some(12)).await.unwrap();
+    rig.set_paused(4, true);
+    rig.ban_server(1, 1, Some(12)).await.unwrap();
     rest(13.0).await;
-    rig.freeze(4, false);
+    rig.set_paused(4, false);
     let woke = rig.history.now();
-    let its = rig.load_at(&[4], 40.0, 0.2, 4);
+    let its = rig.start_load_at(&[4], 40.0, 0.2, 4);
     for server in [0, 1] {
         until_sent(&rig, server, &[4]).await;
     }
@@ -149,21 +149,21 @@
     rest(3.0).await;
     // Nobody else took them for new: all others sent to both all the time.
     for server in [0, 1] {
-        let gaps = check::attempts(
+        let gaps = queries::attempts(
             &rig.history.events(),
             server,
             woke - SECOND,
             Duration::MAX,
             &[0, 1, 2, 3],
         );
-        let longest = gaps.windows(2).map(|w| w[1].0 - w[0].0).max().unwrap();
+        let longest = gaps.windows(2).map(|w| w[1].at - w[0].at).max().unwrap();
         assert!(
             longest < Duration::from_secs(6),
             "server {server} was left for {longest:?}"
         );
     }
-    load.end().await;
-    its.end().await;
+    load.stop().await;
+    its.stop().await;
     none_broken(&rig);
 }
 
@@ -173,15 +173,15 @@
     // Whose turn it is to try it does not change within the test, and it is not that of the last two.
     let fleet = Some("verdicts = { trial_every = \"60s\" }".to_owned());
     let named = names_that_never_probe(6, &[4, 5], &[0]);
-    let rig = start(Made {
-        nodes: 6,
-        servers: 8,
-        fleet,
-        named,
-        ..Made::default()
+    let rig = start(FleetSpec {
+        node_count: 6,
+        server_count: 8,
+        fleet_settings: fleet,
+        node_names: named,
+        ..FleetSpec::default()
     })
     .await;
-    let load = rig.load_at(&[0, 1, 2, 3], 60.0, 0.2, 4);
+    let load = rig.start_load_at(&[0, 1, 2, 3], 60.0, 0.2, 4);
     until_sent(&rig, 0, &[0, 1, 2, 3]).await;
     rig.servers[0].behave(|m| m.fail = 1.0);
     let at = rig.history.now();
@@ -191,10 +191,10 @@
     until_left(&rig, 0, &[4, 5]).await;
     // Two that had no work so far, and so saw nothing fail, send nothing there: it is not their turn to try it.
     let from = rig.history.now();
-    let others = rig.load_at(&[4, 5], 100.0, 0.2, 5);
+    let others = rig.start_load_at(&[4, 5], 100.0, 0.2, 5);
     until_sent(&rig, 1, &[4, 5]).await;
     rest(1.0).await;
-    let sent = check::attempts(&rig.history.events(), 0, from, Duration::MAX, &[4, 5]);
+    let sent = queries::attempts(&rig.history.events(), 0, from, Duration::MAX, &[4, 5]);
     assert_eq!(
         sent,
         [],
@@ -205,31 +205,31 @@
     rig.servers[0].behave(|m| m.fail = 0.0);
     until_explained(&rig, "s0", "not condemned").await;
     until_sent(&rig, 0, &[4, 5]).await;
-    others.end().await;
+    others.stop().await;
     // Those that it failed remember that: of their requests about one in two hundred goes there, so they get more of them.
-    let more = rig.load_at(&[0, 1, 2, 3], 60.0, 0.2, 6);
+    let more = rig.start_load_at(&[0, 1, 2, 3], 60.0, 0.2, 6);
     until_sent(&rig, 0, &[0, 1, 2, 3]).await;
-    load.end().await;
-    more.end().await;
+    load.stop().await;
+    more.stop().await;
     none_broken(&rig);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_node_with_a_bad_link_and_one_that_is_flooded_cost_nobody_else_anything() {
     let _turn = turn().await;
-    let mut rig = start(Made {
-        nodes: 6,
-        ..Made::default()
+    let mut rig = start(FleetSpec {
+        node_count: 6,
+        ..FleetSpec::default()
     })
     .await;
     // One node reaches no server, and finds fault with all.
     for server in 0..rig.servers.len() {
-        rig.link(5, server).fault(|f| f.frozen = true);
+        rig.server_link(5, server).fault(|f| f.frozen = true);
     }
-    let load = rig.load(40.0, 0.2, 5);
+    let load = rig.start_load(40.0, 0.2, 5);
     let from = rig.history.now();
     for _ in 0..10 {
-        rig.links().flood(1, 2000).await;
+        rig.network().flood(1, 2000).await;
         rest(0.3).await;
     }
     rest(4.0).await;
@@ -237,7 +237,7 @@
     let happened = rig.history.events();
     // What is condemned is tried by one node a second; each of these is sent more.
     for server in 0..rig.servers.len() {
-        let sent = check::attempts(&happened, server, to - 4 * SECOND, to, &[0, 1, 2, 3, 4]);
+        let sent = queries::attempts(&happened, server, to - 4 * SECOND, to, &[0, 1, 2, 3, 4]);
         assert!(
             sent.len() > 8,
             "server {server} was sent {} requests in 4 s",
@@ -245,20 +245,30 @@
         );
     }
     for server in 0..rig.servers.len() {
-        rig.link(5, server).fault(|f| f.frozen = false);
+        rig.server_link(5, server).fault(|f| f.frozen = false);
     }
     rig.kill(5);
-    load.end().await;
-    let (share, n) = check::served(&happened, from, to - 5 * SECOND);
+    load.stop().await;
+    let queries::ServedRatio {
+        ratio: share,
+        requests: n,
+    } = queries::served_ratio(&happened, from, to - 5 * SECOND);
     // A sixth of the requests were asked of the node that reaches nobody.
     assert!(share > 0.8, "{share} of {n}");
-    let (_, said) = rig.call(1, "GET", "/-/fleet/members").await.unwrap();
+    let ManagementResponse { body: said, .. } = rig
+        .call_management(1, "GET", "/-/fleet/members")
+        .await
+        .unwrap();
     for why in ["not under this fleet's key", "repeated"] {
         assert!(said.contains(why), "{said}");
     }
-    rig.ban(0, 0, None).await.unwrap();
-    rig.until("a ban at the one that was flooded", async |rig| {
-        let said = rig.call(1, "GET", "/-/fleet/servers/s0").await.unwrap().1;
+    rig.ban_server(0, 0, None).await.unwrap();
+    rig.wait_until("a ban at the one that was flooded", async |rig| {
+        let said = rig
+            .call_management(1, "GET", "/-/fleet/servers/s0")
+            .await
+            .unwrap()
+            .body;
         said.contains("s0: out by hand")
     })
     .await
@@ -269,47 +279,47 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_node_that_begins_again_in_a_cut_is_heard_when_it_is_healed() {
     let _turn = turn().await;
-    let mut rig = start(Made::default()).await;
-    rig.links().cut(&[4], &[0, 1, 2, 3], true);
+    let mut rig = start(FleetSpec::default()).await;
+    rig.network().partition(&[4], &[0, 1, 2, 3], true);
     rig.kill(4);
     rig.start_node(4).await.unwrap();
-    rig.ban(4, 0, Some(300)).await.unwrap();
+    rig.ban_server(4, 0, Some(300)).await.unwrap();
     rest(6.0).await;
-    rig.links().heal();
+    rig.network().heal();
     let all = [0, 1, 2, 3, 4];
     until_explained(&rig, "s0", "s0: out by hand").await;
     // What it said in its first life of the same name counts for nothing less.
-    let load = rig.load(40.0, 0.2, 6);
+    let load = rig.start_load(40.0, 0.2, 6);
     let at = rig.history.now();
     rest(3.0).await;
     assert_eq!(late(&rig, 0, at, &all), []);
-    load.end().await;
+    load.stop().await;
     none_broken(&rig);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn on_a_drawn_schedule_the_rules_hold_and_what_is_healed_agrees() {
     let _turn = turn().await;
-    let mut rig = start(Made {
-        nodes: 7,
-        ..Made::default()
+    let mut rig = start(FleetSpec {
+        node_count: 7,
+        ..FleetSpec::default()
     })
     .await;
-    let steps = drawn(20261201, 7, 6, Duration::from_secs(15));
+    let steps = generate(20261201, 7, 6, Duration::from_secs(15));
     let read: Vec<Step> = steps
         .iter()
-        .map(|s| Step::read(&s.line()).unwrap())
+        .map(|s| Step::parse(&s.to_line()).unwrap())
         .collect();
     assert_eq!(steps, read, "a schedule is not what was written down");
-    let load = rig.load(30.0, 0.3, 7);
-    play(&mut rig, &steps).await.unwrap();
-    load.end().await;
-    rig.until("all know each other again", async |rig| {
-        rig.awake().len() == 7 && rig.gathered().await
+    let load = rig.start_load(30.0, 0.3, 7);
+    execute(&mut rig, &steps).await.unwrap();
+    load.stop().await;
+    rig.wait_until("all know each other again", async |rig| {
+        rig.running_nodes().len() == 7 && rig.is_converged().await
     })
     .await
     .unwrap();
-    rig.ban(2, 3, Some(60)).await.unwrap();
+    rig.ban_server(2, 3, Some(60)).await.unwrap();
     until_explained(&rig, "s3", "s3: out by hand").await;
     none_broken(&rig);
 }
--- a/crates/testbed/tests/torn.rs
+++ b/crates/testbed/tests/torn.rs
@@ -9,33 +9,33 @@
     until_sent, warm, SECOND,
 };
 use reelfall_testbed::discovery::Listed;
-use reelfall_testbed::fleet::history::Event;
+use reelfall_testbed::fleet::history::{Event, TimedEvent};
 use reelfall_testbed::fleet::probers::names_that_never_probe;
-use reelfall_testbed::fleet::schedule::{play, Step};
-use reelfall_testbed::fleet::{check, server_name, Made, Rig};
+use reelfall_testbed::fleet::schedule::{execute, Step};
+use reelfall_testbed::fleet::{queries, server_name, FleetSpec, ManagementResponse, TestFleet};
 use std::collections::BTreeSet;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Whether any node wrote a line with these words since a place in the history.
-fn was_said(rig: &Rig, from: usize, words: &str) -> bool {
+fn was_said(rig: &TestFleet, from: usize, words: &str) -> bool {
     let happened = rig.history.events();
     happened
         .iter()
         .skip(from)
-        .any(|(_, e)| matches!(e, Event::Said { line, .. } if line.contains(words)))
+        .any(|entry| matches!(&entry.event, Event::Logged { line, .. } if line.contains(words)))
 }
 
 /// Attempts at a server by these nodes since a moment.
-fn sent(rig: &Rig, server: usize, from: Duration, nodes: &[usize]) -> usize {
-    check::attempts(&rig.history.events(), server, from, Duration::MAX, nodes).len()
+fn sent(rig: &TestFleet, server: usize, from: Duration, nodes: &[usize]) -> usize {
+    queries::attempts(&rig.history.events(), server, from, Duration::MAX, nodes).len()
 }
 
 /// The most servers that a node held for sick at one time.
-fn condemned_at_once(rig: &Rig, from: usize, of: usize) -> usize {
+fn condemned_at_once(rig: &TestFleet, from: usize, of: usize) -> usize {
     let mut held = BTreeSet::new();
     let mut most = 0;
-    for (_, event) in rig.history.events().into_iter().skip(from) {
-        let Event::Said { node, line } = event else {
+    for TimedEvent { event, .. } in rig.history.events().into_iter().skip(from) {
+        let Event::Logged { node, line } = event else {
             continue;
         };
         let Some((_, line)) = line.split_once("fleet: ").filter(|_| node == of) else {
@@ -55,18 +55,18 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn cuts_that_leave_a_way_round_part_nobody() {
     let _turn = turn().await;
-    let rig = start(Made::default()).await;
+    let rig = start(FleetSpec::default()).await;
     // The first and the second never hear each other, of two more one hears the other alone: a third hears all.
-    rig.links().cut(&[0], &[1], true);
-    rig.links().cut(&[2], &[3], false);
+    rig.network().partition(&[0], &[1], true);
+    rig.network().partition(&[2], &[3], false);
     let from = rig.history.len();
-    let load = rig.load(40.0, 0.2, 21);
+    let load = rig.start_load(40.0, 0.2, 21);
     until_sent(&rig, 0, &[0, 1, 2, 3, 4]).await;
     // Longer than a probe and a suspicion take.
     rest(9.0).await;
     assert!(!was_said(&rig, from, "is gone"), "{}", rig.history.tail(20));
     for (by, server) in [(0, 0), (2, 1)] {
-        rig.ban(by, server, Some(300)).await.unwrap();
+        rig.ban_server(by, server, Some(300)).await.unwrap();
         let at = rig.history.now();
         rest(2.5).await;
         assert_eq!(
@@ -75,36 +75,40 @@
             "sent to a banned server"
         );
     }
-    load.end().await;
+    load.stop().await;
     none_broken(&rig);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn of_two_processes_with_one_name_one_speaks_and_both_hear() {
     let _turn = turn().await;
-    let made = Made {
-        nodes: 4,
-        named: vec![(3, "n2".to_owned())],
+    let made = FleetSpec {
+        node_count: 4,
+        node_names: [(3, "n2".to_owned())].into(),
         ..warm()
     };
-    let rig = Rig::start(&fleets::program(), &made).await.unwrap();
-    let load = rig.load(40.0, 0.2, 22);
-    rig.until("one stands aside", async |rig| {
+    let rig = TestFleet::start(&fleets::program(), &made).await.unwrap();
+    let load = rig.start_load(40.0, 0.2, 22);
+    rig.wait_until("one stands aside", async |rig| {
         was_said(rig, 0, "another process has this node's name")
     })
     .await
     .unwrap();
-    let aside = rig.history.events().iter().find_map(|(_, e)| match e {
-        Event::Said { node, line } if line.contains("another process has") => Some(*node),
-        _ => None,
-    });
+    let aside = rig
+        .history
+        .events()
+        .iter()
+        .find_map(|entry| match &entry.event {
+            Event::Logged { node, line } if line.contains("another process has") => Some(*node),
+            _ => None,
+        });
     let (aside, speaks) = if aside == Some(3) { (3, 2) } else { (2, 3) };
     assert!(
-        rig.ban(aside, 0, Some(300)).await.is_err(),
+        rig.ban_server(aside, 0, Some(300)).await.is_err(),
         "one name, two voices"
     );
     for (by, server) in [(speaks, 1), (0, 2)] {
-        rig.ban(by, server, Some(300)).await.unwrap();
+        rig.ban_server(by, server, Some(300)).await.unwrap();
         let at = rig.history.now();
         rest(2.5).await;
         assert_eq!(
@@ -113,7 +117,7 @@
             "sent to a banned server"
         );
     }
-    load.end().await;
+    load.stop().await;
     none_broken(&rig);
 }
 
@@ -124,10 +128,14 @@
     let seeds = (1..6)
         .map(|port| ([127, 255, 255, 255], port).into())
         .collect();
-    let mut rig = start(Made { seeds, ..warm() }).await;
-    let refused = async |rig: &Rig| {
+    let mut rig = start(FleetSpec { seeds, ..warm() }).await;
+    let refused = async |rig: &TestFleet| {
         for n in 0..5 {
-            let Ok((200, said)) = rig.call(n, "GET", "/-/fleet/members").await else {
+            let Ok(ManagementResponse {
+                status: 200,
+                body: said,
+            }) = rig.call_management(n, "GET", "/-/fleet/members").await
+            else {
                 return false;
             };
             if !said.contains(" 0 not taken by the system") {
@@ -136,15 +144,15 @@
         }
         false
     };
-    rig.until("the system refuses", refused).await.unwrap();
+    rig.wait_until("the system refuses", refused).await.unwrap();
     // What comes to a process that stands still fills its buffer; the news after it is lost.
-    rig.freeze(4, true);
-    rig.links().flood(4, 8000).await;
-    rig.ban(0, 0, Some(300)).await.unwrap();
+    rig.set_paused(4, true);
+    rig.network().flood(4, 8000).await;
+    rig.ban_server(0, 0, Some(300)).await.unwrap();
     rest(2.0).await;
-    rig.freeze(4, false);
+    rig.set_paused(4, false);
     until_explained(&rig, "s0", "s0: out by hand").await;
-    let load = rig.load(40.0, 0.2, 23);
+    let load = rig.start_load(40.0, 0.2, 23);
     let at = rig.history.now();
     rest(3.0).await;
     assert_eq!(
@@ -152,34 +160,51 @@
         0,
         "sent to a banned server"
     );
-    load.end().await;
+    load.stop().await;
     none_broken(&rig);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn where_all_servers_fail_all_nodes_none_is_condemned_and_all_are_back_at_once() {
     let _turn = turn().await;
-    let mut rig = start(Made {
-        nodes: 6,
-        servers: 8,
+    let mut rig = start(FleetSpec {
+        node_count: 6,
+        server_count: 8,
         ..warm()
     })
     .await;
-    let load = rig.load(50.0, 0.0, 24);
+    let load = rig.start_load(50.0, 0.0, 24);
     rest(2.0).await;
     // Two of eight fail. No more than a fifth of the list is condemned, whichever services name it: one.
     let from = rig.history.len();
-    play(&mut rig, &[Step::Fails(0, 1.0), Step::Fails(1, 1.0)])
-        .await
-        .unwrap();
+    execute(
+        &mut rig,
+        &[
+            Step::SetServerFailures {
+                server: 0,
+                ratio: 1.0,
+            },
+            Step::SetServerFailures {
+                server: 1,
+                ratio: 1.0,
+            },
+        ],
+    )
+    .await
+    .unwrap();
     let condemned =
-        |e: &Event| matches!(e, Event::Said { line, .. } if line.contains("fails several nodes"));
-    rig.history.until(from, condemned).await.unwrap();
+        |e: &Event| matches!(e, Event::Logged { line, .. } if line.contains("fails several nodes"));
+    rig.history.wait_for(from, condemned).await.unwrap();
     rest(2.5).await;
     let most = (0..6).map(|n| condemned_at_once(&rig, from, n)).max();
     assert_eq!(most, Some(1), "{}", rig.history.tail(30));
-    let all: Vec<Step> = (0..8).map(|s| Step::Fails(s, 1.0)).collect();
-    play(&mut rig, &all).await.unwrap();
+    let all: Vec<Step> = (0..8)
+        .map(|s| Step::SetServerFailures {
+            server: s,
+            ratio: 1.0,
+        })
+        .collect();
+    execute(&mut rig, &all).await.unwrap();
     rest(1.5).await;
     let from = rig.history.now();
     rest(2.0).await;
@@ -188,13 +213,21 @@
         .map(|s| sent(&rig, s, from, &[0, 1, 2, 3, 4, 5]))
         .collect();
     assert!(asked.iter().filter(|n| **n > 8).count() >= 6, "{asked:?}");
-    let none: Vec<Step> = (0..8).map(|s| Step::Fails(s, 0.0)).collect();
-    play(&mut rig, &none).await.unwrap();
+    let none: Vec<Step> = (0..8)
+        .map(|s| Step::SetServerFailures {
+            server: s,
+            ratio: 0.0,
+        })
+        .collect();
+    execute(&mut rig, &none).await.unwrap();
     rest(3.0).await;
     let from = rig.history.now();
     rest(3.0).await;
-    load.end().await;
-    let (share, n) = check::served(&rig.history.events(), from, from + 2 * SECOND);
+    load.stop().await;
+    let queries::ServedRatio {
+        ratio: share,
+        requests: n,
+    } = queries::served_ratio(&rig.history.events(), from, from + 2 * SECOND);
     assert!(share > 0.9, "{share} of {n}");
     none_broken(&rig);
 }
@@ -203,23 +236,39 @@
 async fn a_server_that_pauses_is_left_before_any_wait_is_over_and_taken_back_when_it_answers() {
     let _turn = turn().await;
     let fleet = Some("verdicts = { trial_every = \"60s\", lasts = \"60s\" }".to_owned());
-    let mut rig = start(Made {
-        nodes: 6,
-        servers: 8,
-        fleet,
+    let mut rig = start(FleetSpec {
+        node_count: 6,
+        server_count: 8,
+        fleet_settings: fleet,
         ..warm()
     })
     .await;
-    let load = rig.load_at(&[0, 1, 2, 3], 60.0, 0.2, 25);
+    let load = rig.start_load_at(&[0, 1, 2, 3], 60.0, 0.2, 25);
     until_sent(&rig, 0, &[0, 1, 2, 3]).await;
     let from = rig.history.len();
-    play(&mut rig, &[Step::Server(0, true)]).await.unwrap();
+    execute(
+        &mut rig,
+        &[Step::SetServerPaused {
+            server: 0,
+            paused: true,
+        }],
+    )
+    .await
+    .unwrap();
     let at = rig.history.now();
-    let first = |e: &Event| matches!(e, Event::Said { line, .. } if line.contains("s0 fails several nodes"));
-    let condemned = rig.history.until(from, first).await.unwrap() - at;
+    let first = |e: &Event| matches!(e, Event::Logged { line, .. } if line.contains("s0 fails several nodes"));
+    let condemned = rig.history.wait_for(from, first).await.unwrap() - at;
     // An attempt waits for two seconds; that answers are late is known after a tenth of it.
     assert!(condemned < Duration::from_millis(1500), "{condemned:?}");
-    play(&mut rig, &[Step::Server(0, false)]).await.unwrap();
+    execute(
+        &mut rig,
+        &[Step::SetServerPaused {
+            server: 0,
+            paused: false,
+        }],
+    )
+    .await
+    .unwrap();
     until_explained(&rig, "s0", "not condemned").await;
     let took = rig.history.now() - at - condemned;
     assert!(
@@ -227,19 +276,19 @@
         "it answers, and nodes kept for {took:?} to what was said of it"
     );
     // All send there again, those that had no work before as well.
-    let others = rig.load_at(&[4, 5], 60.0, 0.2, 26);
+    let others = rig.start_load_at(&[4, 5], 60.0, 0.2, 26);
     until_sent(&rig, 0, &[0, 1, 2, 3, 4, 5]).await;
-    load.end().await;
-    others.end().await;
+    load.stop().await;
+    others.stop().await;
     none_broken(&rig);
 }
 
 /// Waits until a node was asked so many requests since a moment.
-async fn until_asked(rig: &Rig, from: Duration, of: usize, requests: usize) {
-    let is_asked = |(at, event): &&(Duration, Event)| {
-        *at >= from && matches!(event, Event::Asked { node, .. } if *node == of)
+async fn until_asked(rig: &TestFleet, from: Duration, of: usize, requests: usize) {
+    let is_asked = |TimedEvent { at, event }: &&TimedEvent| {
+        *at >= from && matches!(event, Event::RequestSent { node, .. } if *node == of)
     };
-    rig.until("requests at a node", async |rig| {
+    rig.wait_until("requests at a node", async |rig| {
         rig.history.events().iter().filter(is_asked).count() >= requests
     })
     .await
@@ -247,7 +296,7 @@
 }
 
 /// A line of a list: a server that began again just now, at its old address.
-fn begun(rig: &Rig, server: usize, status: &'static str) -> Listed {
+fn begun(rig: &TestFleet, server: usize, status: &'static str) -> Listed {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
     let since_ms = now.as_millis() as u64;
     Listed {
@@ -263,38 +312,38 @@
     let fleet = Some("verdicts = { trial_every = \"60s\", lasts = \"60s\" }".to_owned());
     // Nobody probes the server: a probe that it answers takes back one of the three reports that condemn it.
     let named = names_that_never_probe(7, &[0, 1, 2, 3, 4, 5, 6], &[0]);
-    let rig = start(Made {
-        nodes: 7,
-        servers: 6,
-        lists: 2,
-        fleet,
-        named,
+    let rig = start(FleetSpec {
+        node_count: 7,
+        server_count: 6,
+        discovery_count: 2,
+        fleet_settings: fleet,
+        node_names: named,
         ..warm()
     })
     .await;
     let (ahead, behind) = ([0, 2, 4, 6], [1, 3]);
     // A server is replaced under its name and address. One list tells of it, the other lags; the new one fails.
     let new = begun(&rig, 0, "active");
-    rig.lists[0].tell(std::slice::from_ref(&new));
+    rig.discoveries[0].tell(std::slice::from_ref(&new));
     rest(0.5).await;
     // Its nodes hear from the others that theirs lags, and say so.
-    let lags = |e: &Event| matches!(e, Event::Said { node: 1, line } if line.contains("is at 1 here, others heard of 2"));
-    rig.history.until(0, lags).await.unwrap();
+    let lags = |e: &Event| matches!(e, Event::Logged { node: 1, line } if line.contains("is at 1 here, others heard of 2"));
+    rig.history.wait_for(0, lags).await.unwrap();
     rig.servers[0].behave(|m| m.fail = 1.0);
     // Few a second: nodes that are short of time find fault with all servers, and then send to any.
-    let load = rig.load_at(&ahead, 20.0, 0.2, 27);
+    let load = rig.start_load_at(&ahead, 20.0, 0.2, 27);
     until_explained(&rig, "s0", "fails several nodes").await;
     until_errors_reported(&rig, "s0", 3).await;
     until_left(&rig, 0, &ahead).await;
     // The nodes that know the old one alone hold nothing against it.
     rig.servers[0].behave(|m| m.fail = 0.0);
-    let others = rig.load_at(&behind, 20.0, 0.2, 28);
+    let others = rig.start_load_at(&behind, 20.0, 0.2, 28);
     until_sent(&rig, 0, &behind).await;
     // Their list catches up: what was said of the new one meanwhile holds at once, for one that never saw it fail.
-    rig.lists[1].tell(&[new]);
+    rig.discoveries[1].tell(&[new]);
     rest(1.0).await;
     let at = rig.history.now();
-    let last = rig.load_at(&[5], 40.0, 0.2, 29);
+    let last = rig.start_load_at(&[5], 40.0, 0.2, 29);
     until_sent(&rig, 1, &[5]).await;
     until_asked(&rig, at, 5, 150).await;
     assert_eq!(
@@ -305,10 +354,10 @@
     );
 
     // Out by hand, it stays out, whatever a list says of it, and of a new start of it.
-    rig.ban(0, 1, None).await.unwrap();
+    rig.ban_server(0, 1, None).await.unwrap();
     rest(1.5).await;
     let at = rig.history.now();
-    rig.lists[1].tell(&[begun(&rig, 1, "active")]);
+    rig.discoveries[1].tell(&[begun(&rig, 1, "active")]);
     rest(6.0).await;
     assert_eq!(
         sent(&rig, 1, at, &[0, 1, 2, 3, 4, 5, 6]),
@@ -316,9 +365,9 @@
         "a list brought a banned server back"
     );
     // A list's own word holds for those it tells, whatever the fleet says: its call back brings nothing back.
-    rig.lists[0].tell(&[begun(&rig, 2, "draining")]);
+    rig.discoveries[0].tell(&[begun(&rig, 2, "draining")]);
     rest(0.6).await;
-    rig.lift(1, 2).await.unwrap();
+    rig.lift_ban(1, 2).await.unwrap();
     let at = rig.history.now();
     rest(6.0).await;
     assert_eq!(sent(&rig, 2, at, &ahead), 0, "sent to a draining server");
@@ -327,7 +376,7 @@
         "their list says nothing of it"
     );
     for load in [load, others, last] {
-        load.end().await;
+        load.stop().await;
     }
     none_broken(&rig);
 }
@@ -336,17 +385,17 @@
 async fn a_ban_that_is_lifted_on_one_side_of_a_cut_and_renewed_on_the_other_holds() {
     let _turn = turn().await;
     let rig = start(warm()).await;
-    let load = rig.load(40.0, 0.2, 30);
+    let load = rig.start_load(40.0, 0.2, 30);
     let (all, here, there) = ([0, 1, 2, 3, 4], [0, 1, 2], [3, 4]);
-    rig.ban(0, 0, None).await.unwrap();
-    rig.ban(0, 1, None).await.unwrap();
+    rig.ban_server(0, 0, None).await.unwrap();
+    rig.ban_server(0, 1, None).await.unwrap();
     until_explained(&rig, "s0", "s0: out by hand").await;
     until_explained(&rig, "s1", "s1: out by hand").await;
-    rig.links().cut(&here, &there, true);
+    rig.network().partition(&here, &there, true);
     // Both are lifted here; one is said anew there.
-    rig.lift(1, 0).await.unwrap();
-    rig.lift(1, 1).await.unwrap();
-    rig.ban(4, 0, None).await.unwrap();
+    rig.lift_ban(1, 0).await.unwrap();
+    rig.lift_ban(1, 1).await.unwrap();
+    rig.ban_server(4, 0, None).await.unwrap();
     until_sent(&rig, 0, &here).await;
     let at = rig.history.now();
     rest(1.5).await;
@@ -355,7 +404,7 @@
         0,
         "lifted through a cut"
     );
-    rig.links().heal();
+    rig.network().heal();
     // The newer word of the two operators is heard by all, and what was lifted alone is back for all.
     until_explained(&rig, "s0", "s0: out by hand").await;
     until_explained(&rig, "s1", "s1: not out by hand").await;
@@ -367,8 +416,8 @@
         [],
         "a ban that was renewed is gone"
     );
-    rig.lift(2, 0).await.unwrap();
+    rig.lift_ban(2, 0).await.unwrap();
     until_sent(&rig, 0, &all).await;
-    load.end().await;
+    load.stop().await;
     none_broken(&rig);
 }
