--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -2,9 +2,11 @@
 
 mod fields;
 mod fleet;
+mod http_target;
 
 pub use crate::error::{RequestError, MAX_NAME_LEN};
 pub use fleet::FleetRequest;
+pub use http_target::HttpTarget;
 
 use fields::{decode_name, encode_name, require_method};
 
@@ -72,14 +74,18 @@
     }
 
     /// The method and path that [`ManagementRequest::parse`] parses as this request.
-    pub fn method_and_path(&self) -> (&'static str, String) {
+    pub fn to_http(&self) -> HttpTarget {
         match self {
-            Self::Ready => ("GET", "/-/ready".to_owned()),
-            Self::Disable(name) => ("POST", format!("/-/servers/{}/disable", encode_name(name))),
-            Self::Enable(name) => ("POST", format!("/-/servers/{}/enable", encode_name(name))),
-            Self::Drain => ("POST", "/-/drain".to_owned()),
-            Self::Resume => ("POST", "/-/resume".to_owned()),
-            Self::Fleet(request) => request.method_and_path(),
+            Self::Ready => HttpTarget::get("/-/ready"),
+            Self::Disable(name) => {
+                HttpTarget::post(format!("/-/servers/{}/disable", encode_name(name)))
+            }
+            Self::Enable(name) => {
+                HttpTarget::post(format!("/-/servers/{}/enable", encode_name(name)))
+            }
+            Self::Drain => HttpTarget::post("/-/drain"),
+            Self::Resume => HttpTarget::post("/-/resume"),
+            Self::Fleet(request) => request.to_http(),
         }
     }
 }
--- a/crates/admin/src/request/fleet.rs
+++ b/crates/admin/src/request/fleet.rs
@@ -1,6 +1,7 @@
 //! Management requests that concern all nodes of a fleet.
 
 use super::fields::{decode_name, encode_name, require_method};
+use super::http_target::HttpTarget;
 use crate::error::RequestError;
 
 /// The author of a request that names none.
@@ -44,16 +45,17 @@
 
 impl FleetRequest {
     /// The method and path of the request.
-    pub fn method_and_path(&self) -> (&'static str, String) {
+    pub fn to_http(&self) -> HttpTarget {
         match self {
-            Self::Members => ("GET", "/-/fleet/members".to_owned()),
-            Self::Verdicts => ("GET", "/-/fleet/verdicts".to_owned()),
-            Self::Explain(server) => ("GET", format!("/-/fleet/servers/{}", encode_name(server))),
-            Self::Leases => ("GET", "/-/fleet/leases".to_owned()),
+            Self::Members => HttpTarget::get("/-/fleet/members"),
+            Self::Verdicts => HttpTarget::get("/-/fleet/verdicts"),
+            Self::Explain(server) => {
+                HttpTarget::get(format!("/-/fleet/servers/{}", encode_name(server)))
+            }
+            Self::Leases => HttpTarget::get("/-/fleet/leases"),
             Self::Release { lease, reason } => {
                 let (lease, reason) = (encode_name(lease), encode_name(reason));
-                let path = format!("/-/fleet/leases/{lease}/release?why={reason}");
-                ("POST", path)
+                HttpTarget::post(format!("/-/fleet/leases/{lease}/release?why={reason}"))
             }
             Self::Ban {
                 server,
@@ -63,12 +65,11 @@
                 let (server, by) = (encode_name(server), encode_name(by));
                 let duration =
                     seconds.map_or_else(String::new, |seconds| format!("&for={seconds}"));
-                let path = format!("/-/fleet/servers/{server}/ban?by={by}{duration}");
-                ("POST", path)
+                HttpTarget::post(format!("/-/fleet/servers/{server}/ban?by={by}{duration}"))
             }
             Self::Lift { server, by } => {
                 let (server, by) = (encode_name(server), encode_name(by));
-                ("POST", format!("/-/fleet/servers/{server}/lift?by={by}"))
+                HttpTarget::post(format!("/-/fleet/servers/{server}/lift?by={by}"))
             }
         }
     }
--- a/crates/admin/tests/golden.rs
+++ b/crates/admin/tests/golden.rs
@@ -2,7 +2,7 @@
 //! they had at commit c58caac: a process of an earlier version may be at the other end. The ledger has such a test in
 //! `operator_state.rs`.
 
-use reelfall_admin::request::{FleetRequest, ManagementRequest};
+use reelfall_admin::request::{FleetRequest, HttpTarget, ManagementRequest};
 use reelfall_admin::takeover::Frame;
 
 const FRAMES: &str = include_str!("golden/frames.txt");
@@ -76,7 +76,7 @@
     ];
     let mut lines = Vec::new();
     for request in own.into_iter().chain(fleet.map(ManagementRequest::Fleet)) {
-        let (method, path) = request.method_and_path();
+        let HttpTarget { method, path } = request.to_http();
         assert_eq!(ManagementRequest::parse(method, &path), Ok(request));
         lines.push(format!("{method} {path}"));
     }
--- a/crates/admin/tests/requests.rs
+++ b/crates/admin/tests/requests.rs
@@ -1,13 +1,13 @@
 //! Requests on the management address: what they are parsed as, and what is rejected.
 
 use proptest::prelude::*;
-use reelfall_admin::request::{FleetRequest, ManagementRequest, RequestError};
+use reelfall_admin::request::{FleetRequest, HttpTarget, ManagementRequest, RequestError};
 
 proptest! {
     #[test]
     fn no_text_is_taken_for_a_request_that_it_is_not(text in ".{0,200}", method in "[A-Z]{1,7}") {
         for request in [ManagementRequest::Disable(text.clone()), ManagementRequest::Enable(text.clone())] {
-            let (method, path) = request.method_and_path();
+            let HttpTarget { method, path } = request.to_http();
             let parsed = ManagementRequest::parse(method, &path);
             prop_assert!(parsed == Ok(request) || text.is_empty() || text.len() > 512);
         }
@@ -38,7 +38,7 @@
         lift,
     ];
     for request in all.map(ManagementRequest::Fleet) {
-        let (method, path) = request.method_and_path();
+        let HttpTarget { method, path } = request.to_http();
         assert_eq!(ManagementRequest::parse(method, &path), Ok(request));
     }
     assert_eq!(
--- a/crates/config/src/check/plan.rs
+++ b/crates/config/src/check/plan.rs
@@ -89,11 +89,14 @@
 
     /// All routes that match a request, in descending order of precedence.
     pub fn candidates(&self, query: &RouteQuery) -> Vec<usize> {
-        let rank = |route: &usize| self.matches.get(*route).map(RouteConditions::rank);
+        let specificity = |route: &usize| {
+            let conditions = self.matches.get(*route);
+            conditions.map(RouteConditions::specificity)
+        };
         let mut candidates: Vec<usize> = (0..self.matches.len())
             .filter(|route| self.matches.get(*route).is_some_and(|m| m.matches(query)))
             .collect();
-        candidates.sort_by_key(|route| std::cmp::Reverse(rank(route)));
+        candidates.sort_by_key(|route| std::cmp::Reverse(specificity(route)));
         candidates
     }
 
--- a/crates/graphql/src/persisted.rs
+++ b/crates/graphql/src/persisted.rs
@@ -35,9 +35,19 @@
         Self::default()
     }
 
-    /// Number of documents, and their length in bytes.
-    pub fn size(&self) -> (usize, usize) {
-        (self.documents.len(), self.bytes)
+    /// Number of documents.
+    pub fn len(&self) -> usize {
+        self.documents.len()
+    }
+
+    /// Whether there are no documents.
+    pub fn is_empty(&self) -> bool {
+        self.documents.is_empty()
+    }
+
+    /// Length of all documents, in bytes.
+    pub fn total_bytes(&self) -> usize {
+        self.bytes
     }
 
     /// The document of a request: its own, or the cached one with its hash. Does not cache anything.
--- a/crates/graphql/tests/batch.rs
+++ b/crates/graphql/tests/batch.rs
@@ -147,7 +147,11 @@
         kind(store.resolve(Some("{a}"), Some(hash_of("{a}")))).as_deref(),
         Ok("{a}")
     );
-    assert_eq!(store.size(), (0, 0), "kept before it was found to be valid");
+    assert_eq!(
+        (store.len(), store.total_bytes()),
+        (0, 0),
+        "cached before it was found to be valid"
+    );
     for document in ["{a}", "{b}", "{c}"] {
         store.insert(document, &limits);
     }
@@ -157,7 +161,7 @@
         Ok("{a}")
     );
     store.insert("{d}", &limits);
-    assert_eq!(store.size(), (3, 9));
+    assert_eq!((store.len(), store.total_bytes()), (3, 9));
     assert_eq!(
         kind(store.resolve(None, Some(hash_of("{b}")))),
         Err(GraphQlErrorKind::PersistedQueryNotFound)
@@ -167,12 +171,16 @@
         Ok("{a}")
     );
     store.insert(&"x".repeat(95), &limits);
-    assert_eq!(store.size(), (2, 98), "over its bytes");
+    assert_eq!(
+        (store.len(), store.total_bytes()),
+        (2, 98),
+        "over its bytes"
+    );
     store.insert(&"y".repeat(101), &limits);
-    assert_eq!(store.size().0, 2, "something larger than the store is kept");
+    assert_eq!(store.len(), 2, "something larger than the store is cached");
     for n in 0..10_000 {
         store.insert(&format!("{{a{n}}}"), &limits);
-        assert!(store.size().0 <= 3 && store.size().1 <= 100);
+        assert!(store.len() <= 3 && store.total_bytes() <= 100);
     }
 }
 
--- a/crates/node/src/cli/routes.rs
+++ b/crates/node/src/cli/routes.rs
@@ -98,15 +98,14 @@
 
 /// The first criterion by which a route is more specific than another.
 fn reason_to_win(winner: &RouteConditions, loser: &RouteConditions) -> &'static str {
-    let (listener, host, path, method, _) = winner.rank();
-    let (other_listener, other_host, other_path, other_method, _) = loser.rank();
-    if listener != other_listener {
+    let (winner, loser) = (winner.specificity(), loser.specificity());
+    if winner.names_listener != loser.names_listener {
         "its listener is named"
-    } else if host != other_host {
+    } else if winner.host != loser.host {
         "its host is more special"
-    } else if path != other_path {
+    } else if winner.path_segments != loser.path_segments {
         "its path is longer"
-    } else if method != other_method {
+    } else if winner.names_methods != loser.names_methods {
         "its method is named"
     } else {
         "its class is named"
--- a/crates/node/src/net/registry.rs
+++ b/crates/node/src/net/registry.rs
@@ -19,7 +19,7 @@
 use bytes::Bytes;
 use reelfall_balancer::interface::Time;
 use reelfall_config::model;
-use reelfall_registry_client::session::{Session, SessionConfig};
+use reelfall_registry_client::session::{Credentials, Session, SessionConfig};
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
 use std::io;
@@ -60,7 +60,7 @@
     session_timeout: Time,
     connect_timeout: Time,
     forget_after: Time,
-    credentials: Option<(String, Bytes)>,
+    credentials: Option<Credentials>,
 }
 
 impl RegistryAccess {
@@ -81,7 +81,10 @@
             session_timeout: registry.session_timeout,
             connect_timeout: registry.connect_timeout,
             forget_after: registry.forget_after,
-            credentials: digest.map(|digest| (DIGEST_SCHEME.to_owned(), digest)),
+            credentials: digest.map(|proof| Credentials {
+                scheme: DIGEST_SCHEME.to_owned(),
+                proof,
+            }),
         })
     }
 
--- a/crates/node/src/net/registry/driver.rs
+++ b/crates/node/src/net/registry/driver.rs
@@ -6,8 +6,9 @@
 use crate::net::shared::Clock;
 use bytes::{Buf, BytesMut};
 use reelfall_balancer::interface::Time;
-use reelfall_registry_client::session::{Command, Event, Session, MAX_PENDING_REQUESTS};
-use reelfall_registry_client::wire::Op;
+use reelfall_registry_client::session::{
+    Command, Event, Session, TokenRequest, MAX_PENDING_REQUESTS,
+};
 use std::future::Future;
 use std::io;
 use std::pin::Pin;
@@ -28,7 +29,7 @@
     /// Handles an event of the session.
     fn handle_event(&mut self, now: Time, session: &Session, event: &Event);
     /// The next request, with the token that its response will have.
-    fn next_request(&mut self) -> Option<(u64, Op)>;
+    fn next_request(&mut self) -> Option<TokenRequest>;
     /// Periodic work; the session may have received something.
     fn tick(&mut self, now: Time, session: &Session);
     /// When `tick` has work to do.
@@ -123,10 +124,10 @@
                 self.user.handle_event(now, &self.session, &event);
             }
             while self.session.is_up() && self.session.pending_count() < MAX_PENDING_REQUESTS {
-                let Some((token, op)) = self.user.next_request() else {
+                let Some(request) = self.user.next_request() else {
                     break;
                 };
-                self.session.request(now, token, op);
+                self.session.request(now, request.token, request.op);
             }
             let Some(command) = self.session.next_command() else {
                 break;
--- a/crates/node/src/net/registry/following.rs
+++ b/crates/node/src/net/registry/following.rs
@@ -11,8 +11,7 @@
 use reelfall_registry_client::entry::Entry;
 use reelfall_registry_client::follow::{Follower, Limits, Report};
 use reelfall_registry_client::roster::Change;
-use reelfall_registry_client::session::{Event, LossReason, Session};
-use reelfall_registry_client::wire::Op;
+use reelfall_registry_client::session::{Event, LossReason, Session, TokenRequest};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -175,7 +174,7 @@
         self.follower.handle_event(now, event);
     }
 
-    fn next_request(&mut self) -> Option<(u64, Op)> {
+    fn next_request(&mut self) -> Option<TokenRequest> {
         self.follower.next_request()
     }
 
--- a/crates/node/src/net/registry/own_entry.rs
+++ b/crates/node/src/net/registry/own_entry.rs
@@ -5,8 +5,8 @@
 use crate::net::shared::Shared;
 use reelfall_balancer::interface::Time;
 use reelfall_registry_client::registration::{EntryData, Registration, Report};
-use reelfall_registry_client::session::{Event, Session};
-use reelfall_registry_client::wire::{Acl, Op};
+use reelfall_registry_client::session::{Event, Session, TokenRequest};
+use reelfall_registry_client::wire::Acl;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -103,7 +103,7 @@
             .handle_event(now, session.id(), event);
     }
 
-    fn next_request(&mut self) -> Option<(u64, Op)> {
+    fn next_request(&mut self) -> Option<TokenRequest> {
         self.registration.get_mut().next_request()
     }
 
--- a/crates/node/src/operate.rs
+++ b/crates/node/src/operate.rs
@@ -1,6 +1,6 @@
 //! The client of the management address. Called by the command line.
 
-use reelfall_admin::request::ManagementRequest;
+use reelfall_admin::request::{HttpTarget, ManagementRequest};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::ExitCode;
@@ -72,7 +72,7 @@
     let mut stream = TcpStream::connect_timeout(&management, TIMEOUT)?;
     stream.set_read_timeout(Some(TIMEOUT))?;
     stream.set_write_timeout(Some(TIMEOUT))?;
-    let (method, path) = request.method_and_path();
+    let HttpTarget { method, path } = request.to_http();
     let head =
         format!("{method} {path} HTTP/1.1\r\nhost: {management}\r\nconnection: close\r\n\r\n");
     stream.write_all(head.as_bytes())?;
--- a/crates/registry-client/src/follow.rs
+++ b/crates/registry-client/src/follow.rs
@@ -34,7 +34,7 @@
 
 use crate::entry::EntryError;
 use crate::roster::{Change, Roster};
-use crate::session::Event;
+use crate::session::{Event, TokenRequest};
 use crate::wire::Op;
 use crate::Time;
 use children::Children;
@@ -118,8 +118,8 @@
         }
     }
 
-    /// The next request, with the token of its response.
-    pub fn next_request(&mut self) -> Option<(u64, Op)> {
+    /// The next request.
+    pub fn next_request(&mut self) -> Option<TokenRequest> {
         self.requests.next()
     }
 
--- a/crates/registry-client/src/follow/requests.rs
+++ b/crates/registry-client/src/follow/requests.rs
@@ -1,5 +1,6 @@
 //! Requests of a follower: a queue of those to be sent, and the purpose of each until its response arrives.
 
+use crate::session::TokenRequest;
 use crate::wire::{Op, Stat};
 use bytes::Bytes;
 use std::collections::{HashMap, VecDeque};
@@ -31,7 +32,7 @@
 pub(super) struct Requests {
     pending: HashMap<u64, Purpose>,
     last_token: u64,
-    queue: VecDeque<(u64, Op)>,
+    queue: VecDeque<TokenRequest>,
 }
 
 impl Requests {
@@ -39,11 +40,14 @@
     pub(super) fn add(&mut self, purpose: Purpose, op: Op) {
         self.last_token += 1;
         self.pending.insert(self.last_token, purpose);
-        self.queue.push_back((self.last_token, op));
+        self.queue.push_back(TokenRequest {
+            token: self.last_token,
+            op,
+        });
     }
 
-    /// The next request to be sent, with its token.
-    pub(super) fn next(&mut self) -> Option<(u64, Op)> {
+    /// The next request to be sent.
+    pub(super) fn next(&mut self) -> Option<TokenRequest> {
         self.queue.pop_front()
     }
 
--- a/crates/registry-client/src/registration.rs
+++ b/crates/registry-client/src/registration.rs
@@ -15,7 +15,7 @@
 //! or to this one before it is ready, so it is removed by its version and created by this session. The entry of a later
 //! run takes precedence: this process is about to end.
 
-use crate::session::Event;
+use crate::session::{Event, TokenRequest};
 use crate::wire::{Acl, Op, OperationError, Response, Stat, WatchEvent, WatchEventKind};
 use crate::Time;
 use bytes::Bytes;
@@ -79,7 +79,7 @@
     /// An entry of this session may exist: its creation was requested, and no later response showed that it is gone.
     may_exist: bool,
     token: u64,
-    request: Option<(u64, Op)>,
+    request: Option<TokenRequest>,
     report: Option<Report>,
     last_reported: Option<Report>,
 }
@@ -102,8 +102,8 @@
         }
     }
 
-    /// The next request, with the token of its response.
-    pub fn next_request(&mut self) -> Option<(u64, Op)> {
+    /// The next request.
+    pub fn next_request(&mut self) -> Option<TokenRequest> {
         self.request.take()
     }
 
@@ -165,7 +165,10 @@
     fn request(&mut self, state: State, op: Op) {
         self.token += 1;
         self.state = state;
-        self.request = Some((self.token, op));
+        self.request = Some(TokenRequest {
+            token: self.token,
+            op,
+        });
     }
 
     fn read(&mut self) {
--- a/crates/registry-client/src/session.rs
+++ b/crates/registry-client/src/session.rs
@@ -24,7 +24,7 @@
 mod members;
 mod messages;
 
-pub use interface::{Command, Event, LossReason, SessionConfig};
+pub use interface::{Command, Credentials, Event, LossReason, SessionConfig, TokenRequest};
 
 use crate::wire::{
     decode_response, Frames, Op, OperationError, Reader, Response, WatchEvent, WireError,
@@ -266,9 +266,9 @@
         self.timeout = f64::from(response.timeout_ms) / 1e3;
         self.state = State::Up;
         self.members.succeed();
-        if let Some((scheme, proof)) = &self.config.credentials {
-            let credentials = messages::credentials(scheme, proof);
-            self.send(now, credentials);
+        if let Some(credentials) = &self.config.credentials {
+            let message = messages::credentials(credentials);
+            self.send(now, message);
         }
         self.events.push_back(Event::Up { is_new });
         Ok(())
--- a/crates/registry-client/src/session/interface.rs
+++ b/crates/registry-client/src/session/interface.rs
@@ -1,11 +1,29 @@
 //! What a session exchanges with its owner: configuration, commands and events.
 
-use crate::wire::{OperationError, Response, WatchEvent, WireError};
+use crate::wire::{Op, OperationError, Response, WatchEvent, WireError};
 use crate::Time;
 use bytes::Bytes;
 use std::net::SocketAddr;
 use thiserror::Error;
 
+/// The credentials of a session.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Credentials {
+    /// The scheme, such as `digest`.
+    pub scheme: String,
+    /// The proof of that scheme, such as `name:password`.
+    pub proof: Bytes,
+}
+
+/// A request to the registry, and the token that its response comes with.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct TokenRequest {
+    /// The token.
+    pub token: u64,
+    /// The request.
+    pub op: Op,
+}
+
 /// Configuration of a session.
 #[derive(Clone, Debug)]
 pub struct SessionConfig {
@@ -15,8 +33,8 @@
     pub timeout: Time,
     /// The time-out of connecting to a member, handshake included, in seconds.
     pub connect_timeout: Time,
-    /// The credentials of the session: a scheme and its proof, such as `digest` and `name:password`.
-    pub credentials: Option<(String, Bytes)>,
+    /// The credentials of the session, if it has any.
+    pub credentials: Option<Credentials>,
     /// The time without a connection after which a new session is requested that does not insist on the last known state,
     /// in seconds: the registry was probably set up again.
     pub forget_after: Time,
--- a/crates/registry-client/src/session/messages.rs
+++ b/crates/registry-client/src/session/messages.rs
@@ -1,5 +1,6 @@
 //! The messages of a session itself: handshake, ping, credentials, close, and the header of responses.
 
+use super::interface::Credentials;
 use crate::wire::{Reader, WireError, Writer};
 use crate::Time;
 use bytes::Bytes;
@@ -77,13 +78,13 @@
 }
 
 /// Authenticates the session.
-pub(super) fn credentials(scheme: &str, proof: &[u8]) -> Bytes {
+pub(super) fn credentials(credentials: &Credentials) -> Bytes {
     Writer::new()
         .int(AUTH_XID)
         .int(AUTH_OP)
         .int(0)
-        .text(scheme)
-        .buffer(proof)
+        .text(&credentials.scheme)
+        .buffer(&credentials.proof)
         .done()
 }
 
--- a/crates/registry-client/tests/follow.rs
+++ b/crates/registry-client/tests/follow.rs
@@ -9,7 +9,7 @@
     Follower, FollowerSizes, Identity, Limits, Report, StalePolicy,
 };
 use reelfall_registry_client::roster::{Change, MAX_RETURN_DELAY};
-use reelfall_registry_client::session::{Event, LossReason};
+use reelfall_registry_client::session::{Event, LossReason, TokenRequest};
 use reelfall_registry_client::wire::{
     Acl, Op, OperationError, Response, Stat, WatchEvent, WatchEventKind,
 };
@@ -37,7 +37,7 @@
     /// Whether it knows persistent watches.
     has_persistent_watches: bool,
     up: bool,
-    requests: VecDeque<(u64, Op)>,
+    requests: VecDeque<TokenRequest>,
     events: VecDeque<Event>,
 }
 
@@ -116,7 +116,7 @@
 
     /// Works off one request, from the state that is there now.
     fn execute_request(&mut self) {
-        let Some((token, op)) = self.requests.pop_front() else {
+        let Some(TokenRequest { token, op }) = self.requests.pop_front() else {
             return;
         };
         let child = |path: &str| {
@@ -171,7 +171,11 @@
         }
         (self.up, self.recursive, self.children) = (false, false, false);
         self.data.clear();
-        let lost: Vec<u64> = self.requests.drain(..).map(|(token, _)| token).collect();
+        let lost: Vec<u64> = self
+            .requests
+            .drain(..)
+            .map(|request| request.token)
+            .collect();
         let answered = self.events.drain(..).filter_map(|w| match w {
             Event::Response(token, _) => Some(token),
             _ => None,
@@ -458,7 +462,7 @@
         registry.connect(&mut follower, 0.0);
         registry.receive_requests(&mut follower);
         // Whatever is asked of it, there is no such path.
-        while let Some((token, op)) = registry.requests.pop_front() {
+        while let Some(TokenRequest { token, op }) = registry.requests.pop_front() {
             let answer = match op {
                 Op::AddWatch { .. } if !has_persistent_watches => {
                     Err(OperationError::Unimplemented)
--- a/crates/registry-client/tests/golden.rs
+++ b/crates/registry-client/tests/golden.rs
@@ -2,7 +2,7 @@
 //! definitions, so `golden/session.txt` does not change.
 
 use bytes::Bytes;
-use reelfall_registry_client::session::{Command, Session, SessionConfig};
+use reelfall_registry_client::session::{Command, Credentials, Session, SessionConfig};
 use reelfall_registry_client::wire::{Acl, Op, Writer};
 
 const GOLDEN: &str = include_str!("golden/session.txt");
@@ -22,7 +22,10 @@
         members: vec![([127, 0, 0, 1], 2181).into()],
         timeout: 6.0,
         connect_timeout: 1.0,
-        credentials: Some(("digest".to_owned(), Bytes::from_static(b"ada:secret"))),
+        credentials: Some(Credentials {
+            scheme: "digest".to_owned(),
+            proof: Bytes::from_static(b"ada:secret"),
+        }),
         forget_after: 60.0,
     };
     let mut session = Session::new(config, 10.0, 1);
--- a/crates/registry-client/tests/registration.rs
+++ b/crates/registry-client/tests/registration.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use reelfall_registry_client::registration::{EntryData, Registration, Report, RETRY_INTERVAL};
-use reelfall_registry_client::session::{Event, LossReason};
+use reelfall_registry_client::session::{Event, LossReason, TokenRequest};
 use reelfall_registry_client::wire::{
     Acl, Op, OperationError, Response, Stat, WatchEvent, WatchEventKind,
 };
@@ -35,7 +35,7 @@
     registration: Registration,
     session: i64,
     up: bool,
-    requests: VecDeque<(u64, Op)>,
+    requests: VecDeque<TokenRequest>,
     events: VecDeque<Event>,
 }
 
@@ -73,7 +73,11 @@
         }
         self.up = false;
         registry.watched = false;
-        let tokens: Vec<u64> = self.requests.drain(..).map(|(t, _)| t).collect();
+        let tokens: Vec<u64> = self
+            .requests
+            .drain(..)
+            .map(|request| request.token)
+            .collect();
         self.events.clear();
         self.registration
             .handle_event(now, self.session, &Event::Lost(LossReason::Closed));
@@ -99,7 +103,7 @@
     }
 
     fn execute_request(&mut self, registry: &mut FakeRegistry) {
-        let Some((token, op)) = self.requests.pop_front() else {
+        let Some(TokenRequest { token, op }) = self.requests.pop_front() else {
             return;
         };
         let answer = match (op, &mut registry.entry) {
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -153,25 +153,51 @@
             .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
     }
 
-    /// How specific the route is: of the routes that match a request, the one with the greatest rank wins. The
-    /// components are listener, host, path, methods and class.
-    pub fn rank(&self) -> (bool, (u8, usize), usize, bool, bool) {
-        let host = match &self.host {
-            Host::Any => (0, 0),
-            Host::Below(name) => (1, name.len()),
-            Host::Exact(_) => (2, 0),
-        };
-        let path = self.path.matches('/').count();
-        (
-            self.listener.is_some(),
-            host,
-            path,
-            !self.methods.is_empty(),
-            self.class.is_some(),
-        )
+    /// How specific the route is: of the routes that match a request, the one with the greatest specificity wins.
+    pub fn specificity(&self) -> Specificity {
+        Specificity {
+            names_listener: self.listener.is_some(),
+            host: match &self.host {
+                Host::Any => HostSpecificity::Any,
+                Host::Below(name) => HostSpecificity::Below { len: name.len() },
+                Host::Exact(_) => HostSpecificity::Exact,
+            },
+            path_segments: self.path.matches('/').count(),
+            names_methods: !self.methods.is_empty(),
+            names_class: self.class.is_some(),
+        }
     }
 }
 
+/// How specific the conditions of a route are. The fields are compared in their order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Specificity {
+    /// A listener is named.
+    pub names_listener: bool,
+    /// How specific the host is.
+    pub host: HostSpecificity,
+    /// Number of segments of the path.
+    pub path_segments: usize,
+    /// Methods are named.
+    pub names_methods: bool,
+    /// A class is named.
+    pub names_class: bool,
+}
+
+/// How specific the host of a route is, the least specific first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum HostSpecificity {
+    /// Any host.
+    Any,
+    /// The hosts below a domain.
+    Below {
+        /// The length of the domain's name, in bytes.
+        len: usize,
+    },
+    /// One host.
+    Exact,
+}
+
 /// The properties of a request that determine its route.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteQuery<'a> {
