--- a/crates/admin/src/takeover.rs
+++ b/crates/admin/src/takeover.rs
@@ -8,6 +8,8 @@
 pub const PROTOCOL_VERSION: u32 = 1;
 /// Maximum length of a frame, in bytes.
 pub const MAX_FRAME_LEN: usize = 8 << 20;
+/// Length of the length that a frame begins with, in bytes.
+pub const LENGTH_LEN: usize = 4;
 /// Maximum number of descriptors with one frame.
 pub const MAX_DESCRIPTORS: usize = 32;
 
@@ -38,6 +40,15 @@
     },
 }
 
+/// A frame that was decoded from the beginning of a buffer.
+#[derive(Debug)]
+pub struct DecodedFrame {
+    /// The frame.
+    pub frame: Frame,
+    /// Number of bytes of the buffer that it was decoded from.
+    pub encoded_len: usize,
+}
+
 impl Frame {
     /// Number of descriptors that come with the frame.
     pub fn descriptor_count(&self) -> usize {
@@ -48,7 +59,7 @@
         }
     }
 
-    /// Encodes the frame: the length as four bytes, then the JSON text.
+    /// Encodes the frame: the length of its JSON text, in [`LENGTH_LEN`] bytes, then the text.
     ///
     /// # Errors
     /// If it is too large to be decoded again.
@@ -61,12 +72,12 @@
         Ok([&length.to_be_bytes()[..], &text].concat())
     }
 
-    /// Decodes the first frame of a buffer and returns it with its encoded length; `None` if it is incomplete.
+    /// Decodes the first frame of a buffer; `None` if it is incomplete.
     ///
     /// # Errors
     /// If the bytes are no frame.
-    pub fn decode(buffer: &[u8]) -> Result<Option<(Frame, usize)>, serde_json::Error> {
-        let Some((length, rest)) = buffer.split_first_chunk::<4>() else {
+    pub fn decode(buffer: &[u8]) -> Result<Option<DecodedFrame>, serde_json::Error> {
+        let Some((length, rest)) = buffer.split_first_chunk::<LENGTH_LEN>() else {
             return Ok(None);
         };
         let length = u32::from_be_bytes(*length) as usize;
@@ -80,6 +91,9 @@
         if frame.descriptor_count() > MAX_DESCRIPTORS {
             return Err(serde::de::Error::custom("too many descriptors"));
         }
-        Ok(Some((frame, 4 + length)))
+        Ok(Some(DecodedFrame {
+            frame,
+            encoded_len: LENGTH_LEN + length,
+        }))
     }
 }
--- a/crates/admin/tests/golden.rs
+++ b/crates/admin/tests/golden.rs
@@ -3,7 +3,7 @@
 //! `operator_state.rs`.
 
 use reelfall_admin::request::{FleetRequest, HttpTarget, ManagementRequest};
-use reelfall_admin::takeover::Frame;
+use reelfall_admin::takeover::{DecodedFrame, Frame};
 
 const FRAMES: &str = include_str!("golden/frames.txt");
 const REQUESTS: &str = include_str!("golden/requests.txt");
@@ -28,7 +28,10 @@
     let mut lines = Vec::new();
     for frame in &frames {
         let bytes = frame.encode().unwrap();
-        let (decoded, length) = Frame::decode(&bytes).unwrap().unwrap();
+        let DecodedFrame {
+            frame: decoded,
+            encoded_len: length,
+        } = Frame::decode(&bytes).unwrap().unwrap();
         assert_eq!(length, bytes.len());
         assert_eq!(decoded.encode().unwrap(), bytes);
         assert_eq!(
--- a/crates/admin/tests/takeover.rs
+++ b/crates/admin/tests/takeover.rs
@@ -2,7 +2,7 @@
 //! any moment and SIGTERM early or late.
 
 use reelfall_admin::succession::{Predecessor, Successor};
-use reelfall_admin::takeover::{Frame, PROTOCOL_VERSION};
+use reelfall_admin::takeover::{DecodedFrame, Frame, PROTOCOL_VERSION};
 use stateright::{Checker, Model, Property};
 
 /// Where the client's connection is.
@@ -312,7 +312,10 @@
         for part in 0..bytes.len() {
             assert!(Frame::decode(&bytes[..part]).unwrap().is_none());
         }
-        let (again, length) = Frame::decode(&bytes).unwrap().unwrap();
+        let DecodedFrame {
+            frame: again,
+            encoded_len: length,
+        } = Frame::decode(&bytes).unwrap().unwrap();
         assert_eq!(
             (format!("{again:?}"), length),
             (format!("{frame:?}"), bytes.len())
--- a/crates/node/src/net/takeover/exchange.rs
+++ b/crates/node/src/net/takeover/exchange.rs
@@ -2,7 +2,7 @@
 //! [`super::HandoverSocket`].
 
 use bytes::{Buf, BytesMut};
-use reelfall_admin::takeover::{Frame, MAX_DESCRIPTORS};
+use reelfall_admin::takeover::{DecodedFrame, Frame, MAX_DESCRIPTORS};
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -133,14 +133,14 @@
 
     /// The next frame, if it is in the buffer already.
     fn next_buffered(&mut self) -> Result<Option<ReceivedFrame>, ExchangeError> {
-        let Some((frame, length)) = Frame::decode(&self.buffer)? else {
+        let Some(DecodedFrame { frame, encoded_len }) = Frame::decode(&self.buffer)? else {
             return Ok(None);
         };
         let count = frame.descriptor_count();
         if self.descriptors.len() < count {
             return Err(ExchangeError::MissingDescriptors);
         }
-        self.buffer.advance(length);
+        self.buffer.advance(encoded_len);
         let descriptors = self.descriptors.drain(..count).collect();
         Ok(Some(ReceivedFrame { frame, descriptors }))
     }
