--- a/crates/capacity/src/budget/scale_page.rs
+++ b/crates/capacity/src/budget/scale_page.rs
@@ -305,7 +305,10 @@
 /// Lines through sweeps as a table.
 pub fn lines(slopes: &[Slope]) -> String {
     let row = |slope: &Slope| {
-        let (least, most) = fit::range(slope.points.iter().map(|(x, _)| *x));
+        let fit::Extent {
+            min: least,
+            max: most,
+        } = fit::Extent::of(slope.points.iter().map(|(x, _)| *x));
         let axis = format!("{:?}", slope.axis).to_lowercase();
         let residual = slope
             .residuals
--- a/crates/capacity/src/scale/command.rs
+++ b/crates/capacity/src/scale/command.rs
@@ -1,30 +1,34 @@
-//! The command line of scale runs.
+//! The command line of scale runs, called by `main`. Its doc comments are the help texts.
 
 use super::computation::{self, Computation};
-use super::limits::{Deadline, RUN_MOST};
+use super::limits::{Deadline, MAX_RUN_DURATION};
 use super::report::Size;
 use super::{fleet, lines, machine, plot, single, smoke, sweep};
 use reelfall_testbed::scripted::Program;
 use reelfall_testbed::Result;
-use std::path::PathBuf;
+use std::ops::RangeInclusive;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
+/// Lengths of a window, in seconds: others are clamped to these.
+const WINDOW_SECONDS: RangeInclusive<f64> = 0.5..=60.0;
+
 /// What the control side of a fleet costs: one run at one size, or sweeps.
 #[derive(clap::Args)]
 #[command(args_conflicts_with_subcommands = true)]
 pub struct Args {
     #[command(subcommand)]
-    what: Option<What>,
+    command: Option<ScaleCommand>,
     #[command(flatten)]
-    single: Single,
+    single: SingleArgs,
 }
 
 #[derive(clap::Subcommand)]
-enum What {
+enum ScaleCommand {
     /// Some sizes of each axis, one at a time, and nodes with restarts together; lines through them
     Sweep {
         #[command(flatten)]
-        common: Common,
+        common: CommonArgs,
         /// A folder for plots
         #[arg(long, value_name = "DIR")]
         plots: Option<PathBuf>,
@@ -73,7 +77,7 @@
 }
 
 #[derive(clap::Args)]
-struct Common {
+struct CommonArgs {
     /// For all draws
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -84,27 +88,29 @@
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
     /// Seconds after which the run ends with what it has, 600 at most
-    #[arg(long, default_value_t = RUN_MOST.as_secs_f64())]
+    #[arg(long, default_value_t = MAX_RUN_DURATION.as_secs_f64())]
     deadline: f64,
 }
 
-impl Common {
+impl CommonArgs {
     fn deadline(&self) -> Deadline {
-        Deadline::within(seconds(self.deadline))
+        Deadline::after(duration(self.deadline))
     }
 
-    fn window(&self) -> f64 {
-        seconds(self.seconds).as_secs_f64().clamp(0.5, 60.0)
+    fn window_seconds(&self) -> f64 {
+        duration(self.seconds)
+            .as_secs_f64()
+            .clamp(*WINDOW_SECONDS.start(), *WINDOW_SECONDS.end())
     }
 }
 
-/// So many seconds; none for what is no time.
-fn seconds(of: f64) -> Duration {
-    Duration::try_from_secs_f64(of).unwrap_or_default()
+/// A duration of so many seconds; zero if that is not a valid one.
+fn duration(seconds: f64) -> Duration {
+    Duration::try_from_secs_f64(seconds).unwrap_or_default()
 }
 
 #[derive(clap::Args)]
-struct Single {
+struct SingleArgs {
     /// Hollow nodes
     #[arg(long, default_value_t = 300)]
     nodes: usize,
@@ -136,10 +142,10 @@
     #[arg(long)]
     smoke: bool,
     #[command(flatten)]
-    common: Common,
+    common: CommonArgs,
 }
 
-impl Single {
+impl SingleArgs {
     fn size(&self) -> Size {
         Size {
             nodes: self.nodes,
@@ -153,96 +159,85 @@
     }
 }
 
-/// Does what the command line says; whether all that was checked holds.
+/// Runs the command; whether all checks passed.
 ///
 /// # Errors
-/// If it can't be done on this machine.
+/// If it can't be run on this machine.
 pub async fn run(program: &Program, args: &Args) -> Result<bool> {
-    match &args.what {
-        None if args.single.smoke => run_smoke(&args.single.common),
-        None => run_single(program, &args.single).await,
-        Some(What::Sweep { common, plots }) => run_sweep(common, plots.as_deref()).await,
-        Some(What::Lines { file }) => {
-            lines::add_to(file)?;
-            Ok(true)
-        }
-        Some(What::Computation { computation, file }) => {
-            println!(
-                "{}",
-                serde_json::to_string(&computation::of_file(*computation, file)?)?
-            );
-            Ok(true)
+    match &args.command {
+        None if args.single.smoke => return run_smoke(&args.single.common),
+        None => run_single(program, &args.single).await?,
+        Some(ScaleCommand::Sweep { common, plots }) => run_sweep(common, plots.as_deref()).await?,
+        Some(ScaleCommand::Lines { file }) => lines::add_to_file(file)?,
+        Some(ScaleCommand::Computation { computation, file }) => {
+            let cost = computation::run_on_file(*computation, file)?;
+            println!("{}", serde_json::to_string(&cost)?);
         }
-        Some(What::ComputationInput {
+        Some(ScaleCommand::ComputationInput {
             computation,
             size,
             file,
         }) => {
             let size: Size = serde_json::from_str(size)?;
             std::fs::write(file, computation::input(*computation, &size))?;
-            Ok(true)
         }
-        Some(What::Fleet {
+        Some(ScaleCommand::Fleet {
             plan,
             json,
             deadline,
         }) => {
             let plan: fleet::Plan = serde_json::from_str(plan)?;
-            let record = fleet::play(&plan, Deadline::within(seconds(*deadline))).await?;
+            let record = fleet::run(&plan, Deadline::after(duration(*deadline))).await?;
             std::fs::write(json, record.to_json()?)?;
-            Ok(true)
         }
     }
+    Ok(true)
 }
 
-fn run_smoke(common: &Common) -> Result<bool> {
+/// Whether there is no violation.
+fn run_smoke(common: &CommonArgs) -> Result<bool> {
     let smoke = smoke::run(common.seed)?;
     smoke.record.write(common.json.as_deref())?;
-    smoke
-        .broken
-        .iter()
-        .for_each(|broken| eprintln!("broken: {broken}"));
-    println!(
-        "{}",
-        if smoke.broken.is_empty() {
-            "smoke: pass"
-        } else {
-            "smoke: fail"
-        }
-    );
-    Ok(smoke.broken.is_empty())
+    for violation in &smoke.violations {
+        eprintln!("broken: {violation}");
+    }
+    let has_passed = smoke.violations.is_empty();
+    println!("smoke: {}", if has_passed { "pass" } else { "fail" });
+    Ok(has_passed)
 }
 
-async fn run_single(program: &Program, args: &Single) -> Result<bool> {
+async fn run_single(program: &Program, args: &SingleArgs) -> Result<()> {
+    let threads = args
+        .threads
+        .map_or_else(single::default_threads, |threads| {
+            threads.clamp(1, machine::cores())
+        });
     let plan = single::Plan {
-        program: program.clone(),
-        rig: std::env::current_exe()?,
+        node_program: program.clone(),
+        own_program: std::env::current_exe()?,
         size: args.size(),
-        real: args.real,
-        threads: args.threads.map_or_else(single::threads, |threads| {
-            threads.clamp(1, machine::cores())
-        }),
-        seconds: args.common.window(),
+        real_nodes: args.real,
+        threads,
+        window_seconds: args.common.window_seconds(),
         seed: args.common.seed,
         deadline: args.common.deadline(),
     };
     let record = single::run(&plan).await?;
-    record.write(args.common.json.as_deref())?;
-    Ok(true)
+    record.write(args.common.json.as_deref())
 }
 
-async fn run_sweep(common: &Common, plots: Option<&std::path::Path>) -> Result<bool> {
+async fn run_sweep(common: &CommonArgs, plots: Option<&Path>) -> Result<()> {
     let plan = sweep::Plan {
-        rig: std::env::current_exe()?,
-        seconds: common.window(),
+        own_program: std::env::current_exe()?,
+        window_seconds: common.window_seconds(),
         seed: common.seed,
         deadline: common.deadline(),
     };
     let record = sweep::run(&plan).await?;
     record.write(common.json.as_deref())?;
     if let Some(folder) = plots {
-        plot::all(&record.report.slopes, folder)?;
+        plot::write_plots(&record.report.slopes, folder)?;
         println!("plots: {}", folder.display());
     }
-    Ok(true)
+    Ok(())
 }
--- a/crates/capacity/src/scale/computation.rs
+++ b/crates/capacity/src/scale/computation.rs
@@ -1,30 +1,34 @@
-//! What single computations of a node cost: reading a settings file, and taking a list of servers into the decision
-//! module.
-//!
-//! Each is done in a process of its own that reads its input from a file which another process has written. The most
-//! memory of that process is then of the computation, and nothing that an earlier one or the generator left in the
-//! allocator.
+//! Single computations of a node: reading a settings file, and applying a list of servers to the decision module.
+//! [`computation_process`](super::computation_process) runs each in a process of its own.
 
+use super::error::ScaleError;
 use super::machine;
-use super::report::{PerNode, Run, Size, Source};
+use super::report::Size;
 use super::settings::settings_file;
 use reelfall_balancer::interface::{Action, Endpoint, Event, ServerState, UpdateKind};
 use reelfall_balancer::settings::{ListedEndpoint, NameRegistry};
 use reelfall_balancer::Balancer;
-use reelfall_testbed::node::Folder;
 use reelfall_testbed::Result;
 use serde::{Deserialize, Serialize};
-use std::ffi::OsStr;
+use std::ops::Range;
 use std::path::Path;
 use std::time::Duration;
-use tokio::process::Command;
 
-/// How often a computation is repeated, each time in a new process; the median counts.
-pub const REPEATS: usize = 3;
-/// Time that all repeats of one computation may take.
-pub const MEASURED_MOST: Duration = Duration::from_secs(60);
 /// Changes of one server over which the cost of one is averaged.
-const CHANGES: usize = 200;
+const CHANGE_COUNT: usize = 200;
+/// Interval between two updates of a list, in seconds.
+const UPDATE_INTERVAL: f64 = 0.01;
+/// Faults of a settings file that an error quotes.
+const QUOTED_FAULTS: usize = 3;
+/// The lowest port of a listed server.
+const FIRST_PORT: usize = 1024;
+/// Ports of listed servers.
+const PORTS: usize = 60_000;
+/// Zones of listed servers.
+const ZONES: usize = 3;
+/// The settings of the decision module.
+const MODULE_SETTINGS: &str =
+    r#"{"categories":[{"name":"a","promise":0.2,"deadline":2.0,"effect":"idempotent"}]}"#;
 
 /// A computation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, clap::ValueEnum)]
@@ -32,9 +36,9 @@
 pub enum Computation {
     /// Reading and checking a settings file.
     Settings,
-    /// Reading a whole list of servers into the decision module.
+    /// Applying a snapshot of a list of servers to the decision module.
     ServerList,
-    /// Reading a change of one server of it.
+    /// Applying an update of one server of it.
     ServerChange,
 }
 
@@ -49,152 +53,160 @@
     }
 }
 
-/// What one computation took.
+/// The cost of one computation.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Cost {
     /// Processor time, in seconds.
     pub cpu: f64,
-    /// Most memory that the process has held, in bytes.
-    pub peak: f64,
+    /// Most memory that the process has used, in bytes.
+    #[serde(rename = "peak")]
+    pub peak_memory: f64,
     /// Bytes that were read.
     pub bytes: usize,
 }
 
-/// What a computation reads: a settings file, or a list of servers with its changes on further lines.
+/// The input of a computation: a settings file, or a list of servers with its updates on further lines.
 pub fn input(computation: Computation, size: &Size) -> String {
     let servers = size.servers;
-    let list = || list_text(servers, 0..servers, 0);
-    let change = |n: usize| {
-        let server = n % servers.max(1);
-        list_text(servers, server..server + 1, n as u64 + 1)
+    let snapshot = || list_text(servers, 0..servers, 0);
+    let update = |number: usize| {
+        let server = number % servers.max(1);
+        list_text(servers, server..server + 1, number as u64 + 1)
     };
     match computation {
         Computation::Settings => settings_file(size),
-        Computation::ServerList => list(),
+        Computation::ServerList => snapshot(),
         Computation::ServerChange => {
-            let lines: Vec<String> = std::iter::once(list())
-                .chain((0..CHANGES).map(change))
+            let lines: Vec<String> = std::iter::once(snapshot())
+                .chain((0..CHANGE_COUNT).map(update))
                 .collect();
             lines.join("\n")
         }
     }
 }
 
-/// Does a computation once, in this process.
+/// Runs a computation once, in this process.
 ///
 /// # Errors
-/// If what is to be read is refused.
-pub fn once(computation: Computation, size: &Size) -> Result<Cost> {
-    of_text(computation, input(computation, size))
+/// If the input is rejected.
+pub fn run_once(computation: Computation, size: &Size) -> Result<Cost> {
+    run_on_text(computation, input(computation, size))
 }
 
-/// Does a computation once, in this process, on an input that was written to a file.
+/// Runs a computation once, in this process, on an input in a file.
 ///
 /// # Errors
-/// If there is no such file, or what is to be read is refused.
-pub fn of_file(computation: Computation, file: &Path) -> Result<Cost> {
-    of_text(computation, std::fs::read_to_string(file)?)
+/// If there is no such file, or the input is rejected.
+pub fn run_on_file(computation: Computation, file: &Path) -> Result<Cost> {
+    run_on_text(computation, std::fs::read_to_string(file)?)
 }
 
-fn of_text(computation: Computation, text: String) -> Result<Cost> {
+fn run_on_text(computation: Computation, text: String) -> Result<Cost> {
     match computation {
         Computation::Settings => read_settings(text),
-        Computation::ServerList => server_list(&text),
-        Computation::ServerChange => server_changes(&text),
+        Computation::ServerList => apply_snapshot(&text),
+        Computation::ServerChange => apply_updates(&text),
     }
 }
 
 /// Reads and checks a settings file.
 ///
 /// # Errors
-/// If there is none or it is refused.
+/// If it is empty or rejected.
 pub fn read_settings(text: impl Into<String>) -> Result<Cost> {
     let text = text.into();
     if text.is_empty() {
-        return Err("there is no generator of settings files of this size".into());
+        return Err(ScaleError::NoSettings.into());
     }
-    let (bytes, begun) = (text.len(), machine::thread_cpu()?);
-    let model =
-        reelfall_config::reader::toml("scale.toml", &text).map_err(|faults| refused(&faults))?;
+    let bytes = text.len();
+    let started = machine::thread_cpu_time()?;
+    let model = reelfall_config::reader::toml("scale.toml", &text).map_err(settings_rejected)?;
     // As the program does: a check takes memory of its own.
     drop(text);
-    let plan = reelfall_config::check(model).map_err(|faults| refused(&faults))?;
-    let cpu = machine::thread_cpu()?.saturating_sub(begun);
-    let cost = cost(cpu, bytes);
+    let plan = reelfall_config::check(model).map_err(settings_rejected)?;
+    let cost = cost_since(started, bytes);
+    // Only now, so that its memory counts.
     drop(plan);
     cost
 }
 
-/// The first mistakes of a settings file, and how many there are.
-fn refused(faults: &reelfall_config::Faults) -> String {
-    let first: Vec<String> = faults.0.iter().take(3).map(ToString::to_string).collect();
-    format!(
-        "the settings file is refused, {} mistakes: {}",
-        faults.0.len(),
-        first.join("; ")
-    )
+fn settings_rejected(faults: reelfall_config::Faults) -> ScaleError {
+    let first: Vec<String> = faults
+        .0
+        .iter()
+        .take(QUOTED_FAULTS)
+        .map(ToString::to_string)
+        .collect();
+    ScaleError::SettingsRejected {
+        count: faults.0.len(),
+        first: first.join("; "),
+    }
+}
+
+fn cost_since(started: Duration, bytes: usize) -> Result<Cost> {
+    cost(machine::thread_cpu_time()?.saturating_sub(started), bytes)
 }
 
 fn cost(cpu: Duration, bytes: usize) -> Result<Cost> {
     Ok(Cost {
         cpu: cpu.as_secs_f64(),
-        peak: machine::peak()? as f64,
+        peak_memory: machine::peak_memory()? as f64,
         bytes,
     })
 }
 
-/// Takes a whole list of servers into the decision module.
-fn server_list(text: &str) -> Result<Cost> {
-    let mut module = Module::new()?;
-    let begun = machine::thread_cpu()?;
-    module.take_in(text, UpdateKind::Snapshot)?;
-    cost(machine::thread_cpu()?.saturating_sub(begun), text.len())
+/// Applies a snapshot to the decision module.
+fn apply_snapshot(text: &str) -> Result<Cost> {
+    let mut module = DecisionModule::new()?;
+    let started = machine::thread_cpu_time()?;
+    module.apply(text, UpdateKind::Snapshot)?;
+    cost_since(started, text.len())
 }
 
-/// Takes a whole list of servers into the decision module and then some changes of it: the cost of one change.
-fn server_changes(text: &str) -> Result<Cost> {
+/// Applies a snapshot to the decision module, then updates: the cost of one update.
+fn apply_updates(text: &str) -> Result<Cost> {
     let mut lines = text.lines();
-    let mut module = Module::new()?;
-    module.take_in(lines.next().ok_or("no list")?, UpdateKind::Snapshot)?;
-    let changes: Vec<&str> = lines.collect();
-    let begun = machine::thread_cpu()?;
-    for change in &changes {
-        module.take_in(change, UpdateKind::Delta)?;
+    let mut module = DecisionModule::new()?;
+    let snapshot = lines.next().ok_or(ScaleError::NoList)?;
+    module.apply(snapshot, UpdateKind::Snapshot)?;
+    let updates: Vec<&str> = lines.collect();
+    let started = machine::thread_cpu_time()?;
+    for update in &updates {
+        module.apply(update, UpdateKind::Delta)?;
     }
-    let count = u32::try_from(changes.len()).unwrap_or(u32::MAX).max(1);
-    let cpu = machine::thread_cpu()?.saturating_sub(begun) / count;
-    cost(cpu, changes.first().map_or(0, |change| change.len()))
+    let count = u32::try_from(updates.len()).unwrap_or(u32::MAX).max(1);
+    let cpu = machine::thread_cpu_time()?.saturating_sub(started) / count;
+    cost(cpu, updates.first().map_or(0, |update| update.len()))
 }
 
-/// A list as list services write it.
-fn list_text(listed: usize, servers: std::ops::Range<usize>, since_ms: u64) -> String {
-    let line = |n: usize| {
+/// A snapshot or an update, in the format of discovery services.
+fn list_text(listed: usize, servers: Range<usize>, started: u64) -> String {
+    let endpoint = |server: usize| {
         serde_json::json!({
-            "name": super::lists::server_name(n), "address": format!("127.0.0.1:{}", 1024 + n % 60_000),
-            "zone": format!("zone-{}", n % 3), "type": "k", "group": 1, "status": "active", "weight": 1.0,
-            "since_ms": since_ms * 1000,
+            "name": super::discovery_stub::server_name(server),
+            "address": format!("127.0.0.1:{}", FIRST_PORT + server % PORTS),
+            "zone": format!("zone-{}", server % ZONES), "type": "k", "group": 1, "status": "active", "weight": 1.0,
+            "since_ms": started * 1000,
         })
     };
-    let whole = servers.len() == listed;
-    let lines: Vec<_> = servers.map(line).collect();
-    serde_json::json!({ "index": 1, "snapshot": whole, "endpoints": lines }).to_string()
+    let is_snapshot = servers.len() == listed;
+    let endpoints: Vec<_> = servers.map(endpoint).collect();
+    serde_json::json!({ "index": 1, "snapshot": is_snapshot, "endpoints": endpoints }).to_string()
 }
 
 /// A decision module with the names of its servers.
-struct Module {
+struct DecisionModule {
     balancer: Balancer,
     names: NameRegistry,
     actions: Vec<Action>,
     now: f64,
 }
 
-impl Module {
-    fn new() -> Result<Module> {
-        let json =
-            r#"{"categories":[{"name":"a","promise":0.2,"deadline":2.0,"effect":"idempotent"}]}"#;
-        let (settings, names, _) = reelfall_balancer::settings::read(json)?;
+impl DecisionModule {
+    fn new() -> Result<DecisionModule> {
+        let (settings, names, _) = reelfall_balancer::settings::read(MODULE_SETTINGS)?;
         let balancer = Balancer::new(settings, 1, 0.0)?;
-        Ok(Module {
+        Ok(DecisionModule {
             balancer,
             names,
             actions: Vec::new(),
@@ -202,140 +214,35 @@
         })
     }
 
-    fn take_in(&mut self, text: &str, list: UpdateKind) -> Result<()> {
-        let read: serde_json::Value = serde_json::from_str(text)?;
-        let lines = read
+    fn apply(&mut self, text: &str, kind: UpdateKind) -> Result<()> {
+        let list: serde_json::Value = serde_json::from_str(text)?;
+        let lines = list
             .get("endpoints")
             .and_then(|lines| lines.as_array())
-            .ok_or("no endpoints")?;
-        let entries: Vec<Endpoint> = lines.iter().filter_map(|line| self.entry(line)).collect();
-        self.now += 0.01;
-        self.balancer.handle(
-            self.now,
-            Event::EndpointUpdate {
-                kind: list,
-                endpoints: entries,
-            },
-            &mut self.actions,
-        );
+            .ok_or(ScaleError::NoEndpoints)?;
+        let endpoints: Vec<Endpoint> = lines
+            .iter()
+            .filter_map(|line| self.endpoint(line))
+            .collect();
+        self.now += UPDATE_INTERVAL;
+        let event = Event::EndpointUpdate { kind, endpoints };
+        self.balancer.handle(self.now, event, &mut self.actions);
         self.actions.clear();
         Ok(())
     }
 
-    fn entry(&mut self, line: &serde_json::Value) -> Option<Endpoint> {
+    fn endpoint(&mut self, line: &serde_json::Value) -> Option<Endpoint> {
         let text = |name: &str| line.get(name).and_then(|value| value.as_str());
+        let number = |name: &str| line.get(name).and_then(|value| value.as_f64());
         let listed = ListedEndpoint {
             name: text("name")?,
             zone: text("zone"),
             machine_type: text("type"),
             cell: 1,
             state: ServerState::Up,
-            weight: line.get("weight").and_then(|weight| weight.as_f64()),
-            started_at: line
-                .get("since_ms")
-                .and_then(|ms| ms.as_f64())
-                .map(|ms| ms / 1e3),
+            weight: number("weight"),
+            started_at: number("since_ms").map(|ms| ms / 1e3),
         };
         Some(self.names.endpoint(&listed))
     }
 }
-
-/// Does a computation in processes of its own, of the rig's program, and takes the medians.
-///
-/// # Errors
-/// If the program can't be started, the computation refuses what it is to read, or it takes too long.
-pub async fn measured(
-    program: &Path,
-    computation: Computation,
-    size: &Size,
-    most: Duration,
-) -> Result<Run> {
-    let folder = Folder::new()?;
-    let file = folder.path().join("input");
-    let mut costs = Vec::with_capacity(REPEATS);
-    let all = async {
-        write_input(program, computation, size, &file).await?;
-        for _ in 0..REPEATS {
-            costs.push(in_process(program, computation, &file).await?);
-        }
-        Result::Ok(())
-    };
-    let most = most.min(MEASURED_MOST);
-    tokio::time::timeout(most, all)
-        .await
-        .map_err(|_| format!("not done in {most:?}"))??;
-    let median = |of: fn(&Cost) -> f64| {
-        let mut all: Vec<f64> = costs.iter().map(of).collect();
-        all.sort_by(f64::total_cmp);
-        all[all.len() / 2]
-    };
-    let memory = match computation {
-        Computation::Settings | Computation::ServerList => Some(median(|c| c.peak)),
-        // The most was held by the whole list before the changes.
-        Computation::ServerChange => None,
-    };
-    let per_node = PerNode {
-        cpu: median(|c| c.cpu),
-        memory,
-        ..PerNode::default()
-    };
-    Ok(Run {
-        name: computation.name().to_owned(),
-        source: Source::Computation,
-        size: *size,
-        // Its processor time is for one computation: as if one were done in each second.
-        seconds: 1.0,
-        per_node,
-        in_force: None,
-        requests: None,
-        read_bytes: costs.first().map(|cost| cost.bytes as u64),
-        played: None,
-    })
-}
-
-/// Writes what a computation reads, by a process of the rig's program.
-async fn write_input(
-    program: &Path,
-    computation: Computation,
-    size: &Size,
-    file: &Path,
-) -> Result<()> {
-    let size = serde_json::to_string(size)?;
-    output(
-        program,
-        "computation-input",
-        computation,
-        ["--size".as_ref(), size.as_ref()],
-        file,
-    )
-    .await?;
-    Ok(())
-}
-
-async fn in_process(program: &Path, computation: Computation, file: &Path) -> Result<Cost> {
-    let printed = output(program, "computation", computation, [], file).await?;
-    Ok(serde_json::from_slice(&printed)?)
-}
-
-/// What a subcommand of the rig's program prints.
-async fn output<const N: usize>(
-    program: &Path,
-    subcommand: &str,
-    computation: Computation,
-    more: [&OsStr; N],
-    file: &Path,
-) -> Result<Vec<u8>> {
-    let mut command = Command::new(program);
-    command
-        .args(["scale", subcommand, computation.name(), "--file"])
-        .arg(file)
-        .args(more);
-    let output = command.kill_on_drop(true).output().await?;
-    if !output.status.success() {
-        return Err(String::from_utf8_lossy(&output.stderr)
-            .trim()
-            .to_owned()
-            .into());
-    }
-    Ok(output.stdout)
-}
--- a/crates/capacity/src/scale/drive.rs
+++ b/crates/capacity/src/scale/drive.rs
@@ -1,10 +1,13 @@
-//! One thread of hollow nodes: a task for each node, on sockets, as the node's program drives its own.
+//! One thread of simulated nodes: a task for each node, with its socket and its lists. [`network`](super::network)
+//! starts the threads.
 
-use super::counters::Meter;
-use super::hollow::{Hollow, DATAGRAM_MOST};
-use super::lists::{Line, Read};
+use super::counters::PeakMeter;
+use super::datagram::MAX_DATAGRAM_LEN;
+use super::discovery_stub::{ListMessage, ParsedList};
+use super::fleet_state::{FleetState, NodeSlot, NodeState};
 use super::machine;
-use super::shared::{Doing, Place, Shared};
+use super::simulated_node::SimulatedNode;
+use std::io::ErrorKind;
 use std::net::UdpSocket;
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, PoisonError};
@@ -12,294 +15,329 @@
 use tokio::sync::broadcast::error::{RecvError, TryRecvError};
 use tokio::sync::broadcast::Receiver;
 
-/// Datagrams that one node takes in before others of its thread have their turn.
-const AT_ONCE: usize = 64;
-/// How often a node that does not run looks whether it shall.
-const REST: Duration = Duration::from_millis(25);
-/// How often a thread tells its processor time.
-const TELL_CPU: Duration = Duration::from_millis(50);
-/// A node is not woken sooner than this, in seconds, unless something comes.
-const LEAST_REST: f64 = 0.001;
-/// What the names of servers that are sent out by hand begin with; the microsecond of the ban follows.
-const BANNED: &str = "change-";
+/// Datagrams that one node receives before the others of its thread run.
+const RECEIVE_BATCH: usize = 64;
+/// Interval at which a frozen or stopped node checks its state.
+const STATE_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Interval at which a thread publishes its processor time.
+const CPU_REPORT_INTERVAL: Duration = Duration::from_millis(50);
+/// Shortest wait of a node for its own deadline, in seconds.
+const MIN_WAIT: f64 = 0.001;
+/// Prefix of the names of banned servers; the microsecond of the ban follows.
+const BAN_PREFIX: &str = "change-";
+/// Microseconds of a second.
+const MICROSECONDS: f64 = 1e6;
+/// Position of the node's index in its seed.
+const INDEX_SHIFT: u32 = 20;
+/// Position of the number of its processes in its seed.
+const PROCESS_SHIFT: u32 = 52;
 
-/// How long ago the bans were made that have these servers' names, in seconds; of those that are not older than a window.
-pub fn ages(servers: &[String], window_us: u64, now: f64) -> impl Iterator<Item = f64> + '_ {
-    let made = |server: &String| {
+/// The ages in seconds of the bans with these servers' names, of those that are not older than the window.
+pub fn ban_ages(
+    servers: &[String],
+    window_started_us: u64,
+    now: f64,
+) -> impl Iterator<Item = f64> + '_ {
+    let banned_us = |server: &String| {
         server
-            .strip_prefix(BANNED)
+            .strip_prefix(BAN_PREFIX)
             .and_then(|us| us.parse::<u64>().ok())
     };
-    let new = servers
+    servers
         .iter()
-        .filter_map(made)
-        .filter(move |us| *us >= window_us);
-    new.map(move |us| now - us as f64 / 1e6)
+        .filter_map(banned_us)
+        .filter(move |us| *us >= window_started_us)
+        .map(move |us| now - us as f64 / MICROSECONDS)
 }
 
-/// Runs some nodes until the run ends.
-pub fn thread(shared: Arc<Shared>, thread: usize, nodes: Vec<(usize, UdpSocket)>) {
+/// A node whose socket is open.
+pub struct OpenNode {
+    /// Its index.
+    pub index: usize,
+    /// Its socket, which does not block.
+    pub socket: UdpSocket,
+}
+
+/// Runs some nodes until the fleet stops.
+pub fn run_thread(state: Arc<FleetState>, thread: usize, nodes: Vec<OpenNode>) {
     let Ok(runtime) = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
     else {
         return;
     };
-    let local = tokio::task::LocalSet::new();
-    for (n, socket) in nodes {
-        let shared = shared.clone();
-        local.spawn_local(async move {
+    let tasks = tokio::task::LocalSet::new();
+    for OpenNode { index, socket } in nodes {
+        let state = state.clone();
+        tasks.spawn_local(async move {
             if let Ok(socket) = tokio::net::UdpSocket::from_std(socket) {
-                Driver::new(shared, thread, n, socket).run().await;
+                Driver::new(state, thread, index, socket).run().await;
             }
         });
     }
-    let telling = shared.clone();
-    runtime.block_on(local.run_until(async move {
-        while !telling.stop.load(Ordering::Relaxed) {
-            if let Ok(cpu) = machine::thread_cpu() {
-                let cpu = u64::try_from(cpu.as_micros()).unwrap_or(u64::MAX);
-                telling.cpu[thread].store(cpu, Ordering::Relaxed);
-            }
-            tokio::time::sleep(TELL_CPU).await;
+    runtime.block_on(tasks.run_until(report_cpu(state, thread)));
+}
+
+/// Publishes the thread's processor time until the fleet stops.
+async fn report_cpu(state: Arc<FleetState>, thread: usize) {
+    while !state.is_stopping.load(Ordering::Relaxed) {
+        if let Ok(cpu) = machine::thread_cpu_time() {
+            let cpu_us = u64::try_from(cpu.as_micros()).unwrap_or(u64::MAX);
+            state.cpu_us[thread].store(cpu_us, Ordering::Relaxed);
         }
-    }));
+        tokio::time::sleep(CPU_REPORT_INTERVAL).await;
+    }
 }
 
 /// One node with its socket and its lists.
 struct Driver {
-    shared: Arc<Shared>,
+    state: Arc<FleetState>,
     thread: usize,
-    n: usize,
+    index: usize,
     socket: tokio::net::UdpSocket,
-    lines: Receiver<Line>,
-    meter: Meter,
-    /// Processes that this place has had.
-    lives: u64,
-    /// Since when each server of the lists is there, by its number.
-    since: Vec<u64>,
+    list_updates: Receiver<ListMessage>,
+    peak_meter: PeakMeter,
+    /// Processes of this node so far.
+    processes: u64,
+    /// When each listed server last started, in milliseconds, by its number.
+    server_starts: Vec<u64>,
 }
 
 impl Driver {
-    fn new(shared: Arc<Shared>, thread: usize, n: usize, socket: tokio::net::UdpSocket) -> Driver {
-        let lines = shared.lists.follow();
+    fn new(
+        state: Arc<FleetState>,
+        thread: usize,
+        index: usize,
+        socket: tokio::net::UdpSocket,
+    ) -> Driver {
+        let list_updates = state.discovery.subscribe();
         Driver {
-            shared,
+            state,
             thread,
-            n,
+            index,
             socket,
-            lines,
-            meter: Meter::default(),
-            lives: 0,
-            since: Vec::new(),
+            list_updates,
+            peak_meter: PeakMeter::default(),
+            processes: 0,
+            server_starts: Vec::new(),
         }
     }
 
     async fn run(mut self) {
-        let mut hollow: Option<Hollow> = None;
-        while !self.shared.stop.load(Ordering::Relaxed) {
-            match self.place().doing() {
-                Doing::Runs => {}
-                Doing::Frozen => {
-                    tokio::time::sleep(REST).await;
+        let mut process: Option<SimulatedNode> = None;
+        while !self.state.is_stopping.load(Ordering::Relaxed) {
+            match self.slot().state() {
+                NodeState::Running => {}
+                NodeState::Frozen => {
+                    tokio::time::sleep(STATE_POLL_INTERVAL).await;
                     continue;
                 }
-                Doing::Gone => {
-                    hollow = None;
-                    self.ignore();
-                    tokio::time::sleep(REST).await;
+                NodeState::Stopped => {
+                    process = None;
+                    self.discard_input();
+                    tokio::time::sleep(STATE_POLL_INTERVAL).await;
                     continue;
                 }
             }
-            if hollow.is_none() {
-                hollow = self.begin();
+            if process.is_none() {
+                process = self.start_process();
             }
-            let Some(node) = hollow.as_mut() else { return };
-            if self.turn(node) {
+            let Some(node) = process.as_mut() else { return };
+            let has_more_input = self.step(node);
+            if has_more_input {
                 tokio::task::yield_now().await;
                 continue;
             }
-            self.rest(node).await;
+            self.wait(node).await;
         }
     }
 
-    fn place(&self) -> &Place {
-        &self.shared.places[self.n]
+    fn slot(&self) -> &NodeSlot {
+        &self.state.nodes[self.index]
     }
 
-    /// A process begins: it has an empty head and reads all lists.
-    fn begin(&mut self) -> Option<Hollow> {
-        self.lives += 1;
-        let seed = self.shared.seed ^ (self.n as u64) << 20 ^ self.lives << 52;
-        let mut node = Hollow::new(&self.shared.setup(self.n), seed, self.shared.now()).ok()?;
-        self.since.clear();
-        self.read_all(&mut node);
-        self.lines = self.lines.resubscribe();
+    /// Starts a process: it has no state and reads snapshots of all lists.
+    fn start_process(&mut self) -> Option<SimulatedNode> {
+        self.processes += 1;
+        let seed =
+            self.state.seed ^ (self.index as u64) << INDEX_SHIFT ^ self.processes << PROCESS_SHIFT;
+        let config = self.state.node_config(self.index);
+        let mut node = SimulatedNode::new(&config, seed, self.state.now()).ok()?;
+        self.server_starts.clear();
+        self.read_snapshots(&mut node);
+        self.list_updates = self.list_updates.resubscribe();
         Some(node)
     }
 
-    /// Does what is due; whether there may be more to take in at once.
-    fn turn(&mut self, node: &mut Hollow) -> bool {
-        for seconds in self.place().take_bans() {
-            let (now, server) = (
-                self.shared.now(),
-                format!("{BANNED}{}", self.shared.now_us()),
-            );
+    /// Does what is due; whether there may be more datagrams to receive at once.
+    fn step(&mut self, node: &mut SimulatedNode) -> bool {
+        self.carry_out_bans(node);
+        let has_more_input = self.receive_datagrams(node);
+        self.receive_list_updates(node);
+        let failing = self.state.discovery.failing_servers();
+        let now = self.state.now();
+        let banned = node.tick(now, self.server_starts.len(), &failing);
+        self.record_bans(&banned);
+        self.send_datagrams(node);
+        let members = &self.slot().counters.members;
+        members.store(node.member_count(), Ordering::Relaxed);
+        has_more_input
+    }
+
+    fn carry_out_bans(&self, node: &mut SimulatedNode) {
+        for seconds in self.slot().take_bans() {
+            let now = self.state.now();
+            let server = format!("{BAN_PREFIX}{}", self.state.now_us());
             node.ban(now, &server, seconds);
         }
-        let more = self.take_in(node);
-        self.take_lines(node);
-        let failing = self.shared.lists.failing();
-        let now = self.shared.now();
-        let out = node.turn(now, self.since.len(), &failing);
-        self.in_force(&out);
-        self.flush(node);
-        self.place()
-            .counters
-            .members
-            .store(node.members(), Ordering::Relaxed);
-        more
     }
 
-    fn take_in(&mut self, node: &mut Hollow) -> bool {
-        let mut buffer = [0; DATAGRAM_MOST + 1];
-        for _ in 0..AT_ONCE {
+    /// Receives a batch of datagrams; whether there may be more.
+    fn receive_datagrams(&mut self, node: &mut SimulatedNode) -> bool {
+        let mut buffer = [0; MAX_DATAGRAM_LEN + 1];
+        for _ in 0..RECEIVE_BATCH {
             match self.socket.try_recv_from(&mut buffer) {
                 Ok((length, from)) => {
-                    let shared = &self.shared;
-                    let place = &shared.places[self.n];
-                    if !shared.passes(place.zone, from) {
+                    let state = &self.state;
+                    let slot = &state.nodes[self.index];
+                    if !state.is_reachable(slot.zone, from) {
                         continue;
                     }
-                    let (now, counters) = (shared.now(), &place.counters);
+                    let (now, counters) = (state.now(), &slot.counters);
                     counters.messages_in.fetch_add(1, Ordering::Relaxed);
                     counters
                         .bytes_in
                         .fetch_add(length as u64, Ordering::Relaxed);
-                    self.meter.add(counters, &shared.window, now, length);
+                    self.peak_meter.add(counters, &state.window, now, length);
                     node.receive(now, buffer.get(..length).unwrap_or_default());
                 }
-                Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => return false,
-                // Word of a datagram that could not be delivered; the next one may be another's.
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return false,
+                // An earlier datagram was not delivered (ICMP); the next one may be from another node.
                 Err(_) => {}
             }
         }
         true
     }
 
-    fn take_lines(&mut self, node: &mut Hollow) {
+    fn receive_list_updates(&mut self, node: &mut SimulatedNode) {
         loop {
-            match self.lines.try_recv() {
-                Ok(line) => self.read(node, &line, true),
-                Err(TryRecvError::Lagged(_)) => self.read_all(node),
+            match self.list_updates.try_recv() {
+                Ok(update) => self.read_update(node, &update),
+                Err(TryRecvError::Lagged(_)) => self.read_snapshots(node),
                 Err(TryRecvError::Empty | TryRecvError::Closed) => return,
             }
         }
     }
 
-    /// Reads all lists whole.
-    fn read_all(&mut self, node: &mut Hollow) {
-        for line in self.shared.wholes().iter() {
-            self.read(node, line, false);
+    fn read_snapshots(&mut self, node: &mut SimulatedNode) {
+        for snapshot in self.state.snapshots().iter() {
+            self.read_list(node, snapshot);
         }
     }
 
-    fn read(&mut self, node: &mut Hollow, line: &Line, change: bool) {
-        let Ok(read) = serde_json::from_str::<Read>(&line.text) else {
+    /// Reads an update and records its propagation time.
+    fn read_update(&mut self, node: &mut SimulatedNode, update: &ListMessage) {
+        let Some(now) = self.read_list(node, update) else {
             return;
         };
-        for server in &read.endpoints {
-            let number = server
-                .name
-                .rsplit('-')
-                .next()
-                .and_then(|number| number.parse::<usize>().ok());
-            let Some(number) = number.filter(|n| *n < self.shared.lists.servers()) else {
-                continue;
-            };
-            if self.since.len() <= number {
-                self.since.resize(number + 1, 0);
-            }
-            self.since[number] = server.since_ms;
+        self.state.propagation[self.thread]
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .list_updates
+            .push(now - update.sent_us as f64 / MICROSECONDS);
+    }
+
+    /// Reads a snapshot or an update. Returns when it was applied; `None` if it is not valid.
+    fn read_list(&mut self, node: &mut SimulatedNode, message: &ListMessage) -> Option<f64> {
+        let parsed: ParsedList = serde_json::from_str(&message.text).ok()?;
+        for server in &parsed.endpoints {
+            self.set_server_start(&server.name, server.started_ms);
         }
-        let now = self.shared.now();
-        node.saw_list(now, &line.list, read.index);
-        let (shared, bytes) = (&self.shared, line.text.len());
-        let counters = &shared.places[self.n].counters;
-        counters.lines.fetch_add(1, Ordering::Relaxed);
+        let now = self.state.now();
+        node.publish_list_index(now, &message.list, parsed.index);
+        let bytes = message.text.len();
+        let counters = &self.state.nodes[self.index].counters;
+        counters.list_messages.fetch_add(1, Ordering::Relaxed);
         counters
-            .line_bytes
+            .list_bytes
             .fetch_add(bytes as u64, Ordering::Relaxed);
-        self.meter.add(counters, &shared.window, now, bytes);
-        if change {
-            let took = now - line.told_us as f64 / 1e6;
-            shared.forces[self.thread]
-                .lock()
-                .unwrap_or_else(PoisonError::into_inner)
-                .lines
-                .push(took);
+        self.peak_meter
+            .add(counters, &self.state.window, now, bytes);
+        Some(now)
+    }
+
+    /// Sets the start of a server, by the number at the end of its name; other names are ignored.
+    fn set_server_start(&mut self, name: &str, started_ms: u64) {
+        let number = name
+            .rsplit('-')
+            .next()
+            .and_then(|number| number.parse::<usize>().ok())
+            .filter(|number| *number < self.state.discovery.server_count());
+        let Some(number) = number else { return };
+        if self.server_starts.len() <= number {
+            self.server_starts.resize(number + 1, 0);
         }
+        self.server_starts[number] = started_ms;
     }
 
-    /// Notes how long ago the bans of this window were made that are in force here now.
-    fn in_force(&self, out: &[String]) {
-        if out.is_empty() {
+    /// Records the propagation times of bans of this window that this node has applied.
+    fn record_bans(&self, banned: &[String]) {
+        if banned.is_empty() {
             return;
         }
-        let (now, window_us) = (
-            self.shared.now(),
-            self.shared.window_us.load(Ordering::Relaxed),
-        );
-        let mut forces = self.shared.forces[self.thread]
+        let now = self.state.now();
+        let window_started_us = self.state.window_started_us.load(Ordering::Relaxed);
+        self.state.propagation[self.thread]
             .lock()
-            .unwrap_or_else(PoisonError::into_inner);
-        forces.bans.extend(ages(out, window_us, now));
+            .unwrap_or_else(PoisonError::into_inner)
+            .bans
+            .extend(ban_ages(banned, window_started_us, now));
     }
 
-    fn flush(&mut self, node: &mut Hollow) {
-        let shared = &self.shared;
-        let place = &shared.places[self.n];
-        while let Some((to, datagram)) = node.outgoing() {
-            let counters = &place.counters;
-            let count = counters.messages_out.fetch_add(1, Ordering::Relaxed);
+    fn send_datagrams(&mut self, node: &mut SimulatedNode) {
+        let state = &self.state;
+        let slot = &state.nodes[self.index];
+        let counters = &slot.counters;
+        while let Some((receiver, datagram)) = node.next_datagram() {
+            let sent_before = counters.messages_out.fetch_add(1, Ordering::Relaxed);
             counters
                 .bytes_out
                 .fetch_add(datagram.len() as u64, Ordering::Relaxed);
-            self.meter
-                .add(counters, &shared.window, shared.now(), datagram.len());
-            shared.sampler.offer(count, &datagram);
-            if shared.passes(place.zone, to) {
-                // What the system does not take is lost, as a datagram may be.
-                let _ = self.socket.try_send_to(&datagram, to);
+            self.peak_meter
+                .add(counters, &state.window, state.now(), datagram.len());
+            state.sampler.offer(sent_before, &datagram);
+            if state.is_reachable(slot.zone, receiver) {
+                // A datagram that the system rejects is lost, as any datagram may be.
+                let _ = self.socket.try_send_to(&datagram, receiver);
             }
         }
     }
 
-    /// Waits until something is due or comes.
-    async fn rest(&mut self, node: &mut Hollow) {
-        let due = self
-            .shared
-            .moment(node.deadline().max(self.shared.now() + LEAST_REST));
-        let line = tokio::select! {
+    /// Waits until something is due or arrives.
+    async fn wait(&mut self, node: &mut SimulatedNode) {
+        let deadline = self
+            .state
+            .instant(node.deadline().max(self.state.now() + MIN_WAIT));
+        let update = tokio::select! {
             _ = self.socket.readable() => return,
-            () = tokio::time::sleep_until(due.into()) => return,
-            line = self.lines.recv() => line,
+            () = tokio::time::sleep_until(deadline.into()) => return,
+            update = self.list_updates.recv() => update,
         };
-        match line {
-            Ok(line) => self.read(node, &line, true),
-            Err(RecvError::Lagged(_)) => self.read_all(node),
-            // The lists end with the run.
+        match update {
+            Ok(update) => self.read_update(node, &update),
+            Err(RecvError::Lagged(_)) => self.read_snapshots(node),
+            // The stub ends with the run.
             Err(RecvError::Closed) => {}
         }
     }
 
-    /// What comes to a place without a process is lost.
-    fn ignore(&mut self) {
-        self.place().counters.members.store(0, Ordering::Relaxed);
-        let mut buffer = [0; DATAGRAM_MOST + 1];
+    /// Discards what arrives at a node without a process.
+    fn discard_input(&mut self) {
+        self.slot().counters.members.store(0, Ordering::Relaxed);
+        let mut buffer = [0; MAX_DATAGRAM_LEN + 1];
         while self.socket.try_recv_from(&mut buffer).is_ok() {}
         while !matches!(
-            self.lines.try_recv(),
+            self.list_updates.try_recv(),
             Err(TryRecvError::Empty | TryRecvError::Closed)
         ) {}
     }
--- a/crates/capacity/src/scale/faults.rs
+++ b/crates/capacity/src/scale/faults.rs
@@ -1,210 +1,260 @@
-//! The worst moments of a fleet, over a network of hollow nodes.
+//! Fault scenarios over a network of simulated nodes, which [`single`](super::single) plays one after another.
 
+use super::fleet_state::{NodeState, ZONES, ZONES_PER_REGION};
 use super::limits::Deadline;
 use super::network::Network;
-use super::record::{Busy, Gathered, ListsInForce, Record};
+use super::record::{Gathered, Record};
 use super::report::Size;
-use super::shared::{Doing, REGION_ZONES, ZONES};
-use super::window::{measure, until_gathered, Measured, Rates};
+use super::schedule::Rates;
+use super::window::{measure, wait_until_converged, Window, WindowResult};
 use reelfall_testbed::Result;
 use std::time::Duration;
 
-/// How long each moment is looked at, in seconds.
-const MOMENT: f64 = 10.0;
-/// Within what time a fleet has to know all of its nodes again.
-pub const GATHERS_IN: Duration = Duration::from_secs(60);
-/// Threads that are busier than this, as a share, let nodes wait for one another.
-const BUSY_MOST: f64 = 0.8;
-/// How long drawn faults last.
-const FAULT_LASTS: Duration = Duration::from_secs(4);
-/// One of so many nodes is frozen, and one of so many is killed, among drawn faults.
-const ONE_OF: usize = 20;
-
-/// Adds the figures of a window to a record.
-pub fn keep(record: &mut Record, measured: Measured) {
-    let name = measured.run.name.clone();
-    if measured.missing > 0 {
-        let (missing, bans) = (measured.missing, measured.played.changes);
-        record.note(format!(
-            "{name}: of {bans} bans, {missing} have not come into force at one of the nodes"
-        ));
-    }
-    if measured.busy > BUSY_MOST {
-        let percent = measured.busy * 100.0;
-        record.note(format!(
-            "{name}: the threads that drive the nodes were {percent:.0} % busy, so that times are longer than alone"
-        ));
+/// Length of the window of each scenario, in seconds.
+const WINDOW_SECONDS: f64 = 10.0;
+/// Time in which a fleet has to converge again.
+pub const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Length of random faults.
+const FAULT_DURATION: Duration = Duration::from_secs(4);
+/// Of so many nodes, random faults freeze one and kill one.
+const NODES_PER_FAULT: usize = 20;
+
+/// A fault scenario.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Scenario {
+    /// All nodes of a zone stop at once, and start at once.
+    ZoneOutage,
+    /// All nodes of a region start at once, into a fleet that has declared them dead.
+    RegionRestart,
+    /// Random faults at once while changes arrive: frozen nodes, killed nodes, a partition of two zones, and no
+    /// discovery.
+    RandomFaults,
+    /// The two regions are partitioned, and find each other again.
+    RegionPartition,
+}
+
+impl Scenario {
+    /// All scenarios, in the order in which they are played.
+    pub const ALL: [Scenario; 4] = [
+        Scenario::ZoneOutage,
+        Scenario::RegionRestart,
+        Scenario::RandomFaults,
+        Scenario::RegionPartition,
+    ];
+
+    /// Its name in reports.
+    pub fn label(self) -> &'static str {
+        match self {
+            Scenario::ZoneOutage => "zone-gone",
+            Scenario::RegionRestart => "region-start",
+            Scenario::RandomFaults => "drawn-faults",
+            Scenario::RegionPartition => "region-cut",
+        }
     }
-    record.busy.push(Busy {
-        run: name.clone(),
-        share: measured.busy,
-    });
-    if let Some(times) = measured.lists_in_force {
-        record
-            .lists_in_force
-            .push(ListsInForce { run: name, times });
+
+    /// The random stream of its choices.
+    fn stream(self) -> u64 {
+        match self {
+            Scenario::ZoneOutage => 1,
+            Scenario::RegionRestart => 2,
+            Scenario::RandomFaults => 3,
+            Scenario::RegionPartition => 4,
+        }
     }
-    record.add(measured.run);
 }
 
-/// What the worst moments are played on.
-pub struct Moments<'a> {
-    /// The nodes.
+/// The fleet that scenarios are played on.
+pub struct FaultRun<'a> {
+    /// The simulated nodes.
     pub network: &'a Network,
     /// Nodes of the fleet outside of this process.
-    pub beside: usize,
+    pub external_nodes: usize,
     /// The run's size.
     pub size: &'a Size,
-    /// When the run has to be over.
+    /// When the run has to end.
     pub deadline: Deadline,
 }
 
-impl Moments<'_> {
-    /// A zone's nodes are gone at once, and back at once.
+/// The choices of [`Scenario::RandomFaults`].
+struct RandomFaults {
+    frozen: Vec<usize>,
+    killed: Vec<usize>,
+    zone: usize,
+    other_zone: usize,
+}
+
+impl FaultRun<'_> {
+    /// Plays a scenario and adds its figures to the record.
     ///
     /// # Errors
-    /// If the system does not tell what is used.
-    pub async fn zone_gone(&self, record: &mut Record) -> Result<()> {
-        let zone = self.network.draw(1).number() as usize % ZONES;
-        let nodes = self.network.of_zones(zone..zone + 1);
-        self.set(&nodes, Doing::Gone);
-        keep(record, self.window("zone-gone", Rates::NONE).await?);
-        self.back(record, &nodes, "zone-back").await
+    /// If the system does not report what is used.
+    pub async fn play(&self, scenario: Scenario, record: &mut Record) -> Result<()> {
+        match scenario {
+            Scenario::ZoneOutage => self.zone_outage(record).await,
+            Scenario::RegionRestart => self.region_restart(record).await,
+            Scenario::RandomFaults => self.random_faults(record).await,
+            Scenario::RegionPartition => self.region_partition(record).await,
+        }
     }
 
-    /// All nodes of a region start at once, into a fleet that has taken them for gone.
-    ///
-    /// # Errors
-    /// If the system does not tell what is used.
-    pub async fn region_start(&self, record: &mut Record) -> Result<()> {
-        let region = self.network.draw(2).number() as usize % (ZONES / REGION_ZONES);
+    async fn zone_outage(&self, record: &mut Record) -> Result<()> {
+        let zone = self.choose(Scenario::ZoneOutage, ZONES);
+        let nodes = self.network.nodes_in_zones(zone..zone + 1);
+        self.set_states(&nodes, NodeState::Stopped);
+        self.measure(Scenario::ZoneOutage.label(), Rates::NONE)
+            .await?
+            .add_to(record);
+        self.start_all(record, &nodes, "zone-back").await
+    }
+
+    async fn region_restart(&self, record: &mut Record) -> Result<()> {
+        let region = self.choose(Scenario::RegionRestart, ZONES / ZONES_PER_REGION);
+        let first_zone = region * ZONES_PER_REGION;
         let nodes = self
             .network
-            .of_zones(region * REGION_ZONES..(region + 1) * REGION_ZONES);
-        let begun = self.network.shared.now();
-        self.set(&nodes, Doing::Gone);
-        self.note_gathered(record, "region-gone", begun).await;
-        self.back(record, &nodes, "region-start").await
+            .nodes_in_zones(first_zone..first_zone + ZONES_PER_REGION);
+        let started = self.network.state.now();
+        self.set_states(&nodes, NodeState::Stopped);
+        self.await_convergence(record, "region-gone", started).await;
+        self.start_all(record, &nodes, Scenario::RegionRestart.label())
+            .await
     }
 
-    /// Faults drawn from the seed, all at once while changes arrive: some nodes stand still, some are killed, two zones
-    /// are cut apart, and the stand-in for lists is gone.
-    ///
-    /// # Errors
-    /// If the system does not tell what is used.
-    pub async fn drawn(&self, record: &mut Record) -> Result<()> {
-        let network = self.network;
-        let mut draw = network.draw(3);
-        let some = network.nodes() / ONE_OF + 1;
-        let mut pick = || {
-            (0..some)
-                .map(|_| draw.number() as usize % network.nodes())
-                .collect::<Vec<_>>()
-        };
-        let (frozen, killed) = (pick(), pick());
-        let zones = (
-            draw.number() as usize % ZONES,
-            draw.number() as usize % ZONES,
-        );
-        self.set(&frozen, Doing::Frozen);
-        self.set(&killed, Doing::Gone);
-        network.cut(zones.0, zones.1, true);
-        network.shared.lists.set_gone(true, network.shared.now_us());
+    async fn random_faults(&self, record: &mut Record) -> Result<()> {
+        let label = Scenario::RandomFaults.label();
+        let faults = self.choose_faults();
+        self.set_states(&faults.frozen, NodeState::Frozen);
+        self.set_states(&faults.killed, NodeState::Stopped);
+        self.network
+            .set_partitioned(faults.zone, faults.other_zone, true);
+        self.set_discovery_unavailable(true);
         record.note(format!(
-            "drawn-faults: {some} nodes frozen and {some} killed, zones {} and {} cut apart, no lists, for {FAULT_LASTS:?}",
-            zones.0, zones.1
+            "{label}: {} nodes frozen and {} killed, zones {} and {} cut apart, no lists, for {FAULT_DURATION:?}",
+            faults.frozen.len(),
+            faults.killed.len(),
+            faults.zone,
+            faults.other_zone
         ));
-        let heal = async {
-            tokio::time::sleep(FAULT_LASTS).await;
-            network.refresh_lists();
-            self.set(&frozen, Doing::Runs);
-            self.set(&killed, Doing::Runs);
-            network.cut(zones.0, zones.1, false);
-            network
-                .shared
-                .lists
-                .set_gone(false, network.shared.now_us());
-            network.shared.now()
+        let healing = async {
+            tokio::time::sleep(FAULT_DURATION).await;
+            self.heal(&faults);
+            self.network.state.now()
         };
-        let (measured, healed) =
-            tokio::join!(self.window("drawn-faults", Rates::of(self.size)), heal);
-        keep(record, measured?);
-        self.note_gathered(record, "drawn-faults", healed).await;
+        let (measured, healed) = tokio::join!(self.measure(label, Rates::of(self.size)), healing);
+        measured?.add_to(record);
+        self.await_convergence(record, label, healed).await;
         Ok(())
     }
 
-    /// The two regions are cut apart and find each other again.
-    ///
-    /// # Errors
-    /// If the system does not tell what is used.
-    pub async fn region_cut(&self, record: &mut Record) -> Result<()> {
-        let cut = |cut: bool| {
-            for (one, other) in
-                (0..REGION_ZONES).flat_map(|one| (REGION_ZONES..ZONES).map(move |o| (one, o)))
-            {
-                self.network.cut(one, other, cut);
-            }
-        };
-        cut(true);
-        let measured = self.window("region-cut", Rates::NONE).await;
-        cut(false);
-        let healed = self.network.shared.now();
-        keep(record, measured?);
-        self.note_gathered(record, "region-cut", healed).await;
+    async fn region_partition(&self, record: &mut Record) -> Result<()> {
+        let label = Scenario::RegionPartition.label();
+        self.set_regions_partitioned(true);
+        let measured = self.measure(label, Rates::NONE).await;
+        self.set_regions_partitioned(false);
+        let healed = self.network.state.now();
+        measured?.add_to(record);
+        self.await_convergence(record, label, healed).await;
         Ok(())
     }
 
-    async fn window(&self, name: &str, rates: Rates) -> Result<Measured> {
-        measure(
-            self.network,
+    /// A random number below a bound.
+    fn choose(&self, scenario: Scenario, bound: usize) -> usize {
+        self.network.rng(scenario.stream()).number() as usize % bound
+    }
+
+    fn choose_faults(&self) -> RandomFaults {
+        let mut rng = self.network.rng(Scenario::RandomFaults.stream());
+        let mut below = |bound: usize| rng.number() as usize % bound;
+        let nodes = self.network.node_count();
+        let faulty = nodes / NODES_PER_FAULT + 1;
+        RandomFaults {
+            frozen: (0..faulty).map(|_| below(nodes)).collect(),
+            killed: (0..faulty).map(|_| below(nodes)).collect(),
+            zone: below(ZONES),
+            other_zone: below(ZONES),
+        }
+    }
+
+    /// Ends random faults.
+    fn heal(&self, faults: &RandomFaults) {
+        self.network.refresh_snapshots();
+        self.set_states(&faults.frozen, NodeState::Running);
+        self.set_states(&faults.killed, NodeState::Running);
+        self.network
+            .set_partitioned(faults.zone, faults.other_zone, false);
+        self.set_discovery_unavailable(false);
+    }
+
+    fn set_states(&self, nodes: &[usize], state: NodeState) {
+        for node in nodes {
+            self.network.set_state(*node, state);
+        }
+    }
+
+    fn set_discovery_unavailable(&self, is_unavailable: bool) {
+        let state = &self.network.state;
+        state
+            .discovery
+            .set_unavailable(is_unavailable, state.now_us());
+    }
+
+    fn set_regions_partitioned(&self, is_partitioned: bool) {
+        for zone in 0..ZONES_PER_REGION {
+            for other_zone in ZONES_PER_REGION..ZONES {
+                self.network
+                    .set_partitioned(zone, other_zone, is_partitioned);
+            }
+        }
+    }
+
+    async fn measure(&self, name: &str, rates: Rates) -> Result<WindowResult> {
+        let window = Window {
             name,
-            self.size,
+            size: self.size,
             rates,
-            MOMENT,
-            self.network.shared.seed,
-        )
-        .await
-    }
-
-    fn set(&self, nodes: &[usize], doing: Doing) {
-        nodes.iter().for_each(|n| self.network.set(*n, doing));
-    }
-
-    /// Nodes that are gone begin at once; how long until all know all.
-    async fn back(&self, record: &mut Record, nodes: &[usize], name: &str) -> Result<()> {
-        self.network.refresh_lists();
-        let begun = self.network.shared.now();
-        self.set(nodes, Doing::Runs);
-        // What is measured is the first seconds; all may know all before they are over.
-        let (measured, gathered) =
-            tokio::join!(self.window(name, Rates::NONE), self.gathered(begun));
-        keep(record, measured?);
-        self.note(record, name, gathered);
+            seconds: WINDOW_SECONDS,
+            seed: self.network.state.seed,
+        };
+        measure(self.network, &window).await
+    }
+
+    /// Starts stopped nodes at once, and measures until they know all others.
+    async fn start_all(&self, record: &mut Record, nodes: &[usize], name: &str) -> Result<()> {
+        self.network.refresh_snapshots();
+        let started = self.network.state.now();
+        self.set_states(nodes, NodeState::Running);
+        // The window covers the first seconds; the fleet may converge before it ends.
+        let (measured, seconds) = tokio::join!(
+            self.measure(name, Rates::NONE),
+            self.convergence_time(started)
+        );
+        measured?.add_to(record);
+        record_convergence(record, name, seconds);
         Ok(())
     }
 
-    /// Waits until all know all; how long after a moment that was.
-    async fn gathered(&self, since: f64) -> Option<f64> {
-        let most = GATHERS_IN.min(self.deadline.left());
-        until_gathered(self.network, self.beside, most).await?;
-        Some(self.network.shared.now() - since)
+    async fn await_convergence(&self, record: &mut Record, name: &str, since: f64) {
+        let seconds = self.convergence_time(since).await;
+        record_convergence(record, name, seconds);
     }
 
-    async fn note_gathered(&self, record: &mut Record, name: &str, since: f64) {
-        let gathered = self.gathered(since).await;
-        self.note(record, name, gathered);
+    /// Waits until the fleet has converged. Returns the seconds since `since`, or `None` after the timeout.
+    async fn convergence_time(&self, since: f64) -> Option<f64> {
+        let timeout = CONVERGENCE_TIMEOUT.min(self.deadline.remaining());
+        wait_until_converged(self.network, self.external_nodes, timeout).await?;
+        Some(self.network.state.now() - since)
     }
+}
 
-    fn note(&self, record: &mut Record, name: &str, gathered: Option<f64>) {
-        record.gathered.push(Gathered {
-            after: name.to_owned(),
-            seconds: gathered,
-        });
-        match gathered {
-            Some(took) => record.note(format!(
-                "{name}: all that run know all of them after {took:.1} s"
-            )),
-            None => record.note(format!("{name}: not all that run know all of them in time")),
-        }
+fn record_convergence(record: &mut Record, name: &str, seconds: Option<f64>) {
+    record.gathered.push(Gathered {
+        after: name.to_owned(),
+        seconds,
+    });
+    match seconds {
+        Some(seconds) => record.note(format!(
+            "{name}: all that run know all of them after {seconds:.1} s"
+        )),
+        None => record.note(format!("{name}: not all that run know all of them in time")),
     }
 }
--- a/crates/capacity/src/scale/fit.rs
+++ b/crates/capacity/src/scale/fit.rs
@@ -1,10 +1,12 @@
-//! Least squares: lines through sweeps, their errors, and whether the points bend away from a line.
+//! Lines through sweeps: their errors, and whether the points bend away from a line. Called by [`sweep`](super::sweep),
+//! [`lines`](super::lines) and [`smoke`](super::smoke).
 //!
-//! A bend is told by a quadratic term added to the line: it is one if the term's t statistic is beyond the two-sided
-//! 5 % point of Student's distribution with so many degrees of freedom as points are left over. With five points
-//! that is 4.30, so that a slight bend may go unseen; an unseen bend is no proof of a line. Points that lie on a
-//! curve exactly have no error to compare with, and bend if the term moves the figure by more than [`EXACT`] of it.
+//! A bend is a significant quadratic term: its t statistic exceeds the two-sided 5 % point of Student's distribution
+//! with as many degrees of freedom as points are left over. With five points that is 4.30, so that a slight bend may go
+//! unseen; an unseen bend is no proof of a line. Points that lie on a curve exactly have no error to compare with, and
+//! bend if the term moves the figure by more than [`ROUNDING_TOLERANCE`] of it.
 
+use super::least_squares::least_squares;
 use super::report::{Axis, Bend, Projection, Size, Slope};
 
 /// Two-sided 5 % points of Student's t, by degrees of freedom from 1.
@@ -14,195 +16,89 @@
     2.052, 2.048, 2.045, 2.042,
 ];
 /// The same for more degrees of freedom.
-const T_BOUND_MANY: f64 = 1.96;
-/// Relative size below which a difference is taken for rounding.
-pub const EXACT: f64 = 1e-9;
-/// A greater t is told as this: JSON knows no infinity.
-pub const T_LARGEST: f64 = 1e12;
-/// Fewest points by which a bend can be told: a quadratic through three leaves none over.
-pub const POINTS_LEAST: usize = 4;
+const T_BOUND_LIMIT: f64 = 1.96;
+/// Relative size below which a difference counts as rounding.
+pub const ROUNDING_TOLERANCE: f64 = 1e-9;
+/// A t statistic is clamped to this: JSON has no infinity.
+pub const T_CLAMP: f64 = 1e12;
+/// Coefficients of a parabola.
+const PARABOLA_TERMS: usize = 3;
+/// Fewest points that show a bend: a parabola through three leaves no degree of freedom.
+pub const MIN_BEND_POINTS: usize = PARABOLA_TERMS + 1;
 
-/// A fit of a figure by several terms.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Fit {
-    /// The factor of each term.
-    pub factors: Vec<f64>,
-    /// The standard error of each.
-    pub errors: Vec<f64>,
-    /// The figure less the fit, point by point.
-    pub residuals: Vec<f64>,
+/// A point of a sweep.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Point {
+    /// The size on the axis.
+    pub x: f64,
+    /// The figure.
+    pub y: f64,
 }
 
-/// Fits a figure by terms: each row has the value of every term at one point.
-///
-/// `None` if there are fewer points than terms, terms that can't be told apart, or figures that are no numbers.
-pub fn least_squares(rows: &[Vec<f64>], figures: &[f64]) -> Option<Fit> {
-    let terms = rows.first()?.len();
-    if rows.len() < terms
-        || rows.len() != figures.len()
-        || rows.iter().any(|row| row.len() != terms)
-    {
-        return None;
-    }
-    if !rows
-        .iter()
-        .flatten()
-        .chain(figures)
-        .all(|value| value.is_finite())
-    {
-        return None;
-    }
-    // Each term is scaled to its largest value, so that the sums of squares are of one size.
-    let scale = |term: usize| rows.iter().map(|row| row[term].abs()).fold(0.0, f64::max);
-    let scales: Vec<f64> = (0..terms).map(scale).collect();
-    if scales.iter().any(|scale| *scale <= 0.0) {
-        return None;
-    }
-    let scaled: Vec<Vec<f64>> = rows
-        .iter()
-        .map(|row| {
-            row.iter()
-                .zip(&scales)
-                .map(|(value, scale)| value / scale)
-                .collect()
-        })
-        .collect();
-    let inverse = inverse(normal(&scaled, terms))?;
-    let sums: Vec<f64> = (0..terms)
-        .map(|term| {
-            scaled
-                .iter()
-                .zip(figures)
-                .map(|(row, y)| row[term] * y)
-                .sum()
-        })
-        .collect();
-    let solved: Vec<f64> = inverse
-        .iter()
-        .map(|row| row.iter().zip(&sums).map(|(a, b)| a * b).sum::<f64>())
-        .collect();
-    let fitted = |row: &Vec<f64>| {
-        row.iter()
-            .zip(&solved)
-            .map(|(value, factor)| value * factor)
-            .sum::<f64>()
-    };
-    let residuals: Vec<f64> = scaled
-        .iter()
-        .zip(figures)
-        .map(|(row, y)| y - fitted(row))
-        .collect();
-    let left_over = rows.len() - terms;
-    let squares: f64 = residuals.iter().map(|residual| residual * residual).sum();
-    let variance = if left_over == 0 {
-        f64::NAN
-    } else {
-        squares / left_over as f64
-    };
-    let error = |term: usize| (variance * inverse[term][term].max(0.0)).sqrt() / scales[term];
-    Some(Fit {
-        errors: (0..terms).map(error).collect(),
-        factors: solved
-            .iter()
-            .zip(&scales)
-            .map(|(factor, scale)| factor / scale)
-            .collect(),
-        residuals,
-    })
+/// The smallest and the largest of some values.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Extent {
+    /// The smallest; infinite if there are none.
+    pub min: f64,
+    /// The largest; negatively infinite if there are none.
+    pub max: f64,
 }
 
-/// The sums of products of each two terms.
-fn normal(rows: &[Vec<f64>], terms: usize) -> Vec<Vec<f64>> {
-    let sum = |a: usize, b: usize| rows.iter().map(|row| row[a] * row[b]).sum();
-    (0..terms)
-        .map(|a| (0..terms).map(|b| sum(a, b)).collect())
-        .collect()
-}
-
-/// Gauss and Jordan's elimination with pivots; `None` if there is no inverse.
-fn inverse(mut matrix: Vec<Vec<f64>>) -> Option<Vec<Vec<f64>>> {
-    let n = matrix.len();
-    let unit = |row: usize| {
-        (0..n)
-            .map(|column| f64::from(u8::from(row == column)))
-            .collect()
-    };
-    let mut inverse: Vec<Vec<f64>> = (0..n).map(unit).collect();
-    for column in 0..n {
-        let greater = |a: &usize, b: &usize| {
-            matrix[*a][column]
-                .abs()
-                .total_cmp(&matrix[*b][column].abs())
+impl Extent {
+    /// The extent of some values.
+    pub fn of(values: impl Iterator<Item = f64>) -> Extent {
+        let empty = Extent {
+            min: f64::INFINITY,
+            max: f64::NEG_INFINITY,
         };
-        let pivot = (column..n).max_by(greater)?;
-        if matrix[pivot][column].abs() < 1e-14 {
-            return None;
-        }
-        matrix.swap(column, pivot);
-        inverse.swap(column, pivot);
-        let by = matrix[column][column];
-        matrix[column]
-            .iter_mut()
-            .chain(&mut inverse[column])
-            .for_each(|value| *value /= by);
-        let (from, from_inverse) = (matrix[column].clone(), inverse[column].clone());
-        for row in (0..n).filter(|row| *row != column) {
-            let by = matrix[row][column];
-            subtract(&mut matrix[row], &from, by);
-            subtract(&mut inverse[row], &from_inverse, by);
-        }
+        values.fold(empty, |extent, value| Extent {
+            min: extent.min.min(value),
+            max: extent.max.max(value),
+        })
     }
-    Some(inverse)
-}
 
-fn subtract(row: &mut [f64], other: &[f64], by: f64) {
-    row.iter_mut()
-        .zip(other)
-        .for_each(|(value, other)| *value -= by * other);
+    /// The difference of both.
+    pub fn span(&self) -> f64 {
+        self.max - self.min
+    }
 }
 
 /// The two-sided 5 % point of Student's t.
-pub fn t_bound(degrees: usize) -> f64 {
-    match degrees {
-        0 => f64::INFINITY,
-        n => T_BOUNDS.get(n - 1).copied().unwrap_or(T_BOUND_MANY),
+pub fn t_bound(degrees_of_freedom: usize) -> f64 {
+    match degrees_of_freedom.checked_sub(1) {
+        None => f64::INFINITY,
+        Some(index) => T_BOUNDS.get(index).copied().unwrap_or(T_BOUND_LIMIT),
     }
 }
 
-/// Looks for a bend; see the module. Too few points can't tell.
-pub fn bend(points: &[(f64, f64)]) -> Option<Bend> {
-    if points.len() < POINTS_LEAST {
+/// Tests the points for a bend; `None` if there are too few. See the module.
+pub fn bend(points: &[Point]) -> Option<Bend> {
+    if points.len() < MIN_BEND_POINTS {
         return None;
     }
-    let (low, high) = range(points.iter().map(|(x, _)| *x));
-    let span = high - low;
-    if span <= 0.0 {
+    let extent = Extent::of(points.iter().map(|point| point.x));
+    if extent.span() <= 0.0 {
         return None;
     }
     // Centred, so that the line and the bend are nearly independent.
-    let place = |x: f64| 2.0 * (x - low) / span - 1.0;
+    let centred = |x: f64| 2.0 * (x - extent.min) / extent.span() - 1.0;
     let rows: Vec<Vec<f64>> = points
         .iter()
-        .map(|(x, _)| vec![1.0, place(*x), place(*x).powi(2)])
+        .map(|point| vec![1.0, centred(point.x), centred(point.x).powi(2)])
         .collect();
-    let figures: Vec<f64> = points.iter().map(|(_, y)| *y).collect();
+    let figures: Vec<f64> = points.iter().map(|point| point.y).collect();
     let fit = least_squares(&rows, &figures)?;
-    let largest = figures.iter().map(|y| y.abs()).fold(0.0, f64::max);
-    let bound = t_bound(points.len() - 3);
-    let (term, error) = (fit.factors[2], fit.errors[2]);
-    if term.abs() <= EXACT * largest {
-        return Some(Bend {
-            t: 0.0,
-            bound,
-            bent: false,
-        });
-    }
-    let t = if error <= EXACT * largest {
-        T_LARGEST.copysign(term)
-    } else {
-        term / error
-    };
-    let t = t.clamp(-T_LARGEST, T_LARGEST);
+    let magnitude = figures
+        .iter()
+        .map(|figure| figure.abs())
+        .fold(0.0, f64::max);
+    let bound = t_bound(points.len() - PARABOLA_TERMS);
+    let quadratic = PARABOLA_TERMS - 1;
+    let t = t_statistic(
+        fit.coefficients[quadratic],
+        fit.standard_errors[quadratic],
+        magnitude,
+    );
     Some(Bend {
         t,
         bound,
@@ -210,58 +106,64 @@
     })
 }
 
-/// The least and the greatest.
-pub fn range(values: impl Iterator<Item = f64>) -> (f64, f64) {
-    values.fold((f64::INFINITY, f64::NEG_INFINITY), |(low, high), x| {
-        (low.min(x), high.max(x))
-    })
+/// The t statistic of a coefficient of a figure of this magnitude; zero if the coefficient is rounding.
+fn t_statistic(coefficient: f64, standard_error: f64, magnitude: f64) -> f64 {
+    let rounding = ROUNDING_TOLERANCE * magnitude;
+    if coefficient.abs() <= rounding {
+        return 0.0;
+    }
+    let t = if standard_error <= rounding {
+        T_CLAMP.copysign(coefficient)
+    } else {
+        coefficient / standard_error
+    };
+    t.clamp(-T_CLAMP, T_CLAMP)
 }
 
-/// A line through the points of a sweep; `None` if no line can be told from them.
-pub fn slope(axis: Axis, figure: &str, points: &[(f64, f64)]) -> Option<Slope> {
-    let rows: Vec<Vec<f64>> = points.iter().map(|(x, _)| vec![1.0, *x]).collect();
-    let figures: Vec<f64> = points.iter().map(|(_, y)| *y).collect();
+/// The line through the points of a sweep; `None` if they do not determine one.
+pub fn slope(axis: Axis, figure: &str, points: &[Point]) -> Option<Slope> {
+    let rows: Vec<Vec<f64>> = points.iter().map(|point| vec![1.0, point.x]).collect();
+    let figures: Vec<f64> = points.iter().map(|point| point.y).collect();
     let fit = least_squares(&rows, &figures)?;
     let bend = bend(points)?;
     let line = Slope {
         axis,
         figure: figure.to_owned(),
-        points: points.to_vec(),
-        intercept: fit.factors[0],
-        slope: fit.factors[1],
-        standard_error: fit.errors[1],
+        points: points.iter().map(|point| (point.x, point.y)).collect(),
+        intercept: fit.coefficients[0],
+        slope: fit.coefficients[1],
+        standard_error: fit.standard_errors[1],
         bent: bend.bent,
         residuals: Vec::new(),
         bend: Some(bend),
         projection: None,
     };
-    let at = Size::TARGET.get(axis) as f64;
-    let projection = projection(&line, at);
-    let projection = projection.map(|(figure, standard_error)| Projection {
-        at,
-        figure,
-        standard_error,
-    });
+    let target = Size::TARGET.get(axis) as f64;
     Some(Slope {
         residuals: residuals(&line),
-        projection,
+        projection: projection(&line, target),
         ..line
     })
 }
 
-/// What the line says elsewhere, with the error that its slope brings; `None` where the points bend.
-pub fn projection(slope: &Slope, at: f64) -> Option<(f64, f64)> {
-    let count = slope.points.len().max(1) as f64;
-    let mean = slope.points.iter().map(|(x, _)| x).sum::<f64>() / count;
-    let error = slope.standard_error * (at - mean).abs();
-    (!slope.bent).then_some((slope.intercept + slope.slope * at, error))
+/// The value of the line elsewhere, with the error that its slope contributes; `None` if the points bend.
+pub fn projection(line: &Slope, at: f64) -> Option<Projection> {
+    if line.bent {
+        return None;
+    }
+    let count = line.points.len().max(1) as f64;
+    let mean = line.points.iter().map(|(x, _)| x).sum::<f64>() / count;
+    Some(Projection {
+        at,
+        figure: line.intercept + line.slope * at,
+        standard_error: line.standard_error * (at - mean).abs(),
+    })
 }
 
-/// The figure less the line, point by point.
-pub fn residuals(slope: &Slope) -> Vec<f64> {
-    slope
-        .points
+/// The figure minus the line, point by point.
+pub fn residuals(line: &Slope) -> Vec<f64> {
+    line.points
         .iter()
-        .map(|(x, y)| y - slope.intercept - slope.slope * x)
+        .map(|(x, y)| y - line.intercept - line.slope * x)
         .collect()
 }
--- a/crates/capacity/src/scale/fleet.rs
+++ b/crates/capacity/src/scale/fleet.rs
@@ -1,13 +1,16 @@
-//! One fleet of a sweep, in a process of its own: what its memory is then is of this fleet alone.
+//! One fleet of a [`sweep`](super::sweep), in a process of its own, so that the memory of the process is that of this
+//! fleet alone.
 
-use super::faults::{keep, GATHERS_IN};
+use super::discovery_stub::DiscoveryStub;
+use super::error::ScaleError;
+use super::faults::CONVERGENCE_TIMEOUT;
 use super::limits::Deadline;
-use super::lists::Lists;
 use super::network::Network;
 use super::record::Record;
 use super::report::Size;
-use super::single::threads;
-use super::window::{measure, until_gathered, Rates, DRAIN};
+use super::schedule::Rates;
+use super::single::default_threads;
+use super::window::{measure, wait_until_converged, Window, DRAIN_DURATION};
 use reelfall_testbed::node::Folder;
 use reelfall_testbed::Result;
 use serde::{Deserialize, Serialize};
@@ -16,99 +19,97 @@
 use std::time::Duration;
 use tokio::process::Command;
 
-/// How long a fleet rests after all know all.
-pub const SETTLES: Duration = Duration::from_secs(6);
-/// How much longer than its own deadline a process may take to start and to end.
-const PROCESS_MORE: Duration = Duration::from_secs(10);
+/// How long a fleet rests after it has converged.
+pub const SETTLE_DURATION: Duration = Duration::from_secs(6);
+/// Time that a process may take beyond its deadline to start and to exit.
+const PROCESS_GRACE_PERIOD: Duration = Duration::from_secs(10);
 
-/// What is played on one fleet.
+/// The parameters of a fleet, as its process gets them in JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// How large it is.
+    /// The size of the system.
     pub size: Size,
-    /// The rates of each window, one after another.
+    /// The rates of each window, in order.
     pub windows: Vec<Rates>,
-    /// Seconds of each window.
-    pub seconds: f64,
-    /// For all draws.
+    /// Length of each window.
+    #[serde(rename = "seconds")]
+    pub window_seconds: f64,
+    /// For all random choices.
     pub seed: u64,
 }
 
 impl Plan {
     /// How long one window takes.
-    pub fn window(&self) -> Duration {
-        Duration::try_from_secs_f64(self.seconds).unwrap_or_default() + DRAIN
+    pub fn window_duration(&self) -> Duration {
+        Duration::try_from_secs_f64(self.window_seconds).unwrap_or_default() + DRAIN_DURATION
     }
 }
 
-/// Plays the windows of one fleet in this process.
+/// Runs the windows of one fleet in this process.
 ///
 /// # Errors
-/// If something does not start, or the system does not tell what is used.
-pub async fn play(plan: &Plan, deadline: Deadline) -> Result<Record> {
+/// If something does not start, or the system does not report what is used.
+pub async fn run(plan: &Plan, deadline: Deadline) -> Result<Record> {
     let size = &plan.size;
     let mut record = Record::new(plan.seed);
-    let lists = Arc::new(Lists::new(size.servers, size.services));
-    let network = Network::start(size.nodes, lists, plan.seed, threads())?;
-    if until_gathered(&network, 0, GATHERS_IN.min(deadline.left()))
-        .await
-        .is_none()
-    {
-        record.left_out(format!(
-            "{} nodes: not all know each other in {GATHERS_IN:?}",
+    let discovery = Arc::new(DiscoveryStub::new(size.servers, size.services));
+    let network = Network::start(size.nodes, discovery, plan.seed, default_threads())?;
+    let timeout = CONVERGENCE_TIMEOUT.min(deadline.remaining());
+    if wait_until_converged(&network, 0, timeout).await.is_none() {
+        record.note_omission(format!(
+            "{} nodes: not all know each other in {CONVERGENCE_TIMEOUT:?}",
             size.nodes
         ));
         return Ok(record);
     }
-    tokio::time::sleep(SETTLES).await;
-    for (n, rates) in plan.windows.iter().enumerate() {
-        if !deadline.allows(plan.window()) {
-            record.left_out(format!(
+    tokio::time::sleep(SETTLE_DURATION).await;
+    for (index, rates) in plan.windows.iter().enumerate() {
+        if !deadline.allows(plan.window_duration()) {
+            record.note_omission(format!(
                 "{} nodes, a window at {rates:?}: the time is over",
                 size.nodes
             ));
             continue;
         }
-        let mut measured =
-            measure(&network, "sweep", size, *rates, plan.seconds, plan.seed).await?;
-        if n > 0 {
-            // The process has played the former windows as well.
+        let window = Window {
+            name: "sweep",
+            size,
+            rates: *rates,
+            seconds: plan.window_seconds,
+            seed: plan.seed,
+        };
+        let mut measured = measure(&network, &window).await?;
+        let is_first = index == 0;
+        if !is_first {
+            // The process has run the former windows as well.
             measured.run.per_node.memory = None;
         }
-        keep(&mut record, measured);
+        measured.add_to(&mut record);
     }
     Ok(record)
 }
 
-/// Plays them in a process of its own, of the rig's program.
+/// Runs the windows of one fleet in a process of this program.
 ///
 /// # Errors
-/// If the program can't be started, fails, or does not end in time.
-pub async fn in_process(rig: &Path, plan: &Plan, deadline: Deadline) -> Result<Record> {
+/// If the program can't be started, fails, or does not exit in time.
+pub async fn run_in_process(program: &Path, plan: &Plan, deadline: Deadline) -> Result<Record> {
+    let nodes = plan.size.nodes;
     let folder = Folder::new()?;
     let file = folder.path().join("fleet.json");
-    let left = deadline.left();
-    let mut command = Command::new(rig);
-    command.args(["scale", "fleet", "--plan", &serde_json::to_string(plan)?]);
+    let remaining = deadline.remaining();
+    let mut command = Command::new(program);
     command
-        .args(["--deadline", &left.as_secs_f64().to_string()])
+        .args(["scale", "fleet", "--plan", &serde_json::to_string(plan)?])
+        .args(["--deadline", &remaining.as_secs_f64().to_string()])
         .arg("--json")
         .arg(&file);
-    let ended = command.kill_on_drop(true).status();
-    let status = tokio::time::timeout(left + PROCESS_MORE, ended)
+    let exited = command.kill_on_drop(true).status();
+    let status = tokio::time::timeout(remaining + PROCESS_GRACE_PERIOD, exited)
         .await
-        .map_err(|_| {
-            format!(
-                "{} nodes: their process has not ended in time",
-                plan.size.nodes
-            )
-        })??;
+        .map_err(|_| ScaleError::FleetTimeout { nodes })??;
     if !status.success() {
-        return Err(format!(
-            "{} nodes: their process has failed: {status}",
-            plan.size.nodes
-        )
-        .into());
+        return Err(ScaleError::FleetFailed { nodes, status }.into());
     }
     Record::from_json(&std::fs::read_to_string(&file)?)
 }
--- a/crates/capacity/src/scale/lines.rs
+++ b/crates/capacity/src/scale/lines.rs
@@ -1,8 +1,11 @@
-//! Lines through the runs of a report that was written without them, such as one of the emulator.
+//! Lines through the runs of a report that was written without them, such as one of the emulator. Called by
+//! [`command`](super::command).
 
+use super::error::ScaleError;
+use super::figure::{Figure, NETWORK_FIGURES};
 use super::fit;
 use super::report::{Axis, Report, Run, Slope, SCHEMA};
-use super::sweep::{Figure, NETWORK_FIGURES};
+use super::sweep_fit::points;
 use reelfall_testbed::Result;
 use std::path::Path;
 
@@ -17,9 +20,9 @@
     Axis::Restarts,
 ];
 
-/// Lines through runs of one name that differ along one axis alone, figure by figure. Runs that differ along more have
-/// none, nor have figures that are zero everywhere or of which too few points are there.
-pub fn through(runs: &[Run]) -> Vec<Slope> {
+/// Lines through the runs of each name, figure by figure. Runs that differ along more than one axis have none, nor have
+/// figures that are zero everywhere or that too few runs have.
+pub fn lines_through(runs: &[Run]) -> Vec<Slope> {
     let mut names: Vec<&str> = Vec::new();
     for run in runs {
         if !names.contains(&run.name.as_str()) {
@@ -28,22 +31,21 @@
     }
     names
         .into_iter()
-        .flat_map(|name| of_name(name, runs))
+        .flat_map(|name| lines_of_name(name, runs))
         .collect()
 }
 
-fn of_name(name: &str, runs: &[Run]) -> Vec<Slope> {
+fn lines_of_name(name: &str, runs: &[Run]) -> Vec<Slope> {
     let runs: Vec<&Run> = runs.iter().filter(|run| run.name == name).collect();
     let Some(axis) = only_axis(&runs) else {
         return Vec::new();
     };
-    let line = |(figure, of): &Figure| {
-        let point = |run: &&Run| Some((run.size.get(axis) as f64, of(run)?));
-        let points: Vec<(f64, f64)> = runs.iter().filter_map(point).collect();
-        if points.iter().all(|(_, figure)| *figure == 0.0) {
+    let line = |figure: &Figure| {
+        let points = points(axis, runs.iter().copied(), figure);
+        if points.iter().all(|point| point.y == 0.0) {
             return None;
         }
-        fit::slope(axis, &format!("{name}: {figure}"), &points)
+        fit::slope(axis, &format!("{name}: {}", figure.name), &points)
     };
     NETWORK_FIGURES.iter().filter_map(line).collect()
 }
@@ -62,30 +64,30 @@
     }
 }
 
-/// The text of a report with lines through its runs; all else stays as it is.
+/// The text of a report with lines through its runs; the rest is not changed.
 ///
 /// # Errors
-/// If it is no report, or one of another schema.
-pub fn added(text: &str) -> Result<String> {
+/// If it is not a report, or has another schema.
+pub fn with_lines(text: &str) -> Result<String> {
     let report: Report = serde_json::from_str(text)?;
     if report.schema != SCHEMA {
-        return Err(format!(
-            "the report has schema {}, and this program reads {SCHEMA}",
-            report.schema
-        )
+        return Err(ScaleError::UnsupportedSchema {
+            found: report.schema,
+            supported: SCHEMA,
+        }
         .into());
     }
-    let mut whole: serde_json::Value = serde_json::from_str(text)?;
-    whole["slopes"] = serde_json::to_value(through(&report.runs))?;
-    Ok(serde_json::to_string_pretty(&whole)? + "\n")
+    let mut json: serde_json::Value = serde_json::from_str(text)?;
+    json["slopes"] = serde_json::to_value(lines_through(&report.runs))?;
+    Ok(serde_json::to_string_pretty(&json)? + "\n")
 }
 
-/// Adds lines to a report's file.
+/// Adds lines to the file of a report.
 ///
 /// # Errors
-/// If it can't be read or written, or is no report.
-pub fn add_to(file: &Path) -> Result<()> {
-    let text = added(&std::fs::read_to_string(file)?)?;
+/// If it can't be read or written, or is not a report.
+pub fn add_to_file(file: &Path) -> Result<()> {
+    let text = with_lines(&std::fs::read_to_string(file)?)?;
     std::fs::write(file, text)?;
     Ok(())
 }
--- a/crates/capacity/src/scale/mod.rs
+++ b/crates/capacity/src/scale/mod.rs
@@ -1,52 +1,74 @@
 //! Scale runs: what the control side of a fleet costs each node, measured over growing sizes.
 //!
-//! | module | what belongs there |
+//! The runs, and the command line that starts them:
+//!
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`report`] | the figures of a scale run, as they are written to and read from JSON: the emulator's, which writes them too |
-//! | [`record`] | the JSON file: the report with its notes |
-//! | [`settings`] | settings files of any size |
-//! | [`hollow`] | the control side of one node: all that uses the fleet's own package |
-//! | [`shared`] | what the threads of hollow nodes share: places, zones, cuts |
-//! | [`network`] | many hollow nodes on sockets, and faults between them |
-//! | [`drive`] | one thread of them |
-//! | [`counters`] | what they count, and kinds of datagrams |
-//! | [`lists`] | a stand-in for the services that tell nodes their servers |
-//! | [`window`] | changes at a rate, and what they cost in a window |
-//! | [`faults`] | the worst moments |
-//! | [`real`] | real nodes beside the hollow ones |
-//! | [`computation`] | what reading settings and lists costs |
-//! | [`limits`] | what fits on a machine, and when a run ends |
-//! | [`machine`] | what the system tells of processor time and memory |
-//! | [`single`] | one run at one size |
-//! | [`fleet`] | one fleet of a sweep, in a process of its own |
-//! | [`sweep`] | runs along the axes, and lines through them |
-//! | [`fit`] | least squares, errors and bends |
+//! | [`command`] | the command line |
+//! | [`single`] | one run at one size; its parts are [`request_rounds`] and [`faults`] |
+//! | [`sweep`] | runs along the axes; each fleet in a process of its own, by [`fleet`] |
+//! | [`smoke`] | a small fleet in virtual time, with a verdict |
 //! | [`lines`] | lines through the runs of a report that has none |
+//!
+//! What is run:
+//!
+//! | module | responsibility |
+//! | --- | --- |
+//! | [`simulated_node`] | the control side of one node, without its socket |
+//! | [`drive`] | one thread of simulated nodes on sockets |
+//! | [`network`] | a fleet of simulated nodes; what its threads share is [`fleet_state`] |
+//! | [`discovery_stub`] | a stub of the discovery services |
+//! | [`real`] | real nodes beside the simulated ones; their settings files are in [`real_settings`] |
+//! | [`computation`] | single computations of a node, run in processes by [`computation_process`] |
+//! | [`settings`] | settings files of any size |
+//!
+//! What is measured and written:
+//!
+//! | module | responsibility |
+//! | --- | --- |
+//! | [`window`] | a window of measurement; its changes are in [`schedule`] |
+//! | [`counters`] | counters of simulated nodes |
+//! | [`datagram`], [`sampler`] | kinds of datagrams, and their shares of the traffic |
+//! | [`machine`], [`limits`] | what the system reports, and what fits on it |
+//! | [`report`] | the figures in JSON, as the emulator writes them too |
+//! | [`record`] | the JSON file: a report with notes; its printed form is in [`record_text`] |
+//! | [`figure`], [`sweep_fit`] | figures of runs, and fits through them |
+//! | [`fit`], [`least_squares`] | the statistics |
 //! | [`plot`] | plots of sweeps |
-//! | [`smoke`] | the short form, in virtual time |
-//! | [`command`] | the command line |
+//! | [`error`] | the errors of all modules |
 
 pub mod command;
 pub mod computation;
+pub mod computation_process;
 pub mod counters;
+pub mod datagram;
+pub mod discovery_stub;
 pub mod drive;
+pub mod error;
 pub mod faults;
+pub mod figure;
 pub mod fit;
 pub mod fleet;
-pub mod hollow;
+pub mod fleet_state;
+pub mod least_squares;
 pub mod limits;
 pub mod lines;
-pub mod lists;
 pub mod machine;
 pub mod network;
 pub mod plot;
 pub mod real;
+pub mod real_settings;
 pub mod record;
+pub mod record_text;
+pub mod request_rounds;
+pub mod sampler;
+pub mod schedule;
 pub mod settings;
-pub mod shared;
+pub mod simulated_node;
 pub mod single;
 pub mod smoke;
 pub mod sweep;
+pub mod sweep_fit;
 pub mod window;
 
 pub use reelfall_emulator::control::report;
--- a/crates/capacity/src/scale/network.rs
+++ b/crates/capacity/src/scale/network.rs
@@ -1,19 +1,28 @@
-//! Many hollow nodes on loopback sockets, driven by a few threads.
+//! A fleet of simulated nodes on loopback sockets, driven by a few threads. [`single`](super::single) and
+//! [`fleet`](super::fleet) start it, [`window`](super::window) measures it, [`faults`](super::faults) injects faults.
 
 use super::counters::Totals;
-use super::lists::Lists;
-use super::shared::{Doing, Forces, Place, Shared, ZONES};
+use super::discovery_stub::DiscoveryStub;
+use super::error::ScaleError;
+use super::fleet_state::{FleetState, NodeSlot, NodeState, PropagationTimes, ZONES};
 use super::{drive, machine};
 use reelfall_testbed::{Draw, Result};
 use std::net::{SocketAddr, UdpSocket};
-use std::sync::atomic::Ordering;
+use std::ops::Range;
+use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, PoisonError};
+use std::thread::JoinHandle;
 
-/// The nodes, and their threads. They end when this is dropped.
+/// Separates the random streams of a run.
+const STREAM_FACTOR: u64 = 0x9e37_79b9;
+/// Microseconds of a second.
+const MICROSECONDS: f64 = 1e6;
+
+/// The nodes and their threads. They end when this is dropped.
 pub struct Network {
     /// What all threads share.
-    pub shared: Arc<Shared>,
-    threads: Vec<std::thread::JoinHandle<()>>,
+    pub state: Arc<FleetState>,
+    threads: Vec<JoinHandle<()>>,
     /// Memory of this process before there were nodes, in bytes.
     resident_before: u64,
 }
@@ -22,171 +31,172 @@
     /// Opens a socket for each node and starts the threads that drive them.
     ///
     /// # Errors
-    /// If a socket or a thread is not to be had.
-    pub fn start(nodes: usize, lists: Arc<Lists>, seed: u64, threads: usize) -> Result<Network> {
-        let resident_before = machine::resident()?;
+    /// If a socket can't be opened or a thread not be started.
+    pub fn start(
+        nodes: usize,
+        discovery: Arc<DiscoveryStub>,
+        seed: u64,
+        threads: usize,
+    ) -> Result<Network> {
+        let resident_before = machine::resident_memory()?;
         let sockets = open_sockets(nodes)?;
-        let mut places = Vec::with_capacity(nodes);
-        for (n, socket) in sockets.iter().enumerate() {
-            places.push(Place::new(socket.local_addr()?, n % ZONES));
+        let mut slots = Vec::with_capacity(nodes);
+        for (index, socket) in sockets.iter().enumerate() {
+            slots.push(NodeSlot::new(socket.local_addr()?, index % ZONES));
         }
         let threads = threads.clamp(1, nodes.max(1));
-        let shared = Arc::new(Shared::new(places, lists, threads, seed)?);
         let mut network = Network {
-            shared,
+            state: Arc::new(FleetState::new(slots, discovery, threads, seed)?),
             threads: Vec::with_capacity(threads),
             resident_before,
         };
-        let mut dealt: Vec<Vec<(usize, UdpSocket)>> = (0..threads).map(|_| Vec::new()).collect();
-        for (n, socket) in sockets.into_iter().enumerate() {
-            dealt[n % threads].push((n, socket));
+        network.start_threads(sockets, threads)?;
+        Ok(network)
+    }
+
+    /// Distributes the nodes over the threads in turn, and starts these.
+    fn start_threads(&mut self, sockets: Vec<UdpSocket>, threads: usize) -> Result<()> {
+        let mut nodes_by_thread: Vec<Vec<drive::OpenNode>> =
+            (0..threads).map(|_| Vec::new()).collect();
+        for (index, socket) in sockets.into_iter().enumerate() {
+            nodes_by_thread[index % threads].push(drive::OpenNode { index, socket });
         }
-        for (thread, nodes) in dealt.into_iter().enumerate() {
-            let shared = network.shared.clone();
-            let run = move || drive::thread(shared, thread, nodes);
-            let name = format!("scale-{thread}");
-            network
-                .threads
-                .push(std::thread::Builder::new().name(name).spawn(run)?);
+        for (thread, nodes) in nodes_by_thread.into_iter().enumerate() {
+            let state = self.state.clone();
+            let handle = std::thread::Builder::new()
+                .name(format!("scale-{thread}"))
+                .spawn(move || drive::run_thread(state, thread, nodes))?;
+            self.threads.push(handle);
         }
-        Ok(network)
+        Ok(())
     }
 
-    /// How many places there are.
-    pub fn nodes(&self) -> usize {
-        self.shared.places.len()
+    /// How many nodes there are, in whichever state.
+    pub fn node_count(&self) -> usize {
+        self.state.nodes.len()
     }
 
     /// How many threads drive them.
-    pub fn threads(&self) -> usize {
+    pub fn thread_count(&self) -> usize {
         self.threads.len().max(1)
     }
 
     /// The nodes that run.
-    pub fn running(&self) -> Vec<usize> {
-        let runs = |n: &usize| self.shared.places[*n].doing() == Doing::Runs;
-        (0..self.nodes()).filter(runs).collect()
-    }
-
-    /// Whether each node that runs knows all that run and so many others beside.
-    pub fn gathered(&self, beside: usize) -> bool {
-        let running = self.running();
-        let others = running.len() + beside;
-        let knows = |n: &usize| {
-            self.shared.places[*n]
-                .counters
-                .members
-                .load(Ordering::Relaxed)
-                + 1
-                == others
+    pub fn running_nodes(&self) -> Vec<usize> {
+        let runs = |index: &usize| self.state.nodes[*index].state() == NodeState::Running;
+        (0..self.node_count()).filter(runs).collect()
+    }
+
+    /// Whether each running node knows all running ones, and as many others as run outside of this process.
+    pub fn has_converged(&self, external_nodes: usize) -> bool {
+        let running = self.running_nodes();
+        let expected = running.len() + external_nodes;
+        let knows_all = |index: &usize| {
+            let members = &self.state.nodes[*index].counters.members;
+            members.load(Ordering::Relaxed) + 1 == expected
         };
-        running.iter().all(knows)
+        running.iter().all(knows_all)
     }
 
-    /// A node begins, stands still or ends.
-    pub fn set(&self, n: usize, doing: Doing) {
-        self.shared.places[n].set(doing);
+    /// Starts, suspends or stops a node.
+    pub fn set_state(&self, index: usize, state: NodeState) {
+        self.state.nodes[index].set_state(state);
     }
 
     /// The nodes of some zones.
-    pub fn of_zones(&self, zones: std::ops::Range<usize>) -> Vec<usize> {
-        (0..self.nodes())
-            .filter(|n| zones.contains(&self.shared.places[*n].zone))
+    pub fn nodes_in_zones(&self, zones: Range<usize>) -> Vec<usize> {
+        (0..self.node_count())
+            .filter(|index| zones.contains(&self.state.nodes[*index].zone))
             .collect()
     }
 
-    /// Cuts two zones apart, or lets them reach each other again.
-    pub fn cut(&self, one: usize, other: usize, cut: bool) {
-        self.shared.cut(one, other, cut);
+    /// Partitions two zones, or ends their partition.
+    pub fn set_partitioned(&self, zone: usize, other_zone: usize, is_partitioned: bool) {
+        self.state.set_partitioned(zone, other_zone, is_partitioned);
     }
 
-    /// A node outside of this process is reached here, and counts as one of a zone.
-    pub fn add_outside(&self, address: SocketAddr, zone: usize) {
-        self.shared.set_zone(address, zone);
+    /// Assigns a node outside of this process to a zone.
+    pub fn add_external(&self, address: SocketAddr, zone: usize) {
+        self.state.set_zone(address, zone);
     }
 
-    /// An operator sends a server out at a node for so many seconds; its name says when.
-    pub fn ban(&self, n: usize, seconds: f64) {
-        self.shared.places[n].ban(seconds);
+    /// Bans a server at a node for so many seconds; the server's name is the time of the ban.
+    pub fn ban(&self, index: usize, seconds: f64) {
+        self.state.nodes[index].request_ban(seconds);
     }
 
-    /// Nodes that start from now on read the lists as they are now.
-    pub fn refresh_lists(&self) {
-        self.shared.refresh_lists();
+    /// Takes snapshots of all lists for nodes that start from now on.
+    pub fn refresh_snapshots(&self) {
+        self.state.refresh_snapshots();
     }
 
-    /// What all nodes have counted so far.
+    /// The sums of all counters.
     pub fn totals(&self) -> Totals {
         let mut totals = Totals::default();
-        self.shared
-            .places
-            .iter()
-            .for_each(|place| totals.add(&place.counters));
-        let cpu: u64 = self
-            .shared
-            .cpu
-            .iter()
-            .map(|cpu| cpu.load(Ordering::Relaxed))
-            .sum();
-        totals.cpu = cpu as f64 / 1e6;
+        for node in &self.state.nodes {
+            totals.add(&node.counters);
+        }
+        let read = |cpu_us: &AtomicU64| cpu_us.load(Ordering::Relaxed);
+        let cpu_us: u64 = self.state.cpu_us.iter().map(read).sum();
+        totals.cpu = cpu_us as f64 / MICROSECONDS;
         totals
     }
 
-    /// Begins a window: peaks, kinds and times until changes are in force count anew.
+    /// Begins a window: peaks, the sample and propagation times are reset.
     pub fn begin_window(&self) -> Totals {
-        self.shared.window.fetch_add(1, Ordering::Relaxed);
-        self.shared
-            .window_us
-            .store(self.shared.now_us(), Ordering::Relaxed);
-        self.shared.sampler.take();
-        self.forces();
+        self.state.window.fetch_add(1, Ordering::Relaxed);
+        self.state
+            .window_started_us
+            .store(self.state.now_us(), Ordering::Relaxed);
+        self.state.sampler.take();
+        self.take_propagation_times();
         self.totals()
     }
 
-    /// Takes the times until changes were in force.
-    pub fn forces(&self) -> Forces {
-        let mut all = Forces::default();
-        for forces in &self.shared.forces {
-            let taken = std::mem::take(&mut *forces.lock().unwrap_or_else(PoisonError::into_inner));
+    /// Takes the propagation times of all threads.
+    pub fn take_propagation_times(&self) -> PropagationTimes {
+        let mut all = PropagationTimes::default();
+        for times in &self.state.propagation {
+            let taken = std::mem::take(&mut *times.lock().unwrap_or_else(PoisonError::into_inner));
             all.bans.extend(taken.bans);
-            all.lines.extend(taken.lines);
+            all.list_updates.extend(taken.list_updates);
         }
         all
     }
 
     /// Most bytes of any node within a second of the window.
-    pub fn peak(&self) -> f64 {
+    pub fn peak_bytes(&self) -> f64 {
         let peaks = self
-            .shared
-            .places
+            .state
+            .nodes
             .iter()
-            .map(|place| place.counters.peak.load(Ordering::Relaxed));
+            .map(|node| node.counters.peak_bytes.load(Ordering::Relaxed));
         peaks.max().unwrap_or(0) as f64
     }
 
-    /// Memory of each node, in bytes: what this process holds more than before there were nodes.
+    /// Memory of each node, in bytes: the growth of this process since there are nodes.
     ///
     /// # Errors
-    /// If the system does not tell.
-    pub fn memory(&self) -> Result<f64> {
-        let more = machine::resident()?.saturating_sub(self.resident_before);
-        Ok(more as f64 / self.nodes().max(1) as f64)
+    /// If the system does not report it.
+    pub fn memory_per_node(&self) -> Result<f64> {
+        let growth = machine::resident_memory()?.saturating_sub(self.resident_before);
+        Ok(growth as f64 / self.node_count().max(1) as f64)
     }
 
-    /// A generator of its own for each matter.
-    pub fn draw(&self, matter: u64) -> Draw {
+    /// A random generator for one stream of the run.
+    pub fn rng(&self, stream: u64) -> Draw {
         Draw(
-            self.shared
+            self.state
                 .seed
-                .wrapping_mul(0x9e37_79b9)
-                .wrapping_add(matter),
+                .wrapping_mul(STREAM_FACTOR)
+                .wrapping_add(stream),
         )
     }
 }
 
 impl Drop for Network {
     fn drop(&mut self) {
-        self.shared.stop.store(true, Ordering::Relaxed);
+        self.state.is_stopping.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
@@ -195,9 +205,12 @@
 
 fn open_sockets(nodes: usize) -> Result<Vec<UdpSocket>> {
     let mut sockets = Vec::with_capacity(nodes);
-    for n in 0..nodes {
-        let socket = UdpSocket::bind("127.0.0.1:0")
-            .map_err(|e| format!("the socket of node {n} of {nodes} is not to be had: {e}"))?;
+    for node in 0..nodes {
+        let socket = UdpSocket::bind("127.0.0.1:0").map_err(|source| ScaleError::Socket {
+            node,
+            nodes,
+            source,
+        })?;
         socket.set_nonblocking(true)?;
         sockets.push(socket);
     }
--- a/crates/capacity/src/scale/plot.rs
+++ b/crates/capacity/src/scale/plot.rs
@@ -1,46 +1,63 @@
-//! Plots of sweeps, as SVG.
+//! Plots of sweeps, as SVG. Called by [`command`](super::command); the pages refer to the files by [`file_name`].
 
-use super::fit::range;
+use super::error::ScaleError;
+use super::fit::Extent;
 use super::report::Slope;
-use plotters::prelude::*;
+use plotters::prelude::{
+    ChartBuilder, Circle, Color, IntoDrawingArea, LineSeries, SVGBackend, BLACK, BLUE, WHITE,
+};
 use reelfall_testbed::Result;
 use std::path::Path;
 
-/// Width and height of a plot.
-const SIZE: (u32, u32) = (640, 400);
-/// Room around what is drawn, as a share of its range.
-const ROOM: f64 = 0.05;
+/// Width of a plot, in pixels.
+const WIDTH: u32 = 640;
+/// Height of a plot, in pixels.
+const HEIGHT: u32 = 400;
+/// Padding of an axis, as a share of its extent.
+const PADDING_SHARE: f64 = 0.05;
+/// Least padding, as a share of the largest value: an extent may be empty.
+const MIN_PADDING_SHARE: f64 = 1e-6;
+/// Size of the caption, in pixels.
+const CAPTION_SIZE: u32 = 16;
+/// Margin around the chart, in pixels.
+const MARGIN: u32 = 12;
+/// Space for the labels of the horizontal axis, in pixels.
+const X_LABEL_HEIGHT: u32 = 40;
+/// Space for the labels of the vertical axis, in pixels.
+const Y_LABEL_WIDTH: u32 = 80;
+/// Radius of a point, in pixels.
+const POINT_RADIUS: u32 = 4;
 
-/// Draws each sweep into a file of the folder.
+/// Writes a plot of each sweep into the folder.
 ///
 /// # Errors
 /// If a file can't be written.
-pub fn all(slopes: &[Slope], folder: &Path) -> Result<()> {
+pub fn write_plots(slopes: &[Slope], folder: &Path) -> Result<()> {
     std::fs::create_dir_all(folder)?;
     for slope in slopes {
         let file = folder.join(file_name(slope));
-        draw(slope, &file).map_err(|fault| format!("{}: {fault}", file.display()))?;
+        draw(slope, &file).map_err(|source| ScaleError::Plot { file, source })?;
     }
     Ok(())
 }
 
-/// The file of a plot: its axis and its figure, in letters, digits and `-`.
+/// The name of a plot's file: the axis and the figure, in letters, digits and `-`.
 pub fn file_name(slope: &Slope) -> String {
     let text = format!("{:?} {}", slope.axis, slope.figure).to_lowercase();
     let words: Vec<&str> = text
-        .split(|c: char| !c.is_ascii_alphanumeric())
-        .filter(|w| !w.is_empty())
+        .split(|character: char| !character.is_ascii_alphanumeric())
+        .filter(|word| !word.is_empty())
         .collect();
     format!("{}.svg", words.join("-"))
 }
 
 fn draw(slope: &Slope, file: &Path) -> Result<()> {
     let line = |x: f64| slope.intercept + slope.slope * x;
-    let (low, high) = widened(range(slope.points.iter().map(|(x, _)| *x)));
-    let measured = slope.points.iter().map(|(_, y)| *y);
-    let drawn = slope.points.iter().map(|(x, _)| line(*x));
-    let (least, most) = widened(range(measured.chain(drawn).chain([0.0])));
-    let area = SVGBackend::new(file, SIZE).into_drawing_area();
+    let horizontal = padded(Extent::of(slope.points.iter().map(|(x, _)| *x)));
+    let figures = slope.points.iter().map(|(_, y)| *y);
+    let fitted = slope.points.iter().map(|(x, _)| line(*x));
+    let vertical = padded(Extent::of(figures.chain(fitted).chain([0.0])));
+    let area = SVGBackend::new(file, (WIDTH, HEIGHT)).into_drawing_area();
     area.fill(&WHITE)?;
     let caption = if slope.bent {
         format!("{} (bent)", slope.figure)
@@ -48,30 +65,28 @@
         slope.figure.clone()
     };
     let mut chart = ChartBuilder::on(&area)
-        .caption(caption, ("sans-serif", 16))
-        .margin(12)
-        .x_label_area_size(40)
-        .y_label_area_size(80)
-        .build_cartesian_2d(low..high, least..most)?;
+        .caption(caption, ("sans-serif", CAPTION_SIZE))
+        .margin(MARGIN)
+        .x_label_area_size(X_LABEL_HEIGHT)
+        .y_label_area_size(Y_LABEL_WIDTH)
+        .build_cartesian_2d(horizontal.min..horizontal.max, vertical.min..vertical.max)?;
     chart
         .configure_mesh()
         .x_desc(format!("{:?}", slope.axis))
         .draw()?;
-    chart.draw_series(LineSeries::new(
-        [(low, line(low)), (high, line(high))],
-        &BLUE,
-    ))?;
-    chart.draw_series(
-        slope
-            .points
-            .iter()
-            .map(|point| Circle::new(*point, 4, BLACK.filled())),
-    )?;
+    let ends = [horizontal.min, horizontal.max].map(|x| (x, line(x)));
+    chart.draw_series(LineSeries::new(ends, &BLUE))?;
+    let circle = |point: &(f64, f64)| Circle::new(*point, POINT_RADIUS, BLACK.filled());
+    chart.draw_series(slope.points.iter().map(circle))?;
     area.present()?;
     Ok(())
 }
 
-fn widened((low, high): (f64, f64)) -> (f64, f64) {
-    let room = ((high - low) * ROOM).max(f64::MIN_POSITIVE.max(high.abs() * 1e-6));
-    (low - room, high + room)
+fn padded(extent: Extent) -> Extent {
+    let min_padding = f64::MIN_POSITIVE.max(extent.max.abs() * MIN_PADDING_SHARE);
+    let padding = (extent.span() * PADDING_SHARE).max(min_padding);
+    Extent {
+        min: extent.min - padding,
+        max: extent.max + padding,
+    }
 }
--- a/crates/capacity/src/scale/real.rs
+++ b/crates/capacity/src/scale/real.rs
@@ -1,11 +1,13 @@
-//! Real nodes beside the hollow ones: processes of the program in the same fleet, which serve requests from stand-in
-//! servers while they follow a list of the run's size.
+//! Real nodes beside the simulated ones: processes of the node's program in the same fleet, which serve requests from
+//! stub servers while they follow a list of the run's size. Started by [`single`](super::single).
 
-use super::hollow::{FLEET_NAME, KEY_FILE};
-use super::lists::server_name;
+use super::datagram::KEY_FILE;
+use super::discovery_stub::server_name;
+use super::error::ScaleError;
+use super::fleet_state::ZONES;
 use super::network::Network;
+use super::real_settings::RealFleet;
 use super::report::{PerNode, RequestTimes, Run, Size, Source, Times};
-use super::shared::{zone_name, ZONES};
 use hdrhistogram::Histogram;
 use reelfall_testbed::discovery::{Discovery, Listed};
 use reelfall_testbed::load::{self, Kind};
@@ -16,40 +18,50 @@
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Stand-in servers of the service that is asked.
-const SERVERS: usize = 8;
-/// How long each takes for a request.
-pub const TAKES: Duration = Duration::from_millis(2);
+/// Stub servers of the service that serves requests.
+const SERVER_COUNT: usize = 8;
+/// Requests that each serves at once.
+const SERVER_CAPACITY: usize = 16;
+/// Service time of a request.
+pub const SERVICE_TIME: Duration = Duration::from_millis(2);
 /// Requests a second at each real node.
-pub const RATE: f64 = 40.0;
-/// Servers of a list that a node still takes: its longest list has 4 MiB.
-pub const LISTED_MOST: usize = 20_000;
+pub const REQUEST_RATE: f64 = 40.0;
+/// Most servers of a list: nodes reject lists above 4 MiB.
+pub const MAX_LISTED_SERVERS: usize = 20_000;
+/// Percentage of requests that have to be served, or response times mean nothing.
+const MIN_SERVED_PERCENT: u64 = 98;
+/// Separates the seeds of the nodes' clients.
+const LOAD_SEED_FACTOR: u64 = 97;
+/// Microseconds of a second.
+const MICROSECONDS: f64 = 1e6;
+/// The port of listed servers (discard): nothing listens there.
+const UNUSED_PORT: u16 = 9;
 
 /// The nodes and what they need. All of it ends when this is dropped.
 pub struct RealNodes {
-    nodes: Vec<Running>,
+    nodes: Vec<RunningNode>,
     discovery: Discovery,
     _servers: Vec<Server>,
     _folder: Folder,
 }
 
 /// One node. It is killed when this is dropped.
-struct Running {
+struct RunningNode {
     address: SocketAddr,
     pid: u32,
     _task: Task,
 }
 
-impl Running {
-    /// Keeps a node, and reads what it says so that it never waits for that.
-    fn keep(mut node: Node) -> Running {
+impl RunningNode {
+    /// Reads the output of a node, so that it never blocks on that.
+    fn supervise(mut node: Node) -> RunningNode {
         let (address, pid) = (node.address(), node.pid());
         let task = reelfall_testbed::task(async move {
             while node.line().await.is_some() {}
-            // Waited for, so that no process is left behind.
+            // Reaps the process.
             let _ = node.ended().await;
         });
-        Running {
+        RunningNode {
             address,
             pid,
             _task: task,
@@ -57,7 +69,7 @@
     }
 }
 
-/// Processor time of all nodes up to one moment, in seconds.
+/// Processor time of all nodes up to one time, in seconds.
 pub struct Usage {
     cpu: f64,
 }
@@ -73,24 +85,28 @@
         network: &Network,
         listed: usize,
     ) -> Result<Self> {
-        let mut servers = Vec::with_capacity(SERVERS);
-        for n in 0..SERVERS {
-            servers.push(Server::start(&format!("s{n}"), 16, Manner::good(TAKES), n as u64).await?);
-        }
-        let entry = |n: usize| Listed::active(&server_name(n), listed_address(n));
-        let discovery = Discovery::start((0..listed.min(LISTED_MOST)).map(entry).collect()).await?;
+        let servers = start_servers().await?;
+        let entry = |index: usize| Listed::active(&server_name(index), listed_address(index));
+        let entries = (0..listed.min(MAX_LISTED_SERVERS)).map(entry).collect();
+        let discovery = Discovery::start(entries).await?;
         let folder = Folder::new()?;
-        let key = folder.path().join("fleet.key");
-        std::fs::write(&key, KEY_FILE)?;
+        let key_file = folder.path().join("fleet.key");
+        std::fs::write(&key_file, KEY_FILE)?;
+        let fleet = RealFleet {
+            count,
+            network,
+            key_file: &key_file,
+            servers: &servers,
+            discovery: discovery.address,
+        };
         let mut nodes = Vec::with_capacity(count);
-        for n in 0..count {
-            let text = settings(n, count, network, &key, &servers, discovery.address);
-            let node = Node::start(program, &text).await?;
+        for index in 0..count {
+            let node = Node::start(program, &fleet.settings(index)).await?;
             node.until_health("/_health", true).await?;
             if let Some(address) = node.fleet {
-                network.add_outside(address, n % ZONES);
+                network.add_external(address, index % ZONES);
             }
-            nodes.push(Running::keep(node));
+            nodes.push(RunningNode::supervise(node));
         }
         Ok(RealNodes {
             nodes,
@@ -105,23 +121,23 @@
         self.nodes.len()
     }
 
-    /// A server of the list has restarted.
-    pub fn restarted(&self, server: usize) {
-        if server >= LISTED_MOST {
+    /// Sends the restart of a listed server to the nodes.
+    pub fn list_restart(&self, server: usize) {
+        if server >= MAX_LISTED_SERVERS {
             return;
         }
-        let since = SystemTime::now()
+        let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let since_ms = u64::try_from(since.as_millis()).unwrap_or(u64::MAX);
+        let since_ms = u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX);
         let entry = Listed::active(&server_name(server), listed_address(server));
         self.discovery.tell(&[Listed { since_ms, ..entry }]);
     }
 
-    /// What they have used so far.
+    /// What the nodes have used so far.
     ///
     /// # Errors
-    /// If one is gone.
+    /// If one has ended.
     pub fn usage(&self) -> Result<Usage> {
         let mut cpu = 0.0;
         for node in &self.nodes {
@@ -130,10 +146,10 @@
         Ok(Usage { cpu })
     }
 
-    /// What they used since, as a run.
+    /// What they have used since, as a run.
     ///
     /// # Errors
-    /// If one is gone.
+    /// If one has ended.
     pub fn run(&self, name: &str, size: &Size, since: &Usage, seconds: f64) -> Result<Run> {
         let count = self.nodes.len().max(1) as f64;
         let mut memory = 0.0;
@@ -158,54 +174,62 @@
         })
     }
 
-    /// Asks every node for so many seconds; times of requests in microseconds.
+    /// Sends requests to every node for so many seconds; the response times in microseconds.
     ///
     /// # Errors
-    /// If fewer than 98 of 100 were served: then the times mean nothing.
+    /// If fewer than [`MIN_SERVED_PERCENT`] of 100 were served.
     pub async fn load(&self, seconds: f64, seed: u64) -> Result<Histogram<u64>> {
-        let mut running = tokio::task::JoinSet::new();
-        for (n, node) in self.nodes.iter().enumerate() {
-            let (address, name) = (node.address, format!("scale{n}x{seed}"));
-            let time = Duration::from_secs_f64(seconds);
-            running.spawn(async move {
-                let kinds = [Kind::evaluate(name, RATE)];
-                load::run(
-                    address,
-                    &kinds,
-                    time,
-                    seed.wrapping_mul(97).wrapping_add(n as u64),
-                )
-                .await
-            });
+        let duration = Duration::from_secs_f64(seconds);
+        let mut clients = tokio::task::JoinSet::new();
+        for (index, node) in self.nodes.iter().enumerate() {
+            let address = node.address;
+            let kinds = [Kind::evaluate(format!("scale{index}x{seed}"), REQUEST_RATE)];
+            let client_seed = seed
+                .wrapping_mul(LOAD_SEED_FACTOR)
+                .wrapping_add(index as u64);
+            clients.spawn(async move { load::run(address, &kinds, duration, client_seed).await });
         }
-        let mut all: Option<Histogram<u64>> = None;
-        let (mut sent, mut good) = (0, 0);
-        while let Some(done) = running.join_next().await {
-            for came in done? {
-                sent += came.sent;
-                good += came.of(&[200]);
-                match &mut all {
-                    Some(all) => all.add(&came.latency)?,
-                    None => all = Some(came.latency.clone()),
+        let mut latency: Option<Histogram<u64>> = None;
+        let (mut sent, mut served) = (0, 0);
+        while let Some(responses) = clients.join_next().await {
+            for responses in responses? {
+                sent += responses.sent;
+                served += responses.of(&[200]);
+                match &mut latency {
+                    Some(latency) => latency.add(&responses.latency)?,
+                    None => latency = Some(responses.latency.clone()),
                 }
             }
         }
-        if good * 100 < sent * 98 {
-            return Err(format!("only {good} of {sent} requests were served").into());
+        if served * 100 < sent * MIN_SERVED_PERCENT {
+            return Err(ScaleError::RequestsFailed { served, sent }.into());
         }
-        all.ok_or_else(|| "nothing was asked".into())
+        Ok(latency.ok_or(ScaleError::NoRequests)?)
+    }
+}
+
+async fn start_servers() -> Result<Vec<Server>> {
+    let mut servers = Vec::with_capacity(SERVER_COUNT);
+    for index in 0..SERVER_COUNT {
+        let name = format!("s{index}");
+        let manner = Manner::good(SERVICE_TIME);
+        let server = Server::start(&name, SERVER_CAPACITY, manner, index as u64).await?;
+        servers.push(server);
     }
+    Ok(servers)
 }
 
-/// Times of requests of several rounds at rest and under changes.
+/// The distributions of response times over several rounds; `None` without rounds.
 ///
 /// # Errors
 /// If two rounds can't be added.
 pub fn request_times(
-    rest: &[Histogram<u64>],
-    under: &[Histogram<u64>],
+    at_rest: &[Histogram<u64>],
+    under_changes: &[Histogram<u64>],
 ) -> Result<Option<RequestTimes>> {
-    let (Some(at_rest), Some(under_changes)) = (times(rest)?, times(under)?) else {
+    let (Some(at_rest), Some(under_changes)) =
+        (distribution(at_rest)?, distribution(under_changes)?)
+    else {
         return Ok(None);
     };
     Ok(Some(RequestTimes {
@@ -214,7 +238,7 @@
     }))
 }
 
-fn times(rounds: &[Histogram<u64>]) -> Result<Option<Times>> {
+fn distribution(rounds: &[Histogram<u64>]) -> Result<Option<Times>> {
     let Some((first, others)) = rounds.split_first() else {
         return Ok(None);
     };
@@ -222,59 +246,17 @@
     for other in others {
         all.add(other)?;
     }
-    let seconds = |us: u64| us as f64 / 1e6;
-    let (p50, p99) = (all.value_at_quantile(0.5), all.value_at_quantile(0.99));
+    let seconds = |us: u64| us as f64 / MICROSECONDS;
     Ok(Some(Times {
-        p50: seconds(p50),
-        p99: seconds(p99),
+        p50: seconds(all.value_at_quantile(0.5)),
+        p99: seconds(all.value_at_quantile(0.99)),
         last: seconds(all.max()),
     }))
 }
 
-/// An address of a listed server: nobody is there, and nobody asks for it.
+/// The address of a listed server: nothing listens there, and no request is sent to it.
 fn listed_address(server: usize) -> SocketAddr {
+    // From 127.77.1.0 on.
     let [_, _, high, low] = (server as u32 + 256).to_be_bytes();
-    SocketAddr::from(([127, 77, high, low], 9))
-}
-
-/// The settings of one node: a service of stand-in servers that is asked, and one with the list that is not.
-fn settings(
-    n: usize,
-    count: usize,
-    network: &Network,
-    key: &std::path::Path,
-    servers: &[Server],
-    list: SocketAddr,
-) -> String {
-    let seeds: Vec<String> = network
-        .shared
-        .seeds()
-        .iter()
-        .map(|seed| format!("\"{seed}\""))
-        .collect();
-    let server = |s: &Server| {
-        format!(
-            "[[service.server]]\nname = \"{}\"\naddress = \"{}\"\n",
-            s.name, s.address
-        )
-    };
-    let servers: String = servers.iter().map(server).collect();
-    let service = |name: &str, source: &str, servers: &str| {
-        format!(
-            "[[service]]\nname = \"{name}\"\n{source}cold = {{ warm_after = \"50ms\" }}\n[[service.class]]\n\
-             name = \"{name}\"\nrepeat = \"safe\"\naim = \"200ms\"\ndeadline = \"2s\"\n[[service.route]]\n\
-             host = \"{name}.example.org\"\npath = \"/api\"\n{servers}\n"
-        )
-    };
-    let asked = service("evaluate", "", &servers);
-    let listed = service("listed", &format!("discovery = \"{list}\"\n"), "");
-    format!(
-        "[process]\nnodes = {count}\nzone = \"{}\"\n\n[management]\naddress = \"127.0.0.1:0\"\n\n[fleet]\n\
-         name = \"{FLEET_NAME}\"\nnode = \"real-{n}\"\nlisten = \"127.0.0.1:0\"\nkey_file = \"{}\"\nseeds = [{}]\n\
-         size = {}\n\n[[listener]]\nname = \"client\"\naddress = \"127.0.0.1:0\"\n\n{asked}{listed}",
-        zone_name(n % ZONES),
-        key.display(),
-        seeds.join(", "),
-        network.nodes() + count,
-    )
+    SocketAddr::from(([127, 77, high, low], UNUSED_PORT))
 }
--- a/crates/capacity/src/scale/settings.rs
+++ b/crates/capacity/src/scale/settings.rs
@@ -1,19 +1,19 @@
-//! Settings files of any size, for measuring what reading and applying them costs.
+//! Settings files of any size, as input of a [`computation`](super::computation).
 
 use super::report::Size;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::ops::Range;
 
-/// The address before that of the first server; the others follow it.
-const BEFORE_SERVERS: u32 = u32::from_be_bytes([10, 0, 0, 0]);
+/// The servers' addresses follow this one.
+const BASE_ADDRESS: u32 = u32::from_be_bytes([10, 0, 0, 0]);
 /// The port of all servers.
 const SERVER_PORT: u16 = 8080;
-/// Zones that the servers are spread over.
+/// Zones that the servers are distributed over.
 const ZONES: usize = 3;
-/// One route in so many changes something and must not be repeated.
-const WRITES_EVERY: usize = 4;
+/// One of so many routes writes; its requests must not be retried.
+const ROUTES_PER_WRITE: usize = 4;
 
-/// What stands before the services, behind the number of nodes.
+/// The text between the number of nodes and the services.
 const HEAD: &str = r#"descriptors = 65536
 memory = "2GiB"
 
@@ -22,7 +22,7 @@
 address = "127.0.0.1:8443"
 "#;
 
-/// The kinds of requests that each service knows.
+/// The request classes of each service.
 const CLASSES: &str = r#"
 [[service.class]]
 name = "read"
@@ -37,57 +37,57 @@
 deadline = "1s"
 "#;
 
-/// Writes a settings file with as many services, servers, routes and tenants as `size` says, spread evenly.
+/// Writes a settings file with as many services, servers, routes and tenants as `size` says, distributed evenly.
 ///
-/// There is one service at least, and one route at least for each service, or the file would not be valid. The same
-/// size gives the same file.
+/// There is at least one service, and at least one route for each service, or the file would be invalid. The same size
+/// gives the same file.
 pub fn settings_file(size: &Size) -> String {
     let services = size.services.max(1);
     let routes = size.routes.max(services);
     let mut text = format!("[process]\nnodes = {}\n{HEAD}", size.nodes.max(1));
     for service in 0..services {
-        let servers = share(size.servers, services, service);
+        let servers = items_of(size.servers, services, service);
         text += &format!("\n[[service]]\nname = \"service-{service}\"\n");
         if servers.is_empty() {
-            // Without a word on servers, a service would not be valid.
+            // A service without this key would be invalid.
             text += "server = []\n";
         }
         text += CLASSES;
-        text.extend(share(routes, services, service).map(|n| route(service, n)));
+        text.extend(items_of(routes, services, service).map(|index| route(service, index)));
         text.extend(servers.map(server));
-        text.extend(share(size.tenants, services, service).map(member));
+        text.extend(items_of(size.tenants, services, service).map(tenant));
     }
     text
 }
 
-/// The part of `total` things that one of several services has.
-fn share(total: usize, services: usize, service: usize) -> Range<usize> {
+/// The indexes of one service's items, of so many in total.
+fn items_of(total: usize, services: usize, service: usize) -> Range<usize> {
     let start = |service: usize| total / services * service + (total % services).min(service);
     start(service)..start(service + 1)
 }
 
-fn route(service: usize, n: usize) -> String {
-    let (method, class) = if n.is_multiple_of(WRITES_EVERY) {
+fn route(service: usize, index: usize) -> String {
+    let (method, class) = if index.is_multiple_of(ROUTES_PER_WRITE) {
         ("POST", "write")
     } else {
         ("GET", "read")
     };
     format!(
-        "\n[[service.route]]\nhost = \"service-{service}.example.org\"\npath = \"/v1/route-{n}\"\n\
+        "\n[[service.route]]\nhost = \"service-{service}.example.org\"\npath = \"/v1/route-{index}\"\n\
          methods = [\"{method}\"]\nassign = \"{class}\"\n"
     )
 }
 
-fn server(n: usize) -> String {
-    let number = u32::try_from(n + 1).unwrap_or(u32::MAX);
+fn server(index: usize) -> String {
+    let number = u32::try_from(index + 1).unwrap_or(u32::MAX);
     let address = SocketAddrV4::new(
-        Ipv4Addr::from(BEFORE_SERVERS.saturating_add(number)),
+        Ipv4Addr::from(BASE_ADDRESS.saturating_add(number)),
         SERVER_PORT,
     );
-    let zone = n % ZONES;
-    format!("\n[[service.server]]\nname = \"server-{n}\"\naddress = \"{address}\"\nzone = \"zone-{zone}\"\n")
+    let zone = index % ZONES;
+    format!("\n[[service.server]]\nname = \"server-{index}\"\naddress = \"{address}\"\nzone = \"zone-{zone}\"\n")
 }
 
-fn member(n: usize) -> String {
-    format!("\n[[service.member]]\nname = \"tenant-{n}\"\nquota = \"10/s\"\n")
+fn tenant(index: usize) -> String {
+    format!("\n[[service.member]]\nname = \"tenant-{index}\"\nquota = \"10/s\"\n")
 }
--- a/crates/capacity/src/scale/smoke.rs
+++ b/crates/capacity/src/scale/smoke.rs
@@ -1,93 +1,122 @@
-//! The short form of a scale run: a fleet in virtual time, and the statistics on fixed inputs. No clock of the machine
-//! is asked, so that the verdict is the same every time.
+//! The smoke run: a fleet in virtual time, and the statistics on fixed inputs. Called by [`command`](super::command).
+//! It reads no clock of the machine, so that its verdict is the same every time.
 
-use super::fit;
+use super::fit::{self, Point, ROUNDING_TOLERANCE};
 use super::record::Record;
 use super::report::{Axis, PerNode, Run, Size, Source, Traffic};
-use super::window::times;
+use super::window::distribution;
 use reelfall_emulator::together::{rules, World};
 use reelfall_testbed::Result;
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// Sizes of the fleets that are played.
+/// Sizes of the fleets.
 pub const SIZES: [usize; 5] = [8, 12, 16, 20, 24];
-/// How long a fleet has to gather, in virtual seconds.
-const GATHERS_IN: f64 = 30.0;
-/// How long each window is, in virtual seconds.
-const WINDOW: f64 = 10.0;
-/// Within what time a ban has to be in force everywhere, in virtual seconds.
-pub const IN_FORCE_MOST: f64 = 2.0;
-/// What a node may send and receive for control, in bytes a second.
-pub const BYTES_MOST: f64 = 8192.0;
-/// How often it is looked where a ban is in force, in virtual seconds.
-const STEP: f64 = 0.01;
+/// Time in which a new fleet has to converge, in virtual seconds.
+const CONVERGENCE_TIMEOUT: f64 = 30.0;
+/// Interval at which convergence is checked, in virtual seconds.
+const CONVERGENCE_POLL_INTERVAL: f64 = 0.1;
+/// Length of each window, in virtual seconds.
+const WINDOW_SECONDS: f64 = 10.0;
+/// Time in which a ban has to be in force at all nodes, in virtual seconds.
+pub const MAX_BAN_PROPAGATION: f64 = 2.0;
+/// Control traffic of a node, sent and received, in bytes a second.
+pub const MAX_CONTROL_TRAFFIC: f64 = 8192.0;
+/// Interval at which the spread of a ban is checked, in virtual seconds.
+const BAN_POLL_INTERVAL: f64 = 0.01;
+/// The server that is banned.
+const BANNED_SERVER: &str = "server-1";
+/// Length of the ban, in virtual seconds.
+const BAN_DURATION: f64 = 60.0;
+/// Name of the runs, and author of the bans.
+const RUN_NAME: &str = "smoke";
 
-/// What has come of it.
-pub struct Smoke {
+/// The result of a smoke run.
+pub struct SmokeResult {
     /// The figures.
     pub record: Record,
-    /// What does not hold.
-    pub broken: Vec<String>,
+    /// Checks that failed.
+    pub violations: Vec<String>,
 }
 
-/// Plays the short form.
+/// Runs the fleets of all sizes, then the checks on the statistics and the report.
 ///
 /// # Errors
 /// If the report can't be written and read.
-pub fn run(seed: u64) -> Result<Smoke> {
-    let mut smoke = Smoke {
+pub fn run(seed: u64) -> Result<SmokeResult> {
+    let mut smoke = SmokeResult {
         record: Record::new(seed),
-        broken: Vec::new(),
+        violations: Vec::new(),
     };
-    let (mut bytes, mut messages) = (Vec::new(), Vec::new());
+    let mut bytes = Vec::new();
+    let mut messages = Vec::new();
     for nodes in SIZES {
-        let Some(run) = fleet(nodes, seed, &mut smoke.broken) else {
+        let Some(run) = run_fleet(nodes, seed, &mut smoke.violations) else {
             continue;
         };
         let total = |of: fn(&Traffic) -> f64| run.per_node.traffic.iter().map(of).sum::<f64>();
-        bytes.push((nodes as f64, total(|t| t.bytes_out)));
-        messages.push((nodes as f64, total(|t| t.messages_out)));
+        let point = |y: f64| Point { x: nodes as f64, y };
+        bytes.push(point(total(|traffic| traffic.bytes_out)));
+        messages.push(point(total(|traffic| traffic.messages_out)));
         smoke.record.add(run);
     }
-    for (figure, points) in [("bytes/s out", bytes), ("messages/s out", messages)] {
-        match fit::slope(Axis::Nodes, figure, &points) {
-            // Nothing is said of larger fleets here: that is for runs of larger ones.
-            Some(slope) => smoke.record.report.slopes.push(slope),
-            None => smoke
-                .broken
+    smoke.add_line("bytes/s out", &bytes);
+    smoke.add_line("messages/s out", &messages);
+    smoke.violations.extend(check_statistics());
+    smoke.check_round_trip()?;
+    Ok(smoke)
+}
+
+impl SmokeResult {
+    /// Adds a line without printing its projection: larger fleets are the business of larger runs.
+    fn add_line(&mut self, figure: &str, points: &[Point]) {
+        match fit::slope(Axis::Nodes, figure, points) {
+            Some(slope) => self.record.report.slopes.push(slope),
+            None => self
+                .violations
                 .push(format!("{figure}: no line through {} points", points.len())),
         }
     }
-    smoke.broken.extend(statistics());
-    let read = Record::from_json(&smoke.record.to_json()?)?;
-    if !alike(
-        &serde_json::to_value(&read)?,
-        &serde_json::to_value(&smoke.record)?,
-    ) {
-        smoke
-            .broken
-            .push("the report is not read as it was written".to_owned());
+
+    fn check_round_trip(&mut self) -> Result<()> {
+        let read = Record::from_json(&self.record.to_json()?)?;
+        let (read, written) = (
+            serde_json::to_value(&read)?,
+            serde_json::to_value(&self.record)?,
+        );
+        if !is_equal_but_for_rounding(&read, &written) {
+            self.violations
+                .push("the report is not read as it was written".to_owned());
+        }
+        Ok(())
     }
-    Ok(smoke)
 }
 
-/// Whether two reports are the same but for the last digit of their figures, which reading may round.
-fn alike(one: &Value, other: &Value) -> bool {
-    match (one, other) {
-        (Value::Number(a), Value::Number(b)) => match (a.as_f64(), b.as_f64()) {
-            (Some(a), Some(b)) => (a - b).abs() <= fit::EXACT * a.abs().max(b.abs()),
-            (a, b) => a == b,
+/// Whether two reports are equal but for the last digit of their figures, which reading may round.
+fn is_equal_but_for_rounding(left: &Value, right: &Value) -> bool {
+    match (left, right) {
+        (Value::Number(left), Value::Number(right)) => match (left.as_f64(), right.as_f64()) {
+            (Some(left), Some(right)) => {
+                (left - right).abs() <= ROUNDING_TOLERANCE * left.abs().max(right.abs())
+            }
+            (left, right) => left == right,
         },
-        (Value::Array(a), Value::Array(b)) => {
-            a.len() == b.len() && a.iter().zip(b).all(|(one, other)| alike(one, other))
+        (Value::Array(left), Value::Array(right)) => {
+            left.len() == right.len()
+                && left
+                    .iter()
+                    .zip(right)
+                    .all(|(left, right)| is_equal_but_for_rounding(left, right))
         }
-        (Value::Object(a), Value::Object(b)) => {
-            a.len() == b.len()
-                && a.iter()
-                    .all(|(name, one)| b.get(name).is_some_and(|other| alike(one, other)))
+        (Value::Object(left), Value::Object(right)) => {
+            left.len() == right.len()
+                && left.iter().all(|(name, left)| {
+                    right
+                        .get(name)
+                        .is_some_and(|right| is_equal_but_for_rounding(left, right))
+                })
         }
-        (one, other) => one == other,
+        (left, right) => left == right,
     }
 }
 
@@ -103,102 +132,114 @@
     }
 }
 
-/// Plays one fleet: it gathers, rests for a window, and hears of a ban.
-fn fleet(nodes: usize, seed: u64, broken: &mut Vec<String>) -> Option<Run> {
+/// Runs one fleet: it converges, idles for a window, and spreads a ban.
+fn run_fleet(nodes: usize, seed: u64, violations: &mut Vec<String>) -> Option<Run> {
     let mut world = World::new(nodes, seed, |_| rules());
-    while !world.gathered() {
-        if world.t > GATHERS_IN {
-            broken.push(format!(
-                "{nodes} nodes do not know each other after {GATHERS_IN} s"
-            ));
-            return None;
-        }
-        world.run(0.1);
+    if !converge(&mut world) {
+        violations.push(format!(
+            "{nodes} nodes do not know each other after {CONVERGENCE_TIMEOUT} s"
+        ));
+        return None;
     }
-    world.run(WINDOW);
-    let (sent, bytes) = (world.sent, world.bytes);
-    world.run(WINDOW);
-    let rate = |of: u64| of as f64 / WINDOW / nodes as f64;
-    let (messages, bytes) = (rate(world.sent - sent), rate(world.bytes - bytes));
-    // Nothing is lost between these nodes: what is sent comes in.
-    let traffic = Traffic {
-        kind: "all".to_owned(),
-        bytes_in: bytes,
-        bytes_out: bytes,
-        messages_in: messages,
-        messages_out: messages,
-    };
-    if 2.0 * bytes > BYTES_MOST {
-        broken.push(format!(
-            "{nodes} nodes: {:.0} B/s a node, {BYTES_MOST} at most",
-            2.0 * bytes
+    world.run(WINDOW_SECONDS);
+    let traffic = measure_traffic(&mut world, nodes);
+    let control_traffic = 2.0 * traffic.bytes_out;
+    if control_traffic > MAX_CONTROL_TRAFFIC {
+        violations.push(format!(
+            "{nodes} nodes: {control_traffic:.0} B/s a node, {MAX_CONTROL_TRAFFIC} at most"
         ));
     }
-    let in_force = ban(&mut world);
-    if in_force.len() < nodes {
-        broken.push(format!(
-            "{nodes} nodes: a ban is in force at {} within {IN_FORCE_MOST} s",
-            in_force.len()
+    let propagation = spread_ban(&mut world);
+    if propagation.len() < nodes {
+        violations.push(format!(
+            "{nodes} nodes: a ban is in force at {} within {MAX_BAN_PROPAGATION} s",
+            propagation.len()
         ));
     }
-    broken.extend(world.broken.iter().map(|b| format!("{nodes} nodes: {b}")));
+    let broken_rules = world.broken.iter();
+    violations.extend(broken_rules.map(|broken| format!("{nodes} nodes: {broken}")));
     Some(Run {
-        name: "smoke".to_owned(),
+        name: RUN_NAME.to_owned(),
         source: Source::VirtualTime,
         size: size(nodes),
-        seconds: WINDOW,
+        seconds: WINDOW_SECONDS,
         per_node: PerNode {
             traffic: vec![traffic],
             ..PerNode::default()
         },
-        in_force: times(&in_force),
+        in_force: distribution(&propagation),
         requests: None,
         read_bytes: None,
         played: None,
     })
 }
 
-/// Sends a server out by hand at the first node; how long it took to each.
-fn ban(world: &mut World) -> Vec<f64> {
-    let begun = world.t;
+/// Runs until all nodes know each other; `false` if that takes too long.
+fn converge(world: &mut World) -> bool {
+    while !world.gathered() {
+        if world.t > CONVERGENCE_TIMEOUT {
+            return false;
+        }
+        world.run(CONVERGENCE_POLL_INTERVAL);
+    }
+    true
+}
+
+/// The traffic of one node in a window. No datagram is lost between these nodes: as much is received as is sent.
+fn measure_traffic(world: &mut World, nodes: usize) -> Traffic {
+    let (messages_before, bytes_before) = (world.sent, world.bytes);
+    world.run(WINDOW_SECONDS);
+    let rate = |count: u64| count as f64 / WINDOW_SECONDS / nodes as f64;
+    let messages = rate(world.sent - messages_before);
+    let bytes = rate(world.bytes - bytes_before);
+    Traffic {
+        kind: "all".to_owned(),
+        bytes_in: bytes,
+        bytes_out: bytes,
+        messages_in: messages,
+        messages_out: messages,
+    }
+}
+
+/// Bans a server at the first node; the time until the ban is in force, for each node that applied it.
+fn spread_ban(world: &mut World) -> Vec<f64> {
+    let start = world.t;
     world.at(0, |fleet, now| {
-        fleet.ban(now, "server-1", "smoke", Some(60.0))
+        fleet.ban(now, BANNED_SERVER, RUN_NAME, Some(BAN_DURATION))
     });
-    let mut took = Vec::new();
-    let mut waiting: BTreeSet<usize> = (0..world.nodes.len()).collect();
-    while !waiting.is_empty() && world.t - begun < IN_FORCE_MOST {
-        let there: Vec<usize> = waiting
-            .iter()
-            .copied()
-            .filter(|n| world.out(*n).contains("server-1"))
-            .collect();
-        for n in there {
-            waiting.remove(&n);
-            took.push(world.t - begun);
-        }
-        world.run(STEP);
+    let mut propagation = Vec::new();
+    let mut pending: BTreeSet<usize> = (0..world.nodes.len()).collect();
+    while !pending.is_empty() && world.t - start < MAX_BAN_PROPAGATION {
+        let pending_before = pending.len();
+        pending.retain(|node| !world.out(*node).contains(BANNED_SERVER));
+        let applied = pending_before - pending.len();
+        propagation.extend(std::iter::repeat_n(world.t - start, applied));
+        world.run(BAN_POLL_INTERVAL);
     }
-    took
+    propagation
 }
 
-/// The statistics on fixed inputs.
-fn statistics() -> Vec<String> {
+/// Checks the statistics on a line and a parabola with fixed noise.
+fn check_statistics() -> Vec<String> {
     let noise = [0.3, -0.2, 0.1, -0.4, 0.2, 0.0];
-    let points = |of: fn(f64) -> f64| -> Vec<(f64, f64)> {
-        noise
-            .iter()
-            .enumerate()
-            .map(|(n, noise)| (n as f64, of(n as f64) + noise))
-            .collect()
+    let points = |curve: fn(f64) -> f64| -> Vec<Point> {
+        let point = |(index, noise): (usize, &f64)| {
+            let x = index as f64;
+            Point {
+                x,
+                y: curve(x) + noise,
+            }
+        };
+        noise.iter().enumerate().map(point).collect()
     };
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     match fit::slope(Axis::Nodes, "line", &points(|x| 2.0 + 3.0 * x)) {
         Some(slope) if !slope.bent && (slope.slope - 3.0).abs() < 3.0 * slope.standard_error => {}
-        other => broken.push(format!("a line of slope 3 is taken for {other:?}")),
+        other => violations.push(format!("a line of slope 3 is taken for {other:?}")),
     }
     match fit::slope(Axis::Nodes, "square", &points(|x| x * x)) {
         Some(slope) if slope.bent => {}
-        other => broken.push(format!("a parabola is taken for {other:?}")),
+        other => violations.push(format!("a parabola is taken for {other:?}")),
     }
-    broken
+    violations
 }
--- a/crates/capacity/src/scale/window.rs
+++ b/crates/capacity/src/scale/window.rs
@@ -1,215 +1,191 @@
-//! Windows of measurement over a network of hollow nodes: changes are made at a rate, and what they cost is counted.
+//! A window of measurement over a network: changes are applied at their rates, and their cost is measured. Called by
+//! [`single`](super::single), [`faults`](super::faults) and [`fleet`](super::fleet).
 
 use super::counters::per_node;
-use super::lists::FAILING;
 use super::network::Network;
+use super::record::{Busy, ListsInForce, Record};
 use super::report::{Run, Size, Source, Times};
+use super::schedule::{schedule, Event, Rates};
 use reelfall_testbed::{Draw, Result};
-use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Seconds of a day.
-pub const DAY: f64 = 86_400.0;
-/// How long a ban by hand holds that stands for a change, in seconds.
-pub const CHANGE_LASTS: f64 = 10.0;
-/// How long a server fails before the list tells of its restart, in seconds.
-pub const FAILS_FOR: f64 = 1.0;
-/// How long after the last change its coming into force is waited for.
-pub const DRAIN: Duration = Duration::from_secs(3);
-
-/// How often something changes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rates {
-    /// Changes a day; each is played as a ban by hand at a node that is drawn.
-    pub changes: usize,
-    /// Restarts of servers a day.
-    pub restarts: usize,
-}
-
-impl Rates {
-    /// Nothing changes.
-    pub const NONE: Rates = Rates {
-        changes: 0,
-        restarts: 0,
-    };
-
-    /// The rates of a size.
-    pub fn of(size: &Size) -> Rates {
-        Rates {
-            changes: size.changes,
-            restarts: size.restarts,
-        }
-    }
+/// Length of the bans that stand for changes, in seconds.
+pub const BAN_DURATION: f64 = 10.0;
+/// How long propagation of the last change is awaited.
+pub const DRAIN_DURATION: Duration = Duration::from_secs(3);
+/// Share of the threads' time beyond which nodes wait for each other.
+const MAX_UTILIZATION: f64 = 0.8;
+/// Interval at which convergence is checked.
+const CONVERGENCE_POLL_INTERVAL: Duration = Duration::from_millis(100);
+
+/// What a window is measured with.
+#[derive(Clone, Copy, Debug)]
+pub struct Window<'a> {
+    /// The name of its run.
+    pub name: &'a str,
+    /// The size of the system.
+    pub size: &'a Size,
+    /// How often something changes.
+    pub rates: Rates,
+    /// Its length, in seconds.
+    pub seconds: f64,
+    /// Determines where and when something changes.
+    pub seed: u64,
 }
 
-/// What was played in a window.
+/// How many changes were applied in a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Played {
-    /// Bans by hand.
-    pub changes: usize,
-    /// Restarts of servers that the lists told of.
+pub struct AppliedChanges {
+    /// Bans.
+    pub bans: usize,
+    /// Restarts of servers.
     pub restarts: usize,
 }
 
-/// What a window gave.
+/// The result of a window.
 #[derive(Clone, Debug)]
-pub struct Measured {
+pub struct WindowResult {
     /// Its figures.
     pub run: Run,
-    /// Time until a list's change was taken in.
-    pub lists_in_force: Option<Times>,
-    /// What was played.
-    pub played: Played,
-    /// How busy the threads were that drive the nodes, as a share.
-    pub busy: f64,
-    /// Pairs of a ban and a node that runs at which the ban has not come into force.
-    pub missing: usize,
-}
-
-/// Moments at even distances: the first after half of one, and at least one in the window.
-pub fn moments(a_day: usize, seconds: f64) -> Vec<f64> {
-    if a_day == 0 {
-        return Vec::new();
-    }
-    let gap = DAY / a_day as f64;
-    let first = (gap / 2.0).min(seconds / 2.0);
-    (0..)
-        .map(|n| first + f64::from(n) * gap)
-        .take_while(|at| *at < seconds)
-        .collect()
-}
-
-/// Something that happens in a window.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Event {
-    /// A server is sent out by hand at a node that is drawn.
-    Change,
-    /// A server begins to fail.
-    Fails(usize),
-    /// The lists tell that it has restarted.
-    Restarted(usize),
-}
-
-/// What happens in a window of so many seconds, and when.
-pub fn schedule(rates: Rates, seconds: f64, servers: usize, draw: &mut Draw) -> Vec<(f64, Event)> {
-    let mut events: Vec<(f64, Event)> = moments(rates.changes, seconds)
-        .into_iter()
-        .map(|at| (at, Event::Change))
-        .collect();
-    for at in moments(rates.restarts, seconds) {
-        // Those that fail all the time do not restart.
-        let server = FAILING + draw.number() as usize % servers.saturating_sub(FAILING).max(1);
-        events.push(((at - FAILS_FOR).max(0.0), Event::Fails(server)));
-        events.push((at, Event::Restarted(server)));
-    }
-    events.sort_by(|a, b| a.0.total_cmp(&b.0));
-    events
+    /// Propagation times of list updates.
+    pub list_propagation: Option<Times>,
+    /// The changes that were applied.
+    pub applied: AppliedChanges,
+    /// The share of their time that the threads of the network worked.
+    pub utilization: f64,
+    /// Pairs of a ban and a running node that has not applied it.
+    pub missing_bans: usize,
 }
 
-/// Makes changes at their rates for so many seconds.
-async fn play(
-    network: &Network,
-    rates: Rates,
-    seconds: f64,
-    mut draw: Draw,
-    restarted: &dyn Fn(usize),
-) -> Played {
-    let lists = network.shared.lists.clone();
-    let begun = network.shared.now();
-    let mut played = Played::default();
-    for (at, event) in schedule(rates, seconds, lists.servers(), &mut draw) {
-        tokio::time::sleep_until(network.shared.moment(begun + at).into()).await;
-        match event {
-            Event::Change => {
-                let running = network.running();
-                if let Some(n) = running.get(draw.number() as usize % running.len().max(1)) {
-                    network.ban(*n, CHANGE_LASTS);
-                    played.changes += 1;
-                }
-            }
-            Event::Fails(server) => lists.fail(server),
-            Event::Restarted(server) => {
-                lists.restarted(server, network.shared.now_us());
-                restarted(server);
-                played.restarts += 1;
-            }
+impl WindowResult {
+    /// Adds the figures to a record, with notes on what limits them.
+    pub fn add_to(self, record: &mut Record) {
+        let name = self.run.name.clone();
+        if self.missing_bans > 0 {
+            let (bans, missing) = (self.applied.bans, self.missing_bans);
+            record.note(format!(
+                "{name}: of {bans} bans, {missing} have not come into force at one of the nodes"
+            ));
+        }
+        if self.utilization > MAX_UTILIZATION {
+            let percent = self.utilization * 100.0;
+            record.note(format!(
+                "{name}: the threads that drive the nodes were {percent:.0} % busy, so that times are longer than \
+                 alone"
+            ));
         }
+        record.busy.push(Busy {
+            run: name.clone(),
+            share: self.utilization,
+        });
+        if let Some(times) = self.list_propagation {
+            record
+                .lists_in_force
+                .push(ListsInForce { run: name, times });
+        }
+        record.add(self.run);
     }
-    tokio::time::sleep_until(network.shared.moment(begun + seconds).into()).await;
-    played
 }
 
-/// Measures a window of so many seconds.
+/// Measures a window.
 ///
 /// # Errors
-/// If the system does not tell what is used.
-pub async fn measure(
-    network: &Network,
-    name: &str,
-    size: &Size,
-    rates: Rates,
-    seconds: f64,
-    seed: u64,
-) -> Result<Measured> {
-    measure_with(network, name, size, rates, seconds, seed, &|_| {}).await
+/// If the system does not report what is used.
+pub async fn measure(network: &Network, window: &Window<'_>) -> Result<WindowResult> {
+    measure_with(network, window, &|_| {}).await
 }
 
-/// The same, and tells of each server that restarted.
+/// Measures a window, and calls `on_restart` with each server that restarted.
 ///
 /// # Errors
-/// The same.
+/// If the system does not report what is used.
 pub async fn measure_with(
     network: &Network,
-    name: &str,
-    size: &Size,
-    rates: Rates,
-    seconds: f64,
-    seed: u64,
-    restarted: &dyn Fn(usize),
-) -> Result<Measured> {
+    window: &Window<'_>,
+    on_restart: &dyn Fn(usize),
+) -> Result<WindowResult> {
     let before = network.begin_window();
-    let begun = network.shared.now();
-    let played = play(network, rates, seconds, Draw(seed), restarted).await;
-    let took = network.shared.now() - begun;
-    let (after, sample) = (network.totals(), network.shared.sampler.take());
-    let peak = network.peak();
-    if played != Played::default() {
-        tokio::time::sleep(DRAIN).await;
+    let started = network.state.now();
+    let applied = apply_changes(network, window, on_restart).await;
+    let seconds = network.state.now() - started;
+    let after = network.totals();
+    let sample = network.state.sampler.take();
+    let peak_bytes = network.peak_bytes();
+    if applied != AppliedChanges::default() {
+        tokio::time::sleep(DRAIN_DURATION).await;
     }
-    let forces = network.forces();
-    let busy = (after.cpu - before.cpu) / took / network.threads() as f64;
-    let mut per_node = per_node(&before, &after, &sample, network.nodes(), took);
-    per_node.peak_bytes = peak;
-    per_node.memory = Some(network.memory()?);
-    let expected = played.changes * network.running().len();
+    let propagation = network.take_propagation_times();
+    let mut per_node = per_node(&before, &after, &sample, network.node_count(), seconds);
+    per_node.peak_bytes = peak_bytes;
+    per_node.memory = Some(network.memory_per_node()?);
+    let expected_bans = applied.bans * network.running_nodes().len();
     let run = Run {
-        name: name.to_owned(),
+        name: window.name.to_owned(),
         source: Source::HollowNodes,
         size: Size {
-            changes: rates.changes,
-            restarts: rates.restarts,
-            ..*size
+            changes: window.rates.changes,
+            restarts: window.rates.restarts,
+            ..*window.size
         },
-        seconds: took,
+        seconds,
         per_node,
-        in_force: times(&forces.bans),
+        in_force: distribution(&propagation.bans),
         requests: None,
         read_bytes: None,
         played: None,
     };
-    let missing = expected.saturating_sub(forces.bans.len());
-    Ok(Measured {
+    Ok(WindowResult {
         run,
-        lists_in_force: times(&forces.lines),
-        played,
-        busy,
-        missing,
+        list_propagation: distribution(&propagation.list_updates),
+        applied,
+        utilization: (after.cpu - before.cpu) / seconds / network.thread_count() as f64,
+        missing_bans: expected_bans.saturating_sub(propagation.bans.len()),
     })
 }
 
+/// Applies the changes of a window at their times, and returns at its end.
+async fn apply_changes(
+    network: &Network,
+    window: &Window<'_>,
+    on_restart: &dyn Fn(usize),
+) -> AppliedChanges {
+    let mut rng = Draw(window.seed);
+    let discovery = network.state.discovery.clone();
+    let started = network.state.now();
+    let mut applied = AppliedChanges::default();
+    let servers = discovery.server_count();
+    for scheduled in schedule(window.rates, window.seconds, servers, &mut rng) {
+        let due = network.state.instant(started + scheduled.at);
+        tokio::time::sleep_until(due.into()).await;
+        match scheduled.event {
+            Event::Ban => applied.bans += usize::from(ban_at_random_node(network, &mut rng)),
+            Event::ServerFails(server) => discovery.fail_server(server),
+            Event::ServerRestarted(server) => {
+                discovery.complete_restart(server, network.state.now_us());
+                on_restart(server);
+                applied.restarts += 1;
+            }
+        }
+    }
+    let end = network.state.instant(started + window.seconds);
+    tokio::time::sleep_until(end.into()).await;
+    applied
+}
+
+/// Whether there was a node that runs.
+fn ban_at_random_node(network: &Network, rng: &mut Draw) -> bool {
+    let running = network.running_nodes();
+    let chosen = rng.number() as usize % running.len().max(1);
+    let Some(node) = running.get(chosen) else {
+        return false;
+    };
+    network.ban(*node, BAN_DURATION);
+    true
+}
+
 /// The distribution of some times; `None` if there are none.
-pub fn times(all: &[f64]) -> Option<Times> {
-    let mut sorted = all.to_vec();
+pub fn distribution(times: &[f64]) -> Option<Times> {
+    let mut sorted = times.to_vec();
     sorted.sort_by(f64::total_cmp);
     let last = *sorted.last()?;
     Some(Times {
@@ -219,20 +195,24 @@
     })
 }
 
-/// The smallest of sorted values that so large a share does not exceed.
+/// The smallest of sorted values that is not exceeded by this share of them.
 fn quantile(sorted: &[f64], share: f64) -> f64 {
     let rank = (share * sorted.len() as f64).ceil() as usize;
     sorted.get(rank.saturating_sub(1)).copied().unwrap_or(0.0)
 }
 
-/// Waits until all know all; how long it took, or `None` if that took too long.
-pub async fn until_gathered(network: &Network, beside: usize, most: Duration) -> Option<f64> {
-    let begun = network.shared.now();
-    while !network.gathered(beside) {
-        if network.shared.now() - begun > most.as_secs_f64() {
+/// Waits until all running nodes know each other. Returns the seconds that it took, or `None` after the timeout.
+pub async fn wait_until_converged(
+    network: &Network,
+    external_nodes: usize,
+    timeout: Duration,
+) -> Option<f64> {
+    let started = network.state.now();
+    while !network.has_converged(external_nodes) {
+        if network.state.now() - started > timeout.as_secs_f64() {
             return None;
         }
-        tokio::time::sleep(Duration::from_millis(100)).await;
+        tokio::time::sleep(CONVERGENCE_POLL_INTERVAL).await;
     }
-    Some(network.shared.now() - begun)
+    Some(network.state.now() - started)
 }
--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -634,7 +634,7 @@
         factors: vec![1.0, 2.0, 3.0, 4.0],
         standard_errors: vec![0.1, 0.2, 0.3, 0.4],
     });
-    sweep.left_out("a window");
+    sweep.note_omission("a window");
     write("sweep.json", &sweep);
     let tables = scale_page::tables(folder.path()).unwrap();
     let has = |table: &str, text: &str| {
--- /dev/null
+++ b/crates/capacity/tests/scale/command.rs
@@ -0,0 +1,76 @@
+//! The command line, in processes of the program.
+
+use crate::PROGRAM;
+use reelfall_capacity::scale::record::Record;
+use reelfall_capacity::scale::report::Source;
+use std::path::Path;
+use std::process::{Command, Output};
+
+fn run_scale(args: &[&str]) -> Output {
+    Command::new(PROGRAM)
+        .arg("scale")
+        .args(args)
+        .output()
+        .expect("the rig runs")
+}
+
+fn written(args: &[&str], file: &Path) -> Record {
+    let output = run_scale(&[args, &["--json", &file.display().to_string()]].concat());
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
+    Record::from_json(&std::fs::read_to_string(file).expect("a file")).expect("a record")
+}
+
+#[test]
+fn the_command_reports_what_does_not_fit() {
+    let output = run_scale(&["--nodes", "10000000"]);
+    assert!(!output.status.success());
+    let said = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(
+        said.contains("10000000 hollow nodes need") && said.contains("nodes fit"),
+        "{said}"
+    );
+}
+
+#[test]
+fn an_expired_deadline_gives_a_partial_record_with_notes() {
+    let folder = reelfall_testbed::node::Folder::new().expect("a folder");
+    let single = written(
+        &["--nodes", "12", "--real", "0", "--deadline", "0"],
+        &folder.path().join("single.json"),
+    );
+    assert!(single.partial);
+    assert!(
+        single
+            .notes
+            .iter()
+            .any(|note| note.starts_with("left out: all")),
+        "{:?}",
+        single.notes
+    );
+    assert!(single
+        .report
+        .runs
+        .iter()
+        .all(|run| run.source != Source::HollowNodes));
+    let sweep = written(
+        &["sweep", "--deadline", "0"],
+        &folder.path().join("sweep.json"),
+    );
+    assert!(sweep.partial && sweep.report.runs.is_empty() && sweep.report.slopes.is_empty());
+    let nodes = |note: &String| note.contains("300 nodes: the time is over");
+    assert!(sweep.notes.iter().any(nodes), "{:?}", sweep.notes);
+}
+
+#[test]
+fn the_command_runs_the_smoke_run() {
+    let output = run_scale(&["--smoke"]);
+    let said = String::from_utf8_lossy(&output.stdout).into_owned();
+    assert!(
+        output.status.success() && said.trim_end().ends_with("smoke: pass"),
+        "{said}"
+    );
+}
--- /dev/null
+++ b/crates/capacity/tests/scale/computation.rs
@@ -0,0 +1,97 @@
+//! Single computations, in this process and in processes of their own.
+
+use crate::{PROGRAM, SIZE, TIMEOUT};
+use reelfall_capacity::scale::computation::{self, Computation};
+use reelfall_capacity::scale::computation_process;
+use reelfall_capacity::scale::report::{Size, Source};
+use std::path::Path;
+use std::time::Duration;
+
+#[test]
+fn a_list_of_servers_is_applied_to_the_decision_module() {
+    let of = |servers| {
+        computation::run_once(Computation::ServerList, &Size { servers, ..SIZE }).expect("a cost")
+    };
+    let (few, many) = (of(10), of(200));
+    assert!(few.cpu > 0.0 && many.bytes > 15 * few.bytes);
+    let change = computation::run_once(Computation::ServerChange, &SIZE).expect("a cost");
+    assert!(change.cpu > 0.0 && change.bytes < few.bytes);
+}
+
+#[test]
+fn an_empty_or_rejected_settings_file_is_an_error() {
+    let fault = computation::read_settings("")
+        .expect_err("none")
+        .to_string();
+    assert!(fault.contains("no generator"), "{fault}");
+    let fault = computation::read_settings("[process]\nnodes = 0\n")
+        .expect_err("refused")
+        .to_string();
+    assert!(
+        fault.contains("refused") && fault.contains("mistakes"),
+        "{fault}"
+    );
+}
+
+#[tokio::test]
+async fn a_computation_is_measured_in_a_process_of_its_own() {
+    let run =
+        computation_process::measure(Path::new(PROGRAM), Computation::ServerList, &SIZE, TIMEOUT)
+            .await
+            .expect("a run");
+    assert_eq!(
+        (run.name.as_str(), run.source),
+        ("server-list", Source::Computation)
+    );
+    assert!(run.per_node.cpu > 0.0);
+    let late = computation_process::measure(
+        Path::new(PROGRAM),
+        Computation::ServerList,
+        &SIZE,
+        Duration::ZERO,
+    )
+    .await;
+    assert!(late
+        .expect_err("no time")
+        .to_string()
+        .contains("not done in"));
+    let nobody = Path::new("/nowhere/at/all");
+    assert!(
+        computation_process::measure(nobody, Computation::ServerList, &SIZE, TIMEOUT)
+            .await
+            .is_err()
+    );
+}
+
+#[tokio::test]
+async fn reading_settings_is_measured_in_a_process_of_its_own() {
+    let measured = |size: Size| async move {
+        let run =
+            computation_process::measure(Path::new(PROGRAM), Computation::Settings, &size, TIMEOUT)
+                .await;
+        run.expect("a run")
+    };
+    let few = measured(SIZE).await;
+    let many = measured(Size {
+        services: 200,
+        routes: 4_000,
+        tenants: 40_000,
+        ..SIZE
+    })
+    .await;
+    assert_eq!((few.name.as_str(), few.size), ("settings", SIZE));
+    let length = computation::input(Computation::Settings, &SIZE).len() as u64;
+    assert_eq!(few.read_bytes, Some(length));
+    assert!(
+        many.read_bytes > Some(100 * length),
+        "{:?}",
+        many.read_bytes
+    );
+    assert!(many.per_node.cpu > few.per_node.cpu);
+    // The tables of 40,000 tenants and 4,000 routes are megabytes.
+    let (few, many) = (
+        few.per_node.memory.expect("memory"),
+        many.per_node.memory.expect("memory"),
+    );
+    assert!(many > few + 4e6, "{few} {many}");
+}
--- a/crates/capacity/tests/scale_fit.rs
+++ b/crates/capacity/tests/scale_fit.rs
@@ -1,9 +1,10 @@
 //! The statistics of scale runs on data whose answers are known.
 
-use reelfall_capacity::scale::fit::{bend, least_squares, projection, residuals, slope, t_bound};
-use reelfall_capacity::scale::record::slope_text;
+use reelfall_capacity::scale::fit::{bend, projection, residuals, slope, t_bound, Point};
+use reelfall_capacity::scale::least_squares::least_squares;
+use reelfall_capacity::scale::record_text::slope_text;
 use reelfall_capacity::scale::report::{Axis, Run, Size, Slope, Source};
-use reelfall_capacity::scale::{lines, plot, report::PerNode, report::Traffic, sweep};
+use reelfall_capacity::scale::{lines, plot, report::PerNode, report::Traffic, sweep, sweep_fit};
 
 /// The first two of Anscombe's data sets ("Graphs in Statistical Analysis", 1973): one line, and in the second a curve.
 const X: [f64; 11] = [10.0, 8.0, 13.0, 9.0, 11.0, 14.0, 6.0, 4.0, 12.0, 7.0, 5.0];
@@ -14,16 +15,23 @@
     9.14, 8.14, 8.74, 8.77, 9.26, 8.10, 6.13, 3.10, 9.13, 7.26, 4.74,
 ];
 
-fn points(y: &[f64; 11]) -> Vec<(f64, f64)> {
-    X.into_iter().zip(y.iter().copied()).collect()
+fn points(figures: &[f64; 11]) -> Vec<(f64, f64)> {
+    X.into_iter().zip(figures.iter().copied()).collect()
 }
 
-fn near(a: f64, b: f64, by: f64) {
-    assert!((a - b).abs() <= by, "{a} is not {b}");
+fn sweep_points(points: &[(f64, f64)]) -> Vec<Point> {
+    points.iter().map(|(x, y)| Point { x: *x, y: *y }).collect()
+}
+
+fn near(value: f64, expected: f64, tolerance: f64) {
+    assert!(
+        (value - expected).abs() <= tolerance,
+        "{value} is not {expected}"
+    );
 }
 
 fn line(points: &[(f64, f64)]) -> Slope {
-    slope(Axis::Nodes, "figure", points).expect("a line")
+    slope(Axis::Nodes, "figure", &sweep_points(points)).expect("a line")
 }
 
 #[test]
@@ -41,7 +49,7 @@
     let (scattered, curved) = (points(&SCATTERED), points(&CURVED));
     assert!(!line(&scattered).bent);
     assert!(line(&curved).bent);
-    let bend = bend(&curved).expect("enough points");
+    let bend = bend(&sweep_points(&curved)).expect("enough points");
     // The quadratic term is negative, and far beyond its bound.
     assert!(bend.t < -100.0, "{}", bend.t);
     near(bend.bound, 2.306, 1e-9);
@@ -90,7 +98,7 @@
             )
         })
         .collect();
-    let bend = bend(&noisy).expect("enough points");
+    let bend = bend(&sweep_points(&noisy)).expect("enough points");
     assert!(!bend.bent && bend.t.abs() < bend.bound, "{bend:?}");
 }
 
@@ -107,24 +115,24 @@
 #[test]
 fn a_projection_grows_in_error_with_its_distance_and_passes_through_the_mean() {
     let line = line(&points(&SCATTERED));
-    let (at_mean, error) = projection(&line, 9.0).expect("no bend");
-    near(at_mean, 7.50, 0.01);
-    near(error, 0.0, 1e-9);
-    let (far, error) = projection(&line, 109.0).expect("no bend");
-    near(far, at_mean + 100.0 * line.slope, 1e-9);
-    near(error, 100.0 * line.standard_error, 1e-9);
+    let mean = projection(&line, 9.0).expect("no bend");
+    near(mean.figure, 7.50, 0.01);
+    near(mean.standard_error, 0.0, 1e-9);
+    let far = projection(&line, 109.0).expect("no bend");
+    near(far.figure, mean.figure + 100.0 * line.slope, 1e-9);
+    near(far.standard_error, 100.0 * line.standard_error, 1e-9);
 }
 
 #[test]
 fn a_line_holds_its_residuals_its_bend_and_what_it_says_of_the_target() {
     let straight = line(&points(&SCATTERED));
     assert_eq!(straight.residuals, residuals(&straight));
-    assert_eq!(straight.bend, bend(&straight.points));
-    let (figure, error) = projection(&straight, Size::TARGET.nodes as f64).expect("no bend");
-    let there = straight.projection.expect("no bend");
+    assert_eq!(straight.bend, bend(&sweep_points(&straight.points)));
+    let expected = projection(&straight, Size::TARGET.nodes as f64).expect("no bend");
+    let target = straight.projection.expect("no bend");
     assert_eq!(
-        (there.at, there.figure, there.standard_error),
-        (6_000.0, figure, error)
+        (target.at, target.figure, target.standard_error),
+        (6_000.0, expected.figure, expected.standard_error)
     );
     let bent = line(&points(&CURVED));
     assert!(bent.bent && bent.bend.is_some_and(|bend| bend.bent && bend.t < -100.0));
@@ -170,7 +178,7 @@
         .map(|(x, y)| 7.0 + 2.0 * x - 3.0 * y + 0.5 * x * y)
         .collect();
     let fit = least_squares(&rows, &figures).expect("enough points");
-    for (factor, expected) in fit.factors.iter().zip([7.0, 2.0, -3.0, 0.5]) {
+    for (factor, expected) in fit.coefficients.iter().zip([7.0, 2.0, -3.0, 0.5]) {
         near(*factor, expected, 1e-8);
     }
     assert!(fit.residuals.iter().all(|r| r.abs() < 1e-8));
@@ -219,13 +227,13 @@
         .flat_map(|n| [10, 20, 40].map(|r| (n, r)));
     let runs: Vec<Run> = sizes.map(of).collect();
     let axes = (Axis::Nodes, Axis::Restarts);
-    let product = sweep::product(axes, "bytes", bytes, &runs).expect("enough runs");
+    let product = sweep_fit::product(axes.0, axes.1, "bytes", bytes, &runs).expect("enough runs");
     assert_eq!(product.axes, axes);
     near(product.factors[0], 11.0, 1e-8);
     near(product.factors[3], 0.25, 1e-10);
     assert_eq!(product.points.len(), 9);
     // As many runs as terms leave no error to state.
-    assert!(sweep::product(axes, "bytes", bytes, &runs[..4]).is_none());
+    assert!(sweep_fit::product(axes.0, axes.1, "bytes", bytes, &runs[..4]).is_none());
 }
 
 #[test]
@@ -242,7 +250,7 @@
         name: "few".to_owned(),
         ..run(n, 0, 1.0)
     }));
-    let lines = lines::through(&runs);
+    let lines = lines::lines_through(&runs);
     assert_eq!(lines.len(), 1, "{lines:?}");
     assert_eq!(
         lines[0].figure,
@@ -252,21 +260,26 @@
     let text = serde_json::json!({
         "schema": 1, "commit": "0", "seed": 1, "cores": 8, "runs": runs, "slopes": [], "further": { "field": 7 },
     });
-    let added = lines::added(&text.to_string()).expect("a report");
+    let added = lines::with_lines(&text.to_string()).expect("a report");
     let mut read: serde_json::Value = serde_json::from_str(&added).expect("JSON");
     let slopes: Vec<Slope> = serde_json::from_value(read["slopes"].clone()).expect("lines");
     assert_eq!((slopes.len(), slopes[0].bent), (1, false));
     read["slopes"] = serde_json::json!([]);
     assert_eq!(read, text);
-    assert!(lines::added(&text.to_string().replace("\"schema\":1", "\"schema\":2")).is_err());
+    assert!(lines::with_lines(&text.to_string().replace("\"schema\":1", "\"schema\":2")).is_err());
 }
 
 #[test]
 fn no_line_is_drawn_through_too_few_points_or_one_place() {
-    assert!(slope(Axis::Nodes, "few", &[(1.0, 1.0), (2.0, 2.0), (3.0, 2.5)]).is_none());
+    assert!(slope(
+        Axis::Nodes,
+        "few",
+        &sweep_points(&[(1.0, 1.0), (2.0, 2.0), (3.0, 2.5)])
+    )
+    .is_none());
     assert!(slope(Axis::Nodes, "none", &[]).is_none());
     let one_place: Vec<(f64, f64)> = (0..5).map(|n| (3.0, f64::from(n))).collect();
-    assert!(slope(Axis::Nodes, "one place", &one_place).is_none());
+    assert!(slope(Axis::Nodes, "one place", &sweep_points(&one_place)).is_none());
 }
 
 #[test]
@@ -287,7 +300,7 @@
     let mut slopes = vec![line(&points(&SCATTERED)), line(&points(&CURVED))];
     slopes[0].figure = "control traffic, B/s".to_owned();
     slopes[1].axis = Axis::Restarts;
-    plot::all(&slopes, folder.path()).expect("plots");
+    plot::write_plots(&slopes, folder.path()).expect("plots");
     assert_eq!(plot::file_name(&slopes[0]), "nodes-control-traffic-b-s.svg");
     for (slope, marked) in slopes.iter().zip([false, true]) {
         let svg =
