--- a/crates/capacity/src/budget/scale_page.rs
+++ b/crates/capacity/src/budget/scale_page.rs
@@ -7,7 +7,7 @@
 use super::table::{amount, markdown, plain, Unit};
 use super::Fault;
 use crate::scale::computation::Computation;
-use crate::scale::record::{Product, Record};
+use crate::scale::record::{AxisPair, InteractionFit, Record};
 use crate::scale::report::{Run, Slope, Source};
 use crate::scale::{fit, plot};
 use std::collections::BTreeMap;
@@ -102,7 +102,7 @@
     let products = reports
         .sweep
         .as_ref()
-        .map_or(&[][..], |(_, record)| &record.products);
+        .map_or(&[][..], |(_, record)| &record.interactions);
     Ok(BTreeMap::from([
         ("reports", reports_table(&reports)),
         ("one-node", one_node(&reports.singles)),
@@ -176,7 +176,7 @@
             .iter()
             .filter_map(|note| note.strip_prefix("left out: "))
             .collect();
-        let left_out = if record.partial {
+        let left_out = if record.is_partial {
             left_out.join("; ")
         } else {
             "nothing".to_owned()
@@ -349,14 +349,17 @@
     markdown(&head, &rows)
 }
 
-fn products_table(products: &[Product]) -> String {
-    let row = |product: &Product| {
-        let (one, other) = product.axes;
+fn products_table(products: &[InteractionFit]) -> String {
+    let row = |product: &InteractionFit| {
+        let AxisPair {
+            first: one,
+            second: other,
+        } = product.axes;
         let mut cells = vec![
             format!("{one:?}, {other:?}").to_lowercase(),
             product.figure.clone(),
         ];
-        let terms = product.factors.iter().zip(&product.standard_errors);
+        let terms = product.coefficients.iter().zip(&product.standard_errors);
         cells.extend(terms.map(|(factor, error)| format!("{factor:.3e} ({error:.1e})")));
         cells
     };
--- a/crates/capacity/src/budget/scale_page/cells.rs
+++ b/crates/capacity/src/budget/scale_page/cells.rs
@@ -1,7 +1,7 @@
 //! Cells of the tables: figures of the runs of one report.
 
 use crate::budget::table::{amount, Unit};
-use crate::scale::record::{Added, Record};
+use crate::scale::record::{AddedLatency, Record};
 use crate::scale::report::{RequestTimes, Run, Source, Times, Traffic};
 
 /// What is said where nothing was measured.
@@ -109,7 +109,7 @@
 /// Times until lines of lists were taken in, in the windows under changes.
 pub(super) fn list_lines(record: &Record, at: fn(&Times) -> f64) -> String {
     let lists = record
-        .lists_in_force
+        .list_propagation
         .iter()
         .filter(|lists| lists.run == "changes");
     range(lists.map(|lists| at(&lists.times)), Unit::Seconds)
@@ -118,7 +118,7 @@
 /// How busy the threads were in the windows of a name.
 pub(super) fn busy(record: &Record, name: &str) -> String {
     let shares = record
-        .busy
+        .utilizations
         .iter()
         .filter(|busy| busy.run == name)
         .map(|busy| busy.share * 100.0);
@@ -132,7 +132,7 @@
 /// How long it took after something until all knew all.
 pub(super) fn gathered(record: &Record, after: &str) -> String {
     match record
-        .gathered
+        .convergences
         .iter()
         .find(|gathered| gathered.after == after)
         .map(|gathered| gathered.seconds)
@@ -154,9 +154,9 @@
 }
 
 /// What changes added to times of requests, round by round.
-pub(super) fn added(record: &Record, of: fn(&Added) -> f64) -> String {
+pub(super) fn added(record: &Record, of: fn(&AddedLatency) -> f64) -> String {
     let rounds: Vec<String> = record
-        .added
+        .added_latencies
         .iter()
         .map(|added| format!("{:+.2} ms", of(added) * 1e3))
         .collect();
--- a/crates/capacity/src/scale/faults.rs
+++ b/crates/capacity/src/scale/faults.rs
@@ -3,7 +3,7 @@
 use super::fleet_state::{NodeState, ZONES, ZONES_PER_REGION};
 use super::limits::Deadline;
 use super::network::Network;
-use super::record::{Gathered, Record};
+use super::record::{Convergence, Record};
 use super::report::Size;
 use super::schedule::Rates;
 use super::window::{measure, wait_until_converged, Window, WindowResult};
@@ -247,7 +247,7 @@
 }
 
 fn record_convergence(record: &mut Record, name: &str, seconds: Option<f64>) {
-    record.gathered.push(Gathered {
+    record.convergences.push(Convergence {
         after: name.to_owned(),
         seconds,
     });
--- a/crates/capacity/src/scale/record.rs
+++ b/crates/capacity/src/scale/record.rs
@@ -10,24 +10,75 @@
 use std::path::Path;
 use std::process::Command;
 
+/// Two axes; in JSON an array of both.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(Axis, Axis)", into = "(Axis, Axis)")]
+pub struct AxisPair {
+    /// The first axis.
+    pub first: Axis,
+    /// The second axis.
+    pub second: Axis,
+}
+
+impl From<(Axis, Axis)> for AxisPair {
+    fn from((first, second): (Axis, Axis)) -> AxisPair {
+        AxisPair { first, second }
+    }
+}
+
+impl From<AxisPair> for (Axis, Axis) {
+    fn from(pair: AxisPair) -> (Axis, Axis) {
+        (pair.first, pair.second)
+    }
+}
+
+/// A point of a fit by two axes; in JSON an array of all three.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(f64, f64, f64)", into = "(f64, f64, f64)")]
+pub struct InteractionPoint {
+    /// The size on the first axis.
+    pub first: f64,
+    /// The size on the second axis.
+    pub second: f64,
+    /// The figure.
+    pub figure: f64,
+}
+
+impl From<(f64, f64, f64)> for InteractionPoint {
+    fn from((first, second, figure): (f64, f64, f64)) -> InteractionPoint {
+        InteractionPoint {
+            first,
+            second,
+            figure,
+        }
+    }
+}
+
+impl From<InteractionPoint> for (f64, f64, f64) {
+    fn from(point: InteractionPoint) -> (f64, f64, f64) {
+        (point.first, point.second, point.figure)
+    }
+}
+
 /// A fit of a figure by two axes: `figure = constant + a x + b y + product x y`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Product {
+pub struct InteractionFit {
     /// The two axes.
-    pub axes: (Axis, Axis),
+    pub axes: AxisPair,
     /// The figure, with its unit.
     pub figure: String,
-    /// Sizes on both axes and the figure there.
-    pub points: Vec<(f64, f64, f64)>,
-    /// The coefficients: constant, the first axis, the second one, their product.
-    pub factors: Vec<f64>,
+    /// The points.
+    pub points: Vec<InteractionPoint>,
+    /// Constant, the first axis, the second one, their product.
+    #[serde(rename = "factors")]
+    pub coefficients: Vec<f64>,
     /// The standard error of each.
     pub standard_errors: Vec<f64>,
 }
 
 /// Propagation times of list updates, in one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ListsInForce {
+pub struct ListPropagation {
     /// The run.
     pub run: String,
     /// The times.
@@ -36,7 +87,7 @@
 
 /// Time until all running nodes knew each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Gathered {
+pub struct Convergence {
     /// The event before: the start, or a fault scenario.
     pub after: String,
     /// Seconds; `None` after a timeout.
@@ -45,7 +96,7 @@
 
 /// What changes added to response times in one round.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Added {
+pub struct AddedLatency {
     /// Difference of the medians, in seconds.
     pub p50: f64,
     /// Difference of the 99th percentiles, in seconds.
@@ -54,7 +105,7 @@
 
 /// Utilization of the threads that drive simulated nodes, in one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Busy {
+pub struct Utilization {
     /// The run.
     pub run: String,
     /// The share of their time that they worked.
@@ -68,23 +119,23 @@
     #[serde(flatten)]
     pub report: Report,
     /// Fits by two axes.
-    #[serde(default)]
-    pub products: Vec<Product>,
+    #[serde(default, rename = "products")]
+    pub interactions: Vec<InteractionFit>,
     /// Propagation times of list updates, by run.
-    #[serde(default)]
-    pub lists_in_force: Vec<ListsInForce>,
+    #[serde(default, rename = "lists_in_force")]
+    pub list_propagation: Vec<ListPropagation>,
     /// Convergence times.
-    #[serde(default)]
-    pub gathered: Vec<Gathered>,
+    #[serde(default, rename = "gathered")]
+    pub convergences: Vec<Convergence>,
     /// What changes added to response times, by round.
-    #[serde(default)]
-    pub added: Vec<Added>,
+    #[serde(default, rename = "added")]
+    pub added_latencies: Vec<AddedLatency>,
     /// Utilization of the threads, by run.
-    #[serde(default)]
-    pub busy: Vec<Busy>,
+    #[serde(default, rename = "busy")]
+    pub utilizations: Vec<Utilization>,
     /// Whether the run omitted a part.
-    #[serde(default)]
-    pub partial: bool,
+    #[serde(default, rename = "partial")]
+    pub is_partial: bool,
     /// What was omitted, and how the figures came about.
     #[serde(default)]
     pub notes: Vec<String>,
@@ -109,12 +160,12 @@
         };
         Record {
             report,
-            products: Vec::new(),
-            lists_in_force: Vec::new(),
-            gathered: Vec::new(),
-            added: Vec::new(),
-            busy: Vec::new(),
-            partial: false,
+            interactions: Vec::new(),
+            list_propagation: Vec::new(),
+            convergences: Vec::new(),
+            added_latencies: Vec::new(),
+            utilizations: Vec::new(),
+            is_partial: false,
             notes: Vec::new(),
         }
     }
@@ -123,12 +174,12 @@
     pub fn merge(&mut self, other: Record) {
         self.report.runs.extend(other.report.runs);
         self.report.slopes.extend(other.report.slopes);
-        self.products.extend(other.products);
-        self.lists_in_force.extend(other.lists_in_force);
-        self.gathered.extend(other.gathered);
-        self.added.extend(other.added);
-        self.busy.extend(other.busy);
-        self.partial |= other.partial;
+        self.interactions.extend(other.interactions);
+        self.list_propagation.extend(other.list_propagation);
+        self.convergences.extend(other.convergences);
+        self.added_latencies.extend(other.added_latencies);
+        self.utilizations.extend(other.utilizations);
+        self.is_partial |= other.is_partial;
         self.notes.extend(other.notes);
     }
 
@@ -141,7 +192,7 @@
 
     /// Notes the omission of a part: the record is partial.
     pub fn note_omission(&mut self, part: impl Into<String>) {
-        self.partial = true;
+        self.is_partial = true;
         self.note(format!("left out: {}", part.into()));
     }
 
--- a/crates/capacity/src/scale/request_rounds.rs
+++ b/crates/capacity/src/scale/request_rounds.rs
@@ -3,7 +3,7 @@
 
 use super::network::Network;
 use super::real::{request_times, RealNodes};
-use super::record::{Added, Record};
+use super::record::{AddedLatency, Record};
 use super::report::Run;
 use super::schedule::Rates;
 use super::single::Plan;
@@ -100,7 +100,7 @@
             last_quantile(&self.under_changes, quantile) - last_quantile(&self.at_rest, quantile)
         };
         let (p50, p99) = (added_us(0.5), added_us(0.99));
-        record.added.push(Added {
+        record.added_latencies.push(AddedLatency {
             p50: p50 / MICROSECONDS,
             p99: p99 / MICROSECONDS,
         });
--- a/crates/capacity/src/scale/single.rs
+++ b/crates/capacity/src/scale/single.rs
@@ -9,7 +9,7 @@
 use super::machine;
 use super::network::Network;
 use super::real::{RealNodes, MAX_LISTED_SERVERS};
-use super::record::{Gathered, Record};
+use super::record::{Convergence, Record};
 use super::report::Size;
 use super::request_rounds;
 use super::sampler::SAMPLING_INTERVAL;
@@ -123,7 +123,7 @@
 ) -> bool {
     let timeout = START_TIMEOUT.min(plan.deadline.remaining());
     let seconds = wait_until_converged(network, real.count(), timeout).await;
-    record.gathered.push(Gathered {
+    record.convergences.push(Convergence {
         after: "start".to_owned(),
         seconds,
     });
--- a/crates/capacity/src/scale/sweep.rs
+++ b/crates/capacity/src/scale/sweep.rs
@@ -7,10 +7,10 @@
     SETTINGS_FIGURES,
 };
 use super::limits::Deadline;
-use super::record::Record;
+use super::record::{AxisPair, Record};
 use super::report::{Axis, Run, Size};
 use super::schedule::Rates;
-use super::sweep_fit::{add_lines, add_products};
+use super::sweep_fit::{add_interactions, add_lines};
 use super::{computation_process, fleet, machine};
 use reelfall_testbed::Result;
 use std::path::PathBuf;
@@ -185,9 +185,11 @@
         .flat_map(sizes_of)
         .collect();
     let runs = run_computations(plan, Computation::Settings, &sizes, record).await;
-    add_products(
-        Axis::Services,
-        Axis::Routes,
+    add_interactions(
+        AxisPair {
+            first: Axis::Services,
+            second: Axis::Routes,
+        },
         &runs,
         &SETTINGS_FIGURES,
         "settings: ",
@@ -252,9 +254,11 @@
     let by_changes = select(&|size| size.nodes == BASE.nodes && size.restarts == BASE.restarts);
     add_lines(Axis::Changes, &by_changes, &NETWORK_FIGURES, "", record);
     let by_both = select(&|size| INTERACTION_NODES.contains(&size.nodes));
-    add_products(
-        Axis::Nodes,
-        Axis::Restarts,
+    add_interactions(
+        AxisPair {
+            first: Axis::Nodes,
+            second: Axis::Restarts,
+        },
         &by_both,
         &INTERACTION_FIGURES,
         "",
--- a/crates/capacity/src/scale/sweep_fit.rs
+++ b/crates/capacity/src/scale/sweep_fit.rs
@@ -3,7 +3,7 @@
 use super::figure::Figure;
 use super::fit::{self, Point};
 use super::least_squares::least_squares;
-use super::record::{Product, Record};
+use super::record::{AxisPair, InteractionFit, InteractionPoint, Record};
 use super::report::{Axis, Run};
 
 /// Adds a line through each figure of runs along an axis.
@@ -35,9 +35,8 @@
 }
 
 /// Adds a fit of each figure by two axes and their product.
-pub fn add_products(
-    first: Axis,
-    second: Axis,
+pub fn add_interactions(
+    axes: AxisPair,
     runs: &[Run],
     figures: &[Figure],
     prefix: &str,
@@ -45,45 +44,52 @@
 ) {
     for figure in figures {
         let name = format!("{prefix}{}", figure.name);
-        match product(first, second, &name, figure.value, runs) {
-            Some(product) => {
-                print_product(&product);
-                record.products.push(product);
+        match interaction(axes, &name, figure.value, runs) {
+            Some(fit) => {
+                print_interaction(&fit);
+                record.interactions.push(fit);
             }
-            None => record.note_omission(format!("{first:?} and {second:?} together: {name}")),
+            None => record.note_omission(format!(
+                "{:?} and {:?} together: {name}",
+                axes.first, axes.second
+            )),
         }
     }
 }
 
 /// A figure by two axes and their product; `None` if the runs do not determine it and its errors.
-pub fn product(
-    first: Axis,
-    second: Axis,
+pub fn interaction(
+    axes: AxisPair,
     name: &str,
     value: fn(&Run) -> Option<f64>,
     runs: &[Run],
-) -> Option<Product> {
+) -> Option<InteractionFit> {
     let at = |run: &Run, axis: Axis| run.size.get(axis) as f64;
-    let point = |run: &Run| Some((at(run, first), at(run, second), value(run)?));
-    let points: Vec<(f64, f64, f64)> = runs.iter().filter_map(point).collect();
-    let rows: Vec<Vec<f64>> = points
-        .iter()
-        .map(|(first, second, _)| vec![1.0, *first, *second, first * second])
-        .collect();
-    let figures: Vec<f64> = points.iter().map(|(_, _, figure)| *figure).collect();
+    let point = |run: &Run| {
+        value(run).map(|figure| InteractionPoint {
+            first: at(run, axes.first),
+            second: at(run, axes.second),
+            figure,
+        })
+    };
+    let points: Vec<InteractionPoint> = runs.iter().filter_map(point).collect();
+    let terms =
+        |point: &InteractionPoint| vec![1.0, point.first, point.second, point.first * point.second];
+    let rows: Vec<Vec<f64>> = points.iter().map(terms).collect();
+    let figures: Vec<f64> = points.iter().map(|point| point.figure).collect();
     let fit = least_squares(&rows, &figures)
         .filter(|fit| fit.standard_errors.iter().all(|error| error.is_finite()))?;
-    Some(Product {
-        axes: (first, second),
+    Some(InteractionFit {
+        axes,
         figure: name.to_owned(),
         points,
-        factors: fit.coefficients,
+        coefficients: fit.coefficients,
         standard_errors: fit.standard_errors,
     })
 }
 
-fn print_product(product: &Product) {
-    let (first, second) = product.axes;
+fn print_interaction(fit: &InteractionFit) {
+    let AxisPair { first, second } = fit.axes;
     let terms = [
         "constant".to_owned(),
         format!("{first:?}"),
@@ -92,12 +98,14 @@
     ];
     let parts: Vec<String> = terms
         .iter()
-        .zip(product.factors.iter().zip(&product.standard_errors))
-        .map(|(term, (factor, error))| format!("{term} {factor:.3e} (standard error {error:.1e})"))
+        .zip(fit.coefficients.iter().zip(&fit.standard_errors))
+        .map(|(term, (coefficient, error))| {
+            format!("{term} {coefficient:.3e} (standard error {error:.1e})")
+        })
         .collect();
     println!(
         "{first:?} and {second:?} together, {}: {}",
-        product.figure,
+        fit.figure,
         parts.join(", ")
     );
 }
--- a/crates/capacity/src/scale/window.rs
+++ b/crates/capacity/src/scale/window.rs
@@ -3,7 +3,7 @@
 
 use super::counters::per_node;
 use super::network::Network;
-use super::record::{Busy, ListsInForce, Record};
+use super::record::{ListPropagation, Record, Utilization};
 use super::report::{Run, Size, Source, Times};
 use super::schedule::{schedule, Event, Rates};
 use reelfall_testbed::{Draw, Result};
@@ -74,14 +74,14 @@
                  alone"
             ));
         }
-        record.busy.push(Busy {
+        record.utilizations.push(Utilization {
             run: name.clone(),
             share: self.utilization,
         });
         if let Some(times) = self.list_propagation {
             record
-                .lists_in_force
-                .push(ListsInForce { run: name, times });
+                .list_propagation
+                .push(ListPropagation { run: name, times });
         }
         record.add(self.run);
     }
--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -7,7 +7,7 @@
 use reelfall_capacity::budget::{
     moments, page, pages, ranking, scale_page, tables, Fault, Page, INPUTS, PAGE,
 };
-use reelfall_capacity::scale::record::{Busy, Gathered, Product, Record};
+use reelfall_capacity::scale::record::{Convergence, InteractionFit, Record, Utilization};
 use reelfall_capacity::scale::report::{
     self, Axis, Bend, PerNode, Projection, Report, Run, Size, Slope, Source, Times, Traffic,
 };
@@ -610,11 +610,11 @@
     single.report = report(false);
     single.report.slopes.clear();
     single.report.runs[0].name = "quiet".to_owned();
-    single.gathered.push(Gathered {
+    single.convergences.push(Convergence {
         after: "start".to_owned(),
         seconds: Some(4.7),
     });
-    single.busy.push(Busy {
+    single.utilizations.push(Utilization {
         run: "quiet".to_owned(),
         share: 0.625,
     });
@@ -627,11 +627,11 @@
     settings.source = Source::Computation;
     settings.read_bytes = Some(45_500_000);
     sweep.report.runs.push(settings);
-    sweep.products.push(Product {
-        axes: (Axis::Services, Axis::Routes),
+    sweep.interactions.push(InteractionFit {
+        axes: (Axis::Services, Axis::Routes).into(),
         figure: "length, B".to_owned(),
         points: Vec::new(),
-        factors: vec![1.0, 2.0, 3.0, 4.0],
+        coefficients: vec![1.0, 2.0, 3.0, 4.0],
         standard_errors: vec![0.1, 0.2, 0.3, 0.4],
     });
     sweep.note_omission("a window");
--- a/crates/capacity/tests/scale/command.rs
+++ b/crates/capacity/tests/scale/command.rs
@@ -42,7 +42,7 @@
         &["--nodes", "12", "--real", "0", "--deadline", "0"],
         &folder.path().join("single.json"),
     );
-    assert!(single.partial);
+    assert!(single.is_partial);
     assert!(
         single
             .notes
@@ -60,7 +60,7 @@
         &["sweep", "--deadline", "0"],
         &folder.path().join("sweep.json"),
     );
-    assert!(sweep.partial && sweep.report.runs.is_empty() && sweep.report.slopes.is_empty());
+    assert!(sweep.is_partial && sweep.report.runs.is_empty() && sweep.report.slopes.is_empty());
     let nodes = |note: &String| note.contains("300 nodes: the time is over");
     assert!(sweep.notes.iter().any(nodes), "{:?}", sweep.notes);
 }
--- a/crates/capacity/tests/scale/record.rs
+++ b/crates/capacity/tests/scale/record.rs
@@ -1,6 +1,9 @@
 //! The JSON form of a record.
 
-use reelfall_capacity::scale::record::{Added, Busy, Gathered, ListsInForce, Product, Record};
+use reelfall_capacity::scale::record::{
+    AddedLatency, AxisPair, Convergence, InteractionFit, InteractionPoint, ListPropagation, Record,
+    Utilization,
+};
 use reelfall_capacity::scale::report::{
     Axis, Bend, PerNode, Projection, Report, RequestTimes, Run, Size, Slope, Source, Times, Traffic,
 };
@@ -57,34 +60,41 @@
             standard_error: 12.5,
         }),
     };
-    let product = Product {
-        axes: (Axis::Nodes, Axis::Restarts),
+    let interaction = InteractionFit {
+        axes: AxisPair {
+            first: Axis::Nodes,
+            second: Axis::Restarts,
+        },
         figure: "bytes".to_owned(),
-        points: vec![(1.0, 2.0, 3.0)],
-        factors: vec![1.0, 2.0, 3.0, 4.0],
+        points: vec![InteractionPoint {
+            first: 1.0,
+            second: 2.0,
+            figure: 3.0,
+        }],
+        coefficients: vec![1.0, 2.0, 3.0, 4.0],
         standard_errors: vec![0.1, 0.2, 0.3, 0.4],
     };
     let mut record = Record::new(u64::MAX);
     record.report.runs.push(run);
     record.report.slopes.push(slope);
-    record.products.push(product);
-    record.lists_in_force.push(ListsInForce {
+    record.interactions.push(interaction);
+    record.list_propagation.push(ListPropagation {
         run: "changes".to_owned(),
         times: some,
     });
-    record.gathered.push(Gathered {
+    record.convergences.push(Convergence {
         after: "start".to_owned(),
         seconds: Some(4.5),
     });
-    record.gathered.push(Gathered {
+    record.convergences.push(Convergence {
         after: "region-cut".to_owned(),
         seconds: None,
     });
-    record.added.push(Added {
+    record.added_latencies.push(AddedLatency {
         p50: 0.25,
         p99: -0.5,
     });
-    record.busy.push(Busy {
+    record.utilizations.push(Utilization {
         run: "quiet".to_owned(),
         share: 0.5,
     });
@@ -98,7 +108,7 @@
     let text = record.to_json().expect("a text");
     assert_eq!(Record::from_json(&text).expect("a record"), record);
     assert!(
-        record.partial
+        record.is_partial
             && record
                 .notes
                 .iter()
@@ -115,7 +125,7 @@
     let alone = serde_json::to_string(&report).expect("a text");
     let read = Record::from_json(&alone).expect("a record");
     assert_eq!(
-        (read.report, read.partial, read.notes.len()),
+        (read.report, read.is_partial, read.notes.len()),
         (record.report, false, 0)
     );
 }
--- a/crates/capacity/tests/scale/sweep.rs
+++ b/crates/capacity/tests/scale/sweep.rs
@@ -24,7 +24,7 @@
     let record = fleet::run_in_process(Path::new(PROGRAM), &plan, Deadline::after(TIMEOUT))
         .await
         .expect("a record");
-    assert!(!record.partial, "{:?}", record.notes);
+    assert!(!record.is_partial, "{:?}", record.notes);
     let runs = &record.report.runs;
     assert_eq!(
         runs.iter()
@@ -64,7 +64,7 @@
         fleet::run_in_process(Path::new(PROGRAM), &plan, Deadline::after(Duration::ZERO)).await;
     let record = record.expect("a record");
     assert!(
-        record.partial && record.report.runs.is_empty(),
+        record.is_partial && record.report.runs.is_empty(),
         "{:?}",
         record.notes
     );
--- a/crates/capacity/tests/scale_fit.rs
+++ b/crates/capacity/tests/scale_fit.rs
@@ -2,6 +2,7 @@
 
 use reelfall_capacity::scale::fit::{bend, projection, residuals, slope, t_bound, Point};
 use reelfall_capacity::scale::least_squares::least_squares;
+use reelfall_capacity::scale::record::AxisPair;
 use reelfall_capacity::scale::record_text::slope_text;
 use reelfall_capacity::scale::report::{Axis, Run, Size, Slope, Source};
 use reelfall_capacity::scale::{lines, plot, report::PerNode, report::Traffic, sweep, sweep_fit};
@@ -226,14 +227,17 @@
         .into_iter()
         .flat_map(|n| [10, 20, 40].map(|r| (n, r)));
     let runs: Vec<Run> = sizes.map(of).collect();
-    let axes = (Axis::Nodes, Axis::Restarts);
-    let product = sweep_fit::product(axes.0, axes.1, "bytes", bytes, &runs).expect("enough runs");
-    assert_eq!(product.axes, axes);
-    near(product.factors[0], 11.0, 1e-8);
-    near(product.factors[3], 0.25, 1e-10);
-    assert_eq!(product.points.len(), 9);
+    let axes = AxisPair {
+        first: Axis::Nodes,
+        second: Axis::Restarts,
+    };
+    let interaction = sweep_fit::interaction(axes, "bytes", bytes, &runs).expect("enough runs");
+    assert_eq!(interaction.axes, axes);
+    near(interaction.coefficients[0], 11.0, 1e-8);
+    near(interaction.coefficients[3], 0.25, 1e-10);
+    assert_eq!(interaction.points.len(), 9);
     // As many runs as terms leave no error to state.
-    assert!(sweep_fit::product(axes.0, axes.1, "bytes", bytes, &runs[..4]).is_none());
+    assert!(sweep_fit::interaction(axes, "bytes", bytes, &runs[..4]).is_none());
 }
 
 #[test]
