--- a/crates/capacity/tests/scale/command.rs
+++ b/crates/capacity/tests/scale/command.rs
@@ -28,10 +28,10 @@
 fn the_command_reports_what_does_not_fit() {
     let output = run_scale(&["--nodes", "10000000"]);
     assert!(!output.status.success());
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
+    let message = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        said.contains("10000000 hollow nodes need") && said.contains("nodes fit"),
-        "{said}"
+        message.contains("10000000 hollow nodes need") && message.contains("nodes fit"),
+        "{message}"
     );
 }
 
@@ -68,9 +68,9 @@
 #[test]
 fn the_command_runs_the_smoke_run() {
     let output = run_scale(&["--smoke"]);
-    let said = String::from_utf8_lossy(&output.stdout).into_owned();
+    let message = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(
-        output.status.success() && said.trim_end().ends_with("smoke: pass"),
-        "{said}"
+        output.status.success() && message.trim_end().ends_with("smoke: pass"),
+        "{message}"
     );
 }
--- a/crates/capacity/tests/scale/computation.rs
+++ b/crates/capacity/tests/scale/computation.rs
@@ -20,16 +20,16 @@
 
 #[test]
 fn an_empty_or_rejected_settings_file_is_an_error() {
-    let fault = computation::read_settings("")
+    let error = computation::read_settings("")
         .expect_err("none")
         .to_string();
-    assert!(fault.contains("no generator"), "{fault}");
-    let fault = computation::read_settings("[process]\nnodes = 0\n")
+    assert!(error.contains("no generator"), "{error}");
+    let error = computation::read_settings("[process]\nnodes = 0\n")
         .expect_err("refused")
         .to_string();
     assert!(
-        fault.contains("refused") && fault.contains("mistakes"),
-        "{fault}"
+        error.contains("refused") && error.contains("mistakes"),
+        "{error}"
     );
 }
 
--- a/crates/capacity/tests/scale/limits.rs
+++ b/crates/capacity/tests/scale/limits.rs
@@ -31,7 +31,7 @@
         ),
         Ok(())
     );
-    let fault = small
+    let error = small
         .check(
             &Size {
                 nodes: 6_000,
@@ -41,7 +41,7 @@
         )
         .expect_err("too many");
     assert_eq!(
-        fault,
+        error,
         TooLarge::Sockets {
             nodes: 6_000,
             needed: 6_512,
@@ -49,10 +49,10 @@
             fits
         }
     );
-    let said = fault.to_string();
+    let message = error.to_string();
     assert!(
-        said.contains("6512 open files") && said.contains("512 nodes fit"),
-        "{said}"
+        message.contains("6512 open files") && message.contains("512 nodes fit"),
+        "{message}"
     );
     assert_eq!(
         Machine {
@@ -79,7 +79,7 @@
         ),
         Ok(())
     );
-    let fault = MACHINE
+    let error = MACHINE
         .check(
             &Size {
                 nodes: fits + 1,
@@ -89,20 +89,20 @@
         )
         .expect_err("too many");
     assert!(
-        matches!(fault, TooLarge::Memory { fits: f, half_mib: 12288, .. } if f == fits),
-        "{fault}"
+        matches!(error, TooLarge::Memory { fits: f, half_mib: 12288, .. } if f == fits),
+        "{error}"
     );
 }
 
 #[test]
 fn too_few_nodes_and_too_many_processes_are_rejected() {
-    let fault = MACHINE
+    let error = MACHINE
         .check(&Size { nodes: 1, ..SIZE }, 5)
         .expect_err("too few");
-    assert!(matches!(fault, TooLarge::TooFew { nodes: 1, .. }));
-    let fault = MACHINE.check(&SIZE, 300).expect_err("too many");
+    assert!(matches!(error, TooLarge::TooFew { nodes: 1, .. }));
+    let error = MACHINE.check(&SIZE, 300).expect_err("too many");
     assert_eq!(
-        fault,
+        error,
         TooLarge::Processes {
             requested: 300,
             fits: 290
--- a/crates/capacity/tests/scale/record.rs
+++ b/crates/capacity/tests/scale/record.rs
@@ -8,12 +8,13 @@
     Axis, Bend, PerNode, Projection, Report, RequestTimes, Run, Size, Slope, Source, Times, Traffic,
 };
 
-fn record() -> Record {
-    let some = Times {
-        p50: 0.1,
-        p99: 0.25,
-        last: 1.5,
-    };
+const TIMES: Times = Times {
+    p50: 0.1,
+    p99: 0.25,
+    last: 1.5,
+};
+
+fn run() -> Run {
     let traffic = Traffic {
         kind: "membership".to_owned(),
         bytes_in: 1.5,
@@ -21,7 +22,7 @@
         messages_in: 0.1,
         messages_out: 0.2,
     };
-    let run = Run {
+    Run {
         name: "quiet".to_owned(),
         source: Source::HollowNodes,
         size: Size::TARGET,
@@ -32,15 +33,18 @@
             cpu: 0.0012,
             memory: Some(3e6),
         },
-        in_force: Some(some),
+        in_force: Some(TIMES),
         requests: Some(RequestTimes {
-            at_rest: some,
-            under_changes: some,
+            at_rest: TIMES,
+            under_changes: TIMES,
         }),
         read_bytes: Some(4096),
         played: None,
-    };
-    let slope = Slope {
+    }
+}
+
+fn slope() -> Slope {
+    Slope {
         axis: Axis::Restarts,
         figure: "bytes".to_owned(),
         points: vec![(1.0, 2.5), (2.0, 3.0)],
@@ -59,8 +63,11 @@
             figure: 7_500.5,
             standard_error: 12.5,
         }),
-    };
-    let interaction = InteractionFit {
+    }
+}
+
+fn interaction() -> InteractionFit {
+    InteractionFit {
         axes: AxisPair {
             first: Axis::Nodes,
             second: Axis::Restarts,
@@ -73,14 +80,18 @@
         }],
         coefficients: vec![1.0, 2.0, 3.0, 4.0],
         standard_errors: vec![0.1, 0.2, 0.3, 0.4],
-    };
+    }
+}
+
+/// A record that has every part.
+fn record() -> Record {
     let mut record = Record::new(u64::MAX);
-    record.report.runs.push(run);
-    record.report.slopes.push(slope);
-    record.interactions.push(interaction);
+    record.report.runs.push(run());
+    record.report.slopes.push(slope());
+    record.interactions.push(interaction());
     record.list_propagation.push(ListPropagation {
         run: "changes".to_owned(),
-        times: some,
+        times: TIMES,
     });
     record.convergences.push(Convergence {
         after: "start".to_owned(),
@@ -135,10 +146,10 @@
     let text = record().to_json().expect("a text");
     let other = text.replacen("\"schema\": 1", "\"schema\": 2", 1);
     assert_ne!(text, other);
-    let fault = Record::from_json(&other)
+    let error = Record::from_json(&other)
         .expect_err("another schema")
         .to_string();
-    assert!(fault.contains("schema 2"), "{fault}");
+    assert!(error.contains("schema 2"), "{error}");
     for text in ["", "{}", "[]", "{\"schema\":1}", "{\"schema\":\"1\"}"] {
         assert!(Record::from_json(text).is_err(), "{text}");
     }
