--- a/crates/capacity/src/budget/scale_page/cells.rs
+++ b/crates/capacity/src/budget/scale_page/cells.rs
@@ -2,7 +2,7 @@
 
 use crate::budget::markdown::NOT_MEASURED;
 use crate::budget::units::{amount, Unit};
-use crate::scale::record::{Added, Record};
+use crate::scale::record::{AddedLatency, Record};
 use crate::scale::report::{RequestTimes, Run, Source, Times, Traffic};
 
 /// The kind of traffic that reports faulty servers.
@@ -114,7 +114,7 @@
 /// A quantile of the times until changes of lists were in force under changes.
 pub(super) fn list_change_times(record: &Record, quantile: fn(&Times) -> f64) -> String {
     let lists = record
-        .lists_in_force
+        .list_propagation
         .iter()
         .filter(|lists| lists.run == CHANGES_RUN);
     range(lists.map(|lists| quantile(&lists.times)), Unit::Seconds)
@@ -123,7 +123,7 @@
 /// How busy the threads were in the runs of a name.
 pub(super) fn thread_utilization(record: &Record, name: &str) -> String {
     let percentages = record
-        .busy
+        .utilizations
         .iter()
         .filter(|busy| busy.run == name)
         .map(|busy| busy.share * 100.0);
@@ -137,7 +137,7 @@
 /// How long after an event all nodes knew all members.
 pub(super) fn convergence_time(record: &Record, event: &str) -> String {
     let recorded = record
-        .gathered
+        .convergences
         .iter()
         .find(|gathered| gathered.after == event);
     match recorded.map(|gathered| gathered.seconds) {
@@ -159,9 +159,9 @@
 }
 
 /// What changes added to times of requests, round by round.
-pub(super) fn added_latency(record: &Record, quantile: fn(&Added) -> f64) -> String {
+pub(super) fn added_latency(record: &Record, quantile: fn(&AddedLatency) -> f64) -> String {
     let rounds: Vec<String> = record
-        .added
+        .added_latencies
         .iter()
         .map(|added| format!("{:+.2} ms", quantile(added) * 1e3))
         .collect();
--- a/crates/capacity/src/budget/scale_page/mod.rs
+++ b/crates/capacity/src/budget/scale_page/mod.rs
@@ -80,7 +80,7 @@
     let singles = &reports.singles;
     let sweep = reports.sweep.as_ref().map(|sweep| &sweep.record);
     let slopes = sweep.map_or(&[][..], |record| &record.report.slopes);
-    let products = sweep.map_or(&[][..], |record| &record.products);
+    let products = sweep.map_or(&[][..], |record| &record.interactions);
     let settings = [Computation::Settings];
     let lists = [Computation::ServerList, Computation::ServerChange];
     Ok(Tables::from([
@@ -115,7 +115,7 @@
 
 /// The parts of a report that were left out.
 fn left_out(record: &Record) -> String {
-    if !record.partial {
+    if !record.is_partial {
         return "nothing".to_owned();
     }
     let parts: Vec<&str> = record
--- a/crates/capacity/src/budget/scale_page/sweep_tables.rs
+++ b/crates/capacity/src/budget/scale_page/sweep_tables.rs
@@ -6,7 +6,7 @@
 use crate::budget::measurements::not_projected;
 use crate::budget::units::{amount, plain, Unit};
 use crate::scale::computation::Computation;
-use crate::scale::record::Product;
+use crate::scale::record::{AxisPair, InteractionFit};
 use crate::scale::report::{Run, Slope, Source};
 use crate::scale::{fit, plot};
 
@@ -26,7 +26,10 @@
 }
 
 fn line_cells(slope: &Slope) -> Vec<String> {
-    let (smallest, largest) = fit::range(slope.points.iter().map(|(size, _)| *size));
+    let fit::Extent {
+        min: smallest,
+        max: largest,
+    } = fit::Extent::of(slope.points.iter().map(|(size, _)| *size));
     let axis = format!("{:?}", slope.axis).to_lowercase();
     let bend = slope.bend.map_or(NOT_MEASURED.to_owned(), |bend| {
         format!("{:.2}, bound {:.2}", bend.t, bend.bound)
@@ -60,7 +63,7 @@
 }
 
 /// How figures depend on two axes together.
-pub(super) fn products(products: &[Product]) -> String {
+pub(super) fn products(products: &[InteractionFit]) -> String {
     let header = [
         "axes",
         "figure",
@@ -73,13 +76,13 @@
     markdown::table(&header, &rows)
 }
 
-fn product_cells(product: &Product) -> Vec<String> {
-    let (first, second) = product.axes;
+fn product_cells(product: &InteractionFit) -> Vec<String> {
+    let AxisPair { first, second } = product.axes;
     let mut cells = vec![
         format!("{first:?}, {second:?}").to_lowercase(),
         product.figure.clone(),
     ];
-    let terms = product.factors.iter().zip(&product.standard_errors);
+    let terms = product.coefficients.iter().zip(&product.standard_errors);
     cells.extend(terms.map(|(factor, error)| format!("{factor:.3e} ({error:.1e})")));
     cells
 }
--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -11,7 +11,7 @@
     capacity_tables, page, pages, ranking, scale_page, worst_cases, Error, Page, CAPACITY_PAGE,
     INPUTS,
 };
-use reelfall_capacity::scale::record::{Busy, Gathered, Product, Record};
+use reelfall_capacity::scale::record::{Convergence, InteractionFit, Record, Utilization};
 use reelfall_capacity::scale::report::{
     self, Axis, Bend, PerNode, Projection, Report, Run, Size, Slope, Source, Times, Traffic,
 };
@@ -666,11 +666,11 @@
     single.report = report(false);
     single.report.slopes.clear();
     single.report.runs[0].name = "quiet".to_owned();
-    single.gathered.push(Gathered {
+    single.convergences.push(Convergence {
         after: "start".to_owned(),
         seconds: Some(4.7),
     });
-    single.busy.push(Busy {
+    single.utilizations.push(Utilization {
         run: "quiet".to_owned(),
         share: 0.625,
     });
@@ -683,14 +683,14 @@
     settings.source = Source::Computation;
     settings.read_bytes = Some(45_500_000);
     sweep.report.runs.push(settings);
-    sweep.products.push(Product {
-        axes: (Axis::Services, Axis::Routes),
+    sweep.interactions.push(InteractionFit {
+        axes: (Axis::Services, Axis::Routes).into(),
         figure: "length, B".to_owned(),
         points: Vec::new(),
-        factors: vec![1.0, 2.0, 3.0, 4.0],
+        coefficients: vec![1.0, 2.0, 3.0, 4.0],
         standard_errors: vec![0.1, 0.2, 0.3, 0.4],
     });
-    sweep.left_out("a window");
+    sweep.note_omission("a window");
     write("sweep.json", &sweep);
     let tables = scale_page::tables(folder.path()).unwrap();
     let has = |table: &str, text: &str| {
