--- a/crates/capacity/src/budget/mechanism.rs
+++ b/crates/capacity/src/budget/mechanism.rs
@@ -5,7 +5,7 @@
 use super::table::{amount, markdown, plain, times, Unit};
 use super::Fault;
 use crate::scale::report::{JudgedBy, Played, Report, Run, Size, Times};
-use reelfall_emulator::control::account::LONG_SPAN;
+use reelfall_emulator::control::account::LONG_WINDOW;
 use std::path::Path;
 
 /// The reports of plays, from the root of the repository.
@@ -13,8 +13,8 @@
     "docs/measurements/scale/virtual.json",
     "docs/measurements/scale/partial.json",
 ];
-/// Bytes that a node may take and send within any [`LONG_SPAN`].
-pub const BURST: f64 = budget::TRAFFIC * LONG_SPAN;
+/// Bytes that a node may take and send within any [`LONG_WINDOW`].
+pub const BURST: f64 = budget::TRAFFIC * LONG_WINDOW;
 /// What the names of runs begin with that tell what a machine holds in memory.
 pub const HELD: &str = "configuration held: ";
 
@@ -78,7 +78,7 @@
                     "{} times over {} kB in {} s",
                     times(factor),
                     plain(BURST / 1e3),
-                    plain(LONG_SPAN)
+                    plain(LONG_WINDOW)
                 )
             }
         }
--- a/crates/emulator/examples/scale/control.rs
+++ b/crates/emulator/examples/scale/control.rs
@@ -1,38 +1,40 @@
-//! Distribution of configuration over the target's control machines, and beside it what whole copies would cost.
+//! Scenarios of the distribution of configuration over the target's control machines, and beside them what full snapshots
+//! would cost.
 
-use super::report::{print, resident, thread_cpu};
-use super::Output;
+use super::error::ScaleError;
+use super::report::{print, resident_memory, thread_cpu};
+use super::{baseline, Output};
 use clap::Args;
 use reelfall_distribution::DRIFT;
 use reelfall_emulator::control::account::Usage;
-use reelfall_emulator::control::baseline::{Contents, InForce, WholeCopies, DAY};
-use reelfall_emulator::control::check::BUDGET;
-use reelfall_emulator::control::plays::{self, Outcome};
+use reelfall_emulator::control::baseline::SECONDS_PER_DAY;
 use reelfall_emulator::control::report::{PerNode, Played, Run, Size, Source};
+use reelfall_emulator::control::scenarios::{self, Outcome};
 use reelfall_emulator::control::sizes::Sizes;
 use reelfall_emulator::control::times::Times;
 use reelfall_emulator::control::topology::Scope;
 use reelfall_emulator::control::world::{links, Ages, World};
 
-/// Configuration changes of a day.
-const CHANGES_A_DAY: usize = 13_000;
-/// Restarts of servers a second, where a day's 18,000 fall within two hours.
-const RESTARTS: f64 = 18_000.0 / 7_200.0;
-/// Times between two whole lists that a node asks for, in seconds.
-const LISTS_EVERY: f64 = 60.0;
-/// A region that holds more nodes than a quarter of them.
+/// Configuration changes per day.
+pub const CHANGES_PER_DAY: usize = 13_000;
+/// Restarts of servers per second, if a day's 18,000 are within two hours.
+const RESTARTS_PER_SECOND: f64 = 18_000.0 / 7_200.0;
+/// A region with more than a quarter of the nodes.
 const REGION: u16 = 0;
 /// A zone of that region.
 const ZONE: u16 = 1;
 /// A region without the author that holds the lease.
 const FAR_REGION: u16 = 3;
-/// Nodes that meet tenants, spread over all of them.
-const MEETING_NODES: usize = 60;
-/// Tenants are met for so long, in seconds.
-const MEETING_SECONDS: f64 = 10.0;
-/// Requests a second at each node of the target: 1,700,000 over 6,000 nodes. Were all of tenants not met before, so many
-/// would wait.
-const REQUESTS: f64 = 283.0;
+/// Number of nodes that receive requests of tenants, spread over all nodes.
+const TENANT_NODES: usize = 60;
+/// How long requests of tenants arrive, in seconds.
+const TENANT_SECONDS: f64 = 10.0;
+/// Requests per second at each node of the target: 1,700,000 over 6,000 nodes. If all were first requests of tenants, this
+/// many would wait.
+const REQUESTS_PER_SECOND: f64 = 283.0;
+
+/// Number of violations that are printed for a scenario.
+const PRINTED_VIOLATIONS: usize = 5;
 
 #[derive(Args)]
 pub struct Arguments {
@@ -87,7 +89,7 @@
         }
     }
 
-    /// What is unlike in this system, for the names of its runs.
+    /// How this system differs from the default, for the names of its runs.
     fn variant(&self) -> String {
         let mut variant = String::new();
         if self.routes + self.tenants > 0 {
@@ -100,9 +102,9 @@
     }
 }
 
-pub fn play(arguments: &Arguments) -> Result<(), String> {
+pub fn run_scenarios(arguments: &Arguments) -> Result<(), ScaleError> {
     let sizes = arguments.sizes();
-    let before = resident();
+    let before = resident_memory();
     let drift = if arguments.drift { DRIFT } else { 0.0 };
     let mut world = World::with_drift(sizes, links(), arguments.output.seed, drift)?;
     println!(
@@ -112,70 +114,91 @@
     );
     world.ages = arguments.drift.then(Ages::default);
     world.network.measure_cpu(thread_cpu);
-    let control_memory = (resident() - before) / world.layout.control().count() as f64;
-    let loaded = resident();
-    let start = plays::start_all(&mut world);
-    let memory = (resident() - loaded) / f64::from(arguments.nodes);
+    let control_memory =
+        (resident_memory() - before) / world.layout.control_machines().count() as f64;
+    let loaded = resident_memory();
+    let start = scenarios::start_all(&mut world);
+    let memory = (resident_memory() - loaded) / f64::from(arguments.nodes);
     println!(
         "memory, with what stands for the disks: {:.1} MB a control machine, {:.3} MB a node",
         control_memory / 1e6,
         memory / 1e6
     );
-    let to_run = |outcome: &Outcome| run(outcome, arguments, memory, control_memory);
-    let mut runs = vec![to_run(&start)];
-    report(&start, &runs[0]);
+    let run_of = |outcome: &Outcome| run(outcome, arguments, memory, control_memory);
+    let mut runs = vec![run_of(&start)];
+    print_outcome(&start, &runs[0]);
     for name in &arguments.plays {
-        let outcome = play_one(&mut world, name, arguments)?;
-        let run = to_run(&outcome);
-        report(&outcome, &run);
+        let outcome = run_scenario(&mut world, name, arguments)?;
+        let run = run_of(&outcome);
+        print_outcome(&outcome, &run);
         runs.push(run);
     }
     println!("not delivered: {:?}", world.network.undelivered());
     if sizes == Sizes::TARGET {
-        runs.extend(whole_copies(sizes));
+        runs.extend(baseline::runs(sizes));
     }
     arguments.output.write(runs)
 }
 
-fn play_one(world: &mut World, name: &str, arguments: &Arguments) -> Result<Outcome, String> {
-    let rate = CHANGES_A_DAY as f64 / DAY;
+fn run_scenario(
+    world: &mut World,
+    name: &str,
+    arguments: &Arguments,
+) -> Result<Outcome, ScaleError> {
+    let rate = CHANGES_PER_DAY as f64 / SECONDS_PER_DAY;
     let seconds = arguments.seconds;
     Ok(match name {
-        "day" => plays::steady(world, "the day's rate", rate, seconds),
-        "ten-days" => plays::steady(world, "ten times the day's rate", 10.0 * rate, seconds),
-        "burst" => plays::burst(world, 500),
-        "one-resource" => plays::one_resource(world, 500),
-        "restarts" => plays::restarts(world, RESTARTS, seconds),
-        "region" => plays::region_starts(world, REGION),
+        "day" => scenarios::steady_changes(world, "the day's rate", rate, seconds),
+        "ten-days" => {
+            scenarios::steady_changes(world, "ten times the day's rate", 10.0 * rate, seconds)
+        }
+        "burst" => scenarios::burst(world, 500),
+        "one-resource" => scenarios::changes_of_one_resource(world, 500),
+        "restarts" => scenarios::server_restarts(world, RESTARTS_PER_SECOND, seconds),
+        "region" => scenarios::region_cold_start(world, REGION),
         "relay" => {
             let lost = [world.layout.relays()[0]];
-            plays::control_lost(world, "a relay lost", &lost, rate, seconds)
+            scenarios::control_machines_lost(world, "a relay lost", &lost, rate, seconds)
         }
         "half" => {
-            let lost = half(world);
+            let lost = half_of_control_machines(world);
             let name = format!(
                 "{} of the {} control machines lost, the author among them",
                 lost.len(),
-                world.layout.control().count()
+                world.layout.control_machines().count()
             );
-            plays::control_lost(world, &name, &lost, rate, seconds)
+            scenarios::control_machines_lost(world, &name, &lost, rate, seconds)
         }
-        "apart" => plays::region_apart(world, FAR_REGION, rate, arguments.apart),
-        "author" => plays::author_apart(world, rate, seconds),
-        "back" => plays::taken_back(world, 10.0),
-        "rack" => plays::nodes_lost(world, "a rack", Scope::Rack(ZONE, 0), rate, seconds),
-        "zone" => plays::nodes_lost(world, "a zone", Scope::Zone(ZONE), rate, seconds),
-        "import" => plays::import(world, 500, 4.0),
-        "tenants-1" => plays::tenants_met(world, &meeting(world), 1.0, MEETING_SECONDS),
-        "tenants-10" => plays::tenants_met(world, &meeting(world), 10.0, MEETING_SECONDS),
-        "tenants-all" => plays::tenants_met(world, &meeting(world), REQUESTS, MEETING_SECONDS),
-        _ => return Err(format!("there is no play {name}")),
+        "apart" => scenarios::region_partitioned(world, FAR_REGION, rate, arguments.apart),
+        "author" => scenarios::author_partitioned(world, rate, seconds),
+        "back" => scenarios::change_reverted(world, 10.0),
+        "rack" => scenarios::nodes_lost(
+            world,
+            "a rack",
+            Scope::Rack {
+                zone: ZONE,
+                rack: 0,
+            },
+            rate,
+            seconds,
+        ),
+        "zone" => scenarios::nodes_lost(world, "a zone", Scope::Zone(ZONE), rate, seconds),
+        "import" => scenarios::republish_tenants(world, 500, 4.0),
+        "tenants-1" => scenarios::new_tenants(world, &tenant_nodes(world), 1.0, TENANT_SECONDS),
+        "tenants-10" => scenarios::new_tenants(world, &tenant_nodes(world), 10.0, TENANT_SECONDS),
+        "tenants-all" => scenarios::new_tenants(
+            world,
+            &tenant_nodes(world),
+            REQUESTS_PER_SECOND,
+            TENANT_SECONDS,
+        ),
+        _ => return Err(ScaleError::UnknownScenario(name.to_owned())),
     })
 }
 
-/// Every other control machine, with the author that writes.
-fn half(world: &World) -> Vec<u32> {
-    let all: Vec<u32> = world.layout.control().collect();
+/// Every other control machine, with the author that holds the lease.
+fn half_of_control_machines(world: &World) -> Vec<u32> {
+    let all: Vec<u32> = world.layout.control_machines().collect();
     let others = all
         .iter()
         .copied()
@@ -184,20 +207,20 @@
     world.leader().into_iter().chain(others).collect()
 }
 
-/// Nodes that meet tenants.
-fn meeting(world: &World) -> Vec<u32> {
+/// Nodes that receive requests of tenants.
+fn tenant_nodes(world: &World) -> Vec<u32> {
     let nodes = world.layout.nodes();
-    let step = (nodes.len() / MEETING_NODES).max(1);
-    nodes.step_by(step).take(MEETING_NODES).collect()
+    let step = (nodes.len() / TENANT_NODES).max(1);
+    nodes.step_by(step).take(TENANT_NODES).collect()
 }
 
-fn size(sizes: Sizes) -> Size {
+pub fn size(sizes: Sizes) -> Size {
     Size {
         nodes: sizes.nodes as usize,
         services: sizes.services as usize,
         routes: sizes.routes as usize,
         tenants: sizes.tenants as usize,
-        changes: CHANGES_A_DAY,
+        changes: CHANGES_PER_DAY,
         ..Size::default()
     }
 }
@@ -210,15 +233,15 @@
         size: size(arguments.sizes()),
         seconds: outcome.seconds,
         per_node: PerNode::of("configuration", &outcome.nodes, Some(memory)),
-        in_force: outcome.in_force,
+        in_force: outcome.apply_times,
         requests: None,
         read_bytes: None,
         played: Some(Played::of(title, outcome, control_memory)),
     }
 }
 
-fn report(outcome: &Outcome, run: &Run) {
-    print(run, outcome.nodes.long_most);
+fn print_outcome(outcome: &Outcome, run: &Run) {
+    print(run, outcome.nodes.long_window_max);
     let Usage {
         bytes_in,
         bytes_out,
@@ -229,88 +252,17 @@
         "    control machines: in {bytes_in:.0} B/s, out {bytes_out:.0} B/s, cpu {:.2} %; {} of the changes' nodes without them; faults {}",
         cpu * 100.0,
         outcome.missing,
-        outcome.faults_seen,
+        outcome.violation_count,
     );
-    if let Some(Times { p50, p99, last }) = outcome.caught_up {
+    if let Some(Times { p50, p99, last }) = outcome.catch_up_times {
         println!("    had all again: p50 {p50:.2} p99 {p99:.2} last {last:.2} s");
     }
     if let Some(ages) = outcome.ages {
         println!("    ages: {ages:?}");
     }
     outcome
-        .faults
+        .violations
         .iter()
-        .take(5)
-        .for_each(|fault| println!("    {fault}"));
-}
-
-/// What whole copies need at the target, and of what is played here; by formulas.
-fn whole_copies(sizes: Sizes) -> Vec<Run> {
-    let played = Contents {
-        servers: 0,
-        services: sizes.services as usize,
-        routes: 0,
-        tenants: 0,
-    };
-    println!("whole copies, by formulas:");
-    let mut runs = Vec::new();
-    for (name, contents) in [("target", Contents::TARGET), ("services alone", played)] {
-        for (rate_name, times) in [("day's rate", 1.0), ("ten times the day's rate", 10.0)] {
-            let changes = times * CHANGES_A_DAY as f64 / DAY;
-            let copies = WholeCopies {
-                contents,
-                changes,
-                lists_every: LISTS_EVERY,
-                budget: BUDGET,
-            };
-            let without_lists = WholeCopies {
-                lists_every: f64::INFINITY,
-                ..copies
-            };
-            println!(
-                "    {name}, {rate_name}: {:.1} MB a change, {:.0} B/s a node; in force {:?}, with the newest file alone and no lists {:?}",
-                copies.bytes_of_one_change() / 1e6,
-                copies.demand(),
-                copies.in_force(),
-                without_lists.in_force_coalesced(),
-            );
-            let in_force = match without_lists.in_force_coalesced() {
-                InForce::Within { least, most } => Some(Times {
-                    p50: (least + most) / 2.0,
-                    p99: most,
-                    last: most,
-                }),
-                InForce::Never => None,
-            };
-            let Contents {
-                servers,
-                services,
-                routes,
-                tenants,
-            } = contents;
-            let size = Size {
-                servers,
-                services,
-                routes,
-                tenants,
-                ..size(sizes)
-            };
-            let usage = Usage {
-                bytes_in: without_lists.demand(),
-                ..Usage::default()
-            };
-            runs.push(Run {
-                name: format!("whole copies of settings, newest alone: {name}, {rate_name}"),
-                source: Source::Computation,
-                size,
-                seconds: 0.0,
-                per_node: PerNode::of("configuration", &usage, None),
-                in_force,
-                requests: None,
-                read_bytes: None,
-                played: None,
-            });
-        }
-    }
-    runs
+        .take(PRINTED_VIOLATIONS)
+        .for_each(|violation| println!("    {violation}"));
 }
--- a/crates/emulator/examples/scale/holdings.rs
+++ b/crates/emulator/examples/scale/holdings.rs
@@ -1,11 +1,12 @@
-//! What an author, a relay and a node hold in memory of all that there is.
+//! The memory that an author, a relay and a node take for all resources of the target.
 
-use super::report::resident;
+use super::error::ScaleError;
+use super::report::resident_memory;
 use super::Output;
 use clap::Args;
 use reelfall_emulator::control::account::Usage;
-use reelfall_emulator::control::holdings::{Holder, Holdings};
 use reelfall_emulator::control::report::{PerNode, Run, Size, Source};
+use reelfall_emulator::control::restored::{MachineRestorer, RestoredMachine};
 use reelfall_emulator::control::sizes::Sizes;
 
 #[derive(Args)]
@@ -23,58 +24,60 @@
     held: Vec<u32>,
 }
 
-pub fn play(arguments: &Arguments) -> Result<(), String> {
+pub fn measure_all(arguments: &Arguments) -> Result<(), ScaleError> {
     let Arguments {
         routes, tenants, ..
     } = *arguments;
-    let holdings = Holdings::new(Sizes {
+    let restorer = MachineRestorer::new(Sizes {
         routes,
         tenants,
         ..Sizes::TARGET
     })?;
-    // Memory is told by what the process grows, so all are kept until the end, from the smallest on.
-    let mut kept = Vec::new();
+    // Memory is measured as the growth of the process, so all machines are retained, from the smallest on.
+    let mut retained = Vec::new();
     let mut runs = Vec::new();
     for held in &arguments.held {
         let name = format!("a node with its 20 services and {held} tenants");
-        runs.push(measure(arguments, &mut kept, name, || holdings.node(*held)));
+        runs.push(measure(arguments, &mut retained, name, || {
+            restorer.node(*held)
+        }));
     }
     runs.push(measure(
         arguments,
-        &mut kept,
+        &mut retained,
         "a node with all services".to_owned(),
-        || holdings.node_of_all_services(),
+        || restorer.node_of_all_services(),
     ));
     runs.push(measure(
         arguments,
-        &mut kept,
+        &mut retained,
         "a relay, without children".to_owned(),
-        || holdings.relay(),
+        || restorer.relay(),
     ));
     runs.push(measure(
         arguments,
-        &mut kept,
+        &mut retained,
         "an author".to_owned(),
-        || holdings.author(),
+        || restorer.author(),
     ));
     arguments.output.write(runs)
 }
 
 fn measure(
     arguments: &Arguments,
-    kept: &mut Vec<Holder>,
+    retained: &mut Vec<RestoredMachine>,
     name: String,
-    make: impl FnOnce() -> Holder,
+    make: impl FnOnce() -> RestoredMachine,
 ) -> Run {
-    let before = resident();
-    let holder = make();
-    let memory = resident() - before;
+    let before = resident_memory();
+    let machine = make();
+    let memory = resident_memory() - before;
     println!(
         "{name}: {} resources, {:.1} MB",
-        holder.resources(),
+        machine.resource_count(),
         memory / 1e6
     );
-    kept.push(holder);
+    retained.push(machine);
     let (routes, tenants) = (arguments.routes as usize, arguments.tenants as usize);
     Run {
         name: format!("configuration held: {name}"),
--- a/crates/emulator/examples/scale/main.rs
+++ b/crates/emulator/examples/scale/main.rs
@@ -1,15 +1,18 @@
 //! What the control side costs each node of a large fleet, in virtual time. Figures are printed, and appended to a
-//! report of the same types as the rig's scale runs.
+//! report of the same types as the scale runs of the capacity package.
 //!
 //! `cargo run --release -p reelfall-emulator --example scale -- members --nodes 1500 --out docs/measurements/scale/virtual.json`
 
+mod baseline;
 mod control;
+mod error;
 mod holdings;
 mod members;
 mod quiet;
 mod report;
 mod tables;
 
+use self::error::ScaleError;
 use clap::{Args, Parser, Subcommand};
 use reelfall_emulator::control::report::Run;
 use std::path::PathBuf;
@@ -18,11 +21,11 @@
 #[derive(Parser)]
 struct Arguments {
     #[command(subcommand)]
-    play: Play,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Play {
+enum Command {
     /// A fleet of nodes that know each other: at rest, and while servers are banned.
     Members(members::Arguments),
     /// A fleet whose nodes have found each other by themselves: at rest, by how long it has been left alone.
@@ -50,14 +53,14 @@
 }
 
 fn main() -> ExitCode {
-    let done = match Arguments::parse().play {
-        Play::Members(arguments) => members::play(&arguments),
-        Play::Quiet(arguments) => quiet::play(&arguments),
-        Play::Control(arguments) => control::play(&arguments),
-        Play::Holdings(arguments) => holdings::play(&arguments),
-        Play::Tables(arguments) => tables::play(&arguments),
+    let result = match Arguments::parse().command {
+        Command::Members(arguments) => members::run_all(&arguments),
+        Command::Quiet(arguments) => quiet::run_windows(&arguments),
+        Command::Control(arguments) => control::run_scenarios(&arguments),
+        Command::Holdings(arguments) => holdings::measure_all(&arguments),
+        Command::Tables(arguments) => tables::measure_all(&arguments),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
@@ -67,8 +70,8 @@
 }
 
 impl Output {
-    /// Appends runs to the report, if there is to be one.
-    fn write(&self, runs: Vec<Run>) -> Result<(), String> {
+    /// Appends runs to the report, if one was asked for.
+    fn write(&self, runs: Vec<Run>) -> Result<(), ScaleError> {
         let Some(path) = &self.out else { return Ok(()) };
         let mut report = report::open(path, &self.commit, self.seed)?;
         report.append(runs);
--- a/crates/emulator/examples/scale/members.rs
+++ b/crates/emulator/examples/scale/members.rs
@@ -1,6 +1,7 @@
-//! A fleet of nodes that know each other: what it costs at rest, and how fast a ban goes round.
+//! A fleet whose nodes know each other: what membership costs at rest, and how fast bans and the loss of a zone are detected.
 
-use super::report::{print, resident, thread_cpu};
+use super::error::ScaleError;
+use super::report::{print, resident_memory, thread_cpu};
 use super::Output;
 use clap::Args;
 use reelfall_emulator::control::links::Links;
@@ -11,10 +12,16 @@
 use reelfall_emulator::control::topology::{Scope, Topology, TARGET_ZONES};
 use std::rc::Rc;
 
-/// What a node that never heard of a ban is counted with, and how long a ban is waited for, in seconds.
-const BAN_WAIT: f64 = 5.0;
-/// How long the end of a zone is waited for, in seconds.
-const ZONE_WAIT: f64 = 120.0;
+/// How long a ban is waited for, in seconds; also the time that counts for a node that has not received it.
+const BAN_TIMEOUT: f64 = 5.0;
+/// How long the loss of a zone may take to be detected, in seconds.
+const DETECTION_TIMEOUT: f64 = 120.0;
+/// All nodes start within this time, in seconds.
+const START_SECONDS: f64 = 1.5;
+/// How long the fleet settles before it is measured, in seconds.
+const SETTLE_SECONDS: f64 = 10.0;
+/// The zone that is lost.
+const LOST_ZONE: u16 = 5;
 
 #[derive(Args)]
 pub struct Arguments {
@@ -37,9 +44,12 @@
     loss: Option<f64>,
 }
 
-pub fn play(arguments: &Arguments) -> Result<(), String> {
-    let (mut network, memory) = fleet(arguments)?;
-    network.run(10.0);
+pub fn run_all(arguments: &Arguments) -> Result<(), ScaleError> {
+    let StartedFleet {
+        mut network,
+        memory,
+    } = start_fleet(arguments)?;
+    network.run(SETTLE_SECONDS);
     let mut runs = vec![
         quiet(&mut network, arguments, memory),
         bans(&mut network, arguments, memory),
@@ -51,8 +61,14 @@
     arguments.output.write(runs)
 }
 
-/// A fleet of which all know all, and the memory of one node.
-fn fleet(arguments: &Arguments) -> Result<(Network<Member>, f64), String> {
+/// A fleet whose nodes know each other.
+struct StartedFleet {
+    network: Network<Member>,
+    /// Memory of one node, in bytes.
+    memory: f64,
+}
+
+fn start_fleet(arguments: &Arguments) -> Result<StartedFleet, ScaleError> {
     let (nodes, seed) = (arguments.nodes, arguments.output.seed);
     let topology = Topology::even(&TARGET_ZONES, nodes as usize);
     let links = arguments
@@ -61,41 +77,46 @@
     let mut network = Network::new(topology, links, seed);
     network.measure_cpu(thread_cpu);
     let roster = Roster::new(nodes, seed);
-    let before = resident();
+    let before = resident_memory();
     for endpoint in 0..nodes {
-        let begins = f64::from(endpoint) / f64::from(nodes);
-        network.start(endpoint, Member::new(endpoint, Rc::clone(&roster), begins));
+        let starts_at = f64::from(endpoint) / f64::from(nodes);
+        let member = Member::new(endpoint, Rc::clone(&roster), starts_at);
+        network.start(endpoint, member);
     }
-    network.run(1.5);
-    let strangers = network
+    network.run(START_SECONDS);
+    let incomplete = network
         .endpoints()
-        .filter(|(_, member)| member.peers() + 1 != nodes as usize)
+        .filter(|(_, member)| member.peer_count() + 1 != nodes as usize)
         .count();
-    if strangers > 0 {
-        return Err(format!("{strangers} nodes don't know all others"));
+    if incomplete > 0 {
+        return Err(ScaleError::IncompleteMembership(incomplete));
     }
-    Ok((network, (resident() - before) / f64::from(nodes)))
+    let memory = (resident_memory() - before) / f64::from(nodes);
+    Ok(StartedFleet { network, memory })
 }
 
-fn downs(network: &Network<Member>) -> u64 {
-    network.endpoints().map(|(_, member)| member.downs()).sum()
+fn declared_dead(network: &Network<Member>) -> u64 {
+    network
+        .endpoints()
+        .map(|(_, member)| member.declared_dead())
+        .sum()
 }
 
-fn unproven(network: &Network<Member>) -> u64 {
+fn unproven_verdicts(network: &Network<Member>) -> u64 {
     network
         .endpoints()
-        .map(|(_, member)| member.unproven())
+        .map(|(_, member)| member.unproven_verdicts())
         .sum()
 }
 
 fn quiet(network: &mut Network<Member>, arguments: &Arguments, memory: f64) -> Run {
-    let before = downs(network);
+    let before = declared_dead(network);
     network.reset_accounts();
     network.run(arguments.quiet);
     println!(
         "at rest for {} s: {} times one was wrongly taken for gone",
         arguments.quiet,
-        downs(network) - before
+        declared_dead(network) - before
     );
     run(
         "membership at rest",
@@ -108,8 +129,8 @@
 }
 
 fn bans(network: &mut Network<Member>, arguments: &Arguments, memory: f64) -> Run {
-    let before = unproven(network);
-    let begun = network.now();
+    let before = unproven_verdicts(network);
+    let started_at = network.now();
     network.reset_accounts();
     let mut times = Vec::new();
     let mut missed = 0;
@@ -119,20 +140,22 @@
         network.with(number * 7 % arguments.nodes, |member, now, sends| {
             member.ban(now, &server, sends)
         });
-        network.run(BAN_WAIT);
-        let heard = network
-            .endpoints()
-            .map(|(_, member)| member.heard_of_ban(&server).map(|heard| heard - at));
-        let heard: Vec<Option<f64>> = heard.collect();
-        missed += heard.iter().filter(|heard| heard.is_none()).count();
-        times.extend(heard.into_iter().map(|heard| heard.unwrap_or(BAN_WAIT)));
+        network.run(BAN_TIMEOUT);
+        let delays = network.endpoints().map(|(_, member)| {
+            member
+                .ban_received_at(&server)
+                .map(|received| received - at)
+        });
+        let delays: Vec<Option<f64>> = delays.collect();
+        missed += delays.iter().filter(|delay| delay.is_none()).count();
+        times.extend(delays.into_iter().map(|delay| delay.unwrap_or(BAN_TIMEOUT)));
     }
     println!(
-        "{} bans: {missed} times a node had not heard of one after {BAN_WAIT} s; {} verdicts left without proof of age",
+        "{} bans: {missed} times a node had not heard of one after {BAN_TIMEOUT} s; {} verdicts left without proof of age",
         arguments.bans,
-        unproven(network) - before,
+        unproven_verdicts(network) - before,
     );
-    let seconds = network.now() - begun;
+    let seconds = network.now() - started_at;
     run(
         "membership with bans",
         network,
@@ -144,17 +167,17 @@
 }
 
 fn zone_lost(network: &mut Network<Member>, arguments: &Arguments, memory: f64) -> Option<Run> {
-    let zone = network.topology().endpoints(Scope::Zone(5));
+    let zone = network.topology().endpoints(Scope::Zone(LOST_ZONE));
     zone.iter()
         .for_each(|endpoint| drop(network.kill(*endpoint)));
-    let left = network.endpoints().count();
+    let remaining = network.endpoints().count();
     network.reset_accounts();
-    let seen = |network: &Network<Member>| {
+    let all_know = |network: &Network<Member>| {
         network
             .endpoints()
-            .all(|(_, member)| member.peers() + 1 == left)
+            .all(|(_, member)| member.peer_count() + 1 == remaining)
     };
-    let took = network.run_until(ZONE_WAIT, 1.0, seen);
+    let took = network.run_until(DETECTION_TIMEOUT, 1.0, all_know);
     println!(
         "a zone of {} nodes ends: all others know after {took:?} s",
         zone.len()
@@ -199,6 +222,6 @@
         read_bytes: None,
         played: None,
     };
-    print(&run, usage.long_most);
+    print(&run, usage.long_window_max);
     run
 }
--- a/crates/emulator/examples/scale/quiet.rs
+++ b/crates/emulator/examples/scale/quiet.rs
@@ -1,7 +1,7 @@
-//! What a fleet costs once its nodes have found each other by themselves and nothing happens, by how long it has been left
-//! alone, and what its datagrams contain.
+//! What a fleet costs at rest whose nodes have discovered each other, by the time since then, and what its datagrams contain.
 
-use super::report::resident;
+use super::error::ScaleError;
+use super::report::resident_memory;
 use super::Output;
 use clap::Args;
 use reelfall_cluster::fleet::Config;
@@ -11,8 +11,8 @@
 use reelfall_emulator::inspect::{Contents, Inspector};
 use reelfall_emulator::together::{rules, secret, World};
 
-/// Joining is waited for so long at most, in seconds.
-const JOIN_WAIT: f64 = 60.0;
+/// How long nodes may take to discover each other, in seconds.
+const JOIN_TIMEOUT: f64 = 60.0;
 
 #[derive(Args)]
 pub struct Arguments {
@@ -29,8 +29,8 @@
     window: f64,
 }
 
-pub fn play(arguments: &Arguments) -> Result<(), String> {
-    let before = resident();
+pub fn run_windows(arguments: &Arguments) -> Result<(), ScaleError> {
+    let before = resident_memory();
     let mut world = join(arguments);
     let joined = world.t;
     println!(
@@ -38,7 +38,7 @@
         arguments.nodes,
         knowledge(&world)
     );
-    let memory = (resident() - before) / arguments.nodes as f64;
+    let memory = (resident_memory() - before) / arguments.nodes as f64;
     let mut runs = Vec::new();
     for settle in &arguments.settle {
         let begin = joined + settle;
@@ -71,7 +71,7 @@
     };
     let mut world = World::new(arguments.nodes, arguments.output.seed, config);
     world.inspector = Some(Inspector::new(secret()));
-    while !world.gathered() && world.t < JOIN_WAIT {
+    while !world.gathered() && world.t < JOIN_TIMEOUT {
         world.run(0.1);
     }
     world
--- a/crates/emulator/examples/scale/report.rs
+++ b/crates/emulator/examples/scale/report.rs
@@ -1,11 +1,12 @@
-//! Reports on the disk, runs on the terminal, and what the system tells of this process.
+//! Reads and writes reports, prints runs, and reads the memory and processor time of this process.
 
+use super::error::ScaleError;
 use reelfall_emulator::control::report::{Report, Run, Traffic, SCHEMA};
 use reelfall_emulator::control::times::Times;
 use std::path::Path;
 
-/// Reads a report, or begins one.
-pub fn open(path: &Path, commit: &str, seed: u64) -> Result<Report, String> {
+/// Reads a report, or starts a new one if there is no file.
+pub fn open(path: &Path, commit: &str, seed: u64) -> Result<Report, ScaleError> {
     if !path.exists() {
         let cores = std::thread::available_parallelism().map_or(1, usize::from);
         let (commit, runs, slopes) = (commit.to_owned(), Vec::new(), Vec::new());
@@ -18,32 +19,37 @@
             slopes,
         });
     }
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let report: Report =
-        serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
+    let text = std::fs::read_to_string(path).map_err(|error| ScaleError::File {
+        path: path.to_owned(),
+        error,
+    })?;
+    let report: Report = serde_json::from_str(&text).map_err(|error| ScaleError::Parse {
+        path: path.to_owned(),
+        error,
+    })?;
     if report.schema != SCHEMA || report.seed != seed || report.commit != commit {
-        return Err(format!(
-            "{}: of another schema, seed or commit",
-            path.display()
-        ));
+        return Err(ScaleError::Mismatch(path.to_owned()));
     }
     Ok(report)
 }
 
 /// Writes a report, a line for each field.
-pub fn save(report: &Report, path: &Path) -> Result<(), String> {
-    let text = serde_json::to_string_pretty(report).map_err(|e| e.to_string())?;
-    std::fs::write(path, text + "\n").map_err(|e| format!("{}: {e}", path.display()))
+pub fn save(report: &Report, path: &Path) -> Result<(), ScaleError> {
+    let text = serde_json::to_string_pretty(report)?;
+    std::fs::write(path, text + "\n").map_err(|error| ScaleError::File {
+        path: path.to_owned(),
+        error,
+    })
 }
 
-/// Prints a run on a line, with the most bytes that a node received and sent within 10 s.
-pub fn print(run: &Run, most_in_10_s: u64) {
-    let none = Times {
+/// Prints a run on a line, with the maximum number of bytes that a node received and sent within 10 s.
+pub fn print(run: &Run, long_window_max: u64) {
+    let not_measured = Times {
         p50: f64::NAN,
         p99: f64::NAN,
         last: f64::NAN,
     };
-    let Times { p50, p99, last } = run.in_force.unwrap_or(none);
+    let Times { p50, p99, last } = run.in_force.unwrap_or(not_measured);
     let traffic = run.per_node.traffic.iter();
     for Traffic {
         bytes_in,
@@ -55,7 +61,7 @@
     {
         println!(
             "{:<28} {:>5} nodes: in {bytes_in:.0} B/s {messages_in:.2}/s, out {bytes_out:.0} B/s {messages_out:.2}/s, most in 1 s {} B, \
-             in 10 s {most_in_10_s} B, cpu {:.4} %, memory {:.1} MB, in force p50 {p50:.2} p99 {p99:.2} last {last:.2} s",
+             in 10 s {long_window_max} B, cpu {:.4} %, memory {:.1} MB, in force p50 {p50:.2} p99 {p99:.2} last {last:.2} s",
             run.name,
             run.size.nodes,
             run.per_node.peak_bytes,
@@ -65,8 +71,8 @@
     }
 }
 
-/// Memory of this process that is in use, in bytes; 0 where the system does not tell.
-pub fn resident() -> f64 {
+/// Resident memory of this process, in bytes; 0 where the system does not state it.
+pub fn resident_memory() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kilobytes = line.and_then(|rest| {
--- a/crates/emulator/examples/scale/tables.rs
+++ b/crates/emulator/examples/scale/tables.rs
@@ -1,15 +1,20 @@
-//! One node's tables of its peers: how much memory they take, and what happens past their bounds.
+//! One node's tables of its peers: the memory that they take, and whether replayed datagrams are accepted past their bounds.
 
-use super::report::{resident, thread_cpu};
+use super::error::ScaleError;
+use super::report::{resident_memory, thread_cpu};
 use super::Output;
 use clap::Args;
 use reelfall_emulator::control::account::Usage;
-use reelfall_emulator::control::membership::{Acquainted, Peers, MAX_REMEMBERED};
+use reelfall_emulator::control::membership::{IsolatedMember, PeerDatagrams, MAX_REMEMBERED};
 use reelfall_emulator::control::report::{PerNode, Run, Size, Source};
 use std::rc::Rc;
 
-/// Nodes over which memory is averaged.
+/// Number of nodes over which memory is averaged.
 const SAMPLES: usize = 8;
+/// How long a node is at rest, in seconds: too short for it to suspect its peers.
+const REST_SECONDS: f64 = 0.9;
+/// How long a node disseminates a ban, in seconds.
+const BAN_SECONDS: f64 = 0.5;
 
 #[derive(Args)]
 pub struct Arguments {
@@ -20,25 +25,25 @@
     peers: Vec<u32>,
 }
 
-pub fn play(arguments: &Arguments) -> Result<(), String> {
+pub fn measure_all(arguments: &Arguments) -> Result<(), ScaleError> {
     println!("clocks and lives of {MAX_REMEMBERED} peers are remembered");
-    let mut kept = Vec::new();
+    let mut retained = Vec::new();
     let mut runs = Vec::new();
     for peers in &arguments.peers {
-        let known = Peers::new(*peers, arguments.output.seed);
-        let before = resident();
-        let begun = kept.len();
-        kept.extend((0..SAMPLES).map(|_| Acquainted::new(Rc::clone(&known))));
-        let memory = (resident() - before) / SAMPLES as f64;
-        let Some(node) = kept.get_mut(begun) else {
+        let datagrams = PeerDatagrams::new(*peers, arguments.output.seed);
+        let before = resident_memory();
+        let first = retained.len();
+        retained.extend((0..SAMPLES).map(|_| IsolatedMember::new(Rc::clone(&datagrams))));
+        let memory = (resident_memory() - before) / SAMPLES as f64;
+        let Some(node) = retained.get_mut(first) else {
             continue;
         };
-        let at_rest = cpu_of(node, 0.9);
+        let at_rest = cpu_of(node, REST_SECONDS);
         node.ban("server-1");
-        let with_a_ban = cpu_of(node, 0.5);
-        let (taken, again) = (node.taken, node.replay());
+        let with_a_ban = cpu_of(node, BAN_SECONDS);
+        let (accepted, replayed) = (node.accepted_datagrams, node.replay());
         println!(
-            "{peers:>5} peers: {:.2} MB a node; its own timers take {:.3} % of a core at rest, {:.3} % while a ban is told; {taken} datagrams taken in, {again} of them again when replayed",
+            "{peers:>5} peers: {:.2} MB a node; its own timers take {:.3} % of a core at rest, {:.3} % while a ban is told; {accepted} datagrams taken in, {replayed} of them again when replayed",
             memory / 1e6,
             at_rest * 100.0,
             with_a_ban * 100.0,
@@ -51,7 +56,7 @@
             name: "membership tables".to_owned(),
             source: Source::Computation,
             size,
-            seconds: 0.9,
+            seconds: REST_SECONDS,
             per_node: PerNode::of(
                 "gossip",
                 &Usage {
@@ -70,9 +75,9 @@
     arguments.output.write(runs)
 }
 
-/// Processor time that a node's own timers take, in seconds a second.
-fn cpu_of(node: &mut Acquainted, seconds: f64) -> f64 {
-    let begun = thread_cpu();
+/// Processor time that a node's timers take, in seconds per second.
+fn cpu_of(node: &mut IsolatedMember, seconds: f64) -> f64 {
+    let started_at = thread_cpu();
     node.run_alone(seconds);
-    (thread_cpu() - begun) / seconds
+    (thread_cpu() - started_at) / seconds
 }
--- a/crates/emulator/src/control/account.rs
+++ b/crates/emulator/src/control/account.rs
@@ -1,53 +1,59 @@
-//! What each endpoint sent, received and computed.
+//! Accounts of endpoints: bytes and frames sent and received, and processor time. The network keeps one for each slot.
 
 use std::collections::VecDeque;
 
-/// The span of the short window, in seconds: peaks of a run's report.
-pub const SHORT_SPAN: f64 = 1.0;
-/// The span of the long window, in seconds: the budget of a node's control traffic holds over any such span.
-pub const LONG_SPAN: f64 = 10.0;
+/// Length of the short window, in seconds: the peaks of a run's report.
+pub const SHORT_WINDOW: f64 = 1.0;
+/// Length of the long window, in seconds: the bandwidth budget of a node's control traffic holds over any such window.
+pub const LONG_WINDOW: f64 = 10.0;
 
-/// The most bytes within any span of a length.
+/// Maximum number of bytes within any sliding window of a length.
 #[derive(Clone, Debug)]
 pub struct Window {
-    span: f64,
-    events: VecDeque<(f64, u64)>,
+    length: f64,
+    transfers: VecDeque<Transfer>,
     sum: u64,
-    most: u64,
+    max: u64,
 }
 
 impl Window {
-    /// A window of so many seconds.
-    pub fn new(span: f64) -> Window {
+    /// A window of this length, in seconds.
+    pub fn new(length: f64) -> Window {
         Window {
-            span,
-            events: VecDeque::new(),
+            length,
+            transfers: VecDeque::new(),
             sum: 0,
-            most: 0,
+            max: 0,
         }
     }
 
-    /// Bytes at a moment that is no earlier than those before.
+    /// Adds bytes at a time that is no earlier than those before.
     pub fn add(&mut self, now: f64, bytes: u64) {
-        while let Some((at, old)) = self.events.front().copied() {
-            if at > now - self.span {
+        while let Some(oldest) = self.transfers.front() {
+            if oldest.at > now - self.length {
                 break;
             }
-            self.sum -= old;
-            self.events.pop_front();
+            self.sum -= oldest.bytes;
+            self.transfers.pop_front();
         }
-        self.events.push_back((now, bytes));
+        self.transfers.push_back(Transfer { at: now, bytes });
         self.sum += bytes;
-        self.most = self.most.max(self.sum);
+        self.max = self.max.max(self.sum);
     }
 
-    /// The most bytes within any span so far.
-    pub fn most(&self) -> u64 {
-        self.most
+    /// Maximum number of bytes within any window so far.
+    pub fn max(&self) -> u64 {
+        self.max
     }
 }
 
-/// The account of one endpoint, over all of its lives.
+#[derive(Clone, Copy, Debug)]
+struct Transfer {
+    at: f64,
+    bytes: u64,
+}
+
+/// The account of one endpoint, over all of its incarnations.
 #[derive(Clone, Debug)]
 pub struct Account {
     /// Bytes received.
@@ -60,10 +66,10 @@
     pub messages_out: u64,
     /// Processor time of the real thread, in seconds; 0 without a clock.
     pub cpu: f64,
-    /// Bytes received and sent within [`SHORT_SPAN`].
-    pub short: Window,
-    /// Bytes received and sent within [`LONG_SPAN`].
-    pub long: Window,
+    /// Bytes received and sent within [`SHORT_WINDOW`].
+    pub short_window: Window,
+    /// Bytes received and sent within [`LONG_WINDOW`].
+    pub long_window: Window,
 }
 
 impl Default for Account {
@@ -74,34 +80,34 @@
             messages_in: 0,
             messages_out: 0,
             cpu: 0.0,
-            short: Window::new(SHORT_SPAN),
-            long: Window::new(LONG_SPAN),
+            short_window: Window::new(SHORT_WINDOW),
+            long_window: Window::new(LONG_WINDOW),
         }
     }
 }
 
 impl Account {
-    /// A frame was delivered.
+    /// Counts a received frame.
     pub fn received(&mut self, now: f64, bytes: u64) {
         self.bytes_in += bytes;
         self.messages_in += 1;
-        self.passed(now, bytes);
+        self.add_to_windows(now, bytes);
     }
 
-    /// A frame was sent.
+    /// Counts a sent frame.
     pub fn sent(&mut self, now: f64, bytes: u64) {
         self.bytes_out += bytes;
         self.messages_out += 1;
-        self.passed(now, bytes);
+        self.add_to_windows(now, bytes);
     }
 
-    fn passed(&mut self, now: f64, bytes: u64) {
-        self.short.add(now, bytes);
-        self.long.add(now, bytes);
+    fn add_to_windows(&mut self, now: f64, bytes: u64) {
+        self.short_window.add(now, bytes);
+        self.long_window.add(now, bytes);
     }
 }
 
-/// What some endpoints used over a time: means over them, and the most of any.
+/// What some endpoints used over a time: means over them, and maxima of any.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
     /// Bytes received by one of them in a second.
@@ -114,14 +120,14 @@
     pub messages_out: f64,
     /// Processor time of one of them, in seconds a second.
     pub cpu: f64,
-    /// Most bytes received and sent by any of them within [`SHORT_SPAN`].
-    pub short_most: u64,
-    /// Most bytes received and sent by any of them within [`LONG_SPAN`].
-    pub long_most: u64,
+    /// Maximum number of bytes received and sent by any of them within [`SHORT_WINDOW`].
+    pub short_window_max: u64,
+    /// Maximum number of bytes received and sent by any of them within [`LONG_WINDOW`].
+    pub long_window_max: u64,
 }
 
 impl Usage {
-    /// Of accounts that were kept for so many seconds.
+    /// The usage of accounts that cover this many seconds.
     pub fn of<'a>(accounts: impl IntoIterator<Item = &'a Account>, seconds: f64) -> Usage {
         let mut usage = Usage::default();
         let mut endpoints = 0.0;
@@ -132,16 +138,16 @@
             usage.messages_in += account.messages_in as f64;
             usage.messages_out += account.messages_out as f64;
             usage.cpu += account.cpu;
-            usage.short_most = usage.short_most.max(account.short.most());
-            usage.long_most = usage.long_most.max(account.long.most());
+            usage.short_window_max = usage.short_window_max.max(account.short_window.max());
+            usage.long_window_max = usage.long_window_max.max(account.long_window.max());
         }
-        let whole = endpoints * seconds;
-        if whole > 0.0 {
-            usage.bytes_in /= whole;
-            usage.bytes_out /= whole;
-            usage.messages_in /= whole;
-            usage.messages_out /= whole;
-            usage.cpu /= whole;
+        let endpoint_seconds = endpoints * seconds;
+        if endpoint_seconds > 0.0 {
+            usage.bytes_in /= endpoint_seconds;
+            usage.bytes_out /= endpoint_seconds;
+            usage.messages_in /= endpoint_seconds;
+            usage.messages_out /= endpoint_seconds;
+            usage.cpu /= endpoint_seconds;
         }
         usage
     }
--- a/crates/emulator/src/control/baseline.rs
+++ b/crates/emulator/src/control/baseline.rs
@@ -1,7 +1,5 @@
-//! What distribution costs without deltas: the whole settings file to each node at each change, and whole lists of
-//! servers to each node that asks.
-//!
-//! Nothing is played here: all figures follow from sizes, the rate of changes and the bytes that a node may use.
+//! What distribution costs without deltas, by formulas: the whole settings file to each node at each change, and whole
+//! endpoint lists to each node that polls. The scale runs print it beside the figures of the distribution.
 
 /// A server of a settings file, as operators write it.
 const SERVER_ENTRY: &str =
@@ -15,16 +13,16 @@
     [[service.class]]\nname = \"default\"\nrepeat = \"safe\"\naim = \"150ms\"\ndeadline = \"600ms\"\n\n";
 /// A tenant and its quota, as the platform's configuration has it.
 const TENANT_ENTRY: &str = "{\"name\":\"tenant-123456\",\"quota-rps\":20.0},";
-/// A server of a list, as discovery answers.
+/// A server of an endpoint list, in a response of discovery.
 const LISTED_ENTRY: &str =
     "{\"name\":\"server-12345\",\"address\":\"10.123.45.67:8080\",\"zone\":\"zone-07\",\"weight\":1.0},";
 
 /// Seconds of a day.
-pub const DAY: f64 = 86_400.0;
+pub const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// What there is to distribute.
+/// The amount of configuration of a system.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Contents {
+pub struct ConfigurationSize {
     /// Servers of all services.
     pub servers: usize,
     /// Services.
@@ -35,9 +33,9 @@
     pub tenants: usize,
 }
 
-impl Contents {
+impl ConfigurationSize {
     /// The target system's.
-    pub const TARGET: Contents = Contents {
+    pub const TARGET: ConfigurationSize = ConfigurationSize {
         servers: 50_000,
         services: 2_600,
         routes: 74_000,
@@ -53,72 +51,72 @@
         bytes as f64
     }
 
-    /// Bytes of the whole lists of all services.
+    /// Bytes of the endpoint lists of all services.
     pub fn list_bytes(&self) -> f64 {
         (self.servers * LISTED_ENTRY.len()) as f64
     }
 }
 
-/// What whole files and lists cost one node.
+/// Distribution by full snapshots, as one node sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WholeCopies {
-    /// What there is.
-    pub contents: Contents,
-    /// Configuration changes a second.
-    pub changes: f64,
-    /// Seconds between two whole lists that a node asks for; infinite if it asks for none.
-    pub lists_every: f64,
-    /// What a node's link has for control, in bytes a second.
-    pub budget: f64,
+pub struct FullSnapshots {
+    /// The amount of configuration.
+    pub size: ConfigurationSize,
+    /// Configuration changes per second.
+    pub changes_per_second: f64,
+    /// Seconds between two polls for the whole endpoint lists; infinite if the node does not poll.
+    pub list_interval: f64,
+    /// What a node's link has for control traffic, in bytes per second.
+    pub bandwidth: f64,
 }
 
-/// How long a change takes to be in force.
+/// Time from a change until a node has applied it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum InForce {
-    /// Seconds at most: the file under way as the change comes has to end, then the next one holds it.
+pub enum ApplyTime {
+    /// The transfer in progress has to end before the next file, which contains the change, is sent.
     Within {
-        /// Seconds if no file is under way.
-        least: f64,
-        /// Seconds if one has just begun.
-        most: f64,
+        /// Seconds if no transfer is in progress.
+        min: f64,
+        /// Seconds if a transfer has just begun.
+        max: f64,
     },
-    /// More bytes are asked for than pass: what waits grows without a bound, unless changes are coalesced.
+    /// Demand exceeds the bandwidth: the backlog grows without a bound, unless changes are coalesced.
     Never,
 }
 
-impl WholeCopies {
-    /// Bytes a second that a node would need to take in.
-    pub fn demand(&self) -> f64 {
-        self.contents.settings_bytes() * self.changes + self.list_demand()
+impl FullSnapshots {
+    /// Bytes per second that a node would have to receive.
+    pub fn bandwidth_demand(&self) -> f64 {
+        self.size.settings_bytes() * self.changes_per_second + self.list_demand()
     }
 
     fn list_demand(&self) -> f64 {
-        self.contents.list_bytes() / self.lists_every
+        self.size.list_bytes() / self.list_interval
     }
 
-    /// Bytes within 10 s that hold one change: the whole file, if it passes in that time.
-    pub fn bytes_of_one_change(&self) -> f64 {
-        self.contents.settings_bytes()
+    /// Bytes that a node receives for one change: the whole file.
+    pub fn bytes_per_change(&self) -> f64 {
+        self.size.settings_bytes()
     }
 
-    /// When a change is in force if each change is a file of its own.
-    pub fn in_force(&self) -> InForce {
-        if self.demand() >= self.budget {
-            return InForce::Never;
+    /// When a change is applied if a file is sent for each.
+    pub fn apply_time(&self) -> ApplyTime {
+        if self.bandwidth_demand() >= self.bandwidth {
+            return ApplyTime::Never;
         }
-        self.in_force_coalesced()
+        self.apply_time_coalesced()
     }
 
-    /// When a change is in force if a node that is behind takes the newest file alone.
-    pub fn in_force_coalesced(&self) -> InForce {
-        let left = self.budget - self.list_demand();
-        if left <= 0.0 {
-            return InForce::Never;
+    /// When a change is applied if a node that is behind is sent the newest file alone.
+    pub fn apply_time_coalesced(&self) -> ApplyTime {
+        let bandwidth_for_settings = self.bandwidth - self.list_demand();
+        if bandwidth_for_settings <= 0.0 {
+            return ApplyTime::Never;
         }
-        let least = self.contents.settings_bytes() / left;
-        InForce::Within {
-            least,
-            most: 2.0 * least,
+        let min = self.size.settings_bytes() / bandwidth_for_settings;
+        ApplyTime::Within {
+            min,
+            max: 2.0 * min,
         }
     }
 }
--- a/crates/emulator/src/control/endpoint.rs
+++ b/crates/emulator/src/control/endpoint.rs
@@ -1,68 +1,84 @@
-//! Code at the ends of links, and the places of a network where it runs.
+//! What runs at the ends of links: the [`Endpoint`] trait, its frames, and the network's slot for each process.
 
 use super::account::Account;
 use std::collections::VecDeque;
 
 /// Code without I/O at one end of links.
 pub trait Endpoint {
-    /// A frame has come.
-    fn receive(&mut self, now: f64, from: u32, frame: &[u8], sends: &mut Vec<(u32, Vec<u8>)>);
-    /// Time has passed.
-    fn poll(&mut self, now: f64, sends: &mut Vec<(u32, Vec<u8>)>);
+    /// Handles a received frame.
+    fn receive(&mut self, now: f64, from: u32, frame: &[u8], outgoing: &mut Vec<OutgoingFrame>);
+    /// Does what is due.
+    fn poll(&mut self, now: f64, outgoing: &mut Vec<OutgoingFrame>);
     /// When [`Endpoint::poll`] has something to do; infinite for never.
     fn next_wakeup(&self) -> f64;
 }
 
+/// A frame that an endpoint asks its network to send.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct OutgoingFrame {
+    /// The endpoint that receives it.
+    pub to: u32,
+    /// Its bytes, without headers.
+    pub frame: Vec<u8>,
+}
+
+/// A frame with its sender.
+#[derive(Clone)]
+pub(super) struct ReceivedFrame {
+    pub(super) from: u32,
+    pub(super) frame: Vec<u8>,
+}
+
 /// A clock of processor time, in seconds.
 pub type CpuClock = fn() -> f64;
 
-/// A place in a network, and the process that runs there.
+/// The state of an endpoint, and the process that runs there.
 pub(super) struct Slot<E> {
-    pub(super) endpoint: Option<E>,
-    pub(super) frozen: bool,
-    pub(super) inbox: VecDeque<(u32, Vec<u8>)>,
-    /// Processes that began here so far.
-    pub(super) life: u32,
+    pub(super) process: Option<E>,
+    pub(super) is_frozen: bool,
+    pub(super) inbox: VecDeque<ReceivedFrame>,
+    /// Number of processes that have started here.
+    pub(super) incarnation: u32,
     /// When the earliest wakeup in the queue is due.
-    pub(super) wakeup: f64,
-    pub(super) polled: f64,
-    /// When its uplink has sent all that was given to it.
-    pub(super) uplink_free: f64,
+    pub(super) scheduled_wakeup: f64,
+    pub(super) last_polled_at: f64,
+    /// When its uplink has sent all frames so far.
+    pub(super) uplink_free_at: f64,
     pub(super) account: Account,
 }
 
 impl<E> Slot<E> {
     pub(super) fn empty() -> Slot<E> {
         Slot {
-            endpoint: None,
-            frozen: false,
+            process: None,
+            is_frozen: false,
             inbox: VecDeque::new(),
-            life: 0,
-            wakeup: f64::INFINITY,
-            polled: f64::NEG_INFINITY,
-            uplink_free: 0.0,
+            incarnation: 0,
+            scheduled_wakeup: f64::INFINITY,
+            last_polled_at: f64::NEG_INFINITY,
+            uplink_free_at: 0.0,
             account: Account::default(),
         }
     }
 
-    pub(super) fn running(&mut self) -> Option<&mut E> {
-        if self.frozen {
+    pub(super) fn running_process(&mut self) -> Option<&mut E> {
+        if self.is_frozen {
             return None;
         }
-        self.endpoint.as_mut()
+        self.process.as_mut()
     }
 
-    /// Calls the endpoint, if it runs, and accounts for the processor time.
+    /// Calls the process, if it runs, and accounts for the processor time.
     pub(super) fn call<R>(
         &mut self,
         clock: Option<CpuClock>,
         call: impl FnOnce(&mut E) -> R,
     ) -> Option<R> {
-        let endpoint = self.running()?;
-        let begun = clock.map(|clock| clock());
-        let result = call(endpoint);
-        if let (Some(clock), Some(begun)) = (clock, begun) {
-            self.account.cpu += (clock() - begun).max(0.0);
+        let process = self.running_process()?;
+        let started_at = clock.map(|clock| clock());
+        let result = call(process);
+        if let (Some(clock), Some(started_at)) = (clock, started_at) {
+            self.account.cpu += (clock() - started_at).max(0.0);
         }
         Some(result)
     }
--- a/crates/emulator/src/control/layout.rs
+++ b/crates/emulator/src/control/layout.rs
@@ -1,6 +1,7 @@
-//! Which endpoint is what: nodes, authors and relays, what each subscribes to and whom it follows.
+//! The layout of a system: which endpoint is a node, an author or a relay, its configuration, what it subscribes to and which
+//! peers it follows. The world starts machines by it.
 
-use super::contents::{service_name, Resource};
+use super::resources::{service_name, Resource};
 use super::sizes::Sizes;
 use super::topology::{Scope, Topology};
 use reelfall_distribution::author::AuthorConfig;
@@ -11,65 +12,82 @@
 use reelfall_distribution::resource::{Name, Selector};
 use reelfall_distribution::subscriber::SubscriberConfig;
 use reelfall_distribution::upstream_config::UpstreamConfig;
-use reelfall_lease::token::LeaseName;
-
-/// What an author keeps for taking changes back, in bytes.
-const HISTORY: usize = 64 << 20;
-/// How long an author waits at most for what others wrote, in seconds: longer than a follower waits for an answer
-/// ([`UpstreamConfig::open_timeout`]); a first relay that is dead costs no more than [`UpstreamConfig::attempt_delay`].
-pub const TAKEOVER: f64 = 3.0;
-/// A node tells its standing so often at most, in seconds.
-const STANDING_EVERY: f64 = 10.0;
-
-/// See the module.
+use reelfall_lease::token::{InvalidLeaseName, LeaseName};
+use thiserror::Error;
+
+/// What an author retains of replaced contents, so that changes can be reverted, in bytes.
+const REVERT_HISTORY_BYTES: usize = 64 << 20;
+/// How long a new author waits for what earlier authors wrote, in seconds: longer than a follower waits for a session to
+/// open ([`UpstreamConfig::open_timeout`]); a first relay that is dead costs no more than [`UpstreamConfig::attempt_delay`].
+pub const TAKEOVER_TIMEOUT: f64 = 3.0;
+/// Minimum time between two acknowledgements of a node, in seconds.
+const ACKNOWLEDGEMENT_INTERVAL: f64 = 10.0;
+
+/// The endpoints of a system, with their roles.
 pub struct Layout {
-    /// How large it is.
+    /// The sizes of the system.
     pub sizes: Sizes,
     lease: LeaseName,
     authors: Vec<u32>,
     relays: Vec<u32>,
-    /// The relays of each region.
-    relays_of: Vec<Vec<PeerId>>,
+    relays_by_region: Vec<Vec<PeerId>>,
     seed: u64,
 }
 
+/// A layout with the sites of its endpoints.
+pub struct PlacedLayout {
+    /// The endpoints with their roles.
+    pub layout: Layout,
+    /// The sites of the endpoints.
+    pub topology: Topology,
+}
+
+/// Why a system can't be placed.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum LayoutError {
+    /// There are no nodes, authors, relays or groups.
+    #[error("nodes, authors, relays and groups: at least one of each")]
+    Empty,
+    /// The name of the lease is invalid.
+    #[error(transparent)]
+    LeaseName(#[from] InvalidLeaseName),
+}
+
 impl Layout {
-    /// Places nodes first, then authors, then relays; gives back where they are, too.
+    /// Places nodes first, then authors, then relays.
     ///
     /// # Errors
-    /// If the lease's name is none, or there is nobody to write, to serve or to be served.
-    pub fn new(sizes: Sizes, lease: &str, seed: u64) -> Result<(Layout, Topology), String> {
+    /// If the name of the lease is invalid, or there are no nodes, authors, relays or groups.
+    pub fn place(sizes: Sizes, lease: &str, seed: u64) -> Result<PlacedLayout, LayoutError> {
         if sizes.nodes == 0 || sizes.authors == 0 || sizes.relays == 0 || sizes.groups == 0 {
-            return Err("nodes, authors, relays and groups: at least one of each".to_owned());
+            return Err(LayoutError::Empty);
         }
-        let lease = LeaseName::try_from(lease.to_owned()).map_err(|error| error.to_string())?;
+        let lease = LeaseName::try_from(lease.to_owned())?;
         let mut topology = Topology::even(sizes.zones, sizes.nodes as usize);
         let regions = sizes.zones.len();
-        let authors =
-            (0..sizes.authors).map(|n| topology.add(zone_in(sizes.zones, n as usize % regions, 0)));
-        let authors: Vec<u32> = authors.collect();
+        let authors = (0..sizes.authors as usize)
+            .map(|author| topology.add(zone_in(sizes.zones, author % regions, 0)))
+            .collect();
         let mut relays = Vec::new();
-        let mut relays_of = vec![Vec::new(); regions];
-        for n in 0..sizes.relays as usize {
-            let region = n % regions;
-            let relay = topology.add(zone_in(sizes.zones, region, n / regions));
+        let mut relays_by_region = vec![Vec::new(); regions];
+        for index in 0..sizes.relays as usize {
+            let region = index % regions;
+            let relay = topology.add(zone_in(sizes.zones, region, index / regions));
             relays.push(relay);
-            relays_of[region].push(PeerId(relay));
+            relays_by_region[region].push(PeerId(relay));
         }
-        Ok((
-            Layout {
-                sizes,
-                lease,
-                authors,
-                relays,
-                relays_of,
-                seed,
-            },
-            topology,
-        ))
+        let layout = Layout {
+            sizes,
+            lease,
+            authors,
+            relays,
+            relays_by_region,
+            seed,
+        };
+        Ok(PlacedLayout { layout, topology })
     }
 
-    /// The lease of those who write.
+    /// The lease of the authors.
     pub fn lease(&self) -> &LeaseName {
         &self.lease
     }
@@ -79,18 +97,18 @@
         0..self.sizes.nodes
     }
 
-    /// Those that can write.
+    /// All authors.
     pub fn authors(&self) -> &[u32] {
         &self.authors
     }
 
-    /// Those that serve nodes.
+    /// All relays.
     pub fn relays(&self) -> &[u32] {
         &self.relays
     }
 
-    /// All control machines.
-    pub fn control(&self) -> impl Iterator<Item = u32> + '_ {
+    /// All authors and relays.
+    pub fn control_machines(&self) -> impl Iterator<Item = u32> + '_ {
         self.authors.iter().chain(&self.relays).copied()
     }
 
@@ -126,26 +144,26 @@
             .collect()
     }
 
-    /// The resources that a node has once all are published, without tenants.
+    /// The resources of a node's services.
     pub fn resources_of(&self, node: u32) -> Vec<Name> {
-        let of = |service| self.sizes.service_resources(service).map(Resource::name);
-        self.services_of(node).flat_map(of).collect()
+        let names = |service| self.sizes.service_resources(service).map(Resource::name);
+        self.services_of(node).flat_map(names).collect()
     }
 
-    /// How an author begins.
+    /// The configuration of an author that starts.
     pub fn author_config(&self, endpoint: u32, now: f64) -> AuthorConfig {
         AuthorConfig {
             lease: self.lease.clone(),
             upstream: UpstreamConfig::relay(peers(&self.relays)),
             downstream: DownstreamConfig::default(),
             capacity: Capacity::CONTROL,
-            history_bytes: HISTORY,
-            takeover_timeout: TAKEOVER,
+            history_bytes: REVERT_HISTORY_BYTES,
+            takeover_timeout: TAKEOVER_TIMEOUT,
             seed: self.seed_of(endpoint, now),
         }
     }
 
-    /// How a relay begins.
+    /// The configuration of a relay that starts.
     pub fn relay_config(&self, endpoint: u32, now: f64) -> RelayConfig {
         RelayConfig {
             lease: self.lease.clone(),
@@ -156,33 +174,33 @@
         }
     }
 
-    /// How a node of a region begins: it follows the relays of its region, and others where there is none.
+    /// The configuration of a node that starts: it follows the relays of its region, and falls back to the others.
     pub fn node_config(&self, endpoint: u32, region: u16, now: f64) -> SubscriberConfig {
-        let near = self
-            .relays_of
+        let regional_relays = self
+            .relays_by_region
             .get(usize::from(region))
             .cloned()
             .unwrap_or_default();
-        let far = self
+        let fallbacks = self
             .relays
             .iter()
             .map(|relay| PeerId(*relay))
-            .filter(|relay| !near.contains(relay));
-        let fallbacks = far.collect();
+            .filter(|relay| !regional_relays.contains(relay))
+            .collect();
         SubscriberConfig {
             node: PeerId(endpoint),
             lease: self.lease.clone(),
             upstream: UpstreamConfig {
                 fallbacks,
-                ..UpstreamConfig::node(near)
+                ..UpstreamConfig::node(regional_relays)
             },
             capacity: Capacity::NODE,
-            acknowledgement_interval: STANDING_EVERY,
+            acknowledgement_interval: ACKNOWLEDGEMENT_INTERVAL,
             seed: self.seed_of(endpoint, now),
         }
     }
 
-    /// Another one at each start, as machines ask for it.
+    /// The seed of an endpoint's random numbers; a different one at each start.
     fn seed_of(&self, endpoint: u32, now: f64) -> u64 {
         let start = now.to_bits().rotate_left(32) ^ (u64::from(endpoint) + 1);
         self.seed ^ start.wrapping_mul(0x9e37_79b9_7f4a_7c15)
@@ -193,9 +211,9 @@
     endpoints.iter().map(|endpoint| PeerId(*endpoint)).collect()
 }
 
-/// The number of a zone of a region; zones are taken in turn.
-fn zone_in(zones: &[u16], region: usize, turn: usize) -> u16 {
+/// The zone of a region for the machine with this index; zones are assigned round robin.
+fn zone_in(zones: &[u16], region: usize, index: usize) -> u16 {
     let before: u16 = zones.iter().take(region).sum();
     let count = zones.get(region).copied().unwrap_or(1).max(1);
-    before + (turn % usize::from(count)) as u16
+    before + (index % usize::from(count)) as u16
 }
--- a/crates/emulator/src/control/links.rs
+++ b/crates/emulator/src/control/links.rs
@@ -1,4 +1,4 @@
-//! What links do to the frames that pass over them.
+//! Properties of links: delay, loss, duplication, bandwidth, and whether frames are datagrams or parts of streams.
 
 use super::topology::Distance;
 
@@ -10,22 +10,22 @@
     /// In order between two endpoints, as over TCP: a lost frame delays itself and those behind it by a retransmission.
     /// Frames sent to a process that has ended meanwhile are not delivered to its successor.
     Streams {
-        /// Seconds until a lost frame is sent again.
-        retransmit_after: f64,
+        /// Seconds until a lost frame is retransmitted.
+        retransmission_timeout: f64,
     },
 }
 
 /// A link of one kind.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Link {
-    /// The least delay of a frame, in seconds.
-    pub delay_least: f64,
-    /// The largest delay of a frame, in seconds.
-    pub delay_most: f64,
+    /// Minimum delay of a frame, in seconds.
+    pub min_delay: f64,
+    /// Maximum delay of a frame, in seconds.
+    pub max_delay: f64,
     /// Share of frames that are lost.
     pub loss: f64,
     /// Share of datagrams that are delivered twice.
-    pub duplicates: f64,
+    pub duplication: f64,
 }
 
 /// The links of a network.
@@ -39,7 +39,7 @@
     pub between_regions: Link,
     /// What each endpoint can send, in bytes a second.
     pub bandwidth: f64,
-    /// What headers take of each frame beside its own bytes; counted wherever bytes are.
+    /// Bytes of headers that each frame has beside its own; counted wherever bytes are.
     pub overhead: usize,
     /// How frames are delivered.
     pub delivery: Delivery,
@@ -47,18 +47,18 @@
 
 /// Headers of IPv4 and UDP, in bytes.
 pub const UDP_OVERHEAD: usize = 28;
-/// A gigabit a second, in bytes.
+/// A gigabit per second, in bytes per second.
 const GIGABIT: f64 = 125e6;
 
 impl Default for Links {
     /// Assumed round trips of 0.6 ms within a zone, 2 ms between zones and 80 ms between regions; one frame in a
     /// thousand lost between regions.
     fn default() -> Self {
-        let link = |delay_least, delay_most, loss| Link {
-            delay_least,
-            delay_most,
+        let link = |min_delay, max_delay, loss| Link {
+            min_delay,
+            max_delay,
             loss,
-            duplicates: loss / 10.0,
+            duplication: loss / 10.0,
         };
         Links {
             within_zone: link(0.000_2, 0.000_4, 0.000_01),
--- a/crates/emulator/src/control/membership.rs
+++ b/crates/emulator/src/control/membership.rs
@@ -1,10 +1,9 @@
-//! Nodes of [`reelfall_cluster`] as endpoints of a network.
+//! Cluster members of [`reelfall_cluster`] as endpoints of a network, for the scale runs of membership.
 //!
-//! A fleet of thousands takes minutes to find itself, which is of no interest where its steady state is measured. So
-//! nodes are introduced to all others as they begin, by the datagrams that an earlier member would send them
-//! ([`Roster`]); from then on everything is their own. All use of the fleet's interface is in this file.
+//! A fleet of thousands takes minutes to discover its members, which does not matter where the steady state is measured.
+//! So each node starts with the datagrams in which an earlier member would send it all others ([`Roster`]).
 
-use super::endpoint::Endpoint;
+use super::endpoint::{Endpoint, OutgoingFrame};
 use super::network::POLL_INTERVAL;
 use crate::together::secret;
 use rand::{Rng, SeedableRng};
@@ -23,10 +22,10 @@
 
 /// Port of all nodes; each has an address of its own.
 const PORT: u16 = 7400;
-/// Servers that each node lists; they bound how many can be condemned, which is not played here.
-const LISTED: usize = 20;
+/// Number of servers that each node lists; it bounds how many can be condemned, which does not happen here.
+const LISTED_SERVERS: usize = 20;
 
-/// Where a node is reached.
+/// The address of a node.
 fn address_of(endpoint: u32) -> SocketAddr {
     let [_, b, c, d] = endpoint.to_be_bytes();
     SocketAddr::from(([10, b, c, d], PORT))
@@ -44,7 +43,7 @@
     format!("node-{endpoint}")
 }
 
-/// A datagram's header from one node to another, with nothing in it.
+/// The header of a datagram without content.
 fn empty_header(from: Node, to: u64, sequence: u64, clock_us: u64) -> Header {
     Header {
         from,
@@ -60,55 +59,70 @@
     }
 }
 
-/// All nodes of a fleet, as an earlier member introduces them to one that begins.
+/// All nodes of a fleet, with the configuration and the key that they share.
 pub struct Roster {
-    /// The tag of each node, and the seed of its draws.
-    tags: Vec<(u64, u64)>,
+    nodes: Vec<NodeSeed>,
     config: Config,
     secret: Secret,
 }
 
+/// The random values of one node.
+#[derive(Clone, Copy)]
+struct NodeSeed {
+    /// Tells processes of one name and number apart.
+    incarnation_tag: u64,
+    /// The seed of its random numbers.
+    seed: u64,
+}
+
 impl Roster {
-    /// So many nodes in their first incarnations.
-    pub fn new(nodes: u32, seed: u64) -> Rc<Roster> {
+    /// A roster of this many nodes in their first incarnations.
+    pub fn new(node_count: u32, seed: u64) -> Rc<Roster> {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let tags = (0..nodes)
-            .map(|_| (rng.random::<u64>() | 1, rng.random()))
+        let nodes = (0..node_count)
+            .map(|_| NodeSeed {
+                incarnation_tag: rng.random::<u64>() | 1,
+                seed: rng.random(),
+            })
             .collect();
         let secret = secret();
         let membership = MembershipConfig {
-            size: nodes,
+            size: node_count,
             ..MembershipConfig::default()
         };
-        let seeds = seeds(nodes).map(address_of).collect();
+        let seeds = seeds(node_count).map(address_of).collect();
         let config = Config {
             membership,
             seeds,
             ..Config::default()
         };
         Rc::new(Roster {
-            tags,
+            nodes,
             config,
             secret,
         })
     }
 
-    /// The tag and the seed of a node.
-    fn draws_of(&self, endpoint: u32) -> (u64, u64) {
-        self.tags.get(endpoint as usize).copied().unwrap_or((1, 1))
+    fn seed_of(&self, endpoint: u32) -> NodeSeed {
+        let unknown = NodeSeed {
+            incarnation_tag: 1,
+            seed: 1,
+        };
+        let node = self.nodes.get(endpoint as usize);
+        node.copied().unwrap_or(unknown)
     }
 
-    /// The datagrams in which a member that nobody else knows tells a node of all others, each node in an order of its
-    /// own: probes go by the order in which members were heard of.
+    /// The datagrams in which a member that nobody else knows sends a node all others. Their order is random for each node,
+    /// since a node probes members in the order in which it has learned of them.
     fn introductions(&self, seed: u64) -> Vec<Vec<u8>> {
         let introducer = node(u32::from_be_bytes([0, u8::MAX, u8::MAX, u8::MAX]), 2);
-        let mut told = self.shuffled(seed);
+        let mut remaining = self.shuffled(seed);
         let mut datagrams = Vec::new();
-        let mut number = 0;
-        while !told.is_empty() {
-            number += 1;
-            let mut header = empty_header(introducer.clone(), 0, number, 0);
-            header.add_members(&mut told);
+        let mut sequence = 0;
+        while !remaining.is_empty() {
+            sequence += 1;
+            let mut header = empty_header(introducer.clone(), 0, sequence, 0);
+            header.add_members(&mut remaining);
             let Some(writer) = Writer::new(&header).filter(|_| !header.members.is_empty()) else {
                 break;
             };
@@ -119,12 +133,12 @@
 
     fn shuffled(&self, seed: u64) -> Vec<MemberUpdate> {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let update = |(endpoint, (tag, _)): (u32, &(u64, u64))| MemberUpdate {
-            node: node(endpoint, *tag),
+        let update = |(endpoint, node_seed): (u32, &NodeSeed)| MemberUpdate {
+            node: node(endpoint, node_seed.incarnation_tag),
             swim_incarnation: 0,
             state: MemberState::Alive,
         };
-        let mut all: Vec<MemberUpdate> = (0u32..).zip(&self.tags).map(update).collect();
+        let mut all: Vec<MemberUpdate> = (0u32..).zip(&self.nodes).map(update).collect();
         for n in (1..all.len()).rev() {
             all.swap(n, rng.random_range(0..=n));
         }
@@ -132,111 +146,120 @@
     }
 }
 
-/// Nodes that are asked for membership by those that know nobody: in different regions.
-fn seeds(nodes: u32) -> impl Iterator<Item = u32> {
-    [0, nodes / 2, nodes.saturating_sub(1)].into_iter()
+/// The seed nodes, which a node contacts to join: in different regions.
+fn seeds(node_count: u32) -> impl Iterator<Item = u32> {
+    [0, node_count / 2, node_count.saturating_sub(1)].into_iter()
 }
 
-fn node(endpoint: u32, tag: u64) -> Node {
+fn node(endpoint: u32, incarnation_tag: u64) -> Node {
     Node {
         name: name_of(endpoint),
         address: address_of(endpoint),
-        incarnation: Incarnation { number: 1, tag },
+        incarnation: Incarnation {
+            number: 1,
+            tag: incarnation_tag,
+        },
     }
 }
 
-/// A node of the fleet.
+/// One process of a node.
 pub struct Member {
     endpoint: u32,
     roster: Rc<Roster>,
-    begins: f64,
-    tag: u64,
-    seed: u64,
-    /// Whether it is introduced to all others as it begins.
-    introduced: bool,
+    starts_at: f64,
+    seed: NodeSeed,
+    /// Whether it starts with the members of the roster.
+    is_introduced: bool,
     fleet: Option<Fleet>,
-    /// When each server's ban was heard of.
+    /// When the ban of each server was received.
     bans: BTreeMap<String, f64>,
-    downs: u64,
+    declared_dead: u64,
 }
 
 impl Member {
-    /// A node that begins at a moment, and is introduced to all others then.
-    pub fn new(endpoint: u32, roster: Rc<Roster>, begins: f64) -> Member {
-        let (tag, seed) = roster.draws_of(endpoint);
+    /// The first process of a node; it starts with the members of the roster.
+    pub fn new(endpoint: u32, roster: Rc<Roster>, starts_at: f64) -> Member {
+        let seed = roster.seed_of(endpoint);
         Member {
             endpoint,
             roster,
-            begins,
-            tag,
+            starts_at,
             seed,
-            introduced: true,
+            is_introduced: true,
             fleet: None,
             bans: BTreeMap::new(),
-            downs: 0,
+            declared_dead: 0,
         }
     }
 
-    /// A later process of a node, that knows nobody but the seeds.
-    pub fn successor(endpoint: u32, roster: Rc<Roster>, begins: f64, tag: u64) -> Member {
-        Member {
-            tag,
-            introduced: false,
-            ..Member::new(endpoint, roster, begins)
-        }
+    /// A later process of a node; it knows the seed nodes alone.
+    pub fn restarted(
+        endpoint: u32,
+        roster: Rc<Roster>,
+        starts_at: f64,
+        incarnation_tag: u64,
+    ) -> Member {
+        let mut member = Member::new(endpoint, roster, starts_at);
+        member.seed.incarnation_tag = incarnation_tag;
+        member.is_introduced = false;
+        member
     }
 
-    /// How many others it takes for members.
-    pub fn peers(&self) -> usize {
+    /// Number of other members that it considers alive.
+    pub fn peer_count(&self) -> usize {
         self.fleet
             .as_ref()
             .map_or(0, |fleet| fleet.members().count())
     }
 
-    /// When it heard that a server was banned.
-    pub fn heard_of_ban(&self, server: &str) -> Option<f64> {
+    /// When it received the ban of a server.
+    pub fn ban_received_at(&self, server: &str) -> Option<f64> {
         self.bans.get(server).copied()
     }
 
-    /// How often it took another for gone.
-    pub fn downs(&self) -> u64 {
-        self.downs
+    /// How often it has declared another member dead.
+    pub fn declared_dead(&self) -> u64 {
+        self.declared_dead
     }
 
-    /// Verdicts that came without a proof of their age, and were left for that.
-    pub fn unproven(&self) -> u64 {
+    /// Number of verdicts that it has ignored since they had no proof of their age.
+    pub fn unproven_verdicts(&self) -> u64 {
         self.fleet
             .as_ref()
             .map_or(0, |fleet| fleet.counters().unproven)
     }
 
-    /// Datagrams that it took in.
-    pub fn taken(&self) -> u64 {
+    /// Number of datagrams that it has accepted.
+    pub fn accepted_datagrams(&self) -> u64 {
         self.fleet
             .as_ref()
             .map_or(0, |fleet| fleet.counters().received)
     }
 
-    /// An operator bans a server here.
-    pub fn ban(&mut self, now: f64, server: &str, sends: &mut Vec<(u32, Vec<u8>)>) {
+    /// Bans a server, as an operator does.
+    pub fn ban(&mut self, now: f64, server: &str, outgoing: &mut Vec<OutgoingFrame>) {
         let clock = self.clock(now);
         if let Some(fleet) = &mut self.fleet {
             fleet.ban(clock, server, "operator", None);
         }
-        self.flush(now, sends);
+        self.flush(now, outgoing);
     }
 
-    /// The node's own clock, which begins with it.
+    /// The process's own clock, which starts at 0.
     fn clock(&self, now: f64) -> f64 {
-        (now - self.begins).max(0.0)
+        (now - self.starts_at).max(0.0)
     }
 
-    fn begin(&mut self) {
+    fn start(&mut self) {
         let (config, secret) = (self.roster.config.clone(), self.roster.secret.clone());
         let (name, address) = (name_of(self.endpoint), address_of(self.endpoint));
-        let mut fleet = Fleet::new(&name, address, self.tag, config, secret, self.seed, 0.0);
-        if self.introduced {
-            let introductions = self.roster.introductions(self.seed);
+        let NodeSeed {
+            incarnation_tag,
+            seed,
+        } = self.seed;
+        let mut fleet = Fleet::new(&name, address, incarnation_tag, config, secret, seed, 0.0);
+        if self.is_introduced {
+            let introductions = self.roster.introductions(seed);
             introductions
                 .iter()
                 .for_each(|datagram| fleet.receive(0.0, datagram));
@@ -244,11 +267,15 @@
         self.fleet = Some(fleet);
     }
 
-    fn flush(&mut self, now: f64, sends: &mut Vec<(u32, Vec<u8>)>) {
+    /// Sends the datagrams of the fleet and records its events.
+    fn flush(&mut self, now: f64, outgoing: &mut Vec<OutgoingFrame>) {
         let Some(fleet) = &mut self.fleet else { return };
         while let Some((address, datagram)) = fleet.next_datagram() {
             if let Some(to) = endpoint_of(address) {
-                sends.push((to, datagram));
+                outgoing.push(OutgoingFrame {
+                    to,
+                    frame: datagram,
+                });
             }
         }
         while let Some(event) = fleet.next_event() {
@@ -256,7 +283,7 @@
                 FleetEvent::Updated(Key::Ban { server, .. }) => {
                     self.bans.entry(server).or_insert(now);
                 }
-                FleetEvent::Member(MemberEvent::Down(_)) => self.downs += 1,
+                FleetEvent::Member(MemberEvent::Down(_)) => self.declared_dead += 1,
                 _ => {}
             }
         }
@@ -264,50 +291,51 @@
 }
 
 impl Endpoint for Member {
-    fn receive(&mut self, now: f64, _from: u32, frame: &[u8], sends: &mut Vec<(u32, Vec<u8>)>) {
+    fn receive(&mut self, now: f64, _from: u32, frame: &[u8], outgoing: &mut Vec<OutgoingFrame>) {
         let clock = self.clock(now);
         if let Some(fleet) = &mut self.fleet {
             fleet.receive(clock, frame);
         }
-        self.flush(now, sends);
+        self.flush(now, outgoing);
     }
 
-    fn poll(&mut self, now: f64, sends: &mut Vec<(u32, Vec<u8>)>) {
+    fn poll(&mut self, now: f64, outgoing: &mut Vec<OutgoingFrame>) {
         let clock = self.clock(now);
         match &mut self.fleet {
-            Some(fleet) => fleet.tick(clock, LISTED),
-            None => self.begin(),
+            Some(fleet) => fleet.tick(clock, LISTED_SERVERS),
+            None => self.start(),
         }
-        self.flush(now, sends);
+        self.flush(now, outgoing);
     }
 
     fn next_wakeup(&self) -> f64 {
         self.fleet
             .as_ref()
-            .map_or(self.begins, |fleet| self.begins + fleet.deadline())
+            .map_or(self.starts_at, |fleet| self.starts_at + fleet.deadline())
     }
 }
 
-/// Peers of a node, and one datagram of each to it.
-pub struct Peers {
+/// Peers of a node, with one datagram of each to it.
+pub struct PeerDatagrams {
     roster: Rc<Roster>,
     endpoint: u32,
     datagrams: Vec<Vec<u8>>,
 }
 
-impl Peers {
-    /// So many peers of one node.
-    pub fn new(count: u32, seed: u64) -> Rc<Peers> {
+impl PeerDatagrams {
+    /// This many peers of one node.
+    pub fn new(count: u32, seed: u64) -> Rc<PeerDatagrams> {
         let roster = Roster::new(count + 1, seed);
-        let (reader, _) = roster.draws_of(count);
+        let receiver_tag = roster.seed_of(count).incarnation_tag;
         let datagrams = (0..count)
-            .zip(&roster.tags)
-            .filter_map(|(peer, (tag, _))| {
-                Writer::new(&empty_header(node(peer, *tag), reader, 1, 0))
+            .zip(&roster.nodes)
+            .filter_map(|(peer, peer_seed)| {
+                let sender = node(peer, peer_seed.incarnation_tag);
+                Writer::new(&empty_header(sender, receiver_tag, 1, 0))
             })
             .map(|writer| writer.seal(&roster.secret))
             .collect();
-        Rc::new(Peers {
+        Rc::new(PeerDatagrams {
             roster,
             endpoint: count,
             datagrams,
@@ -315,68 +343,68 @@
     }
 }
 
-/// A node that was introduced to its peers and has heard each of them once.
-pub struct Acquainted {
+/// One node that knows its peers and has received a datagram of each, outside of a network.
+pub struct IsolatedMember {
     member: Member,
-    peers: Rc<Peers>,
+    peers: Rc<PeerDatagrams>,
     now: f64,
-    /// Datagrams of peers that it took in.
-    pub taken: u64,
+    /// Number of datagrams of peers that it has accepted.
+    pub accepted_datagrams: u64,
 }
 
-impl Acquainted {
-    /// Introduces a node to its peers, each of which writes to it.
-    pub fn new(peers: Rc<Peers>) -> Acquainted {
+impl IsolatedMember {
+    /// Starts a node that knows its peers, and delivers a datagram of each.
+    pub fn new(peers: Rc<PeerDatagrams>) -> IsolatedMember {
         let mut member = Member::new(peers.endpoint, Rc::clone(&peers.roster), 0.0);
         member.poll(0.0, &mut Vec::new());
-        let taken = deliver(&mut member, 0.0, &peers.datagrams);
-        Acquainted {
+        let accepted_datagrams = deliver(&mut member, 0.0, &peers.datagrams);
+        IsolatedMember {
             member,
             peers,
             now: 0.0,
-            taken,
+            accepted_datagrams,
         }
     }
 
-    /// How many peers it takes for members.
-    pub fn peers(&self) -> usize {
-        self.member.peers()
+    /// Number of peers that it considers alive.
+    pub fn peer_count(&self) -> usize {
+        self.member.peer_count()
     }
 
-    /// Sends it the same datagrams once more; how many it took for new.
+    /// Delivers the same datagrams once more; returns how many it accepted.
     pub fn replay(&mut self) -> u64 {
         deliver(&mut self.member, self.now, &self.peers.datagrams)
     }
 
-    /// Lets time pass in which nobody answers. Longer than a second or two, it begins to doubt its peers.
+    /// Lets time pass in which no peer responds. After a second or two it begins to suspect its peers.
     pub fn run_alone(&mut self, seconds: f64) {
         let end = self.now + seconds;
-        let mut sends = Vec::new();
+        let mut outgoing = Vec::new();
         loop {
             let due = self.member.next_wakeup().max(self.now + POLL_INTERVAL);
             if due > end {
                 break;
             }
             self.now = due;
-            self.member.poll(due, &mut sends);
-            sends.clear();
+            self.member.poll(due, &mut outgoing);
+            outgoing.clear();
         }
         self.now = end;
     }
 
-    /// An operator bans a server at this node.
+    /// Bans a server at this node, as an operator does.
     pub fn ban(&mut self, server: &str) {
         self.member.ban(self.now, server, &mut Vec::new());
     }
 }
 
-/// Delivers datagrams to a node, whatever it answers; how many it took in.
+/// Delivers datagrams to a node and drops its responses; returns how many it accepted.
 fn deliver(member: &mut Member, now: f64, datagrams: &[Vec<u8>]) -> u64 {
-    let before = member.taken();
-    let mut answers = Vec::new();
+    let before = member.accepted_datagrams();
+    let mut responses = Vec::new();
     for datagram in datagrams {
-        member.receive(now, 0, datagram, &mut answers);
-        answers.clear();
+        member.receive(now, 0, datagram, &mut responses);
+        responses.clear();
     }
-    member.taken() - before
+    member.accepted_datagrams() - before
 }
--- a/crates/emulator/src/control/network.rs
+++ b/crates/emulator/src/control/network.rs
@@ -1,26 +1,35 @@
-//! Endpoints and the frames between them, in virtual time.
+//! The network of a control side in virtual time: runs the processes of all endpoints and carries the frames between them.
+//! Tests and the scale runs start processes here and let time pass.
 //!
-//! | state | owner | ends |
+//! | state of a process | owner | ends |
 //! | --- | --- | --- |
-//! | running: takes frames and time | the endpoint's slot | killed or frozen |
-//! | frozen: frames wait for it, time does not reach it | the slot | thawed, which delivers them, or killed |
+//! | running: receives frames, is polled | the endpoint's slot | killed or frozen |
+//! | frozen: frames wait in its inbox, it is not polled | the slot | thawed, which delivers them, or killed |
 //! | ended: frames to it are lost | the slot | started again |
-
-use super::account::{Account, Usage};
-use super::endpoint::{CpuClock, Endpoint, Slot};
-use super::links::{Delivery, Link, Links};
-use super::topology::{Scope, Topology};
+//!
+//! | module | responsibility |
+//! | --- | --- |
+//! | `frames` | sending: bandwidth, loss, duplication, retransmission and delay |
+//! | `partitions` | which endpoints can't reach which |
+//! | `accounting` | traffic and processor time of endpoints |
+
+mod accounting;
+mod frames;
+mod partitions;
+
+use self::partitions::Partition;
+use super::endpoint::{CpuClock, Endpoint, OutgoingFrame, ReceivedFrame, Slot};
+use super::links::{Delivery, Links};
+use super::topology::Topology;
 use crate::queue::Queue;
-use rand::{Rng, SeedableRng};
+use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
 
-/// The least time between two polls of an endpoint, in seconds: one that is always due can't stop the clock.
+/// Minimum time between two polls of an endpoint, in seconds: one that is always due can't stop the clock.
 pub const POLL_INTERVAL: f64 = 0.000_5;
-/// Datagrams that wait for a frozen endpoint at most; what a socket's default buffer holds of small ones.
-pub const INBOX_MOST: usize = 200;
-/// Times that a lost frame of a stream is sent again at most.
-const RETRANSMISSIONS_MOST: u32 = 16;
+/// Maximum number of datagrams that wait for a frozen endpoint; what a socket's default buffer holds of small ones.
+pub const MAX_FROZEN_INBOX: usize = 200;
 
 /// Frames that were not delivered, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -29,25 +38,26 @@
     pub lost: u64,
     /// Stopped by a partition.
     pub partitioned: u64,
-    /// Sent to an endpoint that does not run, or that has begun again since.
+    /// Sent to an endpoint that does not run, or that has started again since.
     pub ended: u64,
-    /// Sent to a frozen endpoint whose buffer was full.
+    /// Sent to a frozen endpoint whose inbox was full.
     pub overflowed: u64,
 }
 
 enum Event {
-    Frame {
-        from: u32,
-        to: u32,
-        life: u32,
-        frame: Vec<u8>,
-    },
-    Wakeup {
-        endpoint: u32,
-    },
+    Arrival(Arrival),
+    Wakeup { endpoint: u32 },
+}
+
+/// A frame reaches an endpoint.
+struct Arrival {
+    to: u32,
+    /// The incarnation of the endpoint when the frame was sent.
+    incarnation: u32,
+    received: ReceivedFrame,
 }
 
-/// See the module.
+/// Endpoints, the links between them, and the queue of what is due.
 pub struct Network<E> {
     topology: Topology,
     links: Links,
@@ -56,17 +66,17 @@
     queue: Queue<Event>,
     now: f64,
     rng: Pcg64Mcg,
-    /// Pairs of sets, from and to, between which nothing passes.
-    partitions: Vec<(Scope, Scope)>,
-    /// When the last frame of each stream arrives.
-    arrivals: HashMap<(u32, u32), f64>,
+    partitions: Vec<Partition>,
+    /// When the last frame of each stream arrives, by sender and receiver.
+    last_arrivals: HashMap<(u32, u32), f64>,
     undelivered: Undelivered,
-    accounts_since: f64,
-    sends: Vec<(u32, Vec<u8>)>,
+    accounting_since: f64,
+    /// Buffer for the frames that a process sends, empty between calls.
+    outgoing: Vec<OutgoingFrame>,
 }
 
 impl<E: Endpoint> Network<E> {
-    /// A network at time 0 in which no endpoint runs yet.
+    /// A network at time 0 in which no process runs yet.
     pub fn new(topology: Topology, links: Links, seed: u64) -> Network<E> {
         let slots = (0..topology.len()).map(|_| Slot::empty()).collect();
         Network {
@@ -78,14 +88,14 @@
             now: 0.0,
             rng: Pcg64Mcg::seed_from_u64(seed),
             partitions: Vec::new(),
-            arrivals: HashMap::new(),
+            last_arrivals: HashMap::new(),
             undelivered: Undelivered::default(),
-            accounts_since: 0.0,
-            sends: Vec::new(),
+            accounting_since: 0.0,
+            outgoing: Vec::new(),
         }
     }
 
-    /// Accounts for processor time by this clock. It has no influence on what happens.
+    /// Measures processor time by this clock. It has no influence on what happens.
     pub fn measure_cpu(&mut self, clock: CpuClock) {
         self.cpu_clock = Some(clock);
     }
@@ -105,139 +115,80 @@
         self.undelivered
     }
 
-    // ---- endpoints ----
-
-    /// A process begins at an endpoint; one that runs there is replaced.
+    /// Starts a process at an endpoint; one that runs there is replaced.
     pub fn start(&mut self, endpoint: u32, process: E) {
         let Some(slot) = self.slots.get_mut(endpoint as usize) else {
             return;
         };
-        slot.endpoint = Some(process);
-        slot.frozen = false;
+        slot.process = Some(process);
+        slot.is_frozen = false;
         slot.inbox.clear();
-        slot.life += 1;
-        slot.wakeup = f64::INFINITY;
-        slot.polled = f64::NEG_INFINITY;
-        slot.uplink_free = self.now;
-        self.schedule(endpoint);
+        slot.incarnation += 1;
+        slot.scheduled_wakeup = f64::INFINITY;
+        slot.last_polled_at = f64::NEG_INFINITY;
+        slot.uplink_free_at = self.now;
+        self.schedule_wakeup(endpoint);
     }
 
-    /// The process at an endpoint ends without a word.
+    /// Ends the process at an endpoint, without notice to the others.
     pub fn kill(&mut self, endpoint: u32) -> Option<E> {
         let slot = self.slots.get_mut(endpoint as usize)?;
         slot.inbox.clear();
-        slot.wakeup = f64::INFINITY;
-        slot.endpoint.take()
+        slot.scheduled_wakeup = f64::INFINITY;
+        slot.process.take()
     }
 
-    /// The process at an endpoint stands still; datagrams wait for it as far as its buffer holds them.
+    /// Suspends the process at an endpoint; datagrams wait in its inbox, up to [`MAX_FROZEN_INBOX`].
     pub fn freeze(&mut self, endpoint: u32) {
         if let Some(slot) = self.slots.get_mut(endpoint as usize) {
-            slot.frozen = true;
+            slot.is_frozen = true;
         }
     }
 
-    /// The process at an endpoint goes on: first with the frames that came, then with what is due.
+    /// Resumes the process at an endpoint: first it receives the frames of its inbox, then it does what is due.
     pub fn thaw(&mut self, endpoint: u32) {
         let Some(slot) = self.slots.get_mut(endpoint as usize) else {
             return;
         };
-        slot.frozen = false;
-        let waiting = std::mem::take(&mut slot.inbox);
-        for (from, frame) in waiting {
-            self.hand_over(from, endpoint, &frame);
+        slot.is_frozen = false;
+        let inbox = std::mem::take(&mut slot.inbox);
+        for received in inbox {
+            self.deliver(endpoint, &received);
         }
-        self.schedule(endpoint);
+        self.schedule_wakeup(endpoint);
     }
 
     /// The process at an endpoint, unless it has ended.
     pub fn endpoint(&self, endpoint: u32) -> Option<&E> {
-        self.slots.get(endpoint as usize)?.endpoint.as_ref()
+        self.slots.get(endpoint as usize)?.process.as_ref()
     }
 
-    /// All processes that have not ended, by their numbers.
+    /// All processes that have not ended, by the numbers of their endpoints.
     pub fn endpoints(&self) -> impl Iterator<Item = (u32, &E)> {
         let numbered = (0u32..).zip(&self.slots);
-        numbered.filter_map(|(number, slot)| Some((number, slot.endpoint.as_ref()?)))
+        numbered.filter_map(|(endpoint, slot)| Some((endpoint, slot.process.as_ref()?)))
     }
 
-    /// Does something at an endpoint that runs, and delivers what it sends.
+    /// Calls a process that runs, and sends the frames that the call asks for.
     pub fn with<R>(
         &mut self,
         endpoint: u32,
-        act: impl FnOnce(&mut E, f64, &mut Vec<(u32, Vec<u8>)>) -> R,
+        call: impl FnOnce(&mut E, f64, &mut Vec<OutgoingFrame>) -> R,
     ) -> Option<R> {
         let (now, clock) = (self.now, self.cpu_clock);
-        let mut sends = std::mem::take(&mut self.sends);
+        let mut outgoing = std::mem::take(&mut self.outgoing);
         let slot = self.slots.get_mut(endpoint as usize);
         let result =
-            slot.and_then(|slot| slot.call(clock, |process| act(process, now, &mut sends)));
-        for (to, frame) in sends.drain(..) {
-            self.send(endpoint, to, frame);
+            slot.and_then(|slot| slot.call(clock, |process| call(process, now, &mut outgoing)));
+        for frame in outgoing.drain(..) {
+            self.send(endpoint, frame);
         }
-        self.sends = sends;
-        self.schedule(endpoint);
+        self.outgoing = outgoing;
+        self.schedule_wakeup(endpoint);
         result
     }
 
-    // ---- partitions ----
-
-    /// From now on nothing that is sent passes from one set to another.
-    pub fn partition(&mut self, from: Scope, to: Scope) {
-        self.partitions.push((from, to));
-    }
-
-    /// From now on nothing passes between two sets, either way.
-    pub fn partition_both(&mut self, one: Scope, other: Scope) {
-        self.partition(one, other);
-        self.partition(other, one);
-    }
-
-    /// All partitions are over.
-    pub fn heal(&mut self) {
-        self.partitions.clear();
-    }
-
-    fn is_partitioned(&self, from: u32, to: u32) -> bool {
-        if self.partitions.is_empty() {
-            return false;
-        }
-        let (Some(from_site), Some(to_site)) = (self.topology.site(from), self.topology.site(to))
-        else {
-            return true;
-        };
-        let stops = |(a, b): &(Scope, Scope)| {
-            from != to && a.contains(from, from_site) && b.contains(to, to_site)
-        };
-        self.partitions.iter().any(stops)
-    }
-
-    // ---- accounts ----
-
-    /// The account of an endpoint.
-    pub fn account(&self, endpoint: u32) -> Option<&Account> {
-        self.slots.get(endpoint as usize).map(|slot| &slot.account)
-    }
-
-    /// Begins all accounts anew.
-    pub fn reset_accounts(&mut self) {
-        self.accounts_since = self.now;
-        for slot in &mut self.slots {
-            slot.account = Account::default();
-        }
-    }
-
-    /// What some endpoints used since accounts began.
-    pub fn usage(&self, endpoints: impl IntoIterator<Item = u32>) -> Usage {
-        let accounts = endpoints
-            .into_iter()
-            .filter_map(|endpoint| self.account(endpoint));
-        Usage::of(accounts, self.now - self.accounts_since)
-    }
-
-    // ---- events ----
-
-    /// Runs on for so many seconds.
+    /// Runs for this many seconds.
     pub fn run(&mut self, seconds: f64) {
         let end = self.now + seconds;
         while self.queue.next_at().is_some_and(|at| at <= end) {
@@ -246,194 +197,93 @@
             };
             self.now = self.queue.now();
             match event {
-                Event::Frame {
-                    from,
-                    to,
-                    life,
-                    frame,
-                } => self.arrive(from, to, life, frame),
-                Event::Wakeup { endpoint } => self.wake(endpoint),
+                Event::Arrival(arrival) => self.handle_arrival(arrival),
+                Event::Wakeup { endpoint } => self.handle_wakeup(endpoint),
             }
         }
         self.now = end;
     }
 
-    /// Runs until something holds, which is looked at every `step` seconds; how long it took. `None` if it does not hold
-    /// within `most` seconds.
+    /// Runs until a condition holds, which is checked every `step` seconds; how long it took. `None` if it does not hold
+    /// within `timeout` seconds.
     pub fn run_until(
         &mut self,
-        most: f64,
+        timeout: f64,
         step: f64,
-        holds: impl Fn(&Network<E>) -> bool,
+        condition: impl Fn(&Network<E>) -> bool,
     ) -> Option<f64> {
-        let begun = self.now;
-        while !holds(self) {
-            if self.now - begun >= most {
+        let started_at = self.now;
+        while !condition(self) {
+            if self.now - started_at >= timeout {
                 return None;
             }
             self.run(step);
         }
-        Some(self.now - begun)
+        Some(self.now - started_at)
     }
 
-    fn arrive(&mut self, from: u32, to: u32, life: u32, frame: Vec<u8>) {
-        let streams = matches!(self.links.delivery, Delivery::Streams { .. });
-        let Some(slot) = self.slots.get_mut(to as usize) else {
+    fn handle_arrival(&mut self, arrival: Arrival) {
+        let is_stream = matches!(self.links.delivery, Delivery::Streams { .. });
+        let Some(slot) = self.slots.get_mut(arrival.to as usize) else {
             return;
         };
-        let ended = slot.endpoint.is_none() || (streams && slot.life != life);
-        if ended {
+        let is_closed_stream = is_stream && slot.incarnation != arrival.incarnation;
+        if slot.process.is_none() || is_closed_stream {
             self.undelivered.ended += 1;
-        } else if !slot.frozen {
-            self.hand_over(from, to, &frame);
-        } else if streams || slot.inbox.len() < INBOX_MOST {
-            slot.inbox.push_back((from, frame));
+        } else if !slot.is_frozen {
+            self.deliver(arrival.to, &arrival.received);
+        } else if is_stream || slot.inbox.len() < MAX_FROZEN_INBOX {
+            slot.inbox.push_back(arrival.received);
         } else {
             self.undelivered.overflowed += 1;
         }
     }
 
-    fn hand_over(&mut self, from: u32, to: u32, frame: &[u8]) {
-        let (now, bytes) = (self.now, self.bytes_on_link(frame));
+    fn deliver(&mut self, to: u32, received: &ReceivedFrame) {
+        let (now, bytes) = (self.now, self.bytes_on_link(&received.frame));
         if let Some(slot) = self.slots.get_mut(to as usize) {
             slot.account.received(now, bytes);
         }
-        self.with(to, |process, now, sends| {
-            process.receive(now, from, frame, sends);
+        self.with(to, |process, now, outgoing| {
+            process.receive(now, received.from, &received.frame, outgoing);
         });
     }
 
-    fn wake(&mut self, endpoint: u32) {
+    fn handle_wakeup(&mut self, endpoint: u32) {
         let now = self.now;
         let Some(slot) = self.slots.get_mut(endpoint as usize) else {
             return;
         };
-        // One that was put in for a later moment than another, or for a process that has ended.
-        if slot.wakeup > now {
+        // A wakeup that an earlier one replaced, or of a process that has ended.
+        if slot.scheduled_wakeup > now {
             return;
         }
-        slot.wakeup = f64::INFINITY;
-        let due = slot
-            .running()
+        slot.scheduled_wakeup = f64::INFINITY;
+        let is_due = slot
+            .running_process()
             .is_some_and(|process| process.next_wakeup() <= now);
-        if due {
-            slot.polled = now;
-            self.with(endpoint, super::endpoint::Endpoint::poll);
+        if is_due {
+            slot.last_polled_at = now;
+            self.with(endpoint, Endpoint::poll);
         } else {
-            self.schedule(endpoint);
+            self.schedule_wakeup(endpoint);
         }
     }
 
-    /// Puts in a wakeup, unless one that is as early is in the queue.
-    fn schedule(&mut self, endpoint: u32) {
+    /// Schedules the next wakeup of an endpoint, unless one that is as early is in the queue.
+    fn schedule_wakeup(&mut self, endpoint: u32) {
         let now = self.now;
         let Some(slot) = self.slots.get_mut(endpoint as usize) else {
             return;
         };
-        let polled = slot.polled;
-        let Some(process) = slot.running() else {
+        let earliest = slot.last_polled_at + POLL_INTERVAL;
+        let Some(process) = slot.running_process() else {
             return;
         };
-        let at = process.next_wakeup().max(polled + POLL_INTERVAL).max(now);
-        if at < slot.wakeup {
-            slot.wakeup = at;
+        let at = process.next_wakeup().max(earliest).max(now);
+        if at < slot.scheduled_wakeup {
+            slot.scheduled_wakeup = at;
             self.queue.put(at, Event::Wakeup { endpoint });
         }
     }
-
-    // ---- frames ----
-
-    fn send(&mut self, from: u32, to: u32, frame: Vec<u8>) {
-        let bytes = self.bytes_on_link(&frame);
-        if let Some(slot) = self.slots.get_mut(from as usize) {
-            slot.account.sent(self.now, bytes);
-        }
-        let departure = self.departure(from, bytes);
-        let Some(distance) = self.topology.distance(from, to) else {
-            self.undelivered.ended += 1;
-            return;
-        };
-        if self.is_partitioned(from, to) {
-            self.undelivered.partitioned += 1;
-            return;
-        }
-        let link = self.links.over(distance);
-        match self.links.delivery {
-            Delivery::Datagrams => self.send_datagram(from, to, frame, departure, link),
-            Delivery::Streams { retransmit_after } => {
-                self.send_in_stream(from, to, frame, departure, link, retransmit_after);
-            }
-        }
-    }
-
-    fn bytes_on_link(&self, frame: &[u8]) -> u64 {
-        (frame.len() + self.links.overhead) as u64
-    }
-
-    /// When the uplink has sent so many bytes more.
-    fn departure(&mut self, from: u32, bytes: u64) -> f64 {
-        let takes = bytes as f64 / self.links.bandwidth;
-        let Some(slot) = self.slots.get_mut(from as usize) else {
-            return self.now;
-        };
-        slot.uplink_free = slot.uplink_free.max(self.now) + takes;
-        slot.uplink_free
-    }
-
-    fn chance(&mut self, share: f64) -> bool {
-        share > 0.0 && self.rng.random::<f64>() < share
-    }
-
-    fn delay(&mut self, link: Link) -> f64 {
-        link.delay_least + (link.delay_most - link.delay_least) * self.rng.random::<f64>()
-    }
-
-    fn send_datagram(&mut self, from: u32, to: u32, frame: Vec<u8>, departure: f64, link: Link) {
-        if self.chance(link.duplicates) {
-            let at = departure + self.delay(link);
-            self.put_frame(at, from, to, frame.clone());
-        }
-        if self.chance(link.loss) {
-            self.undelivered.lost += 1;
-            return;
-        }
-        let at = departure + self.delay(link);
-        self.put_frame(at, from, to, frame);
-    }
-
-    fn send_in_stream(
-        &mut self,
-        from: u32,
-        to: u32,
-        frame: Vec<u8>,
-        departure: f64,
-        link: Link,
-        retransmit_after: f64,
-    ) {
-        let mut at = departure + self.delay(link);
-        for _ in 0..RETRANSMISSIONS_MOST {
-            if !self.chance(link.loss) {
-                break;
-            }
-            at += retransmit_after;
-        }
-        let last = self.arrivals.entry((from, to)).or_insert(at);
-        // Frames of one instant are delivered in the order in which they were put in.
-        at = at.max(*last);
-        *last = at;
-        self.put_frame(at, from, to, frame);
-    }
-
-    fn put_frame(&mut self, at: f64, from: u32, to: u32, frame: Vec<u8>) {
-        let life = self.slots.get(to as usize).map_or(0, |slot| slot.life);
-        self.queue.put(
-            at,
-            Event::Frame {
-                from,
-                to,
-                life,
-                frame,
-            },
-        );
-    }
 }
--- a/crates/emulator/src/control/report.rs
+++ b/crates/emulator/src/control/report.rs
@@ -1,19 +1,20 @@
 //! The figures of a scale run, as they are written to and read from JSON.
 //!
-//! Whoever measures writes these types, in virtual time or on sockets, and the tables of the pages are made of them.
+//! The scale runs of this package and of the capacity package write these types, and the tables of the documentation are
+//! generated from them. Names of fields are those of the JSON.
 
 use super::account::Usage;
-use super::plays::Outcome;
+use super::scenarios::Outcome;
 use serde::{Deserialize, Serialize};
 
-pub use super::plays::JudgedBy;
+pub use super::scenarios::JudgedBy;
 pub use super::times::Times;
 pub use super::world::Ages;
 
-/// Format of the JSON; readers refuse any other.
+/// Version of the JSON format; readers reject any other.
 pub const SCHEMA: u32 = 1;
 
-/// How large the system is that a run plays.
+/// The size of the system that a run emulates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Size {
@@ -89,7 +90,7 @@
     Restarts,
 }
 
-/// What a run was played with.
+/// What a run was measured with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Source {
@@ -103,7 +104,7 @@
     Computation,
 }
 
-/// Traffic of one kind of message, for one node.
+/// Traffic of one kind of message, of one node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
@@ -119,7 +120,7 @@
     pub messages_out: f64,
 }
 
-/// What control costs one node, as a mean over the nodes of a run.
+/// What the control side costs one node, as a mean over the nodes of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PerNode {
@@ -135,7 +136,7 @@
 }
 
 impl PerNode {
-    /// What nodes used that sent and received messages of one kind.
+    /// The figures of nodes that sent and received messages of one kind.
     pub fn of(kind: &str, usage: &Usage, memory: Option<f64>) -> PerNode {
         let traffic = Traffic {
             kind: kind.to_owned(),
@@ -146,13 +147,13 @@
         };
         PerNode {
             traffic: vec![traffic],
-            peak_bytes: usage.short_most as f64,
+            peak_bytes: usage.short_window_max as f64,
             cpu: usage.cpu,
             memory,
         }
     }
 
-    /// Bytes that a node received and sent in a second.
+    /// Bytes that a node received and sent per second.
     pub fn bytes(&self) -> f64 {
         self.traffic
             .iter()
@@ -161,17 +162,17 @@
     }
 }
 
-/// Times of requests through a real node, at rest and while the control side is loaded.
+/// Latencies of requests through a real node, at rest and while configuration changes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestTimes {
-    /// With nothing else to do.
+    /// Without load on the control side.
     pub at_rest: Times,
-    /// While changes arrive.
+    /// While changes are applied.
     pub under_changes: Times,
 }
 
-/// What control machines used, each.
+/// What each control machine used, as a mean.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Control {
@@ -185,30 +186,31 @@
     pub memory: f64,
 }
 
-/// What came of a play of the distribution, beside what all runs have.
+/// The figures of a scenario of the distribution, beside those that all runs have.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Played {
-    /// What was played, in words.
+    /// The scenario and its parameters.
     pub title: String,
-    /// Which time is held against a budget.
+    /// Which time has a budget.
     pub judged_by: JudgedBy,
-    /// Time until a node had all, once it could hear again.
+    /// Time until a node was up to date, once it was connected again.
     pub caught_up: Option<Times>,
-    /// Most bytes that any node received and sent within [`LONG_SPAN`](super::account::LONG_SPAN).
+    /// Most bytes that any node received and sent within [`LONG_WINDOW`](super::account::LONG_WINDOW).
     pub peak_bytes_10s: f64,
-    /// How often a node had not got a change in the end.
+    /// How often a node had not applied a change at the end.
     pub missing: u64,
-    /// Promises that were not kept: versions that went back, nodes that ended unlike the author, links over their budget.
+    /// Number of violations of invariants: versions that did not increase, nodes that differ from the author at the end,
+    /// nodes that exceeded their bandwidth.
     pub faults: u64,
-    /// Ages that nodes stated, where they were compared with the truth.
+    /// The staleness that nodes stated, if it was compared with the true one.
     pub ages: Option<Ages>,
     /// What control machines used.
     pub control: Control,
 }
 
 impl Played {
-    /// What came of a play, with the memory of one control machine in bytes.
+    /// The figures of an outcome, with the memory of one control machine in bytes.
     pub fn of(title: String, outcome: &Outcome, control_memory: f64) -> Played {
         let Usage {
             bytes_in,
@@ -219,10 +221,10 @@
         Played {
             title,
             judged_by: outcome.judged_by,
-            caught_up: outcome.caught_up,
-            peak_bytes_10s: outcome.nodes.long_most as f64,
+            caught_up: outcome.catch_up_times,
+            peak_bytes_10s: outcome.nodes.long_window_max as f64,
             missing: outcome.missing as u64,
-            faults: outcome.faults_seen as u64,
+            faults: outcome.violation_count as u64,
             ages: outcome.ages,
             control: Control {
                 bytes_in,
@@ -238,24 +240,24 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Run {
-    /// What it was about, such as `quiet`, `sweep` or the name of a worst moment.
+    /// Its name, such as `quiet`, `sweep` or the name of a scenario.
     pub name: String,
-    /// What it was played with.
+    /// What it was measured with.
     pub source: Source,
-    /// How large it was.
+    /// The size of the system.
     pub size: Size,
-    /// How long it took, in seconds of its own clock.
+    /// Its duration, in seconds of its own clock.
     pub seconds: f64,
-    /// What control cost each node.
+    /// What the control side cost each node.
     pub per_node: PerNode,
-    /// Time until a change was in force at the nodes.
+    /// Time until nodes had applied a change.
     pub in_force: Option<Times>,
-    /// What requests felt of it.
+    /// Latencies of requests.
     pub requests: Option<RequestTimes>,
     /// Length of what a computation read, in bytes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub read_bytes: Option<u64>,
-    /// What came of it, if it is a play of the distribution.
+    /// The figures of the scenario, if it is one of the distribution.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub played: Option<Played>,
 }
@@ -265,20 +267,20 @@
 pub struct Bend {
     /// The quadratic term over its standard error.
     pub t: f64,
-    /// The bound that it is held against.
+    /// The bound beyond which it is a bend.
     pub bound: f64,
     /// Whether it is a bend.
     pub bent: bool,
 }
 
-/// What a line says of a size that was not measured.
+/// The extrapolation of a line to a size that was not measured.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Projection {
     /// The size on the line's axis.
     pub at: f64,
     /// The figure there.
     pub figure: f64,
-    /// The error that the slope's standard error makes at this distance from the points.
+    /// The error that follows from the slope's standard error at this distance from the points.
     pub standard_error: f64,
 }
 
@@ -297,15 +299,15 @@
     pub slope: f64,
     /// Standard error of the slope.
     pub standard_error: f64,
-    /// The residuals show a bend: the line must not be extended.
+    /// The residuals show a bend: the line must not be extrapolated.
     pub bent: bool,
     /// The figure less the line, point by point.
     #[serde(default)]
     pub residuals: Vec<f64>,
-    /// By what a bend is told.
+    /// The test for a bend.
     #[serde(default)]
     pub bend: Option<Bend>,
-    /// The line at the target; `None` if it is not extended.
+    /// The line at the target; `None` if it is not extrapolated.
     #[serde(default)]
     pub projection: Option<Projection>,
 }
@@ -317,7 +319,7 @@
     pub schema: u32,
     /// The commit that was measured.
     pub commit: String,
-    /// The seed of all draws.
+    /// The seed of all random numbers.
     pub seed: u64,
     /// Cores of the machine.
     pub cores: usize,
@@ -328,7 +330,7 @@
 }
 
 impl Report {
-    /// Adds runs; a run takes the place of an earlier one of its name and size.
+    /// Adds runs; a run replaces an earlier one of the same name and size.
     pub fn append(&mut self, runs: Vec<Run>) {
         for run in runs {
             let is_earlier = |other: &&mut Run| other.name == run.name && other.size == run.size;
--- a/crates/emulator/src/control/contents.rs
+++ b/crates/emulator/src/control/resources.rs
@@ -1,16 +1,16 @@
-//! Which resources a system has, and how long their bodies are.
+//! The resources of a system: their names, and the lengths of their bodies.
 
 use reelfall_distribution::resource::Name;
 
 /// Bytes of a service's settings.
 const SETTINGS_BYTES: usize = 2_000;
-/// Bytes of a service's list of servers.
+/// Bytes of a service's endpoint list.
 const SERVERS_BYTES: usize = 1_000;
 /// Bytes of a route, as operators write it in a settings file.
 const ROUTE_BYTES: usize = 90;
 /// Bytes of a tenant and its quota, as the platform's configuration has it.
 const TENANT_BYTES: usize = 42;
-/// The item of a tenant that holds its quota.
+/// The item of a tenant that contains its quota.
 const TENANT_ITEM: &str = "quota";
 
 /// One resource of the system.
@@ -18,11 +18,16 @@
 pub enum Resource {
     /// A service's settings.
     Settings(u32),
-    /// A service's servers.
+    /// A service's endpoint list.
     Servers(u32),
-    /// A service's route, by its number within the service.
-    Route(u32, u32),
-    /// A tenant, which nodes ask for when they first meet it.
+    /// A service's route.
+    Route {
+        /// The service.
+        service: u32,
+        /// Its number within the service.
+        number: u32,
+    },
+    /// A tenant, which nodes subscribe to at its first request.
     Tenant(u32),
 }
 
@@ -32,19 +37,19 @@
         match self {
             Resource::Settings(service) => Name::service(&service_name(service), "settings"),
             Resource::Servers(service) => Name::service(&service_name(service), "servers"),
-            Resource::Route(service, number) => {
+            Resource::Route { service, number } => {
                 Name::service(&service_name(service), &format!("route-{number}"))
             }
             Resource::Tenant(tenant) => Name::tenant(&tenant_name(tenant), TENANT_ITEM),
         }
     }
 
-    /// How long its body is.
+    /// The length of its body.
     pub fn body_bytes(self) -> usize {
         match self {
             Resource::Settings(_) => SETTINGS_BYTES,
             Resource::Servers(_) => SERVERS_BYTES,
-            Resource::Route(..) => ROUTE_BYTES,
+            Resource::Route { .. } => ROUTE_BYTES,
             Resource::Tenant(_) => TENANT_BYTES,
         }
     }
--- a/crates/emulator/src/control/sizes.rs
+++ b/crates/emulator/src/control/sizes.rs
@@ -1,25 +1,28 @@
-//! How large a system is: its nodes, control machines and resources.
+//! The sizes of a system: numbers of nodes, control machines and resources.
 
-use super::contents::Resource;
+use super::resources::Resource;
 
-/// How large a system is.
+/// A service's settings and its endpoint list come before its routes.
+const RESOURCES_BEFORE_ROUTES: u32 = 2;
+
+/// The sizes of a system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sizes {
-    /// Zones of each region.
+    /// Number of zones of each region.
     pub zones: &'static [u16],
-    /// Nodes, spread evenly over the zones.
+    /// Number of nodes, spread evenly over the zones.
     pub nodes: u32,
-    /// Control machines that can write; one of each of the first regions.
+    /// Number of authors; one in each of the first regions.
     pub authors: u32,
-    /// Control machines that serve nodes; spread evenly over the regions.
+    /// Number of relays, spread evenly over the regions.
     pub relays: u32,
-    /// Services.
+    /// Number of services.
     pub services: u32,
-    /// Groups of nodes that serve the same services: each service is served by the nodes of one group.
+    /// Number of groups of nodes: each service is served by the nodes of one group.
     pub groups: u32,
-    /// Routes that are resources of their own, over all services.
+    /// Number of routes that are resources of their own, over all services.
     pub routes: u32,
-    /// Tenants that are resources.
+    /// Number of tenants that are resources.
     pub tenants: u32,
 }
 
@@ -56,24 +59,27 @@
 }
 
 impl Sizes {
-    /// How many resources a service has.
+    /// Number of resources of a service.
     pub fn resources_of_service(&self, service: u32) -> u32 {
-        2 + self.routes_of(service)
+        RESOURCES_BEFORE_ROUTES + self.routes_of(service)
     }
 
-    /// A service's resource, by its number among those of the service.
-    pub fn resource(&self, service: u32, number: u32) -> Resource {
-        match number {
+    /// A service's resource, by its index among those of the service.
+    pub fn resource(&self, service: u32, index: u32) -> Resource {
+        match index {
             0 => Resource::Settings(service),
             1 => Resource::Servers(service),
-            route => Resource::Route(service, route - 2),
+            _ => Resource::Route {
+                service,
+                number: index - RESOURCES_BEFORE_ROUTES,
+            },
         }
     }
 
     /// The resources of a service.
     pub fn service_resources(&self, service: u32) -> impl Iterator<Item = Resource> + use<> {
         let sizes = *self;
-        (0..self.resources_of_service(service)).map(move |number| sizes.resource(service, number))
+        (0..self.resources_of_service(service)).map(move |index| sizes.resource(service, index))
     }
 
     /// All resources.
@@ -83,7 +89,7 @@
         services.chain((0..self.tenants).map(Resource::Tenant))
     }
 
-    /// Routes are spread evenly over services.
+    /// Number of routes of a service; routes are spread evenly over services.
     fn routes_of(&self, service: u32) -> u32 {
         let services = self.services.max(1);
         self.routes / services + u32::from(service < self.routes % services)
--- /dev/null
+++ b/crates/emulator/src/control/tenant_subscriptions.rs
@@ -0,0 +1,53 @@
+//! Tenants that nodes subscribe to on demand, at the first request of each, and how long that request waits. The world
+//! records them.
+
+use super::resources::Resource;
+use reelfall_distribution::resource::Name;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The tenants of each node, and the times of their first requests.
+#[derive(Default)]
+pub struct TenantSubscriptions {
+    tenants: BTreeMap<u32, BTreeSet<u32>>,
+    /// When the first request of a tenant arrived at a node that has not received the tenant yet.
+    pending: BTreeMap<(u32, Name), f64>,
+    /// How long first requests waited, in seconds.
+    waits: Vec<f64>,
+}
+
+impl TenantSubscriptions {
+    /// Records a request of a tenant at a node; whether it is the first one.
+    pub fn record_request(&mut self, node: u32, tenant: u32, now: f64) -> bool {
+        let is_first = self.tenants.entry(node).or_default().insert(tenant);
+        if is_first {
+            self.pending
+                .insert((node, Resource::Tenant(tenant).name()), now);
+        }
+        is_first
+    }
+
+    /// Records that a node has applied a resource.
+    pub fn record_applied(&mut self, node: u32, name: &Name, at: f64) {
+        if self.pending.is_empty() {
+            return;
+        }
+        if let Some(since) = self.pending.remove(&(node, name.clone())) {
+            self.waits.push(at - since);
+        }
+    }
+
+    /// The tenants that a node has subscribed to.
+    pub fn of_node(&self, node: u32) -> impl Iterator<Item = u32> + '_ {
+        self.tenants.get(&node).into_iter().flatten().copied()
+    }
+
+    /// Number of first requests that still wait.
+    pub fn pending(&self) -> usize {
+        self.pending.len()
+    }
+
+    /// The waits of first requests since the last call, in seconds.
+    pub fn take_waits(&mut self) -> Vec<f64> {
+        std::mem::take(&mut self.waits)
+    }
+}
--- a/crates/emulator/src/control/times.rs
+++ b/crates/emulator/src/control/times.rs
@@ -1,4 +1,4 @@
-//! Percentiles of times.
+//! Percentiles of durations, as reports state them.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,22 +10,22 @@
     pub p50: f64,
     /// 99th percentile.
     pub p99: f64,
-    /// The largest.
+    /// The maximum.
     pub last: f64,
 }
 
 impl Times {
-    /// By nearest rank; `None` of no times.
+    /// Percentiles by nearest rank; `None` if there are no times.
     pub fn of(mut times: Vec<f64>) -> Option<Times> {
         times.sort_by(f64::total_cmp);
         let last = times.last().copied()?;
-        let rank = |share: f64| {
-            let rank = (share * times.len() as f64).ceil() as usize;
+        let percentile = |fraction: f64| {
+            let rank = (fraction * times.len() as f64).ceil() as usize;
             times.get(rank.saturating_sub(1)).copied().unwrap_or(last)
         };
         Some(Times {
-            p50: rank(0.5),
-            p99: rank(0.99),
+            p50: percentile(0.5),
+            p99: percentile(0.99),
             last,
         })
     }
--- a/crates/emulator/src/control/topology.rs
+++ b/crates/emulator/src/control/topology.rs
@@ -1,19 +1,19 @@
-//! Regions, zones and racks, and which endpoint is in which.
+//! Regions, zones and racks, and the site of each endpoint. Networks take delays and partitions from it.
 
-/// Endpoints of one rack.
+/// Number of endpoints of one rack.
 pub const RACK_SIZE: usize = 40;
 
 /// Zones of each region of the target system: 13 in 4 regions.
 pub const TARGET_ZONES: [u16; 4] = [4, 3, 3, 3];
 
-/// Where an endpoint is.
+/// The site of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Site {
     /// Its region.
     pub region: u16,
-    /// Its zone; numbered over all regions.
+    /// Its zone, numbered over all regions.
     pub zone: u16,
-    /// Its rack; numbered within the zone.
+    /// Its rack, numbered within the zone.
     pub rack: u16,
 }
 
@@ -37,8 +37,13 @@
     Region(u16),
     /// Those of a zone.
     Zone(u16),
-    /// Those of a rack of a zone.
-    Rack(u16, u16),
+    /// Those of a rack.
+    Rack {
+        /// The zone of the rack.
+        zone: u16,
+        /// Its number within the zone.
+        rack: u16,
+    },
     /// One of them.
     Endpoint(u32),
 }
@@ -50,7 +55,7 @@
             Scope::All => true,
             Scope::Region(region) => site.region == region,
             Scope::Zone(zone) => site.zone == zone,
-            Scope::Rack(zone, rack) => site.zone == zone && site.rack == rack,
+            Scope::Rack { zone, rack } => site.zone == zone && site.rack == rack,
             Scope::Endpoint(number) => endpoint == number,
         }
     }
@@ -62,12 +67,12 @@
     /// The region of each zone.
     regions: Vec<u16>,
     sites: Vec<Site>,
-    /// Endpoints of each zone so far.
+    /// Number of endpoints of each zone so far.
     populations: Vec<usize>,
 }
 
 impl Topology {
-    /// Regions with so many zones each, and no endpoints.
+    /// A topology of regions with these numbers of zones, without endpoints.
     pub fn new(zones_of_regions: &[u16]) -> Topology {
         let mut regions = Vec::new();
         for (region, zones) in (0u16..).zip(zones_of_regions) {
@@ -91,7 +96,7 @@
         topology
     }
 
-    /// Adds an endpoint to a zone; its number.
+    /// Adds an endpoint to a zone; returns its number.
     pub fn add(&mut self, zone: u16) -> u32 {
         let region = self
             .regions
@@ -107,7 +112,7 @@
         (self.sites.len() - 1) as u32
     }
 
-    /// How many endpoints there are.
+    /// Number of endpoints.
     pub fn len(&self) -> usize {
         self.sites.len()
     }
@@ -117,12 +122,12 @@
         self.sites.is_empty()
     }
 
-    /// How many zones there are.
+    /// Number of zones.
     pub fn zones(&self) -> usize {
         self.regions.len()
     }
 
-    /// Where an endpoint is.
+    /// The site of an endpoint.
     pub fn site(&self, endpoint: u32) -> Option<Site> {
         self.sites.get(endpoint as usize).copied()
     }
@@ -137,9 +142,9 @@
     }
 
     /// How far apart two endpoints are.
-    pub fn distance(&self, a: u32, b: u32) -> Option<Distance> {
-        let (a, b) = (self.site(a)?, self.site(b)?);
-        Some(match (a.region == b.region, a.zone == b.zone) {
+    pub fn distance(&self, one: u32, other: u32) -> Option<Distance> {
+        let (one, other) = (self.site(one)?, self.site(other)?);
+        Some(match (one.region == other.region, one.zone == other.zone) {
             (true, true) => Distance::WithinZone,
             (true, false) => Distance::WithinRegion,
             _ => Distance::BetweenRegions,
--- a/crates/emulator/src/control/world.rs
+++ b/crates/emulator/src/control/world.rs
@@ -1,43 +1,59 @@
-//! Distribution of configuration in a fleet: authors, relays and nodes over a network, what is published, and when it is
-//! in force at each node.
+//! Distribution of configuration in a fleet: authors, relays and nodes over a network, the changes that are published, and
+//! when each node applies them. [`super::scenarios`] drives it.
+//!
+//! | module | responsibility |
+//! | --- | --- |
+//! | `machines` | machines that start, end and lose their disks |
+//! | `lease` | which author holds the lease |
+//! | `changes` | changes: requested, published, reverted |
+//! | `tracking` | which nodes have applied a change, and the staleness that nodes state |
+//! | `relays` | whether relays have all resources |
+//! | `invariants` | invariants of the whole world |
 
-mod applied;
 mod changes;
+mod invariants;
 mod lease;
 mod machines;
-mod promises;
+mod relays;
+mod tracking;
 
-pub use lease::LEASE_LASTS;
-pub use promises::{check_agreement, check_budget};
+pub use self::changes::WriteError;
+pub use self::invariants::{check_agreement, check_bandwidth};
+pub use self::lease::LEASE_DURATION;
+pub use self::relays::{RelayProgress, RelaysBehind};
+pub use self::tracking::{Ages, ApplyTimes, TrackedChange};
 
-use super::check::Checker;
+use self::changes::RequestedChange;
+use self::lease::LeaseState;
 use super::clock::Clock;
-use super::contents::Resource;
-use super::demand::Demands;
-use super::layout::Layout;
+use super::invariants::{has_same_content, InvariantChecker};
+use super::layout::{Layout, LayoutError, PlacedLayout};
 use super::links::Links;
 use super::machine::{Disk, Machine};
 use super::network::Network;
+use super::resources::Resource;
 use super::sizes::Sizes;
+use super::tenant_subscriptions::TenantSubscriptions;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use reelfall_distribution::author::Author;
-use reelfall_distribution::resource::{Name, Version};
+use reelfall_distribution::resource::Name;
 use reelfall_distribution::token_bucket::TRANSPORT_OVERHEAD_BYTES;
-use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, VecDeque};
+use thiserror::Error;
 
-/// The world looks at leases and at what nodes have applied so often, in seconds.
+/// How often the lease and the changes that nodes have applied are looked at, in seconds.
 const STEP: f64 = 0.25;
-/// Resources that are published at once at the beginning.
-const BATCH: usize = 500;
-/// How long the first resources may take to reach all relays, in seconds: 640,000 of them, 16 KiB to a round trip between
+/// Number of resources that are published at once at the start.
+const INITIAL_BATCH: usize = 500;
+/// How long the initial resources may take to reach all relays, in seconds: 640,000 of them, 16 KiB per round trip between
 /// regions.
-const LOAD_WAIT: f64 = 3_600.0;
-/// Clocks of machines that drift stand apart by so much at most, in seconds.
-const CLOCKS_APART: f64 = 1_000.0;
+const LOAD_TIMEOUT: f64 = 3_600.0;
+/// Clocks that drift start within this range, in seconds.
+const CLOCK_OFFSET_RANGE: f64 = 1_000.0;
+/// Sets the random numbers of clocks apart from the others of the seed.
+const CLOCK_SEED: u64 = 0xc10c;
 
-/// Links for the distribution's own account of headers.
+/// Links that count headers as the distribution does.
 pub fn links() -> Links {
     Links {
         overhead: TRANSPORT_OVERHEAD_BYTES,
@@ -45,205 +61,136 @@
     }
 }
 
-/// A change that is followed on its way.
-#[derive(Clone, Debug)]
-pub struct Tracked {
-    /// Which resource.
-    pub resource: Resource,
-    /// Its version.
-    pub version: Version,
-    /// When it was asked for.
-    pub asked_at: f64,
-    /// When the author wrote it.
-    pub published_at: f64,
-    /// Nodes that don't have it yet.
-    pub missing: BTreeSet<u32>,
-    /// When each of the others had it, in seconds after it was asked for.
-    pub times: Vec<f64>,
+/// Why a world can't be made.
+#[derive(Clone, Debug, Error)]
+pub enum WorldError {
+    /// The system can't be placed.
+    #[error(transparent)]
+    Layout(#[from] LayoutError),
+    /// No author started to publish in time.
+    #[error("no author writes")]
+    NoAuthor,
+    /// The initial resources were not published.
+    #[error(transparent)]
+    Write(#[from] WriteError),
+    /// The initial resources did not reach all relays in time.
+    #[error(transparent)]
+    RelaysBehind(#[from] RelaysBehind),
 }
 
-/// A change that waits for an author.
-struct Waiting {
-    resource: Resource,
-    asked_at: f64,
-}
-
-/// Ages that nodes stated of what they know, beside the truth.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Ages {
-    /// How often a node that lacked a change was asked.
-    pub compared: u64,
-    /// The least by which a stated age was above the truth, in seconds; below 0 if one was less than the truth.
-    pub least_margin: f64,
-    /// The greatest true age, in seconds.
-    pub oldest: f64,
-}
-
-/// See the module.
+/// Machines over a network, with what is known of their configuration.
 pub struct World {
     /// The machines and their links.
     pub network: Network<Machine>,
-    /// Which endpoint is what.
+    /// The roles of endpoints.
     pub layout: Layout,
-    /// What was seen of promises that were not kept.
-    pub checker: Checker,
-    /// Tenants that nodes have asked for.
-    pub demands: Demands,
-    /// Ages that nodes stated, if they are compared with the truth.
+    /// Violations of invariants.
+    pub checker: InvariantChecker,
+    /// Tenants that nodes have subscribed to.
+    pub tenant_subscriptions: TenantSubscriptions,
+    /// The staleness that nodes state, if it is compared with the true one.
     pub ages: Option<Ages>,
     /// The clock of each machine.
     clocks: Vec<Clock>,
     /// Disks of machines that have ended.
     disks: BTreeMap<u32, Disk>,
-    leader: Option<u32>,
-    /// Authors that do not get the lease.
-    barred: BTreeSet<u32>,
-    token: u64,
-    held_until: f64,
-    renew_at: f64,
-    waiting: VecDeque<Waiting>,
-    tracked: BTreeMap<Name, Vec<Tracked>>,
-    followed: Vec<Tracked>,
+    lease: LeaseState,
+    /// Changes that wait for an author.
+    requested: VecDeque<RequestedChange>,
+    /// Changes that not all nodes have applied.
+    tracked: BTreeMap<Name, Vec<TrackedChange>>,
+    /// Changes that all nodes have applied.
+    completed: Vec<TrackedChange>,
+    /// Number of bodies so far.
     bodies: u64,
-    draw: Pcg64Mcg,
+    rng: Pcg64Mcg,
 }
 
 impl World {
-    /// Authors and relays that run and have every service's resources; nodes that do not run yet.
+    /// A world whose authors and relays run and have every service's resources. Its nodes do not run yet.
     ///
     /// # Errors
-    /// If sizes can't be placed, or the resources do not reach the relays.
-    pub fn new(sizes: Sizes, links: Links, seed: u64) -> Result<World, String> {
+    /// If the sizes are invalid, or the resources do not reach the relays.
+    pub fn new(sizes: Sizes, links: Links, seed: u64) -> Result<World, WorldError> {
         World::with_drift(sizes, links, seed, 0.0)
     }
 
-    /// The same with clocks of machines that run between `1 - drift` and `1 + drift` of the world's.
+    /// The same with clocks of machines that run between `1 - drift` and `1 + drift` times as fast as the world's.
     ///
     /// # Errors
     /// As [`World::new`].
-    pub fn with_drift(sizes: Sizes, links: Links, seed: u64, drift: f64) -> Result<World, String> {
-        let (layout, topology) = Layout::new(sizes, "settings", seed)?;
+    pub fn with_drift(
+        sizes: Sizes,
+        links: Links,
+        seed: u64,
+        drift: f64,
+    ) -> Result<World, WorldError> {
+        let PlacedLayout { layout, topology } = Layout::place(sizes, "settings", seed)?;
         let clocks = clocks(topology.len(), seed, drift);
         let mut world = World {
             network: Network::new(topology, links, seed),
             layout,
-            checker: Checker::default(),
-            demands: Demands::default(),
+            checker: InvariantChecker::default(),
+            tenant_subscriptions: TenantSubscriptions::default(),
             ages: None,
             clocks,
             disks: BTreeMap::new(),
-            leader: None,
-            barred: BTreeSet::new(),
-            token: 0,
-            held_until: 0.0,
-            renew_at: 0.0,
-            waiting: VecDeque::new(),
+            lease: LeaseState::default(),
+            requested: VecDeque::new(),
             tracked: BTreeMap::new(),
-            followed: Vec::new(),
+            completed: Vec::new(),
             bodies: 0,
-            draw: Pcg64Mcg::seed_from_u64(seed),
+            rng: Pcg64Mcg::seed_from_u64(seed),
         };
-        let control: Vec<u32> = world.layout.control().collect();
-        control
+        let control_machines: Vec<u32> = world.layout.control_machines().collect();
+        control_machines
             .into_iter()
-            .for_each(|endpoint| world.start(endpoint));
+            .for_each(|machine| world.start(machine));
         world.load()?;
         Ok(world)
     }
 
     /// Publishes all resources at one instant and waits until all relays have them.
-    fn load(&mut self) -> Result<(), String> {
-        self.run_until(LOAD_WAIT, |world| world.writer().is_some())
-            .ok_or("no author writes")?;
-        let all: Vec<Resource> = self.layout.sizes.resources().collect();
-        all.chunks(BATCH)
+    fn load(&mut self) -> Result<(), WorldError> {
+        self.run_until(LOAD_TIMEOUT, |world| world.publishing_author().is_some())
+            .ok_or(WorldError::NoAuthor)?;
+        let resources: Vec<Resource> = self.layout.sizes.resources().collect();
+        resources
+            .chunks(INITIAL_BATCH)
             .try_for_each(|batch| self.publish(batch))?;
-        let loaded = self.run_until(LOAD_WAIT, World::relays_have_all);
-        loaded.map(drop).ok_or_else(|| self.describe_relays())
-    }
-
-    /// Publishes new bodies of resources at once; they are not followed on their way.
-    ///
-    /// # Errors
-    /// Says why nothing was published.
-    pub fn publish(&mut self, resources: &[Resource]) -> Result<(), String> {
-        let drafts = resources
-            .iter()
-            .map(|resource| self.draft(*resource))
-            .collect();
-        self.write(|author, now, claim, outputs| author.publish(now, claim, drafts, outputs))
-            .map(drop)
+        let loaded = self.run_until(LOAD_TIMEOUT, World::relays_have_all);
+        loaded.map(drop).ok_or_else(|| self.relays_behind().into())
     }
 
-    /// What relays lack of the author's resources.
-    pub fn describe_relays(&self) -> String {
-        let published = self
-            .author()
-            .map_or(0, |author| author.log().changes().count());
-        let head = self.author().map(Author::head);
-        let relays = self.layout.relays().iter().filter_map(|relay| {
-            let machine = self.network.endpoint(*relay)?;
-            let held = machine.as_relay()?;
-            Some(format!(
-                "relay {relay} has {} resources in {} spans up to {:?} and follows {:?}, {} sessions ended",
-                held.log().changes().count(),
-                held.coverage().spans().len(),
-                held.coverage().last_version(),
-                held.following(),
-                machine.sessions_ended,
-            ))
-        });
-        let relays: Vec<String> = relays.collect();
-        format!(
-            "of {published} resources up to {head:?} the relays do not have all: {}",
-            relays.join("; ")
-        )
-    }
-
-    /// Whether all relays that run cover all that the author has written.
-    pub fn relays_have_all(&self) -> bool {
-        let Some(head) = self.author().map(Author::head) else {
-            return false;
-        };
-        let relays = self
-            .layout
-            .relays()
-            .iter()
-            .filter_map(|relay| self.network.endpoint(*relay));
-        let mut relays = relays.filter_map(Machine::as_relay);
-        relays.all(|relay| relay.coverage().contiguous_end() >= head)
-    }
-
-    /// Runs on for so many seconds.
+    /// Runs for this many seconds.
     pub fn run(&mut self, seconds: f64) {
         let end = self.network.now() + seconds;
         loop {
-            self.keep_lease();
-            self.publish_waiting();
-            let left = end - self.network.now();
-            if left <= 0.0 {
+            self.maintain_lease();
+            self.publish_requested();
+            let remaining = end - self.network.now();
+            if remaining <= 0.0 {
                 return;
             }
-            self.network.run(left.min(STEP));
-            self.collect();
+            self.network.run(remaining.min(STEP));
+            self.collect_applied();
             self.compare_ages();
         }
     }
 
-    /// Runs until something holds; how long it took, or `None` if that is not within `most` seconds.
-    pub fn run_until(&mut self, most: f64, holds: impl Fn(&World) -> bool) -> Option<f64> {
-        let begun = self.network.now();
-        while !holds(self) {
-            if self.network.now() - begun >= most {
+    /// Runs until a condition holds; how long it took, or `None` if it does not hold within `timeout` seconds.
+    pub fn run_until(&mut self, timeout: f64, condition: impl Fn(&World) -> bool) -> Option<f64> {
+        let started_at = self.network.now();
+        while !condition(self) {
+            if self.network.now() - started_at >= timeout {
                 return None;
             }
             self.run(STEP);
         }
-        Some(self.network.now() - begun)
+        Some(self.network.now() - started_at)
     }
 
-    /// Whether a node has in force what the author has.
+    /// Whether a node has applied what the author has.
     pub fn is_up_to_date(&self, node: u32) -> bool {
         let Some(author) = self.author() else {
             return false;
@@ -251,26 +198,23 @@
         let Some(machine) = self.network.endpoint(node).and_then(Machine::as_node) else {
             return false;
         };
-        let has = |name: &Name| super::check::agrees(author, machine, name);
-        let tenants = || {
-            self.demands
-                .of(node)
-                .map(|tenant| Resource::Tenant(tenant).name())
-        };
-        self.layout.resources_of(node).iter().all(has) && tenants().all(|name| has(&name))
+        let is_same = |name: &Name| has_same_content(author, machine, name);
+        let has_services = self.layout.resources_of(node).iter().all(is_same);
+        let mut tenants = self.tenant_subscriptions.of_node(node);
+        has_services && tenants.all(|tenant| is_same(&Resource::Tenant(tenant).name()))
     }
 }
 
-/// The clocks of so many machines.
+/// The clocks of this many machines.
 fn clocks(machines: usize, seed: u64, drift: f64) -> Vec<Clock> {
     if drift == 0.0 {
         return vec![Clock::TRUE; machines];
     }
-    let mut draw = Pcg64Mcg::seed_from_u64(seed ^ 0xc10c);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed ^ CLOCK_SEED);
     let clock = |_| {
-        let rate = 1.0 + drift * draw.random_range(-1.0..=1.0);
+        let rate = 1.0 + drift * rng.random_range(-1.0..=1.0);
         Clock {
-            offset: draw.random_range(0.0..CLOCKS_APART),
+            offset: rng.random_range(0.0..CLOCK_OFFSET_RANGE),
             rate,
         }
     };
--- a/crates/emulator/src/control/world/changes.rs
+++ b/crates/emulator/src/control/world/changes.rs
@@ -1,174 +1,152 @@
-//! Changes: asked for, published, and followed until all nodes that need them have them.
+//! Changes of resources: requested, published by the author that holds the lease, and reverted.
 
-use super::{Tracked, Waiting, World};
-use crate::control::contents::Resource;
-use crate::control::machine::Machine;
-use crate::control::times::Times;
+use super::World;
+use crate::control::invariants::ViolationKind;
+use crate::control::resources::Resource;
 use rand::Rng;
 use reelfall_distribution::author::Author;
 use reelfall_distribution::output::Output;
+use reelfall_distribution::publish::PublishError;
 use reelfall_distribution::resource::{Draft, Selector, Version};
 use reelfall_lease::token::Claim;
-use std::collections::BTreeSet;
+use thiserror::Error;
 
-impl World {
-    pub(super) fn draft(&mut self, resource: Resource) -> Draft {
-        self.bodies += 1;
-        let mut body = vec![0; resource.body_bytes()];
-        // Bytes that no codec could shorten: sizes on links are then those of any body of this length.
-        self.draw.fill(body.as_mut_slice());
-        body[..8].copy_from_slice(&self.bodies.to_be_bytes());
-        Draft::put(resource.name(), &body)
-    }
+/// Why nothing was published.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum WriteError {
+    /// No author holds the lease.
+    #[error("nobody holds the lease")]
+    NoLeaseHolder,
+    /// The author that holds the lease does not run.
+    #[error("the author does not run")]
+    AuthorNotRunning,
+    /// The author rejected it.
+    #[error(transparent)]
+    Rejected(#[from] PublishError),
+}
 
-    pub(super) fn write<E: std::fmt::Display>(
-        &mut self,
-        act: impl FnOnce(&mut Author, f64, &Claim, &mut Vec<Output>) -> Result<Version, E>,
-    ) -> Result<Version, String> {
-        let leader = self.leader.ok_or("nobody holds the lease")?;
-        let claim = self.claim();
-        let written = self.network.with(leader, |machine, now, sends| {
-            machine.with_author(now, sends, |author, local, outputs| {
-                act(author, local, &claim, outputs)
-            })
-        });
-        match written {
-            Some(Some(result)) => result.map_err(|error| error.to_string()),
-            _ => Err("the author does not run".to_owned()),
-        }
-    }
+/// A change that waits for an author.
+pub(super) struct RequestedChange {
+    resource: Resource,
+    requested_at: f64,
+}
 
-    /// A service is drawn.
-    pub fn draw_service(&mut self) -> u32 {
-        self.draw.random_range(0..self.layout.sizes.services)
+impl World {
+    /// Samples a service.
+    pub fn sample_service(&mut self) -> u32 {
+        self.rng.random_range(0..self.layout.sizes.services)
     }
 
-    /// A change of a drawn resource of a drawn service is asked for.
-    pub fn change(&mut self) {
-        let service = self.draw_service();
-        let number = self
-            .draw
+    /// Requests a change of a sampled resource of a sampled service.
+    pub fn request_any_change(&mut self) {
+        let service = self.sample_service();
+        let index = self
+            .rng
             .random_range(0..self.layout.sizes.resources_of_service(service));
-        self.change_of(self.layout.sizes.resource(service, number));
+        self.request_change(self.layout.sizes.resource(service, index));
     }
 
-    /// A change of a resource is asked for. It is published once there is an author that writes.
-    pub fn change_of(&mut self, resource: Resource) {
-        self.waiting.push_back(Waiting {
+    /// Requests a change of a resource. It is published once there is an author that can publish.
+    pub fn request_change(&mut self, resource: Resource) {
+        self.requested.push_back(RequestedChange {
             resource,
-            asked_at: self.network.now(),
+            requested_at: self.network.now(),
         });
-        self.publish_waiting();
+        self.publish_requested();
     }
 
-    pub(super) fn publish_waiting(&mut self) {
-        while self.writer().is_some() {
-            let Some(waiting) = self.waiting.pop_front() else {
+    pub(super) fn publish_requested(&mut self) {
+        while self.publishing_author().is_some() {
+            let Some(requested) = self.requested.pop_front() else {
                 return;
             };
-            let draft = self.draft(waiting.resource);
+            let RequestedChange {
+                resource,
+                requested_at,
+            } = requested;
+            let draft = self.draft(resource);
             let published = self.write(|author, now, claim, outputs| {
                 author.publish(now, claim, vec![draft], outputs)
             });
             match published {
-                Ok(version) => self.track(waiting.resource, version, waiting.asked_at),
+                Ok(version) => self.track(resource, version, requested_at),
                 Err(error) => {
                     let now = self.network.now();
                     self.checker
-                        .fault(now, format!("a change was refused: {error}"));
+                        .record(now, ViolationKind::ChangeRejected(error));
                 }
             }
         }
     }
 
-    /// Takes a change back.
+    /// Publishes new bodies of resources in one batch; they are not tracked.
+    ///
+    /// # Errors
+    /// If there is no author that can publish, or it rejects the batch.
+    pub fn publish(&mut self, resources: &[Resource]) -> Result<(), WriteError> {
+        let drafts = resources
+            .iter()
+            .map(|resource| self.draft(*resource))
+            .collect();
+        self.write(|author, now, claim, outputs| author.publish(now, claim, drafts, outputs))
+            .map(drop)
+    }
+
+    /// Reverts a change, and tracks the change that this is.
     ///
     /// # Errors
-    /// Says why it could not be.
-    pub fn take_back(&mut self, resource: Resource, version: Version) -> Result<(), String> {
-        let asked_at = self.network.now();
+    /// If there is no author that can publish, or it rejects the request.
+    pub fn revert(&mut self, resource: Resource, version: Version) -> Result<(), WriteError> {
+        let requested_at = self.network.now();
         let reverted =
             self.write(|author, now, claim, outputs| author.revert(now, claim, version, outputs))?;
-        self.track(resource, reverted, asked_at);
+        self.track(resource, reverted, requested_at);
         Ok(())
     }
 
-    pub(super) fn track(&mut self, resource: Resource, version: Version, asked_at: f64) {
-        let missing = self.holders(resource);
-        let published_at = self.network.now();
-        let tracked = Tracked {
-            resource,
-            version,
-            asked_at,
-            published_at,
-            missing,
-            times: Vec::new(),
-        };
-        self.tracked
-            .entry(resource.name())
-            .or_default()
-            .push(tracked);
-    }
-
-    /// The nodes that run and need a resource.
-    pub(super) fn holders(&self, resource: Resource) -> BTreeSet<u32> {
-        let runs = |node: &u32| self.network.endpoint(*node).is_some();
-        match resource {
-            Resource::Settings(service)
-            | Resource::Servers(service)
-            | Resource::Route(service, _) => self.layout.nodes_of(service).filter(runs).collect(),
-            Resource::Tenant(tenant) => {
-                let asked = |node: &u32| self.demands.of(*node).any(|other| other == tenant);
-                self.running_nodes().filter(asked).collect()
-            }
-        }
-    }
-
-    /// The latest change that is followed.
-    pub fn latest(&self) -> Option<Tracked> {
-        let all = self.tracked.values().flatten().chain(&self.followed);
-        all.max_by_key(|tracked| tracked.version).cloned()
-    }
-
-    /// A drawn tenant's request comes to a node, which asks for the tenant if it has not before.
-    pub fn meet_tenant(&mut self, node: u32) {
-        let tenant = self.draw.random_range(0..self.layout.sizes.tenants.max(1));
+    /// A request of a sampled tenant arrives at a node, which subscribes to the tenant if it is the first one.
+    pub fn request_any_tenant(&mut self, node: u32) {
+        let tenant = self.rng.random_range(0..self.layout.sizes.tenants.max(1));
         let now = self.network.now();
-        if !self.demands.meet(node, tenant, now) {
+        if !self.tenant_subscriptions.record_request(node, tenant, now) {
             return;
         }
         let selector = Selector::Group(Resource::Tenant(tenant).name().group);
-        let asked = self.network.with(node, |machine, now, sends| {
-            machine.subscribe(now, selector.clone(), sends)
+        let subscribed = self.network.with(node, |machine, now, outgoing| {
+            machine.subscribe(now, selector.clone(), outgoing)
         });
-        if let Some(Err(error)) = asked {
-            self.checker.fault(
-                now,
-                format!("node {node} could not ask for tenant {tenant}: {error}"),
-            );
+        if let Some(Err(error)) = subscribed {
+            let kind = ViolationKind::SubscriptionRejected {
+                node,
+                tenant,
+                error,
+            };
+            self.checker.record(now, kind);
         }
     }
 
-    /// The times of all changes that were followed, and how often a node lacks one still; begins anew.
-    ///
-    /// A change that was replaced by what a node has already, as one of an author that was cut off, is not lacking there.
-    pub fn take_times(&mut self) -> (Option<Times>, usize) {
-        let open = std::mem::take(&mut self.tracked).into_values().flatten();
-        let all: Vec<Tracked> = open.chain(std::mem::take(&mut self.followed)).collect();
-        let missing = all.iter().map(|tracked| self.lacking(tracked)).sum();
-        (
-            Times::of(all.into_iter().flat_map(|tracked| tracked.times).collect()),
-            missing,
-        )
+    fn draft(&mut self, resource: Resource) -> Draft {
+        self.bodies += 1;
+        let mut body = vec![0; resource.body_bytes()];
+        // Random bytes can't be compressed: sizes on links are then those of any body of this length.
+        self.rng.fill(body.as_mut_slice());
+        body[..8].copy_from_slice(&self.bodies.to_be_bytes());
+        Draft::put(resource.name(), &body)
     }
 
-    pub(super) fn lacking(&self, tracked: &Tracked) -> usize {
-        let name = tracked.resource.name();
-        let lacks = |node: &&u32| {
-            let machine = self.network.endpoint(**node).and_then(Machine::as_node);
-            let change = machine.and_then(|node| node.subscriber.applied_change(&name));
-            change.is_none_or(|change| change.version < tracked.version)
-        };
-        tracked.missing.iter().filter(lacks).count()
+    /// Calls the author that holds the lease.
+    fn write(
+        &mut self,
+        call: impl FnOnce(&mut Author, f64, &Claim, &mut Vec<Output>) -> Result<Version, PublishError>,
+    ) -> Result<Version, WriteError> {
+        let holder = self.leader().ok_or(WriteError::NoLeaseHolder)?;
+        let claim = self.claim();
+        let written = self.network.with(holder, |machine, now, outgoing| {
+            machine.with_author(now, outgoing, |author, local, outputs| {
+                call(author, local, &claim, outputs)
+            })
+        });
+        let result = written.flatten().ok_or(WriteError::AuthorNotRunning)?;
+        Ok(result?)
     }
 }
--- a/crates/emulator/src/control/world/machines.rs
+++ b/crates/emulator/src/control/world/machines.rs
@@ -5,29 +5,18 @@
 use crate::control::machine::Machine;
 
 impl World {
-    /// A machine begins, with what its disk has.
+    /// Starts a machine, with its disk if it has one.
     pub fn start(&mut self, endpoint: u32) {
         let now = self.network.now();
         let disk = self.disks.remove(&endpoint).unwrap_or_default();
-        let clock = self
-            .clocks
-            .get(endpoint as usize)
-            .copied()
-            .unwrap_or(Clock::TRUE);
+        let clock = self.clocks.get(endpoint as usize).copied();
+        let clock = clock.unwrap_or(Clock::TRUE);
         let machine = if self.layout.nodes().contains(&endpoint) {
-            let region = self
-                .network
-                .topology()
-                .site(endpoint)
-                .map_or(0, |site| site.region);
-            let config = self.layout.node_config(endpoint, region, now);
-            Machine::node(
-                config,
-                &self.layout.selectors_of(endpoint),
-                clock,
-                disk,
-                now,
-            )
+            let config = self
+                .layout
+                .node_config(endpoint, self.region(endpoint), now);
+            let selectors = self.layout.selectors_of(endpoint);
+            Machine::node(config, &selectors, clock, disk, now)
         } else if self.layout.authors().contains(&endpoint) {
             Machine::author(self.layout.author_config(endpoint, now), clock, disk, now)
         } else {
@@ -36,16 +25,16 @@
         self.network.start(endpoint, machine);
     }
 
-    /// A machine ends; its disk stays.
+    /// Ends a machine; its disk remains.
     pub fn kill(&mut self, endpoint: u32) {
-        self.collect_applied(endpoint);
+        self.collect_applied_of(endpoint);
         if let Some(machine) = self.network.kill(endpoint) {
             self.disks.insert(endpoint, machine.into_disk());
         }
     }
 
-    /// A machine's disk is lost.
-    pub fn erase(&mut self, endpoint: u32) {
+    /// Erases the disk of a machine that has ended.
+    pub fn erase_disk(&mut self, endpoint: u32) {
         self.disks.remove(&endpoint);
         self.checker.forget_node(endpoint);
     }
@@ -56,4 +45,10 @@
             .nodes()
             .filter(|node| self.network.endpoint(*node).is_some())
     }
+
+    /// The region of an endpoint.
+    pub fn region(&self, endpoint: u32) -> u16 {
+        let site = self.network.topology().site(endpoint);
+        site.map_or(0, |site| site.region)
+    }
 }
--- a/crates/emulator/tests/control.rs
+++ b/crates/emulator/tests/control.rs
@@ -1,11 +1,15 @@
 //! The control side of a fleet over a network with faults.
 
-use reelfall_emulator::control::baseline::{Contents, InForce, WholeCopies, DAY};
+use reelfall_emulator::control::baseline::{
+    ApplyTime, ConfigurationSize, FullSnapshots, SECONDS_PER_DAY,
+};
+use reelfall_emulator::control::full_snapshots::{
+    ReceivedSnapshot, SnapshotEndpoint, SnapshotReceiver, SnapshotSource,
+};
 use reelfall_emulator::control::links::Links;
-use reelfall_emulator::control::membership::{Acquainted, Member, Peers, Roster};
+use reelfall_emulator::control::membership::{IsolatedMember, Member, PeerDatagrams, Roster};
 use reelfall_emulator::control::network::Network;
 use reelfall_emulator::control::topology::{Scope, Topology, TARGET_ZONES};
-use reelfall_emulator::control::whole_copies::{Copier, Receiver, Source};
 use std::rc::Rc;
 
 /// Nodes that all begin within a second.
@@ -23,17 +27,20 @@
 fn all_have(network: &Network<Member>, peers: usize) -> bool {
     network
         .endpoints()
-        .all(|(_, member)| member.peers() == peers)
+        .all(|(_, member)| member.peer_count() == peers)
 }
 
 fn downs(network: &Network<Member>) -> u64 {
-    network.endpoints().map(|(_, member)| member.downs()).sum()
+    network
+        .endpoints()
+        .map(|(_, member)| member.declared_dead())
+        .sum()
 }
 
 fn banned_everywhere(network: &Network<Member>, server: &str) -> bool {
     network
         .endpoints()
-        .all(|(_, member)| member.heard_of_ban(server).is_some())
+        .all(|(_, member)| member.ban_received_at(server).is_some())
 }
 
 #[test]
@@ -48,7 +55,7 @@
     // Each draws for itself: no node is the target of many at once.
     let usage = network.usage(0..60);
     let mean = 10.0 * (usage.bytes_in + usage.bytes_out);
-    assert!((usage.long_most as f64) < 3.0 * mean, "{usage:?}");
+    assert!((usage.long_window_max as f64) < 3.0 * mean, "{usage:?}");
 }
 
 #[test]
@@ -70,7 +77,7 @@
         let heard = (0..30).map(|n| {
             network
                 .endpoint(n)
-                .and_then(|member| member.heard_of_ban("server-1"))
+                .and_then(|member| member.ban_received_at("server-1"))
         });
         (heard.collect::<Vec<_>>(), network.usage(0..30).bytes_out)
     };
@@ -97,7 +104,7 @@
         let tag = 1_000 + u64::from(endpoint);
         network.start(
             endpoint,
-            Member::successor(endpoint, Rc::clone(&roster), now, tag),
+            Member::restarted(endpoint, Rc::clone(&roster), now, tag),
         );
     }
     let back = network.run_until(120.0, 0.5, |network| all_have(network, 51));
@@ -120,99 +127,104 @@
 
 #[test]
 fn replayed_datagrams_are_refused_for_as_many_peers_as_a_node_remembers() {
-    let mut node = Acquainted::new(Peers::new(300, 1));
-    assert_eq!((node.peers(), node.taken), (300, 300));
+    let mut node = IsolatedMember::new(PeerDatagrams::new(300, 1));
+    assert_eq!((node.peer_count(), node.accepted_datagrams), (300, 300));
     assert_eq!(node.replay(), 0);
     node.run_alone(0.5);
     node.ban("server-1");
     node.run_alone(0.5);
-    assert_eq!((node.peers(), node.replay()), (300, 0));
+    assert_eq!((node.peer_count(), node.replay()), (300, 0));
 }
 
 #[test]
 fn whole_copies_need_more_than_the_budget_at_the_target_and_less_for_a_small_system() {
-    let changes = 13_000.0 / DAY;
-    let target = WholeCopies {
-        contents: Contents::TARGET,
-        changes,
-        lists_every: 60.0,
-        budget: 8_192.0,
+    let changes = 13_000.0 / SECONDS_PER_DAY;
+    let target = FullSnapshots {
+        size: ConfigurationSize::TARGET,
+        changes_per_second: changes,
+        list_interval: 60.0,
+        bandwidth: 8_192.0,
     };
-    assert!(target.demand() > 100.0 * target.budget);
-    assert_eq!(target.in_force(), InForce::Never);
-    let contents = Contents {
+    assert!(target.bandwidth_demand() > 100.0 * target.bandwidth);
+    assert_eq!(target.apply_time(), ApplyTime::Never);
+    let size = ConfigurationSize {
         servers: 50,
         services: 3,
         routes: 20,
         tenants: 10,
     };
-    let small = WholeCopies {
-        contents,
-        changes: 10.0 / DAY,
+    let small = FullSnapshots {
+        size,
+        changes_per_second: 10.0 / SECONDS_PER_DAY,
         ..target
     };
-    let InForce::Within { least, most } = small.in_force() else {
+    let ApplyTime::Within { min, max } = small.apply_time() else {
         panic!("it fits")
     };
-    assert!(
-        least > 0.0 && most == 2.0 * least && most < 15.0,
-        "{least} {most}"
-    );
-    let no_lists = WholeCopies {
-        lists_every: f64::INFINITY,
+    assert!(min > 0.0 && max == 2.0 * min && max < 15.0, "{min} {max}");
+    let no_lists = FullSnapshots {
+        list_interval: f64::INFINITY,
         ..target
     };
-    let InForce::Within { least, .. } = no_lists.in_force_coalesced() else {
+    let ApplyTime::Within { min, .. } = no_lists.apply_time_coalesced() else {
         panic!("it passes in time")
     };
-    assert_eq!(least, Contents::TARGET.settings_bytes() / 8_192.0);
+    assert_eq!(min, ConfigurationSize::TARGET.settings_bytes() / 8_192.0);
 }
 
 /// One source and three nodes, which take in so many bytes a second each.
-fn copiers(file_bytes: usize, budget: f64) -> Network<Copier> {
+fn copiers(file_bytes: usize, bandwidth: f64) -> Network<SnapshotEndpoint> {
     let links = Links {
         overhead: 0,
         ..Links::default().with_loss(0.0)
     };
     let mut network = Network::new(Topology::even(&TARGET_ZONES, 4), links, 1);
-    network.start(0, Copier::Source(Source::new(1..4, file_bytes, budget)));
-    (1..4).for_each(|node| network.start(node, Copier::Receiver(Receiver::default())));
+    network.start(
+        0,
+        SnapshotEndpoint::Source(SnapshotSource::new(1..4, file_bytes, bandwidth)),
+    );
+    (1..4).for_each(|node| {
+        network.start(
+            node,
+            SnapshotEndpoint::Receiver(SnapshotReceiver::default()),
+        )
+    });
     network
 }
 
-fn change(network: &mut Network<Copier>) {
+fn change(network: &mut Network<SnapshotEndpoint>) {
     network.with(0, |copier, now, _| match copier {
-        Copier::Source(source) => source.change(now),
-        Copier::Receiver(_) => panic!("the first endpoint is the source"),
+        SnapshotEndpoint::Source(source) => source.change(now),
+        SnapshotEndpoint::Receiver(_) => panic!("the first endpoint is the source"),
     });
 }
 
-fn in_force(network: &Network<Copier>, node: u32) -> Vec<(u64, f64)> {
+fn in_force(network: &Network<SnapshotEndpoint>, node: u32) -> Vec<ReceivedSnapshot> {
     match network.endpoint(node) {
-        Some(Copier::Receiver(receiver)) => receiver.in_force.clone(),
+        Some(SnapshotEndpoint::Receiver(receiver)) => receiver.received.clone(),
         _ => panic!("endpoint {node} is a receiver"),
     }
 }
 
 #[test]
 fn whole_copies_take_as_long_as_the_formula_says() {
-    let contents = Contents {
+    let size = ConfigurationSize {
         servers: 100,
         services: 5,
         routes: 100,
         tenants: 200,
     };
-    let budget = 8_000.0;
-    let copies = WholeCopies {
-        contents,
-        changes: 0.0,
-        lists_every: f64::INFINITY,
-        budget,
+    let bandwidth = 8_000.0;
+    let copies = FullSnapshots {
+        size,
+        changes_per_second: 0.0,
+        list_interval: f64::INFINITY,
+        bandwidth,
     };
-    let InForce::Within { least, most } = copies.in_force() else {
+    let ApplyTime::Within { min, max } = copies.apply_time() else {
         panic!("it passes in time")
     };
-    let mut network = copiers(contents.settings_bytes() as usize, budget);
+    let mut network = copiers(size.settings_bytes() as usize, bandwidth);
     change(&mut network);
     network.run(0.3);
     // While the first file is under way: it has to end, then the second and the third come as one file.
@@ -224,17 +236,17 @@
         assert_eq!(
             times
                 .iter()
-                .map(|(version, _)| *version)
+                .map(|snapshot| snapshot.version)
                 .collect::<Vec<_>>(),
             [1, 3]
         );
-        assert!((times[0].1 - least).abs() < 0.2, "{times:?}, {least}");
-        assert!((times[1].1 - 0.3 - most).abs() < 0.5, "{times:?}, {most}");
+        assert!((times[0].at - min).abs() < 0.2, "{times:?}, {min}");
+        assert!((times[1].at - 0.3 - max).abs() < 0.5, "{times:?}, {max}");
         let bytes = network.usage([node]).bytes_in * network.now();
         assert!(
-            (bytes - 2.0 * copies.bytes_of_one_change()).abs() < 10.0,
+            (bytes - 2.0 * copies.bytes_per_change()).abs() < 10.0,
             "{bytes}"
         );
-        assert!(network.usage([node]).long_most as f64 <= 10.2 * budget);
+        assert!(network.usage([node]).long_window_max as f64 <= 10.2 * bandwidth);
     }
 }
--- a/crates/emulator/tests/distribution.rs
+++ b/crates/emulator/tests/distribution.rs
@@ -2,15 +2,15 @@
 
 use reelfall_distribution::upstream_config::UpstreamConfig;
 use reelfall_distribution::DRIFT;
-use reelfall_emulator::control::check::{agrees, BUDGET};
-use reelfall_emulator::control::contents::Resource;
-use reelfall_emulator::control::holdings::Holdings;
-use reelfall_emulator::control::layout::{Layout, TAKEOVER};
+use reelfall_emulator::control::invariants::{has_same_content, CONTROL_BANDWIDTH};
+use reelfall_emulator::control::layout::{Layout, PlacedLayout, TAKEOVER_TIMEOUT};
 use reelfall_emulator::control::machine::Machine;
-use reelfall_emulator::control::plays::{self, JudgedBy, Outcome};
+use reelfall_emulator::control::resources::Resource;
+use reelfall_emulator::control::restored::MachineRestorer;
+use reelfall_emulator::control::scenarios::{self, JudgedBy, Outcome};
 use reelfall_emulator::control::sizes::Sizes;
 use reelfall_emulator::control::topology::Scope;
-use reelfall_emulator::control::world::{links, Ages, World, LEASE_LASTS};
+use reelfall_emulator::control::world::{links, Ages, ApplyTimes, World, LEASE_DURATION};
 
 /// A change is in force within so many seconds, as is demanded.
 const IN_FORCE: f64 = 15.0;
@@ -18,15 +18,15 @@
 /// A small fleet that has everything.
 fn started(seed: u64) -> World {
     let mut world = World::new(Sizes::SMALL, links(), seed).expect("the sizes can be placed");
-    let outcome = plays::start_all(&mut world);
-    assert!(outcome.faults.is_empty(), "{:?}", outcome.faults);
+    let outcome = scenarios::start_all(&mut world);
+    assert!(outcome.violations.is_empty(), "{:?}", outcome.violations);
     world
 }
 
 fn assert_kept(outcome: &Outcome, in_force_within: f64) {
-    assert!(outcome.faults.is_empty(), "{:?}", outcome.faults);
+    assert!(outcome.violations.is_empty(), "{:?}", outcome.violations);
     assert_eq!(outcome.missing, 0);
-    let last = outcome.in_force.expect("there were changes").last;
+    let last = outcome.apply_times.expect("there were changes").last;
     assert!(
         last <= in_force_within,
         "{}: the last node after {last} s",
@@ -36,9 +36,14 @@
 
 #[test]
 fn the_target_has_18_control_machines_and_every_service_has_nodes_in_every_region() {
-    let (layout, topology) = Layout::new(Sizes::TARGET, "settings", 1).expect("it can be placed");
+    let PlacedLayout { layout, topology } =
+        Layout::place(Sizes::TARGET, "settings", 1).expect("it can be placed");
     assert_eq!(
-        (layout.control().count(), topology.len(), topology.zones()),
+        (
+            layout.control_machines().count(),
+            topology.len(),
+            topology.zones()
+        ),
         (18, 6_018, 13)
     );
     assert!(layout
@@ -62,7 +67,7 @@
     }
     assert_eq!(layout.selectors_of(0).len(), 21);
     assert_eq!(layout.nodes_in(&topology, Scope::Zone(0)).len(), 462);
-    assert!(Layout::new(
+    assert!(Layout::place(
         Sizes {
             nodes: 0,
             ..Sizes::SMALL
@@ -71,15 +76,15 @@
         1
     )
     .is_err());
-    assert!(Layout::new(Sizes::SMALL, "no lease's name", 1).is_err());
+    assert!(Layout::place(Sizes::SMALL, "no lease's name", 1).is_err());
 }
 
 #[test]
 fn changes_are_in_force_within_15_s_and_keep_to_the_budget() {
     let mut world = started(1);
-    let outcome = plays::steady(&mut world, "steady", 0.5, 60.0);
+    let outcome = scenarios::steady_changes(&mut world, "steady", 0.5, 60.0);
     assert_kept(&outcome, IN_FORCE);
-    assert!(outcome.nodes.long_most as f64 <= 10.0 * BUDGET);
+    assert!(outcome.nodes.long_window_max as f64 <= 10.0 * CONTROL_BANDWIDTH);
     assert!(outcome.nodes.bytes_in > 0.0 && outcome.control.bytes_out > 0.0);
 }
 
@@ -87,8 +92,8 @@
 fn plays_are_the_same_for_the_same_seed() {
     let play = |seed| {
         let mut world = started(seed);
-        let outcome = plays::steady(&mut world, "steady", 1.0, 10.0);
-        (outcome.in_force, outcome.nodes.bytes_in)
+        let outcome = scenarios::steady_changes(&mut world, "steady", 1.0, 10.0);
+        (outcome.apply_times, outcome.nodes.bytes_in)
     };
     assert_eq!(play(7), play(7));
     assert_ne!(play(7), play(8));
@@ -97,20 +102,22 @@
 #[test]
 fn a_burst_of_changes_ends_with_the_same_at_all_nodes() {
     let mut world = started(2);
-    let outcome = plays::burst(&mut world, 100);
-    assert!(outcome.faults.is_empty(), "{:?}", outcome.faults);
+    let outcome = scenarios::burst(&mut world, 100);
+    assert!(outcome.violations.is_empty(), "{:?}", outcome.violations);
     assert_eq!(outcome.missing, 0);
 }
 
 #[test]
 fn a_region_that_starts_at_once_has_all_and_keeps_to_the_budget() {
     let mut world = started(3);
-    let outcome = plays::region_starts(&mut world, 1);
-    assert!(outcome.faults.is_empty(), "{:?}", outcome.faults);
+    let outcome = scenarios::region_cold_start(&mut world, 1);
+    assert!(outcome.violations.is_empty(), "{:?}", outcome.violations);
     assert!(
-        outcome.caught_up.is_some_and(|times| times.last < 30.0),
+        outcome
+            .catch_up_times
+            .is_some_and(|times| times.last < 30.0),
         "{:?}",
-        outcome.caught_up
+        outcome.catch_up_times
     );
 }
 
@@ -118,20 +125,20 @@
 fn a_relay_and_half_of_the_control_machines_can_be_lost() {
     let mut world = started(4);
     let relay = world.layout.relays()[1];
-    let one = plays::control_lost(&mut world, "one lost", &[relay], 0.5, 60.0);
+    let one = scenarios::control_machines_lost(&mut world, "one lost", &[relay], 0.5, 60.0);
     assert!(
-        one.faults.is_empty() && one.missing == 0,
+        one.violations.is_empty() && one.missing == 0,
         "{:?} {}",
-        one.faults,
+        one.violations,
         one.missing
     );
     let leader = world.leader().expect("somebody writes");
     let lost = [leader, world.layout.relays()[0], world.layout.relays()[3]];
-    let half = plays::control_lost(&mut world, "half lost", &lost, 0.5, 120.0);
+    let half = scenarios::control_machines_lost(&mut world, "half lost", &lost, 0.5, 120.0);
     assert!(
-        half.faults.is_empty() && half.missing == 0,
+        half.violations.is_empty() && half.missing == 0,
         "{:?} {}",
-        half.faults,
+        half.violations,
         half.missing
     );
     assert_ne!(world.leader(), Some(leader));
@@ -140,20 +147,22 @@
 #[test]
 fn a_region_apart_has_all_once_it_is_back() {
     let mut world = started(5);
-    let outcome = plays::region_apart(&mut world, 1, 0.2, 120.0);
+    let outcome = scenarios::region_partitioned(&mut world, 1, 0.2, 120.0);
     assert!(
-        outcome.faults.is_empty() && outcome.missing == 0,
+        outcome.violations.is_empty() && outcome.missing == 0,
         "{:?} {}",
-        outcome.faults,
+        outcome.violations,
         outcome.missing
     );
     // Its relays may rest for as long as they ever do, and then its nodes.
     let rest = UpstreamConfig::relay(Vec::new()).max_backoff
         + UpstreamConfig::node(Vec::new()).max_backoff;
     assert!(
-        outcome.caught_up.is_some_and(|times| times.last < rest),
+        outcome
+            .catch_up_times
+            .is_some_and(|times| times.last < rest),
         "{:?}",
-        outcome.caught_up
+        outcome.catch_up_times
     );
 }
 
@@ -161,11 +170,11 @@
 fn an_author_apart_is_replaced_and_all_come_to_the_same() {
     let mut world = started(6);
     let author = world.leader();
-    let outcome = plays::author_apart(&mut world, 0.5, 90.0);
+    let outcome = scenarios::author_partitioned(&mut world, 0.5, 90.0);
     assert!(
-        outcome.faults.is_empty() && outcome.missing == 0,
+        outcome.violations.is_empty() && outcome.missing == 0,
         "{:?} {}",
-        outcome.faults,
+        outcome.violations,
         outcome.missing
     );
     assert_ne!(world.leader(), author);
@@ -174,20 +183,25 @@
 #[test]
 fn a_change_taken_back_is_out_of_force_within_15_s() {
     let mut world = started(7);
-    let outcome = plays::taken_back(&mut world, 5.0);
+    let outcome = scenarios::change_reverted(&mut world, 5.0);
     assert_kept(&outcome, IN_FORCE);
 }
 
 #[test]
 fn a_zone_and_a_rack_that_are_lost_come_back_with_their_disks_and_catch_up() {
     let mut world = started(8);
-    for (place, scope) in [("a zone", Scope::Zone(2)), ("a rack", Scope::Rack(1, 0))] {
-        let outcome = plays::nodes_lost(&mut world, place, scope, 0.5, 60.0);
+    for (place, scope) in [
+        ("a zone", Scope::Zone(2)),
+        ("a rack", Scope::Rack { zone: 1, rack: 0 }),
+    ] {
+        let outcome = scenarios::nodes_lost(&mut world, place, scope, 0.5, 60.0);
         assert_kept(&outcome, IN_FORCE);
         assert!(
-            outcome.caught_up.is_some_and(|times| times.last < 30.0),
+            outcome
+                .catch_up_times
+                .is_some_and(|times| times.last < 30.0),
             "{:?}",
-            outcome.caught_up
+            outcome.catch_up_times
         );
     }
 }
@@ -197,7 +211,7 @@
     let mut world = started(9);
     let node = world.layout.nodes().start;
     world.network.freeze(node);
-    (0..20).for_each(|_| world.change());
+    (0..20).for_each(|_| world.request_any_change());
     world.run(20.0);
     let author = world.author().expect("somebody writes");
     let machine = world
@@ -206,7 +220,9 @@
         .and_then(Machine::as_node)
         .expect("it is there");
     let names = world.layout.resources_of(node);
-    assert!(names.iter().any(|name| !agrees(author, machine, name)));
+    assert!(names
+        .iter()
+        .any(|name| !has_same_content(author, machine, name)));
     assert!(!world.is_up_to_date(node) && world.is_up_to_date(node + 1));
     world.network.thaw(node);
     assert!(world
@@ -217,14 +233,14 @@
 #[test]
 fn changes_of_one_resource_end_with_the_last_at_all_its_nodes() {
     let mut world = started(10);
-    let outcome = plays::one_resource(&mut world, 100);
+    let outcome = scenarios::changes_of_one_resource(&mut world, 100);
     assert_kept(&outcome, IN_FORCE);
 }
 
 #[test]
 fn restarts_of_servers_as_changes_are_in_force_within_15_s() {
     let mut world = started(11);
-    let outcome = plays::restarts(&mut world, 2.5, 20.0);
+    let outcome = scenarios::server_restarts(&mut world, 2.5, 20.0);
     assert_kept(&outcome, IN_FORCE);
 }
 
@@ -236,8 +252,8 @@
         ..Sizes::SMALL
     };
     let mut world = World::new(sizes, links(), seed).expect("the sizes can be placed");
-    let outcome = plays::start_all(&mut world);
-    assert!(outcome.faults.is_empty(), "{:?}", outcome.faults);
+    let outcome = scenarios::start_all(&mut world);
+    assert!(outcome.violations.is_empty(), "{:?}", outcome.violations);
     world
 }
 
@@ -261,26 +277,26 @@
 #[test]
 fn a_tenant_met_for_the_first_time_is_waited_for_and_followed_from_then_on() {
     let mut world = started_with_tenants(12);
-    let outcome = plays::tenants_met(&mut world, &[3, 17], 1.0, 10.0);
+    let outcome = scenarios::new_tenants(&mut world, &[3, 17], 1.0, 10.0);
     assert!(
-        outcome.faults.is_empty() && outcome.missing == 0,
+        outcome.violations.is_empty() && outcome.missing == 0,
         "{:?} {}",
-        outcome.faults,
+        outcome.violations,
         outcome.missing
     );
     assert_eq!(outcome.judged_by, JudgedBy::FirstRequest);
     assert!(
         outcome
-            .in_force
+            .apply_times
             .is_some_and(|waits| waits.p50 > 0.0 && waits.last < 5.0),
         "{outcome:?}"
     );
-    let met: Vec<u32> = world.demands.of(3).collect();
-    assert!(!met.is_empty() && world.demands.of(4).count() == 0);
-    world.take_times();
-    world.change_of(Resource::Tenant(met[0]));
+    let met: Vec<u32> = world.tenant_subscriptions.of_node(3).collect();
+    assert!(!met.is_empty() && world.tenant_subscriptions.of_node(4).count() == 0);
+    world.take_apply_times();
+    world.request_change(Resource::Tenant(met[0]));
     world.run(10.0);
-    let (times, missing) = world.take_times();
+    let ApplyTimes { times, missing } = world.take_apply_times();
     assert!(times.is_some() && missing == 0);
     assert!(world.is_up_to_date(3));
 }
@@ -290,12 +306,12 @@
     let mut world =
         World::with_drift(Sizes::SMALL, links(), 13, DRIFT).expect("the sizes can be placed");
     world.ages = Some(Ages::default());
-    plays::start_all(&mut world);
-    let outcome = plays::region_apart(&mut world, 1, 1.0, 60.0);
+    scenarios::start_all(&mut world);
+    let outcome = scenarios::region_partitioned(&mut world, 1, 1.0, 60.0);
     assert!(
-        outcome.faults.is_empty() && outcome.missing == 0,
+        outcome.violations.is_empty() && outcome.missing == 0,
         "{:?} {}",
-        outcome.faults,
+        outcome.violations,
         outcome.missing
     );
     let ages = outcome.ages.expect("they were compared");
@@ -310,14 +326,14 @@
     let mut world = World::with_drift(Sizes::SMALL, links(), 14, 100.0 * DRIFT)
         .expect("the sizes can be placed");
     world.ages = Some(Ages::default());
-    plays::start_all(&mut world);
+    scenarios::start_all(&mut world);
     // A clock that is a twentieth too slow has to lose more than the age that a node of a calm tree states.
-    let outcome = plays::region_apart(&mut world, 1, 1.0, 300.0);
+    let outcome = scenarios::region_partitioned(&mut world, 1, 1.0, 300.0);
     assert!(
         outcome
-            .faults
+            .violations
             .iter()
-            .any(|fault| fault.contains("states an age")),
+            .any(|violation| violation.to_string().contains("states an age")),
         "{:?}",
         outcome.ages
     );
@@ -330,14 +346,17 @@
         tenants: 400,
         ..Sizes::SMALL
     };
-    let holdings = Holdings::new(sizes).expect("it can be placed");
+    let restorer = MachineRestorer::new(sizes).expect("it can be placed");
     assert_eq!(
-        (holdings.author().resources(), holdings.relay().resources()),
+        (
+            restorer.author().resource_count(),
+            restorer.relay().resource_count()
+        ),
         (454, 454)
     );
     // The services 0, 4 and 8 of its group, with their routes, and five tenants.
-    assert_eq!(holdings.node(5).resources(), 5 + 5 + 4 + 5);
-    assert_eq!(holdings.node_of_all_services().resources(), 54);
+    assert_eq!(restorer.node(5).resource_count(), 5 + 5 + 4 + 5);
+    assert_eq!(restorer.node_of_all_services().resource_count(), 54);
 }
 
 /// After the loss of the author: its lease, the takeover, and relays that are refused once and try two authors that are dead.
@@ -346,10 +365,10 @@
     const ROUND_TRIPS: f64 = 1.0;
     let relay = UpstreamConfig::relay(Vec::new());
     let way = relay.reconnect_jitter + 2.0 * relay.open_timeout + ROUND_TRIPS;
-    let until_in_force = LEASE_LASTS + TAKEOVER + way;
+    let until_in_force = LEASE_DURATION + TAKEOVER_TIMEOUT + way;
     assert!(until_in_force <= IN_FORCE, "{until_in_force} s");
     assert!(
-        TAKEOVER > relay.open_timeout,
+        TAKEOVER_TIMEOUT > relay.open_timeout,
         "one first relay that is dead takes all of the takeover"
     );
 }
--- a/crates/emulator/tests/network.rs
+++ b/crates/emulator/tests/network.rs
@@ -2,9 +2,9 @@
 
 use proptest::prelude::*;
 use reelfall_emulator::control::account::{Account, Usage, Window};
-use reelfall_emulator::control::endpoint::Endpoint;
+use reelfall_emulator::control::endpoint::{Endpoint, OutgoingFrame};
 use reelfall_emulator::control::links::{Delivery, Link, Links};
-use reelfall_emulator::control::network::{Network, Undelivered, INBOX_MOST};
+use reelfall_emulator::control::network::{Network, Undelivered, MAX_FROZEN_INBOX};
 use reelfall_emulator::control::times::Times;
 use reelfall_emulator::control::topology::{Distance, Scope, Topology, TARGET_ZONES};
 
@@ -38,14 +38,17 @@
 }
 
 impl Endpoint for Probe {
-    fn receive(&mut self, now: f64, from: u32, frame: &[u8], _sends: &mut Vec<(u32, Vec<u8>)>) {
+    fn receive(&mut self, now: f64, from: u32, frame: &[u8], _sends: &mut Vec<OutgoingFrame>) {
         self.received.push((now, from, frame.to_vec()));
     }
 
-    fn poll(&mut self, _now: f64, sends: &mut Vec<(u32, Vec<u8>)>) {
+    fn poll(&mut self, _now: f64, sends: &mut Vec<OutgoingFrame>) {
         self.polls += 1;
         self.due += self.period;
-        sends.push((self.peer, self.polls.to_be_bytes().to_vec()));
+        sends.push(OutgoingFrame {
+            to: self.peer,
+            frame: self.polls.to_be_bytes().to_vec(),
+        });
     }
 
     fn next_wakeup(&self) -> f64 {
@@ -60,10 +63,10 @@
 /// Links of one fixed delay that lose nothing.
 fn even_links(delay: f64) -> Links {
     let link = Link {
-        delay_least: delay,
-        delay_most: delay,
+        min_delay: delay,
+        max_delay: delay,
         loss: 0.0,
-        duplicates: 0.0,
+        duplication: 0.0,
     };
     let links = Links {
         within_zone: link,
@@ -85,7 +88,12 @@
 }
 
 fn send(network: &mut Network<Probe>, from: u32, to: u32, frame: &[u8]) {
-    network.with(from, |_, _, sends| sends.push((to, frame.to_vec())));
+    network.with(from, |_, _, sends| {
+        sends.push(OutgoingFrame {
+            to,
+            frame: frame.to_vec(),
+        })
+    });
 }
 
 fn frames(network: &Network<Probe>, endpoint: u32) -> Vec<&[u8]> {
@@ -105,7 +113,10 @@
     let of_region = |region| topology.endpoints(Scope::Region(region)).len();
     assert_eq!((0..4).map(of_region).sum::<usize>(), 6_000);
     assert!(of_region(0) > of_region(1));
-    assert_eq!(topology.endpoints(Scope::Rack(0, 0)).len(), 40);
+    assert_eq!(
+        topology.endpoints(Scope::Rack { zone: 0, rack: 0 }).len(),
+        40
+    );
     assert_eq!(topology.distance(0, 1), Some(Distance::WithinZone));
     assert_eq!(topology.distance(0, 600), Some(Distance::WithinRegion));
     assert_eq!(topology.distance(0, 5_999), Some(Distance::BetweenRegions));
@@ -125,10 +136,7 @@
         send(&mut network, 0, to, b"x");
         network.run(1.0);
         let at = network.endpoint(to).expect("it runs").received[0].0 - sent;
-        assert!(
-            at >= link.delay_least && at < link.delay_most + 1e-6,
-            "{at}"
-        );
+        assert!(at >= link.min_delay && at < link.max_delay + 1e-6, "{at}");
     }
 }
 
@@ -153,7 +161,7 @@
 #[test]
 fn losses_and_duplicates_come_as_often_as_links_say() {
     let mut links = even_links(0.01).with_loss(0.2);
-    links.within_region.duplicates = 0.5;
+    links.within_region.duplication = 0.5;
     let mut network = quiet(links);
     (0..2_000).for_each(|_| send(&mut network, 0, 1, b"x"));
     network.run(1.0);
@@ -202,15 +210,15 @@
     let mut network = quiet(even_links(0.01));
     network.start(1, Probe::ticking(1.0, 0));
     network.freeze(1);
-    let sent = u16::try_from(INBOX_MOST).expect("it is small") + 5;
+    let sent = u16::try_from(MAX_FROZEN_INBOX).expect("it is small") + 5;
     (0..sent).for_each(|n| send(&mut network, 0, 1, &n.to_be_bytes()));
     network.run(10.0);
     assert!(frames(&network, 1).is_empty());
     assert_eq!(network.endpoint(1).expect("it is there").polls, 0);
     network.thaw(1);
-    assert_eq!(frames(&network, 1).len(), INBOX_MOST);
+    assert_eq!(frames(&network, 1).len(), MAX_FROZEN_INBOX);
     assert_eq!(
-        frames(&network, 1)[INBOX_MOST - 1],
+        frames(&network, 1)[MAX_FROZEN_INBOX - 1],
         (sent - 6).to_be_bytes()
     );
     assert_eq!(network.undelivered().overflowed, 5);
@@ -239,7 +247,7 @@
 fn streams_keep_their_order_lose_nothing_and_end_with_the_process() {
     let mut links = Links::default().with_loss(0.3);
     links.delivery = Delivery::Streams {
-        retransmit_after: 0.2,
+        retransmission_timeout: 0.2,
     };
     let mut network = quiet(links);
     (0..500u16).for_each(|n| send(&mut network, 0, 3, &n.to_be_bytes()));
@@ -323,7 +331,11 @@
         (50.0, 0.5, 0.0)
     );
     assert_eq!(
-        (receiver.bytes_in, receiver.messages_in, receiver.long_most),
+        (
+            receiver.bytes_in,
+            receiver.messages_in,
+            receiver.long_window_max
+        ),
         (50.0, 0.5, 100)
     );
     // One call each, of one step of the clock, in 2 s.
@@ -341,7 +353,7 @@
     busy.sent(5.0, 40);
     let usage = Usage::of([&quiet, &busy], 10.0);
     assert_eq!((usage.bytes_in, usage.bytes_out), (2.0, 2.0));
-    assert_eq!((usage.short_most, usage.long_most), (40, 70));
+    assert_eq!((usage.short_window_max, usage.long_window_max), (40, 70));
     assert_eq!(Usage::of([], 10.0), Usage::default());
 }
 
@@ -362,7 +374,7 @@
             events.iter().filter(|(at, _)| *at > end - 10.0 && *at <= end).map(|(_, bytes)| bytes).sum()
         };
         let most = events.iter().map(|(at, _)| ending(*at)).max().unwrap_or(0);
-        prop_assert_eq!(window.most(), most);
+        prop_assert_eq!(window.max(), most);
     }
 }
 
--- a/crates/emulator/tests/scale_report.rs
+++ b/crates/emulator/tests/scale_report.rs
@@ -19,8 +19,8 @@
         messages_in: 3.0,
         messages_out: 2.0,
         cpu: 0.25,
-        short_most: 900,
-        long_most: 4_000,
+        short_window_max: 900,
+        long_window_max: 4_000,
     };
     Run {
         name: name.to_owned(),
