--- a/crates/capacity/src/scale/smoke.rs
+++ b/crates/capacity/src/scale/smoke.rs
@@ -5,7 +5,7 @@
 use super::record::Record;
 use super::report::{Axis, PerNode, Run, Size, Source, Traffic};
 use super::window::times;
-use reelfall_emulator::together::{rules, World};
+use reelfall_emulator::cluster::{default_config, Cluster};
 use reelfall_testbed::Result;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -105,9 +105,9 @@
 
 /// Plays one fleet: it gathers, rests for a window, and hears of a ban.
 fn fleet(nodes: usize, seed: u64, broken: &mut Vec<String>) -> Option<Run> {
-    let mut world = World::new(nodes, seed, |_| rules());
-    while !world.gathered() {
-        if world.t > GATHERS_IN {
+    let mut world = Cluster::new(nodes, seed, |_| default_config());
+    while !world.is_converged() {
+        if world.now > GATHERS_IN {
             broken.push(format!(
                 "{nodes} nodes do not know each other after {GATHERS_IN} s"
             ));
@@ -116,10 +116,13 @@
         world.run(0.1);
     }
     world.run(WINDOW);
-    let (sent, bytes) = (world.sent, world.bytes);
+    let (sent, bytes) = (world.datagrams_sent, world.bytes_sent);
     world.run(WINDOW);
     let rate = |of: u64| of as f64 / WINDOW / nodes as f64;
-    let (messages, bytes) = (rate(world.sent - sent), rate(world.bytes - bytes));
+    let (messages, bytes) = (
+        rate(world.datagrams_sent - sent),
+        rate(world.bytes_sent - bytes),
+    );
     // Nothing is lost between these nodes: what is sent comes in.
     let traffic = Traffic {
         kind: "all".to_owned(),
@@ -141,7 +144,12 @@
             in_force.len()
         ));
     }
-    broken.extend(world.broken.iter().map(|b| format!("{nodes} nodes: {b}")));
+    broken.extend(
+        world
+            .violations
+            .iter()
+            .map(|b| format!("{nodes} nodes: {b}")),
+    );
     Some(Run {
         name: "smoke".to_owned(),
         source: Source::VirtualTime,
@@ -159,22 +167,22 @@
 }
 
 /// Sends a server out by hand at the first node; how long it took to each.
-fn ban(world: &mut World) -> Vec<f64> {
-    let begun = world.t;
-    world.at(0, |fleet, now| {
+fn ban(world: &mut Cluster) -> Vec<f64> {
+    let begun = world.now;
+    world.with_node(0, |fleet, now| {
         fleet.ban(now, "server-1", "smoke", Some(60.0))
     });
     let mut took = Vec::new();
-    let mut waiting: BTreeSet<usize> = (0..world.nodes.len()).collect();
-    while !waiting.is_empty() && world.t - begun < IN_FORCE_MOST {
+    let mut waiting: BTreeSet<usize> = (0..world.processes.len()).collect();
+    while !waiting.is_empty() && world.now - begun < IN_FORCE_MOST {
         let there: Vec<usize> = waiting
             .iter()
             .copied()
-            .filter(|n| world.out(*n).contains("server-1"))
+            .filter(|n| world.banned_servers(*n).contains("server-1"))
             .collect();
         for n in there {
             waiting.remove(&n);
-            took.push(world.t - begun);
+            took.push(world.now - begun);
         }
         world.run(STEP);
     }
--- a/crates/emulator/examples/scale/quiet.rs
+++ b/crates/emulator/examples/scale/quiet.rs
@@ -6,10 +6,10 @@
 use clap::Args;
 use reelfall_cluster::fleet::Config;
 use reelfall_cluster::members::MembershipConfig;
+use reelfall_emulator::cluster::{default_config, secret, Cluster};
 use reelfall_emulator::control::account::Usage;
 use reelfall_emulator::control::report::{PerNode, Run, Size, Source};
 use reelfall_emulator::inspect::{Contents, Inspector};
-use reelfall_emulator::together::{rules, secret, World};
 
 /// How long nodes may take to discover each other, in seconds.
 const JOIN_TIMEOUT: f64 = 60.0;
@@ -31,28 +31,28 @@
 
 pub fn run_windows(arguments: &Arguments) -> Result<(), ScaleError> {
     let before = resident_memory();
-    let mut world = join(arguments);
-    let joined = world.t;
+    let mut cluster = join(arguments);
+    let joined = cluster.now;
     println!(
         "{} nodes: {} after {joined:.1} s",
         arguments.nodes,
-        knowledge(&world)
+        knowledge(&cluster)
     );
     let memory = (resident_memory() - before) / arguments.nodes as f64;
     let mut runs = Vec::new();
     for settle in &arguments.settle {
         let begin = joined + settle;
-        if begin > world.t {
-            world.run(begin - world.t);
+        if begin > cluster.now {
+            cluster.run(begin - cluster.now);
         }
-        let (before, gone) = (seen(&world), world.wrongly_gone);
-        world.run(arguments.window);
-        let contents = seen(&world).since(&before);
+        let (before, gone) = (seen(&cluster), cluster.false_positives);
+        cluster.run(arguments.window);
+        let contents = seen(&cluster).since(&before);
         print_window(arguments, *settle, contents);
         println!(
             "    {}; {} times one was wrongly taken for gone",
-            knowledge(&world),
-            world.wrongly_gone - gone
+            knowledge(&cluster),
+            cluster.false_positives - gone
         );
         runs.push(run(arguments, *settle, contents, memory));
     }
@@ -60,34 +60,34 @@
 }
 
 /// A fleet whose nodes all begin at once and have found each other.
-fn join(arguments: &Arguments) -> World {
+fn join(arguments: &Arguments) -> Cluster {
     let size = arguments.nodes as u32;
     let config = move |_| Config {
         membership: MembershipConfig {
             size,
             ..MembershipConfig::default()
         },
-        ..rules()
+        ..default_config()
     };
-    let mut world = World::new(arguments.nodes, arguments.output.seed, config);
-    world.inspector = Some(Inspector::new(secret()));
-    while !world.gathered() && world.t < JOIN_TIMEOUT {
-        world.run(0.1);
+    let mut cluster = Cluster::new(arguments.nodes, arguments.output.seed, config);
+    cluster.inspector = Some(Inspector::new(secret()));
+    while !cluster.is_converged() && cluster.now < JOIN_TIMEOUT {
+        cluster.run(0.1);
     }
-    world
+    cluster
 }
 
-fn seen(world: &World) -> Contents {
-    world
+fn seen(cluster: &Cluster) -> Contents {
+    cluster
         .inspector
         .as_ref()
         .map_or_else(Contents::default, |inspector| inspector.seen)
 }
 
 /// How many pairs of nodes know each other.
-fn knowledge(world: &World) -> String {
-    let nodes = world.nodes.len();
-    let known: usize = (0..nodes).map(|node| world.members(node)).sum();
+fn knowledge(cluster: &Cluster) -> String {
+    let nodes = cluster.processes.len();
+    let known: usize = (0..nodes).map(|node| cluster.member_count(node)).sum();
     format!("{known} of {} pairs know each other", nodes * (nodes - 1))
 }
 
--- a/crates/emulator/examples/together.rs
+++ b/crates/emulator/examples/together.rs
@@ -4,7 +4,7 @@
 
 use reelfall_cluster::fleet::Config;
 use reelfall_cluster::members::MembershipConfig;
-use reelfall_emulator::together::{rules, World};
+use reelfall_emulator::cluster::{default_config, Cluster};
 
 struct Seen {
     /// When each node had the news, in seconds, in order.
@@ -22,36 +22,40 @@
             size,
             ..MembershipConfig::default()
         },
-        ..rules()
+        ..default_config()
     };
-    let mut world = World::new(nodes, seed, of);
-    world.until(120.0, |w| w.gathered() || w.t > 60.0);
-    world.links.loss = loss;
+    let mut cluster = Cluster::new(nodes, seed, of);
+    cluster.run_until(120.0, |w| w.is_converged() || w.now > 60.0);
+    cluster.links.loss = loss;
     // The news of who is there have gone round.
-    world.run(10.0);
+    cluster.run(10.0);
     // Nothing to tell.
-    let (sent, bytes, gone) = (world.sent, world.bytes, world.wrongly_gone);
-    world.run(20.0);
+    let (sent, bytes, gone) = (
+        cluster.datagrams_sent,
+        cluster.bytes_sent,
+        cluster.false_positives,
+    );
+    cluster.run(20.0);
     let each = 20.0 * nodes as f64;
     let quiet = (
-        (world.sent - sent) as f64 / each,
-        (world.bytes - bytes) as f64 / each,
+        (cluster.datagrams_sent - sent) as f64 / each,
+        (cluster.bytes_sent - bytes) as f64 / each,
     );
-    let wrongly = (world.wrongly_gone - gone) as f64 / nodes as f64 / 20.0 * 60.0;
+    let wrongly = (cluster.false_positives - gone) as f64 / nodes as f64 / 20.0 * 60.0;
     // One ban a second, each timed at all nodes.
-    let (sent, bytes) = (world.sent, world.bytes);
+    let (sent, bytes) = (cluster.datagrams_sent, cluster.bytes_sent);
     let mut spread = Vec::new();
     for n in 0..5usize {
-        let at = world.t;
+        let at = cluster.now;
         let server = format!("server-{n}");
-        world.at(n * 7 % nodes, |f, now| f.ban(now, &server, "ada", None));
+        cluster.with_node(n * 7 % nodes, |f, now| f.ban(now, &server, "ada", None));
         let mut has = vec![false; nodes];
         for _ in 0..100 {
-            world.run(0.01);
+            cluster.run(0.01);
             for (m, has) in has.iter_mut().enumerate().filter(|(_, has)| !**has) {
-                if world.out(m).contains(&server) {
+                if cluster.banned_servers(m).contains(&server) {
                     *has = true;
-                    spread.push(world.t - at);
+                    spread.push(cluster.now - at);
                 }
             }
         }
@@ -60,8 +64,8 @@
     }
     let each = 5.0 * nodes as f64;
     let busy = (
-        (world.sent - sent) as f64 / each,
-        (world.bytes - bytes) as f64 / each,
+        (cluster.datagrams_sent - sent) as f64 / each,
+        (cluster.bytes_sent - bytes) as f64 / each,
     );
     spread.sort_by(f64::total_cmp);
     Seen {
@@ -69,7 +73,7 @@
         quiet,
         busy,
         wrongly,
-        broken: world.broken.len(),
+        broken: cluster.violations.len(),
     }
 }
 
@@ -81,66 +85,67 @@
             size,
             ..MembershipConfig::default()
         },
-        ..rules()
+        ..default_config()
     };
-    let mut world = World::new(nodes, seed, of);
-    let share = |w: &World| {
-        let there: Vec<usize> = (0..nodes).filter(|n| w.nodes[*n].is_some()).collect();
+    let mut cluster = Cluster::new(nodes, seed, of);
+    let share = |w: &Cluster| {
+        let there: Vec<usize> = (0..nodes).filter(|n| w.processes[*n].is_some()).collect();
         let known: usize = there
             .iter()
-            .map(|n| w.members(*n).min(there.len() - 1))
+            .map(|n| w.member_count(*n).min(there.len() - 1))
             .sum();
         known as f64 / (there.len() * (there.len() - 1)) as f64
     };
     let (mut nearly, mut at) = (None, 0.0);
-    while !world.gathered() && world.t < 120.0 {
-        world.run(0.1);
-        at = world.t;
-        if share(&world) > 0.99 {
+    while !cluster.is_converged() && cluster.now < 120.0 {
+        cluster.run(0.1);
+        at = cluster.now;
+        if share(&cluster) > 0.99 {
             nearly.get_or_insert(at);
         }
     }
     println!(
         "{nodes} join at once: 99 % of all pairs know each other after {:.1} s, all after {at:.1} s; {:.1} datagrams a node a second",
         nearly.unwrap_or(f64::NAN),
-        world.sent as f64 / nodes as f64 / at
+        cluster.datagrams_sent as f64 / nodes as f64 / at
     );
-    world.run(5.0);
-    (0..killed).for_each(|n| world.kill(nodes - 1 - n));
-    let (begun, wrongly) = (world.t, world.wrongly_gone);
-    while !world.gathered() && world.t - begun < 300.0 {
-        world.run(0.5);
+    cluster.run(5.0);
+    (0..killed).for_each(|n| cluster.kill(nodes - 1 - n));
+    let (begun, wrongly) = (cluster.now, cluster.false_positives);
+    while !cluster.is_converged() && cluster.now - begun < 300.0 {
+        cluster.run(0.5);
     }
-    let (took, wrongly) = (world.t - begun, world.wrongly_gone - wrongly);
+    let (took, wrongly) = (cluster.now - begun, cluster.false_positives - wrongly);
     println!("{killed} end at once: all that are left know after {took:.1} s; {wrongly} times one was wrongly taken for gone");
 }
 
 /// How long after its end a node is first taken for gone, by the first and by the last of the others; the mean over some ends.
 fn detection(nodes: usize, ends: usize, seed: u64) -> (f64, f64) {
     let size = nodes as u32;
-    let mut world = World::new(nodes, seed, move |_| Config {
+    let mut cluster = Cluster::new(nodes, seed, move |_| Config {
         membership: MembershipConfig {
             size,
             ..MembershipConfig::default()
         },
-        ..rules()
+        ..default_config()
     });
-    world.until(120.0, World::gathered);
+    cluster.run_until(120.0, Cluster::is_converged);
     let (mut first, mut last) = (0.0, 0.0);
     for n in 0..ends {
-        world.run(3.0 + 0.37 * n as f64);
+        cluster.run(3.0 + 0.37 * n as f64);
         // The seeds stay, so that those that begin again are let in.
         let dead = 3 + n % (nodes - 3);
-        world.kill(dead);
-        let begun = world.t;
-        let knows = |w: &World, n: usize| w.nodes[n].is_none() || w.members(n) == nodes - 2;
-        first += world.until(60.0, |w| {
-            (0..nodes).any(|n| w.nodes[n].is_some() && knows(w, n))
+        cluster.kill(dead);
+        let begun = cluster.now;
+        let knows =
+            |w: &Cluster, n: usize| w.processes[n].is_none() || w.member_count(n) == nodes - 2;
+        first += cluster.run_until(60.0, |w| {
+            (0..nodes).any(|n| w.processes[n].is_some() && knows(w, n))
         });
-        world.until(60.0, |w| (0..nodes).all(|n| knows(w, n)));
-        last += world.t - begun;
-        world.start(dead);
-        world.until(60.0, World::gathered);
+        cluster.run_until(60.0, |w| (0..nodes).all(|n| knows(w, n)));
+        last += cluster.now - begun;
+        cluster.start(dead);
+        cluster.run_until(60.0, Cluster::is_converged);
     }
     (first / ends as f64, last / ends as f64)
 }
@@ -163,32 +168,32 @@
             max_health_score: doubt,
             ..MembershipConfig::default()
         },
-        ..rules()
+        ..default_config()
     };
-    let mut world = World::new(nodes, seed, of);
-    world.until(120.0, World::gathered);
-    world.run(2.0);
+    let mut cluster = Cluster::new(nodes, seed, of);
+    cluster.run_until(120.0, Cluster::is_converged);
+    cluster.run(2.0);
     let all: Vec<usize> = (nodes - some..nodes).collect();
-    world.sound = Some(nodes - some);
-    let begun = world.t;
-    while world.t - begun < 120.0 {
+    cluster.healthy_nodes = Some(nodes - some);
+    let begun = cluster.now;
+    while cluster.now - begun < 120.0 {
         match trouble {
             Trouble::Still(still, runs) => {
-                all.iter().for_each(|n| world.freeze(*n, true));
-                world.run(still);
-                all.iter().for_each(|n| world.freeze(*n, false));
-                world.run(runs);
+                all.iter().for_each(|n| cluster.freeze(*n));
+                cluster.run(still);
+                all.iter().for_each(|n| cluster.thaw(*n));
+                cluster.run(runs);
             }
             Trouble::Deaf(lost) => {
-                world.deaf = all.iter().map(|n| (*n, lost)).collect();
-                world.run(10.0);
+                cluster.receive_loss = all.iter().map(|n| (*n, lost)).collect();
+                cluster.run(10.0);
             }
         }
     }
-    let minutes = (world.t - begun) / 60.0;
+    let minutes = (cluster.now - begun) / 60.0;
     (
-        world.sound_gone.0 as f64 / minutes,
-        world.sound_gone.1 as f64 / minutes,
+        cluster.healthy_declared_dead.by_healthy as f64 / minutes,
+        cluster.healthy_declared_dead.by_impaired as f64 / minutes,
     )
 }
 
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -3,9 +3,10 @@
 //!
 //! [`plan`] says what there is and what happens; [`world`] plays it; [`violations`] records broken rules;
 //! [`report`] is the result. [`scenario`] holds the plans that the project measures itself by, [`trials`] those
-//! drawn from seeds at the size of the whole fleet; [`together`] plays nodes that know each other, [`control`] the control
+//! drawn from seeds at the size of the whole fleet; [`cluster`] emulates nodes that know each other, [`control`] the control
 //! side of thousands of nodes. The servers are models and no measurements of real machines.
 
+pub mod cluster;
 pub mod control;
 pub mod digest;
 pub mod inspect;
@@ -16,7 +17,6 @@
 pub mod scenario;
 pub mod server;
 pub mod streams;
-pub mod together;
 pub mod trials;
 pub mod violations;
 pub mod world;
--- a/crates/emulator/tests/inspect.rs
+++ b/crates/emulator/tests/inspect.rs
@@ -1,47 +1,50 @@
 //! What datagrams of a fleet contain is told from the datagrams themselves.
 
+use reelfall_emulator::cluster::{default_config, secret, Cluster};
 use reelfall_emulator::inspect::{Contents, Inspector};
-use reelfall_emulator::together::{rules, secret, World};
 
 /// A fleet whose nodes know each other, with an inspector from its beginning on.
-fn gathered(nodes: usize) -> World {
-    let mut world = World::new(nodes, 1, |_| rules());
-    world.inspector = Some(Inspector::new(secret()));
-    world.until(60.0, World::gathered);
-    world
+fn gathered(nodes: usize) -> Cluster {
+    let mut cluster = Cluster::new(nodes, 1, |_| default_config());
+    cluster.inspector = Some(Inspector::new(secret()));
+    cluster.run_until(60.0, Cluster::is_converged);
+    cluster
 }
 
-fn seen(world: &World) -> Contents {
-    world.inspector.as_ref().expect("it was put in").seen
+fn seen(cluster: &Cluster) -> Contents {
+    cluster.inspector.as_ref().expect("it was put in").seen
 }
 
 #[test]
 fn all_datagrams_are_counted_with_their_bytes() {
-    let world = gathered(8);
-    let seen = seen(&world);
-    assert_eq!((seen.datagrams, seen.bytes), (world.sent, world.bytes));
+    let cluster = gathered(8);
+    let seen = seen(&cluster);
+    assert_eq!(
+        (seen.datagrams, seen.bytes),
+        (cluster.datagrams_sent, cluster.bytes_sent)
+    );
     assert!(seen.swim_bytes > 0 && seen.swim_bytes < seen.bytes);
 }
 
 #[test]
 fn news_of_joins_are_seen_to_end_and_a_ban_to_be_told() {
-    let mut world = gathered(8);
-    let joining = seen(&world);
-    let joined = world.t;
-    world.run(60.0);
-    let before = seen(&world);
-    world.run(20.0);
-    let quiet = seen(&world).since(&before);
+    let mut cluster = gathered(8);
+    let joining = seen(&cluster);
+    let joined = cluster.now;
+    cluster.run(60.0);
+    let before = seen(&cluster);
+    cluster.run(20.0);
+    let quiet = seen(&cluster).since(&before);
     assert_eq!(quiet.entries, 0);
     let each = |contents: Contents| contents.swim_bytes as f64 / contents.datagrams as f64;
     assert!(
         each(quiet) < each(joining),
         "{quiet:?} {joining:?} after {joined} s"
     );
-    world.at(0, |fleet, now| fleet.ban(now, "server-1", "ada", None));
-    let before = seen(&world);
-    world.run(5.0);
-    assert!(seen(&world).since(&before).entries > 0);
+    cluster.with_node(0, |fleet, now| fleet.ban(now, "server-1", "ada", None));
+    let before = seen(&cluster);
+    cluster.run(5.0);
+    assert!(seen(&cluster).since(&before).entries > 0);
 }
 
 #[test]
