--- a/crates/emulator/examples/decision.rs
+++ b/crates/emulator/examples/decision.rs
@@ -1,123 +1,186 @@
-//! What lists of several lengths cost the module: a fresh list, one request from its arrival to its answer, and then a
-//! change in which a tenth of the list restarts.
+//! What lists of several lengths cost the decision module: a fresh list, one request from its arrival to its answer, and
+//! then an update in which a tenth of the servers have restarted.
 //!
 //! `cargo run --release -p reelfall-emulator --example decision [LENGTH...]`
 
-use reelfall_balancer::interface::*;
+use reelfall_balancer::interface::{
+    Action, ClassId, Endpoint, Event, Outcome, RequestId, ServerId, ServerState, Time, UpdateKind,
+};
+use reelfall_balancer::settings::SettingsError;
 use reelfall_balancer::Balancer;
-use std::time::Instant;
+use std::fmt;
+use std::num::ParseIntError;
+use std::time::{Duration, Instant};
+use thiserror::Error;
 
-const LENGTHS: [u32; 4] = [10, 60, 300, 1000];
+/// Lengths of lists, if none are given.
+const DEFAULT_LENGTHS: [u32; 4] = [10, 60, 300, 1000];
+/// Maximum number of requests for a length.
+const MAX_REQUESTS: u32 = 50_000;
+/// Minimum number of requests for a length.
+const MIN_REQUESTS: u32 = 2_000;
+/// Bound on the number of requests times the length.
+const REQUESTS_TIMES_LENGTH: u32 = 50_000_000;
+/// Interval between two requests, in seconds.
+const REQUEST_INTERVAL: Time = 0.01;
+/// Latency of each request, in seconds.
+const LATENCY: Time = 0.005;
+/// Time until the deadline of a request, in seconds.
+const REMAINING: Time = 0.6;
+/// Work of each request, in seconds on a standard core.
+const WORK_HINT: f64 = 0.02;
+/// Number of classes in [`SETTINGS`].
+const CLASSES: u32 = 2;
+/// One of this many servers has restarted.
+const RESTARTED_STEP: usize = 10;
+/// The seed of the decision module.
+const SEED: u64 = 7;
 
-/// Requests for each length: as many, but for fewer visits to servers by far, and enough for a mean.
-const REQUESTS: u32 = 50_000;
-const REQUESTS_LEAST: u32 = 2_000;
-const VISITS: u32 = 50_000_000;
-
-/// The fourth of a hundred nodes that take 20 requests a second each.
+/// The fourth of a hundred nodes that receive 20 requests per second each.
 const SETTINGS: &str = r#"{"categories":[
     {"name":"read","promise":0.2,"deadline":0.6,"worth":1.0,"late-value":0.3,"effect":"idempotent"},
     {"name":"write","promise":0.2,"deadline":0.6,"worth":1.0,"late-value":0.3,"effect":"at_most_once"}],
     "tenants":[{"name":"a","portion":1.0,"quota-rps":2000.0}],
     "replicas-of-me":100,"my-number":3,"weight-kind":"nominal","limits":{"max-attempts":4}}"#;
 
-fn entry(server: ServerId) -> Endpoint {
-    let hash = u64::from(server + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    let (zone, kind, cell, state) = (0, 0, 0, ServerState::Up);
-    Endpoint {
-        server,
-        hash,
-        zone,
-        machine_type: kind,
-        cell,
-        state,
-        weight: 1.0,
-        started_at: 0.0,
-        local_balancers: 1,
+/// Why nothing was measured.
+#[derive(Error)]
+enum DecisionError {
+    #[error("lengths are whole numbers: {0}")]
+    Length(ParseIntError),
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+}
+
+/// `main` prints its error so.
+impl fmt::Debug for DecisionError {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            DecisionError::Length(_) => fmt::Debug::fmt(&self.to_string(), f),
+            DecisionError::Settings(error) => fmt::Debug::fmt(error, f),
+        }
     }
 }
 
-fn main() -> Result<(), Box<dyn std::error::Error>> {
+fn main() -> Result<(), DecisionError> {
     let (settings, ..) = reelfall_balancer::settings::read(SETTINGS)?;
+    let lengths = lengths()?;
+    println!("servers    list ms  restarts ms  request us");
+    for servers in lengths {
+        let mut balancer = Balancer::new(settings.clone(), SEED, 0.0)?;
+        let list = update(&mut balancer, 0.0, UpdateKind::Cached, endpoints(servers));
+        let requests = run_requests(&mut balancer, servers);
+        let restarted = endpoints(servers)
+            .step_by(RESTARTED_STEP)
+            .map(|endpoint| Endpoint {
+                started_at: requests.end,
+                ..endpoint
+            });
+        let restarts = update(&mut balancer, requests.end, UpdateKind::Delta, restarted);
+        let [list, restarts] = [list, restarts].map(|time| time.as_secs_f64() * 1e3);
+        let request = requests.mean_microseconds;
+        println!("{servers:>7}  {list:>9.2}  {restarts:>11.2}  {request:>10.2}");
+    }
+    Ok(())
+}
+
+/// The lengths on the command line.
+fn lengths() -> Result<Vec<u32>, DecisionError> {
     let lengths: Result<Vec<u32>, _> = std::env::args()
         .skip(1)
         .map(|length| length.parse())
         .collect();
-    let mut lengths = lengths.map_err(|e| format!("lengths are whole numbers: {e}"))?;
+    let mut lengths = lengths.map_err(DecisionError::Length)?;
     if lengths.is_empty() {
-        lengths.extend(LENGTHS);
+        lengths.extend(DEFAULT_LENGTHS);
     }
-    println!("servers    list ms  restarts ms  request us");
-    for servers in lengths {
-        let requests = (VISITS / servers.max(1)).clamp(REQUESTS_LEAST, REQUESTS);
-        let mut node = Balancer::new(settings.clone(), 7, 0.0)?;
-        let mut actions = Vec::new();
-        let entries = (0..servers).map(entry).collect();
-        let began = Instant::now();
-        node.handle(
-            0.0,
-            Event::EndpointUpdate {
-                kind: UpdateKind::Cached,
-                endpoints: entries,
-            },
-            &mut actions,
-        );
-        let list = began.elapsed();
-        let (mut now, mut at) = (0.0, Vec::new());
-        let began = Instant::now();
-        for request in 0..requests {
-            now += 0.01;
-            at.clear();
-            let (tenant, hint, key) = (Some(0), Some(0.02), None);
-            let class = (request % 2) as ClassId;
-            node.handle(
-                now,
-                Event::Request {
-                    request,
-                    class,
-                    tenant,
-                    work_hint: hint,
-                    key,
-                    remaining: 0.6,
-                },
-                &mut at,
-            );
-            let Some(server) = at.iter().find_map(|a| match a {
-                Action::Attempt { server, .. } => Some(*server),
-                _ => None,
-            }) else {
-                continue;
-            };
-            let (attempt, outcome, latency, ended, load) = (0, Outcome::Served, 0.005, true, None);
-            let ended = Event::AttemptEnded {
-                request,
-                attempt,
-                server,
-                outcome,
-                latency,
-                request_ended: ended,
-                load,
-            };
-            node.handle(now + 0.005, ended, &mut at);
-        }
-        let each = began.elapsed().as_secs_f64() * 1e6 / f64::from(requests);
-        let restarted = |server| Endpoint {
-            started_at: now,
-            ..entry(server)
-        };
-        let entries = (0..servers).step_by(10).map(restarted).collect();
-        let began = Instant::now();
-        node.handle(
-            now,
-            Event::EndpointUpdate {
-                kind: UpdateKind::Delta,
-                endpoints: entries,
-            },
-            &mut actions,
-        );
-        let restarts = began.elapsed();
-        let [list, restarts] = [list, restarts].map(|time| time.as_secs_f64() * 1e3);
-        println!("{servers:>7}  {list:>9.2}  {restarts:>11.2}  {each:>10.2}");
+    Ok(lengths)
+}
+
+fn endpoints(servers: u32) -> impl Iterator<Item = Endpoint> {
+    (0..servers).map(endpoint)
+}
+
+fn endpoint(server: ServerId) -> Endpoint {
+    Endpoint {
+        server,
+        hash: u64::from(server + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        zone: 0,
+        machine_type: 0,
+        cell: 0,
+        state: ServerState::Up,
+        weight: 1.0,
+        started_at: 0.0,
+        local_balancers: 1,
     }
-    Ok(())
+}
+
+/// Updates the endpoint list; how long the module took.
+fn update(
+    balancer: &mut Balancer,
+    now: Time,
+    kind: UpdateKind,
+    endpoints: impl Iterator<Item = Endpoint>,
+) -> Duration {
+    let endpoints = endpoints.collect();
+    let mut actions = Vec::new();
+    let started_at = Instant::now();
+    let event = Event::EndpointUpdate { kind, endpoints };
+    balancer.handle(now, event, &mut actions);
+    started_at.elapsed()
+}
+
+/// The requests for one length.
+struct Requests {
+    /// The time of the last one.
+    end: Time,
+    /// Mean processor time of one.
+    mean_microseconds: f64,
+}
+
+fn run_requests(balancer: &mut Balancer, servers: u32) -> Requests {
+    let count = (REQUESTS_TIMES_LENGTH / servers.max(1)).clamp(MIN_REQUESTS, MAX_REQUESTS);
+    let mut now = 0.0;
+    let mut actions = Vec::new();
+    let started_at = Instant::now();
+    for request in 0..count {
+        now += REQUEST_INTERVAL;
+        run_request(balancer, now, request, &mut actions);
+    }
+    let elapsed = started_at.elapsed().as_secs_f64();
+    Requests {
+        end: now,
+        mean_microseconds: elapsed * 1e6 / f64::from(count),
+    }
+}
+
+/// A request from its arrival to its answer, by the first attempt.
+fn run_request(balancer: &mut Balancer, now: Time, request: RequestId, actions: &mut Vec<Action>) {
+    actions.clear();
+    let arrival = Event::Request {
+        request,
+        class: (request % CLASSES) as ClassId,
+        tenant: Some(0),
+        work_hint: Some(WORK_HINT),
+        key: None,
+        remaining: REMAINING,
+    };
+    balancer.handle(now, arrival, actions);
+    let server_of = |action: &Action| match action {
+        Action::Attempt { server, .. } => Some(*server),
+        _ => None,
+    };
+    let Some(server) = actions.iter().find_map(server_of) else {
+        return;
+    };
+    let ended = Event::AttemptEnded {
+        request,
+        attempt: 0,
+        server,
+        outcome: Outcome::Served,
+        latency: LATENCY,
+        request_ended: true,
+        load: None,
+    };
+    balancer.handle(now + LATENCY, ended, actions);
 }
--- a/crates/emulator/examples/fleet.rs
+++ b/crates/emulator/examples/fleet.rs
@@ -1,16 +1,52 @@
-//! Plays the project's plans for several sizes and seeds and prints what came of them, one line for each, and whether
-//! the rules were kept. `cargo run --release -p reelfall-emulator --example fleet -- [seeds] [nodes...]`
+//! Runs the project's plans for several sizes and seeds and prints their figures, one line for each, and the first violation
+//! of each run. `cargo run --release -p reelfall-emulator --example fleet -- [seeds] [nodes...]`
 
+use reelfall_emulator::report::Second;
+use reelfall_emulator::world::PlanError;
 use reelfall_emulator::{play, scenario, Plan, Report};
+use std::fmt;
+use std::num::ParseIntError;
+use thiserror::Error;
 
-fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let mut args = std::env::args()
-        .skip(1)
-        .map(|a| a.parse::<usize>().map_err(|e| format!("{a}: {e}")));
-    let seeds = args.next().transpose()?.unwrap_or(3);
-    let mut sizes: Vec<usize> = args.collect::<Result<_, _>>()?;
+/// Seeds, if none are given.
+const DEFAULT_SEEDS: usize = 3;
+/// Numbers of nodes, if none are given.
+const DEFAULT_SIZES: [usize; 3] = [10, 100, 300];
+/// Share of the servers that are faulty.
+const FAULTY_SHARE: f64 = 0.1;
+/// Length of the worst window, in seconds.
+const WORST_WINDOW: usize = 5;
+/// Mean work of an attempt, in seconds on a standard core.
+const MEAN_WORK: f64 = 0.032;
+
+/// Why a plan was not run.
+#[derive(Error)]
+enum FleetError {
+    #[error("{argument}: {error}")]
+    Argument {
+        argument: String,
+        error: ParseIntError,
+    },
+    #[error(transparent)]
+    Plan(#[from] PlanError),
+}
+
+/// `main` prints its error so.
+impl fmt::Debug for FleetError {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            FleetError::Argument { .. } => fmt::Debug::fmt(&self.to_string(), f),
+            FleetError::Plan(error) => fmt::Debug::fmt(error, f),
+        }
+    }
+}
+
+fn main() -> Result<(), FleetError> {
+    let mut numbers = std::env::args().skip(1).map(parse_number);
+    let seeds = numbers.next().transpose()?.unwrap_or(DEFAULT_SEEDS);
+    let mut sizes: Vec<usize> = numbers.collect::<Result<_, _>>()?;
     if sizes.is_empty() {
-        sizes = vec![10, 100, 300];
+        sizes.extend(DEFAULT_SIZES);
     }
     println!("plan                        nodes parts  whole worst5 dials/r repeats/r to-dead% past% pushed broken");
     for nodes in sizes {
@@ -21,42 +57,76 @@
             scenario::join,
         ] {
             for is_subsetting_disabled in [false, true] {
-                let mut reports = Vec::new();
-                let mut name = String::new();
-                for seed in 0..seeds as u64 {
-                    let plan = Plan {
-                        is_subsetting_disabled,
-                        ..scenario::with_faulty_servers(plan(nodes, seed + 1), 0.1)
-                    };
-                    name.clone_from(&plan.name);
-                    reports.push(play(plan)?);
-                }
-                line(&name, nodes, !is_subsetting_disabled, &reports);
+                run_plan(plan, nodes, seeds, is_subsetting_disabled)?;
             }
         }
     }
     Ok(())
 }
 
-fn line(name: &str, nodes: usize, parts: bool, reports: &[Report]) {
-    let mean = |of: &dyn Fn(&Report) -> f64| {
-        reports.iter().map(of).sum::<f64>() / reports.len().max(1) as f64
+fn parse_number(argument: String) -> Result<usize, FleetError> {
+    argument
+        .parse()
+        .map_err(|error| FleetError::Argument { argument, error })
+}
+
+/// Runs a plan with all seeds and prints the means.
+fn run_plan(
+    plan: fn(usize, u64) -> Plan,
+    nodes: usize,
+    seeds: usize,
+    is_subsetting_disabled: bool,
+) -> Result<(), FleetError> {
+    let mut reports = Vec::new();
+    let mut name = String::new();
+    for seed in 0..seeds as u64 {
+        let plan = Plan {
+            is_subsetting_disabled,
+            ..scenario::with_faulty_servers(plan(nodes, seed + 1), FAULTY_SHARE)
+        };
+        name.clone_from(&plan.name);
+        reports.push(play(plan)?);
+    }
+    print_line(&name, nodes, !is_subsetting_disabled, &reports);
+    Ok(())
+}
+
+fn print_line(name: &str, nodes: usize, is_subsetting: bool, reports: &[Report]) {
+    let mean = |figure: &dyn Fn(&Report) -> f64| {
+        reports.iter().map(figure).sum::<f64>() / reports.len().max(1) as f64
     };
-    let sends = |r: &Report| f64::from(r.sum(|s| s.attempts).max(1));
-    let broken: usize = reports.iter().map(|r| r.violations.list.len()).sum();
+    let violations: usize = reports
+        .iter()
+        .map(|report| report.violations.list.len())
+        .sum();
+    let slow_start_loads = reports
+        .iter()
+        .map(|report| report.violations.max_slow_start_load);
     println!(
-        "{name:<27} {nodes:>5} {:>5}  {:.3}  {:.3}   {:.3}     {:.3}    {:>5.2} {:>5.1}  {:.2}  {broken}",
-        if parts { "yes" } else { "no" },
+        "{name:<27} {nodes:>5} {:>5}  {:.3}  {:.3}   {:.3}     {:.3}    {:>5.2} {:>5.1}  {:.2}  {violations}",
+        if is_subsetting { "yes" } else { "no" },
         mean(&Report::earned_share),
-        mean(&|r| r.worst_earned_share(5)),
+        mean(&|report| report.worst_earned_share(WORST_WINDOW)),
         mean(&Report::connections_per_request),
         mean(&Report::retries_per_request),
-        mean(&|r| 100.0 * f64::from(r.sum(|s| s.to_unresponsive)) / sends(r)),
-        mean(&|r| 100.0 * r.work_to_long_queues() / r.seconds.iter().map(|s| f64::from(s.attempts) * 0.032).sum::<f64>()),
-        reports.iter().map(|r| r.violations.max_slow_start_load).fold(0.0, f64::max),
+        mean(&percent_to_unresponsive),
+        mean(&percent_to_long_queues),
+        slow_start_loads.fold(0.0, f64::max),
     );
     reports
         .iter()
-        .flat_map(|r| r.violations.list.first())
-        .for_each(|b| println!("    {b}"));
+        .flat_map(|report| report.violations.list.first())
+        .for_each(|violation| println!("    {violation}"));
+}
+
+/// Percentage of the attempts that were sent to unresponsive servers.
+fn percent_to_unresponsive(report: &Report) -> f64 {
+    let attempts = f64::from(report.sum(|second| second.attempts).max(1));
+    100.0 * f64::from(report.sum(|second| second.to_unresponsive)) / attempts
+}
+
+/// Percentage of the work that was sent to servers with a long queue.
+fn percent_to_long_queues(report: &Report) -> f64 {
+    let work = |second: &Second| f64::from(second.attempts) * MEAN_WORK;
+    100.0 * report.work_to_long_queues() / report.seconds.iter().map(work).sum::<f64>()
 }
--- a/crates/emulator/examples/scale/quiet.rs
+++ b/crates/emulator/examples/scale/quiet.rs
@@ -9,7 +9,7 @@
 use reelfall_emulator::cluster::{default_config, secret, Cluster};
 use reelfall_emulator::control::account::Usage;
 use reelfall_emulator::control::report::{PerNode, Run, Size, Source};
-use reelfall_emulator::inspect::{Contents, Inspector};
+use reelfall_emulator::inspect::{DatagramStats, Inspector};
 
 /// How long nodes may take to discover each other, in seconds.
 const JOIN_TIMEOUT: f64 = 60.0;
@@ -77,11 +77,11 @@
     cluster
 }
 
-fn seen(cluster: &Cluster) -> Contents {
+fn seen(cluster: &Cluster) -> DatagramStats {
     cluster
         .inspector
         .as_ref()
-        .map_or_else(Contents::default, |inspector| inspector.seen)
+        .map_or_else(DatagramStats::default, |inspector| inspector.stats)
 }
 
 /// How many pairs of nodes know each other.
@@ -96,7 +96,7 @@
     count as f64 / (arguments.nodes as f64 * arguments.window)
 }
 
-fn print_window(arguments: &Arguments, settle: f64, contents: Contents) {
+fn print_window(arguments: &Arguments, settle: f64, contents: DatagramStats) {
     println!(
         "{settle:>6.0} to {:.0} s: {:.2} datagrams/s, {:.0} B/s out, of them {:.0} B/s of the membership protocol; \
          {:.2} members/s in answers, {:.2} entries/s",
@@ -110,7 +110,7 @@
 }
 
 /// Nothing is lost, so as much comes in as goes out.
-fn run(arguments: &Arguments, settle: f64, contents: Contents, memory: f64) -> Run {
+fn run(arguments: &Arguments, settle: f64, contents: DatagramStats, memory: f64) -> Run {
     let (bytes, datagrams) = (
         rate(arguments, contents.bytes),
         rate(arguments, contents.datagrams),
--- /dev/null
+++ b/crates/emulator/examples/together/storm.rs
@@ -0,0 +1,64 @@
+//! Hundreds of nodes join at once, and more than half of them are killed at once.
+
+use super::{cluster_with, membership};
+use reelfall_emulator::cluster::Cluster;
+
+/// How long nodes may take to discover each other, in seconds.
+const JOIN_TIMEOUT: f64 = 120.0;
+/// How often this is checked, in seconds.
+const JOIN_POLL_INTERVAL: f64 = 0.1;
+/// Share of the pairs of nodes that know each other, when nearly all do.
+const NEARLY_ALL: f64 = 0.99;
+/// How long the cluster settles before nodes are killed, in seconds.
+const SETTLE_SECONDS: f64 = 5.0;
+/// How long the others may take to detect that, in seconds.
+const DETECTION_TIMEOUT: f64 = 300.0;
+/// How often this is checked, in seconds.
+const DETECTION_POLL_INTERVAL: f64 = 0.5;
+
+/// Measures both, and prints the times until all running nodes know it.
+pub fn print(nodes: usize, killed: usize, seed: u64) {
+    let mut cluster = cluster_with(nodes, seed, membership(nodes));
+    join(&mut cluster, nodes);
+    cluster.run(SETTLE_SECONDS);
+    (0..killed).for_each(|index| cluster.kill(nodes - 1 - index));
+    detect(&mut cluster, killed);
+}
+
+fn join(cluster: &mut Cluster, nodes: usize) {
+    let (mut nearly_joined_at, mut now) = (None, 0.0);
+    while !cluster.is_converged() && cluster.now < JOIN_TIMEOUT {
+        cluster.run(JOIN_POLL_INTERVAL);
+        now = cluster.now;
+        if share_of_known_pairs(cluster) > NEARLY_ALL {
+            nearly_joined_at.get_or_insert(now);
+        }
+    }
+    println!(
+        "{nodes} join at once: 99 % of all pairs know each other after {:.1} s, all after {now:.1} s; {:.1} datagrams a node a second",
+        nearly_joined_at.unwrap_or(f64::NAN),
+        cluster.datagrams_sent as f64 / nodes as f64 / now
+    );
+}
+
+fn share_of_known_pairs(cluster: &Cluster) -> f64 {
+    let running: Vec<usize> = (0..cluster.processes.len())
+        .filter(|node| cluster.processes[*node].is_some())
+        .collect();
+    let others = running.len() - 1;
+    let known: usize = running
+        .iter()
+        .map(|node| cluster.member_count(*node).min(others))
+        .sum();
+    known as f64 / (running.len() * others) as f64
+}
+
+fn detect(cluster: &mut Cluster, killed: usize) {
+    let (killed_at, before) = (cluster.now, cluster.false_positives);
+    while !cluster.is_converged() && cluster.now - killed_at < DETECTION_TIMEOUT {
+        cluster.run(DETECTION_POLL_INTERVAL);
+    }
+    let elapsed = cluster.now - killed_at;
+    let false_positives = cluster.false_positives - before;
+    println!("{killed} end at once: all that are left know after {elapsed:.1} s; {false_positives} times one was wrongly taken for gone");
+}
--- /dev/null
+++ b/crates/emulator/examples/trials/figures.rs
@@ -0,0 +1,73 @@
+//! The score of a run, and scores as they are written to and read from files.
+
+use reelfall_emulator::trials::Trial;
+use reelfall_emulator::Report;
+use std::collections::BTreeMap;
+use std::fmt::Write;
+
+/// Length of the worst window, in seconds.
+pub const WORST_WINDOW: usize = 10;
+/// Weight of the earned share of the whole run.
+const WHOLE_WEIGHT: f64 = 0.65;
+/// Weight of the earned share of the worst window.
+const WORST_WEIGHT: f64 = 0.35;
+/// Cost of a new connection per request.
+const CONNECTION_COST: f64 = 0.05;
+
+/// The earned share of the whole run and of its worst window, less the cost of connections.
+pub fn score(report: &Report) -> f64 {
+    WHOLE_WEIGHT * report.earned_share() + WORST_WEIGHT * report.worst_earned_share(WORST_WINDOW)
+        - CONNECTION_COST * report.connections_per_request()
+}
+
+/// The scores of runs, by trial and seed.
+#[derive(Default)]
+pub struct Scores {
+    by_run: BTreeMap<(String, u64), f64>,
+    /// A line for each run, in the order in which they were added.
+    text: String,
+}
+
+impl Scores {
+    /// Adds the score of a run.
+    pub fn add(&mut self, trial: Trial, seed: u64, score: f64) {
+        // Writing to a string does not fail.
+        let _ = writeln!(self.text, "{} {seed} {score:.5}", trial.name());
+        self.by_run.insert((trial.name().to_owned(), seed), score);
+    }
+
+    /// The score of a run.
+    pub fn get(&self, trial: Trial, seed: u64) -> Option<f64> {
+        self.by_run.get(&(trial.name().to_owned(), seed)).copied()
+    }
+
+    /// A line for each run: trial, seed and score.
+    pub fn to_text(&self) -> &str {
+        &self.text
+    }
+
+    /// Parses such lines; others are skipped.
+    pub fn parse(text: &str) -> Scores {
+        let run = |line: &str| {
+            let mut words = line.split_whitespace();
+            let trial = words.next()?.to_owned();
+            let seed = words.next()?.parse().ok()?;
+            Some(((trial, seed), words.next()?.parse().ok()?))
+        };
+        Scores {
+            by_run: text.lines().filter_map(run).collect(),
+            text: text.to_owned(),
+        }
+    }
+}
+
+/// The mean of differences and its standard error, as text.
+pub fn mean_difference(differences: &[f64]) -> String {
+    let count = differences.len() as f64;
+    let mean = differences.iter().sum::<f64>() / count;
+    let squares = differences
+        .iter()
+        .map(|difference| (difference - mean).powi(2));
+    let variance = squares.sum::<f64>() / (count - 1.0).max(1.0);
+    format!("{mean:+.4} +- {:.4}", (variance / count).sqrt())
+}
--- a/crates/emulator/src/control/network.rs
+++ b/crates/emulator/src/control/network.rs
@@ -21,7 +21,7 @@
 use super::endpoint::{CpuClock, Endpoint, OutgoingFrame, ReceivedFrame, Slot};
 use super::links::{Delivery, Links};
 use super::topology::Topology;
-use crate::queue::Queue;
+use crate::queue::EventQueue;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
@@ -63,7 +63,7 @@
     links: Links,
     cpu_clock: Option<CpuClock>,
     slots: Vec<Slot<E>>,
-    queue: Queue<Event>,
+    queue: EventQueue<Event>,
     now: f64,
     rng: Pcg64Mcg,
     partitions: Vec<Partition>,
@@ -84,7 +84,7 @@
             links,
             cpu_clock: None,
             slots,
-            queue: Queue::new(0.0),
+            queue: EventQueue::new(0.0),
             now: 0.0,
             rng: Pcg64Mcg::seed_from_u64(seed),
             partitions: Vec::new(),
@@ -191,8 +191,8 @@
     /// Runs for this many seconds.
     pub fn run(&mut self, seconds: f64) {
         let end = self.now + seconds;
-        while self.queue.next_at().is_some_and(|at| at <= end) {
-            let Some(event) = self.queue.take() else {
+        while self.queue.next_due().is_some_and(|at| at <= end) {
+            let Some(event) = self.queue.pop() else {
                 break;
             };
             self.now = self.queue.now();
@@ -283,7 +283,7 @@
         let at = process.next_wakeup().max(earliest).max(now);
         if at < slot.scheduled_wakeup {
             slot.scheduled_wakeup = at;
-            self.queue.put(at, Event::Wakeup { endpoint });
+            self.queue.schedule(at, Event::Wakeup { endpoint });
         }
     }
 }
--- a/crates/emulator/src/control/network/frames.rs
+++ b/crates/emulator/src/control/network/frames.rs
@@ -119,6 +119,6 @@
             incarnation,
             received,
         };
-        self.queue.put(at, Event::Arrival(arrival));
+        self.queue.schedule(at, Event::Arrival(arrival));
     }
 }
--- a/crates/emulator/src/digest.rs
+++ b/crates/emulator/src/digest.rs
@@ -1,10 +1,30 @@
-//! A digest of all commands of a run, by which two runs are told apart to the last bit.
+//! A digest of all commands of a run, so that tests can compare two runs to the last bit.
 
 use reelfall_balancer::engine::{Command, FinalAnswer, Host};
 use reelfall_balancer::interface::{Outcome, Time};
 
-/// What stands for a value that is absent; no time is negative.
+/// Stands for a time that is absent; no time is negative.
 const ABSENT: f64 = -1.0;
+/// Stands for an absent word.
+const NONE: u64 = 0;
+
+/// Codes of commands.
+mod command_code {
+    pub(super) const SEND: u64 = 0;
+    pub(super) const CANCEL_ATTEMPT: u64 = 1;
+    pub(super) const ANSWER: u64 = 2;
+    pub(super) const WATCH: u64 = 3;
+    pub(super) const START_TIMER: u64 = 4;
+    pub(super) const CLOSE_CONNECTIONS: u64 = 5;
+    pub(super) const RELEASE_SERVER_ID: u64 = 6;
+}
+
+/// Codes of final answers.
+mod answer_code {
+    pub(super) const SERVED: u64 = 0;
+    pub(super) const REJECTED: u64 = 1;
+    pub(super) const FAILED: u64 = 2;
+}
 
 /// The digest of the commands that all nodes have given so far, with their times.
 #[derive(Clone, Debug, Default)]
@@ -23,29 +43,42 @@
                 send_by,
                 deadline,
             } => {
-                self.words(0, [(*request).into(), (*attempt).into(), (*server).into()]);
+                let words = [(*request).into(), (*attempt).into(), (*server).into()];
+                self.words(command_code::SEND, words);
                 self.word(send_by.to_bits());
                 self.word(deadline.to_bits());
             }
             Command::CancelAttempt { request, attempt } => {
-                self.words(1, [(*request).into(), (*attempt).into(), 0]);
+                let words = [(*request).into(), (*attempt).into(), NONE];
+                self.words(command_code::CANCEL_ATTEMPT, words);
             }
             Command::Answer {
                 request, answer, ..
             } => {
-                let (kind, detail) = match answer {
-                    FinalAnswer::Served(_) => (0, 0),
+                let (code, detail) = match answer {
+                    FinalAnswer::Served(_) => (answer_code::SERVED, NONE),
                     FinalAnswer::Rejected { retry_after } => {
-                        (1, retry_after.unwrap_or(ABSENT).to_bits())
+                        let retry_after = retry_after.unwrap_or(ABSENT);
+                        (answer_code::REJECTED, retry_after.to_bits())
+                    }
+                    FinalAnswer::Failed(outcome) => {
+                        (answer_code::FAILED, outcome.map_or(NONE, outcome_code))
                     }
-                    FinalAnswer::Failed(outcome) => (2, outcome.map_or(0, number)),
                 };
-                self.words(2, [(*request).into(), kind, detail]);
+                self.words(command_code::ANSWER, [(*request).into(), code, detail]);
+            }
+            Command::Watch => self.words(command_code::WATCH, [NONE; 3]),
+            Command::StartTimer { after, tag } => {
+                self.words(command_code::START_TIMER, [after.to_bits(), *tag, NONE]);
+            }
+            Command::CloseConnections { server } => {
+                let words = [(*server).into(), NONE, NONE];
+                self.words(command_code::CLOSE_CONNECTIONS, words);
+            }
+            Command::ReleaseServerId { server } => {
+                let words = [(*server).into(), NONE, NONE];
+                self.words(command_code::RELEASE_SERVER_ID, words);
             }
-            Command::Watch => self.words(3, [0; 3]),
-            Command::StartTimer { after, tag } => self.words(4, [after.to_bits(), *tag, 0]),
-            Command::CloseConnections { server } => self.words(5, [(*server).into(), 0, 0]),
-            Command::ReleaseServerId { server } => self.words(6, [(*server).into(), 0, 0]),
         }
     }
 
@@ -54,8 +87,8 @@
         self.0.finalize().to_hex().to_string()
     }
 
-    fn words(&mut self, kind: u64, words: [u64; 3]) {
-        self.word(kind);
+    fn words(&mut self, code: u64, words: [u64; 3]) {
+        self.word(code);
         words.into_iter().for_each(|word| self.word(word));
     }
 
@@ -64,7 +97,7 @@
     }
 }
 
-fn number(outcome: Outcome) -> u64 {
+fn outcome_code(outcome: Outcome) -> u64 {
     match outcome {
         Outcome::Served => 1,
         Outcome::Error => 2,
--- a/crates/emulator/src/inspect.rs
+++ b/crates/emulator/src/inspect.rs
@@ -1,26 +1,26 @@
-//! What datagrams of a fleet contain, for figures.
+//! Statistics of the datagrams of a cluster, for the scale runs.
 
 use reelfall_cluster::wire::{self, Secret};
 
-/// What datagrams contained, summed up.
+/// Sums over datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Contents {
-    /// How many there were.
+pub struct DatagramStats {
+    /// Number of datagrams.
     pub datagrams: u64,
     /// Their bytes.
     pub bytes: u64,
-    /// Bytes of the membership protocol's part: probes, and the news of members that they carry.
+    /// Bytes of the membership protocol: probes, and the member updates that they carry.
     pub swim_bytes: u64,
-    /// Members told in the answers to comparisons.
+    /// Number of members in responses of anti-entropy.
     pub members: u64,
-    /// Entries of the table, such as bans.
+    /// Number of entries of the table, such as bans.
     pub entries: u64,
 }
 
-impl Contents {
-    /// What was added since an earlier state of the same sum.
-    pub fn since(&self, earlier: &Contents) -> Contents {
-        Contents {
+impl DatagramStats {
+    /// The difference from an earlier state of the same sums.
+    pub fn since(&self, earlier: &DatagramStats) -> DatagramStats {
+        DatagramStats {
             datagrams: self.datagrams - earlier.datagrams,
             bytes: self.bytes - earlier.bytes,
             swim_bytes: self.swim_bytes - earlier.swim_bytes,
@@ -30,32 +30,32 @@
     }
 }
 
-/// Opens datagrams with the fleet's key and sums up what is in them.
+/// Opens datagrams with the cluster's key and counts their contents.
 pub struct Inspector {
     secret: Secret,
-    /// The sum so far.
-    pub seen: Contents,
+    /// The sums so far.
+    pub stats: DatagramStats,
 }
 
 impl Inspector {
-    /// One that has seen nothing yet.
+    /// An inspector that has counted nothing yet.
     pub fn new(secret: Secret) -> Inspector {
         Inspector {
             secret,
-            seen: Contents::default(),
+            stats: DatagramStats::default(),
         }
     }
 
-    /// A datagram was sent.
+    /// Counts a datagram.
     pub fn add(&mut self, datagram: &[u8]) {
-        self.seen.datagrams += 1;
-        self.seen.bytes += datagram.len() as u64;
-        // Messages of applications are of another kind and have none of these parts.
+        self.stats.datagrams += 1;
+        self.stats.bytes += datagram.len() as u64;
+        // Datagrams of applications are of another kind and have none of these parts.
         let Ok((header, entries)) = wire::open(&self.secret, datagram) else {
             return;
         };
-        self.seen.swim_bytes += header.swim.len() as u64;
-        self.seen.members += header.members.len() as u64;
-        self.seen.entries += entries.len() as u64;
+        self.stats.swim_bytes += header.swim.len() as u64;
+        self.stats.members += header.members.len() as u64;
+        self.stats.entries += entries.len() as u64;
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,10 +1,17 @@
-//! A fleet in virtual time: many nodes with the decision module that real nodes have, over modelled clients, servers,
-//! connections and a list of servers that comes late. One clock, one seed, no I/O: the same run each time.
+//! A fleet in virtual time: many nodes with the decision module of real nodes, over modelled clients, servers and
+//! connections, with an endpoint list that is delayed. There is one clock, one seed and no I/O, so that a run can be
+//! repeated exactly.
 //!
-//! [`plan`] says what there is and what happens; [`world`] plays it; [`violations`] records broken rules;
-//! [`report`] is the result. [`scenario`] holds the plans that the project measures itself by, [`trials`] those
-//! drawn from seeds at the size of the whole fleet; [`cluster`] emulates nodes that know each other, [`control`] the control
-//! side of thousands of nodes. The servers are models and no measurements of real machines.
+//! | module | responsibility |
+//! | --- | --- |
+//! | [`plan`] | the plan of a run: what there is, and what happens |
+//! | [`world`] | executes a plan, for the decision module |
+//! | [`report`], [`violations`], [`digest`] | the result of a run: counts, broken rules, all commands |
+//! | [`scenario`], [`trials`] | plans of small fleets; plans sampled from seeds at the size of a whole fleet |
+//! | [`server`] | the model of a server; no measurement of a real one |
+//! | [`queue`], [`streams`] | the event queue; random numbers |
+//! | [`cluster`], [`inspect`] | nodes that know each other, and their datagrams |
+//! | [`control`] | the control side of thousands of nodes |
 
 pub mod cluster;
 pub mod control;
@@ -13,7 +20,6 @@
 pub mod plan;
 pub mod queue;
 pub mod report;
-
 pub mod scenario;
 pub mod server;
 pub mod streams;
--- a/crates/emulator/src/plan.rs
+++ b/crates/emulator/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a run consists of: nodes, servers, clients, and the disturbances at their times.
+//! The plan of a run: nodes, servers, clients, and the disturbances at their times. [`crate::world`] executes it.
 
 use reelfall_balancer::interface::{Idempotency, Time};
 use std::ops::RangeInclusive;
@@ -12,11 +12,11 @@
     pub mean_work: f64,
     /// The latency objective, in seconds: a response within it earns the full priority weight.
     pub latency_objective: Time,
-    /// How long a client waits in total, in seconds.
+    /// How long a client waits in total, with its retries, in seconds.
     pub deadline: Time,
     /// Priority weight of a unit of work.
     pub priority_weight: f64,
-    /// What a second run would do.
+    /// What a second execution would do.
     pub idempotency: Idempotency,
 }
 
@@ -34,11 +34,11 @@
 /// How a server behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerBehavior {
-    /// As it should.
+    /// Without a fault.
     Healthy,
     /// Slower by this factor.
     Slow(f64),
-    /// It stops regularly.
+    /// It pauses regularly.
     Pausing {
         /// Time from the start of one pause to that of the next, in seconds.
         interval: Time,
@@ -51,7 +51,7 @@
     Failing,
 }
 
-/// Something that disturbs a run. Shares are of all nodes or servers; times are in seconds.
+/// A fault or a change of load during a run. Shares are of all nodes or servers; times are in seconds.
 #[derive(Clone, Debug)]
 pub enum Disturbance {
     /// Nodes are killed at once; they start again with the list that they had.
@@ -61,7 +61,7 @@
         /// For how long they are down.
         down_for: Time,
     },
-    /// All nodes and servers of a zone vanish and come back, the servers in slow start.
+    /// All nodes and servers of a zone are lost and start again, the servers with slow start.
     LoseZone {
         /// The zone.
         zone: u16,
@@ -80,35 +80,35 @@
         /// Share of the servers.
         share: f64,
     },
-    /// The list repeatedly says of servers that they drain, and that they don't.
+    /// The list repeatedly states of servers that they drain, and that they don't.
     FlapEntries {
         /// Share of the servers.
         share: f64,
-        /// How often.
-        times: u32,
+        /// How often each is stated.
+        count: u32,
     },
-    /// Servers misbehave.
+    /// Servers have a fault.
     ServerFault {
         /// Share of the servers.
         share: f64,
         /// How they behave.
         behavior: ServerBehavior,
         /// For how long.
-        lasts: Time,
+        duration: Time,
     },
     /// The endpoint list reports no changes.
     DiscoveryOutage {
         /// For how long.
-        lasts: Time,
+        duration: Time,
     },
     /// Nodes get no requests.
     IdleNodes {
         /// Share of the nodes.
         share: f64,
         /// For how long.
-        lasts: Time,
+        duration: Time,
     },
-    /// All nodes are restarted: each completes its requests, ends, and starts again.
+    /// All nodes are restarted in steps: each completes its requests, ends, and starts again.
     RollingRestart {
         /// Number of steps.
         steps: u32,
@@ -117,38 +117,38 @@
         /// For how long a node is down.
         down_for: Time,
     },
-    /// Nothing passes between a zone and the others; clients still reach the nodes of both.
+    /// A zone is partitioned from the others; clients still reach the nodes of both.
     Partition {
         /// The zone.
         zone: u16,
         /// For how long.
-        lasts: Time,
+        duration: Time,
     },
     /// Responses are lost with their connections.
     LostResponses {
         /// Share of the responses.
         share: f64,
         /// For how long.
-        lasts: Time,
+        duration: Time,
     },
     /// More requests arrive.
     TrafficSurge {
-        /// Times as many.
+        /// How many times as many.
         factor: f64,
         /// For how long.
-        lasts: Time,
+        duration: Time,
     },
     /// The traffic shifts between zones.
     TrafficShift {
         /// Share of the clients in the first zone from now on.
         first_zone_share: f64,
     },
-    /// All servers are slower, as something that they share is slow.
+    /// All servers are slower, since a common dependency is slow.
     CommonSlowdown {
-        /// Times slower.
+        /// How many times slower.
         factor: f64,
         /// For how long.
-        lasts: Time,
+        duration: Time,
     },
 }
 
@@ -181,11 +181,11 @@
 
 /// How a long queue slows a server down.
 #[derive(Clone, Copy, Debug)]
-pub struct Crowding {
+pub struct QueueSlowdown {
     /// Length of the queue beyond which each further request slows the server down.
     pub threshold: usize,
-    /// By this share of its speed.
-    pub slowdown: f64,
+    /// How much each request does, as a share of its speed.
+    pub per_request: f64,
 }
 
 /// The slow start of a server.
@@ -193,7 +193,7 @@
 pub struct SlowStart {
     /// Share of its capacity that a server has when it starts.
     pub initial_capacity: f64,
-    /// It has its full capacity after this time, in seconds.
+    /// Time until it has its full capacity, in seconds.
     pub duration: Time,
     /// It has it sooner after this share of the work that it could do in that time; never for 1 and more.
     pub work_share: f64,
@@ -240,16 +240,16 @@
     pub classes: Vec<RequestClass>,
     /// The types of machines.
     pub machine_types: Vec<MachineType>,
-    /// Requests that the first node gets for each one that another node gets.
+    /// Weight of the first node at the front end, relative to the others.
     pub first_node_weight: f64,
-    /// Nodes use the whole list, as they are not told what the tenants may send.
+    /// Nodes use the whole list, as their settings do not state the quotas of tenants.
     pub is_subsetting_disabled: bool,
     /// Latencies of the network.
     pub latency: Latency,
-    /// Maximum number of requests in the queue of a server: the least and the greatest of all servers.
+    /// Maximum number of requests in the queue of a server: the range over all servers.
     pub queue_capacity: RangeInclusive<usize>,
     /// How a long queue slows a server down.
-    pub crowding: Crowding,
+    pub queue_slowdown: QueueSlowdown,
     /// Maximum number of connections of a server.
     pub max_connections: u32,
     /// Work that a new connection costs a server, in seconds on a standard core.
@@ -262,13 +262,13 @@
     pub slow_start: SlowStart,
     /// When a server in its slow start is overloaded.
     pub overload: Overload,
-    /// Nodes are notified of a change after this time, in seconds, and spread over as much again.
+    /// Minimum delay of the notification of a change, in seconds; the maximum is twice as long.
     pub notification_delay: Time,
     /// How long the front end goes on sending to a node that is down, in seconds.
     pub failover_delay: Time,
-    /// Share of the deadline after which a client gives an attempt up.
+    /// Timeout of a client's attempt, as a share of the deadline.
     pub client_timeout_share: f64,
-    /// Share of the clients that give up after a third of that.
+    /// Share of the clients whose timeout is a third of that.
     pub impatient_share: f64,
     /// How clients retry.
     pub client_retries: ClientRetries,
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,18 +1,18 @@
-//! The plans that the project measures itself by.
+//! Plans of small fleets, for the tests and the example `fleet`.
 
 use crate::plan::{
-    ClientRetries, Crowding, Disturbance, FirstZoneShare, Latency, MachineType, Overload, Plan,
-    RequestClass, ServerBehavior, SlowStart,
+    ClientRetries, Disturbance, FirstZoneShare, Latency, MachineType, Overload, Plan,
+    QueueSlowdown, RequestClass, ServerBehavior, SlowStart,
 };
 use reelfall_balancer::interface::Idempotency;
 use std::ops::RangeInclusive;
 
-/// From when on servers misbehave in [`with_faulty_servers`], in seconds.
+/// When the faults of [`with_faulty_servers`] begin, in seconds.
 const FAULTS_BEGIN: f64 = 2.0;
 /// Longer than any run, in seconds.
 const WHOLE_RUN: f64 = 60.0;
 
-/// A quiet fleet of flag servers in two zones, with 0.6 servers for each node.
+/// A fleet in two zones without disturbances, with 0.6 servers for each node.
 pub fn calm(nodes: usize, seed: u64) -> Plan {
     Plan {
         name: "calm".to_owned(),
@@ -38,9 +38,9 @@
             cross_zone: 0.000_9,
         },
         queue_capacity: 20..=20,
-        crowding: Crowding {
+        queue_slowdown: QueueSlowdown {
             threshold: usize::MAX,
-            slowdown: 0.0,
+            per_request: 0.0,
         },
         max_connections: 120,
         connection_work: 0.002,
@@ -109,7 +109,7 @@
         let fault = Disturbance::ServerFault {
             share: share / 2.0,
             behavior,
-            lasts: WHOLE_RUN,
+            duration: WHOLE_RUN,
         };
         plan.disturb(FAULTS_BEGIN, fault);
     }
@@ -136,7 +136,7 @@
             down_for: 1.5,
         },
     );
-    plan.disturb(7.0, Disturbance::DiscoveryOutage { lasts: 3.0 });
+    plan.disturb(7.0, Disturbance::DiscoveryOutage { duration: 3.0 });
     plan.disturb(
         9.0,
         Disturbance::ReplaceServers {
@@ -147,7 +147,7 @@
     plan
 }
 
-/// A zone is lost and comes back, its servers in slow start.
+/// A zone is lost and starts again, its servers with slow start.
 pub fn zone(nodes: usize, seed: u64) -> Plan {
     let mut plan = Plan {
         name: "zone".to_owned(),
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -1,4 +1,4 @@
-//! One modelled server: a core, a queue, a number of connections, and a slow start.
+//! The model of a server: a core, a queue, a number of connections, and a slow start. [`crate::world`] has many of them.
 
 use crate::plan::{Plan, ServerBehavior};
 use reelfall_balancer::interface::{Endpoint, Time};
@@ -7,14 +7,14 @@
 /// Number of an attempt in its world.
 pub type AttemptId = usize;
 
-/// Whether a server is there.
+/// Whether a server runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum State {
     /// It serves.
     Up,
     /// It has ended: connections are refused, open ones are reset.
     Ended,
-    /// It is cut off: no connection is established and nothing is received from it.
+    /// It is partitioned: no connection is established and nothing is received from it.
     Lost,
 }
 
@@ -31,7 +31,7 @@
 pub struct SlowStartLoad {
     /// Received work, as a multiple of what the server can do in the same time.
     pub factor: f64,
-    /// Share of it that came from senders who knew of the start.
+    /// Share of it from senders who knew of the start.
     pub share_of_informed: f64,
 }
 
@@ -41,7 +41,7 @@
     pub endpoint: Endpoint,
     /// Work per second when warm, in standard cores.
     pub speed: f64,
-    /// Whether it is there.
+    /// Whether it runs.
     pub state: State,
     /// How it behaves.
     pub behavior: ServerBehavior,
@@ -55,7 +55,7 @@
     pub connections: u32,
     /// The attempt that it works on.
     pub running: Option<AttemptId>,
-    /// The attempts that wait, the next one first.
+    /// The attempts that wait, the next one at the front.
     pub queue: VecDeque<AttemptId>,
     /// What it has received lately during its slow start.
     received: VecDeque<ReceivedWork>,
@@ -105,9 +105,12 @@
     }
 
     /// The same, with the effect of a long queue.
-    pub fn crowded_capacity(&self, now: Time, plan: &Plan) -> f64 {
-        let excess = self.queue.len().saturating_sub(plan.crowding.threshold) as f64;
-        self.capacity(now, plan) / (1.0 + plan.crowding.slowdown * excess)
+    pub fn capacity_with_queue(&self, now: Time, plan: &Plan) -> f64 {
+        let excess = self
+            .queue
+            .len()
+            .saturating_sub(plan.queue_slowdown.threshold) as f64;
+        self.capacity(now, plan) / (1.0 + plan.queue_slowdown.per_request * excess)
     }
 
     /// When work that takes this long is done, with the pauses of the server.
@@ -132,7 +135,7 @@
         now + rest_of_pause + work_time + further_pauses * duration
     }
 
-    /// It is gone, with all that it had.
+    /// Ends it, or partitions it; it loses its queue and its connections.
     pub fn end(&mut self, state: State) {
         self.state = state;
         self.incarnation += 1;
@@ -143,7 +146,7 @@
         self.work_done = 0.0;
     }
 
-    /// It starts, with slow start.
+    /// Starts it, with slow start.
     pub fn start(&mut self, now: Time) {
         self.state = State::Up;
         self.endpoint.started_at = now;
--- a/crates/emulator/src/streams.rs
+++ b/crates/emulator/src/streams.rs
@@ -1,18 +1,19 @@
-//! Random numbers by name, so that a change in one part of a plan does not move another's draws.
+//! Named streams of random numbers, so that a change in one part of a plan does not change the samples of another.
 
 use rand::SeedableRng;
 use rand_distr::{Distribution, LogNormal};
 use rand_pcg::Pcg64Mcg;
 use reelfall_balancer::settings::stable_hash;
 
-/// A stream of its own for each name; the same for the same seed and name.
+/// The stream of a name; the same for the same seed and name.
 pub fn stream(seed: u64, name: &str) -> Pcg64Mcg {
     Pcg64Mcg::seed_from_u64(seed ^ stable_hash(name))
 }
 
-/// A log-normal draw of this mean and coefficient of variation.
-pub fn lognormal(rng: &mut Pcg64Mcg, mean: f64, cv: f64) -> f64 {
-    let variance = (1.0 + cv * cv).ln();
-    // Only a standard deviation that is no number is refused, and this one is a root of a sum of squares.
-    LogNormal::new(mean.ln() - variance / 2.0, variance.sqrt()).map_or(mean, |d| d.sample(rng))
+/// Samples a log-normal distribution of this mean and coefficient of variation.
+pub fn sample_lognormal(rng: &mut Pcg64Mcg, mean: f64, variation: f64) -> f64 {
+    let variance = (1.0 + variation * variation).ln();
+    // Only a standard deviation that is not a number is an error, and this one is the root of a sum of squares.
+    LogNormal::new(mean.ln() - variance / 2.0, variance.sqrt())
+        .map_or(mean, |distribution| distribution.sample(rng))
 }
--- a/crates/emulator/src/trials.rs
+++ b/crates/emulator/src/trials.rs
@@ -2,16 +2,21 @@
 //! from the seed, so that nothing is tuned to one of them.
 
 use crate::plan::{
-    ClientRetries, Crowding, Disturbance, FirstZoneShare, Latency, MachineType, Overload, Plan,
-    RequestClass, ScheduledDisturbance, ServerBehavior, SlowStart,
+    ClientRetries, Disturbance, FirstZoneShare, Latency, MachineType, Overload, Plan,
+    QueueSlowdown, RequestClass, ScheduledDisturbance, ServerBehavior, SlowStart,
 };
 use crate::streams::stream;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use reelfall_balancer::interface::{Idempotency, Time};
 
+/// Time until the replacements of drained servers start, in seconds.
+const RELEASE_DELAY: Time = 2.2;
+/// Longer than any run, in seconds.
+const WHOLE_RUN: Time = 60.0;
+
 /// A kind of trial.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Trial {
     /// A traffic surge by half, and a shift between zones.
     Calm,
@@ -27,17 +32,17 @@
     Join,
 }
 
-/// All trials.
-pub const ALL: [Trial; 6] = [
-    Trial::Calm,
-    Trial::Roll,
-    Trial::Herd,
-    Trial::Zone,
-    Trial::Split,
-    Trial::Join,
-];
-
 impl Trial {
+    /// All trials.
+    pub const ALL: [Trial; 6] = [
+        Trial::Calm,
+        Trial::Roll,
+        Trial::Herd,
+        Trial::Zone,
+        Trial::Split,
+        Trial::Join,
+    ];
+
     /// Its name.
     pub fn name(self) -> &'static str {
         match self {
@@ -50,14 +55,14 @@
         }
     }
 
-    /// Its plan for so many nodes.
+    /// Its plan for this many nodes.
     pub fn plan(self, nodes: usize, seed: u64) -> Plan {
         let rng = &mut stream(seed, self.name());
         let mut plan = base(nodes, seed, rng);
         plan.name = self.name().to_owned();
         plan.disturbances = self.disturbances(rng);
         let at = rng.random_range(1.0..4.0);
-        let disturbance = common_fault(rng);
+        let disturbance = background_fault(rng);
         plan.disturb(at, disturbance);
         plan
     }
@@ -74,12 +79,16 @@
     }
 }
 
-fn at(at: Time, disturbance: Disturbance) -> ScheduledDisturbance {
+fn scheduled(at: Time, disturbance: Disturbance) -> ScheduledDisturbance {
     ScheduledDisturbance { at, disturbance }
 }
 
+/// A release of the servers' software: this share of them is replaced.
 fn release(share: f64) -> Disturbance {
-    Disturbance::ReplaceServers { share, after: 2.2 }
+    Disturbance::ReplaceServers {
+        share,
+        after: RELEASE_DELAY,
+    }
 }
 
 fn calm(rng: &mut Pcg64Mcg) -> Vec<ScheduledDisturbance> {
@@ -87,14 +96,14 @@
     let shift_at = rng.random_range(8.0..12.0);
     let first_zone_share = rng.random_range(0.3..0.7);
     vec![
-        at(
+        scheduled(
             surge_at,
             Disturbance::TrafficSurge {
                 factor: 1.5,
-                lasts: 4.0,
+                duration: 4.0,
             },
         ),
-        at(shift_at, Disturbance::TrafficShift { first_zone_share }),
+        scheduled(shift_at, Disturbance::TrafficShift { first_zone_share }),
     ]
 }
 
@@ -104,8 +113,8 @@
         interval: 1.2,
         down_for: 0.3,
     };
-    let mut all = vec![at(4.0, restart)];
-    all.extend((0..5).map(|n| at(4.0 + 2.0 * f64::from(n), release(0.1))));
+    let mut all = vec![scheduled(4.0, restart)];
+    all.extend((0..5).map(|step| scheduled(4.0 + 2.0 * f64::from(step), release(0.1))));
     all
 }
 
@@ -117,15 +126,15 @@
         ServerBehavior::Failing,
     ];
     vec![
-        at(5.0, release(0.15)),
-        at(
+        scheduled(5.0, release(0.15)),
+        scheduled(
             7.0,
             Disturbance::KillNodes {
                 share: 0.7,
                 down_for,
             },
         ),
-        at(9.0, release(0.15)),
+        scheduled(9.0, release(0.15)),
         faulty_servers(rng, &behaviors),
     ]
 }
@@ -133,18 +142,18 @@
 fn zone(rng: &mut Pcg64Mcg) -> Vec<ScheduledDisturbance> {
     let zone = rng.random_range(0..2);
     vec![
-        at(
+        scheduled(
             5.0,
             Disturbance::LoseZone {
                 zone,
                 down_for: 5.0,
             },
         ),
-        at(
+        scheduled(
             13.0,
             Disturbance::Partition {
                 zone: 1,
-                lasts: 3.0,
+                duration: 3.0,
             },
         ),
         faulty_servers(rng, &[ServerBehavior::Slow(4.0), ServerBehavior::Failing]),
@@ -155,47 +164,59 @@
     let zone = rng.random_range(0..2);
     let share = rng.random_range(0.01..0.06);
     vec![
-        at(6.0, Disturbance::Partition { zone, lasts: 6.0 }),
-        at(6.0, Disturbance::DiscoveryOutage { lasts: 6.0 }),
-        at(6.0, Disturbance::LostResponses { share, lasts: 6.0 }),
+        scheduled(
+            6.0,
+            Disturbance::Partition {
+                zone,
+                duration: 6.0,
+            },
+        ),
+        scheduled(6.0, Disturbance::DiscoveryOutage { duration: 6.0 }),
+        scheduled(
+            6.0,
+            Disturbance::LostResponses {
+                share,
+                duration: 6.0,
+            },
+        ),
     ]
 }
 
 fn join() -> Vec<ScheduledDisturbance> {
     vec![
-        at(5.5, release(0.3)),
-        at(8.0, release(0.3)),
-        at(
+        scheduled(5.5, release(0.3)),
+        scheduled(8.0, release(0.3)),
+        scheduled(
             6.0,
             Disturbance::LostResponses {
                 share: 0.01,
-                lasts: 10.0,
+                duration: 10.0,
             },
         ),
     ]
 }
 
-/// One of eight servers misbehaves in one of these ways, as long as the run lasts.
+/// One of eight servers has one of these faults, as long as the run lasts.
 fn faulty_servers(rng: &mut Pcg64Mcg, behaviors: &[ServerBehavior]) -> ScheduledDisturbance {
     let behavior = behaviors[rng.random_range(0..behaviors.len())];
     let from = rng.random_range(3.0..5.0);
-    at(
+    scheduled(
         from,
         Disturbance::ServerFault {
             share: 0.125,
             behavior,
-            lasts: 60.0,
+            duration: WHOLE_RUN,
         },
     )
 }
 
-/// A fault that any trial may have.
-fn common_fault(rng: &mut Pcg64Mcg) -> Disturbance {
+/// A fault that each trial has beside its own disturbances.
+fn background_fault(rng: &mut Pcg64Mcg) -> Disturbance {
     match rng.random_range(0..3) {
         0 => Disturbance::ServerFault {
             share: rng.random_range(0.06..0.19),
             behavior: ServerBehavior::Failing,
-            lasts: rng.random_range(5.0..12.0),
+            duration: rng.random_range(5.0..12.0),
         },
         1 => {
             let interval = rng.random_range(1.0..2.4);
@@ -203,12 +224,12 @@
             Disturbance::ServerFault {
                 share: rng.random_range(0.1..0.45),
                 behavior: ServerBehavior::Pausing { interval, duration },
-                lasts: rng.random_range(10.0..20.0),
+                duration: rng.random_range(10.0..20.0),
             }
         }
         _ => Disturbance::CommonSlowdown {
             factor: rng.random_range(1.2..2.2),
-            lasts: rng.random_range(5.0..9.0),
+            duration: rng.random_range(5.0..9.0),
         },
     }
 }
@@ -239,9 +260,9 @@
             cross_zone: 0.000_6,
         },
         queue_capacity: 8..=30,
-        crowding: Crowding {
+        queue_slowdown: QueueSlowdown {
             threshold: 9,
-            slowdown: 0.04,
+            per_request: 0.04,
         },
         max_connections: 500,
         connection_work: rng.random_range(0.000_35..0.002_7),
@@ -295,7 +316,7 @@
     vec![read, write, rollout]
 }
 
-/// Servers of this mean speed, whose weights the list does not tell.
+/// Servers of this mean speed, whose weights the list does not state.
 fn machine_type(server_share: f64, mean_speed: f64) -> MachineType {
     let speed = 0.85 * mean_speed..=1.15 * mean_speed;
     MachineType {
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -2,7 +2,7 @@
 
 use super::model::{ClientAttempt, ClientAttemptId, Event, NodeId, NodeIncarnation};
 use super::{World, ANSWER_SLACK, START};
-use crate::streams::lognormal;
+use crate::streams::sample_lognormal;
 use crate::violations::Rule;
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
@@ -34,7 +34,7 @@
         let gap = gap.map_or(1.0, |distribution| {
             distribution.sample(&mut self.client_random)
         });
-        self.queue.put(now + gap, Event::NewRequest);
+        self.queue.schedule(now + gap, Event::NewRequest);
         let request = self.sample_request(now);
         let weight = self.plan.classes[request.class].priority_weight;
         let second = self.report.second_at(now - START);
@@ -42,15 +42,15 @@
         second.requests += 1;
         let id = self.client_attempts.len();
         self.client_attempts.push(request);
-        self.queue.put(now, Event::ClientAttempt(id));
+        self.queue.schedule(now, Event::ClientAttempt(id));
     }
 
     fn sample_request(&mut self, now: Time) -> ClientAttempt {
         let class = self.sample_class();
         let plan_class = &self.plan.classes[class];
         let random = &mut self.client_random;
-        let work = lognormal(random, plan_class.mean_work, WORK_VARIATION);
-        let work_hint = lognormal(random, work, HINT_VARIATION);
+        let work = sample_lognormal(random, plan_class.mean_work, WORK_VARIATION);
+        let work_hint = sample_lognormal(random, work, HINT_VARIATION);
         let zone = u16::from(random.random::<f64>() >= self.first_zone_share);
         let is_impatient = random.random::<f64>() < self.plan.impatient_share;
         let share = if is_impatient {
@@ -153,7 +153,7 @@
         };
         self.client_attempts.push(next);
         self.queue
-            .put(at, Event::ClientAttempt(self.client_attempts.len() - 1));
+            .schedule(at, Event::ClientAttempt(self.client_attempts.len() - 1));
     }
 
     /// A client receives a final answer.
--- a/crates/emulator/src/world/disturbances.rs
+++ b/crates/emulator/src/world/disturbances.rs
@@ -1,4 +1,4 @@
-//! The disturbances of the plan.
+//! The disturbances of the plan, at their times.
 
 use super::model::{ClientAttempt, Event, NodeId, NodeIncarnation, RestartWindow};
 use super::servers::make_server;
@@ -19,7 +19,7 @@
 const DRAIN_TIME: Time = 1.0;
 
 impl World {
-    /// The disturbance with this index happens.
+    /// Starts the disturbance with this index.
     pub(super) fn disturb(&mut self, index: usize) {
         let now = self.queue.now();
         match self.plan.disturbances[index].disturbance.clone() {
@@ -29,64 +29,62 @@
             }
             Disturbance::LoseZone { zone, down_for } => self.lose_zone(zone, down_for),
             Disturbance::ReplaceServers { share, after } => self.replace_servers(share, after),
-            Disturbance::EndServers { share } => {
-                for server in self.some_servers(share) {
-                    self.end_server(server, State::Ended);
-                    self.announce(server, ServerState::Removed);
-                }
-            }
-            Disturbance::FlapEntries { share, times } => self.flap_entries(share, times),
+            Disturbance::EndServers { share } => self.end_servers(share),
+            Disturbance::FlapEntries { share, count } => self.flap_entries(share, count),
             Disturbance::ServerFault {
                 share,
                 behavior,
-                lasts,
-            } => {
-                self.impair_servers(share, behavior, now + lasts);
-            }
-            Disturbance::DiscoveryOutage { lasts } => self.discovery_outage_until = now + lasts,
-            Disturbance::IdleNodes { share, lasts } => {
-                for node in self.some_nodes(share) {
-                    self.nodes[node].idle_until = now + lasts;
-                }
+                duration,
+            } => self.impair_servers(share, behavior, now + duration),
+            Disturbance::DiscoveryOutage { duration } => {
+                self.discovery_outage_until = now + duration
             }
+            Disturbance::IdleNodes { share, duration } => self.idle_nodes(share, now + duration),
             Disturbance::RollingRestart {
                 steps,
                 interval,
                 down_for,
             } => self.restart_all_nodes(steps, interval, down_for),
-            Disturbance::Partition { zone, lasts } => {
-                self.partition = Until {
-                    value: zone,
-                    until: now + lasts,
-                };
+            Disturbance::Partition { zone, duration } => {
+                self.partition = Until::new(zone, now + duration);
             }
-            Disturbance::LostResponses { share, lasts } => {
-                self.lost_responses = Until {
-                    value: share,
-                    until: now + lasts,
-                };
+            Disturbance::LostResponses { share, duration } => {
+                self.lost_responses = Until::new(share, now + duration);
             }
-            Disturbance::TrafficSurge { factor, lasts } => {
-                self.surge = Until {
-                    value: factor,
-                    until: now + lasts,
-                };
+            Disturbance::TrafficSurge { factor, duration } => {
+                self.surge = Until::new(factor, now + duration);
             }
             Disturbance::TrafficShift { first_zone_share } => {
                 self.first_zone_share = first_zone_share;
             }
-            Disturbance::CommonSlowdown { factor, lasts } => {
+            Disturbance::CommonSlowdown { factor, duration } => {
                 self.common_slowdown = factor;
-                self.queue.put(now + lasts, Event::EndCommonSlowdown);
+                self.queue
+                    .schedule(now + duration, Event::EndCommonSlowdown);
             }
         }
     }
 
-    /// Makes this share of the servers behave like that until a time.
+    /// Ends this share of the servers without draining.
+    fn end_servers(&mut self, share: f64) {
+        for server in self.some_servers(share) {
+            self.end_server(server, State::Ended);
+            self.announce(server, ServerState::Removed);
+        }
+    }
+
+    /// Sends no requests to this share of the nodes until a time.
+    fn idle_nodes(&mut self, share: f64, until: Time) {
+        for node in self.some_nodes(share) {
+            self.nodes[node].idle_until = until;
+        }
+    }
+
+    /// Sets the behavior of this share of the servers until a time.
     fn impair_servers(&mut self, share: f64, behavior: ServerBehavior, until: Time) {
         let servers = self.some_servers(share);
         self.set_behavior(&servers, behavior);
-        self.queue.put(until, Event::RecoverServers(servers));
+        self.queue.schedule(until, Event::RecoverServers(servers));
     }
 
     /// A random selection of the healthy servers: this share of all.
@@ -114,7 +112,7 @@
     fn kill_nodes(&mut self, nodes: Vec<NodeId>, down_for: Time) {
         nodes.iter().for_each(|node| self.kill_node(*node));
         self.queue
-            .put(self.queue.now() + down_for, Event::StartNodes(nodes));
+            .schedule(self.queue.now() + down_for, Event::StartNodes(nodes));
     }
 
     fn lose_zone(&mut self, zone: u16, down_for: Time) {
@@ -124,14 +122,14 @@
             .filter(|node| self.nodes[*node].zone == zone)
             .collect();
         self.kill_nodes(nodes, down_for);
-        let is_there = |server: &&Server| server.endpoint.zone == zone && server.state == State::Up;
-        let there = self.servers.iter().filter(is_there);
-        let servers: Vec<ServerId> = there.map(|server| server.endpoint.server).collect();
+        let is_lost = |server: &&Server| server.endpoint.zone == zone && server.state == State::Up;
+        let lost = self.servers.iter().filter(is_lost);
+        let servers: Vec<ServerId> = lost.map(|server| server.endpoint.server).collect();
         servers
             .iter()
             .for_each(|server| self.end_server(*server, State::Lost));
         let start = now + down_for + SERVER_START_DELAY;
-        self.queue.put(start, Event::StartServers(servers));
+        self.queue.schedule(start, Event::StartServers(servers));
     }
 
     fn replace_servers(&mut self, share: f64, after: Time) {
@@ -147,19 +145,20 @@
             new.push(new_id as ServerId);
         }
         let drained = now + 2.0 * self.plan.notification_delay + DRAIN_TIME;
-        self.queue.put(drained, Event::EndServers(old));
-        self.queue.put(now + after, Event::StartServers(new));
+        self.queue.schedule(drained, Event::EndServers(old));
+        self.queue.schedule(now + after, Event::StartServers(new));
     }
 
-    fn flap_entries(&mut self, share: f64, times: u32) {
+    fn flap_entries(&mut self, share: f64, count: u32) {
         let now = self.queue.now();
         for server in self.some_servers(share) {
-            for n in 0..times {
-                let off = now + f64::from(2 * n) * FLAP_INTERVAL;
-                let on = now + f64::from(2 * n + 1) * FLAP_INTERVAL;
+            for flap in 0..count {
+                let off = now + f64::from(2 * flap) * FLAP_INTERVAL;
+                let on = now + f64::from(2 * flap + 1) * FLAP_INTERVAL;
+                self.queue
+                    .schedule(off, Event::Announce(server, ServerState::Draining));
                 self.queue
-                    .put(off, Event::Announce(server, ServerState::Draining));
-                self.queue.put(on, Event::Announce(server, ServerState::Up));
+                    .schedule(on, Event::Announce(server, ServerState::Up));
             }
         }
     }
@@ -177,7 +176,7 @@
             for node in nodes {
                 self.nodes[*node].restarts.push(window);
             }
-            self.queue.put(
+            self.queue.schedule(
                 end,
                 Event::RestartNodes {
                     nodes: nodes.to_vec(),
@@ -230,7 +229,7 @@
 }
 
 fn shuffle<T>(items: &mut [T], random: &mut Pcg64Mcg) {
-    for n in (1..items.len()).rev() {
-        items.swap(n, random.random_range(0..=n));
+    for last in (1..items.len()).rev() {
+        items.swap(last, random.random_range(0..=last));
     }
 }
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! Plays a plan.
+//! Executes a plan: nodes with the decision module of real nodes, over modelled clients, servers and connections.
 //!
 //! | state | owner | ends |
 //! | --- | --- | --- |
@@ -26,7 +26,7 @@
 use self::model::{Attempt, ClientAttempt, Event, Node, NodeId, NodeIncarnation};
 use self::servers::make_server;
 use crate::plan::{Plan, ServerBehavior};
-use crate::queue::Queue;
+use crate::queue::EventQueue;
 use crate::report::Report;
 use crate::server::{AttemptId, Server, State};
 use crate::streams::stream;
@@ -50,7 +50,7 @@
 /// Maximum number of attempts for one request.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// Why a plan can't be played.
+/// Why a plan can't be executed.
 #[derive(Debug, Error)]
 pub enum PlanError {
     /// Something is missing.
@@ -61,16 +61,27 @@
     Settings(#[from] SettingsError),
 }
 
-/// Something that holds until a time.
+/// A value that is valid until a time.
 #[derive(Clone, Copy, Debug)]
 struct Until<T> {
     value: T,
     until: Time,
 }
 
+impl<T> Until<T> {
+    fn new(value: T, until: Time) -> Until<T> {
+        Until { value, until }
+    }
+
+    /// A value that is not valid at any time of a run.
+    fn never(value: T) -> Until<T> {
+        Until::new(value, 0.0)
+    }
+}
+
 struct World {
     plan: Plan,
-    queue: Queue<Event>,
+    queue: EventQueue<Event>,
     servers: Vec<Server>,
     nodes: Vec<Node>,
     client_attempts: Vec<ClientAttempt>,
@@ -81,11 +92,11 @@
     request_rate: f64,
     /// Until when the endpoint list reports no changes.
     discovery_outage_until: Time,
-    /// The zone that is cut off.
+    /// The zone that is partitioned.
     partition: Until<ZoneId>,
     /// Share of the responses that are lost.
     lost_responses: Until<f64>,
-    /// How many times as many requests arrive.
+    /// How many times as many requests clients send.
     surge: Until<f64>,
     /// How many times slower all servers are.
     common_slowdown: f64,
@@ -97,7 +108,7 @@
     work_random: Pcg64Mcg,
 }
 
-/// Plays a plan to its end.
+/// Executes a plan to its end.
 ///
 /// # Errors
 /// If the plan can't be used.
@@ -113,15 +124,15 @@
     for node in 0..world.nodes.len() {
         world.start_node(node)?;
     }
-    world.queue.put(START, Event::NewRequest);
+    world.queue.schedule(START, Event::NewRequest);
     for (index, scheduled) in world.plan.disturbances.iter().enumerate() {
         world
             .queue
-            .put(START + scheduled.at, Event::Disturbance(index));
+            .schedule(START + scheduled.at, Event::Disturbance(index));
     }
     let end = START + world.plan.duration + END_MARGIN;
     while world.queue.now() < end {
-        let Some(event) = world.queue.take() else {
+        let Some(event) = world.queue.pop() else {
             break;
         };
         world.handle(event)?;
@@ -144,24 +155,15 @@
         World {
             nodes: make_nodes(&plan, &servers),
             request_rate: plan.load * speed / mean_work,
-            queue: Queue::new(START),
+            queue: EventQueue::new(START),
             client_attempts: Vec::new(),
             attempts: Vec::new(),
             in_flight: BTreeSet::new(),
             report: Report::default(),
             discovery_outage_until: 0.0,
-            partition: Until {
-                value: 0,
-                until: 0.0,
-            },
-            lost_responses: Until {
-                value: 0.0,
-                until: 0.0,
-            },
-            surge: Until {
-                value: 1.0,
-                until: 0.0,
-            },
+            partition: Until::never(0),
+            lost_responses: Until::never(0.0),
+            surge: Until::never(1.0),
             common_slowdown: 1.0,
             first_zone_share: plan.first_zone.nodes,
             client_random: stream(seed, "clients"),
@@ -243,7 +245,7 @@
     fn restart_nodes(&mut self, nodes: Vec<NodeId>, down_for: Time) {
         nodes.iter().for_each(|node| self.kill_node(*node));
         let at = self.queue.now() + down_for;
-        self.queue.put(at, Event::StartNodes(nodes));
+        self.queue.schedule(at, Event::StartNodes(nodes));
     }
 
     fn start_servers(&mut self, servers: &[ServerId]) {
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -1,4 +1,4 @@
-//! The commands of nodes, their connections, and what they are notified of.
+//! Nodes: their commands, their connections, and the updates of the endpoint list that they receive.
 
 use super::model::{
     Attempt, ClientAttemptId, Event, IdleConnection, NodeId, NodeIncarnation, Virtual,
@@ -14,9 +14,13 @@
 };
 
 /// How long after it was notified of a drain a node may still send to the server, in seconds.
-const DRAIN_GRACE: Time = 0.5;
+pub(super) const DRAIN_GRACE: Time = 0.5;
 /// Nodes use an idle connection for this share of the idle timeout.
 const IDLE_REUSE_SHARE: f64 = 0.8;
+/// Minimum latency, as a share of the mean.
+const MIN_LATENCY_SHARE: f64 = 0.8;
+/// Maximum latency less the minimum, as a share of the mean.
+const LATENCY_RANGE_SHARE: f64 = 0.4;
 /// One-way latencies that a refused connection takes.
 const REFUSAL_LATENCIES: f64 = 2.0;
 /// One-way latencies until a request arrives on a new connection.
@@ -84,7 +88,7 @@
                     node,
                     incarnation: self.nodes[node].incarnation,
                 };
-                self.queue.put(now + after, Event::Timer { of, tag });
+                self.queue.schedule(now + after, Event::Timer { of, tag });
             }
             Command::CloseConnections { server } => {
                 let idle = self.nodes[node].idle_connections.remove(&server);
@@ -104,7 +108,7 @@
         } else {
             latency.cross_zone
         };
-        mean * (0.8 + 0.4 * self.network_random.random::<f64>())
+        mean * (MIN_LATENCY_SHARE + LATENCY_RANGE_SHARE * self.network_random.random::<f64>())
     }
 
     /// Takes an idle connection of a node to a server; those that are too old are closed.
@@ -137,10 +141,10 @@
         self.check_attempt(node, server_id, client_attempt);
         let is_new_connection = !self.take_idle_connection(node, server_id);
         let latency = self.latency(node, server_id);
-        let is_cut_off = self.is_partitioned(node, server_id);
-        let connection = self.connect(server_id, is_new_connection, is_cut_off);
+        let is_partitioned = self.is_partitioned(node, server_id);
+        let connection = self.connect(server_id, is_new_connection, is_partitioned);
         let server = &self.servers[server_id as usize];
-        let is_unresponsive = is_cut_off
+        let is_unresponsive = is_partitioned
             || server.state != State::Up
             || server.behavior == ServerBehavior::Unresponsive;
         let server_incarnation = server.incarnation;
@@ -159,7 +163,7 @@
         });
         self.in_flight.insert(id);
         self.queue
-            .put(outgoing.deadline, Event::AttemptTimedOut(id));
+            .schedule(outgoing.deadline, Event::AttemptTimedOut(id));
         let second = self.report.second_at(now - START);
         second.attempts += 1;
         second.retries += u32::from(outgoing.number > 0);
@@ -184,12 +188,12 @@
         }
     }
 
-    fn connect(&mut self, id: ServerId, is_new: bool, is_cut_off: bool) -> Connection {
+    fn connect(&mut self, id: ServerId, is_new: bool, is_partitioned: bool) -> Connection {
         let server = &mut self.servers[id as usize];
         if !is_new {
             return Connection::Reused;
         }
-        if server.state == State::Lost || is_cut_off {
+        if server.state == State::Lost || is_partitioned {
             return Connection::TimedOut;
         }
         let is_full = server.connections >= self.plan.max_connections;
@@ -205,13 +209,15 @@
         let received = Event::AttemptReceived(id);
         let failed = Event::AttemptEnded(id, Outcome::ConnectFailed);
         match connection {
-            Connection::Reused => self.queue.put(now + latency, received),
+            Connection::Reused => self.queue.schedule(now + latency, received),
             Connection::Opened => {
                 self.queue
-                    .put(now + NEW_CONNECTION_LATENCIES * latency, received);
+                    .schedule(now + NEW_CONNECTION_LATENCIES * latency, received);
             }
-            Connection::Refused => self.queue.put(now + REFUSAL_LATENCIES * latency, failed),
-            Connection::TimedOut => self.queue.put(now + self.plan.connect_timeout, failed),
+            Connection::Refused => self
+                .queue
+                .schedule(now + REFUSAL_LATENCIES * latency, failed),
+            Connection::TimedOut => self.queue.schedule(now + self.plan.connect_timeout, failed),
         }
     }
 
--- a/crates/emulator/src/world/servers.rs
+++ b/crates/emulator/src/world/servers.rs
@@ -4,7 +4,7 @@
 use super::{World, START};
 use crate::plan::{Plan, ServerBehavior};
 use crate::server::{AttemptId, Server, SlowStartLoad, State};
-use crate::streams::lognormal;
+use crate::streams::sample_lognormal;
 use crate::violations::Rule;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -16,7 +16,7 @@
 const ATTEMPT_VARIATION: f64 = 0.3;
 /// A queue with more work than this, in seconds of the server's capacity, is long.
 const LONG_QUEUE: f64 = 0.3;
-/// An overload breaks the rule if this share of the work came from nodes that knew of the start.
+/// An overload breaks the rule if this share of the work is from nodes that knew of the start.
 const INFORMED_SHARE: f64 = 2.0 / 3.0;
 
 impl World {
@@ -28,13 +28,13 @@
         let (client_attempt, is_new) = (attempt.client_attempt, attempt.is_new_connection);
         let incarnation = attempt.server_incarnation;
         let latency = self.latency(node, server_id);
-        let is_cut_off = self.is_partitioned(node, server_id);
+        let is_partitioned = self.is_partitioned(node, server_id);
         let server = &self.servers[server_id as usize];
-        if server.incarnation != incarnation || server.state != State::Up || is_cut_off {
-            // A server that has ended has reset the connection; one that is cut off sends nothing.
-            if server.state != State::Lost && !is_cut_off {
+        if server.incarnation != incarnation || server.state != State::Up || is_partitioned {
+            // A server that has ended has reset the connection; one that is partitioned sends nothing.
+            if server.state != State::Lost && !is_partitioned {
                 let event = Event::AttemptEnded(id, Outcome::ConnectionLost);
-                self.queue.put(now + latency, event);
+                self.queue.schedule(now + latency, event);
             }
             return;
         }
@@ -52,10 +52,10 @@
         if server.behavior == ServerBehavior::Failing {
             self.client_attempts[client_attempt].executions += 1;
             self.queue
-                .put(now + latency, Event::AttemptEnded(id, Outcome::Error));
+                .schedule(now + latency, Event::AttemptEnded(id, Outcome::Error));
         } else if server.queue.len() >= server.queue_capacity {
             self.queue
-                .put(now + latency, Event::AttemptEnded(id, Outcome::Rejected));
+                .schedule(now + latency, Event::AttemptEnded(id, Outcome::Rejected));
         } else {
             server.queue.push_back(id);
             self.run_next(server_id);
@@ -126,14 +126,14 @@
             let violations = &mut self.report.violations;
             violations.record(now, Rule::RepeatedEffect, attempt.client_attempt);
         }
-        let mut work = lognormal(&mut self.work_random, request.work, ATTEMPT_VARIATION);
+        let mut work = sample_lognormal(&mut self.work_random, request.work, ATTEMPT_VARIATION);
         work += if attempt.is_new_connection {
             self.plan.connection_work
         } else {
             0.0
         };
         server.work_done += work;
-        let work_time = work * self.common_slowdown / server.crowded_capacity(now, &self.plan);
+        let work_time = work * self.common_slowdown / server.capacity_with_queue(now, &self.plan);
         let done_at = server.completion_time(now, work_time);
         let incarnation = server.incarnation;
         let event = Event::WorkCompleted {
@@ -141,7 +141,7 @@
             incarnation,
             attempt: attempt_id,
         };
-        self.queue.put(done_at, event);
+        self.queue.schedule(done_at, event);
     }
 
     /// A server has completed the work of an attempt; its response may be lost.
@@ -164,27 +164,27 @@
                 Outcome::Served
             };
             self.queue
-                .put(now + latency, Event::AttemptEnded(attempt, outcome));
+                .schedule(now + latency, Event::AttemptEnded(attempt, outcome));
         }
         self.run_next(id);
     }
 
-    /// A server ends, or is cut off. Attempts at one that ends lose their connections.
+    /// Ends or partitions a server. Attempts at one that ends lose their connections.
     pub(super) fn end_server(&mut self, id: ServerId, state: State) {
         let now = self.queue.now();
         self.servers[id as usize].end(state);
         if state != State::Ended {
             return;
         }
-        let is_there = |attempt: &&AttemptId| {
+        let is_lost = |attempt: &&AttemptId| {
             let attempt = &self.attempts[**attempt];
             attempt.server == id && attempt.is_connected
         };
-        let there: Vec<AttemptId> = self.in_flight.iter().filter(is_there).copied().collect();
+        let lost: Vec<AttemptId> = self.in_flight.iter().filter(is_lost).copied().collect();
         let at = now + self.plan.latency.cross_zone;
-        for attempt in there {
+        for attempt in lost {
             self.queue
-                .put(at, Event::AttemptEnded(attempt, Outcome::ConnectionLost));
+                .schedule(at, Event::AttemptEnded(attempt, Outcome::ConnectionLost));
         }
     }
 
@@ -198,7 +198,7 @@
         for (node, notified) in self.nodes.iter().enumerate() {
             let delay = self.plan.notification_delay * (1.0 + notified.lateness);
             self.queue
-                .put(from + delay, Event::EndpointChanged(node, endpoint.clone()));
+                .schedule(from + delay, Event::EndpointChanged(node, endpoint.clone()));
         }
     }
 }
--- a/crates/emulator/src/world/settings.rs
+++ b/crates/emulator/src/world/settings.rs
@@ -1,5 +1,6 @@
 //! The settings that nodes are given.
 
+use super::nodes::DRAIN_GRACE;
 use super::{NodeId, World, MAX_ATTEMPTS};
 use crate::plan::RequestClass;
 use reelfall_balancer::interface::{
@@ -65,7 +66,7 @@
     fn rules(&self) -> Rules {
         let slow_start = self.plan.slow_start;
         Rules {
-            drain_grace: 0.5,
+            drain_grace: DRAIN_GRACE,
             initial_capacity: STATED_CAPACITY_FACTOR * slow_start.initial_capacity,
             slow_start_duration: STATED_DURATION_FACTOR * slow_start.duration,
             overload_factor: self.plan.overload.factor,
--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -82,7 +82,7 @@
         2.0,
         Disturbance::IdleNodes {
             share: 0.5,
-            lasts: 8.0,
+            duration: 8.0,
         },
     );
     // Half of the nodes bear all of the traffic; the servers are the same.
@@ -178,7 +178,7 @@
         4.0,
         Disturbance::FlapEntries {
             share: 0.3,
-            times: 20,
+            count: 20,
         },
     );
     let report = played(plan);
@@ -202,19 +202,19 @@
             .prop_map(|(zone, down_for)| Disturbance::LoseZone { zone, down_for }),
         (0.1..0.6f64, 0.1..3.0f64)
             .prop_map(|(share, after)| Disturbance::ReplaceServers { share, after }),
-        (0.05..0.5f64, behavior, 0.5..4.0f64).prop_map(|(share, behavior, lasts)| {
+        (0.05..0.5f64, behavior, 0.5..4.0f64).prop_map(|(share, behavior, duration)| {
             Disturbance::ServerFault {
                 share,
                 behavior,
-                lasts,
+                duration,
             }
         }),
-        (0.5..5.0f64).prop_map(|lasts| Disturbance::DiscoveryOutage { lasts }),
+        (0.5..5.0f64).prop_map(|duration| Disturbance::DiscoveryOutage { duration }),
         (0.1..0.9f64, 0.5..4.0f64)
-            .prop_map(|(share, lasts)| Disturbance::IdleNodes { share, lasts }),
+            .prop_map(|(share, duration)| Disturbance::IdleNodes { share, duration }),
         (0.1..0.5f64).prop_map(|share| Disturbance::EndServers { share }),
         (0.1..0.5f64, 1..12u32)
-            .prop_map(|(share, times)| Disturbance::FlapEntries { share, times }),
+            .prop_map(|(share, count)| Disturbance::FlapEntries { share, count }),
     ];
     (0.5..7.0f64, what).prop_map(|(at, disturbance)| ScheduledDisturbance { at, disturbance })
 }
--- a/crates/emulator/tests/golden.rs
+++ b/crates/emulator/tests/golden.rs
@@ -3,14 +3,14 @@
 
 use reelfall_emulator::cluster::{default_config, Cluster};
 use reelfall_emulator::play;
-use reelfall_emulator::trials::{Trial, ALL};
+use reelfall_emulator::trials::Trial;
 
 const COMMANDS: &str = include_str!("golden/commands.blake3");
 const DATAGRAMS: &str = include_str!("golden/datagrams.blake3");
 
 #[test]
 fn nodes_give_the_commands_that_they_gave() {
-    let trials = ALL.into_iter().chain([Trial::Herd, Trial::Join]);
+    let trials = Trial::ALL.into_iter().chain([Trial::Herd, Trial::Join]);
     let digest = |(seed, trial): (u64, Trial)| {
         let report = play(trial.plan(24, seed)).unwrap();
         format!("{} {seed} {}", trial.name(), report.commands.hex())
--- a/crates/emulator/tests/inspect.rs
+++ b/crates/emulator/tests/inspect.rs
@@ -1,7 +1,7 @@
 //! What datagrams of a fleet contain is told from the datagrams themselves.
 
 use reelfall_emulator::cluster::{default_config, secret, Cluster};
-use reelfall_emulator::inspect::{Contents, Inspector};
+use reelfall_emulator::inspect::{DatagramStats, Inspector};
 
 /// A fleet whose nodes know each other, with an inspector from its beginning on.
 fn gathered(nodes: usize) -> Cluster {
@@ -11,8 +11,8 @@
     cluster
 }
 
-fn seen(cluster: &Cluster) -> Contents {
-    cluster.inspector.as_ref().expect("it was put in").seen
+fn seen(cluster: &Cluster) -> DatagramStats {
+    cluster.inspector.as_ref().expect("it was put in").stats
 }
 
 #[test]
@@ -36,7 +36,7 @@
     cluster.run(20.0);
     let quiet = seen(&cluster).since(&before);
     assert_eq!(quiet.entries, 0);
-    let each = |contents: Contents| contents.swim_bytes as f64 / contents.datagrams as f64;
+    let each = |contents: DatagramStats| contents.swim_bytes as f64 / contents.datagrams as f64;
     assert!(
         each(quiet) < each(joining),
         "{quiet:?} {joining:?} after {joined} s"
@@ -52,11 +52,11 @@
     let mut inspector = Inspector::new(secret());
     inspector.add(&[7; 100]);
     assert_eq!(
-        inspector.seen,
-        Contents {
+        inspector.stats,
+        DatagramStats {
             datagrams: 1,
             bytes: 100,
-            ..Contents::default()
+            ..DatagramStats::default()
         }
     );
 }
