--- a/crates/emulator/examples/fleet.rs
+++ b/crates/emulator/examples/fleet.rs
@@ -3,7 +3,7 @@
 
 use reelfall_emulator::report::Second;
 use reelfall_emulator::world::PlanError;
-use reelfall_emulator::{play, scenario, Plan, Report};
+use reelfall_emulator::{run_plan, scenario, Plan, Report};
 use std::fmt;
 use std::num::ParseIntError;
 use thiserror::Error;
@@ -57,7 +57,7 @@
             scenario::join,
         ] {
             for is_subsetting_disabled in [false, true] {
-                run_plan(plan, nodes, seeds, is_subsetting_disabled)?;
+                run_seeds(plan, nodes, seeds, is_subsetting_disabled)?;
             }
         }
     }
@@ -71,7 +71,7 @@
 }
 
 /// Runs a plan with all seeds and prints the means.
-fn run_plan(
+fn run_seeds(
     plan: fn(usize, u64) -> Plan,
     nodes: usize,
     seeds: usize,
@@ -85,7 +85,7 @@
             ..scenario::with_faulty_servers(plan(nodes, seed + 1), FAULTY_SHARE)
         };
         name.clone_from(&plan.name);
-        reports.push(play(plan)?);
+        reports.push(run_plan(plan)?);
     }
     print_line(&name, nodes, !is_subsetting_disabled, &reports);
     Ok(())
--- a/crates/emulator/examples/scale/members.rs
+++ b/crates/emulator/examples/scale/members.rs
@@ -137,8 +137,8 @@
     for number in 0..arguments.bans {
         let server = format!("server-{number}");
         let at = network.now();
-        network.with(number * 7 % arguments.nodes, |member, now, sends| {
-            member.ban(now, &server, sends)
+        network.with(number * 7 % arguments.nodes, |member, now, outgoing| {
+            member.ban(now, &server, outgoing);
         });
         network.run(BAN_TIMEOUT);
         let delays = network.endpoints().map(|(_, member)| {
--- a/crates/emulator/examples/trials/figures.rs
+++ b/crates/emulator/examples/trials/figures.rs
@@ -20,10 +20,17 @@
         - CONNECTION_COST * report.connections_per_request()
 }
 
+/// A trial by its name, and its seed.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct RunKey {
+    trial: String,
+    seed: u64,
+}
+
 /// The scores of runs, by trial and seed.
 #[derive(Default)]
 pub struct Scores {
-    by_run: BTreeMap<(String, u64), f64>,
+    by_run: BTreeMap<RunKey, f64>,
     /// A line for each run, in the order in which they were added.
     text: String,
 }
@@ -33,12 +40,14 @@
     pub fn add(&mut self, trial: Trial, seed: u64, score: f64) {
         // Writing to a string does not fail.
         let _ = writeln!(self.text, "{} {seed} {score:.5}", trial.name());
-        self.by_run.insert((trial.name().to_owned(), seed), score);
+        let trial = trial.name().to_owned();
+        self.by_run.insert(RunKey { trial, seed }, score);
     }
 
     /// The score of a run.
     pub fn get(&self, trial: Trial, seed: u64) -> Option<f64> {
-        self.by_run.get(&(trial.name().to_owned(), seed)).copied()
+        let trial = trial.name().to_owned();
+        self.by_run.get(&RunKey { trial, seed }).copied()
     }
 
     /// A line for each run: trial, seed and score.
@@ -52,7 +61,8 @@
             let mut words = line.split_whitespace();
             let trial = words.next()?.to_owned();
             let seed = words.next()?.parse().ok()?;
-            Some(((trial, seed), words.next()?.parse().ok()?))
+            let score = words.next()?.parse().ok()?;
+            Some((RunKey { trial, seed }, score))
         };
         Scores {
             by_run: text.lines().filter_map(run).collect(),
--- a/crates/emulator/examples/trials/main.rs
+++ b/crates/emulator/examples/trials/main.rs
@@ -9,7 +9,7 @@
 use clap::Parser;
 use figures::{score, Scores};
 use reelfall_emulator::trials::Trial;
-use reelfall_emulator::{play, Report};
+use reelfall_emulator::{run_plan, Report};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::ops::Range;
@@ -124,7 +124,7 @@
     let next_job = AtomicUsize::new(0);
     let run_jobs = || {
         while let Some(job) = jobs.get(next_job.fetch_add(1, Ordering::Relaxed)) {
-            if let Ok(report) = play(job.trial.plan(args.nodes, job.seed)) {
+            if let Ok(report) = run_plan(job.trial.plan(args.nodes, job.seed)) {
                 let mut reports = reports.lock().unwrap_or_else(PoisonError::into_inner);
                 reports.insert(*job, report);
             }
--- a/crates/emulator/src/cluster.rs
+++ b/crates/emulator/src/cluster.rs
@@ -26,10 +26,10 @@
 pub use self::process::{Process, MAX_INBOX};
 
 use self::links::{DeliveryTime, InFlight, Path};
+use self::outputs::EntryVersion;
 use crate::inspect::Inspector;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use reelfall_cluster::entry::{Key, Version};
 use reelfall_cluster::fleet::{Config, Fleet};
 use reelfall_cluster::node::Incarnation;
 use std::collections::{BTreeMap, BTreeSet};
@@ -78,7 +78,7 @@
     in_flight: BTreeMap<DeliveryTime, InFlight>,
     last_sequence: u64,
     /// When each verdict was created, by the cluster's clock.
-    created_at: BTreeMap<(Key, Version), f64>,
+    created_at: BTreeMap<EntryVersion, f64>,
 }
 
 impl Cluster {
--- a/crates/emulator/src/cluster/invariants.rs
+++ b/crates/emulator/src/cluster/invariants.rs
@@ -1,6 +1,7 @@
 //! Invariants of a [`Cluster`]: no verdict is valid for longer than its time to live, by the cluster's clock; nodes report
 //! the end of each ban; lifted bans don't return.
 
+use super::outputs::EntryVersion;
 use super::process::Process;
 use super::Cluster;
 use reelfall_cluster::entry::Key;
@@ -111,7 +112,10 @@
     fn entry_ages<'a>(&'a self, process: &'a Process) -> impl Iterator<Item = EntryAge<'a>> {
         let live = process.fleet.table().live(process.local_time(self.now));
         let age_of = |(key, entry): (&'a Key, &StoredEntry)| {
-            let created_at = self.created_at.get(&(key.clone(), entry.version))?;
+            let created_at = self.created_at.get(&EntryVersion {
+                key: key.clone(),
+                version: entry.version,
+            })?;
             Some(EntryAge {
                 key,
                 age: self.now - created_at,
--- a/crates/emulator/src/cluster/outputs.rs
+++ b/crates/emulator/src/cluster/outputs.rs
@@ -4,7 +4,7 @@
 use super::address::node_at;
 use super::invariants::ViolationKind;
 use super::Cluster;
-use reelfall_cluster::entry::{Key, Value};
+use reelfall_cluster::entry::{Key, Value, Version};
 use reelfall_cluster::fleet::FleetEvent;
 use reelfall_cluster::members::MemberEvent;
 use reelfall_cluster::node::Node;
@@ -18,6 +18,13 @@
     pub by_impaired: u64,
 }
 
+/// A version of an entry.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct EntryVersion {
+    pub(super) key: Key,
+    pub(super) version: Version,
+}
+
 impl Cluster {
     /// Sends the datagrams of a node and records its events.
     pub(super) fn handle_outputs(&mut self, node: usize) {
@@ -56,9 +63,11 @@
         };
         // Every node that sees an index publishes it, and each time is a creation of its own.
         if !matches!(key, Key::ListIndex { .. }) {
-            self.created_at
-                .entry((key.clone(), entry.version))
-                .or_insert(now);
+            let created = EntryVersion {
+                key: key.clone(),
+                version: entry.version,
+            };
+            self.created_at.entry(created).or_insert(now);
         }
         match entry.value {
             Value::BanLifted { .. } => {
--- a/crates/emulator/src/control/invariants.rs
+++ b/crates/emulator/src/control/invariants.rs
@@ -107,11 +107,18 @@
     },
 }
 
-/// Records violations, and remembers what it needs to find them.
+/// A resource at a node.
+#[derive(PartialEq, Eq, Hash)]
+struct NodeResource {
+    node: u32,
+    name: Name,
+}
+
+/// Records violations, and the versions that it needs to find them.
 #[derive(Default)]
 pub struct InvariantChecker {
     /// The last version of each resource at each node.
-    versions: HashMap<(u32, Name), Version>,
+    versions: HashMap<NodeResource, Version>,
     /// The first violations.
     pub violations: Vec<Violation>,
     /// Number of all violations.
@@ -129,9 +136,11 @@
 
     /// Checks that the versions that a node applies increase.
     pub fn check_applied(&mut self, node: u32, applied: &AppliedChange) {
-        let previous = self
-            .versions
-            .insert((node, applied.name.clone()), applied.version);
+        let resource = NodeResource {
+            node,
+            name: applied.name.clone(),
+        };
+        let previous = self.versions.insert(resource, applied.version);
         if let Some(previous) = previous.filter(|previous| *previous >= applied.version) {
             let kind = ViolationKind::VersionNotIncreased {
                 node,
@@ -145,7 +154,7 @@
 
     /// Forgets the versions of a node that has lost its disk.
     pub fn forget_node(&mut self, node: u32) {
-        self.versions.retain(|(other, _), _| *other != node);
+        self.versions.retain(|resource, _| resource.node != node);
     }
 }
 
--- a/crates/emulator/src/control/membership/roster.rs
+++ b/crates/emulator/src/control/membership/roster.rs
@@ -127,8 +127,8 @@
             state: MemberState::Alive,
         };
         let mut all: Vec<MemberUpdate> = (0u32..).zip(&self.nodes).map(update).collect();
-        for n in (1..all.len()).rev() {
-            all.swap(n, rng.random_range(0..=n));
+        for last in (1..all.len()).rev() {
+            all.swap(last, rng.random_range(0..=last));
         }
         all
     }
--- a/crates/emulator/src/control/network.rs
+++ b/crates/emulator/src/control/network.rs
@@ -17,6 +17,7 @@
 mod frames;
 mod partitions;
 
+use self::frames::Stream;
 use self::partitions::Partition;
 use super::endpoint::{CpuClock, Endpoint, OutgoingFrame, ReceivedFrame, Slot};
 use super::links::{Delivery, Links};
@@ -67,8 +68,8 @@
     now: f64,
     rng: Pcg64Mcg,
     partitions: Vec<Partition>,
-    /// When the last frame of each stream arrives, by sender and receiver.
-    last_arrivals: HashMap<(u32, u32), f64>,
+    /// When the last frame of each stream arrives.
+    last_arrivals: HashMap<Stream, f64>,
     undelivered: Undelivered,
     accounting_since: f64,
     /// Buffer for the frames that a process sends, empty between calls.
--- a/crates/emulator/src/control/network/frames.rs
+++ b/crates/emulator/src/control/network/frames.rs
@@ -8,6 +8,13 @@
 /// Maximum number of retransmissions of a lost frame of a stream.
 const MAX_RETRANSMISSIONS: u32 = 16;
 
+/// The frames from one endpoint to another, if they are delivered in order.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+pub(super) struct Stream {
+    from: u32,
+    to: u32,
+}
+
 /// A frame that leaves the uplink of its sender.
 struct InTransit {
     to: u32,
@@ -104,7 +111,11 @@
             }
             at += retransmission_timeout;
         }
-        let last = self.last_arrivals.entry((received.from, to)).or_insert(at);
+        let stream = Stream {
+            from: received.from,
+            to,
+        };
+        let last = self.last_arrivals.entry(stream).or_insert(at);
         // Frames of one instant are delivered in the order in which they were scheduled.
         at = at.max(*last);
         *last = at;
--- a/crates/emulator/src/control/tenant_subscriptions.rs
+++ b/crates/emulator/src/control/tenant_subscriptions.rs
@@ -10,18 +10,25 @@
 pub struct TenantSubscriptions {
     tenants: BTreeMap<u32, BTreeSet<u32>>,
     /// When the first request of a tenant arrived at a node that has not received the tenant yet.
-    pending: BTreeMap<(u32, Name), f64>,
+    pending: BTreeMap<PendingRequest, f64>,
     /// How long first requests waited, in seconds.
     waits: Vec<f64>,
 }
 
+/// A tenant that a node has subscribed to and not received yet.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct PendingRequest {
+    node: u32,
+    tenant: Name,
+}
+
 impl TenantSubscriptions {
     /// Records a request of a tenant at a node; whether it is the first one.
     pub fn record_request(&mut self, node: u32, tenant: u32, now: f64) -> bool {
         let is_first = self.tenants.entry(node).or_default().insert(tenant);
         if is_first {
-            self.pending
-                .insert((node, Resource::Tenant(tenant).name()), now);
+            let tenant = Resource::Tenant(tenant).name();
+            self.pending.insert(PendingRequest { node, tenant }, now);
         }
         is_first
     }
@@ -31,7 +38,11 @@
         if self.pending.is_empty() {
             return;
         }
-        if let Some(since) = self.pending.remove(&(node, name.clone())) {
+        let request = PendingRequest {
+            node,
+            tenant: name.clone(),
+        };
+        if let Some(since) = self.pending.remove(&request) {
             self.waits.push(at - since);
         }
     }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -29,4 +29,4 @@
 
 pub use plan::Plan;
 pub use report::Report;
-pub use world::play;
+pub use world::run_plan;
--- a/crates/emulator/src/world/disturbances.rs
+++ b/crates/emulator/src/world/disturbances.rs
@@ -37,7 +37,7 @@
                 duration,
             } => self.impair_servers(share, behavior, now + duration),
             Disturbance::DiscoveryOutage { duration } => {
-                self.discovery_outage_until = now + duration
+                self.discovery_outage_until = now + duration;
             }
             Disturbance::IdleNodes { share, duration } => self.idle_nodes(share, now + duration),
             Disturbance::RollingRestart {
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -112,7 +112,7 @@
 ///
 /// # Errors
 /// If the plan can't be used.
-pub fn play(plan: Plan) -> Result<Report, PlanError> {
+pub fn run_plan(plan: Plan) -> Result<Report, PlanError> {
     let is_incomplete = plan.nodes == 0
         || plan.servers == 0
         || plan.classes.is_empty()
--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -3,14 +3,14 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use reelfall_emulator::plan::{Disturbance, Plan, ScheduledDisturbance, ServerBehavior};
-use reelfall_emulator::{play, scenario, Report};
+use reelfall_emulator::{run_plan, scenario, Report};
 
 fn played(plan: Plan) -> Report {
     let name = format!(
         "{} with {} nodes, seed {}",
         plan.name, plan.nodes, plan.seed
     );
-    let report = play(plan).expect("a usable plan");
+    let report = run_plan(plan).expect("a usable plan");
     assert!(
         report.violations.is_empty(),
         "{name}: {}",
@@ -102,7 +102,7 @@
             "{nodes} nodes, {servers} servers"
         );
     }
-    assert!(play(Plan {
+    assert!(run_plan(Plan {
         nodes: 0,
         ..scenario::calm(1, 1)
     })
@@ -242,7 +242,7 @@
             duration: 9.0,
             ..scenario::calm(nodes, seed)
         };
-        let report = play(plan).map_err(|error| TestCaseError::fail(error.to_string()))?;
+        let report = run_plan(plan).map_err(|error| TestCaseError::fail(error.to_string()))?;
         prop_assert!(
             report.violations.is_empty(),
             "{}",
--- a/crates/emulator/tests/golden.rs
+++ b/crates/emulator/tests/golden.rs
@@ -2,7 +2,7 @@
 //! nodes that know each other. The files in `golden/` have a line for each run.
 
 use reelfall_emulator::cluster::{default_config, Cluster};
-use reelfall_emulator::play;
+use reelfall_emulator::run_plan;
 use reelfall_emulator::trials::Trial;
 
 const COMMANDS: &str = include_str!("golden/commands.blake3");
@@ -12,7 +12,7 @@
 fn nodes_give_the_commands_that_they_gave() {
     let trials = Trial::ALL.into_iter().chain([Trial::Herd, Trial::Join]);
     let digest = |(seed, trial): (u64, Trial)| {
-        let report = play(trial.plan(24, seed)).unwrap();
+        let report = run_plan(trial.plan(24, seed)).unwrap();
         format!("{} {seed} {}", trial.name(), report.commands.hex())
     };
     let lines: Vec<String> = (1..).zip(trials).map(digest).collect();
