--- a/crates/capacity/src/budget/distribution_runs.rs
+++ b/crates/capacity/src/budget/distribution_runs.rs
@@ -5,7 +5,7 @@
 use super::units::{amount, plain, times, Unit};
 use super::{json, markdown};
 use crate::scale::report::{Ages, JudgedBy, Played, Report, Run, Size, Times};
-use reelfall_emulator::control::account::LONG_SPAN;
+use reelfall_emulator::control::account::LONG_WINDOW;
 use std::path::Path;
 
 /// The reports of these runs, from the root of the repository.
@@ -13,8 +13,8 @@
     "docs/measurements/scale/virtual.json",
     "docs/measurements/scale/partial.json",
 ];
-/// Bytes that a node may receive and send within any [`LONG_SPAN`].
-pub const BURST_BYTES: f64 = budget::NODE_TRAFFIC * LONG_SPAN;
+/// Bytes that a node may receive and send within any [`LONG_WINDOW`].
+pub const BURST_BYTES: f64 = budget::NODE_TRAFFIC * LONG_WINDOW;
 /// Prefix of the names of runs that state the memory of a machine.
 pub const MEMORY_RUN_PREFIX: &str = "configuration held: ";
 /// What the names of machines begin with that have the memory budget of a node.
@@ -42,7 +42,7 @@
     FirstRequest(f64),
     /// A node's mean traffic was this factor too high.
     MeanTraffic(f64),
-    /// A node's traffic within [`LONG_SPAN`] was this factor too high.
+    /// A node's traffic within [`LONG_WINDOW`] was this factor too high.
     BurstTraffic(f64),
 }
 
@@ -65,7 +65,7 @@
                 format!("{} KB/s", over(factor, budget::NODE_TRAFFIC / 1e3))
             }
             Excess::BurstTraffic(factor) => {
-                let span = plain(LONG_SPAN);
+                let span = plain(LONG_WINDOW);
                 format!("{} kB in {span} s", over(factor, BURST_BYTES / 1e3))
             }
         }
--- a/crates/capacity/src/scale/smoke.rs
+++ b/crates/capacity/src/scale/smoke.rs
@@ -5,7 +5,7 @@
 use super::record::Record;
 use super::report::{Axis, PerNode, Run, Size, Source, Traffic};
 use super::window::distribution;
-use reelfall_emulator::together::{rules, World};
+use reelfall_emulator::cluster::{default_config, Cluster};
 use reelfall_testbed::Result;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -134,7 +134,7 @@
 
 /// Runs one fleet: it converges, idles for a window, and spreads a ban.
 fn run_fleet(nodes: usize, seed: u64, violations: &mut Vec<String>) -> Option<Run> {
-    let mut world = World::new(nodes, seed, |_| rules());
+    let mut world = Cluster::new(nodes, seed, |_| default_config());
     if !converge(&mut world) {
         violations.push(format!(
             "{nodes} nodes do not know each other after {CONVERGENCE_TIMEOUT} s"
@@ -156,8 +156,8 @@
             propagation.len()
         ));
     }
-    let broken_rules = world.broken.iter();
-    violations.extend(broken_rules.map(|broken| format!("{nodes} nodes: {broken}")));
+    let found = world.violations.iter();
+    violations.extend(found.map(|violation| format!("{nodes} nodes: {violation}")));
     Some(Run {
         name: RUN_NAME.to_owned(),
         source: Source::VirtualTime,
@@ -175,9 +175,9 @@
 }
 
 /// Runs until all nodes know each other; `false` if that takes too long.
-fn converge(world: &mut World) -> bool {
-    while !world.gathered() {
-        if world.t > CONVERGENCE_TIMEOUT {
+fn converge(world: &mut Cluster) -> bool {
+    while !world.is_converged() {
+        if world.now > CONVERGENCE_TIMEOUT {
             return false;
         }
         world.run(CONVERGENCE_POLL_INTERVAL);
@@ -186,12 +186,12 @@
 }
 
 /// The traffic of one node in a window. No datagram is lost between these nodes: as much is received as is sent.
-fn measure_traffic(world: &mut World, nodes: usize) -> Traffic {
-    let (messages_before, bytes_before) = (world.sent, world.bytes);
+fn measure_traffic(world: &mut Cluster, nodes: usize) -> Traffic {
+    let (messages_before, bytes_before) = (world.datagrams_sent, world.bytes_sent);
     world.run(WINDOW_SECONDS);
     let rate = |count: u64| count as f64 / WINDOW_SECONDS / nodes as f64;
-    let messages = rate(world.sent - messages_before);
-    let bytes = rate(world.bytes - bytes_before);
+    let messages = rate(world.datagrams_sent - messages_before);
+    let bytes = rate(world.bytes_sent - bytes_before);
     Traffic {
         kind: "all".to_owned(),
         bytes_in: bytes,
@@ -202,18 +202,18 @@
 }
 
 /// Bans a server at the first node; the time until the ban is in force, for each node that applied it.
-fn spread_ban(world: &mut World) -> Vec<f64> {
-    let start = world.t;
-    world.at(0, |fleet, now| {
+fn spread_ban(world: &mut Cluster) -> Vec<f64> {
+    let start = world.now;
+    world.with_node(0, |fleet, now| {
         fleet.ban(now, BANNED_SERVER, RUN_NAME, Some(BAN_DURATION))
     });
     let mut propagation = Vec::new();
-    let mut pending: BTreeSet<usize> = (0..world.nodes.len()).collect();
-    while !pending.is_empty() && world.t - start < MAX_BAN_PROPAGATION {
+    let mut pending: BTreeSet<usize> = (0..world.processes.len()).collect();
+    while !pending.is_empty() && world.now - start < MAX_BAN_PROPAGATION {
         let pending_before = pending.len();
-        pending.retain(|node| !world.out(*node).contains(BANNED_SERVER));
+        pending.retain(|node| !world.banned_servers(*node).contains(BANNED_SERVER));
         let applied = pending_before - pending.len();
-        propagation.extend(std::iter::repeat_n(world.t - start, applied));
+        propagation.extend(std::iter::repeat_n(world.now - start, applied));
         world.run(BAN_POLL_INTERVAL);
     }
     propagation
--- a/crates/emulator/examples/scale/quiet.rs
+++ b/crates/emulator/examples/scale/quiet.rs
@@ -1,18 +1,18 @@
-//! What a fleet costs once its nodes have found each other by themselves and nothing happens, by how long it has been left
-//! alone, and what its datagrams contain.
+//! What a fleet costs at rest whose nodes have discovered each other, by the time since then, and what its datagrams contain.
 
-use super::report::resident;
+use super::error::ScaleError;
+use super::report::resident_memory;
 use super::Output;
 use clap::Args;
 use reelfall_cluster::fleet::Config;
 use reelfall_cluster::members::MembershipConfig;
+use reelfall_emulator::cluster::{default_config, secret, Cluster};
 use reelfall_emulator::control::account::Usage;
 use reelfall_emulator::control::report::{PerNode, Run, Size, Source};
-use reelfall_emulator::inspect::{Contents, Inspector};
-use reelfall_emulator::together::{rules, secret, World};
+use reelfall_emulator::inspect::{DatagramStats, Inspector};
 
-/// Joining is waited for so long at most, in seconds.
-const JOIN_WAIT: f64 = 60.0;
+/// How long nodes may take to discover each other, in seconds.
+const JOIN_TIMEOUT: f64 = 60.0;
 
 #[derive(Args)]
 pub struct Arguments {
@@ -29,30 +29,30 @@
     window: f64,
 }
 
-pub fn play(arguments: &Arguments) -> Result<(), String> {
-    let before = resident();
-    let mut world = join(arguments);
-    let joined = world.t;
+pub fn run_windows(arguments: &Arguments) -> Result<(), ScaleError> {
+    let before = resident_memory();
+    let mut cluster = join(arguments);
+    let joined = cluster.now;
     println!(
         "{} nodes: {} after {joined:.1} s",
         arguments.nodes,
-        knowledge(&world)
+        knowledge(&cluster)
     );
-    let memory = (resident() - before) / arguments.nodes as f64;
+    let memory = (resident_memory() - before) / arguments.nodes as f64;
     let mut runs = Vec::new();
     for settle in &arguments.settle {
         let begin = joined + settle;
-        if begin > world.t {
-            world.run(begin - world.t);
+        if begin > cluster.now {
+            cluster.run(begin - cluster.now);
         }
-        let (before, gone) = (seen(&world), world.wrongly_gone);
-        world.run(arguments.window);
-        let contents = seen(&world).since(&before);
+        let (before, gone) = (seen(&cluster), cluster.false_positives);
+        cluster.run(arguments.window);
+        let contents = seen(&cluster).since(&before);
         print_window(arguments, *settle, contents);
         println!(
             "    {}; {} times one was wrongly taken for gone",
-            knowledge(&world),
-            world.wrongly_gone - gone
+            knowledge(&cluster),
+            cluster.false_positives - gone
         );
         runs.push(run(arguments, *settle, contents, memory));
     }
@@ -60,34 +60,34 @@
 }
 
 /// A fleet whose nodes all begin at once and have found each other.
-fn join(arguments: &Arguments) -> World {
+fn join(arguments: &Arguments) -> Cluster {
     let size = arguments.nodes as u32;
     let config = move |_| Config {
         membership: MembershipConfig {
             size,
             ..MembershipConfig::default()
         },
-        ..rules()
+        ..default_config()
     };
-    let mut world = World::new(arguments.nodes, arguments.output.seed, config);
-    world.inspector = Some(Inspector::new(secret()));
-    while !world.gathered() && world.t < JOIN_WAIT {
-        world.run(0.1);
+    let mut cluster = Cluster::new(arguments.nodes, arguments.output.seed, config);
+    cluster.inspector = Some(Inspector::new(secret()));
+    while !cluster.is_converged() && cluster.now < JOIN_TIMEOUT {
+        cluster.run(0.1);
     }
-    world
+    cluster
 }
 
-fn seen(world: &World) -> Contents {
-    world
+fn seen(cluster: &Cluster) -> DatagramStats {
+    cluster
         .inspector
         .as_ref()
-        .map_or_else(Contents::default, |inspector| inspector.seen)
+        .map_or_else(DatagramStats::default, |inspector| inspector.stats)
 }
 
 /// How many pairs of nodes know each other.
-fn knowledge(world: &World) -> String {
-    let nodes = world.nodes.len();
-    let known: usize = (0..nodes).map(|node| world.members(node)).sum();
+fn knowledge(cluster: &Cluster) -> String {
+    let nodes = cluster.processes.len();
+    let known: usize = (0..nodes).map(|node| cluster.member_count(node)).sum();
     format!("{known} of {} pairs know each other", nodes * (nodes - 1))
 }
 
@@ -96,7 +96,7 @@
     count as f64 / (arguments.nodes as f64 * arguments.window)
 }
 
-fn print_window(arguments: &Arguments, settle: f64, contents: Contents) {
+fn print_window(arguments: &Arguments, settle: f64, contents: DatagramStats) {
     println!(
         "{settle:>6.0} to {:.0} s: {:.2} datagrams/s, {:.0} B/s out, of them {:.0} B/s of the membership protocol; \
          {:.2} members/s in answers, {:.2} entries/s",
@@ -110,7 +110,7 @@
 }
 
 /// Nothing is lost, so as much comes in as goes out.
-fn run(arguments: &Arguments, settle: f64, contents: Contents, memory: f64) -> Run {
+fn run(arguments: &Arguments, settle: f64, contents: DatagramStats, memory: f64) -> Run {
     let (bytes, datagrams) = (
         rate(arguments, contents.bytes),
         rate(arguments, contents.datagrams),
