--- a/crates/testbed/src/commands/stand_ins.rs
+++ b/crates/testbed/src/commands/stand_ins.rs
@@ -83,7 +83,7 @@
 
 /// Runs a registry and the address of its controls.
 pub async fn run_registry(args: &RegistryArgs) -> Result<()> {
-    let registry = Arc::new(Registry::at(args.listen, args.members).await?);
+    let registry = Arc::new(Registry::start_at(args.listen, args.members).await?);
     let listener = TcpListener::bind((args.listen.ip(), 0)).await?;
     let mut addresses = Map::new();
     for (index, address) in registry.members.iter().enumerate() {
--- a/crates/testbed/src/measure/membership.rs
+++ b/crates/testbed/src/measure/membership.rs
@@ -56,14 +56,14 @@
     tokio::time::sleep(Duration::from_millis(500)).await;
     let held = memory_kib(node.pid())?;
     // At rest.
-    let (cpu, bytes) = (cpu_seconds(node.pid())?, registry.counts().bytes);
+    let (cpu, bytes) = (cpu_seconds(node.pid())?, registry.counters().bytes_sent);
     tokio::time::sleep(time).await;
     let rest_cpu = cpu_seconds(node.pid())? - cpu;
-    let rest_bytes = registry.counts().bytes - bytes;
+    let rest_bytes = registry.counters().bytes_sent - bytes;
     // In motion: data changes, in steps of ten milliseconds.
     let (cpu, bytes, begun) = (
         cpu_seconds(node.pid())?,
-        registry.counts().bytes,
+        registry.counters().bytes_sent,
         Instant::now(),
     );
     let mut made = 0u64;
@@ -82,7 +82,7 @@
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
     let churn_cpu = cpu_seconds(node.pid())? - cpu;
-    let churn_bytes = registry.counts().bytes - bytes;
+    let churn_bytes = registry.counters().bytes_sent - bytes;
     let seconds = time.as_secs_f64();
     Ok(json!({
         "ready_ms": round1(ready_ms),
@@ -118,7 +118,7 @@
     // Each pool asks for a sync, a watch, the list, and both entries.
     let asked_again = async |before: u64| -> Result<f64> {
         let begun = Instant::now();
-        while registry.counts().requests < before + 10 {
+        while registry.counters().requests < before + 10 {
             if begun.elapsed() > WAIT_TIMEOUT {
                 return Err("it does not heal".into());
             }
@@ -129,15 +129,15 @@
     let (mut failed_over, mut expired) = (vec![], vec![]);
     for _ in 0..10 {
         // Whichever members they are at: two go, so that both pools come to the third.
-        let before = registry.counts().requests;
-        (0..3).for_each(|m| registry.drop_member(m, true));
-        registry.drop_member(2, false);
+        let before = registry.counters().requests;
+        (0..3).for_each(|m| registry.set_member_down(m, true));
+        registry.set_member_down(2, false);
         failed_over.push(asked_again(before).await?);
-        (0..2).for_each(|m| registry.drop_member(m, false));
+        (0..2).for_each(|m| registry.set_member_down(m, false));
         tokio::time::sleep(Duration::from_millis(200)).await;
-        let before = registry.counts().requests;
+        let before = registry.counters().requests;
         for session in of_node() {
-            registry.kill(session);
+            registry.expire_session(session);
         }
         expired.push(asked_again(before).await?);
         tokio::time::sleep(Duration::from_millis(200)).await;
--- a/crates/testbed/src/membership.rs
+++ b/crates/testbed/src/membership.rs
@@ -40,7 +40,7 @@
 
     /// Its session ends, though its process may go on.
     pub fn kill(&self, registry: &Registry) {
-        registry.kill(self.session);
+        registry.expire_session(self.session);
     }
 }
 
--- /dev/null
+++ b/crates/testbed/src/registry/acl.rs
@@ -0,0 +1,125 @@
+//! Access lists of entries, and the identities that they grant permissions to.
+//!
+//! Source: ZooKeeper Programmer's Guide, "Access Control".
+
+use super::jute::Reader;
+use super::protocol::{permission, ErrorCode};
+use base64::Engine;
+use sha1::{Digest, Sha1};
+use std::net::IpAddr;
+
+/// One rule of an access list: an identity may use permissions.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct AccessRule {
+    /// Permissions, as bits: read 1, write 2, create 4, delete 8, admin 16.
+    pub permissions: i32,
+    /// Scheme of the identity: `world`, `digest`, `ip` or another one.
+    pub scheme: String,
+    /// Id within the scheme.
+    pub id: String,
+}
+
+impl AccessRule {
+    /// A rule for an identity.
+    pub fn new(permissions: i32, scheme: &str, id: &str) -> AccessRule {
+        AccessRule {
+            permissions,
+            scheme: scheme.to_owned(),
+            id: id.to_owned(),
+        }
+    }
+
+    /// Everybody may use all permissions.
+    pub(super) fn open() -> AccessRule {
+        AccessRule::new(permission::ALL, "world", "anyone")
+    }
+
+    /// Whether the rule grants one of these permissions to a client with these identities.
+    pub(super) fn grants(&self, permissions: i32, identities: &[Identity]) -> bool {
+        let is_anyone = self.scheme == "world" && self.id == "anyone";
+        let is_granted = |identity: &Identity| {
+            identity.scheme == "super" || (identity.scheme == self.scheme && identity.id == self.id)
+        };
+        self.permissions & permissions != 0 && (is_anyone || identities.iter().any(is_granted))
+    }
+}
+
+/// An identity that a client has proved.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct Identity {
+    pub(super) scheme: String,
+    pub(super) id: String,
+}
+
+impl Identity {
+    /// The part of the id that is no secret.
+    pub(super) fn user(&self) -> &str {
+        user(&self.id)
+    }
+}
+
+/// The part of an id of the scheme `digest` before its hash.
+pub(super) fn user(id: &str) -> &str {
+    id.split(':').next().unwrap_or_default()
+}
+
+/// The id in the scheme `digest` of a client that authenticates with `proof`, which is `name:password`.
+pub fn digest_id(proof: &str) -> String {
+    let hash = base64::engine::general_purpose::STANDARD.encode(Sha1::digest(proof.as_bytes()));
+    format!("{}:{hash}", user(proof))
+}
+
+/// Reads an access list. A rule with the scheme `auth` is replaced by one for each identity of the client.
+pub(super) fn read_acl(
+    reader: &mut Reader<'_>,
+    identities: &[Identity],
+) -> Result<Vec<AccessRule>, ErrorCode> {
+    let count = reader.int()?;
+    let mut acl = Vec::new();
+    for _ in 0..count.max(0) {
+        let rule = AccessRule {
+            permissions: reader.int()?,
+            scheme: reader.text()?,
+            id: reader.text()?,
+        };
+        if rule.scheme == "auth" {
+            acl.extend(rules_of_client(rule.permissions, identities)?);
+        } else if is_valid(&rule) {
+            acl.push(rule);
+        } else {
+            return Err(ErrorCode::InvalidAcl);
+        }
+    }
+    if acl.is_empty() {
+        return Err(ErrorCode::InvalidAcl);
+    }
+    Ok(acl)
+}
+
+/// A rule for each identity of a client, except those by address.
+fn rules_of_client(
+    permissions: i32,
+    identities: &[Identity],
+) -> Result<Vec<AccessRule>, ErrorCode> {
+    let rules: Vec<AccessRule> = identities
+        .iter()
+        .filter(|identity| identity.scheme != "ip")
+        .map(|identity| AccessRule::new(permissions, &identity.scheme, &identity.id))
+        .collect();
+    if rules.is_empty() {
+        return Err(ErrorCode::InvalidAcl);
+    }
+    Ok(rules)
+}
+
+fn is_valid(rule: &AccessRule) -> bool {
+    match rule.scheme.as_str() {
+        "world" => rule.id == "anyone",
+        "digest" => rule.id.split(':').count() == 2,
+        "ip" => {
+            let address = rule.id.split('/').next();
+            address.is_some_and(|address| address.parse::<IpAddr>().is_ok())
+        }
+        _ => false,
+    }
+}
--- a/crates/testbed/src/registry/connections.rs
+++ b/crates/testbed/src/registry/connections.rs
@@ -1,146 +1,221 @@
-//! Connections of clients to members: frames in, answers out.
+//! Connections of clients to members: frames are read, handled in order, and responses written.
 
-use super::requests;
-use super::world::{lock, Conn, ConnId, World};
+use super::jute::FRAME_HEADER_BYTES;
+use super::requests::{self, Handled};
+use super::state::{lock, Connection, ConnectionId, OutgoingFrame, RegistryState};
 use bytes::{Bytes, BytesMut};
+use std::ops::ControlFlow;
 use std::sync::{Arc, Mutex};
-use std::time::{Duration, Instant};
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// Longest request.
-const FRAME_MOST: usize = (1 << 20) + (64 << 10);
+/// Longest request, in bytes.
+const MAX_FRAME_LEN: usize = (1 << 20) + (64 << 10);
+/// Time for the response to a four-letter command to be written before the connection is closed.
+const COMMAND_CLOSE_DELAY: Duration = Duration::from_millis(50);
+/// Time for the last response to be written before the connection is closed.
+const CLOSE_DELAY: Duration = Duration::from_millis(20);
 
-pub(super) async fn accept(listener: TcpListener, member: usize, world: Arc<Mutex<World>>) {
+/// Accepts the connections of a member, for as long as it is polled.
+pub(super) async fn accept(listener: TcpListener, member: usize, state: Arc<Mutex<RegistryState>>) {
     let mut connections = tokio::task::JoinSet::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             continue;
         };
         while connections.try_join_next().is_some() {}
-        if lock(&world).members[member].dropped {
+        if lock(&state).members[member].is_down {
             continue;
         }
-        let world = world.clone();
-        connections.spawn(async move {
-            let _ = stream.set_nodelay(true);
-            // What a client does to its connection is its own affair.
-            let _ = connection(stream, member, world).await;
-        });
+        let _ = stream.set_nodelay(true);
+        connections.spawn(serve(stream, member, state.clone()));
     }
 }
 
-/// Removes a connection when it ends, however it does.
-struct Leaves(Arc<Mutex<World>>, ConnId);
+/// Removes a connection from the state when it ends, however it does.
+struct ConnectionGuard {
+    state: Arc<Mutex<RegistryState>>,
+    id: ConnectionId,
+}
 
-impl Drop for Leaves {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        lock(&self.0).forget(self.1);
+        lock(&self.state).remove_connection(self.id);
     }
 }
 
-async fn thawed(frozen: &mut watch::Receiver<bool>) {
+async fn wait_while_frozen(is_frozen: &mut watch::Receiver<bool>) {
     // The sender lives as long as the member.
-    let _ = frozen.wait_for(|f| !*f).await;
+    let _ = is_frozen.wait_for(|is_frozen| !*is_frozen).await;
 }
 
-async fn connection(
-    stream: TcpStream,
-    member: usize,
-    world: Arc<Mutex<World>>,
-) -> std::io::Result<()> {
-    let (mut read, mut write) = stream.into_split();
-    let (out, mut outgoing) = mpsc::unbounded_channel::<(Instant, Bytes)>();
-    let (close, mut closed) = watch::channel(false);
-    let (id, mut frozen, mut has) = {
-        let mut w = lock(&world);
-        let id = w.number();
-        let (frozen, has) = (
-            w.members[member].frozen.subscribe(),
-            w.members[member].has.subscribe(),
-        );
-        w.conns.insert(
+async fn serve(stream: TcpStream, member: usize, state: Arc<Mutex<RegistryState>>) {
+    let (reader, writer) = stream.into_split();
+    let (outgoing, outgoing_receiver) = mpsc::unbounded_channel();
+    let (close, mut is_closed) = watch::channel(false);
+    let (id, is_frozen, applied_zxid) = {
+        let mut state = lock(&state);
+        let id = state.next_id();
+        let connection = Connection {
+            member,
+            session: 0,
+            identities: Vec::new(),
+            outgoing,
+            close,
+        };
+        state.connections.insert(id, connection);
+        let member = &state.members[member];
+        (
             id,
-            Conn {
-                member,
-                session: 0,
-                who: Vec::new(),
-                out,
-                close,
-            },
-        );
-        (id, frozen, has)
+            member.is_frozen.subscribe(),
+            member.applied_zxid.subscribe(),
+        )
+    };
+    let _guard = ConnectionGuard {
+        state: state.clone(),
+        id,
+    };
+    let response_writer = ResponseWriter {
+        state: state.clone(),
+        member,
+        is_frozen: is_frozen.clone(),
+        outgoing: outgoing_receiver,
+    };
+    let _writing = crate::task(response_writer.run(writer));
+    let request_handler = RequestHandler {
+        state,
+        id,
+        is_frozen,
+        applied_zxid,
+        has_session: false,
     };
-    let _leaves = Leaves(world.clone(), id);
-    let (saying, mut freezing) = (world.clone(), frozen.clone());
-    let writer = crate::task(async move {
-        while let Some((at, frame)) = outgoing.recv().await {
-            thawed(&mut freezing).await;
-            let delay = lock(&saying).members[member].delay;
-            tokio::time::sleep_until((at + delay).into()).await;
-            if write.write_all(&frame).await.is_err() {
+    tokio::select! {
+        () = request_handler.run(reader) => {}
+        _ = is_closed.wait_for(|is_closed| *is_closed) => {}
+    }
+}
+
+/// Writes frames to a client, later by the member's response delay.
+struct ResponseWriter {
+    state: Arc<Mutex<RegistryState>>,
+    member: usize,
+    is_frozen: watch::Receiver<bool>,
+    outgoing: mpsc::UnboundedReceiver<OutgoingFrame>,
+}
+
+impl ResponseWriter {
+    async fn run(mut self, mut socket: OwnedWriteHalf) {
+        while let Some(frame) = self.outgoing.recv().await {
+            wait_while_frozen(&mut self.is_frozen).await;
+            let delay = lock(&self.state).members[self.member].response_delay;
+            tokio::time::sleep_until((frame.sent_at + delay).into()).await;
+            if socket.write_all(&frame.bytes).await.is_err() {
                 return;
             }
         }
-    });
-    let serve = async {
-        let mut held = BytesMut::new();
-        let mut greeted = false;
+    }
+}
+
+/// What the bytes received so far begin with.
+enum Input {
+    /// No whole frame yet.
+    Incomplete,
+    /// A frame, without its length.
+    Frame(Bytes),
+    /// A four-letter command, and the response to it.
+    Command(Bytes),
+    /// A frame that is too long.
+    TooLong,
+}
+
+impl Input {
+    /// Takes the next input from the buffer.
+    fn take(buffer: &mut BytesMut) -> Input {
+        let Some(header) = buffer.first_chunk::<FRAME_HEADER_BYTES>() else {
+            return Input::Incomplete;
+        };
+        if let Some(response) = requests::four_letter_response(header) {
+            return Input::Command(response);
+        }
+        let length = u32::from_be_bytes(*header) as usize;
+        if length > MAX_FRAME_LEN {
+            return Input::TooLong;
+        }
+        let end = FRAME_HEADER_BYTES + length;
+        if buffer.len() < end {
+            return Input::Incomplete;
+        }
+        let frame = buffer.split_to(end).split_off(FRAME_HEADER_BYTES);
+        Input::Frame(frame.freeze())
+    }
+}
+
+/// Handles the requests of a client, one after another.
+struct RequestHandler {
+    state: Arc<Mutex<RegistryState>>,
+    id: ConnectionId,
+    is_frozen: watch::Receiver<bool>,
+    applied_zxid: watch::Receiver<i64>,
+    /// The first frame, which opens or resumes a session, has been handled.
+    has_session: bool,
+}
+
+impl RequestHandler {
+    /// Returns when the connection is to be closed.
+    async fn run(mut self, mut socket: OwnedReadHalf) {
+        let mut buffer = BytesMut::new();
         loop {
-            while let Some(head) = held.first_chunk::<4>() {
-                if let Some(answer) = requests::four_letters(head) {
-                    let _ = lock(&world)
-                        .conns
-                        .get(&id)
-                        .map(|c| c.out.send((Instant::now(), answer)));
-                    tokio::time::sleep(Duration::from_millis(50)).await;
-                    return;
-                }
-                let length = u32::from_be_bytes(*head) as usize;
-                if length > FRAME_MOST {
-                    return;
-                }
-                if held.len() < 4 + length {
-                    break;
-                }
-                let frame = held.split_to(4 + length).split_off(4).freeze();
-                thawed(&mut frozen).await;
-                let handled = match greeted {
-                    false => requests::greet(&mut lock(&world), id, &frame),
-                    true => requests::handle(&mut lock(&world), id, &frame),
-                };
-                let Some(requests::Handled {
-                    reply,
-                    seen,
-                    then_close,
-                }) = handled
-                else {
-                    return;
-                };
-                greeted = true;
-                // What was written is answered once this member has it.
-                if has.wait_for(|has| *has >= seen).await.is_err() {
-                    return;
-                }
-                if let Some(reply) = reply {
-                    lock(&world).say(id, reply);
+            match Input::take(&mut buffer) {
+                Input::Incomplete => match socket.read_buf(&mut buffer).await {
+                    Ok(0) | Err(_) => return,
+                    Ok(_) => {}
+                },
+                Input::Frame(frame) => {
+                    if self.handle_frame(&frame).await.is_break() {
+                        return;
+                    }
                 }
-                if then_close {
-                    tokio::time::sleep(Duration::from_millis(20)).await;
+                Input::Command(response) => {
+                    if let Some(connection) = lock(&self.state).connections.get(&self.id) {
+                        connection.send(response);
+                    }
+                    tokio::time::sleep(COMMAND_CLOSE_DELAY).await;
                     return;
                 }
-            }
-            match read.read_buf(&mut held).await {
-                Ok(0) | Err(_) => return,
-                Ok(_) => {}
+                Input::TooLong => return,
             }
         }
-    };
-    tokio::select! {
-        () = serve => {}
-        _ = closed.wait_for(|closed| *closed) => {}
     }
-    drop(writer);
-    Ok(())
+
+    async fn handle_frame(&mut self, frame: &[u8]) -> ControlFlow<()> {
+        wait_while_frozen(&mut self.is_frozen).await;
+        let handled = if self.has_session {
+            requests::handle(&mut lock(&self.state), self.id, frame)
+        } else {
+            requests::connect(&mut lock(&self.state), self.id, frame)
+        };
+        let Some(Handled {
+            response,
+            required_zxid,
+            closes_connection,
+        }) = handled
+        else {
+            return ControlFlow::Break(());
+        };
+        self.has_session = true;
+        // A write is answered once this member has applied it.
+        let is_applied = |applied: &i64| *applied >= required_zxid;
+        if self.applied_zxid.wait_for(is_applied).await.is_err() {
+            return ControlFlow::Break(());
+        }
+        lock(&self.state).send(self.id, response);
+        if closes_connection {
+            tokio::time::sleep(CLOSE_DELAY).await;
+            return ControlFlow::Break(());
+        }
+        ControlFlow::Continue(())
+    }
 }
--- a/crates/testbed/src/registry/control.rs
+++ b/crates/testbed/src/registry/control.rs
@@ -1,4 +1,4 @@
-//! Failures at chosen moments, over HTTP, for whoever plays with the stand-in by hand or from another process.
+//! Faults of a registry over HTTP, for the demo and for other processes.
 //!
 //! `GET /state`; `POST /kill?session=ID`, `/freeze?member=1&on=1`, `/drop?member=1&on=1`, `/delay?member=1&ms=50`,
 //! `/lag?member=1&ms=50`, `/lose?watches=3`. Members count from 1, as they are named.
@@ -12,17 +12,17 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use serde_json::json;
+use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::convert::Infallible;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Serves until it is dropped.
+/// Serves for as long as it is polled.
 ///
 /// # Errors
-/// If the listener breaks.
+/// Fails if the listener does.
 pub async fn serve(listener: TcpListener, registry: Arc<Registry>) -> Result<()> {
     let mut connections = tokio::task::JoinSet::new();
     loop {
@@ -30,9 +30,9 @@
         while connections.try_join_next().is_some() {}
         let registry = registry.clone();
         connections.spawn(async move {
-            let answer = service_fn(|request| respond(registry.clone(), request));
+            let service = service_fn(|request| respond(registry.clone(), request));
             let _ = http1::Builder::new()
-                .serve_connection(TokioIo::new(stream), answer)
+                .serve_connection(TokioIo::new(stream), service)
                 .await;
         });
     }
@@ -42,49 +42,87 @@
     registry: Arc<Registry>,
     request: Request<Incoming>,
 ) -> std::result::Result<Response<Full<Bytes>>, Infallible> {
-    let (status, said) = match act(&registry, &request) {
-        Some(said) => (StatusCode::OK, said),
+    let (status, body) = match execute(&registry, &request) {
+        Some(body) => (StatusCode::OK, body),
         None => (
             StatusCode::BAD_REQUEST,
             json!({ "error": "no such control, or not so" }),
         ),
     };
-    let mut response = Response::new(Full::new(Bytes::from(said.to_string() + "\n")));
+    let mut response = Response::new(Full::new(Bytes::from(body.to_string() + "\n")));
     *response.status_mut() = status;
     Ok(response)
 }
 
-fn act(registry: &Registry, request: &Request<Incoming>) -> Option<serde_json::Value> {
-    let query: HashMap<String, String> =
-        form_urlencoded::parse(request.uri().query().unwrap_or_default().as_bytes())
-            .into_owned()
-            .collect();
-    let number = |name: &str| query.get(name)?.parse::<i64>().ok();
-    let member = || number("member").and_then(|m| usize::try_from(m - 1).ok());
-    let ms = || {
-        number("ms")
-            .and_then(|ms| u64::try_from(ms).ok())
-            .map(Duration::from_millis)
-    };
-    let on = || number("on").map(|n| n != 0);
-    match (request.method(), request.uri().path()) {
-        (&Method::GET, "/state") => {
-            let counts = registry.counts();
-            let sessions: Vec<String> = registry.sessions().iter().map(i64::to_string).collect();
-            return Some(
-                json!({ "sessions": sessions, "requests": counts.requests, "expired": counts.expired,
-                "fired": counts.fired, "bytes": counts.bytes }),
-            );
+/// The query of a request.
+struct Query {
+    parameters: HashMap<String, String>,
+}
+
+impl Query {
+    fn parse(request: &Request<Incoming>) -> Query {
+        let query = request.uri().query().unwrap_or_default();
+        let parameters = form_urlencoded::parse(query.as_bytes());
+        Query {
+            parameters: parameters.into_owned().collect(),
         }
+    }
+
+    fn number(&self, name: &str) -> Option<i64> {
+        self.parameters.get(name)?.parse().ok()
+    }
+
+    /// The index of a member, from 0.
+    fn member(&self) -> Option<usize> {
+        usize::try_from(self.number("member")? - 1).ok()
+    }
+
+    fn duration(&self) -> Option<Duration> {
+        let milliseconds = u64::try_from(self.number("ms")?).ok()?;
+        Some(Duration::from_millis(milliseconds))
+    }
+
+    fn is_on(&self) -> Option<bool> {
+        Some(self.number("on")? != 0)
+    }
+}
+
+/// Carries a request out; `None` if it is unknown or lacks a parameter.
+fn execute(registry: &Registry, request: &Request<Incoming>) -> Option<Value> {
+    let query = Query::parse(request);
+    match (request.method(), request.uri().path()) {
+        (&Method::GET, "/state") => return Some(state(registry)),
         (&Method::POST, "/kill") => {
-            return Some(json!({ "killed": registry.kill(number("session")?) }))
+            let is_killed = registry.expire_session(query.number("session")?);
+            return Some(json!({ "killed": is_killed }));
+        }
+        (&Method::POST, "/freeze") => {
+            registry.set_member_frozen(query.member()?, query.is_on()?);
+        }
+        (&Method::POST, "/drop") => registry.set_member_down(query.member()?, query.is_on()?),
+        (&Method::POST, "/delay") => {
+            registry.set_response_delay(query.member()?, query.duration()?);
+        }
+        (&Method::POST, "/lag") => {
+            registry.set_replication_lag(query.member()?, query.duration()?);
+        }
+        (&Method::POST, "/lose") => {
+            let count = u64::try_from(query.number("watches")?).ok()?;
+            registry.drop_watch_events(count);
         }
-        (&Method::POST, "/freeze") => registry.freeze(member()?, on()?),
-        (&Method::POST, "/drop") => registry.drop_member(member()?, on()?),
-        (&Method::POST, "/delay") => registry.delay(member()?, ms()?),
-        (&Method::POST, "/lag") => registry.lag(member()?, ms()?),
-        (&Method::POST, "/lose") => registry.lose_watches(u64::try_from(number("watches")?).ok()?),
         _ => return None,
     }
     Some(json!({ "done": true }))
 }
+
+fn state(registry: &Registry) -> Value {
+    let counters = registry.counters();
+    let sessions: Vec<String> = registry.sessions().iter().map(i64::to_string).collect();
+    json!({
+        "sessions": sessions,
+        "requests": counters.requests,
+        "expired": counters.expired_sessions,
+        "fired": counters.watch_events,
+        "bytes": counters.bytes_sent,
+    })
+}
--- a/crates/testbed/src/registry/jute.rs
+++ b/crates/testbed/src/registry/jute.rs
@@ -1,92 +1,121 @@
-//! Records as a registry's member reads and writes them. Apart from the client's reading of the same records, so that
-//! neither can hide the other's mistakes.
+//! Fields of records, as a member of the registry reads and writes them.
+//!
+//! Written independently of the client's code for the same records, so that neither hides a fault of the other.
 
+use super::protocol::ErrorCode;
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// Reads fields; `None` where there is less than should be.
-pub struct In<'a>(pub &'a [u8]);
+/// Length of a buffer that is absent.
+const ABSENT: i32 = -1;
+/// Length of the length of a frame, in bytes.
+pub(super) const FRAME_HEADER_BYTES: usize = 4;
 
-impl<'a> In<'a> {
-    fn take(&mut self, n: usize) -> Option<&'a [u8]> {
-        let (head, rest) = self.0.split_at_checked(n)?;
-        self.0 = rest;
-        Some(head)
+/// Reads fields. Each method fails with [`ErrorCode::BadArguments`] if there are too few bytes, or invalid ones.
+pub(super) struct Reader<'a> {
+    bytes: &'a [u8],
+}
+
+impl<'a> Reader<'a> {
+    pub(super) fn new(bytes: &'a [u8]) -> Reader<'a> {
+        Reader { bytes }
+    }
+
+    fn take(&mut self, length: usize) -> Result<&'a [u8], ErrorCode> {
+        let (field, rest) = self
+            .bytes
+            .split_at_checked(length)
+            .ok_or(ErrorCode::BadArguments)?;
+        self.bytes = rest;
+        Ok(field)
     }
 
-    pub fn bool(&mut self) -> Option<bool> {
-        self.take(1).map(|b| b[0] != 0)
+    fn take_array<const LENGTH: usize>(&mut self) -> Result<[u8; LENGTH], ErrorCode> {
+        let field = self.take(LENGTH)?;
+        field.try_into().map_err(|_| ErrorCode::BadArguments)
     }
 
-    pub fn int(&mut self) -> Option<i32> {
-        self.take(4)?.try_into().ok().map(i32::from_be_bytes)
+    pub(super) fn bool(&mut self) -> Result<bool, ErrorCode> {
+        let [byte] = self.take_array()?;
+        Ok(byte != 0)
     }
 
-    pub fn long(&mut self) -> Option<i64> {
-        self.take(8)?.try_into().ok().map(i64::from_be_bytes)
+    pub(super) fn int(&mut self) -> Result<i32, ErrorCode> {
+        self.take_array().map(i32::from_be_bytes)
     }
 
-    pub fn buffer(&mut self) -> Option<&'a [u8]> {
+    pub(super) fn long(&mut self) -> Result<i64, ErrorCode> {
+        self.take_array().map(i64::from_be_bytes)
+    }
+
+    pub(super) fn buffer(&mut self) -> Result<&'a [u8], ErrorCode> {
         match self.int()? {
-            -1 => Some(&[]),
-            n => self.take(usize::try_from(n).ok()?),
+            ABSENT => Ok(&[]),
+            length => {
+                let length = usize::try_from(length).map_err(|_| ErrorCode::BadArguments)?;
+                self.take(length)
+            }
         }
     }
 
-    pub fn text(&mut self) -> Option<String> {
-        String::from_utf8(self.buffer()?.to_vec()).ok()
+    pub(super) fn text(&mut self) -> Result<String, ErrorCode> {
+        let bytes = self.buffer()?.to_vec();
+        String::from_utf8(bytes).map_err(|_| ErrorCode::BadArguments)
     }
 
-    pub fn texts(&mut self) -> Option<Vec<String>> {
-        let n = self.int()?.max(0);
-        (0..n).map(|_| self.text()).collect()
+    pub(super) fn texts(&mut self) -> Result<Vec<String>, ErrorCode> {
+        let count = self.int()?.max(0);
+        (0..count).map(|_| self.text()).collect()
     }
 }
 
 /// Writes fields.
 #[derive(Default)]
-pub struct Out(pub BytesMut);
+pub(super) struct Writer {
+    bytes: BytesMut,
+}
 
-impl Out {
-    pub fn bool(mut self, b: bool) -> Self {
-        self.0.put_u8(b.into());
+impl Writer {
+    pub(super) fn bool(mut self, value: bool) -> Self {
+        self.bytes.put_u8(value.into());
         self
     }
 
-    pub fn int(mut self, n: i32) -> Self {
-        self.0.put_i32(n);
+    pub(super) fn int(mut self, value: i32) -> Self {
+        self.bytes.put_i32(value);
         self
     }
 
-    pub fn long(mut self, n: i64) -> Self {
-        self.0.put_i64(n);
+    pub(super) fn long(mut self, value: i64) -> Self {
+        self.bytes.put_i64(value);
         self
     }
 
-    pub fn buffer(mut self, bytes: &[u8]) -> Self {
-        self.0.put_i32(bytes.len() as i32);
-        self.0.extend_from_slice(bytes);
+    pub(super) fn buffer(mut self, value: &[u8]) -> Self {
+        self.bytes.put_i32(value.len() as i32);
+        self.bytes.extend_from_slice(value);
         self
     }
 
-    pub fn text(self, text: &str) -> Self {
-        self.buffer(text.as_bytes())
+    pub(super) fn text(self, value: &str) -> Self {
+        self.buffer(value.as_bytes())
     }
 
-    pub fn texts<T: AsRef<str>>(self, texts: impl ExactSizeIterator<Item = T>) -> Self {
-        let counted = self.int(texts.len() as i32);
-        texts.fold(counted, |out, t| out.text(t.as_ref()))
+    pub(super) fn texts<T: AsRef<str>>(self, values: impl ExactSizeIterator<Item = T>) -> Self {
+        let counted = self.int(values.len() as i32);
+        values.fold(counted, |writer, value| writer.text(value.as_ref()))
     }
 
-    pub fn raw(mut self, bytes: &[u8]) -> Self {
-        self.0.extend_from_slice(bytes);
+    /// Appends the fields of another record.
+    pub(super) fn append(mut self, fields: &Writer) -> Self {
+        self.bytes.extend_from_slice(&fields.bytes);
         self
     }
 
-    /// As a frame, with its length before it.
-    pub fn frame(self) -> Bytes {
-        let mut frame = BytesMut::with_capacity(self.0.len() + 4);
-        frame.put_u32(self.0.len() as u32);
-        frame.extend_from_slice(&self.0);
+    /// The fields as a frame, after their length.
+    pub(super) fn into_frame(self) -> Bytes {
+        let mut frame = BytesMut::with_capacity(self.bytes.len() + FRAME_HEADER_BYTES);
+        frame.put_u32(self.bytes.len() as u32);
+        frame.extend_from_slice(&self.bytes);
         frame.freeze()
     }
 }
--- a/crates/testbed/src/registry/requests/reads.rs
+++ b/crates/testbed/src/registry/requests/reads.rs
@@ -1,114 +1,120 @@
-//! Entries read, alone or in batches.
+//! Reads of entries, from the copy that the client's member has.
 
-use super::{allowed, Answer};
-use crate::registry::jute::{In, Out};
-use crate::registry::tree::{self, Identity, Tree};
-use crate::registry::world::{ConnId, Member, World};
+use super::{Reply, RequestContext};
+use crate::registry::acl::{self, AccessRule};
+use crate::registry::jute::{Reader, Writer};
+use crate::registry::protocol::{permission, ErrorCode, Operation};
+use crate::registry::state::{Member, RegistryState};
+use crate::registry::tree::{is_valid_path, Entry, Tree};
 
-pub(super) fn multi_read(tree: &Tree, r: &mut In, who: &[Identity]) -> Out {
-    let mut out = Out::default();
-    while let (Some(op), Some(false), Some(_)) = (r.int(), r.bool(), r.int()) {
-        let read = || -> Result<Out, i32> {
-            let path = r.text().ok_or(tree::BAD_ARGUMENTS)?;
-            let _watch = r.bool();
-            let node = tree.nodes.get(&path).ok_or(tree::NO_NODE)?;
-            allowed(node, tree::READ, who)?;
-            Ok(match op {
-                4 => node.stat(Out::default().buffer(&node.data)),
-                _ => Out::default().texts(node.children.iter()),
-            })
-        };
-        let mut read = read;
-        out = match read() {
-            Ok(body) => out.int(op).bool(false).int(0).raw(&body.0),
-            Err(error) => out.int(-1).bool(false).int(error).int(error),
-        };
-    }
-    out.int(-1).bool(true).int(-1)
+/// The identities of the client.
+pub(super) fn identities(context: &RequestContext) -> Writer {
+    let identities = &context.identities;
+    let count = Writer::default().int(identities.len() as i32);
+    identities.iter().fold(count, |writer, identity| {
+        writer.text(&identity.scheme).text(identity.user())
+    })
+}
+
+/// The ephemeral entries of the client's session whose paths have a prefix.
+pub(super) fn ephemerals(
+    state: &RegistryState,
+    context: &RequestContext,
+    reader: &mut Reader<'_>,
+) -> Result<Reply, ErrorCode> {
+    let prefix = reader.text()?;
+    let mut paths = state.members[context.member].tree.owned_by(context.session);
+    paths.retain(|path| path.starts_with(&prefix));
+    Ok(Reply::immediate(Writer::default().texts(paths.iter())))
 }
 
+/// Reads an entry, and sets a watch if the client asks for it.
 pub(super) fn read(
-    world: &mut World,
-    conn: ConnId,
-    member: usize,
-    session: i64,
-    op: i32,
-    r: &mut In,
-    who: &[Identity],
-) -> Answer {
-    if op == 107 {
-        let out = Out::default().int(who.len() as i32);
-        let line = |out: Out, (scheme, id): &Identity| {
-            out.text(scheme)
-                .text(id.split(':').next().unwrap_or_default())
-        };
-        return Ok((who.iter().fold(out, line), 0));
+    state: &mut RegistryState,
+    context: &RequestContext,
+    operation: Operation,
+    reader: &mut Reader<'_>,
+) -> Result<Reply, ErrorCode> {
+    let path = reader.text()?;
+    if !is_valid_path(&path) {
+        return Err(ErrorCode::BadArguments);
     }
-    let path = r.text().ok_or(tree::BAD_ARGUMENTS)?;
-    if op == 103 {
-        let owned = world.members[member].tree.owned(session);
-        let under: Vec<&String> = owned.iter().filter(|p| p.starts_with(&path)).collect();
-        return Ok((Out::default().texts(under.into_iter()), 0));
-    }
-    if !tree::valid(&path) {
-        return Err(tree::BAD_ARGUMENTS);
-    }
-    let watched = matches!(op, 3 | 4 | 8 | 12) && r.bool().ok_or(tree::BAD_ARGUMENTS)?;
-    let Member { tree, watches, .. } = &mut world.members[member];
-    let Some(node) = tree.nodes.get(&path) else {
-        // Whoever asks whether it is there hears of its making.
-        if op == 3 && watched {
-            watches.data.entry(path).or_default().insert(conn);
+    let sets_watch = has_watch_flag(operation) && reader.bool()?;
+    let Member { tree, watches, .. } = &mut state.members[context.member];
+    let Some(entry) = tree.entries.get(&path) else {
+        // A watch for the existence of an entry reports its creation.
+        if operation == Operation::Exists && sets_watch {
+            watches.add_data(path, context.connection);
         }
-        return Err(tree::NO_NODE);
+        return Err(ErrorCode::NoNode);
     };
-    if !matches!(op, 3 | 6) {
-        allowed(node, tree::READ, who)?;
+    if !matches!(operation, Operation::Exists | Operation::GetAcl) {
+        entry.require(permission::READ, &context.identities)?;
     }
-    if watched {
-        let of = if matches!(op, 8 | 12) {
-            &mut watches.child
-        } else {
-            &mut watches.data
-        };
-        of.entry(path.clone()).or_default().insert(conn);
-    }
-    let out = Out::default();
-    Ok((
-        match op {
-            3 => node.stat(out),
-            4 => node.stat(out.buffer(&node.data)),
-            6 => {
-                allowed(node, tree::READ | tree::ADMIN, who)?;
-                let admin = node.allows(tree::ADMIN, who);
-                let line = |out: Out, (permissions, scheme, id): &tree::Acl| {
-                    // The hash is shown to whoever may change the list.
-                    let user = id.split(':').next().unwrap_or_default();
-                    let id = if scheme == "digest" && !admin {
-                        format!("{user}:x")
-                    } else {
-                        id.clone()
-                    };
-                    out.int(*permissions).text(scheme).text(&id)
-                };
-                node.stat(node.acl.iter().fold(out.int(node.acl.len() as i32), line))
-            }
-            8 => out.texts(node.children.iter()),
-            12 => node.stat(out.texts(node.children.iter())),
-            _ => {
-                let under = if path == "/" {
-                    path.clone()
-                } else {
-                    format!("{path}/")
-                };
-                let n = tree
-                    .nodes
-                    .keys()
-                    .filter(|p| p.starts_with(&under) && **p != path)
-                    .count();
-                out.int(n as i32)
+    if sets_watch {
+        match operation {
+            Operation::GetChildren | Operation::GetChildrenWithStat => {
+                watches.add_children(path.clone(), context.connection);
             }
-        },
-        0,
-    ))
+            _ => watches.add_data(path.clone(), context.connection),
+        }
+    }
+    let body = read_body(tree, &path, entry, operation, context)?;
+    Ok(Reply::immediate(body))
+}
+
+fn has_watch_flag(operation: Operation) -> bool {
+    matches!(
+        operation,
+        Operation::Exists
+            | Operation::GetData
+            | Operation::GetChildren
+            | Operation::GetChildrenWithStat
+    )
+}
+
+fn read_body(
+    tree: &Tree,
+    path: &str,
+    entry: &Entry,
+    operation: Operation,
+    context: &RequestContext,
+) -> Result<Writer, ErrorCode> {
+    let body = Writer::default();
+    Ok(match operation {
+        Operation::Exists => entry.write_stat(body),
+        Operation::GetData => entry.write_stat(body.buffer(&entry.data)),
+        Operation::GetAcl => write_acl(entry, context, body)?,
+        Operation::GetChildren => body.texts(entry.children.iter()),
+        Operation::GetChildrenWithStat => entry.write_stat(body.texts(entry.children.iter())),
+        _ => body.int(count_descendants(tree, path) as i32),
+    })
+}
+
+/// Writes the access list. Hashes are hidden from clients that may not change it.
+fn write_acl(entry: &Entry, context: &RequestContext, body: Writer) -> Result<Writer, ErrorCode> {
+    let identities = &context.identities;
+    entry.require(permission::READ | permission::ADMIN, identities)?;
+    let is_admin = entry.grants(permission::ADMIN, identities);
+    let write_rule = |writer: Writer, rule: &AccessRule| {
+        let writer = writer.int(rule.permissions).text(&rule.scheme);
+        if rule.scheme == "digest" && !is_admin {
+            writer.text(&format!("{}:x", acl::user(&rule.id)))
+        } else {
+            writer.text(&rule.id)
+        }
+    };
+    let count = body.int(entry.acl.len() as i32);
+    let list = entry.acl.iter().fold(count, write_rule);
+    Ok(entry.write_stat(list))
+}
+
+fn count_descendants(tree: &Tree, path: &str) -> usize {
+    let prefix = if path == "/" {
+        path.to_owned()
+    } else {
+        format!("{path}/")
+    };
+    let is_descendant = |other: &&String| other.starts_with(&prefix) && *other != path;
+    tree.entries.keys().filter(is_descendant).count()
 }
--- a/crates/testbed/src/registry/requests/watches.rs
+++ b/crates/testbed/src/registry/requests/watches.rs
@@ -1,99 +1,172 @@
-//! Watches set again, looked up and removed.
+//! Watches added, looked up, removed, and set again by a client that has reconnected.
 
-use super::Answer;
-use crate::registry::jute::{In, Out};
-use crate::registry::tree;
-use crate::registry::world::{ConnId, Member, World};
+use super::{Reply, RequestContext};
+use crate::registry::jute::{Reader, Writer};
+use crate::registry::protocol::{ErrorCode, WatchEvent, WatchKind, OK};
+use crate::registry::state::{Member, RegistryState};
+use crate::registry::tree::is_valid_path;
+use crate::registry::watches::Notification;
 
-/// Whether a connection has a watch, and removes it if it is asked to.
-pub(super) fn watch_known(
-    world: &mut World,
-    conn: ConnId,
-    member: usize,
-    op: i32,
-    r: &mut In,
-) -> Answer {
-    let path = r.text().ok_or(tree::BAD_ARGUMENTS)?;
-    let kind = r.int().ok_or(tree::BAD_ARGUMENTS)?;
-    let watches = &mut world.members[member].watches;
-    let mut found = false;
-    for (of, kinds) in [(&mut watches.child, [1, 3]), (&mut watches.data, [2, 3])] {
-        if let Some(set) = of.get_mut(&path).filter(|_| kinds.contains(&kind)) {
-            found |= if op == 18 {
-                set.remove(&conn)
-            } else {
-                set.contains(&conn)
-            };
-        }
-    }
-    if let Some(set) = watches.persistent.get_mut(&path) {
-        let recursive = set.get(&conn).copied();
-        if recursive.is_some_and(|r| kind == 3 || (kind == 4 && !r) || (kind == 5 && r)) {
-            found = true;
-            if op == 18 {
-                set.remove(&conn);
-            }
-        }
+/// A watch that a client looks up or removes.
+struct WatchQuery {
+    path: String,
+    /// `None` for a kind that does not exist.
+    kind: Option<WatchKind>,
+}
+
+impl WatchQuery {
+    fn read(reader: &mut Reader<'_>) -> Result<WatchQuery, ErrorCode> {
+        Ok(WatchQuery {
+            path: reader.text()?,
+            kind: WatchKind::from_number(reader.int()?),
+        })
     }
-    if found {
-        Ok((Out::default(), 0))
+}
+
+fn found(is_found: bool) -> Result<Reply, ErrorCode> {
+    if is_found {
+        Ok(Reply::immediate(Writer::default()))
     } else {
-        Err(tree::NO_WATCHER)
+        Err(ErrorCode::NoWatcher)
     }
 }
 
-/// A client that has come back sets its watches again, and hears at once what they would have told.
-pub(super) fn set_watches(
-    world: &mut World,
-    conn: ConnId,
-    member: usize,
-    op: i32,
-    r: &mut In,
-) -> Answer {
-    let mut fields = || {
-        let (seen, data, exist, child) = (r.long()?, r.texts()?, r.texts()?, r.texts()?);
-        let (plain, recursive) = if op == 105 {
-            (r.texts()?, r.texts()?)
-        } else {
-            (vec![], vec![])
-        };
-        Some((seen, data, exist, child, plain, recursive))
+/// Fails unless the client has a watch.
+pub(super) fn check(
+    state: &RegistryState,
+    context: &RequestContext,
+    reader: &mut Reader<'_>,
+) -> Result<Reply, ErrorCode> {
+    let WatchQuery { path, kind } = WatchQuery::read(reader)?;
+    let watches = &state.members[context.member].watches;
+    found(watches.contains(&path, context.connection, kind))
+}
+
+/// Removes watches; fails if the client has none of them.
+pub(super) fn remove(
+    state: &mut RegistryState,
+    context: &RequestContext,
+    reader: &mut Reader<'_>,
+) -> Result<Reply, ErrorCode> {
+    let WatchQuery { path, kind } = WatchQuery::read(reader)?;
+    let watches = &mut state.members[context.member].watches;
+    found(watches.remove(&path, context.connection, kind))
+}
+
+/// Adds a persistent watch.
+pub(super) fn add(
+    state: &mut RegistryState,
+    context: &RequestContext,
+    reader: &mut Reader<'_>,
+) -> Result<Reply, ErrorCode> {
+    let path = reader.text()?;
+    if !is_valid_path(&path) {
+        return Err(ErrorCode::BadArguments);
+    }
+    let is_recursive = match reader.int()? {
+        0 => false,
+        1 => true,
+        _ => return Err(ErrorCode::BadArguments),
     };
-    let (seen, data, exist, child, plain, recursive) = fields().ok_or(tree::BAD_ARGUMENTS)?;
-    let Member { tree, watches, .. } = &mut world.members[member];
-    let mut due: Vec<(i32, String)> = Vec::new();
-    for path in data {
-        match tree.nodes.get(&path) {
-            None => due.push((2, path)),
-            Some(n) if n.mzxid > seen => due.push((3, path)),
-            Some(_) => drop(watches.data.entry(path).or_default().insert(conn)),
+    let watches = &mut state.members[context.member].watches;
+    watches.add_persistent(path, context.connection, is_recursive);
+    Ok(Reply::immediate(Writer::default().int(OK)))
+}
+
+/// The watches that a client had on its former connection, by path.
+struct FormerWatches {
+    /// The last transaction that the client has seen.
+    last_zxid: i64,
+    data: Vec<String>,
+    /// For the existence of entries that did not exist.
+    existence: Vec<String>,
+    children: Vec<String>,
+    persistent: Vec<String>,
+    persistent_recursive: Vec<String>,
+}
+
+impl FormerWatches {
+    fn read(reader: &mut Reader<'_>, has_persistent: bool) -> Result<FormerWatches, ErrorCode> {
+        let mut watches = FormerWatches {
+            last_zxid: reader.long()?,
+            data: reader.texts()?,
+            existence: reader.texts()?,
+            children: reader.texts()?,
+            persistent: Vec::new(),
+            persistent_recursive: Vec::new(),
+        };
+        if has_persistent {
+            watches.persistent = reader.texts()?;
+            watches.persistent_recursive = reader.texts()?;
         }
+        Ok(watches)
+    }
+}
+
+/// Sets the watches of a former connection again. The client is notified at once of what they would have reported meanwhile.
+pub(super) fn set(
+    state: &mut RegistryState,
+    context: &RequestContext,
+    reader: &mut Reader<'_>,
+    has_persistent: bool,
+) -> Result<Reply, ErrorCode> {
+    let former = FormerWatches::read(reader, has_persistent)?;
+    let member = &mut state.members[context.member];
+    let zxid = member.tree.zxid;
+    let missed = restore(member, context, former);
+    for notification in missed {
+        state.notify(notification, zxid);
     }
-    for path in exist {
-        match tree.nodes.get(&path) {
-            Some(_) => due.push((1, path)),
-            None => drop(watches.data.entry(path).or_default().insert(conn)),
+    Ok(Reply::immediate(Writer::default()))
+}
+
+/// Sets the watches that have nothing to report; returns the notifications of the others.
+fn restore(
+    member: &mut Member,
+    context: &RequestContext,
+    former: FormerWatches,
+) -> Vec<Notification> {
+    let Member { tree, watches, .. } = member;
+    let connection = context.connection;
+    let last_zxid = former.last_zxid;
+    let mut missed = Vec::new();
+    let mut report = |event, path| {
+        missed.push(Notification {
+            connections: vec![connection],
+            event,
+            path,
+        });
+    };
+    for path in former.data {
+        match tree.entries.get(&path) {
+            None => report(WatchEvent::Deleted, path),
+            Some(entry) if entry.modified_zxid > last_zxid => {
+                report(WatchEvent::DataChanged, path);
+            }
+            Some(_) => watches.add_data(path, connection),
         }
     }
-    for path in child {
-        match tree.nodes.get(&path) {
-            None => due.push((2, path)),
-            Some(n) if n.pzxid > seen => due.push((4, path)),
-            Some(_) => drop(watches.child.entry(path).or_default().insert(conn)),
+    for path in former.existence {
+        if tree.entries.contains_key(&path) {
+            report(WatchEvent::Created, path);
+        } else {
+            watches.add_data(path, connection);
         }
     }
-    for (paths, is_recursive) in [(plain, false), (recursive, true)] {
-        for path in paths {
-            watches
-                .persistent
-                .entry(path)
-                .or_default()
-                .insert(conn, is_recursive);
+    for path in former.children {
+        match tree.entries.get(&path) {
+            None => report(WatchEvent::Deleted, path),
+            Some(entry) if entry.children_zxid > last_zxid => {
+                report(WatchEvent::ChildrenChanged, path);
+            }
+            Some(_) => watches.add_children(path, connection),
         }
     }
-    let zxid = tree.zxid;
-    for (kind, path) in due {
-        world.notify(vec![conn], kind, &path, zxid);
+    for path in former.persistent {
+        watches.add_persistent(path, connection, false);
+    }
+    for path in former.persistent_recursive {
+        watches.add_persistent(path, connection, true);
     }
-    Ok((Out::default(), 0))
+    missed
 }
--- a/crates/testbed/src/registry/requests/writes.rs
+++ b/crates/testbed/src/registry/requests/writes.rs
@@ -1,244 +1,258 @@
-//! Entries made, changed and removed, alone or in batches.
+//! Writes of entries: validated against the committed tree, then committed.
 
-use super::{allowed, Answer};
-use crate::registry::jute::{In, Out};
-use crate::registry::tree::{self, read_acl, Change, Identity, Tree};
-use crate::registry::world::{unix_ms, World};
+use super::{Reply, RequestContext};
+use crate::registry::acl::read_acl;
+use crate::registry::jute::{Reader, Writer};
+use crate::registry::protocol::{permission, ErrorCode, Operation};
+use crate::registry::state::RegistryState;
+use crate::registry::tree::{self, is_valid_path, Change, Tree, CONTAINER_OWNER};
 use std::time::Duration;
 
-/// What is told of a write.
-pub(super) struct Made {
-    op: i32,
+/// The version in requests that any version of an entry matches.
+const ANY_VERSION: i32 = -1;
+/// Marks the owner of an entry with a time to live, which is in the lower bits.
+const TTL_OWNER_MARK: i64 = 0xff << 56;
+/// Bound of times to live, in milliseconds.
+const TTL_LIMIT_MS: i64 = 1 << 40;
+
+/// A write that has been validated.
+pub(super) struct PreparedWrite {
+    operation: Operation,
+    /// Path of the entry; that of a sequential one with its number.
     path: String,
-    pub(super) ttl: Option<Duration>,
+    pub(super) change: Change,
+    ttl: Option<Duration>,
 }
 
-impl Made {
-    pub(super) fn body(&self, tree: &Tree, out: Out) -> Out {
-        let node = tree.nodes.get(&self.path);
-        match (self.op, node) {
-            (1, _) => out.text(&self.path),
-            (15 | 19 | 21, Some(node)) => node.stat(out.text(&self.path)),
-            (5 | 7, Some(node)) => node.stat(out),
-            _ => out,
+impl PreparedWrite {
+    fn new(operation: Operation, path: String, change: Change) -> PreparedWrite {
+        PreparedWrite {
+            operation,
+            path,
+            change,
+            ttl: None,
+        }
+    }
+
+    /// The body of the response, after the change has been applied to the tree.
+    pub(super) fn response(&self, tree: &Tree) -> Writer {
+        let body = Writer::default();
+        let entry = tree.entries.get(&self.path);
+        match (self.operation, entry) {
+            (Operation::Create, _) => body.text(&self.path),
+            (Operation::SetData | Operation::SetAcl, Some(entry)) => entry.write_stat(body),
+            (operation, Some(entry)) if operation.is_create() => {
+                entry.write_stat(body.text(&self.path))
+            }
+            _ => body,
+        }
+    }
+
+    /// Registers the time to live of an entry that is created with one.
+    pub(super) fn register_ttl(&self, state: &mut RegistryState) {
+        if let Some(ttl) = self.ttl {
+            state.ttls.insert(self.path.clone(), ttl);
         }
     }
 }
 
-fn fits(is: i32, wanted: i32) -> Result<(), i32> {
-    (wanted == -1 || is == wanted)
-        .then_some(())
-        .ok_or(tree::BAD_VERSION)
+/// Validates and commits a write.
+pub(super) fn write(
+    state: &mut RegistryState,
+    context: &RequestContext,
+    operation: Operation,
+    reader: &mut Reader<'_>,
+) -> Result<Reply, ErrorCode> {
+    let prepared = prepare(&state.tree, context, operation, reader)?;
+    prepared.register_ttl(state);
+    let required_zxid = state.commit(vec![prepared.change.clone()]);
+    Ok(Reply {
+        body: prepared.response(&state.tree),
+        required_zxid,
+    })
+}
+
+fn check_match(version: i32, expected: i32) -> Result<(), ErrorCode> {
+    if expected == ANY_VERSION || version == expected {
+        Ok(())
+    } else {
+        Err(ErrorCode::BadVersion)
+    }
 }
 
-pub(super) fn check(tree: &Tree, r: &mut In) -> Result<(), i32> {
-    let path = r.text().ok_or(tree::BAD_ARGUMENTS)?;
-    let version = r.int().ok_or(tree::BAD_ARGUMENTS)?;
-    fits(tree.nodes.get(&path).ok_or(tree::NO_NODE)?.version, version)
+/// Fails unless an entry has the version of the request.
+pub(super) fn check_version(tree: &Tree, reader: &mut Reader<'_>) -> Result<(), ErrorCode> {
+    let path = reader.text()?;
+    let expected = reader.int()?;
+    check_match(tree.entry(&path)?.version, expected)
 }
 
+/// Validates a write against a tree.
 pub(super) fn prepare(
     tree: &Tree,
-    op: i32,
-    r: &mut In,
-    who: &[Identity],
-    session: i64,
-) -> Result<(Change, Made), i32> {
-    let path = r
-        .text()
-        .filter(|p| tree::valid(p))
-        .ok_or(tree::BAD_ARGUMENTS)?;
-    let made = |path: &str| Made {
-        op,
-        path: path.to_owned(),
-        ttl: None,
-    };
-    match op {
-        1 | 15 | 19 | 21 => create(tree, op, path, r, who, session),
-        2 => {
-            let version = r.int().ok_or(tree::BAD_ARGUMENTS)?;
-            if path == "/" {
-                return Err(tree::BAD_ARGUMENTS);
-            }
-            let node = tree.nodes.get(&path).ok_or(tree::NO_NODE)?;
-            let above = tree.nodes.get(tree::parent(&path).0).ok_or(tree::NO_NODE)?;
-            allowed(above, tree::DELETE, who)?;
-            fits(node.version, version)?;
-            if !node.children.is_empty() {
-                return Err(tree::NOT_EMPTY);
-            }
-            let made = made(&path);
-            Ok((Change::Delete { path }, made))
-        }
-        5 => {
-            let data = r.buffer().ok_or(tree::BAD_ARGUMENTS)?.to_vec();
-            let version = r.int().ok_or(tree::BAD_ARGUMENTS)?;
-            let node = tree.nodes.get(&path).ok_or(tree::NO_NODE)?;
-            allowed(node, tree::WRITE, who)?;
-            fits(node.version, version)?;
-            let made = made(&path);
-            Ok((Change::SetData { path, data }, made))
-        }
-        _ => {
-            let acl = read_acl(r, who)?;
-            let version = r.int().ok_or(tree::BAD_ARGUMENTS)?;
-            let node = tree.nodes.get(&path).ok_or(tree::NO_NODE)?;
-            allowed(node, tree::ADMIN, who)?;
-            fits(node.aversion, version)?;
-            let made = made(&path);
-            Ok((Change::SetAcl { path, acl }, made))
-        }
+    context: &RequestContext,
+    operation: Operation,
+    reader: &mut Reader<'_>,
+) -> Result<PreparedWrite, ErrorCode> {
+    let path = reader.text()?;
+    if !is_valid_path(&path) {
+        return Err(ErrorCode::BadArguments);
+    }
+    match operation {
+        Operation::Delete => prepare_delete(tree, context, path, reader),
+        Operation::SetData => prepare_set_data(tree, context, path, reader),
+        Operation::SetAcl => prepare_set_acl(tree, context, path, reader),
+        _ => prepare_create(tree, context, operation, path, reader),
     }
 }
 
-fn create(
+fn prepare_delete(
     tree: &Tree,
-    op: i32,
+    context: &RequestContext,
     path: String,
-    r: &mut In,
-    who: &[Identity],
-    session: i64,
-) -> Result<(Change, Made), i32> {
-    let data = r.buffer().ok_or(tree::BAD_ARGUMENTS)?.to_vec();
-    let acl = read_acl(r, who)?;
-    let flags = r.int().ok_or(tree::BAD_ARGUMENTS)?;
-    let (owner, sequential, ttl) = match flags {
-        0 => (0, false, false),
-        1 => (session, false, false),
-        2 => (0, true, false),
-        3 => (session, true, false),
-        4 => (tree::CONTAINER, false, false),
-        5 => (0, false, true),
-        6 => (0, true, true),
-        _ => return Err(tree::BAD_ARGUMENTS),
-    };
-    let (mut owner, mut lives) = (owner, None);
-    if ttl {
-        let ms = r
-            .long()
-            .filter(|ms| (1..1 << 40).contains(ms))
-            .ok_or(tree::BAD_ARGUMENTS)?;
-        (owner, lives) = ((0xff << 56) | ms, Some(Duration::from_millis(ms as u64)));
+    reader: &mut Reader<'_>,
+) -> Result<PreparedWrite, ErrorCode> {
+    let expected = reader.int()?;
+    if path == "/" {
+        return Err(ErrorCode::BadArguments);
     }
-    let (above, _) = tree::parent(&path);
-    let above = tree.nodes.get(above).ok_or(tree::NO_NODE)?;
-    allowed(above, tree::CREATE, who)?;
-    let path = if sequential {
-        format!("{path}{:010}", above.cversion)
-    } else {
-        path
-    };
-    if tree.nodes.contains_key(&path) {
-        return Err(tree::NODE_EXISTS);
+    let entry = tree.entry(&path)?;
+    let parent = tree.entry(tree::parent(&path))?;
+    parent.require(permission::DELETE, &context.identities)?;
+    check_match(entry.version, expected)?;
+    if !entry.children.is_empty() {
+        return Err(ErrorCode::NotEmpty);
     }
-    // The owner of an entry with a time to live, or of a container, has its top bit set.
-    if above.owner > 0 {
-        return Err(tree::NO_CHILDREN_FOR_EPHEMERALS);
-    }
-    let made = Made {
-        op,
+    let change = Change::Delete { path: path.clone() };
+    Ok(PreparedWrite::new(Operation::Delete, path, change))
+}
+
+fn prepare_set_data(
+    tree: &Tree,
+    context: &RequestContext,
+    path: String,
+    reader: &mut Reader<'_>,
+) -> Result<PreparedWrite, ErrorCode> {
+    let data = reader.buffer()?.to_vec();
+    let expected = reader.int()?;
+    let entry = tree.entry(&path)?;
+    entry.require(permission::WRITE, &context.identities)?;
+    check_match(entry.version, expected)?;
+    let change = Change::SetData {
         path: path.clone(),
-        ttl: lives,
+        data,
     };
-    Ok((
-        Change::Create {
-            path,
-            data,
-            acl,
-            owner,
-        },
-        made,
-    ))
+    Ok(PreparedWrite::new(Operation::SetData, path, change))
 }
 
-/// All of it or nothing.
-pub(super) fn multi(world: &mut World, r: &mut In, who: &[Identity], session: i64) -> Answer {
-    let mut tree = world.tree.clone();
-    let zxid = tree.zxid + 1;
-    let (mut changes, mut results, mut failed) = (vec![], vec![], None);
-    loop {
-        let (op, done) = (
-            r.int().ok_or(tree::BAD_ARGUMENTS)?,
-            r.bool().ok_or(tree::BAD_ARGUMENTS)?,
-        );
-        r.int().ok_or(tree::BAD_ARGUMENTS)?;
-        if done {
-            break;
-        }
-        if failed.is_some() {
-            // What comes after the one that failed was never looked at.
-            results.push((op, Err(tree::INCONSISTENT)));
-            skip(op, r)?;
-            continue;
-        }
-        let result = match op {
-            13 => check(&tree, r).map(|()| None),
-            1 | 2 | 5 | 15 | 19 | 21 => prepare(&tree, op, r, who, session).map(Some),
-            _ => return Err(tree::UNIMPLEMENTED),
-        };
-        match result {
-            Ok(None) => results.push((op, Ok(Out::default()))),
-            Ok(Some((change, made))) => {
-                if let (Change::Create { path, .. }, Some(ttl)) = (&change, made.ttl) {
-                    world.ttl.insert(path.clone(), ttl);
-                }
-                tree.apply(&tree::Txn {
-                    zxid,
-                    time: unix_ms(),
-                    changes: vec![change.clone()],
-                });
-                changes.push(change);
-                results.push((op, Ok(made.body(&tree, Out::default()))));
-            }
-            Err(error) => {
-                failed = Some(results.len());
-                results.push((op, Err(error)));
-            }
-        }
-    }
-    let mut out = Out::default();
-    for (n, (op, result)) in results.iter().enumerate() {
-        out = match (failed, result) {
-            (None, Ok(body)) => out.int(*op).bool(false).int(0).raw(&body.0),
-            // Those before it were undone.
-            (Some(at), Ok(_)) if n < at => out.int(-1).bool(false).int(0).int(0),
-            (_, Ok(_)) => out.int(-1).bool(false).int(0).int(tree::INCONSISTENT),
-            (_, Err(error)) => out.int(-1).bool(false).int(*error).int(*error),
+fn prepare_set_acl(
+    tree: &Tree,
+    context: &RequestContext,
+    path: String,
+    reader: &mut Reader<'_>,
+) -> Result<PreparedWrite, ErrorCode> {
+    let acl = read_acl(reader, &context.identities)?;
+    let expected = reader.int()?;
+    let entry = tree.entry(&path)?;
+    entry.require(permission::ADMIN, &context.identities)?;
+    check_match(entry.acl_version, expected)?;
+    let change = Change::SetAcl {
+        path: path.clone(),
+        acl,
+    };
+    Ok(PreparedWrite::new(Operation::SetAcl, path, change))
+}
+
+/// How an entry is created.
+struct CreateMode {
+    is_sequential: bool,
+    lifetime: Lifetime,
+}
+
+/// When an entry is deleted by itself.
+#[derive(Clone, Copy)]
+enum Lifetime {
+    Persistent,
+    /// With its session.
+    Ephemeral,
+    /// After its last child.
+    Container,
+    /// A time after its last change.
+    TimeToLive,
+}
+
+impl CreateMode {
+    fn read(reader: &mut Reader<'_>) -> Result<CreateMode, ErrorCode> {
+        let (lifetime, is_sequential) = match reader.int()? {
+            0 => (Lifetime::Persistent, false),
+            1 => (Lifetime::Ephemeral, false),
+            2 => (Lifetime::Persistent, true),
+            3 => (Lifetime::Ephemeral, true),
+            4 => (Lifetime::Container, false),
+            5 => (Lifetime::TimeToLive, false),
+            6 => (Lifetime::TimeToLive, true),
+            _ => return Err(ErrorCode::BadArguments),
         };
+        Ok(CreateMode {
+            is_sequential,
+            lifetime,
+        })
     }
-    let out = out.int(-1).bool(true).int(-1);
-    match failed {
-        None if !changes.is_empty() => Ok((out, world.commit(changes))),
-        _ => Ok((out, 0)),
+}
+
+fn read_ttl_ms(reader: &mut Reader<'_>) -> Result<i64, ErrorCode> {
+    let ttl_ms = reader.long()?;
+    if (1..TTL_LIMIT_MS).contains(&ttl_ms) {
+        Ok(ttl_ms)
+    } else {
+        Err(ErrorCode::BadArguments)
     }
 }
 
-/// Passes over an operation of a batch.
-fn skip(op: i32, r: &mut In) -> Result<(), i32> {
-    let mut fields = || {
-        r.text()?;
-        match op {
-            1 | 15 | 19 | 21 => {
-                r.buffer()?;
-                for _ in 0..r.int()?.max(0) {
-                    r.int()?;
-                    r.text()?;
-                    r.text()?;
-                }
-                r.int()?;
-                if op == 21 {
-                    r.long()?;
-                }
-            }
-            5 => {
-                r.buffer()?;
-                r.int()?;
-            }
-            _ => {
-                r.int()?;
-            }
+fn prepare_create(
+    tree: &Tree,
+    context: &RequestContext,
+    operation: Operation,
+    path: String,
+    reader: &mut Reader<'_>,
+) -> Result<PreparedWrite, ErrorCode> {
+    let data = reader.buffer()?.to_vec();
+    let acl = read_acl(reader, &context.identities)?;
+    let mode = CreateMode::read(reader)?;
+    let (owner, ttl) = match mode.lifetime {
+        Lifetime::Persistent => (0, None),
+        Lifetime::Ephemeral => (context.session, None),
+        Lifetime::Container => (CONTAINER_OWNER, None),
+        Lifetime::TimeToLive => {
+            let ttl_ms = read_ttl_ms(reader)?;
+            let ttl = Duration::from_millis(ttl_ms as u64);
+            (TTL_OWNER_MARK | ttl_ms, Some(ttl))
         }
-        Some(())
     };
-    fields().ok_or(tree::BAD_ARGUMENTS)
+    let parent = tree.entry(tree::parent(&path))?;
+    parent.require(permission::CREATE, &context.identities)?;
+    let path = if mode.is_sequential {
+        format!("{path}{:010}", parent.children_version)
+    } else {
+        path
+    };
+    if tree.entries.contains_key(&path) {
+        return Err(ErrorCode::NodeExists);
+    }
+    // The owners of containers and of entries with a time to live are negative.
+    if parent.owner > 0 {
+        return Err(ErrorCode::NoChildrenForEphemerals);
+    }
+    let change = Change::Create {
+        path: path.clone(),
+        data,
+        acl,
+        owner,
+    };
+    Ok(PreparedWrite {
+        operation,
+        path,
+        change,
+        ttl,
+    })
 }
--- a/crates/testbed/src/registry/tree.rs
+++ b/crates/testbed/src/registry/tree.rs
@@ -1,92 +1,107 @@
-//! A registry's entries, and what a transaction does to them.
+//! The entries of a registry, and how transactions change them.
 //!
-//! Source: ZooKeeper Programmer's Guide, "Data Model" and "Access Control"; the record definitions for the numbers.
+//! Source: ZooKeeper Programmer's Guide, "Data Model". [`RegistryState`](super::state::RegistryState) keeps the committed
+//! tree and one for each member.
 
-use super::jute::{In, Out};
+use super::acl::{AccessRule, Identity};
+use super::jute::Writer;
+use super::protocol::ErrorCode;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Errors, by their numbers.
-pub const OK: i32 = 0;
-pub const INCONSISTENT: i32 = -2;
-pub const UNIMPLEMENTED: i32 = -6;
-pub const BAD_ARGUMENTS: i32 = -8;
-pub const NO_NODE: i32 = -101;
-pub const NO_AUTH: i32 = -102;
-pub const BAD_VERSION: i32 = -103;
-pub const NO_CHILDREN_FOR_EPHEMERALS: i32 = -108;
-pub const NODE_EXISTS: i32 = -110;
-pub const NOT_EMPTY: i32 = -111;
-pub const INVALID_ACL: i32 = -114;
-pub const AUTH_FAILED: i32 = -115;
-pub const NO_WATCHER: i32 = -121;
-
-/// Permissions.
-pub const READ: i32 = 1;
-pub const WRITE: i32 = 2;
-pub const CREATE: i32 = 4;
-pub const DELETE: i32 = 8;
-pub const ADMIN: i32 = 16;
-
 /// Owner of a container.
-pub const CONTAINER: i64 = i64::MIN;
-
-/// One line of an access list: permissions, scheme, id.
-pub type Acl = (i32, String, String);
-/// Who somebody is known as: scheme and id.
-pub type Identity = (String, String);
+pub(super) const CONTAINER_OWNER: i64 = i64::MIN;
 
 /// An entry.
 #[derive(Clone, Debug)]
-pub struct Node {
-    pub data: Vec<u8>,
-    pub acl: Vec<Acl>,
-    pub czxid: i64,
-    pub mzxid: i64,
-    pub pzxid: i64,
-    pub ctime: i64,
-    pub mtime: i64,
-    pub version: i32,
-    pub cversion: i32,
-    pub aversion: i32,
-    pub owner: i64,
-    pub children: BTreeSet<String>,
+pub(super) struct Entry {
+    pub(super) data: Vec<u8>,
+    pub(super) acl: Vec<AccessRule>,
+    /// Transaction that created it.
+    pub(super) created_zxid: i64,
+    /// Transaction that changed its data last.
+    pub(super) modified_zxid: i64,
+    /// Transaction that changed the list of its children last.
+    pub(super) children_zxid: i64,
+    /// Time of its creation, in milliseconds of Unix time.
+    pub(super) created_ms: i64,
+    /// Time of the last change of its data, in milliseconds of Unix time.
+    pub(super) modified_ms: i64,
+    pub(super) version: i32,
+    pub(super) children_version: i32,
+    pub(super) acl_version: i32,
+    /// The session of an ephemeral entry; the mark of a container or of an entry with a time to live; or else 0.
+    pub(super) owner: i64,
+    /// Names of the children.
+    pub(super) children: BTreeSet<String>,
 }
 
-impl Node {
-    pub fn stat(&self, out: Out) -> Out {
-        let out = out
-            .long(self.czxid)
-            .long(self.mzxid)
-            .long(self.ctime)
-            .long(self.mtime);
-        let out = out.int(self.version).int(self.cversion).int(self.aversion);
-        // Containers and entries with a time to live tell no owner but their mark.
-        let out = out
+impl Entry {
+    fn new(data: Vec<u8>, acl: Vec<AccessRule>, owner: i64, zxid: i64, time_ms: i64) -> Entry {
+        Entry {
+            data,
+            acl,
+            created_zxid: zxid,
+            modified_zxid: zxid,
+            children_zxid: zxid,
+            created_ms: time_ms,
+            modified_ms: time_ms,
+            version: 0,
+            children_version: 0,
+            acl_version: 0,
+            owner,
+            children: BTreeSet::new(),
+        }
+    }
+
+    /// Writes the record `Stat`.
+    pub(super) fn write_stat(&self, writer: Writer) -> Writer {
+        writer
+            .long(self.created_zxid)
+            .long(self.modified_zxid)
+            .long(self.created_ms)
+            .long(self.modified_ms)
+            .int(self.version)
+            .int(self.children_version)
+            .int(self.acl_version)
             .long(self.owner)
             .int(self.data.len() as i32)
-            .int(self.children.len() as i32);
-        out.long(self.pzxid)
+            .int(self.children.len() as i32)
+            .long(self.children_zxid)
     }
 
-    /// Whether somebody may do all of this.
-    pub fn allows(&self, permissions: i32, who: &[Identity]) -> bool {
-        let grants = |(granted, scheme, id): &Acl| {
-            granted & permissions != 0
-                && ((scheme == "world" && id == "anyone")
-                    || who.iter().any(|(s, i)| s == scheme && i == id)
-                    || who.iter().any(|(s, _)| s == "super"))
-        };
-        self.acl.is_empty() || self.acl.iter().any(grants)
+    /// Whether the access list grants one of these permissions.
+    pub(super) fn grants(&self, permissions: i32, identities: &[Identity]) -> bool {
+        let mut rules = self.acl.iter();
+        self.acl.is_empty() || rules.any(|rule| rule.grants(permissions, identities))
+    }
+
+    /// # Errors
+    /// Fails if the access list grants none of these permissions.
+    pub(super) fn require(
+        &self,
+        permissions: i32,
+        identities: &[Identity],
+    ) -> Result<(), ErrorCode> {
+        if self.grants(permissions, identities) {
+            Ok(())
+        } else {
+            Err(ErrorCode::NoAuth)
+        }
+    }
+
+    /// Whether it is a container that has lost its last child.
+    pub(super) fn is_abandoned_container(&self) -> bool {
+        self.owner == CONTAINER_OWNER && self.children_version > 0 && self.children.is_empty()
     }
 }
 
-/// What a transaction does, decided beforehand, so that every member does the same.
+/// A change of one entry. It has been validated, so that every member applies it alike.
 #[derive(Clone, Debug)]
-pub enum Change {
+pub(super) enum Change {
     Create {
         path: String,
         data: Vec<u8>,
-        acl: Vec<Acl>,
+        acl: Vec<AccessRule>,
         owner: i64,
     },
     Delete {
@@ -98,189 +113,148 @@
     },
     SetAcl {
         path: String,
-        acl: Vec<Acl>,
+        acl: Vec<AccessRule>,
     },
 }
 
-/// Some changes that happen as one.
+/// Changes that are applied together.
 #[derive(Clone, Debug)]
-pub struct Txn {
-    pub zxid: i64,
-    pub time: i64,
-    pub changes: Vec<Change>,
+pub(super) struct Transaction {
+    pub(super) zxid: i64,
+    /// In milliseconds of Unix time.
+    pub(super) time_ms: i64,
+    pub(super) changes: Vec<Change>,
 }
 
-/// What watches hear of.
+/// A change that watches report.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub(super) enum TreeEvent {
     Created(String),
     Deleted(String),
-    Data(String),
+    DataChanged(String),
 }
 
-/// All entries as one member has them.
-#[derive(Clone, Debug)]
-pub struct Tree {
-    pub nodes: BTreeMap<String, Node>,
-    pub zxid: i64,
+/// Path of the parent of an entry.
+pub(super) fn parent(path: &str) -> &str {
+    split_name(path).0
 }
 
-/// The path above, and the last name.
-pub fn parent(path: &str) -> (&str, &str) {
+/// Path of the parent, and the name of the entry within it.
+fn split_name(path: &str) -> (&str, &str) {
     match path.rsplit_once('/') {
         Some(("", name)) => ("/", name),
-        Some((above, name)) => (above, name),
+        Some((parent, name)) => (parent, name),
         None => ("/", path),
     }
 }
 
-/// Whether a path can be one.
-pub fn valid(path: &str) -> bool {
+/// Whether an entry may have this path.
+pub(super) fn is_valid_path(path: &str) -> bool {
     if path == "/" {
         return true;
     }
-    let plain =
-        |c: char| !(c.is_control() || ('\u{e000}'..='\u{f8ff}').contains(&c) || c >= '\u{fff0}');
-    path.starts_with('/')
-        && path.chars().all(plain)
-        && path[1..]
-            .split('/')
-            .all(|s| !s.is_empty() && s != "." && s != "..")
+    let is_private_use = |c: char| ('\u{e000}'..='\u{f8ff}').contains(&c);
+    let is_allowed = |c: char| !(c.is_control() || is_private_use(c) || c >= '\u{fff0}');
+    let is_valid_name = |name: &str| !name.is_empty() && name != "." && name != "..";
+    path.starts_with('/') && path.chars().all(is_allowed) && path[1..].split('/').all(is_valid_name)
+}
+
+/// All entries, after the transactions up to one of them.
+#[derive(Clone, Debug)]
+pub(super) struct Tree {
+    pub(super) entries: BTreeMap<String, Entry>,
+    /// The last transaction that was applied.
+    pub(super) zxid: i64,
 }
 
 impl Default for Tree {
     fn default() -> Self {
-        let root = Node {
-            data: vec![],
-            acl: vec![(31, "world".to_owned(), "anyone".to_owned())],
-            czxid: 0,
-            mzxid: 0,
-            pzxid: 0,
-            ctime: 0,
-            mtime: 0,
-            version: 0,
-            cversion: 0,
-            aversion: 0,
-            owner: 0,
-            children: BTreeSet::new(),
-        };
+        let root = Entry::new(vec![], vec![AccessRule::open()], 0, 0, 0);
         Tree {
-            nodes: [("/".to_owned(), root)].into(),
+            entries: [("/".to_owned(), root)].into(),
             zxid: 0,
         }
     }
 }
 
 impl Tree {
-    /// Does what a transaction says and gives what watches hear, in its order.
-    pub fn apply(&mut self, txn: &Txn) -> Vec<Heard> {
-        self.zxid = txn.zxid;
-        let mut heard = Vec::new();
-        for change in &txn.changes {
-            match change {
-                Change::Create {
-                    path,
-                    data,
-                    acl,
-                    owner,
-                } => {
-                    let node = Node {
-                        data: data.clone(),
-                        acl: acl.clone(),
-                        czxid: txn.zxid,
-                        mzxid: txn.zxid,
-                        pzxid: txn.zxid,
-                        ctime: txn.time,
-                        mtime: txn.time,
-                        version: 0,
-                        cversion: 0,
-                        aversion: 0,
-                        owner: *owner,
-                        children: BTreeSet::new(),
-                    };
-                    self.nodes.insert(path.clone(), node);
-                    let (above, name) = parent(path);
-                    if let Some(above) = self.nodes.get_mut(above) {
-                        above.children.insert(name.to_owned());
-                        above.cversion += 1;
-                        above.pzxid = txn.zxid;
-                    }
-                    heard.push(Heard::Created(path.clone()));
-                }
-                Change::Delete { path } => {
-                    self.nodes.remove(path);
-                    let (above, name) = parent(path);
-                    if let Some(above) = self.nodes.get_mut(above) {
-                        above.children.remove(name);
-                        above.cversion += 1;
-                        above.pzxid = txn.zxid;
-                    }
-                    heard.push(Heard::Deleted(path.clone()));
-                }
-                Change::SetData { path, data } => {
-                    if let Some(node) = self.nodes.get_mut(path) {
-                        (node.data, node.mzxid, node.mtime) = (data.clone(), txn.zxid, txn.time);
-                        node.version += 1;
-                        heard.push(Heard::Data(path.clone()));
-                    }
-                }
-                Change::SetAcl { path, acl } => {
-                    if let Some(node) = self.nodes.get_mut(path) {
-                        node.acl = acl.clone();
-                        node.aversion += 1;
-                    }
-                }
-            }
-        }
-        heard
+    /// # Errors
+    /// Fails if there is no entry with this path.
+    pub(super) fn entry(&self, path: &str) -> Result<&Entry, ErrorCode> {
+        self.entries.get(path).ok_or(ErrorCode::NoNode)
     }
 
-    /// The paths that end with a session.
-    pub fn owned(&self, session: i64) -> Vec<String> {
-        self.nodes
-            .iter()
-            .filter(|(_, n)| n.owner == session)
-            .map(|(p, _)| p.clone())
+    /// Applies a transaction; returns what watches report, in order.
+    pub(super) fn apply(&mut self, transaction: &Transaction) -> Vec<TreeEvent> {
+        self.zxid = transaction.zxid;
+        let changes = transaction.changes.iter();
+        changes
+            .filter_map(|change| self.apply_change(change, transaction.time_ms))
             .collect()
     }
-}
 
-/// An access list, as it came; somebody who is known is put in place of `auth`.
-///
-/// # Errors
-/// If it can't be one.
-pub fn read_acl(r: &mut In, who: &[Identity]) -> Result<Vec<Acl>, i32> {
-    let n = r.int().ok_or(BAD_ARGUMENTS)?;
-    let mut acl = Vec::new();
-    for _ in 0..n.max(0) {
-        let mut line = || Some((r.int()?, r.text()?, r.text()?));
-        let (permissions, scheme, id) = line().ok_or(BAD_ARGUMENTS)?;
-        match scheme.as_str() {
-            "auth" => {
-                let known: Vec<_> = who.iter().filter(|(s, _)| s != "ip").collect();
-                if known.is_empty() {
-                    return Err(INVALID_ACL);
-                }
-                acl.extend(
-                    known
-                        .into_iter()
-                        .map(|(s, i)| (permissions, s.clone(), i.clone())),
-                );
+    fn apply_change(&mut self, change: &Change, time_ms: i64) -> Option<TreeEvent> {
+        let zxid = self.zxid;
+        match change {
+            Change::Create {
+                path,
+                data,
+                acl,
+                owner,
+            } => {
+                let entry = Entry::new(data.clone(), acl.clone(), *owner, zxid, time_ms);
+                self.entries.insert(path.clone(), entry);
+                self.update_children(path, |children, name| {
+                    children.insert(name.to_owned());
+                });
+                Some(TreeEvent::Created(path.clone()))
+            }
+            Change::Delete { path } => {
+                self.entries.remove(path);
+                self.update_children(path, |children, name| {
+                    children.remove(name);
+                });
+                Some(TreeEvent::Deleted(path.clone()))
             }
-            "world" if id == "anyone" => acl.push((permissions, scheme, id)),
-            "digest" if id.split(':').count() == 2 => acl.push((permissions, scheme, id)),
-            "ip" if id
-                .split('/')
-                .next()
-                .is_some_and(|ip| ip.parse::<std::net::IpAddr>().is_ok()) =>
-            {
-                acl.push((permissions, scheme, id));
+            Change::SetData { path, data } => {
+                let entry = self.entries.get_mut(path)?;
+                entry.data.clone_from(data);
+                entry.modified_zxid = zxid;
+                entry.modified_ms = time_ms;
+                entry.version += 1;
+                Some(TreeEvent::DataChanged(path.clone()))
             }
-            _ => return Err(INVALID_ACL),
+            Change::SetAcl { path, acl } => {
+                let entry = self.entries.get_mut(path)?;
+                entry.acl.clone_from(acl);
+                entry.acl_version += 1;
+                None
+            }
+        }
+    }
+
+    /// Changes the list of children that an entry is in.
+    fn update_children(&mut self, path: &str, change: impl FnOnce(&mut BTreeSet<String>, &str)) {
+        let (parent, name) = split_name(path);
+        if let Some(parent) = self.entries.get_mut(parent) {
+            change(&mut parent.children, name);
+            parent.children_version += 1;
+            parent.children_zxid = self.zxid;
         }
     }
-    if acl.is_empty() {
-        return Err(INVALID_ACL);
+
+    /// The paths of the ephemeral entries of a session.
+    pub(super) fn owned_by(&self, session: i64) -> Vec<String> {
+        let owned = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| entry.owner == session);
+        owned.map(|(path, _)| path.clone()).collect()
+    }
+
+    /// The changes that delete the ephemeral entries of a session.
+    pub(super) fn delete_owned_by(&self, session: i64) -> Vec<Change> {
+        let paths = self.owned_by(session).into_iter();
+        paths.map(|path| Change::Delete { path }).collect()
     }
-    Ok(acl)
 }
--- a/crates/testbed/tests/membership.rs
+++ b/crates/testbed/tests/membership.rs
@@ -7,7 +7,7 @@
 use reelfall_testbed::membership::{data, settings, Announced, PATH};
 use reelfall_testbed::node::Node;
 use reelfall_testbed::pool::{Manner, Server};
-use reelfall_testbed::registry::{digest_id, Registry};
+use reelfall_testbed::registry::{digest_id, AccessRule, EntrySnapshot, Registry};
 use reelfall_testbed::scenario::membership as scenario;
 use reelfall_testbed::scripted::Program;
 use std::io::{Read, Write};
@@ -241,11 +241,11 @@
     .await;
     let mut let_in = 0;
     for n in 0..RETURNS {
-        let (seen, asked) = (flappy.seen(), registry.counts().requests);
+        let (seen, asked) = (flappy.seen(), registry.counters().requests);
         entered = Announced::enter(&registry, &flappy, "flappy", 0);
         // Both services read it, and have heard of its last end before.
         until("the reading of its entry", async || {
-            registry.counts().requests >= asked + 2
+            registry.counters().requests >= asked + 2
         })
         .await;
         if n == 0 {
@@ -302,18 +302,18 @@
     let client = Client::new(node.address());
     until_sent_to(&client, &two, "before").await;
     // Members accept and say nothing; the sessions of the node run out meanwhile.
-    (0..3).for_each(|m| registry.freeze(m, true));
+    (0..3).for_each(|m| registry.set_member_frozen(m, true));
     entered.kill(&registry);
-    let expired = registry.counts().expired;
+    let expired = registry.counters().expired_sessions;
     until("the end of the node's sessions", async || {
-        registry.counts().expired >= expired + 2
+        registry.counters().expired_sessions >= expired + 2
     })
     .await;
     assert_eq!(served(&client, "silent", 100).await, 100);
     until_sent_to(&client, &one, "silent-one").await;
     until_sent_to(&client, &two, "silent-two").await;
     // Heard again, what happened meanwhile counts.
-    (0..3).for_each(|m| registry.freeze(m, false));
+    (0..3).for_each(|m| registry.set_member_frozen(m, false));
     until("the news", async || two.connections() == 0).await;
     let before = two.seen();
     assert_eq!(served(&client, "healed", 100).await, 100);
@@ -349,10 +349,10 @@
         String::from_utf8_lossy(&said.body).starts_with("registry heard "),
         "{said:?}"
     );
-    registry.drop_member(0, true);
+    registry.set_member_down(0, true);
     node.until_health("/_health/evaluate", false).await.unwrap();
     assert_eq!(served(&client, "stale", 5).await, 0);
-    registry.drop_member(0, false);
+    registry.set_member_down(0, false);
     node.until_health("/_health/evaluate", true).await.unwrap();
     // On a busy machine admission may hold back some of what comes first; that work is back is what matters here.
     until_sent_to(&client, &one, "fresh").await;
@@ -372,14 +372,14 @@
     // One member knows of the end at once, the other of nothing more for a while; then the one goes away.
     for (away, lags) in [(0, 1), (1, 0)] {
         // The node hears by the one. A node that is at the other from the start knows nothing yet, and is right.
-        registry.drop_member(lags, true);
+        registry.set_member_down(lags, true);
         until(
             "both sessions at the member that does not lag",
-            async || registry.connected(away) == 2,
+            async || registry.connected_sessions(away) == 2,
         )
         .await;
-        registry.drop_member(lags, false);
-        registry.lag(lags, Duration::from_millis(1500));
+        registry.set_member_down(lags, false);
+        registry.set_replication_lag(lags, Duration::from_millis(1500));
         if away == 0 {
             entered.kill(&registry);
         } else {
@@ -390,7 +390,7 @@
             two.connections() == 0
         })
         .await;
-        registry.drop_member(away, true);
+        registry.set_member_down(away, true);
         let before = two.seen();
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_millis(800) {
@@ -400,8 +400,8 @@
             );
         }
         assert_eq!(two.seen(), before, "an older list counted");
-        registry.lag(lags, Duration::ZERO);
-        registry.drop_member(away, false);
+        registry.set_replication_lag(lags, Duration::ZERO);
+        registry.set_member_down(away, false);
     }
 }
 
@@ -409,28 +409,28 @@
 async fn a_registry_that_comes_late_is_waited_for_and_lost_watches_heal() {
     let registry = Registry::start(3).await.unwrap();
     let one = server("one").await;
-    (0..3).for_each(|m| registry.drop_member(m, true));
+    (0..3).for_each(|m| registry.set_member_down(m, true));
     let settings = settings(&registry, ", reread = \"1s\"", "connect = \"100ms\"");
     let node = Node::start(&program(), &settings).await.unwrap();
     node.until_health("/_health", false).await.unwrap();
     let client = Client::new(node.address());
     assert_eq!(served(&client, "early", 3).await, 0);
     let mut entered = Announced::enter(&registry, &one, "one", 0);
-    (0..3).for_each(|m| registry.drop_member(m, false));
+    (0..3).for_each(|m| registry.set_member_down(m, false));
     node.until_health("/_health", true).await.unwrap();
     until_sent_to(&client, &one, "first").await;
     // Nobody tells of the next changes.
     let two = server("two").await;
-    registry.lose_watches(1000);
+    registry.drop_watch_events(1000);
     let _two = Announced::enter(&registry, &two, "two", 0);
     until_sent_to(&client, &two, "unheard").await;
-    registry.lose_watches(1000);
+    registry.drop_watch_events(1000);
     entered.kill(&registry);
     until("the end that no watch told", async || {
         one.connections() == 0
     })
     .await;
-    registry.lose_watches(0);
+    registry.drop_watch_events(0);
     entered = Announced::enter(&registry, &one, "one", 0);
     until_sent_to(&client, &one, "again").await;
     drop(entered);
@@ -522,10 +522,10 @@
     let client = Client::new(node.address());
     assert_eq!(served(&client, "honest", 100).await, 100);
     // Whoever it comes to next, its servers stay.
-    registry.drop_member(0, true);
+    registry.set_member_down(0, true);
     node.says("registry /flags/evaluate: ").await.unwrap();
     assert_eq!(served(&client, "lies", 100).await, 100);
-    registry.drop_member(0, false);
+    registry.set_member_down(0, false);
     assert_eq!(served(&client, "honest-again", 100).await, 100);
 }
 
@@ -546,25 +546,28 @@
     let mut node = Node::start(&program(), &text).await.unwrap();
     // Not ready: no server is there, and the old entry is nobody's business yet.
     node.until_health("/_health", false).await.unwrap();
-    assert_eq!(registry.get("/nodes/n1").map(|(_, owner)| owner), Some(old));
+    assert_eq!(
+        registry.entry("/nodes/n1").map(|entry| entry.owner),
+        Some(old)
+    );
     let _one = Announced::enter(&registry, &one, "one", 0);
     node.until_health("/_health", true).await.unwrap();
     let stands = || {
         registry
-            .get("/nodes/n1")
-            .filter(|(_, owner)| *owner != old && *owner != 0)
+            .entry("/nodes/n1")
+            .filter(|entry| entry.owner != old && entry.owner != 0)
     };
     until("its entry", async || stands().is_some()).await;
-    let (said, owner) = stands().unwrap();
+    let EntrySnapshot { data: said, owner } = stands().unwrap();
     let said: serde_json::Value = serde_json::from_slice(&said).unwrap();
     assert_eq!(
         (said["site"].as_str(), said["address"].as_str()),
         (Some("ikeja-dc"), Some(&*node.address().to_string()))
     );
     // Its session is killed: a new one makes it anew.
-    registry.kill(owner);
+    registry.expire_session(owner);
     until("its entry anew", async || {
-        stands().is_some_and(|(_, again)| again != owner)
+        stands().is_some_and(|again| again.owner != owner)
     })
     .await;
     // A request is under way at the end: the entry goes first.
@@ -579,7 +582,7 @@
     until("the request", async || one.seen() > seen || one.seen() > 0).await;
     node.signal("TERM").unwrap();
     until("the end of its entry", async || {
-        registry.get("/nodes/n1").is_none()
+        registry.entry("/nodes/n1").is_none()
     })
     .await;
     one.behave(|m| m.frozen = false);
@@ -593,13 +596,19 @@
     let registry = Registry::start(1).await.unwrap();
     let (own, strange) = (server("own").await, server("strange").await);
     let ops = digest_id("ops:secret");
-    let enter = |server: &Server, acl: &[(i32, &str, &str)]| {
+    let enter = |server: &Server, acl: &[AccessRule]| {
         let entered = Announced::enter(&registry, server, &server.name, 0);
         registry.set_acl(&format!("{PATH}/{}", server.name), acl);
         entered
     };
-    let _own = enter(&own, &[(31, "digest", &ops), (1, "world", "anyone")]);
-    let _strange = enter(&strange, &[(31, "world", "anyone")]);
+    let _own = enter(
+        &own,
+        &[
+            AccessRule::new(31, "digest", &ops),
+            AccessRule::new(1, "world", "anyone"),
+        ],
+    );
+    let _strange = enter(&strange, &[AccessRule::new(31, "world", "anyone")]);
     registry.put("/nodes", b"", 0);
     let secret = std::env::temp_dir().join(format!("reelfall-digest-{}", std::process::id()));
     std::fs::write(&secret, "ops:secret\n").unwrap();
@@ -616,23 +625,23 @@
     node.says("others than those that are trusted may change it")
         .await
         .unwrap();
-    until("its entry", async || registry.get("/nodes/n1").is_some()).await;
+    until("its entry", async || registry.entry("/nodes/n1").is_some()).await;
     let acl = registry.acl("/nodes/n1");
     assert!(
-        acl.contains(&(31, "digest".to_owned(), ops))
-            && acl.contains(&(1, "world".to_owned(), "anyone".to_owned()))
+        acl.contains(&AccessRule::new(31, "digest", &ops))
+            && acl.contains(&AccessRule::new(1, "world", "anyone"))
     );
     assert_eq!(acl.len(), 2, "{acl:?}");
     node.signal("TERM").unwrap();
     assert!(node.ended().await.unwrap());
-    assert!(registry.get("/nodes/n1").is_none());
+    assert!(registry.entry("/nodes/n1").is_none());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn known_servers_are_served_until_the_registry_is_heard() {
     let registry = Registry::start(1).await.unwrap();
     let (known, listed) = (server("known").await, server("listed").await);
-    registry.drop_member(0, true);
+    registry.set_member_down(0, true);
     let follow = format!(
         ", known = [{{ name = \"known\", address = \"{}\" }}]",
         known.address
@@ -642,7 +651,7 @@
     assert_eq!(served(&client, "known", 20).await, 20);
     assert_eq!(known.seen(), 20);
     let _listed = Announced::enter(&registry, &listed, "listed", 0);
-    registry.drop_member(0, false);
+    registry.set_member_down(0, false);
     until_sent_to(&client, &listed, "heard").await;
     // What the registry does not list is not there.
     let before = known.seen();
