--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -25,7 +25,7 @@
 
 async fn run(cli: Cli) -> reelfall_testbed::Result<bool> {
     let program = match cli.node {
-        Some(path) => Program::alone(path),
+        Some(path) => Program::standalone(path),
         None => Program::in_testbed(std::env::current_exe()?),
     };
     match cli.command {
--- a/crates/capacity/src/scale/real.rs
+++ b/crates/capacity/src/scale/real.rs
@@ -45,9 +45,9 @@
     fn keep(mut node: Node) -> Running {
         let (address, pid) = (node.address(), node.pid());
         let task = reelfall_testbed::task(async move {
-            while node.line().await.is_some() {}
+            while node.next_log_line().await.is_some() {}
             // Waited for, so that no process is left behind.
-            let _ = node.ended().await;
+            let _ = node.wait_for_exit().await;
         });
         Running {
             address,
@@ -86,7 +86,7 @@
         for n in 0..count {
             let text = settings(n, count, network, &key, &servers, discovery.address);
             let node = Node::start(program, &text).await?;
-            node.until_health("/_health", true).await?;
+            node.wait_for_health("/_health", true).await?;
             if let Some(address) = node.fleet {
                 network.add_outside(address, n % ZONES);
             }
--- a/crates/testbed/examples/reload/main.rs
+++ b/crates/testbed/examples/reload/main.rs
@@ -190,8 +190,8 @@
         pools.push(pool);
     }
     let first = settings::text(&size, &lists, 0);
-    let mut node = Node::start(&Program::alone(&arguments.program), &first).await?;
-    node.until_health("/_health/service-0", true).await?;
+    let mut node = Node::start(&Program::standalone(&arguments.program), &first).await?;
+    node.wait_for_health("/_health/service-0", true).await?;
     let address = node.address();
     // The first requests open connections and teach the modules.
     load::run(address, &kinds(rate, "warm"), 2 * WINDOW, 1).await;
--- a/crates/testbed/src/commands/measure.rs
+++ b/crates/testbed/src/commands/measure.rs
@@ -30,7 +30,7 @@
         rounds: args.rounds,
         time: Duration::from_secs_f64(args.seconds),
         rate: args.rate,
-        old: args.old.map(Program::alone),
+        old: args.old.map(Program::standalone),
     };
     let figures = match args.name.as_str() {
         "services" => measure::services::run(program, &plan).await?,
--- a/crates/testbed/src/commands/stand_ins.rs
+++ b/crates/testbed/src/commands/stand_ins.rs
@@ -120,11 +120,11 @@
 /// Runs a network path with faults.
 pub async fn run_link(args: &LinkArgs) -> Result<()> {
     let link = Link::start(args.to).await?;
-    link.fault(|fault| {
+    link.update_faults(|fault| {
         fault.delay = Duration::from_millis(args.delay_ms);
-        fault.cut_to_server = args.cut;
-        fault.throttle = args.throttle;
-        fault.deaf = args.deaf;
+        fault.cut_after_bytes_to_server = args.cut;
+        fault.bytes_per_second = args.throttle;
+        fault.drops_responses = args.deaf;
     });
     print_ready(json!({ "link": link.address.to_string() }));
     until_ended().await;
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,7 +1,7 @@
 //! A node with its stand-ins, to be tried by hand.
 
-use crate::membership::{settings, Announced};
-use crate::node::{until_health, Node};
+use crate::membership::{node_settings, RegisteredServer};
+use crate::node::{wait_for_health, Node};
 use crate::pool::{Manner, Pool};
 use crate::registry::{control, Registry};
 use crate::scenario::services::Fleet;
@@ -18,13 +18,13 @@
 pub async fn services(program: &Program) -> Result<()> {
     let fleet = Fleet::start(7).await?;
     let node = Node::start(program, &fleet.settings("127.0.0.1:0")).await?;
-    until_health(node.address(), "/_health", true).await?;
+    wait_for_health(node.address(), "/_health", true).await?;
     let address = node.address().to_string();
     println!(
         "{}",
         json!({ "ready": true, "addresses": { "client": address } })
     );
-    eprintln!("the settings: {}", node.file().display());
+    eprintln!("the settings: {}", node.settings_file().display());
     eprintln!("curl -i -H 'Host: flags.example.org' http://{address}/api/flags");
     eprintln!("curl -i -H 'Host: admin.example.org' -d '{{}}' http://{address}/api/flags");
     eprintln!("curl -i -H 'Host: rollout.example.org' -d '{{}}' http://{address}/api/flags");
@@ -41,13 +41,13 @@
     let manner = Manner::good(Duration::from_millis(5));
     let pool = Pool::running("graphql", 3, 16, manner, 7, &crate::graphql::app()).await?;
     let node = Node::start(program, &crate::graphql::settings(&pool, "")).await?;
-    until_health(node.address(), "/_health", true).await?;
+    wait_for_health(node.address(), "/_health", true).await?;
     let address = node.address().to_string();
     println!(
         "{}",
         json!({ "ready": true, "addresses": { "client": address } })
     );
-    eprintln!("the settings: {}", node.file().display());
+    eprintln!("the settings: {}", node.settings_file().display());
     eprintln!(
         "curl -i -H 'Content-Type: application/json' -d '{{\"query\":\"{{ evaluate(flag: \\\"x\\\") {{ on }} }}\"}}' http://{address}/graphql"
     );
@@ -66,15 +66,15 @@
 pub async fn membership(program: &Program) -> Result<()> {
     let registry = Arc::new(Registry::start(3).await?);
     let pool = Pool::start("flags", 4, Manner::good(Duration::from_millis(5)), 7).await?;
-    let entered: Vec<Announced> = pool
+    let entered: Vec<RegisteredServer> = pool
         .servers
         .iter()
-        .map(|s| Announced::enter(&registry, s, &s.name, 0))
+        .map(|s| RegisteredServer::register(&registry, s, &s.name, 0))
         .collect();
     let entry = "[registry.entry]\npath = \"/nodes/demo\"\nname = \"demo\"\nsite = \"here\"";
     registry.put("/nodes", b"", 0);
-    let node = Node::start(program, &settings(&registry, "", entry)).await?;
-    until_health(node.address(), "/_health", true).await?;
+    let node = Node::start(program, &node_settings(&registry, "", entry)).await?;
+    wait_for_health(node.address(), "/_health", true).await?;
     let controls = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
     let (address, control) = (
         node.address().to_string(),
@@ -85,7 +85,7 @@
         addresses[format!("m{}", n + 1)] = member.to_string().into();
     }
     println!("{}", json!({ "ready": true, "addresses": addresses }));
-    eprintln!("the settings: {}", node.file().display());
+    eprintln!("the settings: {}", node.settings_file().display());
     eprintln!("curl -i -H 'Host: evaluate.example.org' http://{address}/api/flags");
     eprintln!("curl -i -H 'Host: toggle.example.org' -d '{{}}' http://{address}/api/flags");
     for entry in &entered {
--- a/crates/testbed/src/fleet/processes.rs
+++ b/crates/testbed/src/fleet/processes.rs
@@ -35,11 +35,11 @@
         self.set_client_address(node, Some(address));
         let history = self.history.clone();
         let log_reader = crate::task(async move {
-            while let Some(line) = process.line().await {
+            while let Some(line) = process.next_log_line().await {
                 history.record(Event::Logged { node, line });
             }
             // Owned until its end and waited for, so that no process is left behind.
-            let _ = process.ended().await;
+            let _ = process.wait_for_exit().await;
             history.record(Event::Exited { node });
         });
         self.nodes[node].process = Some(RunningNode {
--- a/crates/testbed/src/fleet/start.rs
+++ b/crates/testbed/src/fleet/start.rs
@@ -6,7 +6,7 @@
 use super::{server_name, FleetNode, FleetSpec, TestFleet};
 use crate::discovery::{Discovery, Listed};
 use crate::link::Link;
-use crate::node::{until_health, Folder};
+use crate::node::{wait_for_health, Folder};
 use crate::pool::{Manner, Server};
 use crate::scripted::Program;
 use crate::Result;
@@ -72,7 +72,7 @@
         }
         for node in 0..self.node_count() {
             if let Some(address) = self.address(node) {
-                until_health(address, "/_health", true).await?;
+                wait_for_health(address, "/_health", true).await?;
             }
         }
         Ok(())
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -47,7 +47,7 @@
 /// Runs a command; returns whether all that it checks holds.
 async fn run(cli: Cli) -> Result<bool> {
     let program = match cli.node {
-        Some(path) => Program::alone(path),
+        Some(path) => Program::standalone(path),
         None => Program::in_testbed(std::env::current_exe()?),
     };
     match cli.command {
--- a/crates/testbed/src/measure/graphql.rs
+++ b/crates/testbed/src/measure/graphql.rs
@@ -151,7 +151,7 @@
         ),
     ] {
         let node = Node::start(program, &settings(&pool)).await?;
-        node.until_health("/_health", true).await?;
+        node.wait_for_health("/_health", true).await?;
         let subject = Subject::new(name, node, vec![kind(name, path, &body, rate)]);
         load::run(subject.address, &subject.kinds, Duration::from_secs(1), 1).await;
         subjects.push(subject);
@@ -214,7 +214,7 @@
             .replace("deadline = \"2s\"", "deadline = \"55s\"")
             .replace("other_query", "side_by_side = 1\nother_query");
     let node = Node::start(program, &settings).await?;
-    node.until_health("/_health", true).await?;
+    node.wait_for_health("/_health", true).await?;
     let before = memory_kib(node.pid())?;
     let client = Arc::new(Client::new(node.address()));
     let mut running = JoinSet::new();
--- a/crates/testbed/src/measure/membership.rs
+++ b/crates/testbed/src/measure/membership.rs
@@ -1,195 +1,275 @@
-//! What following a registry costs: entries at rest and in motion, healing, and a request against one with a static list.
+//! The measurement `membership`: what following a registry costs. Entries at rest and while they change, recovery after a lost
+//! member or session, and the processor time of a request against that with a static list.
 
 use super::{median, one_round, round1, Plan, Subject};
 use crate::load;
-use crate::membership::{kind, settings, Announced, PATH};
+use crate::membership::{node_settings, request_kind, RegisteredServer, SERVERS_PATH};
 use crate::node::{cpu_seconds, memory_kib, Node, WAIT_TIMEOUT};
 use crate::pool::{Manner, Pool};
 use crate::registry::Registry;
 use crate::scripted::Program;
 use crate::Result;
-use serde_json::{json, Value};
+use serde_json::{json, Map, Value};
 use std::time::{Duration, Instant};
 
-/// Changes a second while entries are in motion.
-const CHANGES: u64 = 1_000;
+/// Numbers of entries that are measured.
+const ENTRY_COUNTS: [usize; 3] = [50, 500, 5_000];
+/// Changes a second while entries change.
+const CHANGES_PER_SECOND: u64 = 1_000;
+/// Interval at which the changes that are due are made.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(10);
+/// Pools of a node that follow the entries: one for each service.
+const POOLS: usize = 2;
+/// Until a node that has started is at rest.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
+/// Until a node has handled the last change.
+const DRAIN_TIME: Duration = Duration::from_millis(300);
+/// Members of the registry whose loss is measured.
+const MEMBERS: usize = 3;
+/// Lost members, and expired sessions.
+const RECOVERIES: usize = 10;
+/// Time between a recovery and the next fault.
+const PAUSE: Duration = Duration::from_millis(200);
+/// Requests of a node for a recovery: for each pool a sync, a watch, the list and both entries.
+const RECOVERY_REQUESTS: u64 = 10;
+/// Load before the first round, so that connections are open.
+const WARM_UP: Duration = Duration::from_secs(1);
+const WARM_UP_SEED: u64 = 1;
+const POOL_SEED: u64 = 1;
 
-/// Runs all measurements and gives the figures.
+/// Runs all measurements and returns the figures.
 ///
 /// # Errors
-/// If a stand-in or a node can't be started.
+/// Fails if a stand-in or a node can't be started.
 pub async fn run(program: &Program, plan: &Plan) -> Result<Value> {
-    let mut figures = serde_json::Map::new();
-    let mut of_entries = serde_json::Map::new();
-    for n in [50, 500, 5_000] {
-        of_entries.insert(n.to_string(), entries(program, n, plan.time).await?);
+    let mut by_count = Map::new();
+    for count in ENTRY_COUNTS {
+        let figures = measure_entries(program, count, plan.time).await?;
+        by_count.insert(count.to_string(), figures);
     }
-    figures.insert("entries".to_owned(), Value::Object(of_entries));
-    figures.insert("healing_ms".to_owned(), healing(program).await?);
-    figures.insert("requests".to_owned(), requests(program, plan).await?);
+    let mut figures = Map::new();
+    figures.insert("entries".to_owned(), Value::Object(by_count));
+    figures.insert("healing_ms".to_owned(), measure_recovery(program).await?);
+    figures.insert(
+        "requests".to_owned(),
+        measure_requests(program, plan).await?,
+    );
     Ok(Value::Object(figures))
 }
 
-/// An entry of a server that nobody asks, since it drains.
-fn entry(n: usize, round: u64) -> Vec<u8> {
-    let address = format!("127.{}.{}.{}:9", 10 + round % 100, n / 250, 1 + n % 250);
+/// The data of an entry of a server that is draining, so that no request is sent to it. Each round has another address.
+fn draining_entry(index: usize, round: u64) -> Vec<u8> {
+    let address = format!(
+        "127.{}.{}.{}:9",
+        10 + round % 100,
+        index / 250,
+        1 + index % 250
+    );
     format!("{{\"address\":\"{address}\",\"state\":\"draining\",\"zone\":\"a\",\"started\":1000}}")
         .into_bytes()
 }
 
-/// Two pools that follow so many entries.
-async fn entries(program: &Program, n: usize, time: Duration) -> Result<Value> {
+fn entry_path(index: usize) -> String {
+    format!("{SERVERS_PATH}/s{index}")
+}
+
+/// Starts a node that follows the registry, and waits until it serves.
+async fn start_node(program: &Program, registry: &Registry, registry_lines: &str) -> Result<Node> {
+    let node = Node::start(program, &node_settings(registry, "", registry_lines)).await?;
+    node.wait_for_health("/_health", true).await?;
+    Ok(node)
+}
+
+fn register_all(registry: &Registry, pool: &Pool) -> Vec<RegisteredServer> {
+    let servers = pool.servers.iter();
+    servers
+        .map(|server| RegisteredServer::register(registry, server, &server.name, 0))
+        .collect()
+}
+
+/// What a process and the registry have used until a time.
+struct Usage {
+    cpu_seconds: f64,
+    bytes_sent: u64,
+}
+
+impl Usage {
+    fn read(node: &Node, registry: &Registry) -> Result<Usage> {
+        Ok(Usage {
+            cpu_seconds: cpu_seconds(node.pid())?,
+            bytes_sent: registry.counters().bytes_sent,
+        })
+    }
+
+    /// What has been used since then.
+    fn since(&self, node: &Node, registry: &Registry) -> Result<Usage> {
+        let now = Usage::read(node, registry)?;
+        Ok(Usage {
+            cpu_seconds: now.cpu_seconds - self.cpu_seconds,
+            bytes_sent: now.bytes_sent - self.bytes_sent,
+        })
+    }
+}
+
+/// A node with two pools that follow so many entries.
+async fn measure_entries(program: &Program, count: usize, duration: Duration) -> Result<Value> {
     let registry = Registry::start(1).await?;
-    let pool = Pool::start("real", 1, Manner::good(Duration::from_millis(1)), 1).await?;
-    let _real = Announced::enter(&registry, &pool.servers[0], "real", 0);
-    // What a node needs without any of them.
-    let node = Node::start(program, &settings(&registry, "", "")).await?;
-    node.until_health("/_health", true).await?;
-    let bare = memory_kib(node.pid())?;
+    let manner = Manner::good(Duration::from_millis(1));
+    let pool = Pool::start("real", 1, manner, POOL_SEED).await?;
+    let _real = RegisteredServer::register(&registry, &pool.servers[0], "real", 0);
+    let node = start_node(program, &registry, "").await?;
+    let memory_without_entries = memory_kib(node.pid())?;
     drop(node);
     let session = registry.open_session();
-    (0..n).for_each(|i| registry.put(&format!("{PATH}/s{i}"), &entry(i, 0), session));
-    let begun = Instant::now();
-    let node = Node::start(program, &settings(&registry, "", "")).await?;
-    node.until_health("/_health", true).await?;
-    let ready_ms = begun.elapsed().as_secs_f64() * 1e3;
-    tokio::time::sleep(Duration::from_millis(500)).await;
-    let held = memory_kib(node.pid())?;
-    // At rest.
-    let (cpu, bytes) = (cpu_seconds(node.pid())?, registry.counters().bytes_sent);
-    tokio::time::sleep(time).await;
-    let rest_cpu = cpu_seconds(node.pid())? - cpu;
-    let rest_bytes = registry.counters().bytes_sent - bytes;
-    // In motion: data changes, in steps of ten milliseconds.
-    let (cpu, bytes, begun) = (
-        cpu_seconds(node.pid())?,
-        registry.counters().bytes_sent,
-        Instant::now(),
-    );
-    let mut made = 0u64;
-    while begun.elapsed() < time {
-        let due = (begun.elapsed().as_secs_f64() * CHANGES as f64) as u64;
-        while made < due {
-            made += 1;
-            let i = made as usize % n;
-            registry.put(
-                &format!("{PATH}/s{i}"),
-                &entry(i, 1 + made / n as u64),
-                session,
-            );
-        }
-        tokio::time::sleep(Duration::from_millis(10)).await;
+    for index in 0..count {
+        registry.put(&entry_path(index), &draining_entry(index, 0), session);
     }
-    tokio::time::sleep(Duration::from_millis(300)).await;
-    let churn_cpu = cpu_seconds(node.pid())? - cpu;
-    let churn_bytes = registry.counters().bytes_sent - bytes;
-    let seconds = time.as_secs_f64();
+    let started = Instant::now();
+    let node = start_node(program, &registry, "").await?;
+    let ready_ms = started.elapsed().as_secs_f64() * 1e3;
+    tokio::time::sleep(SETTLE_TIME).await;
+    let memory = memory_kib(node.pid())?;
+    let before = Usage::read(&node, &registry)?;
+    tokio::time::sleep(duration).await;
+    let at_rest = before.since(&node, &registry)?;
+    let before = Usage::read(&node, &registry)?;
+    let changes = change_entries(&registry, session, count, duration).await;
+    tokio::time::sleep(DRAIN_TIME).await;
+    let in_motion = before.since(&node, &registry)?;
+    let seconds = duration.as_secs_f64();
+    let pool_changes = (POOLS as u64 * changes) as f64;
+    let kib_per_entry = (memory as f64 - memory_without_entries as f64) / (POOLS * count) as f64;
     Ok(json!({
         "ready_ms": round1(ready_ms),
-        "kib_for_each_and_pool": ((held as f64 - bare as f64) / (2 * n) as f64 * 100.0).round() / 100.0,
-        "rest_cpu_percent": round1(rest_cpu / seconds * 100.0),
-        "rest_bytes_a_second": round1(rest_bytes as f64 / seconds),
-        "changes": made,
-        "cpu_us_for_each_change_and_pool": round1(churn_cpu * 1e6 / (2 * made) as f64),
-        "bytes_for_each_change_and_pool": round1(churn_bytes as f64 / (2 * made) as f64),
-        "kib_grown_in_motion": memory_kib(node.pid())?.saturating_sub(held),
+        "kib_for_each_and_pool": (kib_per_entry * 100.0).round() / 100.0,
+        "rest_cpu_percent": round1(at_rest.cpu_seconds / seconds * 100.0),
+        "rest_bytes_a_second": round1(at_rest.bytes_sent as f64 / seconds),
+        "changes": changes,
+        "cpu_us_for_each_change_and_pool": round1(in_motion.cpu_seconds * 1e6 / pool_changes),
+        "bytes_for_each_change_and_pool": round1(in_motion.bytes_sent as f64 / pool_changes),
+        "kib_grown_in_motion": memory_kib(node.pid())?.saturating_sub(memory),
     }))
 }
 
-/// From a member's end, and from that of the node's sessions, until all has been read again.
-async fn healing(program: &Program) -> Result<Value> {
-    let registry = Registry::start(3).await?;
-    let pool = Pool::start("real", 2, Manner::good(Duration::from_millis(1)), 1).await?;
-    let entered: Vec<Announced> = pool
-        .servers
-        .iter()
-        .map(|s| Announced::enter(&registry, s, &s.name, 0))
-        .collect();
-    let node = Node::start(program, &settings(&registry, "", "connect = \"500ms\"")).await?;
-    node.until_health("/_health", true).await?;
-    let servers: Vec<i64> = entered.iter().map(|e| e.session).collect();
-    let of_node = || -> Vec<i64> {
-        registry
-            .sessions()
-            .into_iter()
-            .filter(|s| !servers.contains(s))
-            .collect()
-    };
-    // Each pool asks for a sync, a watch, the list, and both entries.
-    let asked_again = async |before: u64| -> Result<f64> {
-        let begun = Instant::now();
-        while registry.counters().requests < before + 10 {
-            if begun.elapsed() > WAIT_TIMEOUT {
-                return Err("it does not heal".into());
-            }
-            tokio::time::sleep(Duration::from_millis(1)).await;
+/// Changes entries for a while; returns the number of changes.
+async fn change_entries(
+    registry: &Registry,
+    session: i64,
+    count: usize,
+    duration: Duration,
+) -> u64 {
+    let started = Instant::now();
+    let mut changes = 0u64;
+    while started.elapsed() < duration {
+        let due = (started.elapsed().as_secs_f64() * CHANGES_PER_SECOND as f64) as u64;
+        while changes < due {
+            changes += 1;
+            let index = changes as usize % count;
+            let round = 1 + changes / count as u64;
+            registry.put(&entry_path(index), &draining_entry(index, round), session);
         }
-        Ok(begun.elapsed().as_secs_f64() * 1e3)
-    };
-    let (mut failed_over, mut expired) = (vec![], vec![]);
-    for _ in 0..10 {
-        // Whichever members they are at: two go, so that both pools come to the third.
+        tokio::time::sleep(CHANGE_INTERVAL).await;
+    }
+    changes
+}
+
+/// From the loss of a member, and from the expiry of the node's sessions, until the node has read everything again.
+async fn measure_recovery(program: &Program) -> Result<Value> {
+    let registry = Registry::start(MEMBERS).await?;
+    let manner = Manner::good(Duration::from_millis(1));
+    let pool = Pool::start("real", 2, manner, POOL_SEED).await?;
+    let registered = register_all(&registry, &pool);
+    let _node = start_node(program, &registry, "connect = \"500ms\"").await?;
+    let server_sessions: Vec<i64> = registered.iter().map(|server| server.session).collect();
+    let (mut fail_over_ms, mut expiry_ms) = (vec![], vec![]);
+    for _ in 0..RECOVERIES {
+        // Both pools end at the last member, whichever they are connected to.
         let before = registry.counters().requests;
-        (0..3).for_each(|m| registry.set_member_down(m, true));
-        registry.set_member_down(2, false);
-        failed_over.push(asked_again(before).await?);
-        (0..2).for_each(|m| registry.set_member_down(m, false));
-        tokio::time::sleep(Duration::from_millis(200)).await;
+        for member in 0..MEMBERS {
+            registry.set_member_down(member, true);
+        }
+        registry.set_member_down(MEMBERS - 1, false);
+        fail_over_ms.push(recovery_ms(&registry, before).await?);
+        for member in 0..MEMBERS - 1 {
+            registry.set_member_down(member, false);
+        }
+        tokio::time::sleep(PAUSE).await;
         let before = registry.counters().requests;
-        for session in of_node() {
+        let sessions = registry.sessions().into_iter();
+        for session in sessions.filter(|session| !server_sessions.contains(session)) {
             registry.expire_session(session);
         }
-        expired.push(asked_again(before).await?);
-        tokio::time::sleep(Duration::from_millis(200)).await;
+        expiry_ms.push(recovery_ms(&registry, before).await?);
+        tokio::time::sleep(PAUSE).await;
     }
-    let most = |of: &[f64]| of.iter().copied().fold(0.0, f64::max);
+    let maximum = |values: &[f64]| values.iter().copied().fold(0.0, f64::max);
     Ok(json!({
-        "fail_over_median": round1(median(failed_over.iter().copied())), "fail_over_most": round1(most(&failed_over)),
-        "expiry_median": round1(median(expired.iter().copied())), "expiry_most": round1(most(&expired)),
+        "fail_over_median": round1(median(fail_over_ms.iter().copied())),
+        "fail_over_most": round1(maximum(&fail_over_ms)),
+        "expiry_median": round1(median(expiry_ms.iter().copied())),
+        "expiry_most": round1(maximum(&expiry_ms)),
     }))
 }
 
-/// Processor time for a request, with a static list and with a registry's.
-async fn requests(program: &Program, plan: &Plan) -> Result<Value> {
+/// How long it takes until the node has sent the requests of a recovery, after `before` ones.
+async fn recovery_ms(registry: &Registry, before: u64) -> Result<f64> {
+    let started = Instant::now();
+    while registry.counters().requests < before + RECOVERY_REQUESTS {
+        if started.elapsed() > WAIT_TIMEOUT {
+            return Err("it does not heal".into());
+        }
+        tokio::time::sleep(Duration::from_millis(1)).await;
+    }
+    Ok(started.elapsed().as_secs_f64() * 1e3)
+}
+
+/// Processor time of a request, with a static list and with that of a registry.
+async fn measure_requests(program: &Program, plan: &Plan) -> Result<Value> {
     let registry = Registry::start(1).await?;
-    let pool = Pool::start("flags", 8, Manner::good(Duration::from_millis(2)), 1).await?;
-    let _entered: Vec<Announced> = pool
-        .servers
-        .iter()
-        .map(|s| Announced::enter(&registry, s, &s.name, 0))
-        .collect();
-    let follows = settings(&registry, "", "");
-    let listed = follows
-        .split("[[service]]")
-        .map(|part| match part.contains("registry = {") {
-            true => {
-                let lines = part.lines().filter(|l| !l.starts_with("registry = {"));
-                lines.collect::<Vec<_>>().join("\n") + "\n" + &pool.listed()
-            }
-            false => part.to_owned(),
-        });
-    let listed = listed.collect::<Vec<_>>().join("[[service]]");
+    let manner = Manner::good(Duration::from_millis(2));
+    let pool = Pool::start("flags", 8, manner, POOL_SEED).await?;
+    let _registered = register_all(&registry, &pool);
+    let following = node_settings(&registry, "", "");
+    let with_list = with_static_list(&following, &pool);
     let mut subjects = Vec::new();
-    for (name, text) in [("static_list", &listed), ("registry", &follows)] {
-        let node = Node::start(program, text).await?;
-        node.until_health("/_health", true).await?;
-        let subject = Subject::new(name, node, vec![kind(name, "evaluate", plan.rate)]);
-        load::run(subject.address, &subject.kinds, Duration::from_secs(1), 1).await;
+    for (name, settings) in [("static_list", &with_list), ("registry", &following)] {
+        let node = Node::start(program, settings).await?;
+        node.wait_for_health("/_health", true).await?;
+        let kinds = vec![request_kind(name, "evaluate", plan.rate)];
+        let subject = Subject::new(name, node, kinds);
+        load::run(subject.address, &subject.kinds, WARM_UP, WARM_UP_SEED).await;
         subjects.push(subject);
     }
     for round in 0..plan.rounds {
-        for n in 0..2 {
-            one_round(&mut subjects[(n + round) % 2], plan, round as u64).await?;
+        // In turn, so that neither is always the first.
+        for position in 0..subjects.len() {
+            let index = (position + round) % subjects.len();
+            one_round(&mut subjects[index], plan, round as u64).await?;
         }
     }
-    let ratio = median(
-        subjects[1]
-            .cpu
-            .iter()
-            .zip(&subjects[0].cpu)
-            .map(|(a, b)| a / b),
-    );
+    let (static_list, registry) = (&subjects[0], &subjects[1]);
+    let rounds = registry.cpu.iter().zip(&static_list.cpu);
+    let ratio = median(rounds.map(|(registry, static_list)| registry / static_list));
     Ok(json!({
-        "static_list": subjects[0].figures(), "registry": subjects[1].figures(), "registry_over_static": ratio,
+        "static_list": static_list.figures(),
+        "registry": registry.figures(),
+        "registry_over_static": ratio,
     }))
 }
+
+/// The same settings with the servers of the pool in place of the registry.
+fn with_static_list(settings: &str, pool: &Pool) -> String {
+    let is_registry_line = |line: &&str| line.starts_with("registry = {");
+    let replace = |part: &str| {
+        if !part.contains("registry = {") {
+            return part.to_owned();
+        }
+        let other_lines: Vec<&str> = part
+            .lines()
+            .filter(|line| !is_registry_line(line))
+            .collect();
+        other_lines.join("\n") + "\n" + &pool.listed()
+    };
+    let parts: Vec<String> = settings.split("[[service]]").map(replace).collect();
+    parts.join("[[service]]")
+}
--- a/crates/testbed/src/measure/services.rs
+++ b/crates/testbed/src/measure/services.rs
@@ -3,7 +3,7 @@
 use super::{median, one_round, round1, Plan, Subject};
 use crate::discovery::{Discovery, Listed};
 use crate::load::{self, Kind};
-use crate::node::{cpu_seconds, memory_kib, until_health, Folder, Node, WAIT_TIMEOUT};
+use crate::node::{cpu_seconds, memory_kib, wait_for_health, Folder, Node, WAIT_TIMEOUT};
 use crate::pool::{Manner, Pool};
 use crate::scripted::Program;
 use crate::{Draw, Result};
@@ -33,7 +33,7 @@
     program: &Program,
     discovery: SocketAddr,
 ) -> Result<(SocketAddr, Child, Folder)> {
-    let port = crate::ports::Port::take()?;
+    let port = crate::ports::Port::reserve()?;
     let address = port.address();
     let folder = Folder::new()?;
     let file = folder.path().join("config.json");
@@ -53,7 +53,7 @@
         .stdout(Stdio::null())
         .kill_on_drop(true);
     let child = command.spawn()?;
-    until_health(address, "/_health", true).await?;
+    wait_for_health(address, "/_health", true).await?;
     Ok((address, child, folder))
 }
 
@@ -134,7 +134,7 @@
     ));
     let three = settings(|n| pools[n].listed(), pools.len(), "");
     let node = Node::start(program, &three).await?;
-    node.until_health("/_health", true).await?;
+    node.wait_for_health("/_health", true).await?;
     let kinds = (0..3).map(|n| {
         request(
             &format!("three{n}"),
@@ -179,7 +179,7 @@
     let mut cost = Vec::new();
     for limits in ["", "limits = { rate = \"1/s\", burst = 1 }\n"] {
         let node = Node::start(program, &settings(|_| pool.listed(), 1, limits)).await?;
-        node.until_health("/_health", true).await?;
+        node.wait_for_health("/_health", true).await?;
         let mut ratios = Vec::new();
         for round in 0..plan.rounds.min(3) {
             let kind = request(
@@ -211,7 +211,7 @@
     let mut held = Vec::new();
     for services in [1, 101] {
         let node = Node::start(program, &settings(servers, services, "")).await?;
-        node.until_health("/_health", true).await?;
+        node.wait_for_health("/_health", true).await?;
         held.push(memory_kib(node.pid())? as f64);
     }
     Ok(json!(round1((held[1] - held[0]) / 100.0)))
--- a/crates/testbed/src/membership.rs
+++ b/crates/testbed/src/membership.rs
@@ -1,84 +1,93 @@
-//! Servers that have entries in a registry, and the settings of a node that follows them.
+//! Servers that are registered in a registry, and the settings of a node that follows their entries.
+//!
+//! The demo, the scenario and the measurement `membership` and the tests of registries call it.
 
+use crate::load::Kind;
 use crate::pool::Server;
 use crate::registry::Registry;
 use serde_json::json;
 use std::time::Duration;
 
-/// Where the entries of servers are.
-pub const PATH: &str = "/flags/evaluate";
+/// Path of the servers' entries.
+pub const SERVERS_PATH: &str = "/flags/evaluate";
+/// Deadline of requests of both services.
+const DEADLINE: Duration = Duration::from_secs(2);
 
-/// A server's entry, with a session that lives until it is killed.
-pub struct Announced {
-    /// The server's name, and the entry's.
+/// A server with an ephemeral entry, whose session lives until it is expired.
+pub struct RegisteredServer {
+    /// Name of the server and of its entry.
     pub name: String,
-    /// The session that it ends with.
+    /// The session that owns the entry.
     pub session: i64,
 }
 
-/// What an entry says. `started` is in milliseconds of Unix time; 0 for long ago.
-pub fn data(address: &str, started: u64) -> Vec<u8> {
-    json!({ "address": address, "zone": "a", "started": started })
+/// The data of a server's entry. `started_ms` is in milliseconds of Unix time; 0 for long ago.
+pub fn entry_data(address: &str, started_ms: u64) -> Vec<u8> {
+    json!({ "address": address, "zone": "a", "started": started_ms })
         .to_string()
         .into_bytes()
 }
 
-impl Announced {
-    /// A server enters itself with a new session.
-    pub fn enter(registry: &Registry, server: &Server, name: &str, started: u64) -> Announced {
+impl RegisteredServer {
+    /// Registers a server with a new session.
+    pub fn register(
+        registry: &Registry,
+        server: &Server,
+        name: &str,
+        started_ms: u64,
+    ) -> RegisteredServer {
         let session = registry.open_session();
-        registry.put(
-            &format!("{PATH}/{name}"),
-            &data(&server.address.to_string(), started),
-            session,
-        );
-        Announced {
+        let data = entry_data(&server.address.to_string(), started_ms);
+        registry.put(&format!("{SERVERS_PATH}/{name}"), &data, session);
+        RegisteredServer {
             name: name.to_owned(),
             session,
         }
     }
 
-    /// Its session ends, though its process may go on.
-    pub fn kill(&self, registry: &Registry) {
+    /// Expires the session. The server's process continues.
+    pub fn expire_session(&self, registry: &Registry) {
         registry.expire_session(self.session);
     }
 }
 
-/// The settings of a registry, and of a node with a service `evaluate` (safe, `GET`) and one `toggle` (unsafe, `POST`)
-/// that follow the same entries. `follow` goes into the services' registry part, `more` into the registry's.
-pub fn settings(registry: &Registry, follow: &str, more: &str) -> String {
+/// The settings of a node with the services `evaluate` (idempotent, `GET`) and `toggle` (at most once, `POST`), which both
+/// follow the entries of the servers. `service_options` are added to the registry of each service, `registry_lines` to the
+/// part of the registry.
+pub fn node_settings(registry: &Registry, service_options: &str, registry_lines: &str) -> String {
     let members: Vec<String> = registry
         .members
         .iter()
-        .map(|m| format!("\"{m}\""))
+        .map(|member| format!("\"{member}\""))
         .collect();
-    let service = |name: &str, repeat: &str| {
-        format!(
-            "[[service]]\nname = \"{name}\"\nregistry = {{ name = \"main\", path = \"{PATH}\"{follow} }}\n\
-             tries = {{ most = 4, retry_share = 1.0 }}\n\
-             [[service.class]]\nname = \"{name}\"\nrepeat = \"{repeat}\"\naim = \"200ms\"\ndeadline = \"2s\"\n\
-             [[service.route]]\nhost = \"{name}.example.org\"\npath = \"/api\"\n\n"
-        )
-    };
     format!(
         "[[listener]]\nname = \"client\"\naddress = \"127.0.0.1:0\"\n\n[[registry]]\nname = \"main\"\n\
-         members = [{}]\n{more}\n\n{}{}",
+         members = [{}]\n{registry_lines}\n\n{}{}",
         members.join(", "),
-        service("evaluate", "safe"),
-        service("toggle", "unsafe")
+        service_part("evaluate", "safe", service_options),
+        service_part("toggle", "unsafe", service_options)
+    )
+}
+
+fn service_part(name: &str, retry_safety: &str, registry_options: &str) -> String {
+    format!(
+        "[[service]]\nname = \"{name}\"\nregistry = {{ name = \"main\", path = \"{SERVERS_PATH}\"{registry_options} }}\n\
+         tries = {{ most = 4, retry_share = 1.0 }}\n\
+         [[service.class]]\nname = \"{name}\"\nrepeat = \"{retry_safety}\"\naim = \"200ms\"\ndeadline = \"2s\"\n\
+         [[service.route]]\nhost = \"{name}.example.org\"\npath = \"/api\"\n\n"
     )
 }
 
-/// Requests of one of the services.
-pub fn kind(run: &str, service: &str, rate: f64) -> crate::load::Kind {
-    crate::load::Kind {
+/// Requests of one of the services, so many a second. `run` is a prefix of their ids.
+pub fn request_kind(run: &str, service: &str, rate: f64) -> Kind {
+    Kind {
         name: format!("{run}-{service}"),
         host: format!("{service}.example.org"),
         method: if service == "toggle" { "POST" } else { "GET" },
         path: "/api/flags".to_owned(),
         headers: Vec::new(),
         body: None,
-        deadline: Duration::from_secs(2),
+        deadline: DEADLINE,
         rate,
     }
 }
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -1,9 +1,12 @@
-//! The program under test, as a process of its own.
+//! The program under test as a process of its own, with a settings file.
+//!
+//! Fleets, scenarios, measurements, the demo and tests start nodes.
 
 use crate::Result;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
+use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,20 +16,24 @@
 use tokio::io::{AsyncBufReadExt, BufReader, Lines};
 use tokio::process::{Child, ChildStderr};
 
-/// No wait for a node is longer; a passing one needs a small part of it.
+/// Longest wait for a node; one that succeeds needs a small part of it.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval at which a health path is requested again.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Name of the settings file in the folder of a node.
+const SETTINGS_FILE: &str = "services.toml";
 
-/// How a node is started.
+/// The program that a node is started with.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// Its file.
+    /// Path of the executable.
     pub path: PathBuf,
-    /// What it is called with before anything else.
+    /// Arguments before all others.
     pub args: Vec<String>,
 }
 
 impl Program {
-    /// The node that is part of the rig's own program at `path`.
+    /// The node that is part of the test bed's executable at `path`.
     pub fn in_testbed(path: impl Into<PathBuf>) -> Program {
         Program {
             path: path.into(),
@@ -34,15 +41,15 @@
         }
     }
 
-    /// A program that is a node.
-    pub fn alone(path: impl Into<PathBuf>) -> Program {
+    /// An executable that is a node.
+    pub fn standalone(path: impl Into<PathBuf>) -> Program {
         Program {
             path: path.into(),
             args: Vec::new(),
         }
     }
 
-    /// A call of it, not made yet.
+    /// A command that runs the program, without further arguments.
     pub fn command(&self) -> Command {
         let mut command = Command::new(&self.path);
         command.args(&self.args);
@@ -50,45 +57,47 @@
     }
 }
 
-/// A folder of its own for each run, gone when this is dropped.
-pub struct Folder(PathBuf);
+/// A temporary folder, which is deleted when this is dropped.
+pub struct Folder {
+    path: PathBuf,
+}
 
 impl Folder {
-    /// A new folder.
+    /// Creates a folder.
     ///
     /// # Errors
-    /// If none can be made.
+    /// Fails if it can't be created.
     pub fn new() -> Result<Folder> {
         static NEXT: AtomicU64 = AtomicU64::new(0);
-        let n = NEXT.fetch_add(1, Ordering::Relaxed);
-        let path =
-            std::env::temp_dir().join(format!("reelfall-testbed-{}-{n}", std::process::id()));
+        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+        let name = format!("reelfall-testbed-{}-{number}", std::process::id());
+        let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path)?;
-        Ok(Folder(path))
+        Ok(Folder { path })
     }
 
-    /// Its path.
+    /// Path of the folder.
     pub fn path(&self) -> &Path {
-        &self.0
+        &self.path
     }
 }
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
+        let _ = std::fs::remove_dir_all(&self.path);
     }
 }
 
-/// A node with a settings file of its own. It is killed when this is dropped.
+/// The process of a node with a settings file of its own. It is killed when this is dropped.
 pub struct Node {
     /// Where clients connect, by listener.
     pub addresses: BTreeMap<String, SocketAddr>,
-    /// Where operators call, if anywhere.
+    /// The management address, if there is one.
     pub management: Option<SocketAddr>,
-    /// Where datagrams of its fleet are taken, if it is part of one.
+    /// Where it receives datagrams of other nodes, if it is part of a fleet.
     pub fleet: Option<SocketAddr>,
     child: Child,
-    said: Lines<BufReader<ChildStderr>>,
+    log: Lines<BufReader<ChildStderr>>,
     folder: Folder,
 }
 
@@ -96,55 +105,35 @@
     /// Starts a node and waits until it listens.
     ///
     /// # Errors
-    /// What it says if it does not start.
+    /// Fails if it does not start; the error has the lines of its log.
     pub async fn start(program: &Program, settings: &str) -> Result<Node> {
         let folder = Folder::new()?;
-        let file = folder.path().join("services.toml");
-        std::fs::write(&file, settings)?;
+        let settings_file = folder.path().join(SETTINGS_FILE);
+        std::fs::write(&settings_file, settings)?;
         let mut command = tokio::process::Command::from(program.command());
-        command.arg("run").arg("--config").arg(&file);
         command
+            .arg("run")
+            .arg("--config")
+            .arg(&settings_file)
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
             .kill_on_drop(true);
         let mut child = command.spawn()?;
-        let (out, err) = (
-            child.stdout.take().ok_or("no output")?,
-            child.stderr.take().ok_or("no errors")?,
-        );
-        let mut said = BufReader::new(err).lines();
-        let mut lines = BufReader::new(out).lines();
-        let first = tokio::time::timeout(WAIT_TIMEOUT, lines.next_line()).await??;
-        let Some(first) = first else {
-            let mut why = String::new();
-            while let Ok(Some(line)) = said.next_line().await {
-                why += &line;
-                why.push('\n');
-            }
-            return Err(why.into());
-        };
-        let first: serde_json::Value = serde_json::from_str(&first)?;
-        let listening = first
-            .get("listening")
-            .and_then(|l| l.as_object())
-            .ok_or("no listeners")?;
-        let mut addresses = BTreeMap::new();
-        for (name, address) in listening {
-            addresses.insert(name.clone(), address.as_str().ok_or("no address")?.parse()?);
-        }
-        let other = |name: &str| {
-            first
-                .get(name)
-                .and_then(|a| a.as_str())
-                .and_then(|a| a.parse().ok())
+        let output = child.stdout.take().ok_or("no output")?;
+        let errors = child.stderr.take().ok_or("no errors")?;
+        let mut log = BufReader::new(errors).lines();
+        let mut output = BufReader::new(output).lines();
+        let first_line = tokio::time::timeout(WAIT_TIMEOUT, output.next_line()).await??;
+        let Some(first_line) = first_line else {
+            return Err(remaining_text(&mut log).await.into());
         };
-        let (management, fleet) = (other("management"), other("fleet"));
+        let startup: Value = serde_json::from_str(&first_line)?;
         Ok(Node {
-            addresses,
-            management,
-            fleet,
+            addresses: listener_addresses(&startup)?,
+            management: address_field(&startup, "management"),
+            fleet: address_field(&startup, "fleet"),
             child,
-            said,
+            log,
             folder,
         })
     }
@@ -158,42 +147,42 @@
             .unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
-    /// The settings file.
-    pub fn file(&self) -> PathBuf {
-        self.folder.path().join("services.toml")
+    /// Path of the settings file.
+    pub fn settings_file(&self) -> PathBuf {
+        self.folder.path().join(SETTINGS_FILE)
     }
 
-    /// Its process.
+    /// Process id.
     pub fn pid(&self) -> u32 {
         self.child.id().unwrap_or(0)
     }
 
-    /// Waits until a health path answers 200, or does not.
+    /// Waits until a health path responds with 200, or with another status if `is_healthy` is not set.
     ///
     /// # Errors
-    /// If it does not come to that.
-    pub async fn until_health(&self, path: &str, good: bool) -> Result<()> {
-        until_health(self.address(), path, good).await
+    /// Fails if it does not within [`WAIT_TIMEOUT`].
+    pub async fn wait_for_health(&self, path: &str, is_healthy: bool) -> Result<()> {
+        wait_for_health(self.address(), path, is_healthy).await
     }
 
-    /// Puts other settings in the file's place, and has them taken in.
+    /// Replaces the settings file, and asks the node to reload it.
     ///
     /// # Errors
-    /// If the file can't be written or the process is gone.
-    pub fn configure(&self, settings: &str) -> Result<()> {
+    /// Fails if the file can't be written, or if the process has ended.
+    pub fn replace_settings(&self, settings: &str) -> Result<()> {
         let new = self.folder.path().join("services.new");
         std::fs::write(&new, settings)?;
-        std::fs::rename(&new, self.file())?;
+        std::fs::rename(&new, self.settings_file())?;
         self.signal("HUP")
     }
 
-    /// The next line on standard error that has a text in it.
+    /// Waits for the next line of the log that contains a text, and returns it.
     ///
     /// # Errors
-    /// If none comes.
-    pub async fn says(&mut self, text: &str) -> Result<String> {
+    /// Fails if there is none within [`WAIT_TIMEOUT`].
+    pub async fn wait_for_log(&mut self, text: &str) -> Result<String> {
         let wait = async {
-            while let Some(line) = self.said.next_line().await? {
+            while let Some(line) = self.log.next_line().await? {
                 if line.contains(text) {
                     return Ok(line);
                 }
@@ -203,87 +192,114 @@
         tokio::time::timeout(WAIT_TIMEOUT, wait).await?
     }
 
-    /// The next line on standard error; `None` at its end.
-    pub async fn line(&mut self) -> Option<String> {
-        self.said.next_line().await.ok().flatten()
+    /// The next line of the log; `None` at its end.
+    pub async fn next_log_line(&mut self) -> Option<String> {
+        self.log.next_line().await.ok().flatten()
     }
 
-    /// Puts other settings in force and waits until they are.
+    /// Replaces the settings and waits until the node has applied them.
     ///
     /// # Errors
-    /// If they are not taken in.
+    /// Fails if the node does not apply them.
     pub async fn reload(&mut self, settings: &str) -> Result<()> {
-        self.configure(settings)?;
-        self.says("is in force").await.map(drop)
+        self.replace_settings(settings)?;
+        self.wait_for_log("is in force").await.map(drop)
     }
 
-    /// Sends a signal.
+    /// Sends a signal, by its name.
     ///
     /// # Errors
-    /// If the process is gone.
+    /// Fails if the process has ended.
     pub fn signal(&self, name: &str) -> Result<()> {
         let status = Command::new("kill")
             .args(["-s", name, &self.pid().to_string()])
             .status()?;
-        status
-            .success()
-            .then_some(())
-            .ok_or_else(|| "the node is gone".into())
+        if status.success() {
+            Ok(())
+        } else {
+            Err("the node is gone".into())
+        }
     }
 
-    /// Waits for the program's end; whether it was a success.
+    /// Waits for the end of the process; returns whether it was successful.
     ///
     /// # Errors
-    /// If it does not end.
-    pub async fn ended(&mut self) -> Result<bool> {
-        Ok(tokio::time::timeout(WAIT_TIMEOUT, self.child.wait())
-            .await??
-            .success())
+    /// Fails if it does not end within [`WAIT_TIMEOUT`].
+    pub async fn wait_for_exit(&mut self) -> Result<bool> {
+        let status = tokio::time::timeout(WAIT_TIMEOUT, self.child.wait()).await??;
+        Ok(status.success())
     }
 }
 
-/// Waits until a health path answers 200, or does not.
+/// The lines that are left, each with its line break.
+async fn remaining_text(lines: &mut Lines<BufReader<ChildStderr>>) -> String {
+    let mut text = String::new();
+    while let Ok(Some(line)) = lines.next_line().await {
+        text += &line;
+        text.push('\n');
+    }
+    text
+}
+
+/// The addresses of the listeners in the first line of a node's output.
+fn listener_addresses(startup: &Value) -> Result<BTreeMap<String, SocketAddr>> {
+    let listeners = startup
+        .get("listening")
+        .and_then(Value::as_object)
+        .ok_or("no listeners")?;
+    let mut addresses = BTreeMap::new();
+    for (name, address) in listeners {
+        addresses.insert(name.clone(), address.as_str().ok_or("no address")?.parse()?);
+    }
+    Ok(addresses)
+}
+
+fn address_field(startup: &Value, name: &str) -> Option<SocketAddr> {
+    startup.get(name)?.as_str()?.parse().ok()
+}
+
+/// Waits until a health path of a node responds with 200, or with another status if `is_healthy` is not set.
 ///
 /// # Errors
-/// If it does not come to that.
-pub async fn until_health(node: SocketAddr, path: &str, good: bool) -> Result<()> {
+/// Fails if it does not within [`WAIT_TIMEOUT`].
+pub async fn wait_for_health(node: SocketAddr, path: &str, is_healthy: bool) -> Result<()> {
     let client = crate::client::Client::new(node);
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
         let request = Request::get(path)
             .header("host", "health")
             .body(Full::new(Bytes::new()))?;
-        let got = client.ask(request).await;
-        if got.is_ok_and(|g| (g.status == 200) == good) {
+        let response = client.ask(request).await;
+        if response.is_ok_and(|response| (response.status == 200) == is_healthy) {
             return Ok(());
         }
-        if begun.elapsed() > WAIT_TIMEOUT {
-            return Err(format!("{path} does not become {good}").into());
+        if started.elapsed() > WAIT_TIMEOUT {
+            return Err(format!("{path} does not become {is_healthy}").into());
         }
-        tokio::time::sleep(Duration::from_millis(10)).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Processor time that a process has used, in seconds.
 ///
 /// # Errors
-/// If the process is gone, or the system does not tell.
+/// Fails if the process has ended.
 pub fn cpu_seconds(pid: u32) -> Result<f64> {
-    // The clock of its processor time: `/proc` tells hundredths of a second alone.
+    // By the clock of its processor time, as `/proc` has a resolution of a hundredth of a second.
     let pid = nix::unistd::Pid::from_raw(i32::try_from(pid)?);
     let used = nix::time::clock_getcpuclockid(pid)?.now()?;
     Ok(Duration::from(used).as_secs_f64())
 }
 
-/// Memory that a process holds, in KiB.
+/// Resident memory of a process, in KiB.
 ///
 /// # Errors
-/// If the process is gone, or the system does not tell.
+/// Fails if the process has ended.
 pub fn memory_kib(pid: u32) -> Result<u64> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
     let line = status
         .lines()
-        .find_map(|l| l.strip_prefix("VmRSS:"))
+        .find_map(|line| line.strip_prefix("VmRSS:"))
         .ok_or("no VmRSS")?;
     Ok(line.trim().trim_end_matches(" kB").trim().parse()?)
 }
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,5 +1,5 @@
-//! A proxy that decides nothing: the same library as the node, one request at a time to each server in turn. What it
-//! costs is what a request costs before anything is decided; the node is measured against it.
+//! A round-robin proxy with the same HTTP library as the node, and no decisions. Its costs are the baseline of the
+//! measurement `services`.
 
 use crate::client::Client;
 use crate::Result;
@@ -16,21 +16,21 @@
 use std::sync::Arc;
 use tokio::net::TcpListener;
 
-/// Serves until it is dropped.
+/// Serves for as long as it is polled.
 ///
 /// # Errors
-/// If the listener breaks.
-pub async fn serve(listener: TcpListener, to: Vec<SocketAddr>) -> Result<()> {
-    let clients: Arc<Vec<Client>> = Arc::new(to.into_iter().map(Client::new).collect());
+/// Fails if the listener does.
+pub async fn serve(listener: TcpListener, servers: Vec<SocketAddr>) -> Result<()> {
+    let clients: Arc<Vec<Client>> = Arc::new(servers.into_iter().map(Client::new).collect());
     let next = Arc::new(AtomicUsize::new(0));
     loop {
         let (stream, _) = listener.accept().await?;
         stream.set_nodelay(true)?;
         let (clients, next) = (clients.clone(), next.clone());
         tokio::spawn(async move {
-            let answer = service_fn(|request| relay(clients.clone(), next.clone(), request));
+            let service = service_fn(|request| relay(clients.clone(), next.clone(), request));
             let _ = http1::Builder::new()
-                .serve_connection(TokioIo::new(stream), answer)
+                .serve_connection(TokioIo::new(stream), service)
                 .await;
         });
     }
@@ -41,28 +41,28 @@
     next: Arc<AtomicUsize>,
     request: Request<Incoming>,
 ) -> std::result::Result<Response<Full<Bytes>>, Infallible> {
-    let bad = || {
-        let mut response = Response::new(Full::new(Bytes::new()));
-        *response.status_mut() = StatusCode::BAD_GATEWAY;
-        Ok(response)
-    };
+    let response = forward(&clients, &next, request).await;
+    Ok(response.unwrap_or_else(bad_gateway))
+}
+
+/// Forwards a request to the next server; `None` if that fails.
+async fn forward(
+    clients: &[Client],
+    next: &AtomicUsize,
+    request: Request<Incoming>,
+) -> Option<Response<Full<Bytes>>> {
     let (head, body) = request.into_parts();
-    let Ok(body) = body.collect().await else {
-        return bad();
-    };
-    let at = next.fetch_add(1, Ordering::Relaxed) % clients.len().max(1);
-    let Some(client) = clients.get(at) else {
-        return bad();
-    };
-    match client
-        .ask(Request::from_parts(head, Full::new(body.to_bytes())))
-        .await
-    {
-        Ok(got) => {
-            let mut response = Response::new(Full::new(got.body));
-            *response.status_mut() = got.status;
-            Ok(response)
-        }
-        Err(_) => bad(),
-    }
+    let body = body.collect().await.ok()?;
+    let index = next.fetch_add(1, Ordering::Relaxed) % clients.len().max(1);
+    let request = Request::from_parts(head, Full::new(body.to_bytes()));
+    let received = clients.get(index)?.ask(request).await.ok()?;
+    let mut response = Response::new(Full::new(received.body));
+    *response.status_mut() = received.status;
+    Some(response)
+}
+
+fn bad_gateway() -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(Bytes::new()));
+    *response.status_mut() = StatusCode::BAD_GATEWAY;
+    response
 }
--- a/crates/testbed/src/scenario/graphql.rs
+++ b/crates/testbed/src/scenario/graphql.rs
@@ -145,7 +145,7 @@
         "tries = { most = 4, retry_share = 1.0 }",
     ));
     let mut node = Node::start(program, &settings).await?;
-    node.until_health("/_health", true).await?;
+    node.wait_for_health("/_health", true).await?;
     let sums = Arc::new(Mutex::new(Sums::default()));
     let client = Arc::new(Client::new(node.address()));
     let mut running = JoinSet::new();
@@ -170,7 +170,7 @@
         .for_each(|s| s.behave(|m| m.frozen = false));
     while running.join_next().await.is_some() {}
     node.signal("TERM")?;
-    node.ended().await?;
+    node.wait_for_exit().await?;
     let sums = std::mem::take(&mut *sums.lock().unwrap_or_else(PoisonError::into_inner));
     Ok((sums, pool))
 }
--- a/crates/testbed/src/scenario/membership.rs
+++ b/crates/testbed/src/scenario/membership.rs
@@ -1,186 +1,243 @@
-//! Sessions of servers end under load, at random moments and just as a request has come, while the processes go on serving.
+//! The scenario `membership`: sessions of servers expire under load, at random times and just as a request has arrived, while
+//! the processes continue to serve.
 //!
-//! Promises: nothing new comes to a server later than 500 ms after the word of its end; no effect twice; every request is
-//! answered once and in time.
+//! Promises: a server receives no new request later than 500 ms after its session has expired; no effect twice; every
+//! request is answered once and in time. The command `scenario` and the tests call it.
 
 use super::Report;
-use crate::load;
-use crate::membership::{kind, settings, Announced};
+use crate::load::{self, Came};
+use crate::membership::{node_settings, request_kind, RegisteredServer};
 use crate::node::Node;
-use crate::pool::{Manner, Pool};
+use crate::pool::{App, Done, End, Manner, Pool, Server};
 use crate::registry::Registry;
 use crate::scripted::Program;
 use crate::{Draw, Result};
-use serde_json::json;
+use serde_json::{json, Value};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How many sessions end, of how many servers.
+/// How many sessions expire, of how many servers.
 #[derive(Clone, Copy, Debug)]
 pub struct Scale {
     /// Servers; half of them may be without a session at once.
     pub servers: usize,
-    /// Sessions that end.
+    /// Sessions that expire.
     pub kills: usize,
     /// Requests a second.
     pub rate: f64,
 }
 
 impl Scale {
-    /// The whole of it: about a minute.
+    /// The full scenario: about a minute.
     pub const WHOLE: Scale = Scale {
         servers: 24,
         kills: 504,
         rate: 600.0,
     };
-    /// What fits into a test.
+    /// A scenario that fits into a test.
     pub const SMALL: Scale = Scale {
         servers: 6,
         kills: 24,
         rate: 150.0,
     };
+
+    /// Expirations of each pair of servers.
+    fn cycles(&self) -> usize {
+        self.kills.div_ceil(self.servers / 2)
+    }
 }
 
-/// Nothing new may come later than this after the news.
+/// A server may receive new requests for so long after its session has expired.
 const GRACE: Duration = Duration::from_millis(500);
-/// A server is without a session for so long.
-const AWAY: Duration = Duration::from_millis(750);
+/// For how long a server is without a session.
+const ABSENCE: Duration = Duration::from_millis(750);
+/// Longest random wait before an expiration, in seconds.
+const RANDOM_WAIT_SECONDS: f64 = 0.3;
+/// Longest wait for a request before an expiration.
+const REQUEST_WAIT: Duration = Duration::from_millis(100);
+/// The time of a cycle beside the absence: both waits together.
+const CYCLE_WAITS: Duration = Duration::from_millis(400);
+/// Load before the first expiration.
+const WARM_UP: Duration = Duration::from_millis(500);
+/// Load beyond the expirations.
+const EXTRA_LOAD: Duration = Duration::from_secs(2);
+/// Each so many expirations, one happens just as a request has arrived.
+const CYCLES_PER_REQUEST_WAIT: usize = 3;
+/// Least share of requests served in time, in percent.
+const SERVED_PERCENT: f64 = 99.0;
+/// The services, in the order of their requests in the load.
+const SERVICES: [&str; 2] = ["evaluate", "toggle"];
+/// Members of the registry.
+const REGISTRY_MEMBERS: usize = 3;
+/// Requests that a server processes at a time.
+const SERVER_WORKERS: usize = 8;
+/// How long a server takes for a request.
+const SERVICE_TIME: Duration = Duration::from_millis(5);
+const POOL_SEED: u64 = 31;
+const LOAD_SEED: u64 = 17;
+/// Seed of the random waits of the first pair of servers; each further pair adds one.
+const WAITS_SEED: u64 = 900;
 
-/// What came of one end of a session: from the word of it to the last request that arrived, in milliseconds, and how many
-/// arrived past the deadline.
-struct End {
-    last_ms: f64,
-    late: bool,
+/// What the expirations share.
+#[derive(Clone)]
+struct World {
+    registry: Arc<Registry>,
+    pool: Arc<Pool>,
+    /// For each expiration, how long after it the last request arrived.
+    last_arrivals: Arc<Mutex<Vec<Duration>>>,
 }
 
-/// Plays the scenario.
+/// Runs the scenario.
 ///
 /// # Errors
-/// If a stand-in or the node can't be started; a broken promise is no error.
+/// Fails if a stand-in or the node can't be started; a broken promise is no error.
 pub async fn run(program: &Program, scale: Scale) -> Result<Report> {
-    let mut report = Report::default();
-    let registry = Arc::new(Registry::start(3).await?);
     let pool = Pool::running(
         "flags",
         scale.servers,
-        8,
-        Manner::good(Duration::from_millis(5)),
-        31,
-        &app(),
+        SERVER_WORKERS,
+        Manner::good(SERVICE_TIME),
+        POOL_SEED,
+        &counting_app(),
     )
     .await?;
-    let pool = Arc::new(pool);
-    let entered: Vec<Announced> = pool
+    let world = World {
+        registry: Arc::new(Registry::start(REGISTRY_MEMBERS).await?),
+        pool: Arc::new(pool),
+        last_arrivals: Arc::default(),
+    };
+    let registered: Vec<RegisteredServer> = world
+        .pool
         .servers
         .iter()
-        .map(|s| Announced::enter(&registry, s, &format!("{}.0", s.name), 0))
+        .map(|server| {
+            RegisteredServer::register(&world.registry, server, &format!("{}.0", server.name), 0)
+        })
         .collect();
-    let node = Node::start(program, &settings(&registry, "", "")).await?;
-    node.until_health("/_health", true).await?;
-    // As long as the killing takes, and a little more.
-    let cycles = scale.kills.div_ceil(scale.servers / 2);
-    let time =
-        (AWAY + Duration::from_millis(400)) * u32::try_from(cycles)? + Duration::from_secs(2);
+    let node = Node::start(program, &node_settings(&world.registry, "", "")).await?;
+    node.wait_for_health("/_health", true).await?;
     let kinds = [
-        kind("m", "evaluate", scale.rate * 0.8),
-        kind("m", "toggle", scale.rate * 0.2),
+        request_kind("m", "evaluate", scale.rate * 0.8),
+        request_kind("m", "toggle", scale.rate * 0.2),
     ];
+    let cycles = u32::try_from(scale.cycles())?;
+    let duration = (ABSENCE + CYCLE_WAITS) * cycles + EXTRA_LOAD;
     let address = node.address();
-    let loading = tokio::spawn(async move { load::run(address, &kinds, time, 17).await });
-    tokio::time::sleep(Duration::from_millis(500)).await;
-    let ends = Arc::new(Mutex::new(Vec::new()));
-    let mut killing = tokio::task::JoinSet::new();
-    // Two servers take turns, so that one of them is always there.
-    let mut entered = entered.into_iter();
+    let load = tokio::spawn(async move { load::run(address, &kinds, duration, LOAD_SEED).await });
+    tokio::time::sleep(WARM_UP).await;
+    expire_all(&world, scale, registered).await?;
+    let outcomes = load.await?;
+    Ok(report(&world, &outcomes))
+}
+
+/// Expires the sessions of all pairs of servers at the same time.
+async fn expire_all(world: &World, scale: Scale, registered: Vec<RegisteredServer>) -> Result<()> {
+    let mut tasks = tokio::task::JoinSet::new();
+    let mut registered = registered.into_iter();
     for pair in 0..scale.servers / 2 {
-        let mut names: Vec<Announced> = entered.by_ref().take(2).collect();
-        let (registry, pool, ends) = (registry.clone(), pool.clone(), ends.clone());
-        killing.spawn(async move {
-            let mut draw = Draw(900 + pair as u64);
-            for cycle in 0..cycles {
-                let which = cycle % 2;
-                let server = &pool.servers[2 * pair + which];
-                tokio::time::sleep(Duration::from_secs_f64(0.3 * draw.fraction())).await;
-                if cycle % 3 == 0 {
-                    // Just as a request has come to it.
-                    next_request(server).await;
-                }
-                names[which].kill(&registry);
-                let told = Instant::now();
-                tokio::time::sleep_until((told + AWAY).into()).await;
-                let after = server
-                    .last_seen()
-                    .map_or(Duration::ZERO, |at| at.saturating_duration_since(told));
-                let end = End {
-                    last_ms: after.as_secs_f64() * 1e3,
-                    late: after > GRACE,
-                };
-                ends.lock()
-                    .unwrap_or_else(PoisonError::into_inner)
-                    .push(end);
-                // The process, which was there all along, has a new session and a name of its own: no return.
-                let name = format!("{}.{}", server.name, cycle + 1);
-                names[which] = Announced::enter(&registry, server, &name, 0);
-            }
-        });
+        let servers: Vec<RegisteredServer> = registered.by_ref().take(2).collect();
+        tasks.spawn(expire_pair(world.clone(), pair, servers, scale.cycles()));
     }
-    while let Some(done) = killing.join_next().await {
-        done?;
+    while let Some(finished) = tasks.join_next().await {
+        finished?;
     }
-    let came = loading.await?;
-    let mut last: Vec<f64> = Vec::new();
-    let mut late = 0;
-    for end in ends.lock().unwrap_or_else(PoisonError::into_inner).iter() {
-        last.push(end.last_ms);
-        late += usize::from(end.late);
+    Ok(())
+}
+
+/// Expires the sessions of two servers in turn, so that one of them is always registered.
+async fn expire_pair(
+    world: World,
+    pair: usize,
+    mut registered: Vec<RegisteredServer>,
+    cycles: usize,
+) {
+    let mut random = Draw(WAITS_SEED + pair as u64);
+    for cycle in 0..cycles {
+        let turn = cycle % 2;
+        let server = &world.pool.servers[2 * pair + turn];
+        let wait = RANDOM_WAIT_SECONDS * random.fraction();
+        tokio::time::sleep(Duration::from_secs_f64(wait)).await;
+        if cycle % CYCLES_PER_REQUEST_WAIT == 0 {
+            wait_for_request(server).await;
+        }
+        registered[turn].expire_session(&world.registry);
+        let expired_at = Instant::now();
+        tokio::time::sleep_until((expired_at + ABSENCE).into()).await;
+        let last_arrival = server.last_seen().map_or(Duration::ZERO, |at| {
+            at.saturating_duration_since(expired_at)
+        });
+        world
+            .last_arrivals
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(last_arrival);
+        // The process has run all along. It gets a new session and another name, so that it counts as a new server.
+        let name = format!("{}.{}", server.name, cycle + 1);
+        registered[turn] = RegisteredServer::register(&world.registry, server, &name, 0);
     }
-    last.sort_by(f64::total_cmp);
-    let at = |q: f64| {
-        last.get(((last.len() as f64 - 1.0) * q) as usize)
-            .copied()
-            .unwrap_or(0.0)
-    };
-    let ms = |x: f64| (x * 100.0).round() / 100.0;
-    report.figure("kills", last.len());
+}
+
+/// Waits until a server has received a request, but not for long.
+async fn wait_for_request(server: &Server) {
+    let seen_before = server.seen();
+    let deadline = Instant::now() + REQUEST_WAIT;
+    while server.seen() == seen_before && Instant::now() < deadline {
+        tokio::time::sleep(Duration::from_micros(200)).await;
+    }
+}
+
+fn report(world: &World, outcomes: &[Came]) -> Report {
+    let mut report = Report::default();
+    let mut last_arrivals = world
+        .last_arrivals
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .clone();
+    last_arrivals.sort_unstable();
+    let late = last_arrivals.iter().filter(|after| **after > GRACE).count();
+    let duplicates = world.pool.twice();
+    report.figure("kills", last_arrivals.len());
     report.figure(
         "from_the_news_to_the_last_request_ms",
-        json!({ "p50": ms(at(0.5)), "p90": ms(at(0.9)), "p99": ms(at(0.99)), "most": ms(at(1.0)) }),
+        percentiles_ms(&last_arrivals),
     );
     report.figure("requests_after_the_deadline", late);
-    report.figure("effects_twice_unsafe", twice(&pool));
-    for (came, name) in came.iter().zip(["evaluate", "toggle"]) {
-        report.figure(name, came.figures());
-        report.promise(came.lost == 0, || {
-            format!("{name}: {} requests without an answer", came.lost)
+    report.figure("effects_twice_unsafe", duplicates);
+    for (outcome, service) in outcomes.iter().zip(SERVICES) {
+        report.figure(service, outcome.figures());
+        report.promise(outcome.lost == 0, || {
+            format!("{service}: {} requests without an answer", outcome.lost)
         });
-        report.promise(came.served() >= 99.0, || {
-            format!("{name}: {:.2} % served in time", came.served())
+        report.promise(outcome.served() >= SERVED_PERCENT, || {
+            format!("{service}: {:.2} % served in time", outcome.served())
         });
     }
     report.promise(late == 0, || {
         format!("{late} servers got new requests past the deadline")
     });
-    report.promise(twice(&pool) == 0, || {
-        format!("{} effects twice", twice(&pool))
-    });
-    Ok(report)
+    report.promise(duplicates == 0, || format!("{duplicates} effects twice"));
+    report
 }
 
-/// Waits for a request to a server, but not for long.
-async fn next_request(server: &crate::pool::Server) {
-    let (seen, until) = (server.seen(), Instant::now() + Duration::from_millis(100));
-    while server.seen() == seen && Instant::now() < until {
-        tokio::time::sleep(Duration::from_micros(200)).await;
-    }
+/// Percentiles of ascending durations, in hundredths of a millisecond.
+fn percentiles_ms(sorted: &[Duration]) -> Value {
+    let at = |quantile: f64| {
+        let index = ((sorted.len() as f64 - 1.0) * quantile) as usize;
+        let milliseconds = sorted
+            .get(index)
+            .map_or(0.0, |duration| duration.as_secs_f64() * 1e3);
+        (milliseconds * 100.0).round() / 100.0
+    };
+    json!({ "p50": at(0.5), "p90": at(0.9), "p99": at(0.99), "most": at(1.0) })
 }
 
-/// Counts the effects of unsafe requests alone.
-fn app() -> crate::pool::App {
+/// Counts the effects of at-most-once requests alone.
+fn counting_app() -> App {
     Arc::new(|head, _| {
         let id = head
             .headers
             .get("x-correlation-id")
-            .and_then(|v| v.to_str().ok())
+            .and_then(|value| value.to_str().ok())
             .unwrap_or("")
             .to_owned();
         let effects = if head.method == hyper::Method::POST {
@@ -188,15 +245,11 @@
         } else {
             vec![]
         };
-        crate::pool::Done {
+        Done {
             effects,
             status: hyper::StatusCode::OK,
             body: id,
-            end: crate::pool::End::Manner,
+            end: End::Manner,
         }
     })
 }
-
-fn twice(pool: &Pool) -> usize {
-    pool.twice()
-}
--- a/crates/testbed/src/scenario/services.rs
+++ b/crates/testbed/src/scenario/services.rs
@@ -132,7 +132,7 @@
     let fleet = Fleet::start(11).await?;
     let settings = fleet.settings("127.0.0.1:0");
     let mut node = Node::start(program, &settings).await?;
-    node.until_health("/_health", true).await?;
+    node.wait_for_health("/_health", true).await?;
     // Warm up: the first requests open connections and teach the modules.
     let both = |run: &str| vec![kind(run, "toggle", 35.0), kind(run, "rollout", 25.0)];
     load::run(node.address(), &both("warm"), Duration::from_secs(1), 1).await;
@@ -170,7 +170,7 @@
         format!("{} effects twice", fleet.twice())
     });
     node.signal("TERM")?;
-    let ended = node.ended().await?;
+    let ended = node.wait_for_exit().await?;
     report.promise(ended, || "the node does not end well".to_owned());
     Ok(report)
 }
--- a/crates/testbed/src/scripted/node.rs
+++ b/crates/testbed/src/scripted/node.rs
@@ -35,7 +35,7 @@
     /// Panics if the program does not start, ends, or is not ready within [`WAIT_TIMEOUT`].
     pub fn start(program: &Program, discovery: SocketAddr, max_sockets: usize) -> Node {
         let folder = Folder::new().expect("a temporary folder can be created");
-        let port = Port::take().expect("a port is left");
+        let port = Port::reserve().expect("a port is left");
         let mut node = Node::spawn(
             program,
             Arc::new(port),
@@ -63,7 +63,7 @@
         max_sockets: usize,
         folder: Arc<Folder>,
     ) -> Node {
-        let management_port = Port::take().expect("a port is left");
+        let management_port = Port::reserve().expect("a port is left");
         let (address, management) = (port.address(), management_port.address());
         let config_path = folder.path().join(format!("{}.json", management.port()));
         let configuration = configuration(address, discovery, max_sockets);
--- a/crates/testbed/tests/graphql.rs
+++ b/crates/testbed/tests/graphql.rs
@@ -27,7 +27,7 @@
     let settings = settings(&pool);
     let program = Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"));
     let node = Node::start(&program, &settings).await.unwrap();
-    node.until_health("/_health", true).await.unwrap();
+    node.wait_for_health("/_health", true).await.unwrap();
     (node, pool)
 }
 
--- a/crates/testbed/tests/membership.rs
+++ b/crates/testbed/tests/membership.rs
@@ -4,7 +4,7 @@
 use http_body_util::Full;
 use hyper::Request;
 use reelfall_testbed::client::Client;
-use reelfall_testbed::membership::{data, settings, Announced, PATH};
+use reelfall_testbed::membership::{entry_data, node_settings, RegisteredServer, SERVERS_PATH};
 use reelfall_testbed::node::Node;
 use reelfall_testbed::pool::{Manner, Server};
 use reelfall_testbed::registry::{digest_id, AccessRule, EntrySnapshot, Registry};
@@ -27,10 +27,10 @@
 }
 
 async fn start(registry: &Registry, follow: &str, more: &str) -> Node {
-    let node = Node::start(&program(), &settings(registry, follow, more))
+    let node = Node::start(&program(), &node_settings(registry, follow, more))
         .await
         .unwrap();
-    node.until_health("/_health", true).await.unwrap();
+    node.wait_for_health("/_health", true).await.unwrap();
     node
 }
 
@@ -112,12 +112,13 @@
 async fn a_session_that_expires_ends_new_work_and_nothing_else() {
     let registry = Registry::start(3).await.unwrap();
     let (one, two) = (server("one").await, server("two").await);
-    let entered = Announced::enter(&registry, &one, "one", 0);
-    let _two = Announced::enter(&registry, &two, "two", 0);
+    let entered = RegisteredServer::register(&registry, &one, "one", 0);
+    let _two = RegisteredServer::register(&registry, &two, "two", 0);
     // Toggles have to outlast all that is served beside them, however slow the machine.
-    let patient = settings(&registry, "", "").replace("deadline = \"2s\"", "deadline = \"60s\"");
+    let patient =
+        node_settings(&registry, "", "").replace("deadline = \"2s\"", "deadline = \"60s\"");
     let node = Node::start(&program(), &patient).await.unwrap();
-    node.until_health("/_health", true).await.unwrap();
+    node.wait_for_health("/_health", true).await.unwrap();
     let client = Client::new(node.address());
     // The share of equal servers wanders; that of one which is faster stays high.
     two.behave(|m| m.service = SLOWER);
@@ -142,7 +143,7 @@
     })
     .await;
     let under_way = (one.seen() - at_one) as usize;
-    entered.kill(&registry);
+    entered.expire_session(&registry);
     two.behave(|m| m.frozen = false);
     // Whoever has the news closes what is idle: what is left is what toggles have under way. That requests stay away
     // could be chance.
@@ -170,7 +171,7 @@
     })
     .await;
     // The process, which has been there all along, is back with a new session: at once, and as warm as it is.
-    let _back = Announced::enter(&registry, &one, "one", 0);
+    let _back = RegisteredServer::register(&registry, &one, "one", 0);
     until_sent_to(&client, &one, "back").await;
     let (ones, twos) = (one.seen(), two.seen());
     assert_eq!(served(&client, "warm", 200).await, 200);
@@ -206,8 +207,8 @@
 async fn a_flapping_entry_is_removed_at_once_and_readmitted_with_a_delay() {
     let registry = Registry::start(1).await.unwrap();
     let (steady, flappy) = (server("steady").await, server("flappy").await);
-    let _steady = Announced::enter(&registry, &steady, "steady", 0);
-    let mut entered = Announced::enter(&registry, &flappy, "flappy", 0);
+    let _steady = RegisteredServer::register(&registry, &steady, "steady", 0);
+    let mut entered = RegisteredServer::register(&registry, &flappy, "flappy", 0);
     let node = start(&registry, "", "").await;
     let client = Client::new(node.address());
     until_sent_to(&client, &flappy, "before").await;
@@ -226,7 +227,7 @@
     })
     .await;
     let begun = Instant::now();
-    entered.kill(&registry);
+    entered.expire_session(&registry);
     while let Some(got) = flying.join_next().await {
         assert_eq!(
             got.unwrap().expect("an answer").status,
@@ -242,7 +243,7 @@
     let mut let_in = 0;
     for n in 0..RETURNS {
         let (seen, asked) = (flappy.seen(), registry.counters().requests);
-        entered = Announced::enter(&registry, &flappy, "flappy", 0);
+        entered = RegisteredServer::register(&registry, &flappy, "flappy", 0);
         // Both services read it, and have heard of its last end before.
         until("the reading of its entry", async || {
             registry.counters().requests >= asked + 2
@@ -257,7 +258,7 @@
         );
         let was_sent_to = flappy.seen() > seen;
         let_in += usize::from(was_sent_to);
-        entered.kill(&registry);
+        entered.expire_session(&registry);
         // Whoever has the news closes what is idle. Without a connection nothing tells that the news is there.
         until("the end of its connections", async || {
             flappy.connections() == 0
@@ -282,7 +283,7 @@
         "{let_in} of {RETURNS} returns were let in, {most} may be"
     );
     // In the end it is there, and so is its work: the wait is about as long as all of this took.
-    let _last = Announced::enter(&registry, &flappy, "flappy", 0);
+    let _last = RegisteredServer::register(&registry, &flappy, "flappy", 0);
     let patience = Duration::from_secs_f64(2.0 * LONGEST_HOLD);
     until_within(patience, "its return", async || {
         let before = flappy.seen();
@@ -296,14 +297,14 @@
 async fn a_registry_that_is_silent_for_longer_than_the_session_removes_no_server() {
     let registry = Registry::start(3).await.unwrap();
     let (one, two) = (server("one").await, server("two").await);
-    let _one = Announced::enter(&registry, &one, "one", 0);
-    let entered = Announced::enter(&registry, &two, "two", 0);
+    let _one = RegisteredServer::register(&registry, &one, "one", 0);
+    let entered = RegisteredServer::register(&registry, &two, "two", 0);
     let mut node = start(&registry, "", "session = \"400ms\"\nconnect = \"100ms\"").await;
     let client = Client::new(node.address());
     until_sent_to(&client, &two, "before").await;
     // Members accept and say nothing; the sessions of the node run out meanwhile.
     (0..3).for_each(|m| registry.set_member_frozen(m, true));
-    entered.kill(&registry);
+    entered.expire_session(&registry);
     let expired = registry.counters().expired_sessions;
     until("the end of the node's sessions", async || {
         registry.counters().expired_sessions >= expired + 2
@@ -319,14 +320,14 @@
     assert_eq!(served(&client, "healed", 100).await, 100);
     assert_eq!(two.seen(), before);
     node.signal("TERM").unwrap();
-    assert!(node.ended().await.unwrap());
+    assert!(node.wait_for_exit().await.unwrap());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_list_that_is_stale_can_be_refused() {
     let registry = Registry::start(1).await.unwrap();
     let one = server("one").await;
-    let _one = Announced::enter(&registry, &one, "one", 0);
+    let _one = RegisteredServer::register(&registry, &one, "one", 0);
     let follow = ", stale = \"refuse\", stale_after = \"1s\"";
     let node = start(
         &registry,
@@ -350,10 +351,14 @@
         "{said:?}"
     );
     registry.set_member_down(0, true);
-    node.until_health("/_health/evaluate", false).await.unwrap();
+    node.wait_for_health("/_health/evaluate", false)
+        .await
+        .unwrap();
     assert_eq!(served(&client, "stale", 5).await, 0);
     registry.set_member_down(0, false);
-    node.until_health("/_health/evaluate", true).await.unwrap();
+    node.wait_for_health("/_health/evaluate", true)
+        .await
+        .unwrap();
     // On a busy machine admission may hold back some of what comes first; that work is back is what matters here.
     until_sent_to(&client, &one, "fresh").await;
 }
@@ -364,8 +369,8 @@
 async fn a_member_that_lags_never_brings_back_who_is_gone() {
     let registry = Registry::start(2).await.unwrap();
     let (one, two) = (server("one").await, server("two").await);
-    let _one = Announced::enter(&registry, &one, "one", 0);
-    let entered = Announced::enter(&registry, &two, "two", 0);
+    let _one = RegisteredServer::register(&registry, &one, "one", 0);
+    let entered = RegisteredServer::register(&registry, &two, "two", 0);
     let node = start(&registry, "", "session = \"5s\"\nconnect = \"200ms\"").await;
     let client = Client::new(node.address());
     until_sent_to(&client, &two, "before").await;
@@ -381,7 +386,7 @@
         registry.set_member_down(lags, false);
         registry.set_replication_lag(lags, Duration::from_millis(1500));
         if away == 0 {
-            entered.kill(&registry);
+            entered.expire_session(&registry);
         } else {
             registry.put("/elsewhere", b"", 0);
         }
@@ -410,28 +415,28 @@
     let registry = Registry::start(3).await.unwrap();
     let one = server("one").await;
     (0..3).for_each(|m| registry.set_member_down(m, true));
-    let settings = settings(&registry, ", reread = \"1s\"", "connect = \"100ms\"");
+    let settings = node_settings(&registry, ", reread = \"1s\"", "connect = \"100ms\"");
     let node = Node::start(&program(), &settings).await.unwrap();
-    node.until_health("/_health", false).await.unwrap();
+    node.wait_for_health("/_health", false).await.unwrap();
     let client = Client::new(node.address());
     assert_eq!(served(&client, "early", 3).await, 0);
-    let mut entered = Announced::enter(&registry, &one, "one", 0);
+    let mut entered = RegisteredServer::register(&registry, &one, "one", 0);
     (0..3).for_each(|m| registry.set_member_down(m, false));
-    node.until_health("/_health", true).await.unwrap();
+    node.wait_for_health("/_health", true).await.unwrap();
     until_sent_to(&client, &one, "first").await;
     // Nobody tells of the next changes.
     let two = server("two").await;
     registry.drop_watch_events(1000);
-    let _two = Announced::enter(&registry, &two, "two", 0);
+    let _two = RegisteredServer::register(&registry, &two, "two", 0);
     until_sent_to(&client, &two, "unheard").await;
     registry.drop_watch_events(1000);
-    entered.kill(&registry);
+    entered.expire_session(&registry);
     until("the end that no watch told", async || {
         one.connections() == 0
     })
     .await;
     registry.drop_watch_events(0);
-    entered = Announced::enter(&registry, &one, "one", 0);
+    entered = RegisteredServer::register(&registry, &one, "one", 0);
     until_sent_to(&client, &one, "again").await;
     drop(entered);
 }
@@ -440,21 +445,28 @@
 async fn invalid_entries_are_skipped_and_affect_no_others() {
     let registry = Registry::start(1).await.unwrap();
     let good = server("good").await;
-    let _good = Announced::enter(&registry, &good, "good", 0);
+    let _good = RegisteredServer::register(&registry, &good, "good", 0);
     let session = registry.open_session();
-    let put = |name: &str, data: &[u8]| registry.put(&format!("{PATH}/{name}"), data, session);
-    put("same-address", &data(&good.address.to_string(), 0));
-    registry.put(&format!("{PATH}/good/deeper"), b"{}", 0);
+    let put =
+        |name: &str, data: &[u8]| registry.put(&format!("{SERVERS_PATH}/{name}"), data, session);
+    put("same-address", &entry_data(&good.address.to_string(), 0));
+    registry.put(&format!("{SERVERS_PATH}/good/deeper"), b"{}", 0);
     let mut node = start(&registry, "", "").await;
     // Each is told, by both services; one after the other, since a node writes no more than five lines a second.
-    registry.put(&format!("{PATH}/by-hand"), &data("127.0.0.1:9", 0), 0);
-    node.says("by-hand: it is not ephemeral")
+    registry.put(
+        &format!("{SERVERS_PATH}/by-hand"),
+        &entry_data("127.0.0.1:9", 0),
+        0,
+    );
+    node.wait_for_log("by-hand: it is not ephemeral")
         .await
         .expect("a line");
     put("long", &vec![b'x'; (1 << 20) - 1000]);
-    node.says("long: its data has").await.expect("a line");
+    node.wait_for_log("long: its data has")
+        .await
+        .expect("a line");
     put("no-json", b"\x00\xff\xfe");
-    node.says("no-json: its data can't be read")
+    node.wait_for_log("no-json: its data can't be read")
         .await
         .expect("a line");
     put("no-address", b"{}");
@@ -463,7 +475,7 @@
     assert_eq!(served(&client, "good", 100).await, 100);
     assert_eq!(good.seen(), 100, "somebody else was sent to");
     // The younger of two entries with one address counted; with it gone, the older does again.
-    registry.remove(&format!("{PATH}/same-address"));
+    registry.remove(&format!("{SERVERS_PATH}/same-address"));
     let entered = Instant::now();
     until("the older entry", async || {
         served(&client, &format!("older-{:?}", entered.elapsed()), 10).await == 10
@@ -502,7 +514,7 @@
 async fn a_registry_that_violates_the_protocol_loses_its_connection() {
     let registry = Registry::start(1).await.unwrap();
     let one = server("one").await;
-    let _one = Announced::enter(&registry, &one, "one", 0);
+    let _one = RegisteredServer::register(&registry, &one, "one", 0);
     let lies: [Vec<u8>; 4] = [
         u32::MAX.to_be_bytes().to_vec(),
         (1u32 << 30).to_be_bytes().to_vec(),
@@ -513,17 +525,19 @@
         .into_iter()
         .map(|l| format!("\"{}\"", liar(l)))
         .collect();
-    let honest = settings(&registry, "", "connect = \"200ms\"");
+    let honest = node_settings(&registry, "", "connect = \"200ms\"");
     let members = format!("members = [{}, ", liars.join(", "));
     let mut node = Node::start(&program(), &honest.replace("members = [", &members))
         .await
         .unwrap();
-    node.until_health("/_health", true).await.unwrap();
+    node.wait_for_health("/_health", true).await.unwrap();
     let client = Client::new(node.address());
     assert_eq!(served(&client, "honest", 100).await, 100);
     // Whoever it comes to next, its servers stay.
     registry.set_member_down(0, true);
-    node.says("registry /flags/evaluate: ").await.unwrap();
+    node.wait_for_log("registry /flags/evaluate: ")
+        .await
+        .unwrap();
     assert_eq!(served(&client, "lies", 100).await, 100);
     registry.set_member_down(0, false);
     assert_eq!(served(&client, "honest-again", 100).await, 100);
@@ -542,16 +556,16 @@
     );
     let entry = "[registry.entry]\npath = \"/nodes/n1\"\nname = \"n1\"\nsite = \"ikeja-dc\"";
     let more = format!("session = \"2s\"\n{entry}");
-    let text = settings(&registry, "", &more);
+    let text = node_settings(&registry, "", &more);
     let mut node = Node::start(&program(), &text).await.unwrap();
     // Not ready: no server is there, and the old entry is nobody's business yet.
-    node.until_health("/_health", false).await.unwrap();
+    node.wait_for_health("/_health", false).await.unwrap();
     assert_eq!(
         registry.entry("/nodes/n1").map(|entry| entry.owner),
         Some(old)
     );
-    let _one = Announced::enter(&registry, &one, "one", 0);
-    node.until_health("/_health", true).await.unwrap();
+    let _one = RegisteredServer::register(&registry, &one, "one", 0);
+    node.wait_for_health("/_health", true).await.unwrap();
     let stands = || {
         registry
             .entry("/nodes/n1")
@@ -587,7 +601,7 @@
     .await;
     one.behave(|m| m.frozen = false);
     assert_eq!(flying.await.unwrap().unwrap().status, 200);
-    assert!(node.ended().await.unwrap());
+    assert!(node.wait_for_exit().await.unwrap());
     assert!(registry.children("/nodes").is_empty());
 }
 
@@ -597,8 +611,8 @@
     let (own, strange) = (server("own").await, server("strange").await);
     let ops = digest_id("ops:secret");
     let enter = |server: &Server, acl: &[AccessRule]| {
-        let entered = Announced::enter(&registry, server, &server.name, 0);
-        registry.set_acl(&format!("{PATH}/{}", server.name), acl);
+        let entered = RegisteredServer::register(&registry, server, &server.name, 0);
+        registry.set_acl(&format!("{SERVERS_PATH}/{}", server.name), acl);
         entered
     };
     let _own = enter(
@@ -622,7 +636,7 @@
     let client = Client::new(node.address());
     assert_eq!(served(&client, "owned", 100).await, 100);
     assert_eq!(strange.seen(), 0, "a stranger's entry counted");
-    node.says("others than those that are trusted may change it")
+    node.wait_for_log("others than those that are trusted may change it")
         .await
         .unwrap();
     until("its entry", async || registry.entry("/nodes/n1").is_some()).await;
@@ -633,7 +647,7 @@
     );
     assert_eq!(acl.len(), 2, "{acl:?}");
     node.signal("TERM").unwrap();
-    assert!(node.ended().await.unwrap());
+    assert!(node.wait_for_exit().await.unwrap());
     assert!(registry.entry("/nodes/n1").is_none());
 }
 
@@ -650,7 +664,7 @@
     let client = Client::new(node.address());
     assert_eq!(served(&client, "known", 20).await, 20);
     assert_eq!(known.seen(), 20);
-    let _listed = Announced::enter(&registry, &listed, "listed", 0);
+    let _listed = RegisteredServer::register(&registry, &listed, "listed", 0);
     registry.set_member_down(0, false);
     until_sent_to(&client, &listed, "heard").await;
     // What the registry does not list is not there.
@@ -675,9 +689,9 @@
             n / 250,
             1 + n % 250
         );
-        registry.put(&format!("{PATH}/s{n}"), entry.as_bytes(), session);
+        registry.put(&format!("{SERVERS_PATH}/s{n}"), entry.as_bytes(), session);
     }
-    let _one = Announced::enter(&registry, &one, "one", 0);
+    let _one = RegisteredServer::register(&registry, &one, "one", 0);
     let node = start(&registry, "", "").await;
     let client = Client::new(node.address());
     assert_eq!(served(&client, "many", 50).await, 50);
@@ -688,9 +702,9 @@
             n / 250,
             1 + n % 250
         );
-        registry.put(&format!("{PATH}/s{n}"), entry.as_bytes(), session);
+        registry.put(&format!("{SERVERS_PATH}/s{n}"), entry.as_bytes(), session);
     }
-    let _last = Announced::enter(&registry, &last, "last", 0);
+    let _last = RegisteredServer::register(&registry, &last, "last", 0);
     until_sent_to(&client, &last, "last").await;
     assert_eq!(served(&client, "churned", 50).await, 50);
 }
--- a/crates/testbed/tests/reload.rs
+++ b/crates/testbed/tests/reload.rs
@@ -67,7 +67,7 @@
 
 async fn start(settings: &str) -> Node {
     let node = Node::start(&program(), settings).await.unwrap();
-    node.until_health("/_health", true).await.unwrap();
+    node.wait_for_health("/_health", true).await.unwrap();
     node
 }
 
@@ -101,7 +101,7 @@
 impl Reading {
     /// Has the node read its file anew.
     async fn begin(node: &Node) -> Reading {
-        let file = node.file();
+        let file = node.settings_file();
         std::fs::rename(fifo(&file, "first"), &file).unwrap();
         node.signal("HUP").unwrap();
         Reading::of(file).await
@@ -230,7 +230,7 @@
         );
     }
     reading.end(&new, &new).await;
-    node.says("is in force").await.unwrap();
+    node.wait_for_log("is in force").await.unwrap();
     assert_eq!(
         get(&client, "a.example.org", "/new", "last").await.status,
         200
@@ -254,7 +254,9 @@
     let mut node = Node::start(&program(), &settings::text(&LARGE, &loaded, 0))
         .await
         .unwrap();
-    node.until_health("/_health/service-0", true).await.unwrap();
+    node.wait_for_health("/_health/service-0", true)
+        .await
+        .unwrap();
     let asking = Asking::begin(
         node.address(),
         &settings::host(0),
@@ -268,7 +270,7 @@
         reading.end(&new, &new).await;
         // All of the file has been read: what is left to be done is to check it, and to put it in force.
         let before = asking.answered();
-        node.says("is in force").await.unwrap();
+        node.wait_for_log("is in force").await.unwrap();
         let answered = asking.answered() - before;
         assert!(
             answered >= MEANWHILE,
@@ -303,8 +305,8 @@
         200
     );
     reading.end(&with("/n1"), &with("/n2")).await;
-    node.says("is in force").await.unwrap();
-    node.says("is in force").await.unwrap();
+    node.wait_for_log("is in force").await.unwrap();
+    node.wait_for_log("is in force").await.unwrap();
     assert_eq!(
         get(&client, "a.example.org", "/n2", "after").await.status,
         200
@@ -316,14 +318,14 @@
     // A third reading would be told of before the end of this one.
     let reading = Reading::begin(&node).await;
     reading.end(&with("/n3"), &with("/n3")).await;
-    node.says("is in force").await.unwrap();
+    node.wait_for_log("is in force").await.unwrap();
     assert_eq!(
         get(&client, "a.example.org", "/n3", "last").await.status,
         200
     );
     node.signal("TERM").unwrap();
-    assert!(node.ended().await.unwrap());
-    while let Some(line) = node.line().await {
+    assert!(node.wait_for_exit().await.unwrap());
+    while let Some(line) = node.next_log_line().await {
         assert!(
             !line.contains("is in force"),
             "one reading too many: {line}"
@@ -354,8 +356,10 @@
         let reading = Reading::begin(&node).await;
         asking.further(5).await;
         reading.end(wrong, wrong).await;
-        node.says("services.toml:").await.unwrap();
-        node.says("from before stay in force").await.unwrap();
+        node.wait_for_log("services.toml:").await.unwrap();
+        node.wait_for_log("from before stay in force")
+            .await
+            .unwrap();
         let got = get(&client, "wrong.example.org", "/", &format!("wrong-{n}")).await;
         assert_eq!(got.status, 404, "a wrong file is in force: {wrong}");
         asking.further(5).await;
@@ -396,7 +400,7 @@
     node.signal("TERM").unwrap();
     server.behave(|manner| manner.frozen = false);
     assert_eq!(soon("the answer", held).await.unwrap().status, 200);
-    assert!(node.ended().await.unwrap());
+    assert!(node.wait_for_exit().await.unwrap());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -416,12 +420,12 @@
     soon("the listener's end", closed).await;
     let other = settings.replace("name = \"client\"", "name = \"other\"");
     reading.end(&other, &other).await;
-    node.says("is not taken in: the node is ending")
+    node.wait_for_log("is not taken in: the node is ending")
         .await
         .unwrap();
     server.behave(|manner| manner.frozen = false);
     assert_eq!(soon("the answer", held).await.unwrap().status, 200);
-    assert!(node.ended().await.unwrap());
+    assert!(node.wait_for_exit().await.unwrap());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/crates/testbed/tests/services.rs
+++ b/crates/testbed/tests/services.rs
@@ -102,7 +102,7 @@
             &(listed(&shared, "") + &listed(&other, "")),
         );
     let node = Node::start(&program(), &settings).await.unwrap();
-    node.until_health("/_health", true).await.unwrap();
+    node.wait_for_health("/_health", true).await.unwrap();
     let client = Client::new(node.address());
     // One whose first answer was slow is left out for a moment.
     let begun = Instant::now();
@@ -207,7 +207,7 @@
         lists.push(list);
     }
     let node = Node::start(&program(), &settings).await.unwrap();
-    node.until_health("/_health", true).await.unwrap();
+    node.wait_for_health("/_health", true).await.unwrap();
     let kinds = |run: &str| {
         (0..TEN)
             .map(|n| kind(&format!("s{n}-{run}"), 30.0))
@@ -289,7 +289,7 @@
         )
         + &service("b", "safe", cold, &(listed(&old, "") + &listed(&new, "")));
     let node = Node::start(&program(), &settings).await.unwrap();
-    node.until_health("/_health", true).await.unwrap();
+    node.wait_for_health("/_health", true).await.unwrap();
     load::run(
         node.address(),
         &[kind("b-before", 100.0)],
@@ -339,7 +339,7 @@
         + &service("a", "safe", "", &listed(&server, ""))
         + &service("b", "safe", "", &listed(&server, ""));
     let node = Node::start(&program(), &settings).await.unwrap();
-    node.until_health("/_health", true).await.unwrap();
+    node.wait_for_health("/_health", true).await.unwrap();
     let kinds = [kind("a", 40.0), kind("b", 40.0)];
     let came = load::run(node.address(), &kinds, Duration::from_secs(2), 3).await;
     // Without the bound it sees dozens.
@@ -366,7 +366,7 @@
     let mut node = Node::start(&program(), &(HEAD.to_owned() + &a + &b))
         .await
         .unwrap();
-    node.until_health("/_health", true).await.unwrap();
+    node.wait_for_health("/_health", true).await.unwrap();
     let client = Client::new(node.address());
     let health = |name: &'static str| {
         let client = &client;
@@ -418,7 +418,7 @@
         + &service("flags", "safe", "", &listed(&flags, ""))
         + &service("admin", "safe", "", &listed(&admin, ""));
     let node = Node::start(&program(), &settings).await.unwrap();
-    node.until_health("/_health", true).await.unwrap();
+    node.wait_for_health("/_health", true).await.unwrap();
     let address = node.address();
     let ask = move |first: &str, hosts: &[&str]| {
         let hosts: String = hosts.iter().map(|h| format!("Host:{h}\r\n")).collect();
@@ -496,7 +496,7 @@
     let mut node = Node::start(&program(), &(HEAD.to_owned() + &a + &b))
         .await
         .unwrap();
-    node.until_health("/_health", true).await.unwrap();
+    node.wait_for_health("/_health", true).await.unwrap();
     let address = node.address();
     let mut stream = tokio::task::block_in_place(|| scripted::connect(address));
     let mut ask = |service: &str, id: &str| {
@@ -528,10 +528,10 @@
     let server = good("s", 1).await;
     let settings = |name: &str| HEAD.to_owned() + &service(name, "safe", "", &listed(&server, ""));
     let mut node = Node::start(&program(), &settings("n0")).await.unwrap();
-    node.until_health("/_health", true).await.unwrap();
+    node.wait_for_health("/_health", true).await.unwrap();
     let client = Client::new(node.address());
     for n in 1..=60 {
-        node.configure(&settings(&format!("n{n}"))).unwrap();
+        node.replace_settings(&settings(&format!("n{n}"))).unwrap();
     }
     let begun = Instant::now();
     while get(
@@ -550,26 +550,30 @@
     }
     assert_eq!(get(&client, "n59", "gone").await.status, 404);
     // Mistakes are named with file and line, and all stays as it was.
-    node.configure(&settings("n61").replace("\"5s\"", "500"))
+    node.replace_settings(&settings("n61").replace("\"5s\"", "500"))
         .unwrap();
-    let said = node.says("services.toml:").await.unwrap();
+    let said = node.wait_for_log("services.toml:").await.unwrap();
     assert!(
         said.contains("services.toml:11: `500` is a number alone"),
         "{said}"
     );
-    node.says("from before stay in force").await.unwrap();
+    node.wait_for_log("from before stay in force")
+        .await
+        .unwrap();
     assert_eq!(get(&client, "n60", "still").await.status, 200);
-    std::fs::remove_file(node.file()).unwrap();
+    std::fs::remove_file(node.settings_file()).unwrap();
     node.signal("HUP").unwrap();
-    node.says("from before stay in force").await.unwrap();
+    node.wait_for_log("from before stay in force")
+        .await
+        .unwrap();
     // A listener that can't be had is a mistake as well.
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let more = format!(
         "[[listener]]\nname = \"x\"\naddress = \"{}\"\n",
         taken.local_addr().unwrap()
     );
-    node.configure(&(settings("n62") + &more)).unwrap();
-    let said = node.says("listener `x`").await.unwrap();
+    node.replace_settings(&(settings("n62") + &more)).unwrap();
+    let said = node.wait_for_log("listener `x`").await.unwrap();
     assert!(said.contains("services.toml:19: listener `x`"), "{said}");
     assert_eq!(get(&client, "n60", "yet").await.status, 200);
 }
@@ -580,11 +584,11 @@
     let half = HEAD.to_owned() + &service("a", "safe", "", &listed(&server, ""));
     let whole = half.clone() + &service("b", "safe", "", &listed(&server, ""));
     let mut node = Node::start(&program(), &half).await.unwrap();
-    node.until_health("/_health", true).await.unwrap();
+    node.wait_for_health("/_health", true).await.unwrap();
     // The first half is a whole file too: were it put in force, that would be said before the second is there.
     for round in 0..5 {
         let (first, rest) = whole.split_at(half.len());
-        let mut file = std::fs::File::create(node.file()).unwrap();
+        let mut file = std::fs::File::create(node.settings_file()).unwrap();
         file.write_all(first.as_bytes()).unwrap();
         node.signal("HUP").unwrap();
         for part in rest.as_bytes().chunks(rest.len() / 20) {
@@ -592,7 +596,7 @@
             file.write_all(part).unwrap();
         }
         drop(file);
-        node.says("is in force").await.unwrap();
+        node.wait_for_log("is in force").await.unwrap();
         let got = get(&Client::new(node.address()), "b", &format!("r-{round}")).await;
         assert_eq!(got.status, 200, "half a file was put in force");
         node.reload(&half).await.unwrap();
@@ -611,7 +615,7 @@
     // It lists the slow server as well, which so stays known as a warm one.
     let b = b + &service("keeper", "safe", "", &listed(&server, ""));
     let mut node = Node::start(&program(), &(a("\"10s\"") + &b)).await.unwrap();
-    node.until_health("/_health", true).await.unwrap();
+    node.wait_for_health("/_health", true).await.unwrap();
     let without = HEAD.to_owned() + &b;
     for (n, next) in [a("\"600ms\"") + &b, without, a("\"10s\"") + &b]
         .into_iter()
@@ -659,7 +663,7 @@
         listed(&server, "")
     );
     let node = Node::start(&program(), &settings).await.unwrap();
-    node.until_health("/_health", true).await.unwrap();
+    node.wait_for_health("/_health", true).await.unwrap();
     let client = Client::new(node.address());
     let ask = |method: &'static str, path: &'static str, class: &'static str| {
         let mut request = request(method, "a.example.org", path, "");
@@ -709,7 +713,7 @@
         + &service("a", "unsafe", "", &pool.listed())
         + &service("b", "safe", "", &pool.listed());
     let node = Node::start(&program(), &settings).await.unwrap();
-    node.until_health("/_health", true).await.unwrap();
+    node.wait_for_health("/_health", true).await.unwrap();
     let kinds = [
         Kind {
             method: "POST",
@@ -757,7 +761,7 @@
             &listed(&quick, ""),
         );
     let node = Node::start(&program(), &settings).await.unwrap();
-    node.until_health("/_health", true).await.unwrap();
+    node.wait_for_health("/_health", true).await.unwrap();
     let address = node.address();
     let mut flood = tokio::task::JoinSet::new();
     for n in 0..200 {
@@ -800,7 +804,7 @@
             &listed(&quick, ""),
         );
     let node = Node::start(&program(), &settings).await.unwrap();
-    node.until_health("/_health", true).await.unwrap();
+    node.wait_for_health("/_health", true).await.unwrap();
     let address = node.address();
     let post = move |service: &'static str, id: String| async move {
         let request = Request::post("/api").header("host", format!("{service}.example.org"));
--- a/crates/testbed/tests/stand_ins.rs
+++ b/crates/testbed/tests/stand_ins.rs
@@ -29,19 +29,19 @@
     let link = Link::start(server.address).await.unwrap();
     let client = Client::new(link.address);
     assert_eq!(client.ask(get("plain")).await.unwrap().body, "plain");
-    link.fault(|f| f.delay = Duration::from_millis(100));
+    link.update_faults(|f| f.delay = Duration::from_millis(100));
     let begun = Instant::now();
     assert_eq!(client.ask(get("late")).await.unwrap().status, 200);
     assert!(
         begun.elapsed() >= Duration::from_millis(200),
         "late both ways"
     );
-    link.fault(|f| (f.delay, f.frozen) = (Duration::ZERO, true));
+    link.update_faults(|f| (f.delay, f.is_frozen) = (Duration::ZERO, true));
     let waited = tokio::time::timeout(Duration::from_millis(300), client.ask(get("frozen"))).await;
     assert!(waited.is_err(), "something passed a frozen link");
     assert!(!server.effects().contains_key("frozen"));
     // What waits in it passes once it thaws, though the client has left.
-    link.fault(|f| f.frozen = false);
+    link.update_faults(|f| f.is_frozen = false);
     let client = Client::new(link.address);
     assert_eq!(client.ask(get("thawed")).await.unwrap().status, 200);
 }
@@ -50,10 +50,12 @@
 async fn a_link_cuts_at_a_byte_and_goes_deaf_one_way() {
     let server = server().await;
     let link = Link::start(server.address).await.unwrap();
-    link.fault(|f| f.cut_to_server = Some(10));
+    link.update_faults(|f| f.cut_after_bytes_to_server = Some(10));
     assert!(Client::new(link.address).ask(get("cut")).await.is_err());
     assert_eq!(server.seen(), 0, "half a request arrived whole");
-    link.fault(|f| (f.cut_to_server, f.cut_to_client) = (None, Some(10)));
+    link.update_faults(|f| {
+        (f.cut_after_bytes_to_server, f.cut_after_bytes_to_client) = (None, Some(10))
+    });
     assert!(Client::new(link.address)
         .ask(get("cut-back"))
         .await
@@ -63,7 +65,7 @@
         Some(&1),
         "the effect is there, the answer is not"
     );
-    link.fault(|f| (f.cut_to_client, f.deaf) = (None, true));
+    link.update_faults(|f| (f.cut_after_bytes_to_client, f.drops_responses) = (None, true));
     let asking = tokio::spawn({
         let client = Client::new(link.address);
         async move { client.ask(get("deaf")).await }
--- a/crates/testbed/tests/together.rs
+++ b/crates/testbed/tests/together.rs
@@ -224,7 +224,8 @@
     .await;
     // One node reaches no server, and finds fault with all.
     for server in 0..rig.servers.len() {
-        rig.server_link(5, server).fault(|f| f.frozen = true);
+        rig.server_link(5, server)
+            .update_faults(|f| f.is_frozen = true);
     }
     let load = rig.start_load(40.0, 0.2, 5);
     let from = rig.history.now();
@@ -245,7 +246,8 @@
         );
     }
     for server in 0..rig.servers.len() {
-        rig.server_link(5, server).fault(|f| f.frozen = false);
+        rig.server_link(5, server)
+            .update_faults(|f| f.is_frozen = false);
     }
     rig.kill(5);
     load.stop().await;
