--- a/crates/testbed/src/fleet/node_settings.rs
+++ b/crates/testbed/src/fleet/node_settings.rs
@@ -13,8 +13,8 @@
     parent.join(format!("folder-{node}"))
 }
 
-/// The parts `[management]` and `[fleet]` of a node, with `extra` lines in the latter.
-pub(super) fn fleet_part(
+/// The sections `[management]` and `[fleet]` of a node, with `extra` lines in the latter.
+pub(super) fn fleet_section(
     node: usize,
     spec: &FleetSpec,
     network: &DatagramNetwork,
@@ -65,7 +65,7 @@
     links.iter().enumerate().map(entry).collect()
 }
 
-/// Where a node takes its servers from, as lines of a service's part.
+/// Where a node takes its servers from, as lines of a service's section.
 pub(super) enum ServerSource {
     /// A line that names the discovery service.
     Discovery(String),
@@ -73,23 +73,28 @@
     List(String),
 }
 
-/// The settings of a node, with its parts of the fleet.
+/// The settings of a node, with its sections of the fleet.
 pub(super) fn node_settings(
     node: usize,
     spec: &FleetSpec,
     source: &ServerSource,
-    fleet_part: &str,
+    fleet_section: &str,
 ) -> String {
     let zone = zone_line(node, spec);
     let process = format!("[process]\nnodes = {}\n{zone}", spec.node_count);
     format!(
-        "{process}\n{fleet_part}\n[[listener]]\nname = \"client\"\naddress = \"127.0.0.1:0\"\n\n{}{}",
-        service_part("evaluate", "safe", spec, source),
-        service_part("toggle", "unsafe", spec, source)
+        "{process}\n{fleet_section}\n[[listener]]\nname = \"client\"\naddress = \"127.0.0.1:0\"\n\n{}{}",
+        service_section("evaluate", "safe", spec, source),
+        service_section("toggle", "unsafe", spec, source)
     )
 }
 
-fn service_part(name: &str, retry_safety: &str, spec: &FleetSpec, source: &ServerSource) -> String {
+fn service_section(
+    name: &str,
+    retry_safety: &str,
+    spec: &FleetSpec,
+    source: &ServerSource,
+) -> String {
     let (discovery, servers) = match source {
         ServerSource::Discovery(line) => (line.as_str(), ""),
         ServerSource::List(lines) => ("", lines.as_str()),
--- a/crates/testbed/src/fleet/spec.rs
+++ b/crates/testbed/src/fleet/spec.rs
@@ -15,10 +15,10 @@
     pub zone_count: usize,
     /// How long a server takes for a request.
     pub service_time: Duration,
-    /// Lines of the part `[fleet]` of the settings, beyond those of every fleet; `None` for nodes that don't know each
+    /// Lines of the section `[fleet]` of the settings, beyond those of every fleet; `None` for nodes that don't know each
     /// other. `{folder}` stands for a folder of the node's own, which survives its process.
     pub fleet_settings: Option<String>,
-    /// Lines of the part of each service.
+    /// Lines of the section of each service.
     pub service_settings: String,
     /// Number of discovery services, which are assigned to the nodes in turn. With none, the settings list the servers,
     /// and each node reaches each server by a link of its own.
--- a/crates/testbed/src/fleet/start.rs
+++ b/crates/testbed/src/fleet/start.rs
@@ -2,7 +2,7 @@
 
 use super::datagrams::DatagramNetwork;
 use super::history::{Event, History};
-use super::node_settings::{fleet_part, node_settings, server_list, ServerSource};
+use super::node_settings::{fleet_section, node_settings, server_list, ServerSource};
 use super::{server_name, FleetNode, FleetSpec, TestFleet};
 use crate::discovery::{Discovery, Listed};
 use crate::link::Link;
@@ -44,10 +44,15 @@
             let server_links = start_links(&servers).await?;
             let source = server_source(node, spec, &discoveries, &server_links);
             let fleet_settings = spec.fleet_settings.as_ref();
-            let fleet_part =
-                fleet_settings.map(|extra| fleet_part(node, spec, &network, &key_file, extra));
+            let fleet_section =
+                fleet_settings.map(|extra| fleet_section(node, spec, &network, &key_file, extra));
             nodes.push(FleetNode {
-                settings: node_settings(node, spec, &source, fleet_part.as_deref().unwrap_or("")),
+                settings: node_settings(
+                    node,
+                    spec,
+                    &source,
+                    fleet_section.as_deref().unwrap_or(""),
+                ),
                 process: None,
                 server_links,
             });
--- a/crates/testbed/src/fleet/verdict_stats.rs
+++ b/crates/testbed/src/fleet/verdict_stats.rs
@@ -1,4 +1,4 @@
-//! How the nodes of a fleet acted on verdicts, from its history: how long they kept to one after its end, and how often a
+//! How the nodes of a fleet acted on verdicts, from its history: how long they applied one after its end, and how often a
 //! server was condemned that had no fault.
 //!
 //! A node logs when it acts on a verdict. Whether it was right follows from the faults that were injected and the bans
@@ -18,13 +18,13 @@
 /// Figures on verdicts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VerdictStats {
-    /// How long after the end of a ban nodes kept to it, in ascending order; one entry for each node and ban.
+    /// How long after the end of a ban nodes still applied it, in ascending order; one entry for each node and ban.
     pub ban_overruns: Vec<Duration>,
     /// How often a node condemned a server.
     pub condemnations: usize,
     /// The condemnations of servers that had had no fault for longer than [`REPORT_TTL`], one line each.
     pub unfounded_condemnations: Vec<String>,
-    /// How long after the end of its faults nodes kept a server condemned, in ascending order.
+    /// How long after the end of its faults nodes still condemned a server, in ascending order.
     pub condemnation_overruns: Vec<Duration>,
 }
 
--- a/crates/testbed/src/membership.rs
+++ b/crates/testbed/src/membership.rs
@@ -53,7 +53,7 @@
 
 /// The settings of a node with the services `evaluate` (idempotent, `GET`) and `toggle` (at most once, `POST`), which both
 /// follow the entries of the servers. `service_options` are added to the registry of each service, `registry_lines` to the
-/// part of the registry.
+/// section of the registry.
 pub fn node_settings(registry: &Registry, service_options: &str, registry_lines: &str) -> String {
     let members: Vec<String> = registry
         .members
@@ -64,12 +64,12 @@
         "[[listener]]\nname = \"client\"\naddress = \"127.0.0.1:0\"\n\n[[registry]]\nname = \"main\"\n\
          members = [{}]\n{registry_lines}\n\n{}{}",
         members.join(", "),
-        service_part("evaluate", "safe", service_options),
-        service_part("toggle", "unsafe", service_options)
+        service_section("evaluate", "safe", service_options),
+        service_section("toggle", "unsafe", service_options)
     )
 }
 
-fn service_part(name: &str, retry_safety: &str, registry_options: &str) -> String {
+fn service_section(name: &str, retry_safety: &str, registry_options: &str) -> String {
     format!(
         "[[service]]\nname = \"{name}\"\nregistry = {{ name = \"main\", path = \"{SERVERS_PATH}\"{registry_options} }}\n\
          tries = {{ most = 4, retry_share = 1.0 }}\n\
--- a/crates/testbed/src/registry/requests/mod.rs
+++ b/crates/testbed/src/registry/requests/mod.rs
@@ -82,7 +82,7 @@
     let operation = Operation::from_number(reader.int().ok()?);
     let context = context(state, connection)?;
     let session = state.sessions.get_mut(&context.session)?;
-    session.last_heard = Instant::now();
+    session.last_request_at = Instant::now();
     let member_zxid = state.members.get(context.member)?.tree.zxid;
     if operation != Some(Operation::Ping) {
         state.counters.requests += 1;
--- a/crates/testbed/src/registry/requests/sessions.rs
+++ b/crates/testbed/src/registry/requests/sessions.rs
@@ -118,7 +118,7 @@
         };
     };
     let former = std::mem::replace(&mut session.connection, connection);
-    session.last_heard = Instant::now();
+    session.last_request_at = Instant::now();
     session.timeout = timeout;
     let password = session.password;
     if former != connection {
--- a/crates/testbed/src/registry/state.rs
+++ b/crates/testbed/src/registry/state.rs
@@ -78,7 +78,7 @@
 pub(super) struct Session {
     pub(super) password: SessionPassword,
     pub(super) timeout: Duration,
-    pub(super) last_heard: Instant,
+    pub(super) last_request_at: Instant,
     /// The connection that its client used last.
     pub(super) connection: ConnectionId,
 }
@@ -182,7 +182,7 @@
         let session = Session {
             password,
             timeout,
-            last_heard: Instant::now(),
+            last_request_at: Instant::now(),
             connection,
         };
         self.sessions.insert(id, session);
@@ -277,8 +277,9 @@
         for member in 0..self.members.len() {
             self.replicate(member, now);
         }
-        let is_expired =
-            |session: &Session| now.saturating_duration_since(session.last_heard) > session.timeout;
+        let is_expired = |session: &Session| {
+            now.saturating_duration_since(session.last_request_at) > session.timeout
+        };
         let expired: Vec<i64> = self
             .sessions
             .iter()
--- a/crates/testbed/src/scenario/membership.rs
+++ b/crates/testbed/src/scenario/membership.rs
@@ -80,7 +80,7 @@
 
 /// What the expirations share.
 #[derive(Clone)]
-struct World {
+struct SharedState {
     registry: Arc<Registry>,
     pool: Arc<Pool>,
     /// For each expiration, how long after it the last request arrived.
@@ -101,20 +101,20 @@
         &counting_app(),
     )
     .await?;
-    let world = World {
+    let shared = SharedState {
         registry: Arc::new(Registry::start(REGISTRY_MEMBERS).await?),
         pool: Arc::new(pool),
         last_arrivals: Arc::default(),
     };
-    let registered: Vec<RegisteredServer> = world
+    let registered: Vec<RegisteredServer> = shared
         .pool
         .servers
         .iter()
         .map(|server| {
-            RegisteredServer::register(&world.registry, server, &format!("{}.0", server.name), 0)
+            RegisteredServer::register(&shared.registry, server, &format!("{}.0", server.name), 0)
         })
         .collect();
-    let node = Node::start(program, &node_settings(&world.registry, "", "")).await?;
+    let node = Node::start(program, &node_settings(&shared.registry, "", "")).await?;
     node.wait_for_health("/_health", true).await?;
     let kinds = [
         request_kind("m", "evaluate", scale.rate * 0.8),
@@ -125,18 +125,22 @@
     let address = node.address();
     let load = tokio::spawn(async move { load::run(address, &kinds, duration, LOAD_SEED).await });
     tokio::time::sleep(WARM_UP).await;
-    expire_all(&world, scale, registered).await?;
+    expire_all(&shared, scale, registered).await?;
     let outcomes = load.await?;
-    Ok(report(&world, &outcomes))
+    Ok(report(&shared, &outcomes))
 }
 
 /// Expires the sessions of all pairs of servers at the same time.
-async fn expire_all(world: &World, scale: Scale, registered: Vec<RegisteredServer>) -> Result<()> {
+async fn expire_all(
+    shared: &SharedState,
+    scale: Scale,
+    registered: Vec<RegisteredServer>,
+) -> Result<()> {
     let mut tasks = tokio::task::JoinSet::new();
     let mut registered = registered.into_iter();
     for pair in 0..scale.servers / 2 {
         let servers: Vec<RegisteredServer> = registered.by_ref().take(2).collect();
-        tasks.spawn(expire_pair(world.clone(), pair, servers, scale.cycles()));
+        tasks.spawn(expire_pair(shared.clone(), pair, servers, scale.cycles()));
     }
     while let Some(finished) = tasks.join_next().await {
         finished?;
@@ -146,7 +150,7 @@
 
 /// Expires the sessions of two servers in turn, so that one of them is always registered.
 async fn expire_pair(
-    world: World,
+    shared: SharedState,
     pair: usize,
     mut registered: Vec<RegisteredServer>,
     cycles: usize,
@@ -154,26 +158,26 @@
     let mut random = Draw(WAITS_SEED + pair as u64);
     for cycle in 0..cycles {
         let turn = cycle % 2;
-        let server = &world.pool.servers[2 * pair + turn];
+        let server = &shared.pool.servers[2 * pair + turn];
         let wait = RANDOM_WAIT_SECONDS * random.fraction();
         tokio::time::sleep(Duration::from_secs_f64(wait)).await;
         if cycle % CYCLES_PER_REQUEST_WAIT == 0 {
             wait_for_request(server).await;
         }
-        registered[turn].expire_session(&world.registry);
+        registered[turn].expire_session(&shared.registry);
         let expired_at = Instant::now();
         tokio::time::sleep_until((expired_at + ABSENCE).into()).await;
         let last_arrival = server.last_seen().map_or(Duration::ZERO, |at| {
             at.saturating_duration_since(expired_at)
         });
-        world
+        shared
             .last_arrivals
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .push(last_arrival);
         // The process has run all along. It gets a new session and another name, so that it counts as a new server.
         let name = format!("{}.{}", server.name, cycle + 1);
-        registered[turn] = RegisteredServer::register(&world.registry, server, &name, 0);
+        registered[turn] = RegisteredServer::register(&shared.registry, server, &name, 0);
     }
 }
 
@@ -186,16 +190,16 @@
     }
 }
 
-fn report(world: &World, outcomes: &[Came]) -> Report {
+fn report(shared: &SharedState, outcomes: &[Came]) -> Report {
     let mut report = Report::default();
-    let mut last_arrivals = world
+    let mut last_arrivals = shared
         .last_arrivals
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
         .clone();
     last_arrivals.sort_unstable();
     let late = last_arrivals.iter().filter(|after| **after > GRACE).count();
-    let duplicates = world.pool.twice();
+    let duplicates = shared.pool.twice();
     report.figure("kills", last_arrivals.len());
     report.figure(
         "from_the_news_to_the_last_request_ms",
