--- a/crates/capacity/src/scale/real.rs
+++ b/crates/capacity/src/scale/real.rs
@@ -57,9 +57,9 @@
     fn supervise(mut node: Node) -> RunningNode {
         let (address, pid) = (node.address(), node.pid());
         let task = reelfall_testbed::task(async move {
-            while node.line().await.is_some() {}
+            while node.next_log_line().await.is_some() {}
             // Reaps the process.
-            let _ = node.ended().await;
+            let _ = node.wait_for_exit().await;
         });
         RunningNode {
             address,
@@ -102,7 +102,7 @@
         let mut nodes = Vec::with_capacity(count);
         for index in 0..count {
             let node = Node::start(program, &fleet.settings(index)).await?;
-            node.until_health("/_health", true).await?;
+            node.wait_for_health("/_health", true).await?;
             if let Some(address) = node.fleet {
                 network.add_external(address, index % ZONES);
             }
--- a/crates/testbed/src/commands/stand_ins.rs
+++ b/crates/testbed/src/commands/stand_ins.rs
@@ -83,7 +83,7 @@
 
 /// Runs a registry and the address of its controls.
 pub async fn run_registry(args: &RegistryArgs) -> Result<()> {
-    let registry = Arc::new(Registry::at(args.listen, args.members).await?);
+    let registry = Arc::new(Registry::start_at(args.listen, args.members).await?);
     let listener = TcpListener::bind((args.listen.ip(), 0)).await?;
     let mut addresses = Map::new();
     for (index, address) in registry.members.iter().enumerate() {
@@ -120,11 +120,11 @@
 /// Runs a network path with faults.
 pub async fn run_link(args: &LinkArgs) -> Result<()> {
     let link = Link::start(args.to).await?;
-    link.fault(|fault| {
+    link.update_faults(|fault| {
         fault.delay = Duration::from_millis(args.delay_ms);
-        fault.cut_to_server = args.cut;
-        fault.throttle = args.throttle;
-        fault.deaf = args.deaf;
+        fault.cut_after_bytes_to_server = args.cut;
+        fault.bytes_per_second = args.throttle;
+        fault.drops_responses = args.deaf;
     });
     print_ready(json!({ "link": link.address.to_string() }));
     until_ended().await;
