--- a/crates/capacity/src/scale/faults.rs
+++ b/crates/capacity/src/scale/faults.rs
@@ -65,7 +65,7 @@
     /// # Errors
     /// If the system does not tell what is used.
     pub async fn zone_gone(&self, record: &mut Record) -> Result<()> {
-        let zone = self.network.draw(1).number() as usize % ZONES;
+        let zone = self.network.draw(1).next_u64() as usize % ZONES;
         let nodes = self.network.of_zones(zone..zone + 1);
         self.set(&nodes, Doing::Gone);
         keep(record, self.window("zone-gone", Rates::NONE).await?);
@@ -77,7 +77,7 @@
     /// # Errors
     /// If the system does not tell what is used.
     pub async fn region_start(&self, record: &mut Record) -> Result<()> {
-        let region = self.network.draw(2).number() as usize % (ZONES / REGION_ZONES);
+        let region = self.network.draw(2).next_u64() as usize % (ZONES / REGION_ZONES);
         let nodes = self
             .network
             .of_zones(region * REGION_ZONES..(region + 1) * REGION_ZONES);
@@ -98,13 +98,13 @@
         let some = network.nodes() / ONE_OF + 1;
         let mut pick = || {
             (0..some)
-                .map(|_| draw.number() as usize % network.nodes())
+                .map(|_| draw.next_u64() as usize % network.nodes())
                 .collect::<Vec<_>>()
         };
         let (frozen, killed) = (pick(), pick());
         let zones = (
-            draw.number() as usize % ZONES,
-            draw.number() as usize % ZONES,
+            draw.next_u64() as usize % ZONES,
+            draw.next_u64() as usize % ZONES,
         );
         self.set(&frozen, Doing::Frozen);
         self.set(&killed, Doing::Gone);
--- a/crates/capacity/src/scale/hollow.rs
+++ b/crates/capacity/src/scale/hollow.rs
@@ -9,7 +9,7 @@
 use reelfall_cluster::members::MembershipConfig;
 use reelfall_cluster::observer::AttemptOutcome;
 use reelfall_cluster::wire::{self, AppMessage, Secret, Writer};
-use reelfall_testbed::Draw;
+use reelfall_testbed::SeededRng;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
@@ -125,7 +125,7 @@
 /// The control side of one node.
 pub struct Hollow {
     fleet: Fleet,
-    draw: Draw,
+    draw: SeededRng,
     next_look: f64,
     next_judge: f64,
     condemned: BTreeSet<ServerInstance>,
@@ -138,7 +138,7 @@
     /// # Errors
     /// If the fleet's key can't be made.
     pub fn new(setup: &Setup, seed: u64, now: f64) -> Result<Hollow, String> {
-        let mut draw = Draw(seed);
+        let mut draw = SeededRng(seed);
         let config = Config {
             membership: MembershipConfig {
                 size: setup.size,
@@ -148,7 +148,7 @@
             zone: setup.zone.clone(),
             ..Config::default()
         };
-        let (tag, chance) = (draw.number() | 1, draw.number());
+        let (tag, chance) = (draw.next_u64() | 1, draw.next_u64());
         let fleet = Fleet::new(
             &setup.name,
             setup.address,
@@ -246,7 +246,7 @@
             let sends = if self.condemned.contains(&server) {
                 self.probes.contains(&server)
             } else {
-                self.draw.fraction() < ATTEMPTS * JUDGE_EVERY
+                self.draw.next_fraction() < ATTEMPTS * JUDGE_EVERY
             };
             if sends {
                 self.fleet
--- a/crates/capacity/src/scale/network.rs
+++ b/crates/capacity/src/scale/network.rs
@@ -4,7 +4,7 @@
 use super::lists::Lists;
 use super::shared::{Doing, Forces, Place, Shared, ZONES};
 use super::{drive, machine};
-use reelfall_testbed::{Draw, Result};
+use reelfall_testbed::{Result, SeededRng};
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, PoisonError};
@@ -174,8 +174,8 @@
     }
 
     /// A generator of its own for each matter.
-    pub fn draw(&self, matter: u64) -> Draw {
-        Draw(
+    pub fn draw(&self, matter: u64) -> SeededRng {
+        SeededRng(
             self.shared
                 .seed
                 .wrapping_mul(0x9e37_79b9)
--- a/crates/capacity/src/scale/real.rs
+++ b/crates/capacity/src/scale/real.rs
@@ -10,9 +10,9 @@
 use reelfall_testbed::discovery::{Discovery, Listed};
 use reelfall_testbed::load::{self, Kind};
 use reelfall_testbed::node::{cpu_seconds, memory_kib, Folder, Node};
-use reelfall_testbed::pool::{Manner, Server};
+use reelfall_testbed::pool::{Server, ServerBehavior};
 use reelfall_testbed::scripted::Program;
-use reelfall_testbed::{Result, Task};
+use reelfall_testbed::{AbortOnDrop, Result};
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -37,14 +37,14 @@
 struct Running {
     address: SocketAddr,
     pid: u32,
-    _task: Task,
+    _task: AbortOnDrop,
 }
 
 impl Running {
     /// Keeps a node, and reads what it says so that it never waits for that.
     fn keep(mut node: Node) -> Running {
         let (address, pid) = (node.address(), node.pid());
-        let task = reelfall_testbed::task(async move {
+        let task = reelfall_testbed::spawn(async move {
             while node.line().await.is_some() {}
             // Waited for, so that no process is left behind.
             let _ = node.ended().await;
@@ -75,7 +75,15 @@
     ) -> Result<Self> {
         let mut servers = Vec::with_capacity(SERVERS);
         for n in 0..SERVERS {
-            servers.push(Server::start(&format!("s{n}"), 16, Manner::good(TAKES), n as u64).await?);
+            servers.push(
+                Server::start(
+                    &format!("s{n}"),
+                    16,
+                    ServerBehavior::healthy(TAKES),
+                    n as u64,
+                )
+                .await?,
+            );
         }
         let entry = |n: usize| Listed::active(&server_name(n), listed_address(n));
         let discovery = Discovery::start((0..listed.min(LISTED_MOST)).map(entry).collect()).await?;
--- a/crates/capacity/src/scale/window.rs
+++ b/crates/capacity/src/scale/window.rs
@@ -4,7 +4,7 @@
 use super::lists::FAILING;
 use super::network::Network;
 use super::report::{Run, Size, Source, Times};
-use reelfall_testbed::{Draw, Result};
+use reelfall_testbed::{Result, SeededRng};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -91,14 +91,19 @@
 }
 
 /// What happens in a window of so many seconds, and when.
-pub fn schedule(rates: Rates, seconds: f64, servers: usize, draw: &mut Draw) -> Vec<(f64, Event)> {
+pub fn schedule(
+    rates: Rates,
+    seconds: f64,
+    servers: usize,
+    draw: &mut SeededRng,
+) -> Vec<(f64, Event)> {
     let mut events: Vec<(f64, Event)> = moments(rates.changes, seconds)
         .into_iter()
         .map(|at| (at, Event::Change))
         .collect();
     for at in moments(rates.restarts, seconds) {
         // Those that fail all the time do not restart.
-        let server = FAILING + draw.number() as usize % servers.saturating_sub(FAILING).max(1);
+        let server = FAILING + draw.next_u64() as usize % servers.saturating_sub(FAILING).max(1);
         events.push(((at - FAILS_FOR).max(0.0), Event::Fails(server)));
         events.push((at, Event::Restarted(server)));
     }
@@ -111,7 +116,7 @@
     network: &Network,
     rates: Rates,
     seconds: f64,
-    mut draw: Draw,
+    mut draw: SeededRng,
     restarted: &dyn Fn(usize),
 ) -> Played {
     let lists = network.shared.lists.clone();
@@ -122,7 +127,7 @@
         match event {
             Event::Change => {
                 let running = network.running();
-                if let Some(n) = running.get(draw.number() as usize % running.len().max(1)) {
+                if let Some(n) = running.get(draw.next_u64() as usize % running.len().max(1)) {
                     network.ban(*n, CHANGE_LASTS);
                     played.changes += 1;
                 }
@@ -169,7 +174,7 @@
 ) -> Result<Measured> {
     let before = network.begin_window();
     let begun = network.shared.now();
-    let played = play(network, rates, seconds, Draw(seed), restarted).await;
+    let played = play(network, rates, seconds, SeededRng(seed), restarted).await;
     let took = network.shared.now() - begun;
     let (after, sample) = (network.totals(), network.shared.sampler.take());
     let peak = network.peak();
--- a/crates/capacity/tests/scale.rs
+++ b/crates/capacity/tests/scale.rs
@@ -19,7 +19,7 @@
 };
 use reelfall_capacity::scale::{fleet, machine, smoke, sweep};
 use reelfall_testbed::scripted::Program;
-use reelfall_testbed::Draw;
+use reelfall_testbed::SeededRng;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -521,7 +521,7 @@
         changes: DAY as usize,
         restarts: 2 * DAY as usize,
     };
-    let events = schedule(rates, 3.0, 10, &mut Draw(1));
+    let events = schedule(rates, 3.0, 10, &mut SeededRng(1));
     assert!(
         events.is_sorted_by(|a, b| a.0 <= b.0)
             && events.iter().all(|(at, _)| (0.0..3.0).contains(at))
@@ -540,8 +540,8 @@
             |(before, event): &(f64, Event)| *event == Event::Fails(*server) && *before <= *at;
         assert!(events[..n].iter().any(fails), "{events:?}");
     }
-    assert_eq!(events, schedule(rates, 3.0, 10, &mut Draw(1)));
-    assert!(schedule(Rates::NONE, 3.0, 10, &mut Draw(1)).is_empty());
+    assert_eq!(events, schedule(rates, 3.0, 10, &mut SeededRng(1)));
+    assert!(schedule(Rates::NONE, 3.0, 10, &mut SeededRng(1)).is_empty());
 }
 
 #[test]
--- a/crates/testbed/examples/reload/main.rs
+++ b/crates/testbed/examples/reload/main.rs
@@ -12,7 +12,7 @@
 use hdrhistogram::Histogram;
 use reelfall_testbed::load::{self, Came, Kind};
 use reelfall_testbed::node::Node;
-use reelfall_testbed::pool::{Manner, Pool, Server};
+use reelfall_testbed::pool::{Pool, Server, ServerBehavior};
 use reelfall_testbed::scripted::Program;
 use reelfall_testbed::Result;
 use serde_json::{json, Value};
@@ -159,7 +159,8 @@
     let mut servers = Vec::new();
     for n in 0..SERVERS {
         let name = format!("loaded-{service}-{n}");
-        servers.push(Server::start(&name, WORKERS, Manner::good(SERVICE), n as u64).await?);
+        servers
+            .push(Server::start(&name, WORKERS, ServerBehavior::healthy(SERVICE), n as u64).await?);
     }
     Ok(Pool { servers })
 }
@@ -186,7 +187,7 @@
     let mut pools = Vec::new();
     for n in 0..LOADED {
         let pool = stand_ins(n).await?;
-        lists.push(pool.listed());
+        lists.push(pool.server_settings());
         pools.push(pool);
     }
     let first = settings::text(&size, &lists, 0);
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,6 +1,6 @@
 //! One client: it keeps its connections and opens more when all are busy.
 
-use crate::{Result, Task};
+use crate::{AbortOnDrop, Result};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::{handshake, SendRequest};
@@ -23,7 +23,7 @@
 
 struct Connection {
     send: SendRequest<Full<Bytes>>,
-    _task: Task,
+    _task: AbortOnDrop,
 }
 
 /// See the module.
@@ -49,7 +49,7 @@
         let stream = TcpStream::connect(self.to).await?;
         stream.set_nodelay(true)?;
         let (send, connection) = handshake(TokioIo::new(stream)).await?;
-        let task = crate::task(async move {
+        let task = crate::spawn(async move {
             let _ = connection.await;
         });
         Ok(Connection { send, _task: task })
--- a/crates/testbed/src/commands/stand_ins.rs
+++ b/crates/testbed/src/commands/stand_ins.rs
@@ -3,9 +3,9 @@
 use super::print_ready;
 use reelfall_testbed::discovery::{Discovery, Listed};
 use reelfall_testbed::link::Link;
-use reelfall_testbed::pool::{Manner, Pool};
+use reelfall_testbed::pool::{Pool, ServerBehavior};
 use reelfall_testbed::registry::{self, Registry};
-use reelfall_testbed::{relay, until_ended, Result};
+use reelfall_testbed::{relay, shutdown_signal, Result};
 use serde_json::{json, Map, Value};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -33,10 +33,10 @@
 
 /// Runs servers; prints what they have received at the end.
 pub async fn run_pool(args: &PoolArgs) -> Result<()> {
-    let manner = Manner {
-        fail: args.fail,
-        die_after: args.die,
-        ..Manner::good(Duration::from_millis(args.service_ms))
+    let manner = ServerBehavior {
+        error_ratio: args.fail,
+        close_after_effect_ratio: args.die,
+        ..ServerBehavior::healthy(Duration::from_millis(args.service_ms))
     };
     let pool = Pool::start("server", args.servers, manner, POOL_SEED).await?;
     let mut addresses = Map::new();
@@ -44,10 +44,10 @@
         addresses.insert(server.name.clone(), server.address.to_string().into());
     }
     print_ready(Value::Object(addresses));
-    until_ended().await;
+    shutdown_signal().await;
     println!(
         "{}",
-        json!({ "seen": pool.seen(), "effects_twice": pool.twice() })
+        json!({ "seen": pool.requests_received(), "effects_twice": pool.duplicate_effects() })
     );
     Ok(())
 }
@@ -67,7 +67,7 @@
     }
     let discovery = Discovery::start(listed).await?;
     print_ready(json!({ "discovery": discovery.address.to_string() }));
-    until_ended().await;
+    shutdown_signal().await;
     Ok(())
 }
 
@@ -94,7 +94,7 @@
     print_ready(Value::Object(addresses));
     tokio::select! {
         result = registry::control::serve(listener, registry.clone()) => result,
-        () = until_ended() => Ok(()),
+        () = shutdown_signal() => Ok(()),
     }
 }
 
@@ -127,7 +127,7 @@
         fault.deaf = args.deaf;
     });
     print_ready(json!({ "link": link.address.to_string() }));
-    until_ended().await;
+    shutdown_signal().await;
     Ok(())
 }
 
@@ -144,6 +144,6 @@
     print_ready(json!({ "client": listener.local_addr()?.to_string() }));
     tokio::select! {
         result = relay::serve(listener, args.to) => result,
-        () = until_ended() => Ok(()),
+        () = shutdown_signal() => Ok(()),
     }
 }
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -2,7 +2,7 @@
 
 use crate::membership::{settings, Announced};
 use crate::node::{until_health, Node};
-use crate::pool::{Manner, Pool};
+use crate::pool::{Pool, ServerBehavior};
 use crate::registry::{control, Registry};
 use crate::scenario::services::Fleet;
 use crate::scripted::Program;
@@ -29,7 +29,7 @@
     eprintln!("curl -i -H 'Host: admin.example.org' -d '{{}}' http://{address}/api/flags");
     eprintln!("curl -i -H 'Host: rollout.example.org' -d '{{}}' http://{address}/api/flags");
     eprintln!("curl -i http://{address}/_health/evaluate");
-    crate::until_ended().await;
+    crate::shutdown_signal().await;
     Ok(())
 }
 
@@ -38,8 +38,8 @@
 /// # Errors
 /// If a stand-in or the node can't be started.
 pub async fn graphql(program: &Program) -> Result<()> {
-    let manner = Manner::good(Duration::from_millis(5));
-    let pool = Pool::running("graphql", 3, 16, manner, 7, &crate::graphql::app()).await?;
+    let manner = ServerBehavior::healthy(Duration::from_millis(5));
+    let pool = Pool::start_with_app("graphql", 3, 16, manner, 7, &crate::graphql::app()).await?;
     let node = Node::start(program, &crate::graphql::settings(&pool, "")).await?;
     until_health(node.address(), "/_health", true).await?;
     let address = node.address().to_string();
@@ -51,10 +51,10 @@
     eprintln!(
         "curl -i -H 'Content-Type: application/json' -d '{{\"query\":\"{{ evaluate(flag: \\\"x\\\") {{ on }} }}\"}}' http://{address}/graphql"
     );
-    crate::until_ended().await;
+    crate::shutdown_signal().await;
     println!(
         "{}",
-        json!({ "seen": pool.seen(), "effects_twice": pool.twice() })
+        json!({ "seen": pool.requests_received(), "effects_twice": pool.duplicate_effects() })
     );
     Ok(())
 }
@@ -65,7 +65,13 @@
 /// If a stand-in or the node can't be started.
 pub async fn membership(program: &Program) -> Result<()> {
     let registry = Arc::new(Registry::start(3).await?);
-    let pool = Pool::start("flags", 4, Manner::good(Duration::from_millis(5)), 7).await?;
+    let pool = Pool::start(
+        "flags",
+        4,
+        ServerBehavior::healthy(Duration::from_millis(5)),
+        7,
+    )
+    .await?;
     let entered: Vec<Announced> = pool
         .servers
         .iter()
@@ -96,11 +102,11 @@
     }
     tokio::select! {
         result = control::serve(controls, registry.clone()) => result?,
-        () = crate::until_ended() => {}
+        () = crate::shutdown_signal() => {}
     }
     println!(
         "{}",
-        json!({ "seen": pool.seen(), "effects_twice": pool.twice() })
+        json!({ "seen": pool.requests_received(), "effects_twice": pool.duplicate_effects() })
     );
     Ok(())
 }
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,6 +1,6 @@
 //! The platform's list of servers: whole on request, and changes on a watch.
 
-use crate::{Result, Task};
+use crate::{AbortOnDrop, Result};
 use bytes::Bytes;
 use http_body_util::combinators::BoxBody;
 use http_body_util::{BodyExt, Full, StreamBody};
@@ -50,7 +50,7 @@
     pub address: SocketAddr,
     list: Arc<Mutex<(u64, Vec<Listed>)>>,
     told: watch::Sender<String>,
-    _task: Task,
+    _task: AbortOnDrop,
 }
 
 fn text(index: u64, whole: bool, lines: &[Listed]) -> String {
@@ -75,7 +75,7 @@
         let list = Arc::new(Mutex::new((1, list)));
         let (told, _) = watch::channel(String::new());
         let (serving, sender) = (list.clone(), told.clone());
-        let task = crate::task(async move {
+        let task = crate::spawn(async move {
             let mut connections = tokio::task::JoinSet::new();
             loop {
                 let Ok((stream, _)) = listener.accept().await else {
--- a/crates/testbed/src/fleet/links.rs
+++ b/crates/testbed/src/fleet/links.rs
@@ -3,7 +3,7 @@
 //! The rig has a socket for each place of a node, and the nodes know each other by these. A datagram that comes there is
 //! told by its sender's address whose it is, and goes on, or not, as the faults of that pair have it.
 
-use crate::{Draw, Result, Task};
+use crate::{AbortOnDrop, Result, SeededRng};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -27,7 +27,7 @@
     faults: Faults,
     /// Pairs, from and to, between which nothing passes.
     cut: BTreeSet<(usize, usize)>,
-    draw: Draw,
+    draw: SeededRng,
     /// Whose datagrams come from an address.
     from: HashMap<SocketAddr, usize>,
     /// Where a place's process takes datagrams.
@@ -42,7 +42,7 @@
     sockets: Vec<Arc<UdpSocket>>,
     addresses: Vec<SocketAddr>,
     state: Arc<Mutex<State>>,
-    _tasks: Vec<Task>,
+    _tasks: Vec<AbortOnDrop>,
 }
 
 fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
@@ -61,7 +61,7 @@
         let state = Arc::new(Mutex::new(State {
             faults: Faults::default(),
             cut: BTreeSet::new(),
-            draw: Draw(1),
+            draw: SeededRng(1),
             from: HashMap::new(),
             to: vec![None; places],
             kept: Vec::new(),
@@ -71,7 +71,7 @@
         for n in 0..places {
             let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
             addresses.push(socket.local_addr()?);
-            tasks.push(crate::task(pass(n, socket.clone(), state.clone())));
+            tasks.push(crate::spawn(pass(n, socket.clone(), state.clone())));
             sockets.push(socket);
         }
         Ok(Arc::new(Links {
@@ -106,7 +106,7 @@
 
     /// From now on chance is drawn from here.
     pub fn seed(&self, seed: u64) {
-        lock(&self.state).draw = Draw(seed);
+        lock(&self.state).draw = SeededRng(seed);
     }
 
     /// Nothing passes from some places to others; nor back, if both ways are cut.
@@ -142,14 +142,14 @@
         for (_, datagram) in kept.iter().filter(|(at, _)| *at == place) {
             let _ = self.sockets[place].send_to(datagram, to).await;
         }
-        let mut draw = Draw(forged as u64);
+        let mut draw = SeededRng(forged as u64);
         for n in 0..forged {
             let mut datagram = kept
                 .get(n % kept.len().max(1))
                 .map_or_else(|| vec![0; 200], |(_, d)| d.clone());
-            let at = draw.number() as usize % datagram.len().max(1);
+            let at = draw.next_u64() as usize % datagram.len().max(1);
             if let Some(byte) = datagram.get_mut(at) {
-                *byte ^= 1 + (draw.number() as u8 & 0x7f);
+                *byte ^= 1 + (draw.next_u64() as u8 & 0x7f);
             }
             let _ = self.sockets[place].send_to(&datagram, to).await;
         }
@@ -176,11 +176,11 @@
                 spoilt,
                 delay,
             } = state.faults.clone();
-            if state.cut.contains(&(from, place)) || state.draw.fraction() < loss {
+            if state.cut.contains(&(from, place)) || state.draw.next_fraction() < loss {
                 continue;
             }
-            if state.draw.fraction() < spoilt {
-                let at = state.draw.number() as usize % n.max(1);
+            if state.draw.next_fraction() < spoilt {
+                let at = state.draw.next_u64() as usize % n.max(1);
                 datagram[at] ^= 0x20;
             }
             state.passed += 1;
@@ -188,10 +188,10 @@
                 state.kept.clear();
             }
             state.kept.push((place, datagram.clone()));
-            let copies = 1 + usize::from(state.draw.fraction() < twice);
+            let copies = 1 + usize::from(state.draw.next_fraction() < twice);
             let span = delay.1.saturating_sub(delay.0).as_secs_f64();
             let waits: Vec<Duration> = (0..copies)
-                .map(|_| delay.0 + Duration::from_secs_f64(span * state.draw.fraction()))
+                .map(|_| delay.0 + Duration::from_secs_f64(span * state.draw.next_fraction()))
                 .collect();
             (to, waits)
         };
--- a/crates/testbed/src/fleet/load.rs
+++ b/crates/testbed/src/fleet/load.rs
@@ -3,7 +3,7 @@
 use super::history::{Event, History};
 use super::name;
 use crate::client::Client;
-use crate::Draw;
+use crate::SeededRng;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
@@ -51,16 +51,16 @@
     addresses: Addresses,
     rate: f64,
     risky: f64,
-    mut draw: Draw,
+    mut draw: SeededRng,
     history: Arc<History>,
     stop: Arc<AtomicBool>,
 ) {
     let mut to: Option<(SocketAddr, Arc<Client>)> = None;
     let mut running = tokio::task::JoinSet::new();
-    let tag = draw.number() & 0xffff;
+    let tag = draw.next_u64() & 0xffff;
     let mut due = Instant::now();
     for n in 0u64.. {
-        due += Duration::from_secs_f64(draw.gap(rate));
+        due += Duration::from_secs_f64(draw.next_gap(rate));
         tokio::time::sleep_until(due.into()).await;
         if stop.load(Ordering::Relaxed) {
             break;
@@ -81,7 +81,7 @@
                 .1
                 .clone(),
         };
-        let risky = draw.fraction() < risky;
+        let risky = draw.next_fraction() < risky;
         let id = format!(
             "{}-{}{tag:x}-{n}",
             name(node),
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -35,9 +35,9 @@
 use crate::discovery::{Discovery, Listed};
 use crate::link::Link;
 use crate::node::{until_health, Folder, Node, PATIENCE};
-use crate::pool::{Manner, Server};
+use crate::pool::{RequestEvent, Server, ServerBehavior};
 use crate::scripted::Program;
-use crate::{Draw, Result, Task};
+use crate::{AbortOnDrop, Result, SeededRng};
 use bytes::Bytes;
 use history::{Event, History};
 use http_body_util::Full;
@@ -108,7 +108,7 @@
     pid: u32,
     frozen: bool,
     /// Keeps the process, and its words coming.
-    _task: Task,
+    _task: AbortOnDrop,
 }
 
 /// A fleet. It ends when this is dropped.
@@ -152,15 +152,19 @@
     pub async fn start_in(program: &Program, made: &Made, history: Arc<History>) -> Result<Rig> {
         let mut servers = Vec::with_capacity(made.servers);
         for n in 0..made.servers {
-            let server =
-                Server::start(&server_name(n), 16, Manner::good(made.takes), n as u64).await?;
+            let server = Server::start(
+                &server_name(n),
+                16,
+                ServerBehavior::healthy(made.takes),
+                n as u64,
+            )
+            .await?;
             let watched = history.clone();
-            server.observe(Arc::new(move |id, effect| {
+            server.set_observer(Arc::new(move |id, event| {
                 let id = id.to_owned();
-                watched.add(if effect {
-                    Event::Effect { server: n, id }
-                } else {
-                    Event::Attempt { server: n, id }
+                watched.add(match event {
+                    RequestEvent::EffectApplied => Event::Effect { server: n, id },
+                    RequestEvent::Received => Event::Attempt { server: n, id },
                 });
             }));
             servers.push(server);
@@ -241,7 +245,7 @@
         let (management, pid) = (node.management, node.pid());
         self.reached(n, Some(address));
         let history = self.history.clone();
-        let task = crate::task(async move {
+        let task = crate::spawn(async move {
             while let Some(line) = node.line().await {
                 history.add(Event::Said { node: n, line });
             }
@@ -462,7 +466,7 @@
         let clients = nodes.iter().copied().map(|n| {
             let (addresses, history, stop) =
                 (self.addresses.clone(), self.history.clone(), stop.clone());
-            let draw = Draw(seed.wrapping_mul(0x9e37).wrapping_add(n as u64));
+            let draw = SeededRng(seed.wrapping_mul(0x9e37).wrapping_add(n as u64));
             tokio::spawn(clients(n, addresses, rate, risky, draw, history, stop))
         });
         Load::new(clients.collect(), stop)
--- a/crates/testbed/src/fleet/resource.rs
+++ b/crates/testbed/src/fleet/resource.rs
@@ -1,7 +1,7 @@
 //! What holders of leases act on: it keeps the highest token of each lease and refuses lower ones.
 
 use super::history::{Event, History};
-use crate::{task, Result, Task};
+use crate::{spawn, AbortOnDrop, Result};
 use bytes::Bytes;
 use http_body_util::Empty;
 use hyper::body::Incoming;
@@ -19,7 +19,7 @@
 pub struct Resource {
     /// Where it is called.
     pub address: SocketAddr,
-    _task: Task,
+    _task: AbortOnDrop,
 }
 
 impl Resource {
@@ -31,7 +31,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let fence = Arc::new(Mutex::new(Fence::new(1024)));
-        let accepting = task(async move {
+        let accepting = spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let (fence, history) = (fence.clone(), history.clone());
                 tokio::spawn(async move {
--- a/crates/testbed/src/fleet/schedule.rs
+++ b/crates/testbed/src/fleet/schedule.rs
@@ -2,7 +2,7 @@
 
 use super::Rig;
 use crate::fleet::history::Event;
-use crate::{Draw, Result};
+use crate::{Result, SeededRng};
 use serde_json::{json, Value};
 use std::time::Duration;
 
@@ -146,28 +146,28 @@
 
 /// A schedule of about so long over so many nodes and servers, that ends with all faults healed.
 pub fn drawn(seed: u64, nodes: usize, servers: usize, time: Duration) -> Vec<Step> {
-    let mut draw = Draw(seed);
+    let mut draw = SeededRng(seed);
     let mut steps = Vec::new();
     let mut left = time;
     let mut down: Vec<usize> = Vec::new();
     let mut frozen: Vec<usize> = Vec::new();
     while left > Duration::from_millis(300) {
         let (n, s) = (
-            draw.number() as usize % nodes.max(1),
-            draw.number() as usize % servers.max(1),
+            draw.next_u64() as usize % nodes.max(1),
+            draw.next_u64() as usize % servers.max(1),
         );
         let calm = !down.contains(&n) && !frozen.contains(&n);
-        match draw.number() % 12 {
+        match draw.next_u64() % 12 {
             0 => {
-                let side: Vec<usize> = (0..nodes).filter(|_| draw.fraction() < 0.5).collect();
+                let side: Vec<usize> = (0..nodes).filter(|_| draw.next_fraction() < 0.5).collect();
                 let other = (0..nodes).filter(|m| !side.contains(m)).collect();
-                steps.push(Step::Cut(side, other, draw.fraction() < 0.5));
+                steps.push(Step::Cut(side, other, draw.next_fraction() < 0.5));
             }
             1 | 2 => steps.push(Step::Heal),
-            3 => steps.push(Step::Loss((draw.number() % 30) as f64 / 100.0, 0.1, 0.02)),
+            3 => steps.push(Step::Loss((draw.next_u64() % 30) as f64 / 100.0, 0.1, 0.02)),
             4 => steps.push(Step::Delay(
                 Duration::ZERO,
-                Duration::from_millis(draw.number() % 300),
+                Duration::from_millis(draw.next_u64() % 300),
             )),
             5 if calm && down.len() + frozen.len() < nodes / 3 => {
                 steps.push(Step::Freeze(n, true));
@@ -179,7 +179,7 @@
                 }
             }
             7 if calm && down.len() + frozen.len() < nodes / 3 => {
-                steps.push(if draw.fraction() < 0.7 {
+                steps.push(if draw.next_fraction() < 0.7 {
                     Step::Kill(n)
                 } else {
                     Step::End(n)
@@ -191,12 +191,12 @@
                     steps.push(Step::Start(n));
                 }
             }
-            9 => steps.push(Step::Server(s, draw.fraction() < 0.6)),
-            10 if calm => steps.push(Step::Ban(n, s, Some(1 + draw.number() as u32 % 6))),
+            9 => steps.push(Step::Server(s, draw.next_fraction() < 0.6)),
+            10 if calm => steps.push(Step::Ban(n, s, Some(1 + draw.next_u64() as u32 % 6))),
             11 if calm => steps.push(Step::Lift(n, s)),
             _ => {}
         }
-        let wait = Duration::from_millis(100 + draw.number() % 900).min(left);
+        let wait = Duration::from_millis(100 + draw.next_u64() % 900).min(left);
         left -= wait;
         steps.push(Step::Wait(wait));
     }
@@ -245,8 +245,8 @@
                     rig.end(*n).await?;
                 }
             }
-            Step::Server(s, frozen) => rig.servers[*s].behave(|m| m.frozen = *frozen),
-            Step::Fails(s, share) => rig.servers[*s].behave(|m| m.fail = *share),
+            Step::Server(s, frozen) => rig.servers[*s].update_behavior(|m| m.is_frozen = *frozen),
+            Step::Fails(s, share) => rig.servers[*s].update_behavior(|m| m.error_ratio = *share),
             // A node under faults may well say nothing; what it did say is in the history.
             Step::Ban(n, s, seconds) => {
                 let _ = rig.ban(*n, *s, *seconds).await;
--- a/crates/testbed/src/graphql.rs
+++ b/crates/testbed/src/graphql.rs
@@ -15,7 +15,7 @@
 //! counted by its `id`. Written for itself from the specification, so that it shares no reading of
 //! a document with the node but the parser.
 
-use crate::pool::{App, Done, End};
+use crate::pool::{App, AppResponse, Completion};
 use apollo_parser::cst::{self, Definition, Selection};
 use apollo_parser::Parser;
 use hyper::http::request::Parts;
@@ -29,7 +29,7 @@
     Arc::new(|head: &Parts, body: &[u8]| serve(head, body))
 }
 
-fn serve(head: &Parts, body: &[u8]) -> Done {
+fn serve(head: &Parts, body: &[u8]) -> AppResponse {
     let request: Value = if head.method == hyper::Method::GET {
         let mut request = Map::new();
         for (name, value) in form_urlencoded::parse(head.uri.query().unwrap_or_default().as_bytes())
@@ -56,11 +56,11 @@
             json!({ "errors": [{ "message": mistake }] }),
         ),
     };
-    Done {
-        effects,
+    AppResponse {
+        effect_ids: effects,
         status,
         body: answer.to_string(),
-        end: End::Manner,
+        completion: Completion::AsConfigured,
     }
 }
 
@@ -443,6 +443,6 @@
          [[service.class]]\nname = \"toggle\"\nrepeat = \"unsafe\"\naim = \"200ms\"\ndeadline = \"2s\"\n\n\
          [[service.class]]\nname = \"rollout\"\nrepeat = \"unsafe\"\naim = \"200ms\"\ndeadline = \"2s\"\n\n\
          [[service.route]]\npath = \"/graphql\"\n\n{}",
-        pool.listed()
+        pool.server_settings()
     )
 }
--- a/crates/testbed/src/link.rs
+++ b/crates/testbed/src/link.rs
@@ -1,6 +1,6 @@
 //! A network path with faults: bytes between two sockets are delayed, frozen, cut, throttled, or lost one way.
 
-use crate::{Result, Task};
+use crate::{AbortOnDrop, Result};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -32,7 +32,7 @@
     /// Where clients connect.
     pub address: SocketAddr,
     faults: Arc<Mutex<Faults>>,
-    _task: Task,
+    _task: AbortOnDrop,
 }
 
 fn lock(faults: &Mutex<Faults>) -> MutexGuard<'_, Faults> {
@@ -49,7 +49,7 @@
         let address = listener.local_addr()?;
         let faults = Arc::new(Mutex::new(Faults::default()));
         let shared = faults.clone();
-        let task = crate::task(async move {
+        let task = crate::spawn(async move {
             let mut connections = tokio::task::JoinSet::new();
             loop {
                 let Ok((client, _)) = listener.accept().await else {
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -4,7 +4,7 @@
 //! behind shows in them.
 
 use crate::client::Client;
-use crate::Draw;
+use crate::SeededRng;
 use bytes::Bytes;
 use hdrhistogram::Histogram;
 use http_body_util::Full;
@@ -139,7 +139,7 @@
 pub async fn run(to: SocketAddr, kinds: &[Kind], time: Duration, seed: u64) -> Vec<Came> {
     let mut running = JoinSet::new();
     for (n, kind) in kinds.iter().cloned().enumerate() {
-        let draw = Draw(seed.wrapping_mul(31).wrapping_add(n as u64));
+        let draw = SeededRng(seed.wrapping_mul(31).wrapping_add(n as u64));
         running.spawn(async move { (n, one(to, kind, time, draw).await) });
     }
     let mut came = vec![Came::default(); kinds.len()];
@@ -151,7 +151,7 @@
     came
 }
 
-async fn one(to: SocketAddr, kind: Kind, time: Duration, mut draw: Draw) -> Came {
+async fn one(to: SocketAddr, kind: Kind, time: Duration, mut draw: SeededRng) -> Came {
     let client = Arc::new(Client::new(to));
     let came = Arc::new(Mutex::new(Came::default()));
     let kind = Arc::new(kind);
@@ -159,7 +159,7 @@
     let mut running = JoinSet::new();
     let mut at = 0.0;
     for n in 0u64.. {
-        at += draw.gap(kind.rate);
+        at += draw.next_gap(kind.rate);
         let due = begun + Duration::from_secs_f64(at);
         if at >= time.as_secs_f64() {
             break;
--- a/crates/testbed/src/measure/graphql.rs
+++ b/crates/testbed/src/measure/graphql.rs
@@ -5,7 +5,7 @@
 use crate::graphql;
 use crate::load::{self, Kind};
 use crate::node::{memory_kib, Node, PATIENCE};
-use crate::pool::{Manner, Pool};
+use crate::pool::{Pool, ServerBehavior};
 use crate::scripted::Program;
 use crate::Result;
 use bytes::Bytes;
@@ -131,13 +131,13 @@
     graphql::settings(pool, "")
         + "\n[[service]]\nname = \"plain\"\n[[service.class]]\nname = \"evaluate\"\nrepeat = \"safe\"\naim = \"200ms\"\n\
            deadline = \"2s\"\n[[service.route]]\npath = \"/plain\"\n"
-        + &pool.listed()
+        + &pool.server_settings()
 }
 
 /// Processor time and latency of GraphQL, of the same requests sent plain, and of batches.
 async fn requests(program: &Program, plan: &Plan) -> Result<Value> {
-    let manner = Manner::good(Duration::from_millis(2));
-    let pool = Pool::running("graphql", 8, 4, manner, 1, &graphql::app()).await?;
+    let manner = ServerBehavior::healthy(Duration::from_millis(2));
+    let pool = Pool::start_with_app("graphql", 8, 4, manner, 1, &graphql::app()).await?;
     let ten: Vec<Value> = (0..10).map(read).collect();
     let mut subjects = Vec::new();
     for (name, path, body, rate) in [
@@ -202,11 +202,11 @@
 
 /// Memory for each of many open requests, and what is kept of it once they are answered, in KiB.
 async fn open_requests(program: &Program, path: &'static str, body: &Bytes) -> Result<(f64, f64)> {
-    let manner = Manner {
-        frozen: true,
-        ..Manner::good(Duration::from_millis(1))
+    let manner = ServerBehavior {
+        is_frozen: true,
+        ..ServerBehavior::healthy(Duration::from_millis(1))
     };
-    let pool = Pool::running("graphql", 4, 64, manner, 1, &graphql::app()).await?;
+    let pool = Pool::start_with_app("graphql", 4, 64, manner, 1, &graphql::app()).await?;
     // Nothing is given up while the servers stand still, and each batch has one request out.
     let settings = "[process]\ndescriptors = 8000\nmemory = \"1GiB\"\n\n".to_owned()
         + &settings(&pool)
@@ -235,13 +235,13 @@
     }
     // One request of each is at a server, the others of a batch wait their turn.
     let begun = Instant::now();
-    while pool.seen() < BATCHES as u64 && begun.elapsed() < PATIENCE {
+    while pool.requests_received() < BATCHES as u64 && begun.elapsed() < PATIENCE {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    let (open, during) = (pool.seen(), memory_kib(node.pid())?);
+    let (open, during) = (pool.requests_received(), memory_kib(node.pid())?);
     pool.servers
         .iter()
-        .for_each(|s| s.behave(|m| m.frozen = false));
+        .for_each(|s| s.update_behavior(|m| m.is_frozen = false));
     let mut answered = 0;
     while let Some(done) = running.join_next().await {
         answered += usize::from(done?.is_some());
--- a/crates/testbed/src/measure/membership.rs
+++ b/crates/testbed/src/measure/membership.rs
@@ -4,7 +4,7 @@
 use crate::load;
 use crate::membership::{kind, settings, Announced, PATH};
 use crate::node::{cpu_seconds, memory_kib, Node, PATIENCE};
-use crate::pool::{Manner, Pool};
+use crate::pool::{Pool, ServerBehavior};
 use crate::registry::Registry;
 use crate::scripted::Program;
 use crate::Result;
@@ -40,7 +40,13 @@
 /// Two pools that follow so many entries.
 async fn entries(program: &Program, n: usize, time: Duration) -> Result<Value> {
     let registry = Registry::start(1).await?;
-    let pool = Pool::start("real", 1, Manner::good(Duration::from_millis(1)), 1).await?;
+    let pool = Pool::start(
+        "real",
+        1,
+        ServerBehavior::healthy(Duration::from_millis(1)),
+        1,
+    )
+    .await?;
     let _real = Announced::enter(&registry, &pool.servers[0], "real", 0);
     // What a node needs without any of them.
     let node = Node::start(program, &settings(&registry, "", "")).await?;
@@ -99,7 +105,13 @@
 /// From a member's end, and from that of the node's sessions, until all has been read again.
 async fn healing(program: &Program) -> Result<Value> {
     let registry = Registry::start(3).await?;
-    let pool = Pool::start("real", 2, Manner::good(Duration::from_millis(1)), 1).await?;
+    let pool = Pool::start(
+        "real",
+        2,
+        ServerBehavior::healthy(Duration::from_millis(1)),
+        1,
+    )
+    .await?;
     let entered: Vec<Announced> = pool
         .servers
         .iter()
@@ -152,7 +164,13 @@
 /// Processor time for a request, with a static list and with a registry's.
 async fn requests(program: &Program, plan: &Plan) -> Result<Value> {
     let registry = Registry::start(1).await?;
-    let pool = Pool::start("flags", 8, Manner::good(Duration::from_millis(2)), 1).await?;
+    let pool = Pool::start(
+        "flags",
+        8,
+        ServerBehavior::healthy(Duration::from_millis(2)),
+        1,
+    )
+    .await?;
     let _entered: Vec<Announced> = pool
         .servers
         .iter()
@@ -164,7 +182,7 @@
         .map(|part| match part.contains("registry = {") {
             true => {
                 let lines = part.lines().filter(|l| !l.starts_with("registry = {"));
-                lines.collect::<Vec<_>>().join("\n") + "\n" + &pool.listed()
+                lines.collect::<Vec<_>>().join("\n") + "\n" + &pool.server_settings()
             }
             false => part.to_owned(),
         });
--- a/crates/testbed/src/measure/services.rs
+++ b/crates/testbed/src/measure/services.rs
@@ -4,9 +4,9 @@
 use crate::discovery::{Discovery, Listed};
 use crate::load::{self, Kind};
 use crate::node::{cpu_seconds, memory_kib, until_health, Folder, Node, PATIENCE};
-use crate::pool::{Manner, Pool};
+use crate::pool::{Pool, ServerBehavior};
 use crate::scripted::Program;
-use crate::{Draw, Result};
+use crate::{Result, SeededRng};
 use reelfall_routing::table::{parse_prefix, Host, RouteConditions, RouteQuery, RouteTable};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -93,9 +93,9 @@
 /// If a subject can't be started.
 pub async fn run(program: &Program, plan: &Plan) -> Result<Value> {
     let pools = [
-        Pool::start("a", 8, Manner::good(Duration::from_millis(2)), 1).await?,
-        Pool::start("b", 8, Manner::good(Duration::from_millis(2)), 2).await?,
-        Pool::start("c", 8, Manner::good(Duration::from_millis(2)), 3).await?,
+        Pool::start("a", 8, ServerBehavior::healthy(Duration::from_millis(2)), 1).await?,
+        Pool::start("b", 8, ServerBehavior::healthy(Duration::from_millis(2)), 2).await?,
+        Pool::start("c", 8, ServerBehavior::healthy(Duration::from_millis(2)), 3).await?,
     ];
     let listed = pools[0]
         .servers
@@ -131,7 +131,7 @@
         None,
         alone("relay"),
     ));
-    let three = settings(|n| pools[n].listed(), pools.len(), "");
+    let three = settings(|n| pools[n].server_settings(), pools.len(), "");
     let node = Node::start(program, &three).await?;
     node.until_health("/_health", true).await?;
     let kinds = (0..3).map(|n| {
@@ -177,7 +177,7 @@
 async fn refusals(program: &Program, pool: &Pool, plan: &Plan) -> Result<Value> {
     let mut cost = Vec::new();
     for limits in ["", "limits = { rate = \"1/s\", burst = 1 }\n"] {
-        let node = Node::start(program, &settings(|_| pool.listed(), 1, limits)).await?;
+        let node = Node::start(program, &settings(|_| pool.server_settings(), 1, limits)).await?;
         node.until_health("/_health", true).await?;
         let mut ratios = Vec::new();
         for round in 0..plan.rounds.min(3) {
@@ -238,10 +238,10 @@
         let Ok(table) = RouteTable::new(&routes) else {
             continue;
         };
-        let mut draw = Draw(3);
+        let mut draw = SeededRng(3);
         let asked: Vec<(String, String)> = (0..1000)
             .map(|_| {
-                let i = draw.number() as usize % n;
+                let i = draw.next_u64() as usize % n;
                 let host = match i % 3 {
                     0 => format!("h{}.example.org", i / 7),
                     1 => format!("a.b.z{}.example.org", i / 7),
--- a/crates/testbed/src/pool.rs
+++ b/crates/testbed/src/pool.rs
@@ -1,99 +1,128 @@
-//! Servers with a set capacity that count effects and fail in chosen ways.
+//! Upstream servers with a fixed capacity, injected faults and a count of the effects of requests.
 //!
-//! A server has so many workers; a request waits its turn, occupies one for its service time, and has its effect
-//! when that begins. As with real servers, a client that leaves stops nothing.
-
+//! A server has a fixed number of workers. A request waits for one, occupies it for the service time and takes effect
+//! when that time begins. A client that disconnects does not stop the work, as with real servers. Scenarios,
+//! measurements, demos and tests start pools.
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `manner` | how a server treats its requests |
-//! | `cold` | what a server bears that has just started |
-//! | `server` | one server |
-//! | `state` | what a server counts |
+//! | `app` | the application that a server may run |
+//! | `behavior` | service time and injected faults |
+//! | `slow_start` | the reduced capacity of a server that has just started |
+//! | `server` | one server: its listener and its controls |
+//! | `server_state` | what a server has received and done |
 //! | `respond` | one request at a server |
+//! | `work` | how the work on one request ends |
+//! | `response` | the responses of a server |
 
-mod cold;
-mod manner;
+mod app;
+mod behavior;
 mod respond;
+mod response;
 mod server;
-mod state;
+mod server_state;
+mod slow_start;
+mod work;
 
-pub use cold::Cold;
-pub use manner::{App, Done, End, Manner, Spoil};
+pub use app::{App, AppResponse, Completion};
+pub use behavior::{Corruption, ServerBehavior};
 pub use server::Server;
-pub use state::Observer;
+pub use server_state::{Observer, RequestEvent};
+pub use slow_start::SlowStart;
 
 use crate::Result;
 use std::collections::HashMap;
 
-/// Several servers of one kind.
+/// Workers of each server of a pool that runs no application.
+const DEFAULT_WORKERS: usize = 1;
+
+/// Several servers with the same behavior.
 pub struct Pool {
-    /// They.
+    /// The servers, in the order in which they were started.
     pub servers: Vec<Server>,
 }
 
 impl Pool {
-    /// Starts `n` servers with one worker each, named `prefix-1` and so on.
+    /// Starts `count` servers with one worker each, named `prefix-1` and so on.
     ///
     /// # Errors
-    /// If no ports are to be had.
-    pub async fn start(prefix: &str, n: usize, manner: Manner, seed: u64) -> Result<Pool> {
-        let mut servers = Vec::with_capacity(n);
-        for i in 0..n {
-            let name = format!("{prefix}-{}", i + 1);
-            servers
-                .push(Server::start(&name, 1, manner.clone(), seed.wrapping_add(i as u64)).await?);
+    /// If no port is available.
+    pub async fn start(
+        prefix: &str,
+        count: usize,
+        behavior: ServerBehavior,
+        seed: u64,
+    ) -> Result<Pool> {
+        let mut servers = Vec::with_capacity(count);
+        for index in 0..count {
+            let name = server_name(prefix, index);
+            let seed = server_seed(seed, index);
+            servers.push(Server::start(&name, DEFAULT_WORKERS, behavior.clone(), seed).await?);
         }
         Ok(Pool { servers })
     }
 
-    /// The same, with an application that runs on each, and more workers.
+    /// Starts `count` servers that run an application with `workers` workers each.
     ///
     /// # Errors
-    /// If no ports are to be had.
-    pub async fn running(
+    /// If no port is available.
+    pub async fn start_with_app(
         prefix: &str,
-        n: usize,
+        count: usize,
         workers: usize,
-        manner: Manner,
+        behavior: ServerBehavior,
         seed: u64,
         app: &App,
     ) -> Result<Pool> {
-        let mut servers = Vec::with_capacity(n);
-        for i in 0..n {
-            let (name, seed) = (format!("{prefix}-{}", i + 1), seed.wrapping_add(i as u64));
-            servers.push(Server::running(&name, workers, manner.clone(), seed, app.clone()).await?);
+        let mut servers = Vec::with_capacity(count);
+        for index in 0..count {
+            let name = server_name(prefix, index);
+            let seed = server_seed(seed, index);
+            let server =
+                Server::start_with_app(&name, workers, behavior.clone(), seed, app.clone()).await?;
+            servers.push(server);
         }
         Ok(Pool { servers })
     }
 
-    /// How often each id has had its effect, over all servers.
-    pub fn effects(&self) -> HashMap<String, u32> {
-        let mut all = HashMap::new();
-        for (id, n) in self.servers.iter().flat_map(Server::effects) {
-            *all.entry(id).or_default() += n;
+    /// How often each request id has taken effect, over all servers.
+    pub fn effect_counts(&self) -> HashMap<String, u32> {
+        let mut totals = HashMap::new();
+        for (id, count) in self.servers.iter().flat_map(Server::effect_counts) {
+            *totals.entry(id).or_default() += count;
         }
-        all
+        totals
     }
 
-    /// Ids that had their effect more than once.
-    pub fn twice(&self) -> usize {
-        self.effects().values().filter(|n| **n > 1).count()
+    /// The number of request ids that took effect more than once.
+    pub fn duplicate_effects(&self) -> usize {
+        self.effect_counts()
+            .values()
+            .filter(|count| **count > 1)
+            .count()
     }
 
-    /// Requests that have come so far.
-    pub fn seen(&self) -> u64 {
-        self.servers.iter().map(Server::seen).sum()
+    /// Requests that all servers have received so far.
+    pub fn requests_received(&self) -> u64 {
+        self.servers.iter().map(Server::requests_received).sum()
     }
 
-    /// The servers as the settings file lists them.
-    pub fn listed(&self) -> String {
-        let line = |s: &Server| {
+    /// The servers as sections of a settings file.
+    pub fn server_settings(&self) -> String {
+        let section = |server: &Server| {
             format!(
                 "[[service.server]]\nname = \"{}\"\naddress = \"{}\"\n",
-                s.name, s.address
+                server.name, server.address
             )
         };
-        self.servers.iter().map(line).collect()
+        self.servers.iter().map(section).collect()
     }
 }
+
+fn server_name(prefix: &str, index: usize) -> String {
+    format!("{prefix}-{}", index + 1)
+}
+
+fn server_seed(pool_seed: u64, index: usize) -> u64 {
+    pool_seed.wrapping_add(index as u64)
+}
--- a/crates/testbed/src/pool/respond.rs
+++ b/crates/testbed/src/pool/respond.rs
@@ -1,166 +1,78 @@
-//! One request at a server: its work, its effects, its answer.
+//! One request at a server, from its head to its response. Called by `server` for each request of a connection.
 
-use super::manner::{Done, End, Manner, Spoil};
-use super::state::{lock, State};
-use bytes::Bytes;
-use http_body_util::combinators::BoxBody;
-use http_body_util::{BodyExt, Full, StreamBody};
-use hyper::body::{Frame, Incoming};
-use hyper::{Request, Response, StatusCode};
+use super::app::{AppResponse, Completion};
+use super::response::{self, ConnectionClosed, ResponseBody};
+use super::server_state::{lock, RequestEvent, ServerState};
+use super::work::{self, WorkOutcome};
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+use hyper::{HeaderMap, Request, Response, StatusCode};
 use std::sync::Arc;
-use std::time::{Duration, Instant};
 
-/// The connection is closed without an answer.
-#[derive(Debug)]
-pub(super) struct Died;
-
-impl std::fmt::Display for Died {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        f.write_str("the server died")
-    }
-}
-
-impl std::error::Error for Died {}
-
-pub(super) type Body = BoxBody<Bytes, Died>;
-
-fn answer(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
-    let mut response = Response::new(
-        Full::new(body.into())
-            .map_err(|never| match never {})
-            .boxed(),
-    );
-    *response.status_mut() = status;
-    response
-}
-
-/// An answer that states its whole length, and of which half comes.
-fn cut(status: StatusCode, body: &str) -> Response<Body> {
-    let half = Bytes::copy_from_slice(&body.as_bytes()[..body.len() / 2]);
-    let parts = [Ok(Frame::data(half)), Err(Died)];
-    let mut response = Response::new(BodyExt::boxed(StreamBody::new(futures_util::stream::iter(
-        parts,
-    ))));
-    *response.status_mut() = status;
-    response
-        .headers_mut()
-        .insert(hyper::header::CONTENT_LENGTH, body.len().into());
-    response
-}
+/// The header with the id of a request.
+const CORRELATION_ID: &str = "x-correlation-id";
 
+/// Responds to one request.
 pub(super) async fn respond(
-    state: Arc<State>,
+    state: Arc<ServerState>,
     request: Request<Incoming>,
-) -> std::result::Result<Response<Body>, Died> {
-    {
-        let mut counts = lock(&state.counts);
-        counts.seen += 1;
-        counts.last_seen = Some(Instant::now());
+) -> std::result::Result<Response<ResponseBody>, ConnectionClosed> {
+    state.count_request();
+    if !state.admit() {
+        return Err(ConnectionClosed);
     }
-    if !state.bears() {
-        return Err(Died);
-    }
-    let id = request
-        .headers()
-        .get("x-correlation-id")
-        .and_then(|v| v.to_str().ok())
-        .unwrap_or("")
-        .to_owned();
-    state.tell(&id, false);
+    let id = correlation_id(request.headers());
+    state.notify(&id, RequestEvent::Received);
     let (head, body) = request.into_parts();
-    let body = body.collect().await.map_err(|_| Died)?.to_bytes();
-    let app = match &state.app {
-        Some(app) => app(&head, &body),
-        None => Done {
-            effects: vec![id.clone()],
-            status: StatusCode::OK,
-            body: id,
-            end: End::Manner,
-        },
+    let body = body.collect().await.map_err(|_| ConnectionClosed)?;
+    let mut app_response = match &state.app {
+        Some(app) => app(&head, &body.to_bytes()),
+        None => echo_id(id),
     };
-    // The work goes on if the client leaves, so it is a task of its own.
-    let (working, effects) = (state.clone(), app.effects);
-    let end = app.end;
-    let done = tokio::spawn(async move { work(&working, &effects, end).await }).await;
-    let Manner { padding, spoil, .. } = lock(&state.manner).clone();
-    match done.map_err(|_| Died)? {
-        Work::Done => Ok(answer(
-            app.status,
-            if padding > 0 {
-                app.body + &"x".repeat(padding)
-            } else {
-                app.body
-            },
-        )),
-        Work::Spoilt => {
-            let body = match spoil {
-                Spoil::Half => app
-                    .body
-                    .chars()
-                    .take(app.body.chars().count() / 2)
-                    .collect(),
-                Spoil::Noise => "<html>oops</html>".to_owned(),
-                Spoil::Other => "{\"data\":{\"somebodyElses\":1}}".to_owned(),
-            };
-            Ok(answer(StatusCode::OK, body))
-        }
-        Work::Failed => Ok(answer(StatusCode::INTERNAL_SERVER_ERROR, "failed\n")),
-        Work::Shed => {
-            let mut response = answer(StatusCode::SERVICE_UNAVAILABLE, "busy\n");
-            response.headers_mut().insert(
-                "x-unprocessed",
-                hyper::header::HeaderValue::from_static("1"),
-            );
-            Ok(response)
-        }
-        Work::Cut => Ok(cut(app.status, &app.body)),
-        Work::Died => Err(Died),
-    }
+    let effect_ids = std::mem::take(&mut app_response.effect_ids);
+    let completion = app_response.completion;
+    // The work continues if the client disconnects, so it is a task of its own.
+    let worker_state = state.clone();
+    let work =
+        tokio::spawn(async move { work::process(&worker_state, &effect_ids, completion).await });
+    let outcome = work.await.map_err(|_| ConnectionClosed)?;
+    finish(&state, app_response, outcome)
 }
 
-enum Work {
-    Done,
-    Failed,
-    Spoilt,
-    Shed,
-    Cut,
-    Died,
+fn correlation_id(headers: &HeaderMap) -> String {
+    headers
+        .get(CORRELATION_ID)
+        .and_then(|value| value.to_str().ok())
+        .unwrap_or("")
+        .to_owned()
 }
 
-async fn work(state: &State, effects: &[String], end: End) -> Work {
-    let manner = lock(&state.manner).clone();
-    let fate = lock(&state.draw).fraction();
-    while lock(&state.manner).frozen {
-        tokio::time::sleep(Duration::from_millis(5)).await;
-    }
-    let mut upto = manner.shed;
-    if fate < upto {
-        return Work::Shed;
-    }
-    upto += manner.die_before;
-    if fate < upto || end == End::DieBefore {
-        return Work::Died;
-    }
-    upto += manner.fail;
-    if fate < upto {
-        effects.iter().for_each(|id| state.count(id));
-        return Work::Failed;
+/// The response of a server without an application: the id of the request, which is its one effect.
+fn echo_id(id: String) -> AppResponse {
+    AppResponse {
+        effect_ids: vec![id.clone()],
+        status: StatusCode::OK,
+        body: id,
+        completion: Completion::AsConfigured,
     }
-    let Ok(_worker) = state.workers.acquire().await else {
-        return Work::Died;
-    };
-    effects.iter().for_each(|id| state.count(id));
-    upto += manner.die_after;
-    if fate < upto || end == End::DieAfter {
-        return Work::Died;
-    }
-    tokio::time::sleep(manner.service).await;
-    if end == End::CutAnswer {
-        return Work::Cut;
-    }
-    upto += manner.spoilt;
-    if fate < upto {
-        return Work::Spoilt;
+}
+
+fn finish(
+    state: &ServerState,
+    app_response: AppResponse,
+    outcome: WorkOutcome,
+) -> std::result::Result<Response<ResponseBody>, ConnectionClosed> {
+    let behavior = lock(&state.behavior).clone();
+    let AppResponse { status, body, .. } = app_response;
+    match outcome {
+        WorkOutcome::Completed => {
+            let padding = "x".repeat(behavior.padding_len);
+            Ok(response::full(status, body + &padding))
+        }
+        WorkOutcome::Corrupted => Ok(response::corrupt(&body, behavior.corruption)),
+        WorkOutcome::Failed => Ok(response::failed()),
+        WorkOutcome::Shed => Ok(response::shed()),
+        WorkOutcome::Truncated => Ok(response::truncated(status, &body)),
+        WorkOutcome::ConnectionClosed => Err(ConnectionClosed),
     }
-    Work::Done
 }
--- a/crates/testbed/src/pool/server.rs
+++ b/crates/testbed/src/pool/server.rs
@@ -1,19 +1,20 @@
-//! One server.
+//! One server: its listener, its controls and its counters. Started by [`super::Pool`], and alone by tests.
 
-use super::cold::{Cold, Warming};
-use super::manner::{App, Manner};
+use super::app::App;
+use super::behavior::ServerBehavior;
 use super::respond::respond;
-use super::state::{lock, Observer, State};
-use crate::{Draw, Result, Task};
+use super::server_state::{lock, Observer, ServerState};
+use super::slow_start::{SlowStart, SlowStartState};
+use crate::{AbortOnDrop, Result};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
-use std::collections::{HashMap, VecDeque};
-use std::net::SocketAddr;
-use std::sync::{Arc, Mutex};
+use std::collections::HashMap;
+use std::net::{Ipv4Addr, SocketAddr};
+use std::sync::Arc;
 use std::time::Instant;
-use tokio::net::TcpListener;
-use tokio::sync::Semaphore;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::JoinSet;
 
 /// One server. It ends when this is dropped.
 pub struct Server {
@@ -21,150 +22,138 @@
     pub name: String,
     /// Where it listens.
     pub address: SocketAddr,
-    state: Arc<State>,
-    _task: Task,
+    state: Arc<ServerState>,
+    _accept_task: AbortOnDrop,
 }
 
 impl Server {
-    /// Starts a server with so many workers.
+    /// Starts a server at any free port of the loopback address.
     ///
     /// # Errors
-    /// If no port is to be had.
-    pub async fn start(name: &str, workers: usize, manner: Manner, seed: u64) -> Result<Server> {
-        Self::at("127.0.0.1:0".parse()?, name, workers, manner, seed, None).await
+    /// If no port is available.
+    pub async fn start(
+        name: &str,
+        workers: usize,
+        behavior: ServerBehavior,
+        seed: u64,
+    ) -> Result<Server> {
+        Self::bind(any_port(), name, workers, behavior, seed, None).await
     }
 
-    /// Starts a server that runs an application.
+    /// Starts a server that runs an application, at any free port of the loopback address.
     ///
     /// # Errors
-    /// If no port is to be had.
-    pub async fn running(
+    /// If no port is available.
+    pub async fn start_with_app(
         name: &str,
         workers: usize,
-        manner: Manner,
+        behavior: ServerBehavior,
         seed: u64,
         app: App,
     ) -> Result<Server> {
-        Self::at(
-            "127.0.0.1:0".parse()?,
-            name,
-            workers,
-            manner,
-            seed,
-            Some(app),
-        )
-        .await
+        Self::bind(any_port(), name, workers, behavior, seed, Some(app)).await
     }
 
     /// Starts a server at an address.
     ///
     /// # Errors
-    /// If the address is not to be had.
-    pub async fn at(
+    /// If the address can't be bound.
+    pub async fn bind(
         address: SocketAddr,
         name: &str,
         workers: usize,
-        manner: Manner,
+        behavior: ServerBehavior,
         seed: u64,
         app: Option<App>,
     ) -> Result<Server> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let state = Arc::new(State {
-            app,
-            observer: Mutex::default(),
-            manner: Mutex::new(manner),
-            counts: Mutex::default(),
-            draw: Mutex::new(Draw(seed)),
-            workers: Semaphore::new(workers),
-            capacity: workers,
-            warming: Mutex::default(),
-            connections: Mutex::default(),
-            most_connections: Mutex::default(),
-        });
-        let serving = state.clone();
-        let task = crate::task(async move {
-            // Connections end with the server.
-            let mut connections = tokio::task::JoinSet::new();
-            loop {
-                let Ok((stream, peer)) = listener.accept().await else {
-                    continue;
-                };
-                while connections.try_join_next().is_some() {}
-                let state = serving.clone();
-                let Ok(handle) = socket2::SockRef::from(&stream).try_clone() else {
-                    continue;
-                };
-                // Counted in the order in which they came.
-                state.connected(peer, handle);
-                connections.spawn(async move {
-                    let _ = stream.set_nodelay(true);
-                    let answer = service_fn(|request| respond(state.clone(), request));
-                    // What the peer does to its connection is its own affair.
-                    let _ = http1::Builder::new()
-                        .serve_connection(TokioIo::new(stream), answer)
-                        .await;
-                    lock(&state.connections).remove(&peer);
-                });
-            }
-        });
+        let state = Arc::new(ServerState::new(workers, behavior, seed, app));
+        let accept_task = crate::spawn(accept_connections(listener, state.clone()));
         Ok(Server {
             name: name.to_owned(),
             address,
             state,
-            _task: task,
+            _accept_task: accept_task,
         })
     }
 
-    /// Changes how requests are treated from here on.
-    pub fn behave(&self, change: impl FnOnce(&mut Manner)) {
-        change(&mut lock(&self.state.manner));
+    /// Changes the behavior from now on.
+    pub fn update_behavior(&self, change: impl FnOnce(&mut ServerBehavior)) {
+        change(&mut lock(&self.state.behavior));
     }
 
-    /// From now on somebody is told of each request that comes and each effect, at its moment.
-    pub fn observe(&self, observer: Observer) {
+    /// Calls an observer for each event of a request from now on.
+    pub fn set_observer(&self, observer: Observer) {
         *lock(&self.state.observer) = Some(observer);
     }
 
-    /// It has just started, and comes to its capacity so.
-    pub fn start_cold(&self, cold: Cold) {
-        let warming = Warming {
-            cold,
-            began: Instant::now(),
-            sent: VecDeque::new(),
-            push: 0.0,
-        };
-        *lock(&self.state.warming) = Some(warming);
+    /// Begins slow start, as if the server had started now.
+    pub fn begin_slow_start(&self, config: SlowStart) {
+        *lock(&self.state.slow_start) = Some(SlowStartState::new(config, Instant::now()));
     }
 
-    /// The most that it was sent while it was cold, as a multiple of what it could do at that moment. Beyond
-    /// [`Cold::factor`] it has fallen over: whatever comes is dropped.
-    pub fn push(&self) -> f64 {
-        lock(&self.state.warming).as_ref().map_or(0.0, |w| w.push)
+    /// The highest rate of requests during slow start, as a multiple of the capacity at that time. Beyond
+    /// [`SlowStart::overload_factor`] the server has collapsed: it closes every connection.
+    pub fn peak_overload(&self) -> f64 {
+        lock(&self.state.slow_start)
+            .as_ref()
+            .map_or(0.0, SlowStartState::peak_overload)
     }
 
-    /// Requests that have come so far.
-    pub fn seen(&self) -> u64 {
-        lock(&self.state.counts).seen
+    /// Requests received so far.
+    pub fn requests_received(&self) -> u64 {
+        lock(&self.state.counters).requests
     }
 
-    /// When the last one came.
-    pub fn last_seen(&self) -> Option<Instant> {
-        lock(&self.state.counts).last_seen
+    /// When the last request was received.
+    pub fn last_request_at(&self) -> Option<Instant> {
+        lock(&self.state.counters).last_request_at
     }
 
-    /// How often each id has had its effect here.
-    pub fn effects(&self) -> HashMap<String, u32> {
-        lock(&self.state.counts).effects.clone()
+    /// How often each request id has taken effect here.
+    pub fn effect_counts(&self) -> HashMap<String, u32> {
+        lock(&self.state.counters).effects.clone()
     }
 
     /// Connections that are open.
-    pub fn connections(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         lock(&self.state.connections).len()
     }
 
-    /// The most connections that were open at once.
-    pub fn most_connections(&self) -> usize {
-        *lock(&self.state.most_connections)
+    /// The highest number of connections that were open at once.
+    pub fn max_open_connections(&self) -> usize {
+        *lock(&self.state.max_open_connections)
+    }
+}
+
+fn any_port() -> SocketAddr {
+    SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
+}
+
+async fn accept_connections(listener: TcpListener, state: Arc<ServerState>) {
+    // Connections end with the server.
+    let mut connections = JoinSet::new();
+    loop {
+        let Ok((stream, peer)) = listener.accept().await else {
+            continue;
+        };
+        while connections.try_join_next().is_some() {}
+        let Ok(handle) = socket2::SockRef::from(&stream).try_clone() else {
+            continue;
+        };
+        // Counted in the order in which they were accepted.
+        state.add_connection(peer, handle);
+        connections.spawn(serve_connection(stream, peer, state.clone()));
     }
 }
+
+async fn serve_connection(stream: TcpStream, peer: SocketAddr, state: Arc<ServerState>) {
+    let _ = stream.set_nodelay(true);
+    let service = service_fn(|request| respond(state.clone(), request));
+    // Tests and faults break connections on purpose: an error here is no failure of the server.
+    let _ = http1::Builder::new()
+        .serve_connection(TokioIo::new(stream), service)
+        .await;
+    lock(&state.connections).remove(&peer);
+}
--- a/crates/testbed/src/registry/connections.rs
+++ b/crates/testbed/src/registry/connections.rs
@@ -74,7 +74,7 @@
     };
     let _leaves = Leaves(world.clone(), id);
     let (saying, mut freezing) = (world.clone(), frozen.clone());
-    let writer = crate::task(async move {
+    let writer = crate::spawn(async move {
         while let Some((at, frame)) = outgoing.recv().await {
             thawed(&mut freezing).await;
             let delay = lock(&saying).members[member].delay;
--- a/crates/testbed/src/registry/mod.rs
+++ b/crates/testbed/src/registry/mod.rs
@@ -18,7 +18,7 @@
 
 pub use world::Counts;
 
-use crate::{Result, Task};
+use crate::{AbortOnDrop, Result};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -41,7 +41,7 @@
     /// Where the members listen.
     pub members: Vec<SocketAddr>,
     world: Arc<Mutex<World>>,
-    _tasks: Vec<Task>,
+    _tasks: Vec<AbortOnDrop>,
 }
 
 impl Registry {
@@ -89,10 +89,14 @@
             };
             let listener = TcpListener::bind(SocketAddr::new(address.ip(), port)).await?;
             addresses.push(listener.local_addr()?);
-            tasks.push(crate::task(connections::accept(listener, n, world.clone())));
+            tasks.push(crate::spawn(connections::accept(
+                listener,
+                n,
+                world.clone(),
+            )));
         }
         let ticking = world.clone();
-        tasks.push(crate::task(async move {
+        tasks.push(crate::spawn(async move {
             let mut every = tokio::time::interval(TICK);
             loop {
                 every.tick().await;
--- a/crates/testbed/src/registry/world.rs
+++ b/crates/testbed/src/registry/world.rs
@@ -99,10 +99,10 @@
 
     pub(super) fn open_session(&mut self, timeout: Duration, conn: ConnId) -> (i64, [u8; 16]) {
         let id = self.number() as i64;
-        let mut draw = crate::Draw(id as u64);
+        let mut draw = crate::SeededRng(id as u64);
         let mut password = [0; 16];
-        password[..8].copy_from_slice(&draw.number().to_be_bytes());
-        password[8..].copy_from_slice(&draw.number().to_be_bytes());
+        password[..8].copy_from_slice(&draw.next_u64().to_be_bytes());
+        password[8..].copy_from_slice(&draw.next_u64().to_be_bytes());
         self.sessions.insert(
             id,
             Session {
--- a/crates/testbed/src/scenario/fleet.rs
+++ b/crates/testbed/src/scenario/fleet.rs
@@ -198,11 +198,11 @@
     }
     let load = rig.load(scale.rate, 0.3, 7);
     tokio::time::sleep(Duration::from_secs(4)).await;
-    rig.servers[0].behave(|m| m.frozen = true);
+    rig.servers[0].update_behavior(|m| m.is_frozen = true);
     let from = rig.history.now();
     tokio::time::sleep(Duration::from_secs(10)).await;
     let to = rig.history.now();
-    rig.servers[0].behave(|m| m.frozen = false);
+    rig.servers[0].update_behavior(|m| m.is_frozen = false);
     load.end().await;
     let happened = rig.history.events();
     let all: Vec<usize> = (0..scale.nodes).collect();
--- a/crates/testbed/src/scenario/graphql.rs
+++ b/crates/testbed/src/scenario/graphql.rs
@@ -7,9 +7,9 @@
 use crate::client::Client;
 use crate::graphql;
 use crate::node::Node;
-use crate::pool::{Manner, Pool, Spoil};
+use crate::pool::{Corruption, Pool, ServerBehavior};
 use crate::scripted::Program;
-use crate::{Draw, Result};
+use crate::{Result, SeededRng};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
@@ -131,15 +131,15 @@
     scale: Scale,
     settings: impl Fn(String) -> String,
 ) -> Result<(Sums, Pool)> {
-    let manner = Manner {
-        shed: 0.05,
-        die_before: 0.05,
-        fail: 0.05,
-        die_after: 0.05,
-        spoilt: 0.05,
-        ..Manner::good(Duration::from_millis(5))
+    let manner = ServerBehavior {
+        shed_ratio: 0.05,
+        close_before_effect_ratio: 0.05,
+        error_ratio: 0.05,
+        close_after_effect_ratio: 0.05,
+        corrupt_ratio: 0.05,
+        ..ServerBehavior::healthy(Duration::from_millis(5))
     };
-    let pool = Pool::running("graphql", 6, 8, manner, 21, &graphql::app()).await?;
+    let pool = Pool::start_with_app("graphql", 6, 8, manner, 21, &graphql::app()).await?;
     let settings = settings(graphql::settings(
         &pool,
         "tries = { most = 4, retry_share = 1.0 }",
@@ -149,16 +149,20 @@
     let sums = Arc::new(Mutex::new(Sums::default()));
     let client = Arc::new(Client::new(node.address()));
     let mut running = JoinSet::new();
-    let (mut draw, begun, mut at) = (Draw(77), Instant::now(), 0.0);
+    let (mut draw, begun, mut at) = (SeededRng(77), Instant::now(), 0.0);
     for n in 0..scale.requests {
-        at += draw.gap(scale.rate);
+        at += draw.next_gap(scale.rate);
         tokio::time::sleep_until((begun + Duration::from_secs_f64(at)).into()).await;
         // Now and then one server stands still, and the answers are spoilt in another way.
         if n % 50 == 0 {
-            let frozen = draw.number() as usize % (2 * pool.servers.len());
-            let spoil = [Spoil::Half, Spoil::Noise, Spoil::Other][draw.number() as usize % 3];
+            let frozen = draw.next_u64() as usize % (2 * pool.servers.len());
+            let spoil = [
+                Corruption::Truncated,
+                Corruption::WrongContentType,
+                Corruption::OtherResponse,
+            ][draw.next_u64() as usize % 3];
             for (s, server) in pool.servers.iter().enumerate() {
-                server.behave(|m| (m.frozen, m.spoil) = (s == frozen, spoil));
+                server.update_behavior(|m| (m.is_frozen, m.corruption) = (s == frozen, spoil));
             }
         }
         let (client, sums) = (client.clone(), sums.clone());
@@ -167,7 +171,7 @@
     }
     pool.servers
         .iter()
-        .for_each(|s| s.behave(|m| m.frozen = false));
+        .for_each(|s| s.update_behavior(|m| m.is_frozen = false));
     while running.join_next().await.is_some() {}
     node.signal("TERM")?;
     node.ended().await?;
@@ -215,7 +219,7 @@
 }
 
 fn judge(report: &mut Report, sums: &Sums, pool: &Pool, scale: Scale) {
-    let effects = pool.effects();
+    let effects = pool.effect_counts();
     let ran = |id: &String| effects.contains_key(id);
     let untrue = sums.harmless.iter().filter(|id| ran(id)).count();
     let undone = sums.done.iter().filter(|id| !ran(id)).count();
@@ -229,7 +233,7 @@
             .collect::<HashMap<_, _>>()),
     );
     report.figure("effects", effects.len());
-    report.figure("effects_twice", pool.twice());
+    report.figure("effects_twice", pool.duplicate_effects());
     report.figure("reads", sums.reads);
     report.figure("mutations_told_harmless_to_repeat", sums.harmless.len());
     report.promise(sums.lost == 0 && sums.answered == scale.requests, || {
@@ -242,8 +246,8 @@
     report.promise(sums.late == 0, || {
         format!("{} answers after the deadline", sums.late)
     });
-    report.promise(pool.twice() == 0, || {
-        format!("{} effects twice", pool.twice())
+    report.promise(pool.duplicate_effects() == 0, || {
+        format!("{} effects twice", pool.duplicate_effects())
     });
     report.promise(untrue == 0, || {
         format!("{untrue} were told to be harmless to repeat, and ran")
--- a/crates/testbed/src/scenario/membership.rs
+++ b/crates/testbed/src/scenario/membership.rs
@@ -7,10 +7,10 @@
 use crate::load;
 use crate::membership::{kind, settings, Announced};
 use crate::node::Node;
-use crate::pool::{Manner, Pool};
+use crate::pool::{Pool, ServerBehavior};
 use crate::registry::Registry;
 use crate::scripted::Program;
-use crate::{Draw, Result};
+use crate::{Result, SeededRng};
 use serde_json::json;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -60,11 +60,11 @@
 pub async fn run(program: &Program, scale: Scale) -> Result<Report> {
     let mut report = Report::default();
     let registry = Arc::new(Registry::start(3).await?);
-    let pool = Pool::running(
+    let pool = Pool::start_with_app(
         "flags",
         scale.servers,
         8,
-        Manner::good(Duration::from_millis(5)),
+        ServerBehavior::healthy(Duration::from_millis(5)),
         31,
         &app(),
     )
@@ -96,11 +96,11 @@
         let mut names: Vec<Announced> = entered.by_ref().take(2).collect();
         let (registry, pool, ends) = (registry.clone(), pool.clone(), ends.clone());
         killing.spawn(async move {
-            let mut draw = Draw(900 + pair as u64);
+            let mut draw = SeededRng(900 + pair as u64);
             for cycle in 0..cycles {
                 let which = cycle % 2;
                 let server = &pool.servers[2 * pair + which];
-                tokio::time::sleep(Duration::from_secs_f64(0.3 * draw.fraction())).await;
+                tokio::time::sleep(Duration::from_secs_f64(0.3 * draw.next_fraction())).await;
                 if cycle % 3 == 0 {
                     // Just as a request has come to it.
                     next_request(server).await;
@@ -109,7 +109,7 @@
                 let told = Instant::now();
                 tokio::time::sleep_until((told + AWAY).into()).await;
                 let after = server
-                    .last_seen()
+                    .last_request_at()
                     .map_or(Duration::ZERO, |at| at.saturating_duration_since(told));
                 let end = End {
                     last_ms: after.as_secs_f64() * 1e3,
@@ -168,8 +168,11 @@
 
 /// Waits for a request to a server, but not for long.
 async fn next_request(server: &crate::pool::Server) {
-    let (seen, until) = (server.seen(), Instant::now() + Duration::from_millis(100));
-    while server.seen() == seen && Instant::now() < until {
+    let (seen, until) = (
+        server.requests_received(),
+        Instant::now() + Duration::from_millis(100),
+    );
+    while server.requests_received() == seen && Instant::now() < until {
         tokio::time::sleep(Duration::from_micros(200)).await;
     }
 }
@@ -188,15 +191,15 @@
         } else {
             vec![]
         };
-        crate::pool::Done {
-            effects,
+        crate::pool::AppResponse {
+            effect_ids: effects,
             status: hyper::StatusCode::OK,
             body: id,
-            end: crate::pool::End::Manner,
+            completion: crate::pool::Completion::AsConfigured,
         }
     })
 }
 
 fn twice(pool: &Pool) -> usize {
-    pool.twice()
+    pool.duplicate_effects()
 }
--- a/crates/testbed/src/scenario/services.rs
+++ b/crates/testbed/src/scenario/services.rs
@@ -6,7 +6,7 @@
 use super::Report;
 use crate::load::{self, Came, Kind};
 use crate::node::Node;
-use crate::pool::{Manner, Pool};
+use crate::pool::{Pool, ServerBehavior};
 use crate::scripted::Program;
 use crate::Result;
 use std::time::Duration;
@@ -56,7 +56,7 @@
     /// # Errors
     /// If no ports are to be had.
     pub async fn start(seed: u64) -> Result<Fleet> {
-        let good = |ms| Manner::good(Duration::from_millis(ms));
+        let good = |ms| ServerBehavior::healthy(Duration::from_millis(ms));
         Ok(Fleet {
             evaluate: Pool::start("eval", 4, good(20), seed).await?,
             toggle: Pool::start("admin", 3, good(30), seed + 10).await?,
@@ -65,8 +65,8 @@
     }
 
     /// Ids that had an effect more than once, of requests that must not run twice.
-    pub fn twice(&self) -> usize {
-        self.toggle.twice() + self.rollout.twice()
+    pub fn duplicate_effects(&self) -> usize {
+        self.toggle.duplicate_effects() + self.rollout.duplicate_effects()
     }
 
     /// The settings file of a node in front of them.
@@ -100,7 +100,7 @@
         "[[service]]\nname = \"{name}\"\n{limits}\n\
          [[service.class]]\nname = \"{name}\"\nrepeat = \"{repeat}\"\naim = \"200ms\"\ndeadline = \"600ms\"\n\n\
          [[service.route]]\nhost = \"{host}\"\npath = \"/api\"\nmethods = [\"{method}\"]\nassign = \"{name}\"\n\n{}\n",
-        pool.listed()
+        pool.server_settings()
     )
 }
 
@@ -165,9 +165,9 @@
     });
 
     reloads(&mut report, &mut node, &fleet, &settings, scale.reloads).await?;
-    report.figure("effects_twice", fleet.twice());
-    report.promise(fleet.twice() == 0, || {
-        format!("{} effects twice", fleet.twice())
+    report.figure("effects_twice", fleet.duplicate_effects());
+    report.promise(fleet.duplicate_effects() == 0, || {
+        format!("{} effects twice", fleet.duplicate_effects())
     });
     node.signal("TERM")?;
     let ended = node.ended().await?;
@@ -197,7 +197,13 @@
     settings: &str,
     times: u32,
 ) -> Result<()> {
-    let spare = Pool::start("spare", 1, Manner::good(Duration::from_millis(5)), 91).await?;
+    let spare = Pool::start(
+        "spare",
+        1,
+        ServerBehavior::healthy(Duration::from_millis(5)),
+        91,
+    )
+    .await?;
     let extra = service("extra", "safe", "extra.example.org", "GET", "", &spare);
     let changes: [String; 5] = [
         settings.replace("burst = 20", "burst = 30"),
--- a/crates/testbed/tests/graphql.rs
+++ b/crates/testbed/tests/graphql.rs
@@ -6,7 +6,7 @@
 use reelfall_testbed::client::{Client, Got};
 use reelfall_testbed::graphql;
 use reelfall_testbed::node::Node;
-use reelfall_testbed::pool::{App, End, Manner, Pool, Spoil};
+use reelfall_testbed::pool::{App, Completion, Corruption, Pool, ServerBehavior};
 use reelfall_testbed::scripted::Program;
 use serde_json::{json, Value};
 use std::collections::HashMap;
@@ -15,15 +15,21 @@
 
 const RESPONSE: &str = "application/graphql-response+json";
 
-async fn start(manner: Manner, more: &str) -> (Node, Pool) {
+async fn start(manner: ServerBehavior, more: &str) -> (Node, Pool) {
     running(manner, &graphql::app(), |pool| {
         graphql::settings(pool, more)
     })
     .await
 }
 
-async fn running(manner: Manner, app: &App, settings: impl Fn(&Pool) -> String) -> (Node, Pool) {
-    let pool = Pool::running("g", 4, 16, manner, 3, app).await.unwrap();
+async fn running(
+    manner: ServerBehavior,
+    app: &App,
+    settings: impl Fn(&Pool) -> String,
+) -> (Node, Pool) {
+    let pool = Pool::start_with_app("g", 4, 16, manner, 3, app)
+        .await
+        .unwrap();
     let settings = settings(&pool);
     let program = Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"));
     let node = Node::start(&program, &settings).await.unwrap();
@@ -31,8 +37,8 @@
     (node, pool)
 }
 
-fn good() -> Manner {
-    Manner::good(Duration::from_millis(2))
+fn good() -> ServerBehavior {
+    ServerBehavior::healthy(Duration::from_millis(2))
 }
 
 async fn post(client: &Client, body: impl Into<Bytes>, accept: &str) -> Got {
@@ -74,7 +80,7 @@
     )
     .await;
     assert_eq!((status, said), (200, json!({"data": {"x": {"id": "m-1"}}})));
-    assert_eq!(pool.effects().get("m-1"), Some(&1));
+    assert_eq!(pool.effect_counts().get("m-1"), Some(&1));
     // The media types and their statuses.
     for (accept, kind, bad) in [
         (RESPONSE, RESPONSE, 400),
@@ -187,7 +193,7 @@
         (200, user)
     );
     // What the node can tell by itself never came to a server.
-    assert_eq!(pool.seen(), 9);
+    assert_eq!(pool.requests_received(), 9);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -205,7 +211,7 @@
         (got.status.as_u16(), &got.body[..]),
         (200, &br#"{"data":{"__typename":"Query"}}"#[..])
     );
-    let seen = pool.seen();
+    let seen = pool.requests_received();
     for hidden in [
         "query=mutation%7Btoggle(id:%22g%22)%7Bid%7D%7D",
         "query=query%20A%7Bflags%7Dmutation%20B%7Btoggle(id:%22g%22)%7Bid%7D%7D&operationName=B",
@@ -216,7 +222,7 @@
         assert_eq!(got.headers["allow"], "POST");
     }
     assert_eq!(
-        (pool.seen(), pool.effects().len()),
+        (pool.requests_received(), pool.effect_counts().len()),
         (seen, 0),
         "a mutation by GET went through"
     );
@@ -250,7 +256,7 @@
             "{body}"
         );
     }
-    assert_eq!(pool.seen(), 0);
+    assert_eq!(pool.requests_received(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -271,7 +277,7 @@
     };
     let (_, said) = ask(&client, asked(None, "p-1")).await;
     assert_eq!(said["errors"][0]["message"], "PersistedQueryNotFound");
-    assert_eq!(pool.seen(), 0);
+    assert_eq!(pool.requests_received(), 0);
     assert_eq!(ask(&client, asked(Some(text), "p-1")).await.0, 200);
     let (status, said) = ask(&client, asked(None, "p-2")).await;
     assert_eq!(
@@ -283,7 +289,7 @@
         400,
         "a hash of something else"
     );
-    let effects = pool.effects();
+    let effects = pool.effect_counts();
     assert_eq!(
         (effects.get("p-1"), effects.get("p-2"), effects.len()),
         (Some(&1), Some(&1), 2)
@@ -293,28 +299,32 @@
 /// Servers that fail at every stage: reads are tried again, mutations run once at most, and what is told is true.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn forced_failures_double_no_mutation_and_lose_no_answer() {
-    let manner = Manner {
-        die_before: 0.1,
-        die_after: 0.15,
-        fail: 0.1,
-        shed: 0.1,
-        spoilt: 0.1,
+    let manner = ServerBehavior {
+        close_before_effect_ratio: 0.1,
+        close_after_effect_ratio: 0.15,
+        error_ratio: 0.1,
+        shed_ratio: 0.1,
+        corrupt_ratio: 0.1,
         ..good()
     };
     let (node, pool) = start(manner, "tries = { most = 4, retry_share = 1.0 }").await;
-    let spoils = [Spoil::Half, Spoil::Noise, Spoil::Other];
+    let spoils = [
+        Corruption::Truncated,
+        Corruption::WrongContentType,
+        Corruption::OtherResponse,
+    ];
     let client = Client::new(node.address());
     // Without retries, 45 % of the reads are served, and 20 % of the pairs of them in a batch.
     let (mut reads, mut batches, mut told_run) = (0, 0, 0);
     for n in 0..150 {
         pool.servers
             .iter()
-            .for_each(|s| s.behave(|m| m.spoil = spoils[n % 3]));
+            .for_each(|s| s.update_behavior(|m| m.corruption = spoils[n % 3]));
         let (status, _) = ask(&client, json!({"query": "{ flags }"})).await;
         reads += usize::from(status == 200);
         let mutation = json!({"query": format!("mutation {{ toggle(id: \"one-{n}\") {{ id }} }}")});
         let (status, said) = ask(&client, mutation).await;
-        let ran = pool.effects().contains_key(&format!("one-{n}"));
+        let ran = pool.effect_counts().contains_key(&format!("one-{n}"));
         match status {
             200 => assert!(ran),
             503 => {
@@ -338,7 +348,7 @@
         assert_eq!((status, said.len()), (200, 5));
         assert!(said[4]["errors"][0]["extensions"]["code"] == "GRAPHQL_PARSE_FAILED");
         for (entry, id) in [(&said[1], format!("a-{n}")), (&said[3], format!("b-{n}"))] {
-            let ran = pool.effects().contains_key(&id);
+            let ran = pool.effect_counts().contains_key(&id);
             let retryable = &entry["errors"][0]["extensions"]["retryable"];
             assert!(
                 *retryable != true || !ran,
@@ -354,7 +364,12 @@
             said[0]["data"]["flags"].is_array() && said[2]["data"]["evaluate"]["on"] == true,
         );
     }
-    assert_eq!(pool.twice(), 0, "an effect twice: {:?}", pool.effects());
+    assert_eq!(
+        pool.duplicate_effects(),
+        0,
+        "an effect twice: {:?}",
+        pool.effect_counts()
+    );
     assert!(
         told_run > 100 && reads > 95 && batches > 75,
         "{told_run} ran, {reads} reads, {batches} batches"
@@ -378,14 +393,14 @@
         let attempt = attempts.entry(id.clone()).or_default();
         *attempt += 1;
         let mut done = inner(head, body);
-        done.end = match id.rsplit_once('.') {
+        done.completion = match id.rsplit_once('.') {
             // The first read dies before and in the middle of its answer, then is served.
-            Some((_, "0")) if *attempt == 1 => End::DieAfter,
-            Some((_, "0")) if *attempt == 2 => End::CutAnswer,
-            Some((batch, "1")) if batch.contains("before") => End::DieBefore,
-            Some((batch, "1")) if batch.contains("during") => End::DieAfter,
-            Some((batch, "1")) if batch.contains("after") => End::CutAnswer,
-            _ => End::Manner,
+            Some((_, "0")) if *attempt == 1 => Completion::CloseAfterEffect,
+            Some((_, "0")) if *attempt == 2 => Completion::TruncateResponse,
+            Some((batch, "1")) if batch.contains("before") => Completion::CloseBeforeEffect,
+            Some((batch, "1")) if batch.contains("during") => Completion::CloseAfterEffect,
+            Some((batch, "1")) if batch.contains("after") => Completion::TruncateResponse,
+            _ => Completion::AsConfigured,
         };
         done
     });
@@ -433,7 +448,7 @@
             format!("{id}-2"),
             "{stage}: {said}"
         );
-        let effects = pool.effects();
+        let effects = pool.effect_counts();
         let ran = effects.get(&format!("{id}-1")).copied().unwrap_or(0);
         if stage == "none" {
             assert_eq!(said[1]["data"]["toggle"]["id"], format!("{id}-1"));
@@ -453,7 +468,7 @@
             "{stage}"
         );
     }
-    assert_eq!(pool.twice(), 0);
+    assert_eq!(pool.duplicate_effects(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -463,13 +478,16 @@
     let broken = json!({"data": null, "errors": [{"message": "broken", "path": ["b"]}]});
     let (status, said) = ask(&client, json!({"query": "{ flags b: broken }"})).await;
     // It has `data`, so that both media types give it 200; it has run, and is not tried again.
-    assert_eq!((status, &said, pool.seen()), (200, &broken, 1));
+    assert_eq!((status, &said, pool.requests_received()), (200, &broken, 1));
     let (status, said) = ask(
         &client,
         json!([{"query": "{ b: broken }"}, {"query": "{ flags }"}]),
     )
     .await;
-    assert_eq!((status, &said[0], pool.seen()), (200, &broken, 3));
+    assert_eq!(
+        (status, &said[0], pool.requests_received()),
+        (200, &broken, 3)
+    );
     assert!(said[1]["data"]["flags"].is_array());
 }
 
@@ -520,7 +538,7 @@
     // A long text that is no document is nobody's business.
     let long = json!({"query": "query Q($f: String) { evaluate(flag: $f) { on } }", "variables": {"f": "x".repeat(900 << 10)}});
     assert_eq!(ask(&client, long).await.0, 200);
-    assert_eq!(pool.seen(), 1, "something was passed on");
+    assert_eq!(pool.requests_received(), 1, "something was passed on");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -537,7 +555,7 @@
     let client = Client::new(node.address());
     pool.servers
         .iter()
-        .for_each(|s| s.behave(|m| m.frozen = true));
+        .for_each(|s| s.update_behavior(|m| m.is_frozen = true));
     let batch = json!([
         {"query": "{"},
         {"query": "mutation { toggle(id: \"d-1\") { id } }"},
@@ -575,15 +593,15 @@
     );
     pool.servers
         .iter()
-        .for_each(|s| s.behave(|m| m.frozen = false));
+        .for_each(|s| s.update_behavior(|m| m.is_frozen = false));
     // The one that was told to be harmless never runs, however long one waits.
     let begun = Instant::now();
-    while !pool.effects().contains_key("d-1") {
+    while !pool.effect_counts().contains_key("d-1") {
         assert!(begun.elapsed() < Duration::from_secs(20));
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     assert_eq!(ask(&client, json!({"query": "{ flags }"})).await.0, 200);
-    assert!(!pool.effects().contains_key("d-2"));
+    assert!(!pool.effect_counts().contains_key("d-2"));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -591,7 +609,7 @@
     let (node, pool) = start(good(), "").await;
     pool.servers
         .iter()
-        .for_each(|s| s.behave(|m| m.frozen = true));
+        .for_each(|s| s.update_behavior(|m| m.is_frozen = true));
     let batch = json!([
         {"query": "mutation { toggle(id: \"l-1\") { id } }"},
         {"query": "mutation { toggle(id: \"l-2\") { id } }"},
@@ -600,7 +618,7 @@
     let leaving =
         tokio::spawn(async move { post(&Client::new(address), batch.to_string(), RESPONSE).await });
     let begun = Instant::now();
-    while pool.seen() == 0 {
+    while pool.requests_received() == 0 {
         assert!(begun.elapsed() < Duration::from_secs(20));
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
@@ -610,11 +628,11 @@
     let client = Client::new(node.address());
     pool.servers
         .iter()
-        .for_each(|s| s.behave(|m| m.frozen = false));
+        .for_each(|s| s.update_behavior(|m| m.is_frozen = false));
     for _ in 0..50 {
         assert_eq!(ask(&client, json!({"query": "{ flags }"})).await.0, 200);
     }
-    let effects = pool.effects();
+    let effects = pool.effect_counts();
     assert!(
         effects.contains_key("l-1") && !effects.contains_key("l-2"),
         "{effects:?}"
--- a/crates/testbed/tests/membership.rs
+++ b/crates/testbed/tests/membership.rs
@@ -6,7 +6,7 @@
 use reelfall_testbed::client::Client;
 use reelfall_testbed::membership::{data, settings, Announced, PATH};
 use reelfall_testbed::node::Node;
-use reelfall_testbed::pool::{Manner, Server};
+use reelfall_testbed::pool::{Server, ServerBehavior};
 use reelfall_testbed::registry::{digest_id, Registry};
 use reelfall_testbed::scenario::membership as scenario;
 use reelfall_testbed::scripted::Program;
@@ -21,9 +21,14 @@
 const SLOWER: Duration = Duration::from_millis(10);
 
 async fn server(name: &str) -> Server {
-    Server::start(name, 64, Manner::good(Duration::from_millis(1)), 1)
-        .await
-        .unwrap()
+    Server::start(
+        name,
+        64,
+        ServerBehavior::healthy(Duration::from_millis(1)),
+        1,
+    )
+    .await
+    .unwrap()
 }
 
 async fn start(registry: &Registry, follow: &str, more: &str) -> Node {
@@ -81,21 +86,21 @@
     const BATCH: usize = 50;
     let mut batch = 0;
     until("a preference for the server", async || {
-        let before = server.seen();
+        let before = server.requests_received();
         batch += 1;
         served(client, &format!("{run}-{batch}"), BATCH).await;
-        (server.seen() - before) as usize * 10 >= BATCH * 9
+        (server.requests_received() - before) as usize * 10 >= BATCH * 9
     })
     .await;
 }
 
 /// Waits until a server gets requests.
 async fn until_sent_to(client: &Client, server: &Server, run: &str) {
-    let (seen, mut n) = (server.seen(), 0);
+    let (seen, mut n) = (server.requests_received(), 0);
     until("a request to the server", async || {
         n += 1;
         served(client, &format!("{run}-{n}"), 3).await;
-        server.seen() > seen
+        server.requests_received() > seen
     })
     .await;
 }
@@ -120,13 +125,16 @@
     node.until_health("/_health", true).await.unwrap();
     let client = Client::new(node.address());
     // The share of equal servers wanders; that of one which is faster stays high.
-    two.behave(|m| m.service = SLOWER);
+    two.update_behavior(|m| m.service_time = SLOWER);
     until_preferred(&client, &one, "before").await;
     // A toggle is under way at the server as its session ends.
-    one.behave(|m| m.frozen = true);
-    two.behave(|m| m.frozen = true);
+    one.update_behavior(|m| m.is_frozen = true);
+    two.update_behavior(|m| m.is_frozen = true);
     let address = node.address();
-    let (at_one, begun) = (one.seen(), one.seen() + two.seen());
+    let (at_one, begun) = (
+        one.requests_received(),
+        one.requests_received() + two.requests_received(),
+    );
     let mut flying = tokio::task::JoinSet::new();
     for n in 0..8 {
         flying.spawn(async move {
@@ -138,43 +146,46 @@
         });
     }
     until("toggles at both", async || {
-        one.seen() + two.seen() >= begun + 8
+        one.requests_received() + two.requests_received() >= begun + 8
     })
     .await;
-    let under_way = (one.seen() - at_one) as usize;
+    let under_way = (one.requests_received() - at_one) as usize;
     entered.kill(&registry);
-    two.behave(|m| m.frozen = false);
+    two.update_behavior(|m| m.is_frozen = false);
     // Whoever has the news closes what is idle: what is left is what toggles have under way. That requests stay away
     // could be chance.
-    until("the news", async || one.connections() <= under_way).await;
-    let before = one.seen();
+    until("the news", async || one.open_connections() <= under_way).await;
+    let before = one.requests_received();
     assert_eq!(served(&client, "after", 200).await, 200);
     assert_eq!(
-        one.seen(),
+        one.requests_received(),
         before,
         "new work for a server whose session has ended"
     );
-    one.behave(|m| m.frozen = false);
+    one.update_behavior(|m| m.is_frozen = false);
     while let Some(status) = flying.join_next().await {
         assert_eq!(status.unwrap(), 200, "what was under way is finished");
     }
     assert!(
-        one.effects()
+        one.effect_counts()
             .iter()
-            .chain(&two.effects())
+            .chain(&two.effect_counts())
             .all(|(_, n)| *n == 1),
         "something ran twice"
     );
     until("the end of idle connections", async || {
-        one.connections() == 0
+        one.open_connections() == 0
     })
     .await;
     // The process, which has been there all along, is back with a new session: at once, and as warm as it is.
     let _back = Announced::enter(&registry, &one, "one", 0);
     until_sent_to(&client, &one, "back").await;
-    let (ones, twos) = (one.seen(), two.seen());
+    let (ones, twos) = (one.requests_received(), two.requests_received());
     assert_eq!(served(&client, "warm", 200).await, 200);
-    let (ones, twos) = (one.seen() - ones, two.seen() - twos);
+    let (ones, twos) = (
+        one.requests_received() - ones,
+        two.requests_received() - twos,
+    );
     // A cold one is sent a few at most in so short a time, however fast it is.
     assert!(
         ones > twos,
@@ -212,8 +223,8 @@
     let client = Client::new(node.address());
     until_sent_to(&client, &flappy, "before").await;
     // It stands still with requests, and its entry goes.
-    flappy.behave(|m| m.frozen = true);
-    let (address, seen) = (node.address(), flappy.seen());
+    flappy.update_behavior(|m| m.is_frozen = true);
+    let (address, seen) = (node.address(), flappy.requests_received());
     let mut flying = tokio::task::JoinSet::new();
     until("a request that it holds", async || {
         let id = format!("held-{}", flying.len());
@@ -222,7 +233,7 @@
                 .ask(request("GET", "evaluate", &id))
                 .await
         });
-        flappy.seen() > seen
+        flappy.requests_received() > seen
     })
     .await;
     let begun = Instant::now();
@@ -234,14 +245,14 @@
             "a request that it held"
         );
     }
-    flappy.behave(|m| m.frozen = false);
+    flappy.update_behavior(|m| m.is_frozen = false);
     until("the first end of its connections", async || {
-        flappy.connections() == 0
+        flappy.open_connections() == 0
     })
     .await;
     let mut let_in = 0;
     for n in 0..RETURNS {
-        let (seen, asked) = (flappy.seen(), registry.counts().requests);
+        let (seen, asked) = (flappy.requests_received(), registry.counts().requests);
         entered = Announced::enter(&registry, &flappy, "flappy", 0);
         // Both services read it, and have heard of its last end before.
         until("the reading of its entry", async || {
@@ -255,22 +266,22 @@
             served(&client, &format!("return-{n}"), AFTER_RETURN).await,
             AFTER_RETURN
         );
-        let was_sent_to = flappy.seen() > seen;
+        let was_sent_to = flappy.requests_received() > seen;
         let_in += usize::from(was_sent_to);
         entered.kill(&registry);
         // Whoever has the news closes what is idle. Without a connection nothing tells that the news is there.
         until("the end of its connections", async || {
-            flappy.connections() == 0
+            flappy.open_connections() == 0
         })
         .await;
         if was_sent_to {
-            let seen = flappy.seen();
+            let seen = flappy.requests_received();
             assert_eq!(
                 served(&client, &format!("end-{n}"), AFTER_RETURN).await,
                 AFTER_RETURN
             );
             assert_eq!(
-                flappy.seen(),
+                flappy.requests_received(),
                 seen,
                 "requests to a server whose entry has gone"
             );
@@ -285,9 +296,14 @@
     let _last = Announced::enter(&registry, &flappy, "flappy", 0);
     let patience = Duration::from_secs_f64(2.0 * LONGEST_HOLD);
     until_within(patience, "its return", async || {
-        let before = flappy.seen();
-        served(&client, &format!("last-{before}-{}", steady.seen()), 10).await;
-        flappy.seen() > before
+        let before = flappy.requests_received();
+        served(
+            &client,
+            &format!("last-{before}-{}", steady.requests_received()),
+            10,
+        )
+        .await;
+        flappy.requests_received() > before
     })
     .await;
 }
@@ -314,10 +330,10 @@
     until_sent_to(&client, &two, "silent-two").await;
     // Heard again, what happened meanwhile counts.
     (0..3).for_each(|m| registry.freeze(m, false));
-    until("the news", async || two.connections() == 0).await;
-    let before = two.seen();
+    until("the news", async || two.open_connections() == 0).await;
+    let before = two.requests_received();
     assert_eq!(served(&client, "healed", 100).await, 100);
-    assert_eq!(two.seen(), before);
+    assert_eq!(two.requests_received(), before);
     node.signal("TERM").unwrap();
     assert!(node.ended().await.unwrap());
 }
@@ -387,11 +403,11 @@
         }
         // Whoever has the news closes what is idle. That requests stay away could be chance: its share is small.
         until("the news, by a member that does not lag", async || {
-            two.connections() == 0
+            two.open_connections() == 0
         })
         .await;
         registry.drop_member(away, true);
-        let before = two.seen();
+        let before = two.requests_received();
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_millis(800) {
             assert_eq!(
@@ -399,7 +415,7 @@
                 5
             );
         }
-        assert_eq!(two.seen(), before, "an older list counted");
+        assert_eq!(two.requests_received(), before, "an older list counted");
         registry.lag(lags, Duration::ZERO);
         registry.drop_member(away, false);
     }
@@ -427,7 +443,7 @@
     registry.lose_watches(1000);
     entered.kill(&registry);
     until("the end that no watch told", async || {
-        one.connections() == 0
+        one.open_connections() == 0
     })
     .await;
     registry.lose_watches(0);
@@ -461,7 +477,7 @@
     put("odd name \u{1f600} \" ' %2f", b"[]");
     let client = Client::new(node.address());
     assert_eq!(served(&client, "good", 100).await, 100);
-    assert_eq!(good.seen(), 100, "somebody else was sent to");
+    assert_eq!(good.requests_received(), 100, "somebody else was sent to");
     // The younger of two entries with one address counted; with it gone, the older does again.
     registry.remove(&format!("{PATH}/same-address"));
     let entered = Instant::now();
@@ -568,21 +584,24 @@
     })
     .await;
     // A request is under way at the end: the entry goes first.
-    one.behave(|m| m.frozen = true);
+    one.update_behavior(|m| m.is_frozen = true);
     let address = node.address();
     let flying = tokio::spawn(async move {
         Client::new(address)
             .ask(request("GET", "evaluate", "last"))
             .await
     });
-    let seen = one.seen();
-    until("the request", async || one.seen() > seen || one.seen() > 0).await;
+    let seen = one.requests_received();
+    until("the request", async || {
+        one.requests_received() > seen || one.requests_received() > 0
+    })
+    .await;
     node.signal("TERM").unwrap();
     until("the end of its entry", async || {
         registry.get("/nodes/n1").is_none()
     })
     .await;
-    one.behave(|m| m.frozen = false);
+    one.update_behavior(|m| m.is_frozen = false);
     assert_eq!(flying.await.unwrap().unwrap().status, 200);
     assert!(node.ended().await.unwrap());
     assert!(registry.children("/nodes").is_empty());
@@ -612,7 +631,7 @@
     std::fs::remove_file(&secret).unwrap();
     let client = Client::new(node.address());
     assert_eq!(served(&client, "owned", 100).await, 100);
-    assert_eq!(strange.seen(), 0, "a stranger's entry counted");
+    assert_eq!(strange.requests_received(), 0, "a stranger's entry counted");
     node.says("others than those that are trusted may change it")
         .await
         .unwrap();
@@ -640,15 +659,15 @@
     let node = start(&registry, &follow, "connect = \"100ms\"").await;
     let client = Client::new(node.address());
     assert_eq!(served(&client, "known", 20).await, 20);
-    assert_eq!(known.seen(), 20);
+    assert_eq!(known.requests_received(), 20);
     let _listed = Announced::enter(&registry, &listed, "listed", 0);
     registry.drop_member(0, false);
     until_sent_to(&client, &listed, "heard").await;
     // What the registry does not list is not there.
-    let before = known.seen();
+    let before = known.requests_received();
     assert_eq!(served(&client, "after", 100).await, 100);
     assert_eq!(
-        known.seen(),
+        known.requests_received(),
         before,
         "a server that the registry does not list"
     );
--- a/crates/testbed/tests/reload.rs
+++ b/crates/testbed/tests/reload.rs
@@ -8,7 +8,7 @@
 use hyper::Request;
 use reelfall_testbed::client::{Client, Got};
 use reelfall_testbed::node::{Node, PATIENCE};
-use reelfall_testbed::pool::{Manner, Server};
+use reelfall_testbed::pool::{Server, ServerBehavior};
 use reelfall_testbed::scripted::{self, Program};
 use std::collections::HashSet;
 use std::fs::{File, OpenOptions};
@@ -60,9 +60,14 @@
 }
 
 async fn good(name: &str) -> Server {
-    Server::start(name, 64, Manner::good(Duration::from_millis(1)), 1)
-        .await
-        .unwrap()
+    Server::start(
+        name,
+        64,
+        ServerBehavior::healthy(Duration::from_millis(1)),
+        1,
+    )
+    .await
+    .unwrap()
 }
 
 async fn start(settings: &str) -> Node {
@@ -371,14 +376,14 @@
 
 /// A request that its server holds; its answer, once that comes.
 async fn held_request(node: &Node, server: &Server) -> JoinHandle<Got> {
-    server.behave(|manner| manner.frozen = true);
-    let (address, seen) = (node.address(), server.seen());
+    server.update_behavior(|manner| manner.is_frozen = true);
+    let (address, seen) = (node.address(), server.requests_received());
     let asking =
         tokio::spawn(
             async move { get(&Client::new(address), "a.example.org", "/api", "held").await },
         );
     let arrives = async {
-        while server.seen() == seen {
+        while server.requests_received() == seen {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
@@ -394,7 +399,7 @@
     let held = held_request(&node, &server).await;
     let _reading = Reading::begin(&node).await;
     node.signal("TERM").unwrap();
-    server.behave(|manner| manner.frozen = false);
+    server.update_behavior(|manner| manner.is_frozen = false);
     assert_eq!(soon("the answer", held).await.unwrap().status, 200);
     assert!(node.ended().await.unwrap());
 }
@@ -419,7 +424,7 @@
     node.says("is not taken in: the node is ending")
         .await
         .unwrap();
-    server.behave(|manner| manner.frozen = false);
+    server.update_behavior(|manner| manner.is_frozen = false);
     assert_eq!(soon("the answer", held).await.unwrap().status, 200);
     assert!(node.ended().await.unwrap());
 }
--- a/crates/testbed/tests/services.rs
+++ b/crates/testbed/tests/services.rs
@@ -7,7 +7,7 @@
 use reelfall_testbed::discovery::{Discovery, Listed};
 use reelfall_testbed::load::{self, Kind};
 use reelfall_testbed::node::Node;
-use reelfall_testbed::pool::{Cold, Manner, Pool, Server};
+use reelfall_testbed::pool::{Pool, Server, ServerBehavior, SlowStart};
 use reelfall_testbed::scenario::services as scenario;
 use reelfall_testbed::scripted::{self, Program};
 use std::io::Write;
@@ -35,9 +35,14 @@
 }
 
 async fn good(name: &str, ms: u64) -> Server {
-    Server::start(name, 64, Manner::good(Duration::from_millis(ms)), 1)
-        .await
-        .unwrap()
+    Server::start(
+        name,
+        64,
+        ServerBehavior::healthy(Duration::from_millis(ms)),
+        1,
+    )
+    .await
+    .unwrap()
 }
 
 fn request(method: &str, host: &str, path: &str, id: &str) -> Request<Full<Bytes>> {
@@ -106,7 +111,7 @@
     let client = Client::new(node.address());
     // One whose first answer was slow is left out for a moment.
     let begun = Instant::now();
-    while shared.seen() == 0 {
+    while shared.requests_received() == 0 {
         assert!(
             begun.elapsed() < Duration::from_secs(20),
             "the server is never used"
@@ -143,12 +148,12 @@
             "the drain is not kept"
         );
     }
-    let before = shared.seen();
+    let before = shared.requests_received();
     for n in 0..200 {
         assert_eq!(get(&client, "b", &format!("after-{n}")).await.status, 200);
     }
     assert_eq!(
-        shared.seen(),
+        shared.requests_received(),
         before,
         "a server that drains by another list got new requests"
     );
@@ -177,7 +182,7 @@
 
 /// Services that sent something to a server.
 fn senders(to: &Server) -> std::collections::BTreeSet<String> {
-    to.effects()
+    to.effect_counts()
         .keys()
         .filter_map(|id| Some(id.split('-').next()?.to_owned()))
         .collect()
@@ -188,7 +193,7 @@
     // Ten services, each with a server that is busy, and a new one of that kind that all their lists tell of.
     const TEN: usize = 10;
     let warm_after = Duration::from_secs(8);
-    let manner = Manner::good(Duration::from_millis(100));
+    let manner = ServerBehavior::healthy(Duration::from_millis(100));
     let new = Server::start("new", 4, manner.clone(), 1).await.unwrap();
     let (mut own, mut lists, mut settings) = (vec![], vec![], HEAD.to_owned());
     for n in 0..TEN {
@@ -215,10 +220,10 @@
     };
     // What one server bears is learned first.
     load::run(node.address(), &kinds("before"), Duration::from_secs(6), 3).await;
-    new.start_cold(Cold {
-        from: 0.15,
-        warm_after,
-        ..Cold::default()
+    new.begin_slow_start(SlowStart {
+        initial_capacity: 0.15,
+        duration: warm_after,
+        ..SlowStart::default()
     });
     let began = Instant::now();
     let line = Listed {
@@ -235,9 +240,9 @@
     let at_first = senders(&new);
     loading.await.unwrap();
     assert!(
-        new.push() < 3.0,
+        new.peak_overload() < 3.0,
         "pushed to {:.2} times what it can do",
-        new.push()
+        new.peak_overload()
     );
     assert!(!at_first.is_empty(), "nothing is sent at all");
     assert!(
@@ -263,15 +268,15 @@
         );
     }
     assert!(
-        new.push() < 3.0,
+        new.peak_overload() < 3.0,
         "pushed to {:.2} times what it can do",
-        new.push()
+        new.peak_overload()
     );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_start_that_one_list_knows_of_holds_for_a_list_that_somebody_wrote() {
-    let manner = Manner::good(Duration::from_millis(100));
+    let manner = ServerBehavior::healthy(Duration::from_millis(100));
     let (old, new) = (
         Server::start("old", 12, manner.clone(), 1).await.unwrap(),
         Server::start("new", 12, manner, 1).await.unwrap(),
@@ -297,7 +302,7 @@
         3,
     )
     .await;
-    assert!(new.seen() > 0);
+    assert!(new.requests_received() > 0);
     // It starts anew at its address. Its own list does not tell service b; that of service a does.
     let line = Listed {
         since_ms: unix_ms(),
@@ -306,15 +311,15 @@
     list.tell(&[line]);
     let client = Client::new(node.address());
     let told = Instant::now();
-    let seen = old.seen();
-    while old.seen() < seen + 2 || told.elapsed() < Duration::from_millis(300) {
+    let seen = old.requests_received();
+    while old.requests_received() < seen + 2 || told.elapsed() < Duration::from_millis(300) {
         get(&client, "a", &format!("told-{}", told.elapsed().as_nanos())).await;
     }
     let warm_after = Duration::from_secs(30);
-    new.start_cold(Cold {
-        from: 0.05,
-        warm_after,
-        ..Cold::default()
+    new.begin_slow_start(SlowStart {
+        initial_capacity: 0.05,
+        duration: warm_after,
+        ..SlowStart::default()
     });
     load::run(
         node.address(),
@@ -323,11 +328,11 @@
         4,
     )
     .await;
-    assert!(new.push() > 0.0, "nothing is sent at all");
+    assert!(new.peak_overload() > 0.0, "nothing is sent at all");
     assert!(
-        new.push() < 3.0,
+        new.peak_overload() < 3.0,
         "pushed to {:.2} times what it can do",
-        new.push()
+        new.peak_overload()
     );
 }
 
@@ -344,9 +349,9 @@
     let came = load::run(node.address(), &kinds, Duration::from_secs(2), 3).await;
     // Without the bound it sees dozens.
     assert!(
-        server.most_connections() <= 4,
+        server.max_open_connections() <= 4,
         "{} connections at once",
-        server.most_connections()
+        server.max_open_connections()
     );
     for came in &came {
         assert_eq!(came.lost, 0);
@@ -408,7 +413,7 @@
         assert_eq!(health("/_health/b").await, 200);
     }
     assert_eq!(health("/_health/none").await, 404);
-    assert_eq!((one.seen(), two.seen()), (2, 60));
+    assert_eq!((one.requests_received(), two.requests_received()), (2, 60));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -482,7 +487,7 @@
         assert_eq!(ask(first, hosts), *status, "{first} {hosts:?}");
     }
     assert_eq!(
-        (flags.seen(), admin.seen()),
+        (flags.requests_received(), admin.requests_received()),
         (good, 0),
         "something was passed on"
     );
@@ -520,7 +525,7 @@
             [404, 200][n % 2]
         );
     }
-    assert_eq!((one.seen(), two.seen()), (5, 10));
+    assert_eq!((one.requests_received(), two.requests_received()), (5, 10));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -619,8 +624,8 @@
     {
         // Service `a` is there at the start of each round, with a long deadline.
         node.reload(&(a("\"10s\"") + &b)).await.unwrap();
-        server.behave(|m| m.frozen = true);
-        let seen = server.seen();
+        server.update_behavior(|m| m.is_frozen = true);
+        let seen = server.requests_received();
         let address = node.address();
         let id = format!("flight-{n}");
         let asking = tokio::spawn(async move {
@@ -630,7 +635,7 @@
                 .map(|g| g.status.as_u16())
         });
         let begun = Instant::now();
-        while server.seen() == seen {
+        while server.requests_received() == seen {
             assert!(
                 begun.elapsed() < Duration::from_secs(20),
                 "the request does not arrive"
@@ -638,11 +643,11 @@
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         node.reload(&next).await.unwrap();
-        server.behave(|m| m.frozen = false);
+        server.update_behavior(|m| m.is_frozen = false);
         assert_eq!(asking.await.unwrap().unwrap(), 200, "round {n}");
     }
     assert!(
-        server.effects().values().all(|n| *n == 1),
+        server.effect_counts().values().all(|n| *n == 1),
         "an effect twice"
     );
 }
@@ -687,9 +692,9 @@
     assert_eq!(ask("GET", "/any", "write").await.status, 405);
     assert_eq!(ask("GET", "/any", "").await.status, 400);
     assert_eq!(ask("GET", "/any", "other").await.status, 400);
-    let ids = server.effects();
+    let ids = server.effect_counts();
     assert_eq!(
-        (ids.len(), server.seen()),
+        (ids.len(), server.requests_received()),
         (5, 5),
         "ids that were made are not all different: {ids:?}"
     );
@@ -697,17 +702,17 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn servers_that_die_run_no_unsafe_request_twice() {
-    let manner = Manner {
-        die_after: 0.3,
-        die_before: 0.2,
-        fail: 0.1,
-        shed: 0.1,
-        ..Manner::good(Duration::from_millis(2))
+    let manner = ServerBehavior {
+        close_after_effect_ratio: 0.3,
+        close_before_effect_ratio: 0.2,
+        error_ratio: 0.1,
+        shed_ratio: 0.1,
+        ..ServerBehavior::healthy(Duration::from_millis(2))
     };
     let pool = Pool::start("s", 4, manner, 5).await.unwrap();
     let settings = HEAD.to_owned()
-        + &service("a", "unsafe", "", &pool.listed())
-        + &service("b", "safe", "", &pool.listed());
+        + &service("a", "unsafe", "", &pool.server_settings())
+        + &service("b", "safe", "", &pool.server_settings());
     let node = Node::start(&program(), &settings).await.unwrap();
     node.until_health("/_health", true).await.unwrap();
     let kinds = [
@@ -723,7 +728,7 @@
         0,
         "a request without an answer"
     );
-    let effects = pool.effects();
+    let effects = pool.effect_counts();
     let twice: Vec<_> = effects
         .iter()
         .filter(|(id, n)| id.starts_with("a-") && **n > 1)
@@ -746,7 +751,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_reservation_is_there_when_another_service_holds_all_else() {
     let (frozen, quick) = (good("frozen", 1).await, good("quick", 1).await);
-    frozen.behave(|m| m.frozen = true);
+    frozen.update_behavior(|m| m.is_frozen = true);
     let settings = "[process]\ndescriptors = 400\n".to_owned()
         + HEAD
         + &service("a", "safe", "tries = { most = 1 }", &listed(&frozen, ""))
@@ -777,7 +782,7 @@
         let got = get(&client, "b", &format!("b-{n}")).await;
         assert_eq!(got.status, 200, "request {n}: {}", text(&got));
     }
-    frozen.behave(|m| m.frozen = false);
+    frozen.update_behavior(|m| m.is_frozen = false);
     let mut answered = 1;
     while let Some(done) = flood.join_next().await {
         done.unwrap().expect("an answer");
@@ -789,7 +794,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn bodies_that_fill_the_memory_of_one_service_leave_that_of_another() {
     let (frozen, quick) = (good("frozen", 1).await, good("quick", 1).await);
-    frozen.behave(|m| m.frozen = true);
+    frozen.update_behavior(|m| m.is_frozen = true);
     let settings = "[process]\nmemory = \"16MiB\"\n".to_owned()
         + HEAD
         + &service("a", "unsafe", "", &listed(&frozen, ""))
@@ -825,11 +830,11 @@
             "request {n}"
         );
     }
-    frozen.behave(|m| m.frozen = false);
+    frozen.update_behavior(|m| m.is_frozen = false);
     let mut statuses = vec![];
     while let Some(done) = flood.join_next().await {
         statuses.push(done.unwrap().expect("an answer"));
     }
     assert_eq!(statuses.len(), 40);
-    assert!(frozen.effects().values().all(|n| *n == 1));
+    assert!(frozen.effect_counts().values().all(|n| *n == 1));
 }
--- a/crates/testbed/tests/stand_ins.rs
+++ b/crates/testbed/tests/stand_ins.rs
@@ -6,7 +6,7 @@
 use reelfall_testbed::client::Client;
 use reelfall_testbed::link::Link;
 use reelfall_testbed::load::{self, Kind};
-use reelfall_testbed::pool::{Manner, Pool, Server};
+use reelfall_testbed::pool::{Pool, Server, ServerBehavior};
 use std::time::{Duration, Instant};
 
 fn get(id: &str) -> Request<Full<Bytes>> {
@@ -18,7 +18,7 @@
 }
 
 async fn server() -> Server {
-    Server::start("s", 4, Manner::good(Duration::from_millis(1)), 3)
+    Server::start("s", 4, ServerBehavior::healthy(Duration::from_millis(1)), 3)
         .await
         .unwrap()
 }
@@ -39,7 +39,7 @@
     link.fault(|f| (f.delay, f.frozen) = (Duration::ZERO, true));
     let waited = tokio::time::timeout(Duration::from_millis(300), client.ask(get("frozen"))).await;
     assert!(waited.is_err(), "something passed a frozen link");
-    assert!(!server.effects().contains_key("frozen"));
+    assert!(!server.effect_counts().contains_key("frozen"));
     // What waits in it passes once it thaws, though the client has left.
     link.fault(|f| f.frozen = false);
     let client = Client::new(link.address);
@@ -52,14 +52,18 @@
     let link = Link::start(server.address).await.unwrap();
     link.fault(|f| f.cut_to_server = Some(10));
     assert!(Client::new(link.address).ask(get("cut")).await.is_err());
-    assert_eq!(server.seen(), 0, "half a request arrived whole");
+    assert_eq!(
+        server.requests_received(),
+        0,
+        "half a request arrived whole"
+    );
     link.fault(|f| (f.cut_to_server, f.cut_to_client) = (None, Some(10)));
     assert!(Client::new(link.address)
         .ask(get("cut-back"))
         .await
         .is_err());
     assert_eq!(
-        server.effects().get("cut-back"),
+        server.effect_counts().get("cut-back"),
         Some(&1),
         "the effect is there, the answer is not"
     );
@@ -69,7 +73,7 @@
         async move { client.ask(get("deaf")).await }
     });
     let begun = Instant::now();
-    while !server.effects().contains_key("deaf") {
+    while !server.effect_counts().contains_key("deaf") {
         assert!(
             begun.elapsed() < Duration::from_secs(20),
             "the request does not arrive"
@@ -85,16 +89,16 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn servers_count_effects_whatever_the_client_learns() {
-    let fails = |change: fn(&mut Manner)| {
-        let mut manner = Manner::good(Duration::from_millis(1));
+    let fails = |change: fn(&mut ServerBehavior)| {
+        let mut manner = ServerBehavior::healthy(Duration::from_millis(1));
         change(&mut manner);
         manner
     };
     for (n, (manner, status, ran)) in [
-        (fails(|m| m.fail = 1.0), Some(500), true),
-        (fails(|m| m.shed = 1.0), Some(503), false),
-        (fails(|m| m.die_before = 1.0), None, false),
-        (fails(|m| m.die_after = 1.0), None, true),
+        (fails(|m| m.error_ratio = 1.0), Some(500), true),
+        (fails(|m| m.shed_ratio = 1.0), Some(503), false),
+        (fails(|m| m.close_before_effect_ratio = 1.0), None, false),
+        (fails(|m| m.close_after_effect_ratio = 1.0), None, true),
     ]
     .into_iter()
     .enumerate()
@@ -102,14 +106,14 @@
         let pool = Pool::start("s", 1, manner, 1).await.unwrap();
         let got = Client::new(pool.servers[0].address).ask(get("x")).await;
         assert_eq!(got.ok().map(|g| g.status.as_u16()), status, "manner {n}");
-        assert_eq!(pool.effects().contains_key("x"), ran, "manner {n}");
-        assert_eq!(pool.seen(), 1);
+        assert_eq!(pool.effect_counts().contains_key("x"), ran, "manner {n}");
+        assert_eq!(pool.requests_received(), 1);
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn load_comes_at_its_rate_and_counts_from_the_intended_moment() {
-    let server = Server::start("s", 1, Manner::good(Duration::from_millis(1)), 3)
+    let server = Server::start("s", 1, ServerBehavior::healthy(Duration::from_millis(1)), 3)
         .await
         .unwrap();
     let kind = Kind {
@@ -140,14 +144,14 @@
         "a seed is a schedule"
     );
     // While the server stands still, requests go on coming, and their wait is seen in full.
-    server.behave(|m| m.frozen = true);
+    server.update_behavior(|m| m.is_frozen = true);
     let frozen = [Kind {
         name: "frozen".to_owned(),
         ..kind
     }];
     let thaw = async {
         tokio::time::sleep(Duration::from_millis(1500)).await;
-        server.behave(|m| m.frozen = false);
+        server.update_behavior(|m| m.is_frozen = false);
     };
     let (came, ()) = tokio::join!(load::run(server.address, &frozen, time, 5), thaw);
     assert!(
--- a/crates/testbed/tests/together.rs
+++ b/crates/testbed/tests/together.rs
@@ -183,7 +183,7 @@
     .await;
     let load = rig.load_at(&[0, 1, 2, 3], 60.0, 0.2, 4);
     until_sent(&rig, 0, &[0, 1, 2, 3]).await;
-    rig.servers[0].behave(|m| m.fail = 1.0);
+    rig.servers[0].update_behavior(|m| m.error_ratio = 1.0);
     let at = rig.history.now();
     until_explained(&rig, "s0", "fails several nodes").await;
     let took = rig.history.now() - at;
@@ -202,7 +202,7 @@
         rig.history.tail(20)
     );
     // Well again, it is found out by whose turn it is or when the verdict ends, and all send there.
-    rig.servers[0].behave(|m| m.fail = 0.0);
+    rig.servers[0].update_behavior(|m| m.error_ratio = 0.0);
     until_explained(&rig, "s0", "not condemned").await;
     until_sent(&rig, 0, &[4, 5]).await;
     others.end().await;
--- a/crates/testbed/tests/torn.rs
+++ b/crates/testbed/tests/torn.rs
@@ -280,14 +280,14 @@
     // Its nodes hear from the others that theirs lags, and say so.
     let lags = |e: &Event| matches!(e, Event::Said { node: 1, line } if line.contains("is at 1 here, others heard of 2"));
     rig.history.until(0, lags).await.unwrap();
-    rig.servers[0].behave(|m| m.fail = 1.0);
+    rig.servers[0].update_behavior(|m| m.error_ratio = 1.0);
     // Few a second: nodes that are short of time find fault with all servers, and then send to any.
     let load = rig.load_at(&ahead, 20.0, 0.2, 27);
     until_explained(&rig, "s0", "fails several nodes").await;
     until_errors_reported(&rig, "s0", 3).await;
     until_left(&rig, 0, &ahead).await;
     // The nodes that know the old one alone hold nothing against it.
-    rig.servers[0].behave(|m| m.fail = 0.0);
+    rig.servers[0].update_behavior(|m| m.error_ratio = 0.0);
     let others = rig.load_at(&behind, 20.0, 0.2, 28);
     until_sent(&rig, 0, &behind).await;
     // Their list catches up: what was said of the new one meanwhile holds at once, for one that never saw it fail.
