--- /dev/null
+++ b/crates/testbed/src/graphql/mod.rs
@@ -0,0 +1,81 @@
+//! A GraphQL application with a small schema, to run on the servers of [`crate::pool`]. Demos, measurements, scenarios and
+//! tests start it.
+//!
+//! ```graphql
+//! type Query {
+//!   evaluate(flag: String, user: String): Evaluation  flags: [String]  broken: String!
+//!   user(id: ID!): User  # what the examples of GraphQL over HTTP request
+//! }
+//! type User { id: ID  name: String }
+//! type Evaluation { flag: String  on: Boolean  user: String }
+//! type Mutation { toggle(id: ID!, flag: String): Change  rollout(id: ID!): Change }
+//! type Change { id: ID  done: Boolean }
+//! ```
+//!
+//! `broken` always fails, so that `data` is null. Introspection (`__schema`, `__type`) is supported. The effect of a
+//! mutation is counted by its `id`. The application follows the specification on its own: it shares the parser with the
+//! node, but no code that reads a document.
+//!
+//! | module | responsibility |
+//! | --- | --- |
+//! | `request` | a request's parameters from HTTP |
+//! | `document` | the operations and fragments of a document |
+//! | `variables` | coercion of variables, values of arguments |
+//! | `execute` | selection sets of an operation |
+//! | `resolve` | the fields of the schema |
+//! | `introspection` | the schema as introspection describes it |
+//! | `error` | errors of a request |
+//! | `settings` | the settings file of a node in front of such servers |
+
+mod document;
+mod error;
+mod execute;
+mod introspection;
+mod request;
+mod resolve;
+mod settings;
+mod variables;
+
+pub use settings::settings;
+
+use crate::pool::{App, AppResponse, Completion};
+use error::GraphQlError;
+use execute::ExecutedData;
+use hyper::http::request::Parts;
+use hyper::StatusCode;
+use serde_json::{json, Value};
+use std::sync::Arc;
+
+/// The application.
+pub fn app() -> App {
+    Arc::new(|head: &Parts, body: &[u8]| serve(head, body))
+}
+
+fn serve(head: &Parts, body: &[u8]) -> AppResponse {
+    let request = request::parse(head, body);
+    let mut effect_ids = Vec::new();
+    let (status, answer) = match execute::execute(&request, &mut effect_ids) {
+        Ok(data) => (StatusCode::OK, success(data)),
+        Err(error) => (StatusCode::BAD_REQUEST, failure(&error)),
+    };
+    AppResponse {
+        effect_ids,
+        status,
+        body: answer.to_string(),
+        completion: Completion::AsConfigured,
+    }
+}
+
+fn success(executed: ExecutedData) -> Value {
+    match executed.failed_field {
+        Some(key) => {
+            let error = json!({ "message": "broken", "path": [key] });
+            json!({ "errors": [error], "data": null })
+        }
+        None => json!({ "data": executed.data }),
+    }
+}
+
+fn failure(error: &GraphQlError) -> Value {
+    json!({ "errors": [{ "message": error.to_string() }] })
+}
