--- a/crates/capacity/src/scale/real.rs
+++ b/crates/capacity/src/scale/real.rs
@@ -7,8 +7,8 @@
 use super::report::{PerNode, RequestTimes, Run, Size, Source, Times};
 use super::shared::{zone_name, ZONES};
 use hdrhistogram::Histogram;
-use reelfall_testbed::discovery::{Discovery, Listed};
-use reelfall_testbed::load::{self, Kind};
+use reelfall_testbed::discovery::{Discovery, ListedServer};
+use reelfall_testbed::load::{self, Workload};
 use reelfall_testbed::node::{cpu_seconds, memory_kib, Folder, Node};
 use reelfall_testbed::pool::{Server, ServerBehavior};
 use reelfall_testbed::scripted::Program;
@@ -85,7 +85,7 @@
                 .await?,
             );
         }
-        let entry = |n: usize| Listed::active(&server_name(n), listed_address(n));
+        let entry = |n: usize| ListedServer::active(&server_name(n), listed_address(n));
         let discovery = Discovery::start((0..listed.min(LISTED_MOST)).map(entry).collect()).await?;
         let folder = Folder::new()?;
         let key = folder.path().join("fleet.key");
@@ -122,8 +122,8 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let since_ms = u64::try_from(since.as_millis()).unwrap_or(u64::MAX);
-        let entry = Listed::active(&server_name(server), listed_address(server));
-        self.discovery.tell(&[Listed { since_ms, ..entry }]);
+        let entry = ListedServer::active(&server_name(server), listed_address(server));
+        self.discovery.update(&[ListedServer { since_ms, ..entry }]);
     }
 
     /// What they have used so far.
@@ -176,7 +176,7 @@
             let (address, name) = (node.address, format!("scale{n}x{seed}"));
             let time = Duration::from_secs_f64(seconds);
             running.spawn(async move {
-                let kinds = [Kind::evaluate(name, RATE)];
+                let kinds = [Workload::evaluate(name, RATE)];
                 load::run(
                     address,
                     &kinds,
@@ -191,7 +191,7 @@
         while let Some(done) = running.join_next().await {
             for came in done? {
                 sent += came.sent;
-                good += came.of(&[200]);
+                good += came.with_status(&[200]);
                 match &mut all {
                     Some(all) => all.add(&came.latency)?,
                     None => all = Some(came.latency.clone()),
--- a/crates/testbed/examples/reload/main.rs
+++ b/crates/testbed/examples/reload/main.rs
@@ -10,7 +10,7 @@
 
 use clap::Parser;
 use hdrhistogram::Histogram;
-use reelfall_testbed::load::{self, Came, Kind};
+use reelfall_testbed::load::{self, LoadStats, Workload};
 use reelfall_testbed::node::Node;
 use reelfall_testbed::pool::{Pool, Server, ServerBehavior};
 use reelfall_testbed::scripted::Program;
@@ -73,14 +73,14 @@
         Seen {
             sent: 0,
             good: 0,
-            latency: Came::default().latency,
+            latency: LoadStats::default().latency,
         }
     }
 
-    fn add(&mut self, came: &[Came]) -> Result<()> {
+    fn add(&mut self, came: &[LoadStats]) -> Result<()> {
         for came in came {
             self.sent += came.sent;
-            self.good += came.of(&[200]);
+            self.good += came.with_status(&[200]);
             self.latency.add(&came.latency)?;
         }
         Ok(())
@@ -104,8 +104,8 @@
     }
 }
 
-fn kinds(rate: f64, window: &str) -> Vec<Kind> {
-    let kind = |service| Kind {
+fn kinds(rate: f64, window: &str) -> Vec<Workload> {
+    let kind = |service| Workload {
         name: format!("{window}-{service}"),
         host: settings::host(service),
         method: "GET",
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,18 +1,20 @@
-//! One client: it keeps its connections and opens more when all are busy.
+//! One HTTP client: it reuses idle connections and opens more when all are busy. Used by the load generator, scenarios and
+//! tests.
 
 use crate::{AbortOnDrop, Result};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
+use hyper::body::Incoming;
 use hyper::client::conn::http1::{handshake, SendRequest};
-use hyper::{HeaderMap, Request, StatusCode};
+use hyper::{HeaderMap, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use std::net::SocketAddr;
-use std::sync::{Mutex, PoisonError};
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use tokio::net::TcpStream;
 
-/// An answer, whole.
+/// A complete response.
 #[derive(Clone, Debug)]
-pub struct Got {
+pub struct ClientResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
@@ -22,76 +24,99 @@
 }
 
 struct Connection {
-    send: SendRequest<Full<Bytes>>,
+    sender: SendRequest<Full<Bytes>>,
     _task: AbortOnDrop,
 }
 
-/// See the module.
+/// A client of one address.
 pub struct Client {
-    to: SocketAddr,
+    address: SocketAddr,
     idle: Mutex<Vec<Connection>>,
 }
 
 impl Client {
-    /// A client without connections yet.
-    pub fn new(to: SocketAddr) -> Client {
+    /// A client without connections.
+    pub fn new(address: SocketAddr) -> Client {
         Client {
-            to,
+            address,
             idle: Mutex::default(),
         }
     }
 
-    fn idle(&self) -> std::sync::MutexGuard<'_, Vec<Connection>> {
-        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    async fn connect(&self) -> Result<Connection> {
-        let stream = TcpStream::connect(self.to).await?;
-        stream.set_nodelay(true)?;
-        let (send, connection) = handshake(TokioIo::new(stream)).await?;
-        let task = crate::spawn(async move {
-            let _ = connection.await;
-        });
-        Ok(Connection { send, _task: task })
-    }
-
-    /// Sends a request and reads its answer. One that crosses the close of an idle connection unread is sent again
-    /// on a new one, once.
+    /// Sends a request and reads its response. A request that was not read because its idle connection was closed is sent
+    /// again on a new connection, once.
     ///
     /// # Errors
-    /// If the connection breaks before the answer is whole.
-    pub async fn ask(&self, request: Request<Full<Bytes>>) -> Result<Got> {
-        let kept = loop {
-            match self.idle().pop() {
-                Some(c) if c.send.is_closed() => {}
-                kept => break kept,
-            }
-        };
-        let fresh = kept.is_none();
-        let mut connection = match kept {
-            Some(connection) => connection,
-            None => self.connect().await?,
-        };
-        connection.send.ready().await.ok();
-        let answer = match connection.send.try_send_request(request).await {
-            Ok(answer) => answer,
-            Err(mut e) => match e.take_message().filter(|_| !fresh) {
-                Some(request) => {
-                    connection = self.connect().await?;
-                    connection.send.send_request(request).await?
-                }
-                None => return Err(e.into_error().into()),
-            },
+    /// If the connection breaks before the response is complete.
+    pub async fn send(&self, request: Request<Full<Bytes>>) -> Result<ClientResponse> {
+        let (connection, response) = match self.take_idle() {
+            Some(connection) => self.send_on_reused(connection, request).await?,
+            None => self.send_on_new(request).await?,
         };
-        let (head, body) = answer.into_parts();
+        let (head, body) = response.into_parts();
         let body = body.collect().await?.to_bytes();
-        if !connection.send.is_closed() {
+        if !connection.sender.is_closed() {
             self.idle().push(connection);
         }
-        Ok(Got {
+        Ok(ClientResponse {
             status: head.status,
             headers: head.headers,
             body,
         })
     }
+
+    async fn send_on_reused(
+        &self,
+        mut connection: Connection,
+        request: Request<Full<Bytes>>,
+    ) -> Result<(Connection, Response<Incoming>)> {
+        connection.sender.ready().await.ok();
+        match connection.sender.try_send_request(request).await {
+            Ok(response) => Ok((connection, response)),
+            Err(mut error) => match error.take_message() {
+                Some(unsent) => {
+                    let mut connection = self.connect().await?;
+                    let response = connection.sender.send_request(unsent).await?;
+                    Ok((connection, response))
+                }
+                None => Err(error.into_error().into()),
+            },
+        }
+    }
+
+    async fn send_on_new(
+        &self,
+        request: Request<Full<Bytes>>,
+    ) -> Result<(Connection, Response<Incoming>)> {
+        let mut connection = self.connect().await?;
+        connection.sender.ready().await.ok();
+        let response = connection.sender.send_request(request).await?;
+        Ok((connection, response))
+    }
+
+    fn take_idle(&self) -> Option<Connection> {
+        loop {
+            match self.idle().pop() {
+                Some(connection) if connection.sender.is_closed() => {}
+                other => return other,
+            }
+        }
+    }
+
+    fn idle(&self) -> MutexGuard<'_, Vec<Connection>> {
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    async fn connect(&self) -> Result<Connection> {
+        let stream = TcpStream::connect(self.address).await?;
+        stream.set_nodelay(true)?;
+        let (sender, connection) = handshake(TokioIo::new(stream)).await?;
+        let task = crate::spawn(async move {
+            let _ = connection.await;
+        });
+        Ok(Connection {
+            sender,
+            _task: task,
+        })
+    }
 }
--- a/crates/testbed/src/commands/load.rs
+++ b/crates/testbed/src/commands/load.rs
@@ -1,6 +1,6 @@
 //! Requests at random times.
 
-use reelfall_testbed::load::{self, Kind};
+use reelfall_testbed::load::{self, Workload};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
 /// Sends requests and prints the figures.
 pub async fn run(args: LoadArgs) {
     let class = args.class.map(|class| ("x-service-class", class));
-    let kind = Kind {
+    let kind = Workload {
         name: format!("load{}", args.seed),
         host: args.host,
         method: if args.post { "POST" } else { "GET" },
--- a/crates/testbed/src/commands/measure.rs
+++ b/crates/testbed/src/commands/measure.rs
@@ -28,9 +28,9 @@
 pub async fn run(program: &Program, args: MeasureArgs) -> Result<()> {
     let plan = Plan {
         rounds: args.rounds,
-        time: Duration::from_secs_f64(args.seconds),
+        round_duration: Duration::from_secs_f64(args.seconds),
         rate: args.rate,
-        old: args.old.map(Program::alone),
+        baseline: args.old.map(Program::alone),
     };
     let figures = match args.name.as_str() {
         "services" => measure::services::run(program, &plan).await?,
--- a/crates/testbed/src/commands/stand_ins.rs
+++ b/crates/testbed/src/commands/stand_ins.rs
@@ -1,7 +1,7 @@
 //! Stand-ins that run until they are ended.
 
 use super::print_ready;
-use reelfall_testbed::discovery::{Discovery, Listed};
+use reelfall_testbed::discovery::{Discovery, ListedServer};
 use reelfall_testbed::link::Link;
 use reelfall_testbed::pool::{Pool, ServerBehavior};
 use reelfall_testbed::registry::{self, Registry};
@@ -63,7 +63,10 @@
 pub async fn run_discovery(args: &DiscoveryArgs) -> Result<()> {
     let mut listed = Vec::new();
     for (index, address) in args.servers.iter().enumerate() {
-        listed.push(Listed::active(&format!("server-{}", index + 1), *address));
+        listed.push(ListedServer::active(
+            &format!("server-{}", index + 1),
+            *address,
+        ));
     }
     let discovery = Discovery::start(listed).await?;
     print_ready(json!({ "discovery": discovery.address.to_string() }));
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,7 +1,9 @@
-//! The platform's list of servers: whole on request, and changes on a watch.
+//! The platform's discovery service: the whole list of servers on request, and updates on a watch. Started by scenarios,
+//! measurements, tests and the command `discovery`.
 
 use crate::{AbortOnDrop, Result};
 use bytes::Bytes;
+use futures_util::Stream;
 use http_body_util::combinators::BoxBody;
 use http_body_util::{BodyExt, Full, StreamBody};
 use hyper::body::{Frame, Incoming};
@@ -9,143 +11,210 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
+use serde_json::{json, Value};
 use std::convert::Infallible;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use tokio::net::TcpListener;
+use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
+use tokio::task::JoinSet;
 
-/// A line of the list.
+/// A watch without an update gets an empty line at this interval.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+const WATCH_PARAMETER: &str = "watch=1";
+const DEFAULT_ZONE: &str = "a";
+/// The index of the list at the start.
+const FIRST_INDEX: u64 = 1;
+
+/// The status of a server in the list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ServerStatus {
+    /// It takes requests.
+    Active,
+    /// It takes no new requests.
+    Draining,
+    /// It has left the list.
+    Left,
+}
+
+impl ServerStatus {
+    fn as_str(self) -> &'static str {
+        match self {
+            ServerStatus::Active => "active",
+            ServerStatus::Draining => "draining",
+            ServerStatus::Left => "left",
+        }
+    }
+}
+
+/// A server of the list.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedServer {
     /// The server's name.
     pub name: String,
     /// Its address.
     pub address: SocketAddr,
-    /// `active`, `draining` or `left`.
-    pub status: &'static str,
+    /// Its status.
+    pub status: ServerStatus,
     /// Since when, in milliseconds of Unix time; 0 for long ago.
     pub since_ms: u64,
     /// Its zone.
     pub zone: String,
 }
 
-impl Listed {
-    /// One that has been active for long.
-    pub fn active(name: &str, address: SocketAddr) -> Listed {
-        Listed {
+impl ListedServer {
+    /// A server that has been active for long.
+    pub fn active(name: &str, address: SocketAddr) -> ListedServer {
+        ListedServer {
             name: name.to_owned(),
             address,
-            status: "active",
+            status: ServerStatus::Active,
             since_ms: 0,
-            zone: "a".to_owned(),
+            zone: DEFAULT_ZONE.to_owned(),
+        }
+    }
+
+    fn to_json(&self) -> Value {
+        json!({
+            "name": self.name, "address": self.address.to_string(), "zone": self.zone, "type": "k", "group": 1,
+            "status": self.status.as_str(), "weight": 1.0, "since_ms": self.since_ms,
+        })
+    }
+}
+
+/// The present list and its version.
+struct ServerList {
+    index: u64,
+    servers: Vec<ListedServer>,
+}
+
+impl ServerList {
+    fn snapshot(&self) -> String {
+        message(self.index, true, &self.servers)
+    }
+
+    /// Replaces servers. Returns the update for watches.
+    fn apply(&mut self, changed: &[ListedServer]) -> String {
+        self.index += 1;
+        for server in changed {
+            self.servers.retain(|listed| listed.name != server.name);
+            if server.status != ServerStatus::Left {
+                self.servers.push(server.clone());
+            }
         }
+        message(self.index, false, changed)
     }
 }
 
-/// The list service. It ends when this is dropped.
+fn message(index: u64, is_snapshot: bool, servers: &[ListedServer]) -> String {
+    let endpoints: Vec<Value> = servers.iter().map(ListedServer::to_json).collect();
+    json!({ "index": index, "snapshot": is_snapshot, "endpoints": endpoints }).to_string()
+}
+
+type SharedList = Arc<Mutex<ServerList>>;
+
+fn lock(list: &SharedList) -> MutexGuard<'_, ServerList> {
+    list.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+/// The discovery service. It ends when this is dropped.
 pub struct Discovery {
     /// Where it listens.
     pub address: SocketAddr,
-    list: Arc<Mutex<(u64, Vec<Listed>)>>,
-    told: watch::Sender<String>,
-    _task: AbortOnDrop,
-}
-
-fn text(index: u64, whole: bool, lines: &[Listed]) -> String {
-    let line = |l: &Listed| {
-        serde_json::json!({
-            "name": l.name, "address": l.address.to_string(), "zone": l.zone, "type": "k", "group": 1,
-            "status": l.status, "weight": 1.0, "since_ms": l.since_ms,
-        })
-    };
-    let lines: Vec<_> = lines.iter().map(line).collect();
-    serde_json::json!({ "index": index, "snapshot": whole, "endpoints": lines }).to_string()
+    list: SharedList,
+    updates: watch::Sender<String>,
+    _accept_task: AbortOnDrop,
 }
 
 impl Discovery {
     /// Starts with a list.
     ///
     /// # Errors
-    /// If no port is to be had.
-    pub async fn start(list: Vec<Listed>) -> Result<Discovery> {
+    /// If no port is available.
+    pub async fn start(servers: Vec<ListedServer>) -> Result<Discovery> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let list = Arc::new(Mutex::new((1, list)));
-        let (told, _) = watch::channel(String::new());
-        let (serving, sender) = (list.clone(), told.clone());
-        let task = crate::spawn(async move {
-            let mut connections = tokio::task::JoinSet::new();
-            loop {
-                let Ok((stream, _)) = listener.accept().await else {
-                    continue;
-                };
-                while connections.try_join_next().is_some() {}
-                let (list, told) = (serving.clone(), sender.subscribe());
-                connections.spawn(async move {
-                    let answer =
-                        service_fn(move |request| respond(request, list.clone(), told.clone()));
-                    let _ = http1::Builder::new()
-                        .serve_connection(TokioIo::new(stream), answer)
-                        .await;
-                });
-            }
-        });
+        let list = Arc::new(Mutex::new(ServerList {
+            index: FIRST_INDEX,
+            servers,
+        }));
+        let (updates, _) = watch::channel(String::new());
+        let accept_task = crate::spawn(accept_connections(listener, list.clone(), updates.clone()));
         Ok(Discovery {
             address,
             list,
-            told,
-            _task: task,
+            updates,
+            _accept_task: accept_task,
         })
     }
 
-    /// Changes lines of the list and tells every watch.
-    pub fn tell(&self, lines: &[Listed]) {
-        let mut list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
-        list.0 += 1;
-        for line in lines {
-            list.1.retain(|l| l.name != line.name);
-            if line.status != "left" {
-                list.1.push(line.clone());
-            }
-        }
-        self.told.send_replace(text(list.0, false, lines));
+    /// Replaces servers of the list and sends the update to every watch.
+    pub fn update(&self, changed: &[ListedServer]) {
+        let mut list = lock(&self.list);
+        let update = list.apply(changed);
+        self.updates.send_replace(update);
     }
 }
 
+async fn accept_connections(
+    listener: TcpListener,
+    list: SharedList,
+    updates: watch::Sender<String>,
+) {
+    let mut connections = JoinSet::new();
+    loop {
+        let Ok((stream, _)) = listener.accept().await else {
+            continue;
+        };
+        while connections.try_join_next().is_some() {}
+        connections.spawn(serve_connection(stream, list.clone(), updates.subscribe()));
+    }
+}
+
+async fn serve_connection(stream: TcpStream, list: SharedList, updates: watch::Receiver<String>) {
+    let service = service_fn(|request| respond(request, list.clone(), updates.clone()));
+    let _ = http1::Builder::new()
+        .serve_connection(TokioIo::new(stream), service)
+        .await;
+}
+
 async fn respond(
     request: Request<Incoming>,
-    list: Arc<Mutex<(u64, Vec<Listed>)>>,
-    told: watch::Receiver<String>,
+    list: SharedList,
+    updates: watch::Receiver<String>,
 ) -> std::result::Result<Response<BoxBody<Bytes, Infallible>>, Infallible> {
-    let now = {
-        let list = list.lock().unwrap_or_else(PoisonError::into_inner);
-        text(list.0, true, &list.1)
+    let snapshot = lock(&list).snapshot();
+    let is_watch = request
+        .uri()
+        .query()
+        .is_some_and(|query| query.contains(WATCH_PARAMETER));
+    let body = if is_watch {
+        BodyExt::boxed(StreamBody::new(watch_lines(snapshot, updates)))
+    } else {
+        Full::new(Bytes::from(snapshot)).boxed()
     };
-    if !request.uri().query().is_some_and(|q| q.contains("watch=1")) {
-        return Ok(Response::new(Full::new(Bytes::from(now)).boxed()));
-    }
-    // The whole list first, so that nothing between two requests is missed; then changes, and word of life.
-    let lines = lines(now, told);
-    Ok(Response::new(BodyExt::boxed(StreamBody::new(lines))))
+    Ok(Response::new(body))
 }
 
-fn lines(
-    first: String,
-    told: watch::Receiver<String>,
-) -> impl futures_util::Stream<Item = std::result::Result<Frame<Bytes>, Infallible>> {
+/// The lines of a watch: the whole list first, so that no update between two requests is missed; then updates and
+/// heartbeats.
+fn watch_lines(
+    snapshot: String,
+    updates: watch::Receiver<String>,
+) -> impl Stream<Item = std::result::Result<Frame<Bytes>, Infallible>> {
     let frame = |line: String| Ok(Frame::data(Bytes::from(line + "\n")));
-    futures_util::stream::unfold((Some(first), told), move |(first, mut told)| async move {
-        if let Some(first) = first {
-            told.mark_unchanged();
-            return Some((frame(first), (None, told)));
+    let start = (Some(snapshot), updates);
+    futures_util::stream::unfold(start, move |(snapshot, mut updates)| async move {
+        if let Some(snapshot) = snapshot {
+            updates.mark_unchanged();
+            return Some((frame(snapshot), (None, updates)));
         }
-        let line = match tokio::time::timeout(Duration::from_secs(1), told.changed()).await {
-            Ok(Ok(())) => told.borrow_and_update().clone(),
+        let line = match tokio::time::timeout(HEARTBEAT_INTERVAL, updates.changed()).await {
+            Ok(Ok(())) => updates.borrow_and_update().clone(),
             Ok(Err(_)) => return None,
             Err(_) => String::new(),
         };
-        Some((frame(line), (None, told)))
+        Some((frame(line), (None, updates)))
     })
 }
--- a/crates/testbed/src/fleet/load.rs
+++ b/crates/testbed/src/fleet/load.rs
@@ -117,7 +117,7 @@
         id: id.clone(),
         risky,
     });
-    let got = tokio::time::timeout(DEADLINE + Duration::from_secs(40), client.ask(request)).await;
+    let got = tokio::time::timeout(DEADLINE + Duration::from_secs(40), client.send(request)).await;
     let status = match got {
         Ok(Ok(got)) => Some(got.status.as_u16()),
         Ok(Err(_)) | Err(_) => None,
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -32,7 +32,7 @@
 pub use load::{Load, AIM, DEADLINE};
 
 use crate::client::Client;
-use crate::discovery::{Discovery, Listed};
+use crate::discovery::{Discovery, ListedServer};
 use crate::link::Link;
 use crate::node::{until_health, Folder, Node, PATIENCE};
 use crate::pool::{RequestEvent, Server, ServerBehavior};
@@ -173,10 +173,10 @@
         let key = folder.path().join("fleet.key");
         std::fs::write(&key, "the rig's own key, and nobody else's")?;
         let links = Links::open(made.nodes).await?;
-        let listed: Vec<Listed> = servers
+        let listed: Vec<ListedServer> = servers
             .iter()
             .enumerate()
-            .map(|(n, s)| Listed::active(&server_name(n), s.address))
+            .map(|(n, s)| ListedServer::active(&server_name(n), s.address))
             .collect();
         let mut lists = Vec::with_capacity(made.lists);
         for _ in 0..made.lists {
@@ -368,7 +368,7 @@
             .header("host", "node")
             .body(Full::new(Bytes::new()))?;
         let got =
-            tokio::time::timeout(Duration::from_secs(2), Client::new(to).ask(request)).await??;
+            tokio::time::timeout(Duration::from_secs(2), Client::new(to).send(request)).await??;
         Ok((
             got.status.as_u16(),
             String::from_utf8_lossy(&got.body).into_owned(),
--- a/crates/testbed/src/measure/fleet.rs
+++ b/crates/testbed/src/measure/fleet.rs
@@ -1,12 +1,11 @@
 //! Processor time and latency for each request with what nodes tell each other, without it, and of another program.
 
-use super::{median, one_round, Alive, Plan, Subject};
+use super::{median, Plan, Subject, SubjectProcess};
 use crate::fleet::{Made, Rig};
-use crate::load::{self, Kind};
+use crate::load::Workload;
 use crate::scripted::Program;
 use crate::Result;
 use serde_json::{json, Value};
-use std::time::Duration;
 
 /// Nodes of the fleet; one of them is loaded.
 const NODES: usize = 5;
@@ -33,14 +32,14 @@
         rig.address(0).ok_or("no node")?,
         rig.pid(0).ok_or("no node")?,
     );
-    let alive = Alive::Fleet {
+    let alive = SubjectProcess::Fleet {
         _rig: Box::new(rig),
     };
-    Ok(Subject::of(
+    Ok(Subject::new(
         name,
         address,
         pid,
-        vec![Kind::evaluate(name.to_owned(), rate)],
+        vec![Workload::evaluate(name.to_owned(), rate)],
         alive,
     ))
 }
@@ -51,23 +50,23 @@
 /// If a subject can't be started.
 pub async fn run(program: &Program, plan: &Plan) -> Result<Value> {
     let mut subjects = Vec::new();
-    if let Some(old) = &plan.old {
+    if let Some(old) = &plan.baseline {
         subjects.push(subject("old", old, 1, false, plan.rate).await?);
     }
     subjects.push(subject("off", program, 1, false, plan.rate).await?);
     subjects.push(subject("on", program, NODES, true, plan.rate).await?);
     for subject in &subjects {
-        load::run(subject.address, &subject.kinds, Duration::from_secs(1), 1).await;
+        subject.warm_up().await;
     }
     for round in 0..plan.rounds {
         for subject in &mut subjects {
-            one_round(subject, plan, round as u64 + 2).await?;
+            subject.measure_round(plan, round as u64 + 2).await?;
         }
     }
     let ratio = |of: &str, to: &str| {
         let find = |name: &str| subjects.iter().find(|s| s.name == name);
         let (a, b) = (find(of)?, find(to)?);
-        let mut all: Vec<f64> = a.cpu.iter().zip(&b.cpu).map(|(a, b)| a / b).collect();
+        let mut all: Vec<f64> = a.cpu_us.iter().zip(&b.cpu_us).map(|(a, b)| a / b).collect();
         all.sort_by(f64::total_cmp);
         Some(
             json!({ "median": median(all.iter().copied()), "least": all.first(), "most": all.last() }),
--- a/crates/testbed/src/measure/membership.rs
+++ b/crates/testbed/src/measure/membership.rs
@@ -1,7 +1,6 @@
 //! What following a registry costs: entries at rest and in motion, healing, and a request against one with a static list.
 
-use super::{median, one_round, round1, Plan, Subject};
-use crate::load;
+use super::{median, round_to_tenth, Plan, Subject};
 use crate::membership::{kind, settings, Announced, PATH};
 use crate::node::{cpu_seconds, memory_kib, Node, PATIENCE};
 use crate::pool::{Pool, ServerBehavior};
@@ -22,7 +21,10 @@
     let mut figures = serde_json::Map::new();
     let mut of_entries = serde_json::Map::new();
     for n in [50, 500, 5_000] {
-        of_entries.insert(n.to_string(), entries(program, n, plan.time).await?);
+        of_entries.insert(
+            n.to_string(),
+            entries(program, n, plan.round_duration).await?,
+        );
     }
     figures.insert("entries".to_owned(), Value::Object(of_entries));
     figures.insert("healing_ms".to_owned(), healing(program).await?);
@@ -91,13 +93,13 @@
     let churn_bytes = registry.counts().bytes - bytes;
     let seconds = time.as_secs_f64();
     Ok(json!({
-        "ready_ms": round1(ready_ms),
+        "ready_ms": round_to_tenth(ready_ms),
         "kib_for_each_and_pool": ((held as f64 - bare as f64) / (2 * n) as f64 * 100.0).round() / 100.0,
-        "rest_cpu_percent": round1(rest_cpu / seconds * 100.0),
-        "rest_bytes_a_second": round1(rest_bytes as f64 / seconds),
+        "rest_cpu_percent": round_to_tenth(rest_cpu / seconds * 100.0),
+        "rest_bytes_a_second": round_to_tenth(rest_bytes as f64 / seconds),
         "changes": made,
-        "cpu_us_for_each_change_and_pool": round1(churn_cpu * 1e6 / (2 * made) as f64),
-        "bytes_for_each_change_and_pool": round1(churn_bytes as f64 / (2 * made) as f64),
+        "cpu_us_for_each_change_and_pool": round_to_tenth(churn_cpu * 1e6 / (2 * made) as f64),
+        "bytes_for_each_change_and_pool": round_to_tenth(churn_bytes as f64 / (2 * made) as f64),
         "kib_grown_in_motion": memory_kib(node.pid())?.saturating_sub(held),
     }))
 }
@@ -156,8 +158,8 @@
     }
     let most = |of: &[f64]| of.iter().copied().fold(0.0, f64::max);
     Ok(json!({
-        "fail_over_median": round1(median(failed_over.iter().copied())), "fail_over_most": round1(most(&failed_over)),
-        "expiry_median": round1(median(expired.iter().copied())), "expiry_most": round1(most(&expired)),
+        "fail_over_median": round_to_tenth(median(failed_over.iter().copied())), "fail_over_most": round_to_tenth(most(&failed_over)),
+        "expiry_median": round_to_tenth(median(expired.iter().copied())), "expiry_most": round_to_tenth(most(&expired)),
     }))
 }
 
@@ -191,20 +193,22 @@
     for (name, text) in [("static_list", &listed), ("registry", &follows)] {
         let node = Node::start(program, text).await?;
         node.until_health("/_health", true).await?;
-        let subject = Subject::new(name, node, vec![kind(name, "evaluate", plan.rate)]);
-        load::run(subject.address, &subject.kinds, Duration::from_secs(1), 1).await;
+        let subject = Subject::from_node(name, node, vec![kind(name, "evaluate", plan.rate)]);
+        subject.warm_up().await;
         subjects.push(subject);
     }
     for round in 0..plan.rounds {
         for n in 0..2 {
-            one_round(&mut subjects[(n + round) % 2], plan, round as u64).await?;
+            subjects[(n + round) % 2]
+                .measure_round(plan, round as u64)
+                .await?;
         }
     }
     let ratio = median(
         subjects[1]
-            .cpu
+            .cpu_us
             .iter()
-            .zip(&subjects[0].cpu)
+            .zip(&subjects[0].cpu_us)
             .map(|(a, b)| a / b),
     );
     Ok(json!({
--- a/crates/testbed/src/membership.rs
+++ b/crates/testbed/src/membership.rs
@@ -70,8 +70,8 @@
 }
 
 /// Requests of one of the services.
-pub fn kind(run: &str, service: &str, rate: f64) -> crate::load::Kind {
-    crate::load::Kind {
+pub fn kind(run: &str, service: &str, rate: f64) -> crate::load::Workload {
+    crate::load::Workload {
         name: format!("{run}-{service}"),
         host: format!("{service}.example.org"),
         method: if service == "toggle" { "POST" } else { "GET" },
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -253,7 +253,7 @@
         let request = Request::get(path)
             .header("host", "health")
             .body(Full::new(Bytes::new()))?;
-        let got = client.ask(request).await;
+        let got = client.send(request).await;
         if got.is_ok_and(|g| (g.status == 200) == good) {
             return Ok(());
         }
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -55,7 +55,7 @@
         return bad();
     };
     match client
-        .ask(Request::from_parts(head, Full::new(body.to_bytes())))
+        .send(Request::from_parts(head, Full::new(body.to_bytes())))
         .await
     {
         Ok(got) => {
--- a/crates/testbed/src/scenario/graphql.rs
+++ b/crates/testbed/src/scenario/graphql.rs
@@ -190,7 +190,7 @@
         return;
     };
     let begun = Instant::now();
-    let got = tokio::time::timeout(DEADLINE + Duration::from_secs(10), client.ask(request)).await;
+    let got = tokio::time::timeout(DEADLINE + Duration::from_secs(10), client.send(request)).await;
     let mut sums = sums.lock().unwrap_or_else(PoisonError::into_inner);
     let Ok(Ok(got)) = got else {
         sums.lost += 1;
--- a/crates/testbed/src/scenario/membership.rs
+++ b/crates/testbed/src/scenario/membership.rs
@@ -153,8 +153,8 @@
         report.promise(came.lost == 0, || {
             format!("{name}: {} requests without an answer", came.lost)
         });
-        report.promise(came.served() >= 99.0, || {
-            format!("{name}: {:.2} % served in time", came.served())
+        report.promise(came.in_time_percent() >= 99.0, || {
+            format!("{name}: {:.2} % served in time", came.in_time_percent())
         });
     }
     report.promise(late == 0, || {
--- a/crates/testbed/src/scenario/services.rs
+++ b/crates/testbed/src/scenario/services.rs
@@ -4,7 +4,7 @@
 //! answered once; no reload loses a request.
 
 use super::Report;
-use crate::load::{self, Came, Kind};
+use crate::load::{self, LoadStats, Workload};
 use crate::node::Node;
 use crate::pool::{Pool, ServerBehavior};
 use crate::scripted::Program;
@@ -105,13 +105,13 @@
 }
 
 /// Requests of one service; `run` tells the ids of one load from those of others.
-pub fn kind(run: &str, service: &str, rate: f64) -> Kind {
+pub fn kind(run: &str, service: &str, rate: f64) -> Workload {
     let (host, method) = match service {
         "evaluate" => ("flags.example.org", "GET"),
         "toggle" => ("admin.example.org", "POST"),
         _ => ("rollout.example.org", "POST"),
     };
-    Kind {
+    Workload {
         name: format!("{run}-{service}"),
         host: host.to_owned(),
         method,
@@ -145,7 +145,7 @@
         let (before, after) = (&alone[n], &flood[n]);
         report.figure(&format!("{name}_alone"), before.figures());
         report.figure(&format!("{name}_beside_flood"), after.figures());
-        let lost = before.served() - after.served();
+        let lost = before.in_time_percent() - after.in_time_percent();
         report.promise(lost <= scale.points, || {
             format!("{name} serves {lost:.2} points less beside the flood")
         });
@@ -156,10 +156,10 @@
     report.figure("evaluate_flood", evaluate.figures());
     report.figure(
         "evaluate_refusal_p50_ms",
-        evaluate.refusal.value_at_quantile(0.5) as f64 / 1e3,
+        evaluate.rejection_latency.value_at_quantile(0.5) as f64 / 1e3,
     );
     answered(&mut report, "evaluate in the flood", evaluate);
-    let refused = evaluate.of(&[429, 503]);
+    let refused = evaluate.with_status(&[429, 503]);
     report.promise(refused > evaluate.sent / 2, || {
         format!("only {refused} of the flood were refused")
     });
@@ -175,7 +175,7 @@
     Ok(report)
 }
 
-fn answered(report: &mut Report, what: &str, came: &Came) {
+fn answered(report: &mut Report, what: &str, came: &LoadStats) {
     let answers: u64 = came.statuses.values().sum();
     report.promise(came.lost == 0 && answers == came.sent, || {
         format!(
@@ -184,8 +184,8 @@
             came.sent
         )
     });
-    report.promise(came.wrong == 0, || {
-        format!("{what}: {} with another's answer", came.wrong)
+    report.promise(came.mismatched == 0, || {
+        format!("{what}: {} with another's answer", came.mismatched)
     });
 }
 
@@ -224,9 +224,9 @@
     let address = node.address();
     let (stop, mut stopped) = tokio::sync::watch::channel(false);
     let running = tokio::spawn(async move {
-        let mut all = vec![Came::default(); 3];
+        let mut all = vec![LoadStats::default(); 3];
         for round in 0u64.. {
-            let kinds: Vec<Kind> = [("evaluate", 60.0), ("toggle", 35.0), ("rollout", 25.0)]
+            let kinds: Vec<Workload> = [("evaluate", 60.0), ("toggle", 35.0), ("rollout", 25.0)]
                 .iter()
                 .map(|(service, rate)| kind(&format!("reload{round}"), service, *rate))
                 .collect();
@@ -234,7 +234,7 @@
             for (sum, came) in all.iter_mut().zip(came) {
                 sum.sent += came.sent;
                 sum.lost += came.lost;
-                sum.wrong += came.wrong;
+                sum.mismatched += came.mismatched;
                 sum.in_time += came.in_time;
                 came.statuses
                     .iter()
@@ -255,7 +255,7 @@
     for (came, name) in came.iter().zip(["evaluate", "toggle", "rollout"]) {
         report.figure(&format!("{name}_in_{times}_reloads"), came.figures());
         answered(report, &format!("{name} in reloads"), came);
-        let failed = came.sent - came.of(&[200, 429, 503]);
+        let failed = came.sent - came.with_status(&[200, 429, 503]);
         report.promise(failed == 0, || {
             format!("{name}: {failed} failed in reloads: {:?}", came.statuses)
         });
--- a/crates/testbed/tests/graphql.rs
+++ b/crates/testbed/tests/graphql.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
-use reelfall_testbed::client::{Client, Got};
+use reelfall_testbed::client::{Client, ClientResponse};
 use reelfall_testbed::graphql;
 use reelfall_testbed::node::Node;
 use reelfall_testbed::pool::{App, Completion, Corruption, Pool, ServerBehavior};
@@ -41,13 +41,13 @@
     ServerBehavior::healthy(Duration::from_millis(2))
 }
 
-async fn post(client: &Client, body: impl Into<Bytes>, accept: &str) -> Got {
+async fn post(client: &Client, body: impl Into<Bytes>, accept: &str) -> ClientResponse {
     let request = Request::post("/graphql")
         .header("host", "flags.example.org")
         .header("content-type", "application/json")
         .header("accept", accept);
     client
-        .ask(request.body(Full::new(body.into())).unwrap())
+        .send(request.body(Full::new(body.into())).unwrap())
         .await
         .expect("an answer")
 }
@@ -182,7 +182,7 @@
         .header("host", "flags.example.org")
         .header("accept", RESPONSE);
     let got = client
-        .ask(get.body(Full::new(Bytes::new())).unwrap())
+        .send(get.body(Full::new(Bytes::new())).unwrap())
         .await
         .unwrap();
     assert_eq!(
@@ -204,7 +204,7 @@
         let request = Request::get(format!("/graphql?{query}")).header("host", "flags.example.org");
         let request = request.body(Full::new(Bytes::new())).unwrap();
         let client = &client;
-        async move { client.ask(request).await.expect("an answer") }
+        async move { client.send(request).await.expect("an answer") }
     };
     let got = get("query=%7B__typename%7D").await;
     assert_eq!(
@@ -424,7 +424,7 @@
             .header("content-type", "application/json")
             .header("x-correlation-id", &id);
         let got = client
-            .ask(
+            .send(
                 request
                     .body(Full::new(Bytes::from(batch.to_string())))
                     .unwrap(),
@@ -567,7 +567,7 @@
         .header("x-time-left", "0.4");
     let begun = Instant::now();
     let got = client
-        .ask(
+        .send(
             request
                 .body(Full::new(Bytes::from(batch.to_string())))
                 .unwrap(),
--- a/crates/testbed/tests/membership.rs
+++ b/crates/testbed/tests/membership.rs
@@ -59,7 +59,7 @@
     let mut good = 0;
     for i in 0..n {
         let got = client
-            .ask(request("GET", "evaluate", &format!("{run}-{i}")))
+            .send(request("GET", "evaluate", &format!("{run}-{i}")))
             .await
             .expect("an answer");
         good += usize::from(got.status == 200);
@@ -139,7 +139,7 @@
     for n in 0..8 {
         flying.spawn(async move {
             Client::new(address)
-                .ask(request("POST", "toggle", &format!("fly-{n}")))
+                .send(request("POST", "toggle", &format!("fly-{n}")))
                 .await
                 .unwrap()
                 .status
@@ -230,7 +230,7 @@
         let id = format!("held-{}", flying.len());
         flying.spawn(async move {
             Client::new(address)
-                .ask(request("GET", "evaluate", &id))
+                .send(request("GET", "evaluate", &id))
                 .await
         });
         flappy.requests_received() > seen
@@ -353,7 +353,7 @@
     let client = Client::new(node.address());
     assert_eq!(served(&client, "before", 20).await, 20);
     let health = || {
-        client.ask(
+        client.send(
             Request::get("/_health/evaluate")
                 .header("host", "h")
                 .body(Full::default())
@@ -588,7 +588,7 @@
     let address = node.address();
     let flying = tokio::spawn(async move {
         Client::new(address)
-            .ask(request("GET", "evaluate", "last"))
+            .send(request("GET", "evaluate", "last"))
             .await
     });
     let seen = one.requests_received();
--- a/crates/testbed/tests/reload.rs
+++ b/crates/testbed/tests/reload.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
-use reelfall_testbed::client::{Client, Got};
+use reelfall_testbed::client::{Client, ClientResponse};
 use reelfall_testbed::node::{Node, PATIENCE};
 use reelfall_testbed::pool::{Server, ServerBehavior};
 use reelfall_testbed::scripted::{self, Program};
@@ -76,12 +76,12 @@
     node
 }
 
-async fn get(client: &Client, host: &str, path: &str, id: &str) -> Got {
+async fn get(client: &Client, host: &str, path: &str, id: &str) -> ClientResponse {
     let request = Request::get(path)
         .header("host", host)
         .header("x-correlation-id", id);
     let request = request.body(Full::new(Bytes::new())).unwrap();
-    soon("an answer", client.ask(request))
+    soon("an answer", client.send(request))
         .await
         .expect("an answer")
 }
@@ -375,7 +375,7 @@
 }
 
 /// A request that its server holds; its answer, once that comes.
-async fn held_request(node: &Node, server: &Server) -> JoinHandle<Got> {
+async fn held_request(node: &Node, server: &Server) -> JoinHandle<ClientResponse> {
     server.update_behavior(|manner| manner.is_frozen = true);
     let (address, seen) = (node.address(), server.requests_received());
     let asking =
--- a/crates/testbed/tests/services.rs
+++ b/crates/testbed/tests/services.rs
@@ -3,9 +3,9 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
-use reelfall_testbed::client::{Client, Got};
-use reelfall_testbed::discovery::{Discovery, Listed};
-use reelfall_testbed::load::{self, Kind};
+use reelfall_testbed::client::{Client, ClientResponse};
+use reelfall_testbed::discovery::{Discovery, ListedServer, ServerStatus};
+use reelfall_testbed::load::{self, Workload};
 use reelfall_testbed::node::Node;
 use reelfall_testbed::pool::{Pool, Server, ServerBehavior, SlowStart};
 use reelfall_testbed::scenario::services as scenario;
@@ -63,9 +63,9 @@
     request.body(Full::new(body)).unwrap()
 }
 
-async fn get(client: &Client, service: &str, id: &str) -> Got {
+async fn get(client: &Client, service: &str, id: &str) -> ClientResponse {
     client
-        .ask(request(
+        .send(request(
             "GET",
             &format!("{service}.example.org"),
             "/api/x",
@@ -75,7 +75,7 @@
         .expect("an answer")
 }
 
-fn text(got: &Got) -> String {
+fn text(got: &ClientResponse) -> String {
     String::from_utf8_lossy(&got.body).into_owned()
 }
 
@@ -90,7 +90,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_drain_in_one_list_holds_for_the_pool_of_another() {
     let (shared, other) = (good("shared", 1).await, good("other", 1).await);
-    let discovery = Discovery::start(vec![Listed::active("d-shared", shared.address)])
+    let discovery = Discovery::start(vec![ListedServer::active("d-shared", shared.address)])
         .await
         .unwrap();
     let settings = HEAD.to_owned()
@@ -127,11 +127,11 @@
             200
         );
     }
-    let draining = Listed {
-        status: "draining",
-        ..Listed::active("d-shared", shared.address)
+    let draining = ListedServer {
+        status: ServerStatus::Draining,
+        ..ListedServer::active("d-shared", shared.address)
     };
-    discovery.tell(&[draining]);
+    discovery.update(&[draining]);
     // Once pool a has heard it and refuses, b has too.
     let told = Instant::now();
     while get(
@@ -167,8 +167,8 @@
     u64::try_from(since.as_millis()).unwrap()
 }
 
-fn kind(name: &str, rate: f64) -> Kind {
-    Kind {
+fn kind(name: &str, rate: f64) -> Workload {
+    Workload {
         name: name.to_owned(),
         host: format!("{}.example.org", name.split('-').next().unwrap()),
         method: "GET",
@@ -200,7 +200,7 @@
         let server = Server::start(&format!("own-{n}"), 4, manner.clone(), 2)
             .await
             .unwrap();
-        let list = Discovery::start(vec![Listed::active(&server.name, server.address)])
+        let list = Discovery::start(vec![ListedServer::active(&server.name, server.address)])
             .await
             .unwrap();
         let more = format!(
@@ -226,13 +226,13 @@
         ..SlowStart::default()
     });
     let began = Instant::now();
-    let line = Listed {
+    let line = ListedServer {
         since_ms: unix_ms(),
-        ..Listed::active("new", new.address)
+        ..ListedServer::active("new", new.address)
     };
     lists
         .iter()
-        .for_each(|l| l.tell(std::slice::from_ref(&line)));
+        .for_each(|l| l.update(std::slice::from_ref(&line)));
     let (address, cold) = (node.address(), kinds("cold"));
     let loading =
         tokio::spawn(async move { load::run(address, &cold, Duration::from_secs(3), 4).await });
@@ -281,7 +281,7 @@
         Server::start("old", 12, manner.clone(), 1).await.unwrap(),
         Server::start("new", 12, manner, 1).await.unwrap(),
     );
-    let list = Discovery::start(vec![Listed::active("d-old", old.address)])
+    let list = Discovery::start(vec![ListedServer::active("d-old", old.address)])
         .await
         .unwrap();
     let cold = "cold = { from = 0.05, warm_after = \"30s\" }";
@@ -304,11 +304,11 @@
     .await;
     assert!(new.requests_received() > 0);
     // It starts anew at its address. Its own list does not tell service b; that of service a does.
-    let line = Listed {
+    let line = ListedServer {
         since_ms: unix_ms(),
-        ..Listed::active("d-new", new.address)
+        ..ListedServer::active("d-new", new.address)
     };
-    list.tell(&[line]);
+    list.update(&[line]);
     let client = Client::new(node.address());
     let told = Instant::now();
     let seen = old.requests_received();
@@ -356,7 +356,7 @@
     for came in &came {
         assert_eq!(came.lost, 0);
         assert!(
-            came.of(&[200]) > 0,
+            came.with_status(&[200]) > 0,
             "a pool gets no connection at all: {:?}",
             came.statuses
         );
@@ -377,7 +377,7 @@
         let client = &client;
         async move {
             client
-                .ask(request("GET", "h", name, ""))
+                .send(request("GET", "h", name, ""))
                 .await
                 .unwrap()
                 .status
@@ -630,7 +630,7 @@
         let id = format!("flight-{n}");
         let asking = tokio::spawn(async move {
             Client::new(address)
-                .ask(request("POST", "a.example.org", "/api", &id))
+                .send(request("POST", "a.example.org", "/api", &id))
                 .await
                 .map(|g| g.status.as_u16())
         });
@@ -674,7 +674,7 @@
                 .insert("x-service-class", class.parse().unwrap());
         }
         let client = &client;
-        async move { client.ask(request).await.unwrap() }
+        async move { client.send(request).await.unwrap() }
     };
     let got = ask("POST", "/w", "").await;
     assert_eq!(
@@ -716,7 +716,7 @@
     let node = Node::start(&program(), &settings).await.unwrap();
     node.until_health("/_health", true).await.unwrap();
     let kinds = [
-        Kind {
+        Workload {
             method: "POST",
             ..kind("a", 100.0)
         },
@@ -740,7 +740,7 @@
     );
     // A refusal says that nothing ran.
     let ran = effects.keys().filter(|id| id.starts_with("a-")).count() as u64;
-    let refused = came[0].of(&[429, 503]);
+    let refused = came[0].with_status(&[429, 503]);
     assert!(
         ran + refused <= came[0].sent,
         "{refused} refused and {ran} ran of {}",
@@ -769,7 +769,7 @@
         flood.spawn(async move {
             let client = Client::new(address);
             client
-                .ask(request("GET", "a.example.org", "/api", &format!("a-{n}")))
+                .send(request("GET", "a.example.org", "/api", &format!("a-{n}")))
                 .await
                 .map(|g| g.status.as_u16())
         });
@@ -813,7 +813,7 @@
             .header("x-correlation-id", id)
             .body(Full::new(Bytes::from(vec![b'x'; 400 << 10])));
         Client::new(address)
-            .ask(request.unwrap())
+            .send(request.unwrap())
             .await
             .map(|g| g.status.as_u16())
     };
--- a/crates/testbed/tests/stand_ins.rs
+++ b/crates/testbed/tests/stand_ins.rs
@@ -5,7 +5,7 @@
 use hyper::Request;
 use reelfall_testbed::client::Client;
 use reelfall_testbed::link::Link;
-use reelfall_testbed::load::{self, Kind};
+use reelfall_testbed::load::{self, Workload};
 use reelfall_testbed::pool::{Pool, Server, ServerBehavior};
 use std::time::{Duration, Instant};
 
@@ -28,22 +28,22 @@
     let server = server().await;
     let link = Link::start(server.address).await.unwrap();
     let client = Client::new(link.address);
-    assert_eq!(client.ask(get("plain")).await.unwrap().body, "plain");
+    assert_eq!(client.send(get("plain")).await.unwrap().body, "plain");
     link.fault(|f| f.delay = Duration::from_millis(100));
     let begun = Instant::now();
-    assert_eq!(client.ask(get("late")).await.unwrap().status, 200);
+    assert_eq!(client.send(get("late")).await.unwrap().status, 200);
     assert!(
         begun.elapsed() >= Duration::from_millis(200),
         "late both ways"
     );
     link.fault(|f| (f.delay, f.frozen) = (Duration::ZERO, true));
-    let waited = tokio::time::timeout(Duration::from_millis(300), client.ask(get("frozen"))).await;
+    let waited = tokio::time::timeout(Duration::from_millis(300), client.send(get("frozen"))).await;
     assert!(waited.is_err(), "something passed a frozen link");
     assert!(!server.effect_counts().contains_key("frozen"));
     // What waits in it passes once it thaws, though the client has left.
     link.fault(|f| f.frozen = false);
     let client = Client::new(link.address);
-    assert_eq!(client.ask(get("thawed")).await.unwrap().status, 200);
+    assert_eq!(client.send(get("thawed")).await.unwrap().status, 200);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -51,7 +51,7 @@
     let server = server().await;
     let link = Link::start(server.address).await.unwrap();
     link.fault(|f| f.cut_to_server = Some(10));
-    assert!(Client::new(link.address).ask(get("cut")).await.is_err());
+    assert!(Client::new(link.address).send(get("cut")).await.is_err());
     assert_eq!(
         server.requests_received(),
         0,
@@ -59,7 +59,7 @@
     );
     link.fault(|f| (f.cut_to_server, f.cut_to_client) = (None, Some(10)));
     assert!(Client::new(link.address)
-        .ask(get("cut-back"))
+        .send(get("cut-back"))
         .await
         .is_err());
     assert_eq!(
@@ -70,7 +70,7 @@
     link.fault(|f| (f.cut_to_client, f.deaf) = (None, true));
     let asking = tokio::spawn({
         let client = Client::new(link.address);
-        async move { client.ask(get("deaf")).await }
+        async move { client.send(get("deaf")).await }
     });
     let begun = Instant::now();
     while !server.effect_counts().contains_key("deaf") {
@@ -104,7 +104,7 @@
     .enumerate()
     {
         let pool = Pool::start("s", 1, manner, 1).await.unwrap();
-        let got = Client::new(pool.servers[0].address).ask(get("x")).await;
+        let got = Client::new(pool.servers[0].address).send(get("x")).await;
         assert_eq!(got.ok().map(|g| g.status.as_u16()), status, "manner {n}");
         assert_eq!(pool.effect_counts().contains_key("x"), ran, "manner {n}");
         assert_eq!(pool.requests_received(), 1);
@@ -116,7 +116,7 @@
     let server = Server::start("s", 1, ServerBehavior::healthy(Duration::from_millis(1)), 3)
         .await
         .unwrap();
-    let kind = Kind {
+    let kind = Workload {
         name: "k".to_owned(),
         host: "h".to_owned(),
         method: "GET",
@@ -133,8 +133,8 @@
         "{} requests",
         first[0].sent
     );
-    assert_eq!(first[0].of(&[200]), first[0].sent);
-    let again = Kind {
+    assert_eq!(first[0].with_status(&[200]), first[0].sent);
+    let again = Workload {
         name: "again".to_owned(),
         ..kind.clone()
     };
@@ -145,7 +145,7 @@
     );
     // While the server stands still, requests go on coming, and their wait is seen in full.
     server.update_behavior(|m| m.is_frozen = true);
-    let frozen = [Kind {
+    let frozen = [Workload {
         name: "frozen".to_owned(),
         ..kind
     }];
--- a/crates/testbed/tests/torn.rs
+++ b/crates/testbed/tests/torn.rs
@@ -8,7 +8,7 @@
     late, none_broken, rest, start, turn, until_errors_reported, until_explained, until_left,
     until_sent, warm, SECOND,
 };
-use reelfall_testbed::discovery::Listed;
+use reelfall_testbed::discovery::{ListedServer, ServerStatus};
 use reelfall_testbed::fleet::history::Event;
 use reelfall_testbed::fleet::probers::names_that_never_probe;
 use reelfall_testbed::fleet::schedule::{play, Step};
@@ -247,13 +247,13 @@
 }
 
 /// A line of a list: a server that began again just now, at its old address.
-fn begun(rig: &Rig, server: usize, status: &'static str) -> Listed {
+fn begun(rig: &Rig, server: usize, status: ServerStatus) -> ListedServer {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
     let since_ms = now.as_millis() as u64;
-    Listed {
+    ListedServer {
         status,
         since_ms,
-        ..Listed::active(&server_name(server), rig.servers[server].address)
+        ..ListedServer::active(&server_name(server), rig.servers[server].address)
     }
 }
 
@@ -274,8 +274,8 @@
     .await;
     let (ahead, behind) = ([0, 2, 4, 6], [1, 3]);
     // A server is replaced under its name and address. One list tells of it, the other lags; the new one fails.
-    let new = begun(&rig, 0, "active");
-    rig.lists[0].tell(std::slice::from_ref(&new));
+    let new = begun(&rig, 0, ServerStatus::Active);
+    rig.lists[0].update(std::slice::from_ref(&new));
     rest(0.5).await;
     // Its nodes hear from the others that theirs lags, and say so.
     let lags = |e: &Event| matches!(e, Event::Said { node: 1, line } if line.contains("is at 1 here, others heard of 2"));
@@ -291,7 +291,7 @@
     let others = rig.load_at(&behind, 20.0, 0.2, 28);
     until_sent(&rig, 0, &behind).await;
     // Their list catches up: what was said of the new one meanwhile holds at once, for one that never saw it fail.
-    rig.lists[1].tell(&[new]);
+    rig.lists[1].update(&[new]);
     rest(1.0).await;
     let at = rig.history.now();
     let last = rig.load_at(&[5], 40.0, 0.2, 29);
@@ -308,7 +308,7 @@
     rig.ban(0, 1, None).await.unwrap();
     rest(1.5).await;
     let at = rig.history.now();
-    rig.lists[1].tell(&[begun(&rig, 1, "active")]);
+    rig.lists[1].update(&[begun(&rig, 1, ServerStatus::Active)]);
     rest(6.0).await;
     assert_eq!(
         sent(&rig, 1, at, &[0, 1, 2, 3, 4, 5, 6]),
@@ -316,7 +316,7 @@
         "a list brought a banned server back"
     );
     // A list's own word holds for those it tells, whatever the fleet says: its call back brings nothing back.
-    rig.lists[0].tell(&[begun(&rig, 2, "draining")]);
+    rig.lists[0].update(&[begun(&rig, 2, ServerStatus::Draining)]);
     rest(0.6).await;
     rig.lift(1, 2).await.unwrap();
     let at = rig.history.now();
