--- a/crates/testbed/src/commands/demo.rs
+++ b/crates/testbed/src/commands/demo.rs
@@ -1,5 +1,6 @@
-//! A node with its stand-ins, to be tried by hand.
+//! The command `demo`: a node with its stand-ins, for manual use.
 
+use super::error::UnknownName;
 use reelfall_testbed::node::Program;
 use reelfall_testbed::{demo, Result};
 
@@ -9,12 +10,12 @@
     name: String,
 }
 
-/// Runs a demo until it is ended.
+/// Runs a demo until the program gets a signal.
 pub async fn run(program: &Program, args: &DemoArgs) -> Result<()> {
     match args.name.as_str() {
         "services" => demo::services(program).await,
         "graphql" => demo::graphql(program).await,
         "membership" => demo::membership(program).await,
-        name => Err(format!("there is no demo `{name}`: services, graphql, membership").into()),
+        name => Err(UnknownName::Demo(name.to_owned()).into()),
     }
 }
--- a/crates/testbed/src/commands/load.rs
+++ b/crates/testbed/src/commands/load.rs
@@ -1,4 +1,4 @@
-//! Requests at random times.
+//! The command `load`: requests at random times.
 
 use reelfall_testbed::load::{self, Workload};
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
 /// Sends requests and prints the figures.
 pub async fn run(args: LoadArgs) {
     let class = args.class.map(|class| ("x-service-class", class));
-    let kind = Workload {
+    let workload = Workload {
         name: format!("load{}", args.seed),
         host: args.host,
         method: if args.post { "POST" } else { "GET" },
@@ -49,7 +49,7 @@
         rate: args.rate,
     };
     let duration = Duration::from_secs_f64(args.seconds);
-    for result in load::run(args.to, &[kind], duration, args.seed).await {
-        println!("{}", result.figures());
+    for stats in load::run(args.to, &[workload], duration, args.seed).await {
+        println!("{}", stats.figures());
     }
 }
--- a/crates/testbed/src/commands/measure.rs
+++ b/crates/testbed/src/commands/measure.rs
@@ -1,5 +1,6 @@
-//! Measurements of what the node costs.
+//! The command `measure`: processor time, latency and memory of a node.
 
+use super::error::UnknownName;
 use reelfall_testbed::measure::{self, Plan};
 use reelfall_testbed::node::Program;
 use reelfall_testbed::Result;
@@ -37,10 +38,7 @@
         "graphql" => measure::graphql::run(program, &plan).await?,
         "membership" => measure::membership::run(program, &plan).await?,
         "fleet" => measure::fleet::run(program, &plan).await?,
-        name => {
-            let which = "services, graphql, membership, fleet";
-            return Err(format!("there is no measurement `{name}`: {which}").into());
-        }
+        name => return Err(UnknownName::Measurement(name.to_owned()).into()),
     };
     println!("{figures}");
     Ok(())
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -1,6 +1,7 @@
-//! The commands of the program, a module for each kind.
+//! The commands of the program, a module for each kind. Called by `main`.
 
 pub mod demo;
+pub mod error;
 pub mod fleet;
 pub mod load;
 pub mod measure;
--- a/crates/testbed/src/commands/scenario.rs
+++ b/crates/testbed/src/commands/scenario.rs
@@ -1,5 +1,6 @@
-//! Scenarios: promises, kept or broken under load and faults.
+//! The command `scenario`: guarantees of a node under load and faults.
 
+use super::error::UnknownName;
 use reelfall_testbed::node::Program;
 use reelfall_testbed::scenario::{fleet, graphql, membership, services};
 use reelfall_testbed::Result;
@@ -23,15 +24,15 @@
     }
 }
 
-/// Runs a scenario and prints its report; returns whether all promises were kept.
+/// Runs a scenario and prints its report; returns whether all guarantees hold.
 pub async fn run(program: &Program, args: &ScenarioArgs) -> Result<bool> {
     let report = match args.name.as_str() {
         "services" => {
-            let scale = args.scale(services::Scale::SMALL, services::Scale::WHOLE);
+            let scale = args.scale(services::Scale::SMALL, services::Scale::FULL);
             services::run(program, scale).await?
         }
         "graphql" => {
-            let scale = args.scale(graphql::Scale::SMALL, graphql::Scale::WHOLE);
+            let scale = args.scale(graphql::Scale::SMALL, graphql::Scale::FULL);
             graphql::run(program, scale).await?
         }
         "membership" => {
@@ -42,15 +43,11 @@
             let scale = args.scale(fleet::Scale::SMALL, fleet::Scale::WHOLE);
             fleet::run(program, scale).await?
         }
-        name => {
-            let which = "services, graphql, membership, fleet";
-            return Err(format!("there is no scenario `{name}`: {which}").into());
-        }
+        name => return Err(UnknownName::Scenario(name.to_owned()).into()),
     };
-    report
-        .broken()
-        .iter()
-        .for_each(|broken| eprintln!("broken: {broken}"));
-    println!("{}", report.line(&args.name));
-    Ok(report.pass())
+    for violation in report.violations() {
+        eprintln!("broken: {violation}");
+    }
+    println!("{}", report.to_json_line(&args.name));
+    Ok(report.passed())
 }
--- a/crates/testbed/src/commands/stand_ins.rs
+++ b/crates/testbed/src/commands/stand_ins.rs
@@ -1,4 +1,4 @@
-//! Stand-ins that run until they are ended.
+//! The commands that run one stand-in until the program gets a signal.
 
 use super::print_ready;
 use reelfall_testbed::discovery::{Discovery, ListedServer};
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// The seed of a pool that is started by hand.
+/// The seed of a pool that a command starts.
 const POOL_SEED: u64 = 1;
 
 #[derive(clap::Args)]
@@ -33,12 +33,12 @@
 
 /// Runs servers; prints what they have received at the end.
 pub async fn run_pool(args: &PoolArgs) -> Result<()> {
-    let manner = ServerBehavior {
+    let behavior = ServerBehavior {
         error_ratio: args.fail,
         close_after_effect_ratio: args.die,
         ..ServerBehavior::healthy(Duration::from_millis(args.service_ms))
     };
-    let pool = Pool::start("server", args.servers, manner, POOL_SEED).await?;
+    let pool = Pool::start("server", args.servers, behavior, POOL_SEED).await?;
     let mut addresses = Map::new();
     for server in &pool.servers {
         addresses.insert(server.name.clone(), server.address.to_string().into());
@@ -141,7 +141,7 @@
     to: Vec<SocketAddr>,
 }
 
-/// Runs a proxy that decides nothing.
+/// Runs a round-robin proxy.
 pub async fn run_relay(args: RelayArgs) -> Result<()> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     print_ready(json!({ "client": listener.local_addr()?.to_string() }));
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,30 +1,37 @@
-//! A node with its stand-ins, to be tried by hand.
+//! A node with its stand-ins, for manual use. Run by the command `demo`.
 
 use crate::membership::{settings, Announced};
-use crate::node::{until_health, Node};
+use crate::node::{until_health, Node, Program};
 use crate::pool::{Pool, ServerBehavior};
 use crate::registry::{control, Registry};
-use crate::scenario::services::Fleet;
-use crate::scripted::Program;
+use crate::scenario::services::ServicePools;
 use crate::Result;
-use serde_json::json;
+use serde_json::{json, Value};
+use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
+use tokio::net::TcpListener;
 
-/// Three services: evaluation, toggles, rollouts. Serves until it is ended.
+const SEED: u64 = 7;
+const SERVICE_TIME: Duration = Duration::from_millis(5);
+const GRAPHQL_SERVERS: usize = 3;
+const GRAPHQL_WORKERS: usize = 16;
+const REGISTRY_MEMBERS: usize = 3;
+const REGISTERED_SERVERS: usize = 4;
+/// The entry of the node itself in the registry.
+const NODE_ENTRY: &str =
+    "[registry.entry]\npath = \"/nodes/demo\"\nname = \"demo\"\nsite = \"here\"";
+
+/// Runs a node with three services, for evaluation, toggles and rollouts, until the program gets a signal.
 ///
 /// # Errors
 /// If a stand-in or the node can't be started.
 pub async fn services(program: &Program) -> Result<()> {
-    let fleet = Fleet::start(7).await?;
-    let node = Node::start(program, &fleet.settings("127.0.0.1:0")).await?;
-    until_health(node.address(), "/_health", true).await?;
-    let address = node.address().to_string();
-    println!(
-        "{}",
-        json!({ "ready": true, "addresses": { "client": address } })
-    );
-    eprintln!("the settings: {}", node.file().display());
+    let pools = ServicePools::start(SEED).await?;
+    let node = start_node(program, &pools.settings("127.0.0.1:0")).await?;
+    let address = node.address();
+    print_ready(&json!({ "client": address.to_string() }));
+    print_settings_path(&node);
     eprintln!("curl -i -H 'Host: flags.example.org' http://{address}/api/flags");
     eprintln!("curl -i -H 'Host: admin.example.org' -d '{{}}' http://{address}/api/flags");
     eprintln!("curl -i -H 'Host: rollout.example.org' -d '{{}}' http://{address}/api/flags");
@@ -33,80 +40,103 @@
     Ok(())
 }
 
-/// GraphQL at `/graphql`. Serves until it is ended.
+/// Runs a node with GraphQL at `/graphql` until the program gets a signal.
 ///
 /// # Errors
 /// If a stand-in or the node can't be started.
 pub async fn graphql(program: &Program) -> Result<()> {
-    let manner = ServerBehavior::healthy(Duration::from_millis(5));
-    let pool = Pool::start_with_app("graphql", 3, 16, manner, 7, &crate::graphql::app()).await?;
-    let node = Node::start(program, &crate::graphql::settings(&pool, "")).await?;
-    until_health(node.address(), "/_health", true).await?;
-    let address = node.address().to_string();
-    println!(
-        "{}",
-        json!({ "ready": true, "addresses": { "client": address } })
-    );
-    eprintln!("the settings: {}", node.file().display());
+    let behavior = ServerBehavior::healthy(SERVICE_TIME);
+    let app = crate::graphql::app();
+    let pool = Pool::start_with_app(
+        "graphql",
+        GRAPHQL_SERVERS,
+        GRAPHQL_WORKERS,
+        behavior,
+        SEED,
+        &app,
+    )
+    .await?;
+    let node = start_node(program, &crate::graphql::settings(&pool, "")).await?;
+    let address = node.address();
+    print_ready(&json!({ "client": address.to_string() }));
+    print_settings_path(&node);
     eprintln!(
         "curl -i -H 'Content-Type: application/json' -d '{{\"query\":\"{{ evaluate(flag: \\\"x\\\") {{ on }} }}\"}}' http://{address}/graphql"
     );
     crate::shutdown_signal().await;
-    println!(
-        "{}",
-        json!({ "seen": pool.requests_received(), "effects_twice": pool.duplicate_effects() })
-    );
+    print_totals(&pool);
     Ok(())
 }
 
-/// Servers whose entries are in a registry, which can be played with. Serves until it is ended.
+/// Runs a node whose servers have entries in a registry, and the registry's controls, until the program gets a signal.
 ///
 /// # Errors
 /// If a stand-in or the node can't be started.
 pub async fn membership(program: &Program) -> Result<()> {
-    let registry = Arc::new(Registry::start(3).await?);
-    let pool = Pool::start(
-        "flags",
-        4,
-        ServerBehavior::healthy(Duration::from_millis(5)),
-        7,
-    )
-    .await?;
-    let entered: Vec<Announced> = pool
+    let registry = Arc::new(Registry::start(REGISTRY_MEMBERS).await?);
+    let behavior = ServerBehavior::healthy(SERVICE_TIME);
+    let pool = Pool::start("flags", REGISTERED_SERVERS, behavior, SEED).await?;
+    let entries: Vec<Announced> = pool
         .servers
         .iter()
-        .map(|s| Announced::enter(&registry, s, &s.name, 0))
+        .map(|server| Announced::enter(&registry, server, &server.name, 0))
         .collect();
-    let entry = "[registry.entry]\npath = \"/nodes/demo\"\nname = \"demo\"\nsite = \"here\"";
     registry.put("/nodes", b"", 0);
-    let node = Node::start(program, &settings(&registry, "", entry)).await?;
+    let node = start_node(program, &settings(&registry, "", NODE_ENTRY)).await?;
+    let controls = TcpListener::bind("127.0.0.1:0").await?;
+    let control_address = controls.local_addr()?;
+    print_ready(&registry_addresses(
+        &registry,
+        node.address(),
+        control_address,
+    ));
+    print_settings_path(&node);
+    print_registry_commands(node.address(), control_address, &entries);
+    tokio::select! {
+        result = control::serve(controls, registry.clone()) => result?,
+        () = crate::shutdown_signal() => {}
+    }
+    print_totals(&pool);
+    Ok(())
+}
+
+async fn start_node(program: &Program, settings: &str) -> Result<Node> {
+    let node = Node::start(program, settings).await?;
     until_health(node.address(), "/_health", true).await?;
-    let controls = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
-    let (address, control) = (
-        node.address().to_string(),
-        controls.local_addr()?.to_string(),
-    );
-    let mut addresses = json!({ "client": address, "control": control });
-    for (n, member) in registry.members.iter().enumerate() {
-        addresses[format!("m{}", n + 1)] = member.to_string().into();
+    Ok(node)
+}
+
+fn registry_addresses(registry: &Registry, node: SocketAddr, control: SocketAddr) -> Value {
+    let mut addresses = json!({ "client": node.to_string(), "control": control.to_string() });
+    for (index, member) in registry.members.iter().enumerate() {
+        addresses[format!("m{}", index + 1)] = member.to_string().into();
     }
-    println!("{}", json!({ "ready": true, "addresses": addresses }));
-    eprintln!("the settings: {}", node.file().display());
-    eprintln!("curl -i -H 'Host: evaluate.example.org' http://{address}/api/flags");
-    eprintln!("curl -i -H 'Host: toggle.example.org' -d '{{}}' http://{address}/api/flags");
-    for entry in &entered {
+    addresses
+}
+
+fn print_registry_commands(node: SocketAddr, control: SocketAddr, entries: &[Announced]) {
+    eprintln!("curl -i -H 'Host: evaluate.example.org' http://{node}/api/flags");
+    eprintln!("curl -i -H 'Host: toggle.example.org' -d '{{}}' http://{node}/api/flags");
+    for entry in entries {
         eprintln!(
             "curl -X POST 'http://{control}/kill?session={}'    # {}",
             entry.session, entry.name
         );
     }
-    tokio::select! {
-        result = control::serve(controls, registry.clone()) => result?,
-        () = crate::shutdown_signal() => {}
-    }
-    println!(
-        "{}",
-        json!({ "seen": pool.requests_received(), "effects_twice": pool.duplicate_effects() })
-    );
-    Ok(())
+}
+
+/// Prints the line that says that the demo is ready.
+fn print_ready(addresses: &Value) {
+    println!("{}", json!({ "ready": true, "addresses": addresses }));
+}
+
+fn print_settings_path(node: &Node) {
+    eprintln!("the settings: {}", node.file().display());
+}
+
+/// Prints what the servers have received.
+fn print_totals(pool: &Pool) {
+    let totals =
+        json!({ "seen": pool.requests_received(), "effects_twice": pool.duplicate_effects() });
+    println!("{totals}");
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `reelfall-testbed`.
+//! The program `reelfall-testbed`: its arguments and the choice of a command.
 
 mod commands;
 
@@ -44,7 +44,7 @@
     Measure(measure::MeasureArgs),
 }
 
-/// Runs a command; returns whether all that it checks holds.
+/// Runs a command. Returns whether all that it checks holds.
 async fn run(cli: Cli) -> Result<bool> {
     let program = match cli.node {
         Some(path) => Program::alone(path),
@@ -65,7 +65,8 @@
     Ok(true)
 }
 
-fn run_to_end(cli: Cli) -> Result<bool> {
+/// Runs a command on a runtime of its own.
+fn run_blocking(cli: Cli) -> Result<bool> {
     // The relay is measured against a node, which has one thread.
     let mut runtime = match cli.command {
         Command::Relay(_) => tokio::runtime::Builder::new_current_thread(),
@@ -77,11 +78,11 @@
 fn main() -> ExitCode {
     let mut args: Vec<_> = std::env::args_os().collect();
     if args.get(1).is_some_and(|command| command == "node") {
-        // The node itself: a scenario starts this program again, so that it needs no other.
+        // The node itself: a scenario starts this program again and needs no other one.
         args.remove(0);
         return reelfall::cli::main(args);
     }
-    match run_to_end(Cli::parse()) {
+    match run_blocking(Cli::parse()) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
--- a/crates/testbed/src/scenario/fleet.rs
+++ b/crates/testbed/src/scenario/fleet.rs
@@ -84,24 +84,24 @@
         let came = storm(program, &scale, seed, &mut report).await?;
         storms.push(json!({ "seed": seed, "came": came.figures() }));
     }
-    report.figure("storms", storms);
+    report.add_figure("storms", storms);
     let mass = mass(program, &scale, &mut report).await?;
-    report.figure("most_killed", mass);
+    report.add_figure("most_killed", mass);
     let rig = Rig::start(program, &made(&scale, Some(""))).await?;
     gathered(&rig).await?;
     let ban = banned(&rig, &scale, &mut report).await?;
-    report.figure("ban", ban);
+    report.add_figure("ban", ban);
     drop(rig);
     let with = silent(program, &scale, Some("")).await?;
     let without = silent(program, &scale, None).await?;
-    report.figure(
+    report.add_figure(
         "silent_server",
         json!({ "with": with.figures(), "without": without.figures() }),
     );
     let ratio = with.attempts as f64 / without.attempts.max(1) as f64;
-    report.figure("silent_server_attempts_ratio", (ratio * 1e3).round() / 1e3);
-    report.figure("evidence_to_last_ms", evidence(program, &scale).await?);
-    report.figure(
+    report.add_figure("silent_server_attempts_ratio", (ratio * 1e3).round() / 1e3);
+    report.add_figure("evidence_to_last_ms", evidence(program, &scale).await?);
+    report.add_figure(
         "waits_to_last_ms",
         last_after_silence(program, &scale).await?,
     );
@@ -119,11 +119,11 @@
     let steps = schedule::drawn(seed, scale.nodes, scale.servers, scale.time);
     let came = play.run(program, &steps).await?;
     for line in came.broken.iter().take(5) {
-        report.promise(false, || format!("seed {seed}: {line}"));
+        report.check(false, || format!("seed {seed}: {line}"));
     }
     let seen = verdicts(&came.history.events());
     let over = seen.bans_over.last().copied().unwrap_or_default();
-    report.promise(over <= check::SLACK, || {
+    report.check(over <= check::SLACK, || {
         format!("seed {seed}: a ban was in force {over:?} after its end")
     });
     Ok(came)
@@ -145,7 +145,7 @@
     let last = check::attempts(&happened, 0, at, held, &all)
         .last()
         .map_or(Duration::ZERO, |(t, _)| *t - at);
-    report.promise(last <= NEWS + check::GRACE, || {
+    report.check(last <= NEWS + check::GRACE, || {
         format!("a ban was kept by the last node after {last:?}")
     });
     let back: Vec<Duration> = all
@@ -162,7 +162,7 @@
     // Chance leaves a server to some nodes for seconds: what counts is how many sent in as long a time before.
     let sent = |n: &&usize| !check::attempts(&happened, 0, before, at, &[**n]).is_empty();
     let sent = all.iter().filter(sent).count();
-    report.promise(2 * back.len() >= sent, || {
+    report.check(2 * back.len() >= sent, || {
         format!("{} nodes of {sent} send again", back.len())
     });
     Ok(json!({
@@ -243,7 +243,7 @@
     check::all(&happened)
         .iter()
         .take(5)
-        .for_each(|line| report.promise(false, || format!("killed: {line}")));
+        .for_each(|line| report.check(false, || format!("killed: {line}")));
     let mistaken = verdicts(&happened).mistaken.len();
     Ok(
         json!({ "killed": killed, "known_s": known.as_secs_f64(), "back_s": back.as_secs_f64(), "mistaken": mistaken }),
--- a/crates/testbed/src/scenario/membership.rs
+++ b/crates/testbed/src/scenario/membership.rs
@@ -141,26 +141,26 @@
             .unwrap_or(0.0)
     };
     let ms = |x: f64| (x * 100.0).round() / 100.0;
-    report.figure("kills", last.len());
-    report.figure(
+    report.add_figure("kills", last.len());
+    report.add_figure(
         "from_the_news_to_the_last_request_ms",
         json!({ "p50": ms(at(0.5)), "p90": ms(at(0.9)), "p99": ms(at(0.99)), "most": ms(at(1.0)) }),
     );
-    report.figure("requests_after_the_deadline", late);
-    report.figure("effects_twice_unsafe", twice(&pool));
+    report.add_figure("requests_after_the_deadline", late);
+    report.add_figure("effects_twice_unsafe", twice(&pool));
     for (came, name) in came.iter().zip(["evaluate", "toggle"]) {
-        report.figure(name, came.figures());
-        report.promise(came.lost == 0, || {
+        report.add_figure(name, came.figures());
+        report.check(came.lost == 0, || {
             format!("{name}: {} requests without an answer", came.lost)
         });
-        report.promise(came.in_time_percent() >= 99.0, || {
+        report.check(came.in_time_percent() >= 99.0, || {
             format!("{name}: {:.2} % served in time", came.in_time_percent())
         });
     }
-    report.promise(late == 0, || {
+    report.check(late == 0, || {
         format!("{late} servers got new requests past the deadline")
     });
-    report.promise(twice(&pool) == 0, || {
+    report.check(twice(&pool) == 0, || {
         format!("{} effects twice", twice(&pool))
     });
     Ok(report)
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -1,4 +1,5 @@
-//! Promises, kept or broken under load and faults. Each scenario plays on loopback with stand-ins and reports.
+//! Scenarios: guarantees of a node under load and faults, on loopback with stand-ins. Run by the command `scenario` and by
+//! tests.
 
 pub mod fleet;
 pub mod graphql;
@@ -7,39 +8,39 @@
 
 use serde_json::{json, Map, Value};
 
-/// What a scenario saw.
+/// The result of a scenario.
 #[derive(Debug, Default)]
 pub struct Report {
     figures: Map<String, Value>,
-    broken: Vec<String>,
+    violations: Vec<String>,
 }
 
 impl Report {
-    /// Notes a figure.
-    pub fn figure(&mut self, name: &str, value: impl Into<Value>) {
+    /// Adds a figure.
+    pub fn add_figure(&mut self, name: &str, value: impl Into<Value>) {
         self.figures.insert(name.to_owned(), value.into());
     }
 
-    /// Notes a promise, and whether it was kept.
-    pub fn promise(&mut self, kept: bool, what: impl FnOnce() -> String) {
-        if !kept {
-            self.broken.push(what());
+    /// Checks a guarantee; one that doesn't hold is described.
+    pub fn check(&mut self, holds: bool, violation: impl FnOnce() -> String) {
+        if !holds {
+            self.violations.push(violation());
         }
     }
 
-    /// All promises were kept.
-    pub fn pass(&self) -> bool {
-        self.broken.is_empty()
+    /// Whether all guarantees hold.
+    pub fn passed(&self) -> bool {
+        self.violations.is_empty()
     }
 
-    /// The promises that were broken.
-    pub fn broken(&self) -> &[String] {
-        &self.broken
+    /// The guarantees that don't hold.
+    pub fn violations(&self) -> &[String] {
+        &self.violations
     }
 
-    /// The report, as one line of JSON.
-    pub fn line(&self, scenario: &str) -> String {
-        json!({ "scenario": scenario, "pass": self.pass(), "broken": self.broken, "figures": self.figures })
+    /// The report as one line of JSON.
+    pub fn to_json_line(&self, scenario: &str) -> String {
+        json!({ "scenario": scenario, "pass": self.passed(), "broken": self.violations, "figures": self.figures })
             .to_string()
     }
 }
--- a/crates/testbed/tests/graphql.rs
+++ b/crates/testbed/tests/graphql.rs
@@ -546,7 +546,7 @@
     use reelfall_testbed::scenario::graphql::{run, Scale};
     let program = Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"));
     let report = run(&program, Scale::SMALL).await.unwrap();
-    assert!(report.pass(), "{:#?}", report.broken());
+    assert!(report.passed(), "{:#?}", report.violations());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/crates/testbed/tests/membership.rs
+++ b/crates/testbed/tests/membership.rs
@@ -110,7 +110,7 @@
     let report = scenario::run(&program(), scenario::Scale::SMALL)
         .await
         .unwrap();
-    assert!(report.pass(), "{:#?}", report.broken());
+    assert!(report.passed(), "{:#?}", report.violations());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/crates/testbed/tests/services.rs
+++ b/crates/testbed/tests/services.rs
@@ -84,7 +84,7 @@
     let report = scenario::run(&program(), scenario::Scale::SMALL)
         .await
         .unwrap();
-    assert!(report.pass(), "{:#?}", report.broken());
+    assert!(report.passed(), "{:#?}", report.violations());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
