--- a/crates/testbed/examples/reload/settings.rs
+++ b/crates/testbed/examples/reload/settings.rs
@@ -1,10 +1,8 @@
-//! Large settings files, made to a size.
+//! Large settings files of a given size. Called by `main` for each reload.
 
-use std::fmt::Write;
-
-/// How large a file is.
+/// The size of a file.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct FileSize {
     /// Services.
     pub services: usize,
     /// Servers, over all services.
@@ -15,61 +13,67 @@
     pub listed: usize,
 }
 
-/// What every file begins with: one listener, at any free port.
+/// The begin of every file: one listener, at any free port.
 pub const HEAD: &str = "[[listener]]\nname = \"client\"\naddress = \"127.0.0.1:0\"\n";
+/// Addresses of the last byte that are used: 1 to 250.
+const SERVERS_PER_SUBNET: usize = 250;
+
+/// A path that every service but the last one serves in every revision of a file.
+pub const LOADED_PATH: &str = "/api/0";
 
 /// The host of a service by its number.
 pub fn host(service: usize) -> String {
     format!("service-{service}.example.org")
 }
 
-/// A path that a service serves in every revision of a file, but for the last service.
-pub const PATH: &str = "/api/0";
-
-/// A settings file. The first services have the lists in `loaded` in place of made ones, which lead to no server.
-/// Two revisions differ in the last route alone.
-pub fn text(size: &Size, loaded: &[String], revision: usize) -> String {
+/// A settings file. The first services have the servers of `loaded_servers`, the others addresses without servers. Two
+/// revisions differ in the last route alone.
+pub fn text(size: &FileSize, loaded_servers: &[String], revision: usize) -> String {
     let mut text = HEAD.to_owned();
     for service in 0..size.services {
-        let class = "aim = \"500ms\"\ndeadline = \"10s\"\n";
-        let _ = write!(
-            text,
+        text += &format!(
             "\n[[service]]\nname = \"service-{service}\"\n\
-             [[service.class]]\nname = \"read\"\nrepeat = \"safe\"\n{class}"
+             [[service.class]]\nname = \"read\"\nrepeat = \"safe\"\naim = \"500ms\"\ndeadline = \"10s\"\n"
         );
         for route in routes(size, service) {
-            let _ = write!(text, "[[service.route]]\nhost = \"{}\"\n", host(service));
-            let _ = match route + 1 == size.routes {
-                true => writeln!(text, "path = \"/revision/{revision}\""),
-                false => writeln!(text, "path = \"/api/{}\"", route / size.services),
-            };
+            text += &route_section(size, service, route, revision);
         }
-        match loaded.get(service) {
-            Some(list) => text += list,
-            None => {
-                lines(size, service).for_each(|line| listed(&mut text, line % size.servers.max(1)))
-            }
+        match loaded_servers.get(service) {
+            Some(servers) => text += servers,
+            None => text.extend(listed_servers(size, service).map(unreachable_server)),
         }
     }
     text
 }
 
-/// The routes of a service, of all that are dealt out one by one.
-fn routes(size: &Size, service: usize) -> impl Iterator<Item = usize> {
+/// The routes of a service: all routes are dealt out to the services one by one.
+fn routes(size: &FileSize, service: usize) -> impl Iterator<Item = usize> {
     (service..size.routes).step_by(size.services.max(1))
 }
 
-/// The lines of servers of a service: one after the other, so that none has a server twice.
-fn lines(size: &Size, service: usize) -> std::ops::Range<usize> {
-    let first = |service: usize| service * size.listed / size.services.max(1);
-    first(service)..first(service + 1)
+fn route_section(size: &FileSize, service: usize, route: usize, revision: usize) -> String {
+    let is_last = route + 1 == size.routes;
+    let path = if is_last {
+        format!("/revision/{revision}")
+    } else {
+        format!("/api/{}", route / size.services)
+    };
+    format!(
+        "[[service.route]]\nhost = \"{}\"\npath = \"{path}\"\n",
+        host(service)
+    )
+}
+
+/// The servers of a service: consecutive ones, so that no service lists a server twice.
+fn listed_servers(size: &FileSize, service: usize) -> impl Iterator<Item = usize> {
+    let first_line = |service: usize| service * size.listed / size.services.max(1);
+    let servers = size.servers.max(1);
+    (first_line(service)..first_line(service + 1)).map(move |line| line % servers)
 }
 
-/// A server that nobody asks.
-fn listed(text: &mut String, server: usize) {
-    let (high, low) = (server / 250, server % 250 + 1);
-    let _ = write!(
-        text,
-        "[[service.server]]\nname = \"server-{server}\"\naddress = \"127.64.{high}.{low}:9000\"\n"
-    );
+/// An address without a server: no request is sent there.
+fn unreachable_server(server: usize) -> String {
+    let subnet = server / SERVERS_PER_SUBNET;
+    let address = server % SERVERS_PER_SUBNET + 1;
+    format!("[[service.server]]\nname = \"server-{server}\"\naddress = \"127.64.{subnet}.{address}:9000\"\n")
 }
--- a/crates/testbed/tests/reload.rs
+++ b/crates/testbed/tests/reload.rs
@@ -24,7 +24,7 @@
 #[path = "../examples/reload/settings.rs"]
 mod settings;
 
-use settings::{Size, HEAD};
+use settings::{FileSize, HEAD};
 
 fn program() -> Program {
     Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"))
@@ -243,7 +243,7 @@
 }
 
 /// A file that takes the program of a test some time to check.
-const LARGE: Size = Size {
+const LARGE: FileSize = FileSize {
     services: 130,
     servers: 2500,
     routes: 3700,
@@ -263,7 +263,7 @@
     let asking = Asking::begin(
         node.address(),
         &settings::host(0),
-        settings::PATH,
+        settings::LOADED_PATH,
         "meanwhile",
     );
     for revision in 1..=2 {
