--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -23,6 +23,12 @@
     pub body: Bytes,
 }
 
+/// A response whose body has not been read, and its connection.
+struct Exchange {
+    connection: Connection,
+    response: Response<Incoming>,
+}
+
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
     _task: AbortOnDrop,
@@ -49,10 +55,14 @@
     /// # Errors
     /// If the connection breaks before the response is complete.
     pub async fn send(&self, request: Request<Full<Bytes>>) -> Result<ClientResponse> {
-        let (connection, response) = match self.take_idle() {
+        let exchange = match self.take_idle() {
             Some(connection) => self.send_on_reused(connection, request).await?,
             None => self.send_on_new(request).await?,
         };
+        let Exchange {
+            connection,
+            response,
+        } = exchange;
         let (head, body) = response.into_parts();
         let body = body.collect().await?.to_bytes();
         if !connection.sender.is_closed() {
@@ -69,29 +79,35 @@
         &self,
         mut connection: Connection,
         request: Request<Full<Bytes>>,
-    ) -> Result<(Connection, Response<Incoming>)> {
+    ) -> Result<Exchange> {
         connection.sender.ready().await.ok();
         match connection.sender.try_send_request(request).await {
-            Ok(response) => Ok((connection, response)),
+            Ok(response) => Ok(Exchange {
+                connection,
+                response,
+            }),
             Err(mut error) => match error.take_message() {
                 Some(unsent) => {
                     let mut connection = self.connect().await?;
                     let response = connection.sender.send_request(unsent).await?;
-                    Ok((connection, response))
+                    Ok(Exchange {
+                        connection,
+                        response,
+                    })
                 }
                 None => Err(error.into_error().into()),
             },
         }
     }
 
-    async fn send_on_new(
-        &self,
-        request: Request<Full<Bytes>>,
-    ) -> Result<(Connection, Response<Incoming>)> {
+    async fn send_on_new(&self, request: Request<Full<Bytes>>) -> Result<Exchange> {
         let mut connection = self.connect().await?;
         connection.sender.ready().await.ok();
         let response = connection.sender.send_request(request).await?;
-        Ok((connection, response))
+        Ok(Exchange {
+            connection,
+            response,
+        })
     }
 
     fn take_idle(&self) -> Option<Connection> {
--- a/crates/testbed/src/commands/load.rs
+++ b/crates/testbed/src/commands/load.rs
@@ -1,6 +1,6 @@
 //! The command `load`: requests at random times.
 
-use reelfall_testbed::load::{self, Workload};
+use reelfall_testbed::load::{self, RequestHeader, Workload};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -37,13 +37,16 @@
 
 /// Sends requests and prints the figures.
 pub async fn run(args: LoadArgs) {
-    let class = args.class.map(|class| ("x-service-class", class));
+    let class_header = args.class.map(|class| RequestHeader {
+        name: "x-service-class",
+        value: class,
+    });
     let workload = Workload {
         name: format!("load{}", args.seed),
         host: args.host,
         method: if args.post { "POST" } else { "GET" },
         path: args.path,
-        headers: class.into_iter().collect(),
+        headers: class_header.into_iter().collect(),
         body: None,
         deadline: CLIENT_DEADLINE,
         rate: args.rate,
--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -25,7 +25,16 @@
 /// The body of a POST without another one.
 const EMPTY_OBJECT: &[u8] = b"{}";
 
-/// Requests of one kind and their rate.
+/// A header of the requests of a workload.
+#[derive(Clone, Debug)]
+pub struct RequestHeader {
+    /// The name, in lower case.
+    pub name: &'static str,
+    /// The value.
+    pub value: String,
+}
+
+/// Similar requests and their rate.
 #[derive(Clone, Debug)]
 pub struct Workload {
     /// The prefix of the request ids; unique within a run.
@@ -37,7 +46,7 @@
     /// The path.
     pub path: String,
     /// Further headers.
-    pub headers: Vec<(&'static str, String)>,
+    pub headers: Vec<RequestHeader>,
     /// The body of a POST, if it is not an empty object. Its responses are not the ids of their requests.
     pub body: Option<Bytes>,
     /// A later response is useless.
@@ -66,8 +75,8 @@
             .method(self.method)
             .uri(&self.path)
             .header("host", &self.host);
-        for (name, value) in &self.headers {
-            request = request.header(*name, value);
+        for header in &self.headers {
+            request = request.header(header.name, &header.value);
         }
         let time_left = format!("{:.3}", self.deadline.as_secs_f64());
         request
--- a/crates/testbed/src/measure/graphql/requests.rs
+++ b/crates/testbed/src/measure/graphql/requests.rs
@@ -3,7 +3,7 @@
 
 use super::{measure_rounds, median_ratio, read_request, settings, Plan, Subject};
 use crate::graphql;
-use crate::load::Workload;
+use crate::load::{RequestHeader, Workload};
 use crate::node::{Node, Program};
 use crate::pool::{Pool, ServerBehavior};
 use crate::Result;
@@ -91,7 +91,10 @@
             host: "flags.example.org".to_owned(),
             method: "POST",
             path: self.path.to_owned(),
-            headers: vec![("content-type", "application/json".to_owned())],
+            headers: vec![RequestHeader {
+                name: "content-type",
+                value: "application/json".to_owned(),
+            }],
             body: Some(Bytes::from(self.body.to_string())),
             deadline: DEADLINE,
             rate: self.rate,
--- a/crates/testbed/src/measure/services/subjects.rs
+++ b/crates/testbed/src/measure/services/subjects.rs
@@ -3,7 +3,7 @@
 
 use super::{Plan, Subject};
 use crate::discovery::{Discovery, ListedServer};
-use crate::load::Workload;
+use crate::load::{RequestHeader, Workload};
 use crate::measure::error::MeasureError;
 use crate::node::{until_health, Folder, Node, Program, PATIENCE};
 use crate::pool::Pool;
@@ -60,7 +60,10 @@
         host: host.to_owned(),
         method: "GET",
         path: "/api/flags".to_owned(),
-        headers: vec![("x-service-class", "evaluate".to_owned())],
+        headers: vec![RequestHeader {
+            name: "x-service-class",
+            value: "evaluate".to_owned(),
+        }],
         body: None,
         deadline: DEADLINE,
         rate,
--- a/crates/testbed/src/random.rs
+++ b/crates/testbed/src/random.rs
@@ -1,4 +1,4 @@
-//! Random numbers from a seed, for load and faults that can be repeated.
+//! Random numbers from a seed, for load and faults that can be repeated. Used by load generators, servers and scenarios.
 
 /// The bits of a random number that an `f64` represents exactly.
 const FRACTION_BITS: u32 = 53;
--- a/crates/testbed/src/task.rs
+++ b/crates/testbed/src/task.rs
@@ -1,4 +1,4 @@
-//! Tasks of stand-ins: their end with their owner, and the signal that ends a program.
+//! Tasks of stand-ins, which end with their owner, and the signal that ends a program. Used by all stand-ins and commands.
 
 use std::future::Future;
 use tokio::signal::unix::{signal, SignalKind};
