--- a/crates/testbed/src/graphql/document.rs
+++ b/crates/testbed/src/graphql/document.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 
 /// The deepest nesting that the parser follows.
-const MAX_RECURSION: usize = 100;
+const RECURSION_LIMIT: usize = 100;
 
 /// An executable document.
 pub(super) struct Document {
@@ -17,7 +17,7 @@
 
 impl Document {
     pub(super) fn parse(text: &str) -> Result<Document, GraphQlError> {
-        let tree = Parser::new(text).recursion_limit(MAX_RECURSION).parse();
+        let tree = Parser::new(text).recursion_limit(RECURSION_LIMIT).parse();
         if let Some(error) = tree.errors().next() {
             let message = error.message().to_owned();
             return Err(GraphQlError::Syntax { message });
--- a/crates/testbed/src/load/stats.rs
+++ b/crates/testbed/src/load/stats.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The highest latency of a histogram: a minute.
-const MAX_LATENCY_US: u64 = 60_000_000;
+/// Latencies of up to a minute are recorded; higher ones count as a minute.
+const HISTOGRAM_RANGE_US: u64 = 60_000_000;
 const SIGNIFICANT_DIGITS: u8 = 2;
 const US_PER_MS: f64 = 1e3;
 
@@ -45,7 +45,7 @@
 }
 
 fn new_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+    Histogram::new_with_bounds(1, HISTOGRAM_RANGE_US, SIGNIFICANT_DIGITS)
         .unwrap_or_else(|_| unreachable!("the bounds are constants"))
 }
 
--- a/crates/testbed/src/measure/graphql/classification.rs
+++ b/crates/testbed/src/measure/graphql/classification.rs
@@ -30,9 +30,9 @@
 /// The fastest of these series counts: the others were disturbed.
 const SERIES: usize = 7;
 /// Limits that admit the largest document.
-const MAX_COST: usize = 100_000;
-const MAX_TOKENS: usize = 1_000_000;
-const MAX_DOCUMENT_BYTES: usize = 4 << 20;
+const COST_LIMIT: usize = 100_000;
+const TOKEN_LIMIT: usize = 1_000_000;
+const DOCUMENT_BYTE_LIMIT: usize = 4 << 20;
 const READ_CLASS: ClassId = 0;
 const WRITE_CLASS: ClassId = 1;
 const NS_PER_SECOND: f64 = 1e9;
@@ -87,9 +87,9 @@
             deadline: 1.0,
         };
         let limits = Limits {
-            cost: MAX_COST,
-            tokens: MAX_TOKENS,
-            document: MAX_DOCUMENT_BYTES,
+            cost: COST_LIMIT,
+            tokens: TOKEN_LIMIT,
+            document: DOCUMENT_BYTE_LIMIT,
             ..Limits::default()
         };
         Ok(Classifier {
--- a/crates/testbed/src/measure/services/mod.rs
+++ b/crates/testbed/src/measure/services/mod.rs
@@ -15,8 +15,8 @@
 
 const SERVERS_PER_POOL: usize = 8;
 const SERVICE_TIME: Duration = Duration::from_millis(2);
-/// Rounds of the load that is rejected.
-const MAX_REJECTION_ROUNDS: usize = 3;
+/// Rounds of the load that is rejected, or fewer if the plan has fewer.
+const REJECTION_ROUNDS: usize = 3;
 const REJECTION_SEED_BASE: u64 = 50;
 /// A limit that rejects almost all requests.
 const LOW_LIMIT: &str = "limits = { rate = \"1/s\", burst = 1 }\n";
@@ -86,7 +86,7 @@
     let node = Node::start(program, &settings).await?;
     node.until_health("/_health", true).await?;
     let mut cpu_us = Vec::new();
-    for round in 0..plan.rounds.min(MAX_REJECTION_ROUNDS) {
+    for round in 0..plan.rounds.min(REJECTION_ROUNDS) {
         let name = format!("refused{}{round}", limits.len());
         let workload = evaluate_requests(&name, &service_host(0), plan.rate);
         let cpu_before = cpu_seconds(node.pid())?;
