--- a/crates/capacity/src/scale/faults.rs
+++ b/crates/capacity/src/scale/faults.rs
@@ -159,12 +159,12 @@
 
     /// A random number below a bound.
     fn choose(&self, scenario: Scenario, bound: usize) -> usize {
-        self.network.rng(scenario.stream()).number() as usize % bound
+        self.network.rng(scenario.stream()).next_u64() as usize % bound
     }
 
     fn choose_faults(&self) -> RandomFaults {
         let mut rng = self.network.rng(Scenario::RandomFaults.stream());
-        let mut below = |bound: usize| rng.number() as usize % bound;
+        let mut below = |bound: usize| rng.next_u64() as usize % bound;
         let nodes = self.network.node_count();
         let faulty = nodes / NODES_PER_FAULT + 1;
         RandomFaults {
--- a/crates/capacity/src/scale/network.rs
+++ b/crates/capacity/src/scale/network.rs
@@ -6,7 +6,7 @@
 use super::error::ScaleError;
 use super::fleet_state::{FleetState, NodeSlot, NodeState, PropagationTimes, ZONES};
 use super::{drive, machine};
-use reelfall_testbed::{Draw, Result};
+use reelfall_testbed::{Result, SeededRng};
 use std::net::{SocketAddr, UdpSocket};
 use std::ops::Range;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -184,8 +184,8 @@
     }
 
     /// A random generator for one stream of the run.
-    pub fn rng(&self, stream: u64) -> Draw {
-        Draw(
+    pub fn rng(&self, stream: u64) -> SeededRng {
+        SeededRng(
             self.state
                 .seed
                 .wrapping_mul(STREAM_FACTOR)
--- a/crates/capacity/src/scale/real.rs
+++ b/crates/capacity/src/scale/real.rs
@@ -9,12 +9,12 @@
 use super::real_settings::RealFleet;
 use super::report::{PerNode, RequestTimes, Run, Size, Source, Times};
 use hdrhistogram::Histogram;
-use reelfall_testbed::discovery::{Discovery, Listed};
-use reelfall_testbed::load::{self, Kind};
+use reelfall_testbed::discovery::{Discovery, ListedServer};
+use reelfall_testbed::load::{self, Workload};
 use reelfall_testbed::node::{cpu_seconds, memory_kib, Folder, Node};
-use reelfall_testbed::pool::{Manner, Server};
+use reelfall_testbed::pool::{Server, ServerBehavior};
 use reelfall_testbed::scripted::Program;
-use reelfall_testbed::{Result, Task};
+use reelfall_testbed::{AbortOnDrop, Result};
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -49,14 +49,14 @@
 struct RunningNode {
     address: SocketAddr,
     pid: u32,
-    _task: Task,
+    _task: AbortOnDrop,
 }
 
 impl RunningNode {
     /// Reads the output of a node, so that it never blocks on that.
     fn supervise(mut node: Node) -> RunningNode {
         let (address, pid) = (node.address(), node.pid());
-        let task = reelfall_testbed::task(async move {
+        let task = reelfall_testbed::spawn(async move {
             while node.next_log_line().await.is_some() {}
             // Reaps the process.
             let _ = node.wait_for_exit().await;
@@ -86,7 +86,7 @@
         listed: usize,
     ) -> Result<Self> {
         let servers = start_servers().await?;
-        let entry = |index: usize| Listed::active(&server_name(index), listed_address(index));
+        let entry = |index: usize| ListedServer::active(&server_name(index), listed_address(index));
         let entries = (0..listed.min(MAX_LISTED_SERVERS)).map(entry).collect();
         let discovery = Discovery::start(entries).await?;
         let folder = Folder::new()?;
@@ -130,8 +130,8 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let since_ms = u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX);
-        let entry = Listed::active(&server_name(server), listed_address(server));
-        self.discovery.tell(&[Listed { since_ms, ..entry }]);
+        let entry = ListedServer::active(&server_name(server), listed_address(server));
+        self.discovery.update(&[ListedServer { since_ms, ..entry }]);
     }
 
     /// What the nodes have used so far.
@@ -183,7 +183,10 @@
         let mut clients = tokio::task::JoinSet::new();
         for (index, node) in self.nodes.iter().enumerate() {
             let address = node.address;
-            let kinds = [Kind::evaluate(format!("scale{index}x{seed}"), REQUEST_RATE)];
+            let kinds = [Workload::evaluate(
+                format!("scale{index}x{seed}"),
+                REQUEST_RATE,
+            )];
             let client_seed = seed
                 .wrapping_mul(LOAD_SEED_FACTOR)
                 .wrapping_add(index as u64);
@@ -194,7 +197,7 @@
         while let Some(responses) = clients.join_next().await {
             for responses in responses? {
                 sent += responses.sent;
-                served += responses.of(&[200]);
+                served += responses.with_status(&[200]);
                 match &mut latency {
                     Some(latency) => latency.add(&responses.latency)?,
                     None => latency = Some(responses.latency.clone()),
@@ -212,7 +215,7 @@
     let mut servers = Vec::with_capacity(SERVER_COUNT);
     for index in 0..SERVER_COUNT {
         let name = format!("s{index}");
-        let manner = Manner::good(SERVICE_TIME);
+        let manner = ServerBehavior::healthy(SERVICE_TIME);
         let server = Server::start(&name, SERVER_CAPACITY, manner, index as u64).await?;
         servers.push(server);
     }
--- a/crates/capacity/src/scale/schedule.rs
+++ b/crates/capacity/src/scale/schedule.rs
@@ -2,7 +2,7 @@
 
 use super::discovery_stub::ALWAYS_FAILING_SERVERS;
 use super::report::Size;
-use reelfall_testbed::Draw;
+use reelfall_testbed::SeededRng;
 use serde::{Deserialize, Serialize};
 
 /// Seconds of a day.
@@ -73,7 +73,7 @@
     rates: Rates,
     window_seconds: f64,
     servers: usize,
-    rng: &mut Draw,
+    rng: &mut SeededRng,
 ) -> Vec<ScheduledEvent> {
     let mut events: Vec<ScheduledEvent> = event_times(rates.changes, window_seconds)
         .into_iter()
@@ -84,7 +84,7 @@
         .collect();
     let restartable = servers.saturating_sub(ALWAYS_FAILING_SERVERS).max(1);
     for at in event_times(rates.restarts, window_seconds) {
-        let server = ALWAYS_FAILING_SERVERS + rng.number() as usize % restartable;
+        let server = ALWAYS_FAILING_SERVERS + rng.next_u64() as usize % restartable;
         events.push(ScheduledEvent {
             at: (at - FAILURE_DURATION).max(0.0),
             event: Event::ServerFails(server),
--- a/crates/capacity/src/scale/simulated_node.rs
+++ b/crates/capacity/src/scale/simulated_node.rs
@@ -10,7 +10,7 @@
 use reelfall_cluster::members::MembershipConfig;
 use reelfall_cluster::observer::AttemptOutcome;
 use reelfall_cluster::wire::KeyTooShort;
-use reelfall_testbed::Draw;
+use reelfall_testbed::SeededRng;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
@@ -50,7 +50,7 @@
 /// The control side of one node.
 pub struct SimulatedNode {
     fleet: Fleet,
-    rng: Draw,
+    rng: SeededRng,
     next_overdue_check: f64,
     next_quorum: f64,
     condemned: BTreeSet<ServerInstance>,
@@ -64,9 +64,9 @@
     /// # Errors
     /// If the fleet's key is too short.
     pub fn new(config: &NodeConfig, seed: u64, now: f64) -> Result<SimulatedNode, KeyTooShort> {
-        let mut rng = Draw(seed);
-        let process_tag = rng.number() | 1;
-        let fleet_seed = rng.number();
+        let mut rng = SeededRng(seed);
+        let process_tag = rng.next_u64() | 1;
+        let fleet_seed = rng.next_u64();
         let fleet = Fleet::new(
             &config.name,
             config.address,
@@ -172,7 +172,7 @@
             let is_attempted = if self.condemned.contains(&server) {
                 self.probed.contains(&server)
             } else {
-                self.rng.fraction() < ATTEMPT_RATE * QUORUM_INTERVAL
+                self.rng.next_fraction() < ATTEMPT_RATE * QUORUM_INTERVAL
             };
             if is_attempted {
                 self.fleet
--- a/crates/capacity/src/scale/window.rs
+++ b/crates/capacity/src/scale/window.rs
@@ -6,7 +6,7 @@
 use super::record::{ListPropagation, Record, Utilization};
 use super::report::{Run, Size, Source, Times};
 use super::schedule::{schedule, Event, Rates};
-use reelfall_testbed::{Draw, Result};
+use reelfall_testbed::{Result, SeededRng};
 use std::time::Duration;
 
 /// Length of the bans that stand for changes, in seconds.
@@ -149,7 +149,7 @@
     window: &Window<'_>,
     on_restart: &dyn Fn(usize),
 ) -> AppliedChanges {
-    let mut rng = Draw(window.seed);
+    let mut rng = SeededRng(window.seed);
     let discovery = network.state.discovery.clone();
     let started = network.state.now();
     let mut applied = AppliedChanges::default();
@@ -173,9 +173,9 @@
 }
 
 /// Whether there was a node that runs.
-fn ban_at_random_node(network: &Network, rng: &mut Draw) -> bool {
+fn ban_at_random_node(network: &Network, rng: &mut SeededRng) -> bool {
     let running = network.running_nodes();
-    let chosen = rng.number() as usize % running.len().max(1);
+    let chosen = rng.next_u64() as usize % running.len().max(1);
     let Some(node) = running.get(chosen) else {
         return false;
     };
--- a/crates/capacity/tests/scale/schedule.rs
+++ b/crates/capacity/tests/scale/schedule.rs
@@ -5,7 +5,7 @@
 use reelfall_capacity::scale::schedule::{
     event_times, schedule, Event, Rates, ScheduledEvent, SECONDS_PER_DAY,
 };
-use reelfall_testbed::Draw;
+use reelfall_testbed::SeededRng;
 
 #[test]
 fn events_are_evenly_spaced_and_occur_at_least_once() {
@@ -24,7 +24,7 @@
         changes: SECONDS_PER_DAY as usize,
         restarts: 2 * SECONDS_PER_DAY as usize,
     };
-    let events = schedule(rates, 3.0, 10, &mut Draw(1));
+    let events = schedule(rates, 3.0, 10, &mut SeededRng(1));
     assert!(
         events.is_sorted_by(|left, right| left.at <= right.at)
             && events
@@ -46,8 +46,8 @@
         };
         assert!(events[..index].iter().any(fails), "{events:?}");
     }
-    assert_eq!(events, schedule(rates, 3.0, 10, &mut Draw(1)));
-    assert!(schedule(Rates::NONE, 3.0, 10, &mut Draw(1)).is_empty());
+    assert_eq!(events, schedule(rates, 3.0, 10, &mut SeededRng(1)));
+    assert!(schedule(Rates::NONE, 3.0, 10, &mut SeededRng(1)).is_empty());
 }
 
 #[test]
--- a/crates/testbed/src/commands/load.rs
+++ b/crates/testbed/src/commands/load.rs
@@ -1,6 +1,6 @@
-//! Requests at random times.
+//! The command `load`: requests at random times.
 
-use reelfall_testbed::load::{self, Kind};
+use reelfall_testbed::load::{self, RequestHeader, Workload};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -37,19 +37,22 @@
 
 /// Sends requests and prints the figures.
 pub async fn run(args: LoadArgs) {
-    let class = args.class.map(|class| ("x-service-class", class));
-    let kind = Kind {
+    let class_header = args.class.map(|class| RequestHeader {
+        name: "x-service-class",
+        value: class,
+    });
+    let workload = Workload {
         name: format!("load{}", args.seed),
         host: args.host,
         method: if args.post { "POST" } else { "GET" },
         path: args.path,
-        headers: class.into_iter().collect(),
+        headers: class_header.into_iter().collect(),
         body: None,
         deadline: CLIENT_DEADLINE,
         rate: args.rate,
     };
     let duration = Duration::from_secs_f64(args.seconds);
-    for result in load::run(args.to, &[kind], duration, args.seed).await {
-        println!("{}", result.figures());
+    for stats in load::run(args.to, &[workload], duration, args.seed).await {
+        println!("{}", stats.figures());
     }
 }
--- a/crates/testbed/src/commands/measure.rs
+++ b/crates/testbed/src/commands/measure.rs
@@ -1,5 +1,6 @@
-//! Measurements of what the node costs.
+//! The command `measure`: processor time, latency and memory of a node.
 
+use super::error::UnknownName;
 use reelfall_testbed::measure::{self, Plan};
 use reelfall_testbed::node::Program;
 use reelfall_testbed::Result;
@@ -28,19 +29,16 @@
 pub async fn run(program: &Program, args: MeasureArgs) -> Result<()> {
     let plan = Plan {
         rounds: args.rounds,
-        time: Duration::from_secs_f64(args.seconds),
+        round_duration: Duration::from_secs_f64(args.seconds),
         rate: args.rate,
-        old: args.old.map(Program::standalone),
+        baseline: args.old.map(Program::standalone),
     };
     let figures = match args.name.as_str() {
         "services" => measure::services::run(program, &plan).await?,
         "graphql" => measure::graphql::run(program, &plan).await?,
         "membership" => measure::membership::run(program, &plan).await?,
         "fleet" => measure::fleet::run(program, &plan).await?,
-        name => {
-            let which = "services, graphql, membership, fleet";
-            return Err(format!("there is no measurement `{name}`: {which}").into());
-        }
+        name => return Err(UnknownName::Measurement(name.to_owned()).into()),
     };
     println!("{figures}");
     Ok(())
--- a/crates/testbed/src/commands/stand_ins.rs
+++ b/crates/testbed/src/commands/stand_ins.rs
@@ -1,18 +1,18 @@
-//! Stand-ins that run until they are ended.
+//! The commands that run one stand-in until the program gets a signal.
 
 use super::print_ready;
-use reelfall_testbed::discovery::{Discovery, Listed};
+use reelfall_testbed::discovery::{Discovery, ListedServer};
 use reelfall_testbed::link::Link;
-use reelfall_testbed::pool::{Manner, Pool};
+use reelfall_testbed::pool::{Pool, ServerBehavior};
 use reelfall_testbed::registry::{self, Registry};
-use reelfall_testbed::{relay, until_ended, Result};
+use reelfall_testbed::{relay, shutdown_signal, Result};
 use serde_json::{json, Map, Value};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// The seed of a pool that is started by hand.
+/// The seed of a pool that a command starts.
 const POOL_SEED: u64 = 1;
 
 #[derive(clap::Args)]
@@ -33,21 +33,21 @@
 
 /// Runs servers; prints what they have received at the end.
 pub async fn run_pool(args: &PoolArgs) -> Result<()> {
-    let manner = Manner {
-        fail: args.fail,
-        die_after: args.die,
-        ..Manner::good(Duration::from_millis(args.service_ms))
+    let behavior = ServerBehavior {
+        error_ratio: args.fail,
+        close_after_effect_ratio: args.die,
+        ..ServerBehavior::healthy(Duration::from_millis(args.service_ms))
     };
-    let pool = Pool::start("server", args.servers, manner, POOL_SEED).await?;
+    let pool = Pool::start("server", args.servers, behavior, POOL_SEED).await?;
     let mut addresses = Map::new();
     for server in &pool.servers {
         addresses.insert(server.name.clone(), server.address.to_string().into());
     }
     print_ready(Value::Object(addresses));
-    until_ended().await;
+    shutdown_signal().await;
     println!(
         "{}",
-        json!({ "seen": pool.seen(), "effects_twice": pool.twice() })
+        json!({ "seen": pool.requests_received(), "effects_twice": pool.duplicate_effects() })
     );
     Ok(())
 }
@@ -63,11 +63,14 @@
 pub async fn run_discovery(args: &DiscoveryArgs) -> Result<()> {
     let mut listed = Vec::new();
     for (index, address) in args.servers.iter().enumerate() {
-        listed.push(Listed::active(&format!("server-{}", index + 1), *address));
+        listed.push(ListedServer::active(
+            &format!("server-{}", index + 1),
+            *address,
+        ));
     }
     let discovery = Discovery::start(listed).await?;
     print_ready(json!({ "discovery": discovery.address.to_string() }));
-    until_ended().await;
+    shutdown_signal().await;
     Ok(())
 }
 
@@ -94,7 +97,7 @@
     print_ready(Value::Object(addresses));
     tokio::select! {
         result = registry::control::serve(listener, registry.clone()) => result,
-        () = until_ended() => Ok(()),
+        () = shutdown_signal() => Ok(()),
     }
 }
 
@@ -127,7 +130,7 @@
         fault.drops_responses = args.deaf;
     });
     print_ready(json!({ "link": link.address.to_string() }));
-    until_ended().await;
+    shutdown_signal().await;
     Ok(())
 }
 
@@ -138,12 +141,12 @@
     to: Vec<SocketAddr>,
 }
 
-/// Runs a proxy that decides nothing.
+/// Runs a round-robin proxy.
 pub async fn run_relay(args: RelayArgs) -> Result<()> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     print_ready(json!({ "client": listener.local_addr()?.to_string() }));
     tokio::select! {
         result = relay::serve(listener, args.to) => result,
-        () = until_ended() => Ok(()),
+        () = shutdown_signal() => Ok(()),
     }
 }
--- a/crates/testbed/src/fleet/datagrams.rs
+++ b/crates/testbed/src/fleet/datagrams.rs
@@ -4,7 +4,7 @@
 //! arrives at one is attributed to a node by its sender's address, and forwarded or dropped by the faults of that pair.
 //! [`TestFleet`](super::TestFleet) owns it; tests and schedules inject the faults.
 
-use crate::{Draw, Result, Task};
+use crate::{AbortOnDrop, Result, SeededRng};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -52,7 +52,7 @@
     faults: DatagramFaults,
     /// Directions in which nothing is delivered.
     partitioned: BTreeSet<Direction>,
-    random: Draw,
+    random: SeededRng,
     /// Nodes by the addresses that their processes send from.
     node_by_address: HashMap<SocketAddr, usize>,
     /// Address of each node's process.
@@ -67,7 +67,7 @@
     sockets: Vec<Arc<UdpSocket>>,
     addresses: Vec<SocketAddr>,
     state: Arc<Mutex<State>>,
-    _tasks: Vec<Task>,
+    _tasks: Vec<AbortOnDrop>,
 }
 
 fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
@@ -83,7 +83,7 @@
         let state = Arc::new(Mutex::new(State {
             faults: DatagramFaults::default(),
             partitioned: BTreeSet::new(),
-            random: Draw(1),
+            random: SeededRng(1),
             node_by_address: HashMap::new(),
             process_addresses: vec![None; node_count],
             replay_buffer: Vec::new(),
@@ -93,7 +93,7 @@
         for node in 0..node_count {
             let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
             addresses.push(socket.local_addr()?);
-            tasks.push(crate::task(forward_all(
+            tasks.push(crate::spawn(forward_all(
                 node,
                 socket.clone(),
                 state.clone(),
@@ -132,7 +132,7 @@
 
     /// Seeds the random numbers that faults are sampled with.
     pub fn set_seed(&self, seed: u64) {
-        lock(&self.state).random = Draw(seed);
+        lock(&self.state).random = SeededRng(seed);
     }
 
     /// Drops everything from some nodes to others, and also back if `both_directions` is set.
@@ -170,7 +170,7 @@
         for datagram in recent.iter().filter(|datagram| datagram.to == node) {
             let _ = socket.send_to(&datagram.bytes, address).await;
         }
-        let mut random = Draw(forged_count as u64);
+        let mut random = SeededRng(forged_count as u64);
         for index in 0..forged_count {
             let datagram = forge(&recent, index, &mut random);
             let _ = socket.send_to(&datagram, address).await;
@@ -179,15 +179,15 @@
 }
 
 /// A datagram that no node wrote: a recent one of which a byte is changed.
-fn forge(recent: &[ForwardedDatagram], index: usize, random: &mut Draw) -> Vec<u8> {
+fn forge(recent: &[ForwardedDatagram], index: usize, random: &mut SeededRng) -> Vec<u8> {
     let template = recent.get(index % recent.len().max(1));
     let mut bytes = template.map_or_else(
         || vec![0; FORGED_DATAGRAM_BYTES],
         |datagram| datagram.bytes.clone(),
     );
-    let position = random.number() as usize % bytes.len().max(1);
+    let position = random.next_u64() as usize % bytes.len().max(1);
     if let Some(byte) = bytes.get_mut(position) {
-        *byte ^= 1 + (random.number() as u8 & 0x7f);
+        *byte ^= 1 + (random.next_u64() as u8 & 0x7f);
     }
     bytes
 }
@@ -206,17 +206,17 @@
         let address = self.process_addresses[to]?;
         let faults = self.faults.clone();
         if self.partitioned.contains(&Direction { from, to })
-            || self.random.fraction() < faults.loss_ratio
+            || self.random.next_fraction() < faults.loss_ratio
         {
             return None;
         }
-        if self.random.fraction() < faults.corruption_ratio {
-            let position = self.random.number() as usize % datagram.len().max(1);
+        if self.random.next_fraction() < faults.corruption_ratio {
+            let position = self.random.next_u64() as usize % datagram.len().max(1);
             datagram[position] ^= CORRUPTED_BIT;
         }
         self.forwarded += 1;
         self.retain_for_replay(to, datagram);
-        let copies = 1 + usize::from(self.random.fraction() < faults.duplicate_ratio);
+        let copies = 1 + usize::from(self.random.next_fraction() < faults.duplicate_ratio);
         let delays = (0..copies).map(|_| self.sample_delay(&faults)).collect();
         Some(Delivery { address, delays })
     }
@@ -231,7 +231,7 @@
 
     fn sample_delay(&mut self, faults: &DatagramFaults) -> Duration {
         let range = faults.max_delay.saturating_sub(faults.min_delay);
-        let extra = range.as_secs_f64() * self.random.fraction();
+        let extra = range.as_secs_f64() * self.random.next_fraction();
         faults.min_delay + Duration::from_secs_f64(extra)
     }
 }
--- a/crates/testbed/src/fleet/fenced_resource.rs
+++ b/crates/testbed/src/fleet/fenced_resource.rs
@@ -3,7 +3,7 @@
 //! Tests of leases start one, and check the writes in the history.
 
 use super::history::{Event, History, TimedEvent};
-use crate::{task, Result, Task};
+use crate::{spawn, AbortOnDrop, Result};
 use bytes::Bytes;
 use http_body_util::Empty;
 use hyper::body::Incoming;
@@ -25,7 +25,7 @@
 pub struct FencedResource {
     /// Where it listens.
     pub address: SocketAddr,
-    _task: Task,
+    _task: AbortOnDrop,
 }
 
 /// What the connections of a resource share.
@@ -46,7 +46,7 @@
             fence: Mutex::new(Fence::new(FENCE_CAPACITY)),
             history,
         });
-        let accepting = task(async move {
+        let accepting = spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 tokio::spawn(serve(stream, shared.clone()));
             }
--- a/crates/testbed/src/fleet/load.rs
+++ b/crates/testbed/src/fleet/load.rs
@@ -3,7 +3,7 @@
 use super::history::{Event, History};
 use super::{node_name, TestFleet};
 use crate::client::Client;
-use crate::Draw;
+use crate::SeededRng;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
@@ -67,7 +67,7 @@
                 addresses: self.addresses.clone(),
                 rate,
                 at_most_once_ratio,
-                random: Draw(seed.wrapping_mul(0x9e37).wrapping_add(node as u64)),
+                random: SeededRng(seed.wrapping_mul(0x9e37).wrapping_add(node as u64)),
                 history: self.history.clone(),
                 stop: stop.clone(),
                 client: None,
@@ -94,7 +94,7 @@
     /// Requests a second.
     rate: f64,
     at_most_once_ratio: f64,
-    random: Draw,
+    random: SeededRng,
     history: Arc<History>,
     stop: Arc<AtomicBool>,
     client: Option<ConnectedClient>,
@@ -103,10 +103,10 @@
 impl NodeClients {
     async fn run(mut self) {
         let mut in_flight = JoinSet::new();
-        let tag = self.random.number() & 0xffff;
+        let tag = self.random.next_u64() & 0xffff;
         let mut due = Instant::now();
         for sequence in 0u64.. {
-            due += Duration::from_secs_f64(self.random.gap(self.rate));
+            due += Duration::from_secs_f64(self.random.next_gap(self.rate));
             tokio::time::sleep_until(due.into()).await;
             if self.stop.load(Ordering::Relaxed) {
                 break;
@@ -116,7 +116,7 @@
             let Some(client) = self.current_client() else {
                 continue;
             };
-            let at_most_once = self.random.fraction() < self.at_most_once_ratio;
+            let at_most_once = self.random.next_fraction() < self.at_most_once_ratio;
             let kind = if at_most_once { "w" } else { "r" };
             let id = format!("{}-{kind}{tag:x}-{sequence}", node_name(self.node));
             let (node, history) = (self.node, self.history.clone());
@@ -159,7 +159,7 @@
         at_most_once,
     });
     let timeout = DEADLINE + CLIENT_TIMEOUT_MARGIN;
-    let response = tokio::time::timeout(timeout, client.ask(request)).await;
+    let response = tokio::time::timeout(timeout, client.send(request)).await;
     let status = match response {
         Ok(Ok(response)) => Some(response.status.as_u16()),
         Ok(Err(_)) | Err(_) => None,
--- a/crates/testbed/src/fleet/operators.rs
+++ b/crates/testbed/src/fleet/operators.rs
@@ -49,7 +49,7 @@
             .header("host", "node")
             .body(Full::new(Bytes::new()))?;
         let client = Client::new(address);
-        let response = tokio::time::timeout(RESPONSE_TIMEOUT, client.ask(request)).await??;
+        let response = tokio::time::timeout(RESPONSE_TIMEOUT, client.send(request)).await??;
         Ok(ManagementResponse {
             status: response.status.as_u16(),
             body: String::from_utf8_lossy(&response.body).into_owned(),
--- a/crates/testbed/src/fleet/processes.rs
+++ b/crates/testbed/src/fleet/processes.rs
@@ -4,7 +4,7 @@
 use super::node_settings::node_folder;
 use super::TestFleet;
 use crate::node::Node;
-use crate::{Result, Task};
+use crate::{AbortOnDrop, Result};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::Command;
@@ -17,7 +17,7 @@
     pid: u32,
     is_paused: bool,
     /// Owns the process, and records the lines of its log.
-    _log_reader: Task,
+    _log_reader: AbortOnDrop,
 }
 
 impl TestFleet {
@@ -34,7 +34,7 @@
         let (address, management, pid) = (process.address(), process.management, process.pid());
         self.set_client_address(node, Some(address));
         let history = self.history.clone();
-        let log_reader = crate::task(async move {
+        let log_reader = crate::spawn(async move {
             while let Some(line) = process.next_log_line().await {
                 history.record(Event::Logged { node, line });
             }
--- a/crates/testbed/src/fleet/schedule/execute.rs
+++ b/crates/testbed/src/fleet/schedule/execute.rs
@@ -43,10 +43,10 @@
             }
         }
         Step::SetServerPaused { server, paused } => {
-            fleet.servers[*server].behave(|manner| manner.frozen = *paused);
+            fleet.servers[*server].update_behavior(|behavior| behavior.is_frozen = *paused);
         }
         Step::SetServerFailures { server, ratio } => {
-            fleet.servers[*server].behave(|manner| manner.fail = *ratio);
+            fleet.servers[*server].update_behavior(|behavior| behavior.error_ratio = *ratio);
         }
         // A node under faults may not respond; what it accepted is in the history.
         Step::BanServer {
--- a/crates/testbed/src/fleet/schedule/generate.rs
+++ b/crates/testbed/src/fleet/schedule/generate.rs
@@ -1,7 +1,7 @@
 //! Schedules generated from a seed.
 
 use super::Step;
-use crate::Draw;
+use crate::SeededRng;
 use std::time::Duration;
 
 /// The generation stops when less time than this is left.
@@ -31,7 +31,7 @@
     duration: Duration,
 ) -> Vec<Step> {
     let mut generator = Generator {
-        random: Draw(seed),
+        random: SeededRng(seed),
         node_count,
         server_count,
         stopped: Vec::new(),
@@ -48,7 +48,7 @@
 }
 
 struct Generator {
-    random: Draw,
+    random: SeededRng,
     node_count: usize,
     server_count: usize,
     /// Nodes without a process.
@@ -61,10 +61,10 @@
 impl Generator {
     /// Adds a step of a random kind, or none if that kind is not possible now.
     fn push_step(&mut self) {
-        let node = self.random.number() as usize % self.node_count.max(1);
-        let server = self.random.number() as usize % self.server_count.max(1);
+        let node = self.random.next_u64() as usize % self.node_count.max(1);
+        let server = self.random.next_u64() as usize % self.server_count.max(1);
         let is_running = !self.stopped.contains(&node) && !self.paused.contains(&node);
-        let step = match self.random.number() % STEP_KINDS {
+        let step = match self.random.next_u64() % STEP_KINDS {
             0 => Some(self.partition()),
             1 | 2 => Some(Step::Heal),
             3 => Some(self.datagram_faults()),
@@ -75,12 +75,12 @@
             8 => self.start_node(),
             9 => Some(Step::SetServerPaused {
                 server,
-                paused: self.random.fraction() < 0.6,
+                paused: self.random.next_fraction() < 0.6,
             }),
             10 if is_running => Some(Step::BanServer {
                 node,
                 server,
-                seconds: Some(1 + self.random.number() as u32 % 6),
+                seconds: Some(1 + self.random.next_u64() as u32 % 6),
             }),
             11 if is_running => Some(Step::LiftBan { node, server }),
             _ => None,
@@ -90,7 +90,7 @@
 
     /// Adds a wait of at most `limit`, and returns it.
     fn push_wait(&mut self, limit: Duration) -> Duration {
-        let wait_ms = MIN_WAIT_MS + self.random.number() % WAIT_RANGE_MS;
+        let wait_ms = MIN_WAIT_MS + self.random.next_u64() % WAIT_RANGE_MS;
         let wait = Duration::from_millis(wait_ms).min(limit);
         self.steps.push(Step::Wait(wait));
         wait
@@ -104,7 +104,7 @@
     fn partition(&mut self) -> Step {
         let random = &mut self.random;
         let from: Vec<usize> = (0..self.node_count)
-            .filter(|_| random.fraction() < 0.5)
+            .filter(|_| random.next_fraction() < 0.5)
             .collect();
         let to = (0..self.node_count)
             .filter(|node| !from.contains(node))
@@ -112,12 +112,12 @@
         Step::Partition {
             from,
             to,
-            both_directions: self.random.fraction() < 0.5,
+            both_directions: self.random.next_fraction() < 0.5,
         }
     }
 
     fn datagram_faults(&mut self) -> Step {
-        let loss_percent = self.random.number() % LOSS_RANGE_PERCENT;
+        let loss_percent = self.random.next_u64() % LOSS_RANGE_PERCENT;
         Step::SetDatagramFaults {
             loss_ratio: loss_percent as f64 / 100.0,
             duplicate_ratio: DUPLICATE_RATIO,
@@ -128,7 +128,7 @@
     fn datagram_delay(&mut self) -> Step {
         Step::SetDatagramDelay {
             min: Duration::ZERO,
-            max: Duration::from_millis(self.random.number() % DELAY_RANGE_MS),
+            max: Duration::from_millis(self.random.next_u64() % DELAY_RANGE_MS),
         }
     }
 
@@ -147,7 +147,7 @@
 
     fn stop_node(&mut self, node: usize) -> Step {
         self.stopped.push(node);
-        if self.random.fraction() < 0.7 {
+        if self.random.next_fraction() < 0.7 {
             Step::KillNode(node)
         } else {
             Step::TerminateNode(node)
--- a/crates/testbed/src/fleet/start.rs
+++ b/crates/testbed/src/fleet/start.rs
@@ -4,10 +4,10 @@
 use super::history::{Event, History};
 use super::node_settings::{fleet_section, node_settings, server_list, ServerSource};
 use super::{server_name, FleetNode, FleetSpec, TestFleet};
-use crate::discovery::{Discovery, Listed};
+use crate::discovery::{Discovery, ListedServer};
 use crate::link::Link;
 use crate::node::{wait_for_health, Folder};
-use crate::pool::{Manner, Server};
+use crate::pool::{RequestEvent, Server, ServerBehavior};
 use crate::scripted::Program;
 use crate::Result;
 use std::path::{Path, PathBuf};
@@ -88,15 +88,14 @@
     let mut servers = Vec::with_capacity(spec.server_count);
     for server in 0..spec.server_count {
         let name = server_name(server);
-        let manner = Manner::good(spec.service_time);
-        let started = Server::start(&name, SERVER_WORKERS, manner, server as u64).await?;
+        let behavior = ServerBehavior::healthy(spec.service_time);
+        let started = Server::start(&name, SERVER_WORKERS, behavior, server as u64).await?;
         let history = history.clone();
-        started.observe(Arc::new(move |id, is_executed| {
+        started.set_observer(Arc::new(move |id, event| {
             let id = id.to_owned();
-            history.record(if is_executed {
-                Event::Executed { server, id }
-            } else {
-                Event::AttemptReceived { server, id }
+            history.record(match event {
+                RequestEvent::Received => Event::AttemptReceived { server, id },
+                RequestEvent::EffectApplied => Event::Executed { server, id },
             });
         }));
         servers.push(started);
@@ -112,10 +111,10 @@
 }
 
 async fn start_discoveries(spec: &FleetSpec, servers: &[Server]) -> Result<Vec<Discovery>> {
-    let list: Vec<Listed> = servers
+    let list: Vec<ListedServer> = servers
         .iter()
         .enumerate()
-        .map(|(index, server)| Listed::active(&server_name(index), server.address))
+        .map(|(index, server)| ListedServer::active(&server_name(index), server.address))
         .collect();
     let mut discoveries = Vec::with_capacity(spec.discovery_count);
     for _ in 0..spec.discovery_count {
--- a/crates/testbed/src/link.rs
+++ b/crates/testbed/src/link.rs
@@ -2,7 +2,7 @@
 //!
 //! Each node of a [`fleet`](crate::fleet) reaches each server by one; tests and the command `link` start them, too.
 
-use crate::{Result, Task};
+use crate::{AbortOnDrop, Result};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -41,7 +41,7 @@
     /// Where clients connect.
     pub address: SocketAddr,
     faults: Arc<Mutex<LinkFaults>>,
-    _task: Task,
+    _task: AbortOnDrop,
 }
 
 fn lock(faults: &Mutex<LinkFaults>) -> MutexGuard<'_, LinkFaults> {
@@ -58,7 +58,7 @@
         let address = listener.local_addr()?;
         let faults = Arc::new(Mutex::new(LinkFaults::default()));
         let shared = faults.clone();
-        let task = crate::task(async move {
+        let task = crate::spawn(async move {
             let mut connections = tokio::task::JoinSet::new();
             loop {
                 let Ok((client, _)) = listener.accept().await else {
--- a/crates/testbed/src/measure/fleet.rs
+++ b/crates/testbed/src/measure/fleet.rs
@@ -1,25 +1,20 @@
 //! The measurement `fleet`: processor time and latency of a request with gossip between nodes, without it, and with another
 //! build of the program.
 
-use super::{median, one_round, Alive, Plan, Subject};
+use super::{median, Plan, Subject, SubjectProcess};
 use crate::fleet::{FleetSpec, TestFleet};
-use crate::load::{self, Kind};
+use crate::load::Workload;
 use crate::scripted::Program;
 use crate::Result;
 use serde_json::{json, Map, Value};
-use std::time::Duration;
 
 /// Nodes of the fleet with gossip; one of them is loaded.
 const NODES: usize = 5;
 
 /// Servers of each subject.
 const SERVERS: usize = 8;
-/// Load before the first round, so that connections are open.
-const WARM_UP: Duration = Duration::from_secs(1);
-/// Seed of the load of the warm-up.
-const WARM_UP_SEED: u64 = 1;
-/// Seed of the load of the first round; each later one adds one.
-const FIRST_ROUND_SEED: u64 = 2;
+/// Number of the first round, which sets the seed of its load.
+const FIRST_ROUND: u64 = 2;
 
 /// Starts a fleet of which the first node is the subject.
 async fn start_subject(
@@ -45,16 +40,16 @@
     }
     let address = fleet.address(0).ok_or("no node")?;
     let pid = fleet.pid(0).ok_or("no node")?;
-    let alive = Alive::Fleet {
+    let process = SubjectProcess::Fleet {
         _fleet: Box::new(fleet),
     };
-    let kinds = vec![Kind::evaluate(name.to_owned(), rate)];
-    Ok(Subject::of(name, address, pid, kinds, alive))
+    let workloads = vec![Workload::evaluate(name.to_owned(), rate)];
+    Ok(Subject::new(name, address, pid, workloads, process))
 }
 
 async fn start_subjects(program: &Program, plan: &Plan) -> Result<Vec<Subject>> {
     let mut subjects = Vec::new();
-    if let Some(old) = &plan.old {
+    if let Some(old) = &plan.baseline {
         subjects.push(start_subject("old", old, 1, false, plan.rate).await?);
     }
     subjects.push(start_subject("off", program, 1, false, plan.rate).await?);
@@ -66,7 +61,7 @@
 fn cpu_ratio(subjects: &[Subject], of: &str, to: &str) -> Option<Value> {
     let find = |name: &str| subjects.iter().find(|subject| subject.name == name);
     let (numerator, denominator) = (find(of)?, find(to)?);
-    let rounds = numerator.cpu.iter().zip(&denominator.cpu);
+    let rounds = numerator.cpu_us.iter().zip(&denominator.cpu_us);
     let mut ratios: Vec<f64> = rounds.map(|(above, below)| above / below).collect();
     ratios.sort_by(f64::total_cmp);
     Some(json!({
@@ -83,11 +78,12 @@
 pub async fn run(program: &Program, plan: &Plan) -> Result<Value> {
     let mut subjects = start_subjects(program, plan).await?;
     for subject in &subjects {
-        load::run(subject.address, &subject.kinds, WARM_UP, WARM_UP_SEED).await;
+        subject.warm_up().await;
     }
     for round in 0..plan.rounds {
         for subject in &mut subjects {
-            one_round(subject, plan, round as u64 + FIRST_ROUND_SEED).await?;
+            let round = round as u64 + FIRST_ROUND;
+            subject.measure_round(plan, round).await?;
         }
     }
     let figures: Map<String, Value> = subjects
--- a/crates/testbed/src/measure/membership.rs
+++ b/crates/testbed/src/measure/membership.rs
@@ -1,11 +1,10 @@
 //! The measurement `membership`: what following a registry costs. Entries at rest and while they change, recovery after a lost
 //! member or session, and the processor time of a request against that with a static list.
 
-use super::{median, one_round, round1, Plan, Subject};
-use crate::load;
+use super::{median, round_to_tenth, Plan, Subject};
 use crate::membership::{node_settings, request_kind, RegisteredServer, SERVERS_PATH};
 use crate::node::{cpu_seconds, memory_kib, Node, WAIT_TIMEOUT};
-use crate::pool::{Manner, Pool};
+use crate::pool::{Pool, ServerBehavior};
 use crate::registry::Registry;
 use crate::scripted::Program;
 use crate::Result;
@@ -32,9 +31,6 @@
 const PAUSE: Duration = Duration::from_millis(200);
 /// Requests of a node for a recovery: for each pool a sync, a watch, the list and both entries.
 const RECOVERY_REQUESTS: u64 = 10;
-/// Load before the first round, so that connections are open.
-const WARM_UP: Duration = Duration::from_secs(1);
-const WARM_UP_SEED: u64 = 1;
 const POOL_SEED: u64 = 1;
 
 /// Runs all measurements and returns the figures.
@@ -44,7 +40,7 @@
 pub async fn run(program: &Program, plan: &Plan) -> Result<Value> {
     let mut by_count = Map::new();
     for count in ENTRY_COUNTS {
-        let figures = measure_entries(program, count, plan.time).await?;
+        let figures = measure_entries(program, count, plan.round_duration).await?;
         by_count.insert(count.to_string(), figures);
     }
     let mut figures = Map::new();
@@ -114,8 +110,8 @@
 /// A node with two pools that follow so many entries.
 async fn measure_entries(program: &Program, count: usize, duration: Duration) -> Result<Value> {
     let registry = Registry::start(1).await?;
-    let manner = Manner::good(Duration::from_millis(1));
-    let pool = Pool::start("real", 1, manner, POOL_SEED).await?;
+    let behavior = ServerBehavior::healthy(Duration::from_millis(1));
+    let pool = Pool::start("real", 1, behavior, POOL_SEED).await?;
     let _real = RegisteredServer::register(&registry, &pool.servers[0], "real", 0);
     let node = start_node(program, &registry, "").await?;
     let memory_without_entries = memory_kib(node.pid())?;
@@ -140,13 +136,13 @@
     let pool_changes = (POOLS as u64 * changes) as f64;
     let kib_per_entry = (memory as f64 - memory_without_entries as f64) / (POOLS * count) as f64;
     Ok(json!({
-        "ready_ms": round1(ready_ms),
+        "ready_ms": round_to_tenth(ready_ms),
         "kib_for_each_and_pool": (kib_per_entry * 100.0).round() / 100.0,
-        "rest_cpu_percent": round1(at_rest.cpu_seconds / seconds * 100.0),
-        "rest_bytes_a_second": round1(at_rest.bytes_sent as f64 / seconds),
+        "rest_cpu_percent": round_to_tenth(at_rest.cpu_seconds / seconds * 100.0),
+        "rest_bytes_a_second": round_to_tenth(at_rest.bytes_sent as f64 / seconds),
         "changes": changes,
-        "cpu_us_for_each_change_and_pool": round1(in_motion.cpu_seconds * 1e6 / pool_changes),
-        "bytes_for_each_change_and_pool": round1(in_motion.bytes_sent as f64 / pool_changes),
+        "cpu_us_for_each_change_and_pool": round_to_tenth(in_motion.cpu_seconds * 1e6 / pool_changes),
+        "bytes_for_each_change_and_pool": round_to_tenth(in_motion.bytes_sent as f64 / pool_changes),
         "kib_grown_in_motion": memory_kib(node.pid())?.saturating_sub(memory),
     }))
 }
@@ -176,8 +172,8 @@
 /// From the loss of a member, and from the expiry of the node's sessions, until the node has read everything again.
 async fn measure_recovery(program: &Program) -> Result<Value> {
     let registry = Registry::start(MEMBERS).await?;
-    let manner = Manner::good(Duration::from_millis(1));
-    let pool = Pool::start("real", 2, manner, POOL_SEED).await?;
+    let behavior = ServerBehavior::healthy(Duration::from_millis(1));
+    let pool = Pool::start("real", 2, behavior, POOL_SEED).await?;
     let registered = register_all(&registry, &pool);
     let _node = start_node(program, &registry, "connect = \"500ms\"").await?;
     let server_sessions: Vec<i64> = registered.iter().map(|server| server.session).collect();
@@ -204,10 +200,10 @@
     }
     let maximum = |values: &[f64]| values.iter().copied().fold(0.0, f64::max);
     Ok(json!({
-        "fail_over_median": round1(median(fail_over_ms.iter().copied())),
-        "fail_over_most": round1(maximum(&fail_over_ms)),
-        "expiry_median": round1(median(expiry_ms.iter().copied())),
-        "expiry_most": round1(maximum(&expiry_ms)),
+        "fail_over_median": round_to_tenth(median(fail_over_ms.iter().copied())),
+        "fail_over_most": round_to_tenth(maximum(&fail_over_ms)),
+        "expiry_median": round_to_tenth(median(expiry_ms.iter().copied())),
+        "expiry_most": round_to_tenth(maximum(&expiry_ms)),
     }))
 }
 
@@ -226,8 +222,8 @@
 /// Processor time of a request, with a static list and with that of a registry.
 async fn measure_requests(program: &Program, plan: &Plan) -> Result<Value> {
     let registry = Registry::start(1).await?;
-    let manner = Manner::good(Duration::from_millis(2));
-    let pool = Pool::start("flags", 8, manner, POOL_SEED).await?;
+    let behavior = ServerBehavior::healthy(Duration::from_millis(2));
+    let pool = Pool::start("flags", 8, behavior, POOL_SEED).await?;
     let _registered = register_all(&registry, &pool);
     let following = node_settings(&registry, "", "");
     let with_list = with_static_list(&following, &pool);
@@ -235,20 +231,20 @@
     for (name, settings) in [("static_list", &with_list), ("registry", &following)] {
         let node = Node::start(program, settings).await?;
         node.wait_for_health("/_health", true).await?;
-        let kinds = vec![request_kind(name, "evaluate", plan.rate)];
-        let subject = Subject::new(name, node, kinds);
-        load::run(subject.address, &subject.kinds, WARM_UP, WARM_UP_SEED).await;
+        let workloads = vec![request_kind(name, "evaluate", plan.rate)];
+        let subject = Subject::from_node(name, node, workloads);
+        subject.warm_up().await;
         subjects.push(subject);
     }
     for round in 0..plan.rounds {
         // In turn, so that neither is always the first.
         for position in 0..subjects.len() {
             let index = (position + round) % subjects.len();
-            one_round(&mut subjects[index], plan, round as u64).await?;
+            subjects[index].measure_round(plan, round as u64).await?;
         }
     }
     let (static_list, registry) = (&subjects[0], &subjects[1]);
-    let rounds = registry.cpu.iter().zip(&static_list.cpu);
+    let rounds = registry.cpu_us.iter().zip(&static_list.cpu_us);
     let ratio = median(rounds.map(|(registry, static_list)| registry / static_list));
     Ok(json!({
         "static_list": static_list.figures(),
@@ -268,7 +264,7 @@
             .lines()
             .filter(|line| !is_registry_line(line))
             .collect();
-        other_lines.join("\n") + "\n" + &pool.listed()
+        other_lines.join("\n") + "\n" + &pool.server_settings()
     };
     let parts: Vec<String> = settings.split("[[service]]").map(replace).collect();
     parts.join("[[service]]")
--- a/crates/testbed/src/membership.rs
+++ b/crates/testbed/src/membership.rs
@@ -2,7 +2,7 @@
 //!
 //! The demo, the scenario and the measurement `membership` and the tests of registries call it.
 
-use crate::load::Kind;
+use crate::load::Workload;
 use crate::pool::Server;
 use crate::registry::Registry;
 use serde_json::json;
@@ -79,8 +79,8 @@
 }
 
 /// Requests of one of the services, so many a second. `run` is a prefix of their ids.
-pub fn request_kind(run: &str, service: &str, rate: f64) -> Kind {
-    Kind {
+pub fn request_kind(run: &str, service: &str, rate: f64) -> Workload {
+    Workload {
         name: format!("{run}-{service}"),
         host: format!("{service}.example.org"),
         method: if service == "toggle" { "POST" } else { "GET" },
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -269,7 +269,7 @@
         let request = Request::get(path)
             .header("host", "health")
             .body(Full::new(Bytes::new()))?;
-        let response = client.ask(request).await;
+        let response = client.send(request).await;
         if response.is_ok_and(|response| (response.status == 200) == is_healthy) {
             return Ok(());
         }
--- a/crates/testbed/src/registry/connections.rs
+++ b/crates/testbed/src/registry/connections.rs
@@ -84,7 +84,7 @@
         is_frozen: is_frozen.clone(),
         outgoing: outgoing_receiver,
     };
-    let _writing = crate::task(response_writer.run(writer));
+    let _writing = crate::spawn(response_writer.run(writer));
     let request_handler = RequestHandler {
         state,
         id,
--- a/crates/testbed/src/registry/mod.rs
+++ b/crates/testbed/src/registry/mod.rs
@@ -37,7 +37,7 @@
 pub use entries::EntrySnapshot;
 pub use state::Counters;
 
-use crate::{Result, Task};
+use crate::{AbortOnDrop, Result};
 use state::{lock, RegistryState};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -52,7 +52,7 @@
     /// Where the members listen.
     pub members: Vec<SocketAddr>,
     state: Arc<Mutex<RegistryState>>,
-    _tasks: Vec<Task>,
+    _tasks: Vec<AbortOnDrop>,
 }
 
 impl Registry {
@@ -79,9 +79,9 @@
             let listener = TcpListener::bind(SocketAddr::new(address.ip(), port)).await?;
             members.push(listener.local_addr()?);
             let accepting = connections::accept(listener, member, state.clone());
-            tasks.push(crate::task(accepting));
+            tasks.push(crate::spawn(accepting));
         }
-        tasks.push(crate::task(run_timer(state.clone())));
+        tasks.push(crate::spawn(run_timer(state.clone())));
         Ok(Registry {
             members,
             state,
--- a/crates/testbed/src/registry/state.rs
+++ b/crates/testbed/src/registry/state.rs
@@ -175,10 +175,10 @@
     /// Opens a session and returns its id.
     pub(super) fn open_session(&mut self, timeout: Duration, connection: ConnectionId) -> i64 {
         let id = self.next_id() as i64;
-        let mut random = crate::Draw(id as u64);
+        let mut random = crate::SeededRng(id as u64);
         let mut password = [0; 16];
-        password[..8].copy_from_slice(&random.number().to_be_bytes());
-        password[8..].copy_from_slice(&random.number().to_be_bytes());
+        password[..8].copy_from_slice(&random.next_u64().to_be_bytes());
+        password[8..].copy_from_slice(&random.next_u64().to_be_bytes());
         let session = Session {
             password,
             timeout,
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -55,7 +55,7 @@
     let body = body.collect().await.ok()?;
     let index = next.fetch_add(1, Ordering::Relaxed) % clients.len().max(1);
     let request = Request::from_parts(head, Full::new(body.to_bytes()));
-    let received = clients.get(index)?.ask(request).await.ok()?;
+    let received = clients.get(index)?.send(request).await.ok()?;
     let mut response = Response::new(Full::new(received.body));
     *response.status_mut() = received.status;
     Some(response)
--- a/crates/testbed/src/scenario/fleet/ban.rs
+++ b/crates/testbed/src/scenario/fleet/ban.rs
@@ -74,7 +74,7 @@
     let last_attempt = queries::attempts(events, SERVER, banned_at, ends_at, &nodes)
         .last()
         .map_or(Duration::ZERO, |attempt| attempt.at - banned_at);
-    report.promise(last_attempt <= PROPAGATION_TIME + BAN_GRACE, || {
+    report.check(last_attempt <= PROPAGATION_TIME + BAN_GRACE, || {
         format!("a ban was kept by the last node after {last_attempt:?}")
     });
     let first_attempt_after = |node: &usize| {
@@ -88,7 +88,7 @@
         !queries::attempts(events, SERVER, observed_since, banned_at, &[**node]).is_empty()
     };
     let senders = nodes.iter().filter(sent_before).count();
-    report.promise(2 * resumed.len() >= senders, || {
+    report.check(2 * resumed.len() >= senders, || {
         format!("{} nodes of {senders} send again", resumed.len())
     });
     let milliseconds_after_ban = |at: Option<&Duration>| {
--- a/crates/testbed/src/scenario/fleet/mass_restart.rs
+++ b/crates/testbed/src/scenario/fleet/mass_restart.rs
@@ -38,7 +38,7 @@
     let events = fleet.history.events();
     let violations = invariants::violations(&events);
     for violation in violations.iter().take(REPORTED_VIOLATIONS) {
-        report.promise(false, || format!("killed: {violation}"));
+        report.check(false, || format!("killed: {violation}"));
     }
     let stats = VerdictStats::from_events(&events);
     Ok(json!({
--- a/crates/testbed/src/scenario/fleet/mod.rs
+++ b/crates/testbed/src/scenario/fleet/mod.rs
@@ -100,27 +100,27 @@
         let outcome = random_faults::run(program, &scale, seed, &mut report).await?;
         storms.push(json!({ "seed": seed, "came": outcome.figures() }));
     }
-    report.figure("storms", storms);
+    report.add_figure("storms", storms);
     let mass_restart = mass_restart::run(program, &scale, &mut report).await?;
-    report.figure("most_killed", mass_restart);
+    report.add_figure("most_killed", mass_restart);
     let ban = ban::run(program, &scale, &mut report).await?;
-    report.figure("ban", ban);
+    report.add_figure("ban", ban);
     report_silent_server(program, &scale, &mut report).await?;
     let failing = detection::of_failing_server(program, &scale).await?;
-    report.figure("evidence_to_last_ms", failing);
+    report.add_figure("evidence_to_last_ms", failing);
     let paused = detection::of_paused_server(program, &scale).await?;
-    report.figure("waits_to_last_ms", paused);
+    report.add_figure("waits_to_last_ms", paused);
     Ok(report)
 }
 
 async fn report_silent_server(program: &Program, scale: &Scale, report: &mut Report) -> Result<()> {
     let with = silent_server::run(program, scale, Some("")).await?;
     let without = silent_server::run(program, scale, None).await?;
-    report.figure(
+    report.add_figure(
         "silent_server",
         json!({ "with": with.figures(), "without": without.figures() }),
     );
     let ratio = with.attempts as f64 / without.attempts.max(1) as f64;
-    report.figure("silent_server_attempts_ratio", (ratio * 1e3).round() / 1e3);
+    report.add_figure("silent_server_attempts_ratio", (ratio * 1e3).round() / 1e3);
     Ok(())
 }
--- a/crates/testbed/src/scenario/fleet/random_faults.rs
+++ b/crates/testbed/src/scenario/fleet/random_faults.rs
@@ -25,11 +25,11 @@
     let steps = schedule::generate(seed, scale.nodes, scale.servers, scale.time);
     let outcome = schedule_run.execute(program, &steps).await?;
     for violation in outcome.violations.iter().take(REPORTED_VIOLATIONS) {
-        report.promise(false, || format!("seed {seed}: {violation}"));
+        report.check(false, || format!("seed {seed}: {violation}"));
     }
     let stats = VerdictStats::from_events(&outcome.history.events());
     let overrun = stats.ban_overruns.last().copied().unwrap_or_default();
-    report.promise(overrun <= SCHEDULING_SLACK, || {
+    report.check(overrun <= SCHEDULING_SLACK, || {
         format!("seed {seed}: a ban was in force {overrun:?} after its end")
     });
     Ok(outcome)
--- a/crates/testbed/src/scenario/fleet/silent_server.rs
+++ b/crates/testbed/src/scenario/fleet/silent_server.rs
@@ -54,11 +54,11 @@
     }
     let load = fleet.start_load(scale.rate, AT_MOST_ONCE_RATIO, SEED);
     tokio::time::sleep(WARM_UP).await;
-    fleet.servers[SERVER].behave(|manner| manner.frozen = true);
+    fleet.servers[SERVER].update_behavior(|behavior| behavior.is_frozen = true);
     let from = fleet.history.now();
     tokio::time::sleep(SILENCE).await;
     let to = fleet.history.now();
-    fleet.servers[SERVER].behave(|manner| manner.frozen = false);
+    fleet.servers[SERVER].update_behavior(|behavior| behavior.is_frozen = false);
     load.stop().await;
     let events = fleet.history.events();
     let nodes = scale.all_nodes();
--- a/crates/testbed/src/scenario/membership.rs
+++ b/crates/testbed/src/scenario/membership.rs
@@ -5,13 +5,13 @@
 //! request is answered once and in time. The command `scenario` and the tests call it.
 
 use super::Report;
-use crate::load::{self, Came};
+use crate::load::{self, LoadStats};
 use crate::membership::{node_settings, request_kind, RegisteredServer};
 use crate::node::Node;
-use crate::pool::{App, Done, End, Manner, Pool, Server};
+use crate::pool::{App, AppResponse, Completion, Pool, Server, ServerBehavior};
 use crate::registry::Registry;
 use crate::scripted::Program;
-use crate::{Draw, Result};
+use crate::{Result, SeededRng};
 use serde_json::{json, Value};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -92,11 +92,11 @@
 /// # Errors
 /// Fails if a stand-in or the node can't be started; a broken promise is no error.
 pub async fn run(program: &Program, scale: Scale) -> Result<Report> {
-    let pool = Pool::running(
+    let pool = Pool::start_with_app(
         "flags",
         scale.servers,
         SERVER_WORKERS,
-        Manner::good(SERVICE_TIME),
+        ServerBehavior::healthy(SERVICE_TIME),
         POOL_SEED,
         &counting_app(),
     )
@@ -155,11 +155,11 @@
     mut registered: Vec<RegisteredServer>,
     cycles: usize,
 ) {
-    let mut random = Draw(WAITS_SEED + pair as u64);
+    let mut random = SeededRng(WAITS_SEED + pair as u64);
     for cycle in 0..cycles {
         let turn = cycle % 2;
         let server = &shared.pool.servers[2 * pair + turn];
-        let wait = RANDOM_WAIT_SECONDS * random.fraction();
+        let wait = RANDOM_WAIT_SECONDS * random.next_fraction();
         tokio::time::sleep(Duration::from_secs_f64(wait)).await;
         if cycle % CYCLES_PER_REQUEST_WAIT == 0 {
             wait_for_request(server).await;
@@ -167,7 +167,7 @@
         registered[turn].expire_session(&shared.registry);
         let expired_at = Instant::now();
         tokio::time::sleep_until((expired_at + ABSENCE).into()).await;
-        let last_arrival = server.last_seen().map_or(Duration::ZERO, |at| {
+        let last_arrival = server.last_request_at().map_or(Duration::ZERO, |at| {
             at.saturating_duration_since(expired_at)
         });
         shared
@@ -183,14 +183,14 @@
 
 /// Waits until a server has received a request, but not for long.
 async fn wait_for_request(server: &Server) {
-    let seen_before = server.seen();
+    let seen_before = server.requests_received();
     let deadline = Instant::now() + REQUEST_WAIT;
-    while server.seen() == seen_before && Instant::now() < deadline {
+    while server.requests_received() == seen_before && Instant::now() < deadline {
         tokio::time::sleep(Duration::from_micros(200)).await;
     }
 }
 
-fn report(shared: &SharedState, outcomes: &[Came]) -> Report {
+fn report(shared: &SharedState, outcomes: &[LoadStats]) -> Report {
     let mut report = Report::default();
     let mut last_arrivals = shared
         .last_arrivals
@@ -199,27 +199,30 @@
         .clone();
     last_arrivals.sort_unstable();
     let late = last_arrivals.iter().filter(|after| **after > GRACE).count();
-    let duplicates = shared.pool.twice();
-    report.figure("kills", last_arrivals.len());
-    report.figure(
+    let duplicates = shared.pool.duplicate_effects();
+    report.add_figure("kills", last_arrivals.len());
+    report.add_figure(
         "from_the_news_to_the_last_request_ms",
         percentiles_ms(&last_arrivals),
     );
-    report.figure("requests_after_the_deadline", late);
-    report.figure("effects_twice_unsafe", duplicates);
+    report.add_figure("requests_after_the_deadline", late);
+    report.add_figure("effects_twice_unsafe", duplicates);
     for (outcome, service) in outcomes.iter().zip(SERVICES) {
-        report.figure(service, outcome.figures());
-        report.promise(outcome.lost == 0, || {
+        report.add_figure(service, outcome.figures());
+        report.check(outcome.lost == 0, || {
             format!("{service}: {} requests without an answer", outcome.lost)
         });
-        report.promise(outcome.served() >= SERVED_PERCENT, || {
-            format!("{service}: {:.2} % served in time", outcome.served())
+        report.check(outcome.in_time_percent() >= SERVED_PERCENT, || {
+            format!(
+                "{service}: {:.2} % served in time",
+                outcome.in_time_percent()
+            )
         });
     }
-    report.promise(late == 0, || {
+    report.check(late == 0, || {
         format!("{late} servers got new requests past the deadline")
     });
-    report.promise(duplicates == 0, || format!("{duplicates} effects twice"));
+    report.check(duplicates == 0, || format!("{duplicates} effects twice"));
     report
 }
 
@@ -244,16 +247,16 @@
             .and_then(|value| value.to_str().ok())
             .unwrap_or("")
             .to_owned();
-        let effects = if head.method == hyper::Method::POST {
+        let effect_ids = if head.method == hyper::Method::POST {
             vec![id.clone()]
         } else {
             vec![]
         };
-        Done {
-            effects,
+        AppResponse {
+            effect_ids,
             status: hyper::StatusCode::OK,
             body: id,
-            end: End::Manner,
+            completion: Completion::AsConfigured,
         }
     })
 }
--- a/crates/testbed/tests/reload.rs
+++ b/crates/testbed/tests/reload.rs
@@ -6,9 +6,9 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
-use reelfall_testbed::client::{Client, Got};
+use reelfall_testbed::client::{Client, ClientResponse};
 use reelfall_testbed::node::{Node, WAIT_TIMEOUT};
-use reelfall_testbed::pool::{Manner, Server};
+use reelfall_testbed::pool::{Server, ServerBehavior};
 use reelfall_testbed::scripted::{self, Program};
 use std::collections::HashSet;
 use std::fs::{File, OpenOptions};
@@ -24,7 +24,7 @@
 #[path = "../examples/reload/settings.rs"]
 mod settings;
 
-use settings::{Size, HEAD};
+use settings::{FileSize, HEAD};
 
 fn program() -> Program {
     Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"))
@@ -60,9 +60,14 @@
 }
 
 async fn good(name: &str) -> Server {
-    Server::start(name, 64, Manner::good(Duration::from_millis(1)), 1)
-        .await
-        .unwrap()
+    Server::start(
+        name,
+        64,
+        ServerBehavior::healthy(Duration::from_millis(1)),
+        1,
+    )
+    .await
+    .unwrap()
 }
 
 async fn start(settings: &str) -> Node {
@@ -71,12 +76,12 @@
     node
 }
 
-async fn get(client: &Client, host: &str, path: &str, id: &str) -> Got {
+async fn get(client: &Client, host: &str, path: &str, id: &str) -> ClientResponse {
     let request = Request::get(path)
         .header("host", host)
         .header("x-correlation-id", id);
     let request = request.body(Full::new(Bytes::new())).unwrap();
-    soon("an answer", client.ask(request))
+    soon("an answer", client.send(request))
         .await
         .expect("an answer")
 }
@@ -238,7 +243,7 @@
 }
 
 /// A file that takes the program of a test some time to check.
-const LARGE: Size = Size {
+const LARGE: FileSize = FileSize {
     services: 130,
     servers: 2500,
     routes: 3700,
@@ -260,7 +265,7 @@
     let asking = Asking::begin(
         node.address(),
         &settings::host(0),
-        settings::PATH,
+        settings::LOADED_PATH,
         "meanwhile",
     );
     for revision in 1..=2 {
@@ -374,15 +379,15 @@
 }
 
 /// A request that its server holds; its answer, once that comes.
-async fn held_request(node: &Node, server: &Server) -> JoinHandle<Got> {
-    server.behave(|manner| manner.frozen = true);
-    let (address, seen) = (node.address(), server.seen());
+async fn held_request(node: &Node, server: &Server) -> JoinHandle<ClientResponse> {
+    server.update_behavior(|manner| manner.is_frozen = true);
+    let (address, seen) = (node.address(), server.requests_received());
     let asking =
         tokio::spawn(
             async move { get(&Client::new(address), "a.example.org", "/api", "held").await },
         );
     let arrives = async {
-        while server.seen() == seen {
+        while server.requests_received() == seen {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
@@ -398,7 +403,7 @@
     let held = held_request(&node, &server).await;
     let _reading = Reading::begin(&node).await;
     node.signal("TERM").unwrap();
-    server.behave(|manner| manner.frozen = false);
+    server.update_behavior(|manner| manner.is_frozen = false);
     assert_eq!(soon("the answer", held).await.unwrap().status, 200);
     assert!(node.wait_for_exit().await.unwrap());
 }
@@ -423,7 +428,7 @@
     node.wait_for_log("is not taken in: the node is ending")
         .await
         .unwrap();
-    server.behave(|manner| manner.frozen = false);
+    server.update_behavior(|manner| manner.is_frozen = false);
     assert_eq!(soon("the answer", held).await.unwrap().status, 200);
     assert!(node.wait_for_exit().await.unwrap());
 }
