--- a/crates/emulator/src/cluster/invariants.rs
+++ b/crates/emulator/src/cluster/invariants.rs
@@ -101,7 +101,7 @@
             .for_each(|kind| self.record_violation(kind));
     }
 
-    /// Bans that have expired, and that a node still applies since it was not told.
+    /// Bans that have expired, and that a node still applies since it was not notified.
     fn unreported_expiries<'a>(&self, process: &'a Process) -> impl Iterator<Item = &'a Key> {
         let latest = process.local_time(self.now) - EXPIRY_TOLERANCE;
         let has_expired = move |key: &&Key| process.fleet.table().get(key, latest).is_none();
--- a/crates/emulator/src/control/membership/roster.rs
+++ b/crates/emulator/src/control/membership/roster.rs
@@ -57,7 +57,7 @@
 /// The random values of one node.
 #[derive(Clone, Copy)]
 pub(super) struct NodeSeed {
-    /// Tells processes of one name and number apart.
+    /// Distinguishes processes of one name and incarnation number.
     pub(super) incarnation_tag: u64,
     /// The seed of its random numbers.
     pub(super) seed: u64,
--- a/crates/emulator/src/control/restored.rs
+++ b/crates/emulator/src/control/restored.rs
@@ -1,7 +1,7 @@
 //! Authors, relays and nodes that are restored from their records outside of a network. The scale runs measure the memory
 //! that they take.
 //!
-//! The records themselves are not kept, unlike the disks of machines in a network ([`super::machine::Disk`]).
+//! The records themselves are not retained, unlike the disks of machines in a network ([`super::machine::Disk`]).
 
 use super::layout::{Layout, LayoutError};
 use super::resources::Resource;
