--- /dev/null
+++ b/crates/distribution/tests/staged_rollouts/author_failover.rs
@@ -0,0 +1,273 @@
+//! Authors that crash, restart, lose the lease or are succeeded during a rollout.
+
+use crate::fixture::{
+    assert_applied_on_all_nodes, default_policy, follow_both_relays, resource, revert_canary,
+    roll_out, rollout_draft, rollout_state, rollout_status, rollout_world, stage_changes,
+    take_over, Writer, FIRST_STAGE, FIRST_WRITER, LEASE_DURATION, NEW_BODY, PREVIOUS_BODY, RELAYS,
+    SECOND_WRITER, SOAK_TIME,
+};
+use crate::world::{hold, REJECTED_BY_ODD_NODES};
+use reelfall_distribution::output::Event;
+use reelfall_distribution::peer::PeerId;
+use reelfall_distribution::rollout::policy::RolloutPolicy;
+use reelfall_distribution::rollout::record::RolloutState;
+use reelfall_distribution::rollout::stage::AdvanceBlocker;
+
+/// The token of the next lease after that of [`FIRST_WRITER`].
+const SECOND_TOKEN: u64 = 2;
+
+#[test]
+fn author_restarted_between_stages_continues_the_rollout() {
+    let mut world = rollout_world(11, follow_both_relays);
+    roll_out(
+        &mut world,
+        FIRST_WRITER,
+        rollout_draft(NEW_BODY, default_policy()),
+    )
+    .unwrap();
+    world.run(SOAK_TIME + 10.0);
+    assert_eq!(
+        rollout_status(&world, FIRST_WRITER.author).thousandths,
+        Some(600)
+    );
+    world.kill(FIRST_WRITER.peer());
+    world.run(60.0);
+    assert_eq!(
+        stage_changes(&world).len(),
+        1,
+        "the rollout continued without a writer"
+    );
+    world.start(FIRST_WRITER.peer());
+    let restarted_at = world.now;
+    take_over(
+        &mut world,
+        Writer {
+            token: SECOND_TOKEN,
+            ..FIRST_WRITER
+        },
+    );
+    let resumed = Event::RolloutResumed {
+        name: resource(),
+        thousandths: 600,
+    };
+    assert!(world
+        .invariants
+        .events
+        .iter()
+        .any(|(_, _, event)| *event == resumed));
+    assert_eq!(
+        rollout_status(&world, FIRST_WRITER.author).waiting,
+        Some(AdvanceBlocker::Soak),
+        "the stage soaks again from its start"
+    );
+    world.run(150.0);
+    let next_stage_at = stage_changes(&world)[1].at;
+    assert!(next_stage_at - restarted_at >= SOAK_TIME, "{next_stage_at}");
+    assert_eq!(
+        rollout_state(&world, FIRST_WRITER.author),
+        RolloutState::Completed
+    );
+    assert_applied_on_all_nodes(&world, NEW_BODY);
+    world.invariants.verdict();
+}
+
+#[test]
+fn successor_continues_the_rollout_and_knows_the_rejecting_nodes() {
+    let mut world = rollout_world(12, follow_both_relays);
+    let tolerant = RolloutPolicy {
+        max_rejected_share: 800,
+        min_accepted_share: 200,
+        ..default_policy()
+    };
+    roll_out(
+        &mut world,
+        FIRST_WRITER,
+        rollout_draft(REJECTED_BY_ODD_NODES, tolerant),
+    )
+    .unwrap();
+    world.run(SOAK_TIME / 2.0);
+    let counts = rollout_status(&world, FIRST_WRITER.author).counts;
+    assert!(counts.rejected > 0);
+    let rejecting = rollout_status(&world, FIRST_WRITER.author).rejecting_nodes;
+    world.kill(FIRST_WRITER.peer());
+    take_over(&mut world, SECOND_WRITER);
+    assert_eq!(
+        rollout_status(&world, SECOND_WRITER.author).thousandths,
+        Some(FIRST_STAGE)
+    );
+    assert_eq!(
+        rollout_status(&world, SECOND_WRITER.author).rejecting_nodes,
+        rejecting
+    );
+    world.run(200.0);
+    assert_eq!(
+        rollout_state(&world, SECOND_WRITER.author),
+        RolloutState::Completed
+    );
+    world.invariants.verdict();
+}
+
+/// An author that loses the lease and acquires it again retains the acknowledged versions, but not the rejections.
+#[test]
+fn acknowledgements_of_an_earlier_lease_do_not_count_as_acceptances() {
+    let mut world = rollout_world(22, follow_both_relays);
+    let tolerant = RolloutPolicy {
+        max_rejected_share: 800,
+        min_accepted_share: 200,
+        soak_time: 300.0,
+        ..default_policy()
+    };
+    roll_out(
+        &mut world,
+        FIRST_WRITER,
+        rollout_draft(REJECTED_BY_ODD_NODES, tolerant),
+    )
+    .unwrap();
+    world.run(20.0);
+    assert!(rollout_status(&world, FIRST_WRITER.author).counts.accepted > 0);
+    world.with_author(FIRST_WRITER.author, |author, now, outputs| {
+        author.stand_down(now, outputs)
+    });
+    for relay in RELAYS {
+        world.cut(FIRST_WRITER.peer(), PeerId(relay), 100.0);
+    }
+    hold(
+        &mut world,
+        FIRST_WRITER.author,
+        SECOND_TOKEN,
+        LEASE_DURATION,
+    );
+    world.run(30.0);
+    let counts = rollout_status(&world, FIRST_WRITER.author).counts;
+    assert!(world.author_of(FIRST_WRITER.author).is_writing() && counts.known > 0);
+    assert_eq!(
+        (counts.accepted, counts.rejected),
+        (0, 0),
+        "no report was received under the new lease"
+    );
+}
+
+/// An author is partitioned during its rollout; the decision of its successor prevails.
+#[test]
+fn author_with_an_older_token_cannot_roll_out() {
+    let mut world = rollout_world(14, follow_both_relays);
+    roll_out(
+        &mut world,
+        FIRST_WRITER,
+        rollout_draft(NEW_BODY, default_policy()),
+    )
+    .unwrap();
+    world.run(SOAK_TIME / 2.0);
+    for relay in RELAYS {
+        world.cut(FIRST_WRITER.peer(), PeerId(relay), 200.0);
+    }
+    world.run(5.0);
+    hold(
+        &mut world,
+        SECOND_WRITER.author,
+        SECOND_WRITER.token,
+        LEASE_DURATION,
+    );
+    world.run(15.0);
+    revert_canary(&mut world, SECOND_WRITER);
+    world.run(100.0);
+    // It still counts on its lease, and had received reports of all of its first stage.
+    assert!(world.author_of(FIRST_WRITER.author).is_writing());
+    world.run(200.0);
+    assert!(
+        !world.author_of(FIRST_WRITER.author).is_writing()
+            || rollout_status(&world, FIRST_WRITER.author).record.state != RolloutState::Completed
+    );
+    assert_eq!(
+        rollout_state(&world, SECOND_WRITER.author),
+        RolloutState::Ended
+    );
+    assert_applied_on_all_nodes(&world, PREVIOUS_BODY);
+    assert!(roll_out(
+        &mut world,
+        FIRST_WRITER,
+        rollout_draft(NEW_BODY, default_policy())
+    )
+    .is_err());
+    world.run(60.0);
+    assert_applied_on_all_nodes(&world, PREVIOUS_BODY);
+    world.invariants.verdict();
+}
+
+/// The author crashes after each output of a rollback and of a completion. Its successor, or itself after a restart,
+/// brings all nodes to one content and reports how the rollout ended.
+#[test]
+fn author_crash_after_any_output_preserves_the_rollout_outcome() {
+    for body in [REJECTED_BY_ODD_NODES, NEW_BODY] {
+        for outputs_before_crash in 0..12 {
+            for successor in [FIRST_WRITER.author, SECOND_WRITER.author] {
+                crash_at_end_of_rollout(CrashCase {
+                    body,
+                    outputs_before_crash,
+                    successor,
+                });
+            }
+        }
+    }
+}
+
+/// A crash of the first author while its rollout ends.
+#[derive(Clone, Copy, Debug)]
+struct CrashCase {
+    body: &'static [u8],
+    outputs_before_crash: usize,
+    successor: u32,
+}
+
+fn crash_at_end_of_rollout(case: CrashCase) {
+    let CrashCase {
+        body,
+        outputs_before_crash,
+        successor,
+    } = case;
+    let mut world = rollout_world(18, follow_both_relays);
+    let single_stage = RolloutPolicy {
+        stages: vec![1000],
+        ..default_policy()
+    };
+    let is_accepted = body == NEW_BODY;
+    roll_out(&mut world, FIRST_WRITER, rollout_draft(body, single_stage)).unwrap();
+    if is_accepted {
+        world.run(SOAK_TIME - 0.1);
+    }
+    // No acknowledgement is due then, so the next outputs are those of the rollout's end.
+    while rollout_state(&world, FIRST_WRITER.author) == RolloutState::Running {
+        assert!(world.processes[&FIRST_WRITER.peer()].machine.is_some());
+        world.kill_after(FIRST_WRITER.peer(), outputs_before_crash);
+        world.run(0.02);
+        if world.processes[&FIRST_WRITER.peer()].machine.is_none() {
+            break;
+        }
+    }
+    world.kill(FIRST_WRITER.peer());
+    if successor == FIRST_WRITER.author {
+        world.start(FIRST_WRITER.peer());
+    }
+    world.run(20.0);
+    take_over(
+        &mut world,
+        Writer {
+            author: successor,
+            token: SECOND_TOKEN,
+        },
+    );
+    world.run(150.0);
+    let ended = rollout_state(&world, successor);
+    assert!(!ended.is_open(), "{case:?}: {ended:?}");
+    let expected = if ended == RolloutState::Completed {
+        body
+    } else {
+        PREVIOUS_BODY
+    };
+    assert!(
+        is_accepted || ended != RolloutState::Completed,
+        "{case:?}: {ended:?}"
+    );
+    assert_applied_on_all_nodes(&world, expected);
+    world.invariants.verdict();
+}
--- /dev/null
+++ b/crates/distribution/tests/staged_rollouts/limits.rs
@@ -0,0 +1,181 @@
+//! Rollouts that are invalid, and the bounds on open rollouts and their records.
+
+use crate::fixture::{
+    default_policy, follow_both_relays, resource, roll_out, rollout_draft, rollout_world, Writer,
+    FIRST_WRITER, NEW_BODY, SECOND_WRITER, SOAK_TIME,
+};
+use crate::world::{claim, World};
+use reelfall_distribution::author::RolloutDraft;
+use reelfall_distribution::publish::{PublishError, MAX_OPEN_ROLLOUTS};
+use reelfall_distribution::resource::{Content, Draft, Name, Selector};
+use reelfall_distribution::rollout::policy::{InvalidPolicy, RolloutPolicy};
+use reelfall_distribution::rollout::record::RolloutRecord;
+use reelfall_distribution::subscriber::ACKNOWLEDGEMENT_REFRESH_INTERVAL;
+
+/// Records of ended rollouts that an author retains.
+const MAX_RETAINED_RECORDS: usize = 64;
+
+#[test]
+fn rollout_records_match_no_selector_of_a_node() {
+    let group = RolloutRecord::key_of(&resource()).name.group;
+    for selector in [
+        Selector::Services,
+        Selector::common(),
+        Selector::service("a"),
+        Selector::tenant("t"),
+    ] {
+        assert!(!selector.matches(&group), "{selector:?}");
+    }
+    assert!(Selector::Everything.matches(&group));
+}
+
+#[test]
+fn open_rollouts_and_retained_records_are_bounded() {
+    let mut world = rollout_world(20, follow_both_relays);
+    let numbered_draft = |index: usize| RolloutDraft {
+        name: Name::service("a", &format!("n{index}")),
+        ..rollout_draft(NEW_BODY, default_policy())
+    };
+    for index in 0..MAX_OPEN_ROLLOUTS {
+        roll_out(&mut world, FIRST_WRITER, numbered_draft(index)).unwrap();
+    }
+    assert_eq!(
+        roll_out(&mut world, FIRST_WRITER, numbered_draft(MAX_OPEN_ROLLOUTS)),
+        Err(PublishError::TooManyRollouts)
+    );
+    world.run(100.0);
+    for index in MAX_OPEN_ROLLOUTS..100 {
+        roll_out(&mut world, FIRST_WRITER, numbered_draft(index)).unwrap();
+        let drafts = vec![Draft::put(numbered_draft(index).name, b"other")];
+        world.with_author(FIRST_WRITER.author, |author, now, outputs| {
+            author.publish(now, &claim(FIRST_WRITER.token), drafts, outputs)
+        });
+    }
+    let retained = (0..100)
+        .filter(|index| {
+            let name = numbered_draft(*index).name;
+            world
+                .author_of(FIRST_WRITER.author)
+                .rollout(&name)
+                .is_some()
+        })
+        .count();
+    assert_eq!(retained, MAX_RETAINED_RECORDS);
+}
+
+/// The default policy after this change is rejected for this reason.
+fn assert_invalid_policy(
+    world: &mut World,
+    change: impl FnOnce(&mut RolloutPolicy),
+    reason: InvalidPolicy,
+) {
+    let mut policy = default_policy();
+    change(&mut policy);
+    assert_rejected(world, rollout_draft(NEW_BODY, policy), reason.into());
+}
+
+fn assert_rejected(world: &mut World, draft: RolloutDraft, reason: PublishError) {
+    assert_eq!(roll_out(world, FIRST_WRITER, draft), Err(reason));
+}
+
+#[test]
+fn policies_with_invalid_stages_are_rejected() {
+    let mut world = rollout_world(19, follow_both_relays);
+    let mut assert_invalid_stages = |stages: Vec<u16>| {
+        assert_invalid_policy(
+            &mut world,
+            |policy| policy.stages = stages,
+            InvalidPolicy::Stages,
+        );
+    };
+    assert_invalid_stages(vec![]);
+    assert_invalid_stages(vec![0, 1000]);
+    assert_invalid_stages(vec![500, 400, 1000]);
+    assert_invalid_stages(vec![500]);
+    assert_invalid_stages((984..=1000).collect());
+}
+
+#[test]
+fn policies_with_invalid_thresholds_are_rejected() {
+    let mut world = rollout_world(19, follow_both_relays);
+    assert_invalid_policy(
+        &mut world,
+        |policy| policy.max_rejected_share = 1001,
+        InvalidPolicy::Share,
+    );
+    assert_invalid_policy(
+        &mut world,
+        |policy| policy.min_accepted_share = 1001,
+        InvalidPolicy::Share,
+    );
+    assert_invalid_policy(
+        &mut world,
+        |policy| policy.min_decisions = 0,
+        InvalidPolicy::Decisions,
+    );
+}
+
+#[test]
+fn policies_with_invalid_times_are_rejected() {
+    let mut world = rollout_world(19, follow_both_relays);
+    for soak_time in [-1.0, f64::NAN] {
+        assert_invalid_policy(
+            &mut world,
+            |policy| policy.soak_time = soak_time,
+            InvalidPolicy::Soak,
+        );
+    }
+    for decision_time in [SOAK_TIME + 1.0, f64::NAN] {
+        assert_invalid_policy(
+            &mut world,
+            |policy| policy.decision_time = decision_time,
+            InvalidPolicy::DecisionTime,
+        );
+    }
+    for max_report_age in [60.0, f64::NAN, ACKNOWLEDGEMENT_REFRESH_INTERVAL] {
+        assert_invalid_policy(
+            &mut world,
+            |policy| policy.max_report_age = max_report_age,
+            InvalidPolicy::ReportAge,
+        );
+    }
+}
+
+#[test]
+fn rollouts_of_removals_and_reserved_names_are_rejected() {
+    let mut world = rollout_world(19, follow_both_relays);
+    let removal = RolloutDraft {
+        content: Content::Removed,
+        ..rollout_draft(NEW_BODY, default_policy())
+    };
+    assert_rejected(&mut world, removal, InvalidPolicy::Removal.into());
+    let record = RolloutRecord::key_of(&resource()).name;
+    let reserved = PublishError::Reserved(Box::new(record.clone()));
+    let rollout_of_record = RolloutDraft {
+        name: record.clone(),
+        ..rollout_draft(NEW_BODY, default_policy())
+    };
+    assert_rejected(&mut world, rollout_of_record, reserved.clone());
+    let drafts = vec![Draft::put(record, b"")];
+    let published = world.with_author(FIRST_WRITER.author, |author, now, outputs| {
+        author.publish(now, &claim(FIRST_WRITER.token), drafts, outputs)
+    });
+    assert_eq!(published, Some(Err(reserved)));
+}
+
+#[test]
+fn author_without_the_lease_cannot_roll_out() {
+    let mut world = rollout_world(19, follow_both_relays);
+    let author_without_lease = Writer {
+        token: FIRST_WRITER.token,
+        ..SECOND_WRITER
+    };
+    assert_eq!(
+        roll_out(
+            &mut world,
+            author_without_lease,
+            rollout_draft(NEW_BODY, default_policy())
+        ),
+        Err(PublishError::LeaseNotHeld)
+    );
+}
