--- a/crates/distribution/tests/any_bytes.rs
+++ b/crates/distribution/tests/any_bytes.rs
@@ -1,111 +1,31 @@
-//! Bytes of any kind and payloads in any order: no machine panics.
+//! Arbitrary bytes, and payloads in any order: no state machine panics.
 
 mod world;
 
 use proptest::prelude::*;
 use reelfall_distribution::author::{Author, AuthorConfig};
-use reelfall_distribution::coverage::{Coverage, Span};
+use reelfall_distribution::coverage::Coverage;
 use reelfall_distribution::downstream_config::DownstreamConfig;
 use reelfall_distribution::epoch::Epoch;
-use reelfall_distribution::log::Capacity;
-use reelfall_distribution::message::{decode, encode, Chunk, Head, Payload, Subscribe};
+use reelfall_distribution::message::{decode, encode, Head, Payload, Subscribe};
 use reelfall_distribution::output::Output;
 use reelfall_distribution::peer::PeerId;
-use reelfall_distribution::relay::{Relay, RelayConfig};
-use reelfall_distribution::resource::{
-    Change, Content, ContentHash, Key, Name, NodeFraction, Selector, Slot, Urgency, Version,
-};
+use reelfall_distribution::resource::{ContentHash, Name, Selector, Version};
 use reelfall_distribution::session_end::CloseReason;
-use reelfall_distribution::subscriber::{Subscriber, SubscriberConfig};
 use reelfall_distribution::upstream_config::UpstreamConfig;
+use world::payloads::{
+    change, chunk_payload, relay, span_through, subscriber, version, CAPACITY, RELAY_UPSTREAM,
+};
 use world::{claim, lease};
 
 const RELAY: PeerId = PeerId(20);
-const ROOM: Capacity = Capacity {
-    max_keys: 1000,
-    max_bytes: 1 << 20,
-    max_tombstones: 10,
-};
-
-fn node() -> Subscriber {
-    let follow = UpstreamConfig::node(vec![RELAY]);
-    let lease = lease();
-    let node = PeerId(100);
-    let config = SubscriberConfig {
-        node,
-        lease,
-        upstream: follow,
-        capacity: ROOM,
-        acknowledgement_interval: 2.0,
-        seed: 1,
-    };
-    let mut node = Subscriber::new(config, 0.0);
-    node.subscribe(Selector::service("a")).unwrap();
-    node
-}
+/// The first relay of the author.
+const AUTHOR_RELAY: PeerId = PeerId(10);
+/// What chunks are parts of.
+const BODY: &[u8] = b"123456789";
 
-fn relay() -> Relay {
-    let follow = UpstreamConfig::relay(vec![PeerId(1)]);
-    let serve = DownstreamConfig::default();
-    Relay::new(
-        RelayConfig {
-            lease: lease(),
-            upstream: follow,
-            downstream: serve,
-            capacity: ROOM,
-            seed: 1,
-        },
-        0.0,
-    )
-}
-
-fn version(sequence: u64) -> Version {
-    Version { token: 1, sequence }
-}
-
-fn span(upto: u64) -> Span {
-    Span {
-        after: Version::ZERO,
-        through: version(upto),
-    }
-}
-
-fn key() -> Key {
-    Key {
-        name: Name::service("a", "x"),
-        slot: Slot::Stable,
-    }
-}
-
-fn change(sequence: u64) -> Change {
-    Change {
-        key: key(),
-        version: version(sequence),
-        urgency: Urgency::Normal,
-        fraction: NodeFraction::ALL,
-        replaces: Version::ZERO,
-        content: Content::body(b"one"),
-    }
-}
-
-fn chunk(offset: u32, total: u32, bytes: &[u8]) -> Payload {
-    let chunk = Chunk {
-        key: key(),
-        version: version(3),
-        urgency: Urgency::Normal,
-        is_urgent: false,
-        fraction: NodeFraction::ALL,
-        replaces: Version::ZERO,
-        total,
-        hash: ContentHash::of(b"123456789"),
-        offset,
-        bytes: bytes.to_vec(),
-    };
-    Payload::Chunk {
-        id: 0,
-        span: span(3),
-        chunk,
-    }
+fn name() -> Name {
+    Name::service("a", "x")
 }
 
 fn subscribe(id: u32, coverage: Coverage) -> Payload {
@@ -127,15 +47,16 @@
         numbers.prop_map(|(id, upto, _)| subscribe(id, Coverage::up_to(version(upto)))),
         prop::collection::vec(0..3u32, 0..3).prop_map(Payload::Unsubscribe),
         (0..3u32, 0..9u64, 0..9u64).prop_map(|(id, upto, at)| {
-            let changes = vec![change(at)];
+            let changes = vec![change(name(), at, b"one")];
             Payload::Changes {
                 id,
-                span: span(upto),
+                span: span_through(upto),
                 changes,
             }
         }),
-        (0..9u32, 0..9u32, 0..9usize)
-            .prop_map(|(offset, total, length)| { chunk(offset, total, &b"123456789"[..length]) }),
+        (0..9u32, 0..9u32, 0..9usize).prop_map(|(offset, total, length)| {
+            chunk_payload(offset, total, &BODY[..length], ContentHash::of(BODY))
+        }),
         (0..3u32, any::<bool>(), any::<bool>(), 0..9u64).prop_map(|(id, first, last, floor)| {
             Payload::Manifest {
                 id,
@@ -165,21 +86,16 @@
 }
 
 fn author() -> Author {
-    let follow = UpstreamConfig::relay(vec![PeerId(10)]);
-    let serve = DownstreamConfig::default();
-    let lease = lease();
-    let mut author = Author::new(
-        AuthorConfig {
-            lease,
-            upstream: follow,
-            downstream: serve,
-            capacity: ROOM,
-            history_bytes: 1000,
-            takeover_timeout: 0.0,
-            seed: 1,
-        },
-        0.0,
-    );
+    let config = AuthorConfig {
+        lease: lease(),
+        upstream: UpstreamConfig::relay(vec![AUTHOR_RELAY]),
+        downstream: DownstreamConfig::default(),
+        capacity: CAPACITY,
+        history_bytes: 1000,
+        takeover_timeout: 0.0,
+        seed: 1,
+    };
+    let mut author = Author::new(config, 0.0);
     author
         .hold_lease(0.0, &claim(1), 1e9, &mut Vec::new())
         .unwrap();
@@ -189,22 +105,22 @@
 
 proptest! {
     #[test]
-    fn no_bytes_make_a_machine_panic(frames in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..300), 0..20)) {
-        let (mut node, mut relay, mut author) = (node(), relay(), author());
+    fn arbitrary_bytes_do_not_panic(frames in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..300), 0..20)) {
+        let (mut node, mut relay, mut author) = (subscriber(vec![RELAY]), relay(DownstreamConfig::default()), author());
         let mut outputs = Vec::new();
         for (n, frame) in frames.iter().enumerate() {
             let now = n as f64;
             node.receive(now, RELAY, frame, &mut outputs);
-            relay.receive(now, PeerId(1), frame, &mut outputs);
-            author.receive(now, PeerId(10), frame, &mut outputs);
+            relay.receive(now, RELAY_UPSTREAM, frame, &mut outputs);
+            author.receive(now, AUTHOR_RELAY, frame, &mut outputs);
         }
     }
 
     #[test]
-    fn no_order_of_payloads_makes_a_machine_panic(
+    fn arbitrary_payload_sequences_do_not_panic(
         script in prop::collection::vec((payloads(), 0..4u64, 0..4u64, any::<u64>(), any::<bool>()), 0..40),
     ) {
-        let (mut node, mut relay, mut author) = (node(), relay(), author());
+        let (mut node, mut relay, mut author) = (subscriber(vec![RELAY]), relay(DownstreamConfig::default()), author());
         let mut outputs = Vec::new();
         for (n, (payload, number, acknowledged, stamp_us, up)) in script.into_iter().enumerate() {
             let now = n as f64 / 2.0;
@@ -215,7 +131,7 @@
             let session = sessions.last().copied().unwrap_or(7);
             let head = Head { session, from_child: up, number, acknowledged, sent_at_us: stamp_us, echo: None };
             let frame = encode(&head, &payload);
-            for peer in [PeerId(1), PeerId(10), RELAY] {
+            for peer in [RELAY_UPSTREAM, AUTHOR_RELAY, RELAY] {
                 node.receive(now, peer, &frame, &mut outputs);
                 relay.receive(now, peer, &frame, &mut outputs);
                 author.receive(now, peer, &frame, &mut outputs);
--- a/crates/distribution/tests/world/mod.rs
+++ b/crates/distribution/tests/world/mod.rs
@@ -4,6 +4,7 @@
 #![allow(dead_code)]
 
 pub mod judge;
+pub mod payloads;
 mod view;
 
 use judge::InvariantChecker;
