--- /dev/null
+++ b/crates/distribution/tests/schedules/checks.rs
@@ -0,0 +1,134 @@
+//! What must hold at the end of a schedule: no session was closed for a violation, all nodes have converged, and no change
+//! of a single author is lost.
+
+use crate::schedule::{selectors_of, Schedule, ITEMS_PER_GROUP};
+use crate::world::{Config, REJECTED_BY_ODD_NODES};
+use reelfall_distribution::author::Author;
+use reelfall_distribution::output::Event;
+use reelfall_distribution::peer::PeerId;
+use reelfall_distribution::resource::{Key, Name, Slot};
+use reelfall_distribution::session_end::CloseReason;
+use reelfall_distribution::Time;
+
+/// The most that a node shows as the age of its configuration once all nodes have converged, in seconds.
+const MAX_STALENESS: Time = 15.0;
+/// Bytes of a body that failed assertions show; random bodies differ in them.
+const COMPARED_BYTES: usize = 9;
+
+impl Schedule {
+    pub fn check(&self) {
+        self.world.invariants.verdict();
+        self.check_close_reasons();
+        let holder = self.lease_holder.unwrap();
+        assert!(
+            self.world.author_of(holder).is_writing(),
+            "no author is writing"
+        );
+        let nodes = self.world.ids(|config| matches!(config, Config::Node(..)));
+        for id in nodes {
+            self.check_node(id, holder);
+        }
+        if self.authors.len() == 1 {
+            self.check_nothing_lost(holder);
+        }
+    }
+
+    fn check_close_reasons(&self) {
+        for (at, id, event) in &self.world.invariants.events {
+            let (Event::Left { reason, .. } | Event::ChildLost { reason, .. }) = event else {
+                continue;
+            };
+            let is_violation = matches!(
+                reason,
+                CloseReason::ProtocolViolation | CloseReason::RateExceeded
+            );
+            assert!(
+                !is_violation,
+                "{at}: {id:?} closed the session of a valid peer: {event:?}"
+            );
+        }
+    }
+
+    fn check_node(&self, id: PeerId, holder: u32) {
+        let author = self.world.author_of(holder);
+        let node = self.world.node_of(id.0);
+        assert_eq!(
+            node.head(),
+            author.head(),
+            "{id:?} follows {:?}",
+            node.following()
+        );
+        let process = &self.world.processes[&id];
+        assert!(
+            node.staleness(process.clock(self.world.now)) < MAX_STALENESS,
+            "{id:?} is stale"
+        );
+        for item in 0..ITEMS_PER_GROUP {
+            let item = format!("r{item}");
+            let names = [
+                Name::common(&item),
+                Name::service("a", &item),
+                Name::service("b", &item),
+            ];
+            for name in names {
+                self.check_applied(id, author, &name);
+            }
+        }
+    }
+
+    fn check_applied(&self, id: PeerId, author: &Author, name: &Name) {
+        let is_subscribed = selectors_of(id.0)
+            .iter()
+            .any(|selector| selector.matches(&name.group));
+        let expected = if is_subscribed {
+            expected_body(author, id, name)
+        } else {
+            None
+        };
+        let is_rejected = expected
+            .as_ref()
+            .is_some_and(|body| id.0 % 2 == 1 && body.starts_with(REJECTED_BY_ODD_NODES));
+        if is_rejected {
+            return;
+        }
+        let applied = self.world.bytes_at(id.0, name);
+        assert_eq!(prefix(&applied), prefix(&expected), "{id:?} {name:?}");
+    }
+
+    fn check_nothing_lost(&self, holder: u32) {
+        let author = self.world.author_of(holder);
+        for (name, body) in &self.last_published {
+            assert_eq!(stable_body(author, name), *body, "{name:?} was lost");
+        }
+    }
+}
+
+fn prefix(body: &Option<Vec<u8>>) -> Option<&[u8]> {
+    body.as_ref()
+        .map(|body| &body[..body.len().min(COMPARED_BYTES)])
+}
+
+/// The content for all nodes at an author.
+pub fn stable_body(author: &Author, name: &Name) -> Option<Vec<u8>> {
+    let stable = author.log().get(&Key {
+        name: name.clone(),
+        slot: Slot::Stable,
+    })?;
+    (!stable.is_removal()).then(|| stable.content.bytes().to_vec())
+}
+
+/// What a node is to apply, by the log of an author.
+pub fn expected_body(author: &Author, node: PeerId, name: &Name) -> Option<Vec<u8>> {
+    let change_in = |slot| {
+        author.log().get(&Key {
+            name: name.clone(),
+            slot,
+        })
+    };
+    let stable = change_in(Slot::Stable);
+    let canary = change_in(Slot::Canary)
+        .filter(|canary| !canary.is_removal() && canary.fraction.contains(node))
+        .filter(|canary| stable.is_none_or(|stable| stable.version < canary.version));
+    let change = canary.or(stable).filter(|change| !change.is_removal())?;
+    Some(change.content.bytes().to_vec())
+}
