--- a/crates/distribution/tests/cases_behind.rs
+++ b/crates/distribution/tests/cases_behind.rs
@@ -10,7 +10,7 @@
 use reelfall_distribution::resource::{Draft, Key, Name, Selector, Version};
 use reelfall_distribution::Time;
 use std::collections::BTreeMap;
-use world::{claim, Network, World};
+use world::{claim, DelayRange, Network, SentFrame, World};
 
 const AUTHOR: u32 = 1;
 const FIRST_RELAY: u32 = 10;
@@ -18,8 +18,11 @@
 /// One frame of 16 KB in a round trip: about 125,000 bytes a second.
 const FAR: Network = Network {
     loss: 0.0,
-    twice: 0.0,
-    delay: (0.05, 0.055),
+    duplication: 0.0,
+    delay: DelayRange {
+        min: 0.05,
+        max: 0.055,
+    },
 };
 /// More than a coverage has spans.
 const BATCHES: usize = 130;
@@ -35,9 +38,9 @@
 /// An author that writes, a relay that follows it, and one that follows that relay.
 fn chain(seed: u64) -> World {
     let mut world = World::new(seed, FAR);
-    world.author(AUTHOR, &[FIRST_RELAY]);
-    world.relay(FIRST_RELAY, &[AUTHOR]);
-    world.relay(REGION_RELAY, &[FIRST_RELAY]);
+    world.add_author(AUTHOR, &[FIRST_RELAY]);
+    world.add_relay(FIRST_RELAY, &[AUTHOR]);
+    world.add_relay(REGION_RELAY, &[FIRST_RELAY]);
     let until = world.processes[&PeerId(AUTHOR)].clock(1e6);
     let held = world.with_author(AUTHOR, |author, now, outputs| {
         author.hold_lease(now, &claim(1), until, outputs)
@@ -71,9 +74,13 @@
 }
 
 fn bytes_between(world: &World, from: u32, to: u32) -> usize {
-    let pair =
-        |sent: &&(Time, PeerId, PeerId, usize)| sent.1 == PeerId(from) && sent.2 == PeerId(to);
-    world.sent.iter().filter(pair).map(|sent| sent.3).sum()
+    let pair = |sent: &&SentFrame| sent.from == PeerId(from) && sent.to == PeerId(to);
+    world
+        .sent_frames
+        .iter()
+        .filter(pair)
+        .map(|sent| sent.bytes)
+        .sum()
 }
 
 #[test]
@@ -173,7 +180,7 @@
         world.relay_of(REGION_RELAY).log().len(),
         LISTED_KEYS as usize
     );
-    world.cut(PeerId(AUTHOR), PeerId(FIRST_RELAY), 5.0);
+    world.partition(PeerId(AUTHOR), PeerId(FIRST_RELAY), 5.0);
     // More than the author keeps.
     publish(
         &mut world,
@@ -204,8 +211,8 @@
     );
     world.run(30.0);
     let newcomers = [REGION_RELAY + 1, NODE].map(PeerId);
-    world.relay(REGION_RELAY + 1, &[FIRST_RELAY]);
-    world.node(NODE, &[FIRST_RELAY], &[Selector::Services]);
+    world.add_relay(REGION_RELAY + 1, &[FIRST_RELAY]);
+    world.add_node(NODE, &[FIRST_RELAY], &[Selector::Services]);
     for newcomer in newcomers {
         while !world.processes[&newcomer]
             .disk
@@ -295,8 +302,8 @@
 fn play_drawn_batches(seed: u64) {
     const RELAYS: [u32; 3] = [FIRST_RELAY, FIRST_RELAY + 1, REGION_RELAY];
     let mut world = chain(seed);
-    world.relay(RELAYS[1], &[AUTHOR]);
-    world.relay(RELAYS[2], &RELAYS[..2]);
+    world.add_relay(RELAYS[1], &[AUTHOR]);
+    world.add_relay(RELAYS[2], &RELAYS[..2]);
     world.run(10.0);
     world.network.loss = 0.02;
     let mut last = Version::ZERO;
--- a/crates/distribution/tests/cases_changes.rs
+++ b/crates/distribution/tests/cases_changes.rs
@@ -6,8 +6,10 @@
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::publish::PublishError;
 use reelfall_distribution::resource::{Draft, Name, NodeFraction, Selector, Version};
-use reelfall_distribution::Time;
-use world::{claim, hold, name, put, two_authors_and_relays, World, REJECTED_BY_ODD_NODES};
+use world::{
+    claim, grant_lease, name, put, two_authors_and_relays, RecordedEvent, World,
+    REJECTED_BY_ODD_NODES,
+};
 
 const NODES: std::ops::Range<u32> = 100..106;
 
@@ -16,9 +18,9 @@
     let mut world = two_authors_and_relays(seed);
     for id in NODES {
         let selectors = [Selector::common(), Selector::service("a")];
-        world.node(id, &[10, 11], &selectors);
+        world.add_node(id, &[10, 11], &selectors);
     }
-    hold(&mut world, 1, 1, 1e6);
+    grant_lease(&mut world, 1, 1, 1e6);
     world.run(90.0);
     world
 }
@@ -84,7 +86,7 @@
             back
         );
     }
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 #[test]
@@ -116,7 +118,7 @@
     );
     world.run(40.0);
     assert!(NODES.into_iter().all(|id| later(id, &world)));
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 #[test]
@@ -152,7 +154,7 @@
 #[test]
 fn a_burst_to_one_resource_sends_the_last_alone() {
     let mut world = tree(4);
-    let before = world.sent.len();
+    let before = world.sent_frames.len();
     for n in 0..500u32 {
         publish(&mut world, 1, 1, vec![put("x", &[n as u8; 1000])]).unwrap();
     }
@@ -160,11 +162,7 @@
     for id in NODES {
         assert_eq!(world.bytes_at(id, &name("x")).unwrap(), [243; 1000]);
     }
-    let to_node: usize = world.sent[before..]
-        .iter()
-        .filter(|s| s.2 == PeerId(100))
-        .map(|s| s.3)
-        .sum();
+    let to_node: usize = world.bytes_sent_to(PeerId(100), before);
     assert!(to_node < 8000, "{to_node} bytes");
 }
 
@@ -186,7 +184,7 @@
         "the budget was not used: {}",
         world.invariants.max_window_bytes
     );
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 #[test]
@@ -195,9 +193,9 @@
     publish(&mut world, 1, 1, vec![put("x", b"one")]).unwrap();
     world.run(10.0);
     // The second takes the lease while the first still believes that it has it, and all relays have gone over.
-    hold(&mut world, 2, 2, 1e6);
+    grant_lease(&mut world, 2, 2, 1e6);
     for relay in [10, 11] {
-        world.cut(PeerId(1), PeerId(relay), 60.0);
+        world.partition(PeerId(1), PeerId(relay), 60.0);
     }
     world.run(60.0);
     let two = publish(&mut world, 2, 2, vec![put("x", b"two")]).unwrap();
@@ -209,11 +207,11 @@
     );
     publish(&mut world, 1, 1, vec![put("x", b"late")]).unwrap();
     for relay in [10, 11] {
-        world.cut(PeerId(2), PeerId(relay), 30.0);
+        world.partition(PeerId(2), PeerId(relay), 30.0);
     }
     world.run(120.0);
-    let fenced = |event: &(Time, PeerId, Event)| {
-        event.1 == PeerId(1) && matches!(event.2, Event::Fenced { .. })
+    let fenced = |recorded: &RecordedEvent| {
+        recorded.process == PeerId(1) && matches!(recorded.event, Event::Fenced { .. })
     };
     assert!(
         world.invariants.events.iter().any(fenced),
@@ -225,9 +223,9 @@
     for id in NODES {
         assert_eq!(world.bytes_at(id, &name("x")).unwrap(), b"two");
     }
-    let orphaned = |event: &(Time, PeerId, Event)| {
-        event.1 == PeerId(1)
-            && matches!(&event.2, Event::Orphaned { key, .. } if key.name == name("x"))
+    let orphaned = |recorded: &RecordedEvent| {
+        recorded.process == PeerId(1)
+            && matches!(&recorded.event, Event::Orphaned { key, .. } if key.name == name("x"))
     };
     assert!(
         world.invariants.events.iter().any(orphaned),
@@ -249,7 +247,7 @@
     let cut = 100.0;
     for far in [2, far_relay] {
         for near in region.iter().copied().chain([1, near_relay.0]) {
-            world.cut(PeerId(far), PeerId(near), cut);
+            world.partition(PeerId(far), PeerId(near), cut);
         }
     }
     publish(
@@ -264,7 +262,7 @@
         assert_eq!(world.bytes_at(*id, &name("x")).unwrap(), b"cut off");
     }
     world.with_author(1, |author, now, outputs| author.stand_down(now, outputs));
-    hold(&mut world, 2, 2, 1e6);
+    grant_lease(&mut world, 2, 2, 1e6);
     world.run(30.0);
     publish(&mut world, 2, 2, vec![put("z", b"two")]).unwrap();
     world.run(200.0);
@@ -273,7 +271,7 @@
         assert_eq!(world.bytes_at(id, &name("y")), None, "{id}");
         assert_eq!(world.bytes_at(id, &name("z")).unwrap(), b"two", "{id}");
     }
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 #[test]
@@ -282,7 +280,7 @@
     publish(&mut world, 1, 1, vec![put("x", b"one")]).unwrap();
     world.run(60.0);
     world.kill(PeerId(1));
-    hold(&mut world, 2, 2, 1e6);
+    grant_lease(&mut world, 2, 2, 1e6);
     assert_eq!(
         publish(&mut world, 2, 2, vec![put("y", b"two")]),
         Err(PublishError::TakingOver)
@@ -294,7 +292,7 @@
         assert_eq!(world.bytes_at(id, &name("x")).unwrap(), b"one");
         assert_eq!(world.bytes_at(id, &name("y")).unwrap(), b"two");
     }
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 #[test]
@@ -337,7 +335,7 @@
     for id in NODES {
         assert_eq!(world.bytes_at(id, &name("x")).unwrap(), b"newer");
     }
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 #[test]
@@ -392,7 +390,7 @@
     world.run(10.0);
     assert!(world.node_of(100).is_complete(&Selector::service("b")));
     assert_eq!(world.node_of(100).applied_changes().count(), 0);
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 #[test]
@@ -469,7 +467,7 @@
 #[test]
 fn a_lease_that_is_over_writes_nothing() {
     let mut world = tree(14);
-    hold(&mut world, 1, 1, 5.0);
+    grant_lease(&mut world, 1, 1, 5.0);
     world.run(4.0);
     assert!(publish(&mut world, 1, 1, vec![put("x", b"in time")]).is_ok());
     world.run(2.0);
--- a/crates/distribution/tests/cases_failover.rs
+++ b/crates/distribution/tests/cases_failover.rs
@@ -13,7 +13,10 @@
 use reelfall_distribution::Time;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
-use world::{claim, hold, node_of_region, node_with, peers, Network, World, CALM};
+use world::{
+    claim, grant_lease, node_of_region, node_with_upstream, peers, DelayRange, Network,
+    RecordedEvent, World, CALM,
+};
 
 /// What a node's session elsewhere has to keep to after the loss of its relay, in seconds: 3 s less than a change may take.
 const SESSION_ELSEWHERE: Time = 12.0;
@@ -28,11 +31,11 @@
 /// An author that writes, relays of all regions, and nodes of one of them that follow their own.
 fn regions(seed: u64) -> World {
     let mut world = World::new(seed, CALM);
-    world.author(1, &[]);
-    NEAR.chain(FAR).for_each(|id| world.relay(id, &[1]));
+    world.add_author(1, &[]);
+    NEAR.chain(FAR).for_each(|id| world.add_relay(id, &[1]));
     let (near, far): (Vec<u32>, Vec<u32>) = (NEAR.collect(), FAR.collect());
     NODES.for_each(|id| node_of_region(&mut world, id, &near, &far));
-    hold(&mut world, 1, 1, 1e6);
+    grant_lease(&mut world, 1, 1, 1e6);
     world.run(30.0);
     assert!(NODES.into_iter().all(|id| follows(&world, id, &near)));
     world
@@ -64,8 +67,10 @@
 
 /// When sessions were asked for by a process since a moment, and of whom.
 fn asked(world: &World, by: u32, since: Time) -> Vec<(Time, PeerId)> {
-    let of = |(at, id, event): &(Time, PeerId, Event)| match event {
-        Event::Following(peer) if *id == PeerId(by) && *at > since => Some((*at, *peer)),
+    let of = |recorded: &RecordedEvent| match recorded.event {
+        Event::Following(peer) if recorded.process == PeerId(by) && recorded.at > since => {
+            Some((recorded.at, peer))
+        }
         _ => None,
     };
     world.invariants.events.iter().filter_map(of).collect()
@@ -92,7 +97,7 @@
             "seed {seed}: all have a session after {:.2} s, of {most:.2} s",
             world.now - began
         );
-        world.invariants.verdict();
+        world.invariants.verify();
     }
 }
 
@@ -131,7 +136,7 @@
             "{id}"
         );
     }
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 /// What a node sends to all that it asks keeps to the budget of one link, also where it asks more than that allows.
@@ -144,7 +149,7 @@
         attempt_delay: 0.02,
         ..UpstreamConfig::node(peers(&nobody))
     };
-    NODES.for_each(|id| node_with(&mut world, id, follow.clone()));
+    NODES.for_each(|id| node_with_upstream(&mut world, id, follow.clone()));
     world.run(60.0);
     // Clocks run unlike by less than a thousandth.
     let most = 1.001 * TEN_SECONDS * Budget::UP.bytes_per_second + Budget::UP.burst_bytes;
@@ -155,9 +160,12 @@
             .map(|(_, peer)| *peer)
             .collect();
         assert_eq!(whom.len(), nobody.len(), "{id}");
-        let frames = world.sent.iter().filter(|frame| frame.1 == PeerId(id));
+        let frames = world
+            .sent_frames
+            .iter()
+            .filter(|frame| frame.from == PeerId(id));
         let frames: Vec<(Time, f64)> = frames
-            .map(|f| (f.0, (f.3 + TRANSPORT_OVERHEAD_BYTES) as f64))
+            .map(|frame| (frame.at, (frame.bytes + TRANSPORT_OVERHEAD_BYTES) as f64))
             .collect();
         for (from, _) in &frames {
             let window = frames
@@ -180,13 +188,16 @@
     let mut world = World::new(13, CALM);
     // No frame overtakes another: an end that comes before its beginning leaves a session until the relay's `silence`.
     world.network = Network {
-        delay: (0.45, 0.46),
+        delay: DelayRange {
+            min: 0.45,
+            max: 0.46,
+        },
         ..CALM
     };
-    world.author(1, &[]);
+    world.add_author(1, &[]);
     let relays: Vec<u32> = NEAR.collect();
-    relays.iter().for_each(|id| world.relay(*id, &[1]));
-    hold(&mut world, 1, 1, 1e6);
+    relays.iter().for_each(|id| world.add_relay(*id, &[1]));
+    grant_lease(&mut world, 1, 1, 1e6);
     world.run(20.0);
     NODES.for_each(|id| node_of_region(&mut world, id, &relays, &[]));
     let rules = UpstreamConfig::node(Vec::new());
@@ -211,10 +222,10 @@
         asked_more_than_one > NODES.len() / 2,
         "{asked_more_than_one} asked more than one"
     );
-    let silent = |event: &&(Time, PeerId, Event)| {
-        event.1 .0 >= NODES.start
+    let silent = |recorded: &&RecordedEvent| {
+        recorded.process.0 >= NODES.start
             && matches!(
-                event.2,
+                recorded.event,
                 Event::Left {
                     reason: CloseReason::TimedOut,
                     ..
@@ -222,7 +233,7 @@
             )
     };
     assert_eq!(world.invariants.events.iter().find(silent), None);
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 /// An author that refused is asked again once it may be, also while one that is dead has not answered yet.
@@ -232,13 +243,15 @@
     for seed in 21..27 {
         let mut world = World::new(seed, CALM);
         let relays: Vec<u32> = NEAR.chain(FAR).collect();
-        (1..4).for_each(|id| world.author(id, &relays));
-        relays.iter().for_each(|id| world.relay(*id, &[1, 2, 3]));
-        hold(&mut world, 1, 1, 1e6);
+        (1..4).for_each(|id| world.add_author(id, &relays));
+        relays
+            .iter()
+            .for_each(|id| world.add_relay(*id, &[1, 2, 3]));
+        grant_lease(&mut world, 1, 1, 1e6);
         world.run(30.0);
         [1, 3].into_iter().for_each(|id| world.kill(PeerId(id)));
         world.run(15.0);
-        hold(&mut world, 2, 2, 1e6);
+        grant_lease(&mut world, 2, 2, 1e6);
         while !world.author_of(2).is_writing() {
             world.run(0.01);
         }
@@ -269,7 +282,7 @@
         }
         let last = times.values().copied().fold(0.0, f64::max);
         println!("seed {seed}: all relays have it after {last:.2} s, of {most:.2} s");
-        world.invariants.verdict();
+        world.invariants.verify();
     }
 }
 
@@ -278,9 +291,9 @@
 fn a_fallback_is_asked_early_where_many_upstreams_are_dead() {
     const BEFORE_A_FALLBACK: Time = 3.0;
     let mut world = World::new(31, CALM);
-    world.author(1, &[]);
-    world.relay(FAR.start, &[1]);
-    hold(&mut world, 1, 1, 1e6);
+    world.add_author(1, &[]);
+    world.add_relay(FAR.start, &[1]);
+    grant_lease(&mut world, 1, 1, 1e6);
     world.run(20.0);
     let nobody: Vec<u32> = (FAR.end..NODES.start).collect();
     NODES.for_each(|id| node_of_region(&mut world, id, &nobody, &[FAR.start]));
--- a/crates/distribution/tests/cases_return.rs
+++ b/crates/distribution/tests/cases_return.rs
@@ -11,7 +11,7 @@
 use reelfall_distribution::upstream_config::{UpstreamConfig, MAX_STALE_FACTOR};
 use reelfall_distribution::Time;
 use std::ops::Range;
-use world::{claim, node_of_region, World, CALM};
+use world::{claim, node_of_region, RecordedEvent, World, CALM};
 
 /// What all changes have to keep to once there is a path, in seconds.
 const IN_FORCE: Time = 15.0;
@@ -31,15 +31,15 @@
 fn regions(seed: u64) -> World {
     let mut world = World::new(seed, CALM);
     let relays = [NEAR, FAR].concat();
-    AUTHORS.iter().for_each(|id| world.author(*id, &relays));
-    relays.iter().for_each(|id| world.relay(*id, &AUTHORS));
+    AUTHORS.iter().for_each(|id| world.add_author(*id, &relays));
+    relays.iter().for_each(|id| world.add_relay(*id, &AUTHORS));
     NODES.for_each(|id| node_of_region(&mut world, id, &NEAR, &FAR));
-    hold(&mut world, 1, 1);
+    grant_lease(&mut world, 1, 1);
     world.run(40.0);
     world
 }
 
-fn hold(world: &mut World, author: u32, token: u64) {
+fn grant_lease(world: &mut World, author: u32, token: u64) {
     let until = world.processes[&PeerId(author)].clock(world.now + 1e6);
     let held = world.with_author(author, |author, now, outputs| {
         author.hold_lease(now, &claim(token), until, outputs)
@@ -79,7 +79,7 @@
 fn cut_between(world: &mut World, some: &[u32], others: &[u32], lasts: Time) {
     for a in some {
         for b in others {
-            world.cut(PeerId(*a), PeerId(*b), lasts);
+            world.partition(PeerId(*a), PeerId(*b), lasts);
         }
     }
 }
@@ -157,7 +157,7 @@
         let most = relay_finds_author(2, 0).max(node_moves_on()) + ROUND_TRIPS;
         let took = until_all_have(&mut world, version, most);
         println!("apart for {lasts} s: all have it after {took:.2} s, of {most:.2} s");
-        world.invariants.verdict();
+        world.invariants.verify();
     }
 }
 
@@ -170,7 +170,7 @@
         cut_between(&mut world, &near, &others, lasts);
         world.run(LEASE);
         world.with_author(1, |author, now, outputs| author.stand_down(now, outputs));
-        hold(&mut world, 2, 2);
+        grant_lease(&mut world, 2, 2);
         until(&mut world, TAKEOVER + ROUND_TRIPS, "a successor", |world| {
             world.author_of(2).is_writing()
         });
@@ -180,7 +180,7 @@
         let most = relay_finds_author(2, 0).max(node_moves_on()) + ROUND_TRIPS;
         let took = until_all_have(&mut world, version, most);
         println!("author apart for {lasts} s: all have it after {took:.2} s, of {most:.2} s");
-        world.invariants.verdict();
+        world.invariants.verify();
     }
 }
 
@@ -202,7 +202,7 @@
             NODES.into_iter().all(|id| follows_one_of(world, id, &FAR))
         });
         world.run(LEASE - moved);
-        hold(&mut world, 2, 2);
+        grant_lease(&mut world, 2, 2);
         let takeover = until(&mut world, TAKEOVER + ROUND_TRIPS, "a successor", |world| {
             world.author_of(2).is_writing()
         });
@@ -212,7 +212,7 @@
         let most = relay.reconnect_jitter + 2.0 * relay.open_timeout + ROUND_TRIPS;
         let took = until_all_have(&mut world, version, most);
         println!("moved after {moved:.2} s; took over in {takeover:.2} s; {took:.2} s more, of {most:.2} s");
-        world.invariants.verdict();
+        world.invariants.verify();
     }
 }
 
@@ -236,15 +236,15 @@
     let stale = UpstreamConfig::node(Vec::new()).stale_timeout;
     let most = 4.0 + (lasts / stale - 1.0 - 1.0 - 2.0 - 4.0) / MAX_STALE_FACTOR;
     for id in NODES {
-        let left = |event: &&(Time, PeerId, Event)| {
+        let left = |recorded: &&RecordedEvent| {
             let stale = matches!(
-                event.2,
+                recorded.event,
                 Event::Left {
                     reason: CloseReason::Stale,
                     ..
                 }
             );
-            event.0 > began && event.1 == PeerId(id) && stale
+            recorded.at > began && recorded.process == PeerId(id) && stale
         };
         let moves = world.invariants.events.iter().filter(left).count();
         assert!(
@@ -252,7 +252,7 @@
             "{id} moved {moves} times, of {most}"
         );
     }
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 #[test]
@@ -260,10 +260,10 @@
     const MANY: Range<u32> = 100..1600;
     const RELAYS: [u32; 4] = [20, 21, 22, 23];
     let mut world = World::new(41, CALM);
-    world.author(1, &[]);
-    RELAYS.iter().for_each(|id| world.relay(*id, &[1]));
+    world.add_author(1, &[]);
+    RELAYS.iter().for_each(|id| world.add_relay(*id, &[1]));
     MANY.for_each(|id| node_of_region(&mut world, id, &RELAYS, &[]));
-    hold(&mut world, 1, 1);
+    grant_lease(&mut world, 1, 1);
     world.run(30.0);
     RELAYS.iter().for_each(|id| world.kill(PeerId(*id)));
     world.run(60.0);
@@ -300,5 +300,5 @@
         "1,500 nodes have it after {:.2} s, of {most:.2} s; {children:?} children",
         world.now - began
     );
-    world.invariants.verdict();
+    world.invariants.verify();
 }
--- a/crates/distribution/tests/cases_tree.rs
+++ b/crates/distribution/tests/cases_tree.rs
@@ -8,22 +8,22 @@
 use reelfall_distribution::session_end::CloseReason;
 use reelfall_distribution::upstream_config::UpstreamConfig;
 use reelfall_distribution::Time;
-use world::{claim, hold, put, World, CALM};
+use world::{claim, grant_lease, put, RecordedEvent, World, CALM};
 
 const NODES: std::ops::Range<u32> = 100..106;
 
 /// One author, two first relays, two relays of a region, six nodes; the author writes with token 1.
 fn tree(seed: u64) -> World {
     let mut world = World::new(seed, CALM);
-    world.author(1, &[10, 11]);
-    world.relay(10, &[1]);
-    world.relay(11, &[1]);
-    world.relay(20, &[10, 11]);
-    world.relay(21, &[10, 11]);
+    world.add_author(1, &[10, 11]);
+    world.add_relay(10, &[1]);
+    world.add_relay(11, &[1]);
+    world.add_relay(20, &[10, 11]);
+    world.add_relay(21, &[10, 11]);
     for id in NODES {
-        world.node(id, &[20, 21], &[Selector::Services]);
+        world.add_node(id, &[20, 21], &[Selector::Services]);
     }
-    hold(&mut world, 1, 1, 1e6);
+    grant_lease(&mut world, 1, 1, 1e6);
     world.run(20.0);
     world
 }
@@ -72,7 +72,7 @@
     world.run(10.0);
     let status = world.author_of(1).status(version);
     assert_eq!(status.acknowledged.len(), NODES.len());
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 #[test]
@@ -90,62 +90,58 @@
     let killed = world.node_of(100).following().unwrap();
     world.kill(killed);
     let at = world.now;
-    let before = world.sent.len();
+    let before = world.sent_frames.len();
     until_all_have(&mut world, &all(), version, 40.0);
     let left: Vec<Time> = lefts(&world, at, CloseReason::TimedOut);
     assert!(
         !left.is_empty() && left.iter().all(|t| t - at < 8.5),
         "{left:?}"
     );
-    let to_node: usize = world.sent[before..]
-        .iter()
-        .filter(|s| s.2 == PeerId(100))
-        .map(|s| s.3)
-        .sum();
+    let to_node: usize = world.bytes_sent_to(PeerId(100), before);
     let lacked = (100 - had[0]) * 1100;
     assert!(to_node < lacked + 20_000, "{to_node} bytes for {lacked}");
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 fn lefts(world: &World, since: Time, reason: CloseReason) -> Vec<Time> {
-    let of_node = |event: &&(Time, PeerId, Event)| {
-        event.0 > since
-            && event.1 .0 >= 100
-            && matches!(event.2, Event::Left { reason: why, .. } if why == reason)
+    let of_node = |recorded: &&RecordedEvent| {
+        recorded.at > since
+            && recorded.process.0 >= 100
+            && matches!(recorded.event, Event::Left { reason: why, .. } if why == reason)
     };
     world
         .invariants
         .events
         .iter()
         .filter(of_node)
-        .map(|event| event.0)
+        .map(|recorded| recorded.at)
         .collect()
 }
 
 #[test]
 fn children_of_a_dead_relay_do_not_return_all_at_once() {
     let mut world = World::new(3, CALM);
-    world.author(1, &[10]);
-    world.relay(10, &[1]);
-    world.relay(20, &[10]);
-    world.relay(21, &[10]);
+    world.add_author(1, &[10]);
+    world.add_relay(10, &[1]);
+    world.add_relay(20, &[10]);
+    world.add_relay(21, &[10]);
     for id in 100..160 {
-        world.node(id, &[20, 21], &[Selector::common()]);
+        world.add_node(id, &[20, 21], &[Selector::common()]);
     }
-    hold(&mut world, 1, 1, 1e6);
+    grant_lease(&mut world, 1, 1, 1e6);
     world.run(30.0);
     world.kill(PeerId(20));
     let at = world.now;
     world.run(30.0);
-    let follows = |event: &&(Time, PeerId, Event)| {
-        event.0 > at && matches!(event.2, Event::Following(peer) if peer == PeerId(21))
+    let follows = |recorded: &&RecordedEvent| {
+        recorded.at > at && matches!(recorded.event, Event::Following(peer) if peer == PeerId(21))
     };
     let mut back: Vec<Time> = world
         .invariants
         .events
         .iter()
         .filter(follows)
-        .map(|e| e.0 - at)
+        .map(|recorded| recorded.at - at)
         .collect();
     back.sort_by(f64::total_cmp);
     assert!(back.len() > 15, "{}", back.len());
@@ -184,13 +180,13 @@
         version,
         rules.open_timeout + rules.max_backoff + 1.0,
     );
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 #[test]
 fn a_node_frozen_for_a_minute_catches_up() {
     let mut world = tree(5);
-    world.freeze(PeerId(100), 60.0);
+    world.pause(PeerId(100), 60.0);
     for n in 0..20u8 {
         publish(&mut world, 1, vec![put("x", &[n])]);
         world.run(3.0);
@@ -198,7 +194,7 @@
     let version = publish(&mut world, 1, vec![put("y", b"last")]);
     until_all_have(&mut world, &[100], version, 20.0);
     assert_eq!(world.bytes_at(100, &Name::service("a", "x")).unwrap(), [19]);
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 #[test]
@@ -207,7 +203,7 @@
     let lasts = 3600.0;
     for far in [10, 11] {
         for near in [20, 21] {
-            world.cut(PeerId(far), PeerId(near), lasts);
+            world.partition(PeerId(far), PeerId(near), lasts);
         }
     }
     // 540 changes an hour are 13,000 a day; a third of them to resources that change again.
@@ -227,13 +223,13 @@
     let most = changed * 400.0 / 6000.0 + rests;
     let took = until_all_have(&mut world, &all(), version, most);
     println!("caught up in {took:.1} s, of {most:.1} s");
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 #[test]
 fn the_newest_change_comes_first_after_a_cut() {
     let mut world = tree(7);
-    world.freeze(PeerId(100), 10.0);
+    world.pause(PeerId(100), 10.0);
     world.run(1.0);
     let drafts = (0..80).map(|n| put(&format!("r{n}"), &[n; 1000])).collect();
     publish(&mut world, 1, drafts);
@@ -246,22 +242,22 @@
 #[test]
 fn many_nodes_begin_at_once_without_a_snapshot() {
     let mut world = World::new(8, CALM);
-    world.author(1, &[10]);
-    world.relay(10, &[1]);
-    world.relay(20, &[10]);
-    world.relay(21, &[10]);
-    hold(&mut world, 1, 1, 1e6);
+    world.add_author(1, &[10]);
+    world.add_relay(10, &[1]);
+    world.add_relay(20, &[10]);
+    world.add_relay(21, &[10]);
+    grant_lease(&mut world, 1, 1, 1e6);
     world.run(10.0);
     let drafts = (0..50).map(|n| put(&format!("r{n}"), &[n; 500])).collect();
     let version = publish(&mut world, 1, drafts);
     world.run(5.0);
     for id in 100..180 {
-        world.node(id, &[20, 21], &[Selector::Services]);
+        world.add_node(id, &[20, 21], &[Selector::Services]);
     }
     let nodes: Vec<u32> = (100..180).collect();
     // 33 kB at 6 kB/s, and up to 4 s before each begins.
     until_all_have(&mut world, &nodes, version, 20.0);
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 #[test]
@@ -326,7 +322,7 @@
     }
     let version = publish(&mut world, 1, vec![put("r4", b"new")]);
     world.run(20.0);
-    let before = world.sent.len();
+    let before = world.sent_frames.len();
     world.start(PeerId(100));
     until_all_have(&mut world, &[100], version, 20.0);
     world.run(1.0);
@@ -342,14 +338,10 @@
         b"new"
     );
     assert_eq!(world.node_of(100).applied_changes().count(), 29);
-    let bytes: usize = world.sent[before..]
-        .iter()
-        .filter(|s| s.2 == PeerId(100))
-        .map(|s| s.3)
-        .sum();
+    let bytes: usize = world.bytes_sent_to(PeerId(100), before);
     assert!(
         bytes < 15_000,
         "{bytes} bytes: 29 bodies of 800 bytes were there already"
     );
-    world.invariants.verdict();
+    world.invariants.verify();
 }
--- a/crates/distribution/tests/defences.rs
+++ b/crates/distribution/tests/defences.rs
@@ -22,7 +22,9 @@
 use reelfall_distribution::token_bucket::Budget;
 use reelfall_distribution::upstream_config::UpstreamConfig;
 use reelfall_distribution::Time;
-use world::{claim, hold, lease, name, put, two_authors_and_relays, World, CALM};
+use world::{
+    claim, grant_lease, lease, name, put, two_authors_and_relays, RecordedEvent, World, CALM,
+};
 
 const NODES: std::ops::Range<u32> = 100..104;
 
@@ -48,9 +50,9 @@
 fn tree(seed: u64, lasts: Time) -> World {
     let mut world = two_authors_and_relays(seed);
     for id in NODES {
-        world.node(id, &[10, 11], &[Selector::service("a")]);
+        world.add_node(id, &[10, 11], &[Selector::service("a")]);
     }
-    hold(&mut world, 1, 1, lasts);
+    grant_lease(&mut world, 1, 1, lasts);
     world
 }
 
@@ -112,10 +114,10 @@
     world.run(1.5);
     assert!(!world.author_of(1).is_writing());
     assert_eq!(world.author_of(1).children().count(), 0);
-    let sent_away = |event: &&(Time, PeerId, Event)| {
-        event.1 == PeerId(1)
+    let sent_away = |recorded: &&RecordedEvent| {
+        recorded.process == PeerId(1)
             && matches!(
-                event.2,
+                recorded.event,
                 Event::ChildLost {
                     reason: CloseReason::Fenced,
                     ..
@@ -141,7 +143,7 @@
 fn relays_of_an_author_without_its_lease_go_over_to_the_next() {
     let mut world = tree(2, 60.0);
     world.run(60.5);
-    hold(&mut world, 2, 2, 1e6);
+    grant_lease(&mut world, 2, 2, 1e6);
     world.run(10.0);
     publish(&mut world, 2, 2, vec![put("x", b"two")]);
     world.run(60.0);
@@ -152,7 +154,7 @@
             "{id}"
         );
     }
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 /// The next author hears all first relays, not the first of them alone: the last one told one relay, and died.
@@ -168,13 +170,13 @@
         (11, 10)
     };
     assert!(followed(&world, far) && !followed(&world, near));
-    world.cut(PeerId(1), PeerId(far), 60.0);
+    world.partition(PeerId(1), PeerId(far), 60.0);
     let version = publish(&mut world, 1, 1, vec![put("x", b"one")]);
     world.run(2.0);
     assert_eq!(world.relay_of(near).log().last_version(), version);
     assert!(world.relay_of(far).log().last_version() < version);
     world.kill(PeerId(1));
-    hold(&mut world, 2, 2, 1e6);
+    grant_lease(&mut world, 2, 2, 1e6);
     world.run(60.0);
     assert!(world.author_of(2).is_writing());
     for id in NODES {
@@ -184,7 +186,7 @@
             "{id}"
         );
     }
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 /// An author that was cut off writes again, without having heard of the one that wrote meanwhile and did not know its last
@@ -196,11 +198,11 @@
     publish(&mut world, 1, 1, vec![put("x", b"one")]);
     world.run(10.0);
     for relay in [10, 11] {
-        world.cut(PeerId(1), PeerId(relay), 120.0);
+        world.partition(PeerId(1), PeerId(relay), 120.0);
     }
     publish(&mut world, 1, 1, vec![put("x", b"apart")]);
     world.with_author(1, |author, now, outputs| author.stand_down(now, outputs));
-    hold(&mut world, 2, 2, 1e6);
+    grant_lease(&mut world, 2, 2, 1e6);
     world.run(80.0);
     publish(&mut world, 2, 2, vec![put("y", b"between")]);
     world.run(10.0);
@@ -217,7 +219,7 @@
         );
     }
     world.with_author(2, |author, now, outputs| author.stand_down(now, outputs));
-    hold(&mut world, 1, 3, 1e6);
+    grant_lease(&mut world, 1, 3, 1e6);
     world.run(200.0);
     for id in NODES {
         assert_eq!(
@@ -237,17 +239,17 @@
 #[test]
 fn orphans_are_reported_after_a_crash() {
     let mut world = World::new(5, CALM);
-    world.author(1, &[10]);
-    world.relay(10, &[1]);
-    world.node(100, &[10], &[Selector::service("a")]);
-    hold(&mut world, 1, 1, 1e6);
+    world.add_author(1, &[10]);
+    world.add_relay(10, &[1]);
+    world.add_node(100, &[10], &[Selector::service("a")]);
+    grant_lease(&mut world, 1, 1, 1e6);
     world.run(30.0);
     let known = publish(&mut world, 1, 1, vec![put("x", b"one")]);
     world.run(10.0);
     let x = world.relay_of(10).log().get_version(known).unwrap().clone();
     world.kill(PeerId(10));
     world.with_author(1, |author, now, outputs| author.stand_down(now, outputs));
-    hold(&mut world, 1, 2, 1e6);
+    grant_lease(&mut world, 1, 2, 1e6);
     world.run(10.0);
     assert!(world.author_of(1).is_writing());
     let version = Version {
@@ -291,7 +293,7 @@
             == 2,
         "it was written anew"
     );
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 /// A relay that has lost all that it covered, since the author before did not know it, has changes all the same: it hears of
@@ -300,11 +302,11 @@
 fn who_covers_nothing_any_more_hears_of_removals() {
     const KEYS: usize = 60;
     let mut world = World::new(6, CALM);
-    world.author(1, &[10]);
-    world.author(2, &[10]);
-    world.relay(10, &[1, 2]);
-    world.cut(PeerId(2), PeerId(10), 100.0);
-    hold(&mut world, 1, 1, 1e6);
+    world.add_author(1, &[10]);
+    world.add_author(2, &[10]);
+    world.add_relay(10, &[1, 2]);
+    world.partition(PeerId(2), PeerId(10), 100.0);
+    grant_lease(&mut world, 1, 1, 1e6);
     world.run(40.0);
     let item = |n: usize| format!("r{n}");
     publish(
@@ -316,10 +318,10 @@
     world.run(20.0);
     assert_eq!(world.relay_of(10).log().len(), KEYS);
     // The second author knows nothing; the relay hears who it is, and no more.
-    world.cut(PeerId(1), PeerId(10), 1e6);
+    world.partition(PeerId(1), PeerId(10), 1e6);
     world.with_author(1, |author, now, outputs| author.stand_down(now, outputs));
     world.run(39.0);
-    hold(&mut world, 2, 2, 1e6);
+    grant_lease(&mut world, 2, 2, 1e6);
     let heard = |world: &World| {
         let epoch =
             |record: &Record| matches!(record, Record::Epoch(epoch) if epoch.claim.token == 2);
@@ -332,14 +334,14 @@
             "the relay does not follow the second author"
         );
     }
-    world.cut(PeerId(2), PeerId(10), 1e6);
+    world.partition(PeerId(2), PeerId(10), 1e6);
     let top = world.relay_of(10).coverage().last_version();
     assert_eq!(
         top.token, 1,
         "the second author has told more than its name"
     );
     // The first one writes again and has not heard of the second. It forgets removals.
-    hold(&mut world, 1, 3, 1e6);
+    grant_lease(&mut world, 1, 3, 1e6);
     world.run(10.0);
     let last = publish(
         &mut world,
@@ -351,7 +353,7 @@
         world.author_of(1).log().len() < KEYS,
         "no removal was forgotten"
     );
-    world.cut(PeerId(1), PeerId(10), 0.0);
+    world.partition(PeerId(1), PeerId(10), 0.0);
     world.run(60.0);
     let relay = world.relay_of(10);
     assert_eq!(relay.coverage().contiguous_end(), last);
--- a/crates/distribution/tests/golden.rs
+++ b/crates/distribution/tests/golden.rs
@@ -20,7 +20,7 @@
     RejectingNode, RolloutRecord, RolloutState, StopSummary,
 };
 use reelfall_distribution::session_end::CloseReason;
-use world::{claim, Network, World};
+use world::{claim, DelayRange, Network, World};
 
 const GOLDEN: &str = include_str!("golden/frames.txt");
 const SCHEDULES: &str = include_str!("golden/schedules.blake3");
@@ -323,25 +323,28 @@
         seed,
         Network {
             loss: 0.05,
-            twice: 0.05,
-            delay: (0.005, 0.2),
+            duplication: 0.05,
+            delay: DelayRange {
+                min: 0.005,
+                max: 0.2,
+            },
         },
     );
     world.digest = Some(blake3::Hasher::new());
-    world.author(1, &[10, 11]);
-    world.relay(10, &[1]);
-    world.relay(11, &[1]);
-    world.relay(20, &[10, 11]);
+    world.add_author(1, &[10, 11]);
+    world.add_relay(10, &[1]);
+    world.add_relay(11, &[1]);
+    world.add_relay(20, &[10, 11]);
     for id in 100..104 {
         let own = [
             Selector::common(),
             Selector::service("a"),
             Selector::tenant("t"),
         ];
-        world.node(id, &[20], &own);
+        world.add_node(id, &[20], &own);
     }
     for step in 0..50 {
-        world::hold(&mut world, 1, 1, 1_000.0);
+        world::grant_lease(&mut world, 1, 1, 1_000.0);
         let item = format!("r{}", step % 4);
         let name = if step % 5 == 0 {
             Name::tenant("t", &item)
@@ -366,8 +369,8 @@
         let victim = PeerId([10, 11, 20, 100, 102][world.rng.random_range(0..5)]);
         match world.rng.random_range(0..6) {
             0 => world.kill(victim),
-            1 => world.freeze(victim, 4.0),
-            2 => world.cut(PeerId(20), victim, 3.0),
+            1 => world.pause(victim, 4.0),
+            2 => world.partition(PeerId(20), victim, 3.0),
             _ => world.start(victim),
         }
         let lasts = world.rng.random_range(0.0..3.0);
--- a/crates/distribution/tests/schedules/checks.rs
+++ b/crates/distribution/tests/schedules/checks.rs
@@ -2,7 +2,7 @@
 //! of a single author is lost.
 
 use crate::schedule::{selectors_of, Schedule, ITEMS_PER_GROUP};
-use crate::world::{Config, REJECTED_BY_ODD_NODES};
+use crate::world::{Config, RecordedEvent, REJECTED_BY_ODD_NODES};
 use reelfall_distribution::author::Author;
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
@@ -17,7 +17,7 @@
 
 impl Schedule {
     pub fn check(&self) {
-        self.world.invariants.verdict();
+        self.world.invariants.verify();
         self.check_close_reasons();
         let holder = self.lease_holder.unwrap();
         assert!(
@@ -34,7 +34,7 @@
     }
 
     fn check_close_reasons(&self) {
-        for (at, id, event) in &self.world.invariants.events {
+        for RecordedEvent { at, process, event } in &self.world.invariants.events {
             let (Event::Left { reason, .. } | Event::ChildLost { reason, .. }) = event else {
                 continue;
             };
@@ -44,7 +44,7 @@
             );
             assert!(
                 !is_violation,
-                "{at}: {id:?} closed the session of a valid peer: {event:?}"
+                "{at}: {process:?} closed the session of a valid peer: {event:?}"
             );
         }
     }
--- a/crates/distribution/tests/schedules/main.rs
+++ b/crates/distribution/tests/schedules/main.rs
@@ -188,7 +188,7 @@
             .invariants
             .events
             .iter()
-            .filter(|(_, _, event)| matches!(event, Event::Left { .. }))
+            .filter(|recorded| matches!(recorded.event, Event::Left { .. }))
             .count();
     }
     assert!(published > 200, "{published} changes");
--- a/crates/distribution/tests/schedules/rollout_checks.rs
+++ b/crates/distribution/tests/schedules/rollout_checks.rs
@@ -4,7 +4,7 @@
 use crate::checks::{expected_body, stable_body};
 use crate::rollouts::{RandomRollouts, StartedRollout};
 use crate::schedule::Schedule;
-use crate::world::{Config, REJECTED_BY_ODD_NODES};
+use crate::world::{Config, RecordedEvent, REJECTED_BY_ODD_NODES};
 use reelfall_distribution::output::Event;
 use reelfall_distribution::resource::{Key, Name, NodeFraction, Slot};
 use reelfall_distribution::rollout::record::RolloutState;
@@ -59,7 +59,7 @@
         };
         let mut stages: BTreeMap<Name, StartedStage> = BTreeMap::new();
         let mut started = self.started.iter().peekable();
-        for (at, _, event) in &schedule.world.invariants.events {
+        for RecordedEvent { at, event, .. } in &schedule.world.invariants.events {
             while let Some(next) = started.next_if(|rollout| rollout.started_at <= *at) {
                 stages.insert(next.draft.name.clone(), next.first_stage());
             }
--- a/crates/distribution/tests/schedules/schedule.rs
+++ b/crates/distribution/tests/schedules/schedule.rs
@@ -1,6 +1,6 @@
 //! A random schedule: a small tree, and steps that publish changes, move the lease and inject faults.
 
-use crate::world::{claim, Config, Network, World, REJECTED_BY_ODD_NODES};
+use crate::world::{claim, Config, DelayRange, Network, World, REJECTED_BY_ODD_NODES};
 use rand::Rng;
 use reelfall_distribution::author::Author;
 use reelfall_distribution::output::Output;
@@ -50,15 +50,21 @@
 impl Schedule {
     pub fn new(seed: u64) -> Schedule {
         let delay = if seed.is_multiple_of(3) {
-            (0.005, 1.5)
+            DelayRange {
+                min: 0.005,
+                max: 1.5,
+            }
         } else {
-            (0.005, 0.2)
+            DelayRange {
+                min: 0.005,
+                max: 0.2,
+            }
         };
         let mut world = World::new(
             seed,
             Network {
                 loss: 0.05,
-                twice: 0.05,
+                duplication: 0.05,
                 delay,
             },
         );
@@ -66,16 +72,16 @@
         let first_tier: Vec<u32> = (10..10 + world.rng.random_range(1..=2)).collect();
         let second_tier: Vec<u32> = (20..20 + world.rng.random_range(1..=2)).collect();
         for id in &authors {
-            world.author(*id, &first_tier);
+            world.add_author(*id, &first_tier);
         }
         for id in &first_tier {
-            world.relay(*id, &authors);
+            world.add_relay(*id, &authors);
         }
         for id in &second_tier {
-            world.relay(*id, &first_tier);
+            world.add_relay(*id, &first_tier);
         }
         for id in 100..100 + world.rng.random_range(3..=8) {
-            world.node(id, &second_tier, &selectors_of(id));
+            world.add_node(id, &second_tier, &selectors_of(id));
             let apply_delay = world.rng.random_range(0.0..0.5);
             world.processes.get_mut(&PeerId(id)).unwrap().apply_delay = apply_delay;
         }
@@ -236,10 +242,10 @@
                 let outputs = self.world.rng.random_range(0..6);
                 self.world.kill_after(id, outputs);
             }
-            3 | 4 => self.world.freeze(id, duration),
+            3 | 4 => self.world.pause(id, duration),
             _ => {
                 let other = self.random_process();
-                self.world.cut(id, other, duration);
+                self.world.partition(id, other, duration);
             }
         }
     }
--- a/crates/distribution/tests/staged_rollouts/advance.rs
+++ b/crates/distribution/tests/staged_rollouts/advance.rs
@@ -60,14 +60,14 @@
     );
     assert_applied_on_all_nodes(&world, NEW_BODY);
     assert!(is_canary_removed(&world, FIRST_WRITER.author));
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 #[test]
 fn unreachable_nodes_block_the_next_stage() {
     let mut world = rollout_world(8, follow_relay_by_parity);
-    world.cut(FIRST_WRITER.peer(), PeerId(RELAY_OF_ODD_NODES), 1e6);
-    world.cut(SECOND_WRITER.peer(), PeerId(RELAY_OF_ODD_NODES), 1e6);
+    world.partition(FIRST_WRITER.peer(), PeerId(RELAY_OF_ODD_NODES), 1e6);
+    world.partition(SECOND_WRITER.peer(), PeerId(RELAY_OF_ODD_NODES), 1e6);
     roll_out(
         &mut world,
         FIRST_WRITER,
@@ -94,14 +94,14 @@
         (status.thousandths, status.waiting),
         (Some(FIRST_STAGE), Some(AdvanceBlocker::Acceptances))
     );
-    world.cut(SECOND_WRITER.peer(), PeerId(RELAY_OF_ODD_NODES), 0.0);
+    world.partition(SECOND_WRITER.peer(), PeerId(RELAY_OF_ODD_NODES), 0.0);
     world.run(200.0);
     assert_eq!(
         rollout_state(&world, SECOND_WRITER.author),
         RolloutState::Completed
     );
     assert_applied_on_all_nodes(&world, NEW_BODY);
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 #[test]
@@ -119,7 +119,7 @@
         Some(AdvanceBlocker::Soak)
     );
     for author in [FIRST_WRITER.author, SECOND_WRITER.author] {
-        world.cut(PeerId(author), PeerId(RELAY_OF_ODD_NODES), 400.0);
+        world.partition(PeerId(author), PeerId(RELAY_OF_ODD_NODES), 400.0);
     }
     world.run(300.0);
     let status = rollout_status(&world, FIRST_WRITER.author);
--- a/crates/distribution/tests/staged_rollouts/author_failover.rs
+++ b/crates/distribution/tests/staged_rollouts/author_failover.rs
@@ -6,7 +6,7 @@
     take_over, Writer, FIRST_STAGE, FIRST_WRITER, LEASE_DURATION, NEW_BODY, PREVIOUS_BODY, RELAYS,
     SECOND_WRITER, SOAK_TIME,
 };
-use crate::world::{hold, REJECTED_BY_ODD_NODES};
+use crate::world::{grant_lease, REJECTED_BY_ODD_NODES};
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::rollout::policy::RolloutPolicy;
@@ -54,7 +54,7 @@
         .invariants
         .events
         .iter()
-        .any(|(_, _, event)| *event == resumed));
+        .any(|recorded| recorded.event == resumed));
     assert_eq!(
         rollout_status(&world, FIRST_WRITER.author).waiting,
         Some(AdvanceBlocker::Soak),
@@ -68,7 +68,7 @@
         RolloutState::Completed
     );
     assert_applied_on_all_nodes(&world, NEW_BODY);
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 #[test]
@@ -104,7 +104,7 @@
         rollout_state(&world, SECOND_WRITER.author),
         RolloutState::Completed
     );
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 /// An author that loses the lease and acquires it again retains the acknowledged versions, but not the rejections.
@@ -129,9 +129,9 @@
         author.stand_down(now, outputs)
     });
     for relay in RELAYS {
-        world.cut(FIRST_WRITER.peer(), PeerId(relay), 100.0);
+        world.partition(FIRST_WRITER.peer(), PeerId(relay), 100.0);
     }
-    hold(
+    grant_lease(
         &mut world,
         FIRST_WRITER.author,
         SECOND_TOKEN,
@@ -159,10 +159,10 @@
     .unwrap();
     world.run(SOAK_TIME / 2.0);
     for relay in RELAYS {
-        world.cut(FIRST_WRITER.peer(), PeerId(relay), 200.0);
+        world.partition(FIRST_WRITER.peer(), PeerId(relay), 200.0);
     }
     world.run(5.0);
-    hold(
+    grant_lease(
         &mut world,
         SECOND_WRITER.author,
         SECOND_WRITER.token,
@@ -191,7 +191,7 @@
     .is_err());
     world.run(60.0);
     assert_applied_on_all_nodes(&world, PREVIOUS_BODY);
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 /// The author crashes after each output of a rollback and of a completion. Its successor, or itself after a restart,
@@ -269,5 +269,5 @@
         "{case:?}: {ended:?}"
     );
     assert_applied_on_all_nodes(&world, expected);
-    world.invariants.verdict();
+    world.invariants.verify();
 }
--- a/crates/distribution/tests/staged_rollouts/fixture.rs
+++ b/crates/distribution/tests/staged_rollouts/fixture.rs
@@ -1,6 +1,6 @@
 //! The deployment, policy and calls that all cases of this test share.
 
-use crate::world::{claim, hold, two_authors_and_relays, World};
+use crate::world::{claim, grant_lease, two_authors_and_relays, World};
 use reelfall_distribution::author::{RolloutDraft, RolloutStatus};
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
@@ -103,13 +103,13 @@
 pub fn rollout_world(seed: u64, relays_of: fn(u32) -> Vec<u32>) -> World {
     let mut world = two_authors_and_relays(seed);
     for id in NODES {
-        world.node(
+        world.add_node(
             id,
             &relays_of(id),
             &[Selector::common(), Selector::service("a")],
         );
     }
-    hold(
+    grant_lease(
         &mut world,
         FIRST_WRITER.author,
         FIRST_WRITER.token,
@@ -208,10 +208,10 @@
         .invariants
         .events
         .iter()
-        .filter_map(|(at, _, event)| {
+        .filter_map(|recorded| {
             Some(StageChange {
-                at: *at,
-                thousandths: thousandths_after(event)?,
+                at: recorded.at,
+                thousandths: thousandths_after(&recorded.event)?,
             })
         })
         .collect()
@@ -219,7 +219,7 @@
 
 /// The author acquires the lease, and writes once it has caught up.
 pub fn take_over(world: &mut World, writer: Writer) {
-    hold(world, writer.author, writer.token, LEASE_DURATION);
+    grant_lease(world, writer.author, writer.token, LEASE_DURATION);
     world.run(15.0);
     assert!(world.author_of(writer.author).is_writing());
 }
--- a/crates/distribution/tests/staged_rollouts/manual.rs
+++ b/crates/distribution/tests/staged_rollouts/manual.rs
@@ -67,7 +67,7 @@
         RolloutState::Ended
     );
     assert_applied_on_all_nodes(&world, PREVIOUS_BODY);
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 #[test]
@@ -108,7 +108,7 @@
             rollout_draft(b"newer", default_policy()),
         )
         .unwrap();
-        world.invariants.verdict();
+        world.invariants.verify();
     }
 }
 
@@ -161,5 +161,5 @@
         RolloutState::Superseded
     );
     assert_applied_on_all_nodes(&world, MANUAL_BODY);
-    world.invariants.verdict();
+    world.invariants.verify();
 }
--- a/crates/distribution/tests/staged_rollouts/rejections.rs
+++ b/crates/distribution/tests/staged_rollouts/rejections.rs
@@ -80,7 +80,7 @@
         rollout_state(&world, SECOND_WRITER.author),
         RolloutState::RolledBack(stop)
     );
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 #[test]
@@ -110,7 +110,7 @@
         };
         assert_eq!(world.bytes_at(id, &resource()).unwrap(), expected, "{id}");
     }
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 #[test]
@@ -150,7 +150,7 @@
     // The relay has the canary by now; the partition keeps the reports of its nodes from the authors.
     world.run(0.08);
     for author in [FIRST_WRITER.author, SECOND_WRITER.author] {
-        world.cut(PeerId(author), PeerId(RELAY_OF_ODD_NODES), 30.0);
+        world.partition(PeerId(author), PeerId(RELAY_OF_ODD_NODES), 30.0);
     }
     world.run(20.0);
     let rejecting: Vec<u32> = stage_nodes(FIRST_STAGE)
@@ -182,7 +182,7 @@
         "the stage ended without the rejections"
     );
     assert_applied_on_all_nodes(&world, PREVIOUS_BODY);
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 /// Nodes that lag behind receive the rollback before the rest of the canary.
@@ -193,7 +193,7 @@
     body.resize(30_000, 7);
     // Even nodes have half of the canary when the odd ones reject it.
     for id in NODES.filter(|id| id % 2 == 0) {
-        world.freeze(PeerId(id), 2.5);
+        world.pause(PeerId(id), 2.5);
     }
     roll_out(
         &mut world,
@@ -232,7 +232,7 @@
     }
     world.run(60.0);
     assert_applied_on_all_nodes(&world, PREVIOUS_BODY);
-    world.invariants.verdict();
+    world.invariants.verify();
 }
 
 /// A node outside the stage reports its rejection of the stable content under the version that ends the canary.
--- a/crates/distribution/tests/world/view.rs
+++ b/crates/distribution/tests/world/access.rs
@@ -1,4 +1,4 @@
-//! Looks at processes, and calls to them.
+//! Access to the machines of a world.
 
 use super::{Config, Machine, World};
 use reelfall_distribution::author::Author;
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Calls an author, if it runs and does not stand still.
+    /// Calls an author, if it runs and is not paused.
     pub fn with_author<T>(
         &mut self,
         id: u32,
@@ -48,7 +48,7 @@
         .flatten()
     }
 
-    /// Calls a node.
+    /// Calls a node, if it runs.
     pub fn with_node<T>(
         &mut self,
         id: u32,
@@ -61,17 +61,18 @@
         .flatten()
     }
 
-    /// The bytes that are in force of a resource at a node.
+    /// The body of a resource that a node applies.
     pub fn bytes_at(&self, node: u32, name: &Name) -> Option<Vec<u8>> {
         self.node_of(node)
             .applied_change(name)
             .map(|change| change.content.bytes().to_vec())
     }
 
+    /// The processes of a kind.
     pub fn ids(&self, kind: fn(&Config) -> bool) -> BTreeSet<PeerId> {
         self.processes
             .iter()
-            .filter(|(_, seat)| kind(&seat.config))
+            .filter(|(_, process)| kind(&process.config))
             .map(|(id, _)| *id)
             .collect()
     }
