--- /dev/null
+++ b/crates/distribution/tests/rare_failures/fixture.rs
@@ -0,0 +1,57 @@
+//! The deployment and calls that the cases of this test share.
+
+use crate::world::{claim, grant_lease, lease, two_authors_and_relays, World};
+use reelfall_distribution::author::{Author, AuthorConfig};
+use reelfall_distribution::downstream_config::DownstreamConfig;
+use reelfall_distribution::log::Capacity;
+use reelfall_distribution::resource::{Draft, Selector, Version};
+use reelfall_distribution::upstream_config::UpstreamConfig;
+use reelfall_distribution::Time;
+use std::ops::Range;
+
+/// Longer than any case, in seconds.
+pub const LEASE_DURATION: Time = 1e6;
+pub const RELAYS: [u32; 2] = [10, 11];
+
+pub const NODES: Range<u32> = 100..104;
+
+/// It writes as soon as it holds the lease.
+pub fn author_without_relays() -> Author {
+    let config = AuthorConfig {
+        lease: lease(),
+        upstream: UpstreamConfig::relay(Vec::new()),
+        downstream: DownstreamConfig::default(),
+        capacity: Capacity {
+            max_keys: 100,
+            max_bytes: 1 << 20,
+            max_tombstones: 10,
+        },
+        history_bytes: 1 << 20,
+        takeover_timeout: 5.0,
+        seed: 1,
+    };
+    Author::new(config, 0.0)
+}
+
+/// Two authors, the first of which holds the lease for this long; two relays, four nodes.
+pub fn small_world(seed: u64, lease_duration: Time) -> World {
+    let mut world = two_authors_and_relays(seed);
+    for id in NODES {
+        world.add_node(id, &RELAYS, &[Selector::service("a")]);
+    }
+    grant_lease(&mut world, 1, 1, lease_duration);
+    world
+}
+
+/// The author publishes by this token.
+pub fn publish(world: &mut World, author: u32, token: u64, drafts: Vec<Draft>) -> Version {
+    let published_at = world.now;
+    let version = world
+        .with_author(author, |author, now, outputs| {
+            author.publish(now, &claim(token), drafts, outputs)
+        })
+        .unwrap()
+        .unwrap();
+    world.invariants.published(published_at, version);
+    version
+}
