--- a/crates/distribution/tests/rare_failures/fixture.rs
+++ b/crates/distribution/tests/rare_failures/fixture.rs
@@ -9,9 +9,7 @@
 use reelfall_distribution::Time;
 use std::ops::Range;
 
-/// Longer than any case, in seconds.
-pub const LEASE_DURATION: Time = 1e6;
-pub const RELAYS: [u32; 2] = [10, 11];
+pub use crate::world::writer::{LEASE_DURATION, RELAYS};
 
 pub const NODES: Range<u32> = 100..104;
 
--- a/crates/distribution/tests/staged_rollouts/fixture.rs
+++ b/crates/distribution/tests/staged_rollouts/fixture.rs
@@ -13,34 +13,10 @@
 use reelfall_distribution::Time;
 use std::ops::Range;
 
-/// An author and the token of the lease by which it writes.
-#[derive(Clone, Copy)]
-pub struct Writer {
-    pub author: u32,
-    pub token: u64,
-}
-
-impl Writer {
-    pub fn peer(self) -> PeerId {
-        PeerId(self.author)
-    }
-}
+pub use crate::world::writer::{Writer, FIRST_WRITER, LEASE_DURATION, RELAYS, SECOND_WRITER};
 
-/// Holds the lease from the start.
-pub const FIRST_WRITER: Writer = Writer {
-    author: 1,
-    token: 1,
-};
-/// Succeeds the first one where a case says so.
-pub const SECOND_WRITER: Writer = Writer {
-    author: 2,
-    token: 2,
-};
-pub const RELAYS: [u32; 2] = [10, 11];
 /// See [`follow_relay_by_parity`].
 pub const RELAY_OF_ODD_NODES: u32 = 11;
-/// Longer than any case, in seconds.
-pub const LEASE_DURATION: Time = 1e6;
 /// By then the authors have received acknowledgements and refreshes of all nodes, in seconds.
 const SETTLE_TIME: Time = 90.0;
 
--- a/crates/distribution/tests/world/mod.rs
+++ b/crates/distribution/tests/world/mod.rs
@@ -10,6 +10,7 @@
 mod network;
 pub mod payloads;
 mod process;
+pub mod writer;
 
 pub use deployment::{
     claim, grant_lease, lease, name, node_of_region, node_with_upstream, peers, put,
