--- /dev/null
+++ b/crates/lease/tests/explore/config.rs
@@ -0,0 +1,135 @@
+//! What an exploration includes, and the configurations of keepers and clients that follow from it.
+
+use reelfall_lease::clock::Margins;
+use reelfall_lease::holder::Config;
+use reelfall_lease::keeper;
+use reelfall_lease::queue::QueueTimeouts;
+use reelfall_lease::Micros;
+
+pub const KEEPERS: usize = 3;
+pub const CLIENTS: usize = 2;
+/// The rate of a clock without drift, in eighths.
+pub const NOMINAL_RATE_EIGHTHS: u64 = 8;
+/// An eighth.
+const DRIFT_PPM: u32 = 125_000;
+
+/// A part of the protocol that is removed, to show that the checker finds what it prevents.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum RemovedPart {
+    None,
+    /// The resource admits every write.
+    Fence,
+    /// The holder counts on the whole length, whatever the drift.
+    DriftMargin,
+    /// Keepers respond before their records are on disk.
+    Disk,
+    /// One keeper is enough, and each client has one of its own.
+    Majority,
+}
+
+pub struct Exploration {
+    pub removed: RemovedPart,
+    pub lease_length: Micros,
+    /// The last time of the world.
+    pub end: u8,
+    pub keeper_clock_eighths: u64,
+    pub client_clock_eighths: u64,
+    /// Of each client.
+    pub max_acquisitions: [u8; CLIENTS],
+    pub max_renewals: u8,
+    pub max_restarts: u8,
+    pub max_duplicates: u8,
+    /// Responses that do not arrive at once.
+    pub max_late_responses: u8,
+    /// Whether clients write to the resource.
+    pub has_writes: bool,
+    /// Of each client, the keepers that receive its messages. Majorities that share a single keeper are the worst case.
+    pub reachable_keepers: [[bool; KEEPERS]; CLIENTS],
+    /// Whether the first client holds the lease at the start.
+    pub is_held_at_start: bool,
+}
+
+impl Default for Exploration {
+    fn default() -> Self {
+        Exploration {
+            removed: RemovedPart::None,
+            lease_length: 3,
+            end: 5,
+            keeper_clock_eighths: NOMINAL_RATE_EIGHTHS,
+            client_clock_eighths: NOMINAL_RATE_EIGHTHS,
+            max_acquisitions: [0, 1],
+            max_renewals: 0,
+            max_restarts: 0,
+            max_duplicates: 0,
+            max_late_responses: 1,
+            has_writes: false,
+            reachable_keepers: [[true, false, true], [true, true, false]],
+            is_held_at_start: true,
+        }
+    }
+}
+
+impl Exploration {
+    pub fn keeper_clock(&self, now: u8) -> Micros {
+        u64::from(now) * self.keeper_clock_eighths / NOMINAL_RATE_EIGHTHS
+    }
+
+    pub fn client_clock(&self, now: u8) -> Micros {
+        u64::from(now) * self.client_clock_eighths / NOMINAL_RATE_EIGHTHS
+    }
+
+    fn margins(&self) -> Margins {
+        let has_drift = self.keeper_clock_eighths != NOMINAL_RATE_EIGHTHS
+            || self.client_clock_eighths != NOMINAL_RATE_EIGHTHS;
+        let is_respected = self.removed != RemovedPart::DriftMargin;
+        Margins {
+            drift_ppm: if has_drift && is_respected {
+                DRIFT_PPM
+            } else {
+                0
+            },
+        }
+    }
+
+    pub fn keeper_config(&self) -> keeper::Config {
+        keeper::Config {
+            margins: self.margins(),
+            max_length: 100,
+            queue_timeouts: QueueTimeouts { turn: 1, idle: 2 },
+            ..keeper::Config::default()
+        }
+    }
+
+    pub fn client_config(&self) -> Config {
+        Config {
+            keepers: if self.has_majorities() { KEEPERS } else { 1 },
+            margins: self.margins(),
+            length: self.lease_length,
+            response_timeout: 1,
+            min_backoff: 0,
+            max_backoff: 0,
+        }
+    }
+
+    pub fn has_majorities(&self) -> bool {
+        self.removed != RemovedPart::Majority
+    }
+
+    /// The keeper that a client means by an index.
+    pub fn keeper_of(&self, client: usize, index: usize) -> usize {
+        if self.has_majorities() {
+            index
+        } else {
+            client
+        }
+    }
+
+    /// The index by which a client knows a keeper.
+    pub fn index_of(&self, keeper: usize) -> usize {
+        if self.has_majorities() {
+            keeper
+        } else {
+            0
+        }
+    }
+}
