--- /dev/null
+++ b/crates/cluster/tests/fleet/datagrams.rs
@@ -0,0 +1,102 @@
+//! Datagrams that are dropped.
+
+use crate::fixture::{gathered_world, is_banned_on_none};
+use reelfall_cluster::fleet::Fleet;
+use reelfall_cluster::wire::{DropReason, GossipDatagram, Secret};
+use reelfall_emulator::together::{address, rules, secret};
+
+#[test]
+fn forged_corrupt_foreign_and_replayed_datagrams_are_dropped_and_counted() {
+    let mut world = gathered_world(3, 47);
+    world
+        .at(0, |fleet, now| fleet.ban(now, "sick", "ada", Some(2.0)))
+        .unwrap();
+    // The datagrams of one node are recorded, to be replayed later.
+    let mut recorded = Vec::new();
+    let process = world.nodes[0].as_mut().unwrap();
+    let now = process.clock(world.t);
+    process.fleet.tick(now + 0.2, 20);
+    while let Some(datagram) = process.fleet.next_datagram() {
+        recorded.push((datagram.to, datagram.bytes));
+    }
+    assert!(!recorded.is_empty());
+    for (to, datagram) in &recorded {
+        let to = usize::from(to.port()) - 10_000;
+        for delay in [0.0, 0.001, 3.0, 10.0] {
+            world.inject(to, datagram.clone(), delay);
+        }
+        for position in [0, 2, 5, 25, datagram.len() - 1] {
+            let mut corrupt = datagram.clone();
+            corrupt[position] ^= 0x40;
+            world.inject(to, corrupt, 0.0);
+        }
+        world.inject(to, datagram[..datagram.len() / 2].to_vec(), 0.0);
+        world.inject(to, vec![0; 9000], 0.0);
+    }
+    world.run(1.0);
+    world.run(14.0);
+    assert!(
+        is_banned_on_none(&world, "sick"),
+        "a replayed ban is active"
+    );
+    assert_eq!(world.broken, Vec::<String>::new());
+    let dropped = |node: usize, reason: DropReason| {
+        world.nodes[node].as_ref().map_or(0, |process| {
+            process
+                .fleet
+                .counters()
+                .dropped
+                .get(&reason)
+                .copied()
+                .unwrap_or(0)
+        })
+    };
+    for reason in [
+        DropReason::Duplicate,
+        DropReason::Unauthenticated,
+        DropReason::Foreign,
+        DropReason::TooLong,
+    ] {
+        assert!(
+            (1..3).any(|node| dropped(node, reason) > 0),
+            "{reason} is not counted"
+        );
+    }
+    let other = Secret::new(b"a key of this world's own", "abuja").unwrap();
+    assert_eq!(
+        GossipDatagram::open(&other, &recorded[0].1).unwrap_err(),
+        DropReason::Unauthenticated,
+        "the name of another cluster gives another key"
+    );
+    assert!(Secret::new(b"short", "lagos").is_err());
+}
+
+#[test]
+fn datagram_of_unproven_age_is_ignored() {
+    // The nodes have no contact yet; the link delays the datagrams of the sender for a minute.
+    let mut sender = Fleet::new("one", address(0), 1, rules(), secret(), 1, 0.0);
+    let mut receiver = Fleet::new("two", address(1), 2, rules(), secret(), 2, 0.0);
+    sender.ban(0.0, "sick", "ada", Some(5.0)).unwrap();
+    let mut now = 0.0;
+    let mut delayed = Vec::new();
+    while now < 3.0 {
+        sender.tick(now, 1);
+        receiver.tick(now, 1);
+        while let Some(datagram) = receiver.next_datagram() {
+            sender.receive(now, &datagram.bytes);
+        }
+        while let Some(datagram) = sender.next_datagram() {
+            delayed.push(datagram.bytes);
+        }
+        now += 0.05;
+    }
+    for datagram in delayed {
+        receiver.receive(60.0, &datagram);
+    }
+    assert_eq!(
+        receiver.ban_left("sick", 60.0),
+        None,
+        "a datagram that was a minute in transit counted"
+    );
+    assert!(receiver.counters().expired + receiver.counters().unproven > 0);
+}
--- /dev/null
+++ b/crates/cluster/tests/fleet/main.rs
@@ -0,0 +1,8 @@
+//! Clusters in virtual time: bans, membership, verdicts on servers, datagrams, and random schedules.
+
+mod bans;
+mod datagrams;
+mod fixture;
+mod membership;
+mod schedules;
+mod verdicts;
--- /dev/null
+++ b/crates/cluster/tests/fleet/verdicts.rs
@@ -0,0 +1,234 @@
+//! Verdicts on servers by the reports of several nodes.
+
+use crate::fixture::{condemned_servers, gathered_world, record_outcomes, server};
+use reelfall_cluster::entry::ServerInstance;
+use reelfall_cluster::fleet::Config;
+use reelfall_cluster::observer::{AttemptOutcome, OverdueAttempt};
+use reelfall_emulator::together::{rules, World};
+
+fn two_zones(node: usize) -> Config {
+    Config {
+        zone: if node < 4 { "ikeja" } else { "lekki" }.to_owned(),
+        ..rules()
+    }
+}
+
+#[test]
+fn quorum_of_failure_reports_condemns_a_server() {
+    let mut world = gathered_world(9, 31);
+    for _ in 0..3 {
+        record_outcomes(&mut world, &[1], &[0], AttemptOutcome::ServerError);
+        world.run(0.3);
+    }
+    assert!(
+        (0..9).all(|node| condemned_servers(&world, node).is_empty()),
+        "a single node condemned the server"
+    );
+    for _ in 0..3 {
+        record_outcomes(&mut world, &[1, 2, 3], &[0], AttemptOutcome::ServerError);
+        world.run(0.05);
+    }
+    let took = world.until(3.0, |world| {
+        (0..9).all(|node| condemned_servers(world, node) == ["server-0"])
+    });
+    assert!(took < 1.0, "{took} s");
+    // No report is repeated: the verdict expires on each node in time.
+    world.run(10.5);
+    assert!((0..9).all(|node| condemned_servers(&world, node).is_empty()));
+    assert_eq!(world.broken, Vec::<String>::new());
+}
+
+/// Each of these nodes has an attempt that is overdue by this many seconds past an objective of 0.2 s, or none any more.
+fn set_overdue(world: &mut World, nodes: &[usize], overdue_by: Option<f64>) {
+    for node in nodes {
+        world.at(*node, |fleet, now| {
+            let attempt = |overdue_by| OverdueAttempt {
+                server: server(0),
+                since: now - 0.2 - overdue_by,
+                late_from: now - overdue_by,
+            };
+            fleet.set_overdue(
+                now,
+                &overdue_by.map(attempt).into_iter().collect::<Vec<_>>(),
+            );
+        });
+    }
+}
+
+#[test]
+fn overdue_attempts_are_reported_and_withdrawn_when_answered() {
+    let mut world = gathered_world(9, 67);
+    set_overdue(&mut world, &[0, 1, 2], Some(0.01));
+    let took = world.until(2.0, |world| {
+        (0..9).all(|node| condemned_servers(world, node) == ["server-0"])
+    });
+    // With the next round of gossip, not the one after it.
+    assert!(took < 0.1, "{took} s");
+    // The server was only paused: late answers withdraw the reports.
+    record_outcomes(&mut world, &[0, 1, 2], &[0], AttemptOutcome::AnsweredLate);
+    set_overdue(&mut world, &[0, 1, 2], None);
+    let took = world.until(2.0, |world| {
+        (0..9).all(|node| condemned_servers(world, node).is_empty())
+    });
+    assert!(took < 0.6, "withdrawn after {took} s");
+    // An aborted attempt has no outcome, and its report is withdrawn.
+    set_overdue(&mut world, &[3, 4, 5], Some(0.01));
+    world.until(2.0, |world| condemned_servers(world, 8) == ["server-0"]);
+    set_overdue(&mut world, &[3, 4, 5], None);
+    world.until(2.0, |world| {
+        (0..9).all(|node| condemned_servers(world, node).is_empty())
+    });
+    // A timeout confirms the report.
+    set_overdue(&mut world, &[6, 7, 8], Some(0.01));
+    world.until(2.0, |world| condemned_servers(world, 0) == ["server-0"]);
+    record_outcomes(&mut world, &[6, 7, 8], &[0], AttemptOutcome::TimedOut);
+    set_overdue(&mut world, &[6, 7, 8], None);
+    world.run(9.0);
+    assert!((0..9).all(|node| condemned_servers(&world, node) == ["server-0"]));
+    world.run(2.0);
+    assert!((0..9).all(|node| condemned_servers(&world, node).is_empty()));
+    assert_eq!(world.broken, Vec::<String>::new());
+}
+
+#[test]
+fn overdue_attempts_sent_before_the_last_answer_do_not_count() {
+    let mut world = gathered_world(5, 71);
+    // The attempts were sent before the last answer of the server.
+    record_outcomes(&mut world, &[0, 1, 2], &[0], AttemptOutcome::Answered);
+    for _ in 0..20 {
+        set_overdue(&mut world, &[0, 1, 2], Some(0.3));
+        world.run(0.1);
+        record_outcomes(&mut world, &[0, 1, 2], &[0], AttemptOutcome::Answered);
+    }
+    assert!((0..5).all(|node| condemned_servers(&world, node).is_empty()));
+    // An attempt that was sent after it counts.
+    world.run(1.0);
+    set_overdue(&mut world, &[0, 1, 2], Some(0.3));
+    world.until(2.0, |world| {
+        (0..5).all(|node| condemned_servers(world, node) == ["server-0"])
+    });
+}
+
+#[test]
+fn reports_of_dead_nodes_do_not_count() {
+    let mut world = World::new(9, 59, |_| Config {
+        report_lasts: 60.0,
+        ..rules()
+    });
+    world.until(20.0, World::gathered);
+    for _ in 0..3 {
+        record_outcomes(&mut world, &[6, 7, 8], &[0], AttemptOutcome::ServerError);
+        world.run(0.1);
+    }
+    world.until(2.0, |world| {
+        (0..6).all(|node| condemned_servers(world, node) == ["server-0"])
+    });
+    (6..9).for_each(|node| world.kill(node));
+    world.until(20.0, |world| {
+        (0..6).all(|node| condemned_servers(world, node).is_empty())
+    });
+}
+
+#[test]
+fn success_reports_outweigh_failure_reports() {
+    let mut world = gathered_world(9, 37);
+    for _ in 0..4 {
+        record_outcomes(&mut world, &[0, 1, 2], &[0], AttemptOutcome::ServerError);
+        record_outcomes(&mut world, &[4, 5, 6, 7], &[0], AttemptOutcome::Answered);
+        world.run(0.2);
+    }
+    world.run(1.0);
+    assert!(
+        (0..9).all(|node| condemned_servers(&world, node).is_empty()),
+        "three failure reports outweighed four success reports"
+    );
+    // A condemned server that answers again is reinstated, also by nodes that had reported it.
+    for _ in 0..4 {
+        record_outcomes(&mut world, &[0, 1, 2, 3], &[1], AttemptOutcome::TimedOut);
+        world.run(0.1);
+    }
+    world.until(2.0, |world| {
+        (0..9).all(|node| condemned_servers(world, node) == ["server-1"])
+    });
+    for _ in 0..3 {
+        record_outcomes(&mut world, &[0, 1], &[1], AttemptOutcome::Answered);
+        world.run(0.1);
+    }
+    let took = world.until(3.0, |world| {
+        (0..9).all(|node| condemned_servers(world, node).is_empty())
+    });
+    assert!(took < 1.5, "reinstated after {took} s");
+}
+
+#[test]
+fn partitioned_zone_and_nodes_failing_on_all_servers_condemn_no_others() {
+    let mut world = World::new(8, 41, two_zones);
+    world.until(20.0, World::gathered);
+    let all: Vec<usize> = (0..20).collect();
+    // A zone that cannot reach the servers of the other condemns them for itself alone.
+    for _ in 0..3 {
+        record_outcomes(
+            &mut world,
+            &[0, 1, 2, 3],
+            &[10, 11, 12],
+            AttemptOutcome::Unreachable,
+        );
+        world.run(0.2);
+    }
+    world.run(1.0);
+    assert!(
+        (0..4).all(|node| condemned_servers(&world, node).len() == 3),
+        "{:?}",
+        condemned_servers(&world, 0)
+    );
+    assert!(
+        (4..8).all(|node| condemned_servers(&world, node).is_empty()),
+        "a partitioned zone condemned the other's servers"
+    );
+    world.run(12.0);
+    // Reports of nodes on which all servers fail do not count.
+    for _ in 0..3 {
+        record_outcomes(&mut world, &[0, 1, 5], &all, AttemptOutcome::TimedOut);
+        world.run(0.2);
+    }
+    world.run(1.0);
+    assert!(
+        (0..8).all(|node| condemned_servers(&world, node).is_empty()),
+        "{:?}",
+        condemned_servers(&world, 7)
+    );
+    world.run(12.0);
+    // No more than the configured fraction of the list is condemned, the same servers on all nodes.
+    let reported: Vec<usize> = (0..6).collect();
+    let nodes: Vec<usize> = (0..8).collect();
+    for _ in 0..3 {
+        record_outcomes(&mut world, &nodes, &reported, AttemptOutcome::ServerError);
+        world.run(0.2);
+    }
+    world.run(1.0);
+    assert!(
+        (0..8).all(|node| condemned_servers(&world, node).len() == 4),
+        "{:?}",
+        condemned_servers(&world, 0)
+    );
+    assert!((0..8).all(|node| condemned_servers(&world, node) == condemned_servers(&world, 0)));
+}
+
+#[test]
+fn verdict_does_not_apply_to_a_restarted_server() {
+    let mut world = gathered_world(5, 43);
+    for _ in 0..3 {
+        record_outcomes(&mut world, &[0, 1, 2], &[0], AttemptOutcome::ServerError);
+        world.run(0.1);
+    }
+    world.until(2.0, |world| condemned_servers(world, 4) == ["server-0"]);
+    let process = world.nodes[4].as_ref().unwrap();
+    let condemned = process.fleet.condemned_servers(process.clock(world.t), 20);
+    let next = ServerInstance {
+        since: 6,
+        ..server(0)
+    };
+    assert!(condemned
+        .iter()
+        .all(|condemned| condemned.server != next && condemned.server == server(0)));
+}
