--- a/crates/distribution/tests/staged_rollouts/limits.rs
+++ b/crates/distribution/tests/staged_rollouts/limits.rs
@@ -7,7 +7,7 @@
 use crate::world::{claim, World};
 use reelfall_distribution::author::RolloutDraft;
 use reelfall_distribution::publish::{PublishError, MAX_OPEN_ROLLOUTS};
-use reelfall_distribution::resource::{Content, Draft, Name, Selector};
+use reelfall_distribution::resource::{Content, Draft, Name, Selector, Version};
 use reelfall_distribution::rollout::policy::{InvalidPolicy, RolloutPolicy};
 use reelfall_distribution::rollout::record::RolloutRecord;
 use reelfall_distribution::subscriber::ACKNOWLEDGEMENT_REFRESH_INTERVAL;
@@ -63,82 +63,90 @@
     assert_eq!(retained, MAX_RETAINED_RECORDS);
 }
 
-/// The default policy after this change is rejected for this reason.
-fn assert_invalid_policy(
+/// Starts a rollout by the default policy after a change.
+fn roll_out_with(
     world: &mut World,
-    change: impl FnOnce(&mut RolloutPolicy),
-    reason: InvalidPolicy,
-) {
+    change: fn(&mut RolloutPolicy),
+) -> Result<Version, PublishError> {
     let mut policy = default_policy();
     change(&mut policy);
-    assert_rejected(world, rollout_draft(NEW_BODY, policy), reason.into());
-}
-
-fn assert_rejected(world: &mut World, draft: RolloutDraft, reason: PublishError) {
-    assert_eq!(roll_out(world, FIRST_WRITER, draft), Err(reason));
+    roll_out(world, FIRST_WRITER, rollout_draft(NEW_BODY, policy))
 }
 
 #[test]
 fn policies_with_invalid_stages_are_rejected() {
     let mut world = rollout_world(19, follow_both_relays);
-    let mut assert_invalid_stages = |stages: Vec<u16>| {
-        assert_invalid_policy(
-            &mut world,
-            |policy| policy.stages = stages,
-            InvalidPolicy::Stages,
-        );
-    };
-    assert_invalid_stages(vec![]);
-    assert_invalid_stages(vec![0, 1000]);
-    assert_invalid_stages(vec![500, 400, 1000]);
-    assert_invalid_stages(vec![500]);
-    assert_invalid_stages((984..=1000).collect());
+    assert_eq!(
+        roll_out_with(&mut world, |policy| policy.stages = vec![]),
+        Err(InvalidPolicy::Stages.into())
+    );
+    assert_eq!(
+        roll_out_with(&mut world, |policy| policy.stages = vec![0, 1000]),
+        Err(InvalidPolicy::Stages.into())
+    );
+    assert_eq!(
+        roll_out_with(&mut world, |policy| policy.stages = vec![500, 400, 1000]),
+        Err(InvalidPolicy::Stages.into())
+    );
+    assert_eq!(
+        roll_out_with(&mut world, |policy| policy.stages = vec![500]),
+        Err(InvalidPolicy::Stages.into())
+    );
+    assert_eq!(
+        roll_out_with(&mut world, |policy| policy.stages = (984..=1000).collect()),
+        Err(InvalidPolicy::Stages.into())
+    );
 }
 
 #[test]
 fn policies_with_invalid_thresholds_are_rejected() {
     let mut world = rollout_world(19, follow_both_relays);
-    assert_invalid_policy(
-        &mut world,
-        |policy| policy.max_rejected_share = 1001,
-        InvalidPolicy::Share,
+    assert_eq!(
+        roll_out_with(&mut world, |policy| policy.max_rejected_share = 1001),
+        Err(InvalidPolicy::Share.into())
     );
-    assert_invalid_policy(
-        &mut world,
-        |policy| policy.min_accepted_share = 1001,
-        InvalidPolicy::Share,
+    assert_eq!(
+        roll_out_with(&mut world, |policy| policy.min_accepted_share = 1001),
+        Err(InvalidPolicy::Share.into())
     );
-    assert_invalid_policy(
-        &mut world,
-        |policy| policy.min_decisions = 0,
-        InvalidPolicy::Decisions,
+    assert_eq!(
+        roll_out_with(&mut world, |policy| policy.min_decisions = 0),
+        Err(InvalidPolicy::Decisions.into())
     );
 }
 
 #[test]
 fn policies_with_invalid_times_are_rejected() {
     let mut world = rollout_world(19, follow_both_relays);
-    for soak_time in [-1.0, f64::NAN] {
-        assert_invalid_policy(
-            &mut world,
-            |policy| policy.soak_time = soak_time,
-            InvalidPolicy::Soak,
-        );
-    }
-    for decision_time in [SOAK_TIME + 1.0, f64::NAN] {
-        assert_invalid_policy(
-            &mut world,
-            |policy| policy.decision_time = decision_time,
-            InvalidPolicy::DecisionTime,
-        );
-    }
-    for max_report_age in [60.0, f64::NAN, ACKNOWLEDGEMENT_REFRESH_INTERVAL] {
-        assert_invalid_policy(
-            &mut world,
-            |policy| policy.max_report_age = max_report_age,
-            InvalidPolicy::ReportAge,
-        );
-    }
+    assert_eq!(
+        roll_out_with(&mut world, |policy| policy.soak_time = -1.0),
+        Err(InvalidPolicy::Soak.into())
+    );
+    assert_eq!(
+        roll_out_with(&mut world, |policy| policy.soak_time = f64::NAN),
+        Err(InvalidPolicy::Soak.into())
+    );
+    assert_eq!(
+        roll_out_with(&mut world, |policy| policy.decision_time = SOAK_TIME + 1.0),
+        Err(InvalidPolicy::DecisionTime.into())
+    );
+    assert_eq!(
+        roll_out_with(&mut world, |policy| policy.decision_time = f64::NAN),
+        Err(InvalidPolicy::DecisionTime.into())
+    );
+    assert_eq!(
+        roll_out_with(&mut world, |policy| policy.max_report_age = 60.0),
+        Err(InvalidPolicy::ReportAge.into())
+    );
+    assert_eq!(
+        roll_out_with(&mut world, |policy| policy.max_report_age = f64::NAN),
+        Err(InvalidPolicy::ReportAge.into())
+    );
+    assert_eq!(
+        roll_out_with(&mut world, |policy| policy.max_report_age =
+            ACKNOWLEDGEMENT_REFRESH_INTERVAL),
+        Err(InvalidPolicy::ReportAge.into())
+    );
 }
 
 #[test]
@@ -148,14 +156,20 @@
         content: Content::Removed,
         ..rollout_draft(NEW_BODY, default_policy())
     };
-    assert_rejected(&mut world, removal, InvalidPolicy::Removal.into());
+    assert_eq!(
+        roll_out(&mut world, FIRST_WRITER, removal),
+        Err(InvalidPolicy::Removal.into())
+    );
     let record = RolloutRecord::key_of(&resource()).name;
     let reserved = PublishError::Reserved(Box::new(record.clone()));
     let rollout_of_record = RolloutDraft {
         name: record.clone(),
         ..rollout_draft(NEW_BODY, default_policy())
     };
-    assert_rejected(&mut world, rollout_of_record, reserved.clone());
+    assert_eq!(
+        roll_out(&mut world, FIRST_WRITER, rollout_of_record),
+        Err(reserved.clone())
+    );
     let drafts = vec![Draft::put(record, b"")];
     let published = world.with_author(FIRST_WRITER.author, |author, now, outputs| {
         author.publish(now, &claim(FIRST_WRITER.token), drafts, outputs)
