--- a/crates/capacity/src/scale/command.rs
+++ b/crates/capacity/src/scale/command.rs
@@ -2,6 +2,7 @@
 
 use super::computation::{self, Computation};
 use super::limits::{Deadline, MAX_RUN_DURATION};
+use super::plan::Plan;
 use super::report::Size;
 use super::{fleet, lines, machine, plot, single, smoke, sweep};
 use reelfall_testbed::scripted::Program;
@@ -212,7 +213,7 @@
         .map_or_else(single::default_threads, |threads| {
             threads.clamp(1, machine::cores())
         });
-    let plan = single::Plan {
+    let plan = Plan {
         node_program: program.clone(),
         own_program: std::env::current_exe()?,
         size: args.size(),
--- a/crates/capacity/src/scale/mod.rs
+++ b/crates/capacity/src/scale/mod.rs
@@ -34,6 +34,7 @@
 //! | [`record`] | the JSON file: a report with notes; its printed form is in [`record_text`] |
 //! | [`figure`], [`sweep_fit`] | figures of runs, and fits through them |
 //! | [`fit`], [`least_squares`] | the statistics |
+//! | [`plan`] | the parameters of a run |
 //! | [`plot`] | plots of sweeps |
 //! | [`error`] | the errors of all modules |
 
@@ -55,6 +56,7 @@
 pub mod lines;
 pub mod machine;
 pub mod network;
+pub mod plan;
 pub mod plot;
 pub mod real;
 pub mod real_settings;
--- a/crates/capacity/src/scale/request_rounds.rs
+++ b/crates/capacity/src/scale/request_rounds.rs
@@ -2,11 +2,11 @@
 //! of [`single`](super::single).
 
 use super::network::Network;
+use super::plan::Plan;
 use super::real::{request_times, RealNodes};
 use super::record::{AddedLatency, Record};
 use super::report::Run;
 use super::schedule::Rates;
-use super::single::Plan;
 use super::window::{measure, measure_with, Window, DRAIN_DURATION};
 use hdrhistogram::Histogram;
 use reelfall_testbed::Result;
--- a/crates/capacity/src/scale/single.rs
+++ b/crates/capacity/src/scale/single.rs
@@ -5,9 +5,9 @@
 use super::computation_process;
 use super::discovery_stub::DiscoveryStub;
 use super::faults::{FaultRun, Scenario};
-use super::limits::Deadline;
 use super::machine;
 use super::network::Network;
+use super::plan::Plan;
 use super::real::{RealNodes, MAX_LISTED_SERVERS};
 use super::record::{Convergence, Record};
 use super::report::Size;
@@ -15,9 +15,7 @@
 use super::sampler::SAMPLING_INTERVAL;
 use super::schedule::Rates;
 use super::window::{measure, wait_until_converged, Window};
-use reelfall_testbed::scripted::Program;
 use reelfall_testbed::Result;
-use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -28,26 +26,6 @@
 /// Time that has to remain for a fault scenario.
 const MAX_SCENARIO_DURATION: Duration = Duration::from_secs(45);
 
-/// The parameters of a run.
-pub struct Plan {
-    /// The node's program, for real nodes.
-    pub node_program: Program,
-    /// This program, for computations.
-    pub own_program: PathBuf,
-    /// The size of the system.
-    pub size: Size,
-    /// Real nodes.
-    pub real_nodes: usize,
-    /// Threads that drive the simulated ones.
-    pub threads: usize,
-    /// Length of each window.
-    pub window_seconds: f64,
-    /// For all random choices.
-    pub seed: u64,
-    /// When the run has to end.
-    pub deadline: Deadline,
-}
-
 /// Threads that drive simulated nodes: half of the cores, so that some are left for real nodes and clients.
 pub fn default_threads() -> usize {
     (machine::cores() / 2).max(1)
--- a/crates/emulator/src/cluster.rs
+++ b/crates/emulator/src/cluster.rs
@@ -5,6 +5,7 @@
 //!
 //! | module | responsibility |
 //! | --- | --- |
+//! | `entry_version` | versions of entries |
 //! | `address` | names and addresses of nodes, their configuration and key |
 //! | `process` | one process of a node |
 //! | `links` | links, partitions, and datagrams in flight |
@@ -13,6 +14,7 @@
 //! | `invariants` | bounds on the lifetime of verdicts |
 
 mod address;
+mod entry_version;
 mod invariants;
 mod links;
 mod outputs;
@@ -25,8 +27,8 @@
 pub use self::outputs::HealthyDeclaredDead;
 pub use self::process::{Process, MAX_INBOX};
 
+use self::entry_version::EntryVersion;
 use self::links::{DeliveryTime, InFlight, Path};
-use self::outputs::EntryVersion;
 use crate::inspect::Inspector;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/emulator/src/cluster/invariants.rs
+++ b/crates/emulator/src/cluster/invariants.rs
@@ -1,7 +1,7 @@
 //! Invariants of a [`Cluster`]: no verdict is valid for longer than its time to live, by the cluster's clock; nodes report
 //! the end of each ban; lifted bans don't return.
 
-use super::outputs::EntryVersion;
+use super::entry_version::EntryVersion;
 use super::process::Process;
 use super::Cluster;
 use reelfall_cluster::entry::Key;
--- a/crates/emulator/src/cluster/outputs.rs
+++ b/crates/emulator/src/cluster/outputs.rs
@@ -2,9 +2,10 @@
 //! deaths are recorded.
 
 use super::address::node_at;
+use super::entry_version::EntryVersion;
 use super::invariants::ViolationKind;
 use super::Cluster;
-use reelfall_cluster::entry::{Key, Value, Version};
+use reelfall_cluster::entry::{Key, Value};
 use reelfall_cluster::fleet::FleetEvent;
 use reelfall_cluster::members::MemberEvent;
 use reelfall_cluster::node::Node;
@@ -18,13 +19,6 @@
     pub by_impaired: u64,
 }
 
-/// A version of an entry.
-#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct EntryVersion {
-    pub(super) key: Key,
-    pub(super) version: Version,
-}
-
 impl Cluster {
     /// Sends the datagrams of a node and records its events.
     pub(super) fn handle_outputs(&mut self, node: usize) {
--- a/crates/emulator/src/control/invariants.rs
+++ b/crates/emulator/src/control/invariants.rs
@@ -1,8 +1,8 @@
 //! Invariants of the distribution, checked by what nodes do and not by what they report. The world records violations.
 
 use super::account::LONG_WINDOW;
+use super::errors::{RelaysBehind, WriteError};
 use super::machine::{AppliedChange, Node};
-use super::world::{RelaysBehind, WriteError};
 use reelfall_distribution::author::Author;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::publish::PublishError;
--- a/crates/emulator/src/control/mod.rs
+++ b/crates/emulator/src/control/mod.rs
@@ -9,6 +9,7 @@
 //! | --- | --- |
 //! | [`topology`] | regions, zones and racks, and the site of each endpoint |
 //! | [`links`] | properties of links |
+//! | [`errors`] | why a world could not publish |
 //! | [`endpoint`] | the interface of what runs at the ends of links |
 //! | [`clock`] | clocks of machines |
 //! | [`network`] | the event queue, frames between endpoints, partitions, crashes and pauses |
@@ -32,6 +33,7 @@
 pub mod baseline;
 pub mod clock;
 pub mod endpoint;
+pub mod errors;
 pub mod full_snapshots;
 pub mod invariants;
 pub mod layout;
--- a/crates/emulator/src/control/world.rs
+++ b/crates/emulator/src/control/world.rs
@@ -17,11 +17,10 @@
 mod relays;
 mod tracking;
 
-pub use self::changes::WriteError;
 pub use self::invariants::{check_agreement, check_bandwidth};
 pub use self::lease::LEASE_DURATION;
-pub use self::relays::{RelayProgress, RelaysBehind};
 pub use self::tracking::{Ages, ApplyTimes, TrackedChange};
+pub use super::errors::{RelayProgress, RelaysBehind, WriteError};
 
 use self::changes::RequestedChange;
 use self::lease::LeaseState;
--- a/crates/emulator/src/control/world/changes.rs
+++ b/crates/emulator/src/control/world/changes.rs
@@ -1,6 +1,7 @@
 //! Changes of resources: requested, published by the author that holds the lease, and reverted.
 
 use super::World;
+use crate::control::errors::WriteError;
 use crate::control::invariants::ViolationKind;
 use crate::control::resources::Resource;
 use rand::Rng;
@@ -9,21 +10,6 @@
 use reelfall_distribution::publish::PublishError;
 use reelfall_distribution::resource::{Draft, Selector, Version};
 use reelfall_lease::token::Claim;
-use thiserror::Error;
-
-/// Why nothing was published.
-#[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum WriteError {
-    /// No author holds the lease.
-    #[error("nobody holds the lease")]
-    NoLeaseHolder,
-    /// The author that holds the lease does not run.
-    #[error("the author does not run")]
-    AuthorNotRunning,
-    /// The author rejected it.
-    #[error(transparent)]
-    Rejected(#[from] PublishError),
-}
 
 /// A change that waits for an author.
 pub(super) struct RequestedChange {
--- a/crates/testbed/src/measure/error.rs
+++ b/crates/testbed/src/measure/error.rs
@@ -1,7 +1,5 @@
 //! Why a measurement has no result.
 
-use super::graphql::OPEN_BATCHES;
-
 /// An error of a measurement.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum MeasureError {
@@ -19,10 +17,11 @@
     InvalidRequest,
     #[error("{message}")]
     InvalidDocument { message: String },
-    #[error("{path}: {open} were open at once, {answered} answered, of {OPEN_BATCHES}")]
+    #[error("{path}: {open} were open at once, {answered} answered, of {batches}")]
     RequestsNotOpen {
         path: &'static str,
         open: u64,
         answered: usize,
+        batches: usize,
     },
 }
--- a/crates/testbed/src/measure/graphql/mod.rs
+++ b/crates/testbed/src/measure/graphql/mod.rs
@@ -5,8 +5,6 @@
 mod open_batches;
 mod requests;
 
-pub(in crate::measure) use open_batches::OPEN_BATCHES;
-
 use super::{measure_rounds, median_ratio, round_to_tenth, Plan, Subject};
 use crate::graphql;
 use crate::node::Program;
--- a/crates/testbed/src/measure/graphql/open_batches.rs
+++ b/crates/testbed/src/measure/graphql/open_batches.rs
@@ -17,7 +17,7 @@
 use tokio::task::JoinSet;
 
 /// Batches that are open at once.
-pub(in crate::measure) const OPEN_BATCHES: usize = 1_000;
+const OPEN_BATCHES: usize = 1_000;
 /// Requests of each batch.
 const ENTRIES_PER_BATCH: usize = 10;
 const FLAG_BYTES: usize = 900;
@@ -89,6 +89,7 @@
             path,
             open,
             answered,
+            batches: OPEN_BATCHES,
         }
         .into());
     }
--- a/crates/testbed/src/registry/connections.rs
+++ b/crates/testbed/src/registry/connections.rs
@@ -2,7 +2,8 @@
 
 use super::jute::FRAME_HEADER_BYTES;
 use super::requests::{self, Handled};
-use super::state::{lock, Connection, ConnectionId, OutgoingFrame, RegistryState};
+use super::state::{lock, Connection, OutgoingFrame, RegistryState};
+use super::watches::ConnectionId;
 use bytes::{Bytes, BytesMut};
 use std::ops::ControlFlow;
 use std::sync::{Arc, Mutex};
--- a/crates/testbed/src/registry/requests/mod.rs
+++ b/crates/testbed/src/registry/requests/mod.rs
@@ -21,7 +21,8 @@
 use super::acl::Identity;
 use super::jute::{Reader, Writer};
 use super::protocol::{ErrorCode, Operation, OK};
-use super::state::{ConnectionId, RegistryState};
+use super::state::RegistryState;
+use super::watches::ConnectionId;
 use bytes::Bytes;
 use std::time::Instant;
 
--- a/crates/testbed/src/registry/requests/sessions.rs
+++ b/crates/testbed/src/registry/requests/sessions.rs
@@ -4,7 +4,8 @@
 use crate::registry::acl::{digest_id, Identity};
 use crate::registry::jute::{Reader, Writer};
 use crate::registry::protocol::ErrorCode;
-use crate::registry::state::{ConnectionId, RegistryState, SessionPassword};
+use crate::registry::state::{RegistryState, SessionPassword};
+use crate::registry::watches::ConnectionId;
 use std::time::{Duration, Instant};
 
 /// Shortest time-out of a session.
--- a/crates/testbed/src/registry/state.rs
+++ b/crates/testbed/src/registry/state.rs
@@ -6,16 +6,13 @@
 use super::jute::Writer;
 use super::protocol::{WatchEvent, OK, STATE_CONNECTED, WATCH_EVENT_XID};
 use super::tree::{Change, Transaction, Tree};
-use super::watches::{Notification, Watches};
+use super::watches::{ConnectionId, Notification, Watches};
 use bytes::Bytes;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::{mpsc, watch};
 
-/// Number of a connection. Session ids are from the same sequence.
-pub(super) type ConnectionId = u64;
-
 /// A transaction that a member has not applied yet.
 pub(super) struct PendingTransaction {
     due: Instant,
--- a/crates/testbed/src/registry/watches.rs
+++ b/crates/testbed/src/registry/watches.rs
@@ -1,10 +1,12 @@
 //! The watches of the clients that are connected to one member.
 
 use super::protocol::{WatchEvent, WatchKind};
-use super::state::ConnectionId;
 use super::tree::{self, TreeEvent};
 use std::collections::{HashMap, HashSet};
 
+/// Number of a connection. Session ids are from the same sequence.
+pub(super) type ConnectionId = u64;
+
 /// Watches by path.
 #[derive(Default)]
 pub(super) struct Watches {
