--- a/crates/testbed/src/fleet/start.rs
+++ b/crates/testbed/src/fleet/start.rs
@@ -106,7 +106,7 @@
 /// Writes the key that the nodes of the fleet share.
 fn write_key(folder: &Path) -> Result<PathBuf> {
     let key_file = folder.join("fleet.key");
-    std::fs::write(&key_file, "the rig's own key, and nobody else's")?;
+    std::fs::write(&key_file, "the testbed's own key, and nobody else's")?;
     Ok(key_file)
 }
 
--- a/crates/testbed/tests/fleets/mod.rs
+++ b/crates/testbed/tests/fleets/mod.rs
@@ -18,14 +18,17 @@
     Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"))
 }
 
-pub async fn start(made: FleetSpec) -> TestFleet {
-    let rig = TestFleet::start(&program(), &made).await.unwrap();
-    if made.fleet_settings.is_some() {
-        rig.wait_until("all know each other", async |rig| rig.is_converged().await)
+pub async fn start(spec: FleetSpec) -> TestFleet {
+    let fleet = TestFleet::start(&program(), &spec).await.unwrap();
+    if spec.fleet_settings.is_some() {
+        fleet
+            .wait_until("all know each other", async |fleet| {
+                fleet.is_converged().await
+            })
             .await
             .unwrap();
     }
-    rig
+    fleet
 }
 
 pub fn warm() -> FleetSpec {
@@ -45,18 +48,18 @@
     tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
 }
 
-pub fn none_broken(rig: &TestFleet) {
-    let broken = invariants::violations(&rig.history.events());
-    assert!(broken.is_empty(), "{broken:#?}\n{}", rig.history.tail(60));
+pub fn none_broken(fleet: &TestFleet) {
+    let broken = invariants::violations(&fleet.history.events());
+    assert!(broken.is_empty(), "{broken:#?}\n{}", fleet.history.tail(60));
 }
 
 /// What an operator sees who calls a node by the command line.
-pub async fn command(rig: &TestFleet, node: usize, args: &[&str]) -> String {
+pub async fn command(fleet: &TestFleet, node: usize, args: &[&str]) -> String {
     let mut command = program().command();
     command
         .args(args)
         .arg("--management")
-        .arg(rig.management(node).unwrap().to_string());
+        .arg(fleet.management(node).unwrap().to_string());
     let done = tokio::task::spawn_blocking(move || command.output())
         .await
         .unwrap()
@@ -70,52 +73,56 @@
 }
 
 /// Waits until all nodes that are awake explain a server with these words.
-pub async fn until_explained(rig: &TestFleet, server: &str, words: &str) {
-    until_all_explain(rig, server, words, |said| said.contains(words)).await;
+pub async fn until_explained(fleet: &TestFleet, server: &str, words: &str) {
+    until_all_explain(fleet, server, words, |said| said.contains(words)).await;
 }
 
 /// Waits until all nodes that are awake hold reports of so many that a server has answered with errors.
 ///
 /// That it is condemned is too early: on a busy machine one of the reports may stand on an attempt that is late, and is
 /// taken back with its answer.
-pub async fn until_errors_reported(rig: &TestFleet, server: &str, by: usize) {
+pub async fn until_errors_reported(fleet: &TestFleet, server: &str, by: usize) {
     let reports = |said: &str| {
         said.lines()
             .filter(|line| line.contains(": Failing: "))
             .count()
     };
-    until_all_explain(rig, server, "reports of errors", |said| reports(said) >= by).await;
+    until_all_explain(fleet, server, "reports of errors", |said| {
+        reports(said) >= by
+    })
+    .await;
 }
 
 async fn until_all_explain(
-    rig: &TestFleet,
+    fleet: &TestFleet,
     server: &str,
     what: &str,
     holds: impl Fn(&str) -> bool,
 ) {
     let path = format!("/-/fleet/servers/{server}");
-    rig.wait_until(what, async |rig| {
-        for n in rig.running_nodes() {
-            let Ok(ManagementResponse { body: said, .. }) =
-                rig.call_management(n, "GET", &path).await
-            else {
-                return false;
-            };
-            if !holds(&said) {
-                return false;
+    fleet
+        .wait_until(what, async |fleet| {
+            for n in fleet.running_nodes() {
+                let Ok(ManagementResponse { body: said, .. }) =
+                    fleet.call_management(n, "GET", &path).await
+                else {
+                    return false;
+                };
+                if !holds(&said) {
+                    return false;
+                }
             }
-        }
-        true
-    })
-    .await
-    .unwrap();
+            true
+        })
+        .await
+        .unwrap();
 }
 
 /// Waits until the last that each of these nodes said of the server is that it fails several, which is when it acts on it,
 /// and none of them has sent anything there for a while: what it chose before is over.
 ///
 /// That a node explains it so is too early: it knows of the reports, and its pools may send for a moment more.
-pub async fn until_left(rig: &TestFleet, server: usize, nodes: &[usize]) {
+pub async fn until_left(fleet: &TestFleet, server: usize, nodes: &[usize]) {
     let name = server_name(server);
     let is_left = |happened: &[TimedEvent], node: usize| {
         let said = happened.iter().rev().find_map(|entry| match &entry.event {
@@ -126,38 +133,40 @@
         });
         said.is_some_and(|(_, words)| words.starts_with("is ejected, a quorum"))
     };
-    rig.wait_until("no more requests to the server", async |rig| {
-        let happened = rig.history.events();
-        let from = rig.history.now().saturating_sub(LEFT);
-        let sent = queries::attempts(&happened, server, from, Duration::MAX, nodes);
-        sent.is_empty() && nodes.iter().all(|n| is_left(&happened, *n))
-    })
-    .await
-    .unwrap();
+    fleet
+        .wait_until("no more requests to the server", async |fleet| {
+            let happened = fleet.history.events();
+            let from = fleet.history.now().saturating_sub(LEFT);
+            let sent = queries::attempts(&happened, server, from, Duration::MAX, nodes);
+            sent.is_empty() && nodes.iter().all(|n| is_left(&happened, *n))
+        })
+        .await
+        .unwrap();
 }
 
 /// Every one of these nodes has sent something to the server lately.
-pub async fn until_sent(rig: &TestFleet, server: usize, nodes: &[usize]) {
-    let from = rig.history.now();
-    rig.wait_until("requests to the server by all", async |rig| {
-        let happened = rig.history.events();
-        nodes
-            .iter()
-            .all(|n| !queries::attempts(&happened, server, from, Duration::MAX, &[*n]).is_empty())
-    })
-    .await
-    .unwrap();
+pub async fn until_sent(fleet: &TestFleet, server: usize, nodes: &[usize]) {
+    let from = fleet.history.now();
+    fleet
+        .wait_until("requests to the server by all", async |fleet| {
+            let happened = fleet.history.events();
+            nodes.iter().all(|n| {
+                !queries::attempts(&happened, server, from, Duration::MAX, &[*n]).is_empty()
+            })
+        })
+        .await
+        .unwrap();
 }
 
 /// Attempts by these nodes that came later than a second and a half after a moment: a second for the news to be
 /// everywhere, and the half that the rule on drains gives each node.
 pub fn late(
-    rig: &TestFleet,
+    fleet: &TestFleet,
     server: usize,
     since: Duration,
     nodes: &[usize],
 ) -> Vec<queries::Attempt> {
-    let happened = rig.history.events();
+    let happened = fleet.history.events();
     queries::attempts(
         &happened,
         server,
--- a/crates/testbed/tests/leases.rs
+++ b/crates/testbed/tests/leases.rs
@@ -15,12 +15,12 @@
 const LENGTH: Duration = Duration::from_millis(1000);
 
 struct Place {
-    rig: TestFleet,
+    fleet: TestFleet,
     _resource: FencedResource,
 }
 
 async fn start(nodes: usize) -> Place {
-    // The resource has to be there before the nodes, whose files name it; the history is the rig's.
+    // The resource has to be there before the nodes, whose files name it; the history is the fleet's.
     let history = std::sync::Arc::new(reelfall_testbed::fleet::history::History::start());
     let resource = FencedResource::start(history.clone()).await.unwrap();
     let leases = format!(
@@ -35,39 +35,44 @@
         fleet_settings: Some(leases),
         ..FleetSpec::default()
     };
-    let rig = TestFleet::start_with_history(&fleets::program(), &made, history)
+    let fleet = TestFleet::start_with_history(&fleets::program(), &made, history)
         .await
         .unwrap();
-    rig.wait_until("all know each other", async |rig| rig.is_converged().await)
-        .await
-        .unwrap();
-    for keeper in 0..3 {
-        rig.wait_until("all keepers vote", async |rig| {
-            says(rig, keeper, "this keeper votes").await
+    fleet
+        .wait_until("all know each other", async |fleet| {
+            fleet.is_converged().await
         })
         .await
         .unwrap();
+    for keeper in 0..3 {
+        fleet
+            .wait_until("all keepers vote", async |fleet| {
+                says(fleet, keeper, "this keeper votes").await
+            })
+            .await
+            .unwrap();
     }
     Place {
-        rig,
+        fleet,
         _resource: resource,
     }
 }
 
 /// The holder that acted last, and its token.
-fn last(rig: &TestFleet) -> Option<(usize, u64)> {
-    let last = admitted_writes(&rig.history.events(), "roll").pop()?;
+fn last(fleet: &TestFleet) -> Option<(usize, u64)> {
+    let last = admitted_writes(&fleet.history.events(), "roll").pop()?;
     Some((last.holder.strip_prefix('n')?.parse().ok()?, last.token))
 }
 
 /// Waits for an act by a token greater than this one; who it was, and when it came.
-async fn taken_over(rig: &TestFleet, token: u64) -> (usize, Duration) {
-    rig.wait_until("the lease is taken over", async |rig| {
-        last(rig).is_some_and(|(_, t)| t > token)
-    })
-    .await
-    .unwrap();
-    let happened = rig.history.events();
+async fn taken_over(fleet: &TestFleet, token: u64) -> (usize, Duration) {
+    fleet
+        .wait_until("the lease is taken over", async |fleet| {
+            last(fleet).is_some_and(|(_, t)| t > token)
+        })
+        .await
+        .unwrap();
+    let happened = fleet.history.events();
     let first = admitted_writes(&happened, "roll")
         .into_iter()
         .find(|act| act.token > token)
@@ -76,23 +81,24 @@
 }
 
 /// An operator has whoever holds the lease give it back, and somebody else has it.
-async fn hand_over(rig: &TestFleet) {
-    let (_, token) = last(rig).unwrap();
-    rig.wait_until("a holder gives it back", async |rig| {
-        let (holder, now) = last(rig).unwrap();
-        now > token
-            || rig
-                .call_management(holder, "POST", "/-/fleet/leases/roll/release?why=test")
-                .await
-                .is_ok_and(|response| response.status == 200)
-    })
-    .await
-    .unwrap();
-    taken_over(rig, token).await;
+async fn hand_over(fleet: &TestFleet) {
+    let (_, token) = last(fleet).unwrap();
+    fleet
+        .wait_until("a holder gives it back", async |fleet| {
+            let (holder, now) = last(fleet).unwrap();
+            now > token
+                || fleet
+                    .call_management(holder, "POST", "/-/fleet/leases/roll/release?why=test")
+                    .await
+                    .is_ok_and(|response| response.status == 200)
+        })
+        .await
+        .unwrap();
+    taken_over(fleet, token).await;
 }
 
-fn said_by_all(rig: &TestFleet) -> String {
-    let all = rig.history.events();
+fn said_by_all(fleet: &TestFleet) -> String {
+    let all = fleet.history.events();
     let lines = all
         .iter()
         .filter_map(|TimedEvent { at, event }| match event {
@@ -108,34 +114,34 @@
 }
 
 /// Whether a node says so of its leases.
-async fn says(rig: &TestFleet, node: usize, words: &str) -> bool {
-    matches!(rig.call_management(node, "GET", "/-/fleet/leases").await, Ok(ManagementResponse { status: 200, body: said }) if said.contains(words))
+async fn says(fleet: &TestFleet, node: usize, words: &str) -> bool {
+    matches!(fleet.call_management(node, "GET", "/-/fleet/leases").await, Ok(ManagementResponse { status: 200, body: said }) if said.contains(words))
 }
 
-fn sound(rig: &TestFleet) {
-    let broken = fencing_violations(&rig.history.events(), "roll");
+fn sound(fleet: &TestFleet) {
+    let broken = fencing_violations(&fleet.history.events(), "roll");
     assert!(broken.is_empty(), "{broken:#?}");
-    fleets::none_broken(rig);
+    fleets::none_broken(fleet);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn one_node_acts_and_another_one_once_it_is_killed_or_ends() {
     let _turn = turn().await;
     let mut place = start(5).await;
-    let rig = &mut place.rig;
-    let (holder, _) = taken_over(rig, 0).await;
+    let fleet = &mut place.fleet;
+    let (holder, _) = taken_over(fleet, 0).await;
     rest(1.0).await;
-    let (same, token) = last(rig).unwrap();
+    let (same, token) = last(fleet).unwrap();
     assert_eq!(same, holder, "a lease that is renewed stays");
-    let said = command(rig, holder, &["fleet", "leases"]).await;
+    let said = command(fleet, holder, &["fleet", "leases"]).await;
     assert!(
         said.contains(&format!("roll: held here, token {token}")),
         "{said}"
     );
     // Killed: the next one begins when the lease is over, not before.
-    let killed = rig.history.now();
-    rig.kill(holder);
-    let (next, at) = taken_over(rig, token).await;
+    let killed = fleet.history.now();
+    fleet.kill(holder);
+    let (next, at) = taken_over(fleet, token).await;
     assert_ne!(next, holder);
     assert!(
         at > killed + LENGTH / 2 && at < killed + 6 * SECOND,
@@ -143,47 +149,51 @@
         at - killed
     );
     // It may be a keeper, of which two have to be there.
-    rig.start_node(holder).await.unwrap();
-    rig.wait_until("all know each other", async |rig| rig.is_converged().await)
+    fleet.start_node(holder).await.unwrap();
+    fleet
+        .wait_until("all know each other", async |fleet| {
+            fleet.is_converged().await
+        })
+        .await
+        .unwrap();
+    fleet
+        .wait_until("it votes", async |fleet| {
+            holder > 2 || says(fleet, holder, "this keeper votes").await
+        })
         .await
         .unwrap();
-    rig.wait_until("it votes", async |rig| {
-        holder > 2 || says(rig, holder, "this keeper votes").await
-    })
-    .await
-    .unwrap();
     // Told to end: it gives the lease back.
-    let token = last(rig).unwrap().1;
-    let told = rig.history.now();
-    rig.terminate(next).await.unwrap();
-    let (_, at) = taken_over(rig, token).await;
+    let token = last(fleet).unwrap().1;
+    let told = fleet.history.now();
+    fleet.terminate(next).await.unwrap();
+    let (_, at) = taken_over(fleet, token).await;
     assert!(at < told + 6 * SECOND, "{:?} after", at - told);
-    sound(rig);
+    sound(fleet);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_holder_that_is_frozen_or_cut_off_never_acts_beside_the_next_one() {
     let _turn = turn().await;
     let mut place = start(5).await;
-    let rig = &mut place.rig;
+    let fleet = &mut place.fleet;
     let mut token = 0;
     for round in 0..4 {
-        let (holder, _) = taken_over(rig, token).await;
-        token = last(rig).unwrap().1;
+        let (holder, _) = taken_over(fleet, token).await;
+        token = last(fleet).unwrap().1;
         // Somewhere between two acts, or in the middle of one.
         rest(0.07 + 0.013 * f64::from(round)).await;
-        rig.set_paused(holder, true);
-        taken_over(rig, token).await;
-        rig.set_paused(holder, false);
+        fleet.set_paused(holder, true);
+        taken_over(fleet, token).await;
+        fleet.set_paused(holder, false);
         rest(0.3).await;
     }
-    sound(rig);
+    sound(fleet);
     // Cut off from all others, and not from what it acts on.
-    let (holder, token) = last(rig).unwrap();
-    let others: Vec<usize> = (0..rig.node_count()).filter(|n| *n != holder).collect();
-    rig.network().partition(&[holder], &others, true);
-    let (_, at) = taken_over(rig, token).await;
-    let happened = rig.history.events();
+    let (holder, token) = last(fleet).unwrap();
+    let others: Vec<usize> = (0..fleet.node_count()).filter(|n| *n != holder).collect();
+    fleet.network().partition(&[holder], &others, true);
+    let (_, at) = taken_over(fleet, token).await;
+    let happened = fleet.history.events();
     let end = admitted_writes(&happened, "roll")
         .into_iter()
         .filter(|a| a.token <= token)
@@ -206,22 +216,22 @@
         ),
         0
     );
-    rig.network().heal();
-    sound(rig);
+    fleet.network().heal();
+    sound(fleet);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn without_a_majority_nobody_acts_and_requests_flow_and_then_tokens_go_on() {
     let _turn = turn().await;
     let mut place = start(5).await;
-    let rig = &mut place.rig;
-    taken_over(rig, 0).await;
+    let fleet = &mut place.fleet;
+    taken_over(fleet, 0).await;
     // One keeper of three may go.
-    rig.kill(2);
-    let token = last(rig).unwrap().1;
+    fleet.kill(2);
+    let token = last(fleet).unwrap().1;
     rest(1.5).await;
-    let before = rig.history.len();
-    if rig
+    let before = fleet.history.len();
+    if fleet
         .history
         .wait_for(before, |e| {
             matches!(e, Event::LeaseWrite { admitted: true, .. })
@@ -229,14 +239,14 @@
         .await
         .is_err()
     {
-        panic!("{}", said_by_all(rig));
+        panic!("{}", said_by_all(fleet));
     }
-    let load = rig.start_load_at(&[3, 4], 40.0, 0.2, 7);
-    rig.kill(1);
+    let load = fleet.start_load_at(&[3, 4], 40.0, 0.2, 7);
+    fleet.kill(1);
     rest(2.0).await;
-    let quiet = rig.history.now();
+    let quiet = fleet.history.now();
     rest(1.0).await;
-    let happened = rig.history.events();
+    let happened = fleet.history.events();
     let late = admitted_writes(&happened, "roll")
         .into_iter()
         .filter(|a| a.at > quiet)
@@ -255,46 +265,48 @@
     assert!(served.count() > 20, "requests are held up by a lease");
     load.stop().await;
     // All keepers begin anew, with what they have on their disks.
-    rig.kill(0);
+    fleet.kill(0);
     for n in 0..3 {
-        rig.start_node(n).await.unwrap();
+        fleet.start_node(n).await.unwrap();
     }
-    taken_over(rig, token).await;
-    sound(rig);
+    taken_over(fleet, token).await;
+    sound(fleet);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_folder_from_a_backup_does_not_vote_and_an_emptied_one_is_let_in() {
     let _turn = turn().await;
     let mut place = start(4).await;
-    let rig = &mut place.rig;
-    taken_over(rig, 0).await;
-    let folder = rig.folder(1);
+    let fleet = &mut place.fleet;
+    taken_over(fleet, 0).await;
+    let folder = fleet.folder(1);
     let backup = std::fs::read(folder.join("leases")).unwrap();
     // What the folder gets after the backup.
-    hand_over(rig).await;
+    hand_over(fleet).await;
     while std::fs::read(folder.join("leases")).unwrap().len() == backup.len() {
-        hand_over(rig).await;
+        hand_over(fleet).await;
     }
     rest(1.2).await;
-    rig.kill(1);
+    fleet.kill(1);
     std::fs::write(folder.join("leases"), backup).unwrap();
-    rig.start_node(1).await.unwrap();
-    rig.wait_until("the backup is refused", async |rig| {
-        says(rig, 1, "it is an old copy").await
-    })
-    .await
-    .unwrap_or_else(|_| panic!("{}", said_by_all(rig)));
-    rig.kill(1);
+    fleet.start_node(1).await.unwrap();
+    fleet
+        .wait_until("the backup is refused", async |fleet| {
+            says(fleet, 1, "it is an old copy").await
+        })
+        .await
+        .unwrap_or_else(|_| panic!("{}", said_by_all(fleet)));
+    fleet.kill(1);
     std::fs::remove_dir_all(&folder).unwrap();
-    rig.start_node(1).await.unwrap();
-    rig.wait_until("it votes", async |rig| {
-        says(rig, 1, "this keeper votes").await
-    })
-    .await
-    .unwrap();
+    fleet.start_node(1).await.unwrap();
+    fleet
+        .wait_until("it votes", async |fleet| {
+            says(fleet, 1, "this keeper votes").await
+        })
+        .await
+        .unwrap();
     // Its vote is worth something: with the third keeper gone the lease goes on.
-    rig.kill(2);
-    hand_over(rig).await;
-    sound(rig);
+    fleet.kill(2);
+    hand_over(fleet).await;
+    sound(fleet);
 }
--- a/crates/testbed/tests/stand_ins.rs
+++ b/crates/testbed/tests/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The rig itself: a stand-in that does not do what it says would prove nothing.
+//! The stand-ins themselves: one that does not do what it says would prove nothing.
 
 use bytes::Bytes;
 use http_body_util::Full;
--- a/tests/lints.sh
+++ b/tests/lints.sh
@@ -2,7 +2,6 @@
 # Lints of the sources beyond clippy's defaults, and of the documentation. No package is exempt.
 set -euo pipefail
 cd "$(dirname "$0")/.."
-exempt=()
 lints=(
     clippy::cloned_instead_of_copied
     clippy::cognitive_complexity
@@ -21,6 +20,6 @@
     clippy::unwrap_used
     clippy::wildcard_imports
 )
-cargo clippy --locked --workspace "${exempt[@]/#/--exclude=}" --lib --bins -- -D warnings "${lints[@]/#/-D}"
+cargo clippy --locked --workspace --lib --bins -- -D warnings "${lints[@]/#/-D}"
 RUSTDOCFLAGS='-D rustdoc::broken_intra_doc_links -A rustdoc::private_intra_doc_links' \
     cargo doc --locked --workspace --no-deps --document-private-items --quiet
