--- a/crates/distribution/tests/staged_rollouts/advance.rs
+++ b/crates/distribution/tests/staged_rollouts/advance.rs
@@ -2,9 +2,9 @@
 
 use crate::fixture::{
     assert_applied_on_all_nodes, default_policy, follow_both_relays, follow_relay_by_parity,
-    is_canary_removed, resource, roll_out, rollout_draft, rollout_state, rollout_status,
-    rollout_world, stage_changes, stage_nodes, take_over, StageChange, FIRST_STAGE, FIRST_WRITER,
-    NEW_BODY, NODES, PREVIOUS_BODY, RELAY_OF_ODD_NODES, SECOND_WRITER, SOAK_TIME,
+    is_canary_removed, resource, rollout_state, rollout_status, rollout_world, stage_changes,
+    stage_nodes, start_rollout, take_over, StageChange, FIRST_STAGE, FIRST_WRITER, NEW_BODY, NODES,
+    PREVIOUS_BODY, RELAY_OF_ODD_NODES, SECOND_WRITER, SOAK_TIME,
 };
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::rollout::policy::RolloutPolicy;
@@ -15,12 +15,7 @@
 fn accepted_rollout_soaks_in_each_stage_and_reaches_all_nodes() {
     let mut world = rollout_world(1, follow_both_relays);
     let started_at = world.now;
-    roll_out(
-        &mut world,
-        FIRST_WRITER,
-        rollout_draft(NEW_BODY, default_policy()),
-    )
-    .unwrap();
+    start_rollout(&mut world, FIRST_WRITER, NEW_BODY, default_policy());
     world.run(SOAK_TIME / 2.0);
     let status = rollout_status(&world, FIRST_WRITER.author);
     assert_eq!(
@@ -68,12 +63,7 @@
     let mut world = rollout_world(8, follow_relay_by_parity);
     world.partition(FIRST_WRITER.peer(), PeerId(RELAY_OF_ODD_NODES), 1e6);
     world.partition(SECOND_WRITER.peer(), PeerId(RELAY_OF_ODD_NODES), 1e6);
-    roll_out(
-        &mut world,
-        FIRST_WRITER,
-        rollout_draft(NEW_BODY, default_policy()),
-    )
-    .unwrap();
+    start_rollout(&mut world, FIRST_WRITER, NEW_BODY, default_policy());
     world.run(300.0);
     let status = rollout_status(&world, FIRST_WRITER.author);
     assert_eq!(
@@ -112,7 +102,7 @@
         max_report_age: 150.0,
         ..default_policy()
     };
-    roll_out(&mut world, FIRST_WRITER, rollout_draft(NEW_BODY, long_soak)).unwrap();
+    start_rollout(&mut world, FIRST_WRITER, NEW_BODY, long_soak);
     world.run(100.0);
     assert_eq!(
         rollout_status(&world, FIRST_WRITER.author).waiting,
@@ -144,12 +134,7 @@
         min_decisions: stage_nodes(FIRST_STAGE).len() as u32 + 1,
         ..default_policy()
     };
-    roll_out(
-        &mut world,
-        FIRST_WRITER,
-        rollout_draft(NEW_BODY, too_many_decisions),
-    )
-    .unwrap();
+    start_rollout(&mut world, FIRST_WRITER, NEW_BODY, too_many_decisions);
     world.run(200.0);
     let status = rollout_status(&world, FIRST_WRITER.author);
     assert_eq!(
@@ -162,12 +147,7 @@
 fn same_seed_gives_the_same_rollout_events() {
     let events = |seed| {
         let mut world = rollout_world(seed, follow_both_relays);
-        roll_out(
-            &mut world,
-            FIRST_WRITER,
-            rollout_draft(NEW_BODY, default_policy()),
-        )
-        .unwrap();
+        start_rollout(&mut world, FIRST_WRITER, NEW_BODY, default_policy());
         world.run(100.0);
         world.invariants.events
     };
--- a/crates/distribution/tests/staged_rollouts/author_failover.rs
+++ b/crates/distribution/tests/staged_rollouts/author_failover.rs
@@ -3,8 +3,8 @@
 use crate::fixture::{
     assert_applied_on_all_nodes, default_policy, follow_both_relays, resource, revert_canary,
     roll_out, rollout_draft, rollout_state, rollout_status, rollout_world, stage_changes,
-    take_over, Writer, FIRST_STAGE, FIRST_WRITER, LEASE_DURATION, NEW_BODY, PREVIOUS_BODY, RELAYS,
-    SECOND_WRITER, SOAK_TIME,
+    start_rollout, take_over, Writer, FIRST_STAGE, FIRST_WRITER, LEASE_DURATION, NEW_BODY,
+    PREVIOUS_BODY, RELAYS, SECOND_WRITER, SOAK_TIME,
 };
 use crate::world::{grant_lease, REJECTED_BY_ODD_NODES};
 use reelfall_distribution::output::Event;
@@ -19,12 +19,7 @@
 #[test]
 fn author_restarted_between_stages_continues_the_rollout() {
     let mut world = rollout_world(11, follow_both_relays);
-    roll_out(
-        &mut world,
-        FIRST_WRITER,
-        rollout_draft(NEW_BODY, default_policy()),
-    )
-    .unwrap();
+    start_rollout(&mut world, FIRST_WRITER, NEW_BODY, default_policy());
     world.run(SOAK_TIME + 10.0);
     assert_eq!(
         rollout_status(&world, FIRST_WRITER.author).thousandths,
@@ -79,12 +74,7 @@
         min_accepted_share: 200,
         ..default_policy()
     };
-    roll_out(
-        &mut world,
-        FIRST_WRITER,
-        rollout_draft(REJECTED_BY_ODD_NODES, tolerant),
-    )
-    .unwrap();
+    start_rollout(&mut world, FIRST_WRITER, REJECTED_BY_ODD_NODES, tolerant);
     world.run(SOAK_TIME / 2.0);
     let counts = rollout_status(&world, FIRST_WRITER.author).counts;
     assert!(counts.rejected > 0);
@@ -117,12 +107,7 @@
         soak_time: 300.0,
         ..default_policy()
     };
-    roll_out(
-        &mut world,
-        FIRST_WRITER,
-        rollout_draft(REJECTED_BY_ODD_NODES, tolerant),
-    )
-    .unwrap();
+    start_rollout(&mut world, FIRST_WRITER, REJECTED_BY_ODD_NODES, tolerant);
     world.run(20.0);
     assert!(rollout_status(&world, FIRST_WRITER.author).counts.accepted > 0);
     world.with_author(FIRST_WRITER.author, |author, now, outputs| {
@@ -151,12 +136,7 @@
 #[test]
 fn author_with_an_older_token_cannot_roll_out() {
     let mut world = rollout_world(14, follow_both_relays);
-    roll_out(
-        &mut world,
-        FIRST_WRITER,
-        rollout_draft(NEW_BODY, default_policy()),
-    )
-    .unwrap();
+    start_rollout(&mut world, FIRST_WRITER, NEW_BODY, default_policy());
     world.run(SOAK_TIME / 2.0);
     for relay in RELAYS {
         world.partition(FIRST_WRITER.peer(), PeerId(relay), 200.0);
@@ -231,7 +211,7 @@
         ..default_policy()
     };
     let is_accepted = body == NEW_BODY;
-    roll_out(&mut world, FIRST_WRITER, rollout_draft(body, single_stage)).unwrap();
+    start_rollout(&mut world, FIRST_WRITER, body, single_stage);
     if is_accepted {
         world.run(SOAK_TIME - 0.1);
     }
--- a/crates/distribution/tests/staged_rollouts/fixture.rs
+++ b/crates/distribution/tests/staged_rollouts/fixture.rs
@@ -131,6 +131,11 @@
         .unwrap()
 }
 
+/// Starts a rollout of the resource that the author has to accept.
+pub fn start_rollout(world: &mut World, writer: Writer, body: &[u8], policy: RolloutPolicy) {
+    roll_out(world, writer, rollout_draft(body, policy)).unwrap();
+}
+
 pub fn rollout_status(world: &World, author: u32) -> RolloutStatus {
     world.author_of(author).rollout(&resource()).unwrap()
 }
--- a/crates/distribution/tests/staged_rollouts/manual.rs
+++ b/crates/distribution/tests/staged_rollouts/manual.rs
@@ -3,8 +3,8 @@
 use crate::fixture::{
     assert_applied_on_all_nodes, default_policy, follow_both_relays, is_canary_removed, publish,
     resource, revert_canary, roll_out, rollout_draft, rollout_state, rollout_status, rollout_world,
-    stage_changes, stage_nodes, take_over, FIRST_STAGE, FIRST_WRITER, NEW_BODY, NODES,
-    PREVIOUS_BODY, SECOND_WRITER, SEED, SOAK_TIME,
+    stage_changes, stage_nodes, start_rollout, take_over, FIRST_STAGE, FIRST_WRITER, NEW_BODY,
+    NODES, PREVIOUS_BODY, SECOND_WRITER, SEED, SOAK_TIME,
 };
 use crate::world::{claim, REJECTED_BY_ODD_NODES};
 use reelfall_distribution::publish::PublishError;
@@ -21,12 +21,12 @@
         on_rejections: OnRejections::Halt,
         ..default_policy()
     };
-    roll_out(
+    start_rollout(
         &mut world,
         FIRST_WRITER,
-        rollout_draft(REJECTED_BY_ODD_NODES, halting.clone()),
-    )
-    .unwrap();
+        REJECTED_BY_ODD_NODES,
+        halting.clone(),
+    );
     world.run(3.0 * SOAK_TIME);
     assert!(matches!(
         rollout_state(&world, FIRST_WRITER.author),
@@ -74,12 +74,7 @@
 fn operator_promotes_or_reverts_a_running_rollout() {
     for promotes in [true, false] {
         let mut world = rollout_world(6, follow_both_relays);
-        roll_out(
-            &mut world,
-            FIRST_WRITER,
-            rollout_draft(NEW_BODY, default_policy()),
-        )
-        .unwrap();
+        start_rollout(&mut world, FIRST_WRITER, NEW_BODY, default_policy());
         world.run(SOAK_TIME / 2.0);
         if promotes {
             let promoted = world.with_author(FIRST_WRITER.author, |author, now, outputs| {
@@ -102,12 +97,7 @@
             "the rollout continued after its end"
         );
         assert_applied_on_all_nodes(&world, body);
-        roll_out(
-            &mut world,
-            FIRST_WRITER,
-            rollout_draft(b"newer", default_policy()),
-        )
-        .unwrap();
+        start_rollout(&mut world, FIRST_WRITER, b"newer", default_policy());
         world.invariants.verify();
     }
 }
@@ -115,12 +105,7 @@
 #[test]
 fn later_change_of_the_resource_supersedes_its_rollout() {
     let mut world = rollout_world(7, follow_both_relays);
-    roll_out(
-        &mut world,
-        FIRST_WRITER,
-        rollout_draft(NEW_BODY, default_policy()),
-    )
-    .unwrap();
+    start_rollout(&mut world, FIRST_WRITER, NEW_BODY, default_policy());
     world.run(SOAK_TIME / 2.0);
     publish(&mut world, FIRST_WRITER, b"other").unwrap();
     world.run(3.0 * SOAK_TIME);
@@ -131,12 +116,7 @@
     assert!(is_canary_removed(&world, FIRST_WRITER.author));
     assert_applied_on_all_nodes(&world, b"other");
     // A manual canary replaces that of a rollout, which leaves it alone.
-    roll_out(
-        &mut world,
-        FIRST_WRITER,
-        rollout_draft(NEW_BODY, default_policy()),
-    )
-    .unwrap();
+    start_rollout(&mut world, FIRST_WRITER, NEW_BODY, default_policy());
     world.run(SOAK_TIME / 2.0);
     let manual_canary = Draft::put(resource(), MANUAL_BODY);
     let all_nodes = NodeFraction {
--- a/crates/distribution/tests/staged_rollouts/rejections.rs
+++ b/crates/distribution/tests/staged_rollouts/rejections.rs
@@ -3,9 +3,9 @@
 use crate::fixture::{
     assert_applied_on_all_nodes, canary_version, default_policy, follow_both_relays,
     follow_relay_by_parity, is_rolled_back, publish, resource, roll_out, rollout_draft,
-    rollout_state, rollout_status, rollout_world, stage_changes, stage_nodes, take_over,
-    FIRST_STAGE, FIRST_WRITER, NEW_BODY, NODES, PREVIOUS_BODY, RELAYS, RELAY_OF_ODD_NODES,
-    SECOND_WRITER, SOAK_TIME,
+    rollout_state, rollout_status, rollout_world, stage_changes, stage_nodes, start_rollout,
+    take_over, FIRST_STAGE, FIRST_WRITER, NEW_BODY, NODES, PREVIOUS_BODY, RELAYS,
+    RELAY_OF_ODD_NODES, SECOND_WRITER, SOAK_TIME,
 };
 use crate::world::{claim, REJECTED_BY_ODD_NODES};
 use reelfall_distribution::peer::PeerId;
@@ -27,12 +27,12 @@
 fn rejections_above_the_threshold_roll_back_and_report_their_reasons() {
     let mut world = rollout_world(2, follow_both_relays);
     let started_at = world.now;
-    roll_out(
+    start_rollout(
         &mut world,
         FIRST_WRITER,
-        rollout_draft(REJECTED_BY_ODD_NODES, default_policy()),
-    )
-    .unwrap();
+        REJECTED_BY_ODD_NODES,
+        default_policy(),
+    );
     world.run(5.0);
     let stopped_at = stage_changes(&world)[0].at;
     assert!(
@@ -91,12 +91,7 @@
         min_accepted_share: 200,
         ..default_policy()
     };
-    roll_out(
-        &mut world,
-        FIRST_WRITER,
-        rollout_draft(REJECTED_BY_ODD_NODES, tolerant),
-    )
-    .unwrap();
+    start_rollout(&mut world, FIRST_WRITER, REJECTED_BY_ODD_NODES, tolerant);
     world.run(120.0);
     assert_eq!(
         rollout_state(&world, FIRST_WRITER.author),
@@ -121,12 +116,12 @@
         max_rejected: 0,
         ..default_policy()
     };
-    roll_out(
+    start_rollout(
         &mut world,
         FIRST_WRITER,
-        rollout_draft(REJECTED_BY_ODD_NODES, limited_by_count),
-    )
-    .unwrap();
+        REJECTED_BY_ODD_NODES,
+        limited_by_count,
+    );
     world.run(5.0);
     assert!(is_rolled_back(&world, FIRST_WRITER.author));
     assert_applied_on_all_nodes(&world, PREVIOUS_BODY);
@@ -141,12 +136,7 @@
         soak_time: 60.0,
         ..default_policy()
     };
-    roll_out(
-        &mut world,
-        FIRST_WRITER,
-        rollout_draft(REJECTED_BY_ODD_NODES, long_soak),
-    )
-    .unwrap();
+    start_rollout(&mut world, FIRST_WRITER, REJECTED_BY_ODD_NODES, long_soak);
     // The relay has the canary by now; the partition keeps the reports of its nodes from the authors.
     world.run(0.08);
     for author in [FIRST_WRITER.author, SECOND_WRITER.author] {
@@ -241,12 +231,7 @@
     let mut world = rollout_world(16, follow_both_relays);
     publish(&mut world, FIRST_WRITER, REJECTED_BY_ODD_NODES).unwrap();
     world.run(10.0);
-    roll_out(
-        &mut world,
-        FIRST_WRITER,
-        rollout_draft(NEW_BODY, default_policy()),
-    )
-    .unwrap();
+    start_rollout(&mut world, FIRST_WRITER, NEW_BODY, default_policy());
     world.run(150.0);
     assert_eq!(
         rollout_state(&world, FIRST_WRITER.author),
@@ -259,20 +244,15 @@
 #[test]
 fn rejections_of_an_earlier_rollout_do_not_count() {
     let mut world = rollout_world(17, follow_both_relays);
-    roll_out(
+    start_rollout(
         &mut world,
         FIRST_WRITER,
-        rollout_draft(REJECTED_BY_ODD_NODES, default_policy()),
-    )
-    .unwrap();
+        REJECTED_BY_ODD_NODES,
+        default_policy(),
+    );
     world.run(10.0);
     assert!(is_rolled_back(&world, FIRST_WRITER.author));
-    roll_out(
-        &mut world,
-        FIRST_WRITER,
-        rollout_draft(NEW_BODY, default_policy()),
-    )
-    .unwrap();
+    start_rollout(&mut world, FIRST_WRITER, NEW_BODY, default_policy());
     world.run(SOAK_TIME / 2.0);
     for relay in RELAYS {
         world.kill(PeerId(relay));
