--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -14,6 +14,8 @@
 mod events;
 mod observer;
 mod open;
+#[cfg(test)]
+mod tests;
 
 pub use open::FleetError;
 
--- /dev/null
+++ b/crates/node/src/fleet/tests.rs
@@ -0,0 +1,62 @@
+//! The log lines of a fleet's events.
+
+use super::FleetRuntime;
+use crate::net::shared::Shared;
+use reelfall_cluster::fleet::{Config, FleetEvent};
+use reelfall_cluster::members::MemberEvent;
+use reelfall_cluster::node::{Incarnation, Node};
+use reelfall_config::model;
+use reelfall_routing::limits::ProcessResources;
+use std::net::{Ipv4Addr, SocketAddr};
+use std::rc::Rc;
+
+/// More member changes than the log writes within its window.
+const MEMBER_CHANGES: u64 = 100;
+
+fn open_fleet() -> Rc<FleetRuntime> {
+    let resources = ProcessResources {
+        open: 1_000,
+        connections: 1_000,
+        memory: 1_000,
+    };
+    let shared = Shared::for_services(resources, None);
+    let key_file = std::env::temp_dir().join(format!("reelfall-key-{}", std::process::id()));
+    std::fs::write(&key_file, "the key of the fleet of a test").expect("a writable folder");
+    let settings = model::Fleet {
+        name: "fleet".to_owned(),
+        node: "n1".to_owned(),
+        listen: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
+        advertise: None,
+        key_file: key_file.clone(),
+        rules: Config::default(),
+        leases: None,
+    };
+    let runtime = FleetRuntime::open(&shared, &settings).expect("a fleet");
+    std::fs::remove_file(key_file).expect("the key file");
+    runtime
+}
+
+#[tokio::test]
+async fn a_name_conflict_is_logged_after_more_member_changes_than_the_log_writes() {
+    let fleet = open_fleet();
+    let claimed = |number| Node {
+        name: "n1".to_owned(),
+        address: SocketAddr::from((Ipv4Addr::LOCALHOST, 7)),
+        incarnation: Incarnation { number, tag: 9 },
+    };
+    let changes = (0..MEMBER_CHANGES).map(|number| {
+        let change = if number % 2 == 0 {
+            MemberEvent::Up(claimed(number))
+        } else {
+            MemberEvent::Down(claimed(number))
+        };
+        FleetEvent::Member(change)
+    });
+    fleet.handle_events(&changes.collect::<Vec<_>>(), 1.0);
+    assert!(
+        fleet.shared.log.lines_in_window() < u32::try_from(MEMBER_CHANGES).expect("a small number"),
+        "the log has no rate limit"
+    );
+    fleet.handle_events(&[FleetEvent::NameConflict], 1.0);
+    assert_eq!(fleet.name_conflict_log.lines_in_window(), 1);
+}
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -128,6 +128,12 @@
     const LINES_PER_WINDOW: u32 = 5;
     const WINDOW: Duration = Duration::from_secs(1);
 
+    /// Number of lines written in the current window.
+    #[cfg(test)]
+    pub fn lines_in_window(&self) -> u32 {
+        self.lines_in_window.get()
+    }
+
     /// Writes a line, or drops it if the rate limit is reached.
     pub fn write_line(&self, line: std::fmt::Arguments) {
         let now = Instant::now();
