--- a/crates/capacity/tests/scale/network.rs
+++ b/crates/capacity/tests/scale/network.rs
@@ -13,6 +13,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+/// Windows of which one has a sampled datagram of the membership protocol.
+const MAX_WINDOWS: u64 = 5;
 fn network(nodes: usize) -> Network {
     let discovery = Arc::new(DiscoveryStub::new(SIZE.servers, SIZE.services));
     Network::start(nodes, discovery, 1, 2).expect("a network")
@@ -56,10 +58,26 @@
     // No node reads an update twice.
     let updates = by_kind["list"].messages_in * run.seconds;
     assert!(updates > 0.0 && updates < 8.0 + 1e-6, "{updates}");
-    assert!(by_kind["membership"].messages_out > 0.0 && by_kind["verdicts"].bytes_out > 0.0);
+    assert!(by_kind["verdicts"].bytes_out > 0.0);
+    let has_membership = by_kind["membership"].messages_out > 0.0;
+    assert!(has_membership || samples_membership(&network, window).await);
     assert!(run.per_node.cpu > 0.0 && run.per_node.peak_bytes > 0.0 && measured.utilization > 0.0);
 }
 
+/// Whether one of several further windows has a sampled datagram of the membership protocol. One datagram of 16 is sampled,
+/// so that a single window may have none by chance.
+async fn samples_membership(network: &Network, window: Window<'_>) -> bool {
+    for seed in 2..=MAX_WINDOWS {
+        let window = Window { seed, ..window };
+        let measured = measure(network, &window).await.expect("figures");
+        let mut traffic = measured.run.per_node.traffic.iter();
+        if traffic.any(|traffic| traffic.kind == "membership" && traffic.messages_out > 0.0) {
+            return true;
+        }
+    }
+    false
+}
+
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stopped_node_is_removed_and_a_started_one_is_added() {
     let network = network(ZONES);
