--- a/crates/testbed/tests/together.rs
+++ b/crates/testbed/tests/together.rs
@@ -71,7 +71,8 @@
     let (here, there) = ([0, 1], [2, 3, 4]);
     fleet.ban_server(0, 0, Some(6)).await.unwrap();
     let first = fleet.history.now();
-    rest(0.5).await;
+    // Nodes that the ban has not reached before the partition do not hear of it within its six seconds.
+    until_explained(&fleet, "s0", "s0: out by hand").await;
     fleet.network().partition(&here, &there, true);
     fleet.ban_server(0, 1, None).await.unwrap();
     rest(2.0).await;
