--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -10,8 +10,13 @@
 use hyper_util::rt::TokioIo;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
+/// A connection that has been idle for longer is not reused. The node closes idle connections after 5 s; a request that
+/// crosses that is lost, and one that must run at most once can't be sent again.
+const MAX_IDLE: Duration = Duration::from_secs(4);
+
 /// A complete response.
 #[derive(Clone, Debug)]
 pub struct ClientResponse {
@@ -37,7 +42,18 @@
 /// A client of one address.
 pub struct Client {
     address: SocketAddr,
-    idle: Mutex<Vec<Connection>>,
+    idle: Mutex<Vec<IdleConnection>>,
+}
+
+struct IdleConnection {
+    connection: Connection,
+    since: Instant,
+}
+
+impl IdleConnection {
+    fn is_reusable(&self) -> bool {
+        !self.connection.sender.is_closed() && self.since.elapsed() < MAX_IDLE
+    }
 }
 
 impl Client {
@@ -66,7 +82,10 @@
         let (head, body) = response.into_parts();
         let body = body.collect().await?.to_bytes();
         if !connection.sender.is_closed() {
-            self.idle().push(connection);
+            self.idle().push(IdleConnection {
+                connection,
+                since: Instant::now(),
+            });
         }
         Ok(ClientResponse {
             status: head.status,
@@ -111,15 +130,16 @@
     }
 
     fn take_idle(&self) -> Option<Connection> {
-        loop {
-            match self.idle().pop() {
-                Some(connection) if connection.sender.is_closed() => {}
-                other => return other,
+        let mut idle = self.idle();
+        while let Some(candidate) = idle.pop() {
+            if candidate.is_reusable() {
+                return Some(candidate.connection);
             }
         }
+        None
     }
 
-    fn idle(&self) -> MutexGuard<'_, Vec<Connection>> {
+    fn idle(&self) -> MutexGuard<'_, Vec<IdleConnection>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
