--- a/crates/testbed/src/fleet/history/mod.rs
+++ b/crates/testbed/src/fleet/history/mod.rs
@@ -7,6 +7,7 @@
 
 pub use event::{Event, TimedEvent};
 
+use super::error::FleetError;
 use crate::node::WAIT_TIMEOUT;
 use crate::Result;
 use std::fmt::Write;
@@ -94,7 +95,10 @@
             }
         };
         let found = tokio::time::timeout(WAIT_TIMEOUT, wait).await;
-        found.map_err(|_| format!("it does not happen\n{}", self.tail(ERROR_CONTEXT_LINES)).into())
+        found.map_err(|_| {
+            let tail = self.tail(ERROR_CONTEXT_LINES);
+            FleetError::EventTimeout { tail }.into()
+        })
     }
 
     /// The last events as text, without those of requests.
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -18,11 +18,13 @@
 //! | `processes` | the processes of the nodes: start, pause, end |
 //! | `operators` | requests to the management addresses of the nodes |
 //! | `load` | clients of the nodes |
+//! | `error` | why a fleet does not do what a test expects |
 //!
 //! Each node is a process of the program with a settings file. What it sends to another node passes through the
 //! [`DatagramNetwork`], and it reaches each server by a [`Link`] of its own. Tests, scenarios and measurements start fleets.
 
 pub mod datagrams;
+mod error;
 pub mod fenced_resource;
 pub mod history;
 pub mod invariants;
@@ -39,6 +41,7 @@
 mod start;
 pub mod verdict_stats;
 
+pub use error::FleetError;
 pub use load::{Load, DEADLINE, LATENCY_OBJECTIVE};
 pub use operators::ManagementResponse;
 pub use spec::{FleetSpec, SHORT_SLOW_START};
@@ -120,8 +123,12 @@
         let started = Instant::now();
         while !condition(self).await {
             if started.elapsed() > WAIT_TIMEOUT {
-                let tail = self.history.tail(ERROR_CONTEXT_LINES);
-                return Err(format!("{description}: not within {WAIT_TIMEOUT:?}\n{tail}").into());
+                return Err(FleetError::ConditionTimeout {
+                    condition: description.to_owned(),
+                    timeout: WAIT_TIMEOUT,
+                    tail: self.history.tail(ERROR_CONTEXT_LINES),
+                }
+                .into());
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
--- a/crates/testbed/src/fleet/operators.rs
+++ b/crates/testbed/src/fleet/operators.rs
@@ -1,5 +1,6 @@
 //! Requests to the management addresses of a fleet's nodes, as operators send them.
 
+use super::error::FleetError;
 use super::history::Event;
 use super::{server_name, TestFleet};
 use crate::client::Client;
@@ -26,7 +27,11 @@
         if self.status == 200 {
             Ok(())
         } else {
-            Err(format!("{}: {}", self.status, self.body).into())
+            Err(FleetError::Rejected {
+                status: self.status,
+                body: self.body,
+            }
+            .into())
         }
     }
 }
@@ -42,7 +47,7 @@
         method: &str,
         path: &str,
     ) -> Result<ManagementResponse> {
-        let address = self.management(node).ok_or("no operators' address")?;
+        let address = self.management(node).ok_or(FleetError::MissingManagement)?;
         let request = Request::builder()
             .method(method)
             .uri(path)
--- a/crates/testbed/src/measure/error.rs
+++ b/crates/testbed/src/measure/error.rs
@@ -11,6 +11,10 @@
     },
     #[error("no output")]
     NoOutput,
+    #[error("no node")]
+    NoNode,
+    #[error("it does not heal")]
+    NotRecovered,
     #[error("no address")]
     NoAddress,
     #[error("no request")]
--- a/crates/testbed/src/measure/fleet.rs
+++ b/crates/testbed/src/measure/fleet.rs
@@ -1,6 +1,7 @@
 //! The measurement `fleet`: processor time and latency of a request with gossip between nodes, without it, and with another
 //! build of the program.
 
+use super::error::MeasureError;
 use super::{median, Plan, Subject, SubjectProcess};
 use crate::fleet::{FleetSpec, TestFleet};
 use crate::load::Workload;
@@ -38,8 +39,8 @@
             })
             .await?;
     }
-    let address = fleet.address(0).ok_or("no node")?;
-    let pid = fleet.pid(0).ok_or("no node")?;
+    let address = fleet.address(0).ok_or(MeasureError::NoNode)?;
+    let pid = fleet.pid(0).ok_or(MeasureError::NoNode)?;
     let process = SubjectProcess::Fleet {
         _fleet: Box::new(fleet),
     };
--- a/crates/testbed/src/measure/membership.rs
+++ b/crates/testbed/src/measure/membership.rs
@@ -1,6 +1,7 @@
 //! The measurement `membership`: what following a registry costs. Entries at rest and while they change, recovery after a lost
 //! member or session, and the processor time of a request against that with a static list.
 
+use super::error::MeasureError;
 use super::{median, round_to_tenth, Plan, Subject};
 use crate::membership::{node_settings, request_kind, RegisteredServer, SERVERS_PATH};
 use crate::node::{cpu_seconds, memory_kib, Node, WAIT_TIMEOUT};
@@ -212,7 +213,7 @@
     let started = Instant::now();
     while registry.counters().requests < before + RECOVERY_REQUESTS {
         if started.elapsed() > WAIT_TIMEOUT {
-            return Err("it does not heal".into());
+            return Err(MeasureError::NotRecovered.into());
         }
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -2,6 +2,10 @@
 //!
 //! Fleets, scenarios, measurements, the demo and tests start nodes.
 
+mod error;
+
+pub use error::NodeError;
+
 use crate::Result;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -119,13 +123,20 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true);
         let mut child = command.spawn()?;
-        let output = child.stdout.take().ok_or("no output")?;
-        let errors = child.stderr.take().ok_or("no errors")?;
+        let output = child
+            .stdout
+            .take()
+            .ok_or(NodeError::MissingStream("output"))?;
+        let errors = child
+            .stderr
+            .take()
+            .ok_or(NodeError::MissingStream("errors"))?;
         let mut log = BufReader::new(errors).lines();
         let mut output = BufReader::new(output).lines();
         let first_line = tokio::time::timeout(WAIT_TIMEOUT, output.next_line()).await??;
         let Some(first_line) = first_line else {
-            return Err(remaining_text(&mut log).await.into());
+            let log = remaining_text(&mut log).await;
+            return Err(NodeError::StartupFailed { log }.into());
         };
         let startup: Value = serde_json::from_str(&first_line)?;
         Ok(Node {
@@ -187,7 +198,8 @@
                     return Ok(line);
                 }
             }
-            Err(format!("the node ended without saying `{text}`").into())
+            let text = text.to_owned();
+            Err(NodeError::LogEnded { text }.into())
         };
         tokio::time::timeout(WAIT_TIMEOUT, wait).await?
     }
@@ -217,7 +229,7 @@
         if status.success() {
             Ok(())
         } else {
-            Err("the node is gone".into())
+            Err(NodeError::Gone.into())
         }
     }
 
@@ -246,10 +258,11 @@
     let listeners = startup
         .get("listening")
         .and_then(Value::as_object)
-        .ok_or("no listeners")?;
+        .ok_or(NodeError::MissingListeners)?;
     let mut addresses = BTreeMap::new();
     for (name, address) in listeners {
-        addresses.insert(name.clone(), address.as_str().ok_or("no address")?.parse()?);
+        let address = address.as_str().ok_or(NodeError::InvalidAddress)?;
+        addresses.insert(name.clone(), address.parse()?);
     }
     Ok(addresses)
 }
@@ -274,7 +287,8 @@
             return Ok(());
         }
         if started.elapsed() > WAIT_TIMEOUT {
-            return Err(format!("{path} does not become {is_healthy}").into());
+            let path = path.to_owned();
+            return Err(NodeError::HealthTimeout { path, is_healthy }.into());
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
@@ -300,6 +314,6 @@
     let line = status
         .lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))
-        .ok_or("no VmRSS")?;
+        .ok_or(NodeError::MissingMemory)?;
     Ok(line.trim().trim_end_matches(" kB").trim().parse()?)
 }
