--- /dev/null
+++ b/crates/testbed/tests/cluster/main.rs
@@ -0,0 +1,11 @@
+//! Fleets of real processes with faults between them. The assertions read the history: the responses of clients and the
+//! attempts at servers, by one clock.
+
+mod bans;
+mod ejection;
+mod endpoint_lists;
+#[path = "../fleets/mod.rs"]
+mod fleets;
+mod membership;
+mod network_faults;
+mod schedule;
--- /dev/null
+++ b/crates/testbed/tests/cluster/network_faults.rs
@@ -0,0 +1,170 @@
+//! Partial partitions, links without answers, floods, full buffers, and datagrams that the system does not send.
+
+use crate::fleets::{
+    attempt_count, late_attempts, none_broken, quickly_warmed, rest, start, turn,
+    wait_until_attempted, wait_until_explained, SECOND,
+};
+use reelfall_testbed::fleet::history::Event;
+use reelfall_testbed::fleet::{queries, FleetSpec, ManagementResponse, TestFleet};
+
+/// All nodes of a fleet of the default size.
+const ALL: [usize; 5] = [0, 1, 2, 3, 4];
+/// An ejected server gets a probe a second; in four seconds one that is not ejected gets more attempts than this.
+const MAX_PROBES: usize = 8;
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn partial_partitions_separate_no_members() {
+    /// Longer than a probe and a suspicion take, in seconds.
+    const DETECTION_TIME: f64 = 9.0;
+    let _turn = turn().await;
+    let fleet = start(FleetSpec::default()).await;
+    // Nodes 0 and 1 receive nothing from each other, node 3 nothing from node 2; all can reach node 4.
+    fleet.network().partition(&[0], &[1], true);
+    fleet.network().partition(&[2], &[3], false);
+    let first_event = fleet.history.len();
+    let load = fleet.start_load(40.0, 0.2, 21);
+    wait_until_attempted(&fleet, 0, &ALL).await;
+    rest(DETECTION_TIME).await;
+    assert!(
+        !is_any_member_down(&fleet, first_event),
+        "{}",
+        fleet.history.tail(20)
+    );
+    for (node, server) in [(0, 0), (2, 1)] {
+        fleet.ban_server(node, server, Some(300)).await.unwrap();
+        let since = fleet.history.now();
+        rest(2.5).await;
+        assert_eq!(
+            late_attempts(&fleet, server, since, &ALL),
+            [],
+            "sent to a banned server"
+        );
+    }
+    load.stop().await;
+    none_broken(&fleet);
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn faulty_links_and_a_flood_do_not_affect_other_nodes() {
+    const FAULTY_NODE: usize = 5;
+    const FLOODED_NODE: usize = 1;
+    let _turn = turn().await;
+    let mut fleet = start(FleetSpec {
+        node_count: 6,
+        ..FleetSpec::default()
+    })
+    .await;
+    set_links_frozen(&fleet, FAULTY_NODE, true);
+    let load = fleet.start_load(40.0, 0.2, 5);
+    let from = fleet.history.now();
+    for _ in 0..10 {
+        fleet.network().flood(FLOODED_NODE, 2000).await;
+        rest(0.3).await;
+    }
+    rest(4.0).await;
+    let to = fleet.history.now();
+    let events = fleet.history.events();
+    // The reports of the faulty node eject no server.
+    for server in 0..fleet.servers.len() {
+        let attempts = queries::attempts(&events, server, to - 4 * SECOND, to, &ALL);
+        assert!(
+            attempts.len() > MAX_PROBES,
+            "server {server} was sent {} requests in 4 s",
+            attempts.len()
+        );
+    }
+    set_links_frozen(&fleet, FAULTY_NODE, false);
+    fleet.kill(FAULTY_NODE);
+    load.stop().await;
+    // A sixth of the requests were sent to the faulty node.
+    let queries::ServedRatio { ratio, requests } =
+        queries::served_ratio(&events, from, to - 5 * SECOND);
+    assert!(ratio > 0.8, "{ratio} of {requests}");
+    let ManagementResponse { body: members, .. } = fleet
+        .call_management(FLOODED_NODE, "GET", "/-/fleet/members")
+        .await
+        .unwrap();
+    for reason in ["not under this fleet's key", "repeated"] {
+        assert!(members.contains(reason), "{members}");
+    }
+    fleet.ban_server(0, 0, None).await.unwrap();
+    fleet
+        .wait_until("a ban at the flooded node", async |fleet| {
+            let response = fleet
+                .call_management(FLOODED_NODE, "GET", "/-/fleet/servers/s0")
+                .await
+                .unwrap();
+            response.body.contains("s0: out by hand")
+        })
+        .await
+        .unwrap();
+    none_broken(&fleet);
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn full_receive_buffer_and_failed_sends_are_survived() {
+    const PAUSED_NODE: usize = 4;
+    let _turn = turn().await;
+    // The system does not let a process send to a broadcast address.
+    let seeds = (1..6)
+        .map(|port| ([127, 255, 255, 255], port).into())
+        .collect();
+    let mut fleet = start(FleetSpec {
+        seeds,
+        ..quickly_warmed()
+    })
+    .await;
+    fleet
+        .wait_until("a failed send", has_failed_send)
+        .await
+        .unwrap();
+    // The flood fills the receive buffer of the paused process; gossip that arrives after it is lost.
+    fleet.set_paused(PAUSED_NODE, true);
+    fleet.network().flood(PAUSED_NODE, 8000).await;
+    fleet.ban_server(0, 0, Some(300)).await.unwrap();
+    rest(2.0).await;
+    fleet.set_paused(PAUSED_NODE, false);
+    wait_until_explained(&fleet, "s0", "s0: out by hand").await;
+    let load = fleet.start_load(40.0, 0.2, 23);
+    let since = fleet.history.now();
+    rest(3.0).await;
+    assert_eq!(
+        attempt_count(&fleet, 0, since, &ALL),
+        0,
+        "sent to a banned server"
+    );
+    load.stop().await;
+    none_broken(&fleet);
+}
+
+/// Whether any node logged that a member is down, from an index of the history on.
+fn is_any_member_down(fleet: &TestFleet, first_event: usize) -> bool {
+    let events = fleet.history.events();
+    events
+        .iter()
+        .skip(first_event)
+        .any(|entry| matches!(&entry.event, Event::Logged { line, .. } if line.contains("is down")))
+}
+
+/// Sets whether the links from a node to all servers pass nothing on.
+fn set_links_frozen(fleet: &TestFleet, node: usize, is_frozen: bool) {
+    for server in 0..fleet.servers.len() {
+        fleet
+            .server_link(node, server)
+            .update_faults(|faults| faults.is_frozen = is_frozen);
+    }
+}
+
+/// Whether all nodes respond, and one of them counts a datagram that the system did not send.
+async fn has_failed_send(fleet: &TestFleet) -> bool {
+    for node in ALL {
+        let response = fleet.call_management(node, "GET", "/-/fleet/members").await;
+        let Ok(ManagementResponse { status: 200, body }) = response else {
+            return false;
+        };
+        if !body.contains(" 0 not taken by the system") {
+            return true;
+        }
+    }
+    false
+}
--- a/crates/testbed/tests/fleets/mod.rs
+++ b/crates/testbed/tests/fleets/mod.rs
@@ -1,28 +1,35 @@
-//! What tests of fleets of processes share.
+//! Fixtures, waits and queries that tests of fleets of processes share.
 
-// Each file of tests uses a part of it.
+// Each test binary uses some of them.
 #![allow(dead_code)]
 
 use reelfall_testbed::fleet::history::{Event, TimedEvent};
 use reelfall_testbed::fleet::{
-    invariants, queries, server_name, FleetSpec, ManagementResponse, TestFleet, SHORT_SLOW_START,
+    invariants, queries, server_name, FleetSpec, TestFleet, SHORT_SLOW_START,
 };
 use reelfall_testbed::scripted::Program;
 use std::time::Duration;
+use tokio::sync::{Semaphore, SemaphorePermit};
 
 pub const SECOND: Duration = Duration::from_secs(1);
-/// A server that was sent nothing for so long is left: under the load of these tests one that is not is sent many.
-const LEFT: Duration = Duration::from_millis(500);
+/// Maximum number of fleets that run at once, however many tests do. With more of them nodes would be short of processor
+/// time and report servers as slow.
+const MAX_FLEETS: usize = 2;
+/// How long a verdict may take to reach all nodes.
+const PROPAGATION_TIME: Duration = SECOND;
+/// A server that got no attempt for this time is avoided: under the load of these tests any other gets many.
+const QUIET_TIME: Duration = Duration::from_millis(500);
 
 pub fn program() -> Program {
     Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"))
 }
 
+/// Starts a fleet and waits until its nodes know each other.
 pub async fn start(spec: FleetSpec) -> TestFleet {
     let fleet = TestFleet::start(&program(), &spec).await.unwrap();
     if spec.fleet_settings.is_some() {
         fleet
-            .wait_until("all know each other", async |fleet| {
+            .wait_until("all nodes are members", async |fleet| {
                 fleet.is_converged().await
             })
             .await
@@ -31,84 +38,91 @@
     fleet
 }
 
-pub fn warm() -> FleetSpec {
+/// A fleet whose services have a short slow start.
+pub fn quickly_warmed() -> FleetSpec {
     FleetSpec {
         service_settings: SHORT_SLOW_START.to_owned(),
         ..FleetSpec::default()
     }
 }
 
-/// Two fleets at once, however many tests run: more would have each other's nodes starve, and find fault with servers.
-pub async fn turn() -> tokio::sync::SemaphorePermit<'static> {
-    static TURNS: tokio::sync::Semaphore = tokio::sync::Semaphore::const_new(2);
-    TURNS.acquire().await.unwrap()
+/// Waits until fewer than [`MAX_FLEETS`] run, and reserves a place for one until the permit is dropped.
+pub async fn turn() -> SemaphorePermit<'static> {
+    static FLEETS: Semaphore = Semaphore::const_new(MAX_FLEETS);
+    FLEETS.acquire().await.unwrap()
 }
 
+/// Lets a fleet run for a time.
 pub async fn rest(seconds: f64) {
     tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
 }
 
+/// Asserts that the history violates no invariant.
 pub fn none_broken(fleet: &TestFleet) {
-    let broken = invariants::violations(&fleet.history.events());
-    assert!(broken.is_empty(), "{broken:#?}\n{}", fleet.history.tail(60));
+    let violations = invariants::violations(&fleet.history.events());
+    assert!(
+        violations.is_empty(),
+        "{violations:#?}\n{}",
+        fleet.history.tail(60)
+    );
 }
 
-/// What an operator sees who calls a node by the command line.
+/// Runs a command of the program against the management address of a node, and returns what it prints.
 pub async fn command(fleet: &TestFleet, node: usize, args: &[&str]) -> String {
     let mut command = program().command();
     command
         .args(args)
         .arg("--management")
         .arg(fleet.management(node).unwrap().to_string());
-    let done = tokio::task::spawn_blocking(move || command.output())
+    let output = tokio::task::spawn_blocking(move || command.output())
         .await
         .unwrap()
         .unwrap();
     assert!(
-        done.status.success(),
+        output.status.success(),
         "{}",
-        String::from_utf8_lossy(&done.stderr)
+        String::from_utf8_lossy(&output.stderr)
     );
-    String::from_utf8_lossy(&done.stdout).into_owned()
+    String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// Waits until all nodes that are awake explain a server with these words.
-pub async fn until_explained(fleet: &TestFleet, server: &str, words: &str) {
-    until_all_explain(fleet, server, words, |said| said.contains(words)).await;
+/// Waits until all running nodes explain a server with this text.
+pub async fn wait_until_explained(fleet: &TestFleet, server: &str, text: &str) {
+    wait_until_all_explain(fleet, server, text, |explanation| {
+        explanation.contains(text)
+    })
+    .await;
 }
 
-/// Waits until all nodes that are awake hold reports of so many that a server has answered with errors.
+/// Waits until all running nodes have reports of errors of a server by at least `reporters` nodes.
 ///
-/// That it is condemned is too early: on a busy machine one of the reports may stand on an attempt that is late, and is
-/// taken back with its answer.
-pub async fn until_errors_reported(fleet: &TestFleet, server: &str, by: usize) {
-    let reports = |said: &str| {
-        said.lines()
+/// That the server is ejected is not enough: on a busy machine one of the reports may be of an attempt in flight, which is
+/// taken back when its response arrives.
+pub async fn wait_until_errors_reported(fleet: &TestFleet, server: &str, reporters: usize) {
+    let error_reports = |explanation: &str| {
+        explanation
+            .lines()
             .filter(|line| line.contains(": Failing: "))
             .count()
     };
-    until_all_explain(fleet, server, "reports of errors", |said| {
-        reports(said) >= by
+    wait_until_all_explain(fleet, server, "reports of errors", |explanation| {
+        error_reports(explanation) >= reporters
     })
     .await;
 }
 
-async fn until_all_explain(
+async fn wait_until_all_explain(
     fleet: &TestFleet,
     server: &str,
-    what: &str,
-    holds: impl Fn(&str) -> bool,
+    description: &str,
+    is_expected: impl Fn(&str) -> bool,
 ) {
     let path = format!("/-/fleet/servers/{server}");
     fleet
-        .wait_until(what, async |fleet| {
-            for n in fleet.running_nodes() {
-                let Ok(ManagementResponse { body: said, .. }) =
-                    fleet.call_management(n, "GET", &path).await
-                else {
-                    return false;
-                };
-                if !holds(&said) {
+        .wait_until(description, async |fleet| {
+            for node in fleet.running_nodes() {
+                let response = fleet.call_management(node, "GET", &path).await;
+                if !response.is_ok_and(|response| is_expected(&response.body)) {
                     return false;
                 }
             }
@@ -118,60 +132,59 @@
         .unwrap();
 }
 
-/// Waits until the last that each of these nodes said of the server is that it fails several, which is when it acts on it,
-/// and none of them has sent anything there for a while: what it chose before is over.
+/// Waits until the last log line of each of these nodes about a server is its ejection, which is when the node applies it,
+/// and none of them has sent the server an attempt for [`QUIET_TIME`].
 ///
-/// That a node explains it so is too early: it knows of the reports, and its pools may send for a moment more.
-pub async fn until_left(fleet: &TestFleet, server: usize, nodes: &[usize]) {
+/// That a node explains the server as ejected is not enough: it has the reports, and its pools may send for a moment more.
+pub async fn wait_until_ejected(fleet: &TestFleet, server: usize, nodes: &[usize]) {
     let name = server_name(server);
-    let is_left = |happened: &[TimedEvent], node: usize| {
-        let said = happened.iter().rev().find_map(|entry| match &entry.event {
+    let is_ejected = |events: &[TimedEvent], node: usize| {
+        let last_line = events.iter().rev().find_map(|entry| match &entry.event {
             Event::Logged { node: by, line } if *by == node => {
                 line.split_once(&format!("fleet: {name} "))
             }
             _ => None,
         });
-        said.is_some_and(|(_, words)| words.starts_with("is ejected, a quorum"))
+        last_line.is_some_and(|(_, text)| text.starts_with("is ejected, a quorum"))
     };
     fleet
-        .wait_until("no more requests to the server", async |fleet| {
-            let happened = fleet.history.events();
-            let from = fleet.history.now().saturating_sub(LEFT);
-            let sent = queries::attempts(&happened, server, from, Duration::MAX, nodes);
-            sent.is_empty() && nodes.iter().all(|n| is_left(&happened, *n))
+        .wait_until("no more attempts at the server", async |fleet| {
+            let events = fleet.history.events();
+            let from = fleet.history.now().saturating_sub(QUIET_TIME);
+            let attempts = queries::attempts(&events, server, from, Duration::MAX, nodes);
+            attempts.is_empty() && nodes.iter().all(|node| is_ejected(&events, *node))
         })
         .await
         .unwrap();
 }
 
-/// Every one of these nodes has sent something to the server lately.
-pub async fn until_sent(fleet: &TestFleet, server: usize, nodes: &[usize]) {
+/// Waits until each of these nodes has sent the server an attempt from now on.
+pub async fn wait_until_attempted(fleet: &TestFleet, server: usize, nodes: &[usize]) {
     let from = fleet.history.now();
     fleet
-        .wait_until("requests to the server by all", async |fleet| {
-            let happened = fleet.history.events();
-            nodes.iter().all(|n| {
-                !queries::attempts(&happened, server, from, Duration::MAX, &[*n]).is_empty()
+        .wait_until("attempts at the server by all", async |fleet| {
+            let events = fleet.history.events();
+            nodes.iter().all(|node| {
+                !queries::attempts(&events, server, from, Duration::MAX, &[*node]).is_empty()
             })
         })
         .await
         .unwrap();
 }
 
-/// Attempts by these nodes that came later than a second and a half after a moment: a second for the news to be
-/// everywhere, and the half that the rule on drains gives each node.
-pub fn late(
+/// Number of attempts at a server by these nodes since a moment.
+pub fn attempt_count(fleet: &TestFleet, server: usize, since: Duration, nodes: &[usize]) -> usize {
+    queries::attempts(&fleet.history.events(), server, since, Duration::MAX, nodes).len()
+}
+
+/// Attempts by these nodes that were sent after a ban at `since` has reached all nodes and each has applied it.
+pub fn late_attempts(
     fleet: &TestFleet,
     server: usize,
     since: Duration,
     nodes: &[usize],
 ) -> Vec<queries::Attempt> {
-    let happened = fleet.history.events();
-    queries::attempts(
-        &happened,
-        server,
-        since + SECOND + invariants::BAN_GRACE,
-        Duration::MAX,
-        nodes,
-    )
+    let events = fleet.history.events();
+    let deadline = since + PROPAGATION_TIME + invariants::BAN_GRACE;
+    queries::attempts(&events, server, deadline, Duration::MAX, nodes)
 }
