--- a/crates/distribution/tests/cases_behind.rs
+++ b/crates/distribution/tests/backlog.rs
@@ -1,4 +1,4 @@
-//! Relays that are behind: batches that come faster than a link carries, then calm.
+//! Relays with a backlog: batches that are published faster than a link carries them, then none.
 
 mod world;
 
@@ -16,7 +16,7 @@
 const FIRST_RELAY: u32 = 10;
 const REGION_RELAY: u32 = 20;
 /// One frame of 16 KB in a round trip: about 125,000 bytes a second.
-const FAR: Network = Network {
+const SLOW_LINKS: Network = Network {
     loss: 0.0,
     duplication: 0.0,
     delay: DelayRange {
@@ -24,20 +24,21 @@
         max: 0.055,
     },
 };
-/// More than a coverage has spans.
+/// Number of batches, more than a coverage has spans.
 const BATCHES: usize = 130;
 const BATCH_CHANGES: usize = 75;
-/// With what is written beside it, a batch has 45,000 bytes.
+/// The body of a change; with its overhead, a batch has 45,000 bytes.
 const BODY: [u8; 500] = [7; 500];
-/// Each in a span of its own, with other changes between them.
+/// Number of urgent changes. Each is in a span of its own, with other changes between them.
 const URGENT_CHANGES: usize = 200;
-const BATCH_EVERY: Time = 0.25;
-/// What is left after the last batch, a third of all, takes 16 s.
-const CALM_SECONDS: Time = 25.0;
+/// Interval of batches, in seconds.
+const BATCH_INTERVAL: Time = 0.25;
+/// How long relays have to catch up, in seconds. The backlog after the last batch, a third of all, takes 16 s.
+const CATCH_UP_TIME: Time = 25.0;
 
-/// An author that writes, a relay that follows it, and one that follows that relay.
+/// An author with the lease, a relay that follows it, and one that follows that relay.
 fn chain(seed: u64) -> World {
-    let mut world = World::new(seed, FAR);
+    let mut world = World::new(seed, SLOW_LINKS);
     world.add_author(AUTHOR, &[FIRST_RELAY]);
     world.add_relay(FIRST_RELAY, &[AUTHOR]);
     world.add_relay(REGION_RELAY, &[FIRST_RELAY]);
@@ -68,7 +69,7 @@
     let mut last = Version::ZERO;
     for number in numbers {
         last = publish(world, batch(number));
-        world.run(BATCH_EVERY);
+        world.run(BATCH_INTERVAL);
     }
     last
 }
@@ -84,14 +85,14 @@
 }
 
 #[test]
-fn relays_that_were_behind_get_all_and_nothing_twice() {
+fn backlog_is_delivered_completely_and_once() {
     let mut world = chain(1);
     let last = publish_batches(&mut world, 0..BATCHES);
     assert!(
         !world.relay_of(FIRST_RELAY).coverage().is_contiguous(),
-        "the link was not too slow"
+        "there is no backlog"
     );
-    world.run(CALM_SECONDS);
+    world.run(CATCH_UP_TIME);
     let published: usize = world.author_of(AUTHOR).log().bytes();
     for (upstream, relay) in [(AUTHOR, FIRST_RELAY), (FIRST_RELAY, REGION_RELAY)] {
         let machine = world.relay_of(relay);
@@ -111,28 +112,28 @@
 }
 
 #[test]
-fn an_urgent_change_goes_before_all_batches_at_relays_that_are_behind() {
+fn urgent_change_overtakes_the_backlog() {
     let mut world = chain(2);
     publish_batches(&mut world, 0..BATCHES);
     let ban = Draft::put(Name::common("ban"), b"ban").urgent();
     let version = publish(&mut world, vec![ban]);
     publish(&mut world, batch(BATCHES));
-    // On each link the frame under way with its answer, then its own way.
+    // On each link the round trip of the frame in flight, then its own way.
     world.run(0.4);
     for relay in [FIRST_RELAY, REGION_RELAY] {
         assert!(
             !world.relay_of(relay).coverage().is_contiguous(),
-            "the link was not too slow"
+            "there is no backlog"
         );
         assert!(
             world.relay_of(relay).log().get_version(version).is_some(),
-            "relay {relay} has not got the ban"
+            "relay {relay} has not received the ban"
         );
     }
 }
 
 #[test]
-fn more_urgent_changes_than_a_coverage_has_spans_come_once_each() {
+fn more_urgent_changes_than_coverage_spans_are_delivered_once() {
     let mut world = chain(3);
     let mut last = Version::ZERO;
     let mut drafts = Vec::new();
@@ -142,11 +143,11 @@
             (0..4).map(|item| Draft::put(Name::service("a", &format!("r{number}-{item}")), &BODY)),
         );
     }
-    for some in drafts.chunks(BATCH_CHANGES) {
-        last = publish(&mut world, some.to_vec());
+    for batch in drafts.chunks(BATCH_CHANGES) {
+        last = publish(&mut world, batch.to_vec());
         world.run(0.05);
     }
-    world.run(CALM_SECONDS);
+    world.run(CATCH_UP_TIME);
     let published = world.author_of(AUTHOR).log().bytes();
     for (upstream, relay) in [(AUTHOR, FIRST_RELAY), (FIRST_RELAY, REGION_RELAY)] {
         assert_eq!(
@@ -162,26 +163,23 @@
     }
 }
 
-/// A list of so many keys takes several frames.
-const LISTED_KEYS: u32 = 9_000;
+/// Number of keys; a list of them takes several frames.
+const KEY_COUNT: u32 = 9_000;
 
 #[test]
-fn a_relay_that_is_told_of_removals_late_lets_others_know() {
+fn removals_missed_in_a_partition_reach_downstream_relays() {
     let mut world = chain(4);
     let name = |item: u32| Name::service("a", &format!("r{item}"));
     publish(
         &mut world,
-        (0..LISTED_KEYS)
+        (0..KEY_COUNT)
             .map(|item| Draft::put(name(item), b"old"))
             .collect(),
     );
     world.run(30.0);
-    assert_eq!(
-        world.relay_of(REGION_RELAY).log().len(),
-        LISTED_KEYS as usize
-    );
+    assert_eq!(world.relay_of(REGION_RELAY).log().len(), KEY_COUNT as usize);
     world.partition(PeerId(AUTHOR), PeerId(FIRST_RELAY), 5.0);
-    // More than the author keeps.
+    // More removals than the author retains.
     publish(
         &mut world,
         (0..200).map(|item| Draft::remove(name(item))).collect(),
@@ -200,12 +198,12 @@
 const NODE: u32 = 100;
 
 #[test]
-fn who_ended_before_storing_what_it_covers_hears_of_removals() {
+fn process_restarted_before_storing_its_coverage_learns_of_removals() {
     let mut world = chain(5);
     let name = |item: u32| Name::service("a", &format!("r{item}"));
     publish(
         &mut world,
-        (0..LISTED_KEYS)
+        (0..KEY_COUNT)
             .map(|item| Draft::put(name(item), b"old"))
             .collect(),
     );
@@ -224,14 +222,14 @@
         let is_covered = |record: &Record| matches!(record, Record::Covered { .. });
         assert!(
             !world.processes[&newcomer].disk.iter().any(is_covered),
-            "{newcomer:?} has stored what it covers"
+            "{newcomer:?} has stored its coverage"
         );
         world.kill(newcomer);
     }
-    // More removals than anybody keeps; the first are of the latest keys, which came to the newcomers first.
+    // More removals than any process retains; the first are of the latest keys, which reached the newcomers first.
     publish(
         &mut world,
-        (100..LISTED_KEYS)
+        (100..KEY_COUNT)
             .rev()
             .map(|item| Draft::remove(name(item)))
             .collect(),
@@ -248,43 +246,43 @@
         "the relay has other contents"
     );
     let node = world.node_of(NODE);
-    let kept = (0..LISTED_KEYS)
+    let applied = (0..KEY_COUNT)
         .filter(|item| node.applied_change(&name(*item)).is_some())
         .count();
-    assert_eq!(kept, published.len(), "resources in force at the node");
+    assert_eq!(applied, published.len(), "resources that the node applies");
 }
 
-/// Bodies that take several frames.
-const LONG_BODY: usize = 40_000;
-/// Names that drawn changes are of, so that later ones replace earlier ones.
-const DRAWN_NAMES: u32 = 3_000;
+/// Length of a body that takes several frames, in bytes.
+const LONG_BODY_BYTES: usize = 40_000;
+/// Number of names of random changes, so that later ones replace earlier ones.
+const RANDOM_NAME_COUNT: u32 = 3_000;
 
-fn drawn_change(world: &mut World) -> Draft {
-    let draw = &mut world.rng;
-    let name = Name::service("a", &format!("r{}", draw.random_range(0..DRAWN_NAMES)));
-    let content: u64 = draw.random();
+fn random_change(world: &mut World) -> Draft {
+    let rng = &mut world.rng;
+    let name = Name::service("a", &format!("r{}", rng.random_range(0..RANDOM_NAME_COUNT)));
+    let content: u64 = rng.random();
     let mut body = content.to_le_bytes().to_vec();
     body.resize(
-        if draw.random_bool(0.003) {
-            LONG_BODY
+        if rng.random_bool(0.003) {
+            LONG_BODY_BYTES
         } else {
             500
         },
         7,
     );
-    let draft = if draw.random_bool(0.02) {
+    let draft = if rng.random_bool(0.02) {
         Draft::remove(name)
     } else {
         Draft::put(name, &body)
     };
-    if draw.random_bool(0.02) {
+    if rng.random_bool(0.02) {
         draft.urgent()
     } else {
         draft
     }
 }
 
-/// What is there, without what was removed.
+/// The present resources of a log, without its removals.
 fn contents(log: &ChangeLog) -> BTreeMap<Key, (Version, Vec<u8>)> {
     let present = log.changes().filter(|change| !change.is_removal());
     let entry = |bytes: &[u8], version| (version, bytes.to_vec());
@@ -298,8 +296,8 @@
         .collect()
 }
 
-/// Two relays that follow an author, and one that follows either; frames are lost, relays end and begin again.
-fn play_drawn_batches(seed: u64) {
+/// Two relays that follow an author, and one that follows either; frames are lost, relays are killed and restarted.
+fn run_random_batches(seed: u64) {
     const RELAYS: [u32; 3] = [FIRST_RELAY, FIRST_RELAY + 1, REGION_RELAY];
     let mut world = chain(seed);
     world.add_relay(RELAYS[1], &[AUTHOR]);
@@ -307,17 +305,17 @@
     world.run(10.0);
     world.network.loss = 0.02;
     let mut last = Version::ZERO;
-    let mut most_spans = 0;
+    let mut max_spans = 0;
     for _ in 0..2 * BATCHES {
         let count = world.rng.random_range(1..2 * BATCH_CHANGES);
-        let drafts = (0..count).map(|_| drawn_change(&mut world)).collect();
+        let drafts = (0..count).map(|_| random_change(&mut world)).collect();
         last = publish(&mut world, drafts);
-        world.run(BATCH_EVERY);
+        world.run(BATCH_INTERVAL);
         let running = RELAYS
             .iter()
             .filter(|relay| world.processes[&PeerId(**relay)].machine.is_some());
         let spans = running.map(|relay| world.relay_of(*relay).coverage().spans().len());
-        most_spans = spans.max().unwrap_or(0).max(most_spans);
+        max_spans = spans.max().unwrap_or(0).max(max_spans);
         let relay = PeerId(RELAYS[world.rng.random_range(0..RELAYS.len())]);
         if world.rng.random_bool(0.01) {
             world.kill(relay);
@@ -327,8 +325,8 @@
         }
     }
     assert!(
-        most_spans >= GAP_FILL_MIN_SPANS,
-        "seed {seed}: {most_spans} spans"
+        max_spans >= GAP_FILL_MIN_SPANS,
+        "seed {seed}: {max_spans} spans"
     );
     world.heal();
     world.run(60.0);
@@ -347,8 +345,8 @@
     }
 }
 
-/// How many are played; 10 unless `BEHIND` says more.
-fn plays() -> u64 {
+/// Number of runs; 10 unless the environment variable `BEHIND` sets another.
+fn run_count() -> u64 {
     std::env::var("BEHIND")
         .ok()
         .and_then(|count| count.parse().ok())
@@ -356,6 +354,6 @@
 }
 
 #[test]
-fn drawn_batches_come_whole_to_relays_that_are_behind() {
-    (0..plays()).for_each(play_drawn_batches);
+fn random_batches_reach_lagging_relays_completely() {
+    (0..run_count()).for_each(run_random_batches);
 }
--- a/crates/distribution/tests/cases_tree.rs
+++ b/crates/distribution/tests/relay_tree.rs
@@ -1,4 +1,4 @@
-//! Hard cases of the tree: relays that die, regions that are cut off, nodes that stand still or begin all at once.
+//! The relay tree under faults: crashed relays, partitioned regions, paused nodes, and nodes that start all at once.
 
 mod world;
 
@@ -12,7 +12,7 @@
 
 const NODES: std::ops::Range<u32> = 100..106;
 
-/// One author, two first relays, two relays of a region, six nodes; the author writes with token 1.
+/// One author, two first relays, two relays of a region, six nodes; the author has the lease with token 1.
 fn tree(seed: u64) -> World {
     let mut world = World::new(seed, CALM);
     world.add_author(1, &[10, 11]);
@@ -38,8 +38,8 @@
     version
 }
 
-/// When all of these nodes have a version; fails after `most` seconds.
-fn until_all_have(world: &mut World, nodes: &[u32], version: Version, most: Time) -> Time {
+/// Runs the world until these nodes have a version, at most `most` seconds; returns the time that it elapsed.
+fn wait_until_all_have(world: &mut World, nodes: &[u32], version: Version, most: Time) -> Time {
     let began = world.now;
     while nodes.iter().any(|id| world.node_of(*id).head() < version) {
         assert!(world.now - began < most, "not within {most} s");
@@ -48,15 +48,15 @@
     world.now - began
 }
 
-fn all() -> Vec<u32> {
+fn all_nodes() -> Vec<u32> {
     NODES.collect()
 }
 
 #[test]
-fn a_change_is_everywhere_within_two_seconds_of_a_calm_tree() {
+fn change_reaches_all_nodes_within_two_seconds() {
     let mut world = tree(1);
     let version = publish(&mut world, 1, vec![put("x", b"one")]);
-    until_all_have(&mut world, &all(), version, 2.0);
+    wait_until_all_have(&mut world, &all_nodes(), version, 2.0);
     for id in NODES {
         assert_eq!(
             world.bytes_at(id, &Name::service("a", "x")).unwrap(),
@@ -76,34 +76,37 @@
 }
 
 #[test]
-fn a_relay_killed_in_a_snapshot_is_left_and_what_came_is_not_sent_again() {
+fn snapshot_resumes_at_another_relay_after_a_crash() {
     let mut world = tree(2);
     let drafts = (0..100)
         .map(|n| put(&format!("r{n}"), &[n; 1000]))
         .collect();
     let version = publish(&mut world, 1, drafts);
     world.run(8.0);
-    let had: Vec<usize> = NODES
+    let received_before: Vec<usize> = NODES
         .map(|id| world.node_of(id).applied_changes().count())
         .collect();
-    assert!(had.iter().all(|n| (10..90).contains(n)), "{had:?}");
+    assert!(
+        received_before.iter().all(|n| (10..90).contains(n)),
+        "{received_before:?}"
+    );
     let killed = world.node_of(100).following().unwrap();
     world.kill(killed);
     let at = world.now;
     let before = world.sent_frames.len();
-    until_all_have(&mut world, &all(), version, 40.0);
-    let left: Vec<Time> = lefts(&world, at, CloseReason::TimedOut);
+    wait_until_all_have(&mut world, &all_nodes(), version, 40.0);
+    let disconnected: Vec<Time> = disconnection_times(&world, at, CloseReason::TimedOut);
     assert!(
-        !left.is_empty() && left.iter().all(|t| t - at < 8.5),
-        "{left:?}"
+        !disconnected.is_empty() && disconnected.iter().all(|t| t - at < 8.5),
+        "{disconnected:?}"
     );
     let to_node: usize = world.bytes_sent_to(PeerId(100), before);
-    let lacked = (100 - had[0]) * 1100;
-    assert!(to_node < lacked + 20_000, "{to_node} bytes for {lacked}");
+    let missing = (100 - received_before[0]) * 1100;
+    assert!(to_node < missing + 20_000, "{to_node} bytes for {missing}");
     world.invariants.verify();
 }
 
-fn lefts(world: &World, since: Time, reason: CloseReason) -> Vec<Time> {
+fn disconnection_times(world: &World, since: Time, reason: CloseReason) -> Vec<Time> {
     let of_node = |recorded: &&RecordedEvent| {
         recorded.at > since
             && recorded.process.0 >= 100
@@ -119,7 +122,7 @@
 }
 
 #[test]
-fn children_of_a_dead_relay_do_not_return_all_at_once() {
+fn reconnections_after_a_relay_crash_are_spread() {
     let mut world = World::new(3, CALM);
     world.add_author(1, &[10]);
     world.add_relay(10, &[1]);
@@ -136,31 +139,32 @@
     let follows = |recorded: &&RecordedEvent| {
         recorded.at > at && matches!(recorded.event, Event::Following(peer) if peer == PeerId(21))
     };
-    let mut back: Vec<Time> = world
+    let mut reconnected: Vec<Time> = world
         .invariants
         .events
         .iter()
         .filter(follows)
         .map(|recorded| recorded.at - at)
         .collect();
-    back.sort_by(f64::total_cmp);
-    assert!(back.len() > 15, "{}", back.len());
-    assert!(*back.last().unwrap() < 14.0, "{back:?}");
+    reconnected.sort_by(f64::total_cmp);
+    assert!(reconnected.len() > 15, "{}", reconnected.len());
+    assert!(*reconnected.last().unwrap() < 14.0, "{reconnected:?}");
     let within = |from: Time| {
-        back.iter()
+        reconnected
+            .iter()
             .filter(|t| (from..from + 0.5).contains(*t))
             .count()
     };
     let most = (0..60).map(|n| within(f64::from(n) * 0.25)).max().unwrap();
     assert!(
-        most * 2 < back.len(),
+        most * 2 < reconnected.len(),
         "{most} of {} within half a second",
-        back.len()
+        reconnected.len()
     );
 }
 
 #[test]
-fn all_relays_of_a_region_die_and_come_back() {
+fn region_recovers_after_all_its_relays_restart() {
     let mut world = tree(4);
     world.kill(PeerId(20));
     world.kill(PeerId(21));
@@ -172,11 +176,11 @@
     assert!((58.0..72.0).contains(&stale), "{stale}");
     world.start(PeerId(20));
     world.start(PeerId(21));
-    // An attempt that is under way, a rest, and the round trips of a session and a change.
+    // The attempt in flight, a backoff, and the round trips of a session and a change.
     let rules = UpstreamConfig::node(Vec::new());
-    until_all_have(
+    wait_until_all_have(
         &mut world,
-        &all(),
+        &all_nodes(),
         version,
         rules.open_timeout + rules.max_backoff + 1.0,
     );
@@ -184,7 +188,7 @@
 }
 
 #[test]
-fn a_node_frozen_for_a_minute_catches_up() {
+fn paused_node_catches_up() {
     let mut world = tree(5);
     world.pause(PeerId(100), 60.0);
     for n in 0..20u8 {
@@ -192,18 +196,18 @@
         world.run(3.0);
     }
     let version = publish(&mut world, 1, vec![put("y", b"last")]);
-    until_all_have(&mut world, &[100], version, 20.0);
+    wait_until_all_have(&mut world, &[100], version, 20.0);
     assert_eq!(world.bytes_at(100, &Name::service("a", "x")).unwrap(), [19]);
     world.invariants.verify();
 }
 
 #[test]
-fn a_region_that_was_cut_off_for_an_hour_catches_up_by_its_budget() {
+fn partitioned_region_catches_up_within_its_bandwidth_budget() {
     let mut world = tree(6);
-    let lasts = 3600.0;
+    let duration = 3600.0;
     for far in [10, 11] {
         for near in [20, 21] {
-            world.partition(PeerId(far), PeerId(near), lasts);
+            world.partition(PeerId(far), PeerId(near), duration);
         }
     }
     // 540 changes an hour are 13,000 a day; a third of them to resources that change again.
@@ -211,23 +215,23 @@
     for n in 0..540u32 {
         let item = format!("r{}", if n % 3 == 0 { 0 } else { n });
         version = publish(&mut world, 1, vec![put(&item, &[n as u8; 300])]);
-        world.run(lasts / 540.0);
+        world.run(duration / 540.0);
     }
     let changed = 361.0;
-    // What one change takes, by what the budget brings in a second, and an attempt that is under way and a rest before a relay
-    // and a node return.
+    // The bytes of the changes at the rate of the budget, and the attempt in flight and a backoff before a relay and a node
+    // reconnect.
     let rules = UpstreamConfig::node(Vec::new());
     let relay_rules = UpstreamConfig::relay(Vec::new());
-    let rests =
+    let reconnection_time =
         rules.open_timeout + rules.max_backoff + relay_rules.open_timeout + relay_rules.max_backoff;
-    let most = changed * 400.0 / 6000.0 + rests;
-    let took = until_all_have(&mut world, &all(), version, most);
-    println!("caught up in {took:.1} s, of {most:.1} s");
+    let most = changed * 400.0 / 6000.0 + reconnection_time;
+    let elapsed = wait_until_all_have(&mut world, &all_nodes(), version, most);
+    println!("caught up in {elapsed:.1} s, of {most:.1} s");
     world.invariants.verify();
 }
 
 #[test]
-fn the_newest_change_comes_first_after_a_cut() {
+fn newest_change_is_delivered_first_after_a_pause() {
     let mut world = tree(7);
     world.pause(PeerId(100), 10.0);
     world.run(1.0);
@@ -240,7 +244,7 @@
 }
 
 #[test]
-fn many_nodes_begin_at_once_without_a_snapshot() {
+fn simultaneous_first_starts_receive_all_changes() {
     let mut world = World::new(8, CALM);
     world.add_author(1, &[10]);
     world.add_relay(10, &[1]);
@@ -255,13 +259,13 @@
         world.add_node(id, &[20, 21], &[Selector::Services]);
     }
     let nodes: Vec<u32> = (100..180).collect();
-    // 33 kB at 6 kB/s, and up to 4 s before each begins.
-    until_all_have(&mut world, &nodes, version, 20.0);
+    // 33 kB at 6 kB/s, and up to 4 s before each starts.
+    wait_until_all_have(&mut world, &nodes, version, 20.0);
     world.invariants.verify();
 }
 
 #[test]
-fn a_node_begins_with_an_old_snapshot_and_nobody_to_ask() {
+fn node_starts_from_a_stale_snapshot_without_relays() {
     let mut world = tree(9);
     publish(&mut world, 1, vec![put("x", b"old")]);
     world.run(30.0);
@@ -282,33 +286,36 @@
     assert_eq!(x.content.bytes(), b"old");
     assert!(node.staleness(5.0) >= month);
     assert!(node.staleness(65.0) >= month + 60.0);
-    // It goes on asking, seldom.
-    let mut asked = 0;
+    // It goes on trying, at a low rate.
+    let mut attempts = 0;
     let mut now = 5.0;
     while now < 605.0 {
         now = node.next_wakeup().max(now + 1e-3);
         outputs.clear();
         node.poll(now, &mut outputs);
-        let followed = |output: &&reelfall_distribution::output::Output| {
+        let is_attempt = |output: &&reelfall_distribution::output::Output| {
             matches!(
                 output,
                 reelfall_distribution::output::Output::Event(Event::Following(_))
             )
         };
-        asked += outputs.iter().filter(followed).count();
+        attempts += outputs.iter().filter(is_attempt).count();
     }
-    assert!((5..60).contains(&asked), "{asked} sessions in ten minutes");
+    assert!(
+        (5..60).contains(&attempts),
+        "{attempts} sessions in ten minutes"
+    );
     assert!(node.applied_change(&Name::service("a", "x")).is_some());
 }
 
 #[test]
-fn a_node_gets_a_snapshot_only_where_the_log_no_longer_reaches() {
+fn snapshot_covers_only_what_the_log_no_longer_retains() {
     let mut world = tree(10);
     let drafts = (0..30).map(|n| put(&format!("r{n}"), &[n; 800])).collect();
     publish(&mut world, 1, drafts);
     world.run(30.0);
     world.kill(PeerId(100));
-    // 70 removals where 50 are kept: the first 20 are forgotten.
+    // 70 removals where 50 are retained: the first 20 are discarded.
     for n in 0..70 {
         publish(&mut world, 1, vec![put(&format!("s{n}"), b"short")]);
     }
@@ -324,7 +331,7 @@
     world.run(20.0);
     let before = world.sent_frames.len();
     world.start(PeerId(100));
-    until_all_have(&mut world, &[100], version, 20.0);
+    wait_until_all_have(&mut world, &[100], version, 20.0);
     world.run(1.0);
     assert!(
         world
@@ -341,7 +348,7 @@
     let bytes: usize = world.bytes_sent_to(PeerId(100), before);
     assert!(
         bytes < 15_000,
-        "{bytes} bytes: 29 bodies of 800 bytes were there already"
+        "{bytes} bytes: the node has 29 bodies of 800 bytes already"
     );
     world.invariants.verify();
 }
--- a/crates/distribution/tests/cases_failover.rs
+++ b/crates/distribution/tests/upstream_failover.rs
@@ -1,5 +1,5 @@
-//! How long it takes until who lost its upstream follows another one, where more of them are dead: candidates are asked
-//! beside each other, and none of them twice before all others. Each bound is worked out from the rules.
+//! How long a process that lost its upstream takes to follow another one while more of them are dead: candidates are tried
+//! in parallel, and none of them twice before all others. Each bound is computed from the configuration.
 
 mod world;
 
@@ -18,9 +18,9 @@
     RecordedEvent, World, CALM,
 };
 
-/// What a node's session elsewhere has to keep to after the loss of its relay, in seconds: 3 s less than a change may take.
-const SESSION_ELSEWHERE: Time = 12.0;
-/// The answer to a session's beginning and the way of an acknowledgement, each in 20 ms at most.
+/// Maximum time from the loss of a relay to a session with another one, in seconds: 3 s less than a change may take.
+const MAX_FAILOVER_TIME: Time = 12.0;
+/// The response to the opening of a session and an acknowledgement, each in 20 ms at most, in seconds.
 const ROUND_TRIPS: Time = 0.1;
 
 /// Four relays of the nodes' region and twelve of three others, as in a system of 18 control machines.
@@ -28,7 +28,7 @@
 const FAR: Range<u32> = 30..42;
 const NODES: Range<u32> = 100..160;
 
-/// An author that writes, relays of all regions, and nodes of one of them that follow their own.
+/// An author with the lease, relays of all regions, and nodes of one region that follow its relays.
 fn regions(seed: u64) -> World {
     let mut world = World::new(seed, CALM);
     world.add_author(1, &[]);
@@ -56,35 +56,50 @@
         .any(|child| child == PeerId(node))
 }
 
-/// Until a node follows another relay after its own died, with so many others that are dead.
-fn session_elsewhere(dead: usize) -> Time {
-    let rules = UpstreamConfig::node(Vec::new());
-    rules.silence_timeout
-        + rules.reconnect_jitter
-        + dead as Time * rules.attempt_delay
+/// How long a node takes to follow another relay after its own died, while a number of others are dead.
+fn failover_time(dead: usize) -> Time {
+    let config = UpstreamConfig::node(Vec::new());
+    config.silence_timeout
+        + config.reconnect_jitter
+        + dead as Time * config.attempt_delay
         + ROUND_TRIPS
 }
 
-/// When sessions were asked for by a process since a moment, and of whom.
-fn asked(world: &World, by: u32, since: Time) -> Vec<(Time, PeerId)> {
-    let of = |recorded: &RecordedEvent| match recorded.event {
-        Event::Following(peer) if recorded.process == PeerId(by) && recorded.at > since => {
-            Some((recorded.at, peer))
+/// A session that a process tried to open.
+#[derive(Debug)]
+struct SessionAttempt {
+    at: Time,
+    peer: PeerId,
+}
+
+/// The sessions that a process tried to open since a moment.
+fn session_attempts(world: &World, process: u32, since: Time) -> Vec<SessionAttempt> {
+    let to_attempt = |recorded: &RecordedEvent| match recorded.event {
+        Event::Following(peer) if recorded.process == PeerId(process) && recorded.at > since => {
+            Some(SessionAttempt {
+                at: recorded.at,
+                peer,
+            })
         }
         _ => None,
     };
-    world.invariants.events.iter().filter_map(of).collect()
+    world
+        .invariants
+        .events
+        .iter()
+        .filter_map(to_attempt)
+        .collect()
 }
 
 #[test]
-fn nodes_of_a_region_without_relays_have_a_session_though_half_of_the_fallbacks_are_dead() {
+fn nodes_find_a_session_when_half_of_the_fallbacks_are_dead() {
     for seed in 1..5 {
         let mut world = regions(seed);
         let dead: Vec<u32> = NEAR.chain(FAR.step_by(2)).collect();
         let alive: Vec<u32> = FAR.filter(|id| !dead.contains(id)).collect();
         dead.iter().for_each(|id| world.kill(PeerId(*id)));
-        let most = session_elsewhere(dead.len() - 1);
-        assert!(most <= SESSION_ELSEWHERE, "{most}");
+        let most = failover_time(dead.len() - 1);
+        assert!(most <= MAX_FAILOVER_TIME, "{most}");
         let began = world.now;
         while !NODES
             .into_iter()
@@ -102,7 +117,7 @@
 }
 
 #[test]
-fn a_node_asks_all_others_once_and_then_one_at_a_time() {
+fn all_candidates_are_tried_once_before_any_is_retried() {
     let mut world = regions(11);
     let lost: BTreeMap<u32, PeerId> = NODES
         .filter_map(|id| Some((id, world.node_of(id).following()?)))
@@ -110,38 +125,45 @@
     NEAR.chain(FAR).for_each(|id| world.kill(PeerId(id)));
     let began = world.now;
     world.run(300.0);
-    let rules = UpstreamConfig::node(Vec::new());
+    let config = UpstreamConfig::node(Vec::new());
     let others = NEAR.len() + FAR.len() - 1;
     for id in NODES {
-        let asked = asked(&world, id, began);
-        let (all, later) = asked.split_at(others);
-        let whom: BTreeSet<PeerId> = all.iter().map(|(_, peer)| *peer).collect();
+        let attempts = session_attempts(&world, id, began);
+        let (first_round, later) = attempts.split_at(others);
+        let candidates: BTreeSet<PeerId> = first_round.iter().map(|attempt| attempt.peer).collect();
         assert_eq!(
-            whom.len(),
+            candidates.len(),
             others,
-            "{id} asked somebody twice before all others"
+            "{id} tried a relay twice before all others"
+        );
+        assert!(
+            !candidates.contains(&lost[&id]),
+            "{id} tried the relay that it lost before all others"
         );
+        let pause = |pair: &[SessionAttempt]| pair[1].at - pair[0].at;
+        // The clocks of processes drift.
+        let is_delay = |pause: Time| (pause - config.attempt_delay).abs() < 0.01;
         assert!(
-            !whom.contains(&lost[&id]),
-            "{id} asked the one that it lost before all others"
+            first_round.windows(2).map(pause).all(is_delay),
+            "{id}: {first_round:?}"
         );
-        let pause = |pair: &[(Time, PeerId)]| pair[1].0 - pair[0].0;
-        // Clocks run unlike.
-        let is_delay = |pause: Time| (pause - rules.attempt_delay).abs() < 0.01;
-        assert!(all.windows(2).map(pause).all(is_delay), "{id}: {all:?}");
-        let least = rules.open_timeout + rules.max_backoff / 2.0 - 0.01;
-        let from_last = &asked[others - 1..];
+        let min_pause = config.open_timeout + config.max_backoff / 2.0 - 0.01;
+        let from_last = &attempts[others - 1..];
         assert!(
-            later.len() > 10 && from_last.windows(2).map(pause).all(|pause| pause > least),
+            later.len() > 10
+                && from_last
+                    .windows(2)
+                    .map(pause)
+                    .all(|pause| pause > min_pause),
             "{id}"
         );
     }
     world.invariants.verify();
 }
 
-/// What a node sends to all that it asks keeps to the budget of one link, also where it asks more than that allows.
+/// What a node sends to all candidates stays within the budget of one link, even if it tries more than that allows.
 #[test]
-fn asking_many_brings_no_new_budget() {
+fn many_connection_attempts_stay_within_one_link_budget() {
     const TEN_SECONDS: Time = 10.0;
     let mut world = World::new(12, CALM);
     let nobody: Vec<u32> = (20..100).collect();
@@ -151,15 +173,15 @@
     };
     NODES.for_each(|id| node_with_upstream(&mut world, id, follow.clone()));
     world.run(60.0);
-    // Clocks run unlike by less than a thousandth.
+    // The clocks of processes drift by less than a thousandth.
     let most = 1.001 * TEN_SECONDS * Budget::UP.bytes_per_second + Budget::UP.burst_bytes;
     let mut busiest: f64 = 0.0;
     for id in NODES {
-        let whom: BTreeSet<PeerId> = asked(&world, id, 0.0)
+        let candidates: BTreeSet<PeerId> = session_attempts(&world, id, 0.0)
             .iter()
-            .map(|(_, peer)| *peer)
+            .map(|attempt| attempt.peer)
             .collect();
-        assert_eq!(whom.len(), nobody.len(), "{id}");
+        assert_eq!(candidates.len(), nobody.len(), "{id}");
         let frames = world
             .sent_frames
             .iter()
@@ -182,11 +204,11 @@
     );
 }
 
-/// Answers come later than the next candidate is asked: the first is followed, and the others are let go at once.
+/// Responses arrive later than the next candidate is tried: the first one to respond is followed, the others are released.
 #[test]
-fn slow_upstreams_are_followed_and_those_that_answered_later_are_left() {
+fn first_slow_upstream_is_followed_and_the_others_are_released() {
     let mut world = World::new(13, CALM);
-    // No frame overtakes another: an end that comes before its beginning leaves a session until the relay's `silence`.
+    // No frame overtakes another: a close that overtakes its open would leave a session until the relay's timeout.
     world.network = Network {
         delay: DelayRange {
             min: 0.45,
@@ -200,11 +222,11 @@
     grant_lease(&mut world, 1, 1, 1e6);
     world.run(20.0);
     NODES.for_each(|id| node_of_region(&mut world, id, &relays, &[]));
-    let rules = UpstreamConfig::node(Vec::new());
-    // The session is there, and what the others were told last has come: less than their `silence` of 20 s.
-    let most = rules.reconnect_jitter + rules.open_timeout + 2.0;
+    let config = UpstreamConfig::node(Vec::new());
+    // The session is open, and the others have received their close: less than their silence timeout of 20 s.
+    let most = config.reconnect_jitter + config.open_timeout + 2.0;
     world.run(most);
-    let mut asked_more_than_one = 0;
+    let mut tried_more_than_one = 0;
     for id in NODES {
         let sessions: Vec<u32> = relays
             .iter()
@@ -216,11 +238,11 @@
             follows(&world, id, &sessions),
             "{id} is a child of {sessions:?}"
         );
-        asked_more_than_one += usize::from(asked(&world, id, 0.0).len() > 1);
+        tried_more_than_one += usize::from(session_attempts(&world, id, 0.0).len() > 1);
     }
     assert!(
-        asked_more_than_one > NODES.len() / 2,
-        "{asked_more_than_one} asked more than one"
+        tried_more_than_one > NODES.len() / 2,
+        "{tried_more_than_one} tried more than one"
     );
     let silent = |recorded: &&RecordedEvent| {
         recorded.process.0 >= NODES.start
@@ -236,10 +258,10 @@
     world.invariants.verify();
 }
 
-/// An author that refused is asked again once it may be, also while one that is dead has not answered yet.
+/// An author that rejected a session is tried again after its retry delay, even while a dead one has not responded yet.
 #[test]
-fn relays_follow_a_successor_as_soon_as_it_may_be_asked_again() {
-    let rest = 2.0 * DownstreamConfig::default().min_retry_after;
+fn relays_follow_a_successor_once_its_retry_delay_has_passed() {
+    let retry_delay = 2.0 * DownstreamConfig::default().min_retry_after;
     for seed in 21..27 {
         let mut world = World::new(seed, CALM);
         let relays: Vec<u32> = NEAR.chain(FAR).collect();
@@ -261,8 +283,8 @@
         });
         let version = published.unwrap().unwrap();
         let began = world.now;
-        let rules = UpstreamConfig::relay(Vec::new());
-        let most = rest + rules.attempt_delay + 2.0 * ROUND_TRIPS;
+        let config = UpstreamConfig::relay(Vec::new());
+        let most = retry_delay + config.attempt_delay + 2.0 * ROUND_TRIPS;
         let has_it =
             |world: &World, id: &u32| world.relay_of(*id).coverage().last_version() >= version;
         let mut times: BTreeMap<u32, Time> = BTreeMap::new();
@@ -286,10 +308,10 @@
     }
 }
 
-/// Fallbacks do not wait until all of a region's relays have been asked.
+/// A fallback does not wait until all relays of the region have been tried.
 #[test]
-fn a_fallback_is_asked_early_where_many_upstreams_are_dead() {
-    const BEFORE_A_FALLBACK: Time = 3.0;
+fn fallback_is_tried_before_all_dead_upstreams() {
+    const TRIES_BEFORE_FALLBACK: Time = 3.0;
     let mut world = World::new(31, CALM);
     world.add_author(1, &[]);
     world.add_relay(FAR.start, &[1]);
@@ -297,8 +319,8 @@
     world.run(20.0);
     let nobody: Vec<u32> = (FAR.end..NODES.start).collect();
     NODES.for_each(|id| node_of_region(&mut world, id, &nobody, &[FAR.start]));
-    let rules = UpstreamConfig::node(Vec::new());
-    world.run(rules.reconnect_jitter + BEFORE_A_FALLBACK * rules.attempt_delay + ROUND_TRIPS);
+    let config = UpstreamConfig::node(Vec::new());
+    world.run(config.reconnect_jitter + TRIES_BEFORE_FALLBACK * config.attempt_delay + ROUND_TRIPS);
     let without: Vec<u32> = NODES
         .filter(|id| !is_child(&world, FAR.start, *id))
         .collect();
