--- /dev/null
+++ b/crates/testbed/tests/node/connections.rs
@@ -0,0 +1,69 @@
+//! Silent connections, and more clients than the node has sockets for.
+
+use crate::fixtures::Fixture;
+use reelfall_testbed::scripted::{connect, get, ok_response, read_request, read_response, Server};
+use std::io::Write;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+#[test]
+fn silent_connections_do_not_block_other_clients() {
+    let server = Server::healthy();
+    let Fixture { node, .. } = &Fixture::start_with_max_sockets(&server, 64);
+    let mut active = connect(node.address);
+    let mut silent_connections: Vec<_> = (0..60).map(|_| connect(node.address)).collect();
+    for n in 0..20 {
+        silent_connections.extend((0..5).map(|_| connect(node.address)));
+        active
+            .write_all(read_request(&format!("g-{n}")).as_bytes())
+            .unwrap();
+        if read_response(&active).is_none() {
+            // Its connection may be closed while it is idle, but a new one is accepted.
+            active = connect(node.address);
+        }
+        assert_eq!(get(node.address, &format!("n-{n}")).status, 200);
+    }
+    for silent in &silent_connections {
+        assert_eq!(
+            read_response(silent),
+            None,
+            "a silent connection gets a response"
+        );
+    }
+}
+
+const CLIENTS: usize = 8;
+const REQUESTS_PER_CLIENT: usize = 10;
+/// Allows six connections to servers and ten of clients: the clients wait for the former, and none of them is closed to
+/// admit another. Each reuses one connection, as closed ones may still be counted.
+const SCARCE_SOCKETS: usize = 40;
+
+/// Sends all requests of a client on one connection; returns the statuses.
+fn send_requests(node: SocketAddr, client: usize) -> Vec<u16> {
+    let mut stream = connect(node);
+    let send = |n| {
+        stream
+            .write_all(read_request(&format!("s-{client}-{n}")).as_bytes())
+            .unwrap();
+        read_response(&stream).expect("a response").status
+    };
+    (0..REQUESTS_PER_CLIENT).map(send).collect()
+}
+
+#[test]
+fn shortage_of_sockets_fails_no_request() {
+    let server = Server::start(|request, _, stream| {
+        std::thread::sleep(Duration::from_millis(5));
+        let _ = stream.write_all(&ok_response(request));
+    });
+    let Fixture { node, .. } = &Fixture::start_with_max_sockets(&server, SCARCE_SOCKETS);
+    let address = node.address;
+    let clients: Vec<_> = (0..CLIENTS)
+        .map(|client| std::thread::spawn(move || send_requests(address, client)))
+        .collect();
+    let statuses: Vec<u16> = clients
+        .into_iter()
+        .flat_map(|client| client.join().unwrap())
+        .collect();
+    assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
+}
