--- a/crates/testbed/tests/streams.rs
+++ b/crates/testbed/tests/streams.rs
@@ -1,374 +1,394 @@
-//! Bodies and answers that flow through the real program in pieces, over loopback sockets.
+//! Request and response bodies that stream through the real program, over loopback sockets.
 
 use reelfall_testbed::node::memory_kib;
 use reelfall_testbed::scripted::{
-    connect, get, write_request, Discovery, ListedServer, Message, Node, Program, Server,
+    connect, get, read_request, serve, write_request, Discovery, ListedServer, Message, Node,
+    Program, Server,
 };
 use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Barrier};
 use std::time::{Duration, Instant};
 
-fn program() -> Program {
-    Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"))
-}
+const LARGE_BODY_BYTES: usize = 32 << 20;
+/// Bytes of a large body that are written at once.
+const WRITE_BYTES: usize = 256 << 10;
+const READ_BUFFER_BYTES: usize = 64 << 10;
+const LARGE_BODY_CLIENTS: usize = 24;
+/// A small part of the 64 MB that each of the clients sends and receives; the program itself needs some.
+const MAX_MEMORY_KIB: u64 = 48 << 10;
+const MEMORY_SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
+
+const SLOW_RESPONSE_CHUNKS: usize = 16;
+const SLOW_RESPONSE_CHUNK_BYTES: usize = 64 << 10;
+const SLOW_RESPONSE_CHUNK_INTERVAL: Duration = Duration::from_millis(500);
+
+const MAX_TIME_FOR_TRICKLING_BODY: Duration = Duration::from_secs(12);
 
-fn node(server: SocketAddr) -> (Discovery, Node) {
+fn start_node(server: SocketAddr) -> (Discovery, Node) {
     let discovery = Discovery::start();
     discovery.send_snapshot(1, &[ListedServer::new("s-1", server, "active")]);
-    let node = Node::start(&program(), discovery.address, 1024);
+    let node = start_node_with_discovery(&discovery, 1024);
     (discovery, node)
 }
 
-/// The byte of a body at a place, so that a hole or a doubled piece shows.
-fn byte(at: usize) -> u8 {
-    (at / 251 + at % 251) as u8
+fn start_node_with_discovery(discovery: &Discovery, max_sockets: usize) -> Node {
+    let program = Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"));
+    Node::start(&program, discovery.address, max_sockets)
+}
+
+/// The byte at an offset of a test body: a missing or repeated part changes what follows.
+fn pattern_byte(offset: usize) -> u8 {
+    (offset / 251 + offset % 251) as u8
 }
 
-fn pattern(from: usize, n: usize) -> Vec<u8> {
-    (from..from + n).map(byte).collect()
+/// A part of a test body.
+fn pattern(offset: usize, length: usize) -> Vec<u8> {
+    (offset..offset + length).map(pattern_byte).collect()
 }
 
-/// Reads to the end of a head.
-fn head(from: &mut impl BufRead) -> String {
+/// Reads the head of a message; empty if the connection has ended.
+fn read_head(reader: &mut impl BufRead) -> String {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
-        if from.read_line(&mut head).unwrap_or(0) == 0 {
+        if reader.read_line(&mut head).unwrap_or(0) == 0 {
             break;
         }
     }
     head
 }
 
-/// A server whose connections are each handled by `with`, with its number from 0.
-fn serve(with: impl Fn(TcpStream, usize) + Send + Sync + 'static) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = listener.local_addr().unwrap();
-    let with = Arc::new(with);
-    std::thread::spawn(move || {
-        for (n, stream) in listener.incoming().map_while(Result::ok).enumerate() {
-            let with = with.clone();
-            std::thread::spawn(move || with(stream, n));
-        }
-    });
-    address
+/// The value of the `content-length` field of a head, 0 without one.
+fn content_length(head: &str) -> usize {
+    let head = head.to_lowercase();
+    let value = head
+        .split("content-length: ")
+        .nth(1)
+        .and_then(|rest| rest.split("\r\n").next());
+    value.map_or(0, |value| value.parse().unwrap())
 }
 
-/// Checks the pattern of so many bytes as they come; how many were right.
-fn take(from: &mut impl Read, most: usize) -> usize {
-    let (mut at, mut buffer) = (0, vec![0; 64 << 10]);
-    while at < most {
-        let room = buffer.len().min(most - at);
-        match from.read(&mut buffer[..room]) {
+/// Opens a connection and sends the head of a write request, with this line for its framing.
+fn send_write_head(node: SocketAddr, id: &str, framing: &str) -> TcpStream {
+    let mut stream = connect(node);
+    stream
+        .write_all(write_request(id, framing, "").as_bytes())
+        .unwrap();
+    stream
+}
+
+/// Writes a test body of this length.
+fn write_pattern(stream: &mut TcpStream, length: usize) -> std::io::Result<()> {
+    for offset in (0..length).step_by(WRITE_BYTES) {
+        stream.write_all(&pattern(offset, WRITE_BYTES))?;
+    }
+    Ok(())
+}
+
+/// Reads a test body of up to `max_bytes`; returns the number of bytes until the first wrong one, or until its end.
+fn read_pattern(reader: &mut impl Read, max_bytes: usize) -> usize {
+    let (mut offset, mut buffer) = (0, vec![0; READ_BUFFER_BYTES]);
+    while offset < max_bytes {
+        let wanted = buffer.len().min(max_bytes - offset);
+        match reader.read(&mut buffer[..wanted]) {
             Ok(0) | Err(_) => break,
-            Ok(n) if buffer[..n] == pattern(at, n)[..] => at += n,
+            Ok(count) if buffer[..count] == pattern(offset, count)[..] => offset += count,
             Ok(_) => break,
         }
     }
-    at
+    offset
 }
 
-const LARGE: usize = 32 << 20;
+/// Answers each request on a connection with a large body, and with the number of correct bytes in the request's body.
+fn serve_large_bodies(mut stream: TcpStream) {
+    let mut reader = BufReader::new(stream.try_clone().unwrap());
+    loop {
+        let head = read_head(&mut reader);
+        if head.is_empty() {
+            return;
+        }
+        let correct_bytes = read_pattern(&mut reader, content_length(&head));
+        let response_head = format!(
+            "HTTP/1.1 200 OK\r\ncontent-length: {LARGE_BODY_BYTES}\r\nx-right: {correct_bytes}\r\n\r\n"
+        );
+        let _ = stream.write_all(response_head.as_bytes());
+        if write_pattern(&mut stream, LARGE_BODY_BYTES).is_err() {
+            return;
+        }
+    }
+}
+
+/// Sends a large body, and reads one.
+fn exchange_large_bodies(mut stream: TcpStream) {
+    write_pattern(&mut stream, LARGE_BODY_BYTES).unwrap();
+    let mut reader = BufReader::new(stream);
+    let head = read_head(&mut reader);
+    assert!(
+        head.contains(&format!("x-right: {LARGE_BODY_BYTES}")),
+        "{head}"
+    );
+    assert_eq!(
+        read_pattern(&mut reader, LARGE_BODY_BYTES),
+        LARGE_BODY_BYTES
+    );
+}
 
 #[test]
-fn thirty_two_megabytes_by_the_score_pass_both_ways_in_little_memory() {
-    let server = serve(|stream, _| {
-        let mut reader = BufReader::new(stream.try_clone().unwrap());
-        let mut stream = stream;
-        loop {
-            let head = head(&mut reader);
-            if head.is_empty() {
-                return;
-            }
-            let length = head.to_lowercase();
-            let length = length
-                .split("content-length: ")
-                .nth(1)
-                .and_then(|l| l.split("\r\n").next());
-            let length = length.map_or(0, |l| l.parse().unwrap());
-            let right = take(&mut reader, length);
-            let say =
-                format!("HTTP/1.1 200 OK\r\ncontent-length: {LARGE}\r\nx-right: {right}\r\n\r\n");
-            let _ = stream.write_all(say.as_bytes());
-            for at in (0..LARGE).step_by(256 << 10) {
-                if stream.write_all(&pattern(at, 256 << 10)).is_err() {
-                    return;
-                }
-            }
-        }
-    });
-    let (_discovery, node) = node(server);
+fn large_bodies_stream_both_ways_in_bounded_memory() {
+    let server = serve(|stream, _| serve_large_bodies(stream));
+    let (_discovery, node) = start_node(server);
     let address = node.address;
-    let clients: Vec<_> = (0..24)
-        .map(|c| {
+    let clients: Vec<_> = (0..LARGE_BODY_CLIENTS)
+        .map(|client| {
             std::thread::spawn(move || {
-                let mut stream = connect(address);
-                let framing = format!("content-length: {LARGE}");
-                stream
-                    .write_all(write_request(&format!("l-{c}"), &framing, "").as_bytes())
-                    .unwrap();
-                for at in (0..LARGE).step_by(256 << 10) {
-                    stream.write_all(&pattern(at, 256 << 10)).unwrap();
-                }
-                let mut reader = BufReader::new(stream);
-                let head = head(&mut reader);
-                assert!(head.contains(&format!("x-right: {LARGE}")), "{head}");
-                assert_eq!(take(&mut reader, LARGE), LARGE);
+                let framing = format!("content-length: {LARGE_BODY_BYTES}");
+                exchange_large_bodies(send_write_head(address, &format!("l-{client}"), &framing));
             })
         })
         .collect();
-    let mut most = 0;
-    while clients.iter().any(|c| !c.is_finished()) {
-        most = most.max(memory_kib(node.pid()).unwrap_or(0));
-        std::thread::sleep(Duration::from_millis(20));
+    let mut peak_memory_kib = 0;
+    while clients.iter().any(|client| !client.is_finished()) {
+        peak_memory_kib = peak_memory_kib.max(memory_kib(node.pid()).unwrap_or(0));
+        std::thread::sleep(MEMORY_SAMPLE_INTERVAL);
     }
-    clients.into_iter().for_each(|c| c.join().unwrap());
-    // 24 clients with 64 MB each; the program itself needs some.
-    assert!(most < 48 << 10, "{most} KiB are held");
+    clients
+        .into_iter()
+        .for_each(|client| client.join().unwrap());
+    assert!(
+        peak_memory_kib < MAX_MEMORY_KIB,
+        "{peak_memory_kib} KiB are used"
+    );
 }
 
-#[test]
-fn an_answer_goes_on_past_the_deadline_while_it_moves_and_idle_connections_of_others_go() {
-    let server = serve(|stream, _| {
-        let mut reader = BufReader::new(stream.try_clone().unwrap());
-        let mut stream = stream;
-        while !head(&mut reader).is_empty() {
-            let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
-            for n in 0..16 {
-                let part = pattern(n * (64 << 10), 64 << 10);
-                let sent = [
-                    format!("{:x};x=y\r\n", part.len()).as_bytes(),
-                    &part,
-                    b"\r\n",
-                ]
-                .concat();
-                if stream.write_all(&sent).is_err() {
-                    return;
-                }
-                std::thread::sleep(Duration::from_millis(500));
+/// Answers each request on a connection with a chunked body that takes 8 s.
+fn serve_slow_responses(mut stream: TcpStream) {
+    let mut reader = BufReader::new(stream.try_clone().unwrap());
+    while !read_head(&mut reader).is_empty() {
+        let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
+        for chunk in 0..SLOW_RESPONSE_CHUNKS {
+            let data = pattern(chunk * SLOW_RESPONSE_CHUNK_BYTES, SLOW_RESPONSE_CHUNK_BYTES);
+            let size_line = format!("{:x};x=y\r\n", data.len());
+            let encoded = [size_line.as_bytes(), &data, b"\r\n"].concat();
+            if stream.write_all(&encoded).is_err() {
+                return;
             }
-            let _ = stream.write_all(b"0\r\nx-trailer: 1\r\n\r\n");
+            std::thread::sleep(SLOW_RESPONSE_CHUNK_INTERVAL);
         }
-    });
-    let (_discovery, node) = node(server);
-    let mut stream = connect(node.address);
-    // The deadline is 6 s, and the answer takes 8; a connection without a request would be closed after 5.
-    let request = reelfall_testbed::scripted::read_request("slow").replace("6.0", "1.0");
-    stream.write_all(request.as_bytes()).unwrap();
-    let mut reader = BufReader::new(stream);
-    assert!(head(&mut reader).starts_with("HTTP/1.1 200"));
+        let _ = stream.write_all(b"0\r\nx-trailer: 1\r\n\r\n");
+    }
+}
+
+/// Reads a chunked body up to its trailers.
+fn read_chunked_body(reader: &mut impl BufRead) -> Vec<u8> {
     let mut body = Vec::new();
     loop {
-        let mut line = String::new();
-        reader.read_line(&mut line).unwrap();
-        let length = usize::from_str_radix(line.trim().split(';').next().unwrap(), 16).unwrap();
-        let mut part = vec![0; length + 2];
-        reader.read_exact(&mut part).unwrap();
-        body.extend_from_slice(&part[..length]);
+        let mut size_line = String::new();
+        reader.read_line(&mut size_line).unwrap();
+        let size = size_line.trim().split(';').next().unwrap();
+        let length = usize::from_str_radix(size, 16).unwrap();
+        let mut data_and_line_end = vec![0; length + 2];
+        reader.read_exact(&mut data_and_line_end).unwrap();
+        body.extend_from_slice(&data_and_line_end[..length]);
         if length == 0 {
-            break;
+            return body;
         }
     }
-    assert!(body == pattern(0, 16 * (64 << 10)), "{} bytes", body.len());
 }
 
 #[test]
-fn an_answer_that_breaks_in_the_middle_does_not_look_whole() {
+fn streaming_response_continues_past_deadline() {
+    let server = serve(|stream, _| serve_slow_responses(stream));
+    let (_discovery, node) = start_node(server);
+    let mut stream = connect(node.address);
+    // The class has a deadline of 6 s, and the response takes 8; a connection without a request would be closed after 5.
+    let request = read_request("slow").replace("6.0", "1.0");
+    stream.write_all(request.as_bytes()).unwrap();
+    let mut reader = BufReader::new(stream);
+    assert!(read_head(&mut reader).starts_with("HTTP/1.1 200"));
+    let body = read_chunked_body(&mut reader);
+    let expected = pattern(0, SLOW_RESPONSE_CHUNKS * SLOW_RESPONSE_CHUNK_BYTES);
+    assert!(body == expected, "{} bytes", body.len());
+}
+
+/// Answers each request on a connection with 300,000 bytes of an incomplete body, and closes the connection.
+fn serve_truncated_responses(mut stream: TcpStream, framing: &str) {
+    let chunk_size_line = if framing.starts_with("transfer-encoding") {
+        "493e0\r\n"
+    } else {
+        ""
+    };
+    let head = format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n{chunk_size_line}");
+    let mut reader = BufReader::new(stream.try_clone().unwrap());
+    while !read_head(&mut reader).is_empty() {
+        let _ = stream.write_all(head.as_bytes());
+        let _ = stream.write_all(&pattern(0, 300_000));
+        std::thread::sleep(Duration::from_millis(200));
+        let _ = stream.shutdown(Shutdown::Both);
+    }
+}
+
+#[test]
+fn truncated_response_does_not_look_complete() {
     for framing in ["content-length: 1000000", "transfer-encoding: chunked"] {
-        let server = serve(move |stream, _| {
-            let mut reader = BufReader::new(stream.try_clone().unwrap());
-            let mut stream = stream;
-            while !head(&mut reader).is_empty() {
-                let chunk = if framing.starts_with("t") {
-                    "493e0\r\n"
-                } else {
-                    ""
-                };
-                let _ = stream
-                    .write_all(format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n{chunk}").as_bytes());
-                let _ = stream.write_all(&pattern(0, 300_000));
-                std::thread::sleep(Duration::from_millis(200));
-                let _ = stream.shutdown(std::net::Shutdown::Both);
-            }
-        });
-        let (_discovery, node) = node(server);
+        let server = serve(move |stream, _| serve_truncated_responses(stream, framing));
+        let (_discovery, node) = start_node(server);
         let mut stream = connect(node.address);
         stream
             .write_all(write_request("w-1", "content-length: 1", "x").as_bytes())
             .unwrap();
-        let mut all = Vec::new();
-        let _ = stream.read_to_end(&mut all);
-        let text = String::from_utf8_lossy(&all[..all.len().min(200)]).into_owned();
-        assert!(text.starts_with("HTTP/1.1 200"), "{text}");
+        let mut response = Vec::new();
+        let _ = stream.read_to_end(&mut response);
+        let head = String::from_utf8_lossy(&response[..response.len().min(200)]).into_owned();
+        assert!(head.starts_with("HTTP/1.1 200"), "{head}");
         assert!(
-            all.len() < 1_000_000 && !all.ends_with(b"0\r\n\r\n"),
-            "{framing}: it looks whole"
+            response.len() < 1_000_000 && !response.ends_with(b"0\r\n\r\n"),
+            "{framing}: it looks complete"
         );
     }
 }
 
 #[test]
-fn a_body_in_small_pieces_arrives_as_it_was_sent_and_in_no_hurry() {
+fn slow_body_in_small_pieces_is_forwarded_unchanged() {
+    const BODY_BYTES: usize = 300_000;
+    const PIECE_BYTES: usize = 6_000;
     let server = Server::start(|request: &Message, _, stream| {
-        let right = request.body == pattern(0, request.body.len());
-        let text = format!("{right}");
-        let _ = stream.write_all(
-            format!(
-                "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{text}",
-                text.len()
-            )
-            .as_bytes(),
-        );
+        let is_correct = request.body == pattern(0, request.body.len());
+        let body = is_correct.to_string();
+        let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
+        let _ = stream.write_all((head + &body).as_bytes());
     });
-    let (_discovery, node) = node(server.address);
+    let (_discovery, node) = start_node(server.address);
     let mut stream = connect(node.address);
-    let size = 300_000;
-    let request = write_request("slow", &format!("content-length: {size}"), "");
-    for byte in request.as_bytes().chunks(9) {
-        stream.write_all(byte).unwrap();
+    let head = write_request("slow", &format!("content-length: {BODY_BYTES}"), "");
+    for piece in head.as_bytes().chunks(9) {
+        stream.write_all(piece).unwrap();
         std::thread::sleep(Duration::from_millis(60));
     }
-    // About 64 kB a second, so that the whole takes longer than any head may.
-    for at in (0..size).step_by(6_000) {
+    // About 64 kB a second: the body takes longer than a head is allowed to.
+    for offset in (0..BODY_BYTES).step_by(PIECE_BYTES) {
         stream
-            .write_all(&pattern(at, 6_000.min(size - at)))
+            .write_all(&pattern(offset, PIECE_BYTES.min(BODY_BYTES - offset)))
             .unwrap();
         std::thread::sleep(Duration::from_millis(90));
     }
     let mut reader = BufReader::new(stream);
-    let got = Message::read(&mut reader).expect("an answer");
+    let response = Message::read(&mut reader).expect("a response");
     assert_eq!(
-        (got.start_line.contains("200"), got.body.as_slice()),
+        (
+            response.start_line.contains("200"),
+            response.body.as_slice()
+        ),
         (true, b"true".as_slice())
     );
     assert_eq!(server.requests(), 1);
 }
 
 #[test]
-fn a_client_that_breaks_off_in_a_flowing_body_costs_its_server_nothing() {
+fn client_abort_during_body_is_not_held_against_server() {
     let server = Server::healthy();
-    let (_discovery, node) = node(server.address);
+    let (_discovery, node) = start_node(server.address);
     for n in 0..5 {
-        let mut stream = connect(node.address);
-        stream
-            .write_all(write_request(&format!("b-{n}"), "content-length: 9000000", "").as_bytes())
-            .unwrap();
+        let mut stream =
+            send_write_head(node.address, &format!("b-{n}"), "content-length: 9000000");
         stream.write_all(&pattern(0, 2_000_000)).unwrap();
         drop(stream);
-        // The only server is neither blamed nor left with half a request that it might run.
+        // The only server stays in use, and has no incomplete request that it could run.
         assert_eq!(get(node.address, &format!("g-{n}")).status, 200);
     }
     assert_eq!(server.requests(), 5);
 }
 
 #[test]
-fn a_body_that_only_trickles_is_given_up_though_it_never_rests_for_long() {
+fn trickling_body_is_rejected_though_never_idle_for_long() {
     let server = Server::healthy();
-    let (_discovery, node) = node(server.address);
-    let mut stream = connect(node.address);
-    stream
-        .write_all(write_request("t-1", "content-length: 9000000", "").as_bytes())
-        .unwrap();
-    let (began, mut writer) = (Instant::now(), stream.try_clone().unwrap());
+    let (_discovery, node) = start_node(server.address);
+    let stream = send_write_head(node.address, "t-1", "content-length: 9000000");
+    let (started, mut writer) = (Instant::now(), stream.try_clone().unwrap());
     std::thread::spawn(move || {
         while writer.write_all(b"x").is_ok() {
             std::thread::sleep(Duration::from_millis(300))
         }
     });
-    let got = head(&mut BufReader::new(stream));
-    // It never ran, and both say so.
+    let head = read_head(&mut BufReader::new(stream));
+    // The request never ran, which is what both statuses mean.
     assert!(
-        got.starts_with("HTTP/1.1 408") || got.starts_with("HTTP/1.1 503"),
-        "{got}"
+        head.starts_with("HTTP/1.1 408") || head.starts_with("HTTP/1.1 503"),
+        "{head}"
     );
     assert!(
-        began.elapsed() < Duration::from_secs(12),
-        "a trickle holds its place for {:?}",
-        began.elapsed()
+        started.elapsed() < MAX_TIME_FOR_TRICKLING_BODY,
+        "a trickling body keeps its connection for {:?}",
+        started.elapsed()
     );
     assert_eq!(server.requests(), 0);
     assert_eq!(get(node.address, "t-2").status, 200);
 }
 
 #[test]
-fn a_body_whose_server_leaves_in_the_middle_is_refused_and_runs_nowhere() {
-    let (left, go) = (Arc::new(Barrier::new(2)), Arc::new(Barrier::new(2)));
-    let (at, until) = (left.clone(), go.clone());
-    let server = serve(move |stream, n| {
+fn body_interrupted_by_server_is_rejected() {
+    let (closed, release) = (Arc::new(Barrier::new(2)), Arc::new(Barrier::new(2)));
+    let (server_closed, server_release) = (closed.clone(), release.clone());
+    let server = serve(move |stream, number| {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
-        if n == 0 {
-            head(&mut reader);
-            let mut some = vec![0; 100_000];
-            reader.read_exact(&mut some).unwrap();
-            let _ = stream.shutdown(std::net::Shutdown::Both);
-            at.wait();
-            until.wait();
+        if number == 0 {
+            read_head(&mut reader);
+            let mut first_bytes = vec![0; 100_000];
+            reader.read_exact(&mut first_bytes).unwrap();
+            let _ = stream.shutdown(Shutdown::Both);
+            server_closed.wait();
+            server_release.wait();
         }
     });
-    let (_discovery, node) = node(server);
-    let mut stream = connect(node.address);
-    stream
-        .write_all(write_request("m-1", "content-length: 4000000", "").as_bytes())
-        .unwrap();
+    let (_discovery, node) = start_node(server);
+    let stream = send_write_head(node.address, "m-1", "content-length: 4000000");
     let mut writer = stream.try_clone().unwrap();
-    let writing = std::thread::spawn(move || {
+    let sender = std::thread::spawn(move || {
         let _ = writer.write_all(&pattern(0, 4_000_000));
     });
-    left.wait();
+    closed.wait();
     let mut reader = BufReader::new(stream);
-    let got = head(&mut reader);
-    assert!(got.starts_with("HTTP/1.1 503"), "{got}");
-    go.wait();
-    writing.join().unwrap();
+    let head = read_head(&mut reader);
+    assert!(head.starts_with("HTTP/1.1 503"), "{head}");
+    release.wait();
+    sender.join().unwrap();
 }
 
 #[test]
-fn an_answer_to_a_request_whose_body_still_comes_reaches_its_client() {
-    // Nobody to send to: the node has its answer at once.
+fn early_response_reaches_client_that_is_still_sending() {
+    let (server, second_server) = (Server::healthy(), Server::healthy());
     let discovery = Discovery::start();
-    let server = Server::healthy();
-    discovery.send_snapshot(1, &[ListedServer::new("s-1", server.address, "leaving")]);
-    let up = Server::healthy();
-    discovery.send_snapshot(
-        2,
-        &[
-            ListedServer::new("s-1", server.address, "leaving"),
-            ListedServer::new("s-2", up.address, "active"),
-        ],
-    );
-    let node = Node::start(&program(), discovery.address, 256);
-    discovery.send_snapshot(
-        3,
-        &[
-            ListedServer::new("s-1", server.address, "leaving"),
-            ListedServer::new("s-2", up.address, "leaving"),
-        ],
-    );
-    let began = Instant::now();
+    let send_snapshot = |index, first_status, second_status| {
+        let first = ListedServer::new("s-1", server.address, first_status);
+        let second = ListedServer::new("s-2", second_server.address, second_status);
+        discovery.send_snapshot(index, &[first, second]);
+    };
+    let first = ListedServer::new("s-1", server.address, "leaving");
+    discovery.send_snapshot(1, &[first]);
+    send_snapshot(2, "leaving", "active");
+    let node = start_node_with_discovery(&discovery, 256);
+    // With all servers draining the node rejects requests at once.
+    send_snapshot(3, "leaving", "leaving");
+    let started = Instant::now();
     while get(node.address, "probe").status == 200 {
-        assert!(began.elapsed() < Duration::from_secs(10));
+        assert!(started.elapsed() < Duration::from_secs(10));
     }
-    let mut stream = connect(node.address);
-    stream
-        .write_all(write_request("e-1", "content-length: 3000000", "").as_bytes())
-        .unwrap();
+    let stream = send_write_head(node.address, "e-1", "content-length: 3000000");
     let mut writer = stream.try_clone().unwrap();
     std::thread::spawn(move || {
         let _ = writer.write_all(&pattern(0, 3_000_000));
     });
-    let got = head(&mut BufReader::new(stream));
-    assert!(got.starts_with("HTTP/1.1 503"), "{got}");
+    let head = read_head(&mut BufReader::new(stream));
+    assert!(head.starts_with("HTTP/1.1 503"), "{head}");
     assert_eq!(server.requests(), 0);
 }
 
 #[test]
-fn an_answer_that_ends_with_its_connection_is_passed_on_whole() {
-    let server = serve(|stream, _| {
+fn response_delimited_by_connection_end_is_forwarded_completely() {
+    let server = serve(|mut stream, _| {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
-        let mut stream = stream;
-        head(&mut reader);
+        read_head(&mut reader);
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nuntil the end");
     });
-    let (_discovery, node) = node(server);
+    let (_discovery, node) = start_node(server);
     assert_eq!(get(node.address, "c-1").body, "until the end");
 }
