--- a/crates/testbed/tests/discovery.rs
+++ b/crates/testbed/tests/discovery.rs
@@ -1,40 +1,62 @@
-//! News of servers, through a list service that stalls, dribbles, writes for people and goes down.
+//! Updates of the endpoint list from a discovery service that stalls, sends in small pieces, indents its JSON or is down.
 
 use reelfall_testbed::scripted::{
-    connect, endpoint_list, get, listener_with_full_backlog, read_request, serve, ListedServer,
-    Message, Node, Program, Server, WAIT_TIMEOUT,
+    connect, endpoint_list, get, listener_with_full_backlog, read_request, read_response, serve,
+    ListedServer, Message, Node, Program, Server, WAIT_TIMEOUT,
 };
 use std::collections::HashMap;
-use std::io::{BufReader, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::io::{BufReader, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Sender};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What discovery has counts as told after this time, whether or not it arrived.
-const TOLD_WITHIN: Duration = Duration::from_secs(6);
+/// An update counts as known to the node this long after discovery has it, whether or not it arrived.
+const UPDATE_DEADLINE: Duration = Duration::from_secs(6);
+/// An update sent between two watches counts at once: the gap has to fit into the shortest grace period of a drain, 0.2 s
+/// and 0.05 s more.
+const MAX_GAP_BETWEEN_WATCHES: Duration = Duration::from_millis(200);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+const MAX_SOCKETS: usize = 256;
 
-fn program() -> Program {
-    Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"))
+const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
+/// What the target of a request contains that asks for a watch.
+const WATCH_PARAMETER: &str = "watch=1";
+
+fn start_node(discovery: SocketAddr, max_sockets: usize) -> Node {
+    let program = Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"));
+    Node::start(&program, discovery, max_sockets)
 }
 
 fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-const WATCHES: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
+/// A snapshot with one active server.
+fn snapshot(index: u64, name: &str, address: SocketAddr) -> String {
+    endpoint_list(index, true, &[ListedServer::new(name, address, "active")])
+}
+
+/// The begin of a watch: its head, and this list as the first line.
+fn watch_with(list: &str) -> String {
+    WATCH_HEAD.to_owned() + &chunk(&format!("{list}\n"))
+}
 
-/// A list service: each connection's calls are told, with its number, and answered by what `with` writes.
-fn service(with: impl Fn(&str, usize, &mut TcpStream) + Send + Sync + 'static) -> SocketAddr {
+/// A discovery service. `respond` writes the response to each request; it gets the request line and the number of the
+/// connection, from 0.
+fn serve_discovery(
+    respond: impl Fn(&str, usize, &mut TcpStream) + Send + Sync + 'static,
+) -> SocketAddr {
     serve(move |mut stream, number| {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Some(request) = Message::read(&mut reader) {
-            with(&request.start_line, number, &mut stream);
+            respond(&request.start_line, number, &mut stream);
         }
     })
 }
 
-fn whole(stream: &mut TcpStream, list: &str) {
+/// Responds with a list to a request that asks for no watch.
+fn write_list(stream: &mut TcpStream, list: &str) {
     let _ = write!(
         stream,
         "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{list}",
@@ -42,290 +64,334 @@
     );
 }
 
-/// Beats as a watch does while nothing changes, until the other side has gone.
-fn beats(stream: &mut TcpStream) {
+/// Sends the heartbeats of a watch without changes, until the client closes the connection.
+fn send_heartbeats(stream: &mut TcpStream) {
     while stream.write_all(chunk("\n").as_bytes()).is_ok() {
-        std::thread::sleep(Duration::from_millis(500));
+        std::thread::sleep(HEARTBEAT_INTERVAL);
     }
 }
 
-/// Asks until a request comes to a server; how long that took.
-fn until_used(node: &Node, server: &Server) -> Duration {
-    let (began, mut n) = (Instant::now(), 0);
+/// Sends nothing until the client closes the connection.
+fn stay_silent(stream: &mut TcpStream) {
+    let _ = stream.read(&mut [0; 1]);
+}
+
+/// Sends requests until one reaches the server.
+fn send_until_server_is_used(node: &Node, server: &Server) {
+    let (started, mut n) = (Instant::now(), 0);
     while server.requests() == 0 {
-        assert!(began.elapsed() < WAIT_TIMEOUT, "the news does not arrive");
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "the update does not arrive"
+        );
         get(node.address, &format!("u-{n}"));
         n += 1;
     }
-    began.elapsed()
+}
+
+/// An endpoint list as JSON with indentation and line breaks.
+fn indented(list: &str) -> String {
+    let value: serde_json::Value = serde_json::from_str(list).unwrap();
+    serde_json::to_string_pretty(&value).unwrap() + "\n"
 }
 
 #[test]
-fn lists_that_are_indented_and_cut_anywhere_are_read() {
-    let (old, new) = (Server::healthy(), Server::healthy());
-    let (old_at, new_at) = (old.address, new.address);
-    let (go, gone) = channel::<()>();
-    let gone = Mutex::new(gone);
-    let pretty = |text: String| {
-        let value: serde_json::Value = serde_json::from_str(&text).unwrap();
-        serde_json::to_string_pretty(&value).unwrap() + "\n"
-    };
-    let address = service(move |call, _, stream| {
-        let first = pretty(endpoint_list(
-            5,
-            true,
-            &[ListedServer::new("s-1", old_at, "active")],
-        ));
-        if !call.contains("watch=1") {
-            return whole(stream, &first);
+fn indented_lists_in_small_pieces_are_parsed() {
+    let (old_server, new_server) = (Server::healthy(), Server::healthy());
+    let (old_address, new_address) = (old_server.address, new_server.address);
+    let (send_updates, may_send_updates) = channel::<()>();
+    let may_send_updates = Mutex::new(may_send_updates);
+    let discovery = serve_discovery(move |request_line, _, stream| {
+        let first = indented(&snapshot(5, "s-1", old_address));
+        if !request_line.contains(WATCH_PARAMETER) {
+            return write_list(stream, &first);
         }
-        let _ = stream.write_all((WATCHES.to_owned() + &chunk(&first)).as_bytes());
-        if gone.lock().unwrap().recv().is_err() {
+        let _ = stream.write_all((WATCH_HEAD.to_owned() + &chunk(&first)).as_bytes());
+        if may_send_updates.lock().unwrap().recv().is_err() {
             return;
         }
-        // Two changes, the second right behind the first, in pieces of a few bytes.
-        let changes = pretty(endpoint_list(
-            6,
-            false,
-            &[ListedServer::new("s-1", old_at, "left")],
-        )) + &pretty(endpoint_list(
-            7,
-            false,
-            &[ListedServer::new("s-2", new_at, "active")],
-        ));
-        for piece in changes.as_bytes().chunks(7) {
+        // Two updates without a gap, in pieces of a few bytes.
+        let removed = [ListedServer::new("s-1", old_address, "left")];
+        let added = [ListedServer::new("s-2", new_address, "active")];
+        let updates = indented(&endpoint_list(6, false, &removed))
+            + &indented(&endpoint_list(7, false, &added));
+        for piece in updates.as_bytes().chunks(7) {
             let _ = stream.write_all(chunk(std::str::from_utf8(piece).unwrap()).as_bytes());
         }
-        beats(stream);
+        send_heartbeats(stream);
     });
-    let node = Node::start(&program(), address, 256);
+    let node = start_node(discovery, MAX_SOCKETS);
     assert_eq!(get(node.address, "r-1").status, 200);
-    go.send(()).unwrap();
-    until_used(&node, &new);
+    send_updates.send(()).unwrap();
+    send_until_server_is_used(&node, &new_server);
 }
 
 #[test]
-fn a_change_that_cannot_be_used_is_healed_by_the_whole_list() {
-    for spoilt in [
+fn malformed_update_is_repaired_by_snapshot() {
+    for malformed in [
         "nonsense\n",
         "{\"index\":\"x\"}\n",
         "{\"index\":7,\"endpoints\":{}}\n",
         "{]\n",
         "[1]\n",
     ] {
-        let (old, new) = (Server::healthy(), Server::healthy());
-        let (old_at, new_at) = (old.address, new.address);
-        let address = service(move |call, _, stream| {
-            // Whoever asks for what is behind version 5 gets the same again.
-            if !call.contains("watch=1") {
-                whole(
-                    stream,
-                    &endpoint_list(8, true, &[ListedServer::new("s-2", new_at, "active")]),
-                );
-            } else if call.contains("after=8") {
-                let _ = stream.write_all(WATCHES.as_bytes());
-                beats(stream);
+        let (old_server, new_server) = (Server::healthy(), Server::healthy());
+        let (old_address, new_address) = (old_server.address, new_server.address);
+        let discovery = serve_discovery(move |request_line, _, stream| {
+            // A watch from version 5 on gets the same malformed update again.
+            if !request_line.contains(WATCH_PARAMETER) {
+                write_list(stream, &snapshot(8, "s-2", new_address));
+            } else if request_line.contains("after=8") {
+                let _ = stream.write_all(WATCH_HEAD.as_bytes());
+                send_heartbeats(stream);
             } else {
-                let first = chunk(
-                    &(endpoint_list(5, true, &[ListedServer::new("s-1", old_at, "active")]) + "\n"),
-                );
-                let _ = stream.write_all((WATCHES.to_owned() + &first + &chunk(spoilt)).as_bytes());
-                beats(stream);
+                let first = watch_with(&snapshot(5, "s-1", old_address));
+                let _ = stream.write_all((first + &chunk(malformed)).as_bytes());
+                send_heartbeats(stream);
             }
         });
-        let node = Node::start(&program(), address, 256);
-        until_used(&node, &new);
+        let node = start_node(discovery, MAX_SOCKETS);
+        send_until_server_is_used(&node, &new_server);
     }
 }
 
-/// A node whose first watch tells of one server, and then goes on as `stalls` says; later watches tell of another. Gives
-/// how long the news took from the moment the first watch had told its list.
-fn stalled(stalls: fn(usize, &mut TcpStream) -> bool) -> Duration {
-    let (old, new) = (Server::healthy(), Server::healthy());
-    let (old_at, new_at) = (old.address, new.address);
-    let (told, when): (Sender<Instant>, _) = channel();
-    let told = Mutex::new(told);
-    let address = service(move |call, number, stream| {
+/// What a discovery service does after it has received a request.
+enum Stall {
+    /// It stalled until the client closed the connection.
+    Stalled,
+    /// It goes on to respond.
+    Respond,
+}
+
+/// The delay of an update whose discovery service stalls: its first watch sends a first list and calls `stall`; other
+/// requests call `stall` and are sent the update. The delay counts from when the first list was sent.
+fn update_delay_with(stall: fn(usize, &mut TcpStream) -> Stall) -> Duration {
+    let (old_server, new_server) = (Server::healthy(), Server::healthy());
+    let (old_address, new_address) = (old_server.address, new_server.address);
+    let (first_list_sent, first_list_times): (Sender<Instant>, _) = channel();
+    let discovery = serve_discovery(move |request_line, number, stream| {
         if number == 0 {
-            let first = chunk(
-                &(endpoint_list(5, true, &[ListedServer::new("s-1", old_at, "active")]) + "\n"),
-            );
-            let _ = stream.write_all((WATCHES.to_owned() + &first).as_bytes());
-            let _ = told.lock().unwrap().send(Instant::now());
+            let first = watch_with(&snapshot(5, "s-1", old_address));
+            let _ = stream.write_all(first.as_bytes());
+            let _ = first_list_sent.send(Instant::now());
         }
-        if stalls(number, stream) {
+        if let Stall::Stalled = stall(number, stream) {
             return;
         }
-        let second = endpoint_list(9, true, &[ListedServer::new("s-2", new_at, "active")]);
-        if call.contains("watch=1") {
-            let _ = stream.write_all((WATCHES.to_owned() + &chunk(&(second + "\n"))).as_bytes());
-            beats(stream);
+        let update = snapshot(9, "s-2", new_address);
+        if request_line.contains(WATCH_PARAMETER) {
+            let _ = stream.write_all(watch_with(&update).as_bytes());
+            send_heartbeats(stream);
         } else {
-            whole(stream, &second);
+            write_list(stream, &update);
         }
     });
-    let node = Node::start(&program(), address, 256);
-    let since = when.recv().unwrap();
-    until_used(&node, &new);
-    since.elapsed()
+    let node = start_node(discovery, MAX_SOCKETS);
+    let sent = first_list_times.recv().unwrap();
+    send_until_server_is_used(&node, &new_server);
+    sent.elapsed()
 }
 
-/// Holds a connection without a word until the other side gives up on it.
-fn silence(stream: &mut TcpStream) -> bool {
-    let _ = std::io::Read::read(stream, &mut [0; 1]);
-    true
+#[test]
+fn two_silent_watches_delay_update_less_than_its_deadline() {
+    let delay = update_delay_with(|number, stream| {
+        if number >= 2 {
+            return Stall::Respond;
+        }
+        stay_silent(stream);
+        Stall::Stalled
+    });
+    assert!(delay < UPDATE_DEADLINE, "{delay:?}");
 }
 
 #[test]
-fn two_watches_that_fall_silent_hold_news_up_for_less_than_it_counts() {
-    let took = stalled(|number, stream| number < 2 && silence(stream));
-    assert!(took < TOLD_WITHIN, "{took:?}");
+fn incomplete_update_does_not_count_as_heartbeat() {
+    let delay = update_delay_with(|number, stream| {
+        if number > 0 {
+            return Stall::Respond;
+        }
+        // The update goes on byte by byte and never ends.
+        let _ = stream.write_all(chunk("{\"index\":6,").as_bytes());
+        while stream.write_all(chunk(" ").as_bytes()).is_ok() {
+            std::thread::sleep(Duration::from_millis(200));
+        }
+        Stall::Stalled
+    });
+    assert!(delay < UPDATE_DEADLINE, "{delay:?}");
 }
 
-#[test]
-fn a_connection_that_comes_up_late_and_says_nothing_takes_no_more_than_its_one_deadline() {
-    let (old, new) = (Server::healthy(), Server::healthy());
-    let listener = listener_with_full_backlog();
-    let address = listener.local_addr().unwrap();
-    let first = endpoint_list(5, true, &[ListedServer::new("s-1", old.address, "active")]);
-    let second = endpoint_list(9, true, &[ListedServer::new("s-2", new.address, "active")]);
-    let (told, when) = channel();
+/// Accepts connections for a discovery service whose second connection is established late and is then silent. All later
+/// ones are sent the update.
+fn serve_late_connection(
+    listener: &TcpListener,
+    first: &str,
+    update: &str,
+    first_list_sent: &Sender<Instant>,
+) {
+    let (mut stream, _) = listener.accept().unwrap();
+    let filler = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    Message::read(&mut BufReader::new(stream.try_clone().unwrap()));
+    let _ = stream.write_all(watch_with(first).as_bytes());
+    first_list_sent.send(Instant::now()).unwrap();
+    // The node closes the silent watch and connects again while the backlog is full: the system retries a connection
+    // attempt that found a full backlog only after a second.
+    stay_silent(&mut stream);
+    std::thread::sleep(Duration::from_millis(300));
+    drop((listener.accept().unwrap(), filler));
+    let (mut late_stream, _) = listener.accept().unwrap();
     std::thread::spawn(move || {
-        let (mut stream, _) = listener.accept().unwrap();
-        let filler = TcpStream::connect(address).unwrap();
-        Message::read(&mut BufReader::new(stream.try_clone().unwrap()));
-        let _ = stream.write_all((WATCHES.to_owned() + &chunk(&(first + "\n"))).as_bytes());
-        told.send(Instant::now()).unwrap();
-        // The node gives the silent watch up and connects anew: the way is not free yet. A connect that has met that is tried
-        // again by the system only when a second has passed.
-        silence(&mut stream);
-        std::thread::sleep(Duration::from_millis(300));
-        drop((listener.accept().unwrap(), filler));
-        let (mut late, _) = listener.accept().unwrap();
+        Message::read(&mut BufReader::new(late_stream.try_clone().unwrap()));
+        // Each step alone would be within the deadline.
+        std::thread::sleep(Duration::from_millis(1200));
+        let _ = late_stream.write_all(WATCH_HEAD.as_bytes());
+        stay_silent(&mut late_stream);
+    });
+    for mut stream in listener.incoming().map_while(Result::ok) {
+        let watch = watch_with(update);
         std::thread::spawn(move || {
-            Message::read(&mut BufReader::new(late.try_clone().unwrap()));
-            // Each part comes in a time that could be borne alone.
-            std::thread::sleep(Duration::from_millis(1200));
-            let _ = late.write_all(WATCHES.as_bytes());
-            silence(&mut late)
+            Message::read(&mut BufReader::new(stream.try_clone().unwrap()));
+            let _ = stream.write_all(watch.as_bytes());
+            send_heartbeats(&mut stream);
         });
-        for mut stream in listener.incoming().map_while(Result::ok) {
-            let second = second.clone();
-            std::thread::spawn(move || {
-                Message::read(&mut BufReader::new(stream.try_clone().unwrap()));
-                let _ =
-                    stream.write_all((WATCHES.to_owned() + &chunk(&(second + "\n"))).as_bytes());
-                beats(&mut stream);
-            });
-        }
-    });
-    let node = Node::start(&program(), address, 256);
-    let since = when.recv().unwrap();
-    until_used(&node, &new);
-    let took = since.elapsed();
-    assert!(took < TOLD_WITHIN, "{took:?}");
+    }
 }
 
 #[test]
-fn a_change_that_never_gets_whole_is_no_sign_of_life() {
-    let took = stalled(|number, stream| {
-        // A byte of a change, time and again.
-        if number == 0 {
-            let _ = stream.write_all(chunk("{\"index\":6,").as_bytes());
-            while stream.write_all(chunk(" ").as_bytes()).is_ok() {
-                std::thread::sleep(Duration::from_millis(200));
-            }
-        }
-        number == 0
+fn late_and_silent_connection_has_one_deadline_for_all_steps() {
+    let (old_server, new_server) = (Server::healthy(), Server::healthy());
+    let listener = listener_with_full_backlog();
+    let discovery = listener.local_addr().unwrap();
+    let first = snapshot(5, "s-1", old_server.address);
+    let update = snapshot(9, "s-2", new_server.address);
+    let (first_list_sent, first_list_times) = channel();
+    std::thread::spawn(move || {
+        serve_late_connection(&listener, &first, &update, &first_list_sent);
     });
-    assert!(took < TOLD_WITHIN, "{took:?}");
+    let node = start_node(discovery, MAX_SOCKETS);
+    let sent = first_list_times.recv().unwrap();
+    send_until_server_is_used(&node, &new_server);
+    let delay = sent.elapsed();
+    assert!(delay < UPDATE_DEADLINE, "{delay:?}");
+}
+
+/// The state of a discovery service over the course of a test.
+#[derive(Clone, Copy, PartialEq)]
+enum DiscoveryState {
+    FirstList,
+    /// Connections are closed without a response.
+    Down,
+    SecondList,
 }
 
 #[test]
-fn idle_clients_that_hold_every_descriptor_keep_no_news_out() {
-    let (old, new) = (Server::healthy(), Server::healthy());
-    let (old_at, new_at) = (old.address, new.address);
-    let down = Arc::new(Mutex::new(None::<bool>));
-    let is_down = down.clone();
-    let address = service(move |call, _, stream| {
-        let state = *is_down.lock().unwrap();
-        let now = match state {
-            None => endpoint_list(5, true, &[ListedServer::new("s-1", old_at, "active")]),
-            // Down: connections end without a word.
-            Some(true) => return drop(stream.shutdown(std::net::Shutdown::Both)),
-            Some(false) => endpoint_list(9, true, &[ListedServer::new("s-2", new_at, "active")]),
+fn idle_clients_on_all_sockets_do_not_block_updates() {
+    const SCARCE_SOCKETS: usize = 64;
+    /// Far more than the node has sockets for.
+    const IDLE_CLIENTS: usize = 200;
+    let (old_server, new_server) = (Server::healthy(), Server::healthy());
+    let (old_address, new_address) = (old_server.address, new_server.address);
+    let current_state = Arc::new(Mutex::new(DiscoveryState::FirstList));
+    let state_of_service = current_state.clone();
+    let discovery = serve_discovery(move |request_line, _, stream| {
+        let state = *state_of_service.lock().unwrap();
+        let list = match state {
+            DiscoveryState::FirstList => snapshot(5, "s-1", old_address),
+            DiscoveryState::Down => return drop(stream.shutdown(Shutdown::Both)),
+            DiscoveryState::SecondList => snapshot(9, "s-2", new_address),
         };
-        if !call.contains("watch=1") {
-            return whole(stream, &now);
+        if !request_line.contains(WATCH_PARAMETER) {
+            return write_list(stream, &list);
         }
-        let _ = stream.write_all((WATCHES.to_owned() + &chunk(&(now + "\n"))).as_bytes());
-        while *is_down.lock().unwrap() == state && stream.write_all(chunk("\n").as_bytes()).is_ok()
+        let _ = stream.write_all(watch_with(&list).as_bytes());
+        while *state_of_service.lock().unwrap() == state
+            && stream.write_all(chunk("\n").as_bytes()).is_ok()
         {
             std::thread::sleep(Duration::from_millis(50));
         }
-        let _ = stream.shutdown(std::net::Shutdown::Both);
+        let _ = stream.shutdown(Shutdown::Both);
     });
-    let node = Node::start(&program(), address, 64);
-    let mut first = connect(node.address);
-    first.write_all(read_request("r-1").as_bytes()).unwrap();
-    *down.lock().unwrap() = Some(true);
-    // Far more than there is room for; each that is let go comes again.
-    let crowd: Vec<TcpStream> = (0..200).map(|_| connect(node.address)).collect();
-    *down.lock().unwrap() = Some(false);
-    let back = Instant::now();
+    let node = start_node(discovery, SCARCE_SOCKETS);
+    let mut first_client = connect(node.address);
+    first_client
+        .write_all(read_request("r-1").as_bytes())
+        .unwrap();
+    *current_state.lock().unwrap() = DiscoveryState::Down;
+    let idle_clients: Vec<TcpStream> = (0..IDLE_CLIENTS).map(|_| connect(node.address)).collect();
+    *current_state.lock().unwrap() = DiscoveryState::SecondList;
+    let available_since = Instant::now();
     let mut n = 0;
-    while new.requests() == 0 {
-        assert!(back.elapsed() < WAIT_TIMEOUT, "the news does not arrive");
+    while new_server.requests() == 0 {
+        assert!(
+            available_since.elapsed() < WAIT_TIMEOUT,
+            "the update does not arrive"
+        );
         let mut stream = connect(node.address);
         let _ = stream.write_all(read_request(&format!("n-{n}")).as_bytes());
-        let _ = reelfall_testbed::scripted::read_response(&stream);
+        let _ = read_response(&stream);
         n += 1;
     }
-    assert!(back.elapsed() < TOLD_WITHIN, "{:?}", back.elapsed());
-    drop(crowd);
+    let delay = available_since.elapsed();
+    assert!(delay < UPDATE_DEADLINE, "{delay:?}");
+    drop(idle_clients);
+}
+
+/// When something happened to a connection, by its number.
+struct ConnectionEvent {
+    connection: usize,
+    time: Instant,
+}
+
+impl ConnectionEvent {
+    fn now(connection: usize) -> ConnectionEvent {
+        let time = Instant::now();
+        ConnectionEvent { connection, time }
+    }
 }
 
 #[test]
-fn between_two_watches_of_an_agent_that_says_nothing_nobody_rests() {
-    let (old, new) = (Server::healthy(), Server::healthy());
-    let (old_at, new_at) = (old.address, new.address);
-    // When each call came, and when the node gave it up.
-    let (came, calls) = channel::<(usize, Instant)>();
-    let (gone, ends) = channel::<(usize, Instant)>();
-    let tell = Mutex::new((came, gone));
-    let address = service(move |call, number, stream| {
-        let _ = tell.lock().unwrap().0.send((number, Instant::now()));
-        let lists = [
-            endpoint_list(5, true, &[ListedServer::new("s-1", old_at, "active")]),
-            endpoint_list(9, true, &[ListedServer::new("s-2", new_at, "active")]),
-        ];
-        if (1..6).contains(&number) {
-            silence(stream);
-            let _ = tell.lock().unwrap().1.send((number, Instant::now()));
+fn next_watch_follows_silent_one_without_pause() {
+    let silent_connections = 1..6;
+    let (old_server, new_server) = (Server::healthy(), Server::healthy());
+    let (old_address, new_address) = (old_server.address, new_server.address);
+    let (request_received, requests) = channel::<ConnectionEvent>();
+    let (closed_by_node, closes) = channel::<ConnectionEvent>();
+    let discovery = serve_discovery(move |request_line, number, stream| {
+        let _ = request_received.send(ConnectionEvent::now(number));
+        if silent_connections.contains(&number) {
+            stay_silent(stream);
+            let _ = closed_by_node.send(ConnectionEvent::now(number));
             return;
         }
-        let list = &lists[usize::from(number > 0)];
-        if call.contains("watch=1") {
-            let _ =
-                stream.write_all((WATCHES.to_owned() + &chunk(&format!("{list}\n"))).as_bytes());
+        let is_first = number == 0;
+        let list = if is_first {
+            snapshot(5, "s-1", old_address)
         } else {
-            whole(stream, list);
+            snapshot(9, "s-2", new_address)
+        };
+        if request_line.contains(WATCH_PARAMETER) {
+            let _ = stream.write_all(watch_with(&list).as_bytes());
+        } else {
+            write_list(stream, &list);
         }
-        if number > 0 {
-            beats(stream);
+        if is_first {
+            stay_silent(stream);
         } else {
-            silence(stream);
+            send_heartbeats(stream);
         }
     });
-    let node = Node::start(&program(), address, 256);
-    until_used(&node, &new);
-    let came: HashMap<usize, Instant> = calls.try_iter().collect();
-    for (number, gone) in ends.try_iter() {
-        // What the agent hears in this gap counts at once; the strictest grace seen for a drain is 0.2 s, and 0.05 s more.
-        let gap = came[&(number + 1)].saturating_duration_since(gone);
+    let node = start_node(discovery, MAX_SOCKETS);
+    send_until_server_is_used(&node, &new_server);
+    let request_times: HashMap<usize, Instant> = requests
+        .try_iter()
+        .map(|event| (event.connection, event.time))
+        .collect();
+    for closed in closes.try_iter() {
+        let next_request = request_times[&(closed.connection + 1)];
+        let gap = next_request.saturating_duration_since(closed.time);
         assert!(
-            gap < Duration::from_millis(200),
-            "{gap:?} after the watch {number}"
+            gap < MAX_GAP_BETWEEN_WATCHES,
+            "{gap:?} after the watch {}",
+            closed.connection
         );
     }
 }
