--- a/crates/testbed/tests/connection_bound.rs
+++ b/crates/testbed/tests/connection_bound.rs
@@ -1,4 +1,4 @@
-//! Which client's connection a node closes when it has no room for another: the real program over loopback sockets.
+//! Which client connection a node closes when it has no socket for another one: the real program over loopback sockets.
 
 use reelfall_testbed::scripted::{
     connect, get, read_request, read_response, Discovery, ListedServer, Node, Program, Response,
@@ -9,164 +9,172 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Descriptors that the node may have, and how many clients it leaves connected with these: one place is always made free.
-const SOCKETS: usize = 128;
-const PLACES: usize = 59;
-/// A connection that has not asked for so long goes before one that rests.
-const GRACE: Duration = Duration::from_secs(1);
+/// Sockets that the node may open.
+const MAX_SOCKETS: usize = 128;
+/// Clients that the node keeps connected with that many sockets: it always frees one for the next client.
+const MAX_CLIENTS: usize = 59;
+/// A connection that has sent no request for this time is closed before one that is idle after a request.
+const SILENCE_GRACE: Duration = Duration::from_secs(1);
 
-fn node_before(server: &Server) -> (Discovery, Node) {
+fn start_node(server: &Server) -> (Discovery, Node) {
     let discovery = Discovery::start();
     discovery.send_snapshot(1, &[ListedServer::new("s-1", server.address, "active")]);
-    let node = Node::start(
-        &Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed")),
-        discovery.address,
-        SOCKETS,
-    );
+    let program = Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"));
+    let node = Node::start(&program, discovery.address, MAX_SOCKETS);
     (discovery, node)
 }
 
-/// Asks on a connection and reads the answer.
-fn ask(mut stream: &TcpStream, id: &str) -> Option<Response> {
+/// Sends a request on a connection and reads the response; `None` if the connection is closed instead.
+fn send(mut stream: &TcpStream, id: &str) -> Option<Response> {
     let _ = stream.write_all(read_request(id).as_bytes());
     read_response(stream)
 }
 
-fn good(id: &str) -> Option<Response> {
+/// The response of a healthy server to the request with this ID.
+fn ok(id: &str) -> Option<Response> {
     Some(Response {
         status: 200,
         body: id.to_owned(),
     })
 }
 
-/// A client that has its answer and rests.
-fn resting(node: &Node, id: &str) -> TcpStream {
+/// A connection that is idle after a request and its response.
+fn connect_idle(node: &Node, id: &str) -> TcpStream {
     let stream = connect(node.address);
-    assert_eq!(ask(&stream, id), good(id));
+    assert_eq!(send(&stream, id), ok(id));
     stream
 }
 
 /// Waits until the node has closed a connection, and closes the client's end.
-fn until_closed(mut stream: TcpStream) {
-    assert_eq!(stream.read(&mut [0; 1]).expect("an orderly end"), 0);
+fn wait_until_closed(mut stream: TcpStream) {
+    assert_eq!(stream.read(&mut [0; 1]).expect("an orderly close"), 0);
 }
 
 #[test]
-fn a_client_that_pauses_before_asking_is_answered_and_one_that_rests_goes_for_it() {
+fn idle_connections_are_closed_before_recent_silent_ones() {
     let server = Server::healthy();
-    let (_discovery, node) = node_before(&server);
-    let mut rest = (0..PLACES)
-        .map(|n| resting(&node, &format!("r-{n}")))
+    let (_discovery, node) = start_node(&server);
+    let mut idle_connections = (0..MAX_CLIENTS)
+        .map(|n| connect_idle(&node, &format!("r-{n}")))
         .collect::<Vec<_>>()
         .into_iter();
-    let paused: Vec<TcpStream> = (0..4)
+    let silent_connections: Vec<TcpStream> = (0..4)
         .map(|_| {
             let stream = connect(node.address);
-            until_closed(rest.next().expect("one that rests"));
+            wait_until_closed(idle_connections.next().expect("an idle connection"));
             stream
         })
         .collect();
-    let further: Vec<TcpStream> = (0..4)
+    let recently_used: Vec<TcpStream> = (0..4)
         .map(|n| {
-            let stream = resting(&node, &format!("f-{n}"));
-            until_closed(rest.next().expect("one that rests"));
+            let stream = connect_idle(&node, &format!("f-{n}"));
+            wait_until_closed(idle_connections.next().expect("an idle connection"));
             stream
         })
         .collect();
-    for (n, stream) in paused.iter().enumerate() {
+    for (n, stream) in silent_connections.iter().enumerate() {
         let id = format!("p-{n}");
-        assert_eq!(ask(stream, &id), good(&id), "a client that paused");
+        assert_eq!(
+            send(stream, &id),
+            ok(&id),
+            "a connection that was silent at first"
+        );
     }
-    for (n, stream) in further.iter().enumerate() {
+    for (n, stream) in recently_used.iter().enumerate() {
         let id = format!("g-{n}");
         assert_eq!(
-            ask(stream, &id),
-            good(&id),
-            "the most recently used go last"
+            send(stream, &id),
+            ok(&id),
+            "the most recently used connections are closed last"
         );
     }
 }
 
 #[test]
-fn silent_connections_beyond_their_grace_go_before_those_that_rest() {
+fn silent_connections_are_closed_before_idle_ones_after_grace_period() {
     let server = Server::healthy();
-    let (_discovery, node) = node_before(&server);
-    let silent: Vec<TcpStream> = (0..5).map(|_| connect(node.address)).collect();
-    let rest: Vec<TcpStream> = (silent.len()..PLACES)
-        .map(|n| resting(&node, &format!("r-{n}")))
+    let (_discovery, node) = start_node(&server);
+    let silent_connections: Vec<TcpStream> = (0..5).map(|_| connect(node.address)).collect();
+    let idle_connections: Vec<TcpStream> = (silent_connections.len()..MAX_CLIENTS)
+        .map(|n| connect_idle(&node, &format!("r-{n}")))
         .collect();
-    // Who connected before one that has its answer is connected by the node's clock too.
-    let connected = Instant::now();
-    let last = rest.last().expect("one that rests");
-    while connected.elapsed() <= GRACE {
-        assert_eq!(ask(last, "turn"), good("turn"));
+    // The node has accepted the silent connections too: the response on a later one shows it.
+    let all_accepted = Instant::now();
+    let last_idle = idle_connections.last().expect("an idle connection");
+    while all_accepted.elapsed() <= SILENCE_GRACE {
+        assert_eq!(send(last_idle, "turn"), ok("turn"));
     }
-    let further: Vec<TcpStream> = (0..3).map(|n| resting(&node, &format!("f-{n}"))).collect();
-    silent
+    let new_connections: Vec<TcpStream> = (0..3)
+        .map(|n| connect_idle(&node, &format!("f-{n}")))
+        .collect();
+    silent_connections
         .into_iter()
-        .take(further.len())
-        .for_each(until_closed);
-    for (n, stream) in rest.iter().enumerate() {
+        .take(new_connections.len())
+        .for_each(wait_until_closed);
+    for (n, stream) in idle_connections.iter().enumerate() {
         let id = format!("a-{n}");
-        assert_eq!(ask(stream, &id), good(&id), "one that rests");
+        assert_eq!(send(stream, &id), ok(&id), "an idle connection");
     }
 }
 
-/// A client that rests, and closes its connection as soon as the node does.
-struct Attentive {
+/// A client with an idle connection, which it closes as soon as the node does.
+struct IdleClient {
     stream: TcpStream,
-    next_answer: JoinHandle<Option<Response>>,
+    next_response: JoinHandle<Option<Response>>,
 }
 
-impl Attentive {
-    fn start(node: &Node, id: &str) -> Attentive {
-        let stream = resting(node, id);
-        let reads = stream.try_clone().expect("a second handle");
-        let next_answer = std::thread::spawn(move || {
-            let next = read_response(&reads);
-            if next.is_none() {
-                let _ = reads.shutdown(Shutdown::Both);
+impl IdleClient {
+    fn start(node: &Node, id: &str) -> IdleClient {
+        let stream = connect_idle(node, id);
+        let reader = stream.try_clone().expect("a second handle");
+        let next_response = std::thread::spawn(move || {
+            let response = read_response(&reader);
+            if response.is_none() {
+                let _ = reader.shutdown(Shutdown::Both);
             }
-            next
+            response
         });
-        Attentive {
+        IdleClient {
             stream,
-            next_answer,
+            next_response,
         }
     }
 
-    /// Asks once more; whether there was an answer.
-    fn ask_again(mut self, id: &str) -> bool {
+    /// Sends another request; returns whether there was a response.
+    fn send_again(mut self, id: &str) -> bool {
         let _ = self.stream.write_all(read_request(id).as_bytes());
-        let next = self.next_answer.join().expect("no panic");
-        assert!(next.is_none() || next == good(id), "{next:?}");
-        next.is_some()
+        let response = self.next_response.join().expect("no panic");
+        assert!(response.is_none() || response == ok(id), "{response:?}");
+        response.is_some()
     }
 }
 
 #[test]
-fn a_flood_of_new_connections_leaves_places_to_those_that_ask_and_that_rest() {
+fn connection_flood_leaves_sockets_to_active_and_idle_clients() {
+    const FLOOD_ROUNDS: usize = 20;
+    const CONNECTIONS_PER_ROUND: usize = 15;
+    /// Three quarters are kept, less those whose clients are slow to close their connections.
+    const MIN_SERVED_IDLE_CLIENTS: usize = MAX_CLIENTS / 2;
     let server = Server::healthy();
-    let (_discovery, node) = node_before(&server);
-    let rest: Vec<Attentive> = (0..PLACES)
-        .map(|n| Attentive::start(&node, &format!("r-{n}")))
+    let (_discovery, node) = start_node(&server);
+    let idle_clients: Vec<IdleClient> = (0..MAX_CLIENTS)
+        .map(|n| IdleClient::start(&node, &format!("r-{n}")))
         .collect();
     let mut flood = Vec::new();
-    for n in 0..20 {
-        flood.extend((0..15).map(|_| connect(node.address)));
+    for n in 0..FLOOD_ROUNDS {
+        flood.extend((0..CONNECTIONS_PER_ROUND).map(|_| connect(node.address)));
         assert_eq!(
             get(node.address, &format!("n-{n}")).status,
             200,
-            "one that asks at once"
+            "a client that sends its request at once"
         );
     }
     let mut served = 0;
-    for (n, client) in rest.into_iter().enumerate() {
-        served += usize::from(client.ask_again(&format!("a-{n}")));
+    for (n, client) in idle_clients.into_iter().enumerate() {
+        served += usize::from(client.send_again(&format!("a-{n}")));
     }
-    // Three quarters of the places, less those whose clients are slow in closing them.
     assert!(
-        served >= PLACES / 2,
-        "{served} of {PLACES} that rested are served"
+        served >= MIN_SERVED_IDLE_CLIENTS,
+        "{served} of {MAX_CLIENTS} idle clients are served"
     );
 }
