--- a/crates/testbed/tests/stand_ins.rs
+++ b/crates/testbed/tests/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins themselves: one that does not do what it says would prove nothing.
+//! The stand-ins of the testbed: tests that use them are valid only if each behaves as documented.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -9,6 +9,9 @@
 use reelfall_testbed::pool::{Pool, Server, ServerBehavior};
 use std::time::{Duration, Instant};
 
+const SERVICE_TIME: Duration = Duration::from_millis(1);
+const SERVER_SEED: u64 = 3;
+
 fn get(id: &str) -> Request<Full<Bytes>> {
     Request::get("/")
         .header("host", "h")
@@ -17,48 +20,56 @@
         .unwrap()
 }
 
-async fn server() -> Server {
-    Server::start("s", 4, ServerBehavior::healthy(Duration::from_millis(1)), 3)
+async fn start_server(workers: usize) -> Server {
+    let behavior = ServerBehavior::healthy(SERVICE_TIME);
+    Server::start("s", workers, behavior, SERVER_SEED)
         .await
         .unwrap()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_link_passes_delays_and_freezes_what_goes_through_it() {
-    let server = server().await;
+async fn link_forwards_delays_and_pauses_traffic() {
+    const ONE_WAY_DELAY: Duration = Duration::from_millis(100);
+    const PAUSE_TIME: Duration = Duration::from_millis(300);
+    let server = start_server(4).await;
     let link = Link::start(server.address).await.unwrap();
     let client = Client::new(link.address);
     assert_eq!(client.send(get("plain")).await.unwrap().body, "plain");
-    link.update_faults(|f| f.delay = Duration::from_millis(100));
-    let begun = Instant::now();
+    link.update_faults(|faults| faults.delay = ONE_WAY_DELAY);
+    let sent = Instant::now();
     assert_eq!(client.send(get("late")).await.unwrap().status, 200);
     assert!(
-        begun.elapsed() >= Duration::from_millis(200),
-        "late both ways"
+        sent.elapsed() >= 2 * ONE_WAY_DELAY,
+        "both directions are delayed"
     );
-    link.update_faults(|f| (f.delay, f.is_frozen) = (Duration::ZERO, true));
-    let waited = tokio::time::timeout(Duration::from_millis(300), client.send(get("frozen"))).await;
-    assert!(waited.is_err(), "something passed a frozen link");
+    link.update_faults(|faults| {
+        faults.delay = Duration::ZERO;
+        faults.is_frozen = true;
+    });
+    let response = tokio::time::timeout(PAUSE_TIME, client.send(get("frozen"))).await;
+    assert!(response.is_err(), "a response passed a paused link");
     assert!(!server.effect_counts().contains_key("frozen"));
-    // What waits in it passes once it thaws, though the client has left.
-    link.update_faults(|f| f.is_frozen = false);
+    // A resumed link forwards what it has buffered, though the client has disconnected.
+    link.update_faults(|faults| faults.is_frozen = false);
     let client = Client::new(link.address);
     assert_eq!(client.send(get("thawed")).await.unwrap().status, 200);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_link_cuts_at_a_byte_and_goes_deaf_one_way() {
-    let server = server().await;
+async fn link_cuts_connections_at_byte_count_and_drops_responses() {
+    const CUT_AFTER_BYTES: u64 = 10;
+    let server = start_server(4).await;
     let link = Link::start(server.address).await.unwrap();
-    link.update_faults(|f| f.cut_after_bytes_to_server = Some(10));
+    link.update_faults(|faults| faults.cut_after_bytes_to_server = Some(CUT_AFTER_BYTES));
     assert!(Client::new(link.address).send(get("cut")).await.is_err());
     assert_eq!(
         server.requests_received(),
         0,
-        "half a request arrived whole"
+        "an incomplete request was received as complete"
     );
-    link.update_faults(|f| {
-        (f.cut_after_bytes_to_server, f.cut_after_bytes_to_client) = (None, Some(10))
+    link.update_faults(|faults| {
+        faults.cut_after_bytes_to_server = None;
+        faults.cut_after_bytes_to_client = Some(CUT_AFTER_BYTES);
     });
     assert!(Client::new(link.address)
         .send(get("cut-back"))
@@ -67,58 +78,90 @@
     assert_eq!(
         server.effect_counts().get("cut-back"),
         Some(&1),
-        "the effect is there, the answer is not"
+        "the request took effect without a response"
     );
-    link.update_faults(|f| (f.cut_after_bytes_to_client, f.drops_responses) = (None, true));
-    let asking = tokio::spawn({
+    link.update_faults(|faults| {
+        faults.cut_after_bytes_to_client = None;
+        faults.drops_responses = true;
+    });
+    let response = tokio::spawn({
         let client = Client::new(link.address);
         async move { client.send(get("deaf")).await }
     });
-    let begun = Instant::now();
+    let sent = Instant::now();
     while !server.effect_counts().contains_key("deaf") {
         assert!(
-            begun.elapsed() < Duration::from_secs(20),
+            sent.elapsed() < Duration::from_secs(20),
             "the request does not arrive"
         );
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     assert!(
-        !asking.is_finished(),
-        "the connection ended, or the answer came"
+        !response.is_finished(),
+        "the connection was closed, or the response arrived"
     );
-    asking.abort();
+    response.abort();
 }
 
+/// A fault of a server, and what its client and its effect counts have to show.
+struct FaultCase {
+    inject: fn(&mut ServerBehavior),
+    expected_status: Option<u16>,
+    has_effect: bool,
+}
+
+const FAULT_CASES: [FaultCase; 4] = [
+    FaultCase {
+        inject: |behavior| behavior.error_ratio = 1.0,
+        expected_status: Some(500),
+        has_effect: true,
+    },
+    FaultCase {
+        inject: |behavior| behavior.shed_ratio = 1.0,
+        expected_status: Some(503),
+        has_effect: false,
+    },
+    FaultCase {
+        inject: |behavior| behavior.close_before_effect_ratio = 1.0,
+        expected_status: None,
+        has_effect: false,
+    },
+    FaultCase {
+        inject: |behavior| behavior.close_after_effect_ratio = 1.0,
+        expected_status: None,
+        has_effect: true,
+    },
+];
+
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn servers_count_effects_whatever_the_client_learns() {
-    let fails = |change: fn(&mut ServerBehavior)| {
-        let mut manner = ServerBehavior::healthy(Duration::from_millis(1));
-        change(&mut manner);
-        manner
-    };
-    for (n, (manner, status, ran)) in [
-        (fails(|m| m.error_ratio = 1.0), Some(500), true),
-        (fails(|m| m.shed_ratio = 1.0), Some(503), false),
-        (fails(|m| m.close_before_effect_ratio = 1.0), None, false),
-        (fails(|m| m.close_after_effect_ratio = 1.0), None, true),
-    ]
-    .into_iter()
-    .enumerate()
-    {
-        let pool = Pool::start("s", 1, manner, 1).await.unwrap();
-        let got = Client::new(pool.servers[0].address).send(get("x")).await;
-        assert_eq!(got.ok().map(|g| g.status.as_u16()), status, "manner {n}");
-        assert_eq!(pool.effect_counts().contains_key("x"), ran, "manner {n}");
+async fn servers_count_effects_whatever_response_client_gets() {
+    for (n, case) in FAULT_CASES.iter().enumerate() {
+        let mut behavior = ServerBehavior::healthy(SERVICE_TIME);
+        (case.inject)(&mut behavior);
+        let pool = Pool::start("s", 1, behavior, 1).await.unwrap();
+        let response = Client::new(pool.servers[0].address).send(get("x")).await;
+        assert_eq!(
+            response.ok().map(|response| response.status.as_u16()),
+            case.expected_status,
+            "case {n}"
+        );
+        assert_eq!(
+            pool.effect_counts().contains_key("x"),
+            case.has_effect,
+            "case {n}"
+        );
         assert_eq!(pool.requests_received(), 1);
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn load_comes_at_its_rate_and_counts_from_the_intended_moment() {
-    let server = Server::start("s", 1, ServerBehavior::healthy(Duration::from_millis(1)), 3)
-        .await
-        .unwrap();
-    let kind = Workload {
+async fn load_is_sent_at_its_rate_and_latency_counts_from_scheduled_time() {
+    const DURATION: Duration = Duration::from_secs(2);
+    const LOAD_SEED: u64 = 5;
+    const PAUSE_TIME: Duration = Duration::from_millis(1500);
+    const MIN_MEDIAN_LATENCY_US: u64 = 400_000;
+    let server = start_server(1).await;
+    let workload = Workload {
         name: "k".to_owned(),
         host: "h".to_owned(),
         method: "GET",
@@ -128,36 +171,44 @@
         deadline: Duration::from_secs(2),
         rate: 200.0,
     };
-    let time = Duration::from_secs(2);
-    let first = load::run(server.address, std::slice::from_ref(&kind), time, 5).await;
+    let first_run = load::run(
+        server.address,
+        std::slice::from_ref(&workload),
+        DURATION,
+        LOAD_SEED,
+    )
+    .await;
     assert!(
-        (300..500).contains(&first[0].sent),
+        (300..500).contains(&first_run[0].sent),
         "{} requests",
-        first[0].sent
+        first_run[0].sent
     );
-    assert_eq!(first[0].with_status(&[200]), first[0].sent);
-    let again = Workload {
+    assert_eq!(first_run[0].with_status(&[200]), first_run[0].sent);
+    let repeated = Workload {
         name: "again".to_owned(),
-        ..kind.clone()
+        ..workload.clone()
     };
     assert_eq!(
-        load::run(server.address, &[again], time, 5).await[0].sent,
-        first[0].sent,
-        "a seed is a schedule"
+        load::run(server.address, &[repeated], DURATION, LOAD_SEED).await[0].sent,
+        first_run[0].sent,
+        "a seed determines the schedule"
     );
-    // While the server stands still, requests go on coming, and their wait is seen in full.
-    server.update_behavior(|m| m.is_frozen = true);
-    let frozen = [Workload {
+    // While the server is paused requests are still sent on schedule, and their whole wait is recorded.
+    server.update_behavior(|behavior| behavior.is_frozen = true);
+    let paused = [Workload {
         name: "frozen".to_owned(),
-        ..kind
+        ..workload
     }];
-    let thaw = async {
-        tokio::time::sleep(Duration::from_millis(1500)).await;
-        server.update_behavior(|m| m.is_frozen = false);
+    let resume = async {
+        tokio::time::sleep(PAUSE_TIME).await;
+        server.update_behavior(|behavior| behavior.is_frozen = false);
     };
-    let (came, ()) = tokio::join!(load::run(server.address, &frozen, time, 5), thaw);
+    let (paused_run, ()) = tokio::join!(
+        load::run(server.address, &paused, DURATION, LOAD_SEED),
+        resume
+    );
     assert!(
-        came[0].latency.value_at_quantile(0.5) > 400_000,
-        "an answer that was awaited counts as quick"
+        paused_run[0].latency.value_at_quantile(0.5) > MIN_MEDIAN_LATENCY_US,
+        "the wait for a paused server is missing in the latency"
     );
 }
