--- a/crates/node/src/fleet/tests.rs
+++ b/crates/node/src/fleet/tests.rs
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn a_name_conflict_is_logged_after_more_member_changes_than_the_log_writes() {
+async fn name_conflict_is_logged_although_the_rate_limit_is_reached() {
     let fleet = open_fleet();
     let claimed = |number| Node {
         name: "n1".to_owned(),
--- a/crates/node/src/net/client/tests.rs
+++ b/crates/node/src/net/client/tests.rs
@@ -1,4 +1,4 @@
-//! Which connections are evicted, and when; a request that crosses its eviction.
+//! The order in which connections are evicted, and a request that arrives during an eviction.
 
 use super::eviction::{CROWDED_GRACE, EVICTION_GRACE};
 use super::{Client, ClientId, ClientIo, EvictionOrder, ListenerTag, Phase};
@@ -15,10 +15,10 @@
 use tokio::io::{AsyncRead, ReadBuf};
 use tokio::net::TcpStream;
 
-const PLACES: usize = 10;
+const MAX_CONNECTIONS: usize = 10;
 const MOMENT: Duration = Duration::from_millis(1);
 
-/// Connections that are in their phases for so long, by id from 0, each a moment longer than the next.
+/// Connections that have been in their phases for these times, by ID from 0, each a moment longer than the next.
 fn order(now: Instant, connections: &[(Phase, Duration)]) -> EvictionOrder {
     let mut order = EvictionOrder::default();
     let longer = MOMENT * u32::try_from(connections.len()).expect("few");
@@ -29,44 +29,44 @@
     order
 }
 
-fn evicted(mut order: EvictionOrder, now: Instant) -> Vec<ClientId> {
-    std::iter::from_fn(|| order.pop(now, PLACES)).collect()
+fn eviction_sequence(mut order: EvictionOrder, now: Instant) -> Vec<ClientId> {
+    std::iter::from_fn(|| order.pop(now, MAX_CONNECTIONS)).collect()
 }
 
 #[test]
-fn the_least_recently_used_goes_first_and_before_what_has_not_asked_yet() {
+fn idle_connections_are_evicted_before_new_ones_least_recently_used_first() {
     let now = Instant::now();
-    let short = CROWDED_GRACE;
+    let age = CROWDED_GRACE;
     let order = order(
         now,
         &[
-            (Phase::New, short),
-            (Phase::Idle, short),
-            (Phase::New, short),
-            (Phase::Idle, short),
+            (Phase::New, age),
+            (Phase::Idle, age),
+            (Phase::New, age),
+            (Phase::Idle, age),
         ],
     );
-    assert_eq!(evicted(order, now), [1, 3, 0, 2]);
+    assert_eq!(eviction_sequence(order, now), [1, 3, 0, 2]);
 }
 
 #[test]
-fn what_has_not_asked_within_its_grace_goes_before_what_rests() {
+fn silent_connections_past_their_grace_are_evicted_before_idle_ones() {
     let now = Instant::now();
-    let resting = (Phase::Idle, EVICTION_GRACE * 4);
+    let idle = (Phase::Idle, EVICTION_GRACE * 4);
     let order = order(
         now,
         &[
-            resting,
+            idle,
             (Phase::New, EVICTION_GRACE),
             (Phase::New, EVICTION_GRACE / 2),
-            resting,
+            idle,
         ],
     );
-    assert_eq!(evicted(order, now), [1, 0, 3, 2]);
+    assert_eq!(eviction_sequence(order, now), [1, 0, 3, 2]);
 }
 
 #[test]
-fn what_has_not_asked_holds_a_quarter_of_the_places_at_most_while_others_rest() {
+fn new_connections_beyond_a_quarter_are_evicted_before_idle_ones() {
     let now = Instant::now();
     let order = order(
         now,
@@ -76,13 +76,16 @@
         ]
         .concat(),
     );
-    assert_eq!(evicted(order, now), [3, 4, 5, 6, 7, 0, 1, 2, 8, 9]);
+    assert_eq!(
+        eviction_sequence(order, now),
+        [3, 4, 5, 6, 7, 0, 1, 2, 8, 9]
+    );
 }
 
 #[test]
-fn what_was_made_just_now_keeps_its_place_for_a_moment_in_a_crowd_too() {
+fn connections_within_the_crowded_grace_are_not_evicted() {
     let now = Instant::now();
-    let crowd = order(
+    let crowded = order(
         now,
         &[
             [(Phase::Idle, EVICTION_GRACE); 3].as_slice(),
@@ -90,14 +93,14 @@
         ]
         .concat(),
     );
-    assert!(evicted(crowd, now).is_empty());
+    assert!(eviction_sequence(crowded, now).is_empty());
     let receiving = (Phase::Receiving, EVICTION_GRACE * 2);
-    let none_rests = order(now, &[(Phase::New, MOMENT), receiving]);
-    assert!(evicted(none_rests, now).is_empty());
+    let without_idle = order(now, &[(Phase::New, MOMENT), receiving]);
+    assert!(eviction_sequence(without_idle, now).is_empty());
 }
 
 #[test]
-fn a_request_keeps_its_place_unless_it_comes_too_slowly() {
+fn only_slow_requests_are_evicted() {
     let now = Instant::now();
     let long = EVICTION_GRACE * 2;
     let connections = [
@@ -108,7 +111,7 @@
         (Phase::Answering, long),
         (Phase::New, CROWDED_GRACE),
     ];
-    assert_eq!(evicted(order(now, &connections), now), [5, 0]);
+    assert_eq!(eviction_sequence(order(now, &connections), now), [5, 0]);
 }
 
 fn client(order: &Rc<RefCell<EvictionOrder>>) -> Rc<Client> {
@@ -120,11 +123,11 @@
 }
 
 #[test]
-fn a_client_may_be_evicted_between_its_requests_alone() {
+fn client_is_evictable_only_between_requests() {
     let order = Rc::<RefCell<EvictionOrder>>::default();
     let client = client(&order);
-    let pop = || order.borrow_mut().pop(Instant::now(), PLACES);
-    assert_eq!(pop(), None, "it is not served yet");
+    let pop = || order.borrow_mut().pop(Instant::now(), MAX_CONNECTIONS);
+    assert_eq!(pop(), None, "the client is not served yet");
     client.enter_eviction_order();
     for phase in [Phase::Receiving, Phase::AwaitingAnswer, Phase::Answering] {
         client.set_phase(phase);
@@ -132,53 +135,53 @@
     }
     client.set_phase(Phase::Idle);
     assert_eq!(pop(), Some(7));
-    assert_eq!(pop(), None, "it is evicted already");
+    assert_eq!(pop(), None, "the client is evicted already");
     client.set_phase(Phase::Idle);
     client.leave_eviction_order();
-    assert_eq!(pop(), None, "it ends already");
+    assert_eq!(pop(), None, "the client is closed already");
 }
 
-/// Reads once, as the library does; what came.
+/// Reads once, as the HTTP library does; returns the bytes.
 fn read(io: &mut ClientIo, context: &mut Context) -> Poll<Vec<u8>> {
     let mut space = [0; 256];
     let mut buffer = ReadBuf::new(&mut space);
     let read = Pin::new(io).poll_read(context, &mut buffer);
     read.map(|read| {
-        read.expect("no fault");
+        read.expect("no error");
         buffer.filled().to_vec()
     })
 }
 
 #[test]
-fn a_request_that_comes_as_its_connection_is_evicted_is_read() {
+fn request_received_during_eviction_is_read() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
     runtime.block_on(async {
-        // What is written to a socket of this kind is there at once.
+        // Bytes written to a Unix socket can be read at once.
         let (near, mut far) = UnixStream::pair().expect("a pair");
         near.set_nonblocking(true).expect("a socket");
         let near = std::net::TcpStream::from(OwnedFd::from(near));
         let stream = Rc::new(TcpStream::from_std(near).expect("a socket"));
         let client = client(&Rc::default());
         let mut io = ClientIo::new(stream, client.clone(), Gate::new(&METHODS));
-        let mut nobody = Context::from_waker(Waker::noop());
-        assert!(read(&mut io, &mut nobody).is_pending());
-        // The runtime gets no turn between the request and the eviction.
+        let mut no_waker = Context::from_waker(Waker::noop());
+        assert!(read(&mut io, &mut no_waker).is_pending());
+        // The runtime does not poll the socket between the request and the eviction.
         let request = b"GET /api HTTP/1.1\r\nhost: n\r\n\r\n";
-        far.write_all(request).expect("room");
+        far.write_all(request).expect("buffer space");
         client.close_when_idle.set(true);
         assert!(
-            read(&mut io, &mut nobody).is_pending(),
-            "a request that has come is dropped"
+            read(&mut io, &mut no_waker).is_pending(),
+            "a received request is dropped"
         );
         assert_eq!(poll_fn(|context| read(&mut io, context)).await, request);
     });
 }
 
 #[test]
-fn an_evicted_connection_without_a_request_ends() {
+fn evicted_connection_without_a_request_is_closed() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/node/src/net/service/tests.rs
+++ b/crates/node/src/net/service/tests.rs
@@ -1,4 +1,4 @@
-//! Services at work, from settings to pools.
+//! Services, from settings to pools.
 
 use super::prepared::{ListedServer, PreparedPlan};
 use super::routing::Retire;
@@ -14,10 +14,12 @@
 use tokio::sync::watch;
 
 fn plan(text: &str) -> Plan {
-    reader::toml("test", text).and_then(check).expect("a plan")
+    reader::toml("test", text)
+        .and_then(check)
+        .expect("a valid plan")
 }
 
-fn service(name: &str, servers: &[(&str, u16)]) -> String {
+fn service_section(name: &str, servers: &[(&str, u16)]) -> String {
     let class = "repeat = \"safe\"\naim = \"100ms\"\ndeadline = \"1s\"\n";
     let mut text = format!(
         "[[service]]\nname = \"{name}\"\n[[service.class]]\nname = \"c\"\n{class}\
@@ -32,11 +34,11 @@
 
 const HEAD: &str = "[[listener]]\nname = \"l\"\naddress = \"127.0.0.1:0\"\n";
 
-fn text(services: &[String]) -> String {
+fn settings_text(services: &[String]) -> String {
     HEAD.to_owned() + &services.concat()
 }
 
-async fn local(test: impl Future<Output = ()>) {
+async fn run_local(test: impl Future<Output = ()>) {
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
@@ -52,144 +54,153 @@
     (shared, services, now)
 }
 
-/// What is costly is done on another thread, as in a node.
+/// Prepares a plan on another thread, as a node does.
 fn prepare(services: &Services, text: &str) -> Arc<PreparedPlan> {
-    let (plan, before, now) = (
-        plan(text),
-        services.current_plan(),
-        services.shared.clock.now(),
-    );
-    let preparing = std::thread::spawn(move || match before {
-        Some(before) => PreparedPlan::replacing(plan, &before, now),
+    let plan = plan(text);
+    let current = services.current_plan();
+    let now = services.shared.clock.now();
+    let preparing = std::thread::spawn(move || match current {
+        Some(current) => PreparedPlan::replacing(plan, &current, now),
         None => PreparedPlan::initial(plan),
     });
-    preparing.join().expect("a plan")
+    preparing.join().expect("a valid plan")
 }
 
 fn apply(services: &Services, text: &str) -> Vec<Rc<Service>> {
     match services.apply(prepare(services, text)) {
         Ok(Routing::Table(table)) => table.services().to_vec(),
-        _ => panic!("the plan is not put in force"),
+        _ => panic!("the plan is not applied"),
     }
 }
 
-fn same(a: &Rc<Service>, b: &Rc<Service>) -> bool {
+fn has_same_pool(a: &Rc<Service>, b: &Rc<Service>) -> bool {
     Rc::ptr_eq(&a.pool, &b.pool)
 }
 
 #[tokio::test]
-async fn a_pool_stays_with_all_it_learned_unless_what_it_is_made_of_changes() {
-    local(async {
+async fn pool_is_replaced_only_when_its_own_settings_change() {
+    run_local(async {
         let (a, b) = (
-            service("a", &[("a1", 1), ("a2", 2)]),
-            service("b", &[("b1", 3)]),
+            service_section("a", &[("a1", 1), ("a2", 2)]),
+            service_section("b", &[("b1", 3)]),
         );
-        let (_shared, services, first) = start(&text(&[a.clone(), b.clone()]));
-        // Limits, routes, lists and drains are not what a pool is made of.
+        let (_shared, services, first) = start(&settings_text(&[a.clone(), b.clone()]));
+        // Limits, routes, lists and drains are no settings of a pool.
         let changed = b.replace(
             "[[service.class]]",
             "limits = { open = 7 }\nstate = \"draining\"\n[[service.class]]",
         );
         let emptied = a.replace("\"127.0.0.1:2\"", "\"127.0.0.1:2\"\nstate = \"draining\"");
-        let second = apply(&services, &text(&[changed, emptied]));
-        assert!(same(&first[0], &second[1]) && same(&first[1], &second[0]));
+        let second = apply(&services, &settings_text(&[changed, emptied]));
+        assert!(has_same_pool(&first[0], &second[1]) && has_same_pool(&first[1], &second[0]));
         assert_eq!(second[0].unavailable_reason(), Some("draining\n"));
-        // A deadline is: the module has to be told anew.
+        // A deadline is one of the decision module.
         let later = a.replace("\"1s\"", "\"2s\"");
-        let third = apply(&services, &text(&[later, b.clone()]));
-        assert!(!same(&first[0], &third[0]) && same(&first[1], &third[1]));
+        let third = apply(&services, &settings_text(&[later, b.clone()]));
+        assert!(!has_same_pool(&first[0], &third[0]) && has_same_pool(&first[1], &third[1]));
         assert_eq!(
             first[0].member, third[0].member,
-            "old and new hold from two places in the books"
+            "the new pool has another account of resources"
         );
-        assert!(third.iter().all(|s| s.unavailable_reason().is_none()));
+        assert!(third
+            .iter()
+            .all(|service| service.unavailable_reason().is_none()));
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_removed_service_is_kept_no_longer_than_its_requests() {
-    local(async {
-        let (a, b) = (service("a", &[("a1", 1)]), service("b", &[("b1", 3)]));
-        let (shared, services, mut first) = start(&text(&[a.clone(), b.clone()]));
+async fn removed_service_is_freed_with_its_last_request() {
+    run_local(async {
+        let (a, b) = (
+            service_section("a", &[("a1", 1)]),
+            service_section("b", &[("b1", 3)]),
+        );
+        let (shared, services, mut first) = start(&settings_text(&[a.clone(), b.clone()]));
         let pool: std::rc::Weak<Pool> = Rc::downgrade(&first[1].pool);
         first.clear();
         for _ in 0..50 {
-            apply(&services, &text(std::slice::from_ref(&a)));
-            apply(&services, &text(&[a.clone(), b.clone()]));
+            apply(&services, &settings_text(std::slice::from_ref(&a)));
+            apply(&services, &settings_text(&[a.clone(), b.clone()]));
         }
-        apply(&services, &text(&[a]));
-        // Tasks that were ended are let go by the runtime in its own time.
+        apply(&services, &settings_text(&[a]));
+        // The runtime drops aborted tasks when it runs next.
         for _ in 0..100 {
             tokio::task::yield_now().await;
         }
         shared.tick();
-        assert!(pool.upgrade().is_none(), "a removed pool is kept");
+        assert!(pool.upgrade().is_none(), "a removed pool is not freed");
         assert!(services.draining_services.borrow().is_empty());
         assert_eq!(
             shared.registered_pools(),
             1,
-            "something is kept of pools that are gone"
+            "something is kept of removed pools"
         );
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_server_that_is_added_later_counts_as_started_then() {
-    local(async {
-        let (_shared, services, _first) = start(&text(&[service("a", &[("a1", 1)])]));
-        let since = |address: u16| {
+async fn start_time_of_an_added_server_is_its_addition() {
+    run_local(async {
+        let (_shared, services, _first) =
+            start(&settings_text(&[service_section("a", &[("a1", 1)])]));
+        let start_time = |address: u16| {
             let address = SocketAddr::from(([127, 0, 0, 1], address));
             services
                 .current_plan()
                 .and_then(|plan| plan.start_times.get(&address).copied())
         };
-        assert_eq!(since(1), Some(0.0));
-        let two = service("a", &[("a1", 1), ("a2", 2)]);
-        apply(&services, &text(std::slice::from_ref(&two)));
-        assert_eq!(since(1), Some(0.0));
-        assert!(since(2).is_some_and(|at| at > 1e9));
+        assert_eq!(start_time(1), Some(0.0));
+        let two = service_section("a", &[("a1", 1), ("a2", 2)]);
+        apply(&services, &settings_text(std::slice::from_ref(&two)));
+        assert_eq!(start_time(1), Some(0.0));
+        assert!(start_time(2).is_some_and(|at| at > 1e9));
         let drained = two.replace("\"127.0.0.1:1\"", "\"127.0.0.1:1\"\nstate = \"draining\"");
-        apply(&services, &text(&[drained]));
-        assert_eq!(since(1), None);
-        apply(&services, &text(&[two]));
+        apply(&services, &settings_text(&[drained]));
+        assert_eq!(start_time(1), None);
+        apply(&services, &settings_text(&[two]));
         assert!(
-            since(1).is_some_and(|at| at > 1e9),
-            "back from a drain, and taken for warm"
+            start_time(1).is_some_and(|at| at > 1e9),
+            "a server after a drain counts as warmed up"
         );
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_drain_told_by_one_list_holds_for_the_pool_of_another() {
-    local(async {
+async fn drain_in_one_list_applies_to_pools_of_other_lists() {
+    run_local(async {
         let (a, b) = (
-            service("a", &[("x", 1), ("a2", 2)]),
-            service("b", &[("y", 1), ("b2", 3)]),
+            service_section("a", &[("x", 1), ("a2", 2)]),
+            service_section("b", &[("y", 1), ("b2", 3)]),
         );
-        let (_shared, services, now) = start(&text(&[a.clone(), b.clone()]));
-        let sends = |s: &Rc<Service>, name: &str| {
-            let id = s.pool.names.borrow().servers.get(name);
-            id.and_then(|id| crate::net::upstream::AttemptContext::address(&s.pool, id))
+        let (_shared, services, now) = start(&settings_text(&[a.clone(), b.clone()]));
+        let has_address = |service: &Rc<Service>, name: &str| {
+            let id = service.pool.names.borrow().servers.get(name);
+            id.and_then(|id| crate::net::upstream::AttemptContext::address(&service.pool, id))
                 .is_some()
         };
-        assert!(sends(&now[0], "x") && sends(&now[1], "y"));
+        assert!(has_address(&now[0], "x") && has_address(&now[1], "y"));
         let drained = a.replace("\"127.0.0.1:1\"", "\"127.0.0.1:1\"\nstate = \"draining\"");
-        apply(&services, &text(&[drained, b.clone()]));
+        apply(&services, &settings_text(&[drained, b.clone()]));
         tokio::task::yield_now().await;
-        assert!(!sends(&now[0], "x") && !sends(&now[1], "y") && sends(&now[1], "b2"));
-        // Taken from one list altogether, it is the other's affair alone.
-        apply(&services, &text(&[service("a", &[("a2", 2)]), b]));
+        assert!(
+            !has_address(&now[0], "x") && !has_address(&now[1], "y") && has_address(&now[1], "b2")
+        );
+        // Removed from the first list, the server depends on the second one alone.
+        apply(
+            &services,
+            &settings_text(&[service_section("a", &[("a2", 2)]), b]),
+        );
         tokio::task::yield_now().await;
-        assert!(sends(&now[1], "y"));
+        assert!(has_address(&now[1], "y"));
     })
     .await;
 }
 
-/// A service's list, as its pool will hear of it.
-fn heard(service: &Service) -> watch::Receiver<Arc<Vec<ListedServer>>> {
+/// Subscribes to the list of a service, as its pool does.
+fn subscribe_to_list(service: &Service) -> watch::Receiver<Arc<Vec<ListedServer>>> {
     match &service.list_updates {
         ListUpdates::Channel(list_updates) => list_updates.subscribe(),
         ListUpdates::None => panic!("the list does not come from the file"),
@@ -197,71 +208,71 @@
 }
 
 #[tokio::test]
-async fn a_service_that_did_not_change_is_not_touched() {
-    local(async {
+async fn unchanged_service_is_not_updated() {
+    run_local(async {
         let graphql = "[service.graphql]\nother_query = \"c\"\nother_mutation = \"w\"\n\
              [[service.class]]\nname = \"w\"\nrepeat = \"unsafe\"\naim = \"100ms\"\ndeadline = \"1s\"\n";
-        let a = service("a", &[("a1", 1), ("a2", 2)])
+        let a = service_section("a", &[("a1", 1), ("a2", 2)])
             .replace("[[service.route]]", &format!("{graphql}[[service.route]]"));
-        let b = service("b", &[("b1", 3)]);
-        let (_shared, services, first) = start(&text(&[a.clone(), b.clone()]));
-        let list = heard(&first[0]);
+        let b = service_section("b", &[("b1", 3)]);
+        let (_shared, services, first) = start(&settings_text(&[a.clone(), b.clone()]));
+        let list = subscribe_to_list(&first[0]);
         let parsed = first[0].graphql.borrow().clone().expect("settings of GraphQL");
         let settings = first[0].runtime_settings.borrow().clone().expect("settings");
-        // The neighbour's routes, limits, list and classes change, and all lines move.
+        // Routes, limits, list and classes of the other service change, and all lines move.
         let further = "[[service.route]]\nhost = \"more.example.org\"\n";
         let routed = format!("{b}{further}");
         let limited = b.replace("[[service.class]]", "limits = { open = 7 }\n[[service.class]]");
-        let listed = service("b", &[("b1", 3), ("b2", 4)]);
+        let listed = service_section("b", &[("b1", 3), ("b2", 4)]);
         let remade = b.replace("\"1s\"", "\"2s\"");
         for b in [routed, limited, listed, remade] {
-            let now = apply(&services, &text(&[b, a.clone()]));
+            let now = apply(&services, &settings_text(&[b, a.clone()]));
             assert!(Rc::ptr_eq(&first[0], &now[1]));
-            assert!(!list.has_changed().expect("the list is told still"), "told its list anew");
-            assert!(now[1].graphql.borrow().as_ref().is_some_and(|g| Rc::ptr_eq(g, &parsed)));
-            assert!(now[1].runtime_settings.borrow().as_ref().is_some_and(|s| Arc::ptr_eq(s, &settings)));
+            assert!(!list.has_changed().expect("a channel with a sender"), "the list was sent again");
+            assert!(now[1].graphql.borrow().as_ref().is_some_and(|current| Rc::ptr_eq(current, &parsed)));
+            assert!(now[1].runtime_settings.borrow().as_ref().is_some_and(|current| Arc::ptr_eq(current, &settings)));
         }
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_change_of_a_list_or_of_terms_reaches_its_service() {
-    local(async {
-        let a = service("a", &[("a1", 1)]);
-        let (_shared, services, first) = start(&text(std::slice::from_ref(&a)));
-        let mut list = heard(&first[0]);
-        let two = service("a", &[("a1", 1), ("a2", 2)]);
-        apply(&services, &text(std::slice::from_ref(&two)));
-        assert!(list.has_changed().expect("the list is told still"));
+async fn changed_list_and_state_reach_their_service() {
+    run_local(async {
+        let a = service_section("a", &[("a1", 1)]);
+        let (_shared, services, first) = start(&settings_text(std::slice::from_ref(&a)));
+        let mut list = subscribe_to_list(&first[0]);
+        let two = service_section("a", &[("a1", 1), ("a2", 2)]);
+        apply(&services, &settings_text(std::slice::from_ref(&two)));
+        assert!(list.has_changed().expect("a channel with a sender"));
         assert_eq!(list.borrow_and_update().len(), 2);
         let draining = two.replace(
             "[[service.class]]",
             "state = \"draining\"\n[[service.class]]",
         );
-        apply(&services, &text(&[draining]));
+        apply(&services, &settings_text(&[draining]));
         assert!(first[0].is_draining.get());
-        assert!(!list.has_changed().expect("the list is told still"));
-        apply(&services, &text(&[two]));
+        assert!(!list.has_changed().expect("a channel with a sender"));
+        apply(&services, &settings_text(&[two]));
         assert!(!first[0].is_draining.get());
     })
     .await;
 }
 
 #[tokio::test]
-async fn plans_no_longer_in_force_are_freed_by_whoever_is_to_free_them() {
-    local(async {
+async fn replaced_plans_are_passed_to_retire() {
+    run_local(async {
         let retired: Rc<RefCell<Vec<Arc<PreparedPlan>>>> = Rc::default();
-        let freeing = retired.clone();
-        let a = service("a", &[("a1", 1)]);
+        let sink = retired.clone();
+        let a = service_section("a", &[("a1", 1)]);
         let (_shared, services, _first) = start_with(
-            &text(std::slice::from_ref(&a)),
-            Rc::new(move |plan| freeing.borrow_mut().push(plan)),
+            &settings_text(std::slice::from_ref(&a)),
+            Rc::new(move |plan| sink.borrow_mut().push(plan)),
         );
         assert!(retired.borrow().is_empty());
         for n in 1..=3 {
             let changed = format!("{a}[[service.route]]\nhost = \"more{n}.example.org\"\n");
-            apply(&services, &text(&[changed]));
+            apply(&services, &settings_text(&[changed]));
             assert_eq!(retired.borrow().len(), n);
         }
         assert!(
@@ -269,27 +280,27 @@
                 .borrow_mut()
                 .iter_mut()
                 .all(|plan| Arc::get_mut(plan).is_some()),
-            "held elsewhere"
+            "a plan is still referenced"
         );
     })
     .await;
 }
 
 #[tokio::test]
-async fn what_can_not_be_put_in_force_leaves_all_as_it_was() {
-    local(async {
-        let a = service("a", &[("a1", 1)]);
-        let (shared, services, first) = start(&text(std::slice::from_ref(&a)));
-        let before = services.current_plan().expect("a plan");
+async fn rejected_plan_changes_nothing() {
+    run_local(async {
+        let a = service_section("a", &[("a1", 1)]);
+        let (shared, services, first) = start(&settings_text(std::slice::from_ref(&a)));
+        let before = services.current_plan().expect("a valid plan");
         let registry = "[[registry]]\nname = \"r\"\nmembers = [\"127.0.0.1:1\"]\ndigest_file = \"/none\"\n";
         let changed = a.replace("[[service.class]]", "state = \"draining\"\n[[service.class]]");
-        let follower = service("z", &[])
+        let follower = service_section("z", &[])
             .replace("[[service.class]]", "registry = { name = \"r\", path = \"/z\" }\n[[service.class]]");
-        let wrong = HEAD.to_owned() + registry + &changed + &follower;
-        let fault = services.apply(prepare(&services, &wrong)).err().map(|error| error.to_string());
+        let invalid = HEAD.to_owned() + registry + &changed + &follower;
+        let error = services.apply(prepare(&services, &invalid)).err().map(|error| error.to_string());
         let expected = "service `z`: /none: No such file or directory (os error 2)";
-        assert_eq!(fault.as_deref(), Some(expected));
-        assert!(fault.is_some_and(|fault| fault.contains("service `z`") && fault.contains("/none")));
+        assert_eq!(error.as_deref(), Some(expected));
+        assert!(error.is_some_and(|error| error.contains("service `z`") && error.contains("/none")));
         assert!(services.current_plan().is_some_and(|now| Arc::ptr_eq(&now, &before)));
         assert!(!first[0].is_draining.get());
         assert_eq!(shared.registered_pools(), 1);
--- a/crates/node/src/standalone/reload/tests.rs
+++ b/crates/node/src/standalone/reload/tests.rs
@@ -1,4 +1,4 @@
-//! What is held while a file is taken in.
+//! The memory of a settings file during a reload.
 
 use super::checked;
 use std::cell::Cell;
@@ -10,29 +10,29 @@
     [[service.route]]\nhost = \"s.example.org\"\n\
     [[service.server]]\nname = \"one\"\naddress = \"127.0.0.1:1\"\n";
 
-/// A text that tells when it is freed.
-struct Watched(Rc<Cell<bool>>);
+/// A settings text that records when it is freed.
+struct TracksDrop(Rc<Cell<bool>>);
 
-impl AsRef<str> for Watched {
+impl AsRef<str> for TracksDrop {
     fn as_ref(&self) -> &str {
         SETTINGS
     }
 }
 
-impl Drop for Watched {
+impl Drop for TracksDrop {
     fn drop(&mut self) {
         self.0.set(true);
     }
 }
 
 #[test]
-fn the_text_is_freed_before_it_is_checked() {
+fn text_is_freed_before_validation() {
     let is_freed = Rc::new(Cell::new(false));
-    let mut was_freed_before = false;
-    let plan = checked("f.toml", Watched(is_freed.clone()), |model| {
-        was_freed_before = is_freed.get();
+    let mut was_freed_in_time = false;
+    let plan = checked("f.toml", TracksDrop(is_freed.clone()), |model| {
+        was_freed_in_time = is_freed.get();
         reelfall_config::check(model)
     });
     assert_eq!(plan.expect("a plan").model.services.len(), 1);
-    assert!(was_freed_before, "the text is held while it is checked");
+    assert!(was_freed_in_time, "the text is kept during the validation");
 }
