--- a/crates/node/src/net/client/tests.rs
+++ b/crates/node/src/net/client/tests.rs
@@ -15,7 +15,7 @@
 use tokio::io::{AsyncRead, ReadBuf};
 use tokio::net::TcpStream;
 
-const MAX_CONNECTIONS: usize = 10;
+const CONNECTION_LIMIT: usize = 10;
 const MOMENT: Duration = Duration::from_millis(1);
 
 /// Connections that have been in their phases for these times, by ID from 0, each a moment longer than the next.
@@ -30,7 +30,7 @@
 }
 
 fn eviction_sequence(mut order: EvictionOrder, now: Instant) -> Vec<ClientId> {
-    std::iter::from_fn(|| order.pop(now, MAX_CONNECTIONS)).collect()
+    std::iter::from_fn(|| order.pop(now, CONNECTION_LIMIT)).collect()
 }
 
 #[test]
@@ -126,7 +126,7 @@
 fn client_is_evictable_only_between_requests() {
     let order = Rc::<RefCell<EvictionOrder>>::default();
     let client = client(&order);
-    let pop = || order.borrow_mut().pop(Instant::now(), MAX_CONNECTIONS);
+    let pop = || order.borrow_mut().pop(Instant::now(), CONNECTION_LIMIT);
     assert_eq!(pop(), None, "the client is not served yet");
     client.enter_eviction_order();
     for phase in [Phase::Receiving, Phase::AwaitingAnswer, Phase::Answering] {
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -15,7 +15,7 @@
 
 /// A connection that has been idle for longer is not reused. The node closes idle connections after 5 s; a request that
 /// crosses that is lost, and one that must run at most once can't be sent again.
-const MAX_IDLE: Duration = Duration::from_secs(4);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A complete response.
 #[derive(Clone, Debug)]
@@ -52,7 +52,7 @@
 
 impl IdleConnection {
     fn is_reusable(&self) -> bool {
-        !self.connection.sender.is_closed() && self.since.elapsed() < MAX_IDLE
+        !self.connection.sender.is_closed() && self.since.elapsed() < IDLE_TIMEOUT
     }
 }
 
