--- /dev/null
+++ b/crates/registry-client/tests/session/reconnection.rs
@@ -0,0 +1,207 @@
+//! Lost connections, expired sessions, and the choice of the next member.
+
+use crate::{
+    config, connected_session, expired_response, handshake_response, response_header, sync,
+    sync_response, take_commands, take_events, take_handshake, SentHandshake, NO_ERROR, SESSION_ID,
+    WATCH_EVENT_XID,
+};
+use reelfall_registry_client::session::{Command, Event, LossReason, Session};
+use reelfall_registry_client::wire::WireError;
+use std::collections::BTreeSet;
+
+/// The request id of pings.
+const PING_XID: i32 = -2;
+
+/// The type of the watch event of changed data.
+const DATA_CHANGED: i32 = 3;
+
+/// The connection state in a watch event.
+const CONNECTED: i32 = 3;
+
+#[test]
+fn lost_connection_keeps_the_session_until_it_expires() {
+    const LAST_ZXID: i64 = 77;
+    const NEXT_SESSION_ID: i64 = 43;
+    let mut session = connected_session(0.0);
+    session.request(0.0, 9, sync("/"));
+    let watch_event = response_header(WATCH_EVENT_XID, LAST_ZXID, NO_ERROR)
+        .int(DATA_CHANGED)
+        .int(CONNECTED)
+        .text("/x")
+        .done();
+    session.handle_bytes(0.0, &watch_event);
+    session.handle_disconnected(1.0);
+    let events = take_events(&mut session);
+    assert_eq!(
+        events[1..],
+        [Event::Lost(LossReason::Closed), Event::RequestLost(9)]
+    );
+    assert!(
+        !session.request(1.0, 1, sync("/")),
+        "a request without a connection"
+    );
+    // It connects to the next member at once, with the same session and the last transaction.
+    let commands = take_commands(&mut session);
+    assert_eq!(commands.last(), Some(&Command::Close));
+    session.tick(1.0);
+    assert!(matches!(
+        take_commands(&mut session)[..],
+        [Command::Connect(_)]
+    ));
+    session.handle_connected(1.0);
+    assert_eq!(
+        take_handshake(&mut session),
+        SentHandshake {
+            last_zxid: LAST_ZXID,
+            session_id: SESSION_ID
+        }
+    );
+    session.handle_bytes(1.0, &handshake_response(SESSION_ID));
+    assert_eq!(take_events(&mut session), [Event::Up { is_new: false }]);
+    // The session ends only when the registry reports it as expired; then a new one is requested.
+    session.handle_disconnected(2.0);
+    session.tick(2.0);
+    session.handle_connected(2.0);
+    take_commands(&mut session);
+    session.handle_bytes(2.0, &expired_response());
+    assert_eq!(
+        take_events(&mut session),
+        [Event::Lost(LossReason::Closed), Event::Expired]
+    );
+    session.tick(2.0);
+    session.handle_connected(2.0);
+    assert_eq!(
+        take_handshake(&mut session),
+        SentHandshake {
+            last_zxid: LAST_ZXID,
+            session_id: 0
+        }
+    );
+    session.handle_bytes(2.0, &handshake_response(NEXT_SESSION_ID));
+    assert_eq!(take_events(&mut session), [Event::Up { is_new: true }]);
+    assert_eq!(session.id(), NEXT_SESSION_ID);
+}
+
+#[test]
+fn silent_member_is_left_and_pings_keep_an_idle_connection() {
+    const IDLE_INTERVALS: usize = 20;
+    // Two thirds of the session time-out, and rounding.
+    const MAX_SILENCE: f64 = 4.1;
+    let mut session = connected_session(0.0);
+    let mut now = 0.0;
+    let mut pings = 0;
+    for _ in 0..IDLE_INTERVALS {
+        now = session.deadline().unwrap();
+        session.tick(now);
+        for command in take_commands(&mut session) {
+            assert!(matches!(command, Command::Send(_)), "{command:?}");
+            pings += 1;
+            session.handle_bytes(now + 0.01, &response_header(PING_XID, 5, NO_ERROR).done());
+        }
+    }
+    assert!(pings >= 19 && take_events(&mut session).is_empty() && session.is_up());
+    // A half-open connection: pings are sent, and no responses arrive.
+    let last_response = now;
+    while session.is_up() {
+        now = session.deadline().unwrap();
+        session.tick(now);
+    }
+    assert_eq!(
+        take_events(&mut session),
+        [Event::Lost(LossReason::Timeout)]
+    );
+    assert!(
+        now - last_response <= MAX_SILENCE,
+        "left after {} s of a session of 6",
+        now - last_response
+    );
+    // A member that accepts the connection and does not answer the handshake is left too.
+    take_commands(&mut session);
+    session.tick(now);
+    session.handle_connected(now);
+    now = session.deadline().unwrap();
+    session.tick(now);
+    assert_eq!(
+        take_events(&mut session),
+        [Event::Lost(LossReason::Timeout)]
+    );
+}
+
+#[test]
+fn failing_members_are_tried_in_turn_with_backoff() {
+    let mut session = Session::new(config(), 0.0, 5);
+    let mut now = 0.0;
+    let mut attempts = vec![];
+    let mut delays = vec![];
+    for _ in 0..30 {
+        session.tick(now);
+        for command in take_commands(&mut session) {
+            if let Command::Connect(address) = command {
+                attempts.push(address);
+            }
+        }
+        session.handle_disconnected(now);
+        let next_attempt = session.deadline().unwrap();
+        delays.push(next_attempt - now);
+        now = next_attempt;
+    }
+    let first_round: BTreeSet<_> = attempts[..3].iter().collect();
+    assert_eq!(first_round.len(), 3, "each member once");
+    assert_eq!(delays[..2], [0.0, 0.0]);
+    assert!(
+        delays[3] > 0.0 && delays[29] > 2.0 && delays.iter().all(|delay| *delay <= 7.5),
+        "{delays:?}"
+    );
+}
+
+#[test]
+fn older_state_is_accepted_only_after_no_member_has_the_newer() {
+    const NEWER_ZXID: i64 = 100;
+    const OLDER_ZXID: i64 = 99;
+    const GIVE_UP: f64 = 200.0;
+    let mut session = connected_session(0.0);
+    session.request(0.0, 1, sync("/"));
+    session.handle_bytes(0.0, &sync_response(1, NEWER_ZXID));
+    session.request(0.0, 2, sync("/"));
+    session.handle_bytes(0.0, &sync_response(2, OLDER_ZXID));
+    let events = take_events(&mut session);
+    assert_eq!(
+        events[1..],
+        [
+            Event::RequestLost(2),
+            Event::Lost(LossReason::Protocol(WireError::StaleState(
+                OLDER_ZXID, NEWER_ZXID
+            )))
+        ]
+    );
+    // Members that lag close the connection, until the session resets: it no longer requires the last transaction.
+    let mut now = 0.0;
+    let mut reset_time = None;
+    while reset_time.is_none() && now < GIVE_UP {
+        session.tick(now);
+        session.handle_connected(now);
+        let sent_handshake = take_commands(&mut session)
+            .iter()
+            .any(|command| matches!(command, Command::Send(_)));
+        if sent_handshake {
+            session.handle_disconnected(now);
+        }
+        reset_time = take_events(&mut session)
+            .contains(&Event::Reset)
+            .then_some(now);
+        now = session.deadline().unwrap().max(now);
+    }
+    assert!(
+        reset_time.is_some_and(|time| (60.0..80.0).contains(&time)),
+        "{reset_time:?}"
+    );
+    session.tick(now);
+    session.handle_connected(now);
+    assert_eq!(
+        take_handshake(&mut session),
+        SentHandshake {
+            last_zxid: 0,
+            session_id: 0
+        }
+    );
+}
