--- a/crates/graphql/tests/document/operation_choice.rs
+++ b/crates/graphql/tests/document/operation_choice.rs
@@ -28,6 +28,10 @@
         kind_of(QUERY_AND_MUTATION, Some("B")),
         Ok(OperationKind::Mutation)
     );
+}
+
+#[test]
+fn invalid_document_or_operation_name_is_rejected() {
     for (text, name) in [
         (QUERY_AND_MUTATION, None),
         (QUERY_AND_MUTATION, Some("C")),
@@ -57,10 +61,18 @@
             "{text} {name:?}"
         );
     }
+}
+
+#[test]
+fn subscription_is_rejected() {
     assert_eq!(
         kind_of("subscription { a }", None),
         Err(GraphQlErrorKind::Subscription)
     );
+}
+
+#[test]
+fn malformed_document_is_rejected() {
     for text in [
         "",
         "{",
