--- a/crates/registry-client/tests/session/reconnection.rs
+++ b/crates/registry-client/tests/session/reconnection.rs
@@ -5,6 +5,7 @@
     sync_response, take_commands, take_events, take_handshake, SentHandshake, NO_ERROR, SESSION_ID,
     WATCH_EVENT_XID,
 };
+use bytes::Bytes;
 use reelfall_registry_client::session::{Command, Event, LossReason, Session};
 use reelfall_registry_client::wire::WireError;
 use std::collections::BTreeSet;
@@ -18,18 +19,22 @@
 /// The connection state in a watch event.
 const CONNECTED: i32 = 3;
 
+/// A watch event of changed data.
+fn data_changed_event(zxid: i64) -> Bytes {
+    response_header(WATCH_EVENT_XID, zxid, NO_ERROR)
+        .int(DATA_CHANGED)
+        .int(CONNECTED)
+        .text("/x")
+        .done()
+}
+
 #[test]
 fn lost_connection_keeps_the_session_until_it_expires() {
     const LAST_ZXID: i64 = 77;
     const NEXT_SESSION_ID: i64 = 43;
     let mut session = connected_session(0.0);
     session.request(0.0, 9, sync("/"));
-    let watch_event = response_header(WATCH_EVENT_XID, LAST_ZXID, NO_ERROR)
-        .int(DATA_CHANGED)
-        .int(CONNECTED)
-        .text("/x")
-        .done();
-    session.handle_bytes(0.0, &watch_event);
+    session.handle_bytes(0.0, &data_changed_event(LAST_ZXID));
     session.handle_disconnected(1.0);
     let events = take_events(&mut session);
     assert_eq!(
