--- /dev/null
+++ b/crates/testbed/tests/membership/entries.rs
@@ -0,0 +1,92 @@
+//! Entries of servers: invalid ones, and thousands that change.
+
+use super::support::{count_successes, start_node, start_server, wait_until, wait_until_requested};
+use reelfall_testbed::client::Client;
+use reelfall_testbed::membership::{entry_data, RegisteredServer, SERVERS_PATH};
+use reelfall_testbed::registry::Registry;
+use std::time::Instant;
+
+/// Length of data that a request may have, and an entry of a server may not.
+const TOO_LONG_DATA_LEN: usize = (1 << 20) - 1000;
+/// Entries of servers that do not exist.
+const ENTRY_COUNT: usize = 2_000;
+/// Changed entries.
+const CHANGE_COUNT: usize = 1_000;
+/// Addresses in a network of entries.
+const ADDRESSES_PER_NETWORK: usize = 250;
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn invalid_entries_are_skipped() {
+    let registry = Registry::start(1).await.unwrap();
+    let good = start_server("good").await;
+    let _registration = RegisteredServer::register(&registry, &good, "good", 0);
+    let session = registry.open_session();
+    let put =
+        |name: &str, data: &[u8]| registry.put(&format!("{SERVERS_PATH}/{name}"), data, session);
+    put("same-address", &entry_data(&good.address.to_string(), 0));
+    registry.put(&format!("{SERVERS_PATH}/good/deeper"), b"{}", 0);
+    let mut node = start_node(&registry, "", "").await;
+    // Both services log each of them. They are created one after another, since a node writes at most five lines a second.
+    registry.put(
+        &format!("{SERVERS_PATH}/by-hand"),
+        &entry_data("127.0.0.1:9", 0),
+        0,
+    );
+    node.wait_for_log("by-hand: it is not ephemeral")
+        .await
+        .expect("a line");
+    put("long", &vec![b'x'; TOO_LONG_DATA_LEN]);
+    node.wait_for_log("long: its data has")
+        .await
+        .expect("a line");
+    put("no-json", b"\x00\xff\xfe");
+    node.wait_for_log("no-json: its data can't be read")
+        .await
+        .expect("a line");
+    put("no-address", b"{}");
+    put("odd name \u{1f600} \" ' %2f", b"[]");
+    let client = Client::new(node.address());
+    assert_eq!(count_successes(&client, "good", 100).await, 100);
+    assert_eq!(
+        good.requests_received(),
+        100,
+        "requests to the server of another entry"
+    );
+    // The later of two entries with one address was in force; with it removed, the earlier one is again.
+    registry.remove(&format!("{SERVERS_PATH}/same-address"));
+    let removed_at = Instant::now();
+    wait_until("the earlier entry", async || {
+        let run = format!("earlier-{:?}", removed_at.elapsed());
+        count_successes(&client, &run, 10).await == 10
+    })
+    .await;
+}
+
+/// Creates or changes entries of servers that do not exist. They drain, so that no requests are sent to them.
+fn put_draining_entries(registry: &Registry, session: i64, network: &str, count: usize) {
+    for index in 0..count {
+        let subnet = index / ADDRESSES_PER_NETWORK;
+        let host = 1 + index % ADDRESSES_PER_NETWORK;
+        let data =
+            format!("{{\"address\":\"{network}.{subnet}.{host}:9\",\"state\":\"draining\"}}");
+        let path = format!("{SERVERS_PATH}/s{index}");
+        registry.put(&path, data.as_bytes(), session);
+    }
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn thousands_of_entries_and_changes_are_followed() {
+    let registry = Registry::start(1).await.unwrap();
+    let (one, last) = (start_server("one").await, start_server("last").await);
+    let session = registry.open_session();
+    put_draining_entries(&registry, session, "127.8", ENTRY_COUNT);
+    let _registration_of_one = RegisteredServer::register(&registry, &one, "one", 0);
+    let node = start_node(&registry, "", "").await;
+    let client = Client::new(node.address());
+    assert_eq!(count_successes(&client, "many", 50).await, 50);
+    // A burst of changes, with a server that exists at its end.
+    put_draining_entries(&registry, session, "127.9", CHANGE_COUNT);
+    let _registration_of_last = RegisteredServer::register(&registry, &last, "last", 0);
+    wait_until_requested(&client, &last, "last").await;
+    assert_eq!(count_successes(&client, "churned", 50).await, 50);
+}
