--- a/crates/testbed/tests/leases.rs
+++ b/crates/testbed/tests/leases.rs
@@ -1,105 +1,147 @@
-//! Leases among real processes: holders and keepers that are killed, frozen, cut off, or begin with old folders. Judged by
-//! what the resource saw, by one clock.
+//! Leases among real processes: holders and keepers that are killed, paused, partitioned, or start with old data. Judged by
+//! the writes that a fenced resource received, by a single clock.
 
 mod fleets;
 
-use fleets::{command, rest, turn, SECOND};
+use fleets::{command, rest, turn};
 use reelfall_testbed::fleet::fenced_resource::{
     admitted_writes, fencing_violations, rejected_writes, FencedResource,
 };
-use reelfall_testbed::fleet::history::{Event, TimedEvent};
-use reelfall_testbed::fleet::{FleetSpec, ManagementResponse, TestFleet, SHORT_SLOW_START};
+use reelfall_testbed::fleet::history::{Event, History, TimedEvent};
+use reelfall_testbed::fleet::{FleetSpec, TestFleet, SHORT_SLOW_START};
+use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a lease lasts in these tests.
-const LENGTH: Duration = Duration::from_millis(1000);
+/// The lease of these tests.
+const LEASE: &str = "roll";
+/// Duration of a lease.
+const LEASE_DURATION: Duration = Duration::from_millis(1000);
+/// Time for another node to acquire the lease of one that has ended.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(6);
+/// The first nodes keep the leases.
+const KEEPER_COUNT: usize = 3;
+/// The log line and status of a keeper that takes part in votes.
+const VOTES: &str = "this keeper votes";
+/// Name of the file with the leases in the folder of a keeper.
+const LEASE_FILE: &str = "leases";
 
-struct Place {
+/// A fleet whose nodes write to a resource while they hold the lease.
+struct LeaseFleet {
     fleet: TestFleet,
     _resource: FencedResource,
 }
 
-async fn start(nodes: usize) -> Place {
-    // The resource has to be there before the nodes, whose files name it; the history is the fleet's.
-    let history = std::sync::Arc::new(reelfall_testbed::fleet::history::History::start());
-    let resource = FencedResource::start(history.clone()).await.unwrap();
-    let leases = format!(
+/// The node that wrote last, and its fencing token.
+#[derive(Clone, Copy)]
+struct Holder {
+    node: usize,
+    token: u64,
+}
+
+/// The first write of a new holder.
+struct Takeover {
+    node: usize,
+    at: Duration,
+}
+
+fn lease_settings(resource: &FencedResource) -> String {
+    format!(
         "[fleet.leases]\nkeepers = [\"n0\", \"n1\", \"n2\"]\nfolder = \"{{folder}}\"\nlength = \"1s\"\n\
-         [[fleet.leases.call]]\nname = \"roll\"\naddress = \"{}\"\npath = \"/roll\"\nevery = \"50ms\"\n",
+         [[fleet.leases.call]]\nname = \"{LEASE}\"\naddress = \"{}\"\npath = \"/roll\"\nevery = \"50ms\"\n",
         resource.address
-    );
-    let made = FleetSpec {
-        node_count: nodes,
+    )
+}
+
+async fn start(node_count: usize) -> LeaseFleet {
+    // The resource starts before the nodes, whose settings name it, and shares the history of the fleet.
+    let history = Arc::new(History::start());
+    let resource = FencedResource::start(history.clone()).await.unwrap();
+    let spec = FleetSpec {
+        node_count,
         server_count: 2,
         service_settings: SHORT_SLOW_START.to_owned(),
-        fleet_settings: Some(leases),
+        fleet_settings: Some(lease_settings(&resource)),
         ..FleetSpec::default()
     };
-    let fleet = TestFleet::start_with_history(&fleets::program(), &made, history)
+    let fleet = TestFleet::start_with_history(&fleets::program(), &spec, history)
         .await
         .unwrap();
-    fleet
-        .wait_until("all know each other", async |fleet| {
-            fleet.is_converged().await
-        })
-        .await
-        .unwrap();
-    for keeper in 0..3 {
+    wait_until_converged(&fleet).await;
+    for keeper in 0..KEEPER_COUNT {
         fleet
             .wait_until("all keepers vote", async |fleet| {
-                says(fleet, keeper, "this keeper votes").await
+                status_contains(fleet, keeper, VOTES).await
             })
             .await
             .unwrap();
     }
-    Place {
+    LeaseFleet {
         fleet,
         _resource: resource,
     }
 }
 
-/// The holder that acted last, and its token.
-fn last(fleet: &TestFleet) -> Option<(usize, u64)> {
-    let last = admitted_writes(&fleet.history.events(), "roll").pop()?;
-    Some((last.holder.strip_prefix('n')?.parse().ok()?, last.token))
+async fn wait_until_converged(fleet: &TestFleet) {
+    fleet
+        .wait_until("all nodes know each other", async |fleet| {
+            fleet.is_converged().await
+        })
+        .await
+        .unwrap();
+}
+
+/// The current holder, as of the last write; `None` before the first.
+fn holder(fleet: &TestFleet) -> Option<Holder> {
+    let last = admitted_writes(&fleet.history.events(), LEASE).pop()?;
+    Some(Holder {
+        node: last.holder.strip_prefix('n')?.parse().ok()?,
+        token: last.token,
+    })
 }
 
-/// Waits for an act by a token greater than this one; who it was, and when it came.
-async fn taken_over(fleet: &TestFleet, token: u64) -> (usize, Duration) {
+/// Waits for the first write with a token greater than this one.
+async fn wait_for_takeover(fleet: &TestFleet, token: u64) -> Takeover {
     fleet
         .wait_until("the lease is taken over", async |fleet| {
-            last(fleet).is_some_and(|(_, t)| t > token)
+            holder(fleet).is_some_and(|holder| holder.token > token)
         })
         .await
         .unwrap();
-    let happened = fleet.history.events();
-    let first = admitted_writes(&happened, "roll")
+    let first = admitted_writes(&fleet.history.events(), LEASE)
         .into_iter()
-        .find(|act| act.token > token)
+        .find(|write| write.token > token)
         .unwrap();
-    (first.holder[1..].parse().unwrap(), first.at)
+    Takeover {
+        node: first.holder[1..].parse().unwrap(),
+        at: first.at,
+    }
 }
 
-/// An operator has whoever holds the lease give it back, and somebody else has it.
+/// An operator has the holder release the lease, and another node acquires it.
 async fn hand_over(fleet: &TestFleet) {
-    let (_, token) = last(fleet).unwrap();
+    let released = holder(fleet).unwrap();
     fleet
-        .wait_until("a holder gives it back", async |fleet| {
-            let (holder, now) = last(fleet).unwrap();
-            now > token
+        .wait_until("a holder releases the lease", async |fleet| {
+            let current = holder(fleet).unwrap();
+            current.token > released.token
                 || fleet
-                    .call_management(holder, "POST", "/-/fleet/leases/roll/release?why=test")
+                    .call_management(
+                        current.node,
+                        "POST",
+                        "/-/fleet/leases/roll/release?why=test",
+                    )
                     .await
                     .is_ok_and(|response| response.status == 200)
         })
         .await
         .unwrap();
-    taken_over(fleet, token).await;
+    wait_for_takeover(fleet, released.token).await;
 }
 
-fn said_by_all(fleet: &TestFleet) -> String {
-    let all = fleet.history.events();
-    let lines = all
+/// The log lines about leases, with the starts and ends of processes.
+fn lease_log(fleet: &TestFleet) -> String {
+    let events = fleet.history.events();
+    let lines = events
         .iter()
         .filter_map(|TimedEvent { at, event }| match event {
             Event::Logged { node, line } if line.contains("lease") => {
@@ -113,200 +155,201 @@
     lines.collect()
 }
 
-/// Whether a node says so of its leases.
-async fn says(fleet: &TestFleet, node: usize, words: &str) -> bool {
-    matches!(fleet.call_management(node, "GET", "/-/fleet/leases").await, Ok(ManagementResponse { status: 200, body: said }) if said.contains(words))
+/// Whether a node reports this in the status of its leases.
+async fn status_contains(fleet: &TestFleet, node: usize, text: &str) -> bool {
+    let response = fleet.call_management(node, "GET", "/-/fleet/leases").await;
+    response.is_ok_and(|response| response.status == 200 && response.body.contains(text))
 }
 
-fn sound(fleet: &TestFleet) {
-    let broken = fencing_violations(&fleet.history.events(), "roll");
-    assert!(broken.is_empty(), "{broken:#?}");
+fn assert_no_violations(fleet: &TestFleet) {
+    let violations = fencing_violations(&fleet.history.events(), LEASE);
+    assert!(violations.is_empty(), "{violations:#?}");
     fleets::none_broken(fleet);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn one_node_acts_and_another_one_once_it_is_killed_or_ends() {
+async fn lease_is_taken_over_after_holder_is_killed_or_terminated() {
     let _turn = turn().await;
-    let mut place = start(5).await;
-    let fleet = &mut place.fleet;
-    let (holder, _) = taken_over(fleet, 0).await;
+    let mut lease_fleet = start(5).await;
+    let fleet = &mut lease_fleet.fleet;
+    let first = wait_for_takeover(fleet, 0).await;
     rest(1.0).await;
-    let (same, token) = last(fleet).unwrap();
-    assert_eq!(same, holder, "a lease that is renewed stays");
-    let said = command(fleet, holder, &["fleet", "leases"]).await;
+    let Holder { node, token } = holder(fleet).unwrap();
+    assert_eq!(node, first.node, "a lease that is renewed stays");
+    let status = command(fleet, first.node, &["fleet", "leases"]).await;
     assert!(
-        said.contains(&format!("roll: held here, token {token}")),
-        "{said}"
+        status.contains(&format!("{LEASE}: held here, token {token}")),
+        "{status}"
     );
-    // Killed: the next one begins when the lease is over, not before.
-    let killed = fleet.history.now();
-    fleet.kill(holder);
-    let (next, at) = taken_over(fleet, token).await;
-    assert_ne!(next, holder);
+    // After a kill, the next holder starts when the lease has expired, not before.
+    let killed_at = fleet.history.now();
+    fleet.kill(first.node);
+    let second = wait_for_takeover(fleet, token).await;
+    assert_ne!(second.node, first.node);
     assert!(
-        at > killed + LENGTH / 2 && at < killed + 6 * SECOND,
+        second.at > killed_at + LEASE_DURATION / 2 && second.at < killed_at + TAKEOVER_TIMEOUT,
         "{:?} after",
-        at - killed
+        second.at - killed_at
     );
-    // It may be a keeper, of which two have to be there.
-    fleet.start_node(holder).await.unwrap();
-    fleet
-        .wait_until("all know each other", async |fleet| {
-            fleet.is_converged().await
-        })
-        .await
-        .unwrap();
+    // The killed node may be a keeper, and two keepers are a quorum.
+    fleet.start_node(first.node).await.unwrap();
+    wait_until_converged(fleet).await;
     fleet
-        .wait_until("it votes", async |fleet| {
-            holder > 2 || says(fleet, holder, "this keeper votes").await
+        .wait_until("the restarted keeper votes", async |fleet| {
+            first.node >= KEEPER_COUNT || status_contains(fleet, first.node, VOTES).await
         })
         .await
         .unwrap();
-    // Told to end: it gives the lease back.
-    let token = last(fleet).unwrap().1;
-    let told = fleet.history.now();
-    fleet.terminate(next).await.unwrap();
-    let (_, at) = taken_over(fleet, token).await;
-    assert!(at < told + 6 * SECOND, "{:?} after", at - told);
-    sound(fleet);
+    // A node that is terminated releases the lease.
+    let token = holder(fleet).unwrap().token;
+    let terminated_at = fleet.history.now();
+    fleet.terminate(second.node).await.unwrap();
+    let third = wait_for_takeover(fleet, token).await;
+    assert!(
+        third.at < terminated_at + TAKEOVER_TIMEOUT,
+        "{:?} after",
+        third.at - terminated_at
+    );
+    assert_no_violations(fleet);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_holder_that_is_frozen_or_cut_off_never_acts_beside_the_next_one() {
+async fn paused_or_partitioned_holder_never_writes_beside_next_one() {
     let _turn = turn().await;
-    let mut place = start(5).await;
-    let fleet = &mut place.fleet;
+    let mut lease_fleet = start(5).await;
+    let fleet = &mut lease_fleet.fleet;
     let mut token = 0;
     for round in 0..4 {
-        let (holder, _) = taken_over(fleet, token).await;
-        token = last(fleet).unwrap().1;
-        // Somewhere between two acts, or in the middle of one.
+        let paused = wait_for_takeover(fleet, token).await.node;
+        token = holder(fleet).unwrap().token;
+        // Between two writes, or during one.
         rest(0.07 + 0.013 * f64::from(round)).await;
-        fleet.set_paused(holder, true);
-        taken_over(fleet, token).await;
-        fleet.set_paused(holder, false);
+        fleet.set_paused(paused, true);
+        wait_for_takeover(fleet, token).await;
+        fleet.set_paused(paused, false);
         rest(0.3).await;
     }
-    sound(fleet);
-    // Cut off from all others, and not from what it acts on.
-    let (holder, token) = last(fleet).unwrap();
-    let others: Vec<usize> = (0..fleet.node_count()).filter(|n| *n != holder).collect();
-    fleet.network().partition(&[holder], &others, true);
-    let (_, at) = taken_over(fleet, token).await;
-    let happened = fleet.history.events();
-    let end = admitted_writes(&happened, "roll")
+    assert_no_violations(fleet);
+    // Partitioned from all other nodes, and not from the resource.
+    let former = holder(fleet).unwrap();
+    let others: Vec<usize> = (0..fleet.node_count())
+        .filter(|node| *node != former.node)
+        .collect();
+    fleet.network().partition(&[former.node], &others, true);
+    let takeover = wait_for_takeover(fleet, former.token).await;
+    let events = fleet.history.events();
+    let last_write_at = admitted_writes(&events, LEASE)
         .into_iter()
-        .filter(|a| a.token <= token)
-        .map(|a| a.at)
+        .filter(|write| write.token <= former.token)
+        .map(|write| write.at)
         .max()
         .unwrap();
     assert!(
-        end < at,
-        "the former acted {:?} after the next began",
-        end - at
-    );
-    // Its clock told it: what it did came to nobody's fence.
-    assert_eq!(
-        rejected_writes(
-            &happened
-                .iter()
-                .filter(|entry| entry.at > end)
-                .cloned()
-                .collect::<Vec<_>>()
-        ),
-        0
+        last_write_at < takeover.at,
+        "the former holder wrote {:?} after the next one began",
+        last_write_at - takeover.at
     );
+    // It stopped by its own clock, so that the resource had nothing to reject.
+    let later_events: Vec<TimedEvent> = events
+        .iter()
+        .filter(|entry| entry.at > last_write_at)
+        .cloned()
+        .collect();
+    assert_eq!(rejected_writes(&later_events), 0);
     fleet.network().heal();
-    sound(fleet);
+    assert_no_violations(fleet);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn without_a_majority_nobody_acts_and_requests_flow_and_then_tokens_go_on() {
+async fn without_quorum_nobody_writes_and_requests_are_served() {
     let _turn = turn().await;
-    let mut place = start(5).await;
-    let fleet = &mut place.fleet;
-    taken_over(fleet, 0).await;
-    // One keeper of three may go.
+    let mut lease_fleet = start(5).await;
+    let fleet = &mut lease_fleet.fleet;
+    wait_for_takeover(fleet, 0).await;
+    // One of three keepers may fail.
     fleet.kill(2);
-    let token = last(fleet).unwrap().1;
+    let token = holder(fleet).unwrap().token;
     rest(1.5).await;
-    let before = fleet.history.len();
+    let events_before = fleet.history.len();
+    let is_admitted = |event: &Event| matches!(event, Event::LeaseWrite { admitted: true, .. });
     if fleet
         .history
-        .wait_for(before, |e| {
-            matches!(e, Event::LeaseWrite { admitted: true, .. })
-        })
+        .wait_for(events_before, is_admitted)
         .await
         .is_err()
     {
-        panic!("{}", said_by_all(fleet));
+        panic!("{}", lease_log(fleet));
     }
     let load = fleet.start_load_at(&[3, 4], 40.0, 0.2, 7);
     fleet.kill(1);
     rest(2.0).await;
-    let quiet = fleet.history.now();
+    let expired_at = fleet.history.now();
     rest(1.0).await;
-    let happened = fleet.history.events();
-    let late = admitted_writes(&happened, "roll")
+    let events = fleet.history.events();
+    let late_writes = admitted_writes(&events, LEASE)
         .into_iter()
-        .filter(|a| a.at > quiet)
+        .filter(|write| write.at > expired_at)
         .count();
-    assert_eq!(late, 0, "acts without a majority");
-    let served = happened.iter().filter(|TimedEvent { at, event }| {
-        *at > quiet
-            && matches!(
-                event,
-                Event::ResponseReceived {
-                    status: Some(200),
-                    ..
-                }
-            )
-    });
-    assert!(served.count() > 20, "requests are held up by a lease");
+    assert_eq!(late_writes, 0, "writes without a quorum");
+    let successes = events
+        .iter()
+        .filter(|entry| entry.at > expired_at && is_success(&entry.event));
+    assert!(successes.count() > 20, "requests wait for a lease");
     load.stop().await;
-    // All keepers begin anew, with what they have on their disks.
+    // All keepers restart with the data in their folders, and the tokens continue.
     fleet.kill(0);
-    for n in 0..3 {
-        fleet.start_node(n).await.unwrap();
+    for keeper in 0..KEEPER_COUNT {
+        fleet.start_node(keeper).await.unwrap();
     }
-    taken_over(fleet, token).await;
-    sound(fleet);
+    wait_for_takeover(fleet, token).await;
+    assert_no_violations(fleet);
+}
+
+fn is_success(event: &Event) -> bool {
+    matches!(
+        event,
+        Event::ResponseReceived {
+            status: Some(200),
+            ..
+        }
+    )
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_folder_from_a_backup_does_not_vote_and_an_emptied_one_is_let_in() {
+async fn restored_folder_does_not_vote_and_emptied_one_does() {
     let _turn = turn().await;
-    let mut place = start(4).await;
-    let fleet = &mut place.fleet;
-    taken_over(fleet, 0).await;
+    let mut lease_fleet = start(4).await;
+    let fleet = &mut lease_fleet.fleet;
+    wait_for_takeover(fleet, 0).await;
     let folder = fleet.folder(1);
-    let backup = std::fs::read(folder.join("leases")).unwrap();
-    // What the folder gets after the backup.
+    let lease_file = folder.join(LEASE_FILE);
+    let backup = std::fs::read(&lease_file).unwrap();
+    // Data is written after the backup.
     hand_over(fleet).await;
-    while std::fs::read(folder.join("leases")).unwrap().len() == backup.len() {
+    while std::fs::read(&lease_file).unwrap().len() == backup.len() {
         hand_over(fleet).await;
     }
     rest(1.2).await;
     fleet.kill(1);
-    std::fs::write(folder.join("leases"), backup).unwrap();
+    std::fs::write(&lease_file, backup).unwrap();
     fleet.start_node(1).await.unwrap();
     fleet
-        .wait_until("the backup is refused", async |fleet| {
-            says(fleet, 1, "it is an old copy").await
+        .wait_until("the backup is rejected", async |fleet| {
+            status_contains(fleet, 1, "it is an old copy").await
         })
         .await
-        .unwrap_or_else(|_| panic!("{}", said_by_all(fleet)));
+        .unwrap_or_else(|_| panic!("{}", lease_log(fleet)));
     fleet.kill(1);
     std::fs::remove_dir_all(&folder).unwrap();
     fleet.start_node(1).await.unwrap();
     fleet
-        .wait_until("it votes", async |fleet| {
-            says(fleet, 1, "this keeper votes").await
+        .wait_until("the emptied keeper votes", async |fleet| {
+            status_contains(fleet, 1, VOTES).await
         })
         .await
         .unwrap();
-    // Its vote is worth something: with the third keeper gone the lease goes on.
+    // Its vote counts: without the third keeper the lease continues.
     fleet.kill(2);
     hand_over(fleet).await;
-    sound(fleet);
+    assert_no_violations(fleet);
 }
