--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -1,39 +1,74 @@
-//! What a node makes of a discovery that a large fleet has worn out, and of lists that can't be read.
+//! A node whose discovery service is overloaded, or sends endpoint lists that are invalid.
 
 use reelfall_testbed::scripted::{
     get, Discovery, ListedServer, Node, Program, Server, WAIT_TIMEOUT,
 };
 use std::time::{Duration, Instant};
 
+/// Sockets that the node may open.
+const MAX_SOCKETS: usize = 256;
+/// Requests after each event.
+const REQUEST_COUNT: u32 = 10;
+/// Interval at which a wait checks its condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How long the discovery service is unavailable.
+const OUTAGE_DURATION: Duration = Duration::from_secs(4);
+/// Pause between two runs of requests during the outage.
+const RUN_INTERVAL: Duration = Duration::from_millis(50);
+
 fn program() -> Program {
     Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"))
 }
 
-fn until(what: &str, mut done: impl FnMut() -> bool) {
-    let began = Instant::now();
-    while !done() {
-        assert!(began.elapsed() < WAIT_TIMEOUT, "{what}");
-        std::thread::sleep(Duration::from_millis(10));
+/// Waits until a condition holds; fails with this message if it does not.
+fn wait_until(failure: &str, mut condition: impl FnMut() -> bool) {
+    let started_at = Instant::now();
+    while !condition() {
+        assert!(started_at.elapsed() < WAIT_TIMEOUT, "{failure}");
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// A node before one server.
-fn node() -> (Server, Discovery, Node) {
-    let (server, discovery) = (Server::healthy(), Discovery::start());
-    discovery.send_snapshot(5, &[ListedServer::new("s-a", server.address, "active")]);
-    let node = Node::start(&program(), discovery.address, 256);
-    (server, discovery, node)
+/// A node that follows a discovery service, which lists one server.
+struct Deployment {
+    node: Node,
+    discovery: Discovery,
+    server: Server,
 }
 
-fn served(node: &Node, from: u32) {
-    for n in from..from + 10 {
-        assert_eq!(get(node.address, &format!("r-{n}")).status, 200);
+impl Deployment {
+    fn start() -> Deployment {
+        let (server, discovery) = (Server::healthy(), Discovery::start());
+        discovery.send_snapshot(5, &[listed("s-a", &server)]);
+        let node = Node::start(&program(), discovery.address, MAX_SOCKETS);
+        Deployment {
+            node,
+            discovery,
+            server,
+        }
+    }
+
+    /// Sends one request, with this correlation id; returns whether it succeeded.
+    fn is_served(&self, correlation_id: &str) -> bool {
+        get(self.node.address, correlation_id).status == 200
+    }
+
+    /// Sends requests with numbered correlation ids, which all succeed.
+    fn assert_served(&self, first: u32) {
+        for index in first..first + REQUEST_COUNT {
+            assert_eq!(get(self.node.address, &format!("r-{index}")).status, 200);
+        }
     }
 }
 
+fn listed<'a>(name: &'a str, server: &Server) -> ListedServer<'a> {
+    ListedServer::new(name, server.address, "active")
+}
+
 #[test]
-fn lines_that_are_no_list_cost_neither_a_request_nor_the_list_before_them() {
-    let (a, discovery, node) = node();
+fn invalid_lines_are_skipped() {
+    let deployment = Deployment::start();
+    let discovery = &deployment.discovery;
     let lines = [
         "{\"index\":6,\"snap",
         "[]",
@@ -42,86 +77,95 @@
         "{\"index\":-1,\"endpoints\":[]}",
         "\u{0}\u{1}",
     ];
-    for (n, line) in (0..).zip(lines) {
-        // The line has been read when the node asks anew.
-        let calls = discovery.requests();
+    for (index, line) in (0..).zip(lines) {
+        // The node has read the line when it sends the next poll.
+        let polls_before = discovery.requests();
         discovery.send_line(line);
-        until("a line that is no list is not given up", || {
-            discovery.requests() > calls
+        wait_until("the node does not poll again after an invalid line", || {
+            discovery.requests() > polls_before
         });
-        served(&node, 10 * n);
+        deployment.assert_served(REQUEST_COUNT * index);
     }
-    assert_eq!(a.requests(), 10 * lines.len());
-    // What comes next is taken in.
-    let b = Server::healthy();
-    discovery.send_snapshot(7, &[ListedServer::new("s-b", b.address, "active")]);
-    until("a list after unreadable ones is not taken in", || {
-        get(node.address, "n").status == 200 && b.requests() > 0
+    assert_eq!(
+        deployment.server.requests(),
+        REQUEST_COUNT as usize * lines.len()
+    );
+    // The next valid list is applied.
+    let added = Server::healthy();
+    discovery.send_snapshot(7, &[listed("s-b", &added)]);
+    wait_until("a list after invalid ones is not applied", || {
+        deployment.is_served("n") && added.requests() > 0
     });
 }
 
+/// An endpoint of a list, as discovery sends it.
+fn endpoint(name: &str, address: &str) -> String {
+    format!(
+        r#"{{"name":"{name}","address":"{address}","zone":"a","type":"k","group":1,"status":"active","weight":1.0,"since_ms":0}}"#
+    )
+}
+
 #[test]
-fn entries_that_can_not_be_used_or_come_twice_cost_themselves_alone() {
-    let (a, discovery, node) = node();
-    let b = Server::healthy();
-    let entry = |name: &str, address: &str| {
-        format!(
-            r#"{{"name":"{name}","address":"{address}","zone":"a","type":"k","group":1,"status":"active","weight":1.0,"since_ms":0}}"#
-        )
-    };
-    let (at_a, at_b) = (a.address.to_string(), b.address.to_string());
-    let entries = [
-        entry("s-a", &at_a),
-        entry("s-a", &at_a),
-        entry("s-x", "nowhere"),
+fn invalid_and_duplicate_endpoints_are_skipped() {
+    let deployment = Deployment::start();
+    let added = Server::healthy();
+    let first_address = deployment.server.address.to_string();
+    let endpoints = [
+        endpoint("s-a", &first_address),
+        endpoint("s-a", &first_address),
+        endpoint("s-x", "nowhere"),
         "{}".to_owned(),
         "7".to_owned(),
-        entry("s-b", &at_b),
+        endpoint("s-b", &added.address.to_string()),
     ];
-    discovery.send_line(&format!(
+    deployment.discovery.send_line(&format!(
         r#"{{"index":6,"snapshot":true,"endpoints":[{}]}}"#,
-        entries.join(",")
+        endpoints.join(",")
     ));
-    until("a server named beside unusable entries is not used", || {
-        get(node.address, "n").status == 200 && b.requests() > 0
+    wait_until("a server beside invalid endpoints is not used", || {
+        deployment.is_served("n") && added.requests() > 0
     });
-    let before = a.requests();
-    until("a server named twice is not used", || {
-        get(node.address, "m").status == 200 && a.requests() > before
+    let requests_before = deployment.server.requests();
+    wait_until("a server that is listed twice is not used", || {
+        deployment.is_served("m") && deployment.server.requests() > requests_before
     });
 }
 
 #[test]
-fn an_index_that_goes_back_is_another_list_and_is_taken_in() {
-    let (_a, discovery, node) = node();
-    let b = Server::healthy();
-    discovery.send_snapshot(2, &[ListedServer::new("s-b", b.address, "active")]);
-    until("a list with an older index is not taken in", || {
-        get(node.address, "n").status == 200 && b.requests() > 0
+fn list_with_lower_index_is_applied() {
+    let deployment = Deployment::start();
+    let added = Server::healthy();
+    deployment
+        .discovery
+        .send_snapshot(2, &[listed("s-b", &added)]);
+    wait_until("a list with a lower index is not applied", || {
+        deployment.is_served("n") && added.requests() > 0
     });
 }
 
 #[test]
-fn a_discovery_that_refuses_everyone_is_called_less_and_less_and_the_list_stays() {
-    let (a, discovery, node) = node();
+fn unavailable_discovery_is_polled_with_backoff() {
+    let deployment = Deployment::start();
+    let discovery = &deployment.discovery;
     discovery.wait_for_watch();
     discovery.set_unavailable(true);
-    let (before, began) = (discovery.requests(), Instant::now());
-    let mut n = 0;
-    while began.elapsed() < Duration::from_secs(4) {
-        served(&node, n);
-        n += 10;
-        std::thread::sleep(Duration::from_millis(50));
+    let polls_before = discovery.requests();
+    let started_at = Instant::now();
+    let mut first = 0;
+    while started_at.elapsed() < OUTAGE_DURATION {
+        deployment.assert_served(first);
+        first += REQUEST_COUNT;
+        std::thread::sleep(RUN_INTERVAL);
     }
-    // Without the doubling of the pause it would be some eighty.
-    let calls = discovery.requests() - before;
-    assert!((1..25).contains(&calls), "{calls} calls in four seconds");
+    // Without backoff there would be some eighty.
+    let polls = discovery.requests() - polls_before;
+    assert!((1..25).contains(&polls), "{polls} polls in four seconds");
     discovery.set_unavailable(false);
-    let b = Server::healthy();
-    discovery.send_snapshot(9, &[ListedServer::new("s-b", b.address, "active")]);
-    let seen = a.requests();
-    until("the list is not followed again", || {
-        get(node.address, "n").status == 200 && b.requests() > 0
+    let added = Server::healthy();
+    discovery.send_snapshot(9, &[listed("s-b", &added)]);
+    let requests_before = deployment.server.requests();
+    wait_until("the list is not followed again", || {
+        deployment.is_served("n") && added.requests() > 0
     });
-    assert!(a.requests() >= seen);
+    assert!(deployment.server.requests() >= requests_before);
 }
