--- a/crates/node/src/net/registry/following.rs
+++ b/crates/node/src/net/registry/following.rs
@@ -5,13 +5,14 @@
 use crate::net::pool::Pool;
 use crate::net::source::Source;
 use reelfall_balancer::engine::AddressedEndpoint;
-use reelfall_balancer::interface::{ServerState, Time, UpdateKind};
+use reelfall_balancer::interface::{ServerId, ServerState, Time, UpdateKind};
 use reelfall_balancer::settings::ListedEndpoint;
 use reelfall_config::model;
 use reelfall_registry_client::entry::Entry;
 use reelfall_registry_client::follow::{Follower, Limits, Report};
 use reelfall_registry_client::roster::Change;
 use reelfall_registry_client::session::{Event, LossReason, Session, TokenRequest};
+use std::collections::HashMap;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -95,15 +96,32 @@
             .collect()
     }
 
-    /// The endpoint of a changed entry; `None` for a removed server that the pool does not know.
-    fn changed_endpoint(&self, change: &Change) -> Option<AddressedEndpoint<SocketAddr>> {
-        match change {
-            Change::Listed(entry) => Some(self.endpoint(entry)),
-            Change::Removed(name) => self.removed_endpoint(name),
+    /// The endpoints of changed entries, without removed servers that the pool does not know.
+    fn changed_endpoints(&self, changes: &[Change]) -> Vec<AddressedEndpoint<SocketAddr>> {
+        let mut endpoints = Vec::with_capacity(changes.len());
+        let mut listed_addresses = HashMap::new();
+        for change in changes {
+            match change {
+                Change::Listed(entry) => {
+                    let endpoint = self.endpoint(entry);
+                    listed_addresses.insert(endpoint.endpoint.server, endpoint.address);
+                    endpoints.push(endpoint);
+                }
+                Change::Removed(name) => {
+                    endpoints.extend(self.removed_endpoint(name, &listed_addresses));
+                }
+            }
         }
+        endpoints
     }
 
-    fn removed_endpoint(&self, name: &str) -> Option<AddressedEndpoint<SocketAddr>> {
+    /// The endpoint of a removed server; `None` if the pool does not know it. `listed_addresses` are those of the servers
+    /// that were listed earlier in the same update, which the pool has not applied yet.
+    fn removed_endpoint(
+        &self,
+        name: &str,
+        listed_addresses: &HashMap<ServerId, SocketAddr>,
+    ) -> Option<AddressedEndpoint<SocketAddr>> {
         self.pool.names.borrow().servers.get(name)?;
         let removed = ListedEndpoint {
             name,
@@ -115,7 +133,10 @@
             started_at: None,
         };
         let endpoint = self.pool.names.borrow_mut().endpoint(&removed);
-        let address = self.pool.address_of(endpoint.server)?;
+        let address = listed_addresses
+            .get(&endpoint.server)
+            .copied()
+            .or_else(|| self.pool.address_of(endpoint.server))?;
         Some(AddressedEndpoint { endpoint, address })
     }
 
@@ -204,10 +225,7 @@
             return;
         }
         if !changes.is_empty() {
-            let endpoints = changes
-                .iter()
-                .filter_map(|change| self.changed_endpoint(change))
-                .collect();
+            let endpoints = self.changed_endpoints(&changes);
             self.pool.update_endpoints(UpdateKind::Delta, endpoints);
         }
     }
--- a/crates/testbed/src/registry/connections.rs
+++ b/crates/testbed/src/registry/connections.rs
@@ -116,6 +116,7 @@
             if socket.write_all(&frame.bytes).await.is_err() {
                 return;
             }
+            lock(&self.state).counters.bytes_written += frame.bytes.len() as u64;
         }
     }
 }
--- a/crates/testbed/src/registry/state.rs
+++ b/crates/testbed/src/registry/state.rs
@@ -121,6 +121,8 @@
     pub watch_events: u64,
     /// Bytes sent to clients.
     pub bytes_sent: u64,
+    /// Bytes sent to clients that have been written to their sockets.
+    pub bytes_written: u64,
 }
 
 /// See the module.
--- a/crates/testbed/tests/membership/entries.rs
+++ b/crates/testbed/tests/membership/entries.rs
@@ -4,10 +4,12 @@
 use reelfall_testbed::client::Client;
 use reelfall_testbed::membership::{entry_data, RegisteredServer, SERVERS_PATH};
 use reelfall_testbed::registry::Registry;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 /// Length of data that a request may have, and an entry of a server may not.
 const TOO_LONG_DATA_LEN: usize = (1 << 20) - 1000;
+/// Delay of responses and watch events of a slow member.
+const RESPONSE_DELAY: Duration = Duration::from_millis(500);
 /// Entries of servers that do not exist.
 const ENTRY_COUNT: usize = 2_000;
 /// Changed entries.
@@ -90,3 +92,37 @@
     wait_until_requested(&client, &last, "last").await;
     assert_eq!(count_successes(&client, "churned", 50).await, 50);
 }
+
+/// The node reads the data of an entry and the event of its removal at once, and applies both in one update.
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn entry_removed_in_update_that_lists_it_is_not_used() {
+    let registry = Registry::start(1).await.unwrap();
+    let (steady, brief) = (start_server("steady").await, start_server("brief").await);
+    let _steady_registration = RegisteredServer::register(&registry, &steady, "steady", 0);
+    let node = start_node(&registry, "", "").await;
+    let client = Client::new(node.address());
+    assert_eq!(count_successes(&client, "before", 10).await, 10);
+    registry.set_response_delay(0, RESPONSE_DELAY);
+    let requests_before = registry.counters().requests;
+    let registration = RegisteredServer::register(&registry, &brief, "brief", 0);
+    wait_until("the reads of its entry by both services", async || {
+        registry.counters().requests >= requests_before + 2
+    })
+    .await;
+    // The responses to the reads, and the events after them, wait in the sockets of the node.
+    node.signal("STOP").unwrap();
+    let events_before = registry.counters().watch_events;
+    registration.expire_session(&registry);
+    wait_until("the events of both services in the sockets", async || {
+        let counters = registry.counters();
+        counters.watch_events >= events_before + 2 && counters.bytes_written == counters.bytes_sent
+    })
+    .await;
+    node.signal("CONT").unwrap();
+    assert_eq!(count_successes(&client, "after", 200).await, 200);
+    assert_eq!(
+        brief.requests_received(),
+        0,
+        "requests to a server whose entry has gone"
+    );
+}
