--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -107,7 +107,7 @@
         self.tell(Event::Timer { tag: 0 });
     }
 
-    /// A request; the server it was sent to, or `None` if it was refused.
+    /// A request; the server it was sent to, or `None` if it was rejected.
     pub fn request(
         &mut self,
         class: ClassId,
@@ -135,7 +135,7 @@
         })
     }
 
-    pub fn refused(&self) -> bool {
+    pub fn rejected(&self) -> bool {
         self.actions
             .iter()
             .any(|a| matches!(a, Action::Reject { .. }))
--- /dev/null
+++ b/crates/balancer/tests/failures/outlier_ejection.rs
@@ -0,0 +1,151 @@
+//! Servers that fail, are silent or lose connections, and when they get fewer or no requests.
+
+use crate::common::{settings, Node};
+use crate::{classes, AT_MOST_ONCE_CLASS, DEADLINE};
+use reelfall_balancer::interface::{Outcome, ServerId, Time};
+use std::collections::BTreeSet;
+
+const FAULTY_SERVER: ServerId = 0;
+
+#[test]
+fn server_with_fast_errors_gains_no_requests() {
+    let mut node = Node::new(settings(classes()), 4);
+    let mut to_faulty = 0;
+    for index in 0..400 {
+        node.now += 0.02;
+        if index % 4 == 0 {
+            node.sweep();
+        }
+        let (request, server) = node.request(AT_MOST_ONCE_CLASS, None, DEADLINE);
+        let Some(server) = server else { continue };
+        to_faulty += u32::from(server == FAULTY_SERVER);
+        let (outcome, latency) = if server == FAULTY_SERVER {
+            (Outcome::Error, 0.001)
+        } else {
+            (Outcome::Served, 0.02)
+        };
+        node.end(request, 0, server, outcome, latency);
+    }
+    assert!(
+        to_faulty < 12,
+        "{to_faulty} of 400 went to the failing server"
+    );
+}
+
+#[test]
+fn silent_server_gets_no_requests_before_its_attempts_end() {
+    let mut node = Node::new(settings(classes()), 4);
+    let (_, silent) = node.request(AT_MOST_ONCE_CLASS, None, DEADLINE);
+    node.now = 0.25;
+    node.sweep();
+    for _ in 0..40 {
+        let (request, server) = node.request(AT_MOST_ONCE_CLASS, None, DEADLINE);
+        assert_ne!(server, silent);
+        node.end(request, 0, server.unwrap(), Outcome::Served, 0.02);
+    }
+}
+
+#[test]
+fn fault_common_to_all_servers_ejects_only_the_capped_fraction() {
+    let mut node = Node::new(settings(classes()), 10);
+    let mut used = BTreeSet::new();
+    for index in 0..600 {
+        node.now += 0.005;
+        let (request, server) = node.request(AT_MOST_ONCE_CLASS, None, DEADLINE);
+        if let Some(server) = server {
+            if index > 100 {
+                used.insert(server);
+            }
+            node.end(request, 0, server, Outcome::Error, 0.001);
+        }
+    }
+    assert!(used.len() >= 6, "only {} servers were used", used.len());
+}
+
+/// How many requests the faulty server gets after its first `lost_connections` attempts lost their connections, until
+/// `end`.
+fn requests_after_lost_connections(lost_connections: u32, end: Time) -> u32 {
+    let mut node = Node::new(settings(classes()), 4);
+    let mut remaining_losses = lost_connections;
+    let mut requests = 0;
+    for _ in 0..2000 {
+        node.now += 0.005;
+        let (request, server) = node.request(AT_MOST_ONCE_CLASS, None, DEADLINE);
+        let server = server.expect("a server");
+        requests += u32::from(server == FAULTY_SERVER && remaining_losses == 0);
+        let outcome = if server == FAULTY_SERVER && remaining_losses > 0 {
+            Outcome::ConnectionLost
+        } else {
+            Outcome::Served
+        };
+        remaining_losses -= u32::from(outcome == Outcome::ConnectionLost);
+        node.now += 0.005;
+        node.end(request, 0, server, outcome, 0.0);
+        if remaining_losses == 0 && node.now > end {
+            break;
+        }
+    }
+    requests
+}
+
+#[test]
+fn two_consecutive_lost_connections_eject_a_server_and_one_does_not() {
+    // A server that is not ejected gets few requests for a while, but one within seconds.
+    for (lost_connections, is_ejected, end) in [(1, false, 10.0), (2, true, 3.0)] {
+        let requests = requests_after_lost_connections(lost_connections, end);
+        assert_eq!(
+            requests == 0,
+            is_ejected,
+            "{lost_connections} connections lost, then {requests} requests"
+        );
+    }
+}
+
+#[test]
+fn short_client_timeouts_eject_no_server_and_do_not_lower_admission() {
+    const SHORT_DEADLINE: Time = 0.02;
+    const RESPONSE_TIME: Time = 0.05;
+    let mut node = Node::new(settings(classes()), 4);
+    let mut used = BTreeSet::new();
+    for index in 0..400 {
+        let has_short_deadline = index % 2 == 0;
+        let remaining = if has_short_deadline {
+            SHORT_DEADLINE
+        } else {
+            DEADLINE
+        };
+        let (request, server) = node.request(AT_MOST_ONCE_CLASS, None, remaining);
+        let server = server.expect("healthy servers get every request");
+        if index >= 350 {
+            used.insert(server);
+        }
+        let (outcome, latency) = if has_short_deadline {
+            (Outcome::TimedOut, SHORT_DEADLINE)
+        } else {
+            (Outcome::Served, RESPONSE_TIME)
+        };
+        node.now += latency;
+        node.end(request, 0, server, outcome, latency);
+        if has_short_deadline {
+            node.sweep();
+        }
+    }
+    assert_eq!(used.len(), 4, "{used:?}");
+}
+
+#[test]
+fn one_silent_connection_does_not_eject_a_responding_server() {
+    let mut node = Node::new(settings(classes()), 1);
+    node.request(AT_MOST_ONCE_CLASS, None, DEADLINE);
+    let mut served = 0;
+    for _ in 0..50 {
+        let (request, server) = node.request(AT_MOST_ONCE_CLASS, None, DEADLINE);
+        node.now += 0.01;
+        node.end(request, 0, server.expect("a server"), Outcome::Served, 0.01);
+        node.sweep();
+        served += 1;
+    }
+    // The mean is that of the responses, without the attempt that hangs.
+    let mean_response = node.balancer.automaton().mean_response[0];
+    assert!(served == 50 && mean_response < 0.02, "{mean_response}");
+}
