--- a/crates/balancer/tests/list_costs.rs
+++ b/crates/balancer/tests/list_costs.rs
@@ -1,7 +1,7 @@
-//! What a server list costs: in proportion to its length, not to the square of it.
+//! The cost of an endpoint list update grows in proportion to the length of the list, not to its square.
 //!
-//! Each test compares the processor time of its thread for a list with that for one eight times as long. A cost in
-//! proportion to the length grows to eight times, one in proportion to its square to sixty-four.
+//! Each test compares the processor time of its thread for a list with that for one eight times as long. A linear cost
+//! grows to eight times, a quadratic one to sixty-four.
 
 mod common;
 
@@ -9,17 +9,22 @@
 use reelfall_balancer::engine::{
     AddressedEndpoint, Command, DecisionModule, Engine, Host, SERVER_ID_QUARANTINE,
 };
-use reelfall_balancer::interface::*;
+use reelfall_balancer::interface::{
+    Action, Endpoint, Event, Idempotency, MachineTypeId, ServerId, ServerState, Settings, Tenant,
+    Time, UpdateKind,
+};
 use reelfall_balancer::Balancer;
 use rustix::time::{clock_gettime, ClockId};
+use std::cell::RefCell;
+use std::rc::Rc;
 
-const SHORT: u32 = 1_000;
-const LONG: u32 = 8 * SHORT;
+const SHORT_LIST: u32 = 1_000;
+const LONG_LIST: u32 = 8 * SHORT_LIST;
 
-/// Far from eight times as well as from sixty-four.
-const GROWTH_MOST: f64 = 24.0;
+/// Well above the eight times of a linear cost, and well below the sixty-four of a quadratic one.
+const MAX_GROWTH: f64 = 24.0;
 
-/// The least of so many runs counts: a run is longer where others take the caches.
+/// The fastest of these runs counts: a run takes longer when other processes evict its caches.
 const RUNS: usize = 4;
 
 /// Processor time of this thread, in seconds.
@@ -28,84 +33,85 @@
     time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
 }
 
-/// The cost of `act` on what `prepare` makes for a list of this length.
-fn cost<T>(servers: u32, prepare: impl Fn(u32) -> T, act: impl Fn(u32, &mut T)) -> f64 {
+/// The processor time of `operation` on the state that `prepare` makes for a list of this length.
+fn cost<T>(servers: u32, prepare: impl Fn(u32) -> T, operation: impl Fn(u32, &mut T)) -> f64 {
     let run = |_| {
         let mut prepared = prepare(servers);
-        let began = processor_time();
-        act(servers, &mut prepared);
-        processor_time() - began
+        let start = processor_time();
+        operation(servers, &mut prepared);
+        processor_time() - start
     };
     (0..RUNS).map(run).fold(f64::MAX, f64::min)
 }
 
-fn assert_in_proportion<T>(prepare: impl Fn(u32) -> T, act: impl Fn(u32, &mut T)) {
-    let short = cost(SHORT, &prepare, &act);
-    let long = cost(LONG, &prepare, &act);
+fn assert_linear_cost<T>(prepare: impl Fn(u32) -> T, operation: impl Fn(u32, &mut T)) {
+    let short = cost(SHORT_LIST, &prepare, &operation);
+    let long = cost(LONG_LIST, &prepare, &operation);
     let growth = long / short;
     assert!(
-        growth < GROWTH_MOST,
-        "{short:.6} s for {SHORT}, {long:.6} s for {LONG}: {growth:.1} times"
+        growth < MAX_GROWTH,
+        "{short:.6} s for {SHORT_LIST}, {long:.6} s for {LONG_LIST}: {growth:.1} times"
     );
 }
 
-/// One of a hundred nodes, each of which has a part of the list.
-fn node() -> Balancer {
-    let mut s = settings(vec![class(Idempotency::Idempotent)]);
-    (s.node_count, s.node_index, s.has_server_weights) = (100, Some(3), true);
-    s.tenants = vec![Tenant { quota: 2000.0 }];
-    Balancer::new(s, 1, 0.0).expect("usable settings")
+/// One of a hundred balancers, each of which has a subset of the list.
+fn balancer() -> Balancer {
+    let settings = Settings {
+        node_count: 100,
+        node_index: Some(3),
+        has_server_weights: true,
+        tenants: vec![Tenant { quota: 2000.0 }],
+        ..settings(vec![class(Idempotency::Idempotent)])
+    };
+    Balancer::new(settings, 1, 0.0).expect("usable settings")
 }
 
-fn server(n: u32) -> Endpoint {
+fn server(id: ServerId) -> Endpoint {
     Endpoint {
-        machine_type: (n % 5) as MachineTypeId,
-        weight: 1.0 + f64::from(n % 3),
-        ..entry(n)
+        machine_type: (id % 5) as MachineTypeId,
+        weight: 1.0 + f64::from(id % 3),
+        ..entry(id)
     }
 }
 
-fn gone(n: u32) -> Endpoint {
+fn removed(id: ServerId) -> Endpoint {
     Endpoint {
         state: ServerState::Removed,
-        ..server(n)
+        ..server(id)
     }
 }
 
-fn tell(node: &mut Balancer, list: UpdateKind, entries: Vec<Endpoint>) {
-    node.handle(
-        1.0,
-        Event::EndpointUpdate {
-            kind: list,
-            endpoints: entries,
-        },
-        &mut vec![],
-    );
+fn update(balancer: &mut Balancer, kind: UpdateKind, endpoints: Vec<Endpoint>) {
+    let event = Event::EndpointUpdate { kind, endpoints };
+    balancer.handle(1.0, event, &mut vec![]);
 }
 
-fn listed(servers: u32) -> Balancer {
-    let mut node = node();
-    tell(
-        &mut node,
-        UpdateKind::Cached,
-        (0..servers).map(server).collect(),
-    );
-    node
+fn balancer_with_list(servers: u32) -> Balancer {
+    let mut balancer = balancer();
+    let list = (0..servers).map(server).collect();
+    update(&mut balancer, UpdateKind::Cached, list);
+    balancer
 }
 
 #[test]
-fn a_whole_list() {
-    assert_in_proportion(
-        |_| node(),
-        |servers, node| tell(node, UpdateKind::Cached, (0..servers).map(server).collect()),
+fn initial_list_has_linear_cost() {
+    assert_linear_cost(
+        |_| balancer(),
+        |servers, balancer| {
+            update(
+                balancer,
+                UpdateKind::Cached,
+                (0..servers).map(server).collect(),
+            );
+        },
     );
 }
 
 #[test]
-fn a_whole_list_of_other_servers() {
-    assert_in_proportion(listed, |servers, node| {
-        tell(
-            node,
+fn snapshot_of_other_servers_has_linear_cost() {
+    assert_linear_cost(balancer_with_list, |servers, balancer| {
+        update(
+            balancer,
             UpdateKind::Snapshot,
             (servers..2 * servers).map(server).collect(),
         );
@@ -113,10 +119,10 @@
 }
 
 #[test]
-fn a_change_in_which_many_join() {
-    assert_in_proportion(listed, |servers, node| {
-        tell(
-            node,
+fn delta_with_many_added_servers_has_linear_cost() {
+    assert_linear_cost(balancer_with_list, |servers, balancer| {
+        update(
+            balancer,
             UpdateKind::Delta,
             (servers..2 * servers).map(server).collect(),
         );
@@ -124,21 +130,25 @@
 }
 
 #[test]
-fn a_change_in_which_many_leave() {
-    assert_in_proportion(listed, |servers, node| {
-        tell(node, UpdateKind::Delta, (0..servers).map(gone).collect());
+fn delta_with_many_removed_servers_has_linear_cost() {
+    assert_linear_cost(balancer_with_list, |servers, balancer| {
+        update(
+            balancer,
+            UpdateKind::Delta,
+            (0..servers).map(removed).collect(),
+        );
     });
 }
 
 #[test]
-fn a_change_in_which_many_restart() {
-    assert_in_proportion(listed, |servers, node| {
-        let restarted = |n| Endpoint {
+fn delta_with_many_restarted_servers_has_linear_cost() {
+    assert_linear_cost(balancer_with_list, |servers, balancer| {
+        let restarted = |id| Endpoint {
             started_at: 0.5,
-            ..server(n)
+            ..server(id)
         };
-        tell(
-            node,
+        update(
+            balancer,
             UpdateKind::Delta,
             (0..servers).map(restarted).collect(),
         );
@@ -146,67 +156,69 @@
 }
 
 #[test]
-fn a_change_in_which_some_leave_as_others_join() {
-    assert_in_proportion(listed, |servers, node| {
-        let turns =
-            (0..servers).flat_map(|n| [gone(n), server(servers + n), server(2 * servers + n)]);
-        tell(node, UpdateKind::Delta, turns.collect());
+fn delta_with_removed_and_added_servers_has_linear_cost() {
+    assert_linear_cost(balancer_with_list, |servers, balancer| {
+        let changes = (0..servers)
+            .flat_map(|id| [removed(id), server(servers + id), server(2 * servers + id)]);
+        update(balancer, UpdateKind::Delta, changes.collect());
     });
 }
 
 #[test]
-fn what_another_has_learned() {
+fn adoption_of_learned_state_has_linear_cost() {
     let prepare = |servers| {
-        let node = listed(servers);
-        let learned = node.learned(1.0);
-        (node, learned)
+        let balancer = balancer_with_list(servers);
+        let learned = balancer.learned(1.0);
+        (balancer, learned)
     };
-    assert_in_proportion(prepare, |_, (node, learned)| node.adopt(1.0, learned));
+    assert_linear_cost(prepare, |_, (balancer, learned)| {
+        balancer.adopt(1.0, learned);
+    });
 }
 
 /// A module that decides nothing.
-struct Idle;
+struct IdleModule;
 
-impl DecisionModule for Idle {
+impl DecisionModule for IdleModule {
     fn handle(&mut self, _: Time, _: Event, _: &mut Vec<Action>) {}
 }
 
-struct Test;
+struct TestHost;
 
-impl Host for Test {
+impl Host for TestHost {
     type Payload = ();
     type Reply = ();
     type Address = u32;
     type Answer = ();
 }
 
-fn at(n: u32, address: u32) -> AddressedEndpoint<u32> {
+fn at_address(id: ServerId, address: u32) -> AddressedEndpoint<u32> {
     AddressedEndpoint {
-        endpoint: server(n),
+        endpoint: server(id),
         address,
     }
 }
 
-fn engine(servers: u32) -> Engine<Test, Idle> {
-    let mut engine = Engine::new(Idle, &[], 1);
+fn engine_with_list(servers: u32) -> Engine<TestHost, IdleModule> {
+    let mut engine = Engine::new(IdleModule, &[], 1);
     engine.update_endpoints(
         0.0,
         UpdateKind::Snapshot,
-        (0..servers).map(|n| at(n, n)).collect(),
+        (0..servers).map(|id| at_address(id, id)).collect(),
         &mut vec![],
     );
     engine
 }
 
 #[test]
-fn a_whole_list_in_the_engine() {
-    assert_in_proportion(
-        |_| engine(0),
+fn initial_list_in_the_engine_has_linear_cost() {
+    assert_linear_cost(
+        |_| engine_with_list(0),
         |servers, engine| {
             engine.update_endpoints(
                 0.0,
                 UpdateKind::Snapshot,
-                (0..servers).map(|n| at(n, n)).collect(),
+                (0..servers).map(|id| at_address(id, id)).collect(),
                 &mut vec![],
             );
         },
@@ -214,98 +226,133 @@
 }
 
 #[test]
-fn new_servers_at_the_addresses_of_others() {
-    assert_in_proportion(engine, |servers, engine| {
-        let new = (0..servers).map(|n| at(servers + n, n)).collect();
-        engine.update_endpoints(1.0, UpdateKind::Delta, new, &mut vec![]);
+fn new_servers_at_reused_addresses_have_linear_cost() {
+    assert_linear_cost(engine_with_list, |servers, engine| {
+        let replacements = (0..servers)
+            .map(|id| at_address(servers + id, id))
+            .collect();
+        engine.update_endpoints(1.0, UpdateKind::Delta, replacements, &mut vec![]);
         assert!(!engine.is_listed(0) && engine.is_listed(servers));
     });
 }
 
 #[test]
-fn numbers_that_are_free_again() {
+fn release_of_quarantined_ids_has_linear_cost() {
     let prepare = |servers| {
-        let mut engine = engine(servers);
+        let mut engine = engine_with_list(servers);
         engine.update_endpoints(1.0, UpdateKind::Snapshot, vec![], &mut vec![]);
         engine
     };
-    assert_in_proportion(prepare, |servers, engine| {
-        let mut out = vec![];
+    assert_linear_cost(prepare, |servers, engine| {
+        let mut commands = vec![];
         engine.update_endpoints(
             1.0 + 2.0 * SERVER_ID_QUARANTINE,
             UpdateKind::Delta,
             vec![],
-            &mut out,
+            &mut commands,
         );
-        let released = out
+        let released = commands
             .iter()
-            .filter(|c| matches!(c, Command::ReleaseServerId { .. }))
+            .filter(|command| matches!(command, Command::ReleaseServerId { .. }))
             .count();
         assert_eq!(released, servers as usize);
     });
 }
 
-/// Servers whose numbers are ever new, each replaced by another.
+/// An engine and a balancer of its own, both with the same list.
+struct ListedServers {
+    engine: Engine<TestHost, IdleModule>,
+    balancer: Balancer,
+}
+
 #[test]
-fn a_churn_of_new_numbers() {
-    let act = |servers: u32, (engine, node): &mut (Engine<Test, Idle>, Balancer)| {
+fn repeated_replacement_by_servers_with_new_ids_has_linear_cost() {
+    let prepare = |servers| ListedServers {
+        engine: engine_with_list(servers),
+        balancer: balancer_with_list(servers),
+    };
+    assert_linear_cost(prepare, |servers, listed| {
         for round in 1..4 {
-            let (old, new) = ((round - 1) * servers, round * servers);
+            let (first_old, first_new) = ((round - 1) * servers, round * servers);
             let now = 2.0 * SERVER_ID_QUARANTINE * f64::from(round);
-            let places = (0..servers).map(|n| at(new + n, n)).collect();
-            engine.update_endpoints(now, UpdateKind::Delta, places, &mut vec![]);
-            let turns = (0..servers).flat_map(|n| [gone(old + n), server(new + n)]);
-            tell(node, UpdateKind::Delta, turns.collect());
+            let replacements = (0..servers)
+                .map(|index| at_address(first_new + index, index))
+                .collect();
+            listed
+                .engine
+                .update_endpoints(now, UpdateKind::Delta, replacements, &mut vec![]);
+            let changes = (0..servers)
+                .flat_map(|index| [removed(first_old + index), server(first_new + index)]);
+            update(&mut listed.balancer, UpdateKind::Delta, changes.collect());
         }
-    };
-    assert_in_proportion(|servers| (engine(servers), listed(servers)), act);
+    });
 }
 
-#[test]
-fn a_number_that_is_used_again_is_not_released() {
-    let mut engine = engine(2);
-    let mut released = |now: Time, list: UpdateKind, places: Vec<AddressedEndpoint<u32>>| {
-        let mut out = vec![];
-        engine.update_endpoints(now, list, places, &mut out);
-        let of = |c: &Command<Test>| match c {
+/// The identifiers that the engine releases at an update.
+fn released_ids(
+    engine: &mut Engine<TestHost, IdleModule>,
+    now: Time,
+    kind: UpdateKind,
+    endpoints: Vec<AddressedEndpoint<u32>>,
+) -> Vec<ServerId> {
+    let mut commands = vec![];
+    engine.update_endpoints(now, kind, endpoints, &mut commands);
+    commands
+        .iter()
+        .filter_map(|command| match command {
             Command::ReleaseServerId { server } => Some(*server),
             _ => None,
-        };
-        out.iter().filter_map(of).collect::<Vec<ServerId>>()
-    };
+        })
+        .collect()
+}
+
+#[test]
+fn reused_id_is_not_released() {
+    let mut engine = engine_with_list(2);
+    let mut released = |now, kind, endpoints| released_ids(&mut engine, now, kind, endpoints);
     assert!(released(1.0, UpdateKind::Snapshot, vec![]).is_empty());
-    assert!(released(2.0, UpdateKind::Snapshot, vec![at(0, 0)]).is_empty());
+    assert!(released(2.0, UpdateKind::Snapshot, vec![at_address(0, 0)]).is_empty());
     assert!(released(20.0, UpdateKind::Snapshot, vec![]).is_empty());
-    // The first rest of number 0 is over, its second is not.
+    // The first quarantine of identifier 0 is over, its second is not.
     assert_eq!(released(35.0, UpdateKind::Delta, vec![]), [1]);
     assert_eq!(released(55.0, UpdateKind::Delta, vec![]), [0]);
 }
 
-#[test]
-fn of_servers_at_one_address_the_one_named_last_stays() {
-    struct Told(std::rc::Rc<std::cell::RefCell<Vec<(ServerId, ServerState)>>>);
-    impl DecisionModule for Told {
-        fn handle(&mut self, _: Time, event: Event, _: &mut Vec<Action>) {
-            if let Event::EndpointUpdate {
-                endpoints: entries, ..
-            } = event
-            {
-                *self.0.borrow_mut() = entries.iter().map(|e| (e.server, e.state)).collect();
-            }
+type EndpointStates = Rc<RefCell<Vec<(ServerId, ServerState)>>>;
+
+/// Records the endpoints of the last update.
+struct RecordingModule(EndpointStates);
+
+impl DecisionModule for RecordingModule {
+    fn handle(&mut self, _: Time, event: Event, _: &mut Vec<Action>) {
+        if let Event::EndpointUpdate { endpoints, .. } = event {
+            *self.0.borrow_mut() = endpoints
+                .iter()
+                .map(|endpoint| (endpoint.server, endpoint.state))
+                .collect();
         }
     }
-    let told = std::rc::Rc::default();
-    let mut engine: Engine<Test, Told> = Engine::new(Told(std::rc::Rc::clone(&told)), &[], 1);
-    let (up, gone) = (ServerState::Up, ServerState::Removed);
-    let places = vec![at(1, 7), at(2, 7), at(1, 7), at(3, 8)];
-    engine.update_endpoints(0.0, UpdateKind::Snapshot, places, &mut vec![]);
-    assert_eq!(*told.borrow(), [(1, gone), (2, gone), (1, up), (3, up)]);
-    // One that moves to another address leaves its old one to others.
-    engine.update_endpoints(
-        1.0,
-        UpdateKind::Delta,
-        vec![at(3, 9), at(4, 8), at(5, 9)],
-        &mut vec![],
+}
+
+#[test]
+fn last_server_at_an_address_replaces_the_others() {
+    let recorded = EndpointStates::default();
+    let module = RecordingModule(Rc::clone(&recorded));
+    let mut engine: Engine<TestHost, RecordingModule> = Engine::new(module, &[], 1);
+    let (up, removed) = (ServerState::Up, ServerState::Removed);
+    let endpoints = vec![
+        at_address(1, 7),
+        at_address(2, 7),
+        at_address(1, 7),
+        at_address(3, 8),
+    ];
+    engine.update_endpoints(0.0, UpdateKind::Snapshot, endpoints, &mut vec![]);
+    assert_eq!(
+        *recorded.borrow(),
+        [(1, removed), (2, removed), (1, up), (3, up)]
     );
-    assert_eq!(*told.borrow(), [(4, up), (3, gone), (5, up)]);
+    // A server that moves to another address leaves its old one to others.
+    let endpoints = vec![at_address(3, 9), at_address(4, 8), at_address(5, 9)];
+    engine.update_endpoints(1.0, UpdateKind::Delta, endpoints, &mut vec![]);
+    assert_eq!(*recorded.borrow(), [(4, up), (3, removed), (5, up)]);
 }
