--- a/crates/balancer/tests/overload.rs
+++ b/crates/balancer/tests/overload.rs
@@ -1,122 +1,151 @@
-//! Admission, repeats and cold servers when there is more work than the servers can do.
+//! Admission, retries and slow start when there is more work than the servers can do.
 
 mod common;
 
 use common::{class, entry, settings, Node};
-use reelfall_balancer::interface::*;
+use reelfall_balancer::interface::{
+    ClassId, Endpoint, Idempotency, MachineTypeId, Outcome, ServerId, Time, UpdateKind,
+};
 
-/// A node that sees some thirteen requests a second, and has seen them answered in 30 ms for a while.
-fn at_rest(servers: u32) -> Node {
+const CLASS: ClassId = 0;
+const DEADLINE: Time = 0.6;
+const QUICK_RESPONSE: Time = 0.03;
+/// Just within the latency objective of the settings, and taken for a sign of overload.
+const LATE_RESPONSE: Time = 0.19;
+/// Between a response and the next request.
+const REQUEST_DELAY: Time = 0.045;
+
+/// A node with some thirteen requests a second, all of which have had quick responses for a while.
+fn node_with_low_load(servers: u32) -> Node {
     let mut node = Node::new(settings(vec![class(Idempotency::Idempotent)]), servers);
-    answers(&mut node, 60, 0.03);
+    run_requests(&mut node, 60, QUICK_RESPONSE);
     node
 }
 
-/// So many requests, one after another, each answered after so long.
-fn answers(node: &mut Node, number: u32, takes: Time) {
-    for _ in 0..number {
-        let (id, server) = node.request(0, None, 0.6);
-        node.now += takes;
+/// Runs requests one after another.
+fn run_requests(node: &mut Node, requests: u32, response_time: Time) {
+    for _ in 0..requests {
+        let (request, server) = node.request(CLASS, None, DEADLINE);
+        node.now += response_time;
         if let Some(server) = server {
-            node.end(id, 0, server, Outcome::Served, takes);
+            node.end(request, 0, server, Outcome::Served, response_time);
         }
-        node.now += 0.045;
+        node.now += REQUEST_DELAY;
         node.sweep();
     }
 }
 
-fn admit(node: &Node) -> f64 {
+fn admitted_fraction(node: &Node) -> f64 {
     node.balancer.learned(node.now).admitted_share
 }
 
 #[test]
-fn a_second_of_late_answers_cuts_admission_though_a_node_sees_few() {
-    let mut node = at_rest(12);
-    assert_eq!(admit(&node), 1.0);
-    answers(&mut node, 6, 0.19);
-    assert!(admit(&node) < 0.9, "{}", admit(&node));
-    // What was cut comes back while answers are in time.
-    answers(&mut node, 60, 0.03);
-    assert_eq!(admit(&node), 1.0);
+fn late_responses_lower_admission_at_low_request_rates() {
+    let mut node = node_with_low_load(12);
+    assert_eq!(admitted_fraction(&node), 1.0);
+    run_requests(&mut node, 6, LATE_RESPONSE);
+    assert!(
+        admitted_fraction(&node) < 0.9,
+        "{}",
+        admitted_fraction(&node)
+    );
+    // Admission recovers with quick responses.
+    run_requests(&mut node, 60, QUICK_RESPONSE);
+    assert_eq!(admitted_fraction(&node), 1.0);
 }
 
 #[test]
-fn one_late_answer_among_many_costs_nobody_a_refusal() {
-    let mut node = at_rest(12);
+fn single_late_responses_do_not_lower_admission() {
+    let mut node = node_with_low_load(12);
     for _ in 0..20 {
-        answers(&mut node, 1, 0.19);
-        assert_eq!(admit(&node), 1.0);
-        answers(&mut node, 19, 0.03);
+        run_requests(&mut node, 1, LATE_RESPONSE);
+        assert_eq!(admitted_fraction(&node), 1.0);
+        run_requests(&mut node, 19, QUICK_RESPONSE);
     }
 }
 
 #[test]
-fn lost_capacity_lowers_what_is_admitted_under_pressure_and_not_at_rest() {
-    let mut quiet = at_rest(12);
-    quiet.members(UpdateKind::Snapshot, (0..4).map(entry).collect());
-    assert_eq!(admit(&quiet), 1.0);
-    let mut pressed = at_rest(12);
-    answers(&mut pressed, 8, 0.19);
-    let before = admit(&pressed);
-    pressed.members(UpdateKind::Snapshot, (0..8).map(entry).collect());
+fn lost_capacity_lowers_admission_only_under_overload() {
+    let mut idle = node_with_low_load(12);
+    idle.members(UpdateKind::Snapshot, (0..4).map(entry).collect());
+    assert_eq!(admitted_fraction(&idle), 1.0);
+    let mut overloaded = node_with_low_load(12);
+    run_requests(&mut overloaded, 8, LATE_RESPONSE);
+    let before = admitted_fraction(&overloaded);
+    overloaded.members(UpdateKind::Snapshot, (0..8).map(entry).collect());
     assert!(
-        before < 1.0 && admit(&pressed) < 0.9 * before,
+        before < 1.0 && admitted_fraction(&overloaded) < 0.9 * before,
         "{before} {}",
-        admit(&pressed)
+        admitted_fraction(&overloaded)
     );
 }
 
 #[test]
-fn a_node_that_sees_little_saves_few_repeats_for_the_moment_when_servers_are_full() {
-    let mut node = at_rest(12);
-    let mut repeats = 0;
+fn retry_budget_of_a_node_with_low_load_is_small() {
+    let mut node = node_with_low_load(12);
+    let mut retries = 0;
     for _ in 0..12 {
-        let (id, server) = node.request(0, None, 0.6);
+        let (request, server) = node.request(CLASS, None, DEADLINE);
         let Some(server) = server else { continue };
-        node.end(id, 0, server, Outcome::Rejected, 0.001);
+        node.end(request, 0, server, Outcome::Rejected, 0.001);
         if let Some(next) = node.sent() {
-            repeats += 1;
-            node.end(id, 1, next, Outcome::Served, 0.001);
+            retries += 1;
+            node.end(request, 1, next, Outcome::Served, 0.001);
         }
     }
-    // A second's worth is under three; two and a half more are earned on the way.
-    assert!((1..=6).contains(&repeats), "{repeats}");
+    // The budget of one second is below three; the twelve requests add two and a half.
+    assert!((1..=6).contains(&retries), "{retries}");
 }
 
-#[test]
-fn a_cold_server_of_a_slow_kind_is_sent_less_than_one_of_a_fast_kind() {
-    let kind = |server: ServerId, ready_at| Endpoint {
-        machine_type: (server % 2) as MachineTypeId,
-        started_at: ready_at,
+const FAST_MACHINE_TYPE: MachineTypeId = 0;
+const MACHINE_TYPES: u32 = 2;
+
+/// Even identifiers are of the fast machine type, odd ones of the slow one.
+fn machine_type(server: ServerId) -> MachineTypeId {
+    (server % MACHINE_TYPES) as MachineTypeId
+}
+
+fn endpoint_started_at(server: ServerId, started_at: Time) -> Endpoint {
+    Endpoint {
+        machine_type: machine_type(server),
+        started_at,
         ..entry(server)
-    };
+    }
+}
+
+#[test]
+fn slow_start_credit_is_lower_for_a_slow_machine_type() {
+    const NEW_FAST_SERVER: ServerId = 20;
+    const NEW_SLOW_SERVER: ServerId = 21;
     let mut node = Node::new(settings(vec![class(Idempotency::Idempotent)]), 0);
-    node.members(UpdateKind::Snapshot, (0..8).map(|n| kind(n, 0.0)).collect());
+    let long_running = (0..8)
+        .map(|server| endpoint_started_at(server, 0.0))
+        .collect();
+    node.members(UpdateKind::Snapshot, long_running);
     for _ in 0..400 {
-        let (id, server) = node.request(0, None, 0.6);
-        let server = server.expect("a sound fleet takes every request");
-        node.now += if server % 2 == 0 { 0.02 } else { 0.06 };
-        node.end(id, 0, server, Outcome::Served, 0.0);
+        let (request, server) = node.request(CLASS, None, DEADLINE);
+        let server = server.expect("healthy servers get every request");
+        let is_fast = machine_type(server) == FAST_MACHINE_TYPE;
+        node.now += if is_fast { 0.02 } else { 0.06 };
+        node.end(request, 0, server, Outcome::Served, 0.0);
         node.sweep();
     }
-    let now = node.now;
-    node.members(UpdateKind::Delta, vec![kind(20, now), kind(21, now)]);
+    let started = [NEW_FAST_SERVER, NEW_SLOW_SERVER]
+        .map(|server| endpoint_started_at(server, node.now))
+        .to_vec();
+    node.members(UpdateKind::Delta, started);
     for _ in 0..200 {
         node.now += 0.01;
         node.sweep();
     }
     let learned = node.balancer.learned(node.now);
-    let budget = |n: ServerId| {
+    let credit = |id: ServerId| {
         learned
             .servers
             .iter()
-            .find(|s| s.hash == entry(n).hash)
-            .map_or(0.0, |s| s.slow_start_credit)
+            .find(|server| server.hash == entry(id).hash)
+            .map_or(0.0, |server| server.slow_start_credit)
     };
-    assert!(
-        budget(21) > 0.0 && budget(20) > 2.0 * budget(21),
-        "{} {}",
-        budget(20),
-        budget(21)
-    );
+    let (fast, slow) = (credit(NEW_FAST_SERVER), credit(NEW_SLOW_SERVER));
+    assert!(slow > 0.0 && fast > 2.0 * slow, "{fast} {slow}");
 }
