--- a/crates/balancer/tests/doubt.rs
+++ b/crates/balancer/tests/doubt.rs
@@ -1,149 +1,180 @@
-//! What a node makes of servers that it has not heard, or not since they failed, where it meets each of them rarely.
+//! Servers that have not responded yet, or not since they failed, at a node that rarely sends to each of them.
 
 mod common;
 
 use common::{class, entry, settings, Node};
-use reelfall_balancer::interface::*;
+use reelfall_balancer::interface::{
+    Action, Class, ClassId, Event, Idempotency, LearnedState, Outcome, RequestId, ServerId, Time,
+};
 use std::collections::BTreeMap;
 
-fn two() -> Vec<Class> {
+const IDEMPOTENT_CLASS: ClassId = 0;
+const AT_MOST_ONCE_CLASS: ClassId = 1;
+
+const DEADLINE: Time = 0.6;
+const RESPONSE_TIME: Time = 0.02;
+
+/// One class for each of the class constants.
+fn classes() -> Vec<Class> {
     vec![
         class(Idempotency::Idempotent),
         class(Idempotency::AtMostOnce),
     ]
 }
 
-fn timeout(node: &Node) -> Option<Time> {
-    node.actions.iter().find_map(|a| match a {
+fn attempt_timeout(node: &Node) -> Option<Time> {
+    node.actions.iter().find_map(|action| match action {
         Action::Attempt { timeout, .. } => *timeout,
         _ => None,
     })
 }
 
-/// Has every server answer once.
-fn heard(node: &mut Node, servers: u32) {
-    let mut unheard: Vec<ServerId> = (0..servers).collect();
-    while !unheard.is_empty() {
-        let (id, server) = node.request(0, None, 0.6);
+/// Runs requests until every server has responded.
+fn get_response_of_each(node: &mut Node, servers: u32) {
+    let mut without_response: Vec<ServerId> = (0..servers).collect();
+    while !without_response.is_empty() {
+        let (request, server) = node.request(IDEMPOTENT_CLASS, None, DEADLINE);
         let server = server.expect("a server");
-        node.now += 0.02;
-        node.end(id, 0, server, Outcome::Served, 0.02);
-        unheard.retain(|s| *s != server);
+        node.now += RESPONSE_TIME;
+        node.end(request, 0, server, Outcome::Served, RESPONSE_TIME);
+        without_response.retain(|other| *other != server);
     }
 }
 
-/// The server answers, or its client leaves before it could.
-fn end_or_leave(node: &mut Node, id: RequestId, server: ServerId, answers: bool) {
-    if answers {
-        return node.end(id, 0, server, Outcome::Served, 0.02);
+/// The server responds, or the client disconnects first.
+fn respond_or_disconnect(
+    node: &mut Node,
+    request: RequestId,
+    server: ServerId,
+    does_respond: bool,
+) {
+    if does_respond {
+        return node.end(request, 0, server, Outcome::Served, RESPONSE_TIME);
     }
-    node.tell(Event::ClientGone { request: id });
-    node.end(id, 0, server, Outcome::Cancelled, 0.02);
+    node.tell(Event::ClientGone { request });
+    node.end(request, 0, server, Outcome::Cancelled, RESPONSE_TIME);
 }
 
 #[test]
-fn an_attempt_is_given_up_early_at_a_server_in_doubt_and_late_at_a_sound_one() {
-    let mut node = Node::new(settings(two()), 4);
-    let (id, server) = node.request(0, None, 0.6);
-    // Nobody has heard this server yet.
-    let doubt = timeout(&node).expect("a time-out");
-    assert!(doubt < 0.3, "{doubt}");
-    node.end(id, 0, server.expect("a server"), Outcome::Served, 0.02);
-    heard(&mut node, 4);
-    node.request(0, None, 0.6);
-    // Under load, an attempt given up at a sound server runs on and makes the load worse; one that has just frozen
-    // must leave another its time.
-    let sound = timeout(&node).expect("a time-out");
-    assert!(sound > 0.4 && sound < 0.6 - 0.02, "{sound}");
+fn attempt_timeout_is_short_before_the_first_response_of_a_server_and_long_after_it() {
+    let mut node = Node::new(settings(classes()), 4);
+    let (request, server) = node.request(IDEMPOTENT_CLASS, None, DEADLINE);
+    let without_response = attempt_timeout(&node).expect("a timeout");
+    assert!(without_response < 0.3, "{without_response}");
+    node.end(
+        request,
+        0,
+        server.expect("a server"),
+        Outcome::Served,
+        RESPONSE_TIME,
+    );
+    get_response_of_each(&mut node, 4);
+    node.request(IDEMPOTENT_CLASS, None, DEADLINE);
+    // Under load, a timed-out attempt keeps running at a healthy server and adds to the load. If the server has just
+    // stalled, there must be time for a retry.
+    let with_response = attempt_timeout(&node).expect("a timeout");
+    assert!(
+        with_response > 0.4 && with_response < 0.6 - 0.02,
+        "{with_response}"
+    );
 }
 
 #[test]
-fn what_must_not_run_twice_goes_where_an_answer_came_from() {
-    let mut node = Node::new(settings(two()), 10);
-    let mut good = BTreeMap::new();
-    // Half of the list has answered.
+fn at_most_once_requests_prefer_servers_that_have_responded() {
+    /// The servers below this one respond, the others never do.
+    const FIRST_SILENT_SERVER: ServerId = 5;
+    let mut node = Node::new(settings(classes()), 10);
+    let mut responding = BTreeMap::new();
     for _ in 0..400 {
-        let (id, server) = node.request(0, None, 0.6);
+        let (request, server) = node.request(IDEMPOTENT_CLASS, None, DEADLINE);
         let server = server.expect("a server");
         node.now += 0.05;
-        let answers = server < 5;
-        end_or_leave(&mut node, id, server, answers);
-        good.insert(server, answers);
+        let does_respond = server < FIRST_SILENT_SERVER;
+        respond_or_disconnect(&mut node, request, server, does_respond);
+        responding.insert(server, does_respond);
     }
     assert!(
-        good.values().any(|g| *g) && good.values().any(|g| !*g),
-        "{good:?}"
+        responding.values().any(|does_respond| *does_respond)
+            && responding.values().any(|does_respond| !*does_respond),
+        "{responding:?}"
     );
-    let mut to_unheard = [0.0; 2];
-    for n in 0..1000 {
-        let class = n % 2;
-        let (id, server) = node.request(class, None, 0.6);
+    let mut silent_fraction = [0.0; 2];
+    for index in 0..1000 {
+        let class = index % 2;
+        let (request, server) = node.request(class, None, DEADLINE);
         let server = server.expect("a server");
         node.now += 0.05;
-        to_unheard[usize::from(class)] += f64::from(u8::from(server >= 5)) / 500.0;
-        end_or_leave(&mut node, id, server, server < 5);
+        let does_respond = server < FIRST_SILENT_SERVER;
+        silent_fraction[usize::from(class)] += f64::from(u8::from(!does_respond)) / 500.0;
+        respond_or_disconnect(&mut node, request, server, does_respond);
     }
-    assert!(to_unheard[1] < 0.5 * to_unheard[0], "{to_unheard:?}");
+    let [idempotent, at_most_once] = silent_fraction;
+    assert!(at_most_once < 0.5 * idempotent, "{silent_fraction:?}");
+}
+
+/// Marks four of twenty servers as ejected: as many as may be ejected for a fault common to all.
+fn eject_four(node: &mut Node) {
+    let mut learned = node.balancer.learned(node.now);
+    for server in &mut learned.servers {
+        if (0..4).any(|ejected| server.hash == entry(ejected).hash) {
+            server.ejected_for = 60.0;
+        }
+    }
+    node.balancer.adopt(node.now, &learned);
+}
+
+fn is_ejected(learned: &LearnedState, server: ServerId) -> bool {
+    learned
+        .servers
+        .iter()
+        .find(|learned| learned.hash == entry(server).hash)
+        .expect("the server is listed")
+        .ejected_for
+        > 0.0
 }
 
 #[test]
-fn a_server_that_cannot_be_reached_is_left_out_though_a_fifth_of_the_list_is() {
-    for (outcome, out) in [
+fn unreachable_server_is_ejected_beyond_the_ejection_cap() {
+    const FAULTY_SERVER: ServerId = 10;
+    for (outcome, expects_ejection) in [
         (Outcome::ConnectFailed, true),
         (Outcome::ConnectionLost, false),
     ] {
-        let mut node = Node::new(settings(two()), 20);
-        let hash = |n: u32| entry(n).hash;
-        let mut failed = 0;
-        while failed < 2 {
+        let mut node = Node::new(settings(classes()), 20);
+        let mut failures = 0;
+        while failures < 2 {
             node.now += 0.3;
-            // Four of twenty are out at any time: as many as a trouble common to all may put out.
-            let mut learned = node.balancer.learned(node.now);
-            let four = |s: &&mut LearnedServer| (0..4).any(|n| s.hash == hash(n));
-            learned
-                .servers
-                .iter_mut()
-                .filter(four)
-                .for_each(|s| s.ejected_for = 60.0);
-            node.balancer.adopt(node.now, &learned);
-            let (id, server) = node.request(1, None, 0.6);
+            eject_four(&mut node);
+            let (request, server) = node.request(AT_MOST_ONCE_CLASS, None, DEADLINE);
             let server = server.expect("a server");
-            failed += u32::from(server == 10);
-            node.end(
-                id,
-                0,
-                server,
-                if server == 10 {
-                    outcome
-                } else {
-                    Outcome::Served
-                },
-                0.0,
-            );
+            let is_faulty = server == FAULTY_SERVER;
+            failures += u32::from(is_faulty);
+            let outcome = if is_faulty { outcome } else { Outcome::Served };
+            node.end(request, 0, server, outcome, 0.0);
             if let Some(next) = node.sent() {
-                node.end(id, 1, next, Outcome::Served, 0.0);
+                node.end(request, 1, next, Outcome::Served, 0.0);
             }
         }
-        let after = node.balancer.learned(node.now);
-        let it = after
-            .servers
-            .iter()
-            .find(|s| s.hash == hash(10))
-            .expect("it is listed");
-        assert_eq!(it.ejected_for > 0.0, out, "{outcome:?}");
+        let learned = node.balancer.learned(node.now);
+        assert_eq!(
+            is_ejected(&learned, FAULTY_SERVER),
+            expects_ejection,
+            "{outcome:?}"
+        );
     }
 }
 
-/// Admission after half a second in which every server that is asked says nothing.
-fn admission_after_silence(heard_before: bool) -> f64 {
-    let mut node = Node::new(settings(two()), 200);
-    if heard_before {
-        heard(&mut node, 200);
+/// The admitted fraction after half a second without any response.
+fn admission_after_silence(have_responded_before: bool) -> f64 {
+    const SERVERS: u32 = 200;
+    let mut node = Node::new(settings(classes()), SERVERS);
+    if have_responded_before {
+        get_response_of_each(&mut node, SERVERS);
     }
-    for n in 0..60 {
+    for index in 0..60 {
         node.now += 0.01;
-        node.request(1, None, 0.6);
-        if n % 5 == 0 {
+        node.request(AT_MOST_ONCE_CLASS, None, DEADLINE);
+        if index % 5 == 0 {
             node.sweep();
         }
     }
@@ -151,10 +182,10 @@
 }
 
 #[test]
-fn the_silence_of_servers_that_never_answered_is_no_load_and_that_of_sound_ones_is() {
+fn silence_lowers_admission_only_for_servers_that_have_responded_before() {
     assert_eq!(admission_after_silence(false), 1.0);
     assert!(
         admission_after_silence(true) < 1.0,
-        "sound servers that fall silent together are overloaded"
+        "healthy servers that are silent together are overloaded"
     );
 }
