--- a/crates/balancer/tests/uploads.rs
+++ b/crates/balancer/tests/uploads.rs
@@ -1,200 +1,266 @@
-//! Requests whose bodies are still on their way, with the real module in virtual time.
+//! Requests with bodies that are still being received, with the real module in virtual time.
 
 mod common;
 
 use common::{class, entry, settings};
 use reelfall_balancer::engine::{AddressedEndpoint, Arrival, Command, Engine, FinalAnswer, Host};
-use reelfall_balancer::interface::*;
+use reelfall_balancer::interface::{
+    ClassId, Idempotency, LearnedState, Outcome, RequestId, ServerId, Time, UpdateKind,
+};
 use reelfall_balancer::Balancer;
 
-struct Test;
+const CLASS: ClassId = 0;
+const SERVERS: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 
-impl Host for Test {
+/// When the body of an upload has to be complete.
+const UPLOAD_DEADLINE: Time = 900.0;
+/// How long after the last byte of its body a response is due.
+const TIME_AFTER_UPLOAD: Time = 0.6;
+
+struct TestHost;
+
+impl Host for TestHost {
     type Payload = ();
     type Reply = u32;
     type Address = u32;
     type Answer = ();
 }
 
-type Out = Vec<Command<Test>>;
+type Commands = Vec<Command<TestHost>>;
 
-fn engine() -> Engine<Test> {
+fn engine() -> Engine<TestHost> {
     let settings = settings(vec![class(Idempotency::AtMostOnce)]);
     let classes = settings.classes.clone();
     let module = Balancer::new(settings, 7, 0.0).expect("usable settings");
-    let mut engine = Engine::new(module, &classes, 4);
-    let places = (0..4)
-        .map(|s| AddressedEndpoint {
-            endpoint: entry(s),
-            address: s,
+    let mut engine = Engine::new(module, &classes, MAX_ATTEMPTS);
+    let endpoints = (0..SERVERS)
+        .map(|server| AddressedEndpoint {
+            endpoint: entry(server),
+            address: server,
         })
         .collect();
-    engine.update_endpoints(0.0, UpdateKind::Snapshot, places, &mut Vec::new());
+    engine.update_endpoints(0.0, UpdateKind::Snapshot, endpoints, &mut Vec::new());
     engine
 }
 
-/// Submits an upload and gives its id, attempt, server and when the attempt ends.
-fn upload(engine: &mut Engine<Test>, out: &mut Out) -> (RequestId, u32, ServerId, Time) {
+/// An attempt that the engine has sent.
+struct SentAttempt {
+    request: RequestId,
+    attempt: u32,
+    server: ServerId,
+    deadline: Time,
+}
+
+/// Submits an upload, and gives its first attempt.
+fn submit_upload(engine: &mut Engine<TestHost>, commands: &mut Commands) -> SentAttempt {
     let arrival = Arrival {
-        class: 0,
+        class: CLASS,
         tenant: None,
         work_hint: None,
         key: None,
-        deadline: 900.0,
-        time_after_upload: Some(0.6),
+        deadline: UPLOAD_DEADLINE,
+        time_after_upload: Some(TIME_AFTER_UPLOAD),
     };
-    engine.submit(0.0, (), 0, arrival, out);
-    sent(out).expect("an attempt")
+    engine.submit(0.0, (), 0, arrival, commands);
+    sent_attempt(commands).expect("an attempt")
 }
 
-fn sent(out: &Out) -> Option<(RequestId, u32, ServerId, Time)> {
-    out.iter().find_map(|c| match c {
+fn sent_attempt(commands: &Commands) -> Option<SentAttempt> {
+    commands.iter().find_map(|command| match command {
         Command::Send {
             request,
             attempt,
             server,
             deadline,
             ..
-        } => Some((*request, *attempt, *server, *deadline)),
+        } => Some(SentAttempt {
+            request: *request,
+            attempt: *attempt,
+            server: *server,
+            deadline: *deadline,
+        }),
         _ => None,
     })
 }
 
-fn answer(out: &Out) -> Option<FinalAnswer<()>> {
-    out.iter().find_map(|c| match c {
+fn final_answer(commands: &Commands) -> Option<FinalAnswer<()>> {
+    commands.iter().find_map(|command| match command {
         Command::Answer { answer, .. } => Some(answer.clone()),
         _ => None,
     })
 }
 
-fn average(engine: &Engine<Test>) -> Vec<f64> {
+fn mean_responses(engine: &Engine<TestHost>) -> Vec<f64> {
     engine.module().automaton().mean_response.clone()
 }
 
 #[test]
-fn a_slow_upload_is_not_held_against_its_server_and_the_answer_is_due_after_the_last_byte() {
-    let (mut engine, mut out) = (engine(), Vec::new());
-    let (id, attempt, _, deadline) = upload(&mut engine, &mut out);
-    assert_eq!(deadline, 900.0);
-    let before = average(&engine);
-    // Sweeps charge whatever is overdue; this is not.
-    for n in 1..=200 {
-        engine.handle_timer(f64::from(n) * 0.1, 0, &mut out);
+fn slow_upload_does_not_count_as_response_time_and_its_response_is_due_after_the_last_byte() {
+    let (mut engine, mut commands) = (engine(), Vec::new());
+    let upload = submit_upload(&mut engine, &mut commands);
+    assert_eq!(upload.deadline, UPLOAD_DEADLINE);
+    let means_before = mean_responses(&engine);
+    // Timers add the time of overdue responses to the means; an upload is not overdue.
+    for tick in 1..=200 {
+        engine.handle_timer(f64::from(tick) * 0.1, 0, &mut commands);
     }
     assert_eq!(
-        average(&engine),
-        before,
-        "a server is charged for its client's slowness"
+        mean_responses(&engine),
+        means_before,
+        "the slowness of a client counts as response time of the server"
+    );
+    assert_eq!(
+        engine.finish_upload(20.0, upload.request, &mut commands),
+        Some(20.0 + TIME_AFTER_UPLOAD)
     );
-    assert_eq!(engine.finish_upload(20.0, id, &mut out), Some(20.6));
     assert_eq!(
-        engine.finish_upload(20.1, id, &mut out),
+        engine.finish_upload(20.1, upload.request, &mut commands),
         None,
-        "the time runs twice"
+        "the response time starts twice"
     );
-    out.clear();
-    engine.end_attempt(20.02, id, attempt, Outcome::Served, Some(()), &mut out);
-    assert_eq!(answer(&out), Some(FinalAnswer::Served(())));
+    commands.clear();
+    engine.end_attempt(
+        20.02,
+        upload.request,
+        upload.attempt,
+        Outcome::Served,
+        Some(()),
+        &mut commands,
+    );
+    assert_eq!(final_answer(&commands), Some(FinalAnswer::Served(())));
     assert!(
-        average(&engine).iter().all(|a| *a < 0.2),
+        mean_responses(&engine).iter().all(|mean| *mean < 0.2),
         "{:?}",
-        average(&engine)
+        mean_responses(&engine)
     );
     assert_eq!(engine.open_requests(), 0);
 }
 
 #[test]
-fn an_upload_goes_elsewhere_only_while_all_of_it_is_here() {
-    for spent in [false, true] {
-        let (mut engine, mut out) = (engine(), Vec::new());
-        let (id, attempt, first, _) = upload(&mut engine, &mut out);
-        if spent {
-            engine.mark_body_consumed(id);
+fn upload_is_retried_only_until_its_body_is_consumed() {
+    for is_consumed in [false, true] {
+        let (mut engine, mut commands) = (engine(), Vec::new());
+        let first = submit_upload(&mut engine, &mut commands);
+        if is_consumed {
+            engine.mark_body_consumed(first.request);
         }
-        out.clear();
-        engine.end_attempt(3.0, id, attempt, Outcome::ConnectFailed, None, &mut out);
-        match sent(&out) {
-            Some((again, _, other, _)) => assert!(!spent && again == id && other != first),
-            // It never ran, and its client is told so.
-            None => assert!(spent && matches!(answer(&out), Some(FinalAnswer::Rejected { .. }))),
+        commands.clear();
+        engine.end_attempt(
+            3.0,
+            first.request,
+            first.attempt,
+            Outcome::ConnectFailed,
+            None,
+            &mut commands,
+        );
+        match sent_attempt(&commands) {
+            Some(retry) => assert!(
+                !is_consumed && retry.request == first.request && retry.server != first.server
+            ),
+            // The request never executed, and its client is notified of that.
+            None => assert!(
+                is_consumed
+                    && matches!(final_answer(&commands), Some(FinalAnswer::Rejected { .. }))
+            ),
         }
     }
 }
 
 #[test]
-fn an_upload_that_may_have_run_is_failed_and_never_refused() {
-    let (mut engine, mut out) = (engine(), Vec::new());
-    let (id, attempt, ..) = upload(&mut engine, &mut out);
-    engine.mark_body_consumed(id);
-    engine.finish_upload(5.0, id, &mut out);
-    out.clear();
-    engine.end_attempt(5.1, id, attempt, Outcome::ConnectionLost, None, &mut out);
+fn upload_that_can_have_executed_fails_and_is_not_rejected() {
+    let (mut engine, mut commands) = (engine(), Vec::new());
+    let upload = submit_upload(&mut engine, &mut commands);
+    engine.mark_body_consumed(upload.request);
+    engine.finish_upload(5.0, upload.request, &mut commands);
+    commands.clear();
+    engine.end_attempt(
+        5.1,
+        upload.request,
+        upload.attempt,
+        Outcome::ConnectionLost,
+        None,
+        &mut commands,
+    );
     assert_eq!(
-        answer(&out),
+        final_answer(&commands),
         Some(FinalAnswer::Failed(Some(Outcome::ConnectionLost)))
     );
-    assert!(sent(&out).is_none());
+    assert!(sent_attempt(&commands).is_none());
 }
 
-#[test]
-fn what_was_learned_goes_from_one_module_to_the_next() {
-    let mut old = engine();
-    let mut out = Vec::new();
-    for n in 0..400 {
-        let now = 0.05 * f64::from(n);
+/// Runs 400 requests within twenty seconds, which one server answers more slowly than the others.
+fn run_requests_with_slow_server(engine: &mut Engine<TestHost>) {
+    const SLOW_SERVER: ServerId = 2;
+    let mut commands = Vec::new();
+    for index in 0..400 {
+        let now = 0.05 * f64::from(index);
         let arrival = Arrival {
-            class: 0,
+            class: CLASS,
             tenant: None,
             work_hint: None,
             key: None,
             deadline: now + 0.6,
             time_after_upload: None,
         };
-        out.clear();
-        old.submit(now, (), 0, arrival, &mut out);
-        let Some((id, attempt, server, _)) = sent(&out) else {
+        commands.clear();
+        engine.submit(now, (), 0, arrival, &mut commands);
+        let Some(sent) = sent_attempt(&commands) else {
             continue;
         };
-        let takes = if server == 2 { 0.12 } else { 0.02 };
-        old.end_attempt(
-            now + takes,
-            id,
-            attempt,
+        let response_time = if sent.server == SLOW_SERVER {
+            0.12
+        } else {
+            0.02
+        };
+        engine.end_attempt(
+            now + response_time,
+            sent.request,
+            sent.attempt,
             Outcome::Served,
             Some(()),
-            &mut out,
+            &mut commands,
         );
     }
+}
+
+/// The state with values that none of its fields can have.
+fn corrupted(mut learned: LearnedState) -> LearnedState {
+    for server in &mut learned.servers {
+        server.relative_probability = f64::NAN;
+    }
+    learned.typical_work = -1.0;
+    learned.admitted_share = f64::INFINITY;
+    learned.class_work = vec![];
+    learned
+}
+
+#[test]
+fn learned_state_is_adopted_by_the_next_module_unless_it_is_corrupt() {
+    let mut old = engine();
+    run_requests_with_slow_server(&mut old);
     let learned = old.module().learned(20.0);
     let mut new = engine();
     new.adopt(20.0, &learned);
-    let (a, b) = (old.module().automaton(), new.module().automaton());
-    for i in 0..4 {
+    let (old_automaton, new_automaton) = (old.module().automaton(), new.module().automaton());
+    for server in 0..SERVERS as usize {
+        let difference = old_automaton.probability[server] - new_automaton.probability[server];
         assert!(
-            (a.probability[i] - b.probability[i]).abs() < 0.02,
+            difference.abs() < 0.02,
             "{:?} {:?}",
-            a.probability,
-            b.probability
+            old_automaton.probability,
+            new_automaton.probability
         );
-        assert!((a.mean_response[i] - b.mean_response[i]).abs() < 1e-9);
+        let difference = old_automaton.mean_response[server] - new_automaton.mean_response[server];
+        assert!(difference.abs() < 1e-9);
     }
-    // Figures that can be none change nothing.
-    let mut spoilt = learned;
-    spoilt
-        .servers
-        .iter_mut()
-        .for_each(|s| s.relative_probability = f64::NAN);
-    (
-        spoilt.typical_work,
-        spoilt.admitted_share,
-        spoilt.class_work,
-    ) = (-1.0, f64::INFINITY, vec![]);
-    let mut other = engine();
-    other.adopt(20.0, &spoilt);
-    assert!(other
+    let mut unaffected = engine();
+    unaffected.adopt(20.0, &corrupted(learned));
+    let initial_probability = 1.0 / f64::from(SERVERS);
+    assert!(unaffected
         .module()
         .automaton()
         .probability
         .iter()
-        .all(|p| (p - 0.25).abs() < 1e-9));
+        .all(|probability| (probability - initial_probability).abs() < 1e-9));
 }
