--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -1,8 +1,8 @@
-//! Budgets and rates against their promises, on random schedules in virtual time.
+//! Budgets and rate limits against their guarantees, on random schedules in virtual time.
 
-use proptest::prelude::*;
-use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_routing::budget::{Budget, Quota, QuotaError, QuotaExceeded, CLAIM_TTL};
+use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, prop_oneof, Strategy};
+use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
+use reelfall_routing::budget::{Budget, ConsumerId, Quota, QuotaError, QuotaExceeded, CLAIM_TTL};
 use reelfall_routing::limits::{LimitExceeded, Limits, ProcessResources, Resource, ServiceLimits};
 use reelfall_routing::rate::{RateLimit, TokenBucket};
 
@@ -18,12 +18,6 @@
     RateLimit { per_second, burst }
 }
 
-#[derive(Clone, Debug)]
-enum Step {
-    Take(usize, u64),
-    Give(usize, usize),
-}
-
 fn runner() -> TestRunner {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
     TestRunner::new_with_rng(
@@ -36,156 +30,274 @@
     )
 }
 
-#[test]
-fn never_over_the_total_reservations_always_granted_and_all_returned() {
-    let quotas = prop::collection::vec((0..20u64, 0..60u64, 1..4u32), 1..5);
-    let step = prop_oneof![
-        3 => (0..5usize, 1..6u64).prop_map(|(p, n)| Step::Take(p, n)),
-        2 => (0..5usize, any::<usize>()).prop_map(|(p, pick)| Step::Give(p, pick)),
+/// An operation of a consumer, which is given modulo the number of consumers.
+#[derive(Clone, Debug)]
+enum Operation {
+    Acquire {
+        consumer: usize,
+        units: u64,
+    },
+    /// Releases one of the amounts that the consumer has, by its index modulo their number.
+    Release {
+        consumer: usize,
+        index: usize,
+    },
+}
+
+/// An operation and the time since the one before it.
+#[derive(Clone, Debug)]
+struct Step {
+    delay: f64,
+    operation: Operation,
+}
+
+#[derive(Clone, Debug)]
+struct Schedule {
+    quotas: Vec<Quota>,
+    /// The units of the budget that are reserved for nobody.
+    unreserved: u64,
+    steps: Vec<Step>,
+}
+
+fn any_quota() -> impl Strategy<Value = Quota> {
+    (0..20u64, 0..60u64, 1..4u32).prop_map(|(reserved, unreserved_max, weight)| Quota {
+        reserved,
+        max: reserved + unreserved_max,
+        weight,
+    })
+}
+
+fn step() -> impl Strategy<Value = Step> {
+    let operation = prop_oneof![
+        3 => (0..5usize, 1..6u64)
+            .prop_map(|(consumer, units)| Operation::Acquire { consumer, units }),
+        2 => (0..5usize, any::<usize>())
+            .prop_map(|(consumer, index)| Operation::Release { consumer, index }),
     ];
-    let steps = prop::collection::vec((0.0..0.4f64, step), 1..200);
+    (0.0..0.4f64, operation).prop_map(|(delay, operation)| Step { delay, operation })
+}
+
+fn schedule() -> impl Strategy<Value = Schedule> {
+    let quotas = prop::collection::vec(any_quota(), 1..5);
+    let steps = prop::collection::vec(step(), 1..200);
+    (quotas, 0..40u64, steps).prop_map(|(quotas, unreserved, steps)| Schedule {
+        quotas,
+        unreserved,
+        steps,
+    })
+}
+
+/// A consumer of a budget and the amounts that it has acquired.
+struct Consumer {
+    id: ConsumerId,
+    quota: Quota,
+    acquired: Vec<u64>,
+}
+
+/// A budget and what its consumers have of it.
+struct CheckedBudget {
+    budget: Budget,
+    total: u64,
+    consumers: Vec<Consumer>,
+}
+
+impl CheckedBudget {
+    fn new(quotas: &[Quota], unreserved: u64) -> CheckedBudget {
+        let total = quotas.iter().map(|quota| quota.reserved).sum::<u64>() + unreserved;
+        Budget::check(total, quotas.iter().copied()).expect("quotas that fit");
+        let mut budget = Budget::new(total);
+        let consumers = quotas
+            .iter()
+            .map(|quota| Consumer {
+                id: budget.add(*quota),
+                quota: *quota,
+                acquired: vec![],
+            })
+            .collect();
+        CheckedBudget {
+            budget,
+            total,
+            consumers,
+        }
+    }
+
+    fn apply(&mut self, now: f64, operation: &Operation) -> Result<(), TestCaseError> {
+        match *operation {
+            Operation::Acquire { consumer, units } => self.acquire(now, consumer, units)?,
+            Operation::Release { consumer, index } => self.release(consumer, index),
+        }
+        let used: u64 = self
+            .consumers
+            .iter()
+            .flat_map(|consumer| &consumer.acquired)
+            .sum();
+        prop_assert!(used <= self.total, "{used} used of {}", self.total);
+        prop_assert_eq!(used, self.budget.used_by_all());
+        Ok(())
+    }
+
+    fn acquire(&mut self, now: f64, consumer: usize, units: u64) -> Result<(), TestCaseError> {
+        let index = consumer % self.consumers.len();
+        let consumer = &mut self.consumers[index];
+        let used: u64 = consumer.acquired.iter().sum();
+        let result = self.budget.acquire(now, consumer.id, units);
+        prop_assert!(
+            result.is_ok() || used + units > consumer.quota.reserved,
+            "a reservation was denied"
+        );
+        prop_assert!(
+            result.is_err() || used + units <= consumer.quota.max,
+            "more than the maximum"
+        );
+        if result.is_ok() {
+            consumer.acquired.push(units);
+        }
+        Ok(())
+    }
+
+    fn release(&mut self, consumer: usize, index: usize) {
+        let consumer_index = consumer % self.consumers.len();
+        let consumer = &mut self.consumers[consumer_index];
+        if !consumer.acquired.is_empty() {
+            let units = consumer
+                .acquired
+                .swap_remove(index % consumer.acquired.len());
+            self.budget.release(consumer.id, units);
+        }
+    }
+
+    fn release_all(&mut self) -> Result<(), TestCaseError> {
+        for consumer in &mut self.consumers {
+            for units in consumer.acquired.drain(..) {
+                self.budget.release(consumer.id, units);
+            }
+        }
+        prop_assert_eq!(self.budget.used_by_all(), 0);
+        Ok(())
+    }
+
+    /// With nothing in use, each consumer can acquire its maximum, without what is reserved for the others, at once.
+    fn check_maxima(&mut self, now: f64) -> Result<(), TestCaseError> {
+        let reserved: u64 = self
+            .consumers
+            .iter()
+            .map(|consumer| consumer.quota.reserved)
+            .sum();
+        for consumer in &self.consumers {
+            let reserved_for_others = reserved - consumer.quota.reserved;
+            let units = consumer.quota.max.min(self.total - reserved_for_others);
+            prop_assert_eq!(self.budget.acquire(now, consumer.id, units), Ok(()));
+            self.budget.release(consumer.id, units);
+        }
+        Ok(())
+    }
+}
+
+#[test]
+fn budget_grants_reservations_and_stays_within_its_total() {
     runner()
-        .run(&(quotas, 0..40u64, steps), |(quotas, extra, steps)| {
-            let quotas: Vec<Quota> = quotas
-                .into_iter()
-                .map(|(reserved, more, weight)| Quota {
-                    reserved,
-                    max: reserved + more,
-                    weight,
-                })
-                .collect();
-            let total = quotas.iter().map(|s| s.reserved).sum::<u64>() + extra;
-            Budget::check(total, quotas.iter().copied()).expect("quotas that fit");
-            let mut budget = Budget::new(total);
-            let consumers: Vec<_> = quotas.iter().map(|s| budget.add(*s)).collect();
-            let mut held: Vec<Vec<u64>> = vec![vec![]; consumers.len()];
+        .run(&schedule(), |schedule| {
+            let mut checked = CheckedBudget::new(&schedule.quotas, schedule.unreserved);
             let mut now = 0.0;
-            for (after, step) in steps {
-                now += after;
-                match step {
-                    Step::Take(p, n) => {
-                        let p = p % consumers.len();
-                        let used: u64 = held[p].iter().sum();
-                        let taken = budget.acquire(now, consumers[p], n);
-                        prop_assert!(
-                            taken.is_ok() || used + n > quotas[p].reserved,
-                            "a reservation was denied"
-                        );
-                        prop_assert!(
-                            taken.is_err() || used + n <= quotas[p].max,
-                            "more than the most"
-                        );
-                        if taken.is_ok() {
-                            held[p].push(n);
-                        }
-                    }
-                    Step::Give(p, pick) => {
-                        let p = p % consumers.len();
-                        if !held[p].is_empty() {
-                            let at = pick % held[p].len();
-                            budget.release(consumers[p], held[p].swap_remove(at));
-                        }
-                    }
-                }
-                let all: u64 = held.iter().flatten().sum();
-                prop_assert!(all <= total, "{all} held of {total}");
-                prop_assert_eq!(all, budget.used_by_all());
-            }
-            for (p, held) in held.iter_mut().enumerate() {
-                held.drain(..).for_each(|n| budget.release(consumers[p], n));
+            for step in schedule.steps {
+                now += step.delay;
+                checked.apply(now, &step.operation)?;
             }
-            prop_assert_eq!(budget.used_by_all(), 0);
-            // With nothing held, all that a party may have is to be had at once.
-            for (p, quota) in quotas.iter().enumerate() {
-                let others: u64 = quotas
-                    .iter()
-                    .enumerate()
-                    .filter(|(q, _)| *q != p)
-                    .map(|(_, s)| s.reserved)
-                    .sum();
-                let n = quota.max.min(total - others);
-                prop_assert_eq!(budget.acquire(now + CLAIM_TTL, consumers[p], n), Ok(()));
-                budget.release(consumers[p], n);
-            }
-            Ok(())
+            checked.release_all()?;
+            checked.check_maxima(now + CLAIM_TTL)
         })
         .unwrap();
 }
 
 #[test]
-fn what_is_idle_is_lent_and_comes_back_to_whoever_asks() {
+fn unused_units_are_lent_and_return_to_a_consumer_below_its_fair_share() {
     let mut budget = Budget::new(30);
-    let (a, b) = (budget.add(quota(5, 100)), budget.add(quota(5, 100)));
-    // Twenty units are nobody's; alone, one party has them all, but never the other's reservation.
+    let (first, second) = (budget.add(quota(5, 100)), budget.add(quota(5, 100)));
+    // Twenty units are not reserved: one consumer alone gets all of them, but not the other's reservation.
     for _ in 0..25 {
-        assert_eq!(budget.acquire(0.0, a, 1), Ok(()));
+        assert_eq!(budget.acquire(0.0, first, 1), Ok(()));
     }
-    assert_eq!(budget.acquire(0.0, a, 1), Err(QuotaExceeded::Exhausted));
-    // The other's reservation is there at once, and nothing beyond it.
+    assert_eq!(budget.acquire(0.0, first, 1), Err(QuotaExceeded::Exhausted));
+    // The other gets its reservation at once, and nothing beyond it.
     for _ in 0..5 {
-        assert_eq!(budget.acquire(1.0, b, 1), Ok(()));
+        assert_eq!(budget.acquire(1.0, second, 1), Ok(()));
     }
-    assert_eq!(budget.acquire(1.0, b, 1), Err(QuotaExceeded::Exhausted));
-    // From here on what comes back goes to the one that is short of its fair share of fifteen.
-    for n in 0..10 {
-        let now = 1.0 + f64::from(n) * 0.5;
-        budget.release(a, 1);
+    assert_eq!(
+        budget.acquire(1.0, second, 1),
+        Err(QuotaExceeded::Exhausted)
+    );
+    // From now on released units go to the consumer that is below its fair share of fifteen.
+    for index in 0..10 {
+        let now = 1.0 + f64::from(index) * 0.5;
+        budget.release(first, 1);
         assert_eq!(
-            budget.acquire(now, a, 1),
+            budget.acquire(now, first, 1),
             Err(QuotaExceeded::ReservedForOthers),
-            "lent again while another waits"
+            "lent again while another consumer waits"
+        );
+        assert_eq!(budget.acquire(now, second, 1), Ok(()));
+        assert_eq!(
+            budget.acquire(now, second, 1),
+            Err(QuotaExceeded::Exhausted)
         );
-        assert_eq!(budget.acquire(now, b, 1), Ok(()));
-        assert_eq!(budget.acquire(now, b, 1), Err(QuotaExceeded::Exhausted));
     }
-    assert_eq!((budget.used(a), budget.used(b)), (15, 15));
-    // At its fair share it has no claim any more, and a claim that nobody renews lapses.
-    budget.release(b, 10);
-    assert_eq!(budget.acquire(5.9, a, 1), Ok(()));
+    assert_eq!((budget.used(first), budget.used(second)), (15, 15));
+    // At its fair share a consumer has no claim any more, and a claim that is not renewed expires.
+    budget.release(second, 10);
+    assert_eq!(budget.acquire(5.9, first, 1), Ok(()));
 }
 
 #[test]
-fn a_claim_that_is_not_renewed_lapses() {
+fn claim_expires_unless_it_is_renewed() {
     let mut budget = Budget::new(10);
-    let (a, b) = (budget.add(Quota::UNLIMITED), budget.add(Quota::UNLIMITED));
-    assert_eq!(budget.acquire(0.0, a, 10), Ok(()));
-    assert_eq!(budget.acquire(0.0, b, 1), Err(QuotaExceeded::Exhausted));
-    budget.release(a, 1);
+    let (user, claimant) = (budget.add(Quota::UNLIMITED), budget.add(Quota::UNLIMITED));
+    assert_eq!(budget.acquire(0.0, user, 10), Ok(()));
+    assert_eq!(
+        budget.acquire(0.0, claimant, 1),
+        Err(QuotaExceeded::Exhausted)
+    );
+    budget.release(user, 1);
     assert_eq!(
-        budget.acquire(0.9, a, 1),
+        budget.acquire(0.9, user, 1),
         Err(QuotaExceeded::ReservedForOthers)
     );
-    assert_eq!(budget.acquire(1.1, a, 1), Ok(()));
+    assert_eq!(budget.acquire(1.1, user, 1), Ok(()));
 }
 
 #[test]
-fn a_party_that_left_counts_until_it_has_given_all_back() {
+fn removed_consumer_counts_until_it_has_released_all() {
     let mut budget = Budget::new(10);
-    let a = budget.add(quota(4, 10));
-    budget.acquire(0.0, a, 6).unwrap();
-    budget.remove(a);
-    assert_eq!(budget.acquire(0.0, a, 1), Err(QuotaExceeded::OwnLimit));
-    let b = budget.add(quota(4, 10));
-    assert_ne!(a, b, "a place that is still in use was given away");
-    assert_eq!(budget.acquire(0.0, b, 5), Err(QuotaExceeded::Exhausted));
-    assert_eq!(budget.acquire(0.0, b, 4), Ok(()));
-    budget.release(a, 6);
-    assert_eq!(budget.acquire(0.0, b, 6), Ok(()));
-    budget.release(b, 10);
+    let removed = budget.add(quota(4, 10));
+    budget.acquire(0.0, removed, 6).unwrap();
+    budget.remove(removed);
+    assert_eq!(
+        budget.acquire(0.0, removed, 1),
+        Err(QuotaExceeded::OwnLimit)
+    );
+    let other = budget.add(quota(4, 10));
+    assert_ne!(removed, other, "an identifier that is in use was reused");
+    assert_eq!(budget.acquire(0.0, other, 5), Err(QuotaExceeded::Exhausted));
+    assert_eq!(budget.acquire(0.0, other, 4), Ok(()));
+    budget.release(removed, 6);
+    assert_eq!(budget.acquire(0.0, other, 6), Ok(()));
+    budget.release(other, 10);
     assert_eq!(
         budget.add(quota(1, 1)),
-        a,
-        "the places of those who left pile up"
+        removed,
+        "the identifiers of removed consumers are never reused"
     );
 }
 
 #[test]
-fn shares_that_do_not_fit_are_named() {
-    let fault = QuotaError::OverTotal {
+fn quotas_that_do_not_fit_are_reported() {
+    let over_total = QuotaError::OverTotal {
         reserved: 12,
         total: 10,
     };
-    assert_eq!(Budget::check(10, [quota(6, 9), quota(6, 9)]), Err(fault));
+    assert_eq!(
+        Budget::check(10, [quota(6, 9), quota(6, 9)]),
+        Err(over_total)
+    );
     assert_eq!(
         Budget::check(10, [quota(6, 5)]),
         Err(QuotaError::OverMax {
@@ -200,71 +312,78 @@
 }
 
 #[test]
-fn a_rate_lets_through_its_burst_and_then_its_figure() {
-    let mut rate = TokenBucket::new(0.0, rate_limit(10.0, 5.0));
-    let at_once = (0..20).filter(|_| rate.take(0.0).is_ok()).count();
-    assert_eq!(at_once, 5);
-    let wait = rate.take(0.0).unwrap_err().retry_after;
-    assert!((wait - 0.1).abs() < 1e-9, "{wait}");
-    let passed = (0..1000)
-        .filter(|n| rate.take(f64::from(*n) * 0.01).is_ok())
+fn rate_limit_admits_its_burst_and_then_its_rate() {
+    let mut bucket = TokenBucket::new(0.0, rate_limit(10.0, 5.0));
+    let burst = (0..20).filter(|_| bucket.take(0.0).is_ok()).count();
+    assert_eq!(burst, 5);
+    let retry_after = bucket.take(0.0).unwrap_err().retry_after;
+    assert!((retry_after - 0.1).abs() < 1e-9, "{retry_after}");
+    let admitted = (0..1000)
+        .filter(|step| bucket.take(f64::from(*step) * 0.01).is_ok())
         .count();
-    assert!((99..=100).contains(&passed), "{passed} in ten seconds");
-    // A clock that steps back and forth gives nothing away.
-    let mut rate = TokenBucket::new(100.0, rate_limit(10.0, 1.0));
-    assert!(rate.take(100.0).is_ok());
-    let passed = (0..100)
-        .filter(|n| rate.take(if n % 2 == 0 { 99.0 } else { 100.05 }).is_ok())
+    assert!((99..=100).contains(&admitted), "{admitted} in ten seconds");
+}
+
+#[test]
+fn clock_that_goes_back_adds_no_tokens() {
+    let mut bucket = TokenBucket::new(100.0, rate_limit(10.0, 1.0));
+    assert!(bucket.take(100.0).is_ok());
+    let admitted = (0..100)
+        .filter(|step| {
+            let now = if step % 2 == 0 { 99.0 } else { 100.05 };
+            bucket.take(now).is_ok()
+        })
         .count();
-    assert_eq!(passed, 0);
+    assert_eq!(admitted, 0);
 }
 
 #[test]
-fn a_refused_request_takes_nothing() {
+fn rejected_request_consumes_nothing() {
     let totals = ProcessResources {
         open: 10,
         connections: 10,
         memory: 10,
     };
-    let allowed = ServiceLimits {
+    let service_limits = ServiceLimits {
         rate: Some(rate_limit(1.0, 2.0)),
         open: quota(0, 3),
         ..ServiceLimits::UNLIMITED
     };
     let mut limits = Limits::new(totals);
-    let s = limits.add(0.0, &allowed);
-    assert_eq!(limits.admit(0.0, s), Ok(()));
-    assert_eq!(limits.admit(0.0, s), Ok(()));
-    assert!(
-        matches!(limits.admit(0.0, s), Err(LimitExceeded::RateExceeded(wait)) if (wait - 1.0).abs() < 1e-9)
-    );
+    let service = limits.add(0.0, &service_limits);
+    assert_eq!(limits.admit(0.0, service), Ok(()));
+    assert_eq!(limits.admit(0.0, service), Ok(()));
+    assert!(matches!(
+        limits.admit(0.0, service),
+        Err(LimitExceeded::RateExceeded(retry_after)) if (retry_after - 1.0).abs() < 1e-9
+    ));
     assert_eq!(
-        limits.used(s, Resource::Open),
+        limits.used(service, Resource::Open),
         2,
-        "a request over its rate is counted as open"
+        "a request above the rate limit is counted as open"
     );
-    assert_eq!(limits.admit(1.0, s), Ok(()));
-    // Over its bound, a request leaves the rate alone.
+    assert_eq!(limits.admit(1.0, service), Ok(()));
+    // A request above the limit of open requests takes no token of the rate limit.
     assert_eq!(
-        limits.admit(2.0, s),
+        limits.admit(2.0, service),
         Err(LimitExceeded::NotAvailable(
             Resource::Open,
             QuotaExceeded::OwnLimit
         ))
     );
-    limits.release(s, Resource::Open, 1);
-    assert_eq!(limits.admit(2.0, s), Ok(()));
+    limits.release(service, Resource::Open, 1);
+    assert_eq!(limits.admit(2.0, service), Ok(()));
 }
 
 #[test]
-fn a_flood_on_one_service_leaves_the_reservation_of_another() {
+fn overload_of_one_service_leaves_the_reservation_of_another() {
     let totals = ProcessResources {
         open: 100,
         connections: 100,
         memory: 1000,
     };
     let mut limits = Limits::new(totals);
-    let flood = limits.add(
+    let overloaded = limits.add(
         0.0,
         &ServiceLimits {
             open: Quota {
@@ -275,21 +394,18 @@
             ..ServiceLimits::UNLIMITED
         },
     );
-    let rollout = limits.add(
+    let other = limits.add(
         0.0,
         &ServiceLimits {
             open: quota(20, 40),
             ..ServiceLimits::UNLIMITED
         },
     );
-    let taken = (0..400)
-        .filter(|_| limits.admit(0.0, flood).is_ok())
-        .count();
-    assert_eq!(taken, 80);
-    assert_eq!(
-        (0..25)
-            .filter(|_| limits.admit(0.0, rollout).is_ok())
-            .count(),
-        20
-    );
+    let mut admitted = |service, requests: u32| {
+        (0..requests)
+            .filter(|_| limits.admit(0.0, service).is_ok())
+            .count()
+    };
+    assert_eq!(admitted(overloaded, 400), 80);
+    assert_eq!(admitted(other, 25), 20);
 }
