--- a/crates/routing/tests/target.rs
+++ b/crates/routing/tests/target.rs
@@ -1,8 +1,8 @@
-//! Targets that two readers could take for different ones, each with what is said of it.
+//! Request targets: those that are accepted, and the ambiguous ones that are rejected, each with its error.
 
 use reelfall_routing::target::{check_path, parse, parse_host, ReceivedTarget, TargetError};
 
-fn said<'a>(path: &'a str, host: Option<&'a str>) -> ReceivedTarget<'a> {
+fn received<'a>(path: &'a str, host: Option<&'a str>) -> ReceivedTarget<'a> {
     ReceivedTarget {
         path,
         host: host.map(str::as_bytes),
@@ -11,8 +11,8 @@
 }
 
 #[test]
-fn plain_targets_are_read_as_they_are() {
-    for (given, host) in [
+fn unambiguous_targets_are_accepted() {
+    for (header, host) in [
         ("flags.example.org", "flags.example.org"),
         ("FLAGS.Example.ORG", "flags.example.org"),
         ("flags.example.org:8443", "flags.example.org"),
@@ -22,12 +22,12 @@
         (" flags.example.org\t", "flags.example.org"),
     ] {
         assert_eq!(
-            parse(said("/api", Some(given))).map(|t| t.host.into_owned()),
+            parse(received("/api", Some(header))).map(|target| target.host.into_owned()),
             Ok(host.to_owned()),
-            "{given}"
+            "{header}"
         );
     }
-    for plain in [
+    for path in [
         "/",
         "/api",
         "/api/",
@@ -39,13 +39,13 @@
         "/%C3%A9",
         "/a+b",
     ] {
-        assert_eq!(check_path(plain), Ok(()), "{plain}");
+        assert_eq!(check_path(path), Ok(()), "{path}");
     }
 }
 
 #[test]
-fn a_host_that_can_be_read_two_ways_is_refused() {
-    for (given, fault) in [
+fn ambiguous_host_is_rejected() {
+    for (host, error) in [
         ("", TargetError::EmptyHost),
         (":80", TargetError::EmptyHost),
         ("user@flags.example.org", TargetError::UserInfo),
@@ -66,35 +66,36 @@
         ("[::1]x", TargetError::BadHost),
         ("[nothing]", TargetError::BadHost),
     ] {
-        assert_eq!(parse_host(given), Err(fault), "{given}");
+        assert_eq!(parse_host(host), Err(error), "{host}");
     }
-    assert_eq!(parse_host(&"a".repeat(300)), Err(TargetError::BadHost));
-    assert_eq!(parse(said("/", None)), Err(TargetError::NoHost));
+    let overlong_host = "a".repeat(300);
+    assert_eq!(parse_host(&overlong_host), Err(TargetError::BadHost));
+    assert_eq!(parse(received("/", None)), Err(TargetError::NoHost));
     assert_eq!(
         parse(ReceivedTarget {
             has_several_hosts: true,
-            ..said("/", Some("a"))
+            ..received("/", Some("a"))
         }),
         Err(TargetError::SeveralHosts)
     );
     assert_eq!(
         parse(ReceivedTarget {
             host: Some(b"fl\xe4gs"),
-            ..said("/", None)
+            ..received("/", None)
         }),
         Err(TargetError::BadHost)
     );
 }
 
 #[test]
-fn an_absolute_target_has_to_name_the_host_that_the_header_names() {
+fn absolute_target_must_match_the_host_header() {
     let absolute = |scheme, authority, host| {
         parse(ReceivedTarget {
             scheme: Some(scheme),
             authority: Some(authority),
-            ..said("/api", Some(host))
+            ..received("/api", Some(host))
         })
-        .map(|t| t.host.into_owned())
+        .map(|target| target.host.into_owned())
     };
     assert_eq!(
         absolute("http", "flags.example.org", "flags.example.org"),
@@ -127,8 +128,8 @@
 }
 
 #[test]
-fn a_path_that_can_be_read_two_ways_is_refused() {
-    for (given, fault) in [
+fn ambiguous_path_is_rejected() {
+    for (path, error) in [
         ("", TargetError::NoPath),
         ("api", TargetError::NoPath),
         ("*", TargetError::NoPath),
@@ -160,6 +161,6 @@
         ("/a\u{7f}", TargetError::BadCharacter),
         ("/é", TargetError::BadCharacter),
     ] {
-        assert_eq!(check_path(given), Err(fault), "{given}");
+        assert_eq!(check_path(path), Err(error), "{path}");
     }
 }
