--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -1,11 +1,13 @@
-//! What a fleet of nodes does together, in virtual time.
+//! A fleet of nodes with faults, in virtual time.
 
-use proptest::prelude::*;
-use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
+use proptest::prelude::{any, prop_assert, prop_oneof, Just, Strategy};
+use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 use reelfall_emulator::plan::{Disturbance, Plan, ScheduledDisturbance, ServerBehavior};
 use reelfall_emulator::{run_plan, scenario, Report};
+use std::iter::Sum;
 
-fn played(plan: Plan) -> Report {
+/// The report of a plan that is run without violations.
+fn run_without_violations(plan: Plan) -> Report {
     let name = format!(
         "{} with {} nodes, seed {}",
         plan.name, plan.nodes, plan.seed
@@ -20,12 +22,12 @@
 }
 
 #[test]
-fn the_rules_hold_when_nodes_die_zones_are_lost_and_servers_are_replaced() {
+fn node_failures_zone_losses_and_server_replacements_violate_no_rule() {
     for nodes in [10, 100] {
         for plan in [scenario::herd, scenario::zone, scenario::join] {
-            let report = played(scenario::with_faulty_servers(plan(nodes, 5), 0.1));
+            let report = run_without_violations(scenario::with_faulty_servers(plan(nodes, 5), 0.1));
             assert!(
-                report.sum(|s| s.attempts) > 1000 && report.earned_share() > 0.4,
+                report.sum(|second| second.attempts) > 1000 && report.earned_share() > 0.4,
                 "{:.3}",
                 report.earned_share()
             );
@@ -33,49 +35,83 @@
     }
 }
 
-#[test]
-fn a_run_is_the_same_each_time_and_another_for_another_seed() {
-    let sends = |seed| {
-        let report = played(Plan {
-            duration: 6.0,
-            ..scenario::with_faulty_servers(scenario::zone(20, seed), 0.2)
-        });
-        report
-            .seconds
-            .iter()
-            .map(|s| (s.attempts, s.connections, s.rejected))
-            .collect::<Vec<_>>()
-    };
-    assert_eq!(sends(3), sends(3));
-    assert_ne!(sends(3), sends(4));
+/// What the nodes of a fleet do within a second.
+#[derive(Debug, PartialEq)]
+struct SecondTotals {
+    attempts: u32,
+    connections: u32,
+    rejected: u32,
+}
+
+fn run_zone_loss(seed: u64) -> Vec<SecondTotals> {
+    let report = run_without_violations(Plan {
+        duration: 6.0,
+        ..scenario::with_faulty_servers(scenario::zone(20, seed), 0.2)
+    });
+    report
+        .seconds
+        .iter()
+        .map(|second| SecondTotals {
+            attempts: second.attempts,
+            connections: second.connections,
+            rejected: second.rejected,
+        })
+        .collect()
 }
 
 #[test]
-fn parts_of_a_long_list_spare_handshakes_and_requests_to_servers_that_say_nothing() {
-    let sum = |whole| {
-        let reports = (1..3).map(|seed| {
-            played(Plan {
-                is_subsetting_disabled: whole,
+fn run_is_determined_by_its_seed() {
+    assert_eq!(run_zone_loss(3), run_zone_loss(3));
+    assert_ne!(run_zone_loss(3), run_zone_loss(4));
+}
+
+/// Totals over several runs.
+#[derive(Debug, Default)]
+struct RunTotals {
+    earned: f64,
+    to_unresponsive: u32,
+    connections: u32,
+}
+
+impl Sum<Report> for RunTotals {
+    fn sum<I: Iterator<Item = Report>>(reports: I) -> RunTotals {
+        reports.fold(RunTotals::default(), |totals, report| RunTotals {
+            earned: totals.earned + report.earned_share(),
+            to_unresponsive: totals.to_unresponsive + report.sum(|second| second.to_unresponsive),
+            connections: totals.connections + report.sum(|second| second.connections),
+        })
+    }
+}
+
+fn run_with_faulty_servers(is_subsetting_disabled: bool) -> RunTotals {
+    (1..3)
+        .map(|seed| {
+            run_without_violations(Plan {
+                is_subsetting_disabled,
                 duration: 12.0,
                 ..scenario::with_faulty_servers(scenario::calm(100, seed), 0.15)
             })
-        });
-        reports.fold((0.0, 0, 0), |(w, dead, dials), r| {
-            (
-                w + r.earned_share(),
-                dead + r.sum(|s| s.to_unresponsive),
-                dials + r.sum(|s| s.connections),
-            )
         })
-    };
-    let (parts, whole) = (sum(false), sum(true));
-    assert!(parts.0 > whole.0, "{parts:?} {whole:?}");
-    assert!(4 * parts.1 < 3 * whole.1, "{parts:?} {whole:?}");
-    assert!(4 * parts.2 < 3 * whole.2, "{parts:?} {whole:?}");
+        .sum()
 }
 
 #[test]
-fn a_node_that_gets_nothing_for_long_and_then_its_share_serves_it() {
+fn subsetting_reduces_connections_and_requests_to_unresponsive_servers() {
+    let subset = run_with_faulty_servers(false);
+    let full_list = run_with_faulty_servers(true);
+    assert!(subset.earned > full_list.earned, "{subset:?} {full_list:?}");
+    assert!(
+        4 * subset.to_unresponsive < 3 * full_list.to_unresponsive,
+        "{subset:?} {full_list:?}"
+    );
+    assert!(
+        4 * subset.connections < 3 * full_list.connections,
+        "{subset:?} {full_list:?}"
+    );
+}
+
+#[test]
+fn idle_nodes_serve_their_requests_when_traffic_returns() {
     let mut plan = scenario::calm(40, 2);
     plan.duration = 16.0;
     plan.disturb(
@@ -85,12 +121,12 @@
             duration: 8.0,
         },
     );
-    // Half of the nodes bear all of the traffic; the servers are the same.
-    assert!(played(plan).earned_share() > 0.85);
+    // Half of the nodes get all of the traffic, for the same servers.
+    assert!(run_without_violations(plan).earned_share() > 0.85);
 }
 
 #[test]
-fn fleets_of_one_node_and_of_one_server_are_played() {
+fn fleets_of_one_node_or_one_server_run_and_without_nodes_are_rejected() {
     for (nodes, servers) in [(1, 1), (1, 30), (30, 1)] {
         let plan = Plan {
             servers,
@@ -98,7 +134,7 @@
             ..scenario::calm(nodes, 1)
         };
         assert!(
-            played(plan).sum(|s| s.attempts) > 50,
+            run_without_violations(plan).sum(|second| second.attempts) > 50,
             "{nodes} nodes, {servers} servers"
         );
     }
@@ -110,24 +146,24 @@
 }
 
 #[test]
-fn nodes_that_start_together_with_a_stale_list_find_what_is_there() {
+fn nodes_that_start_with_a_stale_list_stop_sending_to_removed_servers() {
+    const PROPAGATION_SECONDS: usize = 3;
     let mut plan = scenario::calm(100, 4);
     plan.disturb(0.0, Disturbance::EndServers { share: 0.3 });
-    let report = played(Plan {
+    let report = run_without_violations(Plan {
         load: 0.4,
         duration: 10.0,
         ..plan
     });
-    // For a second or two nobody has heard that they are gone; then nobody may ask them.
-    let (first, later): (Vec<_>, Vec<_>) =
-        report.seconds.iter().enumerate().partition(|(n, _)| *n < 3);
-    assert!(first.iter().any(|(_, s)| s.to_unresponsive > 0));
-    assert!(later.iter().all(|(_, s)| s.to_unresponsive == 0));
+    // The removal of the servers reaches all nodes within some seconds; after that they get no requests.
+    let (first, later) = report.seconds.split_at(PROPAGATION_SECONDS);
+    assert!(first.iter().any(|second| second.to_unresponsive > 0));
+    assert!(later.iter().all(|second| second.to_unresponsive == 0));
     assert!(report.earned_share() > 0.85, "{:.3}", report.earned_share());
 }
 
 #[test]
-fn when_the_last_sound_zone_is_cold_too_no_server_is_pushed_over() {
+fn loss_of_a_zone_during_slow_start_of_the_other_overloads_no_server() {
     for seed in 1..4 {
         let mut plan = scenario::calm(40, seed);
         plan.disturb(
@@ -144,7 +180,7 @@
                 down_for: 2.0,
             },
         );
-        let report = played(plan);
+        let report = run_without_violations(plan);
         assert!(
             report.violations.max_slow_start_load > 0.2 && report.earned_share() > 0.3,
             "{:.3}",
@@ -154,25 +190,24 @@
 }
 
 #[test]
-fn a_node_with_ten_times_the_share_of_another_is_served_as_well() {
-    let (even, heavy) = (
-        scenario::calm(50, 3),
-        Plan {
-            first_node_weight: 10.0,
-            ..scenario::calm(50, 3)
-        },
-    );
-    let (even, heavy) = (played(even), played(heavy));
+fn node_with_ten_times_the_traffic_is_served_equally_well() {
+    let even_plan = scenario::calm(50, 3);
+    let uneven_plan = Plan {
+        first_node_weight: 10.0,
+        ..even_plan.clone()
+    };
+    let even = run_without_violations(even_plan);
+    let uneven = run_without_violations(uneven_plan);
     assert!(
-        heavy.earned_share() > even.earned_share() - 0.05,
+        uneven.earned_share() > even.earned_share() - 0.05,
         "{:.3} {:.3}",
-        heavy.earned_share(),
+        uneven.earned_share(),
         even.earned_share()
     );
 }
 
 #[test]
-fn a_list_that_flaps_moves_no_load_to_where_it_can_not_be_borne() {
+fn flapping_endpoint_list_overloads_no_server() {
     let mut plan = scenario::calm(50, 6);
     plan.disturb(
         4.0,
@@ -181,7 +216,7 @@
             count: 20,
         },
     );
-    let report = played(plan);
+    let report = run_without_violations(plan);
     assert!(
         report.worst_earned_share(5) > 0.6,
         "{:.3}",
@@ -195,7 +230,7 @@
         Just(ServerBehavior::Failing),
         Just(ServerBehavior::Slow(3.0))
     ];
-    let what = prop_oneof![
+    let disturbance = prop_oneof![
         (0.1..0.9f64, 0.2..3.0f64)
             .prop_map(|(share, down_for)| Disturbance::KillNodes { share, down_for }),
         (0..2u16, 0.5..4.0f64)
@@ -216,11 +251,16 @@
         (0.1..0.5f64, 1..12u32)
             .prop_map(|(share, count)| Disturbance::FlapEntries { share, count }),
     ];
-    (0.5..7.0f64, what).prop_map(|(at, disturbance)| ScheduledDisturbance { at, disturbance })
+    (0.5..7.0f64, disturbance)
+        .prop_map(|(at, disturbance)| ScheduledDisturbance { at, disturbance })
 }
 
 #[test]
-fn over_chance_schedules_no_rule_breaks_and_repeats_keep_their_budget() {
+fn random_schedules_violate_no_rule_and_keep_the_retry_budget() {
+    const RETRY_BUDGET_RATIO: f64 = 0.2;
+    const MAX_SAVED_RETRIES: f64 = 10.0;
+    /// The incarnations of a node, on average over the nodes.
+    const MAX_INCARNATIONS: f64 = 3.0;
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(
         Config {
@@ -235,7 +275,7 @@
         any::<u64>(),
         0.4..1.3f64,
     );
-    let checked = runner.run(&plans, |(disturbances, nodes, seed, load)| {
+    let result = runner.run(&plans, |(disturbances, nodes, seed, load)| {
         let plan = Plan {
             disturbances,
             load,
@@ -248,11 +288,12 @@
             "{}",
             report.violations.list[0]
         );
-        // A fifth of the tries, and what each life of a node may have saved up.
-        let tries = f64::from(report.sum(|s| s.client_attempts));
-        let saved = 10.0 * nodes as f64 * 3.0;
-        prop_assert!(f64::from(report.sum(|s| s.retries)) <= 0.2 * tries + saved);
+        // A fifth of the attempts of clients, and what each incarnation of a node can have saved.
+        let client_attempts = f64::from(report.sum(|second| second.client_attempts));
+        let retries = f64::from(report.sum(|second| second.retries));
+        let saved_retries = MAX_SAVED_RETRIES * nodes as f64 * MAX_INCARNATIONS;
+        prop_assert!(retries <= RETRY_BUDGET_RATIO * client_attempts + saved_retries);
         Ok(())
     });
-    checked.expect("every schedule keeps the rules");
+    result.expect("no schedule violates a rule");
 }
