--- a/crates/lease/src/holder.rs
+++ b/crates/lease/src/holder.rs
@@ -6,7 +6,7 @@
 //! | backing off | at its end, or when a keeper announces that the lease is available |
 //! | preparing | by a majority of promises; by too many rejections; after [`Config::response_timeout`] |
 //! | proposing | by a majority of grants; by too many rejections; after [`Config::response_timeout`] |
-//! | held | when it is released, or on expiry if a majority has not renewed it |
+//! | active | when it is released, or on expiry if a majority has not renewed it |
 //!
 //! Requests that the node serves never wait for any of this: a node that does not hold a lease does what its task does
 //! without one.
@@ -35,7 +35,7 @@
 /// A change of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseEvent {
-    /// It is held.
+    /// This node holds it.
     Acquired(Token),
     /// It was released.
     Released(Token),
@@ -60,7 +60,7 @@
         started: Micros,
         votes: Votes,
     },
-    Held {
+    Active {
         token: u64,
         until: Micros,
         renewal: Option<Renewal>,
@@ -92,21 +92,30 @@
     /// Whether a keeper announced that the lease is available while a request was in progress.
     was_announced: bool,
     /// The earliest expiry of another client's grant that keepers have reported.
-    held_elsewhere_until: Option<Micros>,
+    granted_elsewhere_until: Option<Micros>,
     state: State,
-    requests: Vec<(usize, Request)>,
+    requests: Vec<KeeperRequest>,
     events: Vec<LeaseEvent>,
 }
 
-/// A lease that is held at this moment.
+/// A request, and the keeper that it goes to.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct KeeperRequest {
+    /// The keeper, by its place in the settings.
+    pub keeper: usize,
+    /// The request.
+    pub request: Request,
+}
+
+/// A lease that this node holds at this moment.
 #[derive(Clone, Copy, Debug)]
-pub struct Held<'a> {
+pub struct ActiveLease<'a> {
     name: &'a LeaseName,
     token: u64,
     remaining: Micros,
 }
 
-impl Held<'_> {
+impl ActiveLease<'_> {
     /// An operation that is performed under the lease.
     pub fn operation<T>(&self, payload: T) -> Operation<T> {
         Operation::new(self.name, self.token, payload)
@@ -135,7 +144,7 @@
             round: 0,
             failed_attempts: 0,
             was_announced: false,
-            held_elsewhere_until: None,
+            granted_elsewhere_until: None,
             state: State::Idle,
             requests: Vec::new(),
             events: Vec::new(),
@@ -147,8 +156,8 @@
         self.is_wanted
     }
 
-    /// Takes the requests to send, each with the index of its keeper.
-    pub fn take_requests(&mut self) -> Vec<(usize, Request)> {
+    /// Takes the requests to send.
+    pub fn take_requests(&mut self) -> Vec<KeeperRequest> {
         std::mem::take(&mut self.requests)
     }
 
@@ -157,10 +166,10 @@
         std::mem::take(&mut self.events)
     }
 
-    /// The lease, if it is held at this moment. To be called again before each operation.
-    pub fn held(&self, now: Micros) -> Option<Held<'_>> {
+    /// The lease, if this node holds it at this moment. To be called again before each operation.
+    pub fn active(&self, now: Micros) -> Option<ActiveLease<'_>> {
         match self.state {
-            State::Held { token, until, .. } if now < until => Some(Held {
+            State::Active { token, until, .. } if now < until => Some(ActiveLease {
                 name: &self.name,
                 token,
                 remaining: until - now,
@@ -169,7 +178,7 @@
         }
     }
 
-    /// Starts to acquire the lease, and renews it once it is held.
+    /// Starts to acquire the lease, and renews it once it is granted.
     pub fn acquire(&mut self, now: Micros) {
         if !self.is_wanted {
             self.is_wanted = true;
@@ -178,7 +187,7 @@
         }
     }
 
-    /// Stops acquiring the lease, and releases it if it is held.
+    /// Stops acquiring the lease, and releases it if it is active.
     pub fn release(&mut self, now: Micros) {
         self.is_wanted = false;
         self.release_ballot(now);
@@ -193,7 +202,7 @@
             State::Preparing { started, .. } | State::Proposing { started, .. } => {
                 Some(started + self.config.response_timeout)
             }
-            State::Held {
+            State::Active {
                 until,
                 next_renewal,
                 ..
@@ -210,13 +219,13 @@
             {
                 self.back_off(now, random);
             }
-            State::Held { token, until, .. } if now >= *until => {
+            State::Active { token, until, .. } if now >= *until => {
                 let token = Token(*token);
                 self.events.push(LeaseEvent::Lost(token));
                 self.waiting_since = now;
                 self.prepare(now);
             }
-            State::Held { next_renewal, .. } if now >= *next_renewal => self.renew(now),
+            State::Active { next_renewal, .. } if now >= *next_renewal => self.renew(now),
             _ => {}
         }
     }
--- a/crates/lease/src/holder/requests.rs
+++ b/crates/lease/src/holder/requests.rs
@@ -1,6 +1,6 @@
 //! Rounds of requests to the keepers, and the backoff between attempts.
 
-use super::{Config, Lease, LeaseEvent, Renewal, State, Votes};
+use super::{Config, KeeperRequest, Lease, LeaseEvent, Renewal, State, Votes};
 use crate::message::{LogPosition, Request};
 use crate::token::Token;
 use crate::Micros;
@@ -13,7 +13,7 @@
     pub(super) fn prepare(&mut self, now: Micros) {
         self.highest_ballot = self.highest_ballot.saturating_add(1);
         self.round += 1;
-        self.held_elsewhere_until = None;
+        self.granted_elsewhere_until = None;
         self.was_announced = false;
         let ballot = self.highest_ballot;
         let waited = now.saturating_sub(self.waiting_since);
@@ -25,7 +25,7 @@
                 length: self.config.length,
                 waited,
             };
-            self.requests.push((keeper, request));
+            self.requests.push(KeeperRequest { keeper, request });
         }
         self.state = State::Preparing {
             ballot,
@@ -46,13 +46,13 @@
     }
 
     pub(super) fn renew(&mut self, now: Micros) {
-        let State::Held { token, .. } = self.state else {
+        let State::Active { token, .. } = self.state else {
             return;
         };
         self.round += 1;
         self.request_grants(token, &[]);
         let votes = Votes::new(self.config.keepers);
-        if let State::Held {
+        if let State::Active {
             renewal,
             next_renewal,
             ..
@@ -75,7 +75,7 @@
                 length: self.config.length,
                 peers: peers.to_vec(),
             };
-            self.requests.push((keeper, request));
+            self.requests.push(KeeperRequest { keeper, request });
         }
     }
 
@@ -90,9 +90,9 @@
         } = self.config;
         if std::mem::take(&mut self.was_announced) {
             self.failed_attempts = 0;
-            self.held_elsewhere_until = None;
+            self.granted_elsewhere_until = None;
         }
-        let backoff = match self.held_elsewhere_until {
+        let backoff = match self.granted_elsewhere_until {
             Some(until) => until.saturating_sub(now).clamp(min_backoff, max_backoff),
             None => {
                 let exponent = self.failed_attempts.min(MAX_BACKOFF_EXPONENT);
@@ -109,7 +109,7 @@
     /// Sends the keepers a release of the ballot that was granted or proposed, if there is one.
     pub(super) fn release_ballot(&mut self, now: Micros) {
         let token = match self.state {
-            State::Held { token, until, .. } => {
+            State::Active { token, until, .. } => {
                 let event = if now < until {
                     LeaseEvent::Released
                 } else {
@@ -122,13 +122,11 @@
             _ => return,
         };
         for keeper in 0..self.config.keepers {
-            self.requests.push((
-                keeper,
-                Request::Release {
-                    lease: self.name.clone(),
-                    token,
-                },
-            ));
+            let request = Request::Release {
+                lease: self.name.clone(),
+                token,
+            };
+            self.requests.push(KeeperRequest { keeper, request });
         }
     }
 }
--- a/crates/lease/src/holder/responses.rs
+++ b/crates/lease/src/holder/responses.rs
@@ -43,7 +43,7 @@
             }
             // Keepers may have rejected the request in progress before the lease was available.
             State::Preparing { .. } | State::Proposing { .. } => self.was_announced = true,
-            State::Idle | State::Held { .. } => {}
+            State::Idle | State::Active { .. } => {}
         }
     }
 
@@ -72,7 +72,7 @@
                 let until = *started + holder_length;
                 let next_renewal = *started + renew_after;
                 if votes.has_majority() && now < until {
-                    self.state = State::Held {
+                    self.state = State::Active {
                         token,
                         until,
                         renewal: None,
@@ -82,7 +82,7 @@
                     self.events.push(LeaseEvent::Acquired(Token(token)));
                 }
             }
-            State::Held {
+            State::Active {
                 until,
                 renewal: Some(renewal),
                 next_renewal,
@@ -112,8 +112,8 @@
         }
         if let RejectionReason::Held { remaining } = reason {
             let until = now + remaining;
-            self.held_elsewhere_until = Some(
-                self.held_elsewhere_until
+            self.granted_elsewhere_until = Some(
+                self.granted_elsewhere_until
                     .map_or(until, |known| known.min(until)),
             );
         }
--- a/crates/lease/src/keeper/clients.rs
+++ b/crates/lease/src/keeper/clients.rs
@@ -251,7 +251,7 @@
             return;
         };
         volatile.granted_until = None;
-        if let Some(first) = volatile.queue.begin_turn(now, &timeouts) {
+        if let Some(first) = volatile.queue.reserve_for_first(now, &timeouts) {
             let response = Response::Available {
                 lease: lease.clone(),
             };
--- a/crates/lease/src/keeper/mod.rs
+++ b/crates/lease/src/keeper/mod.rs
@@ -8,7 +8,7 @@
 //! | log positions of the peers | [`DurableState`] and [`Keeper`] | the keepers | never |
 //!
 //! Promises are on disk, grants are not: a restarted keeper assumes that each lease that it has promised was granted at
-//! that moment, for its whole length. So a lease costs two writes when it is acquired and none while it is held.
+//! that moment, for its whole length. So a lease costs two writes when it is acquired and none while it is renewed.
 
 mod clients;
 mod peers;
@@ -50,7 +50,7 @@
             max_leases: 1024,
             max_waiters: 512,
             queue_timeouts: QueueTimeouts {
-                turn: 500_000,
+                reservation: 500_000,
                 idle: 15_000_000,
             },
             evict_after: 86_400_000_000,
@@ -74,6 +74,15 @@
     Keeper(usize),
 }
 
+/// A message, and its receiver.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct OutgoingMessage {
+    /// The receiver.
+    pub destination: Destination,
+    /// The message.
+    pub message: Message,
+}
+
 /// The effects of an event. The records have to be on disk before the messages are sent; messages of later events are sent
 /// after these.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -81,7 +90,7 @@
     /// To be written.
     pub records: Vec<Record>,
     /// To be sent.
-    pub messages: Vec<(Destination, Message)>,
+    pub messages: Vec<OutgoingMessage>,
 }
 
 /// The volatile state of a lease.
@@ -213,8 +222,11 @@
         self.effects.records.push(record);
     }
 
-    fn send(&mut self, to: Destination, message: Message) {
-        self.effects.messages.push((to, message));
+    fn send(&mut self, destination: Destination, message: Message) {
+        self.effects.messages.push(OutgoingMessage {
+            destination,
+            message,
+        });
     }
 
     /// Ensures that there is capacity for this lease; a new one may evict another.
@@ -252,18 +264,18 @@
     /// Does what is due at this time.
     pub fn tick(&mut self, now: Micros) {
         self.advance_recovery(now);
-        self.expire_turns(now);
+        self.expire_reservations(now);
         self.expire_grants(now);
         self.evict_unused(now);
     }
 
-    fn expire_turns(&mut self, now: Micros) {
+    fn expire_reservations(&mut self, now: Micros) {
         for lease in self
             .leases
             .values_mut()
             .filter(|v| v.granted_until.is_none())
         {
-            lease.queue.expire_turn(now);
+            lease.queue.expire_reservation(now);
         }
     }
 
--- a/crates/lease/src/keeper/peers.rs
+++ b/crates/lease/src/keeper/peers.rs
@@ -72,8 +72,11 @@
         while let Some(record) = self.recovery.advance(now, &self.state) {
             self.append(record);
         }
-        for (to, query) in self.recovery.tick(now, &self.state) {
-            self.send(Destination::Keeper(to), Message::Peer(query));
+        for query in self.recovery.tick(now, &self.state) {
+            self.send(
+                Destination::Keeper(query.peer),
+                Message::Peer(query.message),
+            );
         }
     }
 
--- a/crates/lease/src/recovery.rs
+++ b/crates/lease/src/recovery.rs
@@ -79,6 +79,15 @@
     read_completely: Option<bool>,
 }
 
+/// A query, and the peer that it goes to.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PeerQuery {
+    /// The peer, by its place in the settings.
+    pub peer: usize,
+    /// The query.
+    pub message: PeerMessage,
+}
+
 /// The recovery state machine of one keeper. See the module.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Recovery {
@@ -130,36 +139,39 @@
         self.peers
             .iter()
             .enumerate()
-            .filter(move |(n, _)| *n != me)
+            .filter(move |(index, _)| *index != me)
             .map(|(_, peer)| peer)
     }
 
-    /// Returns the queries that are due, with the places of the peers that they go to.
-    pub fn tick(&mut self, now: Micros, state: &DurableState) -> Vec<(usize, PeerMessage)> {
+    /// Returns the queries that are due.
+    pub fn tick(&mut self, now: Micros, state: &DurableState) -> Vec<PeerQuery> {
         if now < self.next_query {
             return Vec::new();
         }
-        self.next_query = now
-            + if self.is_voting() {
-                VOTING_QUERY_INTERVAL
-            } else {
-                RECOVERY_QUERY_INTERVAL
-            };
+        let interval = if self.is_voting() {
+            VOTING_QUERY_INTERVAL
+        } else {
+            RECOVERY_QUERY_INTERVAL
+        };
+        self.next_query = now + interval;
         let mut queries = Vec::new();
-        for (n, peer) in self.peers.iter().enumerate().filter(|(n, _)| *n != self.me) {
-            queries.push((
-                n,
-                PeerMessage::PositionQuery {
+        for (index, peer) in self.peers.iter().enumerate() {
+            if index == self.me {
+                continue;
+            }
+            queries.push(PeerQuery {
+                peer: index,
+                message: PeerMessage::PositionQuery {
                     own: state.position(),
                 },
-            ));
+            });
             if self.status == Status::CatchingUp && peer.agrees && peer.read_completely.is_none() {
-                queries.push((
-                    n,
-                    PeerMessage::PromiseQuery {
+                queries.push(PeerQuery {
+                    peer: index,
+                    message: PeerMessage::PromiseQuery {
                         after: peer.read_up_to.clone(),
                     },
-                ));
+                });
             }
         }
         queries
@@ -177,7 +189,8 @@
         let Some(peer) = self.peers.get_mut(from) else {
             return;
         };
-        (peer.answered, peer.voting) = (true, voting);
+        peer.answered = true;
+        peer.voting = voting;
         self.generation = self
             .generation
             .max(recorded.map_or(0, |recorded| recorded.storage.generation));
@@ -211,7 +224,7 @@
         let Some(peer) = self
             .peers
             .get_mut(from)
-            .filter(|p| p.agrees && p.read_completely.is_none())
+            .filter(|peer| peer.agrees && peer.read_completely.is_none())
         else {
             return;
         };
--- a/crates/lease/src/token.rs
+++ b/crates/lease/src/token.rs
@@ -2,7 +2,7 @@
 //!
 //! A holder that is paused between its last look at the clock and its operation acts late, and no clock can tell. Hence
 //! each operation carries the token of its lease, and the resource it acts on keeps the highest token that it has seen and
-//! refuses lower ones. Both ends are in the types: an [`Operation`] comes from a lease that is held and from nowhere else,
+//! refuses lower ones. Both ends are in the types: an [`Operation`] comes from an active lease and from nowhere else,
 //! and a [`Fence`] admits an operation only if its token is not a lower one.
 
 use serde::{Deserialize, Serialize};
--- a/crates/lease/tests/explore/actions.rs
+++ b/crates/lease/tests/explore/actions.rs
@@ -80,8 +80,8 @@
             Action::FireTimer { client } => self.fire_timer(&mut world, client),
             Action::Write { client } => {
                 let now = self.client_clock(world.now);
-                let held = world.clients[client].held(now)?;
-                let token = held.operation(()).claim().token;
+                let active = world.clients[client].active(now)?;
+                let token = active.operation(()).claim().token;
                 let write = TokenUse { client, token };
                 world.in_flight.insert(Packet::Write(write));
             }
@@ -118,7 +118,7 @@
         let now = self.client_clock(world.now);
         let deadline = world.clients[client].deadline();
         let is_due = deadline.is_some_and(|deadline| deadline <= now);
-        let is_allowed = if world.clients[client].held(now).is_some() {
+        let is_allowed = if world.clients[client].active(now).is_some() {
             world.renewals < self.max_renewals
         } else {
             world.acquisitions[client] < self.max_acquisitions[client]
@@ -135,7 +135,7 @@
         self.has_writes
             && !is_writing
             && world.writes.len() < MAX_WRITES
-            && world.clients[client].held(now).is_some()
+            && world.clients[client].active(now).is_some()
     }
 
     fn deliver_with_response(&self, world: &mut World, packet: &Packet) {
@@ -179,8 +179,10 @@
             }
         }
         if self.removed == RemovedPart::Disk {
-            for (to, message) in effects.messages {
-                if let (Destination::Client(to), Message::Response(response)) = (to, message) {
+            for outgoing in effects.messages {
+                if let (Destination::Client(to), Message::Response(response)) =
+                    (outgoing.destination, outgoing.message)
+                {
                     post_response(world, keeper, &to, response);
                 }
             }
@@ -191,7 +193,7 @@
 
     fn fire_timer(&self, world: &mut World, client: usize) {
         let now = self.client_clock(world.now);
-        if world.clients[client].held(now).is_some() {
+        if world.clients[client].active(now).is_some() {
             world.renewals += 1;
         } else {
             world.acquisitions[client] += 1;
--- a/crates/lease/tests/explore/config.rs
+++ b/crates/lease/tests/explore/config.rs
@@ -95,7 +95,10 @@
         keeper::Config {
             margins: self.margins(),
             max_length: 100,
-            queue_timeouts: QueueTimeouts { turn: 1, idle: 2 },
+            queue_timeouts: QueueTimeouts {
+                reservation: 1,
+                idle: 2,
+            },
             ..keeper::Config::default()
         }
     }
--- a/crates/lease/tests/explore/delivery.rs
+++ b/crates/lease/tests/explore/delivery.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{Exploration, RemovedPart, KEEPERS};
 use crate::state::{client_id, lease, Packet, TokenUse, World};
-use reelfall_lease::holder::LeaseEvent;
+use reelfall_lease::holder::{KeeperRequest, LeaseEvent};
 use reelfall_lease::keeper::{Destination, Keeper};
 use reelfall_lease::message::{ClientId, Message, RejectionReason, Request, Response};
 use reelfall_lease::token::{Claim, Fence};
@@ -18,8 +18,8 @@
                     world.keepers[keeper].disk.apply(record);
                 }
             }
-            for (to, message) in effects.messages {
-                match (to, message) {
+            for outgoing in effects.messages {
+                match (outgoing.destination, outgoing.message) {
                     (Destination::Keeper(to), Message::Peer(message)) => {
                         let now = self.keeper_clock(world.now);
                         world.keepers[to]
@@ -47,7 +47,11 @@
 
     /// Sends the requests of a client to the keepers that it reaches, and records the tokens that it has acquired.
     pub fn post(&self, world: &mut World, client: usize) {
-        for (index, request) in world.clients[client].take_requests() {
+        for KeeperRequest {
+            keeper: index,
+            request,
+        } in world.clients[client].take_requests()
+        {
             let keeper = self.keeper_of(client, index);
             let is_reachable = self.reachable_keepers[client][keeper];
             if is_reachable || world.is_prelude || !self.has_majorities() {
--- a/crates/lease/tests/explore/state.rs
+++ b/crates/lease/tests/explore/state.rs
@@ -160,7 +160,7 @@
 
     pub fn held_token(&self, world: &World, client: usize) -> Option<u64> {
         let now = self.client_clock(world.now);
-        let held = world.clients[client].held(now)?;
-        Some(held.token().number())
+        let active = world.clients[client].active(now)?;
+        Some(active.token().number())
     }
 }
--- a/crates/lease/tests/keepers/keeper_group.rs
+++ b/crates/lease/tests/keepers/keeper_group.rs
@@ -1,7 +1,7 @@
 //! A group of keepers and clients whose messages are delivered at once, except between those that do not reach each other.
 
 use reelfall_lease::durable::DurableState;
-use reelfall_lease::holder::{Config, Lease};
+use reelfall_lease::holder::{Config, KeeperRequest, Lease};
 use reelfall_lease::keeper::{self, Destination, Keeper};
 use reelfall_lease::message::{ClientId, Message, Response};
 use reelfall_lease::recovery::Status;
@@ -121,8 +121,8 @@
             return true;
         }
         let is_settled = effects.messages.is_empty();
-        for (to, message) in effects.messages {
-            match (to, message) {
+        for outgoing in effects.messages {
+            match (outgoing.destination, outgoing.message) {
                 (Destination::Keeper(to), Message::Peer(message)) => {
                     // A page fits into a message.
                     assert!(Message::Peer(message.clone()).encode().is_some());
@@ -154,7 +154,7 @@
     fn flush_client(&mut self, client: usize) -> bool {
         let requests: Vec<_> = self.clients[client].take_requests().into_iter().collect();
         let is_settled = requests.is_empty();
-        for (keeper, request) in requests {
+        for KeeperRequest { keeper, request } in requests {
             if self.keepers[keeper].is_running && self.reaches(client, keeper) {
                 let id = ClientId {
                     name: client.to_string(),
@@ -195,13 +195,13 @@
     pub fn holder(&self) -> Option<usize> {
         self.clients
             .iter()
-            .position(|client| client.held(self.now).is_some())
+            .position(|client| client.active(self.now).is_some())
     }
 
     /// The token of a client that holds the lease.
     pub fn token(&self, client: usize) -> u64 {
-        let held = self.clients[client].held(self.now).unwrap();
-        held.token().number()
+        let active = self.clients[client].active(self.now).unwrap();
+        active.token().number()
     }
 }
 
--- a/crates/lease/tests/keepers/queue.rs
+++ b/crates/lease/tests/keepers/queue.rs
@@ -2,7 +2,7 @@
 
 use crate::keeper_group::{lease_name, KeeperGroup, SECOND};
 use reelfall_lease::holder::{Config, Lease};
-use reelfall_lease::keeper::Destination;
+use reelfall_lease::keeper::{Destination, OutgoingMessage};
 use reelfall_lease::message::{ClientId, Message, RejectionReason, Request, Response};
 
 const CLIENTS: usize = 301;
@@ -57,7 +57,10 @@
         .handle_request(group.now, &client, request);
     let response = group.keepers[keeper].keeper.take_effects().messages.pop();
     match response {
-        Some((Destination::Client(_), Message::Response(response))) => response,
+        Some(OutgoingMessage {
+            destination: Destination::Client(_),
+            message: Message::Response(response),
+        }) => response,
         other => panic!("{other:?}"),
     }
 }
--- a/crates/lease/tests/keepers/storage_faults.rs
+++ b/crates/lease/tests/keepers/storage_faults.rs
@@ -29,7 +29,7 @@
     group.clients[1].acquire(group.now);
     group.run(SECOND);
     assert_ne!(group.status(1), Status::Voting);
-    assert!(group.clients[1].held(group.now).is_none());
+    assert!(group.clients[1].active(group.now).is_none());
     // With keeper 0 it votes again, and no token is issued twice.
     group.keepers[0].is_running = true;
     group.clients[0].release(group.now);
--- a/crates/lease/tests/schedules/network.rs
+++ b/crates/lease/tests/schedules/network.rs
@@ -5,8 +5,8 @@
 use crate::SECOND;
 use rand::Rng;
 use reelfall_lease::durable::Record;
-use reelfall_lease::holder::LeaseEvent;
-use reelfall_lease::keeper::{Destination, Effects};
+use reelfall_lease::holder::{KeeperRequest, LeaseEvent};
+use reelfall_lease::keeper::{Destination, Effects, OutgoingMessage};
 use reelfall_lease::message::{ClientId, Message};
 use reelfall_lease::recovery::Status;
 use reelfall_lease::token::{Claim, FenceError};
@@ -115,7 +115,7 @@
             }
             self.acquired_tokens.push(token);
         }
-        for (keeper, request) in client.lease.take_requests() {
+        for KeeperRequest { keeper, request } in client.lease.take_requests() {
             let link = Link::ClientToKeeper {
                 client: index,
                 keeper,
@@ -214,8 +214,12 @@
                 let process = &self.keepers[keeper];
                 if process.keeper.is_some() && process.process.tag == tag {
                     self.apply_records(keeper, &effects.records);
-                    for (to, message) in effects.messages {
-                        self.send_from_keeper(keeper, to, &message);
+                    for OutgoingMessage {
+                        destination,
+                        message,
+                    } in effects.messages
+                    {
+                        self.send_from_keeper(keeper, destination, &message);
                     }
                 }
             }
--- a/crates/lease/tests/schedules/world.rs
+++ b/crates/lease/tests/schedules/world.rs
@@ -181,7 +181,7 @@
             if deadline.is_some_and(|deadline| deadline <= clock) {
                 client.lease.tick(clock, jitter);
             }
-            if client.lease.held(clock).is_some() {
+            if client.lease.active(clock).is_some() {
                 holders.push(index);
                 self.write_if_due(index);
             }
@@ -199,11 +199,11 @@
             return;
         }
         let clock = client.process.clock(self.now);
-        let Some(held) = client.lease.held(clock) else {
+        let Some(active) = client.lease.active(clock) else {
             return;
         };
         client.next_write_at = self.now + WRITE_INTERVAL;
-        let (claim, ()) = held.operation(()).into_parts();
+        let (claim, ()) = active.operation(()).into_parts();
         // The process may be paused between its check of the lease and the write.
         let max_delay = if self.rng.random_bool(0.05) {
             8 * SECOND
@@ -229,7 +229,7 @@
     pub fn holder(&self) -> Option<usize> {
         self.clients.iter().position(|client| {
             let clock = client.process.clock(self.now);
-            client.lease.held(clock).is_some()
+            client.lease.active(clock).is_some()
         })
     }
 
--- a/crates/node/src/lease/admin.rs
+++ b/crates/node/src/lease/admin.rs
@@ -59,11 +59,11 @@
 }
 
 fn add_local_lease(report: &mut Report, name: &LeaseName, local: &LocalLease, now: Micros) {
-    match local.lease.held(now) {
-        Some(held) => report.add(format_args!(
+    match local.lease.active(now) {
+        Some(active) => report.add(format_args!(
             "{name}: held here, token {}, for {:.1} s without a renewal",
-            held.token().number(),
-            seconds(held.remaining())
+            active.token().number(),
+            seconds(active.remaining())
         )),
         None if local.lease.is_wanted() => report.add(format_args!("{name}: wanted here")),
         None => report.add(format_args!("{name}: given back here")),
--- a/crates/node/src/lease/call.rs
+++ b/crates/node/src/lease/call.rs
@@ -36,12 +36,12 @@
     TimedOut,
 }
 
-/// Calls while the lease is held, for as long as it is polled.
+/// Calls while the lease is active, for as long as it is polled.
 pub async fn run(leases: Rc<Leases>, name: LeaseName, call: model::Call) {
     let interval = Duration::from_secs_f64(call.every);
     let mut next = Instant::now();
     loop {
-        leases.until_held(&name).await;
+        leases.until_active(&name).await;
         tokio::time::sleep_until(next.into()).await;
         next = Instant::now() + interval;
         let answer = timeout(interval.min(CALL_TIMEOUT), call_once(&leases, &name, &call));
--- a/crates/node/src/lease/disk.rs
+++ b/crates/node/src/lease/disk.rs
@@ -1,8 +1,7 @@
 //! A keeper's storage folder, on a thread of its own: a slow disk delays no request. Used by `dispatch`.
 
 use reelfall_lease::durable::{DurableState, Record};
-use reelfall_lease::keeper::Destination;
-use reelfall_lease::message::Message;
+use reelfall_lease::keeper::OutgoingMessage;
 use reelfall_lease_store::{Store, StoreError};
 use std::cell::Cell;
 use std::path::{Path, PathBuf};
@@ -17,8 +16,8 @@
 /// Pause before a folder that can't be used is opened again.
 const REOPEN_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Messages to send, with their receivers.
-pub type Outbox = Vec<(Destination, Message)>;
+/// Messages to send.
+pub type Outbox = Vec<OutgoingMessage>;
 
 /// An event of the folder.
 pub enum DiskEvent {
@@ -150,7 +149,9 @@
             batch.push(job);
         }
         batch.retain(|job| job.opening == opening);
-        let (mut records, mut messages, writes) = (Vec::new(), Vec::new(), batch.len());
+        let writes = batch.len();
+        let mut records = Vec::new();
+        let mut messages = Vec::new();
         for job in batch {
             records.extend(job.records);
             messages.extend(job.messages);
--- a/crates/node/src/lease/dispatch.rs
+++ b/crates/node/src/lease/dispatch.rs
@@ -4,8 +4,8 @@
 use super::Leases;
 use crate::fleet::Recipient;
 use reelfall_cluster::node::Node;
-use reelfall_lease::holder::LeaseEvent;
-use reelfall_lease::keeper::Destination;
+use reelfall_lease::holder::{KeeperRequest, LeaseEvent};
+use reelfall_lease::keeper::{Destination, OutgoingMessage};
 use reelfall_lease::message::{ClientId, Message, Request, Response};
 use reelfall_lease::token::LeaseName;
 use std::rc::Rc;
@@ -83,8 +83,8 @@
                 self.log_event(name, &event);
             }
         }
-        for (place, request) in requests {
-            self.send_request(place, request);
+        for KeeperRequest { keeper, request } in requests {
+            self.send_request(keeper, request);
         }
     }
 
@@ -131,8 +131,12 @@
 
     pub(super) fn send_all(&self, messages: Outbox) {
         let me = self.client_id().tag;
-        for (to, message) in messages {
-            match to {
+        for OutgoingMessage {
+            destination,
+            message,
+        } in messages
+        {
+            match destination {
                 Destination::Client(client) if client.tag == me => {
                     self.loopback.borrow_mut().push_back(message);
                 }
--- a/crates/node/src/lease/mod.rs
+++ b/crates/node/src/lease/mod.rs
@@ -150,19 +150,19 @@
         self.wake.notify_one();
     }
 
-    /// An operation that is performed under the lease, if that is held at this moment.
+    /// An operation that is performed under the lease, if that is active at this moment.
     pub fn operation<T>(&self, name: &LeaseName, payload: T) -> Option<Operation<T>> {
         let leases = self.local_leases.borrow();
         let operation = leases
             .get(name)?
             .lease
-            .held(self.now())
-            .map(|held| held.operation(payload));
+            .active(self.now())
+            .map(|active| active.operation(payload));
         operation
     }
 
-    /// Waits until the lease is held.
-    async fn until_held(&self, name: &LeaseName) {
+    /// Waits until the lease is active.
+    async fn until_active(&self, name: &LeaseName) {
         loop {
             let changed = self.changed.notified();
             if self.operation(name, ()).is_some() {
@@ -172,17 +172,17 @@
         }
     }
 
-    /// Releases the lease for a while, so that another node acquires it; returns whether it was held.
+    /// Releases the lease for a while, so that another node acquires it; returns whether it was active.
     fn release_for_a_while(&self, name: &LeaseName) -> bool {
         let now = self.now();
-        let was_held = self.operation(name, ()).is_some();
+        let was_active = self.operation(name, ()).is_some();
         if let Some(local) = self.local_leases.borrow_mut().get_mut(name) {
             local.lease.release(now);
             local.reacquire_at = Some(now + self.config.length * LENGTHS_UNTIL_REACQUIRED);
         }
         self.process_effects();
         self.wake.notify_one();
-        was_held
+        was_active
     }
 
     /// Releases all leases for good, as the node shuts down.
--- a/crates/node/src/lease/start.rs
+++ b/crates/node/src/lease/start.rs
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Acquires the lease of a call, and starts the task that calls while it is held.
+    /// Acquires the lease of a call, and starts the task that calls while it is active.
     fn start_call(self: &Rc<Self>, call: &model::Call) -> Result<(), LeaseError> {
         let name = LeaseName::try_from(call.name.clone());
         let name = name.map_err(|source| LeaseError::InvalidCallName {
