--- a/crates/distribution/src/history.rs
+++ b/crates/distribution/src/history.rs
@@ -10,13 +10,20 @@
     successor: Version,
 }
 
+/// Orders keys by the version of the change that replaced their previous one.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct SuccessorKey {
+    successor: Version,
+    key: Key,
+}
+
 /// The previous change of each key, within a byte limit.
 #[derive(Debug)]
 pub struct ChangeHistory {
     /// The replaced change of each key, and the version of its successor.
     previous: BTreeMap<Key, ReplacedChange>,
     /// Keys by the version of the successor: the oldest are dropped first.
-    by_successor: BTreeSet<(Version, Key)>,
+    by_successor: BTreeSet<SuccessorKey>,
     bytes: usize,
     max_bytes: usize,
 }
@@ -43,9 +50,12 @@
                 successor: new.version,
             },
         );
-        self.by_successor.insert((new.version, new.key.clone()));
+        self.by_successor.insert(SuccessorKey {
+            successor: new.version,
+            key: new.key.clone(),
+        });
         while self.bytes > self.max_bytes {
-            let Some((_, key)) = self.by_successor.first().cloned() else {
+            let Some(SuccessorKey { key, .. }) = self.by_successor.first().cloned() else {
                 break;
             };
             self.forget(&key);
@@ -57,7 +67,10 @@
             return;
         };
         self.bytes -= change.size_bytes();
-        self.by_successor.remove(&(successor, key.clone()));
+        self.by_successor.remove(&SuccessorKey {
+            successor,
+            key: key.clone(),
+        });
     }
 
     /// The content before a change; none if it is no longer known.
--- a/crates/distribution/src/node_status.rs
+++ b/crates/distribution/src/node_status.rs
@@ -41,11 +41,18 @@
     pub rejections: Vec<Rejection>,
 }
 
+/// Orders rejections by the version of the change, and then by node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct RejectionKey {
+    version: Version,
+    node: PeerId,
+}
+
 /// The reported state of all nodes.
 #[derive(Debug, Default)]
 pub struct NodeStatuses {
     by_node: BTreeMap<PeerId, NodeStatus>,
-    rejections: BTreeMap<(Version, PeerId), Rejection>,
+    rejections: BTreeMap<RejectionKey, Rejection>,
 }
 
 impl NodeStatuses {
@@ -69,7 +76,9 @@
 
     /// Records that a node rejected a change.
     pub fn record_rejection(&mut self, version: Version, rejection: Rejection) {
-        self.rejections.insert((version, rejection.node), rejection);
+        let node = rejection.node;
+        self.rejections
+            .insert(RejectionKey { version, node }, rejection);
         if self.rejections.len() > MAX_REJECTIONS {
             self.rejections.pop_first();
         }
@@ -86,10 +95,17 @@
             };
             set.insert(*node);
         }
-        let all = (version, PeerId(0))..=(version, PeerId(u32::MAX));
+        let first = RejectionKey {
+            version,
+            node: PeerId(0),
+        };
+        let last = RejectionKey {
+            version,
+            node: PeerId(u32::MAX),
+        };
         status.rejections = self
             .rejections
-            .range(all)
+            .range(first..=last)
             .map(|(_, rejection)| rejection.clone())
             .collect();
         status
--- a/crates/distribution/src/report/rejections.rs
+++ b/crates/distribution/src/report/rejections.rs
@@ -14,11 +14,26 @@
 /// Most rejections that are retained in all; beyond it those of the oldest versions are dropped.
 pub const MAX_REJECTIONS: usize = 4096;
 
+/// Orders rejections by the version of the change.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct RejectionKey {
+    version: Version,
+    node: PeerId,
+    key: Key,
+}
+
+/// What a node rejected last of a key, and why.
+#[derive(Debug)]
+struct RetainedRejection {
+    version: Version,
+    reason: String,
+}
+
 /// The latest rejection of each node and key.
 #[derive(Debug, Default)]
 pub(crate) struct RejectionHistory {
-    by_node: BTreeMap<PeerId, BTreeMap<Key, (Version, String)>>,
-    by_version: BTreeSet<(Version, PeerId, Key)>,
+    by_node: BTreeMap<PeerId, BTreeMap<Key, RetainedRejection>>,
+    by_version: BTreeSet<RejectionKey>,
 }
 
 impl RejectionHistory {
@@ -34,14 +49,26 @@
             return;
         };
         let of_node = self.by_node.entry(*node).or_default();
-        if let Some((known, _)) = of_node.get(key) {
-            if known >= version {
+        if let Some(known) = of_node.get(key) {
+            if known.version >= *version {
                 return;
             }
-            self.by_version.remove(&(*known, *node, key.clone()));
+            self.by_version.remove(&RejectionKey {
+                version: known.version,
+                node: *node,
+                key: key.clone(),
+            });
         }
-        of_node.insert(key.clone(), (*version, reason.clone()));
-        self.by_version.insert((*version, *node, key.clone()));
+        let retained = RetainedRejection {
+            version: *version,
+            reason: reason.clone(),
+        };
+        of_node.insert(key.clone(), retained);
+        self.by_version.insert(RejectionKey {
+            version: *version,
+            node: *node,
+            key: key.clone(),
+        });
         self.evict_oldest_of(*node);
         self.evict_oldest();
     }
@@ -54,42 +81,46 @@
         else {
             return;
         };
-        let earliest = of_node.iter().min_by_key(|(_, (version, _))| *version);
-        let Some((key, version)) = earliest.map(|(key, (version, _))| (key.clone(), *version))
-        else {
-            return;
-        };
-        self.remove((version, node, key));
+        let earliest = of_node
+            .iter()
+            .min_by_key(|(_, rejection)| rejection.version)
+            .map(|(key, rejection)| RejectionKey {
+                version: rejection.version,
+                node,
+                key: key.clone(),
+            });
+        if let Some(earliest) = earliest {
+            self.remove(&earliest);
+        }
     }
 
     fn evict_oldest(&mut self) {
         if self.by_version.len() > MAX_REJECTIONS {
             if let Some(earliest) = self.by_version.first().cloned() {
-                self.remove(earliest);
+                self.remove(&earliest);
             }
         }
     }
 
-    fn remove(&mut self, entry: (Version, PeerId, Key)) {
-        self.by_version.remove(&entry);
-        let (_, node, key) = entry;
-        if let Some(of_node) = self.by_node.get_mut(&node) {
-            of_node.remove(&key);
+    fn remove(&mut self, rejection: &RejectionKey) {
+        self.by_version.remove(rejection);
+        if let Some(of_node) = self.by_node.get_mut(&rejection.node) {
+            of_node.remove(&rejection.key);
             if of_node.is_empty() {
-                self.by_node.remove(&node);
+                self.by_node.remove(&rejection.node);
             }
         }
     }
 
     /// All rejections, by version.
     pub fn all(&self) -> impl Iterator<Item = Report> + '_ {
-        self.by_version.iter().filter_map(|(version, node, key)| {
-            let (_, reason) = self.by_node.get(node)?.get(key)?;
+        self.by_version.iter().filter_map(|rejection| {
+            let retained = self.by_node.get(&rejection.node)?.get(&rejection.key)?;
             Some(Report::Rejected {
-                node: *node,
-                key: key.clone(),
-                version: *version,
-                reason: reason.clone(),
+                node: rejection.node,
+                key: rejection.key.clone(),
+                version: rejection.version,
+                reason: retained.reason.clone(),
             })
         })
     }
