--- a/crates/balancer/src/decide/admission.rs
+++ b/crates/balancer/src/decide/admission.rs
@@ -1,45 +1,45 @@
-//! Admission control: which share of the offered work is admitted, and which requests are shed first.
+//! Admission control: which fraction of the offered work is admitted, and which requests are shed first.
 //!
-//! The admitted share falls with each late response, rises steadily while few responses are late, and follows the capacity
-//! that the endpoint list tells of before any response is late.
+//! The admitted fraction falls with each late response, rises steadily while few responses are late, and follows the
+//! capacity that the endpoint list reports before any response is late.
 
 use super::estimates::WorkEstimates;
 use crate::interface::{Settings, Time};
 
-/// A response that takes more than this share of its latency objective counts as late: once the objective is missed it is
-/// too late to shed load.
-const LATE_OBJECTIVE_SHARE: f64 = 0.95;
-/// A response that takes less than this share of its latency objective is never late.
-const MIN_LATE_OBJECTIVE_SHARE: f64 = 0.6;
+/// A response that takes more than this fraction of its latency objective counts as late: once the objective is missed
+/// it is too late to shed load.
+const LATE_OBJECTIVE_FRACTION: f64 = 0.95;
+/// A response that takes less than this fraction of its latency objective is never late.
+const MIN_LATE_OBJECTIVE_FRACTION: f64 = 0.6;
 /// A response that takes more than this multiple of the unloaded response time has been queued.
 pub(super) const QUEUED_RESPONSE_FACTOR: f64 = 3.0;
 
-/// What late responses alone would take off the admitted share within the shortest deadline.
+/// What late responses alone would take off the admitted fraction within the shortest deadline.
 const DECREASE: f64 = 2.0;
-/// A late response takes off this share at most.
+/// A late response takes off this fraction at most.
 const MAX_DECREASE: f64 = 0.25;
-/// What is added to the admitted share within the shortest deadline.
+/// What is added to the admitted fraction within the shortest deadline.
 const INCREASE: f64 = 0.2;
-/// From this share of late responses on each takes off its full part, and nothing is added.
-const HIGH_LATE_SHARE: f64 = 0.25;
-/// Maximum step of the share of late responses.
+/// From this fraction of late responses on each takes off its full decrease, and nothing is added.
+const HIGH_LATE_FRACTION: f64 = 0.25;
+/// Maximum step of the fraction of late responses.
 const MAX_LATE_STEP: f64 = 0.125;
-/// The share of late responses decays within this multiple of the shortest deadline.
+/// The fraction of late responses decays within this multiple of the shortest deadline.
 const LATE_DECAY_DEADLINES: f64 = 4.0;
-/// The admitted share rises beyond 1 to this, so that a few late responses shed nothing.
-const MAX_ADMITTED_SHARE: f64 = 1.3;
-/// The least admitted share; without any requests nothing would show that the overload is over.
-const MIN_ADMITTED_SHARE: f64 = 0.1;
+/// The admitted fraction rises beyond 1 to this, so that a few late responses shed nothing.
+const MAX_ADMITTED_FRACTION: f64 = 1.3;
+/// The least admitted fraction; without any requests nothing would show that the overload is over.
+const MIN_ADMITTED_FRACTION: f64 = 0.1;
 
 /// How long a response may take before it is taken for late, and its server for overloaded.
 pub(super) fn queueing_threshold(latency_objective: Time, unloaded_response: Time) -> Time {
-    (LATE_OBJECTIVE_SHARE * latency_objective).min(QUEUED_RESPONSE_FACTOR * unloaded_response)
+    (LATE_OBJECTIVE_FRACTION * latency_objective).min(QUEUED_RESPONSE_FACTOR * unloaded_response)
 }
 
 /// Whether a response that took so long counts as late for admission.
 pub(super) fn is_late(waited: Time, latency_objective: Time, unloaded_response: Time) -> bool {
     let threshold = queueing_threshold(latency_objective, unloaded_response);
-    waited > threshold.max(MIN_LATE_OBJECTIVE_SHARE * latency_objective)
+    waited > threshold.max(MIN_LATE_OBJECTIVE_FRACTION * latency_objective)
 }
 
 /// The requests of one class that are within, or over, the quotas of their tenants.
@@ -69,16 +69,16 @@
 }
 
 impl SegmentWork {
-    fn served_share(&self) -> f64 {
+    fn served_fraction(&self) -> f64 {
         self.served / self.offered.max(f64::MIN_POSITIVE)
     }
 }
 
 /// The state of admission control.
 pub(super) struct Admission {
-    admitted_share: f64,
-    /// Smoothed share of late responses.
-    late_share: f64,
+    admitted_fraction: f64,
+    /// Smoothed fraction of late responses.
+    late_fraction: f64,
     last_response_at: Time,
     /// Capacity of the listed servers, in servers.
     capacity: f64,
@@ -89,29 +89,29 @@
     /// Everything is admitted.
     pub(super) fn new(classes: usize, now: Time) -> Self {
         Admission {
-            admitted_share: MAX_ADMITTED_SHARE,
-            late_share: 0.0,
+            admitted_fraction: MAX_ADMITTED_FRACTION,
+            late_fraction: 0.0,
             last_response_at: now,
             capacity: 0.0,
             segments: vec![SegmentWork::default(); 2 * classes],
         }
     }
 
-    /// The share of the offered work that is admitted, up to 1.
-    pub(super) fn admitted_share(&self) -> f64 {
-        self.admitted_share.min(1.0)
+    /// The fraction of the offered work that is admitted, up to 1.
+    pub(super) fn admitted_fraction(&self) -> f64 {
+        self.admitted_fraction.min(1.0)
     }
 
     /// Whether everything is admitted.
     pub(super) fn admits_all(&self) -> bool {
-        self.admitted_share >= 1.0
+        self.admitted_fraction >= 1.0
     }
 
-    /// Restores the admitted share; one that can't be is replaced by 1.
-    pub(super) fn restore(&mut self, admitted_share: f64) {
-        let is_usable = admitted_share.is_finite() && admitted_share > 0.0;
-        self.admitted_share = if is_usable {
-            admitted_share.clamp(MIN_ADMITTED_SHARE, 1.0)
+    /// Restores the admitted fraction; one that can't be is replaced by 1.
+    pub(super) fn restore(&mut self, admitted_fraction: f64) {
+        let is_usable = admitted_fraction.is_finite() && admitted_fraction > 0.0;
+        self.admitted_fraction = if is_usable {
+            admitted_fraction.clamp(MIN_ADMITTED_FRACTION, 1.0)
         } else {
             1.0
         };
@@ -127,7 +127,7 @@
         self.segments[segment.0].served += work;
     }
 
-    /// Reduces the sums of work to this share.
+    /// Reduces the sums of work to this fraction.
     pub(super) fn decay(&mut self, retained: f64) {
         for work in &mut self.segments {
             work.offered *= retained;
@@ -146,42 +146,43 @@
         let elapsed = (now - self.last_response_at).max(0.0);
         self.last_response_at = now;
         let step = (1.0 - (-2.0 * elapsed / shortest_deadline).exp()).min(MAX_LATE_STEP);
-        self.late_share += step * (f64::from(is_late) - self.late_share);
+        self.late_fraction += step * (f64::from(is_late) - self.late_fraction);
         if is_late {
-            let admitted_per_second = self.admitted_share() * arrivals_per_second;
-            let severity = (self.late_share / HIGH_LATE_SHARE).min(1.0);
+            let admitted_per_second = self.admitted_fraction() * arrivals_per_second;
+            let severity = (self.late_fraction / HIGH_LATE_FRACTION).min(1.0);
             let decrease = DECREASE / shortest_deadline / admitted_per_second * severity;
-            let admitted = self.admitted_share * (1.0 - decrease.min(MAX_DECREASE));
-            self.admitted_share = admitted.max(MIN_ADMITTED_SHARE);
+            let admitted = self.admitted_fraction * (1.0 - decrease.min(MAX_DECREASE));
+            self.admitted_fraction = admitted.max(MIN_ADMITTED_FRACTION);
         }
     }
 
-    /// Raises the admitted share after this time, unless many responses are late.
+    /// Raises the admitted fraction after this time, unless many responses are late.
     pub(super) fn recover(&mut self, elapsed: Time, shortest_deadline: Time) {
-        self.late_share *= (-elapsed / (LATE_DECAY_DEADLINES * shortest_deadline)).exp();
-        if self.late_share < HIGH_LATE_SHARE {
+        self.late_fraction *= (-elapsed / (LATE_DECAY_DEADLINES * shortest_deadline)).exp();
+        if self.late_fraction < HIGH_LATE_FRACTION {
             let increase = INCREASE * elapsed / shortest_deadline;
-            self.admitted_share = (self.admitted_share + increase).min(MAX_ADMITTED_SHARE);
+            self.admitted_fraction = (self.admitted_fraction + increase).min(MAX_ADMITTED_FRACTION);
         }
     }
 
-    /// Adjusts the admitted share to a change of the capacity, by its root, as some capacity was spare. As long as all is
-    /// admitted this does not shed load, so that a fleet with little load can shrink.
+    /// Adjusts the admitted fraction to a change of the capacity, by its root, as some capacity was spare. As long as all
+    /// is admitted this does not shed load, so that a fleet with little load can shrink.
     pub(super) fn set_capacity(&mut self, capacity: f64) {
         let previous = std::mem::replace(&mut self.capacity, capacity);
         if previous > 0.0 && capacity > 0.0 {
             let min = if self.admits_all() {
                 1.0
             } else {
-                MIN_ADMITTED_SHARE
+                MIN_ADMITTED_FRACTION
             };
-            let adjusted = self.admitted_share * (capacity / previous).sqrt();
-            self.admitted_share = adjusted.clamp(min, MAX_ADMITTED_SHARE);
+            let adjusted = self.admitted_fraction * (capacity / previous).sqrt();
+            self.admitted_fraction = adjusted.clamp(min, MAX_ADMITTED_FRACTION);
         }
     }
 
-    /// The share of a segment that is admitted while load is shed: segments of less value for their work come last.
-    pub(super) fn segment_share(
+    /// The probability that a request of a segment is admitted while load is shed, and more than 1 if all are: segments
+    /// of less value for their work come last.
+    pub(super) fn segment_probability(
         &self,
         segment: Segment,
         settings: &Settings,
@@ -195,7 +196,7 @@
             .filter(|other| (self.value(*other, settings, work), *other) > (value, segment))
             .map(|other| self.segments[other.0].offered)
             .sum();
-        (self.admitted_share * total - offered_first) / self.segments[segment.0].offered
+        (self.admitted_fraction * total - offered_first) / self.segments[segment.0].offered
     }
 
     fn all_segments(&self) -> impl Iterator<Item = Segment> {
@@ -218,11 +219,11 @@
         value
     }
 
-    /// Whether no class has a smaller share of its requests within quotas served.
+    /// Whether no class has a smaller fraction of its requests within quotas served.
     fn is_served_worst(&self, segment: Segment) -> bool {
-        let served_share = self.segments[segment.0].served_share();
+        let served_fraction = self.segments[segment.0].served_fraction();
         let mut within_quota = self.all_segments().filter(|other| !other.is_over_quota());
-        within_quota.all(|other| served_share <= self.segments[other.0].served_share())
+        within_quota.all(|other| served_fraction <= self.segments[other.0].served_fraction())
     }
 }
 
--- a/crates/balancer/src/decide/attempts.rs
+++ b/crates/balancer/src/decide/attempts.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt, or its delay, tells about a server, about the load of all servers, and about the work of
+//! What the end of an attempt, or its delay, shows about a server, about the load of all servers, and about the work of
 //! requests.
 
 use super::admission::{is_late, queueing_threshold};
@@ -37,7 +37,7 @@
         self.waited / self.request.relative_size
     }
 
-    /// The timeout was too short to tell anything about the server but that it takes longer.
+    /// The timeout was too short to show anything about the server but that it takes longer.
     fn had_short_timeout(&self) -> bool {
         let overdue_after = OVERDUE_FACTOR * self.mean_response * self.request.relative_size;
         self.outcome == Outcome::TimedOut && self.waited < overdue_after.min(self.latency_objective)
@@ -144,7 +144,7 @@
     }
 
     /// One lost connection, corrupt or slow response can come from any server. The second failure in a row, a timeout, or
-    /// an error that the server itself states tells of a faulty one.
+    /// an error that the server itself states is a sign of a faulty one.
     fn classify_failure(&self, ended: &EndedAttempt) -> Failure {
         let outcome = ended.outcome;
         let is_timeout = outcome == Outcome::TimedOut;
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Tells admission whether the attempt was late. The delays of a server that is known to be faulty say nothing about
+    /// Notifies admission whether the attempt was late. The delays of a server that is known to be faulty say nothing about
     /// the load of the others.
     fn record_lateness(&mut self, now: Time, ended: &EndedAttempt, is_suspect: bool) {
         let unloaded = self.unloaded_response * ended.request.relative_size;
--- a/crates/balancer/src/decide/automaton.rs
+++ b/crates/balancer/src/decide/automaton.rs
@@ -5,8 +5,8 @@
 /// Step of a running average.
 const AVERAGE_STEP: f64 = 0.2;
 
-/// Step of the probability vector, as a share of the mean probability, so that a reward moves a server by the same share
-/// however long the list is.
+/// Step of the probability vector, as a fraction of the mean probability, so that a reward moves a server by the same
+/// fraction however long the list is.
 const REWARD_STEP: f64 = 0.1;
 
 /// From this many servers on the step grows with the list, as rewards of each server become rarer.
@@ -15,7 +15,7 @@
 /// The step grows to at most this multiple.
 const MAX_STEP_GROWTH: f64 = 3.0;
 
-/// The sum of the floors of all servers: the share of requests that is left to exploration.
+/// The sum of the floors of all servers: the fraction of requests that is left to exploration.
 pub(super) const TOTAL_FLOOR: f64 = 0.1;
 
 /// The probability vector and the running averages of one node, by position in its list of servers.
@@ -28,7 +28,7 @@
 }
 
 impl Automaton {
-    /// The least probability. It shrinks with the list, so that the floors of a long list leave room for learning.
+    /// The least probability. It shrinks with the list, so that the floors of a long list leave enough probability for learning.
     pub fn floor(&self) -> f64 {
         TOTAL_FLOOR / self.probability.len().max(1) as f64
     }
--- a/crates/balancer/src/decide/estimates.rs
+++ b/crates/balancer/src/decide/estimates.rs
@@ -8,8 +8,8 @@
 const TYPICAL_STEP: f64 = 0.01;
 /// Step of the arrival rate.
 const RATE_STEP: f64 = 0.2;
-/// Share of a response time that does not depend on the size of the request, as waiting does not.
-const CONSTANT_SHARE: f64 = 0.5;
+/// Fraction of a response time that does not depend on the size of the request, as waiting does not.
+const CONSTANT_FRACTION: f64 = 0.5;
 
 /// Estimates of the work of requests, in seconds on a standard core.
 pub(super) struct WorkEstimates {
@@ -67,7 +67,7 @@
 
     /// How long a request takes against a typical one.
     pub(super) fn relative_size(&self, work: f64) -> f64 {
-        CONSTANT_SHARE + (1.0 - CONSTANT_SHARE) * work / self.typical
+        CONSTANT_FRACTION + (1.0 - CONSTANT_FRACTION) * work / self.typical
     }
 }
 
--- a/crates/balancer/src/decide/handover.rs
+++ b/crates/balancer/src/decide/handover.rs
@@ -41,7 +41,7 @@
             typical_work: self.work.typical(),
             unloaded_response: self.unloaded_response,
             sustainable_work_rate: self.sustained_work.per_server(),
-            admitted_share: self.admission.admitted_share(),
+            admitted_fraction: self.admission.admitted_fraction(),
             zone_spill_weight: self.zone_spill.weight(),
         }
     }
@@ -65,7 +65,7 @@
             self.unloaded_response = learned.unloaded_response;
         }
         self.sustained_work.restore(learned.sustainable_work_rate);
-        self.admission.restore(learned.admitted_share);
+        self.admission.restore(learned.admitted_fraction);
         self.zone_spill.restore(learned.zone_spill_weight);
     }
 
--- a/crates/balancer/src/decide/mod.rs
+++ b/crates/balancer/src/decide/mod.rs
@@ -11,14 +11,14 @@
 //! | `server_health` | the health of one server |
 //! | `selection` | sampling a server: which are eligible, and with which weights |
 //! | `requests` | a request from its arrival to the end of its last attempt; retries |
-//! | `attempts` | what the end of an attempt, or its delay, tells about a server |
+//! | `attempts` | what the end of an attempt, or its delay, shows about a server |
 //! | `endpoint_list` | updates of the endpoint list |
 //! | `departed` | servers that left the list lately |
 //! | `subset` | the servers of a long list that this node prefers |
 //! | `outlier` | ejection of servers that fail or are slow |
 //! | `slow_start` | servers that have just started, and how much work they may be sent |
 //! | `work_credit` | the bucket of work of a server in its slow start |
-//! | `admission` | which share of the requests is admitted, and which ones |
+//! | `admission` | which fraction of the requests is admitted, and which ones |
 //! | `tenant_quota` | the quotas of tenants |
 //! | `retry_budget` | how many retries are allowed |
 //! | `zone_spill` | the weight of servers in other zones |
@@ -295,9 +295,9 @@
         self.key_counts.decay(retained);
         self.arrivals.update(elapsed);
         let warm = self.servers.warm_count(&self.settings.rules, now);
-        let traffic_share = self.traffic_share();
+        let traffic_fraction = self.traffic_fraction();
         self.sustained_work
-            .update(elapsed, retained, traffic_share, warm);
+            .update(elapsed, retained, traffic_fraction, warm);
         self.zone_spill
             .update(elapsed, self.settings.costs.cross_zone);
         let mean = self.mean_response(now);
@@ -308,15 +308,15 @@
         };
     }
 
-    /// The share of all nodes' traffic that this node has: at least that of one among equals, and more where it gets more
-    /// of what the tenants may send, as other nodes may be down.
-    fn traffic_share(&self) -> f64 {
-        let equal_share = 1.0 / f64::from(self.settings.node_count);
+    /// The fraction of all nodes' traffic that this node has: at least that of one among equals, and more where it gets
+    /// more of what the tenants may send, as other nodes may be down.
+    fn traffic_fraction(&self) -> f64 {
+        let equal_fraction = 1.0 / f64::from(self.settings.node_count);
         let total_rate = self.quotas.total_rate();
         if total_rate > 0.0 {
-            (self.arrivals.per_second() / total_rate).clamp(equal_share, 1.0)
+            (self.arrivals.per_second() / total_rate).clamp(equal_fraction, 1.0)
         } else {
-            equal_share
+            equal_fraction
         }
     }
 
--- a/crates/balancer/src/decide/outlier.rs
+++ b/crates/balancer/src/decide/outlier.rs
@@ -5,10 +5,10 @@
 use super::StrictestClass;
 use crate::interface::Time;
 
-/// Maximum share of the list that may be ejected, so that a fault that all servers have in common ejects few.
-const MAX_EJECTED_SHARE: f64 = 0.2;
+/// Maximum fraction of the list that may be ejected, so that a fault that all servers have in common ejects few.
+const MAX_EJECTED_FRACTION: f64 = 0.2;
 /// The same with servers that are unreachable, as a zone may be lost.
-const MAX_EJECTED_SHARE_UNREACHABLE: f64 = 0.5;
+const MAX_EJECTED_FRACTION_UNREACHABLE: f64 = 0.5;
 /// An ejection for a failure lasts for this multiple of the shortest deadline.
 const FAILURE_EJECTION_DEADLINES: f64 = 4.0;
 
@@ -35,7 +35,7 @@
 
 /// Maximum number of servers of a list that may be ejected, at least one.
 fn max_ejected(servers: usize) -> f64 {
-    (MAX_EJECTED_SHARE * servers as f64).max(1.0)
+    (MAX_EJECTED_FRACTION * servers as f64).max(1.0)
 }
 
 /// Ejects the server at a position, as far as the number of ejected servers allows it.
@@ -59,12 +59,12 @@
         strictest.latency_objective
     };
     let jitter = 0.75 + 0.5 * random;
-    let unreachable_share = if failure.is_unreachable {
-        MAX_EJECTED_SHARE_UNREACHABLE
+    let unreachable_fraction = if failure.is_unreachable {
+        MAX_EJECTED_FRACTION_UNREACHABLE
     } else {
         0.0
     };
-    let limit = max_ejected(servers.len()).max(unreachable_share * servers.len() as f64);
+    let limit = max_ejected(servers.len()).max(unreachable_fraction * servers.len() as f64);
     let is_allowed = (ejected + 1) as f64 <= limit;
     let ejection = is_allowed.then_some(base * jitter);
     servers[position]
--- a/crates/balancer/src/decide/requests.rs
+++ b/crates/balancer/src/decide/requests.rs
@@ -9,8 +9,8 @@
 
 /// An attempt is overdue at this multiple of the mean response time for its size.
 pub(super) const OVERDUE_FACTOR: f64 = 3.0;
-/// `Retry-After` is spread between this share of its maximum and the maximum.
-const MIN_RETRY_AFTER_SHARE: f64 = 0.5;
+/// `Retry-After` is spread between this fraction of its maximum and the maximum.
+const MIN_RETRY_AFTER_FRACTION: f64 = 0.5;
 
 /// A request that has arrived.
 #[derive(Clone, Copy, Debug)]
@@ -173,25 +173,25 @@
     }
 
     fn is_over_quota(&mut self, now: Time, tenant: Option<TenantId>) -> bool {
-        let traffic_share = self.traffic_share();
-        tenant.is_some_and(|tenant| self.quotas.is_exceeded(now, tenant, traffic_share))
+        let traffic_fraction = self.traffic_fraction();
+        tenant.is_some_and(|tenant| self.quotas.is_exceeded(now, tenant, traffic_fraction))
     }
 
     fn is_admitted(&mut self, segment: Segment) -> bool {
         if self.admission.admits_all() {
             return true;
         }
-        let share = self
+        let probability = self
             .admission
-            .segment_share(segment, &self.settings, &self.work);
-        self.random.fraction() < share
+            .segment_probability(segment, &self.settings, &self.work);
+        self.random.fraction() < probability
     }
 
     fn reject(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let max = self.settings.limits.max_retry_after;
         let retry_after = (max > 0.0).then(|| {
-            let spread = 1.0 - MIN_RETRY_AFTER_SHARE;
-            max * (MIN_RETRY_AFTER_SHARE + spread * self.random.fraction())
+            let spread = 1.0 - MIN_RETRY_AFTER_FRACTION;
+            max * (MIN_RETRY_AFTER_FRACTION + spread * self.random.fraction())
         });
         actions.push(Action::Reject {
             request: id,
--- a/crates/balancer/src/decide/server_health.rs
+++ b/crates/balancer/src/decide/server_health.rs
@@ -1,11 +1,11 @@
-//! The health of one server, as its attempts and the nodes of a cluster tell it.
+//! The health of one server, as its attempts and the nodes of a cluster report it.
 
 use crate::interface::Time;
 
 /// The duration of ejections doubles at most this many times.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// What a failed or overdue attempt tells about a server.
+/// What a failed or overdue attempt shows about a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Failure {
     /// The server fails, beyond being late.
--- a/crates/balancer/src/decide/servers.rs
+++ b/crates/balancer/src/decide/servers.rs
@@ -1,7 +1,7 @@
 //! The listed servers, and what this node knows of each.
 
 use super::server_health::ServerHealth;
-use super::work_credit::{capacity_share, WorkCredit};
+use super::work_credit::{capacity_fraction, WorkCredit};
 use crate::index::Index;
 use crate::interface::{Endpoint, Rules, ServerId, Time};
 use std::ops::{Deref, DerefMut};
@@ -19,7 +19,7 @@
     /// When the last attempt was sent; 0 for none.
     pub(super) last_sent_at: Time,
     /// The latest sending time of an attempt that was answered. An earlier attempt that is still in flight is held up on
-    /// its own connection, which tells nothing about the server.
+    /// its own connection, which shows nothing about the server.
     pub(super) last_answered_sent_at: Time,
 }
 
@@ -52,9 +52,9 @@
         }
     }
 
-    /// The least share of its capacity that it has at present.
-    pub(super) fn capacity_share(&self, rules: &Rules, now: Time) -> f64 {
-        capacity_share(rules, self.endpoint.started_at, now)
+    /// The least fraction of its capacity that it has at present.
+    pub(super) fn capacity_fraction(&self, rules: &Rules, now: Time) -> f64 {
+        capacity_fraction(rules, self.endpoint.started_at, now)
     }
 }
 
@@ -123,7 +123,7 @@
     pub(super) fn capacity(&self, rules: &Rules, now: Time) -> f64 {
         self.servers
             .iter()
-            .map(|server| server.capacity_share(rules, now))
+            .map(|server| server.capacity_fraction(rules, now))
             .sum()
     }
 
@@ -131,7 +131,7 @@
     pub(super) fn warm_count(&self, rules: &Rules, now: Time) -> usize {
         self.servers
             .iter()
-            .filter(|server| server.capacity_share(rules, now) >= 1.0)
+            .filter(|server| server.capacity_fraction(rules, now) >= 1.0)
             .count()
     }
 }
@@ -150,7 +150,7 @@
     }
 }
 
-/// The size of a server against the mean by its listed weight; 1 where weights tell nothing.
+/// The size of a server against the mean by its listed weight; 1 where weights mean nothing.
 pub(super) fn relative_size(has_server_weights: bool, relative_weight: f64) -> f64 {
     if has_server_weights && relative_weight.is_finite() {
         let (min, max) = RELATIVE_SIZE_RANGE;
--- a/crates/balancer/src/decide/slow_start.rs
+++ b/crates/balancer/src/decide/slow_start.rs
@@ -1,5 +1,5 @@
 //! Slow start: a server that has just started has a part of its capacity, and all nodes together must not overload it.
-//! Each node has a token bucket of work for each such server, filled at its share of what the server tolerates.
+//! Each node has a token bucket of work for each such server, filled at its fraction of what the server tolerates.
 
 use super::servers::{relative_size, Server};
 use super::Balancer;
@@ -9,18 +9,18 @@
 const DEFAULT_WORK_RATE: f64 = 0.5;
 /// Rate at which the sustained work rate is forgotten, per second.
 const WORK_RATE_DECAY: f64 = 0.01;
-/// Share of a server's tolerance that very many nodes use continuously.
-const CONTINUOUS_SHARE: f64 = 0.45;
+/// Fraction of a server's tolerance that very many nodes use continuously.
+const CONTINUOUS_FRACTION: f64 = 0.45;
 /// Fewer nodes use more of it: this, divided by the root of their number.
-const CONTINUOUS_SHARE_SPREAD: f64 = 0.6;
-/// The greatest share that is used continuously.
-const MAX_CONTINUOUS_SHARE: f64 = 0.8;
-/// The share that continuous work and saved credit use together.
-const TOTAL_SHARE: f64 = 1.0;
-/// The rate of a machine type differs from the mean by this share at most, as few responses tell of each type.
+const CONTINUOUS_FRACTION_SPREAD: f64 = 0.6;
+/// The greatest fraction that is used continuously.
+const MAX_CONTINUOUS_FRACTION: f64 = 0.8;
+/// The fraction that continuous work and accumulated credit use together.
+const TOTAL_FRACTION: f64 = 1.0;
+/// The rate of a machine type differs from the mean by this fraction at most, as few responses are known of each type.
 const MAX_TYPE_DEVIATION: f64 = 0.6;
-/// The least saved credit that a probability is divided by, in typical requests.
-const MIN_SAVED_REQUESTS: f64 = 0.1;
+/// The least accumulated credit that a probability is divided by, in typical requests.
+const MIN_ACCUMULATED_REQUESTS: f64 = 0.1;
 
 /// The factor that slow start applies to the probability of a server.
 pub(super) fn probability_factor(
@@ -30,16 +30,16 @@
     work: f64,
     typical: f64,
 ) -> f64 {
-    let capacity = server.capacity_share(rules, now);
+    let capacity = server.capacity_fraction(rules, now);
     if capacity >= 1.0 {
         return 1.0;
     }
     if !server.credit.covers(work, typical) {
         return 0.0;
     }
-    // A node that has saved little sends rarely, so it sends more when it can.
-    let saved = server.credit.max / typical - 1.0;
-    capacity / saved.clamp(MIN_SAVED_REQUESTS, 1.0)
+    // A node that can accumulate little credit sends rarely, so it sends more when it can.
+    let accumulated = server.credit.max / typical - 1.0;
+    capacity / accumulated.clamp(MIN_ACCUMULATED_REQUESTS, 1.0)
 }
 
 /// The greatest work rate that a warm server was seen to sustain lately.
@@ -79,11 +79,17 @@
         self.served += work;
     }
 
-    /// Updates the rate after this time, with this node's share of the traffic and the number of warm servers.
-    pub(super) fn update(&mut self, elapsed: Time, retained: f64, traffic_share: f64, warm: usize) {
+    /// Updates the rate after this time, with this node's fraction of the traffic and the number of warm servers.
+    pub(super) fn update(
+        &mut self,
+        elapsed: Time,
+        retained: f64,
+        traffic_fraction: f64,
+        warm: usize,
+    ) {
         self.served_rate += (1.0 - retained) * (self.served / elapsed - self.served_rate);
         self.served = 0.0;
-        let sustained = self.served_rate / traffic_share / warm.max(1) as f64;
+        let sustained = self.served_rate / traffic_fraction / warm.max(1) as f64;
         let remembered = self.per_server * (1.0 - WORK_RATE_DECAY * elapsed);
         self.per_server = sustained.max(remembered).max(DEFAULT_WORK_RATE);
     }
@@ -111,14 +117,14 @@
     /// Fills the buckets of all servers in their slow start.
     pub(super) fn refill_slow_start_credit(&mut self, now: Time, elapsed: Time) {
         let nodes = f64::from(self.subset.nodes_per_server(self.servers.len() as f64));
-        let share = CONTINUOUS_SHARE + CONTINUOUS_SHARE_SPREAD / nodes.sqrt();
-        let share = share.min(MAX_CONTINUOUS_SHARE);
+        let continuous = CONTINUOUS_FRACTION + CONTINUOUS_FRACTION_SPREAD / nodes.sqrt();
+        let continuous = continuous.min(MAX_CONTINUOUS_FRACTION);
         let mean_weight = self.servers.mean_weight();
         let typical = self.work.typical();
         let speeds = self.machine_type_speeds();
         let rules = &self.settings.rules;
         for server in self.servers.iter_mut() {
-            let capacity = server.capacity_share(rules, now);
+            let capacity = server.capacity_fraction(rules, now);
             if capacity >= 1.0 {
                 continue;
             }
@@ -130,10 +136,12 @@
             let balancers = nodes * f64::from(endpoint.local_balancers.max(1));
             let work_rate = self.sustained_work.per_server();
             let tolerance = rules.overload_factor * work_rate * capacity * size / balancers;
-            let saved = (TOTAL_SHARE - share) * tolerance * rules.overload_window;
-            server
-                .credit
-                .refill(share * tolerance * elapsed, typical + saved, typical);
+            let accumulated = (TOTAL_FRACTION - continuous) * tolerance * rules.overload_window;
+            server.credit.refill(
+                continuous * tolerance * elapsed,
+                typical + accumulated,
+                typical,
+            );
         }
     }
 
--- a/crates/balancer/src/decide/tenant_quota.rs
+++ b/crates/balancer/src/decide/tenant_quota.rs
@@ -1,4 +1,4 @@
-//! The quotas of tenants: a token bucket for each, with this node's share of the quota.
+//! The quotas of tenants: a token bucket for each, with this node's fraction of the quota.
 
 use crate::interface::{Tenant, TenantId, Time};
 
@@ -41,11 +41,16 @@
     }
 
     /// Takes a token for a request of a tenant; returns whether the tenant is over its quota.
-    pub(super) fn is_exceeded(&mut self, now: Time, tenant: TenantId, traffic_share: f64) -> bool {
+    pub(super) fn is_exceeded(
+        &mut self,
+        now: Time,
+        tenant: TenantId,
+        traffic_fraction: f64,
+    ) -> bool {
         let Some(bucket) = self.buckets.get_mut(usize::from(tenant)) else {
             return false;
         };
-        let rate = bucket.quota * traffic_share;
+        let rate = bucket.quota * traffic_fraction;
         if rate <= 0.0 {
             return false;
         }
--- a/crates/balancer/src/decide/work_credit.rs
+++ b/crates/balancer/src/decide/work_credit.rs
@@ -2,8 +2,8 @@
 
 use crate::interface::{Rules, Time};
 
-/// The least share of its capacity that a server has which started at this time.
-pub(super) fn capacity_share(rules: &Rules, started_at: Time, now: Time) -> f64 {
+/// The least fraction of its capacity that a server has which started at this time.
+pub(super) fn capacity_fraction(rules: &Rules, started_at: Time, now: Time) -> f64 {
     let age = (now - started_at).max(0.0);
     if started_at <= 0.0 || age >= rules.slow_start_duration {
         return 1.0;
@@ -16,7 +16,7 @@
 pub(super) struct WorkCredit {
     /// Negative after a large request.
     pub(super) work: f64,
-    /// The most that is saved.
+    /// The most that is accumulated.
     pub(super) max: f64,
 }
 
@@ -36,7 +36,7 @@
         self.work = self.work.min(work);
     }
 
-    /// Whether a request can be sent. A large one is saved for, and in part owed.
+    /// Whether a request can be sent. A large one waits until credit has accumulated, and its remainder is owed.
     pub(super) fn covers(&self, work: f64, typical: f64) -> bool {
         let largest = 0.5 * (self.max + typical).max(2.0 * typical);
         self.work >= work.clamp(typical, largest)
--- a/crates/balancer/src/decide/zone_spill.rs
+++ b/crates/balancer/src/decide/zone_spill.rs
@@ -1,9 +1,9 @@
-//! The weight of servers in other zones. It follows what crossing zones gains: the share of missed latency objectives in
+//! The weight of servers in other zones. It follows what crossing zones gains: the fraction of missed latency objectives in
 //! this node's zone, less that in the others and the cost of crossing.
 
 use crate::interface::Time;
 
-/// Step of the shares of missed objectives.
+/// Step of the fractions of missed objectives.
 const MISSED_STEP: f64 = 0.05;
 /// Rate at which the weight grows, per second and unit of gain.
 const GROWTH_RATE: f64 = 7.0;
@@ -13,7 +13,7 @@
 /// The weight of servers in other zones against that of servers in this node's zone.
 pub(super) struct ZoneSpill {
     weight: f64,
-    /// Share of responses that missed their latency objective, in this node's zone.
+    /// Fraction of responses that missed their latency objective, in this node's zone.
     missed_locally: f64,
     /// The same in other zones.
     missed_remotely: f64,
@@ -47,12 +47,12 @@
 
     /// Adds a response.
     pub(super) fn record(&mut self, is_remote: bool, missed_objective: bool) {
-        let share = if is_remote {
+        let missed = if is_remote {
             &mut self.missed_remotely
         } else {
             &mut self.missed_locally
         };
-        *share += MISSED_STEP * (f64::from(missed_objective) - *share);
+        *missed += MISSED_STEP * (f64::from(missed_objective) - *missed);
     }
 
     /// Adjusts the weight after this time.
--- a/crates/balancer/src/engine.rs
+++ b/crates/balancer/src/engine.rs
@@ -14,7 +14,7 @@
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `command` | what the engine asks for, and what it is given |
+//! | `command` | what the engine requests, and what it is given |
 //! | `request` | one request and its attempts, and whether another may be sent |
 //! | `attempts` | starting, ending and cancelling attempts; final answers |
 //! | `endpoint_list` | updates of the endpoint list |
--- a/crates/balancer/src/engine/attempts.rs
+++ b/crates/balancer/src/engine/attempts.rs
@@ -64,7 +64,7 @@
             Action::Fail { request } => self.fail(request, commands),
             Action::Watch => commands.push(Command::Watch),
             Action::StartTimer { after, tag } => commands.push(Command::StartTimer { after, tag }),
-            // No deployment allows health checks yet, and the module asks for none.
+            // No deployment allows health checks yet, and the module requests none.
             Action::HealthCheck { server } => {
                 let outcome = Outcome::NotSent;
                 return Some(Event::HealthChecked {
--- a/crates/balancer/src/engine/command.rs
+++ b/crates/balancer/src/engine/command.rs
@@ -1,4 +1,4 @@
-//! What the engine asks for, and what it is given.
+//! What the engine requests, and what it is given.
 
 use super::Host;
 use crate::interface::{ClassId, Endpoint, Outcome, RequestId, ServerId, TenantId, Time};
@@ -17,7 +17,7 @@
     Failed(Option<Outcome>),
 }
 
-/// What the engine asks for. Commands are carried out in their order.
+/// What the engine requests. Commands are carried out in their order.
 pub enum Command<H: Host> {
     /// Start an attempt; [`Engine::end_attempt`](super::Engine::end_attempt) has to follow.
     Send {
--- a/crates/balancer/src/engine/endpoint_list.rs
+++ b/crates/balancer/src/engine/endpoint_list.rs
@@ -1,11 +1,12 @@
-//! Updates of the endpoint list: which servers were added, changed and removed, and what the module is told of them.
+//! Updates of the endpoint list: which servers were added, changed and removed, and what the module
+//! is notified of.
 
 use super::servers::ListedServer;
 use super::{AddressedEndpoint, Command, DecisionModule, Engine, Host};
 use crate::interface::{Endpoint, Event, ServerId, ServerState, Time, UpdateKind};
 use std::collections::{HashMap, HashSet};
 
-/// The endpoints that the module is told of.
+/// The endpoints that the module is notified of.
 #[derive(Default)]
 struct Changes {
     endpoints: Vec<Endpoint>,
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -6,7 +6,7 @@
 //! | `settings` | what a node knows at its start: classes, tenants, limits, rules, costs |
 //! | `endpoint` | servers, as the endpoint list describes them |
 //! | `event` | what a node reports to its balancer |
-//! | `action` | what a balancer asks its node to do |
+//! | `action` | what a balancer requests of its node |
 //! | `learned` | what one balancer hands over to the next |
 
 mod action;
--- a/crates/balancer/src/interface/action.rs
+++ b/crates/balancer/src/interface/action.rs
@@ -1,8 +1,8 @@
-//! What a balancer asks its node to do.
+//! What a balancer requests of its node.
 
 use super::{RequestId, ServerId, Time};
 
-/// What a balancer asks its node to do.
+/// What a balancer requests of its node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
--- a/crates/balancer/src/interface/event.rs
+++ b/crates/balancer/src/interface/event.rs
@@ -40,7 +40,7 @@
     pub in_flight: Option<f64>,
     /// Requests still queued.
     pub queued: Option<f64>,
-    /// Processor utilization, as a share.
+    /// Processor utilization, as a fraction.
     pub utilization: Option<f64>,
     /// Recent service time, in seconds.
     pub service_time: Option<Time>,
--- a/crates/balancer/src/interface/learned.rs
+++ b/crates/balancer/src/interface/learned.rs
@@ -41,9 +41,9 @@
     /// The greatest work per second that a warm server was seen to sustain.
     #[serde(rename = "bearable")]
     pub sustainable_work_rate: f64,
-    /// Share of requests that are admitted.
+    /// Fraction of requests that are admitted.
     #[serde(rename = "admit")]
-    pub admitted_share: f64,
+    pub admitted_fraction: f64,
     /// Weight of servers outside the node's zone.
     #[serde(rename = "spill")]
     pub zone_spill_weight: f64,
--- a/crates/balancer/src/interface/settings.rs
+++ b/crates/balancer/src/interface/settings.rs
@@ -38,7 +38,7 @@
     pub deadline: Time,
     /// What a request, or a unit of its work, counts for against those of other classes.
     pub priority_weight: f64,
-    /// Share of the priority weight that a response between objective and deadline earns.
+    /// Fraction of the priority weight that a response between objective and deadline earns.
     pub late_response_weight: f64,
     /// What a second run would do.
     pub idempotency: Idempotency,
@@ -97,7 +97,7 @@
 pub struct Rules {
     /// How long after a server was reported as draining the last attempt may be sent to it, in seconds.
     pub drain_grace: Time,
-    /// The least share of its capacity that a server has when it starts.
+    /// The least fraction of its capacity that a server has when it starts.
     pub initial_capacity: f64,
     /// The longest time until a server that has started reaches its full capacity, in seconds.
     pub slow_start_duration: Time,
@@ -114,7 +114,7 @@
 pub struct Costs {
     /// An attempt that crosses zones.
     pub cross_zone: f64,
-    /// Server work whose result no client got, as a share of the work offered.
+    /// Server work whose result no client got, as a fraction of the work offered.
     pub wasted_work: f64,
     /// A health check.
     pub health_check: f64,
@@ -142,7 +142,7 @@
     pub tenants: Vec<Tenant>,
     /// The zone of this node, if zones are known.
     pub zone: Option<ZoneId>,
-    /// Number of nodes that share the servers.
+    /// Number of nodes that send requests to the servers.
     pub node_count: u32,
     /// The index of this node among them, from 0, where each node was given its own.
     pub node_index: Option<u32>,
@@ -158,13 +158,13 @@
     pub costs: Costs,
     /// What is optimised.
     pub objective: Objective,
-    /// Priority weight of a request over its tenant's quota, as a share of its class's priority weight.
+    /// Priority weight of a request over its tenant's quota, as a fraction of its class's priority weight.
     pub over_quota_weight: f64,
     /// The priority weight counts per unit of work rather than per request.
     pub weight_per_work: bool,
     /// A server that served a key recently needs less work for it.
     pub has_key_affinity: bool,
-    /// Listed weights tell something about the capacity of servers.
+    /// Listed weights reflect the capacity of servers.
     pub has_server_weights: bool,
     /// Resolution of the node's clock, in seconds.
     pub clock_resolution: Time,
--- a/crates/balancer/src/settings/names.rs
+++ b/crates/balancer/src/settings/names.rs
@@ -3,7 +3,7 @@
 use crate::interface::{Endpoint, ServerState, TenantId, Time, ZoneId};
 use std::collections::HashMap;
 
-/// Maximum number of distinct zones, and of machine types; further names share the first number.
+/// Maximum number of distinct zones, and of machine types; further names get the first number.
 const MAX_GROUPS: usize = 1024;
 /// Listed weight of a server whose weight is not stated.
 const DEFAULT_WEIGHT: f64 = 1.0;
--- a/crates/balancer/tests/doubt.rs
+++ b/crates/balancer/tests/doubt.rs
@@ -147,7 +147,7 @@
             node.sweep();
         }
     }
-    node.balancer.learned(node.now).admitted_share
+    node.balancer.learned(node.now).admitted_fraction
 }
 
 #[test]
--- a/crates/balancer/tests/overload.rs
+++ b/crates/balancer/tests/overload.rs
@@ -26,7 +26,7 @@
 }
 
 fn admit(node: &Node) -> f64 {
-    node.balancer.learned(node.now).admitted_share
+    node.balancer.learned(node.now).admitted_fraction
 }
 
 #[test]
--- a/crates/balancer/tests/shares.rs
+++ b/crates/balancer/tests/shares.rs
@@ -68,7 +68,7 @@
     let mut refused = [0; 2];
     for _ in 0..10 {
         let learned = LearnedState {
-            admitted_share: 0.8,
+            admitted_fraction: 0.8,
             ..node.balancer.learned(node.now)
         };
         node.balancer.adopt(node.now, &learned);
--- a/crates/balancer/tests/uploads.rs
+++ b/crates/balancer/tests/uploads.rs
@@ -186,7 +186,7 @@
         .for_each(|s| s.relative_probability = f64::NAN);
     (
         spoilt.typical_work,
-        spoilt.admitted_share,
+        spoilt.admitted_fraction,
         spoilt.class_work,
     ) = (-1.0, f64::INFINITY, vec![]);
     let mut other = engine();
