--- a/crates/emulator/examples/fleet.rs
+++ b/crates/emulator/examples/fleet.rs
@@ -12,8 +12,8 @@
 const DEFAULT_SEEDS: usize = 3;
 /// Numbers of nodes, if none are given.
 const DEFAULT_SIZES: [usize; 3] = [10, 100, 300];
-/// Share of the servers that are faulty.
-const FAULTY_SHARE: f64 = 0.1;
+/// Fraction of the servers that are faulty.
+const FAULTY_FRACTION: f64 = 0.1;
 /// Length of the worst window, in seconds.
 const WORST_WINDOW: usize = 5;
 /// Mean work of an attempt, in seconds on a standard core.
@@ -82,7 +82,7 @@
     for seed in 0..seeds as u64 {
         let plan = Plan {
             is_subsetting_disabled,
-            ..scenario::with_faulty_servers(plan(nodes, seed + 1), FAULTY_SHARE)
+            ..scenario::with_faulty_servers(plan(nodes, seed + 1), FAULTY_FRACTION)
         };
         name.clone_from(&plan.name);
         reports.push(run_plan(plan)?);
@@ -105,8 +105,8 @@
     println!(
         "{name:<27} {nodes:>5} {:>5}  {:.3}  {:.3}   {:.3}     {:.3}    {:>5.2} {:>5.1}  {:.2}  {violations}",
         if is_subsetting { "yes" } else { "no" },
-        mean(&Report::earned_share),
-        mean(&|report| report.worst_earned_share(WORST_WINDOW)),
+        mean(&Report::earned_fraction),
+        mean(&|report| report.worst_earned_fraction(WORST_WINDOW)),
         mean(&Report::connections_per_request),
         mean(&Report::retries_per_request),
         mean(&percent_to_unresponsive),
--- a/crates/emulator/examples/scale/members.rs
+++ b/crates/emulator/examples/scale/members.rs
@@ -39,7 +39,7 @@
     /// Ends the nodes of a zone at last.
     #[arg(long)]
     zone: bool,
-    /// Share of datagrams that are lost on all links, in place of the links' own.
+    /// Fraction of datagrams that are lost on all links, in place of the links' own.
     #[arg(long)]
     loss: Option<f64>,
 }
--- a/crates/emulator/examples/together/detection.rs
+++ b/crates/emulator/examples/together/detection.rs
@@ -62,7 +62,7 @@
 enum Impairment {
     /// They are frozen for some time and run for some time, in seconds.
     Frozen { frozen: f64, running: f64 },
-    /// This share of the datagrams to them is lost.
+    /// This fraction of the datagrams to them is lost.
     ReceiveLoss(f64),
 }
 
--- a/crates/emulator/examples/together/storm.rs
+++ b/crates/emulator/examples/together/storm.rs
@@ -7,7 +7,7 @@
 const JOIN_TIMEOUT: f64 = 120.0;
 /// How often this is checked, in seconds.
 const JOIN_POLL_INTERVAL: f64 = 0.1;
-/// Share of the pairs of nodes that know each other, when nearly all do.
+/// Fraction of the pairs of nodes that know each other, when nearly all do.
 const NEARLY_ALL: f64 = 0.99;
 /// How long the cluster settles before nodes are killed, in seconds.
 const SETTLE_SECONDS: f64 = 5.0;
@@ -30,7 +30,7 @@
     while !cluster.is_converged() && cluster.now < JOIN_TIMEOUT {
         cluster.run(JOIN_POLL_INTERVAL);
         now = cluster.now;
-        if share_of_known_pairs(cluster) > NEARLY_ALL {
+        if known_pair_fraction(cluster) > NEARLY_ALL {
             nearly_joined_at.get_or_insert(now);
         }
     }
@@ -41,7 +41,7 @@
     );
 }
 
-fn share_of_known_pairs(cluster: &Cluster) -> f64 {
+fn known_pair_fraction(cluster: &Cluster) -> f64 {
     let running: Vec<usize> = (0..cluster.processes.len())
         .filter(|node| cluster.processes[*node].is_some())
         .collect();
--- a/crates/emulator/examples/trials/figures.rs
+++ b/crates/emulator/examples/trials/figures.rs
@@ -7,16 +7,17 @@
 
 /// Length of the worst window, in seconds.
 pub const WORST_WINDOW: usize = 10;
-/// Weight of the earned share of the whole run.
+/// Weight of the earned fraction of the whole run.
 const WHOLE_WEIGHT: f64 = 0.65;
-/// Weight of the earned share of the worst window.
+/// Weight of the earned fraction of the worst window.
 const WORST_WEIGHT: f64 = 0.35;
 /// Cost of a new connection per request.
 const CONNECTION_COST: f64 = 0.05;
 
-/// The earned share of the whole run and of its worst window, less the cost of connections.
+/// The earned fraction of the whole run and of its worst window, less the cost of connections.
 pub fn score(report: &Report) -> f64 {
-    WHOLE_WEIGHT * report.earned_share() + WORST_WEIGHT * report.worst_earned_share(WORST_WINDOW)
+    WHOLE_WEIGHT * report.earned_fraction()
+        + WORST_WEIGHT * report.worst_earned_fraction(WORST_WINDOW)
         - CONNECTION_COST * report.connections_per_request()
 }
 
--- a/crates/emulator/examples/trials/print.rs
+++ b/crates/emulator/examples/trials/print.rs
@@ -27,8 +27,8 @@
     println!(
         "{name:<7} {:.4} {:.4}  {:.4} {:>5.1}    {:>5.1}   {:>5.1} {:>5.1}    {:.3} {:.3}     {:>5.2}  {:.2}   {:.2} {:>6}   {}",
         mean(&score),
-        mean(&Report::earned_share),
-        mean(&|report| report.worst_earned_share(WORST_WINDOW)),
+        mean(&Report::earned_fraction),
+        mean(&|report| report.worst_earned_fraction(WORST_WINDOW)),
         percent(|second| second.late),
         percent(|second| second.rejected),
         percent(|second| second.failed),
--- a/crates/emulator/src/cluster.rs
+++ b/crates/emulator/src/cluster.rs
@@ -49,7 +49,7 @@
     pub processes: Vec<Option<Process>>,
     /// The properties of all links.
     pub links: Links,
-    /// Share of the datagrams to a node that are lost, beyond what its links lose.
+    /// Fraction of the datagrams to a node that are lost, beyond what its links lose.
     pub receive_loss: BTreeMap<usize, f64>,
     /// Number of servers that each node lists.
     pub listed_servers: usize,
@@ -71,7 +71,7 @@
     pub healthy_nodes: Option<usize>,
     /// How often a healthy node was declared dead.
     pub healthy_declared_dead: HealthyDeclaredDead,
-    /// The greatest age of a verdict that was valid anywhere, as a share of its time to live.
+    /// The greatest age of a verdict that was valid anywhere, as a fraction of its time to live.
     pub max_age_ratio: f64,
     /// Violations of invariants.
     pub violations: Vec<Violation>,
--- a/crates/emulator/src/cluster/links.rs
+++ b/crates/emulator/src/cluster/links.rs
@@ -11,9 +11,9 @@
 /// The properties of links.
 #[derive(Clone, Copy)]
 pub struct Links {
-    /// Share of the datagrams that are lost.
+    /// Fraction of the datagrams that are lost.
     pub loss: f64,
-    /// Share of the datagrams that are duplicated.
+    /// Fraction of the datagrams that are duplicated.
     pub duplication: f64,
     /// Minimum delay of a datagram, in seconds.
     pub min_delay: f64,
--- a/crates/emulator/src/cluster/process.rs
+++ b/crates/emulator/src/cluster/process.rs
@@ -9,7 +9,7 @@
 /// Maximum number of datagrams that wait for a frozen process, unless a test sets another one. The default buffer of a
 /// socket is 208 KiB, of which a small datagram takes 0.75 to 1.25.
 pub const MAX_INBOX: usize = 200;
-/// Clocks run faster or slower than the cluster's by up to this share.
+/// Clocks run faster or slower than the cluster's by up to this fraction.
 const CLOCK_DRIFT: f64 = 400e-6;
 
 /// One process of a node.
--- a/crates/emulator/src/control/links.rs
+++ b/crates/emulator/src/control/links.rs
@@ -22,9 +22,9 @@
     pub min_delay: f64,
     /// Maximum delay of a frame, in seconds.
     pub max_delay: f64,
-    /// Share of frames that are lost.
+    /// Fraction of frames that are lost.
     pub loss: f64,
-    /// Share of datagrams that are delivered twice.
+    /// Fraction of datagrams that are delivered twice.
     pub duplication: f64,
 }
 
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The same share of frames lost on all links.
+    /// The same fraction of frames lost on all links.
     pub fn with_loss(mut self, loss: f64) -> Links {
         for link in [
             &mut self.within_zone,
--- a/crates/emulator/src/plan.rs
+++ b/crates/emulator/src/plan.rs
@@ -6,8 +6,8 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Share of the requests.
-    pub request_share: f64,
+    /// Fraction of the requests.
+    pub request_fraction: f64,
     /// Mean work, in seconds on a standard core.
     pub mean_work: f64,
     /// The latency objective, in seconds: a response within it earns the full priority weight.
@@ -23,8 +23,8 @@
 /// A type of machines.
 #[derive(Clone, Debug)]
 pub struct MachineType {
-    /// Share of the servers.
-    pub server_share: f64,
+    /// Fraction of the servers.
+    pub server_fraction: f64,
     /// The weight that the list states.
     pub listed_weight: f64,
     /// Work per second of a warm server: of the slowest and the fastest one.
@@ -51,13 +51,13 @@
     Failing,
 }
 
-/// A fault or a change of load during a run. Shares are of all nodes or servers; times are in seconds.
+/// A fault or a change of load during a run. Fractions are of all nodes or servers; times are in seconds.
 #[derive(Clone, Debug)]
 pub enum Disturbance {
     /// Nodes are killed at once; they start again with the list that they had.
     KillNodes {
-        /// Share of the nodes.
-        share: f64,
+        /// Fraction of the nodes.
+        fraction: f64,
         /// For how long they are down.
         down_for: Time,
     },
@@ -70,27 +70,27 @@
     },
     /// Servers drain and end; as many new ones start under new names.
     ReplaceServers {
-        /// Share of the servers.
-        share: f64,
+        /// Fraction of the servers.
+        fraction: f64,
         /// When the new ones start.
         after: Time,
     },
     /// Servers end without draining.
     EndServers {
-        /// Share of the servers.
-        share: f64,
+        /// Fraction of the servers.
+        fraction: f64,
     },
     /// The list repeatedly states of servers that they drain, and that they don't.
     FlapEntries {
-        /// Share of the servers.
-        share: f64,
+        /// Fraction of the servers.
+        fraction: f64,
         /// How often each is stated.
         count: u32,
     },
     /// Servers have a fault.
     ServerFault {
-        /// Share of the servers.
-        share: f64,
+        /// Fraction of the servers.
+        fraction: f64,
         /// How they behave.
         behavior: ServerBehavior,
         /// For how long.
@@ -103,8 +103,8 @@
     },
     /// Nodes get no requests.
     IdleNodes {
-        /// Share of the nodes.
-        share: f64,
+        /// Fraction of the nodes.
+        fraction: f64,
         /// For how long.
         duration: Time,
     },
@@ -126,8 +126,8 @@
     },
     /// Responses are lost with their connections.
     LostResponses {
-        /// Share of the responses.
-        share: f64,
+        /// Fraction of the responses.
+        fraction: f64,
         /// For how long.
         duration: Time,
     },
@@ -140,8 +140,8 @@
     },
     /// The traffic shifts between zones.
     TrafficShift {
-        /// Share of the clients in the first zone from now on.
-        first_zone_share: f64,
+        /// Fraction of the clients in the first zone from now on.
+        first_zone_fraction: f64,
     },
     /// All servers are slower, since a common dependency is slow.
     CommonSlowdown {
@@ -161,9 +161,9 @@
     pub disturbance: Disturbance,
 }
 
-/// The shares of the first of two zones.
+/// The fractions of all that are in the first of two zones.
 #[derive(Clone, Copy, Debug)]
-pub struct FirstZoneShare {
+pub struct FirstZoneFractions {
     /// Of the nodes, and of the clients.
     pub nodes: f64,
     /// Of the servers.
@@ -184,19 +184,19 @@
 pub struct QueueSlowdown {
     /// Length of the queue beyond which each further request slows the server down.
     pub threshold: usize,
-    /// How much each request does, as a share of its speed.
+    /// How much each request does, as a fraction of its speed.
     pub per_request: f64,
 }
 
 /// The slow start of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// Share of its capacity that a server has when it starts.
+    /// Fraction of its capacity that a server has when it starts.
     pub initial_capacity: f64,
     /// Time until it has its full capacity, in seconds.
     pub duration: Time,
-    /// It has it sooner after this share of the work that it could do in that time; never for 1 and more.
-    pub work_share: f64,
+    /// It has it sooner after this fraction of the work that it could do in that time; never for 1 and more.
+    pub work_fraction: f64,
 }
 
 /// When a server in its slow start is overloaded, which ends it.
@@ -215,7 +215,7 @@
     pub max: u32,
     /// Pause before each, in seconds.
     pub pause: Time,
-    /// Share of the clients that respect `Retry-After`.
+    /// Fraction of the clients that respect `Retry-After`.
     pub respecting_retry_after: f64,
 }
 
@@ -226,15 +226,15 @@
     pub name: String,
     /// The seed of all random numbers.
     pub seed: u64,
-    /// Number of nodes that share the servers.
+    /// Number of nodes that use the servers.
     pub nodes: usize,
     /// Number of servers at the start.
     pub servers: usize,
     /// The first of two zones.
-    pub first_zone: FirstZoneShare,
+    pub first_zone: FirstZoneFractions,
     /// How long clients send requests, in seconds.
     pub duration: Time,
-    /// Offered work, as a share of what the warm servers can do.
+    /// Offered work, as a fraction of what the warm servers can do.
     pub load: f64,
     /// The classes of requests.
     pub classes: Vec<RequestClass>,
@@ -266,10 +266,10 @@
     pub notification_delay: Time,
     /// How long the front end goes on sending to a node that is down, in seconds.
     pub failover_delay: Time,
-    /// Timeout of a client's attempt, as a share of the deadline.
-    pub client_timeout_share: f64,
-    /// Share of the clients whose timeout is a third of that.
-    pub impatient_share: f64,
+    /// Timeout of a client's attempt, as a ratio to the deadline.
+    pub client_timeout_ratio: f64,
+    /// Fraction of the clients whose timeout is a third of that.
+    pub impatient_fraction: f64,
     /// How clients retry.
     pub client_retries: ClientRetries,
     /// The disturbances.
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -65,16 +65,16 @@
         self.seconds.iter().map(count).sum()
     }
 
-    /// Share of the priority weight that was earned.
-    pub fn earned_share(&self) -> f64 {
-        earned_share(&self.seconds)
+    /// Fraction of the priority weight that was earned.
+    pub fn earned_fraction(&self) -> f64 {
+        earned_fraction(&self.seconds)
     }
 
     /// The same in the worst window of so many seconds.
-    pub fn worst_earned_share(&self, seconds: usize) -> f64 {
+    pub fn worst_earned_fraction(&self, seconds: usize) -> f64 {
         let windows = self.seconds.windows(seconds.max(1));
         let full = windows.filter(|window| window.iter().all(|second| second.requests > 0));
-        full.map(earned_share).fold(1.0, f64::min)
+        full.map(earned_fraction).fold(1.0, f64::min)
     }
 
     /// New connections per request.
@@ -100,7 +100,7 @@
     }
 }
 
-fn earned_share(seconds: &[Second]) -> f64 {
+fn earned_fraction(seconds: &[Second]) -> f64 {
     let mut earned = 0.0;
     let mut offered = 0.0;
     for second in seconds {
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,7 +1,7 @@
 //! Plans of small fleets, for the tests and the example `fleet`.
 
 use crate::plan::{
-    ClientRetries, Disturbance, FirstZoneShare, Latency, MachineType, Overload, Plan,
+    ClientRetries, Disturbance, FirstZoneFractions, Latency, MachineType, Overload, Plan,
     QueueSlowdown, RequestClass, ServerBehavior, SlowStart,
 };
 use reelfall_balancer::interface::Idempotency;
@@ -19,7 +19,7 @@
         seed,
         nodes,
         servers: (nodes * 3 / 5).max(6),
-        first_zone: FirstZoneShare {
+        first_zone: FirstZoneFractions {
             nodes: 0.5,
             servers: 0.6,
         },
@@ -49,7 +49,7 @@
         slow_start: SlowStart {
             initial_capacity: 0.4,
             duration: 6.0,
-            work_share: 1.0,
+            work_fraction: 1.0,
         },
         overload: Overload {
             factor: 3.0,
@@ -57,8 +57,8 @@
         },
         notification_delay: 1.0,
         failover_delay: 1.5,
-        client_timeout_share: 1.0,
-        impatient_share: 0.0,
+        client_timeout_ratio: 1.0,
+        impatient_fraction: 0.0,
         client_retries: ClientRetries {
             max: 1,
             pause: 0.03,
@@ -70,7 +70,7 @@
 
 fn classes() -> Vec<RequestClass> {
     let read = RequestClass {
-        request_share: 0.45,
+        request_fraction: 0.45,
         mean_work: 0.027,
         latency_objective: 0.15,
         deadline: 0.6,
@@ -85,7 +85,7 @@
         ..read.clone()
     };
     let rollout = RequestClass {
-        request_share: 0.1,
+        request_fraction: 0.1,
         mean_work: 0.04,
         deadline: 0.5,
         priority_weight: 10.0,
@@ -94,20 +94,24 @@
     vec![read, write, rollout]
 }
 
-fn machine_type(server_share: f64, listed_weight: f64, speed: RangeInclusive<f64>) -> MachineType {
+fn machine_type(
+    server_fraction: f64,
+    listed_weight: f64,
+    speed: RangeInclusive<f64>,
+) -> MachineType {
     MachineType {
-        server_share,
+        server_fraction,
         listed_weight,
         speed,
     }
 }
 
-/// The same with faulty servers: this share of them, half unresponsive and half slow.
-pub fn with_faulty_servers(mut plan: Plan, share: f64) -> Plan {
+/// The same with faulty servers: this fraction of them, half unresponsive and half slow.
+pub fn with_faulty_servers(mut plan: Plan, fraction: f64) -> Plan {
     plan.name += " with faulty servers";
     for behavior in [ServerBehavior::Unresponsive, ServerBehavior::Slow(4.0)] {
         let fault = Disturbance::ServerFault {
-            share: share / 2.0,
+            fraction: fraction / 2.0,
             behavior,
             duration: WHOLE_RUN,
         };
@@ -125,14 +129,14 @@
     plan.disturb(
         5.0,
         Disturbance::ReplaceServers {
-            share: 0.15,
+            fraction: 0.15,
             after: 2.0,
         },
     );
     plan.disturb(
         7.0,
         Disturbance::KillNodes {
-            share: 0.7,
+            fraction: 0.7,
             down_for: 1.5,
         },
     );
@@ -140,7 +144,7 @@
     plan.disturb(
         9.0,
         Disturbance::ReplaceServers {
-            share: 0.15,
+            fraction: 0.15,
             after: 2.0,
         },
     );
@@ -172,14 +176,14 @@
     plan.disturb(
         5.0,
         Disturbance::ReplaceServers {
-            share: 0.3,
+            fraction: 0.3,
             after: 2.0,
         },
     );
     plan.disturb(
         8.5,
         Disturbance::ReplaceServers {
-            share: 0.3,
+            fraction: 0.3,
             after: 2.0,
         },
     );
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -31,8 +31,8 @@
 pub struct SlowStartLoad {
     /// Received work, as a multiple of what the server can do in the same time.
     pub factor: f64,
-    /// Share of it from senders who knew of the start.
-    pub share_of_informed: f64,
+    /// Fraction of it from senders who knew of the start.
+    pub informed_fraction: f64,
 }
 
 /// A modelled server.
@@ -79,15 +79,15 @@
         }
     }
 
-    /// The share of its capacity that it has at present.
-    pub fn capacity_share(&self, now: Time, plan: &Plan) -> f64 {
+    /// The fraction of its capacity that it has at present.
+    pub fn capacity_fraction(&self, now: Time, plan: &Plan) -> f64 {
         let slow_start = plan.slow_start;
         if self.endpoint.started_at <= 0.0 {
             return 1.0;
         }
         let by_age = ((now - self.endpoint.started_at) / slow_start.duration).max(0.0);
-        let by_work = if slow_start.work_share < 1.0 {
-            self.work_done / (slow_start.work_share * slow_start.duration * self.speed)
+        let by_work = if slow_start.work_fraction < 1.0 {
+            self.work_done / (slow_start.work_fraction * slow_start.duration * self.speed)
         } else {
             0.0
         };
@@ -101,7 +101,7 @@
             ServerBehavior::Slow(factor) => factor,
             _ => 1.0,
         };
-        self.speed * self.capacity_share(now, plan) / slowdown
+        self.speed * self.capacity_fraction(now, plan) / slowdown
     }
 
     /// The same, with the effect of a long queue.
@@ -161,7 +161,7 @@
         plan: &Plan,
     ) -> SlowStartLoad {
         let window = plan.overload.window;
-        if self.capacity_share(now, plan) >= 1.0 {
+        if self.capacity_fraction(now, plan) >= 1.0 {
             self.received.clear();
             return SlowStartLoad::default();
         }
@@ -182,7 +182,7 @@
         let informed: f64 = informed.map(|received| received.work).sum();
         SlowStartLoad {
             factor: total / (self.capacity(now, plan) * window),
-            share_of_informed: informed / total,
+            informed_fraction: informed / total,
         }
     }
 }
--- a/crates/emulator/src/trials.rs
+++ b/crates/emulator/src/trials.rs
@@ -2,7 +2,7 @@
 //! from the seed, so that nothing is tuned to one of them.
 
 use crate::plan::{
-    ClientRetries, Disturbance, FirstZoneShare, Latency, MachineType, Overload, Plan,
+    ClientRetries, Disturbance, FirstZoneFractions, Latency, MachineType, Overload, Plan,
     QueueSlowdown, RequestClass, ScheduledDisturbance, ServerBehavior, SlowStart,
 };
 use crate::streams::stream;
@@ -83,10 +83,10 @@
     ScheduledDisturbance { at, disturbance }
 }
 
-/// A release of the servers' software: this share of them is replaced.
-fn release(share: f64) -> Disturbance {
+/// A release of the servers' software: this fraction of them is replaced.
+fn release(fraction: f64) -> Disturbance {
     Disturbance::ReplaceServers {
-        share,
+        fraction,
         after: RELEASE_DELAY,
     }
 }
@@ -94,7 +94,7 @@
 fn calm(rng: &mut Pcg64Mcg) -> Vec<ScheduledDisturbance> {
     let surge_at = rng.random_range(5.0..8.0);
     let shift_at = rng.random_range(8.0..12.0);
-    let first_zone_share = rng.random_range(0.3..0.7);
+    let first_zone_fraction = rng.random_range(0.3..0.7);
     vec![
         scheduled(
             surge_at,
@@ -103,7 +103,12 @@
                 duration: 4.0,
             },
         ),
-        scheduled(shift_at, Disturbance::TrafficShift { first_zone_share }),
+        scheduled(
+            shift_at,
+            Disturbance::TrafficShift {
+                first_zone_fraction,
+            },
+        ),
     ]
 }
 
@@ -130,7 +135,7 @@
         scheduled(
             7.0,
             Disturbance::KillNodes {
-                share: 0.7,
+                fraction: 0.7,
                 down_for,
             },
         ),
@@ -162,7 +167,7 @@
 
 fn split(rng: &mut Pcg64Mcg) -> Vec<ScheduledDisturbance> {
     let zone = rng.random_range(0..2);
-    let share = rng.random_range(0.01..0.06);
+    let fraction = rng.random_range(0.01..0.06);
     vec![
         scheduled(
             6.0,
@@ -175,7 +180,7 @@
         scheduled(
             6.0,
             Disturbance::LostResponses {
-                share,
+                fraction,
                 duration: 6.0,
             },
         ),
@@ -189,7 +194,7 @@
         scheduled(
             6.0,
             Disturbance::LostResponses {
-                share: 0.01,
+                fraction: 0.01,
                 duration: 10.0,
             },
         ),
@@ -203,7 +208,7 @@
     scheduled(
         from,
         Disturbance::ServerFault {
-            share: 0.125,
+            fraction: 0.125,
             behavior,
             duration: WHOLE_RUN,
         },
@@ -214,7 +219,7 @@
 fn background_fault(rng: &mut Pcg64Mcg) -> Disturbance {
     match rng.random_range(0..3) {
         0 => Disturbance::ServerFault {
-            share: rng.random_range(0.06..0.19),
+            fraction: rng.random_range(0.06..0.19),
             behavior: ServerBehavior::Failing,
             duration: rng.random_range(5.0..12.0),
         },
@@ -222,7 +227,7 @@
             let interval = rng.random_range(1.0..2.4);
             let duration = rng.random_range(0.04..0.1);
             Disturbance::ServerFault {
-                share: rng.random_range(0.1..0.45),
+                fraction: rng.random_range(0.1..0.45),
                 behavior: ServerBehavior::Pausing { interval, duration },
                 duration: rng.random_range(10.0..20.0),
             }
@@ -241,7 +246,7 @@
         seed,
         nodes,
         servers: ((nodes as f64 * rng.random_range(0.45..0.65)) as usize).max(6),
-        first_zone: FirstZoneShare {
+        first_zone: FirstZoneFractions {
             nodes: rng.random_range(0.4..0.6),
             servers: rng.random_range(0.4..0.6),
         },
@@ -271,7 +276,7 @@
         slow_start: SlowStart {
             initial_capacity: rng.random_range(0.35..0.57),
             duration: rng.random_range(3.4..8.5),
-            work_share: 0.6,
+            work_fraction: 0.6,
         },
         overload: Overload {
             factor: 3.0,
@@ -279,8 +284,8 @@
         },
         notification_delay: rng.random_range(0.3..1.0),
         failover_delay: rng.random_range(0.95..2.0),
-        client_timeout_share: rng.random_range(0.4..1.0),
-        impatient_share: rng.random_range(0.0..0.01),
+        client_timeout_ratio: rng.random_range(0.4..1.0),
+        impatient_fraction: rng.random_range(0.0..0.01),
         client_retries: ClientRetries {
             max: rng.random_range(0..3),
             pause: rng.random_range(0.007..0.06),
@@ -292,7 +297,7 @@
 
 fn classes(rng: &mut Pcg64Mcg) -> Vec<RequestClass> {
     let read = RequestClass {
-        request_share: 0.45,
+        request_fraction: 0.45,
         mean_work: rng.random_range(0.02..0.035),
         latency_objective: 0.15,
         deadline: 0.6,
@@ -307,7 +312,7 @@
         ..read.clone()
     };
     let rollout = RequestClass {
-        request_share: 0.1,
+        request_fraction: 0.1,
         mean_work: rng.random_range(0.032..0.057),
         deadline: 0.5,
         priority_weight: 10.0,
@@ -317,10 +322,10 @@
 }
 
 /// Servers of this mean speed, whose weights the list does not state.
-fn machine_type(server_share: f64, mean_speed: f64) -> MachineType {
+fn machine_type(server_fraction: f64, mean_speed: f64) -> MachineType {
     let speed = 0.85 * mean_speed..=1.15 * mean_speed;
     MachineType {
-        server_share,
+        server_fraction,
         listed_weight: 1.0,
         speed,
     }
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -13,8 +13,8 @@
 const HINT_VARIATION: f64 = 0.5;
 /// Coefficient of variation of the work of two requests of one class.
 const WORK_VARIATION: f64 = 0.5;
-/// Share of the usual timeout that impatient clients have.
-const IMPATIENT_TIMEOUT_SHARE: f64 = 1.0 / 3.0;
+/// Ratio of an impatient client's timeout to the usual one.
+const IMPATIENT_TIMEOUT_RATIO: f64 = 1.0 / 3.0;
 /// A client does not retry with less time left than this, in seconds.
 const MIN_RETRY_TIME: Time = 0.02;
 
@@ -51,14 +51,14 @@
         let random = &mut self.client_random;
         let work = sample_lognormal(random, plan_class.mean_work, WORK_VARIATION);
         let work_hint = sample_lognormal(random, work, HINT_VARIATION);
-        let zone = u16::from(random.random::<f64>() >= self.first_zone_share);
-        let is_impatient = random.random::<f64>() < self.plan.impatient_share;
-        let share = if is_impatient {
-            IMPATIENT_TIMEOUT_SHARE
+        let zone = u16::from(random.random::<f64>() >= self.first_zone_fraction);
+        let is_impatient = random.random::<f64>() < self.plan.impatient_fraction;
+        let timeout_ratio = if is_impatient {
+            IMPATIENT_TIMEOUT_RATIO
         } else {
             1.0
         };
-        let timeout = plan_class.deadline * self.plan.client_timeout_share * share;
+        let timeout = plan_class.deadline * self.plan.client_timeout_ratio * timeout_ratio;
         let client_deadline = now + plan_class.deadline;
         ClientAttempt {
             class,
@@ -79,7 +79,7 @@
     fn sample_class(&mut self) -> usize {
         let mut point = self.client_random.random::<f64>();
         let class = self.plan.classes.iter().position(|class| {
-            point -= class.request_share;
+            point -= class.request_fraction;
             point < 0.0
         });
         class.unwrap_or(0)
@@ -98,9 +98,9 @@
             nodes = all;
         }
         let weight = self.plan.first_node_weight;
-        let first_share = weight / (weight + nodes.len() as f64 - 1.0);
+        let first_node_probability = weight / (weight + nodes.len() as f64 - 1.0);
         let has_first = nodes.first() == Some(&0) && weight > 1.0;
-        if has_first && self.client_random.random::<f64>() < first_share {
+        if has_first && self.client_random.random::<f64>() < first_node_probability {
             return Some(0);
         }
         let random = &mut self.client_random;
--- a/crates/emulator/src/world/disturbances.rs
+++ b/crates/emulator/src/world/disturbances.rs
@@ -23,23 +23,27 @@
     pub(super) fn disturb(&mut self, index: usize) {
         let now = self.queue.now();
         match self.plan.disturbances[index].disturbance.clone() {
-            Disturbance::KillNodes { share, down_for } => {
-                let nodes = self.some_nodes(share);
+            Disturbance::KillNodes { fraction, down_for } => {
+                let nodes = self.some_nodes(fraction);
                 self.kill_nodes(nodes, down_for);
             }
             Disturbance::LoseZone { zone, down_for } => self.lose_zone(zone, down_for),
-            Disturbance::ReplaceServers { share, after } => self.replace_servers(share, after),
-            Disturbance::EndServers { share } => self.end_servers(share),
-            Disturbance::FlapEntries { share, count } => self.flap_entries(share, count),
+            Disturbance::ReplaceServers { fraction, after } => {
+                self.replace_servers(fraction, after);
+            }
+            Disturbance::EndServers { fraction } => self.end_servers(fraction),
+            Disturbance::FlapEntries { fraction, count } => self.flap_entries(fraction, count),
             Disturbance::ServerFault {
-                share,
+                fraction,
                 behavior,
                 duration,
-            } => self.impair_servers(share, behavior, now + duration),
+            } => self.impair_servers(fraction, behavior, now + duration),
             Disturbance::DiscoveryOutage { duration } => {
                 self.discovery_outage_until = now + duration;
             }
-            Disturbance::IdleNodes { share, duration } => self.idle_nodes(share, now + duration),
+            Disturbance::IdleNodes { fraction, duration } => {
+                self.idle_nodes(fraction, now + duration);
+            }
             Disturbance::RollingRestart {
                 steps,
                 interval,
@@ -48,14 +52,16 @@
             Disturbance::Partition { zone, duration } => {
                 self.partition = Until::new(zone, now + duration);
             }
-            Disturbance::LostResponses { share, duration } => {
-                self.lost_responses = Until::new(share, now + duration);
+            Disturbance::LostResponses { fraction, duration } => {
+                self.lost_responses = Until::new(fraction, now + duration);
             }
             Disturbance::TrafficSurge { factor, duration } => {
                 self.surge = Until::new(factor, now + duration);
             }
-            Disturbance::TrafficShift { first_zone_share } => {
-                self.first_zone_share = first_zone_share;
+            Disturbance::TrafficShift {
+                first_zone_fraction,
+            } => {
+                self.first_zone_fraction = first_zone_fraction;
             }
             Disturbance::CommonSlowdown { factor, duration } => {
                 self.common_slowdown = factor;
@@ -65,30 +71,30 @@
         }
     }
 
-    /// Ends this share of the servers without draining.
-    fn end_servers(&mut self, share: f64) {
-        for server in self.some_servers(share) {
+    /// Ends this fraction of the servers without draining.
+    fn end_servers(&mut self, fraction: f64) {
+        for server in self.some_servers(fraction) {
             self.end_server(server, State::Ended);
             self.announce(server, ServerState::Removed);
         }
     }
 
-    /// Sends no requests to this share of the nodes until a time.
-    fn idle_nodes(&mut self, share: f64, until: Time) {
-        for node in self.some_nodes(share) {
+    /// Sends no requests to this fraction of the nodes until a time.
+    fn idle_nodes(&mut self, fraction: f64, until: Time) {
+        for node in self.some_nodes(fraction) {
             self.nodes[node].idle_until = until;
         }
     }
 
-    /// Sets the behavior of this share of the servers until a time.
-    fn impair_servers(&mut self, share: f64, behavior: ServerBehavior, until: Time) {
-        let servers = self.some_servers(share);
+    /// Sets the behavior of this fraction of the servers until a time.
+    fn impair_servers(&mut self, fraction: f64, behavior: ServerBehavior, until: Time) {
+        let servers = self.some_servers(fraction);
         self.set_behavior(&servers, behavior);
         self.queue.schedule(until, Event::RecoverServers(servers));
     }
 
-    /// A random selection of the healthy servers: this share of all.
-    fn some_servers(&mut self, share: f64) -> Vec<ServerId> {
+    /// A random selection of the healthy servers: this fraction of all.
+    fn some_servers(&mut self, fraction: f64) -> Vec<ServerId> {
         let is_healthy = |server: &&Server| {
             server.state == State::Up
                 && server.endpoint.state == ServerState::Up
@@ -97,15 +103,15 @@
         let healthy = self.servers.iter().filter(is_healthy);
         let mut servers: Vec<ServerId> = healthy.map(|server| server.endpoint.server).collect();
         shuffle(&mut servers, &mut self.machine_random);
-        servers.truncate((share * self.plan.servers as f64).round() as usize);
+        servers.truncate((fraction * self.plan.servers as f64).round() as usize);
         servers
     }
 
-    /// A random selection of this share of the nodes.
-    fn some_nodes(&mut self, share: f64) -> Vec<NodeId> {
+    /// A random selection of this fraction of the nodes.
+    fn some_nodes(&mut self, fraction: f64) -> Vec<NodeId> {
         let mut nodes: Vec<NodeId> = (0..self.nodes.len()).collect();
         shuffle(&mut nodes, &mut self.machine_random);
-        nodes.truncate((share * self.nodes.len() as f64).round() as usize);
+        nodes.truncate((fraction * self.nodes.len() as f64).round() as usize);
         nodes
     }
 
@@ -132,9 +138,9 @@
         self.queue.schedule(start, Event::StartServers(servers));
     }
 
-    fn replace_servers(&mut self, share: f64, after: Time) {
+    fn replace_servers(&mut self, fraction: f64, after: Time) {
         let now = self.queue.now();
-        let old = self.some_servers(share);
+        let old = self.some_servers(fraction);
         let mut new = Vec::new();
         for id in &old {
             self.announce(*id, ServerState::Draining);
@@ -149,9 +155,9 @@
         self.queue.schedule(now + after, Event::StartServers(new));
     }
 
-    fn flap_entries(&mut self, share: f64, count: u32) {
+    fn flap_entries(&mut self, fraction: f64, count: u32) {
         let now = self.queue.now();
-        for server in self.some_servers(share) {
+        for server in self.some_servers(fraction) {
             for flap in 0..count {
                 let off = now + f64::from(2 * flap) * FLAP_INTERVAL;
                 let on = now + f64::from(2 * flap + 1) * FLAP_INTERVAL;
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -94,14 +94,14 @@
     discovery_outage_until: Time,
     /// The zone that is partitioned.
     partition: Until<ZoneId>,
-    /// Share of the responses that are lost.
+    /// Fraction of the responses that are lost.
     lost_responses: Until<f64>,
     /// How many times as many requests clients send.
     surge: Until<f64>,
     /// How many times slower all servers are.
     common_slowdown: f64,
-    /// Share of the clients in the first zone.
-    first_zone_share: f64,
+    /// Fraction of the clients in the first zone.
+    first_zone_fraction: f64,
     client_random: Pcg64Mcg,
     network_random: Pcg64Mcg,
     machine_random: Pcg64Mcg,
@@ -150,7 +150,7 @@
             servers.push(make_server(&plan, &mut machine_random, id));
         }
         let speed: f64 = servers.iter().map(|server| server.speed).sum();
-        let work = |class: &crate::plan::RequestClass| class.request_share * class.mean_work;
+        let work = |class: &crate::plan::RequestClass| class.request_fraction * class.mean_work;
         let mean_work: f64 = plan.classes.iter().map(work).sum();
         World {
             nodes: make_nodes(&plan, &servers),
@@ -165,7 +165,7 @@
             lost_responses: Until::never(0.0),
             surge: Until::never(1.0),
             common_slowdown: 1.0,
-            first_zone_share: plan.first_zone.nodes,
+            first_zone_fraction: plan.first_zone.nodes,
             client_random: stream(seed, "clients"),
             network_random: stream(seed, "network"),
             work_random: stream(seed, "work"),
--- a/crates/emulator/src/world/model.rs
+++ b/crates/emulator/src/world/model.rs
@@ -128,7 +128,7 @@
 /// A node.
 pub(super) struct Node {
     pub(super) zone: ZoneId,
-    /// How late it is notified of changes, as a share of the notification delay.
+    /// How late it is notified of changes, as a fraction of the notification delay.
     pub(super) lateness: f64,
     pub(super) incarnation: u32,
     /// `None` while it is down.
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -15,12 +15,12 @@
 
 /// How long after it was notified of a drain a node may still send to the server, in seconds.
 pub(super) const DRAIN_GRACE: Time = 0.5;
-/// Nodes use an idle connection for this share of the idle timeout.
-const IDLE_REUSE_SHARE: f64 = 0.8;
-/// Minimum latency, as a share of the mean.
-const MIN_LATENCY_SHARE: f64 = 0.8;
-/// Maximum latency less the minimum, as a share of the mean.
-const LATENCY_RANGE_SHARE: f64 = 0.4;
+/// Nodes use an idle connection for this fraction of the idle timeout.
+const IDLE_REUSE_FRACTION: f64 = 0.8;
+/// Minimum latency, as a ratio to the mean.
+const MIN_LATENCY_RATIO: f64 = 0.8;
+/// Maximum latency less the minimum, as a ratio to the mean.
+const LATENCY_RANGE_RATIO: f64 = 0.4;
 /// One-way latencies that a refused connection takes.
 const REFUSAL_LATENCIES: f64 = 2.0;
 /// One-way latencies until a request arrives on a new connection.
@@ -108,13 +108,13 @@
         } else {
             latency.cross_zone
         };
-        mean * (MIN_LATENCY_SHARE + LATENCY_RANGE_SHARE * self.network_random.random::<f64>())
+        mean * (MIN_LATENCY_RATIO + LATENCY_RANGE_RATIO * self.network_random.random::<f64>())
     }
 
     /// Takes an idle connection of a node to a server; those that are too old are closed.
     fn take_idle_connection(&mut self, node: NodeId, id: ServerId) -> bool {
         let now = self.queue.now();
-        let max_age = IDLE_REUSE_SHARE * self.plan.idle_timeout;
+        let max_age = IDLE_REUSE_FRACTION * self.plan.idle_timeout;
         let server = &mut self.servers[id as usize];
         let Some(idle) = self.nodes[node].idle_connections.get_mut(&id) else {
             return false;
--- a/crates/emulator/src/world/servers.rs
+++ b/crates/emulator/src/world/servers.rs
@@ -16,8 +16,8 @@
 const ATTEMPT_VARIATION: f64 = 0.3;
 /// A queue with more work than this, in seconds of the server's capacity, is long.
 const LONG_QUEUE: f64 = 0.3;
-/// An overload breaks the rule if this share of the work is from nodes that knew of the start.
-const INFORMED_SHARE: f64 = 2.0 / 3.0;
+/// An overload breaks the rule if this fraction of the work is from nodes that knew of the start.
+const INFORMED_FRACTION: f64 = 2.0 / 3.0;
 
 impl World {
     /// An attempt arrives at its server.
@@ -94,7 +94,7 @@
 
     fn check_slow_start_load(&mut self, id: ServerId, load: SlowStartLoad) {
         let violations = &mut self.report.violations;
-        let is_informed = load.share_of_informed >= INFORMED_SHARE;
+        let is_informed = load.informed_fraction >= INFORMED_FRACTION;
         if is_informed {
             violations.max_slow_start_load = violations.max_slow_start_load.max(load.factor);
         }
@@ -207,7 +207,7 @@
 pub(super) fn make_server(plan: &Plan, random: &mut Pcg64Mcg, id: usize) -> Server {
     let mut point = random.random::<f64>();
     let machine_type = plan.machine_types.iter().position(|machine_type| {
-        point -= machine_type.server_share;
+        point -= machine_type.server_fraction;
         point < 0.0
     });
     let index = machine_type.unwrap_or(0);
--- a/crates/emulator/src/world/settings.rs
+++ b/crates/emulator/src/world/settings.rs
@@ -9,7 +9,7 @@
 
 /// Quota of all clients, as a multiple of the mean request rate.
 const QUOTA_FACTOR: f64 = 1.2;
-/// The settings promise this share of the real initial capacity of servers.
+/// The settings promise this fraction of the real initial capacity of servers.
 const STATED_CAPACITY_FACTOR: f64 = 0.8;
 /// The settings state this multiple of the real duration of a slow start.
 const STATED_DURATION_FACTOR: f64 = 1.2;
--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -25,9 +25,9 @@
         for plan in [scenario::herd, scenario::zone, scenario::join] {
             let report = played(scenario::with_faulty_servers(plan(nodes, 5), 0.1));
             assert!(
-                report.sum(|s| s.attempts) > 1000 && report.earned_share() > 0.4,
+                report.sum(|s| s.attempts) > 1000 && report.earned_fraction() > 0.4,
                 "{:.3}",
-                report.earned_share()
+                report.earned_fraction()
             );
         }
     }
@@ -62,7 +62,7 @@
         });
         reports.fold((0.0, 0, 0), |(w, dead, dials), r| {
             (
-                w + r.earned_share(),
+                w + r.earned_fraction(),
                 dead + r.sum(|s| s.to_unresponsive),
                 dials + r.sum(|s| s.connections),
             )
@@ -81,12 +81,12 @@
     plan.disturb(
         2.0,
         Disturbance::IdleNodes {
-            share: 0.5,
+            fraction: 0.5,
             duration: 8.0,
         },
     );
     // Half of the nodes bear all of the traffic; the servers are the same.
-    assert!(played(plan).earned_share() > 0.85);
+    assert!(played(plan).earned_fraction() > 0.85);
 }
 
 #[test]
@@ -112,7 +112,7 @@
 #[test]
 fn nodes_that_start_together_with_a_stale_list_find_what_is_there() {
     let mut plan = scenario::calm(100, 4);
-    plan.disturb(0.0, Disturbance::EndServers { share: 0.3 });
+    plan.disturb(0.0, Disturbance::EndServers { fraction: 0.3 });
     let report = played(Plan {
         load: 0.4,
         duration: 10.0,
@@ -123,7 +123,11 @@
         report.seconds.iter().enumerate().partition(|(n, _)| *n < 3);
     assert!(first.iter().any(|(_, s)| s.to_unresponsive > 0));
     assert!(later.iter().all(|(_, s)| s.to_unresponsive == 0));
-    assert!(report.earned_share() > 0.85, "{:.3}", report.earned_share());
+    assert!(
+        report.earned_fraction() > 0.85,
+        "{:.3}",
+        report.earned_fraction()
+    );
 }
 
 #[test]
@@ -146,9 +150,9 @@
         );
         let report = played(plan);
         assert!(
-            report.violations.max_slow_start_load > 0.2 && report.earned_share() > 0.3,
+            report.violations.max_slow_start_load > 0.2 && report.earned_fraction() > 0.3,
             "{:.3}",
-            report.earned_share()
+            report.earned_fraction()
         );
     }
 }
@@ -164,10 +168,10 @@
     );
     let (even, heavy) = (played(even), played(heavy));
     assert!(
-        heavy.earned_share() > even.earned_share() - 0.05,
+        heavy.earned_fraction() > even.earned_fraction() - 0.05,
         "{:.3} {:.3}",
-        heavy.earned_share(),
-        even.earned_share()
+        heavy.earned_fraction(),
+        even.earned_fraction()
     );
 }
 
@@ -177,15 +181,15 @@
     plan.disturb(
         4.0,
         Disturbance::FlapEntries {
-            share: 0.3,
+            fraction: 0.3,
             count: 20,
         },
     );
     let report = played(plan);
     assert!(
-        report.worst_earned_share(5) > 0.6,
+        report.worst_earned_fraction(5) > 0.6,
         "{:.3}",
-        report.worst_earned_share(5)
+        report.worst_earned_fraction(5)
     );
 }
 
@@ -197,24 +201,24 @@
     ];
     let what = prop_oneof![
         (0.1..0.9f64, 0.2..3.0f64)
-            .prop_map(|(share, down_for)| Disturbance::KillNodes { share, down_for }),
+            .prop_map(|(fraction, down_for)| Disturbance::KillNodes { fraction, down_for }),
         (0..2u16, 0.5..4.0f64)
             .prop_map(|(zone, down_for)| Disturbance::LoseZone { zone, down_for }),
         (0.1..0.6f64, 0.1..3.0f64)
-            .prop_map(|(share, after)| Disturbance::ReplaceServers { share, after }),
-        (0.05..0.5f64, behavior, 0.5..4.0f64).prop_map(|(share, behavior, duration)| {
+            .prop_map(|(fraction, after)| Disturbance::ReplaceServers { fraction, after }),
+        (0.05..0.5f64, behavior, 0.5..4.0f64).prop_map(|(fraction, behavior, duration)| {
             Disturbance::ServerFault {
-                share,
+                fraction,
                 behavior,
                 duration,
             }
         }),
         (0.5..5.0f64).prop_map(|duration| Disturbance::DiscoveryOutage { duration }),
         (0.1..0.9f64, 0.5..4.0f64)
-            .prop_map(|(share, duration)| Disturbance::IdleNodes { share, duration }),
-        (0.1..0.5f64).prop_map(|share| Disturbance::EndServers { share }),
+            .prop_map(|(fraction, duration)| Disturbance::IdleNodes { fraction, duration }),
+        (0.1..0.5f64).prop_map(|fraction| Disturbance::EndServers { fraction }),
         (0.1..0.5f64, 1..12u32)
-            .prop_map(|(share, count)| Disturbance::FlapEntries { share, count }),
+            .prop_map(|(fraction, count)| Disturbance::FlapEntries { fraction, count }),
     ];
     (0.5..7.0f64, what).prop_map(|(at, disturbance)| ScheduledDisturbance { at, disturbance })
 }
