--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -31,6 +31,16 @@
     NotPositive,
 }
 
+/// The settings of a balancer and of its connections, with the names of the numbers in them.
+pub struct BalancerConfig {
+    /// The settings of the decision module.
+    pub settings: Settings,
+    /// The names of the classes, tenants, zones and machine types that the settings number.
+    pub names: NameRegistry,
+    /// The settings of connections to the servers.
+    pub connections: ConnectionSettings,
+}
+
 /// What concerns only a node that uses sockets.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionSettings {
--- a/crates/capacity/examples/state_size/plan.rs
+++ b/crates/capacity/examples/state_size/plan.rs
@@ -91,12 +91,12 @@
     let plan: Plan = check(model)?;
     let service = plan.model.services.first();
     let service = service.ok_or(Error::MissingFixture("service"))?;
-    let settings = plan.settings(service);
+    let config = plan.balancer_config(service);
     // What a pool is compared by, and the levels in its decision module.
     let pool_key = service.tenants.clone();
     let levels = vec![(f64::NAN, 0.0); size];
     let after = resident_bytes(THIS_PROCESS)?;
-    black_box((&settings, &pool_key, &levels));
+    black_box((&config, &pool_key, &levels));
     Ok(memory_figure(after - before))
 }
 
--- a/crates/config/src/check/plan.rs
+++ b/crates/config/src/check/plan.rs
@@ -2,7 +2,7 @@
 
 use crate::model::{AttemptLimits, Class, Model, Origin, RetrySafety, Service, SlowStart};
 use reelfall_balancer::interface as core;
-use reelfall_balancer::settings::{ConnectionSettings, NameRegistry};
+use reelfall_balancer::settings::{BalancerConfig, ConnectionSettings, NameRegistry};
 use reelfall_routing::limits::ProcessResources;
 use reelfall_routing::table::{RouteConditions, RouteQuery, RouteTable};
 
@@ -33,11 +33,8 @@
 }
 
 impl Plan {
-    /// The settings of a service's decision module, the names of its ids, and the settings of its connections.
-    pub fn settings(
-        &self,
-        service: &Service,
-    ) -> (core::Settings, NameRegistry, ConnectionSettings) {
+    /// The settings of a service's balancer and of its connections.
+    pub fn balancer_config(&self, service: &Service) -> BalancerConfig {
         let mut names = NameRegistry::new(
             service.classes.iter().map(|class| class.name.clone()),
             service.tenants.iter().map(|tenant| tenant.name.clone()),
@@ -84,7 +81,11 @@
             connect_timeout: service.attempts.connect_timeout,
             response_slack: 0.005,
         };
-        (settings, names, connections)
+        BalancerConfig {
+            settings,
+            names,
+            connections,
+        }
     }
 
     /// All routes that match a request, in descending order of precedence.
--- a/crates/node/src/net/service.rs
+++ b/crates/node/src/net/service.rs
@@ -97,12 +97,12 @@
         member: Option<ServiceId>,
     ) -> Result<Rc<Self>, StartServiceError> {
         let service = planned.model;
-        let (settings, names, connection_settings) = planned.prepared.plan.settings(service);
+        let config = planned.prepared.plan.balancer_config(service);
         let registry_access = registry_access(planned)?;
         let pool = Pool::new(PoolConfig {
-            settings,
-            names,
-            connection_settings,
+            settings: config.settings,
+            names: config.names,
+            connection_settings: config.connections,
             seed,
             list_origin: list_origin(&service.source),
             shared: shared.clone(),
