--- a/crates/balancer/tests/overload.rs
+++ b/crates/balancer/tests/overload.rs
@@ -36,7 +36,7 @@
 }
 
 fn admitted_fraction(node: &Node) -> f64 {
-    node.balancer.learned(node.now).admitted_share
+    node.balancer.learned(node.now).admitted_fraction
 }
 
 #[test]
--- a/crates/balancer/tests/uploads.rs
+++ b/crates/balancer/tests/uploads.rs
@@ -230,7 +230,7 @@
         server.relative_probability = f64::NAN;
     }
     learned.typical_work = -1.0;
-    learned.admitted_share = f64::INFINITY;
+    learned.admitted_fraction = f64::INFINITY;
     learned.class_work = vec![];
     learned
 }
--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -27,9 +27,9 @@
         for plan in [scenario::herd, scenario::zone, scenario::join] {
             let report = run_without_violations(scenario::with_faulty_servers(plan(nodes, 5), 0.1));
             assert!(
-                report.sum(|second| second.attempts) > 1000 && report.earned_share() > 0.4,
+                report.sum(|second| second.attempts) > 1000 && report.earned_fraction() > 0.4,
                 "{:.3}",
-                report.earned_share()
+                report.earned_fraction()
             );
         }
     }
@@ -76,7 +76,7 @@
 impl Sum<Report> for RunTotals {
     fn sum<I: Iterator<Item = Report>>(reports: I) -> RunTotals {
         reports.fold(RunTotals::default(), |totals, report| RunTotals {
-            earned: totals.earned + report.earned_share(),
+            earned: totals.earned + report.earned_fraction(),
             to_unresponsive: totals.to_unresponsive + report.sum(|second| second.to_unresponsive),
             connections: totals.connections + report.sum(|second| second.connections),
         })
@@ -117,12 +117,12 @@
     plan.disturb(
         2.0,
         Disturbance::IdleNodes {
-            share: 0.5,
+            fraction: 0.5,
             duration: 8.0,
         },
     );
     // Half of the nodes get all of the traffic, for the same servers.
-    assert!(run_without_violations(plan).earned_share() > 0.85);
+    assert!(run_without_violations(plan).earned_fraction() > 0.85);
 }
 
 #[test]
@@ -149,7 +149,7 @@
 fn nodes_that_start_with_a_stale_list_stop_sending_to_removed_servers() {
     const PROPAGATION_SECONDS: usize = 3;
     let mut plan = scenario::calm(100, 4);
-    plan.disturb(0.0, Disturbance::EndServers { share: 0.3 });
+    plan.disturb(0.0, Disturbance::EndServers { fraction: 0.3 });
     let report = run_without_violations(Plan {
         load: 0.4,
         duration: 10.0,
@@ -159,7 +159,11 @@
     let (first, later) = report.seconds.split_at(PROPAGATION_SECONDS);
     assert!(first.iter().any(|second| second.to_unresponsive > 0));
     assert!(later.iter().all(|second| second.to_unresponsive == 0));
-    assert!(report.earned_share() > 0.85, "{:.3}", report.earned_share());
+    assert!(
+        report.earned_fraction() > 0.85,
+        "{:.3}",
+        report.earned_fraction()
+    );
 }
 
 #[test]
@@ -182,9 +186,9 @@
         );
         let report = run_without_violations(plan);
         assert!(
-            report.violations.max_slow_start_load > 0.2 && report.earned_share() > 0.3,
+            report.violations.max_slow_start_load > 0.2 && report.earned_fraction() > 0.3,
             "{:.3}",
-            report.earned_share()
+            report.earned_fraction()
         );
     }
 }
@@ -199,10 +203,10 @@
     let even = run_without_violations(even_plan);
     let uneven = run_without_violations(uneven_plan);
     assert!(
-        uneven.earned_share() > even.earned_share() - 0.05,
+        uneven.earned_fraction() > even.earned_fraction() - 0.05,
         "{:.3} {:.3}",
-        uneven.earned_share(),
-        even.earned_share()
+        uneven.earned_fraction(),
+        even.earned_fraction()
     );
 }
 
@@ -212,15 +216,15 @@
     plan.disturb(
         4.0,
         Disturbance::FlapEntries {
-            share: 0.3,
+            fraction: 0.3,
             count: 20,
         },
     );
     let report = run_without_violations(plan);
     assert!(
-        report.worst_earned_share(5) > 0.6,
+        report.worst_earned_fraction(5) > 0.6,
         "{:.3}",
-        report.worst_earned_share(5)
+        report.worst_earned_fraction(5)
     );
 }
 
@@ -232,24 +236,24 @@
     ];
     let disturbance = prop_oneof![
         (0.1..0.9f64, 0.2..3.0f64)
-            .prop_map(|(share, down_for)| Disturbance::KillNodes { share, down_for }),
+            .prop_map(|(fraction, down_for)| Disturbance::KillNodes { fraction, down_for }),
         (0..2u16, 0.5..4.0f64)
             .prop_map(|(zone, down_for)| Disturbance::LoseZone { zone, down_for }),
         (0.1..0.6f64, 0.1..3.0f64)
-            .prop_map(|(share, after)| Disturbance::ReplaceServers { share, after }),
-        (0.05..0.5f64, behavior, 0.5..4.0f64).prop_map(|(share, behavior, duration)| {
+            .prop_map(|(fraction, after)| Disturbance::ReplaceServers { fraction, after }),
+        (0.05..0.5f64, behavior, 0.5..4.0f64).prop_map(|(fraction, behavior, duration)| {
             Disturbance::ServerFault {
-                share,
+                fraction,
                 behavior,
                 duration,
             }
         }),
         (0.5..5.0f64).prop_map(|duration| Disturbance::DiscoveryOutage { duration }),
         (0.1..0.9f64, 0.5..4.0f64)
-            .prop_map(|(share, duration)| Disturbance::IdleNodes { share, duration }),
-        (0.1..0.5f64).prop_map(|share| Disturbance::EndServers { share }),
+            .prop_map(|(fraction, duration)| Disturbance::IdleNodes { fraction, duration }),
+        (0.1..0.5f64).prop_map(|fraction| Disturbance::EndServers { fraction }),
         (0.1..0.5f64, 1..12u32)
-            .prop_map(|(share, count)| Disturbance::FlapEntries { share, count }),
+            .prop_map(|(fraction, count)| Disturbance::FlapEntries { fraction, count }),
     ];
     (0.5..7.0f64, disturbance)
         .prop_map(|(at, disturbance)| ScheduledDisturbance { at, disturbance })
--- a/crates/node/src/net/client/eviction.rs
+++ b/crates/node/src/net/client/eviction.rs
@@ -14,7 +14,7 @@
 pub(in crate::net) const CROWDED_GRACE: Duration = Duration::from_millis(20);
 /// The share of all connections that may be new while others are idle. Requests occupy three fifths at most
 /// (`reelfall_config::check::parts`), which leaves some for idle connections.
-const MAX_NEW_SHARE: f64 = 0.25;
+const MAX_NEW_FRACTION: f64 = 0.25;
 
 /// A connection that may be evicted. The order is that of the time when it entered its phase.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -35,7 +35,7 @@
 /// 3. new connections without a request for [`CROWDED_GRACE`], the oldest first;
 /// 4. connections with an incomplete request for [`EVICTION_GRACE`].
 ///
-/// Where new connections exceed [`MAX_NEW_SHARE`], only they are evicted, and none before its [`CROWDED_GRACE`] is over.
+/// Where new connections exceed [`MAX_NEW_FRACTION`], only they are evicted, and none before its [`CROWDED_GRACE`] is over.
 /// So a flood of silent connections neither evicts all idle ones nor stays, and a new client has time to send its
 /// request.
 #[derive(Default)]
@@ -72,7 +72,7 @@
     /// Removes and returns the connection to be evicted at a limit of `max_clients`; `None` if none may be evicted now.
     pub fn pop(&mut self, now: Instant, max_clients: usize) -> Option<ClientId> {
         let is_crowded =
-            self.idle.is_empty() || self.new.len() as f64 > max_clients as f64 * MAX_NEW_SHARE;
+            self.idle.is_empty() || self.new.len() as f64 > max_clients as f64 * MAX_NEW_FRACTION;
         let grace = if is_crowded {
             CROWDED_GRACE
         } else {
