--- a/crates/config/tests/bounds.rs
+++ b/crates/config/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! How many of everything a file may have.
+//! The maximum numbers of items in a settings file.
 
 mod common;
 
@@ -10,57 +10,72 @@
 use reelfall_config::reader;
 use reelfall_routing::table::ListenerId;
 
+/// Services of the largest deployment.
+const EXPECTED_SERVICES: usize = 2_600;
+/// Routes of the largest deployment.
+const EXPECTED_ROUTES: usize = 74_000;
+
 fn faults(text: &str) -> Vec<String> {
-    let read = reader::toml("f.toml", text).and_then(check);
-    read.err()
-        .map(|f| f.0.iter().map(ToString::to_string).collect())
+    let plan = reader::toml("f.toml", text).and_then(check);
+    plan.err()
+        .map(|faults| faults.0.iter().map(ToString::to_string).collect())
         .unwrap_or_default()
 }
 
-/// As many as the bound are taken, and one more is refused.
+/// Asserts that a file of `max` items is valid and that one of `max + 1` items has exactly the fault `expected`.
 #[track_caller]
-fn assert_bounded(most: usize, file: impl Fn(usize) -> String, refusal: &str) {
-    assert_eq!(faults(&file(most)), Vec::<String>::new());
-    assert_eq!(faults(&file(most + 1)), [refusal]);
+fn assert_bounded(max: usize, make_file: impl Fn(usize) -> String, expected: &str) {
+    assert_eq!(faults(&make_file(max)), Vec::<String>::new());
+    assert_eq!(faults(&make_file(max + 1)), [expected]);
 }
 
 #[test]
-fn services() {
-    const { assert!(MAX_SERVICES >= 2_600) };
-    let file = |n| LISTENER.to_owned() + &times(n, whole_service);
-    assert_bounded(MAX_SERVICES, file, "f.toml: 4097 services, 4096 at most");
+fn service_count_is_bounded() {
+    const { assert!(MAX_SERVICES >= EXPECTED_SERVICES) };
+    let make_file = |count| LISTENER.to_owned() + &times(count, whole_service);
+    assert_bounded(
+        MAX_SERVICES,
+        make_file,
+        "f.toml: 4097 services, 4096 at most",
+    );
 }
 
 #[test]
-fn listeners() {
-    let file = |n| times(n, listener) + &whole_service(0);
-    assert_bounded(MAX_LISTENERS, file, "f.toml: 257 listeners, 256 at most");
+fn listener_count_is_bounded() {
+    let make_file = |count| times(count, listener) + &whole_service(0);
+    assert_bounded(
+        MAX_LISTENERS,
+        make_file,
+        "f.toml: 257 listeners, 256 at most",
+    );
 }
 
 #[test]
-fn classes_of_a_service() {
-    let file = |n| LISTENER.to_owned() + &service("a") + &times(n, class) + &route(0, "");
+fn class_count_of_a_service_is_bounded() {
+    let make_file =
+        |count| LISTENER.to_owned() + &service("a") + &times(count, class) + &route(0, "");
     assert_bounded(
         MAX_CLASSES,
-        file,
+        make_file,
         "f.toml:4: service `a` has 257 classes, 256 at most",
     );
 }
 
 #[test]
-fn members_of_a_service() {
-    let file = |n| LISTENER.to_owned() + &service("a") + CLASS + &route(0, "") + &times(n, member);
+fn tenant_count_of_a_service_is_bounded() {
+    let head = LISTENER.to_owned() + &service("a") + CLASS + &route(0, "");
+    let make_file = |count| head.clone() + &times(count, member);
     assert_bounded(
         MAX_TENANTS,
-        file,
+        make_file,
         "f.toml:4: service `a` has 65536 members, 65535 at most",
     );
 }
 
 #[test]
-fn the_numbers_of_things_hold_as_many_as_there_may_be() {
+fn ids_represent_every_permitted_index() {
     assert!(ListenerId::try_from(MAX_LISTENERS).is_ok());
     assert!(ClassId::try_from(MAX_CLASSES).is_ok());
     assert!(TenantId::try_from(MAX_TENANTS).is_ok());
-    const { assert!(MAX_ROUTES >= 74_000) };
+    const { assert!(MAX_ROUTES >= EXPECTED_ROUTES) };
 }
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Parts of settings files.
+//! Fragments of settings files.
 
 #![allow(dead_code)] // Each test program uses some of them.
 
@@ -15,39 +15,39 @@
     format!("[[service]]\nname = \"{name}\"\nserver = []\n")
 }
 
-/// `count` parts, each made from its number.
+/// `count` fragments, each written from its index.
 pub fn times(count: usize, part: impl Fn(usize) -> String) -> String {
     (0..count).map(part).collect()
 }
 
-/// A class by its number.
-pub fn class(n: usize) -> String {
-    CLASS.replace("\"c\"", &format!("\"c{n}\""))
+/// A class by its index.
+pub fn class(index: usize) -> String {
+    CLASS.replace("\"c\"", &format!("\"c{index}\""))
 }
 
-/// A listener by its number.
-pub fn listener(n: usize) -> String {
-    let [_, _, high, low] = u32::try_from(n).unwrap().to_be_bytes();
-    format!("[[listener]]\nname = \"l{n}\"\naddress = \"127.1.{high}.{low}:8443\"\n")
+/// A listener by its index.
+pub fn listener(index: usize) -> String {
+    let [_, _, high, low] = u32::try_from(index).unwrap().to_be_bytes();
+    format!("[[listener]]\nname = \"l{index}\"\naddress = \"127.1.{high}.{low}:8443\"\n")
 }
 
-/// A server by its number.
-pub fn server(n: usize) -> String {
-    let [_, upper, high, low] = u32::try_from(n).unwrap().to_be_bytes();
-    format!("[[service.server]]\nname = \"s{n}\"\naddress = \"10.{upper}.{high}.{low}:80\"\n")
+/// A server by its index.
+pub fn server(index: usize) -> String {
+    let [_, upper, high, low] = u32::try_from(index).unwrap().to_be_bytes();
+    format!("[[service.server]]\nname = \"s{index}\"\naddress = \"10.{upper}.{high}.{low}:80\"\n")
 }
 
-/// A member by its number.
-pub fn member(n: usize) -> String {
-    format!("[[service.member]]\nname = \"m{n}\"\nquota = \"1/s\"\n")
+/// A tenant by its index.
+pub fn member(index: usize) -> String {
+    format!("[[service.member]]\nname = \"m{index}\"\nquota = \"1/s\"\n")
 }
 
-/// A route by its number, with what else it says.
-pub fn route(n: usize, more: &str) -> String {
-    format!("[[service.route]]\npath = \"/r{n}\"\n{more}")
+/// A route by its index, with `more` lines.
+pub fn route(index: usize, more: &str) -> String {
+    format!("[[service.route]]\npath = \"/r{index}\"\n{more}")
 }
 
-/// A whole service by its number.
-pub fn whole_service(n: usize) -> String {
-    service(&format!("a{n}")) + CLASS + &route(n, "")
+/// A complete service by its index.
+pub fn whole_service(index: usize) -> String {
+    service(&format!("a{index}")) + CLASS + &route(index, "")
 }
--- a/crates/config/tests/growth.rs
+++ b/crates/config/tests/growth.rs
@@ -1,8 +1,8 @@
-//! Reading and checking cost in proportion to the file, whatever it has many of.
+//! The cost of reading and checking a settings file is linear in its size, whichever kind of item it has many of.
 //!
-//! What is counted is the processor time of the test's own thread, so other load does not show, and of several runs
-//! the least. Eight times the size may cost three times as much by the item; looking through all earlier items for
-//! each would cost eight times as much.
+//! The cost is the CPU time of the test's own thread, so that other load does not count, and the minimum of several
+//! runs. In a file of eight times the size, the cost of one item can be three times as high; a search through all
+//! earlier items for each item would make it eight times as high.
 
 mod common;
 
@@ -10,155 +10,178 @@
     class, listener, member, route, server, service, times, whole_service, CLASS, LISTENER,
 };
 use nix::time::{clock_gettime, ClockId};
-use reelfall_config::{check, reader, Model};
+use reelfall_config::{check, reader, Model, Plan};
 use std::hint::black_box;
 use std::time::Duration;
 
-/// The large file has so many times the items of the small one.
-const LARGER: usize = 8;
-/// The large file may cost so many times what the small one does.
+/// The number of items of the large file, divided by that of the small file.
+const SIZE_RATIO: usize = 8;
+/// The maximum cost of the large file, divided by the cost of the small file.
 const MAX_COST_RATIO: f64 = 24.0;
-/// Runs of which the least counts.
+/// The number of runs of which the cheapest counts.
 const RUNS: usize = 5;
+/// From the index of a service's first server to that of its second, so that no two servers share an address.
+const SECOND_SERVER_OFFSET: usize = 10_000;
+/// Registries of a file for each of its services.
+const REGISTRIES_PER_SERVICE: usize = 8;
 
-fn processor_time() -> Duration {
+fn thread_cpu_time() -> Duration {
     clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID)
         .unwrap()
         .into()
 }
 
-/// The least processor time of several runs, each with an input of its own.
-fn cost<T, U>(input: impl Fn() -> T, run: impl Fn(T) -> U) -> f64 {
+/// The minimum CPU time of several runs in seconds; each run has a new input.
+fn min_cost<Input, Output>(make_input: impl Fn() -> Input, run: impl Fn(Input) -> Output) -> f64 {
     let runs = (0..RUNS).map(|_| {
-        let input = input();
-        let start = processor_time();
+        let input = make_input();
+        let start = thread_cpu_time();
         let output = black_box(run(black_box(input)));
-        let cost = processor_time() - start;
+        let cost = thread_cpu_time() - start;
         drop(output);
         cost.as_secs_f64()
     });
     runs.fold(f64::INFINITY, f64::min)
 }
 
-fn read(text: &str) -> Model {
+fn parse(text: &str) -> Model {
     reader::toml("f.toml", text).unwrap()
 }
 
 #[track_caller]
-fn assert_ratio(what: &str, small: f64, large: f64) {
-    let times = large / small;
+fn assert_cost_ratio(operation: &str, small_cost: f64, large_cost: f64) {
+    let ratio = large_cost / small_cost;
     assert!(
-        times < MAX_COST_RATIO,
-        "{what} of {LARGER} times the size costs {times:.1} times as much"
+        ratio < MAX_COST_RATIO,
+        "{operation} of {SIZE_RATIO} times the size costs {ratio:.1} times as much"
     );
 }
 
-/// Reads and checks files that have `small` of something and [`LARGER`] times as many, made by `file`.
+/// Asserts that reading and checking are linear in the number of items, for files of `small_count` items and of
+/// [`SIZE_RATIO`] times as many, which `make_file` writes.
 #[track_caller]
-fn assert_linear(small: usize, file: impl Fn(usize) -> String) {
-    let texts = [file(small), file(small * LARGER)];
-    let [first, second] = texts
+fn assert_linear(small_count: usize, make_file: impl Fn(usize) -> String) {
+    let texts = [make_file(small_count), make_file(small_count * SIZE_RATIO)];
+    let [small_cost, large_cost] = texts
         .each_ref()
-        .map(|text| cost(|| text, |text| read(text)));
-    assert_ratio("reading", first, second);
-    let models = texts.each_ref().map(|text| read(text));
-    let [first, second] = models.each_ref().map(|model| cost(|| model.clone(), check));
-    assert_ratio("checking", first, second);
+        .map(|text| min_cost(|| text, |text| parse(text)));
+    assert_cost_ratio("reading", small_cost, large_cost);
+    let models = texts.each_ref().map(|text| parse(text));
+    let [small_cost, large_cost] = models
+        .each_ref()
+        .map(|model| min_cost(|| model.clone(), check));
+    assert_cost_ratio("checking", small_cost, large_cost);
 }
 
 #[test]
-fn with_the_services() {
-    assert_linear(250, |n| LISTENER.to_owned() + &times(n, whole_service));
+fn cost_is_linear_in_services() {
+    assert_linear(250, |count| {
+        LISTENER.to_owned() + &times(count, whole_service)
+    });
 }
 
 #[test]
-fn with_the_servers_of_a_service() {
+fn cost_is_linear_in_servers_of_one_service() {
     let head = LISTENER.to_owned() + "[[service]]\nname = \"a\"\n" + CLASS + &route(0, "");
-    assert_linear(1_000, |n| head.clone() + &times(n, server));
+    assert_linear(1_000, |count| head.clone() + &times(count, server));
 }
 
 #[test]
-fn with_the_servers_over_all_services() {
-    let part = |n| whole_service(n).replace("server = []\n", "") + &server(n) + &server(n + 10_000);
-    assert_linear(250, |n| LISTENER.to_owned() + &times(n, part));
+fn cost_is_linear_in_servers_of_all_services() {
+    let service_of_two_servers = |index| {
+        let service = whole_service(index).replace("server = []\n", "");
+        service + &server(index) + &server(index + SECOND_SERVER_OFFSET)
+    };
+    assert_linear(250, |count| {
+        LISTENER.to_owned() + &times(count, service_of_two_servers)
+    });
 }
 
 #[test]
-fn with_the_routes_of_a_service() {
+fn cost_is_linear_in_routes_of_one_service() {
     let head = LISTENER.to_owned() + &service("a") + CLASS;
-    assert_linear(1_000, |n| head.clone() + &times(n, |n| route(n, "")));
+    assert_linear(1_000, |count| {
+        head.clone() + &times(count, |index| route(index, ""))
+    });
 }
 
 #[test]
-fn with_the_members_of_a_service() {
+fn cost_is_linear_in_tenants_of_one_service() {
     let head = LISTENER.to_owned() + &service("a") + CLASS + &route(0, "");
-    assert_linear(1_000, |n| head.clone() + &times(n, member));
+    assert_linear(1_000, |count| head.clone() + &times(count, member));
 }
 
 #[test]
-fn with_the_listeners() {
-    assert_linear(1_000, |n| times(n, listener) + &whole_service(0));
+fn cost_is_linear_in_listeners() {
+    assert_linear(1_000, |count| times(count, listener) + &whole_service(0));
 }
 
 #[test]
-fn with_the_listeners_that_routes_name() {
-    let named = |n| route(n, &format!("listener = \"l{n}\"\n"));
-    assert_linear(1_000, |n| {
-        times(n, listener) + &service("a") + CLASS + &times(n, named)
+fn cost_is_linear_in_listeners_named_by_routes() {
+    let route_of_listener = |index| route(index, &format!("listener = \"l{index}\"\n"));
+    assert_linear(1_000, |count| {
+        times(count, listener) + &service("a") + CLASS + &times(count, route_of_listener)
     });
 }
 
 #[test]
-fn with_the_classes_that_routes_assign() {
-    let assigns = |n| route(n, &format!("assign = \"c{n}\"\n"));
+fn cost_is_linear_in_classes_assigned_by_routes() {
+    let route_of_class = |index| route(index, &format!("assign = \"c{index}\"\n"));
     let head = LISTENER.to_owned() + &service("a");
-    assert_linear(1_000, |n| {
-        head.clone() + &times(n, class) + &times(n, assigns)
+    assert_linear(1_000, |count| {
+        head.clone() + &times(count, class) + &times(count, route_of_class)
     });
 }
 
 #[test]
-fn with_the_classes_that_fields_have() {
+fn cost_is_linear_in_classes_of_graphql_fields() {
     let head = LISTENER.to_owned() + &service("a");
     let graphql =
         "[service.graphql]\nother_query = \"c0\"\nother_mutation = \"u\"\n[service.graphql.query]\n";
     let unsafe_class = CLASS.replace("\"c\"", "\"u\"").replace("safe", "unsafe");
-    let field = |n| format!("f{n} = \"c{n}\"\n");
+    let field = |index| format!("f{index} = \"c{index}\"\n");
     let tail = unsafe_class + &route(0, "");
-    assert_linear(1_000, |n| {
-        head.clone() + graphql + &times(n, field) + &times(n, class) + &tail
+    assert_linear(1_000, |count| {
+        head.clone() + graphql + &times(count, field) + &times(count, class) + &tail
     });
 }
 
 #[test]
-fn with_the_methods_of_a_route() {
+fn cost_is_linear_in_methods_of_one_route() {
     let head = LISTENER.to_owned() + &service("a") + CLASS;
-    let methods = |n| format!("methods = [{}]\n", times(n, |n| format!("\"M{n}\", ")));
-    assert_linear(1_000, |n| head.clone() + &route(0, &methods(n)));
+    let method = |index| format!("\"M{index}\", ");
+    let methods = |count| format!("methods = [{}]\n", times(count, method));
+    assert_linear(1_000, |count| head.clone() + &route(0, &methods(count)));
 }
 
 #[test]
-fn with_the_registries_that_services_follow() {
-    let registry = |n| format!("[[registry]]\nname = \"r{n}\"\nmembers = [\"127.0.0.1:2181\"]\n");
-    let registries = |services| services * 8;
-    assert_linear(500, |n| {
-        let last = registries(n) - 1;
-        let follows = format!("registry = {{ name = \"r{last}\", path = \"/a\" }}\n");
-        let part = |n| whole_service(n).replace("server = []\n", &follows);
-        LISTENER.to_owned() + &times(registries(n), registry) + &times(n, part)
+fn cost_is_linear_in_registries_followed_by_services() {
+    let registry =
+        |index| format!("[[registry]]\nname = \"r{index}\"\nmembers = [\"127.0.0.1:2181\"]\n");
+    assert_linear(500, |services| {
+        let registries = services * REGISTRIES_PER_SERVICE;
+        let last = registries - 1;
+        let source = format!("registry = {{ name = \"r{last}\", path = \"/a\" }}\n");
+        let registered_service = |index| whole_service(index).replace("server = []\n", &source);
+        LISTENER.to_owned() + &times(registries, registry) + &times(services, registered_service)
     });
 }
 
 #[test]
-fn with_the_routes_whose_places_are_asked_for() {
-    let plan = |n| check(read(&(LISTENER.to_owned() + &times(n, whole_service)))).unwrap();
-    let places = |plan: &reelfall_config::Plan| {
+fn origin_lookup_is_linear_in_routes() {
+    let plan = |services| {
+        let text = LISTENER.to_owned() + &times(services, whole_service);
+        check(parse(&text)).unwrap()
+    };
+    let sum_of_origin_lines = |plan: &Plan| {
         let lines = (0..plan.matches.len())
             .filter_map(|route| plan.origin(route))
-            .map(|o| u64::from(o.line));
+            .map(|origin| u64::from(origin.line));
         lines.sum::<u64>()
     };
-    let plans = [plan(500), plan(500 * LARGER)];
-    let [first, second] = plans.each_ref().map(|plan| cost(|| plan, places));
-    assert_ratio("the places of all routes", first, second);
+    let plans = [plan(500), plan(500 * SIZE_RATIO)];
+    let [small_cost, large_cost] = plans
+        .each_ref()
+        .map(|plan| min_cost(|| plan, sum_of_origin_lines));
+    assert_cost_ratio("finding the origins of all routes", small_cost, large_cost);
 }
--- a/crates/config/tests/memory.rs
+++ b/crates/config/tests/memory.rs
@@ -1,5 +1,6 @@
-//! Reading a file of many services takes little more memory than what it says. The only test of its program, since it
-//! looks at the memory of the whole process.
+//! Reading a file of many services needs little more memory than its model.
+//!
+//! This is the only test of its program, because it measures the memory of the process.
 
 mod common;
 
@@ -7,36 +8,35 @@
 use reelfall_config::reader;
 
 const SERVICES: usize = 400;
-const MEMBERS: usize = 200;
-/// Memory for the text's length: what the model takes, and the tree of one service.
+const TENANTS_PER_SERVICE: usize = 200;
+/// The maximum memory for reading, divided by the length of the file: the model, and the syntax tree of one service.
 const MAX_MEMORY_FACTOR: usize = 8;
 
-/// The most memory that the process has had, in bytes.
-fn peak() -> usize {
+const BYTES_PER_KIBIBYTE: usize = 1024;
+
+/// The peak resident set size of the process, in bytes.
+fn peak_memory() -> usize {
     let status = std::fs::read_to_string("/proc/self/status").unwrap();
     let line = status
         .lines()
         .find_map(|line| line.strip_prefix("VmHWM:"))
         .unwrap();
-    line.trim()
-        .trim_end_matches(" kB")
-        .parse::<usize>()
-        .unwrap()
-        * 1024
+    let kibibytes: usize = line.trim().trim_end_matches(" kB").parse().unwrap();
+    kibibytes * BYTES_PER_KIBIBYTE
 }
 
 #[test]
-fn reading_takes_little_more_than_the_model() {
-    let part = |n| whole_service(n) + &times(MEMBERS, member);
-    let text = LISTENER.to_owned() + &times(SERVICES, part);
-    let before = peak();
+fn reader_memory_is_bounded_by_a_multiple_of_file_size() {
+    let service_of_tenants = |index| whole_service(index) + &times(TENANTS_PER_SERVICE, member);
+    let text = LISTENER.to_owned() + &times(SERVICES, service_of_tenants);
+    let peak_before = peak_memory();
     let model = reader::toml("f.toml", &text).unwrap();
-    let taken = peak() - before;
+    let used_bytes = peak_memory() - peak_before;
     assert_eq!(model.services.len(), SERVICES);
-    let times = taken / text.len();
+    let factor = used_bytes / text.len();
     assert!(
-        times < MAX_MEMORY_FACTOR,
-        "{taken} bytes for a text of {}: {times} times as much",
+        factor < MAX_MEMORY_FACTOR,
+        "{used_bytes} bytes for a text of {}: {factor} times as much",
         text.len()
     );
 }
--- a/crates/config/tests/sections.rs
+++ b/crates/config/tests/sections.rs
@@ -1,7 +1,7 @@
-//! A file that is read service by service says the same as one that is read at once.
+//! Reading a file service by service gives the same model and the same faults as parsing it in one piece.
 //!
-//! A key with escapes in a header makes the reader take a file at once. Each file here has the same listener once with a
-//! bare key and once with one that is written with escapes.
+//! A key with escapes in a header makes the reader parse the file in one piece. So each file of these tests is read
+//! twice: with a listener whose header has a bare key, and with one whose header has escapes.
 
 mod common;
 
@@ -9,23 +9,33 @@
 use reelfall_config::model::{Model, Origin};
 use reelfall_config::{reader, Faults};
 
-/// Headers of the listener.
-const HEADERS: [&str; 2] = ["[[listener]]", "[[\"list\\u0065ner\"]]"];
+const BARE_HEADER: &str = "[[listener]]";
+const ESCAPED_HEADER: &str = "[[\"list\\u0065ner\"]]";
 
-/// Reads a file service by service and at once; `file` makes it with a listener.
-fn both(file: impl Fn(&str) -> String) -> [Result<Model, Faults>; 2] {
-    HEADERS.map(|header| reader::toml("f.toml", &file(&LISTENER.replace(HEADERS[0], header))))
+/// What both ways of reading give for the same settings.
+struct Readings {
+    by_service: Result<Model, Faults>,
+    in_one_piece: Result<Model, Faults>,
 }
 
-/// The places of all that a service has.
-fn places(model: &Model) -> Vec<&Origin> {
+/// Reads a file service by service and in one piece; `make_file` writes it with the given listener.
+fn read_both_ways(make_file: impl Fn(&str) -> String) -> Readings {
+    let read = |listener: &str| reader::toml("f.toml", &make_file(listener));
+    Readings {
+        by_service: read(LISTENER),
+        in_one_piece: read(&LISTENER.replace(BARE_HEADER, ESCAPED_HEADER)),
+    }
+}
+
+/// The origins of all items, in a fixed order.
+fn origins(model: &Model) -> Vec<&Origin> {
     let services = model.services.iter().flat_map(|service| {
         let routes = service.routes.iter().map(|route| &route.origin);
-        let members = service.tenants.iter().map(|member| &member.origin);
+        let tenants = service.tenants.iter().map(|tenant| &tenant.origin);
         [&service.origin, &service.limits.origin]
             .into_iter()
             .chain(routes)
-            .chain(members)
+            .chain(tenants)
     });
     let listeners = model.listeners.iter().map(|listener| &listener.origin);
     listeners
@@ -35,19 +45,22 @@
 }
 
 #[track_caller]
-fn assert_same(text: &str) {
-    match both(|listener| text.to_owned() + listener) {
-        [Ok(split), Ok(whole)] => {
-            assert_eq!(split, whole, "for\n{text}");
-            assert_eq!(places(&split), places(&whole), "for\n{text}");
+fn assert_equal_readings(text: &str) {
+    let readings = read_both_ways(|listener| text.to_owned() + listener);
+    match (readings.by_service, readings.in_one_piece) {
+        (Ok(by_service), Ok(in_one_piece)) => {
+            assert_eq!(by_service, in_one_piece, "for\n{text}");
+            assert_eq!(origins(&by_service), origins(&in_one_piece), "for\n{text}");
+        }
+        (Err(_), Err(_)) => {}
+        (by_service, in_one_piece) => {
+            panic!("{by_service:?}\ninstead of\n{in_one_piece:?}\nfor\n{text}")
         }
-        [Err(_), Err(_)] => {}
-        [split, whole] => panic!("{split:?}\ninstead of\n{whole:?}\nfor\n{text}"),
     }
 }
 
-/// Pieces that are valid or not by what stands before them.
-const PIECES: [&str; 11] = [
+/// Fragments of a file whose validity depends on what precedes them.
+const FRAGMENTS: [&str; 11] = [
     "[[listener]]\nname = \"m\"\naddress = \"127.0.0.1:8444\"\n",
     "[[service]]\nname = \"a\"\nserver = []\n",
     " [ service . limits ] # [[service]]\nopen = 5\n",
@@ -61,24 +74,25 @@
     "methods = [\n\"GET\", # ]\n\"PUT\"]\n",
 ];
 
-/// The longest row of pieces.
-const MAX_PIECES: u32 = 4;
+/// The length of the longest sequence of fragments.
+const MAX_SEQUENCE: u32 = 4;
 
 #[test]
-fn all_rows_of_pieces_are_read_alike() {
-    let kinds = PIECES.len();
-    for length in 0..=MAX_PIECES {
-        for row in 0..kinds.pow(length) {
-            let piece = |at| PIECES[row / kinds.pow(at) % kinds];
-            assert_same(&(0..length).map(piece).collect::<String>());
+fn both_readers_agree_on_all_sequences_of_fragments() {
+    let kinds = FRAGMENTS.len();
+    for length in 0..=MAX_SEQUENCE {
+        // The digits of a sequence's number, to the base of `kinds`, are the indices of its fragments.
+        for sequence in 0..kinds.pow(length) {
+            let fragment = |position| FRAGMENTS[sequence / kinds.pow(position) % kinds];
+            assert_equal_readings(&(0..length).map(fragment).collect::<String>());
         }
     }
 }
 
 #[test]
-fn mistakes_are_told_alike() {
+fn both_readers_report_the_same_faults() {
     let services = whole_service(0) + "[process]\nnodes = 1\n" + &whole_service(1);
-    for mistake in [
+    for faulty_line in [
         "colour = 1\n",
         "methods = [\"GET\"\n",
         "methods = [\n[[\"service\"]]\n]\n",
@@ -104,27 +118,30 @@
         "[service]\n",
         "[[\"servic\\u0065\"]]\n",
     ] {
-        let [split, whole] = both(|listener| listener.to_owned() + &services + mistake);
-        assert!(whole.is_err(), "no mistake: {mistake}");
-        assert_eq!(split, whole, "for {mistake}");
+        let Readings {
+            by_service,
+            in_one_piece,
+        } = read_both_ways(|listener| listener.to_owned() + &services + faulty_line);
+        assert!(in_one_piece.is_err(), "no fault: {faulty_line}");
+        assert_eq!(by_service, in_one_piece, "for {faulty_line}");
     }
 }
 
 #[test]
-fn a_mark_of_the_byte_order_is_no_part_of_a_service() {
+fn byte_order_mark_is_ignored() {
     let text = "\u{feff}".to_owned() + &whole_service(0);
-    assert_same(&text);
+    assert_equal_readings(&text);
     assert_eq!(reader::toml("f.toml", &text).unwrap().services.len(), 1);
 }
 
 #[test]
-fn lines_are_those_of_the_file() {
+fn origins_have_line_numbers_of_the_file() {
     let text = format!(
         "{LISTENER}{}[process]\nnodes = 1\n{}",
         whole_service(0),
         whole_service(1)
     );
     let model = reader::toml("f.toml", &text).unwrap();
-    let lines: Vec<u32> = places(&model).iter().map(|origin| origin.line).collect();
+    let lines: Vec<u32> = origins(&model).iter().map(|origin| origin.line).collect();
     assert_eq!(lines, [1, 14, 4, 0, 12, 16, 0, 24]);
 }
