--- a/crates/capacity/tests/mechanism.rs
+++ b/crates/capacity/tests/mechanism.rs
@@ -1,4 +1,4 @@
-//! The table of the mechanism for changes of settings: its verdicts follow from the budgets.
+//! The capacity page's table of the distribution of settings: its verdicts follow from the budgets.
 
 use reelfall_capacity::budget::distribution_runs::{
     excesses, DistributionRuns, Excess, BURST_BYTES, MEMORY_RUN_PREFIX, REPORT_FILES,
@@ -9,10 +9,11 @@
 };
 use std::path::{Path, PathBuf};
 
-fn root() -> PathBuf {
+fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
+/// Times of which the last is `last` seconds.
 fn times(last: f64) -> Times {
     Times {
         p50: last / 10.0,
@@ -21,7 +22,8 @@
     }
 }
 
-fn played(judged_by: JudgedBy) -> Played {
+/// The result of a distribution run that is far within all budgets.
+fn small_result(judged_by: JudgedBy) -> Played {
     Played {
         title: "a play".to_owned(),
         judged_by,
@@ -39,7 +41,8 @@
     }
 }
 
-fn play(in_force: Option<Times>, bytes: f64) -> Run {
+/// A run with traffic of `bytes` a second, in and out.
+fn run(in_force: Option<Times>, bytes: f64) -> Run {
     let traffic = Traffic {
         kind: "configuration".to_owned(),
         bytes_in: bytes / 2.0,
@@ -75,84 +78,84 @@
     }
 }
 
-fn plays(runs: Vec<Run>) -> DistributionRuns {
+fn distribution_runs(runs: Vec<Run>) -> DistributionRuns {
     DistributionRuns {
         reports: vec![report("abc", runs)],
     }
 }
 
 #[test]
-fn a_play_within_all_budgets_fits() {
+fn run_at_all_budgets_exceeds_none() {
     let at_the_budgets = Played {
         peak_bytes_10s: BURST_BYTES,
-        ..played(JudgedBy::InForce)
+        ..small_result(JudgedBy::InForce)
     };
     assert_eq!(
-        excesses(&play(Some(times(15.0)), 8_000.0), &at_the_budgets),
+        excesses(&run(Some(times(15.0)), 8_000.0), &at_the_budgets),
         []
     );
 }
 
 #[test]
-fn each_budget_that_is_passed_is_told_with_its_factor() {
-    let slow = play(Some(times(30.0)), 100.0);
+fn each_exceeded_budget_is_reported_with_its_factor() {
+    let slow = run(Some(times(30.0)), 100.0);
     assert_eq!(
-        excesses(&slow, &played(JudgedBy::InForce)),
+        excesses(&slow, &small_result(JudgedBy::InForce)),
         [Excess::InForce(2.0)]
     );
-    // Where changes wait for a cut's end, the time after it counts and not theirs.
+    // Where changes wait for the end of a partition, the time since that end counts.
     let late = Played {
         caught_up: Some(times(45.0)),
-        ..played(JudgedBy::CaughtUp)
+        ..small_result(JudgedBy::CaughtUp)
     };
     assert_eq!(excesses(&slow, &late), [Excess::CaughtUp(3.0)]);
-    assert_eq!(excesses(&slow, &played(JudgedBy::Bytes)), []);
-    let waits = play(Some(times(0.0068)), 100.0);
+    assert_eq!(excesses(&slow, &small_result(JudgedBy::Bytes)), []);
+    let late_first_request = run(Some(times(0.0068)), 100.0);
     assert_eq!(
-        excesses(&waits, &played(JudgedBy::FirstRequest)),
+        excesses(&late_first_request, &small_result(JudgedBy::FirstRequest)),
         [Excess::FirstRequest(2.0)]
     );
     assert_eq!(
-        excesses(&play(None, 16_000.0), &played(JudgedBy::InForce)),
+        excesses(&run(None, 16_000.0), &small_result(JudgedBy::InForce)),
         [Excess::MeanTraffic(2.0)]
     );
     let burst = Played {
         peak_bytes_10s: 3.0 * BURST_BYTES,
-        ..played(JudgedBy::InForce)
+        ..small_result(JudgedBy::InForce)
     };
     assert_eq!(
-        excesses(&play(None, 100.0), &burst),
+        excesses(&run(None, 100.0), &burst),
         [Excess::BurstTraffic(3.0)]
     );
     let broken = Played {
         faults: 2,
         missing: 3,
-        ..played(JudgedBy::InForce)
+        ..small_result(JudgedBy::InForce)
     };
     assert_eq!(
-        excesses(&play(None, 100.0), &broken),
+        excesses(&run(None, 100.0), &broken),
         [Excess::ViolatedGuarantees(2), Excess::Missing(3)]
     );
 }
 
 #[test]
-fn the_table_has_a_row_for_each_play_and_none_for_other_runs() {
+fn table_has_one_row_per_distribution_run() {
     let ages = Ages {
         compared: 1_200,
         least_margin: 0.25,
         oldest: 130.0,
     };
-    let shown = Played {
+    let result = Played {
         ages: Some(ages),
         peak_bytes_10s: 160_000.0,
-        ..played(JudgedBy::InForce)
+        ..small_result(JudgedBy::InForce)
     };
     let shown = Run {
-        played: Some(shown),
-        ..play(Some(times(30.0)), 100.0)
+        played: Some(result),
+        ..run(Some(times(30.0)), 100.0)
     };
-    let other = play(Some(times(99.0)), 7.0);
-    let table = plays(vec![other, shown]).table();
+    let other = run(Some(times(99.0)), 7.0);
+    let table = distribution_runs(vec![other, shown]).table();
     let row = "| a play | 6,000 | 3, 15, 30 | - | 100 | 160 | 0 % | \
                **does not fit**: 2 times over 15 s, 2 times over 80 kB in 10 s |";
     let rows: Vec<&str> = table
@@ -164,17 +167,20 @@
         table.lines().filter(|line| line.starts_with('|')).count(),
         3
     );
-    let few = Size {
+    let few_nodes = Size {
         nodes: 600,
         ..Size::TARGET
     };
     let partial = Run {
-        size: few,
-        played: Some(played(JudgedBy::InForce)),
-        ..play(None, 100.0)
+        size: few_nodes,
+        played: Some(small_result(JudgedBy::InForce)),
+        ..run(None, 100.0)
     };
-    let partial = plays(vec![partial]).table();
-    assert!(partial.contains("| fits; partial |"), "{partial}");
+    let partial_table = distribution_runs(vec![partial]).table();
+    assert!(
+        partial_table.contains("| fits; partial |"),
+        "{partial_table}"
+    );
     assert!(
         table.contains("Commit abc, seed 1. Promises not kept in all of these plays: 0."),
         "{table}"
@@ -186,19 +192,19 @@
 }
 
 #[test]
-fn rows_of_several_commits_are_told_apart() {
+fn table_names_the_commit_of_each_row() {
     let titled = |title: &str| {
-        let played = Played {
+        let result = Played {
             title: title.to_owned(),
             faults: 1,
-            ..played(JudgedBy::InForce)
+            ..small_result(JudgedBy::InForce)
         };
         Run {
-            played: Some(played),
-            ..play(None, 100.0)
+            played: Some(result),
+            ..run(None, 100.0)
         }
     };
-    let other = play(None, 7.0);
+    let other = run(None, 7.0);
     let reports = vec![
         report("abc", vec![titled("one")]),
         report("def", vec![titled("two"), other, titled("three")]),
@@ -218,17 +224,17 @@
 }
 
 #[test]
-fn reports_of_plays_have_a_line_for_each_field() {
+fn report_files_have_one_field_per_line() {
     for file in REPORT_FILES {
-        let text = std::fs::read_to_string(root().join(file)).unwrap();
+        let text = std::fs::read_to_string(repository_root().join(file)).unwrap();
         let longest = text.lines().map(str::len).max().unwrap();
         assert!(longest < 200, "{file}: a line of {longest} bytes");
     }
 }
 
 #[test]
-fn what_nodes_hold_is_held_against_their_memory() {
-    let holds = |name: &str, memory| {
+fn memory_runs_are_compared_with_memory_budgets() {
+    let memory_run = |name: &str, memory| {
         let per_node = PerNode {
             memory,
             ..PerNode::default()
@@ -236,15 +242,15 @@
         Run {
             name: format!("{MEMORY_RUN_PREFIX}{name}"),
             per_node,
-            ..play(None, 0.0)
+            ..run(None, 0.0)
         }
     };
     let runs = vec![
-        holds("a node", Some(16e6)),
-        holds("a node of all", Some(64e6)),
-        holds("a relay", Some(900e6)),
+        memory_run("a node", Some(16e6)),
+        memory_run("a node of all", Some(64e6)),
+        memory_run("a relay", Some(900e6)),
     ];
-    let table = plays(runs).table();
+    let table = distribution_runs(runs).table();
     for row in [
         "| a node | 16 MB | fits |",
         "| a node of all | 64 MB | **does not fit**: 2 times over 32 MB |",
@@ -255,22 +261,25 @@
 }
 
 #[test]
-fn the_page_s_table_is_what_the_plays_make_of_it() {
-    let plays = DistributionRuns::read(&root()).unwrap();
-    let held = std::fs::read_to_string(root().join(CAPACITY_PAGE)).unwrap();
-    let mut tables = capacity_tables(&root()).unwrap();
-    assert_eq!(tables["mechanism"], plays.table());
+fn capacity_page_matches_the_reports() {
+    let runs = DistributionRuns::read(&repository_root()).unwrap();
+    let page_text = std::fs::read_to_string(repository_root().join(CAPACITY_PAGE)).unwrap();
+    let mut tables = capacity_tables(&repository_root()).unwrap();
+    assert_eq!(tables["mechanism"], runs.table());
     tables.retain(|name, _| *name == "mechanism");
-    assert_eq!(page::stale_tables(&held, &tables).unwrap(), [""; 0]);
-    // One figure of one play, and the page is told to be stale.
-    let mut other = plays;
-    let played = other
+    assert_eq!(page::stale_tables(&page_text, &tables).unwrap(), [""; 0]);
+    // A change of one figure of one run makes the page stale.
+    let mut changed = runs;
+    let result = changed
         .reports
         .iter_mut()
         .flat_map(|report| &mut report.runs)
-        .find_map(|play| play.played.as_mut())
+        .find_map(|run| run.played.as_mut())
         .unwrap();
-    played.peak_bytes_10s += 10_000.0;
-    tables.insert("mechanism", other.table());
-    assert_eq!(page::stale_tables(&held, &tables).unwrap(), ["mechanism"]);
+    result.peak_bytes_10s += 10_000.0;
+    tables.insert("mechanism", changed.table());
+    assert_eq!(
+        page::stale_tables(&page_text, &tables).unwrap(),
+        ["mechanism"]
+    );
 }
--- a/crates/capacity/tests/settings_file.rs
+++ b/crates/capacity/tests/settings_file.rs
@@ -1,12 +1,12 @@
-//! Settings files that are written for measurements are valid and as large as they are asked to be.
+//! Settings files that are generated for measurements are valid and have the requested size.
 
 use reelfall_capacity::scale::report::Size;
 use reelfall_capacity::scale::settings::settings_file;
 use reelfall_config::model::Source;
 use reelfall_config::{check, reader, Plan};
 
-/// The whole size, scaled down.
-const SCALE: usize = 20;
+/// The target size divided by the size of the scaled-down file.
+const SCALE_DIVISOR: usize = 20;
 
 fn plan(size: &Size) -> Plan {
     reader::toml("f.toml", &settings_file(size))
@@ -14,66 +14,83 @@
         .unwrap()
 }
 
-/// Services, servers, routes and tenants.
-fn counts(plan: &Plan) -> [usize; 4] {
+/// The number of items of a plan.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Counts {
+    services: usize,
+    servers: usize,
+    routes: usize,
+    tenants: usize,
+}
+
+impl Counts {
+    /// The target's other figures with these counts.
+    fn to_size(self) -> Size {
+        Size {
+            services: self.services,
+            servers: self.servers,
+            routes: self.routes,
+            tenants: self.tenants,
+            ..Size::TARGET
+        }
+    }
+}
+
+fn counts(plan: &Plan) -> Counts {
     let services = &plan.model.services;
     let servers = services.iter().map(|service| match &service.source {
         Source::Static(servers) => servers.len(),
         Source::Discovery(_) | Source::Registry(_) => 0,
     });
-    let members = services.iter().map(|service| service.tenants.len());
-    [
-        services.len(),
-        servers.sum(),
-        plan.matches.len(),
-        members.sum(),
-    ]
+    let tenants = services.iter().map(|service| service.tenants.len());
+    Counts {
+        services: services.len(),
+        servers: servers.sum(),
+        routes: plan.matches.len(),
+        tenants: tenants.sum(),
+    }
 }
 
 #[test]
-fn the_whole_shape_scaled_down_holds_together() {
-    let whole = Size::TARGET;
-    let size = Size {
-        services: whole.services / SCALE,
-        servers: whole.servers / SCALE,
-        routes: whole.routes / SCALE,
-        tenants: whole.tenants / SCALE,
-        ..whole
+fn scaled_down_target_size_is_valid() {
+    let target = Size::TARGET;
+    let scaled = Counts {
+        services: target.services / SCALE_DIVISOR,
+        servers: target.servers / SCALE_DIVISOR,
+        routes: target.routes / SCALE_DIVISOR,
+        tenants: target.tenants / SCALE_DIVISOR,
+    };
+    let plan = plan(&scaled.to_size());
+    let expected = Counts {
+        services: 130,
+        servers: 2_500,
+        routes: 3_700,
+        tenants: 28_000,
     };
-    let plan = plan(&size);
-    assert_eq!(counts(&plan), [130, 2_500, 3_700, 28_000]);
+    assert_eq!(counts(&plan), expected);
     assert_eq!(plan.model.process.node_count, 6_000);
-    let most = plan
-        .model
-        .services
-        .iter()
-        .map(|service| service.tenants.len())
-        .max();
-    let least = plan
-        .model
-        .services
-        .iter()
-        .map(|service| service.tenants.len())
-        .min();
-    assert_eq!((least, most), (Some(215), Some(216)), "not spread evenly");
+    let services = plan.model.services.iter();
+    let tenant_counts = services.map(|service| service.tenants.len());
+    let fewest = tenant_counts.clone().min();
+    let most = tenant_counts.max();
+    assert_eq!((fewest, most), (Some(215), Some(216)), "not spread evenly");
 }
 
 #[test]
-fn files_of_any_size_hold_together() {
+fn files_of_any_size_are_valid() {
     for (services, servers, routes, tenants) in
         [(1, 1, 1, 0), (3, 2, 4, 1), (7, 100, 7, 50), (2, 0, 9, 9)]
     {
-        let size = Size {
+        let requested = Counts {
             services,
             servers,
             routes,
             tenants,
-            ..Size::TARGET
         };
-        assert_eq!(counts(&plan(&size)), [services, servers, routes, tenants]);
+        assert_eq!(counts(&plan(&requested.to_size())), requested);
     }
-    // What no valid file can have is made up.
-    let size = Size {
+    // A valid file has at least one service and one route.
+    let empty = Size {
         services: 0,
         servers: 0,
         routes: 0,
@@ -81,11 +98,17 @@
         nodes: 0,
         ..Size::TARGET
     };
-    assert_eq!(counts(&plan(&size)), [1, 0, 1, 0]);
+    let minimum = Counts {
+        services: 1,
+        servers: 0,
+        routes: 1,
+        tenants: 0,
+    };
+    assert_eq!(counts(&plan(&empty)), minimum);
 }
 
 #[test]
-fn the_same_size_gives_the_same_file() {
+fn generation_is_deterministic() {
     let size = Size {
         services: 5,
         servers: 17,
