--- a/crates/capacity/tests/scale/command.rs
+++ b/crates/capacity/tests/scale/command.rs
@@ -11,10 +11,11 @@
         .arg("scale")
         .args(args)
         .output()
-        .expect("the rig runs")
+        .expect("the program runs")
 }
 
-fn written(args: &[&str], file: &Path) -> Record {
+/// The record that a run of the command writes to `file`.
+fn run_to_record(args: &[&str], file: &Path) -> Record {
     let output = run_scale(&[args, &["--json", &file.display().to_string()]].concat());
     assert!(
         output.status.success(),
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn the_command_reports_what_does_not_fit() {
+fn oversized_run_is_rejected_with_the_number_of_nodes_that_fit() {
     let output = run_scale(&["--nodes", "10000000"]);
     assert!(!output.status.success());
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -36,9 +37,9 @@
 }
 
 #[test]
-fn an_expired_deadline_gives_a_partial_record_with_notes() {
+fn expired_deadline_produces_a_partial_record() {
     let folder = reelfall_testbed::node::Folder::new().expect("a folder");
-    let single = written(
+    let single = run_to_record(
         &["--nodes", "12", "--real", "0", "--deadline", "0"],
         &folder.path().join("single.json"),
     );
@@ -56,17 +57,17 @@
         .runs
         .iter()
         .all(|run| run.source != Source::HollowNodes));
-    let sweep = written(
+    let sweep = run_to_record(
         &["sweep", "--deadline", "0"],
         &folder.path().join("sweep.json"),
     );
     assert!(sweep.is_partial && sweep.report.runs.is_empty() && sweep.report.slopes.is_empty());
-    let nodes = |note: &String| note.contains("300 nodes: the time is over");
-    assert!(sweep.notes.iter().any(nodes), "{:?}", sweep.notes);
+    let is_omission = |note: &String| note.contains("300 nodes: the time is over");
+    assert!(sweep.notes.iter().any(is_omission), "{:?}", sweep.notes);
 }
 
 #[test]
-fn the_command_runs_the_smoke_run() {
+fn smoke_run_passes() {
     let output = run_scale(&["--smoke"]);
     let message = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(
--- a/crates/capacity/tests/scale/computation.rs
+++ b/crates/capacity/tests/scale/computation.rs
@@ -1,4 +1,4 @@
-//! Single computations, in this process and in processes of their own.
+//! Single computations, in this process and in separate processes.
 
 use crate::{PROGRAM, SIZE, TIMEOUT};
 use reelfall_capacity::scale::computation::{self, Computation};
@@ -8,18 +8,18 @@
 use std::time::Duration;
 
 #[test]
-fn a_list_of_servers_is_applied_to_the_decision_module() {
-    let of = |servers| {
+fn server_list_cost_grows_with_the_list() {
+    let cost_of_list = |servers| {
         computation::run_once(Computation::ServerList, &Size { servers, ..SIZE }).expect("a cost")
     };
-    let (few, many) = (of(10), of(200));
+    let (few, many) = (cost_of_list(10), cost_of_list(200));
     assert!(few.cpu > 0.0 && many.bytes > 15 * few.bytes);
     let change = computation::run_once(Computation::ServerChange, &SIZE).expect("a cost");
     assert!(change.cpu > 0.0 && change.bytes < few.bytes);
 }
 
 #[test]
-fn an_empty_or_rejected_settings_file_is_an_error() {
+fn empty_or_invalid_settings_are_rejected() {
     let error = computation::read_settings("")
         .expect_err("none")
         .to_string();
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test]
-async fn a_computation_is_measured_in_a_process_of_its_own() {
+async fn computation_is_measured_in_a_separate_process() {
     let run =
         computation_process::measure(Path::new(PROGRAM), Computation::ServerList, &SIZE, TIMEOUT)
             .await
@@ -55,16 +55,16 @@
         .expect_err("no time")
         .to_string()
         .contains("not done in"));
-    let nobody = Path::new("/nowhere/at/all");
+    let missing_program = Path::new("/nowhere/at/all");
     assert!(
-        computation_process::measure(nobody, Computation::ServerList, &SIZE, TIMEOUT)
+        computation_process::measure(missing_program, Computation::ServerList, &SIZE, TIMEOUT)
             .await
             .is_err()
     );
 }
 
 #[tokio::test]
-async fn reading_settings_is_measured_in_a_process_of_its_own() {
+async fn reading_settings_is_measured_in_a_separate_process() {
     let measured = |size: Size| async move {
         let run =
             computation_process::measure(Path::new(PROGRAM), Computation::Settings, &size, TIMEOUT)
@@ -89,9 +89,9 @@
     );
     assert!(many.per_node.cpu > few.per_node.cpu);
     // The tables of 40,000 tenants and 4,000 routes are megabytes.
-    let (few, many) = (
+    let (few_memory, many_memory) = (
         few.per_node.memory.expect("memory"),
         many.per_node.memory.expect("memory"),
     );
-    assert!(many > few + 4e6, "{few} {many}");
+    assert!(many_memory > few_memory + 4e6, "{few_memory} {many_memory}");
 }
--- a/crates/capacity/tests/scale/counters.rs
+++ b/crates/capacity/tests/scale/counters.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn shares_of_a_sample_add_up_to_one() {
+fn fractions_of_a_sample_sum_to_one() {
     let mut sample = Sample::default();
     sample.add(datagram(DatagramKind::Membership, 300, 100));
     sample.add(datagram(DatagramKind::AntiEntropy, 500, 0));
@@ -32,10 +32,10 @@
     );
     assert_eq!(sample.shares(DatagramKind::Entries), shares(1.0 / 3.0, 0.2));
     assert_eq!(sample.shares(DatagramKind::Application), shares(0.0, 0.0));
-    let sum = |part: fn(KindShares) -> f64| {
+    let sum = |field: fn(KindShares) -> f64| {
         DatagramKind::ALL
             .into_iter()
-            .map(|kind| part(sample.shares(kind)))
+            .map(|kind| field(sample.shares(kind)))
             .sum::<f64>()
     };
     assert!((sum(|shares| shares.messages) - 1.0).abs() < 1e-12);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn the_cost_of_a_window_is_the_difference_of_totals_by_node_and_second() {
+fn window_cost_is_the_difference_of_totals_per_node_and_second() {
     let before = Totals {
         messages_in: 10,
         bytes_in: 1_000,
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_peak_is_the_maximum_of_one_second_within_one_window() {
+fn peak_is_the_maximum_of_one_second_within_one_window() {
     let (counters, window, mut meter) =
         (Counters::default(), AtomicU32::new(1), PeakMeter::default());
     let peak = || counters.peak_bytes.load(Ordering::Relaxed);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_distribution_consists_of_observed_times() {
+fn distribution_consists_of_observed_times() {
     assert_eq!(distribution(&[]), None);
     let hundred: Vec<f64> = (1..=100).rev().map(f64::from).collect();
     assert_eq!(
--- a/crates/capacity/tests/scale/discovery_stub.rs
+++ b/crates/capacity/tests/scale/discovery_stub.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_restarted_server_fails_and_then_has_a_new_start_time() {
+fn restarted_server_fails_and_then_has_a_new_start_time() {
     let stub = DiscoveryStub::new(10, 3);
     let mut updates = stub.subscribe();
     let fails = |name: &str| {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn an_unavailable_stub_sends_pending_updates_once_it_is_back() {
+fn unavailable_stub_sends_pending_updates_once_it_is_back() {
     let stub = DiscoveryStub::new(10, 2);
     let mut updates = stub.subscribe();
     stub.set_unavailable(true, 0);
--- a/crates/capacity/tests/scale/limits.rs
+++ b/crates/capacity/tests/scale/limits.rs
@@ -15,7 +15,7 @@
 };
 
 #[test]
-fn nodes_beyond_the_open_file_limit_are_rejected_with_the_number_that_fits() {
+fn nodes_beyond_the_open_file_limit_are_rejected() {
     let small = Machine {
         open_files: 1024,
         ..MACHINE
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn nodes_that_need_more_than_half_of_the_memory_are_rejected() {
+fn nodes_beyond_half_of_the_memory_are_rejected() {
     let fits = MACHINE.nodes_by_memory(SIZE.servers);
     assert!(estimated_memory(fits, SIZE.servers) <= MACHINE.memory / 2);
     assert!(estimated_memory(fits + 1, SIZE.servers) > MACHINE.memory / 2);
@@ -89,7 +89,7 @@
         )
         .expect_err("too many");
     assert!(
-        matches!(error, TooLarge::Memory { fits: f, half_mib: 12288, .. } if f == fits),
+        matches!(error, TooLarge::Memory { fits: reported, half_mib: 12288, .. } if reported == fits),
         "{error}"
     );
 }
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_deadline_is_at_most_ten_minutes_away() {
+fn deadline_is_at_most_ten_minutes_away() {
     assert!(Deadline::after(Duration::from_secs(86_400)).remaining() <= MAX_RUN_DURATION);
     assert_eq!(MAX_RUN_DURATION, Duration::from_secs(600));
     let over = Deadline::after(Duration::ZERO);
--- a/crates/capacity/tests/scale/network.rs
+++ b/crates/capacity/tests/scale/network.rs
@@ -15,6 +15,7 @@
 
 /// Windows of which one has a sampled datagram of the membership protocol.
 const MAX_WINDOWS: u64 = 5;
+
 fn network(nodes: usize) -> Network {
     let discovery = Arc::new(DiscoveryStub::new(SIZE.servers, SIZE.services));
     Network::start(nodes, discovery, 1, 2).expect("a network")
@@ -25,7 +26,7 @@
     let network = network(12);
     wait_until_converged(&network, 0, TIMEOUT)
         .await
-        .expect("all know all");
+        .expect("all nodes know each other");
     // Two bans and four restarts in a second.
     let rates = Rates {
         changes: 2 * SECONDS_PER_DAY as usize,
@@ -79,20 +80,20 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopped_node_is_removed_and_a_started_one_is_added() {
+async fn stopped_node_is_removed_and_restarted_node_is_added() {
     let network = network(ZONES);
     wait_until_converged(&network, 0, TIMEOUT)
         .await
-        .expect("all know all");
+        .expect("all nodes know each other");
     network.set_state(4, NodeState::Stopped);
     assert_eq!(network.running_nodes(), [0, 1, 2, 3, 5]);
     wait_until_converged(&network, 0, TIMEOUT)
         .await
-        .expect("the others know that it is gone");
+        .expect("the others have removed it");
     network.set_state(4, NodeState::Running);
     wait_until_converged(&network, 0, TIMEOUT)
         .await
-        .expect("all know all again");
+        .expect("all nodes know each other again");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -122,7 +123,7 @@
         .expect("a real node");
     wait_until_converged(&network, real.count(), TIMEOUT)
         .await
-        .expect("all know all");
+        .expect("all nodes know each other");
     let before = real.usage().expect("its time");
     real.list_restart(5);
     let latency = real.load(1.0, 1).await.expect("answers");
--- a/crates/capacity/tests/scale/record.rs
+++ b/crates/capacity/tests/scale/record.rs
@@ -83,7 +83,7 @@
     }
 }
 
-/// A record that has every part.
+/// A record with a value in every field.
 fn record() -> Record {
     let mut record = Record::new(u64::MAX);
     record.report.runs.push(run());
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_record_survives_a_round_trip_through_json() {
+fn record_round_trips_through_json() {
     let record = record();
     let text = record.to_json().expect("a text");
     assert_eq!(Record::from_json(&text).expect("a record"), record);
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_record_is_also_a_valid_report() {
+fn record_is_a_valid_report() {
     let record = record();
     let report: Report =
         serde_json::from_str(&record.to_json().expect("a text")).expect("a report");
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_record_with_another_schema_is_rejected() {
+fn record_of_another_schema_is_rejected() {
     let text = record().to_json().expect("a text");
     let other = text.replacen("\"schema\": 1", "\"schema\": 2", 1);
     assert_ne!(text, other);
--- a/crates/capacity/tests/scale/simulated_node.rs
+++ b/crates/capacity/tests/scale/simulated_node.rs
@@ -1,4 +1,4 @@
-//! Simulated nodes that exchange datagrams without sockets, on a clock of the test.
+//! Simulated nodes that exchange datagrams without sockets, on a simulated clock.
 
 use reelfall_capacity::scale::datagram::{classify, fleet_secret, DatagramKind};
 use reelfall_capacity::scale::sampler::Sample;
@@ -13,7 +13,7 @@
 /// Servers of the list.
 const LISTED: usize = 20;
 
-/// A datagram on its way.
+/// A datagram in flight.
 struct InFlight {
     receiver: usize,
     datagram: Vec<u8>,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Runs for so many seconds.
+    /// Advances the clock by `seconds`, delivering datagrams and reporting the failing servers.
     fn run(&mut self, seconds: f64, failing: &[FailingServer]) {
         let end = self.now + seconds;
         while self.now < end {
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn failing_servers_are_reported_until_they_are_condemned() {
+fn failing_server_is_reported_until_it_is_ejected() {
     let mut cluster = Cluster::new(5);
     cluster.run(8.0, &[]);
     cluster.sample();
@@ -134,12 +134,12 @@
     cluster.run(6.0, &failing);
     let reported = cluster.sample();
     assert!(reported.bytes(DatagramKind::Entries) > 0);
-    // With three reports it is condemned, and further attempts do not renew the reports.
+    // Three reports eject the server, and further attempts do not renew the reports.
     cluster.run(6.0, &failing);
-    let condemned = cluster.sample();
+    let after_ejection = cluster.sample();
     assert!(
-        condemned.bytes(DatagramKind::Entries) < 4 * reported.bytes(DatagramKind::Entries),
-        "{reported:?} {condemned:?}"
+        after_ejection.bytes(DatagramKind::Entries) < 4 * reported.bytes(DatagramKind::Entries),
+        "{reported:?} {after_ejection:?}"
     );
 }
 
--- a/crates/capacity/tests/scale/smoke.rs
+++ b/crates/capacity/tests/scale/smoke.rs
@@ -3,12 +3,15 @@
 use reelfall_capacity::scale::report::Source;
 use reelfall_capacity::scale::smoke;
 
+const SEED: u64 = 7;
+
 #[test]
-fn the_smoke_run_passes_and_is_deterministic() {
-    let (one, other) = (smoke::run(7).expect("a run"), smoke::run(7).expect("a run"));
-    assert_eq!(one.violations, Vec::<String>::new());
-    assert_eq!(one.record, other.record);
-    let runs = &one.record.report.runs;
+fn smoke_run_passes_and_is_deterministic() {
+    let first = smoke::run(SEED).expect("a run");
+    let second = smoke::run(SEED).expect("a run");
+    assert_eq!(first.violations, Vec::<String>::new());
+    assert_eq!(first.record, second.record);
+    let runs = &first.record.report.runs;
     assert_eq!(
         runs.iter().map(|run| run.size.nodes).collect::<Vec<_>>(),
         smoke::SIZES
@@ -21,5 +24,5 @@
         assert!(all.messages_out > 1.0 && all.bytes_out > 100.0, "{all:?}");
         assert!(all.bytes_in + all.bytes_out <= smoke::MAX_CONTROL_TRAFFIC);
     }
-    assert_eq!(one.record.report.slopes.len(), 2);
+    assert_eq!(first.record.report.slopes.len(), 2);
 }
--- a/crates/capacity/tests/scale/sweep.rs
+++ b/crates/capacity/tests/scale/sweep.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 #[tokio::test]
-async fn a_fleet_runs_in_a_process_of_its_own_with_memory_in_its_first_window_only() {
+async fn fleet_process_reports_memory_of_its_first_window_only() {
     let rates = Rates {
         changes: SECONDS_PER_DAY as usize,
         restarts: SECONDS_PER_DAY as usize,
@@ -44,16 +44,16 @@
         .to_json()
         .expect("a text")
         .contains("\"memory\": null"));
-    let nobody = Path::new("/nowhere/at/all");
+    let missing_program = Path::new("/nowhere/at/all");
     assert!(
-        fleet::run_in_process(nobody, &plan, Deadline::after(TIMEOUT))
+        fleet::run_in_process(missing_program, &plan, Deadline::after(TIMEOUT))
             .await
             .is_err()
     );
 }
 
 #[tokio::test]
-async fn a_fleet_omits_its_windows_after_the_deadline() {
+async fn fleet_omits_windows_after_the_deadline() {
     let plan = fleet::Plan {
         size: SIZE,
         windows: vec![Rates::NONE],
@@ -71,16 +71,20 @@
 }
 
 #[test]
-fn every_axis_is_swept_over_at_least_five_sizes_and_settings_up_to_the_target() {
-    let by_rates = [
+fn every_axis_has_five_sizes_and_settings_reach_the_target() {
+    let rate_sweeps = [
         (Axis::Nodes, &sweep::NODES[..]),
         (Axis::Restarts, &sweep::RESTARTS[..]),
     ];
-    let others = [(Axis::Changes, &sweep::CHANGES[..])];
-    let computed = sweep::COMPUTATIONS
+    let change_sweeps = [(Axis::Changes, &sweep::CHANGES[..])];
+    let computation_sweeps = sweep::COMPUTATIONS
         .iter()
         .map(|sweep| (sweep.axis, &sweep.sizes[..]));
-    let all: Vec<(Axis, &[usize])> = by_rates.into_iter().chain(others).chain(computed).collect();
+    let all: Vec<(Axis, &[usize])> = rate_sweeps
+        .into_iter()
+        .chain(change_sweeps)
+        .chain(computation_sweeps)
+        .collect();
     for axis in [
         Axis::Nodes,
         Axis::Servers,
@@ -90,7 +94,7 @@
         Axis::Changes,
         Axis::Restarts,
     ] {
-        let sizes: Vec<_> = all.iter().filter(|(of, _)| *of == axis).collect();
+        let sizes: Vec<_> = all.iter().filter(|(swept, _)| *swept == axis).collect();
         assert!(!sizes.is_empty(), "{axis:?}");
         assert!(
             sizes
@@ -107,7 +111,7 @@
             sweep.sizes.last().copied(),
             Some(Size::TARGET.get(sweep.axis))
         );
-        // A file has a route for each service at least: no axis may move another.
+        // A file has at least one route for each service: no axis may change another.
         assert!(sweep.sizes.iter().all(|value| {
             let size = sweep.base.with(sweep.axis, *value);
             size.routes >= size.services
@@ -119,7 +123,7 @@
 }
 
 #[test]
-fn a_fleet_starts_with_the_base_rates_and_repeats_none() {
+fn window_rates_start_with_the_base_and_are_unique() {
     for nodes in sweep::NODES {
         let windows = sweep::window_rates(&Size {
             nodes,
@@ -130,6 +134,9 @@
             .iter()
             .all(|rates| windows.iter().filter(|other| *other == rates).count() == 1));
     }
-    let of_base = sweep::window_rates(&sweep::BASE).len();
-    assert_eq!(of_base, sweep::RESTARTS.len() + sweep::CHANGES.len() - 1);
+    let base_windows = sweep::window_rates(&sweep::BASE).len();
+    assert_eq!(
+        base_windows,
+        sweep::RESTARTS.len() + sweep::CHANGES.len() - 1
+    );
 }
