--- a/crates/lease-store/tests/crash.rs
+++ b/crates/lease-store/tests/crash.rs
@@ -1,5 +1,5 @@
-//! What is on the disk is cut short, spoilt, from another version, or somebody else's: a stated answer each, and never less
-//! than what was said to be written.
+//! Opening a file that is truncated, corrupt, of another version or in use: each has a specified result, and no
+//! write before the last is lost undetected.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -9,6 +9,14 @@
 use reelfall_lease_store::{decode, Store, StoreError, FILE};
 use std::path::PathBuf;
 
+/// Names of leases in the records.
+const LEASES: u64 = 7;
+/// Peers in the records.
+const PEERS: u64 = 3;
+/// The offset of the version in a file: it follows the magic.
+const VERSION_OFFSET: usize = 15;
+
+/// A temporary folder, removed when dropped.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -26,21 +34,25 @@
     }
 }
 
-fn batch(n: u64) -> Vec<Record> {
-    let name = |n: u64| LeaseName::try_from(format!("lease-{}", n % 7)).unwrap();
+/// The records of one write, by its index: a promise and one record of another kind.
+fn batch(index: u64) -> Vec<Record> {
+    let lease_name = |index: u64| {
+        let name = format!("lease-{}", index % LEASES);
+        LeaseName::try_from(name).unwrap()
+    };
     let client = Some(ClientId {
-        name: format!("node-{n}"),
-        tag: n,
+        name: format!("node-{index}"),
+        tag: index,
     });
     let mut records = vec![Record::Promised(
-        name(n),
+        lease_name(index),
         Promise {
-            ballot: n + 1,
+            ballot: index + 1,
             client,
             length: 5_000_000,
         },
     )];
-    match n {
+    match index {
         0 => records.insert(
             0,
             Record::Created(StorageId {
@@ -49,52 +61,73 @@
             }),
         ),
         1 => records.push(Record::Admitted),
-        _ if n % 5 == 4 => records.push(Record::Evicted(name(n - 3))),
+        _ if index % 5 == 4 => records.push(Record::Evicted(lease_name(index - 3))),
         _ => records.push(Record::Peer(
-            (n % 3) as u8,
+            (index % PEERS) as u8,
             LogPosition {
                 storage: StorageId {
                     generation: 1,
-                    tag: n % 3,
+                    tag: index % PEERS,
                 },
-                records: n,
+                records: index,
             },
         )),
     }
     records
 }
 
-/// A file of so many writes, where each ends, and the state after each.
-fn recorded(folder: &Folder, batches: u64) -> (Vec<u8>, Vec<usize>, Vec<DurableState>) {
+/// A file and what each of its writes left.
+struct WrittenFile {
+    bytes: Vec<u8>,
+    /// The length of the file when it was created and after each write.
+    ends: Vec<usize>,
+    /// The state when the file was created and after each write.
+    states: Vec<DurableState>,
+}
+
+fn write_file(folder: &Folder, batches: u64) -> WrittenFile {
     let (mut store, state) = Store::open(&folder.0).unwrap();
-    let length = || std::fs::metadata(folder.0.join(FILE)).unwrap().len() as usize;
-    let (mut states, mut ends) = (vec![state], vec![length()]);
-    for n in 0..batches {
-        let records = batch(n);
+    let file_length = || std::fs::metadata(folder.0.join(FILE)).unwrap().len() as usize;
+    let mut states = vec![state];
+    let mut ends = vec![file_length()];
+    for index in 0..batches {
+        let records = batch(index);
         store.write(&records).unwrap();
         let mut state = states.last().unwrap().clone();
         records.iter().for_each(|record| state.apply(record));
         states.push(state);
-        ends.push(length());
+        ends.push(file_length());
+    }
+    WrittenFile {
+        bytes: std::fs::read(folder.0.join(FILE)).unwrap(),
+        ends,
+        states,
     }
-    (std::fs::read(folder.0.join(FILE)).unwrap(), ends, states)
 }
 
 #[test]
-fn a_file_that_is_cut_at_any_byte_has_all_that_was_written_before() {
-    let (bytes, ends, states) = recorded(&Folder::new("cut"), 40);
-    for cut in 0..=bytes.len() {
-        let written = ends.iter().rposition(|end| *end <= cut).unwrap_or(0);
-        let contents = decode(&bytes[..cut]).unwrap();
-        assert_eq!(contents.state, states[written], "cut at {cut}");
-        assert!(contents.end <= cut && (cut < ends[0] || contents.end == ends[written]));
+fn truncated_file_retains_all_complete_writes() {
+    let WrittenFile {
+        bytes,
+        ends,
+        states,
+    } = write_file(&Folder::new("cut"), 40);
+    for length in 0..=bytes.len() {
+        let complete_writes = ends.iter().rposition(|end| *end <= length).unwrap_or(0);
+        let contents = decode(&bytes[..length]).unwrap();
+        assert_eq!(
+            contents.state, states[complete_writes],
+            "truncated at {length}"
+        );
+        let is_end_of_a_write = length < ends[0] || contents.end == ends[complete_writes];
+        assert!(contents.end <= length && is_end_of_a_write);
     }
 }
 
 #[test]
-fn a_write_that_was_cut_short_is_followed_by_the_next_one() {
+fn writing_continues_after_a_torn_write() {
     let folder = Folder::new("goes-on");
-    let (bytes, _, states) = recorded(&folder, 6);
+    let WrittenFile { bytes, states, .. } = write_file(&folder, 6);
     std::fs::write(folder.0.join(FILE), &bytes[..bytes.len() - 3]).unwrap();
     let (mut store, mut state) = Store::open(&folder.0).unwrap();
     assert_eq!(state, states[5]);
@@ -106,92 +139,105 @@
 }
 
 #[test]
-fn a_bit_that_flips_before_the_last_write_is_seen() {
-    let (bytes, ends, states) = recorded(&Folder::new("bits"), 12);
-    let mut draw = Pcg64Mcg::seed_from_u64(5);
-    for at in 0..bytes.len() {
-        let mut spoilt = bytes.clone();
-        spoilt[at] ^= 1 << draw.random_range(0..8);
-        let last = at >= ends[ends.len() - 2];
-        match decode(&spoilt) {
-            // The last one looks like a write that was cut short. The fellows know that it was not.
+fn bit_flip_before_the_last_write_is_detected() {
+    let WrittenFile {
+        bytes,
+        ends,
+        states,
+    } = write_file(&Folder::new("bits"), 12);
+    let mut rng = Pcg64Mcg::seed_from_u64(5);
+    for offset in 0..bytes.len() {
+        let mut corrupt = bytes.clone();
+        corrupt[offset] ^= 1 << rng.random_range(0..8);
+        let is_in_last_write = offset >= ends[ends.len() - 2];
+        match decode(&corrupt) {
+            // The last write looks torn. The other keepers know that it was complete.
             Ok(contents) => {
                 assert!(
-                    last && contents.state == states[states.len() - 2],
-                    "a flip at {at} is not seen"
+                    is_in_last_write && contents.state == states[states.len() - 2],
+                    "a bit flip at {offset} is not detected"
                 )
             }
-            Err(StoreError::Newer(_)) => assert_eq!(at, 15),
-            Err(StoreError::Damaged(_)) => assert!(!last, "at {at}"),
-            Err(e) => panic!("{e}"),
+            Err(StoreError::Newer(_)) => assert_eq!(offset, VERSION_OFFSET),
+            Err(StoreError::Damaged(_)) => assert!(!is_in_last_write, "at {offset}"),
+            Err(error) => panic!("{error}"),
         }
     }
 }
 
 #[test]
-fn a_part_that_is_lost_in_the_middle_is_seen() {
-    let (bytes, ends, _) = recorded(&Folder::new("middle"), 12);
-    for n in 1..ends.len() - 1 {
-        let without = [&bytes[..ends[n - 1]], &bytes[ends[n]..]].concat();
+fn missing_frame_is_detected() {
+    let WrittenFile { bytes, ends, .. } = write_file(&Folder::new("middle"), 12);
+    for frame in 1..ends.len() - 1 {
+        let remaining = [&bytes[..ends[frame - 1]], &bytes[ends[frame]..]].concat();
         assert!(
-            matches!(decode(&without), Err(StoreError::Damaged(_))),
-            "frame {n} is gone and nobody sees it"
+            matches!(decode(&remaining), Err(StoreError::Damaged(_))),
+            "the loss of frame {frame} is not detected"
         );
     }
 }
 
 #[test]
-fn a_folder_belongs_to_one_process_and_what_is_no_file_of_ours_is_refused() {
+fn locked_folders_and_foreign_files_are_rejected() {
     let folder = Folder::new("owner");
     let (store, _) = Store::open(&folder.0).unwrap();
     assert!(matches!(Store::open(&folder.0), Err(StoreError::InUse)));
     drop(store);
-    let refused = |bytes: &[u8]| {
+    let open_error = |bytes: &[u8]| {
         std::fs::write(folder.0.join(FILE), bytes).unwrap();
         Store::open(&folder.0).err().unwrap()
     };
     assert!(matches!(
-        refused(b"something else altogether, and longer"),
+        open_error(b"something else altogether, and longer"),
         StoreError::Damaged(0)
     ));
     assert!(matches!(
-        refused(b"reelfall leases\x02"),
+        open_error(b"reelfall leases\x02"),
         StoreError::Newer(2)
     ));
-    // Nothing of it was changed.
+    // The file of a newer version is unchanged.
     assert_eq!(
         std::fs::read(folder.0.join(FILE)).unwrap(),
         b"reelfall leases\x02"
     );
-    let no_folder = Folder::new("no-folder");
-    std::fs::write(&no_folder.0, b"").unwrap();
+    let not_a_folder = Folder::new("no-folder");
+    std::fs::write(&not_a_folder.0, b"").unwrap();
     assert!(matches!(
-        Store::open(&no_folder.0),
+        Store::open(&not_a_folder.0),
         Err(StoreError::System(_))
     ));
-    std::fs::remove_file(&no_folder.0).unwrap();
+    std::fs::remove_file(&not_a_folder.0).unwrap();
 }
 
+/// Writes of the test of compaction.
+const WRITES: u64 = 100;
+const BATCHES_PER_WRITE: u64 = 2500;
+/// The bound on the length of the file, compacted or not.
+const MAX_FILE_BYTES: u64 = 5 << 20;
+
 #[test]
-fn a_long_file_is_written_anew_and_says_the_same() {
+fn compaction_bounds_the_file_and_preserves_the_state() {
     let folder = Folder::new("long");
     let (mut store, mut state) = Store::open(&folder.0).unwrap();
-    let (mut most, mut before, mut anew) = (0, 0, 0);
-    for n in 0..100 {
-        let records: Vec<Record> = (0..2500).flat_map(|k| batch(2 + n * 2500 + k)).collect();
+    let mut max_length = 0;
+    let mut previous_length = 0;
+    let mut compactions = 0;
+    for write in 0..WRITES {
+        // The first two batches are special.
+        let first_batch = 2 + write * BATCHES_PER_WRITE;
+        let batches = first_batch..first_batch + BATCHES_PER_WRITE;
+        let records: Vec<Record> = batches.flat_map(batch).collect();
         store.write(&records).unwrap();
         records.iter().for_each(|record| state.apply(record));
         let length = std::fs::metadata(folder.0.join(FILE)).unwrap().len();
-        (most, anew, before) = (
-            most.max(length),
-            anew + usize::from(length < before),
-            length,
-        );
+        compactions += usize::from(length < previous_length);
+        max_length = max_length.max(length);
+        previous_length = length;
     }
     drop(store);
     assert!(
-        most < 5 << 20 && anew > 1,
-        "{most} bytes at most, written anew {anew} times"
+        max_length < MAX_FILE_BYTES && compactions > 1,
+        "{max_length} bytes at most, {compactions} compactions"
     );
     assert_eq!(Store::open(&folder.0).unwrap().1, state);
 }
