--- a/crates/graphql/tests/batch.rs
+++ b/crates/graphql/tests/batch.rs
@@ -1,4 +1,4 @@
-//! Batches on random schedules, the store of persisted documents, and answers.
+//! Batches on random schedules, the store of persisted documents, and responses.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -8,12 +8,116 @@
 use reelfall_graphql::persisted::{hash_of, PersistedDocuments};
 use reelfall_graphql::{GraphQlError, GraphQlErrorKind, Limits, Location};
 use serde_json::{json, Map, Value};
+use std::sync::Arc;
 
 #[derive(Clone, Debug)]
 enum Step {
-    Done { pick: usize, fate: u8 },
-    Twice { pick: usize },
-    End,
+    /// One of the running entries finishes with one of three results.
+    Finish {
+        pick: usize,
+        result: u8,
+    },
+    /// An entry, running or not, is reported not to have run.
+    ReportNeverRan {
+        pick: usize,
+    },
+    EndBatch,
+}
+
+/// A batch on a random schedule, and what is expected of it.
+struct Schedule {
+    batch: Batch<usize>,
+    /// For each entry, whether it is a write.
+    writes: Vec<bool>,
+    max_concurrent_reads: usize,
+    running: Vec<usize>,
+    started: Vec<usize>,
+    results: Vec<Option<EntryResult<usize>>>,
+    has_ended: bool,
+}
+
+impl Schedule {
+    fn new(writes: Vec<bool>, max_concurrent_reads: usize) -> Schedule {
+        Schedule {
+            batch: Batch::new(writes.iter().copied(), max_concurrent_reads),
+            results: vec![None; writes.len()],
+            writes,
+            max_concurrent_reads,
+            running: Vec::new(),
+            started: Vec::new(),
+            has_ended: false,
+        }
+    }
+
+    /// Checks the entries that the batch has started, and adds them to the running ones.
+    fn start(&mut self, entries: Vec<usize>) -> Result<(), TestCaseError> {
+        prop_assert!(
+            !self.has_ended || entries.is_empty(),
+            "started after the end"
+        );
+        for entry in entries {
+            prop_assert!(!self.started.contains(&entry), "started twice");
+            if self.writes[entry] {
+                let mut earlier_writes = (0..entry).filter(|earlier| self.writes[*earlier]);
+                prop_assert!(
+                    earlier_writes.all(|earlier| self.results[earlier].is_some()),
+                    "a write started before an earlier one finished"
+                );
+            }
+            self.running.push(entry);
+            self.started.push(entry);
+        }
+        let running_writes = self.running.iter().filter(|entry| self.writes[**entry]);
+        let running_writes = running_writes.count();
+        prop_assert!(running_writes <= 1, "two concurrent writes");
+        prop_assert!(self.running.len() - running_writes <= self.max_concurrent_reads);
+        Ok(())
+    }
+
+    fn apply(&mut self, step: &Step) {
+        match *step {
+            Step::Finish { pick, result } if !self.running.is_empty() => {
+                let entry = self.running.swap_remove(pick % self.running.len());
+                let result = match result {
+                    0 => EntryResult::Answered(entry),
+                    1 => EntryResult::Rejected(None),
+                    _ => EntryResult::Failed,
+                };
+                self.results[entry] = Some(result.clone());
+                self.batch.finish(entry, result);
+            }
+            Step::Finish { .. } => {}
+            Step::ReportNeverRan { pick } => {
+                // The report counts if the entry was running, and is ignored otherwise.
+                let entry = pick % self.writes.len();
+                self.batch.finish(entry, EntryResult::NeverRan);
+                if self.running.contains(&entry) {
+                    self.results[entry] = Some(EntryResult::NeverRan);
+                }
+            }
+            Step::EndBatch => {
+                self.batch.end();
+                self.has_ended = true;
+            }
+        }
+        self.running.retain(|entry| self.results[*entry].is_none());
+    }
+
+    /// Checks the results of all entries; `last_started` are those that were started after the last step.
+    fn check_results(mut self, last_started: Vec<usize>) -> Result<(), TestCaseError> {
+        self.started.extend(last_started);
+        let is_complete = self.batch.is_complete();
+        prop_assert_eq!(is_complete, self.results.iter().all(Option::is_some));
+        for (entry, result) in self.batch.into_results().into_iter().enumerate() {
+            let expected = match &self.results[entry] {
+                Some(result) => result.clone(),
+                None if self.started.contains(&entry) => EntryResult::Failed,
+                None => EntryResult::NeverRan,
+            };
+            prop_assert_eq!(result, expected, "entry {}", entry);
+        }
+        Ok(())
+    }
 }
 
 fn runner() -> TestRunner {
@@ -29,112 +133,54 @@
 }
 
 #[test]
-fn writes_run_one_at_a_time_in_their_order_and_nothing_starts_after_the_end() {
+fn writes_run_in_order_and_nothing_starts_after_the_end() {
     let step = prop_oneof![
-        20 => (any::<usize>(), 0..3u8).prop_map(|(pick, fate)| Step::Done { pick, fate }),
-        3 => any::<usize>().prop_map(|pick| Step::Twice { pick }),
-        1 => Just(Step::End),
+        20 => (any::<usize>(), 0..3u8).prop_map(|(pick, result)| Step::Finish { pick, result }),
+        3 => any::<usize>().prop_map(|pick| Step::ReportNeverRan { pick }),
+        1 => Just(Step::EndBatch),
     ];
-    let schedule = (
+    let input = (
         prop::collection::vec(any::<bool>(), 1..20),
         1..4usize,
         prop::collection::vec(step, 0..60),
     );
     runner()
-        .run(&schedule, |(writes, side_by_side, steps)| {
-            let mut batch: Batch<usize> = Batch::new(writes.iter().copied(), side_by_side);
-            let (mut running, mut begun, mut ended) =
-                (Vec::<usize>::new(), Vec::<usize>::new(), false);
-            let mut fates = vec![None; writes.len()];
-            let mut started = batch.start_ready();
-            for step in steps {
-                prop_assert!(!ended || started.is_empty(), "started after the end");
-                for n in started {
-                    prop_assert!(!begun.contains(&n), "started twice");
-                    if writes[n] {
-                        let before: Vec<usize> = (0..n).filter(|m| writes[*m]).collect();
-                        prop_assert!(
-                            before.iter().all(|m| fates[*m].is_some()),
-                            "a write before its turn"
-                        );
-                    }
-                    running.push(n);
-                    begun.push(n);
-                }
-                prop_assert!(
-                    running.iter().filter(|n| writes[**n]).count() <= 1,
-                    "two writes at once"
-                );
-                prop_assert!(running.iter().filter(|n| !writes[**n]).count() <= side_by_side);
-                match step {
-                    Step::Done { pick, fate } if !running.is_empty() => {
-                        let n = running.swap_remove(pick % running.len());
-                        let fate = [
-                            EntryResult::Answered(n),
-                            EntryResult::Rejected(None),
-                            EntryResult::Failed,
-                        ][usize::from(fate)]
-                        .clone();
-                        fates[n] = Some(fate.clone());
-                        batch.finish(n, fate);
-                    }
-                    Step::Twice { pick } => {
-                        // A word on an entry counts if it was running, and changes nothing otherwise.
-                        let n = pick % writes.len();
-                        batch.finish(n, EntryResult::NeverRan);
-                        if running.contains(&n) {
-                            fates[n] = Some(EntryResult::NeverRan);
-                        }
-                    }
-                    Step::End => {
-                        batch.end();
-                        ended = true;
-                    }
-                    Step::Done { .. } => {}
-                }
-                running.retain(|n| fates[*n].is_none());
-                started = batch.start_ready();
+        .run(&input, |(writes, max_concurrent_reads, steps)| {
+            let mut schedule = Schedule::new(writes, max_concurrent_reads);
+            let mut started = schedule.batch.start_ready();
+            for step in &steps {
+                schedule.start(started)?;
+                schedule.apply(step);
+                started = schedule.batch.start_ready();
             }
-            running.extend(started.iter().copied());
-            begun.extend(started);
-            let complete = batch.is_complete();
-            prop_assert_eq!(complete, fates.iter().all(Option::is_some));
-            for (n, fate) in batch.into_results().into_iter().enumerate() {
-                let expected = match &fates[n] {
-                    Some(fate) => fate.clone(),
-                    None if begun.contains(&n) => EntryResult::Failed,
-                    None => EntryResult::NeverRan,
-                };
-                prop_assert_eq!(fate, expected, "entry {}", n);
-            }
-            Ok(())
+            schedule.check_results(started)
         })
         .unwrap();
 }
 
 #[test]
-fn a_whole_batch_is_a_refusal_only_if_nothing_ran() {
-    let fates = |last: EntryResult<u8>| {
+fn batch_is_rejected_only_if_nothing_ran() {
+    let results = |last: EntryResult<u8>| {
         vec![
             EntryResult::Rejected(Some(0.1)),
             EntryResult::NeverRan,
             last,
         ]
     };
-    assert!(can_be_rejected(&fates(EntryResult::NeverRan)));
-    assert!(!can_be_rejected(&fates(EntryResult::Failed)));
-    assert!(!can_be_rejected(&fates(EntryResult::Answered(1))));
+    assert!(can_be_rejected(&results(EntryResult::NeverRan)));
+    assert!(!can_be_rejected(&results(EntryResult::Failed)));
+    assert!(!can_be_rejected(&results(EntryResult::Answered(1))));
 }
 
 #[test]
-fn the_store_is_bounded_and_an_unknown_hash_is_never_taken_for_anything() {
+fn persisted_documents_are_bounded_and_verified_by_hash() {
     let limits = Limits {
         persisted: 3,
         persisted_bytes: 100,
         ..Limits::default()
     };
     let mut store = PersistedDocuments::new();
-    let kind = |r: Result<std::sync::Arc<str>, GraphQlError>| r.map_err(|f| f.kind);
+    let kind = |result: Result<Arc<str>, GraphQlError>| result.map_err(|error| error.kind);
     assert_eq!(
         kind(store.resolve(None, Some(hash_of("{a}")))),
         Err(GraphQlErrorKind::PersistedQueryNotFound)
@@ -150,12 +196,12 @@
     assert_eq!(
         (store.len(), store.total_bytes()),
         (0, 0),
-        "cached before it was found to be valid"
+        "cached before its validation"
     );
     for document in ["{a}", "{b}", "{c}"] {
         store.insert(document, &limits);
     }
-    // The one that was used lately stays.
+    // The most recently used document is retained.
     assert_eq!(
         kind(store.resolve(None, Some(hash_of("{a}")))).as_deref(),
         Ok("{a}")
@@ -174,36 +220,36 @@
     assert_eq!(
         (store.len(), store.total_bytes()),
         (2, 98),
-        "over its bytes"
+        "over the limit on bytes"
     );
     store.insert(&"y".repeat(101), &limits);
-    assert_eq!(store.len(), 2, "something larger than the store is cached");
-    for n in 0..10_000 {
-        store.insert(&format!("{{a{n}}}"), &limits);
+    assert_eq!(store.len(), 2, "a document larger than the store is cached");
+    for index in 0..10_000 {
+        store.insert(&format!("{{a{index}}}"), &limits);
         assert!(store.len() <= 3 && store.total_bytes() <= 100);
     }
 }
 
 #[test]
-fn an_answer_is_to_its_own_operation_or_none() {
-    let asked = parse_operation(
+fn responses_to_other_operations_are_rejected() {
+    let operation = parse_operation(
         "{ x: evaluate __typename }",
         None,
         &Map::new(),
         &Limits::default(),
     )
     .unwrap();
-    let said = |body: &str| check(body.as_bytes(), &asked);
-    for good in [
+    let check_response = |body: &str| check(body.as_bytes(), &operation);
+    for valid in [
         r#"{"data":{"x":1,"__typename":"Query"}}"#,
         r#"{"data":null,"errors":[{"message":"no"}]}"#,
         r#"{"errors":[{"message":"no"}]}"#,
         r#"{"data":{"x":{"evaluate":1}},"extensions":{"y":1}}"#,
         r#"{"data":{}}"#,
     ] {
-        assert_eq!(said(good), Ok(()), "{good}");
+        assert_eq!(check_response(valid), Ok(()), "{valid}");
     }
-    for (bad, why) in [
+    for (invalid, expected) in [
         ("", InvalidResponse::NotJson),
         (r#"{"data":{"x":1"#, InvalidResponse::NotJson),
         (r#"{"data":{"x":1}}x"#, InvalidResponse::NotJson),
@@ -225,36 +271,37 @@
             InvalidResponse::OtherOperation,
         ),
     ] {
-        assert_eq!(said(bad), Err(why), "{bad}");
+        assert_eq!(check_response(invalid), Err(expected), "{invalid}");
     }
-    let deep = format!(
+    let deeply_nested = format!(
         "{{\"data\":{{\"x\":{}{}}}}}",
         "[".repeat(100_000),
         "]".repeat(100_000)
     );
-    // Values are passed over without a stack, so depth is no matter.
-    assert_eq!(said(&deep), Ok(()));
+    // Values are skipped without recursion, so their depth does not matter.
+    assert_eq!(check_response(&deeply_nested), Ok(()));
 }
 
 #[test]
-fn what_the_client_is_told_says_whether_a_repeat_is_harmless() {
-    let code =
-        |fate: &EntryResult<()>| entry_response(fate).map(|m| m["errors"][0]["extensions"].clone());
-    assert_eq!(code(&EntryResult::Answered(())), None);
+fn error_responses_state_whether_a_retry_is_safe() {
+    let extensions = |result: &EntryResult<()>| {
+        entry_response(result).map(|response| response["errors"][0]["extensions"].clone())
+    };
+    assert_eq!(extensions(&EntryResult::Answered(())), None);
     assert_eq!(
-        code(&EntryResult::Rejected(Some(0.25))),
+        extensions(&EntryResult::Rejected(Some(0.25))),
         Some(json!({"code":"REFUSED","retryable":true,"retryAfterMs":250}))
     );
     assert_eq!(
-        code(&EntryResult::Rejected(None)),
+        extensions(&EntryResult::Rejected(None)),
         Some(json!({"code":"REFUSED","retryable":true}))
     );
     assert_eq!(
-        code(&EntryResult::NeverRan),
+        extensions(&EntryResult::NeverRan),
         Some(json!({"code":"NOT_RUN","retryable":true}))
     );
     assert_eq!(
-        code(&EntryResult::Failed),
+        extensions(&EntryResult::Failed),
         Some(json!({"code":"FAILED","retryable":false}))
     );
     let merged = merge(vec![
@@ -262,18 +309,17 @@
         EntryResult::Answered("{\"data\":{\"x\": 1.0}}\n"),
     ]);
     let merged = String::from_utf8(merged).unwrap();
-    let read: Vec<Value> = serde_json::from_str(&merged).unwrap();
-    assert_eq!(read.len(), 2);
+    let decoded: Vec<Value> = serde_json::from_str(&merged).unwrap();
+    assert_eq!(decoded.len(), 2);
     assert!(
         merged.ends_with(",{\"data\":{\"x\": 1.0}}]"),
-        "an answer was changed: {merged}"
+        "a response was changed: {merged}"
     );
-    let at = Some(Location { line: 2, column: 3 });
-    let told = error_response(&GraphQlError {
+    let response = error_response(&GraphQlError {
         kind: GraphQlErrorKind::Syntax,
         message: "no".to_owned(),
-        location: at,
+        location: Some(Location { line: 2, column: 3 }),
     });
     let expected = json!({"errors":[{"message":"no","locations":[{"line":2,"column":3}],"extensions":{"code":"GRAPHQL_PARSE_FAILED"}}]});
-    assert_eq!(told, expected);
+    assert_eq!(response, expected);
 }
--- a/crates/graphql/tests/decode.rs
+++ b/crates/graphql/tests/decode.rs
@@ -1,20 +1,24 @@
-//! Parameters, media types and statuses, with the requests that two readers could take differently.
+//! Parameters, media types and statuses, including requests that two parsers could interpret differently.
 
 use reelfall_graphql::decode::{parse_body, parse_query, DecodedRequest, Params};
 use reelfall_graphql::media::{check_body, negotiate, status, Media};
 use reelfall_graphql::{GraphQlErrorKind, Limits};
 
-fn one(text: &str) -> Result<Params, String> {
+/// The depth of values that a parser with a stack frame for each level could not read.
+const NESTING: usize = 100_000;
+
+/// Decodes a body of one request, or returns the message of its error.
+fn decode_single(text: &str) -> Result<Params, String> {
     match parse_body(text.as_bytes(), &Limits::default()) {
         Ok(DecodedRequest::Single(params)) => Ok(params),
         Ok(DecodedRequest::Batch(_)) => panic!("a batch"),
-        Err(fault) => Err(fault.message),
+        Err(error) => Err(error.message),
     }
 }
 
 #[test]
-fn plain_requests_are_read() {
-    let params = one(
+fn requests_are_decoded() {
+    let params = decode_single(
         r#" {"query":"query A { a }","operationName":"A","variables":{"x":[1,{"y":null}]},"extensions":{"e":1}}"#,
     );
     let params = params.unwrap();
@@ -23,18 +27,22 @@
     assert_eq!(params.variables["x"][1]["y"], serde_json::Value::Null);
     assert_eq!(params.extensions["e"], 1);
     let nulls =
-        one(r#"{"query":"{a}","operationName":null,"variables":null,"extensions":null}"#).unwrap();
-    assert_eq!(nulls, one(r#"{"query":"{a}"}"#).unwrap());
-    // An escape in a key is the same key.
+        decode_single(r#"{"query":"{a}","operationName":null,"variables":null,"extensions":null}"#)
+            .unwrap();
+    assert_eq!(nulls, decode_single(r#"{"query":"{a}"}"#).unwrap());
+    // A key with escapes is the same key.
     assert_eq!(
-        one("{\"\\u0071uery\":\"{a}\"}").unwrap().query.as_deref(),
+        decode_single("{\"\\u0071uery\":\"{a}\"}")
+            .unwrap()
+            .query
+            .as_deref(),
         Some("{a}")
     );
 }
 
 #[test]
-fn what_two_readers_could_take_differently_is_refused() {
-    for (text, said) in [
+fn ambiguous_requests_are_rejected() {
+    for (text, expected) in [
         (
             r#"{"query":"{a}","query":"mutation{b}"}"#,
             "`query` is there twice",
@@ -72,13 +80,16 @@
             "the body begins with a byte order mark",
         ),
     ] {
-        let fault = one(text).unwrap_err();
-        assert!(fault.contains(said), "{fault} instead of {said} for {text}");
+        let message = decode_single(text).unwrap_err();
+        assert!(
+            message.contains(expected),
+            "{message} instead of {expected} for {text}"
+        );
     }
 }
 
 #[test]
-fn what_is_no_request_is_refused() {
+fn malformed_requests_are_rejected() {
     for text in [
         "",
         "null",
@@ -101,20 +112,20 @@
         "[[{\"query\":\"{a}\"}]]",
         "{\"query\":\"{a}\",}",
     ] {
-        let fault = parse_body(text.as_bytes(), &Limits::default()).unwrap_err();
-        assert_eq!(fault.kind, GraphQlErrorKind::Request, "{text}");
+        let error = parse_body(text.as_bytes(), &Limits::default()).unwrap_err();
+        assert_eq!(error.kind, GraphQlErrorKind::Request, "{text}");
     }
     assert!(parse_body(b"{\"query\":\"\xff\"}", &Limits::default()).is_err());
-    let deep = format!(
+    let deeply_nested = format!(
         "{{\"query\":\"{{a}}\",\"variables\":{{\"x\":{}1{}}}}}",
-        "[".repeat(100_000),
-        "]".repeat(100_000)
+        "[".repeat(NESTING),
+        "]".repeat(NESTING)
     );
-    assert!(parse_body(deep.as_bytes(), &Limits::default()).is_err());
+    assert!(parse_body(deeply_nested.as_bytes(), &Limits::default()).is_err());
 }
 
 #[test]
-fn a_batch_keeps_each_entry_as_it_came_and_is_bounded() {
+fn batch_entries_are_unchanged_and_bounded() {
     let text = r#"[ {"query":"{a}"} , {"variables":{"x": 1.0e0},"query":"mutation { b }"}]"#;
     let Ok(DecodedRequest::Batch(entries)) = parse_body(text.as_bytes(), &Limits::default()) else {
         panic!("no batch")
@@ -123,10 +134,10 @@
         entries[1].1,
         r#"{"variables":{"x": 1.0e0},"query":"mutation { b }"}"#
     );
-    let many = format!("[{}]", vec![r#"{"query":"{a}"}"#; 1000].join(","));
-    let fault = parse_body(many.as_bytes(), &Limits::default()).unwrap_err();
+    let oversized = format!("[{}]", vec![r#"{"query":"{a}"}"#; 1000].join(","));
+    let error = parse_body(oversized.as_bytes(), &Limits::default()).unwrap_err();
     assert_eq!(
-        (fault.kind, fault.message.as_str()),
+        (error.kind, error.message.as_str()),
         (
             GraphQlErrorKind::Limit,
             "over the limit on requests in a batch: 50 at most"
@@ -135,14 +146,14 @@
 }
 
 #[test]
-fn a_get_is_read_from_its_query() {
+fn get_request_is_decoded_from_its_query_string() {
     let params = parse_query(
         "query=query+A%28%24x%3AInt%29%7Ba%7D&operationName=A&variables=%7B%22x%22%3A1%7D&other=1",
     )
     .unwrap();
     assert_eq!(params.query.as_deref(), Some("query A($x:Int){a}"));
     assert_eq!(params.variables["x"], 1);
-    for bad in [
+    for invalid in [
         "",
         "query=%7Ba%7D&query=%7Bb%7D",
         "query=%7Ba%7D&Query=x",
@@ -151,17 +162,21 @@
         "query=%ff",
         "operationName=A",
     ] {
-        assert!(parse_query(bad).is_err(), "{bad}");
+        assert!(parse_query(invalid).is_err(), "{invalid}");
     }
 }
 
 #[test]
-fn hashes_of_persisted_queries_are_read_strictly() {
+fn persisted_query_hash_is_validated() {
     let hash = "ab".repeat(32);
-    let with = |p: &str| one(&format!("{{\"extensions\":{{\"persistedQuery\":{p}}}}}"));
-    let params = with(&format!("{{\"version\":1,\"sha256Hash\":\"{hash}\"}}")).unwrap();
+    let decode_extension = |extension: &str| {
+        decode_single(&format!(
+            "{{\"extensions\":{{\"persistedQuery\":{extension}}}}}"
+        ))
+    };
+    let params = decode_extension(&format!("{{\"version\":1,\"sha256Hash\":\"{hash}\"}}")).unwrap();
     assert_eq!(params.persisted_hash(), Ok(Some([0xab; 32])));
-    for bad in [
+    for invalid in [
         "null",
         "{}",
         "{\"version\":2}",
@@ -169,16 +184,19 @@
         "{\"version\":1,\"sha256Hash\":\"ab\"}",
         "{\"version\":1,\"sha256Hash\":1}",
     ] {
-        assert!(with(bad).is_err(), "{bad}");
+        assert!(decode_extension(invalid).is_err(), "{invalid}");
     }
-    let bad = "zz".repeat(32);
-    assert!(with(&format!("{{\"version\":1,\"sha256Hash\":\"{bad}\"}}")).is_err());
+    let not_hexadecimal = "zz".repeat(32);
+    assert!(decode_extension(&format!(
+        "{{\"version\":1,\"sha256Hash\":\"{not_hexadecimal}\"}}"
+    ))
+    .is_err());
 }
 
 #[test]
-fn the_media_type_is_what_the_client_wants_most() {
+fn media_type_with_the_highest_quality_is_selected() {
     const RESPONSE: &str = "application/graphql-response+json";
-    for (accept, media) in [
+    for (accept, expected) in [
         (None, Some(Media::Json)),
         (Some(""), Some(Media::Json)),
         (Some("*/*"), Some(Media::Json)),
@@ -213,20 +231,20 @@
         (Some("text/html"), None),
         (Some("text/html, */*;q=0"), None),
     ] {
-        assert_eq!(negotiate(accept).ok(), media, "{accept:?}");
+        assert_eq!(negotiate(accept).ok(), expected, "{accept:?}");
     }
 }
 
 #[test]
-fn a_body_is_json_in_utf_8() {
-    for good in [
+fn only_utf_8_json_bodies_are_accepted() {
+    for valid in [
         "application/json",
         "Application/JSON; charset=utf-8",
         "application/json;charset=\"UTF-8\"",
     ] {
-        assert!(check_body(Some(good)).is_ok(), "{good}");
+        assert!(check_body(Some(valid)).is_ok(), "{valid}");
     }
-    for bad in [
+    for invalid in [
         None,
         Some(""),
         Some("text/plain"),
@@ -235,15 +253,15 @@
         Some("application/x-www-form-urlencoded"),
     ] {
         assert_eq!(
-            check_body(bad).unwrap_err().kind,
+            check_body(invalid).unwrap_err().kind,
             GraphQlErrorKind::MediaType,
-            "{bad:?}"
+            "{invalid:?}"
         );
     }
 }
 
 #[test]
-fn statuses_are_those_that_each_media_type_demands() {
+fn status_depends_on_media_type_and_error() {
     for (kind, response, json) in [
         (GraphQlErrorKind::Request, 400, 400),
         (GraphQlErrorKind::Syntax, 400, 200),
