--- /dev/null
+++ b/crates/cluster/tests/explore/ban.rs
@@ -0,0 +1,76 @@
+//! The versions of a ban, as datagrams contain them.
+
+use reelfall_cluster::entry::{BanId, Entry, Key, Value, Version};
+use reelfall_cluster::node::Incarnation;
+
+/// The TTL of a ban, in seconds.
+pub const BAN_TTL: u8 = 2;
+/// The TTL of a lift, which is far longer than that of any ban.
+pub const LIFT_TTL_MS: u32 = 600_000;
+pub const MICROSECONDS_PER_SECOND: u64 = 1_000_000;
+
+/// One version of a ban or of its lift.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct BanVersion {
+    pub is_lifted: bool,
+    pub number: u32,
+    pub version: u64,
+}
+
+impl BanVersion {
+    pub fn new(key: &Key, value: &Value, version: Version) -> BanVersion {
+        let number = match key {
+            Key::Ban { id, .. } => id.number,
+            _ => 0,
+        };
+        BanVersion {
+            is_lifted: matches!(value, Value::BanLifted { .. }),
+            number,
+            version: version.n,
+        }
+    }
+
+    pub fn to_entry(self, age_us: u64) -> Entry {
+        let incarnation = Incarnation { number: 1, tag: 7 };
+        let by = "ada".to_owned();
+        let value = if self.is_lifted {
+            Value::BanLifted { by }
+        } else {
+            Value::Banned { by }
+        };
+        let ttl_ms = if self.is_lifted {
+            LIFT_TTL_MS
+        } else {
+            u32::from(BAN_TTL) * 1000
+        };
+        let id = BanId {
+            node: "a".to_owned(),
+            incarnation,
+            number: self.number,
+        };
+        Entry {
+            key: Key::Ban {
+                server: "s".to_owned(),
+                id,
+            },
+            version: Version {
+                incarnation,
+                n: self.version,
+            },
+            value,
+            ttl_ms,
+            age_us,
+        }
+    }
+}
+
+/// A ban as a datagram contains it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct SentBan {
+    pub ban: BanVersion,
+    pub age_us: u64,
+}
+
+pub fn microseconds(seconds: u8) -> u64 {
+    u64::from(seconds) * MICROSECONDS_PER_SECOND
+}
--- a/crates/cluster/tests/quorum.rs
+++ b/crates/cluster/tests/quorum.rs
@@ -1,49 +1,55 @@
-//! Which servers are condemned where more fail than may be.
+//! Which servers are ejected where more fail than can be ejected.
 
 use proptest::prelude::*;
 use reelfall_cluster::entry::ServerInstance;
 use reelfall_cluster::quorum::{condemned, Quorum, Votes};
 
+/// Servers of the endpoint list.
 const LISTED: usize = 20;
+/// Servers of the list that are reported.
+const REPORTED: usize = 8;
+/// The maximum number of ejected servers of a list of [`LISTED`].
+const MAX_EJECTED: usize = 4;
 
-fn servers(n: usize) -> Vec<ServerInstance> {
-    (0..n)
-        .map(|n| ServerInstance {
-            name: format!("s{n:02}"),
+fn reported_servers() -> Vec<ServerInstance> {
+    (0..REPORTED)
+        .map(|index| ServerInstance {
+            name: format!("s{index:02}"),
             since: 0,
         })
         .collect()
 }
 
-fn names(servers: &[ServerInstance], failed: &[usize]) -> Vec<String> {
-    let votes = failed.iter().map(|failed| Votes {
+/// The names of the ejected servers; `failed_votes` has the number of nodes that report a fault, for each server.
+fn ejected_names(servers: &[ServerInstance], failed_votes: &[usize]) -> Vec<String> {
+    let votes = failed_votes.iter().map(|failed| Votes {
         failed: *failed,
         ..Votes::default()
     });
     condemned(servers.iter().zip(votes), LISTED, &Quorum::default())
         .keys()
-        .map(|s| s.name.clone())
+        .map(|server| server.name.clone())
         .collect()
 }
 
 proptest! {
-    /// Reports come and go by the second; who is surely sick is held for it as long as it is, and does not take turns with others.
+    /// Reports vary by the second; a server with enough of them stays ejected and does not alternate with others.
     #[test]
-    fn servers_that_surely_fail_take_no_turns(counts in prop::collection::vec(prop::collection::vec(6usize..40, 8), 2..20)) {
-        let servers = servers(8);
-        let first = names(&servers, &counts[0]);
-        prop_assert_eq!(first.len(), 4);
-        for failed in &counts {
-            prop_assert_eq!(&names(&servers, failed), &first);
+    fn well_proven_servers_stay_ejected(counts in prop::collection::vec(prop::collection::vec(6usize..40, REPORTED), 2..20)) {
+        let servers = reported_servers();
+        let first = ejected_names(&servers, &counts[0]);
+        prop_assert_eq!(first.len(), MAX_EJECTED);
+        for failed_votes in &counts {
+            prop_assert_eq!(&ejected_names(&servers, failed_votes), &first);
         }
     }
 
-    /// One that is hardly proven never takes the place of one that surely fails.
+    /// A server with few reports never takes the place of one with many.
     #[test]
-    fn the_better_proven_go_first(weak in 3usize..6, sure in prop::collection::vec(6usize..40, 4)) {
-        let servers = servers(8);
-        let mut failed = vec![weak; 4];
-        failed.extend(sure);
-        prop_assert_eq!(names(&servers, &failed), ["s04", "s05", "s06", "s07"]);
+    fn better_proven_servers_are_ejected_first(few_votes in 3usize..6, many_votes in prop::collection::vec(6usize..40, 4)) {
+        let servers = reported_servers();
+        let mut failed_votes = vec![few_votes; 4];
+        failed_votes.extend(many_votes);
+        prop_assert_eq!(ejected_names(&servers, &failed_votes), ["s04", "s05", "s06", "s07"]);
     }
 }
--- a/crates/cluster/tests/table.rs
+++ b/crates/cluster/tests/table.rs
@@ -1,4 +1,4 @@
-//! Merging verdicts: in any order, however often, all come to the same; and what fills a table.
+//! Merging entries is independent of their order and number; and the bounds of a table.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -6,14 +6,22 @@
 use reelfall_cluster::node::Incarnation;
 use reelfall_cluster::table::{MergeOutcome, Table, MAX_ENTRIES, MAX_REPORTS_PER_NODE};
 
-fn report(server: usize, by: &str, n: u64, bad: u16) -> Entry {
+const INCARNATION: Incarnation = Incarnation { number: 1, tag: 1 };
+
+/// The TTL of reports, in milliseconds.
+const REPORT_TTL_MS: u32 = 10_000;
+
+/// The time at which the tables of the random tests are compared.
+const NOW: f64 = 1.0;
+
+fn report_entry(server: usize, by: &str, version: u64, bad: u16) -> Entry {
     let server = ServerInstance {
         name: format!("s{server}"),
         since: 0,
     };
     let version = Version {
-        incarnation: Incarnation { number: 1, tag: 1 },
-        n,
+        incarnation: INCARNATION,
+        n: version,
     };
     let report = Report {
         finding: Finding::Failing,
@@ -31,26 +39,23 @@
         key,
         version,
         value: Value::Report(report),
-        ttl_ms: 10_000,
+        ttl_ms: REPORT_TTL_MS,
         age_us: 0,
     }
 }
 
-fn hand(server: &str, number: u32, n: u64, lifted: bool, ttl_ms: u32) -> Entry {
+fn ban_entry(server: &str, number: u32, version: u64, ttl_ms: u32) -> Entry {
     let id = BanId {
         node: "a".to_owned(),
-        incarnation: Incarnation { number: 1, tag: 1 },
+        incarnation: INCARNATION,
         number,
     };
-    let by = "ada".to_owned();
-    let value = if lifted {
-        Value::BanLifted { by }
-    } else {
-        Value::Banned { by }
+    let value = Value::Banned {
+        by: "ada".to_owned(),
     };
     let version = Version {
-        incarnation: Incarnation { number: 1, tag: 1 },
-        n,
+        incarnation: INCARNATION,
+        n: version,
     };
     Entry {
         key: Key::Ban {
@@ -64,27 +69,44 @@
     }
 }
 
-fn entry() -> impl Strategy<Value = Entry> {
-    let reports = (0..3usize, 0..3usize, 0..4u64, 0..3u16)
-        .prop_map(|(s, by, n, bad)| report(s, &format!("n{by}"), n, bad));
-    let hands = (0..2usize, 0..2u32, 0..4u64, any::<bool>(), 1..3u32)
-        .prop_map(|(s, c, n, lifted, lasts)| hand(&format!("s{s}"), c, n, lifted, lasts * 4000));
-    (prop_oneof![reports, hands], 0..12_000_000u64).prop_map(|(e, age_us)| Entry { age_us, ..e })
+fn lift_entry(server: &str, number: u32, version: u64, ttl_ms: u32) -> Entry {
+    Entry {
+        value: Value::BanLifted {
+            by: "ada".to_owned(),
+        },
+        ..ban_entry(server, number, version, ttl_ms)
+    }
 }
 
-fn joined(entries: &[Entry]) -> Vec<String> {
+fn random_entry() -> impl Strategy<Value = Entry> {
+    let reports =
+        (0..3usize, 0..3usize, 0..4u64, 0..3u16).prop_map(|(server, by, version, bad)| {
+            report_entry(server, &format!("n{by}"), version, bad)
+        });
+    let bans = (0..2usize, 0..2u32, 0..4u64, any::<bool>(), 1..3u32).prop_map(
+        |(server, number, version, is_lifted, ttl)| {
+            let make_entry = if is_lifted { lift_entry } else { ban_entry };
+            make_entry(&format!("s{server}"), number, version, ttl * 4000)
+        },
+    );
+    (prop_oneof![reports, bans], 0..12_000_000u64)
+        .prop_map(|(entry, age_us)| Entry { age_us, ..entry })
+}
+
+/// The live entries of a table that has merged the given ones, as text.
+fn merged(entries: &[Entry]) -> Vec<String> {
     let mut table = Table::default();
     for entry in entries {
-        table.merge(1.0, entry.clone());
+        table.merge(NOW, entry.clone());
     }
     table
-        .live(1.0)
-        .map(|(key, held)| {
+        .live(NOW)
+        .map(|(key, stored)| {
             format!(
                 "{key:?} {:?} {:?} {:.5}",
-                held.version,
-                held.value,
-                held.remaining_ttl(1.0)
+                stored.version,
+                stored.value,
+                stored.remaining_ttl(NOW)
             )
         })
         .collect()
@@ -94,82 +116,93 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(43), failure_persistence: None, ..Default::default() })]
 
     #[test]
-    fn the_order_and_the_number_of_tellings_do_not_matter(
-        entries in prop::collection::vec(entry(), 0..24), turned in any::<u64>(), again in any::<u64>(),
+    fn merge_is_independent_of_order_and_repetition(
+        entries in prop::collection::vec(random_entry(), 0..24), rotation in any::<u64>(), repeated_from in any::<u64>(),
     ) {
-        // What is over when it comes is passed over, so that it could make room for what it outranks: none of those here.
-        let entries: Vec<Entry> = entries.into_iter().filter(|e| e.age() < e.ttl()).collect();
-        let mut other = entries.clone();
-        let n = other.len().max(1);
-        other.rotate_left(turned as usize % n);
-        if turned % 2 == 1 {
-            other.reverse();
+        // An expired entry is ignored, so one that an expired version would replace stays; the test has none of those.
+        let entries: Vec<Entry> =
+            entries.into_iter().filter(|entry| entry.age() < entry.ttl()).collect();
+        let mut reordered = entries.clone();
+        let length = reordered.len().max(1);
+        reordered.rotate_left(rotation as usize % length);
+        if rotation % 2 == 1 {
+            reordered.reverse();
         }
-        other.extend(entries.iter().skip(again as usize % n).cloned());
-        prop_assert_eq!(joined(&entries), joined(&other));
+        let repeated = entries.iter().skip(repeated_from as usize % length);
+        reordered.extend(repeated.cloned());
+        prop_assert_eq!(merged(&entries), merged(&reordered));
     }
 
-    /// Tables that hold the same have the same sums, and those of tables that differ tell which verdicts do.
+    /// Equal tables have equal digests, and the digests of unequal tables show which entries differ.
     #[test]
-    fn comparing_two_tables_brings_them_to_the_same(
-        one in prop::collection::vec(entry(), 0..16), other in prop::collection::vec(entry(), 0..16),
+    fn anti_entropy_makes_tables_equal(
+        first_entries in prop::collection::vec(random_entry(), 0..16),
+        second_entries in prop::collection::vec(random_entry(), 0..16),
     ) {
-        let (mut a, mut b) = (Table::default(), Table::default());
-        one.into_iter().for_each(|e| assert_ne!(a.merge(1.0, e), MergeOutcome::Rejected));
-        other.into_iter().for_each(|e| assert_ne!(b.merge(1.0, e), MergeOutcome::Rejected));
-        for entry in a.differing(1.0, &b.digests()) {
-            b.merge(1.0, entry);
+        let mut first = Table::default();
+        let mut second = Table::default();
+        for entry in first_entries {
+            assert_ne!(first.merge(NOW, entry), MergeOutcome::Rejected);
+        }
+        for entry in second_entries {
+            assert_ne!(second.merge(NOW, entry), MergeOutcome::Rejected);
+        }
+        for entry in first.differing(NOW, &second.digests()) {
+            second.merge(NOW, entry);
         }
-        for entry in b.differing(1.0, &a.digests()) {
-            a.merge(1.0, entry);
+        for entry in second.differing(NOW, &first.digests()) {
+            first.merge(NOW, entry);
         }
-        prop_assert_eq!(a.digests(), b.digests());
-        let words = |t: &Table| t.live(1.0).map(|(k, h)| format!("{k:?} {:?}", h.value)).collect::<Vec<_>>();
-        prop_assert_eq!(words(&a), words(&b));
+        prop_assert_eq!(first.digests(), second.digests());
+        let values = |table: &Table| {
+            let live = table.live(NOW);
+            live.map(|(key, stored)| format!("{key:?} {:?}", stored.value)).collect::<Vec<_>>()
+        };
+        prop_assert_eq!(values(&first), values(&second));
     }
 }
 
 #[test]
-fn a_lift_covers_every_later_word_of_its_call_and_no_other_call() {
+fn lift_covers_later_versions_of_its_ban_only() {
     let mut table = Table::default();
     assert_eq!(
-        table.merge(0.0, hand("s", 1, 1, false, 60_000)),
+        table.merge(0.0, ban_entry("s", 1, 1, 60_000)),
         MergeOutcome::Updated
     );
     assert_eq!(
-        table.merge(0.0, hand("s", 1, 2, true, 60_000)),
+        table.merge(0.0, lift_entry("s", 1, 2, 60_000)),
         MergeOutcome::Updated
     );
-    // The maker has not heard, and says it anew.
+    // The node of the ban has not received the lift, and renews the ban.
     assert_eq!(
-        table.merge(1.0, hand("s", 1, 9, false, 60_000)),
+        table.merge(1.0, ban_entry("s", 1, 9, 60_000)),
         MergeOutcome::Unchanged
     );
     assert!(table
         .live(1.0)
-        .all(|(_, held)| matches!(held.value, Value::BanLifted { .. })));
+        .all(|(_, stored)| matches!(stored.value, Value::BanLifted { .. })));
     assert_eq!(
-        table.merge(1.0, hand("s", 2, 3, false, 60_000)),
+        table.merge(1.0, ban_entry("s", 2, 3, 60_000)),
         MergeOutcome::Updated
     );
     assert_eq!(table.live(1.0).count(), 2);
 }
 
 #[test]
-fn a_verdict_counts_to_its_end_and_is_let_go_then() {
+fn entry_is_live_until_it_expires() {
     let mut table = Table::default();
     table.merge(
         5.0,
         Entry {
             age_us: 4_000_000,
-            ..report(0, "a", 1, 1)
+            ..report_entry(0, "a", 1, 1)
         },
     );
     assert_eq!(table.live(10.9).count(), 1);
     assert_eq!(table.live(11.0).count(), 0);
     assert!(table.next_expiry().is_some_and(|end| end <= 11.0));
-    // Looked at for another's sake: the end is told all the same, once.
-    table.merge(11.001, report(1, "a", 1, 1));
+    // An expiry that is found while another entry is merged is reported too, once.
+    table.merge(11.001, report_entry(1, "a", 1, 1));
     assert_eq!(
         (table.take_expired().len(), table.take_expired().len()),
         (1, 0)
@@ -182,50 +215,59 @@
             11.0,
             Entry {
                 age_us: 10_000_000,
-                ..report(0, "a", 2, 1)
+                ..report_entry(0, "a", 2, 1)
             }
         ),
         MergeOutcome::Expired
     );
 }
 
+/// Reports of each node in a table that is full.
+const REPORTS_OF_EACH_NODE: usize = 200;
+
 #[test]
-fn a_table_has_a_bound_one_node_has_one_of_its_own_and_hands_come_before_reports() {
+fn table_and_reports_per_node_are_bounded_and_bans_displace_reports() {
     let mut table = Table::default();
-    let mine = (0..MAX_REPORTS_PER_NODE + 5)
-        .filter(|n| table.merge(0.0, report(*n, "a", 1, 1)) == MergeOutcome::Updated)
+    let accepted_of_one_node = (0..MAX_REPORTS_PER_NODE + 5)
+        .filter(|server| {
+            table.merge(0.0, report_entry(*server, "a", 1, 1)) == MergeOutcome::Updated
+        })
         .count();
-    assert_eq!(mine, MAX_REPORTS_PER_NODE, "one node fills the table");
-    let mut n = 0;
+    assert_eq!(
+        accepted_of_one_node, MAX_REPORTS_PER_NODE,
+        "one node fills the table"
+    );
+    let mut index = 0;
     while table.len() < MAX_ENTRIES {
-        table.merge(0.0, report(n % 200, &format!("n{}", n / 200), 1, 1));
-        n += 1;
+        let node = format!("n{}", index / REPORTS_OF_EACH_NODE);
+        table.merge(0.0, report_entry(index % REPORTS_OF_EACH_NODE, &node, 1, 1));
+        index += 1;
     }
     assert_eq!(
-        table.merge(0.0, report(0, "late", 1, 1)),
+        table.merge(0.0, report_entry(0, "late", 1, 1)),
         MergeOutcome::Rejected
     );
     assert_eq!(
-        table.merge(0.0, hand("s", 1, 1, false, 1000)),
+        table.merge(0.0, ban_entry("s", 1, 1, 1000)),
         MergeOutcome::Updated
     );
     assert_eq!(table.len(), MAX_ENTRIES);
 }
 
 #[test]
-fn words_that_no_node_can_have_made_are_refused() {
+fn invalid_entries_are_rejected() {
     let mut table = Table::default();
-    let long = hand(&"x".repeat(65), 1, 1, false, 1000);
-    let lasting = Entry {
+    let long_name = ban_entry(&"x".repeat(65), 1, 1, 1000);
+    let long_ttl = Entry {
         ttl_ms: 61_000,
-        ..report(0, "a", 1, 1)
+        ..report_entry(0, "a", 1, 1)
     };
-    let odd = Entry {
+    let wrong_value = Entry {
         value: Value::Leaving,
-        ..report(0, "a", 1, 1)
+        ..report_entry(0, "a", 1, 1)
     };
-    let nobody = hand("", 1, 1, false, 1000);
-    for entry in [long, lasting, odd, nobody] {
+    let empty_name = ban_entry("", 1, 1, 1000);
+    for entry in [long_name, long_ttl, wrong_value, empty_name] {
         assert_eq!(
             table.merge(0.0, entry.clone()),
             MergeOutcome::Rejected,
