--- a/crates/admin/tests/operator_state.rs
+++ b/crates/admin/tests/operator_state.rs
@@ -1,4 +1,4 @@
-//! Bans, drains and their stored form, on random schedules.
+//! Bans, drains and their encoding, on random schedules.
 
 use proptest::prelude::*;
 use reelfall_admin::ban::{Bans, MAX_BANS};
@@ -10,8 +10,11 @@
 enum Step {
     Ban(u8),
     LiftBan(u8),
-    /// The server restarts, and its list reports it after this time.
-    Restart(u8, f64),
+    Restart {
+        server: u8,
+        /// The time until the endpoint list reports the new start, in seconds.
+        report_delay: f64,
+    },
     StoreAndLoad,
 }
 
@@ -20,85 +23,107 @@
     let step = prop_oneof![
         server.clone().prop_map(Step::Ban),
         server.clone().prop_map(Step::LiftBan),
-        (server, 0.0..5.0).prop_map(|(s, late)| Step::Restart(s, late)),
+        (server, 0.0..5.0).prop_map(|(server, report_delay)| Step::Restart {
+            server,
+            report_delay
+        }),
         Just(Step::StoreAndLoad),
     ];
     prop::collection::vec(step, 1..60)
 }
 
-/// What a expected reading of the operators' page expects of one server.
+/// What the operators' page specifies for one server.
 #[derive(Clone, Copy, Default)]
-struct Expected {
+struct ExpectedServer {
     banned_at: Option<f64>,
-    /// When it really started last.
+    /// The time of its last start.
     started_at: f64,
-    /// The start that its list reports, and from when on.
-    reported_start: (f64, f64),
+    /// When the endpoint list begins to report that start.
+    reported_from: f64,
     /// The start that the list reports until then.
     previous_start: f64,
 }
 
+impl ExpectedServer {
+    /// The start time in the endpoint list.
+    fn listed_start(&self, now: f64) -> f64 {
+        if self.reported_from <= now {
+            self.started_at
+        } else {
+            self.previous_start
+        }
+    }
+
+    fn restart(&mut self, now: f64, report_delay: f64) {
+        self.previous_start = self.listed_start(now);
+        self.started_at = now;
+        self.reported_from = now + report_delay;
+    }
+}
+
 proptest! {
     #[test]
-    fn a_ban_holds_until_it_is_lifted_once_and_the_server_is_never_taken_for_warmer_than_it_is(
+    fn bans_hold_until_lifted_and_ready_time_is_never_too_early(
         steps in steps(),
     ) {
         let mut ledger = Ledger::default();
-        let mut expected: HashMap<u8, Expected> = HashMap::new();
+        let mut expected: HashMap<u8, ExpectedServer> = HashMap::new();
         let mut now = 1e9;
         for step in steps {
             now += 1.0;
             match step {
-                Step::Ban(s) => {
-                    ledger.bans.ban(&s.to_string(), now).unwrap();
-                    expected.entry(s).or_default().banned_at.get_or_insert(now);
+                Step::Ban(server) => {
+                    ledger.bans.ban(&server.to_string(), now).unwrap();
+                    expected.entry(server).or_default().banned_at.get_or_insert(now);
                 }
-                Step::LiftBan(s) => {
-                    let was_banned_at = expected.entry(s).or_default().banned_at.take();
-                    prop_assert_eq!(ledger.bans.lift(&s.to_string(), now), was_banned_at.is_some());
+                Step::LiftBan(server) => {
+                    let banned_at = expected.entry(server).or_default().banned_at.take();
+                    prop_assert_eq!(ledger.bans.lift(&server.to_string(), now), banned_at.is_some());
                 }
-                Step::Restart(s, late) => {
-                    let p = expected.entry(s).or_default();
+                Step::Restart { server, report_delay } => {
+                    let expected = expected.entry(server).or_default();
                     // Operators restart servers that are banned.
-                    if p.banned_at.is_some() {
-                        p.previous_start = if p.reported_start.1 <= now { p.reported_start.0 } else { p.previous_start };
-                        p.started_at = now;
-                        p.reported_start = (now, now + late);
+                    if expected.banned_at.is_some() {
+                        expected.restart(now, report_delay);
                     }
                 }
                 Step::StoreAndLoad => {
-                    let again = Ledger::decode(ledger.encode().as_bytes()).unwrap();
-                    prop_assert_eq!(&again, &ledger);
-                    ledger = again;
+                    let decoded = Ledger::decode(ledger.encode().as_bytes()).unwrap();
+                    prop_assert_eq!(&decoded, &ledger);
+                    ledger = decoded;
                 }
             }
-            for (s, p) in &expected {
-                let listed = if p.reported_start.1 <= now { p.reported_start.0 } else { p.previous_start };
-                let status = ledger.bans.status(&s.to_string(), listed);
-                prop_assert_eq!(status.is_banned, p.banned_at.is_some());
-                prop_assert!(status.is_banned || status.ready_at >= p.started_at, "{s}: {status:?}, started {}", p.started_at);
+            for (server, expected) in &expected {
+                let status = ledger.bans.status(&server.to_string(), expected.listed_start(now));
+                prop_assert_eq!(status.is_banned, expected.banned_at.is_some());
+                prop_assert!(
+                    status.is_banned || status.ready_at >= expected.started_at,
+                    "{server}: {status:?}, started {}",
+                    expected.started_at
+                );
             }
         }
     }
 
     #[test]
-    fn a_drain_closes_idle_connections_in_time_and_ends_without_a_trace(
-        began in 1e9..2e9f64, idle in 0.0..10.0f64, again in 0.0..3.0f64,
+    fn drain_closes_idle_connections_in_time_and_resets(
+        begun_at in 1e9..2e9f64, idle_after in 0.0..10.0f64, begun_again_after in 0.0..3.0f64,
     ) {
         let mut drain = Drain::default();
-        prop_assert!(drain.idle_deadline(began).is_none() && !drain.is_active());
-        drain.begin(began);
-        drain.begin(began + again);
-        let until = drain.idle_deadline(began + idle).unwrap();
-        prop_assert!(until >= began + IDLE_GRACE && until >= began + idle + LATE_IDLE_GRACE);
-        // Whatever the front still sends in 0.2 s, and what follows its close, is gone before 2 s have passed.
-        prop_assert!(idle > 1.0 || until < began + 2.0);
+        prop_assert!(drain.idle_deadline(begun_at).is_none() && !drain.is_active());
+        drain.begin(begun_at);
+        drain.begin(begun_at + begun_again_after);
+        let idle_at = begun_at + idle_after;
+        let deadline = drain.idle_deadline(idle_at).unwrap();
+        prop_assert!(deadline >= begun_at + IDLE_GRACE && deadline >= idle_at + LATE_IDLE_GRACE);
+        // A connection that becomes idle in the first second is closed within two: the front sends for 0.2 s at most.
+        prop_assert!(idle_after > 1.0 || deadline < begun_at + 2.0);
         drain.end();
         prop_assert_eq!(drain, Drain::default());
     }
 
     #[test]
-    fn no_text_is_taken_for_a_ledger_that_it_is_not(text in ".{0,200}") {
+    fn decoded_ledgers_round_trip(text in ".{0,200}") {
         if let Ok(ledger) = Ledger::decode(text.as_bytes()) {
             prop_assert_eq!(Ledger::decode(ledger.encode().as_bytes()).unwrap(), ledger);
         }
@@ -106,10 +131,10 @@
 }
 
 #[test]
-fn bans_are_bounded_and_ledgers_of_other_versions_are_not_guessed_at() {
+fn bans_are_bounded_and_invalid_ledgers_rejected() {
     let mut bans = Bans::default();
-    for n in 0..MAX_BANS {
-        bans.ban(&n.to_string(), 1.0).unwrap();
+    for server in 0..MAX_BANS {
+        bans.ban(&server.to_string(), 1.0).unwrap();
     }
     assert!(bans.ban("one more", 1.0).is_err());
     assert!(bans.ban("7", 1.0).is_ok());
@@ -118,7 +143,7 @@
 }
 
 #[test]
-fn the_stored_form_of_a_ledger_is_that_of_its_version() {
+fn ledger_encoding_is_stable() {
     let mut ledger = Ledger::default();
     ledger.bans.ban("a", 1.0).unwrap();
     ledger.bans.ban("b", 2.0).unwrap();
--- a/crates/admin/tests/requests.rs
+++ b/crates/admin/tests/requests.rs
@@ -1,15 +1,18 @@
-//! Requests on the management address: what they are parsed as, and what is rejected.
+//! Parsing of requests on the management address.
 
 use proptest::prelude::*;
 use reelfall_admin::request::{FleetRequest, HttpTarget, ManagementRequest, RequestError};
 
+/// The maximum length of a server's name, in bytes.
+const MAX_NAME_LEN: usize = 512;
+
 proptest! {
     #[test]
-    fn no_text_is_taken_for_a_request_that_it_is_not(text in ".{0,200}", method in "[A-Z]{1,7}") {
+    fn only_valid_requests_are_parsed(text in ".{0,200}", method in "[A-Z]{1,7}") {
         for request in [ManagementRequest::Disable(text.clone()), ManagementRequest::Enable(text.clone())] {
             let HttpTarget { method, path } = request.to_http();
             let parsed = ManagementRequest::parse(method, &path);
-            prop_assert!(parsed == Ok(request) || text.is_empty() || text.len() > 512);
+            prop_assert!(parsed == Ok(request) || text.is_empty() || text.len() > MAX_NAME_LEN);
         }
         let parsed = ManagementRequest::parse(&method, &text);
         if let Ok(ManagementRequest::Disable(name) | ManagementRequest::Enable(name)) = parsed {
@@ -19,7 +22,7 @@
 }
 
 #[test]
-fn fleet_requests_are_parsed_as_they_were_formatted() {
+fn fleet_requests_round_trip_and_invalid_ones_are_rejected() {
     let ban = |seconds| FleetRequest::Ban {
         server: "a/b c".to_owned(),
         seconds,
@@ -29,7 +32,7 @@
         server: "s".to_owned(),
         by: "obi".to_owned(),
     };
-    let all = [
+    let requests = [
         FleetRequest::Members,
         FleetRequest::Verdicts,
         FleetRequest::Explain("a/b".to_owned()),
@@ -37,7 +40,7 @@
         ban(Some(60)),
         lift,
     ];
-    for request in all.map(ManagementRequest::Fleet) {
+    for request in requests.map(ManagementRequest::Fleet) {
         let HttpTarget { method, path } = request.to_http();
         assert_eq!(ManagementRequest::parse(method, &path), Ok(request));
     }
@@ -60,7 +63,7 @@
 }
 
 #[test]
-fn requests_are_parsed() {
+fn requests_are_parsed_and_invalid_ones_are_rejected() {
     assert_eq!(
         ManagementRequest::parse("GET", "/-/ready"),
         Ok(ManagementRequest::Ready)
@@ -77,7 +80,7 @@
         ManagementRequest::parse("POST", "/-/servers/a%2Fb%20c/enable"),
         Ok(ManagementRequest::Enable("a/b c".to_owned()))
     );
-    for (method, path, error) in [
+    for (method, path, expected) in [
         ("POST", "/-/ready", RequestError::WrongMethod("GET")),
         ("GET", "/-/drain", RequestError::WrongMethod("POST")),
         (
@@ -94,13 +97,13 @@
     ] {
         assert_eq!(
             ManagementRequest::parse(method, path),
-            Err(error),
+            Err(expected),
             "{method} {path}"
         );
     }
-    let long = format!("/-/servers/{}/disable", "x".repeat(600));
+    let long_name = format!("/-/servers/{}/disable", "x".repeat(600));
     assert_eq!(
-        ManagementRequest::parse("POST", &long),
+        ManagementRequest::parse("POST", &long_name),
         Err(RequestError::InvalidName)
     );
 }
