--- a/crates/registry-client/tests/registration.rs
+++ b/crates/registry-client/tests/registration.rs
@@ -1,4 +1,4 @@
-//! This node's own entry against a fake registry.
+//! The registration of this node's own entry, with a fake registry.
 
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -11,6 +11,8 @@
 use std::collections::VecDeque;
 
 const PATH: &str = "/nodes/n1";
+/// In a request to delete, the version that matches every other.
+const ANY_VERSION: i32 = -1;
 
 fn data(incarnation: u64) -> EntryData {
     EntryData {
@@ -23,18 +25,33 @@
     }
 }
 
-/// A registry with a single path: the owner, data and version of its entry.
+#[derive(Clone)]
+struct RegistryEntry {
+    /// The session that created the entry.
+    owner: i64,
+    data: Bytes,
+    version: i32,
+}
+
+/// A registry with a single path.
 #[derive(Default)]
 struct FakeRegistry {
-    entry: Option<(i64, Bytes, i32)>,
-    watched: bool,
+    entry: Option<RegistryEntry>,
+    is_watched: bool,
+}
+
+impl FakeRegistry {
+    /// The session that owns the entry.
+    fn owner(&self) -> Option<i64> {
+        self.entry.as_ref().map(|entry| entry.owner)
+    }
 }
 
 /// A node with its connection.
 struct Node {
     registration: Registration,
     session: i64,
-    up: bool,
+    is_connected: bool,
     requests: VecDeque<TokenRequest>,
     events: VecDeque<Event>,
 }
@@ -45,34 +62,38 @@
         Node {
             registration,
             session,
-            up: false,
+            is_connected: false,
             requests: VecDeque::new(),
             events: VecDeque::new(),
         }
     }
 
     fn take_requests(&mut self) {
-        while let Some(op) = self.registration.next_request().filter(|_| self.up) {
-            self.requests.push_back(op);
+        while let Some(request) = self
+            .registration
+            .next_request()
+            .filter(|_| self.is_connected)
+        {
+            self.requests.push_back(request);
         }
     }
 
     fn connect(&mut self, now: f64) {
-        if !self.up {
-            self.up = true;
+        if !self.is_connected {
+            self.is_connected = true;
             self.registration
                 .handle_event(now, self.session, &Event::Up { is_new: true });
             self.take_requests();
         }
     }
 
-    /// What was asked for may have been carried out or not; nobody hears.
-    fn lose(&mut self, now: f64, registry: &mut FakeRegistry, carried_out: bool) {
-        while carried_out && !self.requests.is_empty() {
+    /// Loses the connection and all responses, before or after the registry executes the pending requests.
+    fn disconnect(&mut self, now: f64, registry: &mut FakeRegistry, executes_pending: bool) {
+        while executes_pending && !self.requests.is_empty() {
             self.execute_request(registry);
         }
-        self.up = false;
-        registry.watched = false;
+        self.is_connected = false;
+        registry.is_watched = false;
         let tokens: Vec<u64> = self
             .requests
             .drain(..)
@@ -81,20 +102,16 @@
         self.events.clear();
         self.registration
             .handle_event(now, self.session, &Event::Lost(LossReason::Closed));
-        tokens.into_iter().for_each(|t| {
+        for token in tokens {
             self.registration
-                .handle_event(now, self.session, &Event::RequestLost(t))
-        });
+                .handle_event(now, self.session, &Event::RequestLost(token));
+        }
     }
 
-    /// Its session is over, and the registry has dropped what ended with it.
+    /// The session expires, and the registry has removed its entry; the next session is `session`.
     fn expire(&mut self, now: f64, registry: &mut FakeRegistry, session: i64) {
-        self.lose(now, registry, false);
-        if registry
-            .entry
-            .as_ref()
-            .is_some_and(|(owner, ..)| *owner == self.session)
-        {
+        self.disconnect(now, registry, false);
+        if registry.owner() == Some(self.session) {
             registry.entry = None;
         }
         self.registration
@@ -106,36 +123,42 @@
         let Some(TokenRequest { token, op }) = self.requests.pop_front() else {
             return;
         };
-        let answer = match (op, &mut registry.entry) {
-            (Op::GetData { .. }, Some((owner, data, version))) => {
-                registry.watched = true;
+        let response = match (op, &mut registry.entry) {
+            (Op::GetData { .. }, Some(entry)) => {
+                registry.is_watched = true;
                 let stat = Stat {
-                    ephemeral_owner: *owner,
-                    version: *version,
+                    ephemeral_owner: entry.owner,
+                    version: entry.version,
                     ..Stat::default()
                 };
-                Ok(Response::Data(data.clone(), stat))
+                Ok(Response::Data(entry.data.clone(), stat))
             }
             (Op::GetData { .. }, None) => Err(OperationError::NoNode),
             (Op::Create { data, .. }, entry @ None) => {
-                *entry = Some((self.session, data, 0));
+                *entry = Some(RegistryEntry {
+                    owner: self.session,
+                    data,
+                    version: 0,
+                });
                 Ok(Response::Done)
             }
             (Op::Create { .. }, Some(_)) => Err(OperationError::NodeExists),
             (Op::Delete { .. }, None) => Err(OperationError::NoNode),
-            (Op::Delete { version, .. }, Some((_, _, is))) if version != -1 && version != *is => {
+            (Op::Delete { version, .. }, Some(entry))
+                if version != ANY_VERSION && version != entry.version =>
+            {
                 Err(OperationError::BadVersion)
             }
             (Op::Delete { .. }, entry) => {
                 *entry = None;
-                if std::mem::take(&mut registry.watched) {
+                if std::mem::take(&mut registry.is_watched) {
                     self.report_deleted();
                 }
                 Ok(Response::Done)
             }
             _ => Err(OperationError::Unimplemented),
         };
-        self.events.push_back(Event::Response(token, answer));
+        self.events.push_back(Event::Response(token, response));
     }
 
     fn report_deleted(&mut self) {
@@ -153,6 +176,7 @@
         self.take_requests();
     }
 
+    /// Executes requests and handles events until there are none.
     fn settle(&mut self, now: f64, registry: &mut FakeRegistry) {
         for _ in 0..1000 {
             self.take_requests();
@@ -162,26 +186,25 @@
             self.execute_request(registry);
             self.handle_event(now);
         }
-        panic!("it never settles");
+        panic!("requests and events do not end");
     }
 }
 
 #[test]
-fn it_stands_from_when_it_is_wanted_until_it_is_not() {
-    let (mut registry, mut node) = (FakeRegistry::default(), Node::new(1, 100));
+fn entry_exists_while_registration_is_requested() {
+    let mut registry = FakeRegistry::default();
+    let mut node = Node::new(1, 100);
     node.connect(0.0);
     node.settle(0.0, &mut registry);
-    assert!(registry.entry.is_none(), "nobody wants it yet");
+    assert!(registry.entry.is_none(), "registered before the request");
     node.registration.register();
     node.settle(0.0, &mut registry);
     assert!(node.registration.is_registered());
-    let (owner, bytes, _) = registry.entry.clone().unwrap();
-    assert_eq!(
-        (owner, serde_json::from_slice::<EntryData>(&bytes).unwrap()),
-        (100, data(1))
-    );
+    let entry = registry.entry.clone().unwrap();
+    let entry_data = serde_json::from_slice::<EntryData>(&entry.data).unwrap();
+    assert_eq!((entry.owner, entry_data), (100, data(1)));
     assert_eq!(node.registration.next_report(), Some(Report::Registered));
-    // Somebody removes it.
+    // Another client removes the entry.
     registry.entry = None;
     node.report_deleted();
     node.settle(1.0, &mut registry);
@@ -193,9 +216,14 @@
 }
 
 #[test]
-fn what_an_earlier_life_left_goes_and_a_strangers_or_a_later_lifes_stays() {
-    let entry =
-        |data: &EntryData, owner| Some((owner, Bytes::from(serde_json::to_vec(data).unwrap()), 3));
+fn only_the_entry_of_an_earlier_incarnation_is_replaced() {
+    let entry = |data: &EntryData, owner| {
+        Some(RegistryEntry {
+            owner,
+            data: serde_json::to_vec(data).unwrap().into(),
+            version: 3,
+        })
+    };
     let mut registry = FakeRegistry {
         entry: entry(&data(1), 50),
         ..FakeRegistry::default()
@@ -205,11 +233,11 @@
     node.connect(0.0);
     node.settle(0.0, &mut registry);
     assert_eq!(
-        registry.entry.as_ref().map(|(owner, ..)| *owner),
+        registry.owner(),
         Some(100),
-        "the entry of the life before stands"
+        "the entry of the earlier incarnation still exists"
     );
-    for (theirs, report) in [
+    for (other_data, expected) in [
         (data(9), Report::Superseded),
         (
             EntryData {
@@ -220,16 +248,16 @@
         ),
     ] {
         let mut registry = FakeRegistry {
-            entry: entry(&theirs, 50),
+            entry: entry(&other_data, 50),
             ..FakeRegistry::default()
         };
         let mut node = Node::new(2, 100);
         node.registration.register();
         node.connect(0.0);
         node.settle(0.0, &mut registry);
-        assert_eq!(node.registration.next_report(), Some(report));
-        assert_eq!(registry.entry.as_ref().map(|(owner, ..)| *owner), Some(50));
-        // When it goes, this one comes, told by the watch or by looking again.
+        assert_eq!(node.registration.next_report(), Some(expected));
+        assert_eq!(registry.owner(), Some(50));
+        // Once the other entry is removed, the node registers its own, at the next poll at the latest.
         registry.entry = None;
         node.registration.tick(node.registration.deadline());
         node.settle(RETRY_INTERVAL, &mut registry);
@@ -237,11 +265,41 @@
     }
 }
 
-/// Connections lost before and after what was asked was carried out, sessions over, entries removed by others, in any
-/// order: once all is quiet it stands if it is wanted, by the present session, and nothing is left if it is not.
+/// One step of the random test.
+#[derive(Clone, Copy, Debug)]
+enum Action {
+    Connect,
+    Disconnect {
+        executes_pending: bool,
+    },
+    Expire,
+    /// Another client removes the entry.
+    RemoveEntry,
+    Tick,
+    ExecuteRequest,
+}
+
+fn action() -> impl Strategy<Value = Action> {
+    (0..9u8).prop_map(|action| match action {
+        0 => Action::Connect,
+        1 => Action::Disconnect {
+            executes_pending: false,
+        },
+        2 => Action::Disconnect {
+            executes_pending: true,
+        },
+        3 => Action::Expire,
+        4 => Action::RemoveEntry,
+        5 => Action::Tick,
+        _ => Action::ExecuteRequest,
+    })
+}
+
+/// Connections are lost before and after requests are executed, sessions expire and other clients remove the entry, in any
+/// order: afterwards the entry exists and belongs to the current session if it is requested, and does not exist otherwise.
 #[test]
-fn any_order_of_losses_ends_with_one_entry_or_none() {
-    let steps = prop::collection::vec((0..9u8, 0.0..3.0f64), 1..80);
+fn entry_state_converges_after_any_order_of_losses() {
+    let steps = prop::collection::vec((action(), 0.0..3.0f64), 1..80);
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[14; 32]);
     let config = Config {
         cases: 500,
@@ -249,37 +307,40 @@
         ..Config::default()
     };
     TestRunner::new_with_rng(config, rng)
-        .run(&(steps, any::<bool>()), |(steps, leaves)| {
-            let (mut registry, mut node, mut now, mut session) =
-                (FakeRegistry::default(), Node::new(1, 100), 0.0, 100);
+        .run(&(steps, any::<bool>()), |(steps, deregisters)| {
+            let mut registry = FakeRegistry::default();
+            let mut session = 100;
+            let mut node = Node::new(1, session);
+            let mut now = 0.0;
             node.registration.register();
-            for (what, after) in steps {
+            for (action, after) in steps {
                 now += after;
-                match what {
-                    0 => node.connect(now),
-                    1 => node.lose(now, &mut registry, false),
-                    2 => node.lose(now, &mut registry, true),
-                    3 => {
+                match action {
+                    Action::Connect => node.connect(now),
+                    Action::Disconnect { executes_pending } => {
+                        node.disconnect(now, &mut registry, executes_pending)
+                    }
+                    Action::Expire => {
                         session += 1;
                         node.expire(now, &mut registry, session);
                     }
-                    4 => {
+                    Action::RemoveEntry => {
                         if registry.entry.take().is_some()
-                            && std::mem::take(&mut registry.watched)
-                            && node.up
+                            && std::mem::take(&mut registry.is_watched)
+                            && node.is_connected
                         {
                             node.report_deleted();
                         }
                     }
-                    5 => node.registration.tick(now),
-                    _ => {
+                    Action::Tick => node.registration.tick(now),
+                    Action::ExecuteRequest => {
                         node.take_requests();
                         node.execute_request(&mut registry);
                         node.handle_event(now);
                     }
                 }
             }
-            if leaves {
+            if deregisters {
                 node.registration.deregister();
             }
             node.connect(now);
@@ -289,12 +350,11 @@
                 node.registration.tick(now);
             }
             node.settle(now, &mut registry);
-            let owner = registry.entry.as_ref().map(|(owner, ..)| *owner);
-            if leaves {
-                prop_assert_eq!(owner, None);
+            if deregisters {
+                prop_assert_eq!(registry.owner(), None);
                 prop_assert!(node.registration.is_deregistered());
             } else {
-                prop_assert_eq!(owner, Some(node.session));
+                prop_assert_eq!(registry.owner(), Some(node.session));
                 prop_assert!(node.registration.is_registered());
             }
             Ok(())
