--- a/crates/registry-client/tests/registration.rs
+++ b/crates/registry-client/tests/registration.rs
@@ -161,6 +161,16 @@
         self.events.push_back(Event::Response(token, response));
     }
 
+    /// Another client removes the entry.
+    fn remove_entry_by_other(&mut self, registry: &mut FakeRegistry) {
+        if registry.entry.take().is_some()
+            && std::mem::take(&mut registry.is_watched)
+            && self.is_connected
+        {
+            self.report_deleted();
+        }
+    }
+
     fn report_deleted(&mut self) {
         let path = PATH.to_owned();
         self.events.push_back(Event::Watch(WatchEvent {
@@ -324,14 +334,7 @@
                         session += 1;
                         node.expire(now, &mut registry, session);
                     }
-                    Action::RemoveEntry => {
-                        if registry.entry.take().is_some()
-                            && std::mem::take(&mut registry.is_watched)
-                            && node.is_connected
-                        {
-                            node.report_deleted();
-                        }
-                    }
+                    Action::RemoveEntry => node.remove_entry_by_other(&mut registry),
                     Action::Tick => node.registration.tick(now),
                     Action::ExecuteRequest => {
                         node.take_requests();
