--- a/crates/routing/tests/budget.rs
+++ b/crates/routing/tests/budget.rs
@@ -1,5 +1,5 @@
-//! A budget keeps its sums as its consumers change. What it grants is compared with a reference that walks all consumers for
-//! each answer, and the cost of a change is held against the number of consumers.
+//! A budget updates its sums incrementally. Its results are compared with those of a reference that computes each sum
+//! anew, and the cost of a change must not depend on the number of consumers.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -14,7 +14,7 @@
     is_removed: bool,
 }
 
-/// The same promises as [`Budget`], with every sum computed by a walk over all consumers.
+/// The rules of [`Budget`], with every sum computed over all consumers.
 struct ReferenceBudget {
     total: u64,
     consumers: Vec<ReferenceConsumer>,
@@ -50,73 +50,82 @@
         consumer.is_removed = true;
     }
 
-    fn release(&mut self, consumer: usize, n: u64) {
+    fn release(&mut self, consumer: usize, amount: u64) {
         let consumer = &mut self.consumers[consumer];
-        consumer.used = consumer.used.saturating_sub(n);
+        consumer.used = consumer.used.saturating_sub(amount);
     }
 
-    fn sum(&self, of: impl Fn(&ReferenceConsumer) -> u64) -> u64 {
-        self.consumers.iter().map(of).sum()
+    fn sum(&self, value: impl Fn(&ReferenceConsumer) -> u64) -> u64 {
+        self.consumers.iter().map(value).sum()
     }
 
     fn fair_share(&self, quota: Quota) -> u64 {
-        let reserved = self.sum(|p| p.quota.reserved);
-        let weights = self.sum(|p| u64::from(p.quota.weight)).max(1);
+        let reserved = self.sum(|consumer| consumer.quota.reserved);
+        let weights = self.sum(|consumer| u64::from(consumer.quota.weight)).max(1);
         quota.reserved + self.total.saturating_sub(reserved) * u64::from(quota.weight) / weights
     }
 
-    fn acquire(&mut self, now: f64, consumer: usize, n: u64) -> Result<(), QuotaExceeded> {
+    fn acquire(&mut self, now: f64, consumer: usize, amount: u64) -> Result<(), QuotaExceeded> {
         let ReferenceConsumer {
             quota,
-            used: before,
+            used: used_before,
             is_removed,
             ..
         } = self.consumers[consumer];
-        let used = before + n;
+        let used = used_before + amount;
         if used > quota.max || is_removed {
             return Err(QuotaExceeded::OwnLimit);
         }
-        let committed_by_others =
-            self.sum(|p| p.used.max(p.quota.reserved)) - before.max(quota.reserved);
+        let committed_by_others = self.sum(|consumer| consumer.used.max(consumer.quota.reserved))
+            - used_before.max(quota.reserved);
         let is_over_total = committed_by_others + used.max(quota.reserved) > self.total;
         let fair_share = self.fair_share(quota);
-        let claims = |p: &ReferenceConsumer| p.claimed_at.is_some_and(|at| now - at < CLAIM_TTL);
-        let is_claimed = self
-            .consumers
-            .iter()
-            .enumerate()
-            .any(|(n, p)| n != consumer && claims(p));
-        let taken = match used {
+        let is_claimed_by_other = self.is_claimed_by_other(now, consumer);
+        let result = match used {
             _ if used <= quota.reserved => Ok(()),
             _ if is_over_total => Err(QuotaExceeded::Exhausted),
-            _ if used > fair_share && is_claimed => Err(QuotaExceeded::ReservedForOthers),
+            _ if used > fair_share && is_claimed_by_other => Err(QuotaExceeded::ReservedForOthers),
             _ => Ok(()),
         };
         let consumer = &mut self.consumers[consumer];
-        match taken {
-            Ok(()) => (consumer.used, consumer.claimed_at) = (used, None),
+        match result {
+            Ok(()) => {
+                consumer.used = used;
+                consumer.claimed_at = None;
+            }
             Err(_) if used <= fair_share => consumer.claimed_at = Some(now),
             Err(_) => {}
         }
-        taken
+        result
+    }
+
+    /// Whether a consumer other than the given one has a valid claim.
+    fn is_claimed_by_other(&self, now: f64, consumer: usize) -> bool {
+        let mut others = self.consumers.iter().enumerate();
+        others.any(|(index, other)| {
+            let is_valid = other
+                .claimed_at
+                .is_some_and(|claimed_at| now - claimed_at < CLAIM_TTL);
+            index != consumer && is_valid
+        })
     }
 }
 
-/// One operation; consumers are picked among all that there have been, removed ones included.
+/// An operation; its consumer is picked among all that were added, removed ones included.
 #[derive(Clone, Debug)]
 enum Operation {
     Add(Quota),
     Set(usize, Quota),
     Remove(usize),
     SetTotal(u64),
-    Take(usize, u64),
-    Give(usize, u64),
+    Acquire(usize, u64),
+    Release(usize, u64),
 }
 
 fn quota() -> impl Strategy<Value = Quota> {
-    (0..8u64, 0..30u64, 0..4u32).prop_map(|(reserved, more, weight)| Quota {
+    (0..8u64, 0..30u64, 0..4u32).prop_map(|(reserved, unreserved, weight)| Quota {
         reserved,
-        max: reserved + more,
+        max: reserved + unreserved,
         weight,
     })
 }
@@ -124,93 +133,107 @@
 fn operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
         2 => quota().prop_map(Operation::Add),
-        1 => (any::<usize>(), quota()).prop_map(|(consumer, quota)| Operation::Set(consumer, quota)),
+        1 => (any::<usize>(), quota()).prop_map(|(pick, quota)| Operation::Set(pick, quota)),
         1 => any::<usize>().prop_map(Operation::Remove),
         1 => (0..80u64).prop_map(Operation::SetTotal),
-        8 => (any::<usize>(), 1..6u64).prop_map(|(consumer, n)| Operation::Take(consumer, n)),
-        5 => (any::<usize>(), 1..8u64).prop_map(|(consumer, n)| Operation::Give(consumer, n)),
+        8 => (any::<usize>(), 1..6u64).prop_map(|(pick, amount)| Operation::Acquire(pick, amount)),
+        5 => (any::<usize>(), 1..8u64).prop_map(|(pick, amount)| Operation::Release(pick, amount)),
     ]
 }
 
-/// A budget and its reference, side by side.
-struct Pair {
+/// A consumer of a budget and of its reference. The budget reuses the ids of removed consumers.
+#[derive(Clone, Copy)]
+struct ComparedConsumer {
+    budget: ConsumerId,
+    reference: usize,
+}
+
+/// A budget and its reference.
+struct ComparedBudget {
     budget: Budget,
     reference: ReferenceBudget,
-    /// The ids of each consumer in both. The budget reuses the id of one that is gone.
-    consumers: Vec<(ConsumerId, usize)>,
+    consumers: Vec<ComparedConsumer>,
 }
 
-impl Pair {
-    fn new(total: u64) -> Pair {
+impl ComparedBudget {
+    fn new(total: u64) -> ComparedBudget {
         let reference = ReferenceBudget {
             total,
             consumers: Vec::new(),
         };
-        Pair {
+        ComparedBudget {
             budget: Budget::new(total),
             reference,
             consumers: Vec::new(),
         }
     }
 
-    /// The consumer that a draw picks. One that is gone has no id of its own any more.
-    fn picked(&self, pick: usize) -> Option<(ConsumerId, usize)> {
-        let (budget, reference) = *self
-            .consumers
-            .get(pick.checked_rem(self.consumers.len())?)?;
-        let consumer = &self.reference.consumers[reference];
-        (!consumer.is_removed || consumer.used > 0).then_some((budget, reference))
+    /// The consumer that a random number selects, unless its id is no longer valid.
+    fn picked(&self, pick: usize) -> Option<ComparedConsumer> {
+        let index = pick.checked_rem(self.consumers.len())?;
+        let consumer = self.consumers[index];
+        self.has_valid_id(consumer).then_some(consumer)
+    }
+
+    /// Whether the budget has not released the id of the consumer.
+    fn has_valid_id(&self, consumer: ComparedConsumer) -> bool {
+        let consumer = &self.reference.consumers[consumer.reference];
+        !consumer.is_removed || consumer.used > 0
     }
 
     fn apply(&mut self, now: f64, operation: &Operation) -> Result<(), TestCaseError> {
         match *operation {
-            Operation::Add(quota) => self
-                .consumers
-                .push((self.budget.add(quota), self.reference.add(quota))),
+            Operation::Add(quota) => self.consumers.push(ComparedConsumer {
+                budget: self.budget.add(quota),
+                reference: self.reference.add(quota),
+            }),
             Operation::SetTotal(total) => {
                 self.budget.set_total(total);
                 self.reference.total = total;
             }
             Operation::Set(pick, quota) => {
-                let Some((budget, reference)) = self.picked(pick) else {
+                let Some(ComparedConsumer { budget, reference }) = self.picked(pick) else {
                     return Ok(());
                 };
                 self.budget.set(budget, quota);
                 self.reference.set(reference, quota);
             }
             Operation::Remove(pick) => {
-                let Some((budget, reference)) = self.picked(pick) else {
+                let Some(ComparedConsumer { budget, reference }) = self.picked(pick) else {
                     return Ok(());
                 };
                 self.budget.remove(budget);
                 self.reference.remove(reference);
             }
-            Operation::Take(pick, n) => {
-                let Some((budget, reference)) = self.picked(pick) else {
+            Operation::Acquire(pick, amount) => {
+                let Some(ComparedConsumer { budget, reference }) = self.picked(pick) else {
                     return Ok(());
                 };
                 prop_assert_eq!(
-                    self.budget.acquire(now, budget, n),
-                    self.reference.acquire(now, reference, n)
+                    self.budget.acquire(now, budget, amount),
+                    self.reference.acquire(now, reference, amount)
                 );
             }
-            Operation::Give(pick, n) => {
-                let Some((budget, reference)) = self.picked(pick) else {
+            Operation::Release(pick, amount) => {
+                let Some(ComparedConsumer { budget, reference }) = self.picked(pick) else {
                     return Ok(());
                 };
-                self.budget.release(budget, n);
-                self.reference.release(reference, n);
+                self.budget.release(budget, amount);
+                self.reference.release(reference, amount);
             }
         }
         Ok(())
     }
 
     fn compare(&self) -> Result<(), TestCaseError> {
-        prop_assert_eq!(self.budget.used_by_all(), self.reference.sum(|p| p.used));
-        for (budget, reference) in &self.consumers {
-            let consumer = &self.reference.consumers[*reference];
-            if !consumer.is_removed || consumer.used > 0 {
-                prop_assert_eq!(self.budget.used(*budget), consumer.used);
+        prop_assert_eq!(
+            self.budget.used_by_all(),
+            self.reference.sum(|consumer| consumer.used)
+        );
+        for consumer in &self.consumers {
+            if self.has_valid_id(*consumer) {
+                let expected = self.reference.consumers[consumer.reference].used;
+                prop_assert_eq!(self.budget.used(consumer.budget), expected);
             }
         }
         Ok(())
@@ -218,7 +241,7 @@
 }
 
 #[test]
-fn kept_sums_grant_what_a_walk_over_all_parties_grants() {
+fn budget_agrees_with_reference() {
     let operations = prop::collection::vec((0.0..0.4f64, operation()), 1..300);
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]);
     let config = Config {
@@ -228,29 +251,30 @@
     };
     TestRunner::new_with_rng(config, rng)
         .run(&(0..80u64, operations), |(total, operations)| {
-            let (mut pair, mut now) = (Pair::new(total), 0.0);
+            let mut compared = ComparedBudget::new(total);
+            let mut now = 0.0;
             for (after, operation) in &operations {
                 now += after;
-                pair.apply(now, operation)?;
-                pair.compare()?;
+                compared.apply(now, operation)?;
+                compared.compare()?;
             }
             Ok(())
         })
         .unwrap();
 }
 
-/// With so many consumers, a walk over all at each change takes minutes, and keeping the sums takes milliseconds.
+/// With this number of consumers, computing each sum anew takes minutes, and incremental updates take milliseconds.
 const MANY_CONSUMERS: usize = 100_000;
-/// Far from both.
+/// Far above the one and far below the other.
 const MAX_TIME: Duration = Duration::from_secs(15);
 
 #[test]
-fn the_cost_of_a_change_does_not_grow_with_the_number_of_parties() {
-    let begun = Instant::now();
+fn cost_of_a_change_is_independent_of_consumer_count() {
+    let started_at = Instant::now();
     let check_time = || {
         assert!(
-            begun.elapsed() < MAX_TIME,
-            "each change walks over all consumers"
+            started_at.elapsed() < MAX_TIME,
+            "the cost of a change depends on the number of consumers"
         )
     };
     let mut budget = Budget::new(u64::MAX);
--- a/crates/routing/tests/keep_alive.rs
+++ b/crates/routing/tests/keep_alive.rs
@@ -1,81 +1,131 @@
-//! Idle connections to servers that have few to give.
+//! The timeout of idle connections to servers that reject new ones.
 
 use reelfall_routing::keep_alive::KeepAlive;
 
+/// The configured timeout of idle connections, in seconds.
+const CONFIGURED_TIMEOUT: f64 = 8.0;
+/// The interval between two ticks, in seconds.
+const TICK_INTERVAL: f64 = 0.25;
+
 #[test]
-fn a_refusal_halves_the_keep_alive_once_a_look_and_quiet_gives_it_back() {
-    let mut keep = KeepAlive::new(8.0);
-    (0..100).for_each(|_| keep.record_rejection());
-    assert_eq!(keep.idle_timeout(), 8.0);
-    keep.tick(0.25);
-    assert_eq!(keep.idle_timeout(), 4.0);
+fn rejections_halve_the_timeout_once_a_tick_and_it_recovers() {
+    let mut keep_alive = KeepAlive::new(CONFIGURED_TIMEOUT);
+    (0..100).for_each(|_| keep_alive.record_rejection());
+    assert_eq!(keep_alive.idle_timeout(), CONFIGURED_TIMEOUT);
+    keep_alive.tick(TICK_INTERVAL);
+    assert_eq!(keep_alive.idle_timeout(), 4.0);
     for _ in 0..20 {
-        keep.record_rejection();
-        keep.tick(0.25);
+        keep_alive.record_rejection();
+        keep_alive.tick(TICK_INTERVAL);
     }
-    assert_eq!(keep.idle_timeout(), 0.5);
-    (0..80).for_each(|_| keep.tick(0.25));
-    assert_eq!(keep.idle_timeout(), 8.0);
+    assert_eq!(keep_alive.idle_timeout(), 0.5);
+    (0..80).for_each(|_| keep_alive.tick(TICK_INTERVAL));
+    assert_eq!(keep_alive.idle_timeout(), CONFIGURED_TIMEOUT);
+}
+
+/// The results of the second half of a simulation.
+#[derive(Debug, PartialEq, Eq)]
+struct ConnectionCounts {
+    rejected: usize,
+    opened: usize,
 }
 
-/// Nodes that each use a few servers often and all of them now and then; a server accepts so many connections.
-fn fleet(accepts: usize, adapts: bool) -> (usize, usize) {
-    const NODES: usize = 300;
-    const SERVERS: usize = 168;
-    let mut draw = 7_u64;
-    let mut random = move |n: usize| {
-        draw = draw
+const NODES: usize = 300;
+const SERVERS: usize = 168;
+const STEPS: u32 = 120;
+/// The step from which connections are counted.
+const FIRST_COUNTED_STEP: u32 = 60;
+const REQUESTS_PER_STEP: usize = 3;
+/// Servers that a node uses often.
+const FREQUENT_SERVERS: usize = 9;
+
+/// A linear congruential generator.
+struct SmallRng(u64);
+
+impl SmallRng {
+    fn below(&mut self, bound: usize) -> usize {
+        self.0 = self
+            .0
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        ((draw >> 33) as usize) % n
+        ((self.0 >> 33) as usize) % bound
+    }
+
+    /// The server of a request: in eight of ten cases one that the node uses often.
+    fn server_of(&mut self, node: usize) -> usize {
+        if self.below(10) < 8 {
+            (node * 7 + self.below(FREQUENT_SERVERS)) % SERVERS
+        } else {
+            self.below(SERVERS)
+        }
+    }
+}
+
+/// A node and its connections.
+struct Node {
+    keep_alive: KeepAlive,
+    /// For each server, when the connection to it was used last.
+    last_used: Vec<Option<f64>>,
+}
+
+/// Simulates nodes that each use a few servers often and all of them sometimes. A server accepts `max_connections`; the
+/// timeout of idle connections is the adaptive or the configured one.
+fn simulate(max_connections: usize, is_adaptive: bool) -> ConnectionCounts {
+    let mut rng = SmallRng(7);
+    let mut nodes: Vec<Node> = (0..NODES)
+        .map(|_| Node {
+            keep_alive: KeepAlive::new(CONFIGURED_TIMEOUT),
+            last_used: vec![None; SERVERS],
+        })
+        .collect();
+    let mut open_connections = vec![0; SERVERS];
+    let mut counts = ConnectionCounts {
+        rejected: 0,
+        opened: 0,
     };
-    let mut keeps = vec![KeepAlive::new(8.0); NODES];
-    // When each node's connection to each server was used last.
-    let mut used: Vec<Vec<Option<f64>>> = vec![vec![None; SERVERS]; NODES];
-    let mut open = vec![0; SERVERS];
-    let (mut refused, mut opened) = (0, 0);
-    for step in 0..120 {
-        let now = f64::from(step) * 0.25;
-        for node in 0..NODES {
-            keeps[node].tick(0.25);
-            let keep = if adapts {
-                keeps[node].idle_timeout()
+    for step in 0..STEPS {
+        let now = f64::from(step) * TICK_INTERVAL;
+        let is_counted = step >= FIRST_COUNTED_STEP;
+        for (index, node) in nodes.iter_mut().enumerate() {
+            node.keep_alive.tick(TICK_INTERVAL);
+            let timeout = if is_adaptive {
+                node.keep_alive.idle_timeout()
             } else {
-                8.0
+                CONFIGURED_TIMEOUT
             };
-            for (server, last) in used[node].iter_mut().enumerate() {
-                if last.is_some_and(|last| now - last >= keep) {
-                    (*last, open[server]) = (None, open[server] - 1);
+            for (server, last_used) in node.last_used.iter_mut().enumerate() {
+                if last_used.is_some_and(|last_used| now - last_used >= timeout) {
+                    *last_used = None;
+                    open_connections[server] -= 1;
                 }
             }
-            for _ in 0..3 {
-                let server = if random(10) < 8 {
-                    (node * 7 + random(9)) % SERVERS
-                } else {
-                    random(SERVERS)
-                };
-                if used[node][server].is_none() {
-                    if open[server] >= accepts {
-                        keeps[node].record_rejection();
-                        refused += usize::from(step >= 60);
+            for _ in 0..REQUESTS_PER_STEP {
+                let server = rng.server_of(index);
+                if node.last_used[server].is_none() {
+                    if open_connections[server] >= max_connections {
+                        node.keep_alive.record_rejection();
+                        counts.rejected += usize::from(is_counted);
                         continue;
                     }
-                    open[server] += 1;
-                    opened += usize::from(step >= 60);
+                    open_connections[server] += 1;
+                    counts.opened += usize::from(is_counted);
                 }
-                used[node][server] = Some(now);
+                node.last_used[server] = Some(now);
             }
         }
     }
-    (refused, opened)
+    counts
 }
 
 #[test]
-fn a_fleet_leaves_room_at_servers_that_accept_few() {
-    let (without, _) = fleet(30, false);
-    let (with, _) = fleet(30, true);
-    assert!(without > 2_000, "{without} refused");
-    assert!(2 * with < without, "{with} refused, {without} without");
-    // Where there is room, nothing changes.
-    assert_eq!(fleet(300, true), fleet(300, false));
+fn adaptive_timeouts_reduce_rejections_at_saturated_servers() {
+    let configured = simulate(30, false).rejected;
+    let adaptive = simulate(30, true).rejected;
+    assert!(configured > 2_000, "{configured} rejected");
+    assert!(
+        2 * adaptive < configured,
+        "{adaptive} rejected, {configured} without adaptation"
+    );
+    // Servers that are not saturated see no difference.
+    assert_eq!(simulate(300, true), simulate(300, false));
 }
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table against a naive reference, on random tables and requests.
+//! The route table, compared with a reference on random routes and requests.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -6,79 +6,111 @@
     parse_prefix, AmbiguousRoutes, Host, PatternError, RouteConditions, RouteQuery, RouteTable,
 };
 
-/// The rules of precedence, read off their text: everything stated must match, and the parts are compared in order.
-fn naive(routes: &[RouteConditions], q: &RouteQuery) -> Option<usize> {
-    let fits = |m: &RouteConditions| {
-        let host = match &m.host {
-            Host::Any => true,
-            Host::Exact(name) => **name == *q.host,
-            Host::Below(name) => {
-                q.host.len() > name.len() + 1 && q.host.ends_with(&format!(".{name}"))
-            }
-        };
-        let path = q
-            .path
-            .split('/')
-            .collect::<Vec<_>>()
-            .starts_with(&m.path.split('/').collect::<Vec<_>>());
-        let listener = m.listener.is_none_or(|l| l == q.listener);
-        let method = m.methods.is_empty() || m.methods.iter().any(|x| **x == *q.method);
-        host && path && listener && method && m.class.as_deref().is_none_or(|c| Some(c) == q.class)
-    };
-    let rank = |m: &RouteConditions| {
-        let host = match &m.host {
-            Host::Any => (0, 0),
-            Host::Below(name) => (1, name.len()),
-            Host::Exact(_) => (2, 0),
-        };
-        let path = if m.path.is_empty() {
-            0
-        } else {
-            m.path.matches('/').count()
-        };
-        (
-            m.listener.is_some(),
-            host,
-            path,
-            !m.methods.is_empty(),
-            m.class.is_some(),
-        )
-    };
+/// The route that the rules of precedence select: every stated condition must match, and of several matching routes the one
+/// of the highest rank is selected.
+fn reference_find(routes: &[RouteConditions], query: &RouteQuery) -> Option<usize> {
     (0..routes.len())
-        .filter(|n| fits(&routes[*n]))
-        .max_by_key(|n| rank(&routes[*n]))
+        .filter(|index| matches(&routes[*index], query))
+        .max_by_key(|index| Rank::of(&routes[*index]))
+}
+
+fn matches(route: &RouteConditions, query: &RouteQuery) -> bool {
+    let host = match &route.host {
+        Host::Any => true,
+        Host::Exact(name) => **name == *query.host,
+        Host::Below(name) => {
+            query.host.len() > name.len() + 1 && query.host.ends_with(&format!(".{name}"))
+        }
+    };
+    let segments: Vec<&str> = query.path.split('/').collect();
+    let prefix: Vec<&str> = route.path.split('/').collect();
+    let path = segments.starts_with(&prefix);
+    let listener = route
+        .listener
+        .is_none_or(|listener| listener == query.listener);
+    let method = route.methods.is_empty() || has_method(route, query.method);
+    let class = route.class.is_none() || route.class.as_deref() == query.class;
+    host && path && listener && method && class
+}
+
+fn has_method(route: &RouteConditions, method: &str) -> bool {
+    route.methods.iter().any(|allowed| **allowed == *method)
+}
+
+/// The precedence of a route; fields are compared in order.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Rank {
+    has_listener: bool,
+    host: HostRank,
+    path_segments: usize,
+    has_methods: bool,
+    has_class: bool,
 }
 
-fn alike(a: &RouteConditions, b: &RouteConditions) -> bool {
-    let methods = match (a.methods.is_empty(), b.methods.is_empty()) {
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+enum HostRank {
+    Any,
+    Below { length: usize },
+    Exact,
+}
+
+impl Rank {
+    fn of(route: &RouteConditions) -> Rank {
+        Rank {
+            has_listener: route.listener.is_some(),
+            host: match &route.host {
+                Host::Any => HostRank::Any,
+                Host::Below(name) => HostRank::Below { length: name.len() },
+                Host::Exact(_) => HostRank::Exact,
+            },
+            path_segments: route.path.matches('/').count(),
+            has_methods: !route.methods.is_empty(),
+            has_class: route.class.is_some(),
+        }
+    }
+}
+
+/// Whether a request can match both routes with the same precedence.
+fn is_ambiguous(first: &RouteConditions, second: &RouteConditions) -> bool {
+    let methods = match (first.methods.is_empty(), second.methods.is_empty()) {
         (true, true) => true,
-        (false, false) => a.methods.iter().any(|m| b.methods.contains(m)),
+        (false, false) => first
+            .methods
+            .iter()
+            .any(|method| second.methods.contains(method)),
         _ => false,
     };
     methods
-        && a.listener == b.listener
-        && a.host == b.host
-        && a.path == b.path
-        && a.class == b.class
+        && first.listener == second.listener
+        && first.host == second.host
+        && first.path == second.path
+        && first.class == second.class
+}
+
+/// Whether the route at `index` is ambiguous with an earlier one.
+fn is_ambiguous_with_earlier(routes: &[RouteConditions], index: usize) -> bool {
+    let mut earlier = routes[..index].iter();
+    earlier.any(|earlier| is_ambiguous(earlier, &routes[index]))
 }
 
 fn label() -> impl Strategy<Value = &'static str> {
     prop_oneof![Just("a"), Just("b"), Just("aa")]
 }
 
-fn name() -> impl Strategy<Value = String> {
-    prop::collection::vec(label(), 1..4).prop_map(|l| l.join("."))
+fn host_name() -> impl Strategy<Value = String> {
+    prop::collection::vec(label(), 1..4).prop_map(|labels| labels.join("."))
 }
 
-fn path(most: usize) -> impl Strategy<Value = String> {
-    prop::collection::vec(label(), 0..most).prop_map(|l| format!("/{}", l.join("/")))
+fn path(max_segments: usize) -> impl Strategy<Value = String> {
+    prop::collection::vec(label(), 0..max_segments)
+        .prop_map(|segments| format!("/{}", segments.join("/")))
 }
 
-fn route() -> impl Strategy<Value = RouteConditions> {
+fn random_route() -> impl Strategy<Value = RouteConditions> {
     let host = prop_oneof![
         1 => Just("*".to_owned()),
-        2 => name(),
-        2 => name().prop_map(|n| format!("*.{n}")),
+        2 => host_name(),
+        2 => host_name().prop_map(|name| format!("*.{name}")),
     ];
     let methods = prop::sample::subsequence(vec!["GET", "POST"], 0..=2);
     let class = prop::option::of(prop_oneof![Just("x"), Just("y")]);
@@ -94,11 +126,11 @@
 }
 
 #[test]
-fn the_table_finds_what_the_rules_say() {
+fn table_agrees_with_reference() {
     let queries = prop::collection::vec(
         (
             0..3u16,
-            name(),
+            host_name(),
             path(40),
             prop_oneof![Just("GET"), Just("POST"), Just("PUT")],
             prop::option::of(prop_oneof![Just("x"), Just("y"), Just("z")]),
@@ -113,54 +145,59 @@
     };
     let mut found = 0;
     TestRunner::new_with_rng(config, rng).run_one_by_one(
-        &(prop::collection::vec(route(), 0..30), queries),
+        &(prop::collection::vec(random_route(), 0..30), queries),
         |(routes, queries)| {
-            let first = (0..routes.len()).find_map(|n| {
-                (0..n)
-                    .find(|m| alike(&routes[*m], &routes[n]))
-                    .map(|m| (m, n))
-            });
-            let table = RouteTable::new(&routes);
-            // One pair is named; it is a pair that can't be told apart, and none is overlooked.
-            let routes: Vec<RouteConditions> = match (table, first) {
-                (Err(AmbiguousRoutes { first, second }), Some((_, n))) => {
-                    assert!(
-                        alike(&routes[first], &routes[second]),
-                        "{} and {}",
-                        routes[first],
-                        routes[second]
-                    );
-                    assert_eq!(second, n);
-                    let alone = |n: &usize| !(0..*n).any(|m| alike(&routes[m], &routes[*n]));
-                    (0..routes.len())
-                        .filter(alone)
-                        .map(|n| routes[n].clone())
-                        .collect()
-                }
-                (Ok(_), None) => routes,
-                (table, first) => panic!("{table:?} where {first:?} are alike"),
-            };
-            let table = RouteTable::new(&routes).expect("no two are alike");
+            let routes = unambiguous_routes(routes);
+            let table = RouteTable::new(&routes).expect("no two routes are ambiguous");
             for (listener, host, path, method, class) in &queries {
-                let q = RouteQuery {
+                let query = RouteQuery {
                     listener: *listener,
                     host,
                     path,
                     method,
                     class: *class,
                 };
-                assert_eq!(table.find(&q), naive(&routes, &q), "{q:?} in {routes:?}");
-                found += usize::from(table.find(&q).is_some());
+                assert_eq!(
+                    table.find(&query),
+                    reference_find(&routes, &query),
+                    "{query:?} in {routes:?}"
+                );
+                found += usize::from(table.find(&query).is_some());
             }
         },
     );
     assert!(
         found > 1000,
-        "too few of the requests match anything: {found}"
+        "too few of the requests match a route: {found}"
     );
 }
 
-/// Runs a test over values drawn from a strategy, in order and without shrinking closures that count.
+/// The routes without those that are ambiguous with an earlier one. Checks that the table reports the first of these.
+fn unambiguous_routes(routes: Vec<RouteConditions>) -> Vec<RouteConditions> {
+    let first_ambiguous =
+        (0..routes.len()).find(|index| is_ambiguous_with_earlier(&routes, *index));
+    match (RouteTable::new(&routes), first_ambiguous) {
+        (Err(AmbiguousRoutes { first, second }), Some(expected)) => {
+            assert!(
+                is_ambiguous(&routes[first], &routes[second]),
+                "{} and {}",
+                routes[first],
+                routes[second]
+            );
+            assert_eq!(second, expected);
+            (0..routes.len())
+                .filter(|index| !is_ambiguous_with_earlier(&routes, *index))
+                .map(|index| routes[index].clone())
+                .collect()
+        }
+        (Ok(_), None) => routes,
+        (table, first_ambiguous) => {
+            panic!("{table:?} where the first ambiguous route is {first_ambiguous:?}")
+        }
+    }
+}
+
+/// Runs a test on random values in order and without shrinking, so that its closure can count.
 trait OneByOne {
     fn run_one_by_one<S: Strategy>(self, strategy: &S, test: impl FnMut(S::Value));
 }
@@ -174,7 +211,8 @@
     }
 }
 
-fn one(host: &str, path: &str) -> RouteConditions {
+/// A route with conditions on host and path only.
+fn route(host: &str, path: &str) -> RouteConditions {
     RouteConditions {
         host: Host::parse(host).unwrap(),
         path: parse_prefix(path).unwrap(),
@@ -183,10 +221,10 @@
 }
 
 #[test]
-fn prefixes_end_on_segment_borders_and_a_slash_at_the_end_changes_nothing() {
-    let routes = [one("a", "/api"), one("a", "/api/v1/"), one("a", "/")];
+fn prefixes_match_complete_segments_and_ignore_trailing_slashes() {
+    let routes = [route("a", "/api"), route("a", "/api/v1/"), route("a", "/")];
     let table = RouteTable::new(&routes).unwrap();
-    let at = |path| {
+    let find = |path| {
         table.find(&RouteQuery {
             listener: 0,
             host: "a",
@@ -195,14 +233,14 @@
             class: None,
         })
     };
-    assert_eq!(at("/api"), Some(0));
-    assert_eq!(at("/api/"), Some(0));
-    assert_eq!(at("/apis"), Some(2));
-    assert_eq!(at("/api/v1"), Some(1));
-    assert_eq!(at("/api/v10"), Some(0));
-    assert_eq!(at("/"), Some(2));
+    assert_eq!(find("/api"), Some(0));
+    assert_eq!(find("/api/"), Some(0));
+    assert_eq!(find("/apis"), Some(2));
+    assert_eq!(find("/api/v1"), Some(1));
+    assert_eq!(find("/api/v10"), Some(0));
+    assert_eq!(find("/"), Some(2));
     assert_eq!(
-        RouteTable::new(&[one("a", "/x"), one("a", "/x/")]).unwrap_err(),
+        RouteTable::new(&[route("a", "/x"), route("a", "/x/")]).unwrap_err(),
         AmbiguousRoutes {
             first: 0,
             second: 1
@@ -211,34 +249,34 @@
 }
 
 #[test]
-fn a_path_of_thousands_of_segments_costs_no_more_than_the_longest_prefix() {
-    let table = RouteTable::new(&[one("a", "/x/x")]).unwrap();
-    let long = "/x".repeat(4_000);
-    let q = RouteQuery {
+fn lookup_cost_is_bounded_by_the_longest_prefix() {
+    let table = RouteTable::new(&[route("a", "/x/x")]).unwrap();
+    let long_path = "/x".repeat(4_000);
+    let query = RouteQuery {
         listener: 0,
         host: "a",
-        path: &long,
+        path: &long_path,
         method: "GET",
         class: None,
     };
-    // Were each prefix looked up, these would hash some 3 TB.
+    // A lookup of every prefix would hash about 3 TB.
     for _ in 0..100_000 {
-        assert_eq!(table.find(&q), Some(0));
+        assert_eq!(table.find(&query), Some(0));
     }
 }
 
 #[test]
-fn patterns_that_no_request_could_match_are_refused() {
-    for bad in [
+fn patterns_that_match_no_request_are_rejected() {
+    for invalid in [
         "", "a b", "*.", "*a", "a.*", "a:80", "a.", "**", "*.*", "http://a",
     ] {
-        assert_eq!(Host::parse(bad), Err(PatternError::Host), "{bad}");
+        assert_eq!(Host::parse(invalid), Err(PatternError::Host), "{invalid}");
     }
     assert_eq!(
         Host::parse("*.Example.ORG"),
         Ok(Host::Below("example.org".into()))
     );
-    for bad in ["", "api", "/a//b", "/../a", "/%61", "/a b", "/a%2fb"] {
-        assert_eq!(parse_prefix(bad), Err(PatternError::Path), "{bad}");
+    for invalid in ["", "api", "/a//b", "/../a", "/%61", "/a b", "/a%2fb"] {
+        assert_eq!(parse_prefix(invalid), Err(PatternError::Path), "{invalid}");
     }
 }
