--- a/crates/graphql/tests/decode.rs
+++ b/crates/graphql/tests/decode.rs
@@ -2,17 +2,17 @@
 
 use reelfall_graphql::decode::{parse_body, parse_query, DecodedRequest, Params};
 use reelfall_graphql::media::{check_body, negotiate, status, Media};
-use reelfall_graphql::{GraphQlErrorKind, Limits};
+use reelfall_graphql::{GraphQlError, GraphQlErrorKind, Limits};
 
 /// The depth of values that a parser with a stack frame for each level could not read.
 const NESTING: usize = 100_000;
 
-/// Decodes a body of one request, or returns the message of its error.
-fn decode_single(text: &str) -> Result<Params, String> {
+/// Decodes a body of one request.
+fn decode_single(text: &str) -> Result<Params, GraphQlError> {
     match parse_body(text.as_bytes(), &Limits::default()) {
         Ok(DecodedRequest::Single(params)) => Ok(params),
         Ok(DecodedRequest::Batch(_)) => panic!("a batch"),
-        Err(error) => Err(error.message),
+        Err(error) => Err(error),
     }
 }
 
@@ -80,7 +80,7 @@
             "the body begins with a byte order mark",
         ),
     ] {
-        let message = decode_single(text).unwrap_err();
+        let message = decode_single(text).unwrap_err().message;
         assert!(
             message.contains(expected),
             "{message} instead of {expected} for {text}"
