--- a/crates/capacity/tests/mechanism.rs
+++ b/crates/capacity/tests/mechanism.rs
@@ -25,7 +25,7 @@
 /// The result of a distribution run that is far within all budgets.
 fn small_result(judged_by: JudgedBy) -> Played {
     Played {
-        title: "a play".to_owned(),
+        title: "a distribution".to_owned(),
         judged_by,
         caught_up: None,
         peak_bytes_10s: 1_000.0,
@@ -156,11 +156,11 @@
     };
     let other = run(Some(times(99.0)), 7.0);
     let table = distribution_runs(vec![other, shown]).table();
-    let row = "| a play | 6,000 | 3, 15, 30 | - | 100 | 160 | 0 % | \
+    let row = "| a distribution | 6,000 | 3, 15, 30 | - | 100 | 160 | 0 % | \
                **does not fit**: 2 times over 15 s, 2 times over 80 kB in 10 s |";
     let rows: Vec<&str> = table
         .lines()
-        .filter(|line| line.starts_with("| a play"))
+        .filter(|line| line.starts_with("| a distribution"))
         .collect();
     assert_eq!(rows, [row]);
     assert_eq!(
--- a/crates/capacity/tests/scale/computation.rs
+++ b/crates/capacity/tests/scale/computation.rs
@@ -21,11 +21,11 @@
 #[test]
 fn empty_or_invalid_settings_are_rejected() {
     let error = computation::read_settings("")
-        .expect_err("none")
+        .expect_err("an error")
         .to_string();
     assert!(error.contains("no generator"), "{error}");
     let error = computation::read_settings("[process]\nnodes = 0\n")
-        .expect_err("refused")
+        .expect_err("an error")
         .to_string();
     assert!(
         error.contains("refused") && error.contains("mistakes"),
