--- a/crates/lease-store/tests/crash.rs
+++ b/crates/lease-store/tests/crash.rs
@@ -111,7 +111,7 @@
         bytes,
         ends,
         states,
-    } = write_file(&Folder::new("cut"), 40);
+    } = write_file(&Folder::new("truncated"), 40);
     for length in 0..=bytes.len() {
         let complete_writes = ends.iter().rposition(|end| *end <= length).unwrap_or(0);
         let contents = decode(&bytes[..length]).unwrap();
@@ -126,7 +126,7 @@
 
 #[test]
 fn writing_continues_after_a_torn_write() {
-    let folder = Folder::new("goes-on");
+    let folder = Folder::new("torn");
     let WrittenFile { bytes, states, .. } = write_file(&folder, 6);
     std::fs::write(folder.0.join(FILE), &bytes[..bytes.len() - 3]).unwrap();
     let (mut store, mut state) = Store::open(&folder.0).unwrap();
