--- a/crates/testbed/tests/cluster/bans.rs
+++ b/crates/testbed/tests/cluster/bans.rs
@@ -1,8 +1,8 @@
 //! Manual bans: how they spread, expire and are lifted, with and without partitions.
 
 use crate::fleets::{
-    attempt_count, command, late_attempts, none_broken, quickly_warmed, rest, start, turn,
-    wait_until_attempted, wait_until_explained, SECOND,
+    assert_no_violations, attempt_count, late_attempts, quickly_warmed, reserve_fleet, run_command,
+    run_for, start, wait_until_attempted, wait_until_explained, SECOND,
 };
 use reelfall_testbed::fleet::{invariants, queries, server_name, FleetSpec, ManagementResponse};
 use std::time::Duration;
@@ -12,13 +12,13 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn ban_and_lift_reach_all_nodes() {
-    let _turn = turn().await;
+    let _reservation = reserve_fleet().await;
     let fleet = start(FleetSpec::default()).await;
     let load = fleet.start_load(60.0, 0.3, 1);
     wait_until_attempted(&fleet, 2, &ALL).await;
     fleet.ban_server(0, 2, None).await.unwrap();
     let since = fleet.history.now();
-    rest(3.0).await;
+    run_for(3.0).await;
     assert_eq!(
         late_attempts(&fleet, 2, since, &ALL),
         [],
@@ -32,17 +32,17 @@
     assert_eq!(status, 200);
     assert!(body.contains("s2: out by hand, for 604"), "{body}");
     assert!(body.contains("s2: out by operator, call 1 at n0"), "{body}");
-    let explanation = command(&fleet, 4, &["fleet", "explain", "s2"]).await;
+    let explanation = run_command(&fleet, 4, &["fleet", "explain", "s2"]).await;
     assert!(explanation.contains("s2: out by operator"), "{explanation}");
-    let members = command(&fleet, 4, &["fleet", "members"]).await;
+    let members = run_command(&fleet, 4, &["fleet", "members"]).await;
     assert!(
         ["n0 at", "n4 at"].iter().all(|node| members.contains(node)),
         "{members}"
     );
     // A server that is disabled at one node alone.
-    command(&fleet, 1, &["disable", "s5"]).await;
+    run_command(&fleet, 1, &["disable", "s5"]).await;
     let since = fleet.history.now();
-    rest(2.5).await;
+    run_for(2.5).await;
     assert_eq!(
         late_attempts(&fleet, 5, since, &[1]),
         [],
@@ -52,17 +52,17 @@
         !late_attempts(&fleet, 5, since, &[0, 2, 3, 4]).is_empty(),
         "disabled at one node, and avoided by all"
     );
-    command(&fleet, 1, &["enable", "s5"]).await;
+    run_command(&fleet, 1, &["enable", "s5"]).await;
     // Lifted by way of another node.
     fleet.lift_ban(3, 2).await.unwrap();
     wait_until_attempted(&fleet, 2, &ALL).await;
     load.stop().await;
-    none_broken(&fleet);
+    assert_no_violations(&fleet);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn ban_expires_on_both_sides_of_a_partition_and_spreads_after_it() {
-    let _turn = turn().await;
+    let _reservation = reserve_fleet().await;
     let fleet = start(quickly_warmed()).await;
     let load = fleet.start_load(60.0, 0.2, 2);
     let (side_a, side_b) = ([0, 1], [2, 3, 4]);
@@ -72,7 +72,7 @@
     wait_until_explained(&fleet, "s0", "s0: out by hand").await;
     fleet.network().partition(&side_a, &side_b, true);
     fleet.ban_server(0, 1, None).await.unwrap();
-    rest(2.0).await;
+    run_for(2.0).await;
     let events = fleet.history.events();
     let recent_attempts = queries::attempts(
         &events,
@@ -121,12 +121,12 @@
         "{propagation_time:?}"
     );
     load.stop().await;
-    none_broken(&fleet);
+    assert_no_violations(&fleet);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn ban_renewed_during_a_partition_outlives_a_concurrent_lift() {
-    let _turn = turn().await;
+    let _reservation = reserve_fleet().await;
     let fleet = start(quickly_warmed()).await;
     let load = fleet.start_load(40.0, 0.2, 30);
     let (side_a, side_b) = ([0, 1, 2], [3, 4]);
@@ -141,7 +141,7 @@
     fleet.ban_server(4, 0, None).await.unwrap();
     wait_until_attempted(&fleet, 0, &side_a).await;
     let since = fleet.history.now();
-    rest(1.5).await;
+    run_for(1.5).await;
     assert_eq!(
         attempt_count(&fleet, 0, since, &side_b) + attempt_count(&fleet, 1, since, &side_b),
         0,
@@ -153,7 +153,7 @@
     wait_until_explained(&fleet, "s1", "s1: not out by hand").await;
     let since = fleet.history.now();
     wait_until_attempted(&fleet, 1, &ALL).await;
-    rest(2.0).await;
+    run_for(2.0).await;
     assert_eq!(
         late_attempts(&fleet, 0, since, &ALL),
         [],
@@ -162,5 +162,5 @@
     fleet.lift_ban(2, 0).await.unwrap();
     wait_until_attempted(&fleet, 0, &ALL).await;
     load.stop().await;
-    none_broken(&fleet);
+    assert_no_violations(&fleet);
 }
--- a/crates/testbed/tests/cluster/ejection.rs
+++ b/crates/testbed/tests/cluster/ejection.rs
@@ -1,8 +1,8 @@
 //! Outlier ejection by a quorum of nodes: how soon it applies at all nodes, how many servers it covers, and readmission.
 
 use crate::fleets::{
-    attempt_count, none_broken, quickly_warmed, rest, start, turn, wait_until_attempted,
-    wait_until_ejected, wait_until_explained, SECOND,
+    assert_no_violations, attempt_count, quickly_warmed, reserve_fleet, run_for, start,
+    wait_until_attempted, wait_until_ejected, wait_until_explained, SECOND,
 };
 use reelfall_cluster::quorum::Quorum;
 use reelfall_testbed::fleet::history::{Event, TimedEvent};
@@ -25,7 +25,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn server_ejected_by_a_quorum_is_avoided_by_nodes_without_traffic() {
-    let _turn = turn().await;
+    let _reservation = reserve_fleet().await;
     // The prober of the server does not change during the test, and it is none of the idle nodes.
     let fleet_settings = Some("verdicts = { trial_every = \"60s\" }".to_owned());
     let node_names = names_that_never_probe(6, &IDLE, &[0]);
@@ -52,7 +52,7 @@
     let since = fleet.history.now();
     let load_at_idle = fleet.start_load_at(&IDLE, 100.0, 0.2, 5);
     wait_until_attempted(&fleet, 1, &IDLE).await;
-    rest(1.0).await;
+    run_for(1.0).await;
     let attempts = queries::attempts(&fleet.history.events(), 0, since, Duration::MAX, &IDLE);
     assert_eq!(
         attempts,
@@ -70,14 +70,14 @@
     wait_until_attempted(&fleet, 0, &BUSY).await;
     load.stop().await;
     more_load.stop().await;
-    none_broken(&fleet);
+    assert_no_violations(&fleet);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn ejection_is_limited_when_most_servers_fail() {
     const ALL_NODES: [usize; 6] = [0, 1, 2, 3, 4, 5];
     const SERVER_COUNT: usize = 8;
-    let _turn = turn().await;
+    let _reservation = reserve_fleet().await;
     let mut fleet = start(FleetSpec {
         node_count: ALL_NODES.len(),
         server_count: SERVER_COUNT,
@@ -85,7 +85,7 @@
     })
     .await;
     let load = fleet.start_load(50.0, 0.0, 24);
-    rest(2.0).await;
+    run_for(2.0).await;
     // Two of eight fail. At most a fifth of the list is ejected, in all services together: one.
     let first_event = fleet.history.len();
     set_failures(&mut fleet, 0..2, 1.0).await;
@@ -96,7 +96,7 @@
         .wait_for(first_event, is_ejection)
         .await
         .unwrap();
-    rest(2.5).await;
+    run_for(2.5).await;
     let maximum = ALL_NODES
         .iter()
         .map(|node| max_concurrent_ejections(&fleet, first_event, *node))
@@ -104,9 +104,9 @@
     assert_eq!(maximum, Some(1), "{}", fleet.history.tail(30));
     // All fail: most of them still get attempts.
     set_failures(&mut fleet, 0..SERVER_COUNT, 1.0).await;
-    rest(1.5).await;
+    run_for(1.5).await;
     let since = fleet.history.now();
-    rest(2.0).await;
+    run_for(2.0).await;
     let attempts: Vec<usize> = (0..SERVER_COUNT)
         .map(|server| attempt_count(&fleet, server, since, &ALL_NODES))
         .collect();
@@ -114,19 +114,19 @@
     assert!(admitted >= 6, "{attempts:?}");
     // All respond again: within three seconds requests are served.
     set_failures(&mut fleet, 0..SERVER_COUNT, 0.0).await;
-    rest(3.0).await;
+    run_for(3.0).await;
     let since = fleet.history.now();
-    rest(3.0).await;
+    run_for(3.0).await;
     load.stop().await;
     let queries::ServedRatio { ratio, requests } =
         queries::served_ratio(&fleet.history.events(), since, since + 2 * SECOND);
     assert!(ratio > 0.9, "{ratio} of {requests}");
-    none_broken(&fleet);
+    assert_no_violations(&fleet);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn paused_server_is_ejected_early_and_readmitted_when_it_responds() {
-    let _turn = turn().await;
+    let _reservation = reserve_fleet().await;
     let fleet_settings = Some("verdicts = { trial_every = \"60s\", lasts = \"60s\" }".to_owned());
     let mut fleet = start(FleetSpec {
         node_count: 6,
@@ -167,7 +167,7 @@
     wait_until_attempted(&fleet, 0, &[0, 1, 2, 3, 4, 5]).await;
     load.stop().await;
     load_at_idle.stop().await;
-    none_broken(&fleet);
+    assert_no_violations(&fleet);
 }
 
 async fn set_failures(fleet: &mut TestFleet, servers: std::ops::Range<usize>, ratio: f64) {
--- a/crates/testbed/tests/cluster/endpoint_lists.rs
+++ b/crates/testbed/tests/cluster/endpoint_lists.rs
@@ -1,8 +1,8 @@
 //! Verdicts and bans while the nodes have different versions of the endpoint list.
 
 use crate::fleets::{
-    attempt_count, none_broken, quickly_warmed, rest, start, turn, wait_until_attempted,
-    wait_until_ejected, wait_until_errors_reported, wait_until_explained,
+    assert_no_violations, attempt_count, quickly_warmed, reserve_fleet, run_for, start,
+    wait_until_attempted, wait_until_ejected, wait_until_errors_reported, wait_until_explained,
 };
 use reelfall_testbed::discovery::{ListedServer, ServerStatus};
 use reelfall_testbed::fleet::history::{Event, TimedEvent};
@@ -20,7 +20,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn verdicts_and_bans_hold_while_endpoint_lists_disagree() {
-    let _turn = turn().await;
+    let _reservation = reserve_fleet().await;
     let fleet_settings = Some("verdicts = { trial_every = \"60s\", lasts = \"60s\" }".to_owned());
     // Nobody probes the server: a successful probe takes back one of the three reports that eject it.
     let node_names = names_that_never_probe(ALL_NODES.len(), &ALL_NODES, &[0]);
@@ -36,7 +36,7 @@
     // A server is replaced under its name and address. The first list has the new one, which fails.
     let replacement = restarted_server(&fleet, 0, ServerStatus::Active);
     fleet.discoveries[0].update(std::slice::from_ref(&replacement));
-    rest(0.5).await;
+    run_for(0.5).await;
     let is_lag = |event: &Event| matches!(event, Event::Logged { node: 1, line } if line.contains("has index 1 here and 2 at other nodes"));
     fleet.history.wait_for(0, is_lag).await.unwrap();
     fleet.servers[0].update_behavior(|behavior| behavior.error_ratio = 1.0);
@@ -51,7 +51,7 @@
     wait_until_attempted(&fleet, 0, &BEHIND).await;
     // The second list catches up: the verdict holds at once, also at a node that has seen no failure.
     fleet.discoveries[1].update(&[replacement]);
-    rest(1.0).await;
+    run_for(1.0).await;
     let since = fleet.history.now();
     let load_at_idle = fleet.start_load_at(&[IDLE], 40.0, 0.2, 29);
     wait_until_attempted(&fleet, 1, &[IDLE]).await;
@@ -65,10 +65,10 @@
 
     // A banned server stays banned when a list has it anew.
     fleet.ban_server(0, 1, None).await.unwrap();
-    rest(1.5).await;
+    run_for(1.5).await;
     let since = fleet.history.now();
     fleet.discoveries[1].update(&[restarted_server(&fleet, 1, ServerStatus::Active)]);
-    rest(6.0).await;
+    run_for(6.0).await;
     assert_eq!(
         attempt_count(&fleet, 1, since, &ALL_NODES),
         0,
@@ -76,10 +76,10 @@
     );
     // A server that drains by a list drains for the nodes of that list; lifting a ban does not readmit it.
     fleet.discoveries[0].update(&[restarted_server(&fleet, 2, ServerStatus::Draining)]);
-    rest(0.6).await;
+    run_for(0.6).await;
     fleet.lift_ban(1, 2).await.unwrap();
     let since = fleet.history.now();
-    rest(6.0).await;
+    run_for(6.0).await;
     assert_eq!(
         attempt_count(&fleet, 2, since, &AHEAD),
         0,
@@ -92,7 +92,7 @@
     for load in [load, load_behind, load_at_idle] {
         load.stop().await;
     }
-    none_broken(&fleet);
+    assert_no_violations(&fleet);
 }
 
 /// Waits until clients have sent a number of requests to a node since a moment.
--- a/crates/testbed/tests/cluster/membership.rs
+++ b/crates/testbed/tests/cluster/membership.rs
@@ -1,8 +1,8 @@
 //! Nodes that pause, restart behind a partition, or have the name of another.
 
 use crate::fleets::{
-    late_attempts, none_broken, program, quickly_warmed, rest, start, turn, wait_until_attempted,
-    wait_until_explained, SECOND,
+    assert_no_violations, late_attempts, program, quickly_warmed, reserve_fleet, run_for, start,
+    wait_until_attempted, wait_until_explained, SECOND,
 };
 use reelfall_testbed::fleet::history::Event;
 use reelfall_testbed::fleet::{queries, FleetSpec, TestFleet};
@@ -13,16 +13,16 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn resumed_node_neither_applies_nor_spreads_expired_bans() {
-    let _turn = turn().await;
+    let _reservation = reserve_fleet().await;
     let mut fleet = start(quickly_warmed()).await;
     // The node that pauses has no traffic: requests that pause with it would look like slow servers.
     let load = fleet.start_load_at(&[0, 1, 2, 3], 40.0, 0.2, 3);
     // It knows of the first ban when it pauses; the second arrives in its receive buffer meanwhile.
     fleet.ban_server(0, 0, Some(12)).await.unwrap();
-    rest(1.0).await;
+    run_for(1.0).await;
     fleet.set_paused(4, true);
     fleet.ban_server(1, 1, Some(12)).await.unwrap();
-    rest(13.0).await;
+    run_for(13.0).await;
     fleet.set_paused(4, false);
     let resumed_at = fleet.history.now();
     let load_after_pause = fleet.start_load_at(&[4], 40.0, 0.2, 4);
@@ -34,7 +34,7 @@
         readmission_time < Duration::from_secs(8),
         "expired bans were applied for {readmission_time:?}"
     );
-    rest(3.0).await;
+    run_for(3.0).await;
     // No other node took them for new bans: all of them sent to both servers all the time.
     for server in [0, 1] {
         let attempts = queries::attempts(
@@ -53,32 +53,32 @@
     }
     load.stop().await;
     load_after_pause.stop().await;
-    none_broken(&fleet);
+    assert_no_violations(&fleet);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn ban_by_a_node_restarted_during_a_partition_spreads_after_it() {
-    let _turn = turn().await;
+    let _reservation = reserve_fleet().await;
     let mut fleet = start(FleetSpec::default()).await;
     fleet.network().partition(&[4], &[0, 1, 2, 3], true);
     fleet.kill(4);
     fleet.start_node(4).await.unwrap();
     fleet.ban_server(4, 0, Some(300)).await.unwrap();
-    rest(6.0).await;
+    run_for(6.0).await;
     fleet.network().heal();
     wait_until_explained(&fleet, "s0", "s0: out by hand").await;
     // The ban of the new incarnation counts although the former one had the same name.
     let load = fleet.start_load(40.0, 0.2, 6);
     let since = fleet.history.now();
-    rest(3.0).await;
+    run_for(3.0).await;
     assert_eq!(late_attempts(&fleet, 0, since, &[0, 1, 2, 3, 4]), []);
     load.stop().await;
-    none_broken(&fleet);
+    assert_no_violations(&fleet);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn one_of_two_processes_with_one_name_steps_aside() {
-    let _turn = turn().await;
+    let _reservation = reserve_fleet().await;
     let spec = FleetSpec {
         node_count: 4,
         node_names: [(3, "n2".to_owned())].into(),
@@ -104,7 +104,7 @@
     for (by, server) in [(active, 1), (0, 2)] {
         fleet.ban_server(by, server, Some(300)).await.unwrap();
         let since = fleet.history.now();
-        rest(2.5).await;
+        run_for(2.5).await;
         assert_eq!(
             late_attempts(&fleet, server, since, &[0, 1, 2, 3]),
             [],
@@ -112,7 +112,7 @@
         );
     }
     load.stop().await;
-    none_broken(&fleet);
+    assert_no_violations(&fleet);
 }
 
 /// The first node that logged a name conflict.
--- a/crates/testbed/tests/cluster/network_faults.rs
+++ b/crates/testbed/tests/cluster/network_faults.rs
@@ -1,8 +1,8 @@
 //! Partial partitions, links without answers, floods, full buffers, and datagrams that the system does not send.
 
 use crate::fleets::{
-    attempt_count, late_attempts, none_broken, quickly_warmed, rest, start, turn,
-    wait_until_attempted, wait_until_explained, SECOND,
+    assert_no_violations, attempt_count, late_attempts, quickly_warmed, reserve_fleet, run_for,
+    start, wait_until_attempted, wait_until_explained, SECOND,
 };
 use reelfall_testbed::fleet::history::Event;
 use reelfall_testbed::fleet::{queries, FleetSpec, ManagementResponse, TestFleet};
@@ -16,7 +16,7 @@
 async fn partial_partitions_separate_no_members() {
     /// Longer than a probe and a suspicion take, in seconds.
     const DETECTION_TIME: f64 = 9.0;
-    let _turn = turn().await;
+    let _reservation = reserve_fleet().await;
     let fleet = start(FleetSpec::default()).await;
     // Nodes 0 and 1 receive nothing from each other, node 3 nothing from node 2; all can reach node 4.
     fleet.network().partition(&[0], &[1], true);
@@ -24,7 +24,7 @@
     let first_event = fleet.history.len();
     let load = fleet.start_load(40.0, 0.2, 21);
     wait_until_attempted(&fleet, 0, &ALL).await;
-    rest(DETECTION_TIME).await;
+    run_for(DETECTION_TIME).await;
     assert!(
         !is_any_member_down(&fleet, first_event),
         "{}",
@@ -33,7 +33,7 @@
     for (node, server) in [(0, 0), (2, 1)] {
         fleet.ban_server(node, server, Some(300)).await.unwrap();
         let since = fleet.history.now();
-        rest(2.5).await;
+        run_for(2.5).await;
         assert_eq!(
             late_attempts(&fleet, server, since, &ALL),
             [],
@@ -41,14 +41,14 @@
         );
     }
     load.stop().await;
-    none_broken(&fleet);
+    assert_no_violations(&fleet);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn faulty_links_and_a_flood_do_not_affect_other_nodes() {
     const FAULTY_NODE: usize = 5;
     const FLOODED_NODE: usize = 1;
-    let _turn = turn().await;
+    let _reservation = reserve_fleet().await;
     let mut fleet = start(FleetSpec {
         node_count: 6,
         ..FleetSpec::default()
@@ -59,9 +59,9 @@
     let from = fleet.history.now();
     for _ in 0..10 {
         fleet.network().flood(FLOODED_NODE, 2000).await;
-        rest(0.3).await;
+        run_for(0.3).await;
     }
-    rest(4.0).await;
+    run_for(4.0).await;
     let to = fleet.history.now();
     let events = fleet.history.events();
     // The reports of the faulty node eject no server.
@@ -98,13 +98,13 @@
         })
         .await
         .unwrap();
-    none_broken(&fleet);
+    assert_no_violations(&fleet);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn full_receive_buffer_and_failed_sends_are_survived() {
     const PAUSED_NODE: usize = 4;
-    let _turn = turn().await;
+    let _reservation = reserve_fleet().await;
     // The system does not let a process send to a broadcast address.
     let seeds = (1..6)
         .map(|port| ([127, 255, 255, 255], port).into())
@@ -122,19 +122,19 @@
     fleet.set_paused(PAUSED_NODE, true);
     fleet.network().flood(PAUSED_NODE, 8000).await;
     fleet.ban_server(0, 0, Some(300)).await.unwrap();
-    rest(2.0).await;
+    run_for(2.0).await;
     fleet.set_paused(PAUSED_NODE, false);
     wait_until_explained(&fleet, "s0", "s0: out by hand").await;
     let load = fleet.start_load(40.0, 0.2, 23);
     let since = fleet.history.now();
-    rest(3.0).await;
+    run_for(3.0).await;
     assert_eq!(
         attempt_count(&fleet, 0, since, &ALL),
         0,
         "sent to a banned server"
     );
     load.stop().await;
-    none_broken(&fleet);
+    assert_no_violations(&fleet);
 }
 
 /// Whether any node logged that a member is down, from an index of the history on.
--- a/crates/testbed/tests/cluster/schedule.rs
+++ b/crates/testbed/tests/cluster/schedule.rs
@@ -1,6 +1,6 @@
 //! A schedule of faults that is generated from a seed.
 
-use crate::fleets::{none_broken, start, turn, wait_until_explained};
+use crate::fleets::{assert_no_violations, reserve_fleet, start, wait_until_explained};
 use reelfall_testbed::fleet::schedule::{execute, generate, Step};
 use reelfall_testbed::fleet::FleetSpec;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn invariants_hold_on_a_generated_schedule() {
-    let _turn = turn().await;
+    let _reservation = reserve_fleet().await;
     let mut fleet = start(FleetSpec {
         node_count: NODE_COUNT,
         ..FleetSpec::default()
@@ -34,5 +34,5 @@
         .unwrap();
     fleet.ban_server(2, 3, Some(60)).await.unwrap();
     wait_until_explained(&fleet, "s3", "s3: out by hand").await;
-    none_broken(&fleet);
+    assert_no_violations(&fleet);
 }
--- a/crates/testbed/tests/fleets/mod.rs
+++ b/crates/testbed/tests/fleets/mod.rs
@@ -47,18 +47,18 @@
 }
 
 /// Waits until fewer than [`MAX_FLEETS`] run, and reserves a place for one until the permit is dropped.
-pub async fn turn() -> SemaphorePermit<'static> {
+pub async fn reserve_fleet() -> SemaphorePermit<'static> {
     static FLEETS: Semaphore = Semaphore::const_new(MAX_FLEETS);
     FLEETS.acquire().await.unwrap()
 }
 
 /// Lets a fleet run for a time.
-pub async fn rest(seconds: f64) {
+pub async fn run_for(seconds: f64) {
     tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
 }
 
 /// Asserts that the history violates no invariant.
-pub fn none_broken(fleet: &TestFleet) {
+pub fn assert_no_violations(fleet: &TestFleet) {
     let violations = invariants::violations(&fleet.history.events());
     assert!(
         violations.is_empty(),
@@ -68,7 +68,7 @@
 }
 
 /// Runs a command of the program against the management address of a node, and returns what it prints.
-pub async fn command(fleet: &TestFleet, node: usize, args: &[&str]) -> String {
+pub async fn run_command(fleet: &TestFleet, node: usize, args: &[&str]) -> String {
     let mut command = program().command();
     command
         .args(args)
--- a/crates/testbed/tests/leases.rs
+++ b/crates/testbed/tests/leases.rs
@@ -3,7 +3,7 @@
 
 mod fleets;
 
-use fleets::{command, rest, turn};
+use fleets::{reserve_fleet, run_command, run_for};
 use reelfall_testbed::fleet::fenced_resource::{
     admitted_writes, fencing_violations, rejected_writes, FencedResource,
 };
@@ -161,22 +161,22 @@
     response.is_ok_and(|response| response.status == 200 && response.body.contains(text))
 }
 
-fn assert_no_violations(fleet: &TestFleet) {
+fn assert_no_lease_violations(fleet: &TestFleet) {
     let violations = fencing_violations(&fleet.history.events(), LEASE);
     assert!(violations.is_empty(), "{violations:#?}");
-    fleets::none_broken(fleet);
+    fleets::assert_no_violations(fleet);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn lease_is_taken_over_after_holder_is_killed_or_terminated() {
-    let _turn = turn().await;
+    let _reservation = reserve_fleet().await;
     let mut lease_fleet = start(5).await;
     let fleet = &mut lease_fleet.fleet;
     let first = wait_for_takeover(fleet, 0).await;
-    rest(1.0).await;
+    run_for(1.0).await;
     let Holder { node, token } = holder(fleet).unwrap();
     assert_eq!(node, first.node, "a lease that is renewed stays");
-    let status = command(fleet, first.node, &["fleet", "leases"]).await;
+    let status = run_command(fleet, first.node, &["fleet", "leases"]).await;
     assert!(
         status.contains(&format!("{LEASE}: held here, token {token}")),
         "{status}"
@@ -210,12 +210,12 @@
         "{:?} after",
         third.at - terminated_at
     );
-    assert_no_violations(fleet);
+    assert_no_lease_violations(fleet);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn paused_or_partitioned_holder_never_writes_beside_next_one() {
-    let _turn = turn().await;
+    let _reservation = reserve_fleet().await;
     let mut lease_fleet = start(5).await;
     let fleet = &mut lease_fleet.fleet;
     let mut token = 0;
@@ -223,13 +223,13 @@
         let paused = wait_for_takeover(fleet, token).await.node;
         token = holder(fleet).unwrap().token;
         // Between two writes, or during one.
-        rest(0.07 + 0.013 * f64::from(round)).await;
+        run_for(0.07 + 0.013 * f64::from(round)).await;
         fleet.set_paused(paused, true);
         wait_for_takeover(fleet, token).await;
         fleet.set_paused(paused, false);
-        rest(0.3).await;
+        run_for(0.3).await;
     }
-    assert_no_violations(fleet);
+    assert_no_lease_violations(fleet);
     // Partitioned from all other nodes, and not from the resource.
     let former = holder(fleet).unwrap();
     let others: Vec<usize> = (0..fleet.node_count())
@@ -257,19 +257,19 @@
         .collect();
     assert_eq!(rejected_writes(&later_events), 0);
     fleet.network().heal();
-    assert_no_violations(fleet);
+    assert_no_lease_violations(fleet);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn without_quorum_nobody_writes_and_requests_are_served() {
-    let _turn = turn().await;
+    let _reservation = reserve_fleet().await;
     let mut lease_fleet = start(5).await;
     let fleet = &mut lease_fleet.fleet;
     wait_for_takeover(fleet, 0).await;
     // One of three keepers may fail.
     fleet.kill(2);
     let token = holder(fleet).unwrap().token;
-    rest(1.5).await;
+    run_for(1.5).await;
     let events_before = fleet.history.len();
     let is_admitted = |event: &Event| matches!(event, Event::LeaseWrite { admitted: true, .. });
     if fleet
@@ -282,9 +282,9 @@
     }
     let load = fleet.start_load_at(&[3, 4], 40.0, 0.2, 7);
     fleet.kill(1);
-    rest(2.0).await;
+    run_for(2.0).await;
     let expired_at = fleet.history.now();
-    rest(1.0).await;
+    run_for(1.0).await;
     let events = fleet.history.events();
     let late_writes = admitted_writes(&events, LEASE)
         .into_iter()
@@ -302,7 +302,7 @@
         fleet.start_node(keeper).await.unwrap();
     }
     wait_for_takeover(fleet, token).await;
-    assert_no_violations(fleet);
+    assert_no_lease_violations(fleet);
 }
 
 fn is_success(event: &Event) -> bool {
@@ -317,7 +317,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn restored_folder_does_not_vote_and_emptied_one_does() {
-    let _turn = turn().await;
+    let _reservation = reserve_fleet().await;
     let mut lease_fleet = start(4).await;
     let fleet = &mut lease_fleet.fleet;
     wait_for_takeover(fleet, 0).await;
@@ -329,7 +329,7 @@
     while std::fs::read(&lease_file).unwrap().len() == backup.len() {
         hand_over(fleet).await;
     }
-    rest(1.2).await;
+    run_for(1.2).await;
     fleet.kill(1);
     std::fs::write(&lease_file, backup).unwrap();
     fleet.start_node(1).await.unwrap();
@@ -351,5 +351,5 @@
     // Its vote counts: without the third keeper the lease continues.
     fleet.kill(2);
     hand_over(fleet).await;
-    assert_no_violations(fleet);
+    assert_no_lease_violations(fleet);
 }
