--- a/crates/capacity/src/budget/model/node.rs
+++ b/crates/capacity/src/budget/model/node.rs
@@ -12,8 +12,8 @@
 const EXPIRY_SCAN_RATE: f64 = 4.0;
 /// Rounds a second in which verdicts are applied to all pools.
 const VERDICT_RATE: f64 = 10.0;
-/// Most servers that the quorum condemns, of all.
-const CONDEMNED_RATIO_LIMIT: f64 = 0.2;
+/// Most servers that the quorum ejects, of all.
+const EJECTED_RATIO_LIMIT: f64 = 0.2;
 
 /// Bytes that a node holds, by resource.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -80,15 +80,15 @@
     EXPIRY_SCAN_RATE * size.servers as f64 * costs.expiry_seconds
 }
 
-/// Servers that can be condemned at once: the table is full, with as many witnesses on each as the quorum takes, or a fifth of the
+/// Servers that can be ejected at once: the table is full, with as many witnesses on each as the quorum takes, or a fifth of the
 /// servers.
-pub fn max_condemned_servers(size: &Size) -> f64 {
+pub fn max_ejected_servers(size: &Size) -> f64 {
     (program_limits::VERDICTS / program_limits::QUORUM_WITNESSES)
         .floor()
-        .min(CONDEMNED_RATIO_LIMIT * size.servers as f64)
+        .min(EJECTED_RATIO_LIMIT * size.servers as f64)
 }
 
-/// Processor time of applying the verdict on every condemned server to every pool.
+/// Processor time of applying the verdict on every ejected server to every pool.
 pub fn verdict_cores(costs: &Costs, size: &Size) -> f64 {
-    VERDICT_RATE * max_condemned_servers(size) * size.services as f64 * costs.verdict_seconds
+    VERDICT_RATE * max_ejected_servers(size) * size.services as f64 * costs.verdict_seconds
 }
--- a/crates/capacity/src/budget/model/program_limits.rs
+++ b/crates/capacity/src/budget/model/program_limits.rs
@@ -37,5 +37,5 @@
 pub const MANAGEMENT_RESPONSE_BYTES: f64 = 12_288.0;
 /// Requests that a tenant may send at once at one node beyond its share: `crates/balancer/src/decide/admission.rs`.
 pub const TENANT_BURST: f64 = 3.0;
-/// Witnesses that condemn a server: `crates/cluster/src/quorum.rs`.
+/// Witnesses that eject a server: `crates/cluster/src/quorum.rs`.
 pub const QUORUM_WITNESSES: f64 = 3.0;
--- a/crates/capacity/src/scale/simulated_node.rs
+++ b/crates/capacity/src/scale/simulated_node.rs
@@ -18,7 +18,7 @@
 pub const OVERDUE_CHECK_INTERVAL: f64 = 0.025;
 /// Interval at which the node's program evaluates the quorum on failing servers, in seconds.
 pub const QUORUM_INTERVAL: f64 = 0.1;
-/// Attempts a second of a node at each failing server, while that is not condemned.
+/// Attempts a second of a node at each failing server, while that is not ejected.
 pub const ATTEMPT_RATE: f64 = 0.5;
 /// Who bans servers, as the fleet records it.
 const BAN_AUTHOR: &str = "scale";
@@ -53,8 +53,8 @@
     rng: SeededRng,
     next_overdue_check: f64,
     next_quorum: f64,
-    condemned: BTreeSet<ServerInstance>,
-    /// Condemned servers that this node is to probe.
+    ejected: BTreeSet<ServerInstance>,
+    /// Ejected servers that this node is to probe.
     probed: BTreeSet<ServerInstance>,
 }
 
@@ -81,7 +81,7 @@
             rng,
             next_overdue_check: now,
             next_quorum: now,
-            condemned: BTreeSet::new(),
+            ejected: BTreeSet::new(),
             probed: BTreeSet::new(),
         })
     }
@@ -150,26 +150,23 @@
     }
 
     fn evaluate_quorum(&mut self, now: f64, listed: usize) {
-        let condemned = self.fleet.condemned_servers(now, listed);
-        self.probed = condemned
+        let ejected = self.fleet.ejected_servers(now, listed);
+        self.probed = ejected
             .iter()
             .filter(|verdict| verdict.is_prober)
             .map(|verdict| verdict.server.clone())
             .collect();
-        self.condemned = condemned
-            .into_iter()
-            .map(|verdict| verdict.server)
-            .collect();
+        self.ejected = ejected.into_iter().map(|verdict| verdict.server).collect();
     }
 
-    /// Attempts at failing servers; at a condemned one only if this node is to probe it.
+    /// Attempts at failing servers; at an ejected one only if this node is to probe it.
     fn attempt(&mut self, now: f64, failing: &[FailingServer]) {
         for server in failing {
             let server = ServerInstance {
                 name: server.name.clone(),
                 since: server.started_ms,
             };
-            let is_attempted = if self.condemned.contains(&server) {
+            let is_attempted = if self.ejected.contains(&server) {
                 self.probed.contains(&server)
             } else {
                 self.rng.next_fraction() < ATTEMPT_RATE * QUORUM_INTERVAL
--- a/crates/capacity/tests/capacity/formulas.rs
+++ b/crates/capacity/tests/capacity/formulas.rs
@@ -162,9 +162,9 @@
         model::gossip::membership_traffic(&costs, &target, 2.8),
         2.0 * 14.4 * 140.0,
     );
-    assert_eq!(model::node::max_condemned_servers(&target), 2730.0);
+    assert_eq!(model::node::max_ejected_servers(&target), 2730.0);
     assert_eq!(
-        model::node::max_condemned_servers(&model::scaled_size(300)),
+        model::node::max_ejected_servers(&model::scaled_size(300)),
         500.0
     );
 }
--- a/crates/cluster/src/fleet/config.rs
+++ b/crates/cluster/src/fleet/config.rs
@@ -10,7 +10,7 @@
 pub struct Config {
     /// How members are probed.
     pub membership: MembershipConfig,
-    /// The quorum of reports that condemns a server.
+    /// The quorum of reports that ejects a server.
     pub quorum: Quorum,
     /// Interval of gossip rounds, in seconds; each goes to [`Config::fanout`] members.
     pub spread_every: Time,
@@ -20,7 +20,7 @@
     pub heal_every: Time,
     /// Time to live of a report, in seconds.
     pub report_lasts: Time,
-    /// A condemned server is probed by one node in each such interval, in seconds.
+    /// An ejected server is probed by one node in each such interval, in seconds.
     pub trial_every: Time,
     /// Addresses where members may be found.
     pub seeds: Vec<SocketAddr>,
--- a/crates/cluster/src/fleet/mod.rs
+++ b/crates/cluster/src/fleet/mod.rs
@@ -26,7 +26,7 @@
 
 pub use config::Config;
 pub use incarnations::{CLAIMS_WINDOW, CONFLICT_PAUSE, MAX_CLAIMS};
-pub use query::{CondemnedServer, PublishedReport};
+pub use query::{EjectedServer, PublishedReport};
 pub use receive::{MAX_ENTRY_DATAGRAMS, MAX_MEMBER_DATAGRAMS, MAX_MESSAGES};
 
 use crate::entry::Key;
--- a/crates/cluster/src/fleet/publish.rs
+++ b/crates/cluster/src/fleet/publish.rs
@@ -73,17 +73,17 @@
     pub(super) fn publish_reports(&mut self, now: Time, listed: usize) {
         let (table, members) = (&self.table, &self.members);
         let (nodes, witnesses) = (members.count() + 1, self.config.quorum.witnesses);
-        let is_accused = |server: &ServerInstance| {
+        let is_reported = |server: &ServerInstance| {
             let is_fault =
                 |value: &Value| matches!(value, Value::Report(r) if r.finding.is_fault());
             let reports = super::query::reports_on(table, server, now);
-            let accusers = reports
+            let reporters = reports
                 .filter(|(_, _, stored)| is_fault(&stored.value))
                 .count();
-            accusers + 1 >= witnesses
+            reporters + 1 >= witnesses
                 && quorum::reports_healthy(server, &members.me().name, nodes, witnesses)
         };
-        let due = self.observer.take_due_reports(now, listed, is_accused);
+        let due = self.observer.take_due_reports(now, listed, is_reported);
         let (by, ttl) = (self.members.me().name.clone(), self.config.report_lasts);
         for report in due {
             let key = Key::Report {
--- a/crates/cluster/src/fleet/query.rs
+++ b/crates/cluster/src/fleet/query.rs
@@ -7,9 +7,9 @@
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A condemned server, as this node sees it.
+/// An ejected server, as this node sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CondemnedServer {
+pub struct EjectedServer {
     /// The server.
     pub server: ServerInstance,
     /// The votes on it.
@@ -97,25 +97,25 @@
         votes
     }
 
-    /// The servers of a list of so many that several nodes' reports condemn. A single node condemns nobody here: its
+    /// The servers of a list of so many that several nodes' reports eject. A single node ejects nobody here: its
     /// decision module knows its own observations.
-    pub fn condemned_servers(&self, now: Time, listed: usize) -> Vec<CondemnedServer> {
+    pub fn ejected_servers(&self, now: Time, listed: usize) -> Vec<EjectedServer> {
         let votes = self.votes(now);
         let votes = votes.iter().map(|(server, votes)| (*server, *votes));
-        let condemned = quorum::condemned(votes, listed, &self.config.quorum);
+        let ejected = quorum::ejected(votes, listed, &self.config.quorum);
         let interval = (now / self.config.trial_every) as u64;
         let (me, nodes) = (self.members.me().name.as_str(), self.members.count() + 1);
-        let to_condemned = |(server, votes): (&ServerInstance, Votes)| CondemnedServer {
+        let to_ejected = |(server, votes): (&ServerInstance, Votes)| EjectedServer {
             server: server.clone(),
             votes,
             is_prober: quorum::is_prober(server, interval, me, nodes),
-            left: self.condemned_for(server, now),
+            left: self.ejected_for(server, now),
         };
-        condemned.into_iter().map(to_condemned).collect()
+        ejected.into_iter().map(to_ejected).collect()
     }
 
-    /// How long a server can remain condemned: until so many of the reports have expired that they are no quorum.
-    fn condemned_for(&self, server: &ServerInstance, now: Time) -> Time {
+    /// How long a server can remain ejected: until so many of the reports have expired that they are no quorum.
+    fn ejected_for(&self, server: &ServerInstance, now: Time) -> Time {
         let counts = |report: &Report| {
             let mut votes = Votes::default();
             votes.add(report, &self.config.zone, &self.config.quorum);
--- a/crates/cluster/src/observer.rs
+++ b/crates/cluster/src/observer.rs
@@ -303,13 +303,13 @@
         is_new
     }
 
-    /// Takes the reports that are due. `listed` is how many servers the node knows; `is_accused` says whether others report
+    /// Takes the reports that are due. `listed` is how many servers the node knows; `is_reported` says whether others report
     /// a fault of a server, for only then it matters to them that it is healthy.
     pub fn take_due_reports(
         &mut self,
         now: Time,
         listed: usize,
-        mut is_accused: impl FnMut(&ServerInstance) -> bool,
+        mut is_reported: impl FnMut(&ServerInstance) -> bool,
     ) -> Vec<DueReport> {
         self.forget_old(now);
         let (faults, ttl) = (self.count_faults(), self.report_ttl);
@@ -323,7 +323,7 @@
                 || observations
                     .last_report
                     .is_some_and(|last| last.finding != Finding::Well)
-                || is_accused(server);
+                || is_reported(server);
             if !observations.is_due(assessment, now, ttl) || !matters {
                 continue;
             }
--- a/crates/cluster/src/quorum.rs
+++ b/crates/cluster/src/quorum.rs
@@ -1,4 +1,4 @@
-//! The quorum of reports that condemns a server.
+//! The quorum of reports that ejects a server.
 //!
 //! | report | counts |
 //! | --- | --- |
@@ -9,9 +9,9 @@
 //! | of a node that finds too many servers faulty | not at all: more likely the fault is that node's own |
 //! | of a node that is not a member, unless it is this one | not at all |
 //!
-//! A server is condemned when at least [`Quorum::witnesses`] nodes report a fault, each with one vote, and more than report
-//! that it is healthy. Of a list no more than [`Quorum::max_condemned_share`] is condemned, the best proven first: where all nodes condemn
-//! all servers, something else is wrong.
+//! A server is ejected when at least [`Quorum::witnesses`] nodes report a fault, each with one vote, and more than report
+//! that it is healthy. Of a list no more than [`Quorum::max_ejected_fraction`] is ejected, the best proven first: where all
+//! nodes would eject all servers, something else is wrong.
 
 use crate::entry::{Finding, Report, ServerInstance};
 use std::collections::BTreeMap;
@@ -28,19 +28,19 @@
 pub struct Quorum {
     /// Number of nodes that have to report a fault.
     pub witnesses: usize,
-    /// Maximum share of the list that can be condemned; one server of a short list.
-    pub max_condemned_share: f64,
-    /// The reports of a node that finds more than this share of its list faulty are ignored; two servers are always
+    /// Maximum fraction of the list that can be ejected; one server of a short list.
+    pub max_ejected_fraction: f64,
+    /// The reports of a node that finds more than this fraction of its list faulty are ignored; two servers are always
     /// believed.
-    pub max_accused_share: f64,
+    pub max_reported_fraction: f64,
 }
 
 impl Default for Quorum {
     fn default() -> Self {
         Quorum {
             witnesses: 3,
-            max_condemned_share: 0.2,
-            max_accused_share: 0.3,
+            max_ejected_fraction: 0.2,
+            max_reported_fraction: 0.3,
         }
     }
 }
@@ -66,7 +66,7 @@
         let faults = usize::from(report.accused);
         if report.finding.is_fault()
             && faults > ALWAYS_BELIEVED
-            && faults as f64 > quorum.max_accused_share * f64::from(report.listed)
+            && faults as f64 > quorum.max_reported_fraction * f64::from(report.listed)
         {
             self.ignored += 1;
             return;
@@ -83,7 +83,7 @@
         }
     }
 
-    /// By how many votes the server is condemned; `None` if it is not.
+    /// By how many votes the server is ejected; `None` if it is not.
     pub fn majority(&self, quorum: &Quorum) -> Option<usize> {
         let majority =
             |bad: usize, good: usize| (bad >= quorum.witnesses && bad > good).then(|| bad - good);
@@ -98,13 +98,13 @@
     votes: Votes,
 }
 
-/// The condemned servers, by the votes on each, of a list with `listed` servers.
-pub fn condemned<'a>(
+/// The ejected servers, by the votes on each, of a list with `listed` servers.
+pub fn ejected<'a>(
     votes: impl Iterator<Item = (&'a ServerInstance, Votes)>,
     listed: usize,
     quorum: &Quorum,
 ) -> BTreeMap<&'a ServerInstance, Votes> {
-    // Larger majorities count as equal: if more servers fail than may be condemned, each report would otherwise change
+    // Larger majorities count as equal: if more servers fail than may be ejected, each report would otherwise change
     // which of them are, and requests would be sent to a failing server with each change.
     let conclusive = CONCLUSIVE_QUORUMS * quorum.witnesses;
     let mut candidates: Vec<Candidate> = votes
@@ -116,19 +116,19 @@
             })
         })
         .collect();
-    // Of equal majorities the first by name, so that nodes with the same reports condemn the same servers.
+    // Of equal majorities the first by name, so that nodes with the same reports eject the same servers.
     candidates.sort_by(|first, second| {
         let by_majority = second.majority.cmp(&first.majority);
         by_majority.then_with(|| first.server.cmp(second.server))
     });
-    candidates.truncate(((quorum.max_condemned_share * listed as f64) as usize).max(1));
+    candidates.truncate(((quorum.max_ejected_fraction * listed as f64) as usize).max(1));
     candidates
         .into_iter()
         .map(|candidate| (candidate.server, candidate.votes))
         .collect()
 }
 
-/// Whether a node is one of those that report that a nearly condemned server is healthy. They are a subset of the nodes,
+/// Whether a node is one of those that report that a nearly ejected server is healthy. They are a subset of the nodes,
 /// the same for the lifetime of the server, so that a large fleet is not flooded with reports.
 pub fn reports_healthy(
     server: &ServerInstance,
@@ -140,7 +140,7 @@
     rank < (HEALTHY_REPORTERS * witnesses) as u64
 }
 
-/// Whether a node checks the health of a condemned server in this interval of its own clock. Nodes have no common clock, so
+/// Whether a node checks the health of an ejected server in this interval of its own clock. Nodes have no common clock, so
 /// that each decides by itself, at random; on average one of them does in each interval.
 pub fn is_prober(server: &ServerInstance, interval: u64, node: &str, nodes: usize) -> bool {
     shared_random(interval.wrapping_add(1), server, node).is_multiple_of(nodes.max(1) as u64)
--- a/crates/cluster/tests/fleet/fixture.rs
+++ b/crates/cluster/tests/fleet/fixture.rs
@@ -33,14 +33,12 @@
 }
 
 /// The names of the servers that a node considers faulty.
-pub fn condemned_servers(world: &Cluster, node: usize) -> Vec<String> {
+pub fn ejected_servers(world: &Cluster, node: usize) -> Vec<String> {
     let process = world.processes[node].as_ref().unwrap();
     let all = process
         .fleet
-        .condemned_servers(process.local_time(world.now), world.listed_servers);
-    all.into_iter()
-        .map(|condemned| condemned.server.name)
-        .collect()
+        .ejected_servers(process.local_time(world.now), world.listed_servers);
+    all.into_iter().map(|ejected| ejected.server.name).collect()
 }
 
 /// Each of these nodes records this outcome of an attempt at each of these servers.
--- a/crates/cluster/tests/fleet/verdicts.rs
+++ b/crates/cluster/tests/fleet/verdicts.rs
@@ -1,6 +1,6 @@
 //! Verdicts on servers by the reports of several nodes.
 
-use crate::fixture::{condemned_servers, gathered_world, record_outcomes, server};
+use crate::fixture::{ejected_servers, gathered_world, record_outcomes, server};
 use reelfall_cluster::entry::ServerInstance;
 use reelfall_cluster::fleet::Config;
 use reelfall_cluster::observer::{AttemptOutcome, OverdueAttempt};
@@ -14,27 +14,27 @@
 }
 
 #[test]
-fn quorum_of_failure_reports_condemns_a_server() {
+fn quorum_of_failure_reports_ejects_a_server() {
     let mut world = gathered_world(9, 31);
     for _ in 0..3 {
         record_outcomes(&mut world, &[1], &[0], AttemptOutcome::ServerError);
         world.run(0.3);
     }
     assert!(
-        (0..9).all(|node| condemned_servers(&world, node).is_empty()),
-        "a single node condemned the server"
+        (0..9).all(|node| ejected_servers(&world, node).is_empty()),
+        "a single node ejected the server"
     );
     for _ in 0..3 {
         record_outcomes(&mut world, &[1, 2, 3], &[0], AttemptOutcome::ServerError);
         world.run(0.05);
     }
     let took = world.run_until(3.0, |world| {
-        (0..9).all(|node| condemned_servers(world, node) == ["server-0"])
+        (0..9).all(|node| ejected_servers(world, node) == ["server-0"])
     });
     assert!(took < 1.0, "{took} s");
     // No report is repeated: the verdict expires on each node in time.
     world.run(10.5);
-    assert!((0..9).all(|node| condemned_servers(&world, node).is_empty()));
+    assert!((0..9).all(|node| ejected_servers(&world, node).is_empty()));
     assert_eq!(world.violations, Vec::<Violation>::new());
 }
 
@@ -60,7 +60,7 @@
     let mut world = gathered_world(9, 67);
     set_overdue(&mut world, &[0, 1, 2], Some(0.01));
     let took = world.run_until(2.0, |world| {
-        (0..9).all(|node| condemned_servers(world, node) == ["server-0"])
+        (0..9).all(|node| ejected_servers(world, node) == ["server-0"])
     });
     // With the next round of gossip, not the one after it.
     assert!(took < 0.1, "{took} s");
@@ -68,25 +68,25 @@
     record_outcomes(&mut world, &[0, 1, 2], &[0], AttemptOutcome::AnsweredLate);
     set_overdue(&mut world, &[0, 1, 2], None);
     let took = world.run_until(2.0, |world| {
-        (0..9).all(|node| condemned_servers(world, node).is_empty())
+        (0..9).all(|node| ejected_servers(world, node).is_empty())
     });
     assert!(took < 0.6, "withdrawn after {took} s");
     // An aborted attempt has no outcome, and its report is withdrawn.
     set_overdue(&mut world, &[3, 4, 5], Some(0.01));
-    world.run_until(2.0, |world| condemned_servers(world, 8) == ["server-0"]);
+    world.run_until(2.0, |world| ejected_servers(world, 8) == ["server-0"]);
     set_overdue(&mut world, &[3, 4, 5], None);
     world.run_until(2.0, |world| {
-        (0..9).all(|node| condemned_servers(world, node).is_empty())
+        (0..9).all(|node| ejected_servers(world, node).is_empty())
     });
     // A timeout confirms the report.
     set_overdue(&mut world, &[6, 7, 8], Some(0.01));
-    world.run_until(2.0, |world| condemned_servers(world, 0) == ["server-0"]);
+    world.run_until(2.0, |world| ejected_servers(world, 0) == ["server-0"]);
     record_outcomes(&mut world, &[6, 7, 8], &[0], AttemptOutcome::TimedOut);
     set_overdue(&mut world, &[6, 7, 8], None);
     world.run(9.0);
-    assert!((0..9).all(|node| condemned_servers(&world, node) == ["server-0"]));
+    assert!((0..9).all(|node| ejected_servers(&world, node) == ["server-0"]));
     world.run(2.0);
-    assert!((0..9).all(|node| condemned_servers(&world, node).is_empty()));
+    assert!((0..9).all(|node| ejected_servers(&world, node).is_empty()));
     assert_eq!(world.violations, Vec::<Violation>::new());
 }
 
@@ -100,12 +100,12 @@
         world.run(0.1);
         record_outcomes(&mut world, &[0, 1, 2], &[0], AttemptOutcome::Answered);
     }
-    assert!((0..5).all(|node| condemned_servers(&world, node).is_empty()));
+    assert!((0..5).all(|node| ejected_servers(&world, node).is_empty()));
     // An attempt that was sent after it counts.
     world.run(1.0);
     set_overdue(&mut world, &[0, 1, 2], Some(0.3));
     world.run_until(2.0, |world| {
-        (0..5).all(|node| condemned_servers(world, node) == ["server-0"])
+        (0..5).all(|node| ejected_servers(world, node) == ["server-0"])
     });
 }
 
@@ -121,11 +121,11 @@
         world.run(0.1);
     }
     world.run_until(2.0, |world| {
-        (0..6).all(|node| condemned_servers(world, node) == ["server-0"])
+        (0..6).all(|node| ejected_servers(world, node) == ["server-0"])
     });
     (6..9).for_each(|node| world.kill(node));
     world.run_until(20.0, |world| {
-        (0..6).all(|node| condemned_servers(world, node).is_empty())
+        (0..6).all(|node| ejected_servers(world, node).is_empty())
     });
 }
 
@@ -139,33 +139,33 @@
     }
     world.run(1.0);
     assert!(
-        (0..9).all(|node| condemned_servers(&world, node).is_empty()),
+        (0..9).all(|node| ejected_servers(&world, node).is_empty()),
         "three failure reports outweighed four success reports"
     );
-    // A condemned server that answers again is reinstated, also by nodes that had reported it.
+    // An ejected server that answers again is reinstated, also by nodes that had reported it.
     for _ in 0..4 {
         record_outcomes(&mut world, &[0, 1, 2, 3], &[1], AttemptOutcome::TimedOut);
         world.run(0.1);
     }
     world.run_until(2.0, |world| {
-        (0..9).all(|node| condemned_servers(world, node) == ["server-1"])
+        (0..9).all(|node| ejected_servers(world, node) == ["server-1"])
     });
     for _ in 0..3 {
         record_outcomes(&mut world, &[0, 1], &[1], AttemptOutcome::Answered);
         world.run(0.1);
     }
     let took = world.run_until(3.0, |world| {
-        (0..9).all(|node| condemned_servers(world, node).is_empty())
+        (0..9).all(|node| ejected_servers(world, node).is_empty())
     });
     assert!(took < 1.5, "reinstated after {took} s");
 }
 
 #[test]
-fn partitioned_zone_and_nodes_failing_on_all_servers_condemn_no_others() {
+fn partitioned_zone_and_nodes_failing_on_all_servers_eject_no_others() {
     let mut world = Cluster::new(8, 41, two_zones);
     world.run_until(20.0, Cluster::is_converged);
     let all: Vec<usize> = (0..20).collect();
-    // A zone that cannot reach the servers of the other condemns them for itself alone.
+    // A zone that cannot reach the servers of the other ejects them for itself alone.
     for _ in 0..3 {
         record_outcomes(
             &mut world,
@@ -177,13 +177,13 @@
     }
     world.run(1.0);
     assert!(
-        (0..4).all(|node| condemned_servers(&world, node).len() == 3),
+        (0..4).all(|node| ejected_servers(&world, node).len() == 3),
         "{:?}",
-        condemned_servers(&world, 0)
+        ejected_servers(&world, 0)
     );
     assert!(
-        (4..8).all(|node| condemned_servers(&world, node).is_empty()),
-        "a partitioned zone condemned the other's servers"
+        (4..8).all(|node| ejected_servers(&world, node).is_empty()),
+        "a partitioned zone ejected the other's servers"
     );
     world.run(12.0);
     // Reports of nodes on which all servers fail do not count.
@@ -193,12 +193,12 @@
     }
     world.run(1.0);
     assert!(
-        (0..8).all(|node| condemned_servers(&world, node).is_empty()),
+        (0..8).all(|node| ejected_servers(&world, node).is_empty()),
         "{:?}",
-        condemned_servers(&world, 7)
+        ejected_servers(&world, 7)
     );
     world.run(12.0);
-    // No more than the configured fraction of the list is condemned, the same servers on all nodes.
+    // No more than the configured fraction of the list is ejected, the same servers on all nodes.
     let reported: Vec<usize> = (0..6).collect();
     let nodes: Vec<usize> = (0..8).collect();
     for _ in 0..3 {
@@ -207,11 +207,11 @@
     }
     world.run(1.0);
     assert!(
-        (0..8).all(|node| condemned_servers(&world, node).len() == 4),
+        (0..8).all(|node| ejected_servers(&world, node).len() == 4),
         "{:?}",
-        condemned_servers(&world, 0)
+        ejected_servers(&world, 0)
     );
-    assert!((0..8).all(|node| condemned_servers(&world, node) == condemned_servers(&world, 0)));
+    assert!((0..8).all(|node| ejected_servers(&world, node) == ejected_servers(&world, 0)));
 }
 
 #[test]
@@ -221,16 +221,16 @@
         record_outcomes(&mut world, &[0, 1, 2], &[0], AttemptOutcome::ServerError);
         world.run(0.1);
     }
-    world.run_until(2.0, |world| condemned_servers(world, 4) == ["server-0"]);
+    world.run_until(2.0, |world| ejected_servers(world, 4) == ["server-0"]);
     let process = world.processes[4].as_ref().unwrap();
-    let condemned = process
+    let ejected = process
         .fleet
-        .condemned_servers(process.local_time(world.now), 20);
+        .ejected_servers(process.local_time(world.now), 20);
     let next = ServerInstance {
         since: 6,
         ..server(0)
     };
-    assert!(condemned
+    assert!(ejected
         .iter()
-        .all(|condemned| condemned.server != next && condemned.server == server(0)));
+        .all(|ejected| ejected.server != next && ejected.server == server(0)));
 }
--- a/crates/cluster/tests/quorum.rs
+++ b/crates/cluster/tests/quorum.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use reelfall_cluster::entry::ServerInstance;
-use reelfall_cluster::quorum::{condemned, Quorum, Votes};
+use reelfall_cluster::quorum::{ejected, Quorum, Votes};
 
 /// Servers of the endpoint list.
 const LISTED: usize = 20;
@@ -26,7 +26,7 @@
         failed: *failed,
         ..Votes::default()
     });
-    condemned(servers.iter().zip(votes), LISTED, &Quorum::default())
+    ejected(servers.iter().zip(votes), LISTED, &Quorum::default())
         .keys()
         .map(|server| server.name.clone())
         .collect()
--- a/crates/config/src/reader/fleet.rs
+++ b/crates/config/src/reader/fleet.rs
@@ -159,8 +159,8 @@
         let default = Quorum::default();
         Quorum {
             witnesses: self.witnesses.unwrap_or(default.witnesses),
-            max_condemned_share: self.most.unwrap_or(default.max_condemned_share),
-            max_accused_share: self.believed.unwrap_or(default.max_accused_share),
+            max_ejected_fraction: self.most.unwrap_or(default.max_ejected_fraction),
+            max_reported_fraction: self.believed.unwrap_or(default.max_reported_fraction),
         }
     }
 }
--- a/crates/emulator/src/control/membership.rs
+++ b/crates/emulator/src/control/membership.rs
@@ -20,7 +20,7 @@
 /// Maximum number of peers of which a node remembers clocks and incarnations.
 pub const MAX_REMEMBERED: usize = MAX_PEERS;
 
-/// Number of servers that each node lists; it bounds how many can be condemned, which does not happen here.
+/// Number of servers that each node lists; it bounds how many can be ejected, which does not happen here.
 const LISTED_SERVERS: usize = 20;
 
 /// One process of a node.
--- a/crates/node/src/fleet/admin.rs
+++ b/crates/node/src/fleet/admin.rs
@@ -6,7 +6,7 @@
 use hyper::StatusCode;
 use reelfall_admin::request::FleetRequest;
 use reelfall_cluster::entry::{Key, Report as ServerReport, ServerInstance, Value};
-use reelfall_cluster::fleet::{CondemnedServer, Fleet};
+use reelfall_cluster::fleet::{EjectedServer, Fleet};
 use reelfall_cluster::table::StoredEntry;
 use reelfall_cluster::Time;
 use std::collections::BTreeMap;
@@ -112,9 +112,9 @@
             .filter(|instance| instance.name == server)
             .map(|instance| (*instance).clone())
             .collect();
-        let condemned = fleet.condemned_servers(now, self.shared.listed_server_count());
+        let ejected = fleet.ejected_servers(now, self.shared.listed_server_count());
         for instance in &instances {
-            add_instance(&mut report, &fleet, instance, &condemned, now);
+            add_instance(&mut report, &fleet, instance, &ejected, now);
         }
         for (key, entry) in fleet.table().live(now) {
             if matches!(key, Key::Ban { server: banned, .. } if banned == server) {
@@ -142,16 +142,16 @@
     ));
 }
 
-/// Adds whether an instance of a server is condemned, and what each node reports of it.
+/// Adds whether an instance of a server is ejected, and what each node reports of it.
 fn add_instance(
     report: &mut Report,
     fleet: &Fleet,
     instance: &ServerInstance,
-    condemned: &[CondemnedServer],
+    ejected: &[EjectedServer],
     now: Time,
 ) {
     let since = instance.since;
-    match condemned.iter().find(|found| found.server == *instance) {
+    match ejected.iter().find(|found| found.server == *instance) {
         Some(found) => report.add(format_args!(
             "start {since}: fails several nodes, for {:.1} s",
             found.left
--- a/crates/node/src/fleet/events.rs
+++ b/crates/node/src/fleet/events.rs
@@ -1,19 +1,19 @@
-//! The effects of the fleet's events: bans and condemnations are applied to the pools, and changes are logged.
+//! The effects of the fleet's events: bans and ejections are applied to the pools, and changes are logged.
 
 use super::FleetRuntime;
-use crate::net::shared::{Condemnation, OverdueRequest};
+use crate::net::shared::{OverdueRequest, QuorumEjection};
 use reelfall_cluster::entry::{Key, ServerInstance};
-use reelfall_cluster::fleet::{CondemnedServer, FleetEvent};
+use reelfall_cluster::fleet::{EjectedServer, FleetEvent};
 use reelfall_cluster::members::MemberEvent;
 use reelfall_cluster::observer::OverdueAttempt;
 use reelfall_cluster::Time;
 use std::collections::BTreeMap;
 
-/// Interval at which condemnations are applied to the pools again, in seconds: a server that joins a list is subject to
+/// Interval at which ejections are applied to the pools again, in seconds: a server that joins a list is subject to
 /// them, too.
-pub(super) const CONDEMN_INTERVAL: Time = 0.1;
+pub(super) const EJECTION_UPDATE_INTERVAL: Time = 0.1;
 /// How soon a changed report is applied, in seconds: a flood of reports costs one evaluation in each such time.
-const CONDEMN_DELAY: Time = 0.02;
+const EJECTION_UPDATE_DELAY: Time = 0.02;
 /// A list that has lagged behind that of others for so long, in seconds, is logged. Shorter lags are common, as services
 /// notify their watchers one after the other.
 const LIST_LAG_TOLERANCE: Time = 2.0;
@@ -73,55 +73,57 @@
             self.shared.set_fleet_bans(&banned);
         }
         if changed_keys().any(|key| matches!(key, Key::Report { .. })) {
-            let soon = self.next_condemn.get() - CONDEMN_INTERVAL + CONDEMN_DELAY;
-            self.next_condemn.set(self.next_condemn.get().min(soon));
+            let soon =
+                self.next_ejection_update.get() - EJECTION_UPDATE_INTERVAL + EJECTION_UPDATE_DELAY;
+            self.next_ejection_update
+                .set(self.next_ejection_update.get().min(soon));
         }
         for event in events {
             self.log_event(event, now);
         }
     }
 
-    /// Applies the condemnations to the pools.
-    pub(super) fn apply_condemnations(&self, now: Time) {
+    /// Applies the ejections to the pools.
+    pub(super) fn apply_quorum_ejections(&self, now: Time) {
         let pool_clock = self.shared.clock.now();
-        let new = self.condemnations(now, pool_clock);
-        let old = self.condemned.replace(new.clone());
+        let new = self.ejections(now, pool_clock);
+        let old = self.ejected.replace(new.clone());
         for server in old.keys().filter(|server| !new.contains_key(server)) {
             let name = &server.name;
-            self.condemned_log
+            self.ejection_log
                 .write_line(format_args!("fleet: {name} is no longer ejected"));
-            let ended = Condemnation {
+            let ended = QuorumEjection {
                 server: server.clone(),
                 until: pool_clock,
                 is_prober: false,
             };
-            self.shared.apply_condemnation(&ended);
+            self.shared.apply_quorum_ejection(&ended);
         }
-        for (server, condemnation) in &new {
+        for (server, ejection) in &new {
             if !old.contains_key(server) {
-                let (name, left) = (&server.name, condemnation.until - pool_clock);
-                self.condemned_log.write_line(format_args!(
+                let (name, left) = (&server.name, ejection.until - pool_clock);
+                self.ejection_log.write_line(format_args!(
                     "fleet: {name} is ejected, a quorum of nodes reports it as faulty, for {left:.1} s"
                 ));
             }
-            self.shared.apply_condemnation(condemnation);
+            self.shared.apply_quorum_ejection(ejection);
         }
     }
 
-    fn condemnations(&self, now: Time, pool_clock: Time) -> BTreeMap<ServerInstance, Condemnation> {
-        let condemned = self
+    fn ejections(&self, now: Time, pool_clock: Time) -> BTreeMap<ServerInstance, QuorumEjection> {
+        let ejected = self
             .fleet
             .borrow()
-            .condemned_servers(now, self.shared.listed_server_count());
-        let to_condemnation = |condemned: CondemnedServer| {
-            let condemnation = Condemnation {
-                server: condemned.server.clone(),
-                until: pool_clock + condemned.left,
-                is_prober: condemned.is_prober,
+            .ejected_servers(now, self.shared.listed_server_count());
+        let to_ejection = |ejected: EjectedServer| {
+            let ejection = QuorumEjection {
+                server: ejected.server.clone(),
+                until: pool_clock + ejected.left,
+                is_prober: ejected.is_prober,
             };
-            (condemned.server, condemnation)
+            (ejected.server, ejection)
         };
-        condemned.into_iter().map(to_condemnation).collect()
+        ejected.into_iter().map(to_ejection).collect()
     }
 
     fn log_event(&self, event: &FleetEvent, now: Time) {
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -19,10 +19,10 @@
 
 pub use open::FleetError;
 
-use crate::net::shared::{Condemnation, PoolId, Shared};
+use crate::net::shared::{PoolId, QuorumEjection, Shared};
 use crate::net::Log;
 use clock::Clock;
-use events::{ListLag, LoggedDropped, CONDEMN_INTERVAL};
+use events::{ListLag, LoggedDropped, EJECTION_UPDATE_INTERVAL};
 use reelfall_cluster::entry::ServerInstance;
 use reelfall_cluster::fleet::Fleet;
 use reelfall_cluster::node::Node;
@@ -78,16 +78,16 @@
     /// the confirmation of a ban.
     ban_log: Log,
     /// Separate for the same reason.
-    condemned_log: Log,
+    ejection_log: Log,
     /// Name conflicts, which member changes precede in numbers that reach the rate limit of a log.
     name_conflict_log: Log,
     /// There is something to send at once.
     wake: Notify,
-    /// The condemnations that are applied to the pools.
-    condemned: RefCell<BTreeMap<ServerInstance, Condemnation>>,
+    /// The ejections that are applied to the pools.
+    ejected: RefCell<BTreeMap<ServerInstance, QuorumEjection>>,
     /// Bounded by the services of the settings file.
     lists: RefCell<BTreeMap<String, FollowedList>>,
-    next_condemn: Cell<Time>,
+    next_ejection_update: Cell<Time>,
     next_overdue: Cell<Time>,
     message_handler: RefCell<Option<MessageHandler>>,
     /// Datagrams that the system did not accept.
@@ -130,7 +130,7 @@
     fn deadline(&self) -> Time {
         let fleet = self.fleet.borrow().deadline();
         fleet
-            .min(self.next_condemn.get())
+            .min(self.next_ejection_update.get())
             .min(self.next_overdue.get())
     }
 
@@ -210,9 +210,10 @@
         };
         self.send_datagrams();
         self.handle_events(&events, now);
-        if now >= self.next_condemn.get() {
-            self.next_condemn.set(now + CONDEMN_INTERVAL);
-            self.apply_condemnations(now);
+        if now >= self.next_ejection_update.get() {
+            self.next_ejection_update
+                .set(now + EJECTION_UPDATE_INTERVAL);
+            self.apply_quorum_ejections(now);
             self.log_lagging_lists(now);
             self.log_dropped(now);
         }
--- a/crates/node/src/net/pool/peer.rs
+++ b/crates/node/src/net/pool/peer.rs
@@ -2,7 +2,7 @@
 
 use super::list::SocketEndpoint;
 use super::Pool;
-use crate::net::shared::{Condemnation, OverdueRequest, PoolPeer};
+use crate::net::shared::{OverdueRequest, PoolPeer, QuorumEjection};
 use reelfall_balancer::engine::AwaitedAttempt;
 use reelfall_balancer::interface::{Time, UpdateKind};
 use std::net::SocketAddr;
@@ -68,17 +68,17 @@
         }
     }
 
-    fn apply_condemnation(self: Rc<Self>, condemnation: &Condemnation) {
-        let server = self.names.borrow().servers.get(&condemnation.server.name);
-        // The condemnation of one instance says nothing about another.
-        let Some(server) = server
-            .filter(|server| self.instance_of(*server).as_ref() == Some(&condemnation.server))
+    fn apply_quorum_ejection(self: Rc<Self>, ejection: &QuorumEjection) {
+        let server = self.names.borrow().servers.get(&ejection.server.name);
+        // The ejection of one instance says nothing about another.
+        let Some(server) =
+            server.filter(|server| self.instance_of(*server).as_ref() == Some(&ejection.server))
         else {
             return;
         };
-        let Condemnation {
+        let QuorumEjection {
             until, is_prober, ..
-        } = *condemnation;
+        } = *ejection;
         self.dispatch(|engine, now, commands| {
             engine.set_peer_verdict(now, server, until, is_prober, commands);
         });
--- a/crates/node/src/net/shared.rs
+++ b/crates/node/src/net/shared.rs
@@ -7,7 +7,7 @@
 //! | `clock` | the time of engines and limits |
 //! | `connections` | numbers of open connections to servers and their limits |
 //! | `endpoint_lists` | what several pools' lists say of the same servers |
-//! | `fleet` | bans and condemnations by the fleet, and its observer of attempts |
+//! | `fleet` | bans and ejections by the fleet, and its observer of attempts |
 //! | `listed` | the number of distinct servers in all lists |
 //! | `memory` | memory for buffered request bodies and responses |
 //! | `operations` | the bans and the drain that operators order |
@@ -26,7 +26,7 @@
 
 pub use clock::Clock;
 pub use connections::ConnectionPermit;
-pub use fleet::{Condemnation, FleetObserver, OverdueRequest};
+pub use fleet::{FleetObserver, OverdueRequest, QuorumEjection};
 pub use listed::{ListedByPool, ListedServers};
 pub use memory::MemoryPermit;
 pub use request_ids::OpenId;
@@ -70,8 +70,8 @@
     fn knows_server(&self, name: &str) -> bool;
     /// Adds the pool's attempts that have exceeded their latency objective.
     fn collect_overdue(&self, now: Time, overdue: &mut Vec<OverdueRequest>);
-    /// Applies, or ends, the condemnation of a server by the fleet.
-    fn apply_condemnation(self: Rc<Self>, condemnation: &Condemnation);
+    /// Applies, or ends, the ejection of a server by the fleet.
+    fn apply_quorum_ejection(self: Rc<Self>, ejection: &QuorumEjection);
 }
 
 /// State that all pools of a process share.
--- a/crates/node/src/net/shared/fleet.rs
+++ b/crates/node/src/net/shared/fleet.rs
@@ -7,9 +7,9 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// The condemnation of one instance of a server, which fails requests of other nodes of the fleet.
+/// The ejection of one instance of a server, which fails requests of other nodes of the fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Condemnation {
+pub struct QuorumEjection {
     /// The instance.
     pub server: ServerInstance,
     /// When it expires without further reports; a time in the past ends it.
@@ -63,10 +63,10 @@
         }
     }
 
-    /// Applies, or ends, the condemnation of a server in all pools.
-    pub fn apply_condemnation(&self, condemnation: &Condemnation) {
+    /// Applies, or ends, the ejection of a server in all pools.
+    pub fn apply_quorum_ejection(&self, ejection: &QuorumEjection) {
         for pool in self.pools() {
-            pool.apply_condemnation(condemnation);
+            pool.apply_quorum_ejection(ejection);
         }
     }
 
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits/quotas.rs
@@ -1,22 +1,9 @@
-//! Budgets and rate limits against their guarantees, on random schedules in virtual time.
+//! Budgets against the guarantees of their quotas, on random schedules in virtual time.
 
+use crate::quota;
 use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, prop_oneof, Strategy};
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 use reelfall_routing::budget::{Budget, ConsumerId, Quota, QuotaError, QuotaExceeded, CLAIM_TTL};
-use reelfall_routing::limits::{LimitExceeded, Limits, ProcessResources, Resource, ServiceLimits};
-use reelfall_routing::rate::{RateLimit, TokenBucket};
-
-fn quota(reserved: u64, max: u64) -> Quota {
-    Quota {
-        reserved,
-        max,
-        weight: 1,
-    }
-}
-
-fn rate_limit(per_second: f64, burst: f64) -> RateLimit {
-    RateLimit { per_second, burst }
-}
 
 fn runner() -> TestRunner {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
@@ -310,102 +297,3 @@
         Ok(())
     );
 }
-
-#[test]
-fn rate_limit_admits_its_burst_and_then_its_rate() {
-    let mut bucket = TokenBucket::new(0.0, rate_limit(10.0, 5.0));
-    let burst = (0..20).filter(|_| bucket.take(0.0).is_ok()).count();
-    assert_eq!(burst, 5);
-    let retry_after = bucket.take(0.0).unwrap_err().retry_after;
-    assert!((retry_after - 0.1).abs() < 1e-9, "{retry_after}");
-    let admitted = (0..1000)
-        .filter(|step| bucket.take(f64::from(*step) * 0.01).is_ok())
-        .count();
-    assert!((99..=100).contains(&admitted), "{admitted} in ten seconds");
-}
-
-#[test]
-fn clock_that_goes_back_adds_no_tokens() {
-    let mut bucket = TokenBucket::new(100.0, rate_limit(10.0, 1.0));
-    assert!(bucket.take(100.0).is_ok());
-    let admitted = (0..100)
-        .filter(|step| {
-            let now = if step % 2 == 0 { 99.0 } else { 100.05 };
-            bucket.take(now).is_ok()
-        })
-        .count();
-    assert_eq!(admitted, 0);
-}
-
-#[test]
-fn rejected_request_consumes_nothing() {
-    let totals = ProcessResources {
-        open: 10,
-        connections: 10,
-        memory: 10,
-    };
-    let service_limits = ServiceLimits {
-        rate: Some(rate_limit(1.0, 2.0)),
-        open: quota(0, 3),
-        ..ServiceLimits::UNLIMITED
-    };
-    let mut limits = Limits::new(totals);
-    let service = limits.add(0.0, &service_limits);
-    assert_eq!(limits.admit(0.0, service), Ok(()));
-    assert_eq!(limits.admit(0.0, service), Ok(()));
-    assert!(matches!(
-        limits.admit(0.0, service),
-        Err(LimitExceeded::RateExceeded(retry_after)) if (retry_after - 1.0).abs() < 1e-9
-    ));
-    assert_eq!(
-        limits.used(service, Resource::Open),
-        2,
-        "a request above the rate limit is counted as open"
-    );
-    assert_eq!(limits.admit(1.0, service), Ok(()));
-    // A request above the limit of open requests takes no token of the rate limit.
-    assert_eq!(
-        limits.admit(2.0, service),
-        Err(LimitExceeded::NotAvailable(
-            Resource::Open,
-            QuotaExceeded::OwnLimit
-        ))
-    );
-    limits.release(service, Resource::Open, 1);
-    assert_eq!(limits.admit(2.0, service), Ok(()));
-}
-
-#[test]
-fn overload_of_one_service_leaves_the_reservation_of_another() {
-    let totals = ProcessResources {
-        open: 100,
-        connections: 100,
-        memory: 1000,
-    };
-    let mut limits = Limits::new(totals);
-    let overloaded = limits.add(
-        0.0,
-        &ServiceLimits {
-            open: Quota {
-                reserved: 40,
-                max: 80,
-                weight: 3,
-            },
-            ..ServiceLimits::UNLIMITED
-        },
-    );
-    let other = limits.add(
-        0.0,
-        &ServiceLimits {
-            open: quota(20, 40),
-            ..ServiceLimits::UNLIMITED
-        },
-    );
-    let mut admitted = |service, requests: u32| {
-        (0..requests)
-            .filter(|_| limits.admit(0.0, service).is_ok())
-            .count()
-    };
-    assert_eq!(admitted(overloaded, 400), 80);
-    assert_eq!(admitted(other, 25), 20);
-}
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -11,7 +11,7 @@
 //! | [`schedule_run`] | one run of a schedule on a fleet, and its outcome |
 //! | [`minimize`] | minimal schedules that violate an invariant |
 //! | [`fenced_resource`] | what holders of leases write to |
-//! | [`probers`] | names under which nodes do not probe a condemned server |
+//! | [`probers`] | names under which nodes do not probe an ejected server |
 //! | `spec` | what a fleet consists of |
 //! | `node_settings` | the settings files of the nodes |
 //! | `start` | start of a whole fleet |
--- a/crates/testbed/src/fleet/probers.rs
+++ b/crates/testbed/src/fleet/probers.rs
@@ -1,4 +1,4 @@
-//! Names under which nodes do not probe a condemned server.
+//! Names under which nodes do not probe an ejected server.
 //!
 //! Which nodes probe a server follows from their names, the server's name and the turn. Tests of nodes that do not probe
 //! choose the names with [`names_that_never_probe`]; otherwise the default names would decide what is tested.
--- a/crates/testbed/src/fleet/verdict_stats.rs
+++ b/crates/testbed/src/fleet/verdict_stats.rs
@@ -1,5 +1,5 @@
 //! How the nodes of a fleet acted on verdicts, from its history: how long they applied one after its end, and how often a
-//! server was condemned that had no fault.
+//! server was ejected that had no fault.
 //!
 //! A node logs when it acts on a verdict. Whether it was right follows from the faults that were injected and the bans
 //! that were set, by the clock of the history. The scenario `fleet` and the command `fleet` report these figures.
@@ -20,12 +20,12 @@
 pub struct VerdictStats {
     /// How long after the end of a ban nodes still applied it, in ascending order; one entry for each node and ban.
     pub ban_overruns: Vec<Duration>,
-    /// How often a node condemned a server.
-    pub condemnations: usize,
-    /// The condemnations of servers that had had no fault for longer than [`REPORT_TTL`], one line each.
-    pub unfounded_condemnations: Vec<String>,
-    /// How long after the end of its faults nodes still condemned a server, in ascending order.
-    pub condemnation_overruns: Vec<Duration>,
+    /// How often a node ejected a server.
+    pub ejections: usize,
+    /// The ejections of servers that had had no fault for longer than [`REPORT_TTL`], one line each.
+    pub unfounded_ejections: Vec<String>,
+    /// How long after the end of its faults nodes still ejected a server, in ascending order.
+    pub ejection_overruns: Vec<Duration>,
 }
 
 impl VerdictStats {
@@ -43,9 +43,9 @@
     pub fn figures(&self) -> Value {
         json!({
             "bans_over_ms": distribution_ms(&self.ban_overruns),
-            "condemned": self.condemnations,
-            "mistaken": self.unfounded_condemnations.len(),
-            "condemned_over_ms": distribution_ms(&self.condemnation_overruns),
+            "condemned": self.ejections,
+            "mistaken": self.unfounded_ejections.len(),
+            "condemned_over_ms": distribution_ms(&self.ejection_overruns),
         })
     }
 }
@@ -110,8 +110,8 @@
 enum VerdictChange {
     Banned,
     BanEnded,
-    Condemned,
-    CondemnationEnded,
+    Ejected,
+    Readmitted,
 }
 
 impl VerdictChange {
@@ -119,8 +119,8 @@
         let texts = [
             ("is banned", VerdictChange::Banned),
             ("is not banned", VerdictChange::BanEnded),
-            ("is ejected, a quorum", VerdictChange::Condemned),
-            ("is no longer ejected", VerdictChange::CondemnationEnded),
+            ("is ejected, a quorum", VerdictChange::Ejected),
+            ("is no longer ejected", VerdictChange::Readmitted),
         ];
         texts
             .into_iter()
@@ -141,7 +141,7 @@
 #[derive(Default)]
 struct NodeVerdicts {
     banned: BTreeSet<usize>,
-    condemned: BTreeSet<usize>,
+    ejected: BTreeSet<usize>,
     /// When it was last resumed; [`Duration::MAX`] while it is paused.
     resumed_at: Option<Duration>,
 }
@@ -208,13 +208,13 @@
                     self.record_ban_end(at, server, resumed_at);
                 }
             }
-            VerdictChange::Condemned => {
-                verdicts.condemned.insert(server);
-                self.record_condemnation(at, server);
+            VerdictChange::Ejected => {
+                verdicts.ejected.insert(server);
+                self.record_ejection(at, server);
             }
-            VerdictChange::CondemnationEnded => {
-                if verdicts.condemned.remove(&server) {
-                    self.record_condemnation_end(at, server, resumed_at);
+            VerdictChange::Readmitted => {
+                if verdicts.ejected.remove(&server) {
+                    self.record_ejection_end(at, server, resumed_at);
                 }
             }
         }
@@ -230,29 +230,24 @@
         self.stats.ban_overruns.extend(at.checked_sub(due));
     }
 
-    fn record_condemnation(&mut self, at: Duration, server: usize) {
-        self.stats.condemnations += 1;
+    fn record_ejection(&mut self, at: Duration, server: usize) {
+        self.stats.ejections += 1;
         let healthy_since = self
             .faults
             .healthy_since(server)
             .filter(|since| at.saturating_sub(*since) > REPORT_TTL + SCHEDULING_SLACK);
         if let Some(since) = healthy_since {
-            self.stats.unfounded_condemnations.push(format!(
+            self.stats.unfounded_ejections.push(format!(
                 "{at:?}: s{server} is condemned, and well since {since:?}"
             ));
         }
     }
 
-    fn record_condemnation_end(
-        &mut self,
-        at: Duration,
-        server: usize,
-        resumed_at: Option<Duration>,
-    ) {
+    fn record_ejection_end(&mut self, at: Duration, server: usize, resumed_at: Option<Duration>) {
         if let Some(since) = self.faults.healthy_since(server) {
             let due = since.max(resumed_at.unwrap_or_default());
             let overrun = at.saturating_sub(due);
-            self.stats.condemnation_overruns.push(overrun);
+            self.stats.ejection_overruns.push(overrun);
         }
     }
 
@@ -265,7 +260,7 @@
         }
         let mut stats = self.stats;
         stats.ban_overruns.sort_unstable();
-        stats.condemnation_overruns.sort_unstable();
+        stats.ejection_overruns.sort_unstable();
         stats
     }
 }
--- a/crates/testbed/src/fleet/verdict_stats/tests.rs
+++ b/crates/testbed/src/fleet/verdict_stats/tests.rs
@@ -77,12 +77,12 @@
     let stats = VerdictStats::from_events(&events);
     assert_eq!(stats.ban_overruns, [Duration::ZERO, SECOND, 4 * SECOND]);
     assert_eq!(
-        (stats.condemnations, stats.unfounded_condemnations.len()),
+        (stats.ejections, stats.unfounded_ejections.len()),
         (3, 1),
         "{:?}",
-        stats.unfounded_condemnations
+        stats.unfounded_ejections
     );
-    assert_eq!(stats.condemnation_overruns, [7 * SECOND]);
+    assert_eq!(stats.ejection_overruns, [7 * SECOND]);
     // Held to the end of the history.
     let stats = VerdictStats::from_events(&events[..6]);
     assert_eq!(stats.ban_overruns, [Duration::ZERO, Duration::ZERO]);
--- a/crates/testbed/src/scenario/fleet/detection.rs
+++ b/crates/testbed/src/scenario/fleet/detection.rs
@@ -14,9 +14,9 @@
 const FAULTY_SERVERS: usize = 5;
 /// Time without a fault before each, and the duration of each.
 const PHASE: Duration = Duration::from_secs(4);
-/// So many nodes have to report a fault before a server is condemned.
+/// So many nodes have to report a fault before a server is ejected.
 const REPORTERS: usize = 3;
-/// No node probes a condemned server during the phase.
+/// No node probes an ejected server during the phase.
 const FLEET_SETTINGS: &str = "verdicts = { trial_every = \"60s\" }";
 const SEED: u64 = 8;
 
--- a/crates/testbed/src/scenario/fleet/mass_restart.rs
+++ b/crates/testbed/src/scenario/fleet/mass_restart.rs
@@ -45,6 +45,6 @@
         "killed": killed,
         "known_s": detection_time.as_secs_f64(),
         "back_s": recovery_time.as_secs_f64(),
-        "mistaken": stats.unfounded_condemnations.len(),
+        "mistaken": stats.unfounded_ejections.len(),
     }))
 }
