--- a/crates/capacity/src/scale/plot.rs
+++ b/crates/capacity/src/scale/plot.rs
@@ -13,10 +13,10 @@
 const WIDTH: u32 = 640;
 /// Height of a plot, in pixels.
 const HEIGHT: u32 = 400;
-/// Padding of an axis, as a share of its extent.
-const PADDING_SHARE: f64 = 0.05;
-/// Least padding, as a share of the largest value: an extent may be empty.
-const MIN_PADDING_SHARE: f64 = 1e-6;
+/// Padding of an axis, as a ratio to its extent.
+const PADDING_RATIO: f64 = 0.05;
+/// Least padding, as a ratio to the largest value: an extent may be empty.
+const MIN_PADDING_RATIO: f64 = 1e-6;
 /// Size of the caption, in pixels.
 const CAPTION_SIZE: u32 = 16;
 /// Margin around the chart, in pixels.
@@ -83,8 +83,8 @@
 }
 
 fn padded(extent: Extent) -> Extent {
-    let min_padding = f64::MIN_POSITIVE.max(extent.max.abs() * MIN_PADDING_SHARE);
-    let padding = (extent.span() * PADDING_SHARE).max(min_padding);
+    let min_padding = f64::MIN_POSITIVE.max(extent.max.abs() * MIN_PADDING_RATIO);
+    let padding = (extent.span() * PADDING_RATIO).max(min_padding);
     Extent {
         min: extent.min - padding,
         max: extent.max + padding,
--- a/crates/capacity/src/scale/window.rs
+++ b/crates/capacity/src/scale/window.rs
@@ -195,9 +195,9 @@
     })
 }
 
-/// The smallest of sorted values that is not exceeded by this share of them.
-fn quantile(sorted: &[f64], share: f64) -> f64 {
-    let rank = (share * sorted.len() as f64).ceil() as usize;
+/// The smallest of sorted values that is not exceeded by this fraction of them.
+fn quantile(sorted: &[f64], fraction: f64) -> f64 {
+    let rank = (fraction * sorted.len() as f64).ceil() as usize;
     sorted.get(rank.saturating_sub(1)).copied().unwrap_or(0.0)
 }
 
--- a/crates/cluster/src/members/anti_entropy.rs
+++ b/crates/cluster/src/members/anti_entropy.rs
@@ -9,17 +9,17 @@
 use std::collections::HashSet;
 
 /// What an incarnation contributes to the digests.
-struct DigestShare {
+struct DigestContribution {
     /// The index of its partition.
     partition: usize,
     digest: u32,
 }
 
-impl DigestShare {
-    fn of(incarnation: &Incarnation) -> DigestShare {
+impl DigestContribution {
+    fn of(incarnation: &Incarnation) -> DigestContribution {
         let mixed = (incarnation.tag ^ incarnation.number.wrapping_mul(0x9e37_79b9_7f4a_7c15))
             .wrapping_mul(0xd6e8_feb8_6659_fd93);
-        DigestShare {
+        DigestContribution {
             partition: (mixed >> 61) as usize % MEMBER_PARTITIONS,
             digest: (mixed >> 16) as u32,
         }
@@ -32,8 +32,8 @@
     pub fn digests(&self) -> [u32; MEMBER_PARTITIONS] {
         let mut digests = [0; MEMBER_PARTITIONS];
         for node in self.by_tag.values().chain([&self.me]) {
-            let share = DigestShare::of(&node.incarnation);
-            digests[share.partition] ^= share.digest;
+            let contribution = DigestContribution::of(&node.incarnation);
+            digests[contribution.partition] ^= contribution.digest;
         }
         digests
     }
@@ -42,7 +42,7 @@
     pub fn differing(&self, digests: &[u32; MEMBER_PARTITIONS], from: &Node) -> Vec<MemberUpdate> {
         let own = self.digests();
         let differs = |node: &Node| {
-            let partition = DigestShare::of(&node.incarnation).partition;
+            let partition = DigestContribution::of(&node.incarnation).partition;
             own[partition] != digests[partition] && node != from
         };
         self.library
