--- a/crates/distribution/tests/backlog.rs
+++ b/crates/distribution/tests/backlog.rs
@@ -166,25 +166,31 @@
 /// Number of keys; a list of them takes several frames.
 const KEY_COUNT: u32 = 9_000;
 
+fn key_name(item: u32) -> Name {
+    Name::service("a", &format!("r{item}"))
+}
+
+/// Publishes all keys and waits until the relays have them.
+fn publish_all_keys(world: &mut World) {
+    let drafts = (0..KEY_COUNT)
+        .map(|item| Draft::put(key_name(item), b"old"))
+        .collect();
+    publish(world, drafts);
+    world.run(30.0);
+}
+
 #[test]
 fn removals_missed_in_a_partition_reach_downstream_relays() {
     let mut world = chain(4);
-    let name = |item: u32| Name::service("a", &format!("r{item}"));
-    publish(
-        &mut world,
-        (0..KEY_COUNT)
-            .map(|item| Draft::put(name(item), b"old"))
-            .collect(),
-    );
-    world.run(30.0);
+    publish_all_keys(&mut world);
     assert_eq!(world.relay_of(REGION_RELAY).log().len(), KEY_COUNT as usize);
     world.partition(PeerId(AUTHOR), PeerId(FIRST_RELAY), 5.0);
     // More removals than the author retains.
     publish(
         &mut world,
-        (0..200).map(|item| Draft::remove(name(item))).collect(),
+        (0..200).map(|item| Draft::remove(key_name(item))).collect(),
     );
-    let last = publish(&mut world, vec![Draft::put(name(200), b"new")]);
+    let last = publish(&mut world, vec![Draft::put(key_name(200), b"new")]);
     world.run(60.0);
     let published = contents(world.author_of(AUTHOR).log());
     for relay in [FIRST_RELAY, REGION_RELAY] {
@@ -200,14 +206,7 @@
 #[test]
 fn process_restarted_before_storing_its_coverage_learns_of_removals() {
     let mut world = chain(5);
-    let name = |item: u32| Name::service("a", &format!("r{item}"));
-    publish(
-        &mut world,
-        (0..KEY_COUNT)
-            .map(|item| Draft::put(name(item), b"old"))
-            .collect(),
-    );
-    world.run(30.0);
+    publish_all_keys(&mut world);
     let newcomers = [REGION_RELAY + 1, NODE].map(PeerId);
     world.add_relay(REGION_RELAY + 1, &[FIRST_RELAY]);
     world.add_node(NODE, &[FIRST_RELAY], &[Selector::Services]);
@@ -231,7 +230,7 @@
         &mut world,
         (100..KEY_COUNT)
             .rev()
-            .map(|item| Draft::remove(name(item)))
+            .map(|item| Draft::remove(key_name(item)))
             .collect(),
     );
     world.run(30.0);
@@ -247,7 +246,7 @@
     );
     let node = world.node_of(NODE);
     let applied = (0..KEY_COUNT)
-        .filter(|item| node.applied_change(&name(*item)).is_some())
+        .filter(|item| node.applied_change(&key_name(*item)).is_some())
         .count();
     assert_eq!(applied, published.len(), "resources that the node applies");
 }
--- a/crates/testbed/src/fleet/invariants.rs
+++ b/crates/testbed/src/fleet/invariants.rs
@@ -8,6 +8,8 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
+/// How long a ban or a verdict may take to reach all nodes.
+pub const PROPAGATION_TIME: Duration = Duration::from_secs(1);
 /// For how long a node may still send to a server after it has received its ban.
 pub const BAN_GRACE: Duration = Duration::from_millis(500);
 /// How much later a busy machine may deliver a response, or act on a time-out.
--- a/crates/testbed/src/scenario/fleet/ban.rs
+++ b/crates/testbed/src/scenario/fleet/ban.rs
@@ -1,10 +1,8 @@
 //! A ban of a server at one node: when the last node stops sending to the server, and when the first and the last send again.
 
-use super::{
-    wait_until_converged, Scale, AT_MOST_ONCE_RATIO, MILLISECONDS_PER_SECOND, PROPAGATION_TIME,
-};
+use super::{wait_until_converged, Scale, AT_MOST_ONCE_RATIO, MILLISECONDS_PER_SECOND};
 use crate::fleet::history::TimedEvent;
-use crate::fleet::invariants::BAN_GRACE;
+use crate::fleet::invariants::{BAN_GRACE, PROPAGATION_TIME};
 use crate::fleet::{queries, TestFleet};
 use crate::scenario::Report;
 use crate::scripted::Program;
--- a/crates/testbed/src/scenario/fleet/mod.rs
+++ b/crates/testbed/src/scenario/fleet/mod.rs
@@ -74,8 +74,6 @@
 }
 
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
-/// An update reaches all nodes within this time.
-const PROPAGATION_TIME: Duration = Duration::from_secs(1);
 /// Share of the requests that must run at most once.
 const AT_MOST_ONCE_RATIO: f64 = 0.3;
 /// Violations that the report lists of each phase.
--- a/crates/testbed/src/scenario/fleet/silent_server.rs
+++ b/crates/testbed/src/scenario/fleet/silent_server.rs
@@ -1,6 +1,7 @@
 //! A server that stops answering for some seconds, and what that costs.
 
-use super::{wait_until_converged, Scale, AT_MOST_ONCE_RATIO, PROPAGATION_TIME};
+use super::{wait_until_converged, Scale, AT_MOST_ONCE_RATIO};
+use crate::fleet::invariants::PROPAGATION_TIME;
 use crate::fleet::{queries, TestFleet};
 use crate::scripted::Program;
 use crate::Result;
--- a/crates/testbed/tests/cluster/bans.rs
+++ b/crates/testbed/tests/cluster/bans.rs
@@ -4,23 +4,21 @@
     assert_no_violations, attempt_count, late_attempts, quickly_warmed, reserve_fleet, run_command,
     run_for, start, wait_until_attempted, wait_until_explained, SECOND,
 };
+use crate::ALL_NODES;
 use reelfall_testbed::fleet::{invariants, queries, server_name, FleetSpec, ManagementResponse};
 use std::time::Duration;
 
-/// All nodes of a fleet of the default size.
-const ALL: [usize; 5] = [0, 1, 2, 3, 4];
-
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn ban_and_lift_reach_all_nodes() {
     let _reservation = reserve_fleet().await;
     let fleet = start(FleetSpec::default()).await;
     let load = fleet.start_load(60.0, 0.3, 1);
-    wait_until_attempted(&fleet, 2, &ALL).await;
+    wait_until_attempted(&fleet, 2, &ALL_NODES).await;
     fleet.ban_server(0, 2, None).await.unwrap();
     let since = fleet.history.now();
     run_for(3.0).await;
     assert_eq!(
-        late_attempts(&fleet, 2, since, &ALL),
+        late_attempts(&fleet, 2, since, &ALL_NODES),
         [],
         "sent to a banned server\n{}",
         fleet.history.tail(20)
@@ -55,7 +53,7 @@
     run_command(&fleet, 1, &["enable", "s5"]).await;
     // Lifted by way of another node.
     fleet.lift_ban(3, 2).await.unwrap();
-    wait_until_attempted(&fleet, 2, &ALL).await;
+    wait_until_attempted(&fleet, 2, &ALL_NODES).await;
     load.stop().await;
     assert_no_violations(&fleet);
 }
@@ -83,7 +81,7 @@
     );
     assert!(!recent_attempts.is_empty(), "a ban crossed the partition");
     // The first ban expires in time on both sides.
-    wait_until_attempted(&fleet, 0, &ALL).await;
+    wait_until_attempted(&fleet, 0, &ALL_NODES).await;
     let longest = fleet.history.now() - banned_at;
     assert!(
         longest < Duration::from_secs(9),
@@ -94,7 +92,7 @@
         0,
         banned_at + SECOND + invariants::BAN_GRACE,
         Duration::MAX,
-        &ALL,
+        &ALL_NODES,
     );
     let readmitted_after = attempts_after_ban[0].at - banned_at;
     assert!(
@@ -152,15 +150,15 @@
     wait_until_explained(&fleet, "s0", "s0: out by hand").await;
     wait_until_explained(&fleet, "s1", "s1: not out by hand").await;
     let since = fleet.history.now();
-    wait_until_attempted(&fleet, 1, &ALL).await;
+    wait_until_attempted(&fleet, 1, &ALL_NODES).await;
     run_for(2.0).await;
     assert_eq!(
-        late_attempts(&fleet, 0, since, &ALL),
+        late_attempts(&fleet, 0, since, &ALL_NODES),
         [],
         "a renewed ban was lost"
     );
     fleet.lift_ban(2, 0).await.unwrap();
-    wait_until_attempted(&fleet, 0, &ALL).await;
+    wait_until_attempted(&fleet, 0, &ALL_NODES).await;
     load.stop().await;
     assert_no_violations(&fleet);
 }
--- a/crates/testbed/tests/cluster/main.rs
+++ b/crates/testbed/tests/cluster/main.rs
@@ -9,3 +9,6 @@
 mod membership;
 mod network_faults;
 mod schedule;
+
+/// All nodes of a fleet of the default size.
+const ALL_NODES: [usize; 5] = [0, 1, 2, 3, 4];
--- a/crates/testbed/tests/cluster/membership.rs
+++ b/crates/testbed/tests/cluster/membership.rs
@@ -4,6 +4,7 @@
     assert_no_violations, late_attempts, program, quickly_warmed, reserve_fleet, run_for, start,
     wait_until_attempted, wait_until_explained, SECOND,
 };
+use crate::ALL_NODES;
 use reelfall_testbed::fleet::history::Event;
 use reelfall_testbed::fleet::{queries, FleetSpec, TestFleet};
 use std::time::Duration;
@@ -71,7 +72,7 @@
     let load = fleet.start_load(40.0, 0.2, 6);
     let since = fleet.history.now();
     run_for(3.0).await;
-    assert_eq!(late_attempts(&fleet, 0, since, &[0, 1, 2, 3, 4]), []);
+    assert_eq!(late_attempts(&fleet, 0, since, &ALL_NODES), []);
     load.stop().await;
     assert_no_violations(&fleet);
 }
--- a/crates/testbed/tests/cluster/network_faults.rs
+++ b/crates/testbed/tests/cluster/network_faults.rs
@@ -4,11 +4,10 @@
     assert_no_violations, attempt_count, late_attempts, quickly_warmed, reserve_fleet, run_for,
     start, wait_until_attempted, wait_until_explained, SECOND,
 };
+use crate::ALL_NODES;
 use reelfall_testbed::fleet::history::Event;
 use reelfall_testbed::fleet::{queries, FleetSpec, ManagementResponse, TestFleet};
 
-/// All nodes of a fleet of the default size.
-const ALL: [usize; 5] = [0, 1, 2, 3, 4];
 /// An ejected server gets a probe a second; in four seconds one that is not ejected gets more attempts than this.
 const MAX_PROBES: usize = 8;
 
@@ -23,7 +22,7 @@
     fleet.network().partition(&[2], &[3], false);
     let first_event = fleet.history.len();
     let load = fleet.start_load(40.0, 0.2, 21);
-    wait_until_attempted(&fleet, 0, &ALL).await;
+    wait_until_attempted(&fleet, 0, &ALL_NODES).await;
     run_for(DETECTION_TIME).await;
     assert!(
         !is_any_member_down(&fleet, first_event),
@@ -35,7 +34,7 @@
         let since = fleet.history.now();
         run_for(2.5).await;
         assert_eq!(
-            late_attempts(&fleet, server, since, &ALL),
+            late_attempts(&fleet, server, since, &ALL_NODES),
             [],
             "sent to a banned server"
         );
@@ -66,7 +65,7 @@
     let events = fleet.history.events();
     // The reports of the faulty node eject no server.
     for server in 0..fleet.servers.len() {
-        let attempts = queries::attempts(&events, server, to - 4 * SECOND, to, &ALL);
+        let attempts = queries::attempts(&events, server, to - 4 * SECOND, to, &ALL_NODES);
         assert!(
             attempts.len() > MAX_PROBES,
             "server {server} was sent {} requests in 4 s",
@@ -129,7 +128,7 @@
     let since = fleet.history.now();
     run_for(3.0).await;
     assert_eq!(
-        attempt_count(&fleet, 0, since, &ALL),
+        attempt_count(&fleet, 0, since, &ALL_NODES),
         0,
         "sent to a banned server"
     );
@@ -157,7 +156,7 @@
 
 /// Whether all nodes respond, and one of them counts a datagram that the system did not send.
 async fn has_failed_send(fleet: &TestFleet) -> bool {
-    for node in ALL {
+    for node in ALL_NODES {
         let response = fleet.call_management(node, "GET", "/-/fleet/members").await;
         let Ok(ManagementResponse { status: 200, body }) = response else {
             return false;
--- a/crates/testbed/tests/fleets/mod.rs
+++ b/crates/testbed/tests/fleets/mod.rs
@@ -15,8 +15,6 @@
 /// Maximum number of fleets that run at once, however many tests do. With more of them nodes would be short of processor
 /// time and report servers as slow.
 const MAX_FLEETS: usize = 2;
-/// How long a verdict may take to reach all nodes.
-const PROPAGATION_TIME: Duration = SECOND;
 /// A server that got no attempt for this time is avoided: under the load of these tests any other gets many.
 const QUIET_TIME: Duration = Duration::from_millis(500);
 
@@ -185,6 +183,6 @@
     nodes: &[usize],
 ) -> Vec<queries::Attempt> {
     let events = fleet.history.events();
-    let deadline = since + PROPAGATION_TIME + invariants::BAN_GRACE;
+    let deadline = since + invariants::PROPAGATION_TIME + invariants::BAN_GRACE;
     queries::attempts(&events, server, deadline, Duration::MAX, nodes)
 }
--- a/crates/testbed/tests/membership/entries.rs
+++ b/crates/testbed/tests/membership/entries.rs
@@ -10,6 +10,8 @@
 const TOO_LONG_DATA_LEN: usize = (1 << 20) - 1000;
 /// Delay of responses and watch events of a slow member.
 const RESPONSE_DELAY: Duration = Duration::from_millis(500);
+/// How often the node is stopped at most, until that is before a slow member's responses.
+const MAX_STOP_ATTEMPTS: usize = 5;
 /// Entries of servers that do not exist.
 const ENTRY_COUNT: usize = 2_000;
 /// Changed entries.
@@ -103,14 +105,27 @@
     let client = Client::new(node.address());
     assert_eq!(count_successes(&client, "before", 10).await, 10);
     registry.set_response_delay(0, RESPONSE_DELAY);
-    let requests_before = registry.counters().requests;
-    let registration = RegisteredServer::register(&registry, &brief, "brief", 0);
-    wait_until("the reads of its entry by both services", async || {
-        registry.counters().requests >= requests_before + 2
-    })
-    .await;
-    // The responses to the reads, and the events after them, wait in the sockets of the node.
-    node.signal("STOP").unwrap();
+    let mut pending_registration = None;
+    for attempt in 0..MAX_STOP_ATTEMPTS {
+        let name = format!("brief-{attempt}");
+        let requests_before = registry.counters().requests;
+        let registration = RegisteredServer::register(&registry, &brief, &name, 0);
+        wait_until("the reads of its entry by both services", async || {
+            registry.counters().requests >= requests_before + 2
+        })
+        .await;
+        // The responses to the reads, and the events after them, wait in the sockets of the node.
+        node.signal("STOP").unwrap();
+        let counters = registry.counters();
+        if counters.bytes_written < counters.bytes_sent {
+            pending_registration = Some(registration);
+            break;
+        }
+        // The test was too slow: the node may have read the responses.
+        node.signal("CONT").unwrap();
+        registration.expire_session(&registry);
+    }
+    let registration = pending_registration.expect("a node that stops before the responses");
     let events_before = registry.counters().watch_events;
     registration.expire_session(&registry);
     wait_until("the events of both services in the sockets", async || {
