--- a/crates/capacity/examples/state_size/leases.rs
+++ b/crates/capacity/examples/state_size/leases.rs
@@ -27,7 +27,7 @@
 pub fn client(number: usize) -> ClientId {
     ClientId {
         name: node_name(number),
-        tag: tag(number),
+        instance_id: tag(number),
     }
 }
 
@@ -74,7 +74,7 @@
         lease: lease.clone(),
         round: ROUND,
         ballot: BALLOT,
-        length: LEASE_LENGTH_US,
+        duration: LEASE_LENGTH_US,
         waited: 0,
     };
     keeper.handle_request(NOW_US, &client(number % CLIENTS), prepare);
@@ -82,8 +82,8 @@
         lease,
         round: ROUND,
         token: BALLOT,
-        length: LEASE_LENGTH_US,
-        peers: Vec::new(),
+        duration: LEASE_LENGTH_US,
+        known_positions: Vec::new(),
     };
     keeper.handle_request(NOW_US, &client(number % CLIENTS), grant);
     let _ = keeper.take_effects();
--- a/crates/capacity/examples/state_size/messages.rs
+++ b/crates/capacity/examples/state_size/messages.rs
@@ -95,25 +95,25 @@
         lease: lease_name(LEASE_NUMBER)?,
         round: LEASE_ROUND,
         token: LEASE_TOKEN,
-        length: LEASE_LENGTH_US,
-        peers: Vec::new(),
+        duration: LEASE_LENGTH_US,
+        known_positions: Vec::new(),
     })
 }
 
 fn granted() -> Result<Response> {
     let position = LogPosition {
-        storage: StorageId {
+        storage_id: StorageId {
             generation: 1,
-            tag: u64::MAX,
+            nonce: u64::MAX,
         },
-        records: LOG_RECORDS,
+        record_count: LOG_RECORDS,
     };
     Ok(Response::Granted {
         lease: lease_name(LEASE_NUMBER)?,
         round: LEASE_ROUND,
         vote: Vote {
-            own: position,
-            peers: vec![Some(position); KEEPERS],
+            own_position: position,
+            known_positions: vec![Some(position); KEEPERS],
         },
     })
 }
@@ -131,9 +131,9 @@
     let page = PeerMessage::PromisePage {
         after: None,
         promises,
-        floor: 0,
-        last: true,
-        voting: true,
+        ballot_floor: 0,
+        is_last: true,
+        is_voting: true,
     };
     let encoded = Message::Peer(page).encode().ok_or(Error::PageTooLong)?;
     Ok(encoded.len())
@@ -143,7 +143,7 @@
     Promise {
         ballot: LEASE_TOKEN,
         client: Some(client(number)),
-        length: LEASE_LENGTH_US,
+        duration: LEASE_LENGTH_US,
     }
 }
 
--- a/crates/lease-store/src/frame.rs
+++ b/crates/lease-store/src/frame.rs
@@ -1,6 +1,6 @@
 //! The frames of a file: encoding, checksums, decoding of a whole file.
 
-use crate::{file_header, StoreError, FILE_HEADER_LEN, MAGIC, VERSION};
+use crate::{file_header, StoreError, FILE_HEADER_LEN, FORMAT_VERSION, MAGIC};
 use reelfall_lease::durable::{DurableState, Record};
 use serde::{Deserialize, Serialize};
 
@@ -68,34 +68,34 @@
 
 /// The contents of a file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Contents {
+pub struct FileContents {
     /// The state that results from all complete frames.
     pub state: DurableState,
     /// Number of complete frames.
-    pub frames: u64,
+    pub frame_count: u64,
     /// Where the last complete frame ends, in bytes.
-    pub end: usize,
+    pub valid_len: usize,
 }
 
 /// Decodes a file.
 ///
 /// # Errors
 /// If it is no file of this version, or a frame is missing before another one.
-pub fn decode(bytes: &[u8]) -> Result<Contents, StoreError> {
+pub fn decode_file(bytes: &[u8]) -> Result<FileContents, StoreError> {
     if bytes.len() < FILE_HEADER_LEN && file_header().starts_with(bytes) {
-        return Ok(Contents::default());
+        return Ok(FileContents::default());
     }
-    let body = bytes.strip_prefix(MAGIC).ok_or(StoreError::Damaged(0))?;
+    let body = bytes.strip_prefix(MAGIC).ok_or(StoreError::Corrupt(0))?;
     match body.first() {
-        Some(&VERSION) => {}
-        Some(&version) if version > VERSION => return Err(StoreError::Newer(version)),
-        _ => return Err(StoreError::Damaged(MAGIC.len())),
+        Some(&FORMAT_VERSION) => {}
+        Some(&version) if version > FORMAT_VERSION => return Err(StoreError::TooNew(version)),
+        _ => return Err(StoreError::Corrupt(MAGIC.len())),
     }
-    let mut contents = Contents {
-        end: FILE_HEADER_LEN,
-        ..Contents::default()
+    let mut contents = FileContents {
+        valid_len: FILE_HEADER_LEN,
+        ..FileContents::default()
     };
-    while let Some(decoded) = decode_frame(contents.frames, &bytes[contents.end..]) {
+    while let Some(decoded) = decode_frame(contents.frame_count, &bytes[contents.valid_len..]) {
         match decoded.frame {
             OwnedFrame::Snapshot(state) => contents.state = state,
             OwnedFrame::Records(records) => {
@@ -104,23 +104,23 @@
                     .for_each(|record| contents.state.apply(record));
             }
         }
-        contents.frames += 1;
-        contents.end += decoded.length;
+        contents.frame_count += 1;
+        contents.valid_len += decoded.length;
     }
     if has_later_frame(&contents, bytes) {
-        return Err(StoreError::Damaged(contents.end));
+        return Err(StoreError::Corrupt(contents.valid_len));
     }
     Ok(contents)
 }
 
 /// Whether a complete frame follows anywhere after the last readable one: then a part in the middle is lost, since a
 /// truncated write is followed by nothing.
-fn has_later_frame(contents: &Contents, bytes: &[u8]) -> bool {
-    let numbers = contents.frames..=contents.frames + FRAMES_AHEAD;
+fn has_later_frame(contents: &FileContents, bytes: &[u8]) -> bool {
+    let numbers = contents.frame_count..=contents.frame_count + FRAMES_AHEAD;
     let starts_frame = |offset: usize| {
         numbers
             .clone()
             .any(|number| decode_frame(number, &bytes[offset..]).is_some())
     };
-    (contents.end..bytes.len()).any(starts_frame)
+    (contents.valid_len..bytes.len()).any(starts_frame)
 }
--- a/crates/lease-store/src/lib.rs
+++ b/crates/lease-store/src/lib.rs
@@ -21,7 +21,7 @@
 
 mod frame;
 
-pub use frame::{decode, Contents};
+pub use frame::{decode_file, FileContents};
 
 use frame::{encode_frame, Frame};
 use reelfall_lease::durable::{DurableState, Record};
@@ -32,13 +32,13 @@
 use thiserror::Error;
 
 /// The version of the format, stored in the file.
-pub const VERSION: u8 = 1;
+pub const FORMAT_VERSION: u8 = 1;
 /// The file's name in the keeper's folder.
-pub const FILE: &str = "leases";
+pub const FILE_NAME: &str = "leases";
 /// The name of the file that replaces it at a compaction, until it is complete.
-const NEW_FILE: &str = "leases.new";
+const NEW_FILE_NAME: &str = "leases.new";
 /// The name of the file that locks the folder.
-const LOCK_FILE: &str = "lock";
+const LOCK_FILE_NAME: &str = "lock";
 
 const MAGIC: &[u8] = b"reelfall leases";
 /// Length of the file's header, in bytes.
@@ -53,16 +53,16 @@
     #[error("another process has this folder")]
     InUse,
     /// The file was written by a later version.
-    #[error("the file has version {0}, this program knows {VERSION}")]
-    Newer(u8),
+    #[error("the file has version {0}, this program knows {FORMAT_VERSION}")]
+    TooNew(u8),
     /// The file is not what was written.
     #[error(
         "the file is damaged at byte {0}; empty the folder to have the fellows let this keeper in again"
     )]
-    Damaged(usize),
+    Corrupt(usize),
     /// An I/O error of the system.
     #[error("{0}")]
-    System(#[from] std::io::Error),
+    Io(#[from] std::io::Error),
 }
 
 /// An open storage folder.
@@ -70,7 +70,7 @@
     folder: PathBuf,
     file: File,
     /// Number of frames in the file.
-    frames: u64,
+    frame_count: u64,
     /// Length of the file, in bytes.
     file_len: u64,
     state: DurableState,
@@ -87,16 +87,20 @@
     pub fn open(folder: &Path) -> Result<(Store, DurableState), StoreError> {
         std::fs::create_dir_all(folder)?;
         let lock = lock_folder(folder)?;
-        let path = folder.join(FILE);
-        let Contents { state, frames, end } = decode(&read_if_exists(&path)?)?;
+        let path = folder.join(FILE_NAME);
+        let FileContents {
+            state,
+            frame_count,
+            valid_len,
+        } = decode_file(&read_if_exists(&path)?)?;
         let mut file = OpenOptions::new()
             .create(true)
             .truncate(false)
             .append(true)
             .open(&path)?;
         // A truncated frame is removed, so that the next one follows the last complete one.
-        file.set_len(end as u64)?;
-        if end == 0 {
+        file.set_len(valid_len as u64)?;
+        if valid_len == 0 {
             file.write_all(&file_header())?;
         }
         file.sync_all()?;
@@ -104,8 +108,8 @@
         let store = Store {
             folder: folder.to_owned(),
             file,
-            frames,
-            file_len: end.max(FILE_HEADER_LEN) as u64,
+            frame_count,
+            file_len: valid_len.max(FILE_HEADER_LEN) as u64,
             state: state.clone(),
             has_failed: false,
             _lock: lock,
@@ -123,10 +127,10 @@
         }
         // Reset at the end, so that an early return leaves it set.
         self.has_failed = true;
-        let bytes = encode_frame(self.frames, &Frame::Records(records))?;
+        let bytes = encode_frame(self.frame_count, &Frame::Records(records))?;
         self.file.write_all(&bytes)?;
         self.file.sync_data()?;
-        self.frames += 1;
+        self.frame_count += 1;
         self.file_len += bytes.len() as u64;
         for record in records {
             self.state.apply(record);
@@ -140,8 +144,8 @@
 
     /// Replaces the file by a new one with a single snapshot.
     fn compact(&mut self) -> Result<(), StoreError> {
-        let new_path = self.folder.join(NEW_FILE);
-        let path = self.folder.join(FILE);
+        let new_path = self.folder.join(NEW_FILE_NAME);
+        let path = self.folder.join(FILE_NAME);
         let mut bytes = file_header();
         bytes.extend(encode_frame(0, &Frame::Snapshot(&self.state))?);
         let mut file = File::create(&new_path)?;
@@ -150,7 +154,7 @@
         std::fs::rename(&new_path, &path)?;
         sync_folder(&self.folder)?;
         self.file = OpenOptions::new().append(true).open(&path)?;
-        self.frames = 1;
+        self.frame_count = 1;
         self.file_len = bytes.len() as u64;
         Ok(())
     }
@@ -158,7 +162,7 @@
 
 /// What a file begins with.
 fn file_header() -> Vec<u8> {
-    [MAGIC, &[VERSION]].concat()
+    [MAGIC, &[FORMAT_VERSION]].concat()
 }
 
 /// Locks a folder for this process until the returned file is dropped.
@@ -167,7 +171,7 @@
         .create(true)
         .truncate(false)
         .write(true)
-        .open(folder.join(LOCK_FILE))?;
+        .open(folder.join(LOCK_FILE_NAME))?;
     flock(&lock, FlockOperation::NonBlockingLockExclusive).map_err(|_| StoreError::InUse)?;
     Ok(lock)
 }
--- a/crates/lease-store/tests/crash.rs
+++ b/crates/lease-store/tests/crash.rs
@@ -6,7 +6,7 @@
 use reelfall_lease::durable::{DurableState, Record};
 use reelfall_lease::message::{ClientId, LogPosition, Promise, StorageId};
 use reelfall_lease::token::LeaseName;
-use reelfall_lease_store::{decode, Store, StoreError, FILE};
+use reelfall_lease_store::{decode_file, Store, StoreError, FILE_NAME};
 use std::path::PathBuf;
 
 /// Names of leases in the records.
@@ -42,14 +42,14 @@
     };
     let client = Some(ClientId {
         name: format!("node-{index}"),
-        tag: index,
+        instance_id: index,
     });
     let mut records = vec![Record::Promised(
         lease_name(index),
         Promise {
             ballot: index + 1,
             client,
-            length: 5_000_000,
+            duration: 5_000_000,
         },
     )];
     match index {
@@ -57,19 +57,19 @@
             0,
             Record::Created(StorageId {
                 generation: 1,
-                tag: 77,
+                nonce: 77,
             }),
         ),
         1 => records.push(Record::Admitted),
         _ if index % 5 == 4 => records.push(Record::Evicted(lease_name(index - 3))),
-        _ => records.push(Record::Peer(
+        _ => records.push(Record::PeerPosition(
             (index % PEERS) as u8,
             LogPosition {
-                storage: StorageId {
+                storage_id: StorageId {
                     generation: 1,
-                    tag: index % PEERS,
+                    nonce: index % PEERS,
                 },
-                records: index,
+                record_count: index,
             },
         )),
     }
@@ -87,7 +87,7 @@
 
 fn write_file(folder: &Folder, batches: u64) -> WrittenFile {
     let (mut store, state) = Store::open(&folder.0).unwrap();
-    let file_length = || std::fs::metadata(folder.0.join(FILE)).unwrap().len() as usize;
+    let file_length = || std::fs::metadata(folder.0.join(FILE_NAME)).unwrap().len() as usize;
     let mut states = vec![state];
     let mut ends = vec![file_length()];
     for index in 0..batches {
@@ -99,7 +99,7 @@
         ends.push(file_length());
     }
     WrittenFile {
-        bytes: std::fs::read(folder.0.join(FILE)).unwrap(),
+        bytes: std::fs::read(folder.0.join(FILE_NAME)).unwrap(),
         ends,
         states,
     }
@@ -114,13 +114,13 @@
     } = write_file(&Folder::new("truncated"), 40);
     for length in 0..=bytes.len() {
         let complete_writes = ends.iter().rposition(|end| *end <= length).unwrap_or(0);
-        let contents = decode(&bytes[..length]).unwrap();
+        let contents = decode_file(&bytes[..length]).unwrap();
         assert_eq!(
             contents.state, states[complete_writes],
             "truncated at {length}"
         );
-        let is_end_of_a_write = length < ends[0] || contents.end == ends[complete_writes];
-        assert!(contents.end <= length && is_end_of_a_write);
+        let is_end_of_a_write = length < ends[0] || contents.valid_len == ends[complete_writes];
+        assert!(contents.valid_len <= length && is_end_of_a_write);
     }
 }
 
@@ -128,7 +128,7 @@
 fn writing_continues_after_a_torn_write() {
     let folder = Folder::new("torn");
     let WrittenFile { bytes, states, .. } = write_file(&folder, 6);
-    std::fs::write(folder.0.join(FILE), &bytes[..bytes.len() - 3]).unwrap();
+    std::fs::write(folder.0.join(FILE_NAME), &bytes[..bytes.len() - 3]).unwrap();
     let (mut store, mut state) = Store::open(&folder.0).unwrap();
     assert_eq!(state, states[5]);
     let records = batch(9);
@@ -150,7 +150,7 @@
         let mut corrupt = bytes.clone();
         corrupt[offset] ^= 1 << rng.random_range(0..8);
         let is_in_last_write = offset >= ends[ends.len() - 2];
-        match decode(&corrupt) {
+        match decode_file(&corrupt) {
             // The last write looks torn. The other keepers know that it was complete.
             Ok(contents) => {
                 assert!(
@@ -158,8 +158,8 @@
                     "a bit flip at {offset} is not detected"
                 )
             }
-            Err(StoreError::Newer(_)) => assert_eq!(offset, VERSION_OFFSET),
-            Err(StoreError::Damaged(_)) => assert!(!is_in_last_write, "at {offset}"),
+            Err(StoreError::TooNew(_)) => assert_eq!(offset, VERSION_OFFSET),
+            Err(StoreError::Corrupt(_)) => assert!(!is_in_last_write, "at {offset}"),
             Err(error) => panic!("{error}"),
         }
     }
@@ -171,7 +171,7 @@
     for frame in 1..ends.len() - 1 {
         let remaining = [&bytes[..ends[frame - 1]], &bytes[ends[frame]..]].concat();
         assert!(
-            matches!(decode(&remaining), Err(StoreError::Damaged(_))),
+            matches!(decode_file(&remaining), Err(StoreError::Corrupt(_))),
             "the loss of frame {frame} is not detected"
         );
     }
@@ -184,27 +184,27 @@
     assert!(matches!(Store::open(&folder.0), Err(StoreError::InUse)));
     drop(store);
     let open_error = |bytes: &[u8]| {
-        std::fs::write(folder.0.join(FILE), bytes).unwrap();
+        std::fs::write(folder.0.join(FILE_NAME), bytes).unwrap();
         Store::open(&folder.0).err().unwrap()
     };
     assert!(matches!(
         open_error(b"something else altogether, and longer"),
-        StoreError::Damaged(0)
+        StoreError::Corrupt(0)
     ));
     assert!(matches!(
         open_error(b"reelfall leases\x02"),
-        StoreError::Newer(2)
+        StoreError::TooNew(2)
     ));
     // The file of a newer version is unchanged.
     assert_eq!(
-        std::fs::read(folder.0.join(FILE)).unwrap(),
+        std::fs::read(folder.0.join(FILE_NAME)).unwrap(),
         b"reelfall leases\x02"
     );
     let not_a_folder = Folder::new("no-folder");
     std::fs::write(&not_a_folder.0, b"").unwrap();
     assert!(matches!(
         Store::open(&not_a_folder.0),
-        Err(StoreError::System(_))
+        Err(StoreError::Io(_))
     ));
     std::fs::remove_file(&not_a_folder.0).unwrap();
 }
@@ -229,7 +229,7 @@
         let records: Vec<Record> = batches.flat_map(batch).collect();
         store.write(&records).unwrap();
         records.iter().for_each(|record| state.apply(record));
-        let length = std::fs::metadata(folder.0.join(FILE)).unwrap().len();
+        let length = std::fs::metadata(folder.0.join(FILE_NAME)).unwrap().len();
         compactions += usize::from(length < previous_length);
         max_length = max_length.max(length);
         previous_length = length;
--- a/crates/lease-store/tests/golden.rs
+++ b/crates/lease-store/tests/golden.rs
@@ -4,7 +4,7 @@
 use reelfall_lease::durable::Record;
 use reelfall_lease::message::{ClientId, LogPosition, Promise, StorageId};
 use reelfall_lease::token::LeaseName;
-use reelfall_lease_store::{decode, Store, FILE};
+use reelfall_lease_store::{decode_file, Store, FILE_NAME};
 use std::path::PathBuf;
 
 const GOLDEN: &str = include_str!("golden/leases.hex");
@@ -20,39 +20,39 @@
     let lease = LeaseName::try_from(format!("lease-{}", n % 5)).unwrap();
     let client = (!n.is_multiple_of(3)).then(|| ClientId {
         name: format!("n{n}"),
-        tag: n << 40,
+        instance_id: n << 40,
     });
     Record::Promised(
         lease,
         Promise {
             ballot: n + 1,
             client,
-            length: 5_000_000,
+            duration: 5_000_000,
         },
     )
 }
 
 fn writes() -> Vec<Vec<Record>> {
-    let storage = StorageId {
+    let storage_id = StorageId {
         generation: 1,
-        tag: 77,
+        nonce: 77,
     };
     vec![
-        vec![Record::Created(storage), promised(0)],
+        vec![Record::Created(storage_id), promised(0)],
         vec![
             Record::Admitted,
-            Record::Peer(
+            Record::PeerPosition(
                 1,
                 LogPosition {
-                    storage,
-                    records: 500,
+                    storage_id,
+                    record_count: 500,
                 },
             ),
         ],
         (1..6).map(promised).collect(),
         vec![
             Record::Evicted(LeaseName::try_from("lease-2".to_owned()).unwrap()),
-            Record::Floor(4),
+            Record::BallotFloor(4),
         ],
     ]
 }
@@ -65,23 +65,23 @@
         store.write(&records).unwrap();
     }
     drop(store);
-    let bytes = std::fs::read(folder.join(FILE)).unwrap();
+    let bytes = std::fs::read(folder.join(FILE_NAME)).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(hex, GOLDEN.trim_end());
-    let mut state = decode(&[]).unwrap().state;
+    let mut state = decode_file(&[]).unwrap().state;
     writes()
         .concat()
         .iter()
         .for_each(|record| state.apply(record));
-    assert_eq!(decode(&bytes).unwrap().state, state);
+    assert_eq!(decode_file(&bytes).unwrap().state, state);
 }
 
 #[test]
 fn a_compacted_file_has_the_bytes_that_it_had() {
     let folder = folder("compacted");
     let (mut store, _) = Store::open(&folder).unwrap();
-    let length = || std::fs::metadata(folder.join(FILE)).unwrap().len();
+    let length = || std::fs::metadata(folder.join(FILE_NAME)).unwrap().len();
     let mut before = length();
     for n in 0.. {
         store
@@ -97,7 +97,7 @@
         before = length();
     }
     drop(store);
-    let bytes = std::fs::read(folder.join(FILE)).unwrap();
+    let bytes = std::fs::read(folder.join(FILE_NAME)).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
     assert_eq!(blake3::hash(&bytes).to_hex().as_str(), COMPACTED.trim_end());
 }
--- a/crates/lease/src/clock.rs
+++ b/crates/lease/src/clock.rs
@@ -12,27 +12,27 @@
 
 /// The safety margins for clock drift.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Margins {
+pub struct DriftMargin {
     /// The maximum drift of a clock, in parts per million. Crystals keep within 100, a clock that is being slewed within
     /// 500 (`adjtimex`: `MAXFREQ`).
     pub drift_ppm: u32,
 }
 
-impl Default for Margins {
+impl Default for DriftMargin {
     fn default() -> Self {
-        Margins { drift_ppm: 1000 }
+        DriftMargin { drift_ppm: 1000 }
     }
 }
 
-impl Margins {
+impl DriftMargin {
     /// How long a holder counts a lease of this length, from before its request.
-    pub fn holder_length(&self, length: Micros) -> Micros {
-        let slack = u128::from(length) * 2 * u128::from(self.drift_ppm);
-        length.saturating_sub(u64::try_from(slack.div_ceil(PPM)).unwrap_or(u64::MAX))
+    pub fn holder_duration(&self, duration: Micros) -> Micros {
+        let slack = u128::from(duration) * 2 * u128::from(self.drift_ppm);
+        duration.saturating_sub(u64::try_from(slack.div_ceil(PPM)).unwrap_or(u64::MAX))
     }
 
     /// How long a keeper counts it, from after it granted.
-    pub fn keeper_length(&self, length: Micros) -> Micros {
-        length
+    pub fn keeper_duration(&self, duration: Micros) -> Micros {
+        duration
     }
 }
--- a/crates/lease/src/durable.rs
+++ b/crates/lease/src/durable.rs
@@ -16,59 +16,59 @@
     /// The peers have recorded the folder, and it has caught up with them: it may vote.
     Admitted,
     /// The latest known log position of a peer.
-    Peer(u8, LogPosition),
+    PeerPosition(u8, LogPosition),
     /// A promise to a client.
     Promised(LeaseName, Promise),
     /// A lease was evicted; its ballot stays covered by the floor.
     Evicted(LeaseName),
     /// No ballot up to this one is valid, whatever the lease.
-    Floor(u64),
+    BallotFloor(u64),
 }
 
 /// The state that results from all records.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DurableState {
     /// The identity of the folder; `None` for an empty one.
-    pub storage: Option<StorageId>,
+    pub storage_id: Option<StorageId>,
     /// Whether it may vote, once the peers agree.
     pub admitted: bool,
     /// Number of records so far.
-    pub records: u64,
+    pub record_count: u64,
     /// The log positions of the peers, as far as they were recorded.
-    pub peers: BTreeMap<u8, LogPosition>,
+    pub peer_positions: BTreeMap<u8, LogPosition>,
     /// The promises by lease.
-    pub leases: BTreeMap<LeaseName, Promise>,
-    /// See [`Record::Floor`].
-    pub floor: u64,
+    pub promises: BTreeMap<LeaseName, Promise>,
+    /// See [`Record::BallotFloor`].
+    pub ballot_floor: u64,
 }
 
 impl DurableState {
     /// Applies a record.
     pub fn apply(&mut self, record: &Record) {
-        self.records += 1;
+        self.record_count += 1;
         match record {
-            Record::Created(storage) => self.storage = Some(*storage),
+            Record::Created(storage_id) => self.storage_id = Some(*storage_id),
             Record::Admitted => self.admitted = true,
-            Record::Peer(peer, position) => {
-                self.peers.insert(*peer, *position);
+            Record::PeerPosition(peer, position) => {
+                self.peer_positions.insert(*peer, *position);
             }
             Record::Promised(lease, promise) => {
-                self.leases.insert(lease.clone(), promise.clone());
+                self.promises.insert(lease.clone(), promise.clone());
             }
             Record::Evicted(lease) => {
-                if let Some(promise) = self.leases.remove(lease) {
-                    self.floor = self.floor.max(promise.ballot);
+                if let Some(promise) = self.promises.remove(lease) {
+                    self.ballot_floor = self.ballot_floor.max(promise.ballot);
                 }
             }
-            Record::Floor(floor) => self.floor = self.floor.max(*floor),
+            Record::BallotFloor(floor) => self.ballot_floor = self.ballot_floor.max(*floor),
         }
     }
 
     /// The log position; `None` for an empty folder.
-    pub fn position(&self) -> Option<LogPosition> {
-        self.storage.map(|storage| LogPosition {
-            storage,
-            records: self.records,
+    pub fn log_position(&self) -> Option<LogPosition> {
+        self.storage_id.map(|storage_id| LogPosition {
+            storage_id,
+            record_count: self.record_count,
         })
     }
 
@@ -77,9 +77,9 @@
     /// The floor counts for leases that are present, too: a peer may have evicted one whose ballot was higher than the one
     /// here, and its floor is all that is left of it.
     pub fn promised_ballot(&self, lease: &LeaseName) -> u64 {
-        self.leases
+        self.promises
             .get(lease)
             .map_or(0, |promise| promise.ballot)
-            .max(self.floor)
+            .max(self.ballot_floor)
     }
 }
--- a/crates/lease/src/holder/config.rs
+++ b/crates/lease/src/holder/config.rs
@@ -1,6 +1,6 @@
 //! How a lease is requested and renewed.
 
-use crate::clock::Margins;
+use crate::clock::DriftMargin;
 use crate::Micros;
 
 /// The shortest backoff by default, in microseconds.
@@ -12,9 +12,9 @@
     /// Number of keepers.
     pub keepers: usize,
     /// Safety margins for clock drift.
-    pub margins: Margins,
+    pub drift_margin: DriftMargin,
     /// How long a lease lasts without renewal, in microseconds.
-    pub length: Micros,
+    pub duration: Micros,
     /// Keepers that have not responded within this time receive the request again, in microseconds.
     pub response_timeout: Micros,
     /// The shortest backoff between two attempts, in microseconds.
@@ -25,15 +25,15 @@
 
 impl Config {
     /// Defaults for a lease of this length, with this number of keepers.
-    pub fn new(keepers: usize, length: Micros) -> Config {
+    pub fn new(keepers: usize, duration: Micros) -> Config {
         Config {
             keepers,
-            margins: Margins::default(),
-            length,
-            response_timeout: (length / 8).clamp(50_000, 1_000_000),
+            drift_margin: DriftMargin::default(),
+            duration,
+            response_timeout: (duration / 8).clamp(50_000, 1_000_000),
             min_backoff: DEFAULT_MIN_BACKOFF,
             // No longer than the lease takes to expire, so that a free lease is not left unused for longer.
-            max_backoff: length.clamp(500_000, 5_000_000),
+            max_backoff: duration.clamp(500_000, 5_000_000),
         }
     }
 }
--- a/crates/lease/src/holder/requests.rs
+++ b/crates/lease/src/holder/requests.rs
@@ -22,7 +22,7 @@
                 lease: self.name.clone(),
                 round: self.round,
                 ballot,
-                length: self.config.length,
+                duration: self.config.duration,
                 waited,
             };
             self.requests.push(KeeperRequest { keeper, request });
@@ -35,9 +35,14 @@
     }
 
     /// Requests grants. The lease counts from now, before any keeper can have granted it.
-    pub(super) fn propose(&mut self, now: Micros, token: u64, peers: &[Option<LogPosition>]) {
+    pub(super) fn propose(
+        &mut self,
+        now: Micros,
+        token: u64,
+        known_positions: &[Option<LogPosition>],
+    ) {
         self.round += 1;
-        self.request_grants(token, peers);
+        self.request_grants(token, known_positions);
         self.state = State::Proposing {
             token,
             started: now,
@@ -66,14 +71,14 @@
         }
     }
 
-    fn request_grants(&mut self, token: u64, peers: &[Option<LogPosition>]) {
+    fn request_grants(&mut self, token: u64, known_positions: &[Option<LogPosition>]) {
         for keeper in 0..self.config.keepers {
             let request = Request::Grant {
                 lease: self.name.clone(),
                 round: self.round,
                 token,
-                length: self.config.length,
-                peers: peers.to_vec(),
+                duration: self.config.duration,
+                known_positions: known_positions.to_vec(),
             };
             self.requests.push(KeeperRequest { keeper, request });
         }
--- a/crates/lease/src/holder/responses.rs
+++ b/crates/lease/src/holder/responses.rs
@@ -6,7 +6,7 @@
 use crate::Micros;
 
 /// A lease is renewed as often as this within its length.
-const RENEWALS_PER_LENGTH: u64 = 3;
+const RENEWALS_PER_DURATION: u64 = 3;
 
 impl Lease {
     /// Handles a response of a keeper. `random` is uniform over all values, and new for each call.
@@ -53,14 +53,17 @@
         };
         votes.accepted[keeper] = Some(vote);
         if votes.has_majority() {
-            let (token, peers) = (*ballot, votes.latest_positions());
-            self.propose(now, token, &peers);
+            let (token, known_positions) = (*ballot, votes.latest_positions());
+            self.propose(now, token, &known_positions);
         }
     }
 
     fn handle_granted(&mut self, now: Micros, keeper: usize, vote: Vote) {
-        let holder_length = self.config.margins.holder_length(self.config.length);
-        let renew_after = self.config.length / RENEWALS_PER_LENGTH;
+        let holder_duration = self
+            .config
+            .drift_margin
+            .holder_duration(self.config.duration);
+        let renew_after = self.config.duration / RENEWALS_PER_DURATION;
         match &mut self.state {
             State::Proposing {
                 token,
@@ -69,7 +72,7 @@
             } => {
                 votes.accepted[keeper] = Some(vote);
                 let token = *token;
-                let until = *started + holder_length;
+                let until = *started + holder_duration;
                 let next_renewal = *started + renew_after;
                 if votes.has_majority() && now < until {
                     self.state = State::Active {
@@ -91,7 +94,7 @@
                 renewal.votes.accepted[keeper] = Some(vote);
                 // A grant after the expiry renews nothing, since there may be another holder by now.
                 if renewal.votes.has_majority() && now < *until {
-                    *until = renewal.started + holder_length;
+                    *until = renewal.started + holder_duration;
                     *next_renewal = renewal.started + renew_after;
                 }
             }
--- a/crates/lease/src/holder/votes.rs
+++ b/crates/lease/src/holder/votes.rs
@@ -25,10 +25,10 @@
             let Some(vote) = vote else {
                 continue;
             };
-            for (known, reported) in latest.iter_mut().zip(&vote.peers) {
+            for (known, reported) in latest.iter_mut().zip(&vote.known_positions) {
                 *known = (*known).max(*reported);
             }
-            latest[keeper] = latest[keeper].max(Some(vote.own));
+            latest[keeper] = latest[keeper].max(Some(vote.own_position));
         }
         latest
     }
@@ -55,5 +55,5 @@
 
 /// Whether a vote comes from the latest storage folder of its keeper that is known.
 fn is_current(vote: &Vote, latest: &Option<LogPosition>) -> bool {
-    latest.is_none_or(|latest| latest.storage <= vote.own.storage)
+    latest.is_none_or(|latest| latest.storage_id <= vote.own_position.storage_id)
 }
--- a/crates/lease/src/keeper/clients.rs
+++ b/crates/lease/src/keeper/clients.rs
@@ -11,11 +11,11 @@
 
 /// The position of a folder that has no identity yet.
 const NO_POSITION: LogPosition = LogPosition {
-    storage: StorageId {
+    storage_id: StorageId {
         generation: 0,
-        tag: 0,
+        nonce: 0,
     },
-    records: 0,
+    record_count: 0,
 };
 
 /// A client's request for a promise.
@@ -23,7 +23,7 @@
     client: &'a ClientId,
     lease: &'a LeaseName,
     ballot: u64,
-    length: Micros,
+    duration: Micros,
     waited: Micros,
 }
 
@@ -53,14 +53,14 @@
                 lease,
                 round,
                 ballot,
-                length,
+                duration,
                 waited,
             } => {
                 let prepare = Prepare {
                     client: from,
                     lease: &lease,
                     ballot,
-                    length,
+                    duration,
                     waited,
                 };
                 Some(match self.promise(now, &prepare) {
@@ -76,16 +76,18 @@
                 lease,
                 round,
                 token,
-                length,
-                peers,
-            } => Some(match self.grant(now, from, &lease, token, length, &peers) {
-                Ok(()) => Response::Granted {
-                    lease,
-                    round,
-                    vote: self.vote(),
+                duration,
+                known_positions,
+            } => Some(
+                match self.grant(now, from, &lease, token, duration, &known_positions) {
+                    Ok(()) => Response::Granted {
+                        lease,
+                        round,
+                        vote: self.vote(),
+                    },
+                    Err(reason) => self.reject(lease, round, reason),
                 },
-                Err(reason) => self.reject(lease, round, reason),
-            }),
+            ),
             Request::Release { lease, token } => {
                 self.release(now, from, &lease, token);
                 None
@@ -110,12 +112,15 @@
     }
 
     fn vote(&self) -> Vote {
-        let own = self.state.position().unwrap_or(NO_POSITION);
-        let mut peers = self.peer_positions.clone();
-        if let Some(mine) = peers.get_mut(self.me) {
-            *mine = Some(own);
+        let own_position = self.state.log_position().unwrap_or(NO_POSITION);
+        let mut known_positions = self.peer_positions.clone();
+        if let Some(mine) = known_positions.get_mut(self.me) {
+            *mine = Some(own_position);
+        }
+        Vote {
+            own_position,
+            known_positions,
         }
-        Vote { own, peers }
     }
 
     /// Promises a ballot to a client. The safety of leases rests on this: nobody is promised a lease that is granted to
@@ -125,21 +130,21 @@
             client,
             lease,
             ballot,
-            length,
+            duration,
             ..
         } = *prepare;
         if !self.recovery.is_voting() {
             return Err(RejectionReason::NotVoting);
         }
-        if length == 0 || length > self.config.max_length {
-            return Err(RejectionReason::InvalidLength);
+        if duration == 0 || duration > self.config.max_duration {
+            return Err(RejectionReason::InvalidDuration);
         }
         self.ensure_capacity(now, lease)?;
         let config = self.config;
         let promised_ballot = self.state.promised_ballot(lease);
         let is_own = self
             .state
-            .leases
+            .promises
             .get(lease)
             .is_some_and(|promise| promise.client.as_ref() == Some(client));
         let volatile = self.leases.entry(lease.clone()).or_default();
@@ -172,7 +177,7 @@
         let promise = Promise {
             ballot,
             client: Some(client.clone()),
-            length,
+            duration,
         };
         self.append(Record::Promised(lease.clone(), promise));
         Ok(())
@@ -184,21 +189,21 @@
         from: &ClientId,
         lease: &LeaseName,
         token: u64,
-        length: Micros,
-        peers: &[Option<LogPosition>],
+        duration: Micros,
+        known_positions: &[Option<LogPosition>],
     ) -> Result<(), RejectionReason> {
         if !self.recovery.is_voting() {
             return Err(RejectionReason::NotVoting);
         }
-        let is_promised = self.is_promised(lease, token, from, Some(length));
+        let is_promised = self.is_promised(lease, token, from, Some(duration));
         let volatile = self.leases.entry(lease.clone()).or_default();
         if !is_promised || volatile.released == Some(token) {
             return Err(RejectionReason::StaleBallot);
         }
-        volatile.granted_until = Some(now + self.config.margins.keeper_length(length));
+        volatile.granted_until = Some(now + self.config.drift_margin.keeper_duration(duration));
         volatile.last_use = self.config.round_use(now);
         volatile.queue.handle_grant(from);
-        self.record_peers(peers);
+        self.record_positions(known_positions);
         Ok(())
     }
 
@@ -208,27 +213,27 @@
         lease: &LeaseName,
         ballot: u64,
         client: &ClientId,
-        length: Option<Micros>,
+        duration: Option<Micros>,
     ) -> bool {
-        self.state.leases.get(lease).is_some_and(|promise| {
+        self.state.promises.get(lease).is_some_and(|promise| {
             promise.ballot == ballot
                 && promise.client.as_ref() == Some(client)
-                && length.is_none_or(|length| length <= promise.length)
+                && duration.is_none_or(|duration| duration <= promise.duration)
         })
     }
 
     /// Records the keepers that this one grants with, so that none of them can return with an older folder unnoticed.
-    fn record_peers(&mut self, peers: &[Option<LogPosition>]) {
+    fn record_positions(&mut self, known_positions: &[Option<LogPosition>]) {
         let (me, keepers) = (self.me, self.keepers);
-        for (keeper, position) in peers
+        for (keeper, position) in known_positions
             .iter()
             .enumerate()
             .filter(|(keeper, _)| *keeper != me && *keeper < keepers)
         {
-            let known = self.state.peers.get(&(keeper as u8));
+            let known = self.state.peer_positions.get(&(keeper as u8));
             let newer = position.filter(|position| known.is_none_or(|known| known < position));
             if let Some(position) = newer {
-                self.append(Record::Peer(keeper as u8, position));
+                self.append(Record::PeerPosition(keeper as u8, position));
                 self.peer_positions[keeper] = self.peer_positions[keeper].max(Some(position));
             }
         }
--- a/crates/lease/src/keeper/mod.rs
+++ b/crates/lease/src/keeper/mod.rs
@@ -13,7 +13,7 @@
 mod clients;
 mod peers;
 
-use crate::clock::Margins;
+use crate::clock::DriftMargin;
 use crate::durable::{DurableState, Record};
 use crate::message::{ClientId, LogPosition, Message, Promise, RejectionReason};
 use crate::queue::{Queue, QueueTimeouts};
@@ -29,9 +29,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
     /// Safety margins for clock drift.
-    pub margins: Margins,
+    pub drift_margin: DriftMargin,
     /// Maximum length of a lease, in microseconds.
-    pub max_length: Micros,
+    pub max_duration: Micros,
     /// Maximum number of leases.
     pub max_leases: usize,
     /// Maximum number of clients that wait for one lease.
@@ -45,8 +45,8 @@
 impl Default for Config {
     fn default() -> Self {
         Config {
-            margins: Margins::default(),
-            max_length: 60_000_000,
+            drift_margin: DriftMargin::default(),
+            max_duration: 60_000_000,
             max_leases: 1024,
             max_waiters: 512,
             queue_timeouts: QueueTimeouts {
@@ -149,12 +149,12 @@
         keepers: usize,
         config: Config,
         state: DurableState,
-        tag: u64,
+        nonce: u64,
         now: Micros,
     ) -> Keeper {
         // What was granted before is unknown: each promised lease may have been granted a moment ago.
         let assume_granted = |(lease, promise): (&LeaseName, &Promise)| {
-            let granted_until = Some(now + config.margins.keeper_length(promise.length));
+            let granted_until = Some(now + config.drift_margin.keeper_duration(promise.duration));
             let last_use = config.round_use(now);
             (
                 lease.clone(),
@@ -166,15 +166,15 @@
             )
         };
         let peer_positions = (0..keepers)
-            .map(|n| state.peers.get(&(n as u8)).copied())
+            .map(|n| state.peer_positions.get(&(n as u8)).copied())
             .collect();
         let mut keeper = Keeper {
             me,
             keepers,
             config,
-            recovery: Recovery::new(me, keepers, &state, tag, now),
+            recovery: Recovery::new(me, keepers, &state, nonce, now),
             peer_positions,
-            leases: state.leases.iter().map(assume_granted).collect(),
+            leases: state.promises.iter().map(assume_granted).collect(),
             state,
             effects: Effects::default(),
         };
@@ -193,13 +193,13 @@
     }
 
     /// The durable state, as it is on disk once all records are written.
-    pub fn state(&self) -> &DurableState {
+    pub fn durable_state(&self) -> &DurableState {
         &self.state
     }
 
     /// The leases, for operators.
     pub fn leases(&self, now: Micros) -> impl Iterator<Item = LeaseView<'_>> {
-        self.state.leases.iter().map(move |(lease, promise)| {
+        self.state.promises.iter().map(move |(lease, promise)| {
             let volatile = self.leases.get(lease);
             let granted_until = volatile
                 .and_then(|v| v.granted_until)
@@ -231,13 +231,14 @@
 
     /// Ensures that there is capacity for this lease; a new one may evict another.
     fn ensure_capacity(&mut self, now: Micros, lease: &LeaseName) -> Result<(), RejectionReason> {
-        if self.state.leases.contains_key(lease) || self.state.leases.len() < self.config.max_leases
+        if self.state.promises.contains_key(lease)
+            || self.state.promises.len() < self.config.max_leases
         {
             return Ok(());
         }
         let is_free = |l: &&LeaseName| self.leases.get(*l).is_none_or(|v| !v.is_granted(now));
         let last_use = |l: &&LeaseName| self.leases.get(*l).map_or(0, |v| v.last_use);
-        let candidates = self.state.leases.keys().filter(is_free);
+        let candidates = self.state.promises.keys().filter(is_free);
         let oldest = candidates
             .min_by_key(last_use)
             .cloned()
--- a/crates/lease/src/keeper/peers.rs
+++ b/crates/lease/src/keeper/peers.rs
@@ -20,10 +20,13 @@
             return;
         }
         match message {
-            PeerMessage::PositionQuery { own } => self.handle_position_query(from, own),
-            PeerMessage::PositionReply { recorded, voting } => {
+            PeerMessage::PositionQuery { position } => self.handle_position_query(from, position),
+            PeerMessage::PositionReply {
+                recorded,
+                is_voting,
+            } => {
                 self.recovery
-                    .handle_position_reply(now, from, &self.state, recorded, voting);
+                    .handle_position_reply(now, from, &self.state, recorded, is_voting);
                 self.advance_recovery(now);
             }
             PeerMessage::PromiseQuery { after } => {
@@ -33,37 +36,40 @@
             PeerMessage::PromisePage {
                 after,
                 promises,
-                floor,
-                last,
-                voting,
+                ballot_floor,
+                is_last,
+                is_voting,
             } => {
-                self.adopt_promises(now, &promises, floor);
+                self.adopt_promises(now, &promises, ballot_floor);
                 let up_to = promises.last().map(|(lease, _)| lease.clone()).or(after);
                 self.recovery
-                    .handle_promise_page(now, from, up_to, last, voting);
+                    .handle_promise_page(now, from, up_to, is_last, is_voting);
                 self.advance_recovery(now);
             }
         }
     }
 
-    fn handle_position_query(&mut self, from: usize, own: Option<LogPosition>) {
-        let recorded = self.state.peers.get(&(from as u8)).copied();
+    fn handle_position_query(&mut self, from: usize, position: Option<LogPosition>) {
+        let recorded = self.state.peer_positions.get(&(from as u8)).copied();
         let new_storage =
-            own.filter(|own| recorded.is_none_or(|recorded| recorded.storage < own.storage));
+            position.filter(|new| recorded.is_none_or(|old| old.storage_id < new.storage_id));
         // Until this keeper votes it writes nothing here: an old copy of its folder would otherwise grow to the length that
         // the peers know before they have reported that, and would be taken for the latest.
         let writes = !matches!(
             self.recovery.status(),
             Status::Verifying | Status::Rejected(_)
         );
-        if own > self.peer_positions[from] && (writes || new_storage.is_none()) {
-            self.peer_positions[from] = own;
+        if position > self.peer_positions[from] && (writes || new_storage.is_none()) {
+            self.peer_positions[from] = position;
             if let Some(position) = new_storage {
-                self.append(Record::Peer(from as u8, position));
+                self.append(Record::PeerPosition(from as u8, position));
             }
         }
-        let (recorded, voting) = (self.peer_positions[from], self.recovery.is_voting());
-        let reply = PeerMessage::PositionReply { recorded, voting };
+        let (recorded, is_voting) = (self.peer_positions[from], self.recovery.is_voting());
+        let reply = PeerMessage::PositionReply {
+            recorded,
+            is_voting,
+        };
         self.send(Destination::Keeper(from), Message::Peer(reply));
     }
 
@@ -83,7 +89,11 @@
     /// The promises for leases after this one, as many as fit in a message.
     fn promise_page(&self, after: Option<LeaseName>) -> PeerMessage {
         let from = after.clone().map_or(Bound::Unbounded, Bound::Excluded);
-        let mut rest = self.state.leases.range((from, Bound::Unbounded)).peekable();
+        let mut rest = self
+            .state
+            .promises
+            .range((from, Bound::Unbounded))
+            .peekable();
         let (mut promises, mut left) = (Vec::new(), MAX_MESSAGE_LEN - PAGE_OVERHEAD);
         while let Some((lease, promise)) = rest.next_if(|(lease, promise)| {
             let client = promise
@@ -97,14 +107,14 @@
         }) {
             promises.push((lease.clone(), promise.clone()));
         }
-        let last = rest.peek().is_none();
-        let voting = self.recovery.is_voting();
+        let is_last = rest.peek().is_none();
+        let is_voting = self.recovery.is_voting();
         PeerMessage::PromisePage {
             after,
             promises,
-            floor: self.state.floor,
-            last,
-            voting,
+            ballot_floor: self.state.ballot_floor,
+            is_last,
+            is_voting,
         }
     }
 
@@ -112,40 +122,45 @@
     ///
     /// They are adopted without their clients, and nobody is granted the lease for its whole length: a promise that one peer
     /// has made is not that of a majority, and the holder may owe its majority to this keeper's previous folder.
-    fn adopt_promises(&mut self, now: Micros, promises: &[(LeaseName, Promise)], floor: u64) {
+    fn adopt_promises(
+        &mut self,
+        now: Micros,
+        promises: &[(LeaseName, Promise)],
+        ballot_floor: u64,
+    ) {
         if !matches!(self.recovery.status(), Status::CatchingUp) {
             return;
         }
         for (lease, promise) in promises {
             self.adopt_promise(now, lease, promise);
         }
-        if floor > self.state.floor {
-            self.append(Record::Floor(floor));
+        if ballot_floor > self.state.ballot_floor {
+            self.append(Record::BallotFloor(ballot_floor));
         }
     }
 
     fn adopt_promise(&mut self, now: Micros, lease: &LeaseName, promise: &Promise) {
         if self.ensure_capacity(now, lease).is_err() {
             // Its ballot counts even though it can't be kept: no other lease gets a ballot as low as this.
-            self.append(Record::Floor(promise.ballot));
+            self.append(Record::BallotFloor(promise.ballot));
             return;
         }
         // The longest length of all peers: after a restart only the disk states for how long nobody is granted the lease.
         let own = self
             .state
-            .leases
+            .promises
             .get(lease)
-            .map_or((0, 0), |own| (own.ballot, own.length));
-        let (ballot, length) = (promise.ballot.max(own.0), promise.length.max(own.1));
-        if (ballot, length) != own {
+            .map_or((0, 0), |own| (own.ballot, own.duration));
+        let (ballot, duration) = (promise.ballot.max(own.0), promise.duration.max(own.1));
+        if (ballot, duration) != own {
             let adopted = Promise {
                 ballot,
                 client: None,
-                length,
+                duration,
             };
             self.append(Record::Promised(lease.clone(), adopted));
         }
-        let granted_until = Some(now + self.config.margins.keeper_length(promise.length));
+        let granted_until = Some(now + self.config.drift_margin.keeper_duration(promise.duration));
         let volatile = self.leases.entry(lease.clone()).or_default();
         volatile.granted_until = volatile.granted_until.max(granted_until);
         volatile.last_use = self.config.round_use(now);
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -17,7 +17,7 @@
     /// The node's name.
     pub name: String,
     /// Random for each process, so that a restarted node is not mistaken for its previous incarnation.
-    pub tag: u64,
+    pub instance_id: u64,
 }
 
 /// The identity of a keeper's storage folder. A folder that replaces another one has the greater identity.
@@ -26,25 +26,25 @@
     /// Counts the folders that this keeper name has had.
     pub generation: u32,
     /// Random, so that two folders created at the same time are distinct.
-    pub tag: u64,
+    pub nonce: u64,
 }
 
 /// How far a keeper's log has advanced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LogPosition {
     /// The folder that holds the log.
-    pub storage: StorageId,
+    pub storage_id: StorageId,
     /// Number of records written to it.
-    pub records: u64,
+    pub record_count: u64,
 }
 
 /// What a keeper reports about itself and its peers with each vote.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Vote {
     /// Its own log position.
-    pub own: LogPosition,
+    pub own_position: LogPosition,
     /// The log positions of all keepers, in the order of the settings, as far as it knows them.
-    pub peers: Vec<Option<LogPosition>>,
+    pub known_positions: Vec<Option<LogPosition>>,
 }
 
 /// A request from a client to a keeper.
@@ -59,7 +59,7 @@
         /// The ballot number; it becomes the token.
         ballot: u64,
         /// Requested duration of the lease, in microseconds.
-        length: Micros,
+        duration: Micros,
         /// How long the client has been waiting for the lease, in microseconds.
         waited: Micros,
     },
@@ -72,9 +72,9 @@
         /// The ballot number that was promised.
         token: u64,
         /// Duration, in microseconds.
-        length: Micros,
+        duration: Micros,
         /// The log positions that the promising keepers reported.
-        peers: Vec<Option<LogPosition>>,
+        known_positions: Vec<Option<LogPosition>>,
     },
     /// Releases the lease, or abandons the attempt to get it with this ballot.
     Release {
@@ -111,7 +111,7 @@
     /// This keeper does not vote.
     NotVoting,
     /// The requested duration is not allowed.
-    InvalidLength,
+    InvalidDuration,
     /// The keeper has no capacity for another lease or another waiting client.
     AtCapacity,
 }
@@ -175,7 +175,7 @@
     /// The client; `None` if a peer made the promise, or a previous folder of this keeper.
     pub client: Option<ClientId>,
     /// Requested duration of the lease, in microseconds.
-    pub length: Micros,
+    pub duration: Micros,
 }
 
 /// A message between keepers.
@@ -184,14 +184,14 @@
     /// Announces the sender's log position and queries what the receiver has recorded of it.
     PositionQuery {
         /// The sender's position; `None` if its folder is empty.
-        own: Option<LogPosition>,
+        position: Option<LogPosition>,
     },
     /// Answers [`PeerMessage::PositionQuery`] with what is durable at the sender.
     PositionReply {
         /// The latest position of the receiver that the sender knows.
         recorded: Option<LogPosition>,
         /// Whether the sender votes.
-        voting: bool,
+        is_voting: bool,
     },
     /// Requests a page of the promises to leases whose names come after this one.
     PromiseQuery {
@@ -205,11 +205,11 @@
         /// Promises in the order of the names of their leases.
         promises: Vec<(LeaseName, Promise)>,
         /// No ballot up to this one is valid, whatever the lease.
-        floor: u64,
+        ballot_floor: u64,
         /// Whether this is the last page.
-        last: bool,
+        is_last: bool,
         /// Whether the sender votes.
-        voting: bool,
+        is_voting: bool,
     },
 }
 
@@ -242,11 +242,13 @@
     }
 
     fn is_within_bounds(&self) -> bool {
-        let few = |peers: &[Option<LogPosition>]| peers.len() <= MAX_KEEPERS;
+        let few = |positions: &[Option<LogPosition>]| positions.len() <= MAX_KEEPERS;
         match self {
-            Message::Request(Request::Grant { peers, .. }) => few(peers),
+            Message::Request(Request::Grant {
+                known_positions, ..
+            }) => few(known_positions),
             Message::Response(Response::Promised { vote, .. } | Response::Granted { vote, .. }) => {
-                few(&vote.peers)
+                few(&vote.known_positions)
             }
             Message::Peer(PeerMessage::PromisePage { promises, .. }) => {
                 promises.iter().all(|(_, promise)| {
--- a/crates/lease/src/recovery.rs
+++ b/crates/lease/src/recovery.rs
@@ -31,21 +31,21 @@
 pub enum StorageFault {
     /// Another folder replaced it.
     #[error(
-        "another folder has taken this keeper's place (generation {by}); this one must not vote"
+        "another folder has taken this keeper's place (generation {generation}); this one must not vote"
     )]
     Replaced {
         /// The generation of the other folder.
-        by: u32,
+        generation: u32,
     },
     /// It has lost records.
     #[error(
-        "the folder has {here} records, a fellow knows of {known}: it is an old copy; empty it to begin anew"
+        "the folder has {own_records} records, a fellow knows of {known_records}: it is an old copy; empty it to begin anew"
     )]
     Outdated {
         /// Number of records in this folder.
-        here: u64,
+        own_records: u64,
         /// Number of records that a peer knows of.
-        known: u64,
+        known_records: u64,
     },
 }
 
@@ -70,7 +70,7 @@
     /// It has answered.
     answered: bool,
     /// It votes.
-    voting: bool,
+    is_voting: bool,
     /// It has recorded this keeper's present folder as the latest.
     agrees: bool,
     /// The last lease whose promise was read from it.
@@ -97,14 +97,20 @@
     /// The latest generation of this keeper's folders that any peer knows.
     generation: u32,
     /// Random, for the identity of a new folder.
-    tag: u64,
+    nonce: u64,
     next_query: Micros,
 }
 
 impl Recovery {
     /// Starts the recovery of a keeper from its durable state.
-    pub fn new(me: usize, keepers: usize, state: &DurableState, tag: u64, now: Micros) -> Recovery {
-        let status = match (state.storage, state.admitted) {
+    pub fn new(
+        me: usize,
+        keepers: usize,
+        state: &DurableState,
+        nonce: u64,
+        now: Micros,
+    ) -> Recovery {
+        let status = match (state.storage_id, state.admitted) {
             (None, _) => Status::Empty,
             (Some(_), false) => Status::CatchingUp,
             (Some(_), true) => Status::Verifying,
@@ -114,7 +120,7 @@
             status,
             peers: vec![Peer::default(); keepers],
             generation: 0,
-            tag,
+            nonce,
             next_query: now,
         }
     }
@@ -162,7 +168,7 @@
             queries.push(PeerQuery {
                 peer: index,
                 message: PeerMessage::PositionQuery {
-                    own: state.position(),
+                    position: state.log_position(),
                 },
             });
             if self.status == Status::CatchingUp && peer.agrees && peer.read_completely.is_none() {
@@ -184,27 +190,27 @@
         from: usize,
         state: &DurableState,
         recorded: Option<LogPosition>,
-        voting: bool,
+        is_voting: bool,
     ) {
         let Some(peer) = self.peers.get_mut(from) else {
             return;
         };
         peer.answered = true;
-        peer.voting = voting;
+        peer.is_voting = is_voting;
         self.generation = self
             .generation
-            .max(recorded.map_or(0, |recorded| recorded.storage.generation));
-        if let (Some(own), Some(known)) = (state.position(), recorded) {
-            if known.storage > own.storage {
+            .max(recorded.map_or(0, |recorded| recorded.storage_id.generation));
+        if let (Some(own), Some(known)) = (state.log_position(), recorded) {
+            if known.storage_id > own.storage_id {
                 self.status = Status::Rejected(StorageFault::Replaced {
-                    by: known.storage.generation,
+                    generation: known.storage_id.generation,
                 });
-            } else if known.storage == own.storage && known.records > own.records {
+            } else if known.storage_id == own.storage_id && known.record_count > own.record_count {
                 self.status = Status::Rejected(StorageFault::Outdated {
-                    here: own.records,
-                    known: known.records,
+                    own_records: own.record_count,
+                    known_records: known.record_count,
                 });
-            } else if known.storage == own.storage && !peer.agrees {
+            } else if known.storage_id == own.storage_id && !peer.agrees {
                 peer.agrees = true;
                 // Its promises are queried at once.
                 self.next_query = now;
@@ -218,8 +224,8 @@
         now: Micros,
         from: usize,
         up_to: Option<LeaseName>,
-        last: bool,
-        voting: bool,
+        is_last: bool,
+        is_voting: bool,
     ) {
         let Some(peer) = self
             .peers
@@ -228,8 +234,8 @@
         else {
             return;
         };
-        if last {
-            peer.read_completely = Some(voting);
+        if is_last {
+            peer.read_completely = Some(is_voting);
         } else if up_to > peer.read_up_to {
             peer.read_up_to = up_to;
         }
@@ -244,14 +250,17 @@
         match self.status {
             Status::Empty => {
                 let answered: Vec<&Peer> = self.others().filter(|p| p.answered).collect();
-                if !enough(answered.iter().filter(|p| p.voting).count(), answered.len()) {
+                if !enough(
+                    answered.iter().filter(|p| p.is_voting).count(),
+                    answered.len(),
+                ) {
                     return None;
                 }
                 self.status = Status::CatchingUp;
                 self.next_query = now;
                 Some(Record::Created(StorageId {
                     generation: self.generation + 1,
-                    tag: self.tag,
+                    nonce: self.nonce,
                 }))
             }
             Status::CatchingUp => {
--- a/crates/lease/tests/explore/config.rs
+++ b/crates/lease/tests/explore/config.rs
@@ -1,6 +1,6 @@
 //! What an exploration includes, and the configurations of keepers and clients that follow from it.
 
-use reelfall_lease::clock::Margins;
+use reelfall_lease::clock::DriftMargin;
 use reelfall_lease::holder::Config;
 use reelfall_lease::keeper;
 use reelfall_lease::queue::QueueTimeouts;
@@ -29,7 +29,7 @@
 
 pub struct Exploration {
     pub removed: RemovedPart,
-    pub lease_length: Micros,
+    pub lease_duration: Micros,
     /// The last time of the world.
     pub end: u8,
     pub keeper_clock_eighths: u64,
@@ -53,7 +53,7 @@
     fn default() -> Self {
         Exploration {
             removed: RemovedPart::None,
-            lease_length: 3,
+            lease_duration: 3,
             end: 5,
             keeper_clock_eighths: NOMINAL_RATE_EIGHTHS,
             client_clock_eighths: NOMINAL_RATE_EIGHTHS,
@@ -78,11 +78,11 @@
         u64::from(now) * self.client_clock_eighths / NOMINAL_RATE_EIGHTHS
     }
 
-    fn margins(&self) -> Margins {
+    fn drift_margin(&self) -> DriftMargin {
         let has_drift = self.keeper_clock_eighths != NOMINAL_RATE_EIGHTHS
             || self.client_clock_eighths != NOMINAL_RATE_EIGHTHS;
         let is_respected = self.removed != RemovedPart::DriftMargin;
-        Margins {
+        DriftMargin {
             drift_ppm: if has_drift && is_respected {
                 DRIFT_PPM
             } else {
@@ -93,8 +93,8 @@
 
     pub fn keeper_config(&self) -> keeper::Config {
         keeper::Config {
-            margins: self.margins(),
-            max_length: 100,
+            drift_margin: self.drift_margin(),
+            max_duration: 100,
             queue_timeouts: QueueTimeouts {
                 reservation: 1,
                 idle: 2,
@@ -106,8 +106,8 @@
     pub fn client_config(&self) -> Config {
         Config {
             keepers: if self.has_majorities() { KEEPERS } else { 1 },
-            margins: self.margins(),
-            length: self.lease_length,
+            drift_margin: self.drift_margin(),
+            duration: self.lease_duration,
             response_timeout: 1,
             min_backoff: 0,
             max_backoff: 0,
--- a/crates/lease/tests/explore/delivery.rs
+++ b/crates/lease/tests/explore/delivery.rs
@@ -136,7 +136,7 @@
                 keeper,
                 request,
             } => {
-                let state = world.keepers[*keeper].keeper.state();
+                let state = world.keepers[*keeper].keeper.durable_state();
                 let promised = state.promised_ballot(&lease());
                 let is_awaited = |round: u64| {
                     let rejection = Response::Rejected {
@@ -175,7 +175,7 @@
 pub fn post_response(world: &mut World, keeper: usize, to: &ClientId, response: Response) {
     world.in_flight.insert(Packet::Response {
         keeper,
-        client: to.tag as usize,
+        client: to.instance_id as usize,
         response,
     });
 }
--- a/crates/lease/tests/explore/main.rs
+++ b/crates/lease/tests/explore/main.rs
@@ -82,7 +82,7 @@
         removed,
         keeper_clock_eighths: NOMINAL_RATE_EIGHTHS + 1,
         client_clock_eighths: NOMINAL_RATE_EIGHTHS - 1,
-        lease_length: 8,
+        lease_duration: 8,
         end: 9,
         max_late_responses: 0,
         ..Exploration::default()
@@ -95,7 +95,7 @@
         max_restarts: 1,
         max_acquisitions: [1, 1],
         max_late_responses: 0,
-        lease_length: 2,
+        lease_duration: 2,
         end: 3,
         ..Exploration::default()
     }
--- a/crates/lease/tests/explore/state.rs
+++ b/crates/lease/tests/explore/state.rs
@@ -16,7 +16,7 @@
 pub fn client_id(client: usize) -> ClientId {
     ClientId {
         name: format!("n{client}"),
-        tag: client as u64,
+        instance_id: client as u64,
     }
 }
 
--- a/crates/lease/tests/golden.rs
+++ b/crates/lease/tests/golden.rs
@@ -20,18 +20,18 @@
 
 fn position(n: u64) -> LogPosition {
     LogPosition {
-        storage: StorageId {
+        storage_id: StorageId {
             generation: 2,
-            tag: 0xabcd_0000 + n,
+            nonce: 0xabcd_0000 + n,
         },
-        records: 300 * n,
+        record_count: 300 * n,
     }
 }
 
 fn vote() -> Vote {
     Vote {
-        own: position(1),
-        peers: vec![Some(position(1)), None, Some(position(3))],
+        own_position: position(1),
+        known_positions: vec![Some(position(1)), None, Some(position(3))],
     }
 }
 
@@ -39,14 +39,14 @@
     Promise {
         ballot: 70_000,
         client,
-        length: 5_000_000,
+        duration: 5_000_000,
     }
 }
 
 fn client() -> ClientId {
     ClientId {
         name: "n1".to_owned(),
-        tag: 0x1234_5678_9abc_def0,
+        instance_id: 0x1234_5678_9abc_def0,
     }
 }
 
@@ -57,30 +57,30 @@
             lease: lease(),
             round: 5,
             ballot: 900,
-            length: 5_000_000,
+            duration: 5_000_000,
             waited: 1_250_000,
         },
         Request::Grant {
             lease: lease(),
             round: 6,
             token: 900,
-            length: 5_000_000,
-            peers: vote().peers,
+            duration: 5_000_000,
+            known_positions: vote().known_positions,
         },
         Request::Release {
             lease: lease(),
             token: 900,
         },
     ];
-    let refusals = [
+    let reasons = [
         RejectionReason::StaleBallot,
         RejectionReason::Held { remaining: 777_000 },
         RejectionReason::NotFirstInQueue,
         RejectionReason::NotVoting,
-        RejectionReason::InvalidLength,
+        RejectionReason::InvalidDuration,
         RejectionReason::AtCapacity,
     ];
-    let refused = refusals.map(|reason| Response::Rejected {
+    let rejections = reasons.map(|reason| Response::Rejected {
         lease: lease(),
         round: 5,
         reason,
@@ -101,12 +101,12 @@
     ];
     let peers = [
         PeerMessage::PositionQuery {
-            own: Some(position(1)),
+            position: Some(position(1)),
         },
-        PeerMessage::PositionQuery { own: None },
+        PeerMessage::PositionQuery { position: None },
         PeerMessage::PositionReply {
             recorded: Some(position(2)),
-            voting: true,
+            is_voting: true,
         },
         PeerMessage::PromiseQuery { after: None },
         PeerMessage::PromiseQuery {
@@ -118,13 +118,16 @@
                 (name("a"), promise(Some(client()))),
                 (name("b"), promise(None)),
             ],
-            floor: 12,
-            last: true,
-            voting: false,
+            ballot_floor: 12,
+            is_last: true,
+            is_voting: false,
         },
     ];
     let requests = requests.into_iter().map(Message::Request);
-    let responses = responses.into_iter().chain(refused).map(Message::Response);
+    let responses = responses
+        .into_iter()
+        .chain(rejections)
+        .map(Message::Response);
     requests
         .chain(responses)
         .chain(peers.into_iter().map(Message::Peer))
@@ -135,14 +138,14 @@
     vec![
         Record::Created(StorageId {
             generation: 2,
-            tag: 0xabcd_0001,
+            nonce: 0xabcd_0001,
         }),
         Record::Admitted,
-        Record::Peer(2, position(2)),
+        Record::PeerPosition(2, position(2)),
         Record::Promised(name("calls/flags"), promise(Some(client()))),
         Record::Promised(name("b"), promise(None)),
         Record::Evicted(name("b")),
-        Record::Floor(70_001),
+        Record::BallotFloor(70_001),
     ]
 }
 
--- a/crates/lease/tests/keepers/keeper_group.rs
+++ b/crates/lease/tests/keepers/keeper_group.rs
@@ -9,7 +9,7 @@
 use reelfall_lease::Micros;
 
 pub const SECOND: Micros = 1_000_000;
-const LEASE_LENGTH: Micros = 2 * SECOND;
+const LEASE_DURATION: Micros = 2 * SECOND;
 const POLL_INTERVAL: Micros = 10_000;
 /// The backoff of a client after a response lies in the middle of its range.
 const MEDIAN_JITTER: u32 = u32::MAX / 2;
@@ -44,7 +44,7 @@
 impl KeeperGroup {
     /// All keepers vote.
     pub fn new(keepers: usize, clients: usize) -> KeeperGroup {
-        let config = Config::new(keepers, LEASE_LENGTH);
+        let config = Config::new(keepers, LEASE_DURATION);
         let durable_keeper = |index: usize| DurableKeeper {
             keeper: Keeper::open(
                 index,
@@ -158,7 +158,7 @@
             if self.keepers[keeper].is_running && self.reaches(client, keeper) {
                 let id = ClientId {
                     name: client.to_string(),
-                    tag: client as u64,
+                    instance_id: client as u64,
                 };
                 self.keepers[keeper]
                     .keeper
--- a/crates/lease/tests/keepers/queue.rs
+++ b/crates/lease/tests/keepers/queue.rs
@@ -41,7 +41,7 @@
         lease: lease_name(),
         round: ballot,
         ballot,
-        length: SECOND,
+        duration: SECOND,
         waited: 0,
     }
 }
@@ -50,7 +50,7 @@
 fn respond(group: &mut KeeperGroup, keeper: usize, client: u64, request: Request) -> Response {
     let client = ClientId {
         name: client.to_string(),
-        tag: client,
+        instance_id: client,
     };
     group.keepers[keeper]
         .keeper
@@ -76,8 +76,8 @@
         lease: lease_name(),
         round: 2,
         token: 1,
-        length: SECOND,
-        peers: Vec::new(),
+        duration: SECOND,
+        known_positions: Vec::new(),
     };
     assert!(matches!(
         respond(&mut group, 0, 1, grant),
--- a/crates/lease/tests/keepers/storage_faults.rs
+++ b/crates/lease/tests/keepers/storage_faults.rs
@@ -58,7 +58,7 @@
     group.restart(1, DurableState::default());
     group.run(SECOND);
     assert_eq!(group.status(1), Status::Voting);
-    assert_eq!(group.keepers[1].disk.storage.unwrap().generation, 2);
+    assert_eq!(group.keepers[1].disk.storage_id.unwrap().generation, 2);
 }
 
 #[test]
@@ -66,19 +66,19 @@
     let mut group = KeeperGroup::new(3, 1);
     // The copy is of before it had its peers' positions, and lacks as many records as it would write for them.
     let mut backup = group.keepers[1].disk.clone();
-    let missing_records = backup.peers.len() as u64;
-    backup.peers.clear();
-    backup.records -= missing_records;
+    let missing_records = backup.peer_positions.len() as u64;
+    backup.peer_positions.clear();
+    backup.record_count -= missing_records;
     group.keepers[1].is_running = false;
     group.restart(1, backup);
     // It receives the queries of its peers before their responses.
     group.keepers[1].is_running = false;
     for peer in [0, 2] {
-        let own = group.keepers[peer].disk.position();
+        let position = group.keepers[peer].disk.log_position();
         group.keepers[1].keeper.handle_peer_message(
             group.now,
             peer,
-            PeerMessage::PositionQuery { own },
+            PeerMessage::PositionQuery { position },
         );
     }
     group.keepers[1].is_running = true;
--- a/crates/lease/tests/keepers/tokens.rs
+++ b/crates/lease/tests/keepers/tokens.rs
@@ -14,17 +14,17 @@
         Promise {
             ballot: 40,
             client: None,
-            length: SECOND,
+            duration: SECOND,
         },
     ));
-    state.apply(&Record::Floor(50));
+    state.apply(&Record::BallotFloor(50));
     assert_eq!(state.promised_ballot(&lease_name()), 50);
     state.apply(&Record::Promised(
         lease_name(),
         Promise {
             ballot: 60,
             client: None,
-            length: SECOND,
+            duration: SECOND,
         },
     ));
     assert_eq!(state.promised_ballot(&lease_name()), 60);
@@ -44,7 +44,7 @@
     assert!(group
         .keepers
         .iter()
-        .all(|keeper| keeper.keeper.state().leases.is_empty()));
+        .all(|keeper| keeper.keeper.durable_state().promises.is_empty()));
     group.clients[0] = Lease::new(lease_name(), Config::new(3, 2 * SECOND));
     group.clients[0].acquire(group.now);
     group.run(SECOND);
--- a/crates/lease/tests/schedules/network.rs
+++ b/crates/lease/tests/schedules/network.rs
@@ -101,7 +101,7 @@
         let client = &mut self.clients[index];
         let id = ClientId {
             name: index.to_string(),
-            tag: client.process.tag,
+            instance_id: client.process.tag,
         };
         for event in client.lease.take_events() {
             let LeaseEvent::Acquired(token) = event else {
@@ -173,7 +173,7 @@
                 for delay in self.delivery_delays(link) {
                     let event = Event::ToClient {
                         client,
-                        tag: id.tag,
+                        tag: id.instance_id,
                         keeper: index,
                         message: message.clone(),
                     };
--- a/crates/lease/tests/schedules/world.rs
+++ b/crates/lease/tests/schedules/world.rs
@@ -46,14 +46,14 @@
 }
 
 impl World {
-    pub fn new(seed: u64, keepers: usize, clients: usize, lease_length: Micros) -> World {
+    pub fn new(seed: u64, keepers: usize, clients: usize, lease_duration: Micros) -> World {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut process = |number: u64| Process {
             clock_rate: 1.0 + rng.random_range(-0.001..0.001),
             paused_until: 0,
             tag: seed.wrapping_mul(1000) + number,
         };
-        let config = Config::new(keepers, lease_length);
+        let config = Config::new(keepers, lease_duration);
         let keepers: Vec<KeeperProcess> = (0..keepers)
             .map(|index| KeeperProcess {
                 process: process(index as u64),
--- a/crates/node/src/lease/dispatch.rs
+++ b/crates/node/src/lease/dispatch.rs
@@ -30,7 +30,7 @@
             (Message::Request(request), _) => {
                 let client = ClientId {
                     name: from.name.clone(),
-                    tag: from.incarnation.tag,
+                    instance_id: from.incarnation.tag,
                 };
                 self.with_keeper(|keeper, now| keeper.handle_request(now, &client, request));
             }
@@ -119,7 +119,7 @@
     fn send_to_client(&self, client: &ClientId, message: &Message) {
         if let Some(body) = self.encode(message) {
             self.fleet
-                .send_message(&Recipient::Tagged(client.tag), body);
+                .send_message(&Recipient::Tagged(client.instance_id), body);
         }
     }
 
@@ -130,14 +130,14 @@
     }
 
     pub(super) fn send_all(&self, messages: Outbox) {
-        let me = self.client_id().tag;
+        let me = self.client_id().instance_id;
         for OutgoingMessage {
             destination,
             message,
         } in messages
         {
             match destination {
-                Destination::Client(client) if client.tag == me => {
+                Destination::Client(client) if client.instance_id == me => {
                     self.loopback.borrow_mut().push_back(message);
                 }
                 Destination::Client(client) => self.send_to_client(&client, &message),
--- a/crates/node/src/lease/local_keeper.rs
+++ b/crates/node/src/lease/local_keeper.rs
@@ -115,8 +115,8 @@
 
     fn open_keeper(&self, place: usize, state: DurableState) -> Keeper {
         let config = keeper::Config {
-            margins: self.config.margins,
-            max_length: self.max_length,
+            drift_margin: self.config.drift_margin,
+            max_duration: self.max_length,
             ..keeper::Config::default()
         };
         let (tag, now) = (self.random.storage_tag(), self.now());
--- a/crates/node/src/lease/mod.rs
+++ b/crates/node/src/lease/mod.rs
@@ -84,7 +84,7 @@
         let me = self.fleet.me();
         ClientId {
             name: me.name,
-            tag: me.incarnation.tag,
+            instance_id: me.incarnation.tag,
         }
     }
 
@@ -178,7 +178,7 @@
         let was_active = self.operation(name, ()).is_some();
         if let Some(local) = self.local_leases.borrow_mut().get_mut(name) {
             local.lease.release(now);
-            local.reacquire_at = Some(now + self.config.length * LENGTHS_UNTIL_REACQUIRED);
+            local.reacquire_at = Some(now + self.config.duration * LENGTHS_UNTIL_REACQUIRED);
         }
         self.process_effects();
         self.wake.notify_one();
--- a/crates/node/src/lease/start.rs
+++ b/crates/node/src/lease/start.rs
@@ -6,7 +6,7 @@
 use crate::fleet::FleetRuntime;
 use crate::net::Log;
 use reelfall_config::model;
-use reelfall_lease::clock::Margins;
+use reelfall_lease::clock::DriftMargin;
 use reelfall_lease::holder::Config;
 use reelfall_lease::token::{InvalidLeaseName, LeaseName};
 use reelfall_lease::Micros;
@@ -62,7 +62,7 @@
         settings: &model::Leases,
         local_keeper: Option<LocalKeeper>,
     ) -> Leases {
-        let margins = Margins {
+        let drift_margin = DriftMargin {
             drift_ppm: (settings.drift * PPM).ceil() as u32,
         };
         let length = (settings.duration * MICROS_PER_SECOND) as Micros;
@@ -71,7 +71,7 @@
             keepers: settings.keepers.clone(),
             group_id: GroupId::of(&settings.keepers),
             config: Config {
-                margins,
+                drift_margin,
                 ..Config::new(settings.keepers.len(), length)
             },
             max_length: length,
