--- a/crates/lease-store/src/frame.rs
+++ b/crates/lease-store/src/frame.rs
@@ -1,4 +1,4 @@
-//! The frames of a file: encoding, checksums, decoding of a whole file.
+//! Encodes the frames of a file with their checksums, and decodes a whole file.
 
 use crate::{file_header, StoreError, FILE_HEADER_LEN, FORMAT_VERSION, MAGIC};
 use reelfall_lease::durable::{DurableState, Record};
@@ -7,12 +7,13 @@
 const LENGTH_LEN: usize = 4;
 const CHECKSUM_LEN: usize = 16;
 const FRAME_HEADER_LEN: usize = LENGTH_LEN + CHECKSUM_LEN;
-/// Maximum length of a frame, in bytes: a snapshot of the maximum number of leases takes a quarter of it.
+/// Maximum length of a frame's body, in bytes. A snapshot of the maximum number of leases takes a quarter of it.
 const MAX_FRAME_LEN: usize = 1 << 20;
-/// Number of frames after a damaged one that are searched for; any one of them proves the damage.
+/// Number of frames after an unreadable one that are searched for. Any one of them shows that the file is corrupt, and
+/// not only truncated.
 const FRAMES_AHEAD: u64 = 2;
 
-/// The body of a frame to be written.
+/// The body of a frame to write.
 #[derive(Serialize)]
 pub(crate) enum Frame<'a> {
     Snapshot(&'a DurableState),
@@ -32,32 +33,32 @@
     *hasher.finalize().as_bytes()
 }
 
-/// Encodes the frame with this number.
+/// Encodes the frame with this number, counted from 0 in the file.
 pub(crate) fn encode_frame(number: u64, frame: &Frame) -> Result<Vec<u8>, StoreError> {
     let body = postcard::to_stdvec(frame).map_err(std::io::Error::other)?;
     let length = u32::try_from(body.len())
         .ok()
         .filter(|length| *length as usize <= MAX_FRAME_LEN)
-        .ok_or_else(|| std::io::Error::other("too many records at once"))?;
+        .ok_or_else(|| std::io::Error::other("the records exceed the maximum length of a frame"))?;
     let mut bytes = length.to_le_bytes().to_vec();
     bytes.extend_from_slice(&checksum(number, &body)[..CHECKSUM_LEN]);
     bytes.extend_from_slice(&body);
     Ok(bytes)
 }
 
-/// A frame that was read, and its length in bytes.
+/// A decoded frame, and its length in bytes with the frame's header.
 struct DecodedFrame {
     frame: OwnedFrame,
     length: usize,
 }
 
-/// Decodes the frame with this number at the start of these bytes; `None` if there is no complete one.
+/// Decodes the frame with this number at the start of these bytes; `None` if it is incomplete or corrupt.
 fn decode_frame(number: u64, bytes: &[u8]) -> Option<DecodedFrame> {
     let (length, rest) = bytes.split_first_chunk::<LENGTH_LEN>()?;
     let length = u32::from_le_bytes(*length) as usize;
-    let (expected, rest) = rest.split_at_checked(CHECKSUM_LEN)?;
+    let (expected_checksum, rest) = rest.split_at_checked(CHECKSUM_LEN)?;
     let body = rest.get(..length).filter(|_| length <= MAX_FRAME_LEN)?;
-    if checksum(number, body)[..CHECKSUM_LEN] != *expected {
+    if checksum(number, body)[..CHECKSUM_LEN] != *expected_checksum {
         return None;
     }
     Some(DecodedFrame {
@@ -66,21 +67,21 @@
     })
 }
 
-/// The contents of a file.
+/// The decoded contents of a file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FileContents {
     /// The state that results from all complete frames.
     pub state: DurableState,
     /// Number of complete frames.
     pub frame_count: u64,
-    /// Where the last complete frame ends, in bytes.
+    /// Length of the file up to the end of the last complete frame, in bytes.
     pub valid_len: usize,
 }
 
-/// Decodes a file.
+/// Decodes a file; a truncated frame at its end is ignored.
 ///
 /// # Errors
-/// If it is no file of this version, or a frame is missing before another one.
+/// If the file does not have this format version, or a frame before a complete one is missing or corrupt.
 pub fn decode_file(bytes: &[u8]) -> Result<FileContents, StoreError> {
     if bytes.len() < FILE_HEADER_LEN && file_header().starts_with(bytes) {
         return Ok(FileContents::default());
@@ -113,8 +114,8 @@
     Ok(contents)
 }
 
-/// Whether a complete frame follows anywhere after the last readable one: then a part in the middle is lost, since a
-/// truncated write is followed by nothing.
+/// Whether a complete frame follows anywhere after the last readable one. If so, a part in the middle is lost or corrupt,
+/// since nothing follows a truncated write.
 fn has_later_frame(contents: &FileContents, bytes: &[u8]) -> bool {
     let numbers = contents.frame_count..=contents.frame_count + FRAMES_AHEAD;
     let starts_frame = |offset: usize| {
--- a/crates/lease-store/src/lib.rs
+++ b/crates/lease-store/src/lib.rs
@@ -1,21 +1,20 @@
-//! The storage of a lease keeper: its [`DurableState`], as an append-only file of frames.
+//! The storage of a lease keeper: stores its [`DurableState`] in an append-only file of frames.
 //!
 //! ```text
 //! "reelfall leases" | version u8 | frame | frame | ...
-//! frame: length u32 | first 16 bytes of BLAKE3 of the frame's number and what follows | snapshot, or records (postcard)
+//! frame: body length u32 | first 16 bytes of BLAKE3 of frame number and body | body: snapshot or records (postcard)
 //! ```
 //!
 //! | fault | handling |
 //! | --- | --- |
-//! | the process ends while it writes | the truncated frame at the end of the file is ignored: no message depended on it |
-//! | bits are flipped, a part in the middle is lost | the file is refused, and nothing of it is used |
-//! | the end is lost | indistinguishable from a truncated write; the peers know how many records there were |
-//! | the file comes from a newer version | it is refused |
-//! | another process has the folder | it is refused; two keepers never write to one folder |
-//! | the disk is full, or can't be written | the write fails, and so does every later one |
+//! | the process ends during a write | the truncated frame at the end of the file is dropped: no message that depends on it was sent |
+//! | bits are flipped, or a part in the middle is lost | the whole file is rejected |
+//! | the end is lost | treated as a truncated write, which looks the same; the peers know how many records there were |
+//! | the file has a newer format version | it is rejected |
+//! | another process uses the folder | it is not opened, so that two keepers never write to one folder |
+//! | the disk is full, or can't be written to | the write fails, and so does every later one |
 //!
-//! A folder is never emptied here: a keeper that has lost its storage is admitted again by its peers, and only an operator
-//! starts that.
+//! Only an operator empties a folder, never this crate. The peers then admit the keeper again.
 //!
 //! The node's disk thread opens a [`Store`] and writes each record before the messages that depend on it are sent.
 
@@ -31,36 +30,38 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The version of the format, stored in the file.
+/// The version of the file format; part of the file's header.
 pub const FORMAT_VERSION: u8 = 1;
-/// The file's name in the keeper's folder.
+/// Name of the file in the keeper's folder.
 pub const FILE_NAME: &str = "leases";
-/// The name of the file that replaces it at a compaction, until it is complete.
+/// Name of the file that a compaction writes, until it is complete and replaces [`FILE_NAME`].
 const NEW_FILE_NAME: &str = "leases.new";
-/// The name of the file that locks the folder.
+/// Name of the file whose lock makes this process the only user of the folder.
 const LOCK_FILE_NAME: &str = "lock";
 
 const MAGIC: &[u8] = b"reelfall leases";
 /// Length of the file's header, in bytes.
 const FILE_HEADER_LEN: usize = MAGIC.len() + 1;
-/// A file of this length, in bytes, is compacted into one snapshot.
+/// A file that is longer than this, in bytes, is compacted into one snapshot.
 const COMPACTION_LEN: u64 = 4 << 20;
 
 /// Why a folder can't be used.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// Another process uses it.
-    #[error("another process has this folder")]
+    /// Another process has locked it.
+    #[error("another process uses this folder")]
     InUse,
-    /// The file was written by a later version.
-    #[error("the file has version {0}, this program knows {FORMAT_VERSION}")]
+    /// The file has a newer format version than this program supports.
+    #[error(
+        "the file has format version {0}, but this program supports only version {FORMAT_VERSION}"
+    )]
     TooNew(u8),
-    /// The file is not what was written.
+    /// The file is corrupt, or was not written by a keeper. Contains the offset in bytes at which that was detected.
     #[error(
-        "the file is damaged at byte {0}; empty the folder to have the fellows let this keeper in again"
+        "the file is corrupt at byte {0}; empty the folder so that the peers admit this keeper again"
     )]
     Corrupt(usize),
-    /// An I/O error of the system.
+    /// An I/O error, or records that exceed the maximum length of a frame.
     #[error("{0}")]
     Io(#[from] std::io::Error),
 }
@@ -74,16 +75,16 @@
     /// Length of the file, in bytes.
     file_len: u64,
     state: DurableState,
-    /// Whether a write has failed, so that the contents of the file are unknown.
+    /// Whether a write has failed, so that the contents of the file are unknown and no further write is allowed.
     has_failed: bool,
     _lock: File,
 }
 
 impl Store {
-    /// Opens the folder, or creates it, and reads its state.
+    /// Opens the folder and reads its state; creates the folder if it does not exist.
     ///
     /// # Errors
-    /// If the folder can't be used.
+    /// If the folder is in use, or its file is corrupt, has a newer version or can't be read or written.
     pub fn open(folder: &Path) -> Result<(Store, DurableState), StoreError> {
         std::fs::create_dir_all(folder)?;
         let lock = lock_folder(folder)?;
@@ -98,7 +99,7 @@
             .truncate(false)
             .append(true)
             .open(&path)?;
-        // A truncated frame is removed, so that the next one follows the last complete one.
+        // A truncated frame is removed, so that the next frame follows the last complete one.
         file.set_len(valid_len as u64)?;
         if valid_len == 0 {
             file.write_all(&file_header())?;
@@ -117,15 +118,16 @@
         Ok((store, state))
     }
 
-    /// Makes records durable, all or none. Messages that depend on them may be sent after that.
+    /// Makes all of the records durable, or none. Messages that depend on them may be sent once this returns.
     ///
     /// # Errors
-    /// On an I/O error. Whether the records are durable is unknown then, and every later write fails.
+    /// On an I/O error, or if the records exceed the length of a frame. It is then unknown whether they are durable, and
+    /// every later write fails.
     pub fn write(&mut self, records: &[Record]) -> Result<(), StoreError> {
         if self.has_failed {
             return Err(std::io::Error::other("an earlier write has failed").into());
         }
-        // Reset at the end, so that an early return leaves it set.
+        // Reset at the end, so that it stays set if an error returns early.
         self.has_failed = true;
         let bytes = encode_frame(self.frame_count, &Frame::Records(records))?;
         self.file.write_all(&bytes)?;
@@ -142,7 +144,7 @@
         Ok(())
     }
 
-    /// Replaces the file by a new one with a single snapshot.
+    /// Replaces the file with a new one that consists of a single snapshot.
     fn compact(&mut self) -> Result<(), StoreError> {
         let new_path = self.folder.join(NEW_FILE_NAME);
         let path = self.folder.join(FILE_NAME);
@@ -160,7 +162,7 @@
     }
 }
 
-/// What a file begins with.
+/// The first bytes of each file: the magic number and the format version.
 fn file_header() -> Vec<u8> {
     [MAGIC, &[FORMAT_VERSION]].concat()
 }
@@ -176,7 +178,7 @@
     Ok(lock)
 }
 
-/// The contents of a file, empty if there is none.
+/// Reads a file; returns no bytes if it does not exist.
 fn read_if_exists(path: &Path) -> std::io::Result<Vec<u8>> {
     match std::fs::read(path) {
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => Ok(Vec::new()),
--- a/crates/lease/src/durable.rs
+++ b/crates/lease/src/durable.rs
@@ -1,7 +1,7 @@
-//! The durable state of a keeper.
+//! The durable state of a keeper, and the log records that change it.
 //!
-//! The state is the result of its log records. A keeper changes it by appending records only, and its messages are sent
-//! once the preceding records are on disk, so that a state that is read back is never behind what was said.
+//! A keeper changes its state only by appending records, and its messages are sent once the preceding records are on
+//! disk. So the state that is read after a restart is never older than what the keeper has told others.
 
 use crate::message::{LogPosition, Promise, StorageId};
 use crate::token::LeaseName;
@@ -11,39 +11,39 @@
 /// A log record: one change of the durable state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Record {
-    /// The folder was created with this identity.
+    /// The storage folder was initialized with this identity.
     Created(StorageId),
-    /// The peers have recorded the folder, and it has caught up with them: it may vote.
+    /// The peers have recorded the folder, and the keeper has read their promises: it may vote.
     Admitted,
-    /// The latest known log position of a peer.
+    /// The latest known log position of a peer, which is given by its index in the settings.
     PeerPosition(u8, LogPosition),
-    /// A promise to a client.
+    /// A promise for a lease, made to a client or adopted from a peer.
     Promised(LeaseName, Promise),
-    /// A lease was evicted; its ballot stays covered by the floor.
+    /// A lease was evicted; the ballot floor covers its ballot from then on.
     Evicted(LeaseName),
-    /// No ballot up to this one is valid, whatever the lease.
+    /// Ballots up to and including this one are not promised for any lease.
     BallotFloor(u64),
 }
 
 /// The state that results from all records.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DurableState {
-    /// The identity of the folder; `None` for an empty one.
+    /// The identity of the storage folder; `None` if the folder is empty.
     pub storage_id: Option<StorageId>,
-    /// Whether it may vote, once the peers agree.
+    /// Whether the keeper may vote as soon as the peers agree that the folder is current.
     pub admitted: bool,
-    /// Number of records so far.
+    /// Number of records that led to this state.
     pub record_count: u64,
-    /// The log positions of the peers, as far as they were recorded.
+    /// The recorded log positions of the peers, by their index in the settings.
     pub peer_positions: BTreeMap<u8, LogPosition>,
-    /// The promises by lease.
+    /// The latest promise for each lease.
     pub promises: BTreeMap<LeaseName, Promise>,
     /// See [`Record::BallotFloor`].
     pub ballot_floor: u64,
 }
 
 impl DurableState {
-    /// Applies a record.
+    /// Applies a record, which has to be the next one in the log.
     pub fn apply(&mut self, record: &Record) {
         self.record_count += 1;
         match record {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The log position; `None` for an empty folder.
+    /// The position of the end of the log; `None` if the folder is empty.
     pub fn log_position(&self) -> Option<LogPosition> {
         self.storage_id.map(|storage_id| LogPosition {
             storage_id,
@@ -74,8 +74,8 @@
 
     /// The highest ballot that must not be promised again for the lease.
     ///
-    /// The floor counts for leases that are present, too: a peer may have evicted one whose ballot was higher than the one
-    /// here, and its floor is all that is left of it.
+    /// The floor applies to leases that are present, too: a peer may have evicted the lease with a higher ballot than the
+    /// one recorded here, and only the floor adopted from that peer still covers it.
     pub fn promised_ballot(&self, lease: &LeaseName) -> u64 {
         self.promises
             .get(lease)
--- a/crates/lease/src/holder.rs
+++ b/crates/lease/src/holder.rs
@@ -1,22 +1,22 @@
-//! One node's part in one lease: requesting, holding, renewing, releasing. In terms of Paxos, a proposer.
+//! One node's part in one lease: acquiring, holding, renewing, releasing. In terms of Paxos, a proposer.
 //!
 //! | state | ends |
 //! | --- | --- |
 //! | idle | when the lease is wanted |
-//! | backing off | at its end, or when a keeper announces that the lease is available |
-//! | preparing | by a majority of promises; by too many rejections; after [`Config::response_timeout`] |
-//! | proposing | by a majority of grants; by too many rejections; after [`Config::response_timeout`] |
+//! | backing off | when the backoff ends, or a keeper announces that the lease is available |
+//! | preparing | with a majority of promises, with too many rejections for one, or after [`Config::response_timeout`] |
+//! | proposing | with a majority of grants, with too many rejections for one, or after [`Config::response_timeout`] |
 //! | active | when it is released, or on expiry if a majority has not renewed it |
 //!
-//! Requests that the node serves never wait for any of this: a node that does not hold a lease does what its task does
-//! without one.
+//! The requests that the node serves never wait for a lease: without one, the node does what its task provides for that
+//! case.
 //!
 //! The node calls [`Lease::tick`] and [`Lease::handle_response`], and sends what [`Lease::take_requests`] returns.
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | `config` | how a lease is requested and renewed |
-//! | `requests` | rounds of requests to the keepers, and the backoff between attempts |
+//! | `requests` | sending rounds of requests to the keepers, and the backoff between attempts |
 //! | `responses` | handling the keepers' responses |
 //! | `votes` | counting the keepers' votes on one request |
 
@@ -32,18 +32,18 @@
 use crate::Micros;
 use votes::Votes;
 
-/// A change of a lease.
+/// A change in whether this node holds a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseEvent {
-    /// This node holds it.
+    /// This node holds the lease from now on.
     Acquired(Token),
-    /// It was released.
+    /// This node has released the lease.
     Released(Token),
-    /// It has expired without renewal by a majority.
+    /// The lease has expired, since no majority has renewed it in time.
     Lost(Token),
 }
 
-/// The states of the table above.
+/// The states in the table of this module.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum State {
     Idle,
@@ -68,7 +68,7 @@
     },
 }
 
-/// A renewal in progress.
+/// A round of renewal requests, and the votes on it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Renewal {
     started: Micros,
@@ -81,13 +81,13 @@
     name: LeaseName,
     config: Config,
     is_wanted: bool,
-    /// When the wait for it started.
+    /// When the node began to wait for the lease.
     waiting_since: Micros,
-    /// The highest ballot known.
+    /// The highest ballot that this node knows of.
     highest_ballot: u64,
-    /// Counts requests, so that responses to earlier ones are recognized.
+    /// Number of the current round of requests; promises, grants and rejections of earlier rounds are not counted.
     round: u64,
-    /// Consecutive failed attempts.
+    /// Number of failed attempts since the last acquisition or announcement.
     failed_attempts: u32,
     /// Whether a keeper announced that the lease is available while a request was in progress.
     was_announced: bool,
@@ -98,16 +98,16 @@
     events: Vec<LeaseEvent>,
 }
 
-/// A request, and the keeper that it goes to.
+/// A request to send to a keeper.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct KeeperRequest {
-    /// The keeper, by its place in the settings.
+    /// Index of the keeper in the settings.
     pub keeper: usize,
-    /// The request.
+    /// What is sent to the keeper.
     pub request: Request,
 }
 
-/// A lease that this node holds at this moment.
+/// A lease that this node held when [`Lease::active`] was called.
 #[derive(Clone, Copy, Debug)]
 pub struct ActiveLease<'a> {
     name: &'a LeaseName,
@@ -116,12 +116,12 @@
 }
 
 impl ActiveLease<'_> {
-    /// An operation that is performed under the lease.
+    /// Creates an operation that carries the fencing token of the lease.
     pub fn operation<T>(&self, payload: T) -> Operation<T> {
         Operation::new(self.name, self.token, payload)
     }
 
-    /// The fencing token.
+    /// The fencing token of this acquisition.
     pub fn token(&self) -> Token {
         Token(self.token)
     }
@@ -133,7 +133,7 @@
 }
 
 impl Lease {
-    /// A lease that is not wanted yet.
+    /// Creates a lease that is idle until [`Lease::acquire`] is called.
     pub fn new(name: LeaseName, config: Config) -> Lease {
         Lease {
             name,
@@ -151,12 +151,12 @@
         }
     }
 
-    /// Whether the node wants to hold it.
+    /// Whether the node holds the lease or tries to acquire it.
     pub fn is_wanted(&self) -> bool {
         self.is_wanted
     }
 
-    /// Takes the requests to send.
+    /// Takes the requests that were created since the last call, to be sent.
     pub fn take_requests(&mut self) -> Vec<KeeperRequest> {
         std::mem::take(&mut self.requests)
     }
@@ -166,7 +166,7 @@
         std::mem::take(&mut self.events)
     }
 
-    /// The lease, if this node holds it at this moment. To be called again before each operation.
+    /// Returns the lease if this node holds it at this time; has to be called again before each operation.
     pub fn active(&self, now: Micros) -> Option<ActiveLease<'_>> {
         match self.state {
             State::Active { token, until, .. } if now < until => Some(ActiveLease {
@@ -194,7 +194,7 @@
         self.state = State::Idle;
     }
 
-    /// When [`Lease::tick`] has something to do.
+    /// When [`Lease::tick`] has something to do next; `None` while the lease is idle.
     pub fn deadline(&self) -> Option<Micros> {
         match &self.state {
             State::Idle => None,
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Handles the deadlines that have passed. `random` is uniform over all values, and new for each call.
+    /// Handles the deadline that has passed. `random` is uniformly distributed over all values, and new for each call.
     pub fn tick(&mut self, now: Micros, random: u32) {
         match &self.state {
             State::BackingOff { until } if now >= *until => self.prepare(now),
--- a/crates/lease/src/holder/config.rs
+++ b/crates/lease/src/holder/config.rs
@@ -1,4 +1,4 @@
-//! How a lease is requested and renewed.
+//! The configuration of a lease's holder.
 
 use crate::clock::DriftMargin;
 use crate::Micros;
@@ -11,11 +11,12 @@
 pub struct Config {
     /// Number of keepers.
     pub keepers: usize,
-    /// Safety margins for clock drift.
+    /// The clock drift to allow for.
     pub drift_margin: DriftMargin,
     /// How long a lease lasts without renewal, in microseconds.
     pub duration: Micros,
-    /// Keepers that have not responded within this time receive the request again, in microseconds.
+    /// Time after which an attempt without a majority of responses is abandoned, or a renewal is requested again, in
+    /// microseconds.
     pub response_timeout: Micros,
     /// The shortest backoff between two attempts, in microseconds.
     pub min_backoff: Micros,
@@ -24,7 +25,7 @@
 }
 
 impl Config {
-    /// Defaults for a lease of this length, with this number of keepers.
+    /// The default configuration for a lease of this duration, in microseconds, with this number of keepers.
     pub fn new(keepers: usize, duration: Micros) -> Config {
         Config {
             keepers,
@@ -32,7 +33,7 @@
             duration,
             response_timeout: (duration / 8).clamp(50_000, 1_000_000),
             min_backoff: DEFAULT_MIN_BACKOFF,
-            // No longer than the lease takes to expire, so that a free lease is not left unused for longer.
+            // About as long as the lease takes to expire, so that an available lease is not left unused for longer.
             max_backoff: duration.clamp(500_000, 5_000_000),
         }
     }
--- a/crates/lease/src/holder/requests.rs
+++ b/crates/lease/src/holder/requests.rs
@@ -1,4 +1,4 @@
-//! Rounds of requests to the keepers, and the backoff between attempts.
+//! Sends rounds of requests to the keepers, and backs off between attempts.
 
 use super::{Config, KeeperRequest, Lease, LeaseEvent, Renewal, State, Votes};
 use crate::message::{LogPosition, Request};
@@ -9,7 +9,7 @@
 const MAX_BACKOFF_EXPONENT: u32 = 16;
 
 impl Lease {
-    /// Requests promises of a ballot that is higher than any known one.
+    /// Requests promises for a ballot that is higher than any known one.
     pub(super) fn prepare(&mut self, now: Micros) {
         self.highest_ballot = self.highest_ballot.saturating_add(1);
         self.round += 1;
@@ -34,7 +34,7 @@
         };
     }
 
-    /// Requests grants. The lease counts from now, before any keeper can have granted it.
+    /// Requests grants. The holder measures the lease from now, before any keeper can have granted it.
     pub(super) fn propose(
         &mut self,
         now: Micros,
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Backs off before the next attempt: until the lease can be available, or else exponentially. The jitter keeps
-    /// clients from outbidding each other for ever.
+    /// Backs off before the next attempt: until the reported grant of another client expires, or exponentially if none
+    /// was reported. Jitter prevents clients from rejecting each other's attempts with ever higher ballots.
     pub(super) fn back_off(&mut self, now: Micros, random: u32) {
         self.release_ballot(now);
         let Config {
@@ -111,7 +111,7 @@
         };
     }
 
-    /// Sends the keepers a release of the ballot that was granted or proposed, if there is one.
+    /// Releases the ballot that was granted or proposed, if there is one, at all keepers.
     pub(super) fn release_ballot(&mut self, now: Micros) {
         let token = match self.state {
             State::Active { token, until, .. } => {
--- a/crates/lease/src/holder/responses.rs
+++ b/crates/lease/src/holder/responses.rs
@@ -1,15 +1,16 @@
-//! Handling the keepers' responses.
+//! Handles the keepers' responses.
 
 use super::{Lease, LeaseEvent, State};
 use crate::message::{RejectionReason, Response, Vote};
 use crate::token::Token;
 use crate::Micros;
 
-/// A lease is renewed as often as this within its length.
+/// Number of renewals within the duration of a lease.
 const RENEWALS_PER_DURATION: u64 = 3;
 
 impl Lease {
-    /// Handles a response of a keeper. `random` is uniform over all values, and new for each call.
+    /// Handles a response of a keeper, which is given by its index in the settings. `random` is uniformly distributed
+    /// over all values, and new for each call.
     pub fn handle_response(&mut self, now: Micros, keeper: usize, response: Response, random: u32) {
         if keeper >= self.config.keepers || response.lease() != &self.name {
             return;
@@ -92,7 +93,7 @@
                 ..
             } => {
                 renewal.votes.accepted[keeper] = Some(vote);
-                // A grant after the expiry renews nothing, since there may be another holder by now.
+                // A grant that arrives after the expiry renews nothing: there may be another holder by now.
                 if renewal.votes.has_majority() && now < *until {
                     *until = renewal.started + holder_duration;
                     *next_renewal = renewal.started + renew_after;
@@ -131,7 +132,7 @@
         let is_first_attempt =
             self.failed_attempts == 0 && matches!(self.state, State::Preparing { .. });
         if reason == RejectionReason::StaleBallot && is_first_attempt {
-            // Only the ballot was too low, so that the first time a higher one is tried at once.
+            // Only the ballot was too low: the first time, a higher one is tried without a backoff.
             self.failed_attempts = 1;
             self.prepare(now);
         } else {
--- a/crates/lease/src/holder/votes.rs
+++ b/crates/lease/src/holder/votes.rs
@@ -1,9 +1,9 @@
-//! Counting the keepers' votes on one request.
+//! Counts the keepers' votes on one round of requests.
 
 use crate::majority;
 use crate::message::{LogPosition, Vote};
 
-/// The votes on one request.
+/// The votes on one round of requests, by the index of the keeper.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Votes {
     pub(super) accepted: Vec<Option<Vote>>,
@@ -34,7 +34,7 @@
     }
 
     /// Whether a majority has accepted. The vote of a storage folder that another one has replaced does not count, since
-    /// its successor does not know what it promises.
+    /// the new folder does not have the promises of the replaced one.
     pub(super) fn has_majority(&self) -> bool {
         let latest = self.latest_positions();
         let accepted = self
@@ -46,7 +46,7 @@
         accepted >= majority(self.accepted.len())
     }
 
-    /// Whether too many have rejected for a majority to accept.
+    /// Whether too many keepers have rejected the request for a majority to accept it.
     pub(super) fn is_rejected(&self) -> bool {
         let rejected = self.rejected.iter().filter(|rejected| **rejected).count();
         rejected > self.rejected.len() - majority(self.rejected.len())
--- a/crates/lease/src/keeper/clients.rs
+++ b/crates/lease/src/keeper/clients.rs
@@ -1,4 +1,4 @@
-//! A keeper's handling of requests from clients.
+//! Handles requests from clients.
 
 use super::{Destination, Keeper};
 use crate::durable::Record;
@@ -9,7 +9,7 @@
 use crate::token::LeaseName;
 use crate::Micros;
 
-/// The position of a folder that has no identity yet.
+/// The log position that is reported for a folder without an identity.
 const NO_POSITION: LogPosition = LogPosition {
     storage_id: StorageId {
         generation: 0,
@@ -28,8 +28,8 @@
 }
 
 impl Prepare<'_> {
-    /// Adds the client to the queue of the lease. Returns why the request is rejected: the given reason, or that the queue
-    /// is full.
+    /// Adds the client to the queue of the lease. Returns why the request is rejected: the given reason, or
+    /// [`RejectionReason::AtCapacity`] if the queue is full.
     fn enqueue(
         &self,
         now: Micros,
@@ -114,7 +114,7 @@
     fn vote(&self) -> Vote {
         let own_position = self.state.log_position().unwrap_or(NO_POSITION);
         let mut known_positions = self.peer_positions.clone();
-        if let Some(mine) = known_positions.get_mut(self.me) {
+        if let Some(mine) = known_positions.get_mut(self.own_index) {
             *mine = Some(own_position);
         }
         Vote {
@@ -123,8 +123,8 @@
         }
     }
 
-    /// Promises a ballot to a client. The safety of leases rests on this: nobody is promised a lease that is granted to
-    /// somebody else, and no ballot is promised twice.
+    /// Promises a ballot to a client. The safety of leases rests on two rules: a lease that is granted to one client is
+    /// not promised to another, and no ballot is promised twice.
     fn promise(&mut self, now: Micros, prepare: &Prepare) -> Result<(), RejectionReason> {
         let Prepare {
             client,
@@ -142,30 +142,30 @@
         self.ensure_capacity(now, lease)?;
         let config = self.config;
         let promised_ballot = self.state.promised_ballot(lease);
-        let is_own = self
+        let is_promised_to_client = self
             .state
             .promises
             .get(lease)
             .is_some_and(|promise| promise.client.as_ref() == Some(client));
         let volatile = self.leases.entry(lease.clone()).or_default();
-        volatile.last_use = config.round_use(now);
+        volatile.last_use = config.round_last_use(now);
         let granted_to_other = volatile
             .granted_until
-            .filter(|until| *until > now && !is_own);
+            .filter(|until| *until > now && !is_promised_to_client);
         if let Some(until) = granted_to_other {
             let reason = RejectionReason::Held {
                 remaining: until - now,
             };
             return Err(prepare.enqueue(now, &mut volatile.queue, config.max_waiters, reason));
         }
-        let is_repeated = is_own && ballot == promised_ballot;
+        let is_repeated = is_promised_to_client && ballot == promised_ballot;
         if is_repeated {
             return Ok(());
         }
         if ballot <= promised_ballot {
             return Err(RejectionReason::StaleBallot);
         }
-        // A greater ballot of the same process releases whatever it was granted before.
+        // A higher ballot of the same process releases its previous grant.
         volatile.granted_until = None;
         let may_acquire = volatile
             .queue
@@ -201,13 +201,14 @@
             return Err(RejectionReason::StaleBallot);
         }
         volatile.granted_until = Some(now + self.config.drift_margin.keeper_duration(duration));
-        volatile.last_use = self.config.round_use(now);
+        volatile.last_use = self.config.round_last_use(now);
         volatile.queue.handle_grant(from);
         self.record_positions(known_positions);
         Ok(())
     }
 
-    /// Whether the last promise of the lease is this ballot of this client, for at least this length if there is one.
+    /// Whether the latest promise for the lease is of this ballot to this client, and for at least this duration if one
+    /// is given.
     fn is_promised(
         &self,
         lease: &LeaseName,
@@ -222,13 +223,14 @@
         })
     }
 
-    /// Records the keepers that this one grants with, so that none of them can return with an older folder unnoticed.
+    /// Records the latest positions of the other keepers, which the client has collected from their promises, so that
+    /// none of them can return with an older folder undetected.
     fn record_positions(&mut self, known_positions: &[Option<LogPosition>]) {
-        let (me, keepers) = (self.me, self.keepers);
+        let (own_index, keepers) = (self.own_index, self.keepers);
         for (keeper, position) in known_positions
             .iter()
             .enumerate()
-            .filter(|(keeper, _)| *keeper != me && *keeper < keepers)
+            .filter(|(keeper, _)| *keeper != own_index && *keeper < keepers)
         {
             let known = self.state.peer_positions.get(&(keeper as u8));
             let newer = position.filter(|position| known.is_none_or(|known| known < position));
@@ -249,7 +251,7 @@
         self.announce_if_available(now, lease);
     }
 
-    /// Notifies the first client in the queue if the lease is not granted.
+    /// If the lease is not granted, reserves it for the first client in the queue and notifies that client.
     pub(super) fn announce_if_available(&mut self, now: Micros, lease: &LeaseName) {
         let timeouts = self.config.queue_timeouts;
         let Some(volatile) = self.leases.get_mut(lease).filter(|v| !v.is_granted(now)) else {
--- a/crates/lease/src/keeper/mod.rs
+++ b/crates/lease/src/keeper/mod.rs
@@ -1,14 +1,15 @@
-//! One keeper: which leases it has promised and granted to whom. In terms of Paxos, an acceptor.
+//! One keeper: the leases that it has promised and granted to clients. In terms of Paxos, an acceptor.
 //!
 //! | state | owner | bound | ends |
 //! | --- | --- | --- | --- |
-//! | promises | [`DurableState`], on disk | [`Config::max_leases`] | evicted after [`Config::evict_after`] without use; the floor keeps the ballot |
+//! | promises | [`DurableState`], on disk | [`Config::max_leases`] | evicted after [`Config::evict_after`] without use, or for a new lease; the ballot floor then covers the ballot |
 //! | grants | [`Keeper`], in memory | one per lease | on expiry or release |
-//! | waiting clients | [`Queue`] | [`Config::max_waiters`] per lease | granted, or idle |
-//! | log positions of the peers | [`DurableState`] and [`Keeper`] | the keepers | never |
+//! | waiting clients | [`Queue`] | [`Config::max_waiters`] per lease | when granted the lease, or when idle |
+//! | log positions of the peers | [`DurableState`] and [`Keeper`] | one per keeper | never |
 //!
 //! Promises are on disk, grants are not: a restarted keeper assumes that each lease that it has promised was granted at
-//! that moment, for its whole length. So a lease costs two writes when it is acquired and none while it is renewed.
+//! the time of the restart, for its whole duration. So a lease costs two writes when it is acquired and none while it is
+//! renewed.
 
 mod clients;
 mod peers;
@@ -22,23 +23,24 @@
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Times of last use are rounded down to this part of [`Config::evict_after`].
-const USE_RESOLUTION: u64 = 64;
+/// Times of last use are rounded down to multiples of [`Config::evict_after`] divided by this.
+const LAST_USE_RESOLUTION: u64 = 64;
 
-/// Settings of a keeper.
+/// The configuration of a keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// Safety margins for clock drift.
+    /// The clock drift to allow for.
     pub drift_margin: DriftMargin,
-    /// Maximum length of a lease, in microseconds.
+    /// Maximum duration that a client can request, in microseconds.
     pub max_duration: Micros,
-    /// Maximum number of leases.
+    /// Maximum number of leases with a promise.
     pub max_leases: usize,
     /// Maximum number of clients that wait for one lease.
     pub max_waiters: usize,
     /// Time limits of the queues.
     pub queue_timeouts: QueueTimeouts,
-    /// A lease that no client has requested for this time, in microseconds, is evicted.
+    /// Time after which an unused lease is evicted, in microseconds: not granted, not requested and without waiting
+    /// clients.
     pub evict_after: Micros,
 }
 
@@ -59,37 +61,37 @@
 }
 
 impl Config {
-    /// A time of last use, rounded down to what matters for eviction.
-    fn round_use(&self, now: Micros) -> Micros {
-        now - now % (self.evict_after / USE_RESOLUTION).max(1)
+    /// Rounds a time of last use down to the resolution at which leases are evicted.
+    fn round_last_use(&self, now: Micros) -> Micros {
+        now - now % (self.evict_after / LAST_USE_RESOLUTION).max(1)
     }
 }
 
-/// The receiver of a message.
+/// The receiver of an outgoing message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Destination {
-    /// A client.
+    /// A client of any lease.
     Client(ClientId),
-    /// A peer, by its place in the settings.
+    /// A peer, given by its index in the settings.
     Keeper(usize),
 }
 
-/// A message, and its receiver.
+/// A message to send.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OutgoingMessage {
-    /// The receiver.
+    /// Where the message is sent.
     pub destination: Destination,
-    /// The message.
+    /// A response, or a message between keepers.
     pub message: Message,
 }
 
-/// The effects of an event. The records have to be on disk before the messages are sent; messages of later events are sent
-/// after these.
+/// The effects of an event. The records have to be on disk before the messages are sent, and messages of later events are
+/// sent after these.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Effects {
-    /// To be written.
+    /// The records to append to the log.
     pub records: Vec<Record>,
-    /// To be sent.
+    /// The messages to send after that.
     pub messages: Vec<OutgoingMessage>,
 }
 
@@ -98,10 +100,10 @@
 struct VolatileLease {
     /// When the grant expires.
     granted_until: Option<Micros>,
-    /// This ballot was released: a late grant request for it counts for nothing.
+    /// The ballot that was released last; a late request to grant it is rejected.
     released: Option<u64>,
     queue: Queue,
-    /// When a client last requested it, rounded.
+    /// When a client last requested the lease, rounded down.
     last_use: Micros,
 }
 
@@ -115,12 +117,12 @@
     }
 }
 
-/// A lease as a keeper sees it, for operators.
+/// A keeper's view of a lease, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseView<'a> {
-    /// The lease.
+    /// The name of the lease.
     pub lease: &'a LeaseName,
-    /// The last promise.
+    /// The latest promise for the lease.
     pub promise: &'a Promise,
     /// Remaining time of the grant, in microseconds; `None` if it is not granted.
     pub remaining: Option<Micros>,
@@ -128,10 +130,10 @@
     pub waiting: Vec<&'a ClientId>,
 }
 
-/// One keeper. See the module.
+/// The state machine of one keeper; see the module.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Keeper {
-    me: usize,
+    own_index: usize,
     keepers: usize,
     config: Config,
     state: DurableState,
@@ -143,19 +145,19 @@
 }
 
 impl Keeper {
-    /// Starts a keeper from its durable state. `tag` is random for each process.
+    /// Starts the keeper with index `own_index` of `keepers` from its durable state. `nonce` is random for each process.
     pub fn open(
-        me: usize,
+        own_index: usize,
         keepers: usize,
         config: Config,
         state: DurableState,
         nonce: u64,
         now: Micros,
     ) -> Keeper {
-        // What was granted before is unknown: each promised lease may have been granted a moment ago.
+        // Grants are not on disk: each promised lease may have been granted immediately before the restart.
         let assume_granted = |(lease, promise): (&LeaseName, &Promise)| {
             let granted_until = Some(now + config.drift_margin.keeper_duration(promise.duration));
-            let last_use = config.round_use(now);
+            let last_use = config.round_last_use(now);
             (
                 lease.clone(),
                 VolatileLease {
@@ -169,10 +171,10 @@
             .map(|n| state.peer_positions.get(&(n as u8)).copied())
             .collect();
         let mut keeper = Keeper {
-            me,
+            own_index,
             keepers,
             config,
-            recovery: Recovery::new(me, keepers, &state, nonce, now),
+            recovery: Recovery::new(own_index, keepers, &state, nonce, now),
             peer_positions,
             leases: state.promises.iter().map(assume_granted).collect(),
             state,
@@ -187,7 +189,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// The phase of its recovery.
+    /// The phase of the keeper's recovery.
     pub fn status(&self) -> Status {
         self.recovery.status()
     }
@@ -197,7 +199,7 @@
         &self.state
     }
 
-    /// The leases, for operators.
+    /// The leases with a promise, for operators.
     pub fn leases(&self, now: Micros) -> impl Iterator<Item = LeaseView<'_>> {
         self.state.promises.iter().map(move |(lease, promise)| {
             let volatile = self.leases.get(lease);
@@ -229,7 +231,8 @@
         });
     }
 
-    /// Ensures that there is capacity for this lease; a new one may evict another.
+    /// Ensures that there is capacity for this lease. If it is new, the least recently used one that is not granted may
+    /// be evicted.
     fn ensure_capacity(&mut self, now: Micros, lease: &LeaseName) -> Result<(), RejectionReason> {
         if self.state.promises.contains_key(lease)
             || self.state.promises.len() < self.config.max_leases
@@ -247,13 +250,13 @@
         Ok(())
     }
 
-    /// Evicts a lease; the floor covers its ballot from then on.
+    /// Evicts a lease; the ballot floor covers its ballot from then on.
     fn evict(&mut self, lease: LeaseName) {
         self.leases.remove(&lease);
         self.append(Record::Evicted(lease));
     }
 
-    /// When [`Keeper::tick`] has something to do.
+    /// When [`Keeper::tick`] has something to do next.
     pub fn deadline(&self) -> Micros {
         let leases = self
             .leases
@@ -262,7 +265,7 @@
         leases.fold(self.recovery.deadline(), Micros::min)
     }
 
-    /// Does what is due at this time.
+    /// Handles the deadlines that have passed: of queries to the peers, reservations, grants and unused leases.
     pub fn tick(&mut self, now: Micros) {
         self.advance_recovery(now);
         self.expire_reservations(now);
--- a/crates/lease/src/keeper/peers.rs
+++ b/crates/lease/src/keeper/peers.rs
@@ -8,15 +8,16 @@
 use crate::Micros;
 use std::ops::Bound;
 
-/// What a page of promises takes beside its promises at most, in bytes.
+/// Maximum size of a page of promises without the promises, in bytes.
 const PAGE_OVERHEAD: usize = 2 * MAX_LEASE_NAME_LEN + 64;
-/// What a promise takes beside its names at most: the lengths of both, and the tag, the ballot and the length.
+/// Maximum size of a promise without its two names, in bytes: the lengths of the names, and the instance ID, the ballot
+/// and the duration, each of at most 10 bytes.
 const PROMISE_OVERHEAD: usize = 2 + 3 * 10;
 
 impl Keeper {
     /// Handles a message from a peer.
     pub fn handle_peer_message(&mut self, now: Micros, from: usize, message: PeerMessage) {
-        if from >= self.keepers || from == self.me {
+        if from >= self.keepers || from == self.own_index {
             return;
         }
         match message {
@@ -53,13 +54,14 @@
         let recorded = self.state.peer_positions.get(&(from as u8)).copied();
         let new_storage =
             position.filter(|new| recorded.is_none_or(|old| old.storage_id < new.storage_id));
-        // Until this keeper votes it writes nothing here: an old copy of its folder would otherwise grow to the length that
-        // the peers know before they have reported that, and would be taken for the latest.
-        let writes = !matches!(
+        // A folder that was in use before is not written to until the peers have verified it: an old copy would otherwise
+        // grow to the number of records that the peers know before they have reported that, and would pass for the
+        // latest.
+        let may_write = !matches!(
             self.recovery.status(),
             Status::Verifying | Status::Rejected(_)
         );
-        if position > self.peer_positions[from] && (writes || new_storage.is_none()) {
+        if position > self.peer_positions[from] && (may_write || new_storage.is_none()) {
             self.peer_positions[from] = position;
             if let Some(position) = new_storage {
                 self.append(Record::PeerPosition(from as u8, position));
@@ -86,7 +88,7 @@
         }
     }
 
-    /// The promises for leases after this one, as many as fit in a message.
+    /// A page of the promises for the leases after this one, as many as fit in a message.
     fn promise_page(&self, after: Option<LeaseName>) -> PeerMessage {
         let from = after.clone().map_or(Bound::Unbounded, Bound::Excluded);
         let mut rest = self
@@ -94,15 +96,15 @@
             .promises
             .range((from, Bound::Unbounded))
             .peekable();
-        let (mut promises, mut left) = (Vec::new(), MAX_MESSAGE_LEN - PAGE_OVERHEAD);
+        let (mut promises, mut free_bytes) = (Vec::new(), MAX_MESSAGE_LEN - PAGE_OVERHEAD);
         while let Some((lease, promise)) = rest.next_if(|(lease, promise)| {
             let client = promise
                 .client
                 .as_ref()
                 .map_or(0, |client| client.name.len());
             let size = lease.as_str().len() + client + PROMISE_OVERHEAD;
-            let fits = size <= left;
-            left = left.saturating_sub(size);
+            let fits = size <= free_bytes;
+            free_bytes = free_bytes.saturating_sub(size);
             fits
         }) {
             promises.push((lease.clone(), promise.clone()));
@@ -118,10 +120,11 @@
         }
     }
 
-    /// Adopts the promises of a peer, so that no ballot that it has promised is promised here.
+    /// Adopts the promises of a peer, so that no ballot that the peer has promised is promised here again.
     ///
-    /// They are adopted without their clients, and nobody is granted the lease for its whole length: a promise that one peer
-    /// has made is not that of a majority, and the holder may owe its majority to this keeper's previous folder.
+    /// They are adopted without their clients, and the lease is granted to no client for its whole duration: a promise of
+    /// one peer is not one of a majority, and the holder may have its majority only by a grant of this keeper's previous
+    /// folder.
     fn adopt_promises(
         &mut self,
         now: Micros,
@@ -141,11 +144,12 @@
 
     fn adopt_promise(&mut self, now: Micros, lease: &LeaseName, promise: &Promise) {
         if self.ensure_capacity(now, lease).is_err() {
-            // Its ballot counts even though it can't be kept: no other lease gets a ballot as low as this.
+            // The promise can't be stored, so the floor covers its ballot: no lease is promised a ballot as low as this.
             self.append(Record::BallotFloor(promise.ballot));
             return;
         }
-        // The longest length of all peers: after a restart only the disk states for how long nobody is granted the lease.
+        // The longest duration of all peers is stored: after a restart, the keeper knows only from its disk for how long
+        // it must not grant the lease.
         let own = self
             .state
             .promises
@@ -163,6 +167,6 @@
         let granted_until = Some(now + self.config.drift_margin.keeper_duration(promise.duration));
         let volatile = self.leases.entry(lease.clone()).or_default();
         volatile.granted_until = volatile.granted_until.max(granted_until);
-        volatile.last_use = self.config.round_use(now);
+        volatile.last_use = self.config.round_last_use(now);
     }
 }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,23 +1,22 @@
-//! Leases for tasks that one node performs for a whole fleet: two holders never act at once.
+//! Leases for tasks that one node performs for a whole fleet. Two holders of a lease never act at the same time.
 //!
-//! No I/O: messages, times and randomness are arguments; messages to send, and records that have to be on disk before
-//! that, are returned as values.
+//! No I/O: messages, times and random numbers are arguments; messages to send, and the records that must be on disk
+//! before them, are returned as values.
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | [`clock`] | how long holder and keeper count, on clocks that drift |
-//! | [`token`] | lease names, fencing tokens, operations that can't be built without one, fences that reject lower ones |
-//! | [`message`] | the messages between clients and keepers |
-//! | [`durable`] | the state that a keeper has on its disk |
-//! | [`queue`] | the clients that wait, in a fair order |
-//! | [`keeper`] | promises and grants of one keeper (an acceptor) |
-//! | [`recovery`] | whether a keeper's storage is the one that its peers know |
-//! | [`holder`] | one node's part in one lease (a proposer): requesting, holding, renewing, releasing |
+//! | [`clock`] | how long a lease lasts for its holder and for the keepers, on clocks that drift |
+//! | [`token`] | lease names, fencing tokens, the operations that carry them, and fences that reject stale tokens |
+//! | [`message`] | the messages between clients and keepers, and between keepers |
+//! | [`durable`] | the durable state of a keeper, and the log records that change it |
+//! | [`queue`] | the clients that wait for a lease, longest wait first |
+//! | [`keeper`] | the promises and grants of one keeper (a Paxos acceptor) |
+//! | [`recovery`] | checks with a keeper's peers that its storage is current, before the keeper votes |
+//! | [`holder`] | one node's part in one lease (a Paxos proposer): acquiring, holding, renewing, releasing |
 //!
-//! A lease is held by grant of a majority of a few keepers, in the manner of PaxosLease (Trencseni, Gazso, Reinhardt,
-//! "PaxosLease: Diskless Paxos for Leases", 2012), with one difference: promises are on disk before they are sent, so that
-//! ballot numbers are fencing tokens in the sense of Gray and Cheriton and of Kleppmann. The proof is in
-//! `docs/design/leases.md`.
+//! A lease is granted by a majority of the keepers, as in PaxosLease (Trencseni, Gazso, Reinhardt, "PaxosLease: Diskless
+//! Paxos for Leases", 2012), with one difference: a promise is on disk before it is sent, so that ballot numbers are
+//! fencing tokens in the sense of Gray and Cheriton and of Kleppmann. The proof is in `docs/design/leases.md`.
 
 pub mod clock;
 pub mod durable;
@@ -28,10 +27,10 @@
 pub mod recovery;
 pub mod token;
 
-/// Microseconds on one process's own monotonic clock; only differences matter.
+/// A duration in microseconds, or a reading of the process's own monotonic clock, of which only differences matter.
 pub type Micros = u64;
 
-/// The size of a majority of so many keepers.
+/// The number of votes that are a majority among this number of keepers.
 pub fn majority(keepers: usize) -> usize {
     keepers / 2 + 1
 }
--- a/crates/lease/src/message.rs
+++ b/crates/lease/src/message.rs
@@ -1,10 +1,10 @@
-//! The messages between clients and keepers. Each message may be lost, duplicated, delayed or reordered.
+//! The messages between clients and keepers, and between keepers. Each may be lost, duplicated, delayed or reordered.
 
 use crate::token::LeaseName;
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Maximum length of a message, in bytes: with the headers around it, a datagram that no path has to fragment.
+/// Maximum length of an encoded message, in bytes. With its headers it fits into a datagram that no path fragments.
 pub const MAX_MESSAGE_LEN: usize = 1024;
 /// Maximum length of a client's name, in bytes.
 pub const MAX_CLIENT_NAME_LEN: usize = 64;
@@ -23,64 +23,64 @@
 /// The identity of a keeper's storage folder. A folder that replaces another one has the greater identity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StorageId {
-    /// Counts the folders that this keeper name has had.
+    /// Number of storage folders that the keeper of this name has had, including this one.
     pub generation: u32,
     /// Random, so that two folders created at the same time are distinct.
     pub nonce: u64,
 }
 
-/// How far a keeper's log has advanced.
+/// The end of a keeper's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LogPosition {
     /// The folder that holds the log.
     pub storage_id: StorageId,
-    /// Number of records written to it.
+    /// Number of records in the log.
     pub record_count: u64,
 }
 
-/// What a keeper reports about itself and its peers with each vote.
+/// What a keeper reports about itself and its peers with each promise and grant.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Vote {
-    /// Its own log position.
+    /// The log position of the keeper itself.
     pub own_position: LogPosition,
-    /// The log positions of all keepers, in the order of the settings, as far as it knows them.
+    /// The latest log position of each keeper, in the order of the settings; `None` if this keeper knows none.
     pub known_positions: Vec<Option<LogPosition>>,
 }
 
 /// A request from a client to a keeper.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Request {
-    /// Requests a promise that no lower ballot is granted the lease.
+    /// Requests a promise that the lease is granted to no lower ballot.
     Prepare {
-        /// The lease.
+        /// The lease to acquire.
         lease: LeaseName,
-        /// Echoed in the response.
+        /// Number of the client's round of requests; echoed in the response.
         round: u64,
-        /// The ballot number; it becomes the token.
+        /// The ballot number; it becomes the fencing token.
         ballot: u64,
         /// Requested duration of the lease, in microseconds.
         duration: Micros,
         /// How long the client has been waiting for the lease, in microseconds.
         waited: Micros,
     },
-    /// Requests that the lease is granted or renewed from now on.
+    /// Requests a grant or a renewal of the lease, measured from the time at which the keeper handles the request.
     Grant {
-        /// The lease.
+        /// The lease to grant or renew.
         lease: LeaseName,
-        /// Echoed in the response.
+        /// Number of the client's round of requests; echoed in the response.
         round: u64,
         /// The ballot number that was promised.
         token: u64,
-        /// Duration, in microseconds.
+        /// Duration of the lease, in microseconds; at most the duration in the promise.
         duration: Micros,
-        /// The log positions that the promising keepers reported.
+        /// The latest log position of each keeper that any promise has reported; empty for a renewal.
         known_positions: Vec<Option<LogPosition>>,
     },
-    /// Releases the lease, or abandons the attempt to get it with this ballot.
+    /// Releases the lease, or abandons the attempt to acquire it with this ballot.
     Release {
-        /// The lease.
+        /// The lease to release.
         lease: LeaseName,
-        /// The ballot number.
+        /// The ballot number of the grant or the attempt.
         token: u64,
     },
 }
@@ -99,18 +99,18 @@
 /// Why a keeper rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RejectionReason {
-    /// The same ballot or a higher one was promised already.
+    /// The same ballot or a higher one was promised already, or the requested grant was not promised.
     StaleBallot,
     /// Another client holds the lease.
     Held {
         /// Remaining time of that grant, in microseconds.
         remaining: Micros,
     },
-    /// Other clients have waited longer.
+    /// The lease is reserved for a client that has waited longer.
     NotFirstInQueue,
-    /// This keeper does not vote.
+    /// The keeper does not vote at present; see [`crate::recovery`].
     NotVoting,
-    /// The requested duration is not allowed.
+    /// The requested duration is zero or exceeds the keeper's maximum.
     InvalidDuration,
     /// The keeper has no capacity for another lease or another waiting client.
     AtCapacity,
@@ -121,7 +121,7 @@
 pub enum Response {
     /// Acknowledges [`Request::Prepare`].
     Promised {
-        /// The lease.
+        /// The lease of the request.
         lease: LeaseName,
         /// The round of the request.
         round: u64,
@@ -130,27 +130,27 @@
     },
     /// Acknowledges [`Request::Grant`].
     Granted {
-        /// The lease.
+        /// The lease of the request.
         lease: LeaseName,
         /// The round of the request.
         round: u64,
         /// The keeper's vote.
         vote: Vote,
     },
-    /// Rejects a request.
+    /// Rejects [`Request::Prepare`] or [`Request::Grant`].
     Rejected {
-        /// The lease.
+        /// The lease of the request.
         lease: LeaseName,
         /// The round of the request.
         round: u64,
-        /// The reason.
+        /// Why it is rejected; the client's next attempt depends on it.
         reason: RejectionReason,
-        /// The highest ballot that was promised, so that the client's next one is higher.
+        /// The highest ballot that was promised; the client's next ballot has to be higher.
         promised: u64,
     },
-    /// Unsolicited: the lease is available, and this client is first in the queue.
+    /// Sent without a request: the lease is available, and this client is first in the queue.
     Available {
-        /// The lease.
+        /// The lease that is reserved for the client.
         lease: LeaseName,
     },
 }
@@ -167,33 +167,34 @@
     }
 }
 
-/// What a keeper has promised for one lease.
+/// The latest promise of a keeper for one lease.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Promise {
     /// The highest ballot that was promised.
     pub ballot: u64,
-    /// The client; `None` if a peer made the promise, or a previous folder of this keeper.
+    /// The client that it was made to; `None` if a peer made it, or this keeper with a previous folder.
     pub client: Option<ClientId>,
-    /// Requested duration of the lease, in microseconds.
+    /// Duration of the lease that the client requested, in microseconds.
     pub duration: Micros,
 }
 
 /// A message between keepers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Announces the sender's log position and queries what the receiver has recorded of it.
+    /// Announces the sender's log position, and queries the position that the receiver knows of it.
     PositionQuery {
         /// The sender's position; `None` if its folder is empty.
         position: Option<LogPosition>,
     },
-    /// Answers [`PeerMessage::PositionQuery`] with what is durable at the sender.
+    /// Answers [`PeerMessage::PositionQuery`]. If the receiver has a new folder, its identity is on the sender's disk
+    /// before this is sent.
     PositionReply {
         /// The latest position of the receiver that the sender knows.
         recorded: Option<LogPosition>,
         /// Whether the sender votes.
         is_voting: bool,
     },
-    /// Requests a page of the promises to leases whose names come after this one.
+    /// Requests a page of the promises for leases whose names sort after the given one.
     PromiseQuery {
         /// The last name of the previous page; `None` for the first page.
         after: Option<LeaseName>,
@@ -202,9 +203,9 @@
     PromisePage {
         /// Copied from the query.
         after: Option<LeaseName>,
-        /// Promises in the order of the names of their leases.
+        /// The leases and their promises, sorted by name.
         promises: Vec<(LeaseName, Promise)>,
-        /// No ballot up to this one is valid, whatever the lease.
+        /// Ballots up to and including this one are not promised for any lease.
         ballot_floor: u64,
         /// Whether this is the last page.
         is_last: bool,
@@ -242,13 +243,13 @@
     }
 
     fn is_within_bounds(&self) -> bool {
-        let few = |positions: &[Option<LogPosition>]| positions.len() <= MAX_KEEPERS;
+        let is_within_limit = |positions: &[Option<LogPosition>]| positions.len() <= MAX_KEEPERS;
         match self {
             Message::Request(Request::Grant {
                 known_positions, ..
-            }) => few(known_positions),
+            }) => is_within_limit(known_positions),
             Message::Response(Response::Promised { vote, .. } | Response::Granted { vote, .. }) => {
-                few(&vote.known_positions)
+                is_within_limit(&vote.known_positions)
             }
             Message::Peer(PeerMessage::PromisePage { promises, .. }) => {
                 promises.iter().all(|(_, promise)| {
--- a/crates/lease/src/queue.rs
+++ b/crates/lease/src/queue.rs
@@ -1,24 +1,24 @@
 //! The queue of clients that wait for a lease, longest wait first.
 //!
-//! Each keeper has its own queue, ordered by the waiting times that clients report, so that the queues are alike. When a
-//! lease becomes available, the first client is notified, and the lease is reserved for it: a release wakes one
-//! client and not three hundred. The first client may be gone, so its reservation expires, and from then on any client
-//! may acquire the lease.
+//! Each keeper has its own queue, ordered by the waiting times that clients report, so that the queues of all keepers
+//! agree. When a lease becomes available, it is reserved for the first client, and only that client is notified: a
+//! release wakes one client rather than, for example, three hundred. The first client may be gone, so its reservation
+//! expires, and from then on any client may acquire the lease.
 
 use crate::message::ClientId;
 use crate::Micros;
 
 /// Clients whose waits began within the same interval of this length, in microseconds, are ordered by their identities.
-/// Otherwise keepers would disagree on the order of two that began together, since the reported waiting times reach each
-/// keeper after a different delay.
+/// Otherwise keepers would disagree on the order of two clients that began at the same time, since the reported waiting
+/// times reach each keeper after a different delay.
 const ARRIVAL_INTERVAL: i64 = 250_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Waiter {
     client: ClientId,
-    /// When the wait began, by this keeper's clock; negative if it began before the clock did.
-    since: i64,
-    /// When its last request was received.
+    /// When the wait began, on this keeper's clock; negative if it began before the clock's zero.
+    waiting_since: i64,
+    /// When the keeper handled its last request.
     last_request: Micros,
 }
 
@@ -34,8 +34,8 @@
 pub struct Queue {
     waiters: Vec<Waiter>,
     reservation: Option<Reservation>,
-    /// The lease is available, and it is reserved for nobody.
-    open: bool,
+    /// Whether the lease is available and reserved for no client.
+    is_unreserved: bool,
 }
 
 /// Time limits of a queue.
@@ -48,7 +48,8 @@
 }
 
 impl Queue {
-    /// Adds a client whose request was rejected. Returns whether the queue has capacity for it.
+    /// Adds a client whose request was rejected, or notes its request if it waits already. Returns whether the queue had
+    /// capacity for it.
     pub fn enqueue(
         &mut self,
         now: Micros,
@@ -67,30 +68,31 @@
         if self.waiters.len() >= max_waiters {
             return false;
         }
-        let since = now as i64 - i64::try_from(waited).unwrap_or(i64::MAX);
+        let waiting_since = now as i64 - i64::try_from(waited).unwrap_or(i64::MAX);
         let interval = |since: i64| since.div_euclid(ARRIVAL_INTERVAL);
         let position = self.waiters.partition_point(|waiter| {
-            (interval(waiter.since), &waiter.client) < (interval(since), client)
+            (interval(waiter.waiting_since), &waiter.client) < (interval(waiting_since), client)
         });
         self.waiters.insert(
             position,
             Waiter {
                 client: client.clone(),
-                since,
+                waiting_since,
                 last_request: now,
             },
         );
         true
     }
 
-    /// The lease was granted to this client: it is removed from the queue, and any reservation ends.
+    /// Removes the client that was granted the lease from the queue, and ends any reservation.
     pub fn handle_grant(&mut self, client: &ClientId) {
         self.waiters.retain(|waiter| waiter.client != *client);
         self.reservation = None;
-        self.open = false;
+        self.is_unreserved = false;
     }
 
-    /// Whether this client may acquire the lease, which is available.
+    /// Returns whether this client may acquire the lease, which must be available; reserves it first if that was not done
+    /// when it became available.
     pub fn may_acquire(
         &mut self,
         now: Micros,
@@ -98,7 +100,7 @@
         timeouts: &QueueTimeouts,
     ) -> bool {
         self.expire_reservation(now);
-        if !self.open && self.reservation.is_none() {
+        if !self.is_unreserved && self.reservation.is_none() {
             self.reserve_for_first(now, timeouts);
         }
         self.reservation
@@ -106,12 +108,13 @@
             .is_none_or(|reservation| reservation.client == *client)
     }
 
-    /// The lease is available from now on: reserves it for the first client, and returns that client, to be notified.
+    /// Reserves the lease, which is available from now on, for the first client; returns that client, which has to be
+    /// notified. Clients that have been idle for too long are removed before.
     pub fn reserve_for_first(&mut self, now: Micros, timeouts: &QueueTimeouts) -> Option<ClientId> {
         self.waiters
             .retain(|waiter| waiter.last_request + timeouts.idle > now);
         let first = self.waiters.first().map(|first| first.client.clone());
-        self.open = first.is_none();
+        self.is_unreserved = first.is_none();
         self.reservation = first.clone().map(|client| Reservation {
             client,
             expires_at: now + timeouts.reservation,
@@ -119,16 +122,16 @@
         first
     }
 
-    /// Ends a reservation that has expired. From then on any client may acquire the lease, since the first client may be gone,
-    /// or the keepers may disagree on it so that no client would ever get a majority.
+    /// Ends a reservation that has expired. From then on any client may acquire the lease: the first client may be gone,
+    /// or the keepers may have reserved the lease for different clients, so that none of them would ever get a majority.
     pub fn expire_reservation(&mut self, now: Micros) {
         let has_expired = |reservation: &mut Reservation| reservation.expires_at <= now;
         if self.reservation.take_if(has_expired).is_some() {
-            self.open = true;
+            self.is_unreserved = true;
         }
     }
 
-    /// When the current reservation expires.
+    /// When the reservation expires; `None` if there is none.
     pub fn deadline(&self) -> Option<Micros> {
         self.reservation
             .as_ref()
@@ -140,7 +143,7 @@
         self.waiters.iter().map(|waiter| &waiter.client)
     }
 
-    /// Whether nobody waits.
+    /// Whether no client waits.
     pub fn is_empty(&self) -> bool {
         self.waiters.is_empty()
     }
--- a/crates/lease/src/recovery.rs
+++ b/crates/lease/src/recovery.rs
@@ -1,17 +1,17 @@
-//! Recovery of a keeper: whether its storage folder is the one that its peers know.
+//! Recovery of a keeper: checks with its peers that its storage folder is current, before the keeper votes.
 //!
-//! A keeper's vote is worth what its disk remembers. A folder that was emptied, or restored from a backup, has lost
-//! promises, and with its vote a token could be issued twice. Hence each folder has an identity, each peer remembers the
-//! latest identity and how many records it has heard of, and
+//! A folder that was emptied, or restored from a backup, has lost promises: if its keeper voted, a token could be issued
+//! twice. So each folder has an identity, and each peer remembers the latest identity of a keeper's folders and the
+//! number of records that it knows of.
 //!
-//! | the folder | votes |
+//! | the folder | the keeper votes |
 //! | --- | --- |
-//! | is empty | once it has an identity greater than any before it, the peers have recorded that, and it has read the promises of a majority of voting peers, or of all peers |
-//! | has an identity that the peers know, and no peer knows of more records than it has | once enough peers agree to make a majority with them |
-//! | has fewer records than a peer knows of: it was restored from a backup | never; it has to be emptied |
-//! | has a smaller identity than a peer knows: another folder took its place | never |
+//! | is empty | once it has an identity greater than any before it, the peers have recorded that identity, and it has read the promises of as many voting peers as are a majority of all keepers, or of all peers |
+//! | has an identity that the peers know, and no peer knows of more records than it has | once the keeper and the peers that agree are a majority |
+//! | has fewer records than a peer knows of: it was restored from a backup | never; an operator has to empty the folder |
+//! | has a smaller identity than a peer knows: another folder has replaced it | never |
 //!
-//! This holds while no more than a minority of folders is lost or restored since they last voted together. When all
+//! This is safe as long as at most a minority of the folders is lost or restored since they last voted together. If all
 //! folders are lost, so are the tokens: see the operators' page.
 
 use crate::durable::{DurableState, Record};
@@ -29,82 +29,82 @@
 /// Why a folder is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Error)]
 pub enum StorageFault {
-    /// Another folder replaced it.
+    /// Another folder has replaced it.
     #[error(
-        "another folder has taken this keeper's place (generation {generation}); this one must not vote"
+        "another folder has replaced the one of this keeper (generation {generation}); this keeper must not vote"
     )]
     Replaced {
         /// The generation of the other folder.
         generation: u32,
     },
-    /// It has lost records.
+    /// It has lost records, for example because it was restored from a backup.
     #[error(
-        "the folder has {own_records} records, a fellow knows of {known_records}: it is an old copy; empty it to begin anew"
+        "the folder has {own_records} records, but a peer knows of {known_records}: it is an old copy; empty it so that the keeper can recover"
     )]
     Outdated {
-        /// Number of records in this folder.
+        /// Number of records that this folder has.
         own_records: u64,
         /// Number of records that a peer knows of.
         known_records: u64,
     },
 }
 
-/// The phase of a keeper's recovery.
+/// The phase of a keeper's recovery; the keeper votes only in [`Status::Voting`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Status {
-    /// The folder is empty: the keeper queries its peers for its previous generation.
+    /// The folder is empty: the keeper queries its peers for the generation of its previous folder.
     Empty,
     /// The folder is new: the keeper reads the promises of its peers.
     CatchingUp,
-    /// The folder existed before: the keeper verifies with its peers that it is the latest.
+    /// The folder has been in use before: the keeper verifies with its peers that it is the latest.
     Verifying,
-    /// The keeper votes.
+    /// The folder is current: the keeper votes.
     Voting,
-    /// The keeper must not vote.
+    /// The folder is not current: the keeper must not vote.
     Rejected(StorageFault),
 }
 
-/// What is known of a peer since this keeper's start.
+/// What this keeper has learned of a peer since its own start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Peer {
-    /// It has answered.
+    /// Whether it has answered a query.
     answered: bool,
-    /// It votes.
+    /// Whether it votes, by its last answer.
     is_voting: bool,
-    /// It has recorded this keeper's present folder as the latest.
+    /// Whether it has recorded this keeper's present folder as the latest.
     agrees: bool,
-    /// The last lease whose promise was read from it.
+    /// The last lease whose promise was read from this peer.
     read_up_to: Option<LeaseName>,
-    /// Whether it voted when its last page was read; `None` until then.
-    read_completely: Option<bool>,
+    /// Whether it voted when its last page of promises was read; `None` until all its pages are read.
+    voted_when_read: Option<bool>,
 }
 
 /// A query, and the peer that it goes to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerQuery {
-    /// The peer, by its place in the settings.
+    /// Index of the peer in the settings.
     pub peer: usize,
-    /// The query.
+    /// A [`PeerMessage::PositionQuery`] or [`PeerMessage::PromiseQuery`].
     pub message: PeerMessage,
 }
 
-/// The recovery state machine of one keeper. See the module.
+/// The recovery of one keeper, as a state machine; see the module.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Recovery {
-    me: usize,
+    own_index: usize,
     status: Status,
     peers: Vec<Peer>,
     /// The latest generation of this keeper's folders that any peer knows.
     generation: u32,
-    /// Random, for the identity of a new folder.
+    /// Random number for the identity of a new folder.
     nonce: u64,
     next_query: Micros,
 }
 
 impl Recovery {
-    /// Starts the recovery of a keeper from its durable state.
+    /// Starts the recovery of a keeper from its durable state. `nonce` becomes part of the identity of a new folder.
     pub fn new(
-        me: usize,
+        own_index: usize,
         keepers: usize,
         state: &DurableState,
         nonce: u64,
@@ -116,7 +116,7 @@
             (Some(_), true) => Status::Verifying,
         };
         Recovery {
-            me,
+            own_index,
             status,
             peers: vec![Peer::default(); keepers],
             generation: 0,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The current phase.
+    /// The current phase of the recovery.
     pub fn status(&self) -> Status {
         self.status
     }
@@ -135,21 +135,21 @@
         self.status == Status::Voting
     }
 
-    /// When [`Recovery::tick`] has queries to send.
+    /// When [`Recovery::tick`] has queries to send next.
     pub fn deadline(&self) -> Micros {
         self.next_query
     }
 
     fn others(&self) -> impl Iterator<Item = &Peer> {
-        let me = self.me;
+        let own_index = self.own_index;
         self.peers
             .iter()
             .enumerate()
-            .filter(move |(index, _)| *index != me)
+            .filter(move |(index, _)| *index != own_index)
             .map(|(_, peer)| peer)
     }
 
-    /// Returns the queries that are due.
+    /// Returns the queries that are due at this time.
     pub fn tick(&mut self, now: Micros, state: &DurableState) -> Vec<PeerQuery> {
         if now < self.next_query {
             return Vec::new();
@@ -162,7 +162,7 @@
         self.next_query = now + interval;
         let mut queries = Vec::new();
         for (index, peer) in self.peers.iter().enumerate() {
-            if index == self.me {
+            if index == self.own_index {
                 continue;
             }
             queries.push(PeerQuery {
@@ -171,7 +171,7 @@
                     position: state.log_position(),
                 },
             });
-            if self.status == Status::CatchingUp && peer.agrees && peer.read_completely.is_none() {
+            if self.status == Status::CatchingUp && peer.agrees && peer.voted_when_read.is_none() {
                 queries.push(PeerQuery {
                     peer: index,
                     message: PeerMessage::PromiseQuery {
@@ -183,7 +183,7 @@
         queries
     }
 
-    /// Handles a peer's reply about the position that it has recorded for this keeper.
+    /// Handles a peer's reply: the position that it knows of this keeper, and whether the peer votes.
     pub fn handle_position_reply(
         &mut self,
         now: Micros,
@@ -212,13 +212,13 @@
                 });
             } else if known.storage_id == own.storage_id && !peer.agrees {
                 peer.agrees = true;
-                // Its promises are queried at once.
+                // The peer's promises can be queried at once.
                 self.next_query = now;
             }
         }
     }
 
-    /// Notes that a page of a peer's promises was read.
+    /// Notes that a page of a peer's promises was read, up to the given lease.
     pub fn handle_promise_page(
         &mut self,
         now: Micros,
@@ -230,12 +230,12 @@
         let Some(peer) = self
             .peers
             .get_mut(from)
-            .filter(|peer| peer.agrees && peer.read_completely.is_none())
+            .filter(|peer| peer.agrees && peer.voted_when_read.is_none())
         else {
             return;
         };
         if is_last {
-            peer.read_completely = Some(is_voting);
+            peer.voted_when_read = Some(is_voting);
         } else if up_to > peer.read_up_to {
             peer.read_up_to = up_to;
         }
@@ -245,7 +245,8 @@
     /// Moves to the next phase if its condition holds; returns the record that this requires, if any.
     pub fn advance(&mut self, now: Micros, state: &DurableState) -> Option<Record> {
         let (keepers, all_peers) = (self.peers.len(), self.peers.len() - 1);
-        // Those that voted with this keeper's previous folder are among these, or all others are lost as well.
+        // Either way, at least one of any majority that voted with this keeper's previous folder is included, unless the
+        // folders of all others are lost as well.
         let enough = |voting: usize, all: usize| voting >= majority(keepers) || all == all_peers;
         match self.status {
             Status::Empty => {
@@ -264,7 +265,7 @@
                 }))
             }
             Status::CatchingUp => {
-                let read: Vec<bool> = self.others().filter_map(|p| p.read_completely).collect();
+                let read: Vec<bool> = self.others().filter_map(|p| p.voted_when_read).collect();
                 if !enough(read.iter().filter(|voting| **voting).count(), read.len()) {
                     return None;
                 }
--- a/crates/lease/src/token.rs
+++ b/crates/lease/src/token.rs
@@ -1,9 +1,9 @@
 //! Lease names, fencing tokens, and the operations that carry them.
 //!
-//! A holder that is paused between its last look at the clock and its operation acts late, and no clock can tell. Hence
-//! each operation carries the token of its lease, and the resource it acts on keeps the highest token that it has seen and
-//! refuses lower ones. Both ends are in the types: an [`Operation`] comes from an active lease and from nowhere else,
-//! and a [`Fence`] admits an operation only if its token is not a lower one.
+//! A holder that is paused between its last check of the clock and its operation acts too late, and its clock can't
+//! prevent that. So each operation carries the token of its lease, and the resource remembers the highest token that it
+//! has seen and rejects lower ones. The types enforce both: only an active lease creates an [`Operation`], and a
+//! [`Fence`] admits an operation only if its token is not lower than one that it has seen.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 
 /// The text is not a valid [`LeaseName`].
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("a lease's name has 1 to {MAX_LEASE_NAME_LEN} letters, digits, '-', '_', '.', '/' or ':'")]
+#[error("a lease name must consist of 1 to {MAX_LEASE_NAME_LEN} letters, digits, '-', '_', '.', '/' or ':'")]
 pub struct InvalidLeaseName;
 
 impl TryFrom<String> for LeaseName {
@@ -52,8 +52,8 @@
     }
 }
 
-/// The fencing token of one holding of a lease. Of two holdings of one lease the later one has the greater token, whoever
-/// held it and whatever was restarted between them.
+/// A fencing token: identifies one acquisition of a lease. A later acquisition of the same lease has a greater token,
+/// whichever client acquires it and whichever processes were restarted in between.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Token(pub(crate) u64);
 
@@ -96,33 +96,33 @@
 /// The lease and the token that an operation presents to a resource.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Claim {
-    /// The lease.
+    /// The lease that the operation is performed under.
     pub lease: LeaseName,
-    /// The token's number.
+    /// The number of the fencing token; see [`Token::number`].
     pub token: u64,
 }
 
-/// Why a fence refuses an operation.
+/// Why a fence rejects an operation.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FenceError {
-    /// A later holder of the lease has acted already.
-    #[error("token {presented} of lease {lease} is over: {highest} was seen")]
+    /// A later holder of the lease has performed an operation already.
+    #[error("token {presented} of lease {lease} is stale: token {highest} was seen already")]
     StaleToken {
-        /// The lease.
+        /// The lease of the operation.
         lease: LeaseName,
         /// The token of the operation.
         presented: u64,
         /// The highest token seen so far.
         highest: u64,
     },
-    /// The fence can't track another lease.
-    #[error("no room for lease {0}")]
+    /// The fence tracks its maximum number of leases already.
+    #[error("lease {0} exceeds the number of leases that the fence can track")]
     AtCapacity(LeaseName),
 }
 
-/// The highest token of each lease that a resource has seen.
+/// Rejects operations with stale tokens: tracks the highest token of each lease that a resource has seen.
 ///
-/// A lease is never forgotten, since a lower token may come at any later time; so the number of leases is bounded.
+/// A lease is never removed, since a lower token may arrive at any later time; so the number of leases is bounded.
 #[derive(Clone, Debug)]
 pub struct Fence {
     highest: BTreeMap<LeaseName, u64>,
@@ -130,7 +130,7 @@
 }
 
 impl Fence {
-    /// A fence for at most so many leases.
+    /// Creates a fence that has seen no token, and tracks at most this number of leases.
     pub fn new(max_leases: usize) -> Fence {
         Fence {
             highest: BTreeMap::new(),
@@ -138,13 +138,13 @@
         }
     }
 
-    /// Admits an operation if no later holder of its lease has acted: a holder that was paused past the end of its lease
-    /// may resume in the middle of an operation that another holder has performed since.
+    /// Admits an operation unless a later holder of its lease has acted: a holder that was paused past the end of its
+    /// lease may resume in the middle of an operation that another holder has performed since.
     ///
     /// # Errors
-    /// If the operation must not be performed.
+    /// If the token is stale, or the fence can't track another lease. The operation must not be performed then.
     pub fn admit(&mut self, claim: &Claim) -> Result<(), FenceError> {
-        let full = self.highest.len() >= self.max_leases;
+        let is_full = self.highest.len() >= self.max_leases;
         match self.highest.get_mut(&claim.lease) {
             Some(highest) if claim.token < *highest => Err(FenceError::StaleToken {
                 lease: claim.lease.clone(),
@@ -155,7 +155,7 @@
                 *highest = claim.token;
                 Ok(())
             }
-            None if full => Err(FenceError::AtCapacity(claim.lease.clone())),
+            None if is_full => Err(FenceError::AtCapacity(claim.lease.clone())),
             None => {
                 self.highest.insert(claim.lease.clone(), claim.token);
                 Ok(())
@@ -163,7 +163,7 @@
         }
     }
 
-    /// The highest token seen of a lease.
+    /// The highest token seen for a lease; `None` if none was.
     pub fn highest(&self, lease: &LeaseName) -> Option<u64> {
         self.highest.get(lease).copied()
     }
