--- a/crates/lease-store/tests/crash.rs
+++ b/crates/lease-store/tests/crash.rs
@@ -1,5 +1,5 @@
-//! Opening a file that is truncated, corrupt, of another version or in use: each has a specified result, and no
-//! write before the last is lost undetected.
+//! Guards against keepers that lose promises unnoticed: opens files that are truncated, corrupt, of another version or in
+//! use, and checks that no write before the last one is lost undetected.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -9,26 +9,26 @@
 use reelfall_lease_store::{decode_file, Store, StoreError, FILE_NAME};
 use std::path::PathBuf;
 
-/// Names of leases in the records.
+/// Number of leases in the records.
 const LEASES: u64 = 7;
-/// Peers in the records.
+/// Number of peers in the records.
 const PEERS: u64 = 3;
 /// The offset of the version in a file: it follows the magic.
 const VERSION_OFFSET: usize = 15;
 
 /// A temporary folder, removed when dropped.
-struct Folder(PathBuf);
+struct TempFolder(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TempFolder {
+    fn new(name: &str) -> TempFolder {
         let path =
             std::env::temp_dir().join(format!("reelfall-lease-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
-        Folder(path)
+        TempFolder(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -76,7 +76,7 @@
     records
 }
 
-/// A file and what each of its writes left.
+/// The bytes of a file, and its length and state after each write.
 struct WrittenFile {
     bytes: Vec<u8>,
     /// The length of the file when it was created and after each write.
@@ -85,7 +85,7 @@
     states: Vec<DurableState>,
 }
 
-fn write_file(folder: &Folder, batches: u64) -> WrittenFile {
+fn write_file(folder: &TempFolder, batches: u64) -> WrittenFile {
     let (mut store, state) = Store::open(&folder.0).unwrap();
     let file_length = || std::fs::metadata(folder.0.join(FILE_NAME)).unwrap().len() as usize;
     let mut states = vec![state];
@@ -111,7 +111,7 @@
         bytes,
         ends,
         states,
-    } = write_file(&Folder::new("truncated"), 40);
+    } = write_file(&TempFolder::new("truncated"), 40);
     for length in 0..=bytes.len() {
         let complete_writes = ends.iter().rposition(|end| *end <= length).unwrap_or(0);
         let contents = decode_file(&bytes[..length]).unwrap();
@@ -125,8 +125,8 @@
 }
 
 #[test]
-fn writing_continues_after_a_torn_write() {
-    let folder = Folder::new("torn");
+fn writing_continues_after_a_truncated_write() {
+    let folder = TempFolder::new("truncated-write");
     let WrittenFile { bytes, states, .. } = write_file(&folder, 6);
     std::fs::write(folder.0.join(FILE_NAME), &bytes[..bytes.len() - 3]).unwrap();
     let (mut store, mut state) = Store::open(&folder.0).unwrap();
@@ -144,14 +144,14 @@
         bytes,
         ends,
         states,
-    } = write_file(&Folder::new("bits"), 12);
+    } = write_file(&TempFolder::new("bits"), 12);
     let mut rng = Pcg64Mcg::seed_from_u64(5);
     for offset in 0..bytes.len() {
         let mut corrupt = bytes.clone();
         corrupt[offset] ^= 1 << rng.random_range(0..8);
         let is_in_last_write = offset >= ends[ends.len() - 2];
         match decode_file(&corrupt) {
-            // The last write looks torn. The other keepers know that it was complete.
+            // The last write looks truncated. The other keepers know that it was complete.
             Ok(contents) => {
                 assert!(
                     is_in_last_write && contents.state == states[states.len() - 2],
@@ -167,7 +167,7 @@
 
 #[test]
 fn missing_frame_is_detected() {
-    let WrittenFile { bytes, ends, .. } = write_file(&Folder::new("middle"), 12);
+    let WrittenFile { bytes, ends, .. } = write_file(&TempFolder::new("middle"), 12);
     for frame in 1..ends.len() - 1 {
         let remaining = [&bytes[..ends[frame - 1]], &bytes[ends[frame]..]].concat();
         assert!(
@@ -179,7 +179,7 @@
 
 #[test]
 fn locked_folders_and_foreign_files_are_rejected() {
-    let folder = Folder::new("owner");
+    let folder = TempFolder::new("owner");
     let (store, _) = Store::open(&folder.0).unwrap();
     assert!(matches!(Store::open(&folder.0), Err(StoreError::InUse)));
     drop(store);
@@ -195,12 +195,12 @@
         open_error(b"reelfall leases\x02"),
         StoreError::TooNew(2)
     ));
-    // The file of a newer version is unchanged.
+    // Opening the file of a newer version did not change it.
     assert_eq!(
         std::fs::read(folder.0.join(FILE_NAME)).unwrap(),
         b"reelfall leases\x02"
     );
-    let not_a_folder = Folder::new("no-folder");
+    let not_a_folder = TempFolder::new("no-folder");
     std::fs::write(&not_a_folder.0, b"").unwrap();
     assert!(matches!(
         Store::open(&not_a_folder.0),
@@ -209,21 +209,21 @@
     std::fs::remove_file(&not_a_folder.0).unwrap();
 }
 
-/// Writes of the test of compaction.
+/// Number of writes in the compaction test.
 const WRITES: u64 = 100;
 const BATCHES_PER_WRITE: u64 = 2500;
-/// The bound on the length of the file, compacted or not.
+/// Bound on the length of the file between writes, in bytes: more than the length above which it is compacted.
 const MAX_FILE_BYTES: u64 = 5 << 20;
 
 #[test]
 fn compaction_bounds_the_file_and_preserves_the_state() {
-    let folder = Folder::new("long");
+    let folder = TempFolder::new("long");
     let (mut store, mut state) = Store::open(&folder.0).unwrap();
     let mut max_length = 0;
     let mut previous_length = 0;
     let mut compactions = 0;
     for write in 0..WRITES {
-        // The first two batches are special.
+        // The first two batches contain the records of a new folder, and are left out.
         let first_batch = 2 + write * BATCHES_PER_WRITE;
         let batches = first_batch..first_batch + BATCHES_PER_WRITE;
         let records: Vec<Record> = batches.flat_map(batch).collect();
--- a/crates/lease-store/tests/golden.rs
+++ b/crates/lease-store/tests/golden.rs
@@ -1,5 +1,6 @@
-//! A keeper's file has the bytes of format 1. `golden/leases.hex` and the digest of a compacted file were made by the code of
-//! commit c58caac and do not change while the version stays: keepers read what earlier versions wrote.
+//! Guards against changes to format 1 of a keeper's file. `golden/leases.hex` and the digest of a compacted file were
+//! made by the code of commit c58caac; they don't change while the format version is 1, since keepers read files of
+//! earlier releases.
 
 use reelfall_lease::durable::Record;
 use reelfall_lease::message::{ClientId, LogPosition, Promise, StorageId};
@@ -7,16 +8,16 @@
 use reelfall_lease_store::{decode_file, Store, FILE_NAME};
 use std::path::PathBuf;
 
-const GOLDEN: &str = include_str!("golden/leases.hex");
-const COMPACTED: &str = include_str!("golden/compacted.blake3");
+const GOLDEN_HEX: &str = include_str!("golden/leases.hex");
+const COMPACTED_BLAKE3: &str = include_str!("golden/compacted.blake3");
 
-fn folder(name: &str) -> PathBuf {
+fn temp_folder(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("reelfall-golden-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     path
 }
 
-fn promised(n: u64) -> Record {
+fn promise_record(n: u64) -> Record {
     let lease = LeaseName::try_from(format!("lease-{}", n % 5)).unwrap();
     let client = (!n.is_multiple_of(3)).then(|| ClientId {
         name: format!("n{n}"),
@@ -32,13 +33,13 @@
     )
 }
 
-fn writes() -> Vec<Vec<Record>> {
+fn record_batches() -> Vec<Vec<Record>> {
     let storage_id = StorageId {
         generation: 1,
         nonce: 77,
     };
     vec![
-        vec![Record::Created(storage_id), promised(0)],
+        vec![Record::Created(storage_id), promise_record(0)],
         vec![
             Record::Admitted,
             Record::PeerPosition(
@@ -49,7 +50,7 @@
                 },
             ),
         ],
-        (1..6).map(promised).collect(),
+        (1..6).map(promise_record).collect(),
         vec![
             Record::Evicted(LeaseName::try_from("lease-2".to_owned()).unwrap()),
             Record::BallotFloor(4),
@@ -58,19 +59,19 @@
 }
 
 #[test]
-fn a_file_has_the_bytes_that_it_had_and_is_read() {
-    let folder = folder("file");
+fn file_matches_the_golden_bytes_and_decodes_to_the_written_state() {
+    let folder = temp_folder("file");
     let (mut store, _) = Store::open(&folder).unwrap();
-    for records in writes() {
+    for records in record_batches() {
         store.write(&records).unwrap();
     }
     drop(store);
     let bytes = std::fs::read(folder.join(FILE_NAME)).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-    assert_eq!(hex, GOLDEN.trim_end());
+    assert_eq!(hex, GOLDEN_HEX.trim_end());
     let mut state = decode_file(&[]).unwrap().state;
-    writes()
+    record_batches()
         .concat()
         .iter()
         .for_each(|record| state.apply(record));
@@ -78,26 +79,29 @@
 }
 
 #[test]
-fn a_compacted_file_has_the_bytes_that_it_had() {
-    let folder = folder("compacted");
+fn compacted_file_matches_the_golden_digest() {
+    let folder = temp_folder("compacted");
     let (mut store, _) = Store::open(&folder).unwrap();
     let length = || std::fs::metadata(folder.join(FILE_NAME)).unwrap().len();
-    let mut before = length();
+    let mut previous_length = length();
     for n in 0.. {
         store
             .write(
                 &(0..10_000)
-                    .map(|k| promised(10_000 * n + k))
+                    .map(|k| promise_record(10_000 * n + k))
                     .collect::<Vec<_>>(),
             )
             .unwrap();
-        if length() < before {
+        if length() < previous_length {
             break;
         }
-        before = length();
+        previous_length = length();
     }
     drop(store);
     let bytes = std::fs::read(folder.join(FILE_NAME)).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
-    assert_eq!(blake3::hash(&bytes).to_hex().as_str(), COMPACTED.trim_end());
+    assert_eq!(
+        blake3::hash(&bytes).to_hex().as_str(),
+        COMPACTED_BLAKE3.trim_end()
+    );
 }
--- a/crates/lease/tests/explore/actions.rs
+++ b/crates/lease/tests/explore/actions.rs
@@ -1,27 +1,27 @@
-//! The actions of an exploration: time, deliveries, timers, writes and restarts.
+//! The actions of an exploration: the passing of time, deliveries, timers, writes and restarts.
 
 use crate::config::{Exploration, RemovedPart, CLIENTS};
 use crate::delivery::post_response;
 use crate::properties::properties;
-use crate::state::{Packet, TokenUse, World};
+use crate::state::{Packet, SystemState, TokenUse};
 use reelfall_lease::keeper::Destination;
 use reelfall_lease::message::Message;
 use stateright::{Model, Property};
 
-/// Writes of an exploration.
+/// Maximum number of admitted writes in an exploration.
 const MAX_WRITES: usize = 2;
-/// The tag of a keeper after a restart.
-const RESTART_TAG: u64 = 20;
+/// The nonce of a keeper after a restart.
+const RESTART_NONCE: u64 = 20;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     AdvanceTime,
-    /// A request is delivered, and its response at once; or a write, or a late response.
+    /// Delivers a request and its response; or a write, or a late response.
     Deliver(Packet),
-    /// The response is delivered later, or never.
+    /// Delivers a request; its response is delivered later, or never.
     DeliverWithLateResponse(Packet),
     DeliverDuplicate(Packet),
-    /// The keeper handles the request and restarts before it has sent anything.
+    /// Delivers a request to a keeper, which restarts before it has sent a message.
     DeliverAndRestart {
         packet: Packet,
         is_persisted: bool,
@@ -35,59 +35,59 @@
 }
 
 impl Model for Exploration {
-    type State = World;
+    type State = SystemState;
     type Action = Action;
 
-    fn init_states(&self) -> Vec<World> {
-        vec![self.initial_world()]
+    fn init_states(&self) -> Vec<SystemState> {
+        vec![self.initial_state()]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Action>) {
-        if world.now < self.end {
+    fn actions(&self, system: &SystemState, actions: &mut Vec<Action>) {
+        if system.now < self.end {
             actions.push(Action::AdvanceTime);
         }
-        for packet in &world.in_flight {
-            self.add_deliveries(world, packet, actions);
+        for packet in &system.in_flight {
+            self.add_deliveries(system, packet, actions);
         }
         for client in 0..CLIENTS {
-            if self.can_fire_timer(world, client) {
+            if self.can_fire_timer(system, client) {
                 actions.push(Action::FireTimer { client });
             }
-            if self.can_write(world, client) {
+            if self.can_write(system, client) {
                 actions.push(Action::Write { client });
             }
         }
     }
 
-    fn next_state(&self, last: &World, action: Action) -> Option<World> {
-        let mut world = last.clone();
+    fn next_state(&self, last: &SystemState, action: Action) -> Option<SystemState> {
+        let mut system = last.clone();
         match action {
-            Action::AdvanceTime => world.now += 1,
-            Action::Deliver(packet) => self.deliver_with_response(&mut world, &packet),
+            Action::AdvanceTime => system.now += 1,
+            Action::Deliver(packet) => self.deliver_with_response(&mut system, &packet),
             Action::DeliverWithLateResponse(packet) => {
-                world.late_responses += 1;
-                world.in_flight.remove(&packet);
-                self.deliver(&mut world, &packet);
+                system.late_responses += 1;
+                system.in_flight.remove(&packet);
+                self.deliver(&mut system, &packet);
             }
             Action::DeliverDuplicate(packet) => {
-                world.duplicates += 1;
-                self.deliver(&mut world, &packet);
+                system.duplicates += 1;
+                self.deliver(&mut system, &packet);
             }
             Action::DeliverAndRestart {
                 packet,
                 is_persisted,
-            } => self.deliver_and_restart(&mut world, &packet, is_persisted)?,
-            Action::FireTimer { client } => self.fire_timer(&mut world, client),
+            } => self.deliver_and_restart(&mut system, &packet, is_persisted)?,
+            Action::FireTimer { client } => self.fire_timer(&mut system, client),
             Action::Write { client } => {
-                let now = self.client_clock(world.now);
-                let active = world.clients[client].active(now)?;
+                let now = self.client_clock(system.now);
+                let active = system.clients[client].active(now)?;
                 let token = active.operation(()).claim().token;
                 let write = TokenUse { client, token };
-                world.in_flight.insert(Packet::Write(write));
+                system.in_flight.insert(Packet::Write(write));
             }
         }
-        self.drop_ineffective(&mut world);
-        (world != *last).then_some(world)
+        self.drop_ineffective(&mut system);
+        (system != *last).then_some(system)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
@@ -96,15 +96,15 @@
 }
 
 impl Exploration {
-    fn add_deliveries(&self, world: &World, packet: &Packet, actions: &mut Vec<Action>) {
+    fn add_deliveries(&self, system: &SystemState, packet: &Packet, actions: &mut Vec<Action>) {
         actions.push(Action::Deliver(packet.clone()));
-        if world.late_responses < self.max_late_responses && packet.is_prepare_or_grant() {
+        if system.late_responses < self.max_late_responses && packet.is_prepare_or_grant() {
             actions.push(Action::DeliverWithLateResponse(packet.clone()));
         }
-        if world.duplicates < self.max_duplicates {
+        if system.duplicates < self.max_duplicates {
             actions.push(Action::DeliverDuplicate(packet.clone()));
         }
-        if world.restarts < self.max_restarts && packet.is_prepare_or_grant() {
+        if system.restarts < self.max_restarts && packet.is_prepare_or_grant() {
             for is_persisted in [false, true] {
                 actions.push(Action::DeliverAndRestart {
                     packet: packet.clone(),
@@ -114,41 +114,41 @@
         }
     }
 
-    fn can_fire_timer(&self, world: &World, client: usize) -> bool {
-        let now = self.client_clock(world.now);
-        let deadline = world.clients[client].deadline();
+    fn can_fire_timer(&self, system: &SystemState, client: usize) -> bool {
+        let now = self.client_clock(system.now);
+        let deadline = system.clients[client].deadline();
         let is_due = deadline.is_some_and(|deadline| deadline <= now);
-        let is_allowed = if world.clients[client].active(now).is_some() {
-            world.renewals < self.max_renewals
+        let is_allowed = if system.clients[client].active(now).is_some() {
+            system.renewals < self.max_renewals
         } else {
-            world.acquisitions[client] < self.max_acquisitions[client]
+            system.acquisitions[client] < self.max_acquisitions[client]
         };
         is_due && is_allowed
     }
 
-    fn can_write(&self, world: &World, client: usize) -> bool {
-        let now = self.client_clock(world.now);
-        let is_writing = world
+    fn can_write(&self, system: &SystemState, client: usize) -> bool {
+        let now = self.client_clock(system.now);
+        let is_writing = system
             .in_flight
             .iter()
             .any(|packet| matches!(packet, Packet::Write(write) if write.client == client));
         self.has_writes
             && !is_writing
-            && world.writes.len() < MAX_WRITES
-            && world.clients[client].active(now).is_some()
+            && system.writes.len() < MAX_WRITES
+            && system.clients[client].active(now).is_some()
     }
 
-    fn deliver_with_response(&self, world: &mut World, packet: &Packet) {
-        world.in_flight.remove(packet);
-        let before = world.in_flight.clone();
-        self.deliver(world, packet);
+    fn deliver_with_response(&self, system: &mut SystemState, packet: &Packet) {
+        system.in_flight.remove(packet);
+        let before = system.in_flight.clone();
+        self.deliver(system, packet);
         let Packet::Request {
             client: requester, ..
         } = packet
         else {
             return;
         };
-        let responses: Vec<Packet> = world
+        let responses: Vec<Packet> = system
             .in_flight
             .difference(&before)
             .filter(
@@ -157,25 +157,25 @@
             .cloned()
             .collect();
         for response in responses {
-            world.in_flight.remove(&response);
-            self.deliver(world, &response);
+            system.in_flight.remove(&response);
+            self.deliver(system, &response);
         }
     }
 
-    /// None if the packet is no request.
+    /// Returns `None` if the packet is not a request.
     fn deliver_and_restart(
         &self,
-        world: &mut World,
+        system: &mut SystemState,
         packet: &Packet,
         is_persisted: bool,
     ) -> Option<()> {
-        world.in_flight.remove(packet);
-        world.restarts += 1;
-        let keeper = self.deliver_request(world, packet)?;
-        let effects = world.keepers[keeper].keeper.take_effects();
+        system.in_flight.remove(packet);
+        system.restarts += 1;
+        let keeper = self.deliver_request(system, packet)?;
+        let effects = system.keepers[keeper].keeper.take_effects();
         if is_persisted {
             for record in &effects.records {
-                world.keepers[keeper].disk.apply(record);
+                system.keepers[keeper].disk.apply(record);
             }
         }
         if self.removed == RemovedPart::Disk {
@@ -183,22 +183,22 @@
                 if let (Destination::Client(to), Message::Response(response)) =
                     (outgoing.destination, outgoing.message)
                 {
-                    post_response(world, keeper, &to, response);
+                    post_response(system, keeper, &to, response);
                 }
             }
         }
-        self.restart(world, keeper, RESTART_TAG);
+        self.restart(system, keeper, RESTART_NONCE);
         Some(())
     }
 
-    fn fire_timer(&self, world: &mut World, client: usize) {
-        let now = self.client_clock(world.now);
-        if world.clients[client].active(now).is_some() {
-            world.renewals += 1;
+    fn fire_timer(&self, system: &mut SystemState, client: usize) {
+        let now = self.client_clock(system.now);
+        if system.clients[client].active(now).is_some() {
+            system.renewals += 1;
         } else {
-            world.acquisitions[client] += 1;
+            system.acquisitions[client] += 1;
         }
-        world.clients[client].tick(now, 0);
-        self.post(world, client);
+        system.clients[client].tick(now, 0);
+        self.post(system, client);
     }
 }
--- a/crates/lease/tests/explore/config.rs
+++ b/crates/lease/tests/explore/config.rs
@@ -1,4 +1,4 @@
-//! What an exploration includes, and the configurations of keepers and clients that follow from it.
+//! The configuration of an exploration, and the configurations of keepers and clients that follow from it.
 
 use reelfall_lease::clock::DriftMargin;
 use reelfall_lease::holder::Config;
@@ -10,40 +10,40 @@
 pub const CLIENTS: usize = 2;
 /// The rate of a clock without drift, in eighths.
 pub const NOMINAL_RATE_EIGHTHS: u64 = 8;
-/// An eighth.
+/// The maximum drift of the explored clocks: an eighth, in parts per million.
 const DRIFT_PPM: u32 = 125_000;
 
-/// A part of the protocol that is removed, to show that the checker finds what it prevents.
+/// A part of the protocol that is removed, to show that the model checker finds the violation that the part prevents.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RemovedPart {
     None,
-    /// The resource admits every write.
+    /// The resource admits writes with any token.
     Fence,
-    /// The holder counts on the whole length, whatever the drift.
+    /// The holder uses the lease for its whole duration, without a margin for drift.
     DriftMargin,
-    /// Keepers respond before their records are on disk.
+    /// Keepers send messages before their records are on disk.
     Disk,
-    /// One keeper is enough, and each client has one of its own.
+    /// The grant of one keeper is enough, and each client uses a different keeper.
     Majority,
 }
 
 pub struct Exploration {
     pub removed: RemovedPart,
     pub lease_duration: Micros,
-    /// The last time of the world.
+    /// The time at which the exploration ends.
     pub end: u8,
     pub keeper_clock_eighths: u64,
     pub client_clock_eighths: u64,
-    /// Of each client.
+    /// Maximum number of attempts of each client to acquire the lease.
     pub max_acquisitions: [u8; CLIENTS],
     pub max_renewals: u8,
     pub max_restarts: u8,
     pub max_duplicates: u8,
-    /// Responses that do not arrive at once.
+    /// Maximum number of responses that are not delivered immediately.
     pub max_late_responses: u8,
     /// Whether clients write to the resource.
     pub has_writes: bool,
-    /// Of each client, the keepers that receive its messages. Majorities that share a single keeper are the worst case.
+    /// The keepers that receive each client's messages. Majorities that share a single keeper are the worst case.
     pub reachable_keepers: [[bool; KEEPERS]; CLIENTS],
     /// Whether the first client holds the lease at the start.
     pub is_held_at_start: bool,
@@ -81,9 +81,9 @@
     fn drift_margin(&self) -> DriftMargin {
         let has_drift = self.keeper_clock_eighths != NOMINAL_RATE_EIGHTHS
             || self.client_clock_eighths != NOMINAL_RATE_EIGHTHS;
-        let is_respected = self.removed != RemovedPart::DriftMargin;
+        let has_margin = self.removed != RemovedPart::DriftMargin;
         DriftMargin {
-            drift_ppm: if has_drift && is_respected {
+            drift_ppm: if has_drift && has_margin {
                 DRIFT_PPM
             } else {
                 0
@@ -118,7 +118,7 @@
         self.removed != RemovedPart::Majority
     }
 
-    /// The keeper that a client means by an index.
+    /// The keeper that a client addresses by this index.
     pub fn keeper_of(&self, client: usize, index: usize) -> usize {
         if self.has_majorities() {
             index
@@ -127,7 +127,7 @@
         }
     }
 
-    /// The index by which a client knows a keeper.
+    /// The index by which clients address this keeper.
     pub fn index_of(&self, keeper: usize) -> usize {
         if self.has_majorities() {
             keeper
--- a/crates/lease/tests/explore/delivery.rs
+++ b/crates/lease/tests/explore/delivery.rs
@@ -1,34 +1,34 @@
-//! Delivery of messages between clients, keepers and the resource.
+//! Delivers messages between clients, keepers and the resource.
 
 use crate::config::{Exploration, RemovedPart, KEEPERS};
-use crate::state::{client_id, lease, Packet, TokenUse, World};
+use crate::state::{client_id, lease, Packet, SystemState, TokenUse};
 use reelfall_lease::holder::{KeeperRequest, LeaseEvent};
 use reelfall_lease::keeper::{Destination, Keeper};
 use reelfall_lease::message::{ClientId, Message, RejectionReason, Request, Response};
 use reelfall_lease::token::{Claim, Fence};
 
 impl Exploration {
-    /// Persists the records of a keeper and sends its messages. Messages between keepers are delivered at once.
-    pub fn flush(&self, world: &mut World, keeper: usize) {
-        let mut due = vec![keeper];
-        while let Some(keeper) = due.pop() {
-            let effects = world.keepers[keeper].keeper.take_effects();
-            if self.removed != RemovedPart::Disk || world.is_prelude {
+    /// Persists the records of a keeper and sends its messages. Messages between keepers are delivered immediately.
+    pub fn flush(&self, system: &mut SystemState, keeper: usize) {
+        let mut pending = vec![keeper];
+        while let Some(keeper) = pending.pop() {
+            let effects = system.keepers[keeper].keeper.take_effects();
+            if self.removed != RemovedPart::Disk || system.is_setup {
                 for record in &effects.records {
-                    world.keepers[keeper].disk.apply(record);
+                    system.keepers[keeper].disk.apply(record);
                 }
             }
             for outgoing in effects.messages {
                 match (outgoing.destination, outgoing.message) {
                     (Destination::Keeper(to), Message::Peer(message)) => {
-                        let now = self.keeper_clock(world.now);
-                        world.keepers[to]
+                        let now = self.keeper_clock(system.now);
+                        system.keepers[to]
                             .keeper
                             .handle_peer_message(now, keeper, message);
-                        due.push(to);
+                        pending.push(to);
                     }
                     (Destination::Client(to), Message::Response(response)) => {
-                        post_response(world, keeper, &to, response);
+                        post_response(system, keeper, &to, response);
                     }
                     other => panic!("{other:?}"),
                 }
@@ -36,42 +36,43 @@
         }
     }
 
-    /// A keeper restarts from its disk.
-    pub fn restart(&self, world: &mut World, keeper: usize, tag: u64) {
-        let now = self.keeper_clock(world.now);
-        let disk = world.keepers[keeper].disk.clone();
-        world.keepers[keeper].keeper =
-            Keeper::open(keeper, KEEPERS, self.keeper_config(), disk, tag, now);
-        self.flush(world, keeper);
+    /// Restarts a keeper from its disk.
+    pub fn restart(&self, system: &mut SystemState, keeper: usize, nonce: u64) {
+        let now = self.keeper_clock(system.now);
+        let disk = system.keepers[keeper].disk.clone();
+        system.keepers[keeper].keeper =
+            Keeper::open(keeper, KEEPERS, self.keeper_config(), disk, nonce, now);
+        self.flush(system, keeper);
     }
 
     /// Sends the requests of a client to the keepers that it reaches, and records the tokens that it has acquired.
-    pub fn post(&self, world: &mut World, client: usize) {
+    pub fn post(&self, system: &mut SystemState, client: usize) {
         for KeeperRequest {
             keeper: index,
             request,
-        } in world.clients[client].take_requests()
+        } in system.clients[client].take_requests()
         {
             let keeper = self.keeper_of(client, index);
             let is_reachable = self.reachable_keepers[client][keeper];
-            if is_reachable || world.is_prelude || !self.has_majorities() {
-                world.in_flight.insert(Packet::Request {
+            if is_reachable || system.is_setup || !self.has_majorities() {
+                system.in_flight.insert(Packet::Request {
                     client,
                     keeper,
                     request,
                 });
             }
         }
-        for event in world.clients[client].take_events() {
+        for event in system.clients[client].take_events() {
             if let LeaseEvent::Acquired(token) = event {
                 let token = token.number();
-                world.acquired.insert(TokenUse { client, token });
+                system.acquired.insert(TokenUse { client, token });
             }
         }
     }
 
-    /// A keeper handles a request, and its effects are left to the caller. Returns the keeper.
-    pub fn deliver_request(&self, world: &mut World, packet: &Packet) -> Option<usize> {
+    /// Passes a request to a keeper, and leaves the keeper's effects to the caller. Returns the keeper, or `None` if the
+    /// packet is not a request.
+    pub fn deliver_request(&self, system: &mut SystemState, packet: &Packet) -> Option<usize> {
         let Packet::Request {
             client,
             keeper,
@@ -80,19 +81,19 @@
         else {
             return None;
         };
-        world.keepers[*keeper].keeper.handle_request(
-            self.keeper_clock(world.now),
+        system.keepers[*keeper].keeper.handle_request(
+            self.keeper_clock(system.now),
             &client_id(*client),
             request.clone(),
         );
         Some(*keeper)
     }
 
-    pub fn deliver(&self, world: &mut World, packet: &Packet) {
+    pub fn deliver(&self, system: &mut SystemState, packet: &Packet) {
         match packet {
             Packet::Request { .. } => {
-                if let Some(keeper) = self.deliver_request(world, packet) {
-                    self.flush(world, keeper);
+                if let Some(keeper) = self.deliver_request(system, packet) {
+                    self.flush(system, keeper);
                 }
             }
             Packet::Response {
@@ -100,43 +101,43 @@
                 client,
                 response,
             } => {
-                let now = self.client_clock(world.now);
+                let now = self.client_clock(system.now);
                 let index = self.index_of(*keeper);
-                world.clients[*client].handle_response(now, index, response.clone(), 0);
-                self.post(world, *client);
+                system.clients[*client].handle_response(now, index, response.clone(), 0);
+                self.post(system, *client);
             }
             Packet::Write(write) => {
-                if self.removed == RemovedPart::Fence || is_admitted(&world.writes, write.token) {
-                    world.writes.push(*write);
+                if self.removed == RemovedPart::Fence || is_admitted(&system.writes, write.token) {
+                    system.writes.push(*write);
                 }
             }
         }
     }
 
-    /// Drops packets that have no effect now or later: responses to requests that are no longer pending, and outdated
-    /// ballots. States with and without them are the same.
-    pub fn drop_ineffective(&self, world: &mut World) {
-        let in_flight = std::mem::take(&mut world.in_flight);
-        world.in_flight = in_flight
+    /// Drops packets that have no effect now or later: responses to requests that are no longer pending, and requests
+    /// with outdated ballots. States with and without them are equivalent.
+    pub fn drop_ineffective(&self, system: &mut SystemState) {
+        let in_flight = std::mem::take(&mut system.in_flight);
+        system.in_flight = in_flight
             .into_iter()
-            .filter(|packet| self.is_effective(world, packet))
+            .filter(|packet| self.is_effective(system, packet))
             .collect();
     }
 
-    fn is_effective(&self, world: &World, packet: &Packet) -> bool {
+    fn is_effective(&self, system: &SystemState, packet: &Packet) -> bool {
         match packet {
             Packet::Write(_) => true,
             Packet::Response {
                 keeper,
                 client,
                 response,
-            } => self.changes_client(world, *keeper, *client, response.clone()),
+            } => self.changes_client(system, *keeper, *client, response.clone()),
             Packet::Request {
                 client,
                 keeper,
                 request,
             } => {
-                let state = world.keepers[*keeper].keeper.durable_state();
+                let state = system.keepers[*keeper].keeper.durable_state();
                 let promised = state.promised_ballot(&lease());
                 let is_awaited = |round: u64| {
                     let rejection = Response::Rejected {
@@ -145,7 +146,7 @@
                         reason: RejectionReason::StaleBallot,
                         promised,
                     };
-                    self.changes_client(world, *keeper, *client, rejection)
+                    self.changes_client(system, *keeper, *client, rejection)
                 };
                 match request {
                     Request::Prepare { ballot, round, .. } => {
@@ -160,27 +161,27 @@
 
     fn changes_client(
         &self,
-        world: &World,
+        system: &SystemState,
         keeper: usize,
         client: usize,
         response: Response,
     ) -> bool {
-        let now = self.client_clock(world.now);
-        let mut changed = world.clients[client].clone();
+        let now = self.client_clock(system.now);
+        let mut changed = system.clients[client].clone();
         changed.handle_response(now, self.index_of(keeper), response, 0);
-        changed != world.clients[client]
+        changed != system.clients[client]
     }
 }
 
-pub fn post_response(world: &mut World, keeper: usize, to: &ClientId, response: Response) {
-    world.in_flight.insert(Packet::Response {
+pub fn post_response(system: &mut SystemState, keeper: usize, to: &ClientId, response: Response) {
+    system.in_flight.insert(Packet::Response {
         keeper,
         client: to.instance_id as usize,
         response,
     });
 }
 
-/// Whether the resource admits a write by this token after these ones.
+/// Whether the resource admits a write with this token after these writes.
 fn is_admitted(writes: &[TokenUse], token: u64) -> bool {
     let claim = |token: u64| Claim {
         lease: lease(),
@@ -188,7 +189,7 @@
     };
     let mut fence = Fence::new(1);
     for write in writes {
-        // Earlier writes are admitted or not; the fence remembers their tokens.
+        // Whether the earlier write is admitted does not matter here: the fence remembers its token.
         let _ = fence.admit(&claim(write.token));
     }
     fence.admit(&claim(token)).is_ok()
--- a/crates/lease/tests/explore/main.rs
+++ b/crates/lease/tests/explore/main.rs
@@ -1,5 +1,6 @@
-//! Three keepers, two clients and one lease: a model checker explores all orders of messages, keeper restarts, paused clients
-//! and clock drifts. The explored code is the code that runs; the network, the disks and the resource are models.
+//! Model checking of three keepers, two clients and one lease: explores all orders of messages, keeper restarts, pauses
+//! of clients and clock drifts. Keepers and clients are the production code; the network, the disks and the resource are
+//! models.
 
 mod actions;
 mod config;
@@ -11,13 +12,14 @@
 use properties::{LEASE_PASSES_ON, NO_LOWER_TOKEN, NO_SHARED_TOKEN, ONE_HOLDER};
 use stateright::{Checker, Model};
 
-/// An exploration with more states, repeated ones included, fails.
+/// An exploration with more states, repeated ones included, fails, since it would not be exhaustive.
 const MAX_STATES: usize = 2_000_000;
-/// An exploration with fewer states shows nothing.
+/// An exploration with fewer states fails, since it covers too little to show anything.
 const MIN_STATES: usize = 1000;
 
 struct Findings {
-    /// Properties with an example or a counterexample.
+    /// Names of the properties that have an example (of those that must be reachable) or a counterexample (of the
+    /// others).
     properties: Vec<&'static str>,
     states: usize,
 }
@@ -29,10 +31,10 @@
         .target_state_count(MAX_STATES)
         .spawn_bfs()
         .join();
-    // Below the bound the exploration was exhaustive.
+    // The exploration was exhaustive if it did not reach the bound.
     assert!(
         checker.state_count() < MAX_STATES,
-        "more states than are explored"
+        "the exploration reached the bound on states"
     );
     Findings {
         properties: checker.discoveries().into_keys().collect(),
@@ -40,7 +42,7 @@
     }
 }
 
-/// No property is violated in any state, and the lease passes from one client to the other.
+/// Asserts that no property is violated in any state, and that the lease passes from one client to the other.
 fn assert_safe(model: Exploration) {
     let findings = explore(model);
     assert_eq!(
@@ -56,7 +58,7 @@
     );
 }
 
-/// Without a part of the protocol, this property is violated.
+/// Asserts that this property is violated without a part of the protocol.
 fn assert_violates(model: Exploration, property: &str) {
     assert_ne!(model.removed, RemovedPart::None);
     let findings = explore(model);
--- a/crates/lease/tests/explore/properties.rs
+++ b/crates/lease/tests/explore/properties.rs
@@ -1,36 +1,40 @@
-//! What must hold in each state, and what must be reachable.
+//! The properties that must hold in each state, and the one that must hold in some reachable state.
 
 use crate::config::{Exploration, CLIENTS};
-use crate::state::{TokenUse, World};
+use crate::state::{SystemState, TokenUse};
 use stateright::Property;
 
-pub const ONE_HOLDER: &str = "one holder";
-pub const NO_LOWER_TOKEN: &str = "no lower token after a higher one";
-pub const NO_SHARED_TOKEN: &str = "no token of two clients";
-pub const LEASE_PASSES_ON: &str = "one holder after the other";
+pub const ONE_HOLDER: &str = "at most one holder";
+pub const NO_LOWER_TOKEN: &str = "no admitted write with a lower token after a higher one";
+pub const NO_SHARED_TOKEN: &str = "no token is used by two clients";
+pub const LEASE_PASSES_ON: &str = "the lease passes on with a later token";
 
 pub fn properties() -> Vec<Property<Exploration>> {
     vec![
-        Property::always(ONE_HOLDER, |model: &Exploration, world: &World| {
-            model.held_tokens(world).len() < 2
+        Property::always(ONE_HOLDER, |model: &Exploration, system: &SystemState| {
+            model.held_tokens(system).len() < 2
         }),
-        Property::always(NO_LOWER_TOKEN, |_, world: &World| {
-            world.writes.is_sorted_by_key(|write| write.token)
+        Property::always(NO_LOWER_TOKEN, |_, system: &SystemState| {
+            system.writes.is_sorted_by_key(|write| write.token)
         }),
-        Property::always(NO_SHARED_TOKEN, |_, world: &World| {
-            is_token_per_client(world.writes.iter()) && is_token_per_client(world.acquired.iter())
-        }),
-        Property::sometimes(LEASE_PASSES_ON, |model: &Exploration, world: &World| {
-            (0..CLIENTS).any(|client| {
-                let token = model.held_token(world, client);
-                token.is_some_and(|token| token > 1)
-            })
+        Property::always(NO_SHARED_TOKEN, |_, system: &SystemState| {
+            has_one_client_per_token(system.writes.iter())
+                && has_one_client_per_token(system.acquired.iter())
         }),
+        Property::sometimes(
+            LEASE_PASSES_ON,
+            |model: &Exploration, system: &SystemState| {
+                (0..CLIENTS).any(|client| {
+                    let token = model.held_token(system, client);
+                    token.is_some_and(|token| token > 1)
+                })
+            },
+        ),
     ]
 }
 
-/// Whether no two clients have used the same token.
-fn is_token_per_client<'a>(mut uses: impl Iterator<Item = &'a TokenUse> + Clone) -> bool {
+/// Whether each token was used by one client only.
+fn has_one_client_per_token<'a>(mut uses: impl Iterator<Item = &'a TokenUse> + Clone) -> bool {
     let all = uses.clone();
     uses.all(|one| {
         let mut others = all.clone();
--- a/crates/lease/tests/explore/state.rs
+++ b/crates/lease/tests/explore/state.rs
@@ -1,4 +1,4 @@
-//! A state of an exploration, and the messages in flight in it.
+//! A state of an exploration: keepers, clients and the messages in flight.
 
 use crate::config::{Exploration, CLIENTS, KEEPERS};
 use reelfall_lease::durable::DurableState;
@@ -20,7 +20,7 @@
     }
 }
 
-/// A keeper, and what of its records is on its disk.
+/// A keeper, and the state that is on its disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DurableKeeper {
     pub keeper: Keeper,
@@ -39,12 +39,12 @@
         client: usize,
         response: Response,
     },
-    /// A write on its way to the resource.
+    /// A write that has not arrived at the resource yet.
     Write(TokenUse),
 }
 
 impl Packet {
-    /// Whether it asks a keeper for a promise or a grant.
+    /// Whether this is a request for a promise or a grant.
     pub fn is_prepare_or_grant(&self) -> bool {
         matches!(
             self,
@@ -56,7 +56,7 @@
     }
 }
 
-/// A token in the hands of a client.
+/// A token that a client acquired, or used for a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TokenUse {
     pub client: usize,
@@ -64,45 +64,46 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct World {
+pub struct SystemState {
     pub now: u8,
     pub keepers: Vec<DurableKeeper>,
     pub clients: Vec<Lease>,
     pub acquisitions: [u8; CLIENTS],
     pub renewals: u8,
-    /// While the first client acquires the lease, nothing fails.
-    pub is_prelude: bool,
+    /// Whether the first client is still acquiring the lease. Until it has, no message is lost and all records are
+    /// persisted.
+    pub is_setup: bool,
     pub in_flight: BTreeSet<Packet>,
     pub restarts: u8,
     pub duplicates: u8,
     pub late_responses: u8,
-    /// Writes in the order in which the resource admitted them.
+    /// The admitted writes, in the order of their admission.
     pub writes: Vec<TokenUse>,
     pub acquired: BTreeSet<TokenUse>,
 }
 
 impl Exploration {
-    /// All keepers vote; the first client holds the lease, if the exploration starts so.
-    pub fn initial_world(&self) -> World {
-        let mut world = self.unconnected_world();
-        self.connect_keepers(&mut world);
-        world
+    /// The initial state: all keepers vote, and the first client holds the lease if `is_held_at_start` is set.
+    pub fn initial_state(&self) -> SystemState {
+        let mut system = self.unconnected_system();
+        self.connect_keepers(&mut system);
+        system
             .clients
             .iter_mut()
             .for_each(|client| client.acquire(0));
         if self.is_held_at_start {
-            world.clients[0].tick(0, 0);
-            self.post(&mut world, 0);
-            while let Some(packet) = world.in_flight.pop_first() {
-                self.deliver(&mut world, &packet);
+            system.clients[0].tick(0, 0);
+            self.post(&mut system, 0);
+            while let Some(packet) = system.in_flight.pop_first() {
+                self.deliver(&mut system, &packet);
             }
-            assert_eq!(self.held_tokens(&world), [1]);
-            world.is_prelude = false;
+            assert_eq!(self.held_tokens(&system), [1]);
+            system.is_setup = false;
         }
-        world
+        system
     }
 
-    fn unconnected_world(&self) -> World {
+    fn unconnected_system(&self) -> SystemState {
         let durable_keeper = |index: usize| DurableKeeper {
             keeper: Keeper::open(
                 index,
@@ -114,7 +115,7 @@
             ),
             disk: DurableState::default(),
         };
-        World {
+        SystemState {
             now: 0,
             keepers: (0..KEEPERS).map(durable_keeper).collect(),
             clients: (0..CLIENTS)
@@ -122,7 +123,7 @@
                 .collect(),
             acquisitions: [0; CLIENTS],
             renewals: 0,
-            is_prelude: self.is_held_at_start,
+            is_setup: self.is_held_at_start,
             in_flight: BTreeSet::new(),
             restarts: 0,
             duplicates: 0,
@@ -132,35 +133,35 @@
         }
     }
 
-    fn connect_keepers(&self, world: &mut World) {
-        // The first keepers sent messages before the others had started; they repeat them with time.
+    fn connect_keepers(&self, system: &mut SystemState) {
+        // The first messages are sent before all keepers have started, and are repeated by the keepers' timers.
         for _ in 0..4 {
             for keeper in 0..KEEPERS {
-                self.flush(world, keeper);
+                self.flush(system, keeper);
             }
             for keeper in 0..KEEPERS {
-                world.keepers[keeper].keeper.tick(0);
-                self.flush(world, keeper);
+                system.keepers[keeper].keeper.tick(0);
+                self.flush(system, keeper);
             }
         }
-        // Their state is on their disks now, and they restart with it.
+        // The keepers restart with the state that is now on their disks.
         for keeper in 0..KEEPERS {
-            self.restart(world, keeper, 10 + keeper as u64);
+            self.restart(system, keeper, 10 + keeper as u64);
         }
-        for keeper in &world.keepers {
+        for keeper in &system.keepers {
             assert_eq!(keeper.keeper.status(), Status::Voting);
         }
     }
 
-    pub fn held_tokens(&self, world: &World) -> Vec<u64> {
+    pub fn held_tokens(&self, system: &SystemState) -> Vec<u64> {
         (0..CLIENTS)
-            .filter_map(|client| self.held_token(world, client))
+            .filter_map(|client| self.held_token(system, client))
             .collect()
     }
 
-    pub fn held_token(&self, world: &World, client: usize) -> Option<u64> {
-        let now = self.client_clock(world.now);
-        let active = world.clients[client].active(now)?;
+    pub fn held_token(&self, system: &SystemState, client: usize) -> Option<u64> {
+        let now = self.client_clock(system.now);
+        let active = system.clients[client].active(now)?;
         Some(active.token().number())
     }
 }
--- a/crates/lease/tests/golden.rs
+++ b/crates/lease/tests/golden.rs
@@ -1,5 +1,6 @@
-//! The bytes of messages between clients and keepers, and of the records of a keeper's log. `golden/messages.txt` was written
-//! by the code of commit c58caac and does not change: processes of earlier versions run beside this one.
+//! Guards against changes to the encoding of the lease protocol's messages and of a keeper's log records.
+//! `golden/messages.txt` was written by the code of commit c58caac and does not change: processes of earlier versions run
+//! in the same fleet.
 
 use reelfall_lease::durable::{DurableState, Record};
 use reelfall_lease::message::{
@@ -14,7 +15,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn name(text: &str) -> LeaseName {
+fn lease_name(text: &str) -> LeaseName {
     LeaseName::try_from(text.to_owned()).unwrap()
 }
 
@@ -51,7 +52,7 @@
 }
 
 fn messages() -> Vec<Message> {
-    let lease = || name("calls/flags");
+    let lease = || lease_name("calls/flags");
     let requests = [
         Request::Prepare {
             lease: lease(),
@@ -115,8 +116,8 @@
         PeerMessage::PromisePage {
             after: Some(lease()),
             promises: vec![
-                (name("a"), promise(Some(client()))),
-                (name("b"), promise(None)),
+                (lease_name("a"), promise(Some(client()))),
+                (lease_name("b"), promise(None)),
             ],
             ballot_floor: 12,
             is_last: true,
@@ -142,15 +143,15 @@
         }),
         Record::Admitted,
         Record::PeerPosition(2, position(2)),
-        Record::Promised(name("calls/flags"), promise(Some(client()))),
-        Record::Promised(name("b"), promise(None)),
-        Record::Evicted(name("b")),
+        Record::Promised(lease_name("calls/flags"), promise(Some(client()))),
+        Record::Promised(lease_name("b"), promise(None)),
+        Record::Evicted(lease_name("b")),
         Record::BallotFloor(70_001),
     ]
 }
 
 #[test]
-fn messages_records_and_states_have_the_bytes_that_they_had() {
+fn messages_records_and_state_match_the_golden_bytes() {
     let mut lines = Vec::new();
     for message in messages() {
         let bytes = message.encode().unwrap();
--- a/crates/lease/tests/keepers/keeper_group.rs
+++ b/crates/lease/tests/keepers/keeper_group.rs
@@ -1,4 +1,4 @@
-//! A group of keepers and clients whose messages are delivered at once, except between those that do not reach each other.
+//! A group of keepers and clients in one process. Messages are delivered immediately, except over links that are cut.
 
 use reelfall_lease::durable::DurableState;
 use reelfall_lease::holder::{Config, KeeperRequest, Lease};
@@ -11,8 +11,8 @@
 pub const SECOND: Micros = 1_000_000;
 const LEASE_DURATION: Micros = 2 * SECOND;
 const POLL_INTERVAL: Micros = 10_000;
-/// The backoff of a client after a response lies in the middle of its range.
-const MEDIAN_JITTER: u32 = u32::MAX / 2;
+/// Random number for which a backoff after a response has the middle of its range.
+const MEDIAN_RANDOM: u32 = u32::MAX / 2;
 
 pub fn lease_name() -> LeaseName {
     LeaseName::try_from("task".to_owned()).unwrap()
@@ -24,7 +24,7 @@
     pub is_running: bool,
 }
 
-/// A client whose messages a keeper does not receive, nor the other way.
+/// A client and a keeper that receive no messages from each other.
 #[derive(Clone, Copy, PartialEq)]
 pub struct UnreachableKeeper {
     pub client: usize,
@@ -36,13 +36,13 @@
     pub keepers: Vec<DurableKeeper>,
     pub clients: Vec<Lease>,
     pub unreachable: Vec<UnreachableKeeper>,
-    /// How often keepers have notified a client of an available lease.
+    /// Number of notifications of an available lease that keepers have sent.
     pub notifications: usize,
-    last_tag: u64,
+    last_nonce: u64,
 }
 
 impl KeeperGroup {
-    /// All keepers vote.
+    /// Starts keepers and clients, and waits until all keepers vote.
     pub fn new(keepers: usize, clients: usize) -> KeeperGroup {
         let config = Config::new(keepers, LEASE_DURATION);
         let durable_keeper = |index: usize| DurableKeeper {
@@ -65,7 +65,7 @@
                 .collect(),
             unreachable: Vec::new(),
             notifications: 0,
-            last_tag: 100,
+            last_nonce: 100,
         };
         group.run(2 * SECOND);
         assert!((0..keepers).all(|index| group.status(index) == Status::Voting));
@@ -76,15 +76,15 @@
         self.keepers[keeper].keeper.status()
     }
 
-    /// A keeper starts with this folder.
+    /// Restarts a keeper with this state as the contents of its folder.
     pub fn restart(&mut self, index: usize, disk: DurableState) {
-        self.last_tag += 1;
+        self.last_nonce += 1;
         let keeper = Keeper::open(
             index,
             self.keepers.len(),
             keeper::Config::default(),
             disk.clone(),
-            self.last_tag,
+            self.last_nonce,
             self.now,
         );
         self.keepers[index] = DurableKeeper {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Returns whether there was nothing to deliver.
+    /// Delivers the messages of a keeper; returns whether there were none.
     fn flush_keeper(&mut self, index: usize) -> bool {
         let process = &mut self.keepers[index];
         let effects = process.keeper.take_effects();
@@ -124,7 +124,7 @@
         for outgoing in effects.messages {
             match (outgoing.destination, outgoing.message) {
                 (Destination::Keeper(to), Message::Peer(message)) => {
-                    // A page fits into a message.
+                    // Each page of promises fits into a message.
                     assert!(Message::Peer(message.clone()).encode().is_some());
                     let receiver = &mut self.keepers[to];
                     if receiver.is_running {
@@ -146,11 +146,11 @@
         self.notifications += usize::from(matches!(response, Response::Available { .. }));
         let client: usize = to.name.parse().unwrap();
         if self.reaches(client, keeper) {
-            self.clients[client].handle_response(self.now, keeper, response, MEDIAN_JITTER);
+            self.clients[client].handle_response(self.now, keeper, response, MEDIAN_RANDOM);
         }
     }
 
-    /// Returns whether there was nothing to deliver.
+    /// Delivers the requests of a client; returns whether there were none.
     fn flush_client(&mut self, client: usize) -> bool {
         let requests: Vec<_> = self.clients[client].take_requests().into_iter().collect();
         let is_settled = requests.is_empty();
@@ -184,8 +184,11 @@
                 }
             }
             for (index, client) in self.clients.iter_mut().enumerate() {
-                if client.deadline().is_some_and(|due| due <= self.now) {
-                    client.tick(self.now, jitter_of(index));
+                if client
+                    .deadline()
+                    .is_some_and(|deadline| deadline <= self.now)
+                {
+                    client.tick(self.now, random_of(index));
                 }
             }
             self.settle();
@@ -205,7 +208,7 @@
     }
 }
 
-/// Spread over the whole range by a multiplicative hash.
-fn jitter_of(client: usize) -> u32 {
+/// A random number for each client, spread over the whole range by a multiplicative hash.
+fn random_of(client: usize) -> u32 {
     (client as u32 + 1).wrapping_mul(2_654_435_761)
 }
--- a/crates/lease/tests/keepers/main.rs
+++ b/crates/lease/tests/keepers/main.rs
@@ -1,4 +1,4 @@
-//! Groups of keepers with lost, outdated or replaced folders, hundreds of waiting clients, and the retention of tokens.
+//! Groups of keepers: lost, outdated or replaced folders, hundreds of waiting clients, and tokens that outlast a lease.
 
 mod keeper_group;
 mod messages;
--- a/crates/lease/tests/keepers/messages.rs
+++ b/crates/lease/tests/keepers/messages.rs
@@ -1,4 +1,4 @@
-//! Bytes that are no message.
+//! Decoding of bytes that are not a valid message.
 
 use crate::keeper_group::lease_name;
 use reelfall_lease::message::{Message, Response};
@@ -13,7 +13,7 @@
     assert!((0..bytes.len()).all(|length| Message::decode(&bytes[..length]).is_none()));
     assert_eq!(Message::decode(&[bytes.as_slice(), &[0]].concat()), None);
     assert_eq!(Message::decode(&vec![0; 5000]), None);
-    // An invalid name of a lease.
+    // A lease name with a space is invalid.
     let corrupt: Vec<u8> = bytes
         .iter()
         .map(|byte| if *byte == b'k' { b' ' } else { *byte })
--- a/crates/lease/tests/keepers/queue.rs
+++ b/crates/lease/tests/keepers/queue.rs
@@ -1,4 +1,4 @@
-//! Clients that wait for a lease.
+//! The queue of waiting clients: the order in which they acquire a lease, and who is notified of its release.
 
 use crate::keeper_group::{lease_name, KeeperGroup, SECOND};
 use reelfall_lease::holder::{Config, Lease};
@@ -12,7 +12,7 @@
     let mut group = KeeperGroup::new(3, CLIENTS);
     for client in 0..CLIENTS {
         group.clients[client].acquire(group.now);
-        // In the order of their indices, at distinct times.
+        // The clients begin to wait in the order of their indices, at distinct times.
         group.run(300_000);
     }
     group.run(SECOND);
@@ -20,20 +20,26 @@
     for _ in 0..CLIENTS {
         let holder = group.holder().unwrap();
         order.push(holder);
-        let before = group.notifications;
+        let notifications_before = group.notifications;
         group.clients[holder].release(group.now);
         group.run(20_000);
         assert!(
-            group.notifications - before <= 3,
-            "a release notifies {} times through three keepers",
-            group.notifications - before
+            group.notifications - notifications_before <= 3,
+            "three keepers sent {} notifications of one release",
+            group.notifications - notifications_before
         );
         if order.len() < CLIENTS {
-            assert!(group.holder().is_some(), "no holder after {order:?}");
+            assert!(
+                group.holder().is_some(),
+                "no client holds the lease after {order:?}"
+            );
         }
     }
     let sorted: Vec<usize> = (0..CLIENTS).collect();
-    assert_eq!(order, sorted, "the client that waited longest is next");
+    assert_eq!(
+        order, sorted,
+        "clients acquire the lease in the order of their waits"
+    );
 }
 
 fn prepare(ballot: u64) -> Request {
@@ -46,7 +52,7 @@
     }
 }
 
-/// The response of a keeper to a request now.
+/// Passes a request to a keeper, and returns the keeper's response.
 fn respond(group: &mut KeeperGroup, keeper: usize, client: u64, request: Request) -> Response {
     let client = ClientId {
         name: client.to_string(),
@@ -91,7 +97,7 @@
         }
     ));
     group.now += SECOND;
-    // Another client requests it before the one that waits.
+    // The grant has expired. Another client requests the lease before the one that waits for it.
     assert!(matches!(
         respond(&mut group, 0, 3, prepare(3)),
         Response::Rejected {
--- a/crates/lease/tests/keepers/storage_faults.rs
+++ b/crates/lease/tests/keepers/storage_faults.rs
@@ -1,4 +1,4 @@
-//! Keepers whose folders are emptied, restored from a backup, or used by another process.
+//! Keepers whose folders are emptied, restored from a backup, or replaced by the folder of another process.
 
 use crate::keeper_group::{DurableKeeper, KeeperGroup, UnreachableKeeper, SECOND};
 use reelfall_lease::durable::DurableState;
@@ -8,7 +8,7 @@
 #[test]
 fn emptied_keeper_votes_after_reading_the_promises_of_a_majority() {
     let mut group = KeeperGroup::new(3, 2);
-    // Client 0 holds it by the grants of keepers 0 and 1.
+    // Client 0 holds the lease with the grants of keepers 0 and 1.
     group.unreachable = vec![
         UnreachableKeeper {
             client: 0,
@@ -23,14 +23,14 @@
     group.run(SECOND / 10);
     assert_eq!(group.holder(), Some(0));
     let token = group.token(0);
-    // Keeper 1 loses its folder, and reaches keeper 2 alone, which has no promise.
+    // Keeper 1 loses its folder, and reaches only keeper 2, which has no promise.
     group.restart(1, DurableState::default());
     group.keepers[0].is_running = false;
     group.clients[1].acquire(group.now);
     group.run(SECOND);
     assert_ne!(group.status(1), Status::Voting);
     assert!(group.clients[1].active(group.now).is_none());
-    // With keeper 0 it votes again, and no token is issued twice.
+    // Once it reaches keeper 0, keeper 1 votes again, and no token is issued twice.
     group.keepers[0].is_running = true;
     group.clients[0].release(group.now);
     group.run(6 * SECOND);
@@ -64,14 +64,15 @@
 #[test]
 fn outdated_folder_is_rejected_though_peers_query_it_first() {
     let mut group = KeeperGroup::new(3, 1);
-    // The copy is of before it had its peers' positions, and lacks as many records as it would write for them.
+    // The backup was made before the keeper recorded its peers' positions. It lacks exactly as many records as the keeper
+    // would write for them.
     let mut backup = group.keepers[1].disk.clone();
     let missing_records = backup.peer_positions.len() as u64;
     backup.peer_positions.clear();
     backup.record_count -= missing_records;
     group.keepers[1].is_running = false;
     group.restart(1, backup);
-    // It receives the queries of its peers before their responses.
+    // The keeper receives the queries of its peers before their replies.
     group.keepers[1].is_running = false;
     for peer in [0, 2] {
         let position = group.keepers[peer].disk.log_position();
@@ -96,7 +97,7 @@
 #[test]
 fn replaced_keeper_does_not_count_toward_a_majority() {
     let mut group = KeeperGroup::new(3, 1);
-    // Another process with an empty folder takes the place of keeper 1; the former one runs on, partitioned from its peers.
+    // Another process with an empty folder replaces keeper 1; the replaced process continues, partitioned from its peers.
     let replaced = group.keepers[1].keeper.clone();
     let disk = group.keepers[1].disk.clone();
     group.restart(1, DurableState::default());
@@ -110,7 +111,7 @@
             is_running: true,
         },
     );
-    // The client reaches keeper 0 and the replaced one.
+    // The client reaches keeper 0 and the replaced process.
     group.unreachable = vec![UnreachableKeeper {
         client: 0,
         keeper: 2,
@@ -122,9 +123,9 @@
     assert_eq!(
         group.holder(),
         None,
-        "a lease by the grant of a replaced keeper"
+        "a replaced keeper's grant counted toward a majority"
     );
-    // Its peers notify it, and it rejects requests itself.
+    // Its peers report the new folder to the replaced process, which then stops voting.
     group.run(SECOND);
     assert!(matches!(
         group.status(1),
--- a/crates/lease/tests/keepers/tokens.rs
+++ b/crates/lease/tests/keepers/tokens.rs
@@ -1,4 +1,4 @@
-//! Ballots and tokens that outlast their leases, and the fence that compares them.
+//! Ballots and tokens that outlast their leases, and the fence that compares tokens.
 
 use crate::keeper_group::{lease_name, KeeperGroup, SECOND};
 use reelfall_lease::durable::{DurableState, Record};
@@ -31,14 +31,14 @@
 }
 
 #[test]
-fn token_exceeds_those_of_a_pruned_lease() {
+fn token_exceeds_those_of_an_evicted_lease() {
     let mut group = KeeperGroup::new(3, 1);
     group.clients[0].acquire(group.now);
     group.run(SECOND);
     let token = group.token(0);
     group.clients[0].release(group.now);
     group.settle();
-    // After the retention time of released leases.
+    // Twice the time after which unused leases are evicted.
     group.now += 2 * 86_400 * SECOND;
     group.run(SECOND);
     assert!(group
--- a/crates/lease/tests/schedules/fault.rs
+++ b/crates/lease/tests/schedules/fault.rs
@@ -1,4 +1,4 @@
-//! The faults of a schedule.
+//! The faults that a schedule can inject.
 
 use crate::SECOND;
 use proptest::prelude::*;
@@ -6,20 +6,21 @@
 
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// A keeper crashes. The records that it is writing are lost, or are on disk while nobody receives a message of them.
+    /// A keeper crashes during a write. The records are lost, or are on disk, but the messages that depend on them are
+    /// not sent.
     CrashKeeper {
         keeper: usize,
         is_persisted: bool,
     },
-    /// It starts with its folder, unless it runs.
+    /// A keeper starts with its folder, unless it is running.
     StartKeeper {
         keeper: usize,
     },
-    /// Its folder is emptied, and it restarts.
+    /// A keeper's folder is emptied, and the keeper restarts.
     EmptyFolder {
         keeper: usize,
     },
-    /// It restarts with its folder as of the last backup.
+    /// A keeper's folder is restored from the last backup, and the keeper restarts.
     RestoreFolder {
         keeper: usize,
     },
--- a/crates/lease/tests/schedules/injection.rs
+++ b/crates/lease/tests/schedules/injection.rs
@@ -1,11 +1,11 @@
-//! The injection of faults into a world, and their end.
+//! Injects faults into a simulation, and ends them.
 
 use crate::fault::Fault;
 use crate::network::{Event, Link};
-use crate::world::World;
+use crate::simulation::Simulation;
 use reelfall_lease::durable::DurableState;
 
-impl World {
+impl Simulation {
     pub fn inject(&mut self, fault: Fault) {
         match fault {
             Fault::CrashKeeper {
@@ -54,12 +54,12 @@
     }
 
     fn crash_keeper(&mut self, index: usize, is_persisted: bool) {
-        let tag = self.keepers[index].process.tag;
-        // Of the pending writes only the oldest one may have reached the disk; no message of it leaves.
+        let run_id = self.keepers[index].process.run_id;
+        // Of the pending writes, only the oldest one may have reached the disk. Its messages are not sent.
         let oldest_write = self.events.iter().find_map(|(key, event)| match event {
             Event::Persisted {
-                keeper, tag: of, ..
-            } if *keeper == index && *of == tag => Some(*key),
+                keeper, run_id: of, ..
+            } if *keeper == index && *of == run_id => Some(*key),
             _ => None,
         });
         let pending = oldest_write.and_then(|key| self.events.remove(&key));
@@ -69,10 +69,10 @@
             }
         }
         self.keepers[index].keeper = None;
-        self.keepers[index].process.tag = 0;
+        self.keepers[index].process.run_id = 0;
     }
 
-    /// Unless a majority of folders would be lost at a time.
+    /// Restarts a keeper with this folder, unless a majority of folders would then be lost at the same time.
     fn replace_folder(&mut self, index: usize, folder: DurableState) {
         let other_lost_folders = self
             .keepers
@@ -89,7 +89,7 @@
         self.restart_keeper(index);
     }
 
-    /// All links work, and all keepers run.
+    /// Restores all links, and starts all keepers that do not run.
     pub fn end_faults(&mut self) {
         self.loss = 0.0;
         self.partitions.clear();
--- a/crates/lease/tests/schedules/main.rs
+++ b/crates/lease/tests/schedules/main.rs
@@ -1,47 +1,52 @@
-//! Keepers and clients in virtual time, on random schedules of faults: links that lose, delay and duplicate messages; processes
-//! that are paused, or killed before or after their records are on disk; emptied folders, and folders restored from a backup;
-//! clocks that drift.
+//! Simulates keepers and clients in virtual time, with random schedules of faults: links that lose, delay and duplicate
+//! messages; processes that are paused, or that crash before or after their records are on disk; folders that are emptied
+//! or restored from a backup; clocks that drift.
 
 mod fault;
 mod injection;
 mod network;
 mod process;
-mod world;
+mod simulation;
 
 use fault::{fault_strategy, Fault};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use reelfall_lease::Micros;
-use world::World;
+use simulation::Simulation;
 
-/// In units of [`Micros`].
+/// A second, in microseconds.
 pub const SECOND: Micros = 1_000_000;
 const CLIENTS: usize = 4;
-/// Schedules of the property, unless `SCHEDULES` has another number.
+/// Number of random schedules, unless the environment variable `SCHEDULES` contains another.
 const DEFAULT_SCHEDULES: u32 = 96;
 
-/// A fault, and the time since the previous one.
-type Gap = Micros;
+/// The time from one fault to the next.
+type Interval = Micros;
 
-fn run_schedule(seed: u64, keepers: usize, loss: f64, faults: Vec<(Gap, Fault)>) -> World {
-    let mut world = World::new(seed, keepers, CLIENTS, 2 * SECOND);
-    world.acquire_all();
-    world.run_until_held(15 * SECOND);
+fn run_schedule(
+    seed: u64,
+    keepers: usize,
+    loss: f64,
+    faults: Vec<(Interval, Fault)>,
+) -> Simulation {
+    let mut simulation = Simulation::new(seed, keepers, CLIENTS, 2 * SECOND);
+    simulation.acquire_all();
+    simulation.run_until_held(15 * SECOND);
     assert!(
-        world.holder().is_some(),
+        simulation.holder().is_some(),
         "no client acquires the lease without faults"
     );
-    world.loss = loss;
-    let mut at = world.now;
-    for (gap, fault) in faults {
-        at += gap;
-        world.schedule_fault(at, fault);
+    simulation.loss = loss;
+    let mut at = simulation.now;
+    for (interval, fault) in faults {
+        at += interval;
+        simulation.schedule_fault(at, fault);
     }
-    world.run(at + 8 * SECOND);
-    world.end_faults();
-    world.run_until_held(30 * SECOND);
-    world
+    simulation.run(at + 8 * SECOND);
+    simulation.end_faults();
+    simulation.run_until_held(30 * SECOND);
+    simulation
 }
 
 fn schedule_count() -> u32 {
@@ -59,14 +64,14 @@
         seed in any::<u64>(), has_five_keepers in any::<bool>(), loss in 0.0..0.3,
         faults in prop::collection::vec((1_000..2 * SECOND, fault_strategy(3, CLIENTS)), 1..40),
     ) {
-        let world = run_schedule(seed, if has_five_keepers { 5 } else { 3 }, loss, faults);
-        prop_assert!(world.violations.is_empty(), "{:?}", world.violations);
-        prop_assert!(world.holder().is_some(), "no client acquires the lease after the faults");
+        let simulation = run_schedule(seed, if has_five_keepers { 5 } else { 3 }, loss, faults);
+        prop_assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
+        prop_assert!(simulation.holder().is_some(), "no client acquires the lease after the faults");
     }
 }
 
-/// Paused clients, crashing keepers and one folder that is restored from a backup.
-fn harsh_faults(seed: u64) -> Vec<(Gap, Fault)> {
+/// Pauses of clients, crashes of keepers, and one folder that is restored from a backup.
+fn severe_faults(seed: u64) -> Vec<(Interval, Fault)> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut faults = vec![(1000, Fault::Backup)];
     for _ in 0..15 {
@@ -87,27 +92,31 @@
     faults
 }
 
-/// Guards against schedules that no longer exercise the protocol.
+/// Guards against schedules that no longer lead to the situations that the protocol has to handle.
 #[test]
-fn schedules_cover_stale_writes_handovers_and_rejected_folders() {
-    let mut stale = 0;
-    let mut admitted = 0;
+fn schedules_cover_stale_writes_reacquisitions_and_rejected_folders() {
+    let mut stale_writes = 0;
+    let mut admitted_writes = 0;
     let mut rejected_folders = 0;
     let mut acquisitions = 0;
     for seed in 0..12 {
-        let world = run_schedule(seed, 3, 0.05, harsh_faults(seed));
-        assert!(world.violations.is_empty(), "{:?}", world.violations);
-        stale += world.stale_writes;
-        admitted += world.admitted_writes;
-        rejected_folders += world.rejected_folders;
-        acquisitions += world.acquired_tokens.len();
+        let simulation = run_schedule(seed, 3, 0.05, severe_faults(seed));
+        assert!(
+            simulation.violations.is_empty(),
+            "{:?}",
+            simulation.violations
+        );
+        stale_writes += simulation.stale_writes;
+        admitted_writes += simulation.admitted_writes;
+        rejected_folders += simulation.rejected_folders;
+        acquisitions += simulation.acquired_tokens.len();
     }
     println!(
-        "{admitted} writes, {stale} rejected as stale, {acquisitions} acquisitions, {rejected_folders} folders rejected"
+        "{admitted_writes} writes admitted, {stale_writes} rejected as stale, {acquisitions} acquisitions, {rejected_folders} folders rejected"
     );
     assert!(
-        stale > 0 && admitted > 1000 && acquisitions > 50,
-        "{admitted} writes, {stale} stale, {acquisitions} acquisitions"
+        stale_writes > 0 && admitted_writes > 1000 && acquisitions > 50,
+        "{admitted_writes} writes admitted, {stale_writes} rejected as stale, {acquisitions} acquisitions"
     );
     assert!(
         rejected_folders >= 6,
--- a/crates/lease/tests/schedules/network.rs
+++ b/crates/lease/tests/schedules/network.rs
@@ -1,7 +1,7 @@
-//! Messages between processes, the disk writes of keepers, and the events that they lead to.
+//! Messages between processes, and disk writes of keepers: their delays and their delivery.
 
 use crate::fault::Fault;
-use crate::world::World;
+use crate::simulation::Simulation;
 use crate::SECOND;
 use rand::Rng;
 use reelfall_lease::durable::Record;
@@ -12,7 +12,7 @@
 use reelfall_lease::token::{Claim, FenceError};
 use reelfall_lease::Micros;
 
-/// The order of events: by time, then in the order in which they were scheduled.
+/// Orders events by time; events of the same time in the order in which they were scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EventKey {
     pub at: Micros,
@@ -33,18 +33,18 @@
     },
     ToClient {
         client: usize,
-        /// Of the run of the client that it is meant for.
-        tag: u64,
+        /// The run of the client to which the message is addressed.
+        run_id: u64,
         keeper: usize,
         message: Message,
     },
-    /// The records of a keeper are on its disk, and its messages may leave.
+    /// The records of a keeper are on its disk, and the messages that depend on them can be sent.
     Persisted {
         keeper: usize,
-        tag: u64,
+        run_id: u64,
         effects: Effects,
     },
-    /// A write arrives at the resource.
+    /// A write arrives at the protected resource.
     Write(Claim),
     Fault(Fault),
 }
@@ -64,8 +64,8 @@
     }
 }
 
-impl World {
-    /// Takes the effects of a keeper, and writes its records.
+impl Simulation {
+    /// Takes the effects of a keeper, and schedules the end of the write of its records.
     pub fn flush_keeper(&mut self, index: usize) {
         let is_slow = self.rng.random_bool(0.02);
         let write_duration = if is_slow {
@@ -90,7 +90,7 @@
         process.writing_until = persisted_at;
         let persisted = Event::Persisted {
             keeper: index,
-            tag: process.process.tag,
+            run_id: process.process.run_id,
             effects,
         };
         self.schedule(persisted_at, persisted);
@@ -101,7 +101,7 @@
         let client = &mut self.clients[index];
         let id = ClientId {
             name: index.to_string(),
-            instance_id: client.process.tag,
+            instance_id: client.process.run_id,
         };
         for event in client.lease.take_events() {
             let LeaseEvent::Acquired(token) = event else {
@@ -111,7 +111,7 @@
             let last = self.acquired_tokens.last();
             if last.is_some_and(|last| *last >= token) {
                 self.violations
-                    .insert(format!("token {token} after {last:?}"));
+                    .insert(format!("token {token} was acquired after token {last:?}"));
             }
             self.acquired_tokens.push(token);
         }
@@ -132,7 +132,7 @@
         }
     }
 
-    /// The delay of each copy of a message that arrives over a link now.
+    /// The delay of each copy of a message that is sent over a link now; empty if the message is lost.
     fn delivery_delays(&mut self, link: Link) -> Vec<Micros> {
         let partitioned_until = self.partitions.get(&link);
         let is_partitioned = partitioned_until.is_some_and(|until| *until > self.now);
@@ -173,7 +173,7 @@
                 for delay in self.delivery_delays(link) {
                     let event = Event::ToClient {
                         client,
-                        tag: id.instance_id,
+                        run_id: id.instance_id,
                         keeper: index,
                         message: message.clone(),
                     };
@@ -198,21 +198,21 @@
             } => self.deliver_to_keeper(keeper, from, message),
             Event::ToClient {
                 client,
-                tag,
+                run_id,
                 keeper,
                 message,
             } => {
-                if self.clients[client].process.tag == tag {
+                if self.clients[client].process.run_id == run_id {
                     self.deliver_to_client(client, keeper, message);
                 }
             }
             Event::Persisted {
                 keeper,
-                tag,
+                run_id,
                 effects,
             } => {
                 let process = &self.keepers[keeper];
-                if process.keeper.is_some() && process.process.tag == tag {
+                if process.keeper.is_some() && process.process.run_id == run_id {
                     self.apply_records(keeper, &effects.records);
                     for OutgoingMessage {
                         destination,
@@ -232,7 +232,7 @@
         }
     }
 
-    /// The end of the pause of the process that an event is for, if it is paused.
+    /// The end of the pause of the process that receives an event; `None` if it is not paused.
     fn receiver_paused_until(&self, event: &Event) -> Option<Micros> {
         let process = match event {
             Event::ToKeeper { keeper, .. } | Event::Persisted { keeper, .. } => {
--- a/crates/lease/tests/schedules/world.rs
+++ b/crates/lease/tests/schedules/simulation.rs
@@ -1,4 +1,4 @@
-//! The world of a schedule: its clock, keepers, clients, and the resource that the lease protects.
+//! The simulation that a schedule runs in: its time, keepers, clients, and the resource that the lease protects.
 
 use crate::fault::Fault;
 use crate::network::{Event, EventKey, Link};
@@ -14,18 +14,18 @@
 use reelfall_lease::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Between two polls of all processes.
+/// Time between two polls of all processes, in microseconds.
 const POLL_INTERVAL: Micros = 5_000;
-/// Between two writes of a holder.
+/// Time between two writes of a holder, in microseconds.
 const WRITE_INTERVAL: Micros = 50_000;
-/// The tags of clients' processes start here.
-const FIRST_CLIENT_TAG: u64 = 100;
+/// The run IDs of clients are numbered from this.
+const FIRST_CLIENT_RUN_ID: u64 = 100;
 
 fn lease_name() -> LeaseName {
     LeaseName::try_from("task".to_owned()).unwrap()
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Micros,
     pub rng: Pcg64Mcg,
     pub events: BTreeMap<EventKey, Event>,
@@ -35,7 +35,7 @@
     config: Config,
     /// The probability that a message is lost.
     pub loss: f64,
-    /// Until when a link loses all messages.
+    /// The end of the partition of each link that loses all messages.
     pub partitions: BTreeMap<Link, Micros>,
     pub fence: Fence,
     pub acquired_tokens: Vec<u64>,
@@ -45,13 +45,13 @@
     pub violations: BTreeSet<String>,
 }
 
-impl World {
-    pub fn new(seed: u64, keepers: usize, clients: usize, lease_duration: Micros) -> World {
+impl Simulation {
+    pub fn new(seed: u64, keepers: usize, clients: usize, lease_duration: Micros) -> Simulation {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut process = |number: u64| Process {
             clock_rate: 1.0 + rng.random_range(-0.001..0.001),
             paused_until: 0,
-            tag: seed.wrapping_mul(1000) + number,
+            run_id: seed.wrapping_mul(1000) + number,
         };
         let config = Config::new(keepers, lease_duration);
         let keepers: Vec<KeeperProcess> = (0..keepers)
@@ -66,12 +66,12 @@
             .collect();
         let clients = (0..clients)
             .map(|index| ClientProcess {
-                process: process(FIRST_CLIENT_TAG + index as u64),
+                process: process(FIRST_CLIENT_RUN_ID + index as u64),
                 lease: Lease::new(lease_name(), config),
                 next_write_at: 0,
             })
             .collect();
-        let mut world = World {
+        let mut simulation = Simulation {
             now: 0,
             rng,
             events: BTreeMap::new(),
@@ -88,18 +88,18 @@
             rejected_folders: 0,
             violations: BTreeSet::new(),
         };
-        for keeper in 0..world.keepers.len() {
-            world.restart_keeper(keeper);
+        for keeper in 0..simulation.keepers.len() {
+            simulation.restart_keeper(keeper);
         }
-        world
+        simulation
     }
 
-    /// A keeper starts from its disk.
+    /// Starts a keeper from its disk.
     pub fn restart_keeper(&mut self, index: usize) {
         let keepers = self.keepers.len();
-        let tag = self.rng.random::<u64>() | 1;
+        let run_id = self.rng.random::<u64>() | 1;
         let process = &mut self.keepers[index];
-        process.process.tag = tag;
+        process.process.run_id = run_id;
         process.writing_until = self.now;
         let clock = process.process.clock(self.now);
         process.keeper = Some(Keeper::open(
@@ -107,16 +107,16 @@
             keepers,
             keeper::Config::default(),
             process.disk.clone(),
-            tag,
+            run_id,
             clock,
         ));
         self.flush_keeper(index);
     }
 
-    /// A client restarts, and acquires the lease.
+    /// Restarts a client, which then tries to acquire the lease.
     pub fn restart_client(&mut self, index: usize) {
         let client = &mut self.clients[index];
-        client.process.tag = self.rng.random();
+        client.process.run_id = self.rng.random();
         client.lease = Lease::new(lease_name(), self.config);
         client.lease.acquire(client.process.clock(self.now));
     }
@@ -188,8 +188,9 @@
             self.flush_client(index);
         }
         if holders.len() > 1 {
-            self.violations
-                .insert(format!("{holders:?} hold the lease at once"));
+            self.violations.insert(format!(
+                "clients {holders:?} hold the lease at the same time"
+            ));
         }
     }
 
@@ -204,7 +205,7 @@
         };
         client.next_write_at = self.now + WRITE_INTERVAL;
         let (claim, ()) = active.operation(()).into_parts();
-        // The process may be paused between its check of the lease and the write.
+        // The process may be paused between its check of the lease and its write.
         let max_delay = if self.rng.random_bool(0.05) {
             8 * SECOND
         } else {
@@ -214,7 +215,7 @@
         self.schedule(self.now + delay, Event::Write(claim));
     }
 
-    /// Operators empty the folder of a keeper that rejects it.
+    /// Empties the folder of each keeper that rejects it, as an operator would, and restarts the keeper.
     fn empty_rejected_folders(&mut self) {
         for index in 0..self.keepers.len() {
             let is_rejected = |keeper: &Keeper| matches!(keeper.status(), Status::Rejected(_));
@@ -233,7 +234,7 @@
         })
     }
 
-    /// All clients want the lease.
+    /// Makes all clients try to acquire the lease.
     pub fn acquire_all(&mut self) {
         for client in &mut self.clients {
             let clock = client.process.clock(self.now);
