--- a/crates/capacity/examples/state_size/lists.rs
+++ b/crates/capacity/examples/state_size/lists.rs
@@ -107,7 +107,7 @@
         let state = ListedState {
             status: ServerStatus::Up,
             started_at: 0.0,
-            knows_start: true,
+            reports_start: true,
         };
         let list = (server / SERVERS_PER_LIST) as u32;
         servers.update(0.0, list, &node(server).address, Some(state));
--- a/crates/capacity/examples/state_size/plan.rs
+++ b/crates/capacity/examples/state_size/plan.rs
@@ -4,7 +4,7 @@
 use crate::measure::{memory_figure, resident_bytes, Figures, THIS_PROCESS};
 use reelfall_config::model::{Located, Model, Route, Tenant};
 use reelfall_config::{check, reader, Plan};
-use reelfall_routing::table::Host;
+use reelfall_routing::table::HostPattern;
 use std::hint::black_box;
 
 /// Routes of each host.
@@ -67,7 +67,7 @@
     let host = format!("service-{}.example.org", number / ROUTES_PER_HOST);
     Located {
         value: Route {
-            host: Host::Exact(host.into()),
+            host: HostPattern::Exact(host.into()),
             path: format!("/v1/resource-{number}").into(),
             ..template.value.clone()
         },
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -235,10 +235,10 @@
         max_clients,
         totals: ProcessResources {
             // Clients beyond that can stay connected without a request.
-            open: max_clients.min(shares.server_connections) as u64,
+            open_requests: max_clients.min(shares.server_connections) as u64,
             connections: shares.server_connections as u64,
             // Half for bodies of requests, half for those of responses.
-            memory: 2 * shares.body_memory_kib as u64,
+            memory_kib: 2 * shares.body_memory_kib as u64,
         },
     }
 }
--- a/crates/config/src/check/routes.rs
+++ b/crates/config/src/check/routes.rs
@@ -40,7 +40,7 @@
             matches.push(RouteConditions {
                 listener,
                 host: route.host.clone(),
-                path: route.path.clone(),
+                path_prefix: route.path.clone(),
                 methods: route.methods.iter().map(|m| m.as_str().into()).collect(),
                 class: route.class.as_deref().map(Into::into),
             });
--- a/crates/config/src/check/services.rs
+++ b/crates/config/src/check/services.rs
@@ -5,7 +5,7 @@
 use super::{Checker, MAX_CLASSES, MAX_DEADLINE, MAX_SERVICES, MAX_TENANTS};
 use crate::model::{Class, Located, Model, Origin, Service, Source};
 use reelfall_routing::budget::Quota;
-use reelfall_routing::limits::{Limits, ProcessResources, Resource};
+use reelfall_routing::limits::{AdmissionControl, ProcessResources, Resource};
 use reelfall_routing::shared_servers;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -132,7 +132,7 @@
 }
 
 /// Maximum number of services that list one server. A further one could not send to it while it warms up.
-const MAX_SERVICES_PER_SERVER: usize = shared_servers::MAX_POOLS_WHILE_COLD as usize;
+const MAX_SERVICES_PER_SERVER: usize = shared_servers::MAX_POOLS_IN_SLOW_START as usize;
 
 /// Limits the number of services that list the same server.
 pub(super) fn shared_servers(checker: &mut Checker, model: &Model) {
@@ -169,16 +169,16 @@
             &limits.origin
         };
         for (kind, quota) in [
-            (Resource::Open, limits.open),
+            (Resource::OpenRequests, limits.open_requests),
             (Resource::Connections, limits.connections),
-            (Resource::Memory, limits.memory),
+            (Resource::Memory, limits.memory_kib),
         ] {
             self::quota(checker, origin, &service.name, kind, quota);
         }
     }
     if checker.faults.is_empty() {
         let allowed: Vec<_> = model.services.iter().map(|s| s.limits.value).collect();
-        if let Err(unfit) = Limits::check(totals, &allowed) {
+        if let Err(unfit) = AdmissionControl::check(totals, &allowed) {
             checker.report(
                 &model.process.origin,
                 format!("the reservations do not fit the process: {unfit}"),
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -9,7 +9,7 @@
 
 use reelfall_balancer::interface::{ServerState, Time};
 use reelfall_routing::limits::ServiceLimits;
-use reelfall_routing::table::Host;
+use reelfall_routing::table::HostPattern;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -312,7 +312,7 @@
     /// The name of the listener; `None` matches any.
     pub listener: Option<String>,
     /// The host pattern.
-    pub host: Host,
+    pub host: HostPattern,
     /// The path prefix, as `reelfall_routing::table::prefix` gives it.
     pub path: Box<str>,
     /// The methods; an empty list matches any.
--- a/crates/config/src/reader/mapping.rs
+++ b/crates/config/src/reader/mapping.rs
@@ -152,7 +152,7 @@
 fn route(table: RouteTable) -> Route {
     Route {
         listener: table.listener,
-        host: table.host.map_or(table::Host::Any, |host| host.0),
+        host: table.host.map_or(table::HostPattern::Any, |host| host.0),
         path: table.path.map_or_else(Box::default, |path| path.0),
         methods: table.methods,
         class: table.class,
@@ -262,9 +262,9 @@
     let kib = |size: Option<SizeText>| size.map(|size| size.0 / 1024);
     let burst = table.burst;
     ServiceLimits {
-        open: quota(table.open_reserved, table.open),
+        open_requests: quota(table.open_reserved, table.open),
         connections: quota(table.connections_reserved, table.connections),
-        memory: quota(kib(table.memory_reserved), kib(table.memory)),
+        memory_kib: quota(kib(table.memory_reserved), kib(table.memory)),
         rate: table.rate.map(|rate| RateLimit {
             per_second: rate.0,
             burst: burst.map_or_else(|| rate.0.max(1.0), f64::from),
--- a/crates/config/src/reader/values.rs
+++ b/crates/config/src/reader/values.rs
@@ -132,22 +132,22 @@
 );
 value_format!(
     HostFormat,
-    table::Host,
+    table::HostPattern,
     "write a host, or `*.` before one, as a text",
-    |text| table::Host::parse(text).map_err(|error| ValueError::pattern(text, error))
+    |text| table::HostPattern::parse(text).map_err(|error| ValueError::pattern(text, error))
 );
 value_format!(
     PathFormat,
     Box<str>,
     "write a path prefix as a text",
-    |text| table::parse_prefix(text).map_err(|error| ValueError::pattern(text, error))
+    |text| table::parse_path_prefix(text).map_err(|error| ValueError::pattern(text, error))
 );
 
 pub(super) type TimeText = Parsed<Time, TimeFormat>;
 pub(super) type SizeText = Parsed<u64, SizeFormat>;
 pub(super) type RateText = Parsed<f64, RateFormat>;
 pub(super) type AddressText = Parsed<SocketAddr, AddressFormat>;
-pub(super) type HostText = Parsed<table::Host, HostFormat>;
+pub(super) type HostText = Parsed<table::HostPattern, HostFormat>;
 pub(super) type PathText = Parsed<Box<str>, PathFormat>;
 
 /// Deserializes a number between two bounds, both included.
--- a/crates/node/src/fleet/tests.rs
+++ b/crates/node/src/fleet/tests.rs
@@ -15,9 +15,9 @@
 
 fn open_fleet() -> Rc<FleetRuntime> {
     let resources = ProcessResources {
-        open: 1_000,
+        open_requests: 1_000,
         connections: 1_000,
-        memory: 1_000,
+        memory_kib: 1_000,
     };
     let shared = Shared::for_services(resources, None);
     let key_file = std::env::temp_dir().join(format!("reelfall-key-{}", std::process::id()));
--- a/crates/node/src/net/frontend/admission.rs
+++ b/crates/node/src/net/frontend/admission.rs
@@ -99,7 +99,7 @@
             .map(hyper::http::uri::Authority::as_str),
         path: head.uri.path(),
         host: hosts.next().map(HeaderValue::as_bytes),
-        has_several_hosts: hosts.next().is_some(),
+        has_multiple_hosts: hosts.next().is_some(),
     })?;
     let query = RouteQuery {
         listener: client.listener_tag.id.get().unwrap_or(ListenerId::MAX),
--- a/crates/node/src/net/frontend/tests.rs
+++ b/crates/node/src/net/frontend/tests.rs
@@ -88,7 +88,7 @@
     let unavailable = StatusCode::SERVICE_UNAVAILABLE;
     let answers = [
         (
-            AdmissionError::InvalidTarget(target::TargetError::NoHost),
+            AdmissionError::InvalidTarget(target::TargetError::MissingHost),
             StatusCode::BAD_REQUEST,
             "no Host\n",
         ),
--- a/crates/node/src/net/pool/list.rs
+++ b/crates/node/src/net/pool/list.rs
@@ -250,7 +250,7 @@
         ListedState {
             status,
             started_at: ready_at,
-            knows_start: self.list_origin == ListOrigin::Discovered,
+            reports_start: self.list_origin == ListOrigin::Discovered,
         }
     }
 
--- a/crates/node/src/net/shared.rs
+++ b/crates/node/src/net/shared.rs
@@ -39,7 +39,7 @@
 use reelfall_admin::ledger::Ledger;
 use reelfall_balancer::interface::Time;
 use reelfall_cluster::entry::ServerInstance;
-use reelfall_routing::limits::{Limits, ProcessResources};
+use reelfall_routing::limits::{AdmissionControl, ProcessResources};
 use reelfall_routing::shared_servers::SharedServers;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -87,7 +87,7 @@
     connections: ConnectionCounts,
     buffer_memory: BufferMemory,
     /// `None` if one service has all that the process has.
-    service_limits: Option<RefCell<Limits>>,
+    service_limits: Option<RefCell<AdmissionControl>>,
     combined_lists: RefCell<SharedServers<SocketAddr, PoolId>>,
     listed_servers: Rc<ListedServers>,
     pools: RefCell<HashMap<PoolId, Weak<dyn PoolPeer>>>,
@@ -122,7 +122,7 @@
         let shared = Self::new(
             totals.connections as usize,
             0,
-            Some(RefCell::new(Limits::new(totals))),
+            Some(RefCell::new(AdmissionControl::new(totals))),
         );
         shared
             .connections
@@ -133,7 +133,7 @@
     fn new(
         max_connections: usize,
         buffer_memory_kib: usize,
-        service_limits: Option<RefCell<Limits>>,
+        service_limits: Option<RefCell<AdmissionControl>>,
     ) -> Self {
         Shared {
             log: Log::default(),
--- a/crates/node/src/net/shared/listed/tests.rs
+++ b/crates/node/src/net/shared/listed/tests.rs
@@ -18,9 +18,9 @@
 fn shared() -> Rc<Shared> {
     Shared::for_services(
         ProcessResources {
-            open: 1_000,
+            open_requests: 1_000,
             connections: 1_000,
-            memory: 1_000,
+            memory_kib: 1_000,
         },
         None,
     )
--- a/crates/node/src/net/shared/service_limits.rs
+++ b/crates/node/src/net/shared/service_limits.rs
@@ -23,7 +23,7 @@
         match self.kind {
             Resource::Memory => self.shared.buffer_memory.notify_freed(),
             Resource::Connections => self.shared.notify_connection_freed(),
-            Resource::Open => {}
+            Resource::OpenRequests => {}
         }
     }
 }
@@ -33,20 +33,22 @@
     pub fn add_member(&self, allowed: &ServiceLimits) -> Option<ServiceId> {
         self.service_limits
             .as_ref()
-            .map(|limits| limits.borrow_mut().add(self.clock.now(), allowed))
+            .map(|limits| limits.borrow_mut().add_service(self.clock.now(), allowed))
     }
 
     /// Changes the limits of a service.
     pub fn set_allowed(&self, member: ServiceId, allowed: &ServiceLimits) {
         if let Some(limits) = &self.service_limits {
-            limits.borrow_mut().set(self.clock.now(), member, allowed);
+            limits
+                .borrow_mut()
+                .set_service_limits(self.clock.now(), member, allowed);
         }
     }
 
     /// Removes a service from the limits.
     pub fn remove_member(&self, member: ServiceId) {
         if let Some(limits) = &self.service_limits {
-            limits.borrow_mut().remove(member);
+            limits.borrow_mut().remove_service(member);
         }
     }
 
@@ -62,7 +64,7 @@
         Ok(Some(Permit {
             shared: self.clone(),
             member,
-            kind: Resource::Open,
+            kind: Resource::OpenRequests,
             units: 1,
         }))
     }
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -60,7 +60,7 @@
     Exhausted,
     /// The consumer has its fair share, and another one is waiting for its own.
     #[error("another is waiting for its share")]
-    ReservedForOthers,
+    OverFairShare,
 }
 
 /// Why quotas are invalid.
@@ -215,7 +215,7 @@
     }
 
     /// Changes the quota of a consumer, unless it was removed; units in use stay in use.
-    pub fn set(&mut self, id: ConsumerId, quota: Quota) {
+    pub fn set_quota(&mut self, id: ConsumerId, quota: Quota) {
         self.update(id, |consumer| {
             if !consumer.is_removed {
                 consumer.quota = quota;
@@ -277,7 +277,7 @@
         } else if committed > self.total {
             Some(QuotaExceeded::Exhausted)
         } else if used > fair_share && self.has_other_claim(now, id) {
-            Some(QuotaExceeded::ReservedForOthers)
+            Some(QuotaExceeded::OverFairShare)
         } else {
             None
         };
--- a/crates/routing/src/rate.rs
+++ b/crates/routing/src/rate.rs
@@ -40,7 +40,7 @@
     }
 
     /// Changes rate and burst; tokens that were taken stay taken.
-    pub fn set(&mut self, now: Time, limit: RateLimit) {
+    pub fn set_limit(&mut self, now: Time, limit: RateLimit) {
         self.refill(now);
         self.limit = at_least_one(limit);
         self.tokens = self.tokens.min(self.limit.burst);
--- a/crates/routing/src/shared_servers.rs
+++ b/crates/routing/src/shared_servers.rs
@@ -12,7 +12,7 @@
 //! | not listed any more (the list was replaced by new settings, or the pool ended) | none |
 //!
 //! The load that a server tolerates while it warms up can't be divided at will: each pool has to be able to send at
-//! least one request at a time. So only the [`MAX_POOLS_WHILE_COLD`] oldest pools send to it; it is withheld from any
+//! least one request at a time. So only the [`MAX_POOLS_IN_SLOW_START`] oldest pools send to it; it is withheld from any
 //! other pool until it is warm.
 
 use crate::Time;
@@ -25,7 +25,7 @@
 
 /// Maximum number of pools that send to a server that is warming up. Each of them may send one request at a time; with
 /// more pools, these alone would overload the server.
-pub const MAX_POOLS_WHILE_COLD: u32 = 8;
+pub const MAX_POOLS_IN_SLOW_START: u32 = 8;
 
 /// The state of a server in a pool's list.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -36,7 +36,7 @@
     pub started_at: Time,
     /// Whether the list follows servers and reports when they start. In a static list, `ready_at` is only an
     /// assumption of its own pool.
-    pub knows_start: bool,
+    pub reports_start: bool,
 }
 
 /// Whether a server takes requests, according to a list.
@@ -178,7 +178,7 @@
             is_draining,
             pools: count(1 + senders().count()),
             started_at: ready_at,
-            withheld_until: (older_pools >= MAX_POOLS_WHILE_COLD && now < warm_at)
+            withheld_until: (older_pools >= MAX_POOLS_IN_SLOW_START && now < warm_at)
                 .then_some(warm_at),
         }
     }
@@ -235,7 +235,7 @@
 fn latest_start(own: ListedState, others: impl Iterator<Item = ListedState>) -> Time {
     let states = std::iter::once(own).chain(others);
     let starts = states
-        .filter(|state| state.knows_start)
+        .filter(|state| state.reports_start)
         .map(|state| state.started_at);
     starts.reduce(f64::max).unwrap_or(own.started_at)
 }
--- a/crates/routing/src/specificity.rs
+++ b/crates/routing/src/specificity.rs
@@ -22,7 +22,7 @@
     /// Any host.
     Any,
     /// The hosts below a domain.
-    Below {
+    Subdomains {
         /// The length of the domain's name, in bytes.
         len: usize,
     },
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -24,14 +24,14 @@
 
 /// The pattern of a route's hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
-pub enum Host {
+pub enum HostPattern {
     /// Every host.
     #[default]
     Any,
     /// This host; lower case.
     Exact(Box<str>),
     /// All subdomains of this name, at any depth, but not the name itself; lower case, without `*.`.
-    Below(Box<str>),
+    Subdomains(Box<str>),
 }
 
 /// Why a host or path pattern is invalid.
@@ -47,36 +47,36 @@
     Path,
 }
 
-impl Host {
+impl HostPattern {
     /// Parses a pattern: a name, an address, `*.name`, or `*` for every host.
     ///
     /// # Errors
     /// If it is none of these, or has a port.
-    pub fn parse(pattern: &str) -> Result<Host, PatternError> {
+    pub fn parse(pattern: &str) -> Result<HostPattern, PatternError> {
         if pattern == "*" {
-            return Ok(Host::Any);
+            return Ok(HostPattern::Any);
         }
         let lower = pattern.to_ascii_lowercase();
         if let Some(name) = lower.strip_prefix("*.") {
-            if !crate::target::is_name(name) {
+            if !crate::target::is_host_name(name) {
                 return Err(PatternError::Host);
             }
-            return Ok(Host::Below(name.into()));
+            return Ok(HostPattern::Subdomains(name.into()));
         }
         let has_port = crate::target::parse_host(&lower).map(|host| host != lower);
         match has_port {
-            Ok(false) => Ok(Host::Exact(lower.into())),
+            Ok(false) => Ok(HostPattern::Exact(lower.into())),
             Ok(true) | Err(_) => Err(PatternError::Host),
         }
     }
 }
 
-impl fmt::Display for Host {
+impl fmt::Display for HostPattern {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Host::Any => f.write_str("*"),
-            Host::Exact(name) => f.write_str(name),
-            Host::Below(name) => write!(f, "*.{name}"),
+            HostPattern::Any => f.write_str("*"),
+            HostPattern::Exact(name) => f.write_str(name),
+            HostPattern::Subdomains(name) => write!(f, "*.{name}"),
         }
     }
 }
@@ -85,7 +85,7 @@
 ///
 /// # Errors
 /// If no valid request could match it.
-pub fn parse_prefix(path: &str) -> Result<Box<str>, PatternError> {
+pub fn parse_path_prefix(path: &str) -> Result<Box<str>, PatternError> {
     crate::target::check_path(path).map_err(|_| PatternError::Path)?;
     Ok(path.strip_suffix('/').unwrap_or(path).into())
 }
@@ -96,9 +96,9 @@
     /// The listener.
     pub listener: Option<ListenerId>,
     /// The host pattern.
-    pub host: Host,
-    /// The path prefix, as [`parse_prefix`] gives it.
-    pub path: Box<str>,
+    pub host: HostPattern,
+    /// The path prefix, as [`parse_path_prefix`] gives it.
+    pub path_prefix: Box<str>,
     /// The methods.
     pub methods: Vec<Box<str>>,
     /// The class that the request has to state.
@@ -107,10 +107,10 @@
 
 impl fmt::Display for RouteConditions {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let path = if self.path.is_empty() {
+        let path = if self.path_prefix.is_empty() {
             "/"
         } else {
-            &self.path
+            &self.path_prefix
         };
         write!(f, "host {} path {path}", self.host)?;
         if !self.methods.is_empty() {
@@ -141,16 +141,16 @@
 
     fn host_matches(&self, host: &str) -> bool {
         match &self.host {
-            Host::Any => true,
-            Host::Exact(name) => **name == *host,
-            Host::Below(name) => host
+            HostPattern::Any => true,
+            HostPattern::Exact(name) => **name == *host,
+            HostPattern::Subdomains(name) => host
                 .strip_suffix(&**name)
                 .is_some_and(|labels| labels.len() > 1 && labels.ends_with('.')),
         }
     }
 
     fn path_matches(&self, path: &str) -> bool {
-        path.strip_prefix(&*self.path)
+        path.strip_prefix(&*self.path_prefix)
             .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
     }
 
@@ -159,11 +159,11 @@
         Specificity {
             names_listener: self.listener.is_some(),
             host: match &self.host {
-                Host::Any => HostSpecificity::Any,
-                Host::Below(name) => HostSpecificity::Below { len: name.len() },
-                Host::Exact(_) => HostSpecificity::Exact,
+                HostPattern::Any => HostSpecificity::Any,
+                HostPattern::Subdomains(name) => HostSpecificity::Subdomains { len: name.len() },
+                HostPattern::Exact(_) => HostSpecificity::Exact,
             },
-            path_segments: self.path.matches('/').count(),
+            path_segments: self.path_prefix.matches('/').count(),
             names_methods: !self.methods.is_empty(),
             names_class: self.class.is_some(),
         }
@@ -313,11 +313,11 @@
             .find_map(|paths| paths.get(query))
     }
 
-    fn paths(&mut self, host: &Host) -> &mut PathTable {
+    fn paths(&mut self, host: &HostPattern) -> &mut PathTable {
         match host {
-            Host::Any => &mut self.any_host,
-            Host::Exact(name) => self.by_host.entry(name.clone()).or_default(),
-            Host::Below(name) => self.by_parent.entry(name.clone()).or_default(),
+            HostPattern::Any => &mut self.any_host,
+            HostPattern::Exact(name) => self.by_host.entry(name.clone()).or_default(),
+            HostPattern::Subdomains(name) => self.by_parent.entry(name.clone()).or_default(),
         }
     }
 }
@@ -350,9 +350,12 @@
             None => &mut self.any_listener,
         };
         let paths = hosts.paths(&route.host);
-        let segments = route.path.matches('/').count();
+        let segments = route.path_prefix.matches('/').count();
         paths.max_segments = paths.max_segments.max(segments);
-        let methods = paths.by_prefix.entry(route.path.clone()).or_default();
+        let methods = paths
+            .by_prefix
+            .entry(route.path_prefix.clone())
+            .or_default();
         let class = route.class.as_deref();
         let replaced = if route.methods.is_empty() {
             methods.any_method.insert(class, index)
--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -17,31 +17,31 @@
 pub enum TargetError {
     /// There is no header `Host` (RFC 9112 section 3.2).
     #[error("no Host")]
-    NoHost,
+    MissingHost,
     /// There are several headers `Host` (RFC 9112 section 3.2).
     #[error("more than one Host")]
-    SeveralHosts,
+    MultipleHosts,
     /// The host is empty.
     #[error("an empty Host")]
     EmptyHost,
     /// The host is no name or address, or ends in a dot.
     #[error("Host is no name or address")]
-    BadHost,
+    InvalidHost,
     /// The port is no port number.
     #[error("the port is none")]
-    BadPort,
+    InvalidPort,
     /// There is user information before the host (RFC 9110 section 4.2.4).
     #[error("user information in the authority")]
     UserInfo,
     /// The scheme of the absolute target is not supported.
     #[error("the scheme is not served here")]
-    Scheme,
+    UnsupportedScheme,
     /// The absolute target and `Host` name different hosts.
     #[error("target and Host differ")]
-    HostDiffers,
+    HostMismatch,
     /// The path does not begin with a slash.
     #[error("no absolute path")]
-    NoPath,
+    NotAbsolutePath,
     /// `.` or `..` as a segment, plain, escaped, or before a `;`.
     #[error("a dot segment in the path")]
     DotSegment,
@@ -50,16 +50,16 @@
     EmptySegment,
     /// `%2f`, `%5c` or a backslash, which some implementations take for a separator.
     #[error("a hidden separator in the path")]
-    HiddenSeparator,
+    AmbiguousSeparator,
     /// An escape of an unreserved character, which some implementations decode (RFC 3986 section 6.2.2.2).
     #[error("a needless escape in the path")]
-    NeedlessEscape,
+    UnnecessaryEscape,
     /// `%` without two hexadecimal digits.
     #[error("half an escape in the path")]
-    BadEscape,
+    InvalidEscape,
     /// A control character, plain or escaped, or a character outside US-ASCII.
     #[error("a character that no path has")]
-    BadCharacter,
+    InvalidCharacter,
 }
 
 /// A valid target.
@@ -83,7 +83,7 @@
     /// The first header `Host`.
     pub host: Option<&'a [u8]>,
     /// Whether there is another one.
-    pub has_several_hosts: bool,
+    pub has_multiple_hosts: bool,
 }
 
 /// Validates a target.
@@ -94,17 +94,17 @@
 /// # Errors
 /// The first [`TargetError`]; the caller responds with 400.
 pub fn parse<'a>(received: ReceivedTarget<'a>) -> Result<Target<'a>, TargetError> {
-    if received.has_several_hosts {
-        return Err(TargetError::SeveralHosts);
+    if received.has_multiple_hosts {
+        return Err(TargetError::MultipleHosts);
     }
-    let host_header = std::str::from_utf8(received.host.ok_or(TargetError::NoHost)?)
-        .map_err(|_| TargetError::BadHost)?;
+    let host_header = std::str::from_utf8(received.host.ok_or(TargetError::MissingHost)?)
+        .map_err(|_| TargetError::InvalidHost)?;
     let host_header = host_header.trim_matches([' ', '\t']);
     if received
         .scheme
         .is_some_and(|s| !s.eq_ignore_ascii_case("http"))
     {
-        return Err(TargetError::Scheme);
+        return Err(TargetError::UnsupportedScheme);
     }
     let host = parse_host(host_header)?;
     if let Some(authority) = received.authority {
@@ -112,7 +112,7 @@
         if !authority.eq_ignore_ascii_case(host_header) {
             // An invalid authority is the more specific error.
             self::parse_host(authority)?;
-            return Err(TargetError::HostDiffers);
+            return Err(TargetError::HostMismatch);
         }
     }
     check_path(received.path)?;
@@ -137,14 +137,14 @@
     if let Some(port) = port {
         let is_number = !port.is_empty() && port.bytes().all(|b| b.is_ascii_digit());
         if !is_number || port.parse::<u16>().is_err() {
-            return Err(TargetError::BadPort);
+            return Err(TargetError::InvalidPort);
         }
     }
     if name.is_empty() {
         return Err(TargetError::EmptyHost);
     }
-    if !name.starts_with('[') && !is_name(name) {
-        return Err(TargetError::BadHost);
+    if !name.starts_with('[') && !is_host_name(name) {
+        return Err(TargetError::InvalidHost);
     }
     Ok(if name.bytes().any(|b| b.is_ascii_uppercase()) {
         Cow::Owned(name.to_ascii_lowercase())
@@ -172,10 +172,10 @@
             },
         });
     };
-    let (address, behind) = rest.split_once(']').ok_or(TargetError::BadHost)?;
+    let (address, behind) = rest.split_once(']').ok_or(TargetError::InvalidHost)?;
     address
         .parse::<std::net::Ipv6Addr>()
-        .map_err(|_| TargetError::BadHost)?;
+        .map_err(|_| TargetError::InvalidHost)?;
     let name = &authority[..address.len() + 2];
     match behind.strip_prefix(':') {
         Some(port) => Ok(Authority {
@@ -183,12 +183,12 @@
             port: Some(port),
         }),
         None if behind.is_empty() => Ok(Authority { name, port: None }),
-        None => Err(TargetError::BadHost),
+        None => Err(TargetError::InvalidHost),
     }
 }
 
 /// Whether a text is a host name or an IPv4 address: labels of letters, digits, `-` and `_`.
-pub fn is_name(text: &str) -> bool {
+pub fn is_host_name(text: &str) -> bool {
     let is_label = |label: &str| {
         !label.is_empty()
             && label.len() <= MAX_LABEL_LEN
@@ -204,7 +204,7 @@
 /// # Errors
 /// How it could be interpreted differently.
 pub fn check_path(path: &str) -> Result<(), TargetError> {
-    let rest = path.strip_prefix('/').ok_or(TargetError::NoPath)?;
+    let rest = path.strip_prefix('/').ok_or(TargetError::NotAbsolutePath)?;
     let last = rest.split('/').count() - 1;
     for (index, segment) in rest.split('/').enumerate() {
         if segment.is_empty() && index < last {
@@ -219,17 +219,17 @@
 fn check_segment(segment: &str) -> Result<(), TargetError> {
     let mut bytes = segment.bytes();
     let (mut dots, mut others) = (0, 0);
-    let (mut has_parameters, mut has_needless_escape) = (false, false);
+    let (mut has_parameters, mut has_unnecessary_escape) = (false, false);
     while let Some(byte) = bytes.next() {
         let decoded = match byte {
             b'%' => {
                 let decoded = decode_escape(&mut bytes)?;
-                has_needless_escape |= is_unreserved(decoded);
+                has_unnecessary_escape |= is_unreserved(decoded);
                 decoded
             }
-            b'\\' => return Err(TargetError::HiddenSeparator),
+            b'\\' => return Err(TargetError::AmbiguousSeparator),
             _ if byte.is_ascii_control() || !byte.is_ascii() || byte == b' ' => {
-                return Err(TargetError::BadCharacter)
+                return Err(TargetError::InvalidCharacter)
             }
             _ => byte,
         };
@@ -244,8 +244,8 @@
     if others == 0 && (dots == 1 || dots == 2) {
         return Err(TargetError::DotSegment);
     }
-    if has_needless_escape {
-        return Err(TargetError::NeedlessEscape);
+    if has_unnecessary_escape {
+        return Err(TargetError::UnnecessaryEscape);
     }
     Ok(())
 }
@@ -255,17 +255,17 @@
     let high = bytes
         .next()
         .and_then(hex_digit)
-        .ok_or(TargetError::BadEscape)?;
+        .ok_or(TargetError::InvalidEscape)?;
     let low = bytes
         .next()
         .and_then(hex_digit)
-        .ok_or(TargetError::BadEscape)?;
+        .ok_or(TargetError::InvalidEscape)?;
     let decoded = high * 16 + low;
     if matches!(decoded, b'/' | b'\\') {
-        return Err(TargetError::HiddenSeparator);
+        return Err(TargetError::AmbiguousSeparator);
     }
     if decoded.is_ascii_control() {
-        return Err(TargetError::BadCharacter);
+        return Err(TargetError::InvalidCharacter);
     }
     Ok(decoded)
 }
--- a/crates/routing/tests/budget.rs
+++ b/crates/routing/tests/budget.rs
@@ -84,7 +84,7 @@
         let result = match used {
             _ if used <= quota.reserved => Ok(()),
             _ if is_over_total => Err(QuotaExceeded::Exhausted),
-            _ if used > fair_share && is_claimed_by_other => Err(QuotaExceeded::ReservedForOthers),
+            _ if used > fair_share && is_claimed_by_other => Err(QuotaExceeded::OverFairShare),
             _ => Ok(()),
         };
         let consumer = &mut self.consumers[consumer];
@@ -195,7 +195,7 @@
                 let Some(ComparedConsumer { budget, reference }) = self.picked(pick) else {
                     return Ok(());
                 };
-                self.budget.set(budget, quota);
+                self.budget.set_quota(budget, quota);
                 self.reference.set(reference, quota);
             }
             Operation::Remove(pick) => {
@@ -286,7 +286,7 @@
         .collect();
     for consumer in &consumers {
         check_time();
-        budget.set(
+        budget.set_quota(
             *consumer,
             Quota {
                 reserved: 1,
--- a/crates/routing/tests/limits/admission.rs
+++ b/crates/routing/tests/limits/admission.rs
@@ -2,22 +2,24 @@
 
 use crate::{quota, rate_limit};
 use reelfall_routing::budget::{Quota, QuotaExceeded};
-use reelfall_routing::limits::{LimitExceeded, Limits, ProcessResources, Resource, ServiceLimits};
+use reelfall_routing::limits::{
+    AdmissionControl, LimitExceeded, ProcessResources, Resource, ServiceLimits,
+};
 
 #[test]
 fn rejected_request_consumes_nothing() {
     let totals = ProcessResources {
-        open: 10,
+        open_requests: 10,
         connections: 10,
-        memory: 10,
+        memory_kib: 10,
     };
     let service_limits = ServiceLimits {
         rate: Some(rate_limit(1.0, 2.0)),
-        open: quota(0, 3),
+        open_requests: quota(0, 3),
         ..ServiceLimits::UNLIMITED
     };
-    let mut limits = Limits::new(totals);
-    let service = limits.add(0.0, &service_limits);
+    let mut limits = AdmissionControl::new(totals);
+    let service = limits.add_service(0.0, &service_limits);
     assert_eq!(limits.admit(0.0, service), Ok(()));
     assert_eq!(limits.admit(0.0, service), Ok(()));
     assert!(matches!(
@@ -25,7 +27,7 @@
         Err(LimitExceeded::RateExceeded(retry_after)) if (retry_after - 1.0).abs() < 1e-9
     ));
     assert_eq!(
-        limits.used(service, Resource::Open),
+        limits.used(service, Resource::OpenRequests),
         2,
         "a request above the rate limit is counted as open"
     );
@@ -34,26 +36,26 @@
     assert_eq!(
         limits.admit(2.0, service),
         Err(LimitExceeded::NotAvailable(
-            Resource::Open,
+            Resource::OpenRequests,
             QuotaExceeded::OwnLimit
         ))
     );
-    limits.release(service, Resource::Open, 1);
+    limits.release(service, Resource::OpenRequests, 1);
     assert_eq!(limits.admit(2.0, service), Ok(()));
 }
 
 #[test]
 fn overload_of_one_service_leaves_the_reservation_of_another() {
     let totals = ProcessResources {
-        open: 100,
+        open_requests: 100,
         connections: 100,
-        memory: 1000,
+        memory_kib: 1000,
     };
-    let mut limits = Limits::new(totals);
-    let overloaded = limits.add(
+    let mut limits = AdmissionControl::new(totals);
+    let overloaded = limits.add_service(
         0.0,
         &ServiceLimits {
-            open: Quota {
+            open_requests: Quota {
                 reserved: 40,
                 max: 80,
                 weight: 3,
@@ -61,10 +63,10 @@
             ..ServiceLimits::UNLIMITED
         },
     );
-    let other = limits.add(
+    let other = limits.add_service(
         0.0,
         &ServiceLimits {
-            open: quota(20, 40),
+            open_requests: quota(20, 40),
             ..ServiceLimits::UNLIMITED
         },
     );
--- a/crates/routing/tests/limits/quotas.rs
+++ b/crates/routing/tests/limits/quotas.rs
@@ -219,7 +219,7 @@
         budget.release(first, 1);
         assert_eq!(
             budget.acquire(now, first, 1),
-            Err(QuotaExceeded::ReservedForOthers),
+            Err(QuotaExceeded::OverFairShare),
             "lent again while another consumer waits"
         );
         assert_eq!(budget.acquire(now, second, 1), Ok(()));
@@ -246,7 +246,7 @@
     budget.release(user, 1);
     assert_eq!(
         budget.acquire(0.9, user, 1),
-        Err(QuotaExceeded::ReservedForOthers)
+        Err(QuotaExceeded::OverFairShare)
     );
     assert_eq!(budget.acquire(1.1, user, 1), Ok(()));
 }
--- a/crates/routing/tests/shared_servers.rs
+++ b/crates/routing/tests/shared_servers.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, prop_oneof, Just, Strategy};
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 use reelfall_routing::shared_servers::{
-    CombinedView, ListedState, ServerStatus, SharedServers, GONE_TTL, MAX_POOLS_WHILE_COLD,
+    CombinedView, ListedState, ServerStatus, SharedServers, GONE_TTL, MAX_POOLS_IN_SLOW_START,
 };
 use std::collections::BTreeMap;
 
@@ -19,14 +19,14 @@
     ListedState {
         status,
         started_at,
-        knows_start: true,
+        reports_start: true,
     }
 }
 
 /// The state of an available server in a list that does not know when servers start.
 fn with_estimated_start(started_at: f64) -> ListedState {
     ListedState {
-        knows_start: false,
+        reports_start: false,
         ..listed(ServerStatus::Up, started_at)
     }
 }
@@ -149,7 +149,7 @@
 
 #[test]
 fn server_in_slow_start_is_withheld_from_pools_beyond_the_limit() {
-    let max_pools = MAX_POOLS_WHILE_COLD as u8;
+    let max_pools = MAX_POOLS_IN_SLOW_START as u8;
     let pools = max_pools + 2;
     let mut servers = Servers::default();
     // The order of the pools' identifiers counts, not that of their updates.
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -3,7 +3,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use reelfall_routing::table::{
-    parse_prefix, AmbiguousRoutes, Host, PatternError, RouteConditions, RouteQuery, RouteTable,
+    parse_path_prefix, AmbiguousRoutes, HostPattern, PatternError, RouteConditions, RouteQuery,
+    RouteTable,
 };
 
 /// The route that the rules of precedence select: every stated condition must match, and of several matching routes the one
@@ -16,14 +17,14 @@
 
 fn matches(route: &RouteConditions, query: &RouteQuery) -> bool {
     let host = match &route.host {
-        Host::Any => true,
-        Host::Exact(name) => **name == *query.host,
-        Host::Below(name) => {
+        HostPattern::Any => true,
+        HostPattern::Exact(name) => **name == *query.host,
+        HostPattern::Subdomains(name) => {
             query.host.len() > name.len() + 1 && query.host.ends_with(&format!(".{name}"))
         }
     };
     let segments: Vec<&str> = query.path.split('/').collect();
-    let prefix: Vec<&str> = route.path.split('/').collect();
+    let prefix: Vec<&str> = route.path_prefix.split('/').collect();
     let path = segments.starts_with(&prefix);
     let listener = route
         .listener
@@ -50,7 +51,7 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum HostRank {
     Any,
-    Below { length: usize },
+    Subdomains { length: usize },
     Exact,
 }
 
@@ -59,11 +60,11 @@
         Rank {
             has_listener: route.listener.is_some(),
             host: match &route.host {
-                Host::Any => HostRank::Any,
-                Host::Below(name) => HostRank::Below { length: name.len() },
-                Host::Exact(_) => HostRank::Exact,
+                HostPattern::Any => HostRank::Any,
+                HostPattern::Subdomains(name) => HostRank::Subdomains { length: name.len() },
+                HostPattern::Exact(_) => HostRank::Exact,
             },
-            path_segments: route.path.matches('/').count(),
+            path_segments: route.path_prefix.matches('/').count(),
             has_methods: !route.methods.is_empty(),
             has_class: route.class.is_some(),
         }
@@ -83,7 +84,7 @@
     methods
         && first.listener == second.listener
         && first.host == second.host
-        && first.path == second.path
+        && first.path_prefix == second.path_prefix
         && first.class == second.class
 }
 
@@ -117,8 +118,8 @@
     (prop::option::of(0..2u16), host, path(4), methods, class).prop_map(
         |(listener, host, path, methods, class)| RouteConditions {
             listener,
-            host: Host::parse(&host).unwrap(),
-            path: parse_prefix(&path).unwrap(),
+            host: HostPattern::parse(&host).unwrap(),
+            path_prefix: parse_path_prefix(&path).unwrap(),
             methods: methods.into_iter().map(Into::into).collect(),
             class: class.map(Into::into),
         },
@@ -214,8 +215,8 @@
 /// A route with conditions on host and path only.
 fn route(host: &str, path: &str) -> RouteConditions {
     RouteConditions {
-        host: Host::parse(host).unwrap(),
-        path: parse_prefix(path).unwrap(),
+        host: HostPattern::parse(host).unwrap(),
+        path_prefix: parse_path_prefix(path).unwrap(),
         ..RouteConditions::default()
     }
 }
@@ -270,13 +271,21 @@
     for invalid in [
         "", "a b", "*.", "*a", "a.*", "a:80", "a.", "**", "*.*", "http://a",
     ] {
-        assert_eq!(Host::parse(invalid), Err(PatternError::Host), "{invalid}");
+        assert_eq!(
+            HostPattern::parse(invalid),
+            Err(PatternError::Host),
+            "{invalid}"
+        );
     }
     assert_eq!(
-        Host::parse("*.Example.ORG"),
-        Ok(Host::Below("example.org".into()))
+        HostPattern::parse("*.Example.ORG"),
+        Ok(HostPattern::Subdomains("example.org".into()))
     );
     for invalid in ["", "api", "/a//b", "/../a", "/%61", "/a b", "/a%2fb"] {
-        assert_eq!(parse_prefix(invalid), Err(PatternError::Path), "{invalid}");
+        assert_eq!(
+            parse_path_prefix(invalid),
+            Err(PatternError::Path),
+            "{invalid}"
+        );
     }
 }
--- a/crates/routing/tests/target.rs
+++ b/crates/routing/tests/target.rs
@@ -50,40 +50,43 @@
         (":80", TargetError::EmptyHost),
         ("user@flags.example.org", TargetError::UserInfo),
         ("flags.example.org@admin.example.org", TargetError::UserInfo),
-        ("flags.example.org:", TargetError::BadPort),
-        ("flags.example.org:port", TargetError::BadPort),
-        ("flags.example.org:+80", TargetError::BadPort),
-        ("flags.example.org:99999", TargetError::BadPort),
-        ("flags.example.org:80:80", TargetError::BadPort),
-        ("flags.example.org.", TargetError::BadHost),
-        (".example.org", TargetError::BadHost),
-        ("flags..org", TargetError::BadHost),
-        ("flags.example.org,admin.example.org", TargetError::BadHost),
-        ("flags.example.org/admin", TargetError::BadHost),
-        ("flags%2eexample.org", TargetError::BadHost),
-        ("flags example", TargetError::BadHost),
-        ("[::1", TargetError::BadHost),
-        ("[::1]x", TargetError::BadHost),
-        ("[nothing]", TargetError::BadHost),
+        ("flags.example.org:", TargetError::InvalidPort),
+        ("flags.example.org:port", TargetError::InvalidPort),
+        ("flags.example.org:+80", TargetError::InvalidPort),
+        ("flags.example.org:99999", TargetError::InvalidPort),
+        ("flags.example.org:80:80", TargetError::InvalidPort),
+        ("flags.example.org.", TargetError::InvalidHost),
+        (".example.org", TargetError::InvalidHost),
+        ("flags..org", TargetError::InvalidHost),
+        (
+            "flags.example.org,admin.example.org",
+            TargetError::InvalidHost,
+        ),
+        ("flags.example.org/admin", TargetError::InvalidHost),
+        ("flags%2eexample.org", TargetError::InvalidHost),
+        ("flags example", TargetError::InvalidHost),
+        ("[::1", TargetError::InvalidHost),
+        ("[::1]x", TargetError::InvalidHost),
+        ("[nothing]", TargetError::InvalidHost),
     ] {
         assert_eq!(parse_host(host), Err(error), "{host}");
     }
     let overlong_host = "a".repeat(300);
-    assert_eq!(parse_host(&overlong_host), Err(TargetError::BadHost));
-    assert_eq!(parse(received("/", None)), Err(TargetError::NoHost));
+    assert_eq!(parse_host(&overlong_host), Err(TargetError::InvalidHost));
+    assert_eq!(parse(received("/", None)), Err(TargetError::MissingHost));
     assert_eq!(
         parse(ReceivedTarget {
-            has_several_hosts: true,
+            has_multiple_hosts: true,
             ..received("/", Some("a"))
         }),
-        Err(TargetError::SeveralHosts)
+        Err(TargetError::MultipleHosts)
     );
     assert_eq!(
         parse(ReceivedTarget {
             host: Some(b"fl\xe4gs"),
             ..received("/", None)
         }),
-        Err(TargetError::BadHost)
+        Err(TargetError::InvalidHost)
     );
 }
 
@@ -107,11 +110,11 @@
     );
     assert_eq!(
         absolute("http", "admin.example.org", "flags.example.org"),
-        Err(TargetError::HostDiffers)
+        Err(TargetError::HostMismatch)
     );
     assert_eq!(
         absolute("http", "flags.example.org:81", "flags.example.org"),
-        Err(TargetError::HostDiffers)
+        Err(TargetError::HostMismatch)
     );
     assert_eq!(
         absolute("http", "u@flags.example.org", "flags.example.org"),
@@ -119,7 +122,7 @@
     );
     assert_eq!(
         absolute("ftp", "flags.example.org", "flags.example.org"),
-        Err(TargetError::Scheme)
+        Err(TargetError::UnsupportedScheme)
     );
     assert_eq!(
         absolute("http", "flags.example.org", ""),
@@ -130,9 +133,9 @@
 #[test]
 fn ambiguous_path_is_rejected() {
     for (path, error) in [
-        ("", TargetError::NoPath),
-        ("api", TargetError::NoPath),
-        ("*", TargetError::NoPath),
+        ("", TargetError::NotAbsolutePath),
+        ("api", TargetError::NotAbsolutePath),
+        ("*", TargetError::NotAbsolutePath),
         ("/a/./b", TargetError::DotSegment),
         ("/a/../b", TargetError::DotSegment),
         ("/..", TargetError::DotSegment),
@@ -146,20 +149,20 @@
         ("/a//b", TargetError::EmptySegment),
         ("//b", TargetError::EmptySegment),
         ("/a//", TargetError::EmptySegment),
-        ("/a%2fb", TargetError::HiddenSeparator),
-        ("/a%2Fb", TargetError::HiddenSeparator),
-        ("/a%5cb", TargetError::HiddenSeparator),
-        ("/a\\b", TargetError::HiddenSeparator),
-        ("/%61dmin", TargetError::NeedlessEscape),
-        ("/a%2Db", TargetError::NeedlessEscape),
-        ("/a%", TargetError::BadEscape),
-        ("/a%2", TargetError::BadEscape),
-        ("/a%zz", TargetError::BadEscape),
-        ("/a%/b", TargetError::BadEscape),
-        ("/a%00b", TargetError::BadCharacter),
-        ("/a%0d%0ab", TargetError::BadCharacter),
-        ("/a\u{7f}", TargetError::BadCharacter),
-        ("/é", TargetError::BadCharacter),
+        ("/a%2fb", TargetError::AmbiguousSeparator),
+        ("/a%2Fb", TargetError::AmbiguousSeparator),
+        ("/a%5cb", TargetError::AmbiguousSeparator),
+        ("/a\\b", TargetError::AmbiguousSeparator),
+        ("/%61dmin", TargetError::UnnecessaryEscape),
+        ("/a%2Db", TargetError::UnnecessaryEscape),
+        ("/a%", TargetError::InvalidEscape),
+        ("/a%2", TargetError::InvalidEscape),
+        ("/a%zz", TargetError::InvalidEscape),
+        ("/a%/b", TargetError::InvalidEscape),
+        ("/a%00b", TargetError::InvalidCharacter),
+        ("/a%0d%0ab", TargetError::InvalidCharacter),
+        ("/a\u{7f}", TargetError::InvalidCharacter),
+        ("/é", TargetError::InvalidCharacter),
     ] {
         assert_eq!(check_path(path), Err(error), "{path}");
     }
--- a/crates/testbed/src/measure/services/routes.rs
+++ b/crates/testbed/src/measure/services/routes.rs
@@ -2,7 +2,9 @@
 
 use super::round_to_tenth;
 use crate::SeededRng;
-use reelfall_routing::table::{parse_prefix, Host, RouteConditions, RouteQuery, RouteTable};
+use reelfall_routing::table::{
+    parse_path_prefix, HostPattern, RouteConditions, RouteQuery, RouteTable,
+};
 use serde_json::{json, Map, Value};
 use std::time::Instant;
 
@@ -67,10 +69,10 @@
         1 => format!("*.z{}.example.org", number / ROUTES_PER_HOST),
         _ => "*".to_owned(),
     };
-    let path = parse_prefix(&format!("/api/v{number}")).ok()?;
+    let path_prefix = parse_path_prefix(&format!("/api/v{number}")).ok()?;
     Some(RouteConditions {
-        host: Host::parse(&host).ok()?,
-        path,
+        host: HostPattern::parse(&host).ok()?,
+        path_prefix,
         ..RouteConditions::default()
     })
 }
