--- a/crates/capacity/examples/state_size/cluster.rs
+++ b/crates/capacity/examples/state_size/cluster.rs
@@ -49,7 +49,7 @@
         drain(&mut fleet);
     }
     let after = resident_bytes(THIS_PROCESS)?;
-    let known = fleet.members().count();
+    let known = fleet.members().other_count();
     if known + 1 != size {
         return Err(Error::UnknownPeers { known, size });
     }
--- a/crates/capacity/examples/state_size/fixtures.rs
+++ b/crates/capacity/examples/state_size/fixtures.rs
@@ -4,7 +4,7 @@
 use reelfall_cluster::entry::Entry;
 use reelfall_cluster::freshness::ClockEcho;
 use reelfall_cluster::node::{Incarnation, Node};
-use reelfall_cluster::wire::{Header, MemberState, MemberUpdate, Secret, Writer};
+use reelfall_cluster::wire::{DatagramWriter, Header, MemberState, MemberUpdate, Secret};
 use std::net::SocketAddr;
 
 /// The contents of a cluster's key file.
@@ -49,10 +49,10 @@
 }
 
 /// The header of a datagram.
-pub fn header(from: Node, to: u64, members: Vec<MemberUpdate>) -> Header {
+pub fn header(from: Node, to_tag: u64, members: Vec<MemberUpdate>) -> Header {
     Header {
         from,
-        to,
+        to_tag,
         sequence: SEQUENCE,
         clock_us: CLOCK_US,
         echo: Some(ClockEcho {
@@ -78,7 +78,7 @@
 
 /// A sealed datagram.
 pub fn datagram(secret: &Secret, header: &Header, entries: &[Entry]) -> Result<Vec<u8>> {
-    let mut writer = Writer::new(header).ok_or(Error::HeaderTooLong)?;
+    let mut writer = DatagramWriter::new(header).ok_or(Error::HeaderTooLong)?;
     if !entries.iter().all(|entry| writer.add(entry)) {
         return Err(Error::EntriesTooLong);
     }
--- a/crates/capacity/examples/state_size/lists.rs
+++ b/crates/capacity/examples/state_size/lists.rs
@@ -74,7 +74,7 @@
     let ListedServer { name, started_at } = list.get(&id)?;
     Some(ServerInstance {
         name: name.clone(),
-        since: (started_at * MILLISECONDS_PER_SECOND).round() as u64,
+        started_ms: (started_at * MILLISECONDS_PER_SECOND).round() as u64,
     })
 }
 
--- a/crates/capacity/examples/state_size/messages.rs
+++ b/crates/capacity/examples/state_size/messages.rs
@@ -83,7 +83,7 @@
     let encoded = message.encode().ok_or(Error::MessageTooLong)?;
     let message = AppMessage {
         from: node(SENDER),
-        to: node(RECEIVER).incarnation.tag,
+        to_tag: node(RECEIVER).incarnation.tag,
         body: [APP_MESSAGE_PREFIX.as_slice(), &encoded].concat(),
     };
     let sealed = message.seal(secret).ok_or(Error::MessageTooLong)?;
@@ -150,7 +150,7 @@
 fn entry(key: Key, value: Value, ttl_ms: u32) -> Entry {
     let version = Version {
         incarnation: node(SENDER).incarnation,
-        n: 100,
+        sequence: 100,
     };
     Entry {
         key,
@@ -172,7 +172,7 @@
         id,
     };
     let value = Value::Banned {
-        by: "operator".to_owned(),
+        operator: "operator".to_owned(),
     };
     entry(key, value, BAN_TTL_MS)
 }
@@ -180,19 +180,19 @@
 fn report() -> Entry {
     let server = ServerInstance {
         name: SERVER_NAME.to_owned(),
-        since: SERVER_START_MS,
+        started_ms: SERVER_START_MS,
     };
     let key = Key::Report {
         server,
-        by: node(SENDER).name,
+        reporter: node(SENDER).name,
     };
     let report = Report {
         finding: Finding::Failing,
-        bad: 5,
-        good: 0,
+        failures: 5,
+        successes: 0,
         zone: ZONE_NAME.to_owned(),
-        accused: 3,
-        listed: 50_000,
+        faulty_servers: 3,
+        listed_servers: 50_000,
     };
     entry(key, Value::Report(report), REPORT_TTL_MS)
 }
--- a/crates/capacity/src/scale/datagram.rs
+++ b/crates/capacity/src/scale/datagram.rs
@@ -2,7 +2,7 @@
 //! bytes are replicated entries.
 
 use reelfall_cluster::wire::{
-    self, AppMessage, GossipDatagram, Header, KeyTooShort, Secret, Writer,
+    self, AppMessage, DatagramWriter, GossipDatagram, Header, KeyTooShort, Secret,
 };
 
 /// Longest datagram of a fleet, in bytes.
@@ -96,7 +96,7 @@
     let base_bytes = if entries.is_empty() {
         datagram.len()
     } else {
-        Writer::new(&header)?.seal(secret).len()
+        DatagramWriter::new(&header)?.seal(secret).len()
     };
     Some(ClassifiedDatagram {
         kind: DatagramKind::of_header(&header),
--- a/crates/capacity/src/scale/simulated_node.rs
+++ b/crates/capacity/src/scale/simulated_node.rs
@@ -123,7 +123,7 @@
 
     /// How many other members the node knows.
     pub fn member_count(&self) -> usize {
-        self.fleet.members().count()
+        self.fleet.members().other_count()
     }
 
     /// Bans a server for so many seconds; whether the node could publish that.
@@ -164,7 +164,7 @@
         for server in failing {
             let server = ServerInstance {
                 name: server.name.clone(),
-                since: server.started_ms,
+                started_ms: server.started_ms,
             };
             let is_attempted = if self.ejected.contains(&server) {
                 self.probed.contains(&server)
@@ -182,7 +182,7 @@
 fn fleet_config(config: &NodeConfig) -> Config {
     Config {
         membership: MembershipConfig {
-            size: config.fleet_size,
+            expected_nodes: config.fleet_size,
             ..MembershipConfig::default()
         },
         seeds: config.seeds.clone(),
--- a/crates/capacity/tests/capacity/limits.rs
+++ b/crates/capacity/tests/capacity/limits.rs
@@ -170,13 +170,13 @@
         (program_limits::ECHO_AGE_SECONDS, freshness::MAX_ECHO_AGE),
         (
             program_limits::QUORUM_WITNESSES,
-            quorum::Quorum::default().witnesses as f64,
+            quorum::Quorum::default().min_reporters as f64,
         ),
         (program_limits::LEASE_NAMES, keeper.max_leases as f64),
         (program_limits::LEASE_WAITERS, keeper.max_waiters as f64),
         (
             program_limits::GOSSIP_DATAGRAM_RATE,
-            gossip.fanout as f64 / gossip.spread_every,
+            gossip.gossip_fanout as f64 / gossip.gossip_interval,
         ),
     ];
     for (model_limit, program_limit) in pairs {
--- a/crates/cluster/src/entry.rs
+++ b/crates/cluster/src/entry.rs
@@ -34,7 +34,7 @@
     /// Its name, as in the list.
     pub name: String,
     /// When it began to take requests, in milliseconds, as its list tells it; 0 for long ago.
-    pub since: u64,
+    pub started_ms: u64,
 }
 
 /// The identity of a ban: one admin call of an operator at one node.
@@ -63,7 +63,7 @@
         /// The server.
         server: ServerInstance,
         /// The reporting node.
-        by: String,
+        reporter: String,
     },
     /// A node that is leaving.
     Leaving {
@@ -99,11 +99,11 @@
     pub fn first_report() -> Key {
         let server = ServerInstance {
             name: String::new(),
-            since: 0,
+            started_ms: 0,
         };
         Key::Report {
             server,
-            by: String::new(),
+            reporter: String::new(),
         }
     }
 }
@@ -130,8 +130,8 @@
 
 impl Report {
     /// Whether the server has responded to the reporting node.
-    pub fn is_of_response(&self) -> bool {
-        self.finding == Finding::Well || (self.finding == Finding::Unclear && self.good > 0)
+    pub fn shows_response(&self) -> bool {
+        self.finding == Finding::Well || (self.finding == Finding::Unclear && self.successes > 0)
     }
 }
 
@@ -148,15 +148,15 @@
     /// The finding.
     pub finding: Finding,
     /// Number of failed attempts, each a request of its own.
-    pub bad: u16,
+    pub failures: u16,
     /// Number of successful attempts in the same time; of an unclear finding, 1 if its attempts were answered after all.
-    pub good: u16,
+    pub successes: u16,
     /// The zone of the reporting node; empty for none.
     pub zone: String,
     /// Number of servers that the node finds faulty.
-    pub accused: u16,
+    pub faulty_servers: u16,
     /// Number of servers that it knows.
-    pub listed: u16,
+    pub listed_servers: u16,
 }
 
 /// The value of an entry.
@@ -167,12 +167,12 @@
     /// No new requests go to the server.
     Banned {
         /// The operator.
-        by: String,
+        operator: String,
     },
     /// Tombstone: the ban was lifted.
     BanLifted {
         /// The operator.
-        by: String,
+        operator: String,
     },
     /// No new requests go to the node.
     Leaving,
@@ -188,7 +188,7 @@
     /// The owner's incarnation.
     pub incarnation: Incarnation,
     /// Counted within it.
-    pub n: u64,
+    pub sequence: u64,
 }
 
 /// An entry as one node sends it to another.
@@ -252,12 +252,15 @@
                 .all(|name| !name.is_empty() && name.len() <= MAX_NAME_LEN)
         };
         let (fits, max_ttl) = match (&self.key, &self.value) {
-            (Key::Report { server, by }, Value::Report(report)) => (
-                are_names(&[&server.name, by]) && report.zone.len() <= MAX_NAME_LEN,
+            (Key::Report { server, reporter }, Value::Report(report)) => (
+                are_names(&[&server.name, reporter]) && report.zone.len() <= MAX_NAME_LEN,
                 MAX_REPORT_TTL,
             ),
-            (Key::Ban { server, id }, Value::Banned { by } | Value::BanLifted { by }) => (
-                are_names(&[server, &id.node]) && by.len() <= MAX_NAME_LEN,
+            (
+                Key::Ban { server, id },
+                Value::Banned { operator } | Value::BanLifted { operator },
+            ) => (
+                are_names(&[server, &id.node]) && operator.len() <= MAX_NAME_LEN,
                 MAX_BAN_TTL,
             ),
             (Key::Leaving { node, .. }, Value::Leaving) => (are_names(&[node]), MAX_LEAVING_TTL),
--- a/crates/cluster/src/fleet/config.rs
+++ b/crates/cluster/src/fleet/config.rs
@@ -12,16 +12,16 @@
     pub membership: MembershipConfig,
     /// The quorum of reports that ejects a server.
     pub quorum: Quorum,
-    /// Interval of gossip rounds, in seconds; each goes to [`Config::fanout`] members.
-    pub spread_every: Time,
-    /// See [`Config::spread_every`].
-    pub fanout: usize,
+    /// Interval of gossip rounds, in seconds; each goes to [`Config::gossip_fanout`] members.
+    pub gossip_interval: Time,
+    /// See [`Config::gossip_interval`].
+    pub gossip_fanout: usize,
     /// Interval of anti-entropy rounds, in seconds; each goes to one member.
-    pub heal_every: Time,
+    pub anti_entropy_interval: Time,
     /// Time to live of a report, in seconds.
-    pub report_lasts: Time,
+    pub report_ttl: Time,
     /// An ejected server is probed by one node in each such interval, in seconds.
-    pub trial_every: Time,
+    pub ejected_probe_interval: Time,
     /// Addresses where members may be found.
     pub seeds: Vec<SocketAddr>,
     /// This node's zone; empty for none.
@@ -33,11 +33,11 @@
         Config {
             membership: MembershipConfig::default(),
             quorum: Quorum::default(),
-            spread_every: 0.1,
-            fanout: 3,
-            heal_every: 1.0,
-            report_lasts: 10.0,
-            trial_every: 1.0,
+            gossip_interval: 0.1,
+            gossip_fanout: 3,
+            anti_entropy_interval: 1.0,
+            report_ttl: 10.0,
+            ejected_probe_interval: 1.0,
             seeds: Vec::new(),
             zone: String::new(),
         }
--- a/crates/cluster/src/fleet/gossip.rs
+++ b/crates/cluster/src/fleet/gossip.rs
@@ -3,7 +3,7 @@
 use super::{Fleet, OutgoingDatagram, ISOLATION_TIMEOUT};
 use crate::members::max_transmissions;
 use crate::node::Node;
-use crate::wire::{AntiEntropy, AppMessage, Header, Writer};
+use crate::wire::{AntiEntropy, AppMessage, DatagramWriter, Header};
 use crate::{Time, MICROS_PER_SECOND};
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -21,8 +21,8 @@
     /// Sends an application message to another node; it may be lost.
     pub fn send_message(&mut self, to: &Node, body: Vec<u8>) {
         let message = AppMessage {
-            from: self.members.me().clone(),
-            to: to.incarnation.tag,
+            from: self.members.local_node().clone(),
+            to_tag: to.incarnation.tag,
             body,
         };
         if let Some(datagram) = message.seal(&self.secret) {
@@ -33,8 +33,8 @@
     pub(super) fn header(&mut self, now: Time, to: &Node) -> Header {
         self.sequence += 1;
         Header {
-            from: self.members.me().clone(),
-            to: to.incarnation.tag,
+            from: self.members.local_node().clone(),
+            to_tag: to.incarnation.tag,
             sequence: self.sequence,
             clock_us: (now * MICROS_PER_SECOND) as u64,
             echo: self.clocks.echo(now, to.incarnation.tag),
@@ -48,24 +48,24 @@
 
     /// Sends a datagram with as many pending entries as fit, if their age can be proven to the reader.
     pub(super) fn send_with_entries(&mut self, now: Time, to: SocketAddr, header: &Header) {
-        let Some(mut writer) = Writer::new(header) else {
+        let Some(mut writer) = DatagramWriter::new(header) else {
             return;
         };
         if header.echo.is_some() {
-            let max_transmissions = max_transmissions(self.members.count());
+            let max_transmissions = max_transmissions(self.members.other_count());
             self.table
-                .gossip(now, max_transmissions, |entry| writer.add(entry));
+                .offer_pending(now, max_transmissions, |entry| writer.add(entry));
         }
         self.send(to, writer);
     }
 
-    pub(super) fn send(&mut self, to: SocketAddr, writer: Writer) {
+    pub(super) fn send(&mut self, to: SocketAddr, writer: DatagramWriter) {
         let datagram = writer.seal(&self.secret);
         self.enqueue(to, datagram);
     }
 
     fn enqueue(&mut self, to: SocketAddr, datagram: Vec<u8>) {
-        self.counters.sent += 1;
+        self.counters.sent_datagrams += 1;
         self.counters.sent_bytes += datagram.len() as u64;
         self.outgoing.push_back(OutgoingDatagram {
             to,
@@ -90,11 +90,11 @@
     pub(super) fn gossip_round(&mut self, now: Time) {
         if !self
             .table
-            .has_pending(max_transmissions(self.members.count()))
+            .has_pending(max_transmissions(self.members.other_count()))
         {
             return;
         }
-        for to in self.sample_members(self.config.fanout) {
+        for to in self.sample_members(self.config.gossip_fanout) {
             let mut header = self.header(now, &to);
             if header.echo.is_none() {
                 header.requests_echo = true;
@@ -121,7 +121,8 @@
     /// two sides of a long partition that have forgotten each other merge again. The addresses of known members are
     /// candidates too, since all of them may have restarted and ignore datagrams to their former incarnations.
     pub(super) fn announce(&mut self, now: Time) {
-        let is_isolated = self.members.count() == 0 || now - self.received_at > ISOLATION_TIMEOUT;
+        let is_isolated =
+            self.members.other_count() == 0 || now - self.received_at > ISOLATION_TIMEOUT;
         let known = self.known_addresses();
         if !known.is_empty() {
             let at = self.rng.random_range(0..known.len());
@@ -136,7 +137,7 @@
     }
 
     fn known_addresses(&self) -> Vec<SocketAddr> {
-        let me = self.members.me().address;
+        let me = self.members.local_node().address;
         let mut known: Vec<SocketAddr> = self.members.others().map(|n| n.address).collect();
         known.extend(&self.config.seeds);
         known.retain(|address| *address != me);
--- a/crates/cluster/src/fleet/incarnations.rs
+++ b/crates/cluster/src/fleet/incarnations.rs
@@ -84,7 +84,7 @@
     /// [`MAX_CLAIMS`] claims the one with the smaller tag publishes nothing for [`CONFLICT_PAUSE`] seconds. It still
     /// receives the entries of the others.
     pub(super) fn handle_newer_incarnation(&mut self, now: Time, newer: Incarnation) {
-        let me = self.members.me().incarnation;
+        let me = self.members.local_node().incarnation;
         if newer <= me || newer.tag == me.tag {
             return;
         }
--- a/crates/cluster/src/fleet/mod.rs
+++ b/crates/cluster/src/fleet/mod.rs
@@ -87,19 +87,19 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Datagrams sent.
-    pub sent: u64,
+    pub sent_datagrams: u64,
     /// Bytes sent.
     pub sent_bytes: u64,
     /// Datagrams accepted.
-    pub received: u64,
+    pub received_datagrams: u64,
     /// Datagrams dropped, by reason.
-    pub dropped: BTreeMap<DropReason, u64>,
+    pub dropped_datagrams: BTreeMap<DropReason, u64>,
     /// Entries ignored, since nothing proved how old they were.
-    pub unproven: u64,
+    pub unproven_entries: u64,
     /// Entries ignored, since they had expired when they were received.
-    pub expired: u64,
+    pub expired_entries: u64,
     /// Entries rejected: the table was full, or they were invalid.
-    pub rejected: u64,
+    pub rejected_entries: u64,
 }
 
 /// One node's part in a fleet.
@@ -152,7 +152,7 @@
             incarnation: Incarnation { number: 1, tag },
         };
         let members = Members::new(me, config.membership, seed);
-        let observer = Observer::new(config.zone.clone(), config.report_lasts, config.quorum);
+        let observer = Observer::new(config.zone.clone(), config.report_ttl, config.quorum);
         Fleet {
             members,
             observer,
@@ -234,14 +234,14 @@
             self.announce(now);
         }
         if now >= self.next_gossip {
-            self.next_gossip = now + self.config.spread_every;
+            self.next_gossip = now + self.config.gossip_interval;
             self.publish_reports(now, listed);
             self.refresh_bans(now);
             self.gossip_round(now);
         }
         if now >= self.next_anti_entropy {
             let jitter = self.rng.random_range(ANTI_ENTROPY_JITTER);
-            self.next_anti_entropy = now + self.config.heal_every * jitter;
+            self.next_anti_entropy = now + self.config.anti_entropy_interval * jitter;
             self.anti_entropy_round(now);
         }
         self.process_effects(now);
@@ -262,7 +262,7 @@
             self.send_members(now, &to, &mut vec![suspect]);
         }
         while let Some(event) = self.members.next_event() {
-            if matches!(event, MemberEvent::Up(_)) && self.members.count() == 1 {
+            if matches!(event, MemberEvent::Up(_)) && self.members.other_count() == 1 {
                 // The node has joined: it asks for the entries of the others at once.
                 self.next_anti_entropy = now;
             }
--- a/crates/cluster/src/fleet/publish.rs
+++ b/crates/cluster/src/fleet/publish.rs
@@ -17,8 +17,8 @@
     fn next_version(&mut self) -> Version {
         self.versions += 1;
         Version {
-            incarnation: self.members.me().incarnation,
-            n: self.versions,
+            incarnation: self.members.local_node().incarnation,
+            sequence: self.versions,
         }
     }
 
@@ -72,7 +72,7 @@
     /// Publishes the failure reports that are due.
     pub(super) fn publish_reports(&mut self, now: Time, listed: usize) {
         let (table, members) = (&self.table, &self.members);
-        let (nodes, witnesses) = (members.count() + 1, self.config.quorum.witnesses);
+        let (nodes, min_reporters) = (members.other_count() + 1, self.config.quorum.min_reporters);
         let is_reported = |server: &ServerInstance| {
             let is_fault =
                 |value: &Value| matches!(value, Value::Report(r) if r.finding.is_fault());
@@ -80,25 +80,45 @@
             let reporters = reports
                 .filter(|(_, _, stored)| is_fault(&stored.value))
                 .count();
-            reporters + 1 >= witnesses
-                && quorum::reports_healthy(server, &members.me().name, nodes, witnesses)
+            reporters + 1 >= min_reporters
+                && quorum::is_healthy_reporter(
+                    server,
+                    &members.local_node().name,
+                    nodes,
+                    min_reporters,
+                )
         };
         let due = self.observer.take_due_reports(now, listed, is_reported);
-        let (by, ttl) = (self.members.me().name.clone(), self.config.report_lasts);
+        let (reporter, ttl) = (
+            self.members.local_node().name.clone(),
+            self.config.report_ttl,
+        );
         for report in due {
             let key = Key::Report {
                 server: report.server,
-                by: by.clone(),
+                reporter: reporter.clone(),
             };
-            self.publish_aged(now, key, Value::Report(report.report), ttl, report.age);
+            self.publish_aged(
+                now,
+                key,
+                Value::Report(report.report),
+                ttl,
+                report.evidence_age,
+            );
         }
     }
 
     /// Bans a server on behalf of an operator, for so many seconds or until the ban is lifted. `None` if the node can't
     /// publish it.
-    pub fn ban(&mut self, now: Time, server: &str, by: &str, lasts: Option<Time>) -> Option<BanId> {
+    pub fn ban(
+        &mut self,
+        now: Time,
+        server: &str,
+        operator: &str,
+        duration: Option<Time>,
+    ) -> Option<BanId> {
         self.bans += 1;
-        let me = self.members.me();
+        let me = self.members.local_node();
         let id = BanId {
             node: me.name.clone(),
             incarnation: me.incarnation,
@@ -108,12 +128,14 @@
             server: server.to_owned(),
             id: id.clone(),
         };
-        let value = Value::Banned { by: by.to_owned() };
-        let ttl = lasts.unwrap_or(MAX_BAN_TTL).min(MAX_BAN_TTL);
+        let value = Value::Banned {
+            operator: operator.to_owned(),
+        };
+        let ttl = duration.unwrap_or(MAX_BAN_TTL).min(MAX_BAN_TTL);
         if !self.publish(now, key.clone(), value, ttl) {
             return None;
         }
-        if lasts.is_none() {
+        if duration.is_none() {
             self.permanent_bans.insert(key);
         }
         Some(id)
@@ -121,7 +143,7 @@
 
     /// Lifts every ban of a server that this node knows, on all nodes, on behalf of an operator; returns how many there
     /// were.
-    pub fn lift(&mut self, now: Time, server: &str, by: &str) -> usize {
+    pub fn lift(&mut self, now: Time, server: &str, operator: &str) -> usize {
         let known: Vec<(Key, Version)> = self
             .bans_of(server, now)
             .map(|(key, stored)| (key.clone(), stored.version))
@@ -130,10 +152,12 @@
             self.permanent_bans.remove(key);
             // The tombstone takes precedence over any other value of its ban, whatever their versions.
             let version = Version {
-                n: version.n.saturating_add(1),
+                sequence: version.sequence.saturating_add(1),
                 ..*version
             };
-            let value = Value::BanLifted { by: by.to_owned() };
+            let value = Value::BanLifted {
+                operator: operator.to_owned(),
+            };
             let ttl_ms = millis(MAX_BAN_TTL);
             self.merge_own(
                 now,
@@ -176,7 +200,7 @@
     pub fn leave(&mut self, now: Time) {
         let Node {
             name, incarnation, ..
-        } = self.members.me().clone();
+        } = self.members.local_node().clone();
         let key = Key::Leaving {
             node: name,
             incarnation,
@@ -194,7 +218,7 @@
         };
         let version = Version {
             incarnation: Incarnation::default(),
-            n: index,
+            sequence: index,
         };
         let ttl_ms = millis(MAX_INDEX_TTL);
         self.merge_own(
--- a/crates/cluster/src/fleet/query.rs
+++ b/crates/cluster/src/fleet/query.rs
@@ -17,14 +17,14 @@
     /// Whether this node checks its health in the present interval.
     pub is_prober: bool,
     /// How long this can hold without further reports, in seconds.
-    pub left: Time,
+    pub remaining: Time,
 }
 
 /// A report on a server in the table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PublishedReport<'a> {
     /// The reporting node.
-    pub by: &'a str,
+    pub reporter: &'a str,
     /// The report.
     pub report: &'a Report,
     /// Its age, in seconds.
@@ -49,7 +49,7 @@
     }
 
     /// For how many seconds a server is banned, without further calls; `None` if it is not banned.
-    pub fn ban_left(&self, server: &str, now: Time) -> Option<Time> {
+    pub fn remaining_ban(&self, server: &str, now: Time) -> Option<Time> {
         self.bans_of(server, now)
             .map(|(_, stored)| stored.remaining_ttl(now))
             .reduce(f64::max)
@@ -77,18 +77,19 @@
                 },
                 now,
             )
-            .map(|stored| stored.version.n)
+            .map(|stored| stored.version.sequence)
     }
 
     /// The votes on each server that there are reports on, as they count in this node's zone.
     pub fn votes(&self, now: Time) -> BTreeMap<&ServerInstance, Votes> {
         let mut votes: BTreeMap<&ServerInstance, Votes> = BTreeMap::new();
         for (key, stored) in self.table.live_from(&Key::first_report(), now) {
-            let (Key::Report { server, by }, Value::Report(report)) = (key, &stored.value) else {
+            let (Key::Report { server, reporter }, Value::Report(report)) = (key, &stored.value)
+            else {
                 break;
             };
             let on_server = votes.entry(server).or_default();
-            if self.members.contains(by) {
+            if self.members.contains(reporter) {
                 on_server.add(report, &self.config.zone, &self.config.quorum);
             } else {
                 on_server.ignored += 1;
@@ -102,14 +103,17 @@
     pub fn ejected_servers(&self, now: Time, listed: usize) -> Vec<EjectedServer> {
         let votes = self.votes(now);
         let votes = votes.iter().map(|(server, votes)| (*server, *votes));
-        let ejected = quorum::ejected(votes, listed, &self.config.quorum);
-        let interval = (now / self.config.trial_every) as u64;
-        let (me, nodes) = (self.members.me().name.as_str(), self.members.count() + 1);
+        let ejected = quorum::select_ejected(votes, listed, &self.config.quorum);
+        let interval = (now / self.config.ejected_probe_interval) as u64;
+        let (me, nodes) = (
+            self.members.local_node().name.as_str(),
+            self.members.other_count() + 1,
+        );
         let to_ejected = |(server, votes): (&ServerInstance, Votes)| EjectedServer {
             server: server.clone(),
             votes,
             is_prober: quorum::is_prober(server, interval, me, nodes),
-            left: self.ejected_for(server, now),
+            remaining: self.ejected_for(server, now),
         };
         ejected.into_iter().map(to_ejected).collect()
     }
@@ -122,12 +126,12 @@
         let reports = self.reports(server, now);
         for published in reports
             .iter()
-            .filter(|report| self.members.contains(report.by))
+            .filter(|report| self.members.contains(report.reporter))
         {
             votes.add(published.report, &self.config.zone, &self.config.quorum);
-            responds |= published.report.is_of_response();
+            responds |= published.report.shows_response();
         }
-        responds && votes.majority(&self.config.quorum).is_none()
+        responds && votes.ejection_margin(&self.config.quorum).is_none()
     }
 
     /// How long a server can remain ejected: until so many of the reports have expired that they are no quorum.
@@ -138,13 +142,14 @@
             votes.failed + votes.unreachable > 0
         };
         let mut left: Vec<Time> = reports_on(&self.table, server, now)
-            .filter(|(_, by, stored)| {
-                self.members.contains(by) && matches!(&stored.value, Value::Report(r) if counts(r))
+            .filter(|(_, reporter, stored)| {
+                self.members.contains(reporter)
+                    && matches!(&stored.value, Value::Report(r) if counts(r))
             })
             .map(|(_, _, stored)| stored.remaining_ttl(now))
             .collect();
         left.sort_by(|a, b| b.total_cmp(a));
-        left.get(self.config.quorum.witnesses.saturating_sub(1))
+        left.get(self.config.quorum.min_reporters.saturating_sub(1))
             .copied()
             .unwrap_or(0.0)
     }
@@ -156,9 +161,9 @@
         now: Time,
     ) -> Vec<PublishedReport<'a>> {
         let all = reports_on(&self.table, server, now);
-        all.filter_map(|(_, by, stored)| match &stored.value {
+        all.filter_map(|(_, reporter, stored)| match &stored.value {
             Value::Report(report) => Some(PublishedReport {
-                by,
+                reporter,
                 report,
                 age: stored.age(now),
             }),
@@ -176,13 +181,16 @@
 ) -> impl Iterator<Item = (&'a Key, &'a str, &'a StoredEntry)> {
     let from = Key::Report {
         server: server.clone(),
-        by: String::new(),
+        reporter: String::new(),
     };
-    let by = move |key: &'a Key| match key {
-        Key::Report { server: s, by } if s == server => Some(by.as_str()),
+    let reporter = move |key: &'a Key| match key {
+        Key::Report {
+            server: s,
+            reporter,
+        } if s == server => Some(reporter.as_str()),
         _ => None,
     };
     table
         .live_from(&from, now)
-        .map_while(move |(key, stored)| Some((key, by(key)?, stored)))
+        .map_while(move |(key, stored)| Some((key, reporter(key)?, stored)))
 }
--- a/crates/cluster/src/fleet/receive.rs
+++ b/crates/cluster/src/fleet/receive.rs
@@ -6,8 +6,8 @@
 use crate::node::Node;
 use crate::table::MergeOutcome;
 use crate::wire::{
-    AntiEntropy, AppMessage, Digests, DropReason, GossipDatagram, Header, MemberState,
-    MemberUpdate, Writer, MEMBER_PARTITIONS,
+    AntiEntropy, AppMessage, DatagramWriter, Digests, DropReason, GossipDatagram, Header,
+    MemberState, MemberUpdate, MEMBER_PARTITIONS,
 };
 use crate::{Time, MICROS_PER_SECOND};
 use rand::RngExt;
@@ -29,7 +29,7 @@
             Ok(opened) => opened,
             Err(reason) => return self.count_dropped(reason),
         };
-        self.counters.received += 1;
+        self.counters.received_datagrams += 1;
         self.received_at = now;
         self.incarnations.record(&header.from);
         if let Some(newer) = header.newer_incarnation {
@@ -51,7 +51,7 @@
         let opened = GossipDatagram::open(&self.secret, datagram)?;
         let header = &opened.header;
         let tag = header.from.incarnation.tag;
-        if tag == self.members.me().incarnation.tag {
+        if tag == self.members.local_node().incarnation.tag {
             return Err(DropReason::Own);
         }
         if !self
@@ -64,13 +64,13 @@
     }
 
     fn count_dropped(&mut self, reason: DropReason) {
-        *self.counters.dropped.entry(reason).or_default() += 1;
+        *self.counters.dropped_datagrams.entry(reason).or_default() += 1;
     }
 
     fn receive_members(&mut self, now: Time, header: &Header) {
         let mut dead = self.members.apply_updates(now, &header.members);
         self.send_members(now, &header.from, &mut dead);
-        let me = self.members.me();
+        let me = self.members.local_node();
         let suspects_me =
             |update: &MemberUpdate| update.state == MemberState::Suspected && update.node == *me;
         if header.members.iter().any(suspects_me) {
@@ -80,12 +80,12 @@
     }
 
     fn receive_message(&mut self, datagram: &[u8]) {
-        let me = self.members.me().incarnation.tag;
+        let me = self.members.local_node().incarnation.tag;
         let message = AppMessage::open(&self.secret, datagram);
         match message {
-            Ok(message) if message.to != me => self.count_dropped(DropReason::Misdirected),
+            Ok(message) if message.to_tag != me => self.count_dropped(DropReason::Misdirected),
             Ok(message) if self.messages.len() < MAX_MESSAGES => {
-                self.counters.received += 1;
+                self.counters.received_datagrams += 1;
                 self.messages.push_back(NodeMessage {
                     from: message.from,
                     body: message.body,
@@ -100,10 +100,10 @@
     /// Merges entries with their age and the longest time that they can have been in transit. Without proof of that they
     /// are ignored.
     fn merge_entries(&mut self, now: Time, header: &Header, entries: Vec<Entry>) {
-        let is_for_me = header.to == self.members.me().incarnation.tag;
+        let is_for_me = header.to_tag == self.members.local_node().incarnation.tag;
         let echo = header.echo.filter(|_| is_for_me);
         let Some(transit) = echo.and_then(|echo| freshness::max_transit(now, echo)) else {
-            self.counters.unproven += entries.len() as u64;
+            self.counters.unproven_entries += entries.len() as u64;
             return;
         };
         let transit_us = (transit * MICROS_PER_SECOND).ceil() as u64;
@@ -113,8 +113,8 @@
             match self.table.merge(now, entry) {
                 MergeOutcome::Updated => self.events.push_back(FleetEvent::Updated(key)),
                 MergeOutcome::Unchanged => {}
-                MergeOutcome::Expired => self.counters.expired += 1,
-                MergeOutcome::Rejected => self.counters.rejected += 1,
+                MergeOutcome::Expired => self.counters.expired_entries += 1,
+                MergeOutcome::Rejected => self.counters.rejected_entries += 1,
             }
         }
     }
@@ -149,7 +149,9 @@
         if mine == *digests {
             return;
         }
-        let entries = self.table.differing(now, &digests.entries);
+        let entries = self
+            .table
+            .entries_of_differing_partitions(now, &digests.entries);
         let mut entries = entries.iter().peekable();
         for n in 0..MAX_ENTRY_DATAGRAMS {
             let mut header = self.header(now, to);
@@ -157,7 +159,7 @@
             if header.anti_entropy.is_none() && entries.peek().is_none() {
                 break;
             }
-            let Some(mut writer) = Writer::new(&header) else {
+            let Some(mut writer) = DatagramWriter::new(&header) else {
                 return;
             };
             while entries.next_if(|entry| writer.add(entry)).is_some() {}
@@ -169,7 +171,7 @@
     /// Sends the members that another node may not know. A node that joins receives only some members from the library, and
     /// it ignores the reports of nodes that it does not know.
     fn send_unknown_members(&mut self, now: Time, to: &Node, digests: &[u32; MEMBER_PARTITIONS]) {
-        let mut updates = self.members.differing(digests, to);
+        let mut updates = self.members.members_of_differing_partitions(digests, to);
         // Shuffled: members that two nodes have sent already, a third need not send first.
         for n in (1..updates.len()).rev() {
             updates.swap(n, self.rng.random_range(0..=n));
@@ -184,7 +186,7 @@
             }
             let mut header = self.header(now, to);
             header.add_members(updates);
-            let Some(writer) = Writer::new(&header) else {
+            let Some(writer) = DatagramWriter::new(&header) else {
                 return;
             };
             self.send(to.address, writer);
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -102,7 +102,7 @@
     }
 
     /// This node as the others know it.
-    pub fn me(&self) -> &Node {
+    pub fn local_node(&self) -> &Node {
         &self.me
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Number of other members.
-    pub fn count(&self) -> usize {
+    pub fn other_count(&self) -> usize {
         self.by_tag.len()
     }
 
--- a/crates/cluster/src/members/anti_entropy.rs
+++ b/crates/cluster/src/members/anti_entropy.rs
@@ -39,7 +39,11 @@
     }
 
     /// The members, suspected ones included, of the partitions in which another node's digests differ; without that node.
-    pub fn differing(&self, digests: &[u32; MEMBER_PARTITIONS], from: &Node) -> Vec<MemberUpdate> {
+    pub fn members_of_differing_partitions(
+        &self,
+        digests: &[u32; MEMBER_PARTITIONS],
+        from: &Node,
+    ) -> Vec<MemberUpdate> {
         let own = self.digests();
         let differs = |node: &Node| {
             let partition = DigestContribution::of(&node.incarnation).partition;
--- a/crates/cluster/src/members/config.rs
+++ b/crates/cluster/src/members/config.rs
@@ -22,15 +22,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MembershipConfig {
     /// Interval of probes, in seconds; each is sent to one other member.
-    pub probe_every: Time,
+    pub probe_interval: Time,
     /// A probe that is not answered directly within this time, in seconds, is repeated indirectly.
-    pub answer_within: Time,
+    pub probe_timeout: Time,
     /// A member that does not refute a suspicion within this time, in seconds, is declared dead.
-    pub suspect_for: Time,
+    pub suspicion_timeout: Time,
     /// Number of members that an indirect probe goes through.
     pub indirect_probes: usize,
     /// The expected number of nodes, which determines how often updates are retransmitted.
-    pub size: u32,
+    pub expected_nodes: u32,
     /// The worst health score: at a score of `n`, probes and suspicions take `n + 1` times as long. At 0 the node never
     /// doubts its own health.
     pub max_health_score: u32,
@@ -39,11 +39,11 @@
 impl Default for MembershipConfig {
     fn default() -> Self {
         MembershipConfig {
-            probe_every: 1.0,
-            answer_within: 0.3,
-            suspect_for: 4.0,
+            probe_interval: 1.0,
+            probe_timeout: 0.3,
+            suspicion_timeout: 4.0,
             indirect_probes: 3,
-            size: 32,
+            expected_nodes: 32,
             max_health_score: MAX_HEALTH_SCORE,
         }
     }
@@ -64,13 +64,13 @@
                 num_members: nonzero(members),
             })
         };
-        let transmissions = max_transmissions(self.size as usize) as u8;
+        let transmissions = max_transmissions(self.expected_nodes as usize) as u8;
         Config {
-            probe_period: seconds(self.probe_every),
-            probe_rtt: seconds(self.answer_within),
+            probe_period: seconds(self.probe_interval),
+            probe_rtt: seconds(self.probe_timeout),
             num_indirect_probes: nonzero(self.indirect_probes),
             max_transmissions: NonZeroU8::new(transmissions).unwrap_or(NonZeroU8::MIN),
-            suspect_to_down_after: seconds(self.suspect_for),
+            suspect_to_down_after: seconds(self.suspicion_timeout),
             remove_down_after: Some(seconds(REMOVE_DEAD_AFTER)),
             max_packet_size: nonzero(MAX_SWIM_LEN),
             notify_down_members: true,
--- a/crates/cluster/src/members/timers.rs
+++ b/crates/cluster/src/members/timers.rs
@@ -42,10 +42,10 @@
                 break;
             }
             let timer = first.remove();
-            let is_late = now - due_us as f64 / MICROS_PER_SECOND > self.config.answer_within;
+            let is_late = now - due_us as f64 / MICROS_PER_SECOND > self.config.probe_timeout;
             if is_late && matches!(timer, Timer::ChangeSuspectToDown { .. }) {
                 // This process was paused, and may have lost the member's refutation.
-                let after = Duration::from_secs_f64(self.config.suspect_for);
+                let after = Duration::from_secs_f64(self.config.suspicion_timeout);
                 self.output.timers.push(RequestedTimer { timer, after });
             } else {
                 self.handle_timer(now, timer);
--- a/crates/cluster/src/observer.rs
+++ b/crates/cluster/src/observer.rs
@@ -24,7 +24,7 @@
 pub const MAX_SERVERS: usize = 4096;
 /// Minimum number of concurring attempts where one could be chance: a broken connection or a late answer can come from any
 /// server, and one good answer from a faulty one.
-pub const MIN_EVIDENCE: usize = 2;
+pub const MIN_CONCURRING_OUTCOMES: usize = 2;
 /// Minimum number of late answers in a row: a busy moment makes several late, of any server.
 pub const MIN_LATE_ANSWERS: usize = 4;
 /// A report is renewed after this part of its time to live.
@@ -87,9 +87,9 @@
     /// The server.
     pub server: ServerInstance,
     /// When the wait began, in seconds.
-    pub since: Time,
+    pub started_at: Time,
     /// When the attempt became late, in seconds.
-    pub late_from: Time,
+    pub overdue_since: Time,
 }
 
 /// A report that is due.
@@ -100,7 +100,7 @@
     /// The report.
     pub report: Report,
     /// The age of its last evidence, in seconds.
-    pub age: Time,
+    pub evidence_age: Time,
 }
 
 /// The observations of one server.
@@ -172,14 +172,14 @@
             .take_while(|outcome| *outcome == AttemptOutcome::Answered)
             .count();
         if answers > 0 {
-            return (answers >= MIN_EVIDENCE).then_some(assessment(Finding::Well));
+            return (answers >= MIN_CONCURRING_OUTCOMES).then_some(assessment(Finding::Well));
         }
         let failures = latest().take_while(|outcome| *outcome != AttemptOutcome::Answered);
         let worst = failures.clone().max()?;
         let needed = if worst == AttemptOutcome::AnsweredLate {
             MIN_LATE_ANSWERS
         } else {
-            MIN_EVIDENCE
+            MIN_CONCURRING_OUTCOMES
         };
         let is_enough = worst.is_conclusive() || failures.count() >= needed;
         is_enough.then_some(assessment(worst.finding()))
@@ -299,19 +299,19 @@
         let mut is_new = false;
         for OverdueAttempt {
             server,
-            since,
-            late_from,
+            started_at,
+            overdue_since,
         } in attempts
         {
             let observations = self
                 .observations(server)
-                .filter(|o| o.last_response_at <= *since);
+                .filter(|o| o.last_response_at <= *started_at);
             let Some(observations) = observations else {
                 continue;
             };
             observations.overdue += 1;
-            is_new |= *late_from > observations.overdue_from;
-            observations.overdue_from = observations.overdue_from.max(*late_from);
+            is_new |= *overdue_since > observations.overdue_from;
+            observations.overdue_from = observations.overdue_from.max(*overdue_since);
         }
         is_new
     }
@@ -321,12 +321,12 @@
     pub fn take_due_reports(
         &mut self,
         now: Time,
-        listed: usize,
+        listed_servers: usize,
         mut is_reported: impl FnMut(&ServerInstance) -> bool,
     ) -> Vec<DueReport> {
         self.forget_old(now);
-        let (faults, ttl) = (self.count_faults(), self.report_ttl);
-        let (faults, listed) = (saturate(faults), saturate(listed));
+        let (faulty, ttl) = (self.count_faulty(), self.report_ttl);
+        let (faulty, listed_servers) = (saturate(faulty), saturate(listed_servers));
         let mut due = Vec::new();
         for (server, observations) in &mut self.servers {
             let assessment = observations.assess().or_else(|| observations.withdrawal());
@@ -338,7 +338,9 @@
                     .last_report
                     .is_some_and(|last| last.finding != Finding::Well)
                 || is_reported(server);
-            let is_credible = self.quorum.believes(assessment.finding, faults, listed);
+            let is_credible = self
+                .quorum
+                .is_credible(assessment.finding, faulty, listed_servers);
             if !observations.is_due(assessment, is_credible, now, ttl) || !matters {
                 continue;
             }
@@ -356,21 +358,21 @@
             });
             let report = Report {
                 finding,
-                bad: saturate(bad),
-                good: saturate(good),
+                failures: saturate(bad),
+                successes: saturate(good),
                 zone: self.zone.clone(),
-                accused: faults,
-                listed,
+                faulty_servers: faulty,
+                listed_servers,
             };
             // As old as its evidence: reported late, it expires no later.
-            let age = match finding {
+            let evidence_age = match finding {
                 Finding::Unclear => 0.0,
                 _ => (now - observations.last_evidence()).clamp(0.0, ttl),
             };
             due.push(DueReport {
                 server: server.clone(),
                 report,
-                age,
+                evidence_age,
             });
         }
         due
@@ -385,7 +387,7 @@
         });
     }
 
-    fn count_faults(&self) -> usize {
+    fn count_faulty(&self) -> usize {
         let is_faulty = |o: &&Observations| o.assess().is_some_and(|a| a.finding.is_fault());
         self.servers.values().filter(is_faulty).count()
     }
--- a/crates/cluster/src/quorum.rs
+++ b/crates/cluster/src/quorum.rs
@@ -9,7 +9,7 @@
 //! | of a node that finds too many servers faulty | not at all: more likely the fault is that node's own |
 //! | of a node that is not a member, unless it is this one | not at all |
 //!
-//! A server is ejected when at least [`Quorum::witnesses`] nodes report a fault, each with one vote, and more than report
+//! A server is ejected when at least [`Quorum::min_reporters`] nodes report a fault, each with one vote, and more than report
 //! that it is healthy. Of a list no more than [`Quorum::max_ejected_fraction`] is ejected, the best proven first: where all
 //! nodes would eject all servers, something else is wrong.
 
@@ -27,30 +27,30 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quorum {
     /// Number of nodes that have to report a fault.
-    pub witnesses: usize,
+    pub min_reporters: usize,
     /// Maximum fraction of the list that can be ejected; one server of a short list.
     pub max_ejected_fraction: f64,
     /// The reports of a node that finds more than this fraction of its list faulty are ignored; two servers are always
     /// believed.
-    pub max_reported_fraction: f64,
+    pub max_faulty_fraction: f64,
 }
 
 impl Default for Quorum {
     fn default() -> Self {
         Quorum {
-            witnesses: 3,
+            min_reporters: 3,
             max_ejected_fraction: 0.2,
-            max_reported_fraction: 0.3,
+            max_faulty_fraction: 0.3,
         }
     }
 }
 
 impl Quorum {
     /// Whether a finding of a node is believed that finds `faults` of `listed` servers faulty.
-    pub(crate) fn believes(&self, finding: Finding, faults: u16, listed: u16) -> bool {
+    pub(crate) fn is_credible(&self, finding: Finding, faults: u16, listed: u16) -> bool {
         !finding.is_fault()
             || usize::from(faults) <= ALWAYS_BELIEVED
-            || f64::from(faults) <= self.max_reported_fraction * f64::from(listed)
+            || f64::from(faults) <= self.max_faulty_fraction * f64::from(listed)
     }
 }
 
@@ -72,7 +72,7 @@
 impl Votes {
     /// Adds a report, as it counts for a reader in this zone.
     pub fn add(&mut self, report: &Report, zone: &str, quorum: &Quorum) {
-        if !quorum.believes(report.finding, report.accused, report.listed) {
+        if !quorum.is_credible(report.finding, report.faulty_servers, report.listed_servers) {
             self.ignored += 1;
             return;
         }
@@ -89,10 +89,10 @@
     }
 
     /// By how many votes the server is ejected; `None` if it is not.
-    pub fn majority(&self, quorum: &Quorum) -> Option<usize> {
-        let majority =
-            |bad: usize, good: usize| (bad >= quorum.witnesses && bad > good).then(|| bad - good);
-        majority(self.failed, self.healthy).max(majority(self.unreachable, self.healthy_in_zone))
+    pub fn ejection_margin(&self, quorum: &Quorum) -> Option<usize> {
+        let margin =
+            |bad: usize, ok: usize| (bad >= quorum.min_reporters && bad > ok).then(|| bad - ok);
+        margin(self.failed, self.healthy).max(margin(self.unreachable, self.healthy_in_zone))
     }
 }
 
@@ -104,18 +104,18 @@
 }
 
 /// The ejected servers, by the votes on each, of a list with `listed` servers.
-pub fn ejected<'a>(
+pub fn select_ejected<'a>(
     votes: impl Iterator<Item = (&'a ServerInstance, Votes)>,
     listed: usize,
     quorum: &Quorum,
 ) -> BTreeMap<&'a ServerInstance, Votes> {
     // Larger majorities count as equal: if more servers fail than may be ejected, each report would otherwise change
     // which of them are, and requests would be sent to a failing server with each change.
-    let conclusive = CONCLUSIVE_QUORUMS * quorum.witnesses;
+    let conclusive = CONCLUSIVE_QUORUMS * quorum.min_reporters;
     let mut candidates: Vec<Candidate> = votes
         .filter_map(|(server, votes)| {
             Some(Candidate {
-                majority: votes.majority(quorum)?.min(conclusive),
+                majority: votes.ejection_margin(quorum)?.min(conclusive),
                 server,
                 votes,
             })
@@ -135,14 +135,14 @@
 
 /// Whether a node is one of those that report that a nearly ejected server is healthy. They are a subset of the nodes,
 /// the same for the lifetime of the server, so that a large fleet is not flooded with reports.
-pub fn reports_healthy(
+pub fn is_healthy_reporter(
     server: &ServerInstance,
     node: &str,
     nodes: usize,
-    witnesses: usize,
+    min_reporters: usize,
 ) -> bool {
     let rank = shared_random(0, server, node) % (nodes.max(1) as u64);
-    rank < (HEALTHY_REPORTERS * witnesses) as u64
+    rank < (HEALTHY_REPORTERS * min_reporters) as u64
 }
 
 /// Whether a node checks the health of an ejected server in this interval of its own clock. Nodes have no common clock, so
--- a/crates/cluster/src/table.rs
+++ b/crates/cluster/src/table.rs
@@ -189,10 +189,10 @@
     /// Makes sure that there is capacity for a new entry, and returns whether there is. A report is evicted for a manual
     /// entry.
     fn ensure_capacity(&mut self, entry: &Entry) -> bool {
-        if let Key::Report { by, .. } = &entry.key {
+        if let Key::Report { reporter, .. } = &entry.key {
             if self
                 .reports
-                .get(by)
+                .get(reporter)
                 .is_some_and(|n| *n >= MAX_REPORTS_PER_NODE)
             {
                 return false;
@@ -234,8 +234,8 @@
             transmissions: 0,
             digest,
         };
-        if let Key::Report { by, .. } = &key {
-            *self.reports.entry(by.clone()).or_default() += 1;
+        if let Key::Report { reporter, .. } = &key {
+            *self.reports.entry(reporter.clone()).or_default() += 1;
         }
         self.digests[partition(&key)] ^= stored.digest;
         self.expiries.insert(stored.expiry(&key));
@@ -247,19 +247,19 @@
         let Some(stored) = self.entries.remove(key) else {
             return;
         };
-        if let Key::Report { by, .. } = key {
-            self.forget_report(by);
+        if let Key::Report { reporter, .. } = key {
+            self.forget_report(reporter);
         }
         self.digests[partition(key)] ^= stored.digest;
         self.expiries.remove(&stored.expiry(key));
         self.pending.remove(&stored.pending(key));
     }
 
-    fn forget_report(&mut self, by: &str) {
-        if let Some(n) = self.reports.get_mut(by) {
+    fn forget_report(&mut self, reporter: &str) {
+        if let Some(n) = self.reports.get_mut(reporter) {
             *n -= 1;
             if *n == 0 {
-                self.reports.remove(by);
+                self.reports.remove(reporter);
             }
         }
     }
@@ -332,7 +332,7 @@
 
     /// Offers the pending entries to a datagram, the least often sent first. `add` returns whether one fits; it counts as
     /// sent then.
-    pub fn gossip(
+    pub fn offer_pending(
         &mut self,
         now: Time,
         max_transmissions: u32,
@@ -375,7 +375,11 @@
     }
 
     /// The entries of the partitions in which another table has other digests; those that live longest come first.
-    pub fn differing(&self, now: Time, digests: &[u64; PARTITIONS]) -> Vec<Entry> {
+    pub fn entries_of_differing_partitions(
+        &self,
+        now: Time,
+        digests: &[u64; PARTITIONS],
+    ) -> Vec<Entry> {
         let differs = |key: &Key| {
             let partition = partition(key);
             self.digests[partition] != digests[partition]
--- a/crates/cluster/src/wire.rs
+++ b/crates/cluster/src/wire.rs
@@ -117,7 +117,7 @@
     /// The writer.
     pub from: Node,
     /// The tag of the receiving process; 0 where that is not known.
-    pub to: u64,
+    pub to_tag: u64,
     /// Counted by the writer.
     pub sequence: u64,
     /// The writer's clock, in microseconds.
@@ -182,24 +182,27 @@
 }
 
 /// A datagram under construction.
-pub struct Writer {
+pub struct DatagramWriter {
     bytes: Vec<u8>,
     /// Number of entries in it.
-    pub entries: usize,
+    pub entry_count: usize,
 }
 
-impl Writer {
+impl DatagramWriter {
     /// A datagram with this header; `None` if it does not fit.
-    pub fn new(header: &Header) -> Option<Writer> {
-        Writer::with_body(GOSSIP_MAGIC, header)
+    pub fn new(header: &Header) -> Option<DatagramWriter> {
+        DatagramWriter::with_body(GOSSIP_MAGIC, header)
     }
 
-    fn with_body<T: Serialize>(magic: [u8; 2], body: &T) -> Option<Writer> {
+    fn with_body<T: Serialize>(magic: [u8; 2], body: &T) -> Option<DatagramWriter> {
         let mut bytes = vec![0; PREFIX_LEN];
         bytes[..2].copy_from_slice(&magic);
         bytes[2] = VERSION;
         let bytes = postcard::to_extend(body, bytes).ok()?;
-        (bytes.len() <= MAX_DATAGRAM_LEN).then_some(Writer { bytes, entries: 0 })
+        (bytes.len() <= MAX_DATAGRAM_LEN).then_some(DatagramWriter {
+            bytes,
+            entry_count: 0,
+        })
     }
 
     /// Adds an entry; returns whether it fits.
@@ -210,7 +213,7 @@
         let fits = self.bytes.len() + more.len() <= MAX_DATAGRAM_LEN;
         if fits {
             self.bytes.extend_from_slice(&more);
-            self.entries += 1;
+            self.entry_count += 1;
         }
         fits
     }
@@ -295,7 +298,7 @@
     /// The writer.
     pub from: Node,
     /// The tag of the receiving process.
-    pub to: u64,
+    pub to_tag: u64,
     /// The application's part.
     pub body: Vec<u8>,
 }
@@ -308,7 +311,7 @@
 
     /// The authenticated datagram; `None` if it would be too long.
     pub fn seal(&self, secret: &Secret) -> Option<Vec<u8>> {
-        Writer::with_body(MESSAGE_MAGIC, self).map(|writer| writer.seal(secret))
+        DatagramWriter::with_body(MESSAGE_MAGIC, self).map(|writer| writer.seal(secret))
     }
 
     /// Authenticates and decodes a datagram.
--- a/crates/cluster/tests/explore/ban.rs
+++ b/crates/cluster/tests/explore/ban.rs
@@ -26,17 +26,17 @@
         BanVersion {
             is_lifted: matches!(value, Value::BanLifted { .. }),
             number,
-            version: version.n,
+            version: version.sequence,
         }
     }
 
     pub fn to_entry(self, age_us: u64) -> Entry {
         let incarnation = Incarnation { number: 1, tag: 7 };
-        let by = "ada".to_owned();
+        let operator = "ada".to_owned();
         let value = if self.is_lifted {
-            Value::BanLifted { by }
+            Value::BanLifted { operator }
         } else {
-            Value::Banned { by }
+            Value::Banned { operator }
         };
         let ttl_ms = if self.is_lifted {
             LIFT_TTL_MS
@@ -55,7 +55,7 @@
             },
             version: Version {
                 incarnation,
-                n: self.version,
+                sequence: self.version,
             },
             value,
             ttl_ms,
--- a/crates/cluster/tests/explore/node.rs
+++ b/crates/cluster/tests/explore/node.rs
@@ -51,7 +51,8 @@
 
     /// The entries that the node sends to one whose table differs entirely.
     pub fn entries(&self, now: u8) -> Vec<Entry> {
-        self.table().differing(f64::from(now), &NO_DIGESTS)
+        self.table()
+            .entries_of_differing_partitions(f64::from(now), &NO_DIGESTS)
     }
 
     /// Merges a ban by the table's own rules.
--- a/crates/cluster/tests/fleet/datagrams.rs
+++ b/crates/cluster/tests/fleet/datagrams.rs
@@ -45,7 +45,7 @@
             process
                 .fleet
                 .counters()
-                .dropped
+                .dropped_datagrams
                 .get(&reason)
                 .copied()
                 .unwrap_or(0)
@@ -94,9 +94,9 @@
         receiver.receive(60.0, &datagram);
     }
     assert_eq!(
-        receiver.ban_left("sick", 60.0),
+        receiver.remaining_ban("sick", 60.0),
         None,
         "a datagram that was a minute in transit counted"
     );
-    assert!(receiver.counters().expired + receiver.counters().unproven > 0);
+    assert!(receiver.counters().expired_entries + receiver.counters().unproven_entries > 0);
 }
--- a/crates/cluster/tests/fleet/fixture.rs
+++ b/crates/cluster/tests/fleet/fixture.rs
@@ -28,7 +28,7 @@
 pub fn server(index: usize) -> ServerInstance {
     ServerInstance {
         name: format!("server-{index}"),
-        since: 5,
+        started_ms: 5,
     }
 }
 
--- a/crates/cluster/tests/fleet/stalls.rs
+++ b/crates/cluster/tests/fleet/stalls.rs
@@ -64,10 +64,10 @@
         let overdue: Vec<OverdueAttempt> = waiting
             .map(|index| OverdueAttempt {
                 server: server(index),
-                since: now - waited,
-                late_from: now - waited + LATENCY_OBJECTIVE,
+                started_at: now - waited,
+                overdue_since: now - waited + LATENCY_OBJECTIVE,
             })
-            .filter(|attempt| attempt.late_from <= now)
+            .filter(|attempt| attempt.overdue_since <= now)
             .collect();
         fleet.set_overdue(now, &overdue);
     });
--- a/crates/cluster/tests/fleet/verdicts.rs
+++ b/crates/cluster/tests/fleet/verdicts.rs
@@ -44,8 +44,8 @@
         world.with_node(*node, |fleet, now| {
             let attempt = |overdue_by| OverdueAttempt {
                 server: server(0),
-                since: now - 0.2 - overdue_by,
-                late_from: now - overdue_by,
+                started_at: now - 0.2 - overdue_by,
+                overdue_since: now - overdue_by,
             };
             fleet.set_overdue(
                 now,
@@ -103,7 +103,7 @@
     const TIMEOUT: f64 = 2.0;
     const REPORTERS: [usize; 3] = [0, 1, 2];
     let mut world = Cluster::new(5, 73, |_| Config {
-        report_lasts: REPORT_TTL,
+        report_ttl: REPORT_TTL,
         ..default_config()
     });
     world.run_until(20.0, Cluster::is_converged);
@@ -134,8 +134,8 @@
         world.with_node(node, |fleet, now| {
             let attempt = |index| OverdueAttempt {
                 server: server(index),
-                since: now - 0.3,
-                late_from: now - 0.1,
+                started_at: now - 0.3,
+                overdue_since: now - 0.1,
             };
             let late: Vec<OverdueAttempt> = (0..LATE_SERVERS).map(attempt).collect();
             fleet.set_overdue(now, &late);
@@ -251,7 +251,7 @@
 #[test]
 fn reports_of_dead_nodes_do_not_count() {
     let mut world = Cluster::new(9, 59, |_| Config {
-        report_lasts: 60.0,
+        report_ttl: 60.0,
         ..default_config()
     });
     world.run_until(20.0, Cluster::is_converged);
@@ -366,7 +366,7 @@
         .fleet
         .ejected_servers(process.local_time(world.now), 20);
     let next = ServerInstance {
-        since: 6,
+        started_ms: 6,
         ..server(0)
     };
     assert!(ejected
--- a/crates/cluster/tests/golden.rs
+++ b/crates/cluster/tests/golden.rs
@@ -5,8 +5,8 @@
 use reelfall_cluster::freshness::ClockEcho;
 use reelfall_cluster::node::{Incarnation, Node};
 use reelfall_cluster::wire::{
-    AntiEntropy, AppMessage, Digests, GossipDatagram, Header, MemberState, MemberUpdate, Secret,
-    Writer, MEMBER_PARTITIONS,
+    AntiEntropy, AppMessage, DatagramWriter, Digests, GossipDatagram, Header, MemberState,
+    MemberUpdate, Secret, MEMBER_PARTITIONS,
 };
 
 const GOLDEN: &str = include_str!("golden/datagrams.txt");
@@ -55,7 +55,7 @@
 fn headers() -> Vec<(&'static str, Header)> {
     let plain = Header {
         from: node("n1", 1),
-        to: 0,
+        to_tag: 0,
         sequence: 7,
         clock_us: 1_234_567,
         echo: None,
@@ -75,7 +75,7 @@
             address: "[2001:db8::1]:7000".parse().unwrap(),
             ..node("n2", 300)
         },
-        to: 0xfeed_beef_0102_0304,
+        to_tag: 0xfeed_beef_0102_0304,
         sequence: 70_000,
         echo: Some(ClockEcho {
             clock_us: 99_000_000,
@@ -112,7 +112,7 @@
     let reports = findings.into_iter().zip(1..).map(|(finding, n)| {
         let server = ServerInstance {
             name: format!("s{n}"),
-            since: 1_700_000_000_000 + n,
+            started_ms: 1_700_000_000_000 + n,
         };
         let zone = if n % 2 == 0 {
             "ikeja".to_owned()
@@ -121,16 +121,16 @@
         };
         let report = Report {
             finding,
-            bad: 3,
-            good: 400,
+            failures: 3,
+            successes: 400,
             zone,
-            accused: 2,
-            listed: 900,
+            faulty_servers: 2,
+            listed_servers: 900,
         };
         (
             Key::Report {
                 server,
-                by: "n1".to_owned(),
+                reporter: "n1".to_owned(),
             },
             Value::Report(report),
         )
@@ -150,13 +150,13 @@
         (
             ban(),
             Value::Banned {
-                by: "ada".to_owned(),
+                operator: "ada".to_owned(),
             },
         ),
         (
             ban(),
             Value::BanLifted {
-                by: "obi".to_owned(),
+                operator: "obi".to_owned(),
             },
         ),
         (
@@ -177,7 +177,7 @@
         key,
         version: Version {
             incarnation: incarnation(n),
-            n: 500 * n,
+            sequence: 500 * n,
         },
         value,
         ttl_ms: 60_000,
@@ -190,7 +190,7 @@
 fn datagrams_are_written_and_read_as_in_wire_version_2() {
     let mut lines = Vec::new();
     for (name, header) in headers() {
-        let datagram = Writer::new(&header).unwrap().seal(&secret());
+        let datagram = DatagramWriter::new(&header).unwrap().seal(&secret());
         let opened = GossipDatagram::open(&secret(), &datagram);
         let entries = Vec::new();
         assert_eq!(opened, Ok(GossipDatagram { header, entries }));
@@ -199,7 +199,7 @@
     for entry in entries() {
         assert!(entry.is_valid(), "{entry:?}");
         let (_, header) = headers().remove(0);
-        let mut writer = Writer::new(&header).unwrap();
+        let mut writer = DatagramWriter::new(&header).unwrap();
         assert!(writer.add(&entry));
         let datagram = writer.seal(&secret());
         let opened = GossipDatagram::open(&secret(), &datagram);
@@ -209,7 +209,7 @@
     }
     let message = AppMessage {
         from: node("n1", 1),
-        to: 12,
+        to_tag: 12,
         body: vec![9, 8, 7],
     };
     let datagram = message.seal(&secret()).unwrap();
--- a/crates/cluster/tests/quorum.rs
+++ b/crates/cluster/tests/quorum.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use reelfall_cluster::entry::ServerInstance;
-use reelfall_cluster::quorum::{ejected, Quorum, Votes};
+use reelfall_cluster::quorum::{select_ejected, Quorum, Votes};
 
 /// Servers of the endpoint list.
 const LISTED: usize = 20;
@@ -15,7 +15,7 @@
     (0..REPORTED)
         .map(|index| ServerInstance {
             name: format!("s{index:02}"),
-            since: 0,
+            started_ms: 0,
         })
         .collect()
 }
@@ -26,7 +26,7 @@
         failed: *failed,
         ..Votes::default()
     });
-    ejected(servers.iter().zip(votes), LISTED, &Quorum::default())
+    select_ejected(servers.iter().zip(votes), LISTED, &Quorum::default())
         .keys()
         .map(|server| server.name.clone())
         .collect()
--- a/crates/cluster/tests/table.rs
+++ b/crates/cluster/tests/table.rs
@@ -14,26 +14,26 @@
 /// The time at which the tables of the random tests are compared.
 const NOW: f64 = 1.0;
 
-fn report_entry(server: usize, by: &str, version: u64, bad: u16) -> Entry {
+fn report_entry(server: usize, reporter: &str, version: u64, failures: u16) -> Entry {
     let server = ServerInstance {
         name: format!("s{server}"),
-        since: 0,
+        started_ms: 0,
     };
     let version = Version {
         incarnation: INCARNATION,
-        n: version,
+        sequence: version,
     };
     let report = Report {
         finding: Finding::Failing,
-        bad,
-        good: 0,
+        failures,
+        successes: 0,
         zone: String::new(),
-        accused: 1,
-        listed: 9,
+        faulty_servers: 1,
+        listed_servers: 9,
     };
     let key = Key::Report {
         server,
-        by: by.to_owned(),
+        reporter: reporter.to_owned(),
     };
     Entry {
         key,
@@ -51,11 +51,11 @@
         number,
     };
     let value = Value::Banned {
-        by: "ada".to_owned(),
+        operator: "ada".to_owned(),
     };
     let version = Version {
         incarnation: INCARNATION,
-        n: version,
+        sequence: version,
     };
     Entry {
         key: Key::Ban {
@@ -72,17 +72,18 @@
 fn lift_entry(server: &str, number: u32, version: u64, ttl_ms: u32) -> Entry {
     Entry {
         value: Value::BanLifted {
-            by: "ada".to_owned(),
+            operator: "ada".to_owned(),
         },
         ..ban_entry(server, number, version, ttl_ms)
     }
 }
 
 fn random_entry() -> impl Strategy<Value = Entry> {
-    let reports =
-        (0..3usize, 0..3usize, 0..4u64, 0..3u16).prop_map(|(server, by, version, bad)| {
-            report_entry(server, &format!("n{by}"), version, bad)
-        });
+    let reports = (0..3usize, 0..3usize, 0..4u64, 0..3u16).prop_map(
+        |(server, reporter, version, failures)| {
+            report_entry(server, &format!("n{reporter}"), version, failures)
+        },
+    );
     let bans = (0..2usize, 0..2u32, 0..4u64, any::<bool>(), 1..3u32).prop_map(
         |(server, number, version, is_lifted, ttl)| {
             let make_entry = if is_lifted { lift_entry } else { ban_entry };
@@ -147,10 +148,10 @@
         for entry in second_entries {
             assert_ne!(second.merge(NOW, entry), MergeOutcome::Rejected);
         }
-        for entry in first.differing(NOW, &second.digests()) {
+        for entry in first.entries_of_differing_partitions(NOW, &second.digests()) {
             second.merge(NOW, entry);
         }
-        for entry in second.differing(NOW, &first.digests()) {
+        for entry in second.entries_of_differing_partitions(NOW, &first.digests()) {
             first.merge(NOW, entry);
         }
         prop_assert_eq!(first.digests(), second.digests());
--- a/crates/config/src/check/fleet.rs
+++ b/crates/config/src/check/fleet.rs
@@ -30,22 +30,22 @@
     let (membership, quorum) = (&fleet.rules.membership, &fleet.rules.quorum);
     // With a quorum of one, a single node could eject a server for all.
     checker.require(
-        (2..=1000).contains(&quorum.witnesses),
+        (2..=1000).contains(&quorum.min_reporters),
         &fleet.origin,
         || {
             format!(
                 "fleet: verdicts.witnesses is {}, not between 2 and 1000",
-                quorum.witnesses
+                quorum.min_reporters
             )
         },
     );
     checker.require(
-        (1..=100_000).contains(&membership.size),
+        (1..=100_000).contains(&membership.expected_nodes),
         &fleet.origin,
         || {
             format!(
                 "fleet: size is {}, not between 1 and 100000",
-                membership.size
+                membership.expected_nodes
             )
         },
     );
@@ -88,12 +88,17 @@
         max,
     };
     for time in [
-        time("probe_every", membership.probe_every, 0.05, 60.0),
-        time("suspect_for", membership.suspect_for, 0.1, 600.0),
-        time("spread_every", rules.spread_every, 0.01, 10.0),
-        time("heal_every", rules.heal_every, 0.05, 60.0),
-        time("verdicts.lasts", rules.report_lasts, 1.0, MAX_REPORT_TTL),
-        time("verdicts.trial_every", rules.trial_every, 0.1, 60.0),
+        time("probe_every", membership.probe_interval, 0.05, 60.0),
+        time("suspect_for", membership.suspicion_timeout, 0.1, 600.0),
+        time("spread_every", rules.gossip_interval, 0.01, 10.0),
+        time("heal_every", rules.anti_entropy_interval, 0.05, 60.0),
+        time("verdicts.lasts", rules.report_ttl, 1.0, MAX_REPORT_TTL),
+        time(
+            "verdicts.trial_every",
+            rules.ejected_probe_interval,
+            0.1,
+            60.0,
+        ),
     ] {
         checker.require(
             (time.min..=time.max).contains(&time.value),
@@ -107,7 +112,7 @@
         );
     }
     let is_below_interval =
-        membership.answer_within > 0.0 && membership.answer_within < membership.probe_every;
+        membership.probe_timeout > 0.0 && membership.probe_timeout < membership.probe_interval;
     checker.require(is_below_interval, &fleet.origin, || {
         "fleet: answer_within is more than 0 and less than probe_every".to_owned()
     });
--- a/crates/config/src/reader/fleet.rs
+++ b/crates/config/src/reader/fleet.rs
@@ -132,10 +132,10 @@
         Config {
             membership: self.membership(),
             quorum: verdicts.quorum(),
-            spread_every: time_or(&self.spread_every, default.spread_every),
-            heal_every: time_or(&self.heal_every, default.heal_every),
-            report_lasts: time_or(&verdicts.lasts, default.report_lasts),
-            trial_every: time_or(&verdicts.trial_every, default.trial_every),
+            gossip_interval: time_or(&self.spread_every, default.gossip_interval),
+            anti_entropy_interval: time_or(&self.heal_every, default.anti_entropy_interval),
+            report_ttl: time_or(&verdicts.lasts, default.report_ttl),
+            ejected_probe_interval: time_or(&verdicts.trial_every, default.ejected_probe_interval),
             seeds: self.seeds.iter().map(|seed| seed.0).collect(),
             zone: zone.unwrap_or_default(),
             ..default
@@ -145,10 +145,10 @@
     fn membership(&self) -> MembershipConfig {
         let default = MembershipConfig::default();
         MembershipConfig {
-            probe_every: time_or(&self.probe_every, default.probe_every),
-            answer_within: time_or(&self.answer_within, default.answer_within),
-            suspect_for: time_or(&self.suspect_for, default.suspect_for),
-            size: self.size.unwrap_or(default.size),
+            probe_interval: time_or(&self.probe_every, default.probe_interval),
+            probe_timeout: time_or(&self.answer_within, default.probe_timeout),
+            suspicion_timeout: time_or(&self.suspect_for, default.suspicion_timeout),
+            expected_nodes: self.size.unwrap_or(default.expected_nodes),
             ..default
         }
     }
@@ -158,9 +158,9 @@
     fn quorum(&self) -> Quorum {
         let default = Quorum::default();
         Quorum {
-            witnesses: self.witnesses.unwrap_or(default.witnesses),
+            min_reporters: self.witnesses.unwrap_or(default.min_reporters),
             max_ejected_fraction: self.most.unwrap_or(default.max_ejected_fraction),
-            max_reported_fraction: self.believed.unwrap_or(default.max_reported_fraction),
+            max_faulty_fraction: self.believed.unwrap_or(default.max_faulty_fraction),
         }
     }
 }
--- a/crates/config/tests/corpus/examples.rs
+++ b/crates/config/tests/corpus/examples.rs
@@ -9,7 +9,7 @@
     let plan = check(reader::toml("fleet.toml", text).unwrap()).unwrap();
     let fleet = plan.model.fleet.unwrap();
     assert_eq!(
-        (fleet.rules.quorum.witnesses, fleet.rules.seeds.len()),
+        (fleet.rules.quorum.min_reporters, fleet.rules.seeds.len()),
         (3, 3)
     );
 }
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -26,7 +26,7 @@
     );
     let fleet = model.fleet.as_ref().unwrap();
     assert_eq!(
-        (fleet.rules.quorum.witnesses, fleet.rules.seeds.len()),
+        (fleet.rules.quorum.min_reporters, fleet.rules.seeds.len()),
         (4, 2)
     );
     let leases = fleet.leases.as_ref().unwrap();
--- a/crates/emulator/examples/scale/quiet.rs
+++ b/crates/emulator/examples/scale/quiet.rs
@@ -61,10 +61,10 @@
 
 /// A fleet whose nodes all begin at once and have found each other.
 fn join(arguments: &Arguments) -> Cluster {
-    let size = arguments.nodes as u32;
+    let expected_nodes = arguments.nodes as u32;
     let config = move |_| Config {
         membership: MembershipConfig {
-            size,
+            expected_nodes,
             ..MembershipConfig::default()
         },
         ..default_config()
--- a/crates/emulator/examples/together/main.rs
+++ b/crates/emulator/examples/together/main.rs
@@ -35,7 +35,7 @@
 /// The membership configuration of a cluster of this size.
 fn membership(nodes: usize) -> MembershipConfig {
     MembershipConfig {
-        size: nodes as u32,
+        expected_nodes: nodes as u32,
         ..MembershipConfig::default()
     }
 }
--- a/crates/emulator/src/cluster.rs
+++ b/crates/emulator/src/cluster.rs
@@ -183,14 +183,14 @@
     /// Number of other nodes that a node considers alive.
     pub fn member_count(&self, node: usize) -> usize {
         let process = self.processes[node].as_ref();
-        process.map_or(0, |process| process.fleet.members().count())
+        process.map_or(0, |process| process.fleet.members().other_count())
     }
 
     /// The incarnation of a node.
     pub fn incarnation(&self, node: usize) -> Incarnation {
         let process = self.processes[node].as_ref();
         process.map_or(Incarnation::default(), |process| {
-            process.fleet.members().me().incarnation
+            process.fleet.members().local_node().incarnation
         })
     }
 
--- a/crates/emulator/src/cluster/outputs.rs
+++ b/crates/emulator/src/cluster/outputs.rs
@@ -80,7 +80,7 @@
     fn record_deaths(&mut self, by: usize, declared_dead: &[Node]) {
         let is_running = |node: &&Node| {
             let mut processes = self.processes.iter().flatten();
-            let process = processes.find(|process| process.fleet.members().me() == *node);
+            let process = processes.find(|process| process.fleet.members().local_node() == *node);
             process.is_some_and(|process| !process.is_frozen)
         };
         self.false_positives += declared_dead.iter().filter(is_running).count() as u64;
--- a/crates/emulator/src/control/membership.rs
+++ b/crates/emulator/src/control/membership.rs
@@ -70,7 +70,7 @@
     pub fn peer_count(&self) -> usize {
         self.fleet
             .as_ref()
-            .map_or(0, |fleet| fleet.members().count())
+            .map_or(0, |fleet| fleet.members().other_count())
     }
 
     /// When it received the ban of a server.
@@ -87,14 +87,14 @@
     pub fn unproven_verdicts(&self) -> u64 {
         self.fleet
             .as_ref()
-            .map_or(0, |fleet| fleet.counters().unproven)
+            .map_or(0, |fleet| fleet.counters().unproven_entries)
     }
 
     /// Number of datagrams that it has accepted.
     pub fn accepted_datagrams(&self) -> u64 {
         self.fleet
             .as_ref()
-            .map_or(0, |fleet| fleet.counters().received)
+            .map_or(0, |fleet| fleet.counters().received_datagrams)
     }
 
     /// Bans a server, as an operator does.
--- a/crates/emulator/src/control/membership/isolated.rs
+++ b/crates/emulator/src/control/membership/isolated.rs
@@ -5,7 +5,7 @@
 use super::Member;
 use crate::control::endpoint::Endpoint;
 use crate::control::network::POLL_INTERVAL;
-use reelfall_cluster::wire::Writer;
+use reelfall_cluster::wire::DatagramWriter;
 use std::rc::Rc;
 
 /// Peers of a node, with one datagram of each to it.
@@ -24,7 +24,7 @@
             .zip(&roster.nodes)
             .filter_map(|(peer, peer_seed)| {
                 let sender = node(peer, peer_seed.incarnation_tag);
-                Writer::new(&empty_header(sender, receiver_tag, 1, 0))
+                DatagramWriter::new(&empty_header(sender, receiver_tag, 1, 0))
             })
             .map(|writer| writer.seal(&roster.secret))
             .collect();
--- a/crates/emulator/src/control/membership/roster.rs
+++ b/crates/emulator/src/control/membership/roster.rs
@@ -6,7 +6,7 @@
 use reelfall_cluster::fleet::Config;
 use reelfall_cluster::members::MembershipConfig;
 use reelfall_cluster::node::{Incarnation, Node};
-use reelfall_cluster::wire::{Header, MemberState, MemberUpdate, Secret, Writer};
+use reelfall_cluster::wire::{DatagramWriter, Header, MemberState, MemberUpdate, Secret};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 
@@ -32,10 +32,10 @@
 }
 
 /// The header of a datagram without content.
-pub(super) fn empty_header(from: Node, to: u64, sequence: u64, clock_us: u64) -> Header {
+pub(super) fn empty_header(from: Node, to_tag: u64, sequence: u64, clock_us: u64) -> Header {
     Header {
         from,
-        to,
+        to_tag,
         sequence,
         clock_us,
         echo: None,
@@ -75,7 +75,7 @@
             .collect();
         let secret = secret();
         let membership = MembershipConfig {
-            size: node_count,
+            expected_nodes: node_count,
             ..MembershipConfig::default()
         };
         let seeds = seeds(node_count).map(address_of).collect();
@@ -111,7 +111,8 @@
             sequence += 1;
             let mut header = empty_header(introducer.clone(), 0, sequence, 0);
             header.add_members(&mut remaining);
-            let Some(writer) = Writer::new(&header).filter(|_| !header.members.is_empty()) else {
+            let Some(writer) = DatagramWriter::new(&header).filter(|_| !header.members.is_empty())
+            else {
                 break;
             };
             datagrams.push(writer.seal(&self.secret));
--- a/crates/node/src/fleet/admin.rs
+++ b/crates/node/src/fleet/admin.rs
@@ -81,26 +81,26 @@
         let counters = fleet.counters();
         report.add(format_args!(
             "datagrams: {} sent, {} not taken by the system, {} taken",
-            counters.sent,
+            counters.sent_datagrams,
             self.unsent.get(),
-            counters.received
+            counters.received_datagrams
         ));
-        for (reason, count) in &counters.dropped {
+        for (reason, count) in &counters.dropped_datagrams {
             report.add(format_args!("datagrams dropped: {count} {reason}"));
         }
         report.add(format_args!(
             "verdicts: {} held, {} unproven, {} too late, {} refused",
             fleet.table().len(),
-            counters.unproven,
-            counters.expired,
-            counters.rejected
+            counters.unproven_entries,
+            counters.expired_entries,
+            counters.rejected_entries
         ));
     }
 
     fn explain(&self, server: &str, now: Time) -> String {
         let fleet = self.fleet.borrow();
         let mut report = Report::default();
-        match fleet.ban_left(server, now) {
+        match fleet.remaining_ban(server, now) {
             Some(left) => report.add(format_args!(
                 "{server}: out by hand, for {left:.0} s at most"
             )),
@@ -127,7 +127,7 @@
 
 fn add_this_node(report: &mut Report, fleet: &Fleet, now: Time) {
     let members = fleet.members();
-    let me = members.me();
+    let me = members.local_node();
     let conflict = if fleet.has_name_conflict(now) {
         "; stands aside, another process has its name"
     } else {
@@ -150,17 +150,17 @@
     ejected: &[EjectedServer],
     now: Time,
 ) {
-    let since = instance.since;
+    let since = instance.started_ms;
     match ejected.iter().find(|found| found.server == *instance) {
         Some(found) => report.add(format_args!(
             "start {since}: fails several nodes, for {:.1} s",
-            found.left
+            found.remaining
         )),
         None => report.add(format_args!("start {since}: not condemned")),
     }
     for published in fleet.reports(instance, now) {
         let (by, evidence, age) = (
-            published.by,
+            published.reporter,
             describe_report(published.report),
             published.age,
         );
@@ -174,11 +174,11 @@
     report.add(format_args!("out by hand: {}", banned.join(", ")));
     for (key, entry) in fleet.table().live(now) {
         match (key, &entry.value) {
-            (Key::Report { server, by }, Value::Report(evidence)) => {
+            (Key::Report { server, reporter }, Value::Report(evidence)) => {
                 report.add(format_args!(
-                    "{} since {}: {by} says {}, {:.1} s ago, for {:.1} s",
+                    "{} since {}: {reporter} says {}, {:.1} s ago, for {:.1} s",
                     server.name,
-                    server.since,
+                    server.started_ms,
                     describe_report(evidence),
                     entry.age(now),
                     entry.remaining_ttl(now)
@@ -197,7 +197,7 @@
                     .map_or("none".to_owned(), |followed| followed.index.to_string());
                 report.add(format_args!(
                     "list {list}: index {} was seen; here {here}",
-                    entry.version.n
+                    entry.version.sequence
                 ));
             }
             (Key::Report { .. }, _) => {}
@@ -215,19 +215,23 @@
     };
     format!(
         "{:?}: {} bad, {} good; faults with {} of {}{zone}",
-        report.finding, report.bad, report.good, report.accused, report.listed
+        report.finding,
+        report.failures,
+        report.successes,
+        report.faulty_servers,
+        report.listed_servers
     )
 }
 
 fn add_ban(report: &mut Report, key: &Key, entry: &StoredEntry, now: Time) {
     let Key::Ban { server, id } = key else { return };
-    let (state, by) = match &entry.value {
-        Value::Banned { by } => ("out", by),
-        Value::BanLifted { by } => ("lifted", by),
+    let (state, operator) = match &entry.value {
+        Value::Banned { operator } => ("out", operator),
+        Value::BanLifted { operator } => ("lifted", operator),
         _ => return,
     };
     report.add(format_args!(
-        "{server}: {state} by {by}, call {} at {}, {:.0} s ago, for {:.0} s",
+        "{server}: {state} by {operator}, call {} at {}, {:.0} s ago, for {:.0} s",
         id.number,
         id.node,
         entry.age(now),
--- a/crates/node/src/fleet/events.rs
+++ b/crates/node/src/fleet/events.rs
@@ -43,11 +43,11 @@
     /// Notifies the observer of the attempts that have waited past their latency objective.
     pub(super) fn report_overdue(&self, now: Time) {
         let to_attempt = |request: OverdueRequest| {
-            let since = now - request.waited;
+            let started_at = now - request.waited;
             OverdueAttempt {
                 server: request.server,
-                since,
-                late_from: since + request.latency_objective,
+                started_at,
+                overdue_since: started_at + request.latency_objective,
             }
         };
         let overdue: Vec<OverdueAttempt> = self
@@ -122,7 +122,7 @@
         let to_ejection = |ejected: EjectedServer| {
             let ejection = QuorumEjection {
                 server: ejected.server.clone(),
-                until: pool_clock + ejected.left,
+                until: pool_clock + ejected.remaining,
                 is_prober: ejected.is_prober,
             };
             (ejected.server, ejection)
@@ -151,7 +151,9 @@
             FleetEvent::Updated(Key::Leaving { node, .. }) => {
                 log.write_line(format_args!("fleet: {node} is leaving"));
             }
-            FleetEvent::Updated(Key::Report { server, by }) => self.log_own_report(server, by, now),
+            FleetEvent::Updated(Key::Report { server, reporter }) => {
+                self.log_own_report(server, reporter, now)
+            }
             FleetEvent::Updated(_) | FleetEvent::Expired(_) => {}
             FleetEvent::NameConflict => {
                 self.name_conflict_log.write_line(format_args!(
@@ -162,13 +164,16 @@
     }
 
     /// Logs what this node reports on a server; the reports of others are in their logs.
-    fn log_own_report(&self, server: &ServerInstance, by: &str, now: Time) {
+    fn log_own_report(&self, server: &ServerInstance, reporter: &str, now: Time) {
         let fleet = self.fleet.borrow();
-        if by != fleet.members().me().name {
+        if reporter != fleet.members().local_node().name {
             return;
         }
         let reports = fleet.reports(server, now);
-        if let Some(own) = reports.iter().find(|published| published.by == by) {
+        if let Some(own) = reports
+            .iter()
+            .find(|published| published.reporter == reporter)
+        {
             let (name, report) = (&server.name, describe_report(own.report));
             self.report_log
                 .write_line(format_args!("fleet: report on {name}: {report}"));
@@ -176,7 +181,7 @@
     }
 
     fn log_ban(&self, server: &str, now: Time) {
-        match self.fleet.borrow().ban_left(server, now) {
+        match self.fleet.borrow().remaining_ban(server, now) {
             Some(left) => {
                 self.ban_log.write_line(format_args!(
                     "fleet: {server} is banned, for {left:.0} s at most"
@@ -215,7 +220,7 @@
     pub(super) fn log_dropped(&self, now: Time) {
         let logged = self.logged_dropped.get();
         let fleet = self.fleet.borrow();
-        let by_reason = &fleet.counters().dropped;
+        let by_reason = &fleet.counters().dropped_datagrams;
         let dropped: u64 = by_reason.values().sum();
         if dropped > logged.count && now - logged.at >= DROPPED_LOG_INTERVAL {
             let (at, count) = (now, dropped);
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -189,7 +189,7 @@
 
     /// This node as the others know it.
     pub fn me(&self) -> Node {
-        self.fleet.borrow().members().me().clone()
+        self.fleet.borrow().members().local_node().clone()
     }
 
     /// Microseconds since the socket was opened, by the clock that goes on while the machine sleeps.
--- a/crates/node/src/net/pool/outcome.rs
+++ b/crates/node/src/net/pool/outcome.rs
@@ -15,7 +15,7 @@
         let name = self.names.borrow().servers.name(server)?.to_owned();
         Some(ServerInstance {
             name,
-            since: self.start_ms(started_at),
+            started_ms: self.start_ms(started_at),
         })
     }
 
--- a/crates/testbed/src/fleet/probers.rs
+++ b/crates/testbed/src/fleet/probers.rs
@@ -23,7 +23,7 @@
         .iter()
         .map(|server| ServerInstance {
             name: server_name(*server),
-            since: 0,
+            started_ms: 0,
         })
         .collect();
     let live_nodes = node_count / 2 + 1..=node_count;
--- a/crates/testbed/src/soak/ejections.rs
+++ b/crates/testbed/src/soak/ejections.rs
@@ -155,7 +155,7 @@
 
 /// How many nodes have to report a silent server, at most: the quorum, and more than may report that it is healthy.
 fn needed_witnesses(reporting_nodes: usize) -> usize {
-    Quorum::default().witnesses.max(reporting_nodes / 2 + 1)
+    Quorum::default().min_reporters.max(reporting_nodes / 2 + 1)
 }
 
 /// When the last of the needed nodes sent its first attempt to the paused server; `None` if that did not happen.
--- a/crates/testbed/tests/cluster/ejection.rs
+++ b/crates/testbed/tests/cluster/ejection.rs
@@ -220,6 +220,6 @@
     };
     let mut first_attempts: Vec<Duration> = nodes.iter().filter_map(first_attempt).collect();
     first_attempts.sort_unstable();
-    first_attempts.truncate(Quorum::default().witnesses);
+    first_attempts.truncate(Quorum::default().min_reporters);
     first_attempts.last().copied().unwrap_or(from)
 }
--- a/crates/testbed/tests/probers.rs
+++ b/crates/testbed/tests/probers.rs
@@ -15,7 +15,7 @@
 fn probes(node_name: &str) -> bool {
     let server = ServerInstance {
         name: server_name(0),
-        since: 0,
+        started_ms: 0,
     };
     let probes_in_turn = |turn| {
         (MIN_MEMBERS..=NODE_COUNT).any(|members| is_prober(&server, turn, node_name, members))
