--- a/crates/balancer/src/decide/admission.rs
+++ b/crates/balancer/src/decide/admission.rs
@@ -1,48 +1,48 @@
-//! Admission control: which fraction of the offered work is admitted, and which requests are shed first.
+//! Admission control: the fraction of the offered work that is admitted, and which requests are shed first.
 //!
-//! The admitted fraction falls with each late response, rises steadily while few responses are late, and follows the
-//! capacity that the endpoint list reports before any response is late.
+//! The admitted fraction falls with each late response and rises steadily while few responses are late. It also follows
+//! the capacity of the listed servers, so that it reacts to a loss of servers before responses are late.
 
 use super::estimates::WorkEstimates;
 use crate::interface::{Settings, Time};
 
-/// A response that takes more than this fraction of its latency objective counts as late: once the objective is missed
-/// it is too late to shed load.
+/// A response that takes more than this fraction of its latency objective counts as late. It is less than 1, as load
+/// has to be shed before objectives are missed.
 const LATE_OBJECTIVE_FRACTION: f64 = 0.95;
 /// A response that takes less than this fraction of its latency objective is never late.
 const MIN_LATE_OBJECTIVE_FRACTION: f64 = 0.6;
-/// A response that takes more than this multiple of the unloaded response time has been queued.
+/// A response that takes more than this multiple of the unloaded response time is assumed to have been queued.
 pub(super) const QUEUED_RESPONSE_FACTOR: f64 = 3.0;
 
-/// What late responses alone would take off the admitted fraction within the shortest deadline.
+/// Relative decrease of the admitted fraction within the shortest deadline if all responses are late.
 const DECREASE: f64 = 2.0;
-/// A late response takes off this fraction at most.
+/// Maximum relative decrease of the admitted fraction per late response.
 const MAX_DECREASE: f64 = 0.25;
-/// What is added to the admitted fraction within the shortest deadline.
+/// Increase of the admitted fraction within the shortest deadline.
 const INCREASE: f64 = 0.2;
-/// From this fraction of late responses on each takes off its full decrease, and nothing is added.
+/// From this fraction of late responses on, each of them has its full decrease and the admitted fraction does not rise.
 const HIGH_LATE_FRACTION: f64 = 0.25;
-/// Maximum step of the fraction of late responses.
+/// Maximum smoothing factor of the fraction of late responses.
 const MAX_LATE_STEP: f64 = 0.125;
-/// The fraction of late responses decays within this multiple of the shortest deadline.
+/// Time constant of the decay of the fraction of late responses, in shortest deadlines.
 const LATE_DECAY_DEADLINES: f64 = 4.0;
-/// The admitted fraction rises beyond 1 to this, so that a few late responses shed nothing.
+/// The admitted fraction may rise above 1 up to this, so that a few late responses do not shed load.
 const MAX_ADMITTED_FRACTION: f64 = 1.3;
-/// The least admitted fraction; without any requests nothing would show that the overload is over.
+/// The least admitted fraction: without any requests the end of the overload would not be noticed.
 const MIN_ADMITTED_FRACTION: f64 = 0.1;
 
-/// How long a response may take before it is taken for late, and its server for overloaded.
+/// How long a response may take, in seconds, before its server is considered overloaded.
 pub(super) fn queueing_threshold(latency_objective: Time, unloaded_response: Time) -> Time {
     (LATE_OBJECTIVE_FRACTION * latency_objective).min(QUEUED_RESPONSE_FACTOR * unloaded_response)
 }
 
-/// Whether a response that took so long counts as late for admission.
+/// Whether a response that was awaited for this time, in seconds, counts as late for admission.
 pub(super) fn is_late(waited: Time, latency_objective: Time, unloaded_response: Time) -> bool {
     let threshold = queueing_threshold(latency_objective, unloaded_response);
     waited > threshold.max(MIN_LATE_OBJECTIVE_FRACTION * latency_objective)
 }
 
-/// The requests of one class that are within, or over, the quotas of their tenants.
+/// The requests of one class that are within the quotas of their tenants, or those that are over them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Segment(usize);
 
@@ -80,13 +80,13 @@
     /// Smoothed fraction of late responses.
     late_fraction: f64,
     last_response_at: Time,
-    /// Capacity of the listed servers, in servers.
+    /// Capacity of the listed servers, in units of a warm server.
     capacity: f64,
     segments: Vec<SegmentWork>,
 }
 
 impl Admission {
-    /// Everything is admitted.
+    /// Creates the state in which everything is admitted.
     pub(super) fn new(classes: usize, now: Time) -> Self {
         Admission {
             admitted_fraction: MAX_ADMITTED_FRACTION,
@@ -107,7 +107,7 @@
         self.admitted_fraction >= 1.0
     }
 
-    /// Restores the admitted fraction; one that can't be is replaced by 1.
+    /// Restores the admitted fraction; an invalid one is replaced by 1.
     pub(super) fn restore(&mut self, admitted_fraction: f64) {
         let is_usable = admitted_fraction.is_finite() && admitted_fraction > 0.0;
         self.admitted_fraction = if is_usable {
@@ -117,17 +117,17 @@
         };
     }
 
-    /// Adds an offered request.
+    /// Adds the work of a request that has arrived.
     pub(super) fn record_offered(&mut self, segment: Segment, work: f64) {
         self.segments[segment.0].offered += work;
     }
 
-    /// Adds a served request.
+    /// Adds the work of a request that was served.
     pub(super) fn record_served(&mut self, segment: Segment, work: f64) {
         self.segments[segment.0].served += work;
     }
 
-    /// Reduces the sums of work to this fraction.
+    /// Multiplies the sums of work by `retained`.
     pub(super) fn decay(&mut self, retained: f64) {
         for work in &mut self.segments {
             work.offered *= retained;
@@ -135,7 +135,8 @@
         }
     }
 
-    /// Adds a response, or an attempt that is overdue, where so many requests arrive per second.
+    /// Records a response, or an attempt that is overdue. A late one lowers the admitted fraction, by less the more
+    /// requests arrive.
     pub(super) fn record_response(
         &mut self,
         now: Time,
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Raises the admitted fraction after this time, unless many responses are late.
+    /// Raises the admitted fraction in proportion to the elapsed time, unless many responses are late.
     pub(super) fn recover(&mut self, elapsed: Time, shortest_deadline: Time) {
         self.late_fraction *= (-elapsed / (LATE_DECAY_DEADLINES * shortest_deadline)).exp();
         if self.late_fraction < HIGH_LATE_FRACTION {
@@ -165,8 +166,9 @@
         }
     }
 
-    /// Adjusts the admitted fraction to a change of the capacity, by its root, as some capacity was spare. As long as all
-    /// is admitted this does not shed load, so that a fleet with little load can shrink.
+    /// Adjusts the admitted fraction to a change of the capacity, by the square root of the ratio, as some capacity is
+    /// usually spare. While everything is admitted this does not shed load, so that a fleet with little load can
+    /// shrink.
     pub(super) fn set_capacity(&mut self, capacity: f64) {
         let previous = std::mem::replace(&mut self.capacity, capacity);
         if previous > 0.0 && capacity > 0.0 {
@@ -180,8 +182,8 @@
         }
     }
 
-    /// The probability that a request of a segment is admitted while load is shed, and more than 1 if all are: segments
-    /// of less value for their work come last.
+    /// The probability that a request of a segment is admitted while load is shed; 1 or more if all of them are. The
+    /// admitted work is assigned to the segments in descending order of value.
     pub(super) fn segment_probability(
         &self,
         segment: Segment,
@@ -203,7 +205,8 @@
         (0..self.segments.len()).map(Segment)
     }
 
-    /// What a unit of work of this segment adds to the objective. The class that is served worst has a weight of its own.
+    /// How much a unit of work of this segment contributes to the objective. The class with the least served fraction
+    /// has an additional weight.
     fn value(&self, segment: Segment, settings: &Settings, work: &WorkEstimates) -> f64 {
         let density = |segment| weight_per_work(segment, settings, work);
         let offered = |segment: Segment| self.segments[segment.0].offered;
@@ -219,7 +222,7 @@
         value
     }
 
-    /// Whether no class has a smaller fraction of its requests within quotas served.
+    /// Whether no class has a smaller served fraction of its work within quotas.
     fn is_served_worst(&self, segment: Segment) -> bool {
         let served_fraction = self.segments[segment.0].served_fraction();
         let mut within_quota = self.all_segments().filter(|other| !other.is_over_quota());
--- a/crates/balancer/src/decide/attempts.rs
+++ b/crates/balancer/src/decide/attempts.rs
@@ -1,5 +1,5 @@
-//! What the end of an attempt, or its delay, shows about a server, about the load of all servers, and about the work of
-//! requests.
+//! Learning from attempts that end or are overdue: the health and response time of their server, the load of all
+//! servers, and the work of requests.
 
 use super::admission::{is_late, queueing_threshold};
 use super::outlier::record_failure;
@@ -8,16 +8,16 @@
 use super::Balancer;
 use crate::interface::{Outcome, ServerId, Time};
 
-/// An attempt that is overdue and has not been penalized yet.
+/// An attempt that has become overdue and has not been counted against its server yet.
 struct OverdueAttempt {
     server: ServerId,
     list_entry: u32,
     sent_at: Time,
-    /// How long it has taken, for a request of typical size.
+    /// How long the server has been awaited, in seconds, scaled to a request of typical size.
     waited: Time,
 }
 
-/// What is known of an attempt that has ended.
+/// An attempt that has ended, with the data that its outcome is judged by.
 struct EndedAttempt<'a> {
     request: &'a Request,
     attempt: &'a Attempt,
@@ -26,24 +26,24 @@
     position: usize,
     /// How long the server was awaited, in seconds.
     waited: Time,
-    /// The mean of the running averages before it ended.
+    /// The mean of the running averages of response times before it ended, in seconds.
     mean_response: Time,
     latency_objective: Time,
 }
 
 impl EndedAttempt<'_> {
-    /// How long the server was awaited, for a request of typical size.
+    /// How long the server was awaited, in seconds, scaled to a request of typical size.
     fn response(&self) -> Time {
         self.waited / self.request.relative_size
     }
 
-    /// The timeout was too short to show anything about the server but that it takes longer.
+    /// Whether the timeout was so short that it proves no fault, only that the server takes longer.
     fn had_short_timeout(&self) -> bool {
         let overdue_after = OVERDUE_FACTOR * self.mean_response * self.request.relative_size;
         self.outcome == Outcome::TimedOut && self.waited < overdue_after.min(self.latency_objective)
     }
 
-    /// The server has been reached and has failed, or could not be reached.
+    /// Whether the attempt ended with an error or a failed connection, unlike a rejection or a timeout.
     fn has_stated_failure(&self) -> bool {
         matches!(
             self.outcome,
@@ -71,7 +71,7 @@
             attempt,
             outcome,
             position,
-            // An attempt that ends while its body is uploaded has awaited nothing.
+            // No response is awaited while the body is uploaded: `sent_at` is in the future, and this is 0.
             waited: (now - attempt.sent_at).max(0.0),
             mean_response: self.mean_response(now),
             latency_objective: class.latency_objective,
@@ -86,7 +86,7 @@
             Outcome::Served => self.record_response(now, &ended),
             Outcome::NotSent | Outcome::Cancelled => return,
             Outcome::TimedOut if was_answered_later => return,
-            // Failures would let a few hurried clients eject healthy servers.
+            // Not counted as a failure, or a few clients with short deadlines could eject healthy servers.
             Outcome::TimedOut if ended.had_short_timeout() => {
                 let average = self.automaton.mean_response[position];
                 self.automaton
@@ -125,7 +125,8 @@
         }
     }
 
-    /// A quick failure must not look like a quick response, so it counts as one at the latency objective.
+    /// Records a failed attempt. A quick failure must not look like a quick response, so its response time counts as at
+    /// least the latency objective.
     fn record_failed_attempt(&mut self, now: Time, ended: &EndedAttempt) {
         let waited = ended.waited.max(ended.latency_objective);
         self.automaton
@@ -142,13 +143,13 @@
         );
     }
 
-    /// One lost connection, corrupt or slow response can come from any server. The second failure in a row, a timeout, or
-    /// an error that the server itself states is a sign of a faulty one.
+    /// Classifies a failed attempt. Any server may lose a connection or send a slow or corrupt response once. A second
+    /// failure in a row, a timeout, or an error response indicates a faulty server.
     fn classify_failure(&self, ended: &EndedAttempt) -> Failure {
         let outcome = ended.outcome;
         let is_timeout = outcome == Outcome::TimedOut;
         let failures = self.servers[ended.position].health.consecutive_failures;
-        // The delay of an overdue attempt was counted as a failure before.
+        // An overdue attempt was already counted as a failure before it ended.
         let counted = u32::from(ended.attempt.is_overdue);
         let is_repeated = failures > counted || is_timeout;
         let is_persistent = failures > 1 + counted && is_timeout;
@@ -158,8 +159,9 @@
         }
     }
 
-    /// Notifies admission whether the attempt was late. The delays of a server that is known to be faulty say nothing about
-    /// the load of the others.
+    /// Reports to admission control whether the attempt was late. Left out are late attempts at a server that is
+    /// suspected of a fault or has stated a failure, as they are no sign of overload, and those that were reported when
+    /// overdue.
     fn record_lateness(&mut self, now: Time, ended: &EndedAttempt, is_suspect: bool) {
         let unloaded = self.unloaded_response * ended.request.relative_size;
         let is_late = ended.outcome != Outcome::Served
@@ -176,7 +178,7 @@
             .record_response(now, is_late, self.strictest.deadline, arrivals);
     }
 
-    /// Counts overdue attempts as slow responses before they end, as a server that hangs sends none.
+    /// Counts overdue attempts as slow responses before they end, as a server that hangs never responds.
     pub(super) fn penalize_overdue_attempts(&mut self, now: Time) {
         let overdue = self.mark_overdue_attempts(now);
         for attempt in overdue {
--- a/crates/balancer/src/decide/automaton.rs
+++ b/crates/balancer/src/decide/automaton.rs
@@ -1,39 +1,40 @@
-//! The automaton: the probability vector and the running averages of response times.
+//! The learning automaton: the probability vector and the running averages of response times.
 
 use crate::floored::Floored;
 
-/// Step of a running average.
+/// Smoothing factor of the running averages.
 const AVERAGE_STEP: f64 = 0.2;
 
-/// Step of the probability vector, as a fraction of the mean probability, so that a reward moves a server by the same
-/// fraction however long the list is.
+/// Step of the probability vector as a fraction of the mean probability, so that the effect of a reward relative to the
+/// mean does not depend on the length of the list.
 const REWARD_STEP: f64 = 0.1;
 
-/// From this many servers on the step grows with the list, as rewards of each server become rarer.
+/// For lists longer than this the step grows with the list, as each server is rewarded less often.
 const LONG_LIST: f64 = 24.0;
 
-/// The step grows to at most this multiple.
+/// The greatest factor by which the step grows.
 const MAX_STEP_GROWTH: f64 = 3.0;
 
-/// The sum of the floors of all servers: the fraction of requests that is left to exploration.
+/// The sum of the floors of all servers: the fraction of requests that is used for exploration.
 pub(super) const TOTAL_FLOOR: f64 = 0.1;
 
-/// The probability vector and the running averages of one node, by position in its list of servers.
+/// The probability vector and the running averages of one node, indexed by position in its list of servers.
 #[derive(Clone, Debug, Default)]
 pub struct Automaton {
     /// The probability of each server; they sum to 1, and none is below [`Automaton::floor`].
     pub probability: Vec<f64>,
-    /// The running average of the response times of each server, in seconds for a request of typical size.
+    /// The running average of the response times of each server, in seconds, scaled to a request of typical size.
     pub mean_response: Vec<f64>,
 }
 
 impl Automaton {
-    /// The least probability. It shrinks with the list, so that the floors of a long list leave enough probability for learning.
+    /// The least probability of a server. It is inversely proportional to the length of the list, so that the floors of
+    /// a long list leave enough probability for learning.
     pub fn floor(&self) -> f64 {
         TOTAL_FLOOR / self.probability.len().max(1) as f64
     }
 
-    /// The step of the probability vector, always well below that of the averages.
+    /// The step of the probability vector, at most half of that of the averages.
     fn reward_step(&self) -> f64 {
         let servers = self.probability.len().max(1) as f64;
         let growth = (servers / LONG_LIST).clamp(1.0, MAX_STEP_GROWTH);
@@ -56,13 +57,13 @@
         self.probability[position] += step * (1.0 - TOTAL_FLOOR);
     }
 
-    /// Lowers the running average of a server to a limit.
+    /// Lowers the running average of a server to `limit`, if it is higher.
     pub(super) fn limit_mean_response(&mut self, position: usize, limit: f64) {
         let average = &mut self.mean_response[position];
         *average = average.min(limit);
     }
 
-    /// Raises the probability of a server to at least this multiple of the mean.
+    /// Raises the probability of a server to at least this multiple of the mean, and restores the sum.
     pub(super) fn raise(&mut self, position: usize, relative_probability: f64) {
         let least = initial_probability(relative_probability, self.probability.len());
         if self.probability[position] < least {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Adds a server with this multiple of the mean probability.
+    /// Adds a server at the end, with this multiple of the mean probability.
     pub fn insert(&mut self, relative_probability: f64, mean_response: f64) {
         self.mean_response.push(mean_response);
         self.update(|vector| {
@@ -86,7 +87,7 @@
         self.update(|vector| vector.swap_remove(position));
     }
 
-    /// Restores the sum and the floor; what exceeds the floor keeps its proportions.
+    /// Restores the sum and the floor; the excesses over the floor keep their proportions.
     pub fn normalize(&mut self) {
         self.update(Floored::restore);
     }
--- a/crates/balancer/src/decide/departed.rs
+++ b/crates/balancer/src/decide/departed.rs
@@ -1,14 +1,15 @@
-//! Servers that left the list lately. One that returns without having restarted keeps what was learned of it.
+//! Servers that recently left the list. What was learned about one of them is kept for its return, unless it has
+//! restarted.
 
 use crate::interface::Time;
 use std::collections::VecDeque;
 
 /// Maximum number of servers that are remembered.
 const MAX_SERVERS: usize = 64;
-/// How long they are remembered, in seconds.
+/// How long a server is remembered, in seconds.
 pub(super) const RETENTION: Time = 60.0;
 
-/// What is remembered of a server.
+/// What is remembered of a server that left the list.
 pub(super) struct DepartedServer {
     pub(super) hash: u64,
     pub(super) started_at: Time,
@@ -16,11 +17,11 @@
     /// Its probability as a multiple of the mean.
     pub(super) relative_probability: f64,
     pub(super) mean_response: Time,
-    /// Work that it could still be sent during its slow start.
+    /// Its slow start credit, in seconds on a standard core.
     pub(super) credit: f64,
 }
 
-/// The servers that left the list lately, the latest last.
+/// The servers that recently left the list, the latest last.
 #[derive(Default)]
 pub(super) struct DepartedServers {
     servers: VecDeque<DepartedServer>,
@@ -43,14 +44,15 @@
         self.servers.push_back(departed);
     }
 
-    /// Remembers a server that another balancer has learned of, as long as there is capacity.
+    /// Remembers a server from the learned state of another balancer, unless there are too many.
     pub(super) fn restore(&mut self, departed: DepartedServer) {
         if self.servers.len() < MAX_SERVERS {
             self.servers.push_back(departed);
         }
     }
 
-    /// Takes out what is remembered of a server that has returned without having restarted.
+    /// Forgets a server that has returned without having restarted, and returns what was remembered of it, unless it
+    /// was away for too long.
     pub(super) fn take(
         &mut self,
         now: Time,
--- a/crates/balancer/src/decide/endpoint_list.rs
+++ b/crates/balancer/src/decide/endpoint_list.rs
@@ -7,7 +7,7 @@
 use crate::interface::{Action, Endpoint, ServerId, ServerState, Time, UpdateKind};
 use crate::list_sums::{ListSums, ListedServer};
 
-/// A server that was missing from the list for no longer than this, in seconds, keeps its running average.
+/// A server that was missing from the list for at most this time, in seconds, keeps its running average.
 const FLAP_TIME: Time = 0.5;
 /// Backoff before the list is watched again after the first failure, in seconds.
 const MIN_BACKOFF: Time = 1.0;
@@ -30,7 +30,7 @@
 }
 
 impl Watch {
-    /// Whether updates arrive.
+    /// Whether the watch is established, so that updates arrive.
     pub(super) fn is_active(&self) -> bool {
         self.is_active
     }
@@ -40,7 +40,7 @@
         self.backoff = MIN_BACKOFF;
     }
 
-    /// The watch has failed; returns when to try again, spread by a random fraction.
+    /// Records that the watch has failed; returns the backoff in seconds, with jitter by a random fraction.
     fn record_failure(&mut self, random: f64) -> Time {
         self.is_active = false;
         let after = self.backoff * (0.5 + 0.5 * random);
@@ -49,7 +49,7 @@
     }
 }
 
-/// What a server that joins the list starts with.
+/// The initial values of a server that joins the list.
 struct InitialEstimate {
     relative_probability: f64,
     mean_response: Time,
@@ -117,7 +117,8 @@
         }
     }
 
-    /// A server that drains is removed like one that is gone: its attempts in flight do not need its entry.
+    /// Handles one entry of an update. A draining server is removed at once, as its attempts in flight do not need its
+    /// list entry.
     fn update_endpoint(&mut self, now: Time, endpoint: Endpoint, sums: &mut ListSums) {
         let is_up = endpoint.state == ServerState::Up;
         let Some(position) = self.servers.position(endpoint.server) else {
@@ -179,7 +180,8 @@
             .push(Server::new(endpoint, now, is_in_subset, credit));
     }
 
-    /// A server that is not known starts with the means of its machine type, and until there are any, by its listed weight.
+    /// The initial values of an unknown server: the means of its machine type, or, if there are none, values by its
+    /// listed weight.
     fn estimate_by_peers(
         &self,
         endpoint: &Endpoint,
@@ -204,8 +206,8 @@
         }
     }
 
-    /// A server that returns keeps what was learned of it. What made it slow may have been why it left, so that a running
-    /// average above the mean is kept only after a short absence.
+    /// The initial values of a server that returns: those that were learned before. It may have left because it was
+    /// slow for a reason that no longer holds, so a running average above the mean is kept only after a short absence.
     fn restored_estimate(
         &self,
         now: Time,
--- a/crates/balancer/src/decide/estimates.rs
+++ b/crates/balancer/src/decide/estimates.rs
@@ -2,13 +2,13 @@
 
 use crate::interface::Time;
 
-/// Step of the estimate for a class.
+/// Smoothing factor of the estimate for a class.
 const CLASS_STEP: f64 = 0.02;
-/// Step of the estimate over all classes.
+/// Smoothing factor of the estimate over all classes.
 const TYPICAL_STEP: f64 = 0.01;
-/// Step of the arrival rate.
+/// Smoothing factor of the arrival rate.
 const RATE_STEP: f64 = 0.2;
-/// Fraction of a response time that does not depend on the size of the request, as waiting does not.
+/// Fraction of a typical response time that does not depend on the size of the request, such as queueing time.
 const CONSTANT_FRACTION: f64 = 0.5;
 
 /// Estimates of the work of requests, in seconds on a standard core.
@@ -18,7 +18,7 @@
 }
 
 impl WorkEstimates {
-    /// So many classes, all with the same first estimate.
+    /// Creates the estimates for a number of classes, all with the same initial value.
     pub(super) fn new(classes: usize, first_estimate: f64) -> Self {
         WorkEstimates {
             by_class: vec![first_estimate; classes],
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Restores estimates; those that don't fit are ignored.
+    /// Restores the estimates; invalid ones are ignored.
     pub(super) fn restore(&mut self, by_class: &[f64], typical: f64) {
         let is_usable = |work: &f64| work.is_finite() && *work > 0.0;
         if by_class.len() == self.by_class.len() && by_class.iter().all(is_usable) {
@@ -52,7 +52,7 @@
         self.typical
     }
 
-    /// Adds an arrived request; returns its work, which is that of its class where nothing else is known.
+    /// Records a request that has arrived; returns its work, which is the estimate for its class if there is no hint.
     pub(super) fn record_arrival(&mut self, class: usize, work_hint: Option<f64>) -> f64 {
         let work = work_hint.unwrap_or(self.by_class[class]);
         self.by_class[class] += CLASS_STEP * (work - self.by_class[class]);
@@ -60,12 +60,12 @@
         work
     }
 
-    /// Adds a response time, which stands for the work of a request without a hint.
+    /// Records the response time of a request without a hint, as an approximation of its work.
     pub(super) fn record_response(&mut self, class: usize, response: Time) {
         self.by_class[class] += CLASS_STEP * (response - self.by_class[class]);
     }
 
-    /// How long a request takes against a typical one.
+    /// The expected response time of a request with this work, as a multiple of that of a typical request.
     pub(super) fn relative_size(&self, work: f64) -> f64 {
         CONSTANT_FRACTION + (1.0 - CONSTANT_FRACTION) * work / self.typical
     }
@@ -86,7 +86,7 @@
         self.count += 1.0;
     }
 
-    /// Adds what arrived since the last update to the rate.
+    /// Updates the rate with the arrivals since the last update, `elapsed` seconds ago.
     pub(super) fn update(&mut self, elapsed: Time) {
         let rate = self.count / elapsed;
         self.count = 0.0;
@@ -102,7 +102,7 @@
         self.per_second
     }
 
-    /// The smoothed rate; before the first update, what has arrived so far.
+    /// The smoothed rate; before the first update, the number of arrivals so far, at least 1.
     pub(super) fn estimate(&self) -> f64 {
         if self.per_second > 0.0 {
             self.per_second
--- a/crates/balancer/src/decide/handover.rs
+++ b/crates/balancer/src/decide/handover.rs
@@ -1,4 +1,4 @@
-//! What one balancer hands over to the next, so that a new process does not have to learn it again.
+//! Handover of the learned state from one balancer to its successor, so that a new process does not start untrained.
 
 use super::departed::{DepartedServer, RETENTION};
 use super::servers::Server;
@@ -6,7 +6,7 @@
 use crate::interface::{LearnedServer, LearnedState, Time};
 use std::collections::HashMap;
 
-/// A server from one start to its end. Zeros of either sign are equal.
+/// Identifies one incarnation of a server: its hash and the bits of its start time, where -0 equals 0.
 type Incarnation = (u64, u64);
 
 fn incarnation(hash: u64, started_at: Time) -> Incarnation {
@@ -24,7 +24,7 @@
 }
 
 impl Balancer {
-    /// What this balancer has learned.
+    /// Returns what this balancer has learned, for its successor.
     pub fn learned(&self, now: Time) -> LearnedState {
         let servers = self.servers.len() as f64;
         let learned = |(position, server): (usize, &Server)| LearnedServer {
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Starts with what another balancer has learned, once the first list has arrived. Values that can't be are ignored.
+    /// Takes over what another balancer has learned; the endpoint list has to be known before. Invalid values are
+    /// ignored.
     pub fn adopt(&mut self, now: Time, learned: &LearnedState) {
         let mut positions: HashMap<Incarnation, usize> = HashMap::new();
         for (position, server) in self.servers.iter().enumerate().rev() {
--- a/crates/balancer/src/decide/hot_keys.rs
+++ b/crates/balancer/src/decide/hot_keys.rs
@@ -1,13 +1,14 @@
-//! How often keys are requested. Requests for a key go to the same server, unless that key alone would fill it.
+//! Detection of hot keys. Requests with the same affinity key go to the same server, unless the key alone would load it
+//! too much.
 
-/// Number of counters; keys that collide only lose affinity too early.
+/// Number of counters. Keys that share one are considered hot too early and lose their affinity, which is harmless.
 const COUNTERS: usize = 256;
-/// A key with this fraction of the mean traffic of a server is hot.
+/// A key with more than this fraction of a server's mean traffic is hot.
 const HOT_FRACTION: f64 = 0.5;
-/// No key is hot with fewer requests than this.
+/// A key needs more than this number of recent requests to be hot.
 const MIN_REQUESTS: f64 = 2.0;
 
-/// Decaying counters of requests by key.
+/// Decaying counts of requests by key.
 pub(super) struct KeyCounts {
     counts: Vec<f64>,
 }
@@ -26,12 +27,12 @@
         self.counts[key as usize % COUNTERS] += 1.0;
     }
 
-    /// Reduces all counts to this fraction.
+    /// Multiplies all counts by `retained`.
     pub(super) fn decay(&mut self, retained: f64) {
         self.counts.iter_mut().for_each(|count| *count *= retained);
     }
 
-    /// Whether a key is too popular for one of so many eligible servers.
+    /// Whether a key is too popular for a single server, if this many servers are eligible.
     pub(super) fn is_hot(&self, key: u64, eligible: usize) -> bool {
         let count = self.counts[key as usize % COUNTERS];
         let total: f64 = self.counts.iter().sum();
--- a/crates/balancer/src/decide/mod.rs
+++ b/crates/balancer/src/decide/mod.rs
@@ -1,30 +1,30 @@
-//! All decisions of a node. The types, events and actions are in `crates/balancer/src/interface.rs`.
+//! The decision module of a node. Its settings, events and actions are in `crates/balancer/src/interface.rs`.
 //!
-//! Each node runs one learning automaton (after Yazidi et al.): the server of a request is sampled from a probability
-//! vector with a floor, and a response that is no slower than the mean of the running averages rewards the server that
-//! gave it. All other concerns constrain or weight that sampling. Each owns its state:
+//! Each node runs one learning automaton (after Yazidi et al.): it samples the server for a request from a probability
+//! vector with a floor, and rewards a server for each response that is no slower than the mean of the running averages.
+//! The other modules constrain or weight that sampling, and each of them owns its state:
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | `automaton` | the probability vector and the running averages of response times |
-//! | `servers` | the listed servers, and what is known of each |
+//! | `servers` | the listed servers, and what this node knows about each |
 //! | `server_health` | the health of one server |
-//! | `selection` | sampling a server: which are eligible, and with which weights |
+//! | `selection` | sampling a server: which servers are eligible, and with which weights |
 //! | `requests` | a request from its arrival to the end of its last attempt; retries |
-//! | `attempts` | what the end of an attempt, or its delay, shows about a server |
+//! | `attempts` | learning from attempts that end or are overdue |
 //! | `endpoint_list` | updates of the endpoint list |
-//! | `departed` | servers that left the list lately |
+//! | `departed` | servers that recently left the list |
 //! | `subset` | the servers of a long list that this node prefers |
 //! | `outlier` | ejection of servers that fail or are slow, and their readmission |
-//! | `slow_start` | servers that have just started, and how much work they may be sent |
-//! | `work_credit` | the bucket of work of a server in its slow start |
-//! | `admission` | which fraction of the requests is admitted, and which ones |
+//! | `slow_start` | limits the work sent to servers that have just started |
+//! | `work_credit` | the token bucket of a server in its slow start |
+//! | `admission` | the fraction of the requests that is admitted, and which requests are shed first |
 //! | `tenant_quota` | the quotas of tenants |
-//! | `retry_budget` | how many retries are allowed |
+//! | `retry_budget` | the limit on retries |
 //! | `zone_spill` | the weight of servers in other zones |
 //! | `hot_keys` | keys that are too popular for key affinity |
 //! | `estimates` | estimates of work and of the arrival rate |
-//! | `handover` | what one balancer hands over to the next |
+//! | `handover` | the state that one balancer hands over to its successor |
 
 mod admission;
 mod attempts;
@@ -68,21 +68,23 @@
 
 /// Tag of the timer of the periodic sweep.
 const SWEEP_TIMER: u64 = 0;
-/// Tag of the timer after which the endpoint list is watched again.
+/// Tag of the timer that restarts the watch of the endpoint list.
 const WATCH_TIMER: u64 = 1;
 
-/// Rate at which the unloaded response time rises, per second, so that a slower fleet becomes the norm within a minute.
+/// Relative growth of the unloaded response time, per second: when all servers become slower, it catches up within a
+/// minute.
 const UNLOADED_RESPONSE_GROWTH: f64 = 0.01;
 /// Time constant of the exponential decay of counters, in seconds.
 const COUNTER_DECAY_TIME: Time = 5.0;
 /// The longest interval between two updates of rates and counters, in seconds.
 const MAX_COUNTER_INTERVAL: Time = 1.0;
-/// Number of sweeps within the shortest latency objective.
+/// Number of sweeps per shortest latency objective.
 const SWEEPS_PER_OBJECTIVE: f64 = 3.0;
-/// The first poll is delayed by up to the poll interval divided by this, as all nodes may start at once.
+/// The first poll is delayed by a random time of up to the poll interval divided by this, as all nodes may start at
+/// once.
 const FIRST_POLL_DIVISOR: f64 = 5.0;
 
-/// The strictest values of all classes.
+/// The shortest latency objective and the shortest deadline of all classes, in seconds.
 #[derive(Clone, Copy, Debug)]
 struct StrictestClass {
     latency_objective: Time,
@@ -100,7 +102,7 @@
     }
 }
 
-/// The decision maker of one node.
+/// Decides for one node where requests are sent, and which are retried or rejected.
 pub struct Balancer {
     settings: Settings,
     strictest: StrictestClass,
@@ -121,7 +123,7 @@
     fault_scope: FaultScope,
     sustained_work: SustainedWork,
     key_counts: KeyCounts,
-    /// Mean response time of servers with short queues, in seconds: the lowest mean seen, slowly rising.
+    /// Mean response time of servers with short queues, in seconds: the lowest mean observed, which rises slowly.
     unloaded_response: Time,
     last_sweep: Time,
     last_counter_update: Time,
@@ -130,10 +132,10 @@
 }
 
 impl Balancer {
-    /// A balancer for one incarnation of a node.
+    /// Creates a balancer for one incarnation of a node; `seed` determines its random choices.
     ///
     /// # Errors
-    /// If the settings can't be used.
+    /// If the settings are invalid.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
         check(&settings, now)?;
         let strictest = StrictestClass::of(&settings);
@@ -267,7 +269,7 @@
         interval.max(self.settings.clock_resolution)
     }
 
-    /// The periodic sweep over admission, outliers and warming servers.
+    /// Updates admission, penalizes overdue attempts and refills slow start credit, periodically.
     fn sweep(&mut self, now: Time, actions: &mut Vec<Action>) {
         actions.push(Action::StartTimer {
             after: self.sweep_interval(),
@@ -287,7 +289,7 @@
         }
     }
 
-    /// Updates rates and counters, which may be less recent than what [`Self::sweep`] updates.
+    /// Updates rates and counters, which need less frequent updates than the rest of [`Self::sweep`].
     fn update_counters(&mut self, now: Time) {
         let elapsed = now - self.last_counter_update;
         self.last_counter_update = now;
@@ -309,8 +311,8 @@
         };
     }
 
-    /// The fraction of all nodes' traffic that this node has: at least that of one among equals, and more where it gets
-    /// more of what the tenants may send, as other nodes may be down.
+    /// This node's fraction of the traffic of all nodes: at least an equal share, and more if its arrival rate is a
+    /// larger fraction of all quotas, as it is when other nodes are down.
     fn traffic_fraction(&self) -> f64 {
         let equal_fraction = 1.0 / f64::from(self.settings.node_count);
         let total_rate = self.quotas.total_rate();
@@ -321,18 +323,18 @@
         }
     }
 
-    /// The mean of the running averages of response times. The average of an ejected server does not change, so it would
-    /// distort every comparison, and does not count.
+    /// Returns the mean of the running averages of response times, in seconds. Ejected servers are left out: their
+    /// averages are not updated and would distort every comparison.
     fn mean_response(&self, now: Time) -> Time {
         self.weighted_mean_response(now, |_, _| 1.0)
     }
 
-    /// The same as seen by the sampling: servers count by their probabilities.
+    /// Returns the same mean weighted by the probabilities of the servers, as the sampling sees it.
     fn sampled_mean_response(&self, now: Time) -> Time {
         self.weighted_mean_response(now, |_, probability| probability)
     }
 
-    /// The same with a weight for each server, by its position and probability.
+    /// Returns the same mean with a weight for each server, computed from its position and probability.
     fn weighted_mean_response(&self, now: Time, weight: impl Fn(usize, f64) -> f64) -> Time {
         let mut sum = 0.0;
         let mut total_weight = 0.0;
--- a/crates/balancer/src/decide/outlier.rs
+++ b/crates/balancer/src/decide/outlier.rs
@@ -1,30 +1,30 @@
-//! Outlier ejection: servers that fail or are slow get no requests for a while, unless the cluster readmits them before.
+//! Outlier ejection: servers that fail or are slow get no requests for a while, or until the cluster readmits them.
 
 use super::server_health::Failure;
 use super::servers::{relative_size, ServerTable};
 use super::{Balancer, StrictestClass};
 use crate::interface::{ServerId, Time};
 
-/// Maximum fraction of the list that may be ejected, so that a fault that all servers have in common ejects few.
+/// Maximum fraction of the list that may be ejected, so that a fault common to all servers ejects few of them.
 const MAX_EJECTED_FRACTION: f64 = 0.2;
-/// The same with servers that are unreachable, as a zone may be lost.
+/// The same for ejections of unreachable servers: higher, as a whole zone may be lost.
 const MAX_EJECTED_FRACTION_UNREACHABLE: f64 = 0.5;
-/// An ejection for a failure lasts for this multiple of the shortest deadline.
+/// Duration of the first ejection for a failure, in shortest deadlines.
 const FAILURE_EJECTION_DEADLINES: f64 = 4.0;
 
-/// Whether the faults that are seen have one cause that is not the servers' own.
+/// Whether the observed faults have a common cause outside the servers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct FaultScope {
     is_common: bool,
 }
 
 impl FaultScope {
-    /// More servers fail than may be ejected.
+    /// Whether more servers fail than may be ejected.
     pub(super) fn is_common(self) -> bool {
         self.is_common
     }
 
-    /// Counts the failing servers anew.
+    /// Recounts the failing servers.
     pub(super) fn update(&mut self, servers: &ServerTable) {
         let failing = servers
             .iter()
@@ -39,9 +39,9 @@
 }
 
 impl Balancer {
-    /// The nodes of the cluster have found that a server responds again. Its ejection by this node ends, it gets the next
-    /// request that may be a trial, and it starts anew with the average response and probability of the others: its own
-    /// are those of the fault, which this node alone would take minutes to unlearn.
+    /// Readmits a server, as the cluster has found that it responds again. Its ejection by this node ends, and it gets
+    /// the next request that may be a trial. Its running average and probability are reset to the means of the other
+    /// servers, as its own reflect the fault and this node alone would take minutes to unlearn them.
     pub(super) fn readmit(&mut self, now: Time, server: ServerId) {
         let Some(position) = self.servers.position(server) else {
             return;
@@ -53,14 +53,16 @@
         let relative_probability = relative_size(self.settings.has_server_weights, relative_weight);
         self.automaton.raise(position, relative_probability);
         self.servers[position].health.readmit(now);
-        // Other nodes have its responses: what this one still awaits is held up on its own connections.
+        // Other nodes get its responses, so the attempts that this node still awaits are stalled on their own
+        // connections.
         self.servers[position].load.record_response(now);
     }
 }
 
-/// Ejects the server at a position, as far as the number of ejected servers allows it.
+/// Records a failure of the server at a position, and ejects it if the number of ejected servers allows it.
 ///
-/// `random` is a fraction; it spreads the return of a server over the nodes that have ejected it.
+/// `random` is a fraction that adds jitter to the duration, so that the nodes that have ejected a server do not all
+/// send to it again at the same time.
 pub(super) fn record_failure(
     servers: &mut ServerTable,
     position: usize,
--- a/crates/balancer/src/decide/requests.rs
+++ b/crates/balancer/src/decide/requests.rs
@@ -9,7 +9,7 @@
 
 /// An attempt is overdue at this multiple of the mean response time for its size.
 pub(super) const OVERDUE_FACTOR: f64 = 3.0;
-/// `Retry-After` is spread between this fraction of its maximum and the maximum.
+/// `Retry-After` is drawn at random between this fraction of its maximum and the maximum.
 const MIN_RETRY_AFTER_FRACTION: f64 = 0.5;
 
 /// A request that has arrived.
@@ -19,7 +19,7 @@
     pub(super) tenant: Option<TenantId>,
     pub(super) work_hint: Option<f64>,
     pub(super) key: Option<u64>,
-    /// How long the client still waits, in seconds.
+    /// How much longer the client waits, in seconds.
     pub(super) remaining: Time,
 }
 
@@ -36,14 +36,14 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
     pub(super) server: ServerId,
-    /// The server's entry in the list when it was sent.
+    /// The server's list entry when the attempt was sent.
     pub(super) list_entry: u32,
-    /// When the server was first expected to respond: never while a body is uploaded.
+    /// Since when the server is expected to respond; `f64::MAX` while a body is uploaded.
     pub(super) sent_at: Time,
     pub(super) is_overdue: bool,
 }
 
-/// Where and when a request may first have run.
+/// Where and when the first attempt that may have run was sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Execution {
     pub(super) zone: ZoneId,
@@ -51,31 +51,31 @@
     pub(super) started_at: Time,
 }
 
-/// A request until its last attempt has ended.
+/// A request that has no final answer yet, or has an attempt in flight.
 #[derive(Default)]
 pub(super) struct Request {
     pub(super) class: ClassId,
     pub(super) key: Option<u64>,
     pub(super) segment: Segment,
-    /// Its work, in seconds on a standard core.
+    /// Its estimated work, in seconds on a standard core.
     pub(super) work: f64,
-    /// The client has given its work.
+    /// The work was stated with the request and not estimated from its class.
     pub(super) has_work_hint: bool,
-    /// How long it takes against a typical request.
+    /// Its expected response time as a multiple of that of a typical request.
     pub(super) relative_size: f64,
     pub(super) deadline: Time,
     /// Number of attempts so far.
     pub(super) attempts: u32,
     pub(super) in_flight: Option<Attempt>,
     pub(super) tried_servers: Vec<ServerId>,
-    /// The first attempt that may have run.
+    /// The first attempt that may have run; `None` if none has.
     pub(super) execution: Option<Execution>,
-    /// It has its final answer, or its client is gone.
+    /// It has its final answer, or its client has disconnected.
     pub(super) has_ended: bool,
 }
 
 impl Request {
-    /// Whether another attempt can't repeat an effect. Where it may be sent is decided by the selection.
+    /// Whether another attempt can be sent without repeating an effect. To which servers is decided by the selection.
     fn is_retryable(&self, idempotency: Idempotency, now: Time) -> bool {
         match (idempotency, self.execution) {
             (_, None) | (Idempotency::Idempotent, _) => true,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Whether a client that retries the request does no harm.
+    /// Whether the client may retry the request after a rejection without repeating an effect.
     fn is_safe_to_reject(&self, idempotency: Idempotency) -> bool {
         match idempotency {
             Idempotency::Idempotent
@@ -96,10 +96,11 @@
         }
     }
 
-    /// The timeout of an attempt that can be retried, if that leaves time for a retry.
+    /// Returns the timeout of an attempt that can be retried, in seconds, if it leaves enough time for a retry.
     ///
-    /// At a server that has not proven itself, an overdue response is more likely lost than late. At a proven one it is
-    /// queued and a retry doubles the work, so the timeout leaves just enough for a retry elsewhere.
+    /// At an unproven server, an overdue response is more likely lost than late, so the timeout is short. At a proven
+    /// one the request is probably queued and a retry doubles the work, so the timeout leaves just enough time for a
+    /// retry at another server.
     fn attempt_timeout(
         &self,
         class: &Class,
@@ -199,7 +200,7 @@
         });
     }
 
-    /// Selects a server and starts an attempt; returns whether there was one.
+    /// Selects a server and starts an attempt there; returns false if no server is eligible.
     fn start_attempt(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(position) = self.select_server(now, id) else {
             return false;
@@ -237,7 +238,7 @@
         true
     }
 
-    /// Handles the end of an attempt: learns from it, and retries the request where that is useful.
+    /// Handles the end of an attempt: learns from it, and retries, rejects or fails a request that has no answer yet.
     pub(super) fn handle_attempt_end(
         &mut self,
         now: Time,
@@ -278,7 +279,8 @@
         }
     }
 
-    /// Where and when an attempt may have run. A server that is not listed any more is in no known zone or cell.
+    /// Where and when an attempt may have run. The zone and cell of a server that is no longer listed are unknown, and
+    /// match no server.
     fn execution_of(&self, attempt: &Attempt, now: Time) -> Execution {
         let started_at = attempt.sent_at.min(now);
         match self.servers.position(attempt.server) {
@@ -306,8 +308,8 @@
             && request.is_retryable(idempotency, now)
     }
 
-    /// Handles the progress of an upload: a slow upload is due to the client, so the server's response is awaited from its
-    /// last byte on.
+    /// Handles the start and the end of an upload. The client determines how long an upload takes, so the response time
+    /// of the server counts from the last byte of the body.
     pub(super) fn handle_upload(&mut self, now: Time, id: RequestId, remaining: Option<Time>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -324,7 +326,7 @@
         }
     }
 
-    /// The request needs no final answer any more.
+    /// Ends a request that needs no final answer any more; it is removed once its attempt in flight has ended.
     pub(super) fn end_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
--- a/crates/balancer/src/decide/retry_budget.rs
+++ b/crates/balancer/src/decide/retry_budget.rs
@@ -1,12 +1,12 @@
-//! The retry budget: each first attempt earns a part of a retry, so that retries can't multiply the load of a fleet that
-//! fails.
+//! The retry budget: each admitted request earns a fraction of a retry, so that retries can't multiply the load of
+//! servers that fail.
 
-/// The budget always holds this many retries.
+/// The least size of the budget, in retries; it is full at first.
 const MIN_BURST: f64 = 2.0;
-/// The budget holds the retries of one second, and never more than this.
+/// The greatest size of the budget, in retries. In between, its size is the number of retries earned per second.
 const MAX_BURST: f64 = 10.0;
 
-/// The retries that are allowed at present.
+/// The number of retries that are currently allowed.
 pub(super) struct RetryBudget {
     retries: f64,
 }
@@ -18,7 +18,7 @@
 }
 
 impl RetryBudget {
-    /// Adds what a first attempt earns, where so many requests arrive per second.
+    /// Adds the fraction of a retry that one request earns. The arrival rate determines the size of the budget.
     pub(super) fn earn(&mut self, ratio: f64, arrivals_per_second: f64) {
         let size = (ratio * arrivals_per_second).clamp(MIN_BURST, MAX_BURST);
         self.retries = (self.retries + ratio).min(size);
@@ -29,7 +29,7 @@
         self.retries >= 1.0
     }
 
-    /// Takes a retry out of the budget.
+    /// Removes a retry from the budget.
     pub(super) fn spend(&mut self) {
         self.retries -= 1.0;
     }
--- a/crates/balancer/src/decide/selection.rs
+++ b/crates/balancer/src/decide/selection.rs
@@ -1,5 +1,5 @@
-//! Sampling a server for an attempt. The automaton's probabilities are multiplied by weights for load, health, speed and
-//! zone, and by 0 for servers that must not be used; the server is sampled from the result.
+//! Sampling a server for an attempt. The automaton's probabilities are multiplied by weights for load, health, speed
+//! and zone, and by 0 for servers that must not be used; the server is sampled from the products.
 
 use super::requests::Request;
 use super::servers::{relative_size, Server};
@@ -8,30 +8,31 @@
 use crate::interface::{Idempotency, KeyScope, RequestId, Settings, Time};
 use crate::random::{rendezvous, sample};
 
-/// The weight of a server falls with this power of the attempts that this node has in flight there. The probability vector
-/// learns of a queue only when the responses that waited in it arrive.
+/// The weight of a server falls with this power of the number of attempts that this node has in flight there. The
+/// probability vector reflects a queue only after the responses that waited in it have arrived.
 const LOAD_EXPONENT: i32 = 8;
-/// The weight of a server rises with this power of its speed.
+/// The weight of a server rises with this power of its speed relative to the mean.
 const SPEED_EXPONENT: i32 = 2;
-/// The speed of a server against the mean counts up to this factor, either way.
+/// The relative speed of a server is limited to this factor, and to its inverse.
 const MAX_SPEED_FACTOR: f64 = 3.0;
-/// The running average of a server that was sent nothing for this time, in seconds, does not lower its weight.
+/// The running average of a server that has been sent no attempt for this time, in seconds, no longer lowers its
+/// weight.
 const AVERAGE_VALIDITY: Time = 2.0;
-/// The weight of a server that returns from ejection, until it has responded well.
+/// The weight of a server that returns from ejection, until its first good response.
 const RETURNING_WEIGHT: f64 = 0.3;
-/// The weight of a server that has not proven itself, for requests that can't be retried, where others can.
+/// The weight of an unproven server for requests that can't be retried, if requests of other classes can be.
 const UNPROVEN_WEIGHT: f64 = 0.2;
 
-/// Which weights apply.
+/// Which weights apply to the servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Eligibility {
-    /// All of them.
+    /// All weights.
     Preferred,
-    /// Only those that must not be ignored: subset, slow start, and where a repeat is discarded.
+    /// Only those that must not be ignored: the probability, slow start, and the scope of an idempotency key.
     Permitted,
 }
 
-/// What the weights of all servers depend on.
+/// The inputs that the weights of all servers depend on.
 struct Selection<'a> {
     settings: &'a Settings,
     request: &'a Request,
@@ -42,7 +43,7 @@
     mean_response: Time,
     /// Weight of servers in other zones.
     spill_weight: f64,
-    /// The faults that are seen are not the servers' own.
+    /// More servers fail than may be ejected, so that the cause is not the servers' own.
     is_fault_common: bool,
     /// The request can be repeated anywhere.
     is_idempotent: bool,
@@ -51,7 +52,7 @@
 }
 
 impl Selection<'_> {
-    /// The probability of a server after weighting; the results do not sum to 1.
+    /// The weighted probability of a server; the results do not sum to 1.
     fn weight(
         &self,
         server: &Server,
@@ -74,7 +75,7 @@
         weight
     }
 
-    /// A request with an idempotency key that may have run is sent only where its repeat is discarded.
+    /// Whether a server discards a repeat of the request, if the request has an idempotency key and may have run.
     fn may_repeat_at(&self, server: &Server) -> bool {
         let class = &self.settings.classes[usize::from(self.request.class)];
         let (Idempotency::Keyed { scope, .. }, Some(first)) =
@@ -104,7 +105,7 @@
         let is_excused = self.is_fault_common && !health.is_unreachable;
         let has_failed = health.is_failing && !is_excused;
         if health.has_peer_verdict(self.now) || has_failed {
-            // A trial: one attempt at a time, and none that can't be retried.
+            // Trials: one attempt at a time, and only of requests that can be retried.
             let is_allowed = !self.needs_proven_server && server.load.in_flight == 0;
             return if is_allowed { RETURNING_WEIGHT } else { 0.0 };
         }
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Whether the request may be a trial that the server awaits.
+    /// Whether the request may be used for a trial that is due at the server.
     fn may_be_trial(&self, server: &Server) -> bool {
         server.health.awaits_trial() && self.is_idempotent
     }
@@ -140,8 +141,8 @@
 }
 
 impl Balancer {
-    /// Samples a server for an attempt of a request; returns its position. Where no server is preferred, one that is
-    /// permitted is used.
+    /// Samples a server for an attempt of a request and returns its position. If all weights exclude every server, only
+    /// the weights that must not be ignored apply.
     pub(super) fn select_server(&mut self, now: Time, id: RequestId) -> Option<usize> {
         let random = self.random.fraction();
         let mean_response = self.sampled_mean_response(now);
@@ -187,7 +188,7 @@
         None
     }
 
-    /// The key by which a request is sent to the same server each time, if it has one that is not too popular.
+    /// The affinity key of a request, by which it is sent to the same server each time, unless the key is hot.
     fn affinity_key(&self, request: &Request) -> Option<u64> {
         let key = request.key.filter(|_| self.settings.has_key_affinity)?;
         let eligible = self
@@ -210,7 +211,7 @@
     }
 }
 
-/// Whether a request should go to a server that has proven itself: it can't be retried, and requests of other classes can.
+/// Whether a request should go to a proven server: it can't be retried, and requests of another class can.
 fn needs_proven_server(settings: &Settings, request: &Request) -> bool {
     let is_idempotent = |idempotency| idempotency == Idempotency::Idempotent;
     let class = &settings.classes[usize::from(request.class)];
@@ -221,13 +222,13 @@
             .any(|other| is_idempotent(other.idempotency))
 }
 
-/// The weight of a server by the attempts that this node has in flight there, against its size.
+/// The weight of a server for its load: the attempts that this node has in flight there, relative to its size.
 fn load_weight(server: &Server, has_server_weights: bool, mean_weight: f64) -> f64 {
     let size = relative_size(has_server_weights, server.endpoint.weight / mean_weight);
     (1.0 + f64::from(server.load.in_flight) / size).powi(-LOAD_EXPONENT)
 }
 
-/// The weight of a server by its speed: the mean response time over its own.
+/// The weight of a server for its speed: the mean response time divided by its own.
 fn speed_weight(speed: f64) -> f64 {
     if speed.is_finite() {
         speed
--- a/crates/balancer/src/decide/server_health.rs
+++ b/crates/balancer/src/decide/server_health.rs
@@ -1,20 +1,20 @@
-//! The health of one server, as its attempts and the nodes of a cluster report it.
+//! The health of one server, according to this node's attempts and to the verdicts of the cluster.
 
 use crate::interface::Time;
 
-/// The duration of ejections doubles at most this many times.
+/// The duration of an ejection doubles at most this many times.
 const MAX_DOUBLINGS: u32 = 3;
-/// Trials of a server that was readmitted.
+/// Number of trials of a server after its readmission.
 const READMISSION_TRIALS: u32 = 1;
-/// Trials by a prober, if the first one succeeds: one response could be chance.
+/// Number of trials by a prober if the first one succeeds: a single response could be chance.
 const PROBE_TRIALS: u32 = 2;
 
-/// What a failed or overdue attempt shows about a server.
+/// What a failed or overdue attempt indicates about its server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Failure {
-    /// The server fails, beyond being late.
+    /// The server fails, and is not just slow.
     pub(super) is_failing: bool,
-    /// The server can't be reached, or has not responded several times in a row, which load does not explain.
+    /// The server can't be reached, or has timed out several times in a row, which load does not explain.
     pub(super) is_unreachable: bool,
 }
 
@@ -25,19 +25,20 @@
     pub(super) consecutive_failures: u32,
     pub(super) is_failing: bool,
     pub(super) is_unreachable: bool,
-    /// It has responded well, and not failed since.
+    /// It has responded in good time and has not failed since.
     pub(super) is_proven: bool,
     pub(super) ejected_until: Time,
-    /// When the verdict of the cluster's nodes against it expires.
+    /// When the cluster's verdict against it expires.
     peer_verdict_until: Time,
     /// This node sends it trial requests in spite of the verdict.
     is_prober: bool,
-    /// Requests that it is sent before others are: to be found responding, or since it was readmitted.
+    /// Number of trial requests still to be sent to it before any other server is considered, because this node is its
+    /// prober or because it was readmitted.
     trials_due: u32,
 }
 
 impl ServerHealth {
-    /// The health of a server that nothing is known of.
+    /// The health of a server that nothing is known about.
     pub(super) fn new(now: Time) -> Self {
         ServerHealth {
             consecutive_failures: 0,
@@ -51,27 +52,27 @@
         }
     }
 
-    /// Whether it is ejected.
+    /// Whether this node has ejected it.
     pub(super) fn is_ejected(&self, now: Time) -> bool {
         self.ejected_until > now
     }
 
-    /// Whether the verdict of the cluster's nodes holds.
+    /// Whether a verdict of the cluster against it is in force.
     pub(super) fn has_peer_verdict(&self, now: Time) -> bool {
         self.peer_verdict_until > now
     }
 
-    /// Whether the verdict of the cluster's nodes keeps this node from sending to it.
+    /// Whether a verdict of the cluster keeps this node from sending to it.
     pub(super) fn is_blocked_by_peers(&self, now: Time) -> bool {
         self.has_peer_verdict(now) && !self.is_prober
     }
 
-    /// Whether this node sends it trial requests on behalf of the cluster's nodes.
+    /// Whether this node sends it trial requests on behalf of the cluster.
     pub(super) fn is_probing(&self, now: Time) -> bool {
         self.has_peer_verdict(now) && self.is_prober
     }
 
-    /// Records the verdict of the cluster's nodes.
+    /// Records a verdict of the cluster. Trials become due when this node becomes the prober.
     pub(super) fn set_peer_verdict(&mut self, now: Time, until: Time, is_prober: bool) {
         let was_probing = self.is_probing(now);
         self.peer_verdict_until = until;
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The cluster's nodes have found that it responds again: what this node holds against it is older.
+    /// Clears all failures, as the cluster has found that it responds again; one trial becomes due.
     pub(super) fn readmit(&mut self, now: Time) {
         *self = ServerHealth {
             trials_due: READMISSION_TRIALS,
@@ -91,17 +92,17 @@
         };
     }
 
-    /// Whether the next request that may be a trial is sent to it.
+    /// Whether it has to get the next request that may be a trial.
     pub(super) fn awaits_trial(&self) -> bool {
         self.trials_due > 0
     }
 
-    /// An attempt is sent to it.
+    /// Records that an attempt is sent to it.
     pub(super) fn record_attempt(&mut self) {
         self.trials_due = self.trials_due.saturating_sub(1);
     }
 
-    /// It has responded well.
+    /// Records a response in good time.
     pub(super) fn record_success(&mut self) {
         self.consecutive_failures = 0;
         self.is_failing = false;
@@ -109,7 +110,8 @@
         self.is_proven = true;
     }
 
-    /// An attempt has failed or is overdue. It is ejected if that is allowed; each failure in a row doubles the time.
+    /// Records an attempt that has failed or is overdue, and ejects the server if `ejection` is a duration. The
+    /// duration doubles with each failure in a row.
     pub(super) fn record_failure(&mut self, now: Time, failure: Failure, ejection: Option<Time>) {
         self.is_proven = false;
         self.trials_due = 0;
--- a/crates/balancer/src/decide/servers.rs
+++ b/crates/balancer/src/decide/servers.rs
@@ -1,4 +1,4 @@
-//! The listed servers, and what this node knows of each.
+//! The listed servers, and what this node knows about each.
 
 use super::server_health::ServerHealth;
 use super::work_credit::{capacity_fraction, WorkCredit};
@@ -6,7 +6,7 @@
 use crate::interface::{Endpoint, Rules, ServerId, Time};
 use std::ops::{Deref, DerefMut};
 
-/// The least and the greatest size of a server against the mean that its listed weight can give it.
+/// The least and the greatest relative size that a listed weight can give a server; the mean size is 1.
 const RELATIVE_SIZE_RANGE: (f64, f64) = (0.25, 4.0);
 
 /// The attempts that this node has in flight at one server.
@@ -14,27 +14,27 @@
 pub(super) struct ServerLoad {
     /// Attempts in flight.
     pub(super) in_flight: u32,
-    /// Those of them that are overdue.
+    /// Number of them that are overdue.
     pub(super) overdue: u32,
-    /// When the last attempt was sent; 0 for none.
+    /// When the last attempt was sent; 0 if there was none.
     pub(super) last_sent_at: Time,
-    /// The latest sending time of an attempt that was answered. An earlier attempt that is still in flight is held up on
-    /// its own connection, which shows nothing about the server.
+    /// The latest sending time of an answered attempt. An earlier attempt that is still in flight is stalled on its own
+    /// connection and is no evidence against the server.
     pub(super) last_answered_sent_at: Time,
 }
 
 impl ServerLoad {
-    /// The server is known to have responded to an attempt that was sent then.
+    /// Records that the server has responded to an attempt that was sent at this time.
     pub(super) fn record_response(&mut self, sent_at: Time) {
         self.last_answered_sent_at = self.last_answered_sent_at.max(sent_at);
         self.overdue = 0;
     }
 }
 
-/// What this node knows of one listed server.
+/// A listed server, and what this node knows about it.
 pub(super) struct Server {
     pub(super) endpoint: Endpoint,
-    /// Distinguishes the server's present entry in the list from earlier ones, whose attempts do not count.
+    /// Distinguishes the server's current list entry from earlier ones, whose attempts no longer count.
     pub(super) list_entry: u32,
     /// Whether it is in the subset that this node prefers.
     pub(super) is_in_subset: bool,
@@ -45,7 +45,7 @@
 }
 
 impl Server {
-    /// A server that has just been listed.
+    /// Creates the state of a server that has just been listed, with an initial slow start credit.
     pub(super) fn new(endpoint: Endpoint, now: Time, is_in_subset: bool, credit: f64) -> Self {
         Server {
             endpoint,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The least fraction of its capacity that it has at present.
+    /// The least fraction of its full capacity that it may have now.
     pub(super) fn capacity_fraction(&self, rules: &Rules, now: Time) -> f64 {
         capacity_fraction(rules, self.endpoint.started_at, now)
     }
@@ -81,7 +81,7 @@
         self.positions.get(server)
     }
 
-    /// The position of a server, if it is listed and has not been removed and listed again meanwhile.
+    /// The position of a server, if it is still listed with the same list entry: not removed and listed again since.
     pub(super) fn position_of_entry(&self, server: ServerId, list_entry: u32) -> Option<usize> {
         let position = self.positions.get(server)?;
         (self.servers[position].list_entry == list_entry).then_some(position)
@@ -108,7 +108,7 @@
         removed
     }
 
-    /// Records what the nodes of a cluster have agreed on.
+    /// Records the cluster's verdict on a server, if it is listed.
     pub(super) fn set_peer_verdict(
         &mut self,
         now: Time,
@@ -133,7 +133,7 @@
         total / self.servers.len() as f64
     }
 
-    /// The capacity of all servers, in servers; one in its slow start counts in part.
+    /// The capacity of all servers, in units of a warm server; one in its slow start counts as a fraction.
     pub(super) fn capacity(&self, rules: &Rules, now: Time) -> f64 {
         self.servers
             .iter()
@@ -141,7 +141,7 @@
             .sum()
     }
 
-    /// Number of servers with their full capacity.
+    /// Number of servers at their full capacity.
     pub(super) fn warm_count(&self, rules: &Rules, now: Time) -> usize {
         self.servers
             .iter()
@@ -164,7 +164,7 @@
     }
 }
 
-/// The size of a server against the mean by its listed weight; 1 where weights mean nothing.
+/// The size of a server relative to the mean, from its listed weight relative to the mean; 1 if weights are not used.
 pub(super) fn relative_size(has_server_weights: bool, relative_weight: f64) -> f64 {
     if has_server_weights && relative_weight.is_finite() {
         let (min, max) = RELATIVE_SIZE_RANGE;
--- a/crates/balancer/src/decide/slow_start.rs
+++ b/crates/balancer/src/decide/slow_start.rs
@@ -1,25 +1,27 @@
-//! Slow start: a server that has just started has a part of its capacity, and all nodes together must not overload it.
-//! Each node has a token bucket of work for each such server, filled at its fraction of what the server tolerates.
+//! Slow start: a server that has just started has only a fraction of its capacity, and all nodes together must not
+//! overload it. Each node has a token bucket of work for each such server, filled at the node's fraction of the
+//! tolerated work rate.
 
 use super::servers::{relative_size, Server};
 use super::Balancer;
 use crate::interface::{Rules, Time};
 
-/// Capacity of a server, in standard cores, before any server was seen working.
+/// Sustainable work rate of a server, in standard cores, until a higher one has been observed.
 const DEFAULT_WORK_RATE: f64 = 0.5;
-/// Rate at which the sustained work rate is forgotten, per second.
+/// Relative decay of the sustained work rate, per second.
 const WORK_RATE_DECAY: f64 = 0.01;
-/// Fraction of a server's tolerance that very many nodes use continuously.
+/// Fraction of the tolerated work rate that buckets are filled at, in the limit of many nodes. The rest is left for
+/// accumulated credit.
 const CONTINUOUS_FRACTION: f64 = 0.45;
-/// Fewer nodes use more of it: this, divided by the root of their number.
+/// Addition to that fraction, divided by the square root of the number of nodes.
 const CONTINUOUS_FRACTION_SPREAD: f64 = 0.6;
-/// The greatest fraction that is used continuously.
+/// The greatest fraction of the tolerated work rate that buckets are filled at.
 const MAX_CONTINUOUS_FRACTION: f64 = 0.8;
-/// The fraction that continuous work and accumulated credit use together.
+/// The fraction of the tolerated work that the fill rate and the accumulated credit use together.
 const TOTAL_FRACTION: f64 = 1.0;
-/// The rate of a machine type differs from the mean by this fraction at most, as few responses are known of each type.
+/// The relative speed of a machine type differs from 1 by at most this, as only few responses per type are known.
 const MAX_TYPE_DEVIATION: f64 = 0.6;
-/// The least accumulated credit that a probability is divided by, in typical requests.
+/// The least accumulated credit, in typical requests, that a probability is divided by.
 const MIN_ACCUMULATED_REQUESTS: f64 = 0.1;
 
 /// The factor that slow start applies to the probability of a server.
@@ -37,16 +39,16 @@
     if !server.credit.covers(work, typical) {
         return 0.0;
     }
-    // A node that can accumulate little credit sends rarely, so it sends more when it can.
+    // A node that can accumulate little credit is rarely able to send, so the probability is higher when it is.
     let accumulated = server.credit.max / typical - 1.0;
     capacity / accumulated.clamp(MIN_ACCUMULATED_REQUESTS, 1.0)
 }
 
-/// The greatest work rate that a warm server was seen to sustain lately.
+/// The greatest work rate that a warm server has recently sustained.
 pub(super) struct SustainedWork {
-    /// Work that was served since the last update.
+    /// Work served since the last update, in seconds on a standard core.
     served: f64,
-    /// Work served per second by this node's requests, smoothed.
+    /// Smoothed work rate of this node's served requests, in standard cores.
     served_rate: f64,
     per_server: f64,
 }
@@ -62,12 +64,12 @@
 }
 
 impl SustainedWork {
-    /// Work per second and server.
+    /// The sustained work rate per server, in standard cores.
     pub(super) fn per_server(&self) -> f64 {
         self.per_server
     }
 
-    /// Restores the rate, if it is usable.
+    /// Restores the rate, if it is valid.
     pub(super) fn restore(&mut self, per_server: f64) {
         if per_server.is_finite() && per_server > 0.0 {
             self.per_server = per_server;
@@ -79,7 +81,8 @@
         self.served += work;
     }
 
-    /// Updates the rate after this time, with this node's fraction of the traffic and the number of warm servers.
+    /// Updates the rate. `retained` is the smoothing weight of the old rate, `traffic_fraction` this node's fraction of
+    /// the traffic of all nodes, and `warm` the number of warm servers.
     pub(super) fn update(
         &mut self,
         elapsed: Time,
@@ -95,7 +98,7 @@
     }
 }
 
-/// Number and sum of running averages.
+/// Number and sum of the running averages of some servers.
 #[derive(Clone, Copy, Default)]
 struct ResponseSum {
     count: f64,
@@ -114,7 +117,7 @@
 }
 
 impl Balancer {
-    /// Fills the buckets of all servers in their slow start.
+    /// Refills the buckets of all servers in their slow start, for the elapsed time.
     pub(super) fn refill_slow_start_credit(&mut self, now: Time, elapsed: Time) {
         let nodes = f64::from(self.subset.nodes_per_server(self.servers.len() as f64));
         let continuous = CONTINUOUS_FRACTION + CONTINUOUS_FRACTION_SPREAD / nodes.sqrt();
@@ -145,7 +148,7 @@
         }
     }
 
-    /// The speed of each machine type against the mean of this node's subset, by the running averages.
+    /// The speed of each machine type relative to the mean of this node's subset, from the running averages.
     fn machine_type_speeds(&self) -> Vec<f64> {
         let type_of = |server: &Server| usize::from(server.endpoint.machine_type);
         let types = self
--- a/crates/balancer/src/decide/subset.rs
+++ b/crates/balancer/src/decide/subset.rs
@@ -1,29 +1,29 @@
-//! Subsetting: the servers of a long list that this node prefers. Each server is preferred by a block of the nodes, in an
-//! order that scatters neighbours. All servers have equally many nodes, a new server changes nothing for the others, and
-//! the nodes of a lost zone are missed by all servers alike.
+//! Subsetting: the servers of a long list that this node prefers. Each server is preferred by a contiguous block of the
+//! nodes, in an order that scatters nodes with neighbouring indices. Thus all servers have the same number of nodes, a
+//! new server does not change the nodes of the others, and the loss of a zone's nodes affects all servers equally.
 
 use super::servers::relative_size;
 use super::Balancer;
 use crate::random::{coprime_stride, fraction_of};
 
-/// Requests per second that a node should send to each server of its subset, so that averages are recent, connections
-/// are reused before they are closed, and few nodes find each faulty server.
+/// Requests per second that a node should send to each server of its subset, so that running averages are recent,
+/// connections are reused before they are closed, and few nodes have to detect each faulty server.
 const REQUESTS_PER_SERVER: f64 = 2.0;
 /// The least size of a subset, and half of the least number of nodes that prefer each server.
 const MIN_SUBSET: f64 = 8.0;
 
-/// Which servers this node prefers.
+/// Determines which servers this node prefers.
 pub(super) struct Subset {
     node_count: u32,
     node_index: Option<u32>,
     /// Requests per second that tenants may send to all nodes.
     total_rate: f64,
-    /// Distance between two nodes that are neighbours in the order of blocks.
+    /// Distance, in the order of the blocks, between two nodes with successive indices.
     stride: u64,
 }
 
 impl Subset {
-    /// The subset of one of the nodes.
+    /// Creates the subset of the node with this index; `total_rate` is the sum of all quotas.
     pub(super) fn new(node_count: u32, node_index: Option<u32>, total_rate: f64) -> Self {
         let stride = coprime_stride(u64::from(node_count));
         Subset {
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Number of nodes that prefer each server of a list of this length. All of them where the rate is unknown or nodes
-    /// have no indices.
+    /// Number of nodes that prefer each server of a list of this length: all of them if the rate is unknown, the nodes
+    /// have no indices, or there are few nodes.
     pub(super) fn nodes_per_server(&self, servers: f64) -> u32 {
         let nodes = f64::from(self.node_count);
         if self.node_index.is_none() || self.total_rate <= 0.0 || nodes < 2.0 * MIN_SUBSET {
@@ -47,12 +47,12 @@
             .ceil() as u32
     }
 
-    /// Whether this node prefers a server, if so many nodes prefer each.
+    /// Whether this node prefers a server, if each server is preferred by `nodes_per_server` nodes.
     pub(super) fn contains(&self, server_hash: u64, nodes_per_server: u32) -> bool {
         let nodes = u64::from(self.node_count);
         let first = (fraction_of(server_hash) * nodes as f64) as u64;
-        let place = u64::from(self.node_index.unwrap_or(0)) * self.stride;
-        (place + nodes - first) % nodes < u64::from(nodes_per_server)
+        let position = u64::from(self.node_index.unwrap_or(0)) * self.stride;
+        (position + nodes - first) % nodes < u64::from(nodes_per_server)
     }
 
     /// Whether every node prefers every server.
@@ -62,8 +62,8 @@
 }
 
 impl Balancer {
-    /// Concentrates the probability vector on the subset: by listed weights if nothing was learned yet, otherwise where
-    /// the subset has changed.
+    /// Concentrates the probability vector on the subset: by listed weights if nothing was learned yet, otherwise by
+    /// changing only the servers that join or leave the subset.
     pub(super) fn update_subset(&mut self, nothing_learned: bool) {
         let nodes_per_server = self.subset.nodes_per_server(self.servers.len() as f64);
         let is_whole_list = self.subset.is_whole_list(nodes_per_server);
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Servers that join the subset get the mean probability of its members.
+    /// Gives servers that join the subset the mean probability of its members, and those that leave it no probability.
     fn change_subset(&mut self, members: &[bool]) {
         let probabilities = &mut self.automaton.probability;
         let total: f64 = members
--- a/crates/balancer/src/decide/tenant_quota.rs
+++ b/crates/balancer/src/decide/tenant_quota.rs
@@ -1,14 +1,14 @@
-//! The quotas of tenants: a token bucket for each, with this node's fraction of the quota.
+//! The quotas of tenants: a token bucket per tenant, filled at this node's fraction of the quota.
 
 use crate::interface::{Tenant, TenantId, Time};
 
-/// Seconds of quota that a bucket holds.
+/// Size of a bucket, in seconds of the node's fraction of the quota.
 const BURST_SECONDS: f64 = 2.0;
-/// Requests that a bucket holds beyond that, as arrivals at one node are uneven.
+/// Requests that a bucket holds in addition, as arrivals at a single node are uneven.
 const BURST_REQUESTS: f64 = 3.0;
 
 struct Bucket {
-    /// Requests per second over all nodes.
+    /// Requests per second, over all nodes.
     quota: f64,
     /// `None` until the tenant's first request, when the bucket is full.
     tokens: Option<f64>,
@@ -22,7 +22,7 @@
 }
 
 impl TenantQuotas {
-    /// Full buckets for all tenants.
+    /// Creates a full bucket for each tenant.
     pub(super) fn new(tenants: &[Tenant], now: Time) -> Self {
         let bucket = |tenant: &Tenant| Bucket {
             quota: tenant.quota,
@@ -35,12 +35,13 @@
         }
     }
 
-    /// Requests per second that all tenants together may send to all nodes; 0 if none has a quota.
+    /// Requests per second that all tenants together may send to all nodes; 0 if no tenant has a quota.
     pub(super) fn total_rate(&self) -> f64 {
         self.total_rate
     }
 
-    /// Takes a token for a request of a tenant; returns whether the tenant is over its quota.
+    /// Takes a token for a request of a tenant; returns true if there was none, so that the tenant is over its quota.
+    /// `traffic_fraction` is this node's fraction of the traffic.
     pub(super) fn is_exceeded(
         &mut self,
         now: Time,
--- a/crates/balancer/src/decide/zone_spill.rs
+++ b/crates/balancer/src/decide/zone_spill.rs
@@ -1,21 +1,22 @@
-//! The weight of servers in other zones. It follows what crossing zones gains: the fraction of missed latency objectives in
-//! this node's zone, less that in the others and the cost of crossing.
+//! The weight of servers in other zones. It follows the gain of crossing zones: the fraction of missed latency
+//! objectives in this node's zone, less that in other zones and the cost of crossing.
 
 use crate::interface::Time;
 
-/// Step of the fractions of missed objectives.
+/// Smoothing factor of the fractions of missed objectives.
 const MISSED_STEP: f64 = 0.05;
 /// Rate at which the weight grows, per second and unit of gain.
 const GROWTH_RATE: f64 = 7.0;
-/// The least weight: servers in other zones are still known, and used when they are much less loaded.
+/// The least weight. It is positive so that response times in other zones stay known, and their servers are used when
+/// they are much less loaded.
 pub(super) const MIN_WEIGHT: f64 = 0.15;
 
-/// The weight of servers in other zones against that of servers in this node's zone.
+/// The weight of servers in other zones, relative to that of servers in this node's zone.
 pub(super) struct ZoneSpill {
     weight: f64,
-    /// Fraction of responses that missed their latency objective, in this node's zone.
+    /// Smoothed fraction of responses from this node's zone that missed their latency objective.
     missed_locally: f64,
-    /// The same in other zones.
+    /// The same for responses from other zones.
     missed_remotely: f64,
 }
 
@@ -30,12 +31,12 @@
 }
 
 impl ZoneSpill {
-    /// The weight.
+    /// The current weight, at most 1.
     pub(super) fn weight(&self) -> f64 {
         self.weight
     }
 
-    /// Restores the weight; one that can't be is replaced by the least.
+    /// Restores the weight; an invalid one is replaced by the least.
     pub(super) fn restore(&mut self, weight: f64) {
         let is_usable = weight.is_finite() && weight > 0.0;
         self.weight = if is_usable {
@@ -45,7 +46,7 @@
         };
     }
 
-    /// Adds a response.
+    /// Records whether a response, from this node's zone or another, missed its latency objective.
     pub(super) fn record(&mut self, is_remote: bool, missed_objective: bool) {
         let missed = if is_remote {
             &mut self.missed_remotely
@@ -55,7 +56,7 @@
         *missed += MISSED_STEP * (f64::from(missed_objective) - *missed);
     }
 
-    /// Adjusts the weight after this time.
+    /// Adjusts the weight to the current gain; `crossing_cost` is the cost per request that crosses zones.
     pub(super) fn update(&mut self, elapsed: Time, crossing_cost: f64) {
         let gain = self.missed_locally - self.missed_remotely - crossing_cost;
         let growth = (GROWTH_RATE * gain * elapsed).exp();
