--- a/crates/balancer/src/decide/automaton.rs
+++ b/crates/balancer/src/decide/automaton.rs
@@ -1,6 +1,6 @@
 //! The learning automaton: the probability vector and the running averages of response times.
 
-use crate::floored::Floored;
+use crate::floored::FlooredVector;
 
 /// Smoothing factor of the running averages.
 const AVERAGE_STEP: f64 = 0.2;
@@ -89,15 +89,15 @@
 
     /// Restores the sum and the floor; the excesses over the floor keep their proportions.
     pub fn normalize(&mut self) {
-        self.update(Floored::restore);
+        self.update(FlooredVector::restore);
     }
 
-    fn update(&mut self, change: impl FnOnce(&mut Floored)) {
+    fn update(&mut self, change: impl FnOnce(&mut FlooredVector)) {
         let entries = self
             .probability
             .iter()
             .map(|probability| (*probability, [0; 2]));
-        let mut vector = Floored::new(TOTAL_FLOOR, entries);
+        let mut vector = FlooredVector::new(TOTAL_FLOOR, entries);
         change(&mut vector);
         self.probability = vector.values();
     }
--- a/crates/balancer/src/decide/servers.rs
+++ b/crates/balancer/src/decide/servers.rs
@@ -2,7 +2,7 @@
 
 use super::server_health::ServerHealth;
 use super::work_credit::{capacity_fraction, WorkCredit};
-use crate::index::Index;
+use crate::index::PositionIndex;
 use crate::interface::{Endpoint, Rules, ServerId, Time};
 use std::ops::{Deref, DerefMut};
 
@@ -70,7 +70,7 @@
 #[derive(Default)]
 pub(super) struct ServerTable {
     servers: Vec<Server>,
-    positions: Index,
+    positions: PositionIndex,
     /// Number of list entries so far.
     list_entries: u32,
 }
--- a/crates/balancer/src/engine.rs
+++ b/crates/balancer/src/engine.rs
@@ -1,24 +1,24 @@
-//! The requests in flight, their attempts, and the rules that no action may break.
+//! The open requests, their attempts, and the rules that no action may break.
 //!
-//! An [`Engine`] stands between a decision module and whatever sends requests for it. It owns the module and every open
-//! request; what happens outside is reported to it with its time, and what has to be done is returned as [`Command`]s. It
-//! does no I/O, reads no clock and draws no random numbers, so that a pool of a running node and a test in virtual time
-//! run the same code.
+//! An [`Engine`] mediates between a decision module and the host that sends its requests. It owns the module and every
+//! open request. The host reports events with their times and carries out the returned [`Command`]s. The engine does no
+//! I/O, reads no clock and draws no random numbers, so that a pool of a running node and a test in virtual time run the
+//! same code.
 //!
-//! | state | owner | ends |
+//! | state | owner | end of its life |
 //! | --- | --- | --- |
 //! | request | `Engine::requests` | with its final answer, or with its last attempt if that ends later |
 //! | attempt | its request | with [`Engine::end_attempt`], once |
-//! | server | `Engine::servers` | when a list says that it was removed, or does not name it any more |
-//! | identifier of a removed server | `Engine::servers` | [`SERVER_ID_QUARANTINE`] later |
+//! | server | `Engine::servers` | when an update removes it, or a complete list does not contain it |
+//! | identifier of a removed server | `Engine::servers` | [`SERVER_ID_QUARANTINE`] after the removal |
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `command` | what the engine requests, and what it is given |
-//! | `request` | one request and its attempts, and whether another may be sent |
+//! | `command` | commands to the host, and the data that it reports |
+//! | `request` | one request and its attempts, and whether another attempt may be sent |
 //! | `attempts` | starting, ending and cancelling attempts; final answers |
 //! | `endpoint_list` | updates of the endpoint list |
-//! | `servers` | the listed servers, and identifiers of those that were removed |
+//! | `servers` | the listed servers, and the identifiers of removed ones |
 
 mod attempts;
 mod command;
@@ -37,9 +37,9 @@
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
-/// A decision module: it is given events and returns actions.
+/// A decision module, which handles events and returns actions.
 ///
-/// There is one, [`Balancer`](crate::Balancer); tests use others, which try to break the rules.
+/// [`Balancer`](crate::Balancer) is the only one in production; tests use others that try to break the rules.
 pub trait DecisionModule {
     /// Handles one event and appends the actions that the node has to take.
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>);
@@ -51,11 +51,11 @@
     }
 }
 
-/// The types of whoever sends the requests.
+/// The types of the code that sends the requests and carries out the commands.
 pub trait Host {
-    /// What is stored with a request until its last attempt has ended.
+    /// Data that is stored with a request until its last attempt has ended.
     type Payload;
-    /// The way back to the client; it is returned with the final answer.
+    /// A handle for answering the client; it is returned with the final answer.
     type Reply;
     /// The address of a server.
     type Address: Clone + Eq + Hash;
@@ -63,7 +63,7 @@
     type Answer;
 }
 
-/// A decision module with the requests and servers that it decides on.
+/// Holds a decision module with its requests and servers, and enforces the rules.
 pub struct Engine<H: Host, D = crate::Balancer> {
     module: D,
     idempotency_by_class: Vec<Idempotency>,
@@ -73,12 +73,12 @@
     servers: Servers<H::Address>,
     /// Events that the module has yet to handle; kept to reuse the allocation.
     events: VecDeque<Event>,
-    /// Kept to reuse the allocation.
+    /// Actions of the module on the last event; kept to reuse the allocation.
     actions: Vec<Action>,
 }
 
 impl<H: Host, D: DecisionModule> Engine<H, D> {
-    /// An engine without servers or requests. `classes` are those that the module was given.
+    /// Creates an engine without servers or requests. `classes` must be those in the settings of the module.
     pub fn new(module: D, classes: &[Class], max_attempts: u32) -> Self {
         Engine {
             module,
@@ -97,12 +97,12 @@
         &self.module
     }
 
-    /// Number of requests that have no final answer yet, or an attempt in flight.
+    /// Number of requests that have no final answer yet or have an attempt in flight.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// An attempt in flight.
+    /// Returns the attempt with this number, if it is in flight.
     pub fn attempt_in_flight(&self, request: RequestId, attempt: u32) -> Option<AwaitedAttempt> {
         let awaited = self.requests.get(&request)?.attempt_in_flight();
         awaited
@@ -110,7 +110,8 @@
             .map(|(_, awaited)| awaited)
     }
 
-    /// The attempts in flight whose servers are expected to respond; while its body is uploaded, none is.
+    /// The attempts in flight whose servers are expected to respond. Those whose body is still being uploaded are left
+    /// out.
     pub fn awaited_attempts(&self) -> impl Iterator<Item = AwaitedAttempt> + '_ {
         let uploaded = self
             .requests
@@ -124,18 +125,18 @@
         self.servers.any_up()
     }
 
-    /// Whether the latest list names a server.
+    /// Whether a server is listed, in any state.
     pub fn is_listed(&self, server: ServerId) -> bool {
         self.servers.is_listed(server)
     }
 
-    /// The address of a server, unless the latest list says that it drains or was removed.
+    /// The address of a server; `None` if it drains or is not listed.
     pub fn address(&self, server: ServerId) -> Option<&H::Address> {
         let listed = self.servers.get(server)?;
         (listed.state == ServerState::Up).then_some(&listed.address)
     }
 
-    /// What is stored with a request.
+    /// The payload of a request, while the request is open.
     pub fn payload(&mut self, request: RequestId) -> Option<&mut H::Payload> {
         self.requests
             .get_mut(&request)
@@ -156,7 +157,8 @@
             .is_some_and(Request::has_attempt_in_flight)
     }
 
-    /// Accepts a request. Exactly one [`Command::Answer`] follows, at once or later.
+    /// Accepts a request and returns its identifier. Unless it is abandoned, exactly one [`Command::Answer`] follows,
+    /// at once or later.
     pub fn submit(
         &mut self,
         now: Time,
@@ -167,7 +169,7 @@
     ) -> RequestId {
         let id = self.next_request;
         self.next_request = self.next_request.wrapping_add(1);
-        // An unknown class is never taken for an idempotent one.
+        // Requests of an unknown class are never repeated.
         let idempotency = self
             .idempotency_by_class
             .get(usize::from(arrival.class))
@@ -187,15 +189,16 @@
         id
     }
 
-    /// A part of a request's body was consumed by an attempt, so that it can't be sent to another server. A request that
-    /// never ran is still rejected, not failed.
+    /// Records that an attempt has consumed a part of a streamed body, so that the request can't be sent again. One
+    /// that never ran is still rejected and not failed.
     pub fn mark_body_consumed(&mut self, request: RequestId) {
         if let Some(request) = self.requests.get_mut(&request) {
             request.mark_body_consumed();
         }
     }
 
-    /// The last byte of a request's body was written; returns when its final answer is due.
+    /// Records that the last byte of a streamed body was written; returns when the final answer is due. Returns `None`
+    /// if no upload was in progress.
     pub fn finish_upload(
         &mut self,
         now: Time,
@@ -211,8 +214,8 @@
         Some(uploaded.deadline)
     }
 
-    /// The client is gone, or was answered by other means. Nothing new is sent; an attempt in flight goes on, so that its
-    /// outcome is learned and its connection can be reused.
+    /// Records that the client has disconnected or was answered by other means. No further attempt is sent. An attempt
+    /// in flight continues, so that the module learns its outcome and its connection can be reused.
     pub fn abandon(&mut self, now: Time, request: RequestId, commands: &mut Vec<Command<H>>) {
         let Some(abandoned) = self.requests.get_mut(&request) else {
             return;
@@ -224,7 +227,7 @@
         self.handle_event(now, Event::ClientGone { request }, commands);
     }
 
-    /// The nodes of a cluster agree that a server is faulty; see [`Event::PeerVerdict`].
+    /// Reports that the nodes of the cluster agree that a server is faulty; see [`Event::PeerVerdict`].
     pub fn set_peer_verdict(
         &mut self,
         now: Time,
@@ -241,17 +244,17 @@
         self.handle_event(now, event, commands);
     }
 
-    /// The nodes of a cluster have found that a server responds again; see [`Event::PeerReadmission`].
+    /// Reports that the nodes of the cluster have found that a server responds again; see [`Event::PeerReadmission`].
     pub fn readmit(&mut self, now: Time, server: ServerId, commands: &mut Vec<Command<H>>) {
         self.handle_event(now, Event::PeerReadmission { server }, commands);
     }
 
-    /// A timer has expired.
+    /// Reports that a timer with this tag has expired.
     pub fn handle_timer(&mut self, now: Time, tag: u64, commands: &mut Vec<Command<H>>) {
         self.handle_event(now, Event::Timer { tag }, commands);
     }
 
-    /// Gives an event to the module and carries out its actions, which may cause further events.
+    /// Passes an event to the module and carries out its actions, including those on the events that they cause.
     fn handle_event(&mut self, now: Time, event: Event, commands: &mut Vec<Command<H>>) {
         self.events.push_back(event);
         while let Some(event) = self.events.pop_front() {
@@ -278,7 +281,7 @@
 }
 
 impl<H: Host> Engine<H> {
-    /// Lets the module start with what another has learned.
+    /// Passes the learned state of another balancer to the module.
     pub fn adopt(&mut self, now: Time, learned: &LearnedState) {
         self.module.adopt(now, learned);
     }
--- a/crates/balancer/src/engine/attempts.rs
+++ b/crates/balancer/src/engine/attempts.rs
@@ -5,7 +5,8 @@
 use crate::interface::{Action, Event, Outcome, RequestId, ServerId, Time};
 
 impl<H: Host, D: DecisionModule> Engine<H, D> {
-    /// An attempt has ended. `answer` is the server's response; [`Outcome::Served`] without one is no final answer.
+    /// Reports the end of an attempt. `answer` is the server's response; without one the client is not answered, even
+    /// if the outcome is [`Outcome::Served`].
     pub fn end_attempt(
         &mut self,
         now: Time,
@@ -64,7 +65,7 @@
             Action::Fail { request } => self.fail(request, commands),
             Action::Watch => commands.push(Command::Watch),
             Action::StartTimer { after, tag } => commands.push(Command::StartTimer { after, tag }),
-            // No deployment allows health checks yet, and the module requests none.
+            // Health checks are not implemented: no deployment allows them, and the module requests none.
             Action::HealthCheck { server } => {
                 let outcome = Outcome::NotSent;
                 return Some(Event::HealthChecked {
@@ -77,7 +78,7 @@
         None
     }
 
-    /// Starts an attempt if the rules allow it; one that is not allowed ends at once as not sent.
+    /// Starts an attempt if the rules allow it. Otherwise returns its end, with the outcome [`Outcome::NotSent`].
     fn start_attempt(
         &mut self,
         now: Time,
@@ -135,8 +136,8 @@
         ))
     }
 
-    /// Rejects a request. One that may have had an effect fails instead, whatever the module says, as clients retry
-    /// rejected requests.
+    /// Rejects a request. One that may have had an effect fails instead, even if the module asks for a rejection, as
+    /// clients retry rejected requests.
     fn reject(
         &mut self,
         request: RequestId,
--- a/crates/balancer/src/engine/command.rs
+++ b/crates/balancer/src/engine/command.rs
@@ -1,4 +1,4 @@
-//! What the engine requests, and what it is given.
+//! The commands of the engine to its host, and the data that the host reports.
 
 use super::Host;
 use crate::interface::{ClassId, Endpoint, Outcome, RequestId, ServerId, TenantId, Time};
@@ -10,61 +10,61 @@
     Served(A),
     /// The request was rejected without any effect, so that the client may retry.
     Rejected {
-        /// When the client may retry, in seconds from now.
+        /// After how many seconds the client may retry; `None` if it is not told.
         retry_after: Option<Time>,
     },
-    /// The request has failed, with the outcome of its last attempt, if there was one.
+    /// The request has failed; holds the outcome of its last attempt, if there was one.
     Failed(Option<Outcome>),
 }
 
-/// What the engine requests. Commands are carried out in their order.
+/// A command of the engine to its host. Commands have to be carried out in order.
 pub enum Command<H: Host> {
-    /// Start an attempt; [`Engine::end_attempt`](super::Engine::end_attempt) has to follow.
+    /// Start an attempt. The host reports its end with [`Engine::end_attempt`](super::Engine::end_attempt).
     Send {
         /// The request.
         request: RequestId,
         /// The number of the attempt within the request, from 0.
         attempt: u32,
-        /// The server.
+        /// The server that the request is sent to.
         server: ServerId,
-        /// Nothing is sent after this time.
+        /// The request must not be sent after this time.
         send_by: Time,
         /// The attempt has to end by this time.
         deadline: Time,
     },
-    /// Cancel an attempt; nothing is to be reported of it any more.
+    /// Cancel an attempt. The host does not report its end.
     CancelAttempt {
         /// The request.
         request: RequestId,
-        /// The number of the attempt within the request.
+        /// The number of the attempt within the request, from 0.
         attempt: u32,
     },
     /// Send the final answer to a request.
     Answer {
         /// The request.
         request: RequestId,
-        /// The way back to the client.
+        /// The handle for answering the client.
         to: H::Reply,
         /// The answer.
         answer: FinalAnswer<H::Answer>,
     },
-    /// Watch the endpoint list, where it is not pushed.
+    /// Watch the endpoint list, if it is not pushed.
     Watch,
-    /// Call [`Engine::handle_timer`](super::Engine::handle_timer) after this time.
+    /// Call [`Engine::handle_timer`](super::Engine::handle_timer) after a delay.
     StartTimer {
-        /// From now, in seconds.
+        /// The delay in seconds.
         after: Time,
-        /// Passed to the call.
+        /// Identifies the timer; passed to the call.
         tag: u64,
     },
-    /// Close idle connections to a server: it was removed, has restarted, moved or drains.
+    /// Close the idle connections to a server, which was removed, has restarted, has another address or drains.
     CloseConnections {
         /// The server.
         server: ServerId,
     },
-    /// The identifier of a server is not in use any more.
+    /// Release the identifier of a removed server, which may now be reused.
     ReleaseServerId {
-        /// The identifier.
+        /// The released identifier.
         server: ServerId,
     },
 }
@@ -78,30 +78,31 @@
     pub tenant: Option<TenantId>,
     /// An estimate of its work, in seconds on a standard core.
     pub work_hint: Option<f64>,
-    /// A hash of its affinity key.
+    /// A hash of its affinity key that is the same on every node.
     pub key: Option<u64>,
-    /// When its final answer is due; of a request whose body is streamed, when the body has to be complete.
+    /// When its final answer is due; if its body is streamed, when the body has to be complete.
     pub deadline: Time,
-    /// How long after the last byte of its body the final answer is due, if the body is streamed, in seconds.
+    /// How long after the last byte of its body the final answer is due, in seconds; `None` if the body is not
+    /// streamed.
     pub time_after_upload: Option<Time>,
 }
 
 /// An entry of the endpoint list with the server's address.
 #[derive(Clone, Debug)]
 pub struct AddressedEndpoint<A> {
-    /// What the decision module is given.
+    /// The entry as the decision module gets it.
     pub endpoint: Endpoint,
-    /// The address.
+    /// The address that requests are sent to.
     pub address: A,
 }
 
 /// An attempt whose server is expected to respond.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AwaitedAttempt {
-    /// The server.
+    /// The server that is expected to respond.
     pub server: ServerId,
     /// The class of the request.
     pub class: ClassId,
-    /// Since when it is expected to respond.
+    /// Since when the server is expected to respond.
     pub since: Time,
 }
--- a/crates/balancer/src/engine/endpoint_list.rs
+++ b/crates/balancer/src/engine/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! Updates of the endpoint list: which servers were added, changed and removed, and what the module
-//! is notified of.
+//! Updates of the endpoint list: servers that are added, changed and removed, and the endpoints that the module is
+//! notified of.
 
 use super::servers::ListedServer;
 use super::{AddressedEndpoint, Command, DecisionModule, Engine, Host};
@@ -10,13 +10,13 @@
 #[derive(Default)]
 struct Changes {
     endpoints: Vec<Endpoint>,
-    /// Servers that were replaced at their address, with the number of endpoints before that: earlier ones of the same
-    /// server do not count.
+    /// Servers that were replaced at their address, with the number of endpoints before the replacement. Earlier
+    /// endpoints of such a server are dropped.
     replaced: HashMap<ServerId, usize>,
 }
 
 impl Changes {
-    /// A server is gone, as another one has its address.
+    /// Adds the removal of a server that was replaced at its address by another one.
     fn add_replaced(&mut self, old: ServerId, by: &Endpoint) {
         self.replaced.insert(old, self.endpoints.len());
         let removed = Endpoint {
@@ -35,22 +35,22 @@
         if replaced.is_empty() {
             return endpoints;
         }
-        let counts = |index: usize, endpoint: &Endpoint| {
+        let is_current = |index: usize, endpoint: &Endpoint| {
             replaced
                 .get(&endpoint.server)
                 .is_none_or(|first| index >= *first)
         };
         let indexed = endpoints.into_iter().enumerate();
         indexed
-            .filter(|(index, endpoint)| counts(*index, endpoint))
-            .map(|(_, e)| e)
+            .filter(|(index, endpoint)| is_current(*index, endpoint))
+            .map(|(_, endpoint)| endpoint)
             .collect()
     }
 }
 
 impl<H: Host, D: DecisionModule> Engine<H, D> {
-    /// Handles an update of the endpoint list. Idle connections to servers that were removed, have restarted or moved are
-    /// closed at once.
+    /// Handles an update of the endpoint list. Idle connections to servers that were removed, drain, have restarted or
+    /// have another address are closed at once.
     pub fn update_endpoints(
         &mut self,
         now: Time,
@@ -133,8 +133,8 @@
         self.servers.remove(now, server);
     }
 
-    /// Removes the servers that had the address of this one. The list may report their end late, and until then one
-    /// machine would get the requests of two.
+    /// Removes the other servers at the address of this one. The list may report their removal late, and until then one
+    /// server would get the requests of several.
     fn remove_others_at(
         &mut self,
         now: Time,
--- a/crates/balancer/src/engine/request.rs
+++ b/crates/balancer/src/engine/request.rs
@@ -1,9 +1,10 @@
-//! One request and its attempts, and whether another may be sent.
+//! One request and its attempts, and whether another attempt may be sent.
 
 use super::{Arrival, AwaitedAttempt, Host};
 use crate::interface::{ClassId, Idempotency, Outcome, ServerId, Time};
 
-/// How long an attempt may take to reach its server, in seconds: a repeat has to arrive within the window of its key.
+/// How long an attempt may take to reach its server, in seconds. A repeat of a request has to arrive within the window
+/// of its idempotency key.
 const MAX_TRANSIT_TIME: Time = 0.01;
 
 /// An attempt in flight.
@@ -17,29 +18,29 @@
 pub(super) struct Uploaded {
     /// When the final answer is due.
     pub(super) deadline: Time,
-    /// How long that is from now, in seconds.
+    /// How long after the end of the upload that is, in seconds.
     pub(super) remaining: Time,
 }
 
-/// A request that has no final answer yet, or an attempt in flight.
+/// A request that has no final answer yet or has an attempt in flight.
 pub(super) struct Request<H: Host> {
     pub(super) payload: H::Payload,
     class: ClassId,
     idempotency: Idempotency,
     deadline: Time,
-    /// `None` once it has its final answer or its client is gone.
+    /// `None` once it has its final answer or its client has disconnected.
     reply: Option<H::Reply>,
     /// Number of attempts so far.
     attempts: u32,
     in_flight: Option<Attempt>,
-    /// When the first attempt was sent that may have run.
+    /// When the first attempt that may have run was sent.
     first_execution: Option<Time>,
     last_outcome: Option<Outcome>,
-    /// How long after its upload the final answer is due, while its body is uploaded.
+    /// How long after its upload the final answer is due, in seconds; `None` unless its body is being uploaded.
     time_after_upload: Option<Time>,
     /// When the last byte of a streamed body was written.
     uploaded_at: Option<Time>,
-    /// A part of its body is lost, so that it can't be sent again.
+    /// An attempt has consumed a part of its body, so that the request can't be sent again.
     is_body_consumed: bool,
 }
 
@@ -90,7 +91,7 @@
         self.last_outcome
     }
 
-    /// The attempt in flight, with its number.
+    /// Returns the attempt in flight with its number.
     pub(super) fn attempt_in_flight(&self) -> Option<(u32, AwaitedAttempt)> {
         let attempt = self.in_flight.as_ref()?;
         let since = self.uploaded_at.unwrap_or(attempt.sent_at);
@@ -106,7 +107,7 @@
         self.is_body_consumed = true;
     }
 
-    /// The last byte of the body was written; `None` if the body was not streamed.
+    /// Ends the upload and sets the deadline of the final answer; returns `None` if there was no upload.
     pub(super) fn finish_upload(&mut self, now: Time) -> Option<Uploaded> {
         let remaining = self.time_after_upload.take()?;
         self.deadline = now + remaining;
@@ -117,13 +118,14 @@
         })
     }
 
-    /// Whether a client that retries the request could cause a second effect.
+    /// Whether a retry by the client could cause a second effect.
     pub(super) fn may_have_effect(&self) -> bool {
         let may_have_run = self.first_execution.is_some() || self.in_flight.is_some();
         may_have_run && self.idempotency == Idempotency::AtMostOnce
     }
 
-    /// Until when another attempt may be sent without a second effect. Servers remember an idempotency key for a while.
+    /// Until when another attempt may be sent without a second effect, as servers remember an idempotency key only for
+    /// its window.
     pub(super) fn send_by(&self) -> Time {
         match (self.idempotency, self.first_execution) {
             (_, None) | (Idempotency::Idempotent, _) => self.deadline,
@@ -134,7 +136,8 @@
         }
     }
 
-    /// Whether another attempt may be sent now: one at a time, and as many as are allowed.
+    /// Whether another attempt may be sent now. Attempts are sent one at a time, and at most `max_attempts` per
+    /// request.
     pub(super) fn may_send(&self, now: Time, max_attempts: u32) -> bool {
         self.needs_answer()
             && !self.has_attempt_in_flight()
@@ -143,7 +146,7 @@
             && now < self.send_by()
     }
 
-    /// Counts an attempt that is not sent; returns its number.
+    /// Assigns a number to an attempt and returns it.
     pub(super) fn count_attempt(&mut self) -> u32 {
         let number = self.attempts;
         self.attempts += 1;
@@ -161,7 +164,7 @@
         number
     }
 
-    /// When an attempt that starts now has to end. A timeout does not apply to the upload of a body.
+    /// When an attempt that starts now has to end. The timeout of an attempt does not apply while a body is uploaded.
     pub(super) fn attempt_deadline(&self, now: Time, timeout: Option<Time>) -> Time {
         match timeout {
             Some(timeout) if !self.is_uploading() => self.deadline.min(now + timeout.max(0.0)),
@@ -169,7 +172,7 @@
         }
     }
 
-    /// Ends the attempt with this number, if it is in flight.
+    /// Ends and returns the attempt with this number, if it is in flight.
     pub(super) fn end_attempt(&mut self, number: u32, outcome: Outcome) -> Option<Attempt> {
         let ended = self.in_flight.take_if(|attempt| attempt.number == number)?;
         self.last_outcome = Some(outcome);
--- a/crates/balancer/src/engine/servers.rs
+++ b/crates/balancer/src/engine/servers.rs
@@ -1,33 +1,33 @@
-//! The servers that the latest list names, by identifier and by address, and the identifiers of those that were removed.
+//! The listed servers, by identifier and by address, and the identifiers of removed servers.
 
 use crate::interface::{ServerId, ServerState, Time};
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::hash::Hash;
 
-/// The identifier of a removed server is not reused for this time, in seconds, as an attempt may still refer to it.
+/// The identifier of a removed server is not reused for this time, in seconds, as attempts may still refer to it.
 pub const SERVER_ID_QUARANTINE: Time = 30.0;
 
-/// A server that is listed, whether or not it can be sent to.
+/// A listed server, in any state.
 pub(super) struct ListedServer<A> {
     pub(super) address: A,
     pub(super) state: ServerState,
     pub(super) started_at: Time,
 }
 
-/// A server that was removed.
+/// A removed server whose identifier is in quarantine.
 struct RemovedServer {
     server: ServerId,
     removed_at: Time,
 }
 
-/// The servers of one list. The cost of an operation on one of them does not depend on the length of the list.
+/// The servers of one list. The cost of an operation on a single server does not depend on the length of the list.
 pub(super) struct Servers<A> {
     listed: HashMap<ServerId, ListedServer<A>>,
-    /// The servers at each address; of several, all but one drain.
+    /// The servers at each address. If there are several, at most one is up and the others drain.
     by_address: HashMap<A, BTreeSet<ServerId>>,
-    /// Servers whose identifiers are in quarantine, oldest first.
+    /// Servers whose identifiers are in quarantine, earliest removal first.
     removed: VecDeque<RemovedServer>,
-    /// How often each of them is in `removed`: it may have been listed and removed again.
+    /// How often each server occurs in `removed`, as it may have been listed and removed again.
     removals: HashMap<ServerId, usize>,
 }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Whether the list names a server.
+    /// Whether a server is listed, in any state.
     pub(super) fn is_listed(&self, server: ServerId) -> bool {
         self.listed.contains_key(&server)
     }
@@ -50,14 +50,14 @@
         self.listed.get(&server)
     }
 
-    /// Whether any server can be sent to.
+    /// Whether any server accepts new requests.
     pub(super) fn any_up(&self) -> bool {
         self.listed
             .values()
             .any(|listed| listed.state == ServerState::Up)
     }
 
-    /// The listed servers that are not among those named.
+    /// The listed servers that are not in `named`.
     pub(super) fn missing(&self, named: &HashSet<ServerId>) -> Vec<ServerId> {
         self.listed
             .keys()
@@ -72,7 +72,7 @@
         all.filter(|other| *other != server).collect()
     }
 
-    /// Lists a server, or changes it.
+    /// Adds a server, or replaces its state and address.
     pub(super) fn insert(&mut self, server: ServerId, new: ListedServer<A>) {
         let has_moved = self
             .listed
@@ -88,7 +88,7 @@
         self.listed.insert(server, new);
     }
 
-    /// Removes a server; the quarantine of its identifier begins.
+    /// Removes a server and starts the quarantine of its identifier.
     pub(super) fn remove(&mut self, now: Time, server: ServerId) {
         self.remove_address(server);
         if self.listed.remove(&server).is_some() {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The identifiers whose quarantine is over, and that are not listed again.
+    /// Removes and returns the identifiers whose quarantine has ended and that are not listed again.
     pub(super) fn take_free_ids(&mut self, now: Time) -> Vec<ServerId> {
         let mut free = Vec::new();
         while let Some(oldest) = self.removed.front() {
@@ -116,7 +116,7 @@
         free
     }
 
-    /// Counts one removal of a server less; returns whether it was the last.
+    /// Decrements the number of removals of a server; returns whether none is left.
     fn is_last_removal(&mut self, server: ServerId) -> bool {
         let Some(count) = self.removals.get_mut(&server) else {
             return true;
--- a/crates/balancer/src/index.rs
+++ b/crates/balancer/src/index.rs
@@ -1,23 +1,23 @@
-//! Positions by dense numbers.
+//! An index of positions in a list by dense identifiers.
 
-/// Where the thing of each number stands in a list.
+/// The position in a list of the element with each identifier.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Index {
-    places: Vec<Option<usize>>,
+pub(crate) struct PositionIndex {
+    positions: Vec<Option<usize>>,
 }
 
-impl Index {
-    /// Where the thing of this number stands, if it is listed.
-    pub(crate) fn get(&self, number: u32) -> Option<usize> {
-        self.places.get(number as usize).copied().flatten()
+impl PositionIndex {
+    /// The position of the element with this identifier, if it is listed.
+    pub(crate) fn get(&self, id: u32) -> Option<usize> {
+        self.positions.get(id as usize).copied().flatten()
     }
 
-    /// Says where the thing of this number stands from now on.
-    pub(crate) fn set(&mut self, number: u32, place: Option<usize>) {
-        let number = number as usize;
-        if self.places.len() <= number {
-            self.places.resize(number + 1, None);
+    /// Sets the position of the element with this identifier; `None` if it is not listed any more.
+    pub(crate) fn set(&mut self, id: u32, position: Option<usize>) {
+        let id = id as usize;
+        if self.positions.len() <= id {
+            self.positions.resize(id + 1, None);
         }
-        self.places[number] = place;
+        self.positions[id] = position;
     }
 }
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -1,13 +1,13 @@
-//! Everything that passes between a node and its [`Balancer`](crate::Balancer): settings, events, actions, identifiers
-//! and times. No logic lives here.
+//! The interface between a node and its [`Balancer`](crate::Balancer): settings, events, actions, identifiers and
+//! times. It contains data types only.
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `settings` | what a node knows at its start: classes, tenants, limits, rules, costs |
-//! | `endpoint` | servers, as the endpoint list describes them |
+//! | `settings` | what is configured: classes, tenants, limits, rules, costs |
+//! | `endpoint` | the entries of the endpoint list |
 //! | `event` | what a node reports to its balancer |
 //! | `action` | what a balancer requests of its node |
-//! | `learned` | what one balancer hands over to the next |
+//! | `learned` | the state that one balancer hands over to its successor |
 
 mod action;
 mod endpoint;
@@ -24,17 +24,17 @@
     Settings, Tenant,
 };
 
-/// Seconds on the node's own clock; only differences matter.
+/// A point in time on the node's own clock, or a duration, in seconds. Only differences between points matter.
 pub type Time = f64;
 /// The node's identifier of a request, never used twice in one incarnation of the node.
 pub type RequestId = u32;
-/// A dense number for a server, assigned by the embedding node and stable for the node's lifetime.
+/// A dense identifier of a server, assigned by the node. It is reused only some time after the server was removed.
 pub type ServerId = u32;
 /// Index into [`Settings::classes`].
 pub type ClassId = u16;
 /// Index into [`Settings::tenants`].
 pub type TenantId = u16;
-/// A dense number for a zone.
+/// A dense identifier of a zone.
 pub type ZoneId = u16;
-/// A dense number for a machine type.
+/// A dense identifier of a machine type.
 pub type MachineTypeId = u16;
--- a/crates/balancer/src/interface/endpoint.rs
+++ b/crates/balancer/src/interface/endpoint.rs
@@ -1,13 +1,13 @@
-//! Servers, as the endpoint list describes them.
+//! The entries of the endpoint list.
 
 use super::{MachineTypeId, ServerId, Time, ZoneId};
 
 /// Whether a server takes requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// It does.
+    /// It accepts new requests.
     Up,
-    /// It completes those that it has.
+    /// It completes its requests in flight and accepts no new ones.
     Draining,
     /// It was removed from the list.
     Removed,
@@ -18,33 +18,33 @@
 pub struct Endpoint {
     /// The server.
     pub server: ServerId,
-    /// A hash of its name that is the same on every node.
+    /// A hash of its name, the same on every node.
     pub hash: u64,
     /// Its zone.
     pub zone: ZoneId,
     /// Its machine type.
     pub machine_type: MachineTypeId,
-    /// Its cell.
+    /// Its cell: servers of one cell may share the memory of idempotency keys.
     pub cell: u32,
     /// Whether it takes requests.
     pub state: ServerState,
     /// Its listed weight.
     pub weight: f64,
-    /// When it last started; 0 for long ago.
+    /// When it last started; 0 if that is unknown or long ago.
     pub started_at: Time,
-    /// How many balancers of this node send to it, this one included.
+    /// Number of balancers of this node that send to it, including this one.
     pub local_balancers: u32,
 }
 
 /// What an update of the endpoint list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// The endpoints that changed.
+    /// The endpoints that have changed.
     Delta,
-    /// All endpoints; a server that is missing was removed.
+    /// All endpoints; a server that is missing has been removed.
     Snapshot,
-    /// All endpoints, as this node last had them.
+    /// All endpoints, from this node's own copy of an earlier list.
     Cached,
-    /// None: a poll failed or the watch ended.
+    /// No endpoints: a poll failed or the watch ended.
     Failed,
 }
--- a/crates/balancer/src/interface/event.rs
+++ b/crates/balancer/src/interface/event.rs
@@ -5,26 +5,26 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// With a response that is forwarded to the client.
+    /// The server sent a response, which is forwarded to the client.
     Served,
     /// The server answered with an error; it may have run the request.
     Error,
     /// The server rejected it without running it.
     Rejected,
-    /// There was no response in time; the server may have run it.
+    /// There was no response in time; the server may have run the request.
     TimedOut,
-    /// The connection could not be established; it never ran.
+    /// The connection could not be established; the request never ran.
     ConnectFailed,
-    /// The connection was lost; the server may have run it.
+    /// The connection was lost; the server may have run the request.
     ConnectionLost,
-    /// The node cancelled it; the server may have run it.
+    /// The node cancelled the attempt; the server may have run the request.
     Cancelled,
-    /// It was never sent, so it never ran.
+    /// The attempt was never sent, so the request never ran.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the request is known not to have run.
+    /// Whether the server is known not to have run the request.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -33,14 +33,14 @@
     }
 }
 
-/// A server's report of its own load; `None` for what it does not state.
+/// A server's report of its own load. A field is `None` if the server does not state it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub in_flight: Option<f64>,
-    /// Requests still queued.
+    /// Number of requests waiting in a queue.
     pub queued: Option<f64>,
-    /// Processor utilization, as a fraction.
+    /// Processor utilization, as a fraction from 0 to 1.
     pub utilization: Option<f64>,
     /// Recent service time, in seconds.
     pub service_time: Option<Time>,
@@ -68,7 +68,7 @@
         work_hint: Option<f64>,
         /// A hash of its affinity key that is the same on every node.
         key: Option<u64>,
-        /// How long the client still waits, in seconds.
+        /// How much longer the client waits, in seconds.
         remaining: Time,
     },
     /// An attempt has ended.
@@ -77,15 +77,15 @@
         request: RequestId,
         /// The number of the attempt within the request, from 0.
         attempt: u32,
-        /// Where it was sent.
+        /// The server that it was sent to.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
-        /// How long ago it was sent, in seconds.
+        /// Time since it was sent, in seconds.
         latency: Time,
         /// The request has its final answer.
         request_ended: bool,
-        /// The server's load report, if one came.
+        /// The server's load report, if there was one.
         load: Option<LoadReport>,
     },
     /// A streamed response has started; the request's deadline no longer applies.
@@ -94,32 +94,32 @@
         request: RequestId,
         /// The number of the attempt within the request.
         attempt: u32,
-        /// How long ago it was sent, in seconds.
+        /// Time since the attempt was sent, in seconds.
         latency: Time,
     },
     /// The body of a request with an attempt in flight is being uploaded.
     Upload {
         /// The request.
         request: RequestId,
-        /// `None` while the upload lasts, during which no response is expected; then how long the client waits from now
-        /// on, in seconds.
+        /// `None` when the upload starts, as no response is expected before its end; at its end, how much longer the
+        /// client waits, in seconds.
         remaining: Option<Time>,
     },
-    /// The nodes of a cluster agree that a server is faulty. Applies to its current entry in the list only.
+    /// The nodes of the cluster agree that a server is faulty. Applies to the server's current list entry only.
     PeerVerdict {
         /// The server.
         server: ServerId,
         /// When the verdict expires; a time in the past withdraws it.
         until: Time,
-        /// This node sends it trial requests meanwhile, on behalf of all nodes.
+        /// This node sends the server trial requests while the verdict is in force, on behalf of all nodes.
         is_prober: bool,
     },
-    /// The nodes of a cluster, having agreed that a server is faulty, have found that it responds again.
+    /// The nodes of the cluster had agreed that a server is faulty and have found that it responds again.
     PeerReadmission {
         /// The server.
         server: ServerId,
     },
-    /// The client has disconnected; it needs no answer any more.
+    /// The client has disconnected; its request needs no answer any more.
     ClientGone {
         /// The request.
         request: RequestId,
@@ -135,7 +135,7 @@
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
-        /// The server's load report, if one came.
+        /// The server's load report, if there was one.
         load: Option<LoadReport>,
     },
 }
--- a/crates/balancer/src/interface/learned.rs
+++ b/crates/balancer/src/interface/learned.rs
@@ -1,4 +1,5 @@
-//! What one balancer hands over to the next. Two versions of the program may exchange it, so the serialized names stay.
+//! The state that one balancer hands over to its successor. Different versions of the program exchange it, so the
+//! serialized names must not change.
 
 use super::Time;
 use serde::{Deserialize, Serialize};
@@ -6,12 +7,13 @@
 /// What a balancer has learned about one server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LearnedServer {
-    /// As in [`Endpoint::hash`](super::Endpoint::hash).
+    /// Identifies the server, as [`Endpoint::hash`](super::Endpoint::hash) does.
     pub hash: u64,
-    /// As in [`Endpoint::started_at`](super::Endpoint::started_at); what was learned of an earlier start does not apply.
+    /// As [`Endpoint::started_at`](super::Endpoint::started_at). What was learned about one start of a server does not
+    /// apply to another.
     #[serde(rename = "ready_at")]
     pub started_at: Time,
-    /// Its sending probability as a multiple of the mean.
+    /// Its probability in the automaton, as a multiple of the mean.
     #[serde(rename = "share")]
     pub relative_probability: f64,
     /// Its running average of response times, in seconds.
@@ -20,31 +22,31 @@
     /// Work that it may still be sent during its slow start, in seconds on a standard core.
     #[serde(rename = "budget")]
     pub slow_start_credit: f64,
-    /// For how much longer it is ejected, in seconds.
+    /// How much longer it is ejected, in seconds; 0 if it is not.
     #[serde(rename = "out_for")]
     pub ejected_for: Time,
 }
 
-/// What a balancer has learned.
+/// What a balancer has learned about its servers and requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LearnedState {
-    /// About each server.
+    /// The state of each listed server.
     pub servers: Vec<LearnedServer>,
     /// Typical work of a request by class, in seconds on a standard core.
     pub class_work: Vec<f64>,
-    /// The same over all classes.
+    /// Typical work of a request over all classes, in seconds on a standard core.
     #[serde(rename = "typical")]
     pub typical_work: f64,
     /// Mean response time of servers with short queues, in seconds.
     #[serde(rename = "base")]
     pub unloaded_response: Time,
-    /// The greatest work per second that a warm server was seen to sustain.
+    /// The greatest work rate that a warm server has recently sustained, in standard cores.
     #[serde(rename = "bearable")]
     pub sustainable_work_rate: f64,
-    /// Fraction of requests that are admitted.
+    /// Fraction of the offered work that is admitted.
     #[serde(rename = "admit")]
     pub admitted_fraction: f64,
-    /// Weight of servers outside the node's zone.
+    /// Weight of servers in other zones, relative to servers in the node's zone.
     #[serde(rename = "spill")]
     pub zone_spill_weight: f64,
 }
--- a/crates/balancer/src/interface/settings.rs
+++ b/crates/balancer/src/interface/settings.rs
@@ -1,8 +1,8 @@
-//! What a node knows at its start.
+//! The settings of a balancer, which do not change while it runs.
 
 use super::{Time, ZoneId};
 
-/// Which servers deduplicate requests with the same idempotency key.
+/// Which servers share the memory of idempotency keys, and so discard a repeat of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// Every server.
@@ -16,7 +16,7 @@
 /// What happens when a request runs a second time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// Nothing: it can be repeated at any time.
+    /// Nothing changes, so it can be repeated at any time.
     Idempotent,
     /// The servers in `scope` discard the repeat for `window` seconds from the first attempt that may have run.
     Keyed {
@@ -25,7 +25,7 @@
         /// How long they remember the key, in seconds.
         window: Time,
     },
-    /// It has an effect of its own, so it must never happen.
+    /// It has another effect, so the request must never run twice.
     AtMostOnce,
 }
 
@@ -34,15 +34,15 @@
 pub struct Class {
     /// The latency objective, in seconds: a response within it earns the full priority weight.
     pub latency_objective: Time,
-    /// How long a client waits in total, in seconds.
+    /// How long a client waits for its answer in total, in seconds.
     pub deadline: Time,
-    /// What a request, or a unit of its work, counts for against those of other classes.
+    /// Importance of a request, or of a unit of its work, relative to those of other classes.
     pub priority_weight: f64,
-    /// Fraction of the priority weight that a response between objective and deadline earns.
+    /// Fraction of the priority weight that a response between the latency objective and the deadline earns.
     pub late_response_weight: f64,
-    /// What a second run would do.
+    /// What happens if a request runs twice.
     pub idempotency: Idempotency,
-    /// Responses are streamed, so that [`Event::ResponseStarted`](super::Event::ResponseStarted) may come.
+    /// Responses are streamed, so that [`Event::ResponseStarted`](super::Event::ResponseStarted) may be reported.
     pub streams_response: bool,
 }
 
@@ -65,7 +65,7 @@
 /// How load reports reach the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReports {
-    /// There are none.
+    /// Servers send none.
     Absent,
     /// With every response and every health check.
     Piggybacked,
@@ -73,12 +73,12 @@
     WithHealthChecks,
 }
 
-/// What the node may do.
+/// What the node may do, and how often.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Maximum number of attempts for one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Retries that each first attempt adds to the retry budget.
+    /// Number of retries, usually a fraction, that each admitted request adds to the retry budget.
     pub retry_budget_ratio: f64,
     /// The longest `Retry-After` that clients respect, in seconds; 0 if they are sent none.
     pub max_retry_after: Time,
@@ -92,29 +92,29 @@
     pub idle_connection_timeout: Time,
 }
 
-/// The parameters of the rules that no action may break.
+/// The parameters of the rules that every action has to respect.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// How long after a server was reported as draining the last attempt may be sent to it, in seconds.
+    /// How long after a server was reported as draining an attempt may still be sent to it, in seconds.
     pub drain_grace: Time,
-    /// The least fraction of its capacity that a server has when it starts.
+    /// The least fraction of its full capacity that a server has when it starts.
     pub initial_capacity: f64,
-    /// The longest time until a server that has started reaches its full capacity, in seconds.
+    /// The longest time until a started server reaches its full capacity, in seconds.
     pub slow_start_duration: Time,
-    /// A warming server that is sent more than this multiple of its current capacity is overloaded.
+    /// A server in its slow start is overloaded if it is sent more than this multiple of its current capacity.
     pub overload_factor: f64,
-    /// The window over which that multiple is measured, in seconds.
+    /// The time window over which the sent work is measured, in seconds.
     pub overload_window: Time,
-    /// The longest interval between two polls, where the endpoint list has to be polled, in seconds.
+    /// The longest interval between two polls of the endpoint list, in seconds, if it has to be polled.
     pub max_poll_interval: Time,
 }
 
-/// What the objective is charged for each unit per request.
+/// The costs that are subtracted from the objective, per unit and request.
 #[derive(Clone, Debug, Default)]
 pub struct Costs {
-    /// An attempt that crosses zones.
+    /// An attempt at a server in another zone.
     pub cross_zone: f64,
-    /// Server work whose result no client got, as a fraction of the work offered.
+    /// Server work whose result reached no client, as a fraction of the offered work.
     pub wasted_work: f64,
     /// A health check.
     pub health_check: f64,
@@ -125,15 +125,15 @@
 /// The weight of each part of the objective.
 #[derive(Clone, Debug, Default)]
 pub struct Objective {
-    /// All requests, and those of the worst time window.
+    /// All requests, including those of the worst time window.
     pub overall: f64,
-    /// The class that is served worst.
+    /// The class with the least served fraction.
     pub worst_class: f64,
-    /// The tenant that is served worst, within its quota.
+    /// The tenant with the least served fraction of its requests within the quota.
     pub worst_tenant: f64,
 }
 
-/// What a node knows at its start.
+/// The settings of a balancer.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The classes of requests; at least one.
@@ -144,27 +144,27 @@
     pub zone: Option<ZoneId>,
     /// Number of nodes that send requests to the servers.
     pub node_count: u32,
-    /// The index of this node among them, from 0, where each node was given its own.
+    /// The index of this node among them, from 0; `None` if the nodes have no distinct indices.
     pub node_index: Option<u32>,
-    /// How the endpoint list arrives.
+    /// How the endpoint list reaches the node.
     pub discovery: Discovery,
-    /// How load reports arrive.
+    /// How load reports reach the node.
     pub load_reports: LoadReports,
-    /// What is allowed.
+    /// What the node may do.
     pub limits: Limits,
     /// The parameters of the rules.
     pub rules: Rules,
-    /// What is charged.
+    /// The costs that the objective is reduced by.
     pub costs: Costs,
     /// What is optimised.
     pub objective: Objective,
-    /// Priority weight of a request over its tenant's quota, as a fraction of its class's priority weight.
+    /// Priority weight of a request that is over its tenant's quota, as a fraction of the priority weight of its class.
     pub over_quota_weight: f64,
-    /// The priority weight counts per unit of work rather than per request.
+    /// Priority weights apply per unit of work instead of per request.
     pub weight_per_work: bool,
-    /// A server that served a key recently needs less work for it.
+    /// A server that has recently served a key needs less work for it, so requests are sent by their affinity keys.
     pub has_key_affinity: bool,
-    /// Listed weights reflect the capacity of servers.
+    /// Listed weights reflect the capacities of servers, and are used.
     pub has_server_weights: bool,
     /// Resolution of the node's clock, in seconds.
     pub clock_resolution: Time,
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,8 +1,8 @@
 //! The decisions of a load-balancing node and the rules around them.
 //!
-//! Nothing here does I/O or reads the time: events, moments and seeds come in as arguments, actions go out
-//! as values. [`Balancer`] decides; [`engine::Engine`] holds the requests in hand and lets no action break one
-//! of the four rules; [`settings`] reads what the platform passes to a node.
+//! The crate does no I/O and reads no clock: events, times and seeds are arguments, and actions are return values.
+//! [`Balancer`] makes the decisions; [`engine::Engine`] holds the open requests and lets no action break the rules;
+//! [`settings`] reads the settings that the platform passes to a node.
 
 mod decide;
 pub mod engine;
--- a/crates/balancer/src/list_sums.rs
+++ b/crates/balancer/src/list_sums.rs
@@ -1,11 +1,11 @@
-//! Sums over the endpoint list that its updates need. Each would cost a walk over the list for each endpoint of an update.
-//! They are computed anew for each update, so that rounding errors do not accumulate.
+//! Sums over the endpoint list for its updates, so that no endpoint of an update needs an iteration over the list. They
+//! are recomputed for each update, so that rounding errors do not accumulate.
 
-use crate::floored::{Floored, Groups};
+use crate::floored::{FlooredVector, Groups};
 use crate::interface::MachineTypeId;
-use crate::sums::Mean;
+use crate::sums::RunningMean;
 
-/// What the sums contain of one listed server.
+/// The values of one listed server that the sums contain.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ListedServer {
     /// Whether it is in the subset that this node prefers.
@@ -14,7 +14,7 @@
     pub(crate) machine_type: MachineTypeId,
     /// Its listed weight.
     pub(crate) weight: f64,
-    /// The running average of its response times.
+    /// The running average of its response times, in seconds.
     pub(crate) mean_response: f64,
     /// Whether it is ejected.
     pub(crate) is_ejected: bool,
@@ -29,48 +29,48 @@
     }
 }
 
-/// The group of the servers in the subset, or of those outside it.
+/// The group in the probability vector of the servers in the subset, or of those outside it.
 fn subset_group(is_in_subset: bool) -> usize {
     usize::from(is_in_subset)
 }
 
-/// The group of those of them that have one machine type.
+/// The group of the servers with one machine type in the subset, or of those outside it.
 fn type_group(is_in_subset: bool, machine_type: MachineTypeId) -> usize {
     2 + 2 * usize::from(machine_type) + usize::from(is_in_subset)
 }
 
-/// The means of one machine type.
+/// The means over the servers with one machine type.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct TypeMeans {
     /// The mean probability.
     pub(crate) probability: f64,
-    /// The mean running average of response times.
+    /// The mean of the running averages of response times, in seconds.
     pub(crate) response: f64,
 }
 
-/// The sums. Positions are those of the list.
+/// Sums over the endpoint list. Positions are those of the list.
 #[derive(Debug)]
 pub(crate) struct ListSums {
     /// The probability vector.
-    pub(crate) probability: Floored,
+    pub(crate) probability: FlooredVector,
     servers: Vec<ListedServer>,
-    response_by_type: Vec<Mean>,
-    /// Over the servers that are not ejected.
-    response: Mean,
-    weight: Mean,
+    response_by_type: Vec<RunningMean>,
+    /// The running averages of the servers that are not ejected.
+    response: RunningMean,
+    weight: RunningMean,
 }
 
 impl ListSums {
     /// The sums over a list with its probability vector, whose floors sum to `total_floor`.
     pub(crate) fn new(total_floor: f64, probability: &[f64], servers: Vec<ListedServer>) -> Self {
         let groups = servers.iter().map(ListedServer::groups);
-        let probability = Floored::new(total_floor, probability.iter().copied().zip(groups));
+        let probability = FlooredVector::new(total_floor, probability.iter().copied().zip(groups));
         let mut sums = ListSums {
             probability,
             servers: Vec::with_capacity(servers.len()),
             response_by_type: Vec::new(),
-            response: Mean::default(),
-            weight: Mean::default(),
+            response: RunningMean::default(),
+            weight: RunningMean::default(),
         };
         for server in servers {
             sums.add(&server);
@@ -107,7 +107,7 @@
         self.subtract(&old);
         self.add(&new);
         self.servers[position] = new;
-        self.probability.regroup(position, new.groups());
+        self.probability.set_groups(position, new.groups());
     }
 
     /// The mean probability in the subset, or outside it.
@@ -123,14 +123,17 @@
     ) -> Option<TypeMeans> {
         let group = type_group(is_in_subset, machine_type);
         let probability = self.probability.mean(group)?;
-        let response = self.response_by_type.get(group).and_then(Mean::value)?;
+        let response = self
+            .response_by_type
+            .get(group)
+            .and_then(RunningMean::value)?;
         Some(TypeMeans {
             probability,
             response,
         })
     }
 
-    /// The mean running average of the servers that are not ejected.
+    /// The mean of the running averages of the servers that are not ejected, in seconds.
     pub(crate) fn mean_response(&self) -> Option<f64> {
         self.response.value()
     }
@@ -143,7 +146,8 @@
     fn add(&mut self, server: &ListedServer) {
         let group = type_group(server.is_in_subset, server.machine_type);
         if self.response_by_type.len() <= group {
-            self.response_by_type.resize(group + 1, Mean::default());
+            self.response_by_type
+                .resize(group + 1, RunningMean::default());
         }
         self.response_by_type[group].add(server.mean_response);
         self.weight.add(server.weight);
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -1,9 +1,9 @@
-//! The settings that a node is given, as JSON, and the names in them.
+//! The settings of a node as a JSON object, and the names in them.
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | `wire` | the JSON object with the field names of the protocol, mapped to the types of [`crate::interface`] |
-//! | `names` | names of servers, classes, tenants and zones, and their dense numbers |
+//! | `names` | names of servers, classes, tenants and zones, and their dense identifiers |
 
 mod names;
 mod wire;
@@ -14,43 +14,43 @@
 use crate::interface::{Settings, Time};
 use thiserror::Error;
 
-/// Why settings can't be used.
+/// Why settings are invalid.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// They are not the JSON object of the protocol.
+    /// The text is not a settings object in JSON.
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
-    /// They name no class of requests.
+    /// There is no class of requests.
     #[error("there are no classes")]
     NoClasses,
-    /// A class has no positive latency objective and deadline.
-    #[error("class {0} has no usable aim and deadline")]
+    /// The latency objective or the deadline of the class with this index is not a positive number.
+    #[error("class {0} must have a positive latency objective and a positive deadline")]
     InvalidClass(usize),
-    /// The clock, the number of attempts or the number of nodes is not positive.
-    #[error("clock, attempts and replicas must be positive numbers")]
+    /// The current time is not finite, or the maximum number of attempts or the number of nodes is 0.
+    #[error("the time must be finite, and the numbers of attempts and of nodes must be positive")]
     NotPositive,
 }
 
-/// The settings of a balancer and of its connections, with the names of the numbers in them.
+/// The settings of a balancer and of its connections, with the names that its identifiers stand for.
 pub struct BalancerConfig {
     /// The settings of the decision module.
     pub settings: Settings,
-    /// The names of the classes, tenants, zones and machine types that the settings number.
+    /// The names of the classes, tenants, zones and machine types, by their identifiers in the settings.
     pub names: NameRegistry,
-    /// The settings of connections to the servers.
+    /// The settings of the connections to the servers.
     pub connections: ConnectionSettings,
 }
 
-/// What concerns only a node that uses sockets.
+/// Settings that apply only to a node with real connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionSettings {
-    /// A connection that is not established after this time, in seconds, has failed.
+    /// How long the establishment of a connection may take, in seconds.
     pub connect_timeout: Time,
-    /// How long after the client's deadline a final answer still counts, in seconds.
+    /// How long after the client's deadline a final answer is still in time, in seconds.
     pub response_slack: Time,
 }
 
-/// Checks whether a balancer can work with these settings from this time on.
+/// Checks the settings of a balancer and its start time.
 pub(crate) fn check(settings: &Settings, now: Time) -> Result<(), SettingsError> {
     if settings.classes.is_empty() {
         return Err(SettingsError::NoClasses);
--- a/crates/balancer/src/settings/names.rs
+++ b/crates/balancer/src/settings/names.rs
@@ -1,14 +1,14 @@
-//! Names of servers, classes, tenants and zones, and the dense numbers that stand for them.
+//! Names of servers, classes, tenants and zones, and their dense identifiers.
 
 use crate::interface::{Endpoint, ServerState, TenantId, Time, ZoneId};
 use std::collections::HashMap;
 
-/// Maximum number of distinct zones, and of machine types; further names get the first number.
+/// Maximum number of distinct zones, and of machine types; further names get the identifier 0.
 const MAX_GROUPS: usize = 1024;
-/// Listed weight of a server whose weight is not stated.
+/// Weight of a server that is listed without one.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Hashes a short name by FNV-1a, which gives the same value on every node.
+/// Hashes a short name with FNV-1a, which gives the same value on every node.
 pub fn stable_hash(text: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
@@ -16,12 +16,12 @@
     text.bytes().fold(OFFSET_BASIS, add)
 }
 
-/// Names with dense numbers, in the order of their first appearance.
+/// Assigns dense identifiers to names, in the order of their first appearance.
 #[derive(Default)]
 pub struct NameTable {
     ids: HashMap<String, u32>,
     names: Vec<String>,
-    /// Numbers of names that were released.
+    /// Identifiers that were released and can be reused.
     free: Vec<u32>,
 }
 
@@ -34,7 +34,7 @@
         table
     }
 
-    /// The number of a name. A new name gets the number of a released one, if there is any.
+    /// Returns the identifier of a name. A new name gets a released identifier, if there is one.
     pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -42,13 +42,13 @@
         let id = self.free.pop().unwrap_or(self.names.len() as u32);
         self.ids.insert(name.to_owned(), id);
         match self.names.get_mut(id as usize) {
-            Some(place) => name.clone_into(place),
+            Some(released) => name.clone_into(released),
             None => self.names.push(name.to_owned()),
         }
         id
     }
 
-    /// Forgets a name whose number is not in use any more.
+    /// Removes a name whose identifier is not in use any more, so that the identifier can be reused.
     pub fn release(&mut self, id: u32) {
         let name = self
             .names
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The number of a name of which there are at most [`MAX_GROUPS`], such as that of a zone.
+    /// Returns the identifier of a name in a table of at most [`MAX_GROUPS`] names, such as that of the zones.
     fn intern_group(&mut self, name: &str) -> u16 {
         if self.names.len() >= MAX_GROUPS && !self.ids.contains_key(name) {
             return 0;
@@ -68,18 +68,18 @@
         self.intern(name) as u16
     }
 
-    /// The number of a name that was interned.
+    /// The identifier of a name, if it is known.
     pub fn get(&self, name: &str) -> Option<u32> {
         self.ids.get(name).copied()
     }
 
-    /// The name with a number.
+    /// The name with an identifier.
     pub fn name(&self, id: u32) -> Option<&str> {
         self.names.get(id as usize).map(String::as_str)
     }
 }
 
-/// All names that one balancer deals with.
+/// The names of all servers, classes, tenants, zones and machine types of one balancer.
 pub struct NameRegistry {
     /// Servers, by their names in the endpoint list.
     pub servers: NameTable,
@@ -91,26 +91,26 @@
     pub(super) machine_types: NameTable,
 }
 
-/// An entry of the endpoint list whose parts are still names.
+/// An entry of the endpoint list with names instead of identifiers.
 pub struct ListedEndpoint<'a> {
     /// The name of the server.
     pub name: &'a str,
-    /// Its zone.
+    /// The name of its zone.
     pub zone: Option<&'a str>,
-    /// Its machine type.
+    /// The name of its machine type.
     pub machine_type: Option<&'a str>,
-    /// Its cell.
+    /// Its cell, as in [`Endpoint::cell`].
     pub cell: u32,
-    /// Whether it takes requests.
+    /// Whether it accepts new requests.
     pub state: ServerState,
-    /// Its listed weight.
+    /// Its listed weight; 1 if it has none.
     pub weight: Option<f64>,
-    /// When it last started.
+    /// When it last started; `None` if that is unknown.
     pub started_at: Option<Time>,
 }
 
 impl NameRegistry {
-    /// A registry with the names of classes and tenants, in the order of the settings.
+    /// Creates a registry with the names of classes and tenants, in the order of the settings.
     pub fn new(
         classes: impl IntoIterator<Item = String>,
         tenants: impl IntoIterator<Item = String>,
@@ -124,12 +124,12 @@
         }
     }
 
-    /// The number of a zone.
+    /// Returns the identifier of a zone; an unknown zone is added.
     pub fn zone(&mut self, name: &str) -> ZoneId {
         self.zones.intern_group(name)
     }
 
-    /// The endpoint as a balancer takes it.
+    /// Converts an entry of the endpoint list, with identifiers in place of names; unknown names are added.
     pub fn endpoint(&mut self, listed: &ListedEndpoint) -> Endpoint {
         Endpoint {
             server: self.servers.intern(listed.name),
@@ -146,7 +146,7 @@
         }
     }
 
-    /// The number of a tenant that the settings name.
+    /// The identifier of a tenant, if the settings contain it.
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
         self.tenants.get(name).map(|id| id as TenantId)
     }
--- a/crates/balancer/src/settings/wire.rs
+++ b/crates/balancer/src/settings/wire.rs
@@ -1,5 +1,5 @@
-//! The settings object with the field names of the protocol. This is the only place that knows them; everything else uses
-//! the names of [`crate::interface`].
+//! The settings object with the field names of the protocol. They occur only here; all other code uses the names of
+//! [`crate::interface`].
 
 use super::names::{NameRegistry, NameTable};
 use super::{ConnectionSettings, SettingsError};
@@ -9,13 +9,13 @@
 };
 use serde::Deserialize;
 
-/// Retries that each first attempt adds to the retry budget, where the settings do not say.
+/// Number of retries that each admitted request adds to the retry budget, unless configured otherwise.
 pub const DEFAULT_RETRY_BUDGET_RATIO: f64 = 0.2;
 
-/// Reads a settings object.
+/// Parses a settings object.
 ///
 /// # Errors
-/// If the text is not such an object.
+/// If the text is not a valid settings object.
 pub fn read(json: &str) -> Result<(Settings, NameRegistry, ConnectionSettings), SettingsError> {
     let object: SettingsObject = serde_json::from_str(json)?;
     let connections = ConnectionSettings {
--- a/crates/balancer/src/sums.rs
+++ b/crates/balancer/src/sums.rs
@@ -1,13 +1,13 @@
-//! Running sums and means that stay accurate while values are added and taken out again.
+//! Running sums and means that stay accurate while values are added and removed.
 
-/// A sum that keeps the rounding errors of its additions (Neumaier's variant of Kahan summation).
+/// A sum that compensates the rounding errors of its additions (Neumaier's variant of Kahan summation).
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Sum {
+pub(crate) struct CompensatedSum {
     rounded: f64,
     error: f64,
 }
 
-impl Sum {
+impl CompensatedSum {
     /// Adds a value.
     pub(crate) fn add(&mut self, value: f64) {
         let total = self.rounded + value;
@@ -19,32 +19,32 @@
         self.rounded = total;
     }
 
-    /// The sum of what was added.
+    /// The sum of the added values.
     pub(crate) fn value(&self) -> f64 {
         self.rounded + self.error
     }
 }
 
-/// A mean of values that come and go.
+/// The mean of a changing set of values.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Mean {
-    sum: Sum,
+pub(crate) struct RunningMean {
+    sum: CompensatedSum,
     count: usize,
 }
 
-impl Mean {
+impl RunningMean {
     /// Adds a value.
     pub(crate) fn add(&mut self, value: f64) {
         self.sum.add(value);
         self.count += 1;
     }
 
-    /// Takes out a value that was added before.
+    /// Removes a value that was added before.
     pub(crate) fn remove(&mut self, value: f64) {
         self.sum.add(-value);
         self.count = self.count.saturating_sub(1);
         if self.count == 0 {
-            self.sum = Sum::default();
+            self.sum = CompensatedSum::default();
         }
     }
 
