--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,16 +1,16 @@
-//! Shared by the module tests: small settings, and a node that can be told things.
+//! Fixtures of the tests: small settings, endpoints, and a node whose clock a test controls.
 #![allow(dead_code)]
 
 use reelfall_balancer::interface::*;
 use reelfall_balancer::Balancer;
 
-pub fn class(effect: Idempotency) -> Class {
+pub fn class(kind: Idempotency) -> Class {
     Class {
         latency_objective: 0.2,
         deadline: 0.6,
         priority_weight: 1.0,
         late_response_weight: 0.5,
-        idempotency: effect,
+        idempotency: kind,
         streams_response: false,
     }
 }
@@ -55,7 +55,7 @@
     }
 }
 
-pub fn entry(server: ServerId) -> Endpoint {
+pub fn endpoint_of(server: ServerId) -> Endpoint {
     Endpoint {
         server,
         hash: u64::from(server + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
@@ -69,85 +69,88 @@
     }
 }
 
-/// A balancer with its clock and what it did last.
+/// A balancer with a clock, and its actions on the last event.
 pub struct Node {
     pub balancer: Balancer,
     pub now: Time,
     pub actions: Vec<Action>,
-    next: RequestId,
+    next_request: RequestId,
 }
 
 impl Node {
     pub fn new(settings: Settings, servers: u32) -> Node {
-        let balancer = Balancer::new(settings, 7, 0.0).expect("usable settings");
+        let balancer = Balancer::new(settings, 7, 0.0).expect("valid settings");
         let mut node = Node {
             balancer,
             now: 0.0,
             actions: vec![],
-            next: 0,
+            next_request: 0,
         };
-        node.members(UpdateKind::Cached, (0..servers).map(entry).collect());
+        node.update_endpoints(UpdateKind::Cached, (0..servers).map(endpoint_of).collect());
         node
     }
 
-    pub fn tell(&mut self, event: Event) -> &[Action] {
+    pub fn handle(&mut self, event: Event) -> &[Action] {
         self.actions.clear();
         self.balancer.handle(self.now, event, &mut self.actions);
         &self.actions
     }
 
-    pub fn members(&mut self, list: UpdateKind, entries: Vec<Endpoint>) {
-        self.tell(Event::EndpointUpdate {
-            kind: list,
-            endpoints: entries,
+    pub fn update_endpoints(&mut self, update_kind: UpdateKind, listed: Vec<Endpoint>) {
+        self.handle(Event::EndpointUpdate {
+            kind: update_kind,
+            endpoints: listed,
         });
     }
 
     pub fn sweep(&mut self) {
-        self.tell(Event::Timer { tag: 0 });
+        self.handle(Event::Timer { tag: 0 });
     }
 
-    /// A request; the server it was sent to, or `None` if it was rejected.
+    /// Submits a request; returns its identifier and the server of its first attempt, or `None` if it was rejected.
     pub fn request(
         &mut self,
         class: ClassId,
         key: Option<u64>,
-        left: Time,
+        time_left: Time,
     ) -> (RequestId, Option<ServerId>) {
-        let request = self.next;
-        self.next += 1;
-        self.tell(Event::Request {
+        let request = self.next_request;
+        self.next_request += 1;
+        self.handle(Event::Request {
             request,
             class,
             tenant: None,
             work_hint: Some(0.02),
             key,
-            remaining: left,
+            remaining: time_left,
         });
-        (request, self.sent())
+        (request, self.attempted_server())
     }
 
-    /// Where the last event's actions sent an attempt.
-    pub fn sent(&self) -> Option<ServerId> {
-        self.actions.iter().find_map(|a| match a {
+    /// The server of the attempt that was started on the last event, if any.
+    pub fn attempted_server(&self) -> Option<ServerId> {
+        self.actions.iter().find_map(|action| match action {
             Action::Attempt { server, .. } => Some(*server),
             _ => None,
         })
     }
 
-    pub fn rejected(&self) -> bool {
+    /// Whether a request was rejected on the last event.
+    pub fn has_rejected(&self) -> bool {
         self.actions
             .iter()
-            .any(|a| matches!(a, Action::Reject { .. }))
+            .any(|action| matches!(action, Action::Reject { .. }))
     }
 
-    pub fn failed(&self) -> bool {
+    /// Whether a request failed on the last event.
+    pub fn has_failed(&self) -> bool {
         self.actions
             .iter()
-            .any(|a| matches!(a, Action::Fail { .. }))
+            .any(|action| matches!(action, Action::Fail { .. }))
     }
 
-    pub fn end(
+    /// Ends an attempt; the request is answered if the outcome is [`Outcome::Served`].
+    pub fn end_attempt(
         &mut self,
         request: RequestId,
         attempt: u32,
@@ -155,14 +158,14 @@
         outcome: Outcome,
         latency: Time,
     ) {
-        let ended = outcome == Outcome::Served;
-        self.tell(Event::AttemptEnded {
+        let is_answered = outcome == Outcome::Served;
+        self.handle(Event::AttemptEnded {
             request,
             attempt,
             server,
             outcome,
             latency,
-            request_ended: ended,
+            request_ended: is_answered,
             load: None,
         });
     }
--- a/crates/balancer/tests/engine/endpoint_updates.rs
+++ b/crates/balancer/tests/engine/endpoint_updates.rs
@@ -21,7 +21,7 @@
 
 #[test]
 fn draining_and_removed_servers_lose_their_address_and_ids_are_quarantined() {
-    let module = Balancer::new(settings(classes()), 1, 0.0).expect("usable settings");
+    let module = Balancer::new(settings(classes()), 1, 0.0).expect("valid settings");
     let mut engine: Engine<TestHost> = Engine::new(module, &classes(), MAX_ATTEMPTS);
     let mut commands = Commands::new();
     let up = vec![endpoint(1, ServerState::Up), endpoint(2, ServerState::Up)];
--- a/crates/balancer/tests/engine/faulty_servers.rs
+++ b/crates/balancer/tests/engine/faulty_servers.rs
@@ -91,7 +91,7 @@
 
 impl Simulation {
     fn new(seed: u64) -> Simulation {
-        let module = Balancer::new(settings(classes()), seed, 0.0).expect("usable settings");
+        let module = Balancer::new(settings(classes()), seed, 0.0).expect("valid settings");
         let mut simulation = Simulation {
             engine: Engine::new(module, &classes(), MAX_ATTEMPTS),
             random: RandomNumbers(seed),
--- a/crates/balancer/tests/engine/main.rs
+++ b/crates/balancer/tests/engine/main.rs
@@ -9,7 +9,7 @@
 mod hostile_module;
 mod rule_checker;
 
-use common::{class, entry, settings};
+use common::{class, endpoint_of, settings};
 use reelfall_balancer::engine::{AddressedEndpoint, Command, Host};
 use reelfall_balancer::interface::{
     Class, Endpoint, Idempotency, KeyScope, ServerId, ServerState, Time,
@@ -50,7 +50,7 @@
     AddressedEndpoint {
         endpoint: Endpoint {
             state,
-            ..entry(server)
+            ..endpoint_of(server)
         },
         address: server,
     }
--- a/crates/balancer/tests/failures/admission.rs
+++ b/crates/balancer/tests/failures/admission.rs
@@ -20,7 +20,7 @@
         match server {
             Some(server) => {
                 node.now += 0.19;
-                node.end(request, 0, server, Outcome::Served, 0.19);
+                node.end_attempt(request, 0, server, Outcome::Served, 0.19);
             }
             None => rejected[usize::from(class)] += 1,
         }
@@ -57,7 +57,7 @@
             let InFlight {
                 request, server, ..
             } = in_flight.remove(due);
-            node.end(request, 0, server, Outcome::Served, 0.0);
+            node.end_attempt(request, 0, server, Outcome::Served, 0.0);
         }
         let (request, server) = node.request(IDEMPOTENT_CLASS, None, DEADLINE);
         let server = server.unwrap_or_else(|| panic!("request {index} was rejected"));
@@ -97,7 +97,7 @@
             LATE_RESPONSE_TIME
         };
         node.now += latency;
-        node.end(request, 0, server, Outcome::Served, latency);
+        node.end_attempt(request, 0, server, Outcome::Served, latency);
     }
     // The minimum that is always admitted is 100; admission that is raised by quick responses is several times that.
     assert!(admitted < 130, "{admitted} of 1000 admitted");
--- a/crates/balancer/tests/failures/endpoint_list.rs
+++ b/crates/balancer/tests/failures/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! Endpoint lists that are empty, change or cannot be fetched.
 
-use crate::common::{entry, settings, Node};
+use crate::common::{endpoint_of, settings, Node};
 use crate::{classes, AT_MOST_ONCE_CLASS, DEADLINE, IDEMPOTENT_CLASS};
 use reelfall_balancer::interface::{
     Action, Discovery, Endpoint, Event, Outcome, ServerState, Settings, UpdateKind,
@@ -13,7 +13,7 @@
 fn request_without_known_servers_is_rejected() {
     let mut node = Node::new(settings(classes()), 0);
     assert_eq!(node.request(IDEMPOTENT_CLASS, None, DEADLINE).1, None);
-    assert!(node.rejected());
+    assert!(node.has_rejected());
 }
 
 #[test]
@@ -21,10 +21,10 @@
     let mut node = Node::new(settings(classes()), 3);
     let draining = Endpoint {
         state: ServerState::Draining,
-        ..entry(0)
+        ..endpoint_of(0)
     };
-    node.members(UpdateKind::Delta, vec![draining]);
-    node.members(UpdateKind::Snapshot, vec![entry(2)]);
+    node.update_endpoints(UpdateKind::Delta, vec![draining]);
+    node.update_endpoints(UpdateKind::Snapshot, vec![endpoint_of(2)]);
     for _ in 0..50 {
         assert_eq!(node.request(IDEMPOTENT_CLASS, None, DEADLINE).1, Some(2));
     }
@@ -40,8 +40,8 @@
     let timer = Event::Timer {
         tag: WATCH_TIMER_TAG,
     };
-    assert_eq!(node.tell(timer.clone()), &[Action::Watch]);
-    node.members(UpdateKind::Failed, vec![]);
+    assert_eq!(node.handle(timer.clone()), &[Action::Watch]);
+    node.update_endpoints(UpdateKind::Failed, vec![]);
     assert!(matches!(
         node.actions[..],
         [Action::StartTimer {
@@ -49,9 +49,9 @@
             ..
         }]
     ));
-    assert_eq!(node.tell(timer.clone()), &[Action::Watch]);
-    node.members(UpdateKind::Delta, vec![]);
-    assert!(node.tell(timer).is_empty());
+    assert_eq!(node.handle(timer.clone()), &[Action::Watch]);
+    node.update_endpoints(UpdateKind::Delta, vec![]);
+    assert!(node.handle(timer).is_empty());
 }
 
 #[test]
@@ -59,10 +59,13 @@
     let mut node = Node::new(settings(classes()), 1);
     let (old_request, _) = node.request(AT_MOST_ONCE_CLASS, None, DEADLINE);
     for state in [ServerState::Draining, ServerState::Up] {
-        let relisted = Endpoint { state, ..entry(0) };
-        node.members(UpdateKind::Delta, vec![relisted, entry(1)]);
+        let relisted = Endpoint {
+            state,
+            ..endpoint_of(0)
+        };
+        node.update_endpoints(UpdateKind::Delta, vec![relisted, endpoint_of(1)]);
     }
     let mean_before = node.balancer.automaton().mean_response.clone();
-    node.end(old_request, 0, 0, Outcome::Served, 0.0);
+    node.end_attempt(old_request, 0, 0, Outcome::Served, 0.0);
     assert_eq!(node.balancer.automaton().mean_response, mean_before);
 }
--- a/crates/balancer/tests/failures/outlier_ejection.rs
+++ b/crates/balancer/tests/failures/outlier_ejection.rs
@@ -24,7 +24,7 @@
         } else {
             (Outcome::Served, 0.02)
         };
-        node.end(request, 0, server, outcome, latency);
+        node.end_attempt(request, 0, server, outcome, latency);
     }
     assert!(
         to_faulty < 12,
@@ -41,7 +41,7 @@
     for _ in 0..40 {
         let (request, server) = node.request(AT_MOST_ONCE_CLASS, None, DEADLINE);
         assert_ne!(server, silent);
-        node.end(request, 0, server.unwrap(), Outcome::Served, 0.02);
+        node.end_attempt(request, 0, server.unwrap(), Outcome::Served, 0.02);
     }
 }
 
@@ -56,7 +56,7 @@
             if index > 100 {
                 used.insert(server);
             }
-            node.end(request, 0, server, Outcome::Error, 0.001);
+            node.end_attempt(request, 0, server, Outcome::Error, 0.001);
         }
     }
     assert!(used.len() >= 6, "only {} servers were used", used.len());
@@ -80,7 +80,7 @@
         };
         remaining_losses -= u32::from(outcome == Outcome::ConnectionLost);
         node.now += 0.005;
-        node.end(request, 0, server, outcome, 0.0);
+        node.end_attempt(request, 0, server, outcome, 0.0);
         if remaining_losses == 0 && node.now > end {
             break;
         }
@@ -125,7 +125,7 @@
             (Outcome::Served, RESPONSE_TIME)
         };
         node.now += latency;
-        node.end(request, 0, server, outcome, latency);
+        node.end_attempt(request, 0, server, outcome, latency);
         if has_short_deadline {
             node.sweep();
         }
@@ -141,7 +141,7 @@
     for _ in 0..50 {
         let (request, server) = node.request(AT_MOST_ONCE_CLASS, None, DEADLINE);
         node.now += 0.01;
-        node.end(request, 0, server.expect("a server"), Outcome::Served, 0.01);
+        node.end_attempt(request, 0, server.expect("a server"), Outcome::Served, 0.01);
         node.sweep();
         served += 1;
     }
@@ -174,8 +174,8 @@
             (Outcome::Served, 0.01)
         };
         node.now += latency;
-        node.end(request, attempt, server, outcome, latency);
-        selected = node.sent();
+        node.end_attempt(request, attempt, server, outcome, latency);
+        selected = node.attempted_server();
     }
     reached_faulty
 }
@@ -203,7 +203,7 @@
     // A server that is still silent costs one request in an interval, or two by chance.
     for (responds, trials) in [(true, 2..=10), (false, 1..=2)] {
         let mut node = node_that_ejected_the_faulty_server();
-        node.tell(Event::PeerVerdict {
+        node.handle(Event::PeerVerdict {
             server: FAULTY_SERVER,
             until: node.now + 10.0,
             is_prober: true,
@@ -223,7 +223,7 @@
 #[test]
 fn prober_sends_no_at_most_once_requests_as_trials() {
     let mut node = node_that_ejected_the_faulty_server();
-    node.tell(Event::PeerVerdict {
+    node.handle(Event::PeerVerdict {
         server: FAULTY_SERVER,
         until: node.now + 10.0,
         is_prober: true,
@@ -246,19 +246,19 @@
         if server == FAULTY_SERVER {
             break (request, server);
         }
-        node.end(request, 0, server, Outcome::Served, 0.01);
+        node.end_attempt(request, 0, server, Outcome::Served, 0.01);
     };
     for _ in 0..3 {
         serve_request(&mut node, true);
     }
-    node.tell(Event::PeerReadmission {
+    node.handle(Event::PeerReadmission {
         server: FAULTY_SERVER,
     });
     assert!(
         serve_request(&mut node, true),
         "no trial beside the attempt"
     );
-    node.end(held, 0, held_server, Outcome::TimedOut, DEADLINE);
+    node.end_attempt(held, 0, held_server, Outcome::TimedOut, DEADLINE);
     let sent = (0..50).filter(|_| serve_request(&mut node, true)).count();
     assert!(sent > 0, "ejected for an attempt from before");
 }
@@ -267,7 +267,7 @@
 #[test]
 fn readmitted_server_gets_an_attempt_in_three_seconds_and_half_of_its_share_in_ten() {
     let mut node = node_that_ejected_the_faulty_server();
-    node.tell(Event::PeerVerdict {
+    node.handle(Event::PeerVerdict {
         server: FAULTY_SERVER,
         until: node.now + 10.0,
         is_prober: false,
@@ -275,12 +275,12 @@
     for _ in 0..20 {
         assert!(!serve_request(&mut node, true));
     }
-    node.tell(Event::PeerVerdict {
+    node.handle(Event::PeerVerdict {
         server: FAULTY_SERVER,
         until: node.now,
         is_prober: false,
     });
-    node.tell(Event::PeerReadmission {
+    node.handle(Event::PeerReadmission {
         server: FAULTY_SERVER,
     });
     let readmitted_at = node.now;
--- a/crates/balancer/tests/failures/retries.rs
+++ b/crates/balancer/tests/failures/retries.rs
@@ -15,9 +15,9 @@
         let mut node = Node::new(settings(classes()), 5);
         let (request, server) = node.request(AT_MOST_ONCE_CLASS, None, DEADLINE);
         node.now = 0.05;
-        node.end(request, 0, server.unwrap(), outcome, 0.05);
+        node.end_attempt(request, 0, server.unwrap(), outcome, 0.05);
         assert!(
-            node.failed() && !node.rejected() && node.sent().is_none(),
+            node.has_failed() && !node.has_rejected() && node.attempted_server().is_none(),
             "{outcome:?}"
         );
     }
@@ -27,14 +27,14 @@
 fn at_most_once_request_that_never_executed_is_retried_at_another_server() {
     let mut node = Node::new(settings(classes()), 5);
     let (request, server) = node.request(AT_MOST_ONCE_CLASS, None, DEADLINE);
-    node.end(request, 0, server.unwrap(), Outcome::Rejected, 0.0);
-    assert!(node.sent().is_some() && node.sent() != server);
+    node.end_attempt(request, 0, server.unwrap(), Outcome::Rejected, 0.0);
+    assert!(node.attempted_server().is_some() && node.attempted_server() != server);
 }
 
 #[test]
 fn keyed_retry_stays_in_its_cell_and_idempotency_window() {
     const WINDOW: Time = 0.3;
-    /// As `entry` assigns servers to cells.
+    /// As `endpoint_of` assigns servers to cells.
     const SERVERS_PER_CELL: u32 = 2;
     let keyed = Idempotency::Keyed {
         scope: KeyScope::Cell,
@@ -44,10 +44,10 @@
         let mut node = Node::new(settings(vec![class(keyed)]), 12);
         let (request, server) = node.request(0, None, DEADLINE);
         node.now = elapsed;
-        node.end(request, 0, server.unwrap(), Outcome::Error, elapsed);
-        assert_eq!(node.sent().is_some(), is_retried);
-        assert_eq!(node.failed(), !is_retried);
-        if let Some(next) = node.sent() {
+        node.end_attempt(request, 0, server.unwrap(), Outcome::Error, elapsed);
+        assert_eq!(node.attempted_server().is_some(), is_retried);
+        assert_eq!(node.has_failed(), !is_retried);
+        if let Some(next) = node.attempted_server() {
             assert_eq!(next / SERVERS_PER_CELL, server.unwrap() / SERVERS_PER_CELL);
         }
     }
--- a/crates/balancer/tests/failures/selection.rs
+++ b/crates/balancer/tests/failures/selection.rs
@@ -23,7 +23,7 @@
         unchanged += u32::from(server_of_key.insert(key, server) == Some(server));
         // All servers respond equally fast.
         node.now += 0.02;
-        node.end(request, 0, server, Outcome::Served, 0.02);
+        node.end_attempt(request, 0, server, Outcome::Served, 0.02);
     }
     assert!(unchanged > 1400, "{unchanged} of 1800");
     let used: BTreeSet<_> = server_of_key.values().collect();
@@ -59,7 +59,7 @@
         let latency = 0.01 + if server == 0 { 0.03 } else { 0.06 } * probability[server as usize];
         // The module reads its clock, not the reported latency.
         node.now += latency;
-        node.end(request, 0, server, Outcome::Served, latency);
+        node.end_attempt(request, 0, server, Outcome::Served, latency);
     }
     let probability = &node.balancer.automaton().probability;
     assert!(probability[0] > 0.55, "{probability:?}");
--- a/crates/balancer/tests/failures/slow_start.rs
+++ b/crates/balancer/tests/failures/slow_start.rs
@@ -1,6 +1,6 @@
 //! The work that servers get during their slow start.
 
-use crate::common::{class, entry, settings, Node};
+use crate::common::{class, endpoint_of, settings, Node};
 use crate::{classes, DEADLINE, IDEMPOTENT_CLASS};
 use reelfall_balancer::interface::{
     Endpoint, Idempotency, Outcome, RequestId, ServerId, Settings, Time, UpdateKind,
@@ -27,9 +27,9 @@
     node.now = STARTED_AT;
     let starting = Endpoint {
         started_at: STARTED_AT,
-        ..entry(STARTING_SERVER)
+        ..endpoint_of(STARTING_SERVER)
     };
-    node.members(UpdateKind::Delta, vec![starting]);
+    node.update_endpoints(UpdateKind::Delta, vec![starting]);
     let mut work = 0.0;
     for _ in 0..10 {
         node.now += 0.1;
@@ -41,7 +41,7 @@
         } else {
             0.0
         };
-        node.end(request, 0, server, Outcome::Served, 0.02);
+        node.end_attempt(request, 0, server, Outcome::Served, 0.02);
     }
     // What the other servers sustain, by the initial capacity and the overload factor, divided among the nodes, and one
     // request for the random selection.
@@ -62,13 +62,13 @@
     let starting = Endpoint {
         started_at: STARTED_AT,
         local_balancers: listed_balancers,
-        ..entry(0)
+        ..endpoint_of(0)
     };
     (0..balancers)
         .map(|_| {
             let mut node = Node::new(settings(vec![class(Idempotency::Idempotent)]), 0);
             node.now = STARTED_AT;
-            node.members(UpdateKind::Snapshot, vec![starting.clone()]);
+            node.update_endpoints(UpdateKind::Snapshot, vec![starting.clone()]);
             node
         })
         .collect()
@@ -97,7 +97,13 @@
         in_flight.retain(|attempt| {
             let is_due = attempt.response_at <= now;
             if is_due {
-                nodes[attempt.node].end(attempt.request, 0, 0, Outcome::Served, RESPONSE_TIME);
+                nodes[attempt.node].end_attempt(
+                    attempt.request,
+                    0,
+                    0,
+                    Outcome::Served,
+                    RESPONSE_TIME,
+                );
             }
             !is_due
         });
--- a/crates/balancer/tests/list_costs.rs
+++ b/crates/balancer/tests/list_costs.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use common::{class, entry, settings};
+use common::{class, endpoint_of, settings};
 use reelfall_balancer::engine::{
     AddressedEndpoint, Command, DecisionModule, Engine, Host, SERVER_ID_QUARANTINE,
 };
@@ -63,14 +63,14 @@
         tenants: vec![Tenant { quota: 2000.0 }],
         ..settings(vec![class(Idempotency::Idempotent)])
     };
-    Balancer::new(settings, 1, 0.0).expect("usable settings")
+    Balancer::new(settings, 1, 0.0).expect("valid settings")
 }
 
 fn server(id: ServerId) -> Endpoint {
     Endpoint {
         machine_type: (id % 5) as MachineTypeId,
         weight: 1.0 + f64::from(id % 3),
-        ..entry(id)
+        ..endpoint_of(id)
     }
 }
 
--- a/crates/balancer/tests/list_reference/comparison.rs
+++ b/crates/balancer/tests/list_reference/comparison.rs
@@ -24,7 +24,7 @@
 
 impl Comparison {
     pub fn new(seed: u64, servers: u32, settings: Settings) -> Comparison {
-        let node = Balancer::new(settings.clone(), SEED, 0.0).expect("usable settings");
+        let node = Balancer::new(settings.clone(), SEED, 0.0).expect("valid settings");
         let mut rng = SplitMix64::new(seed);
         let servers = (0..servers)
             .map(|server| random_endpoint(&mut rng, server))
@@ -179,6 +179,6 @@
     Endpoint {
         machine_type: rng.below(4) as MachineTypeId,
         weight,
-        ..common::entry(server)
+        ..common::endpoint_of(server)
     }
 }
--- a/crates/balancer/tests/overload.rs
+++ b/crates/balancer/tests/overload.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{class, entry, settings, Node};
+use common::{class, endpoint_of, settings, Node};
 use reelfall_balancer::interface::{
     ClassId, Endpoint, Idempotency, MachineTypeId, Outcome, ServerId, Time, UpdateKind,
 };
@@ -28,7 +28,7 @@
         let (request, server) = node.request(CLASS, None, DEADLINE);
         node.now += response_time;
         if let Some(server) = server {
-            node.end(request, 0, server, Outcome::Served, response_time);
+            node.end_attempt(request, 0, server, Outcome::Served, response_time);
         }
         node.now += REQUEST_DELAY;
         node.sweep();
@@ -67,12 +67,12 @@
 #[test]
 fn lost_capacity_lowers_admission_only_under_overload() {
     let mut idle = node_with_low_load(12);
-    idle.members(UpdateKind::Snapshot, (0..4).map(entry).collect());
+    idle.update_endpoints(UpdateKind::Snapshot, (0..4).map(endpoint_of).collect());
     assert_eq!(admitted_fraction(&idle), 1.0);
     let mut overloaded = node_with_low_load(12);
     run_requests(&mut overloaded, 8, LATE_RESPONSE);
     let before = admitted_fraction(&overloaded);
-    overloaded.members(UpdateKind::Snapshot, (0..8).map(entry).collect());
+    overloaded.update_endpoints(UpdateKind::Snapshot, (0..8).map(endpoint_of).collect());
     assert!(
         before < 1.0 && admitted_fraction(&overloaded) < 0.9 * before,
         "{before} {}",
@@ -87,10 +87,10 @@
     for _ in 0..12 {
         let (request, server) = node.request(CLASS, None, DEADLINE);
         let Some(server) = server else { continue };
-        node.end(request, 0, server, Outcome::Rejected, 0.001);
-        if let Some(next) = node.sent() {
+        node.end_attempt(request, 0, server, Outcome::Rejected, 0.001);
+        if let Some(next) = node.attempted_server() {
             retries += 1;
-            node.end(request, 1, next, Outcome::Served, 0.001);
+            node.end_attempt(request, 1, next, Outcome::Served, 0.001);
         }
     }
     // The budget of one second is below three; the twelve requests add two and a half.
@@ -109,7 +109,7 @@
     Endpoint {
         machine_type: machine_type(server),
         started_at,
-        ..entry(server)
+        ..endpoint_of(server)
     }
 }
 
@@ -121,19 +121,19 @@
     let long_running = (0..8)
         .map(|server| endpoint_started_at(server, 0.0))
         .collect();
-    node.members(UpdateKind::Snapshot, long_running);
+    node.update_endpoints(UpdateKind::Snapshot, long_running);
     for _ in 0..400 {
         let (request, server) = node.request(CLASS, None, DEADLINE);
         let server = server.expect("healthy servers get every request");
         let is_fast = machine_type(server) == FAST_MACHINE_TYPE;
         node.now += if is_fast { 0.02 } else { 0.06 };
-        node.end(request, 0, server, Outcome::Served, 0.0);
+        node.end_attempt(request, 0, server, Outcome::Served, 0.0);
         node.sweep();
     }
     let started = [NEW_FAST_SERVER, NEW_SLOW_SERVER]
         .map(|server| endpoint_started_at(server, node.now))
         .to_vec();
-    node.members(UpdateKind::Delta, started);
+    node.update_endpoints(UpdateKind::Delta, started);
     for _ in 0..200 {
         node.now += 0.01;
         node.sweep();
@@ -143,7 +143,7 @@
         learned
             .servers
             .iter()
-            .find(|server| server.hash == entry(id).hash)
+            .find(|server| server.hash == endpoint_of(id).hash)
             .map_or(0.0, |server| server.slow_start_credit)
     };
     let (fast, slow) = (credit(NEW_FAST_SERVER), credit(NEW_SLOW_SERVER));
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -1,8 +1,9 @@
-//! The four rules over random event sequences, from a fixed seed.
+//! Checks over random event sequences from a fixed seed that the balancer keeps its rules: one final answer for each
+//! request, no second effect, no attempt at a server that drains or was removed, and no overload of one in its slow start.
 
 mod common;
 
-use common::{class, entry, settings};
+use common::{class, endpoint_of, settings};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use reelfall_balancer::interface::*;
@@ -13,34 +14,50 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Arrive { class: u16, left: f64 },
-    End { pick: usize, outcome: usize },
-    Leave { pick: usize },
-    Server { server: u32, state: u8 },
+    Submit {
+        class: u16,
+        time_left: f64,
+    },
+    EndAttempt {
+        selector: usize,
+        outcome: usize,
+    },
+    Disconnect {
+        selector: usize,
+    },
+    UpdateServer {
+        server: u32,
+        state: u8,
+    },
     Sweep,
-    Stray,
+    /// Events about a request that never arrived.
+    UnknownRequest,
 }
 
 fn step() -> impl Strategy<Value = (f64, Step)> {
     let kind = prop_oneof![
-        5 => (0..4u16, 0.05..0.6f64).prop_map(|(class, left)| Step::Arrive { class, left }),
-        5 => (any::<usize>(), 0..7usize).prop_map(|(pick, outcome)| Step::End { pick, outcome }),
-        1 => any::<usize>().prop_map(|pick| Step::Leave { pick }),
-        1 => (0..SERVERS, 0..4u8).prop_map(|(server, state)| Step::Server { server, state }),
+        5 => (0..4u16, 0.05..0.6f64)
+            .prop_map(|(class, time_left)| Step::Submit { class, time_left }),
+        5 => (any::<usize>(), 0..7usize)
+            .prop_map(|(selector, outcome)| Step::EndAttempt { selector, outcome }),
+        1 => any::<usize>().prop_map(|selector| Step::Disconnect { selector }),
+        1 => (0..SERVERS, 0..4u8).prop_map(|(server, state)| Step::UpdateServer { server, state }),
         2 => Just(Step::Sweep),
-        1 => Just(Step::Stray),
+        1 => Just(Step::UnknownRequest),
     ];
     (0.0..0.03f64, kind)
 }
 
-/// What a client and the servers know of one request.
-struct Told {
-    effect: Idempotency,
+/// What its client and the servers know about one request.
+struct ObservedRequest {
+    idempotency: Idempotency,
     deadline: f64,
-    out: Option<(u32, ServerId, f64)>,
-    made: u32,
-    ran: Option<(ServerId, f64)>,
-    answered: bool,
+    /// The attempt in flight: its number, its server and when it was sent.
+    in_flight: Option<(u32, ServerId, f64)>,
+    attempts: u32,
+    /// The first attempt that may have run: its server and when it was sent.
+    first_execution: Option<(ServerId, f64)>,
+    is_answered: bool,
 }
 
 const OUTCOMES: [Outcome; 7] = [
@@ -53,191 +70,212 @@
     Outcome::Cancelled,
 ];
 
-struct World {
+struct Harness {
     balancer: Balancer,
-    effects: Vec<Idempotency>,
+    idempotency_by_class: Vec<Idempotency>,
     now: f64,
-    told: BTreeMap<RequestId, Told>,
-    closed: BTreeSet<ServerId>,
-    cold_work: BTreeMap<ServerId, Vec<(f64, f64)>>,
+    requests: BTreeMap<RequestId, ObservedRequest>,
+    /// Servers that drain or were removed.
+    unavailable: BTreeSet<ServerId>,
+    /// The times and the work of the attempts sent to each server in its slow start.
+    slow_start_work: BTreeMap<ServerId, Vec<(f64, f64)>>,
 }
 
-impl World {
-    fn tell(&mut self, event: Event) {
+impl Harness {
+    fn handle(&mut self, event: Event) {
         let mut actions = vec![];
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Attempt {
                     request, server, ..
-                } => self.attempted(request, server),
+                } => self.check_attempt(request, server),
                 Action::Reject { request, .. } => {
-                    let t = self.told.get_mut(&request).expect("a request that exists");
-                    assert!(!t.answered && t.out.is_none(), "answered twice");
-                    let harmless = matches!(t.effect, Idempotency::Idempotent);
+                    let observed = self.requests.get_mut(&request).expect("a known request");
                     assert!(
-                        harmless || t.ran.is_none(),
-                        "refused though it may have run"
+                        !observed.is_answered && observed.in_flight.is_none(),
+                        "answered twice"
                     );
-                    t.answered = true;
+                    let is_idempotent = matches!(observed.idempotency, Idempotency::Idempotent);
+                    assert!(
+                        is_idempotent || observed.first_execution.is_none(),
+                        "rejected a request that may have run"
+                    );
+                    observed.is_answered = true;
                 }
                 Action::Fail { request } => {
-                    let t = self.told.get_mut(&request).expect("a request that exists");
-                    assert!(!t.answered && t.out.is_none(), "answered twice");
-                    t.answered = true;
+                    let observed = self.requests.get_mut(&request).expect("a known request");
+                    assert!(
+                        !observed.is_answered && observed.in_flight.is_none(),
+                        "answered twice"
+                    );
+                    observed.is_answered = true;
                 }
                 _ => {}
             }
         }
-        // Nobody is left without an answer and without an attempt that will bring one.
+        // A request without an answer has an attempt in flight that can lead to one.
         assert!(
-            self.told.values().all(|t| t.answered || t.out.is_some()),
-            "a request is held"
+            self.requests
+                .values()
+                .all(|observed| observed.is_answered || observed.in_flight.is_some()),
+            "a request has neither an answer nor an attempt in flight"
         );
     }
 
-    fn attempted(&mut self, request: RequestId, server: ServerId) {
-        let t = self.told.get_mut(&request).expect("a request that exists");
-        assert!(!t.answered, "sent after the end");
-        assert!(t.out.is_none(), "two attempts out");
-        assert!(self.now < t.deadline, "sent after the deadline");
-        assert!(!self.closed.contains(&server), "sent to a drained server");
-        if let Some((first, at)) = t.ran {
-            match t.effect {
+    fn check_attempt(&mut self, request: RequestId, server: ServerId) {
+        let observed = self.requests.get_mut(&request).expect("a known request");
+        assert!(!observed.is_answered, "sent after the final answer");
+        assert!(observed.in_flight.is_none(), "two attempts in flight");
+        assert!(self.now < observed.deadline, "sent after the deadline");
+        assert!(
+            !self.unavailable.contains(&server),
+            "sent to a server that drains or was removed"
+        );
+        if let Some((first_server, first_sent_at)) = observed.first_execution {
+            match observed.idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::AtMostOnce => panic!("an effect twice"),
+                Idempotency::AtMostOnce => panic!("an at-most-once request may run twice"),
                 Idempotency::Keyed {
-                    scope: group,
+                    scope: key_scope,
                     window,
                 } => {
-                    assert!(self.now < at + window, "repeat outside the window");
                     assert!(
-                        group != KeyScope::Cell || first / 2 == server / 2,
-                        "repeat outside the cell"
+                        self.now < first_sent_at + window,
+                        "repeated after the window of its key"
+                    );
+                    assert!(
+                        key_scope != KeyScope::Cell || first_server / 2 == server / 2,
+                        "repeated in another cell"
                     );
                     assert!(
-                        group != KeyScope::Zone || first % 2 == server % 2,
-                        "repeat outside the zone"
+                        key_scope != KeyScope::Zone || first_server % 2 == server % 2,
+                        "repeated in another zone"
                     );
                 }
             }
         }
-        t.out = Some((t.made, server, self.now));
-        t.made += 1;
-        if let Some(sends) = self.cold_work.get_mut(&server) {
-            sends.push((self.now, 0.02));
+        observed.in_flight = Some((observed.attempts, server, self.now));
+        observed.attempts += 1;
+        if let Some(sent) = self.slow_start_work.get_mut(&server) {
+            sent.push((self.now, 0.02));
         }
     }
 
-    fn end(&mut self, id: RequestId, outcome: Outcome) {
-        let t = self.told.get_mut(&id).expect("a request that exists");
-        let (attempt, server, sent) = t.out.take().expect("an attempt out");
-        if !matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed) && t.ran.is_none() {
-            t.ran = Some((server, sent));
+    fn end_attempt(&mut self, id: RequestId, outcome: Outcome) {
+        let observed = self.requests.get_mut(&id).expect("a known request");
+        let (attempt, server, sent_at) = observed.in_flight.take().expect("an attempt in flight");
+        if !matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed)
+            && observed.first_execution.is_none()
+        {
+            observed.first_execution = Some((server, sent_at));
         }
-        t.answered |= outcome == Outcome::Served;
-        let (ended, latency) = (t.answered, self.now - sent);
-        self.tell(Event::AttemptEnded {
+        observed.is_answered |= outcome == Outcome::Served;
+        let (is_answered, latency) = (observed.is_answered, self.now - sent_at);
+        self.handle(Event::AttemptEnded {
             request: id,
             attempt,
             server,
             outcome,
             latency,
-            request_ended: ended,
+            request_ended: is_answered,
             load: None,
         });
     }
 
-    /// The bench's clock cuts every attempt at its request's deadline.
-    fn expire(&mut self) {
-        let due = |t: &Told| t.out.is_some() && t.deadline <= self.now;
-        let late: Vec<_> = self
-            .told
+    /// Ends the attempts of requests whose deadline has passed, as the node does.
+    fn end_expired_attempts(&mut self) {
+        let is_due = |seen: &ObservedRequest| seen.in_flight.is_some() && seen.deadline <= self.now;
+        let expired: Vec<_> = self
+            .requests
             .iter()
-            .filter(|(_, t)| due(t))
+            .filter(|(_, observed)| is_due(observed))
             .map(|(id, _)| *id)
             .collect();
-        for id in late {
-            self.end(id, Outcome::TimedOut);
+        for id in expired {
+            self.end_attempt(id, Outcome::TimedOut);
         }
     }
 
-    fn play(&mut self, id: RequestId, step: Step) {
+    fn apply(&mut self, id: RequestId, step: Step) {
         match step {
-            Step::Arrive { class, left } => {
-                let effect = self.effects[class as usize];
-                let deadline = self.now + left;
-                let t = Told {
-                    effect,
+            Step::Submit { class, time_left } => {
+                let idempotency = self.idempotency_by_class[class as usize];
+                let deadline = self.now + time_left;
+                let observed = ObservedRequest {
+                    idempotency,
                     deadline,
-                    out: None,
-                    made: 0,
-                    ran: None,
-                    answered: false,
+                    in_flight: None,
+                    attempts: 0,
+                    first_execution: None,
+                    is_answered: false,
                 };
-                self.told.insert(id, t);
+                self.requests.insert(id, observed);
                 let hint = Some(0.02);
-                self.tell(Event::Request {
+                self.handle(Event::Request {
                     request: id,
                     class,
                     tenant: None,
                     work_hint: hint,
                     key: None,
-                    remaining: left,
+                    remaining: time_left,
                 });
             }
-            Step::End { pick, outcome } => {
-                let out: Vec<_> = self
-                    .told
+            Step::EndAttempt { selector, outcome } => {
+                let in_flight: Vec<_> = self
+                    .requests
                     .iter()
-                    .filter(|(_, t)| t.out.is_some())
+                    .filter(|(_, observed)| observed.in_flight.is_some())
                     .map(|(id, _)| *id)
                     .collect();
-                if !out.is_empty() {
-                    self.end(out[pick % out.len()], OUTCOMES[outcome]);
+                if !in_flight.is_empty() {
+                    self.end_attempt(in_flight[selector % in_flight.len()], OUTCOMES[outcome]);
                 }
             }
-            Step::Leave { pick } => {
+            Step::Disconnect { selector } => {
                 let open: Vec<_> = self
-                    .told
+                    .requests
                     .iter()
-                    .filter(|(_, t)| !t.answered)
+                    .filter(|(_, observed)| !observed.is_answered)
                     .map(|(id, _)| *id)
                     .collect();
                 if !open.is_empty() {
-                    let id = open[pick % open.len()];
-                    self.told.get_mut(&id).expect("an open request").answered = true;
-                    self.tell(Event::ClientGone { request: id });
+                    let id = open[selector % open.len()];
+                    self.requests
+                        .get_mut(&id)
+                        .expect("an open request")
+                        .is_answered = true;
+                    self.handle(Event::ClientGone { request: id });
                 }
             }
-            Step::Server { server, state } => {
-                let mut e = entry(server);
-                e.zone = (server % 2) as ZoneId;
-                self.cold_work.remove(&server);
+            Step::UpdateServer { server, state } => {
+                let mut endpoint = endpoint_of(server);
+                endpoint.zone = (server % 2) as ZoneId;
+                self.slow_start_work.remove(&server);
                 match state {
-                    0 => e.state = ServerState::Draining,
-                    1 => e.state = ServerState::Removed,
+                    0 => endpoint.state = ServerState::Draining,
+                    1 => endpoint.state = ServerState::Removed,
                     _ => {
-                        e.started_at = self.now;
-                        self.cold_work.insert(server, vec![]);
+                        endpoint.started_at = self.now;
+                        self.slow_start_work.insert(server, vec![]);
                     }
                 }
-                if e.state == ServerState::Up {
-                    self.closed.remove(&server);
+                if endpoint.state == ServerState::Up {
+                    self.unavailable.remove(&server);
                 } else {
-                    self.closed.insert(server);
+                    self.unavailable.insert(server);
                 }
-                self.tell(Event::EndpointUpdate {
+                self.handle(Event::EndpointUpdate {
                     kind: UpdateKind::Delta,
-                    endpoints: vec![e],
+                    endpoints: vec![endpoint],
                 });
             }
-            Step::Sweep => self.tell(Event::Timer { tag: 0 }),
-            Step::Stray => {
-                self.tell(Event::ClientGone { request: 1 << 30 });
+            Step::Sweep => self.handle(Event::Timer { tag: 0 }),
+            Step::UnknownRequest => {
+                self.handle(Event::ClientGone { request: 1 << 30 });
                 let (outcome, latency) = (Outcome::Served, f64::NAN);
                 let request = 1 << 30;
-                self.tell(Event::AttemptEnded {
+                self.handle(Event::AttemptEnded {
                     request,
                     attempt: 0,
                     server: 0,
@@ -252,7 +290,7 @@
 }
 
 #[test]
-fn the_four_rules_hold_over_random_events() {
+fn rules_hold_over_random_events() {
     let config = Config {
         cases: 200,
         failure_persistence: None,
@@ -261,7 +299,7 @@
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[17; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let run = runner.run(&proptest::collection::vec(step(), 1..300), |steps| {
-        let effects = vec![
+        let idempotency_by_class = vec![
             Idempotency::Idempotent,
             Idempotency::AtMostOnce,
             Idempotency::Keyed {
@@ -273,48 +311,56 @@
                 window: 0.2,
             },
         ];
-        let settings = settings(effects.iter().map(|e| class(*e)).collect());
-        let mut world = World {
-            balancer: Balancer::new(settings, 3, 1.0).expect("usable settings"),
-            effects,
+        let settings = settings(
+            idempotency_by_class
+                .iter()
+                .map(|kind| class(*kind))
+                .collect(),
+        );
+        let mut harness = Harness {
+            balancer: Balancer::new(settings, 3, 1.0).expect("valid settings"),
+            idempotency_by_class,
             now: 1.0,
-            told: BTreeMap::new(),
-            closed: BTreeSet::new(),
-            cold_work: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            unavailable: BTreeSet::new(),
+            slow_start_work: BTreeMap::new(),
         };
-        let list = (0..SERVERS)
-            .map(|s| Endpoint {
-                zone: (s % 2) as ZoneId,
-                ..entry(s)
+        let listed = (0..SERVERS)
+            .map(|server| Endpoint {
+                zone: (server % 2) as ZoneId,
+                ..endpoint_of(server)
             })
             .collect();
-        world.tell(Event::EndpointUpdate {
+        harness.handle(Event::EndpointUpdate {
             kind: UpdateKind::Cached,
-            endpoints: list,
+            endpoints: listed,
         });
-        for (id, (dt, step)) in steps.into_iter().enumerate() {
-            world.now += dt;
-            world.expire();
-            world.play(id as RequestId, step);
+        for (id, (delay, step)) in steps.into_iter().enumerate() {
+            harness.now += delay;
+            harness.end_expired_attempts();
+            harness.apply(id as RequestId, step);
         }
-        world.now += 1.0;
-        world.expire();
+        harness.now += 1.0;
+        harness.end_expired_attempts();
         prop_assert!(
-            world.told.values().all(|t| t.answered),
+            harness
+                .requests
+                .values()
+                .all(|observed| observed.is_answered),
             "a request without an answer"
         );
-        for sends in world.cold_work.values() {
-            // All servers at most as capable as what arrives; a cold one gets well under that in any second.
-            let most = sends.iter().map(|(from, _)| {
-                sends
-                    .iter()
-                    .filter(|(at, _)| at >= from && *at < from + 1.0)
-                    .map(|(_, w)| w)
+        for sent in harness.slow_start_work.values() {
+            // The capacity of a server is at most the arriving work. One in its slow start has to get less than its initial
+            // capacity times the overload factor in any second.
+            let work_per_second = sent.iter().map(|(start, _)| {
+                sent.iter()
+                    .filter(|(sent_at, _)| sent_at >= start && *sent_at < start + 1.0)
+                    .map(|(_, work)| work)
                     .sum::<f64>()
             });
             prop_assert!(
-                most.fold(0.0, f64::max) <= 0.3 * 3.0,
-                "a cold server is pushed over"
+                work_per_second.fold(0.0, f64::max) <= 0.3 * 3.0,
+                "a server in its slow start is overloaded"
             );
         }
         Ok(())
--- a/crates/balancer/tests/subsets.rs
+++ b/crates/balancer/tests/subsets.rs
@@ -1,174 +1,190 @@
-//! How nodes that share nothing part a long list among them.
+//! Subsetting of a long list by nodes that share no state.
 
 mod common;
 
-use common::{class, entry, settings};
+use common::{class, endpoint_of, settings};
 use reelfall_balancer::interface::*;
 use reelfall_balancer::Balancer;
 
-/// A node of a fleet that takes 20 requests a second in each node.
-fn node(number: u32, replicas: u32, list: &[Endpoint]) -> Balancer {
-    let mut s = settings(vec![
+/// One of `node_count` nodes, each of which gets 20 requests per second.
+fn node(index: u32, node_count: u32, servers: &[Endpoint]) -> Balancer {
+    let mut node_settings = settings(vec![
         class(Idempotency::Idempotent),
         class(Idempotency::AtMostOnce),
     ]);
-    (s.node_count, s.node_index) = (replicas, Some(number));
-    s.tenants = vec![Tenant {
-        quota: 20.0 * f64::from(replicas),
+    (node_settings.node_count, node_settings.node_index) = (node_count, Some(index));
+    node_settings.tenants = vec![Tenant {
+        quota: 20.0 * f64::from(node_count),
     }];
-    let mut node = Balancer::new(s, u64::from(number), 0.0).expect("usable settings");
-    let entries = list.to_vec();
+    let mut node = Balancer::new(node_settings, u64::from(index), 0.0).expect("valid settings");
+    let listed = servers.to_vec();
     node.handle(
         0.0,
         Event::EndpointUpdate {
             kind: UpdateKind::Cached,
-            endpoints: entries,
+            endpoints: listed,
         },
         &mut vec![],
     );
     node
 }
 
-/// The places in the list that a node draws from, but for the floor.
-fn part(node: &Balancer) -> Vec<usize> {
-    let (p, floor) = (&node.automaton().probability, node.automaton().floor());
-    (0..p.len()).filter(|i| p[*i] > 1.5 * floor).collect()
+/// The positions of the servers in a node's subset: those whose probability exceeds the floor.
+fn subset(node: &Balancer) -> Vec<usize> {
+    let (probability, floor) = (&node.automaton().probability, node.automaton().floor());
+    (0..probability.len())
+        .filter(|position| probability[*position] > 1.5 * floor)
+        .collect()
 }
 
-fn fleet(replicas: u32, list: &[Endpoint]) -> Vec<Vec<usize>> {
-    (0..replicas)
-        .map(|number| part(&node(number, replicas, list)))
+/// The subset of each of `node_count` nodes.
+fn subsets(node_count: u32, servers: &[Endpoint]) -> Vec<Vec<usize>> {
+    (0..node_count)
+        .map(|index| subset(&node(index, node_count, servers)))
         .collect()
 }
 
-fn nodes_of(parts: &[Vec<usize>], servers: usize) -> Vec<usize> {
+/// For each server, the number of subsets that contain it.
+fn nodes_per_server(subsets: &[Vec<usize>], servers: usize) -> Vec<usize> {
     (0..servers)
-        .map(|i| parts.iter().filter(|p| p.contains(&i)).count())
+        .map(|server| subsets.iter().filter(|own| own.contains(&server)).count())
         .collect()
 }
 
 #[test]
-fn every_server_is_of_as_many_nodes_and_every_node_has_a_small_part() {
-    let list: Vec<Endpoint> = (0..60).map(entry).collect();
-    let parts = fleet(100, &list);
-    let nodes = nodes_of(&parts, 60);
-    assert!(nodes.iter().all(|n| *n == nodes[0] && *n < 30), "{nodes:?}");
+fn all_servers_have_the_same_number_of_nodes_and_subsets_are_small() {
+    let servers: Vec<Endpoint> = (0..60).map(endpoint_of).collect();
+    let subsets = subsets(100, &servers);
+    let nodes = nodes_per_server(&subsets, 60);
+    assert!(
+        nodes.iter().all(|count| *count == nodes[0] && *count < 30),
+        "{nodes:?}"
+    );
     assert!(
-        parts.iter().all(|p| (3..30).contains(&p.len())),
+        subsets.iter().all(|subset| (3..30).contains(&subset.len())),
         "{:?}",
-        parts.iter().map(Vec::len)
+        subsets.iter().map(Vec::len)
     );
 }
 
 #[test]
-fn nodes_that_die_together_are_missed_by_all_servers_alike() {
-    let list: Vec<Endpoint> = (0..60).map(entry).collect();
-    let parts = fleet(100, &list);
-    let before = nodes_of(&parts, 60)[0];
-    // A zone's nodes may be numbered in a row or every other.
+fn loss_of_a_zones_nodes_affects_all_servers_equally() {
+    let servers: Vec<Endpoint> = (0..60).map(endpoint_of).collect();
+    let subsets = subsets(100, &servers);
+    let before = nodes_per_server(&subsets, 60)[0];
+    // The nodes of a zone may have successive indices, or every other one.
     for lost in [
         (0..57).collect::<Vec<usize>>(),
         (0..100).step_by(2).collect(),
     ] {
-        let left: Vec<_> = (0..100)
-            .filter(|n| !lost.contains(n))
-            .map(|n| parts[n].clone())
+        let remaining: Vec<_> = (0..100)
+            .filter(|index| !lost.contains(index))
+            .map(|index| subsets[index].clone())
             .collect();
-        let nodes = nodes_of(&left, 60);
-        let fair = before * left.len() / 100;
+        let nodes = nodes_per_server(&remaining, 60);
+        let expected = before * remaining.len() / 100;
         let spread = nodes.iter().max().unwrap_or(&0) - nodes.iter().min().unwrap_or(&0);
         assert!(
-            spread <= fair / 2 && nodes.iter().all(|n| *n > fair / 2),
+            spread <= expected / 2 && nodes.iter().all(|count| *count > expected / 2),
             "{nodes:?} of {before}"
         );
     }
 }
 
 #[test]
-fn a_server_that_is_new_moves_few_others() {
-    let list: Vec<Endpoint> = (0..60).map(entry).collect();
-    let mut more = list.clone();
-    more.push(Endpoint {
+fn new_server_changes_at_most_one_other_server_of_a_subset() {
+    let servers: Vec<Endpoint> = (0..60).map(endpoint_of).collect();
+    let mut extended = servers.clone();
+    extended.push(Endpoint {
         started_at: 0.0,
-        ..entry(60)
+        ..endpoint_of(60)
     });
-    for number in 0..20 {
+    for index in 0..20 {
         let (old, new) = (
-            part(&node(number, 100, &list)),
-            part(&node(number, 100, &more)),
+            subset(&node(index, 100, &servers)),
+            subset(&node(index, 100, &extended)),
         );
-        let moved = old.iter().filter(|i| !new.contains(i)).count()
-            + new.iter().filter(|i| **i < 60 && !old.contains(i)).count();
-        assert!(moved <= 1, "{old:?} became {new:?}");
+        let changed = old.iter().filter(|server| !new.contains(server)).count()
+            + new
+                .iter()
+                .filter(|server| **server < 60 && !old.contains(server))
+                .count();
+        assert!(changed <= 1, "{old:?} became {new:?}");
     }
 }
 
 #[test]
-fn where_nodes_meet_each_server_often_all_have_the_whole_list() {
-    let list: Vec<Endpoint> = (0..20).map(entry).collect();
-    for replicas in [1, 3, 12] {
+fn few_nodes_prefer_the_whole_list() {
+    let servers: Vec<Endpoint> = (0..20).map(endpoint_of).collect();
+    for node_count in [1, 3, 12] {
         assert!(
-            fleet(replicas, &list).iter().all(|p| p.len() == 20),
-            "{replicas} nodes"
+            subsets(node_count, &servers)
+                .iter()
+                .all(|subset| subset.len() == 20),
+            "{node_count} nodes"
         );
     }
 }
 
 #[test]
-fn lists_and_fleets_of_any_size_are_parted() {
-    let long: Vec<Endpoint> = (0..10_000).map(entry).collect();
-    assert!((1..2_000).contains(&part(&node(7_777, 10_000, &long)).len()));
-    assert_eq!(part(&node(9_999, 10_000, &long[..1])), [0]);
-    assert!(part(&node(3, 10_000, &[])).is_empty());
-    assert_eq!(part(&node(u32::MAX, 1, &long[..1])), [0]);
+fn subsets_of_very_long_and_very_short_lists() {
+    let long: Vec<Endpoint> = (0..10_000).map(endpoint_of).collect();
+    assert!((1..2_000).contains(&subset(&node(7_777, 10_000, &long)).len()));
+    assert_eq!(subset(&node(9_999, 10_000, &long[..1])), [0]);
+    assert!(subset(&node(3, 10_000, &[])).is_empty());
+    assert_eq!(subset(&node(u32::MAX, 1, &long[..1])), [0]);
 }
 
 #[test]
-fn nodes_that_are_not_told_from_each_other_have_the_whole_list() {
-    let mut s = settings(vec![class(Idempotency::Idempotent)]);
-    (s.node_count, s.tenants) = (100, vec![Tenant { quota: 2000.0 }]);
-    let mut node = Balancer::new(s, 1, 0.0).expect("usable settings");
-    let entries = (0..60).map(entry).collect();
+fn nodes_without_indices_prefer_the_whole_list() {
+    let mut node_settings = settings(vec![class(Idempotency::Idempotent)]);
+    (node_settings.node_count, node_settings.tenants) = (100, vec![Tenant { quota: 2000.0 }]);
+    let mut node = Balancer::new(node_settings, 1, 0.0).expect("valid settings");
+    let listed = (0..60).map(endpoint_of).collect();
     node.handle(
         0.0,
         Event::EndpointUpdate {
             kind: UpdateKind::Cached,
-            endpoints: entries,
+            endpoints: listed,
         },
         &mut vec![],
     );
-    // Of one number, all would have the same few servers.
-    assert_eq!(part(&node).len(), 60);
+    // With a subset for one and the same index, all nodes would prefer the same few servers.
+    assert_eq!(subset(&node).len(), 60);
 }
 
 #[test]
-fn a_newcomer_of_a_kind_that_nobody_has_seen_is_of_its_part_or_has_the_floor() {
-    let list: Vec<Endpoint> = (0..60).map(entry).collect();
-    for number in 0..40 {
-        let mut node = node(number, 100, &list);
-        let entries = vec![Endpoint {
+fn new_server_of_an_unknown_machine_type_is_in_the_subset_or_at_the_floor() {
+    let servers: Vec<Endpoint> = (0..60).map(endpoint_of).collect();
+    for index in 0..40 {
+        let mut node = node(index, 100, &servers);
+        let added = vec![Endpoint {
             machine_type: 7,
-            ..entry(60)
+            ..endpoint_of(60)
         }];
         node.handle(
             0.1,
             Event::EndpointUpdate {
                 kind: UpdateKind::Delta,
-                endpoints: entries,
+                endpoints: added,
             },
             &mut vec![],
         );
-        let (p, floor, own) = (
+        let (probability, floor, subset) = (
             &node.automaton().probability,
             node.automaton().floor(),
-            part(&node),
+            subset(&node),
         );
-        let mean =
-            own.iter().filter(|i| **i < 60).map(|i| p[*i]).sum::<f64>() / own.len().max(1) as f64;
+        let mean = subset
+            .iter()
+            .filter(|server| **server < 60)
+            .map(|server| probability[*server])
+            .sum::<f64>()
+            / subset.len().max(1) as f64;
         assert!(
-            p[60] < 1.1 * floor || p[60] > 0.5 * mean,
-            "{} beside {mean}, floor {floor}",
-            p[60]
+            probability[60] < 1.1 * floor || probability[60] > 0.5 * mean,
+            "{} of the new server, mean {mean}, floor {floor}",
+            probability[60]
         );
     }
 }
--- a/crates/balancer/tests/unproven_servers.rs
+++ b/crates/balancer/tests/unproven_servers.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{class, entry, settings, Node};
+use common::{class, endpoint_of, settings, Node};
 use reelfall_balancer::interface::{
     Action, Class, ClassId, Event, Idempotency, LearnedState, Outcome, RequestId, ServerId, Time,
 };
@@ -36,7 +36,7 @@
         let (request, server) = node.request(IDEMPOTENT_CLASS, None, DEADLINE);
         let server = server.expect("a server");
         node.now += RESPONSE_TIME;
-        node.end(request, 0, server, Outcome::Served, RESPONSE_TIME);
+        node.end_attempt(request, 0, server, Outcome::Served, RESPONSE_TIME);
         without_response.retain(|other| *other != server);
     }
 }
@@ -49,10 +49,10 @@
     does_respond: bool,
 ) {
     if does_respond {
-        return node.end(request, 0, server, Outcome::Served, RESPONSE_TIME);
+        return node.end_attempt(request, 0, server, Outcome::Served, RESPONSE_TIME);
     }
-    node.tell(Event::ClientGone { request });
-    node.end(request, 0, server, Outcome::Cancelled, RESPONSE_TIME);
+    node.handle(Event::ClientGone { request });
+    node.end_attempt(request, 0, server, Outcome::Cancelled, RESPONSE_TIME);
 }
 
 #[test]
@@ -61,7 +61,7 @@
     let (request, server) = node.request(IDEMPOTENT_CLASS, None, DEADLINE);
     let without_response = attempt_timeout(&node).expect("a timeout");
     assert!(without_response < 0.3, "{without_response}");
-    node.end(
+    node.end_attempt(
         request,
         0,
         server.expect("a server"),
@@ -116,7 +116,7 @@
 fn eject_four(node: &mut Node) {
     let mut learned = node.balancer.learned(node.now);
     for server in &mut learned.servers {
-        if (0..4).any(|ejected| server.hash == entry(ejected).hash) {
+        if (0..4).any(|ejected| server.hash == endpoint_of(ejected).hash) {
             server.ejected_for = 60.0;
         }
     }
@@ -127,7 +127,7 @@
     learned
         .servers
         .iter()
-        .find(|learned| learned.hash == entry(server).hash)
+        .find(|learned| learned.hash == endpoint_of(server).hash)
         .expect("the server is listed")
         .ejected_for
         > 0.0
@@ -150,9 +150,9 @@
             let is_faulty = server == FAULTY_SERVER;
             failures += u32::from(is_faulty);
             let outcome = if is_faulty { outcome } else { Outcome::Served };
-            node.end(request, 0, server, outcome, 0.0);
-            if let Some(next) = node.sent() {
-                node.end(request, 1, next, Outcome::Served, 0.0);
+            node.end_attempt(request, 0, server, outcome, 0.0);
+            if let Some(next) = node.attempted_server() {
+                node.end_attempt(request, 1, next, Outcome::Served, 0.0);
             }
         }
         let learned = node.balancer.learned(node.now);
--- a/crates/balancer/tests/uploads.rs
+++ b/crates/balancer/tests/uploads.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{class, entry, settings};
+use common::{class, endpoint_of, settings};
 use reelfall_balancer::engine::{AddressedEndpoint, Arrival, Command, Engine, FinalAnswer, Host};
 use reelfall_balancer::interface::{
     ClassId, Idempotency, LearnedState, Outcome, RequestId, ServerId, Time, UpdateKind,
@@ -32,11 +32,11 @@
 fn engine() -> Engine<TestHost> {
     let settings = settings(vec![class(Idempotency::AtMostOnce)]);
     let classes = settings.classes.clone();
-    let module = Balancer::new(settings, 7, 0.0).expect("usable settings");
+    let module = Balancer::new(settings, 7, 0.0).expect("valid settings");
     let mut engine = Engine::new(module, &classes, MAX_ATTEMPTS);
     let endpoints = (0..SERVERS)
         .map(|server| AddressedEndpoint {
-            endpoint: entry(server),
+            endpoint: endpoint_of(server),
             address: server,
         })
         .collect();
