--- a/crates/balancer/src/decide/outlier.rs
+++ b/crates/balancer/src/decide/outlier.rs
@@ -40,8 +40,9 @@
 
 impl Balancer {
     /// Readmits a server, as the cluster has found that it responds again. Its ejection by this node ends, and it gets
-    /// the next request that may be a trial. Its running average and probability are reset to the means of the other
-    /// servers, as its own reflect the fault and this node alone would take minutes to unlearn them.
+    /// the next request that may be a trial. Its running average is lowered to the mean of the other servers, and its
+    /// probability raised to that of an average server of its size: both reflect the fault, and this node alone would
+    /// take minutes to unlearn them.
     pub(super) fn readmit(&mut self, now: Time, server: ServerId) {
         let Some(position) = self.servers.position(server) else {
             return;
--- a/crates/balancer/tests/engine/faulty_servers.rs
+++ b/crates/balancer/tests/engine/faulty_servers.rs
@@ -1,4 +1,4 @@
-//! The real decision module in virtual time over servers of which some fail fast, some stall, and some execute requests
+//! The real decision module in virtual time with servers of which some fail fast, some stall, and some run requests
 //! whose attempts fail.
 
 use crate::{
@@ -81,7 +81,7 @@
     engine: Engine<TestHost>,
     random: RandomNumbers,
     now: Time,
-    /// In no order: it is short enough to be searched for the earliest.
+    /// Unordered, as it is short enough to be searched for the earliest event.
     pending: Vec<Scheduled>,
     commands: Commands,
     executions: HashMap<RequestId, u32>,
--- a/crates/balancer/tests/engine/generators.rs
+++ b/crates/balancer/tests/engine/generators.rs
@@ -4,7 +4,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use reelfall_balancer::interface::{Action, Outcome, ServerState, Time};
 
-/// The servers of the endpoint list are numbered from 0 up to this.
+/// Number of servers in the endpoint list; their identifiers start at 0.
 pub const SERVERS: u32 = 4;
 
 const OUTCOMES: [Outcome; 8] = [
@@ -53,7 +53,7 @@
 /// An action of the hostile module.
 #[derive(Clone, Debug)]
 pub struct HostileAction {
-    /// Whether the action is applied to the request of the event that it answers.
+    /// Whether the action is applied to the request of the event that it responds to.
     pub targets_event_request: bool,
     pub action: Action,
 }
@@ -101,7 +101,7 @@
     })
 }
 
-/// The events that reach an engine, and the actions with which its module answers them.
+/// The events that reach an engine, and the actions that its module returns.
 #[derive(Clone, Debug)]
 pub struct Schedule {
     pub steps: Vec<TimedStep>,
--- a/crates/balancer/tests/engine/hostile_module.rs
+++ b/crates/balancer/tests/engine/hostile_module.rs
@@ -11,8 +11,8 @@
 
 const CASES: u32 = 400;
 
-/// Answers each event with the next generated action. Most of them are applied to the request of the event, where a
-/// rule is most easily broken.
+/// Returns the next generated action on each event. Most of them are applied to the request of the event, as that is
+/// most likely to break a rule.
 struct HostileModule(IntoIter<HostileAction>);
 
 impl DecisionModule for HostileModule {
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Disconnects every client and ends every attempt: no request remains.
+    /// Disconnects every client, ends every attempt and checks that no request remains open.
     fn finish(&mut self) {
         for request in 0..self.checker.requests.len() as u32 {
             let mut commands = Commands::new();
--- a/crates/balancer/tests/engine/main.rs
+++ b/crates/balancer/tests/engine/main.rs
@@ -1,5 +1,5 @@
-//! The engine in virtual time: under a generated decision module that attempts to break its rules, and with the real
-//! module over servers that fail, stall or execute requests whose attempts failed.
+//! Tests of the engine in virtual time: with a random decision module that attempts to break the rules, and with the
+//! real module and servers that fail, stall, or run requests whose attempts fail.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/balancer/tests/failures/admission.rs
+++ b/crates/balancer/tests/failures/admission.rs
@@ -1,4 +1,4 @@
-//! Admission under overload, and bursts that are none.
+//! Admission under overload, and with late responses that are no sign of overload.
 
 use crate::common::{settings, Node};
 use crate::{classes, AT_MOST_ONCE_CLASS, DEADLINE, IDEMPOTENT_CLASS, REQUESTS_PER_TIMER};
@@ -29,7 +29,7 @@
     assert!(rejected[0] > rejected[1], "{rejected:?}");
 }
 
-/// An attempt that is answered at a given time.
+/// An attempt in flight, and when its response arrives.
 struct InFlight {
     response_at: Time,
     request: RequestId,
@@ -99,6 +99,6 @@
         node.now += latency;
         node.end_attempt(request, 0, server, Outcome::Served, latency);
     }
-    // The minimum that is always admitted is 100; admission that is raised by quick responses is several times that.
+    // At least 100 requests are admitted; if quick responses raised admission, it would be several times as many.
     assert!(admitted < 130, "{admitted} of 1000 admitted");
 }
--- a/crates/balancer/tests/failures/outlier_ejection.rs
+++ b/crates/balancer/tests/failures/outlier_ejection.rs
@@ -1,4 +1,4 @@
-//! Servers that fail, are silent or lose connections, and when they get fewer or no requests.
+//! Servers that fail, do not respond or lose connections get fewer requests or none.
 
 use crate::common::{settings, Node};
 use crate::{classes, AT_MOST_ONCE_CLASS, DEADLINE, IDEMPOTENT_CLASS};
@@ -62,8 +62,8 @@
     assert!(used.len() >= 6, "only {} servers were used", used.len());
 }
 
-/// How many requests the faulty server gets after its first `lost_connections` attempts lost their connections, until
-/// `end`.
+/// Number of requests that the faulty server gets until `end`, after its first `lost_connections` attempts have lost
+/// their connections.
 fn requests_after_lost_connections(lost_connections: u32, end: Time) -> u32 {
     let mut node = Node::new(settings(classes()), 4);
     let mut remaining_losses = lost_connections;
@@ -90,7 +90,7 @@
 
 #[test]
 fn two_consecutive_lost_connections_eject_a_server_and_one_does_not() {
-    // A server that is not ejected gets few requests for a while, but one within seconds.
+    // A server that is not ejected gets few requests at first, but at least one within ten seconds.
     for (lost_connections, is_ejected, end) in [(1, false, 10.0), (2, true, 3.0)] {
         let requests = requests_after_lost_connections(lost_connections, end);
         assert_eq!(
@@ -145,16 +145,16 @@
         node.sweep();
         served += 1;
     }
-    // The mean is that of the responses, without the attempt that hangs.
+    // The mean includes the responses only, and not the attempt that is still in flight.
     let mean_response = node.balancer.automaton().mean_response[0];
     assert!(served == 50 && mean_response < 0.02, "{mean_response}");
 }
 
-/// Time between two requests of a node that has few.
+/// Time between two requests, at a low rate.
 const REQUEST_INTERVAL: Time = 0.1;
 
-/// Serves a request with all its attempts; one at the faulty server times out unless that responds. Returns whether the
-/// faulty server got one.
+/// Runs a request to its end. An attempt at the faulty server times out unless `faulty_responds`. Returns whether there
+/// was one.
 fn serve_request(node: &mut Node, faulty_responds: bool) -> bool {
     serve_request_of(node, IDEMPOTENT_CLASS, faulty_responds)
 }
@@ -180,10 +180,10 @@
     reached_faulty
 }
 
-/// Servers of a node that has few requests.
+/// Number of servers of a node with a low rate of requests.
 const SERVERS: u32 = 8;
 
-/// Brings a node to eject the faulty server by timeouts.
+/// A node that has ejected the faulty server because of timeouts.
 fn node_that_ejected_the_faulty_server() -> Node {
     const TIMEOUTS: usize = 3;
     let mut node = Node::new(settings(classes()), SERVERS);
@@ -197,10 +197,10 @@
     node
 }
 
-/// Guards against a prober that does not probe, since it has ejected the server itself.
+/// Guards against a prober that sends no trials because it has itself ejected the server.
 #[test]
 fn prober_sends_trials_to_a_server_that_it_has_ejected_itself() {
-    // A server that is still silent costs one request in an interval, or two by chance.
+    // A server that still does not respond gets one trial per interval, or by chance two.
     for (responds, trials) in [(true, 2..=10), (false, 1..=2)] {
         let mut node = node_that_ejected_the_faulty_server();
         node.handle(Event::PeerVerdict {
@@ -208,7 +208,7 @@
             until: node.now + 10.0,
             is_prober: true,
         });
-        // A second, which is how long a node is the prober.
+        // About a second, for which a node is the prober.
         let interval = 0..10;
         let sent = interval.filter(|_| serve_request(&mut node, responds));
         let sent = sent.count();
@@ -219,7 +219,7 @@
     }
 }
 
-/// Guards against probes with requests that can't be repeated.
+/// Guards against trials with requests that must not run twice.
 #[test]
 fn prober_sends_no_at_most_once_requests_as_trials() {
     let mut node = node_that_ejected_the_faulty_server();
@@ -233,7 +233,7 @@
     }
 }
 
-/// Guards against attempts from before a readmission that count against the server after it.
+/// Guards against attempts from before a readmission that count as failures after it.
 #[test]
 fn attempts_from_before_a_readmission_do_not_count_after_it() {
     let mut node = Node::new(settings(classes()), SERVERS);
@@ -256,14 +256,17 @@
     });
     assert!(
         serve_request(&mut node, true),
-        "no trial beside the attempt"
+        "no trial while an earlier attempt is in flight"
     );
     node.end_attempt(held, 0, held_server, Outcome::TimedOut, DEADLINE);
     let sent = (0..50).filter(|_| serve_request(&mut node, true)).count();
-    assert!(sent > 0, "ejected for an attempt from before");
+    assert!(
+        sent > 0,
+        "ejected because of an attempt from before the readmission"
+    );
 }
 
-/// Guards against a node that alone leaves out a server that the nodes of its cluster have readmitted.
+/// Guards against a single node that keeps avoiding a server after the cluster has readmitted it.
 #[test]
 fn readmitted_server_gets_an_attempt_in_three_seconds_and_half_of_its_share_in_ten() {
     let mut node = node_that_ejected_the_faulty_server();
@@ -296,6 +299,6 @@
     let (count, fair_share) = (to_readmitted.count(), requests / SERVERS as usize);
     assert!(
         count * 2 >= fair_share && count <= fair_share * 2,
-        "{count} of {requests} requests, {fair_share} are its share"
+        "{count} of {requests} requests, where {fair_share} are an equal share"
     );
 }
--- a/crates/balancer/tests/failures/selection.rs
+++ b/crates/balancer/tests/failures/selection.rs
@@ -57,7 +57,7 @@
         // Each server responds more slowly the more requests it gets.
         let probability = &node.balancer.automaton().probability;
         let latency = 0.01 + if server == 0 { 0.03 } else { 0.06 } * probability[server as usize];
-        // The module reads its clock, not the reported latency.
+        // The module computes the latency from its clock and ignores the reported one.
         node.now += latency;
         node.end_attempt(request, 0, server, Outcome::Served, latency);
     }
--- a/crates/balancer/tests/failures/slow_start.rs
+++ b/crates/balancer/tests/failures/slow_start.rs
@@ -43,8 +43,8 @@
         };
         node.end_attempt(request, 0, server, Outcome::Served, 0.02);
     }
-    // What the other servers sustain, by the initial capacity and the overload factor, divided among the nodes, and one
-    // request for the random selection.
+    // This node's part of the sustained work rate of the other servers times the initial capacity and the overload
+    // factor, and one request, as servers are selected at random.
     let sustained = 0.2 * f64::from(NODES) / f64::from(SERVERS);
     let tolerated = sustained * 0.37 * 3.0 / f64::from(NODES) + WORK_PER_REQUEST;
     assert!(work <= tolerated, "{work}");
@@ -74,7 +74,7 @@
         .collect()
 }
 
-/// When the balancers send requests, each of which has one at each step for four seconds.
+/// Submits a request to each balancer at each step for four seconds; returns when requests were sent to the server.
 fn send_times(nodes: &mut [Node]) -> Vec<Time> {
     let mut sent_at = vec![];
     let mut in_flight: Vec<InFlight> = vec![];
@@ -147,6 +147,6 @@
     );
     assert!(
         peak_overload(8, 1) > overload_factor,
-        "the test passes without the limit"
+        "the test passes even if the balancers ignore each other"
     );
 }
--- a/crates/balancer/tests/golden_decisions.rs
+++ b/crates/balancer/tests/golden_decisions.rs
@@ -1,6 +1,6 @@
-//! Compares the actions of the decision module on a random load with those recorded at commit c58caac, to the last bit of
-//! each time. `golden/decisions.blake3` has a digest for each deployment and seed. The seed and the times are arguments of
-//! the module, so a digest differs only if a decision does.
+//! Compares the actions of the decision module on a random load with those recorded at commit c58caac, to the last bit
+//! of each time. `golden/decisions.blake3` has a digest for each deployment and seed. The seed and the times are
+//! arguments of the module, so a digest differs only if a decision does.
 
 use reelfall_balancer::interface::*;
 use reelfall_balancer::settings::{self, stable_hash, ListedEndpoint, NameRegistry};
@@ -169,8 +169,8 @@
         }
     }
 
-    /// The outcome and the duration of an attempt: servers differ in speed, and one of seven fails often for half of the
-    /// time.
+    /// The outcome and the duration of an attempt: servers differ in speed, and one of seven fails often for half of
+    /// the time.
     fn random_end(&mut self, server: ServerId, timeout: Option<Time>) -> (Outcome, Time) {
         let slowness = 1.0 + f64::from(server % 5) * 0.6;
         let duration = 0.02 * slowness * (0.3 + 1.4 * self.random.next_fraction());
--- a/crates/balancer/tests/list_costs.rs
+++ b/crates/balancer/tests/list_costs.rs
@@ -1,7 +1,7 @@
-//! The cost of an endpoint list update grows in proportion to the length of the list, not to its square.
+//! Checks that the cost of an endpoint list update is linear in the length of the list, and not quadratic.
 //!
 //! Each test compares the processor time of its thread for a list with that for one eight times as long. A linear cost
-//! grows to eight times, a quadratic one to sixty-four.
+//! grows by a factor of 8, a quadratic one by a factor of 64.
 
 mod common;
 
@@ -21,10 +21,10 @@
 const SHORT_LIST: u32 = 1_000;
 const LONG_LIST: u32 = 8 * SHORT_LIST;
 
-/// Well above the eight times of a linear cost, and well below the sixty-four of a quadratic one.
+/// Well above the factor of 8 of a linear cost, and well below the factor of 64 of a quadratic one.
 const MAX_GROWTH: f64 = 24.0;
 
-/// The fastest of these runs counts: a run takes longer when other processes evict its caches.
+/// Number of runs. The fastest one counts, as other processes may evict the caches during a run.
 const RUNS: usize = 4;
 
 /// Processor time of this thread, in seconds.
--- a/crates/balancer/tests/list_reference/comparison.rs
+++ b/crates/balancer/tests/list_reference/comparison.rs
@@ -1,4 +1,4 @@
-//! A node and the reference with the same updates, compared after each of them.
+//! A balancer and the reference, which get the same updates and are compared after each of them.
 
 use crate::common;
 use crate::random::SplitMix64;
@@ -8,7 +8,7 @@
 };
 use reelfall_balancer::Balancer;
 
-/// The most by which the two may differ, as a fraction of the value.
+/// The greatest difference between a value of the two, as a fraction of the greater one.
 const MAX_RELATIVE_ERROR: f64 = 1e-9;
 
 pub struct Comparison {
@@ -18,7 +18,7 @@
     rng: SplitMix64,
     /// The servers that may be listed, by their ids.
     pub servers: Vec<Endpoint>,
-    /// For failed assertions.
+    /// The steps so far, for the messages of failed assertions.
     steps: Vec<String>,
 }
 
@@ -50,7 +50,7 @@
             let is_retry_timer = |action: &Action| matches!(action, Action::StartTimer { after, .. } if *after == retry_after);
             assert!(
                 actions.iter().any(is_retry_timer),
-                "another random number: {actions:?}, not {retry_after}, after {:?}",
+                "the balancer drew another random number: {actions:?}, expected a delay of {retry_after}, after {:?}",
                 self.steps
             );
         }
@@ -110,7 +110,7 @@
         self.update(kind, endpoints);
     }
 
-    /// Endpoints in all states, some of the same server.
+    /// Applies a random delta, which may contain endpoints in all states and several of the same server.
     fn update_delta(&mut self) {
         let servers = self.servers.len() as u32;
         let count = 1 + self.rng.below(servers);
@@ -123,7 +123,7 @@
         self.update(UpdateKind::Delta, endpoints);
     }
 
-    /// A server is up, perhaps restarted or with other properties, or is draining or removed.
+    /// A random endpoint for a server: up, perhaps restarted or with other properties, or draining or removed.
     fn random_change(&mut self, server: ServerId, up_fraction: f64) -> Endpoint {
         let index = server as usize;
         let is_up = self.rng.next_fraction() < up_fraction;
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Random probabilities, averages, credits and ejections in place of those that responses would lead to.
+    /// Sets random probabilities, averages, credits and ejections, in place of those that responses would lead to.
     pub fn learn(&mut self) {
         self.steps.push(format!("{} learned", self.now));
         let mut learned = self.node.learned(self.now);
--- a/crates/balancer/tests/list_reference/main.rs
+++ b/crates/balancer/tests/list_reference/main.rs
@@ -1,7 +1,9 @@
-//! The server list against a plain reference that walks over all servers for each endpoint of an update.
+//! Compares the server list of a balancer with a simple reference that iterates over all servers for each endpoint of
+//! an update.
 //!
-//! Random lists, changes, absences and restarts go to a node and to the reference. Both must have the same servers in the
-//! same order with the same probabilities, averages and slow start credits, and have drawn as many random numbers.
+//! The balancer and the reference get the same random lists, changes, absences and restarts. Both must have the same
+//! servers in the same order with the same probabilities, averages and slow start credits, and must have drawn the same
+//! number of random numbers.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -74,7 +76,7 @@
         let removals = all[..60].iter().map(removed).collect();
         comparison.update(UpdateKind::Delta, removals);
         comparison.now += 0.1;
-        // Each removal raises the floor; each return, often of a server below it, lowers it.
+        // Each removal raises the floor. Each return lowers it, and many of the returning servers are below it.
         let alternating = all[..60]
             .iter()
             .zip(&all[100..])
@@ -98,7 +100,7 @@
         let endpoint = comparison.servers[server].clone();
         comparison.update(UpdateKind::Delta, vec![endpoint]);
     }
-    // And in a single update that restarts the same few servers over and over.
+    // The same in a single update that restarts a few servers many times.
     let restarts: Vec<Endpoint> = (0..20_000)
         .map(|index| Endpoint {
             started_at: comparison.now + f64::from(index) * 1e-6,
--- a/crates/balancer/tests/list_reference/random.rs
+++ b/crates/balancer/tests/list_reference/random.rs
@@ -1,6 +1,6 @@
-//! The generator of the decision module, repeated for the reference.
+//! A second implementation of the random number generator of the decision module, for the reference.
 
-/// The finalizer of SplitMix64, as a fraction below 1.
+/// Hashes bits to a number in [0, 1) with the finalizer of SplitMix64.
 pub fn fraction(bits: u64) -> f64 {
     let bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -14,7 +14,7 @@
         SplitMix64(seed)
     }
 
-    /// Between 0 and 1.
+    /// Uniform in [0, 1).
     pub fn next_fraction(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         fraction(self.0)
--- a/crates/balancer/tests/list_reference/reference.rs
+++ b/crates/balancer/tests/list_reference/reference.rs
@@ -1,4 +1,4 @@
-//! The rules by which servers join and leave the list, each as a walk over all servers.
+//! A reference implementation of endpoint list updates that iterates over all servers at each step.
 
 use crate::random::{fraction, SplitMix64};
 use reelfall_balancer::interface::{
@@ -7,7 +7,7 @@
 
 pub const SEED: u64 = 7;
 
-// Constants of the decision module, repeated.
+// Copies of constants of the decision module.
 const PROBABILITY_FLOOR: f64 = 0.1;
 /// In seconds.
 const FLAP_TIME: Time = 0.5;
@@ -23,8 +23,8 @@
 
 pub struct Server {
     pub endpoint: Endpoint,
-    /// In the subset of this node.
-    is_own: bool,
+    /// Whether it is in the subset of this node.
+    is_in_subset: bool,
     ejected_until: Time,
     pub probability: f64,
     pub mean_response: f64,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// How many nodes share each of this many servers.
+    /// Number of nodes that prefer each server of a list of this length.
     fn nodes_per_server(&self, servers: f64) -> u32 {
         let nodes = f64::from(self.settings.node_count);
         if self.settings.node_index.is_none() || self.quota <= 0.0 || nodes < 2.0 * MIN_SUBSET_SIZE
@@ -87,8 +87,8 @@
             .ceil() as u32
     }
 
-    /// Whether a server is in the subset of this node.
-    fn owns(&self, hash: u64, nodes_per_server: u32) -> bool {
+    /// Whether this node prefers a server.
+    fn prefers(&self, hash: u64, nodes_per_server: u32) -> bool {
         let nodes = u64::from(self.settings.node_count);
         let first = (fraction(hash) * nodes as f64) as u64;
         let position = u64::from(self.settings.node_index.unwrap_or(0)) * stride(nodes);
@@ -130,7 +130,7 @@
         }
     }
 
-    fn leave(&mut self, now: Time, index: usize) {
+    fn remove_server(&mut self, now: Time, index: usize) {
         let relative_probability = self.servers[index].probability * self.servers.len() as f64;
         let server = self.servers.swap_remove(index);
         self.normalize();
@@ -151,10 +151,10 @@
         });
     }
 
-    fn join(&mut self, now: Time, endpoint: Endpoint) {
+    fn add_server(&mut self, now: Time, endpoint: Endpoint) {
         let servers = self.servers.len() as f64;
-        let is_own = self.owns(endpoint.hash, self.nodes_per_server(servers + 1.0));
-        let mut initial = self.initial_estimate(&endpoint, is_own);
+        let is_in_subset = self.prefers(endpoint.hash, self.nodes_per_server(servers + 1.0));
+        let mut initial = self.initial_estimate(&endpoint, is_in_subset);
         let departed = self.take_departed(now, &endpoint);
         if let Some(departed) = &departed {
             let is_flap = now - departed.departed_at <= FLAP_TIME;
@@ -169,13 +169,14 @@
             };
         }
         let probability = initial.relative_probability.max(PROBABILITY_FLOOR) / servers.max(1.0);
-        let random_credit = f64::from(is_own) * self.rng.next_fraction() * self.typical_response;
+        let random_credit =
+            f64::from(is_in_subset) * self.rng.next_fraction() * self.typical_response;
         let slow_start_credit = departed.map_or(random_credit, |departed| {
             departed.slow_start_credit.min(random_credit)
         });
         self.servers.push(Server {
             endpoint,
-            is_own,
+            is_in_subset,
             ejected_until: now,
             probability,
             mean_response: initial.mean_response,
@@ -184,13 +185,13 @@
         self.normalize();
     }
 
-    /// By the servers of the same machine type in the same subset, or by all of the subset.
-    fn initial_estimate(&self, endpoint: &Endpoint, is_own: bool) -> Estimate {
+    /// The means of the servers with the same machine type in the same subset, or those of the whole subset.
+    fn initial_estimate(&self, endpoint: &Endpoint, is_in_subset: bool) -> Estimate {
         let servers = self.servers.len() as f64;
         let subset: Vec<&Server> = self
             .servers
             .iter()
-            .filter(|server| server.is_own == is_own)
+            .filter(|server| server.is_in_subset == is_in_subset)
             .collect();
         let same_type: Vec<&Server> = subset
             .iter()
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Over the servers that are not ejected.
+    /// The mean response time of the servers that are not ejected.
     fn mean_response_of_active(&self, now: Time) -> f64 {
         let active: Vec<&Server> = self
             .servers
@@ -241,39 +242,39 @@
     fn update_subset(&mut self, is_first_list: bool) {
         let nodes_per_server = self.nodes_per_server(self.servers.len() as f64);
         let has_whole_list = nodes_per_server >= self.settings.node_count;
-        if has_whole_list && self.servers.iter().all(|server| server.is_own) {
+        if has_whole_list && self.servers.iter().all(|server| server.is_in_subset) {
             return;
         }
-        let owned: Vec<bool> = self
+        let members: Vec<bool> = self
             .servers
             .iter()
-            .map(|server| self.owns(server.endpoint.hash, nodes_per_server))
+            .map(|server| self.prefers(server.endpoint.hash, nodes_per_server))
             .collect();
-        let own_probabilities: Vec<f64> = self
+        let member_probabilities: Vec<f64> = self
             .servers
             .iter()
-            .zip(&owned)
-            .filter(|(_, is_own)| **is_own)
+            .zip(&members)
+            .filter(|(_, is_in_subset)| **is_in_subset)
             .map(|(server, _)| server.probability)
             .collect();
-        let mean_own =
-            own_probabilities.iter().sum::<f64>() / own_probabilities.len().max(1) as f64;
+        let member_mean =
+            member_probabilities.iter().sum::<f64>() / member_probabilities.len().max(1) as f64;
         let weights: Vec<f64> = self
             .servers
             .iter()
             .map(|server| self.relative_weight(server.endpoint.weight))
             .collect();
-        for ((server, is_own), weight) in self.servers.iter_mut().zip(owned).zip(weights) {
-            if is_first_list || is_own != server.is_own {
-                let initial = if is_first_list { weight } else { mean_own };
-                server.probability = if is_own { initial } else { 0.0 };
+        for ((server, is_in_subset), weight) in self.servers.iter_mut().zip(members).zip(weights) {
+            if is_first_list || is_in_subset != server.is_in_subset {
+                let initial = if is_first_list { weight } else { member_mean };
+                server.probability = if is_in_subset { initial } else { 0.0 };
             }
-            server.is_own = is_own;
+            server.is_in_subset = is_in_subset;
         }
         self.normalize();
     }
 
-    /// Returns after how long a failed poll is repeated.
+    /// Applies an update; returns the backoff in seconds after a failed poll.
     pub fn update(&mut self, now: Time, kind: UpdateKind, endpoints: &[Endpoint]) -> Option<Time> {
         if kind == UpdateKind::Failed {
             let retry_after = self.backoff * (0.5 + 0.5 * self.rng.next_fraction());
@@ -298,7 +299,7 @@
         for index in (0..self.servers.len()).rev() {
             let server = self.servers[index].endpoint.server;
             if endpoints.iter().all(|listed| listed.server != server) {
-                self.leave(now, index);
+                self.remove_server(now, index);
             }
         }
     }
@@ -310,13 +311,13 @@
             .position(|server| server.endpoint.server == endpoint.server);
         let is_up = endpoint.state == ServerState::Up;
         match index {
-            Some(index) if !is_up => self.leave(now, index),
+            Some(index) if !is_up => self.remove_server(now, index),
             Some(index) if self.servers[index].endpoint.started_at < endpoint.started_at => {
-                self.leave(now, index);
-                self.join(now, endpoint);
+                self.remove_server(now, index);
+                self.add_server(now, endpoint);
             }
             Some(index) => self.servers[index].endpoint = endpoint,
-            None if is_up => self.join(now, endpoint),
+            None if is_up => self.add_server(now, endpoint),
             None => {}
         }
     }
@@ -351,9 +352,9 @@
     }
 }
 
-/// What a server joins with.
+/// The initial values of a server that joins the list.
 struct Estimate {
-    /// In units of the mean.
+    /// As a multiple of the mean probability.
     relative_probability: f64,
     mean_response: f64,
 }
@@ -362,7 +363,7 @@
     servers.iter().map(|server| value(server)).sum::<f64>() / servers.len() as f64
 }
 
-/// The step between the positions of successive nodes: coprime to their number, near the golden section.
+/// The distance between the positions of successive nodes: coprime to their number, and near the golden ratio.
 fn stride(nodes: u64) -> u64 {
     let first = ((nodes as f64 * 0.618) as u64).max(1);
     (first..nodes)
--- a/crates/balancer/tests/overload.rs
+++ b/crates/balancer/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Admission, retries and slow start when there is more work than the servers can do.
+//! Admission, retries and slow start when there is more work than the servers can handle.
 
 mod common;
 
@@ -10,12 +10,12 @@
 const CLASS: ClassId = 0;
 const DEADLINE: Time = 0.6;
 const QUICK_RESPONSE: Time = 0.03;
-/// Just within the latency objective of the settings, and taken for a sign of overload.
+/// Just within the latency objective of the settings, and counted as late by admission control.
 const LATE_RESPONSE: Time = 0.19;
-/// Between a response and the next request.
+/// Time between a response and the next request.
 const REQUEST_DELAY: Time = 0.045;
 
-/// A node with some thirteen requests a second, all of which have had quick responses for a while.
+/// A node that has served about 13 requests per second for some seconds, all of them quickly.
 fn node_with_low_load(servers: u32) -> Node {
     let mut node = Node::new(settings(vec![class(Idempotency::Idempotent)]), servers);
     run_requests(&mut node, 60, QUICK_RESPONSE);
@@ -100,7 +100,7 @@
 const FAST_MACHINE_TYPE: MachineTypeId = 0;
 const MACHINE_TYPES: u32 = 2;
 
-/// Even identifiers are of the fast machine type, odd ones of the slow one.
+/// Servers with even identifiers have the fast machine type, those with odd ones the slow one.
 fn machine_type(server: ServerId) -> MachineTypeId {
     (server % MACHINE_TYPES) as MachineTypeId
 }
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -1,5 +1,6 @@
 //! Checks over random event sequences from a fixed seed that the balancer keeps its rules: one final answer for each
-//! request, no second effect, no attempt at a server that drains or was removed, and no overload of one in its slow start.
+//! request, no second effect, no attempt at a server that drains or was removed, and no overload of one in its slow
+//! start.
 
 mod common;
 
@@ -350,8 +351,8 @@
             "a request without an answer"
         );
         for sent in harness.slow_start_work.values() {
-            // The capacity of a server is at most the arriving work. One in its slow start has to get less than its initial
-            // capacity times the overload factor in any second.
+            // The capacity of a server is at most the arriving work. One in its slow start has to get less than its
+            // initial capacity times the overload factor in any second.
             let work_per_second = sent.iter().map(|(start, _)| {
                 sent.iter()
                     .filter(|(sent_at, _)| sent_at >= start && *sent_at < start + 1.0)
--- a/crates/balancer/tests/slow_start_fleet.rs
+++ b/crates/balancer/tests/slow_start_fleet.rs
@@ -46,8 +46,8 @@
     },
 ];
 
-/// Capacity of a warm server, in standard cores. It is the capacity that nodes assume before they have observed more, so
-/// that an estimate that is too low adds no margin to the test.
+/// Capacity of a warm server, in standard cores. It is the capacity that nodes assume before they have observed more,
+/// so that an estimate that is too low adds no margin to the test.
 const CAPACITY: f64 = 0.5;
 const WARM_SERVERS: u32 = 6;
 /// Time between two steps of the simulation, in seconds.
@@ -182,8 +182,8 @@
         }
     }
 
-    /// Submits a request to a node and ends its attempt. Warm servers serve every request. The starting server serves those
-    /// that it can handle; the others are cancelled, so that nodes do not learn from them that it sustains more.
+    /// Submits a request to a node and ends its attempt. Warm servers serve every request. The starting server serves
+    /// those that it can handle; the others are cancelled, so that nodes do not learn from them that it sustains more.
     fn submit(&mut self, node: usize, now: f64) {
         let work = match self.deployment.has_work_hints {
             true => -self.deployment.work * (1.0 - self.random.next_fraction()).ln(),
@@ -237,8 +237,8 @@
         (start_capacity + (1.0 - start_capacity) * (now - 1.0) / warm_up_time).min(1.0)
     }
 
-    /// The greatest work that was sent in a window, as a multiple of the limit. With N as the number of requests that the
-    /// server tolerates in the window, the limit is N + 2 sqrt(N) + 2 requests, as requests are sent at random.
+    /// The greatest work that was sent in a window, as a multiple of the limit. With N as the number of requests that
+    /// the server tolerates in the window, the limit is N + 2 sqrt(N) + 2 requests, as requests are sent at random.
     fn peak_load(&self) -> f64 {
         let Deployment {
             work,
@@ -265,8 +265,8 @@
 }
 
 /// Simulates five seconds, of which four follow the start of the server. Returns its peak load and the work that it was
-/// sent, in mean requests. All other servers begin to drain when it starts, so that only its slow start credit limits what
-/// it is sent.
+/// sent, in mean requests. All other servers begin to drain when it starts, so that only its slow start credit limits
+/// what it is sent.
 fn simulate(deployment: Deployment, nodes: u32, scenario: Scenario, seed: u64) -> (f64, f64) {
     let mut fleet = Fleet::new(deployment, nodes, seed);
     // The number of requests per node and step that the warm servers can handle.
--- a/crates/balancer/tests/traffic_fraction.rs
+++ b/crates/balancer/tests/traffic_fraction.rs
@@ -21,8 +21,8 @@
     node
 }
 
-/// Runs a second with `offered` requests of each tenant, whose responses take `response_time`. Counts the attempts at each
-/// server in `attempts`, and returns the number of rejected requests of each tenant.
+/// Runs a second with `offered` requests of each tenant, whose responses take `response_time`. Counts the attempts at
+/// each server in `attempts`, and returns the number of rejected requests of each tenant.
 fn run_second(
     node: &mut Node,
     offered: [u32; 2],
@@ -91,8 +91,8 @@
         run_second(&mut node, [50, 50], |_| 0.005, &mut attempts);
     }
     let work_rate = node.balancer.learned(node.now).sustainable_work_rate;
-    // The node has the traffic of the whole fleet: 100 requests per second with a work of 0.02 each are 0.2 per server. As
-    // the traffic of one of ten nodes it would be ten times as much.
+    // The node has the traffic of the whole fleet: 100 requests per second with a work of 0.02 each are 0.2 per server.
+    // As the traffic of one of ten nodes it would be ten times as much.
     assert!(work_rate <= 0.5, "{work_rate}");
 }
 
--- a/crates/balancer/tests/unproven_servers.rs
+++ b/crates/balancer/tests/unproven_servers.rs
@@ -1,4 +1,4 @@
-//! Servers that have not responded yet, or not since they failed, at a node that rarely sends to each of them.
+//! Unproven servers: they have not responded yet, or not since they failed. The node rarely sends to each server.
 
 mod common;
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// The server responds, or the client disconnects first.
+/// Ends an attempt with a response, or with a cancellation after the client has disconnected.
 fn respond_or_disconnect(
     node: &mut Node,
     request: RequestId,
--- a/crates/balancer/tests/uploads.rs
+++ b/crates/balancer/tests/uploads.rs
@@ -1,4 +1,4 @@
-//! Requests with bodies that are still being received, with the real module in virtual time.
+//! Requests whose bodies are still being received, with the real decision module in virtual time.
 
 mod common;
 
@@ -52,7 +52,7 @@
     deadline: Time,
 }
 
-/// Submits an upload, and gives its first attempt.
+/// Submits an upload and returns its first attempt.
 fn submit_upload(engine: &mut Engine<TestHost>, commands: &mut Commands) -> SentAttempt {
     let arrival = Arrival {
         class: CLASS,
@@ -101,14 +101,14 @@
     let upload = submit_upload(&mut engine, &mut commands);
     assert_eq!(upload.deadline, UPLOAD_DEADLINE);
     let means_before = mean_responses(&engine);
-    // Timers add the time of overdue responses to the means; an upload is not overdue.
+    // At each timer the module adds the delay of overdue attempts to the means; an upload is not overdue.
     for tick in 1..=200 {
         engine.handle_timer(f64::from(tick) * 0.1, 0, &mut commands);
     }
     assert_eq!(
         mean_responses(&engine),
         means_before,
-        "the slowness of a client counts as response time of the server"
+        "the duration of an upload counts as response time of the server"
     );
     assert_eq!(
         engine.finish_upload(20.0, upload.request, &mut commands),
@@ -158,7 +158,7 @@
             Some(retry) => assert!(
                 !is_consumed && retry.request == first.request && retry.server != first.server
             ),
-            // The request never executed, and its client is notified of that.
+            // The request never ran, so it is rejected and its client may retry.
             None => assert!(
                 is_consumed
                     && matches!(final_answer(&commands), Some(FinalAnswer::Rejected { .. }))
@@ -189,7 +189,7 @@
     assert!(sent_attempt(&commands).is_none());
 }
 
-/// Runs 400 requests within twenty seconds, which one server answers more slowly than the others.
+/// Runs 400 requests within 20 seconds; one server responds more slowly than the others.
 fn run_requests_with_slow_server(engine: &mut Engine<TestHost>) {
     const SLOW_SERVER: ServerId = 2;
     let mut commands = Vec::new();
@@ -224,7 +224,7 @@
     }
 }
 
-/// The state with values that none of its fields can have.
+/// Replaces some values of a learned state by invalid ones.
 fn corrupted(mut learned: LearnedState) -> LearnedState {
     for server in &mut learned.servers {
         server.relative_probability = f64::NAN;
