--- a/crates/balancer/src/decide/endpoint_list.rs
+++ b/crates/balancer/src/decide/endpoint_list.rs
@@ -150,7 +150,7 @@
             departed_at: now,
             relative_probability,
             mean_response,
-            credit: removed.credit.work,
+            credit: removed.credit.level,
         });
     }
 
--- a/crates/balancer/src/decide/handover.rs
+++ b/crates/balancer/src/decide/handover.rs
@@ -32,7 +32,7 @@
             started_at: server.endpoint.started_at,
             relative_probability: self.automaton.probability[position] * servers,
             mean_response: self.automaton.mean_response[position],
-            slow_start_credit: server.credit.work,
+            slow_start_credit: server.credit.level,
             ejected_for: (server.health.ejected_until - now).max(0.0),
         };
         LearnedState {
--- a/crates/balancer/src/decide/mod.rs
+++ b/crates/balancer/src/decide/mod.rs
@@ -86,16 +86,16 @@
 
 /// The shortest latency objective and the shortest deadline of all classes, in seconds.
 #[derive(Clone, Copy, Debug)]
-struct StrictestClass {
+struct StrictestTimes {
     latency_objective: Time,
     deadline: Time,
 }
 
-impl StrictestClass {
+impl StrictestTimes {
     fn of(settings: &Settings) -> Self {
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
         let deadlines = settings.classes.iter().map(|class| class.deadline);
-        StrictestClass {
+        StrictestTimes {
             latency_objective: objectives.fold(f64::MAX, f64::min),
             deadline: deadlines.fold(f64::MAX, f64::min),
         }
@@ -105,7 +105,7 @@
 /// Decides for one node where requests are sent, and which are retried or rejected.
 pub struct Balancer {
     settings: Settings,
-    strictest: StrictestClass,
+    strictest: StrictestTimes,
     random: SplitMix64,
     is_started: bool,
     automaton: Automaton,
@@ -138,7 +138,7 @@
     /// If the settings are invalid.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
         check(&settings, now)?;
-        let strictest = StrictestClass::of(&settings);
+        let strictest = StrictestTimes::of(&settings);
         let first_estimate = strictest.latency_objective / 4.0;
         let quotas = TenantQuotas::new(&settings.tenants, now);
         Ok(Balancer {
--- a/crates/balancer/src/decide/outlier.rs
+++ b/crates/balancer/src/decide/outlier.rs
@@ -2,7 +2,7 @@
 
 use super::server_health::Failure;
 use super::servers::{relative_size, ServerTable};
-use super::{Balancer, StrictestClass};
+use super::{Balancer, StrictestTimes};
 use crate::interface::{ServerId, Time};
 
 /// Maximum fraction of the list that may be ejected, so that a fault common to all servers ejects few of them.
@@ -69,7 +69,7 @@
     position: usize,
     now: Time,
     failure: Failure,
-    strictest: StrictestClass,
+    strictest: StrictestTimes,
     random: f64,
 ) {
     let ejected = servers
--- a/crates/balancer/src/decide/requests.rs
+++ b/crates/balancer/src/decide/requests.rs
@@ -69,7 +69,7 @@
     pub(super) in_flight: Option<Attempt>,
     pub(super) tried_servers: Vec<ServerId>,
     /// The first attempt that may have run; `None` if none has.
-    pub(super) execution: Option<Execution>,
+    pub(super) first_execution: Option<Execution>,
     /// It has its final answer, or its client has disconnected.
     pub(super) has_ended: bool,
 }
@@ -77,7 +77,7 @@
 impl Request {
     /// Whether another attempt can be sent without repeating an effect. To which servers is decided by the selection.
     fn is_retryable(&self, idempotency: Idempotency, now: Time) -> bool {
-        match (idempotency, self.execution) {
+        match (idempotency, self.first_execution) {
             (_, None) | (Idempotency::Idempotent, _) => true,
             (Idempotency::AtMostOnce, Some(_)) => false,
             (Idempotency::Keyed { window, .. }, Some(first)) => now < first.started_at + window,
@@ -92,7 +92,7 @@
                 scope: KeyScope::All,
                 ..
             } => true,
-            Idempotency::Keyed { .. } | Idempotency::AtMostOnce => self.execution.is_none(),
+            Idempotency::Keyed { .. } | Idempotency::AtMostOnce => self.first_execution.is_none(),
         }
     }
 
@@ -256,8 +256,8 @@
             return;
         };
         self.record_attempt_end(now, &request, &attempt, end.outcome);
-        if !end.outcome.never_ran() && request.execution.is_none() {
-            request.execution = Some(self.execution_of(&attempt, now));
+        if !end.outcome.never_ran() && request.first_execution.is_none() {
+            request.first_execution = Some(self.execution_of(&attempt, now));
         }
         if end.request_ended || request.has_ended {
             return;
--- a/crates/balancer/src/decide/selection.rs
+++ b/crates/balancer/src/decide/selection.rs
@@ -79,7 +79,7 @@
     fn may_repeat_at(&self, server: &Server) -> bool {
         let class = &self.settings.classes[usize::from(self.request.class)];
         let (Idempotency::Keyed { scope, .. }, Some(first)) =
-            (class.idempotency, self.request.execution)
+            (class.idempotency, self.request.first_execution)
         else {
             return true;
         };
--- a/crates/balancer/src/decide/slow_start.rs
+++ b/crates/balancer/src/decide/slow_start.rs
@@ -40,7 +40,7 @@
         return 0.0;
     }
     // A node that can accumulate little credit is rarely able to send, so the probability is higher when it is.
-    let accumulated = server.credit.max / typical - 1.0;
+    let accumulated = server.credit.max_level / typical - 1.0;
     capacity / accumulated.clamp(MIN_ACCUMULATED_REQUESTS, 1.0)
 }
 
--- a/crates/balancer/src/floored.rs
+++ b/crates/balancer/src/floored.rs
@@ -15,7 +15,7 @@
 pub(crate) type Groups = [usize; 2];
 
 /// A value that is lower than another by at most this fraction is considered equal to it.
-const ROUNDING: f64 = 1e-12;
+const ROUNDING_TOLERANCE: f64 = 1e-12;
 
 /// If the scale exceeds this, or falls below its inverse, the raw values are recomputed, as they would lose precision.
 const MAX_SCALE: f64 = 1e6;
@@ -189,7 +189,7 @@
     pub(crate) fn push(&mut self, value: f64, groups: Groups) {
         if self.all.clamped == 0 {
             self.clamped_raw = self.raw_floor;
-        } else if value < (1.0 - ROUNDING) * self.scaled(self.clamped_raw) {
+        } else if value < (1.0 - ROUNDING_TOLERANCE) * self.scaled(self.clamped_raw) {
             self.rebuild(self.values());
         }
         self.insert(self.raw_floor + (value - self.floor) / self.scale, groups);
