--- a/crates/balancer/tests/engine/main.rs
+++ b/crates/balancer/tests/engine/main.rs
@@ -1,5 +1,5 @@
-//! The engine in virtual time: under a generated decision module that attempts to break its rules, and with the real
-//! module over servers that fail, stall or execute requests whose attempts failed.
+//! Tests of the engine in virtual time: with a random decision module that attempts to break the rules, and with the
+//! real module and servers that fail, stall, or run requests whose attempts fail.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -9,7 +9,7 @@
 mod hostile_module;
 mod rule_checker;
 
-use common::{class, entry, settings};
+use common::{class, endpoint_of, settings};
 use reelfall_balancer::engine::{AddressedEndpoint, Command, Host};
 use reelfall_balancer::interface::{
     Class, Endpoint, Idempotency, KeyScope, ServerId, ServerState, Time,
@@ -50,7 +50,7 @@
     AddressedEndpoint {
         endpoint: Endpoint {
             state,
-            ..entry(server)
+            ..endpoint_of(server)
         },
         address: server,
     }
--- a/crates/balancer/tests/list_costs.rs
+++ b/crates/balancer/tests/list_costs.rs
@@ -1,11 +1,11 @@
-//! The cost of an endpoint list update grows in proportion to the length of the list, not to its square.
+//! Checks that the cost of an endpoint list update is linear in the length of the list, and not quadratic.
 //!
 //! Each test compares the processor time of its thread for a list with that for one eight times as long. A linear cost
-//! grows to eight times, a quadratic one to sixty-four.
+//! grows by a factor of 8, a quadratic one by a factor of 64.
 
 mod common;
 
-use common::{class, entry, settings};
+use common::{class, endpoint_of, settings};
 use reelfall_balancer::engine::{
     AddressedEndpoint, Command, DecisionModule, Engine, Host, SERVER_ID_QUARANTINE,
 };
@@ -21,10 +21,10 @@
 const SHORT_LIST: u32 = 1_000;
 const LONG_LIST: u32 = 8 * SHORT_LIST;
 
-/// Well above the eight times of a linear cost, and well below the sixty-four of a quadratic one.
+/// Well above the factor of 8 of a linear cost, and well below the factor of 64 of a quadratic one.
 const MAX_GROWTH: f64 = 24.0;
 
-/// The fastest of these runs counts: a run takes longer when other processes evict its caches.
+/// Number of runs. The fastest one counts, as other processes may evict the caches during a run.
 const RUNS: usize = 4;
 
 /// Processor time of this thread, in seconds.
@@ -63,14 +63,14 @@
         tenants: vec![Tenant { quota: 2000.0 }],
         ..settings(vec![class(Idempotency::Idempotent)])
     };
-    Balancer::new(settings, 1, 0.0).expect("usable settings")
+    Balancer::new(settings, 1, 0.0).expect("valid settings")
 }
 
 fn server(id: ServerId) -> Endpoint {
     Endpoint {
         machine_type: (id % 5) as MachineTypeId,
         weight: 1.0 + f64::from(id % 3),
-        ..entry(id)
+        ..endpoint_of(id)
     }
 }
 
