--- a/crates/cluster/src/entry.rs
+++ b/crates/cluster/src/entry.rs
@@ -2,18 +2,18 @@
 //!
 //! | value | owner | expires |
 //! | --- | --- | --- |
-//! | [`Value::Report`] | the node that reports | after [`MAX_REPORT_TTL`] at most, or with a newer one of its owner |
-//! | [`Value::Banned`] | the admin call of an operator | with its time to live, or when that ban is lifted |
-//! | [`Value::BanLifted`] | the same ban | [`MAX_BAN_TTL`] after the lift: no ban lasts longer, so none comes back |
-//! | [`Value::Leaving`] | the node that leaves | with that incarnation of the node, after [`MAX_LEAVING_TTL`] at most |
-//! | [`Value::ListIndex`] | nobody: the greatest counts | [`MAX_INDEX_TTL`] after it was seen |
+//! | [`Value::Report`] | the reporting node | after [`MAX_REPORT_TTL`] at most, or when its owner replaces it |
+//! | [`Value::Banned`] | the admin call that created the ban | after its time to live, or when that ban is lifted |
+//! | [`Value::BanLifted`] | the same ban | [`MAX_BAN_TTL`] after the lift: every version of the ban has expired by then |
+//! | [`Value::Leaving`] | the leaving node | after [`MAX_LEAVING_TTL`]; it applies to one incarnation of the node |
+//! | [`Value::ListIndex`] | none: the greatest index wins | [`MAX_INDEX_TTL`] after it was seen |
 //!
-//! A report on a server is about one instance of it. A ban names the server alone: operators mean the machine.
+//! A report is about one instance of a server. A ban applies to every instance: operators mean the machine.
 //!
-//! Merging takes the greater of two entries by a total order ([`Entry::precedence`], then the smaller age), so that it is
-//! commutative, associative and idempotent. [`Value::BanLifted`] is a tombstone: it is greater than anything else of its
-//! ban, so that a lifted ban never counts again, however late it comes. A ban that an operator repeats is another ban, and
-//! no older tombstone covers it.
+//! Merging keeps the greater of two entries by a total order ([`Entry::precedence`], then the smaller age), so that it
+//! is commutative, associative and idempotent. [`Value::BanLifted`] is a tombstone: it takes precedence over every
+//! version of its ban, so that a lifted ban is not applied again, however late a datagram with it arrives. If an
+//! operator bans the server again, that is another ban, which no older tombstone covers.
 
 use crate::node::{Incarnation, MAX_NAME_LEN};
 use crate::{Time, MICROS_PER_SECOND, MILLIS_PER_SECOND};
@@ -21,30 +21,30 @@
 
 /// Maximum time to live of a report on a server, in seconds.
 pub const MAX_REPORT_TTL: Time = 60.0;
-/// Maximum time to live of a ban or its tombstone, in seconds: a week.
+/// Maximum time to live of a ban or its tombstone, in seconds (a week).
 pub const MAX_BAN_TTL: Time = 7.0 * 86_400.0;
-/// Maximum time to live of the notice of a leaving node, in seconds.
+/// Maximum time to live of the notice that a node is leaving, in seconds.
 pub const MAX_LEAVING_TTL: Time = 3600.0;
-/// Maximum time to live of the index of a list, in seconds.
+/// Maximum time to live of the index of an endpoint list, in seconds.
 pub const MAX_INDEX_TTL: Time = 600.0;
 
-/// One instance of a server, from its start to its end.
+/// One instance of a server, from its start to its end. A restarted server is another instance.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServerInstance {
-    /// Its name, as in the list.
+    /// The server's name in the endpoint list.
     pub name: String,
-    /// When it began to take requests, in milliseconds, as its list tells it; 0 for long ago.
+    /// When it began to accept requests, in milliseconds, according to the endpoint list; 0 if that was long ago.
     pub started_ms: u64,
 }
 
-/// The identity of a ban: one admin call of an operator at one node.
+/// Identifies a ban by the admin call that created it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BanId {
-    /// The node that was called.
+    /// The name of the node that received the call.
     pub node: String,
-    /// Its incarnation.
+    /// The incarnation of that node at the time of the call.
     pub incarnation: Incarnation,
-    /// Counts the calls of that incarnation.
+    /// The number of the ban, counted by the process that received the call.
     pub number: u32,
 }
 
@@ -53,26 +53,26 @@
 pub enum Key {
     /// A ban of a server by an operator.
     Ban {
-        /// The name of the server.
+        /// The name of the banned server.
         server: String,
-        /// The ban.
+        /// Distinguishes several bans of one server.
         id: BanId,
     },
     /// One node's report on a server.
     Report {
-        /// The server.
+        /// The instance that the report is about.
         server: ServerInstance,
-        /// The reporting node.
+        /// The name of the reporting node.
         reporter: String,
     },
     /// A node that is leaving.
     Leaving {
-        /// Its name.
+        /// The node's name.
         node: String,
-        /// The leaving incarnation, and no other.
+        /// The incarnation that is leaving; later ones are not.
         incarnation: Incarnation,
     },
-    /// The latest index of a list.
+    /// The latest index of an endpoint list that any node has seen.
     ListIndex {
         /// The list's name.
         list: String,
@@ -85,7 +85,7 @@
         Key::first_ban(String::new())
     }
 
-    /// The smallest key of a ban of this server.
+    /// The smallest possible key of a ban of this server.
     pub fn first_ban(server: String) -> Key {
         let id = BanId {
             node: String::new(),
@@ -95,7 +95,7 @@
         Key::Ban { server, id }
     }
 
-    /// The smallest key of a report.
+    /// The smallest possible key of a report.
     pub fn first_report() -> Key {
         let server = ServerInstance {
             name: String::new(),
@@ -108,23 +108,24 @@
     }
 }
 
-/// What a node has found out about a server, the strongest evidence last. The names are part of the admin output.
+/// What a node has observed of a server, in the order of increasing evidence. The admin output prints the variant
+/// names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Finding {
-    /// It answers in time.
+    /// The server answers in time.
     Well,
-    /// It broke down while it was cold, or shed load.
+    /// The server rejected requests in order to shed load.
     Tipped,
-    /// It was unreachable: that may be due to the path.
+    /// No connection could be established; the cause may be the network path.
     Unreached,
-    /// It was reached and answered too slowly.
+    /// The server was reached and answered too late.
     Slow,
-    /// It was reached and did not answer.
+    /// The server was reached and did not answer.
     Silent,
-    /// It was reached and failed.
+    /// The server was reached and failed.
     Failing,
-    /// The previous report was wrong: its attempts were answered after all, or have ended without an outcome. Counts for
-    /// nothing, and replaces that report.
+    /// Withdraws the previous report, whose attempts were answered after all or ended without an outcome. It is no
+    /// vote.
     Unclear,
 }
 
@@ -136,7 +137,7 @@
 }
 
 impl Finding {
-    /// Whether it counts against the server.
+    /// Whether this finding counts against the server.
     pub fn is_fault(self) -> bool {
         !matches!(self, Finding::Well | Finding::Unclear)
     }
@@ -145,69 +146,70 @@
 /// A node's report on a server, with its evidence.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Report {
-    /// The finding.
+    /// What the evidence leads to.
     pub finding: Finding,
-    /// Number of failed attempts, each a request of its own.
+    /// Number of failed attempts, each of another request.
     pub failures: u16,
-    /// Number of successful attempts in the same time; of an unclear finding, 1 if its attempts were answered after all.
+    /// Number of successful attempts in the same window. With [`Finding::Unclear`]: 1 if the server has responded after
+    /// all.
     pub successes: u16,
     /// The zone of the reporting node; empty for none.
     pub zone: String,
-    /// Number of servers that the node finds faulty.
+    /// Number of servers that the reporting node finds faulty.
     pub faulty_servers: u16,
-    /// Number of servers that it knows.
+    /// Number of servers in the reporting node's endpoint lists.
     pub listed_servers: u16,
 }
 
 /// The value of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Value {
-    /// See [`Report`].
+    /// A report on a server.
     Report(Report),
-    /// No new requests go to the server.
+    /// The server receives no new requests.
     Banned {
-        /// The operator.
+        /// Who banned the server.
         operator: String,
     },
-    /// Tombstone: the ban was lifted.
+    /// A tombstone: the ban was lifted.
     BanLifted {
-        /// The operator.
+        /// Who lifted the ban.
         operator: String,
     },
-    /// No new requests go to the node.
+    /// The node is leaving and takes no new requests.
     Leaving,
-    /// See [`Key::ListIndex`]; the index is the version.
+    /// See [`Key::ListIndex`]; the index is the sequence number of the entry's version.
     ListIndex,
 }
 
-/// Orders an owner's values of one key.
+/// Orders the values that an owner has published under one key.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Version {
-    /// The owner's incarnation.
+    /// The owner's incarnation when it published the value.
     pub incarnation: Incarnation,
-    /// Counted within it.
+    /// Increases with each entry that the owner publishes.
     pub sequence: u64,
 }
 
 /// An entry as one node sends it to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its subject and owner.
+    /// Subject and owner of the entry.
     pub key: Key,
-    /// Its version.
+    /// Orders this value among those of the same key.
     pub version: Version,
-    /// Its value.
+    /// What the owner states.
     pub value: Value,
-    /// Its time to live from its creation, in milliseconds.
+    /// Time to live from the creation of the entry, in milliseconds.
     pub ttl_ms: u32,
-    /// An upper bound of its age, in microseconds.
+    /// An upper bound of the entry's age when it was sent, in microseconds.
     pub age_us: u64,
 }
 
-/// The order of entries with the same key, whatever their ages: of two, the greater one is retained. A lifted ban comes
-/// before any version of the ban.
+/// The order of entries with the same key, regardless of their ages: of two, the greater one is kept. A lifted ban is
+/// greater than any version of the ban.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Precedence<'a> {
     is_lifted_ban: bool,
@@ -228,23 +230,23 @@
 }
 
 impl Entry {
-    /// An upper bound of its age, in seconds.
+    /// An upper bound of the entry's age, in seconds.
     pub fn age(&self) -> Time {
         self.age_us as f64 / MICROS_PER_SECOND
     }
 
-    /// Its time to live, in seconds.
+    /// The entry's time to live, in seconds.
     pub fn ttl(&self) -> Time {
         f64::from(self.ttl_ms) / MILLIS_PER_SECOND
     }
 
-    /// Its precedence over entries with the same key.
+    /// The rank of this entry among those with the same key.
     pub fn precedence(&self) -> Precedence<'_> {
         Precedence::new(self.version, &self.value, self.ttl_ms)
     }
 
-    /// Whether it is within the limits of entries that nodes create: names of allowed lengths, a value that fits its key, a
-    /// limited time to live.
+    /// Whether a node can have created this entry: names have allowed lengths, the value fits the key, and the time to
+    /// live is within its limit.
     pub fn is_valid(&self) -> bool {
         let are_names = |names: &[&String]| {
             names
@@ -270,7 +272,7 @@
         fits && self.ttl() <= max_ttl
     }
 
-    /// Whether an operator's call created it, directly or indirectly: it outranks what nodes have observed.
+    /// Whether the entry stems from an operator's action. Such an entry takes precedence over what nodes have observed.
     pub fn is_manual(&self) -> bool {
         matches!(self.key, Key::Ban { .. } | Key::Leaving { .. })
     }
--- a/crates/cluster/src/fleet/config.rs
+++ b/crates/cluster/src/fleet/config.rs
@@ -1,30 +1,30 @@
-//! Settings of a node's part in a fleet.
+//! The configuration of a node.
 
 use crate::members::MembershipConfig;
 use crate::quorum::Quorum;
 use crate::Time;
 use std::net::SocketAddr;
 
-/// Settings of a node's part in a fleet. The fields are named after the settings.
+/// The configuration of a node of a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// How members are probed.
+    /// How members are probed, and when they are declared dead.
     pub membership: MembershipConfig,
-    /// The quorum of reports that ejects a server.
+    /// When reports eject a server.
     pub quorum: Quorum,
-    /// Interval of gossip rounds, in seconds; each goes to [`Config::gossip_fanout`] members.
+    /// Interval of gossip rounds, in seconds.
     pub gossip_interval: Time,
-    /// See [`Config::gossip_interval`].
+    /// Number of members that each gossip round sends datagrams to.
     pub gossip_fanout: usize,
-    /// Interval of anti-entropy rounds, in seconds; each goes to one member.
+    /// Interval of anti-entropy rounds, in seconds; each compares the tables and memberships with one other member.
     pub anti_entropy_interval: Time,
-    /// Time to live of a report, in seconds.
+    /// Time to live of this node's reports, in seconds.
     pub report_ttl: Time,
-    /// An ejected server is probed by one node in each such interval, in seconds.
+    /// Interval in which an ejected server is probed, in seconds; on average by one node.
     pub ejected_probe_interval: Time,
-    /// Addresses where members may be found.
+    /// Addresses at which other nodes may be found in order to join the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// This node's zone; empty for none.
+    /// The local node's zone; empty for none.
     pub zone: String,
 }
 
--- a/crates/cluster/src/fleet/gossip.rs
+++ b/crates/cluster/src/fleet/gossip.rs
@@ -8,17 +8,17 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// Maximum number of peers whose echo is awaited.
+/// Maximum number of peers whose clocks are awaited.
 const MAX_AWAITED_ECHOES: usize = 64;
 /// Interval of announcements of an isolated node, in seconds.
 const ISOLATED_ANNOUNCE_INTERVAL: Time = 0.5;
-/// Interval of announcements otherwise, in seconds.
+/// Interval of announcements of a node that is not isolated, in seconds.
 const ANNOUNCE_INTERVAL: Time = 10.0;
-/// Jitter of these intervals.
+/// Factors by which the intervals of announcements vary at random.
 const ANNOUNCE_JITTER: std::ops::Range<f64> = 0.5..1.0;
 
 impl Fleet {
-    /// Sends an application message to another node; it may be lost.
+    /// Sends an application message to another node. It may be lost, and one that is too long is dropped.
     pub fn send_message(&mut self, to: &Node, body: Vec<u8>) {
         let message = AppMessage {
             from: self.members.local_node().clone(),
@@ -31,11 +31,11 @@
     }
 
     pub(super) fn header(&mut self, now: Time, to: &Node) -> Header {
-        self.sequence += 1;
+        self.last_sequence += 1;
         Header {
             from: self.members.local_node().clone(),
             to_tag: to.incarnation.tag,
-            sequence: self.sequence,
+            sequence: self.last_sequence,
             clock_us: (now * MICROS_PER_SECOND) as u64,
             echo: self.clocks.echo(now, to.incarnation.tag),
             requests_echo: false,
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Sends a datagram with as many pending entries as fit, if their age can be proven to the reader.
+    /// Sends a datagram with as many pending entries as fit; without entries if there is no echo, from which the
+    /// receiver computes a bound of their ages.
     pub(super) fn send_with_entries(&mut self, now: Time, to: SocketAddr, header: &Header) {
         let Some(mut writer) = DatagramWriter::new(header) else {
             return;
@@ -73,20 +74,20 @@
         });
     }
 
-    /// A random sample of so many other members.
-    fn sample_members(&mut self, n: usize) -> Vec<Node> {
+    /// A random sample of at most `size` other members.
+    fn sample_members(&mut self, size: usize) -> Vec<Node> {
         let mut all: Vec<&Node> = self.members.others().collect();
-        // The order of a hash table is random too: the same seed has to give the same sample.
+        // Sorted since the order of a hash table is random, and the same seed has to give the same sample.
         all.sort_unstable_by_key(|node| node.incarnation);
-        let mut sample = Vec::with_capacity(n);
-        while sample.len() < n && !all.is_empty() {
-            let at = self.rng.random_range(0..all.len());
-            sample.push(all.swap_remove(at).clone());
+        let mut sample = Vec::with_capacity(size);
+        while sample.len() < size && !all.is_empty() {
+            let index = self.rng.random_range(0..all.len());
+            sample.push(all.swap_remove(index).clone());
         }
         sample
     }
 
-    /// Sends the pending entries to a sample of the members, or first asks for an echo those that have sent none.
+    /// Sends the pending entries to a sample of the members. Those whose clocks are unknown are asked for them first.
     pub(super) fn gossip_round(&mut self, now: Time) {
         if !self
             .table
@@ -102,13 +103,13 @@
             }
             self.send_with_entries(now, to.address, &header);
         }
-        // Peers that do not answer are not awaited for ever.
+        // Peers that do not respond are not awaited forever.
         while self.awaiting_echo.len() > MAX_AWAITED_ECHOES {
             self.awaiting_echo.pop_first();
         }
     }
 
-    /// Compares this node's table and members with those of one other member.
+    /// Sends the digests of this node's table and membership to one other member, which responds with what differs.
     pub(super) fn anti_entropy_round(&mut self, now: Time) {
         for to in self.sample_members(1) {
             let mut header = self.header(now, &to);
@@ -117,16 +118,17 @@
         }
     }
 
-    /// Announces this node to another one that may be a member: often while this node is isolated, otherwise rarely, so that
-    /// two sides of a long partition that have forgotten each other merge again. The addresses of known members are
-    /// candidates too, since all of them may have restarted and ignore datagrams to their former incarnations.
+    /// Announces the local node to one address where another node may be found: often while it is isolated, otherwise
+    /// rarely. The rare announcements merge the two sides of a partition that has lasted so long that they have
+    /// forgotten each other. The addresses of known members are candidates besides the seeds, since all members may
+    /// have restarted and ignore datagrams to their former incarnations.
     pub(super) fn announce(&mut self, now: Time) {
         let is_isolated =
-            self.members.other_count() == 0 || now - self.received_at > ISOLATION_TIMEOUT;
+            self.members.other_count() == 0 || now - self.last_received_at > ISOLATION_TIMEOUT;
         let known = self.known_addresses();
         if !known.is_empty() {
-            let at = self.rng.random_range(0..known.len());
-            self.members.announce(now, known[at]);
+            let index = self.rng.random_range(0..known.len());
+            self.members.announce(now, known[index]);
         }
         let interval = if is_isolated {
             ISOLATED_ANNOUNCE_INTERVAL
@@ -137,10 +139,10 @@
     }
 
     fn known_addresses(&self) -> Vec<SocketAddr> {
-        let me = self.members.local_node().address;
+        let own = self.members.local_node().address;
         let mut known: Vec<SocketAddr> = self.members.others().map(|n| n.address).collect();
         known.extend(&self.config.seeds);
-        known.retain(|address| *address != me);
+        known.retain(|address| *address != own);
         known.sort_unstable();
         known.dedup();
         known
--- a/crates/cluster/src/fleet/incarnations.rs
+++ b/crates/cluster/src/fleet/incarnations.rs
@@ -1,22 +1,22 @@
-//! Incarnations of names: that of a restarted process, and conflicts between two processes with one name.
+//! The incarnations of a name: those of restarted processes, and conflicts between two processes with the same name.
 
 use super::{Fleet, FleetEvent, MAX_PEERS};
 use crate::node::{Incarnation, Node};
 use crate::Time;
 use std::collections::{HashMap, VecDeque};
 
-/// So many claims of this node's name within [`CLAIMS_WINDOW`] mean that two processes have it.
+/// If other processes claim the local node's name more often than this within [`CLAIMS_WINDOW`], two processes have it.
 pub const MAX_CLAIMS: usize = 4;
-/// See [`MAX_CLAIMS`]; in seconds.
+/// The time for which claims of the local node's name are counted, in seconds.
 pub const CLAIMS_WINDOW: Time = 30.0;
-/// How long a process whose name another one has publishes nothing, in seconds.
+/// The time for which a process with a name conflict publishes nothing, in seconds.
 pub const CONFLICT_PAUSE: Time = 60.0;
 
-/// The greatest incarnation of each name, so that a restarted process can be notified of its predecessors.
+/// The greatest incarnation of each name, so that a restarted process can be notified of that of its predecessor.
 #[derive(Default)]
 pub(super) struct KnownIncarnations {
     by_name: HashMap<String, Incarnation>,
-    /// The names, oldest first.
+    /// The names, in the order in which they were recorded first.
     order: VecDeque<String>,
 }
 
@@ -44,9 +44,9 @@
     }
 }
 
-/// The claims of this node's name by other processes.
+/// The claims of the local node's name by other processes.
 pub(super) struct NameClaims {
-    /// When this node took a later incarnation since its name was claimed.
+    /// When the local node has changed to a later incarnation, since another process had claimed its name.
     claimed_at: VecDeque<Time>,
     paused_until: Time,
 }
@@ -59,7 +59,7 @@
         }
     }
 
-    fn forget_old(&mut self, now: Time) {
+    fn drop_old(&mut self, now: Time) {
         while self
             .claimed_at
             .front()
@@ -78,18 +78,19 @@
 }
 
 impl Fleet {
-    /// Handles a greater incarnation of this node's name: that of an earlier process, or of another one at the same time.
+    /// Handles a greater incarnation of the local node's name: that of its predecessor, or of a process that runs at
+    /// the same time. The local node changes to a later incarnation.
     ///
-    /// Two processes with one name would take each other for their own past and outbid each other for ever, so that after
-    /// [`MAX_CLAIMS`] claims the one with the smaller tag publishes nothing for [`CONFLICT_PAUSE`] seconds. It still
-    /// receives the entries of the others.
+    /// Two running processes with the same name would each take the other for its predecessor, and increment their
+    /// incarnations for ever. Therefore, after [`MAX_CLAIMS`] claims, the one with the smaller tag publishes nothing
+    /// for [`CONFLICT_PAUSE`] seconds. It still receives the entries of the others.
     pub(super) fn handle_newer_incarnation(&mut self, now: Time, newer: Incarnation) {
-        let me = self.members.local_node().incarnation;
-        if newer <= me || newer.tag == me.tag {
+        let own = self.members.local_node().incarnation;
+        if newer <= own || newer.tag == own.tag {
             return;
         }
-        self.claims.forget_old(now);
-        if self.claims.claimed_at.len() >= MAX_CLAIMS && newer.tag > me.tag {
+        self.claims.drop_old(now);
+        if self.claims.claimed_at.len() >= MAX_CLAIMS && newer.tag > own.tag {
             if !self.has_name_conflict(now) {
                 self.events.push_back(FleetEvent::NameConflict);
             }
@@ -99,12 +100,12 @@
         self.claims.add(now);
         let incarnation = Incarnation {
             number: newer.number.saturating_add(1),
-            tag: me.tag,
+            tag: own.tag,
         };
         self.members.change_incarnation(now, incarnation);
     }
 
-    /// Whether another process has this node's name, so that this one publishes nothing.
+    /// Whether the local node publishes nothing, since another process has its name.
     pub fn has_name_conflict(&self, now: Time) -> bool {
         now < self.claims.paused_until
     }
--- a/crates/cluster/src/fleet/mod.rs
+++ b/crates/cluster/src/fleet/mod.rs
@@ -1,21 +1,21 @@
-//! One node's part in a fleet.
+//! One node of a fleet.
 //!
-//! | state | owner | bound | ends |
+//! | state | owner | bound | removed |
 //! | --- | --- | --- | --- |
-//! | members | [`Members`] | the fleet's size | an hour after their end |
-//! | entries | [`Table`] | [`crate::table::MAX_ENTRIES`] | with their time to live |
-//! | clocks of peers | [`PeerClocks`] | [`MAX_PEERS`] | when pushed out by others |
-//! | incarnations of peers | [`Fleet`] | [`MAX_PEERS`] | when pushed out by others |
-//! | outgoing datagrams | [`Fleet`] | what one call makes | when the caller takes them |
+//! | members | [`Members`] | the fleet's size | an hour after they died or left |
+//! | entries | [`Table`] | [`crate::table::MAX_ENTRIES`] | when their time to live ends |
+//! | clocks of peers | [`PeerClocks`] | [`MAX_PEERS`] | when others replace them |
+//! | incarnations of peers | [`Fleet`] | [`MAX_PEERS`] | when others replace them |
+//! | outgoing datagrams | [`Fleet`] | those of one call | when the caller takes them |
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `config` | the settings |
-//! | `receive` | handling datagrams that come |
-//! | `gossip` | gossip and anti-entropy rounds, sending datagrams |
-//! | `incarnations` | the incarnations of names, conflicts over this node's name |
-//! | `publish` | the entries of this node: reports, bans, leaving, indexes of lists |
-//! | `query` | what the table says of servers and lists |
+//! | `config` | the configuration |
+//! | `receive` | handling received datagrams |
+//! | `gossip` | gossip and anti-entropy rounds, announcements, sending datagrams |
+//! | `incarnations` | the known incarnations of each name, and conflicts over the local node's name |
+//! | `publish` | publishing the local node's entries: reports, bans, leaving, indexes of lists |
+//! | `query` | queries about servers and lists |
 
 mod config;
 mod gossip;
@@ -43,66 +43,66 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Maximum number of other processes whose clocks and incarnations are remembered.
+/// Maximum number of other processes whose clocks and incarnations are stored.
 pub const MAX_PEERS: usize = 4096;
-/// A node that was in contact with no other for this time, in seconds, assumes that it is partitioned and announces itself.
+/// A node that has received no datagram for this time, in seconds, assumes that it is partitioned and announces itself.
 pub const ISOLATION_TIMEOUT: Time = 3.0;
-/// Delay of an announcement once the node is isolated, in seconds.
+/// Maximum time until the next announcement of an isolated node, in seconds.
 const ISOLATED_ANNOUNCE_DELAY: Time = 0.5;
-/// Jitter of the anti-entropy interval.
+/// Factors by which the anti-entropy interval varies at random.
 const ANTI_ENTROPY_JITTER: std::ops::Range<f64> = 0.75..1.25;
 
-/// A change that the driver of the node has to act on.
+/// A change that the caller may have to act on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetEvent {
-    /// A member joined or ended.
+    /// The membership has changed.
     Member(MemberEvent),
-    /// An entry was added or replaced.
+    /// The entry with this key was added or replaced.
     Updated(Key),
-    /// An entry has expired.
+    /// The entry with this key has expired.
     Expired(Key),
-    /// Another process has this node's name: this one publishes nothing for a while.
+    /// Another process has the local node's name: this one publishes nothing for [`CONFLICT_PAUSE`] seconds.
     NameConflict,
 }
 
 /// A datagram that the caller has to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingDatagram {
-    /// The address of its receiver.
+    /// Where to send it.
     pub to: SocketAddr,
-    /// Its bytes.
+    /// The whole datagram, with its MAC.
     pub bytes: Vec<u8>,
 }
 
-/// A message that the application of another node has sent.
+/// A message of another node's application.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeMessage {
-    /// The node.
+    /// The node that has sent the message.
     pub from: Node,
-    /// The bytes that the application gave it.
+    /// The message, as encoded by the application.
     pub body: Vec<u8>,
 }
 
 /// Counters of datagrams and entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Datagrams sent.
+    /// Number of datagrams given to the caller to send.
     pub sent_datagrams: u64,
-    /// Bytes sent.
+    /// Number of bytes in these datagrams.
     pub sent_bytes: u64,
-    /// Datagrams accepted.
+    /// Number of received datagrams that were accepted.
     pub received_datagrams: u64,
-    /// Datagrams dropped, by reason.
+    /// Number of received datagrams that were dropped, by reason.
     pub dropped_datagrams: BTreeMap<DropReason, u64>,
-    /// Entries ignored, since nothing proved how old they were.
+    /// Number of received entries that were ignored since there was no bound of their age.
     pub unproven_entries: u64,
-    /// Entries ignored, since they had expired when they were received.
+    /// Number of received entries that were ignored since they had expired.
     pub expired_entries: u64,
-    /// Entries rejected: the table was full, or they were invalid.
+    /// Number of received entries that were rejected: the table was full, or they were invalid.
     pub rejected_entries: u64,
 }
 
-/// One node's part in a fleet.
+/// One node of a fleet: its members, its table of entries, and the datagrams that it exchanges with the others.
 pub struct Fleet {
     config: Config,
     secret: Secret,
@@ -113,30 +113,31 @@
     rng: Pcg64Mcg,
     incarnations: KnownIncarnations,
     claims: NameClaims,
-    /// Peers that an echo was requested from, so that they can be sent entries.
+    /// Tags of the peers whose clocks were requested, so that entries can be sent to them.
     awaiting_echo: BTreeSet<u64>,
     next_gossip: Time,
     next_anti_entropy: Time,
     next_announce: Time,
-    /// When a datagram was last accepted.
-    received_at: Time,
-    /// Counts datagrams.
-    sequence: u64,
-    /// Counts entries.
-    versions: u64,
-    /// Counts bans.
-    bans: u32,
-    /// Bans of this node that have no end of their own.
+    /// When the last datagram was accepted.
+    last_received_at: Time,
+    /// The sequence number of the last gossip datagram.
+    last_sequence: u64,
+    /// The sequence number of the last version of an entry.
+    last_version: u64,
+    /// The number of the last ban.
+    last_ban: u32,
+    /// The bans that this process has published without a duration.
     permanent_bans: BTreeSet<Key>,
     outgoing: VecDeque<OutgoingDatagram>,
-    /// Application messages that were received.
+    /// Received application messages.
     messages: VecDeque<NodeMessage>,
     events: VecDeque<FleetEvent>,
     counters: Counters,
 }
 
 impl Fleet {
-    /// A node that knows nobody yet. `tag` and `seed` are random for each process; `now` is never negative.
+    /// A node that knows no other nodes yet. `tag` and `seed` have to be random for each process; `now` must not be
+    /// negative.
     pub fn new(
         name: &str,
         address: SocketAddr,
@@ -146,12 +147,12 @@
         seed: u64,
         now: Time,
     ) -> Fleet {
-        let me = Node {
+        let local_node = Node {
             name: name.to_owned(),
             address,
             incarnation: Incarnation { number: 1, tag },
         };
-        let members = Members::new(me, config.membership, seed);
+        let members = Members::new(local_node, config.membership, seed);
         let observer = Observer::new(config.zone.clone(), config.report_ttl, config.quorum);
         Fleet {
             members,
@@ -166,10 +167,10 @@
             next_gossip: now,
             next_anti_entropy: now,
             next_announce: now,
-            received_at: now,
-            sequence: 0,
-            versions: 0,
-            bans: 0,
+            last_received_at: now,
+            last_sequence: 0,
+            last_version: 0,
+            last_ban: 0,
             permanent_bans: BTreeSet::new(),
             outgoing: VecDeque::new(),
             messages: VecDeque::new(),
@@ -179,37 +180,37 @@
         }
     }
 
-    /// The members, and this node.
+    /// The members of the fleet, the local node included.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// The table of entries.
+    /// The replicated entries, as this node has them.
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// The counters.
+    /// Counters of datagrams and entries since the start of the process.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Takes the next datagram to send.
+    /// Removes and returns the next datagram to send.
     pub fn next_datagram(&mut self) -> Option<OutgoingDatagram> {
         self.outgoing.pop_front()
     }
 
-    /// Takes the next event.
+    /// Removes and returns the next event.
     pub fn next_event(&mut self) -> Option<FleetEvent> {
         self.events.pop_front()
     }
 
-    /// Takes the next application message.
+    /// Removes and returns the next application message.
     pub fn next_message(&mut self) -> Option<NodeMessage> {
         self.messages.pop_front()
     }
 
-    /// When [`Fleet::tick`] has something to do.
+    /// When [`Fleet::tick`] has to be called next.
     pub fn deadline(&self) -> Time {
         let timers = [self.members.deadline(), self.table.next_expiry()]
             .into_iter()
@@ -222,12 +223,12 @@
         )
     }
 
-    /// Does what is due at this time. `listed` is how many servers this node knows.
-    pub fn tick(&mut self, now: Time, listed: usize) {
+    /// Handles the timers and rounds that are due. `listed_servers` is the number of servers in the endpoint lists.
+    pub fn tick(&mut self, now: Time, listed_servers: usize) {
         self.members.tick(now);
         self.table.expire(now);
-        // An isolated node announces itself at once, not when it would have.
-        if now - self.received_at > ISOLATION_TIMEOUT {
+        // An isolated node does not wait for the regular announcement.
+        if now - self.last_received_at > ISOLATION_TIMEOUT {
             self.next_announce = self.next_announce.min(now + ISOLATED_ANNOUNCE_DELAY);
         }
         if now >= self.next_announce {
@@ -235,7 +236,7 @@
         }
         if now >= self.next_gossip {
             self.next_gossip = now + self.config.gossip_interval;
-            self.publish_reports(now, listed);
+            self.publish_reports(now, listed_servers);
             self.refresh_bans(now);
             self.gossip_round(now);
         }
@@ -244,11 +245,11 @@
             self.next_anti_entropy = now + self.config.anti_entropy_interval * jitter;
             self.anti_entropy_round(now);
         }
-        self.process_effects(now);
+        self.process_output(now);
     }
 
-    /// Sends and reports what has come of the members and the table.
-    fn process_effects(&mut self, now: Time) {
+    /// Forwards the datagrams and events of the members, and the expired entries of the table.
+    fn process_output(&mut self, now: Time) {
         for key in self.table.take_expired() {
             self.events.push_back(FleetEvent::Expired(key));
         }
@@ -263,7 +264,7 @@
         }
         while let Some(event) = self.members.next_event() {
             if matches!(event, MemberEvent::Up(_)) && self.members.other_count() == 1 {
-                // The node has joined: it asks for the entries of the others at once.
+                // The node has just joined the fleet, and requests the entries of the others at once.
                 self.next_anti_entropy = now;
             }
             self.events.push_back(FleetEvent::Member(event));
--- a/crates/cluster/src/fleet/publish.rs
+++ b/crates/cluster/src/fleet/publish.rs
@@ -1,4 +1,4 @@
-//! The entries that this node publishes.
+//! Publishing the local node's entries.
 
 use super::{Fleet, FleetEvent};
 use crate::entry::{
@@ -10,15 +10,15 @@
 use crate::table::MergeOutcome;
 use crate::{Time, MICROS_PER_SECOND, MILLIS_PER_SECOND};
 
-/// A permanent ban is refreshed when less than this part of its time to live is left.
+/// A ban without a duration is published again when less than this fraction of its time to live remains.
 const REFRESH_BELOW: f64 = 0.5;
 
 impl Fleet {
     fn next_version(&mut self) -> Version {
-        self.versions += 1;
+        self.last_version += 1;
         Version {
             incarnation: self.members.local_node().incarnation,
-            sequence: self.versions,
+            sequence: self.last_version,
         }
     }
 
@@ -26,7 +26,8 @@
         self.publish_aged(now, key, value, ttl, 0.0)
     }
 
-    /// Publishes an entry that is based on evidence of this age; returns whether it is new to the table.
+    /// Publishes an entry that is based on evidence of this age, and returns whether the table has changed. Nothing is
+    /// published during a name conflict.
     fn publish_aged(&mut self, now: Time, key: Key, value: Value, ttl: Time, age: Time) -> bool {
         if self.has_name_conflict(now) {
             return false;
@@ -50,27 +51,27 @@
         let is_new = self.table.merge(now, entry) == MergeOutcome::Updated;
         if is_new {
             self.events.push_back(FleetEvent::Updated(key));
-            // Gossiped at once: what is to hold everywhere within a second starts on its way now.
+            // Gossiped without waiting for the next round, since bans have to reach all nodes within a second.
             self.next_gossip = self.next_gossip.min(now);
         }
         is_new
     }
 
-    /// Records the outcome of an attempt at a server.
+    /// Records the outcome of an attempt at a server, as evidence for this node's reports.
     pub fn record_outcome(&mut self, now: Time, server: &ServerInstance, outcome: AttemptOutcome) {
         self.observer.record_outcome(now, server, outcome);
     }
 
-    /// Replaces the overdue attempts.
+    /// Replaces the attempts that are overdue. New ones make the node publish its reports at once.
     pub fn set_overdue(&mut self, now: Time, attempts: &[OverdueAttempt]) {
         if self.observer.set_overdue(attempts) {
-            // Each tenth of a second of delay costs as many requests as come in it.
+            // Reported without waiting for the next round: 0.1 s of delay costs the requests that arrive in that time.
             self.next_gossip = self.next_gossip.min(now);
         }
     }
 
-    /// Publishes the failure reports that are due.
-    pub(super) fn publish_reports(&mut self, now: Time, listed: usize) {
+    /// Publishes the reports that are due. `listed_servers` is the number of servers in the endpoint lists.
+    pub(super) fn publish_reports(&mut self, now: Time, listed_servers: usize) {
         let (table, members) = (&self.table, &self.members);
         let (nodes, min_reporters) = (members.other_count() + 1, self.config.quorum.min_reporters);
         let is_reported = |server: &ServerInstance| {
@@ -88,7 +89,9 @@
                     min_reporters,
                 )
         };
-        let due = self.observer.take_due_reports(now, listed, is_reported);
+        let due = self
+            .observer
+            .take_due_reports(now, listed_servers, is_reported);
         let (reporter, ttl) = (
             self.members.local_node().name.clone(),
             self.config.report_ttl,
@@ -108,8 +111,8 @@
         }
     }
 
-    /// Bans a server on behalf of an operator, for so many seconds or until the ban is lifted. `None` if the node can't
-    /// publish it.
+    /// Bans a server on behalf of an operator, for `duration` seconds or until the ban is lifted. Returns `None` if the
+    /// node can't publish the ban.
     pub fn ban(
         &mut self,
         now: Time,
@@ -117,12 +120,12 @@
         operator: &str,
         duration: Option<Time>,
     ) -> Option<BanId> {
-        self.bans += 1;
-        let me = self.members.local_node();
+        self.last_ban += 1;
+        let local_node = self.members.local_node();
         let id = BanId {
-            node: me.name.clone(),
-            incarnation: me.incarnation,
-            number: self.bans,
+            node: local_node.name.clone(),
+            incarnation: local_node.incarnation,
+            number: self.last_ban,
         };
         let key = Key::Ban {
             server: server.to_owned(),
@@ -141,8 +144,8 @@
         Some(id)
     }
 
-    /// Lifts every ban of a server that this node knows, on all nodes, on behalf of an operator; returns how many there
-    /// were.
+    /// Lifts every ban of a server that this node knows, on behalf of an operator and for all nodes. Returns the number
+    /// of these bans.
     pub fn lift(&mut self, now: Time, server: &str, operator: &str) -> usize {
         let known: Vec<(Key, Version)> = self
             .bans_of(server, now)
@@ -150,7 +153,7 @@
             .collect();
         for (key, version) in &known {
             self.permanent_bans.remove(key);
-            // The tombstone takes precedence over any other value of its ban, whatever their versions.
+            // The tombstone takes precedence over every other value of its ban, regardless of the versions.
             let version = Version {
                 sequence: version.sequence.saturating_add(1),
                 ..*version
@@ -173,7 +176,7 @@
         known.len()
     }
 
-    /// Publishes permanent bans again before they expire, for as long as their node lives.
+    /// Publishes bans without a duration again before they expire, as long as this process runs.
     pub(super) fn refresh_bans(&mut self, now: Time) {
         let table = &self.table;
         let is_banned = |key: &Key| {
@@ -196,7 +199,7 @@
         }
     }
 
-    /// Tells the others that this node leaves.
+    /// Notifies the other nodes that the local node leaves.
     pub fn leave(&mut self, now: Time) {
         let Node {
             name, incarnation, ..
@@ -208,10 +211,10 @@
         self.publish(now, key, Value::Leaving, MAX_LEAVING_TTL);
         self.gossip_round(now);
         self.members.leave(now);
-        self.process_effects(now);
+        self.process_output(now);
     }
 
-    /// Publishes the index of a list that this node has seen.
+    /// Publishes the index of an endpoint list that this node has seen.
     pub fn publish_list_index(&mut self, now: Time, list: &str, index: u64) {
         let key = Key::ListIndex {
             list: list.to_owned(),
--- a/crates/cluster/src/fleet/query.rs
+++ b/crates/cluster/src/fleet/query.rs
@@ -1,4 +1,4 @@
-//! What the entries in the table say of servers and lists.
+//! Queries: the bans and reports of servers, and the indexes of lists, according to the table of entries.
 
 use super::Fleet;
 use crate::entry::{Key, Report, ServerInstance, Value};
@@ -7,32 +7,32 @@
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An ejected server, as this node sees it.
+/// A server that the reports in this node's table eject.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EjectedServer {
-    /// The server.
+    /// The ejected instance; a later instance of the server is not affected.
     pub server: ServerInstance,
-    /// The votes on it.
+    /// The votes as they count in this node's zone.
     pub votes: Votes,
-    /// Whether this node checks its health in the present interval.
+    /// Whether this node probes the server in the current interval.
     pub is_prober: bool,
-    /// How long this can hold without further reports, in seconds.
+    /// The remaining time for which the server can stay ejected without further reports, in seconds.
     pub remaining: Time,
 }
 
-/// A report on a server in the table.
+/// A report in the table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PublishedReport<'a> {
-    /// The reporting node.
+    /// The name of the reporting node.
     pub reporter: &'a str,
-    /// The report.
+    /// The finding with its evidence.
     pub report: &'a Report,
-    /// Its age, in seconds.
+    /// An upper bound of the report's age, in seconds.
     pub age: Time,
 }
 
 impl Fleet {
-    /// The live bans of a server.
+    /// The bans of a server that have neither expired nor been lifted.
     pub(super) fn bans_of<'a>(
         &'a self,
         server: &'a str,
@@ -48,14 +48,14 @@
         all.filter(|(_, stored)| matches!(stored.value, Value::Banned { .. }))
     }
 
-    /// For how many seconds a server is banned, without further calls; `None` if it is not banned.
+    /// The remaining time of the longest ban of a server, in seconds; `None` if it is not banned.
     pub fn remaining_ban(&self, server: &str, now: Time) -> Option<Time> {
         self.bans_of(server, now)
             .map(|(_, stored)| stored.remaining_ttl(now))
             .reduce(f64::max)
     }
 
-    /// The banned servers.
+    /// The names of the banned servers.
     pub fn banned_servers(&self, now: Time) -> BTreeSet<&str> {
         let all = self.table.live_from(&Key::first(), now);
         let bans = all.take_while(|(key, _)| matches!(key, Key::Ban { .. }));
@@ -68,7 +68,7 @@
             .collect()
     }
 
-    /// The latest index of a list that any node has seen.
+    /// The latest index of an endpoint list that any node has published.
     pub fn latest_list_index(&self, list: &str, now: Time) -> Option<u64> {
         self.table
             .get(
@@ -80,7 +80,7 @@
             .map(|stored| stored.version.sequence)
     }
 
-    /// The votes on each server that there are reports on, as they count in this node's zone.
+    /// The votes on each server with reports, as they count in this node's zone.
     pub fn votes(&self, now: Time) -> BTreeMap<&ServerInstance, Votes> {
         let mut votes: BTreeMap<&ServerInstance, Votes> = BTreeMap::new();
         for (key, stored) in self.table.live_from(&Key::first_report(), now) {
@@ -98,63 +98,64 @@
         votes
     }
 
-    /// The servers of a list of so many that several nodes' reports eject. A single node ejects nobody here: its
-    /// decision module knows its own observations.
-    pub fn ejected_servers(&self, now: Time, listed: usize) -> Vec<EjectedServer> {
+    /// The servers that the reports of several nodes eject. `listed_servers` is the number of servers in the endpoint
+    /// lists. The reports of a single node eject no server here: its outlier ejection has these observations already.
+    pub fn ejected_servers(&self, now: Time, listed_servers: usize) -> Vec<EjectedServer> {
         let votes = self.votes(now);
         let votes = votes.iter().map(|(server, votes)| (*server, *votes));
-        let ejected = quorum::select_ejected(votes, listed, &self.config.quorum);
+        let ejected = quorum::select_ejected(votes, listed_servers, &self.config.quorum);
         let interval = (now / self.config.ejected_probe_interval) as u64;
-        let (me, nodes) = (
+        let (own_name, nodes) = (
             self.members.local_node().name.as_str(),
             self.members.other_count() + 1,
         );
         let to_ejected = |(server, votes): (&ServerInstance, Votes)| EjectedServer {
             server: server.clone(),
             votes,
-            is_prober: quorum::is_prober(server, interval, me, nodes),
-            remaining: self.ejected_for(server, now),
+            is_prober: quorum::is_prober(server, interval, own_name, nodes),
+            remaining: self.remaining_ejection(server, now),
         };
         ejected.into_iter().map(to_ejected).collect()
     }
 
-    /// Whether a server has responded to a member, and too few still report a fault to eject it. Reports that have expired,
-    /// or were withdrawn without a response, show nothing.
+    /// Whether a server has responded to a member, and too few members still report a fault to eject it. Expired
+    /// reports, and those that were withdrawn without a response, are no evidence of a recovery.
     pub fn has_recovered(&self, server: &ServerInstance, now: Time) -> bool {
         let mut votes = Votes::default();
-        let mut responds = false;
+        let mut has_responded = false;
         let reports = self.reports(server, now);
         for published in reports
             .iter()
             .filter(|report| self.members.contains(report.reporter))
         {
             votes.add(published.report, &self.config.zone, &self.config.quorum);
-            responds |= published.report.shows_response();
+            has_responded |= published.report.shows_response();
         }
-        responds && votes.ejection_margin(&self.config.quorum).is_none()
+        has_responded && votes.ejection_margin(&self.config.quorum).is_none()
     }
 
-    /// How long a server can remain ejected: until so many of the reports have expired that they are no quorum.
-    fn ejected_for(&self, server: &ServerInstance, now: Time) -> Time {
-        let counts = |report: &Report| {
+    /// How long a server can remain ejected: until so many reports have expired that the rest are no quorum.
+    fn remaining_ejection(&self, server: &ServerInstance, now: Time) -> Time {
+        let is_vote_against = |report: &Report| {
             let mut votes = Votes::default();
             votes.add(report, &self.config.zone, &self.config.quorum);
             votes.failed + votes.unreachable > 0
         };
-        let mut left: Vec<Time> = reports_on(&self.table, server, now)
+        let mut remaining: Vec<Time> = reports_on(&self.table, server, now)
             .filter(|(_, reporter, stored)| {
                 self.members.contains(reporter)
-                    && matches!(&stored.value, Value::Report(r) if counts(r))
+                    && matches!(&stored.value, Value::Report(r) if is_vote_against(r))
             })
             .map(|(_, _, stored)| stored.remaining_ttl(now))
             .collect();
-        left.sort_by(|a, b| b.total_cmp(a));
-        left.get(self.config.quorum.min_reporters.saturating_sub(1))
+        remaining.sort_by(|a, b| b.total_cmp(a));
+        remaining
+            .get(self.config.quorum.min_reporters.saturating_sub(1))
             .copied()
             .unwrap_or(0.0)
     }
 
-    /// The live reports on one server.
+    /// The reports on one server that have not expired.
     pub fn reports<'a>(
         &'a self,
         server: &'a ServerInstance,
@@ -173,7 +174,7 @@
     }
 }
 
-/// The live reports on one server, with the reporting nodes.
+/// The reports on one server that have not expired, each with its key and the name of the reporting node.
 pub(super) fn reports_on<'a>(
     table: &'a Table,
     server: &'a ServerInstance,
--- a/crates/cluster/src/fleet/receive.rs
+++ b/crates/cluster/src/fleet/receive.rs
@@ -1,4 +1,4 @@
-//! Handling of received datagrams.
+//! Handling received datagrams.
 
 use super::{Fleet, FleetEvent, NodeMessage};
 use crate::entry::Entry;
@@ -12,15 +12,17 @@
 use crate::{Time, MICROS_PER_SECOND};
 use rand::RngExt;
 
-/// Maximum number of datagrams of entries that answer one comparison of tables; the rest comes with the next one.
+/// Maximum number of datagrams with entries that are sent in response to one comparison of tables; the next comparison
+/// continues.
 pub const MAX_ENTRY_DATAGRAMS: usize = 4;
-/// Maximum number of datagrams of members that answer one comparison; the rest comes with the next one.
+/// Maximum number of datagrams with members that are sent in response to one comparison of memberships; the next
+/// comparison continues.
 pub const MAX_MEMBER_DATAGRAMS: usize = 4;
-/// Maximum number of application messages that wait for their application.
+/// Maximum number of received application messages that are queued for the application.
 pub const MAX_MESSAGES: usize = 256;
 
 impl Fleet {
-    /// Handles a datagram.
+    /// Handles a received datagram: merges what it contains, and enqueues the responses.
     pub fn receive(&mut self, now: Time, datagram: &[u8]) {
         if AppMessage::matches(datagram) {
             return self.receive_message(datagram);
@@ -30,7 +32,7 @@
             Err(reason) => return self.count_dropped(reason),
         };
         self.counters.received_datagrams += 1;
-        self.received_at = now;
+        self.last_received_at = now;
         self.incarnations.record(&header.from);
         if let Some(newer) = header.newer_incarnation {
             self.handle_newer_incarnation(now, newer);
@@ -44,7 +46,7 @@
         }
         self.merge_entries(now, &header, entries);
         self.respond(now, &header);
-        self.process_effects(now);
+        self.process_output(now);
     }
 
     fn open(&mut self, now: Time, datagram: &[u8]) -> Result<GossipDatagram, DropReason> {
@@ -70,20 +72,20 @@
     fn receive_members(&mut self, now: Time, header: &Header) {
         let mut dead = self.members.apply_updates(now, &header.members);
         self.send_members(now, &header.from, &mut dead);
-        let me = self.members.local_node();
-        let suspects_me =
-            |update: &MemberUpdate| update.state == MemberState::Suspected && update.node == *me;
-        if header.members.iter().any(suspects_me) {
-            // Any datagram of the membership protocol tells this node's current incarnation, which refutes it.
+        let own = self.members.local_node();
+        let suspects_own =
+            |update: &MemberUpdate| update.state == MemberState::Suspected && update.node == *own;
+        if header.members.iter().any(suspects_own) {
+            // Any message of the membership protocol contains the SWIM incarnation, which refutes the suspicion.
             self.members.announce(now, header.from.address);
         }
     }
 
     fn receive_message(&mut self, datagram: &[u8]) {
-        let me = self.members.local_node().incarnation.tag;
+        let own_tag = self.members.local_node().incarnation.tag;
         let message = AppMessage::open(&self.secret, datagram);
         match message {
-            Ok(message) if message.to_tag != me => self.count_dropped(DropReason::Misdirected),
+            Ok(message) if message.to_tag != own_tag => self.count_dropped(DropReason::Misdirected),
             Ok(message) if self.messages.len() < MAX_MESSAGES => {
                 self.counters.received_datagrams += 1;
                 self.messages.push_back(NodeMessage {
@@ -91,17 +93,17 @@
                     body: message.body,
                 });
             }
-            // The application does not take its messages: as good as lost.
+            // The queue is full: the message is dropped, as if it had been lost.
             Ok(_) => {}
             Err(reason) => self.count_dropped(reason),
         }
     }
 
-    /// Merges entries with their age and the longest time that they can have been in transit. Without proof of that they
-    /// are ignored.
+    /// Merges entries, and adds the longest time for which they can have been in transit to their ages. Without a bound
+    /// of that time they are ignored.
     fn merge_entries(&mut self, now: Time, header: &Header, entries: Vec<Entry>) {
-        let is_for_me = header.to_tag == self.members.local_node().incarnation.tag;
-        let echo = header.echo.filter(|_| is_for_me);
+        let is_addressed = header.to_tag == self.members.local_node().incarnation.tag;
+        let echo = header.echo.filter(|_| is_addressed);
         let Some(transit) = echo.and_then(|echo| freshness::max_transit(now, echo)) else {
             self.counters.unproven_entries += entries.len() as u64;
             return;
@@ -129,9 +131,9 @@
         }
         let was_awaited = self.awaiting_echo.remove(&to.incarnation.tag);
         if header.requests_echo || was_awaited || newer_incarnation.is_some() {
-            let mut answer = self.header(now, to);
-            answer.newer_incarnation = newer_incarnation;
-            self.send_with_entries(now, to.address, &answer);
+            let mut response = self.header(now, to);
+            response.newer_incarnation = newer_incarnation;
+            self.send_with_entries(now, to.address, &response);
         }
     }
 
@@ -142,11 +144,11 @@
         }
     }
 
-    /// Sends the entries and members in which another node's digests differ; with this node's digests in response to a
-    /// request.
+    /// Sends the entries and members of the partitions whose digests differ from those of another node, and the local
+    /// digests in response to a request.
     fn send_differences(&mut self, now: Time, to: &Node, digests: &Digests, is_request: bool) {
-        let mine = self.digests();
-        if mine == *digests {
+        let own_digests = self.digests();
+        if own_digests == *digests {
             return;
         }
         let entries = self
@@ -155,7 +157,8 @@
         let mut entries = entries.iter().peekable();
         for n in 0..MAX_ENTRY_DATAGRAMS {
             let mut header = self.header(now, to);
-            header.anti_entropy = (is_request && n == 0).then_some(AntiEntropy::Response(mine));
+            header.anti_entropy =
+                (is_request && n == 0).then_some(AntiEntropy::Response(own_digests));
             if header.anti_entropy.is_none() && entries.peek().is_none() {
                 break;
             }
@@ -168,11 +171,11 @@
         self.send_unknown_members(now, to, &digests.members);
     }
 
-    /// Sends the members that another node may not know. A node that joins receives only some members from the library, and
-    /// it ignores the reports of nodes that it does not know.
+    /// Sends the members that another node may not know. The library sends only some of them to a node that joins, and
+    /// a node ignores the reports of nodes that it does not know.
     fn send_unknown_members(&mut self, now: Time, to: &Node, digests: &[u32; MEMBER_PARTITIONS]) {
         let mut updates = self.members.members_of_differing_partitions(digests, to);
-        // Shuffled: members that two nodes have sent already, a third need not send first.
+        // Shuffled, so that several nodes that respond to the same node do not all send the same members first.
         for n in (1..updates.len()).rev() {
             updates.swap(n, self.rng.random_range(0..=n));
         }
--- a/crates/cluster/src/freshness.rs
+++ b/crates/cluster/src/freshness.rs
@@ -1,50 +1,52 @@
-//! How old a datagram can be at most.
+//! Upper bounds of the age of a datagram.
 //!
-//! An entry is sent with its age at the time of writing. How long the datagram was in transit is unknown: a link may delay
-//! it, and so may the receive buffer of a process that is paused. So each datagram echoes the last value of the reader's
-//! clock that its writer has received, and how long ago that was. That value was sent before the datagram was written, so
-//! the datagram is no older than the reader's clock has advanced since, less the time that the writer took to send the echo. Only
-//! differences of one and the same clock are used.
+//! An entry is sent with its age at the time of writing. How long the datagram was in transit is unknown: the network
+//! may delay it, and so may the receive buffer of a paused process. Therefore each datagram echoes the last value of
+//! the receiver's clock that its sender has received, and how long ago the sender received it. As that value was sent
+//! before the datagram was written, the transit time is at most the time that has passed on the receiver's clock since
+//! that value, less the time for which the sender held it. Only differences of the same clock are used.
 //!
-//! A datagram without such an echo proves nothing about the age of its entries: a process that was paused over it, or an
-//! attacker who replays it, can't make an old entry new.
+//! The entries of a datagram without an echo are ignored, since their age is unknown. Otherwise a process that was
+//! paused before it read a datagram, or an attacker who replays one, could make an expired entry count again.
 
 use crate::{Time, DRIFT, MICROS_PER_SECOND};
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, VecDeque};
 
-/// A peer's clock is echoed for this time after it was received, in seconds; the error grows with that by [`DRIFT`].
+/// A peer's clock is echoed for this time after it was received, in seconds; the error of the bound grows with it by
+/// [`DRIFT`].
 pub const MAX_ECHO_AGE: Time = 120.0;
-/// Entries in a datagram that may have been in transit for longer, in seconds, are ignored.
+/// Entries in a datagram that may have been in transit for longer than this, in seconds, are ignored.
 pub const MAX_TRANSIT: Time = 60.0;
-/// Number of a peer's last datagrams for which duplicates are detected.
+/// Duplicates are detected among this many of a peer's last sequence numbers.
 const REPLAY_WINDOW: u64 = 64;
 
-/// The last value of its reader's clock that a writer has received.
+/// The last value of the receiver's clock that the sender of a datagram has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockEcho {
-    /// The value, in microseconds of the reader's clock.
+    /// The value, in microseconds of the receiver's clock.
     pub clock_us: u64,
-    /// How long ago the writer received it, in microseconds of the writer's clock, rounded down.
+    /// How long ago the sender received that value, in microseconds of the sender's clock, rounded down.
     pub elapsed_us: u64,
 }
 
-/// How long a datagram with this echo can have been in transit at most, in seconds; `None` if that is unknown.
+/// An upper bound of the time for which a datagram with this echo was in transit, in seconds; `None` if the echo is
+/// invalid or too old, or the bound exceeds [`MAX_TRANSIT`].
 pub fn max_transit(now: Time, echo: ClockEcho) -> Option<Time> {
-    let since = now - echo.clock_us as f64 / MICROS_PER_SECOND;
+    let round_trip = now - echo.clock_us as f64 / MICROS_PER_SECOND;
     let elapsed = echo.elapsed_us as f64 / MICROS_PER_SECOND;
-    if since < 0.0 || elapsed > MAX_ECHO_AGE {
+    if round_trip < 0.0 || elapsed > MAX_ECHO_AGE {
         return None;
     }
-    let transit = (since / (1.0 - DRIFT) - elapsed / (1.0 + DRIFT)).max(0.0);
+    let transit = (round_trip / (1.0 - DRIFT) - elapsed / (1.0 + DRIFT)).max(0.0);
     (transit <= MAX_TRANSIT).then_some(transit)
 }
 
-/// The clocks of the peers, by the tags of their incarnations, and which of their datagrams were received.
+/// For each peer, by the tag of its incarnation: the last value of its clock, and which of its datagrams were received.
 #[derive(Debug)]
 pub struct PeerClocks {
     peers: HashMap<u64, PeerClock>,
-    /// The tags, oldest first.
+    /// The tags of the peers, in the order in which they were recorded first.
     order: VecDeque<u64>,
     max_peers: usize,
 }
@@ -55,12 +57,12 @@
     received_at: Time,
     /// The greatest sequence number received.
     last_sequence: u64,
-    /// A bit for each of the last [`REPLAY_WINDOW`] sequence numbers, set if it was received.
+    /// Bit `n` is set if sequence number `last_sequence - n` was received.
     window: u64,
 }
 
 impl PeerClocks {
-    /// The clocks of at most this number of peers; of more, those that were recorded first are forgotten.
+    /// Stores at most `max_peers` peers: a new one replaces the one that was recorded first.
     pub fn new(max_peers: usize) -> PeerClocks {
         PeerClocks {
             peers: HashMap::new(),
@@ -69,8 +71,8 @@
         }
     }
 
-    /// Records a datagram's sequence number and clock. Returns whether the datagram is new: a duplicate is not, nor is one
-    /// that was overtaken by [`REPLAY_WINDOW`] others of its writer.
+    /// Records a datagram's sequence number and clock. Returns whether the datagram is new: a duplicate is not, nor is
+    /// one that is `REPLAY_WINDOW` or more sequence numbers behind the greatest one of its sender.
     pub fn record(&mut self, now: Time, tag: u64, sequence: u64, clock_us: u64) -> bool {
         let Some(peer) = self.peers.get_mut(&tag) else {
             self.insert(
@@ -97,9 +99,9 @@
             peer.received_at = now;
             return true;
         }
-        let back = peer.last_sequence - sequence;
+        let distance = peer.last_sequence - sequence;
         let bit = 1u64
-            .checked_shl(u32::try_from(back).unwrap_or(u32::MAX))
+            .checked_shl(u32::try_from(distance).unwrap_or(u32::MAX))
             .unwrap_or(0);
         let is_new = bit != 0 && peer.window & bit == 0;
         peer.window |= bit;
@@ -116,7 +118,7 @@
         self.peers.insert(tag, peer);
     }
 
-    /// The echo of a peer's clock to send to it.
+    /// The echo to send to a peer; `None` if its clock is unknown or was received more than [`MAX_ECHO_AGE`] ago.
     pub fn echo(&self, now: Time, tag: u64) -> Option<ClockEcho> {
         let peer = self.peers.get(&tag)?;
         let elapsed = now - peer.received_at;
--- a/crates/cluster/src/members/anti_entropy.rs
+++ b/crates/cluster/src/members/anti_entropy.rs
@@ -8,9 +8,9 @@
 use foca::{Member, State};
 use std::collections::HashSet;
 
-/// What an incarnation contributes to the digests.
+/// What a member's incarnation contributes to the digests.
 struct DigestContribution {
-    /// The index of its partition.
+    /// The index of the digest that it contributes to.
     partition: usize,
     digest: u32,
 }
@@ -27,18 +27,19 @@
 }
 
 impl Members {
-    /// A digest of each partition of the members, this node included. Partitions with equal digests have the same members,
-    /// up to collisions.
+    /// A digest of each partition of the members, the local node included. Partitions with equal digests have the same
+    /// members, except for collisions.
     pub fn digests(&self) -> [u32; MEMBER_PARTITIONS] {
         let mut digests = [0; MEMBER_PARTITIONS];
-        for node in self.by_tag.values().chain([&self.me]) {
+        for node in self.by_tag.values().chain([&self.local_node]) {
             let contribution = DigestContribution::of(&node.incarnation);
             digests[contribution.partition] ^= contribution.digest;
         }
         digests
     }
 
-    /// The members, suspected ones included, of the partitions in which another node's digests differ; without that node.
+    /// The members, suspected ones included, of the partitions whose digests differ from those of the node `from`;
+    /// without that node.
     pub fn members_of_differing_partitions(
         &self,
         digests: &[u32; MEMBER_PARTITIONS],
@@ -56,8 +57,8 @@
             .collect()
     }
 
-    /// Applies the member updates of another node. Returns dead members that the other node believes alive, since it
-    /// would otherwise notice their deaths only by its own probes.
+    /// Applies the member updates of another node. Returns the nodes that it believes to be alive and that the local
+    /// node knows to be dead: otherwise the other node would detect these deaths only by its own probes.
     pub fn apply_updates(&mut self, now: Time, updates: &[MemberUpdate]) -> Vec<MemberUpdate> {
         let is_known = |update: &&MemberUpdate| {
             self.by_tag.get(&update.node.incarnation.tag) == Some(&update.node)
@@ -75,7 +76,7 @@
             .filter(is_dead)
             .map(to_update)
             .collect();
-        // The updates are not gossiped: a node that misses one receives it in a comparison of its own.
+        // The updates are not gossiped on: a node that lacks one receives it when it compares its own digests.
         let members = updates.iter().map(to_member);
         let _ = self.library.apply_many(members, false, &mut self.output);
         self.process_output(now);
--- a/crates/cluster/src/members/config.rs
+++ b/crates/cluster/src/members/config.rs
@@ -7,32 +7,32 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// A dead member is remembered for this time, in seconds.
+/// The library remembers a dead member for this time, in seconds.
 const REMOVE_DEAD_AFTER: Time = 3600.0;
-/// Interval of the library's announcements to a member, in seconds.
+/// Interval at which the library announces the node to a member, in seconds.
 const ANNOUNCE_INTERVAL: Time = 10.0;
-/// Interval of the library's announcements to a dead member, in seconds.
+/// Interval at which the library announces the node to a dead member, in seconds.
 const ANNOUNCE_TO_DEAD_INTERVAL: Time = 2.0;
 /// Interval of the library's gossip, in seconds.
 const GOSSIP_INTERVAL: Time = 0.2;
 /// Number of members that the library gossips with in each interval.
 const GOSSIP_FAN_OUT: usize = 3;
 
-/// How members are probed. The fields are named after the settings.
+/// How members are probed, and when they are declared dead.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MembershipConfig {
-    /// Interval of probes, in seconds; each is sent to one other member.
+    /// Interval of probes, in seconds; each probe is sent to one other member.
     pub probe_interval: Time,
-    /// A probe that is not answered directly within this time, in seconds, is repeated indirectly.
+    /// If a member does not answer a probe within this time, in seconds, it is probed through other members.
     pub probe_timeout: Time,
     /// A member that does not refute a suspicion within this time, in seconds, is declared dead.
     pub suspicion_timeout: Time,
-    /// Number of members that an indirect probe goes through.
+    /// Number of members through which a member is probed indirectly.
     pub indirect_probes: usize,
     /// The expected number of nodes, which determines how often updates are retransmitted.
     pub expected_nodes: u32,
-    /// The worst health score: at a score of `n`, probes and suspicions take `n + 1` times as long. At 0 the node never
-    /// doubts its own health.
+    /// The worst local health score. At a score of `n`, the intervals and timeouts of probes and suspicions are
+    /// multiplied by `n + 1`; 0 disables the extension.
     pub max_health_score: u32,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// How often each node retransmits an update: 4 log10(N + 1), as in the library's own settings for a LAN.
+/// How often each node transmits an update: 4 log10(N + 1) for N nodes, as in the library's configuration for a LAN.
 pub fn max_transmissions(size: usize) -> u32 {
     ((size as f64 + 1.0).log10() * 4.0).ceil().clamp(2.0, 32.0) as u32
 }
@@ -75,7 +75,7 @@
             max_packet_size: nonzero(MAX_SWIM_LEN),
             notify_down_members: true,
             periodic_announce: periodic(ANNOUNCE_INTERVAL, 1),
-            // Dead members receive announcements too, so that the two sides of a healed partition find each other.
+            // Dead members receive announcements too, so that the two sides of a partition merge when it ends.
             periodic_announce_to_down_members: periodic(ANNOUNCE_TO_DEAD_INTERVAL, 1),
             periodic_gossip: periodic(GOSSIP_INTERVAL, GOSSIP_FAN_OUT),
         }
--- a/crates/cluster/src/members/library.rs
+++ b/crates/cluster/src/members/library.rs
@@ -1,4 +1,4 @@
-//! The interface to the SWIM library: what it requests and reports, and the conversion of its members.
+//! The interface to the SWIM library: the actions that it requests, its events, and the conversion of its members.
 
 use super::MemberEvent;
 use crate::node::Node;
@@ -13,15 +13,15 @@
     pub(super) after: Duration,
 }
 
-/// A datagram of the membership protocol (SWIM) to send.
+/// A message of the membership protocol (SWIM) to send, as the `swim` part of a datagram.
 pub struct SwimDatagram {
-    /// Its receiver.
+    /// The node to send it to.
     pub to: Node,
-    /// The bytes of the protocol.
+    /// The message, as encoded by the library.
     pub payload: Vec<u8>,
 }
 
-/// What the library has requested and reported.
+/// The library's requests and events that have not been processed yet.
 #[derive(Default)]
 pub(super) struct LibraryOutput {
     pub(super) datagrams: VecDeque<SwimDatagram>,
@@ -34,7 +34,8 @@
 /// A change that the library has reported.
 pub(super) struct LibraryEvent {
     pub(super) event: MemberEvent,
-    /// The later incarnation that replaces the one that is reported as down; it is up if its predecessor was a member.
+    /// The later incarnation that replaces the one that is reported as down. It becomes a member if its predecessor was
+    /// one.
     pub(super) successor: Option<Node>,
 }
 
@@ -76,7 +77,7 @@
     }
 }
 
-/// A member of the library as an update for the wire.
+/// Converts a member of the library to an update for a datagram.
 pub(super) fn to_update(member: &Member<Node>) -> MemberUpdate {
     let state = match member.state() {
         State::Alive => MemberState::Alive,
@@ -90,7 +91,7 @@
     }
 }
 
-/// An update from the wire as a member of the library.
+/// Converts an update from a datagram to a member of the library.
 pub(super) fn to_member(update: &MemberUpdate) -> Member<Node> {
     let state = match update.state {
         MemberState::Alive => State::Alive,
--- a/crates/cluster/src/members/timers.rs
+++ b/crates/cluster/src/members/timers.rs
@@ -1,4 +1,4 @@
-//! The timers of the membership protocol, which the local health stretches, and notices to suspected members.
+//! The timers of the membership protocol, which a bad local health score extends, and notices to suspected members.
 
 use super::library::RequestedTimer;
 use super::Members;
@@ -8,19 +8,19 @@
 use foca::Timer;
 use std::time::Duration;
 
-/// Number of notices of a suspicion that the suspecting node sends to the suspected one.
+/// Number of notices that a node sends to a member that it suspects.
 const SUSPICION_NOTICES: u32 = 3;
 
-/// The order of timers: by their times, then in the order in which they were set.
+/// Orders timers by the time at which they are due, then by the order in which they were set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TimerKey {
-    /// When the timer is due, in microseconds.
+    /// When the timer is due, in microseconds of the node's clock.
     due_us: u64,
     number: u64,
 }
 
 impl Members {
-    /// When [`Members::tick`] or [`Members::next_suspicion_notice`] has something to do.
+    /// When [`Members::tick`] or [`Members::next_suspicion_notice`] has to be called next.
     pub fn deadline(&self) -> Option<Time> {
         let timer = self.timers.first_key_value().map(|(key, _)| key.due_us);
         let notice = self
@@ -34,7 +34,7 @@
             .map(|due_us| due_us as f64 / MICROS_PER_SECOND)
     }
 
-    /// Handles the timers that are due.
+    /// Handles the timers that are due at `now`.
     pub fn tick(&mut self, now: Time) {
         while let Some(first) = self.timers.first_entry() {
             let due_us = first.key().due_us;
@@ -44,7 +44,7 @@
             let timer = first.remove();
             let is_late = now - due_us as f64 / MICROS_PER_SECOND > self.config.probe_timeout;
             if is_late && matches!(timer, Timer::ChangeSuspectToDown { .. }) {
-                // This process was paused, and may have lost the member's refutation.
+                // This process was paused and may have lost the member's refutation, so the timeout starts again.
                 let after = Duration::from_secs_f64(self.config.suspicion_timeout);
                 self.output.timers.push(RequestedTimer { timer, after });
             } else {
@@ -57,7 +57,7 @@
     fn handle_timer(&mut self, now: Time, timer: Timer<Node>) {
         let is_probe = matches!(timer, Timer::ProbeRandomMember(_));
         self.output.failed_probes = 0;
-        // A timer that is late is an error for the library only.
+        // A late timer makes the library return an error, after which it continues with the next probe.
         let _ = self.library.handle_timer(timer, &mut self.output);
         if !is_probe {
             return;
@@ -70,17 +70,17 @@
         }
     }
 
-    /// Takes the next notice that is due, to a member that this node suspects.
+    /// Removes and returns the next notice to a suspected member that is due.
     ///
-    /// This is the paper's buddy system: by gossip alone, a suspected member of a large fleet may learn of the suspicion too
-    /// late to refute it.
+    /// This is Lifeguard's buddy system: by gossip alone, a suspected member of a large fleet may learn of the
+    /// suspicion too late to refute it.
     pub fn next_suspicion_notice(&mut self, now: Time) -> Option<MemberUpdate> {
         let first = self.suspicion_notices.first_entry()?;
         let is_due = first.key().due_us <= (now * MICROS_PER_SECOND) as u64;
         is_due.then(|| first.remove())
     }
 
-    /// Schedules the notices to a suspected member, evenly over the time that it has to refute.
+    /// Schedules the notices to a suspected member, evenly distributed over its suspicion timeout.
     fn schedule_notices(&mut self, now: Time, timer: &Timer<Node>, time: Time) {
         let Timer::ChangeSuspectToDown {
             member_id,
@@ -90,8 +90,8 @@
         else {
             return;
         };
-        for n in 0..SUSPICION_NOTICES {
-            let due = now + time * f64::from(n) / f64::from(SUSPICION_NOTICES);
+        for index in 0..SUSPICION_NOTICES {
+            let due = now + time * f64::from(index) / f64::from(SUSPICION_NOTICES);
             let notice = MemberUpdate {
                 node: member_id.clone(),
                 swim_incarnation: *incarnation,
@@ -104,13 +104,13 @@
 
     pub(super) fn set_timer(&mut self, now: Time, requested: RequestedTimer) {
         let RequestedTimer { timer, after } = requested;
-        let is_stretched = matches!(
+        let is_extended = matches!(
             timer,
             Timer::ProbeRandomMember(_)
                 | Timer::SendIndirectProbe { .. }
                 | Timer::ChangeSuspectToDown { .. }
         );
-        let factor = if is_stretched {
+        let factor = if is_extended {
             f64::from(1 + self.health_score)
         } else {
             1.0
@@ -123,10 +123,10 @@
     }
 
     fn next_timer_key(&mut self, due_us: u64) -> TimerKey {
-        self.next_timer_number += 1;
+        self.last_timer_number += 1;
         TimerKey {
             due_us,
-            number: self.next_timer_number,
+            number: self.last_timer_number,
         }
     }
 
--- a/crates/cluster/src/observer.rs
+++ b/crates/cluster/src/observer.rs
@@ -1,51 +1,53 @@
-//! This node's own observations of servers, as failure reports for the others.
+//! The local node's observations of servers, from which its failure reports are made.
 //!
-//! Each attempt is an outcome of its own; two retries of one request at one server do not happen. A report is made when the
-//! evidence of the last [`WINDOW`] leads to a finding, renewed when that changes or when the last report is a third of its
-//! time to live old while evidence still comes, and otherwise left to expire.
+//! Each attempt counts as an outcome of its own: a request is not retried at the same server. A report is made when the
+//! evidence of the last [`WINDOW`] leads to a finding. It is renewed when the finding changes, or when there is new
+//! evidence after a third of the report's time to live. Otherwise it expires.
 //!
-//! An attempt that has waited past its target counts before it ends: a server that hangs would otherwise be sent the
-//! requests of all nodes until the first of them have timed out. Such evidence is provisional: if the attempt is answered
-//! after all, the report is withdrawn, and if it fails, the report is renewed as a confirmed one.
+//! An attempt that is waiting past its latency objective counts before it ends: otherwise all nodes would send requests
+//! to a server that hangs until the first of these requests have timed out. Such evidence is provisional: if the
+//! attempt is answered after all, the report is withdrawn, and if it fails, the report is renewed as a confirmed one.
 //!
-//! A report says how many servers this node finds faulty, and is ignored by its readers where these are too many. If that
-//! was so when it was made and no longer is, it is renewed: the others have recovered, and this server has not.
+//! A report contains the number of servers that this node finds faulty; readers ignore it if these are too many. If a
+//! report was too many when it was made and no longer is, it is renewed: the other servers have recovered, and this one
+//! has not.
 
 use crate::entry::{Finding, Report, ServerInstance};
 use crate::quorum::Quorum;
 use crate::Time;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Outcomes count for so long, in seconds.
+/// Outcomes count for this time, in seconds.
 pub const WINDOW: Time = 5.0;
-/// Maximum number of outcomes stored per server; the latest count.
+/// Maximum number of outcomes stored per server; a new one replaces the oldest.
 pub const MAX_OUTCOMES: usize = 32;
-/// Maximum number of servers that are observed.
+/// Maximum number of servers that are observed at the same time.
 pub const MAX_SERVERS: usize = 4096;
-/// Minimum number of concurring attempts where one could be chance: a broken connection or a late answer can come from any
-/// server, and one good answer from a faulty one.
+/// Minimum number of consecutive outcomes that lead to a finding where a single one could be chance: a healthy server
+/// can break a connection or answer late once, and a faulty one can answer once.
 pub const MIN_CONCURRING_OUTCOMES: usize = 2;
-/// Minimum number of late answers in a row: a busy moment makes several late, of any server.
+/// Minimum number of consecutive late answers that lead to a finding: a short peak of load makes several answers of any
+/// server late.
 pub const MIN_LATE_ANSWERS: usize = 4;
-/// A report is renewed after this part of its time to live.
+/// Number of times that a report is renewed within its time to live, while there is new evidence.
 const RENEWALS_PER_TTL: f64 = 3.0;
 
-/// How an attempt ended, as far as it tells about the server; the strongest evidence last.
+/// How an attempt ended, in the order of increasing evidence against the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AttemptOutcome {
-    /// It was answered in time.
+    /// The server answered within the latency objective.
     Answered,
-    /// It was shed, or broke off at a cold server.
+    /// The server rejected the request without executing it.
     Shed,
     /// The connection could not be established.
     Unreachable,
-    /// It was answered late.
+    /// The server answered after the latency objective.
     AnsweredLate,
-    /// The connection broke.
+    /// The connection broke before the answer was complete.
     ConnectionBroken,
-    /// It was not answered at all.
+    /// The attempt waited past the latency objective and was given up without an answer.
     TimedOut,
-    /// The server reported an error.
+    /// The server answered with an error.
     ServerError,
 }
 
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Whether one such outcome is conclusive.
+    /// Whether a single such outcome leads to a finding.
     fn is_conclusive(self) -> bool {
         matches!(
             self,
@@ -69,7 +71,7 @@
         )
     }
 
-    /// Whether the server answered anything, be it that it fails.
+    /// Whether the server sent any answer, even an error.
     fn is_response(self) -> bool {
         matches!(
             self,
@@ -81,25 +83,25 @@
     }
 }
 
-/// An attempt that has been waiting for an answer past its target.
+/// An attempt that is still waiting for an answer after its latency objective.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OverdueAttempt {
-    /// The server.
+    /// The instance that has not answered.
     pub server: ServerInstance,
-    /// When the wait began, in seconds.
+    /// When the wait for the answer began, in seconds.
     pub started_at: Time,
-    /// When the attempt became late, in seconds.
+    /// When the latency objective was exceeded, in seconds.
     pub overdue_since: Time,
 }
 
-/// A report that is due.
+/// A report that has to be published.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DueReport {
-    /// The server.
+    /// The instance that the report is about.
     pub server: ServerInstance,
-    /// The report.
+    /// The finding with its evidence.
     pub report: Report,
-    /// The age of its last evidence, in seconds.
+    /// The age of the latest evidence, in seconds; 0 for a withdrawal.
     pub evidence_age: Time,
 }
 
@@ -107,113 +109,116 @@
 #[derive(Debug, Default)]
 struct Observations {
     outcomes: VecDeque<(Time, AttemptOutcome)>,
-    /// When the server last answered anything.
+    /// When the server last sent any answer.
     last_response_at: Time,
     /// Number of overdue attempts.
-    overdue: usize,
-    /// When the latest overdue attempt became late.
-    overdue_from: Time,
+    overdue_count: usize,
+    /// The latest time at which an attempt became overdue.
+    last_overdue_since: Time,
     last_report: Option<LastReport>,
 }
 
-/// The last report that was made.
+/// The last report that was made on a server.
 #[derive(Clone, Copy, Debug)]
 struct LastReport {
     finding: Finding,
-    at: Time,
-    /// It was based on overdue attempts, and on nothing else.
+    made_at: Time,
+    /// Whether the finding is based on overdue attempts only.
     is_provisional: bool,
-    /// Its readers do not ignore it.
+    /// Whether readers count the report.
     is_credible: bool,
 }
 
-/// What the evidence leads to.
+/// The finding that the evidence on a server leads to.
 #[derive(Clone, Copy, Debug)]
 struct Assessment {
     finding: Finding,
-    bad: usize,
-    good: usize,
+    failures: usize,
+    successes: usize,
     is_provisional: bool,
 }
 
 impl Observations {
-    /// Assesses the evidence.
+    /// Assesses the attempts that have ended and those that are overdue; `None` if the evidence is not sufficient.
     ///
-    /// What was before the last trouble does not count any more: the outcomes since the last answer count. A node meets a
-    /// server that failed it once in seconds, if at all, so that one conclusive failure has to be enough; that others are
-    /// served well is reported by them.
+    /// Only the latest consecutive successes, or failures, determine the finding. A node sends a request to a server
+    /// that has failed once in several seconds at most, so a single conclusive failure has to be sufficient; nodes that
+    /// the server answers report so themselves.
     fn assess(&self) -> Option<Assessment> {
         let ended = self.assess_ended();
-        if self.overdue == 0 || ended.is_some_and(|a| a.finding >= Finding::Silent) {
+        if self.overdue_count == 0 || ended.is_some_and(|a| a.finding >= Finding::Silent) {
             return ended;
         }
-        let good = self.answered();
-        let bad = self.outcomes.len() - good + self.overdue;
+        let successes = self.count_answered();
+        let failures = self.outcomes.len() - successes + self.overdue_count;
         Some(Assessment {
             finding: Finding::Silent,
-            bad,
-            good,
+            failures,
+            successes,
             is_provisional: true,
         })
     }
 
     /// Assesses the attempts that have ended.
     fn assess_ended(&self) -> Option<Assessment> {
-        let good = self.answered();
-        let bad = self.outcomes.len() - good;
+        let successes = self.count_answered();
+        let failures = self.outcomes.len() - successes;
         let assessment = |finding| Assessment {
             finding,
-            bad,
-            good,
+            failures,
+            successes,
             is_provisional: false,
         };
-        let latest = || self.outcomes.iter().rev().map(|(_, outcome)| *outcome);
-        let answers = latest()
+        let latest_first = || self.outcomes.iter().rev().map(|(_, outcome)| *outcome);
+        let answer_count = latest_first()
             .take_while(|outcome| *outcome == AttemptOutcome::Answered)
             .count();
-        if answers > 0 {
-            return (answers >= MIN_CONCURRING_OUTCOMES).then_some(assessment(Finding::Well));
+        if answer_count > 0 {
+            return (answer_count >= MIN_CONCURRING_OUTCOMES).then_some(assessment(Finding::Well));
         }
-        let failures = latest().take_while(|outcome| *outcome != AttemptOutcome::Answered);
-        let worst = failures.clone().max()?;
+        let latest_failures =
+            latest_first().take_while(|outcome| *outcome != AttemptOutcome::Answered);
+        let worst = latest_failures.clone().max()?;
         let needed = if worst == AttemptOutcome::AnsweredLate {
             MIN_LATE_ANSWERS
         } else {
             MIN_CONCURRING_OUTCOMES
         };
-        let is_enough = worst.is_conclusive() || failures.count() >= needed;
-        is_enough.then_some(assessment(worst.finding()))
+        let is_sufficient = worst.is_conclusive() || latest_failures.count() >= needed;
+        is_sufficient.then_some(assessment(worst.finding()))
     }
 
-    fn answered(&self) -> usize {
+    fn count_answered(&self) -> usize {
         self.outcomes
             .iter()
             .filter(|(_, outcome)| *outcome == AttemptOutcome::Answered)
             .count()
     }
 
-    /// Withdraws a provisional report whose attempts were answered, or have ended without an outcome.
+    /// The withdrawal of the last report, if that was provisional: its attempts were answered, or ended without an
+    /// outcome.
     fn withdrawal(&self) -> Option<Assessment> {
         let last = self.last_report.filter(|last| last.is_provisional)?;
-        let has_responded = self.last_response_at >= last.at;
+        let has_responded = self.last_response_at >= last.made_at;
         Some(Assessment {
             finding: Finding::Unclear,
-            bad: 0,
-            good: usize::from(has_responded),
+            failures: 0,
+            successes: usize::from(has_responded),
             is_provisional: false,
         })
     }
 
-    fn is_provisional(&self) -> bool {
+    fn has_provisional_report(&self) -> bool {
         self.last_report.is_some_and(|last| last.is_provisional)
     }
 
-    /// Whether a report is due: another finding than the last one, the same confirmed or now credible, or the same on fresh
-    /// evidence after a third of the time to live of a report. A report is as old as its evidence, so that none outlives it.
+    /// Whether a report has to be made: the finding differs from that of the last report, is now confirmed or now
+    /// credible, or there is new evidence after a third of a report's time to live. A report is as old as its evidence
+    /// and expires with it, so that a new report without new evidence would be of no use.
     fn is_due(&self, assessment: Assessment, is_credible: bool, now: Time, ttl: Time) -> bool {
         self.last_report.is_none_or(|last| {
-            let has_fresh_evidence =
-                now - last.at > ttl / RENEWALS_PER_TTL && self.last_evidence() > last.at;
+            let has_fresh_evidence = now - last.made_at > ttl / RENEWALS_PER_TTL
+                && self.last_evidence_at() > last.made_at;
             let is_confirmed = last.is_provisional && !assessment.is_provisional;
             let became_credible = is_credible && !last.is_credible;
             last.finding != assessment.finding
@@ -223,17 +228,17 @@
         })
     }
 
-    /// When the last evidence was recorded.
-    fn last_evidence(&self) -> Time {
+    /// The time of the latest evidence.
+    fn last_evidence_at(&self) -> Time {
         let ended = self.outcomes.back().map_or(f64::MIN, |(at, _)| *at);
-        if self.overdue > 0 {
-            ended.max(self.overdue_from)
+        if self.overdue_count > 0 {
+            ended.max(self.last_overdue_since)
         } else {
             ended
         }
     }
 
-    fn forget_old(&mut self, now: Time) {
+    fn drop_old_outcomes(&mut self, now: Time) {
         while self
             .outcomes
             .front()
@@ -244,7 +249,7 @@
     }
 }
 
-/// Observes the servers that this node sends requests to. See the module.
+/// Observes the servers that the local node sends requests to. See the [module](self).
 #[derive(Debug)]
 pub struct Observer {
     servers: BTreeMap<ServerInstance, Observations>,
@@ -254,7 +259,8 @@
 }
 
 impl Observer {
-    /// An observer in a zone, whose reports live for so long, in seconds, and are read by the rules of this quorum.
+    /// An observer in `zone`, whose reports have a time to live of `report_ttl` seconds. `quorum` determines which of
+    /// them are credible.
     pub fn new(zone: String, report_ttl: Time, quorum: Quorum) -> Observer {
         Observer {
             servers: BTreeMap::new(),
@@ -264,7 +270,7 @@
         }
     }
 
-    /// The observations of a server; `None` for a new server at the limit, which evicts no other.
+    /// The observations of a server; `None` for a new server if [`MAX_SERVERS`] are observed already.
     fn observations(&mut self, server: &ServerInstance) -> Option<&mut Observations> {
         if !self.servers.contains_key(server) {
             if self.servers.len() >= MAX_SERVERS {
@@ -275,7 +281,7 @@
         self.servers.get_mut(server)
     }
 
-    /// Records the outcome of an attempt.
+    /// Records the outcome of an attempt at a server.
     pub fn record_outcome(&mut self, now: Time, server: &ServerInstance, outcome: AttemptOutcome) {
         let Some(observations) = self.observations(server) else {
             return;
@@ -289,13 +295,14 @@
         observations.outcomes.push_back((now, outcome));
     }
 
-    /// Replaces the overdue attempts; returns whether there is new evidence among them.
+    /// Replaces the overdue attempts, and returns whether there is new evidence among them.
     ///
-    /// One that was sent before the server last answered tells nothing: the server is there, and serves others first.
+    /// An attempt that was sent before the last answer of its server is ignored: the server is responding, to other
+    /// requests first.
     pub fn set_overdue(&mut self, attempts: &[OverdueAttempt]) -> bool {
         self.servers
             .values_mut()
-            .for_each(|observations| observations.overdue = 0);
+            .for_each(|observations| observations.overdue_count = 0);
         let mut is_new = false;
         for OverdueAttempt {
             server,
@@ -309,22 +316,23 @@
             let Some(observations) = observations else {
                 continue;
             };
-            observations.overdue += 1;
-            is_new |= *overdue_since > observations.overdue_from;
-            observations.overdue_from = observations.overdue_from.max(*overdue_since);
+            observations.overdue_count += 1;
+            is_new |= *overdue_since > observations.last_overdue_since;
+            observations.last_overdue_since = observations.last_overdue_since.max(*overdue_since);
         }
         is_new
     }
 
-    /// Takes the reports that are due. `listed` is how many servers the node knows; `is_reported` says whether others report
-    /// a fault of a server, for only then it matters to them that it is healthy.
+    /// Returns the reports that have to be published, and counts them as made. `listed_servers` is the number of
+    /// servers in the endpoint lists; `is_reported` says whether others report a fault of a server, since a healthy
+    /// server is not worth a report otherwise.
     pub fn take_due_reports(
         &mut self,
         now: Time,
         listed_servers: usize,
         mut is_reported: impl FnMut(&ServerInstance) -> bool,
     ) -> Vec<DueReport> {
-        self.forget_old(now);
+        self.drop_old_servers(now);
         let (faulty, ttl) = (self.count_faulty(), self.report_ttl);
         let (faulty, listed_servers) = (saturate(faulty), saturate(listed_servers));
         let mut due = Vec::new();
@@ -333,7 +341,7 @@
             let Some(assessment) = assessment else {
                 continue;
             };
-            let matters = assessment.finding != Finding::Well
+            let is_relevant = assessment.finding != Finding::Well
                 || observations
                     .last_report
                     .is_some_and(|last| last.finding != Finding::Well)
@@ -341,33 +349,33 @@
             let is_credible = self
                 .quorum
                 .is_credible(assessment.finding, faulty, listed_servers);
-            if !observations.is_due(assessment, is_credible, now, ttl) || !matters {
+            if !observations.is_due(assessment, is_credible, now, ttl) || !is_relevant {
                 continue;
             }
             let Assessment {
                 finding,
-                bad,
-                good,
+                failures,
+                successes,
                 is_provisional,
             } = assessment;
             observations.last_report = Some(LastReport {
                 finding,
-                at: now,
+                made_at: now,
                 is_provisional,
                 is_credible,
             });
             let report = Report {
                 finding,
-                failures: saturate(bad),
-                successes: saturate(good),
+                failures: saturate(failures),
+                successes: saturate(successes),
                 zone: self.zone.clone(),
                 faulty_servers: faulty,
                 listed_servers,
             };
-            // As old as its evidence: reported late, it expires no later.
+            // The report is as old as its evidence, so that it expires no later if it is made late.
             let evidence_age = match finding {
                 Finding::Unclear => 0.0,
-                _ => (now - observations.last_evidence()).clamp(0.0, ttl),
+                _ => (now - observations.last_evidence_at()).clamp(0.0, ttl),
             };
             due.push(DueReport {
                 server: server.clone(),
@@ -378,12 +386,12 @@
         due
     }
 
-    fn forget_old(&mut self, now: Time) {
+    fn drop_old_servers(&mut self, now: Time) {
         self.servers.retain(|_, observations| {
-            observations.forget_old(now);
+            observations.drop_old_outcomes(now);
             !observations.outcomes.is_empty()
-                || observations.overdue > 0
-                || observations.is_provisional()
+                || observations.overdue_count > 0
+                || observations.has_provisional_report()
         });
     }
 
@@ -393,6 +401,6 @@
     }
 }
 
-fn saturate(n: usize) -> u16 {
-    u16::try_from(n).unwrap_or(u16::MAX)
+fn saturate(count: usize) -> u16 {
+    u16::try_from(count).unwrap_or(u16::MAX)
 }
--- a/crates/cluster/src/quorum.rs
+++ b/crates/cluster/src/quorum.rs
@@ -1,37 +1,38 @@
 //! The quorum of reports that ejects a server.
 //!
-//! | report | counts |
+//! | report | vote |
 //! | --- | --- |
-//! | the server failed, was silent or slow | for every reader: the server was reached |
-//! | the server was unreachable | for readers in the reporter's zone alone: it may be the path |
-//! | it was silent, and answered after all | not at all |
-//! | the server is healthy | against the others, as one vote; where it was unreachable, within the zone |
-//! | of a node that finds too many servers faulty | not at all: more likely the fault is that node's own |
-//! | of a node that is not a member, unless it is this one | not at all |
+//! | the server failed, was silent or slow | against the server, for every reader: the server was reached |
+//! | the server was unreachable | against the server, for readers in the reporter's zone only: the path may be at fault |
+//! | the server shed load | none |
+//! | the server was silent, and answered after all | none |
+//! | the server is healthy | for the server; where it was unreachable, for readers in the reporter's zone only |
+//! | any fault, from a node that finds too many servers faulty | none: the fault is more likely that node's own |
+//! | any, from a node that is not a member | none |
 //!
-//! A server is ejected when at least [`Quorum::min_reporters`] nodes report a fault, each with one vote, and more than report
-//! that it is healthy. Of a list no more than [`Quorum::max_ejected_fraction`] is ejected, the best proven first: where all
-//! nodes would eject all servers, something else is wrong.
+//! A server is ejected when at least [`Quorum::min_reporters`] nodes vote against it, and more than vote for it. At
+//! most [`Quorum::max_ejected_fraction`] of a list is ejected, the servers with the most evidence first: if all nodes
+//! find all servers faulty, the cause is something else.
 
 use crate::entry::{Finding, Report, ServerInstance};
 use std::collections::BTreeMap;
 
-/// A node with at most so many faulty servers is always counted.
-const ALWAYS_BELIEVED: usize = 2;
-/// More votes than so many times the quorum prove nothing more.
+/// The reports of a node that finds at most this many servers faulty are always credible.
+const ALWAYS_CREDIBLE: usize = 2;
+/// The margin of votes above which more votes make no difference, as a multiple of the quorum.
 const CONCLUSIVE_QUORUMS: usize = 2;
-/// Nodes that report a server as healthy, as a multiple of the quorum.
-const HEALTHY_REPORTERS: usize = 4;
+/// Number of nodes that report a server as healthy, as a multiple of the quorum.
+const HEALTHY_REPORTER_QUORUMS: usize = 4;
 
-/// The rules of the quorum. The fields are named after the settings.
+/// When reports eject a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quorum {
-    /// Number of nodes that have to report a fault.
+    /// Minimum number of nodes that report a fault of the server.
     pub min_reporters: usize,
-    /// Maximum fraction of the list that can be ejected; one server of a short list.
+    /// Maximum fraction of the list that can be ejected; one server can be ejected from a list of any length.
     pub max_ejected_fraction: f64,
-    /// The reports of a node that finds more than this fraction of its list faulty are ignored; two servers are always
-    /// believed.
+    /// The fault reports of a node that finds more than this fraction of its list faulty are ignored, unless these are
+    /// at most two servers.
     pub max_faulty_fraction: f64,
 }
 
@@ -46,31 +47,31 @@
 }
 
 impl Quorum {
-    /// Whether a finding of a node is believed that finds `faults` of `listed` servers faulty.
-    pub(crate) fn is_credible(&self, finding: Finding, faults: u16, listed: u16) -> bool {
+    /// Whether readers count a finding of a node that finds `faulty` of `listed` servers faulty.
+    pub(crate) fn is_credible(&self, finding: Finding, faulty: u16, listed: u16) -> bool {
         !finding.is_fault()
-            || usize::from(faults) <= ALWAYS_BELIEVED
-            || f64::from(faults) <= self.max_faulty_fraction * f64::from(listed)
+            || usize::from(faulty) <= ALWAYS_CREDIBLE
+            || f64::from(faulty) <= self.max_faulty_fraction * f64::from(listed)
     }
 }
 
-/// The votes on one server.
+/// The votes on one server, as they count for readers in one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Votes {
-    /// Nodes that it failed.
+    /// Number of nodes that report it as failing, silent or slow.
     pub failed: usize,
-    /// Nodes of the reader's zone that it was unreachable for.
+    /// Number of nodes in the reader's zone that can't reach it.
     pub unreachable: usize,
-    /// Nodes that it answers.
+    /// Number of nodes that report it as healthy.
     pub healthy: usize,
-    /// Of these, those of the reader's zone.
+    /// Number of nodes in the reader's zone that report it as healthy.
     pub healthy_in_zone: usize,
-    /// Reports that are ignored.
+    /// Number of reports that are not credible or not by a member.
     pub ignored: usize,
 }
 
 impl Votes {
-    /// Adds a report, as it counts for a reader in this zone.
+    /// Adds the vote of a report, as it counts for a reader in `zone`.
     pub fn add(&mut self, report: &Report, zone: &str, quorum: &Quorum) {
         if !quorum.is_credible(report.finding, report.faulty_servers, report.listed_servers) {
             self.ignored += 1;
@@ -88,7 +89,7 @@
         }
     }
 
-    /// By how many votes the server is ejected; `None` if it is not.
+    /// By how many votes the server is ejected; `None` if the votes don't eject it.
     pub fn ejection_margin(&self, quorum: &Quorum) -> Option<usize> {
         let margin =
             |bad: usize, ok: usize| (bad >= quorum.min_reporters && bad > ok).then(|| bad - ok);
@@ -96,35 +97,35 @@
     }
 }
 
-/// A server that has enough votes against it.
+/// A server with enough votes against it to be ejected.
 struct Candidate<'a> {
-    majority: usize,
+    margin: usize,
     server: &'a ServerInstance,
     votes: Votes,
 }
 
-/// The ejected servers, by the votes on each, of a list with `listed` servers.
+/// Selects the ejected servers of a list with `listed` servers, and returns them with the votes on each.
 pub fn select_ejected<'a>(
     votes: impl Iterator<Item = (&'a ServerInstance, Votes)>,
     listed: usize,
     quorum: &Quorum,
 ) -> BTreeMap<&'a ServerInstance, Votes> {
-    // Larger majorities count as equal: if more servers fail than may be ejected, each report would otherwise change
-    // which of them are, and requests would be sent to a failing server with each change.
+    // Larger margins count as equal: if more servers fail than may be ejected, each report would otherwise change which
+    // of them are ejected, and each change would send requests to a failing server.
     let conclusive = CONCLUSIVE_QUORUMS * quorum.min_reporters;
     let mut candidates: Vec<Candidate> = votes
         .filter_map(|(server, votes)| {
             Some(Candidate {
-                majority: votes.ejection_margin(quorum)?.min(conclusive),
+                margin: votes.ejection_margin(quorum)?.min(conclusive),
                 server,
                 votes,
             })
         })
         .collect();
-    // Of equal majorities the first by name, so that nodes with the same reports eject the same servers.
+    // Servers with equal margins are ordered by name, so that nodes with the same reports eject the same servers.
     candidates.sort_by(|first, second| {
-        let by_majority = second.majority.cmp(&first.majority);
-        by_majority.then_with(|| first.server.cmp(second.server))
+        let by_margin = second.margin.cmp(&first.margin);
+        by_margin.then_with(|| first.server.cmp(second.server))
     });
     candidates.truncate(((quorum.max_ejected_fraction * listed as f64) as usize).max(1));
     candidates
@@ -133,26 +134,26 @@
         .collect()
 }
 
-/// Whether a node is one of those that report that a nearly ejected server is healthy. They are a subset of the nodes,
-/// the same for the lifetime of the server, so that a large fleet is not flooded with reports.
+/// Whether a node is one of those that report that a server is healthy while it is close to being ejected. They are a
+/// subset of the nodes, the same for the lifetime of the server, so that a large fleet is not flooded with reports.
 pub fn is_healthy_reporter(
     server: &ServerInstance,
     node: &str,
     nodes: usize,
     min_reporters: usize,
 ) -> bool {
-    let rank = shared_random(0, server, node) % (nodes.max(1) as u64);
-    rank < (HEALTHY_REPORTERS * min_reporters) as u64
+    let rank = pseudorandom(0, server, node) % (nodes.max(1) as u64);
+    rank < (HEALTHY_REPORTER_QUORUMS * min_reporters) as u64
 }
 
-/// Whether a node checks the health of an ejected server in this interval of its own clock. Nodes have no common clock, so
-/// that each decides by itself, at random; on average one of them does in each interval.
+/// Whether a node probes an ejected server in this interval of its own clock. Nodes have no common clock, so each
+/// decides for itself, pseudorandomly; on average one of them probes in each interval.
 pub fn is_prober(server: &ServerInstance, interval: u64, node: &str, nodes: usize) -> bool {
-    shared_random(interval.wrapping_add(1), server, node).is_multiple_of(nodes.max(1) as u64)
+    pseudorandom(interval.wrapping_add(1), server, node).is_multiple_of(nodes.max(1) as u64)
 }
 
-/// A pseudorandom number that is the same on all nodes.
-fn shared_random(round: u64, server: &ServerInstance, node: &str) -> u64 {
+/// A pseudorandom number that every node computes alike for the same arguments.
+fn pseudorandom(round: u64, server: &ServerInstance, node: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher
         .update(&round.to_le_bytes())
--- a/crates/cluster/src/table.rs
+++ b/crates/cluster/src/table.rs
@@ -1,14 +1,14 @@
-//! The table of entries that a node holds: a map that is replicated by gossip and anti-entropy.
+//! A node's table of entries: a map that is replicated by gossip and anti-entropy.
 //!
-//! | state of an entry | owner | ends |
-//! | --- | --- | --- |
-//! | pending: not yet sent to enough others | [`Table`] | when it was sent so often, or replaced, or expired |
-//! | stored | [`Table`] | replaced by one of a greater precedence, or expired |
-//! | expired | nobody | at once |
+//! | state of an entry | ends |
+//! | --- | --- |
+//! | pending: still has to be sent to others | when it has been sent often enough, was replaced or has expired |
+//! | stored | when an entry with a greater precedence replaces it, or it expires |
+//! | expired: removed, but its key is kept | when [`Table::take_expired`] returns the key |
 //!
-//! An age is never less than the true one: it comes with the entry, grows by the time that the entry may have been in
-//! transit and by this node's own clock, which is assumed to run as slow as [`DRIFT`] allows. So whoever holds an entry
-//! drops it no later than its creator meant.
+//! The computed age of an entry is never less than the true one: it starts with the age in the datagram, plus the
+//! longest time for which the datagram may have been in transit, and grows by this node's clock, which is assumed to
+//! run as slow as [`DRIFT`] allows. So every node drops an entry no later than its creator intended.
 
 mod queues;
 
@@ -18,52 +18,51 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Maximum number of entries.
+/// Maximum number of entries in a table.
 pub const MAX_ENTRIES: usize = 8192;
-/// Maximum number of reports of one node; a node that finds more servers faulty reports nothing useful.
+/// Maximum number of reports of one node in a table. If a node finds more servers faulty, its reports are of no use.
 pub const MAX_REPORTS_PER_NODE: usize = 256;
-/// Number of partitions in which tables are compared.
+/// Number of partitions of a table; anti-entropy compares a digest of each.
 pub const PARTITIONS: usize = 32;
-/// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1000;
 
-/// The outcome of merging an entry.
+/// What merging an entry has done to the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// It was added, or replaces another one.
+    /// The entry was added, or has replaced another one.
     Updated,
-    /// It was known, or a newer one is.
+    /// The table contains the same entry, or one that takes precedence.
     Unchanged,
-    /// It has expired.
+    /// The entry was not added, since it has expired.
     Expired,
-    /// The table is full, or the entry is invalid.
+    /// The entry was not added, since the table is full or the entry is invalid.
     Rejected,
 }
 
-/// An entry in the table.
+/// An entry in the table, without its key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredEntry {
-    /// Its version.
+    /// See [`Entry::version`].
     pub version: Version,
-    /// Its value.
+    /// See [`Entry::value`].
     pub value: Value,
-    /// Its time to live from its creation, in milliseconds.
+    /// Time to live from the creation of the entry, in milliseconds.
     pub ttl_ms: u32,
-    /// An upper bound of its age when it was received, in seconds.
+    /// An upper bound of the entry's age when it was received, in seconds.
     received_age: Time,
     received_at: Time,
-    /// How often it has been sent to others.
+    /// How often the entry has been sent to others.
     transmissions: u32,
     digest: u64,
 }
 
 impl StoredEntry {
-    /// An upper bound of its age, in seconds.
+    /// An upper bound of the entry's age, in seconds.
     pub fn age(&self, now: Time) -> Time {
         self.received_age + (now - self.received_at).max(0.0) / (1.0 - DRIFT)
     }
 
-    /// Its remaining time to live, in seconds.
+    /// A lower bound of the remaining time to live, in seconds; not positive once the entry has expired.
     pub fn remaining_ttl(&self, now: Time) -> Time {
         f64::from(self.ttl_ms) / MILLIS_PER_SECOND - self.age(now)
     }
@@ -88,7 +87,7 @@
         Precedence::new(self.version, &self.value, self.ttl_ms)
     }
 
-    /// When it expires, in whole microseconds, rounded up.
+    /// When the entry expires, in microseconds of this node's clock, rounded up.
     fn expires_at_us(&self) -> u64 {
         let ttl = f64::from(self.ttl_ms) / MILLIS_PER_SECOND;
         let expires_at = self.received_at + (ttl - self.received_age) * (1.0 - DRIFT);
@@ -110,31 +109,31 @@
     }
 }
 
-/// The table of entries that a node holds.
+/// A node's table of entries. See the [module](self).
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     entries: BTreeMap<Key, StoredEntry>,
-    /// Entries that have to be sent to others, the least often sent first.
+    /// Entries that still have to be sent to others, the least often sent first.
     pending: BTreeSet<PendingEntry>,
-    /// When entries expire, the first first.
+    /// The expiry of each entry, the earliest first.
     expiries: BTreeSet<Expiry>,
     /// Number of reports by reporting node.
-    reports: BTreeMap<String, usize>,
-    /// Expired entries that have not been taken.
+    report_counts: BTreeMap<String, usize>,
+    /// Keys of expired entries that have not been taken.
     expired: Vec<Key>,
     digests: [u64; PARTITIONS],
 }
 
-/// Distinguishes two entries in a comparison of tables, by all but their age.
+/// The digest of an entry, over everything but its age.
 fn digest(entry: &Entry) -> u64 {
-    // Plain values in memory can always be encoded.
+    // Encoding can't fail: these are plain values, written to memory.
     let fields = (&entry.key, entry.version, &entry.value, entry.ttl_ms);
     let bytes = postcard::to_stdvec(&fields).unwrap_or_default();
     let hash = blake3::hash(&bytes);
     u64::from_le_bytes(hash.as_bytes().first_chunk().copied().unwrap_or_default())
 }
 
-fn partition(key: &Key) -> usize {
+fn partition_of(key: &Key) -> usize {
     let bytes = postcard::to_stdvec(key).unwrap_or_default();
     usize::from(
         blake3::hash(&bytes)
@@ -146,7 +145,7 @@
 }
 
 impl Table {
-    /// Merges an entry whose age is the one at its reception.
+    /// Merges a received entry, whose age is an upper bound at this time.
     pub fn merge(&mut self, now: Time, entry: Entry) -> MergeOutcome {
         if !entry.is_valid() {
             return MergeOutcome::Rejected;
@@ -172,7 +171,7 @@
         MergeOutcome::Updated
     }
 
-    /// Lowers the bound of an entry's age, since the entry was received by a faster path as well.
+    /// Lowers the bound of a stored entry's age if the same entry was received with a lower one, over a faster path.
     fn reduce_age(&mut self, now: Time, entry: &Entry) {
         let Some(stored) = self.entries.get(&entry.key) else {
             return;
@@ -186,12 +185,12 @@
         }
     }
 
-    /// Makes sure that there is capacity for a new entry, and returns whether there is. A report is evicted for a manual
-    /// entry.
+    /// Returns whether there is capacity for a new entry. If the table is full, an entry that stems from an operator
+    /// evicts the report that expires first.
     fn ensure_capacity(&mut self, entry: &Entry) -> bool {
         if let Key::Report { reporter, .. } = &entry.key {
             if self
-                .reports
+                .report_counts
                 .get(reporter)
                 .is_some_and(|n| *n >= MAX_REPORTS_PER_NODE)
             {
@@ -235,9 +234,9 @@
             digest,
         };
         if let Key::Report { reporter, .. } = &key {
-            *self.reports.entry(reporter.clone()).or_default() += 1;
+            *self.report_counts.entry(reporter.clone()).or_default() += 1;
         }
-        self.digests[partition(&key)] ^= stored.digest;
+        self.digests[partition_of(&key)] ^= stored.digest;
         self.expiries.insert(stored.expiry(&key));
         self.pending.insert(stored.pending(&key));
         self.entries.insert(key, stored);
@@ -248,28 +247,28 @@
             return;
         };
         if let Key::Report { reporter, .. } = key {
-            self.forget_report(reporter);
+            self.uncount_report(reporter);
         }
-        self.digests[partition(key)] ^= stored.digest;
+        self.digests[partition_of(key)] ^= stored.digest;
         self.expiries.remove(&stored.expiry(key));
         self.pending.remove(&stored.pending(key));
     }
 
-    fn forget_report(&mut self, reporter: &str) {
-        if let Some(n) = self.reports.get_mut(reporter) {
-            *n -= 1;
-            if *n == 0 {
-                self.reports.remove(reporter);
+    fn uncount_report(&mut self, reporter: &str) {
+        if let Some(count) = self.report_counts.get_mut(reporter) {
+            *count -= 1;
+            if *count == 0 {
+                self.report_counts.remove(reporter);
             }
         }
     }
 
-    /// Drops the expired entries. Their keys are stored until they are taken, so that no expiry goes unreported, whichever
-    /// call notices it.
+    /// Removes the expired entries. Their keys are kept until [`Table::take_expired`] is called, so that every expiry
+    /// is reported, whichever call detects it.
     pub fn expire(&mut self, now: Time) {
         let now_us = (now * MICROS_PER_SECOND) as u64;
-        let is_over = |expiry: &Expiry| expiry.at_us <= now_us;
-        while self.expiries.first().is_some_and(is_over) {
+        let has_expired = |expiry: &Expiry| expiry.at_us <= now_us;
+        while self.expiries.first().is_some_and(has_expired) {
             let Some(Expiry { key, .. }) = self.expiries.pop_first() else {
                 break;
             };
@@ -283,21 +282,21 @@
         std::mem::take(&mut self.expired)
     }
 
-    /// When the next entry expires.
+    /// When the next entry expires; `None` for an empty table.
     pub fn next_expiry(&self) -> Option<Time> {
         self.expiries
             .first()
             .map(|expiry| expiry.at_us as f64 / MICROS_PER_SECOND)
     }
 
-    /// The live entries.
+    /// The entries that have not expired, in the order of their keys.
     pub fn live(&self, now: Time) -> impl Iterator<Item = (&Key, &StoredEntry)> {
         self.entries
             .iter()
             .filter(move |(_, stored)| stored.is_live(now))
     }
 
-    /// The live entries from this key on.
+    /// The entries that have not expired, from this key on.
     pub fn live_from<'a>(
         &'a self,
         from: &Key,
@@ -308,30 +307,31 @@
             .filter(move |(_, stored)| stored.is_live(now))
     }
 
-    /// The entry of a key, if it is live.
+    /// The entry with this key, unless it has expired.
     pub fn get(&self, key: &Key, now: Time) -> Option<&StoredEntry> {
         self.entries.get(key).filter(|stored| stored.is_live(now))
     }
 
-    /// Number of entries.
+    /// Number of stored entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are no entries.
+    /// Whether no entries are stored.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Whether an entry has been sent less often than this.
+    /// Whether any entry has been sent fewer than `max_transmissions` times.
     pub fn has_pending(&self, max_transmissions: u32) -> bool {
         self.pending
             .first()
             .is_some_and(|pending| pending.transmissions < max_transmissions)
     }
 
-    /// Offers the pending entries to a datagram, the least often sent first. `add` returns whether one fits; it counts as
-    /// sent then.
+    /// Offers the entries that were sent fewer than `max_transmissions` times to a datagram, the least often sent
+    /// first. `add` returns whether the entry fits, and the entry counts as sent if it does; the first one that does
+    /// not ends the call.
     pub fn offer_pending(
         &mut self,
         now: Time,
@@ -369,19 +369,21 @@
         }
     }
 
-    /// The digest of each partition. Partitions with equal digests hold the same entries, up to hash collisions.
+    /// The digest of each partition. Partitions with equal digests contain the same entries, except for hash
+    /// collisions.
     pub fn digests(&self) -> [u64; PARTITIONS] {
         self.digests
     }
 
-    /// The entries of the partitions in which another table has other digests; those that live longest come first.
+    /// The entries of the partitions whose digests differ from those of another table, sorted by descending remaining
+    /// time to live.
     pub fn entries_of_differing_partitions(
         &self,
         now: Time,
         digests: &[u64; PARTITIONS],
     ) -> Vec<Entry> {
         let differs = |key: &Key| {
-            let partition = partition(key);
+            let partition = partition_of(key);
             self.digests[partition] != digests[partition]
         };
         let live = self.live(now).filter(|(key, _)| differs(key));
--- a/crates/cluster/src/wire.rs
+++ b/crates/cluster/src/wire.rs
@@ -1,15 +1,16 @@
 //! Datagrams between the nodes of a fleet.
 //!
 //! ```text
-//! "rF" | version | first 16 bytes of a keyed BLAKE3 of what follows | header (postcard) | entries (postcard), to the end
-//! "rL" | version | first 16 bytes of a keyed BLAKE3 of what follows | application message (postcard)
+//! "rF" | version | first 16 bytes of a keyed BLAKE3 of what follows | header (postcard) | entries (postcard), to the
+//! end "rL" | version | first 16 bytes of a keyed BLAKE3 of what follows | application message (postcard)
 //! ```
 //!
-//! The key is derived from the fleet's key file and its name, so that datagrams under another key, of another fleet's name
-//! or of another version are dropped. Nothing is encrypted: a datagram tells whoever sees it which servers are faulty.
+//! The key is derived from the fleet's key file and name, so that datagrams with another key, from a fleet of another
+//! name or of another version are dropped. Datagrams are not encrypted: anyone who can read one learns which servers
+//! are faulty.
 //!
 //! Sources: BLAKE3's keyed hash and `derive_key` (the BLAKE3 paper, sections 2.3 and 6.2); RFC 8085, section 3.2, for
-//! the bound.
+//! the maximum length.
 
 use crate::entry::Entry;
 use crate::freshness::ClockEcho;
@@ -18,33 +19,33 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Maximum length of a datagram, in bytes: one that no path has to fragment.
+/// Maximum length of a datagram, in bytes: short enough that no path fragments it.
 pub const MAX_DATAGRAM_LEN: usize = 1200;
-/// Maximum length of the membership protocol's part of it.
+/// Maximum length of the membership protocol's part of a datagram, in bytes.
 pub const MAX_SWIM_LEN: usize = 700;
 /// Minimum length of a key file, in bytes.
 pub const MIN_KEY_FILE_LEN: usize = 16;
-/// Number of partitions in which memberships are compared.
+/// Number of partitions of the membership; anti-entropy compares a digest of each.
 pub const MEMBER_PARTITIONS: usize = 8;
 
 const GOSSIP_MAGIC: [u8; 2] = *b"rF";
 const MESSAGE_MAGIC: [u8; 2] = *b"rL";
 const VERSION: u8 = 2;
 const MAC_LEN: usize = 16;
-/// What precedes the body: magic, version and MAC.
+/// Length of what precedes the body: magic, version and MAC.
 const PREFIX_LEN: usize = GOSSIP_MAGIC.len() + 1 + MAC_LEN;
 /// Maximum length of the encoded number of member updates, in bytes.
 const MAX_COUNT_LEN: usize = 2;
 
-/// A key file is too short to be secret.
+/// The key file is too short to be secret.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the key has {len} bytes, {MIN_KEY_FILE_LEN} at least")]
+#[error("the key has {len} bytes, at least {MIN_KEY_FILE_LEN} are required")]
 pub struct KeyTooShort {
-    /// Its length, in bytes.
+    /// The length of the key file, in bytes.
     pub len: usize,
 }
 
-/// The fleet's key.
+/// The key with which the fleet's datagrams are authenticated.
 #[derive(Clone)]
 pub struct Secret([u8; 32]);
 
@@ -52,13 +53,13 @@
     /// Derives the key from the bytes of the key file and the fleet's name.
     ///
     /// # Errors
-    /// If the key file is too short.
+    /// The key file is shorter than [`MIN_KEY_FILE_LEN`].
     pub fn new(file: &[u8], fleet: &str) -> Result<Secret, KeyTooShort> {
         if file.len() < MIN_KEY_FILE_LEN {
             return Err(KeyTooShort { len: file.len() });
         }
         let mut hasher = blake3::Hasher::new_derive_key("reelfall fleet datagrams, version 1");
-        // The length separates the name from the key: no two pairs of them have the same concatenation.
+        // The length prefix makes the concatenation of name and key unambiguous.
         hasher
             .update(&(fleet.len() as u64).to_le_bytes())
             .update(fleet.as_bytes())
@@ -71,73 +72,74 @@
     }
 }
 
-/// An anti-entropy exchange: a comparison of the digests of two nodes.
+/// A message of an anti-entropy exchange, in which two nodes compare their digests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AntiEntropy {
-    /// The writer's digests; asks for what differs, and for the reader's digests.
+    /// The sender's digests. Requests the entries and members that differ, and the receiver's digests.
     Request(Digests),
-    /// The writer's digests, in response.
+    /// The sender's digests in response to a request. Requests the entries and members that differ.
     Response(Digests),
 }
 
 /// The digests that two nodes compare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digests {
-    /// Of the partitions of the table.
+    /// A digest of each partition of the table.
     pub entries: [u64; PARTITIONS],
-    /// Of the partitions of the membership.
+    /// A digest of each partition of the membership.
     pub members: [u32; MEMBER_PARTITIONS],
 }
 
-/// The state of a member, as the writer knows it.
+/// The state of a member in the membership protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It is alive.
+    /// The member answers probes.
     Alive,
-    /// It is suspected to be dead.
+    /// A probe failed; the member is declared dead unless it refutes the suspicion in time.
     Suspected,
-    /// It is dead.
+    /// The member has left or was declared dead.
     Dead,
 }
 
-/// What the writer knows of a member.
+/// What the sender of a datagram knows of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// The member.
+    /// The member that the update is about.
     pub node: Node,
-    /// The latest incarnation in the sense of the membership protocol, which a node increments to refute a suspicion.
+    /// The member's latest incarnation in the SWIM protocol, which it increments in order to refute a suspicion. It is
+    /// independent of [`Node::incarnation`].
     pub swim_incarnation: u16,
-    /// Its state in that.
+    /// The member's state in that SWIM incarnation.
     pub state: MemberState,
 }
 
-/// What a datagram contains beside its entries.
+/// What a datagram contains besides its entries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Header {
-    /// The writer.
+    /// The sender.
     pub from: Node,
-    /// The tag of the receiving process; 0 where that is not known.
+    /// The tag of the receiving process; 0 if the sender does not know it.
     pub to_tag: u64,
-    /// Counted by the writer.
+    /// Number of the datagram, which increases with each datagram of the sender.
     pub sequence: u64,
-    /// The writer's clock, in microseconds.
+    /// The sender's clock, in microseconds.
     pub clock_us: u64,
-    /// The last value of the clock of `to` that the writer has received.
+    /// The last value of the receiver's clock that the sender has received.
     pub echo: Option<ClockEcho>,
-    /// The writer has entries to send that need a proof of their age: any answer gives it an echo.
+    /// Whether the sender needs the receiver's clock, which any response contains, before it can send entries.
     pub requests_echo: bool,
-    /// The greatest incarnation of the reader's name that the writer knows, if the reader used a smaller one.
+    /// The greatest incarnation of the receiver's name that the sender knows, if the receiver has used a smaller one.
     pub newer_incarnation: Option<Incarnation>,
-    /// The membership protocol's part.
+    /// A message of the membership protocol; empty for none.
     pub swim: Vec<u8>,
-    /// An anti-entropy exchange.
+    /// A message of an anti-entropy exchange.
     pub anti_entropy: Option<AntiEntropy>,
-    /// Members that the reader may not know.
+    /// Members that the receiver may not know.
     pub members: Vec<MemberUpdate>,
 }
 
 impl Header {
-    /// Moves members from the end of a list into the datagram, as many as fit.
+    /// Moves as many updates as fit from the end of `updates` into the header.
     pub fn add_members(&mut self, updates: &mut Vec<MemberUpdate>) {
         let encoded_len = |header: &Header| {
             postcard::to_stdvec(header).map_or(MAX_DATAGRAM_LEN, |bytes| bytes.len())
@@ -161,35 +163,35 @@
     /// It exceeds [`MAX_DATAGRAM_LEN`].
     #[error("too long")]
     TooLong,
-    /// It is of another kind or version.
+    /// It has another magic or version.
     #[error("of another kind or version")]
     Foreign,
-    /// It was not written with this key, or was changed in transit.
+    /// It was written with another key, or was changed in transit.
     #[error("not under this fleet's key")]
     Unauthenticated,
-    /// It is authenticated and can't be decoded.
+    /// It is authentic, but can't be decoded.
     #[error("unreadable")]
     Malformed,
-    /// It was received before.
+    /// It was received before, or is too far behind the latest datagram of its sender to tell.
     #[error("repeated")]
     Duplicate,
-    /// This node wrote it.
+    /// The local node has sent it.
     #[error("this node's own")]
     Own,
-    /// It is for another process of this name.
+    /// It is addressed to the incarnation of another process.
     #[error("for another process")]
     Misdirected,
 }
 
-/// A datagram under construction.
+/// Builds a datagram of at most [`MAX_DATAGRAM_LEN`] bytes.
 pub struct DatagramWriter {
     bytes: Vec<u8>,
-    /// Number of entries in it.
+    /// Number of entries that have been added.
     pub entry_count: usize,
 }
 
 impl DatagramWriter {
-    /// A datagram with this header; `None` if it does not fit.
+    /// Begins a datagram with this header; `None` if the header does not fit.
     pub fn new(header: &Header) -> Option<DatagramWriter> {
         DatagramWriter::with_body(GOSSIP_MAGIC, header)
     }
@@ -205,20 +207,20 @@
         })
     }
 
-    /// Adds an entry; returns whether it fits.
+    /// Adds an entry if it fits, and returns whether it does.
     pub fn add(&mut self, entry: &Entry) -> bool {
-        let Ok(more) = postcard::to_stdvec(entry) else {
+        let Ok(encoded) = postcard::to_stdvec(entry) else {
             return false;
         };
-        let fits = self.bytes.len() + more.len() <= MAX_DATAGRAM_LEN;
+        let fits = self.bytes.len() + encoded.len() <= MAX_DATAGRAM_LEN;
         if fits {
-            self.bytes.extend_from_slice(&more);
+            self.bytes.extend_from_slice(&encoded);
             self.entry_count += 1;
         }
         fits
     }
 
-    /// The authenticated datagram.
+    /// Writes the MAC and returns the datagram.
     pub fn seal(mut self, secret: &Secret) -> Vec<u8> {
         let mac = secret.mac(&self.bytes[PREFIX_LEN..]);
         self.bytes[3..PREFIX_LEN].copy_from_slice(&mac.as_bytes()[..MAC_LEN]);
@@ -229,9 +231,9 @@
 /// A received datagram with entries and membership updates.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GossipDatagram {
-    /// Its sender, receiver and membership updates.
+    /// Sender, receiver and membership updates.
     pub header: Header,
-    /// Its entries.
+    /// Entries to merge into the table, with the ages that they had when they were sent.
     pub entries: Vec<Entry>,
 }
 
@@ -239,7 +241,7 @@
     /// Authenticates and decodes a datagram.
     ///
     /// # Errors
-    /// Why it is dropped. Nothing of it is decoded before it is authenticated.
+    /// The reason for which the datagram is dropped. It is authenticated before anything of it is decoded.
     pub fn open(secret: &Secret, datagram: &[u8]) -> Result<GossipDatagram, DropReason> {
         let body = authenticate(secret, datagram, GOSSIP_MAGIC)?;
         let (header, mut rest): (Header, &[u8]) =
@@ -252,10 +254,10 @@
         }
         let mut entries = Vec::new();
         while !rest.is_empty() {
-            let (entry, more) =
+            let (entry, next) =
                 postcard::take_from_bytes(rest).map_err(|_| DropReason::Malformed)?;
             entries.push(entry);
-            rest = more;
+            rest = next;
         }
         Ok(GossipDatagram { header, entries })
     }
@@ -265,7 +267,7 @@
     !node.name.is_empty() && node.name.len() <= MAX_NAME_LEN
 }
 
-/// The body of a datagram, once it is known to be written with the key.
+/// Checks length, magic, version and MAC of a datagram, and returns its body.
 fn authenticate<'a>(
     secret: &Secret,
     datagram: &'a [u8],
@@ -284,7 +286,7 @@
     let mac = secret.mac(body);
     received[..MAC_LEN].copy_from_slice(&prefix[3..]);
     received[MAC_LEN..].copy_from_slice(&mac.as_bytes()[MAC_LEN..]);
-    // Compared in constant time, so that a forger learns nothing from how long it takes.
+    // `blake3::Hash` compares in constant time, so that an attacker learns nothing from the duration.
     if mac != received {
         return Err(DropReason::Unauthenticated);
     }
@@ -292,24 +294,24 @@
 }
 
 /// A message of an application that shares the fleet's socket, such as leases. It may be lost, duplicated, delayed or
-/// reordered, and the application has to bear that.
+/// reordered, which the application has to handle.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AppMessage {
-    /// The writer.
+    /// The sender.
     pub from: Node,
     /// The tag of the receiving process.
     pub to_tag: u64,
-    /// The application's part.
+    /// The message, as encoded by the application.
     pub body: Vec<u8>,
 }
 
 impl AppMessage {
-    /// Whether a datagram may be one.
+    /// Whether a datagram has the magic of application messages.
     pub fn matches(datagram: &[u8]) -> bool {
         datagram.starts_with(&MESSAGE_MAGIC)
     }
 
-    /// The authenticated datagram; `None` if it would be too long.
+    /// Encodes the message as an authenticated datagram; `None` if it would be too long.
     pub fn seal(&self, secret: &Secret) -> Option<Vec<u8>> {
         DatagramWriter::with_body(MESSAGE_MAGIC, self).map(|writer| writer.seal(secret))
     }
@@ -317,7 +319,7 @@
     /// Authenticates and decodes a datagram.
     ///
     /// # Errors
-    /// Why it is dropped. Nothing of it is decoded before it is authenticated.
+    /// The reason for which the datagram is dropped. It is authenticated before anything of it is decoded.
     pub fn open(secret: &Secret, datagram: &[u8]) -> Result<AppMessage, DropReason> {
         let body = authenticate(secret, datagram, MESSAGE_MAGIC)?;
         let message: AppMessage = postcard::from_bytes(body).map_err(|_| DropReason::Malformed)?;
