--- a/crates/cluster/src/observer.rs
+++ b/crates/cluster/src/observer.rs
@@ -141,9 +141,9 @@
 impl Observations {
     /// Assesses the attempts that have ended and those that are overdue; `None` if the evidence is not sufficient.
     ///
-    /// Only the latest consecutive successes, or failures, determine the finding. A node sends a request to a server
-    /// that has failed once in several seconds at most, so a single conclusive failure has to be sufficient; nodes that
-    /// the server answers report so themselves.
+    /// Of the ended attempts, only the latest consecutive successes or failures determine the finding. A node sends at
+    /// most one request in several seconds to a server that has failed it, so a single conclusive failure has to be
+    /// sufficient; other nodes, which the server answers, report that it is healthy.
     fn assess(&self) -> Option<Assessment> {
         let ended = self.assess_ended();
         if self.overdue_count == 0 || ended.is_some_and(|a| a.finding >= Finding::Silent) {
--- a/crates/cluster/tests/explore/ban.rs
+++ b/crates/cluster/tests/explore/ban.rs
@@ -1,11 +1,11 @@
-//! The versions of a ban, as datagrams contain them.
+//! The versions of a ban in the model, and the entries that represent them.
 
 use reelfall_cluster::entry::{BanId, Entry, Key, Value, Version};
 use reelfall_cluster::node::Incarnation;
 
 /// The TTL of a ban, in seconds.
 pub const BAN_TTL: u8 = 2;
-/// The TTL of a lift, which is far longer than that of any ban.
+/// The TTL of a lift, which outlives every ban, in milliseconds.
 pub const LIFT_TTL_MS: u32 = 600_000;
 pub const MICROSECONDS_PER_SECOND: u64 = 1_000_000;
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// A ban as a datagram contains it.
+/// A version of a ban in a datagram, with the age that it had when it was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SentBan {
     pub ban: BanVersion,
--- a/crates/cluster/tests/explore/main.rs
+++ b/crates/cluster/tests/explore/main.rs
@@ -1,5 +1,6 @@
-//! Model checking of bans in a cluster of three nodes: datagrams are sent, delayed, duplicated and lost in every order, and
-//! a node restarts without its state. Merging, ages and proofs of freshness are those of the product's code.
+//! Model checking of bans in a cluster of three nodes: datagrams are sent, delayed, duplicated and lost in every order,
+//! and a node restarts without its state. Merging, aging and the bounds of transit times are computed by the crate's
+//! own code.
 
 mod ban;
 mod node;
@@ -9,10 +10,10 @@
 use state::{Datagram, State, BAN, BANNING_NODE, LIFTING_NODE};
 use stateright::{Checker, Model, Property};
 
-/// The last time of the exploration, in seconds.
+/// The time at which the exploration ends, in seconds.
 const END: u8 = 3;
 const MAX_IN_FLIGHT: usize = 1;
-/// The number of steps up to which all orders are explored.
+/// Number of steps up to which all orders of events are explored.
 const MAX_DEPTH: usize = 10;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -35,7 +36,7 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        // Each node has received a datagram from each other.
+        // Each node has received a datagram from each other node.
         let contact = Contact {
             sent_at: 0,
             received_at: 0,
@@ -71,7 +72,7 @@
         }
         for from in 0..NODES {
             for to in (0..NODES).filter(|to| *to != from) {
-                // An empty datagram is sent too: it carries the clock.
+                // A datagram without bans is sent too, since it contains the sender's clock.
                 let is_same = |datagram: &Datagram| {
                     datagram.from == from && datagram.to == to && datagram.sent_at == state.now
                 };
@@ -88,7 +89,8 @@
             ]);
         }
         if !state.has_restarted {
-            // The banning node restarts as another incarnation, which does not own these entries.
+            // The banning node does not restart here: it would be another incarnation, which does not own these
+            // entries.
             steps.extend([Step::Restart { node: 1 }, Step::Restart { node: 2 }]);
         }
     }
--- a/crates/cluster/tests/explore/node.rs
+++ b/crates/cluster/tests/explore/node.rs
@@ -1,18 +1,18 @@
-//! A node of the model: what it stores, with the table of the product's code.
+//! A node of the model. Its bans are merged by the crate's own table.
 
 use crate::ban::{microseconds, BanVersion, SentBan};
 use reelfall_cluster::entry::Entry;
 use reelfall_cluster::table::{Table, PARTITIONS};
 
 pub const NODES: usize = 3;
-/// Digests that differ from those of every table.
+/// Digests of which none equals that of any table in the model.
 pub const NO_DIGESTS: [u64; PARTITIONS] = [u64::MAX; PARTITIONS];
 
-/// A ban as a node stores it.
+/// A version of a ban in the table of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct StoredBan {
     pub ban: BanVersion,
-    /// Its age when it was received.
+    /// The age that the ban had when it was received.
     pub received_age_us: u64,
     pub received_at: u8,
 }
@@ -26,7 +26,7 @@
 /// The last datagram that a node received from another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Contact {
-    /// The sender's clock.
+    /// When the datagram was sent, by the sender's clock.
     pub sent_at: u8,
     pub received_at: u8,
 }
@@ -49,13 +49,13 @@
         table
     }
 
-    /// The entries that the node sends to one whose table differs entirely.
+    /// The entries that the node sends to one whose table differs in all partitions.
     pub fn entries(&self, now: u8) -> Vec<Entry> {
         self.table()
             .entries_of_differing_partitions(f64::from(now), &NO_DIGESTS)
     }
 
-    /// Merges a ban by the table's own rules.
+    /// Merges a received ban with the table.
     pub fn merge(&mut self, now: u8, received: SentBan) {
         let mut table = self.table();
         table.merge(f64::from(now), received.ban.to_entry(received.age_us));
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Of the stored and the received copy of `ban`, the one of the lower age, which arrived faster.
+    /// The one of the stored and the received copy of `ban` that has the lower age, since it arrived over a faster
+    /// path.
     fn youngest(&self, ban: BanVersion, received: StoredBan, now: u8) -> Option<StoredBan> {
         let stored = self.bans.iter().find(|stored| stored.ban == ban).copied();
         let received = Some(received).filter(|received| received.ban == ban);
@@ -85,7 +86,7 @@
         }
     }
 
-    /// The bans in force.
+    /// The bans that the node applies.
     pub fn active_bans(&self, now: u8) -> Vec<BanVersion> {
         let mut bans = live_bans(&self.table(), now);
         bans.retain(|ban| !ban.is_lifted);
@@ -99,7 +100,7 @@
     }
 }
 
-/// The live bans and lifts of a table.
+/// The bans and lifts in a table that have not expired.
 pub fn live_bans(table: &Table, now: u8) -> Vec<BanVersion> {
     table
         .live(f64::from(now))
--- a/crates/cluster/tests/explore/state.rs
+++ b/crates/cluster/tests/explore/state.rs
@@ -1,4 +1,4 @@
-//! A state of the model: the nodes, the datagrams in flight, and what has happened to the ban.
+//! A state of the model: the nodes, the datagrams in flight, and the history of the ban.
 
 use crate::ban::{microseconds, BanVersion, SentBan, BAN_TTL, MICROSECONDS_PER_SECOND};
 use crate::node::{live_bans, Contact, Node, NODES};
@@ -22,7 +22,7 @@
     pub bans: Vec<SentBan>,
 }
 
-/// A version of the ban, and when the banning node sent it first.
+/// A version of the ban, and when the banning node created it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Announcement {
     pub number: u32,
@@ -50,7 +50,7 @@
 }
 
 impl State {
-    /// The banning node bans the server, or renews the ban.
+    /// Makes the banning node ban the server, or renew its ban.
     pub fn announce_ban(&mut self) {
         let earlier = self.announcements.iter();
         let version = earlier.filter(|earlier| earlier.number == BAN).count() as u64 + 1;
@@ -70,7 +70,7 @@
     pub fn lift_ban(&mut self) {
         self.lifts += 1;
         let node = &mut self.nodes[LIFTING_NODE];
-        // The version of the lift is not above what the banning node can announce meanwhile.
+        // The lift has the version of the ban, so that the banning node can meanwhile announce a greater one.
         let ban = BanVersion {
             is_lifted: true,
             ..node.active_bans(self.now)[0]
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Whether every ban in force was announced at most [`BAN_TTL`] ago.
+    /// Whether every ban that a node applies was announced at most [`BAN_TTL`] seconds ago.
     pub fn active_bans_are_in_time(&self) -> bool {
         let mut active = self
             .nodes
--- a/crates/cluster/tests/fleet/main.rs
+++ b/crates/cluster/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! Clusters in virtual time: bans, membership, verdicts on servers, datagrams, and random schedules.
+//! Tests of emulated clusters in virtual time: bans, membership, verdicts on servers, datagrams and random schedules.
 
 mod bans;
 mod datagrams;
--- a/crates/cluster/tests/fleet/schedules.rs
+++ b/crates/cluster/tests/fleet/schedules.rs
@@ -1,4 +1,4 @@
-//! Random schedules of bans, reports and faults.
+//! Property tests with random schedules of bans, reports and faults.
 
 use crate::fixture::record_outcomes;
 use proptest::prelude::*;
@@ -13,7 +13,7 @@
     Run {
         milliseconds: u32,
     },
-    /// Without an end from [`PERMANENT_BAN_SECONDS`] on.
+    /// A ban without a duration if `seconds` is at least [`PERMANENT_BAN_SECONDS`].
     Ban {
         node: usize,
         server: usize,
@@ -76,30 +76,30 @@
     ]
 }
 
-fn is_active(world: &Cluster, node: usize) -> bool {
-    let process = world.processes[node].as_ref();
+fn is_running(cluster: &Cluster, node: usize) -> bool {
+    let process = cluster.processes[node].as_ref();
     process.is_some_and(|process| !process.is_frozen)
 }
 
-fn perform(world: &mut Cluster, step: &Step) {
+fn perform(cluster: &mut Cluster, step: &Step) {
     let server_name = |server: usize| format!("server-{server}");
     match *step {
-        Step::Run { milliseconds } => world.run(f64::from(milliseconds) / 1e3),
+        Step::Run { milliseconds } => cluster.run(f64::from(milliseconds) / 1e3),
         Step::Ban {
             node,
             server,
             seconds,
         } => {
             let duration = (seconds < PERMANENT_BAN_SECONDS).then_some(f64::from(seconds));
-            if is_active(world, node) {
-                world.with_node(node, |fleet, now| {
+            if is_running(cluster, node) {
+                cluster.with_node(node, |fleet, now| {
                     fleet.ban(now, &server_name(server), "ada", duration)
                 });
             }
         }
         Step::Lift { node, server } => {
-            if is_active(world, node) {
-                world.with_node(node, |fleet, now| {
+            if is_running(cluster, node) {
+                cluster.with_node(node, |fleet, now| {
                     fleet.lift(now, &server_name(server), "obi")
                 });
             }
@@ -114,34 +114,34 @@
             } else {
                 AttemptOutcome::ServerError
             };
-            if is_active(world, node) {
-                record_outcomes(world, &[node], &[server], outcome);
+            if is_running(cluster, node) {
+                record_outcomes(cluster, &[node], &[server], outcome);
             }
         }
         Step::Partition {
             one,
             other,
             is_mutual: true,
-        } => world.partition(&[one], &[other]),
+        } => cluster.partition(&[one], &[other]),
         Step::Partition {
             one,
             other,
             is_mutual: false,
-        } => world.partition_one_way(&[one], &[other]),
-        Step::Heal => world.heal(),
+        } => cluster.partition_one_way(&[one], &[other]),
+        Step::Heal => cluster.heal(),
         Step::SetPaused {
             node,
             is_paused: true,
-        } => world.freeze(node),
+        } => cluster.freeze(node),
         Step::SetPaused {
             node,
             is_paused: false,
-        } => world.thaw(node),
-        Step::Restart { node } => world.start(node),
-        Step::Kill { node } => world.kill(node),
-        Step::SetLoss { percent } => world.links.loss = f64::from(percent) / 100.0,
+        } => cluster.thaw(node),
+        Step::Restart { node } => cluster.start(node),
+        Step::Kill { node } => cluster.kill(node),
+        Step::SetLoss { percent } => cluster.links.loss = f64::from(percent) / 100.0,
         Step::SetMaxDelay { hundredths } => {
-            world.links.max_delay = 0.002 + f64::from(hundredths) / 100.0;
+            cluster.links.max_delay = 0.002 + f64::from(hundredths) / 100.0;
         }
     }
 }
@@ -149,31 +149,32 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, rng_seed: RngSeed::Fixed(41), failure_persistence: None, ..Default::default() })]
 
-    /// No ban counts past its expiry, no lifted ban returns, and all nodes agree once the faults have ended.
+    /// No ban is active after its expiry, no lifted ban becomes active again, and all nodes agree once the faults have
+    /// ended.
     #[test]
     fn random_schedules_expire_bans_in_time_and_converge(
         seed in any::<u64>(), steps in prop::collection::vec(step(), 1..40),
     ) {
-        let mut world = Cluster::new(NODES, seed, |_| default_config());
-        world.run(3.0);
-        world.links.duplication = 0.05;
+        let mut cluster = Cluster::new(NODES, seed, |_| default_config());
+        cluster.run(3.0);
+        cluster.links.duplication = 0.05;
         for step in &steps {
-            perform(&mut world, step);
-            prop_assert!(world.violations.is_empty(), "{:?}", world.violations);
+            perform(&mut cluster, step);
+            prop_assert!(cluster.violations.is_empty(), "{:?}", cluster.violations);
         }
-        world.links = Links::default();
-        world.heal();
+        cluster.links = Links::default();
+        cluster.heal();
         for node in 0..NODES {
-            world.thaw(node);
-            if world.processes[node].is_none() {
-                world.start(node);
+            cluster.thaw(node);
+            if cluster.processes[node].is_none() {
+                cluster.start(node);
             }
         }
-        // Longer than any temporary ban of a schedule, and than a partitioned node needs to rejoin.
-        world.run(60.0);
-        prop_assert!(world.is_converged(), "{:?}", (0..NODES).map(|node| world.member_count(node)).collect::<Vec<_>>());
-        let first = world.banned_servers(0);
-        prop_assert!((1..NODES).all(|node| world.banned_servers(node) == first), "{:?}", (0..NODES).map(|node| world.banned_servers(node)).collect::<Vec<_>>());
-        prop_assert!(world.violations.is_empty(), "{:?}", world.violations);
+        // Longer than any ban with a duration lasts, and than a partitioned node takes to rejoin.
+        cluster.run(60.0);
+        prop_assert!(cluster.is_converged(), "{:?}", (0..NODES).map(|node| cluster.member_count(node)).collect::<Vec<_>>());
+        let first = cluster.banned_servers(0);
+        prop_assert!((1..NODES).all(|node| cluster.banned_servers(node) == first), "{:?}", (0..NODES).map(|node| cluster.banned_servers(node)).collect::<Vec<_>>());
+        prop_assert!(cluster.violations.is_empty(), "{:?}", cluster.violations);
     }
 }
--- a/crates/cluster/tests/golden.rs
+++ b/crates/cluster/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes of datagrams are those of wire version 2. `golden/datagrams.txt` was written by the code of commit c58caac and
-//! does not change while the version stays.
+//! Tests that datagrams are encoded as in wire version 2. `golden/datagrams.txt` was written by the code of commit
+//! c58caac, and must not change unless the version does.
 
 use reelfall_cluster::entry::{BanId, Entry, Finding, Key, Report, ServerInstance, Value, Version};
 use reelfall_cluster::freshness::ClockEcho;
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn datagrams_are_written_and_read_as_in_wire_version_2() {
+fn datagrams_are_encoded_and_decoded_as_in_wire_version_2() {
     let mut lines = Vec::new();
     for (name, header) in headers() {
         let datagram = DatagramWriter::new(&header).unwrap().seal(&secret());
--- a/crates/cluster/tests/quorum.rs
+++ b/crates/cluster/tests/quorum.rs
@@ -1,14 +1,14 @@
-//! Which servers are ejected where more fail than can be ejected.
+//! Tests which servers are ejected if more fail than can be ejected.
 
 use proptest::prelude::*;
 use reelfall_cluster::entry::ServerInstance;
 use reelfall_cluster::quorum::{select_ejected, Quorum, Votes};
 
-/// Servers of the endpoint list.
+/// Number of servers in the endpoint list.
 const LISTED: usize = 20;
-/// Servers of the list that are reported.
+/// Number of these servers that nodes report as faulty.
 const REPORTED: usize = 8;
-/// The maximum number of ejected servers of a list of [`LISTED`].
+/// Maximum number of ejected servers of a list of [`LISTED`].
 const MAX_EJECTED: usize = 4;
 
 fn reported_servers() -> Vec<ServerInstance> {
@@ -20,7 +20,7 @@
         .collect()
 }
 
-/// The names of the ejected servers; `failed_votes` has the number of nodes that report a fault, for each server.
+/// The names of the ejected servers. `failed_votes` contains the number of nodes that report a fault of each server.
 fn ejected_names(servers: &[ServerInstance], failed_votes: &[usize]) -> Vec<String> {
     let votes = failed_votes.iter().map(|failed| Votes {
         failed: *failed,
@@ -33,9 +33,10 @@
 }
 
 proptest! {
-    /// Reports vary by the second; a server with enough of them stays ejected and does not alternate with others.
+    /// Guards against ejected servers that change whenever the numbers of reports do: as long as a server has enough
+    /// reports, it stays ejected.
     #[test]
-    fn well_proven_servers_stay_ejected(counts in prop::collection::vec(prop::collection::vec(6usize..40, REPORTED), 2..20)) {
+    fn servers_with_many_reports_stay_ejected(counts in prop::collection::vec(prop::collection::vec(6usize..40, REPORTED), 2..20)) {
         let servers = reported_servers();
         let first = ejected_names(&servers, &counts[0]);
         prop_assert_eq!(first.len(), MAX_EJECTED);
@@ -44,9 +45,9 @@
         }
     }
 
-    /// A server with few reports never takes the place of one with many.
+    /// Guards against servers with few reports that are ejected in place of servers with many.
     #[test]
-    fn better_proven_servers_are_ejected_first(few_votes in 3usize..6, many_votes in prop::collection::vec(6usize..40, 4)) {
+    fn servers_with_more_reports_are_ejected_first(few_votes in 3usize..6, many_votes in prop::collection::vec(6usize..40, 4)) {
         let servers = reported_servers();
         let mut failed_votes = vec![few_votes; 4];
         failed_votes.extend(many_votes);
--- a/crates/cluster/tests/table.rs
+++ b/crates/cluster/tests/table.rs
@@ -1,4 +1,4 @@
-//! Merging entries is independent of their order and number; and the bounds of a table.
+//! Tests of the table: merging does not depend on order and repetition, entries expire, and the size is bounded.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -94,7 +94,7 @@
         .prop_map(|(entry, age_us)| Entry { age_us, ..entry })
 }
 
-/// The live entries of a table that has merged the given ones, as text.
+/// Merges the given entries into a table, and returns those that have not expired, as text.
 fn merged(entries: &[Entry]) -> Vec<String> {
     let mut table = Table::default();
     for entry in entries {
@@ -120,7 +120,8 @@
     fn merge_is_independent_of_order_and_repetition(
         entries in prop::collection::vec(random_entry(), 0..24), rotation in any::<u64>(), repeated_from in any::<u64>(),
     ) {
-        // An expired entry is ignored, so one that an expired version would replace stays; the test has none of those.
+        // Expired entries are left out: they are ignored, so an entry that an expired version would replace stays if it
+        // is merged first.
         let entries: Vec<Entry> =
             entries.into_iter().filter(|entry| entry.age() < entry.ttl()).collect();
         let mut reordered = entries.clone();
@@ -134,7 +135,8 @@
         prop_assert_eq!(merged(&entries), merged(&reordered));
     }
 
-    /// Equal tables have equal digests, and the digests of unequal tables show which entries differ.
+    /// After two tables have exchanged the entries of the partitions whose digests differ, their digests and values are
+    /// equal.
     #[test]
     fn anti_entropy_makes_tables_equal(
         first_entries in prop::collection::vec(random_entry(), 0..16),
@@ -174,7 +176,7 @@
         table.merge(0.0, lift_entry("s", 1, 2, 60_000)),
         MergeOutcome::Updated
     );
-    // The node of the ban has not received the lift, and renews the ban.
+    // The node that published the ban has not received the lift, and publishes the ban again.
     assert_eq!(
         table.merge(1.0, ban_entry("s", 1, 9, 60_000)),
         MergeOutcome::Unchanged
@@ -202,7 +204,7 @@
     assert_eq!(table.live(10.9).count(), 1);
     assert_eq!(table.live(11.0).count(), 0);
     assert!(table.next_expiry().is_some_and(|end| end <= 11.0));
-    // An expiry that is found while another entry is merged is reported too, once.
+    // An expiry that is detected while another entry is merged is reported too, and only once.
     table.merge(11.001, report_entry(1, "a", 1, 1));
     assert_eq!(
         (table.take_expired().len(), table.take_expired().len()),
@@ -223,11 +225,11 @@
     );
 }
 
-/// Reports of each node in a table that is full.
+/// Number of reports of each node in the full table.
 const REPORTS_OF_EACH_NODE: usize = 200;
 
 #[test]
-fn table_and_reports_per_node_are_bounded_and_bans_displace_reports() {
+fn table_and_reports_per_node_are_bounded_and_bans_evict_reports() {
     let mut table = Table::default();
     let accepted_of_one_node = (0..MAX_REPORTS_PER_NODE + 5)
         .filter(|server| {
@@ -236,7 +238,7 @@
         .count();
     assert_eq!(
         accepted_of_one_node, MAX_REPORTS_PER_NODE,
-        "one node fills the table"
+        "the reports of one node are not limited"
     );
     let mut index = 0;
     while table.len() < MAX_ENTRIES {
