--- a/crates/balancer/tests/engine/faulty_servers.rs
+++ b/crates/balancer/tests/engine/faulty_servers.rs
@@ -1,4 +1,4 @@
-//! The real decision module in virtual time over servers of which some fail fast, some stall, and some execute requests
+//! The real decision module in virtual time with servers of which some fail fast, some stall, and some run requests
 //! whose attempts fail.
 
 use crate::{
@@ -81,7 +81,7 @@
     engine: Engine<TestHost>,
     random: RandomNumbers,
     now: Time,
-    /// In no order: it is short enough to be searched for the earliest.
+    /// Unordered, as it is short enough to be searched for the earliest event.
     pending: Vec<Scheduled>,
     commands: Commands,
     executions: HashMap<RequestId, u32>,
@@ -91,7 +91,7 @@
 
 impl Simulation {
     fn new(seed: u64) -> Simulation {
-        let module = Balancer::new(settings(classes()), seed, 0.0).expect("usable settings");
+        let module = Balancer::new(settings(classes()), seed, 0.0).expect("valid settings");
         let mut simulation = Simulation {
             engine: Engine::new(module, &classes(), MAX_ATTEMPTS),
             random: RandomNumbers(seed),
