--- a/crates/distribution/src/child.rs
+++ b/crates/distribution/src/child.rs
@@ -1,8 +1,8 @@
-//! One child of a relay or of an author: its session, its subscriptions and the queue of what it is sent.
+//! One child of a relay or of a publisher: its session, its subscriptions and the queue of what it is sent.
 //!
 //! | order | payload |
 //! | --- | --- |
-//! | 1 | the author's epoch |
+//! | 1 | the publisher's epoch |
 //! | 2 | urgent changes, the latest first |
 //! | 3 | other changes, the latest first; the earliest first while the child's coverage is in many spans |
 //! | 4 | a manifest of all keys, where tombstones were pruned since the child knew all removals |
@@ -14,13 +14,13 @@
 mod sender;
 
 use crate::child_subscription::Subscription;
+use crate::close_reason::CloseReason;
 use crate::link::Link;
 use crate::message::{Payload, Subscribe};
 use crate::output::Output;
 use crate::replica_view::ReplicaView;
 use crate::resource::{Selector, Version};
-use crate::send_progress::{BodyCursor, CurrentNotice, QueuedChange};
-use crate::session_end::CloseReason;
+use crate::send_progress::{BodyCursor, QueuedChange, UpToDateNotice};
 use crate::token_bucket::{Budget, TokenBucket};
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
@@ -74,12 +74,12 @@
     queue: BTreeSet<QueueEntry>,
     partial_bodies: PartialBodies,
     sent_epoch_token: u64,
-    current_notice: CurrentNotice,
-    current_sent_at: Time,
+    up_to_date_notice: UpToDateNotice,
+    up_to_date_sent_at: Time,
     /// All subscriptions know the removals up to this pruning floor of the log.
     removals_known: Version,
     /// Whether something was sent or subscribed to since the last notice that everything was sent.
-    has_changed_since_current: bool,
+    has_changed_since_up_to_date: bool,
     keepalive_interval: Time,
     opened_at: Time,
     receive_bucket: TokenBucket,
@@ -101,14 +101,14 @@
             queue: BTreeSet::new(),
             partial_bodies: PartialBodies::default(),
             sent_epoch_token: 0,
-            current_notice: CurrentNotice {
+            up_to_date_notice: UpToDateNotice {
                 sequence: 0,
                 head: Version::ZERO,
                 removals: Version::ZERO,
             },
-            current_sent_at: now,
+            up_to_date_sent_at: now,
             removals_known: Version::ZERO,
-            has_changed_since_current: true,
+            has_changed_since_up_to_date: true,
             keepalive_interval,
             opened_at: now,
             receive_bucket: TokenBucket::new(receive_budget, now),
@@ -125,7 +125,7 @@
         &mut self.link
     }
 
-    /// Whether the child is a relay or an author, not a node.
+    /// Whether the child is a relay or a publisher, not a node.
     pub fn is_relay(&self) -> bool {
         self.is_relay
     }
@@ -164,10 +164,10 @@
             return Err(CloseReason::CapacityExceeded);
         }
         let id = request.id;
-        let subscription = Subscription::new(request, self.current_notice, replica);
+        let subscription = Subscription::new(request, self.up_to_date_notice, replica);
         self.removals_known = Version::ZERO;
         self.subscriptions.insert(id, subscription);
-        self.has_changed_since_current = true;
+        self.has_changed_since_up_to_date = true;
         self.requeue(id, replica);
         Ok(())
     }
@@ -191,7 +191,7 @@
         let Some(subscription) = self.subscriptions.get_mut(&id) else {
             return;
         };
-        subscription.apply_current_notice(self.current_notice);
+        subscription.apply_up_to_date_notice(self.up_to_date_notice);
         let entry = |change| QueueEntry {
             change,
             subscription: id,
--- a/crates/distribution/src/child/sender.rs
+++ b/crates/distribution/src/child/sender.rs
@@ -7,13 +7,13 @@
 use crate::output::Output;
 use crate::replica_view::ReplicaView;
 use crate::resource::{Change, Content, Slot, Version};
-use crate::send_progress::{BodyCursor, ChunkProgress, CurrentNotice, ManifestCursor};
+use crate::send_progress::{BodyCursor, ChunkProgress, ManifestCursor, UpToDateNotice};
 use crate::{Time, DRIFT};
 
 /// An urgent change is sent as soon as the budget allows a payload of this size.
 const MIN_URGENT_PAYLOAD_BYTES: usize = 600;
 
-/// A child without subscriptions is sent the first [`Payload::Current`] after this many seconds.
+/// A child without subscriptions is sent the first [`Payload::UpToDate`] after this many seconds.
 const FIRST_SUBSCRIPTION_TIMEOUT: Time = 20.0;
 
 /// A payload, and what its sending changes in the child's state.
@@ -41,7 +41,7 @@
         next: Option<ManifestCursor>,
         pruned_through: Version,
     },
-    Current {
+    UpToDate {
         head: Version,
         removals: Version,
     },
@@ -90,21 +90,21 @@
         }
         if !replica.is_contiguous
             || available < self.min_urgent_payload()
-            || now < self.current_allowed_from()
+            || now < self.up_to_date_allowed_from()
         {
             return None;
         }
         if let Some(id) = self.subscription_lacking_removals(replica) {
             return self.manifest_payload(id, replica, available);
         }
-        let is_due =
-            self.has_changed_since_current || now >= self.current_sent_at + self.keepalive_interval;
-        is_due.then(|| current_payload(replica))
+        let is_due = self.has_changed_since_up_to_date
+            || now >= self.up_to_date_sent_at + self.keepalive_interval;
+        is_due.then(|| up_to_date_payload(replica))
     }
 
-    /// When the child may be sent [`Payload::Current`]. A node whose subscriptions have not arrived yet would take the
+    /// When the child may be sent [`Payload::UpToDate`]. A node whose subscriptions have not arrived yet would take the
     /// notice for them, too, and acknowledge versions that it does not have.
-    fn current_allowed_from(&self) -> Time {
+    fn up_to_date_allowed_from(&self) -> Time {
         if self.subscriptions.is_empty() {
             self.opened_at + FIRST_SUBSCRIPTION_TIMEOUT
         } else {
@@ -211,7 +211,7 @@
             return None;
         }
         let lacks_removals = |subscription: &Subscription| {
-            subscription.removals_known(self.current_notice) < pruned_through
+            subscription.removals_known(self.up_to_date_notice) < pruned_through
         };
         // Complete a manifest before the next one is started.
         let mut begun = self
@@ -259,7 +259,7 @@
                 if let Some(subscription) = self.subscriptions.get_mut(&id) {
                     subscription.span_sent(span);
                 }
-                self.has_changed_since_current = true;
+                self.has_changed_since_up_to_date = true;
                 self.requeue(id, replica);
             }
             SendEffect::Chunk { is_urgent, cursor } => {
@@ -270,11 +270,11 @@
                 next,
                 pruned_through,
             } => self.manifest_page_sent(subscription, next, pruned_through),
-            SendEffect::Current { head, removals } => {
-                self.has_changed_since_current = false;
-                self.current_sent_at = now;
-                self.current_notice = CurrentNotice {
-                    sequence: self.current_notice.sequence + 1,
+            SendEffect::UpToDate { head, removals } => {
+                self.has_changed_since_up_to_date = false;
+                self.up_to_date_sent_at = now;
+                self.up_to_date_notice = UpToDateNotice {
+                    sequence: self.up_to_date_notice.sequence + 1,
                     head,
                     removals,
                 };
@@ -292,12 +292,12 @@
         let Some(subscription) = self.subscriptions.get_mut(&id) else {
             return;
         };
-        subscription.apply_current_notice(self.current_notice);
+        subscription.apply_up_to_date_notice(self.up_to_date_notice);
         subscription.manifest_cursor = next;
         if next.is_none() {
             subscription.manifest_sent(pruned_through);
         }
-        self.has_changed_since_current = true;
+        self.has_changed_since_up_to_date = true;
     }
 
     /// When the next payload can be sent.
@@ -319,22 +319,24 @@
         if !replica.is_contiguous {
             return f64::INFINITY;
         }
-        if self.has_changed_since_current || self.subscription_lacking_removals(replica).is_some() {
-            return urgent_at.max(self.current_allowed_from());
+        if self.has_changed_since_up_to_date
+            || self.subscription_lacking_removals(replica).is_some()
+        {
+            return urgent_at.max(self.up_to_date_allowed_from());
         }
         urgent_at
-            .max(self.current_sent_at + self.keepalive_interval)
-            .max(self.current_allowed_from())
+            .max(self.up_to_date_sent_at + self.keepalive_interval)
+            .max(self.up_to_date_allowed_from())
     }
 }
 
-fn current_payload(replica: ReplicaView) -> Outgoing {
+fn up_to_date_payload(replica: ReplicaView) -> Outgoing {
     let head = replica.coverage.last_version();
     let age_us = replica
         .age
         .map(|age| (age * (1.0 + 2.0 * DRIFT) * 1e6) as u64 + 1);
     let removals = replica.removals_known.min(head);
-    let payload = Payload::Current {
+    let payload = Payload::UpToDate {
         head,
         removals,
         pruned_through: replica.log.pruned_through(),
@@ -342,6 +344,6 @@
     };
     Outgoing {
         payload,
-        effect: SendEffect::Current { head, removals },
+        effect: SendEffect::UpToDate { head, removals },
     }
 }
--- a/crates/distribution/src/child_subscription.rs
+++ b/crates/distribution/src/child_subscription.rs
@@ -7,8 +7,8 @@
 use crate::replica_view::ReplicaView;
 use crate::resource::{Change, Selector, Version};
 use crate::send_progress::{
-    Batch, BodyChunk, BodyCursor, ChunkProgress, CurrentNotice, ManifestCursor, ManifestPage,
-    QueuedChange,
+    Batch, BodyChunk, BodyCursor, ChunkProgress, ManifestCursor, ManifestPage, QueuedChange,
+    UpToDateNotice,
 };
 
 /// Bytes that a frame of changes takes beside the changes.
@@ -33,7 +33,7 @@
 }
 
 impl Subscription {
-    pub fn new(request: Subscribe, notice: CurrentNotice, replica: ReplicaView) -> Subscription {
+    pub fn new(request: Subscribe, notice: UpToDateNotice, replica: ReplicaView) -> Subscription {
         // A child without any changes has nothing that a removal could concern.
         let has_nothing = request.coverage.is_empty() && !request.has_changes;
         let known = if has_nothing {
@@ -52,7 +52,7 @@
     }
 
     /// Applies the last notice that everything had been sent.
-    pub fn apply_current_notice(&mut self, notice: CurrentNotice) {
+    pub fn apply_up_to_date_notice(&mut self, notice: UpToDateNotice) {
         if self.applied_notice < notice.sequence {
             self.applied_notice = notice.sequence;
             self.coverage.add(Span {
@@ -64,7 +64,7 @@
     }
 
     /// The version up to which the child knows all removals.
-    pub fn removals_known(&self, notice: CurrentNotice) -> Version {
+    pub fn removals_known(&self, notice: UpToDateNotice) -> Version {
         if self.applied_notice == notice.sequence {
             self.removals_known
         } else {
--- a/crates/distribution/src/session_end.rs
+++ b/crates/distribution/src/close_reason.rs
@@ -17,7 +17,7 @@
     UnknownSession,
     /// The peer, or this process, has no capacity.
     CapacityExceeded,
-    /// An author without the lease, or with an earlier fencing token.
+    /// A publisher without the lease, or with an earlier fencing token.
     Fenced,
     /// A new session replaces it.
     Replaced,
--- a/crates/distribution/src/downstream.rs
+++ b/crates/distribution/src/downstream.rs
@@ -1,8 +1,9 @@
-//! The children of a relay or of an author: their sessions, subscriptions and wakeups.
+//! The children of a relay or of a publisher: their sessions, subscriptions and wakeups.
 
 mod admission;
 
 use crate::child::Child;
+use crate::close_reason::CloseReason;
 use crate::downstream_config::DownstreamConfig;
 use crate::message::{Payload, Received};
 use crate::output::Output;
@@ -11,7 +12,6 @@
 use crate::replica_view::ReplicaView;
 use crate::report::Report;
 use crate::resource::{Key, Selector};
-use crate::session_end::CloseReason;
 use crate::token_bucket::{Budget, TokenBucket};
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/distribution/src/downstream/admission.rs
+++ b/crates/distribution/src/downstream/admission.rs
@@ -5,11 +5,11 @@
     SESSION_COST,
 };
 use crate::child::Child;
+use crate::close_reason::CloseReason;
 use crate::link::Link;
 use crate::message::{self, Head, Payload};
 use crate::output::{Event, Output};
 use crate::peer::PeerId;
-use crate::session_end::CloseReason;
 use crate::token_bucket::{Budget, TokenBucket, TRANSPORT_OVERHEAD_BYTES};
 use crate::Time;
 
@@ -71,7 +71,7 @@
         let child_budget = if is_relay {
             Budget::CONTROL
         } else {
-            Budget::UP
+            Budget::NODE_UPLINK
         };
         let receive_budget = Budget {
             bytes_per_second: self.config.receive_budget_factor * child_budget.bytes_per_second,
--- a/crates/distribution/src/downstream_config.rs
+++ b/crates/distribution/src/downstream_config.rs
@@ -1,4 +1,4 @@
-//! How a relay or an author serves its children: limits, budgets and timeouts.
+//! How a relay or a publisher serves its children: limits, budgets and timeouts.
 
 use crate::token_bucket::Budget;
 use crate::Time;
@@ -10,7 +10,7 @@
     pub max_children: usize,
     /// Send budget for a node.
     pub node_budget: Budget,
-    /// Send budget for a relay or an author.
+    /// Send budget for a relay or a publisher.
     pub relay_budget: Budget,
     /// Longest time between two frames to a child, in seconds.
     pub keepalive_interval: Time,
@@ -28,7 +28,7 @@
     fn default() -> DownstreamConfig {
         DownstreamConfig {
             max_children: 1024,
-            node_budget: Budget::DOWN,
+            node_budget: Budget::NODE_DOWNLINK,
             relay_budget: Budget::CONTROL,
             keepalive_interval: 2.0,
             silence_timeout: 20.0,
--- a/crates/distribution/src/history.rs
+++ b/crates/distribution/src/history.rs
@@ -1,4 +1,4 @@
-//! The previous content of each key, by which an author reverts a change.
+//! The previous content of each key, by which a publisher reverts a change.
 
 use crate::resource::{Change, Content, Key, Version};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,4 +1,4 @@
-//! Distribution of configuration from authors over relays to nodes.
+//! Distribution of configuration from publishers over relays to nodes.
 //!
 //! Replicated, versioned configuration without I/O: frames, times and the random seed are arguments; what is to be sent,
 //! stored or applied is returned as values, in the order in which it is to be done.
@@ -8,8 +8,8 @@
 //! | [`resource`] | names, versions, contents, changes, selectors |
 //! | [`message`] | frames between an upstream and its children |
 //! | [`frame`] | size limits of frames |
-//! | [`epoch`] | the author's term: fencing token and known versions |
-//! | [`session_end`] | why a session ends |
+//! | [`epoch`] | the publisher's term: fencing token and known versions |
+//! | [`close_reason`] | why a session ends |
 //! | [`peer`] | ids of processes |
 //! | [`output`] | what a state machine asks its driver to do, and the stored records |
 //! | [`coverage`] | the set of versions that a holder has received |
@@ -20,11 +20,11 @@
 //! | [`child_subscription`], [`child`], [`downstream`], [`downstream_config`] | what children are sent, and in which order |
 //! | [`replica_view`] | the view of a replica from which children are served |
 //! | [`upstream`], [`upstream_config`], [`upstream_event`], [`session`], [`subscriptions`] | which upstream a process follows, and what it receives |
-//! | [`report`] | reports to the author: acknowledgements, rejections, orphans |
+//! | [`report`] | reports to the publisher: acknowledgements, rejections, orphans |
 //! | [`restore`] | state from stored records |
 //! | [`publish`], [`history`], [`node_status`] | changes to publish, their history, what nodes reported of them |
 //! | [`rollout`] | staged rollouts: policy, record, verdicts |
-//! | [`author`], [`relay`], [`subscriber`] | the three state machines |
+//! | [`publisher`], [`relay`], [`subscriber`] | the three state machines |
 //!
 //! # Use
 //!
@@ -33,16 +33,16 @@
 //! [`output::Output::Persist`] is on the disk before a later [`output::Output::Send`] leaves. Frames may be lost,
 //! repeated, delayed and overtaken. A driver that was stopped passes on received frames before it polls.
 //!
-//! An author holds the lease of the settings: [`author::Author::hold_lease`] says until when, and
-//! [`author::Author::publish`] writes with that lease's claim. A relay follows one of its `upstreams` (authors for the
+//! A publisher holds the lease of the settings: [`publisher::Publisher::hold_lease`] says until when, and
+//! [`publisher::Publisher::publish`] writes with that lease's claim. A relay follows one of its `upstreams` (publishers for the
 //! first relays, relays for the others) and serves children. A subscriber follows one of its relays; on
 //! [`output::Output::Apply`] the driver answers with `accepted` or `rejected`.
 
 mod applied;
-pub mod author;
 mod candidates;
 pub mod child;
 pub mod child_subscription;
+pub mod close_reason;
 pub mod coverage;
 pub mod downstream;
 pub mod downstream_config;
@@ -56,6 +56,7 @@
 pub mod output;
 pub mod peer;
 pub mod publish;
+pub mod publisher;
 pub mod random;
 pub mod reassembly;
 pub mod relay;
@@ -68,7 +69,6 @@
 mod send_progress;
 pub mod session;
 mod session_attempts;
-pub mod session_end;
 mod staleness;
 pub mod subscriber;
 pub mod subscriptions;
--- a/crates/distribution/src/link.rs
+++ b/crates/distribution/src/link.rs
@@ -10,11 +10,11 @@
 //!
 //! Used by children, sessions and session attempts.
 
+use crate::close_reason::CloseReason;
 use crate::frame::MAX_FRAME_OVERHEAD_BYTES;
 use crate::message::{self, Echo, Head, Payload};
 use crate::output::Output;
 use crate::peer::PeerId;
-use crate::session_end::CloseReason;
 use crate::token_bucket::{Budget, TokenBucket, TRANSPORT_OVERHEAD_BYTES};
 use crate::{Time, DRIFT};
 
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -6,13 +6,13 @@
 //!
 //! The hash detects truncated and corrupt frames; it does not authenticate, which is up to the driver's transport.
 
+use crate::close_reason::CloseReason;
 use crate::coverage::{Coverage, Span};
 use crate::epoch::Epoch;
 use crate::frame::MAX_FRAME_BYTES;
 use crate::peer::PeerId;
 use crate::report::Report;
 use crate::resource::{Change, ContentHash, Key, NodeFraction, Selector, Urgency, Version};
-use crate::session_end::CloseReason;
 use serde::{Deserialize, Serialize};
 
 /// Most keys in one [`Payload::Manifest`].
@@ -94,14 +94,14 @@
     Acknowledge,
     /// A child opens a session.
     Open {
-        /// Whether the child is a relay or an author, which needs changes for other nodes, too.
+        /// Whether the child is a relay or a publisher, which needs changes for other nodes, too.
         is_relay: bool,
     },
     /// A child adds subscriptions.
     Subscribe(Vec<Subscribe>),
     /// A child ends subscriptions.
     Unsubscribe(Vec<u32>),
-    /// A child reports to the author.
+    /// A child reports to the publisher.
     Reports(Vec<Report>),
     /// The session has ended, or is unknown.
     Close {
@@ -110,7 +110,7 @@
         /// Earliest reconnect, in milliseconds.
         retry_after_ms: u32,
     },
-    /// The term of the current author.
+    /// The term of the current publisher.
     Epoch(Epoch),
     /// Complete changes of a subscription. For each key whose latest change is in the span, this change is included
     /// or was sent before.
@@ -145,7 +145,7 @@
         digests: Vec<u64>,
     },
     /// Everything that the sender has of all subscriptions was sent.
-    Current {
+    UpToDate {
         /// The last version of the sender.
         head: Version,
         /// All removals up to this version were sent.
--- a/crates/distribution/src/node_status.rs
+++ b/crates/distribution/src/node_status.rs
@@ -1,4 +1,4 @@
-//! What the nodes reported to the author: acknowledged versions and rejected changes.
+//! What the nodes reported to the publisher: acknowledged versions and rejected changes.
 
 use crate::peer::PeerId;
 use crate::resource::{Key, Version};
@@ -26,7 +26,7 @@
 pub struct NodeStatus {
     /// The node has applied or rejected every change up to this version.
     pub acknowledged: Version,
-    /// When the last report was received, on the author's clock.
+    /// When the last report was received, on the publisher's clock.
     pub last_report_at: Time,
 }
 
--- a/crates/distribution/src/output.rs
+++ b/crates/distribution/src/output.rs
@@ -1,12 +1,12 @@
 //! Outputs of the state machines: what the driver is asked to send, apply, store and log.
 
+use crate::close_reason::CloseReason;
 use crate::coverage::Coverage;
 use crate::epoch::Epoch;
 use crate::peer::PeerId;
 use crate::resource::{Change, Key, Name, Selector, Version};
 use crate::rollout::record::RolloutState;
 use crate::rollout::stage::StageCounts;
-use crate::session_end::CloseReason;
 use serde::{Deserialize, Serialize};
 
 /// Work for the driver, to be done in order.
@@ -41,7 +41,7 @@
     Forget(Key),
     /// Tombstones up to this version may have been pruned.
     PrunedThrough(Version),
-    /// The term of the last known author.
+    /// The term of the last known publisher.
     Epoch(Epoch),
     /// The coverage of a selector.
     Covered {
@@ -75,7 +75,7 @@
         /// The reason.
         reason: CloseReason,
     },
-    /// A change of an earlier author that the present author does not have was reported.
+    /// A change of an earlier publisher that the present publisher does not have was reported.
     Orphaned {
         /// The key.
         key: Key,
@@ -89,7 +89,7 @@
         /// The version.
         version: Version,
     },
-    /// A later fencing token was seen; this author no longer writes.
+    /// A later fencing token was seen; this publisher no longer writes.
     Fenced {
         /// The token.
         token: u64,
@@ -103,7 +103,7 @@
         /// What the nodes of the previous stage reported.
         counts: StageCounts,
     },
-    /// An author has taken over a rollout, and its stage soaks again.
+    /// A publisher has taken over a rollout, and its stage soaks again.
     RolloutResumed {
         /// The resource.
         name: Name,
--- a/crates/distribution/src/peer.rs
+++ b/crates/distribution/src/peer.rs
@@ -2,6 +2,6 @@
 
 use serde::{Deserialize, Serialize};
 
-/// An author, a relay or a node. The driver knows its address.
+/// A publisher, a relay or a node. The driver knows its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PeerId(pub u32);
--- a/crates/distribution/src/publish.rs
+++ b/crates/distribution/src/publish.rs
@@ -1,4 +1,4 @@
-//! Changes to be published, and the reasons for which an author does not publish them.
+//! Changes to be published, and the reasons for which a publisher does not publish them.
 
 use crate::log::{Capacity, ChangeLog};
 use crate::resource::{
@@ -12,17 +12,17 @@
 /// Most changes in one publication.
 pub const MAX_DRAFTS: usize = 10_000;
 
-/// Why an author did not publish.
+/// Why a publisher did not publish.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PublishError {
     /// The claim does not hold the lease, or no longer.
     #[error("the lease is not held")]
     LeaseNotHeld,
-    /// The author is still receiving what earlier authors wrote.
-    #[error("what earlier authors wrote is still coming")]
+    /// The publisher is still receiving what earlier publishers wrote.
+    #[error("what earlier publishers wrote is still coming")]
     TakingOver,
-    /// The author has seen a later fencing token.
-    #[error("a later author has token {0}")]
+    /// The publisher has seen a later fencing token.
+    #[error("a later publisher has token {0}")]
     Fenced(u64),
     /// There are no changes, or too many.
     #[error("1 to {MAX_DRAFTS} changes at once")]
@@ -42,8 +42,8 @@
     /// The resource has no canary.
     #[error("there is no trial of this resource")]
     NoCanary,
-    /// Only authors write this group.
-    #[error("{0:?} is written by authors alone")]
+    /// Only publishers write this group.
+    #[error("{0:?} is written by publishers alone")]
     Reserved(Box<Name>),
     /// The rollout's policy is invalid.
     #[error(transparent)]
@@ -126,7 +126,7 @@
 /// Checks that an operator may write a resource.
 pub(crate) fn check_writable(name: &Name) -> Result<(), PublishError> {
     match name.group {
-        Group::Authors => Err(PublishError::Reserved(Box::new(name.clone()))),
+        Group::Publishers => Err(PublishError::Reserved(Box::new(name.clone()))),
         Group::Common | Group::Service(_) | Group::Tenant(_) => Ok(()),
     }
 }
--- a/crates/distribution/src/author.rs
+++ b/crates/distribution/src/publisher.rs
@@ -1,13 +1,13 @@
-//! An author: publishes changes while it holds the lease, and serves the first relays.
+//! A publisher: publishes changes while it holds the lease, and serves the first relays.
 //!
 //! | state | ends |
 //! | --- | --- |
 //! | standing by: follows a relay, to replicate what others write | when the lease is held |
-//! | taking over: reads what each first relay has, one after the other | when all have been read; after [`AuthorConfig::takeover_timeout`] |
+//! | taking over: reads what each first relay has, one after the other | when all have been read; after [`PublisherConfig::takeover_timeout`] |
 //! | writing: serves relays, follows nobody | when the lease ends or is given back; when a later fencing token is seen |
 //!
-//! A later author may lack changes that an earlier one wrote just before it was cut off. Relays and nodes report them as
-//! orphans, and the present author overwrites them with its own content. So all replicas converge, and versions only
+//! A later publisher may lack changes that an earlier one wrote just before it was cut off. Relays and nodes report them as
+//! orphans, and the present publisher overwrites them with its own content. So all replicas converge, and versions only
 //! ever increase.
 
 mod lease;
@@ -17,6 +17,7 @@
 
 pub use rollouts::{RolloutDraft, RolloutStatus};
 
+use crate::close_reason::CloseReason;
 use crate::coverage::Coverage;
 use crate::downstream::Downstream;
 use crate::downstream_config::DownstreamConfig;
@@ -31,7 +32,6 @@
 use crate::report::Report;
 use crate::resource::{ChangeId, Version};
 use crate::restore::RestoredState;
-use crate::session_end::CloseReason;
 use crate::upstream::Upstream;
 use crate::upstream_config::UpstreamConfig;
 use crate::Time;
@@ -39,10 +39,10 @@
 use rollouts::Rollouts;
 use std::collections::BTreeSet;
 
-/// Configuration of an author.
+/// Configuration of a publisher.
 #[derive(Clone, Debug)]
-pub struct AuthorConfig {
-    /// The authors' lease.
+pub struct PublisherConfig {
+    /// The publishers' lease.
     pub lease: LeaseName,
     /// How it follows the first relays while it does not write.
     pub upstream: UpstreamConfig,
@@ -67,17 +67,17 @@
         deadline: Time,
         caught_up: BTreeSet<PeerId>,
     },
-    Writing {
+    Publishing {
         epoch: Epoch,
         until: Time,
         orphans: usize,
     },
 }
 
-/// An author: standing by, taking over or writing.
+/// A publisher: standing by, taking over or writing.
 #[derive(Debug)]
-pub struct Author {
-    config: AuthorConfig,
+pub struct Publisher {
+    config: PublisherConfig,
     state: State,
     replica: Replica,
     downstream: Downstream,
@@ -87,24 +87,24 @@
     clock: Time,
 }
 
-impl Author {
-    /// An author without records.
-    pub fn new(config: AuthorConfig, now: Time) -> Author {
+impl Publisher {
+    /// A publisher without records.
+    pub fn new(config: PublisherConfig, now: Time) -> Publisher {
         let restored = RestoredState::empty(config.capacity);
-        Author::from_restored(config, restored, now)
+        Publisher::from_restored(config, restored, now)
     }
 
-    /// An author from stored records.
+    /// A publisher from stored records.
     pub fn restore(
-        config: AuthorConfig,
+        config: PublisherConfig,
         records: impl IntoIterator<Item = Record>,
         now: Time,
-    ) -> Author {
+    ) -> Publisher {
         let restored = RestoredState::from_records(config.capacity, records);
-        Author::from_restored(config, restored, now)
+        Publisher::from_restored(config, restored, now)
     }
 
-    fn from_restored(config: AuthorConfig, mut restored: RestoredState, now: Time) -> Author {
+    fn from_restored(config: PublisherConfig, mut restored: RestoredState, now: Time) -> Publisher {
         let upstream = Upstream::new(
             config.upstream.clone(),
             config.lease.clone(),
@@ -120,7 +120,7 @@
             Downstream::new(config.downstream, crate::random::mix_bits(config.seed), now);
         let board = NodeStatuses::default();
         let (state, rollouts) = (State::StandingBy, Rollouts::default());
-        Author {
+        Publisher {
             state,
             replica,
             downstream,
@@ -148,8 +148,8 @@
     }
 
     /// Whether it holds the lease and can publish.
-    pub fn is_writing(&self) -> bool {
-        matches!(self.state, State::Writing { .. })
+    pub fn is_publishing(&self) -> bool {
+        matches!(self.state, State::Publishing { .. })
     }
 
     /// The children.
@@ -177,7 +177,7 @@
             }
             return;
         }
-        if !self.is_writing() {
+        if !self.is_publishing() {
             if !matches!(received.payload, Payload::Close { .. }) {
                 self.downstream.reject(
                     now,
@@ -204,7 +204,7 @@
         for ChangeId { key, version } in update.orphans.iter().cloned() {
             outputs.push(Output::Event(Event::Orphaned { key, version }));
         }
-        if update.is_current {
+        if update.is_up_to_date {
             self.relay_caught_up(now, outputs);
         }
     }
@@ -240,15 +240,15 @@
     pub fn poll(&mut self, now: Time, outputs: &mut Vec<Output>) {
         self.clock = self.clock.max(now);
         match &self.state {
-            State::TakingOver { until, .. } | State::Writing { until, .. } if now >= *until => {
-                self.stand_down(now, outputs);
+            State::TakingOver { until, .. } | State::Publishing { until, .. } if now >= *until => {
+                self.step_down(now, outputs);
             }
             State::TakingOver { deadline, .. } if now >= *deadline => {
-                self.begin_writing(now, outputs);
+                self.begin_publishing(now, outputs);
             }
             _ => {}
         }
-        if self.is_writing() {
+        if self.is_publishing() {
             self.check_rollouts(now, outputs);
             let replica = self.replica.view(now).authoritative();
             self.downstream.poll(now, replica, outputs);
@@ -257,7 +257,7 @@
         }
     }
 
-    /// When [`Author::poll`] is to be called.
+    /// When [`Publisher::poll`] is to be called.
     pub fn next_wakeup(&self) -> Time {
         let follow = self.replica.upstream.next_wakeup(self.clock);
         match &self.state {
@@ -265,7 +265,7 @@
             State::TakingOver {
                 until, deadline, ..
             } => follow.min(*until).min(*deadline),
-            State::Writing { until, .. } => self
+            State::Publishing { until, .. } => self
                 .downstream
                 .next_wakeup()
                 .min(self.rollouts.next_check_at())
--- a/crates/distribution/src/author/lease.rs
+++ b/crates/distribution/src/publisher/lease.rs
@@ -1,18 +1,18 @@
-//! The author's state by its lease: standing by, taking over, writing.
+//! The publisher's state by its lease: standing by, taking over, writing.
 
 use super::rollouts::Rollouts;
-use super::{Author, State};
+use super::{Publisher, State};
+use crate::close_reason::CloseReason;
 use crate::epoch::Epoch;
 use crate::output::{Event, Output};
 use crate::publish::PublishError;
 use crate::replica::orphaned_changes;
 use crate::resource::Version;
-use crate::session_end::CloseReason;
 use crate::Time;
 use reelfall_lease::token::Claim;
 use std::collections::BTreeSet;
 
-impl Author {
+impl Publisher {
     /// Records that a claim holds the lease until a time: when it is acquired, and at each renewal.
     ///
     /// # Errors
@@ -33,7 +33,7 @@
             return Err(PublishError::Fenced(highest_token));
         }
         match &mut self.state {
-            State::Writing {
+            State::Publishing {
                 epoch,
                 until: current_until,
                 ..
@@ -44,7 +44,7 @@
                 ..
             } if current_claim == claim => *current_until = until,
             _ => {
-                self.stand_down(now, outputs);
+                self.step_down(now, outputs);
                 let deadline = now + self.config.takeover_timeout;
                 let (claim, caught_up) = (claim.clone(), BTreeSet::new());
                 self.state = State::TakingOver {
@@ -54,7 +54,7 @@
                     caught_up,
                 };
                 if self.config.upstream.upstreams.is_empty() {
-                    self.begin_writing(now, outputs);
+                    self.begin_publishing(now, outputs);
                 }
             }
         }
@@ -62,8 +62,8 @@
     }
 
     /// Records that the lease is no longer held.
-    pub fn stand_down(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        if self.is_writing() {
+    pub fn step_down(&mut self, now: Time, outputs: &mut Vec<Output>) {
+        if self.is_publishing() {
             self.downstream.close_all(now, CloseReason::Fenced, outputs);
         }
         self.state = State::StandingBy;
@@ -75,7 +75,7 @@
         self.replica.upstream.highest_token().max(self.head().token)
     }
 
-    pub(super) fn begin_writing(&mut self, now: Time, outputs: &mut Vec<Output>) {
+    pub(super) fn begin_publishing(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let State::TakingOver { claim, until, .. } = &self.state else {
             return;
         };
@@ -87,7 +87,7 @@
             outputs.push(Output::Event(Event::Fenced {
                 token: highest_token,
             }));
-            self.stand_down(now, outputs);
+            self.step_down(now, outputs);
             return;
         }
         self.replica.upstream.suspend(now, outputs);
@@ -100,7 +100,7 @@
         // In the reverse order a crash in between would leave versions as known that only this coverage claims.
         self.replica.set_epoch(epoch.clone(), outputs);
         self.replica.mark_complete(head, outputs);
-        self.state = State::Writing {
+        self.state = State::Publishing {
             epoch,
             until,
             orphans: 0,
@@ -117,13 +117,15 @@
                 claim: current_claim,
                 ..
             } if current_claim == claim => Err(PublishError::TakingOver),
-            State::Writing { epoch, until, .. } if epoch.claim == *claim && now < *until => Ok(()),
+            State::Publishing { epoch, until, .. } if epoch.claim == *claim && now < *until => {
+                Ok(())
+            }
             _ => Err(PublishError::LeaseNotHeld),
         }
     }
 
-    /// Records that a relay has sent everything. All first relays are read before the author writes, since its
-    /// predecessor may have reached one of them only; the wait is limited by [`super::AuthorConfig::takeover_timeout`].
+    /// Records that a relay has sent everything. All first relays are read before the publisher writes, since its
+    /// predecessor may have reached one of them only; the wait is limited by [`super::PublisherConfig::takeover_timeout`].
     pub(super) fn relay_caught_up(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let State::TakingOver { caught_up, .. } = &mut self.state else {
             return;
@@ -139,7 +141,7 @@
             .iter()
             .all(|relay| caught_up.contains(relay))
         {
-            self.begin_writing(now, outputs);
+            self.begin_publishing(now, outputs);
         } else {
             self.replica
                 .upstream
@@ -147,14 +149,14 @@
         }
     }
 
-    /// A relay has reported a later fencing token: this author lost the lease without knowing.
+    /// A relay has reported a later fencing token: this publisher lost the lease without knowing.
     pub(super) fn handle_fencing(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        let State::Writing { epoch, .. } = &self.state else {
+        let State::Publishing { epoch, .. } = &self.state else {
             return;
         };
         outputs.push(Output::Event(Event::Fenced {
             token: epoch.claim.token,
         }));
-        self.stand_down(now, outputs);
+        self.step_down(now, outputs);
     }
 }
--- a/crates/distribution/src/author/orphans.rs
+++ b/crates/distribution/src/publisher/orphans.rs
@@ -1,6 +1,6 @@
-//! Orphans: changes of earlier authors that did not reach everybody, which the present author overwrites.
+//! Orphans: changes of earlier publishers that did not reach everybody, which the present publisher overwrites.
 
-use super::{Author, State};
+use super::{Publisher, State};
 use crate::output::{Event, Output};
 use crate::publish::PendingChange;
 use crate::resource::{ChangeId, Content, Key, NodeFraction, Urgency, Version};
@@ -9,7 +9,7 @@
 /// Most orphans that are overwritten in one term; reports beyond it are ignored.
 const MAX_OVERWRITTEN_ORPHANS: usize = 100_000;
 
-impl Author {
+impl Publisher {
     /// Publishes own orphaned changes again: others cover their versions without having them.
     pub(super) fn rewrite_orphaned(
         &mut self,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Overwrites an orphan with the content that the author has.
+    /// Overwrites an orphan with the content that the publisher has.
     pub(super) fn overwrite_orphan(
         &mut self,
         now: Time,
@@ -54,7 +54,7 @@
     ) {
         let own = self.replica.log.get(&key);
         let is_newer = own.is_some_and(|own| own.version >= version);
-        let State::Writing { epoch, orphans, .. } = &mut self.state else {
+        let State::Publishing { epoch, orphans, .. } = &mut self.state else {
             return;
         };
         if is_newer || version.token >= epoch.claim.token || *orphans >= MAX_OVERWRITTEN_ORPHANS {
--- a/crates/distribution/src/author/publishing.rs
+++ b/crates/distribution/src/publisher/publishing.rs
@@ -1,6 +1,6 @@
 //! Publishing: changes for all nodes, canaries, promotions and reverts.
 
-use super::Author;
+use super::Publisher;
 use crate::output::Output;
 use crate::publish::{self, check_writable, PendingChange, PublishError};
 use crate::replica::ReplicaUpdate;
@@ -8,7 +8,7 @@
 use crate::Time;
 use reelfall_lease::token::Claim;
 
-impl Author {
+impl Publisher {
     /// Publishes changes for all nodes; gives back the last version.
     ///
     /// # Errors
@@ -161,7 +161,7 @@
             self.history
                 .record_replaced(&replacement.previous, &replacement.successor);
         }
-        if self.is_writing() {
+        if self.is_publishing() {
             self.rollouts.check_at(now);
             let replica = self.replica.view(now).authoritative();
             for key in &update.keys {
--- a/crates/distribution/src/author/rollouts.rs
+++ b/crates/distribution/src/publisher/rollouts.rs
@@ -1,4 +1,4 @@
-//! Staged rollouts at the author.
+//! Staged rollouts at the publisher.
 //!
 //! | the log has | the rollout |
 //! | --- | --- |
@@ -7,14 +7,14 @@
 //! | a later stable change with another content, or another canary | is superseded |
 //! | no canary | was ended |
 //!
-//! So an operator ends a rollout by [`Author::promote_canary`] or [`Author::revert`] as with any canary, and an author that
+//! So an operator ends a rollout by [`Publisher::promote_canary`] or [`Publisher::revert`] as with any canary, and a publisher that
 //! takes over continues from its log. Counts and soak times start again there, since they are on another clock.
 
 mod advance;
 mod start;
 mod takeover;
 
-use super::Author;
+use super::Publisher;
 use crate::log::ChangeLog;
 use crate::peer::PeerId;
 use crate::resource::{Change, Content, Key, Name, Slot, Version};
@@ -51,11 +51,11 @@
     pub record: RolloutRecord,
     /// The current stage, in thousandths of the nodes; none once the rollout has ended.
     pub thousandths: Option<u16>,
-    /// What the nodes of the stage reported to this author.
+    /// What the nodes of the stage reported to this publisher.
     pub counts: StageCounts,
     /// Why the stage does not advance yet; none if the rollout has ended or halted, or advances with the next poll.
-    pub waiting: Option<AdvanceBlocker>,
-    /// The nodes that rejected the change, as reported to this author.
+    pub blocker: Option<AdvanceBlocker>,
+    /// The nodes that rejected the change, as reported to this publisher.
     pub rejecting_nodes: Vec<RejectingNode>,
 }
 
@@ -64,18 +64,18 @@
 struct CurrentStage {
     /// The version of its canary.
     version: Version,
-    /// When it began, on this author's clock.
+    /// When it began, on this publisher's clock.
     began_at: Time,
 }
 
-/// A rollout at the author that writes.
+/// A rollout at the publisher that writes.
 #[derive(Debug)]
 struct Rollout {
     record: RolloutRecord,
     /// The current stage, once it has been checked.
     stage: Option<CurrentStage>,
     counts: StageCounts,
-    waiting: Option<AdvanceBlocker>,
+    blocker: Option<AdvanceBlocker>,
     rejecting_nodes: RejectingNodes,
 }
 
@@ -86,7 +86,7 @@
             record,
             stage: None,
             counts,
-            waiting: None,
+            blocker: None,
             rejecting_nodes,
         }
     }
@@ -121,13 +121,13 @@
     }
 }
 
-/// The rollouts of the author that writes.
+/// The rollouts of the publisher that writes.
 #[derive(Debug)]
 pub(super) struct Rollouts {
     by_name: BTreeMap<Name, Rollout>,
     next_check_at: Time,
-    /// When the author began to write.
-    writing_since: Time,
+    /// When the publisher began to write.
+    publishing_since: Time,
 }
 
 impl Default for Rollouts {
@@ -135,7 +135,7 @@
         Rollouts {
             by_name: BTreeMap::new(),
             next_check_at: f64::INFINITY,
-            writing_since: f64::INFINITY,
+            publishing_since: f64::INFINITY,
         }
     }
 }
@@ -232,8 +232,8 @@
     }
 }
 
-impl Author {
-    /// The status of a resource's last rollout. An author that does not write knows the stored record only.
+impl Publisher {
+    /// The status of a resource's last rollout. A publisher that does not write knows the stored record only.
     pub fn rollout(&self, name: &Name) -> Option<RolloutStatus> {
         let Some(rollout) = self.rollouts.by_name.get(name) else {
             let record = RolloutRecord::from_change(self.log().get(&RolloutRecord::key_of(name))?)?;
@@ -255,7 +255,7 @@
             record,
             thousandths,
             counts: rollout.counts,
-            waiting: rollout.waiting,
+            blocker: rollout.blocker,
             rejecting_nodes,
         }
     }
--- a/crates/distribution/src/author/rollouts/advance.rs
+++ b/crates/distribution/src/publisher/rollouts/advance.rs
@@ -1,6 +1,6 @@
 //! Checks open rollouts: begins the next stage, completes, halts or rolls back.
 
-use super::{progress_of, Author, CurrentStage, Rollout, RolloutProgress};
+use super::{progress_of, CurrentStage, Publisher, Rollout, RolloutProgress};
 use crate::output::{Event, Output};
 use crate::publish::PendingChange;
 use crate::resource::{Draft, Key, Name, Slot, Urgency};
@@ -9,9 +9,9 @@
 use crate::rollout::stage::{self, Stage, StageCounts, Verdict};
 use crate::Time;
 
-impl Author {
+impl Publisher {
     /// Checks all open rollouts, if that is due.
-    pub(in crate::author) fn check_rollouts(&mut self, now: Time, outputs: &mut Vec<Output>) {
+    pub(in crate::publisher) fn check_rollouts(&mut self, now: Time, outputs: &mut Vec<Output>) {
         if now < self.rollouts.next_check_at {
             return;
         }
@@ -61,18 +61,18 @@
             version,
             fraction,
             expected,
-            reports_since: self.rollouts.writing_since,
+            reports_since: self.rollouts.publishing_since,
         };
         let counts = stage::count_nodes(now, stage, policy, &self.node_statuses, rejecting_nodes);
         let verdict = stage::evaluate(policy, counts, now - current.began_at);
         let on_rejections = policy.on_rejections;
         rollout.counts = counts;
-        rollout.waiting = None;
+        rollout.blocker = None;
         if rollout.record.state != RolloutState::Running {
             return;
         }
         match verdict {
-            Verdict::Wait(blocker) => rollout.waiting = Some(blocker),
+            Verdict::Wait(blocker) => rollout.blocker = Some(blocker),
             Verdict::Advance => self.advance_stage(now, name, index + 1, outputs),
             Verdict::Stop => {
                 let stop = rollout.stop_summary(fraction.thousandths);
@@ -199,7 +199,7 @@
     ) {
         if let Some(rollout) = self.rollouts.by_name.get_mut(name) {
             rollout.record.state = state.clone();
-            rollout.waiting = None;
+            rollout.blocker = None;
             if !state.is_open() {
                 rollout.rejecting_nodes.drop_nodes_without_reason();
             }
--- a/crates/distribution/src/author/rollouts/start.rs
+++ b/crates/distribution/src/publisher/rollouts/start.rs
@@ -1,6 +1,6 @@
 //! Starting a rollout: its record and its first stage.
 
-use super::{Author, Rollout, RolloutDraft, MAX_ENDED_RECORDS};
+use super::{Publisher, Rollout, RolloutDraft, MAX_ENDED_RECORDS};
 use crate::output::Output;
 use crate::publish::{check_writable, PendingChange, PublishError, MAX_OPEN_ROLLOUTS};
 use crate::resource::{Content, Draft, Key, Name, Urgency, Version};
@@ -9,12 +9,12 @@
 use crate::Time;
 use reelfall_lease::token::Claim;
 
-impl Author {
+impl Publisher {
     /// Starts a rollout: publishes its first stage, from which it advances by itself. Gives back the version of the
     /// first stage.
     ///
     /// # Errors
-    /// If nothing was published: as with [`Author::publish_canary`], or if the policy is invalid, the resource has an
+    /// If nothing was published: as with [`Publisher::publish_canary`], or if the policy is invalid, the resource has an
     /// open rollout, or there are too many of them.
     pub fn start_rollout(
         &mut self,
--- a/crates/distribution/src/author/rollouts/takeover.rs
+++ b/crates/distribution/src/publisher/rollouts/takeover.rs
@@ -1,17 +1,21 @@
-//! Takes over the rollouts of earlier authors when an author begins to write.
+//! Takes over the rollouts of earlier publishers when a publisher begins to write.
 
-use super::{progress_of, Author, Rollout, RolloutProgress, Rollouts};
+use super::{progress_of, Publisher, Rollout, RolloutProgress, Rollouts};
 use crate::log::ChangeLog;
 use crate::output::{Event, Output};
 use crate::resource::{Change, Group, Key, Selector, Slot, Version};
 use crate::rollout::record::{RolloutRecord, RolloutState};
 use crate::Time;
 
-impl Author {
-    /// Takes over the rollouts of earlier authors, and completes what they had begun.
-    pub(in crate::author) fn take_over_rollouts(&mut self, now: Time, outputs: &mut Vec<Output>) {
+impl Publisher {
+    /// Takes over the rollouts of earlier publishers, and completes what they had begun.
+    pub(in crate::publisher) fn take_over_rollouts(
+        &mut self,
+        now: Time,
+        outputs: &mut Vec<Output>,
+    ) {
         self.rollouts = Rollouts {
-            writing_since: now,
+            publishing_since: now,
             ..Rollouts::default()
         };
         let mut readable = Vec::new();
@@ -45,8 +49,8 @@
         }
     }
 
-    /// Completes a rollout whose author failed between storing that it had ended and writing the consequences, or
-    /// whose canary was published again by an author that returned. A manual canary with the content, the seed and a
+    /// Completes a rollout whose publisher failed between storing that it had ended and writing the consequences, or
+    /// whose canary was published again by a publisher that returned. A manual canary with the content, the seed and a
     /// stage of an ended rollout counts as that rollout's.
     pub(super) fn complete_interrupted_rollout(
         &mut self,
@@ -76,7 +80,7 @@
                     self.end_rollout(now, &record.name, RolloutState::Lost, false, outputs);
                 }
             }
-            // The author that promoted it is back and has published the promotion again.
+            // The publisher that promoted it is back and has published the promotion again.
             (RolloutState::Lost, RolloutProgress::Promoted) => {
                 self.rollouts
                     .by_name
@@ -94,7 +98,7 @@
 
 /// The stored rollout records; none in place of an unreadable one.
 pub(super) fn records(log: &ChangeLog) -> impl Iterator<Item = (&Change, Option<RolloutRecord>)> {
-    let selector = Selector::Group(Group::Authors);
+    let selector = Selector::Group(Group::Publishers);
     let keys = log.keys_after(&selector, Version::ZERO).map(|(_, key)| key);
     let changes = keys
         .filter_map(|key| log.get(key))
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay: follows an author or another relay, and serves its children from its replica.
+//! A relay: follows a publisher or another relay, and serves its children from its replica.
 
 use crate::coverage::Coverage;
 use crate::downstream::Downstream;
@@ -17,7 +17,7 @@
 /// Configuration of a relay.
 #[derive(Clone, Debug)]
 pub struct RelayConfig {
-    /// The authors' lease.
+    /// The publishers' lease.
     pub lease: LeaseName,
     /// How it follows its upstream.
     pub upstream: UpstreamConfig,
--- a/crates/distribution/src/replica.rs
+++ b/crates/distribution/src/replica.rs
@@ -1,5 +1,6 @@
-//! A full replica that follows an upstream: what relays and authors have in common.
+//! A full replica that follows an upstream: what relays and publishers have in common.
 
+use crate::close_reason::CloseReason;
 use crate::coverage::{Coverage, Span};
 use crate::epoch::Epoch;
 use crate::log::{ChangeLog, PutOutcome};
@@ -8,7 +9,6 @@
 use crate::report::Report;
 use crate::resource::{Change, ChangeId, Key, Replacement, Selector, Version};
 use crate::restore::{RestoredState, StoredCoverage};
-use crate::session_end::CloseReason;
 use crate::staleness::KnownAge;
 use crate::upstream::Upstream;
 use crate::upstream_event::UpstreamEvent;
@@ -25,24 +25,24 @@
     pub keys: Vec<Key>,
     /// Replaced changes, each with its successor.
     pub replaced: Vec<Replacement>,
-    /// Changes that the present author does not have.
+    /// Changes that the present publisher does not have.
     pub orphans: Vec<ChangeId>,
-    /// Whether there is another author.
+    /// Whether there is another publisher.
     pub has_new_epoch: bool,
     /// Whether everything that the upstream has is here.
-    pub is_current: bool,
+    pub is_up_to_date: bool,
 }
 
-/// The log, the author's epoch and the session with the upstream.
+/// The log, the publisher's epoch and the session with the upstream.
 #[derive(Debug)]
 pub(crate) struct Replica {
     pub upstream: Upstream,
     pub log: ChangeLog,
     pub epoch: Option<Epoch>,
-    /// The last author's fencing token in this run.
+    /// The last publisher's fencing token in this run.
     latest_token: u64,
     /// When the upstream last said that everything was sent, and the staleness at that time.
-    last_current: Option<KnownAge>,
+    last_up_to_date: Option<KnownAge>,
     stored_coverage: Coverage,
     unstored_frames: u32,
 }
@@ -71,7 +71,7 @@
             log,
             epoch,
             latest_token: 0,
-            last_current: None,
+            last_up_to_date: None,
             stored_coverage: coverage,
             unstored_frames: 0,
         }
@@ -92,7 +92,7 @@
 
     /// Upper bound of the staleness in seconds, if it is known.
     pub fn staleness(&self, now: Time) -> Option<Time> {
-        self.last_current.map(|known| known.at_time(now))
+        self.last_up_to_date.map(|known| known.at_time(now))
     }
 
     /// The view from which children are served.
@@ -129,18 +129,18 @@
                 digests,
                 ..
             } => self.apply_manifest(removals_known, &digests, outputs),
-            UpstreamEvent::Current {
+            UpstreamEvent::UpToDate {
                 pruned_through: removals_known,
                 age,
                 ..
             } => {
                 self.raise_pruned_through(removals_known, outputs);
                 if let Some(age) = age {
-                    self.last_current = Some(KnownAge { at: now, age });
+                    self.last_up_to_date = Some(KnownAge { at: now, age });
                 }
                 self.store_coverage(outputs);
                 ReplicaUpdate {
-                    is_current: true,
+                    is_up_to_date: true,
                     ..ReplicaUpdate::default()
                 }
             }
@@ -181,14 +181,14 @@
         }
     }
 
-    /// Sets the current author.
+    /// Sets the current publisher.
     pub fn set_epoch(&mut self, epoch: Epoch, outputs: &mut Vec<Output>) {
         outputs.push(Output::Persist(Record::Epoch(epoch.clone())));
         self.epoch = Some(epoch);
     }
 
-    /// The versions of known authors' changes that are here: what the last author knew when it took over, and what it
-    /// wrote. This can be less than the coverage, where an earlier author wrote what its successor never received.
+    /// The versions of known publishers' changes that are here: what the last publisher knew when it took over, and what it
+    /// wrote. This can be less than the coverage, where an earlier publisher wrote what its successor never received.
     pub fn known_versions(&self) -> Coverage {
         let Some(epoch) = &self.epoch else {
             return self.coverage().clone();
@@ -293,7 +293,7 @@
         }
     }
 
-    /// Covers all versions up to this one, by the word of the author itself.
+    /// Covers all versions up to this one, by the word of the publisher itself.
     pub fn mark_complete(&mut self, head: Version, outputs: &mut Vec<Output>) {
         self.upstream.add_coverage(
             &Selector::Everything,
@@ -327,7 +327,7 @@
     }
 }
 
-/// Changes of earlier authors that the present one did not have when it took over.
+/// Changes of earlier publishers that the present one did not have when it took over.
 pub(crate) fn orphaned_changes(log: &ChangeLog, epoch: &Epoch) -> Vec<ChangeId> {
     let earlier = |change: &&Change| change.version.token < epoch.claim.token;
     let unknown = |change: &&Change| !epoch.known.contains(change.version);
@@ -340,7 +340,7 @@
         .collect()
 }
 
-/// What an author knew when it took over, and what it has written since.
+/// What a publisher knew when it took over, and what it has written since.
 fn known_since(epoch: &Epoch, head: Version) -> Coverage {
     let mut known = epoch.known.clone();
     let after = Version {
@@ -354,7 +354,7 @@
     known
 }
 
-/// Versions that the present author knows, and that are covered here on the word of an earlier author that did not
+/// Versions that the present publisher knows, and that are covered here on the word of an earlier publisher that did not
 /// know them: their changes were never received.
 pub(crate) fn missing_versions(earlier: &Epoch, present: &Epoch, covered: &Coverage) -> Coverage {
     let known = known_since(earlier, covered.last_version());
--- a/crates/distribution/src/replica_view.rs
+++ b/crates/distribution/src/replica_view.rs
@@ -1,4 +1,4 @@
-//! A read-only view of a replica, from which a relay or an author serves its children.
+//! A read-only view of a replica, from which a relay or a publisher serves its children.
 
 use crate::coverage::Coverage;
 use crate::epoch::Epoch;
@@ -6,7 +6,7 @@
 use crate::resource::Version;
 use crate::Time;
 
-/// What a relay or an author can send to its children at one moment.
+/// What a relay or a publisher can send to its children at one moment.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaView<'a> {
     /// The latest change of each key.
@@ -19,12 +19,12 @@
     pub removals_known: Version,
     /// Upper bound of the replica's staleness in seconds, if it is known.
     pub age: Option<Time>,
-    /// The term of the current author, once it is known.
+    /// The term of the current publisher, once it is known.
     pub epoch: Option<&'a Epoch>,
 }
 
 impl ReplicaView<'_> {
-    /// The same view at the author that writes: its own changes are never stale.
+    /// The same view at the publisher that writes: its own changes are never stale.
     pub(crate) fn authoritative(self) -> Self {
         ReplicaView {
             age: Some(0.0),
--- a/crates/distribution/src/report.rs
+++ b/crates/distribution/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports from nodes to the author, and the queue in which a process keeps them until its upstream has them.
+//! Reports from nodes to the publisher, and the queue in which a process keeps them until its upstream has them.
 
 mod rejections;
 
@@ -15,7 +15,7 @@
 /// Most nodes with an acknowledgement in the queue; others are left to their next report.
 pub const MAX_QUEUED_ACKNOWLEDGEMENTS: usize = 16_384;
 
-/// A report to the author.
+/// A report to the publisher.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Report {
     /// A node has applied or rejected every change of its subscriptions up to this version.
@@ -36,7 +36,7 @@
         /// The node's reason.
         reason: String,
     },
-    /// A change of an earlier author that the present author does not have.
+    /// A change of an earlier publisher that the present publisher does not have.
     Orphan {
         /// The key of the change.
         key: Key,
@@ -46,7 +46,7 @@
 }
 
 /// Reports to be sent: one acknowledgement for each node, each rejection and orphan once. In each session rejections
-/// are sent before acknowledgements, so an author that has a node's acknowledgement has its rejections, too.
+/// are sent before acknowledgements, so a publisher that has a node's acknowledgement has its rejections, too.
 #[derive(Debug, Default)]
 pub struct ReportQueue {
     /// Rejections and orphans, [`MAX_QUEUED_REPORTS`] at most; after a session also the rejections that are sent
@@ -94,7 +94,7 @@
     }
 
     /// Puts back the reports that were in flight when a session ended, and the rejections that were sent in it: the
-    /// upstream may have failed before it forwarded them, and another author never received them.
+    /// upstream may have failed before it forwarded them, and another publisher never received them.
     pub fn requeue(&mut self, reports: Vec<Report>) {
         for report in reports.into_iter().rev() {
             self.put_back(report);
--- a/crates/distribution/src/report/rejections.rs
+++ b/crates/distribution/src/report/rejections.rs
@@ -1,6 +1,6 @@
 //! Rejections that were reported before, to be reported again to another upstream.
 //!
-//! An upstream may fail after it acknowledged a rejection and before it forwarded it, and a new author does not know
+//! An upstream may fail after it acknowledged a rejection and before it forwarded it, and a new publisher does not know
 //! what its predecessor received. The node's acknowledgement alone would then count as an acceptance. So each process
 //! reports its rejections again in each new session, before any acknowledgement.
 
--- a/crates/distribution/src/resource.rs
+++ b/crates/distribution/src/resource.rs
@@ -20,7 +20,7 @@
     Empty,
     /// It is too long.
     #[error("a resource's name has {MAX_NAME_BYTES} bytes at most")]
-    Long,
+    TooLong,
 }
 
 /// The group that a resource belongs to; nodes subscribe by group.
@@ -32,8 +32,8 @@
     Service(Arc<str>),
     /// Settings of one tenant, to which a node subscribes when it first meets the tenant.
     Tenant(Arc<str>),
-    /// Resources of authors: relays and authors hold them, nodes do not.
-    Authors,
+    /// Resources of publishers: relays and publishers hold them, nodes do not.
+    Publishers,
 }
 
 /// The name of a resource.
@@ -48,7 +48,7 @@
 fn check(text: &str) -> Result<(), InvalidName> {
     match text.len() {
         0 => Err(InvalidName::Empty),
-        n if n > MAX_NAME_BYTES => Err(InvalidName::Long),
+        n if n > MAX_NAME_BYTES => Err(InvalidName::TooLong),
         _ => Ok(()),
     }
 }
@@ -85,7 +85,7 @@
     pub fn check(&self) -> Result<(), InvalidName> {
         check(&self.item)?;
         match &self.group {
-            Group::Common | Group::Authors => Ok(()),
+            Group::Common | Group::Publishers => Ok(()),
             Group::Service(text) | Group::Tenant(text) => check(text),
         }
     }
@@ -94,7 +94,7 @@
 /// The resources of a subscription.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Selector {
-    /// All resources, for relays and authors.
+    /// All resources, for relays and publishers.
     Everything,
     /// Common resources and all services, without tenants, for nodes that serve everything.
     Services,
@@ -131,20 +131,20 @@
     pub fn matches(&self, group: &Group) -> bool {
         match self {
             Selector::Everything => true,
-            Selector::Services => !matches!(group, Group::Tenant(_) | Group::Authors),
+            Selector::Services => !matches!(group, Group::Tenant(_) | Group::Publishers),
             Selector::Group(own) => own == group,
         }
     }
 }
 
-/// The version of a change: its author's fencing token, then the author's sequence number; ordered in this order.
+/// The version of a change: its publisher's fencing token, then the publisher's sequence number; ordered in this order.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Version {
     /// The fencing token.
     pub token: u64,
-    /// The author's sequence number, from 1.
+    /// The publisher's sequence number, from 1.
     pub sequence: u64,
 }
 
@@ -268,7 +268,7 @@
     }
 }
 
-/// A change that an author is asked to publish.
+/// A change that a publisher is asked to publish.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Draft {
     /// The resource.
@@ -318,7 +318,7 @@
     pub urgency: Urgency,
     /// The nodes that it is for.
     pub fraction: NodeFraction,
-    /// The version of the change that it replaced at its author; [`Version::ZERO`] if there was none.
+    /// The version of the change that it replaced at its publisher; [`Version::ZERO`] if there was none.
     pub replaces: Version,
     /// The new content.
     pub content: Content,
@@ -338,7 +338,7 @@
     /// Its approximate size in memory and in a frame, in bytes.
     pub fn size_bytes(&self) -> usize {
         let group = match &self.key.name.group {
-            Group::Common | Group::Authors => 0,
+            Group::Common | Group::Publishers => 0,
             Group::Service(text) | Group::Tenant(text) => text.len(),
         };
         CHANGE_OVERHEAD_BYTES + group + self.key.name.item.len() + self.content.bytes().len()
--- a/crates/distribution/src/restore.rs
+++ b/crates/distribution/src/restore.rs
@@ -23,7 +23,7 @@
     pub log: ChangeLog,
     /// The coverage of each selector.
     pub coverage: BTreeMap<Selector, StoredCoverage>,
-    /// The term of the last known author.
+    /// The term of the last known publisher.
     pub epoch: Option<Epoch>,
     /// The changes that a node had applied.
     pub applied: BTreeMap<Name, Change>,
--- a/crates/distribution/src/rollout.rs
+++ b/crates/distribution/src/rollout.rs
@@ -3,10 +3,10 @@
 //! | module | what belongs there |
 //! | --- | --- |
 //! | [`policy`] | the policy: stages, soak time, thresholds |
-//! | [`record`] | the stored record, from which another author continues |
+//! | [`record`] | the stored record, from which another publisher continues |
 //! | [`stage`] | what the nodes of a stage reported, and the verdict on it |
 //!
-//! Driven by `author::rollouts`.
+//! Driven by `publisher::rollouts`.
 
 pub mod policy;
 pub mod record;
--- a/crates/distribution/src/rollout/policy.rs
+++ b/crates/distribution/src/rollout/policy.rs
@@ -7,7 +7,7 @@
 
 /// Most stages of one rollout.
 pub const MAX_STAGES: usize = 16;
-/// Nodes report within [`crate::subscriber::ACKNOWLEDGEMENT_REFRESH_INTERVAL`] and the time to the author, so the age
+/// Nodes report within [`crate::subscriber::ACKNOWLEDGEMENT_REFRESH_INTERVAL`] and the time to the publisher, so the age
 /// limit of reports has to exceed this many seconds.
 pub const MIN_REPORT_AGE: Time = 60.0;
 /// Longest soak time and greatest age of a report, in seconds: thirty days.
@@ -36,7 +36,7 @@
     /// Largest share of rejections: among all known nodes of the stage during `decision_time`, among the nodes that
     /// decided afterwards; of `min_decisions` at least.
     pub max_rejected_share: u16,
-    /// Largest number of rejecting nodes, whatever their share. The author does not know which nodes subscribe to a
+    /// Largest number of rejecting nodes, whatever their share. The publisher does not know which nodes subscribe to a
     /// resource; the others count as accepting, so a resource of few nodes needs this limit.
     pub max_rejected: u32,
     /// Number of nodes that have to decide before a stage ends.
@@ -63,10 +63,10 @@
     Share,
     /// No decision would be enough.
     #[error("at least one node has to decide")]
-    Decisions,
+    MinDecisions,
     /// The soak time is negative or too long.
     #[error("the soak time is not between 0 and {MAX_DURATION} s")]
-    Soak,
+    SoakTime,
     /// The decision time is negative or exceeds the soak time.
     #[error("the time to decide is not between 0 and the soak time")]
     DecisionTime,
@@ -93,10 +93,10 @@
             return Err(InvalidPolicy::Share);
         }
         if self.min_decisions == 0 {
-            return Err(InvalidPolicy::Decisions);
+            return Err(InvalidPolicy::MinDecisions);
         }
         if !(0.0..=MAX_DURATION).contains(&self.soak_time) {
-            return Err(InvalidPolicy::Soak);
+            return Err(InvalidPolicy::SoakTime);
         }
         if !(0.0..=self.soak_time).contains(&self.decision_time) {
             return Err(InvalidPolicy::DecisionTime);
--- a/crates/distribution/src/rollout/record.rs
+++ b/crates/distribution/src/rollout/record.rs
@@ -1,7 +1,7 @@
 //! The stored record of a rollout.
 //!
-//! The record is a resource of [`Group::Authors`]: relays and authors hold it, nodes do not. It is written before the
-//! first canary and again when the rollout ends; the current stage follows from the canary. So an author that takes
+//! The record is a resource of [`Group::Publishers`]: relays and publishers hold it, nodes do not. It is written before the
+//! first canary and again when the rollout ends; the current stage follows from the canary. So a publisher that takes
 //! over finds both, or knows what is missing.
 
 use crate::peer::PeerId;
@@ -53,11 +53,11 @@
     RolledBack(StopSummary),
     /// The change was promoted to all nodes.
     Completed,
-    /// The canary was ended manually, or by an author that failed before it stored the reason.
+    /// The canary was ended manually, or by a publisher that failed before it stored the reason.
     Ended,
     /// A later change of the resource replaced it.
     Superseded,
-    /// An earlier author completed it, and the promoted change was never received: the earlier content stays.
+    /// An earlier publisher completed it, and the promoted change was never received: the earlier content stays.
     Lost,
 }
 
@@ -81,7 +81,7 @@
     pub after: Version,
     /// The policy.
     pub policy: RolloutPolicy,
-    /// Number of known nodes in each stage when it began; a later author may not know all of them.
+    /// Number of known nodes in each stage when it began; a later publisher may not know all of them.
     pub expected: Vec<u32>,
     /// Its state.
     pub state: RolloutState,
@@ -98,7 +98,7 @@
         }
         Key {
             name: Name {
-                group: Group::Authors,
+                group: Group::Publishers,
                 item: item.into(),
             },
             slot: Slot::Stable,
--- a/crates/distribution/src/rollout/stage.rs
+++ b/crates/distribution/src/rollout/stage.rs
@@ -96,7 +96,7 @@
     pub fraction: NodeFraction,
     /// Number of its nodes that were known when the rollout began.
     pub expected: u32,
-    /// When this author began to receive rejections: an earlier acknowledgement does not count as acceptance.
+    /// When this publisher began to receive rejections: an earlier acknowledgement does not count as acceptance.
     pub reports_since: Time,
 }
 
--- a/crates/distribution/src/send_progress.rs
+++ b/crates/distribution/src/send_progress.rs
@@ -17,9 +17,9 @@
     pub is_first: bool,
 }
 
-/// The contents of the last [`Payload::Current`] that was sent to the child.
+/// The contents of the last [`Payload::UpToDate`] that was sent to the child.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct CurrentNotice {
+pub(crate) struct UpToDateNotice {
     /// Counts the notices of this session; 0 before the first one.
     pub sequence: u64,
     pub head: Version,
--- a/crates/distribution/src/session.rs
+++ b/crates/distribution/src/session.rs
@@ -3,6 +3,7 @@
 //!
 //! Driven by [`crate::upstream`].
 
+use crate::close_reason::CloseReason;
 use crate::frame;
 use crate::link::{FrameReceipt, Link};
 use crate::message::{Payload, Subscribe};
@@ -10,7 +11,6 @@
 use crate::reassembly::Reassembler;
 use crate::report::{Report, ReportQueue};
 use crate::resource::Selector;
-use crate::session_end::CloseReason;
 use crate::subscriptions::Subscriptions;
 use crate::token_bucket::TokenBucket;
 use crate::Time;
--- a/crates/distribution/src/session_attempts.rs
+++ b/crates/distribution/src/session_attempts.rs
@@ -6,11 +6,11 @@
 //!
 //! All attempts take from one bucket, the follower's own. Used by `upstream::opening`.
 
+use crate::close_reason::CloseReason;
 use crate::link::Link;
 use crate::message::Payload;
 use crate::output::Output;
 use crate::peer::PeerId;
-use crate::session_end::CloseReason;
 use crate::token_bucket::TokenBucket;
 use crate::upstream_config::UpstreamConfig;
 use crate::Time;
--- a/crates/distribution/src/subscriber.rs
+++ b/crates/distribution/src/subscriber.rs
@@ -1,7 +1,7 @@
 //! A subscriber, at each node: follows a relay and applies the changes of its subscriptions.
 //!
 //! For each resource the log has a stable and a canary change; the later one is desired. The driver is asked to apply
-//! it, and accepts or rejects it. Rejections are reported to the author, and the last applied change stays.
+//! it, and accepts or rejects it. Rejections are reported to the publisher, and the last applied change stays.
 
 mod receive;
 mod reconcile;
@@ -28,7 +28,7 @@
 pub struct SubscriberConfig {
     /// This node.
     pub node: PeerId,
-    /// The authors' lease.
+    /// The publishers' lease.
     pub lease: LeaseName,
     /// How it follows its upstream.
     pub upstream: UpstreamConfig,
@@ -40,7 +40,7 @@
     pub seed: u64,
 }
 
-/// An acknowledgement is repeated after this many seconds without changes: the author may be a new one.
+/// An acknowledgement is repeated after this many seconds without changes: the publisher may be a new one.
 pub const ACKNOWLEDGEMENT_REFRESH_INTERVAL: Time = 60.0;
 /// The coverage of subscriptions without changes is stored after this many seconds.
 pub const COVERAGE_STORE_INTERVAL: Time = 60.0;
@@ -67,15 +67,15 @@
     /// Restored resources that have not been compared with what is applied.
     unverified: Vec<Name>,
     /// When everything was last known to be here, and the staleness at that time.
-    last_current: Option<KnownAge>,
+    last_up_to_date: Option<KnownAge>,
     head: Version,
     last_acknowledgement: Option<SentAcknowledgement>,
     stored_at: Time,
     /// Subscriptions whose coverage was stored, and which have received nothing since.
     stored_selectors: BTreeSet<Selector>,
-    /// The last known author, whatever run it was received in.
+    /// The last known publisher, whatever run it was received in.
     epoch: Option<Epoch>,
-    /// The last author's fencing token in this run.
+    /// The last publisher's fencing token in this run.
     latest_token: u64,
     clock: Time,
 }
@@ -126,7 +126,7 @@
             unverified: unchecked,
             log: restored.log,
             applied: AppliedResources::restore(restored.applied),
-            last_current: age.map(|age| KnownAge { at: now, age }),
+            last_up_to_date: age.map(|age| KnownAge { at: now, age }),
             head: Version::ZERO,
             last_acknowledgement: None,
             stored_at: f64::NEG_INFINITY,
@@ -201,7 +201,7 @@
 
     /// Upper bound of the staleness of the complete subscriptions, in seconds; infinite if it is unknown.
     pub fn staleness(&self, now: Time) -> Time {
-        self.last_current
+        self.last_up_to_date
             .map_or(f64::INFINITY, |known| known.at_time(now))
     }
 
--- a/crates/distribution/src/subscriber/receive.rs
+++ b/crates/distribution/src/subscriber/receive.rs
@@ -47,8 +47,8 @@
             }) => {
                 self.apply_manifest(&selector, removals_known, &digests, outputs);
             }
-            Some(UpstreamEvent::Current { head, age, .. }) => {
-                self.apply_current(now, head, age, outputs);
+            Some(UpstreamEvent::UpToDate { head, age, .. }) => {
+                self.apply_up_to_date(now, head, age, outputs);
             }
         }
     }
@@ -137,7 +137,7 @@
         self.upstream.mark_removals_known(selector, removals_known);
     }
 
-    pub(super) fn apply_current(
+    pub(super) fn apply_up_to_date(
         &mut self,
         now: Time,
         head: Version,
@@ -145,7 +145,7 @@
         outputs: &mut Vec<Output>,
     ) {
         if let Some(age) = age {
-            self.last_current = Some(KnownAge { at: now, age });
+            self.last_up_to_date = Some(KnownAge { at: now, age });
             self.head = self.head.max(head);
         }
         let store_all = now >= self.stored_at + COVERAGE_STORE_INTERVAL;
--- a/crates/distribution/src/token_bucket.rs
+++ b/crates/distribution/src/token_bucket.rs
@@ -17,14 +17,14 @@
 pub const TRANSPORT_OVERHEAD_BYTES: usize = 60;
 
 impl Budget {
-    /// From a relay to a node. Together with [`Budget::UP`] it stays within 8,000 bytes a second over any 10 s: `10 *
+    /// From a relay to a node. Together with [`Budget::NODE_UPLINK`] it stays within 8,000 bytes a second over any 10 s: `10 *
     /// (6000 + 1000) + 8000 + 1900 = 79900`.
-    pub const DOWN: Budget = Budget {
+    pub const NODE_DOWNLINK: Budget = Budget {
         bytes_per_second: 6000.0,
         burst_bytes: 8000.0,
     };
     /// From a node to a relay.
-    pub const UP: Budget = Budget {
+    pub const NODE_UPLINK: Budget = Budget {
         bytes_per_second: 1000.0,
         burst_bytes: 1900.0,
     };
--- a/crates/distribution/src/upstream.rs
+++ b/crates/distribution/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The upstream of a process: an author for the first relays, a relay for other relays and for nodes.
+//! The upstream of a process: a publisher for the first relays, a relay for other relays and for nodes.
 //!
 //! | state | ends |
 //! | --- | --- |
@@ -8,6 +8,7 @@
 //! | following | after no frame for [`UpstreamConfig::silence_timeout`]; after nothing fresh for [`UpstreamConfig::stale_timeout`] if there is another candidate; when the upstream ends the session or breaks the protocol |
 
 use crate::candidates::Candidates;
+use crate::close_reason::CloseReason;
 use crate::coverage::{Coverage, Span};
 use crate::epoch::Epoch;
 use crate::message::Payload;
@@ -18,7 +19,6 @@
 use crate::resource::{Selector, Version};
 use crate::session::Session;
 use crate::session_attempts::SessionAttempts;
-use crate::session_end::CloseReason;
 use crate::subscriptions::{SubscriptionState, Subscriptions};
 use crate::token_bucket::TokenBucket;
 use crate::upstream_config::{UpstreamConfig, MAX_STALE_FACTOR};
@@ -168,7 +168,7 @@
         self.reports.add(report);
     }
 
-    /// Checks the fencing token of an author's epoch.
+    /// Checks the fencing token of a publisher's epoch.
     ///
     /// # Errors
     /// If the claim is of another lease, or a later token has been seen.
--- a/crates/distribution/src/upstream/opening.rs
+++ b/crates/distribution/src/upstream/opening.rs
@@ -1,11 +1,11 @@
 //! Opening a session: candidates are tried until the first one answers.
 
 use super::{State, Upstream};
+use crate::close_reason::CloseReason;
 use crate::link::Link;
 use crate::message::{Payload, Received};
 use crate::output::{Event, Output};
 use crate::session::Session;
-use crate::session_end::CloseReason;
 use crate::token_bucket::TokenBucket;
 use crate::Time;
 
--- a/crates/distribution/src/upstream/receive.rs
+++ b/crates/distribution/src/upstream/receive.rs
@@ -1,6 +1,7 @@
 //! Takes in the frames of the upstream that is followed, and checks that they keep to the protocol.
 
 use super::{State, Upstream};
+use crate::close_reason::CloseReason;
 use crate::coverage::Span;
 use crate::epoch::Epoch;
 use crate::link::FrameReceipt;
@@ -9,7 +10,6 @@
 use crate::reassembly::ChunkOutcome;
 use crate::resource::{Change, Version};
 use crate::session::ManifestDigests;
-use crate::session_end::CloseReason;
 use crate::upstream_event::UpstreamEvent;
 use crate::Time;
 
@@ -104,14 +104,14 @@
                 };
                 self.handle_manifest(now, receipt, page, pruned_through)
             }
-            Payload::Current {
+            Payload::UpToDate {
                 head,
                 removals,
                 pruned_through,
                 age_us,
             } => {
-                let age = self.handle_current(now, receipt, head, removals, age_us);
-                Ok(Some(UpstreamEvent::Current {
+                let age = self.handle_up_to_date(now, receipt, head, removals, age_us);
+                Ok(Some(UpstreamEvent::UpToDate {
                     head,
                     pruned_through,
                     age,
@@ -208,7 +208,7 @@
     /// Handles the notice that everything was sent; gives back the upper bound of the staleness. A subscription that
     /// was requested after the upstream sent the notice is not included. Removals are known as far as the upstream
     /// knew them: it may have all changes before it has its manifest.
-    pub(super) fn handle_current(
+    pub(super) fn handle_up_to_date(
         &mut self,
         now: Time,
         receipt: FrameReceipt,
--- a/crates/distribution/src/upstream_config.rs
+++ b/crates/distribution/src/upstream_config.rs
@@ -12,7 +12,7 @@
     pub upstreams: Vec<PeerId>,
     /// Upstreams to follow while no preferred one is usable.
     pub fallbacks: Vec<PeerId>,
-    /// Whether this process is a relay or an author, which needs changes for other nodes, too.
+    /// Whether this process is a relay or a publisher, which needs changes for other nodes, too.
     pub is_relay: bool,
     /// Limit of what is sent.
     pub send_budget: Budget,
@@ -58,7 +58,7 @@
 const MAX_NODE_BACKOFF: Time = 11.0;
 
 /// Twice [`crate::downstream_config::DownstreamConfig::min_retry_after`], the longest that a rejected child is asked
-/// to wait. Relays and authors are few; their sessions stay far below the limit of an author.
+/// to wait. Relays and publishers are few; their sessions stay far below the limit of a publisher.
 const MAX_RELAY_BACKOFF: Time = 4.0;
 
 impl UpstreamConfig {
@@ -68,9 +68,9 @@
             upstreams,
             fallbacks: Vec::new(),
             is_relay: false,
-            send_budget: Budget::UP,
+            send_budget: Budget::NODE_UPLINK,
             receive_budget: Budget {
-                bytes_per_second: 4.0 * Budget::DOWN.bytes_per_second,
+                bytes_per_second: 4.0 * Budget::NODE_DOWNLINK.bytes_per_second,
                 burst_bytes: 100_000.0,
             },
             open_timeout: OPEN_TIMEOUT,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// For a relay or an author.
+    /// For a relay or a publisher.
     pub fn relay(upstreams: Vec<PeerId>) -> UpstreamConfig {
         let receive_budget = Budget {
             bytes_per_second: 4.0 * Budget::CONTROL.bytes_per_second,
--- a/crates/distribution/src/upstream_event.rs
+++ b/crates/distribution/src/upstream_event.rs
@@ -9,7 +9,7 @@
 /// A checked message of the upstream.
 #[derive(Debug, PartialEq)]
 pub enum UpstreamEvent {
-    /// The term of the current author.
+    /// The term of the current publisher.
     Epoch(Epoch),
     /// Changes; [`crate::upstream::Upstream::add_coverage`] is to be called once they are stored.
     Changes {
@@ -30,7 +30,7 @@
         digests: BTreeSet<u64>,
     },
     /// Everything that was requested before the upstream sent this has arrived.
-    Current {
+    UpToDate {
         /// The last version of the upstream.
         head: Version,
         /// The upstream may have pruned tombstones up to this version.
--- a/crates/distribution/tests/any_bytes.rs
+++ b/crates/distribution/tests/any_bytes.rs
@@ -3,15 +3,15 @@
 mod world;
 
 use proptest::prelude::*;
-use reelfall_distribution::author::{Author, AuthorConfig};
+use reelfall_distribution::close_reason::CloseReason;
 use reelfall_distribution::coverage::Coverage;
 use reelfall_distribution::downstream_config::DownstreamConfig;
 use reelfall_distribution::epoch::Epoch;
 use reelfall_distribution::message::{decode, encode, Head, Payload, Subscribe};
 use reelfall_distribution::output::Output;
 use reelfall_distribution::peer::PeerId;
+use reelfall_distribution::publisher::{Publisher, PublisherConfig};
 use reelfall_distribution::resource::{ContentHash, Name, Selector, Version};
-use reelfall_distribution::session_end::CloseReason;
 use reelfall_distribution::upstream_config::UpstreamConfig;
 use world::payloads::{
     change, chunk_payload, relay, span_through, subscriber, version, CAPACITY, RELAY_UPSTREAM,
@@ -19,8 +19,8 @@
 use world::{claim, lease};
 
 const RELAY: PeerId = PeerId(20);
-/// The first relay of the author.
-const AUTHOR_RELAY: PeerId = PeerId(10);
+/// The first relay of the publisher.
+const PUBLISHER_RELAY: PeerId = PeerId(10);
 /// What chunks are parts of.
 const BODY: &[u8] = b"123456789";
 
@@ -66,7 +66,7 @@
                 digests: vec![1],
             }
         }),
-        (0..9u64, 0..9u64, any::<u64>()).prop_map(|(head, removals, age)| Payload::Current {
+        (0..9u64, 0..9u64, any::<u64>()).prop_map(|(head, removals, age)| Payload::UpToDate {
             head: version(head),
             removals: version(removals),
             pruned_through: Version::ZERO,
@@ -85,34 +85,34 @@
     ]
 }
 
-fn author() -> Author {
-    let config = AuthorConfig {
+fn publisher() -> Publisher {
+    let config = PublisherConfig {
         lease: lease(),
-        upstream: UpstreamConfig::relay(vec![AUTHOR_RELAY]),
+        upstream: UpstreamConfig::relay(vec![PUBLISHER_RELAY]),
         downstream: DownstreamConfig::default(),
         capacity: CAPACITY,
         history_bytes: 1000,
         takeover_timeout: 0.0,
         seed: 1,
     };
-    let mut author = Author::new(config, 0.0);
-    author
+    let mut publisher = Publisher::new(config, 0.0);
+    publisher
         .hold_lease(0.0, &claim(1), 1e9, &mut Vec::new())
         .unwrap();
-    author.poll(0.0, &mut Vec::new());
-    author
+    publisher.poll(0.0, &mut Vec::new());
+    publisher
 }
 
 proptest! {
     #[test]
     fn arbitrary_bytes_do_not_panic(frames in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..300), 0..20)) {
-        let (mut node, mut relay, mut author) = (subscriber(vec![RELAY]), relay(DownstreamConfig::default()), author());
+        let (mut node, mut relay, mut publisher) = (subscriber(vec![RELAY]), relay(DownstreamConfig::default()), publisher());
         let mut outputs = Vec::new();
         for (n, frame) in frames.iter().enumerate() {
             let now = n as f64;
             node.receive(now, RELAY, frame, &mut outputs);
             relay.receive(now, RELAY_UPSTREAM, frame, &mut outputs);
-            author.receive(now, AUTHOR_RELAY, frame, &mut outputs);
+            publisher.receive(now, PUBLISHER_RELAY, frame, &mut outputs);
         }
     }
 
@@ -120,7 +120,7 @@
     fn arbitrary_payload_sequences_do_not_panic(
         script in prop::collection::vec((payloads(), 0..4u64, 0..4u64, any::<u64>(), any::<bool>()), 0..40),
     ) {
-        let (mut node, mut relay, mut author) = (subscriber(vec![RELAY]), relay(DownstreamConfig::default()), author());
+        let (mut node, mut relay, mut publisher) = (subscriber(vec![RELAY]), relay(DownstreamConfig::default()), publisher());
         let mut outputs = Vec::new();
         for (n, (payload, number, acknowledged, stamp_us, up)) in script.into_iter().enumerate() {
             let now = n as f64 / 2.0;
@@ -131,14 +131,14 @@
             let session = sessions.last().copied().unwrap_or(7);
             let head = Head { session, from_child: up, number, acknowledged, sent_at_us: stamp_us, echo: None };
             let frame = encode(&head, &payload);
-            for peer in [RELAY_UPSTREAM, AUTHOR_RELAY, RELAY] {
+            for peer in [RELAY_UPSTREAM, PUBLISHER_RELAY, RELAY] {
                 node.receive(now, peer, &frame, &mut outputs);
                 relay.receive(now, peer, &frame, &mut outputs);
-                author.receive(now, peer, &frame, &mut outputs);
+                publisher.receive(now, peer, &frame, &mut outputs);
             }
             node.poll(now, &mut outputs);
             relay.poll(now, &mut outputs);
-            author.poll(now, &mut outputs);
+            publisher.poll(now, &mut outputs);
         }
     }
 }
--- a/crates/distribution/tests/backlog.rs
+++ b/crates/distribution/tests/backlog.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use world::{claim, DelayRange, Network, SentFrame, World};
 
-const AUTHOR: u32 = 1;
+const PUBLISHER: u32 = 1;
 const FIRST_RELAY: u32 = 10;
 const REGION_RELAY: u32 = 20;
 /// One frame of 16 KB in a round trip: about 125,000 bytes a second.
@@ -36,15 +36,15 @@
 /// How long relays have to catch up, in seconds. The backlog after the last batch, a third of all, takes 16 s.
 const CATCH_UP_TIME: Time = 25.0;
 
-/// An author with the lease, a relay that follows it, and one that follows that relay.
+/// A publisher with the lease, a relay that follows it, and one that follows that relay.
 fn chain(seed: u64) -> World {
     let mut world = World::new(seed, SLOW_LINKS);
-    world.add_author(AUTHOR, &[FIRST_RELAY]);
-    world.add_relay(FIRST_RELAY, &[AUTHOR]);
+    world.add_publisher(PUBLISHER, &[FIRST_RELAY]);
+    world.add_relay(FIRST_RELAY, &[PUBLISHER]);
     world.add_relay(REGION_RELAY, &[FIRST_RELAY]);
-    let until = world.processes[&PeerId(AUTHOR)].clock(1e6);
-    let held = world.with_author(AUTHOR, |author, now, outputs| {
-        author.hold_lease(now, &claim(1), until, outputs)
+    let until = world.processes[&PeerId(PUBLISHER)].clock(1e6);
+    let held = world.with_publisher(PUBLISHER, |publisher, now, outputs| {
+        publisher.hold_lease(now, &claim(1), until, outputs)
     });
     assert_eq!(held, Some(Ok(())));
     world.run(30.0);
@@ -52,8 +52,8 @@
 }
 
 fn publish(world: &mut World, drafts: Vec<Draft>) -> Version {
-    let published = world.with_author(AUTHOR, |author, now, outputs| {
-        author.publish(now, &claim(1), drafts, outputs)
+    let published = world.with_publisher(PUBLISHER, |publisher, now, outputs| {
+        publisher.publish(now, &claim(1), drafts, outputs)
     });
     published.unwrap().unwrap()
 }
@@ -93,8 +93,8 @@
         "there is no backlog"
     );
     world.run(CATCH_UP_TIME);
-    let published: usize = world.author_of(AUTHOR).log().bytes();
-    for (upstream, relay) in [(AUTHOR, FIRST_RELAY), (FIRST_RELAY, REGION_RELAY)] {
+    let published: usize = world.publisher_of(PUBLISHER).log().bytes();
+    for (upstream, relay) in [(PUBLISHER, FIRST_RELAY), (FIRST_RELAY, REGION_RELAY)] {
         let machine = world.relay_of(relay);
         assert_eq!(
             machine.coverage().contiguous_end(),
@@ -148,8 +148,8 @@
         world.run(0.05);
     }
     world.run(CATCH_UP_TIME);
-    let published = world.author_of(AUTHOR).log().bytes();
-    for (upstream, relay) in [(AUTHOR, FIRST_RELAY), (FIRST_RELAY, REGION_RELAY)] {
+    let published = world.publisher_of(PUBLISHER).log().bytes();
+    for (upstream, relay) in [(PUBLISHER, FIRST_RELAY), (FIRST_RELAY, REGION_RELAY)] {
         assert_eq!(
             world.relay_of(relay).coverage().contiguous_end(),
             last,
@@ -184,15 +184,15 @@
     let mut world = chain(4);
     publish_all_keys(&mut world);
     assert_eq!(world.relay_of(REGION_RELAY).log().len(), KEY_COUNT as usize);
-    world.partition(PeerId(AUTHOR), PeerId(FIRST_RELAY), 5.0);
-    // More removals than the author retains.
+    world.partition(PeerId(PUBLISHER), PeerId(FIRST_RELAY), 5.0);
+    // More removals than the publisher retains.
     publish(
         &mut world,
         (0..200).map(|item| Draft::remove(key_name(item))).collect(),
     );
     let last = publish(&mut world, vec![Draft::put(key_name(200), b"new")]);
     world.run(60.0);
-    let published = contents(world.author_of(AUTHOR).log());
+    let published = contents(world.publisher_of(PUBLISHER).log());
     for relay in [FIRST_RELAY, REGION_RELAY] {
         let machine = world.relay_of(relay);
         assert_eq!(machine.coverage().contiguous_end(), last, "relay {relay}");
@@ -238,7 +238,7 @@
         .into_iter()
         .for_each(|newcomer| world.start(newcomer));
     world.run(60.0);
-    let published = contents(world.author_of(AUTHOR).log());
+    let published = contents(world.publisher_of(PUBLISHER).log());
     assert_eq!(published.len(), 100);
     assert!(
         contents(world.relay_of(REGION_RELAY + 1).log()) == published,
@@ -295,11 +295,11 @@
         .collect()
 }
 
-/// Two relays that follow an author, and one that follows either; frames are lost, relays are killed and restarted.
+/// Two relays that follow a publisher, and one that follows either; frames are lost, relays are killed and restarted.
 fn run_random_batches(seed: u64) {
     const RELAYS: [u32; 3] = [FIRST_RELAY, FIRST_RELAY + 1, REGION_RELAY];
     let mut world = chain(seed);
-    world.add_relay(RELAYS[1], &[AUTHOR]);
+    world.add_relay(RELAYS[1], &[PUBLISHER]);
     world.add_relay(RELAYS[2], &RELAYS[..2]);
     world.run(10.0);
     world.network.loss = 0.02;
@@ -329,7 +329,7 @@
     );
     world.heal();
     world.run(60.0);
-    let published = contents(world.author_of(AUTHOR).log());
+    let published = contents(world.publisher_of(PUBLISHER).log());
     for relay in RELAYS {
         let machine = world.relay_of(relay);
         assert_eq!(
--- a/crates/distribution/tests/change_delivery/canaries.rs
+++ b/crates/distribution/tests/change_delivery/canaries.rs
@@ -17,8 +17,8 @@
     let inside: Vec<u32> = NODES.filter(|id| fraction.contains(PeerId(*id))).collect();
     assert!(!inside.is_empty() && inside.len() < 6, "{inside:?}");
     let canary = world
-        .with_author(FIRST_WRITER.author, |author, now, outputs| {
-            author.publish_canary(
+        .with_publisher(FIRST_WRITER.publisher, |publisher, now, outputs| {
+            publisher.publish_canary(
                 now,
                 &claim(FIRST_WRITER.token),
                 put("x", b"new"),
@@ -33,15 +33,15 @@
         let expected: &[u8] = if inside.contains(&id) { b"new" } else { b"old" };
         assert_eq!(world.bytes_at(id, &name("x")).unwrap(), expected);
     }
-    world.with_author(FIRST_WRITER.author, |author, now, outputs| {
-        author.revert(now, &claim(FIRST_WRITER.token), canary, outputs)
+    world.with_publisher(FIRST_WRITER.publisher, |publisher, now, outputs| {
+        publisher.revert(now, &claim(FIRST_WRITER.token), canary, outputs)
     });
     world.run(5.0);
     for id in NODES {
         assert_eq!(world.bytes_at(id, &name("x")).unwrap(), b"old");
     }
-    world.with_author(FIRST_WRITER.author, |author, now, outputs| {
-        author.publish_canary(
+    world.with_publisher(FIRST_WRITER.publisher, |publisher, now, outputs| {
+        publisher.publish_canary(
             now,
             &claim(FIRST_WRITER.token),
             put("x", b"newer"),
@@ -50,8 +50,8 @@
         )
     });
     world.run(5.0);
-    world.with_author(FIRST_WRITER.author, |author, now, outputs| {
-        author.promote_canary(now, &claim(FIRST_WRITER.token), &name("x"), outputs)
+    world.with_publisher(FIRST_WRITER.publisher, |publisher, now, outputs| {
+        publisher.promote_canary(now, &claim(FIRST_WRITER.token), &name("x"), outputs)
     });
     world.run(5.0);
     for id in NODES {
@@ -70,8 +70,8 @@
             seed: 3,
         };
         let draft = put("x", b"new");
-        world.with_author(FIRST_WRITER.author, |author, now, outputs| {
-            author.publish_canary(now, &claim(FIRST_WRITER.token), draft, fraction, outputs)
+        world.with_publisher(FIRST_WRITER.publisher, |publisher, now, outputs| {
+            publisher.publish_canary(now, &claim(FIRST_WRITER.token), draft, fraction, outputs)
         });
         world.run(5.0);
     };
--- a/crates/distribution/tests/change_delivery/limits.rs
+++ b/crates/distribution/tests/change_delivery/limits.rs
@@ -1,4 +1,4 @@
-//! Changes that an author rejects.
+//! Changes that a publisher rejects.
 
 use crate::fixture::{publish, small_world, Writer, FIRST_WRITER, SECOND_WRITER};
 use crate::world::put;
--- a/crates/distribution/tests/change_delivery/main.rs
+++ b/crates/distribution/tests/change_delivery/main.rs
@@ -1,10 +1,10 @@
-//! Delivery of changes: rejections and reverts, urgency, bursts, canaries, subscriptions, and changes of two authors.
+//! Delivery of changes: rejections and reverts, urgency, bursts, canaries, subscriptions, and changes of two publishers.
 
-mod author_conflicts;
 mod canaries;
 mod fixture;
 mod limits;
 mod ordering;
+mod publisher_conflicts;
 mod rejections;
 mod subscriptions;
 #[path = "../world/mod.rs"]
--- a/crates/distribution/tests/change_delivery/author_conflicts.rs
+++ b/crates/distribution/tests/change_delivery/publisher_conflicts.rs
@@ -1,4 +1,4 @@
-//! Two authors that both count on the lease, and the succession of one by the other.
+//! Two publishers that both count on the lease, and the succession of one by the other.
 
 use crate::fixture::{
     publish, small_world, FIRST_WRITER, LEASE_DURATION, NODES, RELAYS, SECOND_WRITER,
@@ -10,14 +10,14 @@
 use reelfall_distribution::resource::Version;
 
 #[test]
-fn author_with_an_older_token_is_fenced() {
+fn publisher_with_an_older_token_is_fenced() {
     let mut world = small_world(6);
     publish(&mut world, FIRST_WRITER, vec![put("x", b"one")]).unwrap();
     world.run(10.0);
     // The second acquires the lease while the first still counts on its own, and all relays have switched.
     grant_lease(
         &mut world,
-        SECOND_WRITER.author,
+        SECOND_WRITER.publisher,
         SECOND_WRITER.token,
         LEASE_DURATION,
     );
@@ -43,9 +43,9 @@
     };
     assert!(
         world.invariants.events.iter().any(fenced),
-        "the first author was not fenced"
+        "the first publisher was not fenced"
     );
-    assert!(!world.author_of(FIRST_WRITER.author).is_writing());
+    assert!(!world.publisher_of(FIRST_WRITER.publisher).is_publishing());
     let rejected = publish(&mut world, FIRST_WRITER, vec![put("x", b"later")]);
     assert!(rejected.is_err(), "{rejected:?}");
     for id in NODES {
@@ -57,16 +57,16 @@
     };
     assert!(
         world.invariants.events.iter().any(orphaned),
-        "the loss of the first author's change was not reported"
+        "the loss of the first publisher's change was not reported"
     );
 }
 
 #[test]
-fn changes_of_a_partitioned_author_are_reverted_everywhere() {
+fn changes_of_a_partitioned_publisher_are_reverted_everywhere() {
     let mut world = small_world(7);
     publish(&mut world, FIRST_WRITER, vec![put("x", b"one")]).unwrap();
     world.run(10.0);
-    // One side of the partition: the first author, a relay and its nodes.
+    // One side of the partition: the first publisher, a relay and its nodes.
     let near_relay = world.node_of(100).following().unwrap();
     let far_relay = if near_relay.0 == 10 { 11 } else { 10 };
     let region: Vec<u32> = NODES
@@ -88,12 +88,12 @@
     for id in &region {
         assert_eq!(world.bytes_at(*id, &name("x")).unwrap(), b"partitioned");
     }
-    world.with_author(FIRST_WRITER.author, |author, now, outputs| {
-        author.stand_down(now, outputs)
+    world.with_publisher(FIRST_WRITER.publisher, |publisher, now, outputs| {
+        publisher.step_down(now, outputs)
     });
     grant_lease(
         &mut world,
-        SECOND_WRITER.author,
+        SECOND_WRITER.publisher,
         SECOND_WRITER.token,
         LEASE_DURATION,
     );
@@ -109,14 +109,14 @@
 }
 
 #[test]
-fn successor_has_the_changes_of_the_earlier_author() {
+fn successor_has_the_changes_of_the_earlier_publisher() {
     let mut world = small_world(8);
     publish(&mut world, FIRST_WRITER, vec![put("x", b"one")]).unwrap();
     world.run(60.0);
     world.kill(FIRST_WRITER.peer());
     grant_lease(
         &mut world,
-        SECOND_WRITER.author,
+        SECOND_WRITER.publisher,
         SECOND_WRITER.token,
         LEASE_DURATION,
     );
@@ -135,9 +135,9 @@
 }
 
 #[test]
-fn author_with_expired_lease_cannot_publish() {
+fn publisher_with_expired_lease_cannot_publish() {
     let mut world = small_world(14);
-    grant_lease(&mut world, FIRST_WRITER.author, FIRST_WRITER.token, 5.0);
+    grant_lease(&mut world, FIRST_WRITER.publisher, FIRST_WRITER.token, 5.0);
     world.run(4.0);
     assert!(publish(&mut world, FIRST_WRITER, vec![put("x", b"in time")]).is_ok());
     world.run(2.0);
--- a/crates/distribution/tests/change_delivery/rejections.rs
+++ b/crates/distribution/tests/change_delivery/rejections.rs
@@ -15,7 +15,7 @@
     )
     .unwrap();
     world.run(10.0);
-    let status = world.author_of(FIRST_WRITER.author).status(version);
+    let status = world.publisher_of(FIRST_WRITER.publisher).status(version);
     let rejecting: Vec<u32> = status
         .rejections
         .iter()
@@ -43,8 +43,8 @@
         };
         assert_eq!(world.bytes_at(id, &name("x")).unwrap(), expected);
     }
-    let reverted = world.with_author(FIRST_WRITER.author, |author, now, outputs| {
-        author.revert(now, &claim(FIRST_WRITER.token), version, outputs)
+    let reverted = world.with_publisher(FIRST_WRITER.publisher, |publisher, now, outputs| {
+        publisher.revert(now, &claim(FIRST_WRITER.token), version, outputs)
     });
     let reverted = reverted.unwrap().unwrap();
     assert!(reverted > version);
@@ -75,8 +75,8 @@
     publish(&mut world, FIRST_WRITER, drafts).unwrap();
     let version = publish(&mut world, FIRST_WRITER, vec![put("x", &[1; 30_000])]).unwrap();
     world.run(2.0);
-    world.with_author(FIRST_WRITER.author, |author, now, outputs| {
-        author.revert(now, &claim(FIRST_WRITER.token), version, outputs)
+    world.with_publisher(FIRST_WRITER.publisher, |publisher, now, outputs| {
+        publisher.revert(now, &claim(FIRST_WRITER.token), version, outputs)
     });
     world.run(1.5);
     let has_revert = |id: u32, world: &World| {
--- a/crates/distribution/tests/golden.rs
+++ b/crates/distribution/tests/golden.rs
@@ -5,6 +5,7 @@
 mod world;
 
 use rand::Rng;
+use reelfall_distribution::close_reason::CloseReason;
 use reelfall_distribution::coverage::{Coverage, Span};
 use reelfall_distribution::epoch::Epoch;
 use reelfall_distribution::message::{decode, encode, Chunk, Echo, Head, Payload, Subscribe};
@@ -19,7 +20,6 @@
 use reelfall_distribution::rollout::record::{
     RejectingNode, RolloutRecord, RolloutState, StopSummary,
 };
-use reelfall_distribution::session_end::CloseReason;
 use world::{claim, DelayRange, Network, World};
 
 const GOLDEN: &str = include_str!("golden/frames.txt");
@@ -122,7 +122,7 @@
         Group::Common,
         Group::Service("flags".into()),
         Group::Tenant("t".into()),
-        Group::Authors,
+        Group::Publishers,
     ];
     let groups = groups.into_iter().map(Selector::Group);
     [Selector::Everything, Selector::Services]
@@ -154,7 +154,7 @@
         offset: 16_000,
         bytes: vec![1, 2, 255],
     };
-    let current = |age_us| Payload::Current {
+    let current = |age_us| Payload::UpToDate {
         head: version(500),
         removals: version(400),
         pruned_through: version(3),
@@ -331,7 +331,7 @@
         },
     );
     world.digest = Some(blake3::Hasher::new());
-    world.add_author(1, &[10, 11]);
+    world.add_publisher(1, &[10, 11]);
     world.add_relay(10, &[1]);
     world.add_relay(11, &[1]);
     world.add_relay(20, &[10, 11]);
@@ -361,10 +361,10 @@
             thousandths: 500,
             seed,
         };
-        let _ = world.with_author(1, |author, now, outputs| match step % 6 {
-            3 => author.publish_canary(now, &claim(1), draft, part, outputs),
-            4 => author.promote_canary(now, &claim(1), &name, outputs),
-            _ => author.publish(now, &claim(1), vec![draft], outputs),
+        let _ = world.with_publisher(1, |publisher, now, outputs| match step % 6 {
+            3 => publisher.publish_canary(now, &claim(1), draft, part, outputs),
+            4 => publisher.promote_canary(now, &claim(1), &name, outputs),
+            _ => publisher.publish(now, &claim(1), vec![draft], outputs),
         });
         let victim = PeerId([10, 11, 20, 100, 102][world.rng.random_range(0..5)]);
         match world.rng.random_range(0..6) {
--- a/crates/distribution/tests/protocol_violations/child_sessions.rs
+++ b/crates/distribution/tests/protocol_violations/child_sessions.rs
@@ -1,6 +1,7 @@
 //! The sessions of a relay's children: bounds, violations, repeated payloads and budgets.
 
 use crate::world::payloads::{relay, SUBSCRIBER};
+use reelfall_distribution::close_reason::CloseReason;
 use reelfall_distribution::coverage::Coverage;
 use reelfall_distribution::downstream_config::DownstreamConfig;
 use reelfall_distribution::message::{decode, encode, Head, Payload, Subscribe};
@@ -8,7 +9,6 @@
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::relay::Relay;
 use reelfall_distribution::resource::{Selector, Version};
-use reelfall_distribution::session_end::CloseReason;
 use reelfall_distribution::Time;
 
 const MAX_CHILDREN: usize = 4;
@@ -94,7 +94,7 @@
     let mut relay = small_relay();
     open_session(&mut relay, SUBSCRIBER, 1.0, 7);
     open_session(&mut relay, OTHER_CHILD, 1.0, 7);
-    let payload_of_an_upstream = Payload::Current {
+    let payload_of_an_upstream = Payload::UpToDate {
         head: Version::ZERO,
         removals: Version::ZERO,
         pruned_through: Version::ZERO,
--- a/crates/distribution/tests/protocol_violations/scripted_relay.rs
+++ b/crates/distribution/tests/protocol_violations/scripted_relay.rs
@@ -1,10 +1,10 @@
 //! The relay's side of a node's session, with payloads chosen by the test.
 
 use crate::world::payloads::subscriber;
+use reelfall_distribution::close_reason::CloseReason;
 use reelfall_distribution::message::{decode, encode, Head, Payload};
 use reelfall_distribution::output::{Event, Output};
 use reelfall_distribution::peer::PeerId;
-use reelfall_distribution::session_end::CloseReason;
 use reelfall_distribution::subscriber::Subscriber;
 use reelfall_distribution::Time;
 
--- a/crates/distribution/tests/protocol_violations/upstream_sessions.rs
+++ b/crates/distribution/tests/protocol_violations/upstream_sessions.rs
@@ -2,12 +2,12 @@
 
 use crate::scripted_relay::{is_left_for, ScriptedRelay, SEND_INTERVAL, UNNUMBERED};
 use crate::world::payloads::{change, changes_payload, chunk_payload, span_through, version};
+use reelfall_distribution::close_reason::CloseReason;
 use reelfall_distribution::coverage::Span;
 use reelfall_distribution::message::{encode, Head, Payload};
 use reelfall_distribution::output::Output;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::resource::{Change, ContentHash, Name, Selector, Version};
-use reelfall_distribution::session_end::CloseReason;
 
 const UNKNOWN_PEER: PeerId = PeerId(99);
 
@@ -198,7 +198,7 @@
     assert!(relay.node.following().is_some());
 }
 
-/// [`Payload::Current`] crosses a new subscription: the relay sent it before it received that one.
+/// [`Payload::UpToDate`] crosses a new subscription: the relay sent it before it received that one.
 #[test]
 fn current_payload_does_not_complete_a_later_subscription() {
     let mut relay = ScriptedRelay::new();
@@ -212,7 +212,7 @@
         acknowledged_before + 1,
         "the node has sent the subscription"
     );
-    let current = Payload::Current {
+    let current = Payload::UpToDate {
         head: version(5),
         removals: version(5),
         pruned_through: Version::ZERO,
--- a/crates/distribution/tests/rare_failures/fixture.rs
+++ b/crates/distribution/tests/rare_failures/fixture.rs
@@ -1,9 +1,9 @@
 //! The deployment and calls that the cases of this test share.
 
-use crate::world::{claim, grant_lease, lease, two_authors_and_relays, World};
-use reelfall_distribution::author::{Author, AuthorConfig};
+use crate::world::{claim, grant_lease, lease, two_publishers_and_relays, World};
 use reelfall_distribution::downstream_config::DownstreamConfig;
 use reelfall_distribution::log::Capacity;
+use reelfall_distribution::publisher::{Publisher, PublisherConfig};
 use reelfall_distribution::resource::{Draft, Selector, Version};
 use reelfall_distribution::upstream_config::UpstreamConfig;
 use reelfall_distribution::Time;
@@ -14,8 +14,8 @@
 pub const NODES: Range<u32> = 100..104;
 
 /// It writes as soon as it holds the lease.
-pub fn author_without_relays() -> Author {
-    let config = AuthorConfig {
+pub fn publisher_without_relays() -> Publisher {
+    let config = PublisherConfig {
         lease: lease(),
         upstream: UpstreamConfig::relay(Vec::new()),
         downstream: DownstreamConfig::default(),
@@ -28,12 +28,12 @@
         takeover_timeout: 5.0,
         seed: 1,
     };
-    Author::new(config, 0.0)
+    Publisher::new(config, 0.0)
 }
 
-/// Two authors, the first of which holds the lease for this long; two relays, four nodes.
+/// Two publishers, the first of which holds the lease for this long; two relays, four nodes.
 pub fn small_world(seed: u64, lease_duration: Time) -> World {
-    let mut world = two_authors_and_relays(seed);
+    let mut world = two_publishers_and_relays(seed);
     for id in NODES {
         world.add_node(id, &RELAYS, &[Selector::service("a")]);
     }
@@ -41,12 +41,12 @@
     world
 }
 
-/// The author publishes by this token.
-pub fn publish(world: &mut World, author: u32, token: u64, drafts: Vec<Draft>) -> Version {
+/// The publisher publishes by this token.
+pub fn publish(world: &mut World, publisher: u32, token: u64, drafts: Vec<Draft>) -> Version {
     let published_at = world.now;
     let version = world
-        .with_author(author, |author, now, outputs| {
-            author.publish(now, &claim(token), drafts, outputs)
+        .with_publisher(publisher, |publisher, now, outputs| {
+            publisher.publish(now, &claim(token), drafts, outputs)
         })
         .unwrap()
         .unwrap();
--- a/crates/distribution/tests/rare_failures/author_succession.rs
+++ b/crates/distribution/tests/rare_failures/publisher_succession.rs
@@ -1,4 +1,4 @@
-//! Changes that not every author and relay had when the lease changed hands.
+//! Changes that not every publisher and relay had when the lease changed hands.
 
 use crate::fixture::{publish, small_world, LEASE_DURATION, NODES, RELAYS};
 use crate::world::{claim, grant_lease, name, put, World, CALM};
@@ -8,10 +8,10 @@
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::resource::{Change, Content, Draft, Selector, Version};
 
-/// The next author catches up from all first-tier relays, not from the first one alone: the last author had reached one
+/// The next publisher catches up from all first-tier relays, not from the first one alone: the last publisher had reached one
 /// relay before it crashed.
 #[test]
-fn change_that_reached_one_first_tier_relay_survives_the_author() {
+fn change_that_reached_one_first_tier_relay_survives_the_publisher() {
     let mut world = small_world(3, LEASE_DURATION);
     world.run(60.0);
     let follows_second =
@@ -30,7 +30,7 @@
     world.kill(PeerId(1));
     grant_lease(&mut world, 2, 2, LEASE_DURATION);
     world.run(60.0);
-    assert!(world.author_of(2).is_writing());
+    assert!(world.publisher_of(2).is_publishing());
     for id in NODES {
         assert_eq!(
             world.bytes_at(id, &name("x")).as_deref(),
@@ -41,10 +41,10 @@
     world.invariants.verify();
 }
 
-/// A partitioned author writes again without updates from the one that wrote meanwhile, which did not have its last change.
+/// A partitioned publisher writes again without updates from the one that wrote meanwhile, which did not have its last change.
 /// The coverage that the relays got from the other one includes that change, so they do not request it.
 #[test]
-fn change_unknown_to_an_intermediate_author_reaches_all_nodes() {
+fn change_unknown_to_an_intermediate_publisher_reaches_all_nodes() {
     let mut world = small_world(4, LEASE_DURATION);
     world.run(60.0);
     publish(&mut world, 1, 1, vec![put("x", b"one")]);
@@ -53,7 +53,9 @@
         world.partition(PeerId(1), PeerId(relay), 120.0);
     }
     publish(&mut world, 1, 1, vec![put("x", b"partitioned")]);
-    world.with_author(1, |author, now, outputs| author.stand_down(now, outputs));
+    world.with_publisher(1, |publisher, now, outputs| {
+        publisher.step_down(now, outputs)
+    });
     grant_lease(&mut world, 2, 2, LEASE_DURATION);
     world.run(80.0);
     publish(&mut world, 2, 2, vec![put("y", b"between")]);
@@ -70,7 +72,9 @@
             "{id}"
         );
     }
-    world.with_author(2, |author, now, outputs| author.stand_down(now, outputs));
+    world.with_publisher(2, |publisher, now, outputs| {
+        publisher.step_down(now, outputs)
+    });
     grant_lease(&mut world, 1, 3, LEASE_DURATION);
     world.run(200.0);
     for id in NODES {
@@ -82,7 +86,7 @@
         assert_eq!(
             world.bytes_at(id, &name("y")),
             None,
-            "{id}: the author does not have the change"
+            "{id}: the publisher does not have the change"
         );
     }
 }
@@ -91,7 +95,7 @@
 #[test]
 fn orphans_are_reported_after_a_relay_crash() {
     let mut world = World::new(5, CALM);
-    world.add_author(1, &[10]);
+    world.add_publisher(1, &[10]);
     world.add_relay(10, &[1]);
     world.add_node(100, &[10], &[Selector::service("a")]);
     grant_lease(&mut world, 1, 1, LEASE_DURATION);
@@ -100,10 +104,12 @@
     world.run(10.0);
     let known_change = world.relay_of(10).log().get_version(known).unwrap().clone();
     world.kill(PeerId(10));
-    world.with_author(1, |author, now, outputs| author.stand_down(now, outputs));
+    world.with_publisher(1, |publisher, now, outputs| {
+        publisher.step_down(now, outputs)
+    });
     grant_lease(&mut world, 1, 2, LEASE_DURATION);
     world.run(10.0);
-    assert!(world.author_of(1).is_writing());
+    assert!(world.publisher_of(1).is_publishing());
     let version = Version {
         sequence: known.sequence + 5,
         ..known
@@ -148,14 +154,14 @@
     world.invariants.verify();
 }
 
-/// A relay that lost all of its coverage, because an author in between did not have it, still has changes: it receives
+/// A relay that lost all of its coverage, because a publisher in between did not have it, still has changes: it receives
 /// removals whose tombstones were pruned meanwhile.
 #[test]
 fn relay_without_coverage_receives_pruned_removals() {
     const KEYS: usize = 60;
     let mut world = World::new(6, CALM);
-    world.add_author(1, &[10]);
-    world.add_author(2, &[10]);
+    world.add_publisher(1, &[10]);
+    world.add_publisher(2, &[10]);
     world.add_relay(10, &[1, 2]);
     world.partition(PeerId(2), PeerId(10), 100.0);
     grant_lease(&mut world, 1, 1, LEASE_DURATION);
@@ -169,9 +175,11 @@
     );
     world.run(20.0);
     assert_eq!(world.relay_of(10).log().len(), KEYS);
-    // The second author has no changes; the relay receives its epoch, and nothing else.
+    // The second publisher has no changes; the relay receives its epoch, and nothing else.
     world.partition(PeerId(1), PeerId(10), LEASE_DURATION);
-    world.with_author(1, |author, now, outputs| author.stand_down(now, outputs));
+    world.with_publisher(1, |publisher, now, outputs| {
+        publisher.step_down(now, outputs)
+    });
     world.run(39.0);
     grant_lease(&mut world, 2, 2, LEASE_DURATION);
     let has_second_epoch = |world: &World| {
@@ -183,14 +191,14 @@
         world.run(0.001);
         assert!(
             world.now < 300.0,
-            "the relay does not follow the second author"
+            "the relay does not follow the second publisher"
         );
     }
     world.partition(PeerId(2), PeerId(10), LEASE_DURATION);
     let last_covered = world.relay_of(10).coverage().last_version();
     assert_eq!(
         last_covered.token, 1,
-        "the second author has sent more than its epoch"
+        "the second publisher has sent more than its epoch"
     );
     // The first one writes again without updates from the second. It prunes tombstones.
     grant_lease(&mut world, 1, 3, LEASE_DURATION);
@@ -204,7 +212,7 @@
             .collect(),
     );
     assert!(
-        world.author_of(1).log().len() < KEYS,
+        world.publisher_of(1).log().len() < KEYS,
         "no tombstone was pruned"
     );
     world.partition(PeerId(1), PeerId(10), 0.0);
--- a/crates/distribution/tests/recovery_time.rs
+++ b/crates/distribution/tests/recovery_time.rs
@@ -3,11 +3,11 @@
 
 mod world;
 
+use reelfall_distribution::close_reason::CloseReason;
 use reelfall_distribution::downstream_config::DownstreamConfig;
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::resource::{Draft, Name, Version};
-use reelfall_distribution::session_end::CloseReason;
 use reelfall_distribution::upstream_config::{UpstreamConfig, MAX_STALE_FACTOR};
 use reelfall_distribution::Time;
 use std::ops::Range;
@@ -17,41 +17,45 @@
 const MAX_PROPAGATION_TIME: Time = 15.0;
 /// Opening a session, its subscriptions and a change over several links, each frame in 20 ms at most, in seconds.
 const ROUND_TRIPS: Time = 1.0;
-/// Maximum time in which an author collects what relays have, in seconds; the world's setting.
+/// Maximum time in which a publisher collects what relays have, in seconds; the world's setting.
 const TAKEOVER_TIME: Time = 5.0;
 /// How long a lease duration after its holder died, in seconds.
 const LEASE_DURATION: Time = 15.0;
 
-const AUTHORS: [u32; 3] = [1, 2, 3];
+const PUBLISHERS: [u32; 3] = [1, 2, 3];
 const NEAR: [u32; 3] = [20, 21, 22];
 const FAR: [u32; 3] = [30, 31, 32];
 const NODES: Range<u32> = 100..112;
 
-/// Three authors, of which the first has the lease with token 1; two regions of three relays; nodes of the first region.
+/// Three publishers, of which the first has the lease with token 1; two regions of three relays; nodes of the first region.
 fn regions(seed: u64) -> World {
     let mut world = World::new(seed, CALM);
     let relays = [NEAR, FAR].concat();
-    AUTHORS.iter().for_each(|id| world.add_author(*id, &relays));
-    relays.iter().for_each(|id| world.add_relay(*id, &AUTHORS));
+    PUBLISHERS
+        .iter()
+        .for_each(|id| world.add_publisher(*id, &relays));
+    relays
+        .iter()
+        .for_each(|id| world.add_relay(*id, &PUBLISHERS));
     NODES.for_each(|id| node_of_region(&mut world, id, &NEAR, &FAR));
     grant_lease(&mut world, 1, 1);
     world.run(40.0);
     world
 }
 
-fn grant_lease(world: &mut World, author: u32, token: u64) {
-    let lease_end = world.processes[&PeerId(author)].clock(world.now + 1e6);
-    let held = world.with_author(author, |author, now, outputs| {
-        author.hold_lease(now, &claim(token), lease_end, outputs)
+fn grant_lease(world: &mut World, publisher: u32, token: u64) {
+    let lease_end = world.processes[&PeerId(publisher)].clock(world.now + 1e6);
+    let held = world.with_publisher(publisher, |publisher, now, outputs| {
+        publisher.hold_lease(now, &claim(token), lease_end, outputs)
     });
     assert_eq!(held, Some(Ok(())));
 }
 
-fn publish(world: &mut World, author: u32, token: u64, text: &str) -> Version {
+fn publish(world: &mut World, publisher: u32, token: u64, text: &str) -> Version {
     let t = world.now;
     let drafts = vec![Draft::put(Name::service("a", "x"), text.as_bytes())];
-    let version = world.with_author(author, |author, now, outputs| {
-        author.publish(now, &claim(token), drafts, outputs)
+    let version = world.with_publisher(publisher, |publisher, now, outputs| {
+        publisher.publish(now, &claim(token), drafts, outputs)
     });
     let version = version.unwrap().unwrap();
     world.invariants.published(t, version);
@@ -92,8 +96,8 @@
     }
 }
 
-/// How long a relay takes to follow the author with the lease, once it can: the attempt in flight and a backoff; then each
-/// author that rejects it costs a short backoff, and each dead one an attempt.
+/// How long a relay takes to follow the publisher with the lease, once it can: the attempt in flight and a backoff; then each
+/// publisher that rejects it costs a short backoff, and each dead one an attempt.
 fn relay_reconnection_time(rejecting: u32, dead: u32) -> Time {
     let config = UpstreamConfig::relay(Vec::new());
     let (rejecting, dead) = (f64::from(rejecting), f64::from(dead));
@@ -154,7 +158,7 @@
     ] {
         let mut world = regions(seed);
         let near: Vec<u32> = NEAR.into_iter().chain(NODES).collect();
-        let others: Vec<u32> = AUTHORS.into_iter().chain(FAR).collect();
+        let others: Vec<u32> = PUBLISHERS.into_iter().chain(FAR).collect();
         partition_between(&mut world, &near, &others, duration);
         world.run(duration / 2.0);
         let version = publish(&mut world, 1, 1, "during the partition");
@@ -170,20 +174,22 @@
 }
 
 #[test]
-fn region_of_a_former_author_catches_up_with_its_successor() {
+fn region_of_a_former_publisher_catches_up_with_its_successor() {
     for (seed, duration) in [(11, 60.0), (12, 75.0), (13, 150.0), (14, 400.0)] {
         let mut world = regions(seed);
         let near: Vec<u32> = [1].into_iter().chain(NEAR).chain(NODES).collect();
         let others: Vec<u32> = [2, 3].into_iter().chain(FAR).collect();
         partition_between(&mut world, &near, &others, duration);
         world.run(LEASE_DURATION);
-        world.with_author(1, |author, now, outputs| author.stand_down(now, outputs));
+        world.with_publisher(1, |publisher, now, outputs| {
+            publisher.step_down(now, outputs)
+        });
         grant_lease(&mut world, 2, 2);
         wait_until(
             &mut world,
             TAKEOVER_TIME + ROUND_TRIPS,
             "a successor",
-            |world| world.author_of(2).is_writing(),
+            |world| world.publisher_of(2).is_publishing(),
         );
         let version = publish(&mut world, 2, 2, "during the partition");
         let remaining = duration - world.now + 40.0;
@@ -191,14 +197,14 @@
         let most = relay_reconnection_time(2, 0).max(stale_relay_switch_time()) + ROUND_TRIPS;
         let elapsed = wait_until_all_have(&mut world, version, most);
         println!(
-            "author partitioned for {duration} s: all have it after {elapsed:.2} s, of {most:.2} s"
+            "publisher partitioned for {duration} s: all have it after {elapsed:.2} s, of {most:.2} s"
         );
         world.invariants.verify();
     }
 }
 
 #[test]
-fn loss_of_half_the_control_machines_with_the_author_is_survived() {
+fn loss_of_half_the_control_machines_with_the_publisher_is_survived() {
     for seed in 21..27 {
         let mut world = regions(seed);
         let lost = [1, 3].into_iter().chain(NEAR);
@@ -220,7 +226,7 @@
             &mut world,
             TAKEOVER_TIME + ROUND_TRIPS,
             "a successor",
-            |world| world.author_of(2).is_writing(),
+            |world| world.publisher_of(2).is_publishing(),
         );
         let version = publish(&mut world, 2, 2, "by the successor");
         // The two dead ones may both be tried first; the successor may have rejected the relay just before.
@@ -244,7 +250,7 @@
     let mut world = regions(31);
     let duration = 3600.0;
     let near: Vec<u32> = NEAR.into_iter().chain(NODES).collect();
-    let others: Vec<u32> = AUTHORS.into_iter().chain(FAR).collect();
+    let others: Vec<u32> = PUBLISHERS.into_iter().chain(FAR).collect();
     partition_between(&mut world, &near, &others, duration);
     let started = world.now;
     world.run(duration);
@@ -281,7 +287,7 @@
     const MANY_NODES: Range<u32> = 100..1600;
     const RELAYS: [u32; 4] = [20, 21, 22, 23];
     let mut world = World::new(41, CALM);
-    world.add_author(1, &[]);
+    world.add_publisher(1, &[]);
     RELAYS.iter().for_each(|id| world.add_relay(*id, &[1]));
     MANY_NODES.for_each(|id| node_of_region(&mut world, id, &RELAYS, &[]));
     grant_lease(&mut world, 1, 1);
--- a/crates/distribution/tests/relay_tree.rs
+++ b/crates/distribution/tests/relay_tree.rs
@@ -2,20 +2,20 @@
 
 mod world;
 
+use reelfall_distribution::close_reason::CloseReason;
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::resource::{Draft, Name, Selector, Version};
-use reelfall_distribution::session_end::CloseReason;
 use reelfall_distribution::upstream_config::UpstreamConfig;
 use reelfall_distribution::Time;
 use world::{claim, grant_lease, put, RecordedEvent, World, CALM};
 
 const NODES: std::ops::Range<u32> = 100..106;
 
-/// One author, two first relays, two relays of a region, six nodes; the author has the lease with token 1.
+/// One publisher, two first relays, two relays of a region, six nodes; the publisher has the lease with token 1.
 fn tree(seed: u64) -> World {
     let mut world = World::new(seed, CALM);
-    world.add_author(1, &[10, 11]);
+    world.add_publisher(1, &[10, 11]);
     world.add_relay(10, &[1]);
     world.add_relay(11, &[1]);
     world.add_relay(20, &[10, 11]);
@@ -30,8 +30,8 @@
 
 fn publish(world: &mut World, token: u64, drafts: Vec<Draft>) -> Version {
     let t = world.now;
-    let version = world.with_author(1, |author, now, outputs| {
-        author.publish(now, &claim(token), drafts, outputs)
+    let version = world.with_publisher(1, |publisher, now, outputs| {
+        publisher.publish(now, &claim(token), drafts, outputs)
     });
     let version = version.unwrap().unwrap();
     world.invariants.published(t, version);
@@ -70,7 +70,7 @@
         );
     }
     world.run(10.0);
-    let status = world.author_of(1).status(version);
+    let status = world.publisher_of(1).status(version);
     assert_eq!(status.acknowledged.len(), NODES.len());
     world.invariants.verify();
 }
@@ -124,7 +124,7 @@
 #[test]
 fn reconnections_after_a_relay_crash_are_spread() {
     let mut world = World::new(3, CALM);
-    world.add_author(1, &[10]);
+    world.add_publisher(1, &[10]);
     world.add_relay(10, &[1]);
     world.add_relay(20, &[10]);
     world.add_relay(21, &[10]);
@@ -246,7 +246,7 @@
 #[test]
 fn simultaneous_first_starts_receive_all_changes() {
     let mut world = World::new(8, CALM);
-    world.add_author(1, &[10]);
+    world.add_publisher(1, &[10]);
     world.add_relay(10, &[1]);
     world.add_relay(20, &[10]);
     world.add_relay(21, &[10]);
--- a/crates/distribution/tests/schedules/checks.rs
+++ b/crates/distribution/tests/schedules/checks.rs
@@ -1,13 +1,13 @@
 //! What must hold at the end of a schedule: no session was closed for a violation, all nodes have converged, and no change
-//! of a single author is lost.
+//! of a single publisher is lost.
 
 use crate::schedule::{selectors_of, Schedule, ITEMS_PER_GROUP};
 use crate::world::{Config, RecordedEvent, REJECTED_BY_ODD_NODES};
-use reelfall_distribution::author::Author;
+use reelfall_distribution::close_reason::CloseReason;
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
+use reelfall_distribution::publisher::Publisher;
 use reelfall_distribution::resource::{Key, Name, Slot};
-use reelfall_distribution::session_end::CloseReason;
 use reelfall_distribution::Time;
 
 /// The most that a node shows as the age of its configuration once all nodes have converged, in seconds.
@@ -21,14 +21,14 @@
         self.check_close_reasons();
         let holder = self.lease_holder.unwrap();
         assert!(
-            self.world.author_of(holder).is_writing(),
-            "no author is writing"
+            self.world.publisher_of(holder).is_publishing(),
+            "no publisher is writing"
         );
         let nodes = self.world.ids(|config| matches!(config, Config::Node(..)));
         for id in nodes {
             self.check_node(id, holder);
         }
-        if self.authors.len() == 1 {
+        if self.publishers.len() == 1 {
             self.check_nothing_lost(holder);
         }
     }
@@ -50,11 +50,11 @@
     }
 
     fn check_node(&self, id: PeerId, holder: u32) {
-        let author = self.world.author_of(holder);
+        let publisher = self.world.publisher_of(holder);
         let node = self.world.node_of(id.0);
         assert_eq!(
             node.head(),
-            author.head(),
+            publisher.head(),
             "{id:?} follows {:?}",
             node.following()
         );
@@ -71,17 +71,17 @@
                 Name::service("b", &item),
             ];
             for name in names {
-                self.check_applied(id, author, &name);
+                self.check_applied(id, publisher, &name);
             }
         }
     }
 
-    fn check_applied(&self, id: PeerId, author: &Author, name: &Name) {
+    fn check_applied(&self, id: PeerId, publisher: &Publisher, name: &Name) {
         let is_subscribed = selectors_of(id.0)
             .iter()
             .any(|selector| selector.matches(&name.group));
         let expected = if is_subscribed {
-            expected_body(author, id, name)
+            expected_body(publisher, id, name)
         } else {
             None
         };
@@ -96,9 +96,9 @@
     }
 
     fn check_nothing_lost(&self, holder: u32) {
-        let author = self.world.author_of(holder);
+        let publisher = self.world.publisher_of(holder);
         for (name, body) in &self.last_published {
-            assert_eq!(stable_body(author, name), *body, "{name:?} was lost");
+            assert_eq!(stable_body(publisher, name), *body, "{name:?} was lost");
         }
     }
 }
@@ -108,19 +108,19 @@
         .map(|body| &body[..body.len().min(COMPARED_BYTES)])
 }
 
-/// The content for all nodes at an author.
-pub fn stable_body(author: &Author, name: &Name) -> Option<Vec<u8>> {
-    let stable = author.log().get(&Key {
+/// The content for all nodes at a publisher.
+pub fn stable_body(publisher: &Publisher, name: &Name) -> Option<Vec<u8>> {
+    let stable = publisher.log().get(&Key {
         name: name.clone(),
         slot: Slot::Stable,
     })?;
     (!stable.is_removal()).then(|| stable.content.bytes().to_vec())
 }
 
-/// What a node is to apply, by the log of an author.
-pub fn expected_body(author: &Author, node: PeerId, name: &Name) -> Option<Vec<u8>> {
+/// What a node is to apply, by the log of a publisher.
+pub fn expected_body(publisher: &Publisher, node: PeerId, name: &Name) -> Option<Vec<u8>> {
     let change_in = |slot| {
-        author.log().get(&Key {
+        publisher.log().get(&Key {
             name: name.clone(),
             slot,
         })
--- a/crates/distribution/tests/schedules/main.rs
+++ b/crates/distribution/tests/schedules/main.rs
@@ -1,4 +1,4 @@
-//! Random schedules over small trees: authors that take over the lease from each other, relays and nodes that are killed,
+//! Random schedules over small trees: publishers that take over the lease from each other, relays and nodes that are killed,
 //! paused and partitioned while changes are published, promoted, reverted and rejected.
 
 mod checks;
--- a/crates/distribution/tests/schedules/rollout_checks.rs
+++ b/crates/distribution/tests/schedules/rollout_checks.rs
@@ -14,7 +14,7 @@
 
 /// The share of all nodes.
 const ALL_NODES_THOUSANDTHS: u16 = 1000;
-/// The least ratio of a soak time on the world's clock to that on the clock of an author.
+/// The least ratio of a soak time on the world's clock to that on the clock of a publisher.
 const MIN_CLOCK_RATE: f64 = 0.999;
 
 /// The outcomes of the rollouts of schedules.
@@ -98,7 +98,7 @@
         outcomes
     }
 
-    /// The rollout that this advance belongs to. An author that succeeds another one without knowing its last rollout may
+    /// The rollout that this advance belongs to. A publisher that succeeds another one without knowing its last rollout may
     /// continue an earlier one.
     fn rollout_of(&self, advance: &Advance) -> Option<&StartedRollout> {
         let stages = [advance.from.thousandths, advance.to_thousandths];
@@ -149,10 +149,10 @@
     }
 
     fn check_outcomes(&self, schedule: &Schedule) {
-        let author = schedule.world.author_of(schedule.lease_holder.unwrap());
+        let publisher = schedule.world.publisher_of(schedule.lease_holder.unwrap());
         for rollout in &self.started {
             let name = &rollout.draft.name;
-            let Some(status) = author.rollout(name) else {
+            let Some(status) = publisher.rollout(name) else {
                 continue;
             };
             if !rollout.matches_record(&status.record) {
@@ -165,7 +165,7 @@
             if !is_withdrawn {
                 continue;
             }
-            let canary = author.log().get(&Key {
+            let canary = publisher.log().get(&Key {
                 name: name.clone(),
                 slot: Slot::Canary,
             });
@@ -176,7 +176,7 @@
             check_not_applied(schedule, rollout);
             if self.is_only_writer(name) {
                 assert_eq!(
-                    stable_body(author, name),
+                    stable_body(publisher, name),
                     rollout.body_before,
                     "{name:?} does not have its content of before the rollout"
                 );
@@ -246,13 +246,13 @@
 fn check_not_applied(schedule: &Schedule, rollout: &StartedRollout) {
     let name = &rollout.draft.name;
     let withdrawn = rollout.draft.content.bytes();
-    let author = schedule.world.author_of(schedule.lease_holder.unwrap());
+    let publisher = schedule.world.publisher_of(schedule.lease_holder.unwrap());
     for id in schedule
         .world
         .ids(|config| matches!(config, Config::Node(..)))
     {
         let rejects_expected = id.0 % 2 == 1
-            && expected_body(author, id, name)
+            && expected_body(publisher, id, name)
                 .is_some_and(|expected| expected.starts_with(REJECTED_BY_ODD_NODES));
         if rejects_expected {
             continue;
--- a/crates/distribution/tests/schedules/rollouts.rs
+++ b/crates/distribution/tests/schedules/rollouts.rs
@@ -5,7 +5,7 @@
 use crate::world::{claim, REJECTED_BY_ODD_NODES};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use reelfall_distribution::author::RolloutDraft;
+use reelfall_distribution::publisher::RolloutDraft;
 use reelfall_distribution::resource::{Content, ContentHash, Key, Name, Slot};
 use reelfall_distribution::rollout::policy::{OnRejections, RolloutPolicy};
 use reelfall_distribution::rollout::record::RolloutRecord;
@@ -16,7 +16,7 @@
 /// Resources that rollouts alone change, beside one that the schedule changes as well.
 const ROLLOUT_ONLY_ITEMS: u32 = 3;
 
-/// A rollout that an author has started.
+/// A rollout that a publisher has started.
 pub struct StartedRollout {
     pub started_at: Time,
     pub draft: RolloutDraft,
@@ -122,16 +122,16 @@
         else {
             return;
         };
-        let body_before = stable_body(schedule.world.author_of(holder), &draft.name);
+        let body_before = stable_body(schedule.world.publisher_of(holder), &draft.name);
         let token = schedule.token;
         let started_at = schedule.world.now;
         let started_draft = draft.clone();
         // The schedule does not know when the outcome of the rollout is published for all nodes.
         schedule.last_published.remove(&draft.name);
-        let version = schedule.call_holder(|author, now, outputs| {
-            author.start_rollout(now, &claim(token), started_draft, outputs)
+        let version = schedule.call_holder(|publisher, now, outputs| {
+            publisher.start_rollout(now, &claim(token), started_draft, outputs)
         });
-        // An author that crashed meanwhile may have sent it.
+        // A publisher that crashed meanwhile may have sent it.
         if version.is_some() || !schedule.is_running(holder) {
             self.started.push(StartedRollout {
                 started_at,
@@ -155,7 +155,7 @@
         else {
             return;
         };
-        let canary = schedule.world.author_of(holder).log().get(&Key {
+        let canary = schedule.world.publisher_of(holder).log().get(&Key {
             name: name.clone(),
             slot: Slot::Canary,
         });
@@ -165,12 +165,12 @@
         let token = schedule.token;
         schedule.last_published.remove(&name);
         if self.rng.random_bool(0.5) {
-            schedule.call_holder(|author, now, outputs| {
-                author.promote_canary(now, &claim(token), &name, outputs)
+            schedule.call_holder(|publisher, now, outputs| {
+                publisher.promote_canary(now, &claim(token), &name, outputs)
             });
         } else {
-            schedule.call_holder(|author, now, outputs| {
-                author.revert(now, &claim(token), version, outputs)
+            schedule.call_holder(|publisher, now, outputs| {
+                publisher.revert(now, &claim(token), version, outputs)
             });
         }
     }
--- a/crates/distribution/tests/schedules/schedule.rs
+++ b/crates/distribution/tests/schedules/schedule.rs
@@ -2,10 +2,10 @@
 
 use crate::world::{claim, Config, DelayRange, Network, World, REJECTED_BY_ODD_NODES};
 use rand::Rng;
-use reelfall_distribution::author::Author;
 use reelfall_distribution::output::Output;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::publish::PublishError;
+use reelfall_distribution::publisher::Publisher;
 use reelfall_distribution::resource::{Content, Draft, Name, NodeFraction, Selector, Version};
 use reelfall_distribution::Time;
 use std::collections::BTreeMap;
@@ -14,14 +14,14 @@
 const LEASE_DURATION: Time = 10.0;
 /// After so long without faults all nodes have converged, in seconds.
 const CONVERGENCE_TIME: Time = 200.0;
-/// By which a lease ends earlier on the clock of its author, in seconds.
+/// By which a lease ends earlier on the clock of its publisher, in seconds.
 const MAX_CLOCK_ERROR: Time = 0.01;
 /// Resources of each group have names up to this number.
 pub const ITEMS_PER_GROUP: u32 = 4;
 
 pub struct Schedule {
     pub world: World,
-    pub authors: Vec<u32>,
+    pub publishers: Vec<u32>,
     pub lease_holder: Option<u32>,
     /// Of the current lease.
     pub token: u64,
@@ -68,14 +68,14 @@
                 delay,
             },
         );
-        let authors: Vec<u32> = (1..=world.rng.random_range(1..=2)).collect();
+        let publishers: Vec<u32> = (1..=world.rng.random_range(1..=2)).collect();
         let first_tier: Vec<u32> = (10..10 + world.rng.random_range(1..=2)).collect();
         let second_tier: Vec<u32> = (20..20 + world.rng.random_range(1..=2)).collect();
-        for id in &authors {
-            world.add_author(*id, &first_tier);
+        for id in &publishers {
+            world.add_publisher(*id, &first_tier);
         }
         for id in &first_tier {
-            world.add_relay(*id, &authors);
+            world.add_relay(*id, &publishers);
         }
         for id in &second_tier {
             world.add_relay(*id, &first_tier);
@@ -87,7 +87,7 @@
         }
         Schedule {
             world,
-            authors,
+            publishers,
             lease_holder: None,
             token: 0,
             lease_until: 0.0,
@@ -97,12 +97,12 @@
         }
     }
 
-    /// Renews the lease, unless told to skip it, or gives an expired one to a random author.
+    /// Renews the lease, unless told to skip it, or gives an expired one to a random publisher.
     fn renew_or_reassign_lease(&mut self, skips_renewal: bool) {
         let is_expired = self.world.now > self.lease_until + 0.1;
         if self.lease_holder.is_none() || is_expired {
-            let index = self.world.rng.random_range(0..self.authors.len());
-            self.lease_holder = Some(self.authors[index]);
+            let index = self.world.rng.random_range(0..self.publishers.len());
+            self.lease_holder = Some(self.publishers[index]);
             self.token += 1;
         } else if skips_renewal {
             return;
@@ -113,26 +113,28 @@
         };
         let token = self.token;
         let clock_until = self.world.processes[&PeerId(holder)].clock(until);
-        // An author with a slow clock must not outlive its lease.
+        // A publisher with a slow clock must not outlive its lease.
         let clock_until = clock_until - MAX_CLOCK_ERROR;
-        let held = self.world.with_author(holder, |author, now, outputs| {
-            author
-                .hold_lease(now, &claim(token), clock_until, outputs)
-                .is_ok()
-        });
+        let held = self
+            .world
+            .with_publisher(holder, |publisher, now, outputs| {
+                publisher
+                    .hold_lease(now, &claim(token), clock_until, outputs)
+                    .is_ok()
+            });
         if held == Some(true) {
             self.lease_until = until;
         }
     }
 
-    /// Calls the author that holds the lease, and records the version that it published.
+    /// Calls the publisher that holds the lease, and records the version that it published.
     pub fn call_holder(
         &mut self,
-        call: impl FnOnce(&mut Author, Time, &mut Vec<Output>) -> Result<Version, PublishError>,
+        call: impl FnOnce(&mut Publisher, Time, &mut Vec<Output>) -> Result<Version, PublishError>,
     ) -> Option<Version> {
         let holder = self.lease_holder?;
         let now = self.world.now;
-        let version = self.world.with_author(holder, call)?.ok()?;
+        let version = self.world.with_publisher(holder, call)?.ok()?;
         self.world.processes[&PeerId(holder)].machine.as_ref()?;
         self.world.invariants.published(now, version);
         self.versions.push(version);
@@ -180,8 +182,8 @@
         let drafts: Vec<Draft> = (0..count).map(|_| self.random_draft()).collect();
         let token = self.token;
         let published = drafts.clone();
-        let version = self.call_holder(|author, now, outputs| {
-            author.publish(now, &claim(token), drafts, outputs)
+        let version = self.call_holder(|publisher, now, outputs| {
+            publisher.publish(now, &claim(token), drafts, outputs)
         });
         for draft in published {
             let bytes = match &draft.content {
@@ -205,14 +207,14 @@
             thousandths: self.world.rng.random_range(100..900),
             seed: 5,
         };
-        self.call_holder(|author, now, outputs| {
-            author.publish_canary(now, &claim(token), draft, fraction, outputs)
+        self.call_holder(|publisher, now, outputs| {
+            publisher.publish_canary(now, &claim(token), draft, fraction, outputs)
         });
         if self.world.rng.random_bool(0.5) {
             let duration = self.world.rng.random_range(0.0..3.0);
             self.world.run(duration);
-            self.call_holder(|author, now, outputs| {
-                author.promote_canary(now, &claim(token), &name, outputs)
+            self.call_holder(|publisher, now, outputs| {
+                publisher.promote_canary(now, &claim(token), &name, outputs)
             });
         }
     }
@@ -223,8 +225,8 @@
         };
         let token = self.token;
         self.last_published.clear();
-        self.call_holder(|author, now, outputs| {
-            author.revert(now, &claim(token), version, outputs)
+        self.call_holder(|publisher, now, outputs| {
+            publisher.revert(now, &claim(token), version, outputs)
         });
     }
 
--- a/crates/distribution/tests/staged_rollouts/advance.rs
+++ b/crates/distribution/tests/staged_rollouts/advance.rs
@@ -17,9 +17,9 @@
     let started_at = world.now;
     start_rollout(&mut world, FIRST_WRITER, NEW_BODY, default_policy());
     world.run(SOAK_TIME / 2.0);
-    let status = rollout_status(&world, FIRST_WRITER.author);
+    let status = rollout_status(&world, FIRST_WRITER.publisher);
     assert_eq!(
-        (status.thousandths, status.waiting),
+        (status.thousandths, status.blocker),
         (Some(FIRST_STAGE), Some(AdvanceBlocker::Soak))
     );
     for id in NODES {
@@ -41,7 +41,7 @@
     );
     let mut previous = started_at;
     for StageChange { at, .. } in changes {
-        // The author measures the soak time by its own clock, which drifts.
+        // The publisher measures the soak time by its own clock, which drifts.
         let duration = at - previous;
         assert!(
             (SOAK_TIME * 0.999..SOAK_TIME + 5.0).contains(&duration),
@@ -50,11 +50,11 @@
         previous = at;
     }
     assert_eq!(
-        rollout_state(&world, FIRST_WRITER.author),
+        rollout_state(&world, FIRST_WRITER.publisher),
         RolloutState::Completed
     );
     assert_applied_on_all_nodes(&world, NEW_BODY);
-    assert!(is_canary_removed(&world, FIRST_WRITER.author));
+    assert!(is_canary_removed(&world, FIRST_WRITER.publisher));
     world.invariants.verify();
 }
 
@@ -65,9 +65,9 @@
     world.partition(SECOND_WRITER.peer(), PeerId(RELAY_OF_ODD_NODES), 1e6);
     start_rollout(&mut world, FIRST_WRITER, NEW_BODY, default_policy());
     world.run(300.0);
-    let status = rollout_status(&world, FIRST_WRITER.author);
+    let status = rollout_status(&world, FIRST_WRITER.publisher);
     assert_eq!(
-        (status.thousandths, status.waiting),
+        (status.thousandths, status.blocker),
         (Some(FIRST_STAGE), Some(AdvanceBlocker::Acceptances))
     );
     assert!(
@@ -79,15 +79,15 @@
     world.kill(FIRST_WRITER.peer());
     take_over(&mut world, SECOND_WRITER);
     world.run(300.0);
-    let status = rollout_status(&world, SECOND_WRITER.author);
+    let status = rollout_status(&world, SECOND_WRITER.publisher);
     assert_eq!(
-        (status.thousandths, status.waiting),
+        (status.thousandths, status.blocker),
         (Some(FIRST_STAGE), Some(AdvanceBlocker::Acceptances))
     );
     world.partition(SECOND_WRITER.peer(), PeerId(RELAY_OF_ODD_NODES), 0.0);
     world.run(200.0);
     assert_eq!(
-        rollout_state(&world, SECOND_WRITER.author),
+        rollout_state(&world, SECOND_WRITER.publisher),
         RolloutState::Completed
     );
     assert_applied_on_all_nodes(&world, NEW_BODY);
@@ -105,16 +105,16 @@
     start_rollout(&mut world, FIRST_WRITER, NEW_BODY, long_soak);
     world.run(100.0);
     assert_eq!(
-        rollout_status(&world, FIRST_WRITER.author).waiting,
+        rollout_status(&world, FIRST_WRITER.publisher).blocker,
         Some(AdvanceBlocker::Soak)
     );
-    for author in [FIRST_WRITER.author, SECOND_WRITER.author] {
-        world.partition(PeerId(author), PeerId(RELAY_OF_ODD_NODES), 400.0);
+    for publisher in [FIRST_WRITER.publisher, SECOND_WRITER.publisher] {
+        world.partition(PeerId(publisher), PeerId(RELAY_OF_ODD_NODES), 400.0);
     }
     world.run(300.0);
-    let status = rollout_status(&world, FIRST_WRITER.author);
+    let status = rollout_status(&world, FIRST_WRITER.publisher);
     assert_eq!(
-        (status.thousandths, status.waiting),
+        (status.thousandths, status.blocker),
         (Some(FIRST_STAGE), Some(AdvanceBlocker::Acceptances))
     );
     assert_eq!(
@@ -124,7 +124,7 @@
     );
     assert!(status.counts.accepted_recently < status.counts.known);
     world.run(200.0);
-    assert!(rollout_status(&world, FIRST_WRITER.author).thousandths > Some(FIRST_STAGE));
+    assert!(rollout_status(&world, FIRST_WRITER.publisher).thousandths > Some(FIRST_STAGE));
 }
 
 #[test]
@@ -136,9 +136,9 @@
     };
     start_rollout(&mut world, FIRST_WRITER, NEW_BODY, too_many_decisions);
     world.run(200.0);
-    let status = rollout_status(&world, FIRST_WRITER.author);
+    let status = rollout_status(&world, FIRST_WRITER.publisher);
     assert_eq!(
-        (status.thousandths, status.waiting),
+        (status.thousandths, status.blocker),
         (Some(FIRST_STAGE), Some(AdvanceBlocker::Decisions))
     );
 }
--- a/crates/distribution/tests/staged_rollouts/fixture.rs
+++ b/crates/distribution/tests/staged_rollouts/fixture.rs
@@ -1,10 +1,10 @@
 //! The deployment, policy and calls that all cases of this test share.
 
-use crate::world::{claim, grant_lease, two_authors_and_relays, World};
-use reelfall_distribution::author::{RolloutDraft, RolloutStatus};
+use crate::world::{claim, grant_lease, two_publishers_and_relays, World};
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::publish::PublishError;
+use reelfall_distribution::publisher::{RolloutDraft, RolloutStatus};
 use reelfall_distribution::resource::{
     Content, Draft, Key, Name, NodeFraction, Selector, Slot, Version,
 };
@@ -17,7 +17,7 @@
 
 /// See [`follow_relay_by_parity`].
 pub const RELAY_OF_ODD_NODES: u32 = 11;
-/// By then the authors have received acknowledgements and refreshes of all nodes, in seconds.
+/// By then the publishers have received acknowledgements and refreshes of all nodes, in seconds.
 const SETTLE_TIME: Time = 90.0;
 
 /// A change of a stage of a rollout, or its end.
@@ -75,9 +75,9 @@
     NODES.filter(|id| fraction.contains(PeerId(*id))).collect()
 }
 
-/// Two authors, the first of which holds the lease; two relays; each node follows the relays that `relays_of` gives.
+/// Two publishers, the first of which holds the lease; two relays; each node follows the relays that `relays_of` gives.
 pub fn rollout_world(seed: u64, relays_of: fn(u32) -> Vec<u32>) -> World {
-    let mut world = two_authors_and_relays(seed);
+    let mut world = two_publishers_and_relays(seed);
     for id in NODES {
         world.add_node(
             id,
@@ -87,7 +87,7 @@
     }
     grant_lease(
         &mut world,
-        FIRST_WRITER.author,
+        FIRST_WRITER.publisher,
         FIRST_WRITER.token,
         LEASE_DURATION,
     );
@@ -113,8 +113,8 @@
 pub fn publish(world: &mut World, writer: Writer, body: &[u8]) -> Result<Version, PublishError> {
     let drafts = vec![Draft::put(resource(), body)];
     world
-        .with_author(writer.author, |author, now, outputs| {
-            author.publish(now, &claim(writer.token), drafts, outputs)
+        .with_publisher(writer.publisher, |publisher, now, outputs| {
+            publisher.publish(now, &claim(writer.token), drafts, outputs)
         })
         .unwrap()
 }
@@ -125,27 +125,27 @@
     draft: RolloutDraft,
 ) -> Result<Version, PublishError> {
     world
-        .with_author(writer.author, |author, now, outputs| {
-            author.start_rollout(now, &claim(writer.token), draft, outputs)
+        .with_publisher(writer.publisher, |publisher, now, outputs| {
+            publisher.start_rollout(now, &claim(writer.token), draft, outputs)
         })
         .unwrap()
 }
 
-/// Starts a rollout of the resource that the author has to accept.
+/// Starts a rollout of the resource that the publisher has to accept.
 pub fn start_rollout(world: &mut World, writer: Writer, body: &[u8], policy: RolloutPolicy) {
     roll_out(world, writer, rollout_draft(body, policy)).unwrap();
 }
 
-pub fn rollout_status(world: &World, author: u32) -> RolloutStatus {
-    world.author_of(author).rollout(&resource()).unwrap()
+pub fn rollout_status(world: &World, publisher: u32) -> RolloutStatus {
+    world.publisher_of(publisher).rollout(&resource()).unwrap()
 }
 
-pub fn rollout_state(world: &World, author: u32) -> RolloutState {
-    rollout_status(world, author).record.state
+pub fn rollout_state(world: &World, publisher: u32) -> RolloutState {
+    rollout_status(world, publisher).record.state
 }
 
-pub fn is_rolled_back(world: &World, author: u32) -> bool {
-    matches!(rollout_state(world, author), RolloutState::RolledBack(_))
+pub fn is_rolled_back(world: &World, publisher: u32) -> bool {
+    matches!(rollout_state(world, publisher), RolloutState::RolledBack(_))
 }
 
 pub fn assert_applied_on_all_nodes(world: &World, body: &[u8]) {
@@ -158,9 +158,9 @@
     }
 }
 
-pub fn canary_version(world: &World, author: u32) -> Version {
+pub fn canary_version(world: &World, publisher: u32) -> Version {
     world
-        .author_of(author)
+        .publisher_of(publisher)
         .log()
         .get(&canary_key())
         .unwrap()
@@ -169,10 +169,10 @@
 
 /// Ends the rollout and withdraws its canary.
 pub fn revert_canary(world: &mut World, writer: Writer) {
-    let version = canary_version(world, writer.author);
+    let version = canary_version(world, writer.publisher);
     world
-        .with_author(writer.author, |author, now, outputs| {
-            author.revert(now, &claim(writer.token), version, outputs)
+        .with_publisher(writer.publisher, |publisher, now, outputs| {
+            publisher.revert(now, &claim(writer.token), version, outputs)
         })
         .unwrap()
         .unwrap();
@@ -198,11 +198,11 @@
         .collect()
 }
 
-/// The author acquires the lease, and writes once it has caught up.
+/// The publisher acquires the lease, and writes once it has caught up.
 pub fn take_over(world: &mut World, writer: Writer) {
-    grant_lease(world, writer.author, writer.token, LEASE_DURATION);
+    grant_lease(world, writer.publisher, writer.token, LEASE_DURATION);
     world.run(15.0);
-    assert!(world.author_of(writer.author).is_writing());
+    assert!(world.publisher_of(writer.publisher).is_publishing());
 }
 
 pub fn canary_key() -> Key {
@@ -212,7 +212,7 @@
     }
 }
 
-pub fn is_canary_removed(world: &World, author: u32) -> bool {
-    let log = world.author_of(author).log();
+pub fn is_canary_removed(world: &World, publisher: u32) -> bool {
+    let log = world.publisher_of(publisher).log();
     log.get(&canary_key()).unwrap().is_removal()
 }
--- a/crates/distribution/tests/staged_rollouts/limits.rs
+++ b/crates/distribution/tests/staged_rollouts/limits.rs
@@ -5,14 +5,14 @@
     FIRST_WRITER, NEW_BODY, SECOND_WRITER, SOAK_TIME,
 };
 use crate::world::{claim, World};
-use reelfall_distribution::author::RolloutDraft;
 use reelfall_distribution::publish::{PublishError, MAX_OPEN_ROLLOUTS};
+use reelfall_distribution::publisher::RolloutDraft;
 use reelfall_distribution::resource::{Content, Draft, Name, Selector, Version};
 use reelfall_distribution::rollout::policy::{InvalidPolicy, RolloutPolicy};
 use reelfall_distribution::rollout::record::RolloutRecord;
 use reelfall_distribution::subscriber::ACKNOWLEDGEMENT_REFRESH_INTERVAL;
 
-/// Records of ended rollouts that an author retains.
+/// Records of ended rollouts that a publisher retains.
 const MAX_RETAINED_RECORDS: usize = 64;
 
 #[test]
@@ -47,15 +47,15 @@
     for index in MAX_OPEN_ROLLOUTS..100 {
         roll_out(&mut world, FIRST_WRITER, numbered_draft(index)).unwrap();
         let drafts = vec![Draft::put(numbered_draft(index).name, b"other")];
-        world.with_author(FIRST_WRITER.author, |author, now, outputs| {
-            author.publish(now, &claim(FIRST_WRITER.token), drafts, outputs)
+        world.with_publisher(FIRST_WRITER.publisher, |publisher, now, outputs| {
+            publisher.publish(now, &claim(FIRST_WRITER.token), drafts, outputs)
         });
     }
     let retained = (0..100)
         .filter(|index| {
             let name = numbered_draft(*index).name;
             world
-                .author_of(FIRST_WRITER.author)
+                .publisher_of(FIRST_WRITER.publisher)
                 .rollout(&name)
                 .is_some()
         })
@@ -111,7 +111,7 @@
     );
     assert_eq!(
         roll_out_with(&mut world, |policy| policy.min_decisions = 0),
-        Err(InvalidPolicy::Decisions.into())
+        Err(InvalidPolicy::MinDecisions.into())
     );
 }
 
@@ -120,11 +120,11 @@
     let mut world = rollout_world(19, follow_both_relays);
     assert_eq!(
         roll_out_with(&mut world, |policy| policy.soak_time = -1.0),
-        Err(InvalidPolicy::Soak.into())
+        Err(InvalidPolicy::SoakTime.into())
     );
     assert_eq!(
         roll_out_with(&mut world, |policy| policy.soak_time = f64::NAN),
-        Err(InvalidPolicy::Soak.into())
+        Err(InvalidPolicy::SoakTime.into())
     );
     assert_eq!(
         roll_out_with(&mut world, |policy| policy.decision_time = SOAK_TIME + 1.0),
@@ -171,23 +171,23 @@
         Err(reserved.clone())
     );
     let drafts = vec![Draft::put(record, b"")];
-    let published = world.with_author(FIRST_WRITER.author, |author, now, outputs| {
-        author.publish(now, &claim(FIRST_WRITER.token), drafts, outputs)
+    let published = world.with_publisher(FIRST_WRITER.publisher, |publisher, now, outputs| {
+        publisher.publish(now, &claim(FIRST_WRITER.token), drafts, outputs)
     });
     assert_eq!(published, Some(Err(reserved)));
 }
 
 #[test]
-fn author_without_the_lease_cannot_roll_out() {
+fn publisher_without_the_lease_cannot_roll_out() {
     let mut world = rollout_world(19, follow_both_relays);
-    let author_without_lease = Writer {
+    let publisher_without_lease = Writer {
         token: FIRST_WRITER.token,
         ..SECOND_WRITER
     };
     assert_eq!(
         roll_out(
             &mut world,
-            author_without_lease,
+            publisher_without_lease,
             rollout_draft(NEW_BODY, default_policy())
         ),
         Err(PublishError::LeaseNotHeld)
--- a/crates/distribution/tests/staged_rollouts/main.rs
+++ b/crates/distribution/tests/staged_rollouts/main.rs
@@ -1,11 +1,11 @@
-//! Staged rollouts over two authors, two relays and twelve nodes: stages, soak times, rejections, partitioned regions,
-//! and authors that crash or are succeeded.
+//! Staged rollouts over two publishers, two relays and twelve nodes: stages, soak times, rejections, partitioned regions,
+//! and publishers that crash or are succeeded.
 
 mod advance;
-mod author_failover;
 mod fixture;
 mod limits;
 mod manual;
+mod publisher_failover;
 mod rejections;
 mod stage_verdict;
 #[path = "../world/mod.rs"]
--- a/crates/distribution/tests/staged_rollouts/manual.rs
+++ b/crates/distribution/tests/staged_rollouts/manual.rs
@@ -29,11 +29,11 @@
     );
     world.run(3.0 * SOAK_TIME);
     assert!(matches!(
-        rollout_state(&world, FIRST_WRITER.author),
+        rollout_state(&world, FIRST_WRITER.publisher),
         RolloutState::Halted(_)
     ));
     assert_eq!(
-        rollout_status(&world, FIRST_WRITER.author).thousandths,
+        rollout_status(&world, FIRST_WRITER.publisher).thousandths,
         Some(FIRST_STAGE)
     );
     for id in NODES {
@@ -56,14 +56,14 @@
     take_over(&mut world, SECOND_WRITER);
     world.run(3.0 * SOAK_TIME);
     assert!(matches!(
-        rollout_state(&world, SECOND_WRITER.author),
+        rollout_state(&world, SECOND_WRITER.publisher),
         RolloutState::Halted(_)
     ));
     assert_eq!(stage_changes(&world).len(), 1);
     revert_canary(&mut world, SECOND_WRITER);
     world.run(5.0);
     assert_eq!(
-        rollout_state(&world, SECOND_WRITER.author),
+        rollout_state(&world, SECOND_WRITER.publisher),
         RolloutState::Ended
     );
     assert_applied_on_all_nodes(&world, PREVIOUS_BODY);
@@ -77,9 +77,10 @@
         start_rollout(&mut world, FIRST_WRITER, NEW_BODY, default_policy());
         world.run(SOAK_TIME / 2.0);
         if promotes {
-            let promoted = world.with_author(FIRST_WRITER.author, |author, now, outputs| {
-                author.promote_canary(now, &claim(FIRST_WRITER.token), &resource(), outputs)
-            });
+            let promoted =
+                world.with_publisher(FIRST_WRITER.publisher, |publisher, now, outputs| {
+                    publisher.promote_canary(now, &claim(FIRST_WRITER.token), &resource(), outputs)
+                });
             promoted.unwrap().unwrap();
         } else {
             revert_canary(&mut world, FIRST_WRITER);
@@ -90,7 +91,7 @@
         } else {
             (RolloutState::Ended, PREVIOUS_BODY)
         };
-        assert_eq!(rollout_state(&world, FIRST_WRITER.author), ended);
+        assert_eq!(rollout_state(&world, FIRST_WRITER.publisher), ended);
         assert_eq!(
             stage_changes(&world).len(),
             1,
@@ -110,10 +111,10 @@
     publish(&mut world, FIRST_WRITER, b"other").unwrap();
     world.run(3.0 * SOAK_TIME);
     assert_eq!(
-        rollout_state(&world, FIRST_WRITER.author),
+        rollout_state(&world, FIRST_WRITER.publisher),
         RolloutState::Superseded
     );
-    assert!(is_canary_removed(&world, FIRST_WRITER.author));
+    assert!(is_canary_removed(&world, FIRST_WRITER.publisher));
     assert_applied_on_all_nodes(&world, b"other");
     // A manual canary replaces that of a rollout, which leaves it alone.
     start_rollout(&mut world, FIRST_WRITER, NEW_BODY, default_policy());
@@ -124,8 +125,8 @@
         seed: SEED,
     };
     world
-        .with_author(FIRST_WRITER.author, |author, now, outputs| {
-            author.publish_canary(
+        .with_publisher(FIRST_WRITER.publisher, |publisher, now, outputs| {
+            publisher.publish_canary(
                 now,
                 &claim(FIRST_WRITER.token),
                 manual_canary,
@@ -137,7 +138,7 @@
         .unwrap();
     world.run(3.0 * SOAK_TIME);
     assert_eq!(
-        rollout_state(&world, FIRST_WRITER.author),
+        rollout_state(&world, FIRST_WRITER.publisher),
         RolloutState::Superseded
     );
     assert_applied_on_all_nodes(&world, MANUAL_BODY);
--- a/crates/distribution/tests/staged_rollouts/author_failover.rs
+++ b/crates/distribution/tests/staged_rollouts/publisher_failover.rs
@@ -1,4 +1,4 @@
-//! Authors that crash, restart, lose the lease or are succeeded during a rollout.
+//! Publishers that crash, restart, lose the lease or are succeeded during a rollout.
 
 use crate::fixture::{
     assert_applied_on_all_nodes, default_policy, follow_both_relays, resource, revert_canary,
@@ -17,12 +17,12 @@
 const SECOND_TOKEN: u64 = 2;
 
 #[test]
-fn author_restarted_between_stages_continues_the_rollout() {
+fn publisher_restarted_between_stages_continues_the_rollout() {
     let mut world = rollout_world(11, follow_both_relays);
     start_rollout(&mut world, FIRST_WRITER, NEW_BODY, default_policy());
     world.run(SOAK_TIME + 10.0);
     assert_eq!(
-        rollout_status(&world, FIRST_WRITER.author).thousandths,
+        rollout_status(&world, FIRST_WRITER.publisher).thousandths,
         Some(600)
     );
     world.kill(FIRST_WRITER.peer());
@@ -51,7 +51,7 @@
         .iter()
         .any(|recorded| recorded.event == resumed));
     assert_eq!(
-        rollout_status(&world, FIRST_WRITER.author).waiting,
+        rollout_status(&world, FIRST_WRITER.publisher).blocker,
         Some(AdvanceBlocker::Soak),
         "the stage soaks again from its start"
     );
@@ -59,7 +59,7 @@
     let next_stage_at = stage_changes(&world)[1].at;
     assert!(next_stage_at - restarted_at >= SOAK_TIME, "{next_stage_at}");
     assert_eq!(
-        rollout_state(&world, FIRST_WRITER.author),
+        rollout_state(&world, FIRST_WRITER.publisher),
         RolloutState::Completed
     );
     assert_applied_on_all_nodes(&world, NEW_BODY);
@@ -76,28 +76,28 @@
     };
     start_rollout(&mut world, FIRST_WRITER, REJECTED_BY_ODD_NODES, tolerant);
     world.run(SOAK_TIME / 2.0);
-    let counts = rollout_status(&world, FIRST_WRITER.author).counts;
+    let counts = rollout_status(&world, FIRST_WRITER.publisher).counts;
     assert!(counts.rejected > 0);
-    let rejecting = rollout_status(&world, FIRST_WRITER.author).rejecting_nodes;
+    let rejecting = rollout_status(&world, FIRST_WRITER.publisher).rejecting_nodes;
     world.kill(FIRST_WRITER.peer());
     take_over(&mut world, SECOND_WRITER);
     assert_eq!(
-        rollout_status(&world, SECOND_WRITER.author).thousandths,
+        rollout_status(&world, SECOND_WRITER.publisher).thousandths,
         Some(FIRST_STAGE)
     );
     assert_eq!(
-        rollout_status(&world, SECOND_WRITER.author).rejecting_nodes,
+        rollout_status(&world, SECOND_WRITER.publisher).rejecting_nodes,
         rejecting
     );
     world.run(200.0);
     assert_eq!(
-        rollout_state(&world, SECOND_WRITER.author),
+        rollout_state(&world, SECOND_WRITER.publisher),
         RolloutState::Completed
     );
     world.invariants.verify();
 }
 
-/// An author that loses the lease and acquires it again retains the acknowledged versions, but not the rejections.
+/// A publisher that loses the lease and acquires it again retains the acknowledged versions, but not the rejections.
 #[test]
 fn acknowledgements_of_an_earlier_lease_do_not_count_as_acceptances() {
     let mut world = rollout_world(22, follow_both_relays);
@@ -109,22 +109,27 @@
     };
     start_rollout(&mut world, FIRST_WRITER, REJECTED_BY_ODD_NODES, tolerant);
     world.run(20.0);
-    assert!(rollout_status(&world, FIRST_WRITER.author).counts.accepted > 0);
-    world.with_author(FIRST_WRITER.author, |author, now, outputs| {
-        author.stand_down(now, outputs)
+    assert!(
+        rollout_status(&world, FIRST_WRITER.publisher)
+            .counts
+            .accepted
+            > 0
+    );
+    world.with_publisher(FIRST_WRITER.publisher, |publisher, now, outputs| {
+        publisher.step_down(now, outputs)
     });
     for relay in RELAYS {
         world.partition(FIRST_WRITER.peer(), PeerId(relay), 100.0);
     }
     grant_lease(
         &mut world,
-        FIRST_WRITER.author,
+        FIRST_WRITER.publisher,
         SECOND_TOKEN,
         LEASE_DURATION,
     );
     world.run(30.0);
-    let counts = rollout_status(&world, FIRST_WRITER.author).counts;
-    assert!(world.author_of(FIRST_WRITER.author).is_writing() && counts.known > 0);
+    let counts = rollout_status(&world, FIRST_WRITER.publisher).counts;
+    assert!(world.publisher_of(FIRST_WRITER.publisher).is_publishing() && counts.known > 0);
     assert_eq!(
         (counts.accepted, counts.rejected),
         (0, 0),
@@ -132,9 +137,9 @@
     );
 }
 
-/// An author is partitioned during its rollout; the decision of its successor prevails.
+/// A publisher is partitioned during its rollout; the decision of its successor prevails.
 #[test]
-fn author_with_an_older_token_cannot_roll_out() {
+fn publisher_with_an_older_token_cannot_roll_out() {
     let mut world = rollout_world(14, follow_both_relays);
     start_rollout(&mut world, FIRST_WRITER, NEW_BODY, default_policy());
     world.run(SOAK_TIME / 2.0);
@@ -144,7 +149,7 @@
     world.run(5.0);
     grant_lease(
         &mut world,
-        SECOND_WRITER.author,
+        SECOND_WRITER.publisher,
         SECOND_WRITER.token,
         LEASE_DURATION,
     );
@@ -152,14 +157,15 @@
     revert_canary(&mut world, SECOND_WRITER);
     world.run(100.0);
     // It still counts on its lease, and had received reports of all of its first stage.
-    assert!(world.author_of(FIRST_WRITER.author).is_writing());
+    assert!(world.publisher_of(FIRST_WRITER.publisher).is_publishing());
     world.run(200.0);
     assert!(
-        !world.author_of(FIRST_WRITER.author).is_writing()
-            || rollout_status(&world, FIRST_WRITER.author).record.state != RolloutState::Completed
+        !world.publisher_of(FIRST_WRITER.publisher).is_publishing()
+            || rollout_status(&world, FIRST_WRITER.publisher).record.state
+                != RolloutState::Completed
     );
     assert_eq!(
-        rollout_state(&world, SECOND_WRITER.author),
+        rollout_state(&world, SECOND_WRITER.publisher),
         RolloutState::Ended
     );
     assert_applied_on_all_nodes(&world, PREVIOUS_BODY);
@@ -174,13 +180,13 @@
     world.invariants.verify();
 }
 
-/// The author crashes after each output of a rollback and of a completion. Its successor, or itself after a restart,
+/// The publisher crashes after each output of a rollback and of a completion. Its successor, or itself after a restart,
 /// brings all nodes to one content and reports how the rollout ended.
 #[test]
-fn author_crash_after_any_output_preserves_the_rollout_outcome() {
+fn publisher_crash_after_any_output_preserves_the_rollout_outcome() {
     for body in [REJECTED_BY_ODD_NODES, NEW_BODY] {
         for outputs_before_crash in 0..12 {
-            for successor in [FIRST_WRITER.author, SECOND_WRITER.author] {
+            for successor in [FIRST_WRITER.publisher, SECOND_WRITER.publisher] {
                 crash_at_end_of_rollout(CrashCase {
                     body,
                     outputs_before_crash,
@@ -191,7 +197,7 @@
     }
 }
 
-/// A crash of the first author while its rollout ends.
+/// A crash of the first publisher while its rollout ends.
 #[derive(Clone, Copy, Debug)]
 struct CrashCase {
     body: &'static [u8],
@@ -216,7 +222,7 @@
         world.run(SOAK_TIME - 0.1);
     }
     // No acknowledgement is due then, so the next outputs are those of the rollout's end.
-    while rollout_state(&world, FIRST_WRITER.author) == RolloutState::Running {
+    while rollout_state(&world, FIRST_WRITER.publisher) == RolloutState::Running {
         assert!(world.processes[&FIRST_WRITER.peer()].machine.is_some());
         world.kill_after(FIRST_WRITER.peer(), outputs_before_crash);
         world.run(0.02);
@@ -225,14 +231,14 @@
         }
     }
     world.kill(FIRST_WRITER.peer());
-    if successor == FIRST_WRITER.author {
+    if successor == FIRST_WRITER.publisher {
         world.start(FIRST_WRITER.peer());
     }
     world.run(20.0);
     take_over(
         &mut world,
         Writer {
-            author: successor,
+            publisher: successor,
             token: SECOND_TOKEN,
         },
     );
--- a/crates/distribution/tests/staged_rollouts/rejections.rs
+++ b/crates/distribution/tests/staged_rollouts/rejections.rs
@@ -44,7 +44,7 @@
         .into_iter()
         .filter(|id| id % 2 == 1)
         .collect();
-    let status = rollout_status(&world, FIRST_WRITER.author);
+    let status = rollout_status(&world, FIRST_WRITER.publisher);
     let reported: Vec<u32> = status
         .rejecting_nodes
         .iter()
@@ -77,7 +77,7 @@
     world.kill(FIRST_WRITER.peer());
     take_over(&mut world, SECOND_WRITER);
     assert_eq!(
-        rollout_state(&world, SECOND_WRITER.author),
+        rollout_state(&world, SECOND_WRITER.publisher),
         RolloutState::RolledBack(stop)
     );
     world.invariants.verify();
@@ -94,7 +94,7 @@
     start_rollout(&mut world, FIRST_WRITER, REJECTED_BY_ODD_NODES, tolerant);
     world.run(120.0);
     assert_eq!(
-        rollout_state(&world, FIRST_WRITER.author),
+        rollout_state(&world, FIRST_WRITER.publisher),
         RolloutState::Completed
     );
     for id in NODES {
@@ -123,7 +123,7 @@
         limited_by_count,
     );
     world.run(5.0);
-    assert!(is_rolled_back(&world, FIRST_WRITER.author));
+    assert!(is_rolled_back(&world, FIRST_WRITER.publisher));
     assert_applied_on_all_nodes(&world, PREVIOUS_BODY);
 }
 
@@ -137,10 +137,10 @@
         ..default_policy()
     };
     start_rollout(&mut world, FIRST_WRITER, REJECTED_BY_ODD_NODES, long_soak);
-    // The relay has the canary by now; the partition keeps the reports of its nodes from the authors.
+    // The relay has the canary by now; the partition keeps the reports of its nodes from the publishers.
     world.run(0.08);
-    for author in [FIRST_WRITER.author, SECOND_WRITER.author] {
-        world.partition(PeerId(author), PeerId(RELAY_OF_ODD_NODES), 30.0);
+    for publisher in [FIRST_WRITER.publisher, SECOND_WRITER.publisher] {
+        world.partition(PeerId(publisher), PeerId(RELAY_OF_ODD_NODES), 30.0);
     }
     world.run(20.0);
     let rejecting: Vec<u32> = stage_nodes(FIRST_STAGE)
@@ -148,24 +148,26 @@
         .filter(|id| id % 2 == 1)
         .collect();
     let has_canary =
-        |id: &u32| world.node_of(*id).head() >= canary_version(&world, FIRST_WRITER.author);
+        |id: &u32| world.node_of(*id).head() >= canary_version(&world, FIRST_WRITER.publisher);
     assert!(
         rejecting.iter().all(has_canary),
         "a node has not received the canary"
     );
     assert_eq!(
-        rollout_state(&world, FIRST_WRITER.author),
+        rollout_state(&world, FIRST_WRITER.publisher),
         RolloutState::Running
     );
     assert_eq!(
-        rollout_status(&world, FIRST_WRITER.author).counts.rejected,
+        rollout_status(&world, FIRST_WRITER.publisher)
+            .counts
+            .rejected,
         0
     );
     world.kill(PeerId(RELAY_OF_ODD_NODES));
     world.start(PeerId(RELAY_OF_ODD_NODES));
     world.run(150.0);
-    let RolloutState::RolledBack(stop) = rollout_state(&world, FIRST_WRITER.author) else {
-        panic!("{:?}", rollout_status(&world, FIRST_WRITER.author))
+    let RolloutState::RolledBack(stop) = rollout_state(&world, FIRST_WRITER.publisher) else {
+        panic!("{:?}", rollout_status(&world, FIRST_WRITER.publisher))
     };
     assert_eq!(
         stop.thousandths, FIRST_STAGE,
@@ -191,16 +193,16 @@
         rollout_draft(&body, default_policy()),
     )
     .unwrap();
-    let canary = canary_version(&world, FIRST_WRITER.author);
-    while !is_rolled_back(&world, FIRST_WRITER.author) {
+    let canary = canary_version(&world, FIRST_WRITER.publisher);
+    while !is_rolled_back(&world, FIRST_WRITER.publisher) {
         world.run(0.01);
         assert!(world.now < 200.0, "not rolled back");
     }
     let drafts = (0..60)
         .map(|index| Draft::put(Name::service("a", &format!("r{index}")), &[index; 1000]))
         .collect();
-    world.with_author(FIRST_WRITER.author, |author, now, outputs| {
-        author.publish(now, &claim(FIRST_WRITER.token), drafts, outputs)
+    world.with_publisher(FIRST_WRITER.publisher, |publisher, now, outputs| {
+        publisher.publish(now, &claim(FIRST_WRITER.token), drafts, outputs)
     });
     for _ in 0..15 {
         world.run(0.1);
@@ -234,7 +236,7 @@
     start_rollout(&mut world, FIRST_WRITER, NEW_BODY, default_policy());
     world.run(150.0);
     assert_eq!(
-        rollout_state(&world, FIRST_WRITER.author),
+        rollout_state(&world, FIRST_WRITER.publisher),
         RolloutState::Completed
     );
     assert_applied_on_all_nodes(&world, NEW_BODY);
@@ -251,7 +253,7 @@
         default_policy(),
     );
     world.run(10.0);
-    assert!(is_rolled_back(&world, FIRST_WRITER.author));
+    assert!(is_rolled_back(&world, FIRST_WRITER.publisher));
     start_rollout(&mut world, FIRST_WRITER, NEW_BODY, default_policy());
     world.run(SOAK_TIME / 2.0);
     for relay in RELAYS {
@@ -260,7 +262,7 @@
     }
     world.run(150.0);
     assert_eq!(
-        rollout_state(&world, FIRST_WRITER.author),
+        rollout_state(&world, FIRST_WRITER.publisher),
         RolloutState::Completed
     );
     assert_applied_on_all_nodes(&world, NEW_BODY);
--- a/crates/distribution/tests/upstream_failover.rs
+++ b/crates/distribution/tests/upstream_failover.rs
@@ -3,11 +3,11 @@
 
 mod world;
 
+use reelfall_distribution::close_reason::CloseReason;
 use reelfall_distribution::downstream_config::DownstreamConfig;
 use reelfall_distribution::output::Event;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::resource::{Draft, Name};
-use reelfall_distribution::session_end::CloseReason;
 use reelfall_distribution::token_bucket::{Budget, TRANSPORT_OVERHEAD_BYTES};
 use reelfall_distribution::upstream_config::UpstreamConfig;
 use reelfall_distribution::Time;
@@ -28,10 +28,10 @@
 const FAR: Range<u32> = 30..42;
 const NODES: Range<u32> = 100..160;
 
-/// An author with the lease, relays of all regions, and nodes of one region that follow its relays.
+/// A publisher with the lease, relays of all regions, and nodes of one region that follow its relays.
 fn regions(seed: u64) -> World {
     let mut world = World::new(seed, CALM);
-    world.add_author(1, &[]);
+    world.add_publisher(1, &[]);
     NEAR.chain(FAR).for_each(|id| world.add_relay(id, &[1]));
     let (near, far): (Vec<u32>, Vec<u32>) = (NEAR.collect(), FAR.collect());
     NODES.for_each(|id| node_of_region(&mut world, id, &near, &far));
@@ -174,7 +174,8 @@
     NODES.for_each(|id| node_with_upstream(&mut world, id, follow.clone()));
     world.run(60.0);
     // The clocks of processes drift by less than a thousandth.
-    let most = 1.001 * TEN_SECONDS * Budget::UP.bytes_per_second + Budget::UP.burst_bytes;
+    let most = 1.001 * TEN_SECONDS * Budget::NODE_UPLINK.bytes_per_second
+        + Budget::NODE_UPLINK.burst_bytes;
     let mut busiest: f64 = 0.0;
     for id in NODES {
         let candidates: BTreeSet<PeerId> = session_attempts(&world, id, 0.0)
@@ -216,7 +217,7 @@
         },
         ..CALM
     };
-    world.add_author(1, &[]);
+    world.add_publisher(1, &[]);
     let relays: Vec<u32> = NEAR.collect();
     relays.iter().for_each(|id| world.add_relay(*id, &[1]));
     grant_lease(&mut world, 1, 1, 1e6);
@@ -258,14 +259,14 @@
     world.invariants.verify();
 }
 
-/// An author that rejected a session is tried again after its retry delay, even while a dead one has not responded yet.
+/// A publisher that rejected a session is tried again after its retry delay, even while a dead one has not responded yet.
 #[test]
 fn relays_follow_a_successor_once_its_retry_delay_has_passed() {
     let retry_delay = 2.0 * DownstreamConfig::default().min_retry_after;
     for seed in 21..27 {
         let mut world = World::new(seed, CALM);
         let relays: Vec<u32> = NEAR.chain(FAR).collect();
-        (1..4).for_each(|id| world.add_author(id, &relays));
+        (1..4).for_each(|id| world.add_publisher(id, &relays));
         relays
             .iter()
             .for_each(|id| world.add_relay(*id, &[1, 2, 3]));
@@ -274,12 +275,12 @@
         [1, 3].into_iter().for_each(|id| world.kill(PeerId(id)));
         world.run(15.0);
         grant_lease(&mut world, 2, 2, 1e6);
-        while !world.author_of(2).is_writing() {
+        while !world.publisher_of(2).is_publishing() {
             world.run(0.01);
         }
         let draft = Draft::put(Name::service("a", "x"), b"by the successor");
-        let published = world.with_author(2, |author, now, outputs| {
-            author.publish(now, &claim(2), vec![draft], outputs)
+        let published = world.with_publisher(2, |publisher, now, outputs| {
+            publisher.publish(now, &claim(2), vec![draft], outputs)
         });
         let version = published.unwrap().unwrap();
         let began = world.now;
@@ -313,7 +314,7 @@
 fn fallback_is_tried_before_all_dead_upstreams() {
     const TRIES_BEFORE_FALLBACK: Time = 3.0;
     let mut world = World::new(31, CALM);
-    world.add_author(1, &[]);
+    world.add_publisher(1, &[]);
     world.add_relay(FAR.start, &[1]);
     grant_lease(&mut world, 1, 1, 1e6);
     world.run(20.0);
--- a/crates/distribution/tests/world/access.rs
+++ b/crates/distribution/tests/world/access.rs
@@ -1,9 +1,9 @@
 //! Access to the machines of a world.
 
 use super::{Config, Machine, World};
-use reelfall_distribution::author::Author;
 use reelfall_distribution::output::Output;
 use reelfall_distribution::peer::PeerId;
+use reelfall_distribution::publisher::Publisher;
 use reelfall_distribution::relay::Relay;
 use reelfall_distribution::resource::Name;
 use reelfall_distribution::subscriber::Subscriber;
@@ -25,24 +25,24 @@
         }
     }
 
-    pub fn author_of(&self, id: u32) -> &Author {
+    pub fn publisher_of(&self, id: u32) -> &Publisher {
         match self.processes[&PeerId(id)].machine.as_ref() {
-            Some(Machine::Author(author)) => author,
-            _ => panic!("{id} is no running author"),
+            Some(Machine::Publisher(publisher)) => publisher,
+            _ => panic!("{id} is no running publisher"),
         }
     }
 
-    /// Calls an author, if it runs and is not paused.
-    pub fn with_author<T>(
+    /// Calls a publisher, if it runs and is not paused.
+    pub fn with_publisher<T>(
         &mut self,
         id: u32,
-        call: impl FnOnce(&mut Author, Time, &mut Vec<Output>) -> T,
+        call: impl FnOnce(&mut Publisher, Time, &mut Vec<Output>) -> T,
     ) -> Option<T> {
         if self.now < self.processes[&PeerId(id)].paused_until {
             return None;
         }
         self.act(PeerId(id), |machine, now, outputs| match machine {
-            Machine::Author(author) => Some(call(author, now, outputs)),
+            Machine::Publisher(publisher) => Some(call(publisher, now, outputs)),
             _ => None,
         })
         .flatten()
--- a/crates/distribution/tests/world/deployment.rs
+++ b/crates/distribution/tests/world/deployment.rs
@@ -1,12 +1,12 @@
-//! Authors, relays and nodes of a world, and the names and contents that they share.
+//! Publishers, relays and nodes of a world, and the names and contents that they share.
 
 use super::process::Config;
 use super::{World, CALM};
 use rand::Rng;
-use reelfall_distribution::author::AuthorConfig;
 use reelfall_distribution::downstream_config::DownstreamConfig;
 use reelfall_distribution::log::Capacity;
 use reelfall_distribution::peer::PeerId;
+use reelfall_distribution::publisher::PublisherConfig;
 use reelfall_distribution::relay::RelayConfig;
 use reelfall_distribution::resource::{Draft, Name, Selector};
 use reelfall_distribution::subscriber::SubscriberConfig;
@@ -17,7 +17,7 @@
 /// Nodes have odd and even ids; the odd ones reject bodies with this prefix.
 pub const REJECTED_BY_ODD_NODES: &[u8] = b"bad for odd";
 
-/// Of authors and relays.
+/// Of publishers and relays.
 const SERVER_CAPACITY: Capacity = Capacity {
     max_keys: 10_000,
     max_bytes: 64 << 20,
@@ -41,20 +41,20 @@
     }
 }
 
-/// An author acquires the lease with this token, for this many seconds.
-pub fn grant_lease(world: &mut World, author: u32, token: u64, duration: Time) {
-    let until = world.processes[&PeerId(author)].clock(world.now + duration);
-    let granted = world.with_author(author, |author, now, outputs| {
-        author.hold_lease(now, &claim(token), until, outputs)
+/// A publisher acquires the lease with this token, for this many seconds.
+pub fn grant_lease(world: &mut World, publisher: u32, token: u64, duration: Time) {
+    let until = world.processes[&PeerId(publisher)].clock(world.now + duration);
+    let granted = world.with_publisher(publisher, |publisher, now, outputs| {
+        publisher.hold_lease(now, &claim(token), until, outputs)
     });
     assert_eq!(granted, Some(Ok(())));
 }
 
-/// Two authors without the lease, and two relays that follow both.
-pub fn two_authors_and_relays(seed: u64) -> World {
+/// Two publishers without the lease, and two relays that follow both.
+pub fn two_publishers_and_relays(seed: u64) -> World {
     let mut world = World::new(seed, CALM);
-    world.add_author(1, &[10, 11]);
-    world.add_author(2, &[10, 11]);
+    world.add_publisher(1, &[10, 11]);
+    world.add_publisher(2, &[10, 11]);
     world.add_relay(10, &[1, 2]);
     world.add_relay(11, &[1, 2]);
     world
@@ -89,8 +89,8 @@
 }
 
 impl World {
-    pub fn add_author(&mut self, id: u32, relays: &[u32]) {
-        let config = AuthorConfig {
+    pub fn add_publisher(&mut self, id: u32, relays: &[u32]) {
+        let config = PublisherConfig {
             lease: lease(),
             upstream: UpstreamConfig::relay(peers(relays)),
             downstream: DownstreamConfig::default(),
@@ -99,7 +99,7 @@
             takeover_timeout: 5.0,
             seed: self.rng.random(),
         };
-        self.add_process(PeerId(id), Config::Author(config));
+        self.add_process(PeerId(id), Config::Publisher(config));
     }
 
     pub fn add_relay(&mut self, id: u32, upstreams: &[u32]) {
--- a/crates/distribution/tests/world/invariants.rs
+++ b/crates/distribution/tests/world/invariants.rs
@@ -14,7 +14,7 @@
 pub const MAX_WINDOW_BYTES: usize = 80_000;
 /// See [`MAX_WINDOW_BYTES`], in seconds.
 pub const WINDOW: Time = 10.0;
-/// Authors and relays have lower ids.
+/// Publishers and relays have lower ids.
 pub const FIRST_NODE: u32 = 100;
 const MAX_SHOWN_VIOLATIONS: usize = 5;
 
@@ -54,7 +54,7 @@
     pub event: Event,
 }
 
-/// A version that the author with the lease has published.
+/// A version that the publisher with the lease has published.
 struct PublishedVersion {
     at: Time,
     version: Version,
--- a/crates/distribution/tests/world/mod.rs
+++ b/crates/distribution/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! Authors, relays and nodes in virtual time, over links that lose, duplicate and delay frames and are partitioned. Processes
+//! Publishers, relays and nodes in virtual time, over links that lose, duplicate and delay frames and are partitioned. Processes
 //! are paused, killed between two outputs, and restarted from their disks. Invariants are checked on the world's clock.
 
 // Each test binary uses a part of this module.
@@ -14,7 +14,7 @@
 
 pub use deployment::{
     claim, grant_lease, lease, name, node_of_region, node_with_upstream, peers, put,
-    two_authors_and_relays, REJECTED_BY_ODD_NODES,
+    two_publishers_and_relays, REJECTED_BY_ODD_NODES,
 };
 pub use invariants::RecordedEvent;
 pub use network::{DelayRange, Network, SentFrame, CALM};
--- a/crates/distribution/tests/world/process.rs
+++ b/crates/distribution/tests/world/process.rs
@@ -1,23 +1,23 @@
 //! A process of a world: its state machine while it runs, its disk, and its clock.
 
 use super::REJECTED_BY_ODD_NODES;
-use reelfall_distribution::author::{Author, AuthorConfig};
 use reelfall_distribution::output::{Output, Record};
 use reelfall_distribution::peer::PeerId;
+use reelfall_distribution::publisher::{Publisher, PublisherConfig};
 use reelfall_distribution::relay::{Relay, RelayConfig};
 use reelfall_distribution::resource::{Change, Selector};
 use reelfall_distribution::subscriber::{Subscriber, SubscriberConfig};
 use reelfall_distribution::Time;
 
 pub enum Machine {
-    Author(Box<Author>),
+    Publisher(Box<Publisher>),
     Relay(Box<Relay>),
     Node(Box<Subscriber>),
 }
 
 #[derive(Clone)]
 pub enum Config {
-    Author(AuthorConfig),
+    Publisher(PublisherConfig),
     Relay(RelayConfig),
     Node(SubscriberConfig, Vec<Selector>),
 }
@@ -61,9 +61,9 @@
         self.incarnation += 1;
         let disk = self.disk.clone();
         self.machine = Some(match self.config.clone() {
-            Config::Author(mut config) => {
+            Config::Publisher(mut config) => {
                 config.seed ^= self.incarnation;
-                Machine::Author(Box::new(Author::restore(config, disk, now)))
+                Machine::Publisher(Box::new(Publisher::restore(config, disk, now)))
             }
             Config::Relay(mut config) => {
                 config.seed ^= self.incarnation;
@@ -90,7 +90,7 @@
         outputs: &mut Vec<Output>,
     ) {
         match self {
-            Machine::Author(author) => author.receive(now, from, frame, outputs),
+            Machine::Publisher(publisher) => publisher.receive(now, from, frame, outputs),
             Machine::Relay(relay) => relay.receive(now, from, frame, outputs),
             Machine::Node(node) => node.receive(now, from, frame, outputs),
         }
@@ -99,9 +99,9 @@
     /// Performs what is due. Returns when it is to be polled next.
     pub(super) fn poll(&mut self, now: Time, outputs: &mut Vec<Output>) -> Time {
         match self {
-            Machine::Author(author) => {
-                author.poll(now, outputs);
-                author.next_wakeup()
+            Machine::Publisher(publisher) => {
+                publisher.poll(now, outputs);
+                publisher.next_wakeup()
             }
             Machine::Relay(relay) => {
                 relay.poll(now, outputs);
--- a/crates/emulator/examples/scale/control.rs
+++ b/crates/emulator/examples/scale/control.rs
@@ -22,7 +22,7 @@
 const REGION: u16 = 0;
 /// A zone of that region.
 const ZONE: u16 = 1;
-/// A region without the author that holds the lease.
+/// A region without the publisher that holds the lease.
 const FAR_REGION: u16 = 3;
 /// Number of nodes that receive requests of tenants, spread over all nodes.
 const TENANT_NODES: usize = 60;
@@ -43,7 +43,7 @@
     #[arg(long, default_value_t = Sizes::TARGET.nodes)]
     nodes: u32,
     /// Machines that can write.
-    #[arg(long, default_value_t = Sizes::TARGET.authors)]
+    #[arg(long, default_value_t = Sizes::TARGET.publishers)]
     authors: u32,
     /// Machines that serve nodes.
     #[arg(long, default_value_t = Sizes::TARGET.relays)]
@@ -72,7 +72,7 @@
     fn sizes(&self) -> Sizes {
         let Arguments {
             nodes,
-            authors,
+            authors: publishers,
             relays,
             routes,
             tenants,
@@ -80,7 +80,7 @@
         } = *self;
         Sizes {
             nodes,
-            authors,
+            publishers,
             relays,
             routes,
             tenants,
@@ -169,7 +169,7 @@
             scenarios::control_machines_lost(world, &name, &lost, rate, seconds)
         }
         "apart" => scenarios::region_partitioned(world, FAR_REGION, rate, arguments.apart),
-        "author" => scenarios::author_partitioned(world, rate, seconds),
+        "author" => scenarios::publisher_partitioned(world, rate, seconds),
         "back" => scenarios::change_reverted(world, 10.0),
         "rack" => scenarios::nodes_lost(
             world,
@@ -195,7 +195,7 @@
     })
 }
 
-/// Every other control machine, with the author that holds the lease.
+/// Every other control machine, with the publisher that holds the lease.
 fn half_of_control_machines(world: &World) -> Vec<u32> {
     let all: Vec<u32> = world.layout.control_machines().collect();
     let others = all
--- a/crates/emulator/examples/scale/holdings.rs
+++ b/crates/emulator/examples/scale/holdings.rs
@@ -1,4 +1,4 @@
-//! The memory that an author, a relay and a node take for all resources of the target.
+//! The memory that a publisher, a relay and a node take for all resources of the target.
 
 use super::error::ScaleError;
 use super::report::resident_memory;
@@ -58,7 +58,7 @@
         arguments,
         &mut retained,
         "an author".to_owned(),
-        || restorer.author(),
+        || restorer.publisher(),
     ));
     arguments.output.write(runs)
 }
--- a/crates/emulator/examples/scale/main.rs
+++ b/crates/emulator/examples/scale/main.rs
@@ -31,9 +31,9 @@
     Members(members::Arguments),
     /// A fleet whose nodes have found each other by themselves: at rest, by how long it has been left alone.
     Quiet(quiet::Arguments),
-    /// Distribution of configuration by authors and relays, and beside it what whole copies would cost.
+    /// Distribution of configuration by publishers and relays, and beside it what whole copies would cost.
     Control(control::Arguments),
-    /// What an author, a relay and a node hold in memory of all that the target has.
+    /// What a publisher, a relay and a node hold in memory of all that the target has.
     Holdings(holdings::Arguments),
     /// One node's memory, and what it takes for new of what it has heard before, for numbers of peers.
     Tables(tables::Arguments),
--- a/crates/emulator/src/control/errors.rs
+++ b/crates/emulator/src/control/errors.rs
@@ -10,13 +10,13 @@
 /// Why nothing was published.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WriteError {
-    /// No author holds the lease.
+    /// No publisher holds the lease.
     #[error("nobody holds the lease")]
     NoLeaseHolder,
-    /// The author that holds the lease does not run.
-    #[error("the author does not run")]
-    AuthorNotRunning,
-    /// The author rejected it.
+    /// The publisher that holds the lease does not run.
+    #[error("the publisher does not run")]
+    PublisherNotRunning,
+    /// The publisher rejected it.
     #[error(transparent)]
     Rejected(#[from] PublishError),
 }
@@ -56,12 +56,12 @@
     }
 }
 
-/// Not all relays have what the author has published.
+/// Not all relays have what the publisher has published.
 #[derive(Clone, Debug, Error)]
 pub struct RelaysBehind {
-    /// Number of resources of the author.
+    /// Number of resources of the publisher.
     pub published: usize,
-    /// The last version of the author.
+    /// The last version of the publisher.
     pub head: Option<Version>,
     /// What each relay that runs has received.
     pub relays: Vec<RelayProgress>,
--- a/crates/emulator/src/control/invariants.rs
+++ b/crates/emulator/src/control/invariants.rs
@@ -3,9 +3,9 @@
 use super::account::LONG_WINDOW;
 use super::errors::{RelaysBehind, WriteError};
 use super::machine::{AppliedChange, Node};
-use reelfall_distribution::author::Author;
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::publish::PublishError;
+use reelfall_distribution::publisher::Publisher;
 use reelfall_distribution::resource::{Key, Name, Slot, Version};
 use reelfall_distribution::subscriber::TooManySubscriptions;
 use std::collections::HashMap;
@@ -47,8 +47,8 @@
         /// The version that the node applied.
         applied: Version,
     },
-    /// A node has other resources than the author.
-    #[error("node {node}, which follows {following:?}, has other resources than the author")]
+    /// A node has other resources than the publisher.
+    #[error("node {node}, which follows {following:?}, has other resources than the publisher")]
     NodeDiffers {
         /// The node.
         node: u32,
@@ -73,7 +73,7 @@
         /// The true one, in seconds.
         actual: f64,
     },
-    /// The author rejected a change.
+    /// The publisher rejected a change.
     #[error("a change was refused: {0}")]
     ChangeRejected(WriteError),
     /// A batch of changes was not published.
@@ -95,11 +95,11 @@
         /// Why.
         error: TooManySubscriptions,
     },
-    /// An author rejected its lease.
-    #[error("author {author} refused token {token}: {error}")]
+    /// A publisher rejected its lease.
+    #[error("publisher {publisher} refused token {token}: {error}")]
     LeaseRejected {
-        /// The author.
-        author: u32,
+        /// The publisher.
+        publisher: u32,
         /// The fencing token of the lease.
         token: u64,
         /// Why.
@@ -158,13 +158,16 @@
     }
 }
 
-/// Whether a node has applied of a resource what the author has.
-pub fn has_same_content(author: &Author, node: &Node, name: &Name) -> bool {
+/// Whether a node has applied of a resource what the publisher has.
+pub fn has_same_content(publisher: &Publisher, node: &Node, name: &Name) -> bool {
     let key = Key {
         name: name.clone(),
         slot: Slot::Stable,
     };
-    let published = author.log().get(&key).filter(|change| !change.is_removal());
+    let published = publisher
+        .log()
+        .get(&key)
+        .filter(|change| !change.is_removal());
     let applied = node.subscriber.applied_change(name);
     published.map(|change| &change.content) == applied.map(|change| &change.content)
 }
