--- a/crates/emulator/src/control/layout.rs
+++ b/crates/emulator/src/control/layout.rs
@@ -1,13 +1,13 @@
-//! The layout of a system: which endpoint is a node, an author or a relay, its configuration, what it subscribes to and which
+//! The layout of a system: which endpoint is a node, a publisher or a relay, its configuration, what it subscribes to and which
 //! peers it follows. The world starts machines by it.
 
 use super::resources::{service_name, Resource};
 use super::sizes::Sizes;
 use super::topology::{Scope, Topology};
-use reelfall_distribution::author::AuthorConfig;
 use reelfall_distribution::downstream_config::DownstreamConfig;
 use reelfall_distribution::log::Capacity;
 use reelfall_distribution::peer::PeerId;
+use reelfall_distribution::publisher::PublisherConfig;
 use reelfall_distribution::relay::RelayConfig;
 use reelfall_distribution::resource::{Name, Selector};
 use reelfall_distribution::subscriber::SubscriberConfig;
@@ -15,9 +15,9 @@
 use reelfall_lease::token::{InvalidLeaseName, LeaseName};
 use thiserror::Error;
 
-/// What an author retains of replaced contents, so that changes can be reverted, in bytes.
+/// What a publisher retains of replaced contents, so that changes can be reverted, in bytes.
 const REVERT_HISTORY_BYTES: usize = 64 << 20;
-/// How long a new author waits for what earlier authors wrote, in seconds: longer than a follower waits for a session to
+/// How long a new publisher waits for what earlier publishers wrote, in seconds: longer than a follower waits for a session to
 /// open ([`UpstreamConfig::open_timeout`]); a first relay that is dead costs no more than [`UpstreamConfig::attempt_delay`].
 pub const TAKEOVER_TIMEOUT: f64 = 3.0;
 /// Minimum time between two acknowledgements of a node, in seconds.
@@ -28,7 +28,7 @@
     /// The sizes of the system.
     pub sizes: Sizes,
     lease: LeaseName,
-    authors: Vec<u32>,
+    publishers: Vec<u32>,
     relays: Vec<u32>,
     relays_by_region: Vec<Vec<PeerId>>,
     seed: u64,
@@ -45,8 +45,8 @@
 /// Why a system can't be placed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LayoutError {
-    /// There are no nodes, authors, relays or groups.
-    #[error("nodes, authors, relays and groups: at least one of each")]
+    /// There are no nodes, publishers, relays or groups.
+    #[error("nodes, publishers, relays and groups: at least one of each")]
     Empty,
     /// The name of the lease is invalid.
     #[error(transparent)]
@@ -54,19 +54,19 @@
 }
 
 impl Layout {
-    /// Places nodes first, then authors, then relays.
+    /// Places nodes first, then publishers, then relays.
     ///
     /// # Errors
-    /// If the name of the lease is invalid, or there are no nodes, authors, relays or groups.
+    /// If the name of the lease is invalid, or there are no nodes, publishers, relays or groups.
     pub fn place(sizes: Sizes, lease: &str, seed: u64) -> Result<PlacedLayout, LayoutError> {
-        if sizes.nodes == 0 || sizes.authors == 0 || sizes.relays == 0 || sizes.groups == 0 {
+        if sizes.nodes == 0 || sizes.publishers == 0 || sizes.relays == 0 || sizes.groups == 0 {
             return Err(LayoutError::Empty);
         }
         let lease = LeaseName::try_from(lease.to_owned())?;
         let mut topology = Topology::even(sizes.zones, sizes.nodes as usize);
         let regions = sizes.zones.len();
-        let authors = (0..sizes.authors as usize)
-            .map(|author| topology.add(zone_in(sizes.zones, author % regions, 0)))
+        let publishers = (0..sizes.publishers as usize)
+            .map(|publisher| topology.add(zone_in(sizes.zones, publisher % regions, 0)))
             .collect();
         let mut relays = Vec::new();
         let mut relays_by_region = vec![Vec::new(); regions];
@@ -79,7 +79,7 @@
         let layout = Layout {
             sizes,
             lease,
-            authors,
+            publishers,
             relays,
             relays_by_region,
             seed,
@@ -87,7 +87,7 @@
         Ok(PlacedLayout { layout, topology })
     }
 
-    /// The lease of the authors.
+    /// The lease of the publishers.
     pub fn lease(&self) -> &LeaseName {
         &self.lease
     }
@@ -97,9 +97,9 @@
         0..self.sizes.nodes
     }
 
-    /// All authors.
-    pub fn authors(&self) -> &[u32] {
-        &self.authors
+    /// All publishers.
+    pub fn publishers(&self) -> &[u32] {
+        &self.publishers
     }
 
     /// All relays.
@@ -107,9 +107,9 @@
         &self.relays
     }
 
-    /// All authors and relays.
+    /// All publishers and relays.
     pub fn control_machines(&self) -> impl Iterator<Item = u32> + '_ {
-        self.authors.iter().chain(&self.relays).copied()
+        self.publishers.iter().chain(&self.relays).copied()
     }
 
     /// The nodes of a set.
@@ -150,9 +150,9 @@
         self.services_of(node).flat_map(names).collect()
     }
 
-    /// The configuration of an author that starts.
-    pub fn author_config(&self, endpoint: u32, now: f64) -> AuthorConfig {
-        AuthorConfig {
+    /// The configuration of a publisher that starts.
+    pub fn publisher_config(&self, endpoint: u32, now: f64) -> PublisherConfig {
+        PublisherConfig {
             lease: self.lease.clone(),
             upstream: UpstreamConfig::relay(peers(&self.relays)),
             downstream: DownstreamConfig::default(),
@@ -167,7 +167,7 @@
     pub fn relay_config(&self, endpoint: u32, now: f64) -> RelayConfig {
         RelayConfig {
             lease: self.lease.clone(),
-            upstream: UpstreamConfig::relay(peers(&self.authors)),
+            upstream: UpstreamConfig::relay(peers(&self.publishers)),
             downstream: DownstreamConfig::default(),
             capacity: Capacity::CONTROL,
             seed: self.seed_of(endpoint, now),
--- a/crates/emulator/src/control/machine.rs
+++ b/crates/emulator/src/control/machine.rs
@@ -1,13 +1,13 @@
-//! Authors, relays and nodes of [`reelfall_distribution`] as endpoints of a network, with the driver that carries out their
+//! Publishers, relays and nodes of [`reelfall_distribution`] as endpoints of a network, with the driver that carries out their
 //! outputs. [`super::world`] starts and ends them.
 //!
 //! A [`Disk`] survives the process that writes it: the world takes it from a machine that ends and gives it to the next.
 
 use super::clock::Clock;
 use super::endpoint::{Endpoint, OutgoingFrame};
-use reelfall_distribution::author::{Author, AuthorConfig};
 use reelfall_distribution::output::{Event, Output, Record};
 use reelfall_distribution::peer::PeerId;
+use reelfall_distribution::publisher::{Publisher, PublisherConfig};
 use reelfall_distribution::relay::{Relay, RelayConfig};
 use reelfall_distribution::resource::{Change, Key, Name, Selector, Version};
 use reelfall_distribution::subscriber::{Subscriber, SubscriberConfig, TooManySubscriptions};
@@ -77,7 +77,7 @@
 }
 
 enum Role {
-    Author(Box<Author>),
+    Publisher(Box<Publisher>),
     Relay(Box<Relay>),
     Node(Box<Node>),
 }
@@ -101,10 +101,10 @@
         }
     }
 
-    /// An author that starts with the disk of an earlier process.
-    pub fn author(config: AuthorConfig, clock: Clock, disk: Disk, now: f64) -> Machine {
-        let author = Author::restore(config, disk.records(), clock.local(now));
-        Machine::new(Role::Author(Box::new(author)), clock, disk)
+    /// A publisher that starts with the disk of an earlier process.
+    pub fn publisher(config: PublisherConfig, clock: Clock, disk: Disk, now: f64) -> Machine {
+        let publisher = Publisher::restore(config, disk.records(), clock.local(now));
+        Machine::new(Role::Publisher(Box::new(publisher)), clock, disk)
     }
 
     /// A relay that starts with the disk of an earlier process.
@@ -141,10 +141,10 @@
         self.disk
     }
 
-    /// The author, if it is one.
-    pub fn as_author(&self) -> Option<&Author> {
+    /// The publisher, if it is one.
+    pub fn as_publisher(&self) -> Option<&Publisher> {
         match &self.role {
-            Role::Author(author) => Some(author),
+            Role::Publisher(publisher) => Some(publisher),
             _ => None,
         }
     }
@@ -178,20 +178,20 @@
         self.clock
     }
 
-    /// Calls the author, if this is one, by its own clock, and carries out its outputs.
-    pub fn with_author<R>(
+    /// Calls the publisher, if this is one, by its own clock, and carries out its outputs.
+    pub fn with_publisher<R>(
         &mut self,
         now: f64,
         outgoing: &mut Vec<OutgoingFrame>,
-        call: impl FnOnce(&mut Author, f64, &mut Vec<Output>) -> R,
+        call: impl FnOnce(&mut Publisher, f64, &mut Vec<Output>) -> R,
     ) -> Option<R> {
         let local = self.clock.local(now);
-        let Role::Author(author) = &mut self.role else {
+        let Role::Publisher(publisher) = &mut self.role else {
             return None;
         };
         let mut outputs = Vec::new();
-        let result = call(author, local, &mut outputs);
-        author.poll(local, &mut outputs);
+        let result = call(publisher, local, &mut outputs);
+        publisher.poll(local, &mut outputs);
         self.carry_out(now, outputs, outgoing);
         Some(result)
     }
@@ -262,7 +262,7 @@
 
     fn poll_role(&mut self, local: f64, outputs: &mut Vec<Output>) {
         match &mut self.role {
-            Role::Author(author) => author.poll(local, outputs),
+            Role::Publisher(publisher) => publisher.poll(local, outputs),
             Role::Relay(relay) => relay.poll(local, outputs),
             Role::Node(node) => node.subscriber.poll(local, outputs),
         }
@@ -287,7 +287,7 @@
         let mut outputs = Vec::new();
         let (from, local) = (PeerId(from), self.clock.local(now));
         match &mut self.role {
-            Role::Author(author) => author.receive(local, from, frame, &mut outputs),
+            Role::Publisher(publisher) => publisher.receive(local, from, frame, &mut outputs),
             Role::Relay(relay) => relay.receive(local, from, frame, &mut outputs),
             Role::Node(node) => node.subscriber.receive(local, from, frame, &mut outputs),
         }
@@ -303,7 +303,7 @@
 
     fn next_wakeup(&self) -> f64 {
         let local = match &self.role {
-            Role::Author(author) => author.next_wakeup(),
+            Role::Publisher(publisher) => publisher.next_wakeup(),
             Role::Relay(relay) => relay.next_wakeup(),
             Role::Node(node) => node.subscriber.next_wakeup(),
         };
--- a/crates/emulator/src/control/mod.rs
+++ b/crates/emulator/src/control/mod.rs
@@ -16,13 +16,13 @@
 //! | [`account`] | what each endpoint sent, received and computed |
 //! | [`times`] | percentiles of durations |
 //! | [`membership`] | cluster members of [`reelfall_cluster`] as endpoints |
-//! | [`layout`] | the roles of endpoints: authors, relays and nodes |
+//! | [`layout`] | the roles of endpoints: publishers, relays and nodes |
 //! | [`sizes`] | the sizes of a system |
 //! | [`resources`] | the resources of a system |
 //! | [`restored`] | machines outside of a network, for the memory that they take |
 //! | [`machine`] | machines of [`reelfall_distribution`] as endpoints, with their disks |
 //! | [`tenant_subscriptions`] | tenants that nodes subscribe to on demand |
-//! | [`world`] | authors, relays and nodes over a network; changes, and when nodes apply them |
+//! | [`world`] | publishers, relays and nodes over a network; changes, and when nodes apply them |
 //! | [`scenarios`] | scenarios of the distribution and their outcomes |
 //! | [`report`] | the figures of scale runs, here and of the testbed, as they are written to and read from JSON |
 //! | [`invariants`] | invariants, checked by what nodes do |
--- a/crates/emulator/src/control/report.rs
+++ b/crates/emulator/src/control/report.rs
@@ -200,7 +200,7 @@
     pub peak_bytes_10s: f64,
     /// How often a node had not applied a change at the end.
     pub missing: u64,
-    /// Number of violations of invariants: versions that did not increase, nodes that differ from the author at the end,
+    /// Number of violations of invariants: versions that did not increase, nodes that differ from the publisher at the end,
     /// nodes that exceeded their bandwidth.
     pub faults: u64,
     /// The staleness that nodes stated, if it was compared with the true one.
--- a/crates/emulator/src/control/restored.rs
+++ b/crates/emulator/src/control/restored.rs
@@ -1,4 +1,4 @@
-//! Authors, relays and nodes that are restored from their records outside of a network. The scale runs measure the memory
+//! Publishers, relays and nodes that are restored from their records outside of a network. The scale runs measure the memory
 //! that they take.
 //!
 //! The records themselves are not retained, unlike the disks of machines in a network ([`super::machine::Disk`]).
@@ -6,9 +6,9 @@
 use super::layout::{Layout, LayoutError};
 use super::resources::Resource;
 use super::sizes::Sizes;
-use reelfall_distribution::author::Author;
 use reelfall_distribution::coverage::Coverage;
 use reelfall_distribution::output::Record;
+use reelfall_distribution::publisher::Publisher;
 use reelfall_distribution::relay::Relay;
 use reelfall_distribution::resource::{
     Change, Content, Key, NodeFraction, Selector, Slot, Urgency, Version,
@@ -20,8 +20,8 @@
 
 /// A machine that was restored.
 pub enum RestoredMachine {
-    /// An author.
-    Author(Box<Author>),
+    /// A publisher.
+    Publisher(Box<Publisher>),
     /// A relay without downstream sessions.
     Relay(Box<Relay>),
     /// A node.
@@ -32,7 +32,7 @@
     /// Number of its resources.
     pub fn resource_count(&self) -> usize {
         match self {
-            RestoredMachine::Author(author) => author.log().changes().count(),
+            RestoredMachine::Publisher(publisher) => publisher.log().changes().count(),
             RestoredMachine::Relay(relay) => relay.log().changes().count(),
             RestoredMachine::Node(node) => node.applied_changes().count(),
         }
@@ -54,11 +54,11 @@
         Ok(MachineRestorer { layout })
     }
 
-    /// An author with all resources.
-    pub fn author(&self) -> RestoredMachine {
-        let config = self.layout.author_config(0, 0.0);
-        let author = Author::restore(config, self.all_records(), 0.0);
-        RestoredMachine::Author(Box::new(author))
+    /// A publisher with all resources.
+    pub fn publisher(&self) -> RestoredMachine {
+        let config = self.layout.publisher_config(0, 0.0);
+        let publisher = Publisher::restore(config, self.all_records(), 0.0);
+        RestoredMachine::Publisher(Box::new(publisher))
     }
 
     /// A relay with all resources.
--- a/crates/emulator/src/control/scenarios.rs
+++ b/crates/emulator/src/control/scenarios.rs
@@ -9,7 +9,7 @@
 mod load;
 
 pub use self::failures::{
-    author_partitioned, change_reverted, control_machines_lost, nodes_lost, region_cold_start,
+    change_reverted, control_machines_lost, nodes_lost, publisher_partitioned, region_cold_start,
     region_partitioned,
 };
 pub use self::load::{
--- a/crates/emulator/src/control/scenarios/failures.rs
+++ b/crates/emulator/src/control/scenarios/failures.rs
@@ -69,23 +69,23 @@
     run.end(world)
 }
 
-/// The author is partitioned with its region, and another one takes over; the last changes of the first may be lost.
+/// The publisher is partitioned with its region, and another one takes over; the last changes of the first may be lost.
 ///
-/// The nodes of that region receive nothing from the other author until the partition ends, so that the time from then on
+/// The nodes of that region receive nothing from the other publisher until the partition ends, so that the time from then on
 /// is what counts.
-pub fn author_partitioned(world: &mut World, rate: f64, seconds: f64) -> Outcome {
+pub fn publisher_partitioned(world: &mut World, rate: f64, seconds: f64) -> Outcome {
     let name = format!("the author apart for {seconds:.0} s");
     let mut run = ScenarioRun::start(world, name, JudgedBy::CaughtUp);
-    let author = world.leader();
-    let region = author.map_or(0, |author| world.region(author));
+    let publisher = world.leader();
+    let region = publisher.map_or(0, |publisher| world.region(publisher));
     partition_region(world, region);
-    if let Some(author) = author {
-        world.exclude_from_lease(author);
+    if let Some(publisher) = publisher {
+        world.exclude_from_lease(publisher);
     }
     request_changes(world, rate, seconds);
     world.network.heal();
-    if let Some(author) = author {
-        world.readmit_to_lease(author);
+    if let Some(publisher) = publisher {
+        world.readmit_to_lease(publisher);
     }
     let nodes: Vec<u32> = world.running_nodes().collect();
     run.catch_up_times = catch_up(world, &nodes);
--- a/crates/emulator/src/control/sizes.rs
+++ b/crates/emulator/src/control/sizes.rs
@@ -12,8 +12,8 @@
     pub zones: &'static [u16],
     /// Number of nodes, spread evenly over the zones.
     pub nodes: u32,
-    /// Number of authors; one in each of the first regions.
-    pub authors: u32,
+    /// Number of publishers; one in each of the first regions.
+    pub publishers: u32,
     /// Number of relays, spread evenly over the regions.
     pub relays: u32,
     /// Number of services.
@@ -32,7 +32,7 @@
     pub const TARGET: Sizes = Sizes {
         zones: &super::topology::TARGET_ZONES,
         nodes: 6_000,
-        authors: 3,
+        publishers: 3,
         relays: 15,
         services: 2_600,
         groups: 130,
@@ -49,7 +49,7 @@
     pub const SMALL: Sizes = Sizes {
         zones: &[2, 2],
         nodes: 24,
-        authors: 2,
+        publishers: 2,
         relays: 4,
         services: 12,
         groups: 4,
--- a/crates/emulator/src/control/world.rs
+++ b/crates/emulator/src/control/world.rs
@@ -1,10 +1,10 @@
-//! Distribution of configuration in a fleet: authors, relays and nodes over a network, the changes that are published, and
+//! Distribution of configuration in a fleet: publishers, relays and nodes over a network, the changes that are published, and
 //! when each node applies them. [`super::scenarios`] drives it.
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | `machines` | machines that start, end and lose their disks |
-//! | `lease` | which author holds the lease |
+//! | `lease` | which publisher holds the lease |
 //! | `changes` | changes: requested, published, reverted |
 //! | `tracking` | which nodes have applied a change, and the staleness that nodes state |
 //! | `relays` | whether relays have all resources |
@@ -66,9 +66,9 @@
     /// The system can't be placed.
     #[error(transparent)]
     Layout(#[from] LayoutError),
-    /// No author started to publish in time.
-    #[error("no author writes")]
-    NoAuthor,
+    /// No publisher started to publish in time.
+    #[error("no publisher writes")]
+    NoPublisher,
     /// The initial resources were not published.
     #[error(transparent)]
     Write(#[from] WriteError),
@@ -94,7 +94,7 @@
     /// Disks of machines that have ended.
     disks: BTreeMap<u32, Disk>,
     lease: LeaseState,
-    /// Changes that wait for an author.
+    /// Changes that wait for a publisher.
     requested: VecDeque<RequestedChange>,
     /// Changes that not all nodes have applied.
     tracked: BTreeMap<Name, Vec<TrackedChange>>,
@@ -106,7 +106,7 @@
 }
 
 impl World {
-    /// A world whose authors and relays run and have every service's resources. Its nodes do not run yet.
+    /// A world whose publishers and relays run and have every service's resources. Its nodes do not run yet.
     ///
     /// # Errors
     /// If the sizes are invalid, or the resources do not reach the relays.
@@ -151,8 +151,8 @@
 
     /// Publishes all resources at one instant and waits until all relays have them.
     fn load(&mut self) -> Result<(), WorldError> {
-        self.run_until(LOAD_TIMEOUT, |world| world.publishing_author().is_some())
-            .ok_or(WorldError::NoAuthor)?;
+        self.run_until(LOAD_TIMEOUT, |world| world.publishing_publisher().is_some())
+            .ok_or(WorldError::NoPublisher)?;
         let resources: Vec<Resource> = self.layout.sizes.resources().collect();
         resources
             .chunks(INITIAL_BATCH)
@@ -189,15 +189,15 @@
         Some(self.network.now() - started_at)
     }
 
-    /// Whether a node has applied what the author has.
+    /// Whether a node has applied what the publisher has.
     pub fn is_up_to_date(&self, node: u32) -> bool {
-        let Some(author) = self.author() else {
+        let Some(publisher) = self.publisher() else {
             return false;
         };
         let Some(machine) = self.network.endpoint(node).and_then(Machine::as_node) else {
             return false;
         };
-        let is_same = |name: &Name| has_same_content(author, machine, name);
+        let is_same = |name: &Name| has_same_content(publisher, machine, name);
         let has_services = self.layout.resources_of(node).iter().all(is_same);
         let mut tenants = self.tenant_subscriptions.of_node(node);
         has_services && tenants.all(|tenant| is_same(&Resource::Tenant(tenant).name()))
--- a/crates/emulator/src/control/world/changes.rs
+++ b/crates/emulator/src/control/world/changes.rs
@@ -1,17 +1,17 @@
-//! Changes of resources: requested, published by the author that holds the lease, and reverted.
+//! Changes of resources: requested, published by the publisher that holds the lease, and reverted.
 
 use super::World;
 use crate::control::errors::WriteError;
 use crate::control::invariants::ViolationKind;
 use crate::control::resources::Resource;
 use rand::Rng;
-use reelfall_distribution::author::Author;
 use reelfall_distribution::output::Output;
 use reelfall_distribution::publish::PublishError;
+use reelfall_distribution::publisher::Publisher;
 use reelfall_distribution::resource::{Draft, Selector, Version};
 use reelfall_lease::token::Claim;
 
-/// A change that waits for an author.
+/// A change that waits for a publisher.
 pub(super) struct RequestedChange {
     resource: Resource,
     requested_at: f64,
@@ -32,7 +32,7 @@
         self.request_change(self.layout.sizes.resource(service, index));
     }
 
-    /// Requests a change of a resource. It is published once there is an author that can publish.
+    /// Requests a change of a resource. It is published once there is a publisher that can publish.
     pub fn request_change(&mut self, resource: Resource) {
         self.requested.push_back(RequestedChange {
             resource,
@@ -42,7 +42,7 @@
     }
 
     pub(super) fn publish_requested(&mut self) {
-        while self.publishing_author().is_some() {
+        while self.publishing_publisher().is_some() {
             let Some(requested) = self.requested.pop_front() else {
                 return;
             };
@@ -51,8 +51,8 @@
                 requested_at,
             } = requested;
             let draft = self.draft(resource);
-            let published = self.write(|author, now, claim, outputs| {
-                author.publish(now, claim, vec![draft], outputs)
+            let published = self.write(|publisher, now, claim, outputs| {
+                publisher.publish(now, claim, vec![draft], outputs)
             });
             match published {
                 Ok(version) => self.track(resource, version, requested_at),
@@ -68,24 +68,25 @@
     /// Publishes new bodies of resources in one batch; they are not tracked.
     ///
     /// # Errors
-    /// If there is no author that can publish, or it rejects the batch.
+    /// If there is no publisher that can publish, or it rejects the batch.
     pub fn publish(&mut self, resources: &[Resource]) -> Result<(), WriteError> {
         let drafts = resources
             .iter()
             .map(|resource| self.draft(*resource))
             .collect();
-        self.write(|author, now, claim, outputs| author.publish(now, claim, drafts, outputs))
+        self.write(|publisher, now, claim, outputs| publisher.publish(now, claim, drafts, outputs))
             .map(drop)
     }
 
     /// Reverts a change, and tracks the change that this is.
     ///
     /// # Errors
-    /// If there is no author that can publish, or it rejects the request.
+    /// If there is no publisher that can publish, or it rejects the request.
     pub fn revert(&mut self, resource: Resource, version: Version) -> Result<(), WriteError> {
         let requested_at = self.network.now();
-        let reverted =
-            self.write(|author, now, claim, outputs| author.revert(now, claim, version, outputs))?;
+        let reverted = self.write(|publisher, now, claim, outputs| {
+            publisher.revert(now, claim, version, outputs)
+        })?;
         self.track(resource, reverted, requested_at);
         Ok(())
     }
@@ -120,19 +121,24 @@
         Draft::put(resource.name(), &body)
     }
 
-    /// Calls the author that holds the lease.
+    /// Calls the publisher that holds the lease.
     fn write(
         &mut self,
-        call: impl FnOnce(&mut Author, f64, &Claim, &mut Vec<Output>) -> Result<Version, PublishError>,
+        call: impl FnOnce(
+            &mut Publisher,
+            f64,
+            &Claim,
+            &mut Vec<Output>,
+        ) -> Result<Version, PublishError>,
     ) -> Result<Version, WriteError> {
         let holder = self.leader().ok_or(WriteError::NoLeaseHolder)?;
         let claim = self.claim();
         let written = self.network.with(holder, |machine, now, outgoing| {
-            machine.with_author(now, outgoing, |author, local, outputs| {
-                call(author, local, &claim, outputs)
+            machine.with_publisher(now, outgoing, |publisher, local, outputs| {
+                call(publisher, local, &claim, outputs)
             })
         });
-        let result = written.flatten().ok_or(WriteError::AuthorNotRunning)?;
+        let result = written.flatten().ok_or(WriteError::PublisherNotRunning)?;
         Ok(result?)
     }
 }
--- a/crates/emulator/src/control/world/invariants.rs
+++ b/crates/emulator/src/control/world/invariants.rs
@@ -1,4 +1,4 @@
-//! Invariants of the whole world: nodes agree with the author and stay within their bandwidth. Scenarios check them at
+//! Invariants of the whole world: nodes agree with the publisher and stay within their bandwidth. Scenarios check them at
 //! their end.
 
 use super::World;
@@ -6,7 +6,7 @@
 use crate::control::invariants::{ViolationKind, CONTROL_BANDWIDTH};
 use crate::control::machine::Machine;
 
-/// Checks that nodes have applied what the author has.
+/// Checks that nodes have applied what the publisher has.
 pub fn check_agreement(world: &mut World, nodes: &[u32]) {
     let behind: Vec<u32> = nodes
         .iter()
--- a/crates/emulator/src/control/world/lease.rs
+++ b/crates/emulator/src/control/world/lease.rs
@@ -1,14 +1,14 @@
-//! The lease of the authors. Its grants are simulated and not negotiated: the first author that runs and is eligible gets
+//! The lease of the publishers. Its grants are simulated and not negotiated: the first publisher that runs and is eligible gets
 //! the next token once the lease of the previous one has expired. `reelfall_lease` is what grants leases in production.
 
 use super::World;
 use crate::control::invariants::ViolationKind;
-use reelfall_distribution::author::Author;
+use reelfall_distribution::publisher::Publisher;
 use reelfall_lease::token::Claim;
 use std::collections::BTreeSet;
 
-/// Duration of a lease, in seconds: after the loss of the author, this, the takeover and up to 7 s until relays follow
-/// the new author must stay within the 15 s in which a change is applied.
+/// Duration of a lease, in seconds: after the loss of the publisher, this, the takeover and up to 7 s until relays follow
+/// the new publisher must stay within the 15 s in which a change is applied.
 pub const LEASE_DURATION: f64 = 5.0;
 /// Interval between renewals of a lease, in seconds: three in its duration, as `reelfall_lease` does.
 const LEASE_RENEWAL_INTERVAL: f64 = LEASE_DURATION / 3.0;
@@ -17,7 +17,7 @@
 #[derive(Default)]
 pub(super) struct LeaseState {
     holder: Option<u32>,
-    /// Authors that are not granted the lease.
+    /// Publishers that are not granted the lease.
     excluded: BTreeSet<u32>,
     token: u64,
     expires_at: f64,
@@ -25,29 +25,29 @@
 }
 
 impl World {
-    /// The author that holds the lease.
+    /// The publisher that holds the lease.
     pub fn leader(&self) -> Option<u32> {
         self.lease.holder
     }
 
-    /// Stops to grant the lease to an author, as if it were partitioned from the keepers.
-    pub fn exclude_from_lease(&mut self, author: u32) {
-        self.lease.excluded.insert(author);
-        if self.lease.holder == Some(author) {
+    /// Stops to grant the lease to a publisher, as if it were partitioned from the keepers.
+    pub fn exclude_from_lease(&mut self, publisher: u32) {
+        self.lease.excluded.insert(publisher);
+        if self.lease.holder == Some(publisher) {
             self.lease.renew_at = f64::INFINITY;
         }
     }
 
-    /// Makes an author eligible for the lease again.
-    pub fn readmit_to_lease(&mut self, author: u32) {
-        self.lease.excluded.remove(&author);
+    /// Makes a publisher eligible for the lease again.
+    pub fn readmit_to_lease(&mut self, publisher: u32) {
+        self.lease.excluded.remove(&publisher);
     }
 
-    fn is_eligible(&self, author: u32) -> bool {
-        self.network.endpoint(author).is_some() && !self.lease.excluded.contains(&author)
+    fn is_eligible(&self, publisher: u32) -> bool {
+        self.network.endpoint(publisher).is_some() && !self.lease.excluded.contains(&publisher)
     }
 
-    /// Renews the lease, or grants it to the first eligible author once it has expired.
+    /// Renews the lease, or grants it to the first eligible publisher once it has expired.
     pub(super) fn maintain_lease(&mut self) {
         let now = self.network.now();
         let is_renewed = self.leader().is_some_and(|leader| self.is_eligible(leader));
@@ -57,8 +57,10 @@
         if now < self.lease.expires_at {
             return;
         }
-        let authors = self.layout.authors().iter().copied();
-        let next = authors.into_iter().find(|author| self.is_eligible(*author));
+        let publishers = self.layout.publishers().iter().copied();
+        let next = publishers
+            .into_iter()
+            .find(|publisher| self.is_eligible(*publisher));
         self.lease.holder = next;
         if next.is_some() {
             self.lease.token += 1;
@@ -75,13 +77,13 @@
         let (claim, expires_at) = (self.claim(), self.lease.expires_at);
         let granted = self.network.with(holder, |machine, now, outgoing| {
             let local_expiry = machine.clock().local(expires_at);
-            machine.with_author(now, outgoing, |author, local, outputs| {
-                author.hold_lease(local, &claim, local_expiry, outputs)
+            machine.with_publisher(now, outgoing, |publisher, local, outputs| {
+                publisher.hold_lease(local, &claim, local_expiry, outputs)
             })
         });
         if let Some(Some(Err(error))) = granted {
             let kind = ViolationKind::LeaseRejected {
-                author: holder,
+                publisher: holder,
                 token: self.lease.token,
                 error,
             };
@@ -96,13 +98,14 @@
         }
     }
 
-    /// The author that holds the lease, if it runs.
-    pub fn author(&self) -> Option<&Author> {
-        self.network.endpoint(self.leader()?)?.as_author()
+    /// The publisher that holds the lease, if it runs.
+    pub fn publisher(&self) -> Option<&Publisher> {
+        self.network.endpoint(self.leader()?)?.as_publisher()
     }
 
     /// The same, if it has taken over and can publish.
-    pub(super) fn publishing_author(&self) -> Option<&Author> {
-        self.author().filter(|author| author.is_writing())
+    pub(super) fn publishing_publisher(&self) -> Option<&Publisher> {
+        self.publisher()
+            .filter(|publisher| publisher.is_publishing())
     }
 }
--- a/crates/emulator/src/control/world/machines.rs
+++ b/crates/emulator/src/control/world/machines.rs
@@ -17,8 +17,13 @@
                 .node_config(endpoint, self.region(endpoint), now);
             let selectors = self.layout.selectors_of(endpoint);
             Machine::node(config, &selectors, clock, disk, now)
-        } else if self.layout.authors().contains(&endpoint) {
-            Machine::author(self.layout.author_config(endpoint, now), clock, disk, now)
+        } else if self.layout.publishers().contains(&endpoint) {
+            Machine::publisher(
+                self.layout.publisher_config(endpoint, now),
+                clock,
+                disk,
+                now,
+            )
         } else {
             Machine::relay(self.layout.relay_config(endpoint, now), clock, disk, now)
         };
--- a/crates/emulator/src/control/world/relays.rs
+++ b/crates/emulator/src/control/world/relays.rs
@@ -1,18 +1,18 @@
-//! Whether the relays have all that the author has published, and what they lack if not.
+//! Whether the relays have all that the publisher has published, and what they lack if not.
 
 use super::World;
 use crate::control::errors::{RelayProgress, RelaysBehind};
 use crate::control::machine::Machine;
-use reelfall_distribution::author::Author;
+use reelfall_distribution::publisher::Publisher;
 
 impl World {
     /// What the relays have received so far.
     pub fn relays_behind(&self) -> RelaysBehind {
-        let author = self.author();
+        let publisher = self.publisher();
         let relays = self.layout.relays().iter();
         RelaysBehind {
-            published: author.map_or(0, |author| author.log().changes().count()),
-            head: author.map(Author::head),
+            published: publisher.map_or(0, |publisher| publisher.log().changes().count()),
+            head: publisher.map(Publisher::head),
             relays: relays.filter_map(|relay| self.progress(*relay)).collect(),
         }
     }
@@ -30,9 +30,9 @@
         })
     }
 
-    /// Whether all relays that run cover all that the author has published.
+    /// Whether all relays that run cover all that the publisher has published.
     pub fn relays_have_all(&self) -> bool {
-        let Some(head) = self.author().map(Author::head) else {
+        let Some(head) = self.publisher().map(Publisher::head) else {
             return false;
         };
         let relays = self
--- a/crates/emulator/src/control/world/tracking.rs
+++ b/crates/emulator/src/control/world/tracking.rs
@@ -18,7 +18,7 @@
     pub version: Version,
     /// When the change was requested.
     pub requested_at: f64,
-    /// When the author published it.
+    /// When the publisher published it.
     pub published_at: f64,
     /// Nodes that have not applied it yet.
     pub missing: BTreeSet<u32>,
@@ -154,7 +154,7 @@
 
     /// The apply times of all changes since the last call; stops to track them.
     ///
-    /// A node does not miss a change that was superseded by one that it has applied, such as one of an author that was
+    /// A node does not miss a change that was superseded by one that it has applied, such as one of a publisher that was
     /// partitioned.
     pub fn take_apply_times(&mut self) -> ApplyTimes {
         let incomplete = std::mem::take(&mut self.tracked).into_values().flatten();
--- a/crates/emulator/tests/distribution.rs
+++ b/crates/emulator/tests/distribution.rs
@@ -197,17 +197,17 @@
 }
 
 #[test]
-fn partitioned_author_is_replaced_and_all_nodes_converge() {
+fn partitioned_publisher_is_replaced_and_all_nodes_converge() {
     let mut world = small_world(6);
-    let author = world.leader();
-    let outcome = scenarios::author_partitioned(&mut world, 0.5, 90.0);
+    let publisher = world.leader();
+    let outcome = scenarios::publisher_partitioned(&mut world, 0.5, 90.0);
     assert!(
         outcome.violations.is_empty() && outcome.missing == 0,
         "{:?} {}",
         outcome.violations,
         outcome.missing
     );
-    assert_ne!(world.leader(), author);
+    assert_ne!(world.leader(), publisher);
 }
 
 #[test]
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn check_detects_a_node_that_differs_from_the_author() {
+fn check_detects_a_node_that_differs_from_the_publisher() {
     let mut world = small_world(9);
     let node = world.layout.nodes().start;
     world.network.freeze(node);
@@ -245,7 +245,7 @@
         world.request_any_change();
     }
     world.run(20.0);
-    let author = world.author().expect("an author");
+    let publisher = world.publisher().expect("a publisher");
     let machine = world
         .network
         .endpoint(node)
@@ -254,7 +254,7 @@
     let resources = world.layout.resources_of(node);
     assert!(resources
         .iter()
-        .any(|resource| !has_same_content(author, machine, resource)));
+        .any(|resource| !has_same_content(publisher, machine, resource)));
     assert!(!world.is_up_to_date(node) && world.is_up_to_date(node + 1));
     world.network.thaw(node);
     assert!(world
@@ -362,7 +362,7 @@
     let restorer = MachineRestorer::new(SMALL_WITH_TENANTS).expect("the sizes can be placed");
     assert_eq!(
         (
-            restorer.author().resource_count(),
+            restorer.publisher().resource_count(),
             restorer.relay().resource_count()
         ),
         (454, 454)
@@ -372,11 +372,11 @@
     assert_eq!(restorer.node_of_all_services().resource_count(), 54);
 }
 
-/// After the loss of the author, its lease expires and another machine takes over, while relays are rejected once and
-/// attempt to connect to two failed authors.
+/// After the loss of the publisher, its lease expires and another machine takes over, while relays are rejected once and
+/// attempt to connect to two failed publishers.
 #[test]
 fn lease_expiry_and_takeover_leave_time_to_apply_a_change() {
-    /// The round trips of a change from the author to the nodes, in seconds.
+    /// The round trips of a change from the publisher to the nodes, in seconds.
     const ROUND_TRIPS: f64 = 1.0;
     let relay = UpstreamConfig::relay(Vec::new());
     let time_to_reconnect = relay.reconnect_jitter + 2.0 * relay.open_timeout + ROUND_TRIPS;
