--- a/crates/distribution/src/applied.rs
+++ b/crates/distribution/src/applied.rs
@@ -12,7 +12,7 @@
     pub canary: Option<Version>,
 }
 
-/// State of one resource.
+/// What is applied and requested of one resource.
 #[derive(Debug, Default)]
 struct ResourceState {
     applied: Option<Change>,
@@ -33,19 +33,19 @@
 }
 
 impl AppliedResources {
-    /// From the changes that were applied in an earlier run.
+    /// Restores the state from the changes that an earlier run had applied.
     pub fn restore(applied: BTreeMap<Name, Change>) -> AppliedResources {
         let restored = |change: Change| ResourceState {
             version: change.version,
             applied: Some(change),
             ..ResourceState::default()
         };
-        let names = applied
+        let by_name = applied
             .into_iter()
             .map(|(name, change)| (name, restored(change)))
             .collect();
         AppliedResources {
-            resources: names,
+            resources: by_name,
             pending: BTreeMap::new(),
         }
     }
@@ -67,43 +67,48 @@
         self.pending.is_empty()
     }
 
-    /// Requests a change from the driver, unless it was decided on already or equals what is applied. A resource has
+    /// Asks the driver to apply a change, unless it was decided on already or equals what is applied. A resource has
     /// one open request at a time.
     ///
-    /// After a manifest ended a later change, the desired content may stem from an earlier version. It is applied
-    /// under the greatest version nevertheless: versions never go back.
-    pub fn request(&mut self, mut wanted: Change, basis: SlotVersions, outputs: &mut Vec<Output>) {
-        let resource = self.resources.entry(wanted.key.name.clone()).or_default();
-        if resource.is_pending || resource.decided == Some(basis) {
+    /// After a manifest has removed a later change, the desired content may come from an earlier version. It is applied
+    /// under the greatest version so far, because applied versions never decrease.
+    pub fn request(
+        &mut self,
+        mut desired: Change,
+        versions: SlotVersions,
+        outputs: &mut Vec<Output>,
+    ) {
+        let resource = self.resources.entry(desired.key.name.clone()).or_default();
+        if resource.is_pending || resource.decided == Some(versions) {
             return;
         }
-        resource.decided = Some(basis);
-        resource.version = resource.version.max(wanted.version);
-        wanted.version = resource.version;
+        resource.decided = Some(versions);
+        resource.version = resource.version.max(desired.version);
+        desired.version = resource.version;
         let is_unchanged = match &resource.applied {
-            Some(change) => change.content == wanted.content,
-            None => wanted.is_removal(),
+            Some(change) => change.content == desired.content,
+            None => desired.is_removal(),
         };
         if is_unchanged {
             if let Some(change) = resource
                 .applied
                 .as_mut()
-                .filter(|change| change.version < wanted.version)
+                .filter(|change| change.version < desired.version)
             {
-                change.version = wanted.version;
+                change.version = desired.version;
                 outputs.push(Output::Persist(Record::Confirmed(
-                    wanted.key.name,
-                    wanted.version,
+                    desired.key.name,
+                    desired.version,
                 )));
             }
             return;
         }
         resource.is_pending = true;
         self.pending
-            .entry(wanted.version)
+            .entry(desired.version)
             .or_default()
-            .push(wanted.clone());
-        outputs.push(Output::Apply(wanted));
+            .push(desired.clone());
+        outputs.push(Output::Apply(desired));
     }
 
     /// Takes the requests of a version that the driver has answered.
@@ -133,18 +138,18 @@
         }
     }
 
-    /// Drops resources, whatever is applied of them.
+    /// Drops the resources whose names match and their open requests, and records them as no longer applied.
     pub fn remove_where(
         &mut self,
         should_remove: impl Fn(&Name) -> bool,
         outputs: &mut Vec<Output>,
     ) {
         for change in self.all().filter(|change| should_remove(&change.key.name)) {
-            let end = Change {
+            let removal = Change {
                 content: Content::Removed,
                 ..change.clone()
             };
-            outputs.push(Output::Persist(Record::Applied(end)));
+            outputs.push(Output::Persist(Record::Applied(removal)));
         }
         self.resources.retain(|name, _| !should_remove(name));
         for changes in self.pending.values_mut() {
--- a/crates/distribution/src/candidates.rs
+++ b/crates/distribution/src/candidates.rs
@@ -1,9 +1,9 @@
 //! Selection of the upstream to try next.
 //!
-//! A candidate that failed is tried again after all others; failures are forgotten once an upstream brings anything
-//! fresh. After [`UNANSWERED_BEFORE_FALLBACK`] upstreams without an answer a whole region may be lost, so fallbacks
-//! are tried early. Attempts run in parallel only with candidates that have not failed to answer: once all have, one
-//! is tried at a time, which keeps many followers from opening sessions with the first relay that recovers.
+//! A candidate that failed is tried again after all others; failures are cleared once an upstream sends fresh data.
+//! After [`UNANSWERED_BEFORE_FALLBACK`] upstreams without an answer a whole region may be lost, so fallbacks are tried
+//! early. Parallel attempts include only candidates that have not failed to answer. Once all have failed, one is tried
+//! at a time, which keeps many followers from opening sessions with the first relay that recovers.
 //!
 //! Used by [`crate::upstream`].
 
@@ -14,24 +14,25 @@
 use std::collections::BTreeMap;
 
 /// After this number of upstreams without an answer, fallbacks and upstreams are tried alternately. One lost upstream
-/// is an ordinary failure, which others of its region make up for; one more may be slow, or its frame lost.
+/// is an ordinary failure, for which others of its region compensate; one more may just be slow, or its frame may be
+/// lost.
 const UNANSWERED_BEFORE_FALLBACK: usize = 3;
 
 #[derive(Clone, Copy, Debug)]
 struct Failure {
     at: Time,
-    /// It timed out or broke the protocol; other failures leave it usable.
+    /// It timed out or violated the protocol; after other failures it is usable.
     is_unusable: bool,
 }
 
-/// The candidates and their failures. Both maps hold candidates alone, which bounds them.
+/// The candidates and their failures. Both maps have only candidates as keys, which bounds their size.
 #[derive(Debug)]
 pub(crate) struct Candidates {
     upstreams: Vec<PeerId>,
     fallbacks: Vec<PeerId>,
     /// Candidates that are not tried until a time.
-    barred_until: BTreeMap<PeerId, Time>,
-    /// Failures since an upstream last brought anything fresh.
+    excluded_until: BTreeMap<PeerId, Time>,
+    /// Failures since an upstream last sent fresh data.
     failures: BTreeMap<PeerId, Failure>,
     picked_fallback_last: bool,
 }
@@ -41,7 +42,7 @@
         Candidates {
             upstreams: config.upstreams.clone(),
             fallbacks: config.fallbacks.clone(),
-            barred_until: BTreeMap::new(),
+            excluded_until: BTreeMap::new(),
             failures: BTreeMap::new(),
             picked_fallback_last: false,
         }
@@ -57,8 +58,8 @@
     }
 
     /// Excludes a candidate until a time.
-    pub fn bar_until(&mut self, peer: PeerId, until: Time) {
-        self.barred_until.insert(peer, until);
+    pub fn exclude_until(&mut self, peer: PeerId, until: Time) {
+        self.excluded_until.insert(peer, until);
     }
 
     /// Records that a candidate failed.
@@ -72,12 +73,12 @@
         );
     }
 
-    /// Forgets all failures: an upstream has brought something fresh.
+    /// Clears all failures, after an upstream has sent fresh data.
     pub fn clear_failures(&mut self) {
         self.failures.clear();
     }
 
-    /// Whether every candidate timed out or broke the protocol.
+    /// Whether every candidate timed out or violated the protocol.
     pub fn all_unusable(&self) -> bool {
         self.all().all(|peer| self.is_unusable(peer))
     }
@@ -88,21 +89,21 @@
             .is_some_and(|failure| failure.is_unusable)
     }
 
-    /// When the first candidate can be tried beside those that are being tried; never, if there is none.
+    /// When the first candidate can be tried in addition to those that are being tried; infinity if there is none.
     pub fn available_at(&self, attempted: &[PeerId]) -> Time {
-        let barred_until = |peer: &PeerId| {
-            self.barred_until
+        let excluded_until = |peer: &PeerId| {
+            self.excluded_until
                 .get(peer)
                 .copied()
                 .unwrap_or(f64::NEG_INFINITY)
         };
-        let open = self.all().filter(|peer| self.is_eligible(peer, attempted));
-        open.map(barred_until).fold(f64::INFINITY, f64::min)
+        let eligible = self.all().filter(|peer| self.is_eligible(peer, attempted));
+        eligible.map(excluded_until).fold(f64::INFINITY, f64::min)
     }
 
-    /// Picks the next candidate beside those that are being tried: an upstream without failures, unless too many have
-    /// not answered; else fallbacks and upstreams alternately, those without failures first, then the one with the
-    /// oldest failure.
+    /// Picks the next candidate in addition to those that are being tried: an upstream without failures, unless too
+    /// many have not answered; otherwise fallbacks and upstreams alternately, those without failures first, then the
+    /// one with the oldest failure.
     pub fn pick(&mut self, now: Time, attempted: &[PeerId], rng: &mut SeededRng) -> Option<PeerId> {
         let upstreams = self.available(&self.upstreams, now, attempted);
         let fallbacks = self.available(&self.fallbacks, now, attempted);
@@ -110,7 +111,7 @@
         let picked = if !untried.is_empty()
             && self.unanswered_upstreams(attempted) < UNANSWERED_BEFORE_FALLBACK
         {
-            any(&untried, rng)
+            pick_random(&untried, rng)
         } else if self.picked_fallback_last {
             self.longest_since_failure(&upstreams, rng)
                 .or_else(|| self.longest_since_failure(&fallbacks, rng))
@@ -124,25 +125,25 @@
         picked
     }
 
-    /// Number of upstreams that have not answered or broke the protocol.
+    /// Number of upstreams that have not answered or that violated the protocol.
     fn unanswered_upstreams(&self, attempted: &[PeerId]) -> usize {
         let is_unanswered = |peer: &&PeerId| attempted.contains(peer) || self.is_unusable(peer);
         self.upstreams.iter().filter(is_unanswered).count()
     }
 
-    /// Whether a candidate may be tried beside those that are being tried, unless it is barred.
+    /// Whether a candidate may be tried in addition to those that are being tried; exclusions are checked elsewhere.
     fn is_eligible(&self, peer: &PeerId, attempted: &[PeerId]) -> bool {
         attempted.is_empty() || !attempted.contains(peer) && !self.is_unusable(peer)
     }
 
     fn available(&self, list: &[PeerId], now: Time, attempted: &[PeerId]) -> Vec<PeerId> {
-        let is_barred = |peer: &PeerId| {
-            self.barred_until
+        let is_excluded = |peer: &PeerId| {
+            self.excluded_until
                 .get(peer)
                 .is_some_and(|until| now < *until)
         };
         list.iter()
-            .filter(|peer| !is_barred(peer) && self.is_eligible(peer, attempted))
+            .filter(|peer| !is_excluded(peer) && self.is_eligible(peer, attempted))
             .copied()
             .collect()
     }
@@ -157,7 +158,7 @@
     fn longest_since_failure(&self, list: &[PeerId], rng: &mut SeededRng) -> Option<PeerId> {
         let untried = self.without_failures(list);
         if !untried.is_empty() {
-            return any(&untried, rng);
+            return pick_random(&untried, rng);
         }
         let failed_at = |peer: &PeerId| self.failures.get(peer).map_or(0.0, |failure| failure.at);
         list.iter()
@@ -166,6 +167,6 @@
     }
 }
 
-fn any(list: &[PeerId], rng: &mut SeededRng) -> Option<PeerId> {
+fn pick_random(list: &[PeerId], rng: &mut SeededRng) -> Option<PeerId> {
     list.get(rng.index_below(list.len())).copied()
 }
--- a/crates/distribution/src/child.rs
+++ b/crates/distribution/src/child.rs
@@ -2,14 +2,14 @@
 //!
 //! | order | payload |
 //! | --- | --- |
-//! | 1 | the publisher's epoch |
+//! | 1 | the epoch of the current publisher |
 //! | 2 | urgent changes, the latest first |
-//! | 3 | other changes, the latest first; the earliest first while the child's coverage is in many spans |
-//! | 4 | a manifest of all keys, where tombstones were pruned since the child knew all removals |
-//! | 5 | the notice that everything was sent, with the replica's age |
+//! | 3 | other changes, the latest first; the earliest first while the child's coverage has many spans |
+//! | 4 | a manifest of all keys, if tombstones were pruned that the child may not have received |
+//! | 5 | [`Payload::UpToDate`]: everything was sent; with the replica's age |
 //!
-//! The log holds the latest change of each key only, so a change that was replaced is never sent. The choice of the next
-//! payload is in `child::sender`. Used by [`crate::downstream`].
+//! The log holds the latest change of each key only, so a change that was replaced is never sent. The choice of the
+//! next payload is in `child::sender`. Used by [`crate::downstream`].
 
 mod sender;
 
@@ -25,7 +25,7 @@
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most subscriptions of one child.
+/// Maximum number of subscriptions of one child.
 pub const MAX_SUBSCRIPTIONS: usize = 16_384;
 
 /// A subscription with a change to send. The last entry of the queue is sent first.
@@ -78,7 +78,7 @@
     up_to_date_sent_at: Time,
     /// All subscriptions know the removals up to this pruning floor of the log.
     removals_known: Version,
-    /// Whether something was sent or subscribed to since the last notice that everything was sent.
+    /// Whether something was sent or subscribed to since the last [`Payload::UpToDate`].
     has_changed_since_up_to_date: bool,
     keepalive_interval: Time,
     opened_at: Time,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The number of its session.
+    /// The id of its session, chosen by the child.
     pub fn session(&self) -> u64 {
         self.link.session()
     }
@@ -142,8 +142,8 @@
             .map(|(id, subscription)| (*id, &subscription.selector))
     }
 
-    /// Takes the bytes of a received frame from the child's receive budget; false if the budget is exceeded, which limits
-    /// a child that sends without end.
+    /// Takes the bytes of a received frame from the child's receive budget; returns false if the budget is exceeded,
+    /// which limits a child that sends too much.
     pub fn admit_frame(&mut self, now: Time, frame_bytes: usize) -> bool {
         self.receive_bucket.take(now, frame_bytes)
     }
@@ -172,7 +172,7 @@
         Ok(())
     }
 
-    /// Ends a subscription; gives back its selector.
+    /// Ends a subscription; returns its selector.
     pub fn unsubscribe(&mut self, id: u32) -> Option<Selector> {
         let subscription = self.subscriptions.remove(&id)?;
         if let Some(change) = subscription.queued {
--- a/crates/distribution/src/child/sender.rs
+++ b/crates/distribution/src/child/sender.rs
@@ -16,13 +16,13 @@
 /// A child without subscriptions is sent the first [`Payload::UpToDate`] after this many seconds.
 const FIRST_SUBSCRIPTION_TIMEOUT: Time = 20.0;
 
-/// A payload, and what its sending changes in the child's state.
+/// A payload, and the update of the child's state once it is sent.
 struct Outgoing {
     payload: Payload,
     effect: SendEffect,
 }
 
-/// What was sent, by which the state is updated.
+/// What was sent, as far as the child's state depends on it.
 enum SendEffect {
     Epoch {
         token: u64,
@@ -102,8 +102,8 @@
         is_due.then(|| up_to_date_payload(replica))
     }
 
-    /// When the child may be sent [`Payload::UpToDate`]. A node whose subscriptions have not arrived yet would take the
-    /// notice for them, too, and acknowledge versions that it does not have.
+    /// When the child may be sent [`Payload::UpToDate`]. A node whose subscriptions have not arrived yet would apply it
+    /// to them as well, and acknowledge versions that it does not have.
     fn up_to_date_allowed_from(&self) -> Time {
         if self.subscriptions.is_empty() {
             self.opened_at + FIRST_SUBSCRIPTION_TIMEOUT
@@ -213,18 +213,18 @@
         let lacks_removals = |subscription: &Subscription| {
             subscription.removals_known(self.up_to_date_notice) < pruned_through
         };
-        // Complete a manifest before the next one is started.
-        let mut begun = self
+        // A manifest in progress is completed before the next one is started.
+        let mut in_progress = self
             .subscriptions
             .iter()
             .filter(|(_, subscription)| subscription.manifest_cursor.is_some());
-        let first_begun = begun.next();
+        let first_in_progress = in_progress.next();
         let next = || {
             self.subscriptions
                 .iter()
                 .find(|(_, subscription)| lacks_removals(subscription))
         };
-        first_begun.or_else(next).map(|(id, _)| *id)
+        first_in_progress.or_else(next).map(|(id, _)| *id)
     }
 
     fn manifest_payload(
--- a/crates/distribution/src/child_subscription.rs
+++ b/crates/distribution/src/child_subscription.rs
@@ -1,6 +1,6 @@
 //! One subscription of a child: what the child covers already, and which changes, chunks and manifest pages come next.
 //!
-//! Used by [`crate::child`] alone.
+//! Used only by [`crate::child`].
 
 use crate::coverage::{Coverage, Span, GAP_FILL_MIN_SPANS, MAX_SPANS_FOR_URGENT};
 use crate::message::{Chunk, Payload, Subscribe, MAX_MANIFEST_KEYS};
@@ -11,11 +11,11 @@
     UpToDateNotice,
 };
 
-/// Bytes that a frame of changes takes beside the changes.
+/// Size of a frame of changes without the changes, in bytes.
 pub(crate) const CHANGES_OVERHEAD_BYTES: usize = 64;
-/// Bytes that a frame with a chunk takes beside the chunk.
+/// Size of a frame with a chunk without the chunk, in bytes.
 const CHUNK_OVERHEAD_BYTES: usize = 288;
-/// Largest encoding of one digest, in bytes.
+/// Maximum size of the encoding of one digest, in bytes.
 const MAX_DIGEST_BYTES: usize = 10;
 
 /// State of one subscription at the sender.
@@ -23,10 +23,10 @@
 pub(crate) struct Subscription {
     pub selector: Selector,
     coverage: Coverage,
-    /// The version up to which the child knows all removals, before `applied_notice`.
+    /// The version up to which the child knows all removals, as of `applied_notice`.
     removals_known: Version,
     pub manifest_cursor: Option<ManifestCursor>,
-    /// The change that is sent next, as it stands in the child's queue.
+    /// The change that is sent next, as it is in the child's queue.
     pub queued: Option<QueuedChange>,
     /// Sequence of the last notice that `coverage` and `removals_known` include.
     applied_notice: u64,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Applies the last notice that everything had been sent.
+    /// Applies the last [`Payload::UpToDate`] that was sent to the child.
     pub fn apply_up_to_date_notice(&mut self, notice: UpToDateNotice) {
         if self.applied_notice < notice.sequence {
             self.applied_notice = notice.sequence;
@@ -82,8 +82,8 @@
         self.coverage.add(span);
     }
 
-    /// The change to send next: urgent ones first, then the latest. Once the coverage has many spans, gaps are filled before
-    /// new spans are opened.
+    /// The change to send next: urgent ones first, then the latest. Once the coverage has many spans, gaps are filled
+    /// before new spans are opened.
     pub fn next(&self, replica: ReplicaView) -> Option<QueuedChange> {
         let urgent_fits = self.coverage.spans().len() < MAX_SPANS_FOR_URGENT;
         let urgent = || {
@@ -113,8 +113,8 @@
         self.coverage.spans().len() >= GAP_FILL_MIN_SPANS
     }
 
-    /// The earliest uncovered change before which all is covered from the end of a span on, or from zero on: a frame that
-    /// begins with it makes that span longer and opens none.
+    /// The earliest uncovered change that extends a span of the child: the replica covers everything between the end of
+    /// that span, or zero, and the change. A frame that begins with it opens no new span.
     fn earliest_gap(&self, replica: ReplicaView) -> Option<Version> {
         let ends = self.coverage.spans().iter().map(|span| span.through);
         let mut starts = std::iter::once(Version::ZERO).chain(ends);
@@ -128,8 +128,8 @@
         })
     }
 
-    /// The widest span around an uncovered version in which the replica itself lacks nothing, the child has nothing, and
-    /// nothing is later.
+    /// The widest span around an uncovered version that the replica covers completely, of which the child covers
+    /// nothing, and which has no later change.
     fn widest_span(&self, version: Version, replica: ReplicaView) -> Span {
         let point = single_version(version);
         let replica_span = replica.coverage.span_containing(version).unwrap_or(point);
@@ -167,8 +167,8 @@
         }
     }
 
-    /// Uncovered changes from a version upwards. The span reaches over all around them that the replica covers and that the
-    /// child has got already.
+    /// Uncovered changes from a version upwards. The span includes the versions around them that the replica covers and
+    /// the child already has.
     fn batch_upwards(
         &self,
         id: u32,
@@ -181,12 +181,13 @@
             .coverage
             .span_containing(oldest)
             .unwrap_or(single_version(oldest));
-        let lacked_before =
+        let missing_before =
             replica
                 .log
                 .newest_uncovered_before(&self.selector, &self.coverage, oldest);
-        let after =
-            lacked_before.map_or(replica_span.after, |lacked| lacked.max(replica_span.after));
+        let after = missing_before.map_or(replica_span.after, |missing| {
+            missing.max(replica_span.after)
+        });
         let mut span = Span {
             after,
             through: replica_span.through,
@@ -267,13 +268,13 @@
         let end = body
             .len()
             .min(offset + max_bytes.saturating_sub(CHUNK_OVERHEAD_BYTES));
-        let reach = self.widest_span(version, replica);
+        let widest = self.widest_span(version, replica);
         let previous = replica.log.previous_version(&self.selector, version);
-        let after = previous.map_or(reach.after, |previous| previous.max(reach.after));
+        let after = previous.map_or(widest.after, |previous| previous.max(widest.after));
         let span = if is_urgent {
             single_version(version)
         } else {
-            Span { after, ..reach }
+            Span { after, ..widest }
         };
         let chunk = Chunk {
             key: change.key.clone(),
@@ -303,12 +304,12 @@
 
     /// The next page of the manifest of all keys.
     pub fn manifest(&self, id: u32, replica: ReplicaView, max_bytes: usize) -> ManifestPage {
-        let fresh = ManifestCursor {
+        let initial = ManifestCursor {
             listed_through: Version::ZERO,
             pruned_through: replica.log.pruned_through(),
             is_first: true,
         };
-        let cursor = self.manifest_cursor.unwrap_or(fresh);
+        let cursor = self.manifest_cursor.unwrap_or(initial);
         let count = MAX_MANIFEST_KEYS
             .min(max_bytes.saturating_sub(CHANGES_OVERHEAD_BYTES) / MAX_DIGEST_BYTES)
             .max(1);
--- a/crates/distribution/src/close_reason.rs
+++ b/crates/distribution/src/close_reason.rs
@@ -1,4 +1,4 @@
-//! Why a session ends: said in a closing frame, and reported to the driver.
+//! Why a session ends: stated in the frame that closes it, and reported to the driver.
 
 use serde::{Deserialize, Serialize};
 
@@ -17,7 +17,7 @@
     UnknownSession,
     /// The peer, or this process, has no capacity.
     CapacityExceeded,
-    /// A publisher without the lease, or with an earlier fencing token.
+    /// The publisher does not hold the lease, or has an earlier fencing token.
     Fenced,
     /// A new session replaces it.
     Replaced,
--- a/crates/distribution/src/coverage.rs
+++ b/crates/distribution/src/coverage.rs
@@ -1,6 +1,6 @@
-//! Coverage: the set of versions that a holder has received.
+//! Coverage: the set of versions that a process has received.
 //!
-//! A holder covers a version if it would have the change of this version, were it still the latest change of its key.
+//! A process that covers a version has the change of this version, if that is still the latest change of its key.
 //! Urgent and recent changes are sent first, so a coverage has gaps and is stored as spans. Dropping a span is always
 //! safe: its changes are sent again.
 //!
@@ -9,7 +9,7 @@
 use crate::resource::Version;
 use serde::{Deserialize, Serialize};
 
-/// Most spans of a coverage; beyond it the narrowest span is dropped, but never the first one.
+/// Maximum number of spans of a coverage; beyond it the narrowest span is dropped, but never the first one.
 pub const MAX_SPANS: usize = 64;
 /// From this number of spans on, changes that are not urgent are sent oldest first, which fills gaps and opens no new
 /// spans.
@@ -57,14 +57,15 @@
         &self.spans
     }
 
-    /// Whether the spans are sorted, disjoint and within [`MAX_SPANS`]; to be checked on received and stored values.
+    /// Whether the spans are sorted, disjoint and within [`MAX_SPANS`]; has to be checked on received and stored
+    /// values.
     pub fn is_valid(&self) -> bool {
-        let each = self.spans.iter().all(|span| span.after < span.through);
-        let order = self
+        let are_nonempty = self.spans.iter().all(|span| span.after < span.through);
+        let are_sorted = self
             .spans
             .windows(2)
             .all(|pair| pair[0].through < pair[1].after);
-        each && order && self.spans.len() <= MAX_SPANS
+        are_nonempty && are_sorted && self.spans.len() <= MAX_SPANS
     }
 
     /// Whether a version is covered.
@@ -118,13 +119,13 @@
             .find(|span| span.after < version && version <= span.through)
     }
 
-    /// The first span and the last others, `max_spans` in all.
+    /// The first span and the last of the others, `max_spans` in all.
     pub fn truncated(&self, max_spans: usize) -> Coverage {
         let skip = self.spans.len().saturating_sub(max_spans.max(1));
         let first = self.spans.iter().take(usize::from(skip > 0));
-        let difference = self.spans.iter().skip(if skip > 0 { skip + 1 } else { 0 });
+        let last = self.spans.iter().skip(if skip > 0 { skip + 1 } else { 0 });
         Coverage {
-            spans: first.chain(difference).copied().collect(),
+            spans: first.chain(last).copied().collect(),
         }
     }
 
@@ -147,12 +148,12 @@
         let mut difference = Coverage::EMPTY;
         for span in &self.spans {
             let mut after = span.after;
-            for taken in &other.spans {
+            for removed in &other.spans {
                 difference.add(Span {
                     after,
-                    through: span.through.min(taken.after),
+                    through: span.through.min(removed.after),
                 });
-                after = after.max(taken.through);
+                after = after.max(removed.through);
             }
             difference.add(Span {
                 after,
@@ -177,8 +178,8 @@
                 through = through.max(span.through);
             }
         }
-        let place = merged.partition_point(|span| span.through < after);
-        merged.insert(place, Span { after, through });
+        let position = merged.partition_point(|span| span.through < after);
+        merged.insert(position, Span { after, through });
         self.spans = merged;
         self.trim();
     }
--- a/crates/distribution/src/downstream.rs
+++ b/crates/distribution/src/downstream.rs
@@ -16,33 +16,33 @@
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All children, and the budgets of those that have left.
+/// All children, and the send buckets of those that have left.
 #[derive(Debug)]
 pub struct Downstream {
     config: DownstreamConfig,
     rng: SeededRng,
     children: BTreeMap<PeerId, Child>,
-    interests: BTreeMap<Selector, BTreeSet<SubscriptionId>>,
-    /// Budgets of children that have left: a new session brings no new budget.
+    subscriptions_by_selector: BTreeMap<Selector, BTreeSet<SubscriptionId>>,
+    /// Send buckets of children that have left, so that a new session does not renew the budget.
     retained_buckets: BTreeMap<PeerId, TokenBucket>,
-    /// Frames of these peers are ignored until a time, since they exceeded their budget or broke the protocol.
+    /// Frames of these peers are ignored until a time, since they exceeded their budget or violated the protocol.
     banned_until: BTreeMap<PeerId, Time>,
     session_bucket: TokenBucket,
     wakeups: BTreeMap<PeerId, Time>,
-    due: BTreeSet<Wakeup>,
+    wakeup_order: BTreeSet<Wakeup>,
     has_fencing_notice: bool,
 }
 
-/// Seconds for which the frames of a child that broke the protocol are ignored.
+/// Seconds for which the frames of a child that violated the protocol are ignored.
 pub const BAN_DURATION: Time = 30.0;
 
-/// Shortest time between two polls of a child without cause, in seconds.
+/// Minimum time between two scheduled polls of a child, in seconds.
 const MIN_WAKEUP_INTERVAL: Time = 1e-3;
 
 /// Buckets are retained for this multiple of the allowed number of children.
 const RETAINED_BUCKETS_PER_CHILD: usize = 4;
 
-/// What one new session takes from the bucket of new sessions.
+/// Cost of one new session in the bucket that limits the rate of new sessions.
 const SESSION_COST: f64 = 100.0;
 
 /// A child's subscription.
@@ -52,7 +52,7 @@
     id: u32,
 }
 
-/// When a child is to be polled. The time's bits sort like the time, since times are not negative.
+/// When a child has to be polled. The time's bits sort like the time, since times are not negative.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Wakeup {
     time_bits: u64,
@@ -73,14 +73,14 @@
 }
 
 impl Downstream {
-    /// No children.
+    /// Serves no children yet.
     pub fn new(config: DownstreamConfig, seed: u64, now: Time) -> Downstream {
         let rate = config.sessions_per_second * SESSION_COST;
         Downstream {
             config,
             rng: SeededRng::new(seed),
             children: BTreeMap::new(),
-            interests: BTreeMap::new(),
+            subscriptions_by_selector: BTreeMap::new(),
             retained_buckets: BTreeMap::new(),
             banned_until: BTreeMap::new(),
             session_bucket: TokenBucket::new(
@@ -91,7 +91,7 @@
                 now,
             ),
             wakeups: BTreeMap::new(),
-            due: BTreeSet::new(),
+            wakeup_order: BTreeSet::new(),
             has_fencing_notice: false,
         }
     }
@@ -101,7 +101,7 @@
         self.children.keys().copied()
     }
 
-    /// Handles a child's frame; gives back its reports.
+    /// Handles a frame of a child; returns the reports that it contains.
     pub fn receive(
         &mut self,
         now: Time,
@@ -165,7 +165,7 @@
                 for request in items {
                     let (id, selector) = (request.id, request.selector.clone());
                     child.subscribe(request, replica)?;
-                    self.interests
+                    self.subscriptions_by_selector
                         .entry(selector)
                         .or_default()
                         .insert(SubscriptionId { peer: from, id });
@@ -174,8 +174,8 @@
             Payload::Unsubscribe(items) => {
                 for id in items {
                     if let Some(selector) = child.unsubscribe(id) {
-                        remove_interest(
-                            &mut self.interests,
+                        remove_from_index(
+                            &mut self.subscriptions_by_selector,
                             &selector,
                             SubscriptionId { peer: from, id },
                         );
@@ -211,10 +211,10 @@
     /// Queues the change of a key for all children that subscribe to it.
     pub fn notify_changed(&mut self, now: Time, key: &Key, replica: ReplicaView) {
         for selector in Selector::all_matching(&key.name.group) {
-            let Some(interested) = self.interests.get(&selector) else {
+            let Some(subscribed) = self.subscriptions_by_selector.get(&selector) else {
                 continue;
             };
-            for SubscriptionId { peer, id } in interested.clone() {
+            for SubscriptionId { peer, id } in subscribed.clone() {
                 if let Some(child) = self.children.get_mut(&peer) {
                     child.requeue(id, replica);
                 }
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Polls all children with the next call: something has changed for all of them.
+    /// Schedules a poll of all children, after a change that concerns all of them.
     pub fn schedule_all(&mut self, now: Time) {
         let all: Vec<PeerId> = self.children().collect();
         for peer in all {
@@ -237,18 +237,20 @@
         }
         self.unschedule(peer);
         self.wakeups.insert(peer, at);
-        self.due.insert(Wakeup::new(at, peer));
+        self.wakeup_order.insert(Wakeup::new(at, peer));
     }
 
     fn unschedule(&mut self, peer: PeerId) {
         if let Some(at) = self.wakeups.remove(&peer) {
-            self.due.remove(&Wakeup::new(at, peer));
+            self.wakeup_order.remove(&Wakeup::new(at, peer));
         }
     }
 
     /// Sends what is due and what the budgets allow.
     pub fn poll(&mut self, now: Time, replica: ReplicaView, outputs: &mut Vec<Output>) {
-        let due = self.due.range(..=Wakeup::new(now, PeerId(u32::MAX)));
+        let due = self
+            .wakeup_order
+            .range(..=Wakeup::new(now, PeerId(u32::MAX)));
         let due: Vec<PeerId> = due.map(|wakeup| wakeup.peer).collect();
         for peer in due {
             let Some(child) = self.children.get_mut(&peer) else {
@@ -265,21 +267,21 @@
         }
     }
 
-    /// When a child is due.
+    /// When the next child has to be polled.
     pub fn next_wakeup(&self) -> Time {
-        self.due.first().map_or(f64::INFINITY, Wakeup::at)
+        self.wakeup_order.first().map_or(f64::INFINITY, Wakeup::at)
     }
 }
 
-fn remove_interest(
-    interests: &mut BTreeMap<Selector, BTreeSet<SubscriptionId>>,
+fn remove_from_index(
+    subscriptions_by_selector: &mut BTreeMap<Selector, BTreeSet<SubscriptionId>>,
     selector: &Selector,
-    subscriber: SubscriptionId,
+    subscription: SubscriptionId,
 ) {
-    if let Some(set) = interests.get_mut(selector) {
-        set.remove(&subscriber);
+    if let Some(set) = subscriptions_by_selector.get_mut(selector) {
+        set.remove(&subscription);
         if set.is_empty() {
-            interests.remove(selector);
+            subscriptions_by_selector.remove(selector);
         }
     }
 }
--- a/crates/distribution/src/downstream/admission.rs
+++ b/crates/distribution/src/downstream/admission.rs
@@ -1,7 +1,7 @@
-//! Admission of sessions: which are opened, closed and rejected, within the limits.
+//! Opens, closes and rejects sessions, within the configured limits.
 
 use super::{
-    remove_interest, Downstream, SubscriptionId, BAN_DURATION, RETAINED_BUCKETS_PER_CHILD,
+    remove_from_index, Downstream, SubscriptionId, BAN_DURATION, RETAINED_BUCKETS_PER_CHILD,
     SESSION_COST,
 };
 use crate::child::Child;
@@ -14,8 +14,8 @@
 use crate::Time;
 
 impl Downstream {
-    /// Opens a session, unless there are too many children or too many new sessions; whether it is open. The limit of
-    /// new sessions spreads the children of a relay that failed.
+    /// Opens a session, unless there are too many children or too many new sessions; returns whether it is open. The
+    /// limit on new sessions spreads the reconnections of the children of a failed relay.
     pub(super) fn open_session(
         &mut self,
         now: Time,
@@ -172,7 +172,7 @@
         RETAINED_BUCKETS_PER_CHILD * self.config.max_children
     }
 
-    /// Drops buckets that are full again; a new one would be the same.
+    /// Drops buckets that are full again, since they equal new ones.
     pub(super) fn drop_full_buckets(&mut self, now: Time) {
         if self.retained_buckets.len() >= self.max_retained_buckets() {
             let burst_bytes = self.config.node_budget.burst_bytes;
@@ -190,7 +190,11 @@
                 .insert(peer, child.link().bucket().clone());
         }
         for (id, selector) in child.selectors() {
-            remove_interest(&mut self.interests, selector, SubscriptionId { peer, id });
+            remove_from_index(
+                &mut self.subscriptions_by_selector,
+                selector,
+                SubscriptionId { peer, id },
+            );
         }
         self.unschedule(peer);
     }
--- a/crates/distribution/src/downstream_config.rs
+++ b/crates/distribution/src/downstream_config.rs
@@ -3,10 +3,10 @@
 use crate::token_bucket::Budget;
 use crate::Time;
 
-/// How children are served.
+/// Configuration of the sessions with children.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DownstreamConfig {
-    /// Most children at once; further sessions are rejected.
+    /// Maximum number of children; further sessions are rejected.
     pub max_children: usize,
     /// Send budget for a node.
     pub node_budget: Budget,
@@ -16,11 +16,11 @@
     pub keepalive_interval: Time,
     /// Seconds without a frame after which a child's session ends.
     pub silence_timeout: Time,
-    /// New sessions a second; further ones are rejected.
+    /// Maximum rate of new sessions per second; further ones are rejected.
     pub sessions_per_second: f64,
     /// A rejected child retries after this many seconds at least, and twice as many at most.
     pub min_retry_after: Time,
-    /// A child may send this multiple of its own budget before its session ends.
+    /// A child whose frames exceed this multiple of its own budget loses its session.
     pub receive_budget_factor: f64,
 }
 
--- a/crates/distribution/src/epoch.rs
+++ b/crates/distribution/src/epoch.rs
@@ -9,6 +9,6 @@
 pub struct Epoch {
     /// The lease and its fencing token.
     pub claim: Claim,
-    /// Versions of earlier publishers that the publisher had. Other changes of theirs are orphans.
+    /// Versions of earlier publishers that the publisher had received. Their other changes are orphans.
     pub known: Coverage,
 }
--- a/crates/distribution/src/frame.rs
+++ b/crates/distribution/src/frame.rs
@@ -1,10 +1,10 @@
-//! Size limits of frames, and the size that a value takes in one.
+//! Size limits of frames, and the size of values in them.
 
 use serde::Serialize;
 
 /// Longest frame, in bytes.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024;
-/// Bytes that a frame takes beside its payload, at most.
+/// Maximum size of a frame without its payload, in bytes.
 pub const MAX_FRAME_OVERHEAD_BYTES: usize = 80;
 
 /// Size of a value in a frame, in bytes.
--- a/crates/distribution/src/history.rs
+++ b/crates/distribution/src/history.rs
@@ -1,4 +1,4 @@
-//! The previous content of each key, by which a publisher reverts a change.
+//! The previous content of each key, from which a publisher reverts a change.
 
 use crate::resource::{Change, Content, Key, Version};
 use std::collections::{BTreeMap, BTreeSet};
@@ -73,7 +73,7 @@
         });
     }
 
-    /// The content before a change; none if it is no longer known.
+    /// The content before a change; `None` if the history no longer has it.
     pub fn content_before(&self, change: &Change) -> Option<Content> {
         if change.replaces == Version::ZERO {
             return Some(Content::Removed);
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,9 +1,9 @@
 //! Distribution of configuration from publishers over relays to nodes.
 //!
-//! Replicated, versioned configuration without I/O: frames, times and the random seed are arguments; what is to be sent,
-//! stored or applied is returned as values, in the order in which it is to be done.
+//! Replicates versioned configuration without performing I/O: frames, times and the random seed are arguments; what has
+//! to be sent, stored or applied is returned as values, in the order in which it has to be done.
 //!
-//! | module | what belongs there |
+//! | module | contents |
 //! | --- | --- |
 //! | [`resource`] | names, versions, contents, changes, selectors |
 //! | [`message`] | frames between an upstream and its children |
@@ -28,15 +28,15 @@
 //!
 //! # Use
 //!
-//! Each state machine has `receive(now, from, frame, outputs)`, `poll(now, outputs)` and `next_wakeup()`. The driver calls
-//! `poll` after each call that changes something and when `next_wakeup` is due, and performs outputs in their order: a
-//! [`output::Output::Persist`] is on the disk before a later [`output::Output::Send`] leaves. Frames may be lost,
-//! repeated, delayed and overtaken. A driver that was stopped passes on received frames before it polls.
+//! Each state machine has `receive(now, from, frame, outputs)`, `poll(now, outputs)` and `next_wakeup()`. The driver
+//! calls `poll` after each call that changes something and when `next_wakeup` is due, and performs outputs in their
+//! order: a [`output::Output::Persist`] has to be on disk before a later [`output::Output::Send`] is sent. Frames may
+//! be lost, duplicated, delayed and reordered. A driver that was paused passes on the received frames before it polls.
 //!
-//! A publisher holds the lease of the settings: [`publisher::Publisher::hold_lease`] says until when, and
-//! [`publisher::Publisher::publish`] writes with that lease's claim. A relay follows one of its `upstreams` (publishers for the
-//! first relays, relays for the others) and serves children. A subscriber follows one of its relays; on
-//! [`output::Output::Apply`] the driver answers with `accepted` or `rejected`.
+//! A publisher holds the lease of the settings: [`publisher::Publisher::hold_lease`] records until when, and
+//! [`publisher::Publisher::publish`] publishes under the claim of that lease. A relay follows one of its `upstreams`
+//! (publishers for first-tier relays, relays for the others) and serves children. A subscriber follows one of its
+//! relays; on [`output::Output::Apply`] the driver answers with `accepted` or `rejected`.
 
 mod applied;
 mod candidates;
@@ -80,5 +80,6 @@
 /// Seconds on one process's own monotonic clock; only differences matter.
 pub type Time = f64;
 
-/// Clocks run between `1 - DRIFT` and `1 + DRIFT` of true time.
+/// Maximum relative error of the rate of a clock: in a second of true time it advances by `1 - DRIFT` to `1 + DRIFT`
+/// seconds.
 pub const DRIFT: f64 = 500e-6;
--- a/crates/distribution/src/link.rs
+++ b/crates/distribution/src/link.rs
@@ -1,7 +1,7 @@
 //! The link of one session: ordering, acknowledgement, retransmission and clock echoes.
 //!
 //! Each side has one reliable payload in flight; it is retransmitted until it is acknowledged, and the reader accepts
-//! payloads in sequence, each once. A budget of a few thousand bytes a second needs no larger window, and an urgent
+//! payloads in sequence, each once. A budget of a few thousand bytes per second needs no larger window, and an urgent
 //! payload waits for one frame at most.
 //!
 //! Each frame carries its sender's clock and an echo of the receiver's clock. The echoed time was sent before the
@@ -64,12 +64,12 @@
 }
 
 impl Link {
-    /// A link of a new session. `up`: this side is the child.
-    pub fn new(peer: PeerId, session: u64, up: bool, budget: Budget, now: Time) -> Link {
+    /// A link of a new session. `on_child_side`: whether this side is the child.
+    pub fn new(peer: PeerId, session: u64, on_child_side: bool, budget: Budget, now: Time) -> Link {
         Link {
             peer,
             session,
-            is_child: up,
+            is_child: on_child_side,
             bucket: TokenBucket::new(budget, now),
             budget,
             last_sent: 0,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The same link with the bucket of an earlier session: a new session brings no new budget.
+    /// The same link with the send bucket of an earlier session, so that a new session does not renew the budget.
     pub fn with_bucket(mut self, bucket: TokenBucket) -> Link {
         self.bucket = bucket;
         self
@@ -128,7 +128,7 @@
         self.outstanding.is_none()
     }
 
-    /// The number of the last reliable payload.
+    /// The sequence number of the last reliable payload that was sent.
     pub fn last_sent(&self) -> u64 {
         self.last_sent
     }
@@ -142,8 +142,8 @@
 
     /// Largest payload that the budget allows now, in bytes.
     pub fn available_payload_bytes(&self, now: Time) -> usize {
-        let level = self.bucket.available(now) as usize;
-        level
+        let available = self.bucket.available(now) as usize;
+        available
             .saturating_sub(MAX_FRAME_OVERHEAD_BYTES + TRANSPORT_OVERHEAD_BYTES)
             .min(self.max_payload_bytes())
     }
@@ -157,8 +157,8 @@
     /// Accepts the head of a received frame.
     ///
     /// # Errors
-    /// If the frame belongs to another session, or to a state that this session never was in: a repeated opening
-    /// frame can revive a session that had ended.
+    /// If the frame belongs to another session, or implies a state that this session was never in: a duplicated opening
+    /// frame can reopen a session that has ended.
     pub fn accept(&mut self, now: Time, head: &Head) -> Result<FrameReceipt, CloseReason> {
         if head.session != self.session || head.from_child == self.is_child {
             return Err(CloseReason::UnknownSession);
@@ -180,14 +180,14 @@
         {
             self.outstanding = None;
         }
-        let next = head.number == self.last_received + 1;
-        if next {
+        let is_next = head.number == self.last_received + 1;
+        if is_next {
             self.last_received = head.number;
         }
         self.owes_acknowledgement |= head.number > 0;
         let transit = head.echo.and_then(|echo| max_transit_time(now, echo));
         Ok(FrameReceipt {
-            is_new: next || head.number == 0,
+            is_new: is_next || head.number == 0,
             max_transit: transit,
             acknowledged: head.acknowledged,
         })
@@ -242,11 +242,11 @@
         outputs: &mut Vec<Output>,
     ) -> bool {
         let frame = message::encode(&self.head(now, 0), payload);
-        let goes = self.bucket.take(now, frame.len());
-        if goes {
+        let is_sent = self.bucket.take(now, frame.len());
+        if is_sent {
             self.push_frame(now, frame, outputs);
         }
-        goes
+        is_sent
     }
 
     fn push_frame(&mut self, now: Time, frame: Vec<u8>, outputs: &mut Vec<Output>) {
@@ -265,7 +265,7 @@
         }
     }
 
-    /// Retransmits the payload in flight, if its timeout is over.
+    /// Retransmits the payload in flight, if its timeout has passed.
     pub fn retransmit_if_due(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let Some(outstanding) = &mut self.outstanding else {
             return;
@@ -289,7 +289,7 @@
 
     /// When [`Link::flush_acknowledgement`] or [`Link::retransmit_if_due`] has something to do.
     pub fn next_wakeup(&self, now: Time) -> Time {
-        let repeat = self.outstanding.as_ref().map_or(f64::INFINITY, |o| {
+        let retransmission = self.outstanding.as_ref().map_or(f64::INFINITY, |o| {
             let due = o.sent_at + o.retransmit_after;
             due.max(self.bucket.ready_at(now.max(due), o.frame.len()))
         });
@@ -298,11 +298,11 @@
         } else {
             f64::INFINITY
         };
-        repeat.min(acknowledge)
+        retransmission.min(acknowledge)
     }
 }
 
-/// Upper bound of the transit time of a frame that carries this echo, in seconds; none if the echo is from the
+/// Upper bound of the transit time of a frame that carries this echo, in seconds; `None` if the echoed time is in the
 /// future.
 pub fn max_transit_time(now: Time, echo: Echo) -> Option<Time> {
     let since = now - echo.stamp_us as f64 / 1e6;
--- a/crates/distribution/src/log.rs
+++ b/crates/distribution/src/log.rs
@@ -1,8 +1,8 @@
 //! The change log: the latest change of each key, ordered by version.
 //!
 //! A change replaces the previous change of its key, so the log is as long as there are keys, and what a peer lacks
-//! since some version is the log's tail above it. Removals stay as tombstones until there are too many; pruned ones
-//! have versions up to [`ChangeLog::pruned_through`].
+//! after some version is the part of the log after that version. Removals stay as tombstones until there are too many;
+//! pruned ones have versions up to [`ChangeLog::pruned_through`].
 
 use crate::coverage::Coverage;
 use crate::resource::{Change, Key, Selector, Urgency, Version};
@@ -12,16 +12,16 @@
 /// Limits of a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
-    /// Most keys.
+    /// Maximum number of keys.
     pub max_keys: usize,
-    /// Most bytes, as counted by [`Change::size_bytes`].
+    /// Maximum size in bytes, as counted by [`Change::size_bytes`].
     pub max_bytes: usize,
-    /// Most tombstones; beyond it the oldest are pruned.
+    /// Maximum number of tombstones; beyond it the oldest are pruned.
     pub max_tombstones: usize,
 }
 
 impl Capacity {
-    /// For a control machine with 640,000 resources.
+    /// For a publisher or a relay with 640,000 resources.
     pub const CONTROL: Capacity = Capacity {
         max_keys: 2_000_000,
         max_bytes: 1 << 30,
@@ -146,9 +146,9 @@
         }
     }
 
-    /// Removes the oldest tombstones beyond the capacity; gives back their keys.
+    /// Removes the oldest tombstones beyond the capacity; returns their keys.
     pub fn prune_tombstones(&mut self) -> Vec<Key> {
-        let mut forgotten = Vec::new();
+        let mut pruned = Vec::new();
         while self.tombstones.len() > self.capacity.max_tombstones {
             let Some(version) = self.tombstones.first().copied() else {
                 break;
@@ -158,9 +158,9 @@
             };
             self.remove(&key);
             self.pruned_through = self.pruned_through.max(version);
-            forgotten.push(key);
+            pruned.push(key);
         }
-        forgotten
+        pruned
     }
 
     /// Tombstones up to this version may have been pruned.
@@ -168,7 +168,7 @@
         self.pruned_through
     }
 
-    /// Raises the pruning floor: removals up to it are not known here.
+    /// Raises the pruning floor: the tombstones of removals up to it may be missing here.
     pub fn raise_pruned_through(&mut self, version: Version) {
         self.pruned_through = self.pruned_through.max(version);
     }
@@ -308,7 +308,7 @@
         .filter(|selector| *selector != Selector::Everything)
 }
 
-/// The last version that a coverage lacks; `last_at_or_below` gives the last version up to a bound.
+/// The last version that a coverage lacks; `last_at_or_below` returns the last version up to a bound.
 fn newest_uncovered(
     coverage: &Coverage,
     last: Option<Version>,
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -4,7 +4,7 @@
 //! "rD" | version | first 8 bytes of BLAKE3 of what follows | head (postcard) | payload (postcard)
 //! ```
 //!
-//! The hash detects truncated and corrupt frames; it does not authenticate, which is up to the driver's transport.
+//! The hash detects truncated and corrupt frames; it does not authenticate them. That is up to the driver's transport.
 
 use crate::close_reason::CloseReason;
 use crate::coverage::{Coverage, Span};
@@ -15,7 +15,7 @@
 use crate::resource::{Change, ContentHash, Key, NodeFraction, Selector, Urgency, Version};
 use serde::{Deserialize, Serialize};
 
-/// Most keys in one [`Payload::Manifest`].
+/// Maximum number of keys in one [`Payload::Manifest`].
 pub const MAX_MANIFEST_KEYS: usize = 256;
 
 const MAGIC: [u8; 3] = *b"rD\x01";
@@ -83,7 +83,8 @@
     pub coverage: Coverage,
     /// The child knows all removals up to this version.
     pub removals_known: Version,
-    /// Whether the child has changes that the selector matches, whatever it covers: it then needs all removals since.
+    /// Whether the child has changes that the selector matches, regardless of its coverage: it then needs all later
+    /// removals.
     pub has_changes: bool,
 }
 
@@ -94,7 +95,7 @@
     Acknowledge,
     /// A child opens a session.
     Open {
-        /// Whether the child is a relay or a publisher, which needs changes for other nodes, too.
+        /// Whether the child is a relay or a publisher, which also needs changes for other nodes.
         is_relay: bool,
     },
     /// A child adds subscriptions.
@@ -107,7 +108,7 @@
     Close {
         /// Why it ended.
         reason: CloseReason,
-        /// Earliest reconnect, in milliseconds.
+        /// Time after which the child may reconnect, in milliseconds.
         retry_after_ms: u32,
     },
     /// The term of the current publisher.
@@ -144,7 +145,7 @@
         /// Digests of the keys.
         digests: Vec<u64>,
     },
-    /// Everything that the sender has of all subscriptions was sent.
+    /// The sender has sent everything that it has for all subscriptions.
     UpToDate {
         /// The last version of the sender.
         head: Version,
@@ -180,7 +181,7 @@
     pub payload: Payload,
 }
 
-/// Decodes a received frame; none if it is invalid.
+/// Decodes a received frame; `None` if it is invalid.
 pub fn parse(from: PeerId, frame: &[u8]) -> Option<Received> {
     let (head, payload) = decode(frame)?;
     Some(Received {
@@ -191,14 +192,14 @@
     })
 }
 
-/// Decodes a frame; none if it is invalid.
+/// Decodes a frame; `None` if it is invalid.
 pub fn decode(frame: &[u8]) -> Option<(Head, Payload)> {
     if frame.len() > MAX_FRAME_BYTES {
         return None;
     }
     let rest = frame.strip_prefix(&MAGIC)?;
-    let (sum, body) = rest.split_at_checked(CHECKSUM_BYTES)?;
-    if &blake3::hash(body).as_bytes()[..CHECKSUM_BYTES] != sum {
+    let (checksum, body) = rest.split_at_checked(CHECKSUM_BYTES)?;
+    if &blake3::hash(body).as_bytes()[..CHECKSUM_BYTES] != checksum {
         return None;
     }
     postcard::from_bytes(body).ok()
--- a/crates/distribution/src/node_status.rs
+++ b/crates/distribution/src/node_status.rs
@@ -5,9 +5,9 @@
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most nodes that are tracked; reports of others are ignored.
+/// Maximum number of nodes that are tracked; reports of others are ignored.
 pub const MAX_NODES: usize = 16_384;
-/// Most rejections that are retained; beyond it those of the oldest versions are dropped.
+/// Maximum number of rejections that are retained; beyond it those of the oldest versions are dropped.
 pub const MAX_REJECTIONS: usize = 16_384;
 
 /// A change that a node rejected.
--- a/crates/distribution/src/output.rs
+++ b/crates/distribution/src/output.rs
@@ -9,7 +9,7 @@
 use crate::rollout::stage::StageCounts;
 use serde::{Deserialize, Serialize};
 
-/// Work for the driver, to be done in order.
+/// A request to the driver. Requests have to be performed in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Sends a frame to a peer; it may be lost.
@@ -19,7 +19,7 @@
         /// The frame.
         frame: Vec<u8>,
     },
-    /// Applies a change (subscribers only). `key.slot` has no meaning here: the change is what the resource is now at
+    /// Applies a change (subscribers only). `key.slot` has no meaning here: the change is the resource's new content at
     /// this node. The driver answers with `accepted` or `rejected` and the version.
     Apply(Change),
     /// Stores a record before any later [`Output::Send`] is sent.
@@ -33,9 +33,10 @@
 pub enum Record {
     /// A change; it replaces earlier ones of its key.
     Put(Change),
-    /// The change that a node has applied; `key.slot` has no meaning. A removal: the resource is no longer applied.
+    /// The change that a node has applied; `key.slot` has no meaning. A removal means that the resource is no longer
+    /// applied.
     Applied(Change),
-    /// What is applied of a resource is also its content at this version.
+    /// The applied content of a resource is also its content at this version.
     Confirmed(Name, Version),
     /// The key was pruned or removed.
     Forget(Key),
@@ -75,7 +76,7 @@
         /// The reason.
         reason: CloseReason,
     },
-    /// A change of an earlier publisher that the present publisher does not have was reported.
+    /// A change of an earlier publisher was reported that the current publisher does not have.
     Orphaned {
         /// The key.
         key: Key,
@@ -89,9 +90,9 @@
         /// The version.
         version: Version,
     },
-    /// A later fencing token was seen; this publisher no longer writes.
+    /// A later fencing token was seen, or a relay reported one; this publisher has stepped down.
     Fenced {
-        /// The token.
+        /// The later token, or this publisher's own one if a relay reported a later one.
         token: u64,
     },
     /// A rollout advanced to its next stage.
@@ -103,7 +104,7 @@
         /// What the nodes of the previous stage reported.
         counts: StageCounts,
     },
-    /// A publisher has taken over a rollout, and its stage soaks again.
+    /// A publisher has taken over a rollout, and its stage soaks again from the start.
     RolloutResumed {
         /// The resource.
         name: Name,
@@ -119,7 +120,7 @@
         /// What the nodes of its last stage reported.
         counts: StageCounts,
     },
-    /// A rollout's record is unreadable: its canary stays, and nobody checks it.
+    /// A rollout's record is unreadable: its canary stays active and is not checked.
     RolloutUnreadable {
         /// The key of the record.
         key: Key,
--- a/crates/distribution/src/publish.rs
+++ b/crates/distribution/src/publish.rs
@@ -9,7 +9,7 @@
 use crate::rollout::record::{RolloutRecord, RECORD_URGENCY};
 use thiserror::Error;
 
-/// Most changes in one publication.
+/// Maximum number of changes in one publication.
 pub const MAX_DRAFTS: usize = 10_000;
 
 /// Why a publisher did not publish.
@@ -18,45 +18,45 @@
     /// The claim does not hold the lease, or no longer.
     #[error("the lease is not held")]
     LeaseNotHeld,
-    /// The publisher is still receiving what earlier publishers wrote.
-    #[error("what earlier publishers wrote is still coming")]
+    /// The publisher is still reading the changes of earlier publishers.
+    #[error("the changes of earlier publishers have not all been received yet")]
     TakingOver,
     /// The publisher has seen a later fencing token.
-    #[error("a later publisher has token {0}")]
+    #[error("fenced: a later publisher has token {0}")]
     Fenced(u64),
     /// There are no changes, or too many.
-    #[error("1 to {MAX_DRAFTS} changes at once")]
+    #[error("a publication must have 1 to {MAX_DRAFTS} changes")]
     ChangeCount,
     /// A name, a body or a node fraction exceeds its limit.
-    #[error("the name, the body or the part of {0:?} is out of its bounds")]
+    #[error("the name, the body or the node fraction of {0:?} exceeds its limit")]
     OutOfBounds(Box<Name>),
     /// The log has no capacity.
-    #[error("no room for {0:?}")]
+    #[error("the log has no capacity for {0:?}")]
     CapacityExceeded(Box<Name>),
     /// The change was replaced, or there is no change of this version.
-    #[error("no resource is at this version")]
+    #[error("no current change has this version")]
     Superseded,
     /// The previous content is no longer in the history.
-    #[error("what was there before is no longer known")]
+    #[error("the previous content is no longer in the history")]
     HistoryExpired,
     /// The resource has no canary.
-    #[error("there is no trial of this resource")]
+    #[error("the resource has no canary")]
     NoCanary,
-    /// Only publishers write this group.
-    #[error("{0:?} is written by publishers alone")]
+    /// Only publishers write resources of this group.
+    #[error("{0:?} is written only by publishers")]
     Reserved(Box<Name>),
     /// The rollout's policy is invalid.
     #[error(transparent)]
     Policy(#[from] InvalidPolicy),
     /// A rollout of this resource is running or halted; it has to be promoted or reverted first.
-    #[error("a rollout of this resource is open")]
+    #[error("the resource has an open rollout")]
     RolloutOpen,
     /// Too many rollouts are open.
-    #[error("{MAX_OPEN_ROLLOUTS} rollouts at once")]
+    #[error("at most {MAX_OPEN_ROLLOUTS} rollouts can be open")]
     TooManyRollouts,
 }
 
-/// Most open rollouts.
+/// Maximum number of open rollouts.
 pub const MAX_OPEN_ROLLOUTS: usize = 16;
 
 /// A change that has no version yet.
@@ -98,7 +98,7 @@
     }
 
     /// The removal that ends a canary.
-    pub fn end_of_canary(name: Name, urgency: Urgency) -> PendingChange {
+    pub fn canary_removal(name: Name, urgency: Urgency) -> PendingChange {
         let key = Key {
             name,
             slot: Slot::Canary,
--- a/crates/distribution/src/publisher.rs
+++ b/crates/distribution/src/publisher.rs
@@ -1,14 +1,14 @@
-//! A publisher: publishes changes while it holds the lease, and serves the first relays.
+//! A publisher: publishes changes while it holds the lease, and serves the first-tier relays.
 //!
 //! | state | ends |
 //! | --- | --- |
-//! | standing by: follows a relay, to replicate what others write | when the lease is held |
-//! | taking over: reads what each first relay has, one after the other | when all have been read; after [`PublisherConfig::takeover_timeout`] |
-//! | writing: serves relays, follows nobody | when the lease ends or is given back; when a later fencing token is seen |
+//! | standby: follows a relay, to replicate the changes of other publishers | when it acquires the lease |
+//! | taking over: reads the changes of the first-tier relays, one relay after the other | when all have been read, or after [`PublisherConfig::takeover_timeout`] |
+//! | publishing: serves relays, and follows no upstream | when the lease ends or is released, or a later fencing token is seen |
 //!
-//! A later publisher may lack changes that an earlier one wrote just before it was cut off. Relays and nodes report them as
-//! orphans, and the present publisher overwrites them with its own content. So all replicas converge, and versions only
-//! ever increase.
+//! A later publisher may lack changes that an earlier one published just before it was partitioned. Relays and nodes
+//! report them as orphans, and the current publisher overwrites them with its own content. So all replicas converge,
+//! and versions only ever increase.
 
 mod lease;
 mod orphans;
@@ -42,9 +42,9 @@
 /// Configuration of a publisher.
 #[derive(Clone, Debug)]
 pub struct PublisherConfig {
-    /// The publishers' lease.
+    /// The lease under which publishers publish; one of them holds it at a time.
     pub lease: LeaseName,
-    /// How it follows the first relays while it does not write.
+    /// How it follows the first-tier relays while it does not publish.
     pub upstream: UpstreamConfig,
     /// How it serves its children.
     pub downstream: DownstreamConfig,
@@ -52,29 +52,29 @@
     pub capacity: Capacity,
     /// Size of the history for reverts, in bytes.
     pub history_bytes: usize,
-    /// Longest wait for the first relays when taking over, in seconds.
+    /// Maximum time in seconds to read the first-tier relays when it takes over.
     pub takeover_timeout: Time,
-    /// Seed of its random numbers, session ids among them; another one at each start.
+    /// Seed of its random numbers, including session ids; has to differ at each start.
     pub seed: u64,
 }
 
 #[derive(Debug)]
 enum State {
-    StandingBy,
+    Standby,
     TakingOver {
         claim: Claim,
-        until: Time,
+        lease_until: Time,
         deadline: Time,
         caught_up: BTreeSet<PeerId>,
     },
     Publishing {
         epoch: Epoch,
-        until: Time,
-        orphans: usize,
+        lease_until: Time,
+        overwritten_orphans: usize,
     },
 }
 
-/// A publisher: standing by, taking over or writing.
+/// The state machine of a publisher process.
 #[derive(Debug)]
 pub struct Publisher {
     config: PublisherConfig,
@@ -88,13 +88,13 @@
 }
 
 impl Publisher {
-    /// A publisher without records.
+    /// Creates a publisher with an empty log.
     pub fn new(config: PublisherConfig, now: Time) -> Publisher {
         let restored = RestoredState::empty(config.capacity);
         Publisher::from_restored(config, restored, now)
     }
 
-    /// A publisher from stored records.
+    /// Restores a publisher from its stored records.
     pub fn restore(
         config: PublisherConfig,
         records: impl IntoIterator<Item = Record>,
@@ -118,31 +118,31 @@
         }
         let downstream =
             Downstream::new(config.downstream, crate::random::mix_bits(config.seed), now);
-        let board = NodeStatuses::default();
-        let (state, rollouts) = (State::StandingBy, Rollouts::default());
+        let statuses = NodeStatuses::default();
+        let (state, rollouts) = (State::Standby, Rollouts::default());
         Publisher {
             state,
             replica,
             downstream,
             history,
-            node_statuses: board,
+            node_statuses: statuses,
             rollouts,
             clock: now,
             config,
         }
     }
 
-    /// The latest changes.
+    /// The latest change of each key.
     pub fn log(&self) -> &ChangeLog {
         &self.replica.log
     }
 
-    /// The versions that are covered.
+    /// The versions that its replica covers.
     pub fn coverage(&self) -> &Coverage {
         self.replica.coverage()
     }
 
-    /// The last version.
+    /// The last version that its replica has.
     pub fn head(&self) -> Version {
         self.replica.head()
     }
@@ -152,7 +152,7 @@
         matches!(self.state, State::Publishing { .. })
     }
 
-    /// The children.
+    /// The peers that have an open session with this process.
     pub fn children(&self) -> impl Iterator<Item = PeerId> + '_ {
         self.downstream.children()
     }
@@ -162,7 +162,7 @@
         self.node_statuses.status(version)
     }
 
-    /// Handles a frame; any bytes are allowed.
+    /// Handles a received frame; invalid frames are ignored.
     pub fn receive(&mut self, now: Time, from: PeerId, frame: &[u8], outputs: &mut Vec<Output>) {
         self.clock = self.clock.max(now);
         let Some(received) = message::parse(from, frame) else {
@@ -236,11 +236,13 @@
         }
     }
 
-    /// Sends what is due; stands down when the lease ends.
+    /// Sends what is due; steps down once the lease has ended.
     pub fn poll(&mut self, now: Time, outputs: &mut Vec<Output>) {
         self.clock = self.clock.max(now);
         match &self.state {
-            State::TakingOver { until, .. } | State::Publishing { until, .. } if now >= *until => {
+            State::TakingOver { lease_until, .. } | State::Publishing { lease_until, .. }
+                if now >= *lease_until =>
+            {
                 self.step_down(now, outputs);
             }
             State::TakingOver { deadline, .. } if now >= *deadline => {
@@ -257,19 +259,21 @@
         }
     }
 
-    /// When [`Publisher::poll`] is to be called.
+    /// When [`Publisher::poll`] has to be called next.
     pub fn next_wakeup(&self) -> Time {
-        let follow = self.replica.upstream.next_wakeup(self.clock);
+        let upstream_wakeup = self.replica.upstream.next_wakeup(self.clock);
         match &self.state {
-            State::StandingBy => follow,
+            State::Standby => upstream_wakeup,
             State::TakingOver {
-                until, deadline, ..
-            } => follow.min(*until).min(*deadline),
-            State::Publishing { until, .. } => self
+                lease_until,
+                deadline,
+                ..
+            } => upstream_wakeup.min(*lease_until).min(*deadline),
+            State::Publishing { lease_until, .. } => self
                 .downstream
                 .next_wakeup()
                 .min(self.rollouts.next_check_at())
-                .min(*until),
+                .min(*lease_until),
         }
     }
 }
--- a/crates/distribution/src/publisher/lease.rs
+++ b/crates/distribution/src/publisher/lease.rs
@@ -1,4 +1,4 @@
-//! The publisher's state by its lease: standing by, taking over, writing.
+//! The transitions of a publisher between standby, taking over and publishing, as its lease begins and ends.
 
 use super::rollouts::Rollouts;
 use super::{Publisher, State};
@@ -13,15 +13,16 @@
 use std::collections::BTreeSet;
 
 impl Publisher {
-    /// Records that a claim holds the lease until a time: when it is acquired, and at each renewal.
+    /// Records that `claim` holds the lease until `lease_until`. Has to be called when the lease is acquired and at
+    /// each renewal.
     ///
     /// # Errors
-    /// If it is another lease, or a later fencing token has been seen.
+    /// If the claim is for another lease, or a later fencing token has been seen.
     pub fn hold_lease(
         &mut self,
         now: Time,
         claim: &Claim,
-        until: Time,
+        lease_until: Time,
         outputs: &mut Vec<Output>,
     ) -> Result<(), PublishError> {
         self.clock = self.clock.max(now);
@@ -35,21 +36,21 @@
         match &mut self.state {
             State::Publishing {
                 epoch,
-                until: current_until,
+                lease_until: current_lease_until,
                 ..
-            } if epoch.claim == *claim => *current_until = until,
+            } if epoch.claim == *claim => *current_lease_until = lease_until,
             State::TakingOver {
                 claim: current_claim,
-                until: current_until,
+                lease_until: current_lease_until,
                 ..
-            } if current_claim == claim => *current_until = until,
+            } if current_claim == claim => *current_lease_until = lease_until,
             _ => {
                 self.step_down(now, outputs);
                 let deadline = now + self.config.takeover_timeout;
                 let (claim, caught_up) = (claim.clone(), BTreeSet::new());
                 self.state = State::TakingOver {
                     claim,
-                    until,
+                    lease_until,
                     deadline,
                     caught_up,
                 };
@@ -61,12 +62,12 @@
         Ok(())
     }
 
-    /// Records that the lease is no longer held.
+    /// Records that the lease is no longer held: closes the sessions of all children, and follows an upstream again.
     pub fn step_down(&mut self, now: Time, outputs: &mut Vec<Output>) {
         if self.is_publishing() {
             self.downstream.close_all(now, CloseReason::Fenced, outputs);
         }
-        self.state = State::StandingBy;
+        self.state = State::Standby;
         self.rollouts = Rollouts::default();
         self.replica.upstream.resume(now);
     }
@@ -76,10 +77,13 @@
     }
 
     pub(super) fn begin_publishing(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        let State::TakingOver { claim, until, .. } = &self.state else {
+        let State::TakingOver {
+            claim, lease_until, ..
+        } = &self.state
+        else {
             return;
         };
-        let (claim, until) = (claim.clone(), *until);
+        let (claim, lease_until) = (claim.clone(), *lease_until);
         let highest_token = self.highest_token();
         let known = self.replica.known_versions();
         let epoch = Epoch { claim, known };
@@ -97,15 +101,16 @@
         };
         let head = self.head().max(start);
         let orphans = orphaned_changes(self.log(), &epoch);
-        // In the reverse order a crash in between would leave versions as known that only this coverage claims.
+        // The epoch is stored before the coverage. In the reverse order, a crash in between would make versions count
+        // as known that only this coverage claims.
         self.replica.set_epoch(epoch.clone(), outputs);
         self.replica.mark_complete(head, outputs);
         self.state = State::Publishing {
             epoch,
-            until,
-            orphans: 0,
+            lease_until,
+            overwritten_orphans: 0,
         };
-        self.rewrite_orphaned(now, orphans, outputs);
+        self.republish_orphaned(now, orphans, outputs);
         self.take_over_rollouts(now, outputs);
     }
 
@@ -117,15 +122,16 @@
                 claim: current_claim,
                 ..
             } if current_claim == claim => Err(PublishError::TakingOver),
-            State::Publishing { epoch, until, .. } if epoch.claim == *claim && now < *until => {
-                Ok(())
-            }
+            State::Publishing {
+                epoch, lease_until, ..
+            } if epoch.claim == *claim && now < *lease_until => Ok(()),
             _ => Err(PublishError::LeaseNotHeld),
         }
     }
 
-    /// Records that a relay has sent everything. All first relays are read before the publisher writes, since its
-    /// predecessor may have reached one of them only; the wait is limited by [`super::PublisherConfig::takeover_timeout`].
+    /// Records that a relay has sent everything. All first-tier relays are read before the publisher starts to publish,
+    /// since the last changes of its predecessor may have reached only one of them; the wait is limited by
+    /// [`super::PublisherConfig::takeover_timeout`].
     pub(super) fn relay_caught_up(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let State::TakingOver { caught_up, .. } = &mut self.state else {
             return;
@@ -149,7 +155,7 @@
         }
     }
 
-    /// A relay has reported a later fencing token: this publisher lost the lease without knowing.
+    /// Steps down after a relay has reported a later fencing token: the lease was lost unnoticed.
     pub(super) fn handle_fencing(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let State::Publishing { epoch, .. } = &self.state else {
             return;
--- a/crates/distribution/src/publisher/orphans.rs
+++ b/crates/distribution/src/publisher/orphans.rs
@@ -1,4 +1,4 @@
-//! Orphans: changes of earlier publishers that did not reach everybody, which the present publisher overwrites.
+//! Overwrites orphans: changes of earlier publishers that did not reach the current publisher before it took over.
 
 use super::{Publisher, State};
 use crate::output::{Event, Output};
@@ -6,12 +6,13 @@
 use crate::resource::{ChangeId, Content, Key, NodeFraction, Urgency, Version};
 use crate::Time;
 
-/// Most orphans that are overwritten in one term; reports beyond it are ignored.
+/// Maximum number of orphans that are overwritten in one term; further reports are ignored.
 const MAX_OVERWRITTEN_ORPHANS: usize = 100_000;
 
 impl Publisher {
-    /// Publishes own orphaned changes again: others cover their versions without having them.
-    pub(super) fn rewrite_orphaned(
+    /// Publishes changes of this publisher's own log again that its epoch does not list as known: other replicas cover
+    /// their versions without having the changes.
+    pub(super) fn republish_orphaned(
         &mut self,
         now: Time,
         orphans: Vec<ChangeId>,
@@ -28,11 +29,11 @@
                 urgency: Urgency::Normal,
                 fraction,
             };
-            self.publish_or_report_full(now, change, outputs);
+            self.publish_or_report_capacity(now, change, outputs);
         }
     }
 
-    pub(super) fn publish_or_report_full(
+    pub(super) fn publish_or_report_capacity(
         &mut self,
         now: Time,
         change: PendingChange,
@@ -54,13 +55,21 @@
     ) {
         let own = self.replica.log.get(&key);
         let is_newer = own.is_some_and(|own| own.version >= version);
-        let State::Publishing { epoch, orphans, .. } = &mut self.state else {
+        let State::Publishing {
+            epoch,
+            overwritten_orphans,
+            ..
+        } = &mut self.state
+        else {
             return;
         };
-        if is_newer || version.token >= epoch.claim.token || *orphans >= MAX_OVERWRITTEN_ORPHANS {
+        if is_newer
+            || version.token >= epoch.claim.token
+            || *overwritten_orphans >= MAX_OVERWRITTEN_ORPHANS
+        {
             return;
         }
-        *orphans += 1;
+        *overwritten_orphans += 1;
         let content = own.map_or(Content::Removed, |own| own.content.clone());
         let fraction = own.map_or(NodeFraction::ALL, |own| own.fraction);
         let change = PendingChange {
@@ -69,6 +78,6 @@
             urgency: Urgency::Urgent,
             fraction,
         };
-        self.publish_or_report_full(now, change, outputs);
+        self.publish_or_report_capacity(now, change, outputs);
     }
 }
--- a/crates/distribution/src/publisher/publishing.rs
+++ b/crates/distribution/src/publisher/publishing.rs
@@ -9,7 +9,7 @@
 use reelfall_lease::token::Claim;
 
 impl Publisher {
-    /// Publishes changes for all nodes; gives back the last version.
+    /// Publishes changes for all nodes; returns the last version.
     ///
     /// # Errors
     /// If nothing was published.
@@ -28,7 +28,8 @@
         self.publish_pending(now, pending, outputs)
     }
 
-    /// Publishes a canary for a fraction of the nodes; a later stage of the same canary has a greater fraction.
+    /// Publishes a canary for a fraction of the nodes. Published again with a greater fraction, it reaches further
+    /// nodes.
     ///
     /// # Errors
     /// If nothing was published.
@@ -72,8 +73,8 @@
             content,
             urgency,
         });
-        let end = PendingChange::end_of_canary(name.clone(), urgency);
-        self.publish_pending(now, vec![stable, end], outputs)
+        let removal = PendingChange::canary_removal(name.clone(), urgency);
+        self.publish_pending(now, vec![stable, removal], outputs)
     }
 
     /// Reverts a change: publishes the previous content as a new, urgent version. Reverting a canary ends it.
@@ -162,7 +163,7 @@
                 .record_replaced(&replacement.previous, &replacement.successor);
         }
         if self.is_publishing() {
-            self.rollouts.check_at(now);
+            self.rollouts.schedule_check(now);
             let replica = self.replica.view(now).authoritative();
             for key in &update.keys {
                 self.downstream.notify_changed(now, key, replica);
--- a/crates/distribution/src/publisher/rollouts.rs
+++ b/crates/distribution/src/publisher/rollouts.rs
@@ -1,4 +1,4 @@
-//! Staged rollouts at the publisher.
+//! Staged rollouts of a publisher.
 //!
 //! | the log has | the rollout |
 //! | --- | --- |
@@ -7,8 +7,9 @@
 //! | a later stable change with another content, or another canary | is superseded |
 //! | no canary | was ended |
 //!
-//! So an operator ends a rollout by [`Publisher::promote_canary`] or [`Publisher::revert`] as with any canary, and a publisher that
-//! takes over continues from its log. Counts and soak times start again there, since they are on another clock.
+//! So an operator ends a rollout by [`Publisher::promote_canary`] or [`Publisher::revert`] as with any canary, and a
+//! publisher that takes over continues from its log. Counts and soak times start again there, since they are measured
+//! on another clock.
 
 mod advance;
 mod start;
@@ -26,7 +27,7 @@
 use crate::Time;
 use std::collections::BTreeMap;
 
-/// Most records of ended rollouts; beyond it the oldest are removed.
+/// Maximum number of records of ended rollouts; beyond it the oldest are removed.
 pub const MAX_ENDED_RECORDS: usize = 64;
 /// Interval in seconds at which a stage is checked after its soak time: reports age without any event.
 pub const STAGE_CHECK_INTERVAL: Time = 1.0;
@@ -38,9 +39,9 @@
     pub name: Name,
     /// Its new content; a removal cannot be rolled out.
     pub content: Content,
-    /// Order of the nodes, as [`crate::resource::NodeFraction::seed`].
+    /// Seed of the order in which nodes are included, as in [`crate::resource::NodeFraction::seed`].
     pub seed: u64,
-    /// The policy.
+    /// When the rollout advances, and when it stops.
     pub policy: RolloutPolicy,
 }
 
@@ -68,7 +69,7 @@
     began_at: Time,
 }
 
-/// A rollout at the publisher that writes.
+/// A rollout of the active publisher.
 #[derive(Debug)]
 struct Rollout {
     record: RolloutRecord,
@@ -101,10 +102,10 @@
             soak_time: soak,
             ..
         } = self.record.policy;
-        let moments = [stage.began_at + decision_time, stage.began_at + soak];
-        moments
+        let deadlines = [stage.began_at + decision_time, stage.began_at + soak];
+        deadlines
             .into_iter()
-            .find(|moment| *moment > now)
+            .find(|deadline| *deadline > now)
             .unwrap_or(now + STAGE_CHECK_INTERVAL)
     }
 
@@ -121,12 +122,12 @@
     }
 }
 
-/// The rollouts of the publisher that writes.
+/// The rollouts of the active publisher.
 #[derive(Debug)]
 pub(super) struct Rollouts {
     by_name: BTreeMap<Name, Rollout>,
     next_check_at: Time,
-    /// When the publisher began to write.
+    /// When the publisher began to publish.
     publishing_since: Time,
 }
 
@@ -141,14 +142,14 @@
 }
 
 impl Rollouts {
-    /// Checks the rollouts with the next poll.
-    pub fn check_at(&mut self, now: Time) {
+    /// Schedules a check of the rollouts for the next poll.
+    pub fn schedule_check(&mut self, now: Time) {
         if !self.by_name.is_empty() {
             self.next_check_at = self.next_check_at.min(now);
         }
     }
 
-    /// When the rollouts are to be checked.
+    /// When the rollouts have to be checked next.
     pub fn next_check_at(&self) -> Time {
         self.next_check_at
     }
@@ -192,7 +193,7 @@
     }
 }
 
-/// State of a rollout by the log.
+/// Progress of a rollout, derived from the log.
 enum RolloutProgress<'a> {
     Stage { canary: &'a Change, index: usize },
     Promoted,
@@ -233,7 +234,7 @@
 }
 
 impl Publisher {
-    /// The status of a resource's last rollout. A publisher that does not write knows the stored record only.
+    /// The status of a resource's last rollout. A publisher that is not active knows only the stored record.
     pub fn rollout(&self, name: &Name) -> Option<RolloutStatus> {
         let Some(rollout) = self.rollouts.by_name.get(name) else {
             let record = RolloutRecord::from_change(self.log().get(&RolloutRecord::key_of(name))?)?;
--- a/crates/distribution/src/publisher/rollouts/advance.rs
+++ b/crates/distribution/src/publisher/rollouts/advance.rs
@@ -143,7 +143,7 @@
                     counts,
                 }));
             }
-            Err(_) => self.report_full(key, outputs),
+            Err(_) => self.report_capacity_exceeded(key, outputs),
         }
     }
 
@@ -152,18 +152,18 @@
             return;
         };
         let (mut record, counts) = (rollout.record.clone(), rollout.counts);
-        let release = self.promotion_of(&record);
+        let promotion = self.promotion_of(&record);
         record.state = RolloutState::Completed;
         let pending = std::iter::once(PendingChange::record(&record))
-            .chain(release)
+            .chain(promotion)
             .collect();
         match self.publish_pending(now, pending, outputs) {
             Ok(_) => self.record_rollout_end(name, record.state, counts, outputs),
-            Err(_) => self.report_full(RolloutRecord::key_of(name), outputs),
+            Err(_) => self.report_capacity_exceeded(RolloutRecord::key_of(name), outputs),
         }
     }
 
-    /// Ends or halts a rollout; `ends_canary`: the canary ends, too.
+    /// Ends or halts a rollout; with `ends_canary` it also removes the canary.
     pub(super) fn end_rollout(
         &mut self,
         now: Time,
@@ -177,12 +177,12 @@
         };
         let (mut record, counts) = (rollout.record.clone(), rollout.counts);
         record.state = state;
-        // The canary ends even if there is no capacity for the record.
+        // The canary is removed even if there is no capacity for the record.
         if self
             .publish_pending(now, vec![PendingChange::record(&record)], outputs)
             .is_err()
         {
-            self.report_full(RolloutRecord::key_of(name), outputs);
+            self.report_capacity_exceeded(RolloutRecord::key_of(name), outputs);
         }
         if ends_canary {
             self.end_canary(now, &record, outputs);
@@ -201,7 +201,7 @@
             rollout.record.state = state.clone();
             rollout.blocker = None;
             if !state.is_open() {
-                rollout.rejecting_nodes.drop_nodes_without_reason();
+                rollout.rejecting_nodes.truncate();
             }
         }
         let name = name.clone();
@@ -212,13 +212,13 @@
         }));
     }
 
-    pub(super) fn report_full(&self, key: Key, outputs: &mut Vec<Output>) {
+    pub(super) fn report_capacity_exceeded(&self, key: Key, outputs: &mut Vec<Output>) {
         let version = self.head();
         outputs.push(Output::Event(Event::CapacityExceeded { key, version }));
     }
 
     /// The changes that promote a canary. The stable change has the later version, so a link sends it before the
-    /// canary's end.
+    /// removal of the canary.
     pub(super) fn promotion_of(&self, record: &RolloutRecord) -> Vec<PendingChange> {
         let key = Key {
             name: record.name.clone(),
@@ -233,10 +233,10 @@
             content: canary.content.clone(),
             urgency,
         });
-        vec![PendingChange::end_of_canary(name, urgency), stable]
+        vec![PendingChange::canary_removal(name, urgency), stable]
     }
 
-    /// Ends a rollout's canary, if it is still there.
+    /// Removes a rollout's canary, if it is still active.
     pub(super) fn end_canary(
         &mut self,
         now: Time,
@@ -248,9 +248,9 @@
             slot: Slot::Canary,
         };
         if record.own_canary(self.log().get(&key)).is_some() {
-            let end = PendingChange::end_of_canary(record.name.clone(), Urgency::Urgent);
+            let removal = PendingChange::canary_removal(record.name.clone(), Urgency::Urgent);
             // The removal is smaller than the canary, so the log has capacity for it.
-            self.append_all(now, vec![end], outputs);
+            self.append_all(now, vec![removal], outputs);
         }
     }
 }
--- a/crates/distribution/src/publisher/rollouts/start.rs
+++ b/crates/distribution/src/publisher/rollouts/start.rs
@@ -10,12 +10,12 @@
 use reelfall_lease::token::Claim;
 
 impl Publisher {
-    /// Starts a rollout: publishes its first stage, from which it advances by itself. Gives back the version of the
-    /// first stage.
+    /// Starts a rollout: publishes its first stage, from which it advances by itself. Returns the version of the first
+    /// stage.
     ///
     /// # Errors
-    /// If nothing was published: as with [`Publisher::publish_canary`], or if the policy is invalid, the resource has an
-    /// open rollout, or there are too many of them.
+    /// If nothing was published: as with [`Publisher::publish_canary`], or if the policy is invalid, the resource has
+    /// an open rollout, or there are too many of them.
     pub fn start_rollout(
         &mut self,
         now: Time,
@@ -63,7 +63,7 @@
         pending.extend(self.removal_of_oldest_ended_record());
         let version = self.publish_pending(now, pending, outputs)?;
         self.rollouts.by_name.insert(name, Rollout::new(record));
-        self.rollouts.check_at(now);
+        self.rollouts.schedule_check(now);
         Ok(version)
     }
 
--- a/crates/distribution/src/publisher/rollouts/takeover.rs
+++ b/crates/distribution/src/publisher/rollouts/takeover.rs
@@ -1,4 +1,4 @@
-//! Takes over the rollouts of earlier publishers when a publisher begins to write.
+//! Takes over the rollouts of earlier publishers when a publisher begins to publish.
 
 use super::{progress_of, Publisher, Rollout, RolloutProgress, Rollouts};
 use crate::log::ChangeLog;
@@ -37,7 +37,7 @@
                 .entry(name)
                 .or_insert_with(|| Rollout::new(record));
         }
-        self.rollouts.check_at(now);
+        self.rollouts.schedule_check(now);
     }
 
     pub(super) fn report_resumed(&self, record: &RolloutRecord, outputs: &mut Vec<Output>) {
@@ -49,9 +49,9 @@
         }
     }
 
-    /// Completes a rollout whose publisher failed between storing that it had ended and writing the consequences, or
-    /// whose canary was published again by a publisher that returned. A manual canary with the content, the seed and a
-    /// stage of an ended rollout counts as that rollout's.
+    /// Completes a rollout whose publisher failed after it had stored that the rollout ended and before it published
+    /// the changes that follow, or whose canary was published again by a publisher that took over again. A manual
+    /// canary with the content, the seed and a stage of an ended rollout counts as that rollout's.
     pub(super) fn complete_interrupted_rollout(
         &mut self,
         now: Time,
@@ -63,7 +63,7 @@
             (_, RolloutProgress::Stage { .. }) if record.state.is_open() => {}
             (RolloutState::Completed, RolloutProgress::Stage { .. }) => {
                 for change in self.promotion_of(record) {
-                    self.publish_or_report_full(now, change, outputs);
+                    self.publish_or_report_capacity(now, change, outputs);
                 }
             }
             (RolloutState::Completed, RolloutProgress::NoCanary) => {
@@ -80,7 +80,7 @@
                     self.end_rollout(now, &record.name, RolloutState::Lost, false, outputs);
                 }
             }
-            // The publisher that promoted it is back and has published the promotion again.
+            // The publisher that promoted it has taken over again and published the promotion again.
             (RolloutState::Lost, RolloutProgress::Promoted) => {
                 self.rollouts
                     .by_name
@@ -96,7 +96,7 @@
     }
 }
 
-/// The stored rollout records; none in place of an unreadable one.
+/// The stored rollout records; `None` for an unreadable one.
 pub(super) fn records(log: &ChangeLog) -> impl Iterator<Item = (&Change, Option<RolloutRecord>)> {
     let selector = Selector::Group(Group::Publishers);
     let keys = log.keys_after(&selector, Version::ZERO).map(|(_, key)| key);
--- a/crates/distribution/src/random.rs
+++ b/crates/distribution/src/random.rs
@@ -1,4 +1,4 @@
-//! Deterministic pseudo-random numbers: the same seed gives the same run.
+//! Deterministic pseudo-random numbers: the same seed gives the same sequence.
 
 use crate::Time;
 
--- a/crates/distribution/src/reassembly.rs
+++ b/crates/distribution/src/reassembly.rs
@@ -8,9 +8,9 @@
 pub enum ChunkOutcome {
     /// More chunks have to arrive.
     Incomplete,
-    /// It was the last chunk, and the hash is right.
+    /// It was the last chunk, and the hash matches.
     Complete(Box<Change>),
-    /// The chunk is out of place, exceeds the stated length, or the hash is wrong.
+    /// The chunk is out of sequence, exceeds the stated length, or completes a body with another hash.
     Invalid,
 }
 
@@ -21,25 +21,25 @@
     bytes: Vec<u8>,
 }
 
-/// The bodies in transit: an urgent one and another one.
+/// The bodies in transit: at most one urgent and one normal body.
 #[derive(Debug, Default)]
 pub struct Reassembler {
-    express: Option<PartialBody>,
-    other: Option<PartialBody>,
+    urgent: Option<PartialBody>,
+    normal: Option<PartialBody>,
 }
 
 impl Reassembler {
-    /// Adds a chunk of subscription `id`. A link delivers chunks in order, so one that is out of place breaks the
+    /// Adds a chunk of subscription `id`. A link delivers chunks in order, so one that is out of sequence violates the
     /// protocol.
     pub fn take(&mut self, id: u32, chunk: Chunk) -> ChunkOutcome {
-        let place = if chunk.is_urgent {
-            &mut self.express
+        let partial = if chunk.is_urgent {
+            &mut self.urgent
         } else {
-            &mut self.other
+            &mut self.normal
         };
         if chunk.offset == 0 {
             let bytes = Vec::new();
-            *place = Some(PartialBody {
+            *partial = Some(PartialBody {
                 id,
                 first: Chunk {
                     bytes: Vec::new(),
@@ -48,11 +48,11 @@
                 bytes,
             });
         }
-        let outcome = place
+        let outcome = partial
             .as_mut()
-            .map_or(ChunkOutcome::Invalid, |assembly| assembly.add(id, &chunk));
+            .map_or(ChunkOutcome::Invalid, |body| body.add(id, &chunk));
         if outcome != ChunkOutcome::Incomplete {
-            *place = None;
+            *partial = None;
         }
         outcome
     }
@@ -66,7 +66,7 @@
 impl PartialBody {
     fn add(&mut self, id: u32, chunk: &Chunk) -> ChunkOutcome {
         let first = &self.first;
-        let same = self.id == id
+        let is_same_body = self.id == id
             && first.key == chunk.key
             && first.version == chunk.version
             && first.total == chunk.total
@@ -75,7 +75,7 @@
         let total = chunk.total as usize;
         let fits =
             chunk.offset as usize == self.bytes.len() && end <= total && total <= MAX_BODY_BYTES;
-        if !same || !fits || chunk.bytes.is_empty() {
+        if !is_same_body || !fits || chunk.bytes.is_empty() {
             return ChunkOutcome::Invalid;
         }
         self.bytes.extend_from_slice(&chunk.bytes);
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -17,7 +17,7 @@
 /// Configuration of a relay.
 #[derive(Clone, Debug)]
 pub struct RelayConfig {
-    /// The publishers' lease.
+    /// The lease under which publishers publish; epochs of other leases are rejected.
     pub lease: LeaseName,
     /// How it follows its upstream.
     pub upstream: UpstreamConfig,
@@ -25,7 +25,7 @@
     pub downstream: DownstreamConfig,
     /// Limits of its log.
     pub capacity: Capacity,
-    /// Seed of its random numbers, session ids among them; another one at each start.
+    /// Seed of its random numbers, including session ids; has to differ at each start.
     pub seed: u64,
 }
 
@@ -39,13 +39,13 @@
 }
 
 impl Relay {
-    /// A relay without records.
+    /// Creates a relay with an empty log.
     pub fn new(config: RelayConfig, now: Time) -> Relay {
         let restored = RestoredState::empty(config.capacity);
         Relay::from_restored(config, restored, now)
     }
 
-    /// A relay from stored records.
+    /// Restores a relay from its stored records.
     pub fn restore(
         config: RelayConfig,
         records: impl IntoIterator<Item = Record>,
@@ -58,23 +58,23 @@
     fn from_restored(config: RelayConfig, mut restored: RestoredState, now: Time) -> Relay {
         let upstream = Upstream::new(config.upstream, config.lease, config.seed, now);
         let replica = Replica::new(upstream, &mut restored);
-        let was_whole = replica.coverage().is_contiguous();
+        let is_contiguous = replica.coverage().is_contiguous();
         let downstream =
             Downstream::new(config.downstream, crate::random::mix_bits(config.seed), now);
         Relay {
             replica,
             downstream,
-            was_contiguous: was_whole,
+            was_contiguous: is_contiguous,
             clock: now,
         }
     }
 
-    /// The latest changes.
+    /// The latest change of each key.
     pub fn log(&self) -> &ChangeLog {
         &self.replica.log
     }
 
-    /// The versions that are covered.
+    /// The versions that its replica covers.
     pub fn coverage(&self) -> &Coverage {
         self.replica.coverage()
     }
@@ -84,7 +84,7 @@
         self.replica.upstream.following()
     }
 
-    /// The children.
+    /// The peers that have an open session with this process.
     pub fn children(&self) -> impl Iterator<Item = PeerId> + '_ {
         self.downstream.children()
     }
@@ -94,7 +94,7 @@
         self.replica.staleness(now)
     }
 
-    /// Handles a frame; any bytes are allowed.
+    /// Handles a received frame; invalid frames are ignored.
     pub fn receive(&mut self, now: Time, from: PeerId, frame: &[u8], outputs: &mut Vec<Output>) {
         self.clock = self.clock.max(now);
         let Some(received) = message::parse(from, frame) else {
@@ -129,7 +129,7 @@
         self.downstream.poll(now, self.replica.view(now), outputs);
     }
 
-    /// When [`Relay::poll`] is to be called.
+    /// When [`Relay::poll`] has to be called next.
     pub fn next_wakeup(&self) -> Time {
         self.replica
             .upstream
--- a/crates/distribution/src/replica.rs
+++ b/crates/distribution/src/replica.rs
@@ -21,15 +21,15 @@
 /// What an upstream event has changed.
 #[derive(Debug, Default)]
 pub(crate) struct ReplicaUpdate {
-    /// Keys whose change is another one, or was removed.
+    /// Keys whose change was replaced or removed.
     pub keys: Vec<Key>,
     /// Replaced changes, each with its successor.
     pub replaced: Vec<Replacement>,
-    /// Changes that the present publisher does not have.
+    /// Changes that the current publisher does not have.
     pub orphans: Vec<ChangeId>,
-    /// Whether there is another publisher.
+    /// Whether the epoch of a new publisher was received.
     pub has_new_epoch: bool,
-    /// Whether everything that the upstream has is here.
+    /// Whether everything that the upstream has was received.
     pub is_up_to_date: bool,
 }
 
@@ -39,9 +39,9 @@
     pub upstream: Upstream,
     pub log: ChangeLog,
     pub epoch: Option<Epoch>,
-    /// The last publisher's fencing token in this run.
+    /// The highest fencing token of an epoch received in this run.
     latest_token: u64,
-    /// When the upstream last said that everything was sent, and the staleness at that time.
+    /// When the upstream last reported that it had sent everything, and the staleness at that time.
     last_up_to_date: Option<KnownAge>,
     stored_coverage: Coverage,
     unstored_frames: u32,
@@ -85,7 +85,7 @@
             .map_or(&EMPTY, |subscription| &subscription.coverage)
     }
 
-    /// The last version that is here.
+    /// The last version in the log or in the coverage.
     pub fn head(&self) -> Version {
         self.coverage().last_version().max(self.log.last_version())
     }
@@ -152,7 +152,7 @@
             return ReplicaUpdate::default();
         }
         self.latest_token = epoch.claim.token;
-        // In each run again: the last one may have failed before it could report.
+        // Orphans are reported again in each run, since the previous one may have failed before it could report them.
         let orphans = orphaned_changes(&self.log, &epoch);
         for ChangeId { key, version } in orphans.iter().cloned() {
             self.upstream.queue_report(Report::Orphan { key, version });
@@ -181,14 +181,15 @@
         }
     }
 
-    /// Sets the current publisher.
+    /// Stores the epoch of the current publisher.
     pub fn set_epoch(&mut self, epoch: Epoch, outputs: &mut Vec<Output>) {
         outputs.push(Output::Persist(Record::Epoch(epoch.clone())));
         self.epoch = Some(epoch);
     }
 
-    /// The versions of known publishers' changes that are here: what the last publisher knew when it took over, and what it
-    /// wrote. This can be less than the coverage, where an earlier publisher wrote what its successor never received.
+    /// The covered versions that the last known publisher had: those that it knew when it took over, and those that it
+    /// published. This can be less than the coverage, if an earlier publisher published changes that its successor
+    /// never received.
     pub fn known_versions(&self) -> Coverage {
         let Some(epoch) = &self.epoch else {
             return self.coverage().clone();
@@ -204,13 +205,13 @@
         outputs: &mut Vec<Output>,
     ) -> ReplicaUpdate {
         let mut update = ReplicaUpdate::default();
-        let mut full = false;
+        let mut capacity_exceeded = false;
         for change in changes {
-            full |= !self.put(change, &mut update, outputs);
+            capacity_exceeded |= !self.put(change, &mut update, outputs);
         }
         update.keys.extend(self.prune_tombstones(outputs));
-        if full {
-            // Covering what was not stored would tell children that there is no such change.
+        if capacity_exceeded {
+            // Covering a change that was not stored would tell children that it does not exist.
             self.upstream
                 .leave(now, CloseReason::CapacityExceeded, outputs);
         } else {
@@ -254,16 +255,16 @@
 
     /// Prunes tombstones beyond the capacity.
     pub fn prune_tombstones(&mut self, outputs: &mut Vec<Output>) -> Vec<Key> {
-        let forgotten = self.log.prune_tombstones();
-        for key in &forgotten {
+        let pruned = self.log.prune_tombstones();
+        for key in &pruned {
             outputs.push(Output::Persist(Record::Forget(key.clone())));
         }
-        if !forgotten.is_empty() {
+        if !pruned.is_empty() {
             outputs.push(Output::Persist(Record::PrunedThrough(
                 self.log.pruned_through(),
             )));
         }
-        forgotten
+        pruned
     }
 
     fn apply_manifest(
@@ -293,7 +294,7 @@
         }
     }
 
-    /// Covers all versions up to this one, by the word of the publisher itself.
+    /// Covers all versions up to this one. Called only by the active publisher, whose log defines which changes exist.
     pub fn mark_complete(&mut self, head: Version, outputs: &mut Vec<Output>) {
         self.upstream.add_coverage(
             &Selector::Everything,
@@ -327,7 +328,7 @@
     }
 }
 
-/// Changes of earlier publishers that the present one did not have when it took over.
+/// Changes of earlier publishers that the current one did not have when it took over.
 pub(crate) fn orphaned_changes(log: &ChangeLog, epoch: &Epoch) -> Vec<ChangeId> {
     let earlier = |change: &&Change| change.version.token < epoch.claim.token;
     let unknown = |change: &&Change| !epoch.known.contains(change.version);
@@ -340,7 +341,7 @@
         .collect()
 }
 
-/// What a publisher knew when it took over, and what it has written since.
+/// The versions that a publisher knew when it took over, and those that it has published since.
 fn known_since(epoch: &Epoch, head: Version) -> Coverage {
     let mut known = epoch.known.clone();
     let after = Version {
@@ -354,11 +355,11 @@
     known
 }
 
-/// Versions that the present publisher knows, and that are covered here on the word of an earlier publisher that did not
+/// Versions that the current publisher knows, and that are covered here because of an earlier publisher that did not
 /// know them: their changes were never received.
-pub(crate) fn missing_versions(earlier: &Epoch, present: &Epoch, covered: &Coverage) -> Coverage {
+pub(crate) fn missing_versions(earlier: &Epoch, current: &Epoch, covered: &Coverage) -> Coverage {
     let known = known_since(earlier, covered.last_version());
-    present.known.intersection(covered).difference(&known)
+    current.known.intersection(covered).difference(&known)
 }
 
 /// Keys of a selector up to a pruning floor that a manifest does not list.
@@ -369,8 +370,8 @@
     digests: &BTreeSet<u64>,
 ) -> Vec<Key> {
     let keys = log.keys_after(selector, Version::ZERO);
-    let previous = keys.take_while(|(version, _)| *version <= removals_known);
-    previous
+    let listable = keys.take_while(|(version, _)| *version <= removals_known);
+    listable
         .filter(|(_, key)| !digests.contains(&key.digest()))
         .map(|(_, key)| key.clone())
         .collect()
--- a/crates/distribution/src/replica_view.rs
+++ b/crates/distribution/src/replica_view.rs
@@ -24,7 +24,7 @@
 }
 
 impl ReplicaView<'_> {
-    /// The same view at the publisher that writes: its own changes are never stale.
+    /// The same view at the active publisher, whose own changes are never stale.
     pub(crate) fn authoritative(self) -> Self {
         ReplicaView {
             age: Some(0.0),
--- a/crates/distribution/src/report.rs
+++ b/crates/distribution/src/report.rs
@@ -1,4 +1,5 @@
-//! Reports from nodes to the publisher, and the queue in which a process keeps them until its upstream has them.
+//! Reports from nodes to the publisher, and the queue in which a process keeps them until they are sent to its
+//! upstream.
 
 mod rejections;
 
@@ -10,9 +11,10 @@
 
 /// Longest reason of a rejection, in bytes; longer ones are truncated.
 pub const MAX_REASON_BYTES: usize = 200;
-/// Most rejections and orphans in the queue; beyond it the oldest are dropped.
+/// Maximum number of rejections and orphans in the queue; beyond it the oldest are dropped.
 pub const MAX_QUEUED_REPORTS: usize = 4096;
-/// Most nodes with an acknowledgement in the queue; others are left to their next report.
+/// Maximum number of nodes with an acknowledgement in the queue; those of further nodes are dropped until their next
+/// report.
 pub const MAX_QUEUED_ACKNOWLEDGEMENTS: usize = 16_384;
 
 /// A report to the publisher.
@@ -36,7 +38,7 @@
         /// The node's reason.
         reason: String,
     },
-    /// A change of an earlier publisher that the present publisher does not have.
+    /// A change of an earlier publisher that the current publisher does not have.
     Orphan {
         /// The key of the change.
         key: Key,
@@ -46,14 +48,14 @@
 }
 
 /// Reports to be sent: one acknowledgement for each node, each rejection and orphan once. In each session rejections
-/// are sent before acknowledgements, so a publisher that has a node's acknowledgement has its rejections, too.
+/// are sent before acknowledgements, so a publisher that has a node's acknowledgement also has its rejections.
 #[derive(Debug, Default)]
 pub struct ReportQueue {
     /// Rejections and orphans, [`MAX_QUEUED_REPORTS`] at most; after a session also the rejections that are sent
     /// again.
     urgent: VecDeque<Report>,
     acknowledgements: BTreeMap<PeerId, Version>,
-    /// Rejections that were sent before, perhaps.
+    /// Rejections that may have been sent before.
     rejections: RejectionHistory,
 }
 
@@ -99,11 +101,11 @@
         for report in reports.into_iter().rev() {
             self.put_back(report);
         }
-        let waiting: BTreeSet<&Report> = self.urgent.iter().collect();
+        let queued: BTreeSet<&Report> = self.urgent.iter().collect();
         let rejections: Vec<Report> = self
             .rejections
             .all()
-            .filter(|report| !waiting.contains(report))
+            .filter(|report| !queued.contains(report))
             .collect();
         self.urgent.extend(rejections);
     }
--- a/crates/distribution/src/report/rejections.rs
+++ b/crates/distribution/src/report/rejections.rs
@@ -9,9 +9,9 @@
 use crate::resource::{Key, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most rejections that are retained for one node; beyond it those of the oldest versions are dropped.
+/// Maximum number of rejections that are retained for one node; beyond it those of the oldest versions are dropped.
 pub const MAX_REJECTIONS_PER_NODE: usize = 16;
-/// Most rejections that are retained in all; beyond it those of the oldest versions are dropped.
+/// Maximum number of rejections that are retained for all nodes; beyond it those of the oldest versions are dropped.
 pub const MAX_REJECTIONS: usize = 4096;
 
 /// Orders rejections by the version of the change.
@@ -22,7 +22,7 @@
     key: Key,
 }
 
-/// What a node rejected last of a key, and why.
+/// The last rejection of a key by a node, and the reason.
 #[derive(Debug)]
 struct RetainedRejection {
     version: Version,
--- a/crates/distribution/src/resource.rs
+++ b/crates/distribution/src/resource.rs
@@ -9,7 +9,7 @@
 pub const MAX_NAME_BYTES: usize = 64;
 /// Longest body, in bytes.
 pub const MAX_BODY_BYTES: usize = 256 * 1024;
-/// The fraction that has all nodes, in thousandths.
+/// The fraction that contains all nodes, in thousandths.
 pub const ALL_NODES_THOUSANDTHS: u16 = 1000;
 
 /// Why a name is invalid.
@@ -19,7 +19,7 @@
     #[error("a resource's name is empty")]
     Empty,
     /// It is too long.
-    #[error("a resource's name has {MAX_NAME_BYTES} bytes at most")]
+    #[error("a resource's name exceeds {MAX_NAME_BYTES} bytes")]
     TooLong,
 }
 
@@ -30,9 +30,9 @@
     Common,
     /// Settings, routes and servers of one service.
     Service(Arc<str>),
-    /// Settings of one tenant, to which a node subscribes when it first meets the tenant.
+    /// Settings of one tenant, to which a node subscribes with the first request of the tenant.
     Tenant(Arc<str>),
-    /// Resources of publishers: relays and publishers hold them, nodes do not.
+    /// Records that publishers keep for their successors: publishers and relays hold them, nodes do not.
     Publishers,
 }
 
@@ -132,7 +132,7 @@
         match self {
             Selector::Everything => true,
             Selector::Services => !matches!(group, Group::Tenant(_) | Group::Publishers),
-            Selector::Group(own) => own == group,
+            Selector::Group(selected) => selected == group,
         }
     }
 }
@@ -229,7 +229,7 @@
     }
 }
 
-/// Priority of a change where a link's budget is exhausted.
+/// Priority of a change while a link's budget is exhausted.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -244,9 +244,9 @@
 /// A fraction of the nodes. A greater fraction with the same seed contains the smaller ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct NodeFraction {
-    /// Nodes in a thousand.
+    /// Number of nodes in a thousand.
     pub thousandths: u16,
-    /// Order of the nodes.
+    /// Seed of the order in which nodes are included.
     pub seed: u64,
 }
 
@@ -262,9 +262,9 @@
         if self.thousandths >= ALL_NODES_THOUSANDTHS {
             return true;
         }
-        let place = crate::random::mix_bits(self.seed ^ (u64::from(node.0) << 20))
+        let rank = crate::random::mix_bits(self.seed ^ (u64::from(node.0) << 20))
             % u64::from(ALL_NODES_THOUSANDTHS);
-        place < u64::from(self.thousandths)
+        rank < u64::from(self.thousandths)
     }
 }
 
@@ -298,7 +298,7 @@
         }
     }
 
-    /// The same with urgent priority.
+    /// The same change with urgent priority.
     pub fn urgent(self) -> Draft {
         Draft {
             urgency: Urgency::Urgent,
@@ -370,5 +370,5 @@
     pub version: Version,
 }
 
-/// Bytes of a change beside its names and its body.
+/// Size of a change without its names and its body, in bytes.
 pub const CHANGE_OVERHEAD_BYTES: usize = 96;
--- a/crates/distribution/src/restore.rs
+++ b/crates/distribution/src/restore.rs
@@ -16,7 +16,7 @@
     pub removals_known: Version,
 }
 
-/// The state that the records give.
+/// The state of a process, rebuilt from its records.
 #[derive(Debug)]
 pub struct RestoredState {
     /// The latest changes.
@@ -32,7 +32,7 @@
 }
 
 impl RestoredState {
-    /// The state without any records.
+    /// The state of a process that has no records.
     pub fn empty(capacity: Capacity) -> RestoredState {
         RestoredState {
             log: ChangeLog::new(capacity),
@@ -43,8 +43,8 @@
         }
     }
 
-    /// From records in the order in which they were stored. Invalid ones are skipped, since a disk may return
-    /// anything.
+    /// Rebuilds the state from records in the order in which they were stored. Invalid ones are skipped, since a disk
+    /// may return corrupt data.
     pub fn from_records(
         capacity: Capacity,
         records: impl IntoIterator<Item = Record>,
--- a/crates/distribution/src/rollout.rs
+++ b/crates/distribution/src/rollout.rs
@@ -1,6 +1,7 @@
-//! Staged rollouts: a canary reaches a growing fraction of the nodes, and is rolled back once too many of them reject it.
+//! Staged rollouts: a canary reaches a growing fraction of the nodes, and is rolled back once too many of them reject
+//! it.
 //!
-//! | module | what belongs there |
+//! | module | contents |
 //! | --- | --- |
 //! | [`policy`] | the policy: stages, soak time, thresholds |
 //! | [`record`] | the stored record, from which another publisher continues |
--- a/crates/distribution/src/rollout/policy.rs
+++ b/crates/distribution/src/rollout/policy.rs
@@ -1,19 +1,19 @@
-//! The policy of a staged rollout, as the operator asks for it.
+//! The policy of a staged rollout, as an operator requests it.
 
 use crate::resource::ALL_NODES_THOUSANDTHS;
 use crate::Time;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Most stages of one rollout.
+/// Maximum number of stages of a rollout.
 pub const MAX_STAGES: usize = 16;
-/// Nodes report within [`crate::subscriber::ACKNOWLEDGEMENT_REFRESH_INTERVAL`] and the time to the publisher, so the age
-/// limit of reports has to exceed this many seconds.
+/// The age limit of reports has to exceed this many seconds: a node reports every
+/// [`crate::subscriber::ACKNOWLEDGEMENT_REFRESH_INTERVAL`], and the report takes time to reach the publisher.
 pub const MIN_REPORT_AGE: Time = 60.0;
 /// Longest soak time and greatest age of a report, in seconds: thirty days.
 pub const MAX_DURATION: Time = 30.0 * 86_400.0;
 
-/// What is done once rejections exceed the threshold.
+/// The reaction once rejections exceed a threshold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OnRejections {
     /// The canary ends: all nodes return to the stable content.
@@ -33,8 +33,8 @@
     /// once and acceptances with the next acknowledgement, so until then a node that has not reported counts as
     /// accepting.
     pub decision_time: Time,
-    /// Largest share of rejections: among all known nodes of the stage during `decision_time`, among the nodes that
-    /// decided afterwards; of `min_decisions` at least.
+    /// Largest share of rejections: among all known nodes of the stage during `decision_time`, and afterwards among the
+    /// nodes that decided, or among `min_decisions` nodes if fewer have decided.
     pub max_rejected_share: u16,
     /// Largest number of rejecting nodes, whatever their share. The publisher does not know which nodes subscribe to a
     /// resource; the others count as accepting, so a resource of few nodes needs this limit.
@@ -45,7 +45,7 @@
     pub min_accepted_share: u16,
     /// An acceptance counts towards the end of a stage if its node reported within this many seconds.
     pub max_report_age: Time,
-    /// What is done once rejections exceed the threshold.
+    /// The reaction once rejections exceed a threshold.
     pub on_rejections: OnRejections,
 }
 
@@ -53,25 +53,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InvalidPolicy {
     /// The stages are not 1 to [`MAX_STAGES`] ascending fractions, of which the last has all nodes.
-    #[error("1 to {MAX_STAGES} rising stages of thousandths, the last of {ALL_NODES_THOUSANDTHS}")]
+    #[error("a policy must have 1 to {MAX_STAGES} ascending stages, the last of {ALL_NODES_THOUSANDTHS} thousandths")]
     Stages,
     /// A removal cannot be a canary: removing a canary ends it.
-    #[error("a removal can't be rolled out by stages")]
+    #[error("a removal cannot be rolled out in stages")]
     Removal,
     /// A share exceeds the whole.
-    #[error("a share has {ALL_NODES_THOUSANDTHS} thousandths at most")]
+    #[error("a share exceeds {ALL_NODES_THOUSANDTHS} thousandths")]
     Share,
-    /// No decision would be enough.
-    #[error("at least one node has to decide")]
+    /// The minimum number of decisions is 0, so a stage could end without any decision.
+    #[error("the minimum number of decisions must be at least 1")]
     MinDecisions,
     /// The soak time is negative or too long.
     #[error("the soak time is not between 0 and {MAX_DURATION} s")]
     SoakTime,
     /// The decision time is negative or exceeds the soak time.
-    #[error("the time to decide is not between 0 and the soak time")]
+    #[error("the decision time is not between 0 and the soak time")]
     DecisionTime,
-    /// A healthy node would count as missing between two reports.
-    #[error("the age of reports is not between {MIN_REPORT_AGE} and {MAX_DURATION} s")]
+    /// The age limit of reports is too long, or so short that a healthy node would count as missing between two
+    /// reports.
+    #[error("the age limit of reports is not between {MIN_REPORT_AGE} and {MAX_DURATION} s")]
     ReportAge,
 }
 
@@ -81,10 +82,14 @@
     /// # Errors
     /// Says which field is not.
     pub fn check(&self) -> Result<(), InvalidPolicy> {
-        let rising = self.stages.windows(2).all(|pair| pair[0] < pair[1]);
+        let are_ascending = self.stages.windows(2).all(|pair| pair[0] < pair[1]);
         let starts_above_zero = self.stages.first().is_some_and(|first| *first > 0);
-        let ends_whole = self.stages.last() == Some(&ALL_NODES_THOUSANDTHS);
-        if !rising || !starts_above_zero || !ends_whole || self.stages.len() > MAX_STAGES {
+        let ends_with_all_nodes = self.stages.last() == Some(&ALL_NODES_THOUSANDTHS);
+        if !are_ascending
+            || !starts_above_zero
+            || !ends_with_all_nodes
+            || self.stages.len() > MAX_STAGES
+        {
             return Err(InvalidPolicy::Stages);
         }
         if self.max_rejected_share > ALL_NODES_THOUSANDTHS
--- a/crates/distribution/src/rollout/record.rs
+++ b/crates/distribution/src/rollout/record.rs
@@ -1,8 +1,8 @@
 //! The stored record of a rollout.
 //!
-//! The record is a resource of [`Group::Publishers`]: relays and publishers hold it, nodes do not. It is written before the
-//! first canary and again when the rollout ends; the current stage follows from the canary. So a publisher that takes
-//! over finds both, or knows what is missing.
+//! The record is a resource of [`Group::Publishers`]: relays and publishers hold it, nodes do not. It is written before
+//! the first canary and again when the rollout ends; the current stage follows from the canary. So a publisher that
+//! takes over finds both, or can tell which one is missing.
 
 use crate::peer::PeerId;
 use crate::resource::{
@@ -12,12 +12,12 @@
 use serde::{Deserialize, Serialize};
 use std::fmt::Write as _;
 
-/// Most rejecting nodes that a record names; the count includes all.
+/// Maximum number of rejecting nodes that a record lists; its count includes all of them.
 pub const MAX_STORED_REJECTIONS: usize = 16;
 
-/// Bytes of a name's hash in its record's name.
+/// Length of the hash of a resource's name in the name of its record, in bytes.
 const DIGEST_BYTES: usize = 16;
-/// Format of the record, its first byte.
+/// Version of the record format, stored as the first byte.
 const FORMAT: u8 = 1;
 
 /// A node that rejected the change.
@@ -75,11 +75,11 @@
     pub name: Name,
     /// Hash of the new content.
     pub content_hash: ContentHash,
-    /// Order of the nodes, as [`NodeFraction::seed`].
+    /// Seed of the order in which nodes are included, as in [`NodeFraction::seed`].
     pub seed: u64,
     /// All changes of this rollout are later than this version.
     pub after: Version,
-    /// The policy.
+    /// When the rollout advances, and when it stops.
     pub policy: RolloutPolicy,
     /// Number of known nodes in each stage when it began; a later publisher may not know all of them.
     pub expected: Vec<u32>,
@@ -111,7 +111,7 @@
         Content::body(&[&[FORMAT], body.as_slice()].concat())
     }
 
-    /// Decodes a record; none if the format is another one, or a field is invalid.
+    /// Decodes a record; `None` if its format is unknown or a field is invalid.
     pub fn from_change(change: &Change) -> Option<RolloutRecord> {
         let body = change.content.bytes().strip_prefix(&[FORMAT])?;
         let record: RolloutRecord = postcard::from_bytes(body).ok()?;
@@ -143,6 +143,6 @@
     }
 }
 
-/// The record is urgent and the canary is not: each link sends the record first, so nobody has the canary of a
+/// The record is urgent and the canary is not: each link sends the record first, so no process has the canary of a
 /// rollout without its record.
 pub const RECORD_URGENCY: Urgency = Urgency::Urgent;
--- a/crates/distribution/src/rollout/stage.rs
+++ b/crates/distribution/src/rollout/stage.rs
@@ -37,21 +37,21 @@
 pub enum Verdict {
     /// Rejections exceed the threshold.
     Stop,
-    /// It stays as it is.
+    /// The stage continues.
     Wait(AdvanceBlocker),
-    /// It ends, and the next stage begins.
+    /// The stage ends, and the next one begins.
     Advance,
 }
 
-/// The nodes that rejected a rollout, with the first reasons.
+/// The nodes that rejected a rollout, with the reasons of the first ones.
 #[derive(Clone, Debug, Default)]
 pub struct RejectingNodes {
     nodes: BTreeMap<PeerId, String>,
 }
 
-/// Most rejecting nodes that are retained; the threshold is exceeded long before.
+/// Maximum number of rejecting nodes that are retained; thresholds are exceeded long before.
 pub const MAX_REJECTING_NODES: usize = crate::node_status::MAX_NODES;
-/// Most reasons that are retained.
+/// Maximum number of reasons that are retained.
 pub const MAX_REJECTION_REASONS: usize = 256;
 
 impl RejectingNodes {
@@ -70,8 +70,8 @@
 
     /// The first rejecting nodes, by id.
     pub fn first(&self, max_nodes: usize) -> Vec<RejectingNode> {
-        let named = self.nodes.iter().take(max_nodes);
-        named
+        let first = self.nodes.iter().take(max_nodes);
+        first
             .map(|(node, reason)| RejectingNode {
                 node: *node,
                 reason: reason.clone(),
@@ -79,8 +79,8 @@
             .collect()
     }
 
-    /// Retains the nodes with reasons only: the rollout has ended.
-    pub fn drop_nodes_without_reason(&mut self) {
+    /// Retains [`MAX_REJECTION_REASONS`] nodes, once the rollout has ended.
+    pub fn truncate(&mut self) {
         while self.nodes.len() > MAX_REJECTION_REASONS {
             self.nodes.pop_last();
         }
@@ -140,7 +140,7 @@
 
 /// The verdict on a stage after `elapsed` seconds.
 pub fn evaluate(policy: &RolloutPolicy, counts: StageCounts, elapsed: Time) -> Verdict {
-    if is_refused(policy, counts, elapsed) {
+    if exceeds_rejection_limits(policy, counts, elapsed) {
         return Verdict::Stop;
     }
     if elapsed < policy.soak_time {
@@ -159,7 +159,7 @@
     Verdict::Advance
 }
 
-fn is_refused(policy: &RolloutPolicy, counts: StageCounts, elapsed: Time) -> bool {
+fn exceeds_rejection_limits(policy: &RolloutPolicy, counts: StageCounts, elapsed: Time) -> bool {
     let decided = counts.accepted + counts.rejected;
     let total = if elapsed < policy.decision_time {
         counts.known
@@ -167,8 +167,8 @@
         decided
     };
     let allowed = u64::from(policy.max_rejected_share) * u64::from(total.max(policy.min_decisions));
-    let share_passed = u64::from(counts.rejected) * u64::from(ALL_NODES_THOUSANDTHS) > allowed;
-    share_passed || counts.rejected > policy.max_rejected
+    let is_share_exceeded = u64::from(counts.rejected) * u64::from(ALL_NODES_THOUSANDTHS) > allowed;
+    is_share_exceeded || counts.rejected > policy.max_rejected
 }
 
 fn is_share_below(count: u32, total: u32, share: u16) -> bool {
--- a/crates/distribution/src/send_progress.rs
+++ b/crates/distribution/src/send_progress.rs
@@ -17,10 +17,10 @@
     pub is_first: bool,
 }
 
-/// The contents of the last [`Payload::UpToDate`] that was sent to the child.
+/// The last [`Payload::UpToDate`] that was sent to the child.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UpToDateNotice {
-    /// Counts the notices of this session; 0 before the first one.
+    /// Number of these notices in this session; 0 before the first one.
     pub sequence: u64,
     pub head: Version,
     pub removals: Version,
@@ -34,7 +34,7 @@
     pub offset: usize,
 }
 
-/// The change that a subscription sends next. Urgent changes sort last, later versions after previous ones.
+/// The change that a subscription sends next. Urgent changes sort last, later versions after earlier ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuedChange {
     pub is_urgent: bool,
--- a/crates/distribution/src/session.rs
+++ b/crates/distribution/src/session.rs
@@ -16,15 +16,15 @@
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most ended subscriptions in one session; beyond it a new session is opened.
+/// Maximum number of ended subscriptions in one session; beyond it a new session is opened.
 pub(crate) const MAX_ENDED_SUBSCRIPTIONS: usize = 4096;
-/// Most digests of one manifest.
+/// Maximum number of digests of one manifest.
 const MAX_MANIFEST_DIGESTS: usize = 2_000_000;
-/// Most spans of a subscription that are sent to an upstream.
+/// Maximum number of spans of a subscription that are sent to an upstream.
 const MAX_SUBSCRIBE_SPANS: usize = 8;
-/// Bytes that a frame with a list takes beside the list.
+/// Size of a payload with a list without the list, in bytes.
 const LIST_OVERHEAD_BYTES: usize = 16;
-/// Largest encoding of a subscription id, in bytes.
+/// Maximum size of the encoding of a subscription id, in bytes.
 const MAX_ID_BYTES: usize = 8;
 
 /// The digests of one frame of a manifest.
@@ -53,14 +53,14 @@
     pub link: Link,
     next_id: u32,
     selectors: BTreeMap<u32, Selector>,
-    /// Ended subscriptions, each with the number of the payload that said so, once that was sent.
+    /// Ended subscriptions, each with the number of the payload that told the upstream, once that was sent.
     ended: BTreeMap<u32, Option<u64>>,
-    pub assemblies: Reassembler,
+    pub reassembler: Reassembler,
     manifest: Option<PartialManifest>,
     /// Reports in flight.
     pub reports: Vec<Report>,
     pub progress_at: Time,
-    /// Whether the upstream has sent anything fresh.
+    /// Whether the upstream has sent fresh data.
     pub has_progressed: bool,
     pub receive_bucket: TokenBucket,
 }
@@ -73,7 +73,7 @@
             next_id: 0,
             selectors: BTreeMap::new(),
             ended: BTreeMap::new(),
-            assemblies: Reassembler::default(),
+            reassembler: Reassembler::default(),
             manifest: None,
             reports: Vec::new(),
             progress_at: now,
@@ -82,10 +82,10 @@
         }
     }
 
-    /// The selector of a subscription; none if it has ended and the upstream may not know yet.
+    /// The selector of a subscription; `None` if the subscription has ended and the upstream may not know it yet.
     ///
     /// # Errors
-    /// If the subscription never was, or the upstream knows that it has ended.
+    /// If the subscription never existed, or the upstream knows that it has ended.
     pub fn selector_of(
         &self,
         id: u32,
@@ -95,7 +95,7 @@
             return Ok(Some(selector.clone()));
         }
         match self.ended.get(&id) {
-            Some(Some(sent_in)) if *sent_in <= receipt.acknowledged => {
+            Some(Some(announced_in)) if *announced_in <= receipt.acknowledged => {
                 Err(CloseReason::ProtocolViolation)
             }
             Some(_) => Ok(None),
@@ -114,7 +114,7 @@
         self.ended.len() > MAX_ENDED_SUBSCRIPTIONS
     }
 
-    /// Adds a page of a manifest; gives back the manifest after the last page.
+    /// Adds a page of a manifest; returns the complete manifest after the last page.
     ///
     /// # Errors
     /// If the page belongs to no subscription or manifest, or the manifest is too long.
@@ -151,7 +151,7 @@
             }))
     }
 
-    /// Whether there is a payload for the upstream.
+    /// Whether there are subscriptions, ends of subscriptions or reports to send.
     pub fn has_pending_payloads(
         &self,
         subscriptions: &Subscriptions,
@@ -231,10 +231,10 @@
         let unsent = self
             .ended
             .iter_mut()
-            .filter(|(_, sent_in)| sent_in.is_none());
+            .filter(|(_, announced_in)| announced_in.is_none());
         let mut list = Vec::new();
-        for (id, sent_in) in unsent.take(max_bytes / MAX_ID_BYTES) {
-            *sent_in = Some(payload_number);
+        for (id, announced_in) in unsent.take(max_bytes / MAX_ID_BYTES) {
+            *announced_in = Some(payload_number);
             list.push(*id);
         }
         list
--- a/crates/distribution/src/session_attempts.rs
+++ b/crates/distribution/src/session_attempts.rs
@@ -1,10 +1,10 @@
 //! Attempts to open a session, until the first candidate answers.
 //!
-//! A candidate that has not answered within [`UpstreamConfig::attempt_delay`] is not given up: the next one is tried
-//! beside it, and the first that answers is followed (RFC 8305, "Happy Eyeballs"). So a dead candidate costs
+//! A candidate that has not answered within [`UpstreamConfig::attempt_delay`] is not given up: the next one is tried in
+//! parallel, and the first that answers is followed (RFC 8305, "Happy Eyeballs"). So a dead candidate costs
 //! `attempt_delay` and not `open_timeout`, and a slow one can still be followed.
 //!
-//! All attempts take from one bucket, the follower's own. Used by `upstream::opening`.
+//! All attempts share one send bucket, that of the follower. Used by `upstream::opening`.
 
 use crate::close_reason::CloseReason;
 use crate::link::Link;
@@ -15,7 +15,7 @@
 use crate::upstream_config::UpstreamConfig;
 use crate::Time;
 
-/// Largest payload that opens a session, in bytes.
+/// Maximum size of a payload that opens a session, in bytes.
 const OPEN_PAYLOAD_BYTES: usize = 8;
 
 #[derive(Debug)]
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub(crate) struct SessionAttempts {
     pending: Vec<Attempt>,
-    /// Number of attempts begun, with those that have ended.
+    /// Number of attempts begun, including those that have ended.
     begun_count: u32,
     /// When the next candidate may be tried.
     next_at: Time,
@@ -62,7 +62,7 @@
         self.pending.is_empty()
     }
 
-    /// Seconds saved against trying one candidate after the other.
+    /// Seconds saved by parallel attempts, compared with trying one candidate after the other.
     pub fn time_saved(&self, config: &UpstreamConfig) -> Time {
         f64::from(self.begun_count.saturating_sub(1))
             * (config.open_timeout - config.attempt_delay).max(0.0)
@@ -96,12 +96,12 @@
             self.begun_count += 1;
             self.next_at = now + config.attempt_delay;
         } else {
-            self.next_at = link_ready(bucket, now);
+            self.next_at = opening_ready_at(bucket, now);
         }
         sent
     }
 
-    /// Retransmits the openings that are not answered in time.
+    /// Retransmits the opening frames that were not answered in time.
     pub fn retransmit(&mut self, now: Time, bucket: &mut TokenBucket, outputs: &mut Vec<Output>) {
         for attempt in &mut self.pending {
             with_shared_bucket(bucket, &mut attempt.link, |link| {
@@ -118,22 +118,22 @@
         Some(self.pending.remove(position).link)
     }
 
-    /// Ends the attempts that timed out; gives back their candidates.
+    /// Ends the attempts that timed out; returns their candidates.
     pub fn end_timed_out(
         &mut self,
         now: Time,
         bucket: &mut TokenBucket,
         outputs: &mut Vec<Output>,
     ) -> Vec<PeerId> {
-        let is_late = |attempt: &Attempt| now >= attempt.deadline;
+        let has_timed_out = |attempt: &Attempt| now >= attempt.deadline;
         let (timed_out, pending) = std::mem::take(&mut self.pending)
             .into_iter()
-            .partition(is_late);
+            .partition(has_timed_out);
         self.pending = pending;
         close(timed_out, now, CloseReason::TimedOut, bucket, outputs)
     }
 
-    /// Ends all attempts; gives back their candidates.
+    /// Ends all attempts; returns their candidates.
     pub fn end_all(
         &mut self,
         now: Time,
@@ -149,33 +149,35 @@
         )
     }
 
-    /// When something is due, if the next candidate is available at `free_at`.
-    pub fn next_wakeup(&self, now: Time, bucket: &TokenBucket, free_at: Time) -> Time {
-        let repeats = self
+    /// When something is due, if the next candidate is available at `available_at`.
+    pub fn next_wakeup(&self, now: Time, bucket: &TokenBucket, available_at: Time) -> Time {
+        let retransmissions = self
             .pending
             .iter()
             .map(|attempt| attempt.link.next_wakeup(now));
-        let repeat = repeats
+        let retransmission = retransmissions
             .fold(f64::INFINITY, f64::min)
-            .max(link_ready(bucket, now));
+            .max(opening_ready_at(bucket, now));
         let timed_out = self
             .pending
             .iter()
             .map(|attempt| attempt.deadline)
             .fold(f64::INFINITY, f64::min);
-        repeat.min(timed_out).min(self.next_at.max(free_at))
+        retransmission
+            .min(timed_out)
+            .min(self.next_at.max(available_at))
     }
 }
 
 /// When the budget allows an attempt.
-fn link_ready(bucket: &TokenBucket, now: Time) -> Time {
+fn opening_ready_at(bucket: &TokenBucket, now: Time) -> Time {
     bucket.ready_at(
         now,
         OPEN_PAYLOAD_BYTES + crate::frame::MAX_FRAME_OVERHEAD_BYTES,
     )
 }
 
-/// Closes attempts, so that the upstreams do not keep sessions that nobody wants.
+/// Closes attempts, so that the upstreams do not keep unused sessions.
 fn close(
     attempts: Vec<Attempt>,
     now: Time,
@@ -183,7 +185,7 @@
     bucket: &mut TokenBucket,
     outputs: &mut Vec<Output>,
 ) -> Vec<PeerId> {
-    let end = |mut attempt: Attempt| {
+    let close_attempt = |mut attempt: Attempt| {
         let payload = Payload::Close {
             reason,
             retry_after_ms: 0,
@@ -193,17 +195,17 @@
         });
         attempt.link.peer()
     };
-    attempts.into_iter().map(end).collect()
+    attempts.into_iter().map(close_attempt).collect()
 }
 
-/// Lets a link take from a bucket that it shares with others.
+/// Calls a function on a link while the link has the bucket that all attempts share.
 fn with_shared_bucket<T>(
     bucket: &mut TokenBucket,
     link: &mut Link,
-    act: impl FnOnce(&mut Link) -> T,
+    call: impl FnOnce(&mut Link) -> T,
 ) -> T {
     std::mem::swap(bucket, link.bucket_mut());
-    let result = act(link);
+    let result = call(link);
     std::mem::swap(bucket, link.bucket_mut());
     result
 }
--- a/crates/distribution/src/staleness.rs
+++ b/crates/distribution/src/staleness.rs
@@ -1,8 +1,8 @@
-//! How stale a replica is: the age that an upstream stated, and the time since.
+//! How stale a replica is: the age that an upstream reported, and the time since.
 
 use crate::{Time, DRIFT};
 
-/// The last statement of a replica's age.
+/// The last known age of a replica.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct KnownAge {
     /// When the age was known, on this process's clock.
--- a/crates/distribution/src/subscriber.rs
+++ b/crates/distribution/src/subscriber.rs
@@ -1,7 +1,7 @@
-//! A subscriber, at each node: follows a relay and applies the changes of its subscriptions.
+//! The subscriber of a node: follows a relay and applies the changes of its subscriptions.
 //!
-//! For each resource the log has a stable and a canary change; the later one is desired. The driver is asked to apply
-//! it, and accepts or rejects it. Rejections are reported to the publisher, and the last applied change stays.
+//! For each resource the log has a stable and a canary change; the later one is to be applied. The driver is asked to
+//! apply it, and accepts or rejects it. Rejections are reported to the publisher, and the last applied change stays.
 
 mod receive;
 mod reconcile;
@@ -26,17 +26,17 @@
 /// Configuration of a subscriber.
 #[derive(Clone, Debug)]
 pub struct SubscriberConfig {
-    /// This node.
+    /// The id of this node, by which publishers identify its reports.
     pub node: PeerId,
-    /// The publishers' lease.
+    /// The lease under which publishers publish; epochs of other leases are rejected.
     pub lease: LeaseName,
     /// How it follows its upstream.
     pub upstream: UpstreamConfig,
     /// Limits of its log.
     pub capacity: Capacity,
-    /// Shortest time between two acknowledgements, in seconds.
+    /// Minimum time between two acknowledgements, in seconds.
     pub acknowledgement_interval: Time,
-    /// Seed of its random numbers, session ids among them; another one at each start.
+    /// Seed of its random numbers, including session ids; has to differ at each start.
     pub seed: u64,
 }
 
@@ -47,7 +47,7 @@
 
 /// There are too many subscriptions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("{most} subscriptions at most", most = crate::child::MAX_SUBSCRIPTIONS)]
+#[error("more than {max} subscriptions", max = crate::child::MAX_SUBSCRIPTIONS)]
 pub struct TooManySubscriptions;
 
 /// The last acknowledgement that was reported.
@@ -66,29 +66,29 @@
     applied: AppliedResources,
     /// Restored resources that have not been compared with what is applied.
     unverified: Vec<Name>,
-    /// When everything was last known to be here, and the staleness at that time.
+    /// When everything was last known to have been received, and the staleness at that time.
     last_up_to_date: Option<KnownAge>,
     head: Version,
     last_acknowledgement: Option<SentAcknowledgement>,
     stored_at: Time,
     /// Subscriptions whose coverage was stored, and which have received nothing since.
     stored_selectors: BTreeSet<Selector>,
-    /// The last known publisher, whatever run it was received in.
+    /// The epoch of the last known publisher, in this run or an earlier one.
     epoch: Option<Epoch>,
-    /// The last publisher's fencing token in this run.
+    /// The highest fencing token of an epoch received in this run.
     latest_token: u64,
     clock: Time,
 }
 
 impl Subscriber {
-    /// A subscriber without records.
+    /// Creates a subscriber without records.
     pub fn new(config: SubscriberConfig, now: Time) -> Subscriber {
         let restored = RestoredState::empty(config.capacity);
         Subscriber::from_restored(config, restored, None, now)
     }
 
-    /// A subscriber from stored records, with its subscriptions. `age`: the records' age in seconds, if it is known.
-    /// Changes that were stored and not accepted are requested again with the next poll.
+    /// Restores a subscriber and its subscriptions from stored records. `age` is the age of the records in seconds, if
+    /// it is known. Changes that were stored and not accepted are requested again with the next poll.
     pub fn restore(
         config: SubscriberConfig,
         records: impl IntoIterator<Item = Record>,
@@ -114,16 +114,16 @@
         let stored = restored.coverage.keys().cloned().collect();
         for (selector, stored) in restored.coverage {
             upstream.subscribe(selector.clone(), stored.coverage, stored.removals_known);
-            announce_changes(&mut upstream, &restored.log, &selector);
+            mark_logged_changes(&mut upstream, &restored.log, &selector);
         }
         let stored_names = restored.log.changes().map(|change| change.key.name.clone());
-        let unchecked = stored_names
+        let names = stored_names
             .chain(restored.applied.keys().cloned())
             .collect();
         Subscriber {
             config,
             upstream,
-            unverified: unchecked,
+            unverified: names,
             log: restored.log,
             applied: AppliedResources::restore(restored.applied),
             last_up_to_date: age.map(|age| KnownAge { at: now, age }),
@@ -147,7 +147,7 @@
         }
         self.upstream
             .subscribe(selector.clone(), Coverage::EMPTY, Version::ZERO);
-        announce_changes(&mut self.upstream, &self.log, &selector);
+        mark_logged_changes(&mut self.upstream, &self.log, &selector);
         Ok(())
     }
 
@@ -173,8 +173,8 @@
             .filter(|key| is_unsubscribed(&key.name))
             .cloned()
             .collect();
-        // In the reverse order a crash in between would leave applied changes without a version in the log, which an
-        // upstream that lags could replace with an earlier one.
+        // Applied changes are removed first. In the reverse order, a crash in between would leave applied changes
+        // without a version in the log, and a lagging upstream could replace them with earlier ones.
         self.applied.remove_where(is_unsubscribed, outputs);
         for key in &keys {
             outputs.push(Output::Persist(Record::Forget(key.clone())));
@@ -205,7 +205,7 @@
             .map_or(f64::INFINITY, |known| known.at_time(now))
     }
 
-    /// The version up to which everything is known.
+    /// The version up to which all changes of the subscriptions have been received.
     pub fn head(&self) -> Version {
         self.head
     }
@@ -252,7 +252,7 @@
         }
     }
 
-    /// When [`Subscriber::poll`] is to be called.
+    /// When [`Subscriber::poll`] has to be called next.
     pub fn next_wakeup(&self) -> Time {
         if !self.unverified.is_empty() {
             return self.clock;
@@ -280,8 +280,8 @@
     }
 }
 
-/// Tells the upstream of changes of a subscription that are here already.
-fn announce_changes(upstream: &mut Upstream, log: &ChangeLog, selector: &Selector) {
+/// Marks a subscription as having changes, if the log has any that it matches.
+fn mark_logged_changes(upstream: &mut Upstream, log: &ChangeLog, selector: &Selector) {
     if log.keys_after(selector, Version::ZERO).next().is_some() {
         upstream.mark_has_changes(selector);
     }
--- a/crates/distribution/src/subscriber/receive.rs
+++ b/crates/distribution/src/subscriber/receive.rs
@@ -1,4 +1,4 @@
-//! Handles the messages of a subscriber's upstream.
+//! Handles the messages that a subscriber receives from its upstream.
 
 use super::{Subscriber, COVERAGE_STORE_INTERVAL};
 use crate::coverage::Coverage;
@@ -77,7 +77,7 @@
         self.epoch = Some(epoch);
     }
 
-    /// What at least one subscription covers.
+    /// The versions that at least one subscription covers.
     pub(super) fn combined_coverage(&self) -> Coverage {
         let mut covered = Coverage::EMPTY;
         for span in self
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Forgets a pruned tombstone.
+    /// Records that a tombstone was pruned, and reconciles its resource.
     pub(super) fn forget_tombstone(&mut self, key: &Key, outputs: &mut Vec<Output>) {
         outputs.push(Output::Persist(Record::Forget(key.clone())));
         self.reconcile(&key.name, outputs);
--- a/crates/distribution/src/subscriber/reconcile.rs
+++ b/crates/distribution/src/subscriber/reconcile.rs
@@ -1,4 +1,4 @@
-//! Reconciles what is applied with what the log says, and takes the driver's answers.
+//! Reconciles the applied changes with the log, and handles the driver's answers.
 
 use super::{applied_change, Subscriber};
 use crate::applied::SlotVersions;
@@ -7,7 +7,7 @@
 use crate::resource::{Change, Content, Key, Name, Slot, Version};
 
 impl Subscriber {
-    /// The driver has applied the change of this version.
+    /// The driver's answer that it has applied the change of this version.
     pub fn accepted(&mut self, version: Version, outputs: &mut Vec<Output>) {
         for change in self.applied.take_answered(version) {
             let name = change.key.name.clone();
@@ -16,7 +16,8 @@
         }
     }
 
-    /// The driver rejects the change of this version: the last applied change stays, and the rejection is reported.
+    /// The driver's answer that it rejects the change of this version: the last applied change stays, and the rejection
+    /// is reported.
     pub fn rejected(&mut self, version: Version, reason: &str, outputs: &mut Vec<Output>) {
         for change in self.applied.take_answered(version) {
             let name = change.key.name.clone();
@@ -52,7 +53,7 @@
         }
     }
 
-    /// The change that the log asks for.
+    /// The change to apply according to the log, and the versions from which it was chosen.
     pub(super) fn desired_change(&self, name: &Name) -> (Change, SlotVersions) {
         let get = |slot| {
             self.log.get(&Key {
@@ -81,8 +82,8 @@
 
     /// Requests the desired change from the driver, if it differs from what is applied.
     pub(super) fn reconcile(&mut self, name: &Name, outputs: &mut Vec<Output>) {
-        let (wanted, versions) = self.desired_change(name);
-        self.applied.request(wanted, versions, outputs);
+        let (desired, versions) = self.desired_change(name);
+        self.applied.request(desired, versions, outputs);
         if versions == SlotVersions::default() {
             self.applied.remove_if_idle(name);
         }
--- a/crates/distribution/src/subscriptions.rs
+++ b/crates/distribution/src/subscriptions.rs
@@ -1,5 +1,5 @@
 //! The subscriptions of a process, which outlive sessions: what has been received of each, and which are still to be
-//! sent to the present upstream.
+//! sent to the current upstream.
 
 use crate::coverage::Coverage;
 use crate::resource::{Selector, Version};
@@ -12,15 +12,15 @@
     pub coverage: Coverage,
     /// All removals up to this version are known.
     pub removals_known: Version,
-    /// Whether everything had been received at some time.
+    /// Whether everything of it has been received at least once.
     pub is_complete: bool,
-    /// Whether changes of it may be here, even where nothing is covered.
+    /// Whether the log may have changes that it matches, even if nothing is covered.
     pub has_changes: bool,
     pub(crate) id: Option<u32>,
     pub(crate) subscribed_in: Option<u64>,
 }
 
-/// All subscriptions, and those that the present upstream has not been sent.
+/// All subscriptions, and those that were not yet sent to the current upstream.
 #[derive(Debug, Default)]
 pub(crate) struct Subscriptions {
     pub by_selector: BTreeMap<Selector, SubscriptionState>,
@@ -28,7 +28,7 @@
 }
 
 impl Subscriptions {
-    /// A session has ended: the next upstream is sent all subscriptions.
+    /// Marks all subscriptions as pending for the next upstream, after a session has ended.
     pub fn reset_for_new_session(&mut self) {
         for subscription in self.by_selector.values_mut() {
             subscription.id = None;
--- a/crates/distribution/src/token_bucket.rs
+++ b/crates/distribution/src/token_bucket.rs
@@ -1,6 +1,6 @@
 //! Flow control by token bucket.
 //!
-//! In any `t` seconds no more than `bytes_per_second * t + burst_bytes` bytes pass.
+//! In any interval of `t` seconds no more than `bytes_per_second * t + burst_bytes` bytes pass.
 
 use crate::Time;
 
@@ -13,12 +13,12 @@
     pub burst_bytes: f64,
 }
 
-/// Bytes of IP and transport headers that a frame takes beside its own.
+/// Size of the IP and transport headers of a frame, in bytes.
 pub const TRANSPORT_OVERHEAD_BYTES: usize = 60;
 
 impl Budget {
-    /// From a relay to a node. Together with [`Budget::NODE_UPLINK`] it stays within 8,000 bytes a second over any 10 s: `10 *
-    /// (6000 + 1000) + 8000 + 1900 = 79900`.
+    /// From a relay to a node. Together with [`Budget::NODE_UPLINK`] it stays within 8,000 bytes per second over any 10
+    /// s: `10 * (6000 + 1000) + 8000 + 1900 = 79900`.
     pub const NODE_DOWNLINK: Budget = Budget {
         bytes_per_second: 6000.0,
         burst_bytes: 8000.0,
@@ -28,13 +28,13 @@
         bytes_per_second: 1000.0,
         burst_bytes: 1900.0,
     };
-    /// Between control machines.
+    /// Between publishers and relays.
     pub const CONTROL: Budget = Budget {
         bytes_per_second: 1_000_000.0,
         burst_bytes: 64_000.0,
     };
 
-    /// The longest frame that may be sent within the budget.
+    /// The maximum size of a frame under this budget: half of the burst, within the limits of frames.
     pub fn max_frame_bytes(&self) -> usize {
         let half_burst = (self.burst_bytes / 2.0) as usize;
         half_burst
@@ -77,15 +77,15 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Takes a frame's bytes, if they are available.
+    /// Takes the bytes of a frame and its transport overhead, if they are available; returns whether they were.
     pub fn take(&mut self, now: Time, frame_bytes: usize) -> bool {
         self.refill(now);
         let cost = (frame_bytes + TRANSPORT_OVERHEAD_BYTES) as f64;
-        let enough = self.available >= cost;
-        if enough {
+        let is_available = self.available >= cost;
+        if is_available {
             self.available -= cost;
         }
-        enough
+        is_available
     }
 
     /// When a frame of this size can be sent.
--- a/crates/distribution/src/upstream.rs
+++ b/crates/distribution/src/upstream.rs
@@ -1,11 +1,11 @@
-//! The upstream of a process: a publisher for the first relays, a relay for other relays and for nodes.
+//! The upstream of a process: a publisher for first-tier relays, a relay for other relays and for nodes.
 //!
 //! | state | ends |
 //! | --- | --- |
 //! | idle | when [`Upstream::resume`] is called |
 //! | backing off | after a random delay or a backoff |
 //! | opening: candidates are tried | when the first answers; when none has answered within [`UpstreamConfig::open_timeout`] |
-//! | following | after no frame for [`UpstreamConfig::silence_timeout`]; after nothing fresh for [`UpstreamConfig::stale_timeout`] if there is another candidate; when the upstream ends the session or breaks the protocol |
+//! | following | after no frame for [`UpstreamConfig::silence_timeout`]; after no fresh data for [`UpstreamConfig::stale_timeout`] if there is another candidate; when the upstream ends the session or violates the protocol |
 
 use crate::candidates::Candidates;
 use crate::close_reason::CloseReason;
@@ -35,7 +35,7 @@
     Following(Box<Session>),
 }
 
-/// Seconds for which an upstream is avoided after it broke the protocol.
+/// Seconds for which an upstream is avoided after it violated the protocol.
 const VIOLATION_BACKOFF: Time = 120.0;
 /// Seconds for which an upstream is avoided after this process ran out of capacity; any upstream would send the same
 /// again.
@@ -50,7 +50,7 @@
     state: State,
     subscriptions: Subscriptions,
     candidates: Candidates,
-    /// Factor on [`UpstreamConfig::stale_timeout`]; grows with each upstream that brought nothing fresh.
+    /// Factor on [`UpstreamConfig::stale_timeout`]; grows with each upstream that sent no fresh data.
     stale_factor: f64,
     fence: Fence,
     /// The send bucket while no session is followed.
@@ -59,7 +59,7 @@
 }
 
 impl Upstream {
-    /// Follows nobody yet; the first attempt is made within [`UpstreamConfig::reconnect_jitter`].
+    /// Follows no upstream yet; the first attempt is made within [`UpstreamConfig::reconnect_jitter`].
     pub fn new(config: UpstreamConfig, lease: LeaseName, seed: u64, now: Time) -> Upstream {
         let mut rng = SeededRng::new(seed);
         let until = now + rng.uniform(0.0, config.reconnect_jitter);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Adds a subscription, of which this coverage is known already.
+    /// Adds a subscription of which `coverage` has already been received.
     pub fn subscribe(&mut self, selector: Selector, coverage: Coverage, removals_known: Version) {
         if self.subscriptions.by_selector.contains_key(&selector) {
             return;
@@ -97,7 +97,7 @@
             .insert(selector, subscription);
     }
 
-    /// Ends a subscription; whether there was one.
+    /// Ends a subscription; returns whether there was one.
     pub fn unsubscribe(&mut self, selector: &Selector) -> bool {
         let Some(subscription) = self.subscriptions.by_selector.remove(selector) else {
             return false;
@@ -136,21 +136,21 @@
         }
     }
 
-    /// Records that changes of a subscription are here, whatever is covered. Without it a process that failed before
-    /// it stored its coverage would pass for one without changes, and would never receive the removals since.
+    /// Records that the log has changes of a subscription, regardless of its coverage. Otherwise a process that failed
+    /// before it stored its coverage would count as one without changes, and would never receive the later removals.
     pub fn mark_has_changes(&mut self, selector: &Selector) {
         if let Some(subscription) = self.subscriptions.by_selector.get_mut(selector) {
             subscription.has_changes = true;
         }
     }
 
-    /// Subscribes again without the versions that were taken for covered and never received.
-    pub(crate) fn resubscribe(&mut self, now: Time, lacking: &Coverage, outputs: &mut Vec<Output>) {
-        let Some(first) = lacking.spans().first() else {
+    /// Subscribes again, after removing from the coverage the versions that were never received.
+    pub(crate) fn resubscribe(&mut self, now: Time, missing: &Coverage, outputs: &mut Vec<Output>) {
+        let Some(first) = missing.spans().first() else {
             return;
         };
         for subscription in self.subscriptions.by_selector.values_mut() {
-            subscription.coverage = subscription.coverage.difference(lacking);
+            subscription.coverage = subscription.coverage.difference(missing);
             subscription.removals_known = subscription.removals_known.min(first.after);
         }
         self.leave(now, CloseReason::Replaced, outputs);
@@ -186,7 +186,7 @@
         self.fence.highest(&self.lease).unwrap_or(0)
     }
 
-    /// Ends the session, and follows nobody until [`Upstream::resume`].
+    /// Ends the session, and follows no upstream until [`Upstream::resume`].
     pub fn suspend(&mut self, now: Time, outputs: &mut Vec<Output>) {
         self.end_attempts(now, outputs);
         self.leave(now, CloseReason::Replaced, outputs);
@@ -195,21 +195,22 @@
         };
     }
 
-    /// Follows again.
+    /// Follows an upstream again, after [`Upstream::suspend`].
     pub fn resume(&mut self, now: Time) {
         if let State::BackingOff { until } = &mut self.state {
             *until = until.min(now + self.rng.uniform(0.0, self.config.reconnect_jitter));
         }
     }
 
-    /// Leaves an upstream that has sent everything, and follows another one at once.
-    pub fn switch_upstream(&mut self, now: Time, rest: Time, outputs: &mut Vec<Output>) {
+    /// Leaves an upstream that has sent everything, excludes it for `exclusion` seconds, and follows another one at
+    /// once.
+    pub fn switch_upstream(&mut self, now: Time, exclusion: Time, outputs: &mut Vec<Output>) {
         let State::Following(session) = &self.state else {
             return;
         };
         let peer = session.link.peer();
         self.leave(now, CloseReason::Replaced, outputs);
-        self.candidates.bar_until(peer, now + rest);
+        self.candidates.exclude_until(peer, now + exclusion);
         self.state = State::BackingOff { until: now };
     }
 
@@ -263,12 +264,12 @@
         if reason == CloseReason::Stale && !session.has_progressed {
             self.stale_factor = (2.0 * self.stale_factor).min(MAX_STALE_FACTOR);
         }
-        let rest = if session.link.is_answered() {
+        let delay = if session.link.is_answered() {
             self.reconnect_delay()
         } else {
             self.backoff_after_failures(0.0)
         };
-        self.state = State::BackingOff { until: now + rest };
+        self.state = State::BackingOff { until: now + delay };
         self.bucket = session.link.bucket().clone();
         self.reports.requeue(session.reports);
         self.subscriptions.reset_for_new_session();
@@ -284,19 +285,19 @@
         backoff: Time,
         outputs: &mut Vec<Output>,
     ) {
-        self.candidates.bar_until(upstream, now + backoff);
+        self.candidates.exclude_until(upstream, now + backoff);
         if reason != CloseReason::Replaced {
-            let broke_rules = matches!(
+            let is_violation = matches!(
                 reason,
                 CloseReason::ProtocolViolation | CloseReason::RateExceeded
             );
             self.candidates
-                .record_failure(upstream, now, broke_rules || is_silent);
+                .record_failure(upstream, now, is_violation || is_silent);
         }
         outputs.push(Output::Event(Event::Left { upstream, reason }));
     }
 
-    /// Jitter before the next attempt, which spreads the children of a relay that failed.
+    /// Jitter before the next attempt, which spreads the reconnections of the children of a failed relay.
     fn reconnect_delay(&mut self) -> Time {
         self.rng.uniform(
             0.0,
@@ -317,7 +318,7 @@
                 }
             }
         }
-        self.end_late_attempts(now, outputs);
+        self.end_timed_out_attempts(now, outputs);
         self.begin_attempt_if_due(now, outputs);
         let State::Following(session) = &mut self.state else {
             return;
@@ -332,7 +333,8 @@
         }
     }
 
-    /// The reason to leave the upstream, if it is silent, stale or cut off.
+    /// The reason to leave the upstream, if it is silent or stale, or if too many subscriptions have ended in the
+    /// session.
     fn session_fault(&self, now: Time, session: &Session) -> Option<CloseReason> {
         if now >= self.silent_at(session) {
             return Some(CloseReason::TimedOut);
@@ -350,7 +352,7 @@
     }
 
     /// When the upstream counts as stale. The timeout grows with each stale upstream in a row: while all relays are
-    /// cut off, their children would otherwise move between them for nothing.
+    /// partitioned, their children would otherwise switch between them in vain.
     fn stale_at(&self, session: &Session) -> Time {
         if self.candidates.has_others() {
             session.progress_at + self.stale_factor * self.config.stale_timeout
@@ -359,10 +361,10 @@
         }
     }
 
-    /// The backoff that an upstream asks for, within the configured limit.
+    /// The backoff that an upstream requests, within the configured limit.
     fn requested_backoff(&self, retry_after_ms: u32) -> Time {
-        let rest = f64::from(retry_after_ms) / 1e3;
-        rest.min(self.config.max_backoff)
+        let backoff = f64::from(retry_after_ms) / 1e3;
+        backoff.min(self.config.max_backoff)
     }
 
     /// When something is due.
@@ -370,8 +372,8 @@
         let session = match &self.state {
             State::BackingOff { until } => return *until,
             State::Opening(attempts) => {
-                let free_at = self.candidates.available_at(&attempts.peers());
-                return attempts.next_wakeup(now, &self.bucket, free_at);
+                let available_at = self.candidates.available_at(&attempts.peers());
+                return attempts.next_wakeup(now, &self.bucket, available_at);
             }
             State::Following(session) => session,
         };
--- a/crates/distribution/src/upstream/opening.rs
+++ b/crates/distribution/src/upstream/opening.rs
@@ -10,7 +10,7 @@
 use crate::Time;
 
 impl Upstream {
-    /// Follows the candidate that answered, unless it rejects the session.
+    /// Follows a candidate that has answered, unless it rejected the session.
     pub(super) fn take_answer(
         &mut self,
         now: Time,
@@ -60,7 +60,7 @@
         }
     }
 
-    pub(super) fn end_late_attempts(&mut self, now: Time, outputs: &mut Vec<Output>) {
+    pub(super) fn end_timed_out_attempts(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let State::Opening(attempts) = &mut self.state else {
             return;
         };
@@ -89,8 +89,8 @@
         let attempted = attempts.peers();
         let Some(peer) = self.candidates.pick(now, &attempted, &mut self.rng) else {
             if attempted.is_empty() {
-                let free_at = self.candidates.available_at(&attempted).max(now);
-                let until = free_at + self.rng.uniform(0.0, self.config.reconnect_jitter);
+                let available_at = self.candidates.available_at(&attempted).max(now);
+                let until = available_at + self.rng.uniform(0.0, self.config.reconnect_jitter);
                 self.state = State::BackingOff { until };
             }
             return;
@@ -112,7 +112,7 @@
     /// | candidates | backoff |
     /// | --- | --- |
     /// | one of them may still answer | none: the jitter after the lost upstream has spread the children already |
-    /// | all have timed out or broken the protocol | between half of `max_backoff` and all of it, plus the time saved by parallel attempts, up to `max_backoff` in all |
+    /// | all have timed out or violated the protocol | between half of `max_backoff` and all of it, plus the time saved by parallel attempts, up to `max_backoff` in all |
     ///
     /// This limits the sessions that are opened at once when the relays run again.
     pub(super) fn backoff_after_failures(&mut self, time_saved: Time) -> Time {
--- a/crates/distribution/src/upstream/receive.rs
+++ b/crates/distribution/src/upstream/receive.rs
@@ -1,4 +1,4 @@
-//! Takes in the frames of the upstream that is followed, and checks that they keep to the protocol.
+//! Handles the frames of the upstream that is followed, and checks that they conform to the protocol.
 
 use super::{State, Upstream};
 use crate::close_reason::CloseReason;
@@ -34,7 +34,7 @@
         if session.link.peer() != from || session.link.session() != head.session {
             return None;
         }
-        // Four times a relay's send budget: only an upstream that sends without end exceeds it.
+        // Four times a relay's send budget: only an upstream that ignores its budget exceeds it.
         if !session.receive_bucket.take(now, bytes) {
             self.leave(now, CloseReason::RateExceeded, outputs);
             return None;
@@ -136,7 +136,7 @@
             return Ok(None);
         }
         session.progress_at = now;
-        match session.assemblies.take(id, chunk) {
+        match session.reassembler.take(id, chunk) {
             ChunkOutcome::Incomplete => Ok(None),
             ChunkOutcome::Complete(change) => {
                 self.handle_changes(now, receipt, id, span, vec![*change])
@@ -205,9 +205,9 @@
         }))
     }
 
-    /// Handles the notice that everything was sent; gives back the upper bound of the staleness. A subscription that
-    /// was requested after the upstream sent the notice is not included. Removals are known as far as the upstream
-    /// knew them: it may have all changes before it has its manifest.
+    /// Handles the notice that everything was sent; returns the upper bound of the staleness. A subscription that was
+    /// requested after the upstream sent the notice is not included. Removals are known as far as the upstream knew
+    /// them: it may have all changes before it has its manifest.
     pub(super) fn handle_up_to_date(
         &mut self,
         now: Time,
@@ -216,7 +216,7 @@
         removals: Version,
         age_us: Option<u64>,
     ) -> Option<Time> {
-        let mut is_complete_answer = true;
+        let mut is_age_valid = true;
         for subscription in self.subscriptions.by_selector.values_mut() {
             if subscription
                 .subscribed_in
@@ -229,8 +229,9 @@
                 subscription.removals_known = subscription.removals_known.max(removals);
                 subscription.is_complete = true;
             } else {
-                // A full replica is complete or it is not; a node may wait for one subscription of many.
-                is_complete_answer &= !subscription.is_complete && !self.config.is_relay;
+                // At a full replica the age holds only if its one subscription is included. At a node it also holds
+                // while subscriptions are missing that have never been complete.
+                is_age_valid &= !subscription.is_complete && !self.config.is_relay;
             }
         }
         let age = age_us
@@ -244,6 +245,6 @@
                 self.candidates.clear_failures();
             }
         }
-        age.filter(|_| is_complete_answer)
+        age.filter(|_| is_age_valid)
     }
 }
--- a/crates/distribution/src/upstream_config.rs
+++ b/crates/distribution/src/upstream_config.rs
@@ -12,20 +12,20 @@
     pub upstreams: Vec<PeerId>,
     /// Upstreams to follow while no preferred one is usable.
     pub fallbacks: Vec<PeerId>,
-    /// Whether this process is a relay or a publisher, which needs changes for other nodes, too.
+    /// Whether this process is a relay or a publisher, which also needs changes for other nodes.
     pub is_relay: bool,
     /// Limit of what is sent.
     pub send_budget: Budget,
     /// Limit of what is received; an upstream that exceeds it is left.
     pub receive_budget: Budget,
-    /// Seconds to wait for the answer to an opening.
+    /// Seconds to wait for the answer to an opening frame.
     pub open_timeout: Time,
     /// Seconds until the next candidate is tried while earlier attempts are still open.
     pub attempt_delay: Time,
     /// Seconds without a frame after which an upstream is left.
     pub silence_timeout: Time,
-    /// Seconds without anything fresh after which an upstream is left, if there is another one. The time doubles with
-    /// each upstream in a row that brought nothing fresh, up to [`MAX_STALE_FACTOR`] times.
+    /// Seconds without fresh data after which an upstream is left, if there is another one. The time doubles with each
+    /// upstream in a row that sent no fresh data, up to [`MAX_STALE_FACTOR`] times.
     pub stale_timeout: Time,
     /// Longest time between two frames to the upstream, in seconds.
     pub keepalive_interval: Time,
@@ -36,15 +36,16 @@
     pub max_backoff: Time,
 }
 
-/// Largest factor on [`UpstreamConfig::stale_timeout`].
+/// Maximum factor on [`UpstreamConfig::stale_timeout`].
 pub const MAX_STALE_FACTOR: f64 = 8.0;
 
-/// An opening is sent, and once more after [`RETRANSMIT_TIMEOUT`]; each is waited for that long, several round trips
-/// between regions. An upstream that runs is missed only if both openings or both answers are lost.
+/// An opening frame is sent, and once more after [`RETRANSMIT_TIMEOUT`]; the wait for each answer has this length,
+/// which is several round trips between regions. A running upstream is missed only if both opening frames or both
+/// answers are lost.
 const OPEN_TIMEOUT: Time = 2.0 * RETRANSMIT_TIMEOUT;
 
-/// The "Connection Attempt Delay" that RFC 8305 recommends. It exceeds a round trip between regions, so an upstream
-/// that runs has answered before the next one is tried.
+/// The "Connection Attempt Delay" that RFC 8305 recommends. It exceeds a round trip between regions, so a running
+/// upstream has answered before the next one is tried.
 const ATTEMPT_DELAY: Time = 0.25;
 
 /// An upstream sends a frame every 2 s ([`crate::downstream_config::DownstreamConfig::keepalive_interval`]), and once
@@ -53,8 +54,9 @@
 /// more dead relays: `SILENCE_TIMEOUT + reconnect_jitter + 8 * ATTEMPT_DELAY = 11` s.
 const SILENCE_TIMEOUT: Time = 5.0;
 
-/// A relay has up to 1,024 children and accepts 100 new sessions a second. If all of them try it in vain, each opens
-/// a session every `OPEN_TIMEOUT + 0.75 * MAX_NODE_BACKOFF = 10.25` s on average, which is no less than `1024 / 100`.
+/// A relay has up to 1,024 children and accepts 100 new sessions a second. If all of them are rejected repeatedly, each
+/// opens a session every `OPEN_TIMEOUT + 0.75 * MAX_NODE_BACKOFF = 10.25` s on average, which is no less than `1024 /
+/// 100`.
 const MAX_NODE_BACKOFF: Time = 11.0;
 
 /// Twice [`crate::downstream_config::DownstreamConfig::min_retry_after`], the longest that a rejected child is asked
@@ -90,13 +92,13 @@
             burst_bytes: 4.0 * Budget::CONTROL.burst_bytes,
         };
         let node_config = UpstreamConfig::node(upstreams);
-        let (spread, rest_most) = (1.0, MAX_RELAY_BACKOFF);
+        let (jitter, backoff) = (1.0, MAX_RELAY_BACKOFF);
         UpstreamConfig {
             is_relay: true,
             send_budget: Budget::CONTROL,
             receive_budget,
-            reconnect_jitter: spread,
-            max_backoff: rest_most,
+            reconnect_jitter: jitter,
+            max_backoff: backoff,
             ..node_config
         }
     }
--- a/crates/distribution/src/upstream_event.rs
+++ b/crates/distribution/src/upstream_event.rs
@@ -1,4 +1,4 @@
-//! What an upstream has sent, once [`crate::upstream`] has checked it.
+//! The messages of an upstream, after [`crate::upstream`] has checked them.
 
 use crate::coverage::Span;
 use crate::epoch::Epoch;
