--- a/crates/distribution/tests/any_bytes.rs
+++ b/crates/distribution/tests/any_bytes.rs
@@ -19,9 +19,9 @@
 use world::{claim, lease};
 
 const RELAY: PeerId = PeerId(20);
-/// The first relay of the publisher.
+/// A first-tier relay, the upstream of the publisher.
 const PUBLISHER_RELAY: PeerId = PeerId(10);
-/// What chunks are parts of.
+/// The body of which chunks are sent.
 const BODY: &[u8] = b"123456789";
 
 fn name() -> Name {
@@ -44,13 +44,13 @@
     prop_oneof![
         Just(Payload::Acknowledge),
         any::<bool>().prop_map(|relay| Payload::Open { is_relay: relay }),
-        numbers.prop_map(|(id, upto, _)| subscribe(id, Coverage::up_to(version(upto)))),
+        numbers.prop_map(|(id, through, _)| subscribe(id, Coverage::up_to(version(through)))),
         prop::collection::vec(0..3u32, 0..3).prop_map(Payload::Unsubscribe),
-        (0..3u32, 0..9u64, 0..9u64).prop_map(|(id, upto, at)| {
+        (0..3u32, 0..9u64, 0..9u64).prop_map(|(id, through, at)| {
             let changes = vec![change(name(), at, b"one")];
             Payload::Changes {
                 id,
-                span: span_through(upto),
+                span: span_through(through),
                 changes,
             }
         }),
@@ -78,9 +78,9 @@
                 known: Coverage::up_to(version(known)),
             })
         }),
-        any::<u32>().prop_map(|rest_ms| Payload::Close {
+        any::<u32>().prop_map(|delay_ms| Payload::Close {
             reason: CloseReason::CapacityExceeded,
-            retry_after_ms: rest_ms
+            retry_after_ms: delay_ms
         }),
     ]
 }
@@ -122,14 +122,14 @@
     ) {
         let (mut node, mut relay, mut publisher) = (subscriber(vec![RELAY]), relay(DownstreamConfig::default()), publisher());
         let mut outputs = Vec::new();
-        for (n, (payload, number, acknowledged, stamp_us, up)) in script.into_iter().enumerate() {
+        for (n, (payload, number, acknowledged, stamp_us, is_from_child)) in script.into_iter().enumerate() {
             let now = n as f64 / 2.0;
             let sessions: Vec<u64> = outputs.iter().filter_map(|output| match output {
                 Output::Send { frame, .. } => decode(frame).map(|(head, _)| head.session),
                 _ => None,
             }).collect();
             let session = sessions.last().copied().unwrap_or(7);
-            let head = Head { session, from_child: up, number, acknowledged, sent_at_us: stamp_us, echo: None };
+            let head = Head { session, from_child: is_from_child, number, acknowledged, sent_at_us: stamp_us, echo: None };
             let frame = encode(&head, &payload);
             for peer in [RELAY_UPSTREAM, PUBLISHER_RELAY, RELAY] {
                 node.receive(now, peer, &frame, &mut outputs);
--- a/crates/distribution/tests/backlog.rs
+++ b/crates/distribution/tests/backlog.rs
@@ -1,4 +1,5 @@
-//! Relays with a backlog: batches that are published faster than a link carries them, then none.
+//! Relays with a backlog: batches are published faster than a link carries them; after the last batch, the relays catch
+//! up.
 
 mod world;
 
@@ -118,7 +119,7 @@
     let ban = Draft::put(Name::common("ban"), b"ban").urgent();
     let version = publish(&mut world, vec![ban]);
     publish(&mut world, batch(BATCHES));
-    // On each link the round trip of the frame in flight, then its own way.
+    // On each link the change waits for the round trip of the frame in flight, and then takes its own transit time.
     world.run(0.4);
     for relay in [FIRST_RELAY, REGION_RELAY] {
         assert!(
@@ -207,11 +208,11 @@
 fn process_restarted_before_storing_its_coverage_learns_of_removals() {
     let mut world = chain(5);
     publish_all_keys(&mut world);
-    let newcomers = [REGION_RELAY + 1, NODE].map(PeerId);
+    let new_processes = [REGION_RELAY + 1, NODE].map(PeerId);
     world.add_relay(REGION_RELAY + 1, &[FIRST_RELAY]);
     world.add_node(NODE, &[FIRST_RELAY], &[Selector::Services]);
-    for newcomer in newcomers {
-        while !world.processes[&newcomer]
+    for process in new_processes {
+        while !world.processes[&process]
             .disk
             .iter()
             .any(|record| matches!(record, Record::Put(_)))
@@ -220,12 +221,13 @@
         }
         let is_covered = |record: &Record| matches!(record, Record::Covered { .. });
         assert!(
-            !world.processes[&newcomer].disk.iter().any(is_covered),
-            "{newcomer:?} has stored its coverage"
+            !world.processes[&process].disk.iter().any(is_covered),
+            "{process:?} has stored its coverage"
         );
-        world.kill(newcomer);
+        world.kill(process);
     }
-    // More removals than any process retains; the first are of the latest keys, which reached the newcomers first.
+    // More removals than any process retains; the first ones are of the latest keys, which reached the new processes
+    // first.
     publish(
         &mut world,
         (100..KEY_COUNT)
@@ -234,15 +236,15 @@
             .collect(),
     );
     world.run(30.0);
-    newcomers
+    new_processes
         .into_iter()
-        .for_each(|newcomer| world.start(newcomer));
+        .for_each(|process| world.start(process));
     world.run(60.0);
     let published = contents(world.publisher_of(PUBLISHER).log());
     assert_eq!(published.len(), 100);
     assert!(
         contents(world.relay_of(REGION_RELAY + 1).log()) == published,
-        "the relay has other contents"
+        "the relay does not have the contents of the publisher"
     );
     let node = world.node_of(NODE);
     let applied = (0..KEY_COUNT)
@@ -295,7 +297,8 @@
         .collect()
 }
 
-/// Two relays that follow a publisher, and one that follows either; frames are lost, relays are killed and restarted.
+/// Two relays that follow a publisher, and one that follows either of them; frames are lost, relays are killed and
+/// restarted.
 fn run_random_batches(seed: u64) {
     const RELAYS: [u32; 3] = [FIRST_RELAY, FIRST_RELAY + 1, REGION_RELAY];
     let mut world = chain(seed);
@@ -339,7 +342,7 @@
         );
         assert!(
             contents(machine.log()) == published,
-            "seed {seed}: relay {relay} has other contents"
+            "seed {seed}: relay {relay} does not have the contents of the publisher"
         );
     }
 }
--- a/crates/distribution/tests/change_delivery/main.rs
+++ b/crates/distribution/tests/change_delivery/main.rs
@@ -1,4 +1,5 @@
-//! Delivery of changes: rejections and reverts, urgency, bursts, canaries, subscriptions, and changes of two publishers.
+//! Delivery of changes: rejections and reverts, urgency, bursts, canaries, subscriptions, and changes of two
+//! publishers.
 
 mod canaries;
 mod fixture;
--- a/crates/distribution/tests/change_delivery/publisher_conflicts.rs
+++ b/crates/distribution/tests/change_delivery/publisher_conflicts.rs
@@ -1,4 +1,4 @@
-//! Two publishers that both count on the lease, and the succession of one by the other.
+//! Two publishers that both assume that they hold the lease, and the succession of one by the other.
 
 use crate::fixture::{
     publish, small_world, FIRST_WRITER, LEASE_DURATION, NODES, RELAYS, SECOND_WRITER,
@@ -14,7 +14,8 @@
     let mut world = small_world(6);
     publish(&mut world, FIRST_WRITER, vec![put("x", b"one")]).unwrap();
     world.run(10.0);
-    // The second acquires the lease while the first still counts on its own, and all relays have switched.
+    // The second publisher acquires the lease while the first one still assumes that it holds it. All relays switch to
+    // the second one.
     grant_lease(
         &mut world,
         SECOND_WRITER.publisher,
--- a/crates/distribution/tests/components/coverage.rs
+++ b/crates/distribution/tests/components/coverage.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The other spans cover more tokens than the first one, and so are wider.
+    /// The first span is the narrowest one: each of the others extends over several tokens.
     #[test]
     fn coverage_retains_its_first_span(tokens in prop::collection::vec(1..1_000u64, 65..200)) {
         let mut coverage = Coverage::default();
--- a/crates/distribution/tests/components/link.rs
+++ b/crates/distribution/tests/components/link.rs
@@ -11,9 +11,9 @@
 const CHILD: PeerId = PeerId(1);
 const PARENT: PeerId = PeerId(2);
 const SESSION: u64 = 9;
-/// In seconds.
+/// Interval within which the bytes of frames are added up, in seconds.
 const WINDOW: Time = 10.0;
-/// The burst of the budget and its rate for [`WINDOW`].
+/// The burst of the budget plus its rate over [`WINDOW`].
 const MAX_WINDOW_BYTES: usize = 68_000;
 
 struct SentFrame {
--- a/crates/distribution/tests/components/main.rs
+++ b/crates/distribution/tests/components/main.rs
@@ -1,4 +1,5 @@
-//! The components of the protocol by themselves: coverage, change log, history, links, budgets, reports and stored records.
+//! The components of the protocol by themselves: coverage, change log, history, links, budgets, reports and stored
+//! records.
 
 mod changes;
 mod coverage;
--- a/crates/distribution/tests/components/reports.rs
+++ b/crates/distribution/tests/components/reports.rs
@@ -1,11 +1,11 @@
-//! Queued reports, and the statuses of nodes that they make up.
+//! Queued reports, and the statuses of nodes that are derived from reports.
 
 use crate::changes::{put, version};
 use reelfall_distribution::node_status::{NodeStatuses, Rejection};
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::report::{Report, ReportQueue};
 
-/// Rejections that a queue retains.
+/// Number of rejections that a queue retains.
 const MAX_REJECTIONS: usize = 4096;
 
 #[test]
--- a/crates/distribution/tests/golden.rs
+++ b/crates/distribution/tests/golden.rs
@@ -1,6 +1,6 @@
-//! The bytes of frames and of stored records. `golden/frames.txt` was written by the code of commit c58caac and does not
-//! change while the version of the frames stays. The digest of drawn schedules covers every frame that they send, with its
-//! time.
+//! Compares the bytes of frames and stored records with golden files. `golden/frames.txt` was written by the code of
+//! commit c58caac and does not change as long as the version of the frame format does not. Each digest of
+//! `golden/schedules.blake3` covers every frame that a random schedule sends, with its time.
 
 mod world;
 
@@ -33,10 +33,10 @@
     Version { token: 3, sequence }
 }
 
-fn span(after: u64, upto: u64) -> Span {
+fn span(after: u64, through: u64) -> Span {
     Span {
         after: version(after),
-        through: version(upto),
+        through: version(through),
     }
 }
 
@@ -51,7 +51,7 @@
 }
 
 fn changes() -> Vec<Change> {
-    let plain = Change {
+    let stable = Change {
         key: key(Name::common("limits"), Slot::Stable),
         version: version(301),
         urgency: Urgency::Normal,
@@ -59,7 +59,7 @@
         replaces: Version::ZERO,
         content: Content::body(b"a body"),
     };
-    let trial = Change {
+    let canary = Change {
         key: key(Name::service("flags", "routes"), Slot::Canary),
         urgency: Urgency::Urgent,
         fraction: NodeFraction {
@@ -67,14 +67,14 @@
             seed: 0x1234_5678_9abc,
         },
         replaces: version(200),
-        ..plain.clone()
+        ..stable.clone()
     };
     let removal = Change {
         key: key(Name::tenant("okoli-pay", "quota"), Slot::Stable),
         content: Content::Removed,
-        ..plain.clone()
+        ..stable.clone()
     };
-    vec![plain, trial, removal]
+    vec![stable, canary, removal]
 }
 
 fn epoch() -> Epoch {
@@ -154,7 +154,7 @@
         offset: 16_000,
         bytes: vec![1, 2, 255],
     };
-    let current = |age_us| Payload::UpToDate {
+    let up_to_date = |age_us| Payload::UpToDate {
         head: version(500),
         removals: version(400),
         pruned_through: version(3),
@@ -185,18 +185,18 @@
             pruned_through: version(3),
             digests: vec![1, u64::MAX],
         },
-        current(Some(1_500_000)),
-        current(None),
+        up_to_date(Some(1_500_000)),
+        up_to_date(None),
     ];
-    all.extend(reasons().map(|why| Payload::Close {
-        reason: why,
+    all.extend(reasons().map(|close_reason| Payload::Close {
+        reason: close_reason,
         retry_after_ms: 1_500,
     }));
     all
 }
 
 fn rollouts() -> Vec<RolloutRecord> {
-    let refusing = vec![RejectingNode {
+    let rejecting = vec![RejectingNode {
         node: PeerId(5),
         reason: "unknown unit".to_owned(),
     }];
@@ -204,7 +204,7 @@
         thousandths: 100,
         accepted: 40,
         rejected: 9,
-        rejecting_nodes: refusing.clone(),
+        rejecting_nodes: rejecting.clone(),
     };
     let states = [
         RolloutState::Running,
@@ -215,7 +215,7 @@
         RolloutState::Superseded,
         RolloutState::Lost,
     ];
-    let policy = |on_refusals| RolloutPolicy {
+    let policy = |reaction| RolloutPolicy {
         stages: vec![10, 100, 1000],
         soak_time: 600.0,
         decision_time: 60.0,
@@ -224,7 +224,7 @@
         min_decisions: 3,
         min_accepted_share: 900,
         max_report_age: 90.0,
-        on_rejections: on_refusals,
+        on_rejections: reaction,
     };
     let record = |(n, state): (u64, RolloutState)| RolloutRecord {
         name: Name::service("flags", "routes"),
@@ -261,8 +261,8 @@
 }
 
 #[test]
-fn frames_and_records_have_the_bytes_that_they_had() {
-    let plain = Head {
+fn frames_and_records_have_the_golden_bytes() {
+    let minimal = Head {
         session: 9,
         from_child: false,
         number: 0,
@@ -284,7 +284,7 @@
     };
     let mut lines = Vec::new();
     for payload in payloads() {
-        for head in [plain, full] {
+        for head in [minimal, full] {
             let frame = encode(&head, &payload);
             assert_eq!(decode(&frame), Some((head, payload.clone())));
             lines.push(format!("frame {}", hex(&frame)));
@@ -316,9 +316,9 @@
     assert_eq!(lines, GOLDEN.lines().collect::<Vec<_>>());
 }
 
-/// A small tree in which changes are published, staged, released and removed while processes end, freeze and are cut off;
-/// the digest of its frames.
-fn frames_of_schedule(seed: u64) -> String {
+/// The digest of the frames of a small tree, in which changes are published, published as canaries, promoted and
+/// removed, while processes are killed, paused, partitioned and started.
+fn digest_of_schedule(seed: u64) -> String {
     let mut world = World::new(
         seed,
         Network {
@@ -336,12 +336,12 @@
     world.add_relay(11, &[1]);
     world.add_relay(20, &[10, 11]);
     for id in 100..104 {
-        let own = [
+        let selectors = [
             Selector::common(),
             Selector::service("a"),
             Selector::tenant("t"),
         ];
-        world.add_node(id, &[20], &own);
+        world.add_node(id, &[20], &selectors);
     }
     for step in 0..50 {
         world::grant_lease(&mut world, 1, 1, 1_000.0);
@@ -357,24 +357,24 @@
             2 => Draft::put(name.clone(), &[step as u8]).urgent(),
             _ => Draft::put(name.clone(), &[step as u8; 40]),
         };
-        let part = NodeFraction {
+        let fraction = NodeFraction {
             thousandths: 500,
             seed,
         };
         let _ = world.with_publisher(1, |publisher, now, outputs| match step % 6 {
-            3 => publisher.publish_canary(now, &claim(1), draft, part, outputs),
+            3 => publisher.publish_canary(now, &claim(1), draft, fraction, outputs),
             4 => publisher.promote_canary(now, &claim(1), &name, outputs),
             _ => publisher.publish(now, &claim(1), vec![draft], outputs),
         });
-        let victim = PeerId([10, 11, 20, 100, 102][world.rng.random_range(0..5)]);
+        let process = PeerId([10, 11, 20, 100, 102][world.rng.random_range(0..5)]);
         match world.rng.random_range(0..6) {
-            0 => world.kill(victim),
-            1 => world.pause(victim, 4.0),
-            2 => world.partition(PeerId(20), victim, 3.0),
-            _ => world.start(victim),
+            0 => world.kill(process),
+            1 => world.pause(process, 4.0),
+            2 => world.partition(PeerId(20), process, 3.0),
+            _ => world.start(process),
         }
-        let lasts = world.rng.random_range(0.0..3.0);
-        world.run(lasts);
+        let duration = world.rng.random_range(0.0..3.0);
+        world.run(duration);
     }
     world.heal();
     world.run(60.0);
@@ -382,7 +382,7 @@
 }
 
 #[test]
-fn schedules_send_the_frames_that_they_sent() {
-    let digests: Vec<String> = (0..8).map(frames_of_schedule).collect();
+fn schedules_have_the_golden_digests() {
+    let digests: Vec<String> = (0..8).map(digest_of_schedule).collect();
     assert_eq!(digests, SCHEDULES.lines().collect::<Vec<_>>());
 }
--- a/crates/distribution/tests/protocol_violations/child_sessions.rs
+++ b/crates/distribution/tests/protocol_violations/child_sessions.rs
@@ -105,16 +105,12 @@
     relay.receive(1.1, SUBSCRIBER, &frame, &mut outputs);
     assert_eq!(relay.children().collect::<Vec<_>>(), [OTHER_CHILD]);
     open_session(&mut relay, SUBSCRIBER, 2.0, 8);
-    assert_eq!(
-        relay.children().count(),
-        1,
-        "the child is refused for a while"
-    );
+    assert_eq!(relay.children().count(), 1, "the child is banned for 30 s");
     open_session(&mut relay, SUBSCRIBER, 40.0, 9);
     assert_eq!(
         relay.children().count(),
         1,
-        "the other child was silent for 20 s, and the first one is back"
+        "the other child was silent for 20 s, and the first one has a new session"
     );
     let reports = encode(&child_head(9, 2), &Payload::Reports(Vec::new()));
     for _ in 0..1000 {
--- a/crates/distribution/tests/protocol_violations/main.rs
+++ b/crates/distribution/tests/protocol_violations/main.rs
@@ -1,5 +1,5 @@
-//! Peers that send unrequested, invalid, repeated or excessive payloads: at worst they lose their session, and nothing else
-//! changes.
+//! Peers that send unrequested, invalid, repeated or excessive payloads: at worst they lose their session, and nothing
+//! else changes.
 
 mod child_sessions;
 mod frames;
--- a/crates/distribution/tests/protocol_violations/scripted_relay.rs
+++ b/crates/distribution/tests/protocol_violations/scripted_relay.rs
@@ -10,7 +10,7 @@
 
 /// The number of a payload that is not retransmitted.
 pub const UNNUMBERED: u64 = 0;
-/// Between two payloads, in seconds.
+/// Time between two payloads, in seconds.
 pub const SEND_INTERVAL: Time = 2.0;
 const RELAYS: [PeerId; 2] = [PeerId(20), PeerId(21)];
 
@@ -26,7 +26,7 @@
 }
 
 impl ScriptedRelay {
-    /// After the node has opened a session and sent its subscription.
+    /// A relay to which the node has opened a session and sent its subscription.
     pub fn new() -> ScriptedRelay {
         let mut node = subscriber(RELAYS.to_vec());
         let mut outputs = Vec::new();
--- a/crates/distribution/tests/protocol_violations/upstream_sessions.rs
+++ b/crates/distribution/tests/protocol_violations/upstream_sessions.rs
@@ -136,7 +136,7 @@
     let mut is_left = false;
     for sequence in 1..100u64 {
         let changes = vec![change(subscribed_name(), sequence, &[1; 10_000])];
-        // All payloads are sent at one moment.
+        // All payloads are sent at the same time.
         relay.now -= SEND_INTERVAL;
         let outputs = relay.send_next(changes_payload(changes));
         is_left |= is_left_for(&outputs, CloseReason::RateExceeded);
@@ -198,9 +198,9 @@
     assert!(relay.node.following().is_some());
 }
 
-/// [`Payload::UpToDate`] crosses a new subscription: the relay sent it before it received that one.
+/// [`Payload::UpToDate`] crosses a new subscription: the relay sent it before it received the subscription.
 #[test]
-fn current_payload_does_not_complete_a_later_subscription() {
+fn up_to_date_payload_does_not_complete_a_later_subscription() {
     let mut relay = ScriptedRelay::new();
     let earlier = Selector::service("a");
     let later = Selector::service("b");
@@ -212,20 +212,20 @@
         acknowledged_before + 1,
         "the node has sent the subscription"
     );
-    let current = Payload::UpToDate {
+    let up_to_date = Payload::UpToDate {
         head: version(5),
         removals: version(5),
         pruned_through: Version::ZERO,
         age_us: Some(0),
     };
     relay.acknowledged = acknowledged_before;
-    relay.send_next(current.clone());
+    relay.send_next(up_to_date.clone());
     assert!(relay.node.is_complete(&earlier));
     assert!(
         !relay.node.is_complete(&later),
         "the relay had not received the subscription"
     );
     relay.acknowledged = acknowledged_before + 1;
-    relay.send_next(current);
+    relay.send_next(up_to_date);
     assert!(relay.node.is_complete(&later));
 }
--- a/crates/distribution/tests/rare_failures/coverage_gaps.rs
+++ b/crates/distribution/tests/rare_failures/coverage_gaps.rs
@@ -68,8 +68,8 @@
     coverage
 }
 
-/// A sender with gaps of its own fills those of its child that it can; other changes would add spans to the child's
-/// coverage.
+/// A sender with gaps in its own coverage fills those gaps of its child that it can; other changes would add spans to
+/// the child's coverage.
 #[test]
 fn sender_with_gaps_fills_the_gaps_that_it_can() {
     let log = sender_log();
--- a/crates/distribution/tests/rare_failures/fixture.rs
+++ b/crates/distribution/tests/rare_failures/fixture.rs
@@ -13,7 +13,7 @@
 
 pub const NODES: Range<u32> = 100..104;
 
-/// It writes as soon as it holds the lease.
+/// A publisher without upstreams, which publishes as soon as it holds the lease.
 pub fn publisher_without_relays() -> Publisher {
     let config = PublisherConfig {
         lease: lease(),
@@ -41,7 +41,7 @@
     world
 }
 
-/// The publisher publishes by this token.
+/// Publishes changes under the lease with this token.
 pub fn publish(world: &mut World, publisher: u32, token: u64, drafts: Vec<Draft>) -> Version {
     let published_at = world.now;
     let version = world
--- a/crates/distribution/tests/rare_failures/lease_expiry.rs
+++ b/crates/distribution/tests/rare_failures/lease_expiry.rs
@@ -54,8 +54,8 @@
     assert_eq!(rejected, Err(PublishError::Fenced(2)));
 }
 
-/// A publisher whose lease expires closes its sessions by itself: its children leave for a possible successor, and nodes no
-/// longer show their configuration as current.
+/// A publisher whose lease expires closes its sessions by itself: its children look for a successor, and nodes no
+/// longer report their configuration as current.
 #[test]
 fn publisher_closes_its_sessions_when_the_lease_expires() {
     let mut world = small_world(1, 60.0);
@@ -86,13 +86,13 @@
             .staleness(world.processes[&PeerId(id)].clock(world.now));
         assert!(
             staleness >= 20.0,
-            "{id} shows a staleness of {staleness} s, 20 s after the last publisher"
+            "{id} reports a staleness of {staleness} s, 20 s after the last publisher stepped down"
         );
     }
 }
 
-/// The relays that still follow a publisher whose lease has expired switch to the next one, and none claims meanwhile to be
-/// current.
+/// The relays that still follow a publisher whose lease has expired switch to the next one, and none of them reports
+/// its configuration as current in the meantime.
 #[test]
 fn relays_of_a_publisher_with_expired_lease_switch_to_the_successor() {
     let mut world = small_world(2, 60.0);
--- a/crates/distribution/tests/rare_failures/main.rs
+++ b/crates/distribution/tests/rare_failures/main.rs
@@ -1,5 +1,5 @@
-//! Rare failures, each forced by a case of its own: expired leases, publishers in succession, gaps in a coverage, and crashes
-//! during an unsubscription.
+//! Rare failures, each forced by a case of its own: expired leases, publishers in succession, gaps in a coverage, and
+//! crashes during an unsubscription.
 
 mod coverage_gaps;
 mod fixture;
--- a/crates/distribution/tests/rare_failures/publisher_succession.rs
+++ b/crates/distribution/tests/rare_failures/publisher_succession.rs
@@ -8,8 +8,8 @@
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::resource::{Change, Content, Draft, Selector, Version};
 
-/// The next publisher catches up from all first-tier relays, not from the first one alone: the last publisher had reached one
-/// relay before it crashed.
+/// The next publisher catches up from all first-tier relays, not from the first one alone: the last publisher had
+/// reached one relay before it crashed.
 #[test]
 fn change_that_reached_one_first_tier_relay_survives_the_publisher() {
     let mut world = small_world(3, LEASE_DURATION);
@@ -41,8 +41,9 @@
     world.invariants.verify();
 }
 
-/// A partitioned publisher writes again without updates from the one that wrote meanwhile, which did not have its last change.
-/// The coverage that the relays got from the other one includes that change, so they do not request it.
+/// A partitioned publisher acquires the lease again without the changes of the publisher in between, which did not have
+/// its last change. The coverage that the relays have from the publisher in between includes that change, so they do
+/// not request it.
 #[test]
 fn change_unknown_to_an_intermediate_publisher_reaches_all_nodes() {
     let mut world = small_world(4, LEASE_DURATION);
@@ -154,8 +155,8 @@
     world.invariants.verify();
 }
 
-/// A relay that lost all of its coverage, because a publisher in between did not have it, still has changes: it receives
-/// removals whose tombstones were pruned meanwhile.
+/// A relay that lost all of its coverage, because a publisher in between did not have it, still has changes: it
+/// receives removals whose tombstones were pruned meanwhile.
 #[test]
 fn relay_without_coverage_receives_pruned_removals() {
     const KEYS: usize = 60;
@@ -200,7 +201,7 @@
         last_covered.token, 1,
         "the second publisher has sent more than its epoch"
     );
-    // The first one writes again without updates from the second. It prunes tombstones.
+    // The first publisher publishes again without the changes of the second one, and prunes tombstones.
     grant_lease(&mut world, 1, 3, LEASE_DURATION);
     world.run(10.0);
     let last = publish(
--- a/crates/distribution/tests/rare_failures/unsubscription.rs
+++ b/crates/distribution/tests/rare_failures/unsubscription.rs
@@ -8,8 +8,8 @@
 use reelfall_distribution::resource::{Key, Selector, Slot};
 use reelfall_distribution::restore::RestoredState;
 
-/// After a crash between any two records of an unsubscription, each applied change on disk has its version in the log, so
-/// that no lagging upstream can replace it by an earlier one.
+/// After a crash between any two records of an unsubscription, each applied change on disk has its version in the log,
+/// so that no lagging upstream can replace it by an earlier one.
 #[test]
 fn applied_changes_keep_their_versions_after_a_crash_during_unsubscription() {
     let mut world = small_world(1, LEASE_DURATION);
--- a/crates/distribution/tests/recovery_time.rs
+++ b/crates/distribution/tests/recovery_time.rs
@@ -1,5 +1,5 @@
-//! How long nodes take to get what was published once there is a complete path to them again. Each bound is computed from
-//! the configuration of the processes.
+//! How long nodes take to receive the published changes once there is a complete path to them again. Each bound is
+//! computed from the configuration of the processes.
 
 mod world;
 
@@ -15,11 +15,12 @@
 
 /// Maximum time that a change takes once there is a path, in seconds.
 const MAX_PROPAGATION_TIME: Time = 15.0;
-/// Opening a session, its subscriptions and a change over several links, each frame in 20 ms at most, in seconds.
+/// Time for opening a session, its subscriptions and a change over several links, in seconds; each frame takes 20 ms at
+/// most.
 const ROUND_TRIPS: Time = 1.0;
-/// Maximum time in which a publisher collects what relays have, in seconds; the world's setting.
+/// Maximum time in which a publisher reads the relays when it takes over, in seconds; as configured in `world`.
 const TAKEOVER_TIME: Time = 5.0;
-/// How long a lease duration after its holder died, in seconds.
+/// Time from the death of the holder of a lease until another publisher can acquire the lease, in seconds.
 const LEASE_DURATION: Time = 15.0;
 
 const PUBLISHERS: [u32; 3] = [1, 2, 3];
@@ -27,7 +28,8 @@
 const FAR: [u32; 3] = [30, 31, 32];
 const NODES: Range<u32> = 100..112;
 
-/// Three publishers, of which the first has the lease with token 1; two regions of three relays; nodes of the first region.
+/// Three publishers, of which the first has the lease with token 1; two regions of three relays; nodes of the first
+/// region.
 fn regions(seed: u64) -> World {
     let mut world = World::new(seed, CALM);
     let relays = [NEAR, FAR].concat();
@@ -52,36 +54,36 @@
 }
 
 fn publish(world: &mut World, publisher: u32, token: u64, text: &str) -> Version {
-    let t = world.now;
+    let published_at = world.now;
     let drafts = vec![Draft::put(Name::service("a", "x"), text.as_bytes())];
     let version = world.with_publisher(publisher, |publisher, now, outputs| {
         publisher.publish(now, &claim(token), drafts, outputs)
     });
     let version = version.unwrap().unwrap();
-    world.invariants.published(t, version);
+    world.invariants.published(published_at, version);
     version
 }
 
-/// Runs the world wait_until a condition holds, at most `most` seconds; returns the time that it elapsed.
+/// Runs the world until a condition holds, at most `limit` seconds; returns the elapsed time.
 fn wait_until(
     world: &mut World,
-    most: Time,
+    limit: Time,
     description: &str,
     condition: impl Fn(&World) -> bool,
 ) -> Time {
     let started = world.now;
     while !condition(world) {
         assert!(
-            world.now - started < most,
-            "{description}: not within {most} s"
+            world.now - started < limit,
+            "{description}: not within {limit} s"
         );
         world.run(0.05);
     }
     world.now - started
 }
 
-fn wait_until_all_have(world: &mut World, version: Version, most: Time) -> Time {
-    wait_until(world, most, "a change at all nodes", |world| {
+fn wait_until_all_have(world: &mut World, version: Version, limit: Time) -> Time {
+    wait_until(world, limit, "a change at all nodes", |world| {
         NODES
             .into_iter()
             .all(|id| world.node_of(id).head() >= version)
@@ -96,8 +98,8 @@
     }
 }
 
-/// How long a relay takes to follow the publisher with the lease, once it can: the attempt in flight and a backoff; then each
-/// publisher that rejects it costs a short backoff, and each dead one an attempt.
+/// How long a relay takes to follow the publisher with the lease, once it can: the attempt in flight and a backoff;
+/// then each publisher that rejects it costs a short backoff, and each dead one an attempt.
 fn relay_reconnection_time(rejecting: u32, dead: u32) -> Time {
     let config = UpstreamConfig::relay(Vec::new());
     let (rejecting, dead) = (f64::from(rejecting), f64::from(dead));
@@ -166,9 +168,9 @@
         assert!(NODES
             .into_iter()
             .all(|id| world.node_of(id).head() < version));
-        let most = relay_reconnection_time(2, 0).max(stale_relay_switch_time()) + ROUND_TRIPS;
-        let elapsed = wait_until_all_have(&mut world, version, most);
-        println!("partition of {duration} s: all have it after {elapsed:.2} s, of {most:.2} s");
+        let limit = relay_reconnection_time(2, 0).max(stale_relay_switch_time()) + ROUND_TRIPS;
+        let elapsed = wait_until_all_have(&mut world, version, limit);
+        println!("partition of {duration} s: all nodes have the change after {elapsed:.2} s, of {limit:.2} s");
         world.invariants.verify();
     }
 }
@@ -194,10 +196,10 @@
         let version = publish(&mut world, 2, 2, "during the partition");
         let remaining = duration - world.now + 40.0;
         world.run(remaining);
-        let most = relay_reconnection_time(2, 0).max(stale_relay_switch_time()) + ROUND_TRIPS;
-        let elapsed = wait_until_all_have(&mut world, version, most);
+        let limit = relay_reconnection_time(2, 0).max(stale_relay_switch_time()) + ROUND_TRIPS;
+        let elapsed = wait_until_all_have(&mut world, version, limit);
         println!(
-            "publisher partitioned for {duration} s: all have it after {elapsed:.2} s, of {most:.2} s"
+            "publisher partitioned for {duration} s: all nodes have the change after {elapsed:.2} s, of {limit:.2} s"
         );
         world.invariants.verify();
     }
@@ -211,13 +213,13 @@
         lost.for_each(|id| world.kill(PeerId(id)));
         let config = UpstreamConfig::node(Vec::new());
         // The other two upstreams, which are dead, may both be tried before a fallback.
-        let most = config.silence_timeout
+        let limit = config.silence_timeout
             + config.reconnect_jitter
             + 2.0 * config.attempt_delay
             + ROUND_TRIPS;
-        assert!(most <= MAX_PROPAGATION_TIME, "{most}");
+        assert!(limit <= MAX_PROPAGATION_TIME, "{limit}");
         assert!(!NODES.into_iter().any(|id| follows_one_of(&world, id, &FAR)));
-        let moved = wait_until(&mut world, most, "nodes at other relays", |world| {
+        let moved = wait_until(&mut world, limit, "nodes at other relays", |world| {
             NODES.into_iter().all(|id| follows_one_of(world, id, &FAR))
         });
         world.run(LEASE_DURATION - moved);
@@ -229,11 +231,11 @@
             |world| world.publisher_of(2).is_publishing(),
         );
         let version = publish(&mut world, 2, 2, "by the successor");
-        // The two dead ones may both be tried first; the successor may have rejected the relay just before.
+        // The two dead publishers may both be tried first; the successor may have rejected the relay just before.
         let relay = UpstreamConfig::relay(Vec::new());
-        let most = relay.reconnect_jitter + 2.0 * relay.open_timeout + ROUND_TRIPS;
-        let elapsed = wait_until_all_have(&mut world, version, most);
-        println!("moved after {moved:.2} s; elapsed over in {takeover:.2} s; {elapsed:.2} s more, of {most:.2} s");
+        let limit = relay.reconnect_jitter + 2.0 * relay.open_timeout + ROUND_TRIPS;
+        let elapsed = wait_until_all_have(&mut world, version, limit);
+        println!("nodes moved after {moved:.2} s; takeover in {takeover:.2} s; all nodes have the change {elapsed:.2} s later, of {limit:.2} s");
         world.invariants.verify();
     }
 }
@@ -256,7 +258,7 @@
     world.run(duration);
     // The first two relays are followed for one stale timeout each, the next ones for 2, 4 and then 8 times as long.
     let stale_timeout = UpstreamConfig::node(Vec::new()).stale_timeout;
-    let most = 4.0 + (duration / stale_timeout - 1.0 - 1.0 - 2.0 - 4.0) / MAX_STALE_FACTOR;
+    let limit = 4.0 + (duration / stale_timeout - 1.0 - 1.0 - 2.0 - 4.0) / MAX_STALE_FACTOR;
     for id in NODES {
         let is_stale_switch = |recorded: &&RecordedEvent| {
             let is_stale = matches!(
@@ -268,15 +270,15 @@
             );
             recorded.at > started && recorded.process == PeerId(id) && is_stale
         };
-        let moves = world
+        let switches = world
             .invariants
             .events
             .iter()
             .filter(is_stale_switch)
             .count();
         assert!(
-            (2..=most.ceil() as usize).contains(&moves),
-            "{id} moved {moves} times, of {most}"
+            (2..=limit.ceil() as usize).contains(&switches),
+            "{id} switched {switches} times, of at most {limit}"
         );
     }
     world.invariants.verify();
@@ -298,15 +300,15 @@
     RELAYS.iter().for_each(|id| world.start(PeerId(*id)));
     let started = world.now;
     let downstream = DownstreamConfig::default();
-    let most = node_reconnection_time() + 2.0 * downstream.min_retry_after + ROUND_TRIPS;
+    let limit = node_reconnection_time() + 2.0 * downstream.min_retry_after + ROUND_TRIPS;
     let mut children = [0; RELAYS.len()];
     while MANY_NODES
         .into_iter()
         .any(|id| world.node_of(id).head() < version)
     {
         assert!(
-            world.now - started < most.min(MAX_PROPAGATION_TIME),
-            "not within {most} s"
+            world.now - started < limit.min(MAX_PROPAGATION_TIME),
+            "not within {limit} s"
         );
         world.run(0.5);
         for (before, id) in children.iter_mut().zip(RELAYS) {
@@ -324,7 +326,7 @@
         }
     }
     println!(
-        "1,500 nodes have it after {:.2} s, of {most:.2} s; {children:?} children",
+        "1,500 nodes have the change after {:.2} s, of {limit:.2} s; {children:?} children",
         world.now - started
     );
     world.invariants.verify();
--- a/crates/distribution/tests/relay_tree.rs
+++ b/crates/distribution/tests/relay_tree.rs
@@ -12,7 +12,7 @@
 
 const NODES: std::ops::Range<u32> = 100..106;
 
-/// One publisher, two first relays, two relays of a region, six nodes; the publisher has the lease with token 1.
+/// One publisher, two first-tier relays, two relays of a region, six nodes; the publisher has the lease with token 1.
 fn tree(seed: u64) -> World {
     let mut world = World::new(seed, CALM);
     world.add_publisher(1, &[10, 11]);
@@ -29,20 +29,20 @@
 }
 
 fn publish(world: &mut World, token: u64, drafts: Vec<Draft>) -> Version {
-    let t = world.now;
+    let published_at = world.now;
     let version = world.with_publisher(1, |publisher, now, outputs| {
         publisher.publish(now, &claim(token), drafts, outputs)
     });
     let version = version.unwrap().unwrap();
-    world.invariants.published(t, version);
+    world.invariants.published(published_at, version);
     version
 }
 
-/// Runs the world until these nodes have a version, at most `most` seconds; returns the time that it elapsed.
-fn wait_until_all_have(world: &mut World, nodes: &[u32], version: Version, most: Time) -> Time {
+/// Runs the world until these nodes have a version, at most `limit` seconds; returns the elapsed time.
+fn wait_until_all_have(world: &mut World, nodes: &[u32], version: Version, limit: Time) -> Time {
     let began = world.now;
     while nodes.iter().any(|id| world.node_of(*id).head() < version) {
-        assert!(world.now - began < most, "not within {most} s");
+        assert!(world.now - began < limit, "not within {limit} s");
         world.run(0.1);
     }
     world.now - began
@@ -110,7 +110,7 @@
     let of_node = |recorded: &&RecordedEvent| {
         recorded.at > since
             && recorded.process.0 >= 100
-            && matches!(recorded.event, Event::Left { reason: why, .. } if why == reason)
+            && matches!(recorded.event, Event::Left { reason: left_for, .. } if left_for == reason)
     };
     world
         .invariants
@@ -155,10 +155,10 @@
             .filter(|t| (from..from + 0.5).contains(*t))
             .count()
     };
-    let most = (0..60).map(|n| within(f64::from(n) * 0.25)).max().unwrap();
+    let busiest = (0..60).map(|n| within(f64::from(n) * 0.25)).max().unwrap();
     assert!(
-        most * 2 < reconnected.len(),
-        "{most} of {} within half a second",
+        busiest * 2 < reconnected.len(),
+        "{busiest} of {} within half a second",
         reconnected.len()
     );
 }
@@ -177,12 +177,12 @@
     world.start(PeerId(20));
     world.start(PeerId(21));
     // The attempt in flight, a backoff, and the round trips of a session and a change.
-    let rules = UpstreamConfig::node(Vec::new());
+    let config = UpstreamConfig::node(Vec::new());
     wait_until_all_have(
         &mut world,
         &all_nodes(),
         version,
-        rules.open_timeout + rules.max_backoff + 1.0,
+        config.open_timeout + config.max_backoff + 1.0,
     );
     world.invariants.verify();
 }
@@ -210,7 +210,7 @@
             world.partition(PeerId(far), PeerId(near), duration);
         }
     }
-    // 540 changes an hour are 13,000 a day; a third of them to resources that change again.
+    // 540 changes per hour are 13,000 per day; a third of them are to one resource.
     let mut version = Version::ZERO;
     for n in 0..540u32 {
         let item = format!("r{}", if n % 3 == 0 { 0 } else { n });
@@ -218,15 +218,17 @@
         world.run(duration / 540.0);
     }
     let changed = 361.0;
-    // The bytes of the changes at the rate of the budget, and the attempt in flight and a backoff before a relay and a node
-    // reconnect.
-    let rules = UpstreamConfig::node(Vec::new());
-    let relay_rules = UpstreamConfig::relay(Vec::new());
-    let reconnection_time =
-        rules.open_timeout + rules.max_backoff + relay_rules.open_timeout + relay_rules.max_backoff;
-    let most = changed * 400.0 / 6000.0 + reconnection_time;
-    let elapsed = wait_until_all_have(&mut world, &all_nodes(), version, most);
-    println!("caught up in {elapsed:.1} s, of {most:.1} s");
+    // The bytes of the changes at the rate of the budget, and the attempt in flight and a backoff before a relay and a
+    // node reconnect.
+    let config = UpstreamConfig::node(Vec::new());
+    let relay_config = UpstreamConfig::relay(Vec::new());
+    let reconnection_time = config.open_timeout
+        + config.max_backoff
+        + relay_config.open_timeout
+        + relay_config.max_backoff;
+    let limit = changed * 400.0 / 6000.0 + reconnection_time;
+    let elapsed = wait_until_all_have(&mut world, &all_nodes(), version, limit);
+    println!("caught up in {elapsed:.1} s, of {limit:.1} s");
     world.invariants.verify();
 }
 
@@ -259,7 +261,7 @@
         world.add_node(id, &[20, 21], &[Selector::Services]);
     }
     let nodes: Vec<u32> = (100..180).collect();
-    // 33 kB at 6 kB/s, and up to 4 s before each starts.
+    // 33 kB at 6 kB/s, and up to 4 s of jitter before each node connects.
     wait_until_all_have(&mut world, &nodes, version, 20.0);
     world.invariants.verify();
 }
@@ -286,7 +288,7 @@
     assert_eq!(x.content.bytes(), b"old");
     assert!(node.staleness(5.0) >= month);
     assert!(node.staleness(65.0) >= month + 60.0);
-    // It goes on trying, at a low rate.
+    // It keeps trying to connect, at a low rate.
     let mut attempts = 0;
     let mut now = 5.0;
     while now < 605.0 {
--- a/crates/distribution/tests/schedules/checks.rs
+++ b/crates/distribution/tests/schedules/checks.rs
@@ -1,5 +1,5 @@
-//! What must hold at the end of a schedule: no session was closed for a violation, all nodes have converged, and no change
-//! of a single publisher is lost.
+//! What must hold at the end of a schedule: no session was closed for a violation, all nodes have converged, and no
+//! change of a single publisher is lost.
 
 use crate::schedule::{selectors_of, Schedule, ITEMS_PER_GROUP};
 use crate::world::{Config, RecordedEvent, REJECTED_BY_ODD_NODES};
@@ -10,9 +10,9 @@
 use reelfall_distribution::resource::{Key, Name, Slot};
 use reelfall_distribution::Time;
 
-/// The most that a node shows as the age of its configuration once all nodes have converged, in seconds.
+/// Maximum staleness that a node reports once all nodes have converged, in seconds.
 const MAX_STALENESS: Time = 15.0;
-/// Bytes of a body that failed assertions show; random bodies differ in them.
+/// Number of leading bytes of bodies that are compared, and shown on failure; random bodies differ in them.
 const COMPARED_BYTES: usize = 9;
 
 impl Schedule {
@@ -22,7 +22,7 @@
         let holder = self.lease_holder.unwrap();
         assert!(
             self.world.publisher_of(holder).is_publishing(),
-            "no publisher is writing"
+            "no publisher is active"
         );
         let nodes = self.world.ids(|config| matches!(config, Config::Node(..)));
         for id in nodes {
@@ -117,7 +117,7 @@
     (!stable.is_removal()).then(|| stable.content.bytes().to_vec())
 }
 
-/// What a node is to apply, by the log of a publisher.
+/// The content that a node has to apply according to the log of a publisher.
 pub fn expected_body(publisher: &Publisher, node: PeerId, name: &Name) -> Option<Vec<u8>> {
     let change_in = |slot| {
         publisher.log().get(&Key {
--- a/crates/distribution/tests/schedules/main.rs
+++ b/crates/distribution/tests/schedules/main.rs
@@ -1,5 +1,5 @@
-//! Random schedules over small trees: publishers that take over the lease from each other, relays and nodes that are killed,
-//! paused and partitioned while changes are published, promoted, reverted and rejected.
+//! Random schedules over small trees: publishers that take over the lease from each other, relays and nodes that are
+//! killed, paused and partitioned while changes are published, promoted, reverted and rejected.
 
 mod checks;
 mod rollout_checks;
--- a/crates/distribution/tests/schedules/rollout_checks.rs
+++ b/crates/distribution/tests/schedules/rollout_checks.rs
@@ -1,5 +1,5 @@
-//! What must hold of the rollouts of a schedule: no stage ends before its soak time or above its thresholds, and nothing
-//! that was rolled back stays applied.
+//! What must hold of the rollouts of a schedule: no stage ends before its soak time or above its thresholds, and
+//! nothing that was rolled back stays applied.
 
 use crate::checks::{expected_body, stable_body};
 use crate::rollouts::{RandomRollouts, StartedRollout};
@@ -12,9 +12,9 @@
 use reelfall_distribution::Time;
 use std::collections::BTreeMap;
 
-/// The share of all nodes.
+/// The share of all nodes, in thousandths.
 const ALL_NODES_THOUSANDTHS: u16 = 1000;
-/// The least ratio of a soak time on the world's clock to that on the clock of a publisher.
+/// Minimum ratio of a soak time on the world's clock to the same time on the clock of a publisher.
 const MIN_CLOCK_RATE: f64 = 0.999;
 
 /// The outcomes of the rollouts of schedules.
@@ -36,7 +36,7 @@
     thousandths: u16,
 }
 
-/// A rollout went from one stage to the next.
+/// An advance of a rollout from one stage to the next.
 struct Advance<'a> {
     at: Time,
     name: &'a Name,
@@ -98,8 +98,8 @@
         outcomes
     }
 
-    /// The rollout that this advance belongs to. A publisher that succeeds another one without knowing its last rollout may
-    /// continue an earlier one.
+    /// The rollout that this advance belongs to. A publisher that succeeds another one without knowing its last rollout
+    /// may continue an earlier one.
     fn rollout_of(&self, advance: &Advance) -> Option<&StartedRollout> {
         let stages = [advance.from.thousandths, advance.to_thousandths];
         self.started
@@ -114,7 +114,7 @@
             })
     }
 
-    /// Checks an advance against the policy of its rollout. Returns whether that one is known.
+    /// Checks an advance against the policy of its rollout. Returns whether that rollout is known.
     fn check_advance(&self, schedule: &Schedule, advance: &Advance) -> bool {
         let Some(rollout) = self.rollout_of(advance) else {
             return false;
@@ -171,20 +171,20 @@
             });
             assert!(
                 status.record.own_canary(canary).is_none(),
-                "{name:?} has ended, and its canary is left"
+                "{name:?} has ended, but its canary remains"
             );
             check_not_applied(schedule, rollout);
             if self.is_only_writer(name) {
                 assert_eq!(
                     stable_body(publisher, name),
                     rollout.body_before,
-                    "{name:?} does not have its content of before the rollout"
+                    "{name:?} does not have the content that it had before the rollout"
                 );
             }
         }
     }
 
-    /// Whether one rollout, and nothing else, has written the resource.
+    /// Whether one rollout, and nothing else, has changed the resource.
     fn is_only_writer(&self, name: &Name) -> bool {
         let rollouts = self
             .started
@@ -241,8 +241,8 @@
         .count() as u32
 }
 
-/// No node applies the content of this rollout, except those that reject what they are to return to: they retain the last
-/// content that they accepted.
+/// No node applies the content of this rollout, except those that reject what they are to return to: they retain the
+/// last content that they accepted.
 fn check_not_applied(schedule: &Schedule, rollout: &StartedRollout) {
     let name = &rollout.draft.name;
     let withdrawn = rollout.draft.content.bytes();
--- a/crates/distribution/tests/schedules/rollouts.rs
+++ b/crates/distribution/tests/schedules/rollouts.rs
@@ -1,4 +1,5 @@
-//! Random rollouts beside a schedule, from a generator of their own: the draws of the schedule stay as they are.
+//! Random rollouts in addition to a schedule. They have a random generator of their own, so that the draws of the
+//! schedule stay the same.
 
 use crate::checks::stable_body;
 use crate::schedule::Schedule;
@@ -13,7 +14,7 @@
 
 /// Combined with the seed of the schedule, so that the generators differ.
 const ROLLOUT_SEED_MASK: u64 = 0x0b5e_55ed;
-/// Resources that rollouts alone change, beside one that the schedule changes as well.
+/// Number of resources that only rollouts change, in addition to one that the schedule changes as well.
 const ROLLOUT_ONLY_ITEMS: u32 = 3;
 
 /// A rollout that a publisher has started.
--- a/crates/distribution/tests/schedules/schedule.rs
+++ b/crates/distribution/tests/schedules/schedule.rs
@@ -10,24 +10,24 @@
 use reelfall_distribution::Time;
 use std::collections::BTreeMap;
 
-/// How long a lease is held without being renewed, in seconds.
+/// Duration of a lease that is not renewed, in seconds.
 const LEASE_DURATION: Time = 10.0;
-/// After so long without faults all nodes have converged, in seconds.
+/// Time without faults after which all nodes have to have converged, in seconds.
 const CONVERGENCE_TIME: Time = 200.0;
-/// By which a lease ends earlier on the clock of its publisher, in seconds.
+/// How much earlier a lease ends on the clock of its publisher, in seconds.
 const MAX_CLOCK_ERROR: Time = 0.01;
-/// Resources of each group have names up to this number.
+/// Number of resource names in each group.
 pub const ITEMS_PER_GROUP: u32 = 4;
 
 pub struct Schedule {
     pub world: World,
     pub publishers: Vec<u32>,
     pub lease_holder: Option<u32>,
-    /// Of the current lease.
+    /// The fencing token of the current lease.
     pub token: u64,
     lease_until: Time,
-    /// The body of each resource that was published for all nodes last, none for a removal. Resources whose state is not
-    /// certain are missing.
+    /// The body of each resource that was last published for all nodes; `None` for a removal. Resources whose state is
+    /// not certain are missing.
     pub last_published: BTreeMap<Name, Option<Vec<u8>>>,
     versions: Vec<Version>,
     pub publish_count: usize,
--- a/crates/distribution/tests/staged_rollouts/fixture.rs
+++ b/crates/distribution/tests/staged_rollouts/fixture.rs
@@ -17,7 +17,7 @@
 
 /// See [`follow_relay_by_parity`].
 pub const RELAY_OF_ODD_NODES: u32 = 11;
-/// By then the publishers have received acknowledgements and refreshes of all nodes, in seconds.
+/// Time after which the publishers have received acknowledgements of all nodes, and their refreshes, in seconds.
 const SETTLE_TIME: Time = 90.0;
 
 /// A change of a stage of a rollout, or its end.
@@ -198,7 +198,7 @@
         .collect()
 }
 
-/// The publisher acquires the lease, and writes once it has caught up.
+/// A publisher acquires the lease, and publishes once it has caught up.
 pub fn take_over(world: &mut World, writer: Writer) {
     grant_lease(world, writer.publisher, writer.token, LEASE_DURATION);
     world.run(15.0);
--- a/crates/distribution/tests/staged_rollouts/limits.rs
+++ b/crates/distribution/tests/staged_rollouts/limits.rs
@@ -12,7 +12,7 @@
 use reelfall_distribution::rollout::record::RolloutRecord;
 use reelfall_distribution::subscriber::ACKNOWLEDGEMENT_REFRESH_INTERVAL;
 
-/// Records of ended rollouts that a publisher retains.
+/// Number of records of ended rollouts that a publisher retains.
 const MAX_RETAINED_RECORDS: usize = 64;
 
 #[test]
--- a/crates/distribution/tests/staged_rollouts/main.rs
+++ b/crates/distribution/tests/staged_rollouts/main.rs
@@ -1,5 +1,5 @@
-//! Staged rollouts over two publishers, two relays and twelve nodes: stages, soak times, rejections, partitioned regions,
-//! and publishers that crash or are succeeded.
+//! Staged rollouts over two publishers, two relays and twelve nodes: stages, soak times, rejections, partitioned
+//! regions, and publishers that crash or are succeeded.
 
 mod advance;
 mod fixture;
--- a/crates/distribution/tests/staged_rollouts/manual.rs
+++ b/crates/distribution/tests/staged_rollouts/manual.rs
@@ -51,7 +51,7 @@
         roll_out(&mut world, FIRST_WRITER, rollout_draft(NEW_BODY, halting)),
         Err(PublishError::RolloutOpen)
     );
-    // Nor does a successor continue it.
+    // A successor does not continue it either.
     world.kill(FIRST_WRITER.peer());
     take_over(&mut world, SECOND_WRITER);
     world.run(3.0 * SOAK_TIME);
@@ -116,7 +116,7 @@
     );
     assert!(is_canary_removed(&world, FIRST_WRITER.publisher));
     assert_applied_on_all_nodes(&world, b"other");
-    // A manual canary replaces that of a rollout, which leaves it alone.
+    // A manual canary replaces that of a rollout, and the superseded rollout does not remove it.
     start_rollout(&mut world, FIRST_WRITER, NEW_BODY, default_policy());
     world.run(SOAK_TIME / 2.0);
     let manual_canary = Draft::put(resource(), MANUAL_BODY);
--- a/crates/distribution/tests/staged_rollouts/publisher_failover.rs
+++ b/crates/distribution/tests/staged_rollouts/publisher_failover.rs
@@ -30,7 +30,7 @@
     assert_eq!(
         stage_changes(&world).len(),
         1,
-        "the rollout continued without a writer"
+        "the rollout continued without a publisher"
     );
     world.start(FIRST_WRITER.peer());
     let restarted_at = world.now;
@@ -156,7 +156,7 @@
     world.run(15.0);
     revert_canary(&mut world, SECOND_WRITER);
     world.run(100.0);
-    // It still counts on its lease, and had received reports of all of its first stage.
+    // It still assumes that it holds the lease, and had received the reports of all nodes of its first stage.
     assert!(world.publisher_of(FIRST_WRITER.publisher).is_publishing());
     world.run(200.0);
     assert!(
--- a/crates/distribution/tests/staged_rollouts/stage_verdict.rs
+++ b/crates/distribution/tests/staged_rollouts/stage_verdict.rs
@@ -23,7 +23,7 @@
     stage::evaluate(&policy, counts, policy.decision_time / 2.0)
 }
 
-/// So many of 100 nodes rejected, and no other one has decided.
+/// `rejected` of 100 nodes rejected, and no other node has decided.
 fn only_rejections(rejected: u32) -> StageCounts {
     StageCounts {
         known: 100,
--- a/crates/distribution/tests/upstream_failover.rs
+++ b/crates/distribution/tests/upstream_failover.rs
@@ -1,5 +1,5 @@
-//! How long a process that lost its upstream takes to follow another one while more of them are dead: candidates are tried
-//! in parallel, and none of them twice before all others. Each bound is computed from the configuration.
+//! How long a process that lost its upstream takes to follow another one while others are dead as well: candidates are
+//! tried in parallel, and none of them twice before all others. Each bound is computed from the configuration.
 
 mod world;
 
@@ -98,18 +98,21 @@
         let dead: Vec<u32> = NEAR.chain(FAR.step_by(2)).collect();
         let alive: Vec<u32> = FAR.filter(|id| !dead.contains(id)).collect();
         dead.iter().for_each(|id| world.kill(PeerId(*id)));
-        let most = failover_time(dead.len() - 1);
-        assert!(most <= MAX_FAILOVER_TIME, "{most}");
+        let limit = failover_time(dead.len() - 1);
+        assert!(limit <= MAX_FAILOVER_TIME, "{limit}");
         let began = world.now;
         while !NODES
             .into_iter()
             .all(|id| alive.iter().any(|relay| is_child(&world, *relay, id)))
         {
-            assert!(world.now - began < most, "seed {seed}: not within {most} s");
+            assert!(
+                world.now - began < limit,
+                "seed {seed}: not within {limit} s"
+            );
             world.run(0.05);
         }
         println!(
-            "seed {seed}: all have a session after {:.2} s, of {most:.2} s",
+            "seed {seed}: all nodes have a session after {:.2} s, of {limit:.2} s",
             world.now - began
         );
         world.invariants.verify();
@@ -161,20 +164,21 @@
     world.invariants.verify();
 }
 
-/// What a node sends to all candidates stays within the budget of one link, even if it tries more than that allows.
+/// What a node sends to all candidates stays within the budget of one link, even if it tries more candidates than that
+/// budget allows.
 #[test]
 fn many_connection_attempts_stay_within_one_link_budget() {
     const TEN_SECONDS: Time = 10.0;
     let mut world = World::new(12, CALM);
-    let nobody: Vec<u32> = (20..100).collect();
-    let follow = UpstreamConfig {
+    let absent_relays: Vec<u32> = (20..100).collect();
+    let upstream = UpstreamConfig {
         attempt_delay: 0.02,
-        ..UpstreamConfig::node(peers(&nobody))
+        ..UpstreamConfig::node(peers(&absent_relays))
     };
-    NODES.for_each(|id| node_with_upstream(&mut world, id, follow.clone()));
+    NODES.for_each(|id| node_with_upstream(&mut world, id, upstream.clone()));
     world.run(60.0);
     // The clocks of processes drift by less than a thousandth.
-    let most = 1.001 * TEN_SECONDS * Budget::NODE_UPLINK.bytes_per_second
+    let limit = 1.001 * TEN_SECONDS * Budget::NODE_UPLINK.bytes_per_second
         + Budget::NODE_UPLINK.burst_bytes;
     let mut busiest: f64 = 0.0;
     for id in NODES {
@@ -182,7 +186,7 @@
             .iter()
             .map(|attempt| attempt.peer)
             .collect();
-        assert_eq!(candidates.len(), nobody.len(), "{id}");
+        assert_eq!(candidates.len(), absent_relays.len(), "{id}");
         let frames = world
             .sent_frames
             .iter()
@@ -195,17 +199,18 @@
                 .iter()
                 .filter(|(at, _)| (*from..from + TEN_SECONDS).contains(at));
             let bytes: f64 = window.map(|(_, bytes)| bytes).sum();
-            assert!(bytes <= most, "{id}: {bytes} of {most} bytes from {from}");
+            assert!(bytes <= limit, "{id}: {bytes} of {limit} bytes from {from}");
             busiest = busiest.max(bytes);
         }
     }
     assert!(
-        busiest > 0.9 * most,
-        "the budget was not needed: {busiest} of {most} bytes"
+        busiest > 0.9 * limit,
+        "the budget was not needed: {busiest} of {limit} bytes"
     );
 }
 
-/// Responses arrive later than the next candidate is tried: the first one to respond is followed, the others are released.
+/// Responses arrive later than the next candidate is tried: the first one to respond is followed, the others are
+/// released.
 #[test]
 fn first_slow_upstream_is_followed_and_the_others_are_released() {
     let mut world = World::new(13, CALM);
@@ -225,8 +230,8 @@
     NODES.for_each(|id| node_of_region(&mut world, id, &relays, &[]));
     let config = UpstreamConfig::node(Vec::new());
     // The session is open, and the others have received their close: less than their silence timeout of 20 s.
-    let most = config.reconnect_jitter + config.open_timeout + 2.0;
-    world.run(most);
+    let limit = config.reconnect_jitter + config.open_timeout + 2.0;
+    world.run(limit);
     let mut tried_more_than_one = 0;
     for id in NODES {
         let sessions: Vec<u32> = relays
@@ -259,7 +264,8 @@
     world.invariants.verify();
 }
 
-/// A publisher that rejected a session is tried again after its retry delay, even while a dead one has not responded yet.
+/// A publisher that rejected a session is tried again after its retry delay, even while a dead one has not responded
+/// yet.
 #[test]
 fn relays_follow_a_successor_once_its_retry_delay_has_passed() {
     let retry_delay = 2.0 * DownstreamConfig::default().min_retry_after;
@@ -285,26 +291,26 @@
         let version = published.unwrap().unwrap();
         let began = world.now;
         let config = UpstreamConfig::relay(Vec::new());
-        let most = retry_delay + config.attempt_delay + 2.0 * ROUND_TRIPS;
-        let has_it =
+        let limit = retry_delay + config.attempt_delay + 2.0 * ROUND_TRIPS;
+        let has_change =
             |world: &World, id: &u32| world.relay_of(*id).coverage().last_version() >= version;
         let mut times: BTreeMap<u32, Time> = BTreeMap::new();
         while times.len() < relays.len() {
-            let passed = world.now - began;
+            let elapsed = world.now - began;
             assert!(
-                passed < most,
-                "seed {seed}: {} of {} relays within {most} s",
+                elapsed < limit,
+                "seed {seed}: {} of {} relays within {limit} s",
                 times.len(),
                 relays.len()
             );
-            let now_there = relays
+            let newly_updated = relays
                 .iter()
-                .filter(|id| !times.contains_key(id) && has_it(&world, id));
-            times.extend(now_there.map(|id| (*id, passed)).collect::<Vec<_>>());
+                .filter(|id| !times.contains_key(id) && has_change(&world, id));
+            times.extend(newly_updated.map(|id| (*id, elapsed)).collect::<Vec<_>>());
             world.run(0.02);
         }
         let last = times.values().copied().fold(0.0, f64::max);
-        println!("seed {seed}: all relays have it after {last:.2} s, of {most:.2} s");
+        println!("seed {seed}: all relays have the change after {last:.2} s, of {limit:.2} s");
         world.invariants.verify();
     }
 }
@@ -318,12 +324,12 @@
     world.add_relay(FAR.start, &[1]);
     grant_lease(&mut world, 1, 1, 1e6);
     world.run(20.0);
-    let nobody: Vec<u32> = (FAR.end..NODES.start).collect();
-    NODES.for_each(|id| node_of_region(&mut world, id, &nobody, &[FAR.start]));
+    let absent_relays: Vec<u32> = (FAR.end..NODES.start).collect();
+    NODES.for_each(|id| node_of_region(&mut world, id, &absent_relays, &[FAR.start]));
     let config = UpstreamConfig::node(Vec::new());
     world.run(config.reconnect_jitter + TRIES_BEFORE_FALLBACK * config.attempt_delay + ROUND_TRIPS);
-    let without: Vec<u32> = NODES
+    let unconnected: Vec<u32> = NODES
         .filter(|id| !is_child(&world, FAR.start, *id))
         .collect();
-    assert_eq!(without, [0; 0]);
+    assert_eq!(unconnected, [0; 0]);
 }
--- a/crates/distribution/tests/world/deployment.rs
+++ b/crates/distribution/tests/world/deployment.rs
@@ -17,7 +17,7 @@
 /// Nodes have odd and even ids; the odd ones reject bodies with this prefix.
 pub const REJECTED_BY_ODD_NODES: &[u8] = b"bad for odd";
 
-/// Of publishers and relays.
+/// Limits of the logs of publishers and relays.
 const SERVER_CAPACITY: Capacity = Capacity {
     max_keys: 10_000,
     max_bytes: 64 << 20,
@@ -27,7 +27,7 @@
     max_bytes: 8 << 20,
     ..SERVER_CAPACITY
 };
-/// Of nodes, in seconds.
+/// Minimum time between two acknowledgements of a node, in seconds.
 const ACKNOWLEDGEMENT_INTERVAL: Time = 2.0;
 
 pub fn lease() -> LeaseName {
--- a/crates/distribution/tests/world/invariants.rs
+++ b/crates/distribution/tests/world/invariants.rs
@@ -10,11 +10,11 @@
 use reelfall_distribution::Time;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The most that is sent between a relay and a node within [`WINDOW`], in bytes.
+/// Maximum number of bytes sent between a relay and a node within [`WINDOW`].
 pub const MAX_WINDOW_BYTES: usize = 80_000;
-/// See [`MAX_WINDOW_BYTES`], in seconds.
+/// Interval to which [`MAX_WINDOW_BYTES`] applies, in seconds.
 pub const WINDOW: Time = 10.0;
-/// Publishers and relays have lower ids.
+/// The first id of a node; publishers and relays have lower ids.
 pub const FIRST_NODE: u32 = 100;
 const MAX_SHOWN_VIOLATIONS: usize = 5;
 
@@ -62,14 +62,14 @@
 
 #[derive(Default)]
 pub struct InvariantChecker {
-    /// Of each node and resource, the last version that it applied.
+    /// The last version that each node applied of each resource.
     applied: BTreeMap<(PeerId, Name), Version>,
     windows: BTreeMap<(Run, Run), Window>,
     /// In the order of time.
     published: Vec<PublishedVersion>,
     pub violations: Vec<String>,
     pub events: Vec<RecordedEvent>,
-    /// The most that was sent between a relay and a node within [`WINDOW`].
+    /// The greatest number of bytes sent between a relay and a node within [`WINDOW`].
     pub max_window_bytes: usize,
 }
 
@@ -133,7 +133,7 @@
         }
     }
 
-    /// A node has all versions that were published before its configuration grew stale by its own account.
+    /// A node has all versions that were published before the time up to which it reports its configuration as current.
     fn check_staleness(&mut self, at: Time, id: PeerId, node: &Subscriber, clock: Time) {
         let staleness = node.staleness(clock);
         let current_at = at - staleness;
@@ -147,7 +147,7 @@
         let head = node.head();
         if required.is_some_and(|required| head < required) {
             self.violations.push(format!(
-                "{at}: {id:?} shows a staleness of {staleness} s, and has {head:?}, not {required:?}"
+                "{at}: {id:?} reports a staleness of {staleness} s, and has {head:?}, not {required:?}"
             ));
         }
     }
--- a/crates/distribution/tests/world/mod.rs
+++ b/crates/distribution/tests/world/mod.rs
@@ -1,5 +1,6 @@
-//! Publishers, relays and nodes in virtual time, over links that lose, duplicate and delay frames and are partitioned. Processes
-//! are paused, killed between two outputs, and restarted from their disks. Invariants are checked on the world's clock.
+//! Publishers, relays and nodes in virtual time, over links that lose, duplicate and delay frames and are partitioned.
+//! Processes are paused, killed between two outputs, and restarted from their disks. Invariants are checked on the
+//! world's clock.
 
 // Each test binary uses a part of this module.
 #![allow(dead_code, unused_imports)]
@@ -29,7 +30,7 @@
 use reelfall_distribution::Time;
 use std::collections::BTreeMap;
 
-/// The least time between two polls of a process, in seconds.
+/// Minimum time between two polls of a process, in seconds.
 const MIN_POLL_INTERVAL: Time = 1e-4;
 
 enum Event {
@@ -60,7 +61,7 @@
 /// The order of events: by time, then in the order in which they were scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EventKey {
-    /// The bits of a time that is not negative sort as the time does.
+    /// The bits of the time; for a time that is not negative, they sort like the time.
     time_bits: u64,
     number: u64,
 }
@@ -77,14 +78,14 @@
     events: BTreeMap<EventKey, Event>,
     next_event_number: u64,
     pub processes: BTreeMap<PeerId, Process>,
-    /// The poll of each process among the events.
+    /// The key of the scheduled poll of each process.
     polls: BTreeMap<PeerId, EventKey>,
     /// Until when frames between two processes are lost; the lower id is first.
     partitions: BTreeMap<(PeerId, PeerId), Time>,
     pub network: Network,
     pub invariants: InvariantChecker,
     pub sent_frames: Vec<SentFrame>,
-    /// Of all frames with their times, where a test sets it.
+    /// Hasher of all frames with their times, if a test sets it.
     pub digest: Option<blake3::Hasher>,
 }
 
@@ -143,7 +144,7 @@
         self.processes.get_mut(&id).unwrap().crash_after_outputs = Some(outputs);
     }
 
-    /// A paused process does nothing; its frames wait.
+    /// Pauses a process: frames to it are delivered when the pause ends.
     pub fn pause(&mut self, id: PeerId, duration: Time) {
         let until = self.now + duration;
         let process = self.processes.get_mut(&id).unwrap();
--- a/crates/distribution/tests/world/network.rs
+++ b/crates/distribution/tests/world/network.rs
@@ -6,7 +6,7 @@
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::Time;
 
-/// In seconds.
+/// The range of the delay of a frame, in seconds.
 #[derive(Clone, Copy)]
 pub struct DelayRange {
     pub min: Time,
@@ -22,7 +22,7 @@
     pub delay: DelayRange,
 }
 
-/// Short delays, and nothing else.
+/// Short delays, without losses or duplicates.
 pub const CALM: Network = Network {
     loss: 0.0,
     duplication: 0.0,
@@ -41,7 +41,7 @@
 }
 
 impl World {
-    /// Frames between two processes are lost for this many seconds.
+    /// Drops the frames between two processes for this many seconds.
     pub fn partition(&mut self, one: PeerId, other: PeerId, duration: Time) {
         let pair = (one.min(other), one.max(other));
         self.partitions.insert(pair, self.now + duration);
--- a/crates/distribution/tests/world/payloads.rs
+++ b/crates/distribution/tests/world/payloads.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// A part of the third change, the body of which has this length and hash.
+/// A chunk of the third change, whose body has this length and hash.
 pub fn chunk_payload(offset: u32, total: u32, bytes: &[u8], hash: ContentHash) -> Payload {
     const SEQUENCE: u64 = 3;
     let chunk = Chunk {
--- a/crates/distribution/tests/world/process.rs
+++ b/crates/distribution/tests/world/process.rs
@@ -31,7 +31,7 @@
 
 pub struct Process {
     pub config: Config,
-    /// None while the process does not run.
+    /// `None` while the process does not run.
     pub machine: Option<Machine>,
     pub disk: Vec<Record>,
     pub incarnation: u64,
@@ -42,7 +42,7 @@
     pub(super) clock_rate: f64,
     /// Outputs that it still performs before it is killed.
     pub(super) crash_after_outputs: Option<usize>,
-    /// From [`Output::Apply`] to the node's answer.
+    /// Time from [`Output::Apply`] to the driver's answer, in seconds.
     pub apply_delay: Time,
 }
 
--- a/crates/distribution/tests/world/writer.rs
+++ b/crates/distribution/tests/world/writer.rs
@@ -1,9 +1,10 @@
-//! The publishers of [`two_publishers_and_relays`](super::two_publishers_and_relays), with the tokens by which they write.
+//! The publishers of [`two_publishers_and_relays`](super::two_publishers_and_relays), with the tokens of the leases
+//! under which they publish.
 
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::Time;
 
-/// A publisher and the token of the lease by which it writes.
+/// A publisher and the token of the lease under which it publishes.
 #[derive(Clone, Copy)]
 pub struct Writer {
     pub publisher: u32,
@@ -21,12 +22,12 @@
     publisher: 1,
     token: 1,
 };
-/// Succeeds the first one where a case says so.
+/// Succeeds the first one in cases that grant it the lease.
 pub const SECOND_WRITER: Writer = Writer {
     publisher: 2,
     token: 2,
 };
-/// Follow both publishers.
+/// The relays, which follow both publishers.
 pub const RELAYS: [u32; 2] = [10, 11];
-/// Longer than any case, in seconds.
+/// Duration of a lease in seconds, longer than any case takes.
 pub const LEASE_DURATION: Time = 1e6;
