--- a/crates/distribution/src/child_subscription.rs
+++ b/crates/distribution/src/child_subscription.rs
@@ -185,9 +185,7 @@
             replica
                 .log
                 .newest_uncovered_before(&self.selector, &self.coverage, oldest);
-        let after = missing_before.map_or(replica_span.after, |missing| {
-            missing.max(replica_span.after)
-        });
+        let after = missing_before.map_or(replica_span.after, |gap| gap.max(replica_span.after));
         let mut span = Span {
             after,
             through: replica_span.through,
