--- a/crates/node/src/net/frontend.rs
+++ b/crates/node/src/net/frontend.rs
@@ -59,13 +59,13 @@
 
 /// A listener and the task that accepts on it.
 struct ActiveListener {
-    listening: Rc<ListenSocket>,
+    socket: Rc<ListenSocket>,
     _accept_task: AbortOnDrop,
 }
 
 impl ActiveListener {
-    fn is(&self, listening: &Rc<ListenSocket>) -> bool {
-        Rc::ptr_eq(&self.listening, listening)
+    fn is(&self, socket: &Rc<ListenSocket>) -> bool {
+        Rc::ptr_eq(&self.socket, socket)
     }
 }
 
@@ -73,7 +73,7 @@
 pub struct Frontend {
     shared: Rc<Shared>,
     routing: RefCell<Rc<Routing>>,
-    listening: RefCell<Vec<ActiveListener>>,
+    listeners: RefCell<Vec<ActiveListener>>,
     clients: RefCell<HashMap<ClientId, Rc<Client>>>,
     next_client_id: Cell<ClientId>,
     max_clients: Cell<usize>,
@@ -99,14 +99,14 @@
 
 impl Frontend {
     /// A frontend without listeners. `seed` is for generated ids and for retry advice.
-    pub fn new(shared: Rc<Shared>, routing: Routing, clients: usize, seed: u64) -> Rc<Self> {
+    pub fn new(shared: Rc<Shared>, routing: Routing, max_clients: usize, seed: u64) -> Rc<Self> {
         Rc::new(Frontend {
             shared,
             routing: RefCell::new(Rc::new(routing)),
-            listening: RefCell::default(),
+            listeners: RefCell::default(),
             clients: RefCell::default(),
             next_client_id: Cell::new(0),
-            max_clients: Cell::new(clients),
+            max_clients: Cell::new(max_clients),
             eviction_order: Rc::default(),
             client_ended: Notify::new(),
             is_stopping: Cell::new(false),
@@ -120,23 +120,23 @@
     }
 
     /// Replaces the routing. Requests that have been routed are not affected.
-    pub fn route(&self, routing: Routing, clients: usize) {
+    pub fn set_routing(&self, routing: Routing, max_clients: usize) {
         self.routing.replace(Rc::new(routing));
-        self.max_clients.set(clients);
+        self.max_clients.set(max_clients);
     }
 
     /// Accepts clients on these listeners and no longer on others. Clients of removed listeners stay connected.
-    pub fn listen(self: &Rc<Self>, listening: Vec<Rc<ListenSocket>>) {
-        let mut active = self.listening.borrow_mut();
+    pub fn set_listeners(self: &Rc<Self>, sockets: Vec<Rc<ListenSocket>>) {
+        let mut active = self.listeners.borrow_mut();
         active.retain(|old| {
-            let stays = listening.iter().any(|new| old.is(new));
+            let stays = sockets.iter().any(|new| old.is(new));
             if !stays {
-                old.listening.tag.id.set(None);
-                self.drain_backlog(&old.listening);
+                old.socket.tag.id.set(None);
+                self.drain_backlog(&old.socket);
             }
             stays
         });
-        for (id, new) in listening.into_iter().enumerate() {
+        for (id, new) in sockets.into_iter().enumerate() {
             new.tag.id.set(ListenerId::try_from(id).ok());
             if !active.iter().any(|old| old.is(&new)) {
                 active.push(self.start_accepting(new));
@@ -144,18 +144,18 @@
         }
     }
 
-    fn start_accepting(self: &Rc<Self>, listening: Rc<ListenSocket>) -> ActiveListener {
-        let (frontend, accepting) = (self.clone(), listening.clone());
+    fn start_accepting(self: &Rc<Self>, socket: Rc<ListenSocket>) -> ActiveListener {
+        let (frontend, accepting) = (self.clone(), socket.clone());
         let task = tokio::task::spawn_local(async move { frontend.accept(&accepting).await });
         ActiveListener {
-            listening,
+            socket,
             _accept_task: AbortOnDrop(task.abort_handle()),
         }
     }
 
     /// Changes the limit of clients.
-    pub fn set_max_clients(&self, clients: usize) {
-        self.max_clients.set(clients);
+    pub fn set_max_clients(&self, max_clients: usize) {
+        self.max_clients.set(max_clients);
     }
 
     /// Lets the state of the handover decide whether this process accepts.
@@ -177,31 +177,31 @@
     }
 
     /// The listeners in use.
-    pub fn listening(&self) -> Vec<Rc<ListenSocket>> {
-        self.listening
+    pub fn listeners(&self) -> Vec<Rc<ListenSocket>> {
+        self.listeners
             .borrow()
             .iter()
-            .map(|active| active.listening.clone())
+            .map(|active| active.socket.clone())
             .collect()
     }
 
     /// The listener of a name and address, if there is one.
     pub fn listener(&self, name: &str, address: SocketAddr) -> Option<Rc<ListenSocket>> {
-        let listening = self.listening.borrow();
-        let found = listening
+        let listeners = self.listeners.borrow();
+        let found = listeners
             .iter()
-            .find(|active| active.listening.name() == name && active.listening.address == address);
-        found.map(|active| active.listening.clone())
+            .find(|active| active.socket.name() == name && active.socket.address == address);
+        found.map(|active| active.socket.clone())
     }
 
     /// The names and bound addresses of the listeners.
     pub fn addresses(&self) -> Vec<(String, SocketAddr)> {
-        let listening = self.listening.borrow();
-        listening
+        let listeners = self.listeners.borrow();
+        listeners
             .iter()
             .map(|active| {
-                let listening = &active.listening;
-                (listening.name().to_owned(), listening.bound_address())
+                let socket = &active.socket;
+                (socket.name().to_owned(), socket.bound_address())
             })
             .collect()
     }
--- a/crates/node/src/net/frontend/accept.rs
+++ b/crates/node/src/net/frontend/accept.rs
@@ -24,14 +24,14 @@
 
 impl Frontend {
     /// Serves the connections that the system has already accepted, since closing the listener would reset them.
-    pub(super) fn drain_backlog(self: &Rc<Self>, listening: &Rc<ListenSocket>) {
+    pub(super) fn drain_backlog(self: &Rc<Self>, socket: &Rc<ListenSocket>) {
         let mut waker = Context::from_waker(Waker::noop());
-        while let Poll::Ready(Ok((stream, _))) = listening.listener.poll_accept(&mut waker) {
-            self.clone().spawn_client(stream, listening);
+        while let Poll::Ready(Ok((stream, _))) = socket.listener.poll_accept(&mut waker) {
+            self.clone().spawn_client(stream, socket);
         }
     }
 
-    pub(super) async fn accept(self: &Rc<Self>, listening: &Rc<ListenSocket>) {
+    pub(super) async fn accept(self: &Rc<Self>, socket: &Rc<ListenSocket>) {
         loop {
             if self.is_full() {
                 self.wait_for_capacity().await;
@@ -44,10 +44,10 @@
             let accepted = tokio::select! {
                 biased;
                 () = self.handover_changed.notified() => continue,
-                accepted = listening.listener.accept() => accepted,
+                accepted = socket.listener.accept() => accepted,
             };
             match accepted {
-                Ok((stream, _)) => self.clone().spawn_client(stream, listening),
+                Ok((stream, _)) => self.clone().spawn_client(stream, socket),
                 Err(e) => {
                     // Usually out of file descriptors; the error persists until one is free, so wait.
                     self.shared.log.write_line(format_args!("accept: {e}"));
@@ -94,12 +94,12 @@
         client.wake.notify_one();
     }
 
-    pub(super) fn spawn_client(self: Rc<Self>, stream: TcpStream, listening: &Rc<ListenSocket>) {
+    pub(super) fn spawn_client(self: Rc<Self>, stream: TcpStream, socket: &Rc<ListenSocket>) {
         let id = self.next_client_id.get();
         self.next_client_id.set(id + 1);
         let client = Rc::new(Client::new(
             id,
-            listening.tag.clone(),
+            socket.tag.clone(),
             self.eviction_order.clone(),
         ));
         self.clients.borrow_mut().insert(id, client.clone());
--- a/crates/node/src/net/frontend/admission.rs
+++ b/crates/node/src/net/frontend/admission.rs
@@ -52,10 +52,10 @@
         self: &Rc<Self>,
         service: &Service,
     ) -> Result<Option<Permit>, AdmissionError> {
-        let Some(member) = service.member else {
+        let Some(service_id) = service.service_id else {
             return Ok(None);
         };
-        self.shared.admit(member).map_err(|denial| {
+        self.shared.admit(service_id).map_err(|denial| {
             let max_retry_after = service.max_retry_after.get();
             match denial {
                 LimitExceeded::RateExceeded(next_slot_in) => AdmissionError::RateLimited {
--- a/crates/node/src/net/frontend/handover.rs
+++ b/crates/node/src/net/frontend/handover.rs
@@ -41,12 +41,15 @@
 
     /// Takes a client over from another process.
     pub fn accept_handover(self: &Rc<Self>, descriptor: std::net::TcpStream, listener: &str) {
-        let listening = self.listening().into_iter().find(|l| l.name() == listener);
+        let socket = self
+            .listeners()
+            .into_iter()
+            .find(|socket| socket.name() == listener);
         let stream = descriptor
             .set_nonblocking(true)
             .and_then(|()| TcpStream::from_std(descriptor));
-        match (listening, stream) {
-            (Some(listening), Ok(stream)) => self.clone().spawn_client(stream, &listening),
+        match (socket, stream) {
+            (Some(socket), Ok(stream)) => self.clone().spawn_client(stream, &socket),
             // The listener is no longer in the settings, or the descriptor is unusable: the connection is closed.
             (_, stream) => drop(stream),
         }
--- a/crates/node/src/net/frontend/request.rs
+++ b/crates/node/src/net/frontend/request.rs
@@ -119,8 +119,8 @@
         client: &Rc<Client>,
     ) -> Response<ResponseBody> {
         // The head is checked only after the body was read: an answer that is sent while data is unread may be lost.
-        let member = admitted.service.member;
-        let body = match self.buffer_or_stream(body, member).await {
+        let service_id = admitted.service.service_id;
+        let body = match self.buffer_or_stream(body, service_id).await {
             Ok(body) => body,
             Err(error) => return error.response(),
         };
--- a/crates/node/src/net/frontend/request_body.rs
+++ b/crates/node/src/net/frontend/request_body.rs
@@ -45,7 +45,7 @@
     pub(super) async fn buffer_or_stream(
         &self,
         mut body: Incoming,
-        member: Option<ServiceId>,
+        service_id: Option<ServiceId>,
     ) -> Result<RequestBody, BodyError> {
         let size = body.size_hint().exact();
         if size.is_some_and(|size| size > MAX_BUFFERED_BODY_BYTES as u64) {
@@ -63,7 +63,9 @@
             let needs_memory = data.len() > UNRESERVED_BODY_BYTES;
             if needs_memory && memory.is_none() {
                 // Reserved at once for the largest possible size: growing bodies must not wait for each other.
-                memory = self.shared.reserve_body(member, kib_permits(expected_size));
+                memory = self
+                    .shared
+                    .reserve_body(service_id, kib_permits(expected_size));
             }
             if data.len() > MAX_BUFFERED_BODY_BYTES || (needs_memory && memory.is_none()) {
                 let payload = Payload::Streamed(StreamedBody::new(data.freeze(), body, size));
@@ -78,7 +80,7 @@
     pub(in crate::net) async fn buffer_body(
         &self,
         mut body: Incoming,
-        member: Option<ServiceId>,
+        service_id: Option<ServiceId>,
     ) -> Result<BufferedBody, BodyError> {
         let expected_size = expected_size(&body);
         let mut memory: Option<MemoryPermit> = None;
@@ -93,7 +95,9 @@
             }
             if !is_out_of_memory && size > granted_size {
                 // Reserved at once for the largest possible size: growing bodies must not wait for each other.
-                memory = self.shared.reserve_body(member, kib_permits(expected_size));
+                memory = self
+                    .shared
+                    .reserve_body(service_id, kib_permits(expected_size));
                 if memory.is_some() {
                     granted_size = MAX_BUFFERED_BODY_BYTES;
                 } else {
--- a/crates/node/src/net/frontend/shutdown.rs
+++ b/crates/node/src/net/frontend/shutdown.rs
@@ -110,7 +110,7 @@
             handover.end_accept_grace();
         }
         if !shares_listeners {
-            self.listen(Vec::new());
+            self.set_listeners(Vec::new());
         }
         for client in self.clients.borrow().values() {
             if !client.close_when_idle.replace(true) {
--- a/crates/node/src/net/graphql.rs
+++ b/crates/node/src/net/graphql.rs
@@ -56,7 +56,7 @@
         client: &Rc<Client>,
     ) -> HttpResponse {
         let BufferedBody { data: body, memory } =
-            match self.buffer_body(body, admitted.service.member).await {
+            match self.buffer_body(body, admitted.service.service_id).await {
                 Ok(body) => body,
                 Err(error) => return error.response(),
             };
--- a/crates/node/src/net/graphql/batch.rs
+++ b/crates/node/src/net/graphql/batch.rs
@@ -179,8 +179,8 @@
     fn admit_entry(&mut self) -> Result<Option<Permit>, LimitExceeded> {
         match std::mem::replace(&mut self.admission, BatchAdmission::Used) {
             BatchAdmission::Unused(admission) => Ok(admission),
-            BatchAdmission::Used => match self.service.member {
-                Some(member) => self.frontend.shared().admit(member),
+            BatchAdmission::Used => match self.service.service_id {
+                Some(service_id) => self.frontend.shared().admit(service_id),
                 None => Ok(None),
             },
         }
--- a/crates/node/src/net/pool.rs
+++ b/crates/node/src/net/pool.rs
@@ -54,7 +54,7 @@
     /// What the pools of the process share.
     pub shared: Rc<Shared>,
     /// The service's entry in the shared limits, if several services share the process.
-    pub member: Option<ServiceId>,
+    pub service_id: Option<ServiceId>,
 }
 
 /// The engine of one pool and all that it acts on.
@@ -107,7 +107,7 @@
             seed,
             list_origin,
             shared,
-            member,
+            service_id,
         } = config;
         let classes = settings.classes.clone();
         let idle_timeout = settings.limits.idle_connection_timeout;
@@ -118,7 +118,7 @@
         let instances = shared.listed_by_pool();
         let connect_timeout = connection_settings.connect_timeout;
         let connections =
-            ConnectionPool::new(shared.clone(), member, idle_timeout, connect_timeout);
+            ConnectionPool::new(shared.clone(), service_id, idle_timeout, connect_timeout);
         let pool = Rc::new(Pool {
             id: shared.next_pool_id(),
             engine: RefCell::new(Engine::new(module, &classes, max_attempts)),
--- a/crates/node/src/net/service.rs
+++ b/crates/node/src/net/service.rs
@@ -43,7 +43,7 @@
     /// Its servers.
     pub pool: Rc<Pool>,
     /// Its entry in the limits, if several services share the process.
-    pub member: Option<ServiceId>,
+    pub service_id: Option<ServiceId>,
     /// Whether it finishes its requests and rejects new ones.
     pub is_draining: Cell<bool>,
     /// Maximum time after which a rejected client is advised to retry, in seconds; 0 for no advice.
@@ -78,7 +78,7 @@
         Rc::new(Service {
             name: String::new(),
             pool,
-            member: None,
+            service_id: None,
             is_draining: Cell::new(false),
             max_retry_after: Cell::new(0.0),
             graphql: RefCell::default(),
@@ -94,7 +94,7 @@
         shared: &Rc<Shared>,
         planned: &PlannedService,
         seed: u64,
-        member: Option<ServiceId>,
+        service_id: Option<ServiceId>,
     ) -> Result<Rc<Self>, StartServiceError> {
         let service = planned.model;
         let config = planned.prepared.plan.balancer_config(service);
@@ -106,13 +106,13 @@
             seed,
             list_origin: list_origin(&service.source),
             shared: shared.clone(),
-            member,
+            service_id,
         })?;
         let source = follow_source(&pool, planned, registry_access)?;
         Ok(Rc::new(Service {
             name: service.name.clone(),
             pool,
-            member,
+            service_id,
             is_draining: Cell::new(service.state == model::ServiceState::Draining),
             max_retry_after: Cell::new(service.attempts.max_retry_after),
             graphql: RefCell::new(graphql_settings(service, None)?),
@@ -177,8 +177,8 @@
         self.is_draining
             .set(service.state == model::ServiceState::Draining);
         self.max_retry_after.set(service.attempts.max_retry_after);
-        if let Some(member) = self.member {
-            shared.set_allowed(member, &service.limits);
+        if let Some(service_id) = self.service_id {
+            shared.set_service_limits(service_id, &service.limits);
         }
     }
 }
--- a/crates/node/src/net/service/services.rs
+++ b/crates/node/src/net/service/services.rs
@@ -72,7 +72,7 @@
             .map(|service| (service.name.as_str(), service))
             .collect();
         let mut services = Vec::with_capacity(prepared.services.len());
-        let mut added_members = Vec::new();
+        let mut added_ids = Vec::new();
         for planned in prepared.planned_services() {
             let name = &planned.model.name;
             let existing = current_by_name.get(name.as_str()).copied();
@@ -83,16 +83,16 @@
                 continue;
             }
             // A service and the one that replaces it share one entry in the limits, and thus one amount.
-            let member = existing.and_then(|service| service.member).or_else(|| {
-                let added = self.shared.add_member(&planned.model.limits);
-                added_members.extend(added);
+            let service_id = existing.and_then(|service| service.service_id).or_else(|| {
+                let added = self.shared.add_service(&planned.model.limits);
+                added_ids.extend(added);
                 added
             });
-            let started = Service::start(&self.shared, &planned, self.next_seed(), member);
+            let started = Service::start(&self.shared, &planned, self.next_seed(), service_id);
             match started {
                 Ok(service) => services.push(service),
                 Err(source) => {
-                    self.remove_members(added_members);
+                    self.remove_from_limits(added_ids);
                     return Err(ApplyPlanError {
                         service: name.clone(),
                         source,
@@ -109,9 +109,9 @@
         seed
     }
 
-    fn remove_members(&self, members: impl IntoIterator<Item = ServiceId>) {
-        for member in members {
-            self.shared.remove_member(member);
+    fn remove_from_limits(&self, service_ids: impl IntoIterator<Item = ServiceId>) {
+        for service_id in service_ids {
+            self.shared.remove_service(service_id);
         }
     }
 
@@ -137,8 +137,9 @@
 
     /// Leaves a removed service what it uses until it has finished, but reserves nothing for it.
     fn release_reservations(&self, service: &Service) {
-        if let Some(member) = service.member {
-            self.shared.set_allowed(member, &ServiceLimits::UNLIMITED);
+        if let Some(service_id) = service.service_id {
+            self.shared
+                .set_service_limits(service_id, &ServiceLimits::UNLIMITED);
         }
     }
 
@@ -155,11 +156,11 @@
     /// Removes replaced or removed services that have finished their requests.
     pub fn remove_drained(&self) {
         for service in self.take_drained() {
-            let has_same_member = |other: &Rc<Service>| other.member == service.member;
-            let is_member_used = self.current.borrow().services().iter().any(has_same_member)
-                || self.draining_services.borrow().iter().any(has_same_member);
-            if !is_member_used {
-                self.remove_members(service.member);
+            let has_same_id = |other: &Rc<Service>| other.service_id == service.service_id;
+            let is_id_used = self.current.borrow().services().iter().any(has_same_id)
+                || self.draining_services.borrow().iter().any(has_same_id);
+            if !is_id_used {
+                self.remove_from_limits(service.service_id);
             }
         }
     }
--- a/crates/node/src/net/service/tests.rs
+++ b/crates/node/src/net/service/tests.rs
@@ -99,7 +99,7 @@
         let third = apply(&services, &settings_text(&[later, b.clone()]));
         assert!(!has_same_pool(&first[0], &third[0]) && has_same_pool(&first[1], &third[1]));
         assert_eq!(
-            first[0].member, third[0].member,
+            first[0].service_id, third[0].service_id,
             "the new pool has another account of resources"
         );
         assert!(third
--- a/crates/node/src/net/shared/connections.rs
+++ b/crates/node/src/net/shared/connections.rs
@@ -114,7 +114,7 @@
     pub fn reserve_connection(
         self: &Rc<Self>,
         address: SocketAddr,
-        member: Option<ServiceId>,
+        service_id: Option<ServiceId>,
     ) -> Result<ConnectionPermit, QuotaExceeded> {
         if self.connections.is_server_full(&address) {
             self.evict_idle(Some(address))
@@ -123,9 +123,9 @@
         if self.connections.is_full() {
             self.evict_idle(None).ok_or(QuotaExceeded::Exhausted)?;
         }
-        let permit = match member {
+        let permit = match service_id {
             None => None,
-            Some(member) => Some(self.reserve_service_connection(member)?),
+            Some(service_id) => Some(self.reserve_service_connection(service_id)?),
         };
         let counted_server = self.combines_lists().then_some(address);
         self.connections.add(counted_server);
@@ -138,14 +138,14 @@
 
     fn reserve_service_connection(
         self: &Rc<Self>,
-        member: ServiceId,
+        service_id: ServiceId,
     ) -> Result<Permit, QuotaExceeded> {
-        match self.reserve_units(member, Resource::Connections, 1) {
+        match self.reserve_units(service_id, Resource::Connections, 1) {
             Ok(permit) => Ok(permit),
             Err(QuotaExceeded::OwnLimit) => Err(QuotaExceeded::OwnLimit),
             Err(denied) => {
                 self.evict_idle(None).ok_or(denied)?;
-                self.reserve_units(member, Resource::Connections, 1)
+                self.reserve_units(service_id, Resource::Connections, 1)
             }
         }
     }
--- a/crates/node/src/net/shared/listed/tests.rs
+++ b/crates/node/src/net/shared/listed/tests.rs
@@ -35,7 +35,7 @@
         seed: 1,
         list_origin,
         shared: shared.clone(),
-        member: None,
+        service_id: None,
     })
     .expect("a pool")
 }
--- a/crates/node/src/net/shared/memory.rs
+++ b/crates/node/src/net/shared/memory.rs
@@ -55,30 +55,30 @@
     /// Reserves memory for the body of a request, if there is enough now.
     pub fn reserve_body(
         self: &Rc<Self>,
-        member: Option<ServiceId>,
+        service_id: Option<ServiceId>,
         kib: u32,
     ) -> Option<MemoryPermit> {
-        self.try_reserve(&self.buffer_memory.request_bodies, member, kib)
+        self.try_reserve(&self.buffer_memory.request_bodies, service_id, kib)
     }
 
     /// Reserves memory for a response, if there is enough now.
     pub fn reserve_answer(
         self: &Rc<Self>,
-        member: Option<ServiceId>,
+        service_id: Option<ServiceId>,
         kib: u32,
     ) -> Option<MemoryPermit> {
-        self.try_reserve(&self.buffer_memory.responses, member, kib)
+        self.try_reserve(&self.buffer_memory.responses, service_id, kib)
     }
 
     fn try_reserve(
         self: &Rc<Self>,
         process_memory: &Arc<Semaphore>,
-        member: Option<ServiceId>,
+        service_id: Option<ServiceId>,
         kib: u32,
     ) -> Option<MemoryPermit> {
-        match member {
-            Some(member) => self
-                .reserve_units(member, Resource::Memory, kib.into())
+        match service_id {
+            Some(service_id) => self
+                .reserve_units(service_id, Resource::Memory, kib.into())
                 .ok()
                 .map(MemoryPermit::Service),
             None => process_memory
@@ -92,11 +92,11 @@
     /// Reserves memory for a response and waits for it until the deadline.
     pub async fn reserve_answer_by(
         self: &Rc<Self>,
-        member: Option<ServiceId>,
+        service_id: Option<ServiceId>,
         kib: u32,
         deadline: Instant,
     ) -> Option<MemoryPermit> {
-        if member.is_none() {
+        if service_id.is_none() {
             let acquire = self.buffer_memory.responses.clone().acquire_many_owned(kib);
             return timeout_at(deadline.into(), acquire)
                 .await
@@ -106,7 +106,7 @@
         }
         loop {
             let freed = self.buffer_memory.freed.notified();
-            if let Some(permit) = self.reserve_answer(member, kib) {
+            if let Some(permit) = self.reserve_answer(service_id, kib) {
                 return Some(permit);
             }
             timeout_at(deadline.into(), freed).await.ok()?;
--- a/crates/node/src/net/shared/service_limits.rs
+++ b/crates/node/src/net/shared/service_limits.rs
@@ -8,7 +8,7 @@
 /// Units of a limit that a service uses; they are returned when this is dropped.
 pub struct Permit {
     shared: Rc<Shared>,
-    member: ServiceId,
+    service_id: ServiceId,
     kind: Resource,
     units: u64,
 }
@@ -18,7 +18,7 @@
         if let Some(limits) = &self.shared.service_limits {
             limits
                 .borrow_mut()
-                .release(self.member, self.kind, self.units);
+                .release(self.service_id, self.kind, self.units);
         }
         match self.kind {
             Resource::Memory => self.shared.buffer_memory.notify_freed(),
@@ -30,23 +30,25 @@
 
 impl Shared {
     /// Adds a service to the limits; `None` if the process has one service only.
-    pub fn add_member(&self, allowed: &ServiceLimits) -> Option<ServiceId> {
+    pub fn add_service(&self, new_limits: &ServiceLimits) -> Option<ServiceId> {
         self.service_limits
             .as_ref()
-            .map(|limits| limits.borrow_mut().add(self.clock.now(), allowed))
+            .map(|limits| limits.borrow_mut().add(self.clock.now(), new_limits))
     }
 
     /// Changes the limits of a service.
-    pub fn set_allowed(&self, member: ServiceId, allowed: &ServiceLimits) {
+    pub fn set_service_limits(&self, service_id: ServiceId, new_limits: &ServiceLimits) {
         if let Some(limits) = &self.service_limits {
-            limits.borrow_mut().set(self.clock.now(), member, allowed);
+            limits
+                .borrow_mut()
+                .set(self.clock.now(), service_id, new_limits);
         }
     }
 
     /// Removes a service from the limits.
-    pub fn remove_member(&self, member: ServiceId) {
+    pub fn remove_service(&self, service_id: ServiceId) {
         if let Some(limits) = &self.service_limits {
-            limits.borrow_mut().remove(member);
+            limits.borrow_mut().remove(service_id);
         }
     }
 
@@ -54,14 +56,14 @@
     ///
     /// # Errors
     /// Names the limit that the service has reached.
-    pub fn admit(self: &Rc<Self>, member: ServiceId) -> Result<Option<Permit>, LimitExceeded> {
+    pub fn admit(self: &Rc<Self>, service_id: ServiceId) -> Result<Option<Permit>, LimitExceeded> {
         let Some(limits) = &self.service_limits else {
             return Ok(None);
         };
-        limits.borrow_mut().admit(self.clock.now(), member)?;
+        limits.borrow_mut().admit(self.clock.now(), service_id)?;
         Ok(Some(Permit {
             shared: self.clone(),
-            member,
+            service_id,
             kind: Resource::Open,
             units: 1,
         }))
@@ -70,7 +72,7 @@
     /// Reserves units of a limit for a service.
     pub(super) fn reserve_units(
         self: &Rc<Self>,
-        member: ServiceId,
+        service_id: ServiceId,
         kind: Resource,
         units: u64,
     ) -> Result<Permit, QuotaExceeded> {
@@ -80,10 +82,10 @@
             .ok_or(QuotaExceeded::OwnLimit)?;
         limits
             .borrow_mut()
-            .acquire(self.clock.now(), member, kind, units)?;
+            .acquire(self.clock.now(), service_id, kind, units)?;
         Ok(Permit {
             shared: self.clone(),
-            member,
+            service_id,
             kind,
             units,
         })
--- a/crates/node/src/net/takeover.rs
+++ b/crates/node/src/net/takeover.rs
@@ -193,8 +193,8 @@
     /// Hands over the sockets, the learned state and the clients; returns only when the successor is lost, and why it is.
     async fn hand_over(&self, exchange: &mut Exchange, frontend: &Rc<Frontend>) -> ExchangeError {
         // Open until the successor is lost, whatever becomes of this process's own listeners.
-        let listening = frontend.listening();
-        if let Err(error) = self.send_snapshot(exchange, &listening).await {
+        let sockets = frontend.listeners();
+        if let Err(error) = self.send_snapshot(exchange, &sockets).await {
             return error;
         }
         match exchange.receive().await {
@@ -213,10 +213,10 @@
     async fn send_snapshot(
         &self,
         exchange: &Exchange,
-        listening: &[Rc<ListenSocket>],
+        listeners: &[Rc<ListenSocket>],
     ) -> Result<(), ExchangeError> {
-        let names = listening.iter().map(|listener| listener.name().to_owned());
-        let sockets: Vec<BorrowedFd> = listening.iter().map(|listener| listener.as_fd()).collect();
+        let names = listeners.iter().map(|listener| listener.name().to_owned());
+        let sockets: Vec<BorrowedFd> = listeners.iter().map(|listener| listener.as_fd()).collect();
         self.shared.set_process_count(PROCESSES_IN_TAKEOVER);
         let snapshot = Frame::Snapshot {
             listeners: names.collect(),
--- a/crates/node/src/net/tests.rs
+++ b/crates/node/src/net/tests.rs
@@ -26,7 +26,7 @@
         seed: 1,
         list_origin: ListOrigin::Discovered,
         shared: shared.clone(),
-        member: None,
+        service_id: None,
     })
     .expect("a pool");
     let follow = AbortOnDrop(tokio::task::spawn_local(std::future::pending::<()>()).abort_handle());
@@ -60,7 +60,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let frontend = frontend();
         let address = "127.0.0.1:0".parse().expect("an address");
-        frontend.listen(vec![
+        frontend.set_listeners(vec![
             ListenSocket::bind("client", address, 16, false).expect("a listener")
         ]);
         // A stream socket that is no TCP socket knows no TCP_NODELAY.
--- a/crates/node/src/net/upstream/connection_pool.rs
+++ b/crates/node/src/net/upstream/connection_pool.rs
@@ -31,7 +31,7 @@
     last_generation: Cell<u64>,
     pub(super) shared: Rc<Shared>,
     /// The service whose limits apply, where there are several services.
-    pub(super) member: Option<ServiceId>,
+    pub(super) service_id: Option<ServiceId>,
     /// Notified when a connection may have become available.
     pub(super) connection_available: Notify,
     keep_alive: Cell<KeepAlive>,
@@ -43,7 +43,7 @@
     /// An empty pool. `idle_timeout` is that of the servers.
     pub fn new(
         shared: Rc<Shared>,
-        member: Option<ServiceId>,
+        service_id: Option<ServiceId>,
         idle_timeout: Time,
         connect_timeout: Time,
     ) -> Self {
@@ -51,7 +51,7 @@
             servers: RefCell::default(),
             last_generation: Cell::new(0),
             shared,
-            member,
+            service_id,
             connection_available: Notify::new(),
             keep_alive: Cell::new(KeepAlive::new(idle_timeout * IDLE_TIMEOUT_FRACTION)),
             last_expiry_check: Cell::new(Instant::now()),
@@ -126,10 +126,11 @@
 
     /// Reserves capacity for one more connection. A service at its own limit closes one of its idle connections first.
     pub(super) fn reserve_connection(&self, address: SocketAddr) -> Option<ConnectionPermit> {
-        match self.shared.reserve_connection(address, self.member) {
-            Err(QuotaExceeded::OwnLimit) if self.close_oldest_idle(None) => {
-                self.shared.reserve_connection(address, self.member).ok()
-            }
+        match self.shared.reserve_connection(address, self.service_id) {
+            Err(QuotaExceeded::OwnLimit) if self.close_oldest_idle(None) => self
+                .shared
+                .reserve_connection(address, self.service_id)
+                .ok(),
             reserved => reserved.ok(),
         }
     }
--- a/crates/node/src/net/upstream/response.rs
+++ b/crates/node/src/net/upstream/response.rs
@@ -142,11 +142,11 @@
             let permits = kib_permits(announced_bytes);
             return pool
                 .shared
-                .reserve_answer_by(pool.member, permits, deadline)
+                .reserve_answer_by(pool.service_id, permits, deadline)
                 .await;
         }
         let permits = kib_permits(announced_bytes.min(MAX_IMMEDIATE_RESPONSE_BYTES));
-        pool.shared.reserve_answer(pool.member, permits)
+        pool.shared.reserve_answer(pool.service_id, permits)
     }
 
     /// Reads and discards the rest of an answer, so that its connection can be used again.
@@ -270,7 +270,7 @@
         if self.memory.is_none() && self.announced_bytes == 0 {
             let pool = self.attempt.context.connections();
             let permits = kib_permits(self.attempt.max_buffered_bytes());
-            self.memory = pool.shared.reserve_answer(pool.member, permits);
+            self.memory = pool.shared.reserve_answer(pool.service_id, permits);
         }
     }
 
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -87,7 +87,7 @@
     let frontend = settings.build_front(&shared, service, initial_bounds);
     tokio::task::spawn_local(frontend.clone().close_idle_while_draining());
     frontend.set_handover_state(&takeover);
-    frontend.listen(vec![inherited.listening]);
+    frontend.set_listeners(vec![inherited.listening]);
     if snapshot.is_some() {
         spawn_limit_restore(
             shared,
@@ -202,7 +202,7 @@
             seed,
             list_origin: ListOrigin::Discovered,
             shared: shared.clone(),
-            member: None,
+            service_id: None,
         })
     }
 }
--- a/crates/node/src/standalone/node.rs
+++ b/crates/node/src/standalone/node.rs
@@ -88,12 +88,12 @@
         let routing = self.services.apply(prepared)?;
         let frontend = match self.frontend() {
             Some(frontend) => {
-                frontend.route(routing, max_clients);
+                frontend.set_routing(routing, max_clients);
                 frontend
             }
             None => Frontend::new(self.shared.clone(), routing, max_clients, self.seed),
         };
-        frontend.listen(listening);
+        frontend.set_listeners(listening);
         self.frontend.replace(Some(frontend.clone()));
         if !self.is_leaving.get() {
             self.entries.reconcile(&frontend, entries);
