--- a/crates/node/src/net/answer.rs
+++ b/crates/node/src/net/answer.rs
@@ -19,10 +19,10 @@
 use thiserror::Error;
 use tokio::time::{Instant, Sleep};
 
-/// A streamed answer of which nothing arrives for so long is given up.
+/// A streamed answer is aborted if no data arrives for this long.
 const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The one final answer of a request.
+/// The final answer to a request, of which there is exactly one.
 pub type Reply = FinalAnswer<Box<Answer>>;
 
 /// A server's answer.
@@ -32,16 +32,16 @@
     pub body: Bytes,
     /// The rest of a streamed body; always `None` for an answer that was validated.
     pub remainder: Option<StreamedAnswer>,
-    /// The memory that is reserved for the body.
+    /// The memory reserved for the body.
     pub _memory: Option<MemoryPermit>,
 }
 
 /// Why a streamed answer has ended early.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 enum StreamedAnswerError {
-    #[error("an answer without end")]
+    #[error("the answer exceeds the size limit")]
     TooLarge,
-    #[error("the answer has stalled")]
+    #[error("the server stopped sending the answer")]
     Stalled,
 }
 
@@ -51,18 +51,18 @@
     }
 }
 
-/// The rest of an answer that still arrives while it is sent to its client.
+/// The rest of an answer, which is forwarded to its client while it is received.
 ///
-/// If it ends early, the client's connection is aborted, so that the answer never looks complete.
+/// If it ends early, the client's connection is aborted, so that a truncated answer never looks complete.
 pub struct StreamedAnswer {
     incoming: Incoming,
     bytes_forwarded: u64,
-    /// Runs while nothing is there to be forwarded.
+    /// Runs while there is no data to forward.
     stall_timer: Option<Pin<Box<Sleep>>>,
     /// Returns the connection to its pool once the answer is complete; dropped before, it closes the connection.
     on_complete: Option<Box<dyn FnOnce()>>,
     is_open: Rc<Cell<bool>>,
-    /// Keeps the request's claim on its id and its place in its service until the answer has ended.
+    /// Keeps the request's id claimed and its admission in use until the answer has ended.
     _message: Rc<Message>,
 }
 
@@ -148,7 +148,7 @@
 }
 
 impl ResponseBody {
-    /// A body of which `buffered` is there and the rest is streamed.
+    /// A body that begins with `buffered` and continues with `remainder`.
     pub fn new(buffered: Bytes, remainder: Option<StreamedAnswer>) -> Self {
         ResponseBody {
             buffered,
@@ -156,7 +156,7 @@
         }
     }
 
-    /// A flag that stays set while more of the body may arrive; `None` if it is all there.
+    /// A flag that stays set while more of the body may arrive; `None` if all of it is buffered.
     pub fn open_flag(&self) -> Option<Rc<Cell<bool>>> {
         self.remainder
             .as_ref()
@@ -193,7 +193,7 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        // The end of a streamed answer has to be polled, or its connection would not be used again.
+        // The end of a streamed answer has to be polled, or its connection would not be returned to the pool.
         self.buffered.is_empty() && self.remainder.is_none()
     }
 
--- a/crates/node/src/net/body.rs
+++ b/crates/node/src/net/body.rs
@@ -1,7 +1,8 @@
 //! Bodies of requests: buffered whole, or streamed from the client's connection to the server's.
 //!
-//! Reading a streamed body polls the client's connection, so that nothing is buffered between the two connections but
-//! what they buffer themselves, and the slower side sets the pace. `frontend` makes the bodies, `upstream` sends them.
+//! Reading a streamed body polls the client's connection. Nothing is buffered beyond the buffers of the two
+//! connections, so the slower side applies backpressure to the faster one. `frontend` makes the bodies, `upstream`
+//! sends them.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -13,13 +14,14 @@
 use thiserror::Error;
 use tokio::sync::Notify;
 
-/// Largest body of a request or answer that is streamed: 32 MB, with a margin for clients that count in other units.
+/// Maximum size of a streamed request or answer body, in bytes: 32 MB, with a margin for clients that count in other
+/// units.
 pub const MAX_STREAMED_BYTES: u64 = 40 << 20;
 
 /// Why a streamed body has ended early.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum StreamedBodyError {
-    #[error("the client has broken off")]
+    #[error("the client aborted the upload")]
     ClientAborted,
     #[error("the body is too large")]
     TooLarge,
@@ -29,10 +31,10 @@
 
 /// The body of a request on its way from its client to one server.
 pub struct StreamedBody {
-    /// What was read before it was decided to stream the body.
+    /// The data that was read before the decision to stream the body.
     prefix: RefCell<Option<Bytes>>,
     remainder: RefCell<Incoming>,
-    /// The size that the client has announced.
+    /// The value of `Content-Length`, in bytes, if the client sent one.
     announced_size: Option<u64>,
     bytes_forwarded: Cell<u64>,
     is_consumed: Cell<bool>,
@@ -43,7 +45,7 @@
 }
 
 impl StreamedBody {
-    /// A body of which `prefix` has been read.
+    /// A body of which `prefix` has already been read.
     pub fn new(prefix: Bytes, remainder: Incoming, announced_size: Option<u64>) -> Rc<Self> {
         Rc::new(StreamedBody {
             prefix: RefCell::new(Some(prefix).filter(|prefix| !prefix.is_empty())),
@@ -137,7 +139,7 @@
     }
 }
 
-/// The body of a request, the same in every attempt.
+/// The body of a request, shared by all of its attempts.
 #[derive(Clone)]
 pub enum Payload {
     /// Buffered whole; it can be sent again.
@@ -162,7 +164,7 @@
 }
 
 impl PayloadBody {
-    /// For one attempt.
+    /// The body for one more attempt. Only the first attempt gets all of a streamed body.
     pub fn new(payload: &Payload) -> Self {
         PayloadBody {
             payload: payload.clone(),
--- a/crates/node/src/net/client.rs
+++ b/crates/node/src/net/client.rs
@@ -6,7 +6,7 @@
 //! | --- | --- |
 //! | `io` | reading and writing its socket, with the timeouts of both |
 //! | `close` | closing it without losing an answer |
-//! | `eviction` | which connection is closed first at the limit of clients |
+//! | `eviction` | which connection is closed first at the client limit |
 
 mod close;
 mod eviction;
@@ -55,16 +55,16 @@
 /// One client's connection.
 pub(super) struct Client {
     id: ClientId,
-    /// The queues that it is in while it may be evicted.
+    /// The eviction queues of all clients, which contain this one while it may be evicted.
     eviction_order: Rc<RefCell<EvictionOrder>>,
     /// Wakes the task that serves the connection, after a change here.
     pub wake: Notify,
     pub phase: Cell<Phase>,
-    /// When the phase began; that of a first request begins with the connection.
+    /// When the phase began; [`Phase::New`] begins when the connection is accepted.
     pub phase_since: Cell<Instant>,
     /// Whether it is closed as soon as no request is in progress.
     pub close_when_idle: Cell<bool>,
-    /// The status that is answered when the connection can't be used any more.
+    /// The status to respond with before the connection is closed, if its input was rejected or timed out.
     pub rejection_status: Cell<Option<StatusCode>>,
     /// Whether anything was written since the last request began.
     has_written: Cell<bool>,
@@ -73,25 +73,26 @@
     last_byte_at: Cell<Instant>,
     /// How long the reading of a streamed body has waited for the client, in total.
     time_stalled: Cell<Duration>,
-    /// Whether its answer is streamed.
+    /// Whether the current answer is streamed.
     pub is_streaming: Cell<bool>,
     /// Whether more of a streamed answer may arrive.
     pub answer_open_flag: RefCell<Option<Rc<Cell<bool>>>>,
-    /// Whether it was answered before the body of its request was received. Closing then lingers, or the answer might be
-    /// lost.
+    /// Whether a request was answered before its body was received. The close then lingers, since the answer might be
+    /// lost otherwise.
     pub was_answered_early: Cell<bool>,
-    /// Whether the connection ends since its client has sent no request: one that arrives before it is closed is served.
-    ends_idle: Cell<bool>,
+    /// Whether the connection is being closed because it is idle. A request that arrives before the close is still
+    /// served.
+    is_closing_idle: Cell<bool>,
     /// Whether it is handed over to another process as soon as no request is in progress.
     pub is_handing_over: Cell<bool>,
     /// The listener that accepted it.
     pub listener_tag: Rc<ListenerTag>,
-    /// Whether the client has closed or reset its connection. A half-close counts: a client that waits for an answer keeps
-    /// its write side open.
+    /// Whether the client has closed or reset its connection. A half-close counts: a client that waits for an answer
+    /// keeps its write side open.
     is_disconnected: Cell<bool>,
-    /// The socket, for checks beside the HTTP library.
+    /// The socket, for checks outside the HTTP library.
     stream: RefCell<Weak<TcpStream>>,
-    /// When all that had arrived on the socket was last read.
+    /// When the socket was last checked for a disconnect: by a read of all that had arrived, or by a peek.
     last_disconnect_check: Cell<Instant>,
 }
 
@@ -117,7 +118,7 @@
             is_streaming: Cell::new(false),
             answer_open_flag: RefCell::default(),
             was_answered_early: Cell::new(false),
-            ends_idle: Cell::new(false),
+            is_closing_idle: Cell::new(false),
             is_handing_over: Cell::new(false),
             listener_tag,
             is_disconnected: Cell::new(false),
@@ -131,9 +132,9 @@
         self.stream.replace(Rc::downgrade(stream));
     }
 
-    /// Whether a request has arrived on a connection that was to end without one.
+    /// Ends the closing of an idle connection, if one is in progress. Returns whether a request has arrived meanwhile.
     pub fn take_late_request(&self, stream: &TcpStream) -> bool {
-        self.ends_idle.take() && has_input(stream)
+        self.is_closing_idle.take() && has_input(stream)
     }
 
     /// Checks for a disconnect that the connection's own task has not read yet.
@@ -157,26 +158,26 @@
         self.enter_eviction_order();
     }
 
-    /// From now on it may be evicted, as far as its phase allows that.
+    /// Makes the connection eligible for eviction, if its phase permits that.
     pub fn enter_eviction_order(&self) {
         self.eviction_order
             .borrow_mut()
             .insert(self.phase.get(), self.phase_since.get(), self.id);
     }
 
-    /// From now on it is not evicted.
+    /// Makes the connection ineligible for eviction.
     pub fn leave_eviction_order(&self) {
         self.eviction_order
             .borrow_mut()
             .remove(self.phase.get(), self.phase_since.get(), self.id);
     }
 
-    /// How long the part of a request that was received may have taken.
+    /// The maximum time since the start of the request, given the bytes received so far.
     fn time_allowed(&self) -> Duration {
         REQUEST_TIMEOUT + Duration::from_secs_f64(self.request_bytes.get() as f64 / MIN_BODY_RATE)
     }
 
-    /// Records that bytes of a request were received.
+    /// Enters [`Phase::Receiving`] if the received bytes start a request.
     fn begin_request(&self) {
         match self.phase.get() {
             Phase::New | Phase::Idle => {
@@ -190,15 +191,15 @@
     }
 }
 
-/// Whether something was received that has not been read, also where the runtime has not reported it yet.
+/// Whether the socket has unread data, even if the runtime has not reported it yet.
 fn has_input(stream: &TcpStream) -> bool {
     let peeked = socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
     peeked.is_ok_and(|length| length > 0)
 }
 
 impl Waiter for Client {
-    /// Checks the socket as well: on a busy processor, the connection's own task may read a disconnect late, and attempts
-    /// would be made for nobody.
+    /// Checks the socket as well: on a busy processor, the connection's own task may notice a disconnect late, and
+    /// attempts would be made for a client that is gone.
     fn has_disconnected(&self) -> bool {
         if !self.is_disconnected.get()
             && self.last_disconnect_check.get().elapsed() >= DISCONNECT_CHECK_INTERVAL
@@ -210,7 +211,7 @@
 }
 
 /// The identity of a listener, shared with its clients. They must not share the listener itself: its socket would stay
-/// open as long as they do, and new clients would wait in a backlog that nobody empties.
+/// open as long as they do, and new clients would wait in a backlog that is never accepted from.
 pub(super) struct ListenerTag {
     /// Its index in the active settings; `None` once it was removed.
     pub id: Cell<Option<ListenerId>>,
--- a/crates/node/src/net/client/close.rs
+++ b/crates/node/src/net/client/close.rs
@@ -8,19 +8,19 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Bounds of reading on before a close, since an answer may be lost beside unread bytes.
+/// Limits on the input that is read before a close. A close with unread input may lose the answer.
 const LINGER_LIMITS: LingerLimits = LingerLimits {
     timeout: Duration::from_millis(200),
     max_bytes: 256 << 10,
 };
-/// The same for a request that was answered before its body was read.
+/// The limits for a request that was answered before its body was read.
 const EARLY_ANSWER_LINGER_LIMITS: LingerLimits = LingerLimits {
     timeout: Duration::from_secs(3),
     max_bytes: MAX_STREAMED_BYTES as usize,
 };
 const READ_BYTES: usize = 4096;
 
-/// How long and how far a connection that is being closed is read.
+/// How long and how many bytes to read from a connection that is being closed.
 #[derive(Clone, Copy)]
 struct LingerLimits {
     timeout: Duration,
@@ -29,8 +29,8 @@
 
 /// Closes a connection on which nothing more is served.
 ///
-/// The write side is shut down, and what still arrives is read for a while and discarded; the socket can be dropped when
-/// this returns. Closing it over unread bytes would reset the connection, and the client would lose an answer that it has
+/// The write side is shut down, and further input is read for a while and discarded; the socket can be dropped when
+/// this returns. A close with unread input would reset the connection, and the client would lose an answer that it has
 /// not read yet.
 pub(in crate::net) async fn close(stream: &TcpStream, client: &Client) {
     if let Some(status) = client.rejection_status.get() {
@@ -52,17 +52,17 @@
     }
 }
 
-/// Closes a connection after an answer of the status, unless part of another answer was already written.
+/// Responds with the status, unless part of another answer was already written, and closes the connection.
 async fn reject(stream: &TcpStream, status: StatusCode, has_written: bool) {
     if !has_written {
         let text = format!("HTTP/1.1 {status}\r\nconnection: close\r\ncontent-length: 0\r\n\r\n");
-        // The send buffer of a socket has space for this, unless its client is gone.
+        // The socket's send buffer has space for this, unless the client is gone.
         let _ = stream.try_write(text.as_bytes());
     }
     linger(stream, LINGER_LIMITS).await;
 }
 
-/// Shuts the write side down and reads until the client closes, within the limits.
+/// Shuts down the write side and reads until the client closes, within the limits.
 async fn linger(stream: &TcpStream, limits: LingerLimits) {
     let _ = socket2::SockRef::from(stream).shutdown(std::net::Shutdown::Write);
     let read_to_end = async {
--- a/crates/node/src/net/client/eviction.rs
+++ b/crates/node/src/net/client/eviction.rs
@@ -1,4 +1,4 @@
-//! Which client's connection is closed first at the limit of clients.
+//! Selects the connection that is closed first at the client limit.
 
 use super::Phase;
 use std::collections::BTreeSet;
@@ -7,23 +7,23 @@
 /// Identifies a client's connection within its process.
 pub(in crate::net) type ClientId = u64;
 
-/// At the limit of clients, a connection without a complete request for so long is evicted before others.
+/// At the client limit, a connection that has had no complete request for this long is evicted before others.
 pub(super) const EVICTION_GRACE: Duration = Duration::from_secs(1);
-/// The same for a new connection while there are many without a request, or no idle one that could be evicted instead:
-/// other clients wait in the backlog meanwhile.
+/// The shorter grace period of a new connection while many have no request yet, or no idle connection can be evicted
+/// instead: other clients wait in the backlog meanwhile.
 pub(in crate::net) const CROWDED_GRACE: Duration = Duration::from_millis(20);
-/// The share of all connections that may be new while others are idle. Requests occupy three fifths at most
-/// (`reelfall_config::check::parts`), which leaves some for idle connections.
+/// The fraction of all connections that may be new while others are idle. Requests occupy at most three fifths
+/// (`reelfall_config::check::ProcessShares`), so some remain for idle connections.
 const MAX_NEW_FRACTION: f64 = 0.25;
 
-/// A connection that may be evicted. The order is that of the time when it entered its phase.
+/// A connection that may be evicted. Candidates are ordered by the time when they entered their phase.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     phase_since: Instant,
     id: ClientId,
 }
 
-/// Connections in one phase, the oldest first.
+/// Connections in one phase, the one that entered it first in front.
 type Queue = BTreeSet<Candidate>;
 
 /// The connections that may be evicted. One whose request is being answered is in none of the queues.
@@ -35,9 +35,9 @@
 /// 3. new connections without a request for [`CROWDED_GRACE`], the oldest first;
 /// 4. connections with an incomplete request for [`EVICTION_GRACE`].
 ///
-/// Where new connections exceed [`MAX_NEW_FRACTION`], only they are evicted, and none before its [`CROWDED_GRACE`] is over.
-/// So a flood of silent connections neither evicts all idle ones nor stays, and a new client has time to send its
-/// request.
+/// Where new connections exceed [`MAX_NEW_FRACTION`], only they are evicted, and none before its [`CROWDED_GRACE`] is
+/// over. This way a flood of silent connections neither displaces all idle ones nor remains open, and a new client has
+/// time to send its request.
 #[derive(Default)]
 pub(in crate::net) struct EvictionOrder {
     new: Queue,
@@ -85,7 +85,7 @@
             return self.idle.pop_first().map(|candidate| candidate.id);
         }
         if !self.new.is_empty() {
-            // One of them can be evicted soon.
+            // One of the new connections can be evicted soon.
             return None;
         }
         pop_overdue(&mut self.receiving, now, EVICTION_GRACE)
--- a/crates/node/src/net/client/io.rs
+++ b/crates/node/src/net/client/io.rs
@@ -1,9 +1,9 @@
-//! A client's socket for the HTTP library: reading through the gate, writing, and the timeouts of both.
+//! A client's socket for the HTTP library: reading through the request filter, writing, and the timeouts of both.
 //!
 //! `frontend::accept` gives a [`ClientIo`] to the HTTP library for each connection.
 
 use super::{has_input, Client, Phase, REQUEST_TIMEOUT};
-use crate::net::gate::Gate;
+use crate::net::request_filter::RequestFilter;
 use crate::net::MAX_REQUEST_HEAD_BYTES;
 use hyper::StatusCode;
 use std::future::Future;
@@ -20,45 +20,46 @@
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// An idle connection is closed after this time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A client that reads nothing of its answer for so long has left.
+/// A client that reads nothing of its answer for this long is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The same for a streamed answer.
+/// The write timeout of a streamed answer.
 const STREAM_WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Size of the system's send buffer for a streamed answer, in bytes. A larger one would hide whether a slow client still
-/// reads.
+/// Size of the system's send buffer for a streamed answer, in bytes. A larger one would hide that a slow client has
+/// stopped reading.
 const STREAM_SEND_BUFFER: usize = 128 << 10;
-/// How many bytes of pipelined requests are buffered while a request is being answered.
+/// Maximum size of pipelined requests that are buffered while a request is being answered, in bytes.
 const MAX_PIPELINED_BYTES: usize = MAX_REQUEST_HEAD_BYTES;
-/// How often excess input is read, and how many bytes at a time: a disconnect behind a megabyte is found within 100 ms.
+/// How often excess input is read, and how many bytes at a time: a disconnect after 1 MB of it is detected within 100
+/// ms.
 const EXCESS_READ_INTERVAL: Duration = Duration::from_millis(20);
 const EXCESS_READ_BYTES: usize = 256 << 10;
 
-/// A client's socket behind its gate. It enforces the timeouts of the connection.
+/// A client's socket behind a request filter. It enforces the timeouts of the connection.
 pub(in crate::net) struct ClientIo {
     stream: Rc<TcpStream>,
     client: Rc<Client>,
-    gate: Gate,
-    /// Whether a complete request was passed on and its answer is not written yet.
+    filter: RequestFilter,
+    /// Whether a complete request was passed to the HTTP library and its answer is not written yet.
     is_request_delivered: bool,
-    /// Whether more was received behind it than is buffered. Some of it was discarded, so no request can follow.
+    /// Whether more input followed it than may be buffered. Some of it was discarded, so no request can follow.
     has_excess: bool,
     read_timer: Option<Pin<Box<Sleep>>>,
     write_timer: Option<Pin<Box<Sleep>>>,
     /// Runs between two reads of excess input.
     excess_timer: Option<Pin<Box<Sleep>>>,
-    /// Since when more of a streamed body is awaited.
+    /// When the wait for more of a streamed body began.
     waiting_since: Option<Instant>,
-    /// Whether the system's send buffer was made small.
+    /// Whether the system's send buffer was reduced to [`STREAM_SEND_BUFFER`].
     has_small_send_buffer: bool,
 }
 
 impl ClientIo {
-    pub fn new(stream: Rc<TcpStream>, client: Rc<Client>, gate: Gate) -> Self {
+    pub fn new(stream: Rc<TcpStream>, client: Rc<Client>, filter: RequestFilter) -> Self {
         client.set_socket(&stream);
         ClientIo {
             stream,
             client,
-            gate,
+            filter,
             is_request_delivered: false,
             has_excess: false,
             read_timer: None,
@@ -69,11 +70,11 @@
         }
     }
 
-    /// Reads from the socket into the gate.
+    /// Reads from the socket into the filter.
     fn fill(&mut self, cx: &mut Context) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.stream.poll_read_ready(cx))?;
-            match self.stream.try_read_buf(self.gate.read_buffer()) {
+            match self.stream.try_read_buf(self.filter.read_buffer()) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     self.client.last_disconnect_check.set(Instant::now());
                 }
@@ -106,18 +107,18 @@
         }
     }
 
-    /// Reads on while a request is being answered, to detect that its client disconnects; the HTTP library would not read.
+    /// Continues to read while a request is being answered, to detect a disconnect; the HTTP library would not read.
     ///
-    /// Some pipelined input is buffered. What exceeds [`MAX_PIPELINED_BYTES`] is discarded, and the connection ends with
-    /// the answer.
+    /// Pipelined input is buffered up to [`MAX_PIPELINED_BYTES`]. If there is more, all of it is discarded, and the
+    /// connection is closed after the answer.
     fn poll_disconnect(&mut self, cx: &mut Context) -> Poll<io::Result<()>> {
         loop {
-            if self.gate.buffered() > MAX_PIPELINED_BYTES {
+            if self.filter.buffered() > MAX_PIPELINED_BYTES {
                 self.has_excess = true;
                 self.client.close_when_idle.set(true);
             }
             let read = if self.has_excess {
-                self.gate.clear();
+                self.filter.clear();
                 self.discard_excess(cx)
             } else {
                 self.fill(cx)
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Reads and discards excess input at a limited rate, which leaves the processor to other connections.
+    /// Reads and discards excess input at a limited rate, which leaves processor time to other connections.
     fn discard_excess(&mut self, cx: &mut Context) -> Poll<io::Result<usize>> {
         let start_timer = || Box::pin(tokio::time::sleep(EXCESS_READ_INTERVAL));
         let excess_timer = self.excess_timer.get_or_insert_with(start_timer);
@@ -153,16 +154,16 @@
         }
     }
 
-    /// Reads what follows a complete request before that is passed on: its client may have disconnected already.
+    /// Reads the input after a complete request before that is passed on: its client may already have disconnected.
     fn read_ahead(&mut self, cx: &mut Context) {
-        while self.gate.buffered() <= MAX_PIPELINED_BYTES && !self.client.is_disconnected.get() {
+        while self.filter.buffered() <= MAX_PIPELINED_BYTES && !self.client.is_disconnected.get() {
             if self.fill(cx).is_pending() {
                 return;
             }
         }
     }
 
-    /// Makes the send buffer small for a streamed answer.
+    /// Reduces the system's send buffer for a streamed answer.
     fn limit_send_buffer(&mut self) {
         if self.client.is_streaming.get() && !self.has_small_send_buffer {
             // If this fails, a slow client is only detected later.
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Ends the connection; the status is answered when it is closed.
+    /// Ends the connection with an error; [`close`](super::close()) responds with the status.
     fn reject(&self, status: StatusCode) -> Poll<io::Result<()>> {
         self.client.rejection_status.set(Some(status));
         Poll::Ready(Err(io::ErrorKind::InvalidData.into()))
@@ -211,13 +212,13 @@
         match client.phase.get() {
             Phase::New => Some(phase_since + FIRST_REQUEST_TIMEOUT),
             Phase::Idle => Some(phase_since + IDLE_TIMEOUT),
-            // The whole request is limited by the lowest rate, and each pause in it as well.
+            // The minimum rate limits the whole request, and the timeout each pause in it.
             Phase::Receiving => {
                 let request_deadline = phase_since + client.time_allowed();
                 Some(request_deadline.min(client.last_byte_at.get() + REQUEST_TIMEOUT))
             }
             // The server may have slowed the client down, so only the time spent waiting for the client counts.
-            Phase::Streaming if self.gate.is_mid_request() => {
+            Phase::Streaming if self.filter.is_mid_request() => {
                 let time_left = client
                     .time_allowed()
                     .saturating_sub(client.time_stalled.get());
@@ -228,13 +229,13 @@
         }
     }
 
-    /// Ends a connection without a request, unless input has arrived that the runtime has not reported yet. A request that
-    /// arrives at the moment of an eviction or a timeout is answered first.
+    /// Ends a connection without a request, unless input has arrived that the runtime has not reported yet. A request
+    /// that arrives at the same time as an eviction or a timeout is answered first.
     fn poll_end(&self) -> Poll<io::Result<()>> {
         if has_input(&self.stream) {
             return Poll::Pending;
         }
-        self.client.ends_idle.set(true);
+        self.client.is_closing_idle.set(true);
         Poll::Ready(Ok(()))
     }
 
@@ -279,22 +280,22 @@
             return Poll::Ready(Ok(()));
         }
         loop {
-            let forwarded = match this.gate.forward(buf) {
+            let forwarded = match this.filter.forward(buf) {
                 Ok(forwarded) => forwarded,
                 Err(status) => return this.reject(status),
             };
-            if forwarded.is_break() || this.gate.is_mid_request() {
+            if forwarded.is_break() || this.filter.is_mid_request() {
                 this.client.begin_request();
             }
             if forwarded.is_break() {
-                if this.gate.is_between_requests() {
+                if this.filter.is_between_requests() {
                     this.is_request_delivered = true;
                     this.read_ahead(cx);
                 }
                 return Poll::Ready(Ok(()));
             }
             if this.client.is_disconnected.get() {
-                // The disconnect was read ahead.
+                // `read_ahead` detected the disconnect.
                 return Poll::Ready(Ok(()));
             }
             match this.fill(cx) {
@@ -345,7 +346,7 @@
             self.is_request_delivered = false;
             // Input that was buffered meanwhile triggers no event of the socket.
             cx.waker().wake_by_ref();
-            if self.gate.is_mid_request() {
+            if self.filter.is_mid_request() {
                 // A pipelined request was received at least in part.
                 self.client.set_phase(Phase::Receiving);
                 self.client.has_written.set(false);
@@ -360,21 +361,21 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
-        // The HTTP library shuts each connection down. `close` still has to answer a rejected client, and a request may
-        // arrive up to then on a connection that ends without one.
-        if self.client.rejection_status.get().is_some() || self.client.ends_idle.get() {
+        // The HTTP library shuts each connection down. `close` still has to respond to a rejected client, and until
+        // then a request may arrive on a connection that is closed as idle.
+        if self.client.rejection_status.get().is_some() || self.client.is_closing_idle.get() {
             return Poll::Ready(Ok(()));
         }
         Poll::Ready(socket2::SockRef::from(&*self.stream).shutdown(std::net::Shutdown::Write))
     }
 }
 
-/// Whether a read found that the client has disconnected.
+/// Whether the result of a read means that the client has disconnected: end of stream, or an error.
 fn is_disconnect(read: &io::Result<usize>) -> bool {
     !matches!(read, Ok(length) if *length > 0)
 }
 
-/// Tries a write until the socket does not report that it would block.
+/// Writes once the socket is writable, and waits again if the write would block.
 fn write_when_ready(
     stream: &TcpStream,
     cx: &mut Context,
--- a/crates/node/src/net/client/tests.rs
+++ b/crates/node/src/net/client/tests.rs
@@ -2,7 +2,7 @@
 
 use super::eviction::{CROWDED_GRACE, EVICTION_GRACE};
 use super::{Client, ClientId, ClientIo, EvictionOrder, ListenerTag, Phase};
-use crate::net::gate::{Gate, METHODS};
+use crate::net::request_filter::{RequestFilter, METHODS};
 use std::cell::{Cell, RefCell};
 use std::future::{poll_fn, Future};
 use std::io::Write;
@@ -15,10 +15,11 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-const CONNECTION_LIMIT: usize = 10;
+const CLIENT_LIMIT: usize = 10;
 const MOMENT: Duration = Duration::from_millis(1);
 
-/// Connections that have been in their phases for these times, by ID from 0, each a moment longer than the next.
+/// Connections that have been in their phases for these times, with ids from 0. Each entered its phase [`MOMENT`]
+/// before the next.
 fn order(now: Instant, connections: &[(Phase, Duration)]) -> EvictionOrder {
     let mut order = EvictionOrder::default();
     let longer = MOMENT * u32::try_from(connections.len()).expect("few");
@@ -30,7 +31,7 @@
 }
 
 fn eviction_sequence(mut order: EvictionOrder, now: Instant) -> Vec<ClientId> {
-    std::iter::from_fn(|| order.pop(now, CONNECTION_LIMIT)).collect()
+    std::iter::from_fn(|| order.pop(now, CLIENT_LIMIT)).collect()
 }
 
 #[test]
@@ -126,8 +127,12 @@
 fn client_is_evictable_only_between_requests() {
     let order = Rc::<RefCell<EvictionOrder>>::default();
     let client = client(&order);
-    let pop = || order.borrow_mut().pop(Instant::now(), CONNECTION_LIMIT);
-    assert_eq!(pop(), None, "the client is not served yet");
+    let pop = || order.borrow_mut().pop(Instant::now(), CLIENT_LIMIT);
+    assert_eq!(
+        pop(),
+        None,
+        "the client is not eligible before it is served"
+    );
     client.enter_eviction_order();
     for phase in [Phase::Receiving, Phase::AwaitingAnswer, Phase::Answering] {
         client.set_phase(phase);
@@ -135,10 +140,10 @@
     }
     client.set_phase(Phase::Idle);
     assert_eq!(pop(), Some(7));
-    assert_eq!(pop(), None, "the client is evicted already");
+    assert_eq!(pop(), None, "the client was already evicted");
     client.set_phase(Phase::Idle);
     client.leave_eviction_order();
-    assert_eq!(pop(), None, "the client is closed already");
+    assert_eq!(pop(), None, "the client was already closed");
 }
 
 /// Reads once, as the HTTP library does; returns the bytes.
@@ -152,7 +157,7 @@
     })
 }
 
-/// Runs a test on the kind of runtime that a node has.
+/// Runs a test on a single-threaded runtime, as a node does.
 fn block_on(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -161,25 +166,28 @@
     runtime.block_on(test);
 }
 
-/// A client's connection, and its other end. Bytes written to a Unix socket can be read at once.
-fn connected() -> (Rc<TcpStream>, UnixStream) {
-    let (near, far) = UnixStream::pair().expect("a pair");
-    near.set_nonblocking(true).expect("a socket");
-    let near = std::net::TcpStream::from(OwnedFd::from(near));
-    (Rc::new(TcpStream::from_std(near).expect("a socket")), far)
+/// A client's connection, and its remote end. Bytes written to a Unix socket can be read immediately.
+fn connected_pair() -> (Rc<TcpStream>, UnixStream) {
+    let (local, remote) = UnixStream::pair().expect("a pair");
+    local.set_nonblocking(true).expect("a socket");
+    let local = std::net::TcpStream::from(OwnedFd::from(local));
+    (
+        Rc::new(TcpStream::from_std(local).expect("a socket")),
+        remote,
+    )
 }
 
 #[test]
 fn request_received_during_eviction_is_read() {
     block_on(async {
-        let (stream, mut far) = connected();
+        let (stream, mut remote) = connected_pair();
         let client = client(&Rc::default());
-        let mut io = ClientIo::new(stream, client.clone(), Gate::new(&METHODS));
+        let mut io = ClientIo::new(stream, client.clone(), RequestFilter::new(&METHODS));
         let mut no_waker = Context::from_waker(Waker::noop());
         assert!(read(&mut io, &mut no_waker).is_pending());
         // The runtime does not poll the socket between the request and the eviction.
         let request = b"GET /api HTTP/1.1\r\nhost: n\r\n\r\n";
-        far.write_all(request).expect("buffer space");
+        remote.write_all(request).expect("buffer space");
         client.close_when_idle.set(true);
         assert!(
             read(&mut io, &mut no_waker).is_pending(),
@@ -192,22 +200,23 @@
 #[test]
 fn evicted_connection_without_a_request_is_closed() {
     block_on(async {
-        let (stream, _far) = connected();
+        let (stream, _remote) = connected_pair();
         let client = client(&Rc::default());
-        let mut io = ClientIo::new(stream, client.clone(), Gate::new(&METHODS));
+        let mut io = ClientIo::new(stream, client.clone(), RequestFilter::new(&METHODS));
         client.close_when_idle.set(true);
         assert_eq!(poll_fn(|context| read(&mut io, context)).await, b"");
     });
 }
 
-/// Guards against requests that arrive between the end of an idle connection and its close, and are discarded.
+/// Guards against discarding a request that arrives after an idle connection was ended and before it is closed.
 #[test]
 fn request_received_before_an_idle_connection_is_closed_is_read() {
     block_on(async {
-        let (stream, mut far) = connected();
+        let (stream, mut remote) = connected_pair();
         let client = client(&Rc::default());
         let end = async || {
-            let mut io = ClientIo::new(stream.clone(), client.clone(), Gate::new(&METHODS));
+            let mut io =
+                ClientIo::new(stream.clone(), client.clone(), RequestFilter::new(&METHODS));
             client.close_when_idle.set(true);
             assert_eq!(poll_fn(|context| read(&mut io, context)).await, b"");
             let shutdown = poll_fn(|context| Pin::new(&mut io).poll_shutdown(context)).await;
@@ -215,13 +224,16 @@
         };
         end().await;
         let request = b"GET /api HTTP/1.1\r\nhost: n\r\n\r\n";
-        far.write_all(request).expect("the connection is open");
-        assert!(client.take_late_request(&stream), "it is discarded");
-        let mut io = ClientIo::new(stream.clone(), client.clone(), Gate::new(&METHODS));
+        remote.write_all(request).expect("the connection is open");
+        assert!(
+            client.take_late_request(&stream),
+            "the late request is discarded"
+        );
+        let mut io = ClientIo::new(stream.clone(), client.clone(), RequestFilter::new(&METHODS));
         assert_eq!(poll_fn(|context| read(&mut io, context)).await, request);
-        // It could be answered: the write side is open.
+        // The request can be answered, since the write side is still open.
         stream.try_write(b"x").expect("the connection is open");
-        // Nothing has arrived: the connection is closed.
+        // Without another request the connection is closed.
         client.set_phase(Phase::Idle);
         end().await;
         assert!(!client.take_late_request(&stream));
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -53,7 +53,7 @@
 
 /// A watch receives something every 2 s; one that has received nothing complete for this long is broken.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// From the start of the connect to the first complete list or other sign of life, for pushed lists.
+/// From the start of the connect to the first complete list or keep-alive, for pushed lists.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(1500);
 /// The part of [`OPEN_TIMEOUT`] for the connect itself, which is to an agent on the same machine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
@@ -93,13 +93,13 @@
     Ok(index)
 }
 
-/// Whether a server was removed that the pool has never known, and that needs no id therefore.
+/// Whether this entry removes a server that the pool has never known, and which needs no id therefore.
 fn is_unknown_removal(pool: &Pool, listed: &ListedEndpoint) -> bool {
     listed.state == ServerState::Removed && pool.names.borrow().servers.get(listed.name).is_none()
 }
 
-/// Follows the list for as long as it is polled, at the latest of the service's addresses. `known_index` is the index of
-/// the list that the pool has already.
+/// Follows the list at the latest address of the service, for as long as the future is polled. `known_index` is the
+/// index of the list that the pool already has.
 pub async fn follow(
     pool: Rc<Pool>,
     mut address: watch::Receiver<SocketAddr>,
@@ -122,10 +122,10 @@
         let result = tokio::select! {
             result = follower.watch(current_address) => result,
             Ok(()) = address.changed() => {
-                // The old address closes soon, and the new one may count its lists differently.
+                // The old address closes soon, and the new one may number its lists differently.
                 follower.request_snapshot();
                 backoff = MIN_BACKOFF;
-                // The balancer's request to poll the old address holds for the new one.
+                // The balancer's request for a poll now applies to the new address.
                 pool.poll_requested.notify_one();
                 continue;
             }
@@ -246,7 +246,7 @@
                 self.apply(&list)?;
                 deadline = Instant::now() + SILENCE_TIMEOUT;
             }
-            // An empty line is a sign of life; a part of a change is none, even if more of it is received.
+            // An empty line is a keep-alive. Part of a change is not, even if more of it is received.
             if reader.is_empty() {
                 deadline = Instant::now() + SILENCE_TIMEOUT;
             }
--- a/crates/node/src/net/discovery/reader.rs
+++ b/crates/node/src/net/discovery/reader.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Whether the buffer is worth parsing. A list in many chunks is not parsed anew with each of them, but only if it
-    /// may have ended or the buffer has grown by half since.
+    /// Whether to parse the buffer. A list in many chunks is not parsed again with each of them, but only if it may
+    /// have ended or the buffer has grown by half since.
     fn may_be_complete(&self) -> bool {
         if self.buffer.is_empty() {
             return false;
--- a/crates/node/src/net/discovery/tests.rs
+++ b/crates/node/src/net/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! The texts of errors, which operators see in the log, and the reading of lists in chunks.
+//! The error texts that operators see in the log, and the reading of lists in chunks.
 
 use super::error::{ListError, WatchError};
 use super::reader::ListReader;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn errors_have_the_texts_of_the_operators_pages() {
+fn error_texts_match_the_operator_documentation() {
     let no_endpoints = ListUpdate::parse(&json!({"index": 1})).err();
     let no_index = ListUpdate::parse(&json!({"endpoints": []})).err();
     let not_a_list = ListReader::default().push(b" [").err();
--- a/crates/node/src/net/frontend.rs
+++ b/crates/node/src/net/frontend.rs
@@ -1,16 +1,16 @@
-//! The client side of a node: listeners, connections and requests, from the first client to the shutdown on SIGTERM.
+//! The client side of a node: listeners, client connections and requests, and the shutdown on SIGTERM.
 //!
 //! `platform` and `standalone` create the one [`Frontend`] of a process; `takeover` hands its clients to a successor.
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `listen_socket` | the addresses where clients connect |
+//! | `listen_socket` | the sockets of the listeners |
 //! | `accept` | the accept loop, and serving each connection |
 //! | `request` | one request from its head to its answer |
 //! | `request_body` | buffering, streaming or discarding its body |
 //! | `admission` | finding its service and admitting it there |
 //! | `health` | health checks |
-//! | `translate` | requests in the terms of servers and of the engine |
+//! | `translate` | translating requests for servers and for the engine |
 //! | `headers` | the headers that the node reads, sets or removes |
 //! | `pending` | requests whose answer is awaited |
 //! | `reply` | answers to clients |
@@ -39,7 +39,7 @@
 pub use handover::{Handover, HandoverState};
 pub(super) use headers::{header_text, strip_hop_by_hop, time_left};
 pub use listen_socket::{BindError, ListenSocket};
-pub(super) use pending::PendingRequest;
+pub(super) use pending::CancelOnDrop;
 pub(super) use reply::set_retry_after;
 pub(super) use request_body::BufferedBody;
 pub(super) use translate::AdmittedRequest;
@@ -77,23 +77,23 @@
     clients: RefCell<HashMap<ClientId, Rc<Client>>>,
     next_client_id: Cell<ClientId>,
     max_clients: Cell<usize>,
-    /// Which client is evicted first at the limit.
+    /// Which client is evicted first at the client limit.
     eviction_order: Rc<RefCell<EvictionOrder>>,
     /// Notified when a client's connection has ended.
     client_ended: Notify,
-    /// Whether answers ask clients to connect elsewhere, since the process ends.
+    /// Whether each answer closes its connection, so that the client connects elsewhere, since the process shuts down.
     is_stopping: Cell<bool>,
-    /// Whether the process ends so soon that requests without an answer are answered as timed out.
-    must_answer: Cell<bool>,
-    /// Notified when that begins.
-    must_answer_changed: Notify,
-    /// Which process accepts, where several processes of this node run.
+    /// Whether the process exits so soon that requests without an answer are answered as timed out.
+    is_exit_imminent: Cell<bool>,
+    /// Notified when `is_exit_imminent` is set.
+    exit_imminent: Notify,
+    /// Decides which process accepts while several processes of this node run.
     handover: RefCell<Option<Rc<dyn HandoverState>>>,
     /// Notified when the state of the handover may have changed.
     handover_changed: Notify,
-    /// Leads to the process that takes clients over.
+    /// Sends clients to the process that takes them over.
     handover_sender: RefCell<Option<mpsc::UnboundedSender<Handover>>>,
-    /// For the ids of requests without one, and to spread retry advice.
+    /// Generates the ids of requests without one and the jitter of retry advice.
     rng: SeededRng,
 }
 
@@ -110,8 +110,8 @@
             eviction_order: Rc::default(),
             client_ended: Notify::new(),
             is_stopping: Cell::new(false),
-            must_answer: Cell::new(false),
-            must_answer_changed: Notify::new(),
+            is_exit_imminent: Cell::new(false),
+            exit_imminent: Notify::new(),
             handover: RefCell::default(),
             handover_changed: Notify::new(),
             handover_sender: RefCell::default(),
@@ -158,7 +158,7 @@
         self.max_clients.set(max_clients);
     }
 
-    /// Lets the state of the handover decide whether this process accepts.
+    /// Sets the handover state, which decides whether this process accepts.
     pub fn set_handover_state<S: HandoverState + 'static>(&self, handover: &Rc<S>) {
         self.handover.replace(Some(handover.clone()));
         self.notify_handover_changed();
@@ -185,7 +185,7 @@
             .collect()
     }
 
-    /// The listener of a name and address, if there is one.
+    /// The listener with this name and address, if there is one.
     pub fn listener(&self, name: &str, address: SocketAddr) -> Option<Rc<ListenSocket>> {
         let listeners = self.listeners.borrow();
         let found = listeners
--- a/crates/node/src/net/frontend/accept.rs
+++ b/crates/node/src/net/frontend/accept.rs
@@ -1,8 +1,8 @@
-//! Accepting connections of clients, and serving each of them in a task of its own.
+//! Accepting client connections, each of which is served in a task of its own.
 
 use super::{Frontend, ListenSocket};
 use crate::net::client::{close, Client, ClientIo, Phase, CROWDED_GRACE};
-use crate::net::gate::{self, Gate};
+use crate::net::request_filter::{self, RequestFilter};
 use crate::net::service::Routing;
 use crate::net::{set_nodelay, MAX_REQUEST_HEAD_BYTES};
 use hyper::server::conn::http1::Builder;
@@ -16,10 +16,10 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// What the HTTP library may read beyond the largest head, in bytes.
+/// How much the HTTP library may buffer beyond the largest request head, in bytes.
 const BUFFER_MARGIN: usize = 16 << 10;
-/// Pause before accepting again at the limit of clients or file descriptors. A client that was new before it may be
-/// evicted after it.
+/// Pause before accepting again at the limit of clients or file descriptors. A client that is new before the pause may
+/// be evicted after it.
 const CAPACITY_RETRY_INTERVAL: Duration = CROWDED_GRACE;
 
 impl Frontend {
@@ -50,7 +50,9 @@
                 Ok((stream, _)) => self.clone().spawn_client(stream, socket),
                 Err(e) => {
                     // Usually out of file descriptors; the error persists until one is free, so wait.
-                    self.shared.log.write_line(format_args!("accept: {e}"));
+                    self.shared
+                        .log
+                        .write_line(format_args!("accepting a client connection failed: {e}"));
                     self.evict_client();
                     tokio::time::sleep(CAPACITY_RETRY_INTERVAL).await;
                 }
@@ -62,7 +64,7 @@
         self.clients.borrow().len() >= self.max_clients.get()
     }
 
-    /// Makes room for one more client, or waits a short time for it.
+    /// Evicts a client, or waits a short time until one disconnects.
     async fn wait_for_capacity(&self) {
         // Input that has already arrived is processed first: a closed connection makes an eviction needless, and a
         // client that has sent a request is not evicted.
@@ -74,8 +76,8 @@
         }
     }
 
-    /// Closes the connection that is first in the [`EvictionOrder`](crate::net::client::EvictionOrder). Without a request
-    /// it ends as after its idle timeout; an incomplete request is answered 408.
+    /// Closes the connection that is first in the [`EvictionOrder`](crate::net::client::EvictionOrder). A
+    /// connection without a request is closed as after its idle timeout; an incomplete request is answered with 408.
     fn evict_client(&self) {
         let evicted = self
             .eviction_order
@@ -131,17 +133,17 @@
         close(&stream, client).await;
     }
 
-    /// Answers the requests of a client. Returns whether the connection is to be handed over to another process: all that
-    /// was read from it is answered then.
+    /// Answers the requests of a client. Returns whether the connection is to be handed over to another process: then
+    /// all requests that were read from it have been answered.
     async fn serve_requests(self: &Rc<Self>, stream: &Rc<TcpStream>, client: &Rc<Client>) -> bool {
         let methods: &[&[u8]] = match &**self.routing.borrow() {
-            Routing::Single(_) => &gate::METHODS,
-            Routing::Table(_) => &gate::METHODS_ROUTED,
+            Routing::Single(_) => &request_filter::METHODS,
+            Routing::Table(_) => &request_filter::ROUTED_METHODS,
         };
         let io = TokioIo::new(ClientIo::new(
             stream.clone(),
             client.clone(),
-            Gate::new(methods),
+            RequestFilter::new(methods),
         ));
         let service = service_fn(|request| self.clone().request(request, client.clone()));
         // `ClientIo` enforces the timeouts, as it knows whether a request has begun.
--- a/crates/node/src/net/frontend/admission.rs
+++ b/crates/node/src/net/frontend/admission.rs
@@ -19,7 +19,7 @@
 use reelfall_routing::target;
 use std::rc::Rc;
 
-/// The shortest advice that the header can state, in seconds.
+/// The shortest delay that `Retry-After` can state, in seconds, since it is written with three decimals.
 const MIN_RETRY_AFTER: Time = 0.001;
 
 impl Frontend {
@@ -32,7 +32,7 @@
     ) -> Result<AdmittedRequest, AdmissionError> {
         let RouteMatch {
             service,
-            class: assign,
+            class: route_class,
         } = find_route(table, head, client)?;
         if service.is_draining.get() {
             let max_retry_after = service.max_retry_after.get();
@@ -41,13 +41,13 @@
         let admission = self.admit_to_service(&service)?;
         Ok(AdmittedRequest {
             service,
-            assigned_class: assign,
+            assigned_class: route_class,
             is_routed: true,
             admission,
         })
     }
 
-    /// Takes a place among the open requests of a service, where those are limited.
+    /// Counts the request among the open requests of a service, if those are limited.
     fn admit_to_service(
         self: &Rc<Self>,
         service: &Service,
@@ -73,18 +73,18 @@
     pub(super) fn admission_error_response(&self, error: AdmissionError) -> Response<ResponseBody> {
         let mut response = error_response(error.status(), &error);
         if let Some(advice) = error.retry_advice() {
-            let retry_after = self.spread_retry(advice);
+            let retry_after = self.jitter_retry_delay(advice);
             set_retry_after(&mut response, retry_after);
         }
         response
     }
 
-    /// When to come back, in seconds: spread at random, so that not all clients come back together.
-    fn spread_retry(&self, advice: RetryAdvice) -> Option<Time> {
+    /// The delay before a retry, in seconds, with random jitter so that clients do not all retry at the same time.
+    fn jitter_retry_delay(&self, advice: RetryAdvice) -> Option<Time> {
         let RetryAdvice { delay, max_delay } = advice;
         (max_delay > 0.0).then(|| {
-            let spread = 1.0 + self.rng.next_fraction();
-            (delay * spread).clamp(MIN_RETRY_AFTER, max_delay)
+            let factor = 1.0 + self.rng.next_fraction();
+            (delay * factor).clamp(MIN_RETRY_AFTER, max_delay)
         })
     }
 }
--- a/crates/node/src/net/frontend/error.rs
+++ b/crates/node/src/net/frontend/error.rs
@@ -1,4 +1,4 @@
-//! Why a client's request is rejected before it is sent to a server. Each error's text is the body of the answer.
+//! Why a client's request is rejected before it is sent to a server. The text of the error is the body of the answer.
 
 use super::text_response::error_response;
 use crate::net::answer::ResponseBody;
@@ -91,17 +91,17 @@
     AtRequestLimit { max_retry_after: Time },
 }
 
-/// When a rejected client may come back.
+/// When a rejected client may retry.
 #[derive(Clone, Copy)]
 pub(super) struct RetryAdvice {
-    /// The earliest useful time, in seconds from now; the advice is spread behind it.
+    /// The earliest useful time, in seconds from now, to which jitter is added.
     pub(super) delay: Time,
-    /// Upper bound of the advice, in seconds; 0 for no advice.
+    /// Upper bound of the delay with jitter, in seconds; 0 for no advice.
     pub(super) max_delay: Time,
 }
 
 impl AdmissionError {
-    /// The status of the answer. All but the first two say that the request has not run and may be retried.
+    /// The status of the answer. 429 and 503 mean that the request was not run and may be retried.
     pub(super) fn status(self) -> StatusCode {
         match self {
             AdmissionError::InvalidTarget(_) => StatusCode::BAD_REQUEST,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// When to come back, if that may help.
+    /// When to retry; `None` if a retry can't help.
     pub(super) fn retry_advice(self) -> Option<RetryAdvice> {
         let (delay, max_delay) = match self {
             AdmissionError::InvalidTarget(_) | AdmissionError::NoRoute => return None,
--- a/crates/node/src/net/frontend/handover.rs
+++ b/crates/node/src/net/frontend/handover.rs
@@ -22,14 +22,14 @@
     fn shares_listeners(&self) -> bool;
     /// Whether idle connections are handed over.
     fn hands_over(&self) -> bool;
-    /// Reports that the process ends on SIGTERM.
+    /// Reports that the process has received SIGTERM.
     fn terminate(&self);
     /// Reports that connections are no longer accepted after SIGTERM.
     fn end_accept_grace(&self);
 }
 
 impl Frontend {
-    /// From now on hands each client over to another process as soon as it is idle; `None` ends that.
+    /// Starts to hand each client over to another process as soon as it is idle; `None` stops this.
     pub fn hand_over_to(&self, sender: Option<mpsc::UnboundedSender<Handover>>) {
         let handing_over = sender.is_some();
         self.handover_sender.replace(sender);
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Takes a client over from another process.
+    /// Takes over a client from another process.
     pub fn accept_handover(self: &Rc<Self>, descriptor: std::net::TcpStream, listener: &str) {
         let socket = self
             .listeners()
--- a/crates/node/src/net/frontend/headers.rs
+++ b/crates/node/src/net/frontend/headers.rs
@@ -26,7 +26,7 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// The value of a header as text; `None` if it is absent or no text.
+/// The value of a header as text; `None` if it is absent or not visible ASCII.
 pub(in crate::net) fn header_text<'a>(
     headers: &'a HeaderMap,
     name: &HeaderName,
@@ -48,7 +48,7 @@
     }
 }
 
-/// How long the client still waits, in seconds, if it says so.
+/// How long the client still waits, in seconds, if a header states it.
 pub(in crate::net) fn time_left(headers: &HeaderMap) -> Result<Option<Time>, RequestError> {
     let Some(time_left) = headers.get(TIME_LEFT) else {
         return Ok(None);
@@ -90,7 +90,7 @@
         .map(|(_, value)| value)
 }
 
-/// Removes the headers that concern one connection only, those that `Connection` names among them.
+/// Removes the headers that concern one connection only, including those that `Connection` names.
 pub(in crate::net) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/crates/node/src/net/frontend/listen_socket.rs
+++ b/crates/node/src/net/frontend/listen_socket.rs
@@ -1,4 +1,4 @@
-//! The addresses where clients connect.
+//! The sockets that accept client connections.
 
 use crate::net::client::ListenerTag;
 use std::cell::Cell;
@@ -23,15 +23,15 @@
 #[derive(Debug, Error)]
 pub enum InheritError {
     /// It is not a listening socket, or not one of this address.
-    #[error("what was given is no socket that listens at this address")]
+    #[error("the received descriptor is not a socket that listens at this address")]
     OtherSocket,
-    /// The system refuses it.
+    /// A system call failed.
     #[error(transparent)]
     System(#[from] io::Error),
 }
 
-/// Binds a listening socket; an address that an earlier process has left is available at once. With `reuse_port`,
-/// another process of this node may bind the address too, if it also sets this.
+/// Binds a listening socket. An address can be bound again immediately after an earlier process has closed it. With
+/// `reuse_port`, another process of this node may bind the address too, if it also sets this.
 ///
 /// # Errors
 /// If the system refuses it.
@@ -108,7 +108,7 @@
         &self.tag.name
     }
 
-    /// The address that it is bound to, which has a port of the system's choice if the settings ask for that.
+    /// The address that it is bound to. If the settings specify port 0, the system has chosen the port.
     pub(super) fn bound_address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap_or(self.address)
     }
--- a/crates/node/src/net/frontend/reply.rs
+++ b/crates/node/src/net/frontend/reply.rs
@@ -1,7 +1,7 @@
 //! Answers to clients: those of servers, and those of the node itself.
 
 use super::headers::strip_hop_by_hop;
-use super::text_response::plain;
+use super::text_response::text_response;
 use crate::net::answer::{Answer, Reply, ResponseBody};
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
@@ -9,10 +9,10 @@
 
 /// The answer to a request whose deadline has passed.
 pub(super) fn timed_out() -> Response<ResponseBody> {
-    plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n")
+    text_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n")
 }
 
-/// Says when the client may come back, in seconds, if that is known.
+/// Sets `Retry-After` to a delay in seconds, if there is one.
 pub(in crate::net) fn set_retry_after(
     response: &mut Response<ResponseBody>,
     retry_after: Option<Time>,
@@ -23,7 +23,7 @@
     }
 }
 
-/// Says that the connection ends with this answer.
+/// Announces that the connection is closed after this answer.
 pub(super) fn set_connection_close(response: &mut Response<ResponseBody>) {
     response
         .headers_mut()
@@ -35,19 +35,19 @@
     match reply {
         Reply::Served(answer) => forward_answer(*answer),
         Reply::Rejected { retry_after } => {
-            let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
+            let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
             set_retry_after(&mut response, retry_after);
             response
         }
-        // Never 429 or 503: those would promise that a retry is harmless.
+        // Never 429 or 503, which would state that a retry is safe.
         Reply::Failed(Some(Outcome::Error)) => {
-            plain(StatusCode::BAD_GATEWAY, "the server failed\n")
+            text_response(StatusCode::BAD_GATEWAY, "the server failed\n")
         }
         Reply::Failed(Some(Outcome::TimedOut)) => timed_out(),
         Reply::Failed(Some(Outcome::ConnectionLost)) => {
-            plain(StatusCode::BAD_GATEWAY, "the connection broke\n")
+            text_response(StatusCode::BAD_GATEWAY, "the connection broke\n")
         }
-        Reply::Failed(_) => plain(StatusCode::INTERNAL_SERVER_ERROR, "failed\n"),
+        Reply::Failed(_) => text_response(StatusCode::INTERNAL_SERVER_ERROR, "failed\n"),
     }
 }
 
--- a/crates/node/src/net/frontend/request.rs
+++ b/crates/node/src/net/frontend/request.rs
@@ -4,10 +4,10 @@
 
 use super::error::RequestError;
 use super::health::HEALTH_PATH;
-use super::pending::PendingRequest;
+use super::pending::CancelOnDrop;
 use super::reply::{respond, set_connection_close, timed_out};
 use super::request_body::{discard, RequestBody};
-use super::text_response::plain;
+use super::text_response::text_response;
 use super::translate::{AdmittedRequest, TranslatedRequest};
 use super::Frontend;
 use crate::net::answer::ResponseBody;
@@ -42,7 +42,7 @@
                 drop(routing);
                 self.forward(admitted, head, body, &client).await
             }
-            Routing::Single(_) => plain(StatusCode::NOT_FOUND, "no such path\n"),
+            Routing::Single(_) => text_response(StatusCode::NOT_FOUND, "no such path\n"),
             Routing::Table(table) => match health_subpath(path) {
                 Some(subpath) => self.routed_health(table, subpath),
                 None => {
@@ -70,14 +70,14 @@
     /// Whether the connection of a client ends with this answer.
     fn must_close(&self, response: &Response<ResponseBody>, client: &Client) -> bool {
         let is_routed = matches!(&**self.routing.borrow(), Routing::Table(_));
-        // With routes, one connection can carry requests to several services, of which one may be unknown or over its
-        // rate.
+        // With routes, one connection can carry requests to several services; one unknown route, or one service at its
+        // rate limit, does not affect the others.
         let concerns_one_service = is_routed
             && matches!(
                 response.status(),
                 StatusCode::NOT_FOUND | StatusCode::TOO_MANY_REQUESTS
             );
-        // A client that sends unusable requests has to connect again for each of them.
+        // A client that sends invalid requests has to reconnect for each of them.
         let is_unusable = response.status().is_client_error() && !concerns_one_service;
         self.is_stopping.get()
             || self.shared.is_draining()
@@ -85,7 +85,7 @@
             || client.close_when_idle.get()
     }
 
-    /// Answers an admitted request by way of its service.
+    /// Answers an admitted request through its service.
     async fn forward(
         self: &Rc<Self>,
         admitted: AdmittedRequest,
@@ -93,7 +93,7 @@
         body: Incoming,
         client: &Rc<Client>,
     ) -> Response<ResponseBody> {
-        // The gate does not inspect what follows a chunked body on the connection.
+        // The request filter does not inspect what follows a chunked body on the connection.
         let is_chunked = head.headers.contains_key(header::TRANSFER_ENCODING);
         let pool = admitted.service.pool.clone();
         let graphql = admitted.service.graphql.borrow().clone();
@@ -118,7 +118,8 @@
         body: Incoming,
         client: &Rc<Client>,
     ) -> Response<ResponseBody> {
-        // The head is checked only after the body was read: an answer that is sent while data is unread may be lost.
+        // The head is checked only after the body was read, since an answer that is sent while input is unread may be
+        // lost.
         let service_id = admitted.service.service_id;
         let body = match self.buffer_or_stream(body, service_id).await {
             Ok(body) => body,
@@ -134,7 +135,7 @@
             .await
             .unwrap_or_else(RequestError::response);
         if streamed_body.is_some_and(|body| !body.is_complete()) {
-            // Nobody reads the rest of the body, so the next request can't be found.
+            // The rest of the body is not read, so the start of the next request is unknown.
             client.was_answered_early.set(true);
             set_connection_close(&mut response);
         }
@@ -156,14 +157,14 @@
             return Err(RequestError::ClientLeft);
         }
         let deadline = arrival.deadline;
-        if self.must_answer_now() {
+        if self.is_exit_imminent() {
             return Ok(timed_out());
         }
         let (id, answer) = pool.submit(message, arrival);
-        let mut pending = PendingRequest::new(pool, id);
+        let mut cancel_on_drop = CancelOnDrop::new(pool, id);
         match self.wait_for_answer(pool, deadline, answer).await {
             Some(Ok(reply)) => {
-                pending.mark_answered();
+                cancel_on_drop.disarm();
                 Ok(respond(reply))
             }
             _ => Ok(timed_out()),
@@ -187,7 +188,7 @@
         .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
 
-/// What follows the path of health checks; `None` for any other path.
+/// The part of a path after [`HEALTH_PATH`]; `None` for any other path.
 fn health_subpath(path: &str) -> Option<&str> {
     path.strip_prefix(HEALTH_PATH)
         .filter(|rest| rest.is_empty() || rest.starts_with('/'))
--- a/crates/node/src/net/frontend/request_body.rs
+++ b/crates/node/src/net/frontend/request_body.rs
@@ -1,4 +1,4 @@
-//! Reading the bodies of requests: buffered whole, streamed on to a server, or discarded.
+//! Reading request bodies, which are buffered whole, streamed to a server, or discarded.
 
 use super::error::BodyError;
 use super::Frontend;
@@ -10,7 +10,7 @@
 use hyper::body::{Body, Incoming};
 use reelfall_routing::limits::ServiceId;
 
-/// A request body and the memory that is reserved for what is buffered of it.
+/// A request body and the memory that is reserved for its buffered part.
 pub(super) struct RequestBody {
     pub(super) payload: Payload,
     pub(super) memory: Option<MemoryPermit>,
@@ -22,8 +22,8 @@
     pub memory: Option<MemoryPermit>,
 }
 
-/// The next piece of a body; `None` at its end. Trailers concern the client's connection only and are skipped.
-async fn next_piece(body: &mut Incoming) -> Result<Option<Bytes>, BodyError> {
+/// The next chunk of a body; `None` at its end. Trailers concern the client's connection only and are skipped.
+async fn next_chunk(body: &mut Incoming) -> Result<Option<Bytes>, BodyError> {
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| BodyError::Truncated)?;
         if let Ok(data) = frame.into_data() {
@@ -33,7 +33,7 @@
     Ok(None)
 }
 
-/// The size that a body is announced with, or else the largest that may be buffered.
+/// The size that the headers state, in bytes, or else the maximum size of a buffered body.
 fn expected_size(body: &Incoming) -> usize {
     body.size_hint()
         .exact()
@@ -41,7 +41,8 @@
 }
 
 impl Frontend {
-    /// Buffers a body if it is small enough and there is memory for it; else it is streamed, with what was read of it.
+    /// Buffers a body if it is small enough and there is memory for it; otherwise streams it, starting with what was
+    /// read.
     pub(super) async fn buffer_or_stream(
         &self,
         mut body: Incoming,
@@ -58,11 +59,11 @@
         let expected_size = expected_size(&body);
         let mut data = BytesMut::new();
         let mut memory = None;
-        while let Some(piece) = next_piece(&mut body).await? {
-            data.extend_from_slice(&piece);
+        while let Some(chunk) = next_chunk(&mut body).await? {
+            data.extend_from_slice(&chunk);
             let needs_memory = data.len() > UNRESERVED_BODY_BYTES;
             if needs_memory && memory.is_none() {
-                // Reserved at once for the largest possible size: growing bodies must not wait for each other.
+                // Reserved once for the largest possible size: growing bodies must not wait for each other's memory.
                 memory = self
                     .shared
                     .reserve_body(service_id, kib_permits(expected_size));
@@ -88,13 +89,13 @@
         let mut size = 0;
         let mut granted_size = UNRESERVED_BODY_BYTES;
         let mut is_out_of_memory = false;
-        while let Some(piece) = next_piece(&mut body).await? {
-            size += piece.len();
+        while let Some(chunk) = next_chunk(&mut body).await? {
+            size += chunk.len();
             if size > MAX_BUFFERED_BODY_BYTES {
                 return Err(BodyError::TooLarge);
             }
             if !is_out_of_memory && size > granted_size {
-                // Reserved at once for the largest possible size: growing bodies must not wait for each other.
+                // Reserved once for the largest possible size: growing bodies must not wait for each other's memory.
                 memory = self
                     .shared
                     .reserve_body(service_id, kib_permits(expected_size));
@@ -106,7 +107,7 @@
                 }
             }
             if !is_out_of_memory {
-                data.extend_from_slice(&piece);
+                data.extend_from_slice(&chunk);
             }
         }
         if is_out_of_memory {
@@ -117,11 +118,11 @@
     }
 }
 
-/// Reads a body to its end: an answer that is sent while data is unread may be lost.
+/// Reads a body to its end, since an answer that is sent while input is unread may be lost.
 pub(super) async fn discard(mut body: Incoming) -> Result<(), BodyError> {
     let mut size = 0;
-    while let Some(piece) = next_piece(&mut body).await? {
-        size += piece.len();
+    while let Some(chunk) = next_chunk(&mut body).await? {
+        size += chunk.len();
         if size > MAX_BUFFERED_BODY_BYTES {
             return Err(BodyError::TooLarge);
         }
--- a/crates/node/src/net/frontend/shutdown.rs
+++ b/crates/node/src/net/frontend/shutdown.rs
@@ -1,4 +1,4 @@
-//! Ending the connections of clients: on SIGTERM, and while an operator drains the node.
+//! Closing client connections on SIGTERM, and while an operator drains the node.
 
 use super::{Frontend, HandoverState};
 use crate::net::client::Phase;
@@ -25,7 +25,7 @@
     ends_at: Instant,
 }
 
-/// What the process does until when, as far as it is known now.
+/// The current phase of the shutdown, and when it ends at the latest.
 struct ShutdownStep {
     until: Instant,
     /// Whether nothing is accepted any more and idle connections are closed.
@@ -53,9 +53,9 @@
 }
 
 impl Frontend {
-    /// Serves clients until `stop`, then for as long as the shutdown takes: it ends when all requests are answered or
-    /// time is up. A request whose last byte came late in the shutdown may have a later deadline than the process; it is
-    /// answered as timed out before.
+    /// Serves clients until `stop`, and then during the shutdown, which ends when all clients have disconnected or time
+    /// is up. A request that was received late in the shutdown may have a deadline after the end of the process; it is
+    /// answered as timed out before the end.
     pub async fn serve(self: &Rc<Self>, stop: impl Future<Output = ()>) {
         stop.await;
         let begins_at = Instant::now();
@@ -75,13 +75,13 @@
             let shares_listeners =
                 handover.is_some_and(super::handover::HandoverState::shares_listeners);
             let step = shutdown.step(now, handover);
-            // Clients that are handed over to a successor need not connect again.
+            // Clients that are handed over to a successor need not reconnect.
             self.is_stopping.set(!shares_listeners || step.is_draining);
             if step.is_draining {
                 self.drain_clients(handover, shares_listeners);
             }
-            if now >= last_answers_at && !self.must_answer.replace(true) {
-                self.must_answer_changed.notify_waiters();
+            if now >= last_answers_at && !self.is_exit_imminent.replace(true) {
+                self.exit_imminent.notify_waiters();
             }
             let wake_at = if now < last_answers_at {
                 step.until.min(last_answers_at)
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Stops accepting and closes every connection as soon as no request is on it.
+    /// Stops accepting, and closes every connection as soon as no request is in progress on it.
     fn drain_clients(
         self: &Rc<Self>,
         handover: Option<&dyn HandoverState>,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Closes idle connections while an operator drains the node, each at its own time.
+    /// Closes idle connections while an operator drains the node, each at its own deadline.
     pub async fn close_idle_while_draining(self: Rc<Self>) {
         loop {
             if !self.shared.is_draining() {
--- a/crates/node/src/net/frontend/tests.rs
+++ b/crates/node/src/net/frontend/tests.rs
@@ -1,4 +1,4 @@
-//! The texts and statuses of rejections, which clients see.
+//! The status and text with which clients' requests are rejected.
 
 use super::error::{AdmissionError, BodyError, RequestError};
 use super::text_response::error_response;
@@ -15,7 +15,7 @@
 }
 
 #[tokio::test]
-async fn requests_that_cannot_be_translated_are_answered_by_their_texts() {
+async fn untranslatable_requests_are_answered_with_the_error_text() {
     let bad = StatusCode::BAD_REQUEST;
     let answers = [
         (RequestError::UnknownClass, bad, "unknown class\n"),
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test]
-async fn bodies_that_cannot_be_used_are_answered_by_their_texts() {
+async fn unusable_bodies_are_answered_with_the_error_text() {
     let answers = [
         (
             BodyError::Truncated,
@@ -83,7 +83,7 @@
 }
 
 #[tokio::test]
-async fn requests_that_are_not_admitted_are_answered_by_their_texts() {
+async fn rejected_requests_are_answered_with_the_error_text() {
     let max_retry_after = 1.0;
     let unavailable = StatusCode::SERVICE_UNAVAILABLE;
     let answers = [
--- a/crates/node/src/net/frontend/translate.rs
+++ b/crates/node/src/net/frontend/translate.rs
@@ -22,7 +22,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A streamed upload is given up after this time: it covers the largest body at the lowest rate.
+/// A streamed upload is aborted after this time, which is enough for 32 MB at the minimum rate of a request body.
 const UPLOAD_TIMEOUT: Duration = Duration::from_secs(900);
 
 /// A request that was admitted to its service.
@@ -30,13 +30,13 @@
     pub service: Rc<Service>,
     /// The class that the route assigns.
     pub assigned_class: Option<ClassId>,
-    /// Whether it arrived by a route; without routes, the one service gets all requests.
+    /// Whether a route selected the service; without routes, the one service gets all requests.
     pub is_routed: bool,
-    /// Its place among the open requests of the service.
+    /// Counts it among the open requests of the service, if those are limited.
     pub admission: Option<Permit>,
 }
 
-/// A request in the terms of servers and in those of the engine.
+/// A request as it is sent to servers, and as the engine sees it.
 pub(super) struct TranslatedRequest {
     pub(super) message: Message,
     pub(super) arrival: Arrival,
@@ -68,11 +68,12 @@
         let client_time = time_left(&headers)?.map_or(class_deadline, |t| t.min(class_deadline));
         let time_for_answer = time_for_answer(pool, client_time);
         let time_after_upload = payload.streamed().map(|_| time_for_answer);
-        let due = Instant::now() + time_after_upload.map_or(time_for_answer, |_| UPLOAD_TIMEOUT);
+        let deadline =
+            Instant::now() + time_after_upload.map_or(time_for_answer, |_| UPLOAD_TIMEOUT);
         let arrival = Arrival {
             class,
             time_after_upload,
-            ..self.arrival(pool, &headers, due)
+            ..self.arrival(pool, &headers, deadline)
         };
         let path = uri
             .into_parts()
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Gives a request an id if it has none.
+    /// Generates an id for a request that has none.
     fn ensure_correlation_id(&self, headers: &mut HeaderMap) {
         if !headers.contains_key(&CORRELATION_ID) {
             if let Ok(id) = HeaderValue::try_from(format!("{:016x}", self.rng.next_u64())) {
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Claims the id of a request. An entry of a batch gets an id of its own, made from that of the batch.
+    /// Claims the id of a request. An entry of a batch gets an id of its own, derived from that of the batch.
     pub(in crate::net) fn claim_correlation_id(
         &self,
         headers: &mut HeaderMap,
@@ -144,7 +145,7 @@
     }
 }
 
-/// The class of a request: that of its route, the only one that there is, or the one that its header names.
+/// The class of a request: the one that its route assigns, the only one of the service, or the one that a header names.
 fn find_class(admitted: &AdmittedRequest, headers: &HeaderMap) -> Option<ClassId> {
     if admitted.assigned_class.is_some() {
         return admitted.assigned_class;
@@ -159,7 +160,7 @@
         .map(|class| class as ClassId)
 }
 
-/// Checks that a request obeys the rules of its class. Returns the deadline of the class, in seconds.
+/// Checks that a request conforms to the rules of its class. Returns the deadline of the class, in seconds.
 fn check_class_rules(
     pool: &Pool,
     class: ClassId,
@@ -187,15 +188,15 @@
     Ok(rules.deadline)
 }
 
-/// The time within which servers have to answer so that the answer reaches the client in time: some slack is left for
-/// the way back and for a late wake-up.
+/// The time within which servers have to answer so that the answer reaches the client in time. The slack covers the
+/// transmission to the client and a late wake-up.
 fn time_for_answer(pool: &Pool, client_time: Time) -> Duration {
     Duration::try_from_secs_f64(client_time - pool.connection_settings.response_slack)
         .unwrap_or_default()
 }
 
-/// Whether a class may be requested by this method. Without routes the method follows from the class. By a route it is
-/// the operators' choice, except for GET: intermediaries may retry it, so it must be idempotent.
+/// Whether a class may be requested by this method. Without routes, the class determines the method. With routes, the
+/// operators choose it, except that GET must be idempotent, since intermediaries may retry it.
 fn is_method_allowed(method: &Method, idempotency: Idempotency, is_routed: bool) -> bool {
     match (idempotency, is_routed) {
         (Idempotency::Idempotent, true) => true,
--- a/crates/node/src/net/graphql.rs
+++ b/crates/node/src/net/graphql.rs
@@ -1,8 +1,8 @@
-//! GraphQL over HTTP: each operation of a client's request becomes one request of the engine, and the answers to them
-//! one answer to the client.
+//! GraphQL over HTTP: each operation of a client's request becomes one request of the engine, and their answers are
+//! combined into one answer to the client.
 //!
-//! [`reelfall_graphql`] decides what a request is, of which class it is and what is a valid answer; the engine chooses
-//! servers and retries. Called by `frontend::request` for services with GraphQL.
+//! [`reelfall_graphql`] parses requests, classifies operations and validates answers; the engine chooses servers and
+//! retries. Called by `frontend::request` for services with GraphQL.
 //!
 //! | module | responsibility |
 //! | --- | --- |
@@ -16,8 +16,8 @@
 
 use super::client::{Client, Phase};
 use super::frontend::{header_text, time_left, AdmittedRequest, BufferedBody, Frontend};
+use super::graphql_operations::{GraphQl, OperationHead, PreparedOperation};
 use super::message::Waiter;
-use super::operations::{GraphQl, OperationHead, PreparedOperation};
 use super::shared::MemoryPermit;
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -29,13 +29,13 @@
 use reelfall_graphql::media::{self, Media};
 use reelfall_graphql::{GraphQlError, GraphQlErrorKind};
 use response::{
-    fault_response, json_response, method_not_allowed, operation_response, request_error_response,
-    request_fault, HttpResponse,
+    error_response, json_response, method_not_allowed, operation_response, request_error_response,
+    to_graphql_error, HttpResponse,
 };
 use std::rc::Rc;
 use std::time::Instant;
 
-/// A client's request to a GraphQL service, as far as all of its operations have it in common.
+/// The parts of a client's GraphQL request that all of its operations share.
 struct GraphQlRequest<'a> {
     graphql: &'a GraphQl,
     admitted: AdmittedRequest,
@@ -67,18 +67,18 @@
         let received_at = Instant::now();
         let media = match media::negotiate(header_text(&head.headers, &header::ACCEPT)) {
             Ok(media) => media,
-            Err(fault) => return fault_response(Media::Json, &fault),
+            Err(error) => return error_response(Media::Json, &error),
         };
         if head.method != Method::GET && head.method != Method::POST {
             return method_not_allowed(media);
         }
-        let asked = match decode_request(graphql, &head, &body) {
-            Ok(asked) => asked,
-            Err(fault) => return fault_response(media, &fault),
+        let decoded = match decode_request(graphql, &head, &body) {
+            Ok(decoded) => decoded,
+            Err(error) => return error_response(media, &error),
         };
         let head = match operation_head(head, received_at, client.clone()) {
             Ok(head) => head,
-            Err(fault) => return fault_response(media, &fault),
+            Err(error) => return error_response(media, &error),
         };
         let request = GraphQlRequest {
             graphql,
@@ -87,32 +87,32 @@
             media,
             body_memory: memory.map(Rc::new),
         };
-        self.answer_operations(request, asked, &body).await
+        self.answer_operations(request, decoded, &body).await
     }
 
     async fn answer_operations(
         self: &Rc<Self>,
         request: GraphQlRequest<'_>,
-        asked: DecodedRequest<'_>,
+        decoded: DecodedRequest<'_>,
         body: &Bytes,
     ) -> HttpResponse {
         let (graphql, head) = (request.graphql, request.head);
-        match asked {
+        match decoded {
             DecodedRequest::Single(params) => {
                 let text = (!head.is_get).then(|| body.clone());
                 match graphql.prepare(&params, text, head) {
-                    Ok(ready) => self.answer_operation(request, ready).await,
-                    Err(fault) => fault_response(request.media, &fault),
+                    Ok(prepared) => self.answer_operation(request, prepared).await,
+                    Err(error) => error_response(request.media, &error),
                 }
             }
             DecodedRequest::Batch(entries) => {
-                let ready = entries
+                let prepared = entries
                     .iter()
                     .map(|(params, text)| (params, body.slice_ref(text.as_bytes())))
                     .map(|(params, text)| graphql.prepare(params, Some(text), head))
                     .collect();
                 drop(entries);
-                self.answer_batch(request, ready).await
+                self.answer_batch(request, prepared).await
             }
         }
     }
@@ -120,7 +120,7 @@
     async fn answer_operation(
         self: &Rc<Self>,
         request: GraphQlRequest<'_>,
-        ready: PreparedOperation,
+        prepared: PreparedOperation,
     ) -> HttpResponse {
         let AdmittedRequest {
             service, admission, ..
@@ -135,7 +135,7 @@
             body_memory: request.body_memory,
             admission,
         };
-        match self.run_operation(context, ready, None, permits).await {
+        match self.run_operation(context, prepared, None, permits).await {
             Ok(reply) => operation_response(reply, request.media),
             Err(error) => request_error_response(request.media, error),
         }
@@ -156,13 +156,13 @@
     decode::parse_body(body, &graphql.limits)
 }
 
-/// What all operations of a request take from its head.
+/// The parts of a request's head that all of its operations use.
 fn operation_head(
     head: Parts,
     received_at: Instant,
     waiter: Rc<dyn Waiter>,
 ) -> Result<OperationHead, GraphQlError> {
-    let left = time_left(&head.headers).map_err(request_fault)?;
+    let seconds_left = time_left(&head.headers).map_err(to_graphql_error)?;
     let path = head
         .uri
         .path_and_query()
@@ -172,7 +172,7 @@
         headers: head.headers,
         path,
         is_get: head.method == Method::GET,
-        time_left: left,
+        time_left: seconds_left,
         received_at,
         waiter,
     })
--- a/crates/node/src/net/graphql/batch.rs
+++ b/crates/node/src/net/graphql/batch.rs
@@ -1,11 +1,11 @@
-//! Running a batch of operations: all under one deadline, with one answer to the client.
+//! Running a batch of operations with a common deadline and one answer to the client.
 
 use super::operation::{OperationContext, OperationPermits};
-use super::response::{json_response, request_fault, retry_advice, HttpResponse};
+use super::response::{json_response, retry_advice, to_graphql_error, HttpResponse};
 use super::GraphQlRequest;
 use crate::net::answer::{Answer, Reply};
 use crate::net::frontend::{set_retry_after, Frontend, RequestError};
-use crate::net::operations::PreparedOperation;
+use crate::net::graphql_operations::PreparedOperation;
 use crate::net::service::Service;
 use crate::net::shared::{MemoryPermit, Permit};
 use bytes::Bytes;
@@ -37,7 +37,7 @@
 
 /// What an entry needs to be submitted to the engine.
 struct StartedEntry {
-    ready: PreparedOperation,
+    prepared: PreparedOperation,
     permits: OperationPermits,
 }
 
@@ -48,7 +48,7 @@
     context: OperationContext<'a>,
     deadline: Instant,
     batch: Batch<EntryAnswer>,
-    /// The entries by their place; taken when they are started.
+    /// The entries in the order of the batch, each taken when it is started.
     entries: Vec<Option<Entry>>,
     body_memory: Option<Rc<MemoryPermit>>,
     admission: BatchAdmission,
@@ -79,7 +79,7 @@
         let writes = entries.iter().map(|entry| {
             entry
                 .as_ref()
-                .is_ok_and(|ready| !request.graphql.classes.is_idempotent(&ready.operation))
+                .is_ok_and(|prepared| !request.graphql.classes.is_idempotent(&prepared.operation))
         });
         let batch = Batch::new(
             writes.collect::<Vec<_>>(),
@@ -98,8 +98,8 @@
             body_memory: request.body_memory,
             admission: BatchAdmission::Unused(request.admitted.admission),
         };
-        let fates = running.run().await;
-        batch_response(fates, request.media, service)
+        let results = running.run().await;
+        batch_response(results, request.media, service)
     }
 }
 
@@ -118,8 +118,8 @@
         let mut in_flight = FuturesUnordered::new();
         loop {
             for entry in self.batch.start_ready() {
-                if let Some(StartedEntry { ready, permits }) = self.start_entry(entry) {
-                    let operation = frontend.run_operation(context, ready, Some(entry), permits);
+                if let Some(StartedEntry { prepared, permits }) = self.start_entry(entry) {
+                    let operation = frontend.run_operation(context, prepared, Some(entry), permits);
                     in_flight.push(async move { (entry, operation.await) });
                 }
             }
@@ -127,7 +127,7 @@
                 break;
             }
             if in_flight.is_empty() {
-                // Entries that were rejected at once have made room for others.
+                // Entries that were rejected without being run have freed capacity for others.
                 continue;
             }
             let next = in_flight.next();
@@ -135,13 +135,13 @@
                 .wait_for_answer(context.pool, self.deadline, next)
                 .await
             {
-                Some(Some((entry, result))) => self.batch.finish(entry, entry_fate(result)),
+                Some(Some((entry, result))) => self.batch.finish(entry, entry_result(result)),
                 _ => {
                     self.batch.end();
                     break;
                 }
             }
-            if frontend.must_answer_now() || Instant::now() >= self.deadline {
+            if frontend.is_exit_imminent() || Instant::now() >= self.deadline {
                 self.batch.end();
                 break;
             }
@@ -152,10 +152,10 @@
 
     /// Prepares an entry to be submitted; `None` if it has ended instead.
     fn start_entry(&mut self, entry: usize) -> Option<StartedEntry> {
-        let ready = match self.entries.get_mut(entry).and_then(Option::take) {
-            Some(Ok(ready)) => ready,
-            Some(Err(fault)) => {
-                self.batch.finish(entry, fault_fate(&fault));
+        let prepared = match self.entries.get_mut(entry).and_then(Option::take) {
+            Some(Ok(prepared)) => prepared,
+            Some(Err(error)) => {
+                self.batch.finish(entry, error_result(&error));
                 return None;
             }
             None => {
@@ -172,7 +172,7 @@
             body_memory: self.body_memory.clone(),
             admission,
         };
-        Some(StartedEntry { ready, permits })
+        Some(StartedEntry { prepared, permits })
     }
 
     /// Admits an entry: the first one by the admission of the batch, each other one by its own.
@@ -187,9 +187,9 @@
     }
 }
 
-fn entry_fate(result: Result<Reply, RequestError>) -> EntryResult<EntryAnswer> {
+fn entry_result(result: Result<Reply, RequestError>) -> EntryResult<EntryAnswer> {
     match result {
-        // Its attempt has validated the answer, so it is JSON.
+        // The attempt has validated the answer, so it is JSON.
         Ok(Reply::Served(answer)) => {
             let Answer { body, _memory, .. } = *answer;
             EntryResult::Answered(EntryAnswer {
@@ -199,29 +199,29 @@
         }
         Ok(Reply::Rejected { retry_after }) => EntryResult::Rejected(retry_after),
         Ok(Reply::Failed(_)) => EntryResult::Failed,
-        Err(error) => fault_fate(&request_fault(error)),
+        Err(error) => error_result(&to_graphql_error(error)),
     }
 }
 
-fn fault_fate(fault: &GraphQlError) -> EntryResult<EntryAnswer> {
+fn error_result(error: &GraphQlError) -> EntryResult<EntryAnswer> {
     EntryResult::Answered(EntryAnswer {
-        text: Bytes::from(answer::error_response(fault).to_string()),
+        text: Bytes::from(answer::error_response(error).to_string()),
         _memory: None,
     })
 }
 
 fn batch_response(
-    fates: Vec<EntryResult<EntryAnswer>>,
+    results: Vec<EntryResult<EntryAnswer>>,
     media: Media,
     service: &Service,
 ) -> HttpResponse {
-    let is_rejected = can_be_rejected(&fates);
+    let is_rejected = can_be_rejected(&results);
     let status = if is_rejected {
         StatusCode::SERVICE_UNAVAILABLE
     } else {
         StatusCode::OK
     };
-    let mut response = json_response(status, media, answer::merge(fates));
+    let mut response = json_response(status, media, answer::merge(results));
     if is_rejected {
         set_retry_after(&mut response, retry_advice(service.max_retry_after.get()));
     }
--- a/crates/node/src/net/graphql/operation.rs
+++ b/crates/node/src/net/graphql/operation.rs
@@ -1,10 +1,10 @@
-//! Running one operation: it is translated into a request of its own and submitted to the engine.
+//! Running one operation, which is translated into a request of its own and submitted to the engine.
 
 use crate::net::answer::Reply;
 use crate::net::body::Payload;
-use crate::net::frontend::{strip_hop_by_hop, Frontend, PendingRequest, RequestError};
+use crate::net::frontend::{strip_hop_by_hop, CancelOnDrop, Frontend, RequestError};
+use crate::net::graphql_operations::{GraphQl, OperationHead, PreparedOperation};
 use crate::net::message::{AnswerValidator, Arrival, Message};
-use crate::net::operations::{GraphQl, OperationHead, PreparedOperation};
 use crate::net::pool::Pool;
 use crate::net::shared::{MemoryPermit, Permit};
 use hyper::header::{self, HeaderMap, HeaderValue};
@@ -15,13 +15,14 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Tells the valid answers to an operation from others.
+/// Validates the answers to an operation.
 struct OperationAnswerValidator {
     operation: Rc<Operation>,
 }
 
 impl AnswerValidator for OperationAnswerValidator {
-    /// A server may report a client's errors by a 4xx status; those are valid answers, and not failures of the server.
+    /// A server may report errors of the client with a 4xx status. Such an answer is valid, and not a failure of the
+    /// server.
     fn accepts_status(&self, status: StatusCode) -> bool {
         let is_transient = matches!(
             status,
@@ -35,7 +36,7 @@
     }
 }
 
-/// What all operations of a client's request have in common.
+/// The context that all operations of a client's request share.
 #[derive(Clone, Copy)]
 pub(super) struct OperationContext<'a> {
     pub(super) graphql: &'a GraphQl,
@@ -45,7 +46,7 @@
     pub(super) batch_deadline: Option<Instant>,
 }
 
-/// What an operation holds of its service's limits.
+/// The permits that an operation holds under its service's limits.
 pub(super) struct OperationPermits {
     pub(super) body_memory: Option<Rc<MemoryPermit>>,
     pub(super) admission: Option<Permit>,
@@ -70,17 +71,17 @@
         Duration::try_from_secs_f64(time_left - slack).unwrap_or_default()
     }
 
-    /// When the answer to an operation is due. The time of a batch entry begins when the entry starts.
-    fn answer_due(&self, class: ClassId, is_batch_entry: bool) -> Instant {
+    /// The deadline of the answer to an operation. The time of a batch entry begins when the entry is started.
+    fn answer_deadline(&self, class: ClassId, is_batch_entry: bool) -> Instant {
         let time_for_answer = self.time_for_answer(self.class_deadline(class).unwrap_or(0.0));
-        let begins_at = if is_batch_entry {
+        let starts_at = if is_batch_entry {
             Instant::now()
         } else {
             self.head.received_at
         };
-        let due = begins_at + time_for_answer;
+        let deadline = starts_at + time_for_answer;
         self.batch_deadline
-            .map_or(due, |batch_deadline| due.min(batch_deadline))
+            .map_or(deadline, |batch_deadline| deadline.min(batch_deadline))
     }
 }
 
@@ -89,43 +90,43 @@
     pub(super) async fn run_operation(
         self: &Rc<Self>,
         context: OperationContext<'_>,
-        ready: PreparedOperation,
+        prepared: PreparedOperation,
         batch_entry: Option<usize>,
         permits: OperationPermits,
     ) -> Result<Reply, RequestError> {
         let pool = context.pool;
         let mut headers = context.head.headers.clone();
-        let due = context.answer_due(ready.class, batch_entry.is_some());
+        let deadline = context.answer_deadline(prepared.class, batch_entry.is_some());
         let id_claim = self.claim_correlation_id(&mut headers, batch_entry)?;
-        let work_hint = context.graphql.field_work * ready.operation.cost as f64;
+        let work_hint = context.graphql.field_work * prepared.operation.cost as f64;
         let arrival = Arrival {
-            class: ready.class,
+            class: prepared.class,
             work_hint: Some(work_hint),
-            ..self.arrival(pool, &headers, due)
+            ..self.arrival(pool, &headers, deadline)
         };
-        set_server_headers(&mut headers, &ready.method);
+        set_server_headers(&mut headers, &prepared.method);
         let validator = OperationAnswerValidator {
-            operation: ready.operation,
+            operation: prepared.operation,
         };
         let message = Message {
-            method: ready.method,
-            path: ready.path,
+            method: prepared.method,
+            path: prepared.path,
             headers,
-            body: Payload::Buffered(ready.body),
+            body: Payload::Buffered(prepared.body),
             _body_memory: permits.body_memory,
             _id_claim: id_claim,
             _admission: permits.admission,
             validator: Some(Box::new(validator)),
             waiter: context.head.waiter.clone(),
         };
-        if self.must_answer_now() {
+        if self.is_exit_imminent() {
             return Ok(Reply::Failed(Some(Outcome::TimedOut)));
         }
         let (request, answer) = pool.submit(message, arrival);
-        let mut pending = PendingRequest::new(pool, request);
-        match self.wait_for_answer(pool, due, answer).await {
+        let mut cancel_on_drop = CancelOnDrop::new(pool, request);
+        match self.wait_for_answer(pool, deadline, answer).await {
             Some(Ok(reply)) => {
-                pending.mark_answered();
+                cancel_on_drop.disarm();
                 Ok(reply)
             }
             _ => Ok(Reply::Failed(Some(Outcome::TimedOut))),
@@ -133,11 +134,11 @@
     }
 }
 
-/// Makes the headers of a client's request those of an operation on its way to a server.
+/// Converts the headers of a client's request to those of an operation's request to a server.
 fn set_server_headers(headers: &mut HeaderMap, method: &Method) {
     const JSON: HeaderValue = HeaderValue::from_static("application/json");
     strip_hop_by_hop(headers);
-    // In this media type a server reports a client's errors by status 200, which is a valid answer in any case.
+    // With this media type a server reports errors of the client with status 200, which is always a valid answer.
     headers.insert(header::ACCEPT, JSON);
     if method == Method::POST {
         headers.insert(header::CONTENT_TYPE, JSON);
--- a/crates/node/src/net/graphql/response.rs
+++ b/crates/node/src/net/graphql/response.rs
@@ -31,23 +31,23 @@
 }
 
 /// The answer to a request that can't be run.
-pub(super) fn fault_response(media: Media, fault: &GraphQlError) -> HttpResponse {
-    let status = StatusCode::from_u16(media::status(media, fault.kind))
+pub(super) fn error_response(media: Media, error: &GraphQlError) -> HttpResponse {
+    let status = StatusCode::from_u16(media::status(media, error.kind))
         .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let mut response = json_response(status, media, answer::error_response(fault).to_string());
-    if fault.kind == GraphQlErrorKind::Method {
+    let mut response = json_response(status, media, answer::error_response(error).to_string());
+    if error.kind == GraphQlErrorKind::Method {
         set_allowed_methods(&mut response, "POST");
     }
     response
 }
 
-/// The answer to a request by a method that GraphQL is not served by.
+/// The answer to a request with a method other than GET and POST.
 pub(super) fn method_not_allowed(media: Media) -> HttpResponse {
-    let fault = GraphQlError::new(
+    let error = GraphQlError::new(
         GraphQlErrorKind::Method,
         "GraphQL is served by GET and POST",
     );
-    let mut response = fault_response(media, &fault);
+    let mut response = error_response(media, &error);
     set_allowed_methods(&mut response, "GET, POST");
     response
 }
@@ -58,14 +58,14 @@
         .insert(header::ALLOW, HeaderValue::from_static(methods));
 }
 
-/// The fault that a rejected request is reported as.
-pub(super) fn request_fault(error: RequestError) -> GraphQlError {
+/// The GraphQL error that reports a rejected request.
+pub(super) fn to_graphql_error(error: RequestError) -> GraphQlError {
     GraphQlError::new(GraphQlErrorKind::Request, error.to_string())
 }
 
 /// The answer to an operation that was not submitted.
 pub(super) fn request_error_response(media: Media, error: RequestError) -> HttpResponse {
-    let mut response = fault_response(media, &request_fault(error));
+    let mut response = error_response(media, &to_graphql_error(error));
     if error == RequestError::CorrelationIdInUse {
         *response.status_mut() = StatusCode::CONFLICT;
     }
@@ -77,20 +77,20 @@
     match reply {
         Reply::Served(answer) => served_response(answer.body, media),
         Reply::Rejected { retry_after } => {
-            let fate = EntryResult::Rejected(retry_after);
-            let mut response = error_response(StatusCode::SERVICE_UNAVAILABLE, media, &fate);
+            let result = EntryResult::Rejected(retry_after);
+            let mut response = entry_response(StatusCode::SERVICE_UNAVAILABLE, media, &result);
             set_retry_after(&mut response, retry_after);
             response
         }
         Reply::Failed(Some(Outcome::TimedOut)) => {
-            error_response(StatusCode::GATEWAY_TIMEOUT, media, &EntryResult::Failed)
+            entry_response(StatusCode::GATEWAY_TIMEOUT, media, &EntryResult::Failed)
         }
-        Reply::Failed(_) => error_response(StatusCode::BAD_GATEWAY, media, &EntryResult::Failed),
+        Reply::Failed(_) => entry_response(StatusCode::BAD_GATEWAY, media, &EntryResult::Failed),
     }
 }
 
 fn served_response(body: Bytes, media: Media) -> HttpResponse {
-    // An answer without data is that of a request that was not run; the newer media type says so by the status.
+    // An answer without data means that the request was not run; the newer media type states that in the status.
     let has_data =
         serde_json::from_slice::<DataPresence>(&body).is_ok_and(|answer| answer.data.is_some());
     let status = if media == Media::Response && !has_data {
@@ -101,17 +101,19 @@
     json_response(status, media, body)
 }
 
-fn error_response(status: StatusCode, media: Media, fate: &EntryResult<()>) -> HttpResponse {
-    let text = answer::entry_response(fate).unwrap_or_default().to_string();
+fn entry_response(status: StatusCode, media: Media, result: &EntryResult<()>) -> HttpResponse {
+    let text = answer::entry_response(result)
+        .unwrap_or_default()
+        .to_string();
     json_response(status, media, text)
 }
 
-/// Bounds advice on when to come back; 0 stands for no advice.
+/// The delay to advise before a retry, in seconds; `None` if the maximum is 0.
 pub(super) fn retry_advice(max_retry_after: Time) -> Option<Time> {
     (max_retry_after > 0.0).then_some(max_retry_after)
 }
 
-/// Whether an answer has `data`, be it null.
+/// Whether an answer has a `data` field, even if it is null.
 #[derive(Deserialize)]
 struct DataPresence {
     #[serde(default, deserialize_with = "present")]
--- a/crates/node/src/net/operations.rs
+++ b/crates/node/src/net/graphql_operations.rs
@@ -1,4 +1,4 @@
-//! A GraphQL service's settings, and the requests to servers that the operations of a client's request become. Called by
+//! The settings of a GraphQL service, and the translation of a client's operations into requests to servers. Called by
 //! [`super::graphql`].
 
 use super::message::Waiter;
@@ -18,15 +18,15 @@
 
 /// The settings of a GraphQL service.
 pub struct GraphQl {
-    /// The class of an operation.
+    /// Assigns a class to each operation.
     pub classes: Classes,
-    /// The limits of a document.
+    /// The limits on the documents of clients.
     pub limits: Limits,
     /// The work that a field costs, in seconds on a standard core.
     pub field_work: Time,
     /// Maximum number of reads of a batch that run at once.
     pub max_parallel_reads: usize,
-    /// The cache of documents by their hash; it outlives a reload.
+    /// The cache of documents by their hash, which is kept across reloads.
     pub persisted: Rc<RefCell<PersistedDocuments>>,
 }
 
@@ -34,7 +34,7 @@
 pub struct PreparedOperation {
     /// The class of the operation.
     pub class: ClassId,
-    /// The operation.
+    /// The operation, parsed and within the limits.
     pub operation: Rc<Operation>,
     /// The method of the request.
     pub method: Method,
@@ -46,23 +46,23 @@
 
 /// The head of a client's request, which all entries of a batch have in common.
 pub struct OperationHead {
-    /// The headers.
+    /// The headers of the client's request.
     pub headers: HeaderMap,
-    /// The path with its query.
+    /// The path and query of the client's request.
     pub path: PathAndQuery,
-    /// The method is GET.
+    /// Whether the method is GET; otherwise it is POST.
     pub is_get: bool,
-    /// How long the client waits for the answer, in seconds, if it says so.
+    /// How long the client waits for the answer, in seconds, if a header states it.
     pub time_left: Option<Time>,
     /// When the request was received.
     pub received_at: Instant,
-    /// The receiver of the answer.
+    /// The client that waits for the answer.
     pub waiter: Rc<dyn Waiter>,
 }
 
 impl GraphQl {
-    /// Resolves the operation that a client requests, and builds the request to a server. `raw` is the body of the client's
-    /// request, if that has one.
+    /// Resolves the operation that a client requests, and builds the request to a server. `raw` is the body of the
+    /// client's request, if that has one.
     ///
     /// # Errors
     /// If the operation can't be resolved, or may not be run.
@@ -108,8 +108,8 @@
 }
 
 impl ServerRequest {
-    /// The client's request as it is if that has the document; otherwise one with the document, as the server need not know
-    /// its hash.
+    /// Forwards the client's request unchanged if it contains the document; otherwise builds one that does, since the
+    /// server may not know the hash.
     fn build(
         params: &Params,
         text: &str,
@@ -136,7 +136,7 @@
     }
 }
 
-/// The body of a request for a document, as JSON.
+/// The JSON body of a request with this document.
 fn encode_body(text: &str, params: &Params) -> Bytes {
     let mut body = json!({ "query": text, "variables": params.variables });
     if let (Some(name), Some(body)) = (&params.operation_name, body.as_object_mut()) {
--- a/crates/node/src/net/ledger.rs
+++ b/crates/node/src/net/ledger.rs
@@ -9,14 +9,14 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Maximum number of attempts to take the lock after the first; another process holds it while it writes one small file.
+/// Maximum number of retries to take the lock; another process holds it while it writes one small file.
 const MAX_LOCK_RETRIES: u32 = 100;
 /// Pause between two attempts to take the lock.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(1);
-/// Permissions of the files: for their owner alone.
+/// Permissions of the files: read and write for their owner only.
 const FILE_MODE: u32 = 0o600;
 
-/// Distinguishes the versions of the file, each of which is a new file that replaces the previous one.
+/// Identifies a version of the file; each change replaces the file with a new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileVersion {
     inode: u64,
@@ -61,7 +61,7 @@
     /// The ledger if it has been written since the last call; otherwise `None`.
     ///
     /// # Errors
-    /// If the file can't be read, or is no ledger.
+    /// If the file can't be read, or is not a valid ledger.
     pub fn read_if_changed(&mut self) -> io::Result<Option<Ledger>> {
         let version = FileVersion::of(&self.file);
         if version == self.last_read {
@@ -83,8 +83,8 @@
         Ledger::decode(&text).map(Some).map_err(io::Error::other)
     }
 
-    /// Reads the ledger, changes it and replaces the file, all under the lock. If there is no file that can be used, the
-    /// change is made to `own`, the ledger of this process.
+    /// Reads the ledger, changes it and replaces the file, all under the lock. If there is no usable file, the change
+    /// is applied to `own`, the ledger of this process.
     ///
     /// # Errors
     /// If the ledger can't be written; then the file stays as it was.
--- a/crates/node/src/net/management.rs
+++ b/crates/node/src/net/management.rs
@@ -1,4 +1,4 @@
-//! The management address: one request for each connection, answered at once whatever the load, and bans and drains
+//! The management address, which serves one request for each connection independently of the load. Bans and drains are
 //! applied to every pool. Served by [`crate::platform`] and [`crate::standalone`].
 
 use super::ledger::LedgerFile;
@@ -84,16 +84,16 @@
             return;
         };
         match ledger_file.read_if_changed() {
-            Ok(Some(ledger)) => self.shared.apply_operations(ledger),
+            Ok(Some(ledger)) => self.shared.apply_ledger(ledger),
             Ok(None) => {}
             Err(error) => self
                 .shared
                 .log
-                .write_line(format_args!("the ledger: {error}")),
+                .write_line(format_args!("reading the ledger failed: {error}")),
         }
     }
 
-    /// Follows the ledger for as long as it is polled.
+    /// Applies changes of the ledger by other processes for as long as the future is polled.
     pub async fn follow(self: Rc<Self>) {
         loop {
             sleep(LEDGER_POLL_INTERVAL).await;
@@ -101,26 +101,25 @@
         }
     }
 
-    /// Binds the address, again and again until it succeeds, and answers requests for as long as it is polled.
+    /// Binds the address, with retries until that succeeds, and answers requests for as long as the future is polled.
     pub async fn serve(self: Rc<Self>, address: SocketAddr) {
         let listener = loop {
             match TcpListener::bind(address).await {
                 Ok(listener) => break listener,
-                // Another process has it, perhaps an earlier one of this node: clients are served meanwhile.
-                Err(error) => self
-                    .shared
-                    .log
-                    .write_line(format_args!("management address {address}: {error}")),
+                // Another process has bound it, perhaps an earlier one of this node. Clients are served meanwhile.
+                Err(error) => self.shared.log.write_line(format_args!(
+                    "binding the management address {address} failed: {error}"
+                )),
             }
             sleep(BIND_RETRY_INTERVAL).await;
         };
         self.accept(listener).await;
     }
 
-    /// Answers requests to this listener for as long as it is polled.
+    /// Answers requests to this listener for as long as the future is polled.
     ///
-    /// Each connection has a task of its own, since a client may send nothing, or half a request. When there are too many,
-    /// the oldest connection is closed.
+    /// Each connection has a task of its own, since a client may send nothing or an incomplete request. If there are
+    /// more than [`MAX_CONNECTIONS`], the oldest one is closed.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         let mut connections: VecDeque<AbortOnDrop> = VecDeque::new();
         loop {
@@ -148,7 +147,7 @@
             .header_read_timeout(None)
             .max_buf_size(MAX_HEAD_LEN)
             .serve_connection(TokioIo::new(stream), service);
-        // How it ended concerns the client alone.
+        // An error concerns this client only.
         let _ = timeout(CONNECTION_TIMEOUT, connection).await;
     }
 
@@ -207,7 +206,7 @@
         }
     }
 
-    /// Lifts the ban of a server. One that is not banned is used already, which is what the caller wants.
+    /// Lifts the ban of a server. This succeeds if there is no ban, since the server is in use as the caller wants.
     fn lift_ban(&self, server: &str, now: Time) -> ManagementResponse {
         let lift = |ledger: &mut Ledger| {
             ledger.bans.lift(server, now);
@@ -215,10 +214,10 @@
         self.change_ledger(lift, "back\n")
     }
 
-    /// Writes a change to the ledger and applies it, in this order. A change that can't be written is applied all the same,
-    /// and the caller gets an error.
+    /// Writes a change to the ledger and then applies it. A change that can't be written is applied too, and the caller
+    /// gets an error.
     fn change_ledger(&self, mut change: impl FnMut(&mut Ledger), done: &str) -> ManagementResponse {
-        let mut ledger = self.shared.operations();
+        let mut ledger = self.shared.ledger();
         let written = match &mut *self.ledger_file.borrow_mut() {
             Some(ledger_file) => ledger_file.change(&ledger, &mut change),
             None => {
@@ -228,12 +227,12 @@
         };
         match written {
             Ok(ledger) => {
-                self.shared.apply_operations(ledger);
+                self.shared.apply_ledger(ledger);
                 ManagementResponse::ok(done)
             }
             Err(error) => {
                 change(&mut ledger);
-                self.shared.apply_operations(ledger);
+                self.shared.apply_ledger(ledger);
                 let text = format!(
                     "in force in this process, but not written down, so it ends with it: {error}\n"
                 );
@@ -279,7 +278,7 @@
     }
 }
 
-/// The answer to a request that is rejected.
+/// The answer to a request that could not be parsed.
 fn reject(error: RequestError) -> ManagementResponse {
     let status = StatusCode::from_u16(error.status()).unwrap_or_default();
     ManagementResponse::new(status, format!("{error}\n"))
--- a/crates/node/src/net/message.rs
+++ b/crates/node/src/net/message.rs
@@ -1,4 +1,4 @@
-//! Requests on their way from clients through pools to servers.
+//! Requests as they are passed from clients through pools to servers.
 //!
 //! `frontend` and `graphql` make a [`Message`] and an [`Arrival`] of each request and submit both to its
 //! [`Pool`](super::pool::Pool); `upstream` sends the message.
@@ -19,27 +19,27 @@
     pub body: Payload,
     /// Memory reserved for the body; requests that arrived in one body share it.
     pub _body_memory: Option<Rc<MemoryPermit>>,
-    /// Claim on the correlation id, for as long as an attempt may be in flight.
+    /// Keeps the correlation id claimed while an attempt may be in flight.
     pub _id_claim: OpenId,
-    /// Place among the open requests of its service, for as long as that.
+    /// Counts the request among the open requests of its service while an attempt may be in flight.
     pub _admission: Option<Permit>,
-    /// Tells valid answers from others; without one, any status 200 is a valid answer.
+    /// Validates answers; without a validator, any answer with status 200 is valid.
     pub validator: Option<Box<dyn AnswerValidator>>,
-    /// Who waits for the answer.
+    /// The client that waits for the answer.
     pub waiter: Rc<dyn Waiter>,
 }
 
-/// Whoever waits for an answer.
+/// A client that waits for an answer.
 pub trait Waiter {
-    /// Whether it waits no longer: nothing new is sent then.
+    /// Whether it has disconnected, in which case no new attempt is sent.
     fn has_disconnected(&self) -> bool;
 }
 
-/// Tells valid answers from others, for requests whose protocol says more than a status.
+/// Validates answers of a protocol whose result is not determined by the status alone.
 pub trait AnswerValidator {
     /// Whether an answer with this status may be valid.
     fn accepts_status(&self, status: StatusCode) -> bool;
-    /// Whether a complete body is a valid answer to the request. If it is not, the request may have run.
+    /// Whether a complete body is a valid answer to the request. The request may have run even if it is not.
     fn is_valid_answer(&self, body: &[u8]) -> bool;
 }
 
@@ -49,10 +49,10 @@
     pub tenant: Option<TenantId>,
     /// The client's estimate of the work, in seconds on a standard core.
     pub work_hint: Option<f64>,
-    /// Hash of what the request is about; requests with one key go to the same server where possible.
+    /// Hash of the affinity key; requests with the same key go to the same server where possible.
     pub affinity_key: Option<u64>,
-    /// When the final answer is due; for a request with a streamed body, when its upload has to be over.
+    /// The deadline of the final answer; for a request with a streamed body, the deadline of the upload.
     pub deadline: Instant,
-    /// For a request with a streamed body: how long after its last byte the answer is due.
+    /// For a request with a streamed body: the time for the answer, from the last byte of the upload.
     pub time_after_upload: Option<Duration>,
 }
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -7,14 +7,14 @@
 mod client;
 pub mod discovery;
 pub mod frontend;
-pub mod gate;
 pub mod graphql;
+pub mod graphql_operations;
 pub mod ledger;
 pub mod management;
 pub mod message;
-pub mod operations;
 pub mod pool;
 pub mod registry;
+pub mod request_filter;
 pub mod service;
 pub mod shared;
 pub mod source;
@@ -28,8 +28,8 @@
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// Limits of what grows with load. Everything else is limited by these: a client connection has one request at a time, a
-/// request one attempt, and an attempt one connection.
+/// Limits on the resources that grow with load. They bound everything else: a client connection has one request at a
+/// time, a request one attempt, and an attempt one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceLimits {
     /// Maximum number of client connections.
@@ -69,9 +69,9 @@
 pub const MAX_BUFFERED_BODY_BYTES: usize = 1 << 20;
 /// Request bodies up to this size, in bytes, are buffered without a reservation of memory.
 pub const UNRESERVED_BODY_BYTES: usize = 4 << 10;
-/// Maximum size of a response that is buffered where it has to be, in bytes.
+/// Maximum size of a response that has to be buffered whole since it is validated, in bytes.
 pub const MAX_BUFFERED_RESPONSE_BYTES: usize = 1 << 20;
-/// Maximum size of a response that is buffered if it arrives at once, in bytes. Only a response that is still buffered
+/// Maximum size of a response that is buffered if it arrives quickly, in bytes. Only a response that is still buffered
 /// can be replaced by that of another attempt if its connection breaks.
 pub const MAX_IMMEDIATE_RESPONSE_BYTES: usize = 512 << 10;
 /// Responses up to this size, in bytes, are buffered without a reservation of memory.
@@ -108,16 +108,16 @@
     }
 }
 
-/// The increment of SplitMix64, which spreads successive seeds too.
+/// The increment of SplitMix64. It also derives a sequence of distinct seeds from one seed.
 pub const SPLITMIX64_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Disables Nagle's algorithm. A failure is ignored, since some systems refuse the option on accepted connections; the
-/// last segment of a response may be delayed there.
+/// Disables Nagle's algorithm. A failure is ignored, since some systems reject the option on accepted connections;
+/// there the last segment of a response may be delayed.
 pub fn set_nodelay(stream: &tokio::net::TcpStream) {
     let _ = stream.set_nodelay(true);
 }
 
-/// A rate-limited log on standard error, so that a burst of faults does not become a burst of text.
+/// A rate-limited log on standard error, so that a burst of faults does not flood it.
 #[derive(Default)]
 pub struct Log {
     window_start: Cell<Option<Instant>>,
--- a/crates/node/src/net/pool.rs
+++ b/crates/node/src/net/pool.rs
@@ -39,9 +39,9 @@
 use std::rc::Rc;
 use tokio::sync::{oneshot, Notify};
 
-/// What a pool is made from.
+/// The arguments for a new pool.
 pub struct PoolConfig {
-    /// The settings of the decision module.
+    /// The settings of the pool's decision module.
     pub settings: Settings,
     /// The names of servers, zones and machine types that the settings refer to.
     pub names: NameRegistry,
@@ -51,13 +51,13 @@
     pub seed: u64,
     /// Where the endpoint list comes from.
     pub list_origin: ListOrigin,
-    /// What the pools of the process share.
+    /// The state that all pools of the process share.
     pub shared: Rc<Shared>,
     /// The service's entry in the shared limits, if several services share the process.
     pub service_id: Option<ServiceId>,
 }
 
-/// The engine of one pool and all that it acts on.
+/// The engine of one pool, with the connections and the endpoint list that it uses.
 pub struct Pool {
     /// The pool's number in this process.
     pub id: PoolId,
@@ -66,14 +66,14 @@
     command_buffer: Cell<Vec<Command<SocketHost>>>,
     /// The names of servers, zones and machine types with their ids.
     pub names: RefCell<NameRegistry>,
-    /// What the pools of the process share.
+    /// The state that all pools of the process share.
     pub shared: Rc<Shared>,
     /// This pool's own endpoint list, before it is combined with other pools' lists.
     server_list: RefCell<ServerList>,
     list_origin: ListOrigin,
     /// The duration of a server's slow start, in seconds.
     slow_start_duration: Time,
-    /// Servers in slow start that only other pools may send to until then.
+    /// Servers in slow start that only other pools may send to, and the time until which that holds.
     withheld_until: RefCell<HashMap<SocketAddr, Time>>,
     /// The classes of requests.
     pub classes: Vec<Class>,
@@ -90,7 +90,7 @@
     /// When the list's source was last in contact, if the source reports this.
     pub source_last_contact: Cell<Option<Time>>,
     discovery_mode: Discovery,
-    /// Jitters waits, so that nodes do not act in step.
+    /// Generates jitter, so that nodes do not act at the same time.
     pub rng: SeededRng,
 }
 
@@ -98,7 +98,7 @@
     /// Creates a pool without servers and registers it in [`Shared`].
     ///
     /// # Errors
-    /// Names the setting that can't be used.
+    /// If a setting can't be used; the error names it.
     pub fn new(config: PoolConfig) -> Result<Rc<Self>, SettingsError> {
         let PoolConfig {
             settings,
@@ -149,7 +149,7 @@
         self.discovery_mode == Discovery::Push
     }
 
-    /// Whether some server accepts requests.
+    /// Whether at least one server accepts requests.
     pub fn has_servers(&self) -> bool {
         self.engine.borrow().has_available_server()
     }
@@ -173,7 +173,7 @@
             .borrow()
             .module()
             .learned(self.shared.clock.now());
-        // Numbers and plain lists can always be serialized.
+        // Serialization of numbers and plain lists does not fail.
         serde_json::to_value(learned).unwrap_or_default()
     }
 
@@ -217,7 +217,7 @@
         (id, reply_receiver)
     }
 
-    /// Cancels a request whose client has left or was answered from elsewhere: no new attempt is sent.
+    /// Cancels a request whose client has disconnected or was given another answer: no new attempt is sent.
     pub fn cancel(self: &Rc<Self>, id: RequestId) {
         self.dispatch(|engine, now, commands| engine.abandon(now, id, commands));
     }
--- a/crates/node/src/net/pool/commands.rs
+++ b/crates/node/src/net/pool/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out the engine's commands over sockets and reports to the engine what attempts do.
+//! Executes the engine's commands over sockets and reports the progress of attempts to the engine.
 
 use super::Pool;
 use crate::net::answer::{Answer, Reply};
@@ -38,7 +38,7 @@
     type Answer = Box<Answer>;
 }
 
-/// An attempt that the engine wants sent.
+/// An attempt that the engine has ordered.
 struct AttemptCommand {
     request: RequestId,
     attempt: u32,
@@ -48,7 +48,7 @@
 }
 
 impl Pool {
-    /// Calls the engine and carries out the commands that it returns.
+    /// Calls the engine and executes the commands that it returns.
     pub(super) fn dispatch<R>(
         self: &Rc<Self>,
         call: impl FnOnce(&mut Engine<SocketHost>, Time, &mut Vec<Command<SocketHost>>) -> R,
@@ -82,7 +82,7 @@
                 deadline,
             }),
             Command::CancelAttempt { request, .. } => self.cancel_attempt(request),
-            // The client may have just left; the answer is dropped then.
+            // The client may have just disconnected; the answer is dropped then.
             Command::Answer { to, answer, .. } => drop(to.send(answer)),
             Command::Watch => self.poll_requested.notify_one(),
             Command::StartTimer { after, tag } => self.start_timer(after, tag),
--- a/crates/node/src/net/pool/list.rs
+++ b/crates/node/src/net/pool/list.rs
@@ -21,7 +21,7 @@
 pub(super) struct ServerList {
     endpoints: HashMap<ServerId, SocketEndpoint>,
     ids_by_address: HashMap<SocketAddr, Vec<ServerId>>,
-    /// The same servers, as they are counted among those of all pools.
+    /// The same servers, as counted among the distinct servers of all pools.
     instances: ListedByPool,
 }
 
@@ -117,7 +117,7 @@
     }
 }
 
-/// Where an endpoint list comes from, which decides what it says of servers' lifetimes.
+/// Where an endpoint list comes from, which determines what it states about servers' lifetimes.
 #[derive(Clone, Copy, PartialEq)]
 pub enum ListOrigin {
     /// Service discovery follows the servers: it knows their starts, and a server that is no longer listed has ended.
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Stores one endpoint of an update, or removes it if the update says so.
+    /// Stores one endpoint of an update, or removes it if its state is `Removed`.
     fn store_endpoint(
         &self,
         server_list: &mut ServerList,
@@ -227,14 +227,14 @@
             self.update_listing(address, None, changed);
             self.withheld_until.borrow_mut().remove(&address);
         }
-        // The address of a removed server is still listed if another server has taken it over.
+        // The address of a removed server is still listed if another server now has it.
         if status != ServerStatus::Gone || !server_list.has_address(&endpoint.address) {
             let state = self.listed_state(status, started_at);
             self.update_listing(endpoint.address, Some(state), changed);
         }
     }
 
-    /// Updates what this pool's list says of an address among the lists of all pools.
+    /// Updates this pool's listing of an address among the listings of all pools.
     fn update_listing(
         &self,
         address: SocketAddr,
--- a/crates/node/src/net/pool/outcome.rs
+++ b/crates/node/src/net/pool/outcome.rs
@@ -1,4 +1,4 @@
-//! Reports to the fleet how attempts at this pool's servers end.
+//! Reports the outcomes of attempts at this pool's servers to the fleet.
 
 use super::{ListOrigin, Pool};
 use reelfall_balancer::interface::{ClassId, Outcome, RequestId, ServerId, Time};
@@ -19,8 +19,8 @@
         })
     }
 
-    /// The start that identifies a server's instance on all nodes, in milliseconds; 0 for long ago. Settings do not
-    /// name a start, and each node reads them at another moment.
+    /// The start that identifies a server's instance on all nodes, in milliseconds; 0 for long ago. Settings state no
+    /// start, and each node reads them at a different time.
     pub(super) fn start_ms(&self, started_at: Time) -> u64 {
         match self.list_origin {
             ListOrigin::Discovered => (started_at.max(0.0) * 1e3).round() as u64,
@@ -56,8 +56,8 @@
     }
 }
 
-/// What the outcome of an attempt says about its server; `None` if nothing. A timeout before the latency objective
-/// comes from a client's short deadline.
+/// What the outcome of an attempt means for its server; `None` if it says nothing about the server. A timeout before
+/// the latency objective comes from a client's short deadline.
 fn observed_outcome(
     outcome: Outcome,
     waited: Time,
--- a/crates/node/src/net/pool/peer.rs
+++ b/crates/node/src/net/pool/peer.rs
@@ -49,7 +49,7 @@
     fn refresh_endpoints(self: Rc<Self>) {
         let mut endpoints: Vec<SocketEndpoint> =
             self.server_list.borrow().endpoints().cloned().collect();
-        // Ids grow in the order of listing, and of two servers at one address the one listed last counts.
+        // Ids are assigned in the order of listing, and of two servers at one address the one listed last applies.
         endpoints.sort_unstable_by_key(|endpoint| endpoint.endpoint.server);
         for endpoint in &mut endpoints {
             self.adjust(endpoint);
@@ -102,13 +102,14 @@
 }
 
 impl Pool {
-    /// The server of which this is the present instance: what is said of one instance says nothing about another.
+    /// The server whose current instance this is. A finding about an earlier instance does not apply to the current
+    /// one.
     fn server_of(&self, instance: &ServerInstance) -> Option<ServerId> {
         let server = self.names.borrow().servers.get(&instance.name)?;
         (self.instance_of(server).as_ref() == Some(instance)).then_some(server)
     }
 
-    /// Gives the engine endpoints that were adjusted anew, if there are any.
+    /// Passes endpoints that were adjusted again to the engine, if there are any.
     fn update_engine(self: &Rc<Self>, endpoints: Vec<SocketEndpoint>) {
         if endpoints.is_empty() {
             return;
@@ -118,7 +119,7 @@
         });
     }
 
-    /// The attempt as an overdue one, if it has exceeded its latency objective.
+    /// The overdue request of an attempt; `None` if it has not exceeded its latency objective.
     fn overdue_request(&self, awaited: &AwaitedAttempt, now: Time) -> Option<OverdueRequest> {
         let latency_objective = self.latency_objective(awaited.class)?;
         let waited = now - awaited.since;
--- a/crates/node/src/net/registry.rs
+++ b/crates/node/src/net/registry.rs
@@ -1,19 +1,19 @@
-//! Registries over sockets: a pool that follows the entries of a registry, and this node's own entry.
+//! Registry sessions over sockets: for pools that follow the entries of a registry, and for this node's own entry.
 //!
-//! Each of these has a session of its own, so that a session that is lost affects only its user. The protocol is
-//! implemented in [`reelfall_registry_client`], without any I/O; this module does the I/O.
+//! Each user has a session of its own, so that the loss of a session affects only its user.
+//! [`reelfall_registry_client`] implements the protocol without I/O; this module does the I/O.
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | `driver` | a session over its socket: connect, send, read, wait |
-//! | `following` | a pool that follows entries |
+//! | `follower` | a pool that follows entries |
 //! | `own_entry` | the entry of this node |
 
 mod driver;
-mod following;
+mod follower;
 mod own_entry;
 
-pub use following::RegistrySource;
+pub use follower::RegistrySource;
 pub use own_entry::OwnEntry;
 
 use bytes::Bytes;
@@ -46,14 +46,14 @@
         source: Arc<io::Error>,
     },
     /// The digest file does not contain a name and a password.
-    #[error("{}: write `name:password`", path.display())]
+    #[error("{}: expected `name:password`", path.display())]
     MalformedDigest {
         /// The file.
         path: PathBuf,
     },
 }
 
-/// What sessions with a registry need.
+/// The addresses, timeouts and credentials for sessions with a registry.
 #[derive(Clone, PartialEq)]
 pub struct RegistryAccess {
     addresses: Vec<SocketAddr>,
@@ -64,7 +64,7 @@
 }
 
 impl RegistryAccess {
-    /// Takes the settings of a registry and reads its digest file.
+    /// The access that a registry's settings and its digest file describe.
     ///
     /// # Errors
     /// If the digest file can't be used.
--- a/crates/node/src/net/registry/driver.rs
+++ b/crates/node/src/net/registry/driver.rs
@@ -1,6 +1,6 @@
 //! Runs a session with a registry over its socket: connects, sends, reads and waits as the session requires.
 //!
-//! The two users of sessions are [`following`](super::following) and [`own_entry`](super::own_entry).
+//! The two users of sessions are [`follower`](super::follower) and [`own_entry`](super::own_entry).
 
 use super::RegistryAccess;
 use crate::net::shared::Clock;
@@ -19,20 +19,20 @@
 
 /// Maximum size of one read, in bytes.
 const MAX_READ_BYTES: usize = 64 << 10;
-/// How long the registry has to receive what a closing session sends.
+/// How long a session that is being closed may take to send its last requests.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
-/// The longest wait, in seconds, when no deadline is set.
+/// The longest wait for an event, in seconds.
 const MAX_WAIT: Time = 3600.0;
 
-/// The user of a session.
+/// The user of a session, which handles its events and issues requests.
 pub(super) trait SessionUser {
     /// Handles an event of the session.
     fn handle_event(&mut self, now: Time, session: &Session, event: &Event);
     /// The next request, with the token that its response will have.
     fn next_request(&mut self) -> Option<TokenRequest>;
-    /// Periodic work; the session may have received something.
+    /// Called before events are handled, after the session may have received data.
     fn tick(&mut self, now: Time, session: &Session);
-    /// When `tick` has work to do.
+    /// The time of the next call of `tick` at the latest.
     fn deadline(&self) -> Time;
     /// Called when all events so far have been handled.
     fn events_handled(&mut self, now: Time);
@@ -42,14 +42,14 @@
 
 type Connecting = Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>;
 
-/// The socket under a session.
+/// The state of a session's socket.
 enum Connection {
     Closed,
     Connecting(Connecting),
     Open(TcpStream),
 }
 
-/// What the driver was woken by.
+/// The reason why the driver was woken.
 enum Wakeup {
     Connected(io::Result<TcpStream>),
     Read(io::Result<usize>),
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Handles all events and carries out all commands of the session.
+    /// Handles all events and executes all commands of the session.
     fn step(&mut self) {
         let now = self.clock.now();
         self.session.tick(now);
@@ -155,7 +155,7 @@
         while !self.write_buffer.is_empty() {
             match stream.try_write(&self.write_buffer) {
                 Ok(written) => self.write_buffer.advance(written),
-                // A broken connection is noticed when it is read from.
+                // A broken connection is detected by the next read.
                 Err(_) => return,
             }
         }
@@ -196,7 +196,7 @@
                 self.read_buffer.reserve(MAX_READ_BYTES);
                 let (mut reader, writer) = stream.split();
                 let has_output = !self.write_buffer.is_empty();
-                // Data is read before a timer acts, since it may make the timer obsolete.
+                // Data is read before timers are handled, since it may make a timer obsolete.
                 tokio::select! {
                     biased;
                     read = reader.read_buf(&mut self.read_buffer) => Wakeup::Read(read),
--- a/crates/node/src/net/registry/following.rs
+++ b/crates/node/src/net/registry/follower.rs
@@ -20,11 +20,11 @@
 
 /// The entries under a path of a registry, as the source of a pool's endpoint list.
 pub struct RegistrySource {
-    /// The access to the registry.
+    /// The addresses and credentials of the registry.
     pub access: RegistryAccess,
-    /// The path.
+    /// The path whose children are the entries.
     pub path: String,
-    /// The limits of the list.
+    /// The limits on the size and age of the list.
     pub limits: Limits,
     /// Servers that are assumed to be listed until the registry has been read.
     pub initial_servers: Vec<model::Located<model::Server>>,
@@ -33,7 +33,7 @@
 impl Source for RegistrySource {
     fn follow(self, pool: Rc<Pool>) -> impl Future<Output = ()> + 'static {
         if !self.initial_servers.is_empty() {
-            // Their starts are unknown; servers in the settings have been running for some time.
+            // Their start times are unknown; servers in the settings count as started long ago.
             let endpoints = self
                 .initial_servers
                 .iter()
@@ -48,7 +48,7 @@
             path: self.path,
             follower,
             has_list: false,
-            rejects_servers: false,
+            drains_all_servers: false,
         };
         let driver = Driver::new(&self.access, user, clock);
         async move { driver.run(&Notify::new()).await }
@@ -61,14 +61,14 @@
     follower: Follower,
     /// Whether the pool has received a complete list.
     has_list: bool,
-    /// Whether all servers are drained, since the list is stale.
-    rejects_servers: bool,
+    /// Whether all servers are set to draining, since the list is stale.
+    drains_all_servers: bool,
 }
 
 impl RegistryFollower {
     /// The endpoint of an entry. All drain while the list is stale.
     fn endpoint(&self, entry: &Entry) -> AddressedEndpoint<SocketAddr> {
-        let state = if entry.draining || self.rejects_servers {
+        let state = if entry.draining || self.drains_all_servers {
             ServerState::Draining
         } else {
             ServerState::Up
@@ -115,8 +115,8 @@
         endpoints
     }
 
-    /// The endpoint of a removed server; `None` if the pool does not know it. `listed_addresses` are those of the servers
-    /// that were listed earlier in the same update, which the pool has not applied yet.
+    /// The endpoint of a removed server; `None` if the pool does not know it. `listed_addresses` are those of the
+    /// servers that were listed earlier in the same update, which the pool has not applied yet.
     fn removed_endpoint(
         &self,
         name: &str,
@@ -212,11 +212,13 @@
         while let Some(report) = self.follower.next_report() {
             self.log_report(&report);
         }
-        let rejects_servers = self.follower.refuses_servers();
-        let rejected_servers = std::mem::replace(&mut self.rejects_servers, rejects_servers);
+        let drains_all_servers = self.follower.refuses_servers();
+        let drained_all_servers =
+            std::mem::replace(&mut self.drains_all_servers, drains_all_servers);
         let changes = self.follower.take_changes();
-        if !self.has_list || rejects_servers != rejected_servers {
-            // Nothing is applied before the list is complete: half a list would send all requests to half of the servers.
+        if !self.has_list || drains_all_servers != drained_all_servers {
+            // Nothing is applied before the list is complete: an incomplete list would direct all requests to a part of
+            // the servers.
             if self.follower.has_list() {
                 self.has_list = true;
                 self.pool
--- a/crates/node/src/net/registry/own_entry.rs
+++ b/crates/node/src/net/registry/own_entry.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// This node's entry in one registry.
+/// This node's entry in one registry, maintained by a task.
 pub struct OwnEntry {
     target: Cell<TargetState>,
     /// Notified when the target has changed.
@@ -22,7 +22,7 @@
     is_closed: Cell<bool>,
 }
 
-/// The state that the entry is to be in.
+/// The target state of the entry.
 #[derive(Clone, Copy, PartialEq)]
 enum TargetState {
     /// Not registered yet.
@@ -70,7 +70,7 @@
         entry
     }
 
-    /// Registers the node, which is ready.
+    /// Registers the node; called when it is ready.
     pub fn publish(&self) {
         if self.target.get() == TargetState::Pending {
             self.target.set(TargetState::Published);
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Removes the entry, since the node shuts down, and waits until it is removed or the timeout has passed.
+    /// Removes the entry for a shutdown, and waits until it is removed or the timeout has passed.
     pub async fn withdraw(&self, timeout: Duration) {
         self.target.set(TargetState::Withdrawn);
         self.target_changed.notify_one();
--- a/crates/node/src/net/gate.rs
+++ b/crates/node/src/net/request_filter.rs
@@ -1,5 +1,5 @@
-//! Screening of a client's bytes before the HTTP library parses them: complete, unambiguously framed heads pass, and
-//! after each head the bytes that belong to its body. `client::io` feeds a [`Gate`] from each client's socket.
+//! Checks a client's bytes before the HTTP library parses them: only complete, unambiguously framed heads are
+//! forwarded, each followed by the bytes of its body. `client::io` feeds a [`RequestFilter`] from each client's socket.
 
 use super::body::MAX_STREAMED_BYTES;
 use super::MAX_REQUEST_HEAD_BYTES;
@@ -8,11 +8,11 @@
 use std::ops::ControlFlow;
 use tokio::io::ReadBuf;
 
-/// The methods that are served without routes, each with the space that ends it.
+/// The methods that are served without routes, each with the space that follows it.
 pub const METHODS: [&[u8]; 2] = [b"GET ", b"POST "];
 /// The methods that are served with routes.
-pub const METHODS_ROUTED: [&[u8]; 5] = [b"GET ", b"POST ", b"PUT ", b"PATCH ", b"DELETE "];
-/// Highest number of headers of a request.
+pub const ROUTED_METHODS: [&[u8]; 5] = [b"GET ", b"POST ", b"PUT ", b"PATCH ", b"DELETE "];
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
 /// Capacity that is reserved for each read from the socket, in bytes.
 const READ_BYTES: usize = 4096;
@@ -21,29 +21,30 @@
 enum Stage {
     /// The head of a request, which is not complete yet.
     Head,
-    /// A complete request, of which so many bytes are left to forward.
+    /// A complete head and its body, of which this many bytes remain to be forwarded.
     Forward(u64),
-    /// A chunked body, whose end only the HTTP library finds. All bytes are forwarded, and the connection ends after it.
+    /// A chunked body, whose end only the HTTP library finds. All bytes are forwarded, and the connection is closed
+    /// after the answer.
     Chunked,
 }
 
-/// Prevents request smuggling: a request whose end two readers could see in different places is rejected, and so is
-/// what is no request at all. Examples are `Content-Length` beside `Transfer-Encoding`, lengths that are repeated, signed
-/// or too large, endless heads, and noise behind a body. What follows such a request can't be told apart, so its
+/// Prevents request smuggling: rejects requests whose end two parsers could find at different positions, and input that
+/// is not a request. Examples are `Content-Length` together with `Transfer-Encoding`, lengths that are repeated, signed
+/// or too large, endless heads, and garbage after a body. Where the next request would begin is unknown then, so the
 /// connection is closed.
-pub struct Gate {
+pub struct RequestFilter {
     methods: &'static [&'static [u8]],
     stage: Stage,
     /// Bytes that were received and not forwarded yet.
     buffer: BytesMut,
-    /// How many bytes of `buffer` were found to contain no complete head.
+    /// How many bytes at the start of `buffer` are known to contain no complete head.
     scanned: usize,
 }
 
-impl Gate {
-    /// A gate that lets requests by these methods pass.
+impl RequestFilter {
+    /// A filter that forwards requests with these methods.
     pub fn new(methods: &'static [&'static [u8]]) -> Self {
-        Gate {
+        RequestFilter {
             methods,
             stage: Stage::Head,
             buffer: BytesMut::new(),
@@ -51,8 +52,8 @@
         }
     }
 
-    /// Where to read the next bytes from the socket. Its size is bounded, since its content is forwarded or rejected
-    /// before more is read.
+    /// The buffer to read the next bytes from the socket into. Its size is bounded, since its content is forwarded or
+    /// rejected before more is read.
     pub fn read_buffer(&mut self) -> &mut BytesMut {
         self.buffer.reserve(READ_BYTES);
         &mut self.buffer
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Whether all requests that have begun to pass have been forwarded whole.
+    /// Whether every request whose head was forwarded has been forwarded completely.
     pub fn is_between_requests(&self) -> bool {
         matches!(self.stage, Stage::Head)
     }
@@ -82,7 +83,7 @@
         self.buffer = BytesMut::new();
     }
 
-    /// Forwards what may pass; `Continue` if more has to be read first.
+    /// Forwards checked bytes to `destination`; `Continue` if more has to be read first.
     ///
     /// # Errors
     /// The status of the answer, if the request is rejected.
@@ -112,7 +113,7 @@
             }
         }
         if self.buffer.is_empty() {
-            // Idle connections keep no memory.
+            // Idle connections hold no buffer.
             self.buffer = BytesMut::new();
         }
         Ok(ControlFlow::Break(()))
@@ -150,9 +151,9 @@
         Ok(Some(Stage::Forward((head.length + body_length) as u64)))
     }
 
-    /// Checks that a request may begin like this.
+    /// Checks that these bytes are the start of a request with a served method, as far as they go.
     fn check_method(&self, start: &[u8]) -> Result<(), StatusCode> {
-        // Servers skip empty lines before a request.
+        // HTTP servers ignore empty lines before a request.
         let start = start.trim_ascii_start();
         let is_served = self.methods.iter().any(|method| {
             method
@@ -193,7 +194,7 @@
     Ok(Some(Head { length, framing }))
 }
 
-/// The framing that the headers of a request state without ambiguity.
+/// The framing that the headers of a request state, if it is unambiguous.
 fn framing(headers: &[httparse::Header]) -> Result<Framing, StatusCode> {
     let values = |name: &'static str| {
         headers
@@ -215,7 +216,7 @@
     }
 }
 
-/// Parses a length of digits only, at most that of the largest body.
+/// Parses a length that consists of digits only, and is at most [`MAX_STREAMED_BYTES`].
 fn parse_length(text: &[u8]) -> Result<usize, StatusCode> {
     if text.is_empty() || !text.iter().all(u8::is_ascii_digit) {
         return Err(StatusCode::BAD_REQUEST);
--- a/crates/node/src/net/service.rs
+++ b/crates/node/src/net/service.rs
@@ -2,8 +2,8 @@
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `error` | why a plan can't be put in force |
-//! | `prepared` | a plan with all that is costly to derive from it |
+//! | `error` | why a plan can't be applied |
+//! | `prepared` | a plan with the data that is expensive to derive from it |
 //! | `routing` | how requests find their services |
 //! | `services` | all services of a node, across reloads of its settings |
 //! | `sources` | the sources of endpoint lists |
@@ -19,7 +19,7 @@
 pub use services::Services;
 pub use sources::DiscoverySource;
 
-use super::operations::GraphQl;
+use super::graphql_operations::GraphQl;
 use super::pool::{ListOrigin, Pool, PoolConfig};
 use super::registry::{RegistryAccess, RegistryAccessError, RegistrySource};
 use super::shared::Shared;
@@ -42,20 +42,20 @@
     pub name: String,
     /// Its servers.
     pub pool: Rc<Pool>,
-    /// Its entry in the limits, if several services share the process.
+    /// Its entry in the shared limits, if several services share the process.
     pub service_id: Option<ServiceId>,
-    /// Whether it finishes its requests and rejects new ones.
+    /// Whether it rejects new requests and finishes the open ones.
     pub is_draining: Cell<bool>,
     /// Maximum time after which a rejected client is advised to retry, in seconds; 0 for no advice.
     pub max_retry_after: Cell<Time>,
-    /// How its requests are read, if they are GraphQL.
+    /// The GraphQL settings, if its requests are GraphQL.
     pub graphql: RefCell<Option<Rc<GraphQl>>>,
     list_updates: ListUpdates,
-    /// What the pool was made from, if that is a settings file.
+    /// The settings that the pool was created from, if they come from a file.
     pool_key: Option<Arc<PoolKey>>,
-    /// The settings in force that can change without a new pool.
+    /// The current settings that can change without a new pool.
     runtime_settings: RefCell<Option<Arc<RuntimeSettings>>>,
-    _follow: AbortOnDrop,
+    _follow_task: AbortOnDrop,
 }
 
 /// How the source of a service's list is updated when the settings change.
@@ -73,7 +73,7 @@
 }
 
 impl Service {
-    /// The only service of a node on its platform.
+    /// The single service of a node that is configured by its platform.
     pub fn single(pool: Rc<Pool>, follow: AbortOnDrop) -> Rc<Self> {
         Rc::new(Service {
             name: String::new(),
@@ -85,7 +85,7 @@
             list_updates: ListUpdates::None,
             pool_key: None,
             runtime_settings: RefCell::default(),
-            _follow: follow,
+            _follow_task: follow,
         })
     }
 
@@ -119,7 +119,7 @@
             list_updates: source.list_updates,
             pool_key: Some(planned.parts.pool_key.clone()),
             runtime_settings: RefCell::default(),
-            _follow: source.task,
+            _follow_task: source.task,
         }))
     }
 
@@ -134,7 +134,7 @@
         (!self.pool.has_servers()).then_some("no server takes requests\n")
     }
 
-    /// Whether its pool was made from this key.
+    /// Whether its pool was created from this key.
     fn is_made_from(&self, pool_key: &Arc<PoolKey>) -> bool {
         self.pool_key
             .as_ref()
@@ -171,7 +171,7 @@
             .borrow()
             .as_ref()
             .map(|graphql| graphql.persisted.clone());
-        // A checked plan has valid classes.
+        // The classes of a checked plan are valid.
         self.graphql
             .replace(graphql_settings(service, persisted).unwrap_or_default());
         self.is_draining
@@ -246,7 +246,7 @@
     }
 }
 
-/// How a service's GraphQL requests are read, with the documents that are `persisted` already.
+/// The GraphQL settings of a service, with the cache of `persisted` documents of the previous settings.
 fn graphql_settings(
     service: &model::Service,
     persisted: Option<Rc<RefCell<PersistedDocuments>>>,
--- a/crates/node/src/net/service/error.rs
+++ b/crates/node/src/net/service/error.rs
@@ -1,4 +1,4 @@
-//! Why a plan can't be put in force.
+//! Why a plan can't be applied.
 
 use crate::net::registry::RegistryAccessError;
 use reelfall_balancer::settings::SettingsError;
--- a/crates/node/src/net/service/prepared.rs
+++ b/crates/node/src/net/service/prepared.rs
@@ -1,6 +1,6 @@
-//! A plan with all that is costly to derive from it, prepared on any thread.
+//! A plan with the data that is expensive to derive from it, which can be prepared on any thread.
 //!
-//! Parts that equal those of the plan before are shared with it, so that the serving thread compares pointers and
+//! Parts that equal those of the previous plan are shared with it, so that the serving thread compares pointers and
 //! updates only the services that have changed.
 
 use crate::net::registry::{RegistryAccess, RegistryAccessError};
@@ -11,23 +11,23 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// When the servers of static lists have started to accept requests.
+/// When the servers of static lists started to accept requests, by their addresses.
 type StartTimes = HashMap<SocketAddr, Time>;
 
-/// A checked plan, ready to be put in force.
+/// A checked plan, ready to be applied.
 pub struct PreparedPlan {
     /// The plan.
     pub plan: Plan,
     /// The parts of its services, in the same order.
     pub services: Vec<ServiceParts>,
-    /// The access to its registries by their names.
+    /// The access to each registry, by its name.
     registry_access: HashMap<String, Result<RegistryAccess, RegistryAccessError>>,
     pub(super) start_times: StartTimes,
 }
 
-/// A service by the parts that change independently of each other.
+/// The settings of a service, divided into parts that change independently of each other.
 pub struct ServiceParts {
-    /// What its pool is made from.
+    /// The settings that its pool is created from.
     pub pool_key: Arc<PoolKey>,
     /// The settings that can change without a new pool.
     pub runtime_settings: Arc<RuntimeSettings>,
@@ -42,7 +42,7 @@
     pub(super) parts: &'a ServiceParts,
 }
 
-/// All that a pool is made from: while this is the same, a reload retains the pool and its learned state.
+/// The settings that a pool is created from. While they are equal, a reload retains the pool and its learned state.
 #[derive(PartialEq)]
 pub struct PoolKey {
     source: SourceKey,
@@ -243,7 +243,7 @@
     }
 }
 
-/// Whether two parts are equal; shared ones are recognized by their pointers.
+/// Whether two parts are equal. Shared parts are recognized by their pointers.
 pub fn is_same<T: PartialEq>(left: &Arc<T>, right: &Arc<T>) -> bool {
     Arc::ptr_eq(left, right) || left == right
 }
@@ -256,8 +256,8 @@
     }
 }
 
-/// When the servers of static lists started, which the settings do not say. Those of the first plan have long been
-/// serving; one that is added later, or accepts requests again after a drain, counts as started at that moment, since it
+/// When the servers of static lists started, which the settings do not state. Those of the first plan count as started
+/// long ago. One that is added later, or accepts requests again after a drain, counts as started at that time, since it
 /// may need a slow start.
 fn start_times(model: &model::Model, previous: Option<&StartTimes>, now: Time) -> StartTimes {
     model
--- a/crates/node/src/net/service/routing.rs
+++ b/crates/node/src/net/service/routing.rs
@@ -1,4 +1,4 @@
-//! How requests find their services. Fronts look each request up here.
+//! Selects the service of each request, on behalf of the frontend.
 
 use super::prepared::PreparedPlan;
 use super::Service;
@@ -16,7 +16,7 @@
     pub class: Option<ClassId>,
 }
 
-/// How requests find their services.
+/// How the service of a request is selected.
 pub enum Routing {
     /// All requests go to one service.
     Single(Rc<Service>),
@@ -40,7 +40,7 @@
     }
 }
 
-/// Receives a plan that is no longer in force, so that it can be freed on another thread.
+/// Receives a plan that is no longer current, so that it can be freed on another thread.
 pub type Retire = Rc<dyn Fn(Arc<PreparedPlan>)>;
 
 /// The routes of a plan, and its services in the plan's order.
--- a/crates/node/src/net/service/services.rs
+++ b/crates/node/src/net/service/services.rs
@@ -12,19 +12,19 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The services of the plan in force, and those that finish the requests of earlier plans.
+/// The services of the current plan, and those that finish the requests of earlier plans.
 pub struct Services {
     pub(super) shared: Rc<Shared>,
     current: RefCell<Rc<Table>>,
-    /// Replaced or removed services that still have requests. Their sources are followed until these are done, so that
-    /// retries still respect a server's drain.
+    /// Replaced or removed services that still have requests. Their sources are followed until those have
+    /// ended, so that retries still respect a server's drain.
     pub(super) draining_services: RefCell<Vec<Rc<Service>>>,
     last_seed: Cell<u64>,
     retire: Retire,
 }
 
 impl Services {
-    /// No services yet. `seed` seeds the random choices of their pools.
+    /// Creates an empty set of services. `seed` seeds the random choices of their pools.
     pub fn new(shared: Rc<Shared>, seed: u64, retire: Retire) -> Self {
         let empty = Table::empty(retire.clone());
         Services {
@@ -36,18 +36,18 @@
         }
     }
 
-    /// The plan in force, if there is one.
+    /// The current plan, if there is one.
     pub fn current_plan(&self) -> Option<Arc<PreparedPlan>> {
         self.current.borrow().prepared().cloned()
     }
 
-    /// Puts a plan in force, completely or not at all: all that can fail is done before anything changes.
+    /// Applies a plan completely or not at all: every step that can fail is done before anything changes.
     ///
     /// # Errors
-    /// Names the service that can't be started; the plan in force stays so.
+    /// If a service can't be started; the error names it, and the current plan stays in use.
     pub fn apply(&self, prepared: Arc<PreparedPlan>) -> Result<Routing, ApplyPlanError> {
         let services = self.start_services(&prepared)?;
-        // Nothing fails from here on.
+        // Nothing can fail from here on.
         self.shared.set_totals(
             prepared.plan.totals,
             prepared.plan.model.process.max_connections_per_server,
@@ -63,7 +63,7 @@
         Ok(Routing::Table(table))
     }
 
-    /// The services of a plan: the current ones whose pools can stay, and new ones.
+    /// The services of a plan: current ones whose pools can be retained, and new ones.
     fn start_services(&self, prepared: &PreparedPlan) -> Result<Vec<Rc<Service>>, ApplyPlanError> {
         let current = self.current.borrow().clone();
         let current_by_name: HashMap<&str, &Rc<Service>> = current
@@ -82,7 +82,7 @@
                 services.push(unchanged.clone());
                 continue;
             }
-            // A service and the one that replaces it share one entry in the limits, and thus one amount.
+            // A service and its replacement share one entry in the limits, so that they use one quota.
             let service_id = existing.and_then(|service| service.service_id).or_else(|| {
                 let added = self.shared.add_service(&planned.model.limits);
                 added_ids.extend(added);
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Leaves a removed service what it uses until it has finished, but reserves nothing for it.
+    /// Ends the reservations of a removed service, which keeps what it uses until it has finished its requests.
     fn release_reservations(&self, service: &Service) {
         if let Some(service_id) = service.service_id {
             self.shared
--- a/crates/node/src/net/service/sources.rs
+++ b/crates/node/src/net/service/sources.rs
@@ -11,11 +11,11 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// The platform's service discovery.
+/// The platform's service discovery, as the source of a pool's endpoint list.
 pub struct DiscoverySource {
     /// Its address, which may change.
     pub address: watch::Receiver<SocketAddr>,
-    /// The index of the list that the pool has already.
+    /// The index of the list that the pool already has.
     pub known_index: u64,
     /// The name of the list among the nodes of a fleet.
     pub list_name: String,
@@ -27,7 +27,7 @@
     }
 }
 
-/// A list of servers in the settings, which may change.
+/// A list of servers in the settings, as the source of a pool's endpoint list.
 pub struct StaticSource {
     /// The latest list.
     pub list: watch::Receiver<Arc<Vec<ListedServer>>>,
--- a/crates/node/src/net/service/tests.rs
+++ b/crates/node/src/net/service/tests.rs
@@ -1,4 +1,4 @@
-//! Services, from settings to pools.
+//! Applying plans: which pools and services a reload retains, replaces, updates or frees.
 
 use super::prepared::{ListedServer, PreparedPlan};
 use super::routing::Retire;
@@ -85,7 +85,7 @@
             service_section("b", &[("b1", 3)]),
         );
         let (_shared, services, first) = start(&settings_text(&[a.clone(), b.clone()]));
-        // Limits, routes, lists and drains are no settings of a pool.
+        // Limits, routes, lists and drains are not part of a pool's settings.
         let changed = b.replace(
             "[[service.class]]",
             "limits = { open = 7 }\nstate = \"draining\"\n[[service.class]]",
@@ -94,13 +94,13 @@
         let second = apply(&services, &settings_text(&[changed, emptied]));
         assert!(has_same_pool(&first[0], &second[1]) && has_same_pool(&first[1], &second[0]));
         assert_eq!(second[0].unavailable_reason(), Some("draining\n"));
-        // A deadline is one of the decision module.
+        // A deadline is a setting of the decision module.
         let later = a.replace("\"1s\"", "\"2s\"");
         let third = apply(&services, &settings_text(&[later, b.clone()]));
         assert!(!has_same_pool(&first[0], &third[0]) && has_same_pool(&first[1], &third[1]));
         assert_eq!(
             first[0].service_id, third[0].service_id,
-            "the new pool has another account of resources"
+            "the new pool has a different entry in the limits"
         );
         assert!(third
             .iter()
@@ -124,7 +124,7 @@
             apply(&services, &settings_text(&[a.clone(), b.clone()]));
         }
         apply(&services, &settings_text(&[a]));
-        // The runtime drops aborted tasks when it runs next.
+        // The runtime drops aborted tasks when it polls next.
         for _ in 0..100 {
             tokio::task::yield_now().await;
         }
@@ -134,7 +134,7 @@
         assert_eq!(
             shared.registered_pools(),
             1,
-            "something is kept of removed pools"
+            "a removed pool is still registered"
         );
     })
     .await;
@@ -162,7 +162,7 @@
         apply(&services, &settings_text(&[two]));
         assert!(
             start_time(1).is_some_and(|at| at > 1e9),
-            "a server after a drain counts as warmed up"
+            "a server counts as warmed up after a drain"
         );
     })
     .await;
@@ -188,7 +188,7 @@
         assert!(
             !has_address(&now[0], "x") && !has_address(&now[1], "y") && has_address(&now[1], "b2")
         );
-        // Removed from the first list, the server depends on the second one alone.
+        // After its removal from the first list, the server's state depends on the second list only.
         apply(
             &services,
             &settings_text(&[service_section("a", &[("a2", 2)]), b]),
@@ -219,7 +219,7 @@
         let list = subscribe_to_list(&first[0]);
         let parsed = first[0].graphql.borrow().clone().expect("settings of GraphQL");
         let settings = first[0].runtime_settings.borrow().clone().expect("settings");
-        // Routes, limits, list and classes of the other service change, and all lines move.
+        // The routes, limits, list and classes of the other service change, and so do the line numbers of this one.
         let further = "[[service.route]]\nhost = \"more.example.org\"\n";
         let routed = format!("{b}{further}");
         let limited = b.replace("[[service.class]]", "limits = { open = 7 }\n[[service.class]]");
--- a/crates/node/src/net/shared.rs
+++ b/crates/node/src/net/shared.rs
@@ -1,16 +1,16 @@
-//! State that all pools of a process share, from file descriptors to the operators' bans.
+//! State that all pools of a process share, such as connection limits, buffer memory and the operators' bans.
 //!
-//! Fronts, pools and connections hold an `Rc` of [`Shared`]. Each module below owns one part of its state:
+//! The frontend, pools and connections hold an `Rc` of [`Shared`]. Each module below owns one part of its state:
 //!
 //! | module | state |
 //! | --- | --- |
 //! | `clock` | the time of engines and limits |
 //! | `connections` | numbers of open connections to servers and their limits |
-//! | `endpoint_lists` | what several pools' lists say of the same servers |
+//! | `endpoint_lists` | what several pools' lists state about the same servers |
 //! | `fleet` | bans and ejections by the fleet, and its observer of attempts |
 //! | `listed` | the number of distinct servers in all lists |
 //! | `memory` | memory for buffered request bodies and responses |
-//! | `operations` | the bans and the drain that operators order |
+//! | `ledger` | the bans and the drain that operators order |
 //! | `request_ids` | the ids of open requests |
 //! | `service_limits` | the limits of each service, if several share the process |
 
@@ -18,9 +18,9 @@
 mod connections;
 mod endpoint_lists;
 mod fleet;
+mod ledger;
 mod listed;
 mod memory;
-mod operations;
 mod request_ids;
 mod service_limits;
 
@@ -53,15 +53,15 @@
 
 /// What [`Shared`] requests of a pool on behalf of other pools, operators and the fleet.
 pub trait PoolPeer {
-    /// Since when the longest idle connection, to one address or to any, has been idle.
+    /// When the connection that has been idle longest became idle, among those to one address or among all.
     fn oldest_idle_since(&self, address: Option<SocketAddr>) -> Option<Instant>;
     /// Closes that connection. Returns whether there was one.
     fn close_oldest_idle(&self, address: Option<SocketAddr>) -> bool;
     /// Wakes the attempts that wait for a connection.
     fn connection_freed(&self);
-    /// Periodic work: closes connections that were idle too long and releases servers that have finished slow start.
+    /// Called periodically: closes connections that were idle too long, and uses servers that are no longer withheld.
     fn tick(self: Rc<Self>);
-    /// Adjusts the endpoints at an address, since another pool's list has changed what it says of it.
+    /// Adjusts the endpoints at an address, since its listing by another pool has changed.
     fn listing_changed(self: Rc<Self>, address: SocketAddr);
     /// Adjusts a server, since operators or the fleet have banned it or lifted its ban.
     fn ban_changed(self: Rc<Self>, name: &str);
@@ -73,7 +73,7 @@
     fn collect_overdue(&self, now: Time, overdue: &mut Vec<OverdueRequest>);
     /// Applies, or ends, the ejection of a server by the fleet.
     fn apply_quorum_ejection(self: Rc<Self>, ejection: &QuorumEjection);
-    /// Readmits a server of which the fleet has found that it responds again.
+    /// Readmits a server after the fleet has found that it responds again.
     fn readmit(self: Rc<Self>, server: &ServerInstance);
 }
 
@@ -86,14 +86,14 @@
     open_request_ids: RefCell<HashSet<Box<[u8]>>>,
     connections: ConnectionCounts,
     buffer_memory: BufferMemory,
-    /// `None` if one service has all that the process has.
+    /// `None` if the process has a single service, which may use all of its resources.
     service_limits: Option<RefCell<Limits>>,
     combined_lists: RefCell<SharedServers<SocketAddr, PoolId>>,
     listed_servers: Rc<ListedServers>,
     pools: RefCell<HashMap<PoolId, Weak<dyn PoolPeer>>>,
     next_pool_id: Cell<PoolId>,
     /// The bans and the drain that operators have ordered at this node.
-    operations: RefCell<Ledger>,
+    ledger: RefCell<Ledger>,
     /// Servers that are banned in the whole fleet.
     fleet_bans: RefCell<Bans>,
     /// `None` if the node is not part of a fleet.
@@ -105,7 +105,7 @@
 }
 
 impl Shared {
-    /// The state of a process with one service, which may use all that the process has.
+    /// The state of a process with one service, which may use all of the process's resources.
     pub fn for_single_service(limits: ResourceLimits) -> Rc<Self> {
         Rc::new(Self::new(
             limits.server_connections,
@@ -146,7 +146,7 @@
             listed_servers: Rc::default(),
             pools: RefCell::default(),
             next_pool_id: Cell::new(0),
-            operations: RefCell::default(),
+            ledger: RefCell::default(),
             fleet_bans: RefCell::default(),
             observer: RefCell::default(),
             drain_changed: Notify::new(),
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Changes the totals of a process with several services. What is in use stays in use.
+    /// Changes the totals of a process with several services. Resources in use are not revoked.
     pub fn set_totals(&self, totals: ProcessResources, max_connections_per_server: Option<usize>) {
         self.connections.set_max(totals.connections as usize);
         self.connections
@@ -184,7 +184,7 @@
         self.process_count.get()
     }
 
-    /// Changes the number of serving processes, among which a server in slow start divides what it accepts.
+    /// Changes the number of serving processes, among which the slow-start rate of a server is divided.
     pub fn set_process_count(&self, process_count: u32) {
         if self.process_count.replace(process_count) != process_count {
             self.pools()
@@ -214,7 +214,7 @@
             .collect()
     }
 
-    /// Periodic work: removes pools that no longer exist and listings that have expired.
+    /// Called periodically: removes pools that no longer exist and listings that have expired, and calls all pools.
     pub fn tick(&self) {
         self.remove_dropped_pools();
         self.expire_listings();
--- a/crates/node/src/net/shared/clock.rs
+++ b/crates/node/src/net/shared/clock.rs
@@ -3,8 +3,8 @@
 use reelfall_balancer::interface::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Converts between monotonic instants and Unix time. Endpoint lists state starts in Unix time with 0 for long ago, so a
-/// clock that began at 0 would take every server to be past its slow start.
+/// Converts between monotonic instants and Unix time. Endpoint lists state start times in Unix time, with 0 for long
+/// ago, so a clock that began at 0 would treat every server as past its slow start.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
@@ -13,7 +13,7 @@
 }
 
 impl Clock {
-    #[allow(clippy::disallowed_methods)] // The one read of the system's clock: from here on time is monotonic.
+    #[allow(clippy::disallowed_methods)] // The only read of the system clock; later times are monotonic.
     pub(super) fn start() -> Self {
         let started_unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
--- a/crates/node/src/net/shared/connections.rs
+++ b/crates/node/src/net/shared/connections.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// Permission for one open connection to a server; it ends when this is dropped.
+/// Permission for one open connection to a server, released when this is dropped.
 pub struct ConnectionPermit {
     shared: Rc<Shared>,
     /// The server, if connections are counted by server.
@@ -109,8 +109,8 @@
     /// server if the limit is the server's, else the one of all pools that has been idle longest.
     ///
     /// # Errors
-    /// [`QuotaExceeded::OwnLimit`] if the service has reached its limit: no other service's connection is closed for it then.
-    /// [`QuotaExceeded::Exhausted`] if no connection can be closed.
+    /// [`QuotaExceeded::OwnLimit`] if the service has reached its limit: no other service's connection is closed for it
+    /// then. [`QuotaExceeded::Exhausted`] if no connection can be closed.
     pub fn reserve_connection(
         self: &Rc<Self>,
         address: SocketAddr,
--- a/crates/node/src/net/shared/endpoint_lists.rs
+++ b/crates/node/src/net/shared/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! What several pools' endpoint lists say of the same servers.
+//! What several pools' endpoint lists state about the same servers.
 //!
 //! Pools update their listings here and are notified when another pool's listing of one of their servers changes.
 
--- a/crates/node/src/net/shared/fleet.rs
+++ b/crates/node/src/net/shared/fleet.rs
@@ -1,4 +1,4 @@
-//! What the fleet reports to the pools, and the pools to the fleet.
+//! Bans and ejections that the fleet applies to the pools, and what the pools report to the fleet.
 
 use super::{ListedByPool, PoolId, Shared};
 use reelfall_balancer::interface::Time;
@@ -7,12 +7,12 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// The ejection of one instance of a server, which fails requests of other nodes of the fleet.
+/// The ejection of one instance of a server by the fleet, because it fails requests of other nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuorumEjection {
     /// The instance.
     pub server: ServerInstance,
-    /// When it expires without further reports; a time in the past ends it.
+    /// When it expires unless it is renewed; a time in the past ends it.
     pub until: Time,
     /// Whether this node checks the server's health in the meantime, for the whole fleet.
     pub is_prober: bool,
--- a/crates/node/src/net/shared/operations.rs
+++ b/crates/node/src/net/shared/ledger.rs
@@ -1,6 +1,6 @@
 //! The bans and the drain that operators order at this node.
 //!
-//! Management applies them; pools and fronts look them up.
+//! `management` applies them; pools and the frontend query them.
 
 use super::Shared;
 use reelfall_admin::ban::BanStatus;
@@ -10,13 +10,13 @@
 
 impl Shared {
     /// The bans and the drain in force at this node.
-    pub fn operations(&self) -> Ledger {
-        self.operations.borrow().clone()
+    pub fn ledger(&self) -> Ledger {
+        self.ledger.borrow().clone()
     }
 
-    /// Puts bans and a drain in force, in all pools.
-    pub fn apply_operations(&self, new: Ledger) {
-        let old = self.operations.replace(new.clone());
+    /// Replaces the bans and the drain, and applies the changes to all pools.
+    pub fn apply_ledger(&self, new: Ledger) {
+        let old = self.ledger.replace(new.clone());
         let pools = self.pools();
         for name in old.bans.changed_servers(&new.bans) {
             for pool in &pools {
@@ -28,10 +28,10 @@
         }
     }
 
-    /// Whether a server is banned, at this node or in its fleet, and when it counts as started if its list says
+    /// Whether a server is banned, at this node or in its fleet, and when it counts as started if its list states
     /// `ready_at`.
     pub fn ban_status(&self, name: &str, ready_at: Time) -> BanStatus {
-        let here = self.operations.borrow().bans.status(name, ready_at);
+        let here = self.ledger.borrow().bans.status(name, ready_at);
         let fleet = self.fleet_bans.borrow().status(name, here.ready_at);
         BanStatus {
             is_banned: here.is_banned || fleet.is_banned,
@@ -39,15 +39,15 @@
         }
     }
 
-    /// Whether the node drains.
+    /// Whether an operator drains the node.
     pub fn is_draining(&self) -> bool {
-        self.operations.borrow().drain.is_active()
+        self.ledger.borrow().drain.is_active()
     }
 
     /// When a client connection that has been idle since `idle_since` has to be closed, if the node drains.
     pub fn idle_deadline(&self, idle_since: Instant) -> Option<Instant> {
         let deadline = self
-            .operations
+            .ledger
             .borrow()
             .drain
             .idle_deadline(self.clock.time(idle_since));
@@ -56,7 +56,7 @@
 
     /// Whether a server is banned, or some list names it or named it recently.
     pub fn knows_server(&self, name: &str) -> bool {
-        self.operations.borrow().bans.is_banned(name)
+        self.ledger.borrow().bans.is_banned(name)
             || self.pools().iter().any(|pool| pool.knows_server(name))
     }
 }
--- a/crates/node/src/net/shared/listed.rs
+++ b/crates/node/src/net/shared/listed.rs
@@ -1,5 +1,5 @@
-//! The number of distinct servers in the lists of all pools, updated as the lists change: an iteration over all lists
-//! for each count would delay requests.
+//! The number of distinct servers in the lists of all pools. It is updated as the lists change, since an iteration over
+//! all lists for each query would delay requests.
 
 use reelfall_balancer::interface::ServerId;
 use std::cell::RefCell;
@@ -7,7 +7,7 @@
 use std::hash::BuildHasher;
 use std::rc::Rc;
 
-/// A hash that stands for a server instance, since the pools store the names already.
+/// A hash that identifies a server instance without another copy of its name, which the pools already store.
 type Fingerprint = u64;
 
 /// The distinct server instances in the lists of all pools.
--- a/crates/node/src/net/shared/listed/tests.rs
+++ b/crates/node/src/net/shared/listed/tests.rs
@@ -1,4 +1,4 @@
-//! The count of listed servers against a walk over all lists.
+//! The count of listed servers, compared with an iteration over all lists.
 
 use crate::net::pool::{ListOrigin, Pool, PoolConfig};
 use crate::net::shared::Shared;
@@ -74,7 +74,7 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// The same draws in each run (splitmix64).
+/// Pseudo-random numbers (SplitMix64), the same in each run.
 struct SeededDraws(u64);
 
 impl SeededDraws {
@@ -99,7 +99,7 @@
     }
 }
 
-/// A pool, and the starts of the servers that it was told of.
+/// A pool, and the start times of the servers in its list.
 struct FollowedPool {
     pool: Rc<Pool>,
     list_origin: ListOrigin,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The server instances that it names, by server and start; a list that is written by hand tells of no start.
+    /// The server instances in its list, as server and start time; a list in the settings states no start time.
     fn instances(&self) -> impl Iterator<Item = (u64, u64)> + '_ {
         let start = |ready_at: Time| match self.list_origin {
             ListOrigin::Discovered => (ready_at * 1e3) as u64,
@@ -141,7 +141,7 @@
 }
 
 #[tokio::test]
-async fn the_count_that_is_kept_is_that_of_a_walk_over_all_lists() {
+async fn server_count_matches_an_iteration_over_all_lists() {
     local(async {
         let (shared, mut draws) = (shared(), SeededDraws(7));
         let mut pools: Vec<FollowedPool> = Vec::new();
@@ -153,7 +153,7 @@
                     pools.push(FollowedPool::new(&shared, list_origin));
                 }
                 1 if !pools.is_empty() => {
-                    // Its timers hold it weakly: this is its end.
+                    // Timers hold only weak references, so this drops the pool.
                     pools.swap_remove(draws.below(pools.len() as u64) as usize);
                 }
                 n if !pools.is_empty() => {
@@ -168,28 +168,28 @@
                 }
                 _ => {}
             }
-            let walked: BTreeSet<(u64, u64)> =
+            let counted: BTreeSet<(u64, u64)> =
                 pools.iter().flat_map(FollowedPool::instances).collect();
-            assert_eq!(shared.listed_server_count(), walked.len());
+            assert_eq!(shared.listed_server_count(), counted.len());
         }
         pools.clear();
         assert_eq!(
             shared.listed_server_count(),
             0,
-            "something is kept of pools that are gone"
+            "servers of dropped pools are still counted"
         );
     })
     .await;
 }
 
-/// A walk over so many servers for each of so many counts takes minutes; without a walk they take milliseconds.
+/// Iterating over this many servers for each count takes minutes; counting without an iteration takes milliseconds.
 const SERVERS: u64 = 5_000;
-const COUNTS: usize = 20_000;
-/// Far from both.
-const IN_TIME: Duration = Duration::from_secs(15);
+const COUNT_CALLS: usize = 20_000;
+/// Far from both durations, so that neither a slow machine nor a fast one changes the result.
+const TIMEOUT: Duration = Duration::from_secs(15);
 
 #[tokio::test]
-async fn a_count_does_not_walk_over_the_servers() {
+async fn server_count_does_not_iterate_over_the_servers() {
     local(async {
         let shared = shared();
         let pool = pool(&shared, ListOrigin::Discovered);
@@ -200,10 +200,13 @@
         };
         let entries: Vec<Entry> = (0..SERVERS).map(entry).collect();
         update_list(&pool, UpdateKind::Snapshot, &entries);
-        let begun = Instant::now();
-        for _ in 0..COUNTS {
+        let started = Instant::now();
+        for _ in 0..COUNT_CALLS {
             assert_eq!(shared.listed_server_count(), entries.len());
-            assert!(begun.elapsed() < IN_TIME, "each count walks over the lists");
+            assert!(
+                started.elapsed() < TIMEOUT,
+                "each count iterates over the lists"
+            );
         }
     })
     .await;
--- a/crates/node/src/net/shared/memory.rs
+++ b/crates/node/src/net/shared/memory.rs
@@ -8,7 +8,7 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::time::timeout_at;
 
-/// Reserved memory for a body; it is free again when this is dropped.
+/// Memory reserved for a body, released when this is dropped.
 pub enum MemoryPermit {
     /// Memory of the process, if it has one service only.
     Process(#[allow(dead_code)] OwnedSemaphorePermit),
@@ -45,7 +45,7 @@
         self.responses.add_permits(kib);
     }
 
-    /// Wakes those that wait for memory of a service.
+    /// Wakes the responses that wait for memory of a service.
     pub(super) fn notify_freed(&self) {
         self.freed.notify_waiters();
     }
--- a/crates/node/src/net/shared/request_ids.rs
+++ b/crates/node/src/net/shared/request_ids.rs
@@ -3,7 +3,7 @@
 use super::Shared;
 use std::rc::Rc;
 
-/// The id of an open request; it is free again when this is dropped.
+/// The claimed id of an open request, released when this is dropped.
 pub struct OpenId {
     shared: Rc<Shared>,
     id: Box<[u8]>,
@@ -16,8 +16,8 @@
 }
 
 impl Shared {
-    /// Claims an id for a request; `None` if an open request has it. Servers identify requests by their ids, so two
-    /// open requests with one id would look like one request sent twice.
+    /// Claims an id for a request; `None` if an open request has it. Servers identify requests by their ids, so a
+    /// server would treat two open requests with the same id as two attempts of one request.
     pub fn claim_request_id(self: &Rc<Self>, id: &[u8]) -> Option<OpenId> {
         let id: Box<[u8]> = id.into();
         let is_free = self.open_request_ids.borrow_mut().insert(id.clone());
--- a/crates/node/src/net/shared/service_limits.rs
+++ b/crates/node/src/net/shared/service_limits.rs
@@ -5,7 +5,7 @@
 use reelfall_routing::limits::{LimitExceeded, Resource, ServiceId, ServiceLimits};
 use std::rc::Rc;
 
-/// Units of a limit that a service uses; they are returned when this is dropped.
+/// Units of a limit that a service uses, released when this is dropped.
 pub struct Permit {
     shared: Rc<Shared>,
     service_id: ServiceId,
@@ -55,7 +55,7 @@
     /// Admits one request of a service.
     ///
     /// # Errors
-    /// Names the limit that the service has reached.
+    /// If the service has reached a limit; the error names it.
     pub fn admit(self: &Rc<Self>, service_id: ServiceId) -> Result<Option<Permit>, LimitExceeded> {
         let Some(limits) = &self.service_limits else {
             return Ok(None);
--- a/crates/node/src/net/shared/tests.rs
+++ b/crates/node/src/net/shared/tests.rs
@@ -1,4 +1,4 @@
-//! Numbers of the shared state that tests check.
+//! Access to internal counts for tests.
 
 use super::Shared;
 
--- a/crates/node/src/net/source.rs
+++ b/crates/node/src/net/source.rs
@@ -1,4 +1,4 @@
-//! The sources of endpoint lists: what all of them have in common. Services follow one source each.
+//! The common interface of the sources of endpoint lists. Each service follows one source.
 
 use super::pool::Pool;
 use super::task::AbortOnDrop;
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a pool that knows servers from before waits for a newer list before it serves.
+/// How long a pool with servers from a cached list waits for a newer list before it serves.
 const NEWER_LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A source of endpoint lists, which delivers them to [`Pool::update_endpoints`].
@@ -15,14 +15,14 @@
     fn follow(self, pool: Rc<Pool>) -> impl Future<Output = ()> + 'static;
 }
 
-/// Starts a task that follows a source. The pool becomes ready with the first list, or, if it knows servers from before,
+/// Starts a task that follows a source. The pool becomes ready with the first list, or, if it already has servers,
 /// after [`NEWER_LIST_TIMEOUT`] at the latest.
 pub fn follow(pool: &Rc<Pool>, source: impl Source) -> AbortOnDrop {
     let waiting_pool = pool.clone();
     let follow = source.follow(pool.clone());
     let task = tokio::task::spawn_local(async move {
         let mut follow = std::pin::pin!(follow);
-        // The wait is polled first, so that no list is missed.
+        // `become_ready` is polled first, so that it does not miss a list.
         tokio::select! {
             biased;
             () = become_ready(waiting_pool) => {}
@@ -32,7 +32,7 @@
     AbortOnDrop(task.abort_handle())
 }
 
-/// Sets the pool ready when its first list was received; never returns.
+/// Marks the pool as ready when its first list was received; never returns.
 async fn become_ready(pool: Rc<Pool>) {
     if pool.is_ready.get() {
         return std::future::pending().await;
--- a/crates/node/src/net/takeover.rs
+++ b/crates/node/src/net/takeover.rs
@@ -1,5 +1,5 @@
-//! Hot restart: a new process takes over the listening sockets, the learned state and the clients of one that serves, over a
-//! Unix socket. Used by [`crate::platform`].
+//! Hot restart: a new process takes over the listening sockets, the learned state and the clients of the serving
+//! process through a Unix socket. Used by [`crate::platform`].
 //!
 //! [`reelfall_admin::succession`] decides which of the two accepts, and who has the clients.
 //!
@@ -33,10 +33,10 @@
 /// Number of processes that share the node's limits while a successor takes over.
 const PROCESSES_IN_TAKEOVER: u32 = 2;
 
-/// Collects what the modules of a process have learned, by the names of their pools.
+/// Collects the learned state of each pool, with the pool's name.
 pub type CollectLearned = Box<dyn Fn() -> Vec<(String, serde_json::Value)>>;
 
-/// This process in the succession of the node's processes.
+/// The role of this process in hot restarts: the successor of one process, and the predecessor of the next.
 pub struct Takeover {
     socket: Option<HandoverSocket>,
     shared: Rc<Shared>,
@@ -44,14 +44,14 @@
     successor: Cell<Successor>,
     collect_learned: CollectLearned,
     is_serving: Cell<bool>,
-    /// The predecessor is gone.
+    /// Notified when the predecessor has exited.
     pub predecessor_gone: Notify,
-    /// A successor that served, and so had replaced the socket where successors connect, is gone.
+    /// Notified when a successor is lost after it served, and so after it replaced the socket for successors.
     serving_successor_lost: Notify,
 }
 
 impl Takeover {
-    /// The state of a process that has a predecessor or not; the processes of the node meet at `socket`, if they can.
+    /// The state of a new process. Successors connect through `socket`; without it, there are no takeovers.
     pub fn new(
         shared: Rc<Shared>,
         socket: Option<HandoverSocket>,
@@ -91,18 +91,19 @@
         self.successor.set(successor);
     }
 
-    /// Serves, as this process can by now: it accepts, notifies its predecessor, accepts the clients of that, and listens
-    /// for its own successor, for as long as it is polled.
+    /// Called once this process can serve: starts to accept, notifies the predecessor, takes over its clients, and
+    /// listens for a successor for as long as the future is polled.
     pub async fn serve(self: Rc<Self>, frontend: Rc<Frontend>, snapshot: Option<Snapshot>) {
         self.update_successor(Successor::set_ready);
         frontend.notify_handover_changed();
-        let _listening = self.listen_for_successor(&frontend);
+        let _accept_task = self.listen_for_successor(&frontend);
         let mut exchange = snapshot.map(Snapshot::into_exchange);
         let is_announced = match &exchange {
             Some(exchange) => exchange.send(&Frame::Serving, &[]).await.is_ok(),
             None => false,
         };
-        // Not before the predecessor is notified: whoever sees that this process serves ends the predecessor.
+        // Only after the predecessor is notified: an operator may stop it as soon as this process reports that it
+        // serves.
         self.is_serving.set(true);
         if let Some(exchange) = &mut exchange {
             if is_announced {
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Serves a process that wants to take over, to the end of either.
+    /// Serves a process that takes over, until it or this process ends.
     async fn serve_successor(self: Rc<Self>, stream: UnixStream, frontend: Rc<Frontend>) {
         let Ok(mut exchange) = Exchange::new(stream) else {
             return;
@@ -177,10 +178,10 @@
             let _ = exchange.send(&Frame::Busy, &[]).await;
             return;
         }
-        let end = self.hand_over(&mut exchange, &frontend).await;
+        let reason = self.hand_over(&mut exchange, &frontend).await;
         self.shared
             .log
-            .write_line(format_args!("takeover: the successor is lost: {end}"));
+            .write_line(format_args!("takeover: lost the successor: {reason}"));
         frontend.hand_over_to(None);
         if self.hands_over() {
             self.serving_successor_lost.notify_one();
@@ -190,9 +191,9 @@
             .set_process_count(self.successor.get().process_count());
     }
 
-    /// Hands over the sockets, the learned state and the clients; returns only when the successor is lost, and why it is.
+    /// Hands over the sockets, the learned state and the clients. Returns why the successor is lost, only once it is.
     async fn hand_over(&self, exchange: &mut Exchange, frontend: &Rc<Frontend>) -> ExchangeError {
-        // Open until the successor is lost, whatever becomes of this process's own listeners.
+        // Held open until the successor is lost, even if this process closes its own listeners.
         let sockets = frontend.listeners();
         if let Err(error) = self.send_snapshot(exchange, &sockets).await {
             return error;
@@ -205,9 +206,9 @@
         let (sender, mut handovers) = mpsc::unbounded_channel();
         frontend.hand_over_to(Some(sender));
         self.update_predecessor(frontend, Predecessor::handle_serving);
-        let end = send_clients(exchange, &mut handovers).await;
+        let reason = send_clients(exchange, &mut handovers).await;
         return_clients(handovers);
-        end
+        reason
     }
 
     async fn send_snapshot(
@@ -248,7 +249,7 @@
     }
 }
 
-/// Accepts the clients that the predecessor hands over, until it is gone.
+/// Accepts the clients that the predecessor hands over, until it has exited.
 async fn accept_clients(exchange: &mut Exchange, frontend: &Rc<Frontend>) {
     while let Ok(received) = exchange.receive().await {
         let Frame::Client { listener } = received.frame else {
@@ -260,7 +261,7 @@
     }
 }
 
-/// Sends clients to the successor until it is lost; returns why it is.
+/// Sends clients to the successor until it is lost, and returns why it is.
 async fn send_clients(
     exchange: &mut Exchange,
     handovers: &mut UnboundedReceiver<Handover>,
@@ -286,12 +287,12 @@
     } = handover;
     let client = Frame::Client { listener };
     let sent = exchange.send(&client, &[stream.as_fd()]).await;
-    // Whoever waits for the result may have ended meanwhile.
+    // The task that waits for the result may have ended.
     let _ = done.send(if sent.is_ok() { Ok(()) } else { Err(stream) });
     sent
 }
 
-/// Returns the clients that have not been sent: this process goes on serving them.
+/// Returns the clients that have not been sent; this process continues to serve them.
 fn return_clients(mut handovers: UnboundedReceiver<Handover>) {
     handovers.close();
     while let Ok(Handover { stream, done, .. }) = handovers.try_recv() {
--- a/crates/node/src/net/takeover/exchange.rs
+++ b/crates/node/src/net/takeover/exchange.rs
@@ -17,7 +17,7 @@
 use tokio::net::UnixStream;
 use tokio::time::timeout;
 
-/// How long the process at the other end may take for one frame that has begun.
+/// How long the peer may take to send or receive one frame.
 pub const FRAME_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum number of bytes of one read.
 const READ_LEN: usize = 16 << 10;
@@ -27,26 +27,26 @@
 /// Why an exchange ends.
 #[derive(Debug, Error)]
 pub enum ExchangeError {
-    /// The stream fails, ends, or takes too long.
+    /// The stream failed, ended or timed out.
     #[error(transparent)]
     Stream(#[from] io::Error),
     /// A frame can't be encoded or decoded.
     #[error(transparent)]
     Frame(#[from] serde_json::Error),
-    /// The process at the other end belongs to another user, who could take the sockets over or pass in others.
-    #[error("the process at the other end belongs to another user")]
+    /// The peer belongs to another user, who could take over the sockets or pass others in.
+    #[error("the peer process belongs to another user")]
     ForeignUser,
     /// A frame came without its descriptors.
-    #[error("a frame without its descriptors")]
+    #[error("received a frame without its descriptors")]
     MissingDescriptors,
     /// Descriptors came without a frame.
-    #[error("descriptors without frames")]
+    #[error("received descriptors without a frame")]
     MissingFrame,
-    /// The predecessor refuses a takeover.
-    #[error("it refuses the takeover")]
+    /// The predecessor does not allow a takeover at present.
+    #[error("the predecessor refused the takeover")]
     Refused,
-    /// The process at the other end sent a frame that it may not send now.
-    #[error("it violates the protocol")]
+    /// The peer sent a frame that is not allowed in the current state.
+    #[error("the peer violated the protocol")]
     ProtocolViolation,
 }
 
@@ -58,7 +58,7 @@
     pub descriptors: Vec<OwnedFd>,
 }
 
-/// The exchange between two processes of one node.
+/// The connection between two processes of one node.
 pub struct Exchange {
     stream: UnixStream,
     buffer: BytesMut,
@@ -66,10 +66,10 @@
 }
 
 impl Exchange {
-    /// An exchange with the process at the other end of a stream.
+    /// An exchange with the peer of a stream.
     ///
     /// # Errors
-    /// If that belongs to another user.
+    /// If the peer belongs to another user.
     pub fn new(stream: UnixStream) -> Result<Exchange, ExchangeError> {
         if stream.peer_cred()?.uid() != rustix::process::geteuid().as_raw() {
             return Err(ExchangeError::ForeignUser);
@@ -84,7 +84,7 @@
     /// Sends a frame with its descriptors.
     ///
     /// # Errors
-    /// If the frame is too large, or the other end does not receive it.
+    /// If the frame is too large, or the peer does not receive it in time.
     pub async fn send(
         &self,
         frame: &Frame,
@@ -109,10 +109,10 @@
         Ok(())
     }
 
-    /// The next frame and its descriptors; may be dropped and called again.
+    /// The next frame and its descriptors. Cancellation-safe: if the future is dropped, no received data is lost.
     ///
     /// # Errors
-    /// If the stream fails or ends, or its bytes are no frame.
+    /// If the stream fails or ends, or its bytes are not a valid frame.
     pub async fn receive(&mut self) -> Result<ReceivedFrame, ExchangeError> {
         loop {
             if let Some(received) = self.next_buffered()? {
