--- a/crates/node/src/net/takeover/socket.rs
+++ b/crates/node/src/net/takeover/socket.rs
@@ -1,4 +1,4 @@
-//! The Unix socket at which the processes of a node meet, and the snapshot that a new process requests there. Used by
+//! The Unix socket that connects the processes of a node, and the snapshot that a new process requests there. Used by
 //! [`crate::platform`] and [`super::Takeover`].
 
 use super::exchange::{Exchange, ExchangeError};
@@ -12,7 +12,7 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::time::timeout;
 
-/// How long a new process waits for the snapshot of its predecessor, before it binds the address itself.
+/// How long a new process waits for the snapshot of its predecessor before it binds the address itself.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Maximum length of the path of a Unix socket, in bytes.
 const MAX_SOCKET_PATH_LEN: usize = 99;
@@ -21,14 +21,14 @@
 /// The extension of a new socket until it replaces the one of an earlier process.
 const NEW_SOCKET: &str = "takeover.new";
 
-/// A path of a socket, which is valid as long as this is not dropped.
+/// A path of a socket, valid until this is dropped.
 struct SocketPath {
     path: PathBuf,
-    /// A path that is too long for a socket leads through the descriptor of its folder.
+    /// Kept open since a path that is too long for a socket address is replaced by one through the folder's descriptor.
     _folder: File,
 }
 
-/// The Unix socket at which the processes of a node meet.
+/// The Unix socket that connects the processes of a node.
 pub struct HandoverSocket {
     folder: PathBuf,
     name: String,
@@ -58,10 +58,10 @@
         })
     }
 
-    /// Listens for a successor. The socket of an earlier process is replaced, without a moment in which there is none.
+    /// Listens for a successor. The socket of an earlier process is replaced atomically.
     ///
     /// # Errors
-    /// If there can't be a socket in the folder.
+    /// If the socket can't be created in the folder.
     pub(super) fn listen(&self) -> io::Result<UnixListener> {
         let (new, current) = (self.path(NEW_SOCKET)?, self.path(SOCKET)?);
         let _ = std::fs::remove_file(&new.path);
@@ -70,7 +70,8 @@
         Ok(listener)
     }
 
-    /// Requests the snapshot of the process that serves; `None` if there is no such process, or it gives none.
+    /// Requests the snapshot of the process that serves; `None` if there is no such process, or it does not
+    /// provide one in time.
     pub async fn request_snapshot(&self, shared: &Shared) -> Option<Snapshot> {
         let socket = self.path(SOCKET).ok()?;
         let log = &shared.log;
@@ -79,13 +80,13 @@
             Ok(Err(error)) if has_no_listener(&error) => None,
             Ok(Err(error)) => {
                 log.write_line(format_args!(
-                    "takeover: the predecessor does not hand over: {error}; binding the address with SO_REUSEPORT"
+                    "takeover: no snapshot from the predecessor: {error}; binding the address with SO_REUSEPORT"
                 ));
                 None
             }
             Err(_) => {
                 log.write_line(format_args!(
-                    "takeover: the predecessor does not answer in time; binding the address with SO_REUSEPORT"
+                    "takeover: no snapshot from the predecessor in time; binding the address with SO_REUSEPORT"
                 ));
                 None
             }
@@ -93,7 +94,7 @@
     }
 }
 
-/// Whether an error means that no process listens at the socket.
+/// Whether an error means that no process listens on the socket.
 fn has_no_listener(error: &ExchangeError) -> bool {
     let ExchangeError::Stream(error) = error else {
         return false;
@@ -110,7 +111,7 @@
     socket: OwnedFd,
 }
 
-/// What a module of the predecessor has learned.
+/// The learned state of one of the predecessor's pools.
 struct LearnedPool {
     name: String,
     state: serde_json::Value,
@@ -142,7 +143,7 @@
         })
     }
 
-    /// Takes the listening socket of this name out of the snapshot.
+    /// Removes the listening socket with this name from the snapshot and returns it.
     pub fn listener(&mut self, name: &str) -> Option<OwnedFd> {
         let index = self
             .listeners
@@ -157,7 +158,7 @@
         Some(&learned.state)
     }
 
-    /// The exchange with the predecessor, which goes on; what else is left of the snapshot is dropped.
+    /// The exchange with the predecessor, for the rest of the takeover; the rest of the snapshot is dropped.
     pub(super) fn into_exchange(self) -> Exchange {
         self.exchange
     }
--- a/crates/node/src/net/task.rs
+++ b/crates/node/src/net/task.rs
@@ -1,8 +1,8 @@
-//! Tasks of the runtime that end with their owner.
+//! Tasks that are aborted together with their owner.
 
 use tokio::task::AbortHandle;
 
-/// Ends a task when it is dropped.
+/// Aborts a task when this is dropped.
 pub struct AbortOnDrop(pub AbortHandle);
 
 impl Drop for AbortOnDrop {
--- a/crates/node/src/net/tests.rs
+++ b/crates/node/src/net/tests.rs
@@ -1,4 +1,4 @@
-//! Sockets that are odd in ways that loopback TCP can't be made to be.
+//! Clients on sockets with properties that loopback TCP sockets do not have.
 
 use super::frontend::{Frontend, ListenSocket};
 use super::pool::{ListOrigin, Pool, PoolConfig};
@@ -38,21 +38,22 @@
     )
 }
 
-async fn asked(
+async fn get_health(
     client: OwnedFd,
     frontend: &Rc<Frontend>,
-    mut far: tokio::net::UnixStream,
+    mut remote: tokio::net::UnixStream,
 ) -> io::Result<String> {
     frontend.accept_handover(client.into(), "client");
-    far.write_all(b"GET /_health HTTP/1.1\r\nhost: n\r\nconnection: close\r\n\r\n")
+    remote
+        .write_all(b"GET /_health HTTP/1.1\r\nhost: n\r\nconnection: close\r\n\r\n")
         .await?;
     let mut answer = String::new();
-    far.read_to_string(&mut answer).await?;
+    remote.read_to_string(&mut answer).await?;
     Ok(answer)
 }
 
 #[test]
-fn a_connection_whose_socket_refuses_an_option_is_served_all_the_same() {
+fn connection_whose_socket_rejects_tcp_nodelay_is_served() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -63,11 +64,13 @@
         frontend.set_listeners(vec![
             ListenSocket::bind("client", address, 16, false).expect("a listener")
         ]);
-        // A stream socket that is no TCP socket knows no TCP_NODELAY.
-        let (near, far) = std::os::unix::net::UnixStream::pair().expect("a pair");
-        far.set_nonblocking(true).expect("a socket");
-        let far = tokio::net::UnixStream::from_std(far).expect("a socket");
-        let answer = asked(near.into(), &frontend, far).await.expect("an answer");
+        // A Unix stream socket does not support TCP_NODELAY.
+        let (local, remote) = std::os::unix::net::UnixStream::pair().expect("a pair");
+        remote.set_nonblocking(true).expect("a socket");
+        let remote = tokio::net::UnixStream::from_std(remote).expect("a socket");
+        let answer = get_health(local.into(), &frontend, remote)
+            .await
+            .expect("an answer");
         assert!(answer.starts_with("HTTP/1.1 503"), "{answer:?}");
     });
 }
--- a/crates/node/src/net/upstream.rs
+++ b/crates/node/src/net/upstream.rs
@@ -1,12 +1,14 @@
 //! Requests to servers: one attempt at a time, each on a pooled connection.
 //!
 //! [`Pool`](super::pool::Pool) owns a [`ConnectionPool`] and spawns one [`run_attempt`] task for each attempt that the
-//! engine orders; it implements [`AttemptContext`] to answer an attempt's questions and to receive its outcome.
+//! engine orders; it implements [`AttemptContext`] to provide the state that attempts depend on, and to receive
+//! outcomes.
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `attempt` | sending one request and waiting for the head of its answer |
-//! | `response` | reading that answer: buffered whole, or handed on as a stream |
+//! | `attempt` | the state of an attempt, its request and the reports of its outcome |
+//! | `exchange` | sending that request and waiting for the head of the answer |
+//! | `response` | reading the answer, which is buffered whole or streamed |
 //! | `acquire` | a connection for an attempt: an idle one or a new one |
 //! | `connection_pool` | the idle connections of all servers |
 //! | `connection` | one connection |
@@ -33,13 +35,13 @@
 /// Header that states how long the sender still waits for the answer, in seconds.
 pub const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left");
 
-/// What an attempt needs to know about its request, and where it reports its progress.
+/// Provides the state that an attempt depends on, and receives its progress and outcome.
 pub trait AttemptContext: Clone + 'static {
     /// The connections to use.
     fn connections(&self) -> &ConnectionPool;
-    /// The address of a server; `None` if the newest endpoint list does not contain it or says that it is draining.
+    /// The address of a server; `None` if the latest endpoint list does not contain it or states that it is draining.
     fn address(&self, server: ServerId) -> Option<SocketAddr>;
-    /// Whether somebody still waits for the answer to a request.
+    /// Whether a client still waits for the answer to a request.
     fn is_answer_wanted(&self, request: RequestId) -> bool;
     /// Whether another attempt of this request may be in flight.
     fn has_attempt_in_flight(&self, request: RequestId) -> bool;
--- a/crates/node/src/net/upstream/acquire.rs
+++ b/crates/node/src/net/upstream/acquire.rs
@@ -1,4 +1,4 @@
-//! Acquiring a connection for an attempt: an idle one if there is one, else a new one as soon as the limits allow.
+//! Acquires a connection for an attempt: an idle one if there is one, otherwise a new one as soon as the limits allow.
 
 use super::attempt::Attempt;
 use super::connection::{Connection, Target};
@@ -12,8 +12,8 @@
 impl<C: AttemptContext> Attempt<C> {
     /// A connection to the server, or the outcome of the attempt if there is none.
     ///
-    /// Where this node has no connection left, it waits for one: that says nothing about the server, and reporting a
-    /// failure would eject one server after the other.
+    /// If this node has reached its connection limit, the attempt waits for a connection: the limit says nothing about
+    /// the server, and reporting failures would eject one server after the other.
     pub(super) async fn acquire(&self) -> Result<Connection, Outcome> {
         let pool = self.context.connections();
         let wait_until = self.connect_deadline();
@@ -34,7 +34,7 @@
         }
     }
 
-    /// A connection attempt that begins now ends by then.
+    /// The deadline of a connect that begins now.
     fn connect_deadline(&self) -> Instant {
         let connect_timeout = self.context.connections().connect_timeout;
         self.deadlines.send_by.min(Instant::now() + connect_timeout)
--- a/crates/node/src/net/upstream/attempt.rs
+++ b/crates/node/src/net/upstream/attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt at a server: acquires a connection, sends the request and waits for the head of the answer.
+//! One attempt at a server: its deadlines, the request that it sends, and the reports of its outcome.
 //!
-//! What an attempt reports about the server is proven: the request counts as never run only if its last byte was not
-//! written, or if the server says so.
+//! An attempt reports only what is certain: a request counts as not run only if its last byte was not written, or if
+//! the server states that it did not run it.
 
 use super::{AttemptContext, TIME_LEFT};
 use crate::net::answer::Answer;
@@ -13,15 +13,15 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long an attempt that has ended may occupy its connection to read the rest of the answer.
+/// How long a connection may stay occupied after its attempt has ended, to read the rest of the answer.
 pub(super) const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The deadlines of an attempt.
 #[derive(Clone, Copy)]
 pub struct AttemptDeadlines {
-    /// The request is not sent later: the server might no longer recognize a retry as one.
+    /// The request is not sent after this time, since the server might no longer recognize it as a retry.
     pub send_by: Instant,
-    /// The attempt times out then.
+    /// When the attempt times out.
     pub answer_by: Instant,
 }
 
--- a/crates/node/src/net/upstream/connection.rs
+++ b/crates/node/src/net/upstream/connection.rs
@@ -23,7 +23,7 @@
     pub(super) generation: u64,
 }
 
-/// A connection to a server. Dropping it closes it.
+/// A connection to a server, closed when this is dropped.
 pub(super) struct Connection {
     pub(super) sender: SendRequest<PayloadBody>,
     socket: Rc<Socket>,
@@ -83,7 +83,7 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // Shut down now and not when the runtime drops the task: a server that limits its connections must see this
+        // Shut down now rather than when the runtime drops the task: a server that limits its connections must see this
         // one end before its replacement is opened.
         self.socket.shutdown();
         self.task.abort();
--- a/crates/node/src/net/upstream/connection_pool.rs
+++ b/crates/node/src/net/upstream/connection_pool.rs
@@ -21,7 +21,7 @@
 struct ServerConnections {
     /// The most recently used one is last.
     idle: Vec<Connection>,
-    /// Connections of an earlier generation are not returned to the pool.
+    /// The generation of the server's current connections; those of an earlier one are not returned to the pool.
     generation: u64,
 }
 
@@ -30,7 +30,7 @@
     servers: RefCell<HashMap<ServerId, ServerConnections>>,
     last_generation: Cell<u64>,
     pub(super) shared: Rc<Shared>,
-    /// The service whose limits apply, where there are several services.
+    /// The service whose limits apply, if several services share the process.
     pub(super) service_id: Option<ServiceId>,
     /// Notified when a connection may have become available.
     pub(super) connection_available: Notify,
@@ -135,12 +135,12 @@
         }
     }
 
-    /// Has an attempt that waits for a connection try again.
+    /// Wakes one attempt that waits for a connection.
     pub fn notify_connection_available(&self) {
         self.connection_available.notify_one();
     }
 
-    /// Since when the connection that has been idle longest is idle, among those to one address or among all.
+    /// When the connection that has been idle longest became idle, among those to one address or among all.
     pub fn oldest_idle_since(&self, address: Option<SocketAddr>) -> Option<Instant> {
         self.servers
             .borrow()
@@ -177,7 +177,7 @@
 }
 
 impl ServerConnections {
-    /// Since when the first connection is idle, if it leads to `address`.
+    /// When the connection that has been idle longest became idle, if it leads to `address`.
     fn oldest_idle_since(&self, address: Option<SocketAddr>) -> Option<Instant> {
         self.idle
             .first()
--- a/crates/node/src/net/upstream/exchange.rs
+++ b/crates/node/src/net/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! Running an attempt: one exchange on a connection, and another one if that connection turns out to be closed.
+//! Runs an attempt: one exchange on a connection, and another exchange if that connection turns out to be closed.
 
 use super::attempt::{Attempt, AttemptDeadlines, DRAIN_TIMEOUT};
 use super::connection::Connection;
@@ -16,15 +16,15 @@
 use std::time::Instant;
 use tokio::time::{sleep_until, timeout, timeout_at};
 
-/// What one exchange on a connection has come to.
+/// The result of one exchange on a connection.
 enum ExchangeResult {
     /// The outcome of the attempt has been reported.
     Ended,
-    /// An idle connection turned out to be closed before anything was sent; the attempt goes on with another one.
+    /// An idle connection turned out to be closed before anything was sent; the attempt continues on another one.
     ConnectionWasStale,
 }
 
-/// What waiting for the head of an answer has come to.
+/// The result of waiting for the head of an answer.
 enum HeadWait {
     Received(Response<Incoming>),
     SendFailed(TrySendError<Request<PayloadBody>>),
@@ -63,7 +63,7 @@
                 return ExchangeResult::Ended;
             }
         };
-        // While the connection was opened, the client may have left and the endpoint list may have changed.
+        // While the connection was opened, the client may have disconnected and the endpoint list may have changed.
         if !self.context.is_answer_wanted(self.request) {
             self.context.connections().put(connection);
             self.end(Outcome::NotSent);
@@ -81,7 +81,7 @@
 struct Exchange<'a, C> {
     attempt: &'a Attempt<C>,
     connection: Connection,
-    /// What had been written on the connection before this request.
+    /// The number of bytes that had been written on the connection before this request.
     bytes_written_before: u64,
     answer_by: Instant,
 }
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Waits until a streamed body is uploaded or has broken off, or time is up. Returns the head of the answer if that
-    /// is received first.
+    /// Waits until a streamed body is uploaded or has failed, or the deadline has passed. Returns the head of the
+    /// answer if that is received first.
     async fn wait_for_upload<F>(&self, body: &StreamedBody, head: Pin<&mut F>) -> Option<HeadResult>
     where
         F: Future<Output = HeadResult>,
@@ -171,7 +171,7 @@
 
     fn connection_error_outcome(&self) -> Outcome {
         match self.attempt.message.body.streamed() {
-            // The client has broken off the upload, which says nothing about the server.
+            // The client has aborted the upload, which says nothing about the server.
             Some(body) if body.error().is_some() => Outcome::NotSent,
             _ if self.may_be_fully_sent() => Outcome::ConnectionLost,
             _ => Outcome::ConnectFailed,
@@ -188,7 +188,7 @@
             return attempt.end(Outcome::ConnectFailed);
         }
         attempt.end(Outcome::TimedOut);
-        // Only without a retry in flight may this attempt linger: two copies must not run side by side.
+        // The connection is only kept if no retry is in flight, since two copies must not run at the same time.
         if !attempt.context.has_attempt_in_flight(attempt.request) {
             if let Ok(Ok(response)) = timeout(DRAIN_TIMEOUT, head).await {
                 attempt.drain(self.connection, response.into_body()).await;
--- a/crates/node/src/net/upstream/response.rs
+++ b/crates/node/src/net/upstream/response.rs
@@ -1,9 +1,9 @@
-//! Reading an answer whose head was received: it is buffered whole, or handed on as a stream while it still arrives.
+//! Reads an answer whose head was received. It is buffered whole, or streamed while more of it is received.
 //!
 //! Called by `exchange`. The states of an answer:
 //!
 //! - head received: rejected answers and server errors end the attempt here;
-//! - buffering: pieces of the body are collected;
+//! - buffering: chunks of the body are collected;
 //! - then complete, streaming, broken or timed out, each of which ends the attempt.
 
 use super::attempt::{Attempt, DRAIN_TIMEOUT};
@@ -29,7 +29,7 @@
 
 /// How long a large answer is buffered before it is streamed.
 const MAX_BUFFERING_TIME: Duration = Duration::from_millis(25);
-/// Header by which a server says that it has not run a request.
+/// Header with which a server states that it has not run a request.
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
 
 /// Reads an answer whose head was received, and reports the outcome of its attempt.
@@ -49,7 +49,7 @@
         attempt.end(outcome);
         return attempt.drain(connection, body).await;
     }
-    // Without framing, a truncated answer could not be told from a complete one. The request may have run.
+    // Without framing, a truncated answer can't be distinguished from a complete one. The request may have run.
     if !is_framed(&head, &body) || body.size_hint().lower() > attempt.max_answer_bytes() {
         return attempt.end(Outcome::ConnectionLost);
     }
@@ -69,7 +69,7 @@
     buffering.run().await;
 }
 
-/// The outcome that the head of an answer stands for.
+/// The outcome that the head of an answer indicates.
 fn classify(head: &Parts, validator: Option<&dyn AnswerValidator>) -> Outcome {
     let is_unprocessed = head.headers.get(&UNPROCESSED).is_some_and(|v| v == "1");
     match head.status {
@@ -91,7 +91,7 @@
         .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"))
 }
 
-/// Whether the head says where the body ends: by a length, by chunks or by an announced close.
+/// Whether the head determines where the body ends: by a length, by chunks or by an announced close.
 fn is_framed(head: &Parts, body: &Incoming) -> bool {
     body.size_hint().exact().is_some()
         || head.headers.contains_key(header::TRANSFER_ENCODING)
@@ -104,12 +104,12 @@
         self.message.validator.as_deref()
     }
 
-    /// Whether the answer has to be buffered whole, because it is validated before anybody gets it.
+    /// Whether the answer has to be buffered whole, because it is validated before it is forwarded.
     fn must_buffer_whole(&self) -> bool {
         self.message.validator.is_some()
     }
 
-    /// The longest answer that is accepted.
+    /// Maximum size of an accepted answer, in bytes.
     fn max_answer_bytes(&self) -> u64 {
         if self.must_buffer_whole() {
             MAX_BUFFERED_RESPONSE_BYTES as u64
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The longest answer that is buffered.
+    /// Maximum size of a buffered answer, in bytes.
     fn max_buffered_bytes(&self) -> usize {
         if self.must_buffer_whole() {
             MAX_BUFFERED_RESPONSE_BYTES
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Reserves memory for an answer of announced length, where it needs any.
+    /// Reserves memory for an answer of announced length, if it needs a reservation.
     async fn reserve_announced(
         &self,
         announced_bytes: usize,
@@ -165,13 +165,13 @@
     }
 }
 
-/// What reading the next piece of a body has come to.
+/// The result of reading the next frame of a body.
 enum Progress {
     /// More of the body is awaited.
     Buffering,
     /// The body has ended, and is a valid answer.
     Complete,
-    /// What was buffered is handed on, and the rest is streamed.
+    /// The buffered part is forwarded, and the rest is streamed.
     Streaming,
     /// The answer is unusable, and the request may have run.
     Broken,
@@ -186,7 +186,7 @@
     head: Parts,
     connection: Connection,
     attempt: &'a Attempt<C>,
-    /// The length that the head states; 0 if it states none.
+    /// The length that the head states, in bytes; 0 if it states none.
     announced_bytes: usize,
     answer_by: Instant,
     /// A large answer that is not complete by then is streamed.
@@ -244,7 +244,7 @@
             .is_none_or(|validator| validator.is_valid_answer(&self.buffer))
     }
 
-    /// Decides after each piece whether buffering goes on.
+    /// Decides after each frame whether to continue buffering.
     fn check_size(&mut self) -> Progress {
         if !self.is_large() {
             return Progress::Buffering;
@@ -265,7 +265,7 @@
         Progress::Buffering
     }
 
-    /// Reserves memory for an answer of no announced length that has become large; if there is none, it is streamed.
+    /// Reserves memory for a large answer without an announced length; if there is no memory, the answer is streamed.
     fn reserve_unannounced(&mut self) {
         if self.memory.is_none() && self.announced_bytes == 0 {
             let pool = self.attempt.context.connections();
@@ -286,7 +286,7 @@
         attempt.end_with_answer(answer);
     }
 
-    /// Hands the answer on while it is still arriving, which ends the attempt.
+    /// Forwards the answer while the rest is received, which ends the attempt.
     fn start_streaming(self) {
         let attempt = self.attempt;
         let (context, connection) = (attempt.context.clone(), self.connection);
--- a/crates/node/src/net/upstream/socket.rs
+++ b/crates/node/src/net/upstream/socket.rs
@@ -1,4 +1,4 @@
-//! The socket of a connection to a server, shared by the HTTP library and the connection pool.
+//! The socket of a connection to a server, used by the HTTP library and inspected by the connection pool.
 
 use std::cell::Cell;
 use std::io;
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A socket that counts the bytes written to it and can be inspected beside the HTTP library.
+/// A socket that counts the bytes written to it and can be inspected while the HTTP library uses it.
 pub(super) struct Socket {
     stream: TcpStream,
     bytes_written: Cell<u64>,
@@ -29,13 +29,13 @@
         self.bytes_written.get()
     }
 
-    /// Shuts both directions down.
+    /// Shuts down both directions.
     pub(super) fn shutdown(&self) {
         let _ = socket2::SockRef::from(&self.stream).shutdown(std::net::Shutdown::Both);
     }
 
-    /// Whether the socket is open and nothing waits to be read. A close by the server is seen here before the
-    /// connection's own task has run, so that no request is written to a closed connection.
+    /// Whether the socket is open and has no unread data. This detects a close by the server before the connection's
+    /// own task has run, so that no request is written to a closed connection.
     pub(super) fn is_quiet(&self) -> bool {
         let peeked = socket2::SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
@@ -52,7 +52,7 @@
         SocketIo { socket }
     }
 
-    /// Tries a write until the socket does not report that it would block, and counts what was written.
+    /// Writes once the socket is writable, waits again if the write would block, and counts the written bytes.
     fn poll_counted_write(
         &self,
         cx: &mut Context,
