--- a/crates/node/src/net/client.rs
+++ b/crates/node/src/net/client.rs
@@ -64,7 +64,7 @@
     pub phase_since: Cell<Instant>,
     /// Whether it is closed as soon as no request is in progress.
     pub close_when_idle: Cell<bool>,
-    /// The status to respond with before the connection is closed, if its input was rejected or timed out.
+    /// The status to respond with before the connection is closed, if its request was rejected, timed out or evicted.
     pub rejection_status: Cell<Option<StatusCode>>,
     /// Whether anything was written since the last request began.
     has_written: Cell<bool>,
--- a/crates/node/src/net/client/tests.rs
+++ b/crates/node/src/net/client/tests.rs
@@ -22,9 +22,9 @@
 /// before the next.
 fn order(now: Instant, connections: &[(Phase, Duration)]) -> EvictionOrder {
     let mut order = EvictionOrder::default();
-    let longer = MOMENT * u32::try_from(connections.len()).expect("few");
+    let longer = MOMENT * u32::try_from(connections.len()).expect("a small count");
     for (id, (phase, age)) in (0..).zip(connections) {
-        let since = now - *age - longer + MOMENT * u32::try_from(id).expect("few");
+        let since = now - *age - longer + MOMENT * u32::try_from(id).expect("a small count");
         order.insert(*phase, since, id);
     }
     order
--- a/crates/node/src/net/service/tests.rs
+++ b/crates/node/src/net/service/tests.rs
@@ -50,8 +50,8 @@
     let plan = plan(text);
     let shared = Shared::for_services(plan.totals, None);
     let services = Services::new(shared.clone(), 7, retire);
-    let now = apply(&services, text);
-    (shared, services, now)
+    let started = apply(&services, text);
+    (shared, services, started)
 }
 
 /// Prepares a plan on another thread, as a node does.
@@ -90,13 +90,13 @@
             "[[service.class]]",
             "limits = { open = 7 }\nstate = \"draining\"\n[[service.class]]",
         );
-        let emptied = a.replace("\"127.0.0.1:2\"", "\"127.0.0.1:2\"\nstate = \"draining\"");
-        let second = apply(&services, &settings_text(&[changed, emptied]));
+        let drained = a.replace("\"127.0.0.1:2\"", "\"127.0.0.1:2\"\nstate = \"draining\"");
+        let second = apply(&services, &settings_text(&[changed, drained]));
         assert!(has_same_pool(&first[0], &second[1]) && has_same_pool(&first[1], &second[0]));
         assert_eq!(second[0].unavailable_reason(), Some("draining\n"));
         // A deadline is a setting of the decision module.
-        let later = a.replace("\"1s\"", "\"2s\"");
-        let third = apply(&services, &settings_text(&[later, b.clone()]));
+        let longer_deadline = a.replace("\"1s\"", "\"2s\"");
+        let third = apply(&services, &settings_text(&[longer_deadline, b.clone()]));
         assert!(!has_same_pool(&first[0], &third[0]) && has_same_pool(&first[1], &third[1]));
         assert_eq!(
             first[0].service_id, third[0].service_id,
@@ -175,18 +175,20 @@
             service_section("a", &[("x", 1), ("a2", 2)]),
             service_section("b", &[("y", 1), ("b2", 3)]),
         );
-        let (_shared, services, now) = start(&settings_text(&[a.clone(), b.clone()]));
+        let (_shared, services, first) = start(&settings_text(&[a.clone(), b.clone()]));
         let has_address = |service: &Rc<Service>, name: &str| {
             let id = service.pool.names.borrow().servers.get(name);
             id.and_then(|id| crate::net::upstream::AttemptContext::address(&service.pool, id))
                 .is_some()
         };
-        assert!(has_address(&now[0], "x") && has_address(&now[1], "y"));
+        assert!(has_address(&first[0], "x") && has_address(&first[1], "y"));
         let drained = a.replace("\"127.0.0.1:1\"", "\"127.0.0.1:1\"\nstate = \"draining\"");
         apply(&services, &settings_text(&[drained, b.clone()]));
         tokio::task::yield_now().await;
         assert!(
-            !has_address(&now[0], "x") && !has_address(&now[1], "y") && has_address(&now[1], "b2")
+            !has_address(&first[0], "x")
+                && !has_address(&first[1], "y")
+                && has_address(&first[1], "b2")
         );
         // After its removal from the first list, the server's state depends on the second list only.
         apply(
@@ -194,7 +196,7 @@
             &settings_text(&[service_section("a", &[("a2", 2)]), b]),
         );
         tokio::task::yield_now().await;
-        assert!(has_address(&now[1], "y"));
+        assert!(has_address(&first[1], "y"));
     })
     .await;
 }
@@ -224,13 +226,13 @@
         let routed = format!("{b}{further}");
         let limited = b.replace("[[service.class]]", "limits = { open = 7 }\n[[service.class]]");
         let listed = service_section("b", &[("b1", 3), ("b2", 4)]);
-        let remade = b.replace("\"1s\"", "\"2s\"");
-        for b in [routed, limited, listed, remade] {
-            let now = apply(&services, &settings_text(&[b, a.clone()]));
-            assert!(Rc::ptr_eq(&first[0], &now[1]));
+        let with_new_pool = b.replace("\"1s\"", "\"2s\"");
+        for b in [routed, limited, listed, with_new_pool] {
+            let updated = apply(&services, &settings_text(&[b, a.clone()]));
+            assert!(Rc::ptr_eq(&first[0], &updated[1]));
             assert!(!list.has_changed().expect("a channel with a sender"), "the list was sent again");
-            assert!(now[1].graphql.borrow().as_ref().is_some_and(|current| Rc::ptr_eq(current, &parsed)));
-            assert!(now[1].runtime_settings.borrow().as_ref().is_some_and(|current| Arc::ptr_eq(current, &settings)));
+            assert!(updated[1].graphql.borrow().as_ref().is_some_and(|current| Rc::ptr_eq(current, &parsed)));
+            assert!(updated[1].runtime_settings.borrow().as_ref().is_some_and(|current| Arc::ptr_eq(current, &settings)));
         }
     })
     .await;
@@ -301,7 +303,7 @@
         let expected = "service `z`: /none: No such file or directory (os error 2)";
         assert_eq!(error.as_deref(), Some(expected));
         assert!(error.is_some_and(|error| error.contains("service `z`") && error.contains("/none")));
-        assert!(services.current_plan().is_some_and(|now| Arc::ptr_eq(&now, &before)));
+        assert!(services.current_plan().is_some_and(|current| Arc::ptr_eq(&current, &before)));
         assert!(!first[0].is_draining.get());
         assert_eq!(shared.registered_pools(), 1);
     })
--- a/crates/node/src/net/shared/listed/tests.rs
+++ b/crates/node/src/net/shared/listed/tests.rs
@@ -70,14 +70,14 @@
     pool.update_endpoints(kind, endpoints);
 }
 
-async fn local(test: impl Future<Output = ()>) {
+async fn run_local(test: impl Future<Output = ()>) {
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
 /// Pseudo-random numbers (SplitMix64), the same in each run.
-struct SeededDraws(u64);
+struct TestRng(u64);
 
-impl SeededDraws {
+impl TestRng {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -142,19 +142,19 @@
 
 #[tokio::test]
 async fn server_count_matches_an_iteration_over_all_lists() {
-    local(async {
-        let (shared, mut draws) = (shared(), SeededDraws(7));
+    run_local(async {
+        let (shared, mut rng) = (shared(), TestRng(7));
         let mut pools: Vec<FollowedPool> = Vec::new();
         for _ in 0..20_000 {
-            match draws.below(20) {
+            match rng.below(20) {
                 0 if pools.len() < 5 => {
                     let list_origin =
-                        [ListOrigin::Discovered, ListOrigin::Configured][draws.below(2) as usize];
+                        [ListOrigin::Discovered, ListOrigin::Configured][rng.below(2) as usize];
                     pools.push(FollowedPool::new(&shared, list_origin));
                 }
                 1 if !pools.is_empty() => {
                     // Timers hold only weak references, so this drops the pool.
-                    pools.swap_remove(draws.below(pools.len() as u64) as usize);
+                    pools.swap_remove(rng.below(pools.len() as u64) as usize);
                 }
                 n if !pools.is_empty() => {
                     let kind = if n < 5 {
@@ -162,8 +162,8 @@
                     } else {
                         UpdateKind::Delta
                     };
-                    let entries: Vec<Entry> = (0..draws.below(6)).map(|_| draws.entry()).collect();
-                    let pool = draws.below(pools.len() as u64) as usize;
+                    let entries: Vec<Entry> = (0..rng.below(6)).map(|_| rng.entry()).collect();
+                    let pool = rng.below(pools.len() as u64) as usize;
                     pools[pool].update_list(kind, &entries);
                 }
                 _ => {}
@@ -190,7 +190,7 @@
 
 #[tokio::test]
 async fn server_count_does_not_iterate_over_the_servers() {
-    local(async {
+    run_local(async {
         let shared = shared();
         let pool = pool(&shared, ListOrigin::Discovered);
         let entry = |server| Entry {
--- a/crates/node/src/net/takeover.rs
+++ b/crates/node/src/net/takeover.rs
@@ -44,7 +44,7 @@
     successor: Cell<Successor>,
     collect_learned: CollectLearned,
     is_serving: Cell<bool>,
-    /// Notified when the predecessor has exited.
+    /// Notified when the connection to the predecessor has ended.
     pub predecessor_gone: Notify,
     /// Notified when a successor is lost after it served, and so after it replaced the socket for successors.
     serving_successor_lost: Notify,
@@ -249,7 +249,7 @@
     }
 }
 
-/// Accepts the clients that the predecessor hands over, until it has exited.
+/// Accepts the clients that the predecessor hands over, until its connection ends.
 async fn accept_clients(exchange: &mut Exchange, frontend: &Rc<Frontend>) {
     while let Ok(received) = exchange.receive().await {
         let Frame::Client { listener } = received.frame else {
