--- a/crates/node/src/net/frontend/tests.rs
+++ b/crates/node/src/net/frontend/tests.rs
@@ -88,7 +88,7 @@
     let unavailable = StatusCode::SERVICE_UNAVAILABLE;
     let answers = [
         (
-            AdmissionError::InvalidTarget(target::TargetError::NoHost),
+            AdmissionError::InvalidTarget(target::TargetError::MissingHost),
             StatusCode::BAD_REQUEST,
             "no Host\n",
         ),
--- a/crates/node/src/net/shared/service_limits.rs
+++ b/crates/node/src/net/shared/service_limits.rs
@@ -23,32 +23,32 @@
         match self.kind {
             Resource::Memory => self.shared.buffer_memory.notify_freed(),
             Resource::Connections => self.shared.notify_connection_freed(),
-            Resource::Open => {}
+            Resource::OpenRequests => {}
         }
     }
 }
 
 impl Shared {
     /// Adds a service to the limits; `None` if the process has one service only.
-    pub fn add_service(&self, new_limits: &ServiceLimits) -> Option<ServiceId> {
+    pub fn add_service(&self, allowed: &ServiceLimits) -> Option<ServiceId> {
         self.service_limits
             .as_ref()
-            .map(|limits| limits.borrow_mut().add(self.clock.now(), new_limits))
+            .map(|limits| limits.borrow_mut().add_service(self.clock.now(), allowed))
     }
 
     /// Changes the limits of a service.
-    pub fn set_service_limits(&self, service_id: ServiceId, new_limits: &ServiceLimits) {
+    pub fn set_service_limits(&self, service_id: ServiceId, allowed: &ServiceLimits) {
         if let Some(limits) = &self.service_limits {
             limits
                 .borrow_mut()
-                .set(self.clock.now(), service_id, new_limits);
+                .set_service_limits(self.clock.now(), service_id, allowed);
         }
     }
 
     /// Removes a service from the limits.
     pub fn remove_service(&self, service_id: ServiceId) {
         if let Some(limits) = &self.service_limits {
-            limits.borrow_mut().remove(service_id);
+            limits.borrow_mut().remove_service(service_id);
         }
     }
 
@@ -64,7 +64,7 @@
         Ok(Some(Permit {
             shared: self.clone(),
             service_id,
-            kind: Resource::Open,
+            kind: Resource::OpenRequests,
             units: 1,
         }))
     }
