--- a/crates/node/src/net/frontend/handover.rs
+++ b/crates/node/src/net/frontend/handover.rs
@@ -22,14 +22,14 @@
     fn shares_listeners(&self) -> bool;
     /// Whether idle connections are handed over.
     fn hands_over(&self) -> bool;
-    /// Reports that the process ends on SIGTERM.
+    /// Reports that the process has received SIGTERM.
     fn terminate(&self);
     /// Reports that connections are no longer accepted after SIGTERM.
     fn end_accept_grace(&self);
 }
 
 impl Frontend {
-    /// From now on hands each client over to another process as soon as it is idle; `None` ends that.
+    /// Starts to hand each client over to another process as soon as it is idle; `None` stops this.
     pub fn hand_over_to(&self, sender: Option<mpsc::UnboundedSender<Handover>>) {
         let handing_over = sender.is_some();
         self.handover_sender.replace(sender);
@@ -39,14 +39,17 @@
         }
     }
 
-    /// Takes a client over from another process.
+    /// Takes over a client from another process.
     pub fn accept_handover(self: &Rc<Self>, descriptor: std::net::TcpStream, listener: &str) {
-        let listening = self.listening().into_iter().find(|l| l.name() == listener);
+        let socket = self
+            .listeners()
+            .into_iter()
+            .find(|socket| socket.name() == listener);
         let stream = descriptor
             .set_nonblocking(true)
             .and_then(|()| TcpStream::from_std(descriptor));
-        match (listening, stream) {
-            (Some(listening), Ok(stream)) => self.clone().spawn_client(stream, &listening),
+        match (socket, stream) {
+            (Some(socket), Ok(stream)) => self.clone().spawn_client(stream, &socket),
             // The listener is no longer in the settings, or the descriptor is unusable: the connection is closed.
             (_, stream) => drop(stream),
         }
--- a/crates/node/src/net/upstream/connection_pool.rs
+++ b/crates/node/src/net/upstream/connection_pool.rs
@@ -21,7 +21,7 @@
 struct ServerConnections {
     /// The most recently used one is last.
     idle: Vec<Connection>,
-    /// Connections of an earlier generation are not returned to the pool.
+    /// The generation of the server's current connections; those of an earlier one are not returned to the pool.
     generation: u64,
 }
 
@@ -30,8 +30,8 @@
     servers: RefCell<HashMap<ServerId, ServerConnections>>,
     last_generation: Cell<u64>,
     pub(super) shared: Rc<Shared>,
-    /// The service whose limits apply, where there are several services.
-    pub(super) member: Option<ServiceId>,
+    /// The service whose limits apply, if several services share the process.
+    pub(super) service: Option<ServiceId>,
     /// Notified when a connection may have become available.
     pub(super) connection_available: Notify,
     keep_alive: Cell<KeepAlive>,
@@ -43,7 +43,7 @@
     /// An empty pool. `idle_timeout` is that of the servers.
     pub fn new(
         shared: Rc<Shared>,
-        member: Option<ServiceId>,
+        service: Option<ServiceId>,
         idle_timeout: Time,
         connect_timeout: Time,
     ) -> Self {
@@ -51,7 +51,7 @@
             servers: RefCell::default(),
             last_generation: Cell::new(0),
             shared,
-            member,
+            service,
             connection_available: Notify::new(),
             keep_alive: Cell::new(KeepAlive::new(idle_timeout * IDLE_TIMEOUT_FRACTION)),
             last_expiry_check: Cell::new(Instant::now()),
@@ -126,20 +126,20 @@
 
     /// Reserves capacity for one more connection. A service at its own limit closes one of its idle connections first.
     pub(super) fn reserve_connection(&self, address: SocketAddr) -> Option<ConnectionPermit> {
-        match self.shared.reserve_connection(address, self.member) {
+        match self.shared.reserve_connection(address, self.service) {
             Err(QuotaExceeded::OwnLimit) if self.close_oldest_idle(None) => {
-                self.shared.reserve_connection(address, self.member).ok()
+                self.shared.reserve_connection(address, self.service).ok()
             }
             reserved => reserved.ok(),
         }
     }
 
-    /// Has an attempt that waits for a connection try again.
+    /// Wakes one attempt that waits for a connection.
     pub fn notify_connection_available(&self) {
         self.connection_available.notify_one();
     }
 
-    /// Since when the connection that has been idle longest is idle, among those to one address or among all.
+    /// When the connection that has been idle longest became idle, among those to one address or among all.
     pub fn oldest_idle_since(&self, address: Option<SocketAddr>) -> Option<Instant> {
         self.servers
             .borrow()
@@ -176,7 +176,7 @@
 }
 
 impl ServerConnections {
-    /// Since when the first connection is idle, if it leads to `address`.
+    /// When the connection that has been idle longest became idle, if it leads to `address`.
     fn oldest_idle_since(&self, address: Option<SocketAddr>) -> Option<Instant> {
         self.idle
             .first()
