--- a/crates/config/tests/corpus/services.rs
+++ b/crates/config/tests/corpus/services.rs
@@ -93,7 +93,7 @@
     let reservation = file_with_service("limits = { open_reserved = 90 }\n");
     assert_error(
         &format!("[process]\ndescriptors = 100\n{reservation}"),
-        "f.toml:1: the reservations do not fit the process: open requests: 90 units are reserved of 32",
+        "f.toml:1: the reservations do not fit the process: open requests: 90 units are reserved, but the total is 32",
     );
     let member = "[[service.member]]\nname = \"m\"\nquota = \"0/s\"\n";
     assert_error(
--- a/crates/node/src/net/pool/list.rs
+++ b/crates/node/src/net/pool/list.rs
@@ -278,7 +278,7 @@
         let view = self
             .shared
             .combined_view(self.id, *address, own, self.slow_start_duration);
-        endpoint.local_balancers = view.pools;
+        endpoint.local_balancers = view.pool_count;
         endpoint.started_at = view.started_at;
         let mut withheld_until = self.withheld_until.borrow_mut();
         match view.withheld_until {
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -1,31 +1,32 @@
-//! Divides a limited resource among consumers: a hierarchical budget with reservations, maxima and fair shares.
+//! Divides a limited resource among consumers by reservations, maxima and weighted fair shares.
 //!
-//! Each consumer has a [`Quota`]: a reservation of its own, a maximum, and a weight. Its fair share is its reservation
-//! plus, by weight, its share of what nobody reserved. [`crate::limits`] has one budget for each resource.
+//! Each consumer has a [`Quota`]: a reservation, a maximum, and a weight. Its fair share is its reservation plus its
+//! weighted share of the unreserved units. [`crate::limits`] has one budget for each resource.
 //!
 //! - The units in use never exceed the total.
-//! - A unit within a reservation is always granted, whatever the others use. For this, reserved units stay free even
-//!   when they are unused; only unreserved units can be borrowed.
+//! - A unit within a reservation is always granted, whatever the other consumers use. For this, reserved units that
+//!   are unused are kept free; only unreserved units can be borrowed.
 //! - A consumer can borrow more than its fair share while there is no contention. Once a consumer below its own fair
-//!   share has been denied, nothing more is lent beyond fair shares until it is served or stops asking. Units in use
-//!   are never revoked.
+//!   share has been denied, no consumer gets units beyond its fair share until that one is granted units or has not
+//!   asked for [`CLAIM_TTL`]. Units in use are never revoked.
 //!
-//! The first rule holds as long as total and quotas stay the same. [`Budget::set_total`] and [`Budget::set`] can leave
-//! more in use than the total; then nothing but reservations is granted until the excess is released.
+//! The first rule holds while the total and the quotas stay the same. After [`Budget::set_total`] or
+//! [`Budget::set_quota`], more units than the total can be in use; then only units within reservations are granted until
+//! the excess is released.
 
 use crate::Time;
 use thiserror::Error;
 
-/// The index of a consumer, given by [`Budget::add`].
+/// The index of a consumer in its budget, returned by [`Budget::add`].
 pub type ConsumerId = usize;
 
-/// How long a denied consumer keeps others from borrowing, in seconds.
+/// How long a denied consumer keeps others from borrowing beyond their fair shares, in seconds.
 pub const CLAIM_TTL: Time = 1.0;
 
 /// What a consumer may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quota {
-    /// The units that are always available to it.
+    /// The units that are always available to the consumer.
     pub reserved: u64,
     /// The maximum number of units in use.
     pub max: u64,
@@ -34,7 +35,7 @@
 }
 
 impl Quota {
-    /// No reservation, and no maximum but the total.
+    /// No reservation, and no maximum below the total.
     pub const UNLIMITED: Quota = Quota {
         reserved: 0,
         max: u64::MAX,
@@ -53,13 +54,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum QuotaExceeded {
     /// The consumer would exceed its maximum.
-    #[error("its own bound is reached")]
+    #[error("its own limit is reached")]
     OwnLimit,
     /// All unreserved units are in use.
-    #[error("nothing is left to borrow")]
+    #[error("all unreserved units are in use")]
     Exhausted,
-    /// The consumer has its fair share, and another one is waiting for its own.
-    #[error("another is waiting for its share")]
+    /// The consumer would exceed its fair share while another one waits for units within its own.
+    #[error("over its fair share while another waits for its own")]
     OverFairShare,
 }
 
@@ -67,7 +68,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum QuotaError {
     /// The sum of the reservations exceeds the total.
-    #[error("{reserved} units are reserved of {total}")]
+    #[error("{reserved} units are reserved, but the total is {total}")]
     OverTotal {
         /// The sum of the reservations.
         reserved: u64,
@@ -75,7 +76,7 @@
         total: u64,
     },
     /// A reservation exceeds the maximum of its consumer.
-    #[error("a reservation of {reserved} is over its bound of {max}")]
+    #[error("a reservation of {reserved} exceeds its maximum of {max}")]
     OverMax {
         /// The reservation.
         reserved: u64,
@@ -84,13 +85,14 @@
     },
 }
 
+/// A consumer, or a free index that can be reused.
 #[derive(Clone, Debug)]
 struct Consumer {
     quota: Quota,
     used: u64,
-    /// When it was last denied units within its fair share.
+    /// When the consumer was last denied units within its fair share.
     claimed_at: Option<Time>,
-    /// It was removed; its index is free once it uses nothing.
+    /// Whether the consumer was removed; its index is free once it uses no units.
     is_removed: bool,
 }
 
@@ -109,17 +111,18 @@
         self.is_removed && self.used == 0
     }
 
-    /// The units that others can't have: those that it uses or has reserved, whichever is more.
+    /// The units that are unavailable to others: those in use or those reserved, whichever are more.
     fn committed(&self) -> u64 {
         self.used.max(self.quota.reserved)
     }
 
+    /// Whether it was denied units within its fair share less than [`CLAIM_TTL`] ago, and was granted none since.
     fn has_claim(&self, now: Time) -> bool {
         self.claimed_at.is_some_and(|at| now - at < CLAIM_TTL)
     }
 }
 
-/// Sums over all consumers, updated with each of them so that no change has to iterate over all.
+/// Sums over all consumers, updated incrementally so that no change has to iterate over all consumers.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sums {
     committed: u64,
@@ -146,8 +149,8 @@
 pub struct Budget {
     total: u64,
     consumers: Vec<Consumer>,
-    /// Free indices of `consumers`, without duplicates.
-    free: Vec<ConsumerId>,
+    /// Indices of `consumers` that can be reused, without duplicates.
+    free_ids: Vec<ConsumerId>,
     sums: Sums,
 }
 
@@ -160,7 +163,7 @@
         }
     }
 
-    /// The number of units.
+    /// The number of units that the consumers share.
     pub fn total(&self) -> u64 {
         self.total
     }
@@ -196,17 +199,17 @@
         Ok(())
     }
 
-    /// Changes the total; units in use stay in use.
+    /// Changes the total. Units in use stay in use, even if they exceed it.
     pub fn set_total(&mut self, total: u64) {
         self.total = total;
     }
 
-    /// Adds a consumer.
+    /// Adds a consumer and returns its index, which may be that of a removed one.
     pub fn add(&mut self, quota: Quota) -> ConsumerId {
         let consumer = Consumer::new(quota);
         self.sums.add(&consumer);
-        // A free index contributes nothing to the sums, so there is nothing to subtract.
-        let id = self.free.pop().unwrap_or(self.consumers.len());
+        // A free index contributes nothing to the sums, so nothing is subtracted for it.
+        let id = self.free_ids.pop().unwrap_or(self.consumers.len());
         match self.consumers.get_mut(id) {
             Some(slot) => *slot = consumer,
             None => self.consumers.push(consumer),
@@ -224,7 +227,7 @@
         });
     }
 
-    /// Removes a consumer. Units that it uses count until it releases them.
+    /// Removes a consumer. Units that it uses count as used until they are released.
     pub fn remove(&mut self, id: ConsumerId) {
         self.update(id, |consumer| {
             consumer.quota = Quota::NONE;
@@ -233,7 +236,7 @@
         });
     }
 
-    /// Changes a consumer together with the sums and the free indices.
+    /// Changes a consumer, and updates the sums and the free indices.
     fn update(&mut self, id: ConsumerId, change: impl FnOnce(&mut Consumer)) {
         let Some(consumer) = self.consumers.get_mut(id) else {
             return;
@@ -243,11 +246,11 @@
         change(consumer);
         self.sums.add(consumer);
         if consumer.is_free() && !was_free {
-            self.free.push(id);
+            self.free_ids.push(id);
         }
     }
 
-    /// The reservation plus the weighted share of unreserved units.
+    /// The reservation plus the weighted share of the unreserved units.
     fn fair_share(&self, quota: Quota) -> u64 {
         let unreserved = u128::from(self.total.saturating_sub(self.sums.reserved));
         let weights = u128::from(self.sums.weights.max(1));
@@ -260,7 +263,7 @@
     /// Acquires units for a consumer, all or none.
     ///
     /// # Errors
-    /// Why they are not available now.
+    /// Why the units are not available now.
     pub fn acquire(&mut self, now: Time, id: ConsumerId, units: u64) -> Result<(), QuotaExceeded> {
         let Some(consumer) = self.consumers.get(id) else {
             return Err(QuotaExceeded::OwnLimit);
@@ -300,7 +303,7 @@
         }
     }
 
-    /// Whether another consumer is waiting for its fair share.
+    /// Whether another consumer has a claim.
     fn has_other_claim(&self, now: Time, id: ConsumerId) -> bool {
         self.consumers
             .iter()
@@ -308,7 +311,7 @@
             .any(|(other, consumer)| other != id && consumer.has_claim(now))
     }
 
-    /// Releases units of a consumer.
+    /// Releases units that a consumer has acquired.
     pub fn release(&mut self, id: ConsumerId, units: u64) {
         self.update(id, |consumer| {
             consumer.used = consumer.used.saturating_sub(units);
--- a/crates/routing/src/keep_alive.rs
+++ b/crates/routing/src/keep_alive.rs
@@ -1,10 +1,10 @@
-//! The keep-alive of idle connections to servers, which adapts to servers that accept few connections.
+//! The timeout of idle connections to servers, which adapts to servers that accept few connections.
 
-/// The keep-alive time of one service's idle connections, in seconds: multiplicative decrease when a server rejects a
-/// new connection, additive increase otherwise.
+/// The timeout of one service's idle connections: multiplicative decrease when a server rejects a new connection,
+/// additive increase otherwise.
 ///
-/// A node uses most servers only now and then. If each node of a fleet kept idle connections to all of them until the
-/// servers' own time-out, servers with a connection limit would have to reject other nodes. No server reports its
+/// A node uses most servers only occasionally. If each node of a fleet kept its idle connections until the servers'
+/// own timeout, servers with a connection limit would have to reject connections of other nodes. No server reports its
 /// limit; a rejected connection is the only sign of it.
 #[derive(Clone, Copy, Debug)]
 pub struct KeepAlive {
@@ -14,13 +14,13 @@
     was_rejected: bool,
 }
 
-/// Minimum keep-alive, as a fraction of the maximum.
+/// Minimum timeout, as a fraction of the maximum.
 const MIN_FRACTION: f64 = 1.0 / 16.0;
-/// Time to increase from nothing to the maximum, in seconds.
+/// Time in which the timeout would grow from 0 to the maximum, in seconds.
 const RECOVERY_TIME: f64 = 20.0;
 
 impl KeepAlive {
-    /// Begins with the maximum that servers allow, in seconds.
+    /// Starts with the maximum timeout, in seconds: the time after which the servers close idle connections.
     pub fn new(max: f64) -> Self {
         KeepAlive {
             max,
@@ -29,17 +29,17 @@
         }
     }
 
-    /// The current keep-alive, in seconds.
+    /// The current timeout, in seconds.
     pub fn idle_timeout(&self) -> f64 {
         self.current
     }
 
-    /// Records that a server rejected a new connection. Several of them before a tick count as one.
+    /// Records that a server rejected a new connection. Several rejections between two ticks count as one.
     pub fn record_rejection(&mut self) {
         self.was_rejected = true;
     }
 
-    /// Adapts the keep-alive to the last `elapsed` seconds.
+    /// Adapts the timeout to the `elapsed` seconds since the last tick.
     pub fn tick(&mut self, elapsed: f64) {
         if std::mem::take(&mut self.was_rejected) {
             self.current = (self.current / 2.0).max(self.max * MIN_FRACTION);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,17 +1,17 @@
-//! Finds the service of a request, and limits what each service may use.
+//! Routes requests to services, and limits the resources that each service may use.
 //!
-//! Pure: no sockets, no clock, no randomness. The caller passes times as seconds of its own clock.
+//! Nothing here does I/O, reads a clock or draws random numbers: the caller passes the time, in seconds of its own clock.
 //!
 //! | module | content |
 //! | --- | --- |
 //! | [`target`] | validates the target of a request |
-//! | [`table`] | the route table: the service for host, path, method, class and listener |
-//! | [`specificity`] | which of several matching routes wins |
+//! | [`table`] | the route table: finds the route for a listener, host, path, method and class |
+//! | [`specificity`] | precedence among several matching routes |
 //! | [`limits`] | admission control over all services, with budgets and rate limits |
-//! | [`budget`] | divides one limited resource among its consumers |
+//! | [`budget`] | divides one limited resource among consumers |
 //! | [`rate`] | token bucket |
-//! | [`shared_servers`] | state of servers that several pools list |
-//! | [`keep_alive`] | adaptive keep-alive of idle connections to servers |
+//! | [`shared_servers`] | the combined state of servers that several pools list |
+//! | [`keep_alive`] | adaptive timeout of idle connections to servers |
 
 pub mod budget;
 pub mod keep_alive;
@@ -22,5 +22,5 @@
 pub mod table;
 pub mod target;
 
-/// A point in time or a duration, in seconds.
+/// A time on the caller's clock, or a duration, in seconds.
 pub type Time = f64;
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -1,4 +1,4 @@
-//! Admission control: the resources of a process, and what each of its services may use of them.
+//! Admission control: the resources of a process, and how much of them each of its services may use.
 
 use crate::budget::{Budget, ConsumerId, Quota, QuotaError, QuotaExceeded};
 use crate::rate::{RateLimit, TokenBucket};
@@ -19,7 +19,7 @@
 }
 
 impl ServiceLimits {
-    /// No limits but those of the process.
+    /// No limits except the resources of the process.
     pub const UNLIMITED: ServiceLimits = ServiceLimits {
         open_requests: Quota::UNLIMITED,
         connections: Quota::UNLIMITED,
@@ -28,7 +28,7 @@
     };
 }
 
-/// The resources of a process.
+/// The resources of a process, which its services share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessResources {
     /// Requests that have no final response yet, or an attempt in flight.
@@ -39,7 +39,7 @@
     pub memory_kib: u64,
 }
 
-/// A limited resource.
+/// A resource that is limited for each service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resource {
     /// Requests that have no final response yet, or an attempt in flight.
@@ -60,13 +60,13 @@
     }
 }
 
-/// Why a request was rejected.
+/// Why a request is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub enum LimitExceeded {
-    /// The service is over its request rate; the next request is admitted after this time, in seconds.
-    #[error("over its rate")]
+    /// The service has exceeded its request rate; the next request is admitted after this time, in seconds.
+    #[error("request rate exceeded")]
     RateExceeded(Time),
-    /// The service can't have more of a resource.
+    /// The quota of the service grants no more units of a resource.
     #[error("{0}: {1}")]
     NotAvailable(Resource, QuotaExceeded),
 }
@@ -75,24 +75,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{resource}: {source}")]
 pub struct LimitsError {
-    /// The resource.
+    /// The resource whose quotas are invalid.
     pub resource: Resource,
-    /// What is wrong.
+    /// Why they are invalid.
     pub source: QuotaError,
 }
 
-/// The handle of a service in [`Limits`].
+/// The handle of a service, returned by [`AdmissionControl::add_service`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServiceId {
     open: ConsumerId,
     connections: ConsumerId,
     memory: ConsumerId,
-    /// The index of its rate limiter.
-    rate: usize,
+    /// The index of the rate limiter.
+    rate_limiter: usize,
 }
 
 impl ServiceId {
-    /// The consumer of a resource's budget that stands for this service.
+    /// The consumer that represents this service in the budget of a resource.
     fn consumer(self, resource: Resource) -> ConsumerId {
         match resource {
             Resource::OpenRequests => self.open,
@@ -109,8 +109,8 @@
     connections: Budget,
     memory: Budget,
     rate_limiters: Vec<Option<TokenBucket>>,
-    /// Free indices of `rate_limiters`.
-    free: Vec<usize>,
+    /// Indices of `rate_limiters` that can be reused.
+    free_rate_limiters: Vec<usize>,
 }
 
 impl AdmissionControl {
@@ -121,7 +121,7 @@
             connections: Budget::new(totals.connections),
             memory: Budget::new(totals.memory_kib),
             rate_limiters: Vec::new(),
-            free: Vec::new(),
+            free_rate_limiters: Vec::new(),
         }
     }
 
@@ -129,9 +129,9 @@
     ///
     /// # Errors
     /// The first resource whose quotas are invalid.
-    pub fn check(totals: ProcessResources, allowed: &[ServiceLimits]) -> Result<(), LimitsError> {
+    pub fn check(totals: ProcessResources, limits: &[ServiceLimits]) -> Result<(), LimitsError> {
         let check = |resource, total, quota: fn(&ServiceLimits) -> Quota| {
-            Budget::check(total, allowed.iter().map(quota))
+            Budget::check(total, limits.iter().map(quota))
                 .map_err(|source| LimitsError { resource, source })
         };
         check(Resource::OpenRequests, totals.open_requests, |limits| {
@@ -145,63 +145,67 @@
         })
     }
 
-    /// Changes the resources of the process; what is in use stays in use.
+    /// Changes the resources of the process. Units in use stay in use, even if they exceed the new totals.
     pub fn set_totals(&mut self, totals: ProcessResources) {
         self.open.set_total(totals.open_requests);
         self.connections.set_total(totals.connections);
         self.memory.set_total(totals.memory_kib);
     }
 
-    /// Adds a service.
-    pub fn add_service(&mut self, now: Time, allowed: &ServiceLimits) -> ServiceId {
-        let rate_limiter = allowed.rate.map(|limit| TokenBucket::new(now, limit));
-        let index = self.free.pop().unwrap_or(self.rate_limiters.len());
+    /// Adds a service, with a full burst of requests if its rate is limited.
+    pub fn add_service(&mut self, now: Time, limits: &ServiceLimits) -> ServiceId {
+        let rate_limiter = limits.rate.map(|limit| TokenBucket::new(now, limit));
+        let index = self
+            .free_rate_limiters
+            .pop()
+            .unwrap_or(self.rate_limiters.len());
         match self.rate_limiters.get_mut(index) {
             Some(slot) => *slot = rate_limiter,
             None => self.rate_limiters.push(rate_limiter),
         }
         ServiceId {
-            open: self.open.add(allowed.open_requests),
-            connections: self.connections.add(allowed.connections),
-            memory: self.memory.add(allowed.memory_kib),
-            rate: index,
+            open: self.open.add(limits.open_requests),
+            connections: self.connections.add(limits.connections),
+            memory: self.memory.add(limits.memory_kib),
+            rate_limiter: index,
         }
     }
 
-    /// Changes the limits of a service; what is in use stays in use.
-    pub fn set_service_limits(&mut self, now: Time, service: ServiceId, allowed: &ServiceLimits) {
-        self.open.set_quota(service.open, allowed.open_requests);
+    /// Changes the limits of a service. Units in use stay in use, even if they exceed the new limits.
+    pub fn set_service_limits(&mut self, now: Time, service: ServiceId, limits: &ServiceLimits) {
+        self.open.set_quota(service.open, limits.open_requests);
         self.connections
-            .set_quota(service.connections, allowed.connections);
-        self.memory.set_quota(service.memory, allowed.memory_kib);
-        if let Some(slot) = self.rate_limiters.get_mut(service.rate) {
-            match (slot.as_mut(), allowed.rate) {
+            .set_quota(service.connections, limits.connections);
+        self.memory.set_quota(service.memory, limits.memory_kib);
+        if let Some(slot) = self.rate_limiters.get_mut(service.rate_limiter) {
+            match (slot.as_mut(), limits.rate) {
                 (Some(rate_limiter), Some(limit)) => rate_limiter.set_limit(now, limit),
                 (_, limit) => *slot = limit.map(|limit| TokenBucket::new(now, limit)),
             }
         }
     }
 
-    /// Removes a service, once. What it uses counts until it is given back; nothing may be acquired for it afterwards.
+    /// Removes a service; it must be removed only once. Units that it uses count as used until they are released, and
+    /// nothing may be acquired for it afterwards.
     pub fn remove_service(&mut self, service: ServiceId) {
         self.open.remove(service.open);
         self.connections.remove(service.connections);
         self.memory.remove(service.memory);
-        if let Some(slot) = self.rate_limiters.get_mut(service.rate) {
+        if let Some(slot) = self.rate_limiters.get_mut(service.rate_limiter) {
             *slot = None;
-            self.free.push(service.rate);
+            self.free_rate_limiters.push(service.rate_limiter);
         }
     }
 
-    /// Admits one request. The caller owes [`AdmissionControl::release`] of one [`Resource::OpenRequests`] at its end.
+    /// Admits one request. When it ends, the caller must [release](Self::release) one [`Resource::OpenRequests`].
     ///
     /// # Errors
-    /// The limit that the service would exceed; nothing is acquired then.
+    /// The limit that the service would exceed; in this case nothing is acquired.
     pub fn admit(&mut self, now: Time, service: ServiceId) -> Result<(), LimitExceeded> {
         self.open
             .acquire(now, service.open, 1)
             .map_err(|denied| LimitExceeded::NotAvailable(Resource::OpenRequests, denied))?;
-        let slot = self.rate_limiters.get_mut(service.rate);
+        let slot = self.rate_limiters.get_mut(service.rate_limiter);
         let Some(rate_limiter) = slot.and_then(Option::as_mut) else {
             return Ok(());
         };
@@ -214,7 +218,7 @@
     /// Acquires units of a resource for a service, all or none.
     ///
     /// # Errors
-    /// Why they are not available now.
+    /// Why the units are not available now.
     pub fn acquire(
         &mut self,
         now: Time,
@@ -226,13 +230,13 @@
             .acquire(now, service.consumer(resource), units)
     }
 
-    /// Releases units of a resource.
+    /// Releases units of a resource that a service has acquired.
     pub fn release(&mut self, service: ServiceId, resource: Resource, units: u64) {
         self.budget_mut(resource)
             .release(service.consumer(resource), units);
     }
 
-    /// The units of a resource that a service uses.
+    /// The units of a resource that a service has in use.
     pub fn used(&self, service: ServiceId, resource: Resource) -> u64 {
         self.budget(resource).used(service.consumer(resource))
     }
--- a/crates/routing/src/rate.rs
+++ b/crates/routing/src/rate.rs
@@ -3,24 +3,24 @@
 use crate::Time;
 use thiserror::Error;
 
-/// The rate and the burst of a [`TokenBucket`]; positive numbers.
+/// The rate and the burst of a [`TokenBucket`]; both are positive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
     /// Requests per second.
     pub per_second: f64,
-    /// Maximum number of requests at once. Values below 1 count as 1.
+    /// Maximum number of requests at once: the capacity of the bucket. Values below 1 count as 1.
     pub burst: f64,
 }
 
-/// The bucket has no token.
+/// The error of a bucket that has no token left.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
-#[error("over its rate")]
+#[error("request rate exceeded")]
 pub struct RateExceeded {
     /// The time until the next token, in seconds.
     pub retry_after: Time,
 }
 
-/// A token bucket.
+/// A bucket that gains tokens at a constant rate; each request takes one.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     limit: RateLimit,
@@ -29,9 +29,9 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Makes a full bucket.
     pub fn new(now: Time, limit: RateLimit) -> Self {
-        let limit = at_least_one(limit);
+        let limit = with_min_burst(limit);
         TokenBucket {
             limit,
             tokens: limit.burst,
@@ -39,15 +39,15 @@
         }
     }
 
-    /// Changes rate and burst; tokens that were taken stay taken.
+    /// Changes the rate and the burst without refilling the bucket.
     pub fn set_limit(&mut self, now: Time, limit: RateLimit) {
         self.refill(now);
-        self.limit = at_least_one(limit);
+        self.limit = with_min_burst(limit);
         self.tokens = self.tokens.min(self.limit.burst);
     }
 
     fn refill(&mut self, now: Time) {
-        // If the clock steps back, nothing is refilled, and the repeated time is not counted again.
+        // If the clock steps back, nothing is refilled, and the time that it repeats is not counted twice.
         let elapsed = (now - self.refilled_at).max(0.0);
         self.tokens = (self.tokens + elapsed * self.limit.per_second).min(self.limit.burst);
         self.refilled_at = self.refilled_at.max(now);
@@ -56,7 +56,7 @@
     /// Takes one token.
     ///
     /// # Errors
-    /// If there is none.
+    /// If there is none, with the time until the next one.
     pub fn take(&mut self, now: Time) -> Result<(), RateExceeded> {
         self.refill(now);
         if self.tokens >= 1.0 {
@@ -69,7 +69,7 @@
     }
 }
 
-fn at_least_one(limit: RateLimit) -> RateLimit {
+fn with_min_burst(limit: RateLimit) -> RateLimit {
     RateLimit {
         burst: limit.burst.max(1.0),
         ..limit
--- a/crates/routing/src/specificity.rs
+++ b/crates/routing/src/specificity.rs
@@ -1,31 +1,30 @@
-//! How specific the conditions of a route are, which decides between several routes that match a request. Used by
-//! [`crate::table`].
+//! The specificity of a route, by which [`crate::table`] chooses among several routes that match a request.
 
-/// How specific the conditions of a route are. The fields are compared in their order.
+/// How specific the conditions of a route are. The fields are compared in the order of their declaration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Specificity {
-    /// A listener is named.
+    /// Whether the route matches one listener only.
     pub names_listener: bool,
-    /// How specific the host is.
+    /// The specificity of the host pattern.
     pub host: HostSpecificity,
-    /// Number of segments of the path.
+    /// The number of segments of the path prefix.
     pub path_segments: usize,
-    /// Methods are named.
+    /// Whether the route is limited to some methods.
     pub names_methods: bool,
-    /// A class is named.
+    /// Whether the route is limited to one class.
     pub names_class: bool,
 }
 
-/// How specific the host of a route is, the least specific first.
+/// How specific the host pattern of a route is, the least specific first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HostSpecificity {
-    /// Any host.
+    /// The pattern matches every host.
     Any,
-    /// The hosts below a domain.
+    /// The pattern matches the subdomains of a name.
     Subdomains {
-        /// The length of the domain's name, in bytes.
+        /// The length of the parent domain's name, in bytes; a longer one is more specific.
         len: usize,
     },
-    /// One host.
+    /// The pattern matches one host.
     Exact,
 }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,18 +1,19 @@
 //! The route table: finds the route of a request.
 //!
-//! Every condition of a route must match. Among the routes that match, the most specific one wins; conditions are
-//! compared in this order, and the first difference decides:
+//! A route matches if all of its conditions match. Of several matching routes, the most specific one is selected.
+//! Conditions are compared in this order, and the first difference decides:
 //!
-//! 1. listener: a named one before any;
-//! 2. host: the name itself, then `*.` names, the longest first, then any;
-//! 3. path: the longest prefix, counted on segment borders;
-//! 4. method: a named one before any;
-//! 5. class: a named one before any.
+//! 1. listener: a given one before any;
+//! 2. host: an exact name, then `*.` patterns, the longest first, then any;
+//! 3. path: the prefix with the most segments;
+//! 4. method: a given one before any;
+//! 5. class: a given one before any.
 //!
-//! Two routes that are equal in all five are ambiguous and an error when the table is made.
+//! Two routes are ambiguous if they are equal in all five, where one shared method is enough. Building a table of them
+//! fails.
 //!
-//! A look-up iterates over the labels of a host and the segments of a path, never over the routes, and over no more
-//! segments than the longest prefix has, so that a hostile path costs no more than a plain one.
+//! A lookup iterates over the labels of the host and the segments of the path, never over the routes, and over no more
+//! segments than the longest prefix has, so that its cost is bounded for any path that a client sends.
 
 use crate::specificity::{HostSpecificity, Specificity};
 use std::collections::HashMap;
@@ -22,25 +23,25 @@
 /// The id of a listener, assigned by the caller.
 pub type ListenerId = u16;
 
-/// The pattern of a route's hosts.
+/// The hosts that a route matches.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 pub enum HostPattern {
     /// Every host.
     #[default]
     Any,
-    /// This host; lower case.
+    /// This host, in lower case.
     Exact(Box<str>),
-    /// All subdomains of this name, at any depth, but not the name itself; lower case, without `*.`.
+    /// All subdomains of this name at any depth, but not the name itself. It is in lower case and without `*.`.
     Subdomains(Box<str>),
 }
 
 /// Why a host or path pattern is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PatternError {
-    /// The pattern is neither a host nor `*.` before one.
+    /// The pattern is neither a host nor `*.` followed by a name.
     #[error("a host pattern is a name, an address, or `*.` before a name")]
     Host,
-    /// The pattern is not a path prefix that a valid request can match.
+    /// The pattern is not a prefix of any valid path.
     #[error(
         "a path prefix begins with `/` and has no dot segments, empty segments or needless escapes"
     )]
@@ -51,7 +52,7 @@
     /// Parses a pattern: a name, an address, `*.name`, or `*` for every host.
     ///
     /// # Errors
-    /// If it is none of these, or has a port.
+    /// If the pattern is none of these, or has a port.
     pub fn parse(pattern: &str) -> Result<HostPattern, PatternError> {
         if pattern == "*" {
             return Ok(HostPattern::Any);
@@ -81,25 +82,25 @@
     }
 }
 
-/// Parses a path prefix, and removes a slash at its end: `/` becomes the empty prefix.
+/// Parses a path prefix and removes a trailing slash, so that `/` becomes the empty prefix.
 ///
 /// # Errors
-/// If no valid request could match it.
+/// If it is not a prefix of any valid path.
 pub fn parse_path_prefix(path: &str) -> Result<Box<str>, PatternError> {
     crate::target::check_path(path).map_err(|_| PatternError::Path)?;
     Ok(path.strip_suffix('/').unwrap_or(path).into())
 }
 
-/// The conditions of a route. `None` and an empty list match everything.
+/// The conditions of a route. `None` and an empty list match every request.
 #[derive(Clone, Debug, Default)]
 pub struct RouteConditions {
-    /// The listener.
+    /// The listener that has to have accepted the request.
     pub listener: Option<ListenerId>,
-    /// The host pattern.
+    /// The hosts of the request.
     pub host: HostPattern,
-    /// The path prefix, as [`parse_path_prefix`] gives it.
+    /// The prefix of the path, as returned by [`parse_path_prefix`].
     pub path_prefix: Box<str>,
-    /// The methods.
+    /// The permitted methods.
     pub methods: Vec<Box<str>>,
     /// The class that the request has to state.
     pub class: Option<Box<str>>,
@@ -127,7 +128,8 @@
 }
 
 impl RouteConditions {
-    /// Whether a request fulfils all conditions. [`RouteTable::find`] finds the matching routes without iterating over all.
+    /// Whether a request meets all conditions. [`RouteTable::find`] finds the most specific matching route without calling
+    /// this for every route.
     pub fn matches(&self, query: &RouteQuery) -> bool {
         self.host_matches(query.host)
             && self.path_matches(query.path)
@@ -154,7 +156,7 @@
             .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
     }
 
-    /// How specific the route is: of the routes that match a request, the one with the greatest specificity wins.
+    /// How specific the route is: of several matching routes, the one with the greatest specificity is selected.
     pub fn specificity(&self) -> Specificity {
         Specificity {
             names_listener: self.listener.is_some(),
@@ -175,23 +177,23 @@
 pub struct RouteQuery<'a> {
     /// The listener that accepted it.
     pub listener: ListenerId,
-    /// Its host, in lower case.
+    /// The host, in lower case.
     pub host: &'a str,
-    /// Its path, without query.
+    /// The path, without the query.
     pub path: &'a str,
-    /// Its method.
+    /// The method.
     pub method: &'a str,
-    /// The class that it states, if any.
+    /// The class that the request states, if any.
     pub class: Option<&'a str>,
 }
 
-/// Two routes have equal conditions. They are identified by their indices in the list that the table was made from.
+/// Two ambiguous routes, by their indices in the list from which the table was to be built.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("routes {first} and {second} can't be told apart")]
+#[error("routes {first} and {second} have the same conditions")]
 pub struct AmbiguousRoutes {
-    /// The earlier one.
+    /// The earlier route.
     pub first: usize,
-    /// The later one.
+    /// The later route.
     pub second: usize,
 }
 
@@ -217,7 +219,7 @@
             .or(self.any_class)
     }
 
-    /// Inserts a route. Returns another route that had the same class.
+    /// Inserts a route. Returns the other route that had the same class, if there was one.
     fn insert(&mut self, class: Option<&str>, route: usize) -> Option<usize> {
         let replaced = match class {
             Some(class) => self.by_class.insert(class.into(), route),
@@ -231,15 +233,15 @@
 #[derive(Debug, Default)]
 struct PathTable {
     by_prefix: HashMap<Box<str>, MethodTable>,
-    /// Number of segments of the longest prefix.
+    /// The number of segments of the longest prefix.
     max_segments: usize,
 }
 
 impl PathTable {
-    /// The route with the longest prefix that matches.
+    /// The route with the longest matching prefix.
     ///
-    /// Prefixes are tried in chunks of bounded size: the chunks from short to long, the prefixes of a chunk from long to
-    /// short. A match in a later chunk replaces that of an earlier one.
+    /// Prefixes are looked up in chunks of bounded size: the chunks from the shortest prefixes to the longest, the
+    /// prefixes within a chunk from the longest to the shortest. A match in a later chunk replaces an earlier one.
     fn get(&self, query: &RouteQuery) -> Option<usize> {
         let segment_ends = query
             .path
@@ -286,7 +288,7 @@
 #[derive(Debug, Default)]
 struct HostTable {
     by_host: HashMap<Box<str>, PathTable>,
-    /// Patterns for all subdomains of a name, by that name.
+    /// Routes for all subdomains of a name, by that name.
     by_parent: HashMap<Box<str>, PathTable>,
     any_host: PathTable,
 }
@@ -300,7 +302,7 @@
             .or_else(|| self.any_host.get(query))
     }
 
-    /// The route of the longest parent domain that has one.
+    /// The matching route of the longest parent domain that has one.
     fn get_by_parent(&self, query: &RouteQuery) -> Option<usize> {
         if self.by_parent.is_empty() {
             return None;
@@ -322,7 +324,7 @@
     }
 }
 
-/// All routes of a configuration.
+/// The routes of a configuration, indexed for lookups.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     by_listener: HashMap<ListenerId, HostTable>,
@@ -330,7 +332,7 @@
 }
 
 impl RouteTable {
-    /// Makes a table. Look-ups return the index of a route in `routes`.
+    /// Builds a table. Lookups return indices of `routes`.
     ///
     /// # Errors
     /// If two routes are ambiguous.
@@ -374,7 +376,7 @@
         }
     }
 
-    /// The route of a request.
+    /// The index of the most specific route that matches a request.
     pub fn find(&self, query: &RouteQuery) -> Option<usize> {
         self.by_listener
             .get(&query.listener)
--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -1,88 +1,88 @@
-//! Validates the target of a request: its host and its path have to mean the same to every implementation.
+//! Validates the target of a request, so that its host and path have the same meaning for every implementation.
 //!
-//! Sources: RFC 9112 section 3.2 (request target and `Host`), RFC 9110 section 4.2.4 (no user information),
+//! Specifications: RFC 9112 section 3.2 (request target and `Host`), RFC 9110 section 4.2.4 (no user information),
 //! RFC 3986 sections 3.2, 3.3 and 6.2.2 (authority, path, equivalence).
 
 use std::borrow::Cow;
 use thiserror::Error;
 
-/// Maximum length of a host name, in bytes (RFC 1035 section 2.3.4, without the root).
+/// Maximum length of a host name, in bytes (RFC 1035 section 2.3.4, without the root label).
 pub const MAX_HOST_LEN: usize = 253;
 
 /// Maximum length of a label of a host name, in bytes (RFC 1035 section 2.3.4).
 const MAX_LABEL_LEN: usize = 63;
 
-/// Why the target of a request is rejected.
+/// Why the target of a request is rejected. A client gets the text as the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum TargetError {
-    /// There is no header `Host` (RFC 9112 section 3.2).
+    /// The `Host` header is missing (RFC 9112 section 3.2).
     #[error("no Host")]
     MissingHost,
-    /// There are several headers `Host` (RFC 9112 section 3.2).
+    /// There are several `Host` headers (RFC 9112 section 3.2).
     #[error("more than one Host")]
     MultipleHosts,
     /// The host is empty.
     #[error("an empty Host")]
     EmptyHost,
-    /// The host is no name or address, or ends in a dot.
+    /// The host is neither a name nor an address, or it ends in a dot.
     #[error("Host is no name or address")]
     InvalidHost,
-    /// The port is no port number.
+    /// The port is not a number from 0 to 65535.
     #[error("the port is none")]
     InvalidPort,
-    /// There is user information before the host (RFC 9110 section 4.2.4).
+    /// The authority has user information before the host (RFC 9110 section 4.2.4).
     #[error("user information in the authority")]
     UserInfo,
     /// The scheme of the absolute target is not supported.
     #[error("the scheme is not served here")]
     UnsupportedScheme,
-    /// The absolute target and `Host` name different hosts.
+    /// The authority of the absolute target differs from the `Host` header.
     #[error("target and Host differ")]
     HostMismatch,
     /// The path does not begin with a slash.
     #[error("no absolute path")]
     NotAbsolutePath,
-    /// `.` or `..` as a segment, plain, escaped, or before a `;`.
+    /// A segment is `.` or `..`: literally, percent-encoded, or followed by a `;`.
     #[error("a dot segment in the path")]
     DotSegment,
-    /// An empty segment inside the path.
+    /// A segment other than the last is empty.
     #[error("an empty segment in the path")]
     EmptySegment,
-    /// `%2f`, `%5c` or a backslash, which some implementations take for a separator.
+    /// The path contains `%2f`, `%5c` or a backslash, which some implementations treat as a separator.
     #[error("a hidden separator in the path")]
     AmbiguousSeparator,
-    /// An escape of an unreserved character, which some implementations decode (RFC 3986 section 6.2.2.2).
+    /// An unreserved character is percent-encoded; some implementations decode it (RFC 3986 section 6.2.2.2).
     #[error("a needless escape in the path")]
     UnnecessaryEscape,
-    /// `%` without two hexadecimal digits.
+    /// A `%` is not followed by two hexadecimal digits.
     #[error("half an escape in the path")]
     InvalidEscape,
-    /// A control character, plain or escaped, or a character outside US-ASCII.
+    /// The path contains a space, a character outside US-ASCII, or a control character, literal or percent-encoded.
     #[error("a character that no path has")]
     InvalidCharacter,
 }
 
-/// A valid target.
+/// The host and path of a valid target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target<'a> {
     /// The host in lower case, without its port.
     pub host: Cow<'a, str>,
-    /// The path, unchanged.
+    /// The path as it was received.
     pub path: &'a str,
 }
 
-/// The target of a request as it was received.
+/// The target of a request as it was received, not validated.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReceivedTarget<'a> {
-    /// The scheme of an absolute target.
+    /// The scheme, if the target is absolute.
     pub scheme: Option<&'a str>,
-    /// The authority of an absolute target.
+    /// The authority, if the target is absolute.
     pub authority: Option<&'a str>,
     /// The path, without its query.
     pub path: &'a str,
-    /// The first header `Host`.
+    /// The value of the first `Host` header.
     pub host: Option<&'a [u8]>,
-    /// Whether there is another one.
+    /// Whether there is more than one `Host` header.
     pub has_multiple_hosts: bool,
 }
 
@@ -92,7 +92,7 @@
 /// rather than normalized.
 ///
 /// # Errors
-/// The first [`TargetError`]; the caller responds with 400.
+/// The first problem that is found; the caller responds with status 400.
 pub fn parse<'a>(received: ReceivedTarget<'a>) -> Result<Target<'a>, TargetError> {
     if received.has_multiple_hosts {
         return Err(TargetError::MultipleHosts);
@@ -108,9 +108,9 @@
     }
     let host = parse_host(host_header)?;
     if let Some(authority) = received.authority {
-        // By RFC 9112 section 3.2.2 the target takes precedence, but not every implementation knows that.
+        // By RFC 9112 section 3.2.2 the target takes precedence, but not every implementation follows that rule.
         if !authority.eq_ignore_ascii_case(host_header) {
-            // An invalid authority is the more specific error.
+            // If the authority is invalid, its error is more specific.
             self::parse_host(authority)?;
             return Err(TargetError::HostMismatch);
         }
@@ -122,10 +122,10 @@
     })
 }
 
-/// The host of an authority, in lower case.
+/// Extracts the host from an authority, in lower case and without the port.
 ///
 /// # Errors
-/// If host or port is invalid.
+/// If the host or the port is invalid.
 pub fn parse_host(authority: &str) -> Result<Cow<'_, str>, TargetError> {
     if authority.contains('@') {
         return Err(TargetError::UserInfo);
@@ -133,61 +133,61 @@
     if authority.is_empty() {
         return Err(TargetError::EmptyHost);
     }
-    let Authority { name, port } = split_port(authority)?;
+    let Authority { host, port } = split_port(authority)?;
     if let Some(port) = port {
         let is_number = !port.is_empty() && port.bytes().all(|b| b.is_ascii_digit());
         if !is_number || port.parse::<u16>().is_err() {
             return Err(TargetError::InvalidPort);
         }
     }
-    if name.is_empty() {
+    if host.is_empty() {
         return Err(TargetError::EmptyHost);
     }
-    if !name.starts_with('[') && !is_host_name(name) {
+    if !host.starts_with('[') && !is_host_name(host) {
         return Err(TargetError::InvalidHost);
     }
-    Ok(if name.bytes().any(|b| b.is_ascii_uppercase()) {
-        Cow::Owned(name.to_ascii_lowercase())
+    Ok(if host.bytes().any(|b| b.is_ascii_uppercase()) {
+        Cow::Owned(host.to_ascii_lowercase())
     } else {
-        Cow::Borrowed(name)
+        Cow::Borrowed(host)
     })
 }
 
-/// An authority in its parts, which are not validated yet; an IPv6 address keeps its brackets and is valid.
+/// The parts of an authority. Only an IPv6 address, which keeps its brackets, is validated already.
 struct Authority<'a> {
-    name: &'a str,
+    host: &'a str,
     port: Option<&'a str>,
 }
 
 fn split_port(authority: &str) -> Result<Authority<'_>, TargetError> {
     let Some(rest) = authority.strip_prefix('[') else {
         return Ok(match authority.split_once(':') {
-            Some((name, port)) => Authority {
-                name,
+            Some((host, port)) => Authority {
+                host,
                 port: Some(port),
             },
             None => Authority {
-                name: authority,
+                host: authority,
                 port: None,
             },
         });
     };
-    let (address, behind) = rest.split_once(']').ok_or(TargetError::InvalidHost)?;
+    let (address, suffix) = rest.split_once(']').ok_or(TargetError::InvalidHost)?;
     address
         .parse::<std::net::Ipv6Addr>()
         .map_err(|_| TargetError::InvalidHost)?;
-    let name = &authority[..address.len() + 2];
-    match behind.strip_prefix(':') {
+    let host = &authority[..address.len() + 2];
+    match suffix.strip_prefix(':') {
         Some(port) => Ok(Authority {
-            name,
+            host,
             port: Some(port),
         }),
-        None if behind.is_empty() => Ok(Authority { name, port: None }),
+        None if suffix.is_empty() => Ok(Authority { host, port: None }),
         None => Err(TargetError::InvalidHost),
     }
 }
 
-/// Whether a text is a host name or an IPv4 address: labels of letters, digits, `-` and `_`.
+/// Whether a text consists of labels of letters, digits, `-` and `_`, as host names and IPv4 addresses do.
 pub fn is_host_name(text: &str) -> bool {
     let is_label = |label: &str| {
         !label.is_empty()
@@ -202,7 +202,7 @@
 /// Validates a path.
 ///
 /// # Errors
-/// How it could be interpreted differently.
+/// The first reason why implementations could interpret it differently.
 pub fn check_path(path: &str) -> Result<(), TargetError> {
     let rest = path.strip_prefix('/').ok_or(TargetError::NotAbsolutePath)?;
     let last = rest.split('/').count() - 1;
@@ -233,7 +233,7 @@
             }
             _ => byte,
         };
-        // Some servers cut a segment at `;` after their check, so that `..;` becomes `..`.
+        // Some servers truncate a segment at `;` after they have validated it, so that `..;` becomes `..`.
         has_parameters |= decoded == b';';
         match decoded {
             _ if has_parameters => {}
@@ -250,7 +250,7 @@
     Ok(())
 }
 
-/// Decodes the two digits behind a `%`.
+/// Decodes the two hexadecimal digits after a `%`.
 fn decode_escape(bytes: &mut std::str::Bytes) -> Result<u8, TargetError> {
     let high = bytes
         .next()
@@ -270,7 +270,7 @@
     Ok(decoded)
 }
 
-/// Whether a character never needs an escape (RFC 3986 section 2.3).
+/// Whether a character is unreserved, so that it is never percent-encoded (RFC 3986 section 2.3).
 fn is_unreserved(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'.' | b'_' | b'~')
 }
--- a/crates/routing/tests/budget.rs
+++ b/crates/routing/tests/budget.rs
@@ -1,5 +1,5 @@
-//! A budget updates its sums incrementally. Its results are compared with those of a reference that computes each sum
-//! anew, and the cost of a change must not depend on the number of consumers.
+//! Compares a budget, which updates its sums incrementally, with a reference that recomputes each sum, and checks that
+//! the cost of a change does not depend on the number of consumers.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -14,7 +14,7 @@
     is_removed: bool,
 }
 
-/// The rules of [`Budget`], with every sum computed over all consumers.
+/// An implementation of the rules of [`Budget`] that computes every sum over all consumers.
 struct ReferenceBudget {
     total: u64,
     consumers: Vec<ReferenceConsumer>,
@@ -111,7 +111,7 @@
     }
 }
 
-/// An operation; its consumer is picked among all that were added, removed ones included.
+/// An operation. Its first `usize` selects a consumer among all that were added, including removed ones.
 #[derive(Clone, Debug)]
 enum Operation {
     Add(Quota),
@@ -148,7 +148,7 @@
     reference: usize,
 }
 
-/// A budget and its reference.
+/// A budget and the reference that it is compared with.
 struct ComparedBudget {
     budget: Budget,
     reference: ReferenceBudget,
@@ -168,14 +168,14 @@
         }
     }
 
-    /// The consumer that a random number selects, unless its id is no longer valid.
+    /// The consumer that a random number selects; `None` if its id is no longer valid.
     fn picked(&self, pick: usize) -> Option<ComparedConsumer> {
         let index = pick.checked_rem(self.consumers.len())?;
         let consumer = self.consumers[index];
         self.has_valid_id(consumer).then_some(consumer)
     }
 
-    /// Whether the budget has not released the id of the consumer.
+    /// Whether the id still belongs to the consumer: the budget may reuse it once a removed consumer uses no units.
     fn has_valid_id(&self, consumer: ComparedConsumer) -> bool {
         let consumer = &self.reference.consumers[consumer.reference];
         !consumer.is_removed || consumer.used > 0
@@ -253,8 +253,8 @@
         .run(&(0..80u64, operations), |(total, operations)| {
             let mut compared = ComparedBudget::new(total);
             let mut now = 0.0;
-            for (after, operation) in &operations {
-                now += after;
+            for (delay, operation) in &operations {
+                now += delay;
                 compared.apply(now, operation)?;
                 compared.compare()?;
             }
@@ -263,9 +263,9 @@
         .unwrap();
 }
 
-/// With this number of consumers, computing each sum anew takes minutes, and incremental updates take milliseconds.
+/// With this number of consumers, recomputing each sum takes minutes, and incremental updates take milliseconds.
 const MANY_CONSUMERS: usize = 100_000;
-/// Far above the one and far below the other.
+/// Far above the time of incremental updates, and far below that of recomputed sums.
 const MAX_TIME: Duration = Duration::from_secs(15);
 
 #[test]
--- a/crates/routing/tests/keep_alive.rs
+++ b/crates/routing/tests/keep_alive.rs
@@ -1,4 +1,4 @@
-//! The timeout of idle connections to servers that reject new ones.
+//! The adaptive timeout of idle connections to servers that reject new connections.
 
 use reelfall_routing::keep_alive::KeepAlive;
 
@@ -23,7 +23,7 @@
     assert_eq!(keep_alive.idle_timeout(), CONFIGURED_TIMEOUT);
 }
 
-/// The results of the second half of a simulation.
+/// Connections in the second half of a simulation.
 #[derive(Debug, PartialEq, Eq)]
 struct ConnectionCounts {
     rejected: usize,
@@ -51,7 +51,7 @@
         ((self.0 >> 33) as usize) % bound
     }
 
-    /// The server of a request: in eight of ten cases one that the node uses often.
+    /// Selects the server of a request: in eight of ten cases one that the node uses often.
     fn server_of(&mut self, node: usize) -> usize {
         if self.below(10) < 8 {
             (node * 7 + self.below(FREQUENT_SERVERS)) % SERVERS
@@ -64,12 +64,12 @@
 /// A node and its connections.
 struct Node {
     keep_alive: KeepAlive,
-    /// For each server, when the connection to it was used last.
+    /// For each server, when the connection to it was last used; `None` without a connection.
     last_used: Vec<Option<f64>>,
 }
 
-/// Simulates nodes that each use a few servers often and all of them sometimes. A server accepts `max_connections`; the
-/// timeout of idle connections is the adaptive or the configured one.
+/// Simulates nodes that each use a few servers often and all servers occasionally. A server accepts `max_connections`.
+/// Nodes use the adaptive timeout of idle connections if `is_adaptive`, otherwise the configured one.
 fn simulate(max_connections: usize, is_adaptive: bool) -> ConnectionCounts {
     let mut rng = SmallRng(7);
     let mut nodes: Vec<Node> = (0..NODES)
--- a/crates/routing/tests/limits/admission.rs
+++ b/crates/routing/tests/limits/admission.rs
@@ -29,10 +29,10 @@
     assert_eq!(
         limits.used(service, Resource::OpenRequests),
         2,
-        "a request above the rate limit is counted as open"
+        "a rejected request is counted as open"
     );
     assert_eq!(limits.admit(1.0, service), Ok(()));
-    // A request above the limit of open requests takes no token of the rate limit.
+    // A request over the limit of open requests takes no token from the rate limiter.
     assert_eq!(
         limits.admit(2.0, service),
         Err(LimitExceeded::NotAvailable(
--- a/crates/routing/tests/limits/main.rs
+++ b/crates/routing/tests/limits/main.rs
@@ -1,4 +1,4 @@
-//! Limits of services: quotas, rate limits, and the admission of requests by both.
+//! The limits of services: quotas, rate limits, and the admission of requests under both.
 
 mod admission;
 mod quotas;
--- a/crates/routing/tests/limits/quotas.rs
+++ b/crates/routing/tests/limits/quotas.rs
@@ -1,4 +1,4 @@
-//! Budgets against the guarantees of their quotas, on random schedules in virtual time.
+//! Checks that a budget keeps the guarantees of its quotas, on random schedules in virtual time.
 
 use crate::quota;
 use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, prop_oneof, Strategy};
@@ -17,23 +17,24 @@
     )
 }
 
-/// An operation of a consumer, which is given modulo the number of consumers.
+/// An operation of the consumer whose index is `consumer` modulo the number of consumers.
 #[derive(Clone, Debug)]
 enum Operation {
     Acquire {
         consumer: usize,
         units: u64,
     },
-    /// Releases one of the amounts that the consumer has, by its index modulo their number.
+    /// Releases the acquired amount whose index is `index` modulo the number of amounts that the consumer has.
     Release {
         consumer: usize,
         index: usize,
     },
 }
 
-/// An operation and the time since the one before it.
+/// An operation.
 #[derive(Clone, Debug)]
 struct Step {
+    /// The time since the previous operation, in seconds.
     delay: f64,
     operation: Operation,
 }
@@ -41,7 +42,7 @@
 #[derive(Clone, Debug)]
 struct Schedule {
     quotas: Vec<Quota>,
-    /// The units of the budget that are reserved for nobody.
+    /// The units of the budget that no consumer has reserved.
     unreserved: u64,
     steps: Vec<Step>,
 }
@@ -74,14 +75,14 @@
     })
 }
 
-/// A consumer of a budget and the amounts that it has acquired.
+/// A consumer of a budget, with the amounts that it has acquired and not released.
 struct Consumer {
     id: ConsumerId,
     quota: Quota,
     acquired: Vec<u64>,
 }
 
-/// A budget and what its consumers have of it.
+/// A budget whose guarantees are checked after every operation.
 struct CheckedBudget {
     budget: Budget,
     total: u64,
@@ -91,7 +92,7 @@
 impl CheckedBudget {
     fn new(quotas: &[Quota], unreserved: u64) -> CheckedBudget {
         let total = quotas.iter().map(|quota| quota.reserved).sum::<u64>() + unreserved;
-        Budget::check(total, quotas.iter().copied()).expect("quotas that fit");
+        Budget::check(total, quotas.iter().copied()).expect("the reservations exceed the total");
         let mut budget = Budget::new(total);
         let consumers = quotas
             .iter()
@@ -130,11 +131,11 @@
         let result = self.budget.acquire(now, consumer.id, units);
         prop_assert!(
             result.is_ok() || used + units > consumer.quota.reserved,
-            "a reservation was denied"
+            "units within a reservation were denied"
         );
         prop_assert!(
             result.is_err() || used + units <= consumer.quota.max,
-            "more than the maximum"
+            "units beyond the maximum were granted"
         );
         if result.is_ok() {
             consumer.acquired.push(units);
@@ -163,7 +164,8 @@
         Ok(())
     }
 
-    /// With nothing in use, each consumer can acquire its maximum, without what is reserved for the others, at once.
+    /// Checks that, with nothing in use, each consumer can acquire its maximum at once, except for units that are reserved
+    /// for the others.
     fn check_maxima(&mut self, now: f64) -> Result<(), TestCaseError> {
         let reserved: u64 = self
             .consumers
@@ -197,15 +199,15 @@
 }
 
 #[test]
-fn unused_units_are_lent_and_return_to_a_consumer_below_its_fair_share() {
+fn unused_units_are_borrowed_and_released_units_go_to_a_consumer_below_its_fair_share() {
     let mut budget = Budget::new(30);
     let (first, second) = (budget.add(quota(5, 100)), budget.add(quota(5, 100)));
-    // Twenty units are not reserved: one consumer alone gets all of them, but not the other's reservation.
+    // Twenty units are unreserved: a single consumer gets all of them, but not the reservation of the other.
     for _ in 0..25 {
         assert_eq!(budget.acquire(0.0, first, 1), Ok(()));
     }
     assert_eq!(budget.acquire(0.0, first, 1), Err(QuotaExceeded::Exhausted));
-    // The other gets its reservation at once, and nothing beyond it.
+    // The other consumer gets its reservation at once, and no more.
     for _ in 0..5 {
         assert_eq!(budget.acquire(1.0, second, 1), Ok(()));
     }
@@ -213,14 +215,14 @@
         budget.acquire(1.0, second, 1),
         Err(QuotaExceeded::Exhausted)
     );
-    // From now on released units go to the consumer that is below its fair share of fifteen.
+    // From now on, released units go to the consumer that is below its fair share of fifteen.
     for index in 0..10 {
         let now = 1.0 + f64::from(index) * 0.5;
         budget.release(first, 1);
         assert_eq!(
             budget.acquire(now, first, 1),
             Err(QuotaExceeded::OverFairShare),
-            "lent again while another consumer waits"
+            "borrowed beyond the fair share while another consumer waits"
         );
         assert_eq!(budget.acquire(now, second, 1), Ok(()));
         assert_eq!(
@@ -229,7 +231,7 @@
         );
     }
     assert_eq!((budget.used(first), budget.used(second)), (15, 15));
-    // At its fair share a consumer has no claim any more, and a claim that is not renewed expires.
+    // A consumer at its fair share has no claim, and a claim that is not renewed expires.
     budget.release(second, 10);
     assert_eq!(budget.acquire(5.9, first, 1), Ok(()));
 }
@@ -262,7 +264,10 @@
         Err(QuotaExceeded::OwnLimit)
     );
     let other = budget.add(quota(4, 10));
-    assert_ne!(removed, other, "an identifier that is in use was reused");
+    assert_ne!(
+        removed, other,
+        "the id of a consumer that still uses units was reused"
+    );
     assert_eq!(budget.acquire(0.0, other, 5), Err(QuotaExceeded::Exhausted));
     assert_eq!(budget.acquire(0.0, other, 4), Ok(()));
     budget.release(removed, 6);
@@ -271,12 +276,12 @@
     assert_eq!(
         budget.add(quota(1, 1)),
         removed,
-        "the identifiers of removed consumers are never reused"
+        "the id of a removed consumer that uses nothing was not reused"
     );
 }
 
 #[test]
-fn quotas_that_do_not_fit_are_reported() {
+fn invalid_quotas_are_reported() {
     let over_total = QuotaError::OverTotal {
         reserved: 12,
         total: 10,
--- a/crates/routing/tests/limits/rates.rs
+++ b/crates/routing/tests/limits/rates.rs
@@ -1,4 +1,4 @@
-//! Rate limits by token bucket.
+//! The token bucket of a rate limit.
 
 use crate::rate_limit;
 use reelfall_routing::rate::TokenBucket;
--- a/crates/routing/tests/shared_servers.rs
+++ b/crates/routing/tests/shared_servers.rs
@@ -1,4 +1,4 @@
-//! Servers that are in the endpoint lists of several pools.
+//! The combined state of servers that the endpoint lists of several pools contain.
 
 use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, prop_oneof, Just, Strategy};
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
@@ -7,14 +7,14 @@
 };
 use std::collections::BTreeMap;
 
-/// The duration of the slow start of a server.
+/// The duration of a server's slow start, in seconds.
 const SLOW_START: f64 = 10.0;
 
 const ADDRESS: &str = "s";
 
 type Servers = SharedServers<&'static str, u8>;
 
-/// The state of a server in a list that knows when servers start.
+/// The state of a server in a list that reports when servers start.
 fn listed(status: ServerStatus, started_at: f64) -> ListedState {
     ListedState {
         status,
@@ -23,8 +23,8 @@
     }
 }
 
-/// The state of an available server in a list that does not know when servers start.
-fn with_estimated_start(started_at: f64) -> ListedState {
+/// The state of an available server in a list that does not report when servers start.
+fn with_assumed_start(started_at: f64) -> ListedState {
     ListedState {
         reports_start: false,
         ..listed(ServerStatus::Up, started_at)
@@ -35,7 +35,7 @@
     servers.update(now, pool, &ADDRESS, Some(listed(status, start)))
 }
 
-/// The view of a pool that lists the server as available.
+/// The view of a pool whose own list has the server as available.
 fn view(servers: &Servers, now: f64, pool: u8, started_at: f64) -> CombinedView {
     let state = listed(ServerStatus::Up, started_at);
     servers.view(now, pool, &ADDRESS, state, SLOW_START)
@@ -50,13 +50,13 @@
     assert_eq!(
         view(&servers, 0.0, 1, 0.0),
         CombinedView {
-            pools: 2,
+            pool_count: 2,
             ..CombinedView::unshared(0.0)
         }
     );
     assert!(
         !update(&mut servers, 0.5, 2, ServerStatus::Up, 0.0),
-        "a repeated update is a change"
+        "a repeated update was reported as a change"
     );
     assert!(update(&mut servers, 1.0, 2, ServerStatus::Draining, 0.0));
     assert!(view(&servers, 1.0, 1, 0.0).is_draining);
@@ -67,15 +67,15 @@
 }
 
 #[test]
-fn removal_applies_until_it_expires_or_the_server_restarts() {
+fn stop_in_one_list_applies_until_it_expires_or_the_server_restarts() {
     let mut servers = Servers::default();
     update(&mut servers, 0.0, 1, ServerStatus::Up, 5.0);
     update(&mut servers, 0.0, 2, ServerStatus::Up, 5.0);
     update(&mut servers, 10.0, 2, ServerStatus::Gone, 5.0);
-    // The list of pool 1 is stale and still has the server.
+    // The list of pool 1 is outdated and still has the server.
     assert!(view(&servers, 10.1, 1, 5.0).is_draining);
-    assert_eq!(view(&servers, 10.1, 1, 5.0).pools, 1);
-    // A later start than that of the removed server is a restart.
+    assert_eq!(view(&servers, 10.1, 1, 5.0).pool_count, 1);
+    // A start time later than that of the removed server means that it has restarted.
     assert!(!view(&servers, 10.2, 1, 9.0).is_draining);
     assert!(servers.expire(10.0 + GONE_TTL / 2.0).is_empty());
     assert_eq!(servers.expire(10.0 + GONE_TTL), [ADDRESS]);
@@ -98,12 +98,12 @@
     assert_eq!(servers.remove_pool(1), [ADDRESS]);
     assert!(
         servers.is_empty(),
-        "the state of a server remains that no pool lists"
+        "the state of a server that no pool lists was kept"
     );
 }
 
 #[test]
-fn start_time_known_to_one_list_applies_to_all_pools() {
+fn start_time_reported_by_one_list_applies_to_all_pools() {
     const NOW: f64 = 100.0;
     let mut servers = Servers::default();
     let start = |servers: &Servers, pool, own| {
@@ -111,32 +111,32 @@
             .view(NOW, pool, &ADDRESS, own, SLOW_START)
             .started_at
     };
-    servers.update(NOW, 1, &ADDRESS, Some(with_estimated_start(0.0)));
-    // While no list knows the start, each pool uses its own estimate.
-    assert_eq!(start(&servers, 2, with_estimated_start(90.0)), 90.0);
+    servers.update(NOW, 1, &ADDRESS, Some(with_assumed_start(0.0)));
+    // While no list reports the start time, each pool uses its own assumption.
+    assert_eq!(start(&servers, 2, with_assumed_start(90.0)), 90.0);
     assert!(
         update(&mut servers, NOW, 2, ServerStatus::Up, 95.0),
-        "a known start time is no change"
+        "a reported start time was not reported as a change"
     );
-    assert_eq!(start(&servers, 1, with_estimated_start(0.0)), 95.0);
-    // An estimate does not apply to other pools, even if it is later.
-    servers.update(NOW, 1, &ADDRESS, Some(with_estimated_start(99.0)));
+    assert_eq!(start(&servers, 1, with_assumed_start(0.0)), 95.0);
+    // An assumed start time does not apply to other pools, even if it is later.
+    servers.update(NOW, 1, &ADDRESS, Some(with_assumed_start(99.0)));
     assert_eq!(start(&servers, 2, listed(ServerStatus::Up, 95.0)), 95.0);
-    // Of two known starts the later applies: the list with the other one is stale.
+    // Of two reported start times the later applies: the list with the earlier one is outdated.
     assert_eq!(start(&servers, 3, listed(ServerStatus::Up, 97.0)), 97.0);
     assert_eq!(start(&servers, 3, listed(ServerStatus::Up, 50.0)), 95.0);
-    // A start in the future, by a fast clock, is taken for the present.
+    // A start time in the future, from a fast clock, counts as the current time.
     update(&mut servers, NOW, 2, ServerStatus::Up, 1e9);
-    assert_eq!(start(&servers, 1, with_estimated_start(0.0)), 100.0);
-    // The start that a list knows does not apply after its removal of the server.
+    assert_eq!(start(&servers, 1, with_assumed_start(0.0)), 100.0);
+    // The start time that a list reported no longer applies once the list reports the server as gone.
     update(&mut servers, NOW, 2, ServerStatus::Gone, 95.0);
-    assert_eq!(start(&servers, 1, with_estimated_start(0.0)), 0.0);
+    assert_eq!(start(&servers, 1, with_assumed_start(0.0)), 0.0);
 }
 
-/// When the server of the test of withheld servers starts.
+/// The start time of the server in the test of withheld servers.
 const STARTED_AT: f64 = 100.0;
 
-/// The pools from which a server that started at that time is not withheld.
+/// The pools from which a server that started at [`STARTED_AT`] is not withheld.
 fn admitted_pools(servers: &Servers, now: f64, pools: u8) -> Vec<u8> {
     (0..pools)
         .filter(|pool| {
@@ -152,7 +152,7 @@
     let max_pools = MAX_POOLS_IN_SLOW_START as u8;
     let pools = max_pools + 2;
     let mut servers = Servers::default();
-    // The order of the pools' identifiers counts, not that of their updates.
+    // The pools are ordered by their ids, not by their updates.
     for pool in (0..pools).rev() {
         update(&mut servers, STARTED_AT, pool, ServerStatus::Up, STARTED_AT);
     }
@@ -164,7 +164,7 @@
         view(&servers, 101.0, pools - 1, STARTED_AT).withheld_until,
         Some(STARTED_AT + SLOW_START)
     );
-    // The removal of a pool admits the next one.
+    // When a pool is removed, the next one may send to the server.
     servers.remove_pool(0);
     assert_eq!(
         admitted_pools(&servers, 102.0, pools),
@@ -185,13 +185,16 @@
 const POOLS: u8 = 3;
 const SERVERS: u8 = 2;
 
-/// An update of a server in the list of a pool; without a status, the pool's settings have no such server any more.
+/// An update of a server in the list of a pool.
 #[derive(Clone, Debug)]
 struct Step {
+    /// The time since the previous update, in seconds.
     delay: f64,
     pool: u8,
     server: u8,
+    /// `None` if new settings of the pool no longer contain the server.
     status: Option<ServerStatus>,
+    /// Whether expired states are removed after the update.
     expires: bool,
 }
 
@@ -235,7 +238,7 @@
     }
 }
 
-/// The last status of each server in each list.
+/// A reference that keeps the last status of each server in each list.
 #[derive(Default)]
 struct Model(BTreeMap<ListEntry, StatusSince>);
 
@@ -246,7 +249,7 @@
             return;
         };
         let previous = self.0.get(&entry).map(|entry| entry.status);
-        // The removal of an unknown server changes nothing.
+        // A list that never had the server reports it as gone: this changes nothing.
         let is_removal_of_unknown = previous.is_none() && status == ServerStatus::Gone;
         if !is_removal_of_unknown && previous != Some(status) {
             self.0.insert(entry, StatusSince { status, since: now });
@@ -257,7 +260,7 @@
         self.0.retain(|_, state| !state.is_expired(now));
     }
 
-    /// Whether another pool's list says that the server gets no new requests.
+    /// Whether the server gets no new requests from the viewer because of another pool's list.
     fn is_draining(&self, now: f64, viewer: u8, server: u8) -> bool {
         self.0
             .iter()
@@ -300,7 +303,8 @@
     Ok(())
 }
 
-/// In any order of updates, draining and removal in one list apply to all pools, and no state remains in the end.
+/// Whatever the order of updates, draining and stops in one list apply to all pools, and no state is left after the
+/// removal of all pools.
 #[test]
 fn views_match_the_model_for_any_order_of_updates() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]);
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -1,4 +1,4 @@
-//! The route table, compared with a reference on random routes and requests.
+//! Compares the route table with a reference on random routes and requests.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -7,8 +7,8 @@
     RouteTable,
 };
 
-/// The route that the rules of precedence select: every stated condition must match, and of several matching routes the one
-/// of the highest rank is selected.
+/// Finds the route by applying the rules of precedence to all routes: every condition must match, and of several matching
+/// routes the one with the highest rank is selected.
 fn reference_find(routes: &[RouteConditions], query: &RouteQuery) -> Option<usize> {
     (0..routes.len())
         .filter(|index| matches(&routes[*index], query))
@@ -38,7 +38,7 @@
     route.methods.iter().any(|allowed| **allowed == *method)
 }
 
-/// The precedence of a route; fields are compared in order.
+/// The precedence of a route. The fields are compared in the order of their declaration.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     has_listener: bool,
@@ -167,13 +167,10 @@
             }
         },
     );
-    assert!(
-        found > 1000,
-        "too few of the requests match a route: {found}"
-    );
+    assert!(found > 1000, "only {found} requests match a route");
 }
 
-/// The routes without those that are ambiguous with an earlier one. Checks that the table reports the first of these.
+/// Removes the routes that are ambiguous with an earlier one, and checks that the table reports the first of them.
 fn unambiguous_routes(routes: Vec<RouteConditions>) -> Vec<RouteConditions> {
     let first_ambiguous =
         (0..routes.len()).find(|index| is_ambiguous_with_earlier(&routes, *index));
@@ -198,7 +195,7 @@
     }
 }
 
-/// Runs a test on random values in order and without shrinking, so that its closure can count.
+/// Runs a test on random values in sequence and without shrinking, so that its closure can count results.
 trait OneByOne {
     fn run_one_by_one<S: Strategy>(self, strategy: &S, test: impl FnMut(S::Value));
 }
@@ -207,12 +204,17 @@
     fn run_one_by_one<S: Strategy>(mut self, strategy: &S, mut test: impl FnMut(S::Value)) {
         use proptest::strategy::ValueTree;
         for _ in 0..self.config().cases {
-            test(strategy.new_tree(&mut self).expect("a value").current());
+            test(
+                strategy
+                    .new_tree(&mut self)
+                    .expect("the strategy generates a value")
+                    .current(),
+            );
         }
     }
 }
 
-/// A route with conditions on host and path only.
+/// A route with conditions on the host and the path only.
 fn route(host: &str, path: &str) -> RouteConditions {
     RouteConditions {
         host: HostPattern::parse(host).unwrap(),
@@ -260,7 +262,7 @@
         method: "GET",
         class: None,
     };
-    // A lookup of every prefix would hash about 3 TB.
+    // Looking up every prefix of the path would hash about 3 TB in total.
     for _ in 0..100_000 {
         assert_eq!(table.find(&query), Some(0));
     }
--- a/crates/routing/tests/target.rs
+++ b/crates/routing/tests/target.rs
@@ -1,4 +1,4 @@
-//! Request targets: those that are accepted, and the ambiguous ones that are rejected, each with its error.
+//! Request targets: which are accepted, and with which error ambiguous ones are rejected.
 
 use reelfall_routing::target::{check_path, parse, parse_host, ReceivedTarget, TargetError};
 
