--- a/crates/capacity/examples/state_size/error.rs
+++ b/crates/capacity/examples/state_size/error.rs
@@ -1,7 +1,7 @@
 //! Why nothing is measured. All modules return it, and `main` prints it.
 
 use reelfall_cluster::wire::KeyTooShort;
-use reelfall_config::Faults;
+use reelfall_config::ConfigErrors;
 use reelfall_lease::token::InvalidLeaseName;
 use std::fmt;
 use thiserror::Error as ThisError;
@@ -75,7 +75,7 @@
     Output(#[from] std::string::FromUtf8Error),
     /// Settings that are not valid.
     #[error(transparent)]
-    Settings(#[from] Faults),
+    Settings(#[from] ConfigErrors),
     /// A key that is too short.
     #[error(transparent)]
     Key(#[from] KeyTooShort),
--- a/crates/capacity/examples/state_size/plan.rs
+++ b/crates/capacity/examples/state_size/plan.rs
@@ -41,7 +41,7 @@
 "#;
 
 fn model() -> Result<Model> {
-    Ok(reader::toml(SETTINGS_NAME, SETTINGS)?)
+    Ok(reader::parse_toml(SETTINGS_NAME, SETTINGS)?)
 }
 
 /// The memory of a plan with so many routes.
--- a/crates/capacity/src/scale/computation.rs
+++ b/crates/capacity/src/scale/computation.rs
@@ -18,7 +18,7 @@
 const CHANGE_COUNT: usize = 200;
 /// Interval between two updates of a list, in seconds.
 const UPDATE_INTERVAL: f64 = 0.01;
-/// Faults of a settings file that an error quotes.
+/// Errors of a settings file that an error quotes.
 const QUOTED_FAULTS: usize = 3;
 /// The lowest port of a listed server.
 const FIRST_PORT: usize = 1024;
@@ -120,7 +120,8 @@
     }
     let bytes = text.len();
     let started = machine::thread_cpu_time()?;
-    let model = reelfall_config::reader::toml("scale.toml", &text).map_err(settings_rejected)?;
+    let model =
+        reelfall_config::reader::parse_toml("scale.toml", &text).map_err(settings_rejected)?;
     // As the program does: a check takes memory of its own.
     drop(text);
     let plan = reelfall_config::check(model).map_err(settings_rejected)?;
@@ -130,15 +131,15 @@
     cost
 }
 
-fn settings_rejected(faults: reelfall_config::Faults) -> ScaleError {
-    let first: Vec<String> = faults
+fn settings_rejected(errors: reelfall_config::ConfigErrors) -> ScaleError {
+    let first: Vec<String> = errors
         .0
         .iter()
         .take(QUOTED_FAULTS)
         .map(ToString::to_string)
         .collect();
     ScaleError::SettingsRejected {
-        count: faults.0.len(),
+        count: errors.0.len(),
         first: first.join("; "),
     }
 }
--- a/crates/capacity/tests/settings_file.rs
+++ b/crates/capacity/tests/settings_file.rs
@@ -2,14 +2,14 @@
 
 use reelfall_capacity::scale::report::Size;
 use reelfall_capacity::scale::settings::settings_file;
-use reelfall_config::model::Source;
+use reelfall_config::model::ListSource;
 use reelfall_config::{check, reader, Plan};
 
 /// The target size divided by the size of the scaled-down file.
 const SCALE_DIVISOR: usize = 20;
 
 fn plan(size: &Size) -> Plan {
-    reader::toml("f.toml", &settings_file(size))
+    reader::parse_toml("f.toml", &settings_file(size))
         .and_then(check)
         .unwrap()
 }
@@ -38,15 +38,15 @@
 
 fn counts(plan: &Plan) -> Counts {
     let services = &plan.model.services;
-    let servers = services.iter().map(|service| match &service.source {
-        Source::Static(servers) => servers.len(),
-        Source::Discovery(_) | Source::Registry(_) => 0,
+    let servers = services.iter().map(|service| match &service.list_source {
+        ListSource::Static(servers) => servers.len(),
+        ListSource::Discovery(_) | ListSource::Registry(_) => 0,
     });
     let tenants = services.iter().map(|service| service.tenants.len());
     Counts {
         services: services.len(),
         servers: servers.sum(),
-        routes: plan.matches.len(),
+        routes: plan.route_conditions.len(),
         tenants: tenants.sum(),
     }
 }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -21,7 +21,7 @@
 pub use graphql::{graphql_classes, GraphQlClassesError};
 pub use plan::{Plan, RouteTarget};
 
-use crate::model::{Fault, Faults, Located, Model, Origin, Process};
+use crate::model::{ConfigError, ConfigErrors, Located, Model, Origin, Process};
 use reelfall_balancer::interface as core;
 use reelfall_routing::limits::ProcessResources;
 use std::collections::hash_map::{Entry, HashMap};
@@ -85,21 +85,21 @@
     }
 }
 
-/// Collects the faults of a model.
+/// Collects the errors of a model.
 struct Checker {
-    faults: Vec<Fault>,
+    errors: Vec<ConfigError>,
 }
 
 impl Checker {
-    /// Adds a fault.
+    /// Adds an error.
     fn report(&mut self, origin: &Origin, message: String) {
-        self.faults.push(Fault {
+        self.errors.push(ConfigError {
             origin: origin.clone(),
             message,
         });
     }
 
-    /// Adds a fault unless a condition holds.
+    /// Adds an error unless a condition holds.
     fn require(&mut self, holds: bool, origin: &Origin, message: impl FnOnce() -> String) {
         if !holds {
             self.report(origin, message());
@@ -163,9 +163,9 @@
 /// Validates a model.
 ///
 /// # Errors
-/// All faults of the model, in the order of their lines.
-pub fn check(model: Model) -> Result<Plan, Faults> {
-    let mut checker = Checker { faults: Vec::new() };
+/// All errors of the model, in the order of their lines.
+pub fn check(model: Model) -> Result<Plan, ConfigErrors> {
+    let mut checker = Checker { errors: Vec::new() };
     let capacity = process(&mut checker, &model.process);
     listeners(&mut checker, &model);
     registries::registries(&mut checker, &model);
@@ -175,17 +175,17 @@
     services::limits(&mut checker, &model, capacity.totals);
     let routes = routes::routes(&mut checker, &model);
     match routes.table {
-        Some(table) if checker.faults.is_empty() => Ok(Plan {
+        Some(route_table) if checker.errors.is_empty() => Ok(Plan {
             model,
-            table,
-            goals: routes.targets,
-            matches: routes.matches,
-            totals: capacity.totals,
-            clients: capacity.max_clients,
+            route_table,
+            route_targets: routes.targets,
+            route_conditions: routes.conditions,
+            resources: capacity.totals,
+            max_clients: capacity.max_clients,
         }),
         _ => {
-            checker.faults.sort_by_key(|fault| fault.origin.line);
-            Err(Faults(checker.faults))
+            checker.errors.sort_by_key(|error| error.origin.line);
+            Err(ConfigErrors(checker.errors))
         }
     }
 }
--- a/crates/config/src/check/fleet.rs
+++ b/crates/config/src/check/fleet.rs
@@ -27,7 +27,7 @@
     advertised_address(checker, fleet);
     zone(checker, &fleet.origin, model.process.zone.as_deref());
     times(checker, fleet);
-    let (membership, quorum) = (&fleet.rules.membership, &fleet.rules.quorum);
+    let (membership, quorum) = (&fleet.config.membership, &fleet.config.quorum);
     // With a quorum of one, a single node could eject a server for all.
     checker.require(
         (2..=1000).contains(&quorum.witnesses),
@@ -80,7 +80,7 @@
 
 /// Checks the intervals and time-outs of probes, gossip and load reports.
 fn times(checker: &mut Checker, fleet: &Located<Fleet>) {
-    let (rules, membership) = (&fleet.rules, &fleet.rules.membership);
+    let (config, membership) = (&fleet.config, &fleet.config.membership);
     let time = |key, value, min, max| BoundedTime {
         key,
         value,
@@ -90,10 +90,10 @@
     for time in [
         time("probe_every", membership.probe_every, 0.05, 60.0),
         time("suspect_for", membership.suspect_for, 0.1, 600.0),
-        time("spread_every", rules.spread_every, 0.01, 10.0),
-        time("heal_every", rules.heal_every, 0.05, 60.0),
-        time("verdicts.lasts", rules.report_lasts, 1.0, MAX_REPORT_TTL),
-        time("verdicts.trial_every", rules.trial_every, 0.1, 60.0),
+        time("spread_every", config.spread_every, 0.01, 10.0),
+        time("heal_every", config.heal_every, 0.05, 60.0),
+        time("verdicts.lasts", config.report_lasts, 1.0, MAX_REPORT_TTL),
+        time("verdicts.trial_every", config.trial_every, 0.1, 60.0),
     ] {
         checker.require(
             (time.min..=time.max).contains(&time.value),
@@ -128,7 +128,7 @@
         },
     );
     checker.require(
-        !keepers.contains(&fleet.node) || leases.folder.is_some(),
+        !keepers.contains(&fleet.node) || leases.state_dir.is_some(),
         &fleet.origin,
         || {
             format!(
@@ -167,10 +167,10 @@
 /// Checks the interval and the path of a periodic call.
 fn call(checker: &mut Checker, origin: &Origin, call: &Call) {
     let name = &call.name;
-    checker.require((0.05..=86_400.0).contains(&call.every), origin, || {
+    checker.require((0.05..=86_400.0).contains(&call.interval), origin, || {
         format!(
             "fleet.leases: call `{name}`: every is {}s, not between 0.05s and a day",
-            call.every
+            call.interval
         )
     });
     let is_path = call.path.starts_with('/') && call.path.bytes().all(|b| b.is_ascii_graphic());
--- a/crates/config/src/check/graphql.rs
+++ b/crates/config/src/check/graphql.rs
@@ -54,10 +54,10 @@
 ) -> Result<Classes, GraphQlClassesError> {
     let ids = indices(service.classes.iter().map(|class| class.name.as_str()));
     let mapping = Mapping {
-        query: field_classes(&ids, &graphql.query)?,
-        mutation: field_classes(&ids, &graphql.mutation)?,
-        other_query: class_id(&ids, &graphql.other_query)?,
-        other_mutation: class_id(&ids, &graphql.other_mutation)?,
+        query: field_classes(&ids, &graphql.query_classes)?,
+        mutation: field_classes(&ids, &graphql.mutation_classes)?,
+        other_query: class_id(&ids, &graphql.default_query_class)?,
+        other_mutation: class_id(&ids, &graphql.default_mutation_class)?,
     };
     let info = |class: &Located<Class>| ClassInfo {
         is_idempotent: class.retry_safety == RetrySafety::Idempotent,
--- a/crates/config/src/check/plan.rs
+++ b/crates/config/src/check/plan.rs
@@ -12,7 +12,7 @@
     /// The index of the service in [`Model::services`].
     pub service: usize,
     /// The index in [`Service::classes`] of the class that the route assigns, if it assigns one.
-    pub assign: Option<core::ClassId>,
+    pub assigned_class: Option<core::ClassId>,
 }
 
 /// A valid model, with its route table and the capacity of the process.
@@ -21,15 +21,15 @@
     /// The content of the file.
     pub model: Model,
     /// The route table.
-    pub table: RouteTable,
+    pub route_table: RouteTable,
     /// Where each route leads, by its index in the table; the routes of a service are consecutive, in its order.
-    pub goals: Vec<RouteTarget>,
+    pub route_targets: Vec<RouteTarget>,
     /// What each route matches, by its index in the table.
-    pub matches: Vec<RouteConditions>,
+    pub route_conditions: Vec<RouteConditions>,
     /// What all services together may use.
-    pub totals: ProcessResources,
+    pub resources: ProcessResources,
     /// Maximum number of client connections.
-    pub clients: usize,
+    pub max_clients: usize,
 }
 
 impl Plan {
@@ -89,23 +89,27 @@
     }
 
     /// All routes that match a request, in descending order of precedence.
-    pub fn candidates(&self, query: &RouteQuery) -> Vec<usize> {
+    pub fn matching_routes(&self, query: &RouteQuery) -> Vec<usize> {
         let specificity = |route: &usize| {
-            let conditions = self.matches.get(*route);
+            let conditions = self.route_conditions.get(*route);
             conditions.map(RouteConditions::specificity)
         };
-        let mut candidates: Vec<usize> = (0..self.matches.len())
-            .filter(|route| self.matches.get(*route).is_some_and(|m| m.matches(query)))
+        let mut candidates: Vec<usize> = (0..self.route_conditions.len())
+            .filter(|route| {
+                self.route_conditions
+                    .get(*route)
+                    .is_some_and(|m| m.matches(query))
+            })
             .collect();
         candidates.sort_by_key(|route| std::cmp::Reverse(specificity(route)));
         candidates
     }
 
     /// The place of a route in the file.
-    pub fn origin(&self, route: usize) -> Option<&Origin> {
-        let service = self.goals.get(route)?.service;
+    pub fn route_origin(&self, route: usize) -> Option<&Origin> {
+        let service = self.route_targets.get(route)?.service;
         let first = self
-            .goals
+            .route_targets
             .partition_point(|target| target.service < service);
         let routes = &self.model.services.get(service)?.routes;
         routes.get(route - first).map(|route| &route.origin)
--- a/crates/config/src/check/registries.rs
+++ b/crates/config/src/check/registries.rs
@@ -1,7 +1,7 @@
 //! Checks registries, and the services whose servers they list.
 
 use super::{Checker, MAX_NAME_LEN};
-use crate::model::{Located, Model, NodeEntry, Registry, RegistrySource, Service, Source};
+use crate::model::{ListSource, Located, Model, NodeEntry, Registry, RegistrySource, Service};
 use std::collections::HashSet;
 
 /// Checks all registries.
@@ -43,7 +43,7 @@
         )
     });
     checker.require(
-        !entry.guarded || registry.digest_file.is_some(),
+        !entry.is_guarded || registry.digest_file.is_some(),
         &entry.origin,
         || {
             format!(
@@ -68,12 +68,12 @@
     registries: &HashSet<&str>,
     service: &Located<Service>,
 ) {
-    let Source::Registry(RegistrySource {
+    let ListSource::Registry(RegistrySource {
         registry,
         path,
         limits,
         initial_servers,
-    }) = &service.source
+    }) = &service.list_source
     else {
         return;
     };
--- a/crates/config/src/check/routes.rs
+++ b/crates/config/src/check/routes.rs
@@ -9,19 +9,19 @@
 
 /// The routes of a model, by their index over all services.
 pub(super) struct Routes {
-    /// The table; `None` if the model has faults.
+    /// The table; `None` if the model has errors.
     pub(super) table: Option<RouteTable>,
     /// Where each route leads.
     pub(super) targets: Vec<RouteTarget>,
-    /// What each route matches.
-    pub(super) matches: Vec<RouteConditions>,
+    /// The conditions of each route.
+    pub(super) conditions: Vec<RouteConditions>,
 }
 
-/// Checks all routes. The table is made only if there are no faults so far.
+/// Checks all routes. The table is made only if there are no errors so far.
 pub(super) fn routes(checker: &mut Checker, model: &Model) -> Routes {
     let count = model.services.iter().map(|s| s.routes.len()).sum();
     let mut targets = Vec::with_capacity(count);
-    let mut matches = Vec::with_capacity(count);
+    let mut conditions = Vec::with_capacity(count);
     let mut origins = Vec::with_capacity(count);
     let listeners = indices(model.listeners.iter().map(|l| l.name.as_str()));
     for (index, service) in model.services.iter().enumerate() {
@@ -30,14 +30,14 @@
             let listener = listener(checker, &listeners, route);
             targets.push(RouteTarget {
                 service: index,
-                assign: assigned_class(checker, &classes, service, route),
+                assigned_class: assigned_class(checker, &classes, service, route),
             });
             methods(checker, route);
             let is_reserved = *route.path == *"/_health" || route.path.starts_with("/_health/");
             checker.require(!is_reserved, &route.origin, || {
                 "`/_health` is the node's own".to_owned()
             });
-            matches.push(RouteConditions {
+            conditions.push(RouteConditions {
                 listener,
                 host: route.host.clone(),
                 path_prefix: route.path.clone(),
@@ -47,13 +47,13 @@
             origins.push(&route.origin);
         }
     }
-    checker.require(matches.len() <= MAX_ROUTES, &model.origin, || {
-        format!("{} routes, {MAX_ROUTES} at most", matches.len())
+    checker.require(conditions.len() <= MAX_ROUTES, &model.origin, || {
+        format!("{} routes, {MAX_ROUTES} at most", conditions.len())
     });
     Routes {
-        table: table(checker, &matches, &origins),
+        table: table(checker, &conditions, &origins),
         targets,
-        matches,
+        conditions,
     }
 }
 
@@ -78,7 +78,7 @@
     service: &Service,
     route: &Located<Route>,
 ) -> Option<core::ClassId> {
-    let name = route.assign.as_ref()?;
+    let name = route.assigned_class.as_ref()?;
     let index = classes.get(name.as_str()).copied();
     checker.require(index.is_some(), &route.origin, || {
         format!("service `{}` has no class `{name}`", service.name)
@@ -86,16 +86,16 @@
     core::ClassId::try_from(index?).ok()
 }
 
-/// The route table, unless there are faults or two routes are ambiguous.
+/// The route table, unless there are errors or two routes are ambiguous.
 fn table(
     checker: &mut Checker,
-    matches: &[RouteConditions],
+    conditions: &[RouteConditions],
     origins: &[&Origin],
 ) -> Option<RouteTable> {
-    if !checker.faults.is_empty() {
+    if !checker.errors.is_empty() {
         return None;
     }
-    match RouteTable::new(matches) {
+    match RouteTable::new(conditions) {
         Ok(table) => Some(table),
         Err(AmbiguousRoutes { first, second }) => {
             if let (Some(first), Some(second)) = (origins.get(first), origins.get(second)) {
--- a/crates/config/src/check/services.rs
+++ b/crates/config/src/check/services.rs
@@ -3,7 +3,7 @@
 use super::graphql::graphql;
 use super::registries::registry_source;
 use super::{Checker, MAX_CLASSES, MAX_DEADLINE, MAX_SERVICES, MAX_TENANTS};
-use crate::model::{Class, Located, Model, Origin, Service, Source};
+use crate::model::{Class, ListSource, Located, Model, Origin, Service};
 use reelfall_routing::budget::Quota;
 use reelfall_routing::limits::{AdmissionControl, ProcessResources, Resource};
 use reelfall_routing::shared_servers;
@@ -68,7 +68,7 @@
 
 /// Requires unique names and addresses in a static list.
 fn servers(checker: &mut Checker, service: &Located<Service>) {
-    let Source::Static(servers) = &service.source else {
+    let ListSource::Static(servers) = &service.list_source else {
         return;
     };
     checker.require_unique_names("server", servers, |s| &s.name);
@@ -138,7 +138,7 @@
 pub(super) fn shared_servers(checker: &mut Checker, model: &Model) {
     let mut counts: HashMap<SocketAddr, usize> = HashMap::new();
     for service in &model.services {
-        let Source::Static(servers) = &service.source else {
+        let ListSource::Static(servers) = &service.list_source else {
             continue;
         };
         for server in servers {
@@ -176,7 +176,7 @@
             self::quota(checker, origin, &service.name, kind, quota);
         }
     }
-    if checker.faults.is_empty() {
+    if checker.errors.is_empty() {
         let allowed: Vec<_> = model.services.iter().map(|s| s.limits.value).collect();
         if let Err(unfit) = AdmissionControl::check(totals, &allowed) {
             checker.report(
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -5,7 +5,7 @@
 
 mod origin;
 
-pub use origin::{Fault, Faults, Located, Origin};
+pub use origin::{ConfigError, ConfigErrors, Located, Origin};
 
 use reelfall_balancer::interface::{ServerState, Time};
 use reelfall_routing::limits::ServiceLimits;
@@ -39,7 +39,7 @@
     /// The address; only operators should be able to reach it.
     pub address: SocketAddr,
     /// The folder where bans and drains are stored; without one they last as long as the process.
-    pub folder: Option<PathBuf>,
+    pub state_dir: Option<PathBuf>,
 }
 
 /// The membership of this node in a fleet.
@@ -56,7 +56,7 @@
     /// The file with the key of the fleet.
     pub key_file: PathBuf,
     /// Intervals, quorum and seeds.
-    pub rules: reelfall_cluster::fleet::Config,
+    pub config: reelfall_cluster::fleet::Config,
     /// Leases for tasks that one node executes for all.
     pub leases: Option<Leases>,
 }
@@ -67,7 +67,7 @@
     /// The nodes that store them, the same for all nodes and in the same order.
     pub keepers: Vec<String>,
     /// The folder where this node stores them, if it is one of those.
-    pub folder: Option<PathBuf>,
+    pub state_dir: Option<PathBuf>,
     /// The time after which a lease expires unless it is renewed.
     pub duration: Time,
     /// The maximum relative error of the rate of any node's clock.
@@ -86,7 +86,7 @@
     /// The path of the `POST`.
     pub path: String,
     /// The interval.
-    pub every: Time,
+    pub interval: Time,
 }
 
 /// A ZooKeeper-like registry.
@@ -120,7 +120,7 @@
     /// The site of the node.
     pub site: Option<String>,
     /// Whether only this node may change the entry; otherwise everybody may.
-    pub guarded: bool,
+    pub is_guarded: bool,
 }
 
 /// The entries of a registry that list a service's servers.
@@ -179,7 +179,7 @@
     /// Whether it accepts requests.
     pub state: ServiceState,
     /// The source of its list of servers.
-    pub source: Source,
+    pub list_source: ListSource,
     /// Its share of requests, connections and memory, and its request rate.
     pub limits: Located<ServiceLimits>,
     /// GraphQL settings, if it is a GraphQL service.
@@ -198,7 +198,7 @@
 
 /// The source of a service's list of servers.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Source {
+pub enum ListSource {
     /// The list is part of the file.
     Static(Vec<Located<Server>>),
     /// The platform's discovery service at this address.
@@ -265,13 +265,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct GraphQl {
     /// The classes of fields of the query root.
-    pub query: BTreeMap<String, String>,
+    pub query_classes: BTreeMap<String, String>,
     /// The classes of fields of the mutation root.
-    pub mutation: BTreeMap<String, String>,
+    pub mutation_classes: BTreeMap<String, String>,
     /// The class of all other fields of the query root.
-    pub other_query: String,
+    pub default_query_class: String,
     /// The class of all other fields of the mutation root.
-    pub other_mutation: String,
+    pub default_mutation_class: String,
     /// The estimated work of a field, in seconds on a standard core.
     pub field_work: Time,
     /// Maximum number of reads of a batch that are executed concurrently.
@@ -320,5 +320,5 @@
     /// The class that the request has to state; `None` matches any.
     pub class: Option<String>,
     /// The class that its requests get, whatever they state.
-    pub assign: Option<String>,
+    pub assigned_class: Option<String>,
 }
--- a/crates/config/src/model/origin.rs
+++ b/crates/config/src/model/origin.rs
@@ -59,7 +59,7 @@
 /// An error in a file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{origin}: {message}")]
-pub struct Fault {
+pub struct ConfigError {
     /// The place of the error.
     pub origin: Origin,
     /// The description for the author of the file.
@@ -68,13 +68,13 @@
 
 /// All errors of a file; at least one.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub struct Faults(pub Vec<Fault>);
+pub struct ConfigErrors(pub Vec<ConfigError>);
 
-impl fmt::Display for Faults {
+impl fmt::Display for ConfigErrors {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        for (index, fault) in self.0.iter().enumerate() {
+        for (index, error) in self.0.iter().enumerate() {
             let separator = if index > 0 { "\n" } else { "" };
-            write!(f, "{separator}{fault}")?;
+            write!(f, "{separator}{error}")?;
         }
         Ok(())
     }
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -23,7 +23,7 @@
 mod tables;
 mod values;
 
-use crate::model::{Fault, Faults, Located, Model, Service};
+use crate::model::{ConfigError, ConfigErrors, Located, Model, Service};
 use document::Document;
 use lines::Lines;
 use sections::Sections;
@@ -37,7 +37,7 @@
 /// # Errors
 /// The first error of syntax or of a single value, first outside of the services and then service by service: later
 /// ones may only be its effects. If there is none, every service whose source of servers is missing or ambiguous.
-pub fn toml(file: &str, text: &str) -> Result<Model, Faults> {
+pub fn parse_toml(file: &str, text: &str) -> Result<Model, ConfigErrors> {
     let file: Arc<str> = file.into();
     let sections = Sections::of(text);
     let main_document = Document::of(&file, text, &sections.rest);
@@ -74,11 +74,11 @@
     })
 }
 
-/// Collects the services of all documents of a file, and the faults of those that can't be converted.
+/// Collects the services of all documents of a file, and the errors of those that can't be converted.
 #[derive(Default)]
 struct ServiceCollector {
     services: Vec<Located<Service>>,
-    faults: Vec<Fault>,
+    errors: Vec<ConfigError>,
 }
 
 impl ServiceCollector {
@@ -87,7 +87,7 @@
             let Located { value, origin } = lines.located(table, mapping::service);
             match value {
                 Ok(value) => self.services.push(Located { value, origin }),
-                Err(error) => self.faults.push(Fault {
+                Err(error) => self.errors.push(ConfigError {
                     origin,
                     message: error.to_string(),
                 }),
@@ -95,11 +95,11 @@
         }
     }
 
-    fn finish(self) -> Result<Vec<Located<Service>>, Faults> {
-        if self.faults.is_empty() {
+    fn finish(self) -> Result<Vec<Located<Service>>, ConfigErrors> {
+        if self.errors.is_empty() {
             Ok(self.services)
         } else {
-            Err(Faults(self.faults))
+            Err(ConfigErrors(self.errors))
         }
     }
 }
--- a/crates/config/src/reader/document.rs
+++ b/crates/config/src/reader/document.rs
@@ -3,7 +3,7 @@
 use super::lines::Lines;
 use super::sections::Section;
 use super::tables::File;
-use crate::model::{Fault, Faults};
+use crate::model::{ConfigError, ConfigErrors};
 use std::borrow::Cow;
 use std::sync::Arc;
 
@@ -38,12 +38,12 @@
     ///
     /// # Errors
     /// Its first syntax error, or else its first invalid value.
-    pub(super) fn read(&self) -> Result<File, Faults> {
+    pub(super) fn read(&self) -> Result<File, ConfigErrors> {
         toml::from_str(&self.text).map_err(|error| {
             let origin = error
                 .span()
                 .map_or_else(|| self.lines.file(), |span| self.lines.at(span.start));
-            Faults(vec![Fault {
+            ConfigErrors(vec![ConfigError {
                 origin,
                 message: error.message().replace('\n', ", "),
             }])
--- a/crates/config/src/reader/fleet.rs
+++ b/crates/config/src/reader/fleet.rs
@@ -23,7 +23,7 @@
     pub(super) fn into_model(self) -> Management {
         Management {
             address: self.address.0,
-            folder: self.folder,
+            state_dir: self.folder,
         }
     }
 }
@@ -81,7 +81,7 @@
             name: self.name,
             address: self.address.0,
             path: self.path,
-            every: self.every.0,
+            interval: self.every.0,
         }
     }
 }
@@ -90,7 +90,7 @@
     fn into_model(self) -> Leases {
         Leases {
             keepers: self.keepers,
-            folder: self.folder,
+            state_dir: self.folder,
             duration: time_or(&self.length, 5.0),
             drift: self.drift.unwrap_or(0.001),
             calls: self.call.into_iter().map(CallTable::into_model).collect(),
@@ -117,7 +117,7 @@
 impl FleetTable {
     pub(super) fn into_model(self, zone: Option<String>) -> Fleet {
         Fleet {
-            rules: self.rules(zone),
+            config: self.config(zone),
             leases: self.leases.map(LeasesTable::into_model),
             name: self.name,
             node: self.node,
@@ -126,7 +126,7 @@
             key_file: self.key_file,
         }
     }
-    fn rules(&self, zone: Option<String>) -> Config {
+    fn config(&self, zone: Option<String>) -> Config {
         let default = Config::default();
         let verdicts = &self.verdicts;
         Config {
--- a/crates/config/src/reader/mapping.rs
+++ b/crates/config/src/reader/mapping.rs
@@ -11,8 +11,8 @@
 };
 use super::values::{SizeText, TimeText};
 use crate::model::{
-    AttemptLimits, Class, GraphQl, Listener, Located, NodeEntry, Process, Registry, RegistrySource,
-    RetrySafety, Route, Server, Service, ServiceState, SlowStart, Source, Tenant,
+    AttemptLimits, Class, GraphQl, ListSource, Listener, Located, NodeEntry, Process, Registry,
+    RegistrySource, RetrySafety, Route, Server, Service, ServiceState, SlowStart, Tenant,
 };
 use reelfall_balancer::interface::{ServerState, Time};
 use reelfall_registry_client::follow::{self, Identity, StalePolicy};
@@ -63,7 +63,7 @@
 
 pub(super) fn service(lines: &Lines, mut table: ServiceTable) -> Result<Service, SourceError> {
     Ok(Service {
-        source: source(lines, &mut table)?,
+        list_source: list_source(lines, &mut table)?,
         state: match table.state {
             Some(ServiceStateValue::Draining) => ServiceState::Draining,
             Some(ServiceStateValue::Serving) | None => ServiceState::Serving,
@@ -88,18 +88,18 @@
 }
 
 /// Takes the one source of servers out of a service's table.
-fn source(lines: &Lines, table: &mut ServiceTable) -> Result<Source, SourceError> {
+fn list_source(lines: &Lines, table: &mut ServiceTable) -> Result<ListSource, SourceError> {
     let sources = (
         table.server.take(),
         table.discovery.take(),
         table.registry.take(),
     );
     match sources {
-        (Some(servers), None, None) => {
-            Ok(Source::Static(lines.all(servers, |_, table| server(table))))
-        }
-        (None, Some(address), None) => Ok(Source::Discovery(address.0)),
-        (None, None, Some(registry)) => Ok(Source::Registry(registry_source(lines, registry))),
+        (Some(servers), None, None) => Ok(ListSource::Static(
+            lines.all(servers, |_, table| server(table)),
+        )),
+        (None, Some(address), None) => Ok(ListSource::Discovery(address.0)),
+        (None, None, Some(registry)) => Ok(ListSource::Registry(registry_source(lines, registry))),
         (None, None, None) => Err(SourceError::Missing {
             service: table.name.clone(),
         }),
@@ -156,7 +156,7 @@
         path: table.path.map_or_else(Box::default, |path| path.0),
         methods: table.methods,
         class: table.class,
-        assign: table.assign,
+        assigned_class: table.assign,
     }
 }
 
@@ -184,7 +184,7 @@
                 name: table.name,
                 address: table.address,
                 site: table.site,
-                guarded: table.guarded,
+                is_guarded: table.guarded,
             })
         }),
     }
@@ -231,10 +231,10 @@
 fn graphql(table: GraphQlTable) -> GraphQl {
     let default = reelfall_graphql::Limits::default();
     GraphQl {
-        query: table.query,
-        mutation: table.mutation,
-        other_query: table.other_query,
-        other_mutation: table.other_mutation,
+        query_classes: table.query,
+        mutation_classes: table.mutation,
+        default_query_class: table.other_query,
+        default_mutation_class: table.other_mutation,
         field_work: time_or(table.field_work, 1e-3),
         max_parallel_reads: table.side_by_side.unwrap_or(4),
         limits: reelfall_graphql::Limits {
--- a/crates/config/src/reader/sections.rs
+++ b/crates/config/src/reader/sections.rs
@@ -1,4 +1,4 @@
-//! Splits the text of a file into documents that can be parsed one after the other, for [`super::toml`].
+//! Splits the text of a file into documents that can be parsed one after the other, for [`super::parse_toml`].
 //!
 //! The TOML parser builds a tree that takes more than thirty times the memory of a document's text. Each `[[service]]`
 //! with the tables below it is a document of its own, and so is all that belongs to no service; parsed one by one, the
--- a/crates/config/src/reader/values.rs
+++ b/crates/config/src/reader/values.rs
@@ -117,11 +117,15 @@
     };
 }
 
-value_format!(TimeFormat, Time, units::TIMES, |text| Ok(units::time(
-    text
-)?));
-value_format!(SizeFormat, u64, units::SIZES, |text| Ok(units::size(text)?));
-value_format!(RateFormat, f64, units::RATES, |text| Ok(units::rate(text)?));
+value_format!(TimeFormat, Time, units::TIME_HELP, |text| Ok(
+    units::parse_time(text)?
+));
+value_format!(SizeFormat, u64, units::SIZE_HELP, |text| Ok(
+    units::parse_size(text)?
+));
+value_format!(RateFormat, f64, units::RATE_HELP, |text| Ok(
+    units::parse_rate(text)?
+));
 value_format!(
     AddressFormat,
     SocketAddr,
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -25,11 +25,11 @@
 }
 
 /// How to write a time.
-pub const TIMES: &str = "write a time with ms, s or m, as \"250ms\"";
+pub const TIME_HELP: &str = "write a time with ms, s or m, as \"250ms\"";
 /// How to write a size.
-pub const SIZES: &str = "write a size with B, KiB, MiB or GiB, as \"64KiB\"";
+pub const SIZE_HELP: &str = "write a size with B, KiB, MiB or GiB, as \"64KiB\"";
 /// How to write a rate.
-pub const RATES: &str = "write a rate with /s or /m, as \"300/s\"";
+pub const RATE_HELP: &str = "write a rate with /s or /m, as \"300/s\"";
 
 /// A unit of a quantity.
 struct Unit {
@@ -39,7 +39,7 @@
 }
 
 /// Splits a quantity into its number and its unit.
-fn split(text: &str) -> (&str, &str) {
+fn split_unit(text: &str) -> (&str, &str) {
     let text = text.trim();
     let end = text
         .find(|c: char| !c.is_ascii_digit() && c != '.')
@@ -48,13 +48,13 @@
     (number, unit.trim_start())
 }
 
-fn quantity(
+fn parse_quantity(
     text: &str,
     expected: &'static str,
     help: &'static str,
     units: &[Unit],
 ) -> Result<f64, UnitError> {
-    let (number, unit_name) = split(text);
+    let (number, unit_name) = split_unit(text);
     let invalid = || UnitError::Invalid {
         text: text.to_owned(),
         expected,
@@ -79,11 +79,11 @@
 ///
 /// # Errors
 /// If number or unit is missing, or the unit is another one.
-pub fn time(text: &str) -> Result<Time, UnitError> {
-    quantity(
+pub fn parse_time(text: &str) -> Result<Time, UnitError> {
+    parse_quantity(
         text,
         "time: write it with ms, s or m, as \"250ms\"",
-        TIMES,
+        TIME_HELP,
         &[
             Unit {
                 name: "ms",
@@ -105,11 +105,11 @@
 ///
 /// # Errors
 /// If number or unit is missing, or the unit is another one.
-pub fn rate(text: &str) -> Result<f64, UnitError> {
-    quantity(
+pub fn parse_rate(text: &str) -> Result<f64, UnitError> {
+    parse_quantity(
         text,
         "rate: write it with /s or /m, as \"300/s\"",
-        RATES,
+        RATE_HELP,
         &[
             Unit {
                 name: "/s",
@@ -127,9 +127,9 @@
 ///
 /// # Errors
 /// If the integer or its unit is missing, or the unit is another one.
-pub fn size(text: &str) -> Result<u64, UnitError> {
+pub fn parse_size(text: &str) -> Result<u64, UnitError> {
     const EXPECTED: &str = "size: write it with B, KiB, MiB or GiB, as \"64KiB\"";
-    let (number, unit) = split(text);
+    let (number, unit) = split_unit(text);
     let invalid = || UnitError::Invalid {
         text: text.to_owned(),
         expected: EXPECTED,
@@ -139,7 +139,7 @@
         "" => {
             return Err(UnitError::MissingUnit {
                 text: text.to_owned(),
-                help: SIZES,
+                help: SIZE_HELP,
             })
         }
         "B" => 0,
--- a/crates/config/tests/bounds.rs
+++ b/crates/config/tests/bounds.rs
@@ -15,18 +15,18 @@
 /// Routes of the largest deployment.
 const EXPECTED_ROUTES: usize = 74_000;
 
-fn faults(text: &str) -> Vec<String> {
-    let plan = reader::toml("f.toml", text).and_then(check);
+fn errors(text: &str) -> Vec<String> {
+    let plan = reader::parse_toml("f.toml", text).and_then(check);
     plan.err()
-        .map(|faults| faults.0.iter().map(ToString::to_string).collect())
+        .map(|errors| errors.0.iter().map(ToString::to_string).collect())
         .unwrap_or_default()
 }
 
-/// Asserts that a file of `max` items is valid and that one of `max + 1` items has exactly the fault `expected`.
+/// Asserts that a file of `max` items is valid and that one of `max + 1` items has exactly the error `expected`.
 #[track_caller]
 fn assert_bounded(max: usize, make_file: impl Fn(usize) -> String, expected: &str) {
-    assert_eq!(faults(&make_file(max)), Vec::<String>::new());
-    assert_eq!(faults(&make_file(max + 1)), [expected]);
+    assert_eq!(errors(&make_file(max)), Vec::<String>::new());
+    assert_eq!(errors(&make_file(max + 1)), [expected]);
 }
 
 #[test]
--- a/crates/config/tests/corpus/examples.rs
+++ b/crates/config/tests/corpus/examples.rs
@@ -6,10 +6,10 @@
 #[test]
 fn fleet_example_is_valid() {
     let text = include_str!("../../../../deploy/examples/fleet.toml");
-    let plan = check(reader::toml("fleet.toml", text).unwrap()).unwrap();
+    let plan = check(reader::parse_toml("fleet.toml", text).unwrap()).unwrap();
     let fleet = plan.model.fleet.unwrap();
     assert_eq!(
-        (fleet.rules.quorum.witnesses, fleet.rules.seeds.len()),
+        (fleet.config.quorum.witnesses, fleet.config.seeds.len()),
         (3, 3)
     );
 }
@@ -17,7 +17,7 @@
 #[test]
 fn services_example_is_valid_and_routes_as_documented() {
     let text = include_str!("../../../../deploy/examples/services.toml");
-    let plan = check(reader::toml("services.toml", text).unwrap()).unwrap();
+    let plan = check(reader::parse_toml("services.toml", text).unwrap()).unwrap();
     let service_of = |host, path, method| {
         let query = RouteQuery {
             listener: 0,
@@ -26,13 +26,17 @@
             method,
             class: None,
         };
-        let route = plan.table.find(&query);
+        let route = plan.route_table.find(&query);
         assert_eq!(
-            plan.candidates(&query).first().copied(),
+            plan.matching_routes(&query).first().copied(),
             route,
             "the explanation differs from the route"
         );
-        route.map(|route| plan.model.services[plan.goals[route].service].name.as_str())
+        route.map(|route| {
+            plan.model.services[plan.route_targets[route].service]
+                .name
+                .as_str()
+        })
     };
     assert_eq!(
         service_of("flags.example.org", "/api", "GET"),
--- a/crates/config/tests/corpus/main.rs
+++ b/crates/config/tests/corpus/main.rs
@@ -26,10 +26,10 @@
 
 /// The errors of a file, as they are reported.
 fn errors(text: &str) -> Vec<String> {
-    let result = reader::toml("f.toml", text).and_then(check);
+    let result = reader::parse_toml("f.toml", text).and_then(check);
     result
         .err()
-        .map(|faults| faults.0.iter().map(ToString::to_string).collect())
+        .map(|errors| errors.0.iter().map(ToString::to_string).collect())
         .unwrap_or_default()
 }
 
--- a/crates/config/tests/corpus/units.rs
+++ b/crates/config/tests/corpus/units.rs
@@ -4,11 +4,11 @@
 
 #[test]
 fn values_need_a_number_and_a_known_unit() {
-    assert_eq!(units::time("250ms"), Ok(0.25));
-    assert_eq!(units::time("1.5 s"), Ok(1.5));
-    assert_eq!(units::time("2m"), Ok(120.0));
-    assert_eq!(units::rate("90/m"), Ok(1.5));
-    assert_eq!(units::size("64KiB"), Ok(65536));
+    assert_eq!(units::parse_time("250ms"), Ok(0.25));
+    assert_eq!(units::parse_time("1.5 s"), Ok(1.5));
+    assert_eq!(units::parse_time("2m"), Ok(120.0));
+    assert_eq!(units::parse_rate("90/m"), Ok(1.5));
+    assert_eq!(units::parse_size("64KiB"), Ok(65536));
     for invalid in [
         "",
         "ms",
@@ -22,11 +22,11 @@
         "99999999999999999999999999B",
     ] {
         assert!(
-            units::time(invalid).is_err()
-                && units::size(invalid).is_err()
-                && units::rate(invalid).is_err(),
+            units::parse_time(invalid).is_err()
+                && units::parse_size(invalid).is_err()
+                && units::parse_rate(invalid).is_err(),
             "{invalid}"
         );
     }
-    assert!(units::size("99999999999GiB").is_err());
+    assert!(units::parse_size("99999999999GiB").is_err());
 }
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -1,13 +1,13 @@
 //! A settings file with every key is read as at commit c58caac. Keys that are unknown are refused, so a key that is renamed
 //! is seen here.
 
-use reelfall_config::model::Source;
+use reelfall_config::model::ListSource;
 use reelfall_config::{check, reader};
 
 #[test]
 fn every_key_of_a_settings_file_is_read() {
     let text = include_str!("golden/every-key.toml");
-    let plan = check(reader::toml("every-key.toml", text).unwrap()).unwrap();
+    let plan = check(reader::parse_toml("every-key.toml", text).unwrap()).unwrap();
     let model = &plan.model;
     assert_eq!(
         (
@@ -26,7 +26,7 @@
     );
     let fleet = model.fleet.as_ref().unwrap();
     assert_eq!(
-        (fleet.rules.quorum.witnesses, fleet.rules.seeds.len()),
+        (fleet.config.quorum.witnesses, fleet.config.seeds.len()),
         (4, 2)
     );
     let leases = fleet.leases.as_ref().unwrap();
@@ -35,7 +35,7 @@
         (3, 6.0, 0.001)
     );
     assert_eq!(
-        (leases.calls[0].path.as_str(), leases.calls[0].every),
+        (leases.calls[0].path.as_str(), leases.calls[0].interval),
         ("/rollup", 2.0)
     );
     let registry = &model.registries[0];
@@ -47,7 +47,7 @@
         ),
         (8.0, 2.0, 90.0)
     );
-    assert!(registry.entry.as_ref().unwrap().guarded);
+    assert!(registry.entry.as_ref().unwrap().is_guarded);
     let service = &model.services[0];
     let (read, write) = (&service.classes[0], &service.classes[1]);
     assert_eq!(
@@ -93,7 +93,7 @@
         (service.tenants[0].name.as_str(), service.tenants[0].quota),
         ("okoli-pay", 50.0)
     );
-    let Source::Static(servers) = &service.source else {
+    let ListSource::Static(servers) = &service.list_source else {
         panic!("no servers")
     };
     assert_eq!(
@@ -101,8 +101,14 @@
         (Some("ikeja"), Some(2.0))
     );
     assert!(
-        matches!(&model.services[1].source, Source::Registry(followed) if followed.path == "/flags")
+        matches!(&model.services[1].list_source, ListSource::Registry(followed) if followed.path == "/flags")
+    );
+    assert!(matches!(
+        model.services[2].list_source,
+        ListSource::Discovery(_)
+    ));
+    assert_eq!(
+        model.services[2].routes[0].assigned_class.as_deref(),
+        Some("list")
     );
-    assert!(matches!(model.services[2].source, Source::Discovery(_)));
-    assert_eq!(model.services[2].routes[0].assign.as_deref(), Some("list"));
 }
--- a/crates/config/tests/growth.rs
+++ b/crates/config/tests/growth.rs
@@ -45,7 +45,7 @@
 }
 
 fn parse(text: &str) -> Model {
-    reader::toml("f.toml", text).unwrap()
+    reader::parse_toml("f.toml", text).unwrap()
 }
 
 #[track_caller]
@@ -174,8 +174,8 @@
         check(parse(&text)).unwrap()
     };
     let sum_of_origin_lines = |plan: &Plan| {
-        let lines = (0..plan.matches.len())
-            .filter_map(|route| plan.origin(route))
+        let lines = (0..plan.route_conditions.len())
+            .filter_map(|route| plan.route_origin(route))
             .map(|origin| u64::from(origin.line));
         lines.sum::<u64>()
     };
--- a/crates/config/tests/memory.rs
+++ b/crates/config/tests/memory.rs
@@ -30,7 +30,7 @@
     let service_of_tenants = |index| whole_service(index) + &times(TENANTS_PER_SERVICE, member);
     let text = LISTENER.to_owned() + &times(SERVICES, service_of_tenants);
     let peak_before = peak_memory();
-    let model = reader::toml("f.toml", &text).unwrap();
+    let model = reader::parse_toml("f.toml", &text).unwrap();
     let used_bytes = peak_memory() - peak_before;
     assert_eq!(model.services.len(), SERVICES);
     let factor = used_bytes / text.len();
--- a/crates/config/tests/sections.rs
+++ b/crates/config/tests/sections.rs
@@ -1,4 +1,4 @@
-//! Reading a file service by service gives the same model and the same faults as parsing it in one piece.
+//! Reading a file service by service gives the same model and the same errors as parsing it in one piece.
 //!
 //! A key with escapes in a header makes the reader parse the file in one piece. So each file of these tests is read
 //! twice: with a listener whose header has a bare key, and with one whose header has escapes.
@@ -7,20 +7,20 @@
 
 use common::{whole_service, LISTENER};
 use reelfall_config::model::{Model, Origin};
-use reelfall_config::{reader, Faults};
+use reelfall_config::{reader, ConfigErrors};
 
 const BARE_HEADER: &str = "[[listener]]";
 const ESCAPED_HEADER: &str = "[[\"list\\u0065ner\"]]";
 
 /// What both ways of reading give for the same settings.
 struct Readings {
-    by_service: Result<Model, Faults>,
-    in_one_piece: Result<Model, Faults>,
+    by_service: Result<Model, ConfigErrors>,
+    in_one_piece: Result<Model, ConfigErrors>,
 }
 
 /// Reads a file service by service and in one piece; `make_file` writes it with the given listener.
 fn read_both_ways(make_file: impl Fn(&str) -> String) -> Readings {
-    let read = |listener: &str| reader::toml("f.toml", &make_file(listener));
+    let read = |listener: &str| reader::parse_toml("f.toml", &make_file(listener));
     Readings {
         by_service: read(LISTENER),
         in_one_piece: read(&LISTENER.replace(BARE_HEADER, ESCAPED_HEADER)),
@@ -122,7 +122,7 @@
             by_service,
             in_one_piece,
         } = read_both_ways(|listener| listener.to_owned() + &services + faulty_line);
-        assert!(in_one_piece.is_err(), "no fault: {faulty_line}");
+        assert!(in_one_piece.is_err(), "no error: {faulty_line}");
         assert_eq!(by_service, in_one_piece, "for {faulty_line}");
     }
 }
@@ -131,7 +131,10 @@
 fn byte_order_mark_is_ignored() {
     let text = "\u{feff}".to_owned() + &whole_service(0);
     assert_equal_readings(&text);
-    assert_eq!(reader::toml("f.toml", &text).unwrap().services.len(), 1);
+    assert_eq!(
+        reader::parse_toml("f.toml", &text).unwrap().services.len(),
+        1
+    );
 }
 
 #[test]
@@ -141,7 +144,7 @@
         whole_service(0),
         whole_service(1)
     );
-    let model = reader::toml("f.toml", &text).unwrap();
+    let model = reader::parse_toml("f.toml", &text).unwrap();
     let lines: Vec<u32> = origins(&model).iter().map(|origin| origin.line).collect();
     assert_eq!(lines, [1, 14, 4, 0, 12, 16, 0, 24]);
 }
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -14,7 +14,7 @@
 use args::{Cli, Command, FleetCommand, ManagementTarget};
 use clap::Parser;
 use reelfall_admin::request::{FleetRequest, ManagementRequest};
-use reelfall_config::Faults;
+use reelfall_config::ConfigErrors;
 use routes::RouteError;
 use std::ffi::OsString;
 use std::path::Path;
@@ -32,7 +32,7 @@
     #[error("{0}\nreelfall: not started")]
     Standalone(#[from] StandaloneError),
     #[error(transparent)]
-    Settings(#[from] Faults),
+    Settings(#[from] ConfigErrors),
     #[error(transparent)]
     Route(#[from] RouteError),
 }
@@ -109,9 +109,9 @@
 }
 
 /// Checks a settings file, and prints how much is in it.
-fn check(file: &Path) -> Result<(), Faults> {
+fn check(file: &Path) -> Result<(), ConfigErrors> {
     let plan = reelfall_config::load(file)?;
-    let (services, routes) = (plan.model.services.len(), plan.matches.len());
+    let (services, routes) = (plan.model.services.len(), plan.route_conditions.len());
     println!(
         "{}: {services} services, {routes} routes, nothing wrong",
         file.display()
--- a/crates/node/src/cli/routes.rs
+++ b/crates/node/src/cli/routes.rs
@@ -1,7 +1,7 @@
 //! The command that looks up the route of a request in a settings file, and explains why it wins over others.
 
 use super::args::RouteArgs;
-use reelfall_config::{Faults, Plan};
+use reelfall_config::{ConfigErrors, Plan};
 use reelfall_routing::table::{ListenerId, RouteConditions, RouteQuery};
 use reelfall_routing::target;
 use std::path::PathBuf;
@@ -12,7 +12,7 @@
 pub enum RouteError {
     /// The settings file is unusable.
     #[error(transparent)]
-    Settings(#[from] Faults),
+    Settings(#[from] ConfigErrors),
     /// The file has no such listener.
     #[error("{file}: there is no listener `{name}`", file = file.display())]
     UnknownListener {
@@ -48,7 +48,7 @@
         method: &args.method,
         class: args.class.as_deref(),
     };
-    let route = plan.table.find(&query).ok_or(RouteError::NoRoute)?;
+    let route = plan.route_table.find(&query).ok_or(RouteError::NoRoute)?;
     print_candidates(&plan, &query, route);
     Ok(())
 }
@@ -67,11 +67,14 @@
 }
 
 fn print_candidates(plan: &Plan, query: &RouteQuery, route: usize) {
-    let mut candidates = plan.candidates(query).into_iter();
+    let mut candidates = plan.matching_routes(query).into_iter();
     let winner = candidates.next().unwrap_or(route);
     println!("{}", describe(plan, winner));
     for loser in candidates {
-        let reason = match (plan.matches.get(winner), plan.matches.get(loser)) {
+        let reason = match (
+            plan.route_conditions.get(winner),
+            plan.route_conditions.get(loser),
+        ) {
             (Some(winner), Some(loser)) => reason_to_win(winner, loser),
             _ => "",
         };
@@ -81,11 +84,11 @@
 
 /// Describes a route: its service, the class that it assigns, where it is in the file, and what it matches.
 fn describe(plan: &Plan, route: usize) -> String {
-    let goal = plan.goals.get(route);
+    let goal = plan.route_targets.get(route);
     let service = goal.and_then(|goal| plan.model.services.get(goal.service));
-    let class = goal.and_then(|goal| service?.classes.get(usize::from(goal.assign?)));
-    let origin = plan.origin(route).map(ToString::to_string);
-    let matched = plan.matches.get(route).map(ToString::to_string);
+    let class = goal.and_then(|goal| service?.classes.get(usize::from(goal.assigned_class?)));
+    let origin = plan.route_origin(route).map(ToString::to_string);
+    let matched = plan.route_conditions.get(route).map(ToString::to_string);
     let name = service.map_or("", |service| &service.name);
     let class = class.map(|class| format!(" as class {}", class.name));
     format!(
--- a/crates/node/src/fleet/open.rs
+++ b/crates/node/src/fleet/open.rs
@@ -92,7 +92,7 @@
 fn new_fleet(settings: &model::Fleet, address: SocketAddr, secret: Secret, now: Time) -> Fleet {
     let random = |purpose: &str| RandomState::new().hash_one((purpose, std::process::id()));
     let (tag, seed) = (random("tag") | 1, random("seed"));
-    let rules = settings.rules.clone();
+    let rules = settings.config.clone();
     Fleet::new(&settings.node, address, tag, rules, secret, seed, now)
 }
 
--- a/crates/node/src/fleet/tests.rs
+++ b/crates/node/src/fleet/tests.rs
@@ -28,7 +28,7 @@
         listen: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
         advertise: None,
         key_file: key_file.clone(),
-        rules: Config::default(),
+        config: Config::default(),
         leases: None,
     };
     let runtime = FleetRuntime::open(&shared, &settings).expect("a fleet");
--- a/crates/node/src/lease/call.rs
+++ b/crates/node/src/lease/call.rs
@@ -38,7 +38,7 @@
 
 /// Calls while the lease is active, for as long as it is polled.
 pub async fn run(leases: Rc<Leases>, name: LeaseName, call: model::Call) {
-    let interval = Duration::from_secs_f64(call.every);
+    let interval = Duration::from_secs_f64(call.interval);
     let mut next = Instant::now();
     loop {
         leases.until_active(&name).await;
--- a/crates/node/src/lease/local_keeper.rs
+++ b/crates/node/src/lease/local_keeper.rs
@@ -33,7 +33,7 @@
         events: mpsc::UnboundedSender<DiskEvent>,
     ) -> Result<Option<LocalKeeper>, LeaseError> {
         let place = settings.keepers.iter().position(|name| name == node);
-        let Some((place, folder)) = place.zip(settings.folder.clone()) else {
+        let Some((place, folder)) = place.zip(settings.state_dir.clone()) else {
             return Ok(None);
         };
         let disk = Disk::start(folder, events).map_err(LeaseError::StorageThread)?;
--- a/crates/node/src/net/client/eviction.rs
+++ b/crates/node/src/net/client/eviction.rs
@@ -13,7 +13,7 @@
 /// other clients wait in the backlog meanwhile.
 pub(in crate::net) const CROWDED_GRACE: Duration = Duration::from_millis(20);
 /// The share of all connections that may be new while others are idle. Requests occupy three fifths at most
-/// (`reelfall_config::check::parts`), which leaves some for idle connections.
+/// (`reelfall_config::check::ProcessShares`), which leaves some for idle connections.
 const MAX_NEW_FRACTION: f64 = 0.25;
 
 /// A connection that may be evicted. The order is that of the time when it entered its phase.
--- a/crates/node/src/net/service.rs
+++ b/crates/node/src/net/service.rs
@@ -104,7 +104,7 @@
             names: config.names,
             connection_settings: config.connections,
             seed,
-            list_origin: list_origin(&service.source),
+            list_origin: list_origin(&service.list_source),
             shared: shared.clone(),
             member,
         })?;
@@ -183,10 +183,10 @@
     }
 }
 
-fn list_origin(source: &model::Source) -> ListOrigin {
+fn list_origin(source: &model::ListSource) -> ListOrigin {
     match source {
-        model::Source::Static(_) => ListOrigin::Configured,
-        model::Source::Discovery(_) | model::Source::Registry(_) => ListOrigin::Discovered,
+        model::ListSource::Static(_) => ListOrigin::Configured,
+        model::ListSource::Discovery(_) | model::ListSource::Registry(_) => ListOrigin::Discovered,
     }
 }
 
@@ -194,12 +194,12 @@
 fn registry_access(
     planned: &PlannedService,
 ) -> Result<Option<RegistryAccess>, RegistryAccessError> {
-    match &planned.model.source {
-        model::Source::Registry(followed) => planned
+    match &planned.model.list_source {
+        model::ListSource::Registry(followed) => planned
             .prepared
             .registry_access(&followed.registry)
             .map(|access| Some(access.clone())),
-        model::Source::Static(_) | model::Source::Discovery(_) => Ok(None),
+        model::ListSource::Static(_) | model::ListSource::Discovery(_) => Ok(None),
     }
 }
 
@@ -210,15 +210,15 @@
     registry_access: Option<RegistryAccess>,
 ) -> Result<FollowedSource, RegistryAccessError> {
     let service = planned.model;
-    match &service.source {
-        model::Source::Static(_) => {
+    match &service.list_source {
+        model::ListSource::Static(_) => {
             let (sender, list) = watch::channel(planned.parts.list.clone().unwrap_or_default());
             Ok(FollowedSource {
                 task: follow(pool, StaticSource { list }),
                 list_updates: ListUpdates::Channel(sender),
             })
         }
-        model::Source::Discovery(address) => {
+        model::ListSource::Discovery(address) => {
             // The address never changes: it is part of the pool's key.
             let (_, address) = watch::channel(*address);
             let source = DiscoverySource {
@@ -231,7 +231,7 @@
                 list_updates: ListUpdates::None,
             })
         }
-        model::Source::Registry(followed) => {
+        model::ListSource::Registry(followed) => {
             let source = RegistrySource {
                 access: registry_access.ok_or(RegistryAccessError::UnknownRegistry)?,
                 path: followed.path.clone(),
--- a/crates/node/src/net/service/prepared.rs
+++ b/crates/node/src/net/service/prepared.rs
@@ -174,9 +174,9 @@
         start_times: &StartTimes,
         previous: Option<&ServiceParts>,
     ) -> ServiceParts {
-        let list = match &service.source {
-            model::Source::Static(list) => Some(listed_servers(list, start_times)),
-            model::Source::Discovery(_) | model::Source::Registry(_) => None,
+        let list = match &service.list_source {
+            model::ListSource::Static(list) => Some(listed_servers(list, start_times)),
+            model::ListSource::Discovery(_) | model::ListSource::Registry(_) => None,
         };
         let previous_list = previous.and_then(|previous| previous.list.as_ref());
         ServiceParts {
@@ -197,7 +197,7 @@
     fn new(model: &model::Model, service: &model::Service) -> Self {
         let process = &model.process;
         PoolKey {
-            source: SourceKey::new(model, &service.source),
+            source: SourceKey::new(model, &service.list_source),
             attempt_limits: service.attempts,
             slow_start: service.slow_start,
             classes: service.classes.clone(),
@@ -209,11 +209,11 @@
 }
 
 impl SourceKey {
-    fn new(model: &model::Model, source: &model::Source) -> Self {
+    fn new(model: &model::Model, source: &model::ListSource) -> Self {
         match source {
-            model::Source::Static(_) => SourceKey::Static,
-            model::Source::Discovery(address) => SourceKey::Discovery(*address),
-            model::Source::Registry(source) => SourceKey::Registry(Box::new(RegistryKey {
+            model::ListSource::Static(_) => SourceKey::Static,
+            model::ListSource::Discovery(address) => SourceKey::Discovery(*address),
+            model::ListSource::Registry(source) => SourceKey::Registry(Box::new(RegistryKey {
                 registry: registry_without_entry(model, &source.registry),
                 source: source.clone(),
             })),
@@ -263,9 +263,9 @@
     model
         .services
         .iter()
-        .filter_map(|service| match &service.source {
-            model::Source::Static(list) => Some(list),
-            model::Source::Discovery(_) | model::Source::Registry(_) => None,
+        .filter_map(|service| match &service.list_source {
+            model::ListSource::Static(list) => Some(list),
+            model::ListSource::Discovery(_) | model::ListSource::Registry(_) => None,
         })
         .flatten()
         .filter(|server| server.state == ServerState::Up)
--- a/crates/node/src/net/service/routing.rs
+++ b/crates/node/src/net/service/routing.rs
@@ -82,10 +82,10 @@
     /// Finds the service and class of a request; `None` if no route matches.
     pub fn find(&self, query: &RouteQuery) -> Option<RouteMatch> {
         let plan = &self.prepared.as_ref()?.plan;
-        let goal = plan.goals.get(plan.table.find(query)?)?;
+        let goal = plan.route_targets.get(plan.route_table.find(query)?)?;
         Some(RouteMatch {
             service: self.services.get(goal.service)?.clone(),
-            class: goal.assign,
+            class: goal.assigned_class,
         })
     }
 
--- a/crates/node/src/net/service/services.rs
+++ b/crates/node/src/net/service/services.rs
@@ -49,7 +49,7 @@
         let services = self.start_services(&prepared)?;
         // Nothing fails from here on.
         self.shared.set_totals(
-            prepared.plan.totals,
+            prepared.plan.resources,
             prepared.plan.model.process.max_connections_per_server,
         );
         for (service, planned) in services.iter().zip(prepared.planned_services()) {
--- a/crates/node/src/net/service/tests.rs
+++ b/crates/node/src/net/service/tests.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 
 fn plan(text: &str) -> Plan {
-    reader::toml("test", text)
+    reader::parse_toml("test", text)
         .and_then(check)
         .expect("a valid plan")
 }
@@ -48,7 +48,7 @@
 
 fn start_with(text: &str, retire: Retire) -> (Rc<Shared>, Services, Vec<Rc<Service>>) {
     let plan = plan(text);
-    let shared = Shared::for_services(plan.totals, None);
+    let shared = Shared::for_services(plan.resources, None);
     let services = Services::new(shared.clone(), 7, retire);
     let now = apply(&services, text);
     (shared, services, now)
--- a/crates/node/src/standalone.rs
+++ b/crates/node/src/standalone.rs
@@ -28,7 +28,7 @@
 use membership::Membership;
 use node::Node;
 use reelfall_config::model::{self, Located, Model};
-use reelfall_config::{Faults, Plan};
+use reelfall_config::{ConfigErrors, Plan};
 use reload::SettingsReader;
 use std::io;
 use std::path::Path;
@@ -41,7 +41,7 @@
 pub enum StandaloneError {
     /// The settings file is unusable.
     #[error(transparent)]
-    Settings(#[from] Faults),
+    Settings(#[from] ConfigErrors),
     /// The operating system does not provide what the node needs.
     #[error(transparent)]
     Process(#[from] ProcessError),
@@ -78,7 +78,7 @@
     } = Signals::listen()?;
     let settings = StartSettings::of(&plan.model);
     let max_connections = plan.model.process.max_connections_per_server;
-    let shared = Shared::for_services(plan.totals, max_connections);
+    let shared = Shared::for_services(plan.resources, max_connections);
     let reader = SettingsReader::start(path.to_owned(), shared.clock)
         .map_err(StandaloneError::ReaderThread)?;
     let node = Node::new(shared, reader.clone());
@@ -123,7 +123,7 @@
 
     /// The folder of the ledger, if bans and drains outlive the process.
     fn ledger_folder(&self) -> Option<&Path> {
-        self.management.as_ref()?.folder.as_deref()
+        self.management.as_ref()?.state_dir.as_deref()
     }
 
     /// The node's name in its fleet, or one for all nodes without a fleet.
--- a/crates/node/src/standalone/entries.rs
+++ b/crates/node/src/standalone/entries.rs
@@ -81,7 +81,7 @@
             incarnation,
             started: incarnation,
         };
-        OwnEntry::maintain(shared, access, entry.path, data, entry.guarded)
+        OwnEntry::maintain(shared, access, entry.path, data, entry.is_guarded)
     }
 }
 
--- a/crates/node/src/standalone/node.rs
+++ b/crates/node/src/standalone/node.rs
@@ -82,7 +82,7 @@
     /// # Errors
     /// If a part of the plan can't be put in force.
     pub fn apply(&self, prepared: Arc<PreparedPlan>) -> Result<Rc<Frontend>, ApplyError> {
-        let max_clients = prepared.plan.clients;
+        let max_clients = prepared.plan.max_clients;
         let listening = self.open_listeners(&prepared)?;
         let entries = DesiredEntry::all_of(&prepared)?;
         let routing = self.services.apply(prepared)?;
@@ -112,7 +112,7 @@
                 .and_then(|frontend| frontend.listener(name, address));
             let opened = match open {
                 Some(open) => Ok(open),
-                None => ListenSocket::bind(name, address, prepared.plan.clients, false),
+                None => ListenSocket::bind(name, address, prepared.plan.max_clients, false),
             };
             listening.push(opened.map_err(|error| ApplyError::Listener {
                 origin: listener.origin.clone(),
--- a/crates/node/src/standalone/reload.rs
+++ b/crates/node/src/standalone/reload.rs
@@ -2,7 +2,7 @@
 
 use crate::net::service::prepared::PreparedPlan;
 use crate::net::shared::Clock;
-use reelfall_config::{reader, Faults, Model, Plan};
+use reelfall_config::{reader, ConfigErrors, Model, Plan};
 use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::{mpsc, Arc};
@@ -31,7 +31,7 @@
     },
     /// The settings are invalid.
     #[error(transparent)]
-    Invalid(#[from] Faults),
+    Invalid(#[from] ConfigErrors),
 }
 
 /// A job of the thread.
@@ -115,9 +115,9 @@
 fn checked<Text: AsRef<str>>(
     file: &str,
     text: Text,
-    check: impl FnOnce(Model) -> Result<Plan, Faults>,
-) -> Result<Plan, Faults> {
-    let model = reader::toml(file, text.as_ref())?;
+    check: impl FnOnce(Model) -> Result<Plan, ConfigErrors>,
+) -> Result<Plan, ConfigErrors> {
+    let model = reader::parse_toml(file, text.as_ref())?;
     drop(text);
     check(model)
 }
--- a/crates/testbed/src/fleet/node_settings.rs
+++ b/crates/testbed/src/fleet/node_settings.rs
@@ -66,7 +66,7 @@
 }
 
 /// Where a node takes its servers from, as lines of a service's section.
-pub(super) enum ServerSource {
+pub(super) enum ListSource {
     /// A line that names the discovery service.
     Discovery(String),
     /// The list of servers.
@@ -77,7 +77,7 @@
 pub(super) fn node_settings(
     node: usize,
     spec: &FleetSpec,
-    source: &ServerSource,
+    source: &ListSource,
     fleet_section: &str,
 ) -> String {
     let zone = zone_line(node, spec);
@@ -93,11 +93,11 @@
     name: &str,
     retry_safety: &str,
     spec: &FleetSpec,
-    source: &ServerSource,
+    source: &ListSource,
 ) -> String {
     let (discovery, servers) = match source {
-        ServerSource::Discovery(line) => (line.as_str(), ""),
-        ServerSource::List(lines) => ("", lines.as_str()),
+        ListSource::Discovery(line) => (line.as_str(), ""),
+        ListSource::List(lines) => ("", lines.as_str()),
     };
     format!(
         "[[service]]\nname = \"{name}\"\n{discovery}tries = {{ most = 3, retry_share = 0.5 }}\n{}\n[[service.class]]\n\
--- a/crates/testbed/src/fleet/start.rs
+++ b/crates/testbed/src/fleet/start.rs
@@ -2,7 +2,7 @@
 
 use super::datagrams::DatagramNetwork;
 use super::history::{Event, History};
-use super::node_settings::{fleet_section, node_settings, server_list, ServerSource};
+use super::node_settings::{fleet_section, node_settings, server_list, ListSource};
 use super::{server_name, FleetNode, FleetSpec, TestFleet};
 use crate::discovery::{Discovery, ListedServer};
 use crate::link::Link;
@@ -42,7 +42,7 @@
         let mut nodes = Vec::with_capacity(spec.node_count);
         for node in 0..spec.node_count {
             let server_links = start_links(&servers).await?;
-            let source = server_source(node, spec, &discoveries, &server_links);
+            let source = list_source(node, spec, &discoveries, &server_links);
             let fleet_settings = spec.fleet_settings.as_ref();
             let fleet_section =
                 fleet_settings.map(|extra| fleet_section(node, spec, &network, &key_file, extra));
@@ -131,16 +131,16 @@
     Ok(links)
 }
 
-fn server_source(
+fn list_source(
     node: usize,
     spec: &FleetSpec,
     discoveries: &[Discovery],
     server_links: &[Link],
-) -> ServerSource {
+) -> ListSource {
     match discoveries.get(node % discoveries.len().max(1)) {
         Some(discovery) => {
-            ServerSource::Discovery(format!("discovery = \"{}\"\n", discovery.address))
+            ListSource::Discovery(format!("discovery = \"{}\"\n", discovery.address))
         }
-        None => ServerSource::List(server_list(spec, server_links)),
+        None => ListSource::List(server_list(spec, server_links)),
     }
 }
