--- a/crates/config/tests/corpus/examples.rs
+++ b/crates/config/tests/corpus/examples.rs
@@ -9,7 +9,7 @@
     let plan = check(reader::parse_toml("fleet.toml", text).unwrap()).unwrap();
     let fleet = plan.model.fleet.unwrap();
     assert_eq!(
-        (fleet.config.quorum.witnesses, fleet.config.seeds.len()),
+        (fleet.config.quorum.min_reporters, fleet.config.seeds.len()),
         (3, 3)
     );
 }
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -26,7 +26,7 @@
     );
     let fleet = model.fleet.as_ref().unwrap();
     assert_eq!(
-        (fleet.config.quorum.witnesses, fleet.config.seeds.len()),
+        (fleet.config.quorum.min_reporters, fleet.config.seeds.len()),
         (4, 2)
     );
     let leases = fleet.leases.as_ref().unwrap();
