--- a/crates/capacity/examples/state_size/plan.rs
+++ b/crates/capacity/examples/state_size/plan.rs
@@ -68,7 +68,7 @@
     Located {
         value: Route {
             host: HostPattern::Exact(host.into()),
-            path: format!("/v1/resource-{number}").into(),
+            path_prefix: format!("/v1/resource-{number}").into(),
             ..template.value.clone()
         },
         origin: template.origin.clone(),
--- a/crates/config/src/check/fleet.rs
+++ b/crates/config/src/check/fleet.rs
@@ -1,4 +1,4 @@
-//! Checks the membership of a node in a fleet, and the leases of the fleet.
+//! Checks the settings of the fleet: membership and leases.
 
 use super::Checker;
 use crate::model::{Call, Fleet, Leases, Located, Model, Origin};
@@ -9,7 +9,7 @@
 use reelfall_lease::token::{InvalidLeaseName, LeaseName};
 use std::collections::BTreeSet;
 
-/// A time of the table `fleet` with the bounds that it has to keep, in seconds.
+/// A time setting of the table `fleet`, and its bounds, in seconds.
 struct BoundedTime {
     key: &'static str,
     value: Time,
@@ -17,18 +17,18 @@
     max: Time,
 }
 
-/// Checks the membership in a fleet, if there is one.
-pub(super) fn fleet(checker: &mut Checker, model: &Model) {
+/// Checks the settings of the fleet, if there are any.
+pub(super) fn check_fleet(checker: &mut Checker, model: &Model) {
     let Some(fleet) = &model.fleet else { return };
     if let Some(leases) = &fleet.leases {
-        self::leases(checker, fleet, leases);
+        self::check_leases(checker, fleet, leases);
     }
-    names(checker, fleet);
-    advertised_address(checker, fleet);
-    zone(checker, &fleet.origin, model.process.zone.as_deref());
-    times(checker, fleet);
+    check_names(checker, fleet);
+    check_advertised_address(checker, fleet);
+    check_zone(checker, &fleet.origin, model.process.zone.as_deref());
+    check_times(checker, fleet);
     let (membership, quorum) = (&fleet.config.membership, &fleet.config.quorum);
-    // With a quorum of one, a single node could eject a server for all.
+    // With a quorum of one, a single node could eject a server for the whole fleet.
     checker.require(
         (2..=1000).contains(&quorum.min_reporters),
         &fleet.origin,
@@ -51,35 +51,35 @@
     );
 }
 
-/// Checks the names of fleet and node, which have to fit into a datagram.
-fn names(checker: &mut Checker, fleet: &Located<Fleet>) {
+/// Checks the names of the fleet and the node, which have to fit into a datagram.
+fn check_names(checker: &mut Checker, fleet: &Located<Fleet>) {
     let fits = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_LEN;
     checker.require(
         fits(&fleet.name) && fits(&fleet.node),
         &fleet.origin,
-        || format!("fleet: name and node have 1 to {MAX_NAME_LEN} bytes"),
+        || format!("fleet: name and node must have 1 to {MAX_NAME_LEN} bytes"),
     );
 }
 
-/// Checks the address that peers send to.
-fn advertised_address(checker: &mut Checker, fleet: &Located<Fleet>) {
+/// Checks the address that peers send datagrams to.
+fn check_advertised_address(checker: &mut Checker, fleet: &Located<Fleet>) {
     let advertised = fleet.advertise.unwrap_or(fleet.listen);
     checker.require(!advertised.ip().is_unspecified(), &fleet.origin, || {
-        format!("fleet: nobody can send to {}: add advertise", fleet.listen)
+        format!("fleet: peers can't send to {}: set advertise", fleet.listen)
     });
 }
 
-/// Checks the name of the zone, which may be absent.
-fn zone(checker: &mut Checker, origin: &Origin, zone: Option<&str>) {
+/// Checks the length of the zone's name, if there is one.
+fn check_zone(checker: &mut Checker, origin: &Origin, zone: Option<&str>) {
     checker.require(
         zone.is_none_or(|zone| zone.len() <= MAX_NAME_LEN),
         origin,
-        || format!("fleet: the zone's name has {MAX_NAME_LEN} bytes at most"),
+        || format!("fleet: the name of the zone must have at most {MAX_NAME_LEN} bytes"),
     );
 }
 
-/// Checks the intervals and time-outs of probes, gossip and load reports.
-fn times(checker: &mut Checker, fleet: &Located<Fleet>) {
+/// Checks the intervals and timeouts of probes, gossip and reports.
+fn check_times(checker: &mut Checker, fleet: &Located<Fleet>) {
     let (config, membership) = (&fleet.config, &fleet.config.membership);
     let time = |key, value, min, max| BoundedTime {
         key,
@@ -114,12 +114,12 @@
     let is_below_interval =
         membership.probe_timeout > 0.0 && membership.probe_timeout < membership.probe_interval;
     checker.require(is_below_interval, &fleet.origin, || {
-        "fleet: answer_within is more than 0 and less than probe_every".to_owned()
+        "fleet: answer_within must be more than 0 and less than probe_every".to_owned()
     });
 }
 
 /// Checks the leases of a fleet.
-fn leases(checker: &mut Checker, fleet: &Located<Fleet>, leases: &Leases) {
+fn check_leases(checker: &mut Checker, fleet: &Located<Fleet>, leases: &Leases) {
     let keepers: BTreeSet<&String> = leases.keepers.iter().collect();
     let count = leases.keepers.len();
     let is_unique = keepers.len() == count;
@@ -128,7 +128,7 @@
         &fleet.origin,
         || {
             format!(
-                "fleet.leases: keepers are 1, 3 or another odd number of different nodes, {MAX_KEEPERS} at most"
+                "fleet.leases: keepers must be an odd number of different nodes, at most {MAX_KEEPERS}"
             )
         },
     );
@@ -137,7 +137,7 @@
         &fleet.origin,
         || {
             format!(
-                "fleet.leases: {} is a keeper and needs a folder",
+                "fleet.leases: this node, {}, is a keeper: set folder",
                 fleet.node
             )
         },
@@ -153,7 +153,7 @@
         },
     );
     checker.require((0.0..=0.1).contains(&leases.drift), &fleet.origin, || {
-        "fleet.leases: drift is not between 0 and 10 %".to_owned()
+        "fleet.leases: drift is not between 0 and 0.1".to_owned()
     });
     let mut names = BTreeSet::new();
     for call in &leases.calls {
@@ -161,16 +161,16 @@
         let is_new = is_valid && names.insert(&call.name);
         checker.require(is_new, &fleet.origin, || {
             format!(
-                "fleet.leases: call `{}`: {InvalidLeaseName}, and each but once",
+                "fleet.leases: call `{}`: {InvalidLeaseName}, and each name must be unique",
                 call.name
             )
         });
-        self::call(checker, &fleet.origin, call);
+        self::check_call(checker, &fleet.origin, call);
     }
 }
 
 /// Checks the interval and the path of a periodic call.
-fn call(checker: &mut Checker, origin: &Origin, call: &Call) {
+fn check_call(checker: &mut Checker, origin: &Origin, call: &Call) {
     let name = &call.name;
     checker.require((0.05..=86_400.0).contains(&call.interval), origin, || {
         format!(
@@ -180,6 +180,6 @@
     });
     let is_path = call.path.starts_with('/') && call.path.bytes().all(|b| b.is_ascii_graphic());
     checker.require(is_path, origin, || {
-        format!("fleet.leases: call `{name}`: the path begins with / and has no spaces")
+        format!("fleet.leases: call `{name}`: path must begin with `/` and consist of printable ASCII without spaces")
     });
 }
--- a/crates/config/src/check/graphql.rs
+++ b/crates/config/src/check/graphql.rs
@@ -1,4 +1,4 @@
-//! Checks GraphQL settings: the classes of root fields, and the limits of a request.
+//! Checks GraphQL settings: the classes of root fields, and the limits of requests.
 
 use super::{indices, Checker};
 use crate::model::{Class, GraphQl, Located, RetrySafety, Service};
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 /// Checks the GraphQL settings of a service, if it has any.
-pub(super) fn graphql(checker: &mut Checker, service: &Located<Service>) {
+pub(super) fn check_graphql(checker: &mut Checker, service: &Located<Service>) {
     let Some(graphql) = &service.graphql else {
         return;
     };
@@ -26,28 +26,28 @@
     checker.require(
         (1..=256).contains(&limits.batch) && (1..=64).contains(&graphql.max_parallel_reads),
         &graphql.origin,
-        || format!("service `{name}`: batch is 1 to 256, side_by_side 1 to 64"),
+        || format!("service `{name}`: batch must be 1 to 256, side_by_side 1 to 64"),
     );
 }
 
-/// Why the classes of GraphQL fields are invalid.
+/// Why the classes of GraphQL root fields are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum GraphQlClassesError {
-    /// A field has a class that the service does not have.
-    #[error("there is no class `{name}`")]
+    /// A field is mapped to a class that the service does not have.
+    #[error("unknown class `{name}`")]
     UnknownClass {
-        /// The name of the class.
+        /// The unknown name.
         name: String,
     },
-    /// The classes contradict each other.
+    /// A class is not permitted for its fields.
     #[error(transparent)]
     Invalid(#[from] reelfall_graphql::class::MappingError),
 }
 
-/// The classes of a service's root fields.
+/// Maps the root fields of a service to its classes.
 ///
 /// # Errors
-/// If a class is unknown, or that of a mutation allows retries.
+/// If a class is unknown, or a mutation is mapped to an idempotent class.
 pub fn graphql_classes(
     service: &Service,
     graphql: &GraphQl,
@@ -67,7 +67,7 @@
     Ok(Classes::new(mapping, classes)?)
 }
 
-/// The ids of the classes of some fields.
+/// The class id of each field.
 fn field_classes(
     ids: &HashMap<&str, usize>,
     fields: &BTreeMap<String, String>,
--- a/crates/config/src/check/plan.rs
+++ b/crates/config/src/check/plan.rs
@@ -1,4 +1,4 @@
-//! The result of a check: what the node follows.
+//! The result of a successful check, which a node puts in force.
 
 use crate::model::{AttemptLimits, Class, Model, Origin, RetrySafety, Service, SlowStart};
 use reelfall_balancer::interface as core;
@@ -6,7 +6,7 @@
 use reelfall_routing::limits::ProcessResources;
 use reelfall_routing::table::{RouteConditions, RouteQuery, RouteTable};
 
-/// Where a route leads.
+/// The service and class that a route assigns to requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteTarget {
     /// The index of the service in [`Model::services`].
@@ -15,18 +15,18 @@
     pub assigned_class: Option<core::ClassId>,
 }
 
-/// A valid model, with its route table and the capacity of the process.
+/// A validated settings file, with its route table and the capacity of the process.
 #[derive(Debug)]
 pub struct Plan {
-    /// The content of the file.
+    /// The validated content of the file.
     pub model: Model,
-    /// The route table.
+    /// The route table, which returns the index of a route.
     pub route_table: RouteTable,
-    /// Where each route leads, by its index in the table; the routes of a service are consecutive, in its order.
+    /// The target of each route, by its index in the table. The routes of a service are consecutive and in its order.
     pub route_targets: Vec<RouteTarget>,
-    /// What each route matches, by its index in the table.
+    /// The conditions of each route, by its index in the table.
     pub route_conditions: Vec<RouteConditions>,
-    /// What all services together may use.
+    /// The resources that all services share.
     pub resources: ProcessResources,
     /// Maximum number of client connections.
     pub max_clients: usize,
@@ -59,7 +59,7 @@
                 .as_ref()
                 .map(|zone| names.zone(zone)),
             node_count: self.model.process.node_count,
-            // The file does not number the nodes, so each of them has the whole list.
+            // The file does not assign indices to nodes, so each node uses the whole endpoint list.
             node_index: None,
             discovery: core::Discovery::Push,
             load_reports: core::LoadReports::Absent,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// All routes that match a request, in descending order of precedence.
+    /// The indices of all routes that match a request, in descending order of precedence.
     pub fn matching_routes(&self, query: &RouteQuery) -> Vec<usize> {
         let specificity = |route: &usize| {
             let conditions = self.route_conditions.get(*route);
@@ -105,7 +105,7 @@
         candidates
     }
 
-    /// The place of a route in the file.
+    /// The position of a route in the file.
     pub fn route_origin(&self, route: usize) -> Option<&Origin> {
         let service = self.route_targets.get(route)?.service;
         let first = self
--- a/crates/config/src/check/registries.rs
+++ b/crates/config/src/check/registries.rs
@@ -1,11 +1,11 @@
-//! Checks registries, and the services whose servers they list.
+//! Checks registries, and the services that follow them.
 
 use super::{Checker, MAX_NAME_LEN};
 use crate::model::{ListSource, Located, Model, NodeEntry, Registry, RegistrySource, Service};
 use std::collections::HashSet;
 
-/// Checks all registries.
-pub(super) fn registries(checker: &mut Checker, model: &Model) {
+/// Checks the settings of all registries.
+pub(super) fn check_registries(checker: &mut Checker, model: &Model) {
     checker.require_unique_names("registry", &model.registries, |r| &r.name);
     for registry in &model.registries {
         let name = &registry.name;
@@ -25,20 +25,20 @@
         checker.require(
             registry.connect_timeout > 0.0 && registry.connect_timeout <= registry.session_timeout,
             &registry.origin,
-            || format!("registry `{name}`: connect is more than 0 and at most session"),
+            || format!("registry `{name}`: connect must be more than 0 and at most session"),
         );
         if let Some(entry) = &registry.entry {
-            node_entry(checker, registry, entry);
+            check_node_entry(checker, registry, entry);
         }
     }
 }
 
 /// Checks the entry of this node in a registry.
-fn node_entry(checker: &mut Checker, registry: &Registry, entry: &Located<NodeEntry>) {
+fn check_node_entry(checker: &mut Checker, registry: &Registry, entry: &Located<NodeEntry>) {
     let name = &registry.name;
     checker.require(is_registry_path(&entry.path), &entry.origin, || {
         format!(
-            "`{}` is no path of a registry: write it as \"/nodes/n1\"",
+            "invalid registry path `{}`: write an absolute path, such as \"/nodes/n1\"",
             entry.path
         )
     });
@@ -47,7 +47,7 @@
         &entry.origin,
         || {
             format!(
-                "registry `{name}`: a guarded entry needs digest_file, or nobody could change it"
+                "registry `{name}`: a guarded entry requires digest_file; without it, no one could change the entry"
             )
         },
     );
@@ -56,14 +56,14 @@
         &entry.origin,
         || {
             format!(
-                "registry `{name}`: an entry needs the node's name, {MAX_NAME_LEN} bytes at most"
+                "registry `{name}`: the name of this node's entry must have 1 to {MAX_NAME_LEN} bytes"
             )
         },
     );
 }
 
-/// Checks a service whose servers are listed by a registry; `registries` are the names of the existing ones.
-pub(super) fn registry_source(
+/// Checks the settings of a service that follows a registry; `registries` are the names of all registries.
+pub(super) fn check_registry_source(
     checker: &mut Checker,
     registries: &HashSet<&str>,
     service: &Located<Service>,
@@ -82,11 +82,11 @@
     checker.require(
         registries.contains(registry.as_str()),
         &service.origin,
-        || format!("service `{name}`: there is no registry `{registry}`"),
+        || format!("service `{name}`: unknown registry `{registry}`"),
     );
     checker.require(is_registry_path(path), &service.origin, || {
         format!(
-            "service `{name}`: `{path}` is no path of a registry: write it as \"/flags/evaluate\""
+            "service `{name}`: invalid registry path `{path}`: write an absolute path, such as \"/flags/evaluate\""
         )
     });
     checker.require(
@@ -102,11 +102,11 @@
     checker.require(
         limits.reread_interval >= 1.0 && limits.stale_after >= 1.0,
         &service.origin,
-        || format!("service `{name}`: reread and stale_after are 1s at least"),
+        || format!("service `{name}`: reread and stale_after must be at least 1s"),
     );
 }
 
-/// Whether a path is valid in a registry, and below its root.
+/// Whether a text is a valid path of a registry entry: absolute, and not the root.
 fn is_registry_path(path: &str) -> bool {
     let is_valid_segment = |segment: &str| {
         !matches!(segment, "" | "." | "..") && !segment.chars().any(char::is_control)
--- a/crates/config/src/check/routes.rs
+++ b/crates/config/src/check/routes.rs
@@ -1,4 +1,4 @@
-//! Checks routes, and makes the route table of them.
+//! Checks routes and builds the route table.
 
 use super::plan::RouteTarget;
 use super::{indices, Checker, MAX_ROUTES, METHODS};
@@ -7,18 +7,18 @@
 use reelfall_routing::table::{AmbiguousRoutes, ListenerId, RouteConditions, RouteTable};
 use std::collections::{HashMap, HashSet};
 
-/// The routes of a model, by their index over all services.
+/// The routes of all services. They are numbered in the order of the model.
 pub(super) struct Routes {
-    /// The table; `None` if the model has errors.
+    /// The route table; `None` if the model has errors.
     pub(super) table: Option<RouteTable>,
-    /// Where each route leads.
+    /// The target of each route.
     pub(super) targets: Vec<RouteTarget>,
     /// The conditions of each route.
     pub(super) conditions: Vec<RouteConditions>,
 }
 
-/// Checks all routes. The table is made only if there are no errors so far.
-pub(super) fn routes(checker: &mut Checker, model: &Model) -> Routes {
+/// Checks all routes. Builds the table only if there are no errors so far.
+pub(super) fn check_routes(checker: &mut Checker, model: &Model) -> Routes {
     let count = model.services.iter().map(|s| s.routes.len()).sum();
     let mut targets = Vec::with_capacity(count);
     let mut conditions = Vec::with_capacity(count);
@@ -27,20 +27,21 @@
     for (index, service) in model.services.iter().enumerate() {
         let classes = indices(service.classes.iter().map(|class| class.name.as_str()));
         for route in &service.routes {
-            let listener = listener(checker, &listeners, route);
+            let listener = find_listener(checker, &listeners, route);
             targets.push(RouteTarget {
                 service: index,
-                assigned_class: assigned_class(checker, &classes, service, route),
+                assigned_class: find_assigned_class(checker, &classes, service, route),
             });
-            methods(checker, route);
-            let is_reserved = *route.path == *"/_health" || route.path.starts_with("/_health/");
+            check_methods(checker, route);
+            let is_reserved =
+                *route.path_prefix == *"/_health" || route.path_prefix.starts_with("/_health/");
             checker.require(!is_reserved, &route.origin, || {
-                "`/_health` is the node's own".to_owned()
+                "`/_health` is reserved for the node".to_owned()
             });
             conditions.push(RouteConditions {
                 listener,
                 host: route.host.clone(),
-                path_prefix: route.path.clone(),
+                path_prefix: route.path_prefix.clone(),
                 methods: route.methods.iter().map(|m| m.as_str().into()).collect(),
                 class: route.class.as_deref().map(Into::into),
             });
@@ -48,17 +49,20 @@
         }
     }
     checker.require(conditions.len() <= MAX_ROUTES, &model.origin, || {
-        format!("{} routes, {MAX_ROUTES} at most", conditions.len())
+        format!(
+            "too many routes: {}, but at most {MAX_ROUTES} are allowed",
+            conditions.len()
+        )
     });
     Routes {
-        table: table(checker, &conditions, &origins),
+        table: build_table(checker, &conditions, &origins),
         targets,
         conditions,
     }
 }
 
-/// The listener that a route names.
-fn listener(
+/// Finds the listener of a route, and reports one that does not exist. `None` if the route matches any.
+fn find_listener(
     checker: &mut Checker,
     listeners: &HashMap<&str, usize>,
     route: &Located<Route>,
@@ -66,13 +70,13 @@
     let name = route.listener.as_ref()?;
     let index = listeners.get(name.as_str()).copied();
     checker.require(index.is_some(), &route.origin, || {
-        format!("there is no listener `{name}`")
+        format!("unknown listener `{name}`")
     });
     ListenerId::try_from(index?).ok()
 }
 
-/// The class that a route assigns.
-fn assigned_class(
+/// Finds the class that a route assigns, and reports one that does not exist. `None` if the route assigns none.
+fn find_assigned_class(
     checker: &mut Checker,
     classes: &HashMap<&str, usize>,
     service: &Service,
@@ -86,8 +90,8 @@
     core::ClassId::try_from(index?).ok()
 }
 
-/// The route table, unless there are errors or two routes are ambiguous.
-fn table(
+/// Builds the route table; `None` if there are errors. Reports ambiguous routes.
+fn build_table(
     checker: &mut Checker,
     conditions: &[RouteConditions],
     origins: &[&Origin],
@@ -102,7 +106,9 @@
                 let line = first.line;
                 checker.report(
                     second,
-                    format!("this route can't be told apart from the one at line {line}"),
+                    format!(
+                        "ambiguous route: overlaps with the equally specific route at line {line}"
+                    ),
                 );
             }
             None
@@ -110,15 +116,15 @@
     }
 }
 
-/// Requires methods that are supported, each of them once.
-fn methods(checker: &mut Checker, route: &Located<Route>) {
+/// Requires that methods are supported and unique.
+fn check_methods(checker: &mut Checker, route: &Located<Route>) {
     let mut seen = HashSet::with_capacity(route.methods.len());
     for method in &route.methods {
         checker.require(METHODS.contains(&method.as_str()), &route.origin, || {
-            format!("method `{method}` is not served: {}", METHODS.join(", "))
+            format!("unsupported method `{method}`: use {}", METHODS.join(", "))
         });
         checker.require(seen.insert(method.as_str()), &route.origin, || {
-            format!("method `{method}` is named twice")
+            format!("duplicate method `{method}`")
         });
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -2,12 +2,12 @@
 //!
 //! | module | content |
 //! | --- | --- |
-//! | [`reader`] | parses TOML into the model |
-//! | [`units`] | quantities with units |
-//! | [`model`] | the content of a file, each item with its line |
-//! | [`mod@check`] | validates a model and makes a [`Plan`] of it |
+//! | [`reader`] | parses a TOML file into a model |
+//! | [`units`] | parses quantities with units |
+//! | [`model`] | the content of a file; each item has its line |
+//! | [`mod@check`] | validates a model and builds a [`Plan`] from it |
 //!
-//! The node loads a file with [`load`] and follows the [`Plan`]; its command `check` prints the [`ConfigErrors`].
+//! A node loads its file with [`load`] and puts the [`Plan`] in force; its command `check` prints the [`ConfigErrors`].
 
 pub mod check;
 pub mod model;
@@ -30,7 +30,7 @@
         }])
     })?;
     let model = reader::parse_toml(&name, &text)?;
-    // The check allocates memory of its own, and the model does not borrow from the text.
+    // Frees the text before the check allocates memory; the model does not borrow from it.
     drop(text);
     check(model)
 }
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,7 +1,7 @@
 //! The content of a settings file, independent of its syntax.
 //!
 //! [`crate::reader`] builds a [`Model`], [`mod@crate::check`] validates it, and the node reads it through [`crate::Plan`].
-//! Each item has the line that it was read from, for errors. Durations are in seconds.
+//! Each item has its line in the file, which errors report. Durations are in seconds.
 
 mod origin;
 
@@ -17,7 +17,7 @@
 /// The content of a settings file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Model {
-    /// The file.
+    /// The file as a whole.
     pub origin: Origin,
     /// Settings of the process as a whole.
     pub process: Located<Process>,
@@ -27,18 +27,18 @@
     pub management: Option<Located<Management>>,
     /// The fleet that this node is a member of.
     pub fleet: Option<Located<Fleet>>,
-    /// The registries that services and this node use.
+    /// The registries that services follow or that this node registers in.
     pub registries: Vec<Located<Registry>>,
     /// The services in the order of the file.
     pub services: Vec<Located<Service>>,
 }
 
-/// The management interface, and where its state is stored.
+/// The management interface, and where the state that operators set through it is stored.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Management {
-    /// The address; only operators should be able to reach it.
+    /// The address where it listens; only operators should be able to reach it.
     pub address: SocketAddr,
-    /// The folder where bans and drains are stored; without one they last as long as the process.
+    /// The directory where bans and drains are stored; `None` if they last only as long as the process.
     pub state_dir: Option<PathBuf>,
 }
 
@@ -49,34 +49,34 @@
     pub name: String,
     /// The name of this node, unique in the fleet.
     pub node: String,
-    /// The address where this node receives datagrams of its peers.
+    /// The address where this node receives datagrams from its peers.
     pub listen: SocketAddr,
     /// The address where peers reach this node, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// The file with the key of the fleet.
+    /// The file that contains the key of the fleet.
     pub key_file: PathBuf,
-    /// Intervals, quorum and seeds.
+    /// The intervals, quorum and seeds of the membership protocol.
     pub config: reelfall_cluster::fleet::Config,
-    /// Leases for tasks that one node executes for all.
+    /// Leases for tasks that one node executes for the whole fleet.
     pub leases: Option<Leases>,
 }
 
-/// Leases of a fleet: the nodes that store them, and the tasks that they guard.
+/// Leases of a fleet: the keepers that store them, and the tasks that require one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Leases {
-    /// The nodes that store them, the same for all nodes and in the same order.
+    /// The names of the nodes that store the leases, in the same order at all nodes.
     pub keepers: Vec<String>,
-    /// The folder where this node stores them, if it is one of those.
+    /// The directory where this node stores leases, if it is a keeper.
     pub state_dir: Option<PathBuf>,
     /// The time after which a lease expires unless it is renewed.
     pub duration: Time,
     /// The maximum relative error of the rate of any node's clock.
     pub drift: f64,
-    /// The calls that the lease holder makes for all nodes.
+    /// The calls that lease holders make for the whole fleet.
     pub calls: Vec<Call>,
 }
 
-/// A periodic HTTP request that one node of the fleet makes: the lease holder.
+/// A periodic HTTP request that only the holder of its lease makes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
     /// The name of the lease.
@@ -85,7 +85,7 @@
     pub address: SocketAddr,
     /// The path of the `POST`.
     pub path: String,
-    /// The interval.
+    /// The time between two requests.
     pub interval: Time,
 }
 
@@ -96,13 +96,13 @@
     pub name: String,
     /// The addresses of its members; at least one.
     pub members: Vec<SocketAddr>,
-    /// The time after which it expires a silent session of this node.
+    /// The time without messages after which the registry expires a session of this node.
     pub session_timeout: Time,
     /// The time after which an attempt to connect to a member fails.
     pub connect_timeout: Time,
-    /// The time without a connection after which the last known registry state is discarded.
+    /// The time without a connection after which the last known state of the registry is discarded.
     pub forget_after: Time,
-    /// The file with `name:password`, for the scheme `digest`.
+    /// The file that contains `name:password` for the authentication scheme `digest`.
     pub digest_file: Option<PathBuf>,
     /// The entry that this node registers.
     pub entry: Option<Located<NodeEntry>>,
@@ -111,7 +111,7 @@
 /// The entry of this node in a registry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeEntry {
-    /// The path; its parent has to exist.
+    /// The path of the entry; its parent has to exist.
     pub path: String,
     /// The name of the node.
     pub name: String,
@@ -119,7 +119,7 @@
     pub address: Option<String>,
     /// The site of the node.
     pub site: Option<String>,
-    /// Whether only this node may change the entry; otherwise everybody may.
+    /// Whether only this node may change the entry; otherwise every client of the registry may.
     pub is_guarded: bool,
 }
 
@@ -132,7 +132,7 @@
     pub path: String,
     /// The servers to use until the registry has been read.
     pub initial_servers: Vec<Located<Server>>,
-    /// Limits, intervals, and the rule for outdated lists.
+    /// Limits, intervals, and what happens when the list is outdated.
     pub limits: reelfall_registry_client::follow::Limits,
 }
 
@@ -149,7 +149,7 @@
     pub max_connections_per_server: Option<usize>,
     /// The zone of this node.
     pub zone: Option<String>,
-    /// The number of nodes that send to the same servers, this one included.
+    /// The number of nodes that send to the same servers, including this one.
     pub node_count: u32,
 }
 
@@ -158,7 +158,7 @@
 pub struct Listener {
     /// The name by which routes refer to it.
     pub name: String,
-    /// The address.
+    /// The address where it listens.
     pub address: SocketAddr,
 }
 
@@ -180,17 +180,17 @@
     pub state: ServiceState,
     /// The source of its list of servers.
     pub list_source: ListSource,
-    /// Its share of requests, connections and memory, and its request rate.
+    /// Its quotas of requests, connections and memory, and its request rate.
     pub limits: Located<ServiceLimits>,
-    /// GraphQL settings, if it is a GraphQL service.
+    /// The settings of a GraphQL service; `None` if it is not one.
     pub graphql: Option<Located<GraphQl>>,
     /// Limits of attempts and of connections to servers.
     pub attempts: AttemptLimits,
-    /// How its servers warm up.
+    /// The slow start of its servers.
     pub slow_start: SlowStart,
     /// The classes of its requests; at least one.
     pub classes: Vec<Located<Class>>,
-    /// The tenants that have a quota.
+    /// The tenants that have a quota of requests.
     pub tenants: Vec<Located<Tenant>>,
     /// The routes that lead to it.
     pub routes: Vec<Located<Route>>,
@@ -199,11 +199,11 @@
 /// The source of a service's list of servers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListSource {
-    /// The list is part of the file.
+    /// A static list in the file.
     Static(Vec<Located<Server>>),
     /// The platform's discovery service at this address.
     Discovery(SocketAddr),
-    /// Entries of a registry.
+    /// The entries of a registry.
     Registry(RegistrySource),
 }
 
@@ -212,11 +212,11 @@
 pub struct Server {
     /// The name, unique in its list.
     pub name: String,
-    /// The address.
+    /// The address that requests are sent to.
     pub address: SocketAddr,
-    /// The zone.
+    /// The zone where the server runs.
     pub zone: Option<String>,
-    /// The machine type.
+    /// The machine type: the server kind.
     pub machine_type: Option<String>,
     /// The capacity relative to the other servers.
     pub weight: Option<f64>,
@@ -227,15 +227,15 @@
 /// Limits of a service's attempts and of its connections to servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptLimits {
-    /// Maximum number of attempts for one request, the first included.
+    /// Maximum number of attempts for one request, including the first.
     pub max: u32,
     /// The number of retries that each first attempt adds to the retry budget.
     pub retry_budget_ratio: f64,
     /// The time after which an attempt to connect to a server fails.
     pub connect_timeout: Time,
-    /// The time after which the servers close idle connections.
+    /// The time after which servers close idle connections.
     pub idle_timeout: Time,
-    /// The maximum `Retry-After` of a rejection; 0 for none.
+    /// The maximum `Retry-After` of a rejected request; 0 to send none.
     pub max_retry_after: Time,
 }
 
@@ -244,9 +244,9 @@
 pub struct SlowStart {
     /// The fraction of its full capacity that a server has when it starts.
     pub initial_capacity: f64,
-    /// The time after which it has its full capacity.
+    /// The time after its start at which the server has its full capacity.
     pub duration: Time,
-    /// The multiple of its current capacity above which it fails.
+    /// The load above which the server fails, as a multiple of its current capacity.
     pub overload_factor: f64,
     /// The time over which that load is measured.
     pub overload_window: Time,
@@ -257,16 +257,16 @@
 pub enum RetrySafety {
     /// A second execution has no further effect.
     Idempotent,
-    /// It must not be executed twice.
+    /// The request must not be executed twice.
     AtMostOnce,
 }
 
 /// Settings of a GraphQL service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GraphQl {
-    /// The classes of fields of the query root.
+    /// The class of each listed field of the query root.
     pub query_classes: BTreeMap<String, String>,
-    /// The classes of fields of the mutation root.
+    /// The class of each listed field of the mutation root.
     pub mutation_classes: BTreeMap<String, String>,
     /// The class of all other fields of the query root.
     pub default_query_class: String,
@@ -274,51 +274,51 @@
     pub default_mutation_class: String,
     /// The estimated work of a field, in seconds on a standard core.
     pub field_work: Time,
-    /// Maximum number of reads of a batch that are executed concurrently.
+    /// Maximum number of idempotent operations of a batch that are executed concurrently.
     pub max_parallel_reads: usize,
-    /// Limits of a request.
+    /// Limits of a GraphQL request.
     pub limits: reelfall_graphql::Limits,
 }
 
-/// A class of requests with the same objectives.
+/// A class of requests that have the same objectives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// The name, unique in its service.
     pub name: String,
-    /// Whether they may be executed twice.
+    /// Whether its requests may be executed twice.
     pub retry_safety: RetrySafety,
-    /// The response time to aim for.
+    /// The response time that should be met.
     pub latency_objective: Time,
     /// The response time after which a request fails.
     pub deadline: Time,
-    /// The weight relative to the other classes when load is shed.
+    /// The weight relative to other classes when load is shed.
     pub priority_weight: f64,
-    /// The fraction of the weight that a response between objective and deadline is worth.
+    /// The fraction of the weight that counts for a response between the objective and the deadline.
     pub late_response_weight: f64,
 }
 
 /// A tenant with a quota of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// The name, as in the header `X-Account`.
+    /// The name, as sent in the header `X-Account`.
     pub name: String,
     /// The quota in requests per second.
     pub quota: f64,
 }
 
-/// A rule that leads requests to a service.
+/// The conditions under which a request is routed to a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The name of the listener; `None` matches any.
+    /// The name of the listener that accepted the request; `None` matches any.
     pub listener: Option<String>,
-    /// The host pattern.
+    /// The hosts of the request.
     pub host: HostPattern,
-    /// The path prefix, as `reelfall_routing::table::prefix` gives it.
-    pub path: Box<str>,
+    /// The path prefix, as returned by [`reelfall_routing::table::parse_path_prefix`].
+    pub path_prefix: Box<str>,
     /// The methods; an empty list matches any.
     pub methods: Vec<String>,
     /// The class that the request has to state; `None` matches any.
     pub class: Option<String>,
-    /// The class that its requests get, whatever they state.
+    /// The class that the requests are assigned, whatever class they state.
     pub assigned_class: Option<String>,
 }
--- a/crates/config/src/model/origin.rs
+++ b/crates/config/src/model/origin.rs
@@ -1,21 +1,21 @@
-//! Places in a settings file, values that remember them, and errors that report them.
+//! Positions in a settings file, values with their position, and errors at a position.
 
 use std::fmt;
 use std::ops::Deref;
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The place of an item in a file.
+/// The position of an item in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Origin {
-    /// The file.
+    /// The name of the file.
     pub file: Arc<str>,
-    /// The line, counted from 1; 0 for the file as a whole.
+    /// The number of the line, from 1; 0 for the file as a whole.
     pub line: u32,
 }
 
 impl Origin {
-    /// The origin that stands for a whole file.
+    /// The origin of a file as a whole.
     pub fn file(name: &str) -> Origin {
         Origin {
             file: name.into(),
@@ -33,12 +33,12 @@
     }
 }
 
-/// A value with the place where it was read. Equality compares the values only.
+/// A value with its position in the file. Equality compares only the values.
 #[derive(Clone, Debug)]
 pub struct Located<T> {
     /// The value.
     pub value: T,
-    /// The place where it was read.
+    /// Where the value was read.
     pub origin: Origin,
 }
 
@@ -56,17 +56,17 @@
     }
 }
 
-/// An error in a file.
+/// An error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{origin}: {message}")]
 pub struct ConfigError {
-    /// The place of the error.
+    /// Where the error is.
     pub origin: Origin,
-    /// The description for the author of the file.
+    /// What is wrong, for the author of the file.
     pub message: String,
 }
 
-/// All errors of a file; at least one.
+/// The errors of a settings file; at least one.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub struct ConfigErrors(pub Vec<ConfigError>);
 
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,19 +1,18 @@
-//! Reads TOML into the model.
+//! Parses a TOML file into a model.
 //!
 //! The keys of the file are a published format and keep their names (`aim`, `worth`, `tries`, `cold`, `member`, ...); the
-//! model speaks the field's terms (`latency_objective`, `priority_weight`, `attempts`, ...). [`tables`] and [`fleet`]
-//! hold the tables under their keys, and [`mapping`] and [`fleet`] are the only places where a key becomes a field
-//! of the model.
+//! model uses the usual terms (`latency_objective`, `priority_weight`, `attempts`, ...). The tables in [`tables`] and
+//! [`fleet`] have fields with the names of their keys, and only [`mapping`] and [`fleet`] convert them to the model.
 //!
 //! | module | content |
 //! | --- | --- |
-//! | [`sections`] | splits a text into documents that are parsed one by one |
-//! | [`document`] | parses one of them |
-//! | [`lines`] | finds the line of the file for an offset in a document |
-//! | [`tables`] | the tables of a file, each field named as its key |
+//! | [`sections`] | splits the text of a file into sections that can be parsed one by one |
+//! | [`document`] | parses some sections as one TOML document |
+//! | [`lines`] | maps offsets in a document to lines of the file |
+//! | [`tables`] | the tables of a file; each field has the name of its key |
 //! | [`mapping`] | converts these tables to the model |
-//! | [`fleet`] | tables of fleet and management, with their conversion |
-//! | [`values`] | single values with their units and bounds |
+//! | [`fleet`] | the tables `[fleet]` and `[management]`, and their conversion to the model |
+//! | [`values`] | parses single values with their units and bounds |
 
 mod document;
 mod fleet;
@@ -25,7 +24,7 @@
 
 use crate::model::{ConfigError, ConfigErrors, Located, Model, Service};
 use document::Document;
-use lines::Lines;
+use lines::LineIndex;
 use sections::Sections;
 use std::slice;
 use std::sync::Arc;
@@ -35,32 +34,33 @@
 /// Parses the text of a settings file.
 ///
 /// # Errors
-/// The first error of syntax or of a single value, first outside of the services and then service by service: later
-/// ones may only be its effects. If there is none, every service whose source of servers is missing or ambiguous.
+/// The first syntax error or invalid value, because later errors may only follow from it; the parts outside of services
+/// are parsed first, then the services in their order. If there is none: an error for each service whose list source
+/// is missing or ambiguous.
 pub fn parse_toml(file: &str, text: &str) -> Result<Model, ConfigErrors> {
     let file: Arc<str> = file.into();
-    let sections = Sections::of(text);
-    let main_document = Document::of(&file, text, &sections.rest);
-    let tables = main_document.read()?;
+    let sections = Sections::split(text);
+    let main_document = Document::from_sections(&file, text, &sections.main);
+    let tables = main_document.parse()?;
     let lines = main_document.lines();
     let mut services = ServiceCollector::default();
     services.services.reserve(sections.services.len());
     services.add(lines, tables.service);
     for section in &sections.services {
-        let document = Document::of(&file, text, slice::from_ref(section));
-        services.add(document.lines(), document.read()?.service);
+        let document = Document::from_sections(&file, text, slice::from_ref(section));
+        services.add(document.lines(), document.parse()?.service);
     }
     let process = match tables.process {
         Some(process) => lines.located(process, |_, table| mapping::process(table)),
         None => Located {
             value: mapping::process(ProcessTable::default()),
-            origin: lines.file(),
+            origin: lines.file_origin(),
         },
     };
     let zone = process.zone.clone();
     let services = services.finish()?;
     Ok(Model {
-        origin: lines.file(),
+        origin: lines.file_origin(),
         process,
         management: tables
             .management
@@ -68,13 +68,13 @@
         fleet: tables
             .fleet
             .map(|fleet| lines.located(fleet, |_, table| table.into_model(zone))),
-        listeners: lines.all(tables.listener, |_, table| mapping::listener(table)),
-        registries: lines.all(tables.registry, mapping::registry),
+        listeners: lines.located_all(tables.listener, |_, table| mapping::listener(table)),
+        registries: lines.located_all(tables.registry, mapping::registry),
         services,
     })
 }
 
-/// Collects the services of all documents of a file, and the errors of those that can't be converted.
+/// Collects the services of all documents of a file, and the errors of services that can't be converted.
 #[derive(Default)]
 struct ServiceCollector {
     services: Vec<Located<Service>>,
@@ -82,7 +82,7 @@
 }
 
 impl ServiceCollector {
-    fn add(&mut self, lines: &Lines, tables: Vec<Spanned<ServiceTable>>) {
+    fn add(&mut self, lines: &LineIndex, tables: Vec<Spanned<ServiceTable>>) {
         for table in tables {
             let Located { value, origin } = lines.located(table, mapping::service);
             match value {
--- a/crates/config/src/reader/fleet.rs
+++ b/crates/config/src/reader/fleet.rs
@@ -1,7 +1,7 @@
-//! The tables `[fleet]` and `[management]`: their fields are named as the keys of the file, and `into_model` converts them
-//! to the model's terms and fills in defaults.
+//! The tables `[fleet]` and `[management]`. Their fields have the names of the keys of the file; `into_model` converts
+//! them to the model and fills in defaults.
 //!
-//! The counterpart for all other tables are [`super::tables`] and [`super::mapping`].
+//! [`super::tables`] and [`super::mapping`] do the same for all other tables.
 
 use super::values::{optional_fraction, AddressText, TimeText};
 use crate::model::{Call, Fleet, Leases, Management};
--- a/crates/config/src/reader/lines.rs
+++ b/crates/config/src/reader/lines.rs
@@ -1,10 +1,10 @@
-//! Maps byte offsets in a document to lines of the file that it was taken from.
+//! Maps byte offsets in a document to lines of the file from which it was joined.
 
 use crate::model::{Located, Origin};
 use std::sync::Arc;
 use toml::Spanned;
 
-/// Where a line begins.
+/// The start of a line.
 struct LineStart {
     /// The offset of its first byte in the document.
     offset: usize,
@@ -12,24 +12,24 @@
     line: u32,
 }
 
-/// The lines of a document, found by binary search.
-pub(super) struct Lines {
+/// The line starts of a document, in which offsets are found by binary search.
+pub(super) struct LineIndex {
     file: Arc<str>,
     /// In ascending order of offsets.
     starts: Vec<LineStart>,
 }
 
-impl Lines {
-    /// No lines yet.
+impl LineIndex {
+    /// An index without lines.
     pub(super) fn new(file: Arc<str>) -> Self {
-        Lines {
+        LineIndex {
             file,
             starts: Vec::new(),
         }
     }
 
-    /// Adds the lines of a text that begins at an offset of the document and at a line of the file.
-    pub(super) fn add(&mut self, offset: usize, text: &str, first_line: u32) {
+    /// Adds the lines of a text that begins at `offset` of the document and at `first_line` of the file.
+    pub(super) fn add_text(&mut self, offset: usize, text: &str, first_line: u32) {
         let mut line = first_line;
         self.starts.push(LineStart { offset, line });
         for (position, byte) in text.bytes().enumerate() {
@@ -43,8 +43,8 @@
         }
     }
 
-    /// The file as a whole.
-    pub(super) fn file(&self) -> Origin {
+    /// The origin of the file as a whole.
+    pub(super) fn file_origin(&self) -> Origin {
         Origin {
             file: self.file.clone(),
             line: 0,
@@ -52,7 +52,7 @@
     }
 
     /// The line that contains an offset of the document.
-    pub(super) fn at(&self, offset: usize) -> Origin {
+    pub(super) fn origin_at(&self, offset: usize) -> Origin {
         let next_start = self.starts.partition_point(|start| start.offset <= offset);
         let start = next_start
             .checked_sub(1)
@@ -63,21 +63,21 @@
         }
     }
 
-    /// Converts an item of the document to the model, with its line.
+    /// Converts an item of the document to the model and adds its line.
     pub(super) fn located<T, U>(
         &self,
         spanned: Spanned<T>,
         convert: impl FnOnce(&Self, T) -> U,
     ) -> Located<U> {
-        let origin = self.at(spanned.span().start);
+        let origin = self.origin_at(spanned.span().start);
         Located {
             value: convert(self, spanned.into_inner()),
             origin,
         }
     }
 
-    /// Converts all items of a list to the model, each with its line.
-    pub(super) fn all<T, U>(
+    /// Converts the items of a list to the model and adds the line of each.
+    pub(super) fn located_all<T, U>(
         &self,
         items: Vec<Spanned<T>>,
         convert: impl Fn(&Self, T) -> U,
--- a/crates/config/src/reader/mapping.rs
+++ b/crates/config/src/reader/mapping.rs
@@ -1,9 +1,8 @@
-//! Converts the tables of a file to the model: where a key of the file becomes a field in the field's terms, and where
-//! a key that is absent gets its default.
+//! Converts the tables of a file to the model, and fills in the defaults of absent keys.
 //!
-//! The counterpart for fleet and management is in [`super::fleet`].
+//! [`super::fleet`] does the same for `[fleet]` and `[management]`.
 
-use super::lines::Lines;
+use super::lines::LineIndex;
 use super::tables::{
     ClassTable, GraphQlTable, LimitsTable, ListenerTable, MemberTable, ProcessTable, RegistryTable,
     RepeatValue, RouteTable, ServerStateValue, ServerTable, ServiceRegistryTable,
@@ -22,23 +21,21 @@
 use reelfall_routing::table;
 use thiserror::Error;
 
-/// Why the source of a service's servers can't be determined.
+/// Why the list source of a service can't be determined.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub(super) enum SourceError {
-    /// The service names none.
-    #[error(
-        "service `{service}` has no servers: add [[service.server]], a discovery or a registry"
-    )]
+pub(super) enum ListSourceError {
+    /// The service has no source.
+    #[error("service `{service}` has no servers: add [[service.server]], discovery or registry")]
     Missing {
-        /// The service.
+        /// The name of the service.
         service: String,
     },
-    /// The service names more than one.
+    /// The service has more than one source.
     #[error(
-        "service `{service}`: servers, a discovery and a registry are three sources: keep one"
+        "service `{service}` has several sources of servers: keep only one of [[service.server]], discovery and registry"
     )]
     Ambiguous {
-        /// The service.
+        /// The name of the service.
         service: String,
     },
 }
@@ -61,7 +58,10 @@
     }
 }
 
-pub(super) fn service(lines: &Lines, mut table: ServiceTable) -> Result<Service, SourceError> {
+pub(super) fn service(
+    lines: &LineIndex,
+    mut table: ServiceTable,
+) -> Result<Service, ListSourceError> {
     Ok(Service {
         list_source: list_source(lines, &mut table)?,
         state: match table.state {
@@ -69,10 +69,10 @@
             Some(ServiceStateValue::Serving) | None => ServiceState::Serving,
         },
         limits: match table.limits {
-            Some(limits) => lines.located(limits, |_, table| allowed(table)),
+            Some(limits) => lines.located(limits, |_, table| service_limits(table)),
             None => Located {
                 value: ServiceLimits::UNLIMITED,
-                origin: lines.file(),
+                origin: lines.file_origin(),
             },
         },
         graphql: table
@@ -80,15 +80,15 @@
             .map(|graphql| lines.located(graphql, |_, table| self::graphql(table))),
         attempts: attempt_limits(table.tries),
         slow_start: slow_start(table.cold),
-        classes: lines.all(table.class, |_, table| class(table)),
-        tenants: lines.all(table.member, |_, table| tenant(table)),
-        routes: lines.all(table.route, |_, table| route(table)),
+        classes: lines.located_all(table.class, |_, table| class(table)),
+        tenants: lines.located_all(table.member, |_, table| tenant(table)),
+        routes: lines.located_all(table.route, |_, table| route(table)),
         name: table.name,
     })
 }
 
-/// Takes the one source of servers out of a service's table.
-fn list_source(lines: &Lines, table: &mut ServiceTable) -> Result<ListSource, SourceError> {
+/// Takes the list source out of a service's table.
+fn list_source(lines: &LineIndex, table: &mut ServiceTable) -> Result<ListSource, ListSourceError> {
     let sources = (
         table.server.take(),
         table.discovery.take(),
@@ -96,14 +96,14 @@
     );
     match sources {
         (Some(servers), None, None) => Ok(ListSource::Static(
-            lines.all(servers, |_, table| server(table)),
+            lines.located_all(servers, |_, table| server(table)),
         )),
         (None, Some(address), None) => Ok(ListSource::Discovery(address.0)),
         (None, None, Some(registry)) => Ok(ListSource::Registry(registry_source(lines, registry))),
-        (None, None, None) => Err(SourceError::Missing {
+        (None, None, None) => Err(ListSourceError::Missing {
             service: table.name.clone(),
         }),
-        _ => Err(SourceError::Ambiguous {
+        _ => Err(ListSourceError::Ambiguous {
             service: table.name.clone(),
         }),
     }
@@ -153,7 +153,7 @@
     Route {
         listener: table.listener,
         host: table.host.map_or(table::HostPattern::Any, |host| host.0),
-        path: table.path.map_or_else(Box::default, |path| path.0),
+        path_prefix: table.path.map_or_else(Box::default, |path| path.0),
         methods: table.methods,
         class: table.class,
         assigned_class: table.assign,
@@ -170,7 +170,7 @@
     })
 }
 
-pub(super) fn registry(lines: &Lines, table: RegistryTable) -> Registry {
+pub(super) fn registry(lines: &LineIndex, table: RegistryTable) -> Registry {
     Registry {
         name: table.name,
         members: table.members.into_iter().map(|member| member.0).collect(),
@@ -190,12 +190,12 @@
     }
 }
 
-fn registry_source(lines: &Lines, table: ServiceRegistryTable) -> RegistrySource {
+fn registry_source(lines: &LineIndex, table: ServiceRegistryTable) -> RegistrySource {
     let default = follow::Limits::default();
     RegistrySource {
         registry: table.name,
         path: table.path,
-        initial_servers: lines.all(table.known, |_, table| server(table)),
+        initial_servers: lines.located_all(table.known, |_, table| server(table)),
         limits: follow::Limits {
             max_entries: table.entries.unwrap_or(default.max_entries),
             reread_interval: time_or(table.reread, default.reread_interval),
@@ -252,7 +252,7 @@
     }
 }
 
-fn allowed(table: LimitsTable) -> ServiceLimits {
+fn service_limits(table: LimitsTable) -> ServiceLimits {
     let weight = table.weight.unwrap_or(1);
     let quota = |reserved: Option<u64>, max: Option<u64>| Quota {
         reserved: reserved.unwrap_or(0),
--- a/crates/config/src/reader/sections.rs
+++ b/crates/config/src/reader/sections.rs
@@ -1,58 +1,62 @@
-//! Splits the text of a file into documents that can be parsed one after the other, for [`super::parse_toml`].
+//! Splits the text of a file into sections that [`super::parse_toml`] parses one by one, to save memory.
 //!
-//! The TOML parser builds a tree that takes more than thirty times the memory of a document's text. Each `[[service]]`
-//! with the tables below it is a document of its own, and so is all that belongs to no service; parsed one by one, the
-//! tree is never larger than that of the largest service.
+//! The TOML parser builds a tree that takes more than thirty times the memory of a document's text. So each `[[service]]`
+//! with its tables is parsed as a document of its own, and everything outside of services as another one. This bounds
+//! the tree by the size of the largest of these documents.
 //!
-//! The text is split with the TOML parser's own lexer, so strings, comments and values over several lines are told from
-//! headers as the parser tells them. A file whose services can't be found by its headers alone is one document: where
-//! a key is written with escapes, where `service` is not an array of tables, or where tables of a service stand apart
-//! from it.
+//! The text is split with the lexer of the TOML parser, so that strings, comments and multi-line values are distinguished
+//! from headers exactly as the parser does. A file is parsed as a single document if its headers are not enough to find
+//! the services: if a key is written with escapes, if `service` is not an array of tables, or if tables of a service are
+//! separated from it by other tables.
 
 use std::iter::Peekable;
 use std::ops::Range;
 use toml_parser::lexer::{Lexer, Token, TokenKind};
 use toml_parser::Source;
 
-/// The array of tables that is parsed table by table.
+/// The key of the array of tables that is parsed table by table.
 const SERVICE_KEY: &str = "service";
 
-/// Consecutive complete statements.
+/// A part of the text that consists of complete statements.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Section {
-    /// Their bytes in the text.
+    /// The range of bytes in the text.
     pub(super) range: Range<usize>,
-    /// The number of their first line in the file.
+    /// The number of the first line in the file.
     pub(super) first_line: u32,
 }
 
 /// The sections of a text.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Sections {
-    /// Those outside of services, which are parsed as one document.
-    pub(super) rest: Vec<Section>,
-    /// The services, each of which is parsed as a document.
+    /// The sections outside of services, which are parsed as one document.
+    pub(super) main: Vec<Section>,
+    /// The services, each of which is parsed as a document of its own.
     pub(super) services: Vec<Section>,
 }
 
 impl Sections {
-    /// Splits a text.
-    pub(super) fn of(text: &str) -> Self {
-        let cuts = find_cuts(text).unwrap_or_else(|| {
-            vec![Cut {
-                start: 0,
-                owner: Owner::Rest,
+    /// Splits a text; the result is a single section if the services can't be separated.
+    pub(super) fn split(text: &str) -> Self {
+        let starts = find_section_starts(text).unwrap_or_else(|| {
+            vec![SectionStart {
+                offset: 0,
+                owner: Owner::Main,
             }]
         });
         let mut sections = Sections::default();
         let mut first_line = 1u32;
-        let ends = cuts.iter().skip(1).map(|cut| cut.start).chain([text.len()]);
-        for (cut, end) in cuts.iter().zip(ends) {
-            let range = cut.start..end;
+        let ends = starts
+            .iter()
+            .skip(1)
+            .map(|start| start.offset)
+            .chain([text.len()]);
+        for (start, end) in starts.iter().zip(ends) {
+            let range = start.offset..end;
             let line_count = count_newlines(text, &range);
             let section = Section { range, first_line };
-            match cut.owner {
-                Owner::Rest => sections.rest.push(section),
+            match start.owner {
+                Owner::Main => sections.main.push(section),
                 Owner::Service => sections.services.push(section),
             }
             first_line = first_line.saturating_add(line_count);
@@ -67,82 +71,85 @@
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
-/// What a section belongs to.
+/// Which document a section is part of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Owner {
-    Rest,
+    Main,
     Service,
 }
 
 /// The start of a section.
-struct Cut {
-    /// Its offset in the text.
-    start: usize,
+struct SectionStart {
+    /// The offset in the text.
+    offset: usize,
     owner: Owner,
 }
 
-/// The starts of all sections of a text, the first at its beginning; `None` if it can't be split.
-fn find_cuts(text: &str) -> Option<Vec<Cut>> {
-    let mut owner = Owner::Rest;
-    let mut cuts = vec![Cut { start: 0, owner }];
-    // Keys of the root table stand before the first header.
+/// The starts of all sections of a text, the first at offset 0; `None` if the services can't be separated.
+fn find_section_starts(text: &str) -> Option<Vec<SectionStart>> {
+    let mut owner = Owner::Main;
+    let mut starts = vec![SectionStart { offset: 0, owner }];
+    // The keys of the root table precede the first header.
     let mut in_root = true;
-    for Statement { start, form, key } in Statements::of(text) {
-        if form == Form::Pair && !in_root {
+    for Statement { offset, kind, key } in Statements::of(text) {
+        if kind == Kind::KeyValue && !in_root {
             continue;
         }
-        in_root = in_root && form == Form::Pair;
+        in_root = in_root && kind == Kind::KeyValue;
         let is_service = match key {
             Key::Plain(name) => name == SERVICE_KEY,
             Key::Escaped => return None,
             Key::Missing => false,
         };
-        let next = match (form, is_service) {
-            (Form::Pair, false) => continue,
-            (Form::Table { is_nested: true } | Form::ArrayTable { is_nested: true }, true)
+        let next = match (kind, is_service) {
+            (Kind::KeyValue, false) => continue,
+            (Kind::Table { is_nested: true } | Kind::ArrayTable { is_nested: true }, true)
                 if owner == Owner::Service =>
             {
                 continue
             }
-            (Form::ArrayTable { is_nested: false }, true) => Owner::Service,
+            (Kind::ArrayTable { is_nested: false }, true) => Owner::Service,
             (_, true) => return None,
-            (Form::Table { .. } | Form::ArrayTable { .. }, false) => Owner::Rest,
+            (Kind::Table { .. } | Kind::ArrayTable { .. }, false) => Owner::Main,
         };
         if next == Owner::Service || owner == Owner::Service {
-            cuts.push(Cut { start, owner: next });
+            starts.push(SectionStart {
+                offset,
+                owner: next,
+            });
         }
         owner = next;
     }
-    Some(cuts)
+    Some(starts)
 }
 
-/// The form of a statement.
+/// The kind of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Form {
+enum Kind {
     /// A key with its value.
-    Pair,
+    KeyValue,
     /// The header of a table: `[a]`, or `[a.b]` if it is nested.
     Table { is_nested: bool },
-    /// The header of an array's table: `[[a]]`, or `[[a.b]]` if it is nested.
+    /// The header of a table in an array: `[[a]]`, or `[[a.b]]` if it is nested.
     ArrayTable { is_nested: bool },
 }
 
-/// The first key of a statement.
+/// The first part of a statement's key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Key<'a> {
-    /// One without escapes, bare or quoted.
+    /// A bare or quoted key without escapes.
     Plain(&'a str),
-    /// One with escapes, which the lexer does not decode.
+    /// A quoted key with escapes, which the lexer does not decode.
     Escaped,
-    /// None: a syntax error, which the parser reports.
+    /// There is no key: a syntax error, which the parser reports.
     Missing,
 }
 
 /// A key with its value, or a header.
 struct Statement<'a> {
-    /// Its offset in the text.
-    start: usize,
-    form: Form,
+    /// The offset in the text.
+    offset: usize,
+    kind: Kind,
     key: Key<'a>,
 }
 
@@ -160,6 +167,7 @@
         }
     }
 
+    /// Consumes tokens while they are of one of these kinds.
     fn skip(&mut self, kinds: &[TokenKind]) {
         while self
             .tokens
@@ -168,12 +176,13 @@
         {}
     }
 
-    /// Consumes the next token if it is of a kind; returns whether it did.
+    /// Consumes the next token if it is of the given kind, and returns whether it was.
     fn consume(&mut self, kind: TokenKind) -> bool {
         self.tokens.next_if(|token| token.kind() == kind).is_some()
     }
 
-    fn key(&mut self) -> Key<'a> {
+    /// Reads the key at the next token without consuming it.
+    fn peek_key(&mut self) -> Key<'a> {
         let Some(token) = self.tokens.peek() else {
             return Key::Missing;
         };
@@ -189,11 +198,11 @@
         }
     }
 
-    /// The form and the first key of a header whose first bracket is consumed.
-    fn header(&mut self) -> (Form, Key<'a>) {
+    /// Reads the kind and the first key of a header after its first bracket.
+    fn read_header(&mut self) -> (Kind, Key<'a>) {
         let is_array_table = self.consume(TokenKind::LeftSquareBracket);
         self.skip(&[TokenKind::Whitespace]);
-        let key = self.key();
+        let key = self.peek_key();
         if key != Key::Missing {
             self.tokens.next();
         }
@@ -202,15 +211,15 @@
             .tokens
             .peek()
             .is_some_and(|token| token.kind() == TokenKind::Dot);
-        let form = if is_array_table {
-            Form::ArrayTable { is_nested }
+        let kind = if is_array_table {
+            Kind::ArrayTable { is_nested }
         } else {
-            Form::Table { is_nested }
+            Kind::Table { is_nested }
         };
-        (form, key)
+        (kind, key)
     }
 
-    /// Consumes the rest of a statement, which ends at the first line break outside of arrays and inline tables.
+    /// Consumes the rest of a statement up to the first line break outside of arrays and inline tables.
     fn skip_to_end(&mut self) {
         let mut depth = 0usize;
         for token in self.tokens.by_ref() {
@@ -239,14 +248,14 @@
             .tokens
             .peek()
             .filter(|token| token.kind() != TokenKind::Eof)?;
-        let start = first.span().start();
-        let (form, key) = if self.consume(TokenKind::LeftSquareBracket) {
-            self.header()
+        let offset = first.span().start();
+        let (kind, key) = if self.consume(TokenKind::LeftSquareBracket) {
+            self.read_header()
         } else {
-            (Form::Pair, self.key())
+            (Kind::KeyValue, self.peek_key())
         };
         self.skip_to_end();
-        Some(Statement { start, form, key })
+        Some(Statement { offset, kind, key })
     }
 }
 
--- a/crates/config/src/reader/tables.rs
+++ b/crates/config/src/reader/tables.rs
@@ -1,5 +1,5 @@
-//! The tables of a settings file as they are written: each field has the name of its key, which is part of the published
-//! format. [`super::mapping`] converts them to the model's terms.
+//! The tables of a settings file. Each field has the name of its key, which is part of the published format;
+//! [`super::mapping`] converts the tables to the model.
 
 use super::fleet::{FleetTable, ManagementTable};
 use super::values::{
@@ -11,7 +11,7 @@
 use std::path::PathBuf;
 use toml::Spanned;
 
-/// A whole file.
+/// The root table of a file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct File {
@@ -59,7 +59,7 @@
     pub(super) entry: Option<Spanned<EntryTable>>,
 }
 
-/// `[registry.entry]`: the entry of this node.
+/// `[registry.entry]`: the entry that this node registers.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct EntryTable {
@@ -71,7 +71,7 @@
     pub(super) guarded: bool,
 }
 
-/// `stale`: what to do while the registry can't be reached for long.
+/// `stale`: what to do when the registry has not been reachable for too long.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(super) enum StaleValue {
@@ -96,7 +96,7 @@
     pub(super) known: Vec<Spanned<ServerTable>>,
 }
 
-/// `owner`: who has to have written the entries.
+/// `owner`: the identity that has to own the entries.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct OwnerTable {
@@ -171,7 +171,7 @@
     pub(super) burst: Option<u32>,
 }
 
-/// `[service.tries]`: limits of attempts, and of connections to servers.
+/// `[service.tries]`: limits of attempts and of connections to servers.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(super) struct TriesTable {
@@ -195,7 +195,7 @@
     }
 }
 
-/// `[service.cold]`: how servers warm up.
+/// `[service.cold]`: the slow start of servers.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(super) struct SlowStartTable {
--- a/crates/config/src/reader/values.rs
+++ b/crates/config/src/reader/values.rs
@@ -1,5 +1,5 @@
-//! Single values of a file, parsed while the file is deserialized: quantities with units, addresses, patterns, bounded
-//! numbers. An error is reported with the place of its value.
+//! Parses single values while a file is deserialized: quantities with units, addresses, patterns and bounded numbers.
+//! Errors are reported with the position of the value.
 
 use crate::units::{self, UnitError};
 use reelfall_balancer::interface::Time;
@@ -11,11 +11,11 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// A value that the format `F` parses from a string of the file.
+/// A value that the format `F` has parsed from a string of the file.
 pub(super) struct Parsed<T, F>(pub(super) T, PhantomData<F>);
 
 impl<T, F> Parsed<T, F> {
-    /// The value of a key that is absent.
+    /// The default of an absent key.
     pub(super) fn default_value(value: T) -> Self {
         Parsed(value, PhantomData)
     }
@@ -27,32 +27,32 @@
     }
 }
 
-/// Parses the strings of one kind of value.
+/// A format of strings that represent a value.
 pub(super) trait Format<T> {
-    /// Says how such a value is written.
+    /// A hint on how to write the value.
     const HELP: &'static str;
-    /// Parses a string.
+    /// Parses a string of this format.
     fn parse(text: &str) -> Result<T, ValueError>;
 }
 
-/// Why a string is no value of its kind.
+/// Why a string does not represent a value of its format.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(super) enum ValueError {
-    /// It is no quantity with a unit.
+    /// It is not a quantity with a unit.
     #[error(transparent)]
     Unit(#[from] UnitError),
-    /// It is no socket address.
-    #[error("`{text}` is no address: write one with its port, as \"127.0.0.1:8443\"")]
+    /// It is not a socket address.
+    #[error("`{text}` is not an address: write it with its port, such as \"127.0.0.1:8443\"")]
     Address {
         /// The string.
         text: String,
     },
-    /// It is no pattern of a host or path.
+    /// It is not a host pattern or path prefix.
     #[error("`{text}`: {source}")]
     Pattern {
         /// The string.
         text: String,
-        /// What is wrong with it.
+        /// Why it is invalid.
         source: PatternError,
     },
 }
@@ -74,12 +74,12 @@
     }
 }
 
-/// Parses a string by its format, and rejects bare numbers with a hint to it.
+/// Parses strings of a format, and rejects numbers with the hint of the format.
 struct FormatVisitor<T, F>(PhantomData<(T, F)>);
 
 impl<T, F: Format<T>> FormatVisitor<T, F> {
     fn bare_number<E: serde::de::Error>(number: impl fmt::Display) -> E {
-        E::custom(format!("`{number}` is a number alone: {}", F::HELP))
+        E::custom(format!("`{number}` is a number, not a string: {}", F::HELP))
     }
 }
 
@@ -103,7 +103,7 @@
     }
 }
 
-/// Declares a format: its name, its values, how they are written, and the function that parses them.
+/// Declares a format: its name, the type of its values, its hint, and the function that parses it.
 macro_rules! value_format {
     ($name:ident, $value:ty, $help:expr, $parse:expr) => {
         pub(super) struct $name;
@@ -129,7 +129,7 @@
 value_format!(
     AddressFormat,
     SocketAddr,
-    "write an address with its port, as \"127.0.0.1:8443\"",
+    "write an address with its port, such as \"127.0.0.1:8443\"",
     |text| text.parse().map_err(|_| ValueError::Address {
         text: text.to_owned()
     })
@@ -137,13 +137,13 @@
 value_format!(
     HostFormat,
     table::HostPattern,
-    "write a host, or `*.` before one, as a text",
+    "write a host, or `*.` followed by a name, as a string",
     |text| table::HostPattern::parse(text).map_err(|error| ValueError::pattern(text, error))
 );
 value_format!(
     PathFormat,
     Box<str>,
-    "write a path prefix as a text",
+    "write a path prefix as a string",
     |text| table::parse_path_prefix(text).map_err(|error| ValueError::pattern(text, error))
 );
 
@@ -154,7 +154,7 @@
 pub(super) type HostText = Parsed<table::HostPattern, HostFormat>;
 pub(super) type PathText = Parsed<Box<str>, PathFormat>;
 
-/// Deserializes a number between two bounds, both included.
+/// Deserializes a number between two bounds, inclusive.
 fn bounded<'de, D: Deserializer<'de>>(
     deserializer: D,
     min: f64,
@@ -181,7 +181,7 @@
     fraction(deserializer).map(Some)
 }
 
-/// Deserializes a positive number that is neither tiny nor huge.
+/// Deserializes a positive number, between 1e-6 and 1e6.
 pub(super) fn positive<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     bounded(deserializer, 1e-6, 1e6)
 }
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -3,42 +3,42 @@
 use reelfall_balancer::interface::Time;
 use thiserror::Error;
 
-/// Why a quantity can't be parsed.
+/// Why a text is not a quantity.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum UnitError {
-    /// The number has no unit.
+    /// The text has a number without a unit.
     #[error("`{text}` has no unit: {help}")]
     MissingUnit {
-        /// What was written.
+        /// The text.
         text: String,
         /// How to write such a quantity.
         help: &'static str,
     },
-    /// Number or unit is not one of this quantity.
-    #[error("`{text}` is no {expected}")]
+    /// The number is invalid, or the unit is not one of this quantity.
+    #[error("`{text}` is not a {expected}")]
     Invalid {
-        /// What was written.
+        /// The text.
         text: String,
         /// The quantity, and how to write it.
         expected: &'static str,
     },
 }
 
-/// How to write a time.
-pub const TIME_HELP: &str = "write a time with ms, s or m, as \"250ms\"";
-/// How to write a size.
-pub const SIZE_HELP: &str = "write a size with B, KiB, MiB or GiB, as \"64KiB\"";
-/// How to write a rate.
-pub const RATE_HELP: &str = "write a rate with /s or /m, as \"300/s\"";
+/// A hint on how to write a time.
+pub const TIME_HELP: &str = "write a time in ms, s or m, such as \"250ms\"";
+/// A hint on how to write a size.
+pub const SIZE_HELP: &str = "write a size in B, KiB, MiB or GiB, such as \"64KiB\"";
+/// A hint on how to write a rate.
+pub const RATE_HELP: &str = "write a rate with /s or /m, such as \"300/s\"";
 
-/// A unit of a quantity.
+/// A unit of a quantity, such as milliseconds of a time.
 struct Unit {
     name: &'static str,
-    /// The value of one such unit in the quantity's base unit.
+    /// The value of the unit in the base unit of the quantity.
     factor: f64,
 }
 
-/// Splits a quantity into its number and its unit.
+/// Splits a quantity into its number and its unit, either of which may be empty.
 fn split_unit(text: &str) -> (&str, &str) {
     let text = text.trim();
     let end = text
@@ -48,6 +48,7 @@
     (number, unit.trim_start())
 }
 
+/// Parses a quantity to a number of its base unit.
 fn parse_quantity(
     text: &str,
     expected: &'static str,
@@ -75,14 +76,14 @@
         .ok_or_else(invalid)
 }
 
-/// Parses a time to seconds: `250ms`, `1.5s`, `2m`.
+/// Parses a time and returns it in seconds: `250ms`, `1.5s`, `2m`.
 ///
 /// # Errors
-/// If number or unit is missing, or the unit is another one.
+/// If the number or the unit is missing or invalid.
 pub fn parse_time(text: &str) -> Result<Time, UnitError> {
     parse_quantity(
         text,
-        "time: write it with ms, s or m, as \"250ms\"",
+        "time: write it in ms, s or m, such as \"250ms\"",
         TIME_HELP,
         &[
             Unit {
@@ -101,14 +102,14 @@
     )
 }
 
-/// Parses a rate to a number per second: `300/s`, `90/m`.
+/// Parses a rate and returns it per second: `300/s`, `90/m`.
 ///
 /// # Errors
-/// If number or unit is missing, or the unit is another one.
+/// If the number or the unit is missing or invalid.
 pub fn parse_rate(text: &str) -> Result<f64, UnitError> {
     parse_quantity(
         text,
-        "rate: write it with /s or /m, as \"300/s\"",
+        "rate: write it with /s or /m, such as \"300/s\"",
         RATE_HELP,
         &[
             Unit {
@@ -123,12 +124,12 @@
     )
 }
 
-/// Parses a size to bytes: `512B`, `64KiB`, `8MiB`, `1GiB`.
+/// Parses a size and returns it in bytes: `512B`, `64KiB`, `8MiB`, `1GiB`.
 ///
 /// # Errors
-/// If the integer or its unit is missing, or the unit is another one.
+/// If the integer or the unit is missing or invalid, or the size exceeds [`u64::MAX`].
 pub fn parse_size(text: &str) -> Result<u64, UnitError> {
-    const EXPECTED: &str = "size: write it with B, KiB, MiB or GiB, as \"64KiB\"";
+    const EXPECTED: &str = "size: write it in B, KiB, MiB or GiB, such as \"64KiB\"";
     let (number, unit) = split_unit(text);
     let invalid = || UnitError::Invalid {
         text: text.to_owned(),
--- a/crates/config/tests/bounds.rs
+++ b/crates/config/tests/bounds.rs
@@ -10,9 +10,9 @@
 use reelfall_config::reader;
 use reelfall_routing::table::ListenerId;
 
-/// Services of the largest deployment.
+/// The number of services of the largest deployment.
 const EXPECTED_SERVICES: usize = 2_600;
-/// Routes of the largest deployment.
+/// The number of routes of the largest deployment.
 const EXPECTED_ROUTES: usize = 74_000;
 
 fn errors(text: &str) -> Vec<String> {
@@ -36,7 +36,7 @@
     assert_bounded(
         MAX_SERVICES,
         make_file,
-        "f.toml: 4097 services, 4096 at most",
+        "f.toml: too many services: 4097, but at most 4096 are allowed",
     );
 }
 
@@ -46,7 +46,7 @@
     assert_bounded(
         MAX_LISTENERS,
         make_file,
-        "f.toml: 257 listeners, 256 at most",
+        "f.toml: too many listeners: 257, but at most 256 are allowed",
     );
 }
 
@@ -57,7 +57,7 @@
     assert_bounded(
         MAX_CLASSES,
         make_file,
-        "f.toml:4: service `a` has 257 classes, 256 at most",
+        "f.toml:4: service `a` has 257 classes, but at most 256 are allowed",
     );
 }
 
@@ -68,7 +68,7 @@
     assert_bounded(
         MAX_TENANTS,
         make_file,
-        "f.toml:4: service `a` has 65536 members, 65535 at most",
+        "f.toml:4: service `a` has 65536 members, but at most 65535 are allowed",
     );
 }
 
--- a/crates/config/tests/corpus/examples.rs
+++ b/crates/config/tests/corpus/examples.rs
@@ -1,4 +1,4 @@
-//! The example files of the deployment.
+//! The example settings files of the folder `deploy/examples`.
 
 use reelfall_config::{check, reader};
 use reelfall_routing::table::RouteQuery;
@@ -30,7 +30,7 @@
         assert_eq!(
             plan.matching_routes(&query).first().copied(),
             route,
-            "the explanation differs from the route"
+            "the first matching route differs from the route that the table finds"
         );
         route.map(|route| {
             plan.model.services[plan.route_targets[route].service]
--- a/crates/config/tests/corpus/files.rs
+++ b/crates/config/tests/corpus/files.rs
@@ -6,7 +6,7 @@
 #[test]
 fn file_without_required_parts_is_rejected() {
     for expected in [
-        "f.toml: nothing to listen on: add [[listener]] with a name and an address",
+        "f.toml: no listeners: add [[listener]] with a name and an address",
         "f.toml: no services: add [[service]]",
     ] {
         assert_error("", expected);
@@ -14,24 +14,24 @@
 }
 
 #[test]
-fn error_of_syntax_has_its_line() {
+fn syntax_and_value_errors_have_their_line() {
     for (text, expected) in [
         ("[process\n", "f.toml:1: unclosed table, expected `]`"),
         (
             "[process]\nmemory = 500\n",
-            "f.toml:2: `500` is a number alone: write a size with B, KiB, MiB or GiB, as \"64KiB\"",
+            "f.toml:2: `500` is a number, not a string: write a size in B, KiB, MiB or GiB, such as \"64KiB\"",
         ),
         (
             "[process]\nmemory = \"500\"\n",
-            "f.toml:2: `500` has no unit: write a size with B, KiB, MiB or GiB, as \"64KiB\"",
+            "f.toml:2: `500` has no unit: write a size in B, KiB, MiB or GiB, such as \"64KiB\"",
         ),
         (
             "[process]\nmemory = \"5ms\"\n",
-            "f.toml:2: `5ms` is no size: write it with B, KiB, MiB or GiB, as \"64KiB\"",
+            "f.toml:2: `5ms` is not a size: write it in B, KiB, MiB or GiB, such as \"64KiB\"",
         ),
         (
             "[[listener]]\nname = \"l\"\naddress = \"localhost\"\n",
-            "f.toml:3: `localhost` is no address: write one with its port, as \"127.0.0.1:8443\"",
+            "f.toml:3: `localhost` is not an address: write it with its port, such as \"127.0.0.1:8443\"",
         ),
     ] {
         assert_error(text, expected);
@@ -43,23 +43,23 @@
     for (process, expected) in [
         (
             "[process]\nmemory = \"1MiB\"\n",
-            "f.toml:1: memory: 16MiB at least",
+            "f.toml:1: memory: must be at least 16MiB",
         ),
         (
             "\n[process]\ndescriptors = 10\n",
-            "f.toml:2: descriptors: 64 at least",
+            "f.toml:2: descriptors: must be at least 64",
         ),
         (
             "[process]\nnodes = 0\n",
-            "f.toml:1: nodes: this one counts, so 1 at least",
+            "f.toml:1: nodes: must be at least 1, because this node counts",
         ),
         (
             "[process]\nserver_connections = 0\n",
-            "f.toml:1: server_connections: 1 at least",
+            "f.toml:1: server_connections: must be at least 1",
         ),
         (
             "[process]\nclients = 5000\n",
-            "f.toml:1: clients: 5000 do not fit into the descriptors, which leave room for 8 to 570",
+            "f.toml:1: clients: 5000 is not between 8 and 570, which the descriptors allow",
         ),
     ] {
         assert_error(&format!("{process}{}", file_with_service("")), expected);
@@ -72,11 +72,11 @@
     for (listener, expected) in [
         (
             LISTENER,
-            "f.toml:4: listener `l` is there already, at line 1",
+            "f.toml:4: duplicate listener `l`: first defined at line 1",
         ),
         (
             &same_address,
-            "f.toml:4: listener `m` already has the address 127.0.0.1:8443",
+            "f.toml:4: duplicate address 127.0.0.1:8443: already used by listener `m`",
         ),
     ] {
         assert_error(&format!("{listener}{}", file_with_service("")), expected);
@@ -87,14 +87,14 @@
 fn all_errors_are_reported_in_the_order_of_their_lines() {
     let text = file_with_service("tries = { most = 0 }\n").replace("\"100ms\"", "\"2s\"")
         + "listener = \"x\"\n";
-    let places: Vec<String> = errors(&text)
+    let origins: Vec<String> = errors(&text)
         .iter()
         .map(|error| error.split(": ").next().unwrap_or_default().to_owned())
         .collect();
-    assert_eq!(places, ["f.toml:4", "f.toml:7", "f.toml:15"]);
+    assert_eq!(origins, ["f.toml:4", "f.toml:7", "f.toml:15"]);
 }
 
-/// Neither a truncated file nor one with a control character makes the reader panic.
+/// The reader does not panic on a file that is truncated, or that has a control character in any place.
 #[test]
 fn corrupted_files_do_not_panic() {
     const CONTROL_CHARACTER: u8 = b'\x01';
--- a/crates/config/tests/corpus/fleet.rs
+++ b/crates/config/tests/corpus/fleet.rs
@@ -37,7 +37,7 @@
         ),
         (
             "answer_within = \"1s\"",
-            "f.toml:1: fleet: answer_within is more than 0 and less than probe_every",
+            "f.toml:1: fleet: answer_within must be more than 0 and less than probe_every",
         ),
         (
             "size = 0",
@@ -49,6 +49,6 @@
     let unspecified_address = file_with_fleet("").replace("127.0.0.1:7946", "0.0.0.0:7946");
     assert_error(
         &unspecified_address,
-        "f.toml:1: fleet: nobody can send to 0.0.0.0:7946: add advertise",
+        "f.toml:1: fleet: peers can't send to 0.0.0.0:7946: set advertise",
     );
 }
--- a/crates/config/tests/corpus/graphql.rs
+++ b/crates/config/tests/corpus/graphql.rs
@@ -26,7 +26,7 @@
         ),
         (
             "query = { evaluate = \"x\" }\n",
-            "f.toml:6: service `a`: there is no class `x`",
+            "f.toml:6: service `a`: unknown class `x`",
         ),
         (
             "depth = 100\n",
@@ -34,7 +34,7 @@
         ),
         (
             "batch = 0\n",
-            "f.toml:6: service `a`: batch is 1 to 256, side_by_side 1 to 64",
+            "f.toml:6: service `a`: batch must be 1 to 256, side_by_side 1 to 64",
         ),
     ] {
         assert_error(&file_with_graphql(settings), expected);
--- a/crates/config/tests/corpus/main.rs
+++ b/crates/config/tests/corpus/main.rs
@@ -1,4 +1,4 @@
-//! Settings files: invalid ones with the errors that are reported, and valid ones with their meaning.
+//! Settings files: the errors that are reported for invalid ones, and the meaning of valid ones.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -14,17 +14,17 @@
 use common::{CLASS, LISTENER, SERVER};
 use reelfall_config::{check, reader};
 
-/// A part that each service needs.
+/// A route that matches every request; each service needs a route.
 const ROUTE: &str = "[[service.route]]\n";
 
 const NO_ERRORS: [&str; 0] = [];
 
-/// A valid file with one service, if the settings are valid.
+/// A file with one service that has these settings; it is valid if the settings are.
 fn file_with_service(settings: &str) -> String {
     format!("{LISTENER}[[service]]\nname = \"a\"\n{settings}{CLASS}{SERVER}{ROUTE}")
 }
 
-/// The errors of a file, as they are reported.
+/// The texts of all errors of a file.
 fn errors(text: &str) -> Vec<String> {
     let result = reader::parse_toml("f.toml", text).and_then(check);
     result
@@ -33,7 +33,7 @@
         .unwrap_or_default()
 }
 
-/// Asserts that an error is among those of a file.
+/// Asserts that a file has the expected error, possibly among others.
 #[track_caller]
 fn assert_error(text: &str, expected: &str) {
     let errors = errors(text);
--- a/crates/config/tests/corpus/registry.rs
+++ b/crates/config/tests/corpus/registry.rs
@@ -1,4 +1,4 @@
-//! The settings of a registry, and of services that follow it.
+//! The settings of registries, and of services that follow them.
 
 use crate::common::SERVER;
 use crate::{assert_error, errors, file_with_service, NO_ERRORS};
@@ -40,19 +40,19 @@
         ),
         (
             "session = 6",
-            "f.toml:4: `6` is a number alone: write a time with ms, s or m, as \"250ms\"",
+            "f.toml:4: `6` is a number, not a string: write a time in ms, s or m, such as \"250ms\"",
         ),
         (
             "connect = \"1m\"",
-            "f.toml:1: registry `r`: connect is more than 0 and at most session",
+            "f.toml:1: registry `r`: connect must be more than 0 and at most session",
         ),
         (
             &invalid_path,
-            "f.toml:4: `nodes` is no path of a registry: write it as \"/nodes/n1\"",
+            "f.toml:4: invalid registry path `nodes`: write an absolute path, such as \"/nodes/n1\"",
         ),
         (
             &guarded,
-            "f.toml:4: registry `r`: a guarded entry needs digest_file, or nobody could change it",
+            "f.toml:4: registry `r`: a guarded entry requires digest_file; without it, no one could change the entry",
         ),
     ] {
         assert_error(
@@ -68,12 +68,12 @@
         (
             "path = \"/flags\"",
             "path = \"/flags/../x\"",
-            "f.toml:7: service `a`: `/flags/../x` is no path of a registry: write it as \"/flags/evaluate\"",
+            "f.toml:7: service `a`: invalid registry path `/flags/../x`: write an absolute path, such as \"/flags/evaluate\"",
         ),
         (
             "registry = { name = \"r\"",
             "registry = { name = \"q\"",
-            "f.toml:7: service `a`: there is no registry `q`",
+            "f.toml:7: service `a`: unknown registry `q`",
         ),
     ] {
         assert_error(
@@ -88,7 +88,7 @@
         ),
         (
             ", reread = \"10ms\"",
-            "f.toml:7: service `a`: reread and stale_after are 1s at least",
+            "f.toml:7: service `a`: reread and stale_after must be at least 1s",
         ),
         (
             ", stale = \"never\"",
--- a/crates/config/tests/corpus/routes.rs
+++ b/crates/config/tests/corpus/routes.rs
@@ -8,7 +8,7 @@
     for (settings, expected) in [
         (
             "listener = \"x\"\n",
-            "f.toml:14: there is no listener `x`",
+            "f.toml:14: unknown listener `x`",
         ),
         (
             "assign = \"x\"\n",
@@ -16,11 +16,11 @@
         ),
         (
             "methods = [\"BREW\"]\n",
-            "f.toml:14: method `BREW` is not served: GET, POST, PUT, PATCH, DELETE",
+            "f.toml:14: unsupported method `BREW`: use GET, POST, PUT, PATCH, DELETE",
         ),
         (
             "methods = [\"GET\", \"GET\"]\n",
-            "f.toml:14: method `GET` is named twice",
+            "f.toml:14: duplicate method `GET`",
         ),
         (
             "host = \"a:80\"\n",
@@ -39,13 +39,13 @@
 fn ambiguous_routes_are_rejected() {
     assert_error(
         &(file_with_service("") + ROUTE),
-        "f.toml:15: this route can't be told apart from the one at line 14",
+        "f.toml:15: ambiguous route: overlaps with the equally specific route at line 14",
     );
     let other_service = format!("[[service]]\nname = \"b\"\n{CLASS}{SERVER}{ROUTE}");
     let two_services = file_with_service("") + &other_service;
     assert_error(
         &format!("{two_services}path = \"/\"\n"),
-        "f.toml:25: this route can't be told apart from the one at line 14",
+        "f.toml:25: ambiguous route: overlaps with the equally specific route at line 14",
     );
     // Routes that differ only in their methods are not ambiguous.
     assert_eq!(
--- a/crates/config/tests/corpus/services.rs
+++ b/crates/config/tests/corpus/services.rs
@@ -9,15 +9,15 @@
     for (part, expected) in [
         (
             SERVER,
-            "f.toml:4: service `a` has no servers: add [[service.server]], a discovery or a registry",
+            "f.toml:4: service `a` has no servers: add [[service.server]], discovery or registry",
         ),
         (
             CLASS,
-            "f.toml:4: service `a` knows no requests: add [[service.class]]",
+            "f.toml:4: service `a` has no classes: add [[service.class]]",
         ),
         (
             ROUTE,
-            "f.toml:4: nothing reaches service `a`: add [[service.route]]",
+            "f.toml:4: service `a` has no routes: add [[service.route]]",
         ),
     ] {
         assert_error(&file_with_service("").replace(part, ""), expected);
@@ -28,7 +28,7 @@
 fn invalid_service_settings_are_rejected() {
     assert_error(
         &file_with_service("").replace("name = \"a\"", "name = \"a b\""),
-        "f.toml:4: `a b` is no name for a service: use letters, digits, `-`, `_` and `.`",
+        "f.toml:4: invalid service name `a b`: use letters, digits, `-`, `_` and `.`",
     );
     for (settings, expected) in [
         (
@@ -41,7 +41,7 @@
         ),
         (
             "discovery = \"127.0.0.1:8500\"\n",
-            "f.toml:4: service `a`: servers, a discovery and a registry are three sources: keep one",
+            "f.toml:4: service `a` has several sources of servers: keep only one of [[service.server]], discovery and registry",
         ),
         (
             "tries = { most = 0 }\n",
@@ -53,7 +53,7 @@
         ),
         (
             "tries = { connect = \"0s\" }\n",
-            "f.toml:4: service `a`: tries.connect and tries.idle are more than 0",
+            "f.toml:4: service `a`: tries.connect and tries.idle must be more than 0",
         ),
         (
             "cold = { factor = 0 }\n",
@@ -69,19 +69,19 @@
     for (settings, expected) in [
         (
             "limits = { rate = 300 }\n",
-            "f.toml:6: `300` is a number alone: write a rate with /s or /m, as \"300/s\"",
+            "f.toml:6: `300` is a number, not a string: write a rate with /s or /m, such as \"300/s\"",
         ),
         (
             "limits = { rate = \"0/s\" }\n",
-            "f.toml:6: service `a`: a rate is more than 0/s and its burst 1 at least",
+            "f.toml:6: service `a`: rate must be more than 0/s, and burst at least 1",
         ),
         (
             "limits = { open = 5, open_reserved = 6 }\n",
-            "f.toml:6: service `a`: open requests: 6 are reserved, but it may have 5",
+            "f.toml:6: service `a`: open requests: 6 are reserved, but the maximum is 5",
         ),
         (
             "limits = { open = 0 }\n",
-            "f.toml:6: service `a`: open requests: 0 lets nothing through; to stop it, write state = \"draining\"",
+            "f.toml:6: service `a`: open requests: a maximum of 0 rejects every request; to stop the service, set state = \"draining\"",
         ),
         (
             "limits = { weight = 0 }\n",
@@ -93,12 +93,12 @@
     let reservation = file_with_service("limits = { open_reserved = 90 }\n");
     assert_error(
         &format!("[process]\ndescriptors = 100\n{reservation}"),
-        "f.toml:1: the reservations do not fit the process: open requests: 90 units are reserved, but the total is 32",
+        "f.toml:1: the reservations exceed the resources of the process: open requests: 90 units are reserved, but the total is 32",
     );
     let member = "[[service.member]]\nname = \"m\"\nquota = \"0/s\"\n";
     assert_error(
         &(file_with_service("") + member),
-        "f.toml:15: member `m`: a quota is more than 0/s",
+        "f.toml:15: member `m`: quota must be more than 0/s",
     );
 }
 
@@ -108,27 +108,27 @@
         (
             "\"100ms\"",
             "100",
-            "f.toml:9: `100` is a number alone: write a time with ms, s or m, as \"250ms\"",
+            "f.toml:9: `100` is a number, not a string: write a time in ms, s or m, such as \"250ms\"",
         ),
         (
             "\"100ms\"",
             "\"100\"",
-            "f.toml:9: `100` has no unit: write a time with ms, s or m, as \"250ms\"",
+            "f.toml:9: `100` has no unit: write a time in ms, s or m, such as \"250ms\"",
         ),
         (
             "\"100ms\"",
             "\"2s\"",
-            "f.toml:6: class `c`: aim (2s) is past its deadline (1s)",
+            "f.toml:6: class `c`: aim (2s) exceeds the deadline (1s)",
         ),
         (
             "\"100ms\"",
             "\"0s\"",
-            "f.toml:6: class `c`: aim is more than 0",
+            "f.toml:6: class `c`: aim must be more than 0",
         ),
         (
             "\"1s\"",
             "\"2m\"",
-            "f.toml:6: class `c`: deadline is 120s, 60s at most",
+            "f.toml:6: class `c`: deadline is 120s, but at most 60s is allowed",
         ),
         (
             "\"safe\"",
--- a/crates/config/tests/corpus/units.rs
+++ b/crates/config/tests/corpus/units.rs
@@ -1,9 +1,9 @@
-//! Values with units.
+//! Quantities with units.
 
 use reelfall_config::units;
 
 #[test]
-fn values_need_a_number_and_a_known_unit() {
+fn quantities_need_a_number_and_a_known_unit() {
     assert_eq!(units::parse_time("250ms"), Ok(0.25));
     assert_eq!(units::parse_time("1.5 s"), Ok(1.5));
     assert_eq!(units::parse_time("2m"), Ok(120.0));
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -1,5 +1,5 @@
-//! A settings file with every key is read as at commit c58caac. Keys that are unknown are refused, so a key that is renamed
-//! is seen here.
+//! A settings file that has every key is read as at commit c58caac. Unknown keys are rejected, so a renamed key fails this
+//! test.
 
 use reelfall_config::model::ListSource;
 use reelfall_config::{check, reader};
@@ -68,22 +68,22 @@
         ),
         (0.2, 0.75, 1.0, 0.0)
     );
-    let (tries, cold) = (service.attempts, service.slow_start);
+    let (attempts, slow_start) = (service.attempts, service.slow_start);
     assert_eq!(
         (
-            tries.max,
-            tries.retry_budget_ratio,
-            tries.connect_timeout,
-            tries.idle_timeout
+            attempts.max,
+            attempts.retry_budget_ratio,
+            attempts.connect_timeout,
+            attempts.idle_timeout
         ),
         (4, 0.1, 0.3, 20.0)
     );
     assert_eq!(
         (
-            cold.initial_capacity,
-            cold.duration,
-            cold.overload_factor,
-            cold.overload_window
+            slow_start.initial_capacity,
+            slow_start.duration,
+            slow_start.overload_factor,
+            slow_start.overload_window
         ),
         (0.4, 12.0, 2.5, 2.0)
     );
@@ -94,7 +94,7 @@
         ("okoli-pay", 50.0)
     );
     let ListSource::Static(servers) = &service.list_source else {
-        panic!("no servers")
+        panic!("the first service has no static list")
     };
     assert_eq!(
         (servers[0].zone.as_deref(), servers[0].weight),
--- a/crates/config/tests/growth.rs
+++ b/crates/config/tests/growth.rs
@@ -1,8 +1,8 @@
 //! The cost of reading and checking a settings file is linear in its size, whichever kind of item it has many of.
 //!
-//! The cost is the CPU time of the test's own thread, so that other load does not count, and the minimum of several
-//! runs. In a file of eight times the size, the cost of one item can be three times as high; a search through all
-//! earlier items for each item would make it eight times as high.
+//! The cost is the minimum CPU time of the test's own thread over several runs, so that other load does not count. In a
+//! file of eight times the size, the cost per item may be up to three times as high. A linear search through the earlier
+//! items for each item would make it eight times as high.
 
 mod common;
 
@@ -18,11 +18,11 @@
 const SIZE_RATIO: usize = 8;
 /// The maximum cost of the large file, divided by the cost of the small file.
 const MAX_COST_RATIO: f64 = 24.0;
-/// The number of runs of which the cheapest counts.
+/// The number of runs, of which the one with the lowest cost counts.
 const RUNS: usize = 5;
-/// From the index of a service's first server to that of its second, so that no two servers share an address.
+/// The difference between the indices of a service's two servers, so that no two servers share an address.
 const SECOND_SERVER_OFFSET: usize = 10_000;
-/// Registries of a file for each of its services.
+/// The number of registries in a file for each of its services.
 const REGISTRIES_PER_SERVICE: usize = 8;
 
 fn thread_cpu_time() -> Duration {
@@ -31,7 +31,7 @@
         .into()
 }
 
-/// The minimum CPU time of several runs in seconds; each run has a new input.
+/// The minimum CPU time of several runs, in seconds; each run gets a new input.
 fn min_cost<Input, Output>(make_input: impl Fn() -> Input, run: impl Fn(Input) -> Output) -> f64 {
     let runs = (0..RUNS).map(|_| {
         let input = make_input();
--- a/crates/config/tests/memory.rs
+++ b/crates/config/tests/memory.rs
@@ -1,6 +1,6 @@
 //! Reading a file of many services needs little more memory than its model.
 //!
-//! This is the only test of its program, because it measures the memory of the process.
+//! This is the only test in its binary, because it measures the memory of the process.
 
 mod common;
 
@@ -9,7 +9,8 @@
 
 const SERVICES: usize = 400;
 const TENANTS_PER_SERVICE: usize = 200;
-/// The maximum memory for reading, divided by the length of the file: the model, and the syntax tree of one service.
+/// The maximum memory for reading, divided by the length of the file; it covers the model and the syntax tree of one
+/// service.
 const MAX_MEMORY_FACTOR: usize = 8;
 
 const BYTES_PER_KIBIBYTE: usize = 1024;
@@ -36,7 +37,7 @@
     let factor = used_bytes / text.len();
     assert!(
         factor < MAX_MEMORY_FACTOR,
-        "{used_bytes} bytes for a text of {}: {factor} times as much",
+        "{used_bytes} bytes of memory for a text of {} bytes: {factor} times as much",
         text.len()
     );
 }
--- a/crates/config/tests/sections.rs
+++ b/crates/config/tests/sections.rs
@@ -1,7 +1,7 @@
-//! Reading a file service by service gives the same model and the same errors as parsing it in one piece.
+//! Reading a file service by service gives the same model and the same errors as parsing it as a whole.
 //!
-//! A key with escapes in a header makes the reader parse the file in one piece. So each file of these tests is read
-//! twice: with a listener whose header has a bare key, and with one whose header has escapes.
+//! A header key with escapes makes the reader parse the file as a whole. So each file of these tests is read twice: with
+//! a listener whose header has a bare key, and with one whose header key has escapes.
 
 mod common;
 
@@ -12,18 +12,18 @@
 const BARE_HEADER: &str = "[[listener]]";
 const ESCAPED_HEADER: &str = "[[\"list\\u0065ner\"]]";
 
-/// What both ways of reading give for the same settings.
+/// The results of both ways of reading the same settings.
 struct Readings {
     by_service: Result<Model, ConfigErrors>,
-    in_one_piece: Result<Model, ConfigErrors>,
+    as_whole: Result<Model, ConfigErrors>,
 }
 
-/// Reads a file service by service and in one piece; `make_file` writes it with the given listener.
+/// Reads a file service by service and as a whole; `make_file` returns its text with the given listener.
 fn read_both_ways(make_file: impl Fn(&str) -> String) -> Readings {
     let read = |listener: &str| reader::parse_toml("f.toml", &make_file(listener));
     Readings {
         by_service: read(LISTENER),
-        in_one_piece: read(&LISTENER.replace(BARE_HEADER, ESCAPED_HEADER)),
+        as_whole: read(&LISTENER.replace(BARE_HEADER, ESCAPED_HEADER)),
     }
 }
 
@@ -47,19 +47,19 @@
 #[track_caller]
 fn assert_equal_readings(text: &str) {
     let readings = read_both_ways(|listener| text.to_owned() + listener);
-    match (readings.by_service, readings.in_one_piece) {
-        (Ok(by_service), Ok(in_one_piece)) => {
-            assert_eq!(by_service, in_one_piece, "for\n{text}");
-            assert_eq!(origins(&by_service), origins(&in_one_piece), "for\n{text}");
+    match (readings.by_service, readings.as_whole) {
+        (Ok(by_service), Ok(as_whole)) => {
+            assert_eq!(by_service, as_whole, "for\n{text}");
+            assert_eq!(origins(&by_service), origins(&as_whole), "for\n{text}");
         }
         (Err(_), Err(_)) => {}
-        (by_service, in_one_piece) => {
-            panic!("{by_service:?}\ninstead of\n{in_one_piece:?}\nfor\n{text}")
+        (by_service, as_whole) => {
+            panic!("{by_service:?}\ninstead of\n{as_whole:?}\nfor\n{text}")
         }
     }
 }
 
-/// Fragments of a file whose validity depends on what precedes them.
+/// Fragments of a file; whether one is valid depends on those before it.
 const FRAGMENTS: [&str; 11] = [
     "[[listener]]\nname = \"m\"\naddress = \"127.0.0.1:8444\"\n",
     "[[service]]\nname = \"a\"\nserver = []\n",
@@ -74,14 +74,14 @@
     "methods = [\n\"GET\", # ]\n\"PUT\"]\n",
 ];
 
-/// The length of the longest sequence of fragments.
+/// The number of fragments in the longest sequence.
 const MAX_SEQUENCE: u32 = 4;
 
 #[test]
-fn both_readers_agree_on_all_sequences_of_fragments() {
+fn both_ways_of_reading_agree_on_all_sequences_of_fragments() {
     let kinds = FRAGMENTS.len();
     for length in 0..=MAX_SEQUENCE {
-        // The digits of a sequence's number, to the base of `kinds`, are the indices of its fragments.
+        // The digits of the number of a sequence, in base `kinds`, are the indices of its fragments.
         for sequence in 0..kinds.pow(length) {
             let fragment = |position| FRAGMENTS[sequence / kinds.pow(position) % kinds];
             assert_equal_readings(&(0..length).map(fragment).collect::<String>());
@@ -90,9 +90,9 @@
 }
 
 #[test]
-fn both_readers_report_the_same_faults() {
+fn both_ways_of_reading_report_the_same_errors() {
     let services = whole_service(0) + "[process]\nnodes = 1\n" + &whole_service(1);
-    for faulty_line in [
+    for invalid_line in [
         "colour = 1\n",
         "methods = [\"GET\"\n",
         "methods = [\n[[\"service\"]]\n]\n",
@@ -120,10 +120,10 @@
     ] {
         let Readings {
             by_service,
-            in_one_piece,
-        } = read_both_ways(|listener| listener.to_owned() + &services + faulty_line);
-        assert!(in_one_piece.is_err(), "no error: {faulty_line}");
-        assert_eq!(by_service, in_one_piece, "for {faulty_line}");
+            as_whole,
+        } = read_both_ways(|listener| listener.to_owned() + &services + invalid_line);
+        assert!(as_whole.is_err(), "no error: {invalid_line}");
+        assert_eq!(by_service, as_whole, "for {invalid_line}");
     }
 }
 
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -189,7 +189,7 @@
 
 /// Two ambiguous routes, by their indices in the list from which the table was to be built.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("routes {first} and {second} have the same conditions")]
+#[error("routes {first} and {second} overlap and are equally specific")]
 pub struct AmbiguousRoutes {
     /// The earlier route.
     pub first: usize,
--- a/crates/testbed/tests/services/reload.rs
+++ b/crates/testbed/tests/services/reload.rs
@@ -89,7 +89,7 @@
     node.replace_settings(&without_unit).unwrap();
     let logged = node.wait_for_log("services.toml:").await.unwrap();
     assert!(
-        logged.contains("services.toml:11: `500` is a number alone"),
+        logged.contains("services.toml:11: `500` is a number, not a string"),
         "{logged}"
     );
     node.wait_for_log(RELOAD_FAILED_LOG).await.unwrap();
