--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -192,7 +192,7 @@
     pub classes: Vec<Located<Class>>,
     /// The tenants that have a quota of requests.
     pub tenants: Vec<Located<Tenant>>,
-    /// The routes that lead to it.
+    /// The routes that select it.
     pub routes: Vec<Located<Route>>,
 }
 
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -35,7 +35,7 @@
 }
 
 impl Quota {
-    /// No reservation, and no maximum below the total.
+    /// No reservation, and no limit except the total.
     pub const UNLIMITED: Quota = Quota {
         reserved: 0,
         max: u64::MAX,
@@ -60,7 +60,7 @@
     #[error("all unreserved units are in use")]
     Exhausted,
     /// The consumer would exceed its fair share while another one waits for units within its own.
-    #[error("over its fair share while another waits for its own")]
+    #[error("fair share exceeded while another consumer waits for its own")]
     OverFairShare,
 }
 
