--- a/crates/config/src/check/plan.rs
+++ b/crates/config/src/check/plan.rs
@@ -1,4 +1,4 @@
-//! The result of a check: what the node follows.
+//! The result of a successful check, which a node puts in force.
 
 use crate::model::{AttemptLimits, Class, Model, Origin, RetrySafety, Service, SlowStart};
 use reelfall_balancer::interface as core;
@@ -6,30 +6,30 @@
 use reelfall_routing::limits::ProcessResources;
 use reelfall_routing::table::{RouteConditions, RouteQuery, RouteTable};
 
-/// Where a route leads.
+/// The service and class that a route assigns to requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteTarget {
     /// The index of the service in [`Model::services`].
     pub service: usize,
     /// The index in [`Service::classes`] of the class that the route assigns, if it assigns one.
-    pub assign: Option<core::ClassId>,
+    pub assigned_class: Option<core::ClassId>,
 }
 
-/// A valid model, with its route table and the capacity of the process.
+/// A validated settings file, with its route table and the capacity of the process.
 #[derive(Debug)]
 pub struct Plan {
-    /// The content of the file.
+    /// The validated content of the file.
     pub model: Model,
-    /// The route table.
-    pub table: RouteTable,
-    /// Where each route leads, by its index in the table; the routes of a service are consecutive, in its order.
-    pub goals: Vec<RouteTarget>,
-    /// What each route matches, by its index in the table.
-    pub matches: Vec<RouteConditions>,
-    /// What all services together may use.
-    pub totals: ProcessResources,
+    /// The route table, which returns the index of a route.
+    pub route_table: RouteTable,
+    /// The target of each route, by its index in the table. The routes of a service are consecutive and in its order.
+    pub route_targets: Vec<RouteTarget>,
+    /// The conditions of each route, by its index in the table.
+    pub route_conditions: Vec<RouteConditions>,
+    /// The resources that all services share.
+    pub resources: ProcessResources,
     /// Maximum number of client connections.
-    pub clients: usize,
+    pub max_clients: usize,
 }
 
 impl Plan {
@@ -59,7 +59,7 @@
                 .as_ref()
                 .map(|zone| names.zone(zone)),
             node_count: self.model.process.node_count,
-            // The file does not number the nodes, so each of them has the whole list.
+            // The file does not assign indices to nodes, so each node uses the whole endpoint list.
             node_index: None,
             discovery: core::Discovery::Push,
             load_reports: core::LoadReports::Absent,
@@ -88,24 +88,28 @@
         }
     }
 
-    /// All routes that match a request, in descending order of precedence.
-    pub fn candidates(&self, query: &RouteQuery) -> Vec<usize> {
+    /// The indices of all routes that match a request, in descending order of precedence.
+    pub fn matching_routes(&self, query: &RouteQuery) -> Vec<usize> {
         let specificity = |route: &usize| {
-            let conditions = self.matches.get(*route);
+            let conditions = self.route_conditions.get(*route);
             conditions.map(RouteConditions::specificity)
         };
-        let mut candidates: Vec<usize> = (0..self.matches.len())
-            .filter(|route| self.matches.get(*route).is_some_and(|m| m.matches(query)))
+        let mut candidates: Vec<usize> = (0..self.route_conditions.len())
+            .filter(|route| {
+                self.route_conditions
+                    .get(*route)
+                    .is_some_and(|m| m.matches(query))
+            })
             .collect();
         candidates.sort_by_key(|route| std::cmp::Reverse(specificity(route)));
         candidates
     }
 
-    /// The place of a route in the file.
-    pub fn origin(&self, route: usize) -> Option<&Origin> {
-        let service = self.goals.get(route)?.service;
+    /// The position of a route in the file.
+    pub fn route_origin(&self, route: usize) -> Option<&Origin> {
+        let service = self.route_targets.get(route)?.service;
         let first = self
-            .goals
+            .route_targets
             .partition_point(|target| target.service < service);
         let routes = &self.model.services.get(service)?.routes;
         routes.get(route - first).map(|route| &route.origin)
