--- a/crates/node/src/fleet/events.rs
+++ b/crates/node/src/fleet/events.rs
@@ -152,7 +152,7 @@
                 log.write_line(format_args!("fleet: {node} is leaving"));
             }
             FleetEvent::Updated(Key::Report { server, reporter }) => {
-                self.log_own_report(server, reporter, now)
+                self.log_own_report(server, reporter, now);
             }
             FleetEvent::Updated(_) | FleetEvent::Expired(_) => {}
             FleetEvent::NameConflict => {
