--- a/crates/node/src/net/service/services.rs
+++ b/crates/node/src/net/service/services.rs
@@ -12,19 +12,19 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The services of the plan in force, and those that finish the requests of earlier plans.
+/// The services of the current plan, and those that finish the requests of earlier plans.
 pub struct Services {
     pub(super) shared: Rc<Shared>,
     current: RefCell<Rc<Table>>,
-    /// Replaced or removed services that still have requests. Their sources are followed until these are done, so that
-    /// retries still respect a server's drain.
+    /// Replaced or removed services that still have requests. Their sources are followed until those have
+    /// ended, so that retries still respect a server's drain.
     pub(super) draining_services: RefCell<Vec<Rc<Service>>>,
     last_seed: Cell<u64>,
     retire: Retire,
 }
 
 impl Services {
-    /// No services yet. `seed` seeds the random choices of their pools.
+    /// Creates an empty set of services. `seed` seeds the random choices of their pools.
     pub fn new(shared: Rc<Shared>, seed: u64, retire: Retire) -> Self {
         let empty = Table::empty(retire.clone());
         Services {
@@ -36,20 +36,20 @@
         }
     }
 
-    /// The plan in force, if there is one.
+    /// The current plan, if there is one.
     pub fn current_plan(&self) -> Option<Arc<PreparedPlan>> {
         self.current.borrow().prepared().cloned()
     }
 
-    /// Puts a plan in force, completely or not at all: all that can fail is done before anything changes.
+    /// Applies a plan completely or not at all: every step that can fail is done before anything changes.
     ///
     /// # Errors
-    /// Names the service that can't be started; the plan in force stays so.
+    /// If a service can't be started; the error names it, and the current plan stays in use.
     pub fn apply(&self, prepared: Arc<PreparedPlan>) -> Result<Routing, ApplyPlanError> {
         let services = self.start_services(&prepared)?;
-        // Nothing fails from here on.
+        // Nothing can fail from here on.
         self.shared.set_totals(
-            prepared.plan.totals,
+            prepared.plan.resources,
             prepared.plan.model.process.max_connections_per_server,
         );
         for (service, planned) in services.iter().zip(prepared.planned_services()) {
@@ -63,7 +63,7 @@
         Ok(Routing::Table(table))
     }
 
-    /// The services of a plan: the current ones whose pools can stay, and new ones.
+    /// The services of a plan: current ones whose pools can be retained, and new ones.
     fn start_services(&self, prepared: &PreparedPlan) -> Result<Vec<Rc<Service>>, ApplyPlanError> {
         let current = self.current.borrow().clone();
         let current_by_name: HashMap<&str, &Rc<Service>> = current
@@ -72,7 +72,7 @@
             .map(|service| (service.name.as_str(), service))
             .collect();
         let mut services = Vec::with_capacity(prepared.services.len());
-        let mut added_members = Vec::new();
+        let mut added_ids = Vec::new();
         for planned in prepared.planned_services() {
             let name = &planned.model.name;
             let existing = current_by_name.get(name.as_str()).copied();
@@ -82,17 +82,17 @@
                 services.push(unchanged.clone());
                 continue;
             }
-            // A service and the one that replaces it share one entry in the limits, and thus one amount.
-            let member = existing.and_then(|service| service.member).or_else(|| {
-                let added = self.shared.add_member(&planned.model.limits);
-                added_members.extend(added);
+            // A service and its replacement share one entry in the limits, so that they use one quota.
+            let service_id = existing.and_then(|service| service.service_id).or_else(|| {
+                let added = self.shared.add_service(&planned.model.limits);
+                added_ids.extend(added);
                 added
             });
-            let started = Service::start(&self.shared, &planned, self.next_seed(), member);
+            let started = Service::start(&self.shared, &planned, self.next_seed(), service_id);
             match started {
                 Ok(service) => services.push(service),
                 Err(source) => {
-                    self.remove_members(added_members);
+                    self.remove_from_limits(added_ids);
                     return Err(ApplyPlanError {
                         service: name.clone(),
                         source,
@@ -109,9 +109,9 @@
         seed
     }
 
-    fn remove_members(&self, members: impl IntoIterator<Item = ServiceId>) {
-        for member in members {
-            self.shared.remove_member(member);
+    fn remove_from_limits(&self, service_ids: impl IntoIterator<Item = ServiceId>) {
+        for service_id in service_ids {
+            self.shared.remove_service(service_id);
         }
     }
 
@@ -135,10 +135,11 @@
         }
     }
 
-    /// Leaves a removed service what it uses until it has finished, but reserves nothing for it.
+    /// Ends the reservations of a removed service, which keeps what it uses until it has finished its requests.
     fn release_reservations(&self, service: &Service) {
-        if let Some(member) = service.member {
-            self.shared.set_allowed(member, &ServiceLimits::UNLIMITED);
+        if let Some(service_id) = service.service_id {
+            self.shared
+                .set_service_limits(service_id, &ServiceLimits::UNLIMITED);
         }
     }
 
@@ -155,11 +156,11 @@
     /// Removes replaced or removed services that have finished their requests.
     pub fn remove_drained(&self) {
         for service in self.take_drained() {
-            let has_same_member = |other: &Rc<Service>| other.member == service.member;
-            let is_member_used = self.current.borrow().services().iter().any(has_same_member)
-                || self.draining_services.borrow().iter().any(has_same_member);
-            if !is_member_used {
-                self.remove_members(service.member);
+            let has_same_id = |other: &Rc<Service>| other.service_id == service.service_id;
+            let is_id_used = self.current.borrow().services().iter().any(has_same_id)
+                || self.draining_services.borrow().iter().any(has_same_id);
+            if !is_id_used {
+                self.remove_from_limits(service.service_id);
             }
         }
     }
--- a/crates/node/src/net/shared/service_limits.rs
+++ b/crates/node/src/net/shared/service_limits.rs
@@ -5,10 +5,10 @@
 use reelfall_routing::limits::{LimitExceeded, Resource, ServiceId, ServiceLimits};
 use std::rc::Rc;
 
-/// Units of a limit that a service uses; they are returned when this is dropped.
+/// Units of a limit that a service uses, released when this is dropped.
 pub struct Permit {
     shared: Rc<Shared>,
-    member: ServiceId,
+    service_id: ServiceId,
     kind: Resource,
     units: u64,
 }
@@ -18,7 +18,7 @@
         if let Some(limits) = &self.shared.service_limits {
             limits
                 .borrow_mut()
-                .release(self.member, self.kind, self.units);
+                .release(self.service_id, self.kind, self.units);
         }
         match self.kind {
             Resource::Memory => self.shared.buffer_memory.notify_freed(),
@@ -30,40 +30,40 @@
 
 impl Shared {
     /// Adds a service to the limits; `None` if the process has one service only.
-    pub fn add_member(&self, allowed: &ServiceLimits) -> Option<ServiceId> {
+    pub fn add_service(&self, allowed: &ServiceLimits) -> Option<ServiceId> {
         self.service_limits
             .as_ref()
             .map(|limits| limits.borrow_mut().add_service(self.clock.now(), allowed))
     }
 
     /// Changes the limits of a service.
-    pub fn set_allowed(&self, member: ServiceId, allowed: &ServiceLimits) {
+    pub fn set_service_limits(&self, service_id: ServiceId, allowed: &ServiceLimits) {
         if let Some(limits) = &self.service_limits {
             limits
                 .borrow_mut()
-                .set_service_limits(self.clock.now(), member, allowed);
+                .set_service_limits(self.clock.now(), service_id, allowed);
         }
     }
 
     /// Removes a service from the limits.
-    pub fn remove_member(&self, member: ServiceId) {
+    pub fn remove_service(&self, service_id: ServiceId) {
         if let Some(limits) = &self.service_limits {
-            limits.borrow_mut().remove_service(member);
+            limits.borrow_mut().remove_service(service_id);
         }
     }
 
     /// Admits one request of a service.
     ///
     /// # Errors
-    /// Names the limit that the service has reached.
-    pub fn admit(self: &Rc<Self>, member: ServiceId) -> Result<Option<Permit>, LimitExceeded> {
+    /// If the service has reached a limit; the error names it.
+    pub fn admit(self: &Rc<Self>, service_id: ServiceId) -> Result<Option<Permit>, LimitExceeded> {
         let Some(limits) = &self.service_limits else {
             return Ok(None);
         };
-        limits.borrow_mut().admit(self.clock.now(), member)?;
+        limits.borrow_mut().admit(self.clock.now(), service_id)?;
         Ok(Some(Permit {
             shared: self.clone(),
-            member,
+            service_id,
             kind: Resource::OpenRequests,
             units: 1,
         }))
@@ -72,7 +72,7 @@
     /// Reserves units of a limit for a service.
     pub(super) fn reserve_units(
         self: &Rc<Self>,
-        member: ServiceId,
+        service_id: ServiceId,
         kind: Resource,
         units: u64,
     ) -> Result<Permit, QuotaExceeded> {
@@ -82,10 +82,10 @@
             .ok_or(QuotaExceeded::OwnLimit)?;
         limits
             .borrow_mut()
-            .acquire(self.clock.now(), member, kind, units)?;
+            .acquire(self.clock.now(), service_id, kind, units)?;
         Ok(Permit {
             shared: self.clone(),
-            member,
+            service_id,
             kind,
             units,
         })
