--- a/crates/distribution/src/candidates.rs
+++ b/crates/distribution/src/candidates.rs
@@ -131,7 +131,7 @@
         self.upstreams.iter().filter(is_unanswered).count()
     }
 
-    /// Whether a candidate may be tried in addition to those that are being tried; exclusions are checked elsewhere.
+    /// Whether a candidate may be tried in addition to those that are being tried; exclusions are not considered.
     fn is_eligible(&self, peer: &PeerId, attempted: &[PeerId]) -> bool {
         attempted.is_empty() || !attempted.contains(peer) && !self.is_unusable(peer)
     }
--- a/crates/distribution/src/rollout/policy.rs
+++ b/crates/distribution/src/rollout/policy.rs
@@ -7,7 +7,7 @@
 
 /// Maximum number of stages of a rollout.
 pub const MAX_STAGES: usize = 16;
-/// The age limit of reports has to exceed this many seconds: a node reports every
+/// The age limit of reports has to exceed this many seconds: a node reports at least every
 /// [`crate::subscriber::ACKNOWLEDGEMENT_REFRESH_INTERVAL`], and the report takes time to reach the publisher.
 pub const MIN_REPORT_AGE: Time = 60.0;
 /// Longest soak time and greatest age of a report, in seconds: thirty days.
--- a/crates/distribution/src/upstream_config.rs
+++ b/crates/distribution/src/upstream_config.rs
@@ -54,9 +54,8 @@
 /// more dead relays: `SILENCE_TIMEOUT + reconnect_jitter + 8 * ATTEMPT_DELAY = 11` s.
 const SILENCE_TIMEOUT: Time = 5.0;
 
-/// A relay has up to 1,024 children and accepts 100 new sessions a second. If all of them are rejected repeatedly, each
-/// opens a session every `OPEN_TIMEOUT + 0.75 * MAX_NODE_BACKOFF = 10.25` s on average, which is no less than `1024 /
-/// 100`.
+/// A relay has up to 1,024 children and accepts 100 new sessions a second. If none of them gets an answer, each opens a
+/// session every `OPEN_TIMEOUT + 0.75 * MAX_NODE_BACKOFF = 10.25` s on average, which is no less than `1024 / 100`.
 const MAX_NODE_BACKOFF: Time = 11.0;
 
 /// Twice [`crate::downstream_config::DownstreamConfig::min_retry_after`], the longest that a rejected child is asked
