--- a/crates/admin/src/ban.rs
+++ b/crates/admin/src/ban.rs
@@ -39,7 +39,7 @@
     /// No new requests may be sent to it.
     pub is_banned: bool,
     /// When it counts as started.
-    pub ready_at: Time,
+    pub started_at: Time,
 }
 
 /// The servers that operators have banned, and the bans that they have lifted.
@@ -85,22 +85,22 @@
         true
     }
 
-    /// Applies the bans to a server that started at `ready_at` according to its list.
+    /// Applies the bans to a server that started at `started_at` according to its list.
     ///
     /// A server whose ban was lifted counts as started at that moment, and so is in slow start, unless the list has a later
     /// start: operators restart servers while they are banned, and a list may report that late or never.
-    pub fn status(&self, name: &str, ready_at: Time) -> BanStatus {
+    pub fn status(&self, name: &str, started_at: Time) -> BanStatus {
         if self.is_banned(name) {
             return BanStatus {
                 is_banned: true,
-                ready_at,
+                started_at,
             };
         }
         let lifted = self.lifted.iter().find(|ban| ban.name == name);
-        let lifted = lifted.filter(|ban| ready_at <= ban.lifted_at);
+        let lifted = lifted.filter(|ban| started_at <= ban.lifted_at);
         BanStatus {
             is_banned: false,
-            ready_at: lifted.map_or(ready_at, |ban| ban.lifted_at),
+            started_at: lifted.map_or(started_at, |ban| ban.lifted_at),
         }
     }
 
--- a/crates/admin/tests/operator_state.rs
+++ b/crates/admin/tests/operator_state.rs
@@ -97,7 +97,7 @@
                 let status = ledger.bans.status(&server.to_string(), expected.listed_start(now));
                 prop_assert_eq!(status.is_banned, expected.banned_at.is_some());
                 prop_assert!(
-                    status.is_banned || status.ready_at >= expected.started_at,
+                    status.is_banned || status.started_at >= expected.started_at,
                     "{server}: {status:?}, started {}",
                     expected.started_at
                 );
--- a/crates/node/src/net/pool/list.rs
+++ b/crates/node/src/net/pool/list.rs
@@ -266,7 +266,7 @@
         };
         endpoint.local_balancers *= self.shared.process_count();
         let ban = self.shared.ban_status(name, endpoint.started_at);
-        endpoint.started_at = ban.ready_at;
+        endpoint.started_at = ban.started_at;
         if ban.is_banned && endpoint.state == ServerState::Up {
             endpoint.state = ServerState::Draining;
         }
--- a/crates/node/src/net/shared/operations.rs
+++ b/crates/node/src/net/shared/operations.rs
@@ -32,10 +32,10 @@
     /// `ready_at`.
     pub fn ban_status(&self, name: &str, ready_at: Time) -> BanStatus {
         let here = self.operations.borrow().bans.status(name, ready_at);
-        let fleet = self.fleet_bans.borrow().status(name, here.ready_at);
+        let fleet = self.fleet_bans.borrow().status(name, here.started_at);
         BanStatus {
             is_banned: here.is_banned || fleet.is_banned,
-            ready_at: fleet.ready_at,
+            started_at: fleet.started_at,
         }
     }
 
