--- a/crates/node/src/fleet/admin.rs
+++ b/crates/node/src/fleet/admin.rs
@@ -23,7 +23,7 @@
                 now,
             )),
             FleetRequest::Explain(server) => ManagementResponse::ok(self.explain(server, now)),
-            // Handled by the leases.
+            // Handled by `crate::lease`.
             FleetRequest::Leases | FleetRequest::Release { .. } => {
                 ManagementResponse::new(StatusCode::NOT_FOUND, "")
             }
@@ -41,7 +41,7 @@
         let ban = self.fleet.borrow_mut().ban(now, server, by, duration);
         self.apply_and_send();
         if ban.is_none() {
-            let text = "not done: another process has this node's name, or there is no room\n";
+            let text = "not banned: another process has this node's name, or the table of entries is full\n";
             return ManagementResponse::new(StatusCode::CONFLICT, text);
         }
         ManagementResponse::ok(format!("{server} is out, and the fleet is told\n"))
@@ -55,7 +55,7 @@
         ))
     }
 
-    /// Applies a change before the caller gets the answer, and sends it to the other nodes.
+    /// Applies a change at this node before the request is answered, and wakes the event loop to send it to the others.
     fn apply_and_send(&self) {
         self.tick();
         self.wake.notify_one();
@@ -129,7 +129,7 @@
     let members = fleet.members();
     let me = members.local_node();
     let conflict = if fleet.has_name_conflict(now) {
-        "; stands aside, another process has its name"
+        "; publishes nothing, another process has its name"
     } else {
         ""
     };
@@ -142,7 +142,7 @@
     ));
 }
 
-/// Adds whether an instance of a server is ejected, and what each node reports of it.
+/// Adds whether an instance of a server is ejected, and each node's report on it.
 fn add_instance(
     report: &mut Report,
     fleet: &Fleet,
@@ -153,10 +153,10 @@
     let since = instance.started_ms;
     match ejected.iter().find(|found| found.server == *instance) {
         Some(found) => report.add(format_args!(
-            "start {since}: fails several nodes, for {:.1} s",
+            "start {since}: ejected by a quorum of nodes, for {:.1} s",
             found.remaining
         )),
-        None => report.add(format_args!("start {since}: not condemned")),
+        None => report.add(format_args!("start {since}: not ejected")),
     }
     for published in fleet.reports(instance, now) {
         let (by, evidence, age) = (
@@ -176,7 +176,7 @@
         match (key, &entry.value) {
             (Key::Report { server, reporter }, Value::Report(evidence)) => {
                 report.add(format_args!(
-                    "{} since {}: {reporter} says {}, {:.1} s ago, for {:.1} s",
+                    "{} since {}: {reporter} reports {}, {:.1} s ago, for {:.1} s",
                     server.name,
                     server.started_ms,
                     describe_report(evidence),
@@ -187,7 +187,7 @@
             (Key::Ban { .. }, _) => add_ban(&mut report, key, entry, now),
             (Key::Leaving { node, incarnation }, _) => {
                 report.add(format_args!(
-                    "{node}, life {}: on its way out",
+                    "{node}, life {}: leaving the fleet",
                     incarnation.number
                 ));
             }
@@ -196,7 +196,7 @@
                     .get(list)
                     .map_or("none".to_owned(), |followed| followed.index.to_string());
                 report.add(format_args!(
-                    "list {list}: index {} was seen; here {here}",
+                    "list {list}: latest known index {}; index here {here}",
                     entry.version.sequence
                 ));
             }
@@ -206,7 +206,7 @@
     report.finish()
 }
 
-/// A report in the words of the management interface.
+/// Describes a report, for the management interface and the log.
 pub(super) fn describe_report(report: &ServerReport) -> String {
     let zone = if report.zone.is_empty() {
         String::new()
@@ -214,7 +214,7 @@
         format!(" (zone {})", report.zone)
     };
     format!(
-        "{:?}: {} bad, {} good; faults with {} of {}{zone}",
+        "{:?}: {} failures, {} successes; faulty servers: {} of {}{zone}",
         report.finding,
         report.failures,
         report.successes,
--- a/crates/node/src/fleet/clock.rs
+++ b/crates/node/src/fleet/clock.rs
@@ -1,16 +1,16 @@
-//! The clock that the fleet runs by.
+//! The clock of the fleet's state machine and of the leases.
 
 use reelfall_cluster::Time;
 use rustix::time::{clock_gettime, ClockId};
 use std::time::Duration;
 
-/// A clock that goes on while the machine sleeps: after a suspension, the entries of the fleet have aged by that time.
+/// A monotonic clock that includes the time for which the machine was suspended, so that entries age meanwhile.
 pub struct Clock {
     start: Duration,
 }
 
 impl Clock {
-    /// Starts at 0.
+    /// Creates a clock that reads 0 now.
     pub fn start() -> Clock {
         Clock {
             start: Self::read(),
--- a/crates/node/src/fleet/events.rs
+++ b/crates/node/src/fleet/events.rs
@@ -1,4 +1,4 @@
-//! The effects of the fleet's events: bans and ejections are applied to the pools, and changes are logged.
+//! Handles the fleet's events: applies bans and ejections to the pools, and logs changes.
 
 use super::admin::describe_report;
 use super::FleetRuntime;
@@ -10,25 +10,24 @@
 use reelfall_cluster::Time;
 use std::collections::BTreeMap;
 
-/// Interval at which ejections are applied to the pools again, in seconds: a server that joins a list is subject to
-/// them, too.
+/// Interval at which ejections are applied to the pools again, in seconds, for servers that have joined a list since.
 pub(super) const EJECTION_UPDATE_INTERVAL: Time = 0.1;
-/// How soon a changed report is applied, in seconds: a flood of reports costs one evaluation in each such time.
+/// Delay until a changed report is applied, in seconds: a flood of reports costs one evaluation in each such interval.
 const EJECTION_UPDATE_DELAY: Time = 0.02;
-/// A list that has lagged behind that of others for so long, in seconds, is logged. Shorter lags are common, as services
-/// notify their watchers one after the other.
+/// How long a list may lag behind that of other nodes before this is logged, in seconds. Shorter lags are common, since a
+/// discovery service notifies its watchers one after the other.
 const LIST_LAG_TOLERANCE: Time = 2.0;
-/// Interval of log lines about dropped datagrams, in seconds.
+/// Minimum interval of log lines about dropped datagrams, in seconds.
 const DROPPED_LOG_INTERVAL: Time = 10.0;
 
-/// Whether a list lags behind the one that other nodes have seen.
+/// Whether a list lags behind that of other nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ListLag {
-    /// It does not.
+    /// It is up to date.
     None,
-    /// It has since this time.
+    /// It has lagged since this time.
     Since(Time),
-    /// It does, and that has been logged.
+    /// It lags, and that has been logged.
     Logged,
 }
 
@@ -40,7 +39,7 @@
 }
 
 impl FleetRuntime {
-    /// Notifies the observer of the attempts that have waited past their latency objective.
+    /// Reports the attempts that have exceeded their latency objective to the fleet.
     pub(super) fn report_overdue(&self, now: Time) {
         let to_attempt = |request: OverdueRequest| {
             let started_at = now - request.waited;
@@ -59,11 +58,11 @@
         self.fleet.borrow_mut().set_overdue(now, &overdue);
     }
 
-    /// Acts on events.
+    /// Applies changed bans to the pools, schedules the next update of the ejections, and logs the events.
     pub(super) fn handle_events(&self, events: &[FleetEvent], now: Time) {
         let changed_keys = || events.iter().filter_map(changed_key);
         if changed_keys().any(|key| matches!(key, Key::Ban { .. })) {
-            // The pools may report attempts as they act: the fleet is not borrowed meanwhile.
+            // Not borrowed while the bans are applied, since the pools may report attempts to the fleet.
             let banned = self
                 .fleet
                 .borrow()
@@ -84,7 +83,7 @@
         }
     }
 
-    /// Applies the ejections to the pools.
+    /// Applies the ejections by quorum to the pools, and logs those that begin or end.
     pub(super) fn apply_quorum_ejections(&self, now: Time) {
         let pool_clock = self.shared.clock.now();
         let new = self.ejections(now, pool_clock);
@@ -163,7 +162,7 @@
         }
     }
 
-    /// Logs what this node reports on a server; the reports of others are in their logs.
+    /// Logs this node's report on a server. Other nodes log their own.
     fn log_own_report(&self, server: &ServerInstance, reporter: &str, now: Time) {
         let fleet = self.fleet.borrow();
         if reporter != fleet.members().local_node().name {
@@ -193,8 +192,8 @@
         }
     }
 
-    /// Logs once for each list that other nodes have seen a later index of for some time: this node's list service lags, or
-    /// its watch is broken.
+    /// Logs each list, once, that has lagged behind other nodes for some time: its discovery service lags, or the watch is
+    /// broken.
     pub(super) fn log_lagging_lists(&self, now: Time) {
         let fleet = self.fleet.borrow();
         for (list, followed) in self.lists.borrow_mut().iter_mut() {
@@ -216,7 +215,7 @@
         }
     }
 
-    /// Logs how many datagrams were dropped, if there are more than at the last time.
+    /// Logs the number of dropped datagrams by reason, if it has increased since the last such line.
     pub(super) fn log_dropped(&self, now: Time) {
         let logged = self.logged_dropped.get();
         let fleet = self.fleet.borrow();
@@ -237,7 +236,7 @@
     }
 }
 
-/// The key of the entry that an event concerns, if it concerns one.
+/// The key of the entry that was updated or has expired.
 fn changed_key(event: &FleetEvent) -> Option<&Key> {
     match event {
         FleetEvent::Updated(key) | FleetEvent::Expired(key) => Some(key),
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -1,13 +1,13 @@
-//! This node's membership in a fleet, on a socket. The decisions are made by [`reelfall_cluster`]; this module sends and
+//! This node's membership in a fleet, over a UDP socket. The decisions are made by [`reelfall_cluster`]; this module sends and
 //! receives datagrams, schedules, and applies the results to the pools. Opened by [`crate::standalone`].
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | `admin` | management requests that concern the fleet |
-//! | `clock` | the time that the fleet runs by |
+//! | `clock` | the clock of the fleet |
 //! | `events` | the effects of the fleet's events on the pools and the log |
-//! | `observer` | what the pools report to the fleet |
-//! | `open` | the socket and the key, as the node starts |
+//! | `observer` | what the pools report to the fleet: outcomes of attempts and list indexes |
+//! | `open` | opening the socket and reading the key at the start |
 
 mod admin;
 mod clock;
@@ -37,79 +37,79 @@
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
-/// Maximum number of datagrams that are received before other tasks of the node run: a flood of datagrams must not delay
+/// Maximum number of datagrams that are received before other tasks run, so that a flood of datagrams does not delay
 /// requests.
 const MAX_RECEIVE_BATCH: usize = 64;
-/// Interval at which overdue attempts are looked for, in seconds: until it is notified, each other node goes on sending
-/// requests to a server that hangs.
+/// Interval at which overdue attempts are reported, in seconds: until they are notified, other nodes keep sending requests
+/// to a server that hangs.
 const OVERDUE_INTERVAL: Time = 0.025;
 /// The shortest sleep of the event loop, in seconds.
 const MIN_SLEEP: Time = 0.001;
 /// The longest sleep of the event loop, in seconds.
 const MAX_SLEEP: Time = 60.0;
-/// Length of a receive buffer: one byte more than any datagram of the fleet, so that one that is too long is noticed.
+/// Length of a receive buffer, in bytes: one more than the longest valid datagram, so that a longer one is detected.
 const RECEIVE_BUFFER_LEN: usize = MAX_DATAGRAM_LEN + 1;
 
 /// The receiver of an application message.
 pub enum Recipient {
-    /// The node of this name, whichever incarnation of it.
+    /// The current incarnation of the node with this name.
     Named(String),
-    /// The process with this tag alone.
+    /// The process with this tag, and no later incarnation of its node.
     Tagged(u64),
 }
 
-/// A list that a pool of this node follows.
+/// An endpoint list that a pool of this node follows, and whether it lags behind other nodes' lists.
 struct FollowedList {
     pool: PoolId,
     index: u64,
     lag: ListLag,
 }
 
-/// Handles application messages of other nodes.
+/// Handles an application message: its sender and its body.
 pub type MessageHandler = Box<dyn Fn(&Node, &[u8])>;
 
-/// This node's membership in a fleet, on a socket.
+/// Drives the [`Fleet`] state machine of this node with a socket, timers and the pools.
 pub struct FleetRuntime {
     fleet: RefCell<Fleet>,
     shared: Rc<Shared>,
     socket: UdpSocket,
     clock: Clock,
-    /// Separate from the node's log, whose rate limit the churn of an unhealthy fleet exhausts just as an operator waits for
-    /// the confirmation of a ban.
+    /// Bans. Separate from the node's log: the churn of an unhealthy fleet exhausts the rate limit of that log just when an
+    /// operator waits for the confirmation of a ban.
     ban_log: Log,
-    /// Separate for the same reason.
+    /// Ejections. Separate for the same reason.
     ejection_log: Log,
-    /// Separate, since the reports on many servers come at once.
+    /// This node's reports. Separate, since reports on many servers may be logged at once.
     report_log: Log,
-    /// Name conflicts, which member changes precede in numbers that reach the rate limit of a log.
+    /// Name conflicts. Separate, since enough member changes precede one to reach the rate limit of a log.
     name_conflict_log: Log,
-    /// There is something to send at once.
+    /// Wakes the event loop after a change that has to be sent without delay.
     wake: Notify,
-    /// The ejections that are applied to the pools.
+    /// The ejections that are currently applied to the pools.
     ejected: RefCell<BTreeMap<ServerInstance, QuorumEjection>>,
-    /// Bounded by the services of the settings file.
+    /// The lists that pools follow, by name. Bounded by the number of services in the settings file.
     lists: RefCell<BTreeMap<String, FollowedList>>,
     next_ejection_update: Cell<Time>,
     next_overdue: Cell<Time>,
     message_handler: RefCell<Option<MessageHandler>>,
-    /// Datagrams that the system did not accept.
+    /// Number of datagrams that the system refused to send.
     unsent: Cell<u64>,
     logged_dropped: Cell<LoggedDropped>,
 }
 
 impl FleetRuntime {
-    /// The address that datagrams are received at.
+    /// The local address of the socket.
     pub fn address(&self) -> Option<SocketAddr> {
         self.socket.local_addr().ok()
     }
 
-    /// Takes part in the fleet for as long as it is polled.
+    /// Runs the event loop for as long as it is polled.
     pub async fn run(self: Rc<Self>) {
         loop {
             let may_have_more = self.receive_datagrams();
             self.tick();
             if may_have_more {
-                // Requests are served between two batches of a flood.
+                // Lets other tasks serve requests between two batches of a flood.
                 tokio::task::yield_now().await;
                 continue;
             }
@@ -136,8 +136,8 @@
             .min(self.next_overdue.get())
     }
 
-    /// Receives a batch of datagrams, before any timer: what was due while this process was paused may be answered by them.
-    /// Returns whether there may be more.
+    /// Receives a batch of datagrams; returns whether there may be more. Called before the timers are processed: after a
+    /// pause of this process, the datagrams may answer probes whose timers are due.
     fn receive_datagrams(&self) -> bool {
         let mut buffer = [0; RECEIVE_BUFFER_LEN];
         for _ in 0..MAX_RECEIVE_BATCH {
@@ -148,7 +148,7 @@
                     self.deliver_messages();
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
-                // An earlier datagram could not be delivered; the next one may be another node's.
+                // An ICMP error for a datagram that was sent earlier; others may still be waiting.
                 Err(_) => {}
             }
         }
@@ -158,7 +158,7 @@
     /// Passes application messages to their handler.
     fn deliver_messages(&self) {
         loop {
-            // The handler may send others: the fleet is not borrowed meanwhile.
+            // The fleet is not borrowed while the handler runs, since it may send messages.
             let Some(message) = self.fleet.borrow_mut().next_message() else {
                 return;
             };
@@ -168,12 +168,12 @@
         }
     }
 
-    /// Sets the handler of application messages.
+    /// Sets the handler of application messages; those that arrive without one are dropped.
     pub fn set_message_handler(&self, handler: MessageHandler) {
         self.message_handler.replace(Some(handler));
     }
 
-    /// Sends an application message; it may be lost, as it is where the recipient is no member.
+    /// Sends an application message, which may be lost. It is dropped if the recipient is not a member.
     pub fn send_message(&self, to: &Recipient, body: Vec<u8>) {
         let mut fleet = self.fleet.borrow_mut();
         let to = match to {
@@ -187,17 +187,17 @@
         }
     }
 
-    /// This node as the others know it.
-    pub fn me(&self) -> Node {
+    /// This node's name, address and incarnation, as the other members know them.
+    pub fn local_node(&self) -> Node {
         self.fleet.borrow().members().local_node().clone()
     }
 
-    /// Microseconds since the socket was opened, by the clock that goes on while the machine sleeps.
+    /// Microseconds since the socket was opened. Includes the time that the machine was suspended.
     pub fn micros(&self) -> u64 {
         self.clock.micros()
     }
 
-    /// Does what is due and acts on the events.
+    /// Processes the due timers, sends the outgoing datagrams and handles the events.
     fn tick(&self) {
         let now = self.clock.now();
         if now >= self.next_overdue.get() {
@@ -221,8 +221,8 @@
         }
     }
 
-    /// Sends the outgoing datagrams. What the system refuses (no buffer, no permission, no route) is lost, as any datagram
-    /// may be.
+    /// Sends the outgoing datagrams. Those that the system refuses (no buffer, no permission, no route) are counted and lost:
+    /// the protocol tolerates the loss of any datagram.
     fn send_datagrams(&self) {
         let mut fleet = self.fleet.borrow_mut();
         while let Some(datagram) = fleet.next_datagram() {
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Notifies the other nodes that this one leaves.
+    /// Announces to the other nodes that this one leaves the fleet.
     pub fn leave(&self) {
         self.fleet.borrow_mut().leave(self.clock.now());
         self.send_datagrams();
--- a/crates/node/src/fleet/observer.rs
+++ b/crates/node/src/fleet/observer.rs
@@ -1,4 +1,4 @@
-//! What the pools report to the fleet: outcomes of attempts, and the lists that they follow.
+//! What the pools report to the fleet: outcomes of attempts, and the indexes of the endpoint lists that they follow.
 
 use super::events::ListLag;
 use super::{FleetRuntime, FollowedList};
@@ -25,7 +25,7 @@
     }
 
     fn list_dropped(&self, list: &str, pool: PoolId) {
-        // After a reload, another pool may follow a list of the same name already.
+        // After a reload, a new pool may already follow a list of the same name.
         self.lists
             .borrow_mut()
             .retain(|name, followed| name != list || followed.pool != pool);
--- a/crates/node/src/fleet/open.rs
+++ b/crates/node/src/fleet/open.rs
@@ -1,4 +1,4 @@
-//! Opens a fleet's socket and reads its key, as the node starts.
+//! Opens a fleet's socket and reads its key at the start of the node.
 
 use super::clock::Clock;
 use super::FleetRuntime;
@@ -19,7 +19,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
-/// Why the node can't take part in its fleet.
+/// Why the node can't join its fleet.
 #[derive(Debug, Error)]
 pub enum FleetError {
     /// The key file can't be read.
@@ -30,7 +30,7 @@
         /// The error of the file system.
         source: io::Error,
     },
-    /// The key file has no usable key.
+    /// The key file has no valid key.
     #[error("{path}: {source}", path = path.display())]
     InvalidKey {
         /// The path of the key file.
@@ -49,7 +49,7 @@
 }
 
 impl FleetRuntime {
-    /// Opens the socket and reads the key. No datagram is sent yet.
+    /// Reads the key and opens the socket, without sending a datagram yet.
     ///
     /// # Errors
     /// If the key can't be read or the address can't be bound.
@@ -88,7 +88,7 @@
     }
 }
 
-/// The state machine of a new incarnation of this node.
+/// Creates the state machine of a new incarnation of this node, with a random tag that is not 0.
 fn new_fleet(settings: &model::Fleet, address: SocketAddr, secret: Secret, now: Time) -> Fleet {
     let random = |purpose: &str| RandomState::new().hash_one((purpose, std::process::id()));
     let (tag, seed) = (random("tag") | 1, random("seed"));
--- a/crates/node/src/fleet/tests.rs
+++ b/crates/node/src/fleet/tests.rs
@@ -1,4 +1,4 @@
-//! The log lines of a fleet's events.
+//! Log lines of the fleet's events: a name conflict is logged even if member changes have reached the rate limit.
 
 use super::FleetRuntime;
 use crate::net::shared::Shared;
@@ -10,7 +10,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 
-/// More member changes than the log writes within its window.
+/// More member changes than the log's rate limit admits in one window.
 const MEMBER_CHANGES: u64 = 100;
 
 fn open_fleet() -> Rc<FleetRuntime> {
--- a/crates/node/src/lease/call.rs
+++ b/crates/node/src/lease/call.rs
@@ -1,8 +1,8 @@
-//! A task under a lease: an address that the holder of the lease calls periodically for the whole fleet.
+//! A periodic HTTP call that a lease guards: the holder of the lease makes it on behalf of the whole fleet.
 //!
 //! Each call presents the lease's token as a fencing token. The resource stores the highest token that it has seen and
-//! answers a lower one with 409 or 412 (RFC 9110, sections 15.5.10 and 15.5.13): the holder was paused, and another node has
-//! the lease.
+//! answers a lower one with 409 or 412 (RFC 9110, sections 15.5.10 and 15.5.13). That means that the holder was paused and
+//! another node has acquired the lease.
 
 use super::Leases;
 use crate::net::task::AbortOnDrop;
@@ -20,10 +20,10 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Maximum time for one call, however long the interval is.
+/// Timeout of a call; the interval if that is shorter.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why a call has no answer.
+/// Why a call failed without an answer.
 #[derive(Debug, Error)]
 enum CallError {
     #[error("{0}")]
@@ -32,16 +32,16 @@
     Http(#[from] hyper::Error),
     #[error("{0}")]
     InvalidRequest(#[from] hyper::http::Error),
-    #[error("no answer in time")]
+    #[error("no answer within the timeout")]
     TimedOut,
 }
 
-/// Calls while the lease is active, for as long as it is polled.
+/// Makes the call periodically while the lease is active, for as long as it is polled.
 pub async fn run(leases: Rc<Leases>, name: LeaseName, call: model::Call) {
     let interval = Duration::from_secs_f64(call.every);
     let mut next = Instant::now();
     loop {
-        leases.until_active(&name).await;
+        leases.wait_until_active(&name).await;
         tokio::time::sleep_until(next.into()).await;
         next = Instant::now() + interval;
         let answer = timeout(interval.min(CALL_TIMEOUT), call_once(&leases, &name, &call));
@@ -62,21 +62,24 @@
             log.write_line(format_args!(
                 "lease {name}: {address} has seen a token of a later holder"
             ));
-            leases.release_for_a_while(name);
+            leases.release_temporarily(name);
         }
         Ok(Some(status)) if !status.is_success() => {
-            log.write_line(format_args!("lease {name}: {address} answers {status}"));
+            log.write_line(format_args!("lease {name}: {address} answered {status}"));
         }
-        // It succeeded, or the lease was lost meanwhile: then there is nothing to call.
+        // The call succeeded, or was not made because the lease was lost meanwhile.
         Ok(_) => {}
         Err(CallError::TimedOut) => {
-            log.write_line(format_args!("lease {name}: {address} does not answer"));
+            log.write_line(format_args!(
+                "lease {name}: {address} did not answer in time"
+            ));
         }
         Err(error) => log.write_line(format_args!("lease {name}: {address}: {error}")),
     }
 }
 
-/// Calls once, if the lease is held when the connection is ready; returns the answer's status.
+/// Makes one call and returns the status of the answer; `None` if the lease is no longer active once the connection is
+/// established.
 async fn call_once(
     leases: &Leases,
     name: &LeaseName,
@@ -86,7 +89,7 @@
         .await
         .map_err(CallError::Connect)?;
     let (mut sender, connection) = Builder::new().handshake(TokioIo::new(stream)).await?;
-    // Ends with this call, also where that is abandoned: the resource may never answer.
+    // Aborted with this call, also when that times out, since the resource may never answer.
     let _connection = AbortOnDrop(tokio::task::spawn_local(connection).abort_handle());
     let Some(operation) = leases.operation(name, call.path.as_str()) else {
         return Ok(None);
--- a/crates/node/src/lease/disk.rs
+++ b/crates/node/src/lease/disk.rs
@@ -1,4 +1,4 @@
-//! A keeper's storage folder, on a thread of its own: a slow disk delays no request. Used by `dispatch`.
+//! A keeper's storage folder, on a thread of its own so that a slow disk delays no request. Used by `local_keeper`.
 
 use reelfall_lease::durable::{DurableState, Record};
 use reelfall_lease::keeper::OutgoingMessage;
@@ -9,35 +9,35 @@
 use std::time::Duration;
 use tokio::sync::mpsc as async_mpsc;
 
-/// Maximum number of writes that wait for the disk; requests that arrive meanwhile are dropped, as if lost on the network.
+/// Maximum number of pending writes; requests that arrive beyond it are dropped, as if lost on the network.
 pub const MAX_PENDING_WRITES: usize = 256;
 /// Maximum number of writes in one batch.
 const MAX_BATCH: usize = 64;
-/// Pause before a folder that can't be used is opened again.
+/// Pause before a folder that could not be used is opened again.
 const REOPEN_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Messages to send.
+/// Messages of the keeper that are to be sent.
 pub type Outbox = Vec<OutgoingMessage>;
 
-/// An event of the folder.
+/// An event that the disk thread reports.
 pub enum DiskEvent {
     /// The folder is open.
     Opened {
-        /// The number of this opening, from 1.
+        /// Distinguishes this opening of the folder from earlier ones; counts from 1.
         opening: u64,
-        /// The state that is stored there.
+        /// The state that was read from the folder.
         state: Box<DurableState>,
     },
     /// Writes are durable.
     Written {
-        /// The opening that the writes belong to.
+        /// The opening of the folder that the writes were made for.
         opening: u64,
         /// Number of writes.
         writes: usize,
-        /// Messages that may be sent now.
+        /// Messages that had to wait for the writes, and may be sent now.
         messages: Outbox,
     },
-    /// The folder can't be used: nothing more is written for this opening of it.
+    /// The folder can't be opened or written; further writes for this opening are discarded.
     Failed(StoreError),
 }
 
@@ -47,18 +47,18 @@
     messages: Outbox,
 }
 
-/// The sending end of the disk thread.
+/// A handle to the disk thread.
 pub struct Disk {
     jobs: mpsc::SyncSender<WriteJob>,
-    /// Number of writes that are not done yet.
+    /// Number of writes that are not completed yet.
     pending: Cell<usize>,
 }
 
 impl Disk {
-    /// Starts the thread, which opens the folder, again and again while it can't be used. It reports to `events`.
+    /// Spawns the thread, which opens the folder, retries while it can't be used, and reports to `events`.
     ///
     /// # Errors
-    /// If no thread can be started.
+    /// If the thread can't be spawned.
     pub fn start(
         folder: PathBuf,
         events: async_mpsc::UnboundedSender<DiskEvent>,
@@ -78,12 +78,13 @@
         self.pending.get() < MAX_PENDING_WRITES
     }
 
-    /// Whether all writes are done.
+    /// Whether no write is pending.
     pub fn is_idle(&self) -> bool {
         self.pending.get() == 0
     }
 
-    /// Queues records to be written, and messages to be returned after that; returns whether the queue had capacity.
+    /// Queues records to be written, and messages that are reported back after the write; returns whether the queue had room
+    /// for them.
     pub fn write(&self, opening: u64, records: Vec<Record>, messages: Outbox) -> bool {
         let queued = self
             .jobs
@@ -97,12 +98,12 @@
         queued
     }
 
-    /// Notes that so many writes are done.
+    /// Subtracts completed writes from the pending ones.
     pub fn complete(&self, writes: usize) {
         self.pending.set(self.pending.get().saturating_sub(writes));
     }
 
-    /// Forgets the writes of an earlier opening, which will not be reported.
+    /// Resets the number of pending writes: those of an earlier opening are never reported.
     pub fn reset(&self) {
         self.pending.set(0);
     }
@@ -116,7 +117,7 @@
     for opening in 1.. {
         let failure = match Store::open(folder) {
             Ok((store, state)) => {
-                // Jobs of the previous opening are not answered: its keeper is gone.
+                // Discards the jobs of the previous opening, whose keeper was stopped.
                 while jobs.try_recv().is_ok() {}
                 let state = Box::new(state);
                 if events.send(DiskEvent::Opened { opening, state }).is_err() {
@@ -136,7 +137,7 @@
     }
 }
 
-/// Writes jobs in batches until a write fails; `None` once the other end is gone.
+/// Writes jobs in batches until a write fails; `None` if the other end of a channel was dropped.
 fn write_jobs(
     opening: u64,
     mut store: Store,
--- a/crates/node/src/lease/dispatch.rs
+++ b/crates/node/src/lease/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch of messages to the leases and the keeper of this node, and of their effects to other nodes.
+//! Delivers messages to the leases and the keeper of this node, and sends their messages to other nodes.
 
 use super::disk::Outbox;
 use super::Leases;
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 
 impl Leases {
-    /// Subscribes to the messages of other nodes.
+    /// Registers the handler of messages from other nodes.
     pub(super) fn receive_messages(self: &Rc<Self>) {
         let leases = Rc::downgrade(self);
         self.fleet.set_message_handler(Box::new(move |from, body| {
@@ -25,8 +25,8 @@
         let Some(message) = self.group_id.strip_from(body).and_then(Message::decode) else {
             return;
         };
-        let place = self.keepers.iter().position(|name| *name == from.name);
-        match (message, place) {
+        let index = self.keepers.iter().position(|name| *name == from.name);
+        match (message, index) {
             (Message::Request(request), _) => {
                 let client = ClientId {
                     name: from.name.clone(),
@@ -34,25 +34,25 @@
                 };
                 self.with_keeper(|keeper, now| keeper.handle_request(now, &client, request));
             }
-            (Message::Peer(message), Some(place)) => {
-                self.with_keeper(|keeper, now| keeper.handle_peer_message(now, place, message));
+            (Message::Peer(message), Some(index)) => {
+                self.with_keeper(|keeper, now| keeper.handle_peer_message(now, index, message));
             }
-            (Message::Response(response), Some(place)) => self.handle_response(place, response),
-            // The sender is no keeper.
+            (Message::Response(response), Some(index)) => self.handle_response(index, response),
+            // The sender is not a keeper.
             (Message::Peer(_) | Message::Response(_), None) => {}
         }
         self.process_effects();
         self.wake.notify_one();
     }
 
-    fn handle_response(&self, place: usize, response: Response) {
+    fn handle_response(&self, index: usize, response: Response) {
         let (now, random) = (self.now(), self.random.next());
         if let Some(local) = self.local_leases.borrow_mut().get_mut(response.lease()) {
-            local.lease.handle_response(now, place, response, random);
+            local.lease.handle_response(now, index, response, random);
         }
     }
 
-    /// Sends, writes and logs the effects of events, until there are no more.
+    /// Sends, writes and logs the effects of the state machines, including those of messages to this node itself.
     pub(super) fn process_effects(&self) {
         loop {
             self.process_leases();
@@ -60,7 +60,7 @@
             let Some(message) = self.loopback.borrow_mut().pop_front() else {
                 return;
             };
-            let Some(place) = self.local_keeper.as_ref().map(|local| local.place) else {
+            let Some(index) = self.local_keeper.as_ref().map(|local| local.index) else {
                 continue;
             };
             match message {
@@ -68,7 +68,7 @@
                     let me = self.client_id();
                     self.with_keeper(|keeper, now| keeper.handle_request(now, &me, request));
                 }
-                Message::Response(response) => self.handle_response(place, response),
+                Message::Response(response) => self.handle_response(index, response),
                 Message::Peer(_) => {}
             }
         }
@@ -99,18 +99,18 @@
             .write_line(format_args!("lease {name}: {change}, token {number}"));
     }
 
-    fn send_request(&self, place: usize, request: Request) {
+    fn send_request(&self, index: usize, request: Request) {
         let message = Message::Request(request);
         let local = self.local_keeper.as_ref();
-        if local.is_some_and(|local| local.place == place) {
+        if local.is_some_and(|local| local.index == index) {
             self.loopback.borrow_mut().push_back(message);
         } else {
-            self.send_to_keeper(place, &message);
+            self.send_to_keeper(index, &message);
         }
     }
 
-    fn send_to_keeper(&self, place: usize, message: &Message) {
-        if let Some((name, body)) = self.keepers.get(place).zip(self.encode(message)) {
+    fn send_to_keeper(&self, index: usize, message: &Message) {
+        if let Some((name, body)) = self.keepers.get(index).zip(self.encode(message)) {
             self.fleet
                 .send_message(&Recipient::Named(name.clone()), body);
         }
@@ -141,7 +141,7 @@
                     self.loopback.borrow_mut().push_back(message);
                 }
                 Destination::Client(client) => self.send_to_client(&client, &message),
-                Destination::Keeper(place) => self.send_to_keeper(place, &message),
+                Destination::Keeper(index) => self.send_to_keeper(index, &message),
             }
         }
     }
--- a/crates/node/src/lease/group.rs
+++ b/crates/node/src/lease/group.rs
@@ -1,12 +1,12 @@
-//! The identifier of a group of nodes that share leases.
+//! The identifier of a group of nodes with the same keepers.
 
 /// Length of a group identifier, in bytes.
 const GROUP_ID_LEN: usize = 8;
 
-/// The identifier of all nodes with the same keepers in the same order, which precedes each message between them.
+/// Identifies all nodes with the same keepers in the same order. It is the prefix of each message between them.
 ///
-/// Majorities of two different lists of keepers need not intersect, so each could have a holder of its own. With this
-/// identifier in each message, a node counts in the group of its own list alone.
+/// Majorities of two different lists of keepers need not intersect, so each list could have a holder of its own. With this
+/// prefix, a node ignores the messages of nodes with another list.
 pub struct GroupId([u8; GROUP_ID_LEN]);
 
 impl GroupId {
@@ -22,12 +22,12 @@
         GroupId(hash.as_bytes().first_chunk().copied().unwrap_or_default())
     }
 
-    /// Precedes a message with the identifier.
+    /// Adds the identifier to the beginning of a message.
     pub fn prepend_to(&self, message: &[u8]) -> Vec<u8> {
         [self.0.as_slice(), message].concat()
     }
 
-    /// The message that the identifier precedes; `None` if that of another group does.
+    /// Removes the identifier from the beginning of a message; `None` if the message is another group's.
     pub fn strip_from<'a>(&self, bytes: &'a [u8]) -> Option<&'a [u8]> {
         bytes.strip_prefix(&self.0)
     }
--- a/crates/node/src/lease/local_keeper.rs
+++ b/crates/node/src/lease/local_keeper.rs
@@ -1,4 +1,4 @@
-//! The keeper on this node, if it is one: its storage, and its state machine between the storage and the messages.
+//! The keeper on this node: its state machine, whose messages are sent once the records before them are on disk.
 
 use super::admin;
 use super::disk::{Disk, DiskEvent};
@@ -12,33 +12,33 @@
 
 /// The keeper on this node, and its storage.
 pub struct LocalKeeper {
-    /// Its place in the list of keepers.
-    pub(super) place: usize,
+    /// Its index in the list of keepers.
+    pub(super) index: usize,
     pub(super) disk: Disk,
     /// `None` while the storage folder can't be used.
     pub(super) keeper: RefCell<Option<Keeper>>,
-    /// The opening of the folder that the keeper belongs to.
+    /// The opening of the folder that the keeper's state was read at; 0 if it is stopped.
     opening: Cell<u64>,
-    /// The last failure or status that was logged.
+    /// The failure or status that was logged last.
     pub(super) last_status: RefCell<String>,
-    /// Requests that were dropped while too many writes waited for the disk.
+    /// Number of requests that were dropped because too many writes were pending.
     pub(super) dropped_requests: Cell<u64>,
 }
 
 impl LocalKeeper {
-    /// Starts the storage of the keeper on this node, if the settings name the node as one.
+    /// Starts the storage thread; `None` if the settings don't name this node as a keeper.
     pub(super) fn start(
         node: &str,
         settings: &model::Leases,
         events: mpsc::UnboundedSender<DiskEvent>,
     ) -> Result<Option<LocalKeeper>, LeaseError> {
-        let place = settings.keepers.iter().position(|name| name == node);
-        let Some((place, folder)) = place.zip(settings.folder.clone()) else {
+        let index = settings.keepers.iter().position(|name| name == node);
+        let Some((index, folder)) = index.zip(settings.folder.clone()) else {
             return Ok(None);
         };
         let disk = Disk::start(folder, events).map_err(LeaseError::StorageThread)?;
         Ok(Some(LocalKeeper {
-            place,
+            index,
             disk,
             keeper: RefCell::default(),
             opening: Cell::default(),
@@ -49,13 +49,13 @@
 }
 
 impl Leases {
-    /// Calls the keeper on this node, if there is one and its disk keeps up.
+    /// Passes the keeper on this node to `call`, if there is one and its disk has capacity.
     pub(super) fn with_keeper(&self, call: impl FnOnce(&mut Keeper, Micros)) {
         let Some(local) = &self.local_keeper else {
             return;
         };
         if !local.disk.has_capacity() {
-            // The disk is slower than the requests: the clients send them again.
+            // The clients retry their requests.
             local.dropped_requests.set(local.dropped_requests.get() + 1);
             return;
         }
@@ -79,13 +79,13 @@
         if records.is_empty() && local.disk.is_idle() {
             return self.send_all(messages);
         }
-        // Messages after a write that waits must not overtake it.
+        // Messages without records wait too while a write is pending: they may depend on it.
         if !local.disk.write(local.opening.get(), records, messages) {
-            self.stop_keeper(local, "more waits for the disk than may");
+            self.stop_keeper(local, "too many writes are pending");
         }
     }
 
-    /// Handles an event of the keeper's storage folder.
+    /// Handles an event of the disk thread.
     pub(super) fn handle_disk_event(&self, event: DiskEvent) {
         let Some(local) = &self.local_keeper else {
             return;
@@ -94,7 +94,7 @@
             DiskEvent::Opened { opening, state } => {
                 local.opening.set(opening);
                 local.disk.reset();
-                let keeper = self.open_keeper(local.place, *state);
+                let keeper = self.open_keeper(local.index, *state);
                 local.keeper.replace(Some(keeper));
             }
             DiskEvent::Written {
@@ -113,17 +113,17 @@
         self.log_status(local);
     }
 
-    fn open_keeper(&self, place: usize, state: DurableState) -> Keeper {
+    fn open_keeper(&self, index: usize, state: DurableState) -> Keeper {
         let config = keeper::Config {
             drift_margin: self.config.drift_margin,
-            max_duration: self.max_length,
+            max_duration: self.max_duration,
             ..keeper::Config::default()
         };
         let (tag, now) = (self.random.storage_tag(), self.now());
-        Keeper::open(place, self.keepers.len(), config, state, tag, now)
+        Keeper::open(index, self.keepers.len(), config, state, tag, now)
     }
 
-    /// Stops the keeper until its folder is open again: its state in memory may be ahead of the disk.
+    /// Stops the keeper until its folder is opened again, since its state in memory may be ahead of the disk.
     fn stop_keeper(&self, local: &LocalKeeper, reason: &str) {
         local.keeper.replace(None);
         local.opening.set(0);
--- a/crates/node/src/lease/mod.rs
+++ b/crates/node/src/lease/mod.rs
@@ -1,14 +1,14 @@
-//! Leases over the fleet's socket, and a keeper's storage on a thread of its own. The decisions are made by
-//! [`reelfall_lease`]; this module sends, schedules and writes. Started by [`crate::standalone`].
+//! Leases over the fleet's socket, with a keeper's storage on a thread of its own. The decisions are made by
+//! [`reelfall_lease`]; this module sends messages, runs timers and writes to disk. Started by [`crate::standalone`].
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | `admin` | management requests that concern leases |
 //! | `call` | the periodic calls of a lease's holder |
 //! | `disk` | the thread that writes a keeper's storage folder |
-//! | `dispatch` | messages to the state machines, and their effects back |
-//! | `group` | the identifier of the nodes that share leases |
-//! | `local_keeper` | the keeper on this node, between its storage and the messages |
+//! | `dispatch` | delivers messages to the state machines, and sends theirs |
+//! | `group` | the identifier of the nodes with the same keepers |
+//! | `local_keeper` | the keeper on this node and its storage |
 //! | `random` | random numbers |
 //! | `start` | the start of the leases, the keeper and the calls |
 
@@ -40,8 +40,8 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, Notify};
 
-/// A lease that was released for a while is acquired again after so many times its length.
-const LENGTHS_UNTIL_REACQUIRED: u64 = 2;
+/// Delay until a lease that was released temporarily is acquired again, as a multiple of its duration.
+const REACQUIRE_DELAY_DURATIONS: u64 = 2;
 /// The shortest sleep of the event loop, in microseconds.
 const MIN_SLEEP: Micros = 1_000;
 /// The longest sleep of the event loop, in microseconds.
@@ -49,10 +49,10 @@
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A lease that this node may hold.
+/// The state of a lease that this node holds or tries to acquire.
 struct LocalLease {
     lease: Lease,
-    /// When it is acquired again after a release.
+    /// When it is acquired again after a temporary release.
     reacquire_at: Option<Micros>,
 }
 
@@ -62,14 +62,14 @@
     keepers: Vec<String>,
     group_id: GroupId,
     config: Config,
-    max_length: Micros,
+    max_duration: Micros,
     local_keeper: Option<LocalKeeper>,
     local_leases: RefCell<BTreeMap<LeaseName, LocalLease>>,
     /// Messages of this node to itself.
     loopback: RefCell<VecDeque<Message>>,
-    /// There may be something to do.
+    /// Wakes the event loop after a change.
     wake: Notify,
-    /// A lease was acquired, released or lost.
+    /// Notified when a lease was acquired, released or lost.
     changed: Notify,
     random: RandomNumbers,
     log: Log,
@@ -81,14 +81,14 @@
     }
 
     fn client_id(&self) -> ClientId {
-        let me = self.fleet.me();
+        let me = self.fleet.local_node();
         ClientId {
             name: me.name,
             instance_id: me.incarnation.tag,
         }
     }
 
-    /// Does what is due for as long as it is polled.
+    /// Runs the event loop for as long as it is polled.
     async fn run(self: Rc<Self>, mut disk_events: mpsc::UnboundedReceiver<DiskEvent>) {
         loop {
             self.tick();
@@ -134,7 +134,7 @@
         self.process_effects();
     }
 
-    /// Acquires the lease, and renews it from then on.
+    /// Starts to acquire the lease, which is renewed once it is acquired.
     fn acquire(&self, name: &LeaseName) {
         let now = self.now();
         let new = || LocalLease {
@@ -150,7 +150,7 @@
         self.wake.notify_one();
     }
 
-    /// An operation that is performed under the lease, if that is active at this moment.
+    /// Attaches the lease's fencing token to an operation; `None` if the lease is not active at this moment.
     pub fn operation<T>(&self, name: &LeaseName, payload: T) -> Option<Operation<T>> {
         let leases = self.local_leases.borrow();
         let operation = leases
@@ -162,7 +162,7 @@
     }
 
     /// Waits until the lease is active.
-    async fn until_active(&self, name: &LeaseName) {
+    async fn wait_until_active(&self, name: &LeaseName) {
         loop {
             let changed = self.changed.notified();
             if self.operation(name, ()).is_some() {
@@ -172,20 +172,20 @@
         }
     }
 
-    /// Releases the lease for a while, so that another node acquires it; returns whether it was active.
-    fn release_for_a_while(&self, name: &LeaseName) -> bool {
+    /// Releases the lease, so that another node can acquire it, and acquires it again later; returns whether it was active.
+    fn release_temporarily(&self, name: &LeaseName) -> bool {
         let now = self.now();
         let was_active = self.operation(name, ()).is_some();
         if let Some(local) = self.local_leases.borrow_mut().get_mut(name) {
             local.lease.release(now);
-            local.reacquire_at = Some(now + self.config.duration * LENGTHS_UNTIL_REACQUIRED);
+            local.reacquire_at = Some(now + self.config.duration * REACQUIRE_DELAY_DURATIONS);
         }
         self.process_effects();
         self.wake.notify_one();
         was_active
     }
 
-    /// Releases all leases for good, as the node shuts down.
+    /// Releases all leases permanently, as the node shuts down.
     pub fn leave(&self) {
         let now = self.now();
         for local in self.local_leases.borrow_mut().values_mut() {
--- a/crates/node/src/lease/random.rs
+++ b/crates/node/src/lease/random.rs
@@ -8,18 +8,18 @@
 #[derive(Default)]
 pub struct RandomNumbers {
     state: RandomState,
-    /// How many numbers there were.
+    /// Number of values generated so far.
     count: Cell<u64>,
 }
 
 impl RandomNumbers {
-    /// A new number, uniform over all values.
+    /// Generates a value, uniform over the range of the type.
     pub fn next(&self) -> u32 {
         self.count.set(self.count.get() + 1);
         self.state.hash_one(self.count.get()) as u32
     }
 
-    /// The tag of a new storage folder: the same at each call, and never 0.
+    /// The random tag of a new storage folder: the same at each call, and never 0.
     pub fn storage_tag(&self) -> u64 {
         self.state.hash_one("storage") | 1
     }
--- a/crates/node/src/lease/start.rs
+++ b/crates/node/src/lease/start.rs
@@ -1,4 +1,4 @@
-//! Starts a node's leases, its keeper and the calls under its leases.
+//! Starts a node's leases, its keeper and the calls that the leases guard.
 
 use super::group::GroupId;
 use super::random::RandomNumbers;
@@ -16,13 +16,13 @@
 use thiserror::Error;
 use tokio::sync::{mpsc, Notify};
 
-/// Parts per million in a whole.
+/// Parts per million in 1.
 const PPM: f64 = 1e6;
 
 /// Why the leases can't be started.
 #[derive(Debug, Error)]
 pub enum LeaseError {
-    /// The thread of the keeper's storage can't be started.
+    /// The thread of the keeper's storage can't be spawned.
     #[error("leases: {0}")]
     StorageThread(#[source] io::Error),
     /// A call has no valid lease name.
@@ -30,17 +30,17 @@
     InvalidCallName {
         /// The name of the call.
         name: String,
-        /// What is wrong with it.
+        /// Why the name is invalid.
         source: InvalidLeaseName,
     },
 }
 
 impl Leases {
-    /// Starts the leases, and the keeper with its storage if this node is one.
+    /// Starts the leases and their calls, and the keeper with its storage if this node is one.
     ///
     /// # Errors
-    /// If the storage thread can't be started, or a call has no valid name. A folder that can't be used now is no error: it
-    /// is opened again later.
+    /// If the storage thread can't be spawned, or a call has an invalid name. A folder that can't be used is not an error:
+    /// opening it is retried.
     pub fn start(
         fleet: &Rc<FleetRuntime>,
         fleet_settings: &model::Fleet,
@@ -65,16 +65,16 @@
         let drift_margin = DriftMargin {
             drift_ppm: (settings.drift * PPM).ceil() as u32,
         };
-        let length = (settings.duration * MICROS_PER_SECOND) as Micros;
+        let duration = (settings.duration * MICROS_PER_SECOND) as Micros;
         Leases {
             fleet: fleet.clone(),
             keepers: settings.keepers.clone(),
             group_id: GroupId::of(&settings.keepers),
             config: Config {
                 drift_margin,
-                ..Config::new(settings.keepers.len(), length)
+                ..Config::new(settings.keepers.len(), duration)
             },
-            max_length: length,
+            max_duration: duration,
             local_keeper,
             local_leases: RefCell::default(),
             loopback: RefCell::default(),
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Acquires the lease of a call, and starts the task that calls while it is active.
+    /// Starts to acquire the lease of a call, and spawns the task that calls while the lease is active.
     fn start_call(self: &Rc<Self>, call: &model::Call) -> Result<(), LeaseError> {
         let name = LeaseName::try_from(call.name.clone());
         let name = name.map_err(|source| LeaseError::InvalidCallName {
