--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -1,9 +1,9 @@
-//! The command line: parses the arguments, runs the command and sets the exit code. Called by the program's `main`.
+//! The command line: parses the arguments, runs the command and returns the exit code. Called by the program's `main`.
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | `args` | the arguments |
-//! | `routes` | the route that a request would take |
+//! | `routes` | the command `routes`, which looks up the route of a request |
 
 mod args;
 mod routes;
@@ -21,10 +21,10 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// The exit code for invalid arguments.
+/// The exit code for invalid arguments, as clap's own.
 const INVALID_ARGUMENTS: u8 = 2;
 
-/// Why a command fails. The text is what the program prints.
+/// The error of a command, with the text that is printed on standard error.
 #[derive(Debug, Error)]
 enum CommandError {
     #[error("reelfall: {0}")]
@@ -37,12 +37,12 @@
     Route(#[from] RouteError),
 }
 
-/// Runs the program with its arguments, the first being its own name.
+/// Runs the program with these arguments, of which the first is the program's name.
 pub fn main(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     let cli = match Cli::try_parse_from(args) {
         Ok(cli) => cli,
         Err(error) => {
-            // Nothing is left to do if even that can't be written.
+            // A failure to write to standard output or error can't be reported anywhere.
             let _ = error.print();
             let code = u8::try_from(error.exit_code()).unwrap_or(INVALID_ARGUMENTS);
             return ExitCode::from(code);
@@ -108,12 +108,12 @@
     send(&target, &ManagementRequest::Fleet(request))
 }
 
-/// Checks a settings file, and prints how much is in it.
+/// Validates a settings file, and prints its number of services and routes.
 fn check(file: &Path) -> Result<(), Faults> {
     let plan = reelfall_config::load(file)?;
     let (services, routes) = (plan.model.services.len(), plan.matches.len());
     println!(
-        "{}: {services} services, {routes} routes, nothing wrong",
+        "{}: {services} services, {routes} routes, no errors",
         file.display()
     );
     Ok(())
--- a/crates/node/src/cli/args.rs
+++ b/crates/node/src/cli/args.rs
@@ -1,4 +1,4 @@
-//! The arguments of the command line. Their doc comments are the texts of `--help`.
+//! The command-line arguments. Their doc comments are the texts of `--help`.
 
 use clap::{Args, Parser, Subcommand};
 use std::net::SocketAddr;
@@ -71,7 +71,7 @@
     Ban {
         /// The server's name, as in the list
         server: String,
-        /// Duration in seconds, a week at most; without one the ban holds until it is lifted
+        /// Duration in seconds, at most a week; without it the ban lasts until it is lifted
         #[arg(long = "for", value_name = "SECONDS")]
         seconds: Option<u32>,
         /// Who requests this, for the record
@@ -92,7 +92,7 @@
     },
     /// List the leases and their holders
     Leases(ManagementTarget),
-    /// Make this node release a lease, so that another node can acquire it
+    /// Make the node that is called release a lease, so that another node can acquire it
     Release {
         /// The lease's name
         lease: String,
@@ -104,7 +104,7 @@
     },
 }
 
-/// The address of the node that a command is sent to.
+/// The node that a command is sent to.
 #[derive(Args)]
 pub struct ManagementTarget {
     /// The management address of the node
@@ -112,7 +112,7 @@
     pub management: SocketAddr,
 }
 
-/// A request whose route is looked up.
+/// The request whose route is looked up.
 #[derive(Args)]
 pub struct RouteArgs {
     /// The settings file
--- a/crates/node/src/cli/routes.rs
+++ b/crates/node/src/cli/routes.rs
@@ -1,4 +1,4 @@
-//! The command that looks up the route of a request in a settings file, and explains why it wins over others.
+//! The command that looks up the route of a request in a settings file, and explains why it takes precedence over others.
 
 use super::args::RouteArgs;
 use reelfall_config::{Faults, Plan};
@@ -7,14 +7,14 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why there is no route to print. The text is what the program prints.
+/// Why the lookup fails, with the text that is printed on standard error.
 #[derive(Debug, Error)]
 pub enum RouteError {
     /// The settings file is unusable.
     #[error(transparent)]
     Settings(#[from] Faults),
     /// The file has no such listener.
-    #[error("{file}: there is no listener `{name}`", file = file.display())]
+    #[error("{file}: no listener is named `{name}`", file = file.display())]
     UnknownListener {
         /// The settings file.
         file: PathBuf,
@@ -25,11 +25,11 @@
     #[error("400: {0}")]
     InvalidTarget(#[from] target::TargetError),
     /// No route matches the request.
-    #[error("404: no route fits")]
+    #[error("404: no route matches")]
     NoRoute,
 }
 
-/// Looks up the route of a request, and prints it with the routes that it wins over.
+/// Looks up the route of a request, and prints it with the matching routes that it takes precedence over.
 ///
 /// # Errors
 /// If the settings file is unusable, or a node would reject the request.
@@ -75,11 +75,14 @@
             (Some(winner), Some(loser)) => reason_to_win(winner, loser),
             _ => "",
         };
-        println!("  before {}: {reason}", describe(plan, loser));
+        println!(
+            "  takes precedence over {}: {reason}",
+            describe(plan, loser)
+        );
     }
 }
 
-/// Describes a route: its service, the class that it assigns, where it is in the file, and what it matches.
+/// Describes a route: its service, the class that it assigns, its position in the file, and its conditions.
 fn describe(plan: &Plan, route: usize) -> String {
     let goal = plan.goals.get(route);
     let service = goal.and_then(|goal| plan.model.services.get(goal.service));
@@ -96,13 +99,13 @@
     )
 }
 
-/// The first criterion by which a route is more specific than another.
+/// The first criterion by which `winner` is more specific than `loser`.
 fn reason_to_win(winner: &RouteConditions, loser: &RouteConditions) -> &'static str {
     let (winner, loser) = (winner.specificity(), loser.specificity());
     if winner.names_listener != loser.names_listener {
         "its listener is named"
     } else if winner.host != loser.host {
-        "its host is more special"
+        "its host is more specific"
     } else if winner.path_segments != loser.path_segments {
         "its path is longer"
     } else if winner.names_methods != loser.names_methods {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,16 +1,16 @@
-//! One node on sockets: its configuration, its command line, and the network on both sides.
+//! The node program: its configuration, its command line, and the connections to clients and servers.
 //!
 //! [`reelfall_balancer`] chooses servers, retries requests and sheds load, [`reelfall_routing`] chooses a service; this
-//! crate translates, executes and enforces.
+//! crate performs their decisions on the network and enforces the limits of the process.
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | [`cli`] | the command line |
-//! | `operate` | the client of the management address |
+//! | `operate` | the client of a node's management address |
 //! | `platform` | a node that is configured by its platform: one pool behind one listener |
 //! | `standalone` | a node that is configured by a settings file |
-//! | `process` | the steps that both have in common |
-//! | `fleet` | the fleet's socket and its effects on the pools |
+//! | `process` | what `platform` and `standalone` have in common |
+//! | `fleet` | membership in a fleet, and its effects on the pools |
 //! | `lease` | leases over the fleet's socket |
 //! | `net` | connections to clients and servers |
 //! | `report` | text reports with a maximum length |
--- a/crates/node/src/operate.rs
+++ b/crates/node/src/operate.rs
@@ -7,25 +7,25 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Timeout for connecting, writing and reading. Whatever the load, a node answers within a second.
+/// Timeout for connecting, for each write and for each read. Even an overloaded node answers within a second.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// Maximum number of bytes of an answer that are read.
+/// Maximum number of bytes that are read of an answer; the rest is not printed.
 const MAX_ANSWER_LEN: u64 = 16 << 10;
-/// Maximum number of headers of an answer.
+/// Maximum number of header fields in an answer.
 const MAX_HEADERS: usize = 32;
-/// The exit code if no node answers, as in `sysexits.h`.
+/// The exit code if no node answers: `EX_UNAVAILABLE` of `sysexits.h`.
 const UNAVAILABLE: u8 = 69;
 
-/// Why there is no answer.
+/// Why a request has no answer.
 #[derive(Debug, Error)]
 enum SendError {
     #[error(transparent)]
     Connection(#[from] io::Error),
-    #[error("what came is no answer of a node")]
+    #[error("the response is not valid HTTP")]
     InvalidAnswer,
 }
 
-/// The answer of a node.
+/// A node's answer to a management request.
 struct Answer {
     status: u16,
     text: String,
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -1,7 +1,12 @@
 //! A node that is configured by its platform: one pool behind one listener. Called by the command line.
 //!
-//! A new process takes over the sockets and the learned state of the process of the same name that serves already, if there
-//! is one: see [`crate::net::takeover`].
+//! A new process takes over the sockets and the learned state of a running process of the same name: see
+//! [`crate::net::takeover`].
+//!
+//! | module | responsibility |
+//! | --- | --- |
+//! | `config` | the configuration file |
+//! | `reload` | the reload at SIGHUP |
 
 mod config;
 mod reload;
@@ -26,17 +31,17 @@
 use thiserror::Error;
 use tokio::sync::watch;
 
-/// Interval at which a node that starts checks whether it can serve.
+/// Interval at which a starting node checks whether its pool can serve.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The name of the only listener.
+/// The name of the only listener, as in a takeover's snapshot.
 const LISTENER: &str = "client";
-/// The name of the only pool.
+/// The name of the only pool, as in a takeover's snapshot.
 const POOL: &str = "";
 
 /// Why a node can't start.
 #[derive(Debug, Error)]
 pub enum PlatformError {
-    /// The operating system does not provide what it needs.
+    /// The operating system does not provide what the node needs.
     #[error(transparent)]
     Process(#[from] ProcessError),
     /// There is no usable configuration.
@@ -53,7 +58,7 @@
     Listener(#[from] BindError),
 }
 
-/// Serves until SIGTERM.
+/// Runs a node with the platform's configuration until SIGTERM.
 ///
 /// # Errors
 /// If the configuration is unusable, or the system does not provide what the node needs.
@@ -84,7 +89,7 @@
     let takeover = settings.build_takeover(&shared, &pool, snapshot.is_some());
     settings.spawn_management(&shared, &takeover);
     let service = Service::single(pool.clone(), follow);
-    let frontend = settings.build_front(&shared, service, initial_bounds);
+    let frontend = settings.build_frontend(&shared, service, initial_bounds);
     tokio::task::spawn_local(frontend.clone().close_idle_while_draining());
     frontend.set_handover_state(&takeover);
     frontend.listen(vec![inherited.listening]);
@@ -105,9 +110,9 @@
     Ok(())
 }
 
-/// The settings of the process, which hold from its start to its end.
+/// The settings of the process that a reload does not change.
 struct StartSettings {
-    /// The name as it is in file names.
+    /// The node's name, as it is in file names.
     name: String,
     /// The folder that the processes of the node share.
     folder: Option<PathBuf>,
@@ -120,7 +125,7 @@
     fn read(config: &Config) -> Result<StartSettings, ConfigError> {
         Ok(StartSettings {
             management: config.management_address()?,
-            name: process::file_name_of(&config.name),
+            name: process::sanitize_file_name(&config.name),
             folder: std::env::var_os("TMPDIR").map(PathBuf::from),
             seed: config.random_seed(),
             bounds: ResourceLimits::for_process(config.limits.sockets, config.limits.memory_mb),
@@ -132,7 +137,7 @@
         Some(HandoverSocket::new(folder, &self.name))
     }
 
-    /// The snapshot of the process that serves already, if there is one.
+    /// Requests the predecessor's snapshot; `None` if no process of the same name serves.
     async fn request_snapshot(&self, shared: &Shared) -> Option<Snapshot> {
         self.handover_socket()?.request_snapshot(shared).await
     }
@@ -149,7 +154,7 @@
         Takeover::new(shared.clone(), socket, has_predecessor, collect_learned)
     }
 
-    fn build_front(
+    fn build_frontend(
         &self,
         shared: &Rc<Shared>,
         service: Rc<Service>,
@@ -164,7 +169,7 @@
         )
     }
 
-    /// Spawns the tasks that serve the management address, if there is one, and follow the ledger.
+    /// Spawns the tasks that serve the management address, if one is configured, and follow the ledger.
     fn spawn_management(&self, shared: &Rc<Shared>, takeover: &Rc<Takeover>) {
         let takeover = takeover.clone();
         let is_ready = Box::new(move || takeover.is_serving());
@@ -177,7 +182,7 @@
     }
 }
 
-/// What the pool is built from.
+/// The parsed settings of the pool.
 struct PoolSettings {
     settings: Settings,
     names: NameRegistry,
@@ -229,12 +234,12 @@
     source::follow(pool, list)
 }
 
-/// What the process takes over from its predecessor, or has of its own without one.
+/// The socket and the limits that the process starts with: its predecessor's socket if it can be used, or a new one.
 struct Inherited {
-    /// `None` without a predecessor whose socket can be used: then the two processes serve beside each other.
+    /// `None` without a predecessor, or if its socket can't be used: then both processes serve, each on its own socket.
     snapshot: Option<Snapshot>,
     listening: Rc<ListenSocket>,
-    /// The limits while the predecessor is there: the two share those of the node.
+    /// The limits while the predecessor runs: the two processes share the node's limits.
     initial_bounds: ResourceLimits,
 }
 
@@ -263,7 +268,7 @@
                 initial_bounds: bounds.halved(),
             });
         }
-        // A predecessor goes on with its own sockets and clients, and this process has its own.
+        // A predecessor keeps its sockets and clients, and this process binds its own socket.
         drop(snapshot);
         let listening = ListenSocket::bind(LISTENER, address, bounds.client_connections, true)?;
         Ok(Inherited {
@@ -279,7 +284,7 @@
     process::spawn_ticks(move || shared.tick());
 }
 
-/// Spawns the task that raises the limits to those of the whole node once the predecessor is gone.
+/// Spawns the task that raises the limits to those of the whole node once the predecessor has exited.
 fn spawn_limit_restore(
     shared: Rc<Shared>,
     takeover: &Rc<Takeover>,
--- a/crates/node/src/platform/config.rs
+++ b/crates/node/src/platform/config.rs
@@ -1,6 +1,5 @@
-//! The configuration that a platform passes to a node: a JSON file, named by an environment variable.
-//!
-//! Read at the start and again at each SIGHUP.
+//! The configuration that a platform passes to a node: a JSON file whose path is in an environment variable. It is read at
+//! the start and again at each SIGHUP.
 
 use reelfall_balancer::settings;
 use serde::Deserialize;
@@ -11,10 +10,10 @@
 
 /// The environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
-/// The environment variable with the management address, which the configuration file takes precedence over.
+/// The environment variable with the management address, for a configuration file that has none.
 const MANAGEMENT_VARIABLE: &str = "ROUTER_MANAGEMENT";
 
-/// The configuration of a node.
+/// The contents of the configuration file.
 #[derive(Deserialize)]
 pub struct Config {
     /// The node's name.
@@ -27,17 +26,17 @@
     pub discovery: SocketAddr,
     #[serde(default)]
     seed: String,
-    /// The limits of the process.
+    /// The resources that the process may use.
     #[serde(default)]
     pub limits: ProcessLimits,
-    /// The endpoint list of an earlier run, or null.
+    /// The endpoint list of an earlier run, which may be outdated; null if there is none.
     #[serde(default)]
     pub known: serde_json::Value,
     /// The settings of the pool, as JSON text.
     pub settings: Box<serde_json::value::RawValue>,
 }
 
-/// The limits of the process.
+/// The resources that the process may use.
 #[derive(Deserialize)]
 #[serde(default)]
 pub struct ProcessLimits {
@@ -56,12 +55,12 @@
     }
 }
 
-/// Why there is no usable configuration.
+/// Why the configuration can't be loaded.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The environment names no file.
-    #[error("{CONFIG_VARIABLE} names no file")]
-    NotNamed(#[source] VarError),
+    /// The environment variable is not set or not valid Unicode.
+    #[error("{CONFIG_VARIABLE} is not set to the path of a file")]
+    PathNotSet(#[source] VarError),
     /// The file can't be read.
     #[error("{path}: {source}")]
     Unreadable {
@@ -70,7 +69,7 @@
         /// The error of the file system.
         source: io::Error,
     },
-    /// The file is no configuration.
+    /// The file is not a valid configuration.
     #[error("{path}: {source}")]
     Malformed {
         /// The path of the file.
@@ -78,7 +77,7 @@
         /// The error of the parser.
         source: serde_json::Error,
     },
-    /// The environment's management address is no address.
+    /// The management address in the environment is invalid.
     #[error("{MANAGEMENT_VARIABLE} {text}: {source}")]
     InvalidManagementAddress {
         /// The value of the variable.
@@ -89,12 +88,12 @@
 }
 
 impl Config {
-    /// Loads the file that the environment names.
+    /// Loads the file whose path is in the environment.
     ///
     /// # Errors
-    /// If no file is named, or it is no configuration.
+    /// If the path is not set, or the file can't be read or is not a valid configuration.
     pub fn load() -> Result<Config, ConfigError> {
-        let path = std::env::var(CONFIG_VARIABLE).map_err(ConfigError::NotNamed)?;
+        let path = std::env::var(CONFIG_VARIABLE).map_err(ConfigError::PathNotSet)?;
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
             Err(source) => return Err(ConfigError::Unreadable { path, source }),
@@ -102,10 +101,10 @@
         serde_json::from_str(&text).map_err(|source| ConfigError::Malformed { path, source })
     }
 
-    /// The management address, if there is one.
+    /// The management address: the file's, otherwise the environment's; `None` if neither has one.
     ///
     /// # Errors
-    /// If the environment's is no address.
+    /// If the environment's is not a valid address.
     pub fn management_address(&self) -> Result<Option<SocketAddr>, ConfigError> {
         if let Some(address) = self.management {
             return Ok(Some(address));
@@ -119,7 +118,8 @@
         }
     }
 
-    /// The seed of the node's random numbers: any text is one, but two starts must not share it.
+    /// The seed of the node's random numbers: the setting as a hexadecimal number, or the hash of any other text. It should
+    /// differ at each start.
     pub fn random_seed(&self) -> u64 {
         u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| settings::stable_hash(&self.seed))
     }
--- a/crates/node/src/platform/reload.rs
+++ b/crates/node/src/platform/reload.rs
@@ -8,15 +8,15 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
-/// Maximum number of attempts to read a configuration, which may be half written.
+/// Maximum number of attempts to load the configuration, whose file may be half written.
 const MAX_LOAD_ATTEMPTS: u32 = 10;
-/// Pause between two attempts.
+/// Pause between two attempts to load the configuration.
 const LOAD_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Applies the configuration again at each SIGHUP, for as long as it is polled. If it can't be read, the node keeps the one
-/// that it has.
+/// Loads the configuration again at each SIGHUP, for as long as it is polled. If it can't be loaded, the old one stays in
+/// force.
 ///
-/// Only the address of the discovery service can change in a running node; everything else holds from the next start.
+/// Only the address of the discovery service changes in a running node; all other changes take effect at the next start.
 pub async fn run(
     shared: Rc<Shared>,
     mut hangup: Signal,
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -1,4 +1,4 @@
-//! Steps that both ways to run a node have in common: the runtime, signals, the periodic tick, the name in file names.
+//! What both kinds of node have in common: the runtime, signals, the periodic tick, and file names.
 //!
 //! Called by [`crate::platform`] and [`crate::standalone`].
 
@@ -8,23 +8,23 @@
 use thiserror::Error;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Interval at which idle connections and draining pools are checked.
+/// Interval of the periodic work, such as closing idle connections and removing drained pools.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
-/// Maximum length of a node's name in a file name, in characters.
+/// Maximum length of the part of a file name that is a node's name, in characters.
 const MAX_FILE_NAME_LEN: usize = 64;
 
-/// Why the operating system does not provide what every node needs.
+/// The operating system does not provide what every node needs.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// The runtime can't be built.
+    /// The async runtime can't be built.
     #[error("{0}")]
     Runtime(#[source] io::Error),
-    /// A signal can't be handled.
+    /// The handler of a signal can't be installed.
     #[error("{0}")]
     Signal(#[source] io::Error),
 }
 
-/// Runs a node to its end, on a runtime of one thread.
+/// Runs a node to completion on a single-threaded runtime.
 ///
 /// # Errors
 /// If the runtime can't be built, or the node can't start.
@@ -45,10 +45,10 @@
 }
 
 impl Signals {
-    /// Handles the signals from now on, in place of the system's default.
+    /// Installs handlers, which replace the default action of the signals.
     ///
     /// # Errors
-    /// If the system refuses.
+    /// If a handler can't be installed.
     pub fn listen() -> Result<Signals, ProcessError> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate()).map_err(ProcessError::Signal)?,
@@ -67,8 +67,8 @@
     });
 }
 
-/// A node's name in the form that it has in file names.
-pub fn file_name_of(node: &str) -> String {
+/// Converts a node's name for use in file names: any character but ASCII letters, digits and `-` becomes `_`.
+pub fn sanitize_file_name(node: &str) -> String {
     let to_safe = |c: char| {
         if c.is_ascii_alphanumeric() || c == '-' {
             c
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -1,8 +1,8 @@
-//! Text reports of the admin handlers, with a maximum length.
+//! Text reports of the management requests, with a maximum length.
 
 use std::fmt::Write;
 
-/// Maximum length of a report, in bytes; lines beyond it are only counted.
+/// Once the text is longer than this, in bytes, further lines are counted instead of added.
 const MAX_LEN: usize = 12 << 10;
 
 /// A report under construction, line by line.
@@ -13,7 +13,7 @@
 }
 
 impl Report {
-    /// Adds a line, or counts it if the report is full.
+    /// Adds a line, or counts it as omitted if the report is full.
     pub fn add(&mut self, line: std::fmt::Arguments) {
         if self.text.len() > MAX_LEN {
             self.omitted += 1;
--- a/crates/node/src/standalone.rs
+++ b/crates/node/src/standalone.rs
@@ -3,11 +3,12 @@
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `announce` | the line on standard output with the addresses |
+//! | `announce` | the line on standard output with the bound addresses |
 //! | `entries` | the node's own entries in registries |
+//! | `error` | why a plan can't be applied |
 //! | `management` | the management address |
 //! | `membership` | the node's membership in a fleet |
-//! | `node` | the plan in force, and its replacement |
+//! | `node` | the plan in force, and its replacement at a reload |
 //! | `reload` | the thread that reads the settings file again |
 
 mod announce;
@@ -48,7 +49,7 @@
     /// The thread that reads the settings file can't be started.
     #[error("{0}")]
     ReaderThread(#[source] io::Error),
-    /// The plan can't be put in force.
+    /// The plan can't be applied.
     #[error(transparent)]
     Apply(#[from] ApplyError),
     /// The management address can't be served.
@@ -62,7 +63,7 @@
     Leases(#[from] LeaseError),
 }
 
-/// Serves as the settings file says, until SIGTERM.
+/// Runs a node with the settings file until SIGTERM.
 ///
 /// # Errors
 /// If the file is unusable, or the system does not provide what the node needs.
@@ -96,7 +97,7 @@
     tokio::task::spawn_local(reload_at_hangup(node.clone(), reader, hangup, file));
     let stop = async {
         terminate.recv().await;
-        // Before anything else, so that nobody chooses this node any more.
+        // First of all, so that clients and other nodes stop selecting this node.
         node.begin_shutdown();
         if let Some(membership) = &membership {
             membership.leave();
@@ -107,7 +108,7 @@
     Ok(())
 }
 
-/// The settings that hold from the start of the process to its end, whatever a reload says.
+/// The settings that a reload does not change: they are read once, as the process starts.
 struct StartSettings {
     fleet: Option<Located<model::Fleet>>,
     management: Option<Located<model::Management>>,
@@ -121,12 +122,12 @@
         }
     }
 
-    /// The folder of the ledger, if bans and drains outlive the process.
+    /// The folder of the ledger; `None` if bans and drains are not stored.
     fn ledger_folder(&self) -> Option<&Path> {
         self.management.as_ref()?.folder.as_deref()
     }
 
-    /// The node's name in its fleet, or one for all nodes without a fleet.
+    /// The node's name in its fleet; all nodes without a fleet have the same one.
     fn node_name(&self) -> &str {
         self.fleet.as_ref().map_or("node", |fleet| &fleet.node)
     }
@@ -157,8 +158,8 @@
     process::spawn_ticks(move || node.tick());
 }
 
-/// Reloads the settings file at each SIGHUP, for as long as it is polled. Signals that arrive during a reload cause one
-/// more, however many they are.
+/// Reloads the settings file at each SIGHUP, for as long as it is polled. All signals that arrive during a reload cause
+/// one further reload.
 async fn reload_at_hangup(
     node: Rc<Node>,
     reader: SettingsReader,
--- a/crates/node/src/standalone/announce.rs
+++ b/crates/node/src/standalone/announce.rs
@@ -1,4 +1,5 @@
-//! The line on standard output with the node's addresses: with port 0 in the settings file, nobody else knows them.
+//! The line on standard output with the addresses that the node has bound: with port 0 in the settings file, the system
+//! chooses the ports, and only this line tells them.
 
 use crate::fleet::FleetRuntime;
 use crate::net::frontend::Frontend;
@@ -6,7 +7,7 @@
 use std::io::Write;
 use std::net::TcpListener;
 
-/// Prints the addresses of the listeners, the management address and the fleet's as one line of JSON.
+/// Prints the addresses of the listeners, of the management interface and of the fleet as one line of JSON.
 pub fn print(frontend: &Frontend, management: Option<&TcpListener>, fleet: Option<&FleetRuntime>) {
     let listeners: Map<String, Value> = frontend
         .addresses()
@@ -22,6 +23,6 @@
         line.insert("fleet".to_owned(), address.to_string().into());
     }
     let line = Value::from(line);
-    // Nobody may be there to read it.
+    // Standard output may be closed, which is no reason to stop.
     let _ = writeln!(std::io::stdout(), "{line}");
 }
--- a/crates/node/src/standalone/entries.rs
+++ b/crates/node/src/standalone/entries.rs
@@ -1,5 +1,4 @@
-//! The node's own entries in registries: which ones the plan wants, and which ones there are. Used by
-//! [`super::node::Node`].
+//! The node's own entries in registries, reconciled with those that the plan requires. Used by [`super::node::Node`].
 
 use super::error::ApplyError;
 use crate::net::frontend::Frontend;
@@ -14,13 +13,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Maximum time that the withdrawal of an entry may take.
+/// Timeout for withdrawing an entry; a shutdown waits for it.
 const WITHDRAWAL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Entries that a plan wants, by the names of their registries.
+/// The entries that a plan requires, by the names of their registries.
 pub type DesiredEntries = HashMap<String, DesiredEntry>;
 
-/// An entry that a plan wants. As long as this does not change, the entry stays.
+/// An entry that a plan requires. A reload keeps the active entry if this is unchanged.
 #[derive(Clone, PartialEq)]
 pub struct DesiredEntry {
     access: RegistryAccess,
@@ -29,7 +28,7 @@
 }
 
 impl DesiredEntry {
-    /// The entries that a plan wants.
+    /// Collects the entries that a plan requires.
     ///
     /// # Errors
     /// If a registry can't be accessed.
@@ -85,23 +84,23 @@
     }
 }
 
-/// An entry that there is, and what it was made from.
+/// An entry that is maintained in its registry, and the requirement that it was created from.
 struct ActiveEntry {
     desired: DesiredEntry,
     entry: Rc<OwnEntry>,
 }
 
-/// The entries of this node.
+/// The entries that this node maintains.
 pub struct OwnEntries {
     shared: Rc<Shared>,
     /// When this process started, in milliseconds of Unix time.
     incarnation: u64,
-    /// By the names of their registries.
+    /// The entries, by the names of their registries.
     active: RefCell<HashMap<String, ActiveEntry>>,
 }
 
 impl OwnEntries {
-    /// No entries yet.
+    /// Creates an empty set, whose entries will have the current time as their incarnation.
     pub fn new(shared: Rc<Shared>) -> OwnEntries {
         let incarnation = (shared.clock.now() * 1e3) as u64;
         OwnEntries {
@@ -111,7 +110,7 @@
         }
     }
 
-    /// Leaves the entries that are desired, withdraws the others, and makes the ones that are missing.
+    /// Keeps the active entries that are desired, withdraws the others, and registers the missing ones.
     pub fn reconcile(&self, frontend: &Frontend, desired: DesiredEntries) {
         let mut active = self.active.borrow_mut();
         active.retain(|registry, active| {
@@ -133,14 +132,14 @@
         }
     }
 
-    /// Publishes all entries: the node is ready.
+    /// Publishes all entries, once the node is ready.
     pub fn publish(&self) {
         for active in self.active.borrow().values() {
             active.entry.publish();
         }
     }
 
-    /// Withdraws all entries, and waits for that as long as it may take.
+    /// Withdraws all entries, and waits until that is done or has timed out.
     pub async fn withdraw(&self) {
         let withdrawals: FuturesUnordered<_> = self
             .active
--- a/crates/node/src/standalone/error.rs
+++ b/crates/node/src/standalone/error.rs
@@ -1,4 +1,4 @@
-//! Why a plan can't be put in force.
+//! The error of applying a plan.
 
 use crate::net::frontend::BindError;
 use crate::net::registry::RegistryAccessError;
@@ -6,13 +6,13 @@
 use reelfall_config::model::Origin;
 use thiserror::Error;
 
-/// Why a plan can't be put in force.
+/// Why a plan can't be applied.
 #[derive(Debug, Error)]
 pub enum ApplyError {
     /// A listener's address can't be bound.
     #[error("{origin}: listener `{name}`: {source}")]
     Listener {
-        /// Where the listener is in the settings file.
+        /// The position of the listener in the settings file.
         origin: Origin,
         /// The name of the listener.
         name: String,
@@ -22,7 +22,7 @@
     /// A registry can't be accessed.
     #[error("{origin}: {source}")]
     Registry {
-        /// Where the registry is in the settings file.
+        /// The position of the registry in the settings file.
         origin: Origin,
         /// What is missing for the access.
         source: RegistryAccessError,
--- a/crates/node/src/standalone/management.rs
+++ b/crates/node/src/standalone/management.rs
@@ -1,10 +1,10 @@
-//! The management address of a node with a settings file. It is served from the start of the process to its end: what a
-//! reload says of it holds from the next start.
+//! The management address of a node with a settings file. It is bound once, as the process starts: a change in the
+//! settings file takes effect at the next start.
 
 use super::membership::Membership;
 use super::node::Node;
 use crate::net::management::{FleetHandler, Management};
-use crate::process::file_name_of;
+use crate::process::sanitize_file_name;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
@@ -27,7 +27,7 @@
     Listener(#[source] io::Error),
 }
 
-/// Binds the address.
+/// Binds the management address, without serving it yet.
 ///
 /// # Errors
 /// If it can't be bound.
@@ -40,7 +40,7 @@
     bind().map_err(|source| ManagementError::Bind { address, source })
 }
 
-/// Spawns the tasks that serve the address and apply what is requested there. `folder` is the ledger's, `name` the node's.
+/// Spawns the tasks that serve the address and apply the requests. `folder` is the ledger's, `name` the node's.
 ///
 /// # Errors
 /// If the runtime can't use the listener.
@@ -59,7 +59,7 @@
         Box::new(move |request: &_| membership.handle_request(request)) as FleetHandler
     });
     let shared = node.shared.clone();
-    let name = file_name_of(name);
+    let name = sanitize_file_name(name);
     let management = Management::new(shared, folder, &name, is_ready, fleet_handler);
     tokio::task::spawn_local(management.clone().accept(listener));
     tokio::task::spawn_local(management.follow());
--- a/crates/node/src/standalone/membership.rs
+++ b/crates/node/src/standalone/membership.rs
@@ -1,4 +1,4 @@
-//! The node's membership in a fleet, with its leases. It lasts from the start of the process to its end.
+//! The node's membership in a fleet, with its leases. It lasts as long as the process: a reload does not change it.
 
 use crate::fleet::FleetRuntime;
 use crate::lease::{LeaseError, Leases};
@@ -9,7 +9,7 @@
 use reelfall_config::model;
 use std::rc::Rc;
 
-/// The node's membership in a fleet.
+/// A node's part in its fleet: gossip, verdicts and leases.
 pub struct Membership {
     fleet: Rc<FleetRuntime>,
     /// `None` if the settings file has no leases.
@@ -17,7 +17,7 @@
 }
 
 impl Membership {
-    /// Joins the fleet, and starts the leases.
+    /// Joins the fleet, and starts the leases if the settings have any.
     ///
     /// # Errors
     /// If the leases can't be started.
@@ -41,7 +41,7 @@
         self.fleet.leave();
     }
 
-    /// Answers a management request that concerns the fleet.
+    /// Answers a management request that concerns the fleet or its leases.
     pub fn handle_request(&self, request: &FleetRequest) -> ManagementResponse {
         match (request, &self.leases) {
             (FleetRequest::Leases, Some(leases)) => leases.report(),
--- a/crates/node/src/standalone/node.rs
+++ b/crates/node/src/standalone/node.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Why a reload changes nothing.
+/// Why a reload fails; the plan in force stays as it is.
 #[derive(Debug, Error)]
 enum ReloadError {
     #[error(transparent)]
@@ -25,21 +25,21 @@
 
 /// A node with a plan in force.
 pub struct Node {
-    /// What all services share.
+    /// The state that all services share.
     pub shared: Rc<Shared>,
     /// The services of the plan in force.
     pub services: Services,
     entries: OwnEntries,
-    /// The node shuts down: no plan is put in force any more.
-    is_leaving: Cell<bool>,
+    /// The node is shutting down: it applies no further plan.
+    is_shutting_down: Cell<bool>,
     /// Created with the first plan.
     frontend: RefCell<Option<Rc<Frontend>>>,
-    /// Seed of the random numbers, which two starts must not share.
+    /// Seed of the random numbers; it differs at each start.
     seed: u64,
 }
 
 impl Node {
-    /// A node without a plan. Plans that are no longer used are freed by `reader`.
+    /// Creates a node without a plan. The thread of `reader` frees plans that are no longer used.
     pub fn new(shared: Rc<Shared>, reader: SettingsReader) -> Rc<Node> {
         let seed = RandomState::new().hash_one(std::process::id());
         let free = Rc::new(move |plan| reader.free(plan));
@@ -47,18 +47,18 @@
             services: Services::new(shared.clone(), seed, free),
             entries: OwnEntries::new(shared.clone()),
             shared,
-            is_leaving: Cell::new(false),
+            is_shutting_down: Cell::new(false),
             frontend: RefCell::default(),
             seed,
         })
     }
 
-    /// The client side, once a plan is in force.
+    /// The frontend; `None` until the first plan is applied.
     pub fn frontend(&self) -> Option<Rc<Frontend>> {
         self.frontend.borrow().clone()
     }
 
-    /// Does what is due periodically.
+    /// Does the periodic work, and publishes the node's entries once all services are ready.
     pub fn tick(&self) {
         self.shared.tick();
         self.services.remove_drained();
@@ -67,9 +67,9 @@
         }
     }
 
-    /// Notes that the node shuts down.
+    /// Marks the node as shutting down: later plans are ignored.
     pub fn begin_shutdown(&self) {
-        self.is_leaving.set(true);
+        self.is_shutting_down.set(true);
     }
 
     /// Withdraws the node's entries from all registries.
@@ -77,10 +77,10 @@
         self.entries.withdraw().await;
     }
 
-    /// Puts a plan in force completely, or not at all.
+    /// Applies a plan completely, or not at all.
     ///
     /// # Errors
-    /// If a part of the plan can't be put in force.
+    /// If a part of the plan can't be applied.
     pub fn apply(&self, prepared: Arc<PreparedPlan>) -> Result<Rc<Frontend>, ApplyError> {
         let max_clients = prepared.plan.clients;
         let listening = self.open_listeners(&prepared)?;
@@ -95,13 +95,13 @@
         };
         frontend.listen(listening);
         self.frontend.replace(Some(frontend.clone()));
-        if !self.is_leaving.get() {
+        if !self.is_shutting_down.get() {
             self.entries.reconcile(&frontend, entries);
         }
         Ok(frontend)
     }
 
-    /// The listeners of a plan: those that are open already stay open, the others are bound.
+    /// The listeners of a plan: open ones are reused, the others are bound.
     fn open_listeners(&self, prepared: &PreparedPlan) -> Result<Vec<Rc<ListenSocket>>, ApplyError> {
         let frontend = self.frontend();
         let mut listening = Vec::with_capacity(prepared.plan.model.listeners.len());
@@ -123,21 +123,21 @@
         Ok(listening)
     }
 
-    /// Reads the settings file again and puts it in force. If anything is wrong with it, that is reported on standard
-    /// error and nothing changes.
+    /// Reads the settings file again and applies it. If it is invalid, the errors are printed on standard error and the
+    /// plan in force stays.
     pub async fn reload(&self, reader: &SettingsReader, file: &str) {
         let Some(in_force) = self.services.current_plan() else {
             return;
         };
         let read = reader.read(in_force).await;
-        if self.is_leaving.get() {
-            // Listeners that have been closed would be opened again.
-            eprintln!("reelfall: {file} is not taken in: the node is ending");
+        if self.is_shutting_down.get() {
+            // Applying the plan would reopen listeners that the shutdown has closed.
+            eprintln!("reelfall: {file} is ignored: the node is shutting down");
             return;
         }
         match self.apply_read(read, reader) {
             Ok(_) => eprintln!("reelfall: {file} is in force"),
-            // Not in the log, whose rate limit could cut off the list of errors.
+            // Printed directly, since the log's rate limit could truncate the list of errors.
             Err(error) => {
                 eprintln!("{error}\nreelfall: reload failed, the old settings stay in force");
             }
@@ -151,7 +151,7 @@
     ) -> Result<Rc<Frontend>, ReloadError> {
         let prepared = read?;
         let applied = self.apply(prepared.clone());
-        // If it was not put in force, nobody else uses it.
+        // The last reference if the plan was not applied.
         reader.free(prepared);
         Ok(applied?)
     }
--- a/crates/node/src/standalone/reload.rs
+++ b/crates/node/src/standalone/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the settings file again on a thread of its own: however large the file is, no request waits for it.
+//! Reads the settings file again on a thread of its own, so that a large file delays no request.
 
 use crate::net::service::prepared::PreparedPlan;
 use crate::net::shared::Clock;
@@ -10,9 +10,9 @@
 use thiserror::Error;
 use tokio::sync::oneshot;
 
-/// Time that a file has to stay unchanged before it counts as complete.
+/// Time for which a file has to stay unchanged before it counts as completely written.
 const SETTLE_INTERVAL: Duration = Duration::from_millis(30);
-/// Maximum number of times that a file is read until it is unchanged.
+/// Maximum number of reads of a file that keeps changing.
 const MAX_SETTLE_ATTEMPTS: u32 = 100;
 
 /// Why there is no new plan.
@@ -36,17 +36,17 @@
 
 /// A job of the thread.
 enum Job {
-    /// Reads the file and prepares what has changed since the plan that is in force.
+    /// Reads the file and prepares a plan that replaces the one in force.
     Read {
         in_force: Arc<PreparedPlan>,
         done: oneshot::Sender<Result<Arc<PreparedPlan>, ReadError>>,
     },
-    /// Frees a plan that nobody uses any more.
+    /// Drops a plan that is no longer used; dropping a large one takes too long for the thread that serves requests.
     Free(Arc<PreparedPlan>),
 }
 
-/// The sending end of the thread, which does its jobs one after the other. The thread ends when the last of these is
-/// dropped; the process does not wait for it.
+/// A handle to the thread, which runs its jobs one after the other. The thread ends when the last handle is dropped; the
+/// process does not wait for it.
 #[derive(Clone)]
 pub struct SettingsReader {
     jobs: mpsc::Sender<Job>,
@@ -65,10 +65,10 @@
         Ok(SettingsReader { jobs })
     }
 
-    /// Reads and checks the file.
+    /// Reads and validates the file.
     ///
     /// # Errors
-    /// All that is wrong with it.
+    /// If the file can't be read or is invalid; the error lists all faults.
     pub async fn read(&self, in_force: Arc<PreparedPlan>) -> Result<Arc<PreparedPlan>, ReadError> {
         let (done, prepared) = oneshot::channel();
         let sent = self.jobs.send(Job::Read { in_force, done });
@@ -76,9 +76,9 @@
         prepared.await.unwrap_or(Err(ReadError::ThreadEnded))
     }
 
-    /// Frees a plan, once nobody else uses it.
+    /// Drops a reference to a plan on the thread, which frees the plan if the reference is the last.
     pub fn free(&self, prepared: Arc<PreparedPlan>) {
-        // Without the thread it is freed here.
+        // If the thread has ended, the reference is dropped here.
         drop(self.jobs.send(Job::Free(prepared)));
     }
 }
@@ -87,7 +87,7 @@
     while let Ok(job) = jobs.recv() {
         match job {
             Job::Read { in_force, done } => {
-                // A node that shuts down does not wait for it.
+                // A node that shuts down has dropped the receiver.
                 drop(done.send(read(path, clock, &in_force)));
             }
             Job::Free(prepared) => drop(prepared),
@@ -105,14 +105,14 @@
         Ok(text) => text,
         Err(source) => return Err(ReadError::File { file, source }),
     };
-    let plan = checked(&file, text, reelfall_config::check)?;
+    let plan = parse_and_check(&file, text, reelfall_config::check)?;
     Ok(PreparedPlan::replacing(plan, in_force, clock.now()))
 }
 
-/// Parses and checks the text of a file.
+/// Parses and validates the text of a settings file.
 ///
 /// The text is freed before the check, which takes memory of its own: the model borrows nothing from the text.
-fn checked<Text: AsRef<str>>(
+fn parse_and_check<Text: AsRef<str>>(
     file: &str,
     text: Text,
     check: impl FnOnce(Model) -> Result<Plan, Faults>,
@@ -122,11 +122,10 @@
     check(model)
 }
 
-/// Reads a file that nobody is writing to.
+/// Reads a file until two successive reads agree.
 ///
-/// The first half of a file that is overwritten in place may be a valid file of another meaning, so two successive reads
-/// have to agree. A writer that pauses for longer than that is not noticed; a new file that is renamed into place is never
-/// incomplete.
+/// The first half of a file that is overwritten in place may be a valid file with another meaning. A writer that pauses for
+/// longer than [`SETTLE_INTERVAL`] is not noticed; a file that is replaced by renaming is never incomplete.
 fn read_settled(path: &Path) -> io::Result<String> {
     let mut previous = None;
     for _ in 0..MAX_SETTLE_ATTEMPTS {
@@ -134,7 +133,7 @@
         match (current, previous) {
             (Ok(text), Some(Ok(previous))) if text == previous => {
                 return String::from_utf8(text)
-                    .map_err(|_| io::Error::other("the file is not text in UTF-8"));
+                    .map_err(|_| io::Error::other("the file is not valid UTF-8"));
             }
             (Err(error), Some(Err(previous))) if error == previous => {
                 let (kind, text) = error;
@@ -144,7 +143,7 @@
         }
         std::thread::sleep(SETTLE_INTERVAL);
     }
-    Err(io::Error::other("the file does not stop changing"))
+    Err(io::Error::other("the file keeps changing"))
 }
 
 #[cfg(test)]
--- a/crates/node/src/standalone/reload/tests.rs
+++ b/crates/node/src/standalone/reload/tests.rs
@@ -1,6 +1,6 @@
-//! The memory of a settings file during a reload.
+//! Memory use of a reload: the text of the settings file is freed before the validation, which needs memory of its own.
 
-use super::checked;
+use super::parse_and_check;
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -29,10 +29,13 @@
 fn text_is_freed_before_validation() {
     let is_freed = Rc::new(Cell::new(false));
     let mut was_freed_in_time = false;
-    let plan = checked("f.toml", TracksDrop(is_freed.clone()), |model| {
+    let plan = parse_and_check("f.toml", TracksDrop(is_freed.clone()), |model| {
         was_freed_in_time = is_freed.get();
         reelfall_config::check(model)
     });
     assert_eq!(plan.expect("a plan").model.services.len(), 1);
-    assert!(was_freed_in_time, "the text is kept during the validation");
+    assert!(
+        was_freed_in_time,
+        "the text was still allocated during the validation"
+    );
 }
--- a/crates/testbed/tests/reload/shutdown.rs
+++ b/crates/testbed/tests/reload/shutdown.rs
@@ -73,7 +73,7 @@
     wait_for_closed_listener(node.address()).await;
     let new_settings = settings.replace("name = \"client\"", "name = \"other\"");
     read.complete(&new_settings, &new_settings).await;
-    node.wait_for_log("is not taken in: the node is ending")
+    node.wait_for_log("is ignored: the node is shutting down")
         .await
         .unwrap();
     set_paused(&server, false);
