--- a/crates/node/src/fleet/events.rs
+++ b/crates/node/src/fleet/events.rs
@@ -192,8 +192,8 @@
         }
     }
 
-    /// Logs each list, once, that has lagged behind other nodes for some time: its discovery service lags, or the watch is
-    /// broken.
+    /// Logs each list, once, that has lagged behind other nodes for some time: its discovery service lags, or the watch
+    /// is broken.
     pub(super) fn log_lagging_lists(&self, now: Time) {
         let fleet = self.fleet.borrow();
         for (list, followed) in self.lists.borrow_mut().iter_mut() {
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! This node's membership in a fleet, over a UDP socket. The decisions are made by [`reelfall_cluster`]; this module sends and
-//! receives datagrams, schedules, and applies the results to the pools. Opened by [`crate::standalone`].
+//! This node's membership in a fleet, over a UDP socket. The decisions are made by [`reelfall_cluster`]; this module
+//! sends and receives datagrams, schedules, and applies the results to the pools. Opened by [`crate::standalone`].
 //!
 //! | module | responsibility |
 //! | --- | --- |
@@ -40,8 +40,8 @@
 /// Maximum number of datagrams that are received before other tasks run, so that a flood of datagrams does not delay
 /// requests.
 const MAX_RECEIVE_BATCH: usize = 64;
-/// Interval at which overdue attempts are reported, in seconds: until they are notified, other nodes keep sending requests
-/// to a server that hangs.
+/// Interval at which overdue attempts are reported, in seconds: until they are notified, other nodes keep sending
+/// requests to a server that hangs.
 const OVERDUE_INTERVAL: Time = 0.025;
 /// The shortest sleep of the event loop, in seconds.
 const MIN_SLEEP: Time = 0.001;
@@ -74,8 +74,8 @@
     shared: Rc<Shared>,
     socket: UdpSocket,
     clock: Clock,
-    /// Bans. Separate from the node's log: the churn of an unhealthy fleet exhausts the rate limit of that log just when an
-    /// operator waits for the confirmation of a ban.
+    /// Bans. Separate from the node's log: the churn of an unhealthy fleet exhausts the rate limit of that log just when
+    /// an operator waits for the confirmation of a ban.
     ban_log: Log,
     /// Ejections. Separate for the same reason.
     ejection_log: Log,
@@ -221,8 +221,8 @@
         }
     }
 
-    /// Sends the outgoing datagrams. Those that the system refuses (no buffer, no permission, no route) are counted and lost:
-    /// the protocol tolerates the loss of any datagram.
+    /// Sends the outgoing datagrams. Those that the system refuses (no buffer, no permission, no route) are counted and
+    /// lost: the protocol tolerates the loss of any datagram.
     fn send_datagrams(&self) {
         let mut fleet = self.fleet.borrow_mut();
         while let Some(datagram) = fleet.next_datagram() {
--- a/crates/node/src/lease/call.rs
+++ b/crates/node/src/lease/call.rs
@@ -1,8 +1,8 @@
 //! A periodic HTTP call that a lease guards: the holder of the lease makes it on behalf of the whole fleet.
 //!
 //! Each call presents the lease's token as a fencing token. The resource stores the highest token that it has seen and
-//! answers a lower one with 409 or 412 (RFC 9110, sections 15.5.10 and 15.5.13). That means that the holder was paused and
-//! another node has acquired the lease.
+//! answers a lower one with 409 or 412 (RFC 9110, sections 15.5.10 and 15.5.13). That means that the holder was paused
+//! and another node has acquired the lease.
 
 use super::Leases;
 use crate::net::task::AbortOnDrop;
--- a/crates/node/src/lease/disk.rs
+++ b/crates/node/src/lease/disk.rs
@@ -83,8 +83,8 @@
         self.pending.get() == 0
     }
 
-    /// Queues records to be written, and messages that are reported back after the write; returns whether the queue had room
-    /// for them.
+    /// Queues records to be written, and messages that are reported back after the write; returns whether the queue had
+    /// room for them.
     pub fn write(&self, opening: u64, records: Vec<Record>, messages: Outbox) -> bool {
         let queued = self
             .jobs
--- a/crates/node/src/lease/group.rs
+++ b/crates/node/src/lease/group.rs
@@ -5,8 +5,8 @@
 
 /// Identifies all nodes with the same keepers in the same order. It is the prefix of each message between them.
 ///
-/// Majorities of two different lists of keepers need not intersect, so each list could have a holder of its own. With this
-/// prefix, a node ignores the messages of nodes with another list.
+/// Majorities of two different lists of keepers need not intersect, so each list could have a holder of its own. With
+/// this prefix, a node ignores the messages of nodes with another list.
 pub struct GroupId([u8; GROUP_ID_LEN]);
 
 impl GroupId {
--- a/crates/node/src/lease/mod.rs
+++ b/crates/node/src/lease/mod.rs
@@ -172,7 +172,8 @@
         }
     }
 
-    /// Releases the lease, so that another node can acquire it, and acquires it again later; returns whether it was active.
+    /// Releases the lease, so that another node can acquire it, and acquires it again later; returns whether it was
+    /// active.
     fn release_temporarily(&self, name: &LeaseName) -> bool {
         let now = self.now();
         let was_active = self.operation(name, ()).is_some();
--- a/crates/node/src/lease/start.rs
+++ b/crates/node/src/lease/start.rs
@@ -39,8 +39,8 @@
     /// Starts the leases and their calls, and the keeper with its storage if this node is one.
     ///
     /// # Errors
-    /// If the storage thread can't be spawned, or a call has an invalid name. A folder that can't be used is not an error:
-    /// opening it is retried.
+    /// If the storage thread can't be spawned, or a call has an invalid name. A folder that can't be used is not an
+    /// error: opening it is retried.
     pub fn start(
         fleet: &Rc<FleetRuntime>,
         fleet_settings: &model::Fleet,
--- a/crates/node/src/platform/config.rs
+++ b/crates/node/src/platform/config.rs
@@ -1,5 +1,5 @@
-//! The configuration that a platform passes to a node: a JSON file whose path is in an environment variable. It is read at
-//! the start and again at each SIGHUP.
+//! The configuration that a platform passes to a node: a JSON file whose path is in an environment variable. It is read
+//! at the start and again at each SIGHUP.
 
 use reelfall_balancer::settings;
 use serde::Deserialize;
@@ -118,8 +118,8 @@
         }
     }
 
-    /// The seed of the node's random numbers: the setting as a hexadecimal number, or the hash of any other text. It should
-    /// differ at each start.
+    /// The seed of the node's random numbers: the setting as a hexadecimal number, or the hash of any other text. It
+    /// should differ at each start.
     pub fn random_seed(&self) -> u64 {
         u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| settings::stable_hash(&self.seed))
     }
--- a/crates/node/src/standalone/reload.rs
+++ b/crates/node/src/standalone/reload.rs
@@ -124,8 +124,8 @@
 
 /// Reads a file until two successive reads agree.
 ///
-/// The first half of a file that is overwritten in place may be a valid file with another meaning. A writer that pauses for
-/// longer than [`SETTLE_INTERVAL`] is not noticed; a file that is replaced by renaming is never incomplete.
+/// The first half of a file that is overwritten in place may be a valid file with another meaning. A writer that pauses
+/// for longer than [`SETTLE_INTERVAL`] is not noticed; a file that is replaced by renaming is never incomplete.
 fn read_settled(path: &Path) -> io::Result<String> {
     let mut previous = None;
     for _ in 0..MAX_SETTLE_ATTEMPTS {
