--- a/crates/admin/src/ban.rs
+++ b/crates/admin/src/ban.rs
@@ -1,12 +1,12 @@
 //! Servers that operators have banned.
 //!
-//! A ban is independent of the endpoint lists and of the decision module: neither can end it. It names a server, not an
-//! address, and stays when a list drops the server, renews it or changes its address.
+//! A ban is independent of the endpoint lists and of the balancer: neither can end it. It applies to the name of a
+//! server, not to its address, and stays when a list removes the server, reports a new start or changes the address.
 //!
 //! | state of a name | owner | ends |
 //! | --- | --- | --- |
 //! | banned | [`Bans`] | when the ban is lifted |
-//! | lifted | [`Bans`] | when [`MAX_LIFTED_BANS`] other bans were lifted after it; a later start in a list supersedes it |
+//! | lifted | [`Bans`] | when [`MAX_LIFTED_BANS`] other bans were lifted after it, or the server is banned again; a later start in a list takes precedence |
 
 use crate::Time;
 use std::collections::{BTreeMap, VecDeque};
@@ -14,12 +14,12 @@
 
 /// Maximum number of servers that can be banned at once.
 pub const MAX_BANS: usize = 4096;
-/// Maximum number of lifted bans that are remembered.
+/// Maximum number of lifted bans that are kept.
 pub const MAX_LIFTED_BANS: usize = 1024;
 
-/// No more servers can be banned.
+/// The maximum number of servers is banned already.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("{MAX_BANS} servers are out by hand, and no more can be")]
+#[error("{MAX_BANS} servers are banned already, which is the maximum")]
 pub struct TooManyBans;
 
 /// A ban that was lifted.
@@ -36,9 +36,9 @@
 /// The status of a server once the bans are applied to its entry in a list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BanStatus {
-    /// No new requests may be sent to it.
+    /// Whether it must not be sent new requests.
     pub is_banned: bool,
-    /// When it counts as started.
+    /// When it counts as started; slow start begins there.
     pub started_at: Time,
 }
 
@@ -47,12 +47,12 @@
 pub struct Bans {
     /// When each server was banned, by its name.
     banned: BTreeMap<String, Time>,
-    /// The latest last.
+    /// The most recently lifted ban is the last.
     lifted: VecDeque<LiftedBan>,
 }
 
 impl Bans {
-    /// Bans a server. A second call changes nothing: lifting the ban once is enough.
+    /// Bans a server. Does nothing if it is banned already, so that one call of [`Bans::lift`] ends the ban.
     ///
     /// # Errors
     /// If too many servers are banned already.
@@ -87,8 +87,9 @@
 
     /// Applies the bans to a server that started at `started_at` according to its list.
     ///
-    /// A server whose ban was lifted counts as started at that moment, and so is in slow start, unless the list has a later
-    /// start: operators restart servers while they are banned, and a list may report that late or never.
+    /// A server whose ban was lifted counts as started at that moment, and so goes through slow start, unless the list
+    /// has a later start: operators restart servers while they are banned, and a list may report the restart late or
+    /// never.
     pub fn status(&self, name: &str, started_at: Time) -> BanStatus {
         if self.is_banned(name) {
             return BanStatus {
@@ -116,12 +117,12 @@
             .map(|(name, banned_at)| (name.as_str(), *banned_at))
     }
 
-    /// The bans that were lifted, the latest last.
+    /// The bans that were lifted, in the order in which that happened.
     pub fn lifted(&self) -> impl Iterator<Item = &LiftedBan> {
         self.lifted.iter()
     }
 
-    /// The bans that another process or an earlier run has stored; what exceeds the limits is dropped.
+    /// Restores bans that another process or an earlier run has stored. Those beyond the limits are dropped.
     pub fn from_parts(banned: BTreeMap<String, Time>, lifted: Vec<LiftedBan>) -> Self {
         let banned: BTreeMap<String, Time> = banned.into_iter().take(MAX_BANS).collect();
         let excess = lifted.len().saturating_sub(MAX_LIFTED_BANS);
--- a/crates/admin/src/drain.rs
+++ b/crates/admin/src/drain.rs
@@ -1,16 +1,16 @@
-//! Draining a node: whether it is healthy, and when idle connections are closed.
+//! The drain of a node: whether the node reports itself as healthy, and when idle connections are closed.
 //!
-//! | state | health | answers | idle connections |
+//! | state | healthy | after an answer | idle connections |
 //! | --- | --- | --- | --- |
-//! | serving | yes | keep the connection | stay |
-//! | draining | no, at once | end the connection | are closed after [`Drain::idle_deadline`] |
+//! | serving | yes | the connection stays open | stay open |
+//! | draining | no, immediately | the connection is closed | are closed at [`Drain::idle_deadline`] |
 
 use crate::Time;
 
-/// Seconds from the beginning of the drain in which an idle connection may carry one more request, whose answer announces
-/// the close: a close that crosses a request would cost the client a retry.
+/// Seconds from the beginning of the drain during which an idle connection may receive one more request, whose answer
+/// announces the close. Closing the connection while a request is on its way would cost the client a retry.
 pub const IDLE_GRACE: Time = 1.2;
-/// The same for a connection that is opened or becomes idle during the drain, from that moment on.
+/// The same time for a connection that is opened or becomes idle during the drain, counted from that moment.
 pub const LATE_IDLE_GRACE: Time = 0.4;
 
 /// Whether a node is draining.
@@ -20,14 +20,15 @@
 }
 
 impl Drain {
-    /// The drain of another process or an earlier run.
+    /// Restores the drain that another process or an earlier run has stored; `None` or a time that is not finite is no
+    /// drain.
     pub fn new(since: Option<Time>) -> Self {
         Drain {
             since: since.filter(|since| since.is_finite()),
         }
     }
 
-    /// Begins the drain, unless it has begun already.
+    /// Begins the drain; has no effect if it has begun already.
     pub fn begin(&mut self, now: Time) {
         self.since.get_or_insert(now);
     }
@@ -42,12 +43,12 @@
         self.since
     }
 
-    /// Whether the node is draining: it is not healthy, and each answer ends its connection.
+    /// Whether the node is draining. Then it is not healthy, and closes each connection after its next answer.
     pub fn is_active(&self) -> bool {
         self.since.is_some()
     }
 
-    /// When a connection that has been idle since `idle_since` is closed; `None` while the node serves.
+    /// When a connection that has been idle since `idle_since` is closed; `None` if the node is not draining.
     pub fn idle_deadline(&self, idle_since: Time) -> Option<Time> {
         self.since
             .map(|since| (since + IDLE_GRACE).max(idle_since + LATE_IDLE_GRACE))
--- a/crates/admin/src/error.rs
+++ b/crates/admin/src/error.rs
@@ -5,10 +5,10 @@
 /// Maximum length of a name in a request, in bytes after decoding.
 pub const MAX_NAME_LEN: usize = 512;
 
-/// Why a management request is rejected.
+/// Why a management request is rejected, with the text of the answer.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum RequestError {
-    /// No request has this path.
+    /// The path is not that of a management request.
     #[error("no such call: there are /-/ready, /-/servers/ID/disable, /-/servers/ID/enable, /-/drain, /-/resume and /-/fleet/...")]
     UnknownPath,
     /// The path requires another method.
--- a/crates/admin/src/ledger.rs
+++ b/crates/admin/src/ledger.rs
@@ -1,7 +1,7 @@
 //! The stored form of bans and drains, which outlive the process that received the requests.
 //!
-//! All processes of a node read and write one ledger. A process reads it before it changes it, under a lock that the caller
-//! of this module holds, so that no process undoes a change of another.
+//! All processes of a node share one ledger. To change it, a process reads and replaces it under a lock, which the caller
+//! of this module holds: otherwise one process could undo the change of another.
 
 use crate::ban::{Bans, LiftedBan};
 use crate::drain::Drain;
@@ -18,27 +18,27 @@
 /// Why a ledger can't be decoded.
 #[derive(Debug, Error)]
 pub enum LedgerError {
-    /// It is no ledger, or incomplete.
-    #[error("it can't be read: {0}")]
+    /// It is not a ledger, or it is incomplete.
+    #[error("not a valid ledger: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// A later program wrote it.
-    #[error("it has version {0}, and this program knows {FORMAT_VERSION}")]
+    /// A program with another format version wrote it.
+    #[error("unsupported format version {0}; this program supports version {FORMAT_VERSION}")]
     UnknownVersion(u32),
     /// It exceeds [`MAX_LEDGER_LEN`].
-    #[error("it is larger than {MAX_LEDGER_LEN} bytes")]
+    #[error("larger than {MAX_LEDGER_LEN} bytes")]
     TooLarge,
 }
 
-/// The bans and drains that operators have ordered at one node.
+/// The bans and the drain that operators have requested at one node.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ledger {
-    /// Servers that are banned.
+    /// The servers that are banned, and the bans that were lifted.
     pub bans: Bans,
-    /// Whether the node is draining.
+    /// Whether and since when the node is draining.
     pub drain: Drain,
 }
 
-/// The JSON object that is stored.
+/// The stored form of a ledger, a JSON object.
 #[derive(Serialize, Deserialize)]
 struct StoredLedger {
     version: u32,
@@ -55,7 +55,7 @@
     /// Decodes a stored ledger.
     ///
     /// # Errors
-    /// If it is no ledger of a version that is known.
+    /// If it is too large, not a ledger, or of another version.
     pub fn decode(text: &[u8]) -> Result<Self, LedgerError> {
         if text.len() > MAX_LEDGER_LEN {
             return Err(LedgerError::TooLarge);
@@ -93,7 +93,7 @@
             lifted: lifted.collect(),
             draining_since: self.drain.since(),
         };
-        // Plain maps of text and numbers always have a form.
+        // Serializing maps of strings and numbers does not fail.
         serde_json::to_string(&stored).unwrap_or_default()
     }
 }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,15 +1,16 @@
-//! What operators do to a running node, decided without I/O: the node program and its command line call this crate.
+//! Operation of a running node, without I/O: management requests, bans, drains and takeovers. Used by the node program
+//! and its command line.
 //!
-//! | module | what it decides |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`request`] | the requests on the management address, and why one is rejected |
-//! | [`ban`] | which servers are banned, and from when one whose ban was lifted counts as started |
-//! | [`drain`] | whether a node that is draining is healthy, and when idle connections are closed |
+//! | [`request`] | parsing and formatting of requests on the management address |
+//! | [`ban`] | which servers are banned, and the start time of one whose ban was lifted |
+//! | [`drain`] | whether a node is draining, and when its idle connections are closed |
 //! | [`ledger`] | the stored form of bans and drains |
 //! | [`takeover`] | the frames that two processes of a node exchange while one takes over from the other |
-//! | [`succession`] | which of the two accepts connections meanwhile, and which has the clients |
+//! | [`succession`] | which of the two processes accepts connections, and which has the clients |
 //!
-//! Time is an argument everywhere, in seconds of Unix time.
+//! Functions that depend on the time take it as an argument, in seconds of Unix time.
 
 pub mod ban;
 pub mod drain;
--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -16,11 +16,11 @@
 /// A request on the management address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ManagementRequest {
-    /// Whether this process can serve.
+    /// Report whether the process can serve.
     Ready,
-    /// Ban this server.
+    /// Ban the server with this name at this node.
     Disable(String),
-    /// Lift the ban of this server.
+    /// Lift the ban of the server with this name at this node.
     Enable(String),
     /// Drain the node.
     Drain,
@@ -31,10 +31,10 @@
 }
 
 impl ManagementRequest {
-    /// Parses a request. `path` may have a query, which only requests to a fleet use.
+    /// Parses a request. `path` may have a query, which only fleet requests use.
     ///
     /// # Errors
-    /// If there is no such request.
+    /// If the path is unknown, its method is another one, or a parameter is invalid.
     pub fn parse(method: &str, path: &str) -> Result<Self, RequestError> {
         let path_and_query = path;
         let path = path.split(['?', '#']).next().unwrap_or_default();
@@ -59,7 +59,7 @@
 
     /// Parses what follows `/-/servers/`.
     fn parse_server_request(method: &str, rest: &str) -> Result<Self, RequestError> {
-        // Split before decoding, so that a name may hold a slash if it is written as %2F.
+        // Split before decoding, so that a name may contain a slash, encoded as %2F.
         let (encoded_name, verb) = rest.rsplit_once('/').ok_or(RequestError::UnknownPath)?;
         let variant = match verb {
             "disable" => Self::Disable,
@@ -73,7 +73,7 @@
         decode_name(encoded_name).map(variant)
     }
 
-    /// The method and path that [`ManagementRequest::parse`] parses as this request.
+    /// Formats the request as the method and path that [`ManagementRequest::parse`] accepts.
     pub fn to_http(&self) -> HttpTarget {
         match self {
             Self::Ready => HttpTarget::get("/-/ready"),
--- a/crates/admin/src/request/fleet.rs
+++ b/crates/admin/src/request/fleet.rs
@@ -4,47 +4,47 @@
 use super::http_target::HttpTarget;
 use crate::error::RequestError;
 
-/// The author of a request that names none.
+/// The author of a request whose query names none.
 const ANONYMOUS: &str = "operator";
 
 /// A request that concerns all nodes of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetRequest {
-    /// The members of the fleet.
+    /// List the members of the fleet.
     Members,
-    /// The entries that hold.
+    /// List the unexpired entries of the fleet: reports, bans, departures and list indexes.
     Verdicts,
-    /// What is known of this server, and which node reported it.
+    /// Report what the nodes know of the server with this name.
     Explain(String),
-    /// Ban this server on all nodes.
+    /// Ban a server on all nodes.
     Ban {
         /// The server.
         server: String,
-        /// How long the ban holds; until it is lifted if none.
+        /// Duration of the ban, in seconds; `None` until it is lifted.
         seconds: Option<u32>,
         /// The author of the request.
         by: String,
     },
-    /// Lift the bans of this server on all nodes.
+    /// Lift all bans of a server on all nodes.
     Lift {
         /// The server.
         server: String,
         /// The author of the request.
         by: String,
     },
-    /// The holders of all leases.
+    /// List the leases and their holders.
     Leases,
-    /// The node that receives this releases a lease, for another one to acquire it.
+    /// Make the node that receives the request release a lease, so that another node can acquire it.
     Release {
-        /// The lease.
+        /// The name of the lease.
         lease: String,
-        /// Why it is released.
+        /// The reason, for the node's log.
         reason: String,
     },
 }
 
 impl FleetRequest {
-    /// The method and path of the request.
+    /// Formats the request as a method and a path.
     pub fn to_http(&self) -> HttpTarget {
         match self {
             Self::Members => HttpTarget::get("/-/fleet/members"),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Parses what follows `/-/fleet/`.
+    /// Parses a request from the path after `/-/fleet/` and the query.
     pub(super) fn parse(method: &str, rest: &str, query: &str) -> Result<Self, RequestError> {
         match rest {
             "members" => return require_method(method, "GET").map(|()| Self::Members),
@@ -133,12 +133,12 @@
     }
 }
 
-/// The author of the request, by its query.
+/// The author in the query, or [`ANONYMOUS`].
 fn parse_author(query: &str) -> Result<String, RequestError> {
     query_value(query, "by").map_or(Ok(ANONYMOUS.to_owned()), decode_name)
 }
 
-/// The first value of a parameter of the query, still encoded.
+/// The first value of a parameter of the query, not decoded.
 fn query_value<'a>(query: &'a str, parameter: &str) -> Option<&'a str> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs
--- a/crates/admin/tests/golden.rs
+++ b/crates/admin/tests/golden.rs
@@ -1,6 +1,5 @@
-//! What two processes of a node tell each other during a takeover, and the paths of management requests, have the text that
-//! they had at commit c58caac: a process of an earlier version may be at the other end. The ledger has such a test in
-//! `operator_state.rs`.
+//! The frames of a takeover and the paths of management requests are encoded as they were at commit c58caac, since the
+//! other end may be a process of an earlier version. The encoding of the ledger is tested in `operator_state.rs`.
 
 use reelfall_admin::request::{FleetRequest, HttpTarget, ManagementRequest};
 use reelfall_admin::takeover::{DecodedFrame, Frame};
@@ -9,7 +8,7 @@
 const REQUESTS: &str = include_str!("golden/requests.txt");
 
 #[test]
-fn takeover_frames_are_written_and_read_as_they_were() {
+fn takeover_frames_match_golden_file() {
     let frames = [
         Frame::Hello { version: 1 },
         Frame::Snapshot {
@@ -44,7 +43,7 @@
 }
 
 #[test]
-fn management_requests_are_written_and_read_as_they_were() {
+fn management_requests_match_golden_file() {
     let name = || "a/b c-é".to_owned();
     let fleet = [
         FleetRequest::Members,
--- a/crates/admin/tests/operator_state.rs
+++ b/crates/admin/tests/operator_state.rs
@@ -1,4 +1,4 @@
-//! Bans, drains and their encoding, on random schedules.
+//! Bans, drains and the ledger, on random sequences of operations.
 
 use proptest::prelude::*;
 use reelfall_admin::ban::{Bans, MAX_BANS};
@@ -32,7 +32,7 @@
     prop::collection::vec(step, 1..60)
 }
 
-/// What the operators' page specifies for one server.
+/// The state of one server that the operators' page specifies, as a reference for the ledger.
 #[derive(Clone, Copy, Default)]
 struct ExpectedServer {
     banned_at: Option<f64>,
@@ -116,7 +116,8 @@
         let idle_at = begun_at + idle_after;
         let deadline = drain.idle_deadline(idle_at).unwrap();
         prop_assert!(deadline >= begun_at + IDLE_GRACE && deadline >= idle_at + LATE_IDLE_GRACE);
-        // A connection that becomes idle in the first second is closed within two: the front sends for 0.2 s at most.
+        // A connection that becomes idle in the first second is closed within two seconds of the beginning: the front end
+        // sends for 0.2 s at most.
         prop_assert!(idle_after > 1.0 || deadline < begun_at + 2.0);
         drain.end();
         prop_assert_eq!(drain, Drain::default());
--- a/crates/admin/tests/requests.rs
+++ b/crates/admin/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Parsing of requests on the management address.
+//! Management requests: parsing, formatting, and rejection of invalid ones.
 
 use proptest::prelude::*;
 use reelfall_admin::request::{FleetRequest, HttpTarget, ManagementRequest, RequestError};
--- a/crates/admin/tests/takeover/frames.rs
+++ b/crates/admin/tests/takeover/frames.rs
@@ -1,4 +1,4 @@
-//! The frames that the two processes exchange.
+//! Encoding and decoding of the frames that the two processes exchange.
 
 use reelfall_admin::takeover::{DecodedFrame, Frame, PROTOCOL_VERSION};
 
--- a/crates/admin/tests/takeover/main.rs
+++ b/crates/admin/tests/takeover/main.rs
@@ -1,5 +1,5 @@
-//! Model checking of an upgrade with two processes of one node and a client, in every order of events: the successor dies
-//! at any time, and SIGTERM comes early or late.
+//! Model checking of an upgrade with two processes of one node and a client, in every order of events. The successor may
+//! die at any time, and SIGTERM may arrive before or after the successor is ready.
 
 mod frames;
 mod state;
@@ -9,7 +9,7 @@
 use state::{Client, MessageKind, State};
 use stateright::{Checker, Model, Property};
 
-/// Successors that are started.
+/// Maximum number of successors that are started in a run of the model.
 const MAX_SUCCESSORS: u8 = 2;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -63,7 +63,7 @@
             if state.loss_unnoticed {
                 steps.push(Step::PredecessorNoticesLoss);
             }
-            // Operators send SIGTERM after the successor is ready, or too early.
+            // SIGTERM is possible at any time: operators may send it before the successor is ready.
             if !state.terminated {
                 steps.push(Step::Terminate);
             } else {
--- a/crates/admin/tests/takeover/state.rs
+++ b/crates/admin/tests/takeover/state.rs
@@ -1,11 +1,11 @@
-//! A state of the model: two processes, a client, and the messages in flight.
+//! The state of the model: two processes, a client, and the messages in flight.
 
 use reelfall_admin::succession::{Predecessor, Successor};
 
 /// Where the client's connection is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Client {
-    /// In the queue of the listening socket.
+    /// In the backlog of the listening socket.
     Queued,
     AtPredecessor,
     /// Sent by the predecessor and not yet received by the successor.
@@ -98,7 +98,7 @@
         self.loss_unnoticed = self.predecessor.is_some();
         self.to_successor.clear();
         self.to_predecessor.clear();
-        // The backlog ends with the last process that has its socket.
+        // The backlog is lost with the last process that has the socket.
         if self.predecessor.is_none() && self.client == Client::Queued {
             self.client = Client::Killed;
         }
@@ -108,7 +108,7 @@
         let predecessor = self.predecessor.as_mut()?;
         predecessor.handle_successor_lost();
         self.loss_unnoticed = false;
-        // A process that ends empties the backlog as soon as no other process has the socket.
+        // A terminating process accepts the backlog once no other process has the socket.
         if !predecessor.accepts() && self.client == Client::Queued {
             self.client = Client::AtPredecessor;
         }
@@ -118,14 +118,14 @@
     pub fn end_accept_grace(&mut self) -> Option<()> {
         let predecessor = self.predecessor.as_mut()?;
         predecessor.end_accept_grace();
-        // The backlog is emptied when no other process has the socket.
+        // A terminating process accepts the backlog unless another process has the socket.
         if !predecessor.shares_listeners() && self.client == Client::Queued {
             self.client = Client::AtPredecessor;
         }
         Some(())
     }
 
-    /// The predecessor exits; it can when it accepts no connections and has none left.
+    /// The predecessor exits, which it can once it accepts no connections and has none left.
     pub fn end_predecessor(&mut self) -> Option<()> {
         let predecessor = self.predecessor?;
         if predecessor.accepts() || self.client == Client::AtPredecessor || self.loss_unnoticed {
@@ -152,11 +152,11 @@
         accepts && self.successor_has_listener()
     }
 
-    /// Whether a queued client has a process that accepts it, once all messages are read.
+    /// Whether some process accepts or will accept a queued client, once all messages are read.
     pub fn queued_client_can_be_accepted(&self) -> bool {
         let is_settled =
             self.to_predecessor.is_empty() && self.to_successor.is_empty() && !self.loss_unnoticed;
-        // A successor with the socket becomes ready, or dies and its death is noticed.
+        // A successor with the socket becomes ready, or dies and the predecessor notices it.
         let successor_can_accept = self.successor.is_some() && self.successor_has_listener();
         !is_settled
             || self.client != Client::Queued
