--- a/crates/config/src/check/registries.rs
+++ b/crates/config/src/check/registries.rs
@@ -71,7 +71,7 @@
     let Source::Registry(RegistrySource {
         registry,
         path,
-        limits,
+        follower,
         initial_servers,
     }) = &service.source
     else {
@@ -90,17 +90,17 @@
         )
     });
     checker.require(
-        (1..=100_000).contains(&limits.max_entries),
+        (1..=100_000).contains(&follower.max_entries),
         &service.origin,
         || {
             format!(
                 "service `{name}`: entries is {}, not between 1 and 100000",
-                limits.max_entries
+                follower.max_entries
             )
         },
     );
     checker.require(
-        limits.reread_interval >= 1.0 && limits.stale_after >= 1.0,
+        follower.reread_interval >= 1.0 && follower.stale_after >= 1.0,
         &service.origin,
         || format!("service `{name}`: reread and stale_after are 1s at least"),
     );
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -133,7 +133,7 @@
     /// The servers to use until the registry has been read.
     pub initial_servers: Vec<Located<Server>>,
     /// Limits, intervals, and the rule for outdated lists.
-    pub limits: reelfall_registry_client::follow::Limits,
+    pub follower: reelfall_registry_client::follow::FollowerConfig,
 }
 
 /// Settings of the process as a whole.
--- a/crates/config/src/reader/mapping.rs
+++ b/crates/config/src/reader/mapping.rs
@@ -191,12 +191,12 @@
 }
 
 fn registry_source(lines: &Lines, table: ServiceRegistryTable) -> RegistrySource {
-    let default = follow::Limits::default();
+    let default = follow::FollowerConfig::default();
     RegistrySource {
         registry: table.name,
         path: table.path,
         initial_servers: lines.all(table.known, |_, table| server(table)),
-        limits: follow::Limits {
+        follower: follow::FollowerConfig {
             max_entries: table.entries.unwrap_or(default.max_entries),
             reread_interval: time_or(table.reread, default.reread_interval),
             stale_after: time_or(table.stale_after, default.stale_after),
--- a/crates/node/src/net/registry/driver.rs
+++ b/crates/node/src/net/registry/driver.rs
@@ -123,7 +123,8 @@
             while let Some(event) = self.session.next_event() {
                 self.user.handle_event(now, &self.session, &event);
             }
-            while self.session.is_up() && self.session.pending_count() < MAX_PENDING_REQUESTS {
+            while self.session.is_connected() && self.session.pending_count() < MAX_PENDING_REQUESTS
+            {
                 let Some(request) = self.user.next_request() else {
                     break;
                 };
--- a/crates/node/src/net/registry/following.rs
+++ b/crates/node/src/net/registry/following.rs
@@ -9,7 +9,7 @@
 use reelfall_balancer::settings::ListedEndpoint;
 use reelfall_config::model;
 use reelfall_registry_client::entry::Entry;
-use reelfall_registry_client::follow::{Follower, Limits, Report};
+use reelfall_registry_client::follow::{Follower, FollowerConfig, Report};
 use reelfall_registry_client::roster::Change;
 use reelfall_registry_client::session::{Event, LossReason, Session, TokenRequest};
 use std::collections::HashMap;
@@ -24,8 +24,8 @@
     pub access: RegistryAccess,
     /// The path.
     pub path: String,
-    /// The limits of the list.
-    pub limits: Limits,
+    /// How the entries are followed.
+    pub config: FollowerConfig,
     /// Servers that are assumed to be listed until the registry has been read.
     pub initial_servers: Vec<model::Located<model::Server>>,
 }
@@ -42,13 +42,13 @@
             pool.update_endpoints(UpdateKind::Cached, endpoints);
         }
         let clock = pool.shared.clock;
-        let follower = Follower::new(&self.path, self.limits, clock.now());
+        let follower = Follower::new(&self.path, self.config, clock.now());
         let user = RegistryFollower {
             pool,
             path: self.path,
             follower,
             has_list: false,
-            rejects_servers: false,
+            rejects_requests: false,
         };
         let driver = Driver::new(&self.access, user, clock);
         async move { driver.run(&Notify::new()).await }
@@ -62,13 +62,13 @@
     /// Whether the pool has received a complete list.
     has_list: bool,
     /// Whether all servers are drained, since the list is stale.
-    rejects_servers: bool,
+    rejects_requests: bool,
 }
 
 impl RegistryFollower {
     /// The endpoint of an entry. All drain while the list is stale.
     fn endpoint(&self, entry: &Entry) -> AddressedEndpoint<SocketAddr> {
-        let state = if entry.draining || self.rejects_servers {
+        let state = if entry.draining || self.rejects_requests {
             ServerState::Draining
         } else {
             ServerState::Up
@@ -141,7 +141,7 @@
     }
 
     fn record_contact(&mut self, session: &Session) {
-        if session.is_up() {
+        if session.is_connected() {
             self.follower.record_contact(session.last_received());
             self.pool
                 .source_last_contact
@@ -177,7 +177,9 @@
 impl SessionUser for RegistryFollower {
     fn handle_event(&mut self, now: Time, session: &Session, event: &Event) {
         match event {
-            Event::Lost(reason @ (LossReason::Protocol(_) | LossReason::BadCredentials)) => {
+            Event::Disconnected(
+                reason @ (LossReason::Protocol(_) | LossReason::BadCredentials),
+            ) => {
                 self.pool
                     .shared
                     .log
@@ -212,10 +214,10 @@
         while let Some(report) = self.follower.next_report() {
             self.log_report(&report);
         }
-        let rejects_servers = self.follower.refuses_servers();
-        let rejected_servers = std::mem::replace(&mut self.rejects_servers, rejects_servers);
+        let rejects_requests = self.follower.rejects_requests();
+        let rejected_requests = std::mem::replace(&mut self.rejects_requests, rejects_requests);
         let changes = self.follower.take_changes();
-        if !self.has_list || rejects_servers != rejected_servers {
+        if !self.has_list || rejects_requests != rejected_requests {
             // Nothing is applied before the list is complete: half a list would send all requests to half of the servers.
             if self.follower.has_list() {
                 self.has_list = true;
--- a/crates/node/src/net/registry/own_entry.rs
+++ b/crates/node/src/net/registry/own_entry.rs
@@ -135,7 +135,7 @@
             Report::Superseded => log.write_line(format_args!(
                 "own entry {path}: registered by a later run of this node"
             )),
-            Report::Refused(why) => log.write_line(format_args!("own entry {path}: {why}")),
+            Report::Rejected(why) => log.write_line(format_args!("own entry {path}: {why}")),
         }
     }
 
--- a/crates/node/src/net/service.rs
+++ b/crates/node/src/net/service.rs
@@ -235,7 +235,7 @@
             let source = RegistrySource {
                 access: registry_access.ok_or(RegistryAccessError::UnknownRegistry)?,
                 path: followed.path.clone(),
-                limits: followed.limits.clone(),
+                config: followed.follower.clone(),
                 initial_servers: followed.initial_servers.clone(),
             };
             Ok(FollowedSource {
--- a/crates/registry-client/src/entry.rs
+++ b/crates/registry-client/src/entry.rs
@@ -87,7 +87,7 @@
 }
 
 /// The name of an entry without the sequence number of ten digits that a registry appends.
-pub fn without_sequence(child: &str) -> &str {
+pub fn strip_sequence_suffix(child: &str) -> &str {
     let Some(split) = child
         .len()
         .checked_sub(SEQUENCE_LEN)
@@ -116,7 +116,7 @@
         serde_json::from_slice(data).map_err(|error| EntryError::InvalidData(error.to_string()))?;
     let name = data
         .name
-        .unwrap_or_else(|| without_sequence(child).to_owned());
+        .unwrap_or_else(|| strip_sequence_suffix(child).to_owned());
     let is_valid_text = |text: &str| {
         !text.is_empty() && text.len() <= MAX_NAME_LEN && !text.chars().any(char::is_control)
     };
--- a/crates/registry-client/src/follow.rs
+++ b/crates/registry-client/src/follow.rs
@@ -2,7 +2,7 @@
 //!
 //! | state | known entries | what is valid |
 //! | --- | --- | --- |
-//! | disconnected | those at the end of the connection | the same, for [`Limits::stale_after`]; then as [`StalePolicy`] says |
+//! | disconnected | those at the end of the connection | the same, for [`FollowerConfig::stale_after`]; then as [`StalePolicy`] says |
 //! | synchronizing | the same, until the list has been read | removals, as soon as the list or a watch reports them |
 //! | following | those of the registry, but for updates in flight | all of them |
 //!
@@ -17,19 +17,19 @@
 //! | [`children`] | the known entries, and the queue of those to be read |
 //! | [`requests`] | requests in flight, each with its purpose |
 //! | [`updates`] | applies responses and watch events |
-//! | [`limits`] | limits and rules |
+//! | [`config`] | limits, intervals and policies |
 //! | [`trust`] | which entries count |
 //!
 //! Source: ZooKeeper Programmer's Guide, "ZooKeeper Watches", "What ZooKeeper Guarantees about Watches" (a client sees the
 //! watch event before the state that caused it).
 
 mod children;
-mod limits;
+mod config;
 mod requests;
 mod trust;
 mod updates;
 
-pub use limits::{Limits, StalePolicy};
+pub use config::{FollowerConfig, StalePolicy};
 pub use trust::Identity;
 
 use crate::entry::EntryError;
@@ -76,7 +76,7 @@
 #[derive(Debug)]
 pub struct Follower {
     path: String,
-    limits: Limits,
+    config: FollowerConfig,
     children: Children,
     requests: Requests,
     is_connected: bool,
@@ -98,11 +98,11 @@
 
 impl Follower {
     /// Follows the entries under a path. None are known yet.
-    pub fn new(path: &str, limits: Limits, now: Time) -> Follower {
+    pub fn new(path: &str, config: FollowerConfig, now: Time) -> Follower {
         Follower {
             path: path.to_owned(),
-            next_reread: now + limits.reread_interval,
-            limits,
+            next_reread: now + config.reread_interval,
+            config,
             children: Children::default(),
             requests: Requests::default(),
             is_connected: false,
@@ -154,8 +154,8 @@
     }
 
     /// Whether no server may be used, since the list is stale.
-    pub fn refuses_servers(&self) -> bool {
-        self.is_stale && self.limits.stale_policy == StalePolicy::RejectRequests
+    pub fn rejects_requests(&self) -> bool {
+        self.is_stale && self.config.stale_policy == StalePolicy::RejectRequests
     }
 
     /// The sizes of the collections.
@@ -172,7 +172,7 @@
         let stale_at = if self.is_connected || self.is_stale {
             f64::MAX
         } else {
-            self.last_contact + self.limits.stale_after
+            self.last_contact + self.config.stale_after
         };
         let reread_at = if self.is_connected {
             self.next_reread
@@ -187,13 +187,13 @@
     /// Acts on timeouts; to be called at [`Follower::deadline`].
     pub fn tick(&mut self, now: Time) {
         self.roster.tick(now);
-        let is_overdue = now - self.last_contact >= self.limits.stale_after;
+        let is_overdue = now - self.last_contact >= self.config.stale_after;
         if !self.is_connected && !self.is_stale && is_overdue {
             self.is_stale = true;
             self.report(Report::Stale(self.age(now) as u64));
         }
         if self.is_connected && now >= self.next_reread {
-            self.next_reread = now + self.limits.reread_interval;
+            self.next_reread = now + self.config.reread_interval;
             self.request_list();
             self.children.request_all();
             self.issue_reads();
@@ -208,9 +208,9 @@
     /// Handles an event of the session.
     pub fn handle_event(&mut self, now: Time, event: &Event) {
         match event {
-            Event::Up { .. } => self.handle_connected(now),
+            Event::Connected { .. } => self.handle_connected(now),
             // The end of a session removes entries of this node, not those of others, so the list stays in use.
-            Event::Lost(_) | Event::Expired | Event::Reset => self.is_connected = false,
+            Event::Disconnected(_) | Event::Expired | Event::Reset => self.is_connected = false,
             Event::Response(token, response) => {
                 self.last_contact = now;
                 if let Some(purpose) = self.requests.complete(*token) {
@@ -239,7 +239,7 @@
         self.is_listing = false;
         self.list_again = false;
         self.last_contact = now;
-        self.next_reread = now + self.limits.reread_interval;
+        self.next_reread = now + self.config.reread_interval;
         if std::mem::take(&mut self.is_stale) {
             self.report(Report::UpToDate);
         }
@@ -272,7 +272,7 @@
     /// Requests queued entries, up to the limit of concurrent reads.
     fn issue_reads(&mut self) {
         while self.is_connected {
-            let Some(child) = self.children.start_read(self.limits.max_parallel_reads) else {
+            let Some(child) = self.children.start_read(self.config.max_parallel_reads) else {
                 break;
             };
             let op = Op::GetData {
@@ -298,8 +298,8 @@
     /// Adds a child if it is unknown, and reads it.
     fn add(&mut self, child: String) {
         if !self.children.contains(&child) {
-            if self.children.len() >= self.limits.max_entries {
-                return self.report(Report::TooManyEntries(self.limits.max_entries));
+            if self.children.len() >= self.config.max_entries {
+                return self.report(Report::TooManyEntries(self.config.max_entries));
             }
             self.children.insert(child.clone());
         }
--- a/crates/registry-client/src/follow/limits.rs
+++ b/crates/registry-client/src/follow/config.rs
@@ -1,4 +1,4 @@
-//! Limits and rules of a follower.
+//! FollowerConfig and rules of a follower.
 
 use super::trust::Identity;
 use crate::Time;
@@ -12,9 +12,9 @@
     RejectRequests,
 }
 
-/// Limits and rules of a [`super::Follower`].
+/// FollowerConfig and rules of a [`super::Follower`].
 #[derive(Clone, Debug, PartialEq)]
-pub struct Limits {
+pub struct FollowerConfig {
     /// Maximum number of entries; further ones are ignored and reported.
     pub max_entries: usize,
     /// Maximum number of entries that are read concurrently.
@@ -31,9 +31,9 @@
     pub owner: Option<Identity>,
 }
 
-impl Default for Limits {
+impl Default for FollowerConfig {
     fn default() -> Self {
-        Limits {
+        FollowerConfig {
             max_entries: 16_384,
             max_parallel_reads: 64,
             reread_interval: 30.0,
--- a/crates/registry-client/src/follow/trust.rs
+++ b/crates/registry-client/src/follow/trust.rs
@@ -1,6 +1,6 @@
 //! Which entries count: those that end with their process, and that no stranger can change.
 
-use super::Limits;
+use super::FollowerConfig;
 use crate::entry::EntryError;
 use crate::wire::{Acl, Stat};
 
@@ -16,12 +16,12 @@
     pub id: String,
 }
 
-/// Checks that an entry is ephemeral and that only the owner can change it, as far as the limits demand that.
-pub(super) fn check(limits: &Limits, stat: &Stat, acl: &[Acl]) -> Result<(), EntryError> {
-    if !is_ephemeral(stat) && !limits.accepts_persistent {
+/// Checks that an entry is ephemeral and that only the owner can change it, as far as the config demand that.
+pub(super) fn check(config: &FollowerConfig, stat: &Stat, acl: &[Acl]) -> Result<(), EntryError> {
+    if !is_ephemeral(stat) && !config.accepts_persistent {
         return Err(EntryError::NotEphemeral);
     }
-    let Some(owner) = &limits.owner else {
+    let Some(owner) = &config.owner else {
         return Ok(());
     };
     let is_trusted = acl
--- a/crates/registry-client/src/follow/updates.rs
+++ b/crates/registry-client/src/follow/updates.rs
@@ -33,7 +33,7 @@
                     data: data.clone(),
                     stat: *stat,
                 };
-                if self.limits.owner.is_some() && self.children.contains(&child) {
+                if self.config.owner.is_some() && self.children.contains(&child) {
                     let path = self.child_path(&child);
                     let purpose = Purpose::ReadAcl(child, Box::new(entry));
                     self.requests.add(purpose, Op::GetAcl { path });
@@ -121,7 +121,7 @@
         let Some(completed) = self.children.complete_read(child, stat.mzxid) else {
             return;
         };
-        let entry = trust::check(&self.limits, stat, acl)
+        let entry = trust::check(&self.config, stat, acl)
             .and_then(|()| entry::parse(child, &read.data, stat, now));
         if let (Err(error), true) = (&entry, completed.is_new_version) {
             self.report(Report::InvalidEntry(child.to_owned(), error.clone()));
--- a/crates/registry-client/src/registration.rs
+++ b/crates/registry-client/src/registration.rs
@@ -64,7 +64,7 @@
     /// An entry of a later run of this node has its path.
     Superseded,
     /// The registry rejects to create or remove it.
-    Refused(OperationError),
+    Rejected(OperationError),
 }
 
 /// The registration of this node; see the module.
@@ -203,16 +203,16 @@
     /// Handles an event of the session with the id `session`.
     pub fn handle_event(&mut self, now: Time, session: i64, event: &Event) {
         match event {
-            Event::Up { .. } => {
+            Event::Connected { .. } => {
                 self.is_connected = true;
                 // Also for the same session: a request in flight when the connection was lost may have been executed.
                 if self.is_wanted || self.may_exist {
                     self.read();
                 }
             }
-            Event::Lost(_) | Event::Expired | Event::Reset => {
+            Event::Disconnected(_) | Event::Expired | Event::Reset => {
                 // The entry is certainly gone only with the session.
-                self.may_exist &= matches!(event, Event::Lost(_));
+                self.may_exist &= matches!(event, Event::Disconnected(_));
                 self.is_connected = false;
                 self.request = None;
                 self.state = State::Idle;
@@ -269,7 +269,7 @@
             }
             (State::Deregistering, Err(OperationError::BadVersion)) => self.read(),
             (_, Err(error)) if self.is_wanted || self.state == State::Deregistering => {
-                self.report(Report::Refused(*error));
+                self.report(Report::Rejected(*error));
                 self.state = if self.is_wanted {
                     State::Waiting {
                         until: now + RETRY_INTERVAL,
--- a/crates/registry-client/src/session.rs
+++ b/crates/registry-client/src/session.rs
@@ -9,7 +9,7 @@
 //! | closed | never |
 //!
 //! *Connection lost* and *session expired* are different. Only the registry knows that a session is over, and reports it
-//! to a client that resumes it; until then its entries may exist. So the loss of a connection is [`Event::Lost`], and only
+//! to a client that resumes it; until then its entries may exist. So the loss of a connection is [`Event::Disconnected`], and only
 //! the registry's response is [`Event::Expired`].
 //!
 //! | module | content |
@@ -27,7 +27,7 @@
 pub use interface::{Command, Credentials, Event, LossReason, SessionConfig, TokenRequest};
 
 use crate::wire::{
-    decode_response, Frames, Op, OperationError, Reader, Response, WatchEvent, WireError,
+    decode_response, FrameDecoder, Op, OperationError, Reader, Response, WatchEvent, WireError,
 };
 use crate::Time;
 use bytes::Bytes;
@@ -43,7 +43,7 @@
     Backoff { until: Time },
     Connecting { until: Time },
     Handshake { until: Time },
-    Up,
+    Open,
     Closed,
 }
 
@@ -70,7 +70,7 @@
     last_zxid: i64,
     last_xid: i32,
     pending: VecDeque<PendingRequest>,
-    frames: Frames,
+    frames: FrameDecoder,
     last_received: Time,
     last_sent: Time,
     commands: VecDeque<Command>,
@@ -90,7 +90,7 @@
             last_zxid: 0,
             last_xid: 0,
             pending: VecDeque::new(),
-            frames: Frames::default(),
+            frames: FrameDecoder::default(),
             last_received: now,
             last_sent: now,
             commands: VecDeque::new(),
@@ -109,8 +109,8 @@
     }
 
     /// Whether the session is connected.
-    pub fn is_up(&self) -> bool {
-        matches!(self.state, State::Up)
+    pub fn is_connected(&self) -> bool {
+        matches!(self.state, State::Open)
     }
 
     /// The id of the session, 0 for none yet. It is the owner of the session's ephemeral entries.
@@ -149,14 +149,14 @@
             State::Backoff { until } | State::Connecting { until } | State::Handshake { until } => {
                 Some(until)
             }
-            State::Up => Some(self.ping_at().min(self.silent_at())),
+            State::Open => Some(self.ping_at().min(self.silent_at())),
             State::Closed => None,
         }
     }
 
     /// Sends a request, whose response is an event with `token`. Returns whether it could be sent.
     pub fn request(&mut self, now: Time, token: u64, op: Op) -> bool {
-        if !self.is_up() || self.pending.len() >= MAX_PENDING_REQUESTS {
+        if !self.is_connected() || self.pending.len() >= MAX_PENDING_REQUESTS {
             return false;
         }
         self.last_xid = if self.last_xid == i32::MAX {
@@ -172,7 +172,7 @@
 
     /// Ends the session, with which the registry removes its entries at once. The session can't be used afterwards.
     pub fn close(&mut self, now: Time) {
-        if self.is_up() {
+        if self.is_connected() {
             self.last_xid = self.last_xid.wrapping_add(1).max(1);
             self.send(now, messages::close(self.last_xid));
         } else if !matches!(self.state, State::Closed) {
@@ -189,8 +189,8 @@
             State::Connecting { until } | State::Handshake { until } if now >= until => {
                 self.disconnect(now, LossReason::Timeout);
             }
-            State::Up if now >= self.silent_at() => self.disconnect(now, LossReason::Timeout),
-            State::Up if now >= self.ping_at() => self.send(now, messages::ping()),
+            State::Open if now >= self.silent_at() => self.disconnect(now, LossReason::Timeout),
+            State::Open if now >= self.ping_at() => self.send(now, messages::ping()),
             _ => {}
         }
     }
@@ -210,7 +210,7 @@
         let State::Connecting { until } = self.state else {
             return;
         };
-        self.frames = Frames::default();
+        self.frames = FrameDecoder::default();
         let handshake = messages::handshake(&self.key, self.last_zxid, self.config.timeout);
         self.send(now, handshake);
         self.state = State::Handshake { until };
@@ -220,13 +220,13 @@
     pub fn handle_disconnected(&mut self, now: Time) {
         match self.state {
             State::Connecting { .. } => self.disconnect(now, LossReason::ConnectFailed),
-            State::Handshake { .. } | State::Up => self.disconnect(now, LossReason::Closed),
+            State::Handshake { .. } | State::Open => self.disconnect(now, LossReason::Closed),
             State::Backoff { .. } | State::Closed => {}
         }
     }
 
     fn has_connection(&self) -> bool {
-        matches!(self.state, State::Handshake { .. } | State::Up)
+        matches!(self.state, State::Handshake { .. } | State::Open)
     }
 
     /// Handles received bytes.
@@ -261,16 +261,16 @@
         if !response.is_granted() {
             return self.handle_expired(now);
         }
-        let is_new = self.key.id != response.key.id;
+        let is_new_session = self.key.id != response.key.id;
         self.key = response.key;
         self.timeout = f64::from(response.timeout_ms) / 1e3;
-        self.state = State::Up;
+        self.state = State::Open;
         self.members.succeed();
         if let Some(credentials) = &self.config.credentials {
             let message = messages::credentials(credentials);
             self.send(now, message);
         }
-        self.events.push_back(Event::Up { is_new });
+        self.events.push_back(Event::Connected { is_new_session });
         Ok(())
     }
 
@@ -349,12 +349,12 @@
 
     /// Drops the connection, and schedules an attempt to connect to the next member.
     fn disconnect(&mut self, now: Time, reason: LossReason) {
-        if self.is_up() {
+        if self.is_connected() {
             self.disconnected_since = now;
         }
         self.commands.push_back(Command::Close);
-        self.frames = Frames::default();
-        self.events.push_back(Event::Lost(reason));
+        self.frames = FrameDecoder::default();
+        self.events.push_back(Event::Disconnected(reason));
         self.lose_pending();
         self.members.fail();
         if self.last_zxid > 0 && now - self.disconnected_since >= self.config.forget_after {
--- a/crates/registry-client/src/session/interface.rs
+++ b/crates/registry-client/src/session/interface.rs
@@ -55,12 +55,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The session is connected.
-    Up {
+    Connected {
         /// It is a new session, without the entries and watches of the one before.
-        is_new: bool,
+        is_new_session: bool,
     },
     /// The connection is lost. The session may still exist.
-    Lost(LossReason),
+    Disconnected(LossReason),
     /// The session has expired, with its entries and watches.
     Expired,
     /// The registry was probably set up again: the last known state is obsolete.
--- a/crates/registry-client/src/session/messages.rs
+++ b/crates/registry-client/src/session/messages.rs
@@ -44,7 +44,7 @@
         .long(key.id)
         .buffer(&key.password)
         .boolean(false)
-        .done()
+        .finish()
 }
 
 /// The response to a handshake.
@@ -74,7 +74,7 @@
 
 /// Keeps the session alive.
 pub(super) fn ping() -> Bytes {
-    Writer::new().int(PING_XID).int(PING_OP).done()
+    Writer::new().int(PING_XID).int(PING_OP).finish()
 }
 
 /// Authenticates the session.
@@ -83,14 +83,14 @@
         .int(AUTH_XID)
         .int(AUTH_OP)
         .int(0)
-        .text(&credentials.scheme)
+        .string(&credentials.scheme)
         .buffer(&credentials.proof)
-        .done()
+        .finish()
 }
 
 /// Ends the session.
 pub(super) fn close(xid: i32) -> Bytes {
-    Writer::new().int(xid).int(CLOSE_OP).done()
+    Writer::new().int(xid).int(CLOSE_OP).finish()
 }
 
 /// The header of a response or watch event.
--- a/crates/registry-client/src/wire.rs
+++ b/crates/registry-client/src/wire.rs
@@ -19,7 +19,7 @@
 mod records;
 
 pub use fields::{Reader, Writer};
-pub use frames::Frames;
+pub use frames::FrameDecoder;
 pub(crate) use operations::decode_response;
 pub use operations::{Op, OperationError, Response};
 pub use records::{Acl, Stat, WatchEvent, WatchEventKind};
@@ -40,7 +40,7 @@
     Truncated,
     /// A text is not in UTF-8.
     #[error("a text is not in UTF-8")]
-    InvalidText,
+    InvalidUtf8,
     /// A response does not belong to the oldest request.
     #[error("an answer to request {0}, which is not next")]
     UnexpectedResponse(i32),
--- a/crates/registry-client/src/wire/fields.rs
+++ b/crates/registry-client/src/wire/fields.rs
@@ -65,18 +65,18 @@
     ///
     /// # Errors
     /// As for [`Reader::buffer`], or if it is not in UTF-8.
-    pub fn text(&mut self) -> Result<String, WireError> {
+    pub fn string(&mut self) -> Result<String, WireError> {
         let bytes = self.buffer()?;
         std::str::from_utf8(&bytes)
             .map(str::to_owned)
-            .map_err(|_| WireError::InvalidText)
+            .map_err(|_| WireError::InvalidUtf8)
     }
 
     /// Texts, prefixed by their number. One that is not in UTF-8 is `None`, so that it does not invalidate the others.
     ///
     /// # Errors
     /// If there are fewer.
-    pub fn texts(&mut self) -> Result<Vec<Option<String>>, WireError> {
+    pub fn strings(&mut self) -> Result<Vec<Option<String>>, WireError> {
         let stated = self.int()?;
         let count =
             usize::try_from(stated.max(0)).map_err(|_| WireError::InvalidLength(stated.into()))?;
@@ -139,19 +139,21 @@
 
     /// A text.
     #[must_use]
-    pub fn text(self, text: &str) -> Self {
+    pub fn string(self, text: &str) -> Self {
         self.buffer(text.as_bytes())
     }
 
     /// Texts, prefixed by their number.
     #[must_use]
-    pub fn texts(self, texts: &[String]) -> Self {
+    pub fn strings(self, texts: &[String]) -> Self {
         let counted = self.int(i32::try_from(texts.len()).unwrap_or(i32::MAX));
-        texts.iter().fold(counted, |writer, text| writer.text(text))
+        texts
+            .iter()
+            .fold(counted, |writer, text| writer.string(text))
     }
 
     /// The frame, prefixed by its length.
-    pub fn done(mut self) -> Bytes {
+    pub fn finish(mut self) -> Bytes {
         let length = u32::try_from(self.0.len().saturating_sub(4)).unwrap_or(u32::MAX);
         if let Some(head) = self.0.first_chunk_mut::<4>() {
             *head = length.to_be_bytes();
--- a/crates/registry-client/src/wire/frames.rs
+++ b/crates/registry-client/src/wire/frames.rs
@@ -5,11 +5,11 @@
 
 /// The bytes that were received but do not form a complete frame yet.
 #[derive(Debug, Default)]
-pub struct Frames {
+pub struct FrameDecoder {
     buffer: BytesMut,
 }
 
-impl Frames {
+impl FrameDecoder {
     /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
--- a/crates/registry-client/src/wire/operations.rs
+++ b/crates/registry-client/src/wire/operations.rs
@@ -102,25 +102,28 @@
                 ephemeral,
             } => {
                 let writer = writer
-                    .text(path)
+                    .string(path)
                     .buffer(data)
                     .int(i32::try_from(acl.len()).unwrap_or(0));
                 let writer = acl.iter().fold(writer, |writer, acl| {
-                    writer.int(acl.permissions).text(&acl.scheme).text(&acl.id)
+                    writer
+                        .int(acl.permissions)
+                        .string(&acl.scheme)
+                        .string(&acl.id)
                 });
-                writer.int((*ephemeral).into()).done()
+                writer.int((*ephemeral).into()).finish()
             }
-            Op::Delete { path, version } => writer.text(path).int(*version).done(),
+            Op::Delete { path, version } => writer.string(path).int(*version).finish(),
             Op::SetData {
                 path,
                 data,
                 version,
-            } => writer.text(path).buffer(data).int(*version).done(),
+            } => writer.string(path).buffer(data).int(*version).finish(),
             Op::Exists { path, watch }
             | Op::GetData { path, watch }
-            | Op::GetChildren { path, watch } => writer.text(path).boolean(*watch).done(),
-            Op::GetAcl { path } | Op::Sync { path } => writer.text(path).done(),
-            Op::AddWatch { path } => writer.text(path).int(PERSISTENT_RECURSIVE).done(),
+            | Op::GetChildren { path, watch } => writer.string(path).boolean(*watch).finish(),
+            Op::GetAcl { path } | Op::Sync { path } => writer.string(path).finish(),
+            Op::AddWatch { path } => writer.string(path).int(PERSISTENT_RECURSIVE).finish(),
         }
     }
 }
@@ -194,7 +197,7 @@
         }
         Op::Exists { .. } | Op::SetData { .. } => Response::Stat(Stat::read(reader)?),
         Op::GetData { .. } => Response::Data(reader.buffer()?, Stat::read(reader)?),
-        Op::GetChildren { .. } => Response::Children(reader.texts()?, Stat::read(reader)?),
+        Op::GetChildren { .. } => Response::Children(reader.strings()?, Stat::read(reader)?),
         Op::GetAcl { .. } => {
             let count = reader.int()?;
             let mut acl = Vec::new();
--- a/crates/registry-client/src/wire/records.rs
+++ b/crates/registry-client/src/wire/records.rs
@@ -92,8 +92,8 @@
     pub(super) fn read(reader: &mut Reader) -> Result<Acl, WireError> {
         Ok(Acl {
             permissions: reader.int()?,
-            scheme: reader.text()?,
-            id: reader.text()?,
+            scheme: reader.string()?,
+            id: reader.string()?,
         })
     }
 }
--- a/crates/registry-client/tests/follow/entries.rs
+++ b/crates/registry-client/tests/follow/entries.rs
@@ -4,7 +4,7 @@
 use crate::fixture::{Fixture, ListedServer};
 use bytes::Bytes;
 use reelfall_registry_client::entry::EntryError;
-use reelfall_registry_client::follow::{Identity, Limits, Report};
+use reelfall_registry_client::follow::{FollowerConfig, Identity, Report};
 use reelfall_registry_client::wire::Acl;
 
 /// The owner of an entry that belongs to no session.
@@ -18,7 +18,7 @@
 
 #[test]
 fn invalid_entries_are_reported_once() {
-    let mut fixture = Fixture::connected(Limits::default());
+    let mut fixture = Fixture::connected(FollowerConfig::default());
     fixture
         .registry
         .put("by-hand", payload(1), NO_SESSION, WatchDelivery::Delivered);
@@ -53,9 +53,9 @@
     fixture.settle(32.0);
     assert_eq!(fixture.listed_servers().len(), 1);
 
-    let mut accepting = Fixture::connected(Limits {
+    let mut accepting = Fixture::connected(FollowerConfig {
         accepts_persistent: true,
-        ..Limits::default()
+        ..FollowerConfig::default()
     });
     accepting
         .registry
@@ -66,12 +66,12 @@
 
 #[test]
 fn entries_of_other_owners_are_ignored() {
-    let mut fixture = Fixture::connected(Limits {
+    let mut fixture = Fixture::connected(FollowerConfig {
         owner: Some(Identity {
             scheme: "digest".to_owned(),
             id: "ops:hash".to_owned(),
         }),
-        ..Limits::default()
+        ..FollowerConfig::default()
     });
     let acl = |id: &str, permissions| Acl {
         permissions,
@@ -107,9 +107,9 @@
 #[test]
 fn entries_beyond_the_limit_are_ignored() {
     const MAX_ENTRIES: usize = 10;
-    let mut fixture = Fixture::connected(Limits {
+    let mut fixture = Fixture::connected(FollowerConfig {
         max_entries: MAX_ENTRIES,
-        ..Limits::default()
+        ..FollowerConfig::default()
     });
     for port in 1..=50 {
         fixture.registry.put_server(&format!("s{port:02}"), port);
--- a/crates/registry-client/tests/follow/fake_registry.rs
+++ b/crates/registry-client/tests/follow/fake_registry.rs
@@ -226,7 +226,7 @@
             Event::Response(token, _) => Some(token),
             _ => None,
         });
-        follower.handle_event(now, &Event::Lost(LossReason::Closed));
+        follower.handle_event(now, &Event::Disconnected(LossReason::Closed));
         for token in undelivered.chain(without_response) {
             follower.handle_event(now, &Event::RequestLost(token));
         }
@@ -236,7 +236,12 @@
     pub fn connect(&mut self, follower: &mut Follower, now: f64) {
         if !self.is_connected {
             self.is_connected = true;
-            follower.handle_event(now, &Event::Up { is_new: true });
+            follower.handle_event(
+                now,
+                &Event::Connected {
+                    is_new_session: true,
+                },
+            );
         }
     }
 
--- a/crates/registry-client/tests/follow/fixture.rs
+++ b/crates/registry-client/tests/follow/fixture.rs
@@ -2,7 +2,7 @@
 
 use crate::fake_registry::FakeRegistry;
 use crate::PATH;
-use reelfall_registry_client::follow::{Follower, Limits};
+use reelfall_registry_client::follow::{Follower, FollowerConfig};
 use reelfall_registry_client::session::Event;
 use std::collections::BTreeSet;
 
@@ -35,16 +35,16 @@
 
 impl Fixture {
     /// Without a connection.
-    pub fn disconnected(has_persistent_watches: bool, limits: Limits, now: f64) -> Fixture {
+    pub fn disconnected(has_persistent_watches: bool, config: FollowerConfig, now: f64) -> Fixture {
         Fixture {
             registry: FakeRegistry::new(has_persistent_watches),
-            follower: Follower::new(PATH, limits, now),
+            follower: Follower::new(PATH, config, now),
         }
     }
 
     /// With a connection, and with the empty list read.
-    pub fn connected(limits: Limits) -> Fixture {
-        let mut fixture = Fixture::disconnected(true, limits, 0.0);
+    pub fn connected(config: FollowerConfig) -> Fixture {
+        let mut fixture = Fixture::disconnected(true, config, 0.0);
         fixture.connect(0.0);
         fixture.settle(0.0);
         fixture
--- a/crates/registry-client/tests/follow/list.rs
+++ b/crates/registry-client/tests/follow/list.rs
@@ -3,14 +3,14 @@
 use crate::fake_registry::{payload, WatchDelivery, OWNER_SESSION};
 use crate::fixture::{Fixture, ListedServer};
 use crate::PATH;
-use reelfall_registry_client::follow::{Limits, Report};
+use reelfall_registry_client::follow::{FollowerConfig, Report};
 use reelfall_registry_client::roster::Change;
 use reelfall_registry_client::session::{Event, TokenRequest};
 use reelfall_registry_client::wire::{Op, OperationError, Response, WatchEvent, WatchEventKind};
 
 #[test]
 fn list_is_complete_once_every_entry_has_been_read() {
-    let mut fixture = Fixture::disconnected(true, Limits::default(), 0.0);
+    let mut fixture = Fixture::disconnected(true, FollowerConfig::default(), 0.0);
     for port in 1..=200 {
         fixture.registry.put_server(&format!("s{port}"), port);
     }
@@ -33,7 +33,7 @@
 
 #[test]
 fn removal_takes_effect_before_pending_reads_are_answered() {
-    let mut fixture = Fixture::connected(Limits::default());
+    let mut fixture = Fixture::connected(FollowerConfig::default());
     fixture.registry.put_server("a", 1);
     fixture.settle(1.0);
     fixture.follower.take_changes();
@@ -59,11 +59,11 @@
 
 #[test]
 fn short_lived_entries_do_not_accumulate_while_responses_are_slow() {
-    let limits = Limits {
+    let config = FollowerConfig {
         max_parallel_reads: 1,
-        ..Limits::default()
+        ..FollowerConfig::default()
     };
-    let mut fixture = Fixture::connected(limits);
+    let mut fixture = Fixture::connected(config);
     // One read never gets its response; the others wait, while their entries are created and removed.
     for round in 0..20_000 {
         let name = format!("s{}", round % 7);
@@ -103,7 +103,8 @@
 #[test]
 fn missing_path_is_followed_once_it_is_created() {
     for has_persistent_watches in [true, false] {
-        let mut fixture = Fixture::disconnected(has_persistent_watches, Limits::default(), 0.0);
+        let mut fixture =
+            Fixture::disconnected(has_persistent_watches, FollowerConfig::default(), 0.0);
         fixture.connect(0.0);
         answer_without_path(&mut fixture);
         assert_eq!(fixture.follower.next_report(), Some(Report::PathMissing));
--- a/crates/registry-client/tests/follow/random.rs
+++ b/crates/registry-client/tests/follow/random.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, Strategy, TestCaseError};
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reelfall_registry_client::follow::{FollowerSizes, Limits};
+use reelfall_registry_client::follow::{FollowerConfig, FollowerSizes};
 use reelfall_registry_client::roster::MAX_RETURN_DELAY;
 use reelfall_registry_client::session::Event;
 use reelfall_registry_client::wire::{WatchEvent, WatchEventKind};
@@ -154,7 +154,7 @@
 
 fn run(has_persistent_watches: bool, steps: &[Step]) -> Result<(), TestCaseError> {
     let mut now = START;
-    let mut fixture = Fixture::disconnected(has_persistent_watches, Limits::default(), now);
+    let mut fixture = Fixture::disconnected(has_persistent_watches, FollowerConfig::default(), now);
     for step in steps {
         now += step.delay;
         perform(&mut fixture, step, now)?;
--- a/crates/registry-client/tests/golden.rs
+++ b/crates/registry-client/tests/golden.rs
@@ -38,10 +38,10 @@
         .long(42)
         .buffer(&[7; 16])
         .boolean(false)
-        .done();
+        .finish();
     session.handle_bytes(10.1, &greeting);
     lines.extend(sent(&mut session));
-    session.handle_bytes(10.2, &Writer::new().int(-4).long(0).int(0).done());
+    session.handle_bytes(10.2, &Writer::new().int(-4).long(0).int(0).finish());
     lines.extend(sent(&mut session));
     let path = || "/flags/n1".to_owned();
     let acl = |permissions| Acl {
--- a/crates/registry-client/tests/registration.rs
+++ b/crates/registry-client/tests/registration.rs
@@ -81,8 +81,13 @@
     fn connect(&mut self, now: f64) {
         if !self.is_connected {
             self.is_connected = true;
-            self.registration
-                .handle_event(now, self.session, &Event::Up { is_new: true });
+            self.registration.handle_event(
+                now,
+                self.session,
+                &Event::Connected {
+                    is_new_session: true,
+                },
+            );
             self.take_requests();
         }
     }
@@ -101,7 +106,7 @@
             .collect();
         self.events.clear();
         self.registration
-            .handle_event(now, self.session, &Event::Lost(LossReason::Closed));
+            .handle_event(now, self.session, &Event::Disconnected(LossReason::Closed));
         for token in tokens {
             self.registration
                 .handle_event(now, self.session, &Event::RequestLost(token));
--- a/crates/registry-client/tests/roster/main.rs
+++ b/crates/registry-client/tests/roster/main.rs
@@ -2,7 +2,9 @@
 
 mod random;
 
-use reelfall_registry_client::entry::{parse, without_sequence, Entry, EntryError, MAX_DATA_LEN};
+use reelfall_registry_client::entry::{
+    parse, strip_sequence_suffix, Entry, EntryError, MAX_DATA_LEN,
+};
 use reelfall_registry_client::roster::{
     Change, Roster, RosterSizes, FLAP_WINDOW, INITIAL_RETURN_DELAY, MAX_FLAP_RECORDS,
     MAX_RETURN_DELAY,
@@ -133,7 +135,7 @@
         ("é0000000001", "é"),
         ("short", "short"),
     ] {
-        assert_eq!(without_sequence(child), name);
+        assert_eq!(strip_sequence_suffix(child), name);
     }
 }
 
--- a/crates/registry-client/tests/session/main.rs
+++ b/crates/registry-client/tests/session/main.rs
@@ -62,7 +62,7 @@
         .long(session_id)
         .buffer(&password)
         .boolean(is_read_only)
-        .done()
+        .finish()
 }
 
 fn response_header(xid: i32, zxid: i64, error: i32) -> Writer {
@@ -71,7 +71,7 @@
 
 /// The response to a request to sync `/`.
 fn sync_response(xid: i32, zxid: i64) -> Bytes {
-    response_header(xid, zxid, NO_ERROR).text("/").done()
+    response_header(xid, zxid, NO_ERROR).string("/").finish()
 }
 
 fn sync(path: &str) -> Op {
@@ -94,7 +94,12 @@
     session.tick(now);
     session.handle_connected(now);
     session.handle_bytes(now, &handshake_response(SESSION_ID));
-    assert_eq!(take_events(&mut session), [Event::Up { is_new: true }]);
+    assert_eq!(
+        take_events(&mut session),
+        [Event::Connected {
+            is_new_session: true
+        }]
+    );
     take_commands(&mut session);
     session
 }
--- a/crates/registry-client/tests/session/protocol.rs
+++ b/crates/registry-client/tests/session/protocol.rs
@@ -3,7 +3,7 @@
 use crate::{connected_session, response_header, take_events, NO_ERROR};
 use bytes::Bytes;
 use reelfall_registry_client::session::{Event, LossReason};
-use reelfall_registry_client::wire::{Frames, Op, WireError, MAX_FRAME_LEN};
+use reelfall_registry_client::wire::{FrameDecoder, Op, WireError, MAX_FRAME_LEN};
 
 /// The request id of credentials.
 const CREDENTIALS_XID: i32 = -4;
@@ -29,11 +29,11 @@
         assert!(
             matches!(
                 take_events(&mut session)[..],
-                [Event::Lost(LossReason::Protocol(_))]
+                [Event::Disconnected(LossReason::Protocol(_))]
             ),
             "{bytes:?}"
         );
-        assert!(!session.is_up());
+        assert!(!session.is_connected());
     }
 }
 
@@ -46,13 +46,13 @@
         watch: false,
     };
     session.request(0.0, 1, get_children);
-    let response = response_header(1, 1, NO_ERROR).int(NAMES).int(0).done();
+    let response = response_header(1, 1, NO_ERROR).int(NAMES).int(0).finish();
     session.handle_bytes(0.0, &response);
     assert!(matches!(
         take_events(&mut session)[..],
         [
             Event::RequestLost(1),
-            Event::Lost(LossReason::Protocol(WireError::Truncated))
+            Event::Disconnected(LossReason::Protocol(WireError::Truncated))
         ]
     ));
 }
@@ -60,18 +60,18 @@
 #[test]
 fn rejected_credentials_are_retried_with_a_delay() {
     let mut session = connected_session(0.0);
-    let response = response_header(CREDENTIALS_XID, 0, AUTHENTICATION_FAILED).done();
+    let response = response_header(CREDENTIALS_XID, 0, AUTHENTICATION_FAILED).finish();
     session.handle_bytes(0.0, &response);
     assert_eq!(
         take_events(&mut session),
-        [Event::Lost(LossReason::BadCredentials)]
+        [Event::Disconnected(LossReason::BadCredentials)]
     );
     assert!(session.deadline().unwrap() > 0.0, "retried without a delay");
 }
 
 #[test]
 fn frames_are_separated() {
-    let mut frames = Frames::default();
+    let mut frames = FrameDecoder::default();
     frames.push(&[0, 0, 0, 3, 1, 2, 3, 0, 0, 0, 0, 0, 0]);
     assert_eq!(
         frames.next_frame(),
--- a/crates/registry-client/tests/session/random.rs
+++ b/crates/registry-client/tests/session/random.rs
@@ -88,7 +88,7 @@
                 let frame = body
                     .into_iter()
                     .fold(header, |frame, value| frame.boolean(value));
-                self.session.handle_bytes(now, &frame.done());
+                self.session.handle_bytes(now, &frame.finish());
             }
             Step::Disconnect => self.session.handle_disconnected(now),
             Step::Connect => self.session.handle_connected(now),
--- a/crates/registry-client/tests/session/reconnection.rs
+++ b/crates/registry-client/tests/session/reconnection.rs
@@ -24,8 +24,8 @@
     response_header(WATCH_EVENT_XID, zxid, NO_ERROR)
         .int(DATA_CHANGED)
         .int(CONNECTED)
-        .text("/x")
-        .done()
+        .string("/x")
+        .finish()
 }
 
 #[test]
@@ -39,7 +39,10 @@
     let events = take_events(&mut session);
     assert_eq!(
         events[1..],
-        [Event::Lost(LossReason::Closed), Event::RequestLost(9)]
+        [
+            Event::Disconnected(LossReason::Closed),
+            Event::RequestLost(9)
+        ]
     );
     assert!(
         !session.request(1.0, 1, sync("/")),
@@ -62,7 +65,12 @@
         }
     );
     session.handle_bytes(1.0, &handshake_response(SESSION_ID));
-    assert_eq!(take_events(&mut session), [Event::Up { is_new: false }]);
+    assert_eq!(
+        take_events(&mut session),
+        [Event::Connected {
+            is_new_session: false
+        }]
+    );
     // The session ends only when the registry reports it as expired; then a new one is requested.
     session.handle_disconnected(2.0);
     session.tick(2.0);
@@ -71,7 +79,7 @@
     session.handle_bytes(2.0, &expired_response());
     assert_eq!(
         take_events(&mut session),
-        [Event::Lost(LossReason::Closed), Event::Expired]
+        [Event::Disconnected(LossReason::Closed), Event::Expired]
     );
     session.tick(2.0);
     session.handle_connected(2.0);
@@ -83,7 +91,12 @@
         }
     );
     session.handle_bytes(2.0, &handshake_response(NEXT_SESSION_ID));
-    assert_eq!(take_events(&mut session), [Event::Up { is_new: true }]);
+    assert_eq!(
+        take_events(&mut session),
+        [Event::Connected {
+            is_new_session: true
+        }]
+    );
     assert_eq!(session.id(), NEXT_SESSION_ID);
 }
 
@@ -101,19 +114,19 @@
         for command in take_commands(&mut session) {
             assert!(matches!(command, Command::Send(_)), "{command:?}");
             pings += 1;
-            session.handle_bytes(now + 0.01, &response_header(PING_XID, 5, NO_ERROR).done());
+            session.handle_bytes(now + 0.01, &response_header(PING_XID, 5, NO_ERROR).finish());
         }
     }
-    assert!(pings >= 19 && take_events(&mut session).is_empty() && session.is_up());
+    assert!(pings >= 19 && take_events(&mut session).is_empty() && session.is_connected());
     // A half-open connection: pings are sent, and no responses arrive.
     let last_response = now;
-    while session.is_up() {
+    while session.is_connected() {
         now = session.deadline().unwrap();
         session.tick(now);
     }
     assert_eq!(
         take_events(&mut session),
-        [Event::Lost(LossReason::Timeout)]
+        [Event::Disconnected(LossReason::Timeout)]
     );
     assert!(
         now - last_response <= MAX_SILENCE,
@@ -128,7 +141,7 @@
     session.tick(now);
     assert_eq!(
         take_events(&mut session),
-        [Event::Lost(LossReason::Timeout)]
+        [Event::Disconnected(LossReason::Timeout)]
     );
 }
 
@@ -174,7 +187,7 @@
         events[1..],
         [
             Event::RequestLost(2),
-            Event::Lost(LossReason::Protocol(WireError::StaleState(
+            Event::Disconnected(LossReason::Protocol(WireError::StaleState(
                 OLDER_ZXID, NEWER_ZXID
             )))
         ]
--- a/crates/registry-client/tests/session/requests.rs
+++ b/crates/registry-client/tests/session/requests.rs
@@ -26,13 +26,13 @@
     };
     assert!(session.request(0.0, 2, delete));
     assert_eq!(take_commands(&mut session).len(), 2);
-    let sync_response = response_header(1, 10, NO_ERROR).text("/a").done();
+    let sync_response = response_header(1, 10, NO_ERROR).string("/a").finish();
     let watch_event = response_header(WATCH_EVENT_XID, 11, NO_ERROR)
         .int(NODE_DELETED)
         .int(CONNECTED)
-        .text("/b")
-        .done();
-    let delete_response = response_header(2, 11, NO_NODE).done();
+        .string("/b")
+        .finish();
+    let delete_response = response_header(2, 11, NO_NODE).finish();
     // The connection may split the frames anywhere.
     for byte in [sync_response, watch_event, delete_response].concat() {
         session.handle_bytes(0.1, &[byte]);
