--- a/crates/registry-client/src/entry.rs
+++ b/crates/registry-client/src/entry.rs
@@ -1,4 +1,4 @@
-//! Parses the description of a server in the data of an entry: a JSON object. Unknown members are ignored.
+//! Parses the data of a registry entry: a JSON object that describes a server. Unknown members are ignored.
 //!
 //! | member | type | meaning |
 //! | --- | --- | --- |
@@ -16,61 +16,61 @@
 use std::net::{IpAddr, SocketAddr};
 use thiserror::Error;
 
-/// Maximum length of the data of an entry, in bytes.
+/// Maximum length of an entry's data, in bytes.
 pub const MAX_DATA_LEN: usize = 16 << 10;
-/// Maximum length of the name of a server, in bytes.
+/// Maximum length of a server's name, zone or machine type, in bytes.
 pub const MAX_NAME_LEN: usize = 128;
-/// Length of a sequence number, in digits.
+/// Number of digits of the sequence number that a registry appends to the name of a sequential entry.
 const SEQUENCE_LEN: usize = 10;
-/// Maximum weight.
+/// Maximum weight of a server.
 pub const MAX_WEIGHT: f64 = 1000.0;
 
 /// The server that an entry describes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// The name.
+    /// The name of the server, unique in the list.
     pub name: String,
     /// The address where it accepts requests.
     pub address: SocketAddr,
-    /// The zone.
+    /// The zone that the server runs in, if it is known.
     pub zone: Option<String>,
-    /// The machine type.
+    /// The machine type of the server, if it is known.
     pub kind: Option<String>,
     /// The capacity relative to other servers.
     pub weight: f64,
-    /// Whether it drains: it completes the requests in flight and accepts no new ones.
+    /// Whether the server drains: it completes the requests in flight and accepts no new ones.
     pub draining: bool,
-    /// When the process started.
+    /// When the server's process started.
     pub started: Time,
 }
 
 /// Why an entry is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EntryError {
-    /// The data is too long.
-    #[error("its data has {0} bytes, {MAX_DATA_LEN} at most")]
+    /// The data exceeds [`MAX_DATA_LEN`]; its length is given.
+    #[error("the data is {0} bytes long; the maximum is {MAX_DATA_LEN}")]
     TooLong(usize),
-    /// The data is no JSON object with members of these types.
-    #[error("its data can't be read: {0}")]
+    /// The data is not a JSON object whose members have the expected types.
+    #[error("the data is not a valid JSON object: {0}")]
     InvalidData(String),
     /// The name, zone or machine type is invalid.
-    #[error("its name is empty, too long, or holds what can't be shown")]
+    #[error("the name, zone or type is empty, too long, or contains control characters")]
     InvalidName,
     /// No address is valid.
-    #[error("it has no address that can be used")]
+    #[error("the entry has no valid address")]
     InvalidAddress,
     /// The weight is out of range.
-    #[error("its weight is not over 0 up to {MAX_WEIGHT}")]
+    #[error("the weight is not greater than 0 and at most {MAX_WEIGHT}")]
     InvalidWeight,
-    /// It does not end with a session.
-    #[error("it is not ephemeral")]
+    /// The entry does not end with a session.
+    #[error("the entry is not ephemeral")]
     NotEphemeral,
-    /// Others than the trusted identity may change it.
-    #[error("others than those that are trusted may change it")]
+    /// The access list lets an identity other than the trusted one change the entry.
+    #[error("an identity other than the configured owner may change the entry")]
     UntrustedWriter,
 }
 
-/// The JSON object in the data of an entry.
+/// The JSON object in an entry's data.
 #[derive(Deserialize)]
 struct EntryData {
     name: Option<String>,
@@ -86,7 +86,7 @@
     started: Option<f64>,
 }
 
-/// The name of an entry without the sequence number of ten digits that a registry appends.
+/// The name of an entry without the ten-digit sequence number that a registry appends to it, if there is one.
 pub fn strip_sequence_suffix(child: &str) -> &str {
     let Some(split) = child
         .len()
@@ -104,10 +104,10 @@
     }
 }
 
-/// Parses an entry.
+/// Parses the data of the entry `child`. The metadata supplies the start time if the data has none.
 ///
 /// # Errors
-/// Why it is invalid.
+/// If the data is too long, is not a valid object, or has an invalid member.
 pub fn parse(child: &str, data: &[u8], stat: &Stat, now: Time) -> Result<Entry, EntryError> {
     if data.len() > MAX_DATA_LEN {
         return Err(EntryError::TooLong(data.len()));
@@ -145,12 +145,12 @@
         kind: data.kind,
         weight,
         draining: data.state.is_some_and(|state| state != "up"),
-        // A start in the future, by a clock that is ahead, would prolong the slow start.
+        // A start time in the future, from a clock that is ahead, would prolong the slow start.
         started: started.clamp(0.0, now),
     })
 }
 
-/// Parses an address; `port` is used if it has none. Unspecified and multicast addresses are invalid.
+/// Parses `IP:PORT`, or `IP` combined with `port`. Unspecified and multicast addresses and port 0 are invalid.
 fn parse_address(text: &str, port: Option<u16>) -> Option<SocketAddr> {
     let address: SocketAddr = match (text.parse(), text.parse::<IpAddr>(), port) {
         (Ok(address), ..) => address,
--- a/crates/registry-client/src/follow.rs
+++ b/crates/registry-client/src/follow.rs
@@ -1,27 +1,27 @@
 //! Mirrors the entries under a path of a registry.
 //!
-//! | state | known entries | what is valid |
+//! | state | known entries | what may be used |
 //! | --- | --- | --- |
-//! | disconnected | those at the end of the connection | the same, for [`FollowerConfig::stale_after`]; then as [`StalePolicy`] says |
-//! | synchronizing | the same, until the list has been read | removals, as soon as the list or a watch reports them |
-//! | following | those of the registry, but for updates in flight | all of them |
+//! | disconnected | those known when the connection was lost | all of them for [`FollowerConfig::stale_after`], then as [`StalePolicy`] says |
+//! | synchronizing | the same, until the list has been read | all of them, except removed ones, which the list or a watch event reports |
+//! | following | those of the registry, except for updates in flight | all of them |
 //!
-//! After each connect, whether the session is the same or a new one, and whichever member it is, everything is requested:
-//! first that the member catches up with the others (`sync`), then the list, then each entry. The session ensures that no
-//! member responds with a state older than one that was seen. Later changes are reported by a watch (persistent and
-//! recursive; if the registry has none of these, one for each read). List and entries are read again periodically, since
-//! watches can be lost. A removal needs no read.
+//! After each connect, everything is read again, whether the session is the same or a new one, and whichever the
+//! member: first the member is asked to catch up with the others (`sync`), then the list is read, then each entry. The
+//! session rejects responses with a state older than one that was seen before. Later changes are reported by a
+//! persistent recursive watch, or, if the registry does not support these, by a one-shot watch for each read. The list
+//! and the entries are read again periodically, since watch events can be lost. A removal takes effect without a read.
 //!
 //! | module | content |
 //! | --- | --- |
 //! | [`children`] | the known entries, and the queue of those to be read |
-//! | [`requests`] | requests in flight, each with its purpose |
-//! | [`updates`] | applies responses and watch events |
+//! | [`requests`] | requests that are queued or in flight, each with its purpose |
+//! | [`updates`] | applies responses and watch events to the known entries |
 //! | [`config`] | limits, intervals and policies |
-//! | [`trust`] | which entries count |
+//! | [`trust`] | which entries are trusted |
 //!
-//! Source: ZooKeeper Programmer's Guide, "ZooKeeper Watches", "What ZooKeeper Guarantees about Watches" (a client sees the
-//! watch event before the state that caused it).
+//! Source: ZooKeeper Programmer's Guide, "ZooKeeper Watches", "What ZooKeeper Guarantees about Watches" (a client sees
+//! the watch event before the state that caused it).
 
 mod children;
 mod config;
@@ -41,23 +41,23 @@
 use requests::{Purpose, Requests};
 use std::collections::VecDeque;
 
-/// Maximum number of reports that wait for the caller.
+/// Maximum number of queued reports; further ones are dropped.
 const MAX_REPORTS: usize = 64;
 
-/// An event for the log.
+/// An event that the caller should log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Report {
     /// An entry is invalid. Reported once for each version of its data.
     InvalidEntry(String, EntryError),
-    /// There are more entries than the limit.
+    /// There are more entries than [`FollowerConfig::max_entries`], which is given.
     TooManyEntries(usize),
     /// The path does not exist.
     PathMissing,
-    /// The registry does not let this session read the path.
+    /// The registry rejected a request to read the path or one of its entries.
     AccessDenied,
     /// The list is stale. The age is in seconds.
     Stale(u64),
-    /// There is contact to the registry again, after the list was stale.
+    /// The registry is reachable again after the list was stale.
     UpToDate,
 }
 
@@ -66,13 +66,13 @@
 pub struct FollowerSizes {
     /// Known entries.
     pub entries: usize,
-    /// Entries that wait to be read.
+    /// Length of the queue of entries to be read, outdated items included.
     pub waiting_reads: usize,
-    /// Requests without a response.
+    /// Requests that are queued or have no response yet.
     pub pending_requests: usize,
 }
 
-/// Follows the entries under a path; see the module.
+/// Follows the entries under a path; see the module documentation.
 #[derive(Debug)]
 pub struct Follower {
     path: String,
@@ -80,14 +80,15 @@
     children: Children,
     requests: Requests,
     is_connected: bool,
-    /// The registry has no persistent watches, so each read sets one.
+    /// The registry does not support persistent watches, so each read sets a one-shot watch.
     uses_one_shot_watches: bool,
-    /// The list is being read, and has to be read again after that.
+    /// The list is being read.
     is_listing: bool,
+    /// The list has to be read again after the current read.
     list_again: bool,
-    /// The list has been read since the connect.
+    /// The list has been read since the last connect.
     is_listed: bool,
-    /// The list and its entries were read completely at least once.
+    /// The list and all of its entries have been read at least once.
     has_list: bool,
     last_contact: Time,
     next_reread: Time,
@@ -97,7 +98,7 @@
 }
 
 impl Follower {
-    /// Follows the entries under a path. None are known yet.
+    /// Creates a follower of the entries under a path. None are known yet.
     pub fn new(path: &str, config: FollowerConfig, now: Time) -> Follower {
         Follower {
             path: path.to_owned(),
@@ -118,17 +119,17 @@
         }
     }
 
-    /// The next request.
+    /// Takes the next request to send to the registry.
     pub fn next_request(&mut self) -> Option<TokenRequest> {
         self.requests.next()
     }
 
-    /// Returns the changes of servers since the last call.
+    /// Returns the changes of listed servers since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
         self.roster.take_changes()
     }
 
-    /// The next report.
+    /// Takes the next report.
     pub fn next_report(&mut self) -> Option<Report> {
         self.reports.pop_front()
     }
@@ -138,27 +139,27 @@
         &self.roster
     }
 
-    /// Whether the list and its entries were read completely at least once.
+    /// Whether the list and all of its entries have been read at least once.
     pub fn has_list(&self) -> bool {
         self.has_list
     }
 
-    /// Whether everything has been read since the connect, and no read is queued or in flight.
+    /// Whether everything has been read since the last connect, and no read is queued or in flight.
     pub fn is_settled(&self) -> bool {
         self.is_connected && self.is_listed && !self.is_listing && self.children.is_settled()
     }
 
-    /// Seconds since the last contact to the registry.
+    /// Seconds since the last contact with the registry.
     pub fn age(&self, now: Time) -> Time {
         (now - self.last_contact).max(0.0)
     }
 
-    /// Whether no server may be used, since the list is stale.
+    /// Whether no server may be used because the list is stale.
     pub fn rejects_requests(&self) -> bool {
         self.is_stale && self.config.stale_policy == StalePolicy::RejectRequests
     }
 
-    /// The sizes of the collections.
+    /// The sizes of the follower's collections.
     pub fn sizes(&self) -> FollowerSizes {
         FollowerSizes {
             entries: self.children.len(),
@@ -184,7 +185,8 @@
             .min(self.roster.deadline().unwrap_or(f64::MAX))
     }
 
-    /// Acts on timeouts; to be called at [`Follower::deadline`].
+    /// Marks the list as stale, starts periodic reads and lists delayed servers, as far as they are due. Has to be
+    /// called at [`Follower::deadline`].
     pub fn tick(&mut self, now: Time) {
         self.roster.tick(now);
         let is_overdue = now - self.last_contact >= self.config.stale_after;
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Records contact to the registry: the list is up to date as of then.
+    /// Records contact with the registry at `now`: the list was up to date then.
     pub fn record_contact(&mut self, now: Time) {
         self.last_contact = self.last_contact.max(now);
     }
@@ -209,7 +211,7 @@
     pub fn handle_event(&mut self, now: Time, event: &Event) {
         match event {
             Event::Connected { .. } => self.handle_connected(now),
-            // The end of a session removes entries of this node, not those of others, so the list stays in use.
+            // The end of this session removes this node's entries, not those of others, so the list stays in use.
             Event::Disconnected(_) | Event::Expired | Event::Reset => self.is_connected = false,
             Event::Response(token, response) => {
                 self.last_contact = now;
@@ -255,7 +257,7 @@
         }
     }
 
-    /// Requests the list, now or after the one that is being read.
+    /// Requests the list, at once or after the read that is in progress.
     fn request_list(&mut self) {
         if self.is_listing {
             self.list_again = true;
@@ -269,7 +271,7 @@
         self.requests.add(Purpose::List, op);
     }
 
-    /// Requests queued entries, up to the limit of concurrent reads.
+    /// Requests the queued entries, up to the limit of concurrent reads.
     fn issue_reads(&mut self) {
         while self.is_connected {
             let Some(child) = self.children.start_read(self.config.max_parallel_reads) else {
@@ -286,7 +288,7 @@
         }
     }
 
-    /// The path without a slash at its end, to which `/` and a child's name are appended.
+    /// The path without a trailing slash, to which `/` and a child's name are appended.
     fn parent_path(&self) -> &str {
         self.path.trim_end_matches('/')
     }
@@ -295,7 +297,7 @@
         format!("{}/{child}", self.parent_path())
     }
 
-    /// Adds a child if it is unknown, and reads it.
+    /// Adds a child if it is unknown, and queues a read of it.
     fn add(&mut self, child: String) {
         if !self.children.contains(&child) {
             if self.children.len() >= self.config.max_entries {
--- a/crates/registry-client/src/follow/children.rs
+++ b/crates/registry-client/src/follow/children.rs
@@ -1,20 +1,20 @@
-//! The known entries of a path, and the queue of those to be read. No entry is read twice at a time.
+//! The known entries under a path, and the queue of those to be read. At most one read of an entry is in flight.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// Outdated items of the queue that are tolerated before it is compacted, beside as many as valid ones.
+/// Number of outdated queue items, beyond the number of valid ones, at which the queue is compacted.
 const MAX_OUTDATED: usize = 64;
 
 #[derive(Debug, Default)]
 struct Child {
     is_reading: bool,
-    /// It changed during its read.
+    /// It changed during the read in flight.
     read_again: bool,
-    /// The version of its data that was read last.
+    /// The transaction id of the data that was read last.
     mzxid: Option<i64>,
 }
 
-/// A read that is complete.
+/// The result of a completed read.
 pub(super) struct CompletedRead {
     /// The data differs from that of the last read.
     pub(super) is_new_version: bool,
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Children {
     children: HashMap<String, Child>,
-    /// The entries to be read in their order. Names that are not in `queued` are outdated.
+    /// The entries to be read, in order. Names that are not in `queued` are outdated.
     queue: VecDeque<String>,
     queued: BTreeSet<String>,
     /// Number of reads in flight.
@@ -52,7 +52,7 @@
         self.queue.is_empty() && self.reading == 0
     }
 
-    /// The known entries that are not in a list.
+    /// The known entries that are missing from a list.
     pub(super) fn missing_from(&self, listed: &BTreeSet<&str>) -> Vec<String> {
         self.children
             .keys()
@@ -76,7 +76,8 @@
         was_known
     }
 
-    /// Removes outdated items, with which the queue would grow while entries come and go faster than they are read.
+    /// Removes outdated items. Without this, the queue would grow while entries are created and removed faster than
+    /// they are read.
     fn compact_queue(&mut self) {
         if self.queue.len() > 2 * self.queued.len() + MAX_OUTDATED {
             let queued = &self.queued;
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Queues a known entry, or notes that it has to be read again after its current read.
+    /// Queues a read of a known entry; if a read is in flight, the entry is read again after it.
     pub(super) fn request_read(&mut self, child: String) {
         let Some(known) = self.children.get_mut(&child) else {
             return;
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Queues all entries.
+    /// Queues a read of every known entry.
     pub(super) fn request_all(&mut self) {
         let all: Vec<String> = self.children.keys().cloned().collect();
         for child in all {
@@ -124,12 +125,12 @@
         None
     }
 
-    /// Ends a read whose entry is removed, or whose connection is lost.
+    /// Ends a read whose entry was removed or whose connection was lost.
     pub(super) fn end_read(&mut self) {
         self.reading = self.reading.saturating_sub(1);
     }
 
-    /// Ends a read that has failed.
+    /// Ends a read that failed; the entry stays known.
     pub(super) fn fail_read(&mut self, child: &str) {
         self.end_read();
         if let Some(known) = self.children.get_mut(child) {
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Ends a read that was successful; `None` if the entry was removed during it.
+    /// Ends a successful read; `None` if the entry was removed during it.
     pub(super) fn complete_read(&mut self, child: &str, mzxid: i64) -> Option<CompletedRead> {
         self.end_read();
         let known = self.children.get_mut(child)?;
--- a/crates/registry-client/src/follow/config.rs
+++ b/crates/registry-client/src/follow/config.rs
@@ -1,33 +1,33 @@
-//! FollowerConfig and rules of a follower.
+//! The configuration of a follower: limits, intervals and policies.
 
 use super::trust::Identity;
 use crate::Time;
 
-/// What to do while the list is stale.
+/// Which servers are used while the list is stale.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StalePolicy {
-    /// The last list stays in use.
+    /// The servers of the last known list.
     KeepServers,
-    /// No server is used.
+    /// None.
     RejectRequests,
 }
 
-/// FollowerConfig and rules of a [`super::Follower`].
+/// Configuration of a [`super::Follower`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct FollowerConfig {
     /// Maximum number of entries; further ones are ignored and reported.
     pub max_entries: usize,
-    /// Maximum number of entries that are read concurrently.
+    /// Maximum number of concurrent reads of entries.
     pub max_parallel_reads: usize,
-    /// The interval at which everything is read again, in seconds, since watches can be lost.
+    /// The interval at which everything is read again, in seconds, since watch events can be lost.
     pub reread_interval: Time,
-    /// The time without contact to the registry after which the list is stale, in seconds.
+    /// The time without contact with the registry after which the list is stale, in seconds.
     pub stale_after: Time,
-    /// What to do while the list is stale.
+    /// Which servers are used while the list is stale.
     pub stale_policy: StalePolicy,
-    /// Whether entries count that do not end with a session.
+    /// Whether entries that do not end with a session are accepted.
     pub accepts_persistent: bool,
-    /// An entry counts only if nobody but this identity can change or remove it. `None` trusts everybody.
+    /// Accept only entries that nobody but this identity can change or remove. `None` trusts everybody.
     pub owner: Option<Identity>,
 }
 
--- a/crates/registry-client/src/follow/requests.rs
+++ b/crates/registry-client/src/follow/requests.rs
@@ -1,13 +1,13 @@
-//! Requests of a follower: a queue of those to be sent, and the purpose of each until its response arrives.
+//! The requests of a follower: the queue of those to be sent, and the purpose of each until its response arrives.
 
 use crate::session::TokenRequest;
 use crate::wire::{Op, Stat};
 use bytes::Bytes;
 use std::collections::{HashMap, VecDeque};
 
-/// The data of an entry as it was read.
+/// The data and metadata of an entry as read, before they are validated.
 #[derive(Debug, PartialEq)]
-pub(super) struct EntryData {
+pub(super) struct RawEntry {
     pub(super) data: Bytes,
     pub(super) stat: Stat,
 }
@@ -15,16 +15,16 @@
 /// What a request is for.
 #[derive(Debug, PartialEq)]
 pub(super) enum Purpose {
-    /// Its response does not matter.
+    /// Its response is ignored.
     Sync,
     /// Sets the persistent watch.
     Watch,
-    /// Reads the list of children.
+    /// Reads the names of the children.
     List,
     /// Reads the data of a child.
     ReadData(String),
     /// Reads the access list of a child whose data has been read.
-    ReadAcl(String, Box<EntryData>),
+    ReadAcl(String, Box<RawEntry>),
 }
 
 /// Requests that are queued or in flight, by token.
@@ -36,7 +36,7 @@
 }
 
 impl Requests {
-    /// Queues a request.
+    /// Queues a request under a new token.
     pub(super) fn add(&mut self, purpose: Purpose, op: Op) {
         self.last_token += 1;
         self.pending.insert(self.last_token, purpose);
@@ -46,12 +46,12 @@
         });
     }
 
-    /// The next request to be sent.
+    /// Takes the next request to be sent.
     pub(super) fn next(&mut self) -> Option<TokenRequest> {
         self.queue.pop_front()
     }
 
-    /// Ends a request; `None` if it was forgotten.
+    /// Ends a request and returns its purpose; `None` if the request is unknown or was forgotten.
     pub(super) fn complete(&mut self, token: u64) -> Option<Purpose> {
         self.pending.remove(&token)
     }
--- a/crates/registry-client/src/follow/trust.rs
+++ b/crates/registry-client/src/follow/trust.rs
@@ -1,4 +1,4 @@
-//! Which entries count: those that end with their process, and that no stranger can change.
+//! Which entries are trusted: those that end with the session of their process, and that only the owner can change.
 
 use super::FollowerConfig;
 use crate::entry::EntryError;
@@ -7,7 +7,7 @@
 /// Permissions to change or remove an entry: write, delete, admin.
 const CHANGE_PERMISSIONS: i32 = 2 | 8 | 16;
 
-/// An identity in access lists.
+/// An identity in an access list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
     /// The scheme, such as `digest`.
@@ -16,7 +16,7 @@
     pub id: String,
 }
 
-/// Checks that an entry is ephemeral and that only the owner can change it, as far as the config demand that.
+/// Checks that an entry is ephemeral and that only the owner can change it, as far as the configuration requires it.
 pub(super) fn check(config: &FollowerConfig, stat: &Stat, acl: &[Acl]) -> Result<(), EntryError> {
     if !is_ephemeral(stat) && !config.accepts_persistent {
         return Err(EntryError::NotEphemeral);
@@ -35,13 +35,14 @@
     }
 }
 
-/// Whether an entry ends with a session. A set top bit of the owner's top byte marks entries that end by a time to live or
-/// as empty containers (`EphemeralType`).
+/// Whether an entry ends with a session. If the most significant bit of the owner is set, the entry is a container or
+/// has a time to live instead (`EphemeralType`).
 fn is_ephemeral(stat: &Stat) -> bool {
     stat.ephemeral_owner != 0 && (stat.ephemeral_owner as u64) >> 56 < 0x80
 }
 
-/// Whether an access list entry names an identity. To a session that may not change it, a registry shows `x` for a digest.
+/// Whether an item of an access list names an identity. A registry replaces the digest by `x` for sessions without the
+/// permission to change the entry.
 fn names_identity(acl: &Acl, identity: &Identity) -> bool {
     let Identity { scheme, id } = identity;
     let user = id.split(':').next().unwrap_or_default();
--- a/crates/registry-client/src/follow/updates.rs
+++ b/crates/registry-client/src/follow/updates.rs
@@ -1,6 +1,6 @@
-//! Applies responses and watch events to a follower's mirror.
+//! Applies responses and watch events to a follower's entries and roster.
 
-use super::requests::{EntryData, Purpose};
+use super::requests::{Purpose, RawEntry};
 use super::{trust, Follower, Report};
 use crate::entry;
 use crate::wire::{Acl, Op, OperationError, Response, Stat, WatchEvent, WatchEventKind};
@@ -29,7 +29,7 @@
                 }
             }
             (Purpose::ReadData(child), Ok(Response::Data(data, stat))) => {
-                let entry = EntryData {
+                let entry = RawEntry {
                     data: data.clone(),
                     stat: *stat,
                 };
@@ -52,7 +52,7 @@
                 self.remove(now, &child);
             }
             (Purpose::ReadData(child) | Purpose::ReadAcl(child, _), _) => {
-                // An entry that can't be read can't be validated, so its server is not used.
+                // An entry that can't be read can't be validated, so its server is removed.
                 self.children.fail_read(&child);
                 self.roster.remove(now, &child);
                 self.report(Report::AccessDenied);
@@ -66,7 +66,7 @@
             Err(OperationError::NoNode) => {
                 self.report(Report::PathMissing);
                 if self.uses_one_shot_watches {
-                    // Sets a watch that reports when the path is created.
+                    // Sets a watch that reports the creation of the path.
                     let op = Op::Exists {
                         path: self.path.clone(),
                         watch: true,
@@ -75,7 +75,7 @@
                 }
                 Vec::new()
             }
-            // A denied access says nothing of the servers: the known list stays in use until it is stale.
+            // Another error says nothing about the servers, so the known list stays in use until it is stale.
             _ => return self.report(Report::AccessDenied),
         };
         self.is_listed = true;
@@ -104,7 +104,7 @@
         }
         let child = match below.strip_prefix('/') {
             Some(child) if !child.is_empty() && !child.contains('/') => child.to_owned(),
-            // A path further below, or one that only begins alike.
+            // A path further below, or a sibling whose name begins with the same characters.
             _ => return,
         };
         match event.kind {
@@ -115,9 +115,9 @@
         }
     }
 
-    fn handle_entry(&mut self, now: Time, child: &str, read: &EntryData, acl: &[Acl]) {
+    fn handle_entry(&mut self, now: Time, child: &str, read: &RawEntry, acl: &[Acl]) {
         let stat: &Stat = &read.stat;
-        // An entry that was removed during its read stays removed.
+        // An entry that was removed during the read stays removed.
         let Some(completed) = self.children.complete_read(child, stat.mzxid) else {
             return;
         };
--- a/crates/registry-client/src/registration.rs
+++ b/crates/registry-client/src/registration.rs
@@ -1,19 +1,20 @@
-//! Registers this node: creates the entry by which peers and load balancers find it, and removes it.
+//! Registers this node: creates the entry by which peers and load balancers find it, and removes it on shutdown.
 //!
-//! | state | ends |
+//! | state | next state |
 //! | --- | --- |
-//! | idle | when the entry is wanted and the session is connected: reading |
-//! | reading | no entry: creating; one of this session: registered; one of an earlier run of this node: removing stale; another owner's: waiting |
-//! | creating | created, or one exists, or the outcome is unknown: reading |
+//! | idle | when registration is requested and the session is connected: reading |
+//! | reading | no entry: creating; an entry of this session: registered; of an earlier run of this node: removing stale; of another owner: waiting |
+//! | creating | created, or an entry exists: reading |
 //! | removing stale | removed: creating; otherwise: reading |
-//! | registered | removed by another client: reading; connection lost: idle, since only the registry knows whether it still exists |
-//! | waiting | the other owner's entry is removed, or [`RETRY_INTERVAL`] is over: reading |
-//! | deregistering | removed: idle, for good |
+//! | registered | removed by another client: reading |
+//! | waiting | the other owner's entry is removed, or [`RETRY_INTERVAL`] has passed: reading |
+//! | deregistering | removed: idle |
+//! | any | request rejected: waiting; connection lost: idle, since only the registry knows what was executed and whether the entry exists |
 //!
-//! The path is fixed, so that a node never has two entries. A request to create it whose response was lost may have been
-//! executed, so the entry is always read. The entry of an earlier run would attract requests to a process that is gone,
-//! or to this one before it is ready, so it is removed by its version and created by this session. The entry of a later
-//! run takes precedence: this process is about to end.
+//! The path is fixed, so that a node never has two entries. A create request whose response was lost may have been
+//! executed, so the entry is always read after a connect. The entry of an earlier run would attract requests to a
+//! process that has ended, or to this one before it is ready, so it is deleted (only in the version that was read) and
+//! created again by this session. The entry of a later run takes precedence, since this process is about to end.
 
 use crate::session::{Event, TokenRequest};
 use crate::wire::{Acl, Op, OperationError, Response, Stat, WatchEvent, WatchEventKind};
@@ -21,25 +22,26 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// Interval at which an entry of another owner is read again, in seconds.
+/// Interval at which the entry is read again while it belongs to another owner or the registry rejects a request, in
+/// seconds.
 pub const RETRY_INTERVAL: Time = 5.0;
 
-/// The data of the entry.
+/// The data of this node's entry, stored as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryData {
     /// The name of the node.
     pub name: String,
     /// The address where it accepts requests.
     pub address: String,
-    /// The site.
+    /// The site that the node runs in, if it is configured.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub site: Option<String>,
-    /// The zone.
+    /// The zone that the node runs in, if it is configured.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// The incarnation, which increases with each start of the node.
     pub incarnation: u64,
-    /// When this process started, in milliseconds of Unix time.
+    /// When the process started, in milliseconds of Unix time.
     pub started: u64,
 }
 
@@ -54,20 +56,20 @@
     Deregistering,
 }
 
-/// An event for the log.
+/// An event that the caller should log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Report {
     /// The entry exists, with this session as its owner.
     Registered,
-    /// An entry of another owner has its path.
+    /// An entry of another owner exists at this path.
     PathTaken(String),
-    /// An entry of a later run of this node has its path.
+    /// An entry of a later run of this node exists at the path.
     Superseded,
-    /// The registry rejects to create or remove it.
+    /// The registry rejected a request to read, create or delete the entry.
     Rejected(OperationError),
 }
 
-/// The registration of this node; see the module.
+/// The state machine that registers this node; see the module documentation.
 #[derive(Debug)]
 pub struct Registration {
     path: String,
@@ -76,8 +78,10 @@
     is_wanted: bool,
     is_connected: bool,
     state: State,
-    /// An entry of this session may exist: its creation was requested, and no later response showed that it is gone.
+    /// Whether an entry of this session may exist: its creation was requested, and nothing received since shows that it
+    /// does not exist.
     may_exist: bool,
+    /// The token of the latest request. Responses with other tokens are ignored.
     token: u64,
     request: Option<TokenRequest>,
     report: Option<Report>,
@@ -85,7 +89,7 @@
 }
 
 impl Registration {
-    /// A registration that is not wanted yet.
+    /// Creates a registration that does nothing until [`Registration::register`] is called.
     pub fn new(path: String, data: EntryData, acl: Vec<Acl>) -> Registration {
         Registration {
             path,
@@ -102,27 +106,27 @@
         }
     }
 
-    /// The next request.
+    /// Takes the next request to send to the registry.
     pub fn next_request(&mut self) -> Option<TokenRequest> {
         self.request.take()
     }
 
-    /// The next report; the same one is not returned twice in a row.
+    /// Takes the next report. Equal reports in a row are returned once.
     pub fn next_report(&mut self) -> Option<Report> {
         self.report.take()
     }
 
-    /// Whether the entry exists as far as is known.
+    /// Whether the entry is known to exist.
     pub fn is_registered(&self) -> bool {
         self.state == State::Registered
     }
 
-    /// Whether the entry is removed for good, or never existed.
+    /// Whether no entry of this node's session exists and none will be created.
     pub fn is_deregistered(&self) -> bool {
         !self.is_wanted && self.state == State::Idle && !self.may_exist
     }
 
-    /// Registers the node, as soon as the session is connected.
+    /// Requests the registration; it takes place as soon as the session is connected.
     pub fn register(&mut self) {
         self.is_wanted = true;
         if self.is_connected && self.state == State::Idle {
@@ -130,7 +134,7 @@
         }
     }
 
-    /// Removes the entry for good; the first step of a shutdown.
+    /// Removes the entry and stops registering the node. This is the first step of a shutdown.
     pub fn deregister(&mut self) {
         self.is_wanted = false;
         match self.state {
@@ -142,12 +146,12 @@
                 },
             ),
             State::Waiting { .. } => self.state = State::Idle,
-            // The response to the request in flight determines what is to be removed.
+            // The response to the request in flight determines what has to be removed.
             _ => {}
         }
     }
 
-    /// When [`Registration::tick`] has to be called next.
+    /// When [`Registration::tick`] has to be called next; `f64::MAX` if no timer is set.
     pub fn deadline(&self) -> Time {
         match self.state {
             State::Waiting { until } => until,
@@ -155,7 +159,7 @@
         }
     }
 
-    /// Acts on timeouts; to be called at [`Registration::deadline`].
+    /// Reads the entry again if the retry interval has passed. Has to be called at [`Registration::deadline`].
     pub fn tick(&mut self, now: Time) {
         if matches!(self.state, State::Waiting { until } if now >= until) {
             self.read();
@@ -200,18 +204,19 @@
         }
     }
 
-    /// Handles an event of the session with the id `session`.
+    /// Handles an event of the session, whose id is `session`.
     pub fn handle_event(&mut self, now: Time, session: i64, event: &Event) {
         match event {
             Event::Connected { .. } => {
                 self.is_connected = true;
-                // Also for the same session: a request in flight when the connection was lost may have been executed.
+                // Also if the session is the same: a request in flight when the connection was lost may have been
+                // executed.
                 if self.is_wanted || self.may_exist {
                     self.read();
                 }
             }
             Event::Disconnected(_) | Event::Expired | Event::Reset => {
-                // The entry is certainly gone only with the session.
+                // Only the end of the session guarantees that the entry is removed.
                 self.may_exist &= matches!(event, Event::Disconnected(_));
                 self.is_connected = false;
                 self.request = None;
@@ -256,7 +261,7 @@
                 }
             }
             (State::Creating, Ok(_)) => {
-                // Reading it sets the watch that reports its removal.
+                // Reading the entry sets the watch that reports its removal.
                 self.read();
             }
             (State::Creating, Err(OperationError::NodeExists)) => self.read(),
@@ -302,7 +307,7 @@
         let existing: Option<EntryData> = serde_json::from_slice(data).ok();
         match existing.filter(|entry| entry.name == self.data.name) {
             Some(existing) if existing.incarnation <= self.data.incarnation => {
-                // An earlier run created it, or this run in a session that has expired.
+                // An earlier run created it, or this run did in a session that has expired.
                 return self.request(State::RemovingStale, remove);
             }
             Some(_) => self.report(Report::Superseded),
--- a/crates/registry-client/src/roster.rs
+++ b/crates/registry-client/src/roster.rs
@@ -1,17 +1,20 @@
-//! The listed servers: those that the entries of a registry describe, without conflicting and flapping ones.
+//! The listed servers: those that a registry's entries describe, after conflicts between entries are resolved, and
+//! without servers whose return is delayed because they flap.
 //!
-//! A removal is always immediate. A return is delayed if the server flaps: the first return is immediate, and each further
-//! one within [`FLAP_WINDOW`] is delayed twice as long as the one before, up to [`MAX_RETURN_DELAY`].
+//! A removal is always immediate. The first return of a server is immediate as well; the second one within
+//! [`FLAP_WINDOW`] is delayed by [`INITIAL_RETURN_DELAY`], and each further one twice as long as the one before, up to
+//! [`MAX_RETURN_DELAY`].
 //!
-//! Of two entries with the same name or address, the one that was created last (the greatest `czxid`) is in force: a
-//! process that returns with a new session has a second entry until the old session expires, and the latest owner of an
-//! address is the one that accepts connections there. If the later entry is removed, the earlier one is in force again.
+//! Of several entries with the same name or address, the one that was created last (the greatest `czxid`) is effective:
+//! a process that reconnects with a new session has a second entry until the old session expires, and the latest owner
+//! of an address is the one that accepts connections there. If the later entry is removed, the earlier one is effective
+//! again.
 //!
 //! | an entry | its server |
 //! | --- | --- |
-//! | in force, and the return is not delayed | listed, as up or draining |
-//! | in force, and the return is delayed | removed, until the delay is over |
-//! | not in force, or invalid | removed, unless another entry of the same name is in force |
+//! | effective, and the return is not delayed | listed, as up or draining |
+//! | effective, and the return is delayed | not listed until the delay is over |
+//! | not effective, or invalid | not listed, unless another entry of the same name is effective |
 
 use crate::entry::{Entry, EntryError};
 use crate::Time;
@@ -20,26 +23,26 @@
 use std::hash::Hash;
 use std::net::SocketAddr;
 
-/// Departures of a server within this time of the one before count as flapping, in seconds.
+/// A departure of a server within this time of the previous one counts as flapping, in seconds.
 pub const FLAP_WINDOW: Time = 30.0;
-/// The delay of the second return within the window, in seconds.
+/// The delay of a server's second return within the window, in seconds.
 pub const INITIAL_RETURN_DELAY: Time = 1.0;
-/// The maximum delay of a return, in seconds.
+/// Maximum delay of a return, in seconds.
 pub const MAX_RETURN_DELAY: Time = 30.0;
 /// Maximum number of flap records. A server whose record is evicted returns without delay.
 pub const MAX_FLAP_RECORDS: usize = 4096;
 
-/// Enough doublings to reach [`MAX_RETURN_DELAY`].
+/// Maximum number of doublings of the delay, enough to reach [`MAX_RETURN_DELAY`].
 const MAX_DOUBLINGS: u32 = 16;
 /// The interval at which expired flap records are removed, in seconds.
 const SWEEP_INTERVAL: Time = 1.0;
 
-/// A change of a server.
+/// A change of the listed servers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// It is listed, as described by this entry.
+    /// A server is listed or has changed; this entry describes it.
     Listed(Entry),
-    /// It is not listed any more.
+    /// The server of this name is no longer listed.
     Removed(String),
 }
 
@@ -50,18 +53,18 @@
     entry: Entry,
 }
 
-/// The departures of a server.
+/// The recent departures of a server.
 #[derive(Clone, Copy, Debug)]
 struct FlapRecord {
     departures: u32,
     last_departure: Time,
-    /// When the server may return.
+    /// The server is not listed before this time.
     delayed_until: Time,
-    /// The time of its item in [`Roster::delayed`], if it has one.
+    /// The time of the server's item in [`Roster::delayed`], if it has one.
     scheduled_at: Option<Ticks>,
 }
 
-/// An entry in an [`Index`]. The order is that of creation.
+/// An entry in an [`Index`], ordered by creation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct IndexedEntry {
     czxid: i64,
@@ -77,7 +80,7 @@
     }
 }
 
-/// The entries that share a key, in the order of their creation.
+/// The entries that share a name or an address, in the order of their creation.
 #[derive(Debug)]
 struct Index<K>(HashMap<K, BTreeSet<IndexedEntry>>);
 
@@ -129,29 +132,29 @@
     pub entries: usize,
     /// Listed servers.
     pub servers: usize,
-    /// Servers whose departures are counted.
+    /// Servers with a record of recent departures.
     pub flap_records: usize,
 }
 
-/// A server that is listed after a delay. The order is that of the time.
+/// A server that is listed after a delay, ordered by the time of its return.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DelayedReturn {
     at: Ticks,
     name: String,
 }
 
-/// The listed servers; see the module. [`crate::follow`] keeps it up to date with the entries.
+/// The listed servers; see the module documentation. [`crate::follow`] updates it with the entries of the registry.
 #[derive(Debug)]
 pub struct Roster {
     entries: HashMap<String, StoredEntry>,
     by_name: Index<String>,
     by_address: Index<SocketAddr>,
-    /// The listed servers by name, each as it was reported last.
+    /// The listed servers by name, each as reported by the last [`Change`].
     listed: HashMap<String, Entry>,
     flaps: HashMap<String, FlapRecord>,
-    /// The servers whose return is delayed, in the order of its time.
+    /// The servers whose return is delayed, in the order of their return.
     delayed: BTreeSet<DelayedReturn>,
-    /// When expired flap records were removed last.
+    /// When expired flap records were last removed.
     last_sweep: Time,
     changes: Vec<Change>,
 }
@@ -171,20 +174,20 @@
     }
 }
 
-/// A time in whole microseconds, which has a total order.
+/// A time in whole microseconds; unlike [`Time`], it has a total order.
 type Ticks = u64;
 
 fn to_ticks(time: Time) -> Ticks {
     (time * 1e6) as Ticks
 }
 
-/// The first tick that is certainly after a time, despite rounding.
+/// A tick that is later than a time even after rounding.
 fn ticks_after(time: Time) -> Ticks {
     to_ticks(time) + 2
 }
 
 impl Roster {
-    /// Returns the changes since the last call, in their order.
+    /// Returns the changes since the last call, in order.
     pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
@@ -203,7 +206,7 @@
         }
     }
 
-    /// Adds or updates an entry. An invalid one counts as removed.
+    /// Adds or updates an entry. An invalid entry counts as removed.
     pub fn update(&mut self, now: Time, child: &str, czxid: i64, entry: Result<Entry, EntryError>) {
         let before = self.remove_entry(child);
         if let Ok(entry) = entry {
@@ -228,7 +231,7 @@
         Some(entry)
     }
 
-    /// Reevaluates all servers that share a name or an address with an entry, before or after its change.
+    /// Reevaluates all servers that share a name or an address with an entry as it was before or is after a change.
     fn reevaluate_related(&mut self, now: Time, child: &str, before: Option<Entry>) {
         let after = self.entries.get(child).map(|stored| stored.entry.clone());
         let mut names: Vec<String> = Vec::new();
@@ -240,7 +243,7 @@
         }
         names.sort_unstable();
         names.dedup();
-        // Removals are reported first, so that a server is never listed beside another one with its address.
+        // Removals are reported first, so that two servers with the same address are never listed at the same time.
         let (listed, removed): (Vec<String>, Vec<String>) = names
             .into_iter()
             .partition(|name| self.effective_entry(name).is_some());
@@ -249,7 +252,7 @@
         }
     }
 
-    /// The entry in force for a name: the latest one of this name, if it is the latest one of its address as well.
+    /// The effective entry of a name: the latest one with this name, if it is also the latest one with its address.
     fn effective_entry(&self, name: &str) -> Option<&Entry> {
         let child = self.by_name.latest(name)?;
         let entry = &self.entries.get(child)?.entry;
@@ -270,7 +273,7 @@
         }
     }
 
-    /// Lists a server that was not listed, at once or, if it flaps, after a delay.
+    /// Lists a server that is not listed: at once, or after a delay if it flaps.
     fn list_or_delay(&mut self, now: Time, name: &str, entry: Entry) {
         let flap = self.flaps.get_mut(name);
         let Some(flap) = flap.filter(|flap| now < flap.delayed_until) else {
@@ -292,8 +295,8 @@
         self.changes.push(Change::Listed(entry));
     }
 
-    /// Records that a server was removed, which may delay its next return. Otherwise a process that loses its session over
-    /// and over would be sent requests each time, and flood the balancer with updates.
+    /// Records that a server was removed, which may delay its next return. Without the delay, a process that repeatedly
+    /// loses its session would receive requests each time, and would flood the balancer with updates.
     fn record_departure(&mut self, now: Time, name: &str) {
         if self.flaps.len() >= MAX_FLAP_RECORDS && !self.flaps.contains_key(name) {
             self.evict_flap_record();
@@ -331,15 +334,15 @@
         }
     }
 
-    /// When [`Roster::tick`] has to be called next.
+    /// When [`Roster::tick`] has to be called next; `None` if no return is delayed.
     pub fn deadline(&self) -> Option<Time> {
-        // One tick later, so that rounding does not make it too early.
+        // One tick later, so that rounding does not make the deadline too early.
         self.delayed
             .first()
             .map(|delayed| (delayed.at + 1) as f64 / 1e6)
     }
 
-    /// Lists the servers whose delay is over.
+    /// Lists the servers whose delay has passed, and removes expired flap records.
     pub fn tick(&mut self, now: Time) {
         while let Some(delayed) = self.delayed.first() {
             if delayed.at > to_ticks(now) {
@@ -353,7 +356,7 @@
             }
             self.reevaluate(now, &name);
         }
-        // Not at each tick, since there may be thousands of them per second.
+        // Not at every call, since there may be thousands of calls per second.
         if now - self.last_sweep >= SWEEP_INTERVAL {
             self.last_sweep = now;
             self.flaps
--- a/crates/registry-client/src/session.rs
+++ b/crates/registry-client/src/session.rs
@@ -1,22 +1,23 @@
-//! A session with a registry: a connection to one member at a time, pings, and requests with their responses in order.
+//! A session with a registry: connects to one member at a time, sends pings, and matches responses to requests in
+//! order.
 //!
-//! | state | ends |
+//! | state | next state |
 //! | --- | --- |
-//! | backoff | after a pause: connecting to the next member |
-//! | connecting | with a connection: handshake; at its time-out: backoff |
-//! | handshake | with the response: up, or the session has expired and a new one is requested; at its time-out: backoff |
-//! | up | when the connection ends, is silent, or violates the protocol: backoff, with the same session |
-//! | closed | never |
+//! | backoff | when the delay has passed: connecting to the next member |
+//! | connecting | connected: handshake; connecting failed or timed out: backoff |
+//! | handshake | session granted: open; session expired: backoff without a delay, then a new session is requested; timed out: backoff |
+//! | open | the connection ends, is silent, or violates the protocol: backoff, with the same session |
+//! | closed | none |
 //!
-//! *Connection lost* and *session expired* are different. Only the registry knows that a session is over, and reports it
-//! to a client that resumes it; until then its entries may exist. So the loss of a connection is [`Event::Disconnected`], and only
-//! the registry's response is [`Event::Expired`].
+//! A lost connection does not end the session. Only the registry knows that a session has expired, and it tells a
+//! client that tries to resume it; until then, the session's entries may exist. So the loss of a connection is reported
+//! as [`Event::Disconnected`], and only the registry's response as [`Event::Expired`].
 //!
 //! | module | content |
 //! | --- | --- |
 //! | [`interface`] | configuration, commands and events |
-//! | [`members`] | the order of members, and the backoff |
-//! | [`messages`] | messages of the session itself |
+//! | [`members`] | the order in which members are tried, and the backoff |
+//! | [`messages`] | handshake, ping, credentials, close, and the header of responses |
 //!
 //! Source: ZooKeeper Programmer's Guide, "ZooKeeper Sessions"; Internals, "Wire protocol".
 
@@ -55,18 +56,18 @@
     op: Op,
 }
 
-/// A session; see the module.
+/// The client side of a session; see the module documentation.
 #[derive(Debug)]
 pub struct Session {
     config: SessionConfig,
     members: Members,
     state: State,
-    /// When the session was connected last, or began.
+    /// Since when there has been no connection: its loss, or the creation or reset of the session.
     disconnected_since: Time,
     key: SessionKey,
-    /// The granted time-out.
+    /// The session time-out in seconds: the granted one, or the requested one before the first connection.
     timeout: Time,
-    /// The newest state of the registry that was seen.
+    /// The latest transaction id that the registry sent. Older states are rejected.
     last_zxid: i64,
     last_xid: i32,
     pending: VecDeque<PendingRequest>,
@@ -78,10 +79,11 @@
 }
 
 impl Session {
-    /// A session that is not requested yet. `random` determines the order of members and the pauses.
-    pub fn new(mut config: SessionConfig, now: Time, random: u64) -> Session {
+    /// Creates a session; the first [`Session::tick`] starts to connect. `seed` determines the order of members and the
+    /// random part of delays.
+    pub fn new(mut config: SessionConfig, now: Time, seed: u64) -> Session {
         Session {
-            members: Members::new(std::mem::take(&mut config.members), random),
+            members: Members::new(std::mem::take(&mut config.members), seed),
             timeout: config.timeout,
             config,
             state: State::Backoff { until: now },
@@ -98,32 +100,32 @@
         }
     }
 
-    /// The next command for the owner of the connection.
+    /// Takes the next command for the owner of the connection.
     pub fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
-    /// The next event.
+    /// Takes the next event.
     pub fn next_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// Whether the session is connected.
+    /// Whether the registry has granted the session on the current connection.
     pub fn is_connected(&self) -> bool {
         matches!(self.state, State::Open)
     }
 
-    /// The id of the session, 0 for none yet. It is the owner of the session's ephemeral entries.
+    /// The id of the session, which is the owner of its ephemeral entries; 0 if the registry has not granted a session.
     pub fn id(&self) -> i64 {
         self.key.id
     }
 
-    /// The newest state of the registry that was seen.
+    /// The latest transaction id that the registry sent.
     pub fn last_zxid(&self) -> i64 {
         self.last_zxid
     }
 
-    /// When a message of the registry was last received.
+    /// When a message from the registry was last received.
     pub fn last_received(&self) -> Time {
         self.last_received
     }
@@ -138,12 +140,12 @@
         self.last_sent + self.timeout / 3.0
     }
 
-    /// When the connection counts as lost, unless a message is received.
+    /// When the connection is considered lost unless a message is received.
     fn silent_at(&self) -> Time {
         self.last_received + self.timeout * 2.0 / 3.0
     }
 
-    /// When [`Session::tick`] has to be called; `None` once it is closed.
+    /// When [`Session::tick`] has to be called next; `None` once the session is closed.
     pub fn deadline(&self) -> Option<Time> {
         match self.state {
             State::Backoff { until } | State::Connecting { until } | State::Handshake { until } => {
@@ -154,7 +156,8 @@
         }
     }
 
-    /// Sends a request, whose response is an event with `token`. Returns whether it could be sent.
+    /// Sends a request; its response is an event with `token`. Returns `false` if the session is not connected or has
+    /// too many pending requests.
     pub fn request(&mut self, now: Time, token: u64, op: Op) -> bool {
         if !self.is_connected() || self.pending.len() >= MAX_PENDING_REQUESTS {
             return false;
@@ -170,7 +173,7 @@
         true
     }
 
-    /// Ends the session, with which the registry removes its entries at once. The session can't be used afterwards.
+    /// Closes the session, so that the registry removes its entries at once. The session can't be used afterwards.
     pub fn close(&mut self, now: Time) {
         if self.is_connected() {
             self.last_xid = self.last_xid.wrapping_add(1).max(1);
@@ -182,7 +185,7 @@
         self.lose_pending();
     }
 
-    /// Acts on timeouts; to be called at [`Session::deadline`].
+    /// Connects, sends pings and handles timeouts, as far as they are due. Has to be called at [`Session::deadline`].
     pub fn tick(&mut self, now: Time) {
         match self.state {
             State::Backoff { until } if now >= until => self.connect(now),
@@ -265,7 +268,7 @@
         self.key = response.key;
         self.timeout = f64::from(response.timeout_ms) / 1e3;
         self.state = State::Open;
-        self.members.succeed();
+        self.members.record_success();
         if let Some(credentials) = &self.config.credentials {
             let message = messages::credentials(credentials);
             self.send(now, message);
@@ -327,7 +330,8 @@
         header: &ResponseHeader,
         reader: &mut Reader,
     ) -> Result<Result<Response, OperationError>, WireError> {
-        // A member that lost state, or never had what another one showed, could bring back servers that are gone.
+        // A member that lost state, or lags behind the one that responded before, could report removed servers as
+        // existing.
         if header.zxid > 0 && header.zxid < self.last_zxid {
             return Err(WireError::StaleState(header.zxid, self.last_zxid));
         }
@@ -347,7 +351,7 @@
             .extend(lost.map(|request| Event::RequestLost(request.token)));
     }
 
-    /// Drops the connection, and schedules an attempt to connect to the next member.
+    /// Drops the connection, and schedules a connection attempt to the next member.
     fn disconnect(&mut self, now: Time, reason: LossReason) {
         if self.is_connected() {
             self.disconnected_since = now;
@@ -356,7 +360,7 @@
         self.frames = FrameDecoder::default();
         self.events.push_back(Event::Disconnected(reason));
         self.lose_pending();
-        self.members.fail();
+        self.members.record_failure();
         if self.last_zxid > 0 && now - self.disconnected_since >= self.config.forget_after {
             self.reset(now);
         }
@@ -366,8 +370,8 @@
         };
     }
 
-    /// Forgets session and state, so as not to wait forever for a state that a registry that was set up again never
-    /// reaches.
+    /// Forgets the session and the last state. A registry that was set up again from scratch never reaches that state,
+    /// so without a reset the session would reject it forever.
     fn reset(&mut self, now: Time) {
         self.last_zxid = 0;
         self.key = SessionKey::none();
--- a/crates/registry-client/src/session/members.rs
+++ b/crates/registry-client/src/session/members.rs
@@ -3,10 +3,11 @@
 use crate::Time;
 use std::net::SocketAddr;
 
-/// The first pause after all members have failed in a row, in seconds; it doubles up to [`MAX_BACKOFF`].
+/// The base of the delay, in seconds. It doubles with every round in which all members fail, up to [`MAX_BACKOFF`].
 const INITIAL_BACKOFF: Time = 0.1;
+/// Maximum delay before random variation, in seconds.
 const MAX_BACKOFF: Time = 5.0;
-/// Enough doublings to reach [`MAX_BACKOFF`].
+/// Maximum number of doublings of the delay, enough to reach [`MAX_BACKOFF`].
 const MAX_DOUBLINGS: usize = 10;
 
 /// The members of a registry in random order, tried round-robin.
@@ -19,7 +20,7 @@
 }
 
 impl Members {
-    /// Shuffles the members, so that not all nodes connect to the same one.
+    /// Shuffles the members, so that nodes do not all connect to the same one.
     pub(super) fn new(addresses: Vec<SocketAddr>, seed: u64) -> Self {
         let mut members = Members {
             addresses,
@@ -38,24 +39,24 @@
         self.addresses.len().max(1)
     }
 
-    /// The member to connect to.
+    /// The member to connect to next.
     pub(super) fn current(&self) -> Option<SocketAddr> {
         self.addresses.get(self.next % self.count()).copied()
     }
 
-    /// Records that the current member accepted the session.
-    pub(super) fn succeed(&mut self) {
+    /// Records that the current member granted the session.
+    pub(super) fn record_success(&mut self) {
         self.consecutive_failures = 0;
     }
 
-    /// Moves on to the next member.
-    pub(super) fn fail(&mut self) {
+    /// Records a failure of the current member, and moves on to the next one.
+    pub(super) fn record_failure(&mut self) {
         self.next = (self.next + 1) % self.count();
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
     }
 
-    /// The pause before the next attempt, in seconds. Each member is tried once without a pause, so that a failed one
-    /// costs no time, unless `is_rejected` tells that the next one will reject the session as well.
+    /// The delay before the next attempt, in seconds. Each member is tried once without a delay, so that the failure of
+    /// one costs no time, unless the session was rejected: then the other members will reject it as well.
     pub(super) fn backoff(&mut self, is_rejected: bool) -> Time {
         let rounds = self.consecutive_failures as usize / self.count();
         if rounds == 0 && !is_rejected {
@@ -67,12 +68,12 @@
     }
 }
 
-/// A small random number generator, good enough to spread members and pauses.
+/// The SplitMix64 random number generator, which is good enough to spread connections and delays.
 #[derive(Debug)]
 struct SplitMix64(u64);
 
 impl SplitMix64 {
-    /// A number from 0 up to, but not including, 1.
+    /// The next number, at least 0 and less than 1.
     fn fraction(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
--- a/crates/registry-client/src/session/messages.rs
+++ b/crates/registry-client/src/session/messages.rs
@@ -1,15 +1,15 @@
-//! The messages of a session itself: handshake, ping, credentials, close, and the header of responses.
+//! The messages that maintain a session: handshake, ping, credentials and close; and the header of responses.
 
 use super::interface::Credentials;
 use crate::wire::{Reader, WireError, Writer};
 use crate::Time;
 use bytes::Bytes;
 
-/// The xid of a ping.
+/// The reserved request id (xid) of a ping.
 pub(super) const PING_XID: i32 = -2;
-/// The xid of the credentials.
+/// The reserved request id of the credentials.
 pub(super) const AUTH_XID: i32 = -4;
-/// The xid of a watch event.
+/// The reserved request id of a watch event.
 pub(super) const WATCH_XID: i32 = -1;
 
 const PING_OP: i32 = 11;
@@ -19,13 +19,13 @@
 /// The id and the secret by which a session is resumed.
 #[derive(Clone, Debug)]
 pub(super) struct SessionKey {
-    /// 0 for a session that does not exist yet.
+    /// 0 requests a new session.
     pub(super) id: i64,
     pub(super) password: Bytes,
 }
 
 impl SessionKey {
-    /// Requests a new session.
+    /// The key that requests a new session.
     pub(super) fn none() -> Self {
         SessionKey {
             id: 0,
@@ -34,7 +34,7 @@
     }
 }
 
-/// The first message of a connection: requests a session of the member.
+/// The first message of a connection: requests a new session, or resumes the one with this key.
 pub(super) fn handshake(key: &SessionKey, last_zxid: i64, timeout: Time) -> Bytes {
     let timeout_ms = (timeout * 1e3).clamp(1.0, f64::from(i32::MAX)) as i32;
     Writer::new()
@@ -47,7 +47,7 @@
         .finish()
 }
 
-/// The response to a handshake.
+/// The response of a member to the handshake.
 pub(super) struct HandshakeResponse {
     pub(super) key: SessionKey,
     /// The negotiated time-out of the session, in milliseconds.
@@ -66,18 +66,18 @@
         })
     }
 
-    /// Whether the member granted a session; otherwise the requested one has expired.
+    /// Whether the member granted the session; otherwise the session to resume has expired.
     pub(super) fn is_granted(&self) -> bool {
         self.timeout_ms > 0 && self.key.id != 0
     }
 }
 
-/// Keeps the session alive.
+/// A ping, which keeps the session alive.
 pub(super) fn ping() -> Bytes {
     Writer::new().int(PING_XID).int(PING_OP).finish()
 }
 
-/// Authenticates the session.
+/// The message that authenticates the session.
 pub(super) fn credentials(credentials: &Credentials) -> Bytes {
     Writer::new()
         .int(AUTH_XID)
@@ -88,16 +88,16 @@
         .finish()
 }
 
-/// Ends the session.
+/// The request that closes the session.
 pub(super) fn close(xid: i32) -> Bytes {
     Writer::new().int(xid).int(CLOSE_OP).finish()
 }
 
 /// The header of a response or watch event.
 pub(super) struct ResponseHeader {
-    /// The id of the request, or one of the reserved ids.
+    /// The id of the request, or a reserved id.
     pub(super) xid: i32,
-    /// The state of the registry.
+    /// Id of the last transaction that the member has applied.
     pub(super) zxid: i64,
     /// The error code; 0 for none.
     pub(super) code: i32,
--- a/crates/registry-client/src/wire/fields.rs
+++ b/crates/registry-client/src/wire/fields.rs
@@ -7,20 +7,20 @@
 pub struct Reader(Bytes);
 
 impl Reader {
-    /// Reads a frame, without its length.
+    /// A reader of a frame without its length prefix.
     pub fn new(frame: Bytes) -> Reader {
         Reader(frame)
     }
 
-    /// Whether everything has been read.
+    /// Whether all bytes have been read.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// A Boolean: one byte.
+    /// Reads a Boolean: one byte.
     ///
     /// # Errors
-    /// If there is none.
+    /// If no byte is left.
     pub fn boolean(&mut self) -> Result<bool, WireError> {
         self.0
             .try_get_u8()
@@ -28,26 +28,26 @@
             .map_err(|_| WireError::Truncated)
     }
 
-    /// An integer of four bytes.
+    /// Reads an integer of four bytes.
     ///
     /// # Errors
-    /// If there are fewer.
+    /// If fewer bytes are left.
     pub fn int(&mut self) -> Result<i32, WireError> {
         self.0.try_get_i32().map_err(|_| WireError::Truncated)
     }
 
-    /// An integer of eight bytes.
+    /// Reads an integer of eight bytes.
     ///
     /// # Errors
-    /// If there are fewer.
+    /// If fewer bytes are left.
     pub fn long(&mut self) -> Result<i64, WireError> {
         self.0.try_get_i64().map_err(|_| WireError::Truncated)
     }
 
-    /// Bytes, prefixed by their length. A missing buffer is read as an empty one.
+    /// Reads bytes that are prefixed by their length. The length -1 (no buffer) is read as an empty buffer.
     ///
     /// # Errors
-    /// If the length is invalid, or there are fewer bytes.
+    /// If the length is invalid, or fewer bytes are left.
     pub fn buffer(&mut self) -> Result<Bytes, WireError> {
         let stated = self.int()?;
         if stated == -1 {
@@ -61,10 +61,10 @@
         Ok(self.0.split_to(length))
     }
 
-    /// A text.
+    /// Reads a string that is prefixed by its length in bytes.
     ///
     /// # Errors
-    /// As for [`Reader::buffer`], or if it is not in UTF-8.
+    /// As for [`Reader::buffer`], or if the string is not in UTF-8.
     pub fn string(&mut self) -> Result<String, WireError> {
         let bytes = self.buffer()?;
         std::str::from_utf8(&bytes)
@@ -72,15 +72,16 @@
             .map_err(|_| WireError::InvalidUtf8)
     }
 
-    /// Texts, prefixed by their number. One that is not in UTF-8 is `None`, so that it does not invalidate the others.
+    /// Reads a list of strings that is prefixed by their number. A string that is not in UTF-8 is `None`, so that it
+    /// does not invalidate the others.
     ///
     /// # Errors
-    /// If there are fewer.
+    /// If the list or one of its strings is truncated.
     pub fn strings(&mut self) -> Result<Vec<Option<String>>, WireError> {
         let stated = self.int()?;
         let count =
             usize::try_from(stated.max(0)).map_err(|_| WireError::InvalidLength(stated.into()))?;
-        // Each text has at least a length of four bytes, so nothing is allocated for an invalid number.
+        // Each string has a length prefix of four bytes, so an invalid number is rejected before anything is allocated.
         if count > self.0.len() / 4 {
             return Err(WireError::Truncated);
         }
@@ -107,28 +108,28 @@
         Writer(frame)
     }
 
-    /// A Boolean: one byte.
+    /// Appends a Boolean: one byte.
     #[must_use]
     pub fn boolean(mut self, value: bool) -> Self {
         self.0.put_u8(value.into());
         self
     }
 
-    /// An integer of four bytes.
+    /// Appends an integer of four bytes.
     #[must_use]
     pub fn int(mut self, number: i32) -> Self {
         self.0.put_i32(number);
         self
     }
 
-    /// An integer of eight bytes.
+    /// Appends an integer of eight bytes.
     #[must_use]
     pub fn long(mut self, number: i64) -> Self {
         self.0.put_i64(number);
         self
     }
 
-    /// Bytes, prefixed by their length.
+    /// Appends bytes, prefixed by their length.
     #[must_use]
     pub fn buffer(mut self, bytes: &[u8]) -> Self {
         self.0
@@ -137,13 +138,13 @@
         self
     }
 
-    /// A text.
+    /// Appends a string, prefixed by its length in bytes.
     #[must_use]
     pub fn string(self, text: &str) -> Self {
         self.buffer(text.as_bytes())
     }
 
-    /// Texts, prefixed by their number.
+    /// Appends a list of strings, prefixed by their number.
     #[must_use]
     pub fn strings(self, texts: &[String]) -> Self {
         let counted = self.int(i32::try_from(texts.len()).unwrap_or(i32::MAX));
@@ -152,7 +153,7 @@
             .fold(counted, |writer, text| writer.string(text))
     }
 
-    /// The frame, prefixed by its length.
+    /// Completes the frame and returns it, prefixed by its length.
     pub fn finish(mut self) -> Bytes {
         let length = u32::try_from(self.0.len().saturating_sub(4)).unwrap_or(u32::MAX);
         if let Some(head) = self.0.first_chunk_mut::<4>() {
--- a/crates/registry-client/src/wire/frames.rs
+++ b/crates/registry-client/src/wire/frames.rs
@@ -1,9 +1,9 @@
-//! Splits a stream of bytes into frames: a length of four bytes, followed by as many bytes.
+//! Splits a stream of bytes into frames, each of which is a length of four bytes followed by as many bytes.
 
 use super::{WireError, MAX_FRAME_LEN};
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The bytes that were received but do not form a complete frame yet.
+/// A decoder of frames, with the received bytes that do not form a complete frame yet.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
     buffer: BytesMut,
@@ -15,10 +15,10 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next complete frame, without its length.
+    /// Returns the next frame without its length prefix; `None` if it is incomplete.
     ///
     /// # Errors
-    /// If its length is invalid, after which the stream can't be used any more.
+    /// If the length is invalid. The stream can't be decoded any further then.
     pub fn next_frame(&mut self) -> Result<Option<Bytes>, WireError> {
         let Some(head) = self.buffer.first_chunk::<4>() else {
             return Ok(None);
--- a/crates/registry-client/src/wire/operations.rs
+++ b/crates/registry-client/src/wire/operations.rs
@@ -4,47 +4,47 @@
 use bytes::Bytes;
 use thiserror::Error;
 
-/// The mode of a watch that is persistent and recursive.
+/// The mode of a watch that is persistent and recursive (`PERSISTENT_RECURSIVE` of `AddWatchMode`).
 const PERSISTENT_RECURSIVE: i32 = 1;
 
 /// A request to the registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Op {
-    /// Creates an entry.
+    /// Creates an entry at a path.
     Create {
         /// The path.
         path: String,
-        /// The data.
+        /// The data of the entry.
         data: Bytes,
-        /// The access list.
+        /// The access list of the entry.
         acl: Vec<Acl>,
-        /// Whether it ends with this session.
+        /// Whether the registry removes the entry when this session ends.
         ephemeral: bool,
     },
-    /// Removes an entry, if it has this version; -1 for any.
+    /// Removes an entry if it has the given version.
     Delete {
         /// The path.
         path: String,
-        /// The required version.
+        /// The required version; -1 matches any.
         version: i32,
     },
-    /// Replaces the data of an entry, if it has this version; -1 for any.
+    /// Replaces the data of an entry if it has the given version.
     SetData {
         /// The path.
         path: String,
         /// The new data.
         data: Bytes,
-        /// The required version.
+        /// The required version; -1 matches any.
         version: i32,
     },
-    /// Checks whether an entry exists. The watch reports its next change, or its creation.
+    /// Checks whether an entry exists. The watch reports the next change, removal or creation of the entry.
     Exists {
         /// The path.
         path: String,
         /// Whether to set a watch.
         watch: bool,
     },
-    /// Reads the data of an entry. The watch reports the next change.
+    /// Reads the data of an entry. The watch reports its next change or the removal of the entry.
     GetData {
         /// The path.
         path: String,
@@ -56,19 +56,19 @@
         /// The path.
         path: String,
     },
-    /// Lists the children of an entry. The watch reports the next change.
+    /// Lists the children of an entry. The watch reports the next change of the list or the removal of the entry.
     GetChildren {
         /// The path.
         path: String,
         /// Whether to set a watch.
         watch: bool,
     },
-    /// Lets the member catch up with the others before it executes later requests.
+    /// Makes the member catch up with the leader before it executes later requests of this session.
     Sync {
         /// The path.
         path: String,
     },
-    /// Sets a watch that reports every change of an entry and of all entries below it, until the session ends.
+    /// Sets a watch that reports every change of an entry and of all entries below it. It stays set when it fires.
     AddWatch {
         /// The path.
         path: String,
@@ -76,7 +76,7 @@
 }
 
 impl Op {
-    /// The code of the operation.
+    /// The operation code in the request header.
     fn code(&self) -> i32 {
         match self {
             Op::Create { .. } => 1,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The frame of the request.
+    /// Encodes the request with the request id `xid` as a frame.
     pub(crate) fn frame(&self, xid: i32) -> Bytes {
         let writer = Writer::new().int(xid).int(self.code());
         match self {
@@ -132,22 +132,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum OperationError {
     /// The entry does not exist.
-    #[error("no such entry")]
+    #[error("the entry does not exist")]
     NoNode,
     /// The entry exists already.
-    #[error("there is one already")]
+    #[error("the entry exists already")]
     NodeExists,
     /// The entry has another version.
-    #[error("its version is another")]
+    #[error("the entry has another version")]
     BadVersion,
-    /// The session does not have the permission.
-    #[error("not allowed to this session")]
+    /// The session lacks the required permission.
+    #[error("this session lacks the required permission")]
     NoAuth,
-    /// The registry does not know the operation.
-    #[error("the registry does not know the operation")]
+    /// The registry does not support the operation.
+    #[error("the registry does not support the operation")]
     Unimplemented,
     /// Another error, by its code.
-    #[error("error {0}")]
+    #[error("the registry returned the error code {0}")]
     Other(i32),
 }
 
@@ -164,7 +164,7 @@
     }
 }
 
-/// A response of the registry.
+/// The response to a successful request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
     /// The operation succeeded without a result.
@@ -175,14 +175,14 @@
     Data(Bytes, Stat),
     /// The access list and metadata of an entry.
     Acl(Vec<Acl>, Stat),
-    /// The names of an entry's children, `None` for one that is not in UTF-8, and the metadata of the entry.
+    /// The names of an entry's children (`None` for a name that is not in UTF-8), and the metadata of the entry.
     Children(Vec<Option<String>>, Stat),
 }
 
-/// Decodes the response to an operation, behind the header that had the error code.
+/// Decodes the body of the response to `op`; `code` is the error code of the response header.
 ///
 /// # Errors
-/// If it is not a response to this operation.
+/// If the body is not a valid response to this operation.
 pub(crate) fn decode_response(
     op: &Op,
     code: i32,
--- a/crates/registry-client/src/wire/records.rs
+++ b/crates/registry-client/src/wire/records.rs
@@ -2,38 +2,38 @@
 
 use super::{Reader, WireError};
 
-/// The metadata of an entry. States of the registry are transaction ids (zxid).
+/// The metadata of an entry. A transaction id (zxid) identifies a change, and the state of the registry after it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stat {
-    /// The state that created it.
+    /// Id of the transaction that created the entry.
     pub czxid: i64,
-    /// The state that last changed its data.
+    /// Id of the transaction that last changed the data.
     pub mzxid: i64,
-    /// When it was created, in milliseconds of the registry's Unix time.
+    /// When the entry was created, in milliseconds of Unix time by the registry's clock.
     pub ctime: i64,
-    /// When its data last changed, in milliseconds of the registry's Unix time.
+    /// When the data last changed, in milliseconds of Unix time by the registry's clock.
     pub mtime: i64,
-    /// Number of changes of its data.
+    /// Number of changes of the data.
     pub version: i32,
-    /// Number of changes of its children.
+    /// Number of changes of the list of children.
     pub cversion: i32,
-    /// Number of changes of its access list.
+    /// Number of changes of the access list.
     pub aversion: i32,
-    /// The id of the session that it ends with; 0 for none.
+    /// Id of the session that the entry ends with; 0 if it is not ephemeral.
     pub ephemeral_owner: i64,
-    /// Length of its data, in bytes.
+    /// Length of the data, in bytes.
     pub data_length: i32,
-    /// Number of its children.
+    /// Number of children.
     pub num_children: i32,
-    /// The state that last changed its children.
+    /// Id of the transaction that last changed the list of children.
     pub pzxid: i64,
 }
 
 impl Stat {
-    /// Reads the metadata.
+    /// Reads the fields in the order of the wire protocol.
     ///
     /// # Errors
-    /// If it is truncated.
+    /// If the record is truncated.
     pub fn read(reader: &mut Reader) -> Result<Stat, WireError> {
         Ok(Stat {
             czxid: reader.long()?,
@@ -54,11 +54,11 @@
 /// An item of an access list: the permissions of an identity.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Acl {
-    /// The sum of read 1, write 2, create 4, delete 8, admin 16.
+    /// A bit mask: read 1, write 2, create 4, delete 8, admin 16.
     pub permissions: i32,
     /// The scheme of the identity, such as `world` or `digest`.
     pub scheme: String,
-    /// The id in this scheme.
+    /// The id of the identity in this scheme.
     pub id: String,
 }
 
@@ -80,7 +80,7 @@
         }
     }
 
-    /// All permissions for the identities of this session.
+    /// All permissions for the identities that this session is authenticated as.
     pub fn creator() -> Acl {
         Acl {
             permissions: 31,
@@ -105,18 +105,18 @@
     Created,
     /// The entry was deleted.
     Deleted,
-    /// Its data changed.
+    /// The data of the entry changed.
     DataChanged,
-    /// Its children changed.
+    /// The list of the entry's children changed.
     ChildrenChanged,
-    /// An unknown event, or one of the session.
+    /// An unknown event, or one about the session.
     Other,
 }
 
-/// The event of a watch that has fired.
+/// The event that a watch sends when it fires.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchEvent {
-    /// What happened.
+    /// What happened to the entry.
     pub kind: WatchEventKind,
     /// The path of the entry; empty if it is not in UTF-8.
     pub path: String,
--- a/crates/registry-client/tests/follow/entries.rs
+++ b/crates/registry-client/tests/follow/entries.rs
@@ -1,4 +1,4 @@
-//! Which entries count: validity, owner and limit.
+//! Which entries are accepted: validity, owner and maximum number.
 
 use crate::fake_registry::{payload, WatchDelivery, OWNER_SESSION};
 use crate::fixture::{Fixture, ListedServer};
@@ -10,7 +10,7 @@
 /// The owner of an entry that belongs to no session.
 const NO_SESSION: i64 = 0;
 
-/// The owner of an entry with a time to live of 5 seconds: the first byte marks it.
+/// The owner of an entry with a time to live of 5 seconds, which the most significant byte marks.
 const TTL_OWNER: i64 = (0xff << 56) | 5000;
 
 const ALL_PERMISSIONS: i32 = 31;
@@ -43,7 +43,7 @@
         "{reports:?}"
     );
     assert_eq!(reports.len(), 2, "{reports:?}");
-    // All entries are read again, and not reported again.
+    // The periodic read of all entries does not report them again.
     fixture.tick_and_settle(31.0);
     assert_eq!(fixture.follower.next_report(), None);
     // An entry with a time to live belongs to no session either.
@@ -80,7 +80,7 @@
     };
     let acls_by_server = [
         vec![acl("ops:hash", ALL_PERMISSIONS), Acl::read_only()],
-        // The registry hides the hash from clients without the right to change the entry.
+        // The registry hides the hash from clients without the permission to change the entry.
         vec![acl("ops:x", ALL_PERMISSIONS)],
         vec![Acl::open()],
         vec![
@@ -126,7 +126,7 @@
         fixture.follower.next_report(),
         Some(Report::TooManyEntries(MAX_ENTRIES))
     );
-    // After a removal another entry takes the place, once all are read again.
+    // After a removal, another entry is accepted once all are read again.
     fixture.registry.remove("s01", WatchDelivery::Delivered);
     fixture.settle(2.0);
     fixture.tick_and_settle(40.0);
--- a/crates/registry-client/tests/follow/fake_registry.rs
+++ b/crates/registry-client/tests/follow/fake_registry.rs
@@ -1,4 +1,4 @@
-//! A registry with one followed path and one connection.
+//! A fake registry with one followed path and a connection to one follower.
 
 use crate::PATH;
 use bytes::Bytes;
@@ -12,24 +12,24 @@
 /// The session that owns the entries.
 pub const OWNER_SESSION: i64 = 9;
 
-/// The host of every server.
+/// The host part of every server's address.
 const HOST: &str = "127.0.0.1:";
 
-/// The steps after which a registry that is not idle counts as stuck.
+/// Number of steps after which a registry and a follower that still exchange messages are considered stuck.
 const MAX_SETTLING_STEPS: usize = 100_000;
 
-/// An entry.
+/// An entry of the registry.
 #[derive(Clone)]
 pub struct Node {
     /// The transaction that created it.
     pub czxid: i64,
     /// The transaction that modified it last.
     pub mzxid: i64,
-    /// Its data.
+    /// The data of the entry.
     pub data: Bytes,
-    /// The session that owns it, or 0.
+    /// The session that owns the entry; 0 if it is not ephemeral.
     pub owner: i64,
-    /// Its access rights.
+    /// The access list.
     pub acl: Vec<Acl>,
 }
 
@@ -48,9 +48,9 @@
 /// Whether the follower receives the watch event of a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WatchDelivery {
-    /// It does.
+    /// The event is delivered.
     Delivered,
-    /// It is lost.
+    /// The event is lost.
     Lost,
 }
 
@@ -58,29 +58,29 @@
 pub struct FakeRegistry {
     /// The entries by name.
     pub nodes: BTreeMap<String, Node>,
-    /// The last transaction.
+    /// The id of the last transaction.
     zxid: i64,
-    /// Whether there is a persistent watch of the path and all below it.
+    /// Whether there is a persistent watch on the path and everything below it.
     pub has_recursive_watch: bool,
-    /// Whether there is a watch of the children of the path.
+    /// Whether there is a one-shot watch on the children of the path.
     has_children_watch: bool,
-    /// The entries whose data is watched.
+    /// The entries with a one-shot watch on their data.
     data_watches: BTreeSet<String>,
     /// Whether the registry supports persistent watches.
     pub has_persistent_watches: bool,
     is_connected: bool,
-    /// Requests that are not executed yet.
+    /// Received requests that have not been executed.
     pub requests: VecDeque<TokenRequest>,
     /// Events that the follower has not received yet.
     pub events: VecDeque<Event>,
 }
 
-/// The data of an entry whose server has this port.
+/// The data of an entry whose server listens on `port`.
 pub fn payload(port: u16) -> Bytes {
     Bytes::from(format!("{{\"address\":\"{HOST}{port}\",\"started\":1000}}"))
 }
 
-/// The port in the data that [`payload`] made.
+/// The port in data made by [`payload`].
 pub fn port_of(payload: &Bytes) -> u16 {
     let text = std::str::from_utf8(payload).unwrap();
     let (_, after_host) = text.split_once(HOST).unwrap();
@@ -88,7 +88,7 @@
     port.parse().unwrap()
 }
 
-/// The name of an entry, from its path.
+/// The name of the entry at a path; `None` if the path is not below the followed one.
 fn name_of(path: &str) -> Option<String> {
     path.strip_prefix(PATH)
         .map(|name| name.trim_start_matches('/').to_owned())
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Sends the event of an entry, or of the path itself if `name` is empty.
+    /// Sends a watch event of the entry `name`, or of the path itself if `name` is empty.
     fn emit(&mut self, kind: WatchEventKind, name: &str, delivery: WatchDelivery) {
         let path = if name.is_empty() {
             PATH.to_owned()
@@ -165,7 +165,7 @@
         self.emit_children_changed(delivery);
     }
 
-    /// Triggers the watch of the children, which ends with its event.
+    /// Fires the one-shot watch on the children, if it is set.
     fn emit_children_changed(&mut self, delivery: WatchDelivery) {
         if std::mem::take(&mut self.has_children_watch) {
             self.emit(WatchEventKind::ChildrenChanged, "", delivery);
@@ -252,7 +252,7 @@
         }
     }
 
-    /// Executes requests and delivers events until there are none.
+    /// Executes requests and delivers events until none are left.
     pub fn settle(&mut self, follower: &mut Follower, now: f64) {
         for _ in 0..MAX_SETTLING_STEPS {
             self.receive_requests(follower);
@@ -268,6 +268,6 @@
                 None => {}
             }
         }
-        panic!("it never settles");
+        panic!("the registry and the follower never settle");
     }
 }
--- a/crates/registry-client/tests/follow/fixture.rs
+++ b/crates/registry-client/tests/follow/fixture.rs
@@ -1,4 +1,4 @@
-//! A fake registry and the follower that is connected to it.
+//! A fake registry, and a follower with a connection to it.
 
 use crate::fake_registry::FakeRegistry;
 use crate::PATH;
@@ -9,14 +9,14 @@
 /// A server in the follower's list.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ListedServer {
-    /// The name of its entry.
+    /// The name of the server.
     pub name: String,
-    /// Its port.
+    /// The port that the server listens on.
     pub port: u16,
 }
 
 impl ListedServer {
-    /// A server by its name and port.
+    /// A server with this name and port.
     pub fn new(name: &str, port: u16) -> ListedServer {
         ListedServer {
             name: name.to_owned(),
@@ -34,7 +34,7 @@
 }
 
 impl Fixture {
-    /// Without a connection.
+    /// A fixture without a connection.
     pub fn disconnected(has_persistent_watches: bool, config: FollowerConfig, now: f64) -> Fixture {
         Fixture {
             registry: FakeRegistry::new(has_persistent_watches),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// With a connection, and with the empty list read.
+    /// A fixture with a connection, whose follower has read the empty list.
     pub fn connected(config: FollowerConfig) -> Fixture {
         let mut fixture = Fixture::disconnected(true, config, 0.0);
         fixture.connect(0.0);
@@ -70,7 +70,7 @@
         self.registry.settle(&mut self.follower, now);
     }
 
-    /// Lets time pass, then settles.
+    /// Advances the follower's time, then settles.
     pub fn tick_and_settle(&mut self, now: f64) {
         self.follower.tick(now);
         self.settle(now);
--- a/crates/registry-client/tests/follow/list.rs
+++ b/crates/registry-client/tests/follow/list.rs
@@ -1,4 +1,4 @@
-//! When the list is complete, and how it follows changes.
+//! When the list counts as complete, and how it follows changes.
 
 use crate::fake_registry::{payload, WatchDelivery, OWNER_SESSION};
 use crate::fixture::{Fixture, ListedServer};
@@ -15,7 +15,7 @@
         fixture.registry.put_server(&format!("s{port}"), port);
     }
     fixture.connect(0.0);
-    // Not enough steps to read all of them.
+    // 100 steps are too few to read all entries.
     for _ in 0..100 {
         fixture.receive_requests();
         fixture.registry.execute_request();
@@ -52,7 +52,7 @@
     fixture.follower.handle_event(1.0, &read_response);
     assert!(
         fixture.listed_servers().is_empty(),
-        "a read brought it back"
+        "the response to an older read listed the removed server again"
     );
     assert_eq!(fixture.follower.take_changes(), []);
 }
@@ -64,7 +64,7 @@
         ..FollowerConfig::default()
     };
     let mut fixture = Fixture::connected(config);
-    // One read never gets its response; the others wait, while their entries are created and removed.
+    // One read gets no response; the others are queued while their entries are created and removed.
     for round in 0..20_000 {
         let name = format!("s{}", round % 7);
         fixture.registry.put_server(&name, 1 + round % 7);
@@ -72,7 +72,7 @@
         while fixture.deliver_event(1.0).is_some() {}
         fixture.receive_requests();
         let waiting_reads = fixture.follower.sizes().waiting_reads;
-        assert!(waiting_reads <= 80, "{waiting_reads} wait to be read");
+        assert!(waiting_reads <= 80, "{waiting_reads} reads are queued");
     }
     fixture.registry.put_server("s1", 9);
     fixture.settle(2.0);
@@ -82,7 +82,7 @@
     );
 }
 
-/// Answers every request as a registry without the followed path does.
+/// Answers every request like a registry in which the followed path does not exist.
 fn answer_without_path(fixture: &mut Fixture) {
     fixture.receive_requests();
     while let Some(TokenRequest { token, op }) = fixture.registry.requests.pop_front() {
@@ -110,7 +110,7 @@
         assert_eq!(fixture.follower.next_report(), Some(Report::PathMissing));
         assert!(
             fixture.follower.has_list(),
-            "the list is empty, and that is known"
+            "the list of a missing path counts as unknown, not as empty"
         );
         fixture.registry.has_recursive_watch = has_persistent_watches;
         let path_created = Event::Watch(WatchEvent {
--- a/crates/registry-client/tests/follow/main.rs
+++ b/crates/registry-client/tests/follow/main.rs
@@ -1,4 +1,4 @@
-//! A follower against a fake registry, in virtual time.
+//! Tests of a follower with a fake registry, in virtual time.
 
 mod entries;
 mod fake_registry;
--- a/crates/registry-client/tests/follow/random.rs
+++ b/crates/registry-client/tests/follow/random.rs
@@ -1,4 +1,4 @@
-//! Random changes, lost watch events and lost connections, in random order.
+//! Random sequences of changes, lost watch events and lost connections.
 
 use crate::fake_registry::{payload, port_of, FakeRegistry, WatchDelivery, OWNER_SESSION};
 use crate::fixture::{Fixture, ListedServer};
@@ -11,10 +11,10 @@
 use reelfall_registry_client::wire::{WatchEvent, WatchEventKind};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The number of names of entries.
+/// Number of different entry names.
 const NAMES: u8 = 5;
 
-/// Data that is invalid.
+/// Data that is no valid description of a server.
 const INVALID_DATA: &[u8] = b"nonsense";
 
 const START: f64 = 1000.0;
@@ -38,7 +38,7 @@
     name: String,
     /// The port that a put writes.
     port: u16,
-    /// The time since the step before, in seconds.
+    /// The time since the previous step, in seconds.
     delay: f64,
 }
 
@@ -98,7 +98,7 @@
     Ok(())
 }
 
-/// Delivers an event; after that of a removal the server is not listed.
+/// Delivers an event, and checks that a server is not listed after the event of its removal.
 fn deliver_event(fixture: &mut Fixture, now: f64) -> Result<(), TestCaseError> {
     if let Some(Event::Watch(WatchEvent {
         kind: WatchEventKind::Deleted,
@@ -111,7 +111,7 @@
                 .listed_servers()
                 .iter()
                 .any(|server| server.name == removed),
-            "it is listed after the event of its removal"
+            "the server is listed after the event of its removal"
         );
     }
     Ok(())
@@ -162,7 +162,7 @@
     }
     fixture.connect(now);
     fixture.settle(now);
-    // The first reread finds the changes whose events were lost; by the second, delayed servers have returned.
+    // The first periodic read finds the changes whose events were lost; by the second, delayed servers have returned.
     for _ in 0..2 {
         now += MAX_RETURN_DELAY + 1.0;
         fixture.tick_and_settle(now);
@@ -173,8 +173,8 @@
     Ok(())
 }
 
-/// Whatever happens in whatever order: a server is not listed between the event of its removal and the next read of its
-/// entry, and at the end the list is the registry's.
+/// For any order of changes and losses, a server is not listed between the event of its removal and the next read of
+/// its entry, and at the end the list equals the registry's.
 #[test]
 fn list_converges_after_any_order_of_changes_and_losses() {
     let strategy = (any::<bool>(), prop::collection::vec(step(), 1..150));
--- a/crates/registry-client/tests/follow/staleness.rs
+++ b/crates/registry-client/tests/follow/staleness.rs
@@ -1,4 +1,4 @@
-//! The list after contact to the registry is lost.
+//! The list after contact with the registry is lost.
 
 use crate::fixture::Fixture;
 use reelfall_registry_client::follow::{FollowerConfig, Report, StalePolicy};
@@ -20,7 +20,7 @@
             1,
             "a lost connection removes no server"
         );
-        // The end of the follower's own session removes none either.
+        // The end of the follower's session removes no server either.
         fixture.follower.handle_event(6.0, &Event::Expired);
         fixture.follower.tick(20.9);
         assert!(!fixture.follower.rejects_requests() && fixture.follower.age(20.0) == 19.0);
--- a/crates/registry-client/tests/golden.rs
+++ b/crates/registry-client/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What a session sends to a registry has the bytes that it had at commit c58caac; they are those of the published record
-//! definitions, so `golden/session.txt` does not change.
+//! The bytes that a session sends are those recorded at commit c58caac in `golden/session.txt`. They follow the
+//! published record definitions, so the file does not change.
 
 use bytes::Bytes;
 use reelfall_registry_client::session::{Command, Credentials, Session, SessionConfig};
@@ -7,7 +7,8 @@
 
 const GOLDEN: &str = include_str!("golden/session.txt");
 
-fn sent(session: &mut Session) -> Vec<String> {
+/// The frames that the session sends, in hexadecimal digits.
+fn sent_frames(session: &mut Session) -> Vec<String> {
     let commands = std::iter::from_fn(|| session.next_command());
     let frames = commands.filter_map(|command| match command {
         Command::Send(bytes) => Some(bytes.iter().map(|byte| format!("{byte:02x}")).collect()),
@@ -17,7 +18,7 @@
 }
 
 #[test]
-fn a_session_sends_the_bytes_that_it_sent() {
+fn sent_bytes_match_the_golden_file() {
     let config = SessionConfig {
         members: vec![([127, 0, 0, 1], 2181).into()],
         timeout: 6.0,
@@ -31,18 +32,18 @@
     let mut session = Session::new(config, 10.0, 1);
     session.tick(10.0);
     session.handle_connected(10.0);
-    let mut lines = sent(&mut session);
-    let greeting = Writer::new()
+    let mut lines = sent_frames(&mut session);
+    let handshake_response = Writer::new()
         .int(0)
         .int(6000)
         .long(42)
         .buffer(&[7; 16])
         .boolean(false)
         .finish();
-    session.handle_bytes(10.1, &greeting);
-    lines.extend(sent(&mut session));
+    session.handle_bytes(10.1, &handshake_response);
+    lines.extend(sent_frames(&mut session));
     session.handle_bytes(10.2, &Writer::new().int(-4).long(0).int(0).finish());
-    lines.extend(sent(&mut session));
+    lines.extend(sent_frames(&mut session));
     let path = || "/flags/n1".to_owned();
     let acl = |permissions| Acl {
         permissions,
@@ -91,10 +92,10 @@
     for (token, operation) in (0..).zip(operations) {
         assert!(session.request(10.3, token, operation));
     }
-    lines.extend(sent(&mut session));
+    lines.extend(sent_frames(&mut session));
     session.tick(13.0);
-    lines.extend(sent(&mut session));
+    lines.extend(sent_frames(&mut session));
     session.close(13.0);
-    lines.extend(sent(&mut session));
+    lines.extend(sent_frames(&mut session));
     assert_eq!(lines, GOLDEN.lines().collect::<Vec<_>>());
 }
--- a/crates/registry-client/tests/registration.rs
+++ b/crates/registry-client/tests/registration.rs
@@ -1,4 +1,4 @@
-//! The registration of this node's own entry, with a fake registry.
+//! The registration of a node's own entry in a fake registry.
 
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -11,7 +11,7 @@
 use std::collections::VecDeque;
 
 const PATH: &str = "/nodes/n1";
-/// In a request to delete, the version that matches every other.
+/// The version in a delete request that matches any version of the entry.
 const ANY_VERSION: i32 = -1;
 
 fn data(incarnation: u64) -> EntryData {
@@ -33,7 +33,7 @@
     version: i32,
 }
 
-/// A registry with a single path.
+/// A registry that has only [`PATH`].
 #[derive(Default)]
 struct FakeRegistry {
     entry: Option<RegistryEntry>,
@@ -47,7 +47,7 @@
     }
 }
 
-/// A node with its connection.
+/// A node, and its connection to the registry.
 struct Node {
     registration: Registration,
     session: i64,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The session expires, and the registry has removed its entry; the next session is `session`.
+    /// The session expires, and the registry removes its entry. The next session is `session`.
     fn expire(&mut self, now: f64, registry: &mut FakeRegistry, session: i64) {
         self.disconnect(now, registry, false);
         if registry.owner() == Some(self.session) {
@@ -191,7 +191,7 @@
         self.take_requests();
     }
 
-    /// Executes requests and handles events until there are none.
+    /// Executes requests and handles events until none are left.
     fn settle(&mut self, now: f64, registry: &mut FakeRegistry) {
         for _ in 0..1000 {
             self.take_requests();
@@ -201,7 +201,7 @@
             self.execute_request(registry);
             self.handle_event(now);
         }
-        panic!("requests and events do not end");
+        panic!("the node and the registry never settle");
     }
 }
 
@@ -272,7 +272,7 @@
         node.settle(0.0, &mut registry);
         assert_eq!(node.registration.next_report(), Some(expected));
         assert_eq!(registry.owner(), Some(50));
-        // Once the other entry is removed, the node registers its own, at the next poll at the latest.
+        // Once the other entry is removed, the node registers its own, after the retry interval at the latest.
         registry.entry = None;
         node.registration.tick(node.registration.deadline());
         node.settle(RETRY_INTERVAL, &mut registry);
@@ -280,7 +280,7 @@
     }
 }
 
-/// One step of the random test.
+/// An action of the random test.
 #[derive(Clone, Copy, Debug)]
 enum Action {
     Connect,
@@ -310,8 +310,9 @@
     })
 }
 
-/// Connections are lost before and after requests are executed, sessions expire and other clients remove the entry, in any
-/// order: afterwards the entry exists and belongs to the current session if it is requested, and does not exist otherwise.
+/// Connections are lost before and after requests are executed, sessions expire and other clients remove the entry, in
+/// any order. Afterwards the entry exists and belongs to the current session, or does not exist if the node
+/// deregisters.
 #[test]
 fn entry_state_converges_after_any_order_of_losses() {
     let steps = prop::collection::vec((action(), 0.0..3.0f64), 1..80);
--- a/crates/registry-client/tests/roster/main.rs
+++ b/crates/registry-client/tests/roster/main.rs
@@ -1,4 +1,4 @@
-//! The servers of a roster: validation of entries, conflicts between them, and delays of servers that flap.
+//! The listed servers: validation of entries, conflicts between them, and delayed returns of servers that flap.
 
 mod random;
 
@@ -30,7 +30,7 @@
     names
 }
 
-/// Parses an entry that the registry made 50 s after the epoch, 50 s ago.
+/// Parses the data of an entry that was created at 50 s of Unix time; the time is 100 s.
 fn parse_entry(data: &str) -> Result<Entry, EntryError> {
     let stat = Stat {
         ctime: 50_000,
@@ -54,7 +54,8 @@
         (entry.zone.as_deref(), entry.kind.as_deref(), entry.draining),
         (Some("z"), Some("big"), false)
     );
-    // A missing start time is that of the registry; one in the future is the present time.
+    // Without a start time, the time of the entry's creation is used; a start time in the future becomes the present
+    // time.
     assert_eq!(
         parse_entry(r#"{"address":"127.0.0.1","port":9000}"#)
             .unwrap()
@@ -160,7 +161,7 @@
             assert_eq!(roster.take_changes(), [], "return {returns} is not delayed");
             roster.tick(now + return_delay * 0.9);
             assert_eq!(roster.take_changes(), []);
-            // Further removals and returns in the meantime change nothing.
+            // Further removals and updates during the delay change nothing.
             for _ in 0..100 {
                 roster.remove(now, "c");
                 zxid += 1;
--- a/crates/registry-client/tests/roster/random.rs
+++ b/crates/registry-client/tests/roster/random.rs
@@ -1,4 +1,4 @@
-//! A roster after random updates, compared with a reference that scans all entries.
+//! Compares a roster after random updates with a reference that scans all entries.
 
 use crate::entry;
 use proptest::prelude::*;
@@ -13,7 +13,7 @@
     child: u8,
     name: u8,
     port: u16,
-    /// The time since the last step, in seconds.
+    /// The time since the previous step, in seconds.
     after: f64,
     action: Action,
 }
@@ -22,7 +22,7 @@
 enum Action {
     Remove,
     UpdateInvalid,
-    /// Update, and then wait until no return is delayed.
+    /// Update the entry, then wait until no return is delayed.
     UpdateAndSettle,
     UpdateAndTick,
 }
@@ -45,13 +45,13 @@
     })
 }
 
-/// A valid entry of the registry and when it was made.
+/// A valid entry of the registry, and the transaction that created it.
 struct RegisteredEntry {
     zxid: i64,
     entry: Entry,
 }
 
-/// A roster with the reference, and the servers that its changes listed.
+/// A roster, the reference, and the servers according to the roster's changes.
 #[derive(Default)]
 struct ComparedRoster {
     roster: Roster,
@@ -59,7 +59,7 @@
     zxid: i64,
     /// The valid entries of the registry by child.
     registered: BTreeMap<String, RegisteredEntry>,
-    /// The servers by name, as the roster's changes list and remove them.
+    /// The servers by name, as listed and removed by the roster's changes.
     listed: BTreeMap<String, Entry>,
 }
 
@@ -80,7 +80,7 @@
             prop_assert_eq!(
                 self.roster.servers().count(),
                 effective.len(),
-                "a return is delayed for ever"
+                "an effective entry is still not listed after the maximum delay"
             );
         }
         for change in self.roster.take_changes() {
@@ -133,7 +133,8 @@
             .collect()
     }
 
-    /// Checks that all servers of the roster are effective, and that its changes led to them.
+    /// Checks that each server of the roster has an effective entry, and that the roster's changes lead to the same
+    /// list.
     fn check_servers(&mut self, effective: &BTreeMap<String, Entry>) -> Result<(), TestCaseError> {
         let servers = self.roster.servers();
         let servers: BTreeMap<String, Entry> = servers
@@ -143,7 +144,7 @@
             prop_assert_eq!(
                 effective.get(name),
                 Some(entry),
-                "a server that is not effective"
+                "a server is listed whose entry is not effective"
             );
         }
         for change in self.roster.take_changes() {
@@ -159,14 +160,14 @@
         prop_assert_eq!(
             addresses.len(),
             self.listed.len(),
-            "two servers at one address"
+            "two listed servers have the same address"
         );
         Ok(())
     }
 }
 
-/// Whatever the order of updates: each server is effective, and once no return is delayed, each effective entry is a
-/// server.
+/// For updates in any order, each listed server has an effective entry, and once no return is delayed, each effective
+/// entry is listed.
 #[test]
 fn roster_converges_to_the_effective_entries() {
     let steps = prop::collection::vec(step(), 1..120);
--- a/crates/registry-client/tests/session/main.rs
+++ b/crates/registry-client/tests/session/main.rs
@@ -1,4 +1,5 @@
-//! A session against members that answer, keep silent, violate the protocol and close the connection, in virtual time.
+//! Tests of a session with members that respond, are silent, violate the protocol or close the connection, in virtual
+//! time.
 
 mod protocol;
 mod random;
@@ -25,7 +26,7 @@
 /// The request id of watch events.
 const WATCH_EVENT_XID: i32 = -1;
 
-/// The version that matches every version of an entry.
+/// The version in a request that matches any version of the entry.
 const ANY_VERSION: i32 = -1;
 
 fn member(index: u16) -> SocketAddr {
@@ -42,12 +43,12 @@
     }
 }
 
-/// The handshake of a member that grants a session.
+/// The handshake response of a member that grants a session.
 fn handshake_response(session_id: i64) -> Bytes {
     handshake_response_with_timeout(SESSION_TIMEOUT_MS, session_id)
 }
 
-/// The handshake of a member that reports the session as expired.
+/// The handshake response of a member that reports the session as expired.
 fn expired_response() -> Bytes {
     handshake_response_with_timeout(0, 0)
 }
@@ -104,7 +105,7 @@
     session
 }
 
-/// Fields of the handshake that a session sends.
+/// Fields of a handshake request that a session sent.
 #[derive(Debug, PartialEq)]
 struct SentHandshake {
     /// The last transaction that the session has seen.
@@ -112,7 +113,7 @@
     session_id: i64,
 }
 
-/// The handshake among the commands of a session.
+/// Takes all commands of a session, and decodes the handshake request among them.
 fn take_handshake(session: &mut Session) -> SentHandshake {
     const LAST_ZXID_OFFSET: usize = 8;
     const SESSION_ID_OFFSET: usize = 20;
--- a/crates/registry-client/tests/session/protocol.rs
+++ b/crates/registry-client/tests/session/protocol.rs
@@ -1,4 +1,4 @@
-//! Members that violate the protocol, and the separation of frames.
+//! Protocol violations by members, and the splitting of a stream into frames.
 
 use crate::{connected_session, response_header, take_events, NO_ERROR};
 use bytes::Bytes;
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn frames_are_separated() {
+fn stream_is_split_into_frames() {
     let mut frames = FrameDecoder::default();
     frames.push(&[0, 0, 0, 3, 1, 2, 3, 0, 0, 0, 0, 0, 0]);
     assert_eq!(
--- a/crates/registry-client/tests/session/random.rs
+++ b/crates/registry-client/tests/session/random.rs
@@ -12,11 +12,11 @@
 #[derive(Clone, Debug)]
 enum Step {
     ReceiveBytes(Vec<u8>),
-    /// A handshake of the session's id, or one of the two after it.
+    /// A handshake response with the session's id, or with one of the next two ids.
     ReceiveHandshake {
         id_offset: u8,
     },
-    /// A response to the request after the last one, with a body of booleans.
+    /// A response to the request after the last accepted one, with a body of booleans.
     ReceiveResponse {
         body: Vec<bool>,
     },
@@ -57,7 +57,7 @@
     now: f64,
     /// The number of requests that the session accepted.
     accepted: u64,
-    /// The number of requests that have a response or are lost.
+    /// The number of requests that got a response or were lost.
     ended: u64,
     last_token: u64,
     last_xid: i32,
@@ -139,7 +139,7 @@
         prop_assert_eq!(
             driver.accepted,
             driver.ended + driver.session.pending_count() as u64,
-            "a request without an end"
+            "the accepted requests are not those that have ended or are pending"
         );
     }
     driver.session.close(driver.now);
@@ -152,7 +152,7 @@
     Ok(())
 }
 
-/// Whatever arrives in whatever state, the session does not panic, and each request ends exactly once.
+/// Whatever the session receives in any state, it does not panic, and each request ends exactly once.
 #[test]
 fn random_bytes_end_every_request_exactly_once() {
     let steps = prop::collection::vec(step(), 1..80);
--- a/crates/registry-client/tests/session/reconnection.rs
+++ b/crates/registry-client/tests/session/reconnection.rs
@@ -46,9 +46,9 @@
     );
     assert!(
         !session.request(1.0, 1, sync("/")),
-        "a request without a connection"
+        "a request was accepted without a connection"
     );
-    // It connects to the next member at once, with the same session and the last transaction.
+    // The session connects to the next member at once, and sends its id and the last transaction id that it has seen.
     let commands = take_commands(&mut session);
     assert_eq!(commands.last(), Some(&Command::Close));
     session.tick(1.0);
@@ -101,9 +101,9 @@
 }
 
 #[test]
-fn silent_member_is_left_and_pings_keep_an_idle_connection() {
+fn silent_member_is_disconnected_and_pings_keep_an_idle_connection() {
     const IDLE_INTERVALS: usize = 20;
-    // Two thirds of the session time-out, and rounding.
+    // Two thirds of the session time-out of 6 s, plus a margin for rounding.
     const MAX_SILENCE: f64 = 4.1;
     let mut session = connected_session(0.0);
     let mut now = 0.0;
@@ -130,10 +130,10 @@
     );
     assert!(
         now - last_response <= MAX_SILENCE,
-        "left after {} s of a session of 6",
+        "disconnected after {} s with a session time-out of 6 s",
         now - last_response
     );
-    // A member that accepts the connection and does not answer the handshake is left too.
+    // A member that accepts the connection but does not respond to the handshake is disconnected too.
     take_commands(&mut session);
     session.tick(now);
     session.handle_connected(now);
@@ -164,7 +164,11 @@
         now = next_attempt;
     }
     let first_round: BTreeSet<_> = attempts[..3].iter().collect();
-    assert_eq!(first_round.len(), 3, "each member once");
+    assert_eq!(
+        first_round.len(),
+        3,
+        "a member was tried twice in the first round"
+    );
     assert_eq!(delays[..2], [0.0, 0.0]);
     assert!(
         delays[3] > 0.0 && delays[29] > 2.0 && delays.iter().all(|delay| *delay <= 7.5),
@@ -173,7 +177,7 @@
 }
 
 #[test]
-fn older_state_is_accepted_only_after_no_member_has_the_newer() {
+fn older_state_is_accepted_only_after_a_reset() {
     const NEWER_ZXID: i64 = 100;
     const OLDER_ZXID: i64 = 99;
     const GIVE_UP: f64 = 200.0;
@@ -192,7 +196,8 @@
             )))
         ]
     );
-    // Members that lag close the connection, until the session resets: it no longer requires the last transaction.
+    // Members that lag behind close the connection, until the session resets and no longer requires the last
+    // transaction.
     let mut now = 0.0;
     let mut reset_time = None;
     while reset_time.is_none() && now < GIVE_UP {
--- a/crates/testbed/tests/membership/access.rs
+++ b/crates/testbed/tests/membership/access.rs
@@ -53,7 +53,7 @@
         0,
         "requests to the server of an untrusted entry"
     );
-    node.wait_for_log("others than those that are trusted may change it")
+    node.wait_for_log("an identity other than the configured owner may change the entry")
         .await
         .unwrap();
     wait_until("its entry", async || registry.entry(ENTRY_PATH).is_some()).await;
--- a/crates/testbed/tests/membership/entries.rs
+++ b/crates/testbed/tests/membership/entries.rs
@@ -30,21 +30,22 @@
     put("same-address", &entry_data(&good.address.to_string(), 0));
     registry.put(&format!("{SERVERS_PATH}/good/deeper"), b"{}", 0);
     let mut node = start_node(&registry, "", "").await;
-    // Both services log each of them. They are created one after another, since a node writes at most five lines a second.
+    // Both services log each of them. They are created one after another, since a node writes at most five lines a
+    // second.
     registry.put(
         &format!("{SERVERS_PATH}/by-hand"),
         &entry_data("127.0.0.1:9", 0),
         0,
     );
-    node.wait_for_log("by-hand: it is not ephemeral")
+    node.wait_for_log("by-hand: the entry is not ephemeral")
         .await
         .expect("a line");
     put("long", &vec![b'x'; TOO_LONG_DATA_LEN]);
-    node.wait_for_log("long: its data has")
+    node.wait_for_log("long: the data is")
         .await
         .expect("a line");
     put("no-json", b"\x00\xff\xfe");
-    node.wait_for_log("no-json: its data can't be read")
+    node.wait_for_log("no-json: the data is not a valid JSON object")
         .await
         .expect("a line");
     put("no-address", b"{}");
